--- a/amberdeal.go
+++ b/amberdeal.go
@@ -26,11 +26,7 @@
 
 // New makes a controller; it opens nothing yet.
 func New(cfg *Config, log *slog.Logger) *Service {
-	return newOn(transport.Sockets{Log: log}, cfg, log)
-}
-
-func newOn(network transport.Network, cfg *Config, log *slog.Logger) *Service {
-	return &Service{controller.New(network, cfg, log)}
+	return &Service{controller.New(transport.Sockets{Log: log}, cfg, log)}
 }
 
 // Run serves until the context ends.
--- a/days_sim_test.go
+++ b/internal/simtest/days_sim_test.go
@@ -1,4 +1,4 @@
-package amberdeal
+package simtest
 
 import (
 	"context"
