--- /dev/null
+++ b/internal/forward/golden_test.go
@@ -0,0 +1,30 @@
+package forward
+
+import (
+	"testing"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenMessages: another version reads every field of what this one sends, and this
+// one every field of what another has sent. See frozen_test.go.
+func TestGoldenMessages(t *testing.T) {
+	goldentest.CheckGob[request, frozenRequest](t, "request.gob")
+	goldentest.CheckGob[answer, frozenAnswer](t, "answer.gob")
+}
+
+// TestGoldenCodes: the numbers by which verbs and failures are told stay as they are.
+func TestGoldenCodes(t *testing.T) {
+	verbs := []Verb{Submit, Cancel}
+	for i, v := range verbs {
+		if int(v) != i+1 {
+			t.Errorf("verb %d is sent as %d", i+1, v)
+		}
+	}
+	codes := []failure{none, failedLater, failedBehind, failedHere, failedUnknown, failedFull, failedTooLarge, failedNever, failedAlien}
+	for i, c := range codes {
+		if int(c) != i {
+			t.Errorf("failure %d is sent as %d", i, c)
+		}
+	}
+}
--- /dev/null
+++ b/internal/goldentest/goldentest_test.go
@@ -0,0 +1,47 @@
+package goldentest
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+type inner struct {
+	Pair [2]float64
+	Next *int
+	At   time.Time
+}
+
+type sample struct {
+	Name   string
+	On     bool
+	Count  uint8
+	List   []inner
+	ByName map[string]inner
+	Any    any
+	hidden int
+}
+
+// TestFillLeavesNothingZero: no field is zero, and the same type is filled alike.
+func TestFillLeavesNothingZero(t *testing.T) {
+	a, b := Filled[sample](t), Filled[sample](t)
+	if x, y := Leaves(a), Leaves(b); !slices.Equal(x, y) {
+		t.Errorf("%v, then %v", x, y)
+	}
+	if a.hidden != 0 {
+		t.Error("a field that no encoder sees was set")
+	}
+	if n := len(Leaves(a)); n != 13 {
+		t.Errorf("%d leaves: %v", n, Leaves(a))
+	}
+}
+
+// TestZerosNamesEach: what is zero or empty is named, however deep it is.
+func TestZerosNamesEach(t *testing.T) {
+	v := Filled[sample](t)
+	v.Count, v.List[0].Pair[1], v.List[0].Next, v.ByName = 0, 0, nil, nil
+	want := []string{".Count", ".List[0].Pair[1]", ".List[0].Next", ".ByName"}
+	if got := Zeros(v); !slices.Equal(got, want) {
+		t.Errorf("%v, not %v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/relay/golden_test.go
@@ -0,0 +1,14 @@
+package relay
+
+import (
+	"testing"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenMessages: another version reads every field of what this one sends, and this
+// one every field of what another has sent. See frozen_test.go.
+func TestGoldenMessages(t *testing.T) {
+	goldentest.CheckGob[batch, frozenBatch](t, "batch.gob")
+	goldentest.CheckGob[reply, frozenReply](t, "reply.gob")
+}
