--- /dev/null
+++ b/internal/cas/golden_test.go
@@ -0,0 +1,33 @@
+package cas
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenResult: the result of an action is kept in the file that it had, with the bytes
+// that it had.
+func TestGoldenResult(t *testing.T) {
+	dir := t.TempDir()
+	d, err := Open(dir, 1<<20, time.Hour)
+	if err != nil {
+		t.Fatal(err)
+	}
+	action := Sum(Functions[0], []byte("an action"))
+	if err := d.PutResult("main", action, &repb.ActionResult{ExitCode: 3, StdoutRaw: []byte("out")}); err != nil {
+		t.Fatal(err)
+	}
+	path := d.resultPath("main", action)
+	body, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.File(t, "result", body)
+	goldentest.Text(t, "result.path", strings.TrimPrefix(path, dir)+"\n")
+}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,50 @@
+package config
+
+import (
+	"encoding/json"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenPlatformFile: the platform's file has the fields that it had.
+func TestGoldenPlatformFile(t *testing.T) {
+	goldentest.Check[platformFile](t, "platform.json", json.Marshal, json.Unmarshal)
+	text, err := os.ReadFile("testdata/good.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Text(t, "parsed.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
+}
+
+// TestGoldenSettings: the operators' file has the keys that it had, and they mean what they
+// meant: testdata/all.ini sets each of them.
+func TestGoldenSettings(t *testing.T) {
+	keys := slices.Sorted(maps.Keys(new(Tuning).settings(new(faults))))
+	goldentest.Text(t, "keys.txt", strings.Join(keys, "\n")+"\n")
+	text, err := os.ReadFile("testdata/all.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, key := range keys {
+		section, name, _ := strings.Cut(key, ".")
+		_, after, _ := strings.Cut(string(text), "["+section+"]\n")
+		if body, _, _ := strings.Cut(after, "\n["); !strings.Contains("\n"+body, "\n"+name+" = ") {
+			t.Errorf("all.ini does not set %s", key)
+		}
+	}
+	tuning := DefaultTuning()
+	goldentest.Text(t, "defaults.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
+	if err := tuning.parse(text); err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Text(t, "settings.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
+}
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -28,3 +28,8 @@
 		}
 	}
 }
+
+// TestGoldenKind: the stream is called what it was.
+func TestGoldenKind(t *testing.T) {
+	goldentest.Text(t, "kind.txt", Kind+"\n")
+}
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -12,3 +12,8 @@
 	goldentest.CheckGob[batch, frozenBatch](t, "batch.gob")
 	goldentest.CheckGob[reply, frozenReply](t, "reply.gob")
 }
+
+// TestGoldenKind: the stream is called what it was.
+func TestGoldenKind(t *testing.T) {
+	goldentest.Text(t, "kind.txt", Kind+"\n")
+}
--- /dev/null
+++ b/internal/scale/golden_test.go
@@ -0,0 +1,13 @@
+package scale
+
+import (
+	"encoding/json"
+	"testing"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenOutcome: the JSON of a step's outcome has the fields that it had.
+func TestGoldenOutcome(t *testing.T) {
+	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
+}
--- /dev/null
+++ b/internal/top/golden_test.go
@@ -0,0 +1,16 @@
+package top
+
+import (
+	"encoding/json"
+	"testing"
+
+	"amberdeal.example/amberdeal/internal/goldentest"
+)
+
+// TestGoldenStatus: the JSON of /status and of a view of several controllers has the
+// fields that it had.
+func TestGoldenStatus(t *testing.T) {
+	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
+	goldentest.Check[View](t, "view.json", json.Marshal, json.Unmarshal)
+	goldentest.Text(t, "path.txt", Path+"\n")
+}
