--- a/internal/load/judge.go
+++ b/internal/load/judge.go
@@ -28,8 +28,8 @@
 	return j.tick
 }
 
-// Asked, Submitted and Cancelled take in what became of a call: a status, 0 for no answer, and on
-// success the stage. A submission that is refused for ever tells that the job is not known.
+// Asked takes in what became of a question, as Submitted and Cancelled do of their calls: a
+// status, 0 for no answer, and on success the stage. A submission that is refused for ever tells that the job is not known.
 func (j *Judge) Asked(job string, call int64, status int, stage wire.Stage) {
 	if status == 200 || status == 404 {
 		j.add(job, opStatus, call, answer{known: true, absent: status == 404, stage: stage})
--- a/internal/relay/reception.go
+++ b/internal/relay/reception.go
@@ -185,7 +185,7 @@
 	return c.heard
 }
 
-// Sights counts by zone the machines that report here, and those that lately did and are
+// Observations counts by zone the machines that report here, and those that lately did and are
 // overdue. Ones that were sent elsewhere are neither.
 func (c *Reception) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	c.mu.Lock()
--- a/internal/store/entries.go
+++ b/internal/store/entries.go
@@ -101,16 +101,17 @@
 	return Entry{zoneEntry + zone, wire.Encode(r), entryBytes + len(zone) + len(r.State) + 90}
 }
 
-// ReturnEntry gives the entry of a zone's return, and DropReturn the one that drops it.
+// ReturnEntry gives the entry of a zone's return.
 func ReturnEntry(zone string, r ReturnRecord) Entry {
 	return Entry{returnEntry + zone, wire.Encode(r), entryBytes + len(zone) + len(r.Step) + 100}
 }
 
+// DropReturn gives the entry that drops a zone's return.
 func DropReturn(zone string) Entry {
 	return Entry{Key: returnEntry + zone, Size: entryBytes + len(zone) + 4}
 }
 
-// DropMachine and DropAsk give the entries that drop a record.
+// DropMachine gives the entry that drops a machine.
 func DropMachine(id string) Entry {
 	return Entry{Key: machineEntry + id, Size: entryBytes + len(id) + 4}
 }
