--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -13,6 +13,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -166,7 +167,9 @@
 		if v.Len() == 0 {
 			leaf(path, v)
 		}
-		for _, key := range v.MapKeys() {
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(plain(a), plain(b)) })
+		for _, key := range keys {
 			walk(key, path+".key", leaf)
 			walk(v.MapIndex(key), path+".value", leaf)
 		}
@@ -281,3 +284,10 @@
 		}
 	}
 }
+
+// Columns gives the columns of a parquet schema's text without its name, which is that
+// of a Go type and means nothing to a reader.
+func Columns(schema string) string {
+	_, columns, _ := strings.Cut(schema, "{\n")
+	return columns + "\n"
+}
--- a/internal/scale/golden_test.go
+++ b/internal/scale/golden_test.go
@@ -4,10 +4,13 @@
 	"encoding/json"
 	"testing"
 
+	"github.com/parquet-go/parquet-go"
+
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
 // TestGoldenOutcome: the JSON of a step's outcome has the fields that it had.
 func TestGoldenOutcome(t *testing.T) {
 	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
+	goldentest.Text(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Row{}).String()))
 }
--- a/internal/world/golden_test.go
+++ b/internal/world/golden_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"os"
+	"strings"
 	"testing"
 
 	"amberdeal.example/amberdeal/internal/goldentest"
@@ -12,8 +14,23 @@
 // TestGoldenMessages: what an emulated world keeps and tells has the fields that it had.
 func TestGoldenMessages(t *testing.T) {
 	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
+	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
+	goldentest.Check[Staged](t, "staged.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Told](t, "told.cbor", encode, wire.DecodeValue)
 	goldentest.Check[standin.Kept](t, "kept.cbor", encode, wire.DecodeValue)
 }
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
+
+// TestGoldenFile: the file of a world has the keys that it had, and they mean what they meant.
+func TestGoldenFile(t *testing.T) {
+	text, err := os.ReadFile("../../deploy/world.ini")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Text(t, "file.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
+}
