--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -112,19 +112,21 @@
 
 // Leaves lists the values of v's exported fields in their order, however deep,
 // without any names: two types of the same shape give the same list.
-func Leaves(v any) []string {
-	var leaves []string
-	walk(reflect.ValueOf(v), "", func(_ string, leaf reflect.Value) {
+func Leaves(v any) []string { return leaves(reflect.ValueOf(v)) }
+
+func leaves(v reflect.Value) []string {
+	var out []string
+	walk(v, "", func(_ string, leaf reflect.Value) {
 		switch {
 		case !leaf.IsValid():
-			leaves = append(leaves, "none")
+			out = append(out, "none")
 		case leaf.Type() == timeType:
-			leaves = append(leaves, leaf.Interface().(time.Time).Format(time.RFC3339Nano))
+			out = append(out, leaf.Interface().(time.Time).Format(time.RFC3339Nano))
 		default:
-			leaves = append(leaves, plain(leaf))
+			out = append(out, plain(leaf))
 		}
 	})
-	return leaves
+	return out
 }
 
 // plain prints a value without the methods of its type.
@@ -168,7 +170,7 @@
 			leaf(path, v)
 		}
 		keys := v.MapKeys()
-		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(plain(a), plain(b)) })
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return slices.Compare(leaves(a), leaves(b)) })
 		for _, key := range keys {
 			walk(key, path+".key", leaf)
 			walk(v.MapIndex(key), path+".value", leaf)
