--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 type emulateCmd struct {
@@ -26,13 +26,13 @@
 
 // Run runs a world until Ctrl-C.
 func (e emulateCmd) Run() error {
-	c := world.Small()
+	c := emulator.Small()
 	if e.World != "" {
 		text, err := os.ReadFile(e.World)
 		if err != nil {
 			return settingsError{err}
 		}
-		if c, err = world.Parse(text); err != nil {
+		if c, err = emulator.Parse(text); err != nil {
 			return settingsError{fmt.Errorf("%s:\n%w", e.World, err)}
 		}
 	}
@@ -64,14 +64,14 @@
 			return settingsError{err}
 		}
 	}
-	procs := world.Procs{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}
-	opt := world.Options{Port: e.Port, Dir: dir, Keep: e.Keep, Log: log}
+	procs := emulator.Procs{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}
+	opt := emulator.Options{Port: e.Port, Dir: dir, Keep: e.Keep, Log: log}
 	if e.Controllers {
 		procs.Begin(ctx)
 		defer procs.Stop()
 		opt.Kill, opt.Hang = procs.KillNamed, procs.HangNamed
 	}
-	w, err := world.Start(ctx, c, opt)
+	w, err := emulator.Start(ctx, c, opt)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 		return fmt.Errorf("the world at %s: %w", c.Control, err)
 	}
 	if resp.Status != 200 {
-		var r world.Refusal
+		var r emulator.Refusal
 		_ = json.Unmarshal(resp.Body, &r)
 		return fmt.Errorf("refused: %s", r.Error)
 	}
@@ -126,7 +126,7 @@
 }
 
 func plainCaller() *transport.Caller {
-	return &transport.Caller{Limit: 16 << 20, Keep: 256, Dial: world.Dial}
+	return &transport.Caller{Limit: 16 << 20, Keep: 256, Dial: emulator.Dial}
 }
 
 type faultStageCmd struct {
@@ -154,13 +154,13 @@
 
 // Run stages a fault.
 func (f faultStageCmd) Run() error {
-	body, err := json.Marshal(world.Fault{Kind: f.Kind, For: f.For, From: f.From, To: f.To, Mode: f.Mode, OneWay: f.OneWay, Delay: f.Delay, Share: f.Share,
+	body, err := json.Marshal(emulator.Fault{Kind: f.Kind, For: f.For, From: f.From, To: f.To, Mode: f.Mode, OneWay: f.OneWay, Delay: f.Delay, Share: f.Share,
 		Count: f.Count, Zone: f.Zone, Notice: f.Notice, Times: f.Times, Who: f.Who, Hang: f.Hang, FromState: f.FromState, FromPeers: f.FromPeers,
 		AtOnce: f.AtOnce, ForNext: f.ForNext})
 	if err != nil {
 		return err
 	}
-	return f.call("POST", world.PathFaults, body)
+	return f.call("POST", emulator.PathFaults, body)
 }
 
 type faultLiftCmd struct {
@@ -170,13 +170,13 @@
 
 // Run lifts a fault.
 func (f faultLiftCmd) Run() error {
-	return f.call("DELETE", fmt.Sprintf("%s/%d", world.PathFaults, f.Number), nil)
+	return f.call("DELETE", fmt.Sprintf("%s/%d", emulator.PathFaults, f.Number), nil)
 }
 
 type faultStatusCmd struct{ control }
 
 // Run tells how the world stands.
-func (f faultStatusCmd) Run() error { return f.call("GET", world.PathStatus, nil) }
+func (f faultStatusCmd) Run() error { return f.call("GET", emulator.PathStatus, nil) }
 
 type loadCmd struct {
 	Mix    string        `required:"" placeholder:"FILE" help:"What jobs come and when (INI, as deploy/load.ini)."`
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -18,7 +18,7 @@
 
 	"github.com/schollz/progressbar/v3"
 
-	"amberdeal.example/amberdeal/internal/history"
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/snapshot"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
@@ -82,12 +82,12 @@
 	Term     uint64                        `json:"term"`
 	Live     int                           `json:"live_jobs"`
 	Ended    int                           `json:"ended_jobs"`
-	Kinds    map[string]*history.KindCount `json:"kinds"`
+	Kinds    map[string]*archive.KindCount `json:"kinds"`
 	Problems []string                      `json:"problems"`
 }
 
 func accountOf(ctx context.Context, items []wire.Item, revision uint64) account {
-	a := history.Verify(ctx, items)
+	a := archive.Verify(ctx, items)
 	if a.Problems == nil {
 		a.Problems = []string{}
 	}
@@ -238,7 +238,7 @@
 	if err != nil {
 		return err
 	}
-	if a := history.Verify(ctx, items); len(a.Problems) > 0 {
+	if a := archive.Verify(ctx, items); len(a.Problems) > 0 {
 		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(a.Problems), a.Problems[0])
 	}
 	c, lim, err := s.client()
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -51,9 +51,9 @@
 
 // History is where jobs that are over are kept for ever.
 type History interface {
-	Find(ctx context.Context, id string) (archive.Entry, bool, error)
+	Find(ctx context.Context, id string) (jobblock.Entry, bool, error)
 	// Cached looks no further than memory.
-	Cached(id string) (archive.Entry, bool)
+	Cached(id string) (jobblock.Entry, bool)
 }
 
 // Forwarder has another controller accept and cancel jobs. Told is false where that is to be done
@@ -356,20 +356,20 @@
 	if j.Shape != wire.Array {
 		n = float64(j.Tasks)
 	}
-	limit := sched.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
+	limit := scheduler.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	if team.CPUsMax > 0 {
 		limit.CPUs = team.CPUsMax
 	}
 	if team.GPUsMax > 0 {
 		limit.GPUs = team.GPUsMax
 	}
-	if !limit.Fits(sched.Amount{}.Plus(sched.Of(j), n)) {
+	if !limit.Fits(scheduler.Amount{}.Plus(scheduler.Of(j), n)) {
 		return "over the team's limit"
 	}
 	zones := make(map[string]bool) // in which a task may run
 	for _, t := range types {
-		size := sched.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-		if !size.Fits(sched.Of(j)) || len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
+		size := scheduler.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+		if !size.Fits(scheduler.Of(j)) || len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/history"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -24,8 +24,8 @@
 // office is a service with all that it needs, and a state service.
 type office struct {
 	*Service
-	store  *standin.Store
-	folder *history.Folder
+	store  *simulator.Store
+	folder *archive.Folder
 	stall  func()                // its view follows no more, but for barriers
 	hold   func(d time.Duration) // what it sends leaves late
 	slow   *slowWrites
@@ -52,15 +52,15 @@
 	return n, err
 }
 
-func newOffice(t *testing.T, ctx context.Context, net *standin.Net, s *standin.Store, name string, port int) *office {
+func newOffice(t *testing.T, ctx context.Context, net *simulator.Net, s *simulator.Store, name string, port int) *office {
 	log := slog.New(slog.DiscardHandler)
 	host := net.Host(name)
-	slow, addr := &slowWrites{}, standin.Address("10.2.0.1", port)
+	slow, addr := &slowWrites{}, simulator.Address("10.2.0.1", port)
 	go net.Host("10.2.0.1").Listen(ctx, addr, 0, slow.serve(s.Serve()))
 	synctest.Wait()
 	c := store.NewClient(host, addr, 1000, 1000, store.EvenAllowance(1), log)
 	v := store.NewView(log)
-	r := history.NewReader(c, 64, log)
+	r := archive.NewReader(c, 64, log)
 	v.Blocks = r
 	f := store.NewFollower(c, v, log)
 	o := &office{store: s, slow: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Closer: NewCloser(c, v, f, 12), View: v, Follow: f,
@@ -76,17 +76,17 @@
 	go o.Closer.Run(ctx)
 	time.Sleep(time.Second)
 	part, _ := v.Part("fleet")
-	o.folder = &history.Folder{Store: c, View: v, Follow: f, Reader: r, Log: log, Limits: history.Limits{ValueBytes: 8192, TxnOps: 12},
+	o.folder = &archive.Folder{Store: c, View: v, Follow: f, Reader: r, Log: log, Limits: archive.Limits{ValueBytes: 8192, TxnOps: 12},
 		Fence:  wire.Condition{Key: store.PartKey("fleet"), Version: part.Version},
 		Ending: func() (map[string]bool, bool) { return nil, true }, Valid: func() bool { return true }, Every: time.Second, MergeAt: 0}
 	return o
 }
 
 // two plays a story with the doors of two controllers.
-func two(t *testing.T, play func(t *testing.T, s *standin.Store, a, b *office)) {
+func two(t *testing.T, play func(t *testing.T, s *simulator.Store, a, b *office)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := standin.NewNet(), standin.NewStore(1, 0)
+		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
 		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.PartKey("fleet"), Value: store.PartRecord{Holder: "a", Term: 1}}}})
 		a, b := newOffice(t, ctx, net, s, "10.0.0.1", 2379), newOffice(t, ctx, net, s, "10.0.0.2", 2380)
 		play(t, s, a, b)
@@ -144,12 +144,12 @@
 // minutes. Its user has sent it to another controller, the job was cancelled and
 // folded away, so that its keys are absent again when the first copy arrives.
 func TestLateSubmissionAfterFold(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
-		s.Stage(func(s *standin.Store) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+		s.Stage(func(s *simulator.Store) {
 			s.Holds = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
 		a.ask(t, "submit", "wk-1", "later")
-		s.Stage(func(s *standin.Store) { s.Holds = nil })
+		s.Stage(func(s *simulator.Store) { s.Holds = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
@@ -173,7 +173,7 @@
 // TestGateMovesWhileLookedUp: between the look for a job and its write the gate
 // moves; the job is looked up again instead of being accepted a second time.
 func TestGateMovesWhileLookedUp(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		a.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "submit", "wk-9", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
@@ -194,7 +194,7 @@
 // TestCancelsShareChanges: cancellations that wait together are one change for
 // jobs that were accepted together, each answered for itself.
 func TestCancelsShareChanges(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 20 {
 			id := fmt.Sprintf("wk-%02d", i)
@@ -202,7 +202,7 @@
 		}
 		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Stage(func(s *standin.Store) { s.Delay = slow }) // in which the others come
+		s.Stage(func(s *simulator.Store) { s.Delay = slow }) // in which the others come
 		_, before, _ := s.Counts()
 		done := make(chan bool)
 		for i := range 20 {
@@ -224,14 +224,14 @@
 // TestCancelsRace: two controllers cancel jobs of one batch at the same time;
 // whoever is refused makes it again.
 func TestCancelsRace(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for _, id := range []string{"wk-1", "wk-2"} {
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 		}
 		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Stage(func(s *standin.Store) { s.Delay = slow })
+		s.Stage(func(s *simulator.Store) { s.Delay = slow })
 		done := make(chan bool)
 		for i, o := range []*office{a, b} {
 			go func() {
@@ -241,7 +241,7 @@
 		}
 		<-done
 		<-done
-		s.Stage(func(s *standin.Store) { s.Delay = nil })
+		s.Stage(func(s *simulator.Store) { s.Delay = nil })
 		for _, o := range []*office{a, b} {
 			o.ask(t, "status", "wk-1", "withdrawn")
 			o.ask(t, "status", "wk-2", "withdrawn")
@@ -252,7 +252,7 @@
 // TestBacklogIsBounded: where folding falls behind, no more jobs are accepted, at
 // once and with when to come back; all else is answered, and it recovers.
 func TestBacklogIsBounded(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 120 {
 			rec.Jobs[fmt.Sprintf("wk-%d", i)] = store.JobRecord{Stage: wire.Done, Tasks: 1, Ended: 1}
@@ -274,7 +274,7 @@
 // another has accepted and cancelled meanwhile. Sent to it again, the job must not be
 // accepted anew and called pending.
 func TestSubmissionToStaleView(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		b.stall()
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
@@ -285,7 +285,7 @@
 
 // TestRepeatAtOnce: the same within a moment, while the view is as fresh as it mostly is.
 func TestRepeatAtOnce(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		b.stall() // as between two of its watches
 		_ = b.Follow.Barrier(t.Context())
 		a.ask(t, "submit", "wk-1", "pending")
@@ -313,7 +313,7 @@
 // TestRepeatOvertakenWhileWritten: a submission is looked up before another controller accepts the
 // job, and leaves only after that one has told that it is cancelled.
 func TestRepeatOvertakenWhileWritten(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		overtaken(t, a, b, func() { b.hold(800 * time.Millisecond) })
 		if n := len(s.Page(store.BatchKey(""), "", 0).Items); n != 2 {
 			t.Errorf("the job has %d homes", n)
@@ -330,7 +330,7 @@
 // TestOvertakenOnItsWay: the same, and the submission leaves at once, with a read beside it, but is
 // carried out late: what the read has brought is older than what the other controller has told.
 func TestOvertakenOnItsWay(t *testing.T) {
-	two(t, func(t *testing.T, _ *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, _ *simulator.Store, a, b *office) {
 		overtaken(t, a, b, func() { b.slow.delay.Store(int64(800 * time.Millisecond)) })
 	})
 }
@@ -338,7 +338,7 @@
 // TestOlderListAfterOwnWrite: a list that was begun before a cancellation is taken in after it was
 // told. What is asked next is read behind a barrier, and no launch finds the job's home as the list shows it.
 func TestOlderListAfterOwnWrite(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "submit", "wk-2", "pending")
 		_ = a.Follow.Barrier(t.Context())
@@ -412,7 +412,7 @@
 // the accepted job, be it accepted elsewhere just now or folded long ago, and so is a
 // cancellation that comes again.
 func TestAnotherBody(t *testing.T) {
-	two(t, func(t *testing.T, _ *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, _ *simulator.Store, a, b *office) {
 		large, foreign := job("wk-1"), job("wk-1")
 		large.Image, foreign.Team = strings.Repeat("x", 9000), "blue"
 		again := func(want wire.Stage) {
@@ -439,13 +439,13 @@
 // folded before are still answered by a controller that has none of them in memory; what is not known
 // may be in that batch.
 func TestDoubtHidesNoHistory(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
 		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("y"), Value: "garbled"}}})
 		time.Sleep(time.Second)
-		b.History.(*history.Reader).Reset()
+		b.History.(*archive.Reader).Reset()
 		b.ask(t, "status", "wk-1", "withdrawn")
 		b.ask(t, "status", "wk-2", "later")
 	})
@@ -479,13 +479,13 @@
 // its key is absent again. What was folded goes before it: the job does not come back, is not
 // answered otherwise, and goes into the history only once the gate has moved.
 func TestLateSubmissionBeforeGate(t *testing.T) {
-	two(t, func(t *testing.T, s *standin.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
 		a.folder.MergeAt = 99
-		s.Stage(func(s *standin.Store) {
+		s.Stage(func(s *simulator.Store) {
 			s.Holds = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
 		a.ask(t, "submit", "wk-1", "later")
-		s.Stage(func(s *standin.Store) { s.Holds = nil })
+		s.Stage(func(s *simulator.Store) { s.Holds = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -7,18 +7,18 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // TestTraces plays the kept traces of a worker's protocol.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		zero := time.Unix(1e9, 0)
 		now := zero
 		c := NewCore(Self{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a"}, 30*time.Second, 7, now)
 		return func(step string) []string {
-			w, kv := standin.Words(step)
+			w, kv := simulator.Words(step)
 			num := func(key string) uint64 {
 				n, _ := strconv.ParseUint(kv[key], 10, 64)
 				return n
--- a/internal/history/folder.go
+++ b/internal/archive/compactor.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -182,7 +182,7 @@
 			return true, f.moveGate(ctx, gate)
 		}
 	}
-	var entries []archive.Entry
+	var entries []jobblock.Entry
 	keep := make(map[string]bool) // a home still names them: it may be all that is known of them
 	for _, r := range blocks {
 		for _, e := range r.Block.Entries() {
@@ -193,7 +193,7 @@
 			}
 		}
 	}
-	entries, _ = archive.Sort(entries)
+	entries, _ = jobblock.Sort(entries)
 	stuck, err := f.add(ctx, entries)
 	if err != nil {
 		return false, err
@@ -221,7 +221,7 @@
 
 // add puts sorted entries into the blocks of the history. Those of a block that
 // can't be read are given back; nothing is written over it.
-func (f *Folder) add(ctx context.Context, entries []archive.Entry) (stuck []string, err error) {
+func (f *Folder) add(ctx context.Context, entries []jobblock.Entry) (stuck []string, err error) {
 	lim := f.Limits
 	lim.TxnOps = f.ops()
 	var parts []*Block
@@ -237,7 +237,7 @@
 		return err
 	}
 	for len(entries) > 0 {
-		b, err := f.Reader.cover(ctx, archive.Key(entries[0].ID))
+		b, err := f.Reader.cover(ctx, jobblock.Key(entries[0].ID))
 		if err != nil && (errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknown) || ctx.Err() != nil) {
 			return nil, err
 		}
@@ -274,7 +274,7 @@
 		n := min(len(blocks), f.ops(), max(1, txnBytes/f.Limits.ValueBytes))
 		var txn wire.Txn
 		for _, r := range blocks[:n] {
-			var left []archive.Entry
+			var left []jobblock.Entry
 			for _, e := range r.Block.Entries() {
 				if keep[e.ID] {
 					left = append(left, e)
@@ -282,7 +282,7 @@
 			}
 			key := store.RecentKey(r.Slot)
 			txn.If = append(txn.If, wire.Condition{Key: key, Version: r.Version})
-			txn.Then = append(txn.Then, wire.Change{Put: key, Value: archive.Pack("", left)})
+			txn.Then = append(txn.Then, wire.Change{Put: key, Value: jobblock.Pack("", left)})
 		}
 		if _, err := f.commit(ctx, txn); err != nil {
 			return err
--- a/internal/history/folder_test.go
+++ b/internal/archive/compactor_test.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -248,8 +248,8 @@
 // TestReaderKeepsNothingStale: a block that was read before a change of it that is
 // known already, or before changes were missed, answers once and is not kept.
 func TestReaderKeepsNothingStale(t *testing.T) {
-	old := archive.Pack("", []archive.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}})
-	newer := archive.Pack("", []archive.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
+	old := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}})
+	newer := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
 	key := store.History + last
 	for _, meanwhile := range []func(r *Reader){
 		func(r *Reader) { r.Changed(key, wire.Encode(newer), 9) },
@@ -283,9 +283,9 @@
 
 // TestVerifyFindsFaults plants one fault of each kind into a state that is whole.
 func TestVerifyFindsFaults(t *testing.T) {
-	entry := func(id string) archive.Entry { return archive.Entry{ID: id, Stage: wire.Done, Tasks: 1} }
-	block := func(to, from string, entries ...archive.Entry) wire.Item {
-		return wire.Item{Key: store.History + to, Value: wire.Encode(archive.Pack(from, entries)), Version: 3}
+	entry := func(id string) jobblock.Entry { return jobblock.Entry{ID: id, Stage: wire.Done, Tasks: 1} }
+	block := func(to, from string, entries ...jobblock.Entry) wire.Item {
+		return wire.Item{Key: store.History + to, Value: wire.Encode(jobblock.Pack(from, entries)), Version: 3}
 	}
 	put := func(key string, v any) wire.Item { return wire.Item{Key: key, Value: wire.Encode(v), Version: 3} }
 	whole := []wire.Item{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.TermKey, uint64(4)),
@@ -293,7 +293,7 @@
 	if r := Verify(t.Context(), whole); len(r.Problems) > 0 {
 		t.Fatalf("the state is whole: %v", r.Problems)
 	}
-	newer, damaged := archive.Pack("", nil), archive.Pack("", []archive.Entry{entry("wk-1")})
+	newer, damaged := jobblock.Pack("", nil), jobblock.Pack("", []jobblock.Entry{entry("wk-1")})
 	newer.Format++
 	damaged.Sum = "0"
 	for name, c := range map[string]struct {
@@ -305,7 +305,7 @@
 		"no last block":        {"covered", wire.Item{}},
 		"a newer block":        {"newer", put(store.History+"0250", newer)},
 		"a damaged block":      {"damaged", put(store.History+"0250", damaged)},
-		"a differing answer":   {"is called", put(store.RecentKey(0), archive.Pack("", []archive.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
+		"a differing answer":   {"is called", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
 		"a job that came back": {"live", put(store.BatchKey("b"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-7": {Stage: wire.Pending, Job: &wire.Job{ID: "wk-7"}}}})},
 		"a term above":         {"term", put(store.PartKey("fleet"), store.PartRecord{Term: 5, Format: 2})},
 		"an unknown key":       {"unknown", put(store.Root+"what/1", 1)},
--- a/internal/history/world_test.go
+++ b/internal/archive/harness_test.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -20,7 +20,7 @@
 // implements what a Folder and a Reader need of a store.
 type world struct {
 	t       testing.TB
-	store   *standin.Store
+	store   *simulator.Store
 	view    *store.View
 	reader  *Reader
 	folder  *Folder
@@ -37,8 +37,8 @@
 var errCrash = errors.New("crashed")
 
 func newWorld(t testing.TB, lim Limits) *world {
-	w := &world{t: t, store: standin.NewStore(1, 0), ending: map[string]bool{}, left: -1, told: map[string]wire.Stage{}}
-	w.store.Limits = standin.Limits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
+	w := &world{t: t, store: simulator.NewStore(1, 0), ending: map[string]bool{}, left: -1, told: map[string]wire.Stage{}}
+	w.store.Limits = simulator.Limits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
 	w.start(lim)
 	return w
 }
@@ -132,7 +132,7 @@
 func describe(txn wire.Txn) (out []string) {
 	for _, c := range txn.Then {
 		switch rec := c.Value.(type) {
-		case archive.Record:
+		case jobblock.Record:
 			line := fmt.Sprintf("put %s with %d jobs", short([]string{c.Put})[0], rec.Count)
 			if rec.From != "" {
 				line += " from " + rec.From
--- a/internal/history/plan.go
+++ b/internal/archive/plan.go
@@ -1,9 +1,9 @@
-package history
+package archive
 
 import (
 	"slices"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -21,19 +21,19 @@
 // leaves the blocks alone that are being merged or were not understood.
 func settle(homes []*store.Home, final func(id string) (store.JobRecord, bool), recents []store.Recent, merging map[int]bool, lim Limits) (txn wire.Txn, jobs, taken int) {
 	slot, entries, version := openSlot(recents, merging, lim)
-	var record archive.Record
+	var record jobblock.Record
 	for _, h := range homes {
 		next, over := slices.Clone(entries), true
 		for _, m := range h.Jobs {
 			rec, ok := final(m.ID)
 			over = over && ok && rec.Stage.Final()
-			next = append(next, archive.Entry{ID: m.ID, Stage: rec.Stage, Tasks: rec.Tasks})
+			next = append(next, jobblock.Entry{ID: m.ID, Stage: rec.Stage, Tasks: rec.Tasks})
 		}
 		if !over {
 			continue // neither live nor over: a record that makes no sense stays, and holds nobody up
 		}
-		next, _ = archive.Sort(next)
-		r := archive.Pack("", next)
+		next, _ = jobblock.Sort(next)
+		r := jobblock.Pack("", next)
 		if !r.Fits(lim.ValueBytes) && taken > 0 || len(txn.Then)+2 > lim.TxnOps && taken > 0 {
 			break
 		}
@@ -54,7 +54,7 @@
 
 // openSlot picks the recent block that goes on growing: the fullest that has
 // room for more, or else one that is empty or new.
-func openSlot(recents []store.Recent, merging map[int]bool, lim Limits) (slot int, entries []archive.Entry, version uint64) {
+func openSlot(recents []store.Recent, merging map[int]bool, lim Limits) (slot int, entries []jobblock.Entry, version uint64) {
 	best := store.Recent{Slot: -1}
 	used := make(map[int]bool)
 	for _, r := range recents {
@@ -78,7 +78,7 @@
 // full reports whether a recent block takes no more: an eighth is left, which a
 // large home may need.
 func full(r store.Recent, lim Limits) bool {
-	return r.Bytes > lim.ValueBytes*7/8 || r.Block.Len() > archive.MaxJobs*7/8
+	return r.Bytes > lim.ValueBytes*7/8 || r.Block.Len() > jobblock.MaxJobs*7/8
 }
 
 // ripe lists the recent blocks to merge, once enough are full.
@@ -101,16 +101,16 @@
 
 // merge plans to add sorted entries to the block that covers the first of them.
 // It gives the blocks that take its place, and how many entries they took.
-func merge(b *Block, entries []archive.Entry, lim Limits) (parts []*Block, taken int, differ []string, err error) {
-	for taken < len(entries) && b.covers(archive.Key(entries[taken].ID)) {
+func merge(b *Block, entries []jobblock.Entry, lim Limits) (parts []*Block, taken int, differ []string, err error) {
+	for taken < len(entries) && b.covers(jobblock.Key(entries[taken].ID)) {
 		taken++
 	}
 	blk, err := b.unpack()
 	if err != nil {
 		return nil, taken, nil, err
 	}
-	all, differ := archive.Sort(append(blk.Entries(), entries[:taken]...))
-	records := archive.Split(b.From, all, lim.ValueBytes)
+	all, differ := jobblock.Sort(append(blk.Entries(), entries[:taken]...))
+	records := jobblock.Split(b.From, all, lim.ValueBytes)
 	for i, r := range records {
 		part := &Block{To: b.To, From: r.From, Record: r}
 		if i+1 < len(records) {
--- a/internal/history/reader.go
+++ b/internal/archive/reader.go
@@ -5,7 +5,7 @@
 // an id, in the order of the state service, is its block: no index is needed, and
 // a controller that starts reads none of it. Folder brings jobs there; Reader
 // reads blocks by need, through a bounded cache that follows the changes.
-package history
+package archive
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 	"github.com/tidwall/btree"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -35,15 +35,15 @@
 	To      string // the first key that it does not cover
 	From    string // the first that it does
 	Version uint64 // 0 for one that is yet to be written
-	Record  archive.Record
+	Record  jobblock.Record
 }
 
 func (b *Block) covers(key string) bool { return b.From <= key && key < b.To }
 
 // unpack decodes a block; one that was never written is empty.
-func (b *Block) unpack() (*archive.Block, error) {
+func (b *Block) unpack() (*jobblock.Block, error) {
 	if b.Version == 0 {
-		return &archive.Block{}, nil
+		return &jobblock.Block{}, nil
 	}
 	blk, err := b.Record.Unpack()
 	if err != nil {
@@ -236,31 +236,31 @@
 
 // Find looks a job up. One that is not found was not in the history when Find was
 // called.
-func (r *Reader) Find(ctx context.Context, id string) (archive.Entry, bool, error) {
-	b, err := r.cover(ctx, archive.Key(id))
+func (r *Reader) Find(ctx context.Context, id string) (jobblock.Entry, bool, error) {
+	b, err := r.cover(ctx, jobblock.Key(id))
 	if err != nil {
-		return archive.Entry{}, false, err
+		return jobblock.Entry{}, false, err
 	}
 	blk, err := b.unpack()
 	if err != nil {
 		r.mu.Lock()
 		r.counts.Unreadable++
 		r.mu.Unlock()
-		return archive.Entry{}, false, err
+		return jobblock.Entry{}, false, err
 	}
 	e, ok := blk.Find(id)
 	return e, ok, nil
 }
 
 // Cached looks a job up in memory only.
-func (r *Reader) Cached(id string) (archive.Entry, bool) {
-	b, ok := r.cached(archive.Key(id))
+func (r *Reader) Cached(id string) (jobblock.Entry, bool) {
+	b, ok := r.cached(jobblock.Key(id))
 	if !ok {
-		return archive.Entry{}, false
+		return jobblock.Entry{}, false
 	}
 	blk, err := b.unpack()
 	if err != nil {
-		return archive.Entry{}, false
+		return jobblock.Entry{}, false
 	}
 	return blk.Find(id)
 }
--- a/internal/history/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -17,7 +17,7 @@
 
 // step plays a line of a trace.
 func (w *world) step(line string) []string {
-	words, _ := standin.Words(line)
+	words, _ := simulator.Words(line)
 	w.writes = nil
 	held := words[len(words)-1] == "held"
 	if held {
@@ -55,7 +55,7 @@
 		w.start(traceLimits)
 		return nil
 	case "spoil": // a record as a newer version might write it
-		rec := archive.Pack("", nil)
+		rec := jobblock.Pack("", nil)
 		rec.Format++
 		w.must(wire.Txn{Then: []wire.Change{{Put: words[1], Value: rec}}})
 		_ = w.Barrier(context.Background())
@@ -132,5 +132,5 @@
 
 // TestTraces plays the kept traces of folding.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string { return newWorld(t, traceLimits).step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newWorld(t, traceLimits).step })
 }
--- a/internal/history/verify.go
+++ b/internal/archive/verify.go
@@ -1,4 +1,4 @@
-package history
+package archive
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/RoaringBitmap/roaring/v2/roaring64"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -117,7 +117,7 @@
 			v.home(it.Key, strings.TrimPrefix(it.Key, store.JobKey("")), rec)
 		}
 	case "recent", "history":
-		if rec, ok := decode[archive.Record](v, it); ok {
+		if rec, ok := decode[jobblock.Record](v, it); ok {
 			k.Jobs += rec.Count
 			v.block(it.Key, rec, kind == "history")
 		}
@@ -180,7 +180,7 @@
 	}
 }
 
-func (v *verifier) block(key string, rec archive.Record, history bool) {
+func (v *verifier) block(key string, rec jobblock.Record, history bool) {
 	to := strings.TrimPrefix(key, store.History)
 	if history {
 		v.blocks++
@@ -196,7 +196,7 @@
 	}
 	before := ""
 	for _, e := range blk.Entries() {
-		at := archive.Key(e.ID)
+		at := jobblock.Key(e.ID)
 		if at <= before {
 			v.problem(key, "job %s is out of order", e.ID)
 		}
--- a/internal/rental/rental.go
+++ b/internal/autoscale/autoscale.go
@@ -6,7 +6,7 @@
 // So an offer is asked by one call at a time, and by more only as they succeed. What
 // is wanted besides is asked elsewhere, or gathers for the next call. An offer that
 // has refused is left alone for a while, which grows with the refusals in a row.
-package rental
+package autoscale
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -32,7 +32,7 @@
 
 // Ask is a rental: an intent with a name, by which it is carried out once.
 type Ask struct {
-	sched.Rent
+	scheduler.Rent
 	Name string
 
 	written bool      // the store has its intent
@@ -55,17 +55,17 @@
 type Book struct {
 	rps    float64 // calls that the cloud takes a second
 	asks   map[string]*Ask
-	offers map[sched.Offer]*offer
+	offers map[scheduler.Offer]*offer
 }
 
 // New gives an empty book, for a cloud that takes so many calls a second.
 func New(rps float64) *Book {
-	return &Book{rps: rps, asks: map[string]*Ask{}, offers: map[sched.Offer]*offer{}}
+	return &Book{rps: rps, asks: map[string]*Ask{}, offers: map[scheduler.Offer]*offer{}}
 }
 
 // Left takes in an intent that an earlier holder has left. Whether it was sent nobody
 // knows: the same name gets the same answer.
-func (b *Book) Left(name string, r sched.Rent) {
+func (b *Book) Left(name string, r scheduler.Rent) {
 	b.asks[name] = &Ask{Rent: r, Name: name, written: true}
 }
 
@@ -84,9 +84,9 @@
 // Wanted picks what is to be asked now of what a plan wants, the most urgent first.
 // While a rental for an offer is open, only full ones are added, as its window allows:
 // what is wanted besides gathers for the next.
-func (b *Book) Wanted(now time.Time, rents []sched.Rent) (out []sched.Rent) {
+func (b *Book) Wanted(now time.Time, rents []scheduler.Rent) (out []scheduler.Rent) {
 	rents = slices.Clone(rents)
-	slices.SortStableFunc(rents, func(a, b sched.Rent) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortStableFunc(rents, func(a, b scheduler.Rent) int { return cmp.Compare(a.Place, b.Place) })
 	for _, r := range rents {
 		if b.alone(now, r.Offer) {
 			continue
@@ -95,7 +95,7 @@
 		room := b.window(now, r.Offer) - open
 		for left := r.Count; left > 0 && room > 0 && (open == 0 || left >= wire.MaxRent); room-- {
 			n := min(left, wire.MaxRent)
-			out = append(out, sched.Rent{Offer: r.Offer, Count: n, Place: r.Place})
+			out = append(out, scheduler.Rent{Offer: r.Offer, Count: n, Place: r.Place})
 			left, open = left-n, open+1
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // Add takes in an ask whose intent is being written.
-func (b *Book) Add(now time.Time, name string, r sched.Rent) {
+func (b *Book) Add(now time.Time, name string, r scheduler.Rent) {
 	b.asks[name] = &Ask{Rent: r, Name: name, added: now}
 }
 
@@ -199,7 +199,7 @@
 }
 
 // Returned notes that a machine was returned: its offer should have room again.
-func (b *Book) Returned(r sched.Offer) {
+func (b *Book) Returned(r scheduler.Offer) {
 	if o := b.offers[r]; o != nil {
 		o.hint = true
 	}
@@ -217,7 +217,7 @@
 
 // Fill tells a picture which offers are left alone, and which are in doubt. Of these no
 // more is wanted at once than can be asked, so that the rest is asked elsewhere.
-func (b *Book) Fill(now time.Time, pic *sched.Picture) {
+func (b *Book) Fill(now time.Time, pic *scheduler.Picture) {
 	for of, o := range b.offers {
 		if o.doubted {
 			pic.Doubted[of], pic.Refused[of] = true, b.alone(now, of)
@@ -227,10 +227,10 @@
 }
 
 // Doubted reports whether an offer had not all that it was last asked for.
-func (b *Book) Doubted(r sched.Offer) bool { o := b.offers[r]; return o != nil && o.doubted }
+func (b *Book) Doubted(r scheduler.Offer) bool { o := b.offers[r]; return o != nil && o.doubted }
 
 // of gives what is known of an offer.
-func (b *Book) of(r sched.Offer) *offer {
+func (b *Book) of(r scheduler.Offer) *offer {
 	o := b.offers[r]
 	if o == nil {
 		o = &offer{window: 1}
@@ -241,7 +241,7 @@
 
 // window is how many calls may be open for an offer. One that was not asked for long is
 // asked by one call again.
-func (b *Book) window(now time.Time, r sched.Offer) int {
+func (b *Book) window(now time.Time, r scheduler.Offer) int {
 	if o := b.offers[r]; o != nil && now.Sub(o.answered) < settled {
 		return o.window
 	}
@@ -249,7 +249,7 @@
 }
 
 // alone reports whether an offer is not to be asked yet.
-func (b *Book) alone(now time.Time, r sched.Offer) bool {
+func (b *Book) alone(now time.Time, r scheduler.Offer) bool {
 	o := b.offers[r]
 	return o != nil && !o.refused.IsZero() && now.Sub(o.refused) < b.lull(o)
 }
@@ -272,7 +272,7 @@
 }
 
 // count is how many rentals for an offer are not decided yet.
-func (b *Book) count(r sched.Offer) (n int) {
+func (b *Book) count(r scheduler.Offer) (n int) {
 	for _, a := range b.asks {
 		if a.Offer == r {
 			n++
@@ -282,7 +282,7 @@
 }
 
 // calls is how many of them wait for an answer.
-func (b *Book) calls(r sched.Offer) (n int) {
+func (b *Book) calls(r scheduler.Offer) (n int) {
 	for _, a := range b.asks {
 		if a.Offer == r && a.open {
 			n++
--- a/internal/rental/rental_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -1,4 +1,4 @@
-package rental
+package autoscale
 
 import (
 	"fmt"
@@ -8,24 +8,24 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // TestTraces plays the kept traces of the book. An offer reads g4@a, or g4@a/spot.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		b, now, n := New(10), time.Unix(1e9, 0), 0
 		return func(line string) (out []string) {
-			w, kv := standin.Words(line)
+			w, kv := simulator.Words(line)
 			num := func(key string) int { n, _ := strconv.Atoi(kv[key]); return n }
 			switch w[0] {
 			case "want": // as a plan does, with intents that are stored at once, or not
-				var rents []sched.Rent
+				var rents []scheduler.Rent
 				for _, word := range w[1:] {
 					count, of, _ := strings.Cut(word, ":")
 					c, _ := strconv.Atoi(count)
-					rents = append(rents, sched.Rent{Offer: parse(of), Count: c, Place: num(of)})
+					rents = append(rents, scheduler.Rent{Offer: parse(of), Count: c, Place: num(of)})
 				}
 				for _, r := range b.Wanted(now, rents) {
 					n++
@@ -37,7 +37,7 @@
 					out = append(out, fmt.Sprintf("%s for %d of %s", name, r.Count, show(r.Offer)))
 				}
 			case "left":
-				b.Left(w[1], sched.Rent{Offer: parse(w[2]), Count: num("count")})
+				b.Left(w[1], scheduler.Rent{Offer: parse(w[2]), Count: num("count")})
 			case "stored":
 				if !b.Written(w[1]) {
 					out = append(out, "drop "+w[1])
@@ -72,13 +72,13 @@
 	})
 }
 
-func parse(text string) sched.Offer {
+func parse(text string) scheduler.Offer {
 	text, spot := strings.CutSuffix(text, "/spot")
 	typ, zone, _ := strings.Cut(text, "@")
-	return sched.Offer{Type: typ, Zone: zone, Spot: spot}
+	return scheduler.Offer{Type: typ, Zone: zone, Spot: spot}
 }
 
-func show(o sched.Offer) string {
+func show(o scheduler.Offer) string {
 	if o.Spot {
 		return o.Type + "@" + o.Zone + "/spot"
 	}
@@ -92,8 +92,8 @@
 	book   *Book
 	rand   *rand.Rand
 	now    time.Time
-	offers []sched.Offer
-	room   map[sched.Offer]int
+	offers []scheduler.Offer
+	room   map[scheduler.Offer]int
 	open   []sent
 	wanted int
 	names  int
@@ -110,9 +110,9 @@
 const modelRPS = 6
 
 func newShortage(t *testing.T, offers int) *shortage {
-	s := &shortage{T: t, book: New(modelRPS), rand: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1e9, 0), room: map[sched.Offer]int{}}
+	s := &shortage{T: t, book: New(modelRPS), rand: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1e9, 0), room: map[scheduler.Offer]int{}}
 	for i := range offers {
-		s.offers = append(s.offers, sched.Offer{Type: fmt.Sprint("g", i/6), Zone: string(rune('a' + i%3)), Spot: i/3%2 == 1})
+		s.offers = append(s.offers, scheduler.Offer{Type: fmt.Sprint("g", i/6), Zone: string(rune('a' + i%3)), Spot: i/3%2 == 1})
 	}
 	return s
 }
@@ -148,20 +148,20 @@
 }
 
 func (s *shortage) plan() {
-	pic := &sched.Picture{Refused: map[sched.Offer]bool{}, Doubted: map[sched.Offer]bool{}, Most: map[sched.Offer]int{}}
+	pic := &scheduler.Picture{Refused: map[scheduler.Offer]bool{}, Doubted: map[scheduler.Offer]bool{}, Most: map[scheduler.Offer]int{}}
 	s.book.Fill(s.now, pic)
 	left := s.wanted
 	for _, a := range s.book.Open() {
 		left -= a.Count
 	}
-	var rents []sched.Rent
+	var rents []scheduler.Rent
 	for _, o := range s.offers {
 		n := max(0, left)
 		if most, limited := pic.Most[o]; limited {
 			n = min(n, most)
 		}
 		if n > 0 && !pic.Refused[o] {
-			rents = append(rents, sched.Rent{Offer: o, Count: n})
+			rents = append(rents, scheduler.Rent{Offer: o, Count: n})
 			left -= n
 		}
 	}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -20,8 +20,8 @@
 func play(t *testing.T, clients int, do func(ctx context.Context, c []*Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		net := standin.NewNet()
-		cloud := &standin.Cloud{Types: []wire.MachineType{{Name: "g4", Zones: []string{"a"}}}, RPS: 6, Rooms: map[standin.Offer]int{}, Rand: rand.New(rand.NewPCG(1, 1))}
+		net := simulator.NewNet()
+		cloud := &simulator.Cloud{Types: []wire.MachineType{{Name: "g4", Zones: []string{"a"}}}, RPS: 6, Rooms: map[simulator.Offer]int{}, Rand: rand.New(rand.NewPCG(1, 1))}
 		go net.Host("10.2.0.2").Listen(ctx, addr, 0, cloud.Serve())
 		synctest.Wait()
 		var all []*Client
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,7 +20,7 @@
 	"gopkg.in/ini.v1"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/writers"
 )
@@ -113,10 +113,10 @@
 	History     History
 	KeepReports int // machines up to which the holder takes reports itself
 	Parts       Parts
-	Writers     int                    // controllers that write what users wait for, for all; writers.Auto follows from their number, 0 stands for each by itself
-	Spread      map[string]*sched.Rule // of services, by class
-	Tiers       []tier.Tier            // of work; none stands for the order without settings
-	Metrics     string                 // address that metrics are served on, if any
+	Writers     int                        // controllers that write what users wait for, for all; writers.Auto follows from their number, 0 stands for each by itself
+	Spread      map[string]*scheduler.Rule // of services, by class
+	Tiers       []tier.Tier                // of work; none stands for the order without settings
+	Metrics     string                     // address that metrics are served on, if any
 	Reapi       Reapi
 }
 
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -8,13 +8,13 @@
 
 	"gopkg.in/ini.v1"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
 // spreadRule takes a section of the operators' file that says how the services of a class are
 // spread over the zones.
 func (t *Tuning) spreadRule(f *faults, class string, sec *ini.Section) {
-	var r sched.Rule
+	var r scheduler.Rule
 	for _, key := range sec.Keys() {
 		name, err := sec.Name()+"."+key.Name(), error(nil)
 		switch key.Name() {
@@ -32,7 +32,7 @@
 	}
 	f.check(class != "", sec.Name(), "", "named after a class of jobs")
 	if t.Spread == nil {
-		t.Spread = make(map[string]*sched.Rule)
+		t.Spread = make(map[string]*scheduler.Rule)
 	}
 	t.Spread[class] = &r
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,20 +15,20 @@
 	"golang.org/x/sync/errgroup"
 
 	"amberdeal.example/amberdeal/internal/admission"
-	"amberdeal.example/amberdeal/internal/claim"
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/cloud"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/forward"
-	"amberdeal.example/amberdeal/internal/history"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/member"
-	"amberdeal.example/amberdeal/internal/mesh"
-	"amberdeal.example/amberdeal/internal/pace"
-	"amberdeal.example/amberdeal/internal/parts"
-	"amberdeal.example/amberdeal/internal/relay"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/ingest"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/membership"
+	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/shard"
 	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/internal/user"
 	"amberdeal.example/amberdeal/internal/worker"
@@ -45,33 +45,33 @@
 	view      *store.View
 	follow    *store.Follower
 	format    *store.Formatter
-	history   *history.Reader
+	history   *archive.Reader
 	cloud     *cloud.Client
 	workers   *worker.Client
-	keeper    *claim.Keeper
-	mesh      *mesh.Mesh
+	keeper    *leadership.Keeper
+	mesh      *peer.Mesh
 	desk      *user.Desk
 	admission *admission.Service
 	group     *fleet.Grouping
-	router    *parts.Router
-	edge      *relay.Edges
-	pace      *pace.Pace // of calls made for siblings
-	hub       *relay.Hub
-	reception *relay.Reception
+	router    *shard.Router
+	edge      *ingest.Edges
+	pace      *throttle.Pace // of calls made for siblings
+	hub       *ingest.Hub
+	reception *ingest.Reception
 	forward   *forward.Client
 	changed   chan struct{}
 	begun     time.Time
 	tiers     string // how the tiers of work are set, in short
 
 	mu      sync.Mutex
-	members *member.List
+	members *membership.List
 	beats   uint64             // that were sent
 	calls   zone.Calls         // made for siblings
 	written map[string]written // by part
 	holders map[string]*holding
 	types   []wire.MachineType
 	deaf    time.Time // when a claim was last given up for not hearing the machines
-	stands  map[string]round.PartStatus
+	stands  map[string]leader.PartStatus
 	stood   time.Time
 	moved   time.Time // when a part was last won, lost or given back
 	chosen  chosen    // who writes
@@ -83,26 +83,26 @@
 		group: cfg.Grouping(), tiers: cfg.Tiers().Digest(), holders: make(map[string]*holding)}
 	c.client = store.NewClient(network, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Siblings)+1), log)
 	c.view = store.NewView(log)
-	c.history = history.NewReader(c.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, log)
+	c.history = archive.NewReader(c.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, log)
 	c.view.Blocks = c.history
 	c.follow = store.NewFollower(c.client, c.view, log)
 	c.follow.Watch = store.WatchFor(cfg.Workers.Linger())
 	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*0.85)
 	c.workers = worker.NewClient(network, cfg.Limits.Files/16)
-	c.keeper = &claim.Keeper{
-		Claim: claim.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew),
+	c.keeper = &leadership.Keeper{
+		Claim: leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew),
 		Group: c.group, Tiers: c.tiers, Client: c.client, View: c.view, Follow: c.follow, Log: log,
 		Ready: c.claims, Changed: c.wake, Agreed: c.agreed,
 	}
-	c.mesh = &mesh.Mesh{Siblings: make(map[string]string), Beat: c.beat, Dial: network.Dial, Log: log, Heard: c.heard}
+	c.mesh = &peer.Mesh{Siblings: make(map[string]string), Beat: c.beat, Dial: network.Dial, Log: log, Heard: c.heard}
 	for _, sib := range cfg.Siblings {
 		c.mesh.Siblings[sib.Name] = sib.Addr
 	}
-	c.members = member.New(slices.Collect(maps.Keys(c.mesh.Siblings)))
+	c.members = membership.New(slices.Collect(maps.Keys(c.mesh.Siblings)))
 	c.passReports()
-	c.format = &store.Formatter{Client: c.client, View: c.view, Follow: c.follow, Log: log, Parts: c.group.Parts(), Patience: 3 * mesh.Every,
-		Older: func() string { return c.mesh.Older(3*mesh.Every, store.Format) }}
-	c.router = &parts.Router{Group: c.group, Statuses: c.statuses}
+	c.format = &store.Formatter{Client: c.client, View: c.view, Follow: c.follow, Log: log, Parts: c.group.Parts(), Patience: 3 * peer.Every,
+		Older: func() string { return c.mesh.Older(3*peer.Every, store.Format) }}
+	c.router = &shard.Router{Group: c.group, Statuses: c.statuses}
 	c.admission = &admission.Service{Teams: cfg.Teams, View: c.view, Follow: c.follow, History: c.history, Log: log,
 		Intake: admission.NewIntake(c.client, fmt.Sprintf("%s-%d", cfg.Name, c.begun.UnixNano()), cfg.Store.ValueBytes),
 		Closer: admission.NewCloser(c.client, c.view, c.follow, cfg.Store.TxnOps),
--- a/internal/controller/members.go
+++ b/internal/controller/failover.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/member"
-	"amberdeal.example/amberdeal/internal/mesh"
+	"amberdeal.example/amberdeal/internal/membership"
+	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/store"
 )
 
 // heard takes in a sibling's beat.
-func (c *Controller) heard(b mesh.Beat) {
+func (c *Controller) heard(b peer.Beat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.members.Heard(time.Now(), b.From, b.StoreOK, b.Says)
@@ -75,7 +75,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, part := range c.group.Parts() {
-		if rec, ok := c.view.Part(part); ok && rec.Record.Holder != c.cfg.Name && c.members.State(now, rec.Record.Holder) == member.Dead {
+		if rec, ok := c.view.Part(part); ok && rec.Record.Holder != c.cfg.Name && c.members.State(now, rec.Record.Holder) == membership.Dead {
 			return true
 		}
 	}
@@ -99,7 +99,7 @@
 	defer c.mu.Unlock()
 	for _, part := range c.group.Parts() {
 		rec, ok := c.view.Part(part)
-		if ok && rec.Record.Holder != c.cfg.Name && quiet[rec.Record.Holder] && c.members.State(now, rec.Record.Holder) == member.Dead {
+		if ok && rec.Record.Holder != c.cfg.Name && quiet[rec.Record.Holder] && c.members.State(now, rec.Record.Holder) == membership.Dead {
 			out[rec.Record.Lease] = rec.Record.Holder
 		}
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/heartbeats.go
@@ -4,23 +4,23 @@
 	"context"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/mesh"
-	"amberdeal.example/amberdeal/internal/pace"
-	"amberdeal.example/amberdeal/internal/relay"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/ingest"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // passReports sets up how reports reach the holder, whichever controller takes them.
 func (c *Controller) passReports() {
-	c.hub = &relay.Hub{Log: c.log, Decide: func(r *wire.Report) worker.Verdict {
+	c.hub = &ingest.Hub{Log: c.log, Decide: func(r *wire.Report) worker.Verdict {
 		if v, ok := c.report(time.Now(), r); ok {
 			return v
 		}
 		return worker.Verdict{Holder: c.holderFor(r)}
 	}}
-	c.hub.Raises = func(most int) (out []round.Raise) {
+	c.hub.Raises = func(most int) (out []leader.Raise) {
 		for _, h := range c.holding() {
 			out = append(out, h.Raises(time.Now(), most-len(out))...)
 		}
@@ -31,18 +31,18 @@
 			h.Raised(time.Now(), machine, r)
 		}
 	}
-	c.mesh.Streams = map[string]mesh.Stream{relay.Kind: c.hub.Serve}
-	c.pace = pace.New()
-	c.edge = &relay.Edges{Edges: make(map[string]*relay.Edge), Holder: c.holderFor}
+	c.mesh.Streams = map[string]peer.Stream{ingest.Kind: c.hub.Serve}
+	c.pace = throttle.New()
+	c.edge = &ingest.Edges{Edges: make(map[string]*ingest.Edge), Holder: c.holderFor}
 	for _, sib := range c.cfg.Siblings {
-		c.edge.Edges[sib.Name] = &relay.Edge{Open: c.mesh.Open, Log: c.log, Pace: c.pace,
+		c.edge.Edges[sib.Name] = &ingest.Edge{Open: c.mesh.Open, Log: c.log, Pace: c.pace,
 			Holder: func() string {
 				if c.holds(sib.Name) {
 					return sib.Name
 				}
 				return ""
 			},
-			Call: func(ctx context.Context, call round.Raise) *wire.Report {
+			Call: func(ctx context.Context, call leader.Raise) *wire.Report {
 				r := c.workers.Raise(ctx, call.Addr, call.Term, call.Session)
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -50,9 +50,9 @@
 				return r
 			}}
 	}
-	c.reception = &relay.Reception{Own: c.report, Edge: c.edge, Others: c.takers, Window: 2 * c.cfg.Workers.Report, Shared: !c.group.Whole(),
+	c.reception = &ingest.Reception{Own: c.report, Edge: c.edge, Others: c.takers, Window: 2 * c.cfg.Workers.Report, Shared: !c.group.Whole(),
 		Holder: c.holderFor, Holds: func() bool { return len(c.holding()) > 0 },
-		Steer: relay.Steer{Keep: c.cfg.Tuning.KeepReports, Room: c.cfg.Limits.Files / 2}}
+		Steer: ingest.Steer{Keep: c.cfg.Tuning.KeepReports, Room: c.cfg.Limits.Files / 2}}
 }
 
 // takers tells how many machines report to each sibling that passes reports on to the
--- a/internal/controller/holding.go
+++ b/internal/controller/leading.go
@@ -8,18 +8,18 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"amberdeal.example/amberdeal/internal/claim"
-	"amberdeal.example/amberdeal/internal/history"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // holding is a part that this controller holds, and the end of its duties.
 type holding struct {
-	*round.Holder
-	folder *history.Folder // nil where another holder folds
-	claim  claim.Held
+	*leader.Holder
+	folder *archive.Folder // nil where another holder folds
+	claim  leadership.Held
 	stop   context.CancelFunc
 	done   chan struct{}
 }
@@ -94,10 +94,10 @@
 }
 
 // begin starts the duties for a part that was won.
-func (c *Controller) begin(ctx context.Context, part string, held claim.Held) {
+func (c *Controller) begin(ctx context.Context, part string, held leadership.Held) {
 	now := time.Now()
 	h := &holding{claim: held, done: make(chan struct{}),
-		Holder: round.New(c.cfg, held, c.view.Snapshot(), c.view.Ledgers(part), c.machineTypes(), c.view, now, c.log)}
+		Holder: leader.New(c.cfg, held, c.view.Snapshot(), c.view.Ledgers(part), c.machineTypes(), c.view, now, c.log)}
 	duties, stop := context.WithCancel(ctx)
 	h.stop = stop
 	surely := func() bool { _, ok, valid, _ := c.keeper.Held(part, time.Now()); return ok && valid }
@@ -112,7 +112,7 @@
 		defer close(h.done)
 		g, duties := errgroup.WithContext(duties)
 		g.Go(func() error {
-			return h.Run(duties, round.Edges{Store: c.client, View: c.view, Follow: c.follow, Cloud: c.cloud, Workers: c.workers, Valid: surely, Fenced: c.wake})
+			return h.Run(duties, leader.Edges{Store: c.client, View: c.view, Follow: c.follow, Cloud: c.cloud, Workers: c.workers, Valid: surely, Fenced: c.wake})
 		})
 		if h.folder != nil {
 			g.Go(func() error { return h.folder.Run(duties) })
@@ -121,10 +121,10 @@
 	}()
 }
 
-func (c *Controller) newFolder(h *holding, surely func() bool) *history.Folder {
+func (c *Controller) newFolder(h *holding, surely func() bool) *archive.Folder {
 	tune := c.cfg.Tuning.History
-	f := &history.Folder{Store: c.client, View: c.view, Follow: c.follow, Reader: c.history, Log: c.log.With("term", h.claim.Term),
-		Limits: history.Limits{ValueBytes: c.cfg.Store.ValueBytes, TxnOps: c.cfg.Store.TxnOps},
+	f := &archive.Folder{Store: c.client, View: c.view, Follow: c.follow, Reader: c.history, Log: c.log.With("term", h.claim.Term),
+		Limits: archive.Limits{ValueBytes: c.cfg.Store.ValueBytes, TxnOps: c.cfg.Store.TxnOps},
 		Fence:  wire.Condition{Key: store.PartKey(h.claim.Part), Version: h.claim.Version},
 		Ending: h.Ending, Valid: surely, Every: tune.Every, Wait: tune.Wait, MergeAt: tune.MergeAt}
 	if !c.group.Whole() {
--- a/internal/controller/glance.go
+++ b/internal/controller/operator.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/httpwire"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/metrics"
-	"amberdeal.example/amberdeal/internal/round"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/top"
 	"amberdeal.example/amberdeal/internal/transport"
@@ -89,11 +89,11 @@
 
 // known gives what the parts have said of themselves: all of them where there are several, else
 // that of the fleet, if it is held here.
-func (c *Controller) known() map[string]round.PartStatus {
+func (c *Controller) known() map[string]leader.PartStatus {
 	if !c.group.Whole() {
 		return c.statuses()
 	}
-	out := make(map[string]round.PartStatus)
+	out := make(map[string]leader.PartStatus)
 	for _, h := range c.holding() {
 		out[h.claim.Part] = h.Status(time.Now())
 	}
--- a/internal/controller/parts.go
+++ b/internal/controller/shards.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/mesh"
-	"amberdeal.example/amberdeal/internal/parts"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/shard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -15,15 +15,15 @@
 // others in the beats of the mesh.
 
 // aliveAge is how old the beat of a sibling that lives may be.
-const aliveAge = 3 * mesh.Every
+const aliveAge = 3 * peer.Every
 
 // statuses gives what the parts have last said, from here and by the mesh. The map is
 // shared and never changed: users' questions ask for it all the time.
-func (c *Controller) statuses() map[string]round.PartStatus {
+func (c *Controller) statuses() map[string]leader.PartStatus {
 	c.mu.Lock()
 	all, at := c.stands, c.stood
 	c.mu.Unlock()
-	if all != nil && time.Since(at) < mesh.Every/4 {
+	if all != nil && time.Since(at) < peer.Every/4 {
 		return all
 	}
 	all = c.gather()
@@ -33,8 +33,8 @@
 	return all
 }
 
-func (c *Controller) gather() map[string]round.PartStatus {
-	out := make(map[string]round.PartStatus)
+func (c *Controller) gather() map[string]leader.PartStatus {
+	out := make(map[string]leader.PartStatus)
 	for _, b := range c.mesh.Last(2 * aliveAge) {
 		for part, s := range b.Parts {
 			if s.Term > out[part].Term {
@@ -53,7 +53,7 @@
 func (c *Controller) tellHolders() {
 	all, edges := c.statuses(), len(c.hub.Edges(2*time.Second))
 	for _, h := range c.holding() {
-		others := make(map[string]round.PartStatus, len(all))
+		others := make(map[string]leader.PartStatus, len(all))
 		for part, s := range all {
 			if part != h.claim.Part {
 				others[part] = s
@@ -102,34 +102,34 @@
 		}
 		for _, sib := range c.cfg.Siblings {
 			if !seen[sib.Name] {
-				candidates = append(candidates, parts.Controller{Name: sib.Name, Zone: sib.Zone, Holds: c.load(sib.Name)})
+				candidates = append(candidates, shard.Controller{Name: sib.Name, Zone: sib.Zone, Holds: c.load(sib.Name)})
 			}
 		}
 	}
-	var open []parts.Part
+	var open []shard.Part
 	for _, p := range c.group.Parts() {
 		if _, held := c.view.Part(p); !held {
-			open = append(open, parts.Part{Name: p, Zones: c.group.Zones(p)})
+			open = append(open, shard.Part{Name: p, Zones: c.group.Zones(p)})
 		}
 	}
-	return parts.Assign(open, candidates, len(c.group.Parts()))[part] == c.cfg.Name
+	return shard.Assign(open, candidates, len(c.group.Parts()))[part] == c.cfg.Name
 }
 
 // candidates lists the siblings that could hold parts.
-func (c *Controller) candidates() (out []parts.Controller) {
+func (c *Controller) candidates() (out []shard.Controller) {
 	c.mu.Lock()
 	alive := c.members.Alive(time.Now())
 	c.mu.Unlock()
 	for _, sib := range c.cfg.Siblings {
 		if slices.Contains(alive, sib.Name) {
-			out = append(out, parts.Controller{Name: sib.Name, Zone: sib.Zone, Holds: c.load(sib.Name)})
+			out = append(out, shard.Controller{Name: sib.Name, Zone: sib.Zone, Holds: c.load(sib.Name)})
 		}
 	}
 	return out
 }
 
-func (c *Controller) self() parts.Controller {
-	return parts.Controller{Name: c.cfg.Name, Zone: c.cfg.Zone, Holds: c.load(c.cfg.Name)}
+func (c *Controller) self() shard.Controller {
+	return shard.Controller{Name: c.cfg.Name, Zone: c.cfg.Zone, Holds: c.load(c.cfg.Name)}
 }
 
 // load counts the parts that a controller holds, by the store.
@@ -157,21 +157,21 @@
 	if !calm {
 		return
 	}
-	var others []parts.Controller
+	var others []shard.Controller
 	beats := c.mesh.Last(aliveAge)
 	for _, o := range c.candidates() {
 		if time.Duration(beats[o.Name].UpS)*time.Second >= balanceAfter {
 			others = append(others, o)
 		}
 	}
-	var mine []parts.Part
+	var mine []shard.Part
 	for _, h := range c.holding() {
 		if !h.Rebuilt() {
 			return
 		}
-		mine = append(mine, parts.Part{Name: h.claim.Part, Zones: c.group.Zones(h.claim.Part)})
+		mine = append(mine, shard.Part{Name: h.claim.Part, Zones: c.group.Zones(h.claim.Part)})
 	}
-	part, ok := parts.Spare(c.self(), mine, others)
+	part, ok := shard.Spare(c.self(), mine, others)
 	if !ok {
 		return
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -4,16 +4,16 @@
 	"maps"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/mesh"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/metrics"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
 // count gives a job's counts for display, from the holders wherever they are.
-func (c *Controller) count(job string) (sum round.Count) {
+func (c *Controller) count(job string) (sum leader.Count) {
 	if !c.group.Whole() {
 		for _, s := range c.statuses() {
 			n := s.Counts[job]
@@ -27,7 +27,7 @@
 			return n
 		}
 	}
-	var best mesh.Beat
+	var best peer.Beat
 	for _, b := range c.mesh.Last(6 * time.Second) {
 		if b.Term > best.Term {
 			best = b
@@ -36,9 +36,9 @@
 	return best.Counts[job]
 }
 
-func (c *Controller) beat() mesh.Beat {
+func (c *Controller) beat() peer.Beat {
 	at, failing := c.follow.Reached()
-	b := mesh.Beat{From: c.cfg.Name, StoreOK: !failing && time.Since(at) < 15*time.Second, Heard: c.reception.Heard(), Passes: c.edge.Passes(), Format: store.Format,
+	b := peer.Beat{From: c.cfg.Name, StoreOK: !failing && time.Since(at) < 15*time.Second, Heard: c.reception.Heard(), Passes: c.edge.Passes(), Format: store.Format,
 		Groups: c.group.String(), Tiers: c.tiers, Writes: true, UpS: int(time.Since(c.begun).Seconds()), Begun: c.begun.UnixNano()}
 	c.mu.Lock()
 	c.beats++
@@ -47,7 +47,7 @@
 	c.mu.Unlock()
 	b.Sights = c.observations()
 	if !c.group.Whole() {
-		b.Ways, b.Parts = c.edge.Open(), make(map[string]round.PartStatus)
+		b.Ways, b.Parts = c.edge.Open(), make(map[string]leader.PartStatus)
 	}
 	for _, h := range c.holding() {
 		b.Term = max(b.Term, h.Term())
--- a/internal/controller/writers.go
+++ b/internal/controller/writers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/forward"
-	"amberdeal.example/amberdeal/internal/mesh"
+	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
@@ -44,7 +44,7 @@
 	if !last.at.IsZero() && now.Sub(last.at) < writersGap {
 		return last
 	}
-	beats := c.mesh.Last(3 * mesh.Every)
+	beats := c.mesh.Last(3 * peer.Every)
 	next := chosen{at: now, older: slices.ContainsFunc(alive, func(name string) bool { return !beats[name].Writes })}
 	if !c.apart(2 * time.Second) {
 		alive = append(alive, c.cfg.Name)
--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/mesh"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // pipe is one end of a connection as a listener has it.
@@ -28,14 +28,14 @@
 		for i := 1; i < 7; i++ {
 			cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: fmt.Sprint("c-", i)})
 		}
-		c := New(standin.NewNet().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
+		c := New(simulator.NewNet().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
 		number := uint64(0)
 		hear := func(writes func(i int) bool, siblings ...int) chosen {
 			number++
 			for _, i := range siblings {
 				mine, its := net.Pipe()
 				go func() {
-					_ = gob.NewEncoder(its).Encode(mesh.Beat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
+					_ = gob.NewEncoder(its).Encode(peer.Beat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
 					its.Close()
 				}()
 				c.mesh.Receive(t.Context(), pipe{mine})
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
-	"amberdeal.example/amberdeal/internal/world"
+	"amberdeal.example/amberdeal/internal/emulator"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -40,7 +40,7 @@
 		fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
 	}
 	jobs := demoJobs()
-	users := &standin.Users{Dial: world.Dial, Judge: w.Known()}
+	users := &simulator.Users{Dial: emulator.Dial, Judge: w.Known()}
 	for i := range Controllers {
 		users.Nodes = append(users.Nodes, w.Addr(i))
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -31,8 +31,8 @@
 
 // World is what runs.
 type World struct {
-	*world.World
-	procs  world.Procs
+	*emulator.World
+	procs  emulator.Procs
 	dir    string
 	ctx    context.Context
 	stop   context.CancelFunc
@@ -49,10 +49,10 @@
 	}
 	w := &World{dir: dir}
 	w.ctx, w.stop = context.WithCancel(ctx)
-	w.caller = &transport.Caller{Limit: 1 << 20, Dial: world.Dial}
-	w.procs = world.Procs{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: tuning}
+	w.caller = &transport.Caller{Limit: 1 << 20, Dial: emulator.Dial}
+	w.procs = emulator.Procs{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: tuning}
 	w.procs.Begin(w.ctx)
-	around, err := world.Start(w.ctx, world.Small(), world.Options{Port: opt.Port, Dir: dir, Hang: w.procs.HangNamed, Kill: w.procs.KillNamed})
+	around, err := emulator.Start(w.ctx, emulator.Small(), emulator.Options{Port: opt.Port, Dir: dir, Hang: w.procs.HangNamed, Kill: w.procs.KillNamed})
 	if err != nil {
 		w.Stop()
 		return nil, err
--- a/internal/world/world.go
+++ b/internal/emulator/cluster.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -34,7 +34,7 @@
 	Kill func(controller string, back time.Duration) error
 	// Machine, if it is set, starts what runs on a machine of a type that is not emulated; it gives
 	// nil for all others.
-	Machine func(id, addr, typ, zone string, spot bool) standin.Machine
+	Machine func(id, addr, typ, zone string, spot bool) simulator.Machine
 	// Started, if it is set, is told of each start of a task.
 	Started func(t wire.TaskID)
 }
@@ -48,15 +48,15 @@
 	opt    Options
 	log    *slog.Logger
 	links  *links
-	store  *standin.Store
-	cloud  *standin.Cloud
+	store  *simulator.Store
+	cloud  *simulator.Cloud
 	ctx    context.Context
 	stop   context.CancelFunc
 	begun  time.Time
 	ports  ports
 	luck   *rand.Rand
 	life   *life
-	echo   *standin.Echo
+	echo   *simulator.Echo
 	users  users
 
 	mu     sync.Mutex
@@ -81,14 +81,14 @@
 	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
 		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, most)
 	}
-	w := &World{Config: c, opt: opt, log: opt.Log, links: newLinks(), store: standin.NewStore(c.Seed, 0), begun: time.Now(),
+	w := &World{Config: c, opt: opt, log: opt.Log, links: newLinks(), store: simulator.NewStore(c.Seed, 0), begun: time.Now(),
 		luck: rand.New(rand.NewPCG(c.Seed, 8)), lifts: map[int]*Staged{}, ports: layout, used: map[int]bool{}}
 	if w.log == nil {
 		w.log = slog.New(slog.DiscardHandler)
 	}
 	w.users.begin(c.Seed)
 	w.ctx, w.stop = context.WithCancel(ctx)
-	w.store.Limits = standin.Limits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
+	w.store.Limits = simulator.Limits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
 	if c.StateDelay > 0 {
 		w.store.Delay = func() time.Duration { return c.StateDelay }
 	}
@@ -144,23 +144,23 @@
 	c := w.Config
 	w.life = newLife(w)
 	w.life.Over(w.begun)
-	yard := standin.NewYard(w.life, c.Workers.GangWait, c.Workers.GangPeer)
+	yard := simulator.NewYard(w.life, c.Workers.GangWait, c.Workers.GangPeer)
 	names := map[string]string{}
-	w.echo = &standin.Echo{Dial: Dial, Most: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
+	w.echo = &simulator.Echo{Dial: Dial, Most: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
 		names[w.controller(i).name] = w.Public(i)
 		w.echo.Nodes = append(w.echo.Nodes, w.Public(i))
 	}
-	w.cloud = &standin.Cloud{Types: c.Types, Rooms: c.Rooms, RPS: c.Cloud.RPS, Lag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
+	w.cloud = &simulator.Cloud{Types: c.Types, Rooms: c.Rooms, RPS: c.Cloud.RPS, Lag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
 		Addr: w.machineAddr,
-		Start: func(id, addr, typ, zone string, spot bool) standin.Machine {
+		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			if w.opt.Machine != nil {
 				if m := w.opt.Machine(id, addr, typ, zone, spot); m != nil {
 					return m
 				}
 			}
 			me := side{id, "machines", zone}
-			return standin.NewWorker(standin.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
+			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
 				Down: func() { w.freePort(addr) }, Controllers: names, Yard: yard, Lease: c.Workers.Lease, Report: c.Workers.Report, Shared: c.Shared, Echo: w.echo})
 		}}
 }
@@ -319,7 +319,7 @@
 	case err != nil:
 		return err
 	default:
-		var k standin.Kept
+		var k simulator.Kept
 		if err := wire.Decode(text, &k); err != nil {
 			return fmt.Errorf("%s is not a kept state: %w", w.stateFile(), err)
 		}
@@ -363,7 +363,7 @@
 
 // machines picks machines of a zone, spot ones alone if that is asked for.
 func (w *World) machines(f *Fault, spot bool) (ids []string) {
-	w.cloud.Each(func(m wire.ListedMachine, _ standin.Machine) {
+	w.cloud.Each(func(m wire.ListedMachine, _ simulator.Machine) {
 		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
 			ids = append(ids, m.ID)
 		}
@@ -384,7 +384,7 @@
 }
 
 // Known judges whether jobs are forgotten, by what their users are answered.
-func (w *World) Known() *standin.Forgotten { return &w.life.Known }
+func (w *World) Known() *simulator.Forgotten { return &w.life.Known }
 
 // Page lists keys of the state service.
 func (w *World) Page(prefix string, most int) []wire.Item {
@@ -431,18 +431,18 @@
 // stopped. It looks a job up at the controllers, as the platform's users upload them, and
 // judges by the rules of the protocol what it sees.
 type life struct {
-	*standin.Checker
+	*simulator.Checker
 	world  *World
 	caller *transport.Caller
 }
 
 func newLife(w *World) *life {
-	limits, teams := make(map[string]float64), make(map[string]standin.Limit)
+	limits, teams := make(map[string]float64), make(map[string]simulator.Limit)
 	for _, t := range w.Config.Teams {
-		limits[t.Name], teams[t.Name] = t.GPUsMax, standin.Limit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.Limit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 	}
-	c := standin.NewChecker(w.Config.Workers.Cancel, limits)
-	c.Site, c.Room.Limits = standin.Site{Types: w.Config.Types, Teams: teams}, teams
+	c := simulator.NewChecker(w.Config.Workers.Cancel, limits)
+	c.Site, c.Room.Limits = simulator.Site{Types: w.Config.Types, Teams: teams}, teams
 	return &life{Checker: c, world: w, caller: &transport.Caller{Limit: 1 << 20, Dial: Dial}}
 }
 
--- a/internal/world/file.go
+++ b/internal/emulator/config.go
@@ -1,7 +1,7 @@
 // Package world is a whole world around controllers on loopback, as real servers: the state
 // service, the cloud and its machines, with the faults that a file or a live command stages.
 // The servers are those of package standin, which tests run on a fake clock.
-package world
+package emulator
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 	"gopkg.in/ini.v1"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -32,7 +32,7 @@
 	Limits      config.Limits
 	Teams       []config.Team
 	Types       []wire.MachineType
-	Rooms       map[standin.Offer]int
+	Rooms       map[simulator.Offer]int
 	Shared      bool // images that a machine fetches at once share its rate
 	Timeline    []Fault
 }
@@ -43,13 +43,13 @@
 // Small is the world of newcomers: three controllers, two zones, machines that are up at once.
 func Small() *Config {
 	t := wire.MachineType{Name: "dev-4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"}}
-	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, Rooms: map[standin.Offer]int{},
+	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, Rooms: map[simulator.Offer]int{},
 		Workers: config.Workers{Report: time.Second, Lease: 10 * time.Second, GangWait: 10 * time.Second, GangPeer: 3 * time.Second, Cancel: 30 * time.Second},
 		State:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 16 << 10, TxnOps: 24}, Cloud: config.Cloud{RPS: 10, ListLag: 500 * time.Millisecond},
 		Limits: config.Limits{RAMBytes: 200 << 20, Files: 1000}, Teams: []config.Team{{Name: "red"}, {Name: "blue", GPUs: 4, GPUsMax: 16}}}
 	for _, z := range t.Zones {
-		c.Rooms[standin.Offer{Type: t.Name, Zone: z, Spot: true}] = 2
-		c.Rooms[standin.Offer{Type: t.Name, Zone: z}] = 2
+		c.Rooms[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2
+		c.Rooms[simulator.Offer{Type: t.Name, Zone: z}] = 2
 	}
 	return c
 }
@@ -182,7 +182,7 @@
 			r.section(sec, c.worldFields())
 		case kind == "type" && named:
 			if !types {
-				c.Types, c.Rooms, types = nil, map[standin.Offer]int{}, true
+				c.Types, c.Rooms, types = nil, map[simulator.Offer]int{}, true
 			}
 			r.machineType(c, sec, name)
 		case kind == "team" && named:
@@ -241,7 +241,7 @@
 		t.Zones = c.Zones
 	}
 	for _, z := range t.Zones {
-		c.Rooms[standin.Offer{Type: name, Zone: z}], c.Rooms[standin.Offer{Type: name, Zone: z, Spot: true}] = ordinary, spot
+		c.Rooms[simulator.Offer{Type: name, Zone: z}], c.Rooms[simulator.Offer{Type: name, Zone: z, Spot: true}] = ordinary, spot
 	}
 	c.Types = append(c.Types, t)
 }
@@ -286,7 +286,7 @@
 		if !types {
 			t.Zones = c.Zones
 			for _, z := range c.Zones {
-				c.Rooms[standin.Offer{Type: t.Name, Zone: z}], c.Rooms[standin.Offer{Type: t.Name, Zone: z, Spot: true}] = 2, 2
+				c.Rooms[simulator.Offer{Type: t.Name, Zone: z}], c.Rooms[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2, 2
 			}
 		}
 		for _, z := range t.Zones {
--- a/internal/world/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 
 	"amberdeal.example/amberdeal/internal/goldentest"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -17,7 +17,7 @@
 	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Staged](t, "staged.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Told](t, "told.cbor", encode, wire.DecodeValue)
-	goldentest.Check[standin.Kept](t, "kept.cbor", encode, wire.DecodeValue)
+	goldentest.Check[simulator.Kept](t, "kept.cbor", encode, wire.DecodeValue)
 }
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
--- a/internal/world/links.go
+++ b/internal/emulator/links.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"context"
--- a/internal/world/ports.go
+++ b/internal/emulator/ports.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 // ports are the offsets of a world's ports from its first one, at which the controllers serve users
 // and machines. Each controller has ports of its own for the state service and the cloud, and one
--- a/internal/world/stage.go
+++ b/internal/emulator/staging.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -89,11 +89,11 @@
 
 // cause has a fault happen, and gives what ends it, or nil where it has no end.
 func (w *World) cause(f *Fault) (lift func(), err error) {
-	store := func(change, back func(*standin.Store)) func() {
+	store := func(change, back func(*simulator.Store)) func() {
 		w.store.Stage(change)
 		return func() { w.store.Stage(back) }
 	}
-	cloud := func(change, back func(*standin.CloudFaults)) func() {
+	cloud := func(change, back func(*simulator.CloudFaults)) func() {
 		w.cloud.Fail(change)
 		return func() { w.cloud.Fail(back) }
 	}
@@ -108,15 +108,15 @@
 		return func() { w.store.Refuse(f.Who, false) }, nil
 	case "state_slow":
 		usual := w.Config.StateDelay
-		return store(func(s *standin.Store) { s.Delay = func() time.Duration { return f.Delay } },
-			func(s *standin.Store) { s.Delay = func() time.Duration { return usual } }), nil
+		return store(func(s *simulator.Store) { s.Delay = func() time.Duration { return f.Delay } },
+			func(s *simulator.Store) { s.Delay = func() time.Duration { return usual } }), nil
 	case "state_lose":
-		return store(func(s *standin.Store) { s.Lossy = f.Share }, func(s *standin.Store) { s.Lossy = 0 }), nil
+		return store(func(s *simulator.Store) { s.Lossy = f.Share }, func(s *simulator.Store) { s.Lossy = 0 }), nil
 	case "state_late":
 		if f.AtOnce {
-			return store(func(s *standin.Store) { s.Unheard = f.Share }, func(s *standin.Store) { s.Unheard = 0 }), nil
+			return store(func(s *simulator.Store) { s.Unheard = f.Share }, func(s *simulator.Store) { s.Unheard = 0 }), nil
 		}
-		return store(func(s *standin.Store) { s.Later = f.Share }, func(s *standin.Store) { s.Later = 0 }), nil
+		return store(func(s *simulator.Store) { s.Later = f.Share }, func(s *simulator.Store) { s.Later = 0 }), nil
 	case "report_late":
 		if f.ForNext {
 			w.echo.ForNext(f.Share)
@@ -127,32 +127,32 @@
 	case "state_forget":
 		w.store.Forget()
 	case "cloud_down":
-		return cloud(func(c *standin.CloudFaults) { c.Trouble = true }, func(c *standin.CloudFaults) { c.Trouble = false }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.Trouble = true }, func(c *simulator.CloudFaults) { c.Trouble = false }), nil
 	case "cloud_fewer":
-		return cloud(func(c *standin.CloudFaults) { c.Fewer = f.Share }, func(c *standin.CloudFaults) { c.Fewer = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.Fewer = f.Share }, func(c *simulator.CloudFaults) { c.Fewer = 0 }), nil
 	case "cloud_late":
-		return cloud(func(c *standin.CloudFaults) { c.Late = f.Delay }, func(c *standin.CloudFaults) { c.Late = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.Late = f.Delay }, func(c *simulator.CloudFaults) { c.Late = 0 }), nil
 	case "boot_slow":
-		return cloud(func(c *standin.CloudFaults) { c.BootTimes = f.Times }, func(c *standin.CloudFaults) { c.BootTimes = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.BootTimes = f.Times }, func(c *simulator.CloudFaults) { c.BootTimes = 0 }), nil
 	case "boot_never":
-		return cloud(func(c *standin.CloudFaults) { c.NeverUp = f.Share }, func(c *standin.CloudFaults) { c.NeverUp = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.NeverUp = f.Share }, func(c *simulator.CloudFaults) { c.NeverUp = 0 }), nil
 	case "machine_die":
 		for _, id := range w.machines(f, false) {
 			w.cloud.Die(id)
 		}
 	case "machine_hang":
-		w.each(f, func(m standin.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
+		w.each(f, func(m simulator.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
 	case "machine_deaf":
-		return w.lasting(f, func(m standin.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) }), nil
+		return w.lasting(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) }), nil
 	case "machine_mute":
-		return w.lasting(f, func(m standin.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) }), nil
+		return w.lasting(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) }), nil
 	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
 		return w.users.cause(w, f)
 	case "controller_cut":
 		return w.cutOff(f), nil
 	case "machine_restart":
 		back := cmp.Or(f.Delay, usualBack)
-		w.each(f, func(m standin.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
+		w.each(f, func(m simulator.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
 	case "spot_taken":
 		for _, id := range w.machines(f, true) {
 			w.cloud.TakeBack(id, f.Notice)
@@ -202,12 +202,12 @@
 const usualBack = 2 * time.Second
 
 // each does something to the machines that a fault is about.
-func (w *World) each(f *Fault, do func(standin.Machine)) {
+func (w *World) each(f *Fault, do func(simulator.Machine)) {
 	picked := map[string]bool{}
 	for _, id := range w.machines(f, false) {
 		picked[id] = true
 	}
-	w.cloud.Each(func(m wire.ListedMachine, machine standin.Machine) {
+	w.cloud.Each(func(m wire.ListedMachine, machine simulator.Machine) {
 		if picked[m.ID] {
 			do(machine)
 		}
@@ -215,9 +215,9 @@
 }
 
 // lasting does something to the machines that a fault is about, and gives what ends it.
-func (w *World) lasting(f *Fault, do func(m standin.Machine, on bool)) (lift func()) {
-	var all []standin.Machine
-	w.each(f, func(m standin.Machine) {
+func (w *World) lasting(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
+	var all []simulator.Machine
+	w.each(f, func(m simulator.Machine) {
 		do(m, true)
 		all = append(all, m)
 	})
--- a/internal/world/users.go
+++ b/internal/emulator/users.go
@@ -1,4 +1,4 @@
-package world
+package emulator
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -110,7 +110,7 @@
 	u.calls(jobs...)
 	u.mu.Unlock()
 	machines = machines[:min(mostHanging, len(machines))]
-	w.cloud.Each(func(m wire.ListedMachine, x standin.Machine) {
+	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
 		if f.Hang > 0 && slices.Contains(machines, m.ID) {
 			x.(interface{ Hang(time.Duration) }).Hang(f.Hang)
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -21,9 +21,9 @@
 	"golang.org/x/sync/errgroup"
 	"gopkg.in/ini.v1"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 // Plan is what an experiment consists of. Files are named as in the experiment's file,
@@ -96,12 +96,12 @@
 
 // Outcome is what came of a cell.
 type Outcome struct {
-	Cell     Cell           `json:"cell"`
-	Result   *load.Result   `json:"result"`
-	Samples  []Sample       `json:"samples"`
-	Faults   []world.Staged `json:"faults"`
-	RPS      float64        `json:"state_rps"`
-	WriteRPS float64        `json:"state_write_rps"`
+	Cell     Cell              `json:"cell"`
+	Result   *load.Result      `json:"result"`
+	Samples  []Sample          `json:"samples"`
+	Faults   []emulator.Staged `json:"faults"`
+	RPS      float64           `json:"state_rps"`
+	WriteRPS float64           `json:"state_write_rps"`
 }
 
 // Parse reads an experiment's file and names all that is wrong with it, also in the files that
@@ -170,15 +170,15 @@
 	return p, errors.Join(faults...)
 }
 
-func (p *Plan) world(name string) (*world.Config, error) {
+func (p *Plan) world(name string) (*emulator.Config, error) {
 	if name == "small" {
-		return world.Small(), nil
+		return emulator.Small(), nil
 	}
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	c, err := world.Parse(text)
+	c, err := emulator.Parse(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s:\n%w", name, err)
 	}
@@ -325,7 +325,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	procs := world.Procs{Program: r.Program, Level: "error", Dir: dir}
+	procs := emulator.Procs{Program: r.Program, Level: "error", Dir: dir}
 	if c.Settings != "none" {
 		tuning, err := os.ReadFile(filepath.Join(r.Plan.Dir, c.Settings))
 		if err != nil {
@@ -335,7 +335,7 @@
 	}
 	procs.Begin(ctx)
 	defer procs.Stop()
-	w, err := world.Start(ctx, conf, world.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Hang: procs.HangNamed})
+	w, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Hang: procs.HangNamed})
 	if err != nil {
 		return nil, err
 	}
@@ -348,8 +348,8 @@
 		}
 		addrs = append(addrs, w.Public(i))
 	}
-	caller := &transport.Caller{Limit: 1 << 20, Keep: 256, Dial: world.Dial}
-	if err := world.Ready(ctx, caller, addrs); err != nil {
+	caller := &transport.Caller{Limit: 1 << 20, Keep: 256, Dial: emulator.Dial}
+	if err := emulator.Ready(ctx, caller, addrs); err != nil {
 		return nil, err
 	}
 	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
@@ -365,7 +365,7 @@
 }
 
 // sample notes each second how the world stands.
-func (o *Outcome) sample(ctx context.Context, w *world.World) {
+func (o *Outcome) sample(ctx context.Context, w *emulator.World) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	last := w.Status()
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/parquet-go/parquet-go"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 // TestPlan reads the experiment that is shipped, and names all that is wrong with one.
@@ -32,7 +32,7 @@
 
 func outcome(settings string, seed uint64, p50 int64) *Outcome {
 	c := Cell{"w.ini", "m.ini", settings, seed}
-	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []world.Staged{{Number: 1, Label: "outage", Since: 1, Until: 2}},
+	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.Staged{{Number: 1, Label: "outage", Since: 1, Until: 2}},
 		Result: &load.Result{Classes: map[string]*load.ClassResult{"tidy": {Jobs: 3, Accepted: 3, Done: 3, Accept: load.Times{Count: 3, P50: p50, P99: 2 * p50}}}}}
 	for i := range 4 {
 		o.Samples = append(o.Samples, Sample{Cell: c, T: float64(i), Up: i, Running: 2 * i, Changes: float64(i), Term: 1})
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 // spread is a figure over the seeds.
@@ -307,7 +307,7 @@
 }
 
 // spans marks when faults were in force.
-func spans(p *plot.Plot, faults []world.Staged, top float64) error {
+func spans(p *plot.Plot, faults []emulator.Staged, top float64) error {
 	for i, f := range faults {
 		until := max(f.Until, f.Since+0.5)
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.Since, Y: 0}, {X: until, Y: 0}, {X: until, Y: top * 1.05}, {X: f.Since, Y: top * 1.05}})
--- a/internal/relay/steer.go
+++ b/internal/ingest/balancer.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 import (
 	"time"
--- a/internal/relay/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -27,7 +27,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	hub := &Hub{Decide: decide, Log: slog.New(slog.DiscardHandler),
-		Raises: func(int) []round.Raise { return nil }, Raised: func(string, *wire.Report) {}}
+		Raises: func(int) []leader.Raise { return nil }, Raised: func(string, *wire.Report) {}}
 	edge := &Edge{Holder: func() string { return "c-0" }, Log: hub.Log,
 		Open: func(ctx context.Context, _, _ string) (net.Conn, *gob.Encoder, error) {
 			conn, err := net.Dial("tcp4", lis.Addr().String())
--- a/internal/relay/frozen_test.go
+++ b/internal/ingest/frozen_test.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 // The types of this file are copies of what an edge and a holder send each other, as it
 // was when the files in testdata/golden were written. They are never renamed along with the
--- a/internal/relay/relay_test.go
+++ b/internal/ingest/ingest_test.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/pace"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -32,7 +32,7 @@
 
 func newLine(ctx context.Context, decide func(*wire.Report) worker.Verdict, setup []func(*line)) *line {
 	l := &line{holder: "c-0", hub: &Hub{Decide: decide, Log: slog.New(slog.DiscardHandler)}}
-	l.hub.Raises, l.hub.Raised = func(int) []round.Raise { return nil }, func(string, *wire.Report) {}
+	l.hub.Raises, l.hub.Raised = func(int) []leader.Raise { return nil }, func(string, *wire.Report) {}
 	l.Edge = &Edge{Log: l.hub.Log, Holder: func() string {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -174,17 +174,17 @@
 				t.Errorf("%s: %v", machine, ok)
 			}
 		}
-		if len(told) != 100 || most > pace.Most {
+		if len(told) != 100 || most > throttle.Most {
 			t.Errorf("%d of 100 were called, %d at once", len(told), most)
 		}
 	}, func(l *line) {
-		l.Pace = pace.New()
-		l.hub.Raises = func(n int) []round.Raise {
+		l.Pace = throttle.New()
+		l.hub.Raises = func(n int) []leader.Raise {
 			mu.Lock()
 			defer mu.Unlock()
-			var out []round.Raise
+			var out []leader.Raise
 			for ; asked < 100 && len(out) < n; asked++ {
-				out = append(out, round.Raise{Machine: fmt.Sprintf("n-%03d", asked), Term: 3, Session: 1})
+				out = append(out, leader.Raise{Machine: fmt.Sprintf("n-%03d", asked), Term: 3, Session: 1})
 			}
 			return out
 		}
@@ -193,7 +193,7 @@
 			defer mu.Unlock()
 			told[machine] = r != nil && r.Term == 3 && len(r.Tasks) == 5
 		}
-		l.Edge.Call = func(_ context.Context, c round.Raise) *wire.Report {
+		l.Edge.Call = func(_ context.Context, c leader.Raise) *wire.Report {
 			mu.Lock()
 			open++
 			most = max(most, open)
@@ -439,12 +439,12 @@
 			t.Errorf("known to be made by nobody: %v", vain)
 		}
 	}, func(l *line) {
-		l.Pace = pace.New()
-		l.hub.Raises = func(n int) (out []round.Raise) {
+		l.Pace = throttle.New()
+		l.hub.Raises = func(n int) (out []leader.Raise) {
 			mu.Lock()
 			defer mu.Unlock()
 			for ; given < 8 && len(out) < n; given++ {
-				out = append(out, round.Raise{Machine: fmt.Sprintf("n-%03d", given), Term: 3, Session: 1})
+				out = append(out, leader.Raise{Machine: fmt.Sprintf("n-%03d", given), Term: 3, Session: 1})
 			}
 			return out
 		}
@@ -453,7 +453,7 @@
 			defer mu.Unlock()
 			vain[machine] = r == nil
 		}
-		l.Edge.Call = func(ctx context.Context, _ round.Raise) *wire.Report {
+		l.Edge.Call = func(ctx context.Context, _ leader.Raise) *wire.Report {
 			<-ctx.Done()
 			return nil
 		}
--- a/internal/relay/relay.go
+++ b/internal/ingest/message.go
@@ -11,13 +11,13 @@
 // a report may be late, an answer may be lost or late, nothing comes twice, and the worker
 // drops what comes more than 4 s after its report. An edge never answers from what it
 // remembers. Where there is no stream, workers are sent to the holder, as without it.
-package relay
+package ingest
 
 import (
 	"slices"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -67,7 +67,7 @@
 type reply struct {
 	Number  uint64 // of the batch; 0 from a version that does not say it
 	Answers []answer
-	Calls   []round.Raise
+	Calls   []leader.Raise
 }
 
 type answer struct {
--- a/internal/relay/hub.go
+++ b/internal/ingest/receiver.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
@@ -19,7 +19,7 @@
 	Decide func(*wire.Report) worker.Verdict
 	// Raises gives calls, so many at the most, that a sibling is asked to make, and
 	// Raised takes in what became of one, with the machine's report where it had an answer.
-	Raises func(most int) []round.Raise
+	Raises func(most int) []leader.Raise
 	Raised func(machine string, r *wire.Report)
 	Log    *slog.Logger
 
--- a/internal/relay/edge.go
+++ b/internal/ingest/uplink.go
@@ -1,4 +1,4 @@
-package relay
+package ingest
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"amberdeal.example/amberdeal/internal/pace"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -25,8 +25,8 @@
 	// Open opens a stream to a sibling.
 	Open func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
 	// Call makes a call for the holder; nil makes none.
-	Call func(ctx context.Context, c round.Raise) *wire.Report
-	Pace *pace.Pace // of these calls
+	Call func(ctx context.Context, c leader.Raise) *wire.Report
+	Pace *throttle.Pace // of these calls
 	Log  *slog.Logger
 
 	mu     sync.Mutex
@@ -247,7 +247,7 @@
 }
 
 // call makes a call for the holder and keeps what came of it for the next batch.
-func (e *Edge) call(ctx context.Context, s *stream, c round.Raise) {
+func (e *Edge) call(ctx context.Context, s *stream, c leader.Raise) {
 	defer s.making.Done()
 	r := e.Call(ctx, c)
 	e.mu.Lock()
--- a/internal/archive/archive.go
+++ b/internal/jobblock/block.go
@@ -5,7 +5,7 @@
 // differences, sizes with the stage as their last bit, all of it deflated and
 // under a checksum: some two to three bytes a job. Blocks that follow one
 // another divide all ids among them; the order of ids is that of Key.
-package archive
+package jobblock
 
 import (
 	"bytes"
--- a/internal/archive/golden_test.go
+++ b/internal/jobblock/golden_test.go
@@ -1,4 +1,4 @@
-package archive
+package jobblock
 
 import (
 	"reflect"
--- a/internal/round/backoff_test.go
+++ b/internal/leader/backoff_test.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"fmt"
--- a/internal/round/bench_test.go
+++ b/internal/leader/benchmark_test.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/claim"
 	"amberdeal.example/amberdeal/internal/config"
+	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -89,7 +89,7 @@
 		c.view.Apply(&wire.Changes{Revision: c.era, Events: []wire.Event{{Put: store.GrantKey, Value: wire.Encode(grants), Version: c.era}}})
 	}
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.5, Price: 4, SpotPrice: 1, BootS: 30, Zones: cfg.Zones}}
-	c.Holder = New(cfg, claim.Held{Part: part, Term: 3, Version: c.era}, c.view.Snapshot(), store.PartLedgers{Name: part, Carried: true}, types, c.view, c.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c.Holder = New(cfg, leadership.Held{Part: part, Term: 3, Version: c.era}, c.view.Snapshot(), store.PartLedgers{Name: part, Carried: true}, types, c.view, c.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	zones := cfg.Zones
 	if parts > 1 {
 		zones = cfg.Grouping().Zones(part)
--- a/internal/round/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -1,11 +1,11 @@
-package round
+package leader
 
 import (
 	"slices"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/regroup"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/reshard"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -50,12 +50,12 @@
 			continue
 		}
 		shares := h.sharesOf(l)
-		if _, parts := regroup.Whose(shares); parts > 1 && h.hasOf(shares) && !gangDone(l, shares) {
+		if _, parts := reshard.Whose(shares); parts > 1 && h.hasOf(shares) && !gangDone(l, shares) {
 			pieces[id] = shares
 		}
 	}
 	for _, id := range sortedKeys(pieces) {
-		lead, _ := regroup.Whose(pieces[id])
+		lead, _ := reshard.Whose(pieces[id])
 		do(id, h.live[id], h.history(id), pieces[id], lead)
 	}
 }
@@ -146,14 +146,14 @@
 		return
 	}
 	h.log.Info("what was left of a gang given to the part that leads it", "job", id, "to", lead)
-	if _, parts := regroup.Whose(next); parts > 1 && l.Record.CoAllocation != 0 {
+	if _, parts := reshard.Whose(next); parts > 1 && l.Record.CoAllocation != 0 {
 		h.order(d, id, h.live[id], store.CoAllocationOff) // the others need not wait for these
 	}
 }
 
 // coAllocate deals a gang out to parts that together have room for it, or may rent some; no
 // more than its zones may hold to each.
-func (h *Holder) coAllocate(now time.Time, d *Draft, s *sched.Short, l *store.LiveJob, waited time.Duration) bool {
+func (h *Holder) coAllocate(now time.Time, d *Draft, s *scheduler.Short, l *store.LiveJob, waited time.Duration) bool {
 	if s.Job.Shape != wire.Gang || s.Job.OneZone || s.Job.Zone != "" || s.Job.Active > 0 || s.Job.Elsewhere > 0 || len(s.Job.Waiting) != s.Job.Tasks {
 		return false
 	}
@@ -179,8 +179,8 @@
 }
 
 // lots lists what each part may take of a gang, this one first and then the largest.
-func (h *Holder) lots(now time.Time, j *sched.Job, rent bool) (out []lot) {
-	of := func(part string, room sched.Room, given int) lot {
+func (h *Holder) lots(now time.Time, j *scheduler.Job, rent bool) (out []lot) {
+	of := func(part string, room scheduler.Room, given int) lot {
 		n := room.Now - given
 		if rent && room.Rent {
 			n = j.Tasks
@@ -201,7 +201,7 @@
 
 // mayHold bounds the tasks of a gang that a part may have, by the half of them that may be
 // in one zone. Where parts are by type, none knows all that is in a zone.
-func (h *Holder) mayHold(j *sched.Job, part string) int {
+func (h *Holder) mayHold(j *scheduler.Job, part string) int {
 	switch {
 	case !j.Spread:
 		return j.Tasks
@@ -230,7 +230,7 @@
 
 // placed says what is to be done with the tasks of a gang that other parts have tasks of
 // too: they are placed while it is held or started here, and else left alone.
-func (h *Holder) placed(now time.Time, j *sched.Job, hist *history, order uint64) (place bool) {
+func (h *Holder) placed(now time.Time, j *scheduler.Job, hist *history, order uint64) (place bool) {
 	if hist == nil {
 		return false
 	}
--- a/internal/round/ends_test.go
+++ b/internal/leader/completion_test.go
@@ -1,11 +1,11 @@
-package round
+package leader
 
 import (
 	"slices"
 	"strings"
 	"testing"
 
-	"amberdeal.example/amberdeal/internal/regroup"
+	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -96,7 +96,7 @@
 	b.step("shares wk-1 0-2/a,done 2-3/b")
 	b.cfg.Tuning.Parts.By = "off"
 	state := b.view.State()
-	txn, err := regroup.Next(&state, b.cfg.Grouping(), func(string) (store.Takes, bool) { return store.Takes{}, false })
+	txn, err := reshard.Next(&state, b.cfg.Grouping(), func(string) (store.Takes, bool) { return store.Takes{}, false })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/round/contention.go
+++ b/internal/leader/contention.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 // contention bounds how many homes of jobs a round is conditional on, by how the last rounds
 // fared. Any cancellation of one of these jobs that is written first has the round refused, and
--- a/internal/round/decide.go
+++ b/internal/leader/decide.go
@@ -1,11 +1,11 @@
-package round
+package leader
 
 import (
 	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -180,11 +180,11 @@
 	pic := h.picture(now)
 	pic.Tasks = h.cfg.Tuning.RoundTasks
 	h.pictureClaims(pic)
-	var startable *sched.Job
+	var startable *scheduler.Job
 	if h.stalls.looks(now) {
 		startable = pic.Startable()
 	}
-	plan := sched.Choose(pic)
+	plan := scheduler.Choose(pic)
 	kept := h.launch(now, d, plan.Launches)
 	h.watchStarts(now, d, &plan, startable, kept)
 	h.foresee(now, &plan, pic.Teams)
@@ -207,7 +207,7 @@
 
 // watchStarts takes in what a plan and its round start. Startable is a job that could be started
 // where nothing was for a while, kept is why launches that were planned are not in the round.
-func (h *Holder) watchStarts(now time.Time, d *Draft, plan *sched.Plan, startable *sched.Job, kept StallCause) {
+func (h *Holder) watchStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, kept StallCause) {
 	switch {
 	case len(d.launches) > 0: // the state service has yet to take them
 	case len(plan.Launches) > 0:
--- a/internal/round/draft.go
+++ b/internal/leader/draft.go
@@ -1,13 +1,13 @@
-package round
+package leader
 
 import (
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/restore"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/zone"
+	"amberdeal.example/amberdeal/internal/zonerecovery"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -24,7 +24,7 @@
 	machines map[string]bool              // whose records it writes
 	names    map[string]map[string]uint64 // and what these name
 	zones    []zone.Change                // that it decides
-	returns  map[string]*restore.Plan
+	returns  map[string]*zonerecovery.Plan
 	asks     []string
 	dropped  []string // asks and machines whose records it drops
 	types    bool     // it stores the machine types
--- a/internal/round/grant.go
+++ b/internal/leader/grants.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -35,7 +35,7 @@
 const nothing = 1e-9
 
 // spend sets what the part may use of a team's limits, and what others use; used is what it does.
-func (h *Holder) spend(now time.Time, t *sched.Team, name string, used [2]float64) {
+func (h *Holder) spend(now time.Time, t *scheduler.Team, name string, used [2]float64) {
 	t.AllCPUs, t.AllGPUs = t.CPUsMax, t.GPUsMax
 	own := h.grants.seen.Record.Teams[name][h.held.Part]
 	give := h.overGranted(name, t) // what an earlier grouping left to give back comes first
@@ -73,7 +73,7 @@
 
 // overGranted reports whether more is granted than there is: a state that was divided anew grants
 // what may be running, also of what has ended.
-func (h *Holder) overGranted(name string, t *sched.Team) bool {
+func (h *Holder) overGranted(name string, t *scheduler.Team) bool {
 	sum := h.granted(name)
 	return t.CPUsMax > 0 && sum[0] > t.CPUsMax+nothing || t.GPUsMax > 0 && sum[1] > t.GPUsMax+nothing
 }
@@ -136,7 +136,7 @@
 
 // foreign gives what the other parts want most urgently of a team's limits, and whether that goes
 // before what this part wants. Of two that are as urgent one does.
-func (h *Holder) foreign(team string) (most sched.Want, asked, first bool) {
+func (h *Holder) foreign(team string) (most scheduler.Want, asked, first bool) {
 	from := ""
 	for _, part := range sortedKeys(h.others) {
 		if w := h.others[part].Wants[team]; w.Asks() && (!asked || w.Compare(most) < 0) {
@@ -148,7 +148,7 @@
 
 // holdsBack reports whether what comes free here of a team's limit is for another part that has
 // waited for longer. It is given back soon; the next of many small tasks would take it before.
-func (h *Holder) holdsBack(now time.Time, name string, limit sched.Team) bool {
+func (h *Holder) holdsBack(now time.Time, name string, limit scheduler.Team) bool {
 	want, _, first := h.foreign(name)
 	if _, waits := h.outlook.wants[name]; !waits || !first {
 		return false
--- a/internal/round/share.go
+++ b/internal/leader/handover.go
@@ -1,11 +1,11 @@
-package round
+package leader
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -117,15 +117,15 @@
 // outlook is what the last plan leaves to do between parts.
 type outlook struct {
 	at     time.Time
-	short  []sched.Short
-	rooms  map[string]sched.Room
-	wants  map[string]sched.Want
+	short  []scheduler.Short
+	rooms  map[string]scheduler.Room
+	wants  map[string]scheduler.Want
 	ready  []string // gangs in pieces for which there is room
-	stays  map[string]sched.Amount
+	stays  map[string]scheduler.Amount
 	placed map[string][2]float64 // what teams use with all that the plan has found a place for
 }
 
-func (h *Holder) foresee(now time.Time, plan *sched.Plan, teams map[string]*sched.Team) {
+func (h *Holder) foresee(now time.Time, plan *scheduler.Plan, teams map[string]*scheduler.Team) {
 	h.outlook = outlook{now, plan.Short, plan.Rooms, plan.Wants, plan.Ready, plan.Stays, make(map[string][2]float64, len(teams))}
 	for name, t := range teams {
 		// Or it has reserved what there is not, for a job that has waited for long.
@@ -191,7 +191,7 @@
 
 // taker picks the part that has the most room for tasks that have none here, and how many
 // it should get.
-func (h *Holder) taker(now time.Time, s *sched.Short, waited time.Duration) (to string, n int) {
+func (h *Holder) taker(now time.Time, s *scheduler.Short, waited time.Duration) (to string, n int) {
 	if waited < giveAfter {
 		return "", 0
 	}
@@ -257,7 +257,7 @@
 
 // roomInZones bounds the tasks of a job that a part may get, by the half of its tasks that
 // may be in one zone.
-func (h *Holder) roomInZones(j *sched.Job, part string) int {
+func (h *Holder) roomInZones(j *scheduler.Job, part string) int {
 	if !j.Spread {
 		return j.Tasks
 	}
--- a/internal/round/launch.go
+++ b/internal/leader/launch.go
@@ -1,9 +1,9 @@
-package round
+package leader
 
 import (
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -12,7 +12,7 @@
 // and in the ledger each machine, whose record names what may be there. The
 // rest is decided again in the next round; a gang is never split. Kept says why the last one
 // that is left out is.
-func (h *Holder) launch(now time.Time, d *Draft, launches []sched.Launch) (kept StallCause) {
+func (h *Holder) launch(now time.Time, d *Draft, launches []scheduler.Launch) (kept StallCause) {
 	most := max(1, h.cfg.Store.ValueBytes/4/store.TaskBytes) // tasks of a machine, so that records divide well
 	for len(launches) > 0 {
 		n := 1
--- a/internal/round/holder.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
 // Package round is the holder's loop: it collects what the workers and the
 // cloud report, decides, and writes each round as one fenced transaction.
 // Only after the store has taken a round are its launches said to anyone.
-package round
+package leader
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/claim"
+	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/pace"
-	"amberdeal.example/amberdeal/internal/regroup"
-	"amberdeal.example/amberdeal/internal/rental"
-	"amberdeal.example/amberdeal/internal/restore"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/reshard"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/zone"
+	"amberdeal.example/amberdeal/internal/zonerecovery"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -55,7 +55,7 @@
 // for the lock: times and events come in, commands and transactions go out.
 type Holder struct {
 	cfg   *config.Config
-	held  claim.Held
+	held  leadership.Held
 	log   *slog.Logger
 	known Jobs
 
@@ -84,11 +84,11 @@
 	grants       grants
 	said         uint64 // up to which revision the ledger says that nothing is left of ended jobs
 	number       uint64 // of the grouping
-	past         *regroup.Past
+	past         *reshard.Past
 	carry        carry
 	implied      map[string]implied // shares of jobs whose records don't say them
 	jobs         map[string]*history
-	rentals      *rental.Book
+	rentals      *autoscale.Book
 	kickRent     chan struct{}
 	dropAsks     map[string]bool           // asks to drop from the store
 	dropMachines map[string]bool           // machine records to drop
@@ -98,7 +98,7 @@
 	kick         chan struct{}
 	kickDirect   chan struct{}
 	called       map[string]called
-	pace         *pace.Pace       // of calls that can wait
+	pace         *throttle.Pace   // of calls that can wait
 	raising      int              // machines that are called now only to be heard
 	raises       []*fleet.Machine // that siblings may call, as of a time
 	raisesAt     time.Time
@@ -108,13 +108,13 @@
 	resumed      bool        // every one but those that are silent
 	states       *zone.Zones // of zones
 	witnesses    map[string]zone.Witness
-	lastIn       map[string]time.Time    // when a machine of each zone was last heard
-	strays       map[string]time.Time    // and one that is of the fleet no more
-	silenced     []silenced              // machines that were given up for their silence
-	left         restore.Room            // that the last plan has left
-	spells       map[string]*sched.Stood // by machine
-	hushed       map[string]time.Time    // zones of which hardly a machine is heard here, and since when
-	returns      map[string]*restore.Plan
+	lastIn       map[string]time.Time        // when a machine of each zone was last heard
+	strays       map[string]time.Time        // and one that is of the fleet no more
+	silenced     []silenced                  // machines that were given up for their silence
+	left         zonerecovery.Room           // that the last plan has left
+	spells       map[string]*scheduler.Stood // by machine
+	hushed       map[string]time.Time        // zones of which hardly a machine is heard here, and since when
+	returns      map[string]*zonerecovery.Plan
 	uneven       bool                 // services are to be moved, by the last plan
 	roused       map[string]time.Time // zones of which a machine was heard again, and when
 	newTypes     bool
@@ -147,20 +147,20 @@
 
 // New gives the holder of a claim, from a snapshot and the part's ledgers, which are not
 // older.
-func New(cfg *config.Config, held claim.Held, snap store.Snapshot, left store.PartLedgers, types []wire.MachineType,
+func New(cfg *config.Config, held leadership.Held, snap store.Snapshot, left store.PartLedgers, types []wire.MachineType,
 	known Jobs, now time.Time, log *slog.Logger) *Holder {
 	ledger, last := store.NewLedger(left.Name, cfg.Store.ValueBytes, left.Own)
 	h := &Holder{
 		cfg: cfg, held: held, log: log.With("part", held.Part, "term", held.Term), known: known,
 		fleet:  fleet.New(held.Term, now, cfg.Workers.Lease, answers(cfg), cfg.Cloud.ListLag),
 		ledger: ledger, times: timesOf(cfg), types: types, round: last.Round, wrote: now,
-		jobs: map[string]*history{}, rentals: rental.New(cfg.Cloud.RPS), kickRent: make(chan struct{}, 1), dropAsks: map[string]bool{}, dropMachines: map[string]bool{},
+		jobs: map[string]*history{}, rentals: autoscale.New(cfg.Cloud.RPS), kickRent: make(chan struct{}, 1), dropAsks: map[string]bool{}, dropMachines: map[string]bool{},
 		release: map[string]bool{}, unstored: unstored{}, stalls: stallDetector{well: now},
 		group: cfg.Grouping(), given: map[string]handed{}, number: left.Number, implied: map[string]implied{},
-		kick: make(chan struct{}, 1), kickDirect: make(chan struct{}, 1), called: map[string]called{}, pace: pace.New(),
+		kick: make(chan struct{}, 1), kickDirect: make(chan struct{}, 1), called: map[string]called{}, pace: throttle.New(),
 		lastIn: map[string]time.Time{}, strays: map[string]time.Time{}, roused: map[string]time.Time{}, hushed: map[string]time.Time{},
 	}
-	h.past = regroup.NewPast(h.group, left)
+	h.past = reshard.NewPast(h.group, left)
 	h.carryFrom(left.Carried, &last)
 	h.recallZones(now, &last)
 	h.recallReturns(now, &last)
@@ -172,7 +172,7 @@
 		}
 	}
 	for name, a := range last.Asks {
-		h.rentals.Left(name, sched.Rent{Offer: sched.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
+		h.rentals.Left(name, scheduler.Rent{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
 	}
 	for id, done := range last.Finished {
 		if snap.Live[id] == nil {
--- a/internal/round/carry.go
+++ b/internal/leader/migration.go
@@ -1,9 +1,9 @@
-package round
+package leader
 
 import (
 	"slices"
 
-	"amberdeal.example/amberdeal/internal/regroup"
+	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/wire"
@@ -169,7 +169,7 @@
 func (h *Holder) dealer(l *store.LiveJob) bool {
 	for _, m := range l.Home.Jobs {
 		if other := h.live[m.ID]; other != nil && h.undealt(other) && other.Home == l.Home {
-			lead, _ := regroup.Whose(h.sharesOf(other))
+			lead, _ := reshard.Whose(h.sharesOf(other))
 			return lead == h.held.Part
 		}
 	}
--- a/internal/round/model_test.go
+++ b/internal/leader/model_test.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"fmt"
@@ -16,10 +16,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"amberdeal.example/amberdeal/internal/claim"
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/regroup"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/reshard"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -153,7 +153,7 @@
 	m.apply([]wire.Change{{Put: store.SlotKey("fleet", 0), Value: slot}})
 	m.sync(m.nodes[0])
 	state := m.nodes[0].view.State()
-	txn, err := regroup.Next(&state, m.cfg.Grouping(), func(job string) (store.Takes, bool) {
+	txn, err := reshard.Next(&state, m.cfg.Grouping(), func(job string) (store.Takes, bool) {
 		rec, _ := m.nodes[0].view.Job(job)
 		return rec.TaskTakes()
 	})
@@ -212,9 +212,9 @@
 	m.sync(n)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	h := New(m.cfg, claim.Held{Part: part, Term: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.Ledgers(part), types, n.view, modelNow, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h := New(m.cfg, leadership.Held{Part: part, Term: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.Ledgers(part), types, n.view, modelNow, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		h.rentals.Add(modelNow, "x", sched.Rent{Offer: sched.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
+		h.rentals.Add(modelNow, "x", scheduler.Rent{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
 		h.rentals.Answered(modelNow, "x", 0)
 	}
 	n.holders[part] = &modelHolder{Holder: h}
@@ -403,9 +403,9 @@
 		m.report(n, m.workers[part])
 	case "decide":
 		other := map[string]string{"a": "b", "b": "a"}[part]
-		status := PartStatus{Rooms: map[string]sched.Room{"c": {Now: 9}}}
+		status := PartStatus{Rooms: map[string]scheduler.Room{"c": {Now: 9}}}
 		if m.gang {
-			status.Rooms["c"] = sched.Room{Now: 1}
+			status.Rooms["c"] = scheduler.Room{Now: 1}
 		}
 		for _, o := range m.nodes {
 			if oh := o.holders[other]; oh != nil {
--- a/internal/round/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/agent"
-	"amberdeal.example/amberdeal/internal/claim"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -59,7 +59,7 @@
 
 type timedNode struct {
 	*modelNode
-	claim   *claim.Claim
+	claim   *leadership.Claim
 	holder  *Holder
 	draft   *Draft
 	refused bool
@@ -145,7 +145,7 @@
 	for i := range m.ctl {
 		n := &modelNode{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
 		n.view.Load(nil, 0, &wire.Changes{})
-		m.ctl[i] = &timedNode{modelNode: n, claim: claim.New(n.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
+		m.ctl[i] = &timedNode{modelNode: n, claim: leadership.New(n.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
 		m.grant(i)
 		m.read(i)
 	}
@@ -224,7 +224,7 @@
 		c.holder.fleet.Claimed = m.now.Add(-answers(cfg))
 	}
 	for _, spot := range []bool{false, true} { // no machines but these
-		c.holder.rentals.Add(m.now, "x", sched.Rent{Offer: sched.Offer{Type: "g1", Zone: "a", Spot: spot}, Count: 1})
+		c.holder.rentals.Add(m.now, "x", scheduler.Rent{Offer: scheduler.Offer{Type: "g1", Zone: "a", Spot: spot}, Count: 1})
 		c.holder.rentals.Answered(m.now, "x", 0)
 	}
 	if i == 1 {
--- a/internal/round/tiers.go
+++ b/internal/leader/preemption.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/wire"
@@ -126,14 +126,14 @@
 }
 
 // pictureClaims tells sched what is being claimed back: the room, and which tasks make way.
-func (h *Holder) pictureClaims(pic *sched.Picture) {
+func (h *Holder) pictureClaims(pic *scheduler.Picture) {
 	if pic.Tiers = h.claims.set; !pic.Tiers.Given() {
 		return
 	}
 	leaving := make(map[string]uint64)
 	for _, job := range sortedKeys(h.claims.by) {
 		for _, r := range h.claims.by[job].Rooms {
-			pic.Claims = append(pic.Claims, sched.Claim{Job: job, Machine: r.Machine, Tasks: r.Tasks, Level: r.Level})
+			pic.Claims = append(pic.Claims, scheduler.Claim{Job: job, Machine: r.Machine, Tasks: r.Tasks, Level: r.Level})
 			for task, attempt := range r.Awaits {
 				leaving[task] = attempt
 			}
@@ -173,7 +173,7 @@
 }
 
 // claimBack takes what is to be stopped into the round, as far as there is room.
-func (h *Holder) claimBack(now time.Time, d *Draft, all []sched.Claimed) {
+func (h *Holder) claimBack(now time.Time, d *Draft, all []scheduler.Claimed) {
 	for _, c := range all {
 		r := tier.Room{Machine: c.Machine, Tier: c.Tier, Level: c.Level, Tasks: c.Tasks, Until: now.Add(c.Within).UnixMilli()}
 		r.Stops, r.Awaits = map[string]uint64{}, map[string]uint64{}
@@ -238,7 +238,7 @@
 }
 
 // noteTiers keeps how the tiers stand, for display.
-func (h *Holder) noteTiers(plan *sched.Plan) {
+func (h *Holder) noteTiers(plan *scheduler.Plan) {
 	h.claims.tiers = plan.Tiers
 	for _, c := range h.claims.by {
 		h.claims.tiers[h.claims.set.Named(c.Rooms[0].Tier)].Claims++
--- a/internal/round/rent.go
+++ b/internal/leader/scaleout.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/cloud"
-	"amberdeal.example/amberdeal/internal/rental"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -17,7 +17,7 @@
 // sent, and the return of machines.
 
 // askFor takes the intents of rentals that a plan wants into a round.
-func (h *Holder) askFor(now time.Time, d *Draft, rents []sched.Rent) {
+func (h *Holder) askFor(now time.Time, d *Draft, rents []scheduler.Rent) {
 	for _, r := range h.rentals.Wanted(now, rents) {
 		name := fmt.Sprintf("t%d-%d", h.held.Term, h.sequence+1)
 		if !d.add(store.AskEntry(name, askRecord(r))) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func askRecord(r sched.Rent) store.AskRecord {
+func askRecord(r scheduler.Rent) store.AskRecord {
 	return store.AskRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
@@ -80,13 +80,13 @@
 	return nil
 }
 
-func (h *Holder) nextAsk(now time.Time) *rental.Ask {
+func (h *Holder) nextAsk(now time.Time) *autoscale.Ask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rentals.Next(now)
 }
 
-func (h *Holder) sendAsk(now time.Time) *rental.Ask {
+func (h *Holder) sendAsk(now time.Time) *autoscale.Ask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.rentals.Next(now)
@@ -98,7 +98,7 @@
 
 // rent sends a request, which is repeated until the cloud has decided; its name makes
 // sure that it is carried out once.
-func (h *Holder) rent(ctx context.Context, e Edges, name string, r sched.Rent) {
+func (h *Holder) rent(ctx context.Context, e Edges, name string, r scheduler.Rent) {
 	names, err := e.Cloud.Rent(ctx, wire.Rental{Ask: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
 	if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 		h.rented(time.Now(), name, names)
@@ -159,7 +159,7 @@
 	defer h.mu.Unlock()
 	for _, id := range names {
 		if m := h.fleet.Machine(id); m != nil {
-			h.rentals.Returned(sched.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			h.rentals.Returned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 		h.fleet.Released(id)
 		h.gone(id, "released")
--- a/internal/round/picture.go
+++ b/internal/leader/snapshot.go
@@ -1,24 +1,24 @@
-package round
+package leader
 
 import (
 	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // picture builds what sched decides on.
-func (h *Holder) picture(now time.Time) *sched.Picture {
-	pic := &sched.Picture{Types: h.ownTypes(), Teams: map[string]*sched.Team{}, Refused: map[sched.Offer]bool{}, Doubted: map[sched.Offer]bool{}, Most: map[sched.Offer]int{},
+func (h *Holder) picture(now time.Time) *scheduler.Picture {
+	pic := &scheduler.Picture{Types: h.ownTypes(), Teams: map[string]*scheduler.Team{}, Refused: map[scheduler.Offer]bool{}, Doubted: map[scheduler.Offer]bool{}, Most: map[scheduler.Offer]int{},
 		Idle: h.cfg.Tuning.Idle, BeginWithin: h.cfg.Tuning.BeginWithin}
 	var used map[string][2]float64
 	if !h.group.Whole() {
 		used = h.used()
 	}
 	for _, t := range h.teams() {
-		team := &sched.Team{CPUs: t.CPUs, GPUs: t.GPUs, CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}
+		team := &scheduler.Team{CPUs: t.CPUs, GPUs: t.GPUs, CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}
 		if !h.group.Whole() {
 			h.spend(now, team, t.Name, used[t.Name])
 		}
@@ -28,7 +28,7 @@
 		pic.Outside = h.outside(now)
 	}
 	for _, o := range h.cfg.Objectives {
-		pic.Aims = append(pic.Aims, sched.Objective{Kind: o.Kind, Class: o.Class, Within: wire.Seconds(o.WithinS)})
+		pic.Aims = append(pic.Aims, scheduler.Objective{Kind: o.Kind, Class: o.Class, Within: wire.Seconds(o.WithinS)})
 	}
 	h.rentals.Fill(now, pic)
 	h.shutZones(now, pic)
@@ -51,7 +51,7 @@
 			continue // nobody knows when it could be reached
 		}
 		for range a.Count {
-			pic.Machines = append(pic.Machines, &sched.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot,
+			pic.Machines = append(pic.Machines, &scheduler.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot,
 				Booting: true, Free: size(h.typeOf(a.Type))})
 		}
 	}
@@ -66,7 +66,7 @@
 
 // lookWaiting notes which jobs have nothing anywhere, and what room there is beside them. A job that
 // can't be placed now waits for something else.
-func (h *Holder) lookWaiting(now time.Time, pic *sched.Picture, jobs map[string]*sched.Job) {
+func (h *Holder) lookWaiting(now time.Time, pic *scheduler.Picture, jobs map[string]*scheduler.Job) {
 	for id, j := range jobs {
 		hist := h.jobs[id]
 		switch stands := len(j.Waiting) > 0 && j.Active == 0; {
@@ -82,12 +82,12 @@
 		h.spells = nil // most of it is of machines that are gone
 	}
 	if h.spells == nil {
-		h.spells = make(map[string]*sched.Stood, len(pic.Machines))
+		h.spells = make(map[string]*scheduler.Stood, len(pic.Machines))
 	}
 	for _, m := range pic.Machines {
 		s := h.spells[m.ID]
 		if s == nil {
-			s = new(sched.Stood)
+			s = new(scheduler.Stood)
 			h.spells[m.ID] = s
 		}
 		m.Long = s.Note(now, m.Free)
@@ -107,8 +107,8 @@
 	return out
 }
 
-func size(t wire.MachineType) sched.Amount {
-	return sched.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+func size(t wire.MachineType) scheduler.Amount {
+	return scheduler.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 // rebuildWait is for how long a new holder waits for every machine's report
@@ -118,11 +118,11 @@
 
 // pictureJobs lists the live jobs with the tasks that may be placed. While the
 // fleet is being rebuilt, only jobs from after the claim can't be anywhere yet.
-func (h *Holder) pictureJobs(now time.Time, rebuilding bool) map[string]*sched.Job {
-	jobs := make(map[string]*sched.Job, len(h.live))
+func (h *Holder) pictureJobs(now time.Time, rebuilding bool) map[string]*scheduler.Job {
+	jobs := make(map[string]*scheduler.Job, len(h.live))
 	for id, l := range h.live {
 		since := time.UnixMilli(l.Record.Created)
-		j := &sched.Job{Job: l.Record.Job, Order: l.Since, InZone: map[string]int{}, Since: since, Age: now.Sub(since)}
+		j := &scheduler.Job{Job: l.Record.Job, Order: l.Since, InZone: map[string]int{}, Since: since, Age: now.Sub(since)}
 		if j.Shape == wire.Service {
 			j.Rule = h.cfg.Tuning.Spread[j.Class]
 		}
@@ -163,9 +163,9 @@
 	return jobs
 }
 
-func (h *Holder) pictureMachine(now time.Time, m *fleet.Machine, jobs map[string]*sched.Job, teams map[string]*sched.Team) *sched.Machine {
+func (h *Holder) pictureMachine(now time.Time, m *fleet.Machine, jobs map[string]*scheduler.Job, teams map[string]*scheduler.Team) *scheduler.Machine {
 	t := h.typeOf(m.Type)
-	s := &sched.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: size(t)}
+	s := &scheduler.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: size(t)}
 	serves := m.Draining == "" && !m.Releasing && m.Notice.IsZero()
 	heard := m.Up && now.Sub(m.Heard) < h.times.fresh
 	serves = serves && h.fleet.Heeds(now, m) && !m.Mute(now, h.times.mute)
@@ -185,7 +185,7 @@
 			continue
 		}
 		// A task of a job that is over counts until it is gone.
-		s.Free = s.Free.Plus(sched.Amount{CPUs: takes.CPUs, GPUs: takes.GPUs, MemoryGB: takes.MemoryGB}, -1)
+		s.Free = s.Free.Plus(scheduler.Amount{CPUs: takes.CPUs, GPUs: takes.GPUs, MemoryGB: takes.MemoryGB}, -1)
 		if team := teams[takes.Team]; team != nil {
 			team.UsedCPUs += takes.CPUs
 			team.UsedGPUs += takes.GPUs
@@ -208,7 +208,7 @@
 			if hist := h.jobs[p.Task.Job]; hist != nil {
 				vain = hist.vain[p.Task.Index]
 			}
-			s.Tasks = append(s.Tasks, sched.Task{Job: j, Index: p.Task.Index, Ran: ran, Stopping: p.Stop != nil, Vain: vain})
+			s.Tasks = append(s.Tasks, scheduler.Task{Job: j, Index: p.Task.Index, Ran: ran, Stopping: p.Stop != nil, Vain: vain})
 		}
 	}
 	s.Images = m
--- a/internal/round/status.go
+++ b/internal/leader/status.go
@@ -1,10 +1,10 @@
-package round
+package leader
 
 import (
 	"maps"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/tier"
 )
 
@@ -13,10 +13,10 @@
 type PartStatus struct {
 	Term     uint64
 	Counts   map[string]Count
-	Rooms    map[string]sched.Room   // by class
-	Wants    map[string]sched.Want   // by team: what its grant holds back
-	Used     map[string][2]float64   // CPUs and GPUs, by team
-	Stays    map[string]sched.Amount // what services take of that, or are to, by team
+	Rooms    map[string]scheduler.Room   // by class
+	Wants    map[string]scheduler.Want   // by team: what its grant holds back
+	Used     map[string][2]float64       // CPUs and GPUs, by team
+	Stays    map[string]scheduler.Amount // what services take of that, or are to, by team
 	Zones    map[string]Reach
 	Ready    []string // gangs for whose tasks here there is room, of which others have the rest
 	Tiers    map[string]tier.Status
--- a/internal/round/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/claim"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/regroup"
-	"amberdeal.example/amberdeal/internal/sched"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/reshard"
+	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/wire"
@@ -91,7 +91,7 @@
 
 func (b *bench) step(line string) []string {
 	step, tasks, _ := strings.Cut(line, ":")
-	w, kv := standin.Words(step)
+	w, kv := simulator.Words(step)
 	num := func(key string, otherwise int) int {
 		if n, err := strconv.Atoi(kv[key]); err == nil {
 			return n
@@ -177,7 +177,7 @@
 			b.cfg.Tuning.Parts.By, b.cfg.Zones, b.part = "zone", w[1:], w[1]
 		}
 		state := b.view.State()
-		txn, err := regroup.Next(&state, b.cfg.Grouping(), func(job string) (store.Takes, bool) {
+		txn, err := reshard.Next(&state, b.cfg.Grouping(), func(job string) (store.Takes, bool) {
 			rec, _ := b.view.Job(job)
 			return rec.TaskTakes()
 		})
@@ -225,15 +225,15 @@
 		r.Reshare(w[1], parseShares(b.t, w[2:]), 0)
 		b.apply(r.Change())
 	case "others": // what another part has said of itself
-		s := PartStatus{Term: 99, Rooms: map[string]sched.Room{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
+		s := PartStatus{Term: 99, Rooms: map[string]scheduler.Room{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
 			Zones: map[string]Reach{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
 		if kv["ready"] != "" {
 			s.Ready = []string{kv["ready"]}
 		}
 		if n := num("want", 0); n > 0 {
-			s.Wants = map[string]sched.Want{"red": {GPUs: float64(n), Least: sched.Amount{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
+			s.Wants = map[string]scheduler.Want{"red": {GPUs: float64(n), Least: scheduler.Amount{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
 		}
-		s.Stays = map[string]sched.Amount{"red": {GPUs: float64(num("stays", 0))}}
+		s.Stays = map[string]scheduler.Amount{"red": {GPUs: float64(num("stays", 0))}}
 		b.holder.SetOthers(map[string]PartStatus{w[1]: s}, 1)
 	case "grants": // of the GPUs of the team red
 		rec := store.GrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
@@ -369,19 +369,19 @@
 
 // fold moves batches, all of whose jobs are over, into a recent block.
 func (b *bench) fold(batches []string) {
-	var entries []archive.Entry
+	var entries []jobblock.Entry
 	var then []wire.Change
 	for _, h := range b.view.Over(99, func(*store.Home) bool { return true }) {
 		for _, m := range h.Jobs {
-			entries = append(entries, archive.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
+			entries = append(entries, jobblock.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
 		}
 		then = append(then, wire.Change{Delete: h.Key})
 	}
 	if len(then) != len(batches) {
 		b.t.Fatalf("%d homes are over, not %v", len(then), batches)
 	}
-	entries, _ = archive.Sort(entries)
-	b.apply(append(then, wire.Change{Put: store.RecentKey(0), Value: archive.Pack("", entries)})...)
+	entries, _ = jobblock.Sort(entries)
+	b.apply(append(then, wire.Change{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
 // leave puts an entry into the ledger, as an earlier holder did.
@@ -398,7 +398,7 @@
 func (b *bench) claim(term uint64) []string {
 	b.apply(wire.Change{Put: store.PartKey(b.part), Value: store.PartRecord{Holder: "me", Term: term}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
-	b.holder = New(b.cfg, claim.Held{Part: b.part, Term: term, Version: b.era, Revision: b.era}, b.view.Snapshot(),
+	b.holder = New(b.cfg, leadership.Held{Part: b.part, Term: term, Version: b.era, Revision: b.era}, b.view.Snapshot(),
 		b.view.Ledgers(b.part), types, b.view, b.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return nil
 }
@@ -564,7 +564,7 @@
 
 // TestTraces plays the kept traces of the holder.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string { return newBench(t).step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newBench(t).step })
 }
 
 // TestTimesFollowReports: what counts as silence depends on how often the
--- a/internal/round/restore.go
+++ b/internal/leader/zonerecovery.go
@@ -1,4 +1,4 @@
-package round
+package leader
 
 import (
 	"maps"
@@ -6,10 +6,10 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/restore"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
+	"amberdeal.example/amberdeal/internal/zonerecovery"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -18,13 +18,13 @@
 // recallReturns goes on with the returns that the ledger tells of. Those of earlier groupings
 // are written to it by the next round.
 func (h *Holder) recallReturns(now time.Time, last *store.Recalled) {
-	h.returns = make(map[string]*restore.Plan)
+	h.returns = make(map[string]*zonerecovery.Plan)
 	take := func(name string, r store.ReturnRecord) {
 		since := time.UnixMilli(r.Since)
 		if since.After(now) {
 			since = now // of another clock
 		}
-		h.returns[name] = &restore.Plan{Step: restore.Step(r.Step), Number: r.Number, Since: since, Work: r.Work}
+		h.returns[name] = &zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: since, Work: r.Work}
 		h.log.Info("return of a zone recalled", "zone", name, "step", r.Step, "number", r.Number)
 	}
 	if !h.carry.said {
@@ -43,13 +43,13 @@
 // records as the store has them. Two of them are two plans, in the order of their names.
 func (h *Holder) judgeReturns(now time.Time, d *Draft) {
 	records := h.states.All()
-	d.returns = make(map[string]*restore.Plan)
+	d.returns = make(map[string]*zonerecovery.Plan)
 	for _, name := range sortedKeys(records) {
 		p := h.returns[name]
 		if p == nil && records[name].State != zone.Dark || !h.mine(name) {
 			continue
 		}
-		next := restore.Next(now, p, h.seen(now, name, records))
+		next := zonerecovery.Next(now, p, h.seen(now, name, records))
 		switch {
 		case next == nil && !d.add(store.DropReturn(name)):
 		case next != nil && (next != p || !h.ledger.HasReturn(name)) && !d.add(returnEntry(name, next)):
@@ -59,12 +59,12 @@
 	}
 }
 
-func returnEntry(name string, p *restore.Plan) store.Entry {
+func returnEntry(name string, p *zonerecovery.Plan) store.Entry {
 	return store.ReturnEntry(name, store.ReturnRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
 }
 
 // returned takes in what the store has taken: only now does it count.
-func (h *Holder) returned(returns map[string]*restore.Plan) {
+func (h *Holder) returned(returns map[string]*zonerecovery.Plan) {
 	for _, name := range sortedKeys(returns) {
 		p := returns[name]
 		if p == nil {
@@ -78,11 +78,11 @@
 }
 
 // seen gathers what the return of a zone is judged by.
-func (h *Holder) seen(now time.Time, name string, records map[string]zone.Record) restore.Seen {
+func (h *Holder) seen(now time.Time, name string, records map[string]zone.Record) zonerecovery.Seen {
 	r := records[name]
-	s := restore.Seen{Dark: r.State == zone.Dark, Number: r.Number, Waits: h.left.Waits, Uneven: h.uneven, Settle: h.times.silence, Idle: h.cfg.Tuning.Idle}
+	s := zonerecovery.Seen{Dark: r.State == zone.Dark, Number: r.Number, Waits: h.left.Waits, Uneven: h.uneven, Settle: h.times.silence, Idle: h.cfg.Tuning.Idle}
 	for other, o := range records {
-		behind := h.returns[other] != nil && (h.returns[other].Step != restore.Spread || other < name)
+		behind := h.returns[other] != nil && (h.returns[other].Step != zonerecovery.Spread || other < name)
 		s.Busy = s.Busy || o.State == zone.Dark || o.State == zone.Doubt || other != name && behind
 	}
 	for _, t := range h.types {
@@ -115,7 +115,7 @@
 		}
 	}
 	for _, p := range h.returns {
-		if p.Step != restore.Spread {
+		if p.Step != zonerecovery.Spread {
 			return 0
 		}
 	}
@@ -129,7 +129,7 @@
 // rented elsewhere for it is not given back before.
 func (h *Holder) homeless() bool {
 	for _, p := range h.returns {
-		if p.Step == restore.Fill {
+		if p.Step == zonerecovery.Fill {
 			return true
 		}
 	}
@@ -149,7 +149,7 @@
 
 // leave takes in what a plan leaves for the work of machines that are out of reach. What is
 // being given up will take some of it.
-func (h *Holder) leave(now time.Time, plan *sched.Plan) {
+func (h *Holder) leave(now time.Time, plan *scheduler.Plan) {
 	h.uneven = plan.Uneven
 	zones := h.zones(now)
 	for name, r := range zones {
@@ -158,7 +158,7 @@
 		}
 	}
 	maps.DeleteFunc(h.hushed, func(name string, _ time.Time) bool { return !zones[name].hushed() })
-	h.left = restore.Room{Waits: plan.Waits, Free: plan.Spare, Rents: wire.MaxRent}
+	h.left = zonerecovery.Room{Waits: plan.Waits, Free: plan.Spare, Rents: wire.MaxRent}
 	for _, m := range h.fleet.Machines() {
 		if m.Releasing {
 			takes, _ := h.lesser(m)
@@ -185,8 +185,8 @@
 			gb += l.Record.Job.ImageGB
 		}
 	}
-	return h.left.Keeps(restore.Lost{Top: top, Takes: takes, Rent: func() bool { return h.elsewhere(now, m) },
-		Dark: now.Sub(since), Anew: restore.Anew(h.typeOf(m.Type), gb)})
+	return h.left.Keeps(zonerecovery.Lost{Top: top, Takes: takes, Rent: func() bool { return h.elsewhere(now, m) },
+		Dark: now.Sub(since), Anew: zonerecovery.Anew(h.typeOf(m.Type), gb)})
 }
 
 // cutOff tells since when a zone is cut off, if it is or may be, or was until just now: its
@@ -205,7 +205,7 @@
 
 // lesser sums what the tasks on a machine take but for those of production, and tells
 // whether there are such.
-func (h *Holder) lesser(m *fleet.Machine) (sum sched.Amount, top bool) {
+func (h *Holder) lesser(m *fleet.Machine) (sum scheduler.Amount, top bool) {
 	for _, p := range m.Placements() {
 		l := h.live[p.Task.Job]
 		switch {
@@ -213,7 +213,7 @@
 		case l.Record.Job.Priority == wire.Production:
 			top = true
 		default:
-			sum = sum.Plus(sched.Of(l.Record.Job), 1)
+			sum = sum.Plus(scheduler.Of(l.Record.Job), 1)
 		}
 	}
 	return sum, top
@@ -233,12 +233,12 @@
 func (h *Holder) rentable(now time.Time, j *wire.Job) bool {
 	for _, t := range h.ownTypes() {
 		for _, zone := range t.Zones {
-			if !h.states.Of(zone).Open(now) || !size(t).Fits(sched.Of(j)) {
+			if !h.states.Of(zone).Open(now) || !size(t).Fits(scheduler.Of(j)) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				o := sched.Offer{Type: t.Name, Zone: zone, Spot: spot}
-				if !h.rentals.Doubted(o) && sched.Allows(j, o) {
+				o := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
+				if !h.rentals.Doubted(o) && scheduler.Allows(j, o) {
 					return true
 				}
 			}
--- a/internal/round/zones.go
+++ b/internal/leader/zones.go
@@ -1,11 +1,11 @@
-package round
+package leader
 
 import (
 	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/wire"
@@ -139,12 +139,12 @@
 }
 
 // shutZones refuses the offers of zones that are not open, but for what probes ask for.
-func (h *Holder) shutZones(now time.Time, pic *sched.Picture) {
+func (h *Holder) shutZones(now time.Time, pic *scheduler.Picture) {
 	for _, t := range h.types {
 		for _, name := range t.Zones {
 			if !h.states.Of(name).Open(now) {
-				pic.Refused[sched.Offer{Type: t.Name, Zone: name}] = true
-				pic.Refused[sched.Offer{Type: t.Name, Zone: name, Spot: true}] = true
+				pic.Refused[scheduler.Offer{Type: t.Name, Zone: name}] = true
+				pic.Refused[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 
 // withProbes adds to what a plan wants to rent a machine in each zone that is to be
 // probed, of what is wanted anyway: where nothing is, nobody needs the zone.
-func (h *Holder) withProbes(now time.Time, pic *sched.Picture, plan *sched.Plan) []sched.Rent {
+func (h *Holder) withProbes(now time.Time, pic *scheduler.Picture, plan *scheduler.Plan) []scheduler.Rent {
 	rents := plan.Rents
 	for _, name := range sortedKeys(h.states.All()) {
 		if !h.states.ProbeDue(now, name) || !h.mine(name) || !h.probeable(name) {
@@ -163,7 +163,7 @@
 		}
 		if o, ok := h.probeOffer(name, pic, plan); ok {
 			h.states.Probed(now, name)
-			rents = append(rents, sched.Rent{Offer: o, Count: 1})
+			rents = append(rents, scheduler.Rent{Offer: o, Count: 1})
 			h.log.Info("zone probed", "zone", name, "type", o.Type, "spot", o.Spot)
 		}
 	}
@@ -189,20 +189,20 @@
 
 // probeOffer picks what to ask a zone for: what most is rented of elsewhere, or what suits
 // the job with the most tasks that found no room.
-func (h *Holder) probeOffer(name string, pic *sched.Picture, plan *sched.Plan) (best sched.Offer, ok bool) {
+func (h *Holder) probeOffer(name string, pic *scheduler.Picture, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	has := func(typ string) bool {
 		return slices.Contains(h.typeOf(typ).Zones, name) && h.group.PartOf(name, typ) == h.held.Part
 	}
 	most := 0
 	for _, r := range plan.Rents {
 		if r.Count > most && has(r.Type) {
-			best, most = sched.Offer{Type: r.Type, Zone: name, Spot: r.Spot}, r.Count
+			best, most = scheduler.Offer{Type: r.Type, Zone: name, Spot: r.Spot}, r.Count
 		}
 	}
 	if most > 0 {
 		return best, true
 	}
-	placed := make(map[*sched.Job]int)
+	placed := make(map[*scheduler.Job]int)
 	for _, l := range plan.Launches {
 		placed[l.Job]++
 	}
@@ -212,8 +212,8 @@
 			continue
 		}
 		for _, t := range h.types {
-			if has(t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && size(t).Fits(sched.Of(j.Job)) {
-				best, most = sched.Offer{Type: t.Name, Zone: name, Spot: j.Spot}, left
+			if has(t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && size(t).Fits(scheduler.Of(j.Job)) {
+				best, most = scheduler.Offer{Type: t.Name, Zone: name, Spot: j.Spot}, left
 				break
 			}
 		}
--- a/internal/claim/claim.go
+++ b/internal/leadership/election.go
@@ -2,7 +2,7 @@
 // Each claim carries a fleet-wide term that only rises. The fence is the
 // condition on the part's version in every write of the holder; the local
 // check of the lease's time is a courtesy.
-package claim
+package leadership
 
 import (
 	"time"
--- a/internal/claim/claim_test.go
+++ b/internal/leadership/election_test.go
@@ -1,4 +1,4 @@
-package claim
+package leadership
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 )
 
 // TestTraces plays the kept traces of a claim.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		zero := time.Unix(1e9, 0)
 		c, now := New("me", 9*time.Second, 3*time.Second), zero
 		return func(step string) []string {
-			w, kv := standin.Words(step)
+			w, kv := simulator.Words(step)
 			num := func(key string) uint64 {
 				n, _ := strconv.ParseUint(kv[key], 10, 64)
 				return n
--- a/internal/claim/run.go
+++ b/internal/leadership/elector.go
@@ -1,4 +1,4 @@
-package claim
+package leadership
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/regroup"
+	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -214,7 +214,7 @@
 		return fmt.Errorf("%s %w", other, errUnheard)
 	}
 	if len(held) > 0 {
-		return fmt.Errorf("%w: %s", regroup.ErrHeld, strings.Join(held, ", "))
+		return fmt.Errorf("%w: %s", reshard.ErrHeld, strings.Join(held, ", "))
 	}
 	return nil
 }
@@ -231,7 +231,7 @@
 	if state.Grouping.Record.Text == k.Group.String() {
 		return nil // another was first
 	}
-	txn, err := regroup.Next(&state, k.Group, func(job string) (store.Takes, bool) {
+	txn, err := reshard.Next(&state, k.Group, func(job string) (store.Takes, bool) {
 		rec, _ := k.View.Job(job)
 		return rec.TaskTakes()
 	})
--- a/internal/claim/run_test.go
+++ b/internal/leadership/elector_test.go
@@ -1,4 +1,4 @@
-package claim
+package leadership
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -20,7 +20,7 @@
 func TestLateChangeOfTiers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s, log := standin.NewNet(), standin.NewStore(1, 0), slog.New(slog.NewTextHandler(io.Discard, nil))
+		net, s, log := simulator.NewNet(), simulator.NewStore(1, 0), slog.New(slog.NewTextHandler(io.Discard, nil))
 		go net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve())
 		synctest.Wait()
 		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.TermKey, Value: uint64(4)}}})
@@ -30,7 +30,7 @@
 		go k.Follow.Run(ctx)
 		go k.Follow.RunBarriers(ctx)
 		time.Sleep(time.Second)
-		s.Stage(func(s *standin.Store) {
+		s.Stage(func(s *simulator.Store) {
 			s.Holds = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
 		})
 		if _, alike := k.tiered(ctx); alike {
--- a/internal/load/check.go
+++ b/internal/load/answer_history.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -141,14 +141,14 @@
 }
 
 // Status asks a world how it stands.
-func Status(ctx context.Context, caller *transport.Caller, control string) (*world.Status, error) {
+func Status(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
 	call, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	resp, err := caller.Call(call, control, "GET", world.PathStatus, nil)
+	resp, err := caller.Call(call, control, "GET", emulator.PathStatus, nil)
 	if err != nil {
 		return nil, fmt.Errorf("the world at %s: %w", control, err)
 	}
-	var s world.Status
+	var s emulator.Status
 	if err := json.Unmarshal(resp.Body, &s); err != nil || resp.Status != 200 {
 		return nil, fmt.Errorf("the world at %s: status %d, %v", control, resp.Status, err)
 	}
--- a/internal/load/orders.go
+++ b/internal/load/instructions.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/world"
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -37,9 +37,9 @@
 	defer group.Wait()
 	for beat := 0; ctx.Err() == nil; beat++ {
 		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.Judge, "GET", world.PathUsers, nil)
+		resp, err := r.Caller.Call(call, r.Judge, "GET", emulator.PathUsers, nil)
 		cancel()
-		var o world.Orders
+		var o emulator.Orders
 		if err != nil || json.Unmarshal(resp.Body, &o) != nil {
 			pause(ctx, time.Second)
 			continue
@@ -135,7 +135,7 @@
 		resp, err := r.Caller.Call(call, r.Addrs[(beat+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil {
-			r.tell(world.Told{Job: j.ID, Status: resp.Status, Body: body})
+			r.tell(emulator.Told{Job: j.ID, Status: resp.Status, Body: body})
 		}
 	}
 }
--- a/internal/load/orders_test.go
+++ b/internal/load/instructions_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -78,14 +78,14 @@
 func TestAnswersByRealTime(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			n := standin.NewNet()
+			n := simulator.NewNet()
 			ctx, stop := context.WithCancel(t.Context())
 			s := &service{stages: map[string][]stageSince{}, lag: 150 * time.Millisecond, stale: stale}
 			r := Runner{Addrs: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}, Prefix: "7", Wait: time.Minute,
 				Caller: &transport.Caller{Limit: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, For: 5 * time.Second, Poll: time.Second, Classes: []Class{newClass("a")}}}
 			r.Mix.Classes[0].PerMin, r.Mix.Classes[0].Cancel = 60, 1
 			for i, addr := range r.Addrs {
-				go n.Host(standin.HostOf(addr)).Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, s.answer(i == 2)))
+				go n.Host(simulator.HostOf(addr)).Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, s.answer(i == 2)))
 			}
 			time.Sleep(time.Second)
 			r.orders.CloseLooks = true
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"amberdeal.example/amberdeal"
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 func mix(t *testing.T, text string) *load.Mix {
@@ -63,7 +63,7 @@
 // back from the state service and a room cut off meanwhile: every job gets its end, and no rule
 // is broken.
 func TestLoad(t *testing.T) {
-	w, err := world.Start(t.Context(), world.Small(), world.Options{Port: 27300 + 1200, Dir: t.TempDir()})
+	w, err := emulator.Start(t.Context(), emulator.Small(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 			ended <- struct{}{}
 		}()
 	}
-	for _, f := range []world.Fault{{Kind: "state_refuse", Who: "c-1", For: 4 * time.Second}, {Kind: "state_lose", Share: 0.1, For: 6 * time.Second}, {Kind: "cut", From: "zone:b", To: "all", For: 3 * time.Second}} {
+	for _, f := range []emulator.Fault{{Kind: "state_refuse", Who: "c-1", For: 4 * time.Second}, {Kind: "state_lose", Share: 0.1, For: 6 * time.Second}, {Kind: "cut", From: "zone:b", To: "all", For: 3 * time.Second}} {
 		if _, err := w.Stage(f); err != nil {
 			t.Fatal(err)
 		}
@@ -105,8 +105,8 @@
 per_minute = 24
 run = 3s-5s
 priority = production`), Addrs: addrs, Judge: w.Control(), Prefix: "9", Wait: time.Minute,
-		Caller: &transport.Caller{Limit: 1 << 20, Dial: world.Dial}}
-	for _, f := range []world.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
+		Caller: &transport.Caller{Limit: 1 << 20, Dial: emulator.Dial}}
+	for _, f := range []emulator.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
 		if _, err := w.Stage(f); err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 	called := false
 	res, err := r.Run(t.Context(), func(sent, all, _ int) {
 		if sent >= all/2 && !called { // some services run
-			_, err := w.Stage(world.Fault{Kind: "cancel_now", Count: 4, Hang: 2 * time.Second})
+			_, err := w.Stage(emulator.Fault{Kind: "cancel_now", Count: 4, Hang: 2 * time.Second})
 			called = err == nil
 		}
 	})
--- a/internal/load/run.go
+++ b/internal/load/runner.go
@@ -13,9 +13,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/emulator"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -29,12 +29,12 @@
 	Wait   time.Duration // for what is not over when the last job has come
 
 	history history
-	known   standin.Forgotten // judges where no world does; nobody tells it that troubles are over
+	known   simulator.Forgotten // judges where no world does; nobody tells it that troubles are over
 	mu      sync.Mutex
 	classes map[string]*ClassResult
-	told    []world.Told
+	told    []emulator.Told
 	jobs    map[string]*followed
-	orders  world.Orders
+	orders  emulator.Orders
 	odd     int // submissions that must be refused, so far
 	ordered Ordered
 	open    atomic.Int64
@@ -198,7 +198,7 @@
 func (r *Runner) job(ctx context.Context, n int, a *Arrival, meant time.Time) {
 	j := a.Job
 	r.note(j.Class, func(c *ClassResult) { c.Jobs++ })
-	r.tell(world.Told{Submitted: j})
+	r.tell(emulator.Told{Submitted: j})
 	f := &followed{n: n, job: j, body: wire.Encode(j)}
 	accepted := false
 	for try := 0; !accepted; try++ {
@@ -283,13 +283,13 @@
 	r.history.add(j.ID, op, status, s.Stage, sent, back)
 	r.note(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
 	if ctx.Err() == nil && (status > 0 || op == opStatus) {
-		r.tell(world.Told{Job: j.ID, Status: status, Stage: s.Stage, Asked: asked, Poll: op == opStatus, Sent: sent, Back: back})
+		r.tell(emulator.Told{Job: j.ID, Status: status, Stage: s.Stage, Asked: asked, Poll: op == opStatus, Sent: sent, Back: back})
 		r.known.Heard(time.Now(), j.ID, status, s.Stage, asked, op == opStatus)
 	}
 	return status, s
 }
 
-func (r *Runner) tell(t world.Told) {
+func (r *Runner) tell(t emulator.Told) {
 	if r.Judge == "" {
 		return
 	}
@@ -312,7 +312,7 @@
 				break
 			}
 			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-			resp, err := r.Caller.Call(call, r.Judge, "POST", world.PathJudge, wire.Encode(map[string]any{"told": batch}))
+			resp, err := r.Caller.Call(call, r.Judge, "POST", emulator.PathJudge, wire.Encode(map[string]any{"told": batch}))
 			cancel()
 			if err != nil || resp.Status != 200 {
 				break // the world is gone; the end says so
--- a/internal/member/member.go
+++ b/internal/membership/detector.go
@@ -5,7 +5,7 @@
 //
 // No rule rests on it. It says who should hold what, and when it is worth while to end a
 // silent holder's lease before its time; the store's fence decides who holds.
-package member
+package membership
 
 import (
 	"slices"
--- a/internal/member/member_test.go
+++ b/internal/membership/detector_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // net is some controllers, each with a list of the others, and who can't hear whom.
@@ -45,7 +45,7 @@
 }
 
 func (w *net) step(line string) []string {
-	f, kv := standin.Words(line)
+	f, kv := simulator.Words(line)
 	switch f[0] {
 	case "controllers":
 		n, _ := strconv.Atoi(f[1])
@@ -102,5 +102,5 @@
 
 // TestTraces plays the kept traces of who thinks what of whom.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string { return newNet(3).step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newNet(3).step })
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/common/expfmt"
 
-	"amberdeal.example/amberdeal/internal/history"
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/httpwire"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/tier"
@@ -33,8 +33,8 @@
 	OldestOver                time.Time
 	Broken                    int
 	Calls                     map[string]store.Spent
-	Cache                     history.ReadCounts
-	Folds                     history.FoldCounts
+	Cache                     archive.ReadCounts
+	Folds                     archive.FoldCounts
 	Heard                     int // machines whose reports are taken here
 	Edges                     int // siblings that pass reports on to this holder
 	Passed, Unpassed, Moved   uint64
--- a/internal/mesh/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/member"
-	"amberdeal.example/amberdeal/internal/round"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/membership"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
@@ -29,8 +29,8 @@
 // but a sibling is listened to.
 func FuzzBeat(f *testing.F) {
 	for _, b := range []Beat{
-		{From: "c-1", StoreOK: true, Heard: 3, Says: member.Silences{"c-2": time.Second}},
-		{From: "c-1", Parts: map[string]round.PartStatus{"a": {Term: 3, Rooms: map[string]sched.Room{"x": {Now: 2}}, Zones: map[string]round.Reach{"a": {Up: 3}}}}},
+		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.Silences{"c-2": time.Second}},
+		{From: "c-1", Parts: map[string]leader.PartStatus{"a": {Term: 3, Rooms: map[string]scheduler.Room{"x": {Now: 2}}, Zones: map[string]leader.Reach{"a": {Up: 3}}}}},
 		{From: "c-2", Sights: map[string]zone.Observation{"a": {Heard: 3, Vain: 1}}},
 		{From: "stranger"},
 	} {
--- a/internal/mesh/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"testing"
--- a/internal/mesh/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,7 +1,7 @@
 // Package mesh is what controllers tell each other: a beat a second, in gob,
 // with counts for display and signs of health, and streams of other kinds. Nothing
 // that a rule rests on goes this way.
-package mesh
+package peer
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/member"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/membership"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -22,23 +22,23 @@
 // Beat is what one controller says of itself.
 type Beat struct {
 	From    string
-	StoreOK bool                        // the store answers it
-	Term    uint64                      // of the part that it holds, 0 for none
-	Counts  map[string]round.Count      // of the jobs, from the holder
-	Heard   int                         // machines that reported to it lately
-	Format  int                         // of the state that it writes, 0 for version 1
-	Passes  string                      // the holder that it passes reports on to, if any
-	Ways    []string                    // all of them, where the fleet is in several parts
-	Groups  string                      // how it is set to divide the fleet
-	Tiers   string                      // how its tiers of work are set, in short
-	Parts   map[string]round.PartStatus // of the parts that it holds, where there are several
-	Says    member.Silences             // for how long it has not heard each sibling
-	UpS     int                         // seconds since it began
-	Begun   int64                       // when it did, by its clock; 0 from a version that does not say it
-	Number  uint64                      // of the beats since then
-	Sights  map[string]zone.Observation // what it sees of the machines of each zone
-	Writes  bool                        // it writes what siblings forward; false from a version that does not
-	Stream  string                      // what the connection is for, in its first beat; empty: beats
+	StoreOK bool                         // the store answers it
+	Term    uint64                       // of the part that it holds, 0 for none
+	Counts  map[string]leader.Count      // of the jobs, from the holder
+	Heard   int                          // machines that reported to it lately
+	Format  int                          // of the state that it writes, 0 for version 1
+	Passes  string                       // the holder that it passes reports on to, if any
+	Ways    []string                     // all of them, where the fleet is in several parts
+	Groups  string                       // how it is set to divide the fleet
+	Tiers   string                       // how its tiers of work are set, in short
+	Parts   map[string]leader.PartStatus // of the parts that it holds, where there are several
+	Says    membership.Silences          // for how long it has not heard each sibling
+	UpS     int                          // seconds since it began
+	Begun   int64                        // when it did, by its clock; 0 from a version that does not say it
+	Number  uint64                       // of the beats since then
+	Sights  map[string]zone.Observation  // what it sees of the machines of each zone
+	Writes  bool                         // it writes what siblings forward; false from a version that does not
+	Stream  string                       // what the connection is for, in its first beat; empty: beats
 }
 
 // Stream serves a connection that a sibling has opened for something else than beats.
@@ -60,11 +60,11 @@
 
 	mu    sync.Mutex
 	last  map[string]heard
-	lives member.Lives
+	lives membership.Lives
 }
 
 // Every is the time between two beats.
-const Every = member.Every
+const Every = membership.Every
 
 // Last gives the latest beats that are no older than age.
 func (m *Mesh) Last(age time.Duration) map[string]Beat {
--- a/internal/mesh/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peer
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"log/slog"
 	"testing"
 
-	"amberdeal.example/amberdeal/internal/round"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
@@ -39,13 +39,13 @@
 func BenchmarkBeat(b *testing.B) {
 	for _, teams := range []int{5, 100, 530, 2000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
-			status := round.PartStatus{Term: 9, Used: map[string][2]float64{}, Stays: map[string]sched.Amount{}, Wants: map[string]sched.Want{}}
+			status := leader.PartStatus{Term: 9, Used: map[string][2]float64{}, Stays: map[string]scheduler.Amount{}, Wants: map[string]scheduler.Want{}}
 			for i := range teams {
 				name := fmt.Sprintf("team-%04d", i)
 				status.Used[name] = [2]float64{123.5, 17}
-				status.Stays[name] = sched.Amount{CPUs: 20, GPUs: 4, MemoryGB: 100}
+				status.Stays[name] = scheduler.Amount{CPUs: 20, GPUs: 4, MemoryGB: 100}
 			}
-			beat := Beat{From: "c-1", StoreOK: true, Term: 9, Parts: map[string]round.PartStatus{"a": status}}
+			beat := Beat{From: "c-1", StoreOK: true, Term: 9, Parts: map[string]leader.PartStatus{"a": status}}
 			var out bytes.Buffer
 			enc := gob.NewEncoder(&out)
 			if err := enc.Encode(beat); err != nil { // the first tells the types too
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -28,7 +28,7 @@
 	"amberdeal.example/amberdeal/internal/action"
 	"amberdeal.example/amberdeal/internal/admission"
 	"amberdeal.example/amberdeal/internal/cas"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -43,7 +43,7 @@
 	Defaults  Defaults
 	Log       *slog.Logger
 	// Count gives how many tasks of a job run.
-	Count func(job string) round.Count
+	Count func(job string) leader.Count
 
 	watch watchers
 }
--- a/internal/regroup/past.go
+++ b/internal/reshard/previous.go
@@ -1,4 +1,4 @@
-package regroup
+package reshard
 
 import (
 	"hash/fnv"
--- a/internal/regroup/regroup.go
+++ b/internal/reshard/reshard.go
@@ -2,7 +2,7 @@
 // nobody holds a part; the ledgers that there are by then are never written again. They go on
 // saying what may be where, and so whose each task is until its job's record says that
 // itself. It is pure.
-package regroup
+package reshard
 
 import (
 	"errors"
--- a/internal/regroup/regroup_test.go
+++ b/internal/reshard/reshard_test.go
@@ -1,4 +1,4 @@
-package regroup
+package reshard
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -52,7 +52,7 @@
 }
 
 func (b *bench) step(t *testing.T, line string) []string {
-	w, kv := standin.Words(line)
+	w, kv := simulator.Words(line)
 	switch w[0] {
 	case "job": // wk-1 gang tasks=3 zone=a
 		tasks, _ := strconv.Atoi(kv["tasks"])
@@ -132,7 +132,7 @@
 
 // TestTraces plays the kept traces of states that are divided anew.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		b := &bench{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
 		b.state.Grouping.Version, b.state.Term = 7, store.Versioned[uint64]{Record: 4, Version: 9}
 		return func(line string) []string { return b.step(t, line) }
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -16,9 +16,9 @@
 	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
 
 	"amberdeal.example/amberdeal/internal/cas"
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/reapi"
-	"amberdeal.example/amberdeal/internal/standin"
-	"amberdeal.example/amberdeal/internal/world"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // actionTime is how long each action of an agent takes.
@@ -29,8 +29,8 @@
 // agents are real agents as processes, which run real actions from a real store of blobs.
 type agents struct {
 	program, dir string
-	world        *world.World
-	conf         *world.Config
+	world        *emulator.World
+	conf         *emulator.Config
 	sizes        []int // how many actions each runs at once
 
 	mu    sync.Mutex
@@ -65,7 +65,7 @@
 func agentType(actions int) string { return fmt.Sprintf("agent-%d", actions) }
 
 // machine starts the agent of a machine, nil for machines of other types.
-func (a *agents) machine(id, addr, typ, zone string, spot bool) standin.Machine {
+func (a *agents) machine(id, addr, typ, zone string, spot bool) simulator.Machine {
 	var actions int
 	if _, err := fmt.Sscanf(typ, "agent-%d", &actions); err != nil {
 		return nil
@@ -99,7 +99,7 @@
 func (a *agents) startBlobs(ctx context.Context) (err error) {
 	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.world.Blobs())
 	for begun := time.Now(); err == nil && ctx.Err() == nil; {
-		conn, dialed := world.Dial(ctx, a.world.Blobs())
+		conn, dialed := emulator.Dial(ctx, a.world.Blobs())
 		if dialed == nil {
 			return conn.Close()
 		}
--- a/internal/scale/site.go
+++ b/internal/scale/site.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/emulator"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -25,9 +25,9 @@
 type site struct {
 	plan   *Plan
 	step   Point
-	world  *world.World
-	conf   *world.Config
-	procs  *world.Procs
+	world  *emulator.World
+	conf   *emulator.Config
+	procs  *emulator.Procs
 	agents *agents
 	users  *users
 	dir    string
@@ -35,22 +35,22 @@
 }
 
 // worldOf gives the world of a step.
-func worldOf(p *Plan, step Point) *world.Config {
+func worldOf(p *Plan, step Point) *emulator.Config {
 	slots := step[Tasks]
 	hollow := wire.MachineType{Name: hollowType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
-	c := world.Small()
+	c := emulator.Small()
 	c.Seed, c.Controllers, c.Zones, c.State = p.Seed, int(step[Controllers]), zones, p.State
-	c.Types, c.Rooms, c.Teams = []wire.MachineType{hollow}, map[standin.Offer]int{}, nil
+	c.Types, c.Rooms, c.Teams = []wire.MachineType{hollow}, map[simulator.Offer]int{}, nil
 	c.Workers = config.Workers{Report: 6 * time.Second, Lease: 31 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 56 * time.Second}
 	c.Cloud = config.Cloud{RPS: 12, ListLag: 2 * time.Second}
 	c.Limits = config.Limits{RAMBytes: 234 << 20, Files: 10_000}
 	for i, zone := range zones {
-		c.Rooms[standin.Offer{Type: hollowType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
+		c.Rooms[simulator.Offer{Type: hollowType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
 	}
 	for _, actions := range p.Agents {
 		name := agentType(actions)
 		c.Types = append(c.Types, wire.MachineType{Name: name, CPUs: float64(actions), MemoryGB: 4 * float64(actions), CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones[:1]})
-		c.Rooms[standin.Offer{Type: name, Zone: zones[0]}] = 1
+		c.Rooms[simulator.Offer{Type: name, Zone: zones[0]}] = 1
 	}
 	share := step[Workers] * step[Tasks] / step[Teams]
 	for i := range int(step[Teams]) {
@@ -74,12 +74,12 @@
 	if s.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
 		return nil, err
 	}
-	caller := &transport.Caller{Limit: 1 << 20, Keep: 2 * mostOpen, Dial: world.Dial}
+	caller := &transport.Caller{Limit: 1 << 20, Keep: 2 * mostOpen, Dial: emulator.Dial}
 	s.users = newUsers(step, p.Seed, caller)
 	s.agents = &agents{program: program, dir: s.dir, conf: s.conf, sizes: p.Agents, procs: map[string]*process{}}
-	s.procs = &world.Procs{Program: program, Level: "error", Dir: s.dir, Tuning: tuning}
+	s.procs = &emulator.Procs{Program: program, Level: "error", Dir: s.dir, Tuning: tuning}
 	s.procs.Begin(ctx)
-	s.world, err = world.Start(ctx, s.conf, world.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Hang: s.procs.HangNamed,
+	s.world, err = emulator.Start(ctx, s.conf, emulator.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Hang: s.procs.HangNamed,
 		Machine: s.agents.machine, Started: s.users.started})
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		}
 		s.users.addrs = append(s.users.addrs, s.world.Public(i))
 	}
-	return world.Ready(ctx, caller, s.users.addrs)
+	return emulator.Ready(ctx, caller, s.users.addrs)
 }
 
 // close ends all that runs in a site.
@@ -145,8 +145,8 @@
 // reading is how a site stood at a moment.
 type reading struct {
 	at       time.Time
-	status   world.Status
-	traffic  map[world.Way]world.Flow
+	status   emulator.Status
+	traffic  map[emulator.Way]emulator.Flow
 	used     map[string]usage // of controllers, by name
 	agents   map[string]usage // by machine type
 	startsAt int64
--- a/internal/scale/step.go
+++ b/internal/scale/step.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
-	"amberdeal.example/amberdeal/internal/world"
 )
 
 // fullShare is the share of the fleet's room that runs when a step begins to be measured.
@@ -69,7 +69,7 @@
 	o.StartsReached = starts / span
 	flows := flowsBetween(before.traffic, after.traffic)
 	if starts > 0 {
-		o.BytesPerStart = float64(flows[world.Way{From: holder, To: world.StateName}].Bytes) / starts
+		o.BytesPerStart = float64(flows[emulator.Way{From: holder, To: emulator.StateName}].Bytes) / starts
 	}
 	others := 0.0
 	var other controllerFigures
@@ -94,19 +94,19 @@
 	o.add(StateService, Keys, float64(after.status.Keys))
 	o.add(StateService, Requests, float64(after.status.Requests-before.status.Requests)/span)
 	o.add(StateService, Changes, float64(after.status.Changes-before.status.Changes)/span)
-	tellFlows(o, StateService, toEnd(flows, world.StateName), fromEnd(flows, world.StateName), span)
+	tellFlows(o, StateService, toEnd(flows, emulator.StateName), fromEnd(flows, emulator.StateName), span)
 	s.tellLinks(o, flows, span)
 }
 
 // tellWorkers notes what a hollow worker sends and is sent.
-func (s *site) tellWorkers(o *Outcome, flows map[world.Way]world.Flow, span float64) {
+func (s *site) tellWorkers(o *Outcome, flows map[emulator.Way]emulator.Flow, span float64) {
 	workers := float64(max(1, o.Up-len(s.plan.Agents)))
-	tellFlows(o, Worker, toEnd(flows, world.Machines), fromEnd(flows, world.Machines), span*workers)
+	tellFlows(o, Worker, toEnd(flows, emulator.Machines), fromEnd(flows, emulator.Machines), span*workers)
 }
 
 // tellLinks notes what goes between two controllers, in each direction.
-func (s *site) tellLinks(o *Outcome, flows map[world.Way]world.Flow, span float64) {
-	var sum world.Flow
+func (s *site) tellLinks(o *Outcome, flows map[emulator.Way]emulator.Flow, span float64) {
+	var sum emulator.Flow
 	for way, f := range flows {
 		if isController(way.From) && isController(way.To) {
 			sum = sum.Plus(f)
@@ -154,16 +154,16 @@
 	return flowRate{f.kilobytes + other.kilobytes, f.messages + other.messages}
 }
 
-func rateOf(f world.Flow, span float64) flowRate {
+func rateOf(f emulator.Flow, span float64) flowRate {
 	return flowRate{float64(f.Bytes) / 1000 / span, float64(f.Messages) / span}
 }
 
 // controllerFiguresOf gives what a controller has taken. Calls to machines are not known by name:
 // they are the holder's.
-func controllerFiguresOf(name string, holds bool, used, before usage, flows map[world.Way]world.Flow, span float64) controllerFigures {
+func controllerFiguresOf(name string, holds bool, used, before usage, flows map[emulator.Way]emulator.Flow, span float64) controllerFigures {
 	in, out := toEnd(flows, name), fromEnd(flows, name)
 	if holds {
-		in, out = in.Plus(toEnd(flows, world.Controllers)), out.Plus(fromEnd(flows, world.Controllers))
+		in, out = in.Plus(toEnd(flows, emulator.Controllers)), out.Plus(fromEnd(flows, emulator.Controllers))
 	}
 	return controllerFigures{(used.processor - before.processor).Seconds() / span, megabytes(used.memory), rateOf(in, span), rateOf(out, span)}
 }
@@ -186,7 +186,7 @@
 	o.add(role, MessagesOut, c.out.messages)
 }
 
-func tellFlows(o *Outcome, role Role, in, out world.Flow, span float64) {
+func tellFlows(o *Outcome, role Role, in, out emulator.Flow, span float64) {
 	received, sent := rateOf(in, span), rateOf(out, span)
 	o.add(role, BytesIn, received.kilobytes)
 	o.add(role, BytesOut, sent.kilobytes)
@@ -194,15 +194,15 @@
 	o.add(role, MessagesOut, sent.messages)
 }
 
-func flowsBetween(before, after map[world.Way]world.Flow) map[world.Way]world.Flow {
-	out := make(map[world.Way]world.Flow, len(after))
+func flowsBetween(before, after map[emulator.Way]emulator.Flow) map[emulator.Way]emulator.Flow {
+	out := make(map[emulator.Way]emulator.Flow, len(after))
 	for way, f := range after {
 		out[way] = f.Minus(before[way])
 	}
 	return out
 }
 
-func toEnd(flows map[world.Way]world.Flow, end string) (sum world.Flow) {
+func toEnd(flows map[emulator.Way]emulator.Flow, end string) (sum emulator.Flow) {
 	for way, f := range flows {
 		if way.To == end {
 			sum = sum.Plus(f)
@@ -211,7 +211,7 @@
 	return sum
 }
 
-func fromEnd(flows map[world.Way]world.Flow, end string) (sum world.Flow) {
+func fromEnd(flows map[emulator.Way]emulator.Flow, end string) (sum emulator.Flow) {
 	for way, f := range flows {
 		if way.From == end {
 			sum = sum.Plus(f)
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/transport"
-	"amberdeal.example/amberdeal/internal/world"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -33,7 +33,7 @@
 type users struct {
 	step   Point
 	addrs  []string
-	world  *world.World
+	world  *emulator.World
 	caller *transport.Caller
 	luck   *rand.Rand // of the one goroutine that makes jobs
 
@@ -174,7 +174,7 @@
 	}
 	u.mu.Unlock()
 	u.waiting.Add(int64(j.Tasks))
-	u.world.Judge([]world.Told{{Submitted: j}})
+	u.world.Judge([]emulator.Told{{Submitted: j}})
 	u.group.Go(func() {
 		defer func() { <-u.open }()
 		u.insist(ctx, j)
@@ -202,7 +202,7 @@
 func (u *users) accepted(j *wire.Job, status int, body []byte, begun, sent time.Time) {
 	var s wire.JobStatus
 	_ = wire.Decode(body, &s)
-	u.world.Judge([]world.Told{{Job: j.ID, Status: status, Stage: s.Stage, Sent: sent.UnixNano(), Back: time.Now().UnixNano()}})
+	u.world.Judge([]emulator.Told{{Job: j.ID, Status: status, Stage: s.Stage, Sent: sent.UnixNano(), Back: time.Now().UnixNano()}})
 	u.submitted.Add(1)
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/sched/gather.go
+++ b/internal/scheduler/reservation.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/internal/sched/sched.go
+++ b/internal/scheduler/scheduler.go
@@ -1,7 +1,7 @@
 // Package sched chooses what runs where: a pure function from a picture of the
 // fleet to launches, stops, rentals and releases. It does no I/O, reads no
 // clock, and goes through everything in a fixed order.
-package sched
+package scheduler
 
 import (
 	"cmp"
--- a/internal/sched/startable.go
+++ b/internal/scheduler/startable.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "amberdeal.example/amberdeal/wire"
 
--- a/internal/parts/parts_test.go
+++ b/internal/shard/parts_test.go
@@ -1,4 +1,4 @@
-package parts
+package shard
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/round"
-	"amberdeal.example/amberdeal/internal/sched"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -20,26 +20,26 @@
 type table struct {
 	now         time.Time
 	controllers []Controller
-	statuses    map[string]round.PartStatus
+	statuses    map[string]leader.PartStatus
 	router      *Router
 	types       []wire.MachineType
 }
 
 func newTable() *table {
-	b := &table{now: time.Unix(1e9, 0), statuses: map[string]round.PartStatus{}}
+	b := &table{now: time.Unix(1e9, 0), statuses: map[string]leader.PartStatus{}}
 	b.group(3, "a", "b", "c")
 	b.types = []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"a", "b", "c"}}, {Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 128, Zones: []string{"c"}}}
 	return b
 }
 
 func (b *table) group(n int, zones ...string) {
-	b.router = &Router{Group: fleet.ByZones(n, zones), Statuses: func() map[string]round.PartStatus { return b.statuses }}
+	b.router = &Router{Group: fleet.ByZones(n, zones), Statuses: func() map[string]leader.PartStatus { return b.statuses }}
 }
 
 func (b *table) part(name string) Part { return Part{name, b.router.Group.Zones(name)} }
 
 func (b *table) step(line string) []string {
-	w, kv := standin.Words(line)
+	w, kv := simulator.Words(line)
 	num := func(key string) int {
 		n, _ := strconv.Atoi(kv[key])
 		return n
@@ -75,8 +75,8 @@
 		p, ok := Spare(b.controllers[i], mine, others)
 		return []string{fmt.Sprintf("%q %v", p, ok)}
 	case "stands": // a part says how much room it has for class x
-		b.statuses[w[1]] = round.PartStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
-			Rooms: map[string]sched.Room{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
+		b.statuses[w[1]] = leader.PartStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
+			Rooms: map[string]scheduler.Room{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		b.now = b.now.Add(d)
@@ -97,7 +97,7 @@
 
 // TestTraces plays the kept traces of who should hold what, and of where jobs go.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string { return newTable().step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTable().step })
 }
 
 // TestSharesCover: whatever the room, the shares of a job cover its tasks once, and no part
@@ -106,7 +106,7 @@
 	b := newTable()
 	for i := range 3000 {
 		for _, p := range []string{"a", "b", "c"} {
-			b.statuses[p] = round.PartStatus{Machines: i * 7 % 90, Backlog: i * 13 % 40, Rooms: map[string]sched.Room{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
+			b.statuses[p] = leader.PartStatus{Machines: i * 7 % 90, Backlog: i * 13 % 40, Rooms: map[string]scheduler.Room{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
 		}
 		j := &wire.Job{ID: fmt.Sprint("wk-", i), Class: "x", Shape: []wire.Shape{wire.Array, wire.Gang, wire.Service}[i%3], Tasks: 1 + i%200, CPUs: 1, GPUs: 1, MemoryGB: 1, Spread: i%5 == 0}
 		at, most := 0, map[string]int{}
--- a/internal/parts/route.go
+++ b/internal/shard/route.go
@@ -1,12 +1,12 @@
-package parts
+package shard
 
 import (
 	"sync"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/round"
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -16,7 +16,7 @@
 type Router struct {
 	Group *fleet.Grouping
 	// Statuses gives what the parts have last said.
-	Statuses func() map[string]round.PartStatus
+	Statuses func() map[string]leader.PartStatus
 
 	mu   sync.Mutex
 	sent map[string]sent
@@ -35,7 +35,7 @@
 // lot is a part as a place for a job.
 type lot struct {
 	part     string
-	room     sched.Room
+	room     scheduler.Room
 	free     int
 	machines int
 	backlog  int
--- a/internal/simtest/deaf_sim_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -30,7 +30,7 @@
 		cast func(w *world)
 	}{
 		{"the cloud is in trouble", func(w *world) {
-			lasting(2*time.Minute, func(on bool) { w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = on }) })
+			lasting(2*time.Minute, func(on bool) { w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = on }) })
 		}},
 		{"the state service is out", func(w *world) {
 			time.AfterFunc(15*time.Second, func() { lasting(70*time.Second, w.store.Outage) })
@@ -200,7 +200,7 @@
 	}},
 	{"a machine is taken", func(w *world, luck *rand.Rand, _ time.Duration) { w.cloud.Take(luck.IntN(8)) }},
 	{"the cloud is in trouble", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(d, func(on bool) { w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = on }) })
+		lasting(d, func(on bool) { w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = on }) })
 	}},
 	{"many reports come again", func(w *world, luck *rand.Rand, d time.Duration) {
 		w.echo.Share(0.5)
--- a/internal/simtest/hands_sim_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -28,16 +28,16 @@
 	decided  []string        // launches of these after that
 	launched map[string]time.Time
 	claims   []time.Time
-	claimed  chan struct{} // closed by the next claim
-	last     string        // the job with whose first launch the work changes hands
-	fate     standin.Fate  // of the write of that
-	upon     func()        // is called then
+	claimed  chan struct{}  // closed by the next claim
+	last     string         // the job with whose first launch the work changes hands
+	fate     simulator.Fate // of the write of that
+	upon     func()         // is called then
 }
 
 func (w *world) registrar() *registrar {
 	r := &registrar{world: w, known: map[string]string{}, over: map[string]bool{}, launched: map[string]time.Time{}, claimed: make(chan struct{})}
-	w.store.Stage(func(s *standin.Store) {
-		s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+	w.store.Stage(func(s *simulator.Store) {
+		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.wrote = puts
@@ -46,7 +46,7 @@
 					return r.fate
 				}
 			}
-			return standin.Answered
+			return simulator.Answered
 		}
 		s.Took = r.took
 	})
@@ -288,7 +288,7 @@
 			hold.Store(int64(40*time.Second + time.Duration(luck.IntN(15000))*time.Millisecond))
 		}
 		r.mu.Lock()
-		r.last, r.fate, r.upon = "wk-9", []standin.Fate{standin.Answered, standin.Taken, standin.Answered}[d.last], cast
+		r.last, r.fate, r.upon = "wk-9", []simulator.Fate{simulator.Answered, simulator.Taken, simulator.Answered}[d.last], cast
 		r.mu.Unlock()
 		ended = append(ended, w.submitter(d.seed, jobOf("wk-9", wire.Array, 3, long), 0, 0, forever))
 	} else {
--- a/internal/simtest/gap_sim_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -19,7 +19,7 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -89,7 +89,7 @@
 
 // watcher sees the answers that come to machines and where tasks are.
 type watcher struct {
-	*standin.Checker
+	*simulator.Checker
 	mu      sync.Mutex
 	answers []tapped
 	on      map[wire.TaskID]map[string]bool
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &tapConn{Conn: c, tap: p, node: standin.HostOf(addr)}, nil
+	return &tapConn{Conn: c, tap: p, node: simulator.HostOf(addr)}, nil
 }
 
 type tapConn struct {
@@ -194,7 +194,7 @@
 	gap     gap
 	seen    *watcher
 	mu      sync.Mutex
-	workers map[string]*standin.Worker
+	workers map[string]*simulator.Worker
 	held    time.Duration     // for which direct calls are held up now
 	stuck   int               // that were
 	gone    bool              // the outage has begun
@@ -206,7 +206,7 @@
 const gapUser = "10.3.0.9"
 
 func newGapWorld(t *testing.T, g gap, seed uint64) *gapWorld {
-	w := &gapWorld{gap: g, workers: map[string]*standin.Worker{}, blind: map[int]bool{}, renewed: map[int]time.Time{}, told: map[string]time.Time{}}
+	w := &gapWorld{gap: g, workers: map[string]*simulator.Worker{}, blind: map[int]bool{}, renewed: map[int]time.Time{}, told: map[string]time.Time{}}
 	w.world = newWorldOf(t, g.nodes, seed, 0, func(c *config.Config) {
 		c.Workers.Lease, c.Workers.Cancel = g.lease, g.cancel
 		c.Tuning.KeepReports = g.keep
@@ -217,15 +217,15 @@
 	})
 	for i := range g.nodes {
 		addr := fmt.Sprintf("10.2.1.%d:2379", i+1)
-		go w.net.Host(standin.HostOf(addr)).Listen(w.ctx, addr, 0, w.front(i))
+		go w.net.Host(simulator.HostOf(addr)).Listen(w.ctx, addr, 0, w.front(i))
 	}
 	w.check.Cancel = g.cancel
 	w.seen = &watcher{Checker: w.check, on: map[wire.TaskID]map[string]bool{}, left: map[string]time.Time{}, gone: map[string]int{}}
 	names := map[string]string{}
 	for i := range g.nodes {
-		names[fmt.Sprintf("c-%d", i)] = standin.Address(w.ip(i), 8080)
+		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
-	yard := standin.NewYard(w.seen, 20*time.Second, 3*time.Second)
+	yard := simulator.NewYard(w.seen, 20*time.Second, 3*time.Second)
 	held := func() time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -234,15 +234,15 @@
 		}
 		return w.held
 	}
-	w.cloud.Fail(func(*standin.CloudFaults) { // no machine has started yet
-		w.cloud.Start = func(id, addr, typ, zone string, spot bool) standin.Machine {
-			host := standin.HostOf(addr)
+	w.cloud.Fail(func(*simulator.CloudFaults) { // no machine has started yet
+		w.cloud.Start = func(id, addr, typ, zone string, spot bool) simulator.Machine {
+			host := simulator.HostOf(addr)
 			w.net.Place(host, zone)
 			pull := 1.0
 			if zone == "b" {
 				pull = 5 // so that of a gang over both zones some wait for the others
 			}
-			m := standin.NewWorker(standin.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tap{w.net.Host(host), id, w.seen},
+			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tap{w.net.Host(host), id, w.seen},
 				Down: func() { w.net.Down(host, true) }, Controllers: names, Yard: yard, Lease: g.lease, Report: 2 * time.Second, Late: held, Pull: pull})
 			w.mu.Lock()
 			w.workers[id] = m
@@ -258,7 +258,7 @@
 	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host(gapUser).Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
-	resp, err := caller.Call(ctx, standin.Address(w.ip(i), 8080), method, path, body)
+	resp, err := caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
 	if err != nil {
 		return 0, s
 	}
@@ -482,7 +482,7 @@
 	out := map[wire.TaskState]int{}
 	for _, host := range w.everyMachine() {
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-		resp, err := caller.Call(ctx, standin.Address(host, 9000), "GET", wire.PathInspect, nil)
+		resp, err := caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathInspect, nil)
 		cancel()
 		if err != nil {
 			continue
@@ -505,7 +505,7 @@
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
 		for _, host := range w.everyMachine() {
 			ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-			_, _ = caller.Call(ctx, standin.Address(host, 9000), "GET", wire.PathInspect, nil)
+			_, _ = caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathInspect, nil)
 			cancel()
 		}
 	}
@@ -560,16 +560,16 @@
 // delay has the first transaction of a batch from now on stay without an answer, and be carried
 // out a second later.
 func (w *gapWorld) delay() {
-	w.store.Stage(func(s *standin.Store) {
+	w.store.Stage(func(s *simulator.Store) {
 		first := true
-		s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 			for key := range puts {
 				if first && store.Kind(key) == "batch" {
 					first = false
-					return standin.Late
+					return simulator.Late
 				}
 			}
-			return standin.Answered
+			return simulator.Answered
 		}
 	})
 }
@@ -628,7 +628,7 @@
 	w.launch(others[0], last, g.cancel+max(g.refused, 0)+5*time.Second)
 	w.part(leader, others, true)
 	if g.has("cloud") {
-		w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = true })
+		w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = true })
 	}
 	w.blinded(leader, g.has("blind"))
 	if g.refused >= 0 {
@@ -661,7 +661,7 @@
 	}
 	told.Wait()
 	confirmed := time.Now()
-	w.store.Stage(func(s *standin.Store) { s.Meets = nil })
+	w.store.Stage(func(s *simulator.Store) { s.Meets = nil })
 	m.rest, m.killed = len(rest), -w.seen.went(rest)
 	w.befall(leader, others, rand.New(rand.NewPCG(seed, 8)))
 	time.AfterFunc(g.lease, func() { w.watch(g.cancel - g.lease + time.Second) })
@@ -686,7 +686,7 @@
 	m.direct = by[w.ip(leader)]
 	m.passed = all - m.direct
 	w.part(leader, others, false)
-	w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = false })
+	w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = false })
 	m.room = w.room()
 	m.lost = w.lost()
 	w.calm()
