--- a/internal/simtest/meetings_sim_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -195,7 +195,7 @@
 	{"the state service is slow", 5 * sec, 50 * sec, func(m *meeting, d time.Duration) {
 		most, steps := 200+m.luck.IntN(4000), rand.New(rand.NewPCG(m.luck.Uint64(), 7))
 		lasting(d, func(on bool) {
-			m.store.Stage(func(s *standin.Store) {
+			m.store.Stage(func(s *simulator.Store) {
 				if s.Delay = nil; on {
 					s.Delay = func() time.Duration { return time.Duration(m.draw(steps, most)) * time.Millisecond }
 				}
@@ -204,10 +204,10 @@
 	}},
 	{"writes are late", 5 * sec, 50 * sec, func(m *meeting, d time.Duration) {
 		share := []float64{0.1, 0.3, 0.6, 1}[m.luck.IntN(4)]
-		lasting(d, func(on bool) { m.store.Stage(func(s *standin.Store) { s.Later = map[bool]float64{true: share}[on] }) })
+		lasting(d, func(on bool) { m.store.Stage(func(s *simulator.Store) { s.Later = map[bool]float64{true: share}[on] }) })
 	}},
 	{"writes get no answer", 5 * sec, 50 * sec, func(m *meeting, d time.Duration) {
-		lasting(d, func(on bool) { m.store.Stage(func(s *standin.Store) { s.Lossy = map[bool]float64{true: 0.4}[on] }) })
+		lasting(d, func(on bool) { m.store.Stage(func(s *simulator.Store) { s.Lossy = map[bool]float64{true: 0.4}[on] }) })
 	}},
 	{"the state service forgets its changes", 2 * sec, 10 * sec, func(m *meeting, d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
@@ -257,40 +257,40 @@
 	}},
 	{"spot machines are taken", 10 * sec, 10 * sec, func(m *meeting, d time.Duration) {
 		notice := []time.Duration{0, 3 * sec, d}[m.luck.IntN(3)]
-		m.cloud.Each(func(l wire.ListedMachine, _ standin.Machine) {
+		m.cloud.Each(func(l wire.ListedMachine, _ simulator.Machine) {
 			if l.Spot {
 				m.cloud.TakeBack(l.ID, notice)
 			}
 		})
 	}},
 	{"the cloud is in trouble", 5 * sec, 60 * sec, func(m *meeting, d time.Duration) {
-		change := []func(f *standin.CloudFaults){
-			func(f *standin.CloudFaults) { f.Trouble = true },
-			func(f *standin.CloudFaults) { f.Fewer = 1 },
-			func(f *standin.CloudFaults) { f.Late = 8 * sec },
-			func(f *standin.CloudFaults) { f.NeverUp = 0.5 },
+		change := []func(f *simulator.CloudFaults){
+			func(f *simulator.CloudFaults) { f.Trouble = true },
+			func(f *simulator.CloudFaults) { f.Fewer = 1 },
+			func(f *simulator.CloudFaults) { f.Late = 8 * sec },
+			func(f *simulator.CloudFaults) { f.NeverUp = 0.5 },
 		}[m.luck.IntN(4)]
 		m.cloud.Fail(change)
-		time.AfterFunc(d, func() { m.cloud.Fail(func(f *standin.CloudFaults) { *f = standin.CloudFaults{} }) })
+		time.AfterFunc(d, func() { m.cloud.Fail(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 	}},
 	{"writes are taken, their answers lost", 10 * sec, 50 * sec, func(m *meeting, d time.Duration) {
 		share, of, steps := []int{30, 60, 100}[m.luck.IntN(3)], m.luck.IntN(3), rand.New(rand.NewPCG(m.luck.Uint64(), 7))
 		kind := []string{"", "ledger/", "batch/"}[of]
 		lasting(d, func(on bool) {
-			m.store.Stage(func(s *standin.Store) {
+			m.store.Stage(func(s *simulator.Store) {
 				if s.Meets, s.Took = nil, nil; !on {
 					return
 				}
 				lost := false
-				s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+				s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 					lost = false
 					for key := range puts {
 						lost = lost || strings.HasPrefix(key, store.Root+kind)
 					}
 					if lost = lost && m.draw(steps, 100) < share; lost {
-						return standin.Taken
+						return simulator.Taken
 					}
-					return standin.Answered
+					return simulator.Answered
 				}
 				s.Took = func([]string) {
 					if lost {
@@ -344,7 +344,7 @@
 		boot := time.Duration(200+m.luck.IntN(1700)) * time.Millisecond
 		m.floor.quickly(d + boot)
 		lasting(d, func(on bool) {
-			m.cloud.Fail(func(*standin.CloudFaults) {
+			m.cloud.Fail(func(*simulator.CloudFaults) {
 				m.cloud.Boot, m.cloud.Capacity = 5*sec, 6
 				if on { // and there are some more
 					m.cloud.Boot, m.cloud.Capacity = boot, 9
@@ -502,7 +502,7 @@
 		c.Zone = []string{"a", "b"}[numberOf(c.Name)%2]
 		c.Tuning.Parts.By, c.Tuning.KeepReports, c.Tuning.Silence = by, keep, silence
 	})
-	w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Capacity = 6 })
+	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
 	w.check.Known.Begin = 4 * time.Minute
 	w.check.Known.Over(time.Time{})
 	m := &meeting{world: w, number: number, luck: luck}
--- a/internal/simtest/looks_sim_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -15,7 +15,7 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/load"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -105,7 +105,7 @@
 	}
 }
 
-func tardyDoor(i int) string { return standin.Address(stateHost, 2500+i) }
+func tardyDoor(i int) string { return simulator.Address(stateHost, 2500+i) }
 
 func newLooks(t *testing.T, x lookDay, seed uint64) *looks {
 	l := &looks{late: x.late, luck: rand.New(rand.NewPCG(seed, 31)), jobs: map[string]*looked{}, back: map[int]time.Time{}, met: map[string]int{}, open: make([]int, x.count)}
@@ -126,7 +126,7 @@
 			serve(ctx, &tardy{Stream: s, of: l, node: i, conn: conn})
 		})
 	}
-	l.store.Stage(func(s *standin.Store) { s.Took = l.took })
+	l.store.Stage(func(s *simulator.Store) { s.Took = l.took })
 	return l
 }
 
--- a/internal/simtest/latewrites_sim_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -24,8 +24,8 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/httpwire"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/snapshot"
-	"amberdeal.example/amberdeal/internal/standin"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -156,7 +156,7 @@
 // answer, and carries them out later, after newer ones of the same controller.
 type lateness struct {
 	t     *testing.T
-	net   *standin.Net
+	net   *simulator.Net
 	to    string
 	share float64
 	luck  *rand.Rand
@@ -193,7 +193,7 @@
 	refused      time.Time
 }
 
-func newLateness(t *testing.T, net *standin.Net, to string, seed uint64, share float64) *lateness {
+func newLateness(t *testing.T, net *simulator.Net, to string, seed uint64, share float64) *lateness {
 	l := &lateness{t: t, net: net, to: to, share: share, luck: rand.New(rand.NewPCG(seed, 12)),
 		kinds: map[string]int{}, writes: map[string]*lateWrite{}, late: map[string]lateTally{}, unknown: map[string]bool{}}
 	l.serving = l.serve
@@ -204,7 +204,7 @@
 func (l *lateness) listen(ctx context.Context, from, ip string) (addr string) {
 	host := l.net.Host(ip)
 	caller := &transport.Caller{Limit: 8 << 20, Dial: host.Dial}
-	addr = standin.Address(ip, 2379)
+	addr = simulator.Address(ip, 2379)
 	go host.Listen(ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
 		for {
@@ -415,7 +415,7 @@
 	w := newWorldOf(t, count, seed, 0, func(c *config.Config) {
 		mu.Lock()
 		defer mu.Unlock()
-		c.StoreAddr = standin.Address("10.2.1."+c.Name[2:], 2379)
+		c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379)
 		c.Tuning.Parts.By = by[c.Name]
 		c.Store.ValueBytes = 2048 // many slots
 		if tiers[c.Name] {
@@ -541,7 +541,7 @@
 			}
 			after = page.Items[len(page.Items)-1].Key
 		}
-		to := standin.NewStore(1, 0)
+		to := simulator.NewStore(1, 0)
 		go w.net.Host("10.2.0.3").Listen(w.ctx, "10.2.0.3:2379", 0, to.Serve())
 		l := newLateness(t, w.net, "10.2.0.3:2379", 80, 0.3)
 		addr := l.listen(w.ctx, "import", "10.2.1.50")
@@ -595,10 +595,10 @@
 // belongs into the table of docs/design.md, and its kind into writeKinds.
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
-		internal/admission.write internal/claim.Attempt internal/claim.Releases internal/claim.Resign internal/claim.Run internal/claim.look internal/claim.regroup
-		internal/claim.release internal/claim.renew internal/claim.retier internal/claim.turn internal/controller.watchHolders
-		internal/history.clear internal/history.commit internal/history.moveGate internal/history.settle internal/history.write internal/regroup.Next
-		internal/round.Decide internal/round.Regrant internal/round.commitGrant internal/round.forget internal/round.guard internal/round.tidy internal/round.write
+		internal/admission.write internal/leadership.Attempt internal/leadership.Releases internal/leadership.Resign internal/leadership.Run internal/leadership.look internal/leadership.regroup
+		internal/leadership.release internal/leadership.renew internal/leadership.retier internal/leadership.turn internal/controller.watchHolders
+		internal/archive.clear internal/archive.commit internal/archive.moveGate internal/archive.settle internal/archive.write internal/reshard.Next
+		internal/leader.Decide internal/leader.Regrant internal/leader.commitGrant internal/leader.forget internal/leader.guard internal/leader.tidy internal/leader.write
 		internal/snapshot.Restore internal/snapshot.begin internal/snapshot.finish internal/snapshot.put internal/store.Txn internal/store.TxnAfter internal/store.look`)
 	var got []string
 	for _, dir := range []string{"internal", "cmd", "."} {
@@ -610,7 +610,7 @@
 			switch {
 			case err != nil:
 				return err
-			case d.IsDir() && (dir == "." && path != "." || path == "internal/standin"):
+			case d.IsDir() && (dir == "." && path != "." || path == "internal/simulator"):
 				return fs.SkipDir
 			case !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
@@ -706,7 +706,7 @@
 }
 
 func (l *lateCloud) listen(addr string) {
-	host := l.net.Host(standin.HostOf(addr))
+	host := l.net.Host(simulator.HostOf(addr))
 	caller := &transport.Caller{Limit: 8 << 20, Dial: host.Dial}
 	pass := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		target := req.Path
@@ -846,7 +846,7 @@
 		if l.late["rental"] == 0 || l.late["release"] == 0 || len(l.got) == 0 || l.used == 0 {
 			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.late, l.got, l.used)
 		}
-		w.cloud.Each(func(m wire.ListedMachine, _ standin.Machine) {
+		w.cloud.Each(func(m wire.ListedMachine, _ simulator.Machine) {
 			if l.got[m.ID] {
 				t.Errorf("%s, which was rented late, is neither used nor returned", m.ID)
 			}
--- a/internal/simtest/back_sim_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	w.store.Stage(func(s *standin.Store) {
+	w.store.Stage(func(s *simulator.Store) {
 		s.Took = func(puts []string) {
 			i := slices.IndexFunc(puts, func(key string) bool { return strings.HasPrefix(key, store.Root+prefix) })
 			if i < 0 || once.Swap(true) {
@@ -76,7 +76,7 @@
 }
 
 // reboot has a machine restart, before anybody saw it go.
-func (w *world) reboot(id, host string, m standin.Machine, luck *rand.Rand) {
+func (w *world) reboot(id, host string, m simulator.Machine, luck *rand.Rand) {
 	if late := held(luck); late > 0 {
 		w.net.Hold(host, late)
 	}
@@ -109,7 +109,7 @@
 			path, body = path+"/"+id+"/"+wire.CancelWord, []byte{}
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
-		resp, err := caller.Call(ctx, standin.Address(w.ip(luck.IntN(w.count)), 8080), "POST", path, body)
+		resp, err := caller.Call(ctx, simulator.Address(w.ip(luck.IntN(w.count)), 8080), "POST", path, body)
 		cancel()
 		if err != nil || resp.Status >= 500 || resp.Status == 200 && !before.Final() {
 			continue // or it may have changed meanwhile
@@ -206,10 +206,10 @@
 
 // reboots has so many of the first machines restart.
 func (w *world) reboots(luck *rand.Rand, n int) {
-	w.cloud.Each(func(m wire.ListedMachine, x standin.Machine) {
+	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
 		if n > 0 {
 			n--
-			w.reboot(m.ID, standin.HostOf(m.Addr), x, luck)
+			w.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
 		}
 	})
 }
--- a/internal/simtest/forward_sim_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/writers"
 )
@@ -40,7 +40,7 @@
 func newWriting(t *testing.T, d forwardDay, seed uint64) *writing {
 	w := &writing{day: d, batches: map[string]int{}}
 	w.looks = newLooks(t, lookDay{count: d.count, by: "off", writers: d.set}, seed)
-	w.store.Stage(func(s *standin.Store) { s.Took = w.took })
+	w.store.Stage(func(s *simulator.Store) { s.Took = w.took })
 	return w
 }
 
@@ -110,7 +110,7 @@
 	},
 	"the state service is slow": func(w *writing, _ int) {
 		lasting(15*time.Second, func(on bool) {
-			w.store.Stage(func(s *standin.Store) {
+			w.store.Stage(func(s *simulator.Store) {
 				if s.Delay = nil; on {
 					s.Delay = func() time.Duration { return time.Duration(200+w.draw(w.rand, 600)) * time.Millisecond }
 				}
@@ -119,7 +119,7 @@
 	},
 	"the state service's answers are lost": func(w *writing, _ int) {
 		lasting(15*time.Second, func(on bool) {
-			w.store.Stage(func(s *standin.Store) { s.Unheard = map[bool]float64{true: 0.4}[on] })
+			w.store.Stage(func(s *simulator.Store) { s.Unheard = map[bool]float64{true: 0.4}[on] })
 		})
 	},
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -70,7 +70,7 @@
 					t.Fatal(err)
 				}
 			}
-			for _, args := range [][]string{{"./wire", "./internal/claim", "./internal/admission", "./internal/controller", "./internal/fleet", "./internal/forward", "./internal/history", "./internal/member", "./internal/mesh", "./internal/regroup", "./internal/relay", "./internal/rental", "./internal/restore", "./internal/round", "./internal/sched", "./internal/snapshot", "./internal/store", "./internal/tier", "./internal/writers", "./internal/zone"},
+			for _, args := range [][]string{{"./wire", "./internal/leadership", "./internal/admission", "./internal/controller", "./internal/fleet", "./internal/forward", "./internal/archive", "./internal/membership", "./internal/peer", "./internal/reshard", "./internal/ingest", "./internal/autoscale", "./internal/zonerecovery", "./internal/leader", "./internal/scheduler", "./internal/snapshot", "./internal/store", "./internal/tier", "./internal/writers", "./internal/zone"},
 				{"-run", "LateWrites$|LateImport|TakenAtOnce$|WithoutAnswers$|WhileItsLaunch", "./internal/simtest"}, {"-run", "BackAtOnce", "./internal/simtest"}, {"-run", "PartsHold|Regroup", "./internal/simtest"}, {"-run", "Looks|Odd", "./internal/simtest"}, {"-run", "Forwarded|ManyAccept|ManyTeams|TeamLeaves", "./internal/simtest"},
 				{"-run", "ProofsHold|EachMachine|KeptConnections|CutLeader|TestGap|NoJobWaits|LimitsHold|ZoneBound|CanOnlyBeCalled|OldReports|Fetch", "./internal/simtest"}} {
 				run := exec.Command("go", append([]string{"test"}, args...)...)
--- a/internal/simtest/forgotten_sim_test.go
+++ b/internal/simtest/liveness_test.go
@@ -14,7 +14,7 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -99,7 +99,7 @@
 			w.change(wire.Change{Put: store.PartKey("b"), Value: store.PartRecord{Holder: "c-9", Term: 99, Format: store.Format}})
 		}},
 		"not answered by the controller that its user has come to": {want: "no question about wk-1 is answered",
-			before: func(w *world) { w.shed("wk-1", standin.Address(w.ip(0), 8080), nil) }},
+			before: func(w *world) { w.shed("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
 		"shed again and again": {want: "no question about wk-1 is answered", before: func(w *world) {
 			w.shed("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
 		}},
@@ -141,7 +141,7 @@
 			caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
 			for try := n; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
-				_, _ = caller.Call(ctx, standin.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(luck, 1e6)), nil)
+				_, _ = caller.Call(ctx, simulator.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(luck, 1e6)), nil)
 				cancel()
 				time.Sleep(every/2 + time.Duration(w.draw(luck, int(every))))
 			}
@@ -177,11 +177,11 @@
 		}
 	}},
 	{"transactions get no answer", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(d, func(on bool) { w.store.Stage(func(s *standin.Store) { s.Lossy = map[bool]float64{true: 0.4}[on] }) })
+		lasting(d, func(on bool) { w.store.Stage(func(s *simulator.Store) { s.Lossy = map[bool]float64{true: 0.4}[on] }) })
 	}},
 	{"the state service is slow", func(w *world, _ *rand.Rand, d time.Duration) {
 		lasting(d, func(on bool) {
-			w.store.Stage(func(s *standin.Store) {
+			w.store.Stage(func(s *simulator.Store) {
 				if s.Delay = nil; on {
 					s.Delay = func() time.Duration { return 1500 * time.Millisecond }
 				}
@@ -218,7 +218,7 @@
 			}
 		})
 		if busy {
-			w.store.Stage(func(s *standin.Store) { s.Limits.RPS = 36 })
+			w.store.Stage(func(s *simulator.Store) { s.Limits.RPS = 36 })
 		}
 		regroup := trouble{"all are set to another grouping", func(w *world, luck *rand.Rand, _ time.Duration) {
 			to = map[string]string{"off": "zone", "zone": "off"}[to]
--- a/internal/simtest/atonce_sim_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -278,7 +278,7 @@
 	caller := &transport.Caller{Limit: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
 	time.Sleep(after)
 	asked := time.Now()
-	resp, err := caller.Call(ctx, standin.Address(a.w.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
+	resp, err := caller.Call(ctx, simulator.Address(a.w.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
 	var st wire.JobStatus
 	if err != nil || a.w.ctx.Err() != nil || resp.Status != 404 && (resp.Status != 200 || wire.Decode(resp.Body, &st) != nil) {
 		return
@@ -362,7 +362,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorldOf(t, 1, 91, 0, func(c *config.Config) {
 			c.Zones, c.Tuning.Parts.By = []string{"a", "b", "c", "d", "e"}, "zone"
-			c.StoreAddr = standin.Address("10.2.1.0", 2379)
+			c.StoreAddr = simulator.Address("10.2.1.0", 2379)
 		})
 		l := newLateness(t, w.net, "10.2.0.1:2379", 91, 0)
 		var claims atomic.Int64
@@ -389,11 +389,11 @@
 // one of them it is refused all reads for a while before, and does not send the round again meanwhile.
 func TestCancelledWhileItsLaunchIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 92, 0, func(c *config.Config) { c.StoreAddr = standin.Address("10.2.1."+c.Name[2:], 2379) })
+		w := newWorld(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
 		l := newLateness(t, w.net, "10.2.0.1:2379", 92, 0)
 		caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
 		call := func(from int, path string, body []byte) int {
-			resp, err := caller.Call(w.ctx, standin.Address(w.ip(from), 8080), "POST", path, body)
+			resp, err := caller.Call(w.ctx, simulator.Address(w.ip(from), 8080), "POST", path, body)
 			if err != nil {
 				return 0
 			}
--- a/internal/simtest/odd_sim_test.go
+++ b/internal/simtest/malformed_requests_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -40,7 +40,7 @@
 			met := map[int]int{}
 			var mu sync.Mutex
 			w := worldOfDoors(t, count, uint64(seed), nil)
-			w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = true })
+			w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = true })
 			odd := func(round int) {
 				n := 0
 				for what, body := range oddBodies(fmt.Sprint("wk-9", round)) {
@@ -72,7 +72,7 @@
 			for round := range 6 { // before the state is read, and while no types are known
 				odd(round)
 			}
-			w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = false })
+			w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = false })
 			time.Sleep(10 * time.Second)
 			early := w.client(jobOf("wk-1", wire.Array, 3, 300*time.Second, func(j *wire.Job) { j.Types = []string{"g4"} }), luckOf(uint64(seed), "wk-1"), 300*time.Second)
 			if status := early.until(early.submit); status != 201 {
@@ -82,7 +82,7 @@
 			time.Sleep(10 * time.Second)
 			other := w.cloud.Types[0]
 			other.Name = "g5"
-			w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Types = []wire.MachineType{other} })
+			w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Types = []wire.MachineType{other} })
 			for round := range 16 { // each controller learns of it within two minutes
 				odd(20 + round)
 				for i := range count {
--- a/internal/simtest/teams_sim_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -60,7 +60,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				names := teamNames(x.teams, x.length)
 				w := worldOfTeams(t, names, nil)
-				w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Capacity = 40 })
+				w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 40 })
 				const run = 8 * time.Second
 				for i := range x.active {
 					w.submitter(1, teamJob(i, names[i*len(names)/x.active], 3, run), time.Duration(i%20)*time.Second, 0, run)
--- a/internal/simtest/newmachines_sim_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -16,7 +16,7 @@
 
 // births keeps when machines came up and when tasks started on them.
 type births struct {
-	*standin.Checker
+	*simulator.Checker
 	mu     sync.Mutex
 	up     map[string]time.Time
 	starts []birth
@@ -53,9 +53,9 @@
 	b := &births{Checker: w.check, up: map[string]time.Time{}}
 	w.ground = b
 	start := w.machine(2*sec, nil)
-	w.cloud.Fail(func(*standin.CloudFaults) {
+	w.cloud.Fail(func(*simulator.CloudFaults) {
 		w.cloud.Boot = boot
-		w.cloud.Start = func(id, addr, typ, zone string, spot bool) standin.Machine {
+		w.cloud.Start = func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			b.mu.Lock()
 			b.up[id] = time.Now()
 			b.mu.Unlock()
@@ -200,7 +200,7 @@
 func TestNewMachinesAsLeaderEnds(t *testing.T) {
 	for n, at := range newAt {
 		for k, x := range newMeets {
-			for f, fate := range []standin.Fate{standin.Answered, standin.Taken, standin.Late} {
+			for f, fate := range []simulator.Fate{simulator.Answered, simulator.Taken, simulator.Late} {
 				if !wide("AMBERDEAL_NEWMACHINES") && (k != n%len(newMeets) || f != (n+n/3)%3) {
 					continue
 				}
@@ -213,24 +213,24 @@
 	}
 }
 
-func newDay(t *testing.T, seed uint64, at time.Duration, cast func(*world, upMachine), fate standin.Fate, by string, count int, late bool) {
+func newDay(t *testing.T, seed uint64, at time.Duration, cast func(*world, upMachine), fate simulator.Fate, by string, count int, late bool) {
 	var b *births
 	var met chan string
 	var term uint64
 	young := 0
 	day{seed: seed, count: count, set: func(c *config.Config) { c.Tuning.Parts.By, c.Cloud.ListLag = by, 4*sec }, begin: func(w *world) {
 		b, met = w.births(300*time.Millisecond), make(chan string, 1)
-		w.cloud.Fail(func(f *standin.CloudFaults) {
+		w.cloud.Fail(func(f *simulator.CloudFaults) {
 			if w.cloud.Lag = 4 * sec; late { // carried out without an answer
 				f.Late = 700 * time.Millisecond
 			}
 		})
 		known, over := map[string]string{}, false
-		w.store.Stage(func(s *standin.Store) {
-			s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+		w.store.Stage(func(s *simulator.Store) {
+			s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 				is, part := launches(known, puts)
 				if !is || over {
-					return standin.Answered
+					return simulator.Answered
 				}
 				over = true
 				met <- part
@@ -267,7 +267,7 @@
 			}
 			w.crash(max(w.holder(part), w.leader()), 300*time.Millisecond, 0)
 			time.Sleep(10 * sec)
-			w.cloud.Fail(func(f *standin.CloudFaults) { f.Late = 0 })
+			w.cloud.Fail(func(f *simulator.CloudFaults) { f.Late = 0 })
 			time.Sleep(45 * sec)
 			if n := w.check.Running("wk-3"); n != 4 {
 				w.t.Errorf("%d of 4 replicas run", n)
--- a/internal/simtest/flood_sim_test.go
+++ b/internal/simtest/overload_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -48,7 +48,7 @@
 // flood is a day on which one-task jobs come four a second for minutes, of which a quarter are cancelled.
 type flood struct {
 	*world
-	*standin.Checker
+	*simulator.Checker
 	luck  *rand.Rand
 	slow  *rand.Rand
 	mu    sync.Mutex
@@ -165,14 +165,14 @@
 	w := newWorldOf(t, s.count, 1, 0, func(c *config.Config) {
 		c.Store, c.Tuning.History = s.store, config.DefaultTuning().History
 	})
-	w.store.Stage(func(st *standin.Store) {
-		st.Limits = standin.Limits{RPS: s.store.RPS, WriteRPS: s.store.WriteRPS, ValueBytes: s.store.ValueBytes, TxnOps: s.store.TxnOps, Kept: 1000}
+	w.store.Stage(func(st *simulator.Store) {
+		st.Limits = simulator.Limits{RPS: s.store.RPS, WriteRPS: s.store.WriteRPS, ValueBytes: s.store.ValueBytes, TxnOps: s.store.TxnOps, Kept: 1000}
 		st.Delay = usual
 	})
 	f := &flood{world: w, Checker: w.check, luck: rand.New(rand.NewPCG(1, 7)), slow: rand.New(rand.NewPCG(1, 9)), drops: map[string]*drop{}}
 	w.ground = f
 	w.machines(2*time.Second, func() time.Duration { return 0 })
-	w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Capacity = 15 })
+	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 15 })
 	return f
 }
 
@@ -193,7 +193,7 @@
 	}, 9*time.Second + 4*time.Second},
 	"the state service is slow": {func(f *flood) {
 		lasting(60*time.Second, func(on bool) {
-			f.store.Stage(func(st *standin.Store) {
+			f.store.Stage(func(st *simulator.Store) {
 				if st.Delay = usual; on {
 					st.Delay = func() time.Duration { return time.Duration(300+f.draw(f.slow, 700)) * time.Millisecond }
 				}
@@ -202,7 +202,7 @@
 	}, 4 * time.Second}, // a read, a write and the two before them
 	"writes get no answer": {func(f *flood) {
 		lasting(60*time.Second, func(on bool) {
-			f.store.Stage(func(st *standin.Store) { st.Lossy = map[bool]float64{true: 0.3}[on] })
+			f.store.Stage(func(st *simulator.Store) { st.Lossy = map[bool]float64{true: 0.3}[on] })
 		})
 	}, 10 * time.Second}, // some of them four times, which takes 2.5 s each
 }
--- a/internal/simtest/stall_sim_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // trouble is a fault that lasts for a while.
@@ -29,7 +29,7 @@
 // everyMachine gives the hosts of all machines that are up.
 func (w *world) everyMachine() (hosts []string) {
 	for i := range w.cloud.Count() {
-		hosts = append(hosts, standin.HostOf(w.cloud.Up(i)))
+		hosts = append(hosts, simulator.HostOf(w.cloud.Up(i)))
 	}
 	return hosts
 }
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/history"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -33,9 +33,9 @@
 	dir      string
 	subnet   string // such as 127.45.0.
 	binary   string
-	store    *standin.Store
-	cloud    *standin.Cloud
-	check    *standin.Checker
+	store    *simulator.Store
+	cloud    *simulator.Cloud
+	check    *simulator.Checker
 	caller   *transport.Caller
 	settings map[string]any // params.state
 	state    string         // address of the state service
@@ -52,11 +52,11 @@
 // with the test.
 func newCluster(t testing.TB, state map[string]any, ini string, capacity int) *cluster {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &cluster{t: t, ctx: ctx, dir: t.TempDir(), store: standin.NewStore(1, 0), settings: state,
+	c := &cluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStore(1, 0), settings: state,
 		caller: &transport.Caller{Limit: 1 << 20, Dial: sockets.Dial}}
 	c.subnet = fmt.Sprintf("127.%d.%d.", 20+os.Getpid()%200, 1+time.Now().UnixNano()%250)
 	c.state = c.subnet + "200:2379"
-	c.check = standin.NewChecker(30*time.Second, map[string]float64{"red": 12})
+	c.check = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
 	c.binary = filepath.Join(c.dir, "amberdeal")
 	build := exec.Command("go", "build", "-o", c.binary, "./cmd/amberdeal")
 	build.Dir = repositoryRoot
@@ -68,11 +68,11 @@
 		names[fmt.Sprint("c-", i)] = c.addr(i + 1)
 	}
 	spec := wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1, BootS: 1, Zones: []string{"a", "b"}}
-	yard := standin.NewYard(c.check, 20*time.Second, 3*time.Second)
-	c.cloud = &standin.Cloud{Capacity: capacity, Boot: 100 * time.Millisecond, Lag: 200 * time.Millisecond, Subnet: c.subnet, Rand: rand.New(rand.NewPCG(1, 3)),
+	yard := simulator.NewYard(c.check, 20*time.Second, 3*time.Second)
+	c.cloud = &simulator.Cloud{Capacity: capacity, Boot: 100 * time.Millisecond, Lag: 200 * time.Millisecond, Subnet: c.subnet, Rand: rand.New(rand.NewPCG(1, 3)),
 		Types: []wire.MachineType{spec},
-		Start: func(id, addr, typ, zone string, spot bool) standin.Machine {
-			return standin.NewWorker(standin.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: spec, Net: sockets, Down: func() {}, Controllers: names,
+		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
+			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: spec, Net: sockets, Down: func() {}, Controllers: names,
 				Yard: yard, Lease: 8 * time.Second, Report: time.Second})
 		}}
 	go sockets.Listen(ctx, c.subnet+"200:2379", 1000, c.store.Serve())
@@ -253,7 +253,7 @@
 	}
 	c := newCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 1, "txn_ops": 8},
 		"[claim]\nlease = 2s\nrenew = 500ms\n[history]\nevery = 100ms\nwait = 200ms\nmerge_at = 1\n", 3)
-	c.store.Stage(func(s *standin.Store) { s.Limits = standin.Limits{ValueBytes: 1024, TxnOps: 8, PageItems: 20} })
+	c.store.Stage(func(s *simulator.Store) { s.Limits = simulator.Limits{ValueBytes: 1024, TxnOps: 8, PageItems: 20} })
 	for i := range 3 {
 		c.start(i)
 	}
@@ -386,7 +386,7 @@
 		for _, i := range order {
 			c.start(i)
 		}
-		c.cloud.Each(func(_ wire.ListedMachine, m standin.Machine) {
+		c.cloud.Each(func(_ wire.ListedMachine, m simulator.Machine) {
 			if fate.IntN(40) == 0 {
 				m.(interface{ Reboot(time.Duration, bool) }).Reboot(100*time.Millisecond, false)
 			}
@@ -427,7 +427,7 @@
 	run("export", "--config", config, file)
 	run("verify", file)
 	limits := c.store.Limits
-	c.store = standin.NewStore(2, 0)
+	c.store = simulator.NewStore(2, 0)
 	c.store.Limits = limits
 	c.state = c.subnet + "202:2379"
 	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
@@ -442,13 +442,13 @@
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
-func (c *cluster) account() history.Account {
+func (c *cluster) account() archive.Account {
 	var items []wire.Item
 	for after := ""; ; {
 		page := c.store.Page(store.Stem, after, 0)
 		items = append(items, page.Items...)
 		if !page.More {
-			return history.Verify(c.ctx, items)
+			return archive.Verify(c.ctx, items)
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
@@ -469,17 +469,17 @@
 func (c *cluster) fill(n int) (ids []string) {
 	limit := c.settings["value_kb"].(int) << 10
 	luck := rand.New(rand.NewPCG(1, 1))
-	entries := make([]archive.Entry, 0, n)
+	entries := make([]jobblock.Entry, 0, n)
 	for i := range n {
 		id := fmt.Sprintf("wk-%08d", i*10+luck.IntN(10))
-		entries = append(entries, archive.Entry{ID: id, Stage: []wire.Stage{wire.Done, wire.Cancelled, wire.Done}[luck.IntN(3)], Tasks: 1 + luck.IntN(30)})
+		entries = append(entries, jobblock.Entry{ID: id, Stage: []wire.Stage{wire.Done, wire.Cancelled, wire.Done}[luck.IntN(3)], Tasks: 1 + luck.IntN(30)})
 	}
 	recent := entries[:0:0]
 	if n > 3000 {
 		recent = entries[n-3000:]
 		entries = entries[:n-3000]
 	}
-	records := archive.Split("", entries, limit*9/10)
+	records := jobblock.Split("", entries, limit*9/10)
 	for i, r := range records {
 		to := "~"
 		if i+1 < len(records) {
@@ -487,7 +487,7 @@
 		}
 		c.store.Commit(wire.Txn{Then: []wire.Change{{Put: store.History + to, Value: r}}})
 	}
-	c.store.Commit(wire.Txn{Then: []wire.Change{{Put: store.RecentKey(0), Value: archive.Pack("", recent)}}})
+	c.store.Commit(wire.Txn{Then: []wire.Change{{Put: store.RecentKey(0), Value: jobblock.Pack("", recent)}}})
 	for _, e := range append(entries, recent...) {
 		ids = append(ids, e.ID)
 	}
@@ -549,7 +549,7 @@
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			c := newCluster(b, map[string]any{"rps": 30000, "write_rps": 30000, "value_kb": 8, "txn_ops": 20}, "[history]\nevery = 100ms\nwait = 1s\n", 0)
-			c.store.Stage(func(s *standin.Store) { s.Limits = standin.Limits{ValueBytes: 8192, TxnOps: 20} })
+			c.store.Stage(func(s *simulator.Store) { s.Limits = simulator.Limits{ValueBytes: 8192, TxnOps: 20} })
 			ids := c.fill(n)
 			for i := range 3 {
 				c.start(i)
--- a/internal/simtest/limits_sim_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -198,7 +198,7 @@
 		}
 	}
 	if d.keeps {
-		lasting(max(d.lasts, d.after+30*time.Second), func(on bool) { w.cloud.Fail(func(f *standin.CloudFaults) { f.Trouble = on }) })
+		lasting(max(d.lasts, d.after+30*time.Second), func(on bool) { w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = on }) })
 	}
 	at := func(after time.Duration) { time.Sleep(time.Until(begun.Add(after))) }
 	cancel := func() {
--- a/internal/simtest/builds_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -23,7 +23,7 @@
 
 	"amberdeal.example/amberdeal/internal/cas"
 	"amberdeal.example/amberdeal/internal/reapi"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -77,7 +77,7 @@
 }
 
 // agent starts an agent on a rented machine.
-func (c *cluster) agent(id, addr, typ, zone string, spot bool) standin.Machine {
+func (c *cluster) agent(id, addr, typ, zone string, spot bool) simulator.Machine {
 	ini := fmt.Sprintf("[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = 16\ngpus = 4\nmemory_gb = 64\n[workers]\nreport = 1s\nlease = 8s\n[actions]\ncas = %s\ndir = %s\n[controllers]\n",
 		id, typ, zone, spot, addr, c.casAddr(), filepath.Join(c.dir, id))
 	for i := range 3 {
--- a/internal/simtest/oldreports_sim_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -31,7 +31,7 @@
 	caller := &transport.Caller{Limit: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
 	for _, m := range d.workers() {
 		ctx, cancel := context.WithTimeout(d.ctx, sec)
-		resp, err := caller.Call(ctx, standin.Address(m.host, 9000), "GET", wire.PathInspect, nil)
+		resp, err := caller.Call(ctx, simulator.Address(m.host, 9000), "GET", wire.PathInspect, nil)
 		cancel()
 		var r wire.Report
 		if err == nil && wire.Decode(resp.Body, &r) == nil {
@@ -43,7 +43,7 @@
 // inA gives the machines in zone a, which is a part where the fleet is divided.
 func (d *drawer) inA() (out []upMachine) {
 	in := map[string]bool{}
-	d.cloud.Each(func(l wire.ListedMachine, _ standin.Machine) { in[l.ID] = l.Zone == "a" })
+	d.cloud.Each(func(l wire.ListedMachine, _ simulator.Machine) { in[l.ID] = l.Zone == "a" })
 	for _, m := range d.workers() {
 		if in[m.id] {
 			out = append(out, m)
@@ -99,7 +99,7 @@
 		}
 		for i := range d.count {
 			ctx, cancel := context.WithTimeout(d.ctx, sec)
-			resp, err := caller.Call(ctx, standin.Address(d.ip(i), 8080), "POST", wire.PathReport, wire.Encode(r))
+			resp, err := caller.Call(ctx, simulator.Address(d.ip(i), 8080), "POST", wire.PathReport, wire.Encode(r))
 			cancel()
 			var a wire.Answer
 			if err != nil || resp.Status != 200 || wire.Decode(resp.Body, &a) != nil || a.Term <= d.was {
@@ -152,7 +152,7 @@
 	lastly := func(w *world) int { return w.holder(map[string]string{"off": "fleet", "zone": "a"}[by]) }
 	day{seed: seed, count: count, set: func(c *config.Config) { c.Tuning.Parts.By = by }, begin: func(w *world) {
 		d, claimed = &drawer{world: w, kinds: map[string]int{}}, make(chan struct{}, 100)
-		w.store.Stage(func(s *standin.Store) {
+		w.store.Stage(func(s *simulator.Store) {
 			s.Took = func(puts []string) {
 				for _, key := range puts {
 					if key == store.TermKey {
--- a/internal/simtest/days_sim_test.go
+++ b/internal/simtest/script_test.go
@@ -17,7 +17,7 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -81,7 +81,7 @@
 // worldOfDoors is one in which each controller has a door of its own to the state service, so that
 // one alone can be refused.
 func worldOfDoors(t *testing.T, count int, seed uint64, set func(*config.Config)) *world {
-	door := func(i int) string { return standin.Address(stateHost, 2400+i) }
+	door := func(i int) string { return simulator.Address(stateHost, 2400+i) }
 	w := newWorldOf(t, count, seed, 0, func(c *config.Config) {
 		if c.StoreAddr = door(numberOf(c.Name)); set != nil {
 			set(c)
@@ -150,14 +150,14 @@
 
 // upMachine is one that is up.
 type upMachine struct {
-	*standin.Worker
+	*simulator.Worker
 	id, host string
 }
 
 // workers gives the machines that are up.
 func (w *world) workers() (out []upMachine) {
-	w.cloud.Each(func(l wire.ListedMachine, m standin.Machine) {
-		out = append(out, upMachine{m.(*standin.Worker), l.ID, standin.HostOf(l.Addr)})
+	w.cloud.Each(func(l wire.ListedMachine, m simulator.Machine) {
+		out = append(out, upMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
 	})
 	return out
 }
@@ -166,7 +166,7 @@
 // get direct calls.
 func (w *world) machines(report time.Duration, late func() time.Duration) {
 	begin := w.machine(report, late)
-	w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Start = begin })
+	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Start = begin })
 }
 
 // deaf has machines be heard, and hear nothing, for a while, and gives them.
@@ -192,7 +192,7 @@
 	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, patience)
 	defer cancel()
-	return caller.Call(ctx, standin.Address(w.ip(i), 8080), method, path, body)
+	return caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
 }
 
 // forever is how long tasks of services run.
@@ -225,7 +225,7 @@
 
 // floor is what machines do as the checker sees it, and where and when, for troubles that come then.
 type floor struct {
-	*standin.Checker
+	*simulator.Checker
 	mu    sync.Mutex
 	quick time.Time                 // until when machines are up at once
 	since map[string]time.Time      // when each of these came up
@@ -236,7 +236,7 @@
 	cancelled, looks, atOnce atomic.Int64 // jobs, questions, and tasks on machines that have just come up
 }
 
-func newFloor(c *standin.Checker) *floor {
+func newFloor(c *simulator.Checker) *floor {
 	return &floor{Checker: c, since: map[string]time.Time{}, at: map[wire.TaskID]string{}, ends: map[wire.TaskID]time.Time{}}
 }
 
--- a/internal/simtest/sim_test.go
+++ b/internal/simtest/simulation_test.go
@@ -17,10 +17,10 @@
 	"testing/synctest"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/controller"
-	"amberdeal.example/amberdeal/internal/history"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
@@ -30,12 +30,12 @@
 type world struct {
 	t      *testing.T
 	count  int
-	net    *standin.Net
-	store  *standin.Store
-	cloud  *standin.Cloud
-	check  *standin.Checker
+	net    *simulator.Net
+	store  *simulator.Store
+	cloud  *simulator.Cloud
+	check  *simulator.Checker
 	floor  *floor
-	ground standin.Ground // that machines come up on, if it is not the floor
+	ground simulator.Ground // that machines come up on, if it is not the floor
 	rand   *rand.Rand
 	nodes  []*node
 	group  sync.WaitGroup
@@ -45,17 +45,17 @@
 	tamper  func(*config.Config)
 	drawing sync.Mutex
 	// users ask about all jobs that were accepted, apart from those who submitted them.
-	users  *standin.Users
+	users  *simulator.Users
 	dial   func(ctx context.Context, addr string) (net.Conn, error) // by which they reach controllers, if it is set
 	asking sync.WaitGroup
-	echo   *standin.Echo
-	over   time.Time     // since when all troubles are; zero while nobody has said so
-	yard   *standin.Yard // that machines share
+	echo   *simulator.Echo
+	over   time.Time       // since when all troubles are; zero while nobody has said so
+	yard   *simulator.Yard // that machines share
 }
 
 type node struct {
 	ip   string
-	host standin.Host // of its present life
+	host simulator.Host // of its present life
 	stop context.CancelFunc
 	done chan struct{}
 	down atomic.Bool
@@ -71,7 +71,7 @@
 }
 
 func newWorldOf(t *testing.T, count int, seed uint64, lossy float64, tamper func(*config.Config)) *world {
-	w := &world{t: t, count: count, net: standin.NewNet(), store: standin.NewStore(seed, lossy), rand: rand.New(rand.NewPCG(seed, 2)), tamper: tamper}
+	w := &world{t: t, count: count, net: simulator.NewNet(), store: simulator.NewStore(seed, lossy), rand: rand.New(rand.NewPCG(seed, 2)), tamper: tamper}
 	late := rand.New(rand.NewPCG(seed, 5))
 	var mu sync.Mutex
 	heldUp := func() time.Duration {
@@ -82,20 +82,20 @@
 		}
 		return time.Duration(late.IntN(40000)+1) * time.Millisecond
 	}
-	w.store.Limits = standin.Limits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that paging is tried
-	w.check = standin.NewChecker(45*time.Second, map[string]float64{"red": 6})
+	w.store.Limits = simulator.Limits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that paging is tried
+	w.check = simulator.NewChecker(45*time.Second, map[string]float64{"red": 6})
 	w.floor = newFloor(w.check)
 	w.ctx, w.stop = context.WithCancel(t.Context())
 	for i := range count {
 		w.net.Place(w.ip(i), w.settings(i).Zone)
 	}
-	w.echo = &standin.Echo{Dial: w.net.Host("10.4.0.1").Dial, Most: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
+	w.echo = &simulator.Echo{Dial: w.net.Host("10.4.0.1").Dial, Most: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
 	for i := range count {
-		w.echo.Nodes = append(w.echo.Nodes, standin.Address(w.ip(i), 8080))
+		w.echo.Nodes = append(w.echo.Nodes, simulator.Address(w.ip(i), 8080))
 	}
 	typ := g4
 	typ.Zones = w.settings(0).Zones
-	w.cloud = &standin.Cloud{Capacity: 4, Lag: 2 * time.Second, Boot: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
+	w.cloud = &simulator.Cloud{Capacity: 4, Lag: 2 * time.Second, Boot: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
 		Types: []wire.MachineType{typ}, Start: w.machine(2*time.Second, heldUp)}
 	go w.net.Host("10.2.0.1").Listen(w.ctx, "10.2.0.1:2379", 0, w.store.Serve())
 	go w.net.Host("10.2.0.2").Listen(w.ctx, "10.2.0.2:8443", 0, w.cloud.Serve())
@@ -104,9 +104,9 @@
 		w.nodes = append(w.nodes, n)
 		w.start(i)
 	}
-	w.check.Site = standin.Site{Types: []wire.MachineType{typ}, Teams: map[string]standin.Limit{}}
+	w.check.Site = simulator.Site{Types: []wire.MachineType{typ}, Teams: map[string]simulator.Limit{}}
 	for _, team := range w.settings(0).Teams {
-		w.check.Site.Teams[team.Name] = standin.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+		w.check.Site.Teams[team.Name] = simulator.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 	}
 	w.check.Room.Limits = w.check.Site.Teams
 	w.net.Watch(func(from string, p []byte) { w.check.Late.Sees(time.Now(), from, p) })
@@ -115,17 +115,17 @@
 }
 
 // machine starts machines that report so often and get direct calls so late.
-func (w *world) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) standin.Machine {
-	names, yard := map[string]string{}, standin.NewYard(cmp.Or[standin.Ground](w.ground, w.floor), 20*time.Second, 3*time.Second)
+func (w *world) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
+	names, yard := map[string]string{}, simulator.NewYard(cmp.Or[simulator.Ground](w.ground, w.floor), 20*time.Second, 3*time.Second)
 	w.yard = yard
 	for i := range w.count {
-		names[fmt.Sprintf("c-%d", i)] = standin.Address(w.ip(i), 8080)
+		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
-	return func(id, addr, typ, zone string, spot bool) standin.Machine {
-		host := standin.HostOf(addr)
+	return func(id, addr, typ, zone string, spot bool) simulator.Machine {
+		host := simulator.HostOf(addr)
 		w.net.Place(host, zone)
 		w.floor.up(id)
-		return standin.NewWorker(standin.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
+		return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
 			Down: func() { w.net.Down(host, true) }, Controllers: names, Yard: yard, Lease: workerLease, Report: report, Late: late, Echo: w.echo})
 	}
 }
@@ -140,7 +140,7 @@
 func (w *world) ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
 func (w *world) settings(i int) *config.Config {
-	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: standin.Address(w.ip(i), 8080), MeshAddr: standin.Address(w.ip(i), 8081),
+	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), MeshAddr: simulator.Address(w.ip(i), 8081),
 		CloudAddr: "10.2.0.2:8443", StoreAddr: "10.2.0.1:2379", Zones: []string{"a", "b"},
 		Teams:   []config.Team{{Name: "red", GPUs: 4, GPUsMax: 6}, {Name: "blue"}},
 		Workers: config.Workers{Report: 2 * time.Second, Lease: workerLease, GangWait: 20 * time.Second, GangPeer: 3 * time.Second, Cancel: 45 * time.Second},
@@ -149,7 +149,7 @@
 	c.Tuning.History = config.History{Fold: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // merged at once
 	for k := range w.count {
 		if k != i {
-			c.Siblings = append(c.Siblings, config.Sibling{Name: fmt.Sprintf("c-%d", k), Addr: standin.Address(w.ip(k), 8081)})
+			c.Siblings = append(c.Siblings, config.Sibling{Name: fmt.Sprintf("c-%d", k), Addr: simulator.Address(w.ip(k), 8081)})
 		}
 	}
 	if w.tamper != nil {
@@ -229,16 +229,16 @@
 }
 
 // askers are who asks about jobs, by way of a load balancer.
-func (w *world) askers() *standin.Users {
+func (w *world) askers() *simulator.Users {
 	w.drawing.Lock()
 	defer w.drawing.Unlock()
 	if w.users == nil {
-		w.users = &standin.Users{Dial: w.net.Host("10.3.0.2").Dial, Judge: &w.check.Known}
+		w.users = &simulator.Users{Dial: w.net.Host("10.3.0.2").Dial, Judge: &w.check.Known}
 		if w.dial != nil {
 			w.users.Dial = w.dial
 		}
 		for i := range w.nodes {
-			w.users.Nodes = append(w.users.Nodes, standin.Address(w.ip(i), 8080))
+			w.users.Nodes = append(w.users.Nodes, simulator.Address(w.ip(i), 8080))
 		}
 		w.asking.Go(func() { w.users.Run(w.ctx) })
 	}
@@ -267,7 +267,7 @@
 		ask := func(method, path string, body []byte, asked bool) int {
 			for try := 0; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
-				resp, err := caller.Call(ctx, standin.Address(w.ip((len(j.ID)+try)%3), 8080), method, path, body)
+				resp, err := caller.Call(ctx, simulator.Address(w.ip((len(j.ID)+try)%3), 8080), method, path, body)
 				cancel()
 				if err == nil && resp.Status != 503 {
 					var s wire.JobStatus
@@ -419,13 +419,13 @@
 }
 
 // account looks at all that is in the state service.
-func (w *world) account() history.Account {
+func (w *world) account() archive.Account {
 	var items []wire.Item
 	for after := ""; ; {
 		page := w.store.Page(store.Stem, after, 0)
 		items = append(items, page.Items...)
 		if !page.More {
-			return history.Verify(context.Background(), items)
+			return archive.Verify(context.Background(), items)
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
@@ -437,7 +437,7 @@
 func TestFoldingFallsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
-		w.store.Stage(func(s *standin.Store) { s.Limits.WriteRPS = 4 })
+		w.store.Stage(func(s *simulator.Store) { s.Limits.WriteRPS = 4 })
 		time.Sleep(5 * time.Second)
 		for i := range 120 {
 			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
@@ -466,7 +466,7 @@
 func TestForgetfulStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 12, 0.02, nil)
-		w.store.Stage(func(s *standin.Store) { s.Delay = func() time.Duration { return 20 * time.Millisecond } })
+		w.store.Stage(func(s *simulator.Store) { s.Delay = func() time.Duration { return 20 * time.Millisecond } })
 		w.group.Add(1)
 		go func() {
 			defer w.group.Done()
@@ -578,13 +578,13 @@
 		})
 		names := map[string]string{}
 		for i := range 3 {
-			names[fmt.Sprintf("c-%d", i)] = standin.Address(w.ip(i), 8080)
+			names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 		}
-		var workers []*standin.Worker
+		var workers []*simulator.Worker
 		for i := range 500 {
 			ip := fmt.Sprintf("10.9.%d.%d", i/200, i%200)
-			workers = append(workers, standin.NewWorker(standin.WorkerConfig{ID: fmt.Sprintf("n-9%05d", i), Addr: standin.Address(ip, 9000), Type: "g4", Zone: "a", Spec: g4,
-				Net: w.net.Host(ip), Down: func() {}, Controllers: names, Yard: standin.NewYard(w.check, time.Minute, time.Second), Lease: workerLease, Report: 2 * time.Second}))
+			workers = append(workers, simulator.NewWorker(simulator.WorkerConfig{ID: fmt.Sprintf("n-9%05d", i), Addr: simulator.Address(ip, 9000), Type: "g4", Zone: "a", Spec: g4,
+				Net: w.net.Host(ip), Down: func() {}, Controllers: names, Yard: simulator.NewYard(w.check, time.Minute, time.Second), Lease: workerLease, Report: 2 * time.Second}))
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
--- a/internal/simtest/scenario_sim_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -36,7 +36,7 @@
 	return 0
 }
 
-func (s *scene) each(do func(m wire.ListedMachine, w standin.Machine)) { s.cloud.Each(do) }
+func (s *scene) each(do func(m wire.ListedMachine, w simulator.Machine)) { s.cloud.Each(do) }
 
 // cutMachines severs a controller from all machines, also those that are yet to come, one
 // way if that is meant.
@@ -58,11 +58,11 @@
 func (s *scene) room(zone string, d time.Duration, controllers ...int) {
 	var inside []string
 	outside := []string{"10.2.0.1", "10.2.0.2", "10.3.0.1"}
-	s.each(func(m wire.ListedMachine, _ standin.Machine) {
+	s.each(func(m wire.ListedMachine, _ simulator.Machine) {
 		if m.Zone == zone {
-			inside = append(inside, standin.HostOf(m.Addr))
+			inside = append(inside, simulator.HostOf(m.Addr))
 		} else {
-			outside = append(outside, standin.HostOf(m.Addr))
+			outside = append(outside, simulator.HostOf(m.Addr))
 		}
 	})
 	for i := range 3 {
@@ -82,8 +82,8 @@
 }
 
 // machine does something to the first machines that are up.
-func (s *scene) machines(n int, spot bool, do func(id string, w standin.Machine)) {
-	s.each(func(m wire.ListedMachine, w standin.Machine) {
+func (s *scene) machines(n int, spot bool, do func(id string, w simulator.Machine)) {
+	s.each(func(m wire.ListedMachine, w simulator.Machine) {
 		if n > 0 && (!spot || m.Spot) {
 			n--
 			do(m.ID, w)
@@ -92,17 +92,17 @@
 }
 
 func (s *scene) hang(n int, d time.Duration) {
-	s.machines(n, false, func(_ string, w standin.Machine) { w.(interface{ Hang(time.Duration) }).Hang(d) })
+	s.machines(n, false, func(_ string, w simulator.Machine) { w.(interface{ Hang(time.Duration) }).Hang(d) })
 }
 
-func (s *scene) fail(d time.Duration, change func(f *standin.CloudFaults)) {
+func (s *scene) fail(d time.Duration, change func(f *simulator.CloudFaults)) {
 	s.cloud.Fail(change)
-	time.AfterFunc(d, func() { s.cloud.Fail(func(f *standin.CloudFaults) { *f = standin.CloudFaults{} }) })
+	time.AfterFunc(d, func() { s.cloud.Fail(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 }
 
 func (s *scene) lose(share float64, d time.Duration) {
-	s.store.Stage(func(st *standin.Store) { st.Lossy = share })
-	time.AfterFunc(d, func() { s.store.Stage(func(st *standin.Store) { st.Lossy = 0 }) })
+	s.store.Stage(func(st *simulator.Store) { st.Lossy = share })
+	time.AfterFunc(d, func() { s.store.Stage(func(st *simulator.Store) { st.Lossy = 0 }) })
 }
 
 func (s *scene) killAll(back time.Duration) {
@@ -116,8 +116,8 @@
 	{name: "the state service is out for 12 s", stage: func(s *scene) { lasting(12*time.Second, s.store.Outage) }},
 	{name: "the state service is out for longer than a worker's lease", stage: func(s *scene) { lasting(40*time.Second, s.store.Outage) }, again: -1},
 	{name: "the state service answers after a second", stage: func(s *scene) {
-		s.store.Stage(func(st *standin.Store) { st.Delay = func() time.Duration { return time.Second } })
-		time.AfterFunc(40*time.Second, func() { s.store.Stage(func(st *standin.Store) { st.Delay = nil }) })
+		s.store.Stage(func(st *simulator.Store) { st.Delay = func() time.Duration { return time.Second } })
+		time.AfterFunc(40*time.Second, func() { s.store.Stage(func(st *simulator.Store) { st.Delay = nil }) })
 	}},
 	{name: "a tenth of all transactions get no answer", stage: func(s *scene) { s.lose(0.1, time.Minute) }},
 	{name: "half of all transactions get no answer", stage: func(s *scene) { s.lose(0.5, 30*time.Second) }},
@@ -198,9 +198,9 @@
 			lasting(12*time.Second, func(on bool) { s.net.Full(s.ip(i), on) })
 		}
 	}},
-	{name: "a machine dies", stage: func(s *scene) { s.machines(1, false, func(id string, _ standin.Machine) { s.cloud.Die(id) }) }, again: -1},
+	{name: "a machine dies", stage: func(s *scene) { s.machines(1, false, func(id string, _ simulator.Machine) { s.cloud.Die(id) }) }, again: -1},
 	{name: "half of the machines die", stage: func(s *scene) {
-		s.machines(s.cloud.Count()/2, false, func(id string, _ standin.Machine) { s.cloud.Die(id) })
+		s.machines(s.cloud.Count()/2, false, func(id string, _ simulator.Machine) { s.cloud.Die(id) })
 	}, again: -1},
 	{name: "a machine hangs for most of its lease and goes on", stage: func(s *scene) { s.hang(1, 15*time.Second) }, again: -1},
 	{name: "a machine hangs for longer than its lease and goes on", stage: func(s *scene) { s.hang(1, 30*time.Second) }, again: -1},
@@ -209,21 +209,21 @@
 	{name: "a room is cut off for a minute", stage: func(s *scene) { s.room("a", time.Minute) }, again: -1},
 	{name: "a room is cut off with the holder in it", stage: func(s *scene) { s.room("b", 40*time.Second, s.holder()) }, again: -1},
 	{name: "a wave of spot machines is taken without notice", stage: func(s *scene) {
-		s.machines(99, true, func(id string, _ standin.Machine) { s.cloud.TakeBack(id, 0) })
+		s.machines(99, true, func(id string, _ simulator.Machine) { s.cloud.TakeBack(id, 0) })
 	}, again: -1},
 	{name: "a wave of spot machines is taken with notice", stage: func(s *scene) {
-		s.machines(99, true, func(id string, _ standin.Machine) { s.cloud.TakeBack(id, 10*time.Second) })
+		s.machines(99, true, func(id string, _ simulator.Machine) { s.cloud.TakeBack(id, 10*time.Second) })
 	}, again: -1},
 	{name: "a room fails while spot machines are taken and jobs are folded", stage: func(s *scene) {
 		s.room("b", 30*time.Second)
-		s.machines(99, true, func(id string, _ standin.Machine) { s.cloud.TakeBack(id, 0) })
+		s.machines(99, true, func(id string, _ simulator.Machine) { s.cloud.TakeBack(id, 0) })
 		s.kill(s.holder(), 3*time.Second)
 	}, again: -1},
-	{name: "the cloud answers nobody", stage: func(s *scene) { s.fail(40*time.Second, func(f *standin.CloudFaults) { f.Trouble = true }) }},
-	{name: "the cloud has no machine to give", stage: func(s *scene) { s.fail(40*time.Second, func(f *standin.CloudFaults) { f.Fewer = 1 }) }},
-	{name: "machines take ten times as long to boot", stage: func(s *scene) { s.fail(time.Minute, func(f *standin.CloudFaults) { f.BootTimes = 10 }) }},
-	{name: "half of the machines never come up", stage: func(s *scene) { s.fail(time.Minute, func(f *standin.CloudFaults) { f.NeverUp = 0.5 }) }},
-	{name: "rentals are carried out late and without an answer", stage: func(s *scene) { s.fail(20*time.Second, func(f *standin.CloudFaults) { f.Late = 8 * time.Second }) }},
+	{name: "the cloud answers nobody", stage: func(s *scene) { s.fail(40*time.Second, func(f *simulator.CloudFaults) { f.Trouble = true }) }},
+	{name: "the cloud has no machine to give", stage: func(s *scene) { s.fail(40*time.Second, func(f *simulator.CloudFaults) { f.Fewer = 1 }) }},
+	{name: "machines take ten times as long to boot", stage: func(s *scene) { s.fail(time.Minute, func(f *simulator.CloudFaults) { f.BootTimes = 10 }) }},
+	{name: "half of the machines never come up", stage: func(s *scene) { s.fail(time.Minute, func(f *simulator.CloudFaults) { f.NeverUp = 0.5 }) }},
+	{name: "rentals are carried out late and without an answer", stage: func(s *scene) { s.fail(20*time.Second, func(f *simulator.CloudFaults) { f.Late = 8 * time.Second }) }},
 	{name: "the holder of one of two parts is killed", set: inZones, stage: func(s *scene) { s.kill(s.holder(), 3*time.Second) }},
 	{name: "all controllers are killed, two parts", set: inZones, stage: func(s *scene) { s.killAll(3 * time.Second) }},
 	{name: "a room of its own part is cut off", set: inZones, stage: func(s *scene) { s.room("a", time.Minute) }, again: -1},
--- a/internal/simtest/slowlinks_sim_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -16,7 +16,7 @@
 func TestGangWaitsForASlowFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 41, 0, nil)
-		w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Rooms = map[standin.Offer]int{{Type: "g4", Zone: "a"}: 2} })
+		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 2} })
 		big := func(j *wire.Job) { j.GPUs, j.CPUs, j.ImageGB, j.Image = 4, 8, 30, "big" }
 		w.submitter(41, jobOf("wk-1", wire.Array, 1, 10*time.Second, big), time.Second, 0, 10*time.Second)
 		for w.check.Stage("wk-1") != wire.Done {
@@ -41,7 +41,7 @@
 func TestNothingWaitsForALongFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 42, 0, nil)
-		w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Rooms = map[standin.Offer]int{{Type: "g4", Zone: "a"}: 1} })
+		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 1} })
 		w.calm()
 		w.submitter(42, jobOf("wk-1", wire.Service, 1, forever, func(j *wire.Job) { j.Image, j.ImageGB = "weights", 200 }), 0, 5*time.Minute, forever)
 		time.Sleep(20 * time.Second)
@@ -64,7 +64,7 @@
 func TestFetchesAreNotGivenUpAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 43, 0, nil)
-		w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Rooms = map[standin.Offer]int{{Type: "g4", Zone: "a"}: 3} })
+		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 3} })
 		for n := range 6 {
 			w.submitter(43, jobOf(fmt.Sprint("wk-", n+1), wire.Array, 4, 20*time.Second, func(j *wire.Job) { j.Image, j.ImageGB = fmt.Sprint("big-", n), 30 }), time.Second, 0, 20*time.Second)
 		}
--- a/internal/simtest/asked_sim_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -170,7 +170,7 @@
 		first, second, last := m.replica("wk-1"), m.replica("wk-2"), m.replica("wk-3")
 		time.Sleep(time.Duration(30+luck.IntN(10)) * time.Second)
 		slow := time.Duration(luck.IntN(1200)) * time.Millisecond
-		w.store.Stage(func(s *standin.Store) { s.Delay = func() time.Duration { return slow } })
+		w.store.Stage(func(s *simulator.Store) { s.Delay = func() time.Duration { return slow } })
 		time.Sleep(time.Duration(luck.IntN(5000)) * time.Millisecond)
 		leader := w.leader()
 		other := (leader + 1) % w.count
@@ -198,7 +198,7 @@
 			w.refuse(max(0, leader), false)
 		}
 		w.store.Outage(false)
-		w.store.Stage(func(s *standin.Store) { s.Delay = nil })
+		w.store.Stage(func(s *simulator.Store) { s.Delay = nil })
 		time.Sleep(time.Minute)
 		m.close(6, 40)
 	})
@@ -340,7 +340,7 @@
 	{"the state service is slow, and takes some transactions late", func(w *world, luck *rand.Rand, d time.Duration) {
 		slow := time.Duration(luck.IntN(1500)) * time.Millisecond
 		lasting(d, func(on bool) {
-			w.store.Stage(func(s *standin.Store) {
+			w.store.Stage(func(s *simulator.Store) {
 				if s.Delay, s.Lossy = nil, 0; on {
 					s.Delay, s.Lossy = func() time.Duration { return slow }, 0.2
 				}
--- a/internal/simtest/ends_sim_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -74,30 +74,30 @@
 // endMeets is what meets the write of an end, by whoever holds the part.
 type endMeets struct {
 	name string
-	fate standin.Fate
+	fate simulator.Fate
 	cast func(w *world, holder int, luck *rand.Rand)
 	lost bool // a machine goes with it, so that what it did may have to be done again
 }
 
 var endsMeet = []endMeets{
-	{"the holder crashes, the write is lost", standin.Lost, crashHolder, false},
-	{"the holder crashes, the write comes late", standin.Late, crashHolder, false},
-	{"the holder crashes, the write is taken", standin.Taken, crashHolder, false},
-	{"the holder is cut off with its machines, the write comes late", standin.Late, cutHolder, false},
-	{"the holder is cut off with its machines, the write is taken", standin.Taken, cutHolder, false},
-	{"the holder crashes with a machine, the write is lost", standin.Lost, func(w *world, holder int, luck *rand.Rand) {
+	{"the holder crashes, the write is lost", simulator.Lost, crashHolder, false},
+	{"the holder crashes, the write comes late", simulator.Late, crashHolder, false},
+	{"the holder crashes, the write is taken", simulator.Taken, crashHolder, false},
+	{"the holder is cut off with its machines, the write comes late", simulator.Late, cutHolder, false},
+	{"the holder is cut off with its machines, the write is taken", simulator.Taken, cutHolder, false},
+	{"the holder crashes with a machine, the write is lost", simulator.Lost, func(w *world, holder int, luck *rand.Rand) {
 		w.cloud.Take(luck.IntN(4))
 		crashHolder(w, holder, luck)
 	}, true},
-	{"the holder crashes while no machine hears the next one", standin.Lost, func(w *world, holder int, luck *rand.Rand) {
+	{"the holder crashes while no machine hears the next one", simulator.Lost, func(w *world, holder int, luck *rand.Rand) {
 		w.deaf(w.everyMachine(), 8*time.Second)
 		w.crash(holder, 9*time.Second, 0)
 	}, true},
-	{"another process of the holder's name begins", standin.Lost, func(w *world, holder int, luck *rand.Rand) {
+	{"another process of the holder's name begins", simulator.Lost, func(w *world, holder int, luck *rand.Rand) {
 		w.twin(holder, 6*time.Second, held(luck))
 	}, false},
-	{"the holder is cut off with its machines, once it has its answer", standin.Answered, cutHolder, false},
-	{"the holder stands still, once it has its answer", standin.Answered, func(w *world, holder int, luck *rand.Rand) {
+	{"the holder is cut off with its machines, once it has its answer", simulator.Answered, cutHolder, false},
+	{"the holder stands still, once it has its answer", simulator.Answered, func(w *world, holder int, luck *rand.Rand) {
 		w.net.Still(w.ip(holder), time.Duration(5+luck.IntN(40))*time.Second)
 	}, true},
 }
@@ -156,14 +156,14 @@
 	w := newWorldOf(t, []int{3, 5}[step%2], seed, 0, func(c *config.Config) { c.Tuning.Parts.By = by })
 	w.copies(seed, 0.1)
 	known, said := map[string]string{}, 0
-	w.store.Stage(func(s *standin.Store) {
-		s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+	w.store.Stage(func(s *simulator.Store) {
+		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 			is, part := kind(known, puts)
 			if !is {
-				return standin.Answered
+				return simulator.Answered
 			}
 			if said++; said != step {
-				return standin.Answered
+				return simulator.Answered
 			}
 			met = true
 			w.group.Go(func() {
@@ -282,14 +282,14 @@
 	{"writes come late", func(w *world, luck *rand.Rand, d time.Duration) {
 		late, done := rand.New(rand.NewPCG(luck.Uint64(), 16)), make(chan struct{})
 		time.AfterFunc(d, func() { close(done) })
-		w.store.Stage(func(s *standin.Store) {
-			s.Meets = func(map[string]wire.Raw) standin.Fate {
+		w.store.Stage(func(s *simulator.Store) {
+			s.Meets = func(map[string]wire.Raw) simulator.Fate {
 				select {
 				case <-done:
-					return standin.Answered
+					return simulator.Answered
 				default:
 				}
-				return []standin.Fate{standin.Answered, standin.Answered, standin.Late, standin.Taken, standin.Lost}[w.draw(late, 5)]
+				return []simulator.Fate{simulator.Answered, simulator.Answered, simulator.Late, simulator.Taken, simulator.Lost}[w.draw(late, 5)]
 			}
 		})
 	}},
@@ -304,9 +304,9 @@
 		}
 	}},
 	{"machines restart", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.cloud.Each(func(m wire.ListedMachine, x standin.Machine) {
+		w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
 			if luck.IntN(3) == 0 {
-				w.reboot(m.ID, standin.HostOf(m.Addr), x, luck)
+				w.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
 			}
 		})
 	}},
--- a/internal/simtest/zonebound_sim_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -53,7 +53,7 @@
 
 // bound sees where tasks of a job start.
 type bound struct {
-	*standin.Checker
+	*simulator.Checker
 	mu    sync.Mutex
 	zones map[string][]string // of a job's starts, in order
 }
@@ -82,7 +82,7 @@
 	b := &bound{Checker: w.check, zones: map[string][]string{}}
 	w.ground = b
 	w.machines(2*time.Second, func() time.Duration { return 0 })
-	w.cloud.Fail(func(*standin.CloudFaults) { w.cloud.Capacity = 6 })
+	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
 	luck := rand.New(rand.NewPCG(seed, 31))
 	var free, tied []string // jobs that may go elsewhere, and such as name their zone
 	for i, shape := range []wire.Shape{wire.Gang, wire.Array, wire.Service, wire.Array, wire.Gang, wire.Array, wire.Array, wire.Service} {
--- a/internal/simtest/rooms_sim_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -37,7 +37,7 @@
 		c.Zone = r.zones[int(c.Name[2]-'0')%len(r.zones)]
 		tamper(c)
 	})
-	r.cloud.Fail(func(*standin.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
+	r.cloud.Fail(func(*simulator.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
 	for i, tasks := range [services]int{6, 9} {
 		r.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: tasks, Spread: true,
 			CPUs: 4, GPUs: 2, MemoryGB: 8, Image: fmt.Sprint("model-", i), ImageGB: 4}, 24*time.Hour, 0)
@@ -100,8 +100,8 @@
 }
 
 // machinesOf has something done to some of the machines of a zone.
-func (w *world) machinesOf(zone string, do func(m wire.ListedMachine, x standin.Machine)) {
-	w.cloud.Each(func(m wire.ListedMachine, x standin.Machine) {
+func (w *world) machinesOf(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
+	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
 		if m.Zone == zone {
 			do(m, x)
 		}
@@ -142,9 +142,9 @@
 		r.group.Go(func() { r.away([]string{zone}, d) })
 		time.Sleep(d - time.Duration(luck.IntN(4000))*time.Millisecond)
 		some := 1 + luck.IntN(3)
-		r.machinesOf(zone, func(m wire.ListedMachine, x standin.Machine) {
+		r.machinesOf(zone, func(m wire.ListedMachine, x simulator.Machine) {
 			if luck.IntN(3) < some {
-				r.reboot(m.ID, standin.HostOf(m.Addr), x, luck)
+				r.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
 			}
 		})
 		time.Sleep(5 * time.Second)
@@ -152,7 +152,7 @@
 	{"machines of a zone die while it is cut off", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.away([]string{zone}, d) })
 		time.Sleep(d / 2)
-		r.machinesOf(zone, func(m wire.ListedMachine, _ standin.Machine) {
+		r.machinesOf(zone, func(m wire.ListedMachine, _ simulator.Machine) {
 			if luck.IntN(2) == 0 {
 				r.cloud.Die(m.ID)
 			}
@@ -160,10 +160,10 @@
 		time.Sleep(d - d/2)
 	}},
 	{"the cloud has nothing to give while a zone is cut off", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.cloud.Fail(func(f *standin.CloudFaults) { f.Fewer = 1 })
+		r.cloud.Fail(func(f *simulator.CloudFaults) { f.Fewer = 1 })
 		r.away([]string{zone}, d)
 		time.Sleep(time.Duration(luck.IntN(20_000)) * time.Millisecond)
-		r.cloud.Fail(func(f *standin.CloudFaults) { f.Fewer = 0 })
+		r.cloud.Fail(func(f *simulator.CloudFaults) { f.Fewer = 0 })
 	}},
 	{"the state service is out in the middle", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() {
@@ -196,7 +196,7 @@
 	{"a zone is dark for one controller alone", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
 		i := luck.IntN(r.count)
 		var hosts []string
-		r.machinesOf(zone, func(m wire.ListedMachine, _ standin.Machine) { hosts = append(hosts, standin.HostOf(m.Addr)) })
+		r.machinesOf(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
 		for _, on := range []bool{true, false} {
 			for _, host := range hosts {
 				r.net.Cut(r.ip(i), host, on)
@@ -300,7 +300,7 @@
 // 0.5 s. In the end all replicas run, and the return is over. In a short run each step meets
 // one of these fates.
 func TestCrashAtEachStepOfReturn(t *testing.T) {
-	fates := []standin.Fate{standin.Lost, standin.Late, standin.Taken}
+	fates := []simulator.Fate{simulator.Lost, simulator.Late, simulator.Taken}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
 	const least, sure = 7, 4 // of a zone that goes and comes, and of its return; some may come in one write
 	for k, by := range []string{"off", "zone"} {
@@ -320,18 +320,18 @@
 	}
 }
 
-func crashAtStep(t *testing.T, by string, fate standin.Fate, step int) (met bool) {
+func crashAtStep(t *testing.T, by string, fate simulator.Fate, step int) (met bool) {
 	luck := rand.New(rand.NewPCG(uint64(step), 13))
 	r := newRooms(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Parts.By = by })
 	known, said := map[string]string{}, ""
-	r.store.Stage(func(s *standin.Store) {
-		s.Meets = func(puts map[string]wire.Raw) standin.Fate {
+	r.store.Stage(func(s *simulator.Store) {
+		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
 			is, part, what := changed(known, puts)
 			if !is {
-				return standin.Answered
+				return simulator.Answered
 			}
 			if said += what; len(strings.Split(said, ";")) != step+1 {
-				return standin.Answered
+				return simulator.Answered
 			}
 			met, said = true, said+" (crash)"
 			back, late := time.Duration(100+luck.IntN(401))*time.Millisecond, held(luck)
--- a/internal/standin/net.go
+++ b/internal/simulator/network.go
@@ -2,7 +2,7 @@
 // to: the network, the state service, the cloud and the workers, and a checker
 // of the protocol's rules that knows nothing of the controllers. They serve
 // tests, in one process and on any clock.
-package standin
+package simulator
 
 import (
 	"bufio"
--- a/internal/standin/deaf.go
+++ b/internal/simulator/partition.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"context"
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // state is a state service that may fail at its n-th write.
 type state struct {
-	*standin.Store
+	*simulator.Store
 	failAt int
 	paged  func() // called after each page
 }
@@ -53,7 +53,7 @@
 	return 0, fmt.Errorf("status %d", status)
 }
 
-func newState() *state { return &state{Store: standin.NewStore(1, 0)} }
+func newState() *state { return &state{Store: simulator.NewStore(1, 0)} }
 
 func (s *state) put(t *testing.T, key string, v any) {
 	t.Helper()
@@ -78,7 +78,7 @@
 	s.put(t, store.SlotKey("fleet", 0), store.SlotRecord{Term: 41, Round: 2, Entries: map[string]wire.Raw{}})
 	s.put(t, store.BatchKey("z"), store.BatchRecord{Since: 3, Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1")}}) // written again
 	s.put(t, store.PartKey("fleet"), store.PartRecord{Holder: "c-0", Term: 41, Format: store.Format})
-	s.put(t, store.RecentKey(0), archive.Pack("", []archive.Entry{{ID: "wk-8", Stage: wire.Done, Tasks: 1}}))
+	s.put(t, store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-8", Stage: wire.Done, Tasks: 1}}))
 	for i := range 40 {
 		to, from := fmt.Sprintf("02%02d", i+10), fmt.Sprintf("02%02d", i+9)
 		if i == 0 {
@@ -87,7 +87,7 @@
 		if i == 39 {
 			to = "~"
 		}
-		s.put(t, store.History+to, archive.Pack(from, nil))
+		s.put(t, store.History+to, jobblock.Pack(from, nil))
 	}
 	return s
 }
--- a/internal/store/follow_test.go
+++ b/internal/store/follower_test.go
@@ -12,8 +12,8 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -22,7 +22,7 @@
 func TestTooMuchToFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := standin.NewNet(), standin.NewStore(1, 0)
+		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
 		go func() { _ = net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve()) }()
 		log := slog.New(slog.DiscardHandler)
 		v := NewView(log)
@@ -53,7 +53,7 @@
 func TestBarrierHoldsHoweverAnswersCross(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := standin.NewNet(), standin.NewStore(1, 0)
+		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
 		s.Limits.PageItems = 40
 		var mu sync.Mutex
 		luck := rand.New(rand.NewPCG(1, 1))
@@ -85,7 +85,7 @@
 				ended.Store(int64(n))
 				if n > 3 { // an older one is folded
 					put(wire.Change{Delete: BatchKey(fmt.Sprint(n - 3))},
-						wire.Change{Put: RecentKey(n - 3), Value: archive.Pack("", []archive.Entry{{ID: id(n - 3), Stage: wire.Cancelled, Tasks: 1}})})
+						wire.Change{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{{ID: id(n - 3), Stage: wire.Cancelled, Tasks: 1}})})
 				}
 				if n%25 == 0 {
 					s.Forget()
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/btree"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -44,7 +44,7 @@
 type Recent struct {
 	Slot    int
 	Version uint64
-	Block   *archive.Block // nil where it was not understood
+	Block   *jobblock.Block // nil where it was not understood
 	Bytes   int
 }
 
@@ -370,7 +370,7 @@
 	}
 }
 
-func (v *View) recent(id string) (archive.Entry, bool) {
+func (v *View) recent(id string) (jobblock.Entry, bool) {
 	for _, r := range v.recents {
 		if r.Block != nil {
 			if e, ok := r.Block.Find(id); ok {
@@ -378,7 +378,7 @@
 			}
 		}
 	}
-	return archive.Entry{}, false
+	return jobblock.Entry{}, false
 }
 
 func (v *View) putRecent(key, name string, raw wire.Raw, version uint64) {
@@ -388,7 +388,7 @@
 		return
 	}
 	r := Recent{Slot: slot, Version: version}
-	if rec, ok := read[archive.Record](v, key, raw); ok {
+	if rec, ok := read[jobblock.Record](v, key, raw); ok {
 		if r.Block, err = rec.Unpack(); err != nil {
 			v.breaks(key, err)
 		}
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/archive"
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -144,7 +144,7 @@
 	at(v, 2, event(BatchKey("a"), batch("wk-1"), 0))
 	at(v, 3, event(BatchKey("b"), batch("wk-1", "wk-2"), 0))
 	at(v, 4, event(BatchKey("a"), ended(batch("wk-1"), wire.Cancelled, "wk-1"), 0))
-	recent := archive.Pack("", []archive.Entry{{ID: "wk-1", Stage: wire.Cancelled, Tasks: 1}})
+	recent := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Cancelled, Tasks: 1}})
 	at(v, 5, wire.Event{Delete: BatchKey("a")}, event(RecentKey(0), recent, 0))
 	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || v.Settled("wk-1") {
 		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Settled("wk-1"))
@@ -198,16 +198,16 @@
 // understood, nobody can say that a job is not known; others are as before.
 func TestBrokenRecordLeavesDoubt(t *testing.T) {
 	v := NewView(slog.New(slog.DiscardHandler))
-	newer := archive.Pack("", nil)
+	newer := jobblock.Pack("", nil)
 	newer.Format++
 	v.Load([]wire.Item{item(BatchKey("a"), batch("wk-1"), 2), item(RecentKey(0), newer, 3), item(JobKey("wk-9"), "?", 4)}, 5, &wire.Changes{})
-	if key, err := v.Doubt("wk-2"); key != RecentKey(0) || !errors.Is(err, archive.ErrNewer) || v.Settled("wk-2") {
+	if key, err := v.Doubt("wk-2"); key != RecentKey(0) || !errors.Is(err, jobblock.ErrNewer) || v.Settled("wk-2") {
 		t.Errorf("doubt %q, %v", key, err)
 	}
 	if _, known := v.Job("wk-1"); !known || len(v.Broken()) != 2 {
 		t.Errorf("known %v, broken %v", known, v.Broken())
 	}
-	at(v, 6, event(RecentKey(0), archive.Pack("", nil), 0))
+	at(v, 6, event(RecentKey(0), jobblock.Pack("", nil), 0))
 	if key, _ := v.Doubt("wk-2"); key != "" {
 		t.Errorf("doubt %q", key)
 	}
--- a/internal/pace/pace_test.go
+++ b/internal/throttle/throttle_test.go
@@ -1,4 +1,4 @@
-package pace
+package throttle
 
 import (
 	"testing"
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -24,7 +24,7 @@
 }
 
 func (b *table) step(line string) []string {
-	w, kv := standin.Words(line)
+	w, kv := simulator.Words(line)
 	num := func(key string) float64 {
 		n, _ := strconv.ParseFloat(kv[key], 64)
 		return n
@@ -114,7 +114,7 @@
 
 // TestTraces plays the kept traces.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		return (&table{t: t, now: time.Unix(1e9, 0), claim: &Claim{}, on: map[string]string{}, dead: map[string]bool{}}).step
 	})
 }
--- a/internal/user/user.go
+++ b/internal/user/user.go
@@ -11,7 +11,7 @@
 
 	"amberdeal.example/amberdeal/internal/admission"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/round"
+	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -25,7 +25,7 @@
 	Admission *admission.Service
 	Log       *slog.Logger
 	// Count gives how many tasks of a job run and are done, for display.
-	Count func(job string) round.Count
+	Count func(job string) leader.Count
 	// Ready says whether users can be served here.
 	Ready func() bool
 	// Vain says that the state service has been out of reach here for a while, and others may
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // world is some controllers and zones with machines, who can't hear what, and the records
@@ -156,7 +156,7 @@
 }
 
 func (w *world) step(line string) []string {
-	f, kv := standin.Words(line)
+	f, kv := simulator.Words(line)
 	switch f[0] {
 	case "controllers": // name/zone
 		for _, x := range f[1:] {
@@ -240,5 +240,5 @@
 
 // TestTraces plays the kept traces of what the states of zones become.
 func TestTraces(t *testing.T) {
-	standin.Traces(t, func(t *testing.T) func(string) []string { return newWorld().step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newWorld().step })
 }
--- a/internal/restore/golden_test.go
+++ b/internal/zonerecovery/golden_test.go
@@ -1,4 +1,4 @@
-package restore
+package zonerecovery
 
 import (
 	"strings"
--- a/internal/restore/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -1,4 +1,4 @@
-package restore
+package zonerecovery
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/standin"
+	"amberdeal.example/amberdeal/internal/simulator"
 )
 
 // returns is a holder's plans, driven by the steps of a trace.
@@ -18,7 +18,7 @@
 }
 
 func (r *returns) step(line string) []string {
-	w, kv := standin.Words(line)
+	w, kv := simulator.Words(line)
 	switch w[0] {
 	case "see": // b dark work=100 waits
 		n, _ := strconv.ParseUint(kv["number"], 10, 64)
@@ -59,7 +59,7 @@
 
 // TestReturns plays the kept traces of returns.
 func TestReturns(t *testing.T) {
-	standin.Traces(t, func(*testing.T) func(string) []string {
+	simulator.Traces(t, func(*testing.T) func(string) []string {
 		return (&returns{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Seen{}}).step
 	})
 }
--- a/internal/restore/keep.go
+++ b/internal/zonerecovery/retain.go
@@ -1,29 +1,29 @@
 // Package restore is how a zone that was cut off comes back into use: which of its machines
 // are kept meanwhile, and the steps of the return. It is pure: times and what was seen come
 // in, and it goes through everything in a fixed order.
-package restore
+package zonerecovery
 
 import (
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // Lost is a silent machine of a zone that is cut off.
 type Lost struct {
-	Top   bool          // it has production tasks, which may run on
-	Takes sched.Amount  // what its other tasks take
-	Rent  func() bool   // whether machines can be had for these elsewhere
-	Dark  time.Duration // since the zone was cut off
-	Anew  time.Duration // for how long it may stand there before another one had been cheaper
+	Top   bool             // it has production tasks, which may run on
+	Takes scheduler.Amount // what its other tasks take
+	Rent  func() bool      // whether machines can be had for these elsewhere
+	Dark  time.Duration    // since the zone was cut off
+	Anew  time.Duration    // for how long it may stand there before another one had been cheaper
 }
 
 // Room is what the rest of the fleet has for the work of such machines once all that waits
 // has its own.
 type Room struct {
 	Waits bool // work waits that found no room
-	Free  sched.Amount
+	Free  scheduler.Amount
 	Rents int // machines that may be asked for at once in their stead
 }
 
@@ -39,7 +39,7 @@
 	switch {
 	case l.Dark >= l.Anew:
 		return false
-	case l.Top, l.Takes == sched.Amount{}, r.Waits:
+	case l.Top, l.Takes == scheduler.Amount{}, r.Waits:
 		return true
 	case r.Free.Fits(l.Takes):
 		r.Take(l.Takes)
@@ -52,7 +52,7 @@
 }
 
 // Take takes room for the work of a machine that was given up.
-func (r *Room) Take(a sched.Amount) { r.Free = r.Free.Plus(a, -1) }
+func (r *Room) Take(a scheduler.Amount) { r.Free = r.Free.Plus(a, -1) }
 
 // Anew is what another machine in the stead of one costs, in the time for which that one could
 // stand idle: it boots, fetches the images anew, and is charged for a least time when it is
--- a/internal/restore/keep_test.go
+++ b/internal/zonerecovery/retain_test.go
@@ -1,17 +1,17 @@
-package restore
+package zonerecovery
 
 import (
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/sched"
+	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // TestKeeps gives up what finds room elsewhere, up to that room, and keeps the rest for as
 // long as another machine would cost.
 func TestKeeps(t *testing.T) {
-	work := sched.Amount{CPUs: 8, GPUs: 4, MemoryGB: 32}
+	work := scheduler.Amount{CPUs: 8, GPUs: 4, MemoryGB: 32}
 	yes, no := func() bool { return true }, func() bool { return false }
 	const soon, late = 20 * time.Second, 2 * time.Minute
 	for _, c := range []struct {
