--- a/cmd/amberdeal-lab/main.go
+++ b/cmd/amberdeal-lab/main.go
@@ -80,7 +80,7 @@
 	fmt.Println(report)
 	broken := 0
 	for _, o := range all {
-		broken += len(o.Result.Broken) + len(o.Result.Open)
+		broken += len(o.Result.Violations) + len(o.Result.Open)
 	}
 	if broken > 0 {
 		return fmt.Errorf("%d rules were broken or jobs not over: see the report", broken)
--- a/cmd/amberdeal-lab/scale.go
+++ b/cmd/amberdeal-lab/scale.go
@@ -39,7 +39,7 @@
 	runner := scale.Runner{Plan: plan, Out: s.Out, Program: s.Program, Port: s.Port, Progress: func(scale.Point, bool) { _ = bar.Add(1) }}
 	all, err := runner.Run(ctx)
 	fmt.Fprintln(os.Stderr)
-	return errors.Join(err, s.report(plan, all), broken(all))
+	return errors.Join(err, s.report(plan, all), violations(all))
 }
 
 // plan reads what is to be played, and refuses what this machine has no room for.
@@ -79,17 +79,17 @@
 	return nil
 }
 
-// mostBroken bounds the broken rules that are named for each step; the outcomes hold all.
-const mostBroken = 10
+// maxViolations bounds the broken rules that are named for each step; the outcomes hold all.
+const maxViolations = 10
 
-// broken is an error where a rule was broken in any step.
-func broken(all []*scale.Outcome) error {
+// violations is an error where a rule was broken in any step.
+func violations(all []*scale.Outcome) error {
 	var errs []error
 	for _, o := range all {
-		for _, rule := range o.Broken[:min(mostBroken, len(o.Broken))] {
+		for _, rule := range o.Violations[:min(maxViolations, len(o.Violations))] {
 			errs = append(errs, fmt.Errorf("%v: %s", o.Step, rule))
 		}
-		if more := len(o.Broken) - mostBroken; more > 0 {
+		if more := len(o.Violations) - maxViolations; more > 0 {
 			errs = append(errs, fmt.Errorf("%v: %d rules more were broken", o.Step, more))
 		}
 	}
--- a/cmd/amberdeal/agent.go
+++ b/cmd/amberdeal/agent.go
@@ -41,8 +41,8 @@
 	defer stop()
 	now := time.Now()
 	// A session that no earlier run of this machine can have had.
-	core := agent.NewCore(cfg.Self, cfg.Lease, uint64(now.UnixMilli()), now)
-	log.Info("working", "machine", cfg.Self.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
-	return (&agent.Agent{Core: core, Net: transport.Sockets{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, Report: cfg.Report, Room: cfg.Room, Log: log,
-		Actions: &action.Runner{Store: blobs, Dir: cfg.Dir, Worker: cfg.Self.Machine, Limits: action.DefaultLimits}}).Run(ctx)
+	core := agent.NewCore(cfg.Identity, cfg.Lease, uint64(now.UnixMilli()), now)
+	log.Info("working", "machine", cfg.Identity.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
+	return (&agent.Agent{Core: core, Net: transport.Sockets{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, HeartbeatInterval: cfg.HeartbeatInterval, Capacity: cfg.Capacity, Log: log,
+		Actions: &action.Runner{Store: blobs, Dir: cfg.Dir, Worker: cfg.Identity.Machine, Limits: action.DefaultLimits}}).Run(ctx)
 }
--- a/cmd/amberdeal/client.go
+++ b/cmd/amberdeal/client.go
@@ -22,7 +22,7 @@
 func (t target) ask(method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	caller := transport.Caller{Limit: wire.MaxBody, Dial: transport.Sockets{}.Dial}
+	caller := transport.Caller{MaxBody: wire.MaxBody, Dial: transport.Sockets{}.Dial}
 	for {
 		call, done := context.WithTimeout(ctx, 5*time.Second)
 		resp, err := caller.Call(call, t.Addr, method, path, body)
--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -26,7 +26,7 @@
 
 // Run runs a world until Ctrl-C.
 func (e emulateCmd) Run() error {
-	c := emulator.Small()
+	c := emulator.DefaultConfig()
 	if e.World != "" {
 		text, err := os.ReadFile(e.World)
 		if err != nil {
@@ -64,12 +64,12 @@
 			return settingsError{err}
 		}
 	}
-	procs := emulator.Procs{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}
-	opt := emulator.Options{Port: e.Port, Dir: dir, Keep: e.Keep, Log: log}
+	procs := emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}
+	opt := emulator.Options{Port: e.Port, Dir: dir, Persist: e.Keep, Log: log}
 	if e.Controllers {
 		procs.Begin(ctx)
 		defer procs.Stop()
-		opt.Kill, opt.Hang = procs.KillNamed, procs.HangNamed
+		opt.Kill, opt.Pause = procs.KillNamed, procs.PauseNamed
 	}
 	w, err := emulator.Start(ctx, c, opt)
 	if err != nil {
@@ -126,7 +126,7 @@
 }
 
 func plainCaller() *transport.Caller {
-	return &transport.Caller{Limit: 16 << 20, Keep: 256, Dial: emulator.Dial}
+	return &transport.Caller{MaxBody: 16 << 20, MaxIdle: 256, Dial: emulator.Dial}
 }
 
 type faultStageCmd struct {
@@ -202,7 +202,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	r := load.Runner{Mix: mix, Addrs: l.Addr, Judge: l.Judge, Prefix: l.Prefix, Caller: plainCaller(), Wait: l.Wait}
+	r := load.Runner{Mix: mix, Addrs: l.Addr, JudgeAddr: l.Judge, Prefix: l.Prefix, Caller: plainCaller(), DrainTimeout: l.Wait}
 	var told time.Time
 	res, err := r.Run(ctx, func(sent, all, open int) {
 		if time.Since(told) > time.Second {
@@ -223,8 +223,8 @@
 	} else {
 		res.Print(os.Stdout)
 	}
-	if len(res.Broken) > 0 || len(res.Open) > 0 {
-		return fmt.Errorf("%d rules broken, %d jobs not over", len(res.Broken), len(res.Open))
+	if len(res.Violations) > 0 || len(res.Open) > 0 {
+		return fmt.Errorf("%d rules broken, %d jobs not over", len(res.Violations), len(res.Open))
 	}
 	return nil
 }
--- a/cmd/amberdeal/golden_test.go
+++ b/cmd/amberdeal/golden_test.go
@@ -38,5 +38,5 @@
 
 // TestGoldenAccount: the JSON of state inspect and state verify has the fields that it had.
 func TestGoldenAccount(t *testing.T) {
-	goldentest.Check[account](t, "account.json", json.Marshal, json.Unmarshal)
+	goldentest.Check[stateSummary](t, "account.json", json.Marshal, json.Unmarshal)
 }
--- a/cmd/amberdeal/main.go
+++ b/cmd/amberdeal/main.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("settings of %s are valid: %d siblings, %d teams, %d zones\n", cfg.Name, len(cfg.Siblings), len(cfg.Teams), len(cfg.Zones))
+	fmt.Printf("settings of %s are valid: %d siblings, %d teams, %d zones\n", cfg.Name, len(cfg.Peers), len(cfg.Teams), len(cfg.Zones))
 	return nil
 }
 
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	defer builds.Close()
-	watch := &screen{c: blobs}
+	watch := &progressScreen{c: blobs}
 	resp, err := builds.Execute(ctx, g, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { watch.tell(ctx, m) })
 	if err != nil {
 		return err
@@ -87,8 +87,8 @@
 	return r.finish(ctx, blobs, resp, stdout, stderr)
 }
 
-// screen shows how an execution stands, and what its command writes meanwhile.
-type screen struct {
+// progressScreen shows how an execution stands, and what its command writes meanwhile.
+type progressScreen struct {
 	c     *cas.Client
 	stage repb.ExecutionStage_Value
 	stop  context.CancelFunc
@@ -96,7 +96,7 @@
 	shown [2]int64
 }
 
-func (l *screen) tell(ctx context.Context, m *repb.ExecuteOperationMetadata) {
+func (l *progressScreen) tell(ctx context.Context, m *repb.ExecuteOperationMetadata) {
 	if m.Stage == l.stage {
 		return
 	}
@@ -111,7 +111,7 @@
 		l.group.Go(func() {
 			for ctx.Err() == nil && l.shown[i] == 0 { // a log is there once something was written
 				if l.shown[i], _ = l.c.FollowLog(ctx, name, to); l.shown[i] == 0 {
-					store.Pause(ctx, 200*time.Millisecond)
+					store.Backoff(ctx, 200*time.Millisecond)
 				}
 			}
 		})
@@ -119,7 +119,7 @@
 }
 
 // finish ends the show, and tells how much of stdout and stderr was shown.
-func (l *screen) finish() (stdout, stderr int64) {
+func (l *progressScreen) finish() (stdout, stderr int64) {
 	if l.stop != nil {
 		l.stop()
 		l.group.Wait()
@@ -153,13 +153,13 @@
 	return c.PutMessage(ctx, f, a)
 }
 
-// beyond leaves out the first bytes, which were shown before.
-type beyond struct {
+// skipWriter leaves out the first bytes, which were shown before.
+type skipWriter struct {
 	to   io.Writer
 	skip int64
 }
 
-func (b *beyond) Write(p []byte) (int, error) {
+func (b *skipWriter) Write(p []byte) (int, error) {
 	n := min(b.skip, int64(len(p)))
 	b.skip -= n
 	_, err := b.to.Write(p[n:])
@@ -174,7 +174,7 @@
 		digest *repb.Digest
 		raw    []byte
 		to     io.Writer
-	}{{res.GetStdoutDigest(), res.GetStdoutRaw(), &beyond{os.Stdout, stdout}}, {res.GetStderrDigest(), res.GetStderrRaw(), &beyond{os.Stderr, stderr}}} {
+	}{{res.GetStdoutDigest(), res.GetStdoutRaw(), &skipWriter{os.Stdout, stdout}}, {res.GetStderrDigest(), res.GetStderrRaw(), &skipWriter{os.Stderr, stderr}}} {
 		if _, err := o.to.Write(o.raw); err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 
 // Run reads the blob; a file is there only when all of it is.
 func (r reapiGet) Run() error {
-	g, err := cas.FromString(r.Digest)
+	g, err := cas.DigestFromString(r.Digest)
 	if err != nil {
 		return settingsError{err}
 	}
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -32,17 +32,17 @@
 	Import  stateImport  `cmd:"" help:"Put an export into an empty state service."`
 }
 
-// live is a state service that a command works on.
-type live struct{ files }
+// liveState is a state service that a command works on.
+type liveState struct{ files }
 
 // client keeps to the share of one more controller.
-func (l live) client() (*store.Client, snapshot.Limits, error) {
+func (l liveState) client() (*store.Client, snapshot.Limits, error) {
 	cfg, err := l.load()
 	if err != nil {
 		return nil, snapshot.Limits{}, err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
-	c := store.NewClient(transport.Sockets{Log: log}, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Siblings)+2), log)
+	c := store.NewClient(transport.Sockets{Log: log}, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+2), log)
 	return c, snapshot.Limits{ValueBytes: cfg.Store.ValueBytes, TxnOps: cfg.Store.TxnOps}, nil
 }
 
@@ -50,9 +50,9 @@
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// bar shows progress on standard error, on a terminal only; all is 0 or less
+// progressBar shows progress on standard error, on a terminal only; all is 0 or less
 // where the end is not known.
-func bar(all int, what string) *progressbar.ProgressBar {
+func progressBar(all int, what string) *progressbar.ProgressBar {
 	if all <= 0 {
 		all = -1
 	}
@@ -65,43 +65,43 @@
 }
 
 // take reads the live state.
-func (l live) take(ctx context.Context) ([]wire.Item, uint64, error) {
+func (l liveState) take(ctx context.Context) ([]wire.KeyValue, uint64, error) {
 	c, _, err := l.client()
 	if err != nil {
 		return nil, 0, err
 	}
-	b := bar(0, "reading")
+	b := progressBar(0, "reading")
 	defer b.Finish()
-	return snapshot.Take(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
+	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
 }
 
-// account is what inspect and verify print.
-type account struct {
+// stateSummary is what inspect and verify print.
+type stateSummary struct {
 	Revision uint64                        `json:"revision"`
 	Format   int                           `json:"format"`
 	Term     uint64                        `json:"term"`
 	Live     int                           `json:"live_jobs"`
 	Ended    int                           `json:"ended_jobs"`
-	Kinds    map[string]*archive.KindCount `json:"kinds"`
+	Kinds    map[string]*archive.KindStats `json:"kinds"`
 	Problems []string                      `json:"problems"`
 }
 
-func accountOf(ctx context.Context, items []wire.Item, revision uint64) account {
+func summarize(ctx context.Context, items []wire.KeyValue, revision uint64) stateSummary {
 	a := archive.Verify(ctx, items)
 	if a.Problems == nil {
 		a.Problems = []string{}
 	}
-	return account{revision, a.Format, a.Term, a.Live, a.Ended, a.Kinds, a.Problems}
+	return stateSummary{revision, a.Format, a.FencingToken, a.Live, a.Ended, a.Kinds, a.Problems}
 }
 
-func (a account) json() error {
+func (a stateSummary) json() error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	return enc.Encode(a)
 }
 
 type stateInspect struct {
-	live
+	liveState
 	JSON bool `help:"Print JSON."`
 }
 
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	a := accountOf(ctx, items, revision)
+	a := summarize(ctx, items, revision)
 	if s.JSON {
 		return a.json()
 	}
@@ -134,7 +134,7 @@
 }
 
 type stateExport struct {
-	live
+	liveState
 	File string `arg:"" help:"The file to write; it must not exist."`
 }
 
@@ -154,7 +154,7 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	h := snapshot.Header{State: snapshot.FormatOf(items), Revision: revision, Taken: time.Now().Unix()}
+	h := snapshot.Header{StateFormat: snapshot.StateFormat(items), Revision: revision, TakenAtUnix: time.Now().Unix()}
 	if err := errors.Join(snapshot.Write(f, h, items), f.Sync(), f.Close()); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func readFile(name string) (snapshot.Header, []wire.Item, string, error) {
+func readFile(name string) (snapshot.Header, []wire.KeyValue, string, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return snapshot.Header{}, nil, "", err
@@ -189,7 +189,7 @@
 func (s stateVerify) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
-	var items []wire.Item
+	var items []wire.KeyValue
 	var revision uint64
 	switch {
 	case (s.File == "") == (s.Config == ""):
@@ -202,11 +202,11 @@
 		items, revision = read, h.Revision
 	default:
 		var err error
-		if items, revision, err = (live{files{s.Config, s.Settings}}).take(ctx); err != nil {
+		if items, revision, err = (liveState{files{s.Config, s.Settings}}).take(ctx); err != nil {
 			return err
 		}
 	}
-	a := accountOf(ctx, items, revision)
+	a := summarize(ctx, items, revision)
 	if s.JSON {
 		if err := a.json(); err != nil {
 			return err
@@ -226,7 +226,7 @@
 }
 
 type stateImport struct {
-	live
+	liveState
 	File string `arg:"" help:"The export to put in."`
 }
 
@@ -245,12 +245,12 @@
 	if err != nil {
 		return err
 	}
-	b := bar(len(items), "writing")
-	term, err := snapshot.Restore(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
+	b := progressBar(len(items), "writing")
+	term, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
 	_ = b.Finish()
 	if err != nil {
 		return fmt.Errorf("%w (an import that was broken off goes on when it is run again with the same file)", err)
 	}
-	fmt.Printf("%d keys of %s are in, the next claim has a term above %d\n", len(items), h.At().Format(time.RFC3339), term)
+	fmt.Printf("%d keys of %s are in, the next claim has a term above %d\n", len(items), h.TakenAt().Format(time.RFC3339), term)
 	return nil
 }
--- a/cmd/amberdeal/top.go
+++ b/cmd/amberdeal/top.go
@@ -23,7 +23,7 @@
 func (t topCmd) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
-	v := t.look(ctx)
+	v := t.fetchStatuses(ctx)
 	if t.JSON {
 		out, err := json.MarshalIndent(v, "", "  ")
 		if err != nil {
@@ -42,19 +42,19 @@
 				return nil
 			case <-time.After(t.Every):
 			}
-			before, v = v, t.look(ctx)
+			before, v = v, t.fetchStatuses(ctx)
 		}
 		return nil
 	}
-	if len(v.Known) == 0 {
+	if len(v.Statuses) == 0 {
 		return fmt.Errorf("none of %d controllers answered", len(t.Addr))
 	}
 	return nil
 }
 
-// look asks every controller.
-func (t topCmd) look(ctx context.Context) *top.View {
-	v := &top.View{At: time.Now(), Known: map[string]*top.Status{}, Missing: map[string]string{}}
+// fetchStatuses asks every controller.
+func (t topCmd) fetchStatuses(ctx context.Context) *top.View {
+	v := &top.View{At: time.Now(), Statuses: map[string]*top.Status{}, Unreachable: map[string]string{}}
 	caller := plainCaller()
 	for _, addr := range t.Addr {
 		call, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -63,11 +63,11 @@
 		var s top.Status
 		switch {
 		case err != nil:
-			v.Missing[addr] = err.Error()
+			v.Unreachable[addr] = err.Error()
 		case resp.Status != 200 || json.Unmarshal(resp.Body, &s) != nil:
-			v.Missing[addr] = fmt.Sprintf("status %d: not a controller's metrics address", resp.Status)
+			v.Unreachable[addr] = fmt.Sprintf("status %d: not a controller's metrics address", resp.Status)
 		default:
-			v.Known[addr] = &s
+			v.Statuses[addr] = &s
 		}
 	}
 	return v
--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -54,7 +54,7 @@
 	if w.Kind != Kind {
 		return w, g, fmt.Errorf("the job's work is of kind %q: must be %s", w.Kind, Kind)
 	}
-	if g, err = cas.FromString(w.Action); err == nil {
+	if g, err = cas.DigestFromString(w.Action); err == nil {
 		g.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
 	}
 	return w, g, err
@@ -77,14 +77,14 @@
 	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, idDigits-1, n)
 }
 
-// answers is the instance under which the answers of executions are kept.
-const answers = "amberdeal-answers"
+// answersInstance is the instance under which the answers of executions are kept.
+const answersInstance = "amberdeal-answers"
 
 func answerKey(job string) cas.Digest { return cas.Sum(cas.Functions[0], []byte(job)) }
 
-// Keep stores the answer of a job's execution, before the job is reported done. It
+// PutAnswer stores the answer of a job's execution, before the job is reported done. It
 // is kept as a result, so that it is given only while its outputs are there.
-func Keep(ctx context.Context, c *cas.Client, job string, resp *repb.ExecuteResponse) error {
+func PutAnswer(ctx context.Context, c *cas.Client, job string, resp *repb.ExecuteResponse) error {
 	r := &repb.ActionResult{}
 	if resp.Result != nil {
 		r = proto.Clone(resp.Result).(*repb.ActionResult)
@@ -94,7 +94,7 @@
 		return err
 	}
 	r.ExecutionMetadata = &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{packed}}
-	return c.In(answers).PutResult(ctx, answerKey(job), r)
+	return c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r)
 }
 
 // ErrNoAnswer means that the answer of an execution is gone, or never was.
@@ -102,7 +102,7 @@
 
 // Answer finds the answer of a job's execution.
 func Answer(ctx context.Context, c *cas.Client, job string) (*repb.ExecuteResponse, error) {
-	r, err := c.In(answers).Result(ctx, answerKey(job))
+	r, err := c.ForInstance(answersInstance).Result(ctx, answerKey(job))
 	if status.Code(err) == codes.NotFound {
 		return nil, ErrNoAnswer
 	}
--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -209,7 +209,7 @@
 		lg := cas.Sum(sha, raw)
 		root := &repb.Directory{Directories: []*repb.DirectoryNode{{Name: sub, Digest: lg.Proto()}}}
 		rg := cas.Sum(sha, []byte("root"))
-		in, err := plan(rg, map[cas.Digest]*repb.Directory{rg: root, lg: leaf}, DefaultLimits)
+		in, err := planInputs(rg, map[cas.Digest]*repb.Directory{rg: root, lg: leaf}, DefaultLimits)
 		if err != nil {
 			return
 		}
@@ -249,11 +249,11 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		in, err := plan(root, dirs, DefaultLimits)
+		in, err := planInputs(root, dirs, DefaultLimits)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := in.lay(b.Context(), bench.Store, b.TempDir()); err != nil {
+		if err := in.materialize(b.Context(), bench.Store, b.TempDir()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/action/golden_test.go
+++ b/internal/action/golden_test.go
@@ -14,5 +14,5 @@
 	goldentest.Check[Work](t, "work.json", json.Marshal, json.Unmarshal)
 	g := cas.Sum(cas.Functions[0], []byte("an action"))
 	out, err := LogNames(JobID(g, 0))
-	goldentest.Text(t, "names.txt", NewWork("main", g).Text()+"\n"+JobID(g, 0)+"\n"+JobID(g, 1)+"\n"+out+"\n"+err+"\n"+answers+"\n"+answerKey("j-1").String()+"\n")
+	goldentest.Text(t, "names.txt", NewWork("main", g).Text()+"\n"+JobID(g, 0)+"\n"+JobID(g, 1)+"\n"+out+"\n"+err+"\n"+answersInstance+"\n"+answerKey("j-1").String()+"\n")
 }
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -58,20 +58,20 @@
 		return err
 	}
 	defer removeAll(dir)
-	c := r.Store.In(w.Instance)
+	c := r.Store.ForInstance(w.Instance)
 	meta := &repb.ExecutedActionMetadata{Worker: r.Worker, WorkerStartTimestamp: timestamppb.Now()}
-	a := &running{Runner: r, c: c, g: g, dir: dir, meta: meta, job: job}
+	a := &execution{Runner: r, client: c, digest: g, dir: dir, meta: meta, job: job}
 	result, err := a.run(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	resp := &repb.ExecuteResponse{Result: result, Status: &spb.Status{}}
-	var f *fault
+	var f *actionError
 	switch {
 	case errors.As(err, &f) && f.missing != nil:
 		resp.Status = MissingStatus(f.missing...).Proto()
 	case errors.As(err, &f):
-		resp.Status = status.New(f.code, f.why).Proto()
+		resp.Status = status.New(f.code, f.message).Proto()
 	case err != nil:
 		return err
 	}
@@ -85,7 +85,7 @@
 			return err
 		}
 	}
-	return Keep(ctx, r.Store, job, resp)
+	return PutAnswer(ctx, r.Store, job, resp)
 }
 
 // removeAll removes a directory of which the action may have locked some.
@@ -99,11 +99,11 @@
 	_ = os.RemoveAll(dir)
 }
 
-// running is an action that is being carried out.
-type running struct {
+// execution is an action that is being carried out.
+type execution struct {
 	*Runner
-	c       *cas.Client
-	g       cas.Digest
+	client  *cas.Client
+	digest  cas.Digest
 	dir     string
 	meta    *repb.ExecutedActionMetadata
 	job     string
@@ -111,7 +111,7 @@
 	command repb.Command
 }
 
-func (a *running) run(ctx context.Context) (*repb.ActionResult, error) {
+func (a *execution) run(ctx context.Context) (*repb.ActionResult, error) {
 	a.meta.InputFetchStartTimestamp = timestamppb.Now()
 	root, err := a.fetch(ctx)
 	if err != nil {
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cwd, err := within("working_directory", a.command.WorkingDirectory)
+	cwd, err := relativePath("working_directory", a.command.WorkingDirectory)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 	}
 	for _, p := range outs { // the directories that outputs are in are made for the command
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(cwd, p)), 0o755); err != nil {
-			return nil, invalid("output %q: %v", p, err)
+			return nil, invalidAction("output %q: %v", p, err)
 		}
 	}
 	a.meta.ExecutionStartTimestamp = timestamppb.Now()
@@ -145,34 +145,34 @@
 	result, err := a.collect(ctx, root, cwd, outs, code)
 	a.meta.OutputUploadCompletedTimestamp = timestamppb.Now()
 	if err == nil && late {
-		err = &fault{code: codes.DeadlineExceeded, why: fmt.Sprintf("the command ran longer than its time limit, %v", a.action.Timeout.AsDuration())}
+		err = &actionError{code: codes.DeadlineExceeded, message: fmt.Sprintf("the command ran longer than its time limit, %v", a.action.Timeout.AsDuration())}
 	}
 	return result, err
 }
 
 // fetch reads the action, its command and its inputs.
-func (a *running) fetch(ctx context.Context) (root string, err error) {
-	if err := a.c.Message(ctx, a.g, &a.action); err != nil {
-		return "", absent(err, a.g)
+func (a *execution) fetch(ctx context.Context) (root string, err error) {
+	if err := a.client.Message(ctx, a.digest, &a.action); err != nil {
+		return "", notFoundAsMissing(err, a.digest)
 	}
-	cg, err := cas.ParseDigest(a.g.Function, a.action.CommandDigest)
+	cg, err := cas.ParseDigest(a.digest.Function, a.action.CommandDigest)
 	if err != nil {
-		return "", invalid("command_digest: %v", err)
+		return "", invalidAction("command_digest: %v", err)
 	}
-	if err := a.c.Message(ctx, cg, &a.command); err != nil {
-		return "", absent(err, cg)
+	if err := a.client.Message(ctx, cg, &a.command); err != nil {
+		return "", notFoundAsMissing(err, cg)
 	}
-	rg, err := cas.ParseDigest(a.g.Function, a.action.InputRootDigest)
+	rg, err := cas.ParseDigest(a.digest.Function, a.action.InputRootDigest)
 	if err != nil {
-		return "", invalid("input_root_digest: %v", err)
+		return "", invalidAction("input_root_digest: %v", err)
 	}
 	dirs := make(map[cas.Digest]*repb.Directory)
 	if !rg.Empty() {
-		if dirs, err = a.c.Tree(ctx, rg); err != nil {
-			return "", absent(err, rg)
+		if dirs, err = a.client.Tree(ctx, rg); err != nil {
+			return "", notFoundAsMissing(err, rg)
 		}
 	}
-	in, err := plan(rg, dirs, a.Limits)
+	in, err := planInputs(rg, dirs, a.Limits)
 	if err != nil {
 		return "", err
 	}
@@ -180,24 +180,24 @@
 	if err := os.MkdirAll(root, 0o755); err != nil {
 		return "", err
 	}
-	return root, in.lay(ctx, a.c, root)
+	return root, in.materialize(ctx, a.client, root)
 }
 
-// absent turns a blob that is not there into what is wrong with the action.
-func absent(err error, g cas.Digest) error {
+// notFoundAsMissing turns a blob that is not there into what is wrong with the action.
+func notFoundAsMissing(err error, g cas.Digest) error {
 	if errors.Is(err, cas.ErrMalformed) {
-		return invalid("%v", err)
+		return invalidAction("%v", err)
 	}
 	for e := err; e != nil; e = errors.Unwrap(e) {
 		if status.Code(e) == codes.NotFound {
-			return missing(g)
+			return missingBlobs(g)
 		}
 	}
 	return err
 }
 
 // outputPaths lists what the command says that it leaves.
-func (a *running) outputPaths() ([]string, error) {
+func (a *execution) outputPaths() ([]string, error) {
 	paths := a.command.OutputPaths
 	if len(paths) == 0 {
 		//lint:ignore SA1019 clients of version 2.0 of the interface send these fields alone
@@ -205,13 +205,13 @@
 	}
 	var out []string
 	for _, p := range paths {
-		q, err := within("output", filepath.Join(a.command.WorkingDirectory, p))
+		q, err := relativePath("output", filepath.Join(a.command.WorkingDirectory, p))
 		if err != nil {
 			return nil, err
 		}
 		rel, err := filepath.Rel(filepath.Clean(a.command.WorkingDirectory), q)
 		if err != nil {
-			return nil, invalid("output %q: %v", p, err)
+			return nil, invalidAction("output %q: %v", p, err)
 		}
 		out = append(out, rel)
 	}
@@ -220,18 +220,18 @@
 
 // Exit codes of commands that could not be started, as shells have them.
 const (
-	exitNotFound    = 127
-	exitNotStarted  = 126
-	exitSignal      = 128
-	killPatience    = 5 * time.Second
-	outputLookEvery = 200 * time.Millisecond
+	exitNotFound       = 127
+	exitNotStarted     = 126
+	exitSignal         = 128
+	killWait           = 5 * time.Second
+	outputPollInterval = 200 * time.Millisecond
 )
 
 // execute runs the command in a process group of its own, with no more than the
 // environment that it declares.
-func (a *running) execute(ctx context.Context, cwd string) (code int, late bool, err error) {
+func (a *execution) execute(ctx context.Context, cwd string) (code int, late bool, err error) {
 	if len(a.command.Arguments) == 0 {
-		return 0, false, invalid("the command has no arguments")
+		return 0, false, invalidAction("the command has no arguments")
 	}
 	if d := a.action.Timeout.AsDuration(); a.action.Timeout != nil && d > 0 {
 		var cancel context.CancelFunc
@@ -260,11 +260,11 @@
 			path = v.Value
 		}
 	}
-	cmd.Path = lookUp(a.command.Arguments[0], cwd, path)
+	cmd.Path = lookPath(a.command.Arguments[0], cwd, path)
 	cmd.Err = nil
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
-	cmd.WaitDelay = killPatience
+	cmd.WaitDelay = killWait
 	runtime.LockOSThread() // the command ends with the thread that has started it
 	defer runtime.UnlockOSThread()
 	if err := cmd.Start(); err != nil {
@@ -275,18 +275,18 @@
 		return exitNotStarted, false, nil
 	}
 	var beside errgroup.Group
-	beside.Go(func() error { watch(ctx, a.Limits.OutputBytes, over, stdout, stderr); return nil })
+	beside.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, over, stdout, stderr); return nil })
 	outName, errName := LogNames(a.job)
-	beside.Go(func() error { a.show(ctx, stdout.Name(), outName); return nil })
-	beside.Go(func() error { a.show(ctx, stderr.Name(), errName); return nil })
+	beside.Go(func() error { a.streamLog(ctx, stdout.Name(), outName); return nil })
+	beside.Go(func() error { a.streamLog(ctx, stderr.Name(), errName); return nil })
 	err = cmd.Wait()
 	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it has left running
 	cause := context.Cause(ctx)
 	over(nil)
 	_ = beside.Wait()
 	switch {
-	case errors.Is(cause, errTooMuch):
-		return 0, false, &fault{code: codes.ResourceExhausted, why: fmt.Sprintf("the command writes more than %d bytes to stdout or stderr", a.Limits.OutputBytes)}
+	case errors.Is(cause, errOutputLimit):
+		return 0, false, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the command writes more than %d bytes to stdout or stderr", a.Limits.OutputBytes)}
 	case errors.Is(cause, errTimeLimit):
 		return exitSignal + int(syscall.SIGKILL), true, nil
 	case cause != nil:
@@ -299,13 +299,13 @@
 }
 
 var (
-	errTimeLimit = errors.New("time limit")
-	errTooMuch   = errors.New("too much output")
+	errTimeLimit   = errors.New("time limit")
+	errOutputLimit = errors.New("too much output")
 )
 
-// watch ends the command when it writes too much.
-func watch(ctx context.Context, limit int64, over context.CancelCauseFunc, files ...*os.File) {
-	t := time.NewTicker(outputLookEvery)
+// limitOutput ends the command when it writes too much.
+func limitOutput(ctx context.Context, limit int64, over context.CancelCauseFunc, files ...*os.File) {
+	t := time.NewTicker(outputPollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -315,26 +315,26 @@
 		}
 		for _, f := range files {
 			if info, err := f.Stat(); err == nil && info.Size() > limit {
-				over(errTooMuch)
+				over(errOutputLimit)
 				return
 			}
 		}
 	}
 }
 
-// showEvery is how often what a command has written is shown to those who watch.
-const showEvery = 100 * time.Millisecond
+// logPollInterval is how often what a command has written is shown to those who watch.
+const logPollInterval = 100 * time.Millisecond
 
-// show writes a file, as it grows, into a log of the store, until the command is
+// streamLog writes a file, as it grows, into a log of the store, until the command is
 // over. Nothing rests on it: where the store does not take it, nobody sees it live.
-func (a *running) show(ctx context.Context, file, name string) {
+func (a *execution) streamLog(ctx context.Context, file, name string) {
 	f, err := os.Open(file)
 	if err != nil {
 		return
 	}
 	defer f.Close()
 	var log *cas.Log
-	t := time.NewTicker(showEvery)
+	t := time.NewTicker(logPollInterval)
 	defer t.Stop()
 	for over := false; ; {
 		for buf := make([]byte, 32<<10); ; {
@@ -345,7 +345,7 @@
 			if log == nil { // most commands write nothing
 				end, cancel := context.WithCancel(context.WithoutCancel(ctx))
 				defer cancel()
-				if log, err = a.c.Log(end, name); err != nil {
+				if log, err = a.client.Log(end, name); err != nil {
 					return
 				}
 			}
@@ -367,9 +367,9 @@
 	}
 }
 
-// lookUp finds the program: one with a slash is relative to the working directory,
+// lookPath finds the program: one with a slash is relative to the working directory,
 // any other is looked for in the PATH that the command declares.
-func lookUp(program, cwd, path string) string {
+func lookPath(program, cwd, path string) string {
 	if filepath.IsAbs(program) {
 		return program
 	}
@@ -386,8 +386,8 @@
 }
 
 // collect uploads what the command has left, and makes the result of it.
-func (a *running) collect(ctx context.Context, root, cwd string, outs []string, code int) (*repb.ActionResult, error) {
-	o := &outputs{f: a.g.Function, lim: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
+func (a *execution) collect(ctx context.Context, root, cwd string, outs []string, code int) (*repb.ActionResult, error) {
+	o := &outputs{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	real, err := filepath.EvalSymlinks(root)
 	if err != nil {
 		return nil, err
@@ -396,7 +396,7 @@
 		at := filepath.Join(cwd, p)
 		// The command may have put a symlink in the way that leads elsewhere.
 		if parent, err := filepath.EvalSymlinks(filepath.Dir(at)); err == nil && parent != real && !strings.HasPrefix(parent, real+"/") {
-			return nil, invalid("output %q: leads out of the input root", p)
+			return nil, invalidAction("output %q: leads out of the input root", p)
 		}
 		if err := o.collect(at, p); err != nil {
 			return nil, err
@@ -414,5 +414,5 @@
 		}
 		*to = g.Proto()
 	}
-	return o.result, o.upload(ctx, a.c)
+	return o.result, o.upload(ctx, a.client)
 }
--- a/internal/action/tree.go
+++ b/internal/action/tree.go
@@ -29,22 +29,22 @@
 // DefaultLimits is used where nothing else is said.
 var DefaultLimits = Limits{Inputs: 500_000, InputBytes: 32 << 30, Outputs: 100_000, OutputBytes: 8 << 30}
 
-// fault is what is wrong with an action itself: an answer, not a failure of the
+// actionError is what is wrong with an action itself: an answer, not a failure of the
 // machine.
-type fault struct {
+type actionError struct {
 	code    codes.Code
 	missing []cas.Digest
-	why     string
+	message string
 }
 
-func (f *fault) Error() string { return f.why }
+func (f *actionError) Error() string { return f.message }
 
-func invalid(format string, args ...any) error {
-	return &fault{code: codes.InvalidArgument, why: fmt.Sprintf(format, args...)}
+func invalidAction(format string, args ...any) error {
+	return &actionError{code: codes.InvalidArgument, message: fmt.Sprintf(format, args...)}
 }
 
-func missing(g ...cas.Digest) error {
-	return &fault{code: codes.FailedPrecondition, missing: g, why: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(g), g[0])}
+func missingBlobs(g ...cas.Digest) error {
+	return &actionError{code: codes.FailedPrecondition, missing: g, message: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(g), g[0])}
 }
 
 // inputs is an input tree as it is to be laid out.
@@ -61,28 +61,28 @@
 	target     string
 }
 
-// name checks the name of an entry: it must stay in its directory.
-func name(dir, n string) (string, error) {
+// entryPath checks the name of an entry: it must stay in its directory.
+func entryPath(dir, n string) (string, error) {
 	if n == "" || n == "." || n == ".." || strings.ContainsAny(n, "/\x00") {
-		return "", invalid("input %q in %q: a name must be one word without /, and not . or ..", n, dir)
+		return "", invalidAction("input %q in %q: a name must be one word without /, and not . or ..", n, dir)
 	}
 	return path.Join(dir, n), nil
 }
 
-// within checks a path that the action itself gives, such as an output.
-func within(what, p string) (string, error) {
+// relativePath checks a path that the action itself gives, such as an output.
+func relativePath(what, p string) (string, error) {
 	if path.IsAbs(p) || strings.ContainsRune(p, 0) {
-		return "", invalid("%s %q: must be relative", what, p)
+		return "", invalidAction("%s %q: must be relative", what, p)
 	}
 	if c := path.Clean(p); c == ".." || strings.HasPrefix(c, "../") {
-		return "", invalid("%s %q: leads out of the input root", what, p)
+		return "", invalidAction("%s %q: leads out of the input root", what, p)
 	}
 	return path.Clean(p), nil
 }
 
-// plan walks through a tree and checks it: names that stay inside, entries in
+// planInputs walks through a tree and checks it: names that stay inside, entries in
 // bounds, and every directory there.
-func plan(root cas.Digest, dirs map[cas.Digest]*repb.Directory, lim Limits) (*inputs, error) {
+func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, lim Limits) (*inputs, error) {
 	in := &inputs{files: make(map[cas.Digest][]node)}
 	type step struct {
 		g   cas.Digest
@@ -101,14 +101,14 @@
 			continue
 		}
 		if count += 1 + len(d.Files) + len(d.Symlinks); count > lim.Inputs {
-			return nil, invalid("the input tree has more than %d entries", lim.Inputs)
+			return nil, invalidAction("the input tree has more than %d entries", lim.Inputs)
 		}
 		in.dirs = append(in.dirs, s.dir)
 		seen := make(map[string]bool)
 		add := func(n string) (string, error) {
-			p, err := name(s.dir, n)
+			p, err := entryPath(s.dir, n)
 			if err == nil && seen[n] {
-				err = invalid("input %q is in %q twice", n, s.dir)
+				err = invalidAction("input %q is in %q twice", n, s.dir)
 			}
 			seen[n] = true
 			return p, err
@@ -120,10 +120,10 @@
 			}
 			g, err := cas.ParseDigest(root.Function, f.Digest)
 			if err != nil {
-				return nil, invalid("input %q: %v", p, err)
+				return nil, invalidAction("input %q: %v", p, err)
 			}
 			if bytes += g.Size; bytes > lim.InputBytes {
-				return nil, invalid("the input tree has more than %d bytes", lim.InputBytes)
+				return nil, invalidAction("the input tree has more than %d bytes", lim.InputBytes)
 			}
 			in.files[g] = append(in.files[g], node{path: p, executable: f.IsExecutable})
 		}
@@ -132,8 +132,8 @@
 			if err != nil {
 				return nil, err
 			}
-			if _, err := within("symlink "+p+" to", path.Join(s.dir, l.Target)); err != nil || path.IsAbs(l.Target) {
-				return nil, invalid("symlink %q to %q: leads out of the input root", p, l.Target)
+			if _, err := relativePath("symlink "+p+" to", path.Join(s.dir, l.Target)); err != nil || path.IsAbs(l.Target) {
+				return nil, invalidAction("symlink %q to %q: leads out of the input root", p, l.Target)
 			}
 			in.links = append(in.links, node{path: p, target: l.Target})
 		}
@@ -144,22 +144,22 @@
 			}
 			g, err := cas.ParseDigest(root.Function, sub.Digest)
 			if err != nil {
-				return nil, invalid("input %q: %v", p, err)
+				return nil, invalidAction("input %q: %v", p, err)
 			}
 			if len(p) > 4000 {
-				return nil, invalid("input %.60q...: the path is too long", p)
+				return nil, invalidAction("input %.60q...: the path is too long", p)
 			}
 			queue = append(queue, step{g, p})
 		}
 	}
 	if lost != nil {
-		return nil, missing(lost...)
+		return nil, missingBlobs(lost...)
 	}
 	return in, nil
 }
 
-// lay fetches the inputs into a directory.
-func (in *inputs) lay(ctx context.Context, c *cas.Client, dir string) error {
+// materialize fetches the inputs into a directory.
+func (in *inputs) materialize(ctx context.Context, c *cas.Client, dir string) error {
 	for _, d := range in.dirs {
 		if err := os.MkdirAll(filepath.Join(dir, d), 0o755); err != nil {
 			return err
@@ -167,7 +167,7 @@
 	}
 	var small, large []cas.Digest
 	for g := range in.files {
-		if g.Size <= cas.Small {
+		if g.Size <= cas.MaxBatchedBlob {
 			small = append(small, g)
 		} else {
 			large = append(large, g)
@@ -179,7 +179,7 @@
 		return err
 	}
 	if len(lost) > 0 {
-		return missing(lost...)
+		return missingBlobs(lost...)
 	}
 	write := func(g cas.Digest, data []byte) error {
 		for _, n := range in.files[g] {
@@ -190,11 +190,11 @@
 		return nil
 	}
 	if err := c.ReadMany(ctx, small, write); err != nil {
-		return gone(err)
+		return notFoundAsFailed(err)
 	}
 	for _, g := range large {
-		if err := in.layLarge(ctx, c, dir, g); err != nil {
-			return gone(err)
+		if err := in.fetchLarge(ctx, c, dir, g); err != nil {
+			return notFoundAsFailed(err)
 		}
 	}
 	for _, l := range in.links { // last, so that nothing is written through one
@@ -205,15 +205,15 @@
 	return nil
 }
 
-// gone turns a blob that was there a moment ago into what is wrong with the action.
-func gone(err error) error {
+// notFoundAsFailed turns a blob that was there a moment ago into what is wrong with the action.
+func notFoundAsFailed(err error) error {
 	if status.Code(errors.Unwrap(err)) == codes.NotFound {
-		return &fault{code: codes.FailedPrecondition, why: err.Error()}
+		return &actionError{code: codes.FailedPrecondition, message: err.Error()}
 	}
 	return err
 }
 
-func (in *inputs) layLarge(ctx context.Context, c *cas.Client, dir string, g cas.Digest) error {
+func (in *inputs) fetchLarge(ctx context.Context, c *cas.Client, dir string, g cas.Digest) error {
 	for _, n := range in.files[g] {
 		f, err := os.OpenFile(filepath.Join(dir, n.path), os.O_WRONLY|os.O_CREATE|os.O_EXCL, n.mode())
 		if err != nil {
@@ -235,22 +235,22 @@
 
 // outputs gathers what an action has left.
 type outputs struct {
-	f      cas.Function
-	lim    Limits
-	result *repb.ActionResult
-	files  map[cas.Digest]string // to upload, by where they are
-	blobs  map[cas.Digest][]byte
-	count  int
-	bytes  int64
+	function cas.Function
+	limits   Limits
+	result   *repb.ActionResult
+	files    map[cas.Digest]string // to upload, by where they are
+	blobs    map[cas.Digest][]byte
+	count    int
+	bytes    int64
 }
 
 // file takes in a file, and gives its digest.
 func (o *outputs) file(at string, info os.FileInfo) (cas.Digest, error) {
 	o.count++
-	if o.bytes += info.Size(); o.count > o.lim.Outputs || o.bytes > o.lim.OutputBytes {
-		return cas.Digest{}, &fault{code: codes.ResourceExhausted, why: fmt.Sprintf("the outputs are more than %d files or %d bytes", o.lim.Outputs, o.lim.OutputBytes)}
+	if o.bytes += info.Size(); o.count > o.limits.Outputs || o.bytes > o.limits.OutputBytes {
+		return cas.Digest{}, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the outputs are more than %d files or %d bytes", o.limits.Outputs, o.limits.OutputBytes)}
 	}
-	g, err := cas.SumFile(o.f, at)
+	g, err := cas.SumFile(o.function, at)
 	if err == nil {
 		o.files[g] = at
 	}
@@ -276,12 +276,12 @@
 			return err
 		}
 		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(tree)
-		g := cas.Sum(o.f, raw)
+		g := cas.Sum(o.function, raw)
 		o.blobs[g] = raw
 		o.result.OutputDirectories = append(o.result.OutputDirectories, &repb.OutputDirectory{Path: p, TreeDigest: g.Proto(), IsTopologicallySorted: false})
 		return err
 	case !info.Mode().IsRegular():
-		return invalid("output %q: is neither a file, a directory nor a symlink", p)
+		return invalidAction("output %q: is neither a file, a directory nor a symlink", p)
 	}
 	g, err := o.file(at, info)
 	o.result.OutputFiles = append(o.result.OutputFiles, &repb.OutputFile{Path: p, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
@@ -317,7 +317,7 @@
 				return nil, err
 			}
 			tree.Children = append(tree.Children, child)
-			d.Directories = append(d.Directories, &repb.DirectoryNode{Name: e.Name(), Digest: cas.Sum(o.f, raw).Proto()})
+			d.Directories = append(d.Directories, &repb.DirectoryNode{Name: e.Name(), Digest: cas.Sum(o.function, raw).Proto()})
 		case info.Mode().IsRegular():
 			g, err := o.file(sub, info)
 			if err != nil {
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -19,10 +19,10 @@
 // Upload writes files and directories below a directory into the store, as an input
 // tree with the same names, and gives its root.
 func Upload(ctx context.Context, c *cas.Client, f cas.Function, base string, paths []string) (cas.Digest, error) {
-	o := &outputs{f: f, lim: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
+	o := &outputs{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	root := newFolder()
 	for _, p := range paths {
-		p, err := within("input", filepath.ToSlash(p))
+		p, err := relativePath("input", filepath.ToSlash(p))
 		if err != nil {
 			return cas.Digest{}, err
 		}
@@ -119,7 +119,7 @@
 		d.Symlinks = append(d.Symlinks, f.links[name])
 	}
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(d)
-	g := cas.Sum(o.f, raw)
+	g := cas.Sum(o.function, raw)
 	o.blobs[g] = raw
 	return g, err
 }
@@ -128,7 +128,7 @@
 func Download(ctx context.Context, c *cas.Client, f cas.Function, base string, r *repb.ActionResult) error {
 	in := &inputs{files: make(map[cas.Digest][]node)}
 	for _, o := range r.GetOutputFiles() {
-		p, err := within("output", o.Path)
+		p, err := relativePath("output", o.Path)
 		if err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 		in.files[g] = append(in.files[g], node{path: p, executable: o.IsExecutable})
 	}
 	for _, o := range r.GetOutputDirectories() {
-		p, err := within("output", o.Path)
+		p, err := relativePath("output", o.Path)
 		if err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 			_ = os.Remove(filepath.Join(base, n.path))
 		}
 	}
-	return in.lay(ctx, c, base)
+	return in.materialize(ctx, c, base)
 }
 
 // addTree adds an output directory.
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	sub, err := plan(cas.Sum(f, raw), dirs, DefaultLimits)
+	sub, err := planInputs(cas.Sum(f, raw), dirs, DefaultLimits)
 	if err != nil {
 		return err
 	}
--- a/internal/admission/canceller.go
+++ b/internal/admission/canceller.go
@@ -10,9 +10,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Closer writes cancellations. Those that wait already go into one transaction,
+// Canceller writes cancellations. Those that wait already go into one transaction,
 // and those of jobs that were accepted together into one change.
-type Closer struct {
+type Canceller struct {
 	Client *store.Client
 	View   *store.View
 	Follow *store.Follower
@@ -20,36 +20,36 @@
 	MaxOps int
 
 	mu    sync.Mutex
-	queue []*closing
-	kick  chan struct{}
+	queue []*pendingCancel
+	wake  chan struct{}
 }
 
-// closing is a cancellation that waits.
-type closing struct {
-	id   string
+// pendingCancel is a cancellation that waits.
+type pendingCancel struct {
+	job  string
 	ctx  context.Context
-	done chan closed
+	done chan cancelResult
 }
 
-// closed is what became of it; with neither an end nor an error the job must be
+// cancelResult is what became of it; with neither an end nor an error the job must be
 // looked up again.
-type closed struct {
-	end *store.JobRecord
-	err error
+type cancelResult struct {
+	record *store.JobRecord
+	err    error
 }
 
-// closeBytes bounds the values of a transaction.
-const closeBytes = 48 << 10
+// maxCancelTxnBytes bounds the values of a transaction.
+const maxCancelTxnBytes = 48 << 10
 
-// NewCloser gives a closer, whose Run does the writing.
-func NewCloser(c *store.Client, v *store.View, f *store.Follower, maxOps int) *Closer {
-	return &Closer{Client: c, View: v, Follow: f, MaxOps: maxOps, kick: make(chan struct{}, 1)}
+// NewCanceller gives a closer, whose Run does the writing.
+func NewCanceller(c *store.Client, v *store.View, f *store.Follower, maxOps int) *Canceller {
+	return &Canceller{Client: c, View: v, Follow: f, MaxOps: maxOps, wake: make(chan struct{}, 1)}
 }
 
 // Cancel waits until a live job is marked as cancelled, and gives its record. It
 // gives nil where the job has changed meanwhile and must be looked up again.
-func (c *Closer) Cancel(ctx context.Context, id string) (*store.JobRecord, error) {
-	e := &closing{id, ctx, make(chan closed, 1)}
+func (c *Canceller) Cancel(ctx context.Context, id string) (*store.JobRecord, error) {
+	e := &pendingCancel{id, ctx, make(chan cancelResult, 1)}
 	c.mu.Lock()
 	full := len(c.queue) >= maxQueue
 	if !full {
@@ -60,83 +60,83 @@
 		return nil, ErrFull
 	}
 	select {
-	case c.kick <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 	select {
 	case r := <-e.done:
-		return r.end, r.err
+		return r.record, r.err
 	case <-ctx.Done():
 		return nil, ctx.Err() // it may still be written
 	}
 }
 
 // Run writes what waits until the context ends.
-func (c *Closer) Run(ctx context.Context) error {
-	ctx = store.For(ctx, store.Cancels)
+func (c *Canceller) Run(ctx context.Context) error {
+	ctx = store.WithPurpose(ctx, store.PurposeCancellations)
 	for {
-		if g := c.take(); len(g.entries) > 0 {
-			c.write(ctx, g)
+		if g := c.nextBatch(); len(g.entries) > 0 {
+			c.commit(ctx, g)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.kick:
+		case <-c.wake:
 		}
 	}
 }
 
-// closeGroup is what one transaction closes.
-type closeGroup struct {
-	entries  []*closing
-	ends     []store.JobRecord
-	rewrites []*store.Rewrite
+// cancelBatch is what one transaction closes.
+type cancelBatch struct {
+	entries  []*pendingCancel
+	records  []store.JobRecord
+	rewrites []*store.BatchUpdate
 }
 
-// take removes what can be written together. A job that is not live any more is
+// nextBatch removes what can be written together. A job that is not live any more is
 // sent back to be looked up.
-func (c *Closer) take() closeGroup {
+func (c *Canceller) nextBatch() cancelBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var g closeGroup
-	var rest []*closing
-	byHome := make(map[string]*store.Rewrite)
+	var g cancelBatch
+	var rest []*pendingCancel
+	byHome := make(map[string]*store.BatchUpdate)
 	bytes, now := 0, time.Now()
 	for _, e := range c.queue {
 		if e.ctx.Err() != nil {
 			continue
 		}
-		l, live := c.View.Live(e.id)
+		l, live := c.View.Live(e.job)
 		if !live {
-			e.done <- closed{}
+			e.done <- cancelResult{}
 			continue
 		}
-		r := byHome[l.Home.Key]
-		switch size := l.Home.Bytes(); {
-		case r != nil && r.Of(l.Home):
-		case r != nil, len(byHome) >= c.MaxOps, bytes > 0 && bytes+size > closeBytes:
+		r := byHome[l.Batch.Key]
+		switch size := l.Batch.Bytes(); {
+		case r != nil && r.IsFor(l.Batch):
+		case r != nil, len(byHome) >= c.MaxOps, bytes > 0 && bytes+size > maxCancelTxnBytes:
 			rest = append(rest, e)
 			continue
 		default:
-			r = l.Home.Rewrite()
-			byHome[l.Home.Key] = r
+			r = l.Batch.Update()
+			byHome[l.Batch.Key] = r
 			g.rewrites = append(g.rewrites, r)
 			bytes += size
 		}
 		g.entries = append(g.entries, e)
-		g.ends = append(g.ends, r.End(e.id, wire.Cancelled, now))
+		g.records = append(g.records, r.EndJob(e.job, wire.Cancelled, now))
 	}
 	c.queue = rest
 	return g
 }
 
-// write commits a group. A write without an answer is sent again, since the
+// commit commits a group. A write without an answer is sent again, since the
 // conditions let one copy at most be applied.
-func (c *Closer) write(ctx context.Context, g closeGroup) {
+func (c *Canceller) commit(ctx context.Context, g cancelBatch) {
 	var txn wire.Txn
 	for _, r := range g.rewrites {
-		txn.If, txn.Then = append(txn.If, r.If()), append(txn.Then, r.Change())
+		txn.If, txn.Then = append(txn.If, r.Condition()), append(txn.Then, r.Change())
 	}
 	for {
 		wait, cancel := context.WithTimeout(ctx, writePatience)
@@ -146,10 +146,10 @@
 		switch {
 		case err == nil:
 			for _, r := range g.rewrites {
-				c.View.Wrote(r.Taken(rev))
+				c.View.ApplyOwnWrite(r.Committed(rev))
 			}
 			for i, e := range g.entries {
-				e.done <- closed{end: &g.ends[i]}
+				e.done <- cancelResult{record: &g.records[i]}
 			}
 			return
 		case errors.As(err, &conflict):
@@ -158,21 +158,21 @@
 			cancel()
 			g.finish(err)
 			return
-		case !errors.Is(err, store.ErrUnknown) || ctx.Err() != nil || !g.waiting():
+		case !errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil || !g.hasWaiters():
 			g.finish(err)
 			return
 		}
-		store.Pause(ctx, 100*time.Millisecond)
+		store.Backoff(ctx, 100*time.Millisecond)
 	}
 }
 
-func (g *closeGroup) finish(err error) {
+func (g *cancelBatch) finish(err error) {
 	for _, e := range g.entries {
-		e.done <- closed{err: err}
+		e.done <- cancelResult{err: err}
 	}
 }
 
-func (g *closeGroup) waiting() bool {
+func (g *cancelBatch) hasWaiters() bool {
 	for _, e := range g.entries {
 		if e.ctx.Err() == nil {
 			return true
--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -22,26 +22,26 @@
 	MaxBytes int
 	// MaxQueue bounds the jobs that wait.
 	MaxQueue int
-	// First says whether a job goes before others that wait; nil stands for none.
-	First func(j *wire.Job) bool
+	// Prioritized says whether a job goes before others that wait; nil stands for none.
+	Prioritized func(j *wire.Job) bool
 
 	mu      sync.Mutex
-	queue   []*entry
-	kick    chan struct{}
+	queue   []*submission
+	wake    chan struct{}
 	batches int
 }
 
-// entry is a job that waits to be written.
-type entry struct {
-	id   string
-	rec  store.JobRecord
-	gate uint64
-	size int
-	ctx  context.Context
-	done chan error
-
-	first   bool
-	sending func() // is called before it is written, nil for nothing
+// submission is a job that waits to be written.
+type submission struct {
+	job    string
+	record store.JobRecord
+	gate   uint64
+	size   int
+	ctx    context.Context
+	done   chan error
+
+	prioritized bool
+	onSend      func() // is called before it is written, nil for nothing
 }
 
 // maxQueue bounds the jobs that wait where each controller writes by itself. Users give up on one
@@ -53,13 +53,13 @@
 	ErrFull = errors.New("too many submissions wait")
 	// ErrTooLarge means that the job can never be stored.
 	ErrTooLarge = errors.New("the job's description is too large to be stored")
-	// errMoved means that the gate has moved: the job may have been accepted, have
+	// errGateMoved means that the gate has moved: the job may have been accepted, have
 	// ended and have gone into the history since it was looked up.
-	errMoved = errors.New("the gate of submissions has moved")
-	// errTaken means that a copy without an answer was taken before.
-	errTaken = errors.New("an earlier copy was taken")
-	// errElsewhere means that another controller is to write the job, which is not written here.
-	errElsewhere = errors.New("another controller writes it now")
+	errGateMoved = errors.New("the gate of submissions has moved")
+	// errCopyTaken means that a copy without an answer was taken before.
+	errCopyTaken = errors.New("an earlier copy was taken")
+	// errRerouted means that another controller is to write the job, which is not written here.
+	errRerouted = errors.New("another controller writes it now")
 )
 
 // maxBatch bounds a batch, which is written again when one of its jobs ends, beside
@@ -68,25 +68,25 @@
 
 // NewIntake gives an intake, whose Run does the writing.
 func NewIntake(c *store.Client, name string, maxBytes int) *Intake {
-	return &Intake{Client: c, Name: name, MaxBytes: min(maxBytes, maxBatch), MaxQueue: maxQueue, kick: make(chan struct{}, 1)}
+	return &Intake{Client: c, Name: name, MaxBytes: min(maxBytes, maxBatch), MaxQueue: maxQueue, wake: make(chan struct{}, 1)}
 }
 
 // Add waits until a job is written, or it is known that it won't be. Gate is the
 // version that the gate had before the job was looked up and not found. Sending is called
 // before each time that it is sent to the state service.
-func (in *Intake) Add(ctx context.Context, id string, rec store.JobRecord, gate uint64, sending func()) error {
-	e := &entry{id, rec, gate, store.RecordBytes(&rec), ctx, make(chan error, 1), in.First != nil && in.First(rec.Job), sending}
+func (in *Intake) Add(ctx context.Context, id string, rec store.JobRecord, gate uint64, onSend func()) error {
+	e := &submission{id, rec, gate, store.JobRecordBytes(&rec), ctx, make(chan error, 1), in.Prioritized != nil && in.Prioritized(rec.Job), onSend}
 	if e.size > in.MaxBytes-100 {
 		return ErrTooLarge
 	}
 	in.mu.Lock()
-	full := !in.admit(e)
+	full := !in.enqueue(e)
 	in.mu.Unlock()
 	if full {
 		return ErrFull
 	}
 	select {
-	case in.kick <- struct{}{}:
+	case in.wake <- struct{}{}:
 	default:
 	}
 	select {
@@ -97,12 +97,12 @@
 	}
 }
 
-// admit queues a job if there is room: behind those of the first tier, and one of these
+// enqueue queues a job if there is room: behind those of the first tier, and one of these
 // before all others. However many of the others wait, they never have it sent away.
-func (in *Intake) admit(e *entry) bool {
+func (in *Intake) enqueue(e *submission) bool {
 	at := len(in.queue)
-	if e.first {
-		if at = slices.IndexFunc(in.queue, func(o *entry) bool { return !o.first }); at < 0 {
+	if e.prioritized {
+		if at = slices.IndexFunc(in.queue, func(o *submission) bool { return !o.prioritized }); at < 0 {
 			at = len(in.queue)
 		}
 	}
@@ -124,41 +124,41 @@
 	waiting := in.queue
 	in.queue = nil
 	in.mu.Unlock()
-	finish(waiting, errElsewhere)
+	finish(waiting, errRerouted)
 }
 
 // Run writes what waits until the context ends.
 func (in *Intake) Run(ctx context.Context) error {
-	ctx = store.For(ctx, store.Submissions)
+	ctx = store.WithPurpose(ctx, store.PurposeSubmissions)
 	for {
-		group := in.take()
+		group := in.nextBatch()
 		if len(group) == 0 {
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-in.kick:
+			case <-in.wake:
 			}
 			continue
 		}
-		in.write(ctx, group)
+		in.commit(ctx, group)
 	}
 }
 
-// take removes the next jobs to write together. One whose user has gone is
+// nextBatch removes the next jobs to write together. One whose user has gone is
 // left out, and so is a second copy of the same job, until the next time.
-func (in *Intake) take() []*entry {
+func (in *Intake) nextBatch() []*submission {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	var group []*entry
-	var rest []*entry
+	var group []*submission
+	var rest []*submission
 	bytes, seen := 100, make(map[string]bool)
 	for _, e := range in.queue {
 		switch {
 		case e.ctx.Err() != nil:
-		case seen[e.id] || len(rest) > 0 || bytes+e.size > in.MaxBytes || len(group) > 0 && e.gate != group[0].gate:
+		case seen[e.job] || len(rest) > 0 || bytes+e.size > in.MaxBytes || len(group) > 0 && e.gate != group[0].gate:
 			rest = append(rest, e)
 		default:
-			seen[e.id] = true
+			seen[e.job] = true
 			bytes += e.size
 			group = append(group, e)
 		}
@@ -167,19 +167,19 @@
 	return group
 }
 
-// write commits a group. A write without an answer is sent again: its key is of
+// commit commits a group. A write without an answer is sent again: its key is of
 // its own, so that one copy at most is applied, and none once the gate has moved.
-func (in *Intake) write(ctx context.Context, group []*entry) {
+func (in *Intake) commit(ctx context.Context, group []*submission) {
 	in.batches++
 	key := store.BatchKey(fmt.Sprintf("%s-%d", in.Name, in.batches))
 	rec := store.BatchRecord{Jobs: make(map[string]store.JobRecord, len(group))}
 	for _, e := range group {
-		rec.Jobs[e.id] = e.rec
+		rec.Jobs[e.job] = e.record
 	}
-	txn := wire.Txn{If: []wire.Condition{{Key: key}, {Key: store.GateKey, Version: group[0].gate}}, Then: []wire.Change{{Put: key, Value: rec}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: key}, {Key: store.SubmissionFenceKey, Version: group[0].gate}}, Then: []wire.Operation{{Put: key, Value: rec}}}
 	for {
 		wait, cancel := context.WithTimeout(ctx, writePatience)
-		_, err := in.Client.TxnAfter(wait, txn, func() { announce(group) })
+		_, err := in.Client.TxnBeforeSend(wait, txn, func() { notifySending(group) })
 		cancel()
 		var conflict *store.ConflictError
 		switch {
@@ -187,37 +187,37 @@
 			finish(group, nil)
 			return
 		case errors.As(err, &conflict):
-			err = errMoved
+			err = errGateMoved
 			if slices.Contains(conflict.Failed, key) {
-				err = errTaken
+				err = errCopyTaken
 			}
 			finish(group, err)
 			return
-		case !errors.Is(err, store.ErrUnknown) || ctx.Err() != nil || !waiting(group):
+		case !errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil || !hasWaiters(group):
 			finish(group, err)
 			return
 		}
-		store.Pause(ctx, 100*time.Millisecond)
+		store.Backoff(ctx, 100*time.Millisecond)
 	}
 }
 
-// announce tells those who wait that their jobs are being sent.
-func announce(group []*entry) {
+// notifySending tells those who wait that their jobs are being sent.
+func notifySending(group []*submission) {
 	for _, e := range group {
-		if e.sending != nil {
-			e.sending()
+		if e.onSend != nil {
+			e.onSend()
 		}
 	}
 }
 
-func finish(group []*entry, err error) {
+func finish(group []*submission, err error) {
 	for _, e := range group {
 		e.done <- err
 	}
 }
 
-// waiting reports whether the user of any job of a group still waits.
-func waiting(group []*entry) bool {
+// hasWaiters reports whether the user of any job of a group still waits.
+func hasWaiters(group []*submission) bool {
 	for _, e := range group {
 		if e.ctx.Err() == nil {
 			return true
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -25,28 +25,28 @@
 
 // Service accepts and cancels jobs.
 type Service struct {
-	Teams  []config.Team
-	Intake *Intake
-	Closer *Closer
-	View   *store.View
-	Follow *store.Follower
+	Teams     []config.Team
+	Intake    *Intake
+	Canceller *Canceller
+	View      *store.View
+	Follow    *store.Follower
 	// History finds jobs that are over and that the view holds no more.
 	History History
 	Log     *slog.Logger
-	// Types gives the machine types, nil while they are not known.
-	Types func() []wire.MachineType
+	// MachineTypes gives the machine types, nil while they are not known.
+	MachineTypes func() []wire.MachineType
 	// Route gives the shares of a new job, none where the fleet is one part, and the number of
 	// the grouping that they are of.
-	Route func(job *wire.Job, types []wire.MachineType) ([]store.Share, uint64)
-	// Open says whether jobs may be accepted and cancelled here.
-	Open func() bool
-	// Backlog is how many jobs may be over and not folded before no more are
+	Route func(job *wire.Job, types []wire.MachineType) ([]store.ShardRange, uint64)
+	// Writable says whether jobs may be accepted and cancelled here.
+	Writable func() bool
+	// MaxBacklog is how many jobs may be over and not folded before no more are
 	// accepted.
-	Backlog int
-	// Forward has another controller write, where few of them write for all; nil stands for none.
-	Forward Forwarder
-	// Accepted is called after a change of the jobs that was made here.
-	Accepted func()
+	MaxBacklog int
+	// Forwarder has another controller write, where few of them write for all; nil stands for none.
+	Forwarder Forwarder
+	// OnChange is called after a change of the jobs that was made here.
+	OnChange func()
 }
 
 // History is where jobs that are over are kept for ever.
@@ -65,21 +65,21 @@
 
 // What can become of a call, beside ErrFull and ErrTooLarge.
 var (
-	// ErrLater means that it can't be done now; come back.
-	ErrLater = errors.New("not now, come back")
-	// ErrBehind is an ErrLater for a longer while.
-	ErrBehind = fmt.Errorf("%w: folding has fallen behind", ErrLater)
-	// ErrHere is an ErrLater that another controller may not give: this one does not come
+	// ErrRetryLater means that it can't be done now; come back.
+	ErrRetryLater = errors.New("not now, come back")
+	// ErrCompactionBehind is an ErrLater for a longer while.
+	ErrCompactionBehind = fmt.Errorf("%w: folding has fallen behind", ErrRetryLater)
+	// ErrHistoryUnavailable is an ErrLater that another controller may not give: this one does not come
 	// by what it needs.
-	ErrHere = fmt.Errorf("%w: the history can't be read", ErrLater)
-	// ErrUnknown means that nobody has submitted the job.
-	ErrUnknown = errors.New("no such job")
+	ErrHistoryUnavailable = fmt.Errorf("%w: the history can't be read", ErrRetryLater)
+	// ErrUnknownJob means that nobody has submitted the job.
+	ErrUnknownJob = errors.New("no such job")
 )
 
-// NeverError says why a job can never run.
-type NeverError struct{ Why string }
+// UnrunnableError says why a job can never run.
+type UnrunnableError struct{ Reason string }
 
-func (e *NeverError) Error() string { return e.Why }
+func (e *UnrunnableError) Error() string { return e.Reason }
 
 // Find looks a job up in the view and in the history. What it does not find was
 // not known at the view's revision when it was called.
@@ -89,20 +89,20 @@
 	}
 	// What is in the history is final, whatever else there is: one record that nobody
 	// understands must not leave all questions about jobs that are over in vain.
-	doubt, why := d.View.Doubt(id)
+	doubt, why := d.View.UnreadableRecordFor(id)
 	e, known, err := d.History.Find(ctx, id)
 	switch {
 	case err != nil:
-		err = fmt.Errorf("%w: %w", ErrHere, err)
+		err = fmt.Errorf("%w: %w", ErrHistoryUnavailable, err)
 	case !known && doubt != "":
-		err = fmt.Errorf("%w: %s may hold the job and was not understood: %w", ErrLater, doubt, why)
+		err = fmt.Errorf("%w: %s may hold the job and was not understood: %w", ErrRetryLater, doubt, why)
 	}
 	return store.JobRecord{Stage: e.Stage, Tasks: e.Tasks}, known, err
 }
 
-// final looks for a final stage in memory: it never changes, and needs no
+// finalRecord looks for a final stage in memory: it never changes, and needs no
 // barrier.
-func (d *Service) final(id string) (store.JobRecord, bool) {
+func (d *Service) finalRecord(id string) (store.JobRecord, bool) {
 	if rec, known := d.View.Job(id); known {
 		return rec, rec.Stage.Final()
 	}
@@ -114,15 +114,15 @@
 // needs a read barrier, so that no answer is older than what another controller
 // may have said.
 func (d *Service) Status(ctx context.Context, id string) (store.JobRecord, error) {
-	if rec, ok := d.final(id); ok {
+	if rec, ok := d.finalRecord(id); ok {
 		return rec, nil
 	}
 	if err := d.Follow.Barrier(ctx); err != nil {
-		return store.JobRecord{}, fmt.Errorf("%w: %w", ErrLater, err)
+		return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 	}
 	rec, known, err := d.Find(ctx, id)
 	if err == nil && !known {
-		err = ErrUnknown
+		err = ErrUnknownJob
 	}
 	return rec, err
 }
@@ -132,67 +132,67 @@
 func (d *Service) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, writePatience)
 	defer cancel()
-	if rec, created, told, err := d.submitElsewhere(ctx, job); told {
+	if rec, created, handled, err := d.forwardSubmit(ctx, job); handled {
 		return rec, created, err
 	}
-	rec, created, err = d.SubmitHere(ctx, job)
-	if !errors.Is(err, errElsewhere) {
+	rec, created, err = d.SubmitLocally(ctx, job)
+	if !errors.Is(err, errRerouted) {
 		return rec, created, err
 	}
-	if rec, created, told, err := d.submitElsewhere(ctx, job); told {
+	if rec, created, handled, err := d.forwardSubmit(ctx, job); handled {
 		return rec, created, err
 	}
-	return d.SubmitHere(ctx, job)
+	return d.SubmitLocally(ctx, job)
 }
 
-// submitElsewhere has another controller accept a job, if one writes it that is not known to be over.
-func (d *Service) submitElsewhere(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, told bool, err error) {
-	if _, over := d.final(job.ID); over || d.Forward == nil {
+// forwardSubmit has another controller accept a job, if one writes it that is not known to be over.
+func (d *Service) forwardSubmit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, handled bool, err error) {
+	if _, final := d.finalRecord(job.ID); final || d.Forwarder == nil {
 		return rec, false, false, nil
 	}
-	return d.Forward.Submit(ctx, job)
+	return d.Forwarder.Submit(ctx, job)
 }
 
-// SubmitHere does the same, and writes by itself. A job that was forwarded in vain is looked up
+// SubmitLocally does the same, and writes by itself. A job that was forwarded in vain is looked up
 // first as any other: it may have been accepted, or may yet be, which makes it one with two homes.
-func (d *Service) SubmitHere(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
-	ctx, cancel := context.WithTimeout(store.For(ctx, store.Submissions), writePatience)
+func (d *Service) SubmitLocally(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
+	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeSubmissions), writePatience)
 	defer cancel()
-	read := &reading{follow: d.Follow} // beside the write, which takes as long
+	read := &barrierRead{follow: d.Follow} // beside the write, which takes as long
 	for range 4 {
 		// The gate first: once the job was not found, only a submission that is
 		// taken before the gate moves can be its first.
-		gate := d.View.Gate().Version
+		gate := d.View.SubmissionFence().Version
 		if _, known, err := d.Find(ctx, job.ID); err != nil {
 			return rec, false, err
 		} else if known {
-			return d.again(ctx, job.ID)
+			return d.describeResubmission(ctx, job.ID)
 		}
 		rec, created, err := d.accept(ctx, job, gate, read.begin)
 		switch {
-		case created && (err != nil || read.age() > longWrite):
+		case created && (err != nil || read.age() > slowWrite):
 			if err := d.Follow.Barrier(ctx); err != nil {
-				return rec, false, fmt.Errorf("%w: %w", ErrLater, err)
+				return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 			}
-			return d.written(ctx, job.ID, rec, err == nil)
+			return d.confirmWrite(ctx, job.ID, rec, err == nil)
 		case created:
 			if err := read.wait(ctx); err != nil {
-				return rec, false, fmt.Errorf("%w: %w", ErrLater, err)
+				return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 			}
-			return d.written(ctx, job.ID, rec, true)
-		case !errors.Is(err, errMoved):
+			return d.confirmWrite(ctx, job.ID, rec, true)
+		case !errors.Is(err, errGateMoved):
 			return rec, false, err
 		}
 		if err := d.Follow.Barrier(ctx); err != nil {
-			return rec, false, fmt.Errorf("%w: %w", ErrLater, err)
+			return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
-	return rec, false, ErrLater
+	return rec, false, ErrRetryLater
 }
 
-// reading is a read that is begun as a job is sent to the state service. What happened to the job
+// barrierRead is a read that is begun as a job is sent to the state service. What happened to the job
 // elsewhere before that is in it.
-type reading struct {
+type barrierRead struct {
 	follow *store.Follower
 
 	mu    sync.Mutex
@@ -200,81 +200,81 @@
 	done  func(ctx context.Context) error
 }
 
-func (r *reading) begin() {
+func (r *barrierRead) begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begun, r.done = time.Now(), r.follow.Ask()
+	r.begun, r.done = time.Now(), r.follow.RequestBarrier()
 }
 
 // age tells how long ago it was begun.
-func (r *reading) age() time.Duration {
+func (r *barrierRead) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(r.begun)
 }
 
 // wait waits until what was read is in the view.
-func (r *reading) wait(ctx context.Context) error {
+func (r *barrierRead) wait(ctx context.Context) error {
 	r.mu.Lock()
 	done := r.done
 	r.mu.Unlock()
 	return done(ctx)
 }
 
-// longWrite is how long a write may take beside the read that was asked for before it: what
+// slowWrite is how long a write may take beside the read that was asked for before it: what
 // happened to the job elsewhere meanwhile is not in that.
-const longWrite = 300 * time.Millisecond
+const slowWrite = 300 * time.Millisecond
 
-// written tells how a job stands that was written just now as mine says. However old the view was
+// confirmWrite tells how a job stands that was written just now as mine says. However old the view was
 // in which it was not found, another controller may have accepted and ended the job by then, and
 // then it is over by its first home, whatever was written here. sure says that the write was answered.
-func (d *Service) written(ctx context.Context, id string, mine store.JobRecord, sure bool) (store.JobRecord, bool, error) {
+func (d *Service) confirmWrite(ctx context.Context, id string, mine store.JobRecord, acknowledged bool) (store.JobRecord, bool, error) {
 	rec, known, err := d.Find(ctx, id)
 	switch {
-	case err == nil && !known && sure:
+	case err == nil && !known && acknowledged:
 		return mine, true, nil // the read was before the write
 	case err == nil && !known:
-		err = ErrLater // it was not written: another process had taken the same name
+		err = ErrRetryLater // it was not written: another process had taken the same name
 	}
 	created := rec.Job != nil && rec.Created == mine.Created && rec.Job.Work == mine.Job.Work
 	return rec, err == nil && created, err
 }
 
-// again tells of a job that was submitted before.
-func (d *Service) again(ctx context.Context, id string) (store.JobRecord, bool, error) {
+// describeResubmission tells of a job that was submitted before.
+func (d *Service) describeResubmission(ctx context.Context, id string) (store.JobRecord, bool, error) {
 	rec, err := d.Status(ctx, id)
-	if errors.Is(err, ErrUnknown) {
-		err = ErrLater
+	if errors.Is(err, ErrUnknownJob) {
+		err = ErrRetryLater
 	}
 	return rec, false, err
 }
 
 // accept writes a job that was not found, or refuses it. Where it is written with an error, that
 // is errTaken.
-func (d *Service) accept(ctx context.Context, job *wire.Job, gate uint64, sending func()) (rec store.JobRecord, created bool, err error) {
-	types := d.Types()
-	if types == nil || !d.Open() || ctx.Err() != nil { // one that nobody waits for takes no place in the queue
-		return rec, false, ErrLater
+func (d *Service) accept(ctx context.Context, job *wire.Job, gate uint64, onSend func()) (rec store.JobRecord, created bool, err error) {
+	types := d.MachineTypes()
+	if types == nil || !d.Writable() || ctx.Err() != nil { // one that nobody waits for takes no place in the queue
+		return rec, false, ErrRetryLater
 	}
-	if _, over, _, _ := d.View.Size(); over > d.Backlog {
-		return rec, false, ErrBehind
+	if _, over, _, _ := d.View.Size(); over > d.MaxBacklog {
+		return rec, false, ErrCompactionBehind
 	}
-	if why := d.never(job, types); why != "" {
-		return d.refuse(ctx, job.ID, &NeverError{why})
+	if why := d.unrunnableReason(job, types); why != "" {
+		return d.refuse(ctx, job.ID, &UnrunnableError{why})
 	}
 	rec = store.JobRecord{Stage: wire.Pending, Tasks: job.Tasks, Created: time.Now().UnixMilli(), Job: job}
 	if d.Route != nil {
-		rec.Shares, rec.Grouping = d.Route(job, types)
+		rec.Ranges, rec.ShardingGeneration = d.Route(job, types)
 	}
-	err = d.Intake.Add(ctx, job.ID, rec, gate, sending)
+	err = d.Intake.Add(ctx, job.ID, rec, gate, onSend)
 	switch {
 	case errors.Is(err, ErrTooLarge):
 		return d.refuse(ctx, job.ID, err)
-	case err != nil && !errors.Is(err, errTaken):
+	case err != nil && !errors.Is(err, errCopyTaken):
 		return rec, false, err
 	}
 	d.Log.Info("job accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
-	d.Accepted()
+	d.OnChange()
 	return rec, true, err
 }
 
@@ -282,12 +282,12 @@
 // now, and is sent again with another description.
 func (d *Service) refuse(ctx context.Context, id string, why error) (rec store.JobRecord, created bool, err error) {
 	if err := d.Follow.Barrier(ctx); err != nil {
-		return rec, false, fmt.Errorf("%w: %w", ErrLater, err)
+		return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 	}
 	if _, known, err := d.Find(ctx, id); err != nil {
 		return rec, false, err
 	} else if known {
-		return d.again(ctx, id)
+		return d.describeResubmission(ctx, id)
 	}
 	return rec, false, why
 }
@@ -296,24 +296,24 @@
 func (d *Service) Cancel(ctx context.Context, id string) (store.JobRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, writePatience)
 	defer cancel()
-	if _, over := d.final(id); !over && d.Forward != nil {
-		if rec, told, err := d.Forward.Cancel(ctx, id); told {
+	if _, final := d.finalRecord(id); !final && d.Forwarder != nil {
+		if rec, handled, err := d.Forwarder.Cancel(ctx, id); handled {
 			return rec, err
 		}
 	}
-	return d.CancelHere(ctx, id)
+	return d.CancelLocally(ctx, id)
 }
 
-// CancelHere does the same, and writes by itself.
-func (d *Service) CancelHere(ctx context.Context, id string) (store.JobRecord, error) {
-	ctx, cancel := context.WithTimeout(store.For(ctx, store.Cancels), writePatience)
+// CancelLocally does the same, and writes by itself.
+func (d *Service) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
+	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeCancellations), writePatience)
 	defer cancel()
-	if rec, ok := d.final(id); ok {
+	if rec, ok := d.finalRecord(id); ok {
 		return rec, nil
 	}
 	if _, known := d.View.Live(id); !known {
 		if err := d.Follow.Barrier(ctx); err != nil {
-			return store.JobRecord{}, fmt.Errorf("%w: %w", ErrLater, err)
+			return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
 	for range 8 {
@@ -322,27 +322,27 @@
 		case err != nil:
 			return rec, err
 		case !known:
-			return rec, ErrUnknown
+			return rec, ErrUnknownJob
 		case rec.Stage.Final():
 			return rec, nil
-		case !d.Open(), ctx.Err() != nil:
-			return rec, ErrLater
+		case !d.Writable(), ctx.Err() != nil:
+			return rec, ErrRetryLater
 		}
-		end, err := d.Closer.Cancel(ctx, id)
+		end, err := d.Canceller.Cancel(ctx, id)
 		switch {
 		case err != nil:
-			return rec, fmt.Errorf("%w: %w", ErrLater, err)
+			return rec, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		case end != nil:
 			d.Log.Info("job cancelled", "job", id)
-			d.Accepted()
+			d.OnChange()
 			return *end, nil
 		}
 	}
-	return store.JobRecord{}, ErrLater
+	return store.JobRecord{}, ErrRetryLater
 }
 
-// never says why a job can never run, or nothing.
-func (d *Service) never(j *wire.Job, types []wire.MachineType) string {
+// unrunnableReason says why a job can never run, or nothing.
+func (d *Service) unrunnableReason(j *wire.Job, types []wire.MachineType) string {
 	var team *config.Team
 	for i := range d.Teams {
 		if d.Teams[i].Name == j.Team {
@@ -356,20 +356,20 @@
 	if j.Shape != wire.Array {
 		n = float64(j.Tasks)
 	}
-	limit := scheduler.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
+	limit := scheduler.Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	if team.CPUsMax > 0 {
 		limit.CPUs = team.CPUsMax
 	}
 	if team.GPUsMax > 0 {
 		limit.GPUs = team.GPUsMax
 	}
-	if !limit.Fits(scheduler.Amount{}.Plus(scheduler.Of(j), n)) {
+	if !limit.Fits(scheduler.Resources{}.AddScaled(scheduler.ResourcesOf(j), n)) {
 		return "over the team's limit"
 	}
 	zones := make(map[string]bool) // in which a task may run
 	for _, t := range types {
-		size := scheduler.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-		if !size.Fits(scheduler.Of(j)) || len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
+		size := scheduler.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+		if !size.Fits(scheduler.ResourcesOf(j)) || len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
 			continue
 		}
 		for _, zone := range t.Zones {
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -21,11 +21,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// office is a service with all that it needs, and a state service.
-type office struct {
+// node is a service with all that it needs, and a state service.
+type node struct {
 	*Service
-	store  *simulator.Store
-	folder *archive.Folder
+	store  *simulator.StateService
+	folder *archive.Compactor
 	stall  func()                // its view follows no more, but for barriers
 	hold   func(d time.Duration) // what it sends leaves late
 	slow   *slowWrites
@@ -52,7 +52,7 @@
 	return n, err
 }
 
-func newOffice(t *testing.T, ctx context.Context, net *simulator.Net, s *simulator.Store, name string, port int) *office {
+func newNode(t *testing.T, ctx context.Context, net *simulator.Network, s *simulator.StateService, name string, port int) *node {
 	log := slog.New(slog.DiscardHandler)
 	host := net.Host(name)
 	slow, addr := &slowWrites{}, simulator.Address("10.2.0.1", port)
@@ -61,34 +61,34 @@
 	c := store.NewClient(host, addr, 1000, 1000, store.EvenAllowance(1), log)
 	v := store.NewView(log)
 	r := archive.NewReader(c, 64, log)
-	v.Blocks = r
+	v.Archive = r
 	f := store.NewFollower(c, v, log)
-	o := &office{store: s, slow: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Closer: NewCloser(c, v, f, 12), View: v, Follow: f,
-		History: r, Log: log, Backlog: 100, Types: func() []wire.MachineType {
+	o := &node{store: s, slow: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
+		History: r, Log: log, MaxBacklog: 100, MachineTypes: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "g", CPUs: 8, GPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}
 		},
-		Open: func() bool { return true }, Accepted: func() {}}}
+		Writable: func() bool { return true }, OnChange: func() {}}}
 	follow, stall := context.WithCancel(ctx)
 	o.stall, o.hold = stall, func(d time.Duration) { net.Hold(name, d) }
 	go f.Run(follow)
 	go f.RunBarriers(ctx)
 	go o.Intake.Run(ctx)
-	go o.Closer.Run(ctx)
+	go o.Canceller.Run(ctx)
 	time.Sleep(time.Second)
-	part, _ := v.Part("fleet")
-	o.folder = &archive.Folder{Store: c, View: v, Follow: f, Reader: r, Log: log, Limits: archive.Limits{ValueBytes: 8192, TxnOps: 12},
-		Fence:  wire.Condition{Key: store.PartKey("fleet"), Version: part.Version},
-		Ending: func() (map[string]bool, bool) { return nil, true }, Valid: func() bool { return true }, Every: time.Second, MergeAt: 0}
+	part, _ := v.Leader("fleet")
+	o.folder = &archive.Compactor{Store: c, View: v, Follower: f, Reader: r, Log: log, Limits: archive.Limits{ValueBytes: 8192, TxnOps: 12},
+		Fence:         wire.Condition{Key: store.LeaderKey("fleet"), Version: part.Version},
+		JobsWithTasks: func() (map[string]bool, bool) { return nil, true }, LeaseValid: func() bool { return true }, Interval: time.Second, MergeThreshold: 0}
 	return o
 }
 
 // two plays a story with the doors of two controllers.
-func two(t *testing.T, play func(t *testing.T, s *simulator.Store, a, b *office)) {
+func two(t *testing.T, play func(t *testing.T, s *simulator.StateService, a, b *node)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.PartKey("fleet"), Value: store.PartRecord{Holder: "a", Term: 1}}}})
-		a, b := newOffice(t, ctx, net, s, "10.0.0.1", 2379), newOffice(t, ctx, net, s, "10.0.0.2", 2380)
+		net, s := simulator.NewNetwork(), simulator.NewStateService(1, 0)
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "a", FencingToken: 1}}}})
+		a, b := newNode(t, ctx, net, s, "10.0.0.1", 2379), newNode(t, ctx, net, s, "10.0.0.2", 2380)
 		play(t, s, a, b)
 		stop()
 		net.Close()
@@ -100,7 +100,7 @@
 	return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 }
 
-func (o *office) ask(t *testing.T, method, id, want string) {
+func (o *node) ask(t *testing.T, method, id, want string) {
 	t.Helper()
 	ctx := t.Context()
 	var rec store.JobRecord
@@ -115,7 +115,7 @@
 	}
 	got := string(rec.Stage)
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownJob):
 		got = "unknown"
 	case err != nil:
 		got = "later"
@@ -126,7 +126,7 @@
 }
 
 // fold folds all that is over into the history.
-func (o *office) fold(t *testing.T) {
+func (o *node) fold(t *testing.T) {
 	t.Helper()
 	_ = o.Follow.Barrier(t.Context())
 	for range 20 {
@@ -135,7 +135,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	if n := len(o.View.Over(9, func(*store.Home) bool { return true })); n > 0 {
+	if n := len(o.View.EndedBatches(9, func(*store.Batch) bool { return true })); n > 0 {
 		t.Fatalf("%d homes are not folded", n)
 	}
 }
@@ -144,20 +144,20 @@
 // minutes. Its user has sent it to another controller, the job was cancelled and
 // folded away, so that its keys are absent again when the first copy arrives.
 func TestLateSubmissionAfterFold(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
-		s.Stage(func(s *simulator.Store) {
-			s.Holds = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		s.Configure(func(s *simulator.StateService) {
+			s.HoldTxn = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
 		a.ask(t, "submit", "wk-1", "later")
-		s.Stage(func(s *simulator.Store) { s.Holds = nil })
+		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
 		a.ask(t, "status", "wk-1", "withdrawn")
-		if n := s.Release(); n != 0 {
+		if n := s.ReleaseHeld(); n != 0 {
 			t.Errorf("%d late submissions were taken", n)
 		}
-		for _, o := range []*office{a, b} {
+		for _, o := range []*node{a, b} {
 			o.ask(t, "status", "wk-1", "withdrawn")
 			o.ask(t, "submit", "wk-1", "withdrawn") // months later
 			o.ask(t, "cancel", "wk-1", "withdrawn")
@@ -173,15 +173,15 @@
 // TestGateMovesWhileLookedUp: between the look for a job and its write the gate
 // moves; the job is looked up again instead of being accepted a second time.
 func TestGateMovesWhileLookedUp(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "submit", "wk-9", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
 		// b's submission was looked up long ago, and goes out only now.
-		gate := b.View.Gate().Version
+		gate := b.View.SubmissionFence().Version
 		a.fold(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: "wk-1", Tasks: 1}}
-		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errMoved {
+		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errGateMoved {
 			t.Errorf("the submission became %v", err)
 		}
 		b.ask(t, "submit", "wk-1", "withdrawn")
@@ -194,15 +194,15 @@
 // TestCancelsShareChanges: cancellations that wait together are one change for
 // jobs that were accepted together, each answered for itself.
 func TestCancelsShareChanges(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 20 {
 			id := fmt.Sprintf("wk-%02d", i)
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 		}
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("x"), Value: rec}}})
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Stage(func(s *simulator.Store) { s.Delay = slow }) // in which the others come
+		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = slow }) // in which the others come
 		_, before, _ := s.Counts()
 		done := make(chan bool)
 		for i := range 20 {
@@ -224,16 +224,16 @@
 // TestCancelsRace: two controllers cancel jobs of one batch at the same time;
 // whoever is refused makes it again.
 func TestCancelsRace(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for _, id := range []string{"wk-1", "wk-2"} {
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 		}
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("x"), Value: rec}}})
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Stage(func(s *simulator.Store) { s.Delay = slow })
+		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = slow })
 		done := make(chan bool)
-		for i, o := range []*office{a, b} {
+		for i, o := range []*node{a, b} {
 			go func() {
 				o.ask(t, "cancel", fmt.Sprintf("wk-%d", i+1), "withdrawn")
 				done <- true
@@ -241,8 +241,8 @@
 		}
 		<-done
 		<-done
-		s.Stage(func(s *simulator.Store) { s.Delay = nil })
-		for _, o := range []*office{a, b} {
+		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = nil })
+		for _, o := range []*node{a, b} {
 			o.ask(t, "status", "wk-1", "withdrawn")
 			o.ask(t, "status", "wk-2", "withdrawn")
 		}
@@ -252,12 +252,12 @@
 // TestBacklogIsBounded: where folding falls behind, no more jobs are accepted, at
 // once and with when to come back; all else is answered, and it recovers.
 func TestBacklogIsBounded(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 120 {
 			rec.Jobs[fmt.Sprintf("wk-%d", i)] = store.JobRecord{Stage: wire.Done, Tasks: 1, Ended: 1}
 		}
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("x"), Value: rec}}})
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
 		begun := time.Now()
 		a.ask(t, "submit", "wk-500", "later")
@@ -274,7 +274,7 @@
 // another has accepted and cancelled meanwhile. Sent to it again, the job must not be
 // accepted anew and called pending.
 func TestSubmissionToStaleView(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		b.stall()
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
@@ -285,7 +285,7 @@
 
 // TestRepeatAtOnce: the same within a moment, while the view is as fresh as it mostly is.
 func TestRepeatAtOnce(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		b.stall() // as between two of its watches
 		_ = b.Follow.Barrier(t.Context())
 		a.ask(t, "submit", "wk-1", "pending")
@@ -295,7 +295,7 @@
 }
 
 // overtaken has a job be submitted at b, which is late, and meanwhile be accepted and cancelled at a.
-func overtaken(t *testing.T, a, b *office, late func()) {
+func overtaken(t *testing.T, a, b *node, late func()) {
 	_ = b.Follow.Barrier(t.Context())
 	b.stall()
 	late()
@@ -313,12 +313,12 @@
 // TestRepeatOvertakenWhileWritten: a submission is looked up before another controller accepts the
 // job, and leaves only after that one has told that it is cancelled.
 func TestRepeatOvertakenWhileWritten(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		overtaken(t, a, b, func() { b.hold(800 * time.Millisecond) })
 		if n := len(s.Page(store.BatchKey(""), "", 0).Items); n != 2 {
 			t.Errorf("the job has %d homes", n)
 		}
-		for _, o := range []*office{a, b} {
+		for _, o := range []*node{a, b} {
 			_ = o.Follow.Barrier(t.Context())
 			if _, live := o.View.Live("wk-1"); live {
 				t.Error("the job is back")
@@ -330,7 +330,7 @@
 // TestOvertakenOnItsWay: the same, and the submission leaves at once, with a read beside it, but is
 // carried out late: what the read has brought is older than what the other controller has told.
 func TestOvertakenOnItsWay(t *testing.T) {
-	two(t, func(t *testing.T, _ *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
 		overtaken(t, a, b, func() { b.slow.delay.Store(int64(800 * time.Millisecond)) })
 	})
 }
@@ -338,18 +338,18 @@
 // TestOlderListAfterOwnWrite: a list that was begun before a cancellation is taken in after it was
 // told. What is asked next is read behind a barrier, and no launch finds the job's home as the list shows it.
 func TestOlderListAfterOwnWrite(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "submit", "wk-2", "pending")
 		_ = a.Follow.Barrier(t.Context())
 		a.stall()
 		time.Sleep(5 * time.Second) // its last watch is over
-		list := s.Page(store.Root, "", 0)
+		list := s.Page(store.StatePrefix, "", 0)
 		for i, how := range []string{"status", "submit", "cancel"} {
 			if i == 0 {
 				a.ask(t, "cancel", "wk-1", "withdrawn")
 			}
-			a.View.Load(list.Items, list.Revision, &wire.Changes{Revision: list.Revision})
+			a.View.Load(list.Items, list.Revision, &wire.WatchResponse{Revision: list.Revision})
 			if _, live := a.View.Live("wk-1"); i == 0 && !live {
 				t.Error("the list was not taken in")
 			}
@@ -402,7 +402,7 @@
 	} {
 		j := job("wk-1")
 		x.change(j)
-		if why := d.never(j, types); why != x.why {
+		if why := d.unrunnableReason(j, types); why != x.why {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
@@ -412,7 +412,7 @@
 // the accepted job, be it accepted elsewhere just now or folded long ago, and so is a
 // cancellation that comes again.
 func TestAnotherBody(t *testing.T) {
-	two(t, func(t *testing.T, _ *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
 		large, foreign := job("wk-1"), job("wk-1")
 		large.Image, foreign.Team = strings.Repeat("x", 9000), "blue"
 		again := func(want wire.Stage) {
@@ -439,11 +439,11 @@
 // folded before are still answered by a controller that has none of them in memory; what is not known
 // may be in that batch.
 func TestDoubtHidesNoHistory(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.BatchKey("y"), Value: "garbled"}}})
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("y"), Value: "garbled"}}})
 		time.Sleep(time.Second)
 		b.History.(*archive.Reader).Reset()
 		b.ask(t, "status", "wk-1", "withdrawn")
@@ -455,23 +455,23 @@
 // them, and the last of them comes back later.
 func TestFirstTierIsAdmitted(t *testing.T) {
 	in := &Intake{MaxQueue: maxQueue}
-	entries := make([]*entry, maxQueue)
+	entries := make([]*submission, maxQueue)
 	for i := range entries {
-		entries[i] = &entry{id: fmt.Sprint(i), done: make(chan error, 1)}
-		if !in.admit(entries[i]) {
+		entries[i] = &submission{job: fmt.Sprint(i), done: make(chan error, 1)}
+		if !in.enqueue(entries[i]) {
 			t.Fatal("not admitted")
 		}
 	}
-	if in.admit(&entry{id: "one more"}) {
+	if in.enqueue(&submission{job: "one more"}) {
 		t.Error("more than may wait are admitted")
 	}
 	for i := range 2 {
-		if !in.admit(&entry{id: fmt.Sprint("top-", i), first: true}) {
+		if !in.enqueue(&submission{job: fmt.Sprint("top-", i), prioritized: true}) {
 			t.Error("the first tier is sent away")
 		}
 	}
-	if in.queue[0].id != "top-0" || in.queue[1].id != "top-1" || in.queue[2] != entries[0] || len(in.queue) != maxQueue || <-entries[maxQueue-1].done != ErrFull {
-		t.Errorf("the queue begins with %v, %v, %v of %d", in.queue[0].id, in.queue[1].id, in.queue[2].id, len(in.queue))
+	if in.queue[0].job != "top-0" || in.queue[1].job != "top-1" || in.queue[2] != entries[0] || len(in.queue) != maxQueue || <-entries[maxQueue-1].done != ErrFull {
+		t.Errorf("the queue begins with %v, %v, %v of %d", in.queue[0].job, in.queue[1].job, in.queue[2].job, len(in.queue))
 	}
 }
 
@@ -479,23 +479,23 @@
 // its key is absent again. What was folded goes before it: the job does not come back, is not
 // answered otherwise, and goes into the history only once the gate has moved.
 func TestLateSubmissionBeforeGate(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.Store, a, b *office) {
-		a.folder.MergeAt = 99
-		s.Stage(func(s *simulator.Store) {
-			s.Holds = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
+	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		a.folder.MergeThreshold = 99
+		s.Configure(func(s *simulator.StateService) {
+			s.HoldTxn = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
 		a.ask(t, "submit", "wk-1", "later")
-		s.Stage(func(s *simulator.Store) { s.Holds = nil })
+		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
 		a.fold(t)
-		if n := s.Release(); n != 1 {
+		if n := s.ReleaseHeld(); n != 1 {
 			t.Errorf("%d late submissions were taken", n)
 		}
 		time.Sleep(time.Second)
 		still := func() {
 			t.Helper()
-			for _, o := range []*office{a, b} {
+			for _, o := range []*node{a, b} {
 				o.ask(t, "status", "wk-1", "withdrawn")
 				o.ask(t, "submit", "wk-1", "withdrawn")
 				if _, live := o.View.Live("wk-1"); live {
@@ -504,7 +504,7 @@
 			}
 		}
 		still()
-		a.folder.MergeAt = 0
+		a.folder.MergeThreshold = 0
 		a.fold(t)
 		still()
 	})
@@ -528,10 +528,10 @@
 		}
 		runtime.Gosched()
 	}
-	writing := in.take()[:1]
-	in.queue = append(in.queue, &entry{id: "wk-9", ctx: t.Context(), done: results})
+	writing := in.nextBatch()[:1]
+	in.queue = append(in.queue, &submission{job: "wk-9", ctx: t.Context(), done: results})
 	in.Reroute()
-	if err := <-results; !errors.Is(err, errElsewhere) {
+	if err := <-results; !errors.Is(err, errRerouted) {
 		t.Errorf("what waited is told %v", err)
 	}
 	finish(writing, nil)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,50 +19,50 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Room is what a machine has for tasks.
-type Room struct {
+// Resources is what a machine has for tasks.
+type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
 
 // Agent is a worker with its edges.
 type Agent struct {
-	Core        *Core
-	Net         transport.Network
-	Listen      string            // its address
-	Controllers map[string]string // names to public addresses
-	Report      time.Duration     // time between two reports
-	Room        Room
-	Actions     *action.Runner
-	Log         *slog.Logger
+	Core              *Core
+	Net               transport.Network
+	Listen            string            // its address
+	Controllers       map[string]string // names to public addresses
+	HeartbeatInterval time.Duration     // time between two reports
+	Capacity          Resources
+	Actions           *action.Runner
+	Log               *slog.Logger
 
-	mu     sync.Mutex
-	kills  map[Key]context.CancelFunc
-	gone   map[Key]chan struct{} // closed when the last process of an attempt is gone
-	taken  map[Key]Room
-	dying  []chan struct{} // of the session before, closed when their processes are gone
-	soon   chan struct{}
-	caller *transport.Caller
-	ctx    context.Context
-	group  sync.WaitGroup
+	mu       sync.Mutex
+	cancels  map[Key]context.CancelFunc
+	exited   map[Key]chan struct{} // closed when the last process of an attempt is gone
+	reserved map[Key]Resources
+	dying    []chan struct{} // of the session before, closed when their processes are gone
+	wake     chan struct{}
+	caller   *transport.Caller
+	ctx      context.Context
+	group    sync.WaitGroup
 }
 
 // Times of the worker's protocol.
 const (
-	answerPatience = 4 * time.Second
-	soonest        = 500 * time.Millisecond
+	answerTimeout   = 4 * time.Second
+	minHeartbeatGap = 500 * time.Millisecond
 )
 
 // Run works until the context ends; then every task is killed.
 func (a *Agent) Run(ctx context.Context) error {
-	a.kills, a.gone, a.taken = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Room)
-	a.soon = make(chan struct{}, 1)
-	a.caller = &transport.Caller{Limit: 1 << 20, Dial: a.Net.Dial}
+	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
+	a.wake = make(chan struct{}, 1)
+	a.caller = &transport.Caller{MaxBody: 1 << 20, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
 	a.ctx = ctx
 	g.Go(func() error {
 		return a.Net.Listen(ctx, a.Listen, 256, transport.HTTP(wire.MaxBody, 90*time.Second, a.serve))
 	})
-	g.Go(func() error { return a.reports(ctx) })
+	g.Go(func() error { return a.heartbeats(ctx) })
 	err := g.Wait()
 	a.group.Wait()
 	return err
@@ -72,7 +72,7 @@
 func (a *Agent) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.do(a.Core.Expire(time.Now()))
+	a.apply(a.Core.Expire(time.Now()))
 	for _, gone := range a.dying {
 		select {
 		case <-gone:
@@ -81,53 +81,53 @@
 		}
 	}
 	switch {
-	case req.Path == wire.PathInspect && req.Method == "GET":
-		return &httpwire.Response{Status: 200, Body: wire.Encode(a.Core.Look())}
-	case req.Path != wire.PathDirect || req.Method != "POST":
+	case req.Path == wire.PathStatus && req.Method == "GET":
+		return &httpwire.Response{Status: 200, Body: wire.Encode(a.Core.Heartbeat())}
+	case req.Path != wire.PathCommands || req.Method != "POST":
 		return &httpwire.Response{Status: 404}
 	}
-	var d wire.Direct
-	if err := wire.Decode(req.Body, &d); err != nil || d.Term == 0 || d.Session == 0 {
+	var d wire.CommandRequest
+	if err := wire.Decode(req.Body, &d); err != nil || d.FencingToken == 0 || d.Incarnation == 0 {
 		return &httpwire.Response{Status: 400}
 	}
-	e, ok := a.Core.Direct(time.Now(), d)
-	a.do(e)
+	e, ok := a.Core.HandleDirect(time.Now(), d)
+	a.apply(e)
 	status := 200
 	if !ok {
 		status = 409
 	}
-	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Look())}
+	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Heartbeat())}
 }
 
-// do carries out effects; the lock is held.
-func (a *Agent) do(e Effects) {
-	if e.Fresh {
-		a.dying = slices.Collect(maps.Values(a.gone))
+// apply carries out effects; the lock is held.
+func (a *Agent) apply(e Effects) {
+	if e.NewIncarnation {
+		a.dying = slices.Collect(maps.Values(a.exited))
 	}
 	for _, k := range e.Kill {
-		if kill := a.kills[k]; kill != nil {
+		if kill := a.cancels[k]; kill != nil {
 			a.Log.Info("killing", "task", k.Task, "attempt", k.Attempt)
 			kill()
 		}
 	}
 	for _, k := range e.Start {
 		ctx, kill := context.WithCancel(a.ctx)
-		a.kills[k], a.gone[k] = kill, make(chan struct{})
+		a.cancels[k], a.exited[k] = kill, make(chan struct{})
 		a.group.Add(1)
-		go a.run(ctx, k, a.before(k))
+		go a.run(ctx, k, a.pendingExits(k))
 	}
-	if e.Soon {
+	if e.HeartbeatNow {
 		select {
-		case a.soon <- struct{}{}:
+		case a.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// before lists what must be gone before an attempt may start: earlier attempts of
+// pendingExits lists what must be gone before an attempt may start: earlier attempts of
 // the same task that were killed and are not reaped yet.
-func (a *Agent) before(k Key) (wait []chan struct{}) {
-	for other, gone := range a.gone {
+func (a *Agent) pendingExits(k Key) (wait []chan struct{}) {
+	for other, gone := range a.exited {
 		if other.Task == k.Task && other != k {
 			wait = append(wait, gone)
 		}
@@ -135,42 +135,42 @@
 	return wait
 }
 
-// reports keeps one report in flight, to one controller at a time.
-func (a *Agent) reports(ctx context.Context) error {
+// heartbeats keeps one report in flight, to one controller at a time.
+func (a *Agent) heartbeats(ctx context.Context) error {
 	names := slices.Sorted(maps.Keys(a.Controllers))
 	node := names[rand.IntN(len(names))]
 	for ctx.Err() == nil {
 		a.mu.Lock()
-		a.do(a.Core.Expire(time.Now()))
+		a.apply(a.Core.Expire(time.Now()))
 		dying := a.dying
 		a.mu.Unlock()
 		for _, gone := range dying {
 			<-gone
 		}
 		a.mu.Lock()
-		session := a.Core.Session()
-		body := wire.Encode(a.Core.Report())
+		session := a.Core.Incarnation()
+		body := wire.Encode(a.Core.NextHeartbeat())
 		a.mu.Unlock()
 		sent := time.Now()
-		call, cancel := context.WithTimeout(ctx, answerPatience)
-		resp, err := a.caller.Call(call, a.Controllers[node], "POST", wire.PathReport, body)
+		call, cancel := context.WithTimeout(ctx, answerTimeout)
+		resp, err := a.caller.Call(call, a.Controllers[node], "POST", wire.PathHeartbeat, body)
 		cancel()
-		wait := a.Report*3/4 + time.Duration(rand.Int64N(int64(a.Report/2)+1))
-		var answer wire.Answer
+		wait := a.HeartbeatInterval*3/4 + time.Duration(rand.Int64N(int64(a.HeartbeatInterval/2)+1))
+		var answer wire.HeartbeatResponse
 		if err == nil && resp.Status == 200 && wire.Decode(resp.Body, &answer) == nil {
 			a.mu.Lock()
-			a.do(a.Core.Expire(time.Now()))
-			a.do(a.Core.Answered(time.Now(), sent, session, answer))
+			a.apply(a.Core.Expire(time.Now()))
+			a.apply(a.Core.HandleAnswer(time.Now(), sent, session, answer))
 			a.mu.Unlock()
-			a.rest(ctx, wait)
+			a.waitForNext(ctx, wait)
 			continue
 		}
 		var r wire.Redirect
 		if err == nil && resp.Status == 421 {
 			_ = wire.Decode(resp.Body, &r)
 		}
-		if a.Controllers[r.Holder] != "" && r.Holder != node {
-			node = r.Holder
+		if a.Controllers[r.Leader] != "" && r.Leader != node {
+			node = r.Leader
 			continue
 		}
 		node = names[(slices.Index(names, node)+1)%len(names)]
@@ -179,17 +179,17 @@
 	return nil
 }
 
-// rest waits for the next report: as long as said, or, after a change, no shorter
+// waitForNext waits for the next report: as long as said, or, after a change, no shorter
 // than the protocol allows.
-func (a *Agent) rest(ctx context.Context, wait time.Duration) {
+func (a *Agent) waitForNext(ctx context.Context, wait time.Duration) {
 	begun := time.Now()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-a.soon:
-		pause(ctx, soonest-time.Since(begun))
+	case <-a.wake:
+		pause(ctx, minHeartbeatGap-time.Since(begun))
 	}
 }
 
@@ -211,26 +211,26 @@
 	why := a.work(ctx, k)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.gone[k])
-	a.kills[k]()
-	delete(a.gone, k)
-	delete(a.kills, k)
-	delete(a.taken, k)
+	close(a.exited[k])
+	a.cancels[k]()
+	delete(a.exited, k)
+	delete(a.cancels, k)
+	delete(a.reserved, k)
 	if ctx.Err() == nil || why == wire.CauseDone {
 		a.Log.Info("task ended", "task", k.Task, "attempt", k.Attempt, "cause", why)
 	}
-	a.do(a.Core.Ended(k, why))
+	a.apply(a.Core.MarkEnded(k, why))
 }
 
 // work finds out what an attempt is to do, and does it.
 func (a *Agent) work(ctx context.Context, k Key) wire.Cause {
-	job, err := a.describe(ctx, k.Task.Job)
+	job, err := a.fetchJob(ctx, k.Task.Job)
 	switch {
-	case errors.Is(err, errUnknown):
+	case errors.Is(err, errUnknownJob):
 		return wire.CauseUnknown
 	case err != nil:
 		return wire.CauseError
-	case !a.take(k, job):
+	case !a.reserve(k, job):
 		return wire.CauseNoRoom
 	}
 	w, g, err := action.ParseWork(job.Work)
@@ -239,7 +239,7 @@
 		return wire.CauseError
 	}
 	a.mu.Lock()
-	a.do(a.Core.Running(k))
+	a.apply(a.Core.MarkRunning(k))
 	a.mu.Unlock()
 	a.Log.Info("task runs", "task", k.Task, "attempt", k.Attempt, "action", g)
 	if err := a.Actions.Run(ctx, job.ID, w, g); err != nil {
@@ -251,30 +251,30 @@
 	return wire.CauseDone
 }
 
-// take sets room aside for an attempt.
-func (a *Agent) take(k Key, j *wire.Job) bool {
+// reserve sets room aside for an attempt.
+func (a *Agent) reserve(k Key, j *wire.Job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	free := a.Room
-	for _, t := range a.taken {
+	free := a.Capacity
+	for _, t := range a.reserved {
 		free.CPUs, free.GPUs, free.MemoryGB = free.CPUs-t.CPUs, free.GPUs-t.GPUs, free.MemoryGB-t.MemoryGB
 	}
 	const dust = 1e-9
 	if j.CPUs > free.CPUs+dust || j.GPUs > free.GPUs+dust || j.MemoryGB > free.MemoryGB+dust {
 		return false
 	}
-	a.taken[k] = Room{j.CPUs, j.GPUs, j.MemoryGB}
+	a.reserved[k] = Resources{j.CPUs, j.GPUs, j.MemoryGB}
 	return true
 }
 
-var errUnknown = errors.New("no such job")
+var errUnknownJob = errors.New("no such job")
 
-// describe asks the controllers in turn for the description of a job, until one
+// fetchJob asks the controllers in turn for the description of a job, until one
 // knows.
-func (a *Agent) describe(ctx context.Context, id string) (*wire.Job, error) {
+func (a *Agent) fetchJob(ctx context.Context, id string) (*wire.Job, error) {
 	names := slices.Sorted(maps.Keys(a.Controllers))
 	for try := rand.IntN(len(names)); ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, answerPatience)
+		call, cancel := context.WithTimeout(ctx, answerTimeout)
 		resp, err := a.caller.Call(call, a.Controllers[names[try%len(names)]], "GET", wire.PathJobs+"/"+id+"/"+wire.WorkWord, nil)
 		cancel()
 		switch {
@@ -285,7 +285,7 @@
 			}
 			return &j, nil
 		case err == nil && (resp.Status == 404 || resp.Status == 410):
-			return nil, errUnknown
+			return nil, errUnknownJob
 		}
 		pause(ctx, 200*time.Millisecond)
 	}
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,18 +13,18 @@
 
 // Config is an agent's settings, an INI file.
 type Config struct {
-	Self        Self
-	Listen      string
-	Room        Room
-	Controllers map[string]string
-	Report      time.Duration
-	Lease       time.Duration
-	Store       string // address of the store of blobs
-	Dir         string // where tasks run
+	Identity          Identity
+	Listen            string
+	Capacity          Resources
+	Controllers       map[string]string
+	HeartbeatInterval time.Duration
+	Lease             time.Duration
+	Store             string // address of the store of blobs
+	Dir               string // where tasks run
 }
 
-// allowed are the keys of the file.
-var allowed = map[string][]string{
+// allowedKeys are the keys of the file.
+var allowedKeys = map[string][]string{
 	"machine":     {"name", "type", "zone", "spot", "listen", "cpus", "gpus", "memory_gb"},
 	"controllers": nil, // names of controllers
 	"workers":     {"report", "lease"},
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, sec := range file.Sections() {
-		keys, known := allowed[sec.Name()]
+		keys, known := allowedKeys[sec.Name()]
 		for _, key := range sec.Keys() {
 			name := sec.Name() + "." + key.Name()
 			fault(known && (keys == nil || slices.Contains(keys, key.Name())), name, key.Value(), "a key of [machine], [controllers], [workers] or [actions]: see docs/reapi.md")
@@ -75,19 +75,19 @@
 		return v
 	}
 	c := &Config{Listen: addr("machine.listen", get("machine", "listen").Value()), Controllers: map[string]string{},
-		Room: Room{amount("cpus"), amount("gpus"), amount("memory_gb")}, Report: duration("report", 3*time.Second), Lease: duration("lease", 30*time.Second),
+		Capacity: Resources{amount("cpus"), amount("gpus"), amount("memory_gb")}, HeartbeatInterval: duration("report", 3*time.Second), Lease: duration("lease", 30*time.Second),
 		Store: addr("actions.cas", get("actions", "cas").Value()), Dir: text1("actions", "dir")}
-	c.Self = Self{Machine: text1("machine", "name"), Addr: c.Listen, Type: text1("machine", "type"), Zone: text1("machine", "zone")}
-	fault(!strings.ContainsAny(c.Self.Machine, " /"), "machine.name", c.Self.Machine, "without spaces and /")
+	c.Identity = Identity{Machine: text1("machine", "name"), Addr: c.Listen, Type: text1("machine", "type"), Zone: text1("machine", "zone")}
+	fault(!strings.ContainsAny(c.Identity.Machine, " /"), "machine.name", c.Identity.Machine, "without spaces and /")
 	if v := get("machine", "spot").Value(); v != "" {
-		c.Self.Spot, err = get("machine", "spot").Bool()
+		c.Identity.Spot, err = get("machine", "spot").Bool()
 		fault(err == nil, "machine.spot", v, "on or off")
 	}
 	for _, key := range file.Section("controllers").Keys() {
 		c.Controllers[key.Name()] = addr("controllers."+key.Name(), key.Value())
 	}
 	fault(len(c.Controllers) > 0, "controllers", "none", "one NAME = IP:PORT for each controller")
-	fault(c.Lease > c.Report, "workers.lease", c.Lease, "more than workers.report")
+	fault(c.Lease > c.HeartbeatInterval, "workers.lease", c.Lease, "more than workers.report")
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -13,8 +13,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Self is what a machine says of itself.
-type Self struct {
+// Identity is what a machine says of itself.
+type Identity struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 }
@@ -25,77 +25,77 @@
 	Attempt uint64
 }
 
-// task is an attempt that the machine knows.
-type task struct {
+// attempt is an attempt that the machine knows.
+type attempt struct {
 	Key
-	state wire.TaskState
-	cause wire.Cause
-	ended bool
-	stop  bool // its processes are being killed
+	state    wire.TaskState
+	cause    wire.Cause
+	ended    bool
+	stopping bool // its processes are being killed
 }
 
 // Effects is what is to be done after a step of the Core.
 type Effects struct {
-	Start []Key
-	Kill  []Key
-	Soon  bool // report as soon as may be
-	// Fresh says that a new session has begun. Nothing may be said of it before
+	Start        []Key
+	Kill         []Key
+	HeartbeatNow bool // report as soon as may be
+	// NewIncarnation says that a new session has begun. Nothing may be said of it before
 	// every process of the one before is gone: it is the proof that they are.
-	Fresh bool
+	NewIncarnation bool
 }
 
 // Core is the state of a worker. It is pure.
 type Core struct {
-	self     Self
-	lease    time.Duration
-	session  uint64
-	seq      uint64
-	term     uint64
-	answered time.Time // when the last answered report was sent, or the session began
-	raised   time.Time // when a higher term last counted as a change
-	tasks    map[Key]*task
+	identity    Identity
+	lease       time.Duration
+	incarnation uint64
+	seq         uint64
+	token       uint64
+	leaseStart  time.Time // when the last answered report was sent, or the session began
+	tokenRaised time.Time // when a higher term last counted as a change
+	tasks       map[Key]*attempt
 }
 
 // NewCore gives a worker in its first session. Sessions go on from the one before,
 // if the machine remembers it.
-func NewCore(self Self, lease time.Duration, session uint64, now time.Time) *Core {
-	return &Core{self: self, lease: lease, session: max(1, session), answered: now, tasks: make(map[Key]*task)}
+func NewCore(self Identity, lease time.Duration, incarnation uint64, now time.Time) *Core {
+	return &Core{identity: self, lease: lease, incarnation: max(1, incarnation), leaseStart: now, tasks: make(map[Key]*attempt)}
 }
 
-// Report gives the next report.
-func (c *Core) Report() wire.Report {
+// NextHeartbeat gives the next report.
+func (c *Core) NextHeartbeat() wire.Heartbeat {
 	c.seq++
-	return c.Look()
+	return c.Heartbeat()
 }
 
-// Look gives the report as of now, for those who ask.
-func (c *Core) Look() wire.Report {
-	r := wire.Report{Machine: c.self.Machine, Addr: c.self.Addr, Type: c.self.Type, Zone: c.self.Zone, Spot: c.self.Spot,
-		Session: c.session, Seq: c.seq, Term: c.term, Tasks: []wire.ReportedTask{}}
+// Heartbeat gives the report as of now, for those who ask.
+func (c *Core) Heartbeat() wire.Heartbeat {
+	r := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
+		Incarnation: c.incarnation, Seq: c.seq, FencingToken: c.token, Tasks: []wire.ReportedTask{}}
 	for _, t := range c.sorted() {
 		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.Task.String(), Attempt: t.Attempt, State: t.state, Cause: t.cause, ID: t.Task})
 	}
 	return r
 }
 
-func (c *Core) sorted() []*task {
-	var out []*task
+func (c *Core) sorted() []*attempt {
+	var out []*attempt
 	for _, t := range c.tasks {
 		out = append(out, t)
 	}
-	slices.SortFunc(out, func(a, b *task) int {
+	slices.SortFunc(out, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	return out
 }
 
-// Session is the number of the current session.
-func (c *Core) Session() uint64 { return c.session }
+// Incarnation is the number of the current session.
+func (c *Core) Incarnation() uint64 { return c.incarnation }
 
 // Expire ends the session if the lease has run out: all tasks are killed and
 // forgotten.
 func (c *Core) Expire(now time.Time) (e Effects) {
-	if now.Sub(c.answered) <= c.lease {
+	if now.Sub(c.leaseStart) <= c.lease {
 		return e
 	}
 	for _, t := range c.sorted() {
@@ -104,45 +104,45 @@
 		}
 	}
 	clear(c.tasks)
-	c.session++
-	c.seq, c.answered = 0, now
-	e.Soon, e.Fresh = true, true
+	c.incarnation++
+	c.seq, c.leaseStart = 0, now
+	e.HeartbeatNow, e.NewIncarnation = true, true
 	return e
 }
 
-// Answered takes in the answer to a report that was sent at a time in a session.
+// HandleAnswer takes in the answer to a report that was sent at a time in a session.
 // One with a lower term, or to a report of an earlier session, is dropped.
-func (c *Core) Answered(now, sent time.Time, session uint64, a wire.Answer) (e Effects) {
-	if a.Term < c.term || a.Term == 0 || session != c.session {
+func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, a wire.HeartbeatResponse) (e Effects) {
+	if a.FencingToken < c.token || a.FencingToken == 0 || incarnation != c.incarnation {
 		return e
 	}
-	e.Soon = c.raise(now, a.Term)
-	if sent.After(c.answered) {
-		c.answered = sent
+	e.HeartbeatNow = c.adoptToken(now, a.FencingToken)
+	if sent.After(c.leaseStart) {
+		c.leaseStart = sent
 	}
 	c.execute(a.Commands, &e)
 	return e
 }
 
-// Direct takes in commands that came straight to the machine. They are refused
+// HandleDirect takes in commands that came straight to the machine. They are refused
 // under a lower term or for another session.
-func (c *Core) Direct(now time.Time, d wire.Direct) (e Effects, ok bool) {
-	if d.Term < c.term || d.Session != c.session {
+func (c *Core) HandleDirect(now time.Time, d wire.CommandRequest) (e Effects, ok bool) {
+	if d.FencingToken < c.token || d.Incarnation != c.incarnation {
 		return e, false
 	}
-	e.Soon = c.raise(now, d.Term)
+	e.HeartbeatNow = c.adoptToken(now, d.FencingToken)
 	c.execute(d.Commands, &e)
 	return e, true
 }
 
-// raise takes in a term; a higher one counts as a change once in half a lease.
-func (c *Core) raise(now time.Time, term uint64) (soon bool) {
-	if term <= c.term {
+// adoptToken takes in a term; a higher one counts as a change once in half a lease.
+func (c *Core) adoptToken(now time.Time, term uint64) (soon bool) {
+	if term <= c.token {
 		return false
 	}
-	c.term = term
-	if soon = now.Sub(c.raised) >= c.lease/2; soon {
-		c.raised = now
+	c.token = term
+	if soon = now.Sub(c.tokenRaised) >= c.lease/2; soon {
+		c.tokenRaised = now
 	}
 	return soon
 }
@@ -158,19 +158,19 @@
 		switch {
 		case cmd.Verb == wire.Launch && t == nil:
 			c.launch(k, e)
-			e.Soon = true
-		case cmd.Verb == wire.Stop && t != nil && !t.ended && !t.stop:
-			t.stop = true // it has ended when its processes are gone
+			e.HeartbeatNow = true
+		case cmd.Verb == wire.Stop && t != nil && !t.ended && !t.stopping:
+			t.stopping = true // it has ended when its processes are gone
 			e.Kill = append(e.Kill, k)
 		case cmd.Verb == wire.Clear && t != nil && t.ended:
 			delete(c.tasks, k)
-			e.Soon = true
+			e.HeartbeatNow = true
 		}
 	}
 }
 
 func (c *Core) launch(k Key, e *Effects) {
-	t := &task{Key: k, state: wire.TaskFetching}
+	t := &attempt{Key: k, state: wire.TaskFetching}
 	for _, other := range c.tasks {
 		if other.Task == k.Task && !other.ended {
 			t.end(wire.CauseBusy)
@@ -182,26 +182,26 @@
 	}
 }
 
-func (t *task) end(why wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, why, true }
+func (t *attempt) end(why wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, why, true }
 
-// Running takes in that a task has its inputs and runs.
-func (c *Core) Running(k Key) (e Effects) {
+// MarkRunning takes in that a task has its inputs and runs.
+func (c *Core) MarkRunning(k Key) (e Effects) {
 	if t := c.tasks[k]; t != nil && t.state == wire.TaskFetching {
 		t.state = wire.TaskRunning
-		e.Soon = true
+		e.HeartbeatNow = true
 	}
 	return e
 }
 
-// Ended takes in that the last process of a task is gone, and why. One that belongs
+// MarkEnded takes in that the last process of a task is gone, and why. One that belongs
 // to an earlier session is forgotten already.
-func (c *Core) Ended(k Key, why wire.Cause) (e Effects) {
+func (c *Core) MarkEnded(k Key, why wire.Cause) (e Effects) {
 	if t := c.tasks[k]; t != nil && !t.ended {
-		if t.stop && why != wire.CauseDone {
+		if t.stopping && why != wire.CauseDone {
 			why = wire.CauseStopped
 		}
 		t.end(why)
-		e.Soon = true
+		e.HeartbeatNow = true
 	}
 	return e
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -16,7 +16,7 @@
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		zero := time.Unix(1e9, 0)
 		now := zero
-		c := NewCore(Self{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a"}, 30*time.Second, 7, now)
+		c := NewCore(Identity{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a"}, 30*time.Second, 7, now)
 		return func(step string) []string {
 			w, kv := simulator.Words(step)
 			num := func(key string) uint64 {
@@ -30,21 +30,21 @@
 				return told(c.Expire(now))
 			case "answer": // to a report that was sent so long ago
 				ago, _ := time.ParseDuration(kv["sent"])
-				session := c.Session()
+				session := c.Incarnation()
 				if kv["session"] != "" {
 					session = num("session")
 				}
-				return told(c.Answered(now, now.Add(-ago), session, wire.Answer{Term: num("term"), Commands: commands(w[1:])}))
+				return told(c.HandleAnswer(now, now.Add(-ago), session, wire.HeartbeatResponse{FencingToken: num("term"), Commands: commands(w[1:])}))
 			case "do":
-				e, ok := c.Direct(now, wire.Direct{Term: num("term"), Session: num("session"), Commands: commands(w[1:])})
+				e, ok := c.HandleDirect(now, wire.CommandRequest{FencingToken: num("term"), Incarnation: num("session"), Commands: commands(w[1:])})
 				return append([]string{fmt.Sprintf("executed %v", ok)}, told(e)...)
 			case "running":
-				return told(c.Running(key(w[1])))
+				return told(c.MarkRunning(key(w[1])))
 			case "ended":
-				return told(c.Ended(key(w[1]), wire.Cause(w[2])))
+				return told(c.MarkEnded(key(w[1]), wire.Cause(w[2])))
 			case "report":
-				r := c.Report()
-				out := []string{fmt.Sprintf("session %d, report %d, term %d", r.Session, r.Seq, r.Term)}
+				r := c.NextHeartbeat()
+				out := []string{fmt.Sprintf("session %d, report %d, term %d", r.Incarnation, r.Seq, r.FencingToken)}
 				for _, task := range r.Tasks {
 					out = append(out, strings.TrimSpace(fmt.Sprintf("%s#%d %s %s", task.Task, task.Attempt, task.State, task.Cause)))
 				}
@@ -79,7 +79,7 @@
 	for _, k := range e.Start {
 		out = append(out, fmt.Sprintf("start %v#%d", k.Task, k.Attempt))
 	}
-	if e.Soon {
+	if e.HeartbeatNow {
 		out = append(out, "report soon")
 	}
 	return out
@@ -89,7 +89,7 @@
 func TestConfig(t *testing.T) {
 	good := "[machine]\nname = n-1\ntype = g4\nzone = a\nlisten = 127.0.0.1:9000\ncpus = 4\ngpus = 0\nmemory_gb = 8\n[controllers]\nc-0 = 127.0.0.1:8080\n[actions]\ncas = 127.0.0.1:8980\ndir = /tmp/x\n"
 	c, err := ParseConfig([]byte(good))
-	if err != nil || c.Room.CPUs != 4 || c.Controllers["c-0"] != "127.0.0.1:8080" || c.Lease != 30*time.Second {
+	if err != nil || c.Capacity.CPUs != 4 || c.Controllers["c-0"] != "127.0.0.1:8080" || c.Lease != 30*time.Second {
 		t.Errorf("%+v, %v", c, err)
 	}
 	_, err = ParseConfig([]byte("[machine]\nname = a b\ncpus = many\ncolour = red\n[workers]\nlease = 1ms\n[what]\never = 1\n"))
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	goldentest.Text(t, "settings.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
-	for section, keys := range allowed {
+	for section, keys := range allowedKeys {
 		goldentest.Text(t, "keys-"+section+".txt", strings.Join(keys, "\n")+"\n")
 	}
 }
--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -18,12 +18,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tiny makes everything happen with few jobs: blocks split, recent blocks fill,
+// tinyLimits makes everything happen with few jobs: blocks split, recent blocks fill,
 // and each write is small.
-var tiny = Limits{ValueBytes: 1024, TxnOps: 4}
+var tinyLimits = Limits{ValueBytes: 1024, TxnOps: 4}
 
-// live submits jobs and ends most of them; what users were told is kept.
-func (w *world) live(luck *rand.Rand, name string, ids []string) {
+// submitAndEnd submits jobs and ends most of them; what users were told is kept.
+func (w *harness) submitAndEnd(luck *rand.Rand, name string, ids []string) {
 	for i := 0; i < len(ids); i += 3 {
 		w.must(w.submission(fmt.Sprintf("%s-%d", name, i), ids[i:min(i+3, len(ids))]...))
 	}
@@ -36,31 +36,31 @@
 		case 1, 2:
 			stage = wire.Cancelled
 		}
-		w.must(w.end(id, stage))
+		w.must(w.endJob(id, stage))
 		_ = w.Barrier(context.Background())
-		w.told[id] = stage
+		w.reported[id] = stage
 	}
 }
 
 // check asks about every job whose end its user was told.
-func (w *world) check(when string) {
+func (w *harness) check(when string) {
 	w.t.Helper()
-	for id, stage := range w.told {
+	for id, stage := range w.reported {
 		if got := w.ask(id); got != string(stage) {
 			w.t.Fatalf("%s: %s was %s, is called %s", when, id, stage, got)
 		}
 	}
 	for _, id := range []string{"wk-x", "wk-0", "wk-99999999999"} {
-		if got := w.ask(id); w.told[id] == "" && got != "not known" {
+		if got := w.ask(id); w.reported[id] == "" && got != "not known" {
 			w.t.Fatalf("%s: %s, which nobody submitted, is called %s", when, id, got)
 		}
 	}
 }
 
-// steps folds until there is nothing to do or the folder crashes.
-func (w *world) steps() error {
+// compactAll folds until there is nothing to do or the folder crashes.
+func (w *harness) compactAll() error {
 	for {
-		more, err := w.folder.Step(context.Background())
+		more, err := w.compactor.Step(context.Background())
 		if errors.Is(err, errStale) {
 			continue
 		}
@@ -70,16 +70,16 @@
 	}
 }
 
-// TestCrashAtEveryWrite ends the folder at each of its writes in turn, which is
+// TestCompactorCrashAtEveryWrite ends the folder at each of its writes in turn, which is
 // then taken unheard, or arrives after the next folder has begun: no answer is
 // ever lost or changed, and in the end everything is where it belongs.
-func TestCrashAtEveryWrite(t *testing.T) {
+func TestCompactorCrashAtEveryWrite(t *testing.T) {
 	for _, fate := range []string{"taken", "held"} {
 		for at := 0; ; at++ {
-			w := newWorld(t, tiny)
-			w.folder.MergeAt = 1
+			w := newHarness(t, tinyLimits)
+			w.compactor.MergeThreshold = 1
 			luck := rand.New(rand.NewPCG(uint64(at), 1))
-			w.left, w.fate = at, fate
+			w.writesUntilCrash, w.crashOutcome = at, fate
 			crashed := false
 			var late []wire.Txn
 			for i := range 12 {
@@ -87,28 +87,28 @@
 				for k := range 20 {
 					ids = append(ids, fmt.Sprintf("wk-%06d", (luck.IntN(4000)*12+i)*20+k))
 				}
-				w.live(luck, fmt.Sprintf("b-%d", i), ids)
+				w.submitAndEnd(luck, fmt.Sprintf("b-%d", i), ids)
 				late = append(late, w.submission(fmt.Sprintf("late-%d", i), ids[0])) // a copy, on its way
-				if err := w.steps(); err != nil {
+				if err := w.compactAll(); err != nil {
 					crashed = true
 					w.check(fmt.Sprintf("crash at write %d, %s", at, fate))
-					w.start(tiny)
-					w.folder.MergeAt = 1
+					w.start(tinyLimits)
+					w.compactor.MergeThreshold = 1
 					w.check("after the restart")
 				}
 				if i == 9 {
 					w.deliver(nil)
-					w.held = late
+					w.delayed = late
 					w.deliver(nil)
 				}
 			}
 			for range 3 {
-				if err := w.steps(); err != nil {
+				if err := w.compactAll(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			w.check("in the end")
-			w.start(tiny)
+			w.start(tinyLimits)
 			w.check("read anew")
 			if problems := Verify(context.Background(), w.items()).Problems; len(problems) > 0 {
 				t.Fatalf("crash at write %d, %s: %v", at, fate, problems)
@@ -123,14 +123,14 @@
 	}
 }
 
-func (w *world) items() []wire.Item { return w.store.Page(store.Stem, "", 0).Items }
+func (w *harness) items() []wire.KeyValue { return w.store.Page(store.CommonPrefix, "", 0).Items }
 
-// TestManyJobs folds 40,000 jobs, their ids spread at random over ten times as
+// TestArchiveOfManyJobs folds 40,000 jobs, their ids spread at random over ten times as
 // many and some of 12 digits: keys and the list of a start stay few, each job is
 // found by one look, and changes are counted.
-func TestManyJobs(t *testing.T) {
+func TestArchiveOfManyJobs(t *testing.T) {
 	lim := Limits{ValueBytes: 8192, TxnOps: 20}
-	w := newWorld(t, lim)
+	w := newHarness(t, lim)
 	luck := rand.New(rand.NewPCG(3, 3))
 	const jobs, each = 40_000, 16
 	ids := luck.Perm(jobs * 10)
@@ -144,18 +144,18 @@
 			}
 			stage := []wire.Stage{wire.Done, wire.Cancelled}[k%2]
 			rec.Jobs[id] = store.JobRecord{Stage: stage, Tasks: 1 + k, Ended: 1}
-			w.told[id] = stage
+			w.reported[id] = stage
 		}
-		w.must(wire.Txn{Then: []wire.Change{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
+		w.must(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
 		if i%(each*64) == 0 {
 			_ = w.Barrier(t.Context())
-			if err := w.steps(); err != nil {
+			if err := w.compactAll(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	_ = w.Barrier(t.Context())
-	if err := w.steps(); err != nil {
+	if err := w.compactAll(); err != nil {
 		t.Fatal(err)
 	}
 	_, changes, keys := w.store.Counts()
@@ -164,11 +164,11 @@
 		t.Errorf("%d keys, %d changes of folding for %d jobs", keys, folding, jobs)
 	}
 	w.start(lim)
-	if n := len(w.store.Page(store.Root, "", 0).Items); n > 20 {
+	if n := len(w.store.Page(store.StatePrefix, "", 0).Items); n > 20 {
 		t.Errorf("a start reads %d keys", n)
 	}
 	asked := 0
-	for id, stage := range w.told {
+	for id, stage := range w.reported {
 		if asked++; asked > 2000 {
 			break
 		}
@@ -176,7 +176,7 @@
 			t.Fatalf("%s was %s, is called %s", id, stage, got)
 		}
 	}
-	if c := w.reader.Counts(); c.Reads > 40 {
+	if c := w.reader.Stats(); c.Reads > 40 {
 		t.Errorf("%d reads for %d blocks", c.Reads, c.Cached)
 	}
 	if r := Verify(t.Context(), w.items()); len(r.Problems) > 0 || r.Ended != jobs {
@@ -184,63 +184,63 @@
 	}
 }
 
-// TestCancelledWhileAsked: the holder tells which jobs may have a task somewhere, and just after that
+// TestJobCancelledDuringStaging: the holder tells which jobs may have a task somewhere, and just after that
 // another is launched and cancelled, by the time at which the folder looks what is over. Its task may
 // run: it is folded only once the holder was asked anew.
-func TestCancelledWhileAsked(t *testing.T) {
-	w := newWorld(t, tiny)
+func TestJobCancelledDuringStaging(t *testing.T) {
+	w := newHarness(t, tinyLimits)
 	w.must(w.submission("a", "wk-1"))
 	w.must(w.submission("b", "wk-2"))
 	_ = w.Barrier(t.Context())
-	w.must(w.end("wk-1", wire.Done))
+	w.must(w.endJob("wk-1", wire.Done))
 	_ = w.Barrier(t.Context())
 	asked := 0
-	w.folder.Ending = func() (map[string]bool, bool) {
+	w.compactor.JobsWithTasks = func() (map[string]bool, bool) {
 		if asked++; asked > 1 {
 			return map[string]bool{"wk-2": true}, true
 		}
 		defer func() {
-			w.must(w.end("wk-2", wire.Cancelled))
+			w.must(w.endJob("wk-2", wire.Cancelled))
 			_ = w.Barrier(t.Context())
 		}()
 		return nil, true
 	}
 	for range 2 {
-		if err := w.steps(); err != nil {
+		if err := w.compactAll(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if w.view.Settled("wk-2") || !w.view.Settled("wk-1") || asked < 2 {
-		t.Errorf("settled: wk-1 %v, wk-2 %v, after %d questions", w.view.Settled("wk-1"), w.view.Settled("wk-2"), asked)
+	if w.view.Compacted("wk-2") || !w.view.Compacted("wk-1") || asked < 2 {
+		t.Errorf("settled: wk-1 %v, wk-2 %v, after %d questions", w.view.Compacted("wk-1"), w.view.Compacted("wk-2"), asked)
 	}
 }
 
-// TestOutageWhileFolding: refusals and silence end a step, with nothing half done
+// TestOutageDuringCompaction: refusals and silence end a step, with nothing half done
 // that the next does not finish.
-func TestOutageWhileFolding(t *testing.T) {
-	w := newWorld(t, tiny)
-	w.folder.MergeAt = 1
+func TestOutageDuringCompaction(t *testing.T) {
+	w := newHarness(t, tinyLimits)
+	w.compactor.MergeThreshold = 1
 	luck := rand.New(rand.NewPCG(5, 5))
 	for i := range 40 {
 		var ids []string
 		for k := range 10 {
 			ids = append(ids, fmt.Sprintf("wk-%d", i*100+k))
 		}
-		w.live(luck, fmt.Sprintf("b-%d", i), ids)
+		w.submitAndEnd(luck, fmt.Sprintf("b-%d", i), ids)
 		if i%3 == 0 {
 			w.refused = fmt.Errorf("%w: status 429", store.ErrRefused)
-			if err := w.steps(); !errors.Is(err, store.ErrRefused) {
+			if err := w.compactAll(); !errors.Is(err, store.ErrRefused) {
 				t.Fatalf("a refusal became %v", err)
 			}
 			w.refused = nil
 		}
 	}
-	if err := w.steps(); err != nil {
+	if err := w.compactAll(); err != nil {
 		t.Fatal(err)
 	}
 	w.check("in the end")
 	_, over, _, _ := w.view.Size()
-	if homes := w.view.Over(99, func(*store.Home) bool { return true }); len(homes) > 0 {
+	if homes := w.view.EndedBatches(99, func(*store.Batch) bool { return true }); len(homes) > 0 {
 		t.Errorf("%d homes are left, %d jobs", len(homes), over)
 	}
 }
@@ -250,32 +250,32 @@
 func TestReaderKeepsNothingStale(t *testing.T) {
 	old := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}})
 	newer := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
-	key := store.History + last
+	key := store.ArchivePrefix + lastBlock
 	for _, meanwhile := range []func(r *Reader){
-		func(r *Reader) { r.Changed(key, wire.Encode(newer), 9) },
-		func(r *Reader) { r.Changed(key, wire.Encode(newer), 9); r.used.Remove(last) }, // and fell out of the cache
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9) },
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.recency.Remove(lastBlock) }, // and fell out of the cache
 		func(r *Reader) { r.Reset() },
 	} {
-		slow := &slowLister{page: &wire.ItemList{Revision: 5, Items: []wire.Item{{Key: key, Value: wire.Encode(old), Version: 4}}}}
+		slow := &hookedLister{page: &wire.KeyValueList{Revision: 5, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(old), Version: 4}}}}
 		r := NewReader(slow, 8, slog.New(slog.DiscardHandler))
 		slow.before = func() { meanwhile(r) }
 		if _, known, err := r.Find(t.Context(), "wk-1"); !known || err != nil {
 			t.Errorf("wk-1: %v, %v", known, err)
 		}
 		slow.before = func() {}
-		slow.page = &wire.ItemList{Revision: 9, Items: []wire.Item{{Key: key, Value: wire.Encode(newer), Version: 9}}}
+		slow.page = &wire.KeyValueList{Revision: 9, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(newer), Version: 9}}}
 		if _, known, err := r.Find(t.Context(), "wk-2"); !known || err != nil {
 			t.Errorf("wk-2 is not found in what was read before it came: %v, %v", known, err)
 		}
 	}
 }
 
-type slowLister struct {
-	page   *wire.ItemList
+type hookedLister struct {
+	page   *wire.KeyValueList
 	before func()
 }
 
-func (s *slowLister) List(context.Context, string, string, int) (*wire.ItemList, error) {
+func (s *hookedLister) List(context.Context, string, string, int) (*wire.KeyValueList, error) {
 	page := s.page
 	s.before() // while the answer is on its way
 	return page, nil
@@ -284,43 +284,45 @@
 // TestVerifyFindsFaults plants one fault of each kind into a state that is whole.
 func TestVerifyFindsFaults(t *testing.T) {
 	entry := func(id string) jobblock.Entry { return jobblock.Entry{ID: id, Stage: wire.Done, Tasks: 1} }
-	block := func(to, from string, entries ...jobblock.Entry) wire.Item {
-		return wire.Item{Key: store.History + to, Value: wire.Encode(jobblock.Pack(from, entries)), Version: 3}
+	block := func(to, from string, entries ...jobblock.Entry) wire.KeyValue {
+		return wire.KeyValue{Key: store.ArchivePrefix + to, Value: wire.Encode(jobblock.Pack(from, entries)), Version: 3}
 	}
-	put := func(key string, v any) wire.Item { return wire.Item{Key: key, Value: wire.Encode(v), Version: 3} }
-	whole := []wire.Item{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.TermKey, uint64(4)),
-		block("0250", "", entry("wk-7")), block(last, "0250", entry("wk-60"))}
+	put := func(key string, v any) wire.KeyValue {
+		return wire.KeyValue{Key: key, Value: wire.Encode(v), Version: 3}
+	}
+	whole := []wire.KeyValue{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.FencingTokenKey, uint64(4)),
+		block("0250", "", entry("wk-7")), block(lastBlock, "0250", entry("wk-60"))}
 	if r := Verify(t.Context(), whole); len(r.Problems) > 0 {
 		t.Fatalf("the state is whole: %v", r.Problems)
 	}
 	newer, damaged := jobblock.Pack("", nil), jobblock.Pack("", []jobblock.Entry{entry("wk-1")})
 	newer.Format++
-	damaged.Sum = "0"
+	damaged.Checksum = "0"
 	for name, c := range map[string]struct {
 		says string
-		item wire.Item
+		item wire.KeyValue
 	}{
 		"a gap":                {"covered", block("0250", "03")},
 		"out of order":         {"does not cover", block("0250", "", entry("wk-99"))},
-		"no last block":        {"covered", wire.Item{}},
-		"a newer block":        {"newer", put(store.History+"0250", newer)},
-		"a damaged block":      {"damaged", put(store.History+"0250", damaged)},
+		"no last block":        {"covered", wire.KeyValue{}},
+		"a newer block":        {"newer", put(store.ArchivePrefix+"0250", newer)},
+		"a damaged block":      {"damaged", put(store.ArchivePrefix+"0250", damaged)},
 		"a differing answer":   {"is called", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
 		"a job that came back": {"live", put(store.BatchKey("b"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-7": {Stage: wire.Pending, Job: &wire.Job{ID: "wk-7"}}}})},
-		"a term above":         {"term", put(store.PartKey("fleet"), store.PartRecord{Term: 5, Format: 2})},
-		"an unknown key":       {"unknown", put(store.Root+"what/1", 1)},
-		"a newer state":        {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatParts + 1})},
+		"a term above":         {"term", put(store.LeaderKey("fleet"), store.LeaderRecord{FencingToken: 5, Format: 2})},
+		"an unknown key":       {"unknown", put(store.StatePrefix+"what/1", 1)},
+		"a newer state":        {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatSharded + 1})},
 	} {
-		items := map[string]wire.Item{}
+		items := map[string]wire.KeyValue{}
 		for _, it := range whole {
 			items[it.Key] = it
 		}
 		if c.item.Key == "" {
-			delete(items, store.History+last)
+			delete(items, store.ArchivePrefix+lastBlock)
 		} else {
 			items[c.item.Key] = c.item
 		}
-		var list []wire.Item
+		var list []wire.KeyValue
 		for _, it := range items {
 			list = append(list, it)
 		}
@@ -330,13 +332,13 @@
 	}
 }
 
-// counting counts the reads that are made, and how many at the same time.
-type counting struct {
+// countingLister counts the reads that are made, and how many at the same time.
+type countingLister struct {
 	Lister
 	all, now, most atomic.Int64
 }
 
-func (c *counting) List(ctx context.Context, prefix, after string, limit int) (*wire.ItemList, error) {
+func (c *countingLister) List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	c.all.Add(1)
 	c.most.Store(max(c.most.Load(), c.now.Add(1)))
 	defer c.now.Add(-1)
@@ -344,31 +346,31 @@
 	return c.Lister.List(ctx, prefix, after, limit)
 }
 
-// TestColdReaderLeavesRequests: after a start, users ask about all jobs that are over at once.
+// TestColdReaderLimitsConcurrentReads: after a start, users ask about all jobs that are over at once.
 // A few reads answer all of them, and never more than two at a time take the requests that the
 // barriers of all other questions need.
-func TestColdReaderLeavesRequests(t *testing.T) {
+func TestColdReaderLimitsConcurrentReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, tiny)
-		w.folder.MergeAt = 0
+		w := newHarness(t, tinyLimits)
+		w.compactor.MergeThreshold = 0
 		ids := rand.New(rand.NewPCG(1, 1)).Perm(900_000)
 		for i := range 300 {
 			rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 			for k := range 10 {
 				id := fmt.Sprintf("wk-%06d", ids[i*10+k])
 				rec.Jobs[id] = store.JobRecord{Stage: wire.Done, Tasks: 1 + k, Ended: 1}
-				w.told[id] = wire.Done
+				w.reported[id] = wire.Done
 			}
-			w.must(wire.Txn{Then: []wire.Change{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
+			w.must(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
 			_ = w.Barrier(t.Context())
-			if err := w.steps(); err != nil {
+			if err := w.compactAll(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		list := &counting{Lister: w}
+		list := &countingLister{Lister: w}
 		r := NewReader(list, 1000, slog.New(slog.DiscardHandler))
 		var group sync.WaitGroup
-		for id, stage := range w.told {
+		for id, stage := range w.reported {
 			if _, known := w.view.Job(id); known {
 				continue
 			}
@@ -381,7 +383,7 @@
 			})
 		}
 		group.Wait()
-		if blocks := int64(len(w.store.Page(store.History, store.History, 1000).Items)); blocks < 8 || list.all.Load() > blocks || list.most.Load() > mostReads {
+		if blocks := int64(len(w.store.Page(store.ArchivePrefix, store.ArchivePrefix, 1000).Items)); blocks < 8 || list.all.Load() > blocks || list.most.Load() > maxConcurrentReads {
 			t.Errorf("%d reads of %d blocks, %d at the same time", list.all.Load(), blocks, list.most.Load())
 		}
 	})
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -16,50 +16,50 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// world is a state service and a controller that folds, driven step by step. It
+// harness is a state service and a controller that folds, driven step by step. It
 // implements what a Folder and a Reader need of a store.
-type world struct {
-	t       testing.TB
-	store   *simulator.Store
-	view    *store.View
-	reader  *Reader
-	folder  *Folder
-	ending  map[string]bool
-	held    []wire.Txn // on their way, to be delivered late
-	fate    string     // of the next writes of the folder
-	left    int        // writes of the folder until it crashes, below 0 for none
-	refused error      // what the state service answers, if it is set
-	claims  int
-	writes  []string
-	told    map[string]wire.Stage
+type harness struct {
+	t                testing.TB
+	store            *simulator.StateService
+	view             *store.View
+	reader           *Reader
+	compactor        *Compactor
+	withTasks        map[string]bool
+	delayed          []wire.Txn // on their way, to be delivered late
+	crashOutcome     string     // of the next writes of the folder
+	writesUntilCrash int        // writes of the folder until it crashes, below 0 for none
+	refused          error      // what the state service answers, if it is set
+	elections        int
+	writes           []string
+	reported         map[string]wire.Stage
 }
 
 var errCrash = errors.New("crashed")
 
-func newWorld(t testing.TB, lim Limits) *world {
-	w := &world{t: t, store: simulator.NewStore(1, 0), ending: map[string]bool{}, left: -1, told: map[string]wire.Stage{}}
-	w.store.Limits = simulator.Limits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
+func newHarness(t testing.TB, lim Limits) *harness {
+	w := &harness{t: t, store: simulator.NewStateService(1, 0), withTasks: map[string]bool{}, writesUntilCrash: -1, reported: map[string]wire.Stage{}}
+	w.store.Limits = simulator.StateLimits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
 	w.start(lim)
 	return w
 }
 
 // start begins the controller anew: its view is read, and it claims the fleet.
-func (w *world) start(lim Limits) {
+func (w *harness) start(lim Limits) {
 	log := slog.New(slog.DiscardHandler)
-	w.claims++
-	w.must(wire.Txn{Then: []wire.Change{{Put: store.PartKey("fleet"), Value: store.PartRecord{Holder: "me", Term: uint64(w.claims), Format: store.Format}}}})
+	w.elections++
+	w.must(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "me", FencingToken: uint64(w.elections), Format: store.Format}}}})
 	w.reader = NewReader(w, 64, log)
 	w.view = store.NewView(log)
-	w.view.Blocks = w.reader
-	page := w.store.Page(store.Root, "", 0)
-	w.view.Load(page.Items, page.Revision, &wire.Changes{Revision: page.Revision})
-	part, _ := w.view.Part("fleet")
-	w.folder = &Folder{Store: w, View: w.view, Follow: w, Reader: w.reader, Limits: lim, Log: log,
-		Fence: wire.Condition{Key: store.PartKey("fleet"), Version: part.Version}, Every: time.Microsecond, MergeAt: 4,
-		Ending: func() (map[string]bool, bool) { return w.ending, true }, Valid: func() bool { return true }}
+	w.view.Archive = w.reader
+	page := w.store.Page(store.StatePrefix, "", 0)
+	w.view.Load(page.Items, page.Revision, &wire.WatchResponse{Revision: page.Revision})
+	part, _ := w.view.Leader("fleet")
+	w.compactor = &Compactor{Store: w, View: w.view, Follower: w, Reader: w.reader, Limits: lim, Log: log,
+		Fence: wire.Condition{Key: store.LeaderKey("fleet"), Version: part.Version}, Interval: time.Microsecond, MergeThreshold: 4,
+		JobsWithTasks: func() (map[string]bool, bool) { return w.withTasks, true }, LeaseValid: func() bool { return true }}
 }
 
-func (w *world) must(txn wire.Txn) uint64 {
+func (w *harness) must(txn wire.Txn) uint64 {
 	status, res := w.store.Commit(txn)
 	if status != 200 {
 		w.t.Fatalf("%d, failed %v", status, res.Failed)
@@ -68,8 +68,8 @@
 }
 
 // Barrier brings the view up to date.
-func (w *world) Barrier(context.Context) error {
-	ch, ok := w.store.Since(store.Stem, w.view.Revision())
+func (w *harness) Barrier(context.Context) error {
+	ch, ok := w.store.Since(store.CommonPrefix, w.view.Revision())
 	if !ok {
 		w.t.Fatal("a watch is too old")
 	}
@@ -77,10 +77,10 @@
 	return nil
 }
 
-func (w *world) Spare(context.Context, int) error { return nil }
-func (w *world) Burst() int                       { return 2 * w.folder.Limits.TxnOps }
+func (w *harness) WaitForSpareWrites(context.Context, int) error { return nil }
+func (w *harness) WriteBurst() int                               { return 2 * w.compactor.Limits.TxnOps }
 
-func (w *world) List(_ context.Context, prefix, after string, limit int) (*wire.ItemList, error) {
+func (w *harness) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	if w.refused != nil {
 		return nil, w.refused
 	}
@@ -88,26 +88,26 @@
 }
 
 // Txn takes a write of the folder.
-func (w *world) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
+func (w *harness) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
 	if w.refused != nil {
 		return 0, w.refused
 	}
 	w.writes = append(w.writes, describe(txn)...)
 	switch {
-	case w.left == 0 && w.fate == "taken": // it is taken, and the folder never hears of it
-		w.left = -1
+	case w.writesUntilCrash == 0 && w.crashOutcome == "taken": // it is taken, and the folder never hears of it
+		w.writesUntilCrash = -1
 		w.store.Commit(txn)
 		return 0, errCrash
-	case w.left == 0 && w.fate == "lost": // no answer, and it is sent again
-		w.left = -1
-		w.held = append(w.held, txn)
-		return 0, store.ErrUnknown
-	case w.left == 0:
-		w.left = -1
-		w.held = append(w.held, txn)
+	case w.writesUntilCrash == 0 && w.crashOutcome == "lost": // no answer, and it is sent again
+		w.writesUntilCrash = -1
+		w.delayed = append(w.delayed, txn)
+		return 0, store.ErrUnknownOutcome
+	case w.writesUntilCrash == 0:
+		w.writesUntilCrash = -1
+		w.delayed = append(w.delayed, txn)
 		return 0, errCrash
-	case w.left > 0:
-		w.left--
+	case w.writesUntilCrash > 0:
+		w.writesUntilCrash--
 	}
 	status, res := w.store.Commit(txn)
 	switch status {
@@ -123,7 +123,7 @@
 
 func short(keys []string) (out []string) {
 	for _, k := range keys {
-		out = append(out, strings.TrimPrefix(strings.TrimPrefix(k, store.Root), store.Stem+"-"))
+		out = append(out, strings.TrimPrefix(strings.TrimPrefix(k, store.StatePrefix), store.CommonPrefix+"-"))
 	}
 	slices.Sort(out)
 	return out
@@ -150,45 +150,45 @@
 }
 
 // submission gives the transaction of a batch, with the gate as the view has it.
-func (w *world) submission(name string, ids ...string) wire.Txn {
+func (w *harness) submission(name string, ids ...string) wire.Txn {
 	rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 	for _, id := range ids {
 		rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 2, Job: &wire.Job{ID: id, Tasks: 2, Team: "red"}}
 	}
-	return wire.Txn{If: []wire.Condition{{Key: store.BatchKey(name)}, {Key: store.GateKey, Version: w.view.Gate().Version}},
-		Then: []wire.Change{{Put: store.BatchKey(name), Value: rec}}}
+	return wire.Txn{If: []wire.Condition{{Key: store.BatchKey(name)}, {Key: store.SubmissionFenceKey, Version: w.view.SubmissionFence().Version}},
+		Then: []wire.Operation{{Put: store.BatchKey(name), Value: rec}}}
 }
 
-// own gives a job a key of its own, as version 1 did.
-func (w *world) own(id string, stage wire.Stage) wire.Txn {
+// standaloneJob gives a job a key of its own, as version 1 did.
+func (w *harness) standaloneJob(id string, stage wire.Stage) wire.Txn {
 	rec := store.JobRecord{Stage: wire.Pending, Tasks: 2, Job: &wire.Job{ID: id, Tasks: 2, Team: "red"}}
 	if stage.Final() {
 		rec = rec.End(stage, time.Unix(1e9, 0))
 	}
-	return wire.Txn{Then: []wire.Change{{Put: store.JobKey(id), Value: rec}}}
+	return wire.Txn{Then: []wire.Operation{{Put: store.JobKey(id), Value: rec}}}
 }
 
-// end gives the transaction that ends a live job.
-func (w *world) end(id string, stage wire.Stage) wire.Txn {
+// endJob gives the transaction that ends a live job.
+func (w *harness) endJob(id string, stage wire.Stage) wire.Txn {
 	l, ok := w.view.Live(id)
 	if !ok {
 		w.t.Fatalf("%s is not live", id)
 	}
-	r := l.Home.Rewrite()
-	r.End(id, stage, time.Unix(1e9, 0))
-	return wire.Txn{If: []wire.Condition{r.If()}, Then: []wire.Change{r.Change()}}
+	r := l.Batch.Update()
+	r.EndJob(id, stage, time.Unix(1e9, 0))
+	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Change()}}
 }
 
 // ask tells what a user is answered about a job, as every controller finds it.
-func (w *world) ask(id string) string {
+func (w *harness) ask(id string) string {
 	if rec, known := w.view.Job(id); known {
 		return string(rec.Stage)
 	}
-	doubt, _ := w.view.Doubt(id)
+	doubt, _ := w.view.UnreadableRecordFor(id)
 	e, known, err := w.reader.Find(context.Background(), id)
 	switch {
 	case err != nil:
-		return "come back: " + strings.TrimPrefix(err.Error(), store.Stem+"-")
+		return "come back: " + strings.TrimPrefix(err.Error(), store.CommonPrefix+"-")
 	case !known && doubt != "":
 		return "come back: " + short([]string{doubt})[0]
 	case !known:
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -23,12 +23,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// last ends the block that no other follows.
-const last = "~"
+// lastBlock ends the block that no other follows.
+const lastBlock = "~"
 
-// ahead is how many blocks are read together: what was asked for and the next
+// readAhead is how many blocks are read together: what was asked for and the next
 // ones, so that a cache fills with few requests.
-const ahead = 16
+const readAhead = 16
 
 // Block is a block of the history as it was read.
 type Block struct {
@@ -47,42 +47,42 @@
 	}
 	blk, err := b.Record.Unpack()
 	if err != nil {
-		return nil, fmt.Errorf("%s%s: %w", store.History, b.To, err)
+		return nil, fmt.Errorf("%s%s: %w", store.ArchivePrefix, b.To, err)
 	}
 	return blk, nil
 }
 
 // Lister reads pages of keys.
 type Lister interface {
-	List(ctx context.Context, prefix, after string, limit int) (*wire.ItemList, error)
+	List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error)
 }
 
 // Reader finds jobs in the history.
 type Reader struct {
-	store Lister
-	log   *slog.Logger
-	reads chan struct{} // a place for each that is under way
+	store     Lister
+	log       *slog.Logger
+	readSlots chan struct{} // a place for each that is under way
 
-	mu     sync.Mutex
-	blocks btree.Map[string, *Block] // by To
-	used   *lru.LRU[string, bool]
-	empty  bool   // there is no block at all
-	seen   uint64 // revision of the last change of any block
-	resets int
-	counts ReadCounts
+	mu         sync.Mutex
+	blocks     btree.Map[string, *Block] // by To
+	recency    *lru.LRU[string, bool]
+	empty      bool   // there is no block at all
+	lastChange uint64 // revision of the last change of any block
+	resets     int
+	stats      CacheStats
 }
 
-// ReadCounts tells how often a block was looked for, and read for that.
-type ReadCounts struct{ Hits, Reads, Cached, Unreadable uint64 }
+// CacheStats tells how often a block was looked for, and read for that.
+type CacheStats struct{ Hits, Reads, Cached, Unreadable uint64 }
 
 // NewReader gives a reader with a cache of so many blocks.
 func NewReader(s Lister, blocks int, log *slog.Logger) *Reader {
-	r := &Reader{store: s, log: log, reads: make(chan struct{}, mostReads)}
+	r := &Reader{store: s, log: log, readSlots: make(chan struct{}, maxConcurrentReads)}
 	used, err := lru.NewLRU(max(1, blocks), func(to string, _ bool) { r.blocks.Delete(to) })
 	if err != nil {
 		panic(err) // only a size below 1 can do this
 	}
-	r.used = used
+	r.recency = used
 	return r
 }
 
@@ -90,45 +90,45 @@
 func (r *Reader) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.used.Purge()
+	r.recency.Purge()
 	r.blocks = btree.Map[string, *Block]{}
 	r.empty = false
 	r.resets++
 }
 
-// Changed implements store.Blocks.
-func (r *Reader) Changed(key string, raw wire.Raw, version uint64) {
+// BlockChanged implements store.Blocks.
+func (r *Reader) BlockChanged(key string, raw wire.Raw, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = max(r.seen, version)
-	r.put(key, raw, version)
+	r.lastChange = max(r.lastChange, version)
+	r.insert(key, raw, version)
 }
 
-// put takes in a block's value unless a newer one is known.
-func (r *Reader) put(key string, raw wire.Raw, version uint64) (*Block, error) {
+// insert takes in a block's value unless a newer one is known.
+func (r *Reader) insert(key string, raw wire.Raw, version uint64) (*Block, error) {
 	r.empty = false
-	b := &Block{To: strings.TrimPrefix(key, store.History), Version: version}
+	b := &Block{To: strings.TrimPrefix(key, store.ArchivePrefix), Version: version}
 	if old, ok := r.blocks.Get(b.To); ok && old.Version >= version {
 		return old, nil
 	}
 	if err := wire.DecodeValue(raw, &b.Record); err != nil {
-		r.used.Remove(b.To)
-		r.counts.Unreadable++
+		r.recency.Remove(b.To)
+		r.stats.Unreadable++
 		r.log.Error("record not understood", "key", key, "error", err)
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
 	b.From = b.Record.From
 	r.blocks.Set(b.To, b)
-	r.used.Add(b.To, true)
+	r.recency.Add(b.To, true)
 	return b, nil
 }
 
-// Counts tells how the cache does.
-func (r *Reader) Counts() ReadCounts {
+// Stats tells how the cache does.
+func (r *Reader) Stats() CacheStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.counts.Cached = uint64(r.blocks.Len())
-	return r.counts
+	r.stats.Cached = uint64(r.blocks.Len())
+	return r.stats
 }
 
 // cached gives the block of a key if it is in memory.
@@ -136,7 +136,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.empty {
-		return &Block{To: last}, true
+		return &Block{To: lastBlock}, true
 	}
 	var b *Block
 	r.blocks.Ascend(key, func(to string, at *Block) bool {
@@ -149,32 +149,32 @@
 	if b == nil || !b.covers(key) {
 		return nil, false
 	}
-	r.used.Get(b.To)
-	r.counts.Hits++
+	r.recency.Get(b.To)
+	r.stats.Hits++
 	return b, true
 }
 
-// errGap means that no block covers a key although others are there.
-var errGap = errors.New("no block of the history covers it")
+// errUncovered means that no block covers a key although others are there.
+var errUncovered = errors.New("no block of the history covers it")
 
-// mostReads bounds the reads that are under way. Each brings the blocks of many, and they share
+// maxConcurrentReads bounds the reads that are under way. Each brings the blocks of many, and they share
 // this controller's requests with the barriers, which all other answers wait for: as many reads
 // as there are questions, after a start, would keep those away for as long as more come.
-const mostReads = 2
+const maxConcurrentReads = 2
 
-// cover gives the block that covers a key, read if need be. A read goes on when whoever asked
+// blockFor gives the block that covers a key, read if need be. A read goes on when whoever asked
 // has gone, for those who come after.
-func (r *Reader) cover(ctx context.Context, key string) (*Block, error) {
+func (r *Reader) blockFor(ctx context.Context, key string) (*Block, error) {
 	if b, ok := r.cached(key); ok {
 		return b, nil
 	}
 	select {
-	case r.reads <- struct{}{}:
+	case r.readSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	if b, ok := r.cached(key); ok { // another has read it meanwhile
-		<-r.reads
+		<-r.readSlots
 		return b, nil
 	}
 	type result struct {
@@ -183,8 +183,8 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		b, err := r.read(context.WithoutCancel(ctx), key)
-		<-r.reads
+		b, err := r.fetch(context.WithoutCancel(ctx), key)
+		<-r.readSlots
 		done <- result{b, err}
 	}()
 	select {
@@ -195,29 +195,29 @@
 	}
 }
 
-// read asks the state service for a key's block and some that follow it. What
+// fetch asks the state service for a key's block and some that follow it. What
 // was read before a change that is known already is not kept.
-func (r *Reader) read(ctx context.Context, key string) (*Block, error) {
+func (r *Reader) fetch(ctx context.Context, key string) (*Block, error) {
 	r.mu.Lock()
 	resets := r.resets
-	r.counts.Reads++
+	r.stats.Reads++
 	r.mu.Unlock()
-	page, err := r.store.List(ctx, store.History, store.History+key, ahead)
+	page, err := r.store.List(ctx, store.ArchivePrefix, store.ArchivePrefix+key, readAhead)
 	if err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fresh := r.resets == resets && page.Revision >= r.seen
+	fresh := r.resets == resets && page.Revision >= r.lastChange
 	if len(page.Items) == 0 {
 		r.empty = fresh
-		return &Block{To: last}, nil
+		return &Block{To: lastBlock}, nil
 	}
 	var found *Block
 	for i, it := range page.Items {
-		b := &Block{To: strings.TrimPrefix(it.Key, store.History), Version: it.Version}
+		b := &Block{To: strings.TrimPrefix(it.Key, store.ArchivePrefix), Version: it.Version}
 		if fresh {
-			b, err = r.put(it.Key, it.Value, it.Version)
+			b, err = r.insert(it.Key, it.Value, it.Version)
 		} else if err = wire.DecodeValue(it.Value, &b.Record); err == nil {
 			b.From = b.Record.From
 		}
@@ -229,7 +229,7 @@
 		}
 	}
 	if !found.covers(key) {
-		return nil, fmt.Errorf("%w: %s, next is %s from %q", errGap, key, found.To, found.From)
+		return nil, fmt.Errorf("%w: %s, next is %s from %q", errUncovered, key, found.To, found.From)
 	}
 	return found, nil
 }
@@ -237,14 +237,14 @@
 // Find looks a job up. One that is not found was not in the history when Find was
 // called.
 func (r *Reader) Find(ctx context.Context, id string) (jobblock.Entry, bool, error) {
-	b, err := r.cover(ctx, jobblock.Key(id))
+	b, err := r.blockFor(ctx, jobblock.SortKey(id))
 	if err != nil {
 		return jobblock.Entry{}, false, err
 	}
 	blk, err := b.unpack()
 	if err != nil {
 		r.mu.Lock()
-		r.counts.Unreadable++
+		r.stats.Unreadable++
 		r.mu.Unlock()
 		return jobblock.Entry{}, false, err
 	}
@@ -254,7 +254,7 @@
 
 // Cached looks a job up in memory only.
 func (r *Reader) Cached(id string) (jobblock.Entry, bool) {
-	b, ok := r.cached(jobblock.Key(id))
+	b, ok := r.cached(jobblock.SortKey(id))
 	if !ok {
 		return jobblock.Entry{}, false
 	}
@@ -265,12 +265,12 @@
 	return blk.Find(id)
 }
 
-// wrote takes in blocks that were written here, ahead of the watch.
-func (r *Reader) wrote(parts []*Block, revision uint64) {
+// applyOwnWrite takes in blocks that were written here, ahead of the watch.
+func (r *Reader) applyOwnWrite(parts []*Block, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.empty = false
-	r.seen = max(r.seen, revision)
+	r.lastChange = max(r.lastChange, revision)
 	for _, p := range parts {
 		if old, ok := r.blocks.Get(p.To); ok && old.Version >= revision {
 			continue
@@ -278,6 +278,6 @@
 		b := *p
 		b.Version = revision
 		r.blocks.Set(b.To, &b)
-		r.used.Add(b.To, true)
+		r.recency.Add(b.To, true)
 	}
 }
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -15,8 +15,8 @@
 
 var traceLimits = Limits{ValueBytes: 8192, TxnOps: 12}
 
-// step plays a line of a trace.
-func (w *world) step(line string) []string {
+// runStep plays a line of a trace.
+func (w *harness) runStep(line string) []string {
 	words, _ := simulator.Words(line)
 	w.writes = nil
 	held := words[len(words)-1] == "held"
@@ -28,43 +28,43 @@
 	case "submit":
 		txn = w.submission(words[1], words[2:]...)
 	case "odd": // a batch whose job is neither live nor over
-		txn = wire.Txn{Then: []wire.Change{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}
+		txn = wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}
 	case "own":
-		txn = w.own(words[1], wire.Stage(words[2]))
+		txn = w.standaloneJob(words[1], wire.Stage(words[2]))
 	case "cancel":
-		txn = w.end(words[1], wire.Cancelled)
+		txn = w.endJob(words[1], wire.Cancelled)
 	case "done":
-		txn = w.end(words[1], wire.Done)
+		txn = w.endJob(words[1], wire.Done)
 	case "ending": // jobs that may still have a task somewhere
-		clear(w.ending)
+		clear(w.withTasks)
 		for _, id := range words[1:] {
-			w.ending[id] = true
+			w.withTasks[id] = true
 		}
 		return nil
 	case "settle", "merge":
-		return w.fold(words[0], words[1:])
+		return w.compact(words[0], words[1:])
 	case "deliver": // what was on its way arrives, again if the step says so
 		return w.deliver(words[1:])
 	case "claim": // another controller has taken the fleet; this one does not know
-		w.must(wire.Txn{Then: []wire.Change{{Put: store.PartKey("fleet"), Value: store.PartRecord{Holder: "other", Term: 9, Format: store.Format}}}})
+		w.must(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
 		return nil
 	case "marked": // the state was in an older form until so long ago
 		ago, _ := time.ParseDuration(words[1])
-		txn = wire.Txn{Then: []wire.Change{{Put: store.FormatKey, Value: store.FormatRecord{Format: store.Format, Since: time.Now().Add(-ago).UnixMilli()}}}}
+		txn = wire.Txn{Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: store.Format, Since: time.Now().Add(-ago).UnixMilli()}}}}
 	case "start":
 		w.start(traceLimits)
 		return nil
 	case "spoil": // a record as a newer version might write it
 		rec := jobblock.Pack("", nil)
 		rec.Format++
-		w.must(wire.Txn{Then: []wire.Change{{Put: words[1], Value: rec}}})
+		w.must(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
 		_ = w.Barrier(context.Background())
 		return nil
 	case "ask":
 		return []string{w.ask(words[1])}
 	case "keys":
 		var out []string
-		for _, it := range w.store.Page(store.Stem, "", 0).Items {
+		for _, it := range w.store.Page(store.CommonPrefix, "", 0).Items {
 			out = append(out, short([]string{it.Key})[0])
 		}
 		return out
@@ -72,7 +72,7 @@
 		w.t.Fatalf("no such step: %s", line)
 	}
 	if held {
-		w.held = append(w.held, txn)
+		w.delayed = append(w.delayed, txn)
 		return nil
 	}
 	w.must(txn)
@@ -80,27 +80,27 @@
 	return nil
 }
 
-// fold has the folder do one thing. It may crash at a write of it, that is taken
+// compact has the folder do one thing. It may crash at a write of it, that is taken
 // all the same or is held up.
-func (w *world) fold(what string, fate []string) []string {
-	w.left = -1
+func (w *harness) compact(what string, fate []string) []string {
+	w.writesUntilCrash = -1
 	if len(fate) > 0 { // such as "crash 1 taken": after one write
-		w.left, w.fate = int(fate[1][0]-'0'), ""
+		w.writesUntilCrash, w.crashOutcome = int(fate[1][0]-'0'), ""
 		if len(fate) > 2 {
-			w.fate = fate[2]
+			w.crashOutcome = fate[2]
 		}
 	}
 	ctx := context.Background()
 	var err error
 	if what == "settle" {
-		_, err = w.folder.settle(ctx)
+		_, err = w.compactor.stage(ctx)
 	} else {
 		for more := true; more && err == nil; {
-			blocks := ripe(w.view.Recents(), w.folder.Limits, 0)
-			if len(blocks) == 0 || !w.folder.certain() {
+			blocks := mergeCandidates(w.view.RecentBlocks(), w.compactor.Limits, 0)
+			if len(blocks) == 0 || !w.compactor.safeToArchive() {
 				break
 			}
-			more, err = w.folder.merge(ctx, blocks)
+			more, err = w.compactor.merge(ctx, blocks)
 		}
 	}
 	if err != nil && !errors.Is(err, errStale) {
@@ -112,9 +112,9 @@
 	return w.writes
 }
 
-func (w *world) deliver(words []string) []string {
+func (w *harness) deliver(words []string) []string {
 	var out []string
-	for _, txn := range w.held {
+	for _, txn := range w.delayed {
 		status, res := w.store.Commit(txn)
 		line := strings.Join(describe(txn), ", ")
 		if status == 200 {
@@ -124,7 +124,7 @@
 		}
 	}
 	if len(words) == 0 {
-		w.held = nil
+		w.delayed = nil
 	}
 	_ = w.Barrier(context.Background())
 	return out
@@ -132,5 +132,5 @@
 
 // TestTraces plays the kept traces of folding.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newWorld(t, traceLimits).step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newHarness(t, traceLimits).runStep })
 }
--- a/internal/archive/verify.go
+++ b/internal/archive/verify.go
@@ -14,18 +14,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Account is what is in the state service, and what is wrong with it.
-type Account struct {
-	Format   int
-	Term     uint64
-	Kinds    map[string]*KindCount
-	Live     int
-	Ended    int // different jobs that are over
-	Problems []string
+// Report is what is in the state service, and what is wrong with it.
+type Report struct {
+	Format       int
+	FencingToken uint64
+	Kinds        map[string]*KindStats
+	Live         int
+	Ended        int // different jobs that are over
+	Problems     []string
 }
 
-// KindCount counts the keys of a kind.
-type KindCount struct {
+// KindStats counts the keys of a kind.
+type KindStats struct {
 	Keys, Jobs, Bytes int
 	Largest           int
 	Oldest, Newest    uint64 // versions
@@ -36,7 +36,7 @@
 
 // verifier reads all keys once, in order.
 type verifier struct {
-	Account
+	Report
 	ended  idSet
 	stages map[string]wire.Stage // of jobs that are over, outside of the history
 	live   map[string]string     // jobs that a home calls live, by its key
@@ -46,13 +46,13 @@
 
 // Verify reads a whole state and checks every invariant that docs/history.md
 // names.
-func Verify(ctx context.Context, items []wire.Item) Account {
+func Verify(ctx context.Context, items []wire.KeyValue) Report {
 	v := &verifier{stages: map[string]wire.Stage{}, live: map[string]string{}, ended: newIDSet()}
-	v.Kinds = map[string]*KindCount{}
+	v.Kinds = map[string]*KindStats{}
 	items = slices.Clone(items)
 	// What may be rewritten goes first, so that blocks can be compared with it.
-	slices.SortFunc(items, func(a, b wire.Item) int {
-		ha, hb := strings.HasPrefix(a.Key, store.History), strings.HasPrefix(b.Key, store.History)
+	slices.SortFunc(items, func(a, b wire.KeyValue) int {
+		ha, hb := strings.HasPrefix(a.Key, store.ArchivePrefix), strings.HasPrefix(b.Key, store.ArchivePrefix)
 		if ha != hb {
 			if ha {
 				return 1
@@ -63,16 +63,16 @@
 	})
 	for _, it := range items {
 		if ctx.Err() != nil {
-			v.problem("", "broken off: %v", ctx.Err())
+			v.report("", "broken off: %v", ctx.Err())
 			break
 		}
-		v.item(it)
+		v.checkItem(it)
 	}
 	v.finish()
-	return v.Account
+	return v.Report
 }
 
-func (v *verifier) problem(key, format string, args ...any) {
+func (v *verifier) report(key, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if key != "" {
 		text = key + ": " + text
@@ -83,19 +83,19 @@
 }
 
 // decode reads a record; one that is not understood is a problem.
-func decode[T any](v *verifier, it wire.Item) (rec T, ok bool) {
+func decode[T any](v *verifier, it wire.KeyValue) (rec T, ok bool) {
 	if err := wire.DecodeValue(it.Value, &rec); err != nil {
-		v.problem(it.Key, "record not understood: %v", err)
+		v.report(it.Key, "record not understood: %v", err)
 		return rec, false
 	}
 	return rec, true
 }
 
-func (v *verifier) item(it wire.Item) {
+func (v *verifier) checkItem(it wire.KeyValue) {
 	kind := store.Kind(it.Key)
 	k := v.Kinds[kind]
 	if k == nil {
-		k = &KindCount{Oldest: it.Version}
+		k = &KindStats{Oldest: it.Version}
 		v.Kinds[kind] = k
 	}
 	size := len(it.Key) + len(it.Value)
@@ -108,70 +108,70 @@
 		if rec, ok := decode[store.BatchRecord](v, it); ok {
 			k.Jobs += len(rec.Jobs)
 			for id, job := range rec.Jobs {
-				v.home(it.Key, id, job)
+				v.checkBatchJob(it.Key, id, job)
 			}
 		}
 	case "job":
 		if rec, ok := decode[store.JobRecord](v, it); ok {
 			k.Jobs++
-			v.home(it.Key, strings.TrimPrefix(it.Key, store.JobKey("")), rec)
+			v.checkBatchJob(it.Key, strings.TrimPrefix(it.Key, store.JobKey("")), rec)
 		}
 	case "recent", "history":
 		if rec, ok := decode[jobblock.Record](v, it); ok {
 			k.Jobs += rec.Count
-			v.block(it.Key, rec, kind == "history")
+			v.checkBlock(it.Key, rec, kind == "history")
 		}
 	case "ledger":
-		decode[store.SlotRecord](v, it)
+		decode[store.SegmentRecord](v, it)
 	case "part":
-		if rec, ok := decode[store.PartRecord](v, it); ok { // comes before the counter
-			v.Term = max(v.Term, rec.Term)
+		if rec, ok := decode[store.LeaderRecord](v, it); ok { // comes before the counter
+			v.FencingToken = max(v.FencingToken, rec.FencingToken)
 		}
 	case "term":
 		if term, ok := decode[uint64](v, it); ok {
-			if term < v.Term {
-				v.problem(it.Key, "the counter of terms is %d, a part is held with term %d", term, v.Term)
+			if term < v.FencingToken {
+				v.report(it.Key, "the counter of terms is %d, a part is held with term %d", term, v.FencingToken)
 			}
-			v.Term = max(v.Term, term)
+			v.FencingToken = max(v.FencingToken, term)
 		}
 	case "format":
 		if rec, ok := decode[store.FormatRecord](v, it); ok {
 			if v.Format = rec.Format; rec.Import != "" {
-				v.problem(it.Key, "an import was not finished")
-			} else if rec.Format > store.FormatParts {
-				v.problem(it.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatParts)
+				v.report(it.Key, "an import was not finished")
+			} else if rec.Format > store.FormatSharded {
+				v.report(it.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
 			}
 		}
 	case "grouping":
-		decode[store.GroupingRecord](v, it)
+		decode[store.ShardingRecord](v, it)
 	case "grant":
-		decode[store.GrantRecord](v, it)
+		decode[store.QuotaGrantRecord](v, it)
 	case "tiers":
 		decode[store.TiersRecord](v, it)
 	case "gate", "types":
 	default:
-		v.problem(it.Key, "of an unknown kind")
+		v.report(it.Key, "of an unknown kind")
 	}
 }
 
-// home takes in what a home says of a job.
-func (v *verifier) home(key, id string, job store.JobRecord) {
+// checkBatchJob takes in what a home says of a job.
+func (v *verifier) checkBatchJob(key, id string, job store.JobRecord) {
 	switch {
 	case !wire.ValidJobID(id):
-		v.problem(key, "%q is not the id of a job", id)
+		v.report(key, "%q is not the id of a job", id)
 	case job.Stage.Final():
-		v.answer(key, id, job.Stage)
+		v.recordEnd(key, id, job.Stage)
 	case job.Job == nil:
-		v.problem(key, "job %s is %q and has no description", id, job.Stage)
+		v.report(key, "job %s is %q and has no description", id, job.Stage)
 	default:
 		v.live[id] = key
 	}
 }
 
-// answer takes in a final stage: it must be the same everywhere.
-func (v *verifier) answer(key, id string, stage wire.Stage) {
+// recordEnd takes in a final stage: it must be the same everywhere.
+func (v *verifier) recordEnd(key, id string, stage wire.Stage) {
 	if before, ok := v.stages[id]; ok && before != stage {
-		v.problem(key, "job %s was %s, is called %s", id, before, stage)
+		v.report(key, "job %s was %s, is called %s", id, before, stage)
 		return
 	}
 	v.stages[id] = stage
@@ -180,39 +180,39 @@
 	}
 }
 
-func (v *verifier) block(key string, rec jobblock.Record, history bool) {
-	to := strings.TrimPrefix(key, store.History)
+func (v *verifier) checkBlock(key string, rec jobblock.Record, history bool) {
+	to := strings.TrimPrefix(key, store.ArchivePrefix)
 	if history {
 		v.blocks++
 		if rec.From != v.next {
-			v.problem(key, "begins at %q: what comes from %q on is covered by no block, or by two", rec.From, v.next)
+			v.report(key, "begins at %q: what comes from %q on is covered by no block, or by two", rec.From, v.next)
 		}
 		v.next = to
 	}
 	blk, err := rec.Unpack()
 	if err != nil {
-		v.problem(key, "%v", err)
+		v.report(key, "%v", err)
 		return
 	}
 	before := ""
 	for _, e := range blk.Entries() {
-		at := jobblock.Key(e.ID)
+		at := jobblock.SortKey(e.ID)
 		if at <= before {
-			v.problem(key, "job %s is out of order", e.ID)
+			v.report(key, "job %s is out of order", e.ID)
 		}
 		before = at
 		if history && (at < rec.From || at >= to) {
-			v.problem(key, "holds job %s, which it does not cover", e.ID)
+			v.report(key, "holds job %s, which it does not cover", e.ID)
 		}
 		if !history {
-			v.answer(key, e.ID, e.Stage)
+			v.recordEnd(key, e.ID, e.Stage)
 			continue
 		}
 		if home, ok := v.live[e.ID]; ok && v.stages[e.ID] == "" {
-			v.problem(key, "job %s is over, and live in %s", e.ID, home)
+			v.report(key, "job %s is over, and live in %s", e.ID, home)
 		}
 		if stage, ok := v.stages[e.ID]; ok && stage != e.Stage {
-			v.problem(key, "job %s was %s, is called %s", e.ID, stage, e.Stage)
+			v.report(key, "job %s was %s, is called %s", e.ID, stage, e.Stage)
 		}
 		if v.ended.add(e.ID) {
 			v.Ended++
@@ -221,8 +221,8 @@
 }
 
 func (v *verifier) finish() {
-	if v.blocks > 0 && v.next != last {
-		v.problem(store.History+last, "what comes from %q on is covered by no block", v.next)
+	if v.blocks > 0 && v.next != lastBlock {
+		v.report(store.ArchivePrefix+lastBlock, "what comes from %q on is covered by no block", v.next)
 	}
 	for id := range v.live {
 		if v.stages[id] == "" {
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -19,83 +19,83 @@
 )
 
 const (
-	most      = 8                // calls that may be open at once for an offer
-	settled   = 30 * time.Second // after which an offer that nobody asked is asked by one call again
-	firstLull = 8 * time.Second  // for which an offer is left alone, doubled with each refusal in a row
-	leastLull = 16 * time.Second // up to this, or more where there are many offers
-	lastLull  = 64 * time.Second
-	probes    = 8               // one part in so many of the calls asks offers in vain, at the most
-	hinted    = 4               // times sooner an offer is asked again that should have room
-	again     = time.Second     // before a call without an answer is repeated
-	turn      = 2 * time.Second // after which an ask that waits goes before more urgent ones
+	maxOpenCalls    = 8                // calls that may be open at once for an offer
+	windowExpiry    = 30 * time.Second // after which an offer that nobody asked is asked by one call again
+	initialBackoff  = 8 * time.Second  // for which an offer is left alone, doubled with each refusal in a row
+	minBackoffLimit = 16 * time.Second // up to this, or more where there are many offers
+	maxBackoffLimit = 64 * time.Second
+	probeCallShare  = 8               // one part in so many of the calls asks offers in vain, at the most
+	hintSpeedup     = 4               // times sooner an offer is asked again that should have room
+	resendAfter     = time.Second     // before a call without an answer is repeated
+	starvationAge   = 2 * time.Second // after which an ask that waits goes before more urgent ones
 )
 
-// Ask is a rental: an intent with a name, by which it is carried out once.
-type Ask struct {
-	scheduler.Rent
+// ScaleOutRequest is a rental: an intent with a name, by which it is carried out once.
+type ScaleOutRequest struct {
+	scheduler.ScaleOut
 	Name string
 
-	written bool      // the store has its intent
-	open    bool      // a call is waiting for its answer
-	added   time.Time // when it was wanted
-	sent    time.Time // when it was last sent under this holder; zero if never
+	stored   bool      // the store has its intent
+	inFlight bool      // a call is waiting for its answer
+	addedAt  time.Time // when it was wanted
+	sentAt   time.Time // when it was last sent under this holder; zero if never
 }
 
-// offer is what is known of one.
-type offer struct {
-	window   int       // calls that may be open at once
-	doubted  bool      // it had not all that it was asked for
-	row      int       // refusals in a row
-	refused  time.Time // when it last had not all, zero if that is of no more interest
-	answered time.Time
-	hint     bool // it should have room again
+// offerState is what is known of one.
+type offerState struct {
+	window         int       // calls that may be open at once
+	constrained    bool      // it had not all that it was asked for
+	refusalsInARow int       // refusals in a row
+	refusedAt      time.Time // when it last had not all, zero if that is of no more interest
+	answeredAt     time.Time
+	capacityHint   bool // it should have room again
 }
 
-// Book holds the rentals that are open, and what is known of the offers.
-type Book struct {
-	rps    float64 // calls that the cloud takes a second
-	asks   map[string]*Ask
-	offers map[scheduler.Offer]*offer
+// RequestLog holds the rentals that are open, and what is known of the offers.
+type RequestLog struct {
+	callsPerSecond float64 // calls that the cloud takes a second
+	requests       map[string]*ScaleOutRequest
+	offers         map[scheduler.Offer]*offerState
 }
 
 // New gives an empty book, for a cloud that takes so many calls a second.
-func New(rps float64) *Book {
-	return &Book{rps: rps, asks: map[string]*Ask{}, offers: map[scheduler.Offer]*offer{}}
+func New(rps float64) *RequestLog {
+	return &RequestLog{callsPerSecond: rps, requests: map[string]*ScaleOutRequest{}, offers: map[scheduler.Offer]*offerState{}}
 }
 
-// Left takes in an intent that an earlier holder has left. Whether it was sent nobody
+// Recover takes in an intent that an earlier holder has left. Whether it was sent nobody
 // knows: the same name gets the same answer.
-func (b *Book) Left(name string, r scheduler.Rent) {
-	b.asks[name] = &Ask{Rent: r, Name: name, written: true}
+func (b *RequestLog) Recover(name string, r scheduler.ScaleOut) {
+	b.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, stored: true}
 }
 
-// Open lists the rentals that are not decided yet, by their names.
-func (b *Book) Open() []*Ask {
-	out := make([]*Ask, 0, len(b.asks))
-	for _, name := range slices.Sorted(maps.Keys(b.asks)) {
-		out = append(out, b.asks[name])
+// Pending lists the rentals that are not decided yet, by their names.
+func (b *RequestLog) Pending() []*ScaleOutRequest {
+	out := make([]*ScaleOutRequest, 0, len(b.requests))
+	for _, name := range slices.Sorted(maps.Keys(b.requests)) {
+		out = append(out, b.requests[name])
 	}
 	return out
 }
 
 // Ask gives one that is not decided yet, or nil.
-func (b *Book) Ask(name string) *Ask { return b.asks[name] }
+func (b *RequestLog) Ask(name string) *ScaleOutRequest { return b.requests[name] }
 
-// Wanted picks what is to be asked now of what a plan wants, the most urgent first.
+// Admit picks what is to be asked now of what a plan wants, the most urgent first.
 // While a rental for an offer is open, only full ones are added, as its window allows:
 // what is wanted besides gathers for the next.
-func (b *Book) Wanted(now time.Time, rents []scheduler.Rent) (out []scheduler.Rent) {
+func (b *RequestLog) Admit(now time.Time, rents []scheduler.ScaleOut) (out []scheduler.ScaleOut) {
 	rents = slices.Clone(rents)
-	slices.SortStableFunc(rents, func(a, b scheduler.Rent) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortStableFunc(rents, func(a, b scheduler.ScaleOut) int { return cmp.Compare(a.QueuePosition, b.QueuePosition) })
 	for _, r := range rents {
-		if b.alone(now, r.Offer) {
+		if b.backingOff(now, r.Offer) {
 			continue
 		}
-		open := b.count(r.Offer)
-		room := b.window(now, r.Offer) - open
-		for left := r.Count; left > 0 && room > 0 && (open == 0 || left >= wire.MaxRent); room-- {
-			n := min(left, wire.MaxRent)
-			out = append(out, scheduler.Rent{Offer: r.Offer, Count: n, Place: r.Place})
+		open := b.pendingFor(r.Offer)
+		freeCalls := b.callWindow(now, r.Offer) - open
+		for left := r.Count; left > 0 && freeCalls > 0 && (open == 0 || left >= wire.MaxScaleOut); freeCalls-- {
+			n := min(left, wire.MaxScaleOut)
+			out = append(out, scheduler.ScaleOut{Offer: r.Offer, Count: n, QueuePosition: r.QueuePosition})
 			left, open = left-n, open+1
 		}
 	}
@@ -103,63 +103,63 @@
 }
 
 // Add takes in an ask whose intent is being written.
-func (b *Book) Add(now time.Time, name string, r scheduler.Rent) {
-	b.asks[name] = &Ask{Rent: r, Name: name, added: now}
+func (b *RequestLog) Add(now time.Time, name string, r scheduler.ScaleOut) {
+	b.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, addedAt: now}
 }
 
-// Written notes that the store has an intent. It reports false for one that is of no
+// MarkStored notes that the store has an intent. It reports false for one that is of no
 // more use, whose record can be dropped.
-func (b *Book) Written(name string) bool {
-	a := b.asks[name]
+func (b *RequestLog) MarkStored(name string) bool {
+	a := b.requests[name]
 	if a != nil {
-		a.written = true
+		a.stored = true
 	}
 	return a != nil
 }
 
 // Forget takes back an ask whose intent will never be in the store.
-func (b *Book) Forget(name string) { delete(b.asks, name) }
+func (b *RequestLog) Forget(name string) { delete(b.requests, name) }
 
 // Next gives the ask to send now, or nil. Each offer has its turn, the one first that is
 // needed most urgently.
-func (b *Book) Next(now time.Time) *Ask {
-	var best *Ask
-	for _, a := range b.Open() {
-		if a.written && !a.open && now.Sub(a.sent) >= again && b.calls(a.Offer) < b.window(now, a.Offer) && (best == nil || b.before(now, a, best)) {
+func (b *RequestLog) Next(now time.Time) *ScaleOutRequest {
+	var best *ScaleOutRequest
+	for _, a := range b.Pending() {
+		if a.stored && !a.inFlight && now.Sub(a.sentAt) >= resendAfter && b.openCallsFor(a.Offer) < b.callWindow(now, a.Offer) && (best == nil || b.precedes(now, a, best)) {
 			best = a
 		}
 	}
 	return best
 }
 
-// before reports whether a goes before b: what has waited for long, then what has the
+// precedes reports whether a goes before b: what has waited for long, then what has the
 // fewest calls open for its offer, then the more urgent.
-func (b *Book) before(now time.Time, x, y *Ask) bool {
-	late := func(a *Ask) bool { return now.Sub(a.added) > turn && a.sent.IsZero() }
-	if late(x) != late(y) {
-		return late(x)
+func (b *RequestLog) precedes(now time.Time, x, y *ScaleOutRequest) bool {
+	starved := func(a *ScaleOutRequest) bool { return now.Sub(a.addedAt) > starvationAge && a.sentAt.IsZero() }
+	if starved(x) != starved(y) {
+		return starved(x)
 	}
-	if late(x) && !x.added.Equal(y.added) {
-		return x.added.Before(y.added)
+	if starved(x) && !x.addedAt.Equal(y.addedAt) {
+		return x.addedAt.Before(y.addedAt)
 	}
-	return cmp.Or(cmp.Compare(b.calls(x.Offer), b.calls(y.Offer)), cmp.Compare(x.Place, y.Place)) < 0
+	return cmp.Or(cmp.Compare(b.openCallsFor(x.Offer), b.openCallsFor(y.Offer)), cmp.Compare(x.QueuePosition, y.QueuePosition)) < 0
 }
 
-// Sent notes that an ask is on its way.
-func (b *Book) Sent(now time.Time, name string) {
-	a := b.asks[name]
-	a.open, a.sent = true, now
+// MarkSent notes that an ask is on its way.
+func (b *RequestLog) MarkSent(now time.Time, name string) {
+	a := b.requests[name]
+	a.inFlight, a.sentAt = true, now
 }
 
-// Unanswered notes that a call had no answer, or one that decides nothing: it may have
+// MarkUnanswered notes that a call had no answer, or one that decides nothing: it may have
 // been carried out, or may yet be, and is repeated.
-func (b *Book) Unanswered(name string) {
-	if a := b.asks[name]; a != nil {
-		a.open = false
+func (b *RequestLog) MarkUnanswered(name string) {
+	if a := b.requests[name]; a != nil {
+		a.inFlight = false
 	}
 }
 
-// Answered takes in how many machines a rental got, and names the asks that are over by
+// Complete takes in how many machines a rental got, and names the asks that are over by
 // that: their records can be dropped.
 //
 // With one that was refused go those of its offer that were not sent: they would be
@@ -167,113 +167,116 @@
 // machines. They are let go all the same: such machines are in the cloud's list within
 // its lag, and in reports once they are up, and whatever is there is used or returned.
 // What their names would tell is only told a little sooner.
-func (b *Book) Answered(now time.Time, name string, got int) (over []string) {
-	a := b.asks[name]
+func (b *RequestLog) Complete(now time.Time, name string, got int) (finished []string) {
+	a := b.requests[name]
 	if a == nil {
 		return nil
 	}
-	delete(b.asks, name)
-	over = []string{name}
-	o, window := b.of(a.Offer), b.window(now, a.Offer)
-	o.answered = now
+	delete(b.requests, name)
+	finished = []string{name}
+	o, window := b.stateOf(a.Offer), b.callWindow(now, a.Offer)
+	o.answeredAt = now
 	switch {
-	case !o.refused.IsZero() && !a.sent.After(o.refused):
+	case !o.refusedAt.IsZero() && !a.sentAt.After(o.refusedAt):
 		// It was open when another was refused: all of a volley count as one.
 	case got >= a.Count:
-		*o = offer{window: min(2*window, most), answered: now}
+		*o = offerState{window: min(2*window, maxOpenCalls), answeredAt: now}
 	default:
-		if o.row++; got > 0 {
-			o.row = 1
+		if o.refusalsInARow++; got > 0 {
+			o.refusalsInARow = 1
 		}
-		o.window, o.doubted, o.refused, o.hint = 1, true, now, false
-		for _, other := range b.Open() {
-			if other.Offer == a.Offer && other.sent.IsZero() {
-				delete(b.asks, other.Name)
-				if other.written {
-					over = append(over, other.Name)
+		o.window, o.constrained, o.refusedAt, o.capacityHint = 1, true, now, false
+		for _, other := range b.Pending() {
+			if other.Offer == a.Offer && other.sentAt.IsZero() {
+				delete(b.requests, other.Name)
+				if other.stored {
+					finished = append(finished, other.Name)
 				}
 			}
 		}
 	}
-	return over
+	return finished
 }
 
-// Returned notes that a machine was returned: its offer should have room again.
-func (b *Book) Returned(r scheduler.Offer) {
+// InstanceReturned notes that a machine was returned: its offer should have room again.
+func (b *RequestLog) InstanceReturned(r scheduler.Offer) {
 	if o := b.offers[r]; o != nil {
-		o.hint = true
+		o.capacityHint = true
 	}
 }
 
-// Back notes that a zone can be reached again. What was returned there meanwhile is to be
+// ZoneRecovered notes that a zone can be reached again. What was returned there meanwhile is to be
 // had: all its offers are asked anew, one call each.
-func (b *Book) Back(zone string) {
+func (b *RequestLog) ZoneRecovered(zone string) {
 	for of, o := range b.offers {
-		if of.Zone == zone && o.doubted {
-			o.row, o.refused = 0, time.Time{}
+		if of.Zone == zone && o.constrained {
+			o.refusalsInARow, o.refusedAt = 0, time.Time{}
 		}
 	}
 }
 
-// Fill tells a picture which offers are left alone, and which are in doubt. Of these no
+// Annotate tells a picture which offers are left alone, and which are in doubt. Of these no
 // more is wanted at once than can be asked, so that the rest is asked elsewhere.
-func (b *Book) Fill(now time.Time, pic *scheduler.Picture) {
+func (b *RequestLog) Annotate(now time.Time, pic *scheduler.Snapshot) {
 	for of, o := range b.offers {
-		if o.doubted {
-			pic.Doubted[of], pic.Refused[of] = true, b.alone(now, of)
-			pic.Most[of] = max(0, b.window(now, of)-b.count(of)) * wire.MaxRent
+		if o.constrained {
+			pic.Doubtful[of], pic.Unavailable[of] = true, b.backingOff(now, of)
+			pic.RequestLimit[of] = max(0, b.callWindow(now, of)-b.pendingFor(of)) * wire.MaxScaleOut
 		}
 	}
 }
 
-// Doubted reports whether an offer had not all that it was last asked for.
-func (b *Book) Doubted(r scheduler.Offer) bool { o := b.offers[r]; return o != nil && o.doubted }
+// Constrained reports whether an offer had not all that it was last asked for.
+func (b *RequestLog) Constrained(r scheduler.Offer) bool {
+	o := b.offers[r]
+	return o != nil && o.constrained
+}
 
-// of gives what is known of an offer.
-func (b *Book) of(r scheduler.Offer) *offer {
+// stateOf gives what is known of an offer.
+func (b *RequestLog) stateOf(r scheduler.Offer) *offerState {
 	o := b.offers[r]
 	if o == nil {
-		o = &offer{window: 1}
+		o = &offerState{window: 1}
 		b.offers[r] = o
 	}
 	return o
 }
 
-// window is how many calls may be open for an offer. One that was not asked for long is
+// callWindow is how many calls may be open for an offer. One that was not asked for long is
 // asked by one call again.
-func (b *Book) window(now time.Time, r scheduler.Offer) int {
-	if o := b.offers[r]; o != nil && now.Sub(o.answered) < settled {
+func (b *RequestLog) callWindow(now time.Time, r scheduler.Offer) int {
+	if o := b.offers[r]; o != nil && now.Sub(o.answeredAt) < windowExpiry {
 		return o.window
 	}
 	return 1
 }
 
-// alone reports whether an offer is not to be asked yet.
-func (b *Book) alone(now time.Time, r scheduler.Offer) bool {
+// backingOff reports whether an offer is not to be asked yet.
+func (b *RequestLog) backingOff(now time.Time, r scheduler.Offer) bool {
 	o := b.offers[r]
-	return o != nil && !o.refused.IsZero() && now.Sub(o.refused) < b.lull(o)
+	return o != nil && !o.refusedAt.IsZero() && now.Sub(o.refusedAt) < b.backoff(o)
 }
 
-// lull is for how long an offer is left alone. Asking all those in doubt takes a small
+// backoff is for how long an offer is left alone. Asking all those in doubt takes a small
 // part of the calls at the most, however many there are.
-func (b *Book) lull(o *offer) time.Duration {
-	doubted := 0
+func (b *RequestLog) backoff(o *offerState) time.Duration {
+	constrained := 0
 	for _, other := range b.offers {
-		if other.doubted {
-			doubted++
+		if other.constrained {
+			constrained++
 		}
 	}
-	last := max(leastLull, min(lastLull, wire.Seconds(float64(probes*doubted)/max(b.rps, 0.1))))
-	lull := min(last, firstLull<<min(o.row-1, 8))
-	if o.hint {
-		return lull / hinted
+	limit := max(minBackoffLimit, min(maxBackoffLimit, wire.Seconds(float64(probeCallShare*constrained)/max(b.callsPerSecond, 0.1))))
+	wait := min(limit, initialBackoff<<min(o.refusalsInARow-1, 8))
+	if o.capacityHint {
+		return wait / hintSpeedup
 	}
-	return lull
+	return wait
 }
 
-// count is how many rentals for an offer are not decided yet.
-func (b *Book) count(r scheduler.Offer) (n int) {
-	for _, a := range b.asks {
+// pendingFor is how many rentals for an offer are not decided yet.
+func (b *RequestLog) pendingFor(r scheduler.Offer) (n int) {
+	for _, a := range b.requests {
 		if a.Offer == r {
 			n++
 		}
@@ -281,10 +284,10 @@
 	return n
 }
 
-// calls is how many of them wait for an answer.
-func (b *Book) calls(r scheduler.Offer) (n int) {
-	for _, a := range b.asks {
-		if a.Offer == r && a.open {
+// openCallsFor is how many of them wait for an answer.
+func (b *RequestLog) openCallsFor(r scheduler.Offer) (n int) {
+	for _, a := range b.requests {
+		if a.Offer == r && a.inFlight {
 			n++
 		}
 	}
