--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -21,49 +21,49 @@
 			num := func(key string) int { n, _ := strconv.Atoi(kv[key]); return n }
 			switch w[0] {
 			case "want": // as a plan does, with intents that are stored at once, or not
-				var rents []scheduler.Rent
+				var rents []scheduler.ScaleOut
 				for _, word := range w[1:] {
 					count, of, _ := strings.Cut(word, ":")
 					c, _ := strconv.Atoi(count)
-					rents = append(rents, scheduler.Rent{Offer: parse(of), Count: c, Place: num(of)})
+					rents = append(rents, scheduler.ScaleOut{Offer: parse(of), Count: c, QueuePosition: num(of)})
 				}
-				for _, r := range b.Wanted(now, rents) {
+				for _, r := range b.Admit(now, rents) {
 					n++
 					name := fmt.Sprintf("r%d", n)
 					b.Add(now, name, r)
 					if kv["stored"] != "later" {
-						b.Written(name)
+						b.MarkStored(name)
 					}
 					out = append(out, fmt.Sprintf("%s for %d of %s", name, r.Count, show(r.Offer)))
 				}
 			case "left":
-				b.Left(w[1], scheduler.Rent{Offer: parse(w[2]), Count: num("count")})
+				b.Recover(w[1], scheduler.ScaleOut{Offer: parse(w[2]), Count: num("count")})
 			case "stored":
-				if !b.Written(w[1]) {
+				if !b.MarkStored(w[1]) {
 					out = append(out, "drop "+w[1])
 				}
 			case "send": // all that may be sent now, or so many
 				for a := b.Next(now); a != nil && (kv["most"] == "" || len(out) < num("most")); a = b.Next(now) {
-					b.Sent(now, a.Name)
+					b.MarkSent(now, a.Name)
 					out = append(out, fmt.Sprintf("send %s for %d of %s", a.Name, a.Count, show(a.Offer)))
 				}
 			case "got":
 				got, _ := strconv.Atoi(w[2])
-				for _, name := range b.Answered(now, w[1], got) {
+				for _, name := range b.Complete(now, w[1], got) {
 					out = append(out, "drop "+name)
 				}
 			case "unanswered":
-				b.Unanswered(w[1])
+				b.MarkUnanswered(w[1])
 			case "returned":
-				b.Returned(parse(w[1]))
+				b.InstanceReturned(parse(w[1]))
 			case "back":
-				b.Back(w[1])
+				b.ZoneRecovered(w[1])
 			case "wait":
 				d, _ := time.ParseDuration(w[1])
 				now = now.Add(d)
 			case "offer":
-				o := b.of(parse(w[1]))
-				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", b.window(now, parse(w[1])), o.doubted, o.row, b.alone(now, parse(w[1]))))
+				o := b.stateOf(parse(w[1]))
+				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", b.callWindow(now, parse(w[1])), o.constrained, o.refusalsInARow, b.backingOff(now, parse(w[1]))))
 			default:
 				t.Fatalf("no such step: %s", line)
 			}
@@ -85,32 +85,32 @@
 	return o.Type + "@" + o.Zone
 }
 
-// shortage is a cloud with a few offers, from which more is wanted than it has. Calls
+// cloudModel is a cloud with a few offers, from which more is wanted than it has. Calls
 // take a fifth of a second, and as many a second are made as rentals may take.
-type shortage struct {
+type cloudModel struct {
 	*testing.T
-	book   *Book
-	rand   *rand.Rand
-	now    time.Time
-	offers []scheduler.Offer
-	room   map[scheduler.Offer]int
-	open   []sent
-	wanted int
-	names  int
-	tokens float64
-
-	calls, vain, got int
+	log      *RequestLog
+	rand     *rand.Rand
+	now      time.Time
+	offers   []scheduler.Offer
+	capacity map[scheduler.Offer]int
+	open     []openCall
+	wanted   int
+	names    int
+	tokens   float64
+
+	calls, refused, got int
 }
 
-type sent struct {
-	at  time.Time
-	ask Ask
+type openCall struct {
+	at      time.Time
+	request ScaleOutRequest
 }
 
 const modelRPS = 6
 
-func newShortage(t *testing.T, offers int) *shortage {
-	s := &shortage{T: t, book: New(modelRPS), rand: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1e9, 0), room: map[scheduler.Offer]int{}}
+func newCloudModel(t *testing.T, offers int) *cloudModel {
+	s := &cloudModel{T: t, log: New(modelRPS), rand: rand.New(rand.NewPCG(1, 2)), now: time.Unix(1e9, 0), capacity: map[scheduler.Offer]int{}}
 	for i := range offers {
 		s.offers = append(s.offers, scheduler.Offer{Type: fmt.Sprint("g", i/6), Zone: string(rune('a' + i%3)), Spot: i/3%2 == 1})
 	}
@@ -119,62 +119,62 @@
 
 // run plays a while, with a plan each 300 ms: it takes the first offer that isn't left
 // alone, as far as that can be asked, and then the next.
-func (s *shortage) run(d time.Duration) {
+func (s *cloudModel) run(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
 		if s.now.UnixMilli()%300 == 0 {
 			s.plan()
 		}
 		s.tokens = min(s.tokens+modelRPS*0.5*step.Seconds(), modelRPS*0.5)
-		if a := s.book.Next(s.now); a != nil && s.tokens >= 1 {
+		if a := s.log.Next(s.now); a != nil && s.tokens >= 1 {
 			s.tokens--
 			s.calls++
-			s.book.Sent(s.now, a.Name)
-			s.open = append(s.open, sent{s.now, *a})
+			s.log.MarkSent(s.now, a.Name)
+			s.open = append(s.open, openCall{s.now, *a})
 		}
 		for len(s.open) > 0 && s.now.Sub(s.open[0].at) >= 200*time.Millisecond {
-			a := s.open[0].ask
+			a := s.open[0].request
 			s.open = s.open[1:]
-			n := min(a.Count, s.room[a.Offer])
-			s.room[a.Offer] -= n
+			n := min(a.Count, s.capacity[a.Offer])
+			s.capacity[a.Offer] -= n
 			s.got += n
 			s.wanted -= n
 			if n == 0 {
-				s.vain++
+				s.refused++
 			}
-			s.book.Answered(s.now, a.Name, n)
+			s.log.Complete(s.now, a.Name, n)
 		}
 	}
 }
 
-func (s *shortage) plan() {
-	pic := &scheduler.Picture{Refused: map[scheduler.Offer]bool{}, Doubted: map[scheduler.Offer]bool{}, Most: map[scheduler.Offer]int{}}
-	s.book.Fill(s.now, pic)
+func (s *cloudModel) plan() {
+	pic := &scheduler.Snapshot{Unavailable: map[scheduler.Offer]bool{}, Doubtful: map[scheduler.Offer]bool{}, RequestLimit: map[scheduler.Offer]int{}}
+	s.log.Annotate(s.now, pic)
 	left := s.wanted
-	for _, a := range s.book.Open() {
+	for _, a := range s.log.Pending() {
 		left -= a.Count
 	}
-	var rents []scheduler.Rent
+	var rents []scheduler.ScaleOut
 	for _, o := range s.offers {
 		n := max(0, left)
-		if most, limited := pic.Most[o]; limited {
+		if most, limited := pic.RequestLimit[o]; limited {
 			n = min(n, most)
 		}
-		if n > 0 && !pic.Refused[o] {
-			rents = append(rents, scheduler.Rent{Offer: o, Count: n})
+		if n > 0 && !pic.Unavailable[o] {
+			rents = append(rents, scheduler.ScaleOut{Offer: o, Count: n})
 			left -= n
 		}
 	}
-	for _, r := range s.book.Wanted(s.now, rents) {
+	for _, r := range s.log.Admit(s.now, rents) {
 		s.names++
 		name := fmt.Sprintf("m%05d", s.names)
-		s.book.Add(s.now, name, r)
-		s.book.Written(name)
+		s.log.Add(s.now, name, r)
+		s.log.MarkStored(name)
 	}
 }
 
 // until runs until so many machines were had, and tells how long that took.
-func (s *shortage) until(got int, most time.Duration) time.Duration {
+func (s *cloudModel) until(got int, most time.Duration) time.Duration {
 	begun := s.now
 	for s.got < got {
 		if s.now.Sub(begun) > most {
@@ -191,22 +191,22 @@
 // soon, most of all where something says so.
 func TestShortage(t *testing.T) {
 	for _, offers := range []int{6, 24, 60} {
-		s := newShortage(t, offers)
+		s := newCloudModel(t, offers)
 		s.wanted = 5000
 		s.run(2 * time.Minute)
-		if most := 25 * (offers + 10); s.calls > min(most, 2*60*modelRPS/2) || s.calls != s.vain {
-			t.Errorf("%d offers, all full: %d calls in 2 minutes, %d in vain", offers, s.calls, s.vain)
+		if most := 25 * (offers + 10); s.calls > min(most, 2*60*modelRPS/2) || s.calls != s.refused {
+			t.Errorf("%d offers, all full: %d calls in 2 minutes, %d in vain", offers, s.calls, s.refused)
 		}
 		t.Logf("%d offers, all full: %d calls in 2 minutes", offers, s.calls)
 	}
 
-	s := newShortage(t, 6)
+	s := newCloudModel(t, 6)
 	for _, o := range s.offers[:3] {
-		s.room[o] = 300
+		s.capacity[o] = 300
 	}
 	s.wanted = 2000
 	took := s.until(900, 15*time.Second)
-	t.Logf("half full: 900 machines after %v by %d calls, %d in vain", took, s.calls, s.vain)
+	t.Logf("half full: 900 machines after %v by %d calls, %d in vain", took, s.calls, s.refused)
 	if s.calls > 45 {
 		t.Errorf("half full: %d calls for 900 machines", s.calls)
 	}
@@ -214,18 +214,18 @@
 	// Nothing says that there is room again.
 	s.run(2 * time.Minute)
 	calls, got := s.calls, s.got
-	s.room[s.offers[4]] = 240
-	took = s.until(got+240, leastLull+6*time.Second)
+	s.capacity[s.offers[4]] = 240
+	took = s.until(got+240, minBackoffLimit+6*time.Second)
 	t.Logf("room again, unsaid: 240 machines after %v by %d calls", took, s.calls-calls)
 
 	for _, what := range []string{"a zone is back", "machines are returned"} {
 		s.run(2*time.Minute + 3*time.Second)
 		calls, got = s.calls, s.got
-		s.room[s.offers[4]] = 240
+		s.capacity[s.offers[4]] = 240
 		if what == "a zone is back" {
-			s.book.Back("b")
+			s.log.ZoneRecovered("b")
 		} else {
-			s.book.Returned(s.offers[4])
+			s.log.InstanceReturned(s.offers[4])
 		}
 		took = s.until(got+240, 10*time.Second)
 		t.Logf("room again, %s: 240 machines after %v by %d calls", what, took, s.calls-calls)
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -66,7 +66,7 @@
 func TestBlobs(t *testing.T) {
 	c := serve(t, open(t, t.TempDir(), 64<<20), DefaultLimits)
 	for _, f := range Functions {
-		for i, size := range []int{0, 1, 1000, chunk, chunk + 1, 3*chunk + 7} {
+		for i, size := range []int{0, 1, 1000, chunkBytes, chunkBytes + 1, 3*chunkBytes + 7} {
 			content := noise(size, uint64(i))
 			g, err := c.Put(t.Context(), f, content)
 			if err != nil {
@@ -101,7 +101,7 @@
 	content := []byte("what was written")
 	wrong := Sum(sha, []byte("what was promised"))
 	for name, g := range map[string]Digest{"hash": {sha, wrong.Hash, int64(len(content))}, "size": {sha, Sum(sha, content).Hash, 3}} {
-		if err := c.write(t.Context(), g, bytes.NewReader(append(content, "x"...))); status.Code(errors.Unwrap(err)) != codes.InvalidArgument {
+		if err := c.upload(t.Context(), g, bytes.NewReader(append(content, "x"...))); status.Code(errors.Unwrap(err)) != codes.InvalidArgument {
 			t.Errorf("%s by stream: %v", name, err)
 		}
 		resp, err := c.blobs.BatchUpdateBlobs(t.Context(), &repb.BatchUpdateBlobsRequest{Requests: []*repb.BatchUpdateBlobsRequest_Request{
@@ -327,7 +327,7 @@
 		t.Errorf("of another instance: %v", err)
 	}
 	d.mu.Lock()
-	d.forget(deep)
+	d.remove(deep)
 	d.mu.Unlock()
 	if _, err := c.Result(ctx, action); status.Code(err) != codes.NotFound {
 		t.Errorf("a file of an output directory is gone: %v", err)
@@ -425,7 +425,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	g := Sum(sha, content)
-	if err := c.write(ctx, g, slow); err != nil {
+	if err := c.upload(ctx, g, slow); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := c.Get(ctx, g); err != nil || !bytes.Equal(got, content) {
@@ -537,7 +537,7 @@
 				}
 			}
 		}
-		if g, err := FromString(name); err == nil && g.String() != name {
+		if g, err := DigestFromString(name); err == nil && g.String() != name {
 			t.Errorf("%q became %v", name, g)
 		}
 	})
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -42,11 +42,11 @@
 // Close ends the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// tries is how often a call is made again, with a pause that doubles.
-const tries = 6
+// maxRetries is how often a call is made again, with a pause that doubles.
+const maxRetries = 6
 
-// Again makes a call again while the server is busy or away.
-func Again(ctx context.Context, call func() error) error {
+// Retry makes a call again while the server is busy or away.
+func Retry(ctx context.Context, call func() error) error {
 	for try := 0; ; try++ {
 		err := call()
 		switch status.Code(err) {
@@ -54,7 +54,7 @@
 		default:
 			return err
 		}
-		if try == tries {
+		if try == maxRetries {
 			return err
 		}
 		wait := 100 * time.Millisecond << try
@@ -79,7 +79,7 @@
 			req.BlobDigests = append(req.BlobDigests, g.Proto())
 		}
 		var resp *repb.FindMissingBlobsResponse
-		err := Again(ctx, func() (err error) { resp, err = c.blobs.FindMissingBlobs(ctx, req); return err })
+		err := Retry(ctx, func() (err error) { resp, err = c.blobs.FindMissingBlobs(ctx, req); return err })
 		if err != nil {
 			return nil, err
 		}
@@ -126,7 +126,7 @@
 		return err
 	}
 	at := int64(0)
-	err = Again(ctx, func() error {
+	err = Retry(ctx, func() error {
 		in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: Resource{Instance: c.Instance, Digest: g}.Name(), ReadOffset: at})
 		for err == nil {
 			var msg *bspb.ReadResponse
@@ -154,7 +154,7 @@
 // Put writes a small blob.
 func (c *Client) Put(ctx context.Context, f Function, content []byte) (Digest, error) {
 	g := Sum(f, content)
-	return g, c.write(ctx, g, bytes.NewReader(content))
+	return g, c.upload(ctx, g, bytes.NewReader(content))
 }
 
 // PutMessage writes a message as a blob.
@@ -188,18 +188,18 @@
 		return err
 	}
 	defer in.Close()
-	return c.write(ctx, g, in)
+	return c.upload(ctx, g, in)
 }
 
-// write uploads a blob. What the server has already is not sent, and an upload that
+// upload uploads a blob. What the server has already is not sent, and an upload that
 // is broken off goes on where it was.
-func (c *Client) write(ctx context.Context, g Digest, r io.ReadSeeker) error {
+func (c *Client) upload(ctx context.Context, g Digest, r io.ReadSeeker) error {
 	if g.Empty() {
 		return nil
 	}
 	name := Resource{Instance: c.Instance, Upload: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()), Digest: g}.Name()
 	at, begun := int64(0), false
-	err := Again(ctx, func() error {
+	err := Retry(ctx, func() error {
 		if begun {
 			st, err := c.stream.QueryWriteStatus(ctx, &bspb.QueryWriteStatusRequest{ResourceName: name})
 			switch {
@@ -232,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	buf := make([]byte, chunk)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := io.ReadFull(r, buf[:min(int64(len(buf)), size-at)])
 		if err != nil && at+int64(n) < size {
@@ -253,7 +253,7 @@
 
 // Result finds the result of an action.
 func (c *Client) Result(ctx context.Context, action Digest) (r *repb.ActionResult, err error) {
-	err = Again(ctx, func() (err error) {
+	err = Retry(ctx, func() (err error) {
 		r, err = c.results.GetActionResult(ctx, &repb.GetActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function})
 		return err
 	})
@@ -262,7 +262,7 @@
 
 // PutResult keeps the result of an action, whose outputs are in the store.
 func (c *Client) PutResult(ctx context.Context, action Digest, r *repb.ActionResult) error {
-	return Again(ctx, func() error {
+	return Retry(ctx, func() error {
 		_, err := c.results.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), ActionResult: r, DigestFunction: action.Function})
 		return err
 	})
@@ -271,7 +271,7 @@
 // Tree lists all directories of an input tree by their digests, and has all that
 // they name kept for a while.
 func (c *Client) Tree(ctx context.Context, root Digest) (dirs map[Digest]*repb.Directory, err error) {
-	err = Again(ctx, func() error {
+	err = Retry(ctx, func() error {
 		dirs = make(map[Digest]*repb.Directory)
 		in, err := c.blobs.GetTree(ctx, &repb.GetTreeRequest{InstanceName: c.Instance, RootDigest: root.Proto(), DigestFunction: root.Function})
 		for err == nil {
@@ -295,8 +295,8 @@
 	return dirs, err
 }
 
-// In gives the client for another instance.
-func (c *Client) In(instance string) *Client {
+// ForInstance gives the client for another instance.
+func (c *Client) ForInstance(instance string) *Client {
 	other := *c
 	other.Instance = instance
 	return &other
@@ -318,7 +318,7 @@
 			return fmt.Errorf("%v: too large for a batch", digests[0])
 		}
 		var resp *repb.BatchReadBlobsResponse
-		if err := Again(ctx, func() (err error) { resp, err = c.blobs.BatchReadBlobs(ctx, req); return err }); err != nil {
+		if err := Retry(ctx, func() (err error) { resp, err = c.blobs.BatchReadBlobs(ctx, req); return err }); err != nil {
 			return err
 		}
 		for i, r := range resp.Responses {
@@ -337,5 +337,5 @@
 	return nil
 }
 
-// Small is the size up to which ReadMany reads a blob.
-const Small = 1 << 20
+// MaxBatchedBlob is the size up to which ReadMany reads a blob.
+const MaxBatchedBlob = 1 << 20
--- a/internal/cas/digest.go
+++ b/internal/cas/digest.go
@@ -71,8 +71,8 @@
 // String is the usual text form, HASH/SIZE.
 func (d Digest) String() string { return d.Hash + "/" + strconv.FormatInt(d.Size, 10) }
 
-// FromString reads the text form HASH/SIZE.
-func FromString(text string) (Digest, error) {
+// DigestFromString reads the text form HASH/SIZE.
+func DigestFromString(text string) (Digest, error) {
 	h, size, ok := strings.Cut(text, "/")
 	n, err := strconv.ParseInt(size, 10, 64)
 	if !ok || err != nil {
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -36,13 +36,13 @@
 // Disk keeps blobs as files in a directory, the least recently used of which make
 // room for new ones.
 type Disk struct {
-	dir   string
-	limit int64         // bytes of all blobs
-	keep  time.Duration // for which a blob that was used is not evicted
+	dir       string
+	limit     int64         // bytes of all blobs
+	retention time.Duration // for which a blob that was used is not evicted
 
 	mu       sync.Mutex
 	blobs    map[Digest]*list.Element // of *blob
-	order    *list.List               // the least recently used first
+	lru      *list.List               // the least recently used first
 	bytes    int64
 	reserved int64 // by uploads that are not through
 	evicted  int
@@ -53,19 +53,19 @@
 }
 
 type blob struct {
-	digest   Digest
-	used     time.Time
-	noted    time.Time // when the file was last touched for it
-	verified bool      // since this start
-	open     int       // readers
+	digest      Digest
+	lastUsed    time.Time
+	lastTouched time.Time // when the file was last touched for it
+	verified    bool      // since this start
+	readers     int       // readers
 }
 
-// touchGap is how often the time of use is noted in the file system.
-const touchGap = time.Minute
+// touchInterval is how often the time of use is noted in the file system.
+const touchInterval = time.Minute
 
 // Open opens a directory, which is made if need be, and finds what is in it.
 func Open(dir string, limit int64, keep time.Duration) (*Disk, error) {
-	d := &Disk{dir: dir, limit: limit, keep: keep, blobs: make(map[Digest]*list.Element), order: list.New(), uploads: make(map[string]bool), now: time.Now}
+	d := &Disk{dir: dir, limit: limit, retention: keep, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
 	for _, sub := range []string{"blobs", "uploads", "results"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, err
@@ -75,7 +75,7 @@
 	if d.logs, err = newLogs(dir, keep); err != nil {
 		return nil, err
 	}
-	if err := d.find(); err != nil {
+	if err := d.load(); err != nil {
 		return nil, fmt.Errorf("reading %s: %w", dir, err)
 	}
 	d.mu.Lock()
@@ -84,8 +84,8 @@
 	return d, nil
 }
 
-// find lists the files, and puts them in the order in which they were used.
-func (d *Disk) find() error {
+// load lists the files, and puts them in the order in which they were used.
+func (d *Disk) load() error {
 	var found []*blob
 	err := filepath.WalkDir(filepath.Join(d.dir, "blobs"), func(path string, e fs.DirEntry, err error) error {
 		if err != nil || e.IsDir() {
@@ -99,15 +99,15 @@
 		if !ok || info.Size() != g.Size { // half a blob, or nothing of ours
 			return os.Remove(path)
 		}
-		found = append(found, &blob{digest: g, used: info.ModTime(), noted: info.ModTime()})
+		found = append(found, &blob{digest: g, lastUsed: info.ModTime(), lastTouched: info.ModTime()})
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(found, func(a, b *blob) int { return a.used.Compare(b.used) })
+	slices.SortFunc(found, func(a, b *blob) int { return a.lastUsed.Compare(b.lastUsed) })
 	for _, b := range found {
-		d.blobs[b.digest] = d.order.PushBack(b)
+		d.blobs[b.digest] = d.lru.PushBack(b)
 		d.bytes += b.digest.Size
 	}
 	return d.sweepUploads(time.Hour)
@@ -145,29 +145,29 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.use(g) != nil
+	return d.touch(g) != nil
 }
 
-// use notes the use of a blob.
-func (d *Disk) use(g Digest) *blob {
+// touch notes the use of a blob.
+func (d *Disk) touch(g Digest) *blob {
 	e := d.blobs[g]
 	if e == nil {
 		return nil
 	}
 	b := e.Value.(*blob)
-	b.used = d.now()
-	d.order.MoveToBack(e)
-	if b.used.Sub(b.noted) > touchGap {
-		b.noted = b.used
-		_ = os.Chtimes(d.path(g), b.used, b.used)
+	b.lastUsed = d.now()
+	d.lru.MoveToBack(e)
+	if b.lastUsed.Sub(b.lastTouched) > touchInterval {
+		b.lastTouched = b.lastUsed
+		_ = os.Chtimes(d.path(g), b.lastUsed, b.lastUsed)
 	}
 	return b
 }
 
-// forget removes a blob's file and what is known of it.
-func (d *Disk) forget(g Digest) {
+// remove removes a blob's file and what is known of it.
+func (d *Disk) remove(g Digest) {
 	if e := d.blobs[g]; e != nil {
-		d.order.Remove(e)
+		d.lru.Remove(e)
 		delete(d.blobs, g)
 		d.bytes -= g.Size
 		_ = os.Remove(d.path(g))
@@ -180,14 +180,14 @@
 		return ErrTooLarge
 	}
 	now := d.now()
-	for e := d.order.Front(); e != nil && d.bytes+d.reserved+size > d.limit; {
+	for e := d.lru.Front(); e != nil && d.bytes+d.reserved+size > d.limit; {
 		b := e.Value.(*blob)
 		next := e.Next()
-		if now.Sub(b.used) <= d.keep {
+		if now.Sub(b.lastUsed) <= d.retention {
 			break // and all that follow
 		}
-		if b.open == 0 {
-			d.forget(b.digest)
+		if b.readers == 0 {
+			d.remove(b.digest)
 			d.evicted++
 		}
 		e = next
@@ -217,17 +217,17 @@
 		return &reader{ReadSeeker: strings.NewReader("")}, nil
 	}
 	d.mu.Lock()
-	b := d.use(g)
+	b := d.touch(g)
 	if b == nil {
 		d.mu.Unlock()
 		return nil, fmt.Errorf("%w: %v", ErrNotFound, g)
 	}
-	b.open++
+	b.readers++
 	verified := b.verified
 	d.mu.Unlock()
 	release := func() {
 		d.mu.Lock()
-		b.open--
+		b.readers--
 		d.mu.Unlock()
 	}
 	f, err := os.Open(d.path(g))
@@ -241,7 +241,7 @@
 		}
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, ErrWrongContent) {
 			d.mu.Lock()
-			d.forget(g)
+			d.remove(g)
 			d.damaged++
 			d.mu.Unlock()
 			return nil, fmt.Errorf("%w: %v: %w", ErrNotFound, g, err)
@@ -321,13 +321,13 @@
 // Writer takes the content of a blob. An upload with an id can be gone on with
 // after its writer was closed, or the process ended.
 type Writer struct {
-	d    *Disk
-	g    Digest
-	f    *os.File
-	h    hash.Hash
-	at   int64
-	id   string
-	held int64 // bytes that are reserved
+	disk     *Disk
+	digest   Digest
+	file     *os.File
+	hash     hash.Hash
+	written  int64
+	id       string
+	reserved int64 // bytes that are reserved
 }
 
 // Writer begins an upload, or goes on with one that has the same id and digest.
@@ -348,11 +348,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", err, g)
 	}
-	w := &Writer{d: d, g: g, h: h, id: id, held: g.Size}
+	w := &Writer{disk: d, digest: g, hash: h, id: id, reserved: g.Size}
 	if id == "" {
-		w.f, err = os.CreateTemp(filepath.Join(d.dir, "uploads"), "whole-*")
-	} else if w.f, err = os.OpenFile(d.uploadPath(g, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
-		w.at, err = io.Copy(h, io.LimitReader(w.f, g.Size)) // what came before
+		w.file, err = os.CreateTemp(filepath.Join(d.dir, "uploads"), "whole-*")
+	} else if w.file, err = os.OpenFile(d.uploadPath(g, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
+		w.written, err = io.Copy(h, io.LimitReader(w.file, g.Size)) // what came before
 	}
 	if err != nil {
 		w.Close()
@@ -376,61 +376,61 @@
 }
 
 // Size is how much has been written.
-func (w *Writer) Size() int64 { return w.at }
+func (w *Writer) Size() int64 { return w.written }
 
 // Write takes the next bytes.
 func (w *Writer) Write(p []byte) (int, error) {
-	if w.at+int64(len(p)) > w.g.Size {
-		return 0, fmt.Errorf("%w: %v: more than %d bytes", ErrWrongContent, w.g, w.g.Size)
+	if w.written+int64(len(p)) > w.digest.Size {
+		return 0, fmt.Errorf("%w: %v: more than %d bytes", ErrWrongContent, w.digest, w.digest.Size)
 	}
-	n, err := w.f.Write(p)
-	_, _ = w.h.Write(p[:n])
-	w.at += int64(n)
+	n, err := w.file.Write(p)
+	_, _ = w.hash.Write(p[:n])
+	w.written += int64(n)
 	return n, err
 }
 
 // Commit makes the blob readable, if it is whole and what its digest says. What
 // is not is thrown away.
 func (w *Writer) Commit() error {
-	if w.at != w.g.Size || hex.EncodeToString(w.h.Sum(nil)) != w.g.Hash {
-		_ = os.Remove(w.f.Name())
-		return fmt.Errorf("%w: %v: got %d bytes", ErrWrongContent, w.g, w.at)
+	if w.written != w.digest.Size || hex.EncodeToString(w.hash.Sum(nil)) != w.digest.Hash {
+		_ = os.Remove(w.file.Name())
+		return fmt.Errorf("%w: %v: got %d bytes", ErrWrongContent, w.digest, w.written)
 	}
-	path := w.d.path(w.g)
+	path := w.disk.path(w.digest)
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	if err := os.Rename(w.f.Name(), path); err != nil {
+	if err := os.Rename(w.file.Name(), path); err != nil {
 		return err
 	}
-	d := w.d
+	d := w.disk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.reserved -= w.held
-	w.held = 0
+	d.reserved -= w.reserved
+	w.reserved = 0
 	now := d.now()
-	if e := d.blobs[w.g]; e != nil { // somebody else was faster
+	if e := d.blobs[w.digest]; e != nil { // somebody else was faster
 		e.Value.(*blob).verified = true
-		d.use(w.g)
+		d.touch(w.digest)
 		return nil
 	}
-	d.blobs[w.g] = d.order.PushBack(&blob{digest: w.g, used: now, noted: now, verified: true})
-	d.bytes += w.g.Size
+	d.blobs[w.digest] = d.lru.PushBack(&blob{digest: w.digest, lastUsed: now, lastTouched: now, verified: true})
+	d.bytes += w.digest.Size
 	return nil
 }
 
 // Close gives up what was reserved. The file of an upload without an id goes, one
 // with an id stays, to be gone on with.
 func (w *Writer) Close() {
-	w.d.mu.Lock()
-	w.d.reserved -= w.held
-	w.held = 0
-	delete(w.d.uploads, w.id)
-	w.d.mu.Unlock()
-	if w.f != nil {
-		_ = w.f.Close()
+	w.disk.mu.Lock()
+	w.disk.reserved -= w.reserved
+	w.reserved = 0
+	delete(w.disk.uploads, w.id)
+	w.disk.mu.Unlock()
+	if w.file != nil {
+		_ = w.file.Close()
 		if w.id == "" {
-			_ = os.Remove(w.f.Name())
+			_ = os.Remove(w.file.Name())
 		}
 	}
 }
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -20,60 +20,60 @@
 // blobs: they grow, have no digest, and go some time after the last was written to
 // them. A log that is begun anew, since its command is, sends its readers away.
 type logs struct {
-	dir  string
-	keep time.Duration
+	dir       string
+	retention time.Duration
 
 	mu   sync.Mutex
-	open map[string]*growing
+	open map[string]*logFile
 }
 
-type growing struct {
-	path     string
-	size     int64
-	finished bool
-	written  time.Time
-	changed  chan struct{} // closed at the next change
-	over     bool          // another has taken its place
+type logFile struct {
+	path       string
+	size       int64
+	finished   bool
+	lastWrite  time.Time
+	changed    chan struct{} // closed at the next change
+	superseded bool          // another has taken its place
 }
 
 // Bounds of logs.
 const (
-	maxLog  = 64 << 20
-	maxLogs = 10_000
-	logWord = "logs"
+	maxLog    = 64 << 20
+	maxLogs   = 10_000
+	logPrefix = "logs"
 )
 
 // LogName names a log, as a ByteStream resource.
 func LogName(instance, name string) string {
-	return strings.TrimPrefix(instance+"/"+logWord+"/"+name, "/")
+	return strings.TrimPrefix(instance+"/"+logPrefix+"/"+name, "/")
 }
 
 // parseLog reads the name of a log.
 func parseLog(resource string) (string, bool) {
-	at := strings.Index("/"+resource, "/"+logWord+"/")
+	at := strings.Index("/"+resource, "/"+logPrefix+"/")
 	if at < 0 || len(resource) > 300 {
 		return "", false
 	}
-	return resource[at+len(logWord)+1:], true
+	return resource[at+len(logPrefix)+1:], true
 }
 
 func newLogs(dir string, keep time.Duration) (*logs, error) {
-	l := &logs{dir: filepath.Join(dir, logWord), keep: max(keep, time.Minute), open: make(map[string]*growing)}
+	l := &logs{dir: filepath.Join(dir, logPrefix), retention: max(keep, time.Minute), open: make(map[string]*logFile)}
 	// What an earlier run has left is of use to nobody.
 	return l, errors.Join(os.RemoveAll(l.dir), os.MkdirAll(l.dir, 0o755))
 }
 
-// begin starts a log, in the place of one of the same name.
-func (l *logs) begin(name string) (*growing, error) {
+// create starts a log, in the place of one of the same name.
+func (l *logs) create(name string) (*logFile, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for other, g := range l.open {
-		if time.Since(g.written) > l.keep {
-			l.end(other, g)
+		if time.Since(g.lastWrite) > l.retention {
+			l.remove(other, g)
 		}
 	}
 	if old := l.open[name]; old != nil {
-		l.end(name, old)
+		l.remove(name, old)
 	}
 	if len(l.open) >= maxLogs {
 		return nil, fmt.Errorf("%w: %d logs", ErrFull, len(l.open))
@@ -83,32 +83,32 @@
 		return nil, err
 	}
 	defer f.Close()
-	g := &growing{path: f.Name(), written: time.Now(), changed: make(chan struct{})}
+	g := &logFile{path: f.Name(), lastWrite: time.Now(), changed: make(chan struct{})}
 	l.open[name] = g
 	return g, nil
 }
 
-// end forgets a log and sends its readers away; the lock is held.
-func (l *logs) end(name string, g *growing) {
-	g.over = true
+// remove forgets a log and sends its readers away; the lock is held.
+func (l *logs) remove(name string, g *logFile) {
+	g.superseded = true
 	close(g.changed)
 	g.changed = make(chan struct{})
 	delete(l.open, name)
 	_ = os.Remove(g.path)
 }
 
-func (l *logs) find(name string) *growing {
+func (l *logs) find(name string) *logFile {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open[name]
 }
 
-// add appends to a log; what goes over the bound is left out.
-func (l *logs) add(g *growing, data []byte, finished bool) error {
+// appendTo appends to a log; what goes over the bound is left out.
+func (l *logs) appendTo(g *logFile, data []byte, finished bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if g.over {
-		return errOver
+	if g.superseded {
+		return errSuperseded
 	}
 	data = data[:min(int64(len(data)), maxLog-g.size)]
 	f, err := os.OpenFile(g.path, os.O_WRONLY|os.O_APPEND, 0o644)
@@ -120,14 +120,14 @@
 		return err
 	}
 	g.size += int64(len(data))
-	g.finished, g.written = g.finished || finished, time.Now()
+	g.finished, g.lastWrite = g.finished || finished, time.Now()
 	close(g.changed)
 	g.changed = make(chan struct{})
 	return nil
 }
 
-// errOver means that another log has taken the place of this one.
-var errOver = errors.New("the log was begun anew")
+// errSuperseded means that another log has taken the place of this one.
+var errSuperseded = errors.New("the log was begun anew")
 
 // follow gives what is in a log from an offset on, as it grows, until it is
 // finished.
@@ -147,7 +147,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		l.mu.Lock()
-		changed, finished, over := g.changed, g.finished, g.over
+		changed, finished, over := g.changed, g.finished, g.superseded
 		l.mu.Unlock()
 		for {
 			n, err := f.Read(buf)
@@ -160,7 +160,7 @@
 		}
 		switch {
 		case over:
-			return status.Error(codes.Aborted, errOver.Error())
+			return status.Error(codes.Aborted, errSuperseded.Error())
 		case finished:
 			return nil
 		}
@@ -177,7 +177,7 @@
 	if first.WriteOffset != 0 {
 		return status.Error(codes.OutOfRange, "write_offset: a log begins at 0")
 	}
-	g, err := s.disk.logs.begin(name)
+	g, err := s.disk.logs.create(name)
 	if err != nil {
 		return asStatus(err)
 	}
@@ -187,14 +187,14 @@
 			return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", msg.WriteOffset, at)
 		}
 		at += int64(len(msg.Data))
-		if err := s.disk.logs.add(g, msg.Data, msg.FinishWrite); err != nil {
+		if err := s.disk.logs.appendTo(g, msg.Data, msg.FinishWrite); err != nil {
 			return status.Error(codes.Aborted, err.Error())
 		}
 		if msg.FinishWrite {
 			return in.SendAndClose(&bspb.WriteResponse{CommittedSize: at})
 		}
 		if msg, err = in.Recv(); err != nil {
-			_ = s.disk.logs.add(g, nil, true) // whoever wrote it is gone
+			_ = s.disk.logs.appendTo(g, nil, true) // whoever wrote it is gone
 			return err
 		}
 	}
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -61,15 +61,15 @@
 		_ = os.Remove(path)
 		return nil, fmt.Errorf("%w: result of %v is damaged", ErrNotFound, action)
 	}
-	if missing := d.Incomplete(action.Function, &r); missing != nil {
+	if missing := d.MissingOutput(action.Function, &r); missing != nil {
 		return nil, fmt.Errorf("%w: output %v of %v", ErrNotFound, missing, action)
 	}
 	return &r, nil
 }
 
-// Incomplete names a blob of a result that is not here, or nil. Trees are looked
+// MissingOutput names a blob of a result that is not here, or nil. Trees are looked
 // through to their files.
-func (d *Disk) Incomplete(f Function, r *repb.ActionResult) *Digest {
+func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
 	var lost *Digest
 	need := func(p *repb.Digest) bool {
 		if p == nil || lost != nil {
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -32,8 +32,8 @@
 // DefaultLimits is used where nothing else is said.
 var DefaultLimits = Limits{Calls: 1000, Batch: 4 << 20}
 
-// chunk is how much of a blob goes into one message.
-const chunk = 256 << 10
+// chunkBytes is how much of a blob goes into one message.
+const chunkBytes = 256 << 10
 
 // Server serves a Disk through the Remote Execution API.
 type Server struct {
@@ -49,7 +49,7 @@
 // NewServer gives a gRPC server of a disk, with health and reflection.
 func NewServer(d *Disk, l Limits, log *slog.Logger) *grpc.Server {
 	s := &Server{disk: d, limits: l, log: log}
-	g := grpc.NewServer(append(Gate(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
+	g := grpc.NewServer(append(LimitCalls(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
 	repb.RegisterContentAddressableStorageServer(g, s)
 	repb.RegisterActionCacheServer(g, s)
 	repb.RegisterCapabilitiesServer(g, s)
@@ -59,9 +59,9 @@
 	return g
 }
 
-// Gate refuses calls beyond a number of open ones, at once and with when to come
+// LimitCalls refuses calls beyond a number of open ones, at once and with when to come
 // back: none is held back.
-func Gate(calls int) []grpc.ServerOption {
+func LimitCalls(calls int) []grpc.ServerOption {
 	open := make(chan struct{}, calls)
 	enter := func() (func(), error) {
 		select {
@@ -146,15 +146,15 @@
 	}
 }
 
-// Versions of the API that are served.
-func Versions(c *repb.ServerCapabilities) *repb.ServerCapabilities {
+// WithVersions of the API that are served.
+func WithVersions(c *repb.ServerCapabilities) *repb.ServerCapabilities {
 	c.LowApiVersion, c.HighApiVersion = &semver.SemVer{Major: 2}, &semver.SemVer{Major: 2, Minor: 3}
 	return c
 }
 
 // GetCapabilities implements the API.
 func (s *Server) GetCapabilities(context.Context, *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
-	return Versions(&repb.ServerCapabilities{CacheCapabilities: CacheCapabilities(s.limits)}), nil
+	return WithVersions(&repb.ServerCapabilities{CacheCapabilities: CacheCapabilities(s.limits)}), nil
 }
 
 // FindMissingBlobs implements the API. What is here counts as used.
@@ -238,8 +238,8 @@
 	return out, nil
 }
 
-// treePage is how many directories go into one message of GetTree.
-const treePage = 200
+// treePageSize is how many directories go into one message of GetTree.
+const treePageSize = 200
 
 // GetTree implements the API. Directories are given once each, in the order in
 // which they are first met; one that is missing is left out. The files that they
@@ -271,7 +271,7 @@
 				queue = append(queue, g)
 			}
 		}
-		if page.Directories = append(page.Directories, &dir); len(page.Directories) == treePage {
+		if page.Directories = append(page.Directories, &dir); len(page.Directories) == treePageSize {
 			if err := out.Send(page); err != nil {
 				return err
 			}
@@ -301,7 +301,7 @@
 	if r.ActionResult == nil {
 		return nil, status.Error(codes.InvalidArgument, "action_result: missing")
 	}
-	if lost := s.disk.Incomplete(g.Function, r.ActionResult); lost != nil {
+	if lost := s.disk.MissingOutput(g.Function, r.ActionResult); lost != nil {
 		return nil, status.Errorf(codes.FailedPrecondition, "output %v is not in the store", lost)
 	}
 	return r.ActionResult, asStatus(s.disk.PutResult(r.InstanceName, g, r.ActionResult))
@@ -313,7 +313,7 @@
 		if r.ReadOffset < 0 || r.ReadLimit != 0 {
 			return status.Error(codes.OutOfRange, "a log is read from an offset of 0 or more, without a limit")
 		}
-		return asStatus(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &sender{out: out}))
+		return asStatus(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &streamWriter{out: out}))
 	}
 	res, err := ParseResource(r.ResourceName)
 	if err != nil || res.Upload != "" {
@@ -335,28 +335,28 @@
 	if r.ReadLimit > 0 {
 		left = min(left, r.ReadLimit)
 	}
-	to := &sender{out: out}
+	to := &streamWriter{out: out}
 	if !res.Zstd {
-		_, err = io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(in, left), make([]byte, chunk))
+		_, err = io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(in, left), make([]byte, chunkBytes))
 		return asStatus(err)
 	}
 	z, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
 		return asStatus(err)
 	}
-	_, err = io.CopyBuffer(struct{ io.Writer }{z}, io.LimitReader(in, left), make([]byte, chunk))
+	_, err = io.CopyBuffer(struct{ io.Writer }{z}, io.LimitReader(in, left), make([]byte, chunkBytes))
 	return asStatus(errors.Join(err, z.Close()))
 }
 
-// sender sends what is written to it in messages of a bounded size.
-type sender struct {
+// streamWriter sends what is written to it in messages of a bounded size.
+type streamWriter struct {
 	out bspb.ByteStream_ReadServer
 }
 
-func (s *sender) Write(p []byte) (int, error) {
+func (s *streamWriter) Write(p []byte) (int, error) {
 	n := 0
 	for len(p) > 0 {
-		part := p[:min(len(p), chunk)]
+		part := p[:min(len(p), chunkBytes)]
 		if err := s.out.Send(&bspb.ReadResponse{Data: part}); err != nil {
 			return n, err
 		}
@@ -412,10 +412,10 @@
 		return asStatus(err)
 	}
 	defer w.Close()
-	msgs := &messages{in: in, next: first, name: first.ResourceName, at: w.Size()}
+	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, at: w.Size()}
 	if res.Zstd {
 		msgs.at = 0
-		err = unpack(w, msgs)
+		err = decompressTo(w, msgs)
 	} else {
 		_, err = io.Copy(w, msgs)
 	}
@@ -428,7 +428,7 @@
 	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.at})
 }
 
-func unpack(w io.Writer, r io.Reader) error {
+func decompressTo(w io.Writer, r io.Reader) error {
 	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
 		return err
@@ -440,15 +440,15 @@
 	return err
 }
 
-// messages reads the data of an upload's messages, in order.
-type messages struct {
+// uploadReader reads the data of an upload's messages, in order.
+type uploadReader struct {
 	in   bspb.ByteStream_WriteServer
 	next *bspb.WriteRequest
 	name string
 	at   int64
 }
 
-func (m *messages) Read(p []byte) (int, error) {
+func (m *uploadReader) Read(p []byte) (int, error) {
 	for m.next == nil || len(m.next.Data) == 0 {
 		if m.next != nil {
 			if err := m.check(); err != nil {
@@ -478,7 +478,7 @@
 }
 
 // check compares a message with what came before it.
-func (m *messages) check() error {
+func (m *uploadReader) check() error {
 	if m.next.ResourceName != "" && m.next.ResourceName != m.name {
 		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.name)
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -18,39 +18,39 @@
 
 // Client calls the cloud within its share of the limit.
 type Client struct {
-	addr    string
-	caller  *transport.Caller
-	rps     float64
-	limiter *rate.Limiter // of all calls
-	rentals *rate.Limiter // of these
+	addr            string
+	caller          *transport.Caller
+	rps             float64
+	limiter         *rate.Limiter // of all calls
+	scaleOutLimiter *rate.Limiter // of these
 }
 
-// rentShare is the part of the calls that rentals may take: in shortage they take all
+// scaleOutShare is the part of the calls that rentals may take: in shortage they take all
 // they can, and the list would be old and machines be paid for that were given up.
-const rentShare = 0.6
+const scaleOutShare = 0.6
 
 // New gives a client that keeps to the limit of so many calls a second.
 func New(net transport.Network, addr string, rps float64) *Client {
-	return &Client{addr: addr, caller: &transport.Caller{Limit: 4 << 20, Dial: net.Dial}, rps: rps,
-		limiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
-		rentals: rate.NewLimiter(rate.Limit(rps*rentShare), max(1, int(rps*rentShare)))}
+	return &Client{addr: addr, caller: &transport.Caller{MaxBody: 4 << 20, Dial: net.Dial}, rps: rps,
+		limiter:         rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
+		scaleOutLimiter: rate.NewLimiter(rate.Limit(rps*scaleOutShare), max(1, int(rps*scaleOutShare)))}
 }
 
 // The limit is the cloud's, for all controllers. Where several hold parts and call at
 // once, it refuses some: each then calls half as often, and comes back bit by bit.
 const (
-	leastRate = 0.125
-	rateStep  = 0.02 // for each call that is taken
+	minRateShare = 0.125
+	rateIncrease = 0.02 // for each call that is taken
 )
 
-// pace takes in whether the cloud took a call.
-func (c *Client) pace(taken bool) {
+// adjustRate takes in whether the cloud took a call.
+func (c *Client) adjustRate(taken bool) {
 	rps := float64(c.limiter.Limit())
-	if rps = min(c.rps, rps+c.rps*rateStep); !taken {
-		rps = max(c.rps*leastRate, rps/2)
+	if rps = min(c.rps, rps+c.rps*rateIncrease); !taken {
+		rps = max(c.rps*minRateShare, rps/2)
 	}
 	c.limiter.SetLimit(rate.Limit(rps))
-	c.rentals.SetLimit(rate.Limit(rps * rentShare))
+	c.scaleOutLimiter.SetLimit(rate.Limit(rps * scaleOutShare))
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.pace(resp.Status != 429)
+	c.adjustRate(resp.Status != 429)
 	if resp.Status == 200 {
 		return resp.Body, nil
 	}
@@ -78,8 +78,8 @@
 	return nil, fmt.Errorf("cloud answers %d %s", resp.Status, f.Error)
 }
 
-// Types reads the machine types with their current prices.
-func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes reads the machine types with their current prices.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	b, err := c.call(ctx, "GET", wire.PathTypes, nil)
 	if err != nil {
 		return nil, err
@@ -87,16 +87,16 @@
 	return wire.DecodeTypes(b)
 }
 
-// RentTurn waits until a rental may be sent. Which one is chosen only then.
-func (c *Client) RentTurn(ctx context.Context) error {
-	if err := c.rentals.Wait(ctx); err != nil {
+// WaitForScaleOut waits until a rental may be sent. Which one is chosen only then.
+func (c *Client) WaitForScaleOut(ctx context.Context) error {
+	if err := c.scaleOutLimiter.Wait(ctx); err != nil {
 		return err
 	}
 	return c.limiter.Wait(ctx)
 }
 
-// Rent asks for machines and gives their names. Its turn has come.
-func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
+// ScaleOut asks for machines and gives their names. Its turn has come.
+func (c *Client) ScaleOut(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
 	b, err := c.send(ctx, "POST", wire.PathRentals, wire.Encode(r))
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	for after := ""; ; {
-		b, err := c.call(ctx, "GET", wire.ListPath(after), nil)
+		b, err := c.call(ctx, "GET", wire.MachineListPath(after), nil)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -20,8 +20,8 @@
 func play(t *testing.T, clients int, do func(ctx context.Context, c []*Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		net := simulator.NewNet()
-		cloud := &simulator.Cloud{Types: []wire.MachineType{{Name: "g4", Zones: []string{"a"}}}, RPS: 6, Rooms: map[simulator.Offer]int{}, Rand: rand.New(rand.NewPCG(1, 1))}
+		net := simulator.NewNetwork()
+		cloud := &simulator.Cloud{Types: []wire.MachineType{{Name: "g4", Zones: []string{"a"}}}, RPS: 6, CapacityByOffer: map[simulator.Offer]int{}, Rand: rand.New(rand.NewPCG(1, 1))}
 		go net.Host("10.2.0.2").Listen(ctx, addr, 0, cloud.Serve())
 		synctest.Wait()
 		var all []*Client
@@ -35,12 +35,12 @@
 	})
 }
 
-// rentals keeps asking for machines that there are none of, as fast as it may, and counts
+// scaleOuts keeps asking for machines that there are none of, as fast as it may, and counts
 // the calls that the cloud took and those that it did not.
-func rentals(ctx context.Context, c *Client, taken, refused *atomic.Int64) {
-	for c.RentTurn(ctx) == nil {
+func scaleOuts(ctx context.Context, c *Client, taken, refused *atomic.Int64) {
+	for c.WaitForScaleOut(ctx) == nil {
 		go func() {
-			if _, err := c.Rent(ctx, wire.Rental{Ask: "r", Type: "g4", Zone: "a", Count: 50}); errors.Is(err, ErrNoCapacity) {
+			if _, err := c.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: "r", Type: "g4", Zone: "a", Count: 50}); errors.Is(err, ErrNoCapacity) {
 				taken.Add(1)
 			} else {
 				refused.Add(1)
@@ -49,13 +49,13 @@
 	}
 }
 
-// TestReleasesBesideRentals: a release and a list wait for no rental, however many want
+// TestReleasesBesideScaleOuts: a release and a list wait for no rental, however many want
 // to be sent.
-func TestReleasesBesideRentals(t *testing.T) {
+func TestReleasesBesideScaleOuts(t *testing.T) {
 	play(t, 1, func(ctx context.Context, c []*Client) {
 		var taken, refused atomic.Int64
 		for range 20 {
-			go rentals(ctx, c[0], &taken, &refused)
+			go scaleOuts(ctx, c[0], &taken, &refused)
 		}
 		time.Sleep(10 * time.Second)
 		for range 20 {
@@ -74,13 +74,13 @@
 	})
 }
 
-// TestSeveralHolders: the limit is for all controllers. Where five rent at once, few of
+// TestSeveralLeaders: the limit is for all controllers. Where five rent at once, few of
 // their calls are refused, and what the cloud takes is used.
-func TestSeveralHolders(t *testing.T) {
+func TestSeveralLeaders(t *testing.T) {
 	play(t, 5, func(ctx context.Context, c []*Client) {
 		var taken, refused atomic.Int64
 		for _, one := range c {
-			go rentals(ctx, one, &taken, &refused)
+			go scaleOuts(ctx, one, &taken, &refused)
 		}
 		time.Sleep(2 * time.Minute)
 		if n, in := taken.Load(), refused.Load(); in*5 > n || n < 120*3 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,8 +28,8 @@
 // Config is everything that a controller is told when it starts.
 type Config struct {
 	Name, Zone           string
-	PublicAddr, MeshAddr string
-	Siblings             []Sibling
+	PublicAddr, PeerAddr string
+	Peers                []Peer
 	CloudAddr, StoreAddr string
 	Zones                []string
 	Teams                []Team
@@ -41,8 +41,8 @@
 	Tuning               Tuning
 }
 
-// Sibling is another controller.
-type Sibling struct {
+// Peer is another controller.
+type Peer struct {
 	Name string `json:"host_name"`
 	Zone string `json:"location"`
 	Addr string `json:"peer_addr"`
@@ -67,19 +67,19 @@
 
 // Workers holds the timing of the workers' protocol.
 type Workers struct {
-	Report, Lease, GangWait, GangPeer, Cancel time.Duration
+	HeartbeatInterval, Lease, GangWait, GangPeer, Cancel time.Duration
 }
 
-// LeastRoom is what must lie between a worker's lease and the time for a cancellation.
-const LeastRoom = 4 * time.Second
+// MinCancelMargin is what must lie between a worker's lease and the time for a cancellation.
+const MinCancelMargin = 4 * time.Second
 
-// Linger is how old what a controller knows of cancellations may be when it answers a
+// MaxCancelStaleness is how old what a controller knows of cancellations may be when it answers a
 // worker. The answer lets tasks live for another lease, so that a cancellation that was
 // confirmed just after is kept within its time by what is left of that: less the drift of two
 // clocks over the whole, and a margin for timers that fire late.
-func (w Workers) Linger() time.Duration {
-	room := w.Cancel - w.Lease
-	return max(0, room-min(5*time.Second, room/4)-w.Cancel/1000)
+func (w Workers) MaxCancelStaleness() time.Duration {
+	margin := w.Cancel - w.Lease
+	return max(0, margin-min(5*time.Second, margin/4)-w.Cancel/1000)
 }
 
 // Store holds the limits of the state service.
@@ -103,49 +103,49 @@
 
 // Tuning is what operators may set themselves.
 type Tuning struct {
-	Lease       time.Duration // of the claim on the state service
-	Renew       time.Duration
-	RoundTasks  int
-	RoundWindow time.Duration
-	Idle        time.Duration // before an idle machine is returned
-	BeginWithin time.Duration // that even the largest gangs should have begun, where there is room for them
-	Silence     time.Duration // before a silent machine is given up; 0 follows from the reports
-	History     History
-	KeepReports int // machines up to which the holder takes reports itself
-	Parts       Parts
-	Writers     int                        // controllers that write what users wait for, for all; writers.Auto follows from their number, 0 stands for each by itself
-	Spread      map[string]*scheduler.Rule // of services, by class
-	Tiers       []tier.Tier                // of work; none stands for the order without settings
-	Metrics     string                     // address that metrics are served on, if any
-	Reapi       Reapi
+	Lease            time.Duration // of the claim on the state service
+	Renew            time.Duration
+	RoundTasks       int
+	RoundWindow      time.Duration
+	Idle             time.Duration // before an idle machine is returned
+	BeginWithin      time.Duration // that even the largest gangs should have begun, where there is room for them
+	HeartbeatTimeout time.Duration // before a silent machine is given up; 0 follows from the reports
+	History          History
+	DirectHeartbeats int // machines up to which the holder takes reports itself
+	Shards           Shards
+	Writers          int                              // controllers that write what users wait for, for all; writers.Auto follows from their number, 0 stands for each by itself
+	Spread           map[string]*scheduler.SpreadRule // of services, by class
+	Tiers            []tier.Tier                      // of work; none stands for the order without settings
+	Metrics          string                           // address that metrics are served on, if any
+	Reapi            Reapi
 }
 
-// Parts is how the fleet is divided among holders; it is one part by default.
-type Parts struct {
+// Shards is how the fleet is divided among holders; it is one part by default.
+type Shards struct {
 	By    string   // off, zone, type, or a number of parts over which the zones are dealt out
 	Types []string // the types that are parts, by type
 }
 
-// Grouping gives the parts of the fleet.
-func (c *Config) Grouping() *fleet.Grouping {
-	switch by := c.Tuning.Parts.By; by {
+// Sharding gives the parts of the fleet.
+func (c *Config) Sharding() *fleet.Sharding {
+	switch by := c.Tuning.Shards.By; by {
 	case "", "off":
-		return fleet.One()
+		return fleet.SingleShard()
 	case "zone":
 		return fleet.ByZones(len(c.Zones), c.Zones)
 	case "type":
-		return fleet.ByTypes(c.Tuning.Parts.Types)
+		return fleet.ByTypes(c.Tuning.Shards.Types)
 	default:
 		n, _ := strconv.Atoi(by)
 		return fleet.ByZones(n, c.Zones)
 	}
 }
 
-// checkParts finds what the operators' file says of parts and the platform's does not
+// checkShards finds what the operators' file says of parts and the platform's does not
 // allow.
-func (c *Config) checkParts() error {
+func (c *Config) checkShards() error {
 	var f faults
-	p := c.Tuning.Parts
+	p := c.Tuning.Shards
 	n, err := strconv.Atoi(p.By)
 	switch {
 	case p.By == "", p.By == "off", p.By == "zone", p.By == "type" && len(p.Types) > 0:
@@ -168,7 +168,7 @@
 
 // Writers gives how many controllers write what users wait for.
 func (c *Config) Writers() writers.Policy {
-	return writers.PolicyFor(len(c.Siblings)+1, c.Tuning.Writers)
+	return writers.PolicyFor(len(c.Peers)+1, c.Tuning.Writers)
 }
 
 // Reapi is what operators set for build tools; it is off without an address.
@@ -186,7 +186,7 @@
 
 // History is what operators may set of the jobs that are over.
 type History struct {
-	Fold    bool          // whether they leave their keys
+	Compact bool          // whether they leave their keys
 	Every   time.Duration // how often the holder looks for some
 	Wait    time.Duration // how long a few wait for others to be folded with
 	MergeAt int           // full recent blocks before they go into the history
@@ -194,13 +194,13 @@
 	Backlog int           // of jobs that are over and not folded; no more jobs are accepted beyond it
 }
 
-// Silence is how long a machine may be silent before it is given up: somewhat
+// HeartbeatTimeout is how long a machine may be silent before it is given up: somewhat
 // more than the longest time between two reports.
-func (c *Config) Silence() time.Duration {
-	if c.Tuning.Silence > 0 {
-		return c.Tuning.Silence
+func (c *Config) HeartbeatTimeout() time.Duration {
+	if c.Tuning.HeartbeatTimeout > 0 {
+		return c.Tuning.HeartbeatTimeout
 	}
-	return c.Workers.Report*5/4 + 3250*time.Millisecond
+	return c.Workers.HeartbeatInterval*5/4 + 3250*time.Millisecond
 }
 
 // DefaultTuning is used where the operators' file says nothing.
@@ -208,19 +208,19 @@
 	return Tuning{
 		Lease: 9 * time.Second, Renew: 3 * time.Second,
 		RoundTasks: 500, RoundWindow: 2 * time.Second,
-		Idle: 25 * time.Second, BeginWithin: 4 * time.Minute, KeepReports: 200, Writers: writers.Auto,
-		History: History{Fold: true, Every: time.Second, Wait: 15 * time.Second, MergeAt: 4, CacheMB: 8, Backlog: 20_000},
+		Idle: 25 * time.Second, BeginWithin: 4 * time.Minute, DirectHeartbeats: 200, Writers: writers.Auto,
+		History: History{Compact: true, Every: time.Second, Wait: 15 * time.Second, MergeAt: 4, CacheMB: 8, Backlog: 20_000},
 		Reapi:   Reapi{Calls: 500, Class: "action", Priority: "normal", Image: "none", CPUs: 1, MemoryGB: 1, Spot: true, Estimate: time.Minute},
 	}
 }
 
 // platformFile is the platform's file as it is written.
 type platformFile struct {
-	Name       string    `json:"host_name"`
-	Zone       string    `json:"location"`
-	PublicAddr string    `json:"public_addr"`
-	MeshAddr   string    `json:"mesh_addr"`
-	Siblings   []Sibling `json:"siblings"`
+	Name       string `json:"host_name"`
+	Zone       string `json:"location"`
+	PublicAddr string `json:"public_addr"`
+	PeerAddr   string `json:"mesh_addr"`
+	Peers      []Peer `json:"siblings"`
 	Endpoints  struct {
 		Cloud string `json:"cloud"`
 		State string `json:"state"`
@@ -267,7 +267,7 @@
 	if settings != "" {
 		text, rerr := os.ReadFile(settings)
 		if rerr == nil {
-			rerr = errors.Join(c.Tuning.parse(text), c.checkParts(), c.checkGrants(), c.checkSpread(), c.checkTiers())
+			rerr = errors.Join(c.Tuning.parse(text), c.checkShards(), c.checkGrants(), c.checkSpread(), c.checkTiers())
 		}
 		err = errors.Join(err, rerr)
 	}
@@ -305,12 +305,12 @@
 	var f faults
 	f.check(p.Name != "", "host_name", `""`, "the name of this controller")
 	f.addr("public_addr", p.PublicAddr)
-	f.addr("mesh_addr", p.MeshAddr)
-	f.check(p.PublicAddr != p.MeshAddr, "mesh_addr", p.MeshAddr, "another address than public_addr")
+	f.addr("mesh_addr", p.PeerAddr)
+	f.check(p.PublicAddr != p.PeerAddr, "mesh_addr", p.PeerAddr, "another address than public_addr")
 	f.addr("endpoints.cloud", p.Endpoints.Cloud)
 	f.addr("endpoints.state", p.Endpoints.State)
 	names := []string{p.Name}
-	for i, s := range p.Siblings {
+	for i, s := range p.Peers {
 		f.check(s.Name != "" && !slices.Contains(names, s.Name), fmt.Sprintf("siblings[%d].host_name", i),
 			fmt.Sprintf("%q", s.Name), "a name that no other controller has")
 		names = append(names, s.Name)
@@ -330,8 +330,8 @@
 	f.check(w.LeaseS > w.ReportS, "params.workers.lease_s", w.LeaseS, "more than report_s")
 	f.positive("params.workers.gang_wait_s", w.GangWaitS)
 	f.positive("params.workers.gang_peer_s", w.GangPeerS)
-	f.check(w.CancelS >= w.LeaseS+LeastRoom.Seconds(), "params.workers.cancel_s", w.CancelS,
-		fmt.Sprintf("lease_s and %v s more, or an answer could keep a cancelled task for longer", LeastRoom.Seconds()))
+	f.check(w.CancelS >= w.LeaseS+MinCancelMargin.Seconds(), "params.workers.cancel_s", w.CancelS,
+		fmt.Sprintf("lease_s and %v s more, or an answer could keep a cancelled task for longer", MinCancelMargin.Seconds()))
 	s := p.Params.State
 	f.positive("params.state.rps", s.RPS)
 	f.positive("params.state.write_rps", s.WriteRPS)
@@ -343,21 +343,21 @@
 	f.check(p.Params.Limits.Files >= 64, "params.limits.fd_limit", p.Params.Limits.Files, "64 or more")
 
 	return &Config{
-		Name: p.Name, Zone: p.Zone, PublicAddr: p.PublicAddr, MeshAddr: p.MeshAddr, Siblings: p.Siblings,
+		Name: p.Name, Zone: p.Zone, PublicAddr: p.PublicAddr, PeerAddr: p.PeerAddr, Peers: p.Peers,
 		CloudAddr: p.Endpoints.Cloud, StoreAddr: p.Endpoints.State,
 		Zones: p.Params.Zones, Teams: p.Params.Teams, Objectives: p.Params.Objectives,
 		Workers: Workers{seconds(w.ReportS), seconds(w.LeaseS), seconds(w.GangWaitS), seconds(w.GangPeerS), seconds(w.CancelS)},
 		// A transaction of more changes than a second's worth would never be taken, nor
 		// one of several values that are each larger than half of what it may take.
-		Store:  Store{s.RPS, s.WriteRPS, min(int(s.ValueKB*1024), maxValue), min(s.TxnOps, max(2, int(s.WriteRPS)))},
+		Store:  Store{s.RPS, s.WriteRPS, min(int(s.ValueKB*1024), maxValueBytes), min(s.TxnOps, max(2, int(s.WriteRPS)))},
 		Cloud:  Cloud{p.Params.Cloud.RPS, seconds(p.Params.Cloud.ListLagS)},
 		Limits: Limits{int64(p.Params.Limits.RAMMB * (1 << 20)), p.Params.Limits.Files},
 		Tuning: DefaultTuning(),
 	}, errors.Join(f...)
 }
 
-// maxValue bounds the values that are written, however large they may be.
-const maxValue = 32 << 10
+// maxValueBytes bounds the values that are written, however large they may be.
+const maxValueBytes = 32 << 10
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
@@ -368,14 +368,14 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	var f faults
-	known := t.settings(&f)
+	known := t.setters(&f)
 	for _, sec := range file.Sections() {
 		if class, ok := strings.CutPrefix(sec.Name(), "spread "); ok {
-			t.spreadRule(&f, strings.TrimSpace(class), sec)
+			t.readSpreadRule(&f, strings.TrimSpace(class), sec)
 			continue
 		}
 		if strings.HasPrefix(sec.Name(), tierSection) {
-			t.tier(&f, sec)
+			t.readTier(&f, sec)
 			continue
 		}
 		for _, key := range sec.Keys() {
@@ -392,8 +392,8 @@
 	return errors.Join(f...)
 }
 
-// settings tells for each key of the operators' file how its value is taken.
-func (t *Tuning) settings(f *faults) map[string]func(name string, key *ini.Key) {
+// setters tells for each key of the operators' file how its value is taken.
+func (t *Tuning) setters(f *faults) map[string]func(name string, key *ini.Key) {
 	duration := func(d *time.Duration) func(string, *ini.Key) {
 		return func(name string, key *ini.Key) {
 			v, err := time.ParseDuration(key.Value())
@@ -438,14 +438,14 @@
 		return func(_ string, key *ini.Key) { *names = key.Strings(",") }
 	}
 	return map[string]func(string, *ini.Key){
-		"parts.by": words(&t.Parts.By), "parts.types": list(&t.Parts.Types),
+		"parts.by": words(&t.Shards.By), "parts.types": list(&t.Shards.Types),
 		"claim.lease": duration(&t.Lease), "claim.renew": duration(&t.Renew),
 		"round.window": duration(&t.RoundWindow), "round.tasks": count(&t.RoundTasks, 1, 500),
 		"jobs.begin_within": duration(&t.BeginWithin),
-		"reports.keep":      count(&t.KeepReports, 0, 1_000_000),
+		"reports.keep":      count(&t.DirectHeartbeats, 0, 1_000_000),
 		"accept.writers":    count(&t.Writers, 0, 24),
-		"machines.idle":     duration(&t.Idle), "machines.silence": duration(&t.Silence),
-		"history.fold":  flag(&t.History.Fold),
+		"machines.idle":     duration(&t.Idle), "machines.silence": duration(&t.HeartbeatTimeout),
+		"history.fold":  flag(&t.History.Compact),
 		"history.every": duration(&t.History.Every), "history.wait": duration(&t.History.Wait),
 		"history.merge_at": count(&t.History.MergeAt, 1, 64), "history.cache_mb": count(&t.History.CacheMB, 1, 1024), "history.backlog": count(&t.History.Backlog, 100, 10_000_000),
 		"reapi.listen": address(&t.Reapi.Listen), "reapi.cas": address(&t.Reapi.Store), "reapi.calls": count(&t.Reapi.Calls, 1, 100_000),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,11 +20,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Workers.Lease != 30*time.Second || c.Store.ValueBytes != 8192 || c.Teams[0].GPUsMax != 8 || len(c.Siblings) != 1 {
+	if c.Workers.Lease != 30*time.Second || c.Store.ValueBytes != 8192 || c.Teams[0].GPUsMax != 8 || len(c.Peers) != 1 {
 		t.Errorf("read as %+v", c)
 	}
 	large := strings.NewReplacer(`"value_kb": 8`, `"value_kb": 64`, `"write_rps": 30`, `"write_rps": 6`).Replace(string(good))
-	if c, err := Parse([]byte(large)); err != nil || c.Store.ValueBytes != maxValue || c.Store.TxnOps != 6 {
+	if c, err := Parse([]byte(large)); err != nil || c.Store.ValueBytes != maxValueBytes || c.Store.TxnOps != 6 {
 		t.Errorf("a round would not fit a transaction: %+v, %v", c.Store, err)
 	}
 	bad, err := os.ReadFile("testdata/bad.json")
@@ -55,11 +55,11 @@
 		t.Fatal(err)
 	}
 	for lease := 4 * time.Second; lease < 10*time.Minute; lease += (lease/3 + time.Second).Truncate(time.Second) {
-		for _, room := range []time.Duration{-time.Second, 0, time.Second, 3900 * time.Millisecond, LeastRoom, 5 * time.Second, 7 * time.Second, 12 * time.Second, 25 * time.Second, time.Minute} {
+		for _, room := range []time.Duration{-time.Second, 0, time.Second, 3900 * time.Millisecond, MinCancelMargin, 5 * time.Second, 7 * time.Second, 12 * time.Second, 25 * time.Second, time.Minute} {
 			text := strings.Replace(string(good), `"lease_s": 30`, fmt.Sprintf(`"lease_s": %v`, lease.Seconds()), 1)
 			text = strings.Replace(text, `"cancel_s": 60`, fmt.Sprintf(`"cancel_s": %v`, (lease+room).Seconds()), 1)
 			c, err := Parse([]byte(text))
-			if room < LeastRoom {
+			if room < MinCancelMargin {
 				if err == nil || !strings.Contains(err.Error(), "params.workers.cancel_s:") {
 					t.Errorf("lease %v, cancel %v: %v", lease, lease+room, err)
 				}
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			const drift = 0.0005
-			linger := c.Workers.Linger()
+			linger := c.Workers.MaxCancelStaleness()
 			last := time.Duration(float64(linger+lease) * (1 + drift) / (1 - drift))
 			if last+500*time.Millisecond > c.Workers.Cancel || linger < 2*time.Second {
 				t.Errorf("lease %v, cancel %v: answers for %v, the last task gone after %v", lease, c.Workers.Cancel, linger, last)
@@ -100,24 +100,24 @@
 func TestParts(t *testing.T) {
 	c := &Config{Zones: []string{"b", "a", "c"}}
 	for by, parts := range map[string]string{"off": "fleet", "zone": "a b c", "2": "part-0 part-1", "3": "a b c", "1": "fleet"} {
-		c.Tuning.Parts.By = by
-		if err := c.checkParts(); err != nil || strings.Join(c.Grouping().Parts(), " ") != parts {
-			t.Errorf("%s: %v, %v", by, c.Grouping().Parts(), err)
+		c.Tuning.Shards.By = by
+		if err := c.checkShards(); err != nil || strings.Join(c.Sharding().Shards(), " ") != parts {
+			t.Errorf("%s: %v, %v", by, c.Sharding().Shards(), err)
 		}
 	}
 	for by, fault := range map[string]string{"4": "parts.by: \"4\": must be off, zone, type, or a number from 1 to 3", "0": "parts.by", "rack": "parts.by", "type": "parts.types"} {
-		c.Tuning.Parts.By = by
-		if err := c.checkParts(); err == nil || !strings.Contains(err.Error(), fault) {
+		c.Tuning.Shards.By = by
+		if err := c.checkShards(); err == nil || !strings.Contains(err.Error(), fault) {
 			t.Errorf("%s: %v", by, err)
 		}
 	}
-	c.Tuning.Parts = Parts{By: "type", Types: []string{"g8", "g4", "g8"}}
-	if err := c.checkParts(); err == nil || !strings.Contains(err.Error(), "parts.types[2]: \"g8\"") {
+	c.Tuning.Shards = Shards{By: "type", Types: []string{"g8", "g4", "g8"}}
+	if err := c.checkShards(); err == nil || !strings.Contains(err.Error(), "parts.types[2]: \"g8\"") {
 		t.Errorf("a type that is named twice: %v", err)
 	}
-	c.Tuning.Parts.Types = []string{"g8", "g4"}
-	if g := c.Grouping(); c.checkParts() != nil || g.PartOf("a", "g8") != "g8" || g.PartOf("a", "new") != "g4" || g.Zoned() {
-		t.Errorf("by type: %v", g.Parts())
+	c.Tuning.Shards.Types = []string{"g8", "g4"}
+	if g := c.Sharding(); c.checkShards() != nil || g.ShardOf("a", "g8") != "g8" || g.ShardOf("a", "new") != "g4" || g.KeepsZonesWhole() {
+		t.Errorf("by type: %v", g.Shards())
 	}
 }
 
@@ -147,7 +147,7 @@
 		t.Fatal(err, c.checkTiers())
 	}
 	set := c.Tiers()
-	if live := set.Tiers[0]; len(set.Tiers) != 3 || live.Share.Of(10) != 4 || live.Zones["a"].Of(10) != 8 || live.Within != 20*time.Second || set.Digest() == "" {
+	if live := set.Tiers[0]; len(set.Tiers) != 3 || live.Share.Of(10) != 4 || live.Zones["a"].Of(10) != 8 || live.ReclaimWithin != 20*time.Second || set.Digest() == "" {
 		t.Errorf("%+v", set.Tiers)
 	}
 	other := Config{Tuning: DefaultTuning()}
--- a/internal/config/grants.go
+++ b/internal/config/grants.go
@@ -10,27 +10,27 @@
 // the state service counts: around all teams, for each team, for each part of one, and for each of
 // the two amounts, of which one without a limit is 0.
 const (
-	grantsBytes    = 12
-	grantTeamBytes = 4
-	grantPartBytes = 5
-	grantBytes     = 20
+	grantsBytes     = 12
+	grantTeamBytes  = 4
+	grantShardBytes = 5
+	grantBytes      = 20
 )
 
 // checkGrants finds settings under which that record could grow larger than a value may be. It
 // would then be refused, and work that waits for a grant would never start.
 func (c *Config) checkGrants() error {
-	if c.checkParts() != nil {
+	if c.checkShards() != nil {
 		return nil // that names the fault
 	}
-	parts := c.Grouping().Parts()
-	if len(parts) < 2 || c.Store.ValueBytes == 0 {
+	shards := c.Sharding().Shards()
+	if len(shards) < 2 || c.Store.ValueBytes == 0 {
 		return nil
 	}
-	teams, bytes := c.grantRecordBytes(parts)
+	teams, bytes := c.grantRecordBytes(shards)
 	var f faults
-	f.check(bytes <= c.Store.ValueBytes, "parts.by", fmt.Sprintf("%q with %d teams that have a limit", c.Tuning.Parts.By, teams),
+	f.check(bytes <= c.Store.ValueBytes, "parts.by", fmt.Sprintf("%q with %d teams that have a limit", c.Tuning.Shards.By, teams),
 		fmt.Sprintf("so that what is granted to each team in each of %d parts fits into one value of the state service: it may take %d bytes, and params.state.value_kb allows %d",
-			len(parts), bytes, c.Store.ValueBytes))
+			len(shards), bytes, c.Store.ValueBytes))
 	return errors.Join(f...)
 }
 
@@ -44,7 +44,7 @@
 		teams++
 		bytes += jsonBytes(t.Name) + grantTeamBytes
 		for _, part := range parts {
-			bytes += jsonBytes(part) + grantPartBytes + amountBytes(t.CPUsMax) + amountBytes(t.GPUsMax)
+			bytes += jsonBytes(part) + grantShardBytes + amountBytes(t.CPUsMax) + amountBytes(t.GPUsMax)
 		}
 	}
 	return teams, bytes
--- a/internal/config/grants_test.go
+++ b/internal/config/grants_test.go
@@ -32,7 +32,7 @@
 		{"2", manyTeams(530, 64), "in each of 2 parts"},
 		{"9", manyTeams(530, 64), ""}, // which checkParts names
 	} {
-		c.Tuning.Parts.By, c.Teams = x.by, x.teams
+		c.Tuning.Shards.By, c.Teams = x.by, x.teams
 		err := c.checkGrants()
 		if (err == nil) != (x.fault == "") || err != nil && !strings.Contains(err.Error(), x.fault) {
 			t.Errorf("parts by %s, %d teams: %v, not %q", x.by, len(x.teams), err, x.fault)
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -11,10 +11,10 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// spreadRule takes a section of the operators' file that says how the services of a class are
+// readSpreadRule takes a section of the operators' file that says how the services of a class are
 // spread over the zones.
-func (t *Tuning) spreadRule(f *faults, class string, sec *ini.Section) {
-	var r scheduler.Rule
+func (t *Tuning) readSpreadRule(f *faults, class string, sec *ini.Section) {
+	var r scheduler.SpreadRule
 	for _, key := range sec.Keys() {
 		name, err := sec.Name()+"."+key.Name(), error(nil)
 		switch key.Name() {
@@ -32,7 +32,7 @@
 	}
 	f.check(class != "", sec.Name(), "", "named after a class of jobs")
 	if t.Spread == nil {
-		t.Spread = make(map[string]*scheduler.Rule)
+		t.Spread = make(map[string]*scheduler.SpreadRule)
 	}
 	t.Spread[class] = &r
 }
--- a/internal/config/tiers.go
+++ b/internal/config/tiers.go
@@ -20,11 +20,11 @@
 // Tiers gives the tiers of work, in their order.
 func (c *Config) Tiers() *tier.Set { return tier.New(c.Tuning.Tiers) }
 
-// tier reads a section that sets a tier.
-func (t *Tuning) tier(f *faults, sec *ini.Section) {
+// readTier reads a section that sets a tier.
+func (t *Tuning) readTier(f *faults, sec *ini.Section) {
 	name := strings.TrimSpace(strings.TrimPrefix(sec.Name(), tierSection))
 	at := "[" + sec.Name() + "]"
-	out := tier.Tier{Name: name, Within: tier.DefaultWithin}
+	out := tier.Tier{Name: name, ReclaimWithin: tier.DefaultReclaimWithin}
 	known := !strings.ContainsAny(name, " ,\t") && name != "" && len(name) <= 40 && !slices.Contains([]string{"all", "none", "rest"}, name)
 	f.check(known && !slices.ContainsFunc(t.Tiers, func(o tier.Tier) bool { return o.Name == name }), at, fmt.Sprintf("%q", name),
 		"another name of up to 40 bytes without spaces and commas, but for all, none and rest")
@@ -37,7 +37,7 @@
 			if out.Zones == nil {
 				out.Zones = make(map[string]tier.Share)
 			}
-			out.Zones[zone] = share(f, field, value)
+			out.Zones[zone] = parseShare(f, field, value)
 		case key.Name() == "order":
 			n, err := key.Int()
 			f.check(err == nil && n >= 0 && n <= 1000, field, value, "a count from 0 to 1000, the least is ahead")
@@ -53,15 +53,15 @@
 			f.check(err == nil, field, value, "on or off")
 			out.InTeam = v
 		case key.Name() == "cards":
-			out.Share = share(f, field, value)
+			out.Share = parseShare(f, field, value)
 		case key.Name() == "within":
 			v, err := time.ParseDuration(value)
 			f.check(err == nil && v >= 10*time.Second && v <= 10*time.Minute, field, value, "a duration from 10s to 10m")
-			out.Within = v
+			out.ReclaimWithin = v
 		case key.Name() == "lend" && value == "all":
 		case key.Name() == "lend":
-			if out.Lend = []string{}; value != "none" {
-				out.Lend = key.Strings(",")
+			if out.LendsTo = []string{}; value != "none" {
+				out.LendsTo = key.Strings(",")
 			}
 		default:
 			f.check(false, field, value, "one of order, priority, class, team, in_team, cards, cards.ZONE, within, lend")
@@ -70,13 +70,13 @@
 	t.Tiers = append(t.Tiers, out)
 }
 
-// share reads a number of cards, or a part of those that there are.
-func share(f *faults, field, value string) tier.Share {
+// parseShare reads a number of cards, or a part of those that there are.
+func parseShare(f *faults, field, value string) tier.Share {
 	text, part := strings.CutSuffix(value, "%")
 	n, err := strconv.ParseFloat(text, 64)
 	f.check(err == nil && n >= 0 && (n <= 100 || !part && n <= 1e6), field, value, "a number of cards from 0 to 1e6, or a share such as 20%")
 	if part {
-		return tier.Share{Part: n / 100}
+		return tier.Share{Fraction: n / 100}
 	}
 	return tier.Share{Cards: n}
 }
@@ -96,20 +96,20 @@
 			f.check(slices.Contains(allowed, name), field, fmt.Sprintf("%q", name), "one of "+strings.Join(allowed, ", "))
 		}
 	}
-	parts := make(map[string]float64) // that are guaranteed, by zone, "" for all
+	guaranteed := make(map[string]float64) // that are guaranteed, by zone, "" for all
 	for _, t := range c.Tuning.Tiers {
 		at := "[" + tierSection + t.Name + "]."
 		listed(at+"priority", t.Priorities, []string{"production", "high", "normal", "low"})
 		listed(at+"team", t.Teams, teams)
-		listed(at+"lend", t.Lend, append(slices.Clone(names), "rest")) // all and none stand alone
-		parts[""] += t.Share.Part
+		listed(at+"lend", t.LendsTo, append(slices.Clone(names), "rest")) // all and none stand alone
+		guaranteed[""] += t.Share.Fraction
 		for _, zone := range slices.Sorted(maps.Keys(t.Zones)) {
 			listed(at+"cards."+zone, []string{zone}, c.Zones)
-			parts[zone] += t.Zones[zone].Part
+			guaranteed[zone] += t.Zones[zone].Fraction
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(parts)) {
-		f.check(parts[zone] <= 1+1e-9, strings.TrimSuffix("[tier ...].cards."+zone, "."), fmt.Sprintf("%.4g%%", parts[zone]*100), "no more than 100% for all tiers together")
+	for _, zone := range slices.Sorted(maps.Keys(guaranteed)) {
+		f.check(guaranteed[zone] <= 1+1e-9, strings.TrimSuffix("[tier ...].cards."+zone, "."), fmt.Sprintf("%.4g%%", guaranteed[zone]*100), "no more than 100% for all tiers together")
 	}
 	return errors.Join(f...)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -38,134 +38,134 @@
 
 // Controller is one controller.
 type Controller struct {
-	cfg       *config.Config
-	log       *slog.Logger
-	net       transport.Network
-	client    *store.Client
-	view      *store.View
-	follow    *store.Follower
-	format    *store.Formatter
-	history   *archive.Reader
-	cloud     *cloud.Client
-	workers   *worker.Client
-	keeper    *leadership.Keeper
-	mesh      *peer.Mesh
-	desk      *user.Desk
-	admission *admission.Service
-	group     *fleet.Grouping
-	router    *shard.Router
-	edge      *ingest.Edges
-	pace      *throttle.Pace // of calls made for siblings
-	hub       *ingest.Hub
-	reception *ingest.Reception
-	forward   *forward.Client
-	changed   chan struct{}
-	begun     time.Time
-	tiers     string // how the tiers of work are set, in short
+	cfg          *config.Config
+	log          *slog.Logger
+	net          transport.Network
+	client       *store.Client
+	view         *store.View
+	follow       *store.Follower
+	format       *store.FormatGuard
+	history      *archive.Reader
+	cloud        *cloud.Client
+	workers      *worker.Client
+	elector      *leadership.Elector
+	peers        *peer.Mesh
+	userAPI      *user.API
+	admission    *admission.Service
+	sharding     *fleet.Sharding
+	router       *shard.Router
+	uplinks      *ingest.Uplinks
+	callThrottle *throttle.Limiter // of calls made for siblings
+	receiver     *ingest.Receiver
+	gateway      *ingest.Gateway
+	forwarder    *forward.Client
+	changed      chan struct{}
+	startedAt    time.Time
+	tiersDigest  string // how the tiers of work are set, in short
 
-	mu      sync.Mutex
-	members *membership.List
-	beats   uint64             // that were sent
-	calls   zone.Calls         // made for siblings
-	written map[string]written // by part
-	holders map[string]*holding
-	types   []wire.MachineType
-	deaf    time.Time // when a claim was last given up for not hearing the machines
-	stands  map[string]leader.PartStatus
-	stood   time.Time
-	moved   time.Time // when a part was last won, lost or given back
-	chosen  chosen    // who writes
+	mu              sync.Mutex
+	detector        *membership.Detector
+	heartbeatsSent  uint64                 // that were sent
+	fencingCalls    zone.CallLog           // made for siblings
+	ledgerWrites    map[string]ledgerWrite // by part
+	led             map[string]*ledShard
+	cloudTypes      []wire.MachineType
+	partitionedAt   time.Time // when a claim was last given up for not hearing the machines
+	shardStatuses   map[string]leader.ShardStatus
+	shardStatusesAt time.Time
+	shardMovedAt    time.Time    // when a part was last won, lost or given back
+	writerChoice    writerChoice // who writes
 }
 
 // New makes a controller on a network; it opens nothing yet.
 func New(network transport.Network, cfg *config.Config, log *slog.Logger) *Controller {
-	c := &Controller{cfg: cfg, log: log, net: network, changed: make(chan struct{}, 1), begun: time.Now(),
-		group: cfg.Grouping(), tiers: cfg.Tiers().Digest(), holders: make(map[string]*holding)}
-	c.client = store.NewClient(network, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Siblings)+1), log)
+	c := &Controller{cfg: cfg, log: log, net: network, changed: make(chan struct{}, 1), startedAt: time.Now(),
+		sharding: cfg.Sharding(), tiersDigest: cfg.Tiers().Digest(), led: make(map[string]*ledShard)}
+	c.client = store.NewClient(network, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+1), log)
 	c.view = store.NewView(log)
 	c.history = archive.NewReader(c.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, log)
-	c.view.Blocks = c.history
+	c.view.Archive = c.history
 	c.follow = store.NewFollower(c.client, c.view, log)
-	c.follow.Watch = store.WatchFor(cfg.Workers.Linger())
+	c.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
 	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*0.85)
 	c.workers = worker.NewClient(network, cfg.Limits.Files/16)
-	c.keeper = &leadership.Keeper{
-		Claim: leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew),
-		Group: c.group, Tiers: c.tiers, Client: c.client, View: c.view, Follow: c.follow, Log: log,
-		Ready: c.claims, Changed: c.wake, Agreed: c.agreed,
+	c.elector = &leadership.Elector{
+		Election: leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew),
+		Sharding: c.sharding, TiersDigest: c.tiersDigest, Client: c.client, View: c.view, Follow: c.follow, Log: log,
+		ShouldCampaign: c.shouldCampaign, OnChange: c.wake, ConfigMismatch: c.configMismatch,
 	}
-	c.mesh = &peer.Mesh{Siblings: make(map[string]string), Beat: c.beat, Dial: network.Dial, Log: log, Heard: c.heard}
-	for _, sib := range cfg.Siblings {
-		c.mesh.Siblings[sib.Name] = sib.Addr
+	c.peers = &peer.Mesh{Peers: make(map[string]string), Local: c.localHeartbeat, Dial: network.Dial, Log: log, OnHeartbeat: c.recordHeartbeat}
+	for _, sib := range cfg.Peers {
+		c.peers.Peers[sib.Name] = sib.Addr
 	}
-	c.members = membership.New(slices.Collect(maps.Keys(c.mesh.Siblings)))
-	c.passReports()
-	c.format = &store.Formatter{Client: c.client, View: c.view, Follow: c.follow, Log: log, Parts: c.group.Parts(), Patience: 3 * peer.Every,
-		Older: func() string { return c.mesh.Older(3*peer.Every, store.Format) }}
-	c.router = &shard.Router{Group: c.group, Statuses: c.statuses}
+	c.detector = membership.New(slices.Collect(maps.Keys(c.peers.Peers)))
+	c.setUpIngest()
+	c.format = &store.FormatGuard{Client: c.client, View: c.view, Follower: c.follow, Log: log, Shards: c.sharding.Shards(), GracePeriod: 3 * peer.Interval,
+		OlderController: func() string { return c.peers.PeerWithOlderFormat(3*peer.Interval, store.Format) }}
+	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses}
 	c.admission = &admission.Service{Teams: cfg.Teams, View: c.view, Follow: c.follow, History: c.history, Log: log,
-		Intake: admission.NewIntake(c.client, fmt.Sprintf("%s-%d", cfg.Name, c.begun.UnixNano()), cfg.Store.ValueBytes),
-		Closer: admission.NewCloser(c.client, c.view, c.follow, cfg.Store.TxnOps),
-		Types:  c.machineTypes, Open: c.open, Route: c.route, Backlog: cfg.Tuning.History.Backlog, Accepted: c.wake}
-	c.admission.Intake.First = cfg.Tiers().First
-	c.forwardWrites()
-	c.desk = &user.Desk{Admission: c.admission, Log: log, Count: c.count, Ready: c.ready, Vain: c.vain}
+		Intake:       admission.NewIntake(c.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
+		Canceller:    admission.NewCanceller(c.client, c.view, c.follow, cfg.Store.TxnOps),
+		MachineTypes: c.machineTypes, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.Backlog, OnChange: c.wake}
+	c.admission.Intake.Prioritized = cfg.Tiers().InFirst
+	c.setUpForwarding()
+	c.userAPI = &user.API{Admission: c.admission, Log: log, Count: c.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
 	return c
 }
 
 // Run serves until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	answer := worker.Handler(c.reception.Report, c.log)
-	room := &transport.Room{Most: c.cfg.Limits.Files * 3 / 4}
-	public := room.Serve(transport.HTTP(wire.MaxBody, 90*time.Second, func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-		if r.Path != wire.PathReport {
-			resp := c.desk.Handle(ctx, r)
-			resp.Close = resp.Close || room.Full()
+	heartbeats := worker.Handler(c.gateway.HandleHeartbeat, c.log)
+	connections := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4}
+	public := connections.Serve(transport.HTTP(wire.MaxBody, 90*time.Second, func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+		if r.Path != wire.PathHeartbeat {
+			resp := c.userAPI.Handle(ctx, r)
+			resp.Close = resp.Close || connections.Full()
 			return resp
 		}
 		// A worker that must come again costs more than one that stays, but one that
 		// finds no socket costs most.
-		resp := answer(ctx, r)
-		resp.Close = resp.Close || room.Scarce()
+		resp := heartbeats(ctx, r)
+		resp.Close = resp.Close || connections.Scarce()
 		return resp
 	}))
-	g.Go(func() error { return c.listen(ctx, room, public) })
-	g.Go(func() error { return c.net.Listen(ctx, c.cfg.MeshAddr, 64, c.mesh.Receive) })
+	g.Go(func() error { return c.listen(ctx, connections, public) })
+	g.Go(func() error { return c.net.Listen(ctx, c.cfg.PeerAddr, 64, c.peers.Receive) })
 	g.Go(func() error { return c.follow.Run(ctx) })
 	g.Go(func() error { return c.follow.RunBarriers(ctx) })
 	g.Go(func() error { return c.format.Run(ctx) })
 	g.Go(func() error { return c.admission.Intake.Run(ctx) })
-	g.Go(func() error { return c.admission.Closer.Run(ctx) })
+	g.Go(func() error { return c.admission.Canceller.Run(ctx) })
 	if c.cfg.Tuning.Reapi.Listen != "" {
 		g.Go(func() error { return c.serveBuilds(ctx) })
 	}
 	if addr := c.cfg.Tuning.Metrics; addr != "" {
 		g.Go(func() error {
-			return c.net.Listen(ctx, addr, 16, transport.HTTP(wire.MaxBody, 90*time.Second, c.operate()))
+			return c.net.Listen(ctx, addr, 16, transport.HTTP(wire.MaxBody, 90*time.Second, c.operatorHandler()))
 		})
 	}
-	g.Go(func() error { return c.forward.Run(ctx) })
-	g.Go(func() error { return c.keeper.Run(ctx) })
-	g.Go(func() error { return c.edge.Run(ctx) })
-	g.Go(func() error { return c.pace.Run(ctx) })
+	g.Go(func() error { return c.forwarder.Run(ctx) })
+	g.Go(func() error { return c.elector.Run(ctx) })
+	g.Go(func() error { return c.uplinks.Run(ctx) })
+	g.Go(func() error { return c.callThrottle.Run(ctx) })
 	g.Go(func() error { return c.learnTypes(ctx) })
-	g.Go(func() error { return c.manage(ctx) })
-	g.Go(func() error { return c.watchHolders(ctx) })
-	for _, sib := range c.cfg.Siblings {
-		g.Go(func() error { return c.mesh.Send(ctx, sib.Addr) })
+	g.Go(func() error { return c.manageShards(ctx) })
+	g.Go(func() error { return c.watchLeaders(ctx) })
+	for _, sib := range c.cfg.Peers {
+		g.Go(func() error { return c.peers.SendHeartbeats(ctx, sib.Addr) })
 	}
-	c.log.Info("serving", "name", c.cfg.Name, "zone", c.cfg.Zone, "public", c.cfg.PublicAddr, "mesh", c.cfg.MeshAddr)
+	c.log.Info("serving", "name", c.cfg.Name, "zone", c.cfg.Zone, "public", c.cfg.PublicAddr, "mesh", c.cfg.PeerAddr)
 	return g.Wait()
 }
 
 // listen serves users and workers. Reports that can only be turned away are, before they
 // are read.
-func (c *Controller) listen(ctx context.Context, room *transport.Room, serve transport.ServeConn) error {
-	if t, ok := c.net.(transport.Turner); ok {
-		return t.ListenTurning(ctx, c.cfg.PublicAddr, room.Most, serve, c.reception.Turn)
+func (c *Controller) listen(ctx context.Context, connections *transport.ConnLimit, serve transport.ServeConn) error {
+	if t, ok := c.net.(transport.RejectingNetwork); ok {
+		return t.ListenRejecting(ctx, c.cfg.PublicAddr, connections.Max, serve, c.gateway.RedirectUnread)
 	}
-	return c.net.Listen(ctx, c.cfg.PublicAddr, room.Most, serve)
+	return c.net.Listen(ctx, c.cfg.PublicAddr, connections.Max, serve)
 }
 
 func (c *Controller) wake() {
@@ -175,9 +175,9 @@
 	}
 }
 
-// open says whether this version may work on the state.
-func (c *Controller) open() bool {
-	open, _ := c.format.Open()
+// writable says whether this version may work on the state.
+func (c *Controller) writable() bool {
+	open, _ := c.format.Writable()
 	return open
 }
 
@@ -185,15 +185,15 @@
 // while that is out, from the store.
 func (c *Controller) learnTypes(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if types, err := c.cloud.Types(ctx); err == nil {
+		if types, err := c.cloud.MachineTypes(ctx); err == nil {
 			c.mu.Lock()
-			c.types = types
+			c.cloudTypes = types
 			c.mu.Unlock()
 			c.wake()
-			store.Pause(ctx, 2*time.Minute)
+			store.Backoff(ctx, 2*time.Minute)
 			continue
 		}
-		store.Pause(ctx, 300*time.Millisecond)
+		store.Backoff(ctx, 300*time.Millisecond)
 	}
 	return nil
 }
@@ -201,8 +201,8 @@
 func (c *Controller) machineTypes() []wire.MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.types == nil {
-		return c.view.Types()
+	if c.cloudTypes == nil {
+		return c.view.MachineTypes()
 	}
-	return c.types
+	return c.cloudTypes
 }
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -15,28 +15,28 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// holding is a part that this controller holds, and the end of its duties.
-type holding struct {
-	*leader.Holder
-	folder *archive.Folder // nil where another holder folds
-	claim  leadership.Held
-	stop   context.CancelFunc
-	done   chan struct{}
+// ledShard is a part that this controller holds, and the end of its duties.
+type ledShard struct {
+	*leader.Leader
+	compactor *archive.Compactor // nil where another holder folds
+	tenure    leadership.Tenure
+	stop      context.CancelFunc
+	done      chan struct{}
 }
 
-// manage starts a holder for each part that was won and ends it when the
+// manageShards starts a holder for each part that was won and ends it when the
 // claim is lost.
-func (c *Controller) manage(ctx context.Context) error {
-	defer c.endAll()
+func (c *Controller) manageShards(ctx context.Context) error {
+	defer c.stopLeadingAll()
 	for ctx.Err() == nil {
-		c.share()
-		for _, part := range c.group.Parts() {
-			c.managePart(ctx, part)
+		c.allocateStoreBudget()
+		for _, part := range c.sharding.Shards() {
+			c.manageShard(ctx, part)
 		}
-		c.tellObservations()
-		if !c.group.Whole() {
-			c.tellHolders()
-			c.balance()
+		c.shareObservations()
+		if !c.sharding.IsSingle() {
+			c.shareStatuses()
+			c.rebalance()
 		}
 		t := time.NewTimer(time.Second)
 		select {
@@ -49,90 +49,90 @@
 	return nil
 }
 
-// startingFor is how long a controller that has begun may take to hear its siblings.
-const startingFor = 3 * time.Second
+// startupGrace is how long a controller that has begun may take to hear its siblings.
+const startupGrace = 3 * time.Second
 
-// share sets this controller's share of the limits of the state service, by the parts that are held
+// allocateStoreBudget sets this controller's share of the limits of the state service, by the parts that are held
 // and by who writes.
-func (c *Controller) share() {
-	held, mine := false, 0.0
-	for _, part := range c.group.Parts() {
-		_, isHeld, _, _ := c.keeper.Held(part, time.Now())
-		_, known := c.view.Part(part)
-		held = held || known || isHeld
+func (c *Controller) allocateStoreBudget() {
+	anyLed, ledShare := false, 0.0
+	for _, shard := range c.sharding.Shards() {
+		_, isHeld, _, _ := c.elector.Tenure(shard, time.Now())
+		_, known := c.view.Leader(shard)
+		anyLed = anyLed || known || isHeld
 		if isHeld {
-			mine += 1 / float64(len(c.group.Parts()))
+			ledShare += 1 / float64(len(c.sharding.Shards()))
 		}
 	}
 	policy, writing := c.cfg.Writers(), c.writers(time.Now())
-	allowed := store.Allowance{Requests: policy.Requests(writing.names, c.cfg.Name, mine), Acceptance: policy.Changes(writing.names, c.cfg.Name), Holding: mine, Held: held}
-	if writing.older || writing.names == nil && time.Since(c.begun) < startingFor {
-		allowed.Requests, allowed.Acceptance = policy.Even(), policy.Even()
+	allowed := store.Allowance{Requests: policy.RequestShare(writing.names, c.cfg.Name, ledShare), Acceptance: policy.WriteShare(writing.names, c.cfg.Name), Leading: ledShare, HasLeader: anyLed}
+	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGrace {
+		allowed.Requests, allowed.Acceptance = policy.EvenShare(), policy.EvenShare()
 	}
 	c.client.Allow(allowed)
 }
 
-func (c *Controller) managePart(ctx context.Context, part string) {
-	held, isHeld, _, _ := c.keeper.Held(part, time.Now())
+func (c *Controller) manageShard(ctx context.Context, shard string) {
+	tenure, leading, _, _ := c.elector.Tenure(shard, time.Now())
 	c.mu.Lock()
-	h := c.holders[part]
+	h := c.led[shard]
 	c.mu.Unlock()
-	if h != nil && (!isHeld || h.claim.Version != held.Version) {
-		c.log.Warn("part lost", "part", part, "term", h.claim.Term)
-		c.end(part, h)
+	if h != nil && (!leading || h.tenure.Version != tenure.Version) {
+		c.log.Warn("part lost", "part", shard, "term", h.tenure.FencingToken)
+		c.stopLeading(shard, h)
 		h = nil
 	}
 	if h != nil {
-		h.Kick()
-		c.resignIfDeaf(ctx, h)
+		h.Wake()
+		c.resignIfPartitioned(ctx, h)
 		return
 	}
-	if !isHeld || c.view.Revision() < held.Revision && c.follow.Barrier(ctx) != nil {
+	if !leading || c.view.Revision() < tenure.Revision && c.follow.Barrier(ctx) != nil {
 		return
 	}
-	c.begin(ctx, part, held)
+	c.startLeading(ctx, shard, tenure)
 }
 
-// begin starts the duties for a part that was won.
-func (c *Controller) begin(ctx context.Context, part string, held leadership.Held) {
+// startLeading starts the duties for a part that was won.
+func (c *Controller) startLeading(ctx context.Context, shard string, tenure leadership.Tenure) {
 	now := time.Now()
-	h := &holding{claim: held, done: make(chan struct{}),
-		Holder: leader.New(c.cfg, held, c.view.Snapshot(), c.view.Ledgers(part), c.machineTypes(), c.view, now, c.log)}
+	h := &ledShard{tenure: tenure, done: make(chan struct{}),
+		Leader: leader.New(c.cfg, tenure, c.view.Snapshot(), c.view.ShardLedgers(shard), c.machineTypes(), c.view, now, c.log)}
 	duties, stop := context.WithCancel(ctx)
 	h.stop = stop
-	surely := func() bool { _, ok, valid, _ := c.keeper.Held(part, time.Now()); return ok && valid }
-	if c.cfg.Tuning.History.Fold && part == c.group.Parts()[0] { // one holder folds, for all parts
-		h.folder = c.newFolder(h, surely)
+	leaseValid := func() bool { _, ok, valid, _ := c.elector.Tenure(shard, time.Now()); return ok && valid }
+	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // one holder folds, for all parts
+		h.compactor = c.newCompactor(h, leaseValid)
 	}
 	c.mu.Lock()
-	c.holders[part], c.moved = h, now
+	c.led[shard], c.shardMovedAt = h, now
 	c.mu.Unlock()
-	c.log.Info("holding", "part", part, "term", held.Term)
+	c.log.Info("holding", "part", shard, "term", tenure.FencingToken)
 	go func() {
 		defer close(h.done)
 		g, duties := errgroup.WithContext(duties)
 		g.Go(func() error {
-			return h.Run(duties, leader.Edges{Store: c.client, View: c.view, Follow: c.follow, Cloud: c.cloud, Workers: c.workers, Valid: surely, Fenced: c.wake})
+			return h.Run(duties, leader.Dependencies{Store: c.client, View: c.view, Follower: c.follow, Cloud: c.cloud, Workers: c.workers, LeaseValid: leaseValid, OnFenced: c.wake})
 		})
-		if h.folder != nil {
-			g.Go(func() error { return h.folder.Run(duties) })
+		if h.compactor != nil {
+			g.Go(func() error { return h.compactor.Run(duties) })
 		}
 		_ = g.Wait()
 	}()
 }
 
-func (c *Controller) newFolder(h *holding, surely func() bool) *archive.Folder {
+func (c *Controller) newCompactor(h *ledShard, leaseValid func() bool) *archive.Compactor {
 	tune := c.cfg.Tuning.History
-	f := &archive.Folder{Store: c.client, View: c.view, Follow: c.follow, Reader: c.history, Log: c.log.With("term", h.claim.Term),
-		Limits: archive.Limits{ValueBytes: c.cfg.Store.ValueBytes, TxnOps: c.cfg.Store.TxnOps},
-		Fence:  wire.Condition{Key: store.PartKey(h.claim.Part), Version: h.claim.Version},
-		Ending: h.Ending, Valid: surely, Every: tune.Every, Wait: tune.Wait, MergeAt: tune.MergeAt}
-	if !c.group.Whole() {
-		f.Clear = func() uint64 {
+	f := &archive.Compactor{Store: c.client, View: c.view, Follower: c.follow, Reader: c.history, Log: c.log.With("term", h.tenure.FencingToken),
+		Limits:        archive.Limits{ValueBytes: c.cfg.Store.ValueBytes, TxnOps: c.cfg.Store.TxnOps},
+		Fence:         wire.Condition{Key: store.LeaderKey(h.tenure.Shard), Version: h.tenure.Version},
+		JobsWithTasks: h.UnfinishedJobs, LeaseValid: leaseValid, Interval: tune.Every, MaxWait: tune.Wait, MergeThreshold: tune.MergeAt}
+	if !c.sharding.IsSingle() {
+		f.DrainedThrough = func() uint64 {
 			least := c.view.Revision()
-			for _, part := range c.group.Parts() {
-				if part != h.claim.Part {
-					least = min(least, c.view.Clear(part))
+			for _, part := range c.sharding.Shards() {
+				if part != h.tenure.Shard {
+					least = min(least, c.view.DrainedThrough(part))
 				}
 			}
 			return least
@@ -141,76 +141,76 @@
 	return f
 }
 
-// patience is how long a free part is left to a sibling that hears the workers
+// preferredLeaderDelay is how long a free part is left to a sibling that hears the workers
 // better.
-const patience = 4 * time.Second
+const preferredLeaderDelay = 4 * time.Second
 
-// fit says whether this controller should claim a part that has been free for
+// canLead says whether this controller should claim a part that has been free for
 // some time. One that the workers can't reach leaves it to one that they can.
-func (c *Controller) fit(free time.Duration) bool {
-	if c.machineTypes() == nil || !c.open() {
+func (c *Controller) canLead(vacant time.Duration) bool {
+	if c.machineTypes() == nil || !c.writable() {
 		return false
 	}
-	mine := c.reception.Heard()
+	local := c.gateway.Offered()
 	c.mu.Lock()
-	if time.Since(c.deaf) < 2*c.cfg.Workers.Report {
-		mine = 0 // what it remembers is from before it gave the claim up
+	if time.Since(c.partitionedAt) < 2*c.cfg.Workers.HeartbeatInterval {
+		local = 0 // what it remembers is from before it gave the claim up
 	}
 	c.mu.Unlock()
-	for _, b := range c.mesh.Last(3 * time.Second) {
-		if b.StoreOK && b.Heard > 2*mine+2 && free < patience {
+	for _, b := range c.peers.Latest(3 * time.Second) {
+		if b.StoreOK && b.Heard > 2*local+2 && vacant < preferredLeaderDelay {
 			return false
 		}
 	}
 	return true
 }
 
-// resignIfDeaf gives the claim up when many machines are silent here while they
+// resignIfPartitioned gives the claim up when many machines are silent here while they
 // report to a sibling that can take over, or when they are heard by siblings alone and
 // calls don't reach them: the way between the workers and this controller is cut.
-func (c *Controller) resignIfDeaf(ctx context.Context, h *holding) {
+func (c *Controller) resignIfPartitioned(ctx context.Context, h *ledShard) {
 	now := time.Now()
-	silent, unreached := h.Unheard(now), h.Unreached(now)
-	if silent < 2 && !unreached {
+	missing, uncallable := h.UnreachableMachines(now), h.CallsFailing(now)
+	if missing < 2 && !uncallable {
 		return
 	}
-	for name, b := range c.mesh.Last(3 * time.Second) {
+	for name, b := range c.peers.Latest(3 * time.Second) {
 		// What a sibling hears that passes it on is not silent for want of a way.
-		passes := b.Passes == c.cfg.Name || slices.Contains(b.Ways, c.cfg.Name)
-		deaf := silent >= 2 && !passes && b.Heard >= (silent+1)/2
-		if b.StoreOK && (deaf || unreached && b.Heard > 2*c.reception.Heard()) {
+		forwards := b.Passes == c.cfg.Name || slices.Contains(b.Ways, c.cfg.Name)
+		partitioned := missing >= 2 && !forwards && b.Heard >= (missing+1)/2
+		if b.StoreOK && (partitioned || uncallable && b.Heard > 2*c.gateway.Offered()) {
 			c.mu.Lock()
-			c.deaf = now
+			c.partitionedAt = now
 			c.mu.Unlock()
-			c.keeper.Resign(ctx, "workers reach "+name+", not this controller")
+			c.elector.Resign(ctx, "workers reach "+name+", not this controller")
 			return
 		}
 	}
 }
 
-func (c *Controller) end(part string, h *holding) {
+func (c *Controller) stopLeading(shard string, h *ledShard) {
 	h.stop()
 	c.mu.Lock()
-	delete(c.holders, part)
-	c.moved = time.Now()
+	delete(c.led, shard)
+	c.shardMovedAt = time.Now()
 	c.mu.Unlock()
 	<-h.done
 }
 
-func (c *Controller) endAll() {
-	for _, part := range c.group.Parts() {
+func (c *Controller) stopLeadingAll() {
+	for _, part := range c.sharding.Shards() {
 		c.mu.Lock()
-		h := c.holders[part]
+		h := c.led[part]
 		c.mu.Unlock()
 		if h != nil {
-			c.end(part, h)
+			c.stopLeading(part, h)
 		}
 	}
 }
 
-// holding lists the parts that this controller holds.
-func (c *Controller) holding() []*holding {
+// ledShards lists the parts that this controller holds.
+func (c *Controller) ledShards() []*ledShard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Collect(maps.Values(c.holders))
+	return slices.Collect(maps.Values(c.led))
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,9 +12,9 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// count gives a job's counts for display, from the holders wherever they are.
-func (c *Controller) count(job string) (sum leader.Count) {
-	if !c.group.Whole() {
+// taskCounts gives a job's counts for display, from the holders wherever they are.
+func (c *Controller) taskCounts(job string) (sum leader.TaskCount) {
+	if !c.sharding.IsSingle() {
 		for _, s := range c.statuses() {
 			n := s.Counts[job]
 			sum.Running += n.Running
@@ -22,13 +22,13 @@
 		}
 		return sum
 	}
-	for _, h := range c.holding() {
-		if n, ok := h.Counts(time.Now())[job]; ok {
+	for _, h := range c.ledShards() {
+		if n, ok := h.TaskCounts(time.Now())[job]; ok {
 			return n
 		}
 	}
-	var best peer.Beat
-	for _, b := range c.mesh.Last(6 * time.Second) {
+	var best peer.Heartbeat
+	for _, b := range c.peers.Latest(6 * time.Second) {
 		if b.Term > best.Term {
 			best = b
 		}
@@ -36,25 +36,25 @@
 	return best.Counts[job]
 }
 
-func (c *Controller) beat() peer.Beat {
-	at, failing := c.follow.Reached()
-	b := peer.Beat{From: c.cfg.Name, StoreOK: !failing && time.Since(at) < 15*time.Second, Heard: c.reception.Heard(), Passes: c.edge.Passes(), Format: store.Format,
-		Groups: c.group.String(), Tiers: c.tiers, Writes: true, UpS: int(time.Since(c.begun).Seconds()), Begun: c.begun.UnixNano()}
+func (c *Controller) localHeartbeat() peer.Heartbeat {
+	at, failing := c.follow.LastContact()
+	b := peer.Heartbeat{From: c.cfg.Name, StoreOK: !failing && time.Since(at) < 15*time.Second, Heard: c.gateway.Offered(), Passes: c.uplinks.ForwardsTo(), Format: store.Format,
+		Groups: c.sharding.String(), Tiers: c.tiersDigest, Writes: true, UpS: int(time.Since(c.startedAt).Seconds()), Begun: c.startedAt.UnixNano()}
 	c.mu.Lock()
-	c.beats++
-	b.Number = c.beats
-	b.Says = c.members.Says(time.Now())
+	c.heartbeatsSent++
+	b.Number = c.heartbeatsSent
+	b.Says = c.detector.HeartbeatAges(time.Now())
 	c.mu.Unlock()
 	b.Sights = c.observations()
-	if !c.group.Whole() {
-		b.Ways, b.Parts = c.edge.Open(), make(map[string]leader.PartStatus)
+	if !c.sharding.IsSingle() {
+		b.Ways, b.Parts = c.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
 	}
-	for _, h := range c.holding() {
-		b.Term = max(b.Term, h.Term())
-		if c.group.Whole() {
-			b.Counts = h.Counts(time.Now())
+	for _, h := range c.ledShards() {
+		b.Term = max(b.Term, h.FencingToken())
+		if c.sharding.IsSingle() {
+			b.Counts = h.TaskCounts(time.Now())
 		} else {
-			b.Parts[h.claim.Part] = h.Status(time.Now())
+			b.Parts[h.tenure.Shard] = h.Status(time.Now())
 		}
 	}
 	return b
@@ -63,23 +63,23 @@
 // sights gives what this controller sees of each zone by itself.
 func (c *Controller) observations() map[string]zone.Observation {
 	now := time.Now()
-	out := c.reception.Observations(now, c.cfg.Workers.Report*7/5)
+	out := c.gateway.Observations(now, c.cfg.Workers.HeartbeatInterval*7/5)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls.Count(now, out)
+	c.fencingCalls.AddTo(now, out)
 	return out
 }
 
-// tellObservations tells the holders here what siblings see of each zone.
-func (c *Controller) tellObservations() {
-	witnesses, beats := make(map[string]zone.Witness), c.mesh.Last(aliveAge)
-	for _, sib := range c.cfg.Siblings {
+// shareObservations tells the holders here what siblings see of each zone.
+func (c *Controller) shareObservations() {
+	observers, beats := make(map[string]zone.Observer), c.peers.Latest(heartbeatMaxAge)
+	for _, sib := range c.cfg.Peers {
 		if b, heard := beats[sib.Name]; heard {
-			witnesses[sib.Name] = zone.Witness{Zone: sib.Zone, Sights: b.Sights}
+			observers[sib.Name] = zone.Observer{Zone: sib.Zone, Observations: b.Sights}
 		}
 	}
-	for _, h := range c.holding() {
-		h.SetWitnesses(witnesses)
+	for _, h := range c.ledShards() {
+		h.SetObservers(observers)
 	}
 }
 
@@ -88,71 +88,71 @@
 // the same answer everywhere, and a controller that was taken out is brought
 // back late, the later the more often that happens.
 func (c *Controller) ready() bool {
-	if open, _ := c.format.Open(); !open && c.view.Loaded() {
+	if open, _ := c.format.Writable(); !open && c.view.Loaded() {
 		return false
 	}
-	return !c.apart(2 * time.Second)
+	return !c.storePartitioned(2 * time.Second)
 }
 
-// vain reports whether questions that the store must answer are not even worth a try. A store
+// storeOutOfReach reports whether questions that the store must answer are not even worth a try. A store
 // that is slow, or refuses a call now and then, is still of use.
-func (c *Controller) vain() bool { return c.apart(5 * time.Second) }
+func (c *Controller) storeOutOfReach() bool { return c.storePartitioned(5 * time.Second) }
 
-// apart reports whether the store has been out of reach here for so long while others may reach
+// storePartitioned reports whether the store has been out of reach here for so long while others may reach
 // it. Whoever hears less than most controllers can't know that all share its outage, and is rather
 // cut off itself: as long as it called itself ready, its users stayed and asked in vain.
-func (c *Controller) apart(quiet time.Duration) bool {
-	at, failing := c.follow.Reached()
-	if c.view.Loaded() && (!failing || time.Since(at) < quiet) {
+func (c *Controller) storePartitioned(unreachableFor time.Duration) bool {
+	at, failing := c.follow.LastContact()
+	if c.view.Loaded() && (!failing || time.Since(at) < unreachableFor) {
 		return false
 	}
-	beats := c.mesh.Last(3 * time.Second)
+	beats := c.peers.Latest(3 * time.Second)
 	for _, b := range beats {
 		if b.StoreOK {
 			return true
 		}
 	}
-	if alone := (len(beats)+1)*2 <= len(c.cfg.Siblings)+1; alone {
+	if alone := (len(beats)+1)*2 <= len(c.cfg.Peers)+1; alone {
 		return true
 	}
-	return time.Since(c.begun) <= loadTime
+	return time.Since(c.startedAt) <= viewLoadTime
 }
 
-// measure gathers what the metrics tell.
-func (c *Controller) measure() metrics.Reading {
-	r := metrics.Reading{Begun: c.begun, Loaded: c.follow.Loaded(), Calls: c.client.SpentBy(), Cache: c.history.Counts(),
-		Broken: len(c.view.Broken()), Revision: c.view.Revision()}
-	r.Live, r.Over, r.Homes, r.Recent = c.view.Size()
-	r.OldestOver = c.view.OldestOver()
-	passed := c.edge.Counts()
-	r.Passed, r.Unpassed, r.Moved, r.Window = passed.Passed, passed.Lost, c.reception.Moved(), c.pace.Window()
-	forwarded := c.forward.Counts()
-	r.Forwarded, r.ForwardLost = forwarded.Forwarded, forwarded.Lost
-	r.Heard, r.Edges = c.reception.Here(), len(c.hub.Edges(2*time.Second))
-	for _, h := range c.holding() { // not under our lock: a holder that decides keeps its own for long
-		r.Parts++
-		r.Term = max(r.Term, h.Term())
+// readMetrics gathers what the metrics tell.
+func (c *Controller) readMetrics() metrics.Reading {
+	r := metrics.Reading{Started: c.startedAt, LastList: c.follow.LastLoad(), StoreCalls: c.client.CallStatsByPurpose(), BlockCache: c.history.Stats(),
+		UnreadableRecords: len(c.view.UnreadableRecords()), Revision: c.view.Revision()}
+	r.LiveJobs, r.EndedJobs, r.Batches, r.RecentJobs = c.view.Size()
+	r.OldestEnd = c.view.OldestEnd()
+	passed := c.uplinks.Counts()
+	r.HeartbeatsForwarded, r.HeartbeatsUnanswered, r.MachinesMoved, r.CallWindow = passed.Forwarded, passed.Unanswered, c.gateway.Rebalanced(), c.callThrottle.Window()
+	forwarded := c.forwarder.Counts()
+	r.RequestsForwarded, r.ForwardsUnanswered = forwarded.Forwarded, forwarded.Unanswered
+	r.ReportingMachines, r.ForwardingPeers = c.gateway.Reporting(), len(c.receiver.ForwardingPeers(2*time.Second))
+	for _, h := range c.ledShards() { // not under our lock: a holder that decides keeps its own for long
+		r.Shards++
+		r.FencingToken = max(r.FencingToken, h.FencingToken())
 		if s, stalled := h.Stall(time.Now()); stalled {
-			r.Stalled = max(r.Stalled, time.Since(s.Since))
+			r.StalledFor = max(r.StalledFor, time.Since(s.Since))
 		}
-		odd := h.Odd()
-		r.Late, r.Impossible = r.Late+odd.Late, r.Impossible+odd.Impossible
+		odd := h.RejectedHeartbeats()
+		r.LateHeartbeats, r.ImpossibleHeartbeats = r.LateHeartbeats+odd.Stale, r.ImpossibleHeartbeats+odd.Impossible
 		if r.Zones == nil {
 			r.Zones = make(map[string]zone.Record)
 		}
-		maps.Copy(r.Zones, h.ZoneStates())
+		maps.Copy(r.Zones, h.ZoneRecords())
 		for name, s := range h.Status(time.Now()).Tiers {
 			if r.Tiers == nil {
 				r.Tiers = make(map[string]tier.Status)
 			}
-			r.Tiers[name] = r.Tiers[name].Plus(s)
+			r.Tiers[name] = r.Tiers[name].Add(s)
 		}
-		if h.folder != nil {
-			r.Folds = h.folder.Counts()
+		if h.compactor != nil {
+			r.Compaction = h.compactor.Stats()
 		}
 	}
 	return r
 }
 
-// loadTime is how long loading the view may take where the store answers.
-const loadTime = 2 * time.Second
+// viewLoadTime is how long loading the view may take where the store answers.
+const viewLoadTime = 2 * time.Second
--- a/internal/controller/writers.go
+++ b/internal/controller/writers.go
@@ -9,51 +9,51 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// writersGap is the time between two choices of who writes.
-const writersGap = 250 * time.Millisecond
+// writerChoiceInterval is the time between two choices of who writes.
+const writerChoiceInterval = 250 * time.Millisecond
 
-// chosen is who writes, as last chosen.
-type chosen struct {
-	names []string
-	older bool // a sibling that is alive does not take what is forwarded: nobody forwards yet
-	at    time.Time
+// writerChoice is who writes, as last chosen.
+type writerChoice struct {
+	names     []string
+	olderPeer bool // a sibling that is alive does not take what is forwarded: nobody forwards yet
+	at        time.Time
 }
 
-// forwardWrites sets up how submissions and cancellations reach those who write them.
-func (c *Controller) forwardWrites() {
+// setUpForwarding sets up how submissions and cancellations reach those who write them.
+func (c *Controller) setUpForwarding() {
 	server := &forward.Server{Admission: c.admission, Log: c.log}
-	c.mesh.Streams[forward.Kind] = server.Serve
-	c.forward = &forward.Client{Open: c.mesh.Open, Writer: c.writerOf, Log: c.log}
+	c.peers.Handlers[forward.StreamKind] = server.Serve
+	c.forwarder = &forward.Client{OpenStream: c.peers.OpenStream, Writer: c.writerOf, Log: c.log}
 	if policy := c.cfg.Writers(); policy.Forwards() {
-		c.admission.Forward = c.forward
-		c.admission.Intake.MaxQueue *= max(1, policy.Controllers/policy.Most/2) // a writer's users are those of several
+		c.admission.Forwarder = c.forwarder
+		c.admission.Intake.MaxQueue *= max(1, policy.Controllers/policy.MaxWriters/2) // a writer's users are those of several
 	}
 }
 
 // writers gives the controllers that write for all, none where each writes by itself or where too
 // few are heard here.
-func (c *Controller) writers(now time.Time) chosen {
+func (c *Controller) writers(now time.Time) writerChoice {
 	policy := c.cfg.Writers()
 	if !policy.Forwards() {
-		return chosen{}
+		return writerChoice{}
 	}
 	c.mu.Lock()
-	last := c.chosen
-	alive := c.members.Alive(now)
+	last := c.writerChoice
+	alive := c.detector.Alive(now)
 	c.mu.Unlock()
-	if !last.at.IsZero() && now.Sub(last.at) < writersGap {
+	if !last.at.IsZero() && now.Sub(last.at) < writerChoiceInterval {
 		return last
 	}
-	beats := c.mesh.Last(3 * peer.Every)
-	next := chosen{at: now, older: slices.ContainsFunc(alive, func(name string) bool { return !beats[name].Writes })}
-	if !c.apart(2 * time.Second) {
+	beats := c.peers.Latest(3 * peer.Interval)
+	next := writerChoice{at: now, olderPeer: slices.ContainsFunc(alive, func(name string) bool { return !beats[name].Writes })}
+	if !c.storePartitioned(2 * time.Second) {
 		alive = append(alive, c.cfg.Name)
 	}
-	if !next.older {
-		next.names = policy.Choose(alive, c.holds)
+	if !next.olderPeer {
+		next.names = policy.Choose(alive, c.leads)
 	}
 	c.mu.Lock()
-	c.chosen = next
+	c.writerChoice = next
 	c.mu.Unlock()
 	if last.names == nil && next.names != nil && !slices.Contains(next.names, c.cfg.Name) {
 		c.admission.Intake.Reroute() // its share of the changes is about to fall
@@ -63,7 +63,7 @@
 
 // writerOf names the sibling that writes a job, none where this controller does.
 func (c *Controller) writerOf(job string, avoid func(name string) bool) string {
-	name := writers.For(c.writers(time.Now()).names, job, avoid)
+	name := writers.WriterOf(c.writers(time.Now()).names, job, avoid)
 	if name == c.cfg.Name {
 		return ""
 	}
--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -19,51 +19,51 @@
 
 func (pipe) SetIdle(time.Duration) {}
 
-// TestOlderSiblings: while one sibling that is alive does not take what is forwarded, nobody writes for
+// TestOlderPeers: while one sibling that is alive does not take what is forwarded, nobody writes for
 // others; once all do, or it is not heard any more, some do.
-func TestOlderSiblings(t *testing.T) {
+func TestOlderPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
 			Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{Files: 500}, Tuning: config.DefaultTuning()}
 		for i := 1; i < 7; i++ {
-			cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: fmt.Sprint("c-", i)})
+			cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprint("c-", i)})
 		}
-		c := New(simulator.NewNet().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
+		c := New(simulator.NewNetwork().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
 		number := uint64(0)
-		hear := func(writes func(i int) bool, siblings ...int) chosen {
+		hear := func(writes func(i int) bool, siblings ...int) writerChoice {
 			number++
 			for _, i := range siblings {
 				mine, its := net.Pipe()
 				go func() {
-					_ = gob.NewEncoder(its).Encode(peer.Beat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
+					_ = gob.NewEncoder(its).Encode(peer.Heartbeat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
 					its.Close()
 				}()
-				c.mesh.Receive(t.Context(), pipe{mine})
+				c.peers.Receive(t.Context(), pipe{mine})
 			}
 			time.Sleep(time.Second)
 			return c.writers(time.Now())
 		}
 		all := []int{1, 2, 3, 4, 5, 6}
-		if got := hear(func(i int) bool { return i != 3 }, all...); !got.older || got.names != nil {
+		if got := hear(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
 			t.Errorf("beside an older version: %+v", got)
 		}
-		if got := hear(func(int) bool { return true }, all...); got.older || len(got.names) != 4 {
+		if got := hear(func(int) bool { return true }, all...); got.olderPeer || len(got.names) != 4 {
 			t.Errorf("once all take it: %+v", got)
 		}
-		if got := hear(func(i int) bool { return i != 3 }, all...); !got.older || got.names != nil {
+		if got := hear(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
 			t.Errorf("after one has gone back: %+v", got)
 		}
 		for range 4 {
 			hear(func(int) bool { return true }, 1, 2, 4, 5, 6)
 		}
-		if got := c.writers(time.Now()); got.older || len(got.names) != 4 {
+		if got := c.writers(time.Now()); got.olderPeer || len(got.names) != 4 {
 			t.Errorf("once the older one is not heard: %+v", got)
 		}
 		if got := hear(func(int) bool { return true }, 1, 2); len(got.names) != 4 {
 			t.Errorf("a moment later: %+v", got)
 		}
 		time.Sleep(4 * time.Second)
-		if got := hear(func(int) bool { return true }, 1, 2); got.names != nil || got.older {
+		if got := hear(func(int) bool { return true }, 1, 2); got.names != nil || got.olderPeer {
 			t.Errorf("with no majority: %+v", got)
 		}
 	})
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -32,7 +32,7 @@
 // Demo submits a job of each shape, kills the holder while they run, and shows that
 // each still gets its answer, the same from every controller. An error says what was
 // not so.
-func (w *World) Demo(ctx context.Context, out io.Writer) error {
+func (w *Cluster) Demo(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTime)
 	defer cancel()
 	begun := time.Now()
@@ -40,7 +40,7 @@
 		fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
 	}
 	jobs := demoJobs()
-	users := &simulator.Users{Dial: emulator.Dial, Judge: w.Known()}
+	users := &simulator.Users{Dial: emulator.Dial, Judge: w.Liveness()}
 	for i := range Controllers {
 		users.Nodes = append(users.Nodes, w.Addr(i))
 	}
@@ -54,7 +54,7 @@
 		asking.Go(func() { users.Follow(ctx, j.ID) })
 		say("submitted %s to %s: %s of %d tasks", j.ID, w.Addr(i), j.Shape, j.Tasks)
 	}
-	if err := w.until(ctx, func() bool {
+	if err := w.waitUntil(ctx, func() bool {
 		for i, j := range jobs {
 			if s := w.status(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
 				return false
@@ -65,15 +65,15 @@
 		return fmt.Errorf("not every job came to run: %w", err)
 	}
 	say("all of them run")
-	holder, term, ok := w.Holder()
+	holder, term, ok := w.Leader()
 	if !ok {
 		return errors.New("nobody holds the fleet")
 	}
 	w.Kill(holder)
 	say("killed %s, which held the fleet under term %d", name(holder), term)
 	now := holder
-	if err := w.until(ctx, func() bool {
-		i, t, ok := w.Holder()
+	if err := w.waitUntil(ctx, func() bool {
+		i, t, ok := w.Leader()
 		now = i
 		return ok && t > term
 	}); err != nil {
@@ -84,7 +84,7 @@
 		return err
 	}
 	for i, j := range jobs[:2] {
-		if err := w.until(ctx, func() bool { return w.status(ctx, holder+1+i, j.ID).Stage == wire.Done }); err != nil {
+		if err := w.waitUntil(ctx, func() bool { return w.status(ctx, holder+1+i, j.ID).Stage == wire.Done }); err != nil {
 			return fmt.Errorf("%s is not done: %w", j.ID, err)
 		}
 		say("%s is done", j.ID)
@@ -93,14 +93,14 @@
 		return fmt.Errorf("the cancellation of %s was answered %d", jobs[2].ID, status)
 	}
 	say("%s is cancelled", jobs[2].ID)
-	if err := w.until(ctx, func() bool { return w.Ready(holder) }); err != nil {
+	if err := w.waitUntil(ctx, func() bool { return w.Ready(holder) }); err != nil {
 		return fmt.Errorf("%s did not come back: %w", name(holder), err)
 	}
-	return w.same(ctx, jobs, say)
+	return w.checkUnchanged(ctx, jobs, say)
 }
 
-// same asks every controller about every job.
-func (w *World) same(ctx context.Context, jobs []*wire.Job, say func(string, ...any)) error {
+// checkUnchanged asks every controller about every job.
+func (w *Cluster) checkUnchanged(ctx context.Context, jobs []*wire.Job, say func(string, ...any)) error {
 	for _, j := range jobs {
 		want := wire.Done
 		if j.Shape == wire.Service {
@@ -113,21 +113,21 @@
 		}
 	}
 	s := w.Status()
-	if len(s.Broken) > 0 {
-		return errors.New(strings.Join(s.Broken, "\n"))
+	if len(s.Violations) > 0 {
+		return errors.New(strings.Join(s.Violations, "\n"))
 	}
-	say("every controller gives the same answers; %d tasks were started, none twice at a time", s.Started)
+	say("every controller gives the same answers; %d tasks were started, none twice at a time", s.StartedTasks)
 	return nil
 }
 
-func (w *World) status(ctx context.Context, first int, id string) (s wire.JobStatus) {
+func (w *Cluster) status(ctx context.Context, first int, id string) (s wire.JobStatus) {
 	if status, body := w.ask(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
 		_ = wire.Decode(body, &s)
 	}
 	return s
 }
 
-func (w *World) until(ctx context.Context, holds func() bool) error {
+func (w *Cluster) waitUntil(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
 		case <-ctx.Done():
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -29,35 +29,35 @@
 	Level   string // LOG_LEVEL of the controllers
 }
 
-// World is what runs.
-type World struct {
-	*emulator.World
-	procs  emulator.Procs
+// Cluster is what runs.
+type Cluster struct {
+	*emulator.Cluster
+	procs  emulator.Processes
 	dir    string
 	ctx    context.Context
 	stop   context.CancelFunc
 	caller *transport.Caller
 }
 
-const tuning = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
+const operatorSettings = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
 
 // Start starts a world and waits until its controllers are ready.
-func Start(ctx context.Context, opt Options) (*World, error) {
+func Start(ctx context.Context, opt Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "amberdeal-dev-*")
 	if err != nil {
 		return nil, err
 	}
-	w := &World{dir: dir}
+	w := &Cluster{dir: dir}
 	w.ctx, w.stop = context.WithCancel(ctx)
-	w.caller = &transport.Caller{Limit: 1 << 20, Dial: emulator.Dial}
-	w.procs = emulator.Procs{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: tuning}
+	w.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
+	w.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: operatorSettings}
 	w.procs.Begin(w.ctx)
-	around, err := emulator.Start(w.ctx, emulator.Small(), emulator.Options{Port: opt.Port, Dir: dir, Hang: w.procs.HangNamed, Kill: w.procs.KillNamed})
+	around, err := emulator.Start(w.ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: w.procs.PauseNamed, Kill: w.procs.KillNamed})
 	if err != nil {
 		w.Stop()
 		return nil, err
 	}
-	w.World, w.procs.Settings, w.procs.Metrics = around, around.Settings, around.Metrics
+	w.Cluster, w.procs.Settings, w.procs.Metrics = around, around.Settings, around.Metrics
 	if err := w.run(); err != nil {
 		w.Stop()
 		return nil, err
@@ -66,15 +66,15 @@
 }
 
 // Addr is where users reach a controller.
-func (w *World) Addr(i int) string { return w.Public(i) }
+func (w *Cluster) Addr(i int) string { return w.Public(i) }
 
 // Log is the file of a controller's log.
-func (w *World) Log(i int) string { return w.procs.Log(i) }
+func (w *Cluster) Log(i int) string { return w.procs.Log(i) }
 
 func name(i int) string { return fmt.Sprint("c-", i) }
 
 // run starts the controllers and waits for them.
-func (w *World) run() error {
+func (w *Cluster) run() error {
 	for i := range Controllers {
 		if err := w.Restart(i); err != nil {
 			return err
@@ -92,7 +92,7 @@
 }
 
 // Ready reports whether a controller serves users.
-func (w *World) Ready(i int) bool {
+func (w *Cluster) Ready(i int) bool {
 	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 	defer cancel()
 	resp, err := w.caller.Call(ctx, w.Addr(i), "GET", wire.PathReady, nil)
@@ -100,37 +100,37 @@
 }
 
 // Restart starts a controller that does not run.
-func (w *World) Restart(i int) error { return w.procs.Start(i) }
+func (w *Cluster) Restart(i int) error { return w.procs.Start(i) }
 
 // Kill ends a controller with no signal that it could see.
-func (w *World) Kill(i int) { w.procs.Kill(i) }
+func (w *Cluster) Kill(i int) { w.procs.Kill(i) }
 
-// Holder tells which controller holds the fleet, and under which term.
-func (w *World) Holder() (i int, term uint64, ok bool) {
-	items := w.Page(store.PartKey("fleet"), 1)
+// Leader tells which controller holds the fleet, and under which term.
+func (w *Cluster) Leader() (i int, term uint64, ok bool) {
+	items := w.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return 0, 0, false
 	}
-	var rec store.PartRecord
+	var rec store.LeaderRecord
 	if wire.DecodeValue(items[0].Value, &rec) != nil {
 		return 0, 0, false
 	}
-	n, err := strconv.Atoi(strings.TrimPrefix(rec.Holder, "c-"))
-	return n, rec.Term, err == nil
+	n, err := strconv.Atoi(strings.TrimPrefix(rec.Leader, "c-"))
+	return n, rec.FencingToken, err == nil
 }
 
 // Stop ends everything and removes what was written.
-func (w *World) Stop() {
+func (w *Cluster) Stop() {
 	w.procs.Stop()
-	if w.World != nil {
-		w.World.Stop()
+	if w.Cluster != nil {
+		w.Cluster.Stop()
 	}
 	w.stop()
 	_ = os.RemoveAll(w.dir)
 }
 
 // ask sends a request to the controllers in turn until one decides.
-func (w *World) ask(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
+func (w *Cluster) ask(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
 	for try := 0; ctx.Err() == nil; try++ {
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
 		resp, err := w.caller.Call(call, w.Addr((first+try)%Controllers), method, path, body)
@@ -138,7 +138,7 @@
 		if err == nil && resp.Status != 503 && resp.Status != 429 {
 			return resp.Status, resp.Body
 		}
-		store.Pause(ctx, 100*time.Millisecond)
+		store.Backoff(ctx, 100*time.Millisecond)
 	}
 	return 0, nil
 }
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -24,75 +24,75 @@
 
 // Options of a world.
 type Options struct {
-	Port int    // the first of its ports on 127.0.0.1
-	Dir  string // where the settings of the controllers are written, and the state is kept
-	Keep bool   // whether the state is kept, and gone on with
-	Log  *slog.Logger
-	// Hang has a controller stand still or go on, and Kill ends one, where this process
+	Port    int    // the first of its ports on 127.0.0.1
+	Dir     string // where the settings of the controllers are written, and the state is kept
+	Persist bool   // whether the state is kept, and gone on with
+	Log     *slog.Logger
+	// Pause has a controller stand still or go on, and Kill ends one, where this process
 	// has started them.
-	Hang func(controller string, still bool) error
-	Kill func(controller string, back time.Duration) error
+	Pause func(controller string, still bool) error
+	Kill  func(controller string, back time.Duration) error
 	// Machine, if it is set, starts what runs on a machine of a type that is not emulated; it gives
 	// nil for all others.
 	Machine func(id, addr, typ, zone string, spot bool) simulator.Machine
-	// Started, if it is set, is told of each start of a task.
-	Started func(t wire.TaskID)
+	// OnTaskStart, if it is set, is told of each start of a task.
+	OnTaskStart func(t wire.TaskID)
 }
 
-// mostMachines bounds the machines of a world.
-const mostMachines = 20_000
-
-// World is what runs.
-type World struct {
-	Config *Config
-	opt    Options
-	log    *slog.Logger
-	links  *links
-	store  *simulator.Store
-	cloud  *simulator.Cloud
-	ctx    context.Context
-	stop   context.CancelFunc
-	begun  time.Time
-	ports  ports
-	luck   *rand.Rand
-	life   *life
-	echo   *simulator.Echo
-	users  users
-
-	mu     sync.Mutex
-	lifts  map[int]*Staged
-	staged int
-	used   map[int]bool // ports of machines
+// maxMachines bounds the machines of a world.
+const maxMachines = 20_000
+
+// Cluster is what runs.
+type Cluster struct {
+	Config    *Config
+	opt       Options
+	log       *slog.Logger
+	links     *links
+	state     *simulator.StateService
+	cloud     *simulator.Cloud
+	ctx       context.Context
+	stop      context.CancelFunc
+	startedAt time.Time
+	ports     ports
+	rng       *rand.Rand
+	fixture   *taskFixture
+	replayer  *simulator.HeartbeatReplayer
+	users     userFaults
+
+	mu           sync.Mutex
+	activeFaults map[int]*StagedFault
+	faultCount   int
+	usedPorts    map[int]bool // ports of machines
 }
 
-// Staged is a fault that is in force, or was.
-type Staged struct {
-	Number int     `json:"number"`
-	Label  string  `json:"label,omitempty"`
-	What   string  `json:"what"`
-	Since  float64 `json:"since_s"`
-	Until  float64 `json:"until_s,omitempty"` // 0 while it is in force
-	lift   func()
+// StagedFault is a fault that is in force, or was.
+type StagedFault struct {
+	Number      int     `json:"number"`
+	Label       string  `json:"label,omitempty"`
+	Description string  `json:"what"`
+	Since       float64 `json:"since_s"`
+	Until       float64 `json:"until_s,omitempty"` // 0 while it is in force
+	lift        func()
 }
 
 // Start starts a world. Its timeline begins now.
-func Start(ctx context.Context, c *Config, opt Options) (*World, error) {
-	layout := portsOf(c.Controllers)
+func Start(ctx context.Context, c *Config, opt Options) (*Cluster, error) {
+	layout := layOutPorts(c.Controllers)
 	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
 		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, most)
 	}
-	w := &World{Config: c, opt: opt, log: opt.Log, links: newLinks(), store: simulator.NewStore(c.Seed, 0), begun: time.Now(),
-		luck: rand.New(rand.NewPCG(c.Seed, 8)), lifts: map[int]*Staged{}, ports: layout, used: map[int]bool{}}
+	w := &Cluster{Config: c, opt: opt, log: opt.Log, links: newLinks(), state: simulator.NewStateService(c.Seed, 0), startedAt: time.Now(),
+		rng: rand.New(rand.NewPCG(c.Seed, 8)), activeFaults: map[int]*StagedFault{}, ports: layout, usedPorts: map[int]bool{}}
 	if w.log == nil {
 		w.log = slog.New(slog.DiscardHandler)
 	}
 	w.users.begin(c.Seed)
 	w.ctx, w.stop = context.WithCancel(ctx)
-	w.store.Limits = simulator.Limits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
+	w.state.Limits = simulator.StateLimits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
 	if c.StateDelay > 0 {
-		w.store.Delay = func() time.Duration { return c.StateDelay }
+		w.state.ResponseDelay = func() time.Duration { return c.StateDelay }
 	}
-	if err := w.resume(); err != nil {
+	if err := w.restoreState(); err != nil {
 		w.stop()
 		return nil, err
 	}
@@ -101,37 +101,37 @@
 		w.Stop()
 		return nil, err
 	}
-	go w.life.Watch(w.ctx, w.cloud)
+	go w.fixture.WatchMachines(w.ctx, w.cloud)
 	go w.timeline()
 	return w, nil
 }
 
-func (w *World) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", w.opt.Port+offset) }
+func (w *Cluster) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", w.opt.Port+offset) }
 
 // Public is where users and machines reach a controller, and Control where the world itself is
 // asked and told.
-func (w *World) Public(i int) string { return w.addr(i) }
+func (w *Cluster) Public(i int) string { return w.addr(i) }
 
 // Control is where faults are told.
-func (w *World) Control() string { return w.addr(w.ports.control) }
+func (w *Cluster) Control() string { return w.addr(w.ports.control) }
 
 // Metrics is where a controller that this program starts serves its metrics.
-func (w *World) Metrics(i int) string { return w.addr(w.ports.metrics + i) }
+func (w *Cluster) Metrics(i int) string { return w.addr(w.ports.metrics + i) }
 
 // Builds is where a controller may serve build tools.
-func (w *World) Builds(i int) string { return w.addr(w.ports.builds + i) }
+func (w *Cluster) Builds(i int) string { return w.addr(w.ports.builds + i) }
 
 // Blobs is where the blobs of build tools may be kept.
-func (w *World) Blobs() string { return w.addr(w.ports.blobs) }
+func (w *Cluster) Blobs() string { return w.addr(w.ports.blobs) }
 
 // Settings is the platform's file of a controller.
-func (w *World) Settings(i int) string {
+func (w *Cluster) Settings(i int) string {
 	return filepath.Join(w.opt.Dir, fmt.Sprintf("c-%d.json", i))
 }
 
-func (w *World) zone(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
+func (w *Cluster) zone(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
 
-func (w *World) controller(i int) side {
+func (w *Cluster) controller(i int) side {
 	return side{fmt.Sprint("c-", i), "controllers", w.zone(i)}
 }
 
@@ -140,19 +140,19 @@
 	cloud = side{"cloud", "cloud", ""}
 )
 
-func (w *World) makeCloud() {
+func (w *Cluster) makeCloud() {
 	c := w.Config
-	w.life = newLife(w)
-	w.life.Over(w.begun)
-	yard := simulator.NewYard(w.life, c.Workers.GangWait, c.Workers.GangPeer)
+	w.fixture = newTaskFixture(w)
+	w.fixture.SetQuietSince(w.startedAt)
+	yard := simulator.NewTaskRuntime(w.fixture, c.Workers.GangWait, c.Workers.GangPeer)
 	names := map[string]string{}
-	w.echo = &simulator.Echo{Dial: Dial, Most: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
+	w.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
 		names[w.controller(i).name] = w.Public(i)
-		w.echo.Nodes = append(w.echo.Nodes, w.Public(i))
+		w.replayer.Controllers = append(w.replayer.Controllers, w.Public(i))
 	}
-	w.cloud = &simulator.Cloud{Types: c.Types, Rooms: c.Rooms, RPS: c.Cloud.RPS, Lag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
-		Addr: w.machineAddr,
+	w.cloud = &simulator.Cloud{Types: c.Types, CapacityByOffer: c.CapacityByOffer, RPS: c.Cloud.RPS, ListLag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
+		AddrOf: w.machineAddr,
 		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			if w.opt.Machine != nil {
 				if m := w.opt.Machine(id, addr, typ, zone, spot); m != nil {
@@ -161,7 +161,7 @@
 			}
 			me := side{id, "machines", zone}
 			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
-				Down: func() { w.freePort(addr) }, Controllers: names, Yard: yard, Lease: c.Workers.Lease, Report: c.Workers.Report, Shared: c.Shared, Echo: w.echo})
+				TakeDown: func() { w.freePort(addr) }, Controllers: names, Runtime: yard, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: w.replayer})
 		}}
 }
 
@@ -175,7 +175,7 @@
 }
 
 // peer tells who is at an address. What calls a machine is some controller.
-func (w *World) peer(addr string) side {
+func (w *Cluster) peer(addr string) side {
 	for i := range w.Config.Controllers {
 		if addr == w.Public(i) {
 			return w.controller(i)
@@ -185,20 +185,20 @@
 }
 
 // machineAddr gives the first free port to a machine.
-func (w *World) machineAddr(int) string {
+func (w *Cluster) machineAddr(int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	first := w.opt.Port + w.ports.machines
-	for p := first; p <= min(65535, first+mostMachines); p++ {
-		if !w.used[p] {
-			w.used[p] = true
+	for p := first; p <= min(65535, first+maxMachines); p++ {
+		if !w.usedPorts[p] {
+			w.usedPorts[p] = true
 			return fmt.Sprintf("127.0.0.1:%d", p)
 		}
 	}
 	return w.addr(w.ports.machines) // it will never come up
 }
 
-func (w *World) freePort(addr string) {
+func (w *Cluster) freePort(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var p int
@@ -206,13 +206,13 @@
 		time.AfterFunc(time.Second, func() { // its listener is closed by then
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			delete(w.used, p)
+			delete(w.usedPorts, p)
 		})
 	}
 }
 
 // listen opens every port of the world, or names those that are in use.
-func (w *World) listen() error {
+func (w *Cluster) listen() error {
 	var errs []error
 	serve := func(offset int, me, peer side, f transport.ServeConn) {
 		lis, err := net.Listen("tcp4", w.addr(offset))
@@ -225,7 +225,7 @@
 	}
 	for i := range w.Config.Controllers {
 		c := w.controller(i)
-		serve(w.ports.state+i, state, c, w.store.ServeTo(c.name))
+		serve(w.ports.state+i, state, c, w.state.ServeCaller(c.name))
 		serve(w.ports.cloud+i, cloud, c, w.cloud.Serve())
 		for k := range w.Config.Controllers {
 			if k != i {
@@ -241,7 +241,7 @@
 }
 
 // forward passes a connection on to a controller, in both directions as the rules say.
-func (w *World) forward(to int, from side) transport.ServeConn {
+func (w *Cluster) forward(to int, from side) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
 		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
@@ -260,7 +260,7 @@
 }
 
 // writeSettings writes the platform's file of each controller.
-func (w *World) writeSettings() error {
+func (w *Cluster) writeSettings() error {
 	if w.opt.Dir == "" {
 		return nil
 	}
@@ -288,7 +288,7 @@
 	return err
 }
 
-func (w *World) settings(i int) map[string]any {
+func (w *Cluster) settings(i int) map[string]any {
 	c := w.Config
 	siblings := []any{}
 	for k := range c.Controllers {
@@ -300,17 +300,17 @@
 	return map[string]any{"host_name": w.controller(i).name, "location": w.zone(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": siblings,
 		"endpoints": map[string]any{"cloud": w.addr(w.ports.cloud + i), "state": w.addr(w.ports.state + i)},
 		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
-			"workers": map[string]any{"report_s": wk.Report.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
+			"workers": map[string]any{"report_s": wk.HeartbeatInterval.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
 			"state":   map[string]any{"rps": c.State.RPS, "write_rps": c.State.WriteRPS, "value_kb": float64(c.State.ValueBytes) / 1024, "txn_ops": c.State.TxnOps},
 			"cloud":   map[string]any{"rps": c.Cloud.RPS, "list_lag_s": c.Cloud.ListLag.Seconds()},
 			"limits":  map[string]any{"ram_mb": float64(c.Limits.RAMBytes >> 20), "fd_limit": c.Limits.Files}}}
 }
 
-func (w *World) stateFile() string { return filepath.Join(w.opt.Dir, "state.cbor") }
+func (w *Cluster) stateFile() string { return filepath.Join(w.opt.Dir, "state.cbor") }
 
-// resume goes on with a state that was kept, and keeps this one from then on.
-func (w *World) resume() error {
-	if !w.opt.Keep {
+// restoreState goes on with a state that was kept, and keeps this one from then on.
+func (w *Cluster) restoreState() error {
+	if !w.opt.Persist {
 		return nil
 	}
 	text, err := os.ReadFile(w.stateFile())
@@ -319,24 +319,24 @@
 	case err != nil:
 		return err
 	default:
-		var k simulator.Kept
+		var k simulator.StateSnapshot
 		if err := wire.Decode(text, &k); err != nil {
 			return fmt.Errorf("%s is not a kept state: %w", w.stateFile(), err)
 		}
-		w.store.Resume(k)
+		w.state.Resume(k)
 		w.log.Info("going on with a kept state", "keys", len(k.Items), "revision", k.Revision)
 	}
 	go func() {
 		for w.ctx.Err() == nil {
 			sleep(w.ctx, time.Second)
-			w.keep()
+			w.persistState()
 		}
 	}()
 	return nil
 }
 
-func (w *World) keep() {
-	if err := writeWhole(w.stateFile(), wire.Encode(w.store.Keep())); err != nil {
+func (w *Cluster) persistState() {
+	if err := writeWhole(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
 		w.log.Error("the state can't be kept", "error", err)
 	}
 }
@@ -351,25 +351,25 @@
 }
 
 // Stop ends the world, and keeps its state if that was asked for.
-func (w *World) Stop() {
+func (w *Cluster) Stop() {
 	w.stop()
 	if w.cloud != nil {
 		w.cloud.Stop()
 	}
-	if w.opt.Keep {
-		w.keep()
+	if w.opt.Persist {
+		w.persistState()
 	}
 }
 
-// machines picks machines of a zone, spot ones alone if that is asked for.
-func (w *World) machines(f *Fault, spot bool) (ids []string) {
-	w.cloud.Each(func(m wire.ListedMachine, _ simulator.Machine) {
+// pickMachines picks machines of a zone, spot ones alone if that is asked for.
+func (w *Cluster) pickMachines(f *Fault, spot bool) (ids []string) {
+	w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
 		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
 			ids = append(ids, m.ID)
 		}
 	})
 	w.mu.Lock()
-	w.luck.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
+	w.rng.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
 	w.mu.Unlock()
 	n := len(ids)
 	switch {
@@ -383,98 +383,98 @@
 	return ids
 }
 
-// Known judges whether jobs are forgotten, by what their users are answered.
-func (w *World) Known() *simulator.Forgotten { return &w.life.Known }
+// Liveness judges whether jobs are forgotten, by what their users are answered.
+func (w *Cluster) Liveness() *simulator.LivenessChecker { return &w.fixture.Liveness }
 
 // Page lists keys of the state service.
-func (w *World) Page(prefix string, most int) []wire.Item {
-	return w.store.Page(prefix, "", most).Items
+func (w *Cluster) Page(prefix string, most int) []wire.KeyValue {
+	return w.state.Page(prefix, "", most).Items
 }
 
 // Status is how a world stands.
 type Status struct {
-	Age      float64  `json:"age_s"`
-	Machines int      `json:"machines"`
-	Up       int      `json:"up"`
-	Cost     float64  `json:"cost"`
-	Requests int      `json:"state_requests"`
-	Changes  int      `json:"state_changes"`
-	Keys     int      `json:"state_keys"`
-	Running  int      `json:"tasks_on_machines"`
-	Started  int      `json:"tasks_started"`
-	Term     uint64   `json:"term"` // of the last claim
-	Late     []string `json:"started_after_cancellation"`
-	Broken   []string `json:"rules_broken"`
-	Faults   []Staged `json:"faults"`
+	AgeS               float64       `json:"age_s"`
+	Machines           int           `json:"machines"`
+	Up                 int           `json:"up"`
+	Cost               float64       `json:"cost"`
+	Requests           int           `json:"state_requests"`
+	Changes            int           `json:"state_changes"`
+	Keys               int           `json:"state_keys"`
+	RunningTasks       int           `json:"tasks_on_machines"`
+	StartedTasks       int           `json:"tasks_started"`
+	FencingToken       uint64        `json:"term"` // of the last claim
+	StartedAfterCancel []string      `json:"started_after_cancellation"`
+	Violations         []string      `json:"rules_broken"`
+	Faults             []StagedFault `json:"faults"`
 }
 
 // Status tells how the world stands.
-func (w *World) Status() Status {
-	s := Status{Age: time.Since(w.begun).Seconds(), Up: w.cloud.Count()}
-	s.Cost, s.Machines = w.cloud.Spent()
-	s.Requests, s.Changes, s.Keys = w.store.Counts()
-	s.Running, s.Started = w.life.Counts()
-	s.Broken = w.life.Broken()
-	s.Late, _ = w.life.Late.After()
-	for _, it := range w.Page(store.TermKey, 1) {
-		_ = wire.DecodeValue(it.Value, &s.Term)
+func (w *Cluster) Status() Status {
+	s := Status{AgeS: time.Since(w.startedAt).Seconds(), Up: w.cloud.CountRunning()}
+	s.Cost, s.Machines = w.cloud.Cost()
+	s.Requests, s.Changes, s.Keys = w.state.Counts()
+	s.RunningTasks, s.StartedTasks = w.fixture.Counts()
+	s.Violations = w.fixture.Violations()
+	s.StartedAfterCancel, _ = w.fixture.Launches.AfterCancellation()
+	for _, it := range w.Page(store.FencingTokenKey, 1) {
+		_ = wire.DecodeValue(it.Value, &s.FencingToken)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for n := 1; n <= w.staged; n++ {
-		s.Faults = append(s.Faults, *w.lifts[n])
+	for n := 1; n <= w.faultCount; n++ {
+		s.Faults = append(s.Faults, *w.activeFaults[n])
 	}
 	return s
 }
 
-// life is how long tasks run: as long as their owners reckon, services until they are
+// taskFixture is how long tasks run: as long as their owners reckon, services until they are
 // stopped. It looks a job up at the controllers, as the platform's users upload them, and
 // judges by the rules of the protocol what it sees.
-type life struct {
+type taskFixture struct {
 	*simulator.Checker
-	world  *World
-	caller *transport.Caller
+	cluster *Cluster
+	caller  *transport.Caller
 }
 
-func newLife(w *World) *life {
-	limits, teams := make(map[string]float64), make(map[string]simulator.Limit)
+func newTaskFixture(w *Cluster) *taskFixture {
+	limits, teams := make(map[string]float64), make(map[string]simulator.TeamLimit)
 	for _, t := range w.Config.Teams {
-		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.Limit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.TeamLimit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 	}
 	c := simulator.NewChecker(w.Config.Workers.Cancel, limits)
-	c.Site, c.Room.Limits = simulator.Site{Types: w.Config.Types, Teams: teams}, teams
-	return &life{Checker: c, world: w, caller: &transport.Caller{Limit: 1 << 20, Dial: Dial}}
+	c.Submissions, c.Starvation.Limits = simulator.SubmissionRules{Types: w.Config.Types, Teams: teams}, teams
+	return &taskFixture{Checker: c, cluster: w, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
 }
 
-// On implements standin.Ground.
-func (l *life) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	if started := l.world.opt.Started; started != nil {
+// TaskStarted implements standin.Ground.
+func (l *taskFixture) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	if started := l.cluster.opt.OnTaskStart; started != nil {
 		started(t)
 	}
-	return l.Checker.On(t, machine, typ, zone, spot)
+	return l.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// Done implements standin.Ground.
-func (l *life) Done(t wire.TaskID) {
-	l.Checker.Done(t)
+// TaskCompleted implements standin.Ground.
+func (l *taskFixture) TaskCompleted(t wire.TaskID) {
+	l.Checker.TaskCompleted(t)
 	if l.Finished(t.Job) {
-		l.world.users.ended(t.Job)
+		l.cluster.users.jobEnded(t.Job)
 	}
 }
 
-// Look implements standin.Slow.
-func (l *life) Look(ctx context.Context, t wire.TaskID) error {
+// LookUp implements standin.Slow.
+func (l *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
 	for try := 0; ; try++ {
 		if _, known := l.Describe(t.Job); known {
 			return nil
 		}
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := l.caller.Call(call, l.world.Public((t.Index+try)%l.world.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
+		resp, err := l.caller.Call(call, l.cluster.Public((t.Index+try)%l.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
 		cancel()
 		var j wire.Job
 		switch {
 		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &j) == nil:
-			l.submitted(&j)
+			l.recordSubmission(&j)
 			return nil
 		case err == nil && resp.Status == 404 && try > 2, ctx.Err() != nil, try > 30:
 			return fmt.Errorf("job %s is not known", t.Job)
@@ -483,8 +483,8 @@
 	}
 }
 
-// submitted takes in a job, once.
-func (l *life) submitted(j *wire.Job) {
+// recordSubmission takes in a job, once.
+func (l *taskFixture) recordSubmission(j *wire.Job) {
 	if _, known := l.Describe(j.ID); known {
 		return
 	}
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -93,10 +93,10 @@
 	}
 }
 
-func small(t *testing.T, port int, opt Options) *World {
+func small(t *testing.T, port int, opt Options) *Cluster {
 	t.Helper()
 	opt.Port = port
-	w, err := Start(t.Context(), Small(), opt)
+	w, err := Start(t.Context(), DefaultConfig(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,12 +105,12 @@
 }
 
 func caller() *transport.Caller {
-	return &transport.Caller{Limit: 1 << 20, Dial: Dial}
+	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
 }
 
 // ask lists the keys of the state service by a controller's door, and tells the status, 0 for no
 // answer.
-func ask(t *testing.T, w *World, c *transport.Caller, i int, patience time.Duration) int {
+func ask(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -143,13 +143,13 @@
 			t.Fatal(err)
 		}
 		if a, b := ask(t, w, c, 0, 200*time.Millisecond), ask(t, w, c, 1, 2*time.Second); a != x.zero || b != x.other {
-			t.Errorf("%s: answered %d and %d", s.What, a, b)
+			t.Errorf("%s: answered %d and %d", s.Description, a, b)
 		}
 		if !w.Lift(s.Number) || w.Lift(s.Number) {
-			t.Errorf("%s: lifted", s.What)
+			t.Errorf("%s: lifted", s.Description)
 		}
 		if a := ask(t, w, c, 0, 2*time.Second); a != 200 {
-			t.Errorf("after %s: %d", s.What, a)
+			t.Errorf("after %s: %d", s.Description, a)
 		}
 	}
 	if _, err := w.Stage(Fault{Kind: "controller_kill"}); err == nil {
@@ -160,20 +160,20 @@
 // TestCutOff: a controller that is cut from the state service and its siblings reaches neither,
 // nor do they reach it, and its machines and the cloud do.
 func TestCutOff(t *testing.T) {
-	w := &World{Config: Small(), links: newLinks()}
-	lift := w.cutOff(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
+	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	lift := w.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
 	c, machine := w.controller(0), side{"n-1", "machines", "a"}
 	for _, x := range []struct {
 		side side
 		cut  bool
 	}{{state, true}, {w.controller(1), true}, {w.controller(2), true}, {machine, false}, {cloud, false}} {
-		out, _, _ := w.links.way(c, x.side)
-		in, _, _ := w.links.way(x.side, c)
+		out, _, _ := w.links.modeOf(c, x.side)
+		in, _, _ := w.links.modeOf(x.side, c)
 		if (out != "") != x.cut || (in != "") != x.cut {
 			t.Errorf("%v: %q, %q", x.side, out, in)
 		}
 	}
-	if mode, _, _ := w.links.way(w.controller(1), state); mode != "" {
+	if mode, _, _ := w.links.modeOf(w.controller(1), state); mode != "" {
 		t.Errorf("another is cut off: %q", mode)
 	}
 	if lift(); len(w.links.rules) > 0 {
@@ -246,14 +246,14 @@
 
 // TestZoneWorksInside: a zone that is cut off from all reaches itself, and nothing else.
 func TestZoneWorksInside(t *testing.T) {
-	w := &World{Config: Small(), links: newLinks()}
-	w.cut(&Fault{Kind: "cut", From: "zone:b", To: "all"})
+	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	w.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
 	here, there := side{"n-1", "machines", "b"}, side{"n-2", "machines", "a"}
 	for _, x := range []struct {
 		from, to side
 		cut      bool
 	}{{here, side{"c-1", "controllers", "b"}, false}, {here, state, true}, {state, here, true}, {here, there, true}, {there, state, false}, {there, side{"c-1", "controllers", "b"}, true}} {
-		if mode, _, _ := w.links.way(x.from, x.to); (mode != "") != x.cut {
+		if mode, _, _ := w.links.modeOf(x.from, x.to); (mode != "") != x.cut {
 			t.Errorf("%v to %v: %q", x.from, x.to, mode)
 		}
 	}
@@ -262,8 +262,8 @@
 // TestKeep: a world that is stopped goes on with what the state service held, and files are whole.
 func TestKeep(t *testing.T) {
 	dir := t.TempDir()
-	w := small(t, 27300+400, Options{Dir: dir, Keep: true})
-	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Change{{Put: "a/1", Value: "x"}}}); status != 200 {
+	w := small(t, 27300+400, Options{Dir: dir, Persist: true})
+	if status, _ := w.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
 		t.Fatal(status)
 	}
 	var settings struct {
@@ -273,14 +273,14 @@
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
 	w.Stop()
-	again := small(t, 27300+800, Options{Dir: dir, Keep: true})
+	again := small(t, 27300+800, Options{Dir: dir, Persist: true})
 	if items := again.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
 	}
 	if parts, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(parts) > 0 {
 		t.Errorf("%v is left", parts)
 	}
-	if _, err := Start(t.Context(), Small(), Options{Port: 27300 + 800}); err == nil || !strings.Contains(err.Error(), "ports are in use") {
+	if _, err := Start(t.Context(), DefaultConfig(), Options{Port: 27300 + 800}); err == nil || !strings.Contains(err.Error(), "ports are in use") {
 		t.Errorf("the same ports again: %v", err)
 	}
 }
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -22,34 +22,34 @@
 
 // Config is what a world file says.
 type Config struct {
-	Seed        uint64
-	Controllers int
-	Zones       []string
-	Workers     config.Workers
-	State       config.Store
-	StateDelay  time.Duration // of each answer
-	Cloud       config.Cloud
-	Limits      config.Limits
-	Teams       []config.Team
-	Types       []wire.MachineType
-	Rooms       map[simulator.Offer]int
-	Shared      bool // images that a machine fetches at once share its rate
-	Timeline    []Fault
+	Seed            uint64
+	Controllers     int
+	Zones           []string
+	Workers         config.Workers
+	State           config.Store
+	StateDelay      time.Duration // of each answer
+	Cloud           config.Cloud
+	Limits          config.Limits
+	Teams           []config.Team
+	Types           []wire.MachineType
+	CapacityByOffer map[simulator.Offer]int
+	SharedFetchRate bool // images that a machine fetches at once share its rate
+	Timeline        []Fault
 }
 
-// MostControllers is how many controllers a world may have.
-const MostControllers = 24
+// MaxControllers is how many controllers a world may have.
+const MaxControllers = 24
 
-// Small is the world of newcomers: three controllers, two zones, machines that are up at once.
-func Small() *Config {
+// DefaultConfig is the world of newcomers: three controllers, two zones, machines that are up at once.
+func DefaultConfig() *Config {
 	t := wire.MachineType{Name: "dev-4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"}}
-	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, Rooms: map[simulator.Offer]int{},
-		Workers: config.Workers{Report: time.Second, Lease: 10 * time.Second, GangWait: 10 * time.Second, GangPeer: 3 * time.Second, Cancel: 30 * time.Second},
+	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, CapacityByOffer: map[simulator.Offer]int{},
+		Workers: config.Workers{HeartbeatInterval: time.Second, Lease: 10 * time.Second, GangWait: 10 * time.Second, GangPeer: 3 * time.Second, Cancel: 30 * time.Second},
 		State:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 16 << 10, TxnOps: 24}, Cloud: config.Cloud{RPS: 10, ListLag: 500 * time.Millisecond},
 		Limits: config.Limits{RAMBytes: 200 << 20, Files: 1000}, Teams: []config.Team{{Name: "red"}, {Name: "blue", GPUs: 4, GPUsMax: 16}}}
 	for _, z := range t.Zones {
-		c.Rooms[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2
-		c.Rooms[simulator.Offer{Type: t.Name, Zone: z}] = 2
+		c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2
+		c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z}] = 2
 	}
 	return c
 }
@@ -60,7 +60,7 @@
 	faults []error
 }
 
-func (r *reader) wrong(section, key, value, allowed string) {
+func (r *reader) reject(section, key, value, allowed string) {
 	r.faults = append(r.faults, fmt.Errorf("line %d: [%s] %s: %q: must be %s", r.line(section, key), section, key, value, allowed))
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-func yes(b *bool) func(string) string {
+func boolean(b *bool) func(string) string {
 	return func(v string) string {
 		if *b = v == "yes"; !*b && v != "no" {
 			return "yes or no"
@@ -147,17 +147,17 @@
 	for _, key := range sec.Keys() {
 		take := f[key.Name()]
 		if take == nil {
-			r.wrong(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(known(f), ", "))
+			r.reject(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(keysOf(f), ", "))
 			bad = append(bad, key.Name())
 		} else if allowed := take(key.Value()); allowed != "" {
-			r.wrong(sec.Name(), key.Name(), key.Value(), allowed)
+			r.reject(sec.Name(), key.Name(), key.Value(), allowed)
 			bad = append(bad, key.Name())
 		}
 	}
 	return bad
 }
 
-func known(f fields) (names []string) {
+func keysOf(f fields) (names []string) {
 	for name := range f {
 		names = append(names, name)
 	}
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("not a world file: %w", err)
 	}
-	c := Small()
+	c := DefaultConfig()
 	r := &reader{lines: strings.Split(string(text), "\n")}
 	types, teams := false, false
 	for _, sec := range file.Sections() {
@@ -179,10 +179,10 @@
 		switch {
 		case sec.Name() == ini.DefaultSection && len(sec.Keys()) == 0:
 		case sec.Name() == "world":
-			r.section(sec, c.worldFields())
+			r.section(sec, c.clusterFields())
 		case kind == "type" && named:
 			if !types {
-				c.Types, c.Rooms, types = nil, map[simulator.Offer]int{}, true
+				c.Types, c.CapacityByOffer, types = nil, map[simulator.Offer]int{}, true
 			}
 			r.machineType(c, sec, name)
 		case kind == "team" && named:
@@ -196,7 +196,7 @@
 			r.faults = append(r.faults, fmt.Errorf("line %d: [%s]: must be world, type NAME, team NAME or fault NAME", r.line(sec.Name(), ""), sec.Name()))
 		}
 	}
-	r.whole(c, types)
+	r.checkConsistency(c, types)
 	if err := errors.Join(r.faults...); err != nil {
 		return nil, err
 	}
@@ -204,12 +204,12 @@
 	return c, nil
 }
 
-func (c *Config) worldFields() fields {
+func (c *Config) clusterFields() fields {
 	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.Files, 200.0
 	return fields{
 		"seed":        func(v string) string { s := count(&seed, 0, math.MaxInt32)(v); c.Seed = uint64(seed); return s },
-		"controllers": count(&c.Controllers, 1, MostControllers), "zones": words(&c.Zones),
-		"report": duration(&c.Workers.Report, 100*time.Millisecond, time.Minute), "lease": duration(&c.Workers.Lease, time.Second, 10*time.Minute),
+		"controllers": count(&c.Controllers, 1, MaxControllers), "zones": words(&c.Zones),
+		"report": duration(&c.Workers.HeartbeatInterval, 100*time.Millisecond, time.Minute), "lease": duration(&c.Workers.Lease, time.Second, 10*time.Minute),
 		"gang_wait": duration(&c.Workers.GangWait, time.Second, 10*time.Minute), "gang_peer": duration(&c.Workers.GangPeer, 100*time.Millisecond, time.Minute),
 		"cancel":    duration(&c.Workers.Cancel, time.Second, 20*time.Minute),
 		"state_rps": number(&c.State.RPS, 1, 1e6), "state_write_rps": number(&c.State.WriteRPS, 1, 1e6), "state_delay": duration(&c.StateDelay, 0, 10*time.Second),
@@ -218,7 +218,7 @@
 			c.State.ValueBytes = int(value * 1024)
 			return s
 		},
-		"fetch_shared": yes(&c.Shared),
+		"fetch_shared": boolean(&c.SharedFetchRate),
 		"txn_ops":      count(&c.State.TxnOps, 4, 1000),
 		"cloud_rps":    number(&c.Cloud.RPS, 0.1, 1e6), "list_lag": duration(&c.Cloud.ListLag, 0, time.Minute),
 		"ram_mb": func(v string) string {
@@ -241,7 +241,7 @@
 		t.Zones = c.Zones
 	}
 	for _, z := range t.Zones {
-		c.Rooms[simulator.Offer{Type: name, Zone: z}], c.Rooms[simulator.Offer{Type: name, Zone: z, Spot: true}] = ordinary, spot
+		c.CapacityByOffer[simulator.Offer{Type: name, Zone: z}], c.CapacityByOffer[simulator.Offer{Type: name, Zone: z, Spot: true}] = ordinary, spot
 	}
 	c.Types = append(c.Types, t)
 }
@@ -250,10 +250,10 @@
 	t := config.Team{Name: name}
 	r.section(sec, fields{"cpus": number(&t.CPUs, 0, 1e9), "cpus_max": number(&t.CPUsMax, 0, 1e9), "gpus": number(&t.GPUs, 0, 1e9), "gpus_max": number(&t.GPUsMax, 0, 1e9)})
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-		r.wrong(sec.Name(), "cpus", fmt.Sprint(t.CPUs), "no more than cpus_max")
+		r.reject(sec.Name(), "cpus", fmt.Sprint(t.CPUs), "no more than cpus_max")
 	}
 	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		r.wrong(sec.Name(), "gpus", fmt.Sprint(t.GPUs), "no more than gpus_max")
+		r.reject(sec.Name(), "gpus", fmt.Sprint(t.GPUs), "no more than gpus_max")
 	}
 	c.Teams = append(c.Teams, t)
 }
@@ -262,7 +262,7 @@
 	f := Fault{Label: name}
 	bad := r.section(sec, f.fields())
 	if err := f.Check(c); err != nil {
-		for _, e := range joined(err) {
+		for _, e := range splitJoined(err) {
 			if slices.Contains(bad, fieldOf(e)) {
 				continue // it was named, with what is allowed
 			}
@@ -272,26 +272,26 @@
 	c.Timeline = append(c.Timeline, f)
 }
 
-// whole checks what follows from several sections.
-func (r *reader) whole(c *Config, types bool) {
+// checkConsistency checks what follows from several sections.
+func (r *reader) checkConsistency(c *Config, types bool) {
 	check := func(ok bool, key, value, allowed string) {
 		if !ok {
-			r.wrong("world", key, value, allowed)
+			r.reject("world", key, value, allowed)
 		}
 	}
-	check(c.Workers.Lease > c.Workers.Report, "lease", c.Workers.Lease.String(), "more than report")
+	check(c.Workers.Lease > c.Workers.HeartbeatInterval, "lease", c.Workers.Lease.String(), "more than report")
 	check(c.Workers.Cancel > c.Workers.Lease, "cancel", c.Workers.Cancel.String(), "more than lease")
 	for i := range c.Types {
 		t := &c.Types[i]
 		if !types {
 			t.Zones = c.Zones
 			for _, z := range c.Zones {
-				c.Rooms[simulator.Offer{Type: t.Name, Zone: z}], c.Rooms[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2, 2
+				c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z}], c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2, 2
 			}
 		}
 		for _, z := range t.Zones {
 			if !slices.Contains(c.Zones, z) {
-				r.wrong("type "+t.Name, "zones", z, "one of the world's zones, "+strings.Join(c.Zones, ", "))
+				r.reject("type "+t.Name, "zones", z, "one of the world's zones, "+strings.Join(c.Zones, ", "))
 			}
 		}
 	}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -77,11 +77,11 @@
 
 func (f *Fault) fields() fields {
 	return fields{"kind": word(&f.Kind, Kinds()...), "at": duration(&f.At, 0, 24*time.Hour), "for": duration(&f.For, 0, 24*time.Hour),
-		"from": word(&f.From), "to": word(&f.To), "mode": word(&f.Mode, "hold", "lose", "reset"), "one_way": yes(&f.OneWay), "delay": duration(&f.Delay, time.Millisecond, time.Hour),
+		"from": word(&f.From), "to": word(&f.To), "mode": word(&f.Mode, "hold", "lose", "reset"), "one_way": boolean(&f.OneWay), "delay": duration(&f.Delay, time.Millisecond, time.Hour),
 		"share": number(&f.Share, 0, 1), "count": count(&f.Count, 1, 1_000_000), "zone": word(&f.Zone), "notice": duration(&f.Notice, 0, time.Hour),
 		"times": number(&f.Times, 0.01, 1000), "who": word(&f.Who),
-		"from_state": yes(&f.FromState), "from_peers": yes(&f.FromPeers),
-		"at_once": yes(&f.AtOnce), "for_next": yes(&f.ForNext), "hang": duration(&f.Hang, time.Millisecond, time.Hour)}
+		"from_state": boolean(&f.FromState), "from_peers": boolean(&f.FromPeers),
+		"at_once": boolean(&f.AtOnce), "for_next": boolean(&f.ForNext), "hang": duration(&f.Hang, time.Millisecond, time.Hour)}
 }
 
 // takes lists the fields that a fault of this kind has.
@@ -104,7 +104,7 @@
 	return ""
 }
 
-func joined(err error) []error {
+func splitJoined(err error) []error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()
 	}
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -15,9 +15,9 @@
 func TestGoldenMessages(t *testing.T) {
 	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[Staged](t, "staged.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[Told](t, "told.cbor", encode, wire.DecodeValue)
-	goldentest.Check[simulator.Kept](t, "kept.cbor", encode, wire.DecodeValue)
+	goldentest.Check[StagedFault](t, "staged.json", json.Marshal, json.Unmarshal)
+	goldentest.Check[Observation](t, "told.cbor", encode, wire.DecodeValue)
+	goldentest.Check[simulator.StateSnapshot](t, "kept.cbor", encode, wire.DecodeValue)
 }
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -22,17 +22,17 @@
 
 // rule is what becomes of bytes from one side to another.
 type rule struct {
-	from, to string
-	inside   bool // a zone that is cut off works on inside
-	mode     string
-	delay    time.Duration
+	from, to     string
+	sparesInside bool // a zone that is cut off works on inside
+	mode         string
+	delay        time.Duration
 }
 
 func (r *rule) applies(from, to side) bool {
 	if !from.is(r.from) || !to.is(r.to) {
 		return false
 	}
-	return !(r.inside && from.zone == to.zone)
+	return !(r.sparesInside && from.zone == to.zone)
 }
 
 // links says what becomes of what is sent, as faults come and go.
@@ -42,11 +42,11 @@
 	next    int
 	changed chan struct{}
 	conns   map[*link]bool
-	traffic map[Way]*counter
+	traffic map[Direction]*counter
 }
 
 func newLinks() *links {
-	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Way]*counter{}}
+	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*counter{}}
 }
 
 // add puts a rule into force, until the function that it gives is called.
@@ -56,7 +56,7 @@
 	l.next++
 	n := l.next
 	l.rules[n] = r
-	l.wake()
+	l.notifyChange()
 	if r.mode == "reset" {
 		for c := range l.conns {
 			if r.applies(c.local, c.peer) || r.applies(c.peer, c.local) {
@@ -68,17 +68,17 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.rules, n)
-		l.wake()
+		l.notifyChange()
 	}
 }
 
-func (l *links) wake() {
+func (l *links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// way tells what becomes of bytes from one side to another now.
-func (l *links) way(from, to side) (mode string, delay time.Duration, changed <-chan struct{}) {
+// modeOf tells what becomes of bytes from one side to another now.
+func (l *links) modeOf(from, to side) (mode string, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.rules {
@@ -95,10 +95,10 @@
 	return mode, delay, l.changed
 }
 
-// pass waits until bytes may go from one side to another, and says whether they are lost.
-func (l *links) pass(done <-chan struct{}, from, to side) (lost bool, err error) {
+// awaitPassage waits until bytes may go from one side to another, and says whether they are lost.
+func (l *links) awaitPassage(done <-chan struct{}, from, to side) (lost bool, err error) {
 	for {
-		mode, delay, changed := l.way(from, to)
+		mode, delay, changed := l.modeOf(from, to)
 		switch mode {
 		case "hold":
 			select {
@@ -124,13 +124,13 @@
 // link is one end of a connection, whose bytes go as the rules say.
 type link struct {
 	net.Conn
-	links       *links
-	local, peer side
-	in          bool // what is read is judged here too, since the other end is outside
-	done        chan struct{}
-	once        sync.Once
-	idle        time.Duration
-	sent, taken *counter
+	links          *links
+	local, peer    side
+	checkReads     bool // what is read is judged here too, since the other end is outside
+	done           chan struct{}
+	once           sync.Once
+	idle           time.Duration
+	sent, received *counter
 
 	mu      sync.Mutex
 	held    [][]byte
@@ -138,9 +138,9 @@
 }
 
 func (l *links) wrap(c net.Conn, local, peer side, in bool) *link {
-	k := &link{Conn: c, links: l, local: local, peer: peer, in: in, done: make(chan struct{})}
+	k := &link{Conn: c, links: l, local: local, peer: peer, checkReads: in, done: make(chan struct{})}
 	l.mu.Lock()
-	k.sent, k.taken = l.counter(local, peer), l.counter(peer, local)
+	k.sent, k.received = l.counter(local, peer), l.counter(peer, local)
 	l.conns[k] = true
 	l.mu.Unlock()
 	return k
@@ -157,12 +157,12 @@
 		}
 		n, err := c.Conn.Read(p)
 		if n > 0 {
-			c.taken.add(n)
+			c.received.add(n)
 		}
-		if n == 0 || err != nil || !c.in {
+		if n == 0 || err != nil || !c.checkReads {
 			return n, err
 		}
-		lost, err := c.links.pass(c.done, c.peer, c.local)
+		lost, err := c.links.awaitPassage(c.done, c.peer, c.local)
 		if err != nil {
 			c.Close()
 			return 0, err
@@ -176,7 +176,7 @@
 // Write sends as the rules say. What is lost or held up seems sent; what was held up is
 // delivered in order afterwards, also if the sender has closed meanwhile.
 func (c *link) Write(p []byte) (int, error) {
-	mode, delay, _ := c.links.way(c.local, c.peer)
+	mode, delay, _ := c.links.modeOf(c.local, c.peer)
 	c.sent.add(len(p))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,7 +197,7 @@
 // deliver sends what was held up.
 func (c *link) deliver() {
 	for {
-		lost, _ := c.links.pass(nil, c.local, c.peer)
+		lost, _ := c.links.awaitPassage(nil, c.local, c.peer)
 		c.mu.Lock()
 		if !lost {
 			_, _ = c.Conn.Write(c.held[0])
@@ -235,16 +235,16 @@
 // host is the network as one side sees it: plain sockets of the library, since thousands of
 // machines listen in one process and an event loop for each would be a thread for each.
 type host struct {
-	links *links
-	me    side
-	peer  func(addr string) side // who is at an address
+	links  *links
+	self   side
+	sideAt func(addr string) side // who is at an address
 }
 
 // Dial implements transport.Network.
 func (h host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	to := h.peer(addr)
-	for _, way := range [][2]side{{h.me, to}, {to, h.me}} { // a connection needs both
-		if lost, err := h.links.pass(ctx.Done(), way[0], way[1]); err != nil {
+	to := h.sideAt(addr)
+	for _, way := range [][2]side{{h.self, to}, {to, h.self}} { // a connection needs both
+		if lost, err := h.links.awaitPassage(ctx.Done(), way[0], way[1]); err != nil {
 			return nil, err
 		} else if lost {
 			<-ctx.Done()
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.links.wrap(c, h.me, to, true), nil
+	return h.links.wrap(c, h.self, to, true), nil
 }
 
 // Dial opens a connection that no fault touches.
@@ -271,7 +271,7 @@
 	if err != nil {
 		return err
 	}
-	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.me, h.peer(""), true)) })
+	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.self, h.sideAt(""), true)) })
 	return nil
 }
 
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Procs are the controllers of a world as processes of this one. They end with it, however
+// Processes are the controllers of a world as processes of this one. They end with it, however
 // it ends.
-type Procs struct {
+type Processes struct {
 	Program  string // the path of amberdeal
 	Level    string // their LOG_LEVEL
 	Dir      string // of their logs
@@ -25,22 +25,22 @@
 	Extra    func(i int) string // what that of one says beside, if it is set
 	Metrics  func(i int) string // where each serves metrics
 
-	ctx    context.Context
-	starts chan func()
-	mu     sync.Mutex
-	procs  map[int]*exec.Cmd
-	over   bool // all were ended, and none is started any more
+	ctx     context.Context
+	starts  chan func()
+	mu      sync.Mutex
+	procs   map[int]*exec.Cmd
+	stopped bool // all were ended, and none is started any more
 }
 
 // Begin readies the processes, which end when the context does.
-func (p *Procs) Begin(ctx context.Context) {
+func (p *Processes) Begin(ctx context.Context) {
 	p.ctx, p.starts, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
 	go p.starter()
 }
 
 // starter starts processes, always on the same thread: they end with it, however
 // this process ends.
-func (p *Procs) starter() {
+func (p *Processes) starter() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
@@ -54,10 +54,10 @@
 }
 
 // Log is the file of a controller's log.
-func (p *Procs) Log(i int) string { return filepath.Join(p.Dir, fmt.Sprintf("c-%d.log", i)) }
+func (p *Processes) Log(i int) string { return filepath.Join(p.Dir, fmt.Sprintf("c-%d.log", i)) }
 
 // Start starts a controller that does not run.
-func (p *Procs) Start(i int) error {
+func (p *Processes) Start(i int) error {
 	log, err := os.OpenFile(p.Log(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		return err
 	}
 	p.mu.Lock()
-	over := p.over
+	over := p.stopped
 	if !over {
 		p.procs[i] = cmd
 	}
@@ -93,16 +93,16 @@
 	if over { // meanwhile
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		return errOver
+		return errStopped
 	}
 	return nil
 }
 
-// errOver means that all processes were ended.
-var errOver = errors.New("all controllers were ended")
+// errStopped means that all processes were ended.
+var errStopped = errors.New("all controllers were ended")
 
 // PID gives the process id of a controller, 0 where it does not run.
-func (p *Procs) PID(i int) int {
+func (p *Processes) PID(i int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if cmd := p.procs[i]; cmd != nil {
@@ -112,7 +112,7 @@
 }
 
 // Kill ends a controller with no signal that it could see.
-func (p *Procs) Kill(i int) {
+func (p *Processes) Kill(i int) {
 	p.mu.Lock()
 	cmd := p.procs[i]
 	delete(p.procs, i)
@@ -125,13 +125,13 @@
 
 // KillNamed ends a controller, as a fault does: it is started again after a while, 2 s unless
 // that is said.
-func (p *Procs) KillNamed(name string, back time.Duration) error {
+func (p *Processes) KillNamed(name string, back time.Duration) error {
 	i, err := numberOf(name)
 	if err != nil {
 		return err
 	}
 	p.Kill(i)
-	time.AfterFunc(cmp.Or(back, usualBack), func() {
+	time.AfterFunc(cmp.Or(back, defaultRestartDelay), func() {
 		if p.ctx.Err() == nil {
 			_ = p.Start(i)
 		}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// HangNamed has a controller stand still, or go on.
-func (p *Procs) HangNamed(name string, still bool) error {
+// PauseNamed has a controller stand still, or go on.
+func (p *Processes) PauseNamed(name string, still bool) error {
 	i, err := numberOf(name)
 	if err != nil {
 		return err
@@ -165,9 +165,9 @@
 }
 
 // Stop ends all of them.
-func (p *Procs) Stop() {
+func (p *Processes) Stop() {
 	p.mu.Lock()
-	p.over = true
+	p.stopped = true
 	var all []int
 	for i := range p.procs {
 		all = append(all, i)
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -17,9 +17,9 @@
 )
 
 // timeline stages the faults of the file, each at its time.
-func (w *World) timeline() {
+func (w *Cluster) timeline() {
 	for _, f := range w.Config.Timeline {
-		sleep(w.ctx, f.At-time.Since(w.begun))
+		sleep(w.ctx, f.At-time.Since(w.startedAt))
 		if w.ctx.Err() != nil {
 			return
 		}
@@ -30,22 +30,22 @@
 }
 
 // Stage has a fault happen now, for as long as it says, or until it is lifted.
-func (w *World) Stage(f Fault) (Staged, error) {
+func (w *Cluster) Stage(f Fault) (StagedFault, error) {
 	if err := f.Check(w.Config); err != nil {
-		return Staged{}, err
+		return StagedFault{}, err
 	}
-	lift, err := w.cause(&f)
+	lift, err := w.apply(&f)
 	if err != nil {
-		return Staged{}, err
+		return StagedFault{}, err
 	}
 	w.mu.Lock()
-	w.staged++
-	s := Staged{Number: w.staged, Label: f.Label, What: f.describe(), Since: w.age(), lift: lift}
+	w.faultCount++
+	s := StagedFault{Number: w.faultCount, Label: f.Label, Description: f.describe(), Since: w.ageS(), lift: lift}
 	kept := s
-	w.lifts[s.Number] = &kept
-	w.life.Over(time.Time{})
+	w.activeFaults[s.Number] = &kept
+	w.fixture.SetQuietSince(time.Time{})
 	w.mu.Unlock()
-	w.log.Info("fault", "number", s.Number, "label", f.Label, "what", s.What)
+	w.log.Info("fault", "number", s.Number, "label", f.Label, "what", s.Description)
 	switch {
 	case lift == nil:
 		w.Lift(s.Number)
@@ -56,16 +56,16 @@
 }
 
 // Lift ends a fault that is in force, and reports whether it was.
-func (w *World) Lift(number int) bool {
+func (w *Cluster) Lift(number int) bool {
 	w.mu.Lock()
-	s := w.lifts[number]
+	s := w.activeFaults[number]
 	if s == nil || s.Until > 0 {
 		w.mu.Unlock()
 		return false
 	}
-	s.Until = w.age()
-	if w.calm() {
-		w.life.Over(time.Now())
+	s.Until = w.ageS()
+	if w.noActiveFaults() {
+		w.fixture.SetQuietSince(time.Now())
 	}
 	w.mu.Unlock()
 	if s.lift != nil {
@@ -75,9 +75,9 @@
 	return true
 }
 
-// calm reports whether no fault is in force.
-func (w *World) calm() bool {
-	for _, s := range w.lifts {
+// noActiveFaults reports whether no fault is in force.
+func (w *Cluster) noActiveFaults() bool {
+	for _, s := range w.activeFaults {
 		if s.Until == 0 {
 			return false
 		}
@@ -85,95 +85,95 @@
 	return true
 }
 
-func (w *World) age() float64 { return time.Since(w.begun).Round(time.Millisecond).Seconds() }
+func (w *Cluster) ageS() float64 { return time.Since(w.startedAt).Round(time.Millisecond).Seconds() }
 
-// cause has a fault happen, and gives what ends it, or nil where it has no end.
-func (w *World) cause(f *Fault) (lift func(), err error) {
-	store := func(change, back func(*simulator.Store)) func() {
-		w.store.Stage(change)
-		return func() { w.store.Stage(back) }
+// apply has a fault happen, and gives what ends it, or nil where it has no end.
+func (w *Cluster) apply(f *Fault) (lift func(), err error) {
+	store := func(change, back func(*simulator.StateService)) func() {
+		w.state.Configure(change)
+		return func() { w.state.Configure(back) }
 	}
 	cloud := func(change, back func(*simulator.CloudFaults)) func() {
-		w.cloud.Fail(change)
-		return func() { w.cloud.Fail(back) }
+		w.cloud.SetFaults(change)
+		return func() { w.cloud.SetFaults(back) }
 	}
 	switch f.Kind {
 	case "cut", "slow":
-		return w.cut(f), nil
+		return w.cutLinks(f), nil
 	case "state_down":
-		w.store.Outage(true)
-		return func() { w.store.Outage(false) }, nil
+		w.state.SetOutage(true)
+		return func() { w.state.SetOutage(false) }, nil
 	case "state_refuse":
-		w.store.Refuse(f.Who, true)
-		return func() { w.store.Refuse(f.Who, false) }, nil
+		w.state.RefuseCaller(f.Who, true)
+		return func() { w.state.RefuseCaller(f.Who, false) }, nil
 	case "state_slow":
 		usual := w.Config.StateDelay
-		return store(func(s *simulator.Store) { s.Delay = func() time.Duration { return f.Delay } },
-			func(s *simulator.Store) { s.Delay = func() time.Duration { return usual } }), nil
+		return store(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
+			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } }), nil
 	case "state_lose":
-		return store(func(s *simulator.Store) { s.Lossy = f.Share }, func(s *simulator.Store) { s.Lossy = 0 }), nil
+		return store(func(s *simulator.StateService) { s.LossShare = f.Share }, func(s *simulator.StateService) { s.LossShare = 0 }), nil
 	case "state_late":
 		if f.AtOnce {
-			return store(func(s *simulator.Store) { s.Unheard = f.Share }, func(s *simulator.Store) { s.Unheard = 0 }), nil
+			return store(func(s *simulator.StateService) { s.LostReplyShare = f.Share }, func(s *simulator.StateService) { s.LostReplyShare = 0 }), nil
 		}
-		return store(func(s *simulator.Store) { s.Later = f.Share }, func(s *simulator.Store) { s.Later = 0 }), nil
+		return store(func(s *simulator.StateService) { s.DelayedShare = f.Share }, func(s *simulator.StateService) { s.DelayedShare = 0 }), nil
 	case "report_late":
 		if f.ForNext {
-			w.echo.ForNext(f.Share)
+			w.replayer.KeepForNextLeader(f.Share)
 		} else {
-			w.echo.Share(f.Share)
+			w.replayer.SetShare(f.Share)
 		}
-		return func() { w.echo.Share(0) }, nil
+		return func() { w.replayer.SetShare(0) }, nil
 	case "state_forget":
-		w.store.Forget()
+		w.state.DropHistory()
 	case "cloud_down":
-		return cloud(func(c *simulator.CloudFaults) { c.Trouble = true }, func(c *simulator.CloudFaults) { c.Trouble = false }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.Unavailable = true }, func(c *simulator.CloudFaults) { c.Unavailable = false }), nil
 	case "cloud_fewer":
-		return cloud(func(c *simulator.CloudFaults) { c.Fewer = f.Share }, func(c *simulator.CloudFaults) { c.Fewer = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.MissingCapacityShare = f.Share }, func(c *simulator.CloudFaults) { c.MissingCapacityShare = 0 }), nil
 	case "cloud_late":
-		return cloud(func(c *simulator.CloudFaults) { c.Late = f.Delay }, func(c *simulator.CloudFaults) { c.Late = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.RentDelay = f.Delay }, func(c *simulator.CloudFaults) { c.RentDelay = 0 }), nil
 	case "boot_slow":
-		return cloud(func(c *simulator.CloudFaults) { c.BootTimes = f.Times }, func(c *simulator.CloudFaults) { c.BootTimes = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.BootFactor = f.Times }, func(c *simulator.CloudFaults) { c.BootFactor = 0 }), nil
 	case "boot_never":
-		return cloud(func(c *simulator.CloudFaults) { c.NeverUp = f.Share }, func(c *simulator.CloudFaults) { c.NeverUp = 0 }), nil
+		return cloud(func(c *simulator.CloudFaults) { c.NeverBootShare = f.Share }, func(c *simulator.CloudFaults) { c.NeverBootShare = 0 }), nil
 	case "machine_die":
-		for _, id := range w.machines(f, false) {
-			w.cloud.Die(id)
+		for _, id := range w.pickMachines(f, false) {
+			w.cloud.Crash(id)
 		}
 	case "machine_hang":
-		w.each(f, func(m simulator.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
+		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
 	case "machine_deaf":
-		return w.lasting(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) }), nil
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) }), nil
 	case "machine_mute":
-		return w.lasting(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) }), nil
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) }), nil
 	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
-		return w.users.cause(w, f)
+		return w.users.apply(w, f)
 	case "controller_cut":
-		return w.cutOff(f), nil
+		return w.cutOffController(f), nil
 	case "machine_restart":
-		back := cmp.Or(f.Delay, usualBack)
-		w.each(f, func(m simulator.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
+		back := cmp.Or(f.Delay, defaultRestartDelay)
+		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
 	case "spot_taken":
-		for _, id := range w.machines(f, true) {
-			w.cloud.TakeBack(id, f.Notice)
+		for _, id := range w.pickMachines(f, true) {
+			w.cloud.Preempt(id, f.Notice)
 		}
 	case "controller_kill", "controller_hang":
-		return w.trouble(f)
+		return w.cloudFault(f)
 	}
 	return nil, nil
 }
 
-// cut puts rules into force, in both directions unless one is meant. A zone that is cut off
+// cutLinks puts rules into force, in both directions unless one is meant. A zone that is cut off
 // from all works on inside.
-func (w *World) cut(f *Fault) func() {
+func (w *Cluster) cutLinks(f *Fault) func() {
 	inside := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
 	mode := f.Mode
 	if f.Kind == "cut" && mode == "" {
 		mode = "hold"
 	}
-	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, inside: inside, mode: mode, delay: f.Delay})}
+	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, sparesInside: inside, mode: mode, delay: f.Delay})}
 	if !f.OneWay {
-		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, inside: inside, mode: mode, delay: f.Delay}))
+		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, sparesInside: inside, mode: mode, delay: f.Delay}))
 	}
 	return func() {
 		for _, lift := range lifts {
@@ -182,13 +182,13 @@
 	}
 }
 
-// cutOff severs a controller from the state service, from its siblings, or from both, and from
+// cutOffController severs a controller from the state service, from its siblings, or from both, and from
 // nobody else.
-func (w *World) cutOff(f *Fault) func() {
+func (w *Cluster) cutOffController(f *Fault) func() {
 	var lifts []func()
 	for to, meant := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
 		if meant {
-			lifts = append(lifts, w.cut(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
+			lifts = append(lifts, w.cutLinks(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
 		}
 	}
 	return func() {
@@ -198,26 +198,26 @@
 	}
 }
 
-// usualBack is after how long what ends is back, unless a fault says otherwise.
-const usualBack = 2 * time.Second
+// defaultRestartDelay is after how long what ends is back, unless a fault says otherwise.
+const defaultRestartDelay = 2 * time.Second
 
-// each does something to the machines that a fault is about.
-func (w *World) each(f *Fault, do func(simulator.Machine)) {
+// eachMachine does something to the machines that a fault is about.
+func (w *Cluster) eachMachine(f *Fault, do func(simulator.Machine)) {
 	picked := map[string]bool{}
-	for _, id := range w.machines(f, false) {
+	for _, id := range w.pickMachines(f, false) {
 		picked[id] = true
 	}
-	w.cloud.Each(func(m wire.ListedMachine, machine simulator.Machine) {
+	w.cloud.EachRunning(func(m wire.ListedMachine, machine simulator.Machine) {
 		if picked[m.ID] {
 			do(machine)
 		}
 	})
 }
 
-// lasting does something to the machines that a fault is about, and gives what ends it.
-func (w *World) lasting(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
+// holdMachines does something to the machines that a fault is about, and gives what ends it.
+func (w *Cluster) holdMachines(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
 	var all []simulator.Machine
-	w.each(f, func(m simulator.Machine) {
+	w.eachMachine(f, func(m simulator.Machine) {
 		do(m, true)
 		all = append(all, m)
 	})
@@ -228,22 +228,22 @@
 	}
 }
 
-// errNotOurs means that this world's controllers are not its processes.
-var errNotOurs = errors.New("the controllers were not started by this command: end or stop their processes yourself")
+// errExternalControllers means that this world's controllers are not its processes.
+var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
 
-func (w *World) trouble(f *Fault) (lift func(), err error) {
+func (w *Cluster) cloudFault(f *Fault) (lift func(), err error) {
 	names := w.Config.names()
 	if f.Who != "" {
 		names = []string{f.Who}
 	}
-	if w.opt.Kill == nil || w.opt.Hang == nil {
-		return nil, errNotOurs
+	if w.opt.Kill == nil || w.opt.Pause == nil {
+		return nil, errExternalControllers
 	}
 	for _, name := range names {
 		if f.Kind == "controller_kill" {
 			err = errors.Join(err, w.opt.Kill(name, f.Delay))
 		} else {
-			err = errors.Join(err, w.opt.Hang(name, true))
+			err = errors.Join(err, w.opt.Pause(name, true))
 		}
 	}
 	if f.Kind == "controller_kill" {
@@ -251,7 +251,7 @@
 	}
 	return func() {
 		for _, name := range names {
-			_ = w.opt.Hang(name, false)
+			_ = w.opt.Pause(name, false)
 		}
 	}, err
 }
@@ -264,34 +264,34 @@
 	PathJudge  = "/judge" // CBOR: what users did and were told, so that all rules can be judged
 )
 
-// Told is what a user was answered about a job, or the job that a user is about to submit.
-type Told struct {
-	Submitted *wire.Job  `cbor:"submitted,omitempty"`
-	Job       string     `cbor:"job"`
-	Status    int        `cbor:"status"`
-	Stage     wire.Stage `cbor:"stage"`
-	Asked     bool       `cbor:"asked"` // to cancel it
-	Poll      bool       `cbor:"poll"`  // a question, with status 0 where no answer came in time
-	Sent      int64      `cbor:"sent"`  // and Back: ns on a clock of the users
-	Back      int64      `cbor:"back"`
-	Body      wire.Raw   `cbor:"body,omitempty"` // of a submission that must be refused, or may have to be
+// Observation is what a user was answered about a job, or the job that a user is about to submit.
+type Observation struct {
+	Submitted       *wire.Job  `cbor:"submitted,omitempty"`
+	Job             string     `cbor:"job"`
+	Status          int        `cbor:"status"`
+	Stage           wire.Stage `cbor:"stage"`
+	CancelRequested bool       `cbor:"asked"` // to cancel it
+	Poll            bool       `cbor:"poll"`  // a question, with status 0 where no answer came in time
+	SentNS          int64      `cbor:"sent"`  // and Back: ns on a clock of the users
+	AnsweredNS      int64      `cbor:"back"`
+	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that must be refused, or may have to be
 }
 
-// Judge takes in what users did and were told.
-func (w *World) Judge(told []Told) {
+// Observe takes in what users did and were told.
+func (w *Cluster) Observe(told []Observation) {
 	for _, t := range told {
 		if t.Submitted != nil {
-			w.life.submitted(t.Submitted)
+			w.fixture.recordSubmission(t.Submitted)
 			continue
 		}
 		if t.Body != nil {
-			w.life.Answered(t.Body, t.Status)
+			w.fixture.ObserveSubmission(t.Body, t.Status)
 			continue
 		}
 		if t.Status > 0 {
-			w.life.ToldAt(t.Job, t.Status, t.Stage, t.Asked, time.Unix(0, t.Sent), time.Unix(0, t.Back))
+			w.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
 		}
-		w.life.Known.Heard(time.Now(), t.Job, t.Status, t.Stage, t.Asked, t.Poll)
+		w.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
 	}
 }
 
@@ -300,7 +300,7 @@
 	Error string `json:"error"`
 }
 
-func (w *World) control() transport.ServeConn {
+func (w *Cluster) control() transport.ServeConn {
 	answer := func(status int, v any) *httpwire.Response {
 		text, _ := json.Marshal(v)
 		return &httpwire.Response{Status: status, Body: text}
@@ -311,7 +311,7 @@
 		case r.Method == "GET" && r.Path == PathStatus:
 			return answer(200, w.Status())
 		case r.Method == "GET" && r.Path == PathUsers:
-			return answer(200, w.users.orders())
+			return answer(200, w.users.instructions())
 		case r.Method == "POST" && r.Path == PathFaults:
 			var f Fault
 			if err := json.Unmarshal(r.Body, &f); err != nil {
@@ -324,12 +324,12 @@
 			return answer(200, s)
 		case r.Method == "POST" && r.Path == PathJudge:
 			var told struct {
-				Told []Told `cbor:"told"`
+				Told []Observation `cbor:"told"`
 			}
 			if err := wire.Decode(r.Body, &told); err != nil {
 				return answer(400, Refusal{err.Error()})
 			}
-			w.Judge(told.Told)
+			w.Observe(told.Told)
 			return answer(200, struct{}{})
 		case r.Method == "DELETE" && named:
 			if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -2,9 +2,9 @@
 
 import "sync/atomic"
 
-// Way is a direction of traffic: from and to a controller by its name, or all machines, the state
+// Direction is a direction of traffic: from and to a controller by its name, or all machines, the state
 // service or the cloud. A controller that calls a machine is not known by name.
-type Way struct{ From, To string }
+type Direction struct{ From, To string }
 
 // The ends of ways that are no controllers by name.
 const (
@@ -17,13 +17,13 @@
 // Flow is what has gone one way. A message is what was handed over or taken at once.
 type Flow struct{ Bytes, Messages uint64 }
 
-// Minus gives what has gone since an earlier count.
-func (f Flow) Minus(earlier Flow) Flow {
+// Sub gives what has gone since an earlier count.
+func (f Flow) Sub(earlier Flow) Flow {
 	return Flow{f.Bytes - earlier.Bytes, f.Messages - earlier.Messages}
 }
 
-// Plus adds two flows.
-func (f Flow) Plus(other Flow) Flow {
+// Add adds two flows.
+func (f Flow) Add(other Flow) Flow {
 	return Flow{f.Bytes + other.Bytes, f.Messages + other.Messages}
 }
 
@@ -45,7 +45,7 @@
 
 // counter gives the count of a way; the lock is held.
 func (l *links) counter(from, to side) *counter {
-	w := Way{from.end(), to.end()}
+	w := Direction{from.end(), to.end()}
 	if l.traffic[w] == nil {
 		l.traffic[w] = new(counter)
 	}
@@ -54,10 +54,10 @@
 
 // Traffic counts what has gone each way since the world began. Users reach controllers directly,
 // and so do machines that are not emulated: what they send is not in it.
-func (w *World) Traffic() map[Way]Flow {
+func (w *Cluster) Traffic() map[Direction]Flow {
 	w.links.mu.Lock()
 	defer w.links.mu.Unlock()
-	out := make(map[Way]Flow, len(w.links.traffic))
+	out := make(map[Direction]Flow, len(w.links.traffic))
 	for way, c := range w.links.traffic {
 		out[way] = Flow{c.bytes.Load(), c.messages.Load()}
 	}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -12,73 +12,73 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Orders is what users are to do now: amberdeal load asks for it while it judges by a world.
-type Orders struct {
-	Cancel     []string `json:"cancel"` // these jobs at once, each is told once
-	OddRequest bool     `json:"odd_requests"`
-	CloseLooks bool     `json:"close_looks"`
+// UserInstructions is what users are to do now: amberdeal load asks for it while it judges by a world.
+type UserInstructions struct {
+	Cancel            []string `json:"cancel"` // these jobs at once, each is told once
+	MalformedRequests bool     `json:"odd_requests"`
+	ConcurrentReads   bool     `json:"close_looks"`
 }
 
-// users is what faults have the users of a world do.
-type users struct {
-	mu     sync.Mutex
-	cancel []string
-	over   map[string]bool // jobs whose end was seen
-	atEnd  float64         // share of them that are cancelled then
-	luck   *rand.Rand
-	odd    int // faults of the kind in force
-	looks  int
-	kick   chan struct{}
+// userFaults is what faults have the users of a world do.
+type userFaults struct {
+	mu                   sync.Mutex
+	toCancel             []string
+	endedJobs            map[string]bool // jobs whose end was seen
+	cancelAtEndShare     float64         // share of them that are cancelled then
+	rng                  *rand.Rand
+	malformedFaults      int // faults of the kind in force
+	concurrentReadFaults int
+	wake                 chan struct{}
 }
 
-func (u *users) begin(seed uint64) {
-	u.over, u.luck, u.kick = make(map[string]bool), rand.New(rand.NewPCG(seed, 10)), make(chan struct{}, 1)
+func (u *userFaults) begin(seed uint64) {
+	u.endedJobs, u.rng, u.wake = make(map[string]bool), rand.New(rand.NewPCG(seed, 10)), make(chan struct{}, 1)
 }
 
-// calls has users cancel jobs.
-func (u *users) calls(jobs ...string) {
-	u.cancel = append(u.cancel, jobs...)
+// requestCancel has users cancel jobs.
+func (u *userFaults) requestCancel(jobs ...string) {
+	u.toCancel = append(u.toCancel, jobs...)
 	select {
-	case u.kick <- struct{}{}:
+	case u.wake <- struct{}{}:
 	default:
 	}
 }
 
-// ended tells that the last task of a job has completed.
-func (u *users) ended(job string) {
+// jobEnded tells that the last task of a job has completed.
+func (u *userFaults) jobEnded(job string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.over[job] && u.luck.Float64() < u.atEnd {
-		u.calls(job)
+	if !u.endedJobs[job] && u.rng.Float64() < u.cancelAtEndShare {
+		u.requestCancel(job)
 	}
-	u.over[job] = true
+	u.endedJobs[job] = true
 }
 
-// ordersWait is how long a question for orders waits for a cancellation.
-const ordersWait = 100 * time.Millisecond
+// instructionsWait is how long a question for orders waits for a cancellation.
+const instructionsWait = 100 * time.Millisecond
 
-// orders gives what is to be done now, cancellations as soon as there are any.
-func (u *users) orders() Orders {
+// instructions gives what is to be done now, cancellations as soon as there are any.
+func (u *userFaults) instructions() UserInstructions {
 	select {
-	case <-u.kick:
-	case <-time.After(ordersWait):
+	case <-u.wake:
+	case <-time.After(instructionsWait):
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	o := Orders{Cancel: u.cancel, OddRequest: u.odd > 0, CloseLooks: u.looks > 0}
-	u.cancel = nil
+	o := UserInstructions{Cancel: u.toCancel, MalformedRequests: u.malformedFaults > 0, ConcurrentReads: u.concurrentReadFaults > 0}
+	u.toCancel = nil
 	return o
 }
 
 // The bounds of cancel_now: jobs that have at least so long to go, and as many of their machines.
 const (
-	longToGo    = 10 * time.Second
-	mostHanging = 8
+	minRemaining = 10 * time.Second
+	maxPaused    = 8
 )
 
-var errNoneLong = errors.New("no job runs that has 10 s to go")
+var errNoLongJobs = errors.New("no job runs that has 10 s to go")
 
-func (u *users) cause(w *World, f *Fault) (lift func(), err error) {
+func (u *userFaults) apply(w *Cluster, f *Fault) (lift func(), err error) {
 	count := func(n *int) func() {
 		add := func(by int) {
 			u.mu.Lock()
@@ -90,27 +90,27 @@
 	}
 	switch f.Kind {
 	case "odd_requests":
-		return count(&u.odd), nil
+		return count(&u.malformedFaults), nil
 	case "close_looks":
-		return count(&u.looks), nil
+		return count(&u.concurrentReadFaults), nil
 	case "cancel_at_end":
 		share := func(s float64) {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			u.atEnd = s
+			u.cancelAtEndShare = s
 		}
 		share(f.Share)
 		return func() { share(0) }, nil
 	}
-	jobs, machines := w.life.Long(cmp.Or(f.Count, 1), longToGo)
+	jobs, machines := w.fixture.LongRunning(cmp.Or(f.Count, 1), minRemaining)
 	if len(jobs) == 0 {
-		return nil, errNoneLong
+		return nil, errNoLongJobs
 	}
 	u.mu.Lock()
-	u.calls(jobs...)
+	u.requestCancel(jobs...)
 	u.mu.Unlock()
-	machines = machines[:min(mostHanging, len(machines))]
-	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
+	machines = machines[:min(maxPaused, len(machines))]
+	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if f.Hang > 0 && slices.Contains(machines, m.ID) {
 			x.(interface{ Hang(time.Duration) }).Hang(f.Hang)
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -96,12 +96,12 @@
 
 // Outcome is what came of a cell.
 type Outcome struct {
-	Cell     Cell              `json:"cell"`
-	Result   *load.Result      `json:"result"`
-	Samples  []Sample          `json:"samples"`
-	Faults   []emulator.Staged `json:"faults"`
-	RPS      float64           `json:"state_rps"`
-	WriteRPS float64           `json:"state_write_rps"`
+	Cell     Cell                   `json:"cell"`
+	Result   *load.Result           `json:"result"`
+	Samples  []Sample               `json:"samples"`
+	Faults   []emulator.StagedFault `json:"faults"`
+	RPS      float64                `json:"state_rps"`
+	WriteRPS float64                `json:"state_write_rps"`
 }
 
 // Parse reads an experiment's file and names all that is wrong with it, also in the files that
@@ -172,7 +172,7 @@
 
 func (p *Plan) world(name string) (*emulator.Config, error) {
 	if name == "small" {
-		return emulator.Small(), nil
+		return emulator.DefaultConfig(), nil
 	}
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
@@ -239,16 +239,16 @@
 	for i, c := range cells {
 		g.Go(func() error {
 			path := filepath.Join(r.Out, c.file())
-			o, err := read(path)
+			o, err := readOutcome(path)
 			before := err == nil
 			if !before {
 				port := <-ports
-				o, err = r.play(ctx, c, port)
+				o, err = r.runCell(ctx, c, port)
 				ports <- port
 				if err != nil {
 					return fmt.Errorf("%v: %w", c, err)
 				}
-				if err := keep(path, o); err != nil {
+				if err := saveOutcome(path, o); err != nil {
 					return err
 				}
 			}
@@ -266,7 +266,7 @@
 	return out, writeTables(r.Out, out)
 }
 
-func read(path string) (*Outcome, error) {
+func readOutcome(path string) (*Outcome, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -278,8 +278,8 @@
 	return &o, nil
 }
 
-// keep writes a file so that it is there whole or not at all.
-func keep(path string, o *Outcome) error {
+// saveOutcome writes a file so that it is there whole or not at all.
+func saveOutcome(path string, o *Outcome) error {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return err
@@ -298,7 +298,7 @@
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		o, err := read(path)
+		o, err := readOutcome(path)
 		if err != nil {
 			return nil, err
 		}
@@ -307,8 +307,8 @@
 	return out, nil
 }
 
-// play plays a cell.
-func (r *Runner) play(ctx context.Context, c Cell, port int) (*Outcome, error) {
+// runCell plays a cell.
+func (r *Runner) runCell(ctx context.Context, c Cell, port int) (*Outcome, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	conf, err := r.Plan.world(c.World)
@@ -325,7 +325,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	procs := emulator.Procs{Program: r.Program, Level: "error", Dir: dir}
+	procs := emulator.Processes{Program: r.Program, Level: "error", Dir: dir}
 	if c.Settings != "none" {
 		tuning, err := os.ReadFile(filepath.Join(r.Plan.Dir, c.Settings))
 		if err != nil {
@@ -335,7 +335,7 @@
 	}
 	procs.Begin(ctx)
 	defer procs.Stop()
-	w, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Hang: procs.HangNamed})
+	w, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Pause: procs.PauseNamed})
 	if err != nil {
 		return nil, err
 	}
@@ -348,7 +348,7 @@
 		}
 		addrs = append(addrs, w.Public(i))
 	}
-	caller := &transport.Caller{Limit: 1 << 20, Keep: 256, Dial: emulator.Dial}
+	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
 	if err := emulator.Ready(ctx, caller, addrs); err != nil {
 		return nil, err
 	}
@@ -356,7 +356,7 @@
 	sampling, end := context.WithCancel(ctx)
 	sampled := make(chan struct{})
 	go func() { defer close(sampled); o.sample(sampling, w) }()
-	load := load.Runner{Mix: mix, Addrs: addrs, Judge: w.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, Wait: r.Plan.Wait}
+	load := load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: w.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
 	o.Result, err = load.Run(ctx, func(int, int, int) {})
 	end()
 	<-sampled
@@ -365,7 +365,7 @@
 }
 
 // sample notes each second how the world stands.
-func (o *Outcome) sample(ctx context.Context, w *emulator.World) {
+func (o *Outcome) sample(ctx context.Context, w *emulator.Cluster) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	last := w.Status()
@@ -376,8 +376,8 @@
 		case <-tick.C:
 		}
 		s := w.Status()
-		if d := s.Age - last.Age; d > 0 {
-			o.Samples = append(o.Samples, Sample{Cell: o.Cell, T: s.Age, Machines: s.Machines, Up: s.Up, Running: s.Running, Cost: s.Cost, Term: s.Term,
+		if d := s.AgeS - last.AgeS; d > 0 {
+			o.Samples = append(o.Samples, Sample{Cell: o.Cell, T: s.AgeS, Machines: s.Machines, Up: s.Up, Running: s.RunningTasks, Cost: s.Cost, Term: s.FencingToken,
 				Requests: float64(s.Requests-last.Requests) / d, Changes: float64(s.Changes-last.Changes) / d})
 		}
 		last = s
