--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -32,7 +32,7 @@
 
 func outcome(settings string, seed uint64, p50 int64) *Outcome {
 	c := Cell{"w.ini", "m.ini", settings, seed}
-	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.Staged{{Number: 1, Label: "outage", Since: 1, Until: 2}},
+	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.StagedFault{{Number: 1, Label: "outage", Since: 1, Until: 2}},
 		Result: &load.Result{Classes: map[string]*load.ClassResult{"tidy": {Jobs: 3, Accepted: 3, Done: 3, Accept: load.Times{Count: 3, P50: p50, P99: 2 * p50}}}}}
 	for i := range 4 {
 		o.Samples = append(o.Samples, Sample{Cell: c, T: float64(i), Up: i, Running: 2 * i, Changes: float64(i), Term: 1})
@@ -45,9 +45,9 @@
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
 	all := []*Outcome{outcome("none", 1, 10), outcome("none", 2, 20), outcome("quick.ini", 1, 7), outcome("quick.ini", 2, 16)}
-	all[3].Result.Broken = []string{"went_back: <wk-1>"}
+	all[3].Result.Violations = []string{"went_back: <wk-1>"}
 	for _, o := range all {
-		if err := keep(filepath.Join(dir, o.Cell.file()), o); err != nil {
+		if err := saveOutcome(filepath.Join(dir, o.Cell.file()), o); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -55,10 +55,10 @@
 	return fmt.Sprintf("%.2f", v)
 }
 
-// figure is something that is compared.
-type figure struct {
-	Name string
-	of   func(*Outcome) (float64, bool)
+// metric is something that is compared.
+type metric struct {
+	Name  string
+	value func(*Outcome) (float64, bool)
 }
 
 // row is a figure of each setting, and by how much it differs from the first.
@@ -127,7 +127,7 @@
 			g.Settings = append(g.Settings, s)
 		}
 		by[s] = append(by[s], o)
-		for _, b := range o.Result.Broken {
+		for _, b := range o.Result.Violations {
 			g.Broken = append(g.Broken, fmt.Sprintf("%v: %s", o.Cell, b))
 		}
 		if n := len(o.Result.Open); n > 0 {
@@ -137,7 +137,7 @@
 	if i := slices.Index(g.Settings, "none"); i > 0 { // the defaults are what others are compared to
 		g.Settings = slices.Insert(slices.Delete(g.Settings, i, i+1), 0, "none")
 	}
-	for _, f := range figures(all) {
+	for _, f := range metricsOf(all) {
 		g.Rows = append(g.Rows, compare(f, g.Settings, by))
 	}
 	for _, x := range []struct {
@@ -161,7 +161,7 @@
 	return g, nil
 }
 
-func figures(all []*Outcome) (out []figure) {
+func metricsOf(all []*Outcome) (out []metric) {
 	var names []string
 	for _, o := range all {
 		for _, name := range o.Result.Names() {
@@ -172,7 +172,7 @@
 	}
 	for _, name := range names {
 		add := func(what string, unit float64, times func(*load.ClassResult) load.Times, of func(load.Times) int64) {
-			out = append(out, figure{name + ": " + what, func(o *Outcome) (float64, bool) {
+			out = append(out, metric{name + ": " + what, func(o *Outcome) (float64, bool) {
 				c := o.Result.Classes[name]
 				if c == nil || times(c).Count == 0 {
 					return 0, false // services are never done
@@ -198,12 +198,12 @@
 		return Sample{}
 	}
 	return append(out,
-		figure{"all: cost", func(o *Outcome) (float64, bool) { return last(o).Cost, true }},
-		figure{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).Term), true }},
-		figure{"all: most changes a second", func(o *Outcome) (float64, bool) { return most(o, func(s Sample) float64 { return s.Changes }), true }})
+		metric{"all: cost", func(o *Outcome) (float64, bool) { return last(o).Cost, true }},
+		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).Term), true }},
+		metric{"all: most changes a second", func(o *Outcome) (float64, bool) { return maximum(o, func(s Sample) float64 { return s.Changes }), true }})
 }
 
-func most(o *Outcome, of func(Sample) float64) (m float64) {
+func maximum(o *Outcome, of func(Sample) float64) (m float64) {
 	for _, s := range o.Samples {
 		m = max(m, of(s))
 	}
@@ -211,13 +211,13 @@
 }
 
 // compare gives a figure of each setting, and the difference to the first, seed by seed.
-func compare(f figure, settings []string, by map[string][]*Outcome) row {
+func compare(f metric, settings []string, by map[string][]*Outcome) row {
 	r := row{Name: f.Name}
 	first := map[uint64]float64{}
 	for i, s := range settings {
 		var all, diff spread
 		for _, o := range by[s] {
-			v, ok := f.of(o)
+			v, ok := f.value(o)
 			if !ok {
 				continue
 			}
@@ -249,11 +249,11 @@
 	top := 1.0
 	for _, s := range settings {
 		for _, o := range by[s] {
-			top = max(top, most(o, of))
+			top = max(top, maximum(o, of))
 		}
 	}
 	if faults := by[settings[0]][0].Faults; len(faults) > 0 {
-		if err := spans(p, faults, top); err != nil {
+		if err := faultBands(p, faults, top); err != nil {
 			return "", err
 		}
 	}
@@ -306,8 +306,8 @@
 	return template.HTML(text), nil //nolint:gosec // drawn here
 }
 
-// spans marks when faults were in force.
-func spans(p *plot.Plot, faults []emulator.Staged, top float64) error {
+// faultBands marks when faults were in force.
+func faultBands(p *plot.Plot, faults []emulator.StagedFault, top float64) error {
 	for i, f := range faults {
 		until := max(f.Until, f.Since+0.5)
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.Since, Y: 0}, {X: until, Y: 0}, {X: until, Y: top * 1.05}, {X: f.Since, Y: top * 1.05}})
@@ -317,7 +317,7 @@
 		poly.Color, poly.LineStyle.Width = color.RGBA{0xe0, 0xe0, 0xe0, 0xff}, 0
 		name := f.Label
 		if name == "" {
-			name = f.What
+			name = f.Description
 		}
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.Since, Y: top * (0.98 - 0.08*float64(i%3))}}, Labels: []string{" " + name}})
 		if err != nil {
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -7,65 +7,65 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Answer gives the commands for the answer to a report that was just observed.
+// HeartbeatCommands gives the commands for the answer to a report that was just observed.
 // launch says whether the claim surely lasts. The answer counts as one that
 // the machine may have taken.
-func (f *Fleet) Answer(now time.Time, r *wire.Report, launch bool) []wire.Command {
+func (f *Fleet) HeartbeatCommands(now time.Time, r *wire.Heartbeat, launch bool) []wire.Command {
 	cmds := []wire.Command{}
 	m := f.machines[r.Machine]
-	if m == nil || m.outdated(now, r) {
+	if m == nil || m.isStale(now, r) {
 		return cmds
 	}
-	m.answered(now)
-	if r.Session != m.Session || r.Seq < m.reportSeq {
+	m.noteResponse(now)
+	if r.Incarnation != m.Incarnation || r.Seq < m.heartbeatSeq {
 		return cmds
 	}
 	// Of a report that has come again, nobody waits for the answer; to one from before the term, of
 	// a machine that was seen at it since, hardly anybody.
-	launch = launch && m.serves() && r.Seq > m.launchSeq && r.Term == f.Term && f.Heeds(now, m)
+	launch = launch && m.launchable() && r.Seq > m.launchSeq && r.FencingToken == f.FencingToken && f.ReceivesCommands(now, m)
 	kept := 0
 	for _, p := range m.Placements() {
 		switch {
-		case p.Past() && p.mayRecur(now) && kept < copyMost:
+		case p.IsTombstone() && p.mayBeDuplicated(now) && kept < maxTombstones:
 			kept++
-		case p.State == Ended && p.Settled && !p.loose:
+		case p.State == Ended && p.EndHandled && !p.callPending:
 			cmds = append(cmds, wire.Command{Verb: wire.Clear, Task: p.Task.String(), Attempt: p.Attempt})
-		case p.Stop != nil && p.Seen && p.Active():
+		case p.Stop != nil && p.Reported && p.Active():
 			cmds = append(cmds, p.stopCommand())
-		case p.State == Planned && p.Committed && launch && (p.Stop == nil || p.loose && !p.Stop.Over):
+		case p.State == Planned && p.Committed && launch && (p.Stop == nil || p.callPending && !p.Stop.JobFinished):
 			// One that is to stop and may yet be launched by a call on its way can't
 			// be taken back: it is launched after all, and stopped when it shows.
-			p.State, p.said, m.launchSeq = Sent, true, r.Seq
+			p.State, p.sentInResponse, m.launchSeq = Sent, true, r.Seq
 			cmds = append(cmds, wire.Command{Verb: wire.Launch, Task: p.Task.String(), Attempt: p.Attempt})
 		}
 	}
 	return cmds
 }
 
-// Lapses reports whether a machine is to lose its lease: a launch of a job that is over may be
+// MustLapse reports whether a machine is to lose its lease: a launch of a job that is over may be
 // executed there as long as the session lasts, and each answer would let that last beyond the
 // time within which the job's tasks must be gone. The cloud may be out, or this holder not
 // entitled to release a machine.
-func (f *Fleet) Lapses(now time.Time, machine string) bool {
+func (f *Fleet) MustLapse(now time.Time, machine string) bool {
 	m := f.machines[machine]
 	return m != nil && slices.ContainsFunc(m.placements, func(p *Placement) bool {
-		return p.loose && p.State <= Sent && p.Stop != nil && p.Stop.Over && !now.Before(p.Stop.Until)
+		return p.callPending && p.State <= Sent && p.Stop != nil && p.Stop.JobFinished && !now.Before(p.Stop.RenewUntil)
 	})
 }
 
-// Direct gives the commands that go straight to a machine: stops, which are
+// DirectCommands gives the commands that go straight to a machine: stops, which are
 // harmless however late they are executed, and, with launch, the launches that
 // wait. These count as loose until Called tells what became of the call.
-func (f *Fleet) Direct(m *Machine, launch bool) (cmds []wire.Command, launched []*Placement) {
+func (f *Fleet) DirectCommands(m *Machine, launch bool) (cmds []wire.Command, launched []*Placement) {
 	// What is sent into a session of which nothing has been heard is executed whenever that
 	// begins: no time shows it gone.
-	launch = launch && m.serves() && m.met
+	launch = launch && m.launchable() && m.incarnationSeen
 	for _, p := range m.Placements() {
 		switch {
 		case p.Stop != nil && p.State != Planned && p.Active():
 			cmds = append(cmds, p.stopCommand())
-		case p.State == Planned && p.Committed && p.Stop == nil && !p.loose && launch:
-			p.State, p.loose, p.direct = Sent, true, true
+		case p.State == Planned && p.Committed && p.Stop == nil && !p.callPending && launch:
+			p.State, p.callPending, p.sentByCall = Sent, true, true
 			cmds = append(cmds, wire.Command{Verb: wire.Launch, Task: p.Task.String(), Attempt: p.Attempt})
 			launched = append(launched, p)
 		}
@@ -73,17 +73,17 @@
 	return cmds, launched
 }
 
-// Outcome is what became of a direct call.
-type Outcome int
+// CallOutcome is what became of a direct call.
+type CallOutcome int
 
-// Called takes in what became of a direct call that carried launches.
-func (f *Fleet) Called(launched []*Placement, o Outcome) {
+// CallFinished takes in what became of a direct call that carried launches.
+func (f *Fleet) CallFinished(launched []*Placement, o CallOutcome) {
 	if o == Unanswered {
 		return
 	}
 	for _, p := range launched {
-		p.loose = false
-		if o == Refused && p.State == Sent && !p.said {
+		p.callPending = false
+		if o == Refused && p.State == Sent && !p.sentInResponse {
 			p.State = Planned
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,68 +26,70 @@
 // The margin beyond the drift of clocks that every proof by time leaves: a
 // worker drops an answer after 4 s.
 const (
-	drift  = 0.001
-	margin = 5 * time.Second
+	clockDrift  = 0.001
+	proofMargin = 5 * time.Second
 )
 
-// Heeds reports whether a machine takes what it is told, as far as is known. One that is in a
+// ReceivesCommands reports whether a machine takes what it is told, as far as is known. One that is in a
 // session for longer than that could last without an answer does.
-func (f *Fleet) Heeds(now time.Time, m *Machine) bool {
-	return m.unheeded < deafSigns || now.Sub(m.unheededAt) > f.over()+margin
+func (f *Fleet) ReceivesCommands(now time.Time, m *Machine) bool {
+	return m.lostCommands < maxLostCommands || now.Sub(m.lostCommandsSince) > f.leaseExpiry()+proofMargin
 }
 
-// over is how long after its last answer a machine's lease has surely run out.
-func (f *Fleet) over() time.Duration { return time.Duration(float64(f.lease)*(1+drift)) + margin }
+// leaseExpiry is how long after its last answer a machine's lease has surely run out.
+func (f *Fleet) leaseExpiry() time.Duration {
+	return time.Duration(float64(f.workerLease)*(1+clockDrift)) + proofMargin
+}
 
 // Fleet is what the holder of a part knows under its term.
 type Fleet struct {
-	Term     uint64
-	Claimed  time.Time
-	lease    time.Duration // of the workers
-	linger   time.Duration // how long an earlier holder answered after the claim, at most
-	listLag  time.Duration
-	machines map[string]*Machine
-	order    []*Machine // by name; replaced when one goes
-	tasks    map[wire.TaskID][]*Placement
-	buried   map[string]number // gone machines, which a stale list may still show, and their last message
-	released map[string]number
+	FencingToken     uint64
+	ElectedAt        time.Time
+	workerLease      time.Duration // of the workers
+	predecessorGrace time.Duration // how long an earlier holder answered after the claim, at most
+	listLag          time.Duration
+	machines         map[string]*Machine
+	sortedMachines   []*Machine // by name; replaced when one goes
+	placementsByTask map[wire.TaskID][]*Placement
+	goneMachines     map[string]messageNumber // gone machines, which a stale list may still show, and their last message
+	releasedMachines map[string]messageNumber
 }
 
 // New gives the empty fleet of a term. linger bounds for how long after the
 // claim an earlier holder may have gone on answering reports.
-func New(term uint64, claimed time.Time, workerLease, linger, listLag time.Duration) *Fleet {
-	return &Fleet{Term: term, Claimed: claimed, lease: workerLease, linger: max(linger, 0), listLag: listLag,
-		machines: make(map[string]*Machine), tasks: make(map[wire.TaskID][]*Placement), buried: make(map[string]number), released: make(map[string]number)}
+func New(token uint64, electedAt time.Time, workerLease, predecessorGrace, listLag time.Duration) *Fleet {
+	return &Fleet{FencingToken: token, ElectedAt: electedAt, workerLease: workerLease, predecessorGrace: max(predecessorGrace, 0), listLag: listLag,
+		machines: make(map[string]*Machine), placementsByTask: make(map[wire.TaskID][]*Placement), goneMachines: make(map[string]messageNumber), releasedMachines: make(map[string]messageNumber)}
 }
 
-// Know adds a machine that the cloud or a report names. One that the store did
+// EnsureMachine adds a machine that the cloud or a report names. One that the store did
 // not record when the term began was never launched on by an earlier holder.
-func (f *Fleet) Know(now time.Time, id, typ, zone string, spot bool) *Machine {
+func (f *Fleet) EnsureMachine(now time.Time, id, typ, zone string, spot bool) *Machine {
 	m := f.machines[id]
 	if m == nil {
-		delete(f.buried, id)
+		delete(f.goneMachines, id)
 		m = &Machine{ID: id, Type: typ, Zone: zone, Spot: spot, Since: now, IdleSince: now,
-			images: map[string]cached{}, Faults: map[string]int{}, proven: true}
+			images: map[string]cachedImage{}, JobFailures: map[string]int{}, provenEmpty: true}
 		f.machines[id] = m
-		i, _ := slices.BinarySearchFunc(f.order, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
-		if i == len(f.order) {
-			f.order = append(f.order, m)
+		i, _ := slices.BinarySearchFunc(f.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
+		if i == len(f.sortedMachines) {
+			f.sortedMachines = append(f.sortedMachines, m)
 		} else { // someone may be going through the list
-			f.order = slices.Concat(f.order[:i], []*Machine{m}, f.order[i:])
+			f.sortedMachines = slices.Concat(f.sortedMachines[:i], []*Machine{m}, f.sortedMachines[i:])
 		}
 	}
 	return m
 }
 
-// Recall adds a machine that the store recorded, with the tasks that earlier
+// RestoreMachine adds a machine that the store recorded, with the tasks that earlier
 // holders may have placed on it. They count as there until one of the proofs
 // shows that they are not.
-func (f *Fleet) Recall(now time.Time, id, addr, typ, zone string, spot bool, session uint64, tasks map[string]uint64) {
-	m := f.Know(now, id, typ, zone, spot)
-	m.Addr, m.LastSession, m.proven, m.Recorded = addr, session, false, true
+func (f *Fleet) RestoreMachine(now time.Time, id, addr, typ, zone string, spot bool, incarnation uint64, tasks map[string]uint64) {
+	m := f.EnsureMachine(now, id, typ, zone, spot)
+	m.Addr, m.RecordedIncarnation, m.provenEmpty, m.Recorded = addr, incarnation, false, true
 	for name, attempt := range tasks {
 		if t, err := wire.ParseTaskID(name); err == nil {
-			f.add(m, &Placement{Task: t, Attempt: attempt, Machine: id, State: Fetching, Committed: true, Placed: now, recalled: true})
+			f.addPlacement(m, &Placement{Task: t, Attempt: attempt, Machine: id, State: Fetching, Committed: true, PlacedAt: now, restored: true})
 		}
 	}
 }
@@ -97,84 +99,86 @@
 
 // Machines lists all machines in order of their names. The list is the caller's
 // to go through, whatever becomes of the machines meanwhile.
-func (f *Fleet) Machines() []*Machine { return f.order[:len(f.order):len(f.order)] }
+func (f *Fleet) Machines() []*Machine {
+	return f.sortedMachines[:len(f.sortedMachines):len(f.sortedMachines)]
+}
 
-// Released notes that the cloud has acknowledged a machine's release: nothing
+// MarkReleased notes that the cloud has acknowledged a machine's release: nothing
 // that comes in its name later is news. After a cut, its reports may still do.
-func (f *Fleet) Released(id string) {
+func (f *Fleet) MarkReleased(id string) {
 	if m := f.machines[id]; m != nil {
-		f.released[id] = number{m.Session, m.seq}
-	} else if !f.Ghost(id) {
-		f.released[id] = number{}
+		f.releasedMachines[id] = messageNumber{m.Incarnation, m.lastSeq}
+	} else if !f.IsReleased(id) {
+		f.releasedMachines[id] = messageNumber{}
 	}
 }
 
-// Ghost reports whether a machine is known to have been released.
-func (f *Fleet) Ghost(id string) bool { _, ok := f.released[id]; return ok }
+// IsReleased reports whether a machine is known to have been released.
+func (f *Fleet) IsReleased(id string) bool { _, ok := f.releasedMachines[id]; return ok }
 
-// News reports whether a report is newer than all that was heard of its machine, also of one
+// IsNewer reports whether a report is newer than all that was heard of its machine, also of one
 // that is gone. A copy that comes late tells nothing, nor of the machine's zone.
-func (f *Fleet) News(r *wire.Report) bool {
-	last, gone := f.released[r.Machine]
+func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
+	last, gone := f.releasedMachines[r.Machine]
 	if !gone {
-		last = f.buried[r.Machine]
+		last = f.goneMachines[r.Machine]
 	}
 	if m := f.machines[r.Machine]; m != nil {
-		last = number{m.Session, m.seq}
+		last = messageNumber{m.Incarnation, m.lastSeq}
 	}
 	return last.before(r)
 }
 
-// Gone forgets a machine that is proven not to exist any more.
-func (f *Fleet) Gone(id string) {
+// RemoveMachine forgets a machine that is proven not to exist any more.
+func (f *Fleet) RemoveMachine(id string) {
 	if m := f.machines[id]; m != nil {
 		for _, p := range m.Placements() {
-			f.remove(m, p)
+			f.removePlacement(m, p)
 		}
 		delete(f.machines, id)
-		f.order = slices.DeleteFunc(slices.Clone(f.order), func(o *Machine) bool { return o == m })
-		f.buried[id] = number{m.Session, m.seq}
+		f.sortedMachines = slices.DeleteFunc(slices.Clone(f.sortedMachines), func(o *Machine) bool { return o == m })
+		f.goneMachines[id] = messageNumber{m.Incarnation, m.lastSeq}
 	}
 }
 
-func (f *Fleet) remove(m *Machine, p *Placement) {
+func (f *Fleet) removePlacement(m *Machine, p *Placement) {
 	other := func(q *Placement) bool { return q == p }
 	m.placements = slices.DeleteFunc(slices.Clone(m.placements), other)
-	if rest := slices.DeleteFunc(slices.Clone(f.tasks[p.Task]), other); len(rest) > 0 {
-		f.tasks[p.Task] = rest
+	if rest := slices.DeleteFunc(slices.Clone(f.placementsByTask[p.Task]), other); len(rest) > 0 {
+		f.placementsByTask[p.Task] = rest
 	} else {
-		delete(f.tasks, p.Task)
+		delete(f.placementsByTask, p.Task)
 	}
 }
 
-func (f *Fleet) add(m *Machine, p *Placement) {
+func (f *Fleet) addPlacement(m *Machine, p *Placement) {
 	i, _ := slices.BinarySearchFunc(m.placements, p, byTask)
 	m.placements = slices.Insert(slices.Clone(m.placements), i, p)
-	f.tasks[p.Task] = append(f.tasks[p.Task], p)
+	f.placementsByTask[p.Task] = append(f.placementsByTask[p.Task], p)
 }
 
 // Place plans an attempt of a task on a machine. Nothing is said to the
 // machine before Committed is set.
 func (f *Fleet) Place(now time.Time, m *Machine, t wire.TaskID, attempt uint64) *Placement {
-	p := &Placement{Task: t, Attempt: attempt, Machine: m.ID, Placed: now}
-	f.add(m, p)
+	p := &Placement{Task: t, Attempt: attempt, Machine: m.ID, PlacedAt: now}
+	f.addPlacement(m, p)
 	return p
 }
 
 // Withdraw takes a planned placement back; what was said can't be taken back.
 func (f *Fleet) Withdraw(p *Placement) bool {
-	if p.State != Planned || p.loose {
+	if p.State != Planned || p.callPending {
 		return false
 	}
-	f.remove(f.machines[p.Machine], p)
+	f.removePlacement(f.machines[p.Machine], p)
 	return true
 }
 
-// Active gives the placement of a task that may hold resources, or nil when
+// ActivePlacement gives the placement of a task that may hold resources, or nil when
 // the task is nowhere as far as this fleet knows.
-func (f *Fleet) Active(t wire.TaskID) *Placement {
+func (f *Fleet) ActivePlacement(t wire.TaskID) *Placement {
 	var found *Placement
-	for _, p := range f.tasks[t] {
+	for _, p := range f.placementsByTask[t] {
 		if p.Active() && (found == nil || p.Attempt > found.Attempt) {
 			found = p
 		}
@@ -182,11 +186,11 @@
 	return found
 }
 
-// Unproven lists the machines that may hold tasks that nobody knows of.
-func (f *Fleet) Unproven() []*Machine {
+// UnprovenMachines lists the machines that may hold tasks that nobody knows of.
+func (f *Fleet) UnprovenMachines() []*Machine {
 	var out []*Machine
 	for _, m := range f.Machines() {
-		if !m.AtTerm && !m.proven {
+		if !m.SeenAtToken && !m.provenEmpty {
 			out = append(out, m)
 		}
 	}
@@ -199,78 +203,78 @@
 	Gone      bool // it is no longer there, and did not end in sight
 }
 
-// Observe takes in a worker's report, whichever way it came. A report proves
+// ApplyHeartbeat takes in a worker's report, whichever way it came. A report proves
 // that an unseen launch was not taken only if it came by itself (own), since
 // the answer that carried the launch may be in flight beside any other.
-func (f *Fleet) Observe(now time.Time, r *wire.Report, own bool) []Event {
-	if f.Ghost(r.Machine) || !f.News(r) {
+func (f *Fleet) ApplyHeartbeat(now time.Time, r *wire.Heartbeat, own bool) []Event {
+	if f.IsReleased(r.Machine) || !f.IsNewer(r) {
 		return nil // its list is as old as the report; what is no more would be launched on
 	}
-	m := f.Know(now, r.Machine, r.Type, r.Zone, r.Spot)
+	m := f.EnsureMachine(now, r.Machine, r.Type, r.Zone, r.Spot)
 	var events []Event
-	if r.Session > m.Session {
-		if own && m.met && now.Sub(m.Answered) < f.lease { // it has not taken that answer
-			m.unheeded, m.unheededAt = deafSigns, now
+	if r.Incarnation > m.Incarnation {
+		if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that answer
+			m.lostCommands, m.lostCommandsSince = maxLostCommands, now
 		}
 		for _, p := range m.Placements() {
 			// Proof 2: the worker has forgotten all tasks of earlier sessions,
 			// and executes nothing that was sent for one.
-			if (p.State != Planned || p.loose) && (m.AtTerm || !p.recalled) {
-				f.remove(m, p)
+			if (p.State != Planned || p.callPending) && (m.SeenAtToken || !p.restored) {
+				f.removePlacement(m, p)
 				events = append(events, Event{p, true})
 			}
 		}
-		m.begin(r.Session)
+		m.beginIncarnation(r.Incarnation)
 	}
-	if !m.met {
+	if !m.incarnationSeen {
 		// A session has a lease of its own that counts from its beginning, which
 		// may have been just now.
-		m.met = true
-		m.answered(now)
+		m.incarnationSeen = true
+		m.noteResponse(now)
 	}
 	if own {
-		m.called = time.Time{}
-	} else if m.called.IsZero() {
-		m.called = now
+		m.firstCallSinceHeartbeat = time.Time{}
+	} else if m.firstCallSinceHeartbeat.IsZero() {
+		m.firstCallSinceHeartbeat = now
 	}
 	switch {
 	case !own:
-		m.unheeded = 0 // a call was answered
-	case r.Term < f.Term && m.reportSeq > 0:
-		m.sign(now) // nor taken the term from the answer to its last report
+		m.lostCommands = 0 // a call was answered
+	case r.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
+		m.noteLostCommand(now) // nor taken the term from the answer to its last report
 	}
-	m.seq = r.Seq
-	m.Addr, m.Heard = r.Addr, now
+	m.lastSeq = r.Seq
+	m.Addr, m.LastHeartbeat = r.Addr, now
 	if !m.Up {
 		m.Up, m.UpSince, m.IdleSince = true, now, now
 	}
-	if r.NoticeS != nil {
-		m.Notice = now.Add(wire.Seconds(*r.NoticeS))
+	if r.TerminationNoticeS != nil {
+		m.TerminationTime = now.Add(wire.Seconds(*r.TerminationNoticeS))
 	}
-	if r.Term == f.Term && !m.AtTerm {
-		m.AtTerm, m.unheeded = true, 0
-		m.answered(now) // an earlier holder's answer may have come until now
+	if r.FencingToken == f.FencingToken && !m.SeenAtToken {
+		m.SeenAtToken, m.lostCommands = true, 0
+		m.noteResponse(now) // an earlier holder's answer may have come until now
 	}
 	for _, t := range r.Tasks {
-		if p, fresh := f.update(now, m, t); fresh {
+		if p, fresh := f.applyTaskStatus(now, m, t); fresh {
 			events = append(events, Event{p, false})
 		}
 	}
-	if m.AtTerm && r.Term >= f.Term {
-		events = f.missing(now, m, r, own, events)
+	if m.SeenAtToken && r.FencingToken >= f.FencingToken {
+		events = f.reconcileMissing(now, m, r, own, events)
 	}
 	if own {
-		m.reportSeq, m.reported = r.Seq, now
+		m.heartbeatSeq, m.heartbeatAt = r.Seq, now
 	}
 	return events
 }
 
-// missing deals with what a report at the own term does not list.
-func (f *Fleet) missing(now time.Time, m *Machine, r *wire.Report, own bool, events []Event) []Event {
+// reconcileMissing deals with what a report at the own term does not list.
+func (f *Fleet) reconcileMissing(now time.Time, m *Machine, r *wire.Heartbeat, own bool, events []Event) []Event {
 	lost := false
 	defer func() {
 		if lost {
-			m.sign(now)
+			m.noteLostCommand(now)
 		}
 	}()
 	for _, p := range m.Placements() {
@@ -284,14 +288,14 @@
 			if !own {
 				continue
 			}
-			lost = lost || p.said
-			if p.State, p.said = Planned, false; p.Stop != nil && !p.loose {
-				f.remove(m, p)
+			lost = lost || p.sentInResponse
+			if p.State, p.sentInResponse = Planned, false; p.Stop != nil && !p.callPending {
+				f.removePlacement(m, p)
 				events = append(events, Event{p, true})
 			}
 			continue
 		}
-		f.remove(m, p)
+		f.removePlacement(m, p)
 		if p.State != Ended {
 			events = append(events, Event{p, true})
 		}
@@ -299,15 +303,15 @@
 	return events
 }
 
-// update takes in one reported task and reports whether its state is new.
-func (f *Fleet) update(now time.Time, m *Machine, t wire.ReportedTask) (*Placement, bool) {
-	p := m.find(placementKey{t.ID, t.Attempt})
+// applyTaskStatus takes in one reported task and reports whether its state is new.
+func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask) (*Placement, bool) {
+	p := m.findPlacement(placementKey{t.ID, t.Attempt})
 	if p == nil {
-		p = &Placement{Task: t.ID, Attempt: t.Attempt, Machine: m.ID, Placed: now, Committed: true}
-		f.add(m, p)
+		p = &Placement{Task: t.ID, Attempt: t.Attempt, Machine: m.ID, PlacedAt: now, Committed: true}
+		f.addPlacement(m, p)
 	}
 	if p.State == Sent {
-		m.unheeded = 0
+		m.lostCommands = 0
 	}
 	state := Running // also for what this version does not know: it is there
 	switch t.State {
@@ -320,53 +324,53 @@
 	case wire.TaskEnded:
 		state = Ended
 	}
-	fresh := !p.Seen || p.State != state
-	p.Seen, p.State, p.Cause, p.Saved = true, state, t.Cause, t.Saved
-	if state == Running && p.Begun.IsZero() {
-		p.Begun = now
+	fresh := !p.Reported || p.State != state
+	p.Reported, p.State, p.Cause, p.Saved = true, state, t.Cause, t.Saved
+	if state == Running && p.StartedAt.IsZero() {
+		p.StartedAt = now
 	}
-	if state == Ended && p.over.IsZero() {
-		p.over = now
+	if state == Ended && p.endedAt.IsZero() {
+		p.endedAt = now
 	}
 	return p, fresh
 }
 
-// copyAge is for how long a copy of a call that was answered may yet come, and copyMost how
+// duplicateCallWindow is for how long a copy of a call that was answered may yet come, and copyMost how
 // many attempts stay on a machine's list for that: it goes into each of its reports.
 const (
-	copyAge  = 3 * time.Minute
-	copyMost = 100
+	duplicateCallWindow = 3 * time.Minute
+	maxTombstones       = 100
 )
 
 // The outcomes of a direct call.
 const (
-	Unanswered Outcome = iota // it may have been executed, or may still be
+	Unanswered CallOutcome = iota // it may have been executed, or may still be
 	Executed
 	Refused // it was not executed and never will be
 )
 
-// Expire applies the proofs that time gives, and returns what they show gone.
-func (f *Fleet) Expire(now time.Time) []Event {
+// ExpireLeases applies the proofs that time gives, and returns what they show gone.
+func (f *Fleet) ExpireLeases(now time.Time) []Event {
 	var events []Event
-	over := f.over()
+	over := f.leaseExpiry()
 	for _, m := range f.Machines() {
 		switch {
-		case m.AtTerm && now.Sub(m.Answered) > over:
+		case m.SeenAtToken && now.Sub(m.LastResponse) > over:
 			// Proof 3: every task of the session is killed, and what was said
 			// to it can't be executed in the next.
 			for _, p := range m.Placements() {
-				f.remove(m, p)
+				f.removePlacement(m, p)
 				events = append(events, Event{p, true})
 			}
-			if m.met { // or nothing can have been said in the one after it
-				m.begin(m.Session + 1)
+			if m.incarnationSeen { // or nothing can have been said in the one after it
+				m.beginIncarnation(m.Incarnation + 1)
 			}
-			m.Answered = now
-		case !m.AtTerm && !m.proven && now.Sub(f.Claimed) > over+f.linger && now.Sub(m.Answered) > over:
+			m.LastResponse = now
+		case !m.SeenAtToken && !m.provenEmpty && now.Sub(f.ElectedAt) > over+f.predecessorGrace && now.Sub(m.LastResponse) > over:
 			// Proof 5.
-			m.proven = true
+			m.provenEmpty = true
 			for _, p := range m.Placements() {
-				f.remove(m, p)
+				f.removePlacement(m, p)
 				events = append(events, Event{p, true})
 			}
 		}
@@ -374,10 +378,10 @@
 	return events
 }
 
-// List takes in a complete list of the cloud that was asked for at a time, and
+// ApplyCloudList takes in a complete list of the cloud that was asked for at a time, and
 // names the machines that it proves gone. A list may be old by twice the lag,
 // so that a machine counts as gone only if it was known to exist well before.
-func (f *Fleet) List(asked, now time.Time, list []wire.ListedMachine) (gone []string) {
+func (f *Fleet) ApplyCloudList(asked, now time.Time, list []wire.ListedMachine) (gone []string) {
 	stale := 2*f.listLag + 2*time.Second
 	here := make(map[string]bool, len(list))
 	for _, l := range list {
@@ -386,23 +390,23 @@
 			gone = append(gone, l.ID)
 			continue
 		}
-		if _, gone := f.buried[l.ID]; gone {
+		if _, gone := f.goneMachines[l.ID]; gone {
 			continue
 		}
-		m := f.Know(now, l.ID, l.Type, l.Zone, l.Spot)
+		m := f.EnsureMachine(now, l.ID, l.Type, l.Zone, l.Spot)
 		if m.Addr == "" {
 			m.Addr = l.Addr
 		}
-		if m.Listed.IsZero() {
-			m.Listed = now
+		if m.ListedAt.IsZero() {
+			m.ListedAt = now
 		}
 	}
 	for _, m := range f.Machines() {
 		if here[m.ID] {
 			continue
 		}
-		known := m.Listed
-		if !m.Heard.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
+		known := m.ListedAt
+		if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
 			known = m.UpSince
 		}
 		if known.IsZero() {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -11,8 +11,8 @@
 // parts are called what they were.
 func TestGoldenGroupings(t *testing.T) {
 	var out strings.Builder
-	for _, g := range []*Grouping{One(), ByZones(3, []string{"a", "b", "c"}), ByZones(2, []string{"a", "b", "c"}), ByTypes([]string{"small", "large"})} {
-		out.WriteString(g.String() + ": " + strings.Join(g.Parts(), " ") + "\n")
+	for _, g := range []*Sharding{SingleShard(), ByZones(3, []string{"a", "b", "c"}), ByZones(2, []string{"a", "b", "c"}), ByTypes([]string{"small", "large"})} {
+		out.WriteString(g.String() + ": " + strings.Join(g.Shards(), " ") + "\n")
 	}
 	goldentest.Text(t, "groupings.txt", out.String())
 }
--- a/internal/fleet/sharding.go
+++ b/internal/fleet/sharding.go
@@ -8,26 +8,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Grouping divides a fleet into parts by the facts of its machines alone, so that
+// Sharding divides a fleet into parts by the facts of its machines alone, so that
 // every controller says the same of a machine that it has never heard of.
-type Grouping struct {
-	text  string
-	parts []string
-	zones map[string]string // the part of each zone, where that decides
-	types map[string]string // the part of each type, where that decides
+type Sharding struct {
+	description string
+	shards      []string
+	shardByZone map[string]string // the part of each zone, where that decides
+	shardByType map[string]string // the part of each type, where that decides
 }
 
-// One is the grouping of a fleet that is a single part.
-func One() *Grouping { return &Grouping{parts: []string{"fleet"}} }
+// SingleShard is the grouping of a fleet that is a single part.
+func SingleShard() *Sharding { return &Sharding{shards: []string{"fleet"}} }
 
 // ByZones gives so many parts, over which the zones are dealt out in order; with as
 // many as there are zones, each zone is a part and gives it its name.
-func ByZones(n int, zones []string) *Grouping {
+func ByZones(n int, zones []string) *Sharding {
 	zones = slices.Sorted(slices.Values(zones))
 	if n <= 1 {
-		return One()
+		return SingleShard()
 	}
-	g := &Grouping{zones: make(map[string]string)}
+	g := &Sharding{shardByZone: make(map[string]string)}
 	for i := range n {
 		name := fmt.Sprintf("part-%d", i)
 		if n >= len(zones) {
@@ -36,54 +36,54 @@
 			}
 			name = zones[i]
 		}
-		g.parts = append(g.parts, name)
+		g.shards = append(g.shards, name)
 	}
 	for i, zone := range zones {
-		g.zones[zone] = g.parts[i%len(g.parts)]
+		g.shardByZone[zone] = g.shards[i%len(g.shards)]
 	}
-	g.text = "zones " + strings.Join(zones, ",") + " in " + strings.Join(g.parts, ",")
+	g.description = "zones " + strings.Join(zones, ",") + " in " + strings.Join(g.shards, ",")
 	return g
 }
 
 // ByTypes makes each of the named types a part; machines of others are of the first.
-func ByTypes(types []string) *Grouping {
+func ByTypes(types []string) *Sharding {
 	types = slices.Compact(slices.Sorted(slices.Values(types)))
 	if len(types) <= 1 {
-		return One()
+		return SingleShard()
 	}
-	g := &Grouping{parts: types, types: make(map[string]string)}
+	g := &Sharding{shards: types, shardByType: make(map[string]string)}
 	for _, t := range types {
-		g.types[t] = t
+		g.shardByType[t] = t
 	}
-	g.text = "types " + strings.Join(types, ",")
+	g.description = "types " + strings.Join(types, ",")
 	return g
 }
 
-// Parts names the parts in order.
-func (g *Grouping) Parts() []string { return g.parts }
+// Shards names the parts in order.
+func (g *Sharding) Shards() []string { return g.shards }
 
-// Whole reports whether the fleet is a single part.
-func (g *Grouping) Whole() bool { return len(g.parts) == 1 }
+// IsSingle reports whether the fleet is a single part.
+func (g *Sharding) IsSingle() bool { return len(g.shards) == 1 }
 
-// PartOf names the part that a machine belongs to.
-func (g *Grouping) PartOf(zone, machineType string) string {
-	if p, ok := g.zones[zone]; ok {
+// ShardOf names the part that a machine belongs to.
+func (g *Sharding) ShardOf(zone, machineType string) string {
+	if p, ok := g.shardByZone[zone]; ok {
 		return p
 	}
-	if p, ok := g.types[machineType]; ok {
+	if p, ok := g.shardByType[machineType]; ok {
 		return p
 	}
-	return g.parts[0]
+	return g.shards[0]
 }
 
-// Suits reports whether a part may have machines that a job allows and fits on.
-func (g *Grouping) Suits(part string, j *wire.Job, types []wire.MachineType) bool {
+// MayHost reports whether a part may have machines that a job allows and fits on.
+func (g *Sharding) MayHost(shard string, j *wire.Job, types []wire.MachineType) bool {
 	for _, t := range types {
 		if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
 			continue
 		}
 		for _, zone := range t.Zones {
-			if g.PartOf(zone, t.Name) == part && (j.Zone == "" || j.Zone == zone) {
+			if g.ShardOf(zone, t.Name) == shard && (j.Zone == "" || j.Zone == zone) {
 				return true
 			}
 		}
@@ -91,15 +91,15 @@
 	return false
 }
 
-// Zoned reports whether all machines of a zone are in the same part, so that a
+// KeepsZonesWhole reports whether all machines of a zone are in the same part, so that a
 // holder knows of everything that is in its zones.
-func (g *Grouping) Zoned() bool { return g.types == nil }
+func (g *Sharding) KeepsZonesWhole() bool { return g.shardByType == nil }
 
-// Zones lists the zones that belong to a part, where zones decide.
-func (g *Grouping) Zones(part string) []string {
+// ZonesOf lists the zones that belong to a part, where zones decide.
+func (g *Sharding) ZonesOf(shard string) []string {
 	var out []string
-	for zone, p := range g.zones {
-		if p == part {
+	for zone, p := range g.shardByZone {
+		if p == shard {
 			out = append(out, zone)
 		}
 	}
@@ -109,4 +109,4 @@
 
 // String tells the grouping, for comparing with what the state says; it is empty
 // for a single part.
-func (g *Grouping) String() string { return g.text }
+func (g *Sharding) String() string { return g.description }
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -15,11 +15,11 @@
 
 // Bounds of forwarding.
 const (
-	dialWait   = 500 * time.Millisecond  // for a stream to be opened
-	sendWait   = 300 * time.Millisecond  // for a request to be taken by the network
-	answerWait = 2500 * time.Millisecond // for its answer; what is left of a user's patience is for doing it here
-	avoidFor   = 3 * time.Second         // a sibling that did not answer
-	mostOpen   = 300                     // requests to one sibling that are not answered
+	dialTimeout       = 500 * time.Millisecond  // for a stream to be opened
+	sendTimeout       = 300 * time.Millisecond  // for a request to be taken by the network
+	answerTimeout     = 2500 * time.Millisecond // for its answer; what is left of a user's patience is for doing it here
+	avoidAfterFailure = 3 * time.Second         // a sibling that did not answer
+	maxOutstanding    = 300                     // requests to one sibling that are not answered
 )
 
 // errBroken means that a stream ended before a request was answered.
@@ -30,23 +30,23 @@
 
 // Client forwards requests to siblings.
 type Client struct {
-	// Open opens a stream to a sibling.
-	Open func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
+	// OpenStream opens a stream to a sibling.
+	OpenStream func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
 	// Writer names who writes a job, if that is a sibling; avoid tells whom not to take.
 	Writer func(job string, avoid func(name string) bool) string
 	Log    *slog.Logger
 
-	mu      sync.Mutex
-	streams map[string]*stream
-	failed  map[string]time.Time
-	counts  Counts
-	closed  bool
+	mu       sync.Mutex
+	streams  map[string]*stream
+	failedAt map[string]time.Time
+	counts   Counts
+	closed   bool
 }
 
 // Counts counts what was forwarded.
 type Counts struct {
-	Forwarded uint64 // requests
-	Lost      uint64 // of them, those whose outcome was not told in time
+	Forwarded  uint64 // requests
+	Unanswered uint64 // of them, those whose outcome was not told in time
 }
 
 // Counts gives the counts so far.
@@ -58,61 +58,61 @@
 
 // Submit has the writer of a job accept it. Told is false where it is to be done here: nobody else
 // writes it, or the outcome is not known.
-func (c *Client) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, told bool, err error) {
+func (c *Client) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, handled bool, err error) {
 	return c.forward(ctx, request{Verb: Submit, ID: job.ID, Job: wire.Encode(job)})
 }
 
 // Cancel has the writer of a job cancel it, likewise.
-func (c *Client) Cancel(ctx context.Context, id string) (rec store.JobRecord, told bool, err error) {
-	rec, _, told, err = c.forward(ctx, request{Verb: Cancel, ID: id})
-	return rec, told, err
+func (c *Client) Cancel(ctx context.Context, id string) (rec store.JobRecord, handled bool, err error) {
+	rec, _, handled, err = c.forward(ctx, request{Verb: Cancel, ID: id})
+	return rec, handled, err
 }
 
-func (c *Client) forward(ctx context.Context, r request) (rec store.JobRecord, created, told bool, err error) {
-	to := c.Writer(r.ID, c.avoided)
+func (c *Client) forward(ctx context.Context, r request) (rec store.JobRecord, created, handled bool, err error) {
+	to := c.Writer(r.ID, c.recentlyFailed)
 	if to == "" || ctx.Err() != nil {
 		return rec, false, false, nil
 	}
-	wait, cancel := context.WithTimeout(ctx, answerWait)
+	wait, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	a, err := c.ask(wait, to, r)
+	a, err := c.roundTrip(wait, to, r)
 	if err != nil {
 		if ctx.Err() == nil { // or its user has gone
-			c.fail(to, r.ID, err)
+			c.recordFailure(to, r.ID, err)
 		}
 		return rec, false, false, nil
 	}
-	if a.Failure == failedAlien {
+	if a.Failure == failedNotUnderstood {
 		return rec, false, false, nil
 	}
 	rec, created, err = a.outcome()
 	return rec, created, true, err
 }
 
-// avoided reports whether a sibling did not answer lately.
-func (c *Client) avoided(name string) bool {
+// recentlyFailed reports whether a sibling did not answer lately.
+func (c *Client) recentlyFailed(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.failed[name]) < avoidFor
+	return time.Since(c.failedAt[name]) < avoidAfterFailure
 }
 
-func (c *Client) fail(to, job string, why error) {
-	c.Log.Debug("request not forwarded", "job", job, "to", to, "error", why)
+func (c *Client) recordFailure(to, job string, err error) {
+	c.Log.Debug("request not forwarded", "job", job, "to", to, "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Lost++
-	if errors.Is(why, errBusy) {
+	c.counts.Unanswered++
+	if errors.Is(err, errBusy) {
 		return // it answers as fast as it can
 	}
-	if c.failed == nil {
-		c.failed = make(map[string]time.Time)
+	if c.failedAt == nil {
+		c.failedAt = make(map[string]time.Time)
 	}
-	c.failed[to] = time.Now()
+	c.failedAt[to] = time.Now()
 }
 
-// ask sends a request and waits for its answer.
-func (c *Client) ask(ctx context.Context, to string, r request) (*answer, error) {
-	s, err := c.stream(ctx, to)
+// roundTrip sends a request and waits for its answer.
+func (c *Client) roundTrip(ctx context.Context, to string, r request) (*answer, error) {
+	s, err := c.streamTo(ctx, to)
 	if err != nil {
 		return nil, err
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// stream gives the stream to a sibling, which it opens if there is none.
-func (c *Client) stream(ctx context.Context, to string) (*stream, error) {
+// streamTo gives the stream to a sibling, which it opens if there is none.
+func (c *Client) streamTo(ctx context.Context, to string) (*stream, error) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -146,7 +146,7 @@
 	if s == nil || s.ended() {
 		s = newStream()
 		c.streams[to] = s
-		go c.open(to, s)
+		go c.runStream(to, s)
 	}
 	c.mu.Unlock()
 	select {
@@ -159,11 +159,11 @@
 	}
 }
 
-// open opens a stream and takes its answers until it ends.
-func (c *Client) open(to string, s *stream) {
+// runStream opens a stream and takes its answers until it ends.
+func (c *Client) runStream(to string, s *stream) {
 	defer s.end()
-	dial, cancel := context.WithTimeout(context.Background(), dialWait)
-	conn, enc, err := c.Open(dial, to, Kind)
+	dial, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	conn, enc, err := c.OpenStream(dial, to, StreamKind)
 	cancel()
 	if err != nil {
 		c.Log.Debug("no stream to a writer", "to", to, "error", err)
@@ -185,7 +185,7 @@
 		if err := dec.Decode(a); err != nil {
 			return
 		}
-		s.take(a)
+		s.deliver(a)
 	}
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -22,21 +22,21 @@
 
 func (pipe) SetIdle(time.Duration) {}
 
-// writer is a service that says what it is told to.
-type writer struct {
+// fakeAdmission is a service that says what it is told to.
+type fakeAdmission struct {
 	mu     sync.Mutex
 	asked  []string
 	answer func(ctx context.Context, id string) (store.JobRecord, bool, error)
 }
 
-func (w *writer) SubmitHere(ctx context.Context, job *wire.Job) (store.JobRecord, bool, error) {
+func (w *fakeAdmission) SubmitLocally(ctx context.Context, job *wire.Job) (store.JobRecord, bool, error) {
 	w.mu.Lock()
 	w.asked = append(w.asked, "submit "+job.ID)
 	w.mu.Unlock()
 	return w.answer(ctx, job.ID)
 }
 
-func (w *writer) CancelHere(ctx context.Context, id string) (store.JobRecord, error) {
+func (w *fakeAdmission) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
 	w.mu.Lock()
 	w.asked = append(w.asked, "cancel "+id)
 	w.mu.Unlock()
@@ -44,18 +44,18 @@
 	return rec, err
 }
 
-// bench is a client and the server of a sibling.
-type bench struct {
+// fixture is a client and the server of a sibling.
+type fixture struct {
 	*Client
-	writer *writer
+	writer *fakeAdmission
 	opened int
 	refuse bool     // connections
 	last   net.Conn // the writer's end of the newest one
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	log := slog.New(slog.DiscardHandler)
-	b := &bench{writer: &writer{}}
+	b := &fixture{writer: &fakeAdmission{}}
 	ctx, stop := context.WithCancel(t.Context())
 	server := &Server{Admission: b.writer, Log: log}
 	b.Client = &Client{Log: log, Writer: func(_ string, avoid func(string) bool) string {
@@ -63,7 +63,7 @@
 			return ""
 		}
 		return "c-1"
-	}, Open: func(context.Context, string, string) (net.Conn, *gob.Encoder, error) {
+	}, OpenStream: func(context.Context, string, string) (net.Conn, *gob.Encoder, error) {
 		b.opened++
 		if b.refuse {
 			return nil, nil, errors.New("refused")
@@ -95,11 +95,11 @@
 // TestAnswers: what a writer says is what whoever forwarded it hears, whatever it is.
 func TestAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: jobOf("wk-1"), Shares: []store.Share{{From: 0, To: 3, Part: "a"}}}
+		b := newFixture(t)
+		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: jobOf("wk-1"), Ranges: []store.ShardRange{{From: 0, To: 3, Shard: "a"}}}
 		b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil }
 		got, created, told, err := b.Submit(t.Context(), jobOf("wk-1"))
-		if !told || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Shares) != 1 {
+		if !told || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Ranges) != 1 {
 			t.Errorf("%+v, created %v, told %v, %v", got, created, told, err)
 		}
 		if got, told, err := b.Cancel(t.Context(), "wk-2"); !told || err != nil || got.Tasks != 3 {
@@ -108,44 +108,44 @@
 		if fmt.Sprint(b.writer.asked) != "[submit wk-1 cancel wk-2]" || b.opened != 1 {
 			t.Errorf("%v by %d streams", b.writer.asked, b.opened)
 		}
-		for _, want := range []error{admission.ErrLater, admission.ErrBehind, admission.ErrHere, admission.ErrUnknown, admission.ErrFull, admission.ErrTooLarge} {
+		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrFull, admission.ErrTooLarge} {
 			b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
 				return store.JobRecord{}, false, fmt.Errorf("because: %w", want)
 			}
-			if _, _, told, err := b.Submit(t.Context(), jobOf("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrLater) != errors.Is(want, admission.ErrLater) {
+			if _, _, told, err := b.Submit(t.Context(), jobOf("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
 				t.Errorf("%v arrives as %v, told %v", want, err, told)
 			}
 		}
 		b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
-			return store.JobRecord{}, false, &admission.NeverError{Why: "unknown team"}
+			return store.JobRecord{}, false, &admission.UnrunnableError{Reason: "unknown team"}
 		}
-		var never *admission.NeverError
-		if _, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || !errors.As(err, &never) || never.Why != "unknown team" {
+		var never *admission.UnrunnableError
+		if _, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || !errors.As(err, &never) || never.Reason != "unknown team" {
 			t.Errorf("%v, told %v", err, told)
 		}
 	})
 }
 
-// TestNotTold: whatever keeps an answer away, the request is left to whoever forwarded it, soon, and
+// TestNotHandled: whatever keeps an answer away, the request is left to whoever forwarded it, soon, and
 // the sibling is left alone for a while.
-func TestNotTold(t *testing.T) {
+func TestNotHandled(t *testing.T) {
 	for name, x := range map[string]struct {
-		spoil func(b *bench)
+		spoil func(b *fixture)
 		most  time.Duration
 	}{
-		"no connection": {func(b *bench) { b.refuse = true }, 0},
-		"no answer":     {func(b *bench) { b.writer.answer = hang }, answerWait},
-		"the stream breaks": {func(b *bench) {
+		"no connection": {func(b *fixture) { b.refuse = true }, 0},
+		"no answer":     {func(b *fixture) { b.writer.answer = hang }, answerTimeout},
+		"the stream breaks": {func(b *fixture) {
 			b.writer.answer = func(ctx context.Context, id string) (store.JobRecord, bool, error) {
 				b.last.Close()
 				return hang(ctx, id)
 			}
 		}, 0},
-		"a word not understood": {func(b *bench) { b.writer.answer = nil }, 0},
+		"a word not understood": {func(b *fixture) { b.writer.answer = nil }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				b := newFixture(t)
 				b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil }
 				if name != "no connection" { // a stream that was good before
 					if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-1")); !told {
@@ -164,14 +164,14 @@
 				if job.Shape == "none" {
 					return // nothing is wrong with the sibling
 				}
-				if b.Counts().Lost != 1 || !b.avoided("c-1") {
-					t.Errorf("%+v, avoided: %v", b.Counts(), b.avoided("c-1"))
+				if b.Counts().Unanswered != 1 || !b.recentlyFailed("c-1") {
+					t.Errorf("%+v, avoided: %v", b.Counts(), b.recentlyFailed("c-1"))
 				}
 				before := b.Counts().Forwarded
 				if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-3")); told || b.Counts().Forwarded != before {
 					t.Error("a sibling that did not answer is asked again at once")
 				}
-				time.Sleep(avoidFor)
+				time.Sleep(avoidAfterFailure)
 				b.refuse = false
 				b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
 					return store.JobRecord{Tasks: 9}, true, nil
@@ -193,7 +193,7 @@
 // another, and what is over in between is not done.
 func TestLateAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.writer.answer = func(ctx context.Context, id string) (store.JobRecord, bool, error) {
 			if id == "wk-1" {
 				time.Sleep(2 * time.Second)
@@ -205,31 +205,31 @@
 		if _, _, told, _ := b.Submit(soon, jobOf("wk-1")); told {
 			t.Error("told before the answer")
 		}
-		if b.avoided("c-1") || b.Counts().Lost > 0 {
+		if b.recentlyFailed("c-1") || b.Counts().Unanswered > 0 {
 			t.Error("the sibling is blamed for a user who has gone")
 		}
 		if rec, _, told, err := b.Submit(t.Context(), jobOf("wk-12345")); !told || err != nil || rec.Tasks != 8 {
 			t.Errorf("%+v, told %v, %v", rec, told, err)
 		}
-		time.Sleep(serveWait) // the late one ends
+		time.Sleep(serveTimeout) // the late one ends
 	})
 }
 
 // TestBounded: a writer that does not keep up is not sent more and more.
 func TestBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		b := newFixture(t)
 		b.writer.answer = hang
 		var group sync.WaitGroup
-		for i := range mostOpen + 50 {
+		for i := range maxOutstanding + 50 {
 			group.Go(func() { _, _, _, _ = b.Submit(t.Context(), jobOf(fmt.Sprintf("wk-%06d", i))) })
 		}
 		synctest.Wait()
 		b.writer.mu.Lock()
 		asked := len(b.writer.asked)
 		b.writer.mu.Unlock()
-		if asked > mostOpen || b.Counts().Lost < 50 || b.avoided("c-1") {
-			t.Errorf("%d are asked at once, %+v, avoided: %v", asked, b.Counts(), b.avoided("c-1"))
+		if asked > maxOutstanding || b.Counts().Unanswered < 50 || b.recentlyFailed("c-1") {
+			t.Errorf("%d are asked at once, %+v, avoided: %v", asked, b.Counts(), b.recentlyFailed("c-1"))
 		}
 		group.Wait()
 	})
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -17,8 +17,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Kind is what a stream of forwarded requests is called on the mesh.
-const Kind = "writes"
+// StreamKind is what a stream of forwarded requests is called on the mesh.
+const StreamKind = "writes"
 
 // Verb is what a user wants.
 type Verb int
@@ -52,14 +52,14 @@
 
 const (
 	none failure = iota
-	failedLater
-	failedBehind
-	failedHere
-	failedUnknown
+	failedRetryLater
+	failedCompactionBehind
+	failedHistoryUnavailable
+	failedUnknownJob
 	failedFull
 	failedTooLarge
-	failedNever
-	failedAlien // the request is not understood: whoever sent it does it
+	failedUnrunnable
+	failedNotUnderstood // the request is not understood: whoever sent it does it
 )
 
 // failures are the errors that are told apart, the more special ones first.
@@ -67,22 +67,22 @@
 	code failure
 	err  error
 }{
-	{failedBehind, admission.ErrBehind},
-	{failedHere, admission.ErrHere},
-	{failedUnknown, admission.ErrUnknown},
+	{failedCompactionBehind, admission.ErrCompactionBehind},
+	{failedHistoryUnavailable, admission.ErrHistoryUnavailable},
+	{failedUnknownJob, admission.ErrUnknownJob},
 	{failedFull, admission.ErrFull},
 	{failedTooLarge, admission.ErrTooLarge},
 }
 
-// pack makes the answer to a request.
-func pack(number uint64, rec store.JobRecord, created bool, err error) answer {
+// newAnswer makes the answer to a request.
+func newAnswer(number uint64, rec store.JobRecord, created bool, err error) answer {
 	if err == nil {
 		return answer{Number: number, Record: wire.Encode(rec), Created: created}
 	}
-	out := answer{Number: number, Failure: failedLater, Why: err.Error()}
-	var never *admission.NeverError
+	out := answer{Number: number, Failure: failedRetryLater, Why: err.Error()}
+	var never *admission.UnrunnableError
 	if errors.As(err, &never) {
-		out.Failure, out.Why = failedNever, never.Why
+		out.Failure, out.Why = failedUnrunnable, never.Reason
 		return out
 	}
 	for _, f := range failures {
@@ -99,16 +99,16 @@
 	switch a.Failure {
 	case none:
 		if err := wire.DecodeValue(a.Record, &rec); err != nil {
-			return rec, false, fmt.Errorf("%w: a sibling's answer: %w", admission.ErrLater, err)
+			return rec, false, fmt.Errorf("%w: a sibling's answer: %w", admission.ErrRetryLater, err)
 		}
 		return rec, a.Created, nil
-	case failedNever:
-		return rec, false, &admission.NeverError{Why: a.Why}
+	case failedUnrunnable:
+		return rec, false, &admission.UnrunnableError{Reason: a.Why}
 	}
 	for _, f := range failures {
 		if a.Failure == f.code {
 			return rec, false, f.err
 		}
 	}
-	return rec, false, fmt.Errorf("%w: %s", admission.ErrLater, a.Why)
+	return rec, false, fmt.Errorf("%w: %s", admission.ErrRetryLater, a.Why)
 }
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -14,8 +14,8 @@
 
 // Admission is where jobs are accepted and cancelled here, without forwarding them once more.
 type Admission interface {
-	SubmitHere(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error)
-	CancelHere(ctx context.Context, id string) (store.JobRecord, error)
+	SubmitLocally(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error)
+	CancelLocally(ctx context.Context, id string) (store.JobRecord, error)
 }
 
 // Server does what siblings forward.
@@ -24,8 +24,8 @@
 	Log       *slog.Logger
 }
 
-// idle is how long a stream may bring nothing before it is closed; a sibling opens another.
-const idle = 2 * time.Minute
+// idleTimeout is how long a stream may bring nothing before it is closed; a sibling opens another.
+const idleTimeout = 2 * time.Minute
 
 // Serve answers the requests of one stream until it ends. Whoever sent one that is not answered by
 // then no longer waits.
@@ -35,8 +35,8 @@
 	defer open.Wait()
 	defer c.Close() // whoever takes nothing more holds up no answer
 	defer cancel()
-	c.SetIdle(idle)
-	out := make(chan answer, mostOpen)
+	c.SetIdle(idleTimeout)
+	out := make(chan answer, maxOutstanding)
 	reply := func(a answer) {
 		select {
 		case out <- a:
@@ -44,7 +44,7 @@
 		}
 	}
 	open.Go(func() { sendAll(ctx, c, out) })
-	room := make(chan struct{}, mostOpen)
+	room := make(chan struct{}, maxOutstanding)
 	for {
 		var r request
 		if err := dec.Decode(&r); err != nil {
@@ -58,34 +58,34 @@
 		}
 		open.Go(func() {
 			defer func() { <-room }()
-			reply(s.do(ctx, from, &r))
+			reply(s.handle(ctx, from, &r))
 		})
 	}
 }
 
-// serveWait bounds what is done for a request: a little longer than its sender waits, who does it by
+// serveTimeout bounds what is done for a request: a little longer than its sender waits, who does it by
 // itself then.
-const serveWait = answerWait + 500*time.Millisecond
+const serveTimeout = answerTimeout + 500*time.Millisecond
 
-// do does what one request asks for.
-func (s *Server) do(ctx context.Context, from string, r *request) answer {
-	ctx, cancel := context.WithTimeout(ctx, serveWait)
+// handle does what one request asks for.
+func (s *Server) handle(ctx context.Context, from string, r *request) answer {
+	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	switch r.Verb {
 	case Submit:
 		job, err := wire.DecodeJob(r.Job)
 		if err != nil {
 			s.Log.Warn("a forwarded job is not understood", "from", from, "job", r.ID, "error", err)
-			return answer{Number: r.Number, Failure: failedAlien}
+			return answer{Number: r.Number, Failure: failedNotUnderstood}
 		}
-		rec, created, err := s.Admission.SubmitHere(ctx, job)
-		return pack(r.Number, rec, created, err)
+		rec, created, err := s.Admission.SubmitLocally(ctx, job)
+		return newAnswer(r.Number, rec, created, err)
 	case Cancel:
-		rec, err := s.Admission.CancelHere(ctx, r.ID)
-		return pack(r.Number, rec, false, err)
+		rec, err := s.Admission.CancelLocally(ctx, r.ID)
+		return newAnswer(r.Number, rec, false, err)
 	}
 	s.Log.Warn("a forwarded request is not understood", "from", from, "verb", r.Verb)
-	return answer{Number: r.Number, Failure: failedAlien}
+	return answer{Number: r.Number, Failure: failedNotUnderstood}
 }
 
 // sendAll sends answers on a stream, one at a time, until the context ends. Where that fails the
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -13,19 +13,19 @@
 	conn         net.Conn
 	out          chan request
 
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]*wait
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]*pendingRequest
 }
 
-// wait is a request that is not answered yet.
-type wait struct {
+// pendingRequest is a request that is not answered yet.
+type pendingRequest struct {
 	number uint64
 	answer chan *answer
 }
 
 func newStream() *stream {
-	return &stream{opened: make(chan struct{}), done: make(chan struct{}), out: make(chan request, mostOpen), waiting: make(map[uint64]*wait)}
+	return &stream{opened: make(chan struct{}), done: make(chan struct{}), out: make(chan request, maxOutstanding), pending: make(map[uint64]*pendingRequest)}
 }
 
 func (s *stream) ended() bool {
@@ -40,21 +40,21 @@
 func (s *stream) end() { close(s.done) }
 
 // send has a request be sent.
-func (s *stream) send(r request) (*wait, error) {
+func (s *stream) send(r request) (*pendingRequest, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting) >= mostOpen {
+	if len(s.pending) >= maxOutstanding {
 		return nil, errBusy
 	}
-	r.Number = s.last + 1
+	r.Number = s.lastNumber + 1
 	select {
 	case s.out <- r:
 	default:
 		return nil, errBusy
 	}
-	s.last = r.Number
-	w := &wait{r.Number, make(chan *answer, 1)}
-	s.waiting[w.number] = w
+	s.lastNumber = r.Number
+	w := &pendingRequest{r.Number, make(chan *answer, 1)}
+	s.pending[w.number] = w
 	return w, nil
 }
 
@@ -65,7 +65,7 @@
 		case <-s.done:
 			return
 		case r := <-s.out:
-			_ = s.conn.SetWriteDeadline(time.Now().Add(sendWait))
+			_ = s.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 			if err := enc.Encode(r); err != nil {
 				s.conn.Close() // what was sent of it can't be followed by another
 				return
@@ -74,18 +74,18 @@
 	}
 }
 
-func (s *stream) forget(w *wait) {
+func (s *stream) forget(w *pendingRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, w.number)
+	delete(s.pending, w.number)
 }
 
-// take gives an answer to who waits for it; one that nobody waits for any more is dropped.
-func (s *stream) take(a *answer) {
+// deliver gives an answer to who waits for it; one that nobody waits for any more is dropped.
+func (s *stream) deliver(a *answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w := s.waiting[a.Number]; w != nil {
-		delete(s.waiting, a.Number)
+	if w := s.pending[a.Number]; w != nil {
+		delete(s.pending, a.Number)
 		w.answer <- a
 	}
 }
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -28,7 +28,7 @@
 
 func (e *Error) Error() string { return e.Reason }
 
-func bad(status int, format string, args ...any) error {
+func errorf(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
@@ -41,21 +41,21 @@
 
 // Response is a response, read or to be written.
 type Response struct {
-	Status     int
-	Body       []byte
-	Type       string // of the body; CBOR if it is empty
-	RetryAfter time.Duration
-	Close      bool
+	Status      int
+	Body        []byte
+	ContentType string // of the body; CBOR if it is empty
+	RetryAfter  time.Duration
+	Close       bool
 }
 
-// line reads a line that ends with CRLF or LF.
-func line(r *bufio.Reader) (string, error) {
+// readLine reads a line that ends with CRLF or LF.
+func readLine(r *bufio.Reader) (string, error) {
 	var out []byte
 	for {
 		part, err := r.ReadSlice('\n')
 		out = append(out, part...)
 		if len(out) > maxLine {
-			return "", bad(431, "line too long")
+			return "", errorf(431, "line too long")
 		}
 		if err == nil {
 			break
@@ -69,7 +69,7 @@
 	}
 	s := strings.TrimSuffix(strings.TrimSuffix(string(out), "\n"), "\r")
 	if strings.ContainsAny(s, "\r\x00") {
-		return "", bad(400, "control character in the head")
+		return "", errorf(400, "control character in the head")
 	}
 	return s, nil
 }
@@ -83,10 +83,10 @@
 	retryAfter time.Duration
 }
 
-func headers(r *bufio.Reader) (head, error) {
+func readHeaders(r *bufio.Reader) (head, error) {
 	h := head{length: -1}
 	for n := 0; ; n++ {
-		s, err := line(r)
+		s, err := readLine(r)
 		if err != nil {
 			return h, err
 		}
@@ -94,18 +94,18 @@
 			break
 		}
 		if n == maxHeaders {
-			return h, bad(431, "too many headers")
+			return h, errorf(431, "too many headers")
 		}
 		name, value, ok := strings.Cut(s, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return h, bad(400, "malformed header")
+			return h, errorf(400, "malformed header")
 		}
 		if err := h.set(strings.ToLower(name), strings.Trim(value, " \t")); err != nil {
 			return h, err
 		}
 	}
 	if h.chunked && h.length >= 0 {
-		return h, bad(400, "both a length and chunks")
+		return h, errorf(400, "both a length and chunks")
 	}
 	return h, nil
 }
@@ -115,12 +115,12 @@
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 62)
 		if err != nil || value[0] == '+' || h.length >= 0 && h.length != int64(n) {
-			return bad(400, "bad or conflicting content-length")
+			return errorf(400, "bad or conflicting content-length")
 		}
 		h.length = int64(n)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") || h.chunked {
-			return bad(501, "transfer encoding not supported")
+			return errorf(501, "transfer encoding not supported")
 		}
 		h.chunked = true
 	case "connection":
@@ -139,13 +139,13 @@
 	return nil
 }
 
-// body reads what the head announced, at most limit bytes.
-func body(r *bufio.Reader, h head, limit int64) ([]byte, error) {
+// readBody reads what the head announced, at most limit bytes.
+func readBody(r *bufio.Reader, h head, limit int64) ([]byte, error) {
 	if h.chunked {
-		return chunks(r, limit)
+		return readChunks(r, limit)
 	}
 	if h.length > limit {
-		return nil, bad(413, "body larger than %d bytes", limit)
+		return nil, errorf(413, "body larger than %d bytes", limit)
 	}
 	if h.length <= 0 {
 		return nil, nil
@@ -157,20 +157,20 @@
 	return b, nil
 }
 
-func chunks(r *bufio.Reader, limit int64) ([]byte, error) {
+func readChunks(r *bufio.Reader, limit int64) ([]byte, error) {
 	var out []byte
 	for {
-		s, err := line(r)
+		s, err := readLine(r)
 		if err != nil {
 			return nil, err
 		}
 		size, _, _ := strings.Cut(s, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
-			return nil, bad(400, "bad chunk size")
+			return nil, errorf(400, "bad chunk size")
 		}
 		if int64(len(out))+int64(n) > limit {
-			return nil, bad(413, "body larger than %d bytes", limit)
+			return nil, errorf(413, "body larger than %d bytes", limit)
 		}
 		if n == 0 {
 			break
@@ -180,12 +180,12 @@
 		if _, err := io.ReadFull(r, out[at:]); err != nil {
 			return nil, err
 		}
-		if s, err := line(r); err != nil || s != "" {
-			return nil, bad(400, "chunk without its end")
+		if s, err := readLine(r); err != nil || s != "" {
+			return nil, errorf(400, "chunk without its end")
 		}
 	}
 	for n := 0; ; n++ { // trailers
-		s, err := line(r)
+		s, err := readLine(r)
 		if err != nil {
 			return nil, err
 		}
@@ -193,7 +193,7 @@
 			return out, nil
 		}
 		if n == maxHeaders {
-			return nil, bad(431, "too many trailers")
+			return nil, errorf(431, "too many trailers")
 		}
 	}
 }
@@ -201,26 +201,26 @@
 // ReadRequest reads one request with a body of at most limit bytes. io.EOF
 // means that the peer closed between requests.
 func ReadRequest(r *bufio.Reader, limit int64) (*Request, error) {
-	s, err := line(r)
+	s, err := readLine(r)
 	if err != nil {
 		return nil, err
 	}
 	method, rest, ok := strings.Cut(s, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok || !ok2 || method == "" || !strings.HasPrefix(target, "/") || strings.Contains(proto, " ") {
-		return nil, bad(400, "malformed request line")
+		return nil, errorf(400, "malformed request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-		return nil, bad(505, "not HTTP/1.1")
+		return nil, errorf(505, "not HTTP/1.1")
 	}
-	h, err := headers(r)
+	h, err := readHeaders(r)
 	if err != nil {
 		return nil, err
 	}
 	if h.expect {
-		return nil, bad(417, "expectations are not met here")
+		return nil, errorf(417, "expectations are not met here")
 	}
-	b, err := body(r, h, limit)
+	b, err := readBody(r, h, limit)
 	if err != nil {
 		return nil, err
 	}
@@ -243,7 +243,7 @@
 
 // ReadResponse reads one response with a body of at most limit bytes.
 func ReadResponse(r *bufio.Reader, limit int64) (*Response, error) {
-	s, err := line(r)
+	s, err := readLine(r)
 	if err != nil {
 		return nil, err
 	}
@@ -251,9 +251,9 @@
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 599 {
-		return nil, bad(502, "malformed status line")
+		return nil, errorf(502, "malformed status line")
 	}
-	h, err := headers(r)
+	h, err := readHeaders(r)
 	if err != nil {
 		return nil, err
 	}
@@ -265,15 +265,15 @@
 		resp.Close = true
 		resp.Body, err = io.ReadAll(io.LimitReader(r, limit+1))
 		if err == nil && int64(len(resp.Body)) > limit {
-			err = bad(502, "body larger than %d bytes", limit)
+			err = errorf(502, "body larger than %d bytes", limit)
 		}
 		return resp, err
 	}
-	resp.Body, err = body(r, h, limit)
+	resp.Body, err = readBody(r, h, limit)
 	return resp, err
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	409: "Conflict", 410: "Gone", 413: "Content Too Large", 417: "Expectation Failed", 421: "Misdirected Request", 422: "Unprocessable Content",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
@@ -282,9 +282,9 @@
 
 // AppendResponse writes a response.
 func AppendResponse(out []byte, r *Response) []byte {
-	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, reasons[r.Status], len(r.Body))
+	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, reasonPhrases[r.Status], len(r.Body))
 	if len(r.Body) > 0 {
-		out = fmt.Appendf(out, "Content-Type: %s\r\n", cmp.Or(r.Type, "application/cbor"))
+		out = fmt.Appendf(out, "Content-Type: %s\r\n", cmp.Or(r.ContentType, "application/cbor"))
 	}
 	if r.RetryAfter > 0 {
 		out = fmt.Appendf(out, "Retry-After: %d\r\n", int((r.RetryAfter+time.Second-1)/time.Second))
--- a/internal/ingest/balancer.go
+++ b/internal/ingest/balancer.go
@@ -6,58 +6,58 @@
 	"golang.org/x/time/rate"
 )
 
-// Steer decides which controller takes a machine's reports. It is pure but for what it
+// Balancer decides which controller takes a machine's reports. It is pure but for what it
 // remembers of the machines that it has sent on.
-type Steer struct {
-	// Keep is the number of machines up to which the holder takes reports itself.
-	Keep int
-	// Room is the number of machines that one controller may take.
-	Room int
-
-	limit *rate.Limiter
-	sent  map[string]int // since a while that the siblings' counts may not show yet
-	since time.Time
+type Balancer struct {
+	// LeaderKeeps is the number of machines up to which the holder takes reports itself.
+	LeaderKeeps int
+	// Capacity is the number of machines that one controller may take.
+	Capacity int
+
+	limiter           *rate.Limiter
+	recentlySent      map[string]int // since a while that the siblings' counts may not show yet
+	recentlySentSince time.Time
 }
 
-// moveTime is how long it may take to send on all that are too many: no storm.
-const moveTime = 15 * time.Second
+// rebalanceTime is how long it may take to send on all that are too many: no storm.
+const rebalanceTime = 15 * time.Second
 
-// countLag is how old what siblings say of themselves may be.
-const countLag = 2 * time.Second
+// peerLoadLag is how old what siblings say of themselves may be.
+const peerLoadLag = 2 * time.Second
 
 // slack is by how many machines, and by which part, edges may differ.
 const slack = 50
 
-// Elsewhere names the sibling that should take the reports of a machine that has
+// Target names the sibling that should take the reports of a machine that has
 // just reported here, or none. mine is how many machines report here, others how many
 // report to each sibling that passes reports on to the same holder. A machine on a new
 // connection is sent on at once, others a few at a time.
-func (s *Steer) Elsewhere(now time.Time, holder, fresh bool, mine int, others map[string]int) string {
-	if s.limit == nil {
-		s.limit = rate.NewLimiter(0, 10)
+func (s *Balancer) Target(now time.Time, leader, newConnection bool, local int, peers map[string]int) string {
+	if s.limiter == nil {
+		s.limiter = rate.NewLimiter(0, 10)
 	}
-	if now.Sub(s.since) >= countLag {
-		s.since, s.sent = now, make(map[string]int)
+	if now.Sub(s.recentlySentSince) >= peerLoadLag {
+		s.recentlySentSince, s.recentlySent = now, make(map[string]int)
 	}
-	best, least, sum := "", 0, mine
-	for name, n := range others {
-		n += s.sent[name]
+	best, least, sum := "", 0, local
+	for name, n := range peers {
+		n += s.recentlySent[name]
 		sum += n
-		if n < s.Room && (best == "" || n < least || n == least && name < best) {
+		if n < s.Capacity && (best == "" || n < least || n == least && name < best) {
 			best, least = name, n
 		}
 	}
-	most := s.Keep
-	if !holder {
-		most = max(s.Keep, sum/(len(others)+1)*5/4+slack)
+	most := s.LeaderKeeps
+	if !leader {
+		most = max(s.LeaderKeeps, sum/(len(peers)+1)*5/4+slack)
 	}
-	if best == "" || mine <= most || !holder && least+slack > mine {
+	if best == "" || local <= most || !leader && least+slack > local {
 		return ""
 	}
-	s.limit.SetLimitAt(now, rate.Limit(float64(mine)/moveTime.Seconds()+1))
-	if !fresh && !s.limit.AllowN(now, 1) {
+	s.limiter.SetLimitAt(now, rate.Limit(float64(local)/rebalanceTime.Seconds()+1))
+	if !newConnection && !s.limiter.AllowN(now, 1) {
 		return ""
 	}
-	s.sent[best]++
+	s.recentlySent[best]++
 	return best
 }
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -20,16 +20,16 @@
 func (accepted) SetIdle(time.Duration) {}
 
 // pair gives an edge that passes reports to a hub over a real connection on loopback.
-func pair(tb testing.TB, decide func(*wire.Report) worker.Verdict) (*Edge, *Hub) {
+func pair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	hub := &Hub{Decide: decide, Log: slog.New(slog.DiscardHandler),
-		Raises: func(int) []leader.Raise { return nil }, Raised: func(string, *wire.Report) {}}
-	edge := &Edge{Holder: func() string { return "c-0" }, Log: hub.Log,
-		Open: func(ctx context.Context, _, _ string) (net.Conn, *gob.Encoder, error) {
+	hub := &Receiver{Decide: decide, Log: slog.New(slog.DiscardHandler),
+		FencingCalls: func(int) []leader.FencingCall { return nil }, FencingCallDone: func(string, *wire.Heartbeat) {}}
+	edge := &Uplink{Leader: func() string { return "c-0" }, Log: hub.Log,
+		OpenStream: func(ctx context.Context, _, _ string) (net.Conn, *gob.Encoder, error) {
 			conn, err := net.Dial("tcp4", lis.Addr().String())
 			return conn, gob.NewEncoder(conn), err
 		}}
@@ -55,17 +55,17 @@
 		lis.Close()
 		<-done
 	})
-	for edge.Passes() == "" {
+	for edge.ForwardsTo() == "" {
 		time.Sleep(time.Millisecond)
 	}
 	return edge, hub
 }
 
-// crowd makes reports of machines with some tasks each.
-func crowd(n int) []*wire.Report {
-	out := make([]*wire.Report, n)
+// manyHeartbeats makes reports of machines with some tasks each.
+func manyHeartbeats(n int) []*wire.Heartbeat {
+	out := make([]*wire.Heartbeat, n)
 	for i := range out {
-		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Session: 1, Term: 3}
+		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
 		for k := range 5 {
 			id := wire.TaskID{Job: fmt.Sprintf("wk-%06d", i), Index: k}
 			r.Tasks = append(r.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: 3 << 24, State: wire.TaskRunning})
@@ -75,13 +75,15 @@
 	return out
 }
 
-// BenchmarkPass passes reports of 3,000 machines, many at once, as a crowd of workers does:
+// BenchmarkForward passes reports of 3,000 machines, many at once, as a crowd of workers does:
 // one in eight has changed since its last.
-func BenchmarkPass(b *testing.B) {
-	edge, _ := pair(b, func(r *wire.Report) worker.Verdict { return worker.Verdict{Answer: &wire.Answer{Term: 3}} })
-	reports := crowd(3000)
+func BenchmarkForward(b *testing.B) {
+	edge, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
+		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
+	})
+	reports := manyHeartbeats(3000)
 	b.SetParallelism(200)
-	next := make(chan *wire.Report, 1000)
+	next := make(chan *wire.Heartbeat, 1000)
 	go func() {
 		for i := 0; ; i++ {
 			r := *reports[i%len(reports)]
@@ -96,7 +98,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			if _, ok := edge.Pass(context.Background(), <-next); !ok {
+			if _, ok := edge.Forward(context.Background(), <-next); !ok {
 				b.Error("no way")
 			}
 		}
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -12,191 +12,191 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Reception decides what becomes of the reports that come in at a controller: the
+// Gateway decides what becomes of the reports that come in at a controller: the
 // holder answers them, an edge passes them on, and either sends machines to a sibling
 // that has more room.
-type Reception struct {
-	// Own answers a report as the holder; ok is false where this controller is not
+type Gateway struct {
+	// AnswerAsLeader answers a report as the holder; ok is false where this controller is not
 	// entitled to.
-	Own func(now time.Time, r *wire.Report) (v worker.Verdict, ok bool)
-	// Holder names who holds the part of a report's machine, by the store, if that is
+	AnswerAsLeader func(now time.Time, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool)
+	// Leader names who holds the part of a report's machine, by the store, if that is
 	// another; of no report in particular, who holds the fleet if it is in one part.
-	Holder func(r *wire.Report) string
-	// Others tells how many machines report to each sibling that can take more of
+	Leader func(r *wire.Heartbeat) string
+	// PeerLoads tells how many machines report to each sibling that can take more of
 	// them. It is asked a few times a second at the most.
-	Others func(holder bool) map[string]int
-	// Holds says whether this controller holds a part.
-	Holds func() bool
-	// Shared says that the fleet is in several parts: who holds one passes on the reports
+	PeerLoads func(holder bool) map[string]int
+	// Leads says whether this controller holds a part.
+	Leads func() bool
+	// Sharded says that the fleet is in several parts: who holds one passes on the reports
 	// of others, and takes no fewer than its siblings.
-	Shared bool
-	Edge   Forwarder
-	Window time.Duration // for which a machine that has reported counts as one that does
-
-	mu      sync.Mutex
-	Steer   Steer
-	reports map[string]last // of the machines that report here
-	heard   int             // of them within the window, when they were last counted
-	counted time.Time
-	turned  int // reports that were turned away unread since then
-	turnedS int // in the second before
-	moved   uint64
-	others  map[string]int
-	asked   time.Time
+	Sharded         bool
+	Forwarder       Forwarder
+	ReportingWindow time.Duration // for which a machine that has reported counts as one that does
+
+	mu                   sync.Mutex
+	Balancer             Balancer
+	lastHeartbeats       map[string]lastHeartbeat // of the machines that report here
+	reporting            int                      // of them within the window, when they were last counted
+	countedAt            time.Time
+	redirected           int // reports that were turned away unread since then
+	redirectedLastSecond int // in the second before
+	rebalanced           uint64
+	peerLoads            map[string]int
+	peerLoadsAt          time.Time
 }
 
-// last is when a machine last reported here, and where it stands.
-type last struct {
+// lastHeartbeat is when a machine last reported here, and where it stands.
+type lastHeartbeat struct {
 	at   time.Time
 	zone string
 }
 
 // Forwarder passes reports on, by an Edge or by several.
 type Forwarder interface {
-	Passes() string
-	Lately() bool
-	Pass(ctx context.Context, r *wire.Report) (worker.Verdict, bool)
+	ForwardsTo() string
+	Reconnecting() bool
+	Forward(ctx context.Context, r *wire.Heartbeat) (worker.HeartbeatResult, bool)
 }
 
-// Report decides what becomes of a report.
-func (c *Reception) Report(ctx context.Context, r *wire.Report) worker.Verdict {
+// HandleHeartbeat decides what becomes of a report.
+func (c *Gateway) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) worker.HeartbeatResult {
 	now := time.Now()
-	c.note(now, r.Machine, r.Zone)
-	if v, ok := c.Own(now, r); ok {
-		if len(v.Answer.Commands) == 0 { // what it is told to do, it should hear now
-			if to := c.elsewhere(now, r.Machine, !c.Shared, false); to != "" {
-				return worker.Verdict{Holder: to}
+	c.recordHeartbeat(now, r.Machine, r.Zone)
+	if v, ok := c.AnswerAsLeader(now, r); ok {
+		if len(v.Response.Commands) == 0 { // what it is told to do, it should hear now
+			if to := c.rebalanceTarget(now, r.Machine, !c.Sharded, false); to != "" {
+				return worker.HeartbeatResult{Leader: to}
 			}
 		}
 		return v
 	}
-	if c.Edge.Passes() == "" {
-		return worker.Verdict{Holder: c.Redirect(r)}
+	if c.Forwarder.ForwardsTo() == "" {
+		return worker.HeartbeatResult{Leader: c.RedirectTarget(r)}
 	}
-	if to := c.elsewhere(now, r.Machine, false, false); to != "" {
-		return worker.Verdict{Holder: to}
+	if to := c.rebalanceTarget(now, r.Machine, false, false); to != "" {
+		return worker.HeartbeatResult{Leader: to}
 	}
-	if v, ok := c.Edge.Pass(ctx, r); ok {
+	if v, ok := c.Forwarder.Forward(ctx, r); ok {
 		return v
 	}
-	return worker.Verdict{Holder: c.Redirect(r)}
+	return worker.HeartbeatResult{Leader: c.RedirectTarget(r)}
 }
 
-// Redirect names the controller to which workers are sent where their reports can't be
+// RedirectTarget names the controller to which workers are sent where their reports can't be
 // passed on: the holder, unless the way to it was open lately. Then it has broken because
 // the holder is gone or has too much to do, and all workers at once would be the end of it;
 // they find another controller instead.
-func (c *Reception) Redirect(r *wire.Report) string {
-	if c.Edge.Lately() {
+func (c *Gateway) RedirectTarget(r *wire.Heartbeat) string {
+	if c.Forwarder.Reconnecting() {
 		return ""
 	}
-	return c.Holder(r)
+	return c.Leader(r)
 }
 
-// askGap is the time between two looks at what siblings say.
-const askGap = 300 * time.Millisecond
+// peerLoadInterval is the time between two looks at what siblings say.
+const peerLoadInterval = 300 * time.Millisecond
 
-// Turn answers a report that is to go elsewhere without reading it: while nobody holds
+// RedirectUnread answers a report that is to go elsewhere without reading it: while nobody holds
 // the fleet or there is no way to who does, each worker comes again every second, and all
 // of them at once; and when a new holder is known, all of them go there. It gives nil where
 // the report is to be read.
-func (c *Reception) Turn(first []byte) []byte {
-	if !bytes.HasPrefix(first, reportLine) {
+func (c *Gateway) RedirectUnread(first []byte) []byte {
+	if !bytes.HasPrefix(first, heartbeatRequestLine) {
 		return nil
 	}
-	to, holds := "", c.Holds()
-	if holds || c.Edge.Passes() != "" {
-		if to = c.elsewhere(time.Now(), "", holds && !c.Shared, true); to == "" {
+	to, leads := "", c.Leads()
+	if leads || c.Forwarder.ForwardsTo() != "" {
+		if to = c.rebalanceTarget(time.Now(), "", leads && !c.Sharded, true); to == "" {
 			return nil
 		}
 	} else {
-		to = c.Redirect(nil)
+		to = c.RedirectTarget(nil)
 	}
 	c.mu.Lock()
-	c.turned++
+	c.redirected++
 	c.mu.Unlock()
-	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Holder: to}), Close: true})
+	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Leader: to}), Close: true})
 }
 
-var reportLine = []byte("POST " + wire.PathReport + " ")
+var heartbeatRequestLine = []byte("POST " + wire.PathHeartbeat + " ")
 
-func (c *Reception) note(now time.Time, machine, zone string) {
+func (c *Gateway) recordHeartbeat(now time.Time, machine, zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reports == nil {
-		c.reports = make(map[string]last)
+	if c.lastHeartbeats == nil {
+		c.lastHeartbeats = make(map[string]lastHeartbeat)
 	}
-	was, known := c.reports[machine]
+	was, known := c.lastHeartbeats[machine]
 	if !known {
-		c.heard++
+		c.reporting++
 	} else if was.zone == zone {
 		zone = was.zone // one text for all its reports
 	}
-	c.reports[machine] = last{now, zone}
+	c.lastHeartbeats[machine] = lastHeartbeat{now, zone}
 }
 
-// elsewhere names the sibling that a machine's reports should go to from now on. On a
+// rebalanceTarget names the sibling that a machine's reports should go to from now on. On a
 // new connection it is not known yet which machine that is.
-func (c *Reception) elsewhere(now time.Time, machine string, holder, fresh bool) string {
-	mine := c.Here()
-	if mine <= c.Steer.Keep {
+func (c *Gateway) rebalanceTarget(now time.Time, machine string, leader, newConnection bool) string {
+	mine := c.Reporting()
+	if mine <= c.Balancer.LeaderKeeps {
 		return ""
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.asked) >= askGap {
-		c.asked, c.others = now, c.Others(holder)
+	if now.Sub(c.peerLoadsAt) >= peerLoadInterval {
+		c.peerLoadsAt, c.peerLoads = now, c.PeerLoads(leader)
 	}
-	to := c.Steer.Elsewhere(now, holder, fresh, mine, c.others)
+	to := c.Balancer.Target(now, leader, newConnection, mine, c.peerLoads)
 	if to != "" {
-		if _, known := c.reports[machine]; known {
-			delete(c.reports, machine)
-			c.heard--
+		if _, known := c.lastHeartbeats[machine]; known {
+			delete(c.lastHeartbeats, machine)
+			c.reporting--
 		}
-		c.moved++
+		c.rebalanced++
 	}
 	return to
 }
 
-// Heard counts the machines that have lately reported here, as of the last second. Who
+// Offered counts the machines that have lately reported here, as of the last second. Who
 // was turned away comes again each second.
-func (c *Reception) Heard() int {
-	n := c.Here()
+func (c *Gateway) Offered() int {
+	n := c.Reporting()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return n + c.turnedS
+	return n + c.redirectedLastSecond
 }
 
-// Here counts the machines whose reports are taken here.
-func (c *Reception) Here() int {
+// Reporting counts the machines whose reports are taken here.
+func (c *Gateway) Reporting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.counted) >= time.Second {
-		c.counted, c.heard, c.turnedS, c.turned = now, 0, c.turned, 0
-		for id, l := range c.reports {
+	if now := time.Now(); now.Sub(c.countedAt) >= time.Second {
+		c.countedAt, c.reporting, c.redirectedLastSecond, c.redirected = now, 0, c.redirected, 0
+		for id, l := range c.lastHeartbeats {
 			switch age := now.Sub(l.at); {
 			case age > time.Minute:
-				delete(c.reports, id)
-			case age < c.Window:
-				c.heard++
+				delete(c.lastHeartbeats, id)
+			case age < c.ReportingWindow:
+				c.reporting++
 			}
 		}
 	}
-	return c.heard
+	return c.reporting
 }
 
 // Observations counts by zone the machines that report here, and those that lately did and are
 // overdue. Ones that were sent elsewhere are neither.
-func (c *Reception) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
+func (c *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string]zone.Observation)
-	for _, l := range c.reports {
+	for _, l := range c.lastHeartbeats {
 		s := out[l.zone]
 		switch age := now.Sub(l.at); {
 		case age <= overdue:
 			s.Heard++
-		case age < overdue+quietAge:
+		case age < overdue+overdueObservationAge:
 			s.Quiet++
 		default:
 			continue
@@ -206,13 +206,13 @@
 	return out
 }
 
-// quietAge is for how long an overdue machine says something of its zone: it may report
+// overdueObservationAge is for how long an overdue machine says something of its zone: it may report
 // elsewhere by now.
-const quietAge = 15 * time.Second
+const overdueObservationAge = 15 * time.Second
 
-// Moved tells how many times a machine was sent to a sibling with more room.
-func (c *Reception) Moved() uint64 {
+// Rebalanced tells how many times a machine was sent to a sibling with more room.
+func (c *Gateway) Rebalanced() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.moved
+	return c.rebalanced
 }
--- a/internal/ingest/golden_test.go
+++ b/internal/ingest/golden_test.go
@@ -15,5 +15,5 @@
 
 // TestGoldenKind: the stream is called what it was.
 func TestGoldenKind(t *testing.T) {
-	goldentest.Text(t, "kind.txt", Kind+"\n")
+	goldentest.Text(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -22,21 +22,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Kind is what a stream of reports is called on the mesh.
-const Kind = "reports"
+// StreamKind is what a stream of reports is called on the mesh.
+const StreamKind = "reports"
 
 // Bounds of a stream.
 const (
-	maxBatch  = 256                    // reports that are passed on together
-	batchGap  = 25 * time.Millisecond  // between two batches, so that more share one
-	keepAlive = time.Second            // after which an empty batch says that the edge is there
-	maxCalls  = 32                     // calls that are asked for together
-	maxSent   = 4                      // batches that may be on their way
-	patience  = 3 * time.Second        // for a report's answer; a worker waits for 4 s
-	stuck     = 8 * time.Second        // after which a stream that does not move is given up
-	holderGap = 200 * time.Millisecond // between two looks at who holds the fleet
-	redial    = 500 * time.Millisecond // before a stream that broke is opened again
-	forget    = 2 * time.Minute        // after which a machine that is silent here is forgotten
+	maxBatch            = 256                    // reports that are passed on together
+	batchInterval       = 25 * time.Millisecond  // between two batches, so that more share one
+	keepAliveInterval   = time.Second            // after which an empty batch says that the edge is there
+	maxCalls            = 32                     // calls that are asked for together
+	maxInFlight         = 4                      // batches that may be on their way
+	answerTimeout       = 3 * time.Second        // for a report's answer; a worker waits for 4 s
+	stallTimeout        = 8 * time.Second        // after which a stream that does not move is given up
+	leaderCheckInterval = 200 * time.Millisecond // between two looks at who holds the fleet
+	reconnectDelay      = 500 * time.Millisecond // before a stream that broke is opened again
+	memoryAge           = 2 * time.Minute        // after which a machine that is silent here is forgotten
 )
 
 // batch is what an edge sends: reports that are answered in the same order, and what
@@ -67,7 +67,7 @@
 type reply struct {
 	Number  uint64 // of the batch; 0 from a version that does not say it
 	Answers []answer
-	Calls   []leader.Raise
+	Calls   []leader.FencingCall
 }
 
 type answer struct {
@@ -85,34 +85,34 @@
 	GraceS  float64
 }
 
-func pack(r *wire.Report) item {
-	it := item{Machine: r.Machine, Session: r.Session, Seq: r.Seq, Term: r.Term, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Tasks: r.Tasks}
-	if r.NoticeS != nil {
-		it.Noticed, it.NoticeS = true, *r.NoticeS
+func pack(r *wire.Heartbeat) item {
+	it := item{Machine: r.Machine, Session: r.Incarnation, Seq: r.Seq, Term: r.FencingToken, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Tasks: r.Tasks}
+	if r.TerminationNoticeS != nil {
+		it.Noticed, it.NoticeS = true, *r.TerminationNoticeS
 	}
 	return it
 }
 
-func (it *item) report() *wire.Report {
-	r := &wire.Report{Machine: it.Machine, Session: it.Session, Seq: it.Seq, Term: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
+func (it *item) heartbeat() *wire.Heartbeat {
+	r := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
 	if it.Noticed {
-		r.NoticeS = &it.NoticeS
+		r.TerminationNoticeS = &it.NoticeS
 	}
 	return r
 }
 
-// like reports whether two reports of a machine say the same but for their numbers.
-func (it *item) like(other *item) bool {
+// sameContent reports whether two reports of a machine say the same but for their numbers.
+func (it *item) sameContent(other *item) bool {
 	return it.Session == other.Session && it.Addr == other.Addr && it.Type == other.Type && it.Zone == other.Zone && it.Spot == other.Spot &&
 		!it.Noticed && !other.Noticed && slices.Equal(it.Tasks, other.Tasks)
 }
 
-func packAnswer(v worker.Verdict) answer {
-	if v.Answer == nil {
-		return answer{Holder: v.Holder}
+func packAnswer(v worker.HeartbeatResult) answer {
+	if v.Response == nil {
+		return answer{Holder: v.Leader}
 	}
-	a := answer{Entitled: true, Term: v.Answer.Term}
-	for _, c := range v.Answer.Commands {
+	a := answer{Entitled: true, Term: v.Response.FencingToken}
+	for _, c := range v.Response.Commands {
 		p := command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
 		if c.GraceS != nil {
 			p.Graced, p.GraceS = true, *c.GraceS
@@ -122,52 +122,52 @@
 	return a
 }
 
-func (a *answer) verdict() worker.Verdict {
+func (a *answer) verdict() worker.HeartbeatResult {
 	if !a.Entitled {
-		return worker.Verdict{Holder: a.Holder}
+		return worker.HeartbeatResult{Leader: a.Holder}
 	}
-	out := wire.Answer{Term: a.Term, Commands: make([]wire.Command, len(a.Commands))}
+	out := wire.HeartbeatResponse{FencingToken: a.Term, Commands: make([]wire.Command, len(a.Commands))}
 	for i, c := range a.Commands {
 		out.Commands[i] = wire.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
 		if c.Graced {
 			out.Commands[i].GraceS = &a.Commands[i].GraceS
 		}
 	}
-	return worker.Verdict{Answer: &out}
+	return worker.HeartbeatResult{Response: &out}
 }
 
-// memory holds the last whole report of each machine on a stream. Both ends keep one,
+// deltaCodec holds the last whole report of each machine on a stream. Both ends keep one,
 // by the same reports in the same order.
-type memory struct {
-	last  map[string]*remembered
-	swept time.Time
+type deltaCodec struct {
+	last      map[string]*lastHeartbeatItem
+	lastSweep time.Time
 }
 
-type remembered struct {
+type lastHeartbeatItem struct {
 	item
 	at time.Time
 }
 
-func newMemory() *memory { return &memory{last: make(map[string]*remembered)} }
+func newDeltaCodec() *deltaCodec { return &deltaCodec{last: make(map[string]*lastHeartbeatItem)} }
 
-// shrink leaves out of a report what the other end knows. The other end remembers for
+// compress leaves out of a report what the other end knows. The other end remembers for
 // twice as long, so that it never lacks what is counted on.
-func (m *memory) shrink(now time.Time, it item) item {
-	m.sweep(now, forget)
+func (m *deltaCodec) compress(now time.Time, it item) item {
+	m.sweep(now, memoryAge)
 	old := m.last[it.Machine]
-	if old != nil && now.Sub(old.at) < forget && it.like(&old.item) {
+	if old != nil && now.Sub(old.at) < memoryAge && it.sameContent(&old.item) {
 		old.at = now
 		return item{Machine: it.Machine, Session: it.Session, Seq: it.Seq, Term: it.Term, Same: true}
 	}
-	m.last[it.Machine] = &remembered{it, now}
+	m.last[it.Machine] = &lastHeartbeatItem{it, now}
 	return it
 }
 
-// grow puts back what shrink left out; it fails where nothing is remembered.
-func (m *memory) grow(now time.Time, it item) (item, bool) {
-	m.sweep(now, 2*forget)
+// expand puts back what shrink left out; it fails where nothing is remembered.
+func (m *deltaCodec) expand(now time.Time, it item) (item, bool) {
+	m.sweep(now, 2*memoryAge)
 	if !it.Same {
-		m.last[it.Machine] = &remembered{it, now}
+		m.last[it.Machine] = &lastHeartbeatItem{it, now}
 		return it, true
 	}
 	old := m.last[it.Machine]
@@ -180,11 +180,11 @@
 	return whole, true
 }
 
-func (m *memory) sweep(now time.Time, age time.Duration) {
-	if now.Sub(m.swept) < age/4 {
+func (m *deltaCodec) sweep(now time.Time, age time.Duration) {
+	if now.Sub(m.lastSweep) < age/4 {
 		return
 	}
-	m.swept = now
+	m.lastSweep = now
 	for id, r := range m.last {
 		if now.Sub(r.at) > age {
 			delete(m.last, id)
--- a/internal/ingest/uplink.go
+++ b/internal/ingest/uplink.go
@@ -18,192 +18,192 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Edge passes reports to the holder.
-type Edge struct {
-	// Holder names the controller to pass reports to, empty for none.
-	Holder func() string
-	// Open opens a stream to a sibling.
-	Open func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
-	// Call makes a call for the holder; nil makes none.
-	Call func(ctx context.Context, c leader.Raise) *wire.Report
-	Pace *throttle.Pace // of these calls
-	Log  *slog.Logger
+// Uplink passes reports to the holder.
+type Uplink struct {
+	// Leader names the controller to pass reports to, empty for none.
+	Leader func() string
+	// OpenStream opens a stream to a sibling.
+	OpenStream func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
+	// FencingCall makes a call for the holder; nil makes none.
+	FencingCall func(ctx context.Context, c leader.FencingCall) *wire.Heartbeat
+	Throttle    *throttle.Limiter // of these calls
+	Log         *slog.Logger
 
-	mu     sync.Mutex
-	stream *stream
-	holder string    // that was last named
-	since  time.Time // when it first was
-	broke  time.Time // when a way that was open last broke
-	passed uint64
-	lost   uint64
+	mu          sync.Mutex
+	stream      *stream
+	leader      string    // that was last named
+	leaderSince time.Time // when it first was
+	brokenAt    time.Time // when a way that was open last broke
+	forwarded   uint64
+	unanswered  uint64
 }
 
 // stream is an open way to a holder. Its queue is the edge's, under the edge's lock.
 type stream struct {
-	holder string
-	conn   net.Conn
-	queue  []*waiting
-	wake   chan struct{}
-	sent   chan []*waiting // batches that are not answered yet
-	calls  int             // that are being made for the holder
-	heard  []item          // what came of them since the last batch
-	vain   []string
-	making sync.WaitGroup // of the calls
+	leader         string
+	conn           net.Conn
+	queue          []*pendingHeartbeat
+	wake           chan struct{}
+	inFlight       chan []*pendingHeartbeat // batches that are not answered yet
+	openCalls      int                      // that are being made for the holder
+	callHeartbeats []item                   // what came of them since the last batch
+	failedCalls    []string
+	runningCalls   sync.WaitGroup // of the calls
 	// proven: the holder has answered a batch, so that it is worth waiting for.
 	proven bool
 }
 
-// waiting is a report whose worker waits.
-type waiting struct {
-	report *wire.Report
-	since  time.Time
-	answer chan worker.Verdict // closed without one where none came in time
+// pendingHeartbeat is a report whose worker waits.
+type pendingHeartbeat struct {
+	heartbeat *wire.Heartbeat
+	since     time.Time
+	answer    chan worker.HeartbeatResult // closed without one where none came in time
 }
 
 // Counts are what an edge has done.
-type Counts struct{ Passed, Lost uint64 }
+type Counts struct{ Forwarded, Unanswered uint64 }
 
 // Counts tells how many reports were passed on, and how many of them had no answer.
-func (e *Edge) Counts() Counts {
+func (e *Uplink) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Counts{e.passed, e.lost}
+	return Counts{e.forwarded, e.unanswered}
 }
 
-// Passes names the holder that reports are passed to at the moment, empty for none.
-func (e *Edge) Passes() string {
+// ForwardsTo names the holder that reports are passed to at the moment, empty for none.
+func (e *Uplink) ForwardsTo() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stream != nil && e.stream.proven {
-		return e.stream.holder
+		return e.stream.leader
 	}
 	return ""
 }
 
-// lately is for how long a way to the holder that has broken is expected to open again.
-const lately = 5 * time.Second
+// reconnectGrace is for how long a way to the holder that has broken is expected to open again.
+const reconnectGrace = 5 * time.Second
 
-// Lately reports whether a way to a holder is expected to open soon: one has broken a
+// Reconnecting reports whether a way to a holder is expected to open soon: one has broken a
 // short while ago, or the holder is new.
-func (e *Edge) Lately() bool {
+func (e *Uplink) Reconnecting() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Since(e.broke) < lately || time.Since(e.since) < lately
+	return time.Since(e.brokenAt) < reconnectGrace || time.Since(e.leaderSince) < reconnectGrace
 }
 
-// Pass gives a report to the holder and waits for what it says. ok is false where
+// Forward gives a report to the holder and waits for what it says. ok is false where
 // there is no way to it; where it has said nothing in time, the verdict is empty.
-func (e *Edge) Pass(ctx context.Context, r *wire.Report) (v worker.Verdict, ok bool) {
+func (e *Uplink) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
 	e.mu.Lock()
 	s := e.stream
-	if s == nil || !s.proven || s.holder != e.Holder() {
+	if s == nil || !s.proven || s.leader != e.Leader() {
 		e.mu.Unlock()
-		return worker.Verdict{}, false
+		return worker.HeartbeatResult{}, false
 	}
-	w := &waiting{r, time.Now(), make(chan worker.Verdict, 1)}
+	w := &pendingHeartbeat{r, time.Now(), make(chan worker.HeartbeatResult, 1)}
 	s.queue = append(s.queue, w)
-	e.passed++
+	e.forwarded++
 	e.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
-	late := time.NewTimer(patience + patience/8)
-	defer late.Stop()
+	timeout := time.NewTimer(answerTimeout + answerTimeout/8)
+	defer timeout.Stop()
 	select {
 	case v = <-w.answer:
-	case <-late.C: // its worker does not wait any longer
+	case <-timeout.C: // its worker does not wait any longer
 	case <-ctx.Done():
 	}
 	return v, true
 }
 
 // Run keeps a stream to whoever holds the fleet until the context ends.
-func (e *Edge) Run(ctx context.Context) error {
+func (e *Uplink) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		var err error
-		holder := e.Holder()
+		leader := e.Leader()
 		e.mu.Lock()
-		if holder != e.holder {
-			e.holder, e.since = holder, time.Now()
+		if leader != e.leader {
+			e.leader, e.leaderSince = leader, time.Now()
 		}
 		e.mu.Unlock()
-		if holder != "" {
-			if err = e.serve(ctx, holder); err != nil && ctx.Err() == nil {
-				e.Log.Debug("stream of reports ended", "holder", holder, "error", err)
+		if leader != "" {
+			if err = e.runStream(ctx, leader); err != nil && ctx.Err() == nil {
+				e.Log.Debug("stream of reports ended", "holder", leader, "error", err)
 			}
 		}
-		if !errors.Is(err, errHolder) {
-			store.Pause(ctx, redial)
+		if !errors.Is(err, errLeaderChanged) {
+			store.Backoff(ctx, reconnectDelay)
 		}
 	}
 	return nil
 }
 
-var errHolder = errors.New("another controller holds the fleet")
+var errLeaderChanged = errors.New("another controller holds the fleet")
 
-func (e *Edge) serve(ctx context.Context, holder string) error {
+func (e *Uplink) runStream(ctx context.Context, leader string) error {
 	dial, cancel := context.WithTimeout(ctx, 2*time.Second)
-	conn, enc, err := e.Open(dial, holder, Kind)
+	conn, enc, err := e.OpenStream(dial, leader, StreamKind)
 	cancel()
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	s := &stream{holder: holder, conn: conn, wake: make(chan struct{}, 1), sent: make(chan []*waiting, maxSent)}
+	s := &stream{leader: leader, conn: conn, wake: make(chan struct{}, 1), inFlight: make(chan []*pendingHeartbeat, maxInFlight)}
 	e.mu.Lock()
 	e.stream = s
 	e.mu.Unlock()
-	defer e.drop(s)
-	defer s.making.Wait()
+	defer e.closeStream(s)
+	defer s.runningCalls.Wait()
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	g.Go(func() error { return e.watch(ctx, s) })
-	g.Go(func() error { return e.send(ctx, s, enc) })
-	g.Go(func() error { return e.receive(ctx, s, gob.NewDecoder(conn)) })
+	g.Go(func() error { return e.watchLeader(ctx, s) })
+	g.Go(func() error { return e.sendBatches(ctx, s, enc) })
+	g.Go(func() error { return e.receiveReplies(ctx, s, gob.NewDecoder(conn)) })
 	return g.Wait()
 }
 
-// watch ends a stream as soon as another controller holds the fleet, also while the one
+// watchLeader ends a stream as soon as another controller holds the fleet, also while the one
 // that held it stands still and takes nothing.
-func (e *Edge) watch(ctx context.Context, s *stream) error {
-	tick := time.NewTicker(holderGap)
+func (e *Uplink) watchLeader(ctx context.Context, s *stream) error {
+	tick := time.NewTicker(leaderCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			if e.Holder() != s.holder {
-				return errHolder
+			if e.Leader() != s.leader {
+				return errLeaderChanged
 			}
 		}
 	}
 }
 
-// send passes batches on, some of them before the first is answered: a holder that
+// sendBatches passes batches on, some of them before the first is answered: a holder that
 // decides, or has little of a processor, answers late and not at all less.
-func (e *Edge) send(ctx context.Context, s *stream, enc *gob.Encoder) error {
-	memory := newMemory()
+func (e *Uplink) sendBatches(ctx context.Context, s *stream, enc *gob.Encoder) error {
+	codec := newDeltaCodec()
 	for number := uint64(1); ctx.Err() == nil; number++ {
-		reports, now := e.take(s), time.Now()
-		b := e.calledFor(s)
+		heartbeats, now := e.nextHeartbeats(s), time.Now()
+		b := e.newBatch(s)
 		b.Number = number
-		for _, w := range reports {
-			b.Items = append(b.Items, memory.shrink(now, pack(w.report)))
+		for _, w := range heartbeats {
+			b.Items = append(b.Items, codec.compress(now, pack(w.heartbeat)))
 		}
 		select {
-		case s.sent <- reports:
+		case s.inFlight <- heartbeats:
 		case <-ctx.Done():
-			e.fail(reports)
+			e.abandon(heartbeats)
 			return nil
 		}
-		_ = s.conn.SetWriteDeadline(time.Now().Add(stuck))
+		_ = s.conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if err := enc.Encode(b); err != nil {
 			return err
 		}
-		store.Pause(ctx, batchGap)
-		t := time.NewTimer(keepAlive)
+		store.Backoff(ctx, batchInterval)
+		t := time.NewTimer(keepAliveInterval)
 		select {
 		case <-ctx.Done():
 		case <-s.wake:
@@ -214,49 +214,49 @@
 	return nil
 }
 
-// receive gives out the answers, which come in the order of the batches.
-func (e *Edge) receive(ctx context.Context, s *stream, dec *gob.Decoder) error {
+// receiveReplies gives out the answers, which come in the order of the batches.
+func (e *Uplink) receiveReplies(ctx context.Context, s *stream, dec *gob.Decoder) error {
 	for number := uint64(1); ; number++ {
 		select {
 		case <-ctx.Done():
 			return nil
-		case reports := <-s.sent:
+		case heartbeats := <-s.inFlight:
 			var r reply
-			_ = s.conn.SetReadDeadline(time.Now().Add(stuck))
+			_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
 			err := dec.Decode(&r)
-			if err == nil && (len(r.Answers) != len(reports) || r.Number != 0 && r.Number != number) {
+			if err == nil && (len(r.Answers) != len(heartbeats) || r.Number != 0 && r.Number != number) {
 				err = errors.New("not an answer to each report")
 			}
 			if err != nil {
-				e.fail(reports)
+				e.abandon(heartbeats)
 				return err
 			}
-			for i, w := range reports {
+			for i, w := range heartbeats {
 				w.answer <- r.Answers[i].verdict()
 			}
 			e.mu.Lock()
 			s.proven = true
-			s.calls += len(r.Calls)
+			s.openCalls += len(r.Calls)
 			e.mu.Unlock()
 			for _, c := range r.Calls {
-				s.making.Add(1)
-				go e.call(ctx, s, c)
+				s.runningCalls.Add(1)
+				go e.makeFencingCall(ctx, s, c)
 			}
 		}
 	}
 }
 
-// call makes a call for the holder and keeps what came of it for the next batch.
-func (e *Edge) call(ctx context.Context, s *stream, c leader.Raise) {
-	defer s.making.Done()
-	r := e.Call(ctx, c)
+// makeFencingCall makes a call for the holder and keeps what came of it for the next batch.
+func (e *Uplink) makeFencingCall(ctx context.Context, s *stream, c leader.FencingCall) {
+	defer s.runningCalls.Done()
+	r := e.FencingCall(ctx, c)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.calls--
+	s.openCalls--
 	if r != nil && r.Machine == c.Machine {
-		s.heard = append(s.heard, pack(r))
+		s.callHeartbeats = append(s.callHeartbeats, pack(r))
 	} else {
-		s.vain = append(s.vain, c.Machine)
+		s.failedCalls = append(s.failedCalls, c.Machine)
 	}
 	select {
 	case s.wake <- struct{}{}:
@@ -264,30 +264,30 @@
 	}
 }
 
-// calledFor begins a batch with what came of calls, and the room for more.
-func (e *Edge) calledFor(s *stream) batch {
+// newBatch begins a batch with what came of calls, and the room for more.
+func (e *Uplink) newBatch(s *stream) batch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b := batch{Heard: s.heard, Vain: s.vain}
-	s.heard, s.vain = nil, nil
-	if e.Call != nil {
-		b.Room = max(0, e.Pace.Window()-s.calls)
+	b := batch{Heard: s.callHeartbeats, Vain: s.failedCalls}
+	s.callHeartbeats, s.failedCalls = nil, nil
+	if e.FencingCall != nil {
+		b.Room = max(0, e.Throttle.Window()-s.openCalls)
 	}
 	return b
 }
 
-// take gives the reports to pass on next. Those that have waited for too long are no
+// nextHeartbeats gives the reports to pass on next. Those that have waited for too long are no
 // longer waited for by their workers.
-func (e *Edge) take(s *stream) []*waiting {
+func (e *Uplink) nextHeartbeats(s *stream) []*pendingHeartbeat {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var out []*waiting
+	var out []*pendingHeartbeat
 	n := 0
 	for ; n < len(s.queue) && len(out) < maxBatch; n++ {
-		if w := s.queue[n]; time.Since(w.since) < patience {
+		if w := s.queue[n]; time.Since(w.since) < answerTimeout {
 			out = append(out, w)
 		} else {
-			e.lost++
+			e.unanswered++
 			close(w.answer)
 		}
 	}
@@ -301,28 +301,28 @@
 	return out
 }
 
-func (e *Edge) fail(reports []*waiting) {
-	for _, w := range reports {
+func (e *Uplink) abandon(heartbeats []*pendingHeartbeat) {
+	for _, w := range heartbeats {
 		close(w.answer)
 	}
 	e.mu.Lock()
-	e.lost += uint64(len(reports))
+	e.unanswered += uint64(len(heartbeats))
 	e.mu.Unlock()
 }
 
-func (e *Edge) drop(s *stream) {
+func (e *Uplink) closeStream(s *stream) {
 	e.mu.Lock()
 	if e.stream == s {
 		e.stream = nil
 		if s.proven {
-			e.broke = time.Now()
+			e.brokenAt = time.Now()
 		}
 	}
 	rest := s.queue
 	s.queue = nil
 	e.mu.Unlock()
-	e.fail(rest)
-	for len(s.sent) > 0 {
-		e.fail(<-s.sent)
+	e.abandon(rest)
+	for len(s.inFlight) > 0 {
+		e.abandon(<-s.inFlight)
 	}
 }
--- a/internal/ingest/uplinks.go
+++ b/internal/ingest/uplinks.go
@@ -10,19 +10,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Edges are the edges of a controller, one to each sibling: where the fleet is in several
+// Uplinks are the edges of a controller, one to each sibling: where the fleet is in several
 // parts, each of them may hold some.
-type Edges struct {
-	Edges map[string]*Edge
-	// Holder names the sibling that holds a machine's part, empty for none.
-	Holder func(r *wire.Report) string
+type Uplinks struct {
+	ByPeer map[string]*Uplink
+	// Leader names the sibling that holds a machine's part, empty for none.
+	Leader func(r *wire.Heartbeat) string
 }
 
-// Open names the siblings that reports can be passed on to, in order.
-func (w *Edges) Open() []string {
+// ConnectedLeaders names the siblings that reports can be passed on to, in order.
+func (w *Uplinks) ConnectedLeaders() []string {
 	var out []string
-	for name, e := range w.Edges {
-		if e.Passes() != "" {
+	for name, e := range w.ByPeer {
+		if e.ForwardsTo() != "" {
 			out = append(out, name)
 		}
 	}
@@ -30,28 +30,28 @@
 	return out
 }
 
-// Passes names the first sibling that reports can be passed on to, empty for none.
-func (w *Edges) Passes() (first string) {
-	for name, e := range w.Edges { // asked for with each report
-		if (first == "" || name < first) && e.Passes() != "" {
+// ForwardsTo names the first sibling that reports can be passed on to, empty for none.
+func (w *Uplinks) ForwardsTo() (first string) {
+	for name, e := range w.ByPeer { // asked for with each report
+		if (first == "" || name < first) && e.ForwardsTo() != "" {
 			first = name
 		}
 	}
 	return first
 }
 
-// Pass gives a report to the holder of its machine's part, as Edge.Pass does.
-func (w *Edges) Pass(ctx context.Context, r *wire.Report) (v worker.Verdict, ok bool) {
-	if e := w.Edges[w.Holder(r)]; e != nil {
-		return e.Pass(ctx, r)
+// Forward gives a report to the holder of its machine's part, as Edge.Pass does.
+func (w *Uplinks) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
+	if e := w.ByPeer[w.Leader(r)]; e != nil {
+		return e.Forward(ctx, r)
 	}
-	return worker.Verdict{}, false
+	return worker.HeartbeatResult{}, false
 }
 
-// Lately reports whether a way to a holder is expected to open soon.
-func (w *Edges) Lately() bool {
-	for _, e := range w.Edges {
-		if e.Lately() {
+// Reconnecting reports whether a way to a holder is expected to open soon.
+func (w *Uplinks) Reconnecting() bool {
+	for _, e := range w.ByPeer {
+		if e.Reconnecting() {
 			return true
 		}
 	}
@@ -59,19 +59,19 @@
 }
 
 // Counts sums what the edges have done.
-func (w *Edges) Counts() (sum Counts) {
-	for _, e := range w.Edges {
+func (w *Uplinks) Counts() (sum Counts) {
+	for _, e := range w.ByPeer {
 		c := e.Counts()
-		sum.Passed += c.Passed
-		sum.Lost += c.Lost
+		sum.Forwarded += c.Forwarded
+		sum.Unanswered += c.Unanswered
 	}
 	return sum
 }
 
 // Run keeps the ways until the context ends.
-func (w *Edges) Run(ctx context.Context) error {
+func (w *Uplinks) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, e := range w.Edges {
+	for _, e := range w.ByPeer {
 		g.Go(func() error { return e.Run(ctx) })
 	}
 	return g.Wait()
--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -44,20 +44,20 @@
 	Tasks int
 }
 
-// Key orders ids: by length, then by number. It is text, so that the state
+// SortKey orders ids: by length, then by number. It is text, so that the state
 // service's order of keys is the same.
-func Key(id string) string {
+func SortKey(id string) string {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	return fmt.Sprintf("%02d%s", len(digits), digits)
 }
 
 // Record is a block as it is stored.
 type Record struct {
-	Format int    `cbor:"format"`
-	From   string `cbor:"from,omitempty"` // the first key that the block covers
-	Count  int    `cbor:"count"`
-	Sum    string `cbor:"sum"` // of the packed bytes, xxhash64 in hex
-	Data   string `cbor:"data"`
+	Format   int    `cbor:"format"`
+	From     string `cbor:"from,omitempty"` // the first key that the block covers
+	Count    int    `cbor:"count"`
+	Checksum string `cbor:"sum"` // of the packed bytes, xxhash64 in hex
+	Data     string `cbor:"data"`
 }
 
 // Bytes is what a record takes in the form in which the state service counts.
@@ -72,23 +72,23 @@
 
 // Block is a decoded record.
 type Block struct {
-	From   string
-	groups []group
-	ends   []uint32 // by position: the tasks, and whether it was cancelled in the last bit
+	From     string
+	groups   []idGroup
+	outcomes []uint32 // by position: the tasks, and whether it was cancelled in the last bit
 }
 
-// group is a run of ids of one length.
-type group struct {
+// idGroup is a run of ids of one length.
+type idGroup struct {
 	width int
 	first int      // position of its first id
 	ids   []uint64 // up to maxPacked digits
 	texts []string // longer ones
 }
 
-// maxPacked is how many digits surely fit a number.
-const maxPacked = 18
+// maxNumericDigits is how many digits surely fit a number.
+const maxNumericDigits = 18
 
-func (g *group) len() int { return len(g.ids) + len(g.texts) }
+func (g *idGroup) len() int { return len(g.ids) + len(g.texts) }
 
 // deflaters and inflaters are costly to make, and used one at a time. (The
 // library's zstd hands its coders out over channels of its own, which tests on a
@@ -116,8 +116,8 @@
 	return out.Bytes()
 }
 
-// maxRaw bounds what a block may unpack to.
-const maxRaw = 4 << 20
+// maxUnpackedBytes bounds what a block may unpack to.
+const maxUnpackedBytes = 4 << 20
 
 func inflate(packed []byte) ([]byte, error) {
 	r := inflaters.Get().(io.ReadCloser)
@@ -125,8 +125,8 @@
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(packed), nil); err != nil {
 		return nil, err
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, maxRaw+1))
-	if err == nil && len(raw) > maxRaw {
+	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
+	if err == nil && len(raw) > maxUnpackedBytes {
 		err = errors.New("too large")
 	}
 	return raw, err
@@ -135,7 +135,7 @@
 // Sort puts entries in order and leaves out repeated ones. The first of two
 // that differ stays; the id of the other is given back, because a final answer
 // that changed is a fault that must be seen.
-func Sort(entries []Entry) (sorted []Entry, differ []string) {
+func Sort(entries []Entry) (sorted []Entry, conflicting []string) {
 	slices.SortStableFunc(entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(len(a.ID), len(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
@@ -143,13 +143,13 @@
 	for _, e := range entries {
 		if n := len(out); n > 0 && out[n-1].ID == e.ID {
 			if out[n-1].Stage != e.Stage {
-				differ = append(differ, e.ID)
+				conflicting = append(conflicting, e.ID)
 			}
 			continue
 		}
 		out = append(out, e)
 	}
-	return out, differ
+	return out, conflicting
 }
 
 // Pack makes a block of sorted entries.
@@ -160,7 +160,7 @@
 		for n < len(entries) && len(entries[n].ID) == width {
 			n++
 		}
-		raw = packGroup(raw, width-len(wire.JobPrefix), entries[i:n])
+		raw = encodeGroup(raw, width-len(wire.JobPrefix), entries[i:n])
 		i = n
 	}
 	raw = binary.AppendUvarint(raw, 0) // no more groups
@@ -172,18 +172,18 @@
 		raw = binary.AppendUvarint(raw, end)
 	}
 	packed := deflate(raw)
-	return Record{Format: Format, From: from, Count: len(entries), Sum: sum(packed), Data: base64.RawURLEncoding.EncodeToString(packed)}
+	return Record{Format: Format, From: from, Count: len(entries), Checksum: checksum(packed), Data: base64.RawURLEncoding.EncodeToString(packed)}
 }
 
-func sum(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
+func checksum(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
 
-func packGroup(raw []byte, width int, entries []Entry) []byte {
+func encodeGroup(raw []byte, width int, entries []Entry) []byte {
 	raw = binary.AppendUvarint(raw, uint64(width))
 	raw = binary.AppendUvarint(raw, uint64(len(entries)))
 	last := uint64(0)
 	for _, e := range entries {
 		digits := e.ID[len(wire.JobPrefix):]
-		if width > maxPacked {
+		if width > maxNumericDigits {
 			raw = append(raw, digits...)
 			continue
 		}
@@ -203,32 +203,32 @@
 	}
 	half := len(entries) / 2
 	left := Split(from, entries[:half], limit)
-	return append(left, Split(Key(entries[half].ID), entries[half:], limit)...)
+	return append(left, Split(SortKey(entries[half].ID), entries[half:], limit)...)
 }
 
-// reader takes packed bytes apart; it remembers that it met something wrong.
-type reader struct {
-	b   []byte
+// decoder takes packed bytes apart; it remembers that it met something wrong.
+type decoder struct {
+	buf []byte
 	bad bool
 }
 
-func (r *reader) uvarint() uint64 {
-	n, size := binary.Uvarint(r.b)
+func (r *decoder) uvarint() uint64 {
+	n, size := binary.Uvarint(r.buf)
 	if size <= 0 {
-		r.bad, r.b = true, nil
+		r.bad, r.buf = true, nil
 		return 0
 	}
-	r.b = r.b[size:]
+	r.buf = r.buf[size:]
 	return n
 }
 
-func (r *reader) text(n int) string {
-	if n < 0 || n > len(r.b) {
-		r.bad, r.b = true, nil
+func (r *decoder) text(n int) string {
+	if n < 0 || n > len(r.buf) {
+		r.bad, r.buf = true, nil
 		return ""
 	}
-	s := string(r.b[:n])
-	r.b = r.b[n:]
+	s := string(r.buf[:n])
+	r.buf = r.buf[n:]
 	return s
 }
 
@@ -241,19 +241,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if got := sum(packed); got != r.Sum {
-		return nil, fmt.Errorf("%w: checksum %s, recorded %s", ErrDamaged, got, r.Sum)
+	if got := checksum(packed); got != r.Checksum {
+		return nil, fmt.Errorf("%w: checksum %s, recorded %s", ErrDamaged, got, r.Checksum)
 	}
-	return r.open(packed)
+	return r.decode(packed)
 }
 
-// open reads the packed bytes, whose checksum holds.
-func (r *Record) open(packed []byte) (*Block, error) {
+// decode reads the packed bytes, whose checksum holds.
+func (r *Record) decode(packed []byte) (*Block, error) {
 	raw, err := inflate(packed)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	in := &reader{b: raw}
+	in := &decoder{buf: raw}
 	b := &Block{From: r.From}
 	count := 0
 	for !in.bad {
@@ -267,28 +267,28 @@
 	if in.bad || count != r.Count {
 		return nil, fmt.Errorf("%w: %d ids, recorded %d", ErrDamaged, count, r.Count)
 	}
-	b.ends = make([]uint32, count)
-	for i := range b.ends {
-		b.ends[i] = uint32(min(in.uvarint(), wire.MaxTasks<<1|1))
+	b.outcomes = make([]uint32, count)
+	for i := range b.outcomes {
+		b.outcomes[i] = uint32(min(in.uvarint(), wire.MaxTasks<<1|1))
 	}
-	if in.bad || len(in.b) > 0 {
+	if in.bad || len(in.buf) > 0 {
 		return nil, fmt.Errorf("%w: it is cut, or goes on", ErrDamaged)
 	}
 	return b, nil
 }
 
-func (r *reader) group(first int) (group, bool) {
+func (r *decoder) group(first int) (idGroup, bool) {
 	width := int(r.uvarint())
 	if width == 0 || r.bad {
-		return group{}, false
+		return idGroup{}, false
 	}
 	n := r.uvarint()
-	if n > uint64(len(r.b)) || width > wire.MaxDigits {
+	if n > uint64(len(r.buf)) || width > wire.MaxDigits {
 		r.bad = true
-		return group{}, false
+		return idGroup{}, false
 	}
-	g := group{width: width, first: first}
-	if width > maxPacked {
+	g := idGroup{width: width, first: first}
+	if width > maxNumericDigits {
 		for range n {
 			g.texts = append(g.texts, r.text(width))
 		}
@@ -304,7 +304,7 @@
 }
 
 // Len is how many jobs the block holds.
-func (b *Block) Len() int { return len(b.ends) }
+func (b *Block) Len() int { return len(b.outcomes) }
 
 // Find looks an id up.
 func (b *Block) Find(id string) (Entry, bool) {
@@ -315,7 +315,7 @@
 			continue
 		}
 		at, found := 0, false
-		if g.width > maxPacked {
+		if g.width > maxNumericDigits {
 			at, found = slices.BinarySearch(g.texts, digits)
 		} else if n, err := strconv.ParseUint(digits, 10, 64); err == nil {
 			at, found = slices.BinarySearch(g.ids, n)
@@ -328,8 +328,8 @@
 }
 
 func (b *Block) entry(id string, at int) Entry {
-	e := Entry{id, wire.Done, int(b.ends[at] >> 1)}
-	if b.ends[at]&1 == 1 {
+	e := Entry{id, wire.Done, int(b.outcomes[at] >> 1)}
+	if b.outcomes[at]&1 == 1 {
 		e.Stage = wire.Cancelled
 	}
 	return e
@@ -340,7 +340,7 @@
 	out := make([]Entry, 0, b.Len())
 	for _, g := range b.groups {
 		for _, n := range g.ids {
-			out = append(out, b.entry(wire.JobPrefix+pad(n, g.width), len(out)))
+			out = append(out, b.entry(wire.JobPrefix+zeroPad(n, g.width), len(out)))
 		}
 		for _, text := range g.texts {
 			out = append(out, b.entry(wire.JobPrefix+text, len(out)))
@@ -349,7 +349,7 @@
 	return out
 }
 
-func pad(n uint64, width int) string {
+func zeroPad(n uint64, width int) string {
 	s := strconv.FormatUint(n, 10)
 	return strings.Repeat("0", max(0, width-len(s))) + s
 }
--- a/internal/jobblock/block_test.go
+++ b/internal/jobblock/block_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("differ: %v", differ)
 	}
 	if !slices.IsSortedFunc(sorted, func(a, b Entry) int {
-		if Key(a.ID) < Key(b.ID) {
+		if SortKey(a.ID) < SortKey(b.ID) {
 			return -1
 		}
 		return 1
@@ -66,7 +66,7 @@
 			if want[e.ID] != e {
 				t.Errorf("%s became %+v", e.ID, e)
 			}
-			if Key(e.ID) < r.From || i+1 < len(records) && Key(e.ID) >= records[i+1].From {
+			if SortKey(e.ID) < r.From || i+1 < len(records) && SortKey(e.ID) >= records[i+1].From {
 				t.Errorf("%s is in a block that does not cover it", e.ID)
 			}
 			if got, ok := b.Find(e.ID); !ok || got != e {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestRegularIdsAreBounded: ids in steps pack into next to nothing; a block still
+// TestBlockSizeIsBounded: ids in steps pack into next to nothing; a block still
 // holds no more than can be looked through.
-func TestRegularIdsAreBounded(t *testing.T) {
+func TestBlockSizeIsBounded(t *testing.T) {
 	var entries []Entry
 	for i := range 3 * MaxJobs {
 		entries = append(entries, Entry{fmt.Sprintf("wk-%07d", i*7), wire.Done, 1})
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestDamageIsSeen cuts and changes a block: none is read as something else.
-func TestDamageIsSeen(t *testing.T) {
+// TestDamageIsDetected cuts and changes a block: none is read as something else.
+func TestDamageIsDetected(t *testing.T) {
 	r := Pack("", []Entry{{"wk-1", wire.Done, 4}, {"wk-7", wire.Cancelled, 2}})
 	newer := r
 	newer.Format = Format + 1
@@ -141,7 +141,7 @@
 	f.Add(string(packed), 2)
 	f.Fuzz(func(t *testing.T, data string, count int) {
 		rec := Record{Format: 1, Count: count, Data: data}
-		if b, err := rec.open([]byte(data)); err == nil { // as if the checksum held
+		if b, err := rec.decode([]byte(data)); err == nil { // as if the checksum held
 			for _, e := range b.Entries() {
 				_, _ = b.Find(e.ID)
 			}
--- a/internal/jobblock/golden_test.go
+++ b/internal/jobblock/golden_test.go
@@ -26,7 +26,7 @@
 		{wire.JobPrefix + "123456789012345678", wire.Cancelled, 5},
 		{wire.JobPrefix + "12345678901234567890", wire.Done, 6},
 	}
-	from := Key(entries[0].ID)
+	from := SortKey(entries[0].ID)
 	rec := Pack(from, entries)
 	goldentest.File(t, "block.cbor", wire.Encode(rec))
 	var back Record
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -13,23 +13,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// crowd is a holder with a large fleet: machines with some tasks each, and jobs that
+// largeFleet is a holder with a large fleet: machines with some tasks each, and jobs that
 // wait.
-type crowd struct {
-	*Holder
-	cfg     *config.Config
-	view    *store.View
-	reports []*wire.Report
-	now     time.Time
-	era     uint64
+type largeFleet struct {
+	*Leader
+	cfg        *config.Config
+	view       *store.View
+	heartbeats []*wire.Heartbeat
+	now        time.Time
+	revision   uint64
 }
 
-// newCrowd gives the holder of one of so many parts of a fleet.
-func newCrowd(tb testing.TB, machines, parts int) *crowd { return newCrowdOf(tb, machines, parts, 0) }
+// newLargeFleet gives the holder of one of so many parts of a fleet.
+func newLargeFleet(tb testing.TB, machines, parts int) *largeFleet {
+	return newLargeFleetOf(tb, machines, parts, 0)
+}
 
-// newCrowdOf gives the same with so many teams, each with an equal share of half of the fleet
+// newLargeFleetOf gives the same with so many teams, each with an equal share of half of the fleet
 // guaranteed and three times that as its limit; 0 stands for the one team of the traces.
-func newCrowdOf(tb testing.TB, machines, parts, teams int) *crowd {
+func newLargeFleetOf(tb testing.TB, machines, parts, teams int) *largeFleet {
 	cfg, part := traceConfig(), "fleet"
 	team := func(int) string { return "blue" }
 	if teams > 0 {
@@ -41,16 +43,16 @@
 		team = func(job int) string { return cfg.Teams[job%teams].Name }
 	}
 	if cfg.Zones = []string{"a", "b", "c", "d", "e"}[:max(3, parts)]; parts > 1 {
-		cfg.Tuning.Parts.By, part = fmt.Sprint(parts), cfg.Zones[0]
+		cfg.Tuning.Shards.By, part = fmt.Sprint(parts), cfg.Zones[0]
 		if parts < len(cfg.Zones) {
 			part = "part-0"
 		}
 	}
-	cfg.Workers.Report = 8 * time.Second
+	cfg.Workers.HeartbeatInterval = 8 * time.Second
 	cfg.Store = config.Store{TxnOps: 24, ValueBytes: 16 << 10}
 	cfg.Objectives = []config.Objective{{Kind: "wait", Class: "gang", WithinS: 60}, {Kind: "finished", Class: "array", WithinS: 180}}
-	c := &crowd{cfg: cfg, view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil))), now: time.Unix(1e9, 0)}
-	c.view.Load(nil, 0, &wire.Changes{})
+	c := &largeFleet{cfg: cfg, view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil))), now: time.Unix(1e9, 0)}
+	c.view.Load(nil, 0, &wire.WatchResponse{})
 	job := func(i int, shape wire.Shape, tasks int) *wire.Job {
 		return &wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: string(map[wire.Shape]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}[shape]),
 			Shape: shape, Team: team(i), Priority: wire.Normal, Tasks: tasks, CPUs: 3, GPUs: 1, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%12), ImageGB: 4,
@@ -58,19 +60,19 @@
 	}
 	n := 0
 	put := func(shape wire.Shape, tasks int) {
-		c.era++
+		c.revision++
 		j := job(n, shape, tasks)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: tasks, Job: j, Created: c.now.UnixMilli()}
 		if parts > 1 {
-			names := cfg.Grouping().Parts()
-			rec.Shares = []store.Share{{From: 0, To: tasks, Part: names[n%parts]}}
+			names := cfg.Sharding().Shards()
+			rec.Ranges = []store.ShardRange{{From: 0, To: tasks, Shard: names[n%parts]}}
 			if shape == wire.Service { // spread
-				rec.Shares = []store.Share{{From: 0, To: tasks / 2, Part: names[n%parts]}, {From: tasks / 2, To: tasks, Part: names[(n+1)%parts]}}
+				rec.Ranges = []store.ShardRange{{From: 0, To: tasks / 2, Shard: names[n%parts]}, {From: tasks / 2, To: tasks, Shard: names[(n+1)%parts]}}
 			}
 		}
 		n++
 		batch := store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}
-		c.view.Apply(&wire.Changes{Revision: c.era, Events: []wire.Event{{Put: store.BatchKey(j.ID), Value: wire.Encode(batch), Version: c.era}}})
+		c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: store.BatchKey(j.ID), Value: wire.Encode(batch), Version: c.revision}}})
 	}
 	for range machines / 10 {
 		put(wire.Array, 25)
@@ -78,52 +80,52 @@
 		put(wire.Gang, 6)
 	}
 	if teams > 0 && parts > 1 { // each part is granted its share, and one more that it has to give back
-		grants := store.GrantRecord{Teams: map[string]map[string][2]float64{}}
+		grants := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{}}
 		for _, t := range cfg.Teams {
 			grants.Teams[t.Name] = map[string][2]float64{}
-			for _, name := range cfg.Grouping().Parts() {
+			for _, name := range cfg.Sharding().Shards() {
 				grants.Teams[t.Name][name] = [2]float64{0, t.GPUsMax/float64(parts) + 1}
 			}
 		}
-		c.era++
-		c.view.Apply(&wire.Changes{Revision: c.era, Events: []wire.Event{{Put: store.GrantKey, Value: wire.Encode(grants), Version: c.era}}})
+		c.revision++
+		c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: store.QuotaGrantKey, Value: wire.Encode(grants), Version: c.revision}}})
 	}
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.5, Price: 4, SpotPrice: 1, BootS: 30, Zones: cfg.Zones}}
-	c.Holder = New(cfg, leadership.Held{Part: part, Term: 3, Version: c.era}, c.view.Snapshot(), store.PartLedgers{Name: part, Carried: true}, types, c.view, c.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c.Leader = New(cfg, leadership.Tenure{Shard: part, FencingToken: 3, Version: c.revision}, c.view.Snapshot(), store.ShardLedgers{Name: part, Migrated: true}, types, c.view, c.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	zones := cfg.Zones
 	if parts > 1 {
-		zones = cfg.Grouping().Zones(part)
+		zones = cfg.Sharding().ZonesOf(part)
 	}
 	for i := range machines / parts {
-		r := &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: zones[i%len(zones)], Session: 1, Seq: 1, Term: 3}
-		c.reports = append(c.reports, r)
-		c.Report(c.now, r, true)
+		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: zones[i%len(zones)], Incarnation: 1, Seq: 1, FencingToken: 3}
+		c.heartbeats = append(c.heartbeats, r)
+		c.HandleHeartbeat(c.now, r, true)
 	}
 	return c
 }
 
-// turn decides a round, commits it, and has the machines report its launches.
-func (c *crowd) turn() (launched int) {
+// runRound decides a round, commits it, and has the machines report its launches.
+func (c *largeFleet) runRound() (launched int) {
 	c.now = c.now.Add(time.Second)
 	d := c.Decide(c.now, c.view.Snapshot())
 	if d == nil {
 		return 0
 	}
-	c.era++
-	c.Committed(d, c.era)
+	c.revision++
+	c.Committed(d, c.revision)
 	for _, p := range d.launches {
 		var i int
 		fmt.Sscanf(p.Machine, "n-%d", &i)
-		c.reports[i].Tasks = append(c.reports[i].Tasks, wire.ReportedTask{Task: p.Task.String(), ID: p.Task, Attempt: p.Attempt, State: wire.TaskRunning})
+		c.heartbeats[i].Tasks = append(c.heartbeats[i].Tasks, wire.ReportedTask{Task: p.Task.String(), ID: p.Task, Attempt: p.Attempt, State: wire.TaskRunning})
 	}
-	c.reportAll()
+	c.heartbeatAll()
 	return len(d.launches)
 }
 
-func (c *crowd) reportAll() {
-	for _, r := range c.reports {
+func (c *largeFleet) heartbeatAll() {
+	for _, r := range c.heartbeats {
 		r.Seq++
-		c.Report(c.now, r, true)
+		c.HandleHeartbeat(c.now, r, true)
 	}
 }
 
@@ -131,7 +133,7 @@
 // state service takes a few dozen changes a second for all controllers. 2000
 // machines are filled, and then rounds touch machines all over the fleet.
 func TestRoundCost(t *testing.T) {
-	c := newCrowd(t, 2000, 1)
+	c := newLargeFleet(t, 2000, 1)
 	changes, bytes, rounds, launched := 0, 0, 0, 0
 	for rounds < 60 {
 		c.now = c.now.Add(time.Second)
@@ -150,9 +152,9 @@
 		changes += len(d.Txn.Then)
 		bytes += size
 		launched += len(d.launches)
-		c.era++
-		c.Committed(d, c.era)
-		c.reportAll()
+		c.revision++
+		c.Committed(d, c.revision)
+		c.heartbeatAll()
 	}
 	if launched < 4000 || changes > 5*rounds {
 		t.Errorf("%d rounds launch %d tasks with %d changes, %d bytes", rounds, launched, changes, bytes)
@@ -161,24 +163,24 @@
 
 // sizes runs a benchmark at several numbers of machines and of parts, to see how the cost
 // grows for one of the holders.
-func sizes(b *testing.B, run func(b *testing.B, c *crowd)) {
+func sizes(b *testing.B, run func(b *testing.B, c *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
 		for _, parts := range []int{1, 3, 5} {
-			b.Run(fmt.Sprintf("%d/%d", n, parts), func(b *testing.B) { run(b, newCrowd(b, n, parts)) })
+			b.Run(fmt.Sprintf("%d/%d", n, parts), func(b *testing.B) { run(b, newLargeFleet(b, n, parts)) })
 		}
 	}
 }
 
-func BenchmarkReport(b *testing.B) { sizes(b, benchReport) }
+func BenchmarkHeartbeat(b *testing.B) { sizes(b, benchHeartbeat) }
 
-func benchReport(b *testing.B, c *crowd) {
-	for c.turn() > 0 {
+func benchHeartbeat(b *testing.B, c *largeFleet) {
+	for c.runRound() > 0 {
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		r := c.reports[i%len(c.reports)]
+		r := c.heartbeats[i%len(c.heartbeats)]
 		r.Seq++
-		c.Report(c.now, r, true)
+		c.HandleHeartbeat(c.now, r, true)
 	}
 }
 
@@ -186,14 +188,14 @@
 // jobs wait.
 func BenchmarkDecide(b *testing.B) { sizes(b, benchDecide) }
 
-func benchDecide(b *testing.B, c *crowd) {
-	for c.turn() > 0 {
+func benchDecide(b *testing.B, c *largeFleet) {
+	for c.runRound() > 0 {
 	}
 	for b.Loop() {
 		c.now = c.now.Add(time.Millisecond)
 		if d := c.Decide(c.now, c.view.Snapshot()); d != nil {
-			c.era++
-			c.Committed(d, c.era)
+			c.revision++
+			c.Committed(d, c.revision)
 		}
 	}
 }
@@ -202,7 +204,7 @@
 func BenchmarkTeams(b *testing.B) {
 	for _, parts := range []int{1, 5} {
 		for _, teams := range []int{5, 100, 530, 2000} {
-			b.Run(fmt.Sprintf("%d/%d", teams, parts), func(b *testing.B) { benchDecide(b, newCrowdOf(b, 4900, parts, teams)) })
+			b.Run(fmt.Sprintf("%d/%d", teams, parts), func(b *testing.B) { benchDecide(b, newLargeFleetOf(b, 4900, parts, teams)) })
 		}
 	}
 }
@@ -210,26 +212,26 @@
 // BenchmarkTakeover reads the ledger of a full fleet, as a new holder does.
 func BenchmarkTakeover(b *testing.B) { sizes(b, benchTakeover) }
 
-func benchTakeover(b *testing.B, c *crowd) {
-	slots := map[string]store.Slot{}
+func benchTakeover(b *testing.B, c *largeFleet) {
+	slots := map[string]store.Segment{}
 	for {
 		c.now = c.now.Add(time.Second)
 		d := c.Decide(c.now, c.view.Snapshot())
 		if d == nil || len(d.launches) == 0 {
 			break
 		}
-		c.era++
+		c.revision++
 		for i, ch := range d.packed.Then {
-			slots[ch.Put] = store.Slot{Number: i, Version: c.era, Record: ch.Value.(store.SlotRecord)}
+			slots[ch.Put] = store.Segment{Number: i, Version: c.revision, Record: ch.Value.(store.SegmentRecord)}
 		}
-		c.Committed(d, c.era)
+		c.Committed(d, c.revision)
 	}
-	var list []store.Slot
+	var list []store.Segment
 	for _, s := range slots {
 		s.Number = len(list)
 		list = append(list, s)
 	}
 	for b.Loop() {
-		New(c.cfg, c.held, c.view.Snapshot(), store.PartLedgers{Name: c.held.Part, Own: list, Carried: true}, c.types, c.known, c.now, c.log)
+		New(c.cfg, c.lease, c.view.Snapshot(), store.ShardLedgers{Name: c.lease.Shard, Own: list, Migrated: true}, c.types, c.jobIndex, c.now, c.log)
 	}
 }
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -10,20 +10,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestGivenTaskIsNotNamedTwice: a task ran in part a, whose claim has the higher term, ended
+// TestHandedOverTaskIsNotInTwoLedgers: a task ran in part a, whose claim has the higher term, ended
 // without being done, and was given to part b, which runs it with a lower attempt. Then the
 // state is divided anew, which goes by the attempts that the ledgers name: part a must
 // not take for its own, and start again, what runs in part b.
 //
 // The call that launched it is answered, or may yet be carried out.
-func TestGivenTaskIsNotNamedTwice(t *testing.T) {
+func TestHandedOverTaskIsNotInTwoLedgers(t *testing.T) {
 	for _, fate := range []string{"executed", "open"} {
 		t.Run(fate, func(t *testing.T) { givenTask(t, fate) })
 	}
 }
 
 func givenTask(t *testing.T, fate string) {
-	b := newBench(t)
+	b := newTraceDriver(t)
 	play := func(lines string) (out []string) {
 		for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
 			out = append(out, b.step(strings.TrimSpace(line))...)
@@ -60,9 +60,9 @@
 	if !slices.Contains(out, "put batch/wk-1 wk-1=pending 0-1/b") {
 		t.Fatalf("it was not given away")
 	}
-	b.apply(wire.Change{Put: store.SlotKey("b", 0), Value: store.SlotRecord{Term: 5, Entries: map[string]wire.Raw{
-		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Session: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
-	b.apply(wire.Change{Delete: store.PartKey("a")}, wire.Change{Delete: store.PartKey("b")})
+	b.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
+		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Incarnation: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
+	b.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
 	out = play(`
 		divided a b
 		claim term=12
@@ -76,8 +76,8 @@
 		report n-1 1/10 term=12
 		round`)
 	t.Log(strings.Join(out, "\n"))
-	if l, _ := b.view.Live("wk-1"); b.holder.sharesOf(l)[0].Part != "b" {
-		t.Errorf("its task, which runs in b, is taken for one of %s", b.holder.sharesOf(l)[0].Part)
+	if l, _ := b.view.Live("wk-1"); b.leader.allRanges(l)[0].Shard != "b" {
+		t.Errorf("its task, which runs in b, is taken for one of %s", b.leader.allRanges(l)[0].Shard)
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
@@ -90,13 +90,13 @@
 // state becomes one part. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
 func TestGangIsDoneInPieces(t *testing.T) {
-	b := newBench(t)
+	b := newTraceDriver(t)
 	b.step("job wk-1 gang team=blue tasks=3")
 	b.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
 	b.step("shares wk-1 0-2/a,done 2-3/b")
-	b.cfg.Tuning.Parts.By = "off"
-	state := b.view.State()
-	txn, err := reshard.Next(&state, b.cfg.Grouping(), func(string) (store.Takes, bool) { return store.Takes{}, false })
+	b.cfg.Tuning.Shards.By = "off"
+	state := b.view.ShardingState()
+	txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(string) (store.TaskDemand, bool) { return store.TaskDemand{}, false })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leader/contention.go
+++ b/internal/leader/contention.go
@@ -6,29 +6,29 @@
 // service is slow, such rounds grow and are refused again and again. So each refusal halves the
 // bound, down to a few homes, and each round that is taken doubles it.
 type contention struct {
-	most int // homes of a round, 0 while nothing bounds them
+	maxBatches int // homes of a round, 0 while nothing bounds them
 }
 
-// leastHomes is how many homes a round may always have.
-const leastHomes = 8
+// minBatches is how many homes a round may always have.
+const minBatches = 8
 
 // limit gives how many homes the next round may have, of so many that the store allows.
 func (c *contention) limit(allowed int) int {
-	if c.most == 0 {
+	if c.maxBatches == 0 {
 		return allowed
 	}
-	return min(c.most, allowed)
+	return min(c.maxBatches, allowed)
 }
 
 // refused takes in that a round with so many homes was refused.
-func (c *contention) refused(homes int) { c.most = max(leastHomes, homes/2) }
+func (c *contention) refused(homes int) { c.maxBatches = max(minBatches, homes/2) }
 
-// mostHomes is a bound that is no bound any more.
-const mostHomes = 1 << 10
+// unboundedBatches is a bound that is no bound any more.
+const unboundedBatches = 1 << 10
 
 // taken takes in that a round was taken.
 func (c *contention) taken() {
-	if c.most *= 2; c.most > mostHomes {
-		c.most = 0
+	if c.maxBatches *= 2; c.maxBatches > unboundedBatches {
+		c.maxBatches = 0
 	}
 }
--- a/internal/leader/contention_test.go
+++ b/internal/leader/contention_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestUnstored: what finished first is stored first, whatever its job's name.
-func TestUnstored(t *testing.T) {
-	u := unstored{}
+// TestCompletionQueue: what finished first is stored first, whatever its job's name.
+func TestCompletionQueue(t *testing.T) {
+	u := completionQueue{}
 	u.add("wk-9", 1)
 	u.add("wk-1", 2)
 	u.add("wk-2", 2)
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -10,102 +10,102 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Tend compares the placements with the jobs while a round waits for the store, so that
+// Reconcile compares the placements with the jobs while a round waits for the store, so that
 // what is cancelled is stopped however long that takes.
-func (h *Holder) Tend(now time.Time, snap store.Snapshot) {
+func (h *Leader) Reconcile(now time.Time, snap store.Snapshot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !snap.Fresh.Before(h.knows) {
-		h.tend(now, snap)
+	if !snap.CurrentAt.Before(h.viewCurrentAt) {
+		h.refresh(now, snap)
 	}
 }
 
-func (h *Holder) tend(now time.Time, snap store.Snapshot) {
-	if !h.tended.IsZero() && now.Sub(h.tended) > stillTime {
-		h.awake = now
+func (h *Leader) refresh(now time.Time, snap store.Snapshot) {
+	if !h.lastReconciled.IsZero() && now.Sub(h.lastReconciled) > pauseThreshold {
+		h.lastPauseEnd = now
 	}
-	h.live, h.tended = snap.Live, now
-	h.grants.see(snap.Grants)
-	h.seeLive(snap)
-	h.take(now, h.fleet.Expire(now))
-	h.reconcile(now)
-	h.knows = snap.Fresh
+	h.liveJobs, h.lastReconciled = snap.LiveJobs, now
+	h.grants.observe(snap.QuotaGrants)
+	h.noteLiveJobs(snap)
+	h.applyEvents(now, h.fleet.ExpireLeases(now))
+	h.reconcilePlacements(now)
+	h.viewCurrentAt = snap.CurrentAt
 }
 
 // Decide makes the next round of a snapshot, or nil when there is nothing to
 // write. Stops take effect at once, since they need no fence.
-func (h *Holder) Decide(now time.Time, snap store.Snapshot) *Draft {
+func (h *Leader) Decide(now time.Time, snap store.Snapshot) *Draft {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tend(now, snap)
+	h.refresh(now, snap)
 	d := h.newDraft()
-	d.at = now
-	h.storeEnds(now, d)
-	h.attend(now, d)
-	h.giveShares(now, d)
-	h.deal(d)
-	h.forget(d, snap)
-	for _, r := range d.homes {
+	d.decidedAt = now
+	h.storeFinishedJobs(now, d)
+	h.advanceSplitGangs(now, d)
+	h.handOverUnplaced(now, d)
+	h.assignRanges(d)
+	h.dropPreviousLedgers(d, snap)
+	for _, r := range d.orderedRewrites {
 		d.Txn.Then = append(d.Txn.Then, r.Change())
 	}
-	h.openLedger(d)
-	h.judgeZones(now, d)
-	h.judgeReturns(now, d)
+	h.reserveLedgerSlots(d)
+	h.decideZones(now, d)
+	h.decideZoneRecoveries(now, d)
 	h.storeProgress(d)
 	h.plan(now, d)
-	h.carryOver(d)
-	carried, disowns := h.carryDue(), h.disown(d)
-	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !disowns && now.Sub(h.wrote) < h.cfg.Tuning.RoundWindow {
+	h.writeMigrated(d)
+	carried, disowns := h.migrationDue(), h.releaseOwnership(d)
+	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !disowns && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
 		return nil // what is only to be tidied up can wait for company
 	}
-	h.tidy(d)
-	h.tidyClaims(d)
-	clear := h.clear(snap.Revision)
-	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !h.clearDue(now, clear) {
+	h.dropObsolete(d)
+	h.writeStalePreemptions(d)
+	clear := h.clearedRevision(snap.Revision)
+	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !h.clearedDue(now, clear) {
 		return nil
 	}
-	h.wrote, d.clear, d.carried = now, clear, carried
-	head := store.SlotRecord{Term: h.held.Term, Round: d.Number, Clear: clear}
-	if carried || h.carry.said {
-		head.Carried = h.number
+	h.lastDecided, d.clearedRevision, d.migrated = now, clear, carried
+	head := store.SegmentRecord{FencingToken: h.lease.FencingToken, Round: d.Number, DrainedThrough: clear}
+	if carried || h.migration.recorded {
+		head.Migrated = h.shardingNumber
 	}
-	d.packed, d.entries = h.ledger.Pack(head, d.entries, d.slots, d.ops > 0)
+	d.packed, d.entries = h.ledger.Pack(head, d.entries, d.slotBudget, d.changesLeft > 0)
 	if len(d.entries) > 0 {
 		// A launch whose machine's record is left out must never be said: the next
 		// holder would not know of it. A smaller round is decided instead.
-		h.squeeze = min(h.squeeze+1, 12)
+		h.batchBackoff = min(h.batchBackoff+1, 12)
 		if len(d.launches) > 0 {
 			h.stalls.blocked(now, StallTooLarge, d.launches[0].Task.Job)
 		}
-		h.log.Error("round too large", "number", d.Number, "left", len(d.entries), "squeeze", h.squeeze)
-		h.discard(d)
+		h.log.Error("round too large", "number", d.Number, "left", len(d.entries), "squeeze", h.batchBackoff)
+		h.discardDraft(d)
 		return nil
 	}
-	h.squeeze = max(0, h.squeeze-1)
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.PartKey(h.held.Part), Version: h.held.Version})
+	h.batchBackoff = max(0, h.batchBackoff-1)
+	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version})
 	d.Txn.If = append(d.Txn.If, d.packed.If...)
 	d.Txn.Then = append(d.Txn.Then, d.packed.Then...)
 	return d
 }
 
-// storeEnds writes that jobs are done, of which every task is.
-func (h *Holder) storeEnds(now time.Time, d *Draft) {
-	for _, id := range h.topFirst(h.unstored.oldestFirst()) {
-		j, l := h.jobs[id], h.live[id]
+// storeFinishedJobs writes that jobs are done, of which every task is.
+func (h *Leader) storeFinishedJobs(now time.Time, d *Draft) {
+	for _, id := range h.sortFirstTierFirst(h.unstored.oldestFirst()) {
+		j, l := h.jobStates[id], h.liveJobs[id]
 		if l == nil || j == nil {
 			h.unstored.remove(id)
 			continue
 		}
-		tasks, all := j.finished.Beyond(j.stored), h.allFinished(l, j)
-		if len(tasks) == 0 && (!all || h.group.Whole()) {
+		tasks, all := j.finished.Difference(j.storedFinished), h.allFinished(l, j)
+		if len(tasks) == 0 && (!all || h.sharding.IsSingle()) {
 			h.unstored.remove(id)
 			continue
 		}
-		if !all || len(tasks) > 0 && h.undealt(l) && !h.group.Whole() { // which must be in the ledger first
+		if !all || len(tasks) > 0 && h.unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
 			continue
 		}
-		if r := d.rewrite(l); r != nil { // or the next round has room
-			if h.endShares(r, id, l, now) {
+		if r := d.rewriteBatch(l); r != nil { // or the next round has room
+			if h.finishRanges(r, id, l, now) {
 				d.done = append(d.done, id)
 			}
 			d.finished[id] = tasks
@@ -115,17 +115,17 @@
 
 // storeProgress writes the blocks of jobs in which tasks have finished, as far as
 // the round has room.
-func (h *Holder) storeProgress(d *Draft) {
-	for _, id := range h.topFirst(h.unstored.oldestFirst()) {
-		j, l := h.jobs[id], h.live[id]
-		if d.finished[id] != nil || h.allFinished(l, j) && (h.group.Whole() || !h.undealt(l)) {
+func (h *Leader) storeProgress(d *Draft) {
+	for _, id := range h.sortFirstTierFirst(h.unstored.oldestFirst()) {
+		j, l := h.jobStates[id], h.liveJobs[id]
+		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.unassigned(l)) {
 			continue
 		}
 		last, fits := -1, false
 		var stored []int
-		for _, i := range j.finished.Beyond(j.stored) {
-			if b := i / store.BlockTasks; b != last {
-				last, fits = b, d.add(store.ProgressEntry(id, b, j.finished))
+		for _, i := range j.finished.Difference(j.storedFinished) {
+			if b := i / store.TasksPerBlock; b != last {
+				last, fits = b, d.addEntries(store.ProgressEntry(id, b, j.finished))
 			}
 			if fits {
 				stored = append(stored, i)
@@ -137,90 +137,90 @@
 	}
 }
 
-// tidy drops what is of no more use, as far as the round has room.
-func (h *Holder) tidy(d *Draft) {
-	if h.newTypes && d.ops > 0 {
-		d.ops--
-		d.Txn.Then = append(d.Txn.Then, wire.Change{Put: store.TypesKey, Value: store.TypesRecord{Types: h.types}})
-		h.newTypes, d.types = false, true
+// dropObsolete drops what is of no more use, as far as the round has room.
+func (h *Leader) dropObsolete(d *Draft) {
+	if h.typesChanged && d.changesLeft > 0 {
+		d.changesLeft--
+		d.Txn.Then = append(d.Txn.Then, wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
+		h.typesChanged, d.storesTypes = false, true
 	}
-	for _, id := range sortedKeys(h.dropMachines) {
-		if !h.ledger.Has(id) || d.machines[id] || d.add(store.DropMachine(id)) {
+	for _, id := range sortedKeys(h.machinesToDrop) {
+		if !h.ledger.HasMachine(id) || d.machines[id] || d.addEntries(store.DropMachine(id)) {
 			d.dropped = append(d.dropped, id)
 		}
 	}
-	for _, name := range sortedKeys(h.dropAsks) {
-		if !h.ledger.HasAsk(name) || d.add(store.DropAsk(name)) {
+	for _, name := range sortedKeys(h.requestsToDrop) {
+		if !h.ledger.HasScaleOut(name) || d.addEntries(store.DropScaleOut(name)) {
 			d.dropped = append(d.dropped, name)
 		}
 	}
 }
 
-// record is what the store keeps of a machine. What was seen ended there is not named, be its
+// machineRecord is what the store keeps of a machine. What was seen ended there is not named, be its
 // launch loose: until a clear at a later term a copy does nothing, and then it is refused.
-func record(m *fleet.Machine) store.MachineRecord {
-	tasks := m.May()
+func machineRecord(m *fleet.Machine) store.MachineRecord {
+	tasks := m.PossibleAttempts()
 	for _, p := range m.Placements() {
 		if name := p.Task.String(); !p.Active() && tasks[name] == p.Attempt {
 			delete(tasks, name)
 		}
 	}
-	return store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: m.Session, Tasks: tasks}
+	return store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation, Tasks: tasks}
 }
 
 // machineEntry gives the entry of a machine for a round.
-func (h *Holder) machineEntry(d *Draft, id string) store.Entry {
-	r := record(h.fleet.Machine(id))
-	d.names[id] = r.Tasks
+func (h *Leader) machineEntry(d *Draft, id string) store.Entry {
+	r := machineRecord(h.fleet.Machine(id))
+	d.ledgerTasks[id] = r.Tasks
 	return store.MachineEntry(id, r)
 }
 
 // plan lets sched choose and turns its plan into the draft.
-func (h *Holder) plan(now time.Time, d *Draft) {
-	pic := h.picture(now)
-	pic.Tasks = h.cfg.Tuning.RoundTasks
-	h.pictureClaims(pic)
+func (h *Leader) plan(now time.Time, d *Draft) {
+	snapshot := h.clusterSnapshot(now)
+	snapshot.LaunchBudget = h.cfg.Tuning.RoundTasks
+	h.addPreemptions(snapshot)
 	var startable *scheduler.Job
-	if h.stalls.looks(now) {
-		startable = pic.Startable()
+	if h.stalls.checkDue(now) {
+		startable = snapshot.FirstStartable()
 	}
-	plan := scheduler.Choose(pic)
-	kept := h.launch(now, d, plan.Launches)
-	h.watchStarts(now, d, &plan, startable, kept)
-	h.foresee(now, &plan, pic.Teams)
-	h.leave(now, &plan)
-	if h.claims.set.Given() { // and nothing is stopped for room before the round is taken
-		h.claimBack(now, d, plan.Claims)
-		h.noteTiers(&plan)
+	plan := scheduler.Schedule(snapshot)
+	withheld := h.launch(now, d, plan.Launches)
+	h.noteStarts(now, d, &plan, startable, withheld)
+	h.updateForecast(now, &plan, snapshot.Teams)
+	h.noteFreeCapacity(now, &plan)
+	if h.preemptions.tierSet.Configured() { // and nothing is stopped for room before the round is taken
+		h.startPreemptions(now, d, plan.Reclaims)
+		h.noteTierStatuses(&plan)
 	}
 	for _, s := range plan.Stops {
-		if p := h.fleet.Active(wire.TaskID{Job: s.Job.ID, Index: s.Index}); p != nil {
-			h.stop(now, p, s.Job.Job, s.Why)
+		if p := h.fleet.ActivePlacement(wire.TaskID{Job: s.Job.ID, Index: s.TaskIndex}); p != nil {
+			h.stopTask(now, p, s.Job.Job, s.Reason)
 		}
 	}
-	h.askFor(now, d, h.withProbes(now, pic, &plan))
-	for _, id := range plan.Releases {
-		h.giveUp(h.fleet.Machine(id), "idle")
+	h.requestScaleOut(now, d, h.withZoneProbes(now, snapshot, &plan))
+	for _, id := range plan.ScaleIns {
+		h.releaseMachine(h.fleet.Machine(id), "idle")
 	}
-	h.releaseOthers(now)
+	h.releaseUnusable(now)
 }
 
-// watchStarts takes in what a plan and its round start. Startable is a job that could be started
+// noteStarts takes in what a plan and its round start. Startable is a job that could be started
 // where nothing was for a while, kept is why launches that were planned are not in the round.
-func (h *Holder) watchStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, kept StallCause) {
+func (h *Leader) noteStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld StallCause) {
 	switch {
 	case len(d.launches) > 0: // the state service has yet to take them
 	case len(plan.Launches) > 0:
-		h.stalls.blocked(now, kept, plan.Launches[0].Job.ID)
+		h.stalls.blocked(now, withheld, plan.Launches[0].Job.ID)
 	case startable != nil:
 		h.stalls.blocked(now, StallPlan, startable.ID)
-	case h.stalls.looks(now):
+	case h.stalls.checkDue(now):
 		h.stalls.idle(now)
 	}
 	h.logStall(now)
 }
 
-func (h *Holder) typeOf(name string) wire.MachineType {
+func (h *Leader) machineType(name string) wire.MachineType {
 	for _, t := range h.types {
 		if t.Name == name {
 			return t
@@ -229,12 +229,12 @@
 	return wire.MachineType{}
 }
 
-// used sums what the teams' tasks use or may use.
-func (h *Holder) used() map[string][2]float64 {
+// teamUsage sums what the teams' tasks use or may use.
+func (h *Leader) teamUsage() map[string][2]float64 {
 	out := make(map[string][2]float64)
 	for _, m := range h.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if t, ok := h.takes(p.Task.Job); ok && p.Active() {
+			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
 				u := out[t.Team]
 				out[t.Team] = [2]float64{u[0] + t.CPUs, u[1] + t.GPUs}
 			}
@@ -243,13 +243,13 @@
 	return out
 }
 
-// takes tells what a task of a job takes, even when the job is over.
-func (h *Holder) takes(job string) (store.Takes, bool) {
-	if l := h.live[job]; l != nil {
-		return l.Record.TaskTakes()
+// taskDemand tells what a task of a job takes, even when the job is over.
+func (h *Leader) taskDemand(job string) (store.TaskDemand, bool) {
+	if l := h.liveJobs[job]; l != nil {
+		return l.Record.TaskDemand()
 	}
-	rec, _ := h.known.Job(job)
-	return rec.TaskTakes()
+	rec, _ := h.jobIndex.Job(job)
+	return rec.TaskDemand()
 }
 
 func sortedKeys[K interface{ ~string | ~int }, V any](m map[K]V) []K {
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -16,178 +16,178 @@
 	Txn    wire.Txn
 	Number uint64
 
-	clear    uint64 // up to which it says that nothing is left of ended jobs
-	carried  bool   // it says that nothing is left to take over
-	launches []*fleet.Placement
-	finished map[string][]int             // tasks that it stores as done
-	done     []string                     // jobs that it stores as done
-	machines map[string]bool              // whose records it writes
-	names    map[string]map[string]uint64 // and what these name
-	zones    []zone.Change                // that it decides
-	returns  map[string]*zonerecovery.Plan
-	asks     []string
-	dropped  []string // asks and machines whose records it drops
-	types    bool     // it stores the machine types
-	at       time.Time
-	claims   map[string]*tier.Claim // that get more room, by job
-	stale    map[roomOf]bool        // records of room, and whether they are still out of date after it
+	clearedRevision uint64 // up to which it says that nothing is left of ended jobs
+	migrated        bool   // it says that nothing is left to take over
+	launches        []*fleet.Placement
+	finished        map[string][]int             // tasks that it stores as done
+	done            []string                     // jobs that it stores as done
+	machines        map[string]bool              // whose records it writes
+	ledgerTasks     map[string]map[string]uint64 // and what these name
+	zones           []zone.Change                // that it decides
+	returns         map[string]*zonerecovery.Plan
+	requests        []string
+	dropped         []string // asks and machines whose records it drops
+	storesTypes     bool     // it stores the machine types
+	decidedAt       time.Time
+	expansions      map[string]*tier.Preemption // that get more room, by job
+	stale           map[reservationKey]bool     // records of room, and whether they are still out of date after it
 
-	entries []store.Entry
-	packed  store.Packed
-	ends    map[string]*store.Rewrite // homes in which it marks jobs as done, or gives tasks away
-	homes   []*store.Rewrite          // the same, in order
-	guarded map[string]bool           // homes that must be as they were seen
-	slots   int                       // that it may write
-	room    int                       // bytes that are left for entries
-	bytes   int                       // and in the transaction
-	ops     int                       // changes that are left
-	guards  int                       // conditions that are left
+	entries         []store.Entry
+	packed          store.PackedWrite
+	rewrites        map[string]*store.BatchUpdate // homes in which it marks jobs as done, or gives tasks away
+	orderedRewrites []*store.BatchUpdate          // the same, in order
+	guardedBatches  map[string]bool               // homes that must be as they were seen
+	slotBudget      int                           // that it may write
+	entryBytesLeft  int                           // bytes that are left for entries
+	txnBytesLeft    int                           // and in the transaction
+	changesLeft     int                           // changes that are left
+	conditionsLeft  int                           // conditions that are left
 }
 
 // What the values of one round may take together, and the ends among them where
 // more than the ledger's slots want to be written.
 const (
-	txnBytes = 58 << 10
-	endBytes = 20 << 10
+	maxRoundBytes        = 58 << 10
+	maxExtraRewriteBytes = 20 << 10
 )
 
-func (h *Holder) newDraft() *Draft {
-	most := min(h.cfg.Store.TxnOps, store.HolderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().LeastChanges(), len(h.group.Parts())))
+func (h *Leader) newDraft() *Draft {
+	maxChanges := min(h.cfg.Store.TxnOps, store.LeaderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().MinWriteShare(), len(h.sharding.Shards())))
 	guards := h.contention.limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
-	return &Draft{Number: h.round + 1, finished: map[string][]int{}, machines: map[string]bool{}, names: map[string]map[string]uint64{}, claims: map[string]*tier.Claim{}, stale: map[roomOf]bool{},
-		ends: map[string]*store.Rewrite{}, guarded: map[string]bool{}, bytes: txnBytes, ops: most, guards: guards}
+	return &Draft{Number: h.lastRound + 1, finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{}, expansions: map[string]*tier.Preemption{}, stale: map[reservationKey]bool{},
+		rewrites: map[string]*store.BatchUpdate{}, guardedBatches: map[string]bool{}, txnBytesLeft: maxRoundBytes, changesLeft: maxChanges, conditionsLeft: guards}
 }
 
-// openLedger sets aside what is left for the slots of the ledger.
-func (h *Holder) openLedger(d *Draft) {
-	d.slots = max(1, min(h.cfg.Store.TxnOps/2, d.bytes/h.cfg.Store.ValueBytes, d.ops))
-	d.ops -= d.slots
-	d.room = h.ledger.Room(d.slots) >> h.squeeze
+// reserveLedgerSlots sets aside what is left for the slots of the ledger.
+func (h *Leader) reserveLedgerSlots(d *Draft) {
+	d.slotBudget = max(1, min(h.cfg.Store.TxnOps/2, d.txnBytesLeft/h.cfg.Store.ValueBytes, d.changesLeft))
+	d.changesLeft -= d.slotBudget
+	d.entryBytesLeft = h.ledger.FreeBytes(d.slotBudget) >> h.batchBackoff
 }
 
-// add takes entries into the round if all of them fit.
-func (d *Draft) add(entries ...store.Entry) bool {
+// addEntries takes entries into the round if all of them fit.
+func (d *Draft) addEntries(entries ...store.Entry) bool {
 	size := 0
 	for _, e := range entries {
 		size += e.Size
 	}
-	if size > d.room {
+	if size > d.entryBytesLeft {
 		return false
 	}
-	d.room -= size
+	d.entryBytesLeft -= size
 	d.entries = append(d.entries, entries...)
 	return true
 }
 
-// guard demands that the home of a job is as it was seen, so that a cancellation
+// guardBatch demands that the home of a job is as it was seen, so that a cancellation
 // that came in between fails the round.
-func (d *Draft) guard(l *store.LiveJob) bool {
-	if d.guarded[l.Home.Key] {
+func (d *Draft) guardBatch(l *store.LiveJob) bool {
+	if d.guardedBatches[l.Batch.Key] {
 		return true
 	}
-	if d.guards == 0 {
+	if d.conditionsLeft == 0 {
 		return false
 	}
-	d.guards--
-	d.guarded[l.Home.Key] = true
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: l.Home.Key, Version: l.Home.Version})
+	d.conditionsLeft--
+	d.guardedBatches[l.Batch.Key] = true
+	d.Txn.If = append(d.Txn.If, wire.Condition{Key: l.Batch.Key, Version: l.Batch.Version})
 	return true
 }
 
-// rewrite begins the next value of a job's home, if the round has room for that.
-func (d *Draft) rewrite(l *store.LiveJob) *store.Rewrite {
-	r := d.ends[l.Home.Key]
+// rewriteBatch begins the next value of a job's home, if the round has room for that.
+func (d *Draft) rewriteBatch(l *store.LiveJob) *store.BatchUpdate {
+	r := d.rewrites[l.Batch.Key]
 	if r == nil {
-		size := l.Home.Bytes()
-		if d.ops <= 1 || len(d.homes) > 0 && d.bytes-size < txnBytes-endBytes || !d.guard(l) {
+		size := l.Batch.Bytes()
+		if d.changesLeft <= 1 || len(d.orderedRewrites) > 0 && d.txnBytesLeft-size < maxRoundBytes-maxExtraRewriteBytes || !d.guardBatch(l) {
 			return nil
 		}
-		d.ops--
-		d.bytes -= size
-		r = l.Home.Rewrite()
-		d.ends[l.Home.Key] = r
-		d.homes = append(d.homes, r)
+		d.changesLeft--
+		d.txnBytesLeft -= size
+		r = l.Batch.Update()
+		d.rewrites[l.Batch.Key] = r
+		d.orderedRewrites = append(d.orderedRewrites, r)
 	}
 	return r
 }
 
-// Taken gives the homes that the round has written, once it was taken at a
+// WrittenBatches gives the homes that the round has written, once it was taken at a
 // revision.
-func (d *Draft) Taken(revision uint64) []*store.Home {
-	out := make([]*store.Home, len(d.homes))
-	for i, r := range d.homes {
-		out[i] = r.Taken(revision)
+func (d *Draft) WrittenBatches(revision uint64) []*store.Batch {
+	out := make([]*store.Batch, len(d.orderedRewrites))
+	for i, r := range d.orderedRewrites {
+		out[i] = r.Committed(revision)
 	}
 	return out
 }
 
 // Committed takes in that the store has taken a round.
-func (h *Holder) Committed(d *Draft, revision uint64) {
+func (h *Leader) Committed(d *Draft, revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.round = d.Number
+	h.lastRound = d.Number
 	h.contention.taken()
 	if len(d.launches) > 0 {
-		h.stalls.started(d.at)
+		h.stalls.started(d.decidedAt)
 	}
-	h.said = max(h.said, d.clear)
-	h.carry.said = h.carry.said || d.carried
+	h.clearedWritten = max(h.clearedWritten, d.clearedRevision)
+	h.migration.recorded = h.migration.recorded || d.migrated
 	h.ledger.Commit(d.packed, revision)
-	h.claimed(d)
+	h.preemptionsCommitted(d)
 	for _, p := range d.launches {
 		p.Committed = true
-		if j := h.jobs[p.Task.Job]; j != nil && j.allocation.order == p.Attempt {
-			j.allocation.started = p.Attempt
+		if j := h.jobStates[p.Task.Job]; j != nil && j.coAllocation.order == p.Attempt {
+			j.coAllocation.started = p.Attempt
 		}
 	}
 	for id, tasks := range d.finished {
-		j := h.history(id)
+		j := h.jobState(id)
 		for _, i := range tasks {
-			j.stored.Set(i)
+			j.storedFinished.Add(i)
 		}
 	}
 	for _, id := range d.done {
 		h.log.Info("job done", "job", id, "round", d.Number)
 	}
 	for id := range d.machines {
-		h.names.take(id, d.names[id])
+		h.ledgerTasks.update(id, d.ledgerTasks[id])
 		if m := h.fleet.Machine(id); m != nil {
 			m.Recorded = true
 		} else {
-			h.dropMachines[id] = true
+			h.machinesToDrop[id] = true
 		}
 	}
-	h.asked(d)
-	h.judged(d.zones)
-	h.returned(d.returns)
+	h.scaleOutCommitted(d)
+	h.zonesCommitted(d.zones)
+	h.zoneRecoveriesCommitted(d.returns)
 	for _, name := range d.dropped {
-		delete(h.dropAsks, name)
+		delete(h.requestsToDrop, name)
 		if !d.machines[name] {
-			delete(h.dropMachines, name)
-			h.names.take(name, nil)
+			delete(h.machinesToDrop, name)
+			h.ledgerTasks.update(name, nil)
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "asks", len(d.asks), "slots", len(d.packed.Then))
+		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "asks", len(d.requests), "slots", len(d.packed.Then))
 	}
 }
 
 // Discard takes a round back that the store will never take.
-func (h *Holder) Discard(d *Draft) {
+func (h *Leader) Discard(d *Draft) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.contention.refused(len(d.guarded))
-	h.discard(d)
+	h.contention.refused(len(d.guardedBatches))
+	h.discardDraft(d)
 }
 
-func (h *Holder) discard(d *Draft) {
+func (h *Leader) discardDraft(d *Draft) {
 	for _, p := range d.launches {
 		if h.fleet.Machine(p.Machine) != nil {
 			h.fleet.Withdraw(p)
 		}
 	}
-	for _, name := range d.asks {
-		h.rentals.Forget(name)
+	for _, name := range d.requests {
+		h.scaleOutRequests.Forget(name)
 	}
-	h.newTypes = h.newTypes || d.types
+	h.typesChanged = h.typesChanged || d.storesTypes
 }
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -15,16 +15,16 @@
 // conditional on that record, and gives tasks away only once it has proof that they
 // are nowhere: so no two holders ever launch the same task.
 
-// shares gives the runs of a job's tasks that this part answers for and that have
+// ownRanges gives the runs of a job's tasks that this part answers for and that have
 // not all finished, and how many tasks other parts have yet to finish.
-func (h *Holder) shares(l *store.LiveJob) (mine []store.Share, elsewhere int) {
-	if h.group.Whole() {
-		return []store.Share{{From: 0, To: l.Record.Tasks, Part: h.held.Part}}, 0
+func (h *Leader) ownRanges(l *store.LiveJob) (mine []store.ShardRange, elsewhere int) {
+	if h.sharding.IsSingle() {
+		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: h.lease.Shard}}, 0
 	}
-	for _, s := range h.sharesOf(l) {
+	for _, s := range h.allRanges(l) {
 		switch {
 		case s.Done, !s.Within(l.Record.Tasks):
-		case s.Part == h.held.Part:
+		case s.Shard == h.lease.Shard:
 			mine = append(mine, s)
 		default:
 			elsewhere += s.To - s.From
@@ -33,241 +33,241 @@
 	return mine, elsewhere
 }
 
-// sharesOf gives all shares of a job. Where its record is of an earlier grouping, they follow
+// allRanges gives all shares of a job. Where its record is of an earlier grouping, they follow
 // from the ledgers of that. What was left to a part that is none is of the first.
-func (h *Holder) sharesOf(l *store.LiveJob) []store.Share {
-	if h.undealt(l) {
-		return h.impliedShares(l)
+func (h *Leader) allRanges(l *store.LiveJob) []store.ShardRange {
+	if h.unassigned(l) {
+		return h.inferredRanges(l)
 	}
-	first := h.group.Parts()[0]
-	if len(l.Record.Shares) == 0 {
-		return []store.Share{{From: 0, To: l.Record.Tasks, Part: first}}
+	first := h.sharding.Shards()[0]
+	if len(l.Record.Ranges) == 0 {
+		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: first}}
 	}
-	out := l.Record.Shares
+	out := l.Record.Ranges
 	for i, s := range out {
-		if !slices.Contains(h.group.Parts(), s.Part) {
-			if &out[0] == &l.Record.Shares[0] {
+		if !slices.Contains(h.sharding.Shards(), s.Shard) {
+			if &out[0] == &l.Record.Ranges[0] {
 				out = slices.Clone(out)
 			}
-			out[i].Part = first
+			out[i].Shard = first
 		}
 	}
 	return out
 }
 
-func tasksOf(shares []store.Share) (n int) {
-	for _, s := range shares {
+func countTasks(ranges []store.ShardRange) (n int) {
+	for _, s := range ranges {
 		n += s.To - s.From
 	}
 	return n
 }
 
 // allFinished reports whether every task of a job that is this part's has finished.
-func (h *Holder) allFinished(l *store.LiveJob, j *history) bool {
-	if h.group.Whole() {
+func (h *Leader) allFinished(l *store.LiveJob, j *jobState) bool {
+	if h.sharding.IsSingle() {
 		return j.finished.Count() >= l.Record.Tasks
 	}
-	mine, _ := h.shares(l)
-	for _, s := range mine {
+	own, _ := h.ownRanges(l)
+	for _, s := range own {
 		for i := s.From; i < s.To; i++ {
-			if !j.finished.Has(i) {
+			if !j.finished.Contains(i) {
 				return false
 			}
 		}
 	}
-	return len(mine) > 0
+	return len(own) > 0
 }
 
-// endShares marks what this part has of a job as finished. The last part to do so marks
+// finishRanges marks what this part has of a job as finished. The last part to do so marks
 // the job as done: all others must say so in the very record that is written.
-func (h *Holder) endShares(r *store.Rewrite, id string, l *store.LiveJob, now time.Time) (done bool) {
-	if h.group.Whole() {
-		r.End(id, wire.Done, now)
+func (h *Leader) finishRanges(r *store.BatchUpdate, id string, l *store.LiveJob, now time.Time) (done bool) {
+	if h.sharding.IsSingle() {
+		r.EndJob(id, wire.Done, now)
 		return true
 	}
-	shares, last := slices.Clone(h.sharesOf(l)), true
-	for i := range shares {
-		if shares[i].Part == h.held.Part {
-			shares[i].Done = true
+	ranges, last := slices.Clone(h.allRanges(l)), true
+	for i := range ranges {
+		if ranges[i].Shard == h.lease.Shard {
+			ranges[i].Done = true
 		}
-		last = last && shares[i].Done
+		last = last && ranges[i].Done
 	}
 	switch {
 	case last:
-		r.End(id, wire.Done, now)
-	case h.undealt(l): // a job in too many runs to be written as shares says it like this
-		h.live[id] = &store.LiveJob{Record: r.DoneIn(id, store.LedgerOf(h.held.Part, h.number)), Home: l.Home, Since: l.Since}
+		r.EndJob(id, wire.Done, now)
+	case h.unassigned(l): // a job in too many runs to be written as shares says it like this
+		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.shardingNumber)), Batch: l.Batch, SinceRevision: l.SinceRevision}
 	default:
-		h.reshare(r, id, l, shares)
+		h.updateRanges(r, id, l, ranges)
 	}
 	return last
 }
 
-// reshare writes other shares of a job, and goes by them from here on.
-func (h *Holder) reshare(r *store.Rewrite, id string, l *store.LiveJob, shares []store.Share) {
-	h.live[id] = &store.LiveJob{Record: r.Reshare(id, shares, h.number), Home: l.Home, Since: l.Since}
+// updateRanges writes other shares of a job, and goes by them from here on.
+func (h *Leader) updateRanges(r *store.BatchUpdate, id string, l *store.LiveJob, ranges []store.ShardRange) {
+	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.shardingNumber), Batch: l.Batch, SinceRevision: l.SinceRevision}
 }
 
-// handed counts the tasks that were given to a part since it was last heard.
-type handed struct {
+// recentHandovers counts the tasks that were given to a part since it was last heard.
+type recentHandovers struct {
 	at    time.Time
 	tasks map[string]int // by class
 }
 
-// outlook is what the last plan leaves to do between parts.
-type outlook struct {
-	at     time.Time
-	short  []scheduler.Short
-	rooms  map[string]scheduler.Room
-	wants  map[string]scheduler.Want
-	ready  []string // gangs in pieces for which there is room
-	stays  map[string]scheduler.Amount
-	placed map[string][2]float64 // what teams use with all that the plan has found a place for
+// forecast is what the last plan leaves to do between parts.
+type forecast struct {
+	at             time.Time
+	unplaced       []scheduler.UnplacedJob
+	freeCapacity   map[string]scheduler.FreeCapacity
+	demands        map[string]scheduler.QuotaDemand
+	readyGangs     []string // gangs in pieces for which there is room
+	serviceUsage   map[string]scheduler.Resources
+	projectedUsage map[string][2]float64 // what teams use with all that the plan has found a place for
 }
 
-func (h *Holder) foresee(now time.Time, plan *scheduler.Plan, teams map[string]*scheduler.Team) {
-	h.outlook = outlook{now, plan.Short, plan.Rooms, plan.Wants, plan.Ready, plan.Stays, make(map[string][2]float64, len(teams))}
+func (h *Leader) updateForecast(now time.Time, plan *scheduler.Plan, teams map[string]*scheduler.Team) {
+	h.forecast = forecast{now, plan.Unplaced, plan.FreeCapacity, plan.QuotaDemands, plan.ReadyGangs, plan.ServiceUsage, make(map[string][2]float64, len(teams))}
 	for name, t := range teams {
 		// Or it has reserved what there is not, for a job that has waited for long.
-		if t.Within() {
-			h.outlook.placed[name] = [2]float64{t.UsedCPUs, t.UsedGPUs}
+		if t.WithinLimit() {
+			h.forecast.projectedUsage[name] = [2]float64{t.UsedCPUs, t.UsedGPUs}
 		}
 	}
-	for _, j := range h.jobs {
-		j.allocation.ready = false
+	for _, j := range h.jobStates {
+		j.coAllocation.ready = false
 	}
-	for _, id := range plan.Ready {
-		h.history(id).allocation.ready = true
+	for _, id := range plan.ReadyGangs {
+		h.jobState(id).coAllocation.ready = true
 	}
 }
 
-// giveAfter is how long tasks find no room before they go to a part that has some, so that
+// handoverAfter is how long tasks find no room before they go to a part that has some, so that
 // what the next rounds bring is not given away. (It is a variable for the model, where
 // time stands still.)
-var giveAfter = 500 * time.Millisecond
+var handoverAfter = 500 * time.Millisecond
 
 // Few jobs go at a time.
 const (
-	rentAfter = 4 * time.Second
-	giveMost  = 3               // jobs of a round
-	maxShares = 24              // of a job
-	givenAge  = 2 * time.Second // after which a part's room shows what it was given
+	handoverToScaleOutAfter = 4 * time.Second
+	maxHandoversPerRound    = 3               // jobs of a round
+	maxRangesPerJob         = 24              // of a job
+	handoverVisibleAfter    = 2 * time.Second // after which a part's room shows what it was given
 )
 
-// giveShares gives tasks that the last plan found no room for to parts that have some.
-func (h *Holder) giveShares(now time.Time, d *Draft) {
-	short := h.outlook.short
-	h.outlook.short = nil
-	given := 0
-	for _, s := range short {
-		if given >= giveMost || len(h.others) == 0 || !h.resumed {
+// handOverUnplaced gives tasks that the last plan found no room for to parts that have some.
+func (h *Leader) handOverUnplaced(now time.Time, d *Draft) {
+	unplaced := h.forecast.unplaced
+	h.forecast.unplaced = nil
+	handovers := 0
+	for _, s := range unplaced {
+		if handovers >= maxHandoversPerRound || len(h.peerShards) == 0 || !h.rebuiltReachable {
 			return
 		}
-		l := h.live[s.Job.ID]
+		l := h.liveJobs[s.Job.ID]
 		if l == nil {
 			continue // over meanwhile
 		}
-		j := h.history(s.Job.ID)
-		if j.since.IsZero() {
-			j.since = now
+		j := h.jobState(s.Job.ID)
+		if j.waitingSince.IsZero() {
+			j.waitingSince = now
 		}
-		waited := now.Sub(j.since)
-		to, n := h.taker(now, &s, waited)
-		if to == "" || n <= 0 {
-			if waited >= giveAfter && h.coAllocate(now, d, &s, l, waited) {
-				given++
-				j.since = time.Time{}
+		waited := now.Sub(j.waitingSince)
+		target, n := h.handoverTarget(now, &s, waited)
+		if target == "" || n <= 0 {
+			if waited >= handoverAfter && h.coAllocate(now, d, &s, l, waited) {
+				handovers++
+				j.waitingSince = time.Time{}
 			}
 			continue
 		}
-		if h.give(d, s.Job.ID, l, to, n) {
-			given++
-			j.since = time.Time{}
-			h.noteGiven(now, to, s.Job.Class, n)
-			h.log.Info("tasks given to another part", "job", s.Job.ID, "tasks", n, "to", to)
+		if h.handOver(d, s.Job.ID, l, target, n) {
+			handovers++
+			j.waitingSince = time.Time{}
+			h.recordHandover(now, target, s.Job.Class, n)
+			h.log.Info("tasks given to another part", "job", s.Job.ID, "tasks", n, "to", target)
 		}
 	}
 }
 
-// taker picks the part that has the most room for tasks that have none here, and how many
+// handoverTarget picks the part that has the most room for tasks that have none here, and how many
 // it should get.
-func (h *Holder) taker(now time.Time, s *scheduler.Short, waited time.Duration) (to string, n int) {
-	if waited < giveAfter {
+func (h *Leader) handoverTarget(now time.Time, s *scheduler.UnplacedJob, waited time.Duration) (target string, n int) {
+	if waited < handoverAfter {
 		return "", 0
 	}
 	whole := s.Job.Shape == wire.Gang || s.Job.OneZone
-	if whole && (s.Job.Active > 0 || len(s.Job.Waiting) != s.Job.Mine || s.Job.Elsewhere > 0) {
+	if whole && (s.Job.Active > 0 || len(s.Job.Waiting) != s.Job.LocalTasks || s.Job.RemoteTasks > 0) {
 		return "", 0
 	}
-	wanted := s.Coming + s.None
+	wanted := s.Coming + s.Unserved
 	best := 0
-	for _, part := range sortedKeys(h.others) {
-		o := h.others[part]
-		room, known := o.Rooms[s.Job.Class]
-		if !known || !h.group.Suits(part, s.Job.Job, h.types) {
+	for _, shard := range sortedKeys(h.peerShards) {
+		o := h.peerShards[shard]
+		capacity, known := o.Rooms[s.Job.Class]
+		if !known || !h.sharding.MayHost(shard, s.Job.Job, h.types) {
 			continue
 		}
-		free := room.Now - h.givenTo(now, part, s.Job.Class)
-		if free <= 0 && s.None > 0 && waited >= rentAfter {
+		free := capacity.Now - h.recentlyHandedTo(now, shard, s.Job.Class)
+		if free <= 0 && s.Unserved > 0 && waited >= handoverToScaleOutAfter {
 			switch { // nothing is on its way here, nor could be rented
-			case s.Job.Priority == wire.Production && room.Below > 0:
-				free = min(room.Below, s.None) - h.givenTo(now, part, s.Job.Class)
-			case room.Rent:
-				free = min(max(4, len(s.Job.Waiting)), s.None) - h.givenTo(now, part, s.Job.Class)
+			case s.Job.Priority == wire.Production && capacity.Below > 0:
+				free = min(capacity.Below, s.Unserved) - h.recentlyHandedTo(now, shard, s.Job.Class)
+			case capacity.Rent:
+				free = min(max(4, len(s.Job.Waiting)), s.Unserved) - h.recentlyHandedTo(now, shard, s.Job.Class)
 			}
 		}
-		take := min(free, wanted, h.roomInZones(s.Job, part))
-		if whole && take < s.Job.Mine {
+		take := min(free, wanted, h.spreadCapacity(s.Job, shard))
+		if whole && take < s.Job.LocalTasks {
 			continue
 		}
 		if take > best {
-			to, best = part, take
+			target, best = shard, take
 		}
 	}
-	return to, best
+	return target, best
 }
 
-// outside tells what room other parts have now, by class, in one part together.
-func (h *Holder) outside(now time.Time) map[string]int {
+// freeElsewhere tells what room other parts have now, by class, in one part together.
+func (h *Leader) freeElsewhere(now time.Time) map[string]int {
 	out := make(map[string]int)
-	if !h.resumed {
+	if !h.rebuiltReachable {
 		return out
 	}
-	for part, o := range h.others {
-		for class, room := range o.Rooms {
-			out[class] = max(out[class], room.Now-h.givenTo(now, part, class))
+	for shard, o := range h.peerShards {
+		for class, capacity := range o.Rooms {
+			out[class] = max(out[class], capacity.Now-h.recentlyHandedTo(now, shard, class))
 		}
 	}
 	return out
 }
 
-// movable tells how many tasks of a job a part could take that may have machines for it. One
+// movableTasks tells how many tasks of a job a part could take that may have machines for it. One
 // that may only be here, or in too many runs already, waits for room here.
-func (h *Holder) movable(l *store.LiveJob) (most int) {
-	if len(h.sharesOf(l)) >= maxShares-1 {
+func (h *Leader) movableTasks(l *store.LiveJob) (most int) {
+	if len(h.allRanges(l)) >= maxRangesPerJob-1 {
 		return 0
 	}
-	for part, o := range h.others {
-		if n := o.Rooms[l.Record.Job.Class].Now; n > most && h.group.Suits(part, l.Record.Job, h.types) {
+	for shard, o := range h.peerShards {
+		if n := o.Rooms[l.Record.Job.Class].Now; n > most && h.sharding.MayHost(shard, l.Record.Job, h.types) {
 			most = n
 		}
 	}
 	return most
 }
 
-// roomInZones bounds the tasks of a job that a part may get, by the half of its tasks that
+// spreadCapacity bounds the tasks of a job that a part may get, by the half of its tasks that
 // may be in one zone.
-func (h *Holder) roomInZones(j *scheduler.Job, part string) int {
+func (h *Leader) spreadCapacity(j *scheduler.Job, shard string) int {
 	if !j.Spread {
 		return j.Tasks
 	}
-	if !h.group.Zoned() {
+	if !h.sharding.KeepsZonesWhole() {
 		return 0
 	}
-	most := (j.Tasks + 1) / 2 * max(1, len(h.group.Zones(part)))
-	if l := h.live[j.ID]; l != nil {
-		for _, s := range h.sharesOf(l) {
-			if s.Part == part {
+	most := (j.Tasks + 1) / 2 * max(1, len(h.sharding.ZonesOf(shard)))
+	if l := h.liveJobs[j.ID]; l != nil {
+		for _, s := range h.allRanges(l) {
+			if s.Shard == shard {
 				most -= s.To - s.From
 			}
 		}
@@ -275,48 +275,48 @@
 	return most
 }
 
-func (h *Holder) givenTo(now time.Time, part, class string) int {
-	g := h.given[part]
-	if now.Sub(g.at) > givenAge {
+func (h *Leader) recentlyHandedTo(now time.Time, shard, class string) int {
+	g := h.recentHandovers[shard]
+	if now.Sub(g.at) > handoverVisibleAfter {
 		return 0
 	}
 	return g.tasks[class]
 }
 
-func (h *Holder) noteGiven(now time.Time, part, class string, n int) {
-	g := h.given[part]
-	if g.tasks == nil || now.Sub(g.at) > givenAge {
-		g = handed{tasks: map[string]int{}}
+func (h *Leader) recordHandover(now time.Time, shard, class string, n int) {
+	g := h.recentHandovers[shard]
+	if g.tasks == nil || now.Sub(g.at) > handoverVisibleAfter {
+		g = recentHandovers{tasks: map[string]int{}}
 	}
 	g.at = now
 	g.tasks[class] += n
-	h.given[part] = g
+	h.recentHandovers[shard] = g
 }
 
-// give hands so many tasks of a job to a part, of the last that are nowhere.
-func (h *Holder) give(d *Draft, id string, l *store.LiveJob, to string, n int) bool {
-	j, gang := h.history(id), l.Record.Job.Shape == wire.Gang
-	named := h.named(id)
+// handOver hands so many tasks of a job to a part, of the last that are nowhere.
+func (h *Leader) handOver(d *Draft, id string, l *store.LiveJob, target string, n int) bool {
+	j, gang := h.jobState(id), l.Record.Job.Shape == wire.Gang
+	inLedger := h.staleTasks(id)
 	nowhere := func(i int) bool {
-		return !j.finished.Has(i) && !named[i] && h.fleet.Active(wire.TaskID{Job: id, Index: i}) == nil
+		return !j.finished.Contains(i) && !inLedger[i] && h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}) == nil
 	}
-	shares := h.sharesOf(l)
-	var next []store.Share
-	for k := len(shares) - 1; k >= 0; k-- {
-		s := shares[k]
-		if s.Part != h.held.Part || s.Done || !s.Within(l.Record.Tasks) {
+	ranges := h.allRanges(l)
+	var next []store.ShardRange
+	for k := len(ranges) - 1; k >= 0; k-- {
+		s := ranges[k]
+		if s.Shard != h.lease.Shard || s.Done || !s.Within(l.Record.Tasks) {
 			next = append(next, s)
 			continue
 		}
 		// From its end on, runs that go and runs that stay.
 		for end := s.To; end > s.From; {
-			begin, goes := end-1, n > 0 && nowhere(end-1)
-			for begin > s.From && (n > 0 && nowhere(begin-1)) == goes && (!goes || end-begin < n) {
+			begin, moves := end-1, n > 0 && nowhere(end-1)
+			for begin > s.From && (n > 0 && nowhere(begin-1)) == moves && (!moves || end-begin < n) {
 				begin--
 			}
-			run := store.Share{From: begin, To: end, Part: s.Part}
-			if goes {
-				run.Part = to
+			run := store.ShardRange{From: begin, To: end, Shard: s.Shard}
+			if moves {
+				run.Shard = target
 				n -= end - begin
 			}
 			next = append(next, run)
@@ -324,130 +324,130 @@
 		}
 	}
 	slices.Reverse(next)
-	next = joined(next)
-	if len(next) > maxShares || slices.Equal(next, shares) || gang && len(next) != 1 {
+	next = mergeAdjacent(next)
+	if len(next) > maxRangesPerJob || slices.Equal(next, ranges) || gang && len(next) != 1 {
 		return false
 	}
-	if l.Record.Job.OneZone && slices.ContainsFunc(next, func(s store.Share) bool { return s.Part != to && !s.Done }) {
+	if l.Record.Job.OneZone && slices.ContainsFunc(next, func(s store.ShardRange) bool { return s.Shard != target && !s.Done }) {
 		return false // no part knows in which zones another has tasks of it
 	}
-	if !h.rewriteShares(d, id, l, next) {
+	if !h.rewriteRanges(d, id, l, next) {
 		return false
 	}
-	h.unstored.add(id, h.round) // what is left here may all have finished
+	h.unstored.add(id, h.lastRound) // what is left here may all have finished
 	return true
 }
 
-// rewriteShares puts other shares of a job into a round, if there is room for them in the
+// rewriteRanges puts other shares of a job into a round, if there is room for them in the
 // round and in the job's home.
-func (h *Holder) rewriteShares(d *Draft, id string, l *store.LiveJob, shares []store.Share) bool {
+func (h *Leader) rewriteRanges(d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange) bool {
 	if _, ends := d.finished[id]; ends {
 		return false // what this round says of its end goes first
 	}
-	for i := range h.named(id) {
-		if partOf(shares, i) != h.held.Part {
+	for i := range h.staleTasks(id) {
+		if shardOfTask(ranges, i) != h.lease.Shard {
 			return false // it goes once the ledger names it no more
 		}
 	}
-	r := d.ends[l.Home.Key]
+	r := d.rewrites[l.Batch.Key]
 	if r == nil {
-		r = l.Home.Rewrite()
+		r = l.Batch.Update()
 	}
-	if r.Grown(id, shares, h.number) > h.cfg.Store.ValueBytes {
+	if r.BytesWithRanges(id, ranges, h.shardingNumber) > h.cfg.Store.ValueBytes {
 		return false
 	}
-	if r = d.rewrite(l); r == nil {
+	if r = d.rewriteBatch(l); r == nil {
 		return false
 	}
-	h.reshare(r, id, l, shares)
+	h.updateRanges(r, id, l, ranges)
 	return true
 }
 
-// names is what the own ledger names: the tasks that it says may be on each machine.
+// ledgerTasks is what the own ledger names: the tasks that it says may be on each machine.
 //
 // Where a task is that the ledgers of several parts name is told by the attempt when the state
 // is divided anew, and the claim of the part that had a task first may have the later term.
 // So a ledger must not name a task any more that is given to another part.
-type names struct {
-	of  map[string]map[string]uint64 // by machine; nil where there is one part
-	on  map[string]map[string]bool   // the machines of which it names tasks of a job
-	old map[string]bool              // machines of which it names a task that is to be given away
+type ledgerTasks struct {
+	byMachine  map[string]map[string]uint64 // by machine; nil where there is one part
+	machinesOf map[string]map[string]bool   // the machines of which it names tasks of a job
+	stale      map[string]bool              // machines of which it names a task that is to be given away
 }
 
-// take takes in what the ledger names on a machine from now on.
-func (n *names) take(machine string, tasks map[string]uint64) {
-	if delete(n.old, machine); n.of == nil {
+// update takes in what the ledger names on a machine from now on.
+func (n *ledgerTasks) update(machine string, tasks map[string]uint64) {
+	if delete(n.stale, machine); n.byMachine == nil {
 		return
 	}
-	for name := range n.of[machine] {
+	for name := range n.byMachine[machine] {
 		job, _, _ := strings.Cut(name, "/")
-		if delete(n.on[job], machine); len(n.on[job]) == 0 {
-			delete(n.on, job)
+		if delete(n.machinesOf[job], machine); len(n.machinesOf[job]) == 0 {
+			delete(n.machinesOf, job)
 		}
 	}
-	delete(n.of, machine)
+	delete(n.byMachine, machine)
 	for name := range tasks {
 		job, _, _ := strings.Cut(name, "/")
-		if n.on[job] == nil {
-			n.on[job] = make(map[string]bool)
+		if n.machinesOf[job] == nil {
+			n.machinesOf[job] = make(map[string]bool)
 		}
-		n.on[job][machine] = true
-		n.of[machine] = tasks
+		n.machinesOf[job][machine] = true
+		n.byMachine[machine] = tasks
 	}
 }
 
-// named tells which tasks of a job the ledger names that are nowhere. The records that name
+// staleTasks tells which tasks of a job the ledger names that are nowhere. The records that name
 // them are written anew.
-func (h *Holder) named(job string) map[int]bool {
+func (h *Leader) staleTasks(job string) map[int]bool {
 	var out map[int]bool
-	for machine := range h.names.on[job] {
-		for name := range h.names.of[machine] {
+	for machine := range h.ledgerTasks.machinesOf[job] {
+		for name := range h.ledgerTasks.byMachine[machine] {
 			if !strings.HasPrefix(name, job+"/") {
 				continue
 			}
-			if t, err := wire.ParseTaskID(name); err == nil && h.fleet.Active(t) == nil {
+			if t, err := wire.ParseTaskID(name); err == nil && h.fleet.ActivePlacement(t) == nil {
 				if out == nil {
 					out = make(map[int]bool)
 				}
-				if h.names.old == nil {
-					h.names.old = make(map[string]bool)
+				if h.ledgerTasks.stale == nil {
+					h.ledgerTasks.stale = make(map[string]bool)
 				}
-				out[t.Index], h.names.old[machine] = true, true
+				out[t.Index], h.ledgerTasks.stale[machine] = true, true
 			}
 		}
 	}
 	return out
 }
 
-// disown writes the records anew that name tasks which are to be given away. It reports
+// releaseOwnership writes the records anew that name tasks which are to be given away. It reports
 // whether one is to be dropped, for which the round need not wait for company.
-func (h *Holder) disown(d *Draft) (drops bool) {
-	for _, id := range sortedKeys(h.names.old) {
+func (h *Leader) releaseOwnership(d *Draft) (drops bool) {
+	for _, id := range sortedKeys(h.ledgerTasks.stale) {
 		switch m := h.fleet.Machine(id); {
 		case m == nil:
-			drops = drops || h.dropMachines[id]
-		case !d.machines[id] && d.add(h.machineEntry(d, id)):
+			drops = drops || h.machinesToDrop[id]
+		case !d.machines[id] && d.addEntries(h.machineEntry(d, id)):
 			d.machines[id] = true
 		}
 	}
 	return drops
 }
 
-// partOf tells whose a task is.
-func partOf(shares []store.Share, index int) string {
-	for _, s := range shares {
+// shardOfTask tells whose a task is.
+func shardOfTask(ranges []store.ShardRange, index int) string {
+	for _, s := range ranges {
 		if s.From <= index && index < s.To {
-			return s.Part
+			return s.Shard
 		}
 	}
 	return ""
 }
 
-// joined puts runs together that follow each other in one part.
-func joined(shares []store.Share) []store.Share {
-	out := shares[:0:0]
-	for _, s := range shares {
-		if n := len(out); n > 0 && out[n-1].Part == s.Part && out[n-1].Done == s.Done && out[n-1].To == s.From {
+// mergeAdjacent puts runs together that follow each other in one part.
+func mergeAdjacent(ranges []store.ShardRange) []store.ShardRange {
+	out := ranges[:0:0]
+	for _, s := range ranges {
+		if n := len(out); n > 0 && out[n-1].Shard == s.Shard && out[n-1].Done == s.Done && out[n-1].To == s.From {
 			out[n-1].To = s.To
 		} else {
 			out = append(out, s)
@@ -456,37 +456,37 @@
 	return out
 }
 
-// seeLive notes which jobs of this part are live at a snapshot.
-func (h *Holder) seeLive(snap store.Snapshot) {
-	if h.group.Whole() {
+// noteLiveJobs notes which jobs of this part are live at a snapshot.
+func (h *Leader) noteLiveJobs(snap store.Snapshot) {
+	if h.sharding.IsSingle() {
 		return
 	}
-	for id, j := range h.jobs {
-		if snap.Live[id] != nil {
-			j.live = max(j.live, snap.Revision)
+	for id, j := range h.jobStates {
+		if snap.LiveJobs[id] != nil {
+			j.liveRevision = max(j.liveRevision, snap.Revision)
 		}
 	}
 }
 
-// clear tells up to which revision no task is in this part of any job that had ended by
+// clearedRevision tells up to which revision no task is in this part of any job that had ended by
 // then. Whoever folds the jobs of all parts rests on it.
-func (h *Holder) clear(revision uint64) uint64 {
-	if h.group.Whole() || !h.resumed {
+func (h *Leader) clearedRevision(revision uint64) uint64 {
+	if h.sharding.IsSingle() || !h.rebuiltReachable {
 		return 0
 	}
 	for _, m := range h.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if h.live[p.Task.Job] == nil && !p.Past() {
-				revision = min(revision, h.history(p.Task.Job).live)
+			if h.liveJobs[p.Task.Job] == nil && !p.IsTombstone() {
+				revision = min(revision, h.jobState(p.Task.Job).liveRevision)
 			}
 		}
 	}
 	return revision
 }
 
-// clearGap is how often a round is written only to say up to when this part is clear.
-const clearGap = 5 * time.Second
+// clearedInterval is how often a round is written only to say up to when this part is clear.
+const clearedInterval = 5 * time.Second
 
-func (h *Holder) clearDue(now time.Time, clear uint64) bool {
-	return clear > h.said && now.Sub(h.wrote) >= clearGap && h.known.Unfolded()
+func (h *Leader) clearedDue(now time.Time, cleared uint64) bool {
+	return cleared > h.clearedWritten && now.Sub(h.lastDecided) >= clearedInterval && h.jobIndex.Uncompacted()
 }
