--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -14,215 +14,217 @@
 // when it has; jobs are written with shares of their own meanwhile. Once all parts have
 // and all jobs are, the earlier ledgers go.
 
-// carry is what is not yet in the part's own ledger.
-type carry struct {
-	machines map[string]bool
-	asks     map[string]bool
-	jobs     map[string]bool // of which tasks have finished
-	zones    []string        // whose states are told
-	over     bool            // all of it is
-	said     bool            // and the ledger says so
+// ledgerMigration is what is not yet in the part's own ledger.
+type ledgerMigration struct {
+	machines         map[string]bool
+	scaleOutRequests map[string]bool
+	jobs             map[string]bool // of which tasks have finished
+	zones            []string        // whose states are told
+	complete         bool            // all of it is
+	recorded         bool            // and the ledger says so
 }
 
-// carryFrom adds to what the own ledger tells what those of earlier groupings do.
-func (h *Holder) carryFrom(carried bool, last *store.Recalled) {
-	h.carry = carry{machines: map[string]bool{}, asks: map[string]bool{}, jobs: map[string]bool{}, said: carried}
-	if h.names = (names{}); !h.group.Whole() {
-		h.names.of, h.names.on = make(map[string]map[string]uint64, len(last.Machines)), make(map[string]map[string]bool)
-		for id, m := range last.Machines {
-			h.names.take(id, m.Tasks)
+// startMigration adds to what the own ledger tells what those of earlier groupings do.
+func (h *Leader) startMigration(migrated bool, recalled *store.RecoveredState) {
+	h.migration = ledgerMigration{machines: map[string]bool{}, scaleOutRequests: map[string]bool{}, jobs: map[string]bool{}, recorded: migrated}
+	if h.ledgerTasks = (ledgerTasks{}); !h.sharding.IsSingle() {
+		h.ledgerTasks.byMachine, h.ledgerTasks.machinesOf = make(map[string]map[string]uint64, len(recalled.Machines)), make(map[string]map[string]bool)
+		for id, m := range recalled.Machines {
+			h.ledgerTasks.update(id, m.Tasks)
 		}
 	}
-	if carried {
+	if migrated {
 		return
 	}
-	for id, m := range h.past.Machines {
-		if _, newer := last.Machines[id]; !newer && h.group.PartOf(m.Zone, m.Type) == h.held.Part {
-			last.Machines[id], h.carry.machines[id] = m, true
+	for id, m := range h.previous.Machines {
+		if _, newer := recalled.Machines[id]; !newer && h.sharding.ShardOf(m.Zone, m.Type) == h.lease.Shard {
+			recalled.Machines[id], h.migration.machines[id] = m, true
 		}
 	}
-	for name, a := range h.past.Asks {
-		if _, known := last.Asks[name]; !known && h.group.PartOf(a.Zone, a.Type) == h.held.Part {
-			last.Asks[name], h.carry.asks[name] = a, true
+	for name, a := range h.previous.ScaleOuts {
+		if _, known := recalled.ScaleOuts[name]; !known && h.sharding.ShardOf(a.Zone, a.Type) == h.lease.Shard {
+			recalled.ScaleOuts[name], h.migration.scaleOutRequests[name] = a, true
 		}
 	}
 }
 
-// carryFinished takes over which tasks of live jobs have finished. What a record marks as done
+// migrateFinished takes over which tasks of live jobs have finished. What a record marks as done
 // is in no ledger, and stays in the record.
-func (h *Holder) carryFinished() {
-	if h.number == 0 {
+func (h *Leader) migrateFinished() {
+	if h.shardingNumber == 0 {
 		return
 	}
-	for _, id := range sortedKeys(h.live) {
-		l := h.live[id]
-		if !h.carry.said && h.past.Finished[id] != nil {
-			j := h.history(id)
-			for _, i := range h.past.Finished[id].Beyond(store.NewBits(0)) {
-				j.finished.Set(i)
+	for _, id := range sortedKeys(h.liveJobs) {
+		l := h.liveJobs[id]
+		if !h.migration.recorded && h.previous.FinishedTasks[id] != nil {
+			j := h.jobState(id)
+			for _, i := range h.previous.FinishedTasks[id].Difference(store.NewTaskSet(0)) {
+				j.finished.Add(i)
 			}
-			h.carry.jobs[id] = true
-			h.unstored.add(id, h.round)
+			h.migration.jobs[id] = true
+			h.unstored.add(id, h.lastRound)
 		}
-		for _, s := range l.Record.Shares {
-			if !s.Done || !s.Within(l.Record.Tasks) || !h.undealt(l) {
+		for _, s := range l.Record.Ranges {
+			if !s.Done || !s.Within(l.Record.Tasks) || !h.unassigned(l) {
 				continue
 			}
-			j := h.history(id)
+			j := h.jobState(id)
 			for i := s.From; i < s.To; i++ {
-				j.finished.Set(i)
-				j.stored.Set(i)
+				j.finished.Add(i)
+				j.storedFinished.Add(i)
 			}
-			h.unstored.add(id, h.round)
-			if gangDone(l, l.Record.Shares) { // its tasks complete together
-				h.finish(wire.TaskID{Job: id, Index: s.From}, j)
+			h.unstored.add(id, h.lastRound)
+			if gangCompleted(l, l.Record.Ranges) { // its tasks complete together
+				h.markFinished(wire.TaskID{Job: id, Index: s.From}, j)
 			}
 		}
 	}
 }
 
-// carryOver writes what is not yet in the part's own ledger, as far as the round has room.
-func (h *Holder) carryOver(d *Draft) {
-	if h.carry.over {
+// writeMigrated writes what is not yet in the part's own ledger, as far as the round has room.
+func (h *Leader) writeMigrated(d *Draft) {
+	if h.migration.complete {
 		return
 	}
-	for _, id := range sortedKeys(h.carry.machines) {
+	for _, id := range sortedKeys(h.migration.machines) {
 		m := h.fleet.Machine(id)
-		if m == nil || h.ledger.Has(id) {
-			delete(h.carry.machines, id)
-		} else if !d.machines[id] && d.add(h.machineEntry(d, id)) {
+		if m == nil || h.ledger.HasMachine(id) {
+			delete(h.migration.machines, id)
+		} else if !d.machines[id] && d.addEntries(h.machineEntry(d, id)) {
 			d.machines[id] = true
 		}
 	}
-	for _, name := range sortedKeys(h.carry.asks) {
-		a := h.rentals.Ask(name)
-		if a == nil || h.ledger.HasAsk(name) {
-			delete(h.carry.asks, name)
+	for _, name := range sortedKeys(h.migration.scaleOutRequests) {
+		a := h.scaleOutRequests.Ask(name)
+		if a == nil || h.ledger.HasScaleOut(name) {
+			delete(h.migration.scaleOutRequests, name)
 		} else {
-			d.add(store.AskEntry(name, askRecord(a.Rent)))
+			d.addEntries(store.ScaleOutEntry(name, scaleOutRecord(a.ScaleOut)))
 		}
 	}
-	h.carry.zones = slices.DeleteFunc(h.carry.zones, h.ledger.HasZone)
-	for _, name := range h.carry.zones {
+	h.migration.zones = slices.DeleteFunc(h.migration.zones, h.ledger.HasZone)
+	for _, name := range h.migration.zones {
 		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // or the round says what follows
-			d.add(zoneEntry(name, h.states.Of(name)))
+			d.addEntries(zoneEntry(name, h.zoneStates.Record(name)))
 		}
 	}
-	for id := range h.carry.jobs {
-		if j := h.jobs[id]; h.live[id] == nil || j == nil || len(j.finished.Beyond(j.stored)) == 0 {
-			delete(h.carry.jobs, id)
+	for id := range h.migration.jobs {
+		if j := h.jobStates[id]; h.liveJobs[id] == nil || j == nil || len(j.finished.Difference(j.storedFinished)) == 0 {
+			delete(h.migration.jobs, id)
 		}
 	}
-	if h.carry.over = len(h.carry.machines)+len(h.carry.asks)+len(h.carry.jobs)+len(h.carry.zones) == 0; h.carry.over && h.number > 0 && !h.carry.said {
-		h.log.Info("all of earlier groupings taken over", "grouping", h.number)
+	if h.migration.complete = len(h.migration.machines)+len(h.migration.scaleOutRequests)+len(h.migration.jobs)+len(h.migration.zones) == 0; h.migration.complete && h.shardingNumber > 0 && !h.migration.recorded {
+		h.log.Info("all of earlier groupings taken over", "grouping", h.shardingNumber)
 	}
 }
 
-// carryDue reports whether a round is to be written that says that nothing is left to carry.
-func (h *Holder) carryDue() bool { return h.carry.over && !h.carry.said }
+// migrationDue reports whether a round is to be written that says that nothing is left to carry.
+func (h *Leader) migrationDue() bool { return h.migration.complete && !h.migration.recorded }
 
-// implied is what followed from the earlier ledgers for a job's home at a version.
-type implied struct {
+// cachedRanges is what followed from the earlier ledgers for a job's home at a version.
+type cachedRanges struct {
 	version uint64
-	shares  []store.Share
+	ranges  []store.ShardRange
 }
 
-// undealt reports whether a job's record says nothing of whose its tasks are in this grouping.
-func (h *Holder) undealt(l *store.LiveJob) bool { return l.Record.Grouping != h.number }
+// unassigned reports whether a job's record says nothing of whose its tasks are in this grouping.
+func (h *Leader) unassigned(l *store.LiveJob) bool {
+	return l.Record.ShardingGeneration != h.shardingNumber
+}
 
-func (h *Holder) impliedShares(l *store.LiveJob) []store.Share {
+func (h *Leader) inferredRanges(l *store.LiveJob) []store.ShardRange {
 	id := l.Record.Job.ID
-	if c, ok := h.implied[id]; ok && c.version == l.Home.Version && len(l.Record.DoneIn) == 0 {
-		return c.shares
+	if c, ok := h.inferredShares[id]; ok && c.version == l.Batch.Version && len(l.Record.FinishedIn) == 0 {
+		return c.ranges
 	}
-	c := implied{l.Home.Version, h.past.Shares(id, &l.Record)}
-	h.implied[id] = c
-	return c.shares
+	c := cachedRanges{l.Batch.Version, h.previous.Ranges(id, &l.Record)}
+	h.inferredShares[id] = c
+	return c.ranges
 }
 
-// dealMost bounds the homes that a round writes only to say whose the tasks of their jobs are.
-const dealMost = 2
+// maxAssignedBatches bounds the homes that a round writes only to say whose the tasks of their jobs are.
+const maxAssignedBatches = 2
 
-// deal writes jobs with their shares whose records are of an earlier grouping. Each home is
+// assignRanges writes jobs with their shares whose records are of an earlier grouping. Each home is
 // written by the part that leads the first of them, so that no two refuse each other's rounds.
-func (h *Holder) deal(d *Draft) {
-	if h.group.Whole() || h.number == 0 {
+func (h *Leader) assignRanges(d *Draft) {
+	if h.sharding.IsSingle() || h.shardingNumber == 0 {
 		return
 	}
-	before, left := len(d.homes), make(map[string]bool)
-	for id, l := range h.live { // mostly none
-		if h.undealt(l) {
-			left[id] = true
+	before, remaining := len(d.orderedRewrites), make(map[string]bool)
+	for id, l := range h.liveJobs { // mostly none
+		if h.unassigned(l) {
+			remaining[id] = true
 		} else {
-			delete(h.implied, id)
+			delete(h.inferredShares, id)
 		}
 	}
-	for _, id := range sortedKeys(left) {
-		l := h.live[id]
-		if len(d.homes)-before >= dealMost && d.ends[l.Home.Key] == nil || !h.dealer(l) {
+	for _, id := range sortedKeys(remaining) {
+		l := h.liveJobs[id]
+		if len(d.orderedRewrites)-before >= maxAssignedBatches && d.rewrites[l.Batch.Key] == nil || !h.assigner(l) {
 			continue
 		}
-		h.rewriteShares(d, id, l, h.sharesOf(l))
+		h.rewriteRanges(d, id, l, h.allRanges(l))
 	}
 }
 
-func (h *Holder) dealer(l *store.LiveJob) bool {
-	for _, m := range l.Home.Jobs {
-		if other := h.live[m.ID]; other != nil && h.undealt(other) && other.Home == l.Home {
-			lead, _ := reshard.Whose(h.sharesOf(other))
-			return lead == h.held.Part
+func (h *Leader) assigner(l *store.LiveJob) bool {
+	for _, m := range l.Batch.Jobs {
+		if other := h.liveJobs[m.ID]; other != nil && h.unassigned(other) && other.Batch == l.Batch {
+			lead, _ := reshard.LeadShard(h.allRanges(other))
+			return lead == h.lease.Shard
 		}
 	}
 	return false
 }
 
-// anywhere reports whether a task of a job may be in this part.
-func (h *Holder) anywhere(l *store.LiveJob) bool {
+// hasActiveTask reports whether a task of a job may be in this part.
+func (h *Leader) hasActiveTask(l *store.LiveJob) bool {
 	for i := range l.Record.Tasks {
-		if h.fleet.Active(wire.TaskID{Job: l.Record.Job.ID, Index: i}) != nil {
+		if h.fleet.ActivePlacement(wire.TaskID{Job: l.Record.Job.ID, Index: i}) != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// gangDone reports whether another part has seen a gang complete: its tasks do so together.
-func gangDone(l *store.LiveJob, shares []store.Share) bool {
-	return l.Record.Job.Shape == wire.Gang && slices.ContainsFunc(shares, func(s store.Share) bool { return s.Done })
+// gangCompleted reports whether another part has seen a gang complete: its tasks do so together.
+func gangCompleted(l *store.LiveJob, ranges []store.ShardRange) bool {
+	return l.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Done })
 }
 
-// forgetMost bounds the slots that a round drops.
-const forgetMost = 4
+// maxDroppedSlots bounds the slots that a round drops.
+const maxDroppedSlots = 4
 
-// forget drops the ledgers of earlier groupings once nobody needs them: all parts have taken
+// dropPreviousLedgers drops the ledgers of earlier groupings once nobody needs them: all parts have taken
 // over what is of their machines, and every job that is not over says whose its tasks
 // are. It is done by the holder of the first part.
-func (h *Holder) forget(d *Draft, snap store.Snapshot) {
-	g := snap.Grouping
-	if len(g.Record.Before) == 0 || g.Record.Number != h.number || h.held.Part != h.group.Parts()[0] || !h.carry.said || d.ops <= 2 {
+func (h *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
+	g := snap.Sharding
+	if len(g.Record.PreviousLedgers) == 0 || g.Record.Generation != h.shardingNumber || h.lease.Shard != h.sharding.Shards()[0] || !h.migration.recorded || d.changesLeft <= 2 {
 		return
 	}
-	for _, part := range h.group.Parts() {
-		if !h.known.Carried(part) {
+	for _, shard := range h.sharding.Shards() {
+		if !h.jobIndex.Migrated(shard) {
 			return
 		}
 	}
-	for _, l := range snap.Live {
-		if h.undealt(l) && !h.group.Whole() {
+	for _, l := range snap.LiveJobs {
+		if h.unassigned(l) && !h.sharding.IsSingle() {
 			return
 		}
 	}
-	left := h.known.Leftover()
-	for _, key := range left[:min(len(left), forgetMost, d.ops-2)] {
-		d.ops--
-		d.Txn.Then = append(d.Txn.Then, wire.Change{Delete: key})
+	slots := h.jobIndex.PreviousLedgerSlots()
+	for _, key := range slots[:min(len(slots), maxDroppedSlots, d.changesLeft-2)] {
+		d.changesLeft--
+		d.Txn.Then = append(d.Txn.Then, wire.Operation{Delete: key})
 	}
-	if len(left) > 0 {
+	if len(slots) > 0 {
 		return
 	}
-	d.ops--
-	d.guards--
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.GroupingKey, Version: g.Version})
-	d.Txn.Then = append(d.Txn.Then, wire.Change{Put: store.GroupingKey, Value: store.GroupingRecord{Text: g.Record.Text, Number: g.Record.Number}})
-	h.log.Info("the ledgers of earlier groupings are gone", "grouping", h.number)
+	d.changesLeft--
+	d.conditionsLeft--
+	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.ShardingKey, Version: g.Version})
+	d.Txn.Then = append(d.Txn.Then, wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: g.Record.Text, Generation: g.Record.Generation}})
+	h.log.Info("the ledgers of earlier groupings are gone", "grouping", h.shardingNumber)
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -32,158 +32,158 @@
 
 // model is one state, reached by its path.
 type model struct {
-	cfg       *config.Config
-	keys      map[string]cell
-	rev       uint64
-	log       []wire.Event
-	nodes     [2]*modelNode
-	workers   map[string]*modelWorker // by zone
-	late      []wire.Txn              // transactions whose sender is gone
-	limit     float64                 // of the team, 0 for none
-	gang      bool
-	most      float64 // that is granted, where the state began with more than the limit
-	spread    bool
-	tasks     int
-	over      bool
-	completed map[wire.TaskID]bool
-	broken    string
+	cfg         *config.Config
+	keys        map[string]storedValue
+	revision    uint64
+	log         []wire.Event
+	controllers [2]*modelController
+	workers     map[string]*modelWorker // by zone
+	lateTxns    []wire.Txn              // transactions whose sender is gone
+	limit       float64                 // of the team, 0 for none
+	gang        bool
+	granted     float64 // that is granted, where the state began with more than the limit
+	spread      bool
+	tasks       int
+	cancelled   bool
+	completed   map[wire.TaskID]bool
+	violation   string
 }
 
-type cell struct {
+type storedValue struct {
 	raw     wire.Raw
 	version uint64
 }
 
-type modelNode struct {
-	name    string
-	view    *store.View
-	seen    uint64
-	holders map[string]*modelHolder // by part
+type modelController struct {
+	name         string
+	view         *store.View
+	seenRevision uint64
+	leaders      map[string]*modelLeader // by part
 }
 
-type modelHolder struct {
-	*Holder
-	draft *Draft
-	grant *Regrant
+type modelLeader struct {
+	*Leader
+	draft       *Draft
+	grantChange *GrantChange
 }
 
 type modelWorker struct {
-	zone string
-	term uint64
-	seq  uint64
-	runs map[wire.TaskID]uint64
-	done map[wire.TaskID]uint64
-	// alone are tasks of a gang that ended for want of the others.
-	alone map[wire.TaskID]uint64
+	zone  string
+	token uint64
+	seq   uint64
+	runs  map[wire.TaskID]uint64
+	done  map[wire.TaskID]uint64
+	// timedOut are tasks of a gang that ended for want of the others.
+	timedOut map[wire.TaskID]uint64
 }
 
 // scenario is where a search begins.
 type scenario struct {
-	name   string
-	limit  float64
-	spread bool
-	tasks  int
-	shares []store.Share
-	from   string // steps that are taken first
-	depth  int
-	claims bool // whether parts change hands
-	divide bool // whether the state was divided anew with a task of each part's machine running
-	gang   bool // whether the job is a gang
-	ended  bool // and that of the second has ended since its machine was recorded
-	cancel bool // whether the user cancels
+	name     string
+	limit    float64
+	spread   bool
+	tasks    int
+	shares   []store.ShardRange
+	prefix   string // steps that are taken first
+	depth    int
+	failover bool // whether parts change hands
+	reshard  bool // whether the state was divided anew with a task of each part's machine running
+	gang     bool // whether the job is a gang
+	ended    bool // and that of the second has ended since its machine was recorded
+	cancel   bool // whether the user cancels
 }
 
 var scenarios = []scenario{
-	{name: "tasks that are given away", tasks: 2, shares: []store.Share{{From: 0, To: 2, Part: "a"}}, depth: 10, cancel: true},
-	{name: "a part that changes hands", tasks: 2, shares: []store.Share{{From: 0, To: 2, Part: "a"}}, claims: true,
-		from: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
-	{name: "a team's limit", limit: 1, tasks: 2, shares: []store.Share{{From: 0, To: 1, Part: "a"}, {From: 1, To: 2, Part: "b"}}, depth: 12},
-	{name: "a limit while parts change hands", limit: 1, tasks: 2, shares: []store.Share{{From: 0, To: 1, Part: "a"}, {From: 1, To: 2, Part: "b"}}, claims: true,
-		from: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
-	{name: "a state that was divided anew", divide: true, tasks: 3, depth: 7, cancel: true},
-	{name: "a limit in a state that was divided anew", divide: true, limit: 2, tasks: 4, claims: true, from: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
-	{name: "a limit that is granted twice in a state that was divided anew", divide: true, ended: true, limit: 1, tasks: 3,
-		from: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
-	{name: "a gang that is co-allocated", gang: true, tasks: 2, shares: []store.Share{{From: 0, To: 2, Part: "a"}}, cancel: true,
-		from: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
-	{name: "a gang whose parts change hands", gang: true, tasks: 2, shares: []store.Share{{From: 0, To: 2, Part: "a"}}, claims: true,
-		from: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b; decide 0 a; commit 0 a; report 0 a; sync 1; decide 1 b; commit 1 b; report 1 b", depth: 6},
-	{name: "tasks that must be spread", spread: true, tasks: 2, shares: []store.Share{{From: 0, To: 1, Part: "a"}, {From: 1, To: 2, Part: "b"}}, claims: true,
-		from: "decide 0 a; commit 0 a; report 0 a", depth: 5},
+	{name: "tasks that are given away", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
+	{name: "a part that changes hands", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
+	{name: "a team's limit", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
+	{name: "a limit while parts change hands", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
+	{name: "a state that was divided anew", reshard: true, tasks: 3, depth: 7, cancel: true},
+	{name: "a limit in a state that was divided anew", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
+	{name: "a limit that is granted twice in a state that was divided anew", reshard: true, ended: true, limit: 1, tasks: 3,
+		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
+	{name: "a gang that is co-allocated", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
+		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
+	{name: "a gang whose parts change hands", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b; decide 0 a; commit 0 a; report 0 a; sync 1; decide 1 b; commit 1 b; report 1 b", depth: 6},
+	{name: "tasks that must be spread", spread: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
 }
 
 func newModel(s *scenario) *model {
-	m := &model{cfg: traceConfig(), keys: map[string]cell{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, limit: s.limit, spread: s.spread, tasks: s.tasks}
-	m.cfg.Tuning.Parts.By, m.cfg.Zones = "zone", []string{"a", "b"}
+	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, limit: s.limit, spread: s.spread, tasks: s.tasks}
+	m.cfg.Tuning.Shards.By, m.cfg.Zones = "zone", []string{"a", "b"}
 	m.cfg.Teams = []config.Team{{Name: "red", GPUs: s.limit, GPUsMax: s.limit}}
 	j := &wire.Job{ID: "wk-1", Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", Spread: s.spread}
 	if s.gang {
 		j.Shape = wire.Gang
 	}
 	m.gang = s.gang
-	m.apply([]wire.Change{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Shares: s.shares}}}}})
-	for i := range m.nodes {
-		n := &modelNode{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), holders: map[string]*modelHolder{}}
-		n.view.Load(nil, 0, &wire.Changes{})
-		m.nodes[i] = n
+	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.shares}}}}})
+	for i := range m.controllers {
+		n := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
+		n.view.Load(nil, 0, &wire.WatchResponse{})
+		m.controllers[i] = n
 	}
-	if s.divide {
+	if s.reshard {
 		m.divide()
 	}
 	for i, zone := range []string{"a", "b"} {
-		m.workers[zone] = &modelWorker{zone: zone, runs: map[wire.TaskID]uint64{}, done: map[wire.TaskID]uint64{}, alone: map[wire.TaskID]uint64{}}
-		if s.divide && (i == 0 || !s.ended) {
+		m.workers[zone] = &modelWorker{zone: zone, runs: map[wire.TaskID]uint64{}, done: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
+		if s.reshard && (i == 0 || !s.ended) {
 			m.workers[zone].runs[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
-		m.claim(m.nodes[i], zone)
-		m.report(m.nodes[i], m.workers[zone]) // raises the term there
-		m.report(m.nodes[i], m.workers[zone])
+		m.claim(m.controllers[i], zone)
+		m.report(m.controllers[i], m.workers[zone]) // raises the term there
+		m.report(m.controllers[i], m.workers[zone])
 	}
 	return m
 }
 
 // divide makes a state of one part, with a task on each machine, into one of two.
 func (m *model) divide() {
-	slot := store.SlotRecord{Entries: map[string]wire.Raw{}}
+	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
-		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Session: 1,
+		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Incarnation: 1,
 			Tasks: map[string]uint64{wire.TaskID{Job: "wk-1", Index: i}.String(): uint64(i + 1)}})
 		slot.Entries[e.Key] = e.Value
 	}
-	m.apply([]wire.Change{{Put: store.SlotKey("fleet", 0), Value: slot}})
-	m.sync(m.nodes[0])
-	state := m.nodes[0].view.State()
-	txn, err := reshard.Next(&state, m.cfg.Grouping(), func(job string) (store.Takes, bool) {
-		rec, _ := m.nodes[0].view.Job(job)
-		return rec.TaskTakes()
+	m.apply([]wire.Operation{{Put: store.SegmentKey("fleet", 0), Value: slot}})
+	m.sync(m.controllers[0])
+	state := m.controllers[0].view.ShardingState()
+	txn, err := reshard.Transaction(&state, m.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
+		rec, _ := m.controllers[0].view.Job(job)
+		return rec.TaskDemand()
 	})
 	if err != nil {
 		panic(err)
 	}
-	if m.most = m.limit; m.limit > 0 {
-		m.most = max(m.limit, 2)
+	if m.granted = m.limit; m.limit > 0 {
+		m.granted = max(m.limit, 2)
 	}
 	m.apply(txn.Then)
 }
 
 // apply changes the store.
-func (m *model) apply(then []wire.Change) uint64 {
-	m.rev++
+func (m *model) apply(then []wire.Operation) uint64 {
+	m.revision++
 	for _, c := range then {
 		if c.Delete != "" {
 			delete(m.keys, c.Delete)
-			m.log = append(m.log, wire.Event{Delete: c.Delete, Version: m.rev})
+			m.log = append(m.log, wire.Event{Delete: c.Delete, Version: m.revision})
 			continue
 		}
 		raw := wire.Encode(c.Value)
-		m.keys[c.Put] = cell{raw, m.rev}
-		m.log = append(m.log, wire.Event{Put: c.Put, Value: raw, Version: m.rev})
+		m.keys[c.Put] = storedValue{raw, m.revision}
+		m.log = append(m.log, wire.Event{Put: c.Put, Value: raw, Version: m.revision})
 	}
 	m.checkStore()
-	return m.rev
+	return m.revision
 }
 
-func (m *model) holds(t wire.Txn) bool {
+func (m *model) conditionsHold(t wire.Txn) bool {
 	for _, c := range t.If {
 		if m.keys[c.Key].version != c.Version {
 			return false
@@ -192,58 +192,58 @@
 	return true
 }
 
-func (m *model) sync(n *modelNode) {
-	var ch wire.Changes
+func (m *model) sync(n *modelController) {
+	var ch wire.WatchResponse
 	for _, e := range m.log {
-		if e.Version > n.seen {
+		if e.Version > n.seenRevision {
 			ch.Events = append(ch.Events, e)
 		}
 	}
-	ch.Revision, n.seen = m.rev, m.rev
+	ch.Revision, n.seenRevision = m.revision, m.revision
 	n.view.Apply(&ch)
 }
 
-var modelNow = time.Unix(1e9, 0)
+var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(n *modelNode, part string) {
+func (m *model) claim(n *modelController, part string) {
 	m.sync(n)
-	term := n.view.Term().Record + 1
-	rev := m.apply([]wire.Change{{Put: store.TermKey, Value: term}, {Put: store.PartKey(part), Value: store.PartRecord{Holder: n.name, Term: term}}})
+	term := n.view.FencingToken().Record + 1
+	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: term}, {Put: store.LeaderKey(part), Value: store.LeaderRecord{Leader: n.name, FencingToken: term}}})
 	m.sync(n)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	h := New(m.cfg, leadership.Held{Part: part, Term: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.Ledgers(part), types, n.view, modelNow, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	h := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		h.rentals.Add(modelNow, "x", scheduler.Rent{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
-		h.rentals.Answered(modelNow, "x", 0)
+		h.scaleOutRequests.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
+		h.scaleOutRequests.Complete(modelTime, "x", 0)
 	}
-	n.holders[part] = &modelHolder{Holder: h}
+	n.leaders[part] = &modelLeader{Leader: h}
 }
 
 // report has a machine report to a controller, and carries out the answer.
-func (m *model) report(n *modelNode, w *modelWorker) {
-	h := n.holders[w.zone]
+func (m *model) report(n *modelController, w *modelWorker) {
+	h := n.leaders[w.zone]
 	w.seq++
-	r := &wire.Report{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Session: 1, Seq: w.seq, Term: w.term}
+	r := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 	for _, t := range sortedTasks(w.runs) {
 		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
 	}
 	for _, t := range sortedTasks(w.done) {
 		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
-	for _, t := range sortedTasks(w.alone) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.alone[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
+	for _, t := range sortedTasks(w.timedOut) {
+		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
 	}
-	a, _ := h.Report(modelNow, r, true)
-	if a.Term < w.term {
+	a, _ := h.HandleHeartbeat(modelTime, r, true)
+	if a.FencingToken < w.token {
 		return
 	}
-	w.term = a.Term
+	w.token = a.FencingToken
 	for _, c := range a.Commands {
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
-			if w.runs[id] == 0 && w.done[id] == 0 && w.alone[id] != c.Attempt {
+			if w.runs[id] == 0 && w.done[id] == 0 && w.timedOut[id] != c.Attempt {
 				m.start(w, id, c.Attempt)
 			}
 		case wire.Stop:
@@ -252,8 +252,8 @@
 			if w.done[id] == c.Attempt {
 				delete(w.done, id)
 			}
-			if w.alone[id] == c.Attempt {
-				delete(w.alone, id)
+			if w.timedOut[id] == c.Attempt {
+				delete(w.timedOut, id)
 			}
 		}
 	}
@@ -263,22 +263,22 @@
 	on := 0.0
 	for _, o := range m.workers {
 		if o.runs[id] != 0 {
-			m.breaks("ran_twice: %v starts in %s", id, w.zone)
+			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
 		on += float64(len(o.runs))
 	}
 	w.runs[id] = attempt
 	if m.limit > 0 && on+1 > m.limit {
-		m.breaks("quota: %v tasks run", on+1)
+		m.violate("quota: %v tasks run", on+1)
 	}
 	if m.spread && len(w.runs) > (m.tasks+1)/2 {
-		m.breaks("wrong_place: %d tasks in %s", len(w.runs), w.zone)
+		m.violate("wrong_place: %d tasks in %s", len(w.runs), w.zone)
 	}
 }
 
-func (m *model) breaks(format string, args ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf(format, args...)
+func (m *model) violate(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -288,31 +288,31 @@
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) == nil {
 		rec := batch.Jobs["wk-1"]
 		at := 0
-		for _, s := range rec.Shares {
+		for _, s := range rec.Ranges {
 			if s.From != at || s.To <= s.From {
-				m.breaks("shares: %v", rec.Shares)
+				m.violate("shares: %v", rec.Ranges)
 			}
 			at = s.To
 		}
-		if !rec.Stage.Final() && at != m.tasks && len(rec.Shares) > 0 {
-			m.breaks("shares: %v", rec.Shares)
+		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
+			m.violate("shares: %v", rec.Ranges)
 		}
 		if rec.Stage == wire.Done {
 			for i := range m.tasks {
 				if !m.completed[wire.TaskID{Job: "wk-1", Index: i}] {
-					m.breaks("not_done: task %d", i)
+					m.violate("not_done: task %d", i)
 				}
 			}
 		}
 	}
-	var grants store.GrantRecord
-	if raw := m.keys[store.GrantKey].raw; raw != nil && wire.DecodeValue(raw, &grants) == nil {
+	var grants store.QuotaGrantRecord
+	if raw := m.keys[store.QuotaGrantKey].raw; raw != nil && wire.DecodeValue(raw, &grants) == nil {
 		sum := 0.0
 		for _, g := range grants.Teams["red"] {
 			sum += g[1]
 		}
-		if m.most = min(max(m.most, m.limit), max(sum, m.limit)); m.limit > 0 && sum > m.most+1e-6 { // it never rises above
-			m.breaks("grants: %v", grants.Teams)
+		if m.granted = min(max(m.granted, m.limit), max(sum, m.limit)); m.limit > 0 && sum > m.granted+1e-6 { // it never rises above
+			m.violate("grants: %v", grants.Teams)
 		}
 	}
 }
@@ -325,20 +325,20 @@
 func (m *model) steps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for i, n := range m.nodes {
-		if n.seen < m.rev {
+	for i, n := range m.controllers {
+		if n.seenRevision < m.revision {
 			add("sync %d", i)
 		}
 		for _, part := range []string{"a", "b"} {
-			h, w := n.holders[part], m.workers[part]
-			_, held := m.keys[store.PartKey(part)]
+			h, w := n.leaders[part], m.workers[part]
+			_, held := m.keys[store.LeaderKey(part)]
 			if h == nil {
-				if s.claims && !held {
+				if s.failover && !held {
 					add("claim %d %s", i, part)
 				}
 				continue
 			}
-			if w.term <= h.Term() {
+			if w.token <= h.FencingToken() {
 				add("report %d %s", i, part)
 			}
 			switch {
@@ -348,14 +348,14 @@
 				add("commit %d %s", i, part)
 			}
 			if m.limit > 0 {
-				if h.grant == nil {
+				if h.grantChange == nil {
 					add("regrant %d %s", i, part)
 				} else {
 					add("granted %d %s", i, part)
 				}
 			}
-			if s.claims {
-				if m.keys[store.PartKey(part)].version == h.held.Version {
+			if s.failover {
+				if m.keys[store.LeaderKey(part)].version == h.lease.Version {
 					add("lose %d %s", i, part)
 				} else {
 					add("die %d %s", i, part)
@@ -363,7 +363,7 @@
 			}
 		}
 	}
-	for i := range m.late {
+	for i := range m.lateTxns {
 		add("late %d", i)
 	}
 	for _, zone := range []string{"a", "b"} {
@@ -375,7 +375,7 @@
 			add("alone 0 %s", zone)
 		}
 	}
-	if s.cancel && !m.over {
+	if s.cancel && !m.cancelled {
 		add("cancel")
 	}
 	return out
@@ -384,74 +384,74 @@
 // take makes a step.
 func (m *model) take(step string) {
 	f := strings.Fields(step)
-	var n *modelNode
-	var h *modelHolder
+	var n *modelController
+	var h *modelLeader
 	i, part := 0, ""
 	if len(f) > 1 {
 		i, _ = strconv.Atoi(f[1])
 	}
 	if len(f) > 2 {
-		part, n = f[2], m.nodes[i]
-		h = n.holders[part]
+		part, n = f[2], m.controllers[i]
+		h = n.leaders[part]
 	}
 	switch f[0] {
 	case "sync":
-		m.sync(m.nodes[i])
+		m.sync(m.controllers[i])
 	case "claim":
 		m.claim(n, part)
 	case "report":
 		m.report(n, m.workers[part])
 	case "decide":
 		other := map[string]string{"a": "b", "b": "a"}[part]
-		status := PartStatus{Rooms: map[string]scheduler.Room{"c": {Now: 9}}}
+		status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
 		if m.gang {
-			status.Rooms["c"] = scheduler.Room{Now: 1}
+			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
 		}
-		for _, o := range m.nodes {
-			if oh := o.holders[other]; oh != nil {
-				status.Wants, status.Ready = oh.outlook.wants, oh.outlook.ready
+		for _, o := range m.controllers {
+			if oh := o.leaders[other]; oh != nil {
+				status.Wants, status.Ready = oh.forecast.demands, oh.forecast.readyGangs
 			}
 		}
-		h.SetOthers(map[string]PartStatus{other: status}, 1)
-		h.draft = h.Decide(modelNow, n.view.Snapshot())
+		h.SetPeerShards(map[string]ShardStatus{other: status}, 1)
+		h.draft = h.Decide(modelTime, n.view.Snapshot())
 	case "commit":
-		if m.holds(h.draft.Txn) {
+		if m.conditionsHold(h.draft.Txn) {
 			rev := m.apply(h.draft.Txn.Then)
 			h.Committed(h.draft, rev)
-			n.view.Wrote(h.draft.Taken(rev)...)
+			n.view.ApplyOwnWrite(h.draft.WrittenBatches(rev)...)
 		} else {
 			h.Discard(h.draft)
 		}
 		h.draft = nil
 	case "regrant":
-		h.grant = h.Regrant(modelNow)
+		h.grantChange = h.ProposeGrants(modelTime)
 	case "granted":
-		if m.holds(h.grant.Txn) {
-			m.apply(h.grant.Txn.Then)
+		if m.conditionsHold(h.grantChange.Txn) {
+			m.apply(h.grantChange.Txn.Then)
 		}
 		m.sync(n)
-		h.Regranted(n.view.Snapshot().Grants)
-		h.grant = nil
+		h.GrantsSettled(n.view.Snapshot().QuotaGrants)
+		h.grantChange = nil
 	case "lose": // the lease has run out; the holder does not know yet
-		m.apply([]wire.Change{{Delete: store.PartKey(part)}})
+		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
 	case "die": // and its transactions are still on their way
 		if h.draft != nil {
-			m.late = append(m.late, h.draft.Txn)
+			m.lateTxns = append(m.lateTxns, h.draft.Txn)
 		}
-		if h.grant != nil {
-			m.late = append(m.late, h.grant.Txn)
+		if h.grantChange != nil {
+			m.lateTxns = append(m.lateTxns, h.grantChange.Txn)
 		}
-		delete(n.holders, part)
+		delete(n.leaders, part)
 	case "late":
-		t := m.late[i]
-		m.late = slices.Delete(m.late, i, i+1)
-		if m.holds(t) {
+		t := m.lateTxns[i]
+		m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
+		if m.conditionsHold(t) {
 			m.apply(t.Then)
 		}
 	case "alone": // the gang was not complete in time, or has lost a task
 		w := m.workers[part]
 		for id, n := range w.runs {
-			w.alone[id] = n
+			w.timedOut[id] = n
 		}
 		clear(w.runs)
 	case "finish":
@@ -470,11 +470,11 @@
 		m.completed[id] = true
 		delete(w.runs, id)
 	case "cancel":
-		m.over = true
-		if l, ok := m.home(); ok {
-			r := l.Home.Rewrite()
-			r.End("wk-1", wire.Cancelled, modelNow)
-			m.apply([]wire.Change{r.Change()})
+		m.cancelled = true
+		if l, ok := m.liveJob(); ok {
+			r := l.Batch.Update()
+			r.EndJob("wk-1", wire.Cancelled, modelTime)
+			m.apply([]wire.Operation{r.Change()})
 		}
 	}
 }
@@ -495,66 +495,66 @@
 	return n == m.tasks && len(attempts) == 1
 }
 
-// home looks the job up in the store itself.
-func (m *model) home() (*store.LiveJob, bool) {
+// liveJob looks the job up in the store itself.
+func (m *model) liveJob() (*store.LiveJob, bool) {
 	v := store.NewView(slog.New(slog.DiscardHandler))
 	c := m.keys[store.BatchKey("x")]
-	v.Load([]wire.Item{{Key: store.BatchKey("x"), Value: c.raw, Version: c.version}}, m.rev, &wire.Changes{})
+	v.Load([]wire.KeyValue{{Key: store.BatchKey("x"), Value: c.raw, Version: c.version}}, m.revision, &wire.WatchResponse{})
 	return v.Live("wk-1")
 }
 
-// sum tells states apart.
-func (m *model) sum() uint64 {
+// fingerprint tells states apart.
+func (m *model) fingerprint() uint64 {
 	d := xxhash.New()
 	put := func(format string, args ...any) { fmt.Fprintf(d, format+"\n", args...) }
 	for _, key := range slices.Sorted(maps.Keys(m.keys)) {
 		put("%s %x", key, []byte(m.keys[key].raw))
 	}
-	txn := func(t wire.Txn) { put("txn %x %v", wire.Encode(t.Then), m.holds(t)) }
-	for _, n := range m.nodes {
-		put("node %d", m.rev-n.seen)
-		if n.seen < m.rev {
+	txn := func(t wire.Txn) { put("txn %x %v", wire.Encode(t.Then), m.conditionsHold(t)) }
+	for _, n := range m.controllers {
+		put("node %d", m.revision-n.seenRevision)
+		if n.seenRevision < m.revision {
 			for _, e := range m.log {
-				if e.Version > n.seen {
+				if e.Version > n.seenRevision {
 					put("unseen %s%s %x", e.Put, e.Delete, []byte(e.Value))
 				}
 			}
 		}
-		for _, part := range slices.Sorted(maps.Keys(n.holders)) {
-			h := n.holders[part]
-			b := &bench{holder: h.Holder}
-			put("%s %d %v %v %v", part, h.held.Term, b.show(), h.rebuilt, h.outlook.wants)
-			put("%v %v %v %v", h.grants.low, h.grants.open, h.grants.seen.Record, h.given)
-			for _, id := range sortedKeys(h.jobs) {
-				j := h.jobs[id]
-				put("%s %v %v %v %v %v", id, j.finished.Count(), j.stored.Count(), j.ended, j.allocation.started, j.allocation.ready)
+		for _, part := range slices.Sorted(maps.Keys(n.leaders)) {
+			h := n.leaders[part]
+			b := &traceDriver{leader: h.Leader}
+			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.forecast.demands)
+			put("%v %v %v %v", h.grants.pendingLower, h.grants.inFlight, h.grants.record.Record, h.recentHandovers)
+			for _, id := range sortedKeys(h.jobStates) {
+				j := h.jobStates[id]
+				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.started, j.coAllocation.ready)
 			}
-			for _, s := range h.outlook.short {
-				put("short %d %d", s.Coming, s.None)
+			for _, s := range h.forecast.unplaced {
+				put("short %d %d", s.Coming, s.Unserved)
 			}
 			if h.draft != nil {
 				txn(h.draft.Txn)
 			}
-			if h.grant != nil {
-				txn(h.grant.Txn)
+			if h.grantChange != nil {
+				txn(h.grantChange.Txn)
 			}
 		}
 	}
-	for _, t := range m.late {
+	for _, t := range m.lateTxns {
 		txn(t)
 	}
 	for _, zone := range []string{"a", "b"} {
 		w := m.workers[zone]
-		put("%s %d %v %v %v", zone, w.term, w.runs, w.done, w.alone)
+		put("%s %d %v %v %v", zone, w.token, w.runs, w.done, w.timedOut)
 	}
-	put("%v", m.over)
+	put("%v", m.cancelled)
 	return d.Sum64()
 }
 
-// at plays a path from the beginning.
-func at(s *scenario, path []string) *model {
+// modelAt plays a path from the beginning.
+func modelAt(s *scenario, path []string) *model {
 	m := newModel(s)
-	for _, step := range strings.Split(s.from, "; ") {
+	for _, step := range strings.Split(s.prefix, "; ") {
 		if step != "" {
 			m.take(step)
 		}
@@ -584,10 +584,10 @@
 			go func() {
 				defer group.Done()
 				for i := range work {
-					for _, step := range at(s, level[i]).steps(s) {
+					for _, step := range modelAt(s, level[i]).steps(s) {
 						p := append(slices.Clone(level[i]), step)
-						m := at(s, p)
-						next[i] = append(next[i], found{p, m.sum(), m.broken})
+						m := modelAt(s, p)
+						next[i] = append(next[i], found{p, m.fingerprint(), m.violation})
 					}
 				}
 			}()
@@ -615,8 +615,8 @@
 
 // TestModel searches each scenario. AMBERDEAL_DEPTH adds steps.
 func TestModel(t *testing.T) {
-	defer func(d time.Duration) { giveAfter = d }(giveAfter)
-	giveAfter = 0
+	defer func(d time.Duration) { handoverAfter = d }(handoverAfter)
+	handoverAfter = 0
 	more, _ := strconv.Atoi(os.Getenv("AMBERDEAL_DEPTH"))
 	for i := range scenarios {
 		s := &scenarios[i]
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -20,15 +20,15 @@
 )
 
 // age is what tells moments apart: none matters any more after so long.
-func (m *timed) age(t time.Time) int {
+func (m *timedModel) age(t time.Time) int {
 	if t.IsZero() {
 		return -1
 	}
 	return int(min(m.now.Sub(t), 90*time.Second) / time.Second)
 }
 
-// sum tells states apart, by the ages of what they rest on.
-func (m *timed) sum() uint64 {
+// fingerprint tells states apart, by the ages of what they rest on.
+func (m *timedModel) fingerprint() uint64 {
 	d := xxhash.New()
 	put := func(format string, args ...any) { fmt.Fprintf(d, format+"\n", args...) }
 	for _, key := range slices.Sorted(maps.Keys(m.keys)) {
@@ -36,83 +36,83 @@
 			var batch store.BatchRecord
 			_ = wire.DecodeValue(m.keys[key].raw, &batch)
 			rec := batch.Jobs[timedJob]
-			put("%s %s %v %d", key, rec.Stage, rec.Shares, m.now.UnixMilli()-max(rec.Ended, m.now.UnixMilli()-90_000))
+			put("%s %s %v %d", key, rec.Stage, rec.Ranges, m.now.UnixMilli()-max(rec.Ended, m.now.UnixMilli()-90_000))
 			continue
 		}
 		put("%s %x", key, []byte(m.keys[key].raw))
 	}
-	left := func(txn wire.Txn) { put("txn %v", m.holds(txn)); put("%x", wire.Encode(txn.Then)) }
-	for _, c := range m.ctl {
-		put("%v %v %d %d %d %d", c.refused, c.dead, c.number, m.age(c.lease), m.age(c.claim.Confirmed()), m.age(c.view.CurrentAt()))
-		held, _ := c.claim.Held(timedPart)
-		put("%d %d", c.claim.Lease(), held.Term)
+	left := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
+	for _, c := range m.nodes {
+		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.claim.LastRenewal()), m.age(c.view.CurrentAt()))
+		held, _ := c.claim.Tenure(timedPart)
+		put("%d %d", c.claim.Lease(), held.FencingToken)
 		for _, e := range m.log {
-			if e.Version > c.seen {
-				put("unseen %s%s %d", e.Put, e.Delete, m.rev-e.Version)
+			if e.Version > c.seenRevision {
+				put("unseen %s%s %d", e.Put, e.Delete, m.revision-e.Version)
 			}
 		}
-		if c.reading != nil {
-			put("reading %d %d", m.age(c.reading.begun), len(c.reading.changes.Events))
+		if c.pendingRead != nil {
+			put("reading %d %d", m.age(c.pendingRead.begun), len(c.pendingRead.changes.Events))
 		}
-		h := c.holder
+		h := c.leader
 		if h == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", h.round, h.rebuilt, h.resumed, m.age(h.fleet.Claimed), m.age(h.knows), m.age(h.tended), m.age(h.awake), m.age(h.wrote), len(h.live))
+		put("%d %v %v %d %d %d %d %d %d", h.lastRound, h.rebuilt, h.rebuiltReachable, m.age(h.fleet.ElectedAt), m.age(h.viewCurrentAt), m.age(h.lastReconciled), m.age(h.lastPauseEnd), m.age(h.lastDecided), len(h.liveJobs))
 		for _, x := range h.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
-			w := m.work[strings.TrimPrefix(x.ID, "n-")].core.Look()
-			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.AtTerm, x.Releasing, m.age(x.Heard), m.age(x.Answered),
-				int(w.Session)-int(x.Session), int(w.Seq)-int(hidden.FieldByName("seq").Uint()), int(w.Seq)-int(hidden.FieldByName("reportSeq").Uint()), x.LastSession,
+			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
+			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
+				int(w.Incarnation)-int(x.Incarnation), int(w.Seq)-int(hidden.FieldByName("seq").Uint()), int(w.Seq)-int(hidden.FieldByName("reportSeq").Uint()), x.RecordedIncarnation,
 				hidden.FieldByName("met").Bool(), hidden.FieldByName("proven").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
-				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.Settled, p.Seen, p.Stop, p.Loose(), p.Cause)
-				put("%v %v %v %v", v.FieldByName("said").Bool(), v.FieldByName("direct").Bool(), v.FieldByName("recalled").Bool(), m.age(p.Placed))
+				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
+				put("%v %v %v %v", v.FieldByName("said").Bool(), v.FieldByName("direct").Bool(), v.FieldByName("recalled").Bool(), m.age(p.PlacedAt))
 			}
-			last := h.called[x.ID]
-			put("%d %v %d %s", m.age(last.at), last.open, last.failures, last.what)
+			last := h.callStates[x.ID]
+			put("%d %v %d %s", m.age(last.startedAt), last.open, last.failures, last.digest)
 		}
-		for _, id := range sortedKeys(h.jobs) {
-			j := h.jobs[id]
-			put("%s %d %d %d", id, j.finished.Count(), j.stored.Count(), m.age(j.ended))
+		for _, id := range sortedKeys(h.jobStates) {
+			j := h.jobStates[id]
+			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
 		}
-		put("%v", sortedKeys(h.release))
+		put("%v", sortedKeys(h.machinesToRelease))
 		if c.draft != nil {
 			left(c.draft.Txn)
 		}
 	}
-	for _, t := range m.late {
+	for _, t := range m.lateCommits {
 		put("%s %d %d", t.kind, t.node, t.lease)
 		left(t.Txn)
 	}
-	for _, k := range m.calls {
-		put("%s %d %d %v", k.machine, k.direct.Term, k.direct.Session, k.direct.Commands)
+	for _, k := range m.lateCalls {
+		put("%s %d %d %v", k.machine, k.direct.FencingToken, k.direct.Incarnation, k.direct.Commands)
 	}
 	for _, id := range []string{"a", "b"} {
-		w := m.work[id]
-		r := w.core.Look()
-		put("%s %v %d %d %d %v", id, w.gone, r.Session, r.Term, m.age(w.answered), r.Tasks)
+		w := m.machines[id]
+		r := w.core.Heartbeat()
+		put("%s %v %d %d %d %v", id, w.gone, r.Incarnation, r.FencingToken, m.age(w.answered), r.Tasks)
 	}
-	if slices.ContainsFunc(m.may, func(b budget) bool { return strings.HasPrefix(b.begins, "copy") }) {
-		for _, r := range m.copies {
-			now := m.work[strings.TrimPrefix(r.Machine, "n-")].core.Look()
-			put("%s %d %d %d %v", r.Machine, now.Session-r.Session, int(now.Seq)-int(r.Seq), r.Term, r.Tasks)
+	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
+		for _, r := range m.duplicateReports {
+			now := m.machines[strings.TrimPrefix(r.Machine, "n-")].core.Heartbeat()
+			put("%s %d %d %d %v", r.Machine, now.Incarnation-r.Incarnation, int(now.Seq)-int(r.Seq), r.FencingToken, r.Tasks)
 		}
 	}
-	if !m.any {
+	if !m.anyOrder {
 		put("%d", m.rank)
 	}
-	put("%v %d %v", m.down, m.age(m.told), m.completed)
-	for _, b := range m.may {
-		put("%d", m.count[b.begins])
+	put("%v %d %v", m.serviceDown, m.age(m.cancelAckedAt), m.completed)
+	for _, b := range m.budgets {
+		put("%d", m.count[b.prefix])
 	}
 	return d.Sum64()
 }
 
-func timedAt(s *timedScenario, path []string) *timed {
+func timedAt(s *timedScenario, path []string) *timedModel {
 	m := newTimed(s)
-	for _, step := range strings.Split(s.from, "; ") {
+	for _, step := range strings.Split(s.prefix, "; ") {
 		if step != "" {
 			m.take(step)
 		}
@@ -125,17 +125,17 @@
 	return m
 }
 
-// tried is what a search has found.
-type tried struct {
+// searchResult is what a search has found.
+type searchResult struct {
 	states, orders int
 	path           []string
-	broken         string
-	met            map[string]bool
+	violation      string
+	reached        map[string]bool
 }
 
-// try tries all orders of what a scenario allows, breadth first.
-func (s *timedScenario) try(depth int) tried {
-	out := tried{met: map[string]bool{}}
+// search tries all orders of what a scenario allows, breadth first.
+func (s *timedScenario) search(depth int) searchResult {
+	out := searchResult{reached: map[string]bool{}}
 	seen := map[uint64]bool{}
 	type found struct {
 		path, steps []string
@@ -144,7 +144,7 @@
 		met         map[string]bool
 	}
 	first := timedAt(s, nil)
-	level := []found{{steps: first.steps(first.may)}}
+	level := []found{{steps: first.steps(first.budgets)}}
 	for range depth {
 		next := make([][]found, len(level))
 		var group sync.WaitGroup
@@ -155,7 +155,7 @@
 					for _, step := range level[i].steps {
 						m := timedAt(s, level[i].path)
 						m.take(step)
-						next[i] = append(next[i], found{append(slices.Clone(level[i].path), step), m.steps(m.may), m.sum(), m.broken, m.met})
+						next[i] = append(next[i], found{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
 					}
 				}
 			})
@@ -169,9 +169,9 @@
 		for _, list := range next {
 			for _, f := range list {
 				out.orders++
-				maps.Copy(out.met, f.met)
+				maps.Copy(out.reached, f.met)
 				if f.broken != "" {
-					out.states, out.path, out.broken = len(seen), f.path, f.broken
+					out.states, out.path, out.violation = len(seen), f.path, f.broken
 					return out
 				}
 				if !seen[f.sum] {
@@ -188,81 +188,81 @@
 	return out
 }
 
-const timedRuns = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
+const timedPrefix = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
 
-// rest is a moment in which the leader renews, reads and hears one machine.
-const rest = "; tick; renew 0; sync 0; report a 0"
+// idleMoment is a moment in which the leader renews, reads and hears one machine.
+const idleMoment = "; tick; renew 0; sync 0; report a 0"
 
 var timedScenarios = []timedScenario{
-	{name: "the leader alone is refused", tasks: 1, from: timedRuns + "; refuse 0; cancel 1", depth: 30,
-		may:    "renew 0:1; report b 0:2; tick:11",
-		meets:  "refused alone after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		plants: "answers by the claim alone; answers by the last renewal alone"},
-	{name: "all are refused after the leader alone", tasks: 1, from: timedRuns + "; refuse 0; cancel 1; tick; tick; renew 0; tick; down", depth: 30,
-		may:    "up:1; renew 0:1; report b 0:2; tick:8",
-		meets:  "refused alone after a cancellation; down after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		plants: "answers by the claim alone"},
-	{name: "a read that is answered late", tasks: 1, from: timedRuns + "; ask 0; cancel 1; tick; tick", depth: 30,
-		may:    "renew 0:1; answer 0:1; report b 0:2; tick:9",
-		meets:  "the old leader answers after a cancellation; cancel_s has passed",
-		plants: "a read counts from its answer"},
-	{name: "a takeover from a leader that is refused", tasks: 1, from: timedRuns + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steady: "a 1",
-		may:    "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
-		meets:  "takeover with a task running; deaf",
-		plants: "proof 5 without the time that others answer"},
-	{name: "a takeover and a cancellation", tasks: 1, from: timedRuns + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; cancel 1", depth: 30,
-		may:   "report b 0:1; report b 1:1; call 1:1; tick:10",
-		meets: "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
-	{name: "a deaf machine", tasks: 1, from: timedRuns + rest, depth: 30, steady: "a 0",
-		may:    "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		meets:  "deaf",
-		plants: "proof 3 without its margin"},
-	{name: "a team's limit and a deaf machine", tasks: 2, limit: 1, from: timedRuns + rest, depth: 30, steady: "a 0",
-		may:    "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		meets:  "deaf",
-		plants: "proof 3 without its margin"},
-	{name: "late copies of reports", tasks: 1, from: timedRuns, steady: "a 0", depth: 30,
-		may:    "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
-		meets:  "a copy of an older report",
-		plants: "a report is taken though older"},
-	{name: "late copies from an earlier session", tasks: 1, from: timedRuns + rest + rest + rest + rest + "; expire b; renew 0; sync 0", depth: 9,
-		may:   "report b 0:2; copy:1; round 0:1; report a 0:1; tick:1",
-		meets: "a copy from an earlier session; a later session"},
-	{name: "late rounds and cancellations", tasks: 1, from: timedRuns + "; finish b; report b 0", depth: 9,
-		may: "holdcancel 1:1; decide 0:1; hold 0:1; late:2; cancel 1:1; commit 0:1; sync 0:1", any: true,
-		meets:  "a late round after newer ones; a late round is taken; a late cancellation after newer ones; a late cancellation is taken; a copy of a round was taken",
-		plants: "an end is not bound to the job's record"},
-	{name: "late rounds and claims of a takeover", tasks: 1, from: "decide 0; hold 0; refuse 0; tick; tick; tick; sync 1", depth: 9,
-		may: "holdclaim 1:1; claim 1:1; late:2; sync 1:1; report a 1:2; report b 1:2; decide 1:1; commit 1:1; tick:1", any: true,
-		meets: "a late claim is taken; a late claim after newer ones; a late round after newer ones; takeover"},
-	{name: "a launch and the end of its leader", tasks: 1, from: "decide 0; report b 0; report b 0; die 0; tick; tick; tick; sync 1; claim 1; report a 1; report a 1", depth: 8,
-		may:    "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
-		meets:  "takeover; a late round after newer ones",
-		plants: "a launch is said before its round is stored"},
-	{name: "a call that is held up", tasks: 1, from: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steady: "a 0",
-		may:    "round 0:1; arrive:1; report a 0:1; tick:3",
-		meets:  "a late call is carried out",
-		plants: "a call without an answer counts as refused"},
-	{name: "a call that is held up and a cancellation", tasks: 1, from: "decide 0; commit 0; losecall 0; refuse 0; cancel 1", depth: 30,
-		may:   "arrive:1; renew 0:1; report b 0:2; tick:10",
-		meets: "a late call is carried out; the old leader answers after a cancellation; cancel_s has passed"},
-	{name: "an end that is not stored yet", tasks: 1, from: timedRuns + "; finish b", depth: 10,
-		may: "report b 0:3; decide 0:1; commit 0:1; hold 0:1; late:1; refuse:1; tick:2", any: true,
-		plants: "a clear before the end is stored"},
+	{name: "the leader alone is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1", depth: 30,
+		limits:      "renew 0:1; report b 0:2; tick:11",
+		mustReach:   "refused alone after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
+		findsFaults: "answers by the claim alone; answers by the last renewal alone"},
+	{name: "all are refused after the leader alone", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1; tick; tick; renew 0; tick; down", depth: 30,
+		limits:      "up:1; renew 0:1; report b 0:2; tick:8",
+		mustReach:   "refused alone after a cancellation; down after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
+		findsFaults: "answers by the claim alone"},
+	{name: "a read that is answered late", tasks: 1, prefix: timedPrefix + "; ask 0; cancel 1; tick; tick", depth: 30,
+		limits:      "renew 0:1; answer 0:1; report b 0:2; tick:9",
+		mustReach:   "the old leader answers after a cancellation; cancel_s has passed",
+		findsFaults: "a read counts from its answer"},
+	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadyReporter: "a 1",
+		limits:      "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
+		mustReach:   "takeover with a task running; deaf",
+		findsFaults: "proof 5 without the time that others answer"},
+	{name: "a takeover and a cancellation", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; cancel 1", depth: 30,
+		limits:    "report b 0:1; report b 1:1; call 1:1; tick:10",
+		mustReach: "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
+	{name: "a deaf machine", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
+		mustReach:   "deaf",
+		findsFaults: "proof 3 without its margin"},
+	{name: "a team's limit and a deaf machine", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
+		mustReach:   "deaf",
+		findsFaults: "proof 3 without its margin"},
+	{name: "late copies of reports", tasks: 1, prefix: timedPrefix, steadyReporter: "a 0", depth: 30,
+		limits:      "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
+		mustReach:   "a copy of an older report",
+		findsFaults: "a report is taken though older"},
+	{name: "late copies from an earlier session", tasks: 1, prefix: timedPrefix + idleMoment + idleMoment + idleMoment + idleMoment + "; expire b; renew 0; sync 0", depth: 9,
+		limits:    "report b 0:2; copy:1; round 0:1; report a 0:1; tick:1",
+		mustReach: "a copy from an earlier session; a later session"},
+	{name: "late rounds and cancellations", tasks: 1, prefix: timedPrefix + "; finish b; report b 0", depth: 9,
+		limits: "holdcancel 1:1; decide 0:1; hold 0:1; late:2; cancel 1:1; commit 0:1; sync 0:1", anyOrder: true,
+		mustReach:   "a late round after newer ones; a late round is taken; a late cancellation after newer ones; a late cancellation is taken; a copy of a round was taken",
+		findsFaults: "an end is not bound to the job's record"},
+	{name: "late rounds and claims of a takeover", tasks: 1, prefix: "decide 0; hold 0; refuse 0; tick; tick; tick; sync 1", depth: 9,
+		limits: "holdclaim 1:1; claim 1:1; late:2; sync 1:1; report a 1:2; report b 1:2; decide 1:1; commit 1:1; tick:1", anyOrder: true,
+		mustReach: "a late claim is taken; a late claim after newer ones; a late round after newer ones; takeover"},
+	{name: "a launch and the end of its leader", tasks: 1, prefix: "decide 0; report b 0; report b 0; die 0; tick; tick; tick; sync 1; claim 1; report a 1; report a 1", depth: 8,
+		limits:      "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
+		mustReach:   "takeover; a late round after newer ones",
+		findsFaults: "a launch is said before its round is stored"},
+	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadyReporter: "a 0",
+		limits:      "round 0:1; arrive:1; report a 0:1; tick:3",
+		mustReach:   "a late call is carried out",
+		findsFaults: "a call without an answer counts as refused"},
+	{name: "a call that is held up and a cancellation", tasks: 1, prefix: "decide 0; commit 0; losecall 0; refuse 0; cancel 1", depth: 30,
+		limits:    "arrive:1; renew 0:1; report b 0:2; tick:10",
+		mustReach: "a late call is carried out; the old leader answers after a cancellation; cancel_s has passed"},
+	{name: "an end that is not stored yet", tasks: 1, prefix: timedPrefix + "; finish b", depth: 10,
+		limits: "report b 0:3; decide 0:1; commit 0:1; hold 0:1; late:1; refuse:1; tick:2", anyOrder: true,
+		findsFaults: "a clear before the end is stored"},
 }
 
 func (s *timedScenario) run(t *testing.T) {
 	begun := time.Now()
-	r := s.try(s.depth)
-	if r.broken != "" {
-		t.Errorf("%s, by %s", r.broken, strings.Join(r.path, "; "))
+	r := s.search(s.depth)
+	if r.violation != "" {
+		t.Errorf("%s, by %s", r.violation, strings.Join(r.path, "; "))
 	}
-	for _, what := range strings.Split(s.meets, "; ") {
-		if what != "" && !r.met[what] {
+	for _, what := range strings.Split(s.mustReach, "; ") {
+		if what != "" && !r.reached[what] {
 			t.Errorf("it never came about: %s", what)
 		}
 	}
-	t.Logf("%d orders, %d states, %v; met %v", r.orders, r.states, time.Since(begun).Round(time.Millisecond), slices.Sorted(maps.Keys(r.met)))
+	t.Logf("%d orders, %d states, %v; met %v", r.orders, r.states, time.Since(begun).Round(time.Millisecond), slices.Sorted(maps.Keys(r.reached)))
 }
 
 // timedWide makes the search wider: AMBERDEAL_TIMED=N adds N to what each kind of step may
@@ -270,12 +270,12 @@
 func timedWide(s timedScenario) *timedScenario {
 	more, _ := strconv.Atoi(os.Getenv("AMBERDEAL_TIMED"))
 	if more > 0 {
-		s.any, s.depth = true, s.depth+5*more
+		s.anyOrder, s.depth = true, s.depth+5*more
 		var may []string
 		for _, b := range s.budget() {
-			may = append(may, fmt.Sprintf("%s:%d", b.begins, b.most+more))
+			may = append(may, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
 		}
-		s.may = strings.Join(may, "; ")
+		s.limits = strings.Join(may, "; ")
 	}
 	return &s
 }
@@ -290,17 +290,17 @@
 // TestModelTimeFinds plants a fault into a scenario, and demands that the search finds it.
 func TestModelTimeFinds(t *testing.T) {
 	for _, s := range timedScenarios {
-		for _, plant := range strings.Split(s.plants, "; ") {
+		for _, plant := range strings.Split(s.findsFaults, "; ") {
 			if plant == "" {
 				continue
 			}
 			t.Run(plant+" in "+s.name, func(t *testing.T) {
-				s.plant = plant
-				r := s.try(s.depth)
-				if r.broken == "" {
+				s.plantedFault = plant
+				r := s.search(s.depth)
+				if r.violation == "" {
 					t.Errorf("not found in %d orders", r.orders)
 				}
-				t.Logf("%d orders: %s, by %s", r.orders, r.broken, strings.Join(r.path, "; "))
+				t.Logf("%d orders: %s, by %s", r.orders, r.violation, strings.Join(r.path, "; "))
 			})
 		}
 	}
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -15,31 +15,31 @@
 )
 
 // tier sets one, in the order in which they are named.
-func (b *bench) tier(name string, kv map[string]string) {
-	t := tier.Tier{Name: name, Order: len(b.cfg.Tuning.Tiers), Within: tier.DefaultWithin}
+func (b *traceDriver) tier(name string, kv map[string]string) {
+	t := tier.Tier{Name: name, Order: len(b.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(kv["cards"], 64)
 	if kv["priority"] != "" {
 		t.Priorities = strings.Split(kv["priority"], ",")
 	}
 	if kv["within"] != "" {
-		t.Within, _ = time.ParseDuration(kv["within"])
+		t.ReclaimWithin, _ = time.ParseDuration(kv["within"])
 	}
 	if kv["lend"] != "" {
-		t.Lend = strings.Split(kv["lend"], ",")
+		t.LendsTo = strings.Split(kv["lend"], ",")
 	}
 	b.cfg.Tuning.Tiers = append(b.cfg.Tuning.Tiers, t)
 }
 
-// claimsNow tells what the holder is claiming back.
-func (b *bench) claimsNow() []string {
+// preemptionsNow tells what the holder is claiming back.
+func (b *traceDriver) preemptionsNow() []string {
 	out := []string{}
-	for _, job := range sortedKeys(b.holder.claims.by) {
-		for _, r := range b.holder.claims.by[job].Rooms {
+	for _, job := range sortedKeys(b.leader.preemptions.byJob) {
+		for _, r := range b.leader.preemptions.byJob[job].Reservations {
 			out = append(out, fmt.Sprintf("for %d of %s (%s) on %s in %v: stops %v, awaits %v", r.Tasks, job, r.Tier, r.Machine,
-				time.UnixMilli(r.Until).Sub(b.now), sortedKeys(r.Stops), sortedKeys(r.Awaits)))
+				time.UnixMilli(r.Deadline).Sub(b.now), sortedKeys(r.Stops), sortedKeys(r.Awaits)))
 		}
 	}
-	for _, s := range b.holder.claims.tiers {
+	for _, s := range b.leader.preemptions.statuses {
 		if s.Share > 0 {
 			out = append(out, fmt.Sprintf("%v of %v cards in use, %v lent, %d tasks wait", s.Cards, s.Share, s.Lent, s.Waiting))
 		}
@@ -47,128 +47,128 @@
 	return slices.Clip(out)
 }
 
-// ward plays the workers of a few machines, second by second.
-type ward struct {
-	*bench
-	term     uint64
-	seq      uint64
-	on       map[string]map[string]wire.ReportedTask // by machine and task
-	stubborn map[string]bool                         // tasks that don't stop
-	stopped  map[string]bool                         // attempts that were told to
-	late     []func()                                // copies of stops that come again
-	said     []string
-	saves    int // seconds that a task takes to stop
-	ends     []func()
+// workerModel plays the workers of a few machines, second by second.
+type workerModel struct {
+	*traceDriver
+	term        uint64
+	seq         uint64
+	tasksOn     map[string]map[string]wire.ReportedTask // by machine and task
+	stubborn    map[string]bool                         // tasks that don't stop
+	stopped     map[string]bool                         // attempts that were told to
+	lateStops   []func()                                // copies of stops that come again
+	events      []string
+	checkpointS int // seconds that a task takes to stop
+	pendingEnds []func()
 }
 
-func newWard(b *bench, machines ...string) *ward {
-	w := &ward{bench: b, on: map[string]map[string]wire.ReportedTask{}, stubborn: map[string]bool{}, stopped: map[string]bool{}}
+func newWorkerModel(b *traceDriver, machines ...string) *workerModel {
+	w := &workerModel{traceDriver: b, tasksOn: map[string]map[string]wire.ReportedTask{}, stubborn: map[string]bool{}, stopped: map[string]bool{}}
 	for _, m := range machines {
-		w.on[m] = map[string]wire.ReportedTask{}
+		w.tasksOn[m] = map[string]wire.ReportedTask{}
 	}
 	return w
 }
 
-// takeOver has a new holder claim the part, and late copies of all earlier stops come.
-func (w *ward) takeOver() {
+// failover has a new holder claim the part, and late copies of all earlier stops come.
+func (w *workerModel) failover() {
 	w.term++
-	w.bench.claim(w.term)
-	for _, again := range w.late {
+	w.traceDriver.claim(w.term)
+	for _, again := range w.lateStops {
 		again()
 	}
 	w.report()
 }
 
-func (w *ward) report() {
-	for _, m := range sortedKeys(w.on) {
+func (w *workerModel) report() {
+	for _, m := range sortedKeys(w.tasksOn) {
 		w.seq++
-		r := &wire.Report{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Session: 1, Seq: w.seq, Term: w.term}
-		for _, task := range sortedKeys(w.on[m]) {
-			r.Tasks = append(r.Tasks, w.on[m][task])
+		r := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.term}
+		for _, task := range sortedKeys(w.tasksOn[m]) {
+			r.Tasks = append(r.Tasks, w.tasksOn[m][task])
 		}
-		a, _ := w.holder.Report(w.now, r, true)
+		a, _ := w.leader.HandleHeartbeat(w.now, r, true)
 		for _, c := range a.Commands {
 			w.do(m, c)
 		}
 	}
 }
 
-func (w *ward) do(m string, c wire.Command) {
-	t, there := w.on[m][c.Task]
+func (w *workerModel) do(m string, c wire.Command) {
+	t, there := w.tasksOn[m][c.Task]
 	there = there && t.Attempt == c.Attempt
 	switch {
 	case c.Verb == wire.Launch && !there:
 		id, _ := wire.ParseTaskID(c.Task)
-		w.on[m][c.Task] = wire.ReportedTask{Task: c.Task, ID: id, Attempt: c.Attempt, State: wire.TaskRunning}
-		w.said = append(w.said, fmt.Sprintf("%s runs on %s", c.Task, m))
+		w.tasksOn[m][c.Task] = wire.ReportedTask{Task: c.Task, ID: id, Attempt: c.Attempt, State: wire.TaskRunning}
+		w.events = append(w.events, fmt.Sprintf("%s runs on %s", c.Task, m))
 	case c.Verb == wire.Stop && there:
 		name := fmt.Sprintf("%s%s", c.Task, attempt(c.Attempt))
 		if !w.stopped[name] {
 			w.stopped[name] = true
-			w.said = append(w.said, fmt.Sprintf("%s on %s is told to stop", c.Task, m))
+			w.events = append(w.events, fmt.Sprintf("%s on %s is told to stop", c.Task, m))
 		}
-		w.late = append(w.late, func() { w.do(m, c) })
+		w.lateStops = append(w.lateStops, func() { w.do(m, c) })
 		if t.State == wire.TaskRunning && !w.stubborn[c.Task] {
-			if w.saves == 0 {
+			if w.checkpointS == 0 {
 				w.end(m, c.Task, wire.CauseStopped)
 				break
 			}
 			t.State = wire.TaskSaving
-			w.on[m][c.Task] = t
-			w.ends = append(w.ends, func() { w.end(m, c.Task, wire.CauseStopped) })
+			w.tasksOn[m][c.Task] = t
+			w.pendingEnds = append(w.pendingEnds, func() { w.end(m, c.Task, wire.CauseStopped) })
 		}
 	case c.Verb == wire.Clear && there:
-		delete(w.on[m], c.Task)
+		delete(w.tasksOn[m], c.Task)
 	}
 }
 
-func (w *ward) end(m, task string, cause wire.Cause) {
-	t := w.on[m][task]
+func (w *workerModel) end(m, task string, cause wire.Cause) {
+	t := w.tasksOn[m][task]
 	t.State, t.Cause = wire.TaskEnded, cause
-	w.on[m][task] = t
+	w.tasksOn[m][task] = t
 }
 
 // second plays one; the holder may crash in it, at a point of its decision. How many stops
 // have been said by then is up to the point.
-func (w *ward) second(crash string) {
+func (w *workerModel) second(crash string) {
 	w.now = w.now.Add(time.Second)
-	if w.saves > 0 && w.now.Unix()%int64(w.saves) == 0 {
-		for _, end := range w.ends {
+	if w.checkpointS > 0 && w.now.Unix()%int64(w.checkpointS) == 0 {
+		for _, end := range w.pendingEnds {
 			end()
 		}
-		w.ends = nil
+		w.pendingEnds = nil
 	}
 	w.report()
-	d := w.holder.Decide(w.now, w.view.Snapshot())
+	d := w.leader.Decide(w.now, w.view.Snapshot())
 	w.draft = d
 	if d != nil && crash != "before" {
 		w.apply(d.Txn.Then...)
 		if crash != "unknown" {
-			w.holder.Committed(d, w.era)
+			w.leader.Committed(d, w.revision)
 		}
 	}
-	if calls := w.holder.calls(w.now, true, maxDirect); crash == "" || crash == "half" || crash == "all" {
+	if calls := w.leader.dueCalls(w.now, true, maxOpenCalls); crash == "" || crash == "half" || crash == "all" {
 		for i, c := range calls {
 			for k, cmd := range c.commands {
 				if crash != "half" || i < len(calls)/2 || k < len(c.commands)/2 {
 					w.do(c.machine, cmd)
 				}
 			}
-			w.holder.fleet.Called(c.launched, fleet.Executed)
-			if c.raise {
-				w.holder.raising--
+			w.leader.fleet.CallFinished(c.launches, fleet.Executed)
+			if c.fencing {
+				w.leader.fencingCallsOpen--
 			}
-			w.holder.outcome(w.now, c.machine, true)
+			w.leader.callFinished(w.now, c.machine, true)
 		}
 	}
 	if crash != "" {
-		w.takeOver()
+		w.failover()
 	}
 }
 
 // running counts the tasks of a job that run.
-func (w *ward) running(job string) (n int) {
-	for _, m := range w.on {
+func (w *workerModel) running(job string) (n int) {
+	for _, m := range w.tasksOn {
 		for task, t := range m {
 			if strings.HasPrefix(task, job+"/") && t.State == wire.TaskRunning {
 				n++
@@ -179,26 +179,26 @@
 }
 
 // play takes the steps of a trace that play the workers.
-func (b *bench) play(w []string) []string {
-	v := b.ward
+func (b *traceDriver) play(w []string) []string {
+	v := b.preemptionCheck
 	switch w[0] {
 	case "workers":
-		b.ward = newWard(b, w[1:]...)
-		b.ward.term = 1
-		b.ward.takeOver()
+		b.preemptionCheck = newWorkerModel(b, w[1:]...)
+		b.preemptionCheck.term = 1
+		b.preemptionCheck.failover()
 		return nil
 	case "stubborn":
 		v.stubborn[w[1]] = true
 		return nil
 	case "finish":
-		for m := range v.on {
-			if _, ok := v.on[m][w[1]]; ok {
+		for m := range v.tasksOn {
+			if _, ok := v.tasksOn[m][w[1]]; ok {
 				v.end(m, w[1], wire.CauseDone)
 			}
 		}
 		return nil
 	case "lose":
-		delete(v.on, w[1])
+		delete(v.tasksOn, w[1])
 		b.step("released " + w[1])
 	case "crash":
 		v.second(w[1])
@@ -208,8 +208,8 @@
 			v.second("")
 		}
 	}
-	out := v.said
-	v.said = nil
+	out := v.events
+	v.events = nil
 	return out
 }
 
@@ -246,33 +246,33 @@
 }
 
 // lentOut gives a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
-func lentOut(t *testing.T) *ward {
-	b := newBench(t)
+func lentOut(t *testing.T) *workerModel {
+	b := newTraceDriver(t)
 	b.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
 	b.tier("batch", map[string]string{"priority": "normal"})
 	b.step("job wk-1 sweep team=blue tasks=12")
 	b.play([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
 		if s == 6 { // what is young loses least, until a new holder has forgotten
-			for _, task := range sortedKeys(b.ward.on["n-3"]) {
-				b.ward.end("n-3", task, wire.CauseStopped)
+			for _, task := range sortedKeys(b.preemptionCheck.tasksOn["n-3"]) {
+				b.preemptionCheck.end("n-3", task, wire.CauseStopped)
 			}
 		}
-		b.ward.second("")
+		b.preemptionCheck.second("")
 	}
-	if b.ward.running("wk-1") != 12 {
+	if b.preemptionCheck.running("wk-1") != 12 {
 		t.Fatal("not all cards are lent")
 	}
 	b.step("job wk-2 service team=blue tasks=6 priority=high")
-	b.ward.saves = 4
-	return b.ward
+	b.preemptionCheck.checkpointS = 4
+	return b.preemptionCheck
 }
 
 // TestFloodOfLesserWork: however much lesser work comes, the first tier's tasks run as soon
 // as if there were little. Machines and calls are full in both cases.
 func TestFloodOfLesserWork(t *testing.T) {
 	waits := func(flood int) (out []int) {
-		b := newBench(t)
+		b := newTraceDriver(t)
 		b.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
 		b.tier("batch", map[string]string{})
 		var machines []string
@@ -291,9 +291,9 @@
 				b.step("job " + id + " service team=blue tasks=2 priority=production")
 				since[id] = s
 			}
-			b.ward.second("")
+			b.preemptionCheck.second("")
 			for _, id := range sortedKeys(since) {
-				if b.ward.running(id) == 2 {
+				if b.preemptionCheck.running(id) == 2 {
 					out = append(out, s-since[id])
 					delete(since, id)
 				}
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -10,41 +10,41 @@
 
 // Which machines and zones are heard, and what is given up for its silence.
 
-// releaseOthers gives up machines that serve nobody: drained ones that are
+// releaseUnusable gives up machines that serve nobody: drained ones that are
 // empty, ones that never come up, and silent ones.
-func (h *Holder) releaseOthers(now time.Time) {
-	up, quiet := h.reach(now, true)
-	dark := h.darkAlone(now)
-	deaf := h.deaf(now)
+func (h *Leader) releaseUnusable(now time.Time) {
+	expected, missing := h.healthSummary(now, true)
+	onlyShardUnreachable := h.unreachableAlone(now)
+	oneWay := h.oneWayPartitioned(now)
 	for _, m := range h.fleet.Machines() {
 		busy := slices.ContainsFunc(m.Placements(), func(p *fleet.Placement) bool { return p.Active() && p.State != fleet.Planned })
-		boot := h.typeOf(m.Type).BootS
+		boot := h.machineType(m.Type).BootS
 		switch {
-		case m.Up && !busy && (m.Draining != "" || !m.Notice.IsZero()):
-			h.giveUp(m, "drained")
+		case m.Up && !busy && (m.DrainReason != "" || !m.TerminationTime.IsZero()):
+			h.releaseMachine(m, "drained")
 		case !m.Up && !m.Recorded && boot > 0 && now.Sub(m.Since) > wire.Seconds(4*boot)+20*time.Second:
-			h.giveUp(m, "it does not come up")
-		case (m.Up || m.Recorded) && !m.Releasing && h.silent(now, m) && (h.lost(now, m) || dark && h.vain(m)) && quiet*3 <= up && !h.keeps(now, m):
-			h.giveUp(m, "silent")
-			h.silenced = append(h.silenced, silenced{now, m.Zone})
-		case deaf[m] && !m.Releasing:
-			h.giveUp(m, "deaf")
+			h.releaseMachine(m, "it does not come up")
+		case (m.Up || m.Recorded) && !m.Releasing && h.unreachable(now, m) && (h.presumedLost(now, m) || onlyShardUnreachable && h.callsFailed(m)) && missing*3 <= expected && !h.keepsLostMachine(now, m):
+			h.releaseMachine(m, "silent")
+			h.evictedUnreachable = append(h.evictedUnreachable, eviction{now, m.Zone})
+		case oneWay[m] && !m.Releasing:
+			h.releaseMachine(m, "deaf")
 		}
 	}
 }
 
-// deaf lists machines that report and take nothing, which an earlier holder may have launched
+// oneWayPartitioned lists machines that report and take nothing, which an earlier holder may have launched
 // on: what that left is not proven gone while they are answered, though their leases are over.
 // When it is more than a third of them, one zone aside, a network has failed that will be back.
-func (h *Holder) deaf(now time.Time) map[*fleet.Machine]bool {
-	if now.Sub(h.fleet.Claimed) < h.times.silence+h.cfg.Workers.Lease {
+func (h *Leader) oneWayPartitioned(now time.Time) map[*fleet.Machine]bool {
+	if now.Sub(h.fleet.ElectedAt) < h.timeouts.unreachableAfter+h.cfg.Workers.Lease {
 		return nil
 	}
-	out, ups, deafs, worst := make(map[*fleet.Machine]bool), make(map[string]int), make(map[string]int), ""
-	for _, m := range h.fleet.Unproven() {
-		if !h.fleet.Heeds(now, m) && h.called[m.ID].failures >= 2 && h.quiet(now, m) < h.times.silence {
+	out, upByZone, oneWayByZone, worst := make(map[*fleet.Machine]bool), make(map[string]int), make(map[string]int), ""
+	for _, m := range h.fleet.UnprovenMachines() {
+		if !h.fleet.ReceivesCommands(now, m) && h.callStates[m.ID].failures >= 2 && h.heartbeatAge(now, m) < h.timeouts.unreachableAfter {
 			out[m] = true
-			if deafs[m.Zone]++; worst == "" || deafs[m.Zone] > deafs[worst] {
+			if oneWayByZone[m.Zone]++; worst == "" || oneWayByZone[m.Zone] > oneWayByZone[worst] {
 				worst = m.Zone
 			}
 		}
@@ -55,12 +55,12 @@
 	up, n := 0, 0
 	for _, m := range h.fleet.Machines() {
 		if m.Up {
-			ups[m.Zone]++
+			upByZone[m.Zone]++
 		}
 	}
-	for zone, all := range ups {
-		if zone != worst || len(ups) == 1 {
-			up, n = up+all, n+deafs[zone]
+	for zone, all := range upByZone {
+		if zone != worst || len(upByZone) == 1 {
+			up, n = up+all, n+oneWayByZone[zone]
 		}
 	}
 	if n*3 > up {
@@ -69,7 +69,7 @@
 	return out
 }
 
-// reach counts the machines that should be heard and those that are overdue. Ones
+// healthSummary counts the machines that should be heard and those that are overdue. Ones
 // that were lately given up for their silence count as both: when many fall
 // silent, it is more likely that a network failed than that they all died, and
 // their tasks live on for as long as their leases. The zone with the most
@@ -78,62 +78,62 @@
 // anyway.
 // The zones of parts that siblings hold count too, if others is set: what a holder of
 // one zone alone can't tell apart, they can.
-func (h *Holder) reach(now time.Time, others bool) (up, quiet int) {
-	h.silenced = slices.DeleteFunc(h.silenced, func(s silenced) bool { return now.Sub(s.at) > h.cfg.Workers.Lease })
-	ups, quiets := make(map[string]int), make(map[string]int)
-	for _, s := range h.silenced {
-		ups[s.zone]++
-		quiets[s.zone]++
+func (h *Leader) healthSummary(now time.Time, others bool) (expected, missing int) {
+	h.evictedUnreachable = slices.DeleteFunc(h.evictedUnreachable, func(s eviction) bool { return now.Sub(s.at) > h.cfg.Workers.Lease })
+	expectedByZone, missingByZone := make(map[string]int), make(map[string]int)
+	for _, s := range h.evictedUnreachable {
+		expectedByZone[s.zone]++
+		missingByZone[s.zone]++
 	}
-	for zone, r := range h.zones(now) {
-		ups[zone] += r.Up
-		quiets[zone] += r.Quiet
+	for zone, r := range h.zoneHealth(now) {
+		expectedByZone[zone] += r.Up
+		missingByZone[zone] += r.Quiet
 	}
 	if others {
-		for _, part := range sortedKeys(h.others) {
-			for zone, r := range h.others[part].Zones {
-				ups[zone] += r.Up
-				quiets[zone] += r.Quiet
+		for _, part := range sortedKeys(h.peerShards) {
+			for zone, r := range h.peerShards[part].Zones {
+				expectedByZone[zone] += r.Up
+				missingByZone[zone] += r.Quiet
 			}
 		}
 	}
 	worst := ""
-	for _, zone := range sortedKeys(ups) {
-		up += ups[zone]
-		quiet += quiets[zone]
-		if worst == "" || quiets[zone] > quiets[worst] {
+	for _, zone := range sortedKeys(expectedByZone) {
+		expected += expectedByZone[zone]
+		missing += missingByZone[zone]
+		if worst == "" || missingByZone[zone] > missingByZone[worst] {
 			worst = zone
 		}
 	}
-	for _, zone := range sortedKeys(ups) {
-		if (zone == worst || h.dark(zone)) && len(ups) > 1 {
-			up, quiet = up-ups[zone], quiet-quiets[zone]
-			delete(ups, zone)
+	for _, zone := range sortedKeys(expectedByZone) {
+		if (zone == worst || h.zoneUnreachable(zone)) && len(expectedByZone) > 1 {
+			expected, missing = expected-expectedByZone[zone], missing-missingByZone[zone]
+			delete(expectedByZone, zone)
 		}
 	}
-	return up, quiet
+	return expected, missing
 }
 
-// darkLeast is how many silent machines are more than a few.
-const darkLeast = 4
+// minMachinesToJudge is how many silent machines are more than a few.
+const minMachinesToJudge = 4
 
-// silenced is a machine that was given up for its silence.
-type silenced struct {
+// eviction is a machine that was given up for its silence.
+type eviction struct {
 	at   time.Time
 	zone string
 }
 
-// Unheard reports how many machines this holder does not hear, if those are
+// UnreachableMachines reports how many machines this holder does not hear, if those are
 // too many for their own fault.
-func (h *Holder) Unheard(now time.Time) int {
+func (h *Leader) UnreachableMachines(now time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if up, quiet := h.reach(now, false); quiet*3 <= up {
+	if up, quiet := h.healthSummary(now, false); quiet*3 <= up {
 		return 0
 	}
 	n := 0
 	for _, m := range h.fleet.Machines() {
-		if (m.Up || m.Recorded) && h.silent(now, m) {
+		if (m.Up || m.Recorded) && h.unreachable(now, m) {
 			n++
 		}
 	}
@@ -143,28 +143,28 @@
 // A holder that did nothing for so long has stood still, and for so long after that it can't tell
 // which machines are silent: their reports found nobody, and they try elsewhere.
 const (
-	stillTime = 4 * time.Second
-	awakeTime = 5 * time.Second
+	pauseThreshold = 4 * time.Second
+	pauseGrace     = 5 * time.Second
 )
 
-// silent reports whether a machine has been quiet for too long. One that was
+// unreachable reports whether a machine has been quiet for too long. One that was
 // never heard under the term may still be answered by an earlier holder, and it
 // takes a while to call a large fleet: only calls in vain say that it is gone.
-func (h *Holder) silent(now time.Time, m *fleet.Machine) bool {
-	if now.Sub(h.awake) < awakeTime {
+func (h *Leader) unreachable(now time.Time, m *fleet.Machine) bool {
+	if now.Sub(h.lastPauseEnd) < pauseGrace {
 		return false
 	}
-	if !m.Heard.IsZero() {
-		return h.quiet(now, m) > h.times.silence
+	if !m.LastHeartbeat.IsZero() {
+		return h.heartbeatAge(now, m) > h.timeouts.unreachableAfter
 	}
-	since := now.Sub(h.fleet.Claimed)
-	return h.called[m.ID].failures >= 2 && since > min(rebuildWait, h.times.silence) || since > h.times.silence+h.cfg.Workers.Lease
+	since := now.Sub(h.fleet.ElectedAt)
+	return h.callStates[m.ID].failures >= 2 && since > min(maxRebuildWait, h.timeouts.unreachableAfter) || since > h.timeouts.unreachableAfter+h.cfg.Workers.Lease
 }
 
-// quiet tells for how long a machine has not been heard under this term.
-func (h *Holder) quiet(now time.Time, m *fleet.Machine) time.Duration {
-	if m.Heard.After(h.fleet.Claimed) {
-		return now.Sub(m.Heard)
+// heartbeatAge tells for how long a machine has not been heard under this term.
+func (h *Leader) heartbeatAge(now time.Time, m *fleet.Machine) time.Duration {
+	if m.LastHeartbeat.After(h.fleet.ElectedAt) {
+		return now.Sub(m.LastHeartbeat)
 	}
-	return now.Sub(h.fleet.Claimed)
+	return now.Sub(h.fleet.ElectedAt)
 }
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -8,101 +8,101 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reconcile compares the placements with the jobs of the snapshot: what is
+// reconcilePlacements compares the placements with the jobs of the snapshot: what is
 // over is stopped or withdrawn, what is stored is settled.
-func (h *Holder) reconcile(now time.Time) {
+func (h *Leader) reconcilePlacements(now time.Time) {
 	for _, m := range h.fleet.Machines() {
-		if now.Sub(m.Heard) > h.times.fresh || !h.fleet.Heeds(now, m) || m.Draining != "" || !m.Notice.IsZero() || m.Releasing {
+		if now.Sub(m.LastHeartbeat) > h.timeouts.launchWithin || !h.fleet.ReceivesCommands(now, m) || m.DrainReason != "" || !m.TerminationTime.IsZero() || m.Releasing {
 			for _, p := range m.Placements() {
 				h.fleet.Withdraw(p) // planned where nothing is said any more
 			}
 		}
 		for _, p := range m.Placements() {
-			l := h.live[p.Task.Job]
+			l := h.liveJobs[p.Task.Job]
 			if l == nil {
-				h.over(now, m, p)
+				h.reconcileEnded(now, m, p)
 				continue
 			}
 			if p.Stop != nil && h.fleet.Withdraw(p) {
 				continue // told to stop while its launch was on its way, which was in vain
 			}
-			j := h.history(p.Task.Job)
-			if !p.Settled && p.State == fleet.Ended && j.stored.Has(p.Task.Index) {
-				p.Settled = true
+			j := h.jobState(p.Task.Job)
+			if !p.EndHandled && p.State == fleet.Ended && j.storedFinished.Contains(p.Task.Index) {
+				p.EndHandled = true
 			}
-			if !m.Notice.IsZero() && p.Active() && p.Stop == nil && l.Record.Job.CheckpointS > 0 {
-				h.stop(now, p, l.Record.Job, "the machine is being taken")
+			if !m.TerminationTime.IsZero() && p.Active() && p.Stop == nil && l.Record.Job.CheckpointS > 0 {
+				h.stopTask(now, p, l.Record.Job, "the machine is being taken")
 			}
 		}
 	}
-	h.tearGangs(now)
-	h.calledOff(now)
-	for id, j := range h.jobs {
-		if h.live[id] != nil {
+	h.stopBrokenGangs(now)
+	h.stopAborted(now)
+	for id, j := range h.jobStates {
+		if h.liveJobs[id] != nil {
 			continue
 		}
-		if h.closed(now, id, j); now.Sub(j.ended) > 10*time.Minute {
-			delete(h.jobs, id)
+		if h.noteJobEnded(now, id, j); now.Sub(j.endedAt) > 10*time.Minute {
+			delete(h.jobStates, id)
 		}
 	}
 }
 
-// closed notes when a job was done or cancelled.
-func (h *Holder) closed(now time.Time, id string, j *history) {
-	if !j.ended.IsZero() {
+// noteJobEnded notes when a job was done or cancelled.
+func (h *Leader) noteJobEnded(now time.Time, id string, j *jobState) {
+	if !j.endedAt.IsZero() {
 		return
 	}
-	j.ended = now
-	rec, ok := h.known.Job(id)
+	j.endedAt = now
+	rec, ok := h.jobIndex.Job(id)
 	if at := time.UnixMilli(rec.Ended); ok && rec.Ended > 0 && at.Before(now) {
-		j.ended = at // its user was told then, by whichever controller
+		j.endedAt = at // its user was told then, by whichever controller
 	}
-	h.ledger.ForgetJob(id, rec.Tasks)
+	h.ledger.DiscardJob(id, rec.Tasks)
 	h.unstored.remove(id)
-	delete(h.implied, id)
+	delete(h.inferredShares, id)
 }
 
-// over deals with a placement of a job that is done or cancelled.
-func (h *Holder) over(now time.Time, m *fleet.Machine, p *fleet.Placement) {
+// reconcileEnded deals with a placement of a job that is done or cancelled.
+func (h *Leader) reconcileEnded(now time.Time, m *fleet.Machine, p *fleet.Placement) {
 	if h.fleet.Withdraw(p) {
 		return
 	}
-	j := h.history(p.Task.Job)
-	h.closed(now, p.Task.Job, j)
+	j := h.jobState(p.Task.Job)
+	h.noteJobEnded(now, p.Task.Job, j)
 	if p.State == fleet.Ended {
-		p.Settled = true
+		p.EndHandled = true
 		return
 	}
-	if p.Stop == nil || !p.Stop.Over {
-		p.Stop = &fleet.Stop{Why: "job is over", Since: now, Over: true, Until: j.ended.Add(h.cfg.Workers.Linger())}
+	if p.Stop == nil || !p.Stop.JobFinished {
+		p.Stop = &fleet.StopOrder{Reason: "job is over", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(h.cfg.Workers.MaxCancelStaleness())}
 		h.log.Debug("stopping", "task", p.Task, "machine", p.Machine, "why", "job is over")
 	}
 	// A machine that can't be reached, or to which a launch may still be on its
 	// way, is released before the time is up. While the cloud does not take that, the
 	// launch is kept from being executed by a lease that no answer renews (fleet.Lapses).
-	switch age := now.Sub(j.ended); {
-	case p.Loose() && age > h.cfg.Workers.Linger()/2:
-		h.giveUp(m, "the launch of a cancelled task may still be on its way there")
-	case age > h.cfg.Workers.Cancel-15*time.Second && now.Sub(m.Heard) > h.times.direct:
-		h.giveUp(m, "it may run a task of a cancelled job, and is silent")
+	switch age := now.Sub(j.endedAt); {
+	case p.CallPending() && age > h.cfg.Workers.MaxCancelStaleness()/2:
+		h.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
+	case age > h.cfg.Workers.Cancel-15*time.Second && now.Sub(m.LastHeartbeat) > h.timeouts.directLaunchWithin:
+		h.releaseMachine(m, "it may run a task of a cancelled job, and is silent")
 	}
 }
 
-// spare takes a later attempt of a task back that is done after all, as an old report has told,
+// withdrawLaterAttempt takes a later attempt of a task back that is done after all, as an old report has told,
 // or has it stopped: its job may be called done before the attempt begins. The other tasks of
 // a gang are about to say that they are done.
-func (h *Holder) spare(t wire.TaskID, gang bool) {
-	p := h.fleet.Active(t)
+func (h *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
+	p := h.fleet.ActivePlacement(t)
 	for p != nil && h.fleet.Withdraw(p) {
-		p = h.fleet.Active(t)
+		p = h.fleet.ActivePlacement(t)
 	}
 	if p != nil && p.Stop == nil && !gang {
-		p.Stop = &fleet.Stop{Why: "its task is done", Since: p.Placed}
+		p.Stop = &fleet.StopOrder{Reason: "its task is done", Since: p.PlacedAt}
 	}
 }
 
-// stop asks a task to end, with time to save; a gang is stopped as a whole.
-func (h *Holder) stop(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
+// stopTask asks a task to end, with time to save; a gang is stopped as a whole.
+func (h *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
 	var grace time.Duration
 	if job.CheckpointS > 0 {
 		grace = wire.Seconds(job.SaveS) + 5*time.Second
@@ -110,84 +110,84 @@
 	all := []*fleet.Placement{p}
 	if job.Shape == wire.Gang {
 		for i := range job.Tasks {
-			if q := h.fleet.Active(wire.TaskID{Job: job.ID, Index: i}); q != nil && q != p {
+			if q := h.fleet.ActivePlacement(wire.TaskID{Job: job.ID, Index: i}); q != nil && q != p {
 				all = append(all, q)
 			}
 		}
 	}
 	for _, q := range all {
 		if q.Stop == nil && !h.fleet.Withdraw(q) {
-			q.Stop = &fleet.Stop{Grace: grace, Why: why, Since: now}
-			h.noteVain(q)
+			q.Stop = &fleet.StopOrder{Grace: grace, Reason: why, Since: now}
+			h.countFailedAttempt(q)
 			h.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "why", why)
 		}
 	}
 }
 
-// noteVain counts that a task is stopped before its image has come.
-func (h *Holder) noteVain(p *fleet.Placement) {
+// countFailedAttempt counts that a task is stopped before its image has come.
+func (h *Leader) countFailedAttempt(p *fleet.Placement) {
 	if p.State != fleet.Fetching {
 		return
 	}
-	j := h.history(p.Task.Job)
-	if j.vain == nil {
-		j.vain = make(map[int]int)
+	j := h.jobState(p.Task.Job)
+	if j.failedAttempts == nil {
+		j.failedAttempts = make(map[int]int)
 	}
-	j.vain[p.Task.Index]++
+	j.failedAttempts[p.Task.Index]++
 }
 
-// tearGangs stops what is left of a gang that has lost a task: a new attempt
+// stopBrokenGangs stops what is left of a gang that has lost a task: a new attempt
 // needs all of the old one gone.
-func (h *Holder) tearGangs(now time.Time) {
-	for id, l := range h.live {
+func (h *Leader) stopBrokenGangs(now time.Time) {
+	for id, l := range h.liveJobs {
 		if l.Record.Job.Shape != wire.Gang || l.Record.Tasks < 2 {
 			continue
 		}
-		if !h.group.Whole() && !h.history(id).finished.Has(0) && gangDone(l, h.sharesOf(l)) {
-			h.finish(wire.TaskID{Job: id}, h.history(id)) // another part has seen it complete
+		if !h.sharding.IsSingle() && !h.jobState(id).finished.Contains(0) && gangCompleted(l, h.allRanges(l)) {
+			h.markFinished(wire.TaskID{Job: id}, h.jobState(id)) // another part has seen it complete
 		}
 		var left []*fleet.Placement
 		for i := range l.Record.Tasks {
-			if p := h.fleet.Active(wire.TaskID{Job: id, Index: i}); p != nil {
+			if p := h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}); p != nil {
 				left = append(left, p)
 			}
 		}
-		if len(left) == 0 || len(left) == h.piece(l) || h.history(id).finished.Has(0) {
+		if len(left) == 0 || len(left) == h.gangTasksHere(l) || h.jobState(id).finished.Contains(0) {
 			continue
 		}
 		for _, p := range left {
-			if p.Stop == nil && !h.fetchesOn(now, p) && !h.fleet.Withdraw(p) {
-				p.Stop = &fleet.Stop{Why: "gang is torn", Since: now}
+			if p.Stop == nil && !h.keepsFetching(now, p) && !h.fleet.Withdraw(p) {
+				p.Stop = &fleet.StopOrder{Reason: "gang is torn", Since: now}
 			}
 		}
 	}
 }
 
-// fetchMost is for how long a fetch is waited for that may be all that a gang lacks.
-const fetchMost = 3 * time.Minute
+// maxFetchWait is for how long a fetch is waited for that may be all that a gang lacks.
+const maxFetchWait = 3 * time.Minute
 
-// fetchesOn reports whether a task of a gang is left alone until it has its image. The others waited
+// keepsFetching reports whether a task of a gang is left alone until it has its image. The others waited
 // for it in vain: were its fetch given up with them, the next attempt would wait in vain for the same.
-func (h *Holder) fetchesOn(now time.Time, p *fleet.Placement) bool {
-	return p.Seen && p.State == fleet.Fetching && h.history(p.Task.Job).alone == p.Attempt && now.Sub(p.Placed) < fetchMost
+func (h *Leader) keepsFetching(now time.Time, p *fleet.Placement) bool {
+	return p.Reported && p.State == fleet.Fetching && h.jobState(p.Task.Job).timedOutAttempt == p.Attempt && now.Sub(p.PlacedAt) < maxFetchWait
 }
 
-// piece tells how many tasks of a gang this part has: all, but of one that ran when the
+// gangTasksHere tells how many tasks of a gang this part has: all, but of one that ran when the
 // state was divided anew.
-func (h *Holder) piece(l *store.LiveJob) int {
-	mine, elsewhere := h.shares(l)
+func (h *Leader) gangTasksHere(l *store.LiveJob) int {
+	mine, elsewhere := h.ownRanges(l)
 	if elsewhere == 0 && len(mine) == 0 {
 		return l.Record.Tasks
 	}
-	return tasksOf(mine)
+	return countTasks(mine)
 }
 
-// giveUp has a machine released, whatever is on it.
-func (h *Holder) giveUp(m *fleet.Machine, why string) {
+// releaseMachine has a machine released, whatever is on it.
+func (h *Leader) releaseMachine(m *fleet.Machine, why string) {
 	if m.Releasing {
 		return
 	}
 	m.Releasing = true
-	h.release[m.ID] = true
+	h.machinesToRelease[m.ID] = true
 	h.log.Info("releasing", "machine", m.ID, "why", why)
 }
--- a/internal/leader/round_size_test.go
+++ b/internal/leader/round_size_test.go
@@ -24,9 +24,9 @@
 		{4, 2, 4, "fleet"},
 	} {
 		t.Run(fmt.Sprint(c.rps, " of ", c.siblings+1, " in ", c.parts), func(t *testing.T) {
-			b := newBench(t)
+			b := newTraceDriver(t)
 			b.cfg.Store.WriteRPS, b.cfg.Store.TxnOps = c.rps, 24
-			b.cfg.Siblings = make([]config.Sibling, c.siblings)
+			b.cfg.Peers = make([]config.Peer, c.siblings)
 			var tasks []string
 			for i := range 40 {
 				b.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=1 gpus=0.1", i))
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -16,152 +16,152 @@
 // What is asked of the cloud: rentals, whose intents a round writes before they are
 // sent, and the return of machines.
 
-// askFor takes the intents of rentals that a plan wants into a round.
-func (h *Holder) askFor(now time.Time, d *Draft, rents []scheduler.Rent) {
-	for _, r := range h.rentals.Wanted(now, rents) {
-		name := fmt.Sprintf("t%d-%d", h.held.Term, h.sequence+1)
-		if !d.add(store.AskEntry(name, askRecord(r))) {
-			if len(d.asks) == 0 && len(d.launches) == 0 {
-				h.stalls.blocked(now, StallRentals, "")
+// requestScaleOut takes the intents of rentals that a plan wants into a round.
+func (h *Leader) requestScaleOut(now time.Time, d *Draft, rents []scheduler.ScaleOut) {
+	for _, r := range h.scaleOutRequests.Admit(now, rents) {
+		name := fmt.Sprintf("t%d-%d", h.lease.FencingToken, h.attemptSequence+1)
+		if !d.addEntries(store.ScaleOutEntry(name, scaleOutRecord(r))) {
+			if len(d.requests) == 0 && len(d.launches) == 0 {
+				h.stalls.blocked(now, StallScaleOut, "")
 			}
 			break
 		}
-		h.sequence++
-		h.rentals.Add(now, name, r)
-		d.asks = append(d.asks, name)
+		h.attemptSequence++
+		h.scaleOutRequests.Add(now, name, r)
+		d.requests = append(d.requests, name)
 	}
 }
 
-func askRecord(r scheduler.Rent) store.AskRecord {
-	return store.AskRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+func scaleOutRecord(r scheduler.ScaleOut) store.ScaleOutRecord {
+	return store.ScaleOutRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// asked takes in that the intents of a round are stored. Those whose offer has refused
+// scaleOutCommitted takes in that the intents of a round are stored. Those whose offer has refused
 // others meanwhile are never sent.
-func (h *Holder) asked(d *Draft) {
-	for _, name := range d.asks {
-		if !h.rentals.Written(name) {
-			h.dropAsks[name] = true
+func (h *Leader) scaleOutCommitted(d *Draft) {
+	for _, name := range d.requests {
+		if !h.scaleOutRequests.MarkStored(name) {
+			h.requestsToDrop[name] = true
 		}
 	}
-	if len(d.asks) > 0 {
-		h.kickRents()
+	if len(d.requests) > 0 {
+		h.wakeScaleOutLoop()
 	}
 }
 
-func (h *Holder) kickRents() {
+func (h *Leader) wakeScaleOutLoop() {
 	select {
-	case h.kickRent <- struct{}{}:
+	case h.scaleOutWake <- struct{}{}:
 	default:
 	}
 }
 
-// rents sends the rentals whose intents are stored. Which one is chosen only when the
+// scaleOutLoop sends the rentals whose intents are stored. Which one is chosen only when the
 // cloud takes the next call.
-func (h *Holder) rents(ctx context.Context, e Edges) error {
+func (h *Leader) scaleOutLoop(ctx context.Context, e Dependencies) error {
 	for ctx.Err() == nil {
-		if h.nextAsk(time.Now()) == nil || !e.Valid() {
+		if h.nextScaleOut(time.Now()) == nil || !e.LeaseValid() {
 			t := time.NewTimer(300 * time.Millisecond)
 			select {
 			case <-ctx.Done():
-			case <-h.kickRent:
+			case <-h.scaleOutWake:
 			case <-t.C:
 			}
 			t.Stop()
 			continue
 		}
-		if e.Cloud.RentTurn(ctx) != nil || !e.Valid() {
+		if e.Cloud.WaitForScaleOut(ctx) != nil || !e.LeaseValid() {
 			continue
 		}
-		if a := h.sendAsk(time.Now()); a != nil {
-			go h.rent(ctx, e, a.Name, a.Rent)
+		if a := h.takeScaleOut(time.Now()); a != nil {
+			go h.sendScaleOut(ctx, e, a.Name, a.ScaleOut)
 		}
 	}
 	return nil
 }
 
-func (h *Holder) nextAsk(now time.Time) *autoscale.Ask {
+func (h *Leader) nextScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.rentals.Next(now)
+	return h.scaleOutRequests.Next(now)
 }
 
-func (h *Holder) sendAsk(now time.Time) *autoscale.Ask {
+func (h *Leader) takeScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.rentals.Next(now)
+	a := h.scaleOutRequests.Next(now)
 	if a != nil {
-		h.rentals.Sent(now, a.Name)
+		h.scaleOutRequests.MarkSent(now, a.Name)
 	}
 	return a
 }
 
-// rent sends a request, which is repeated until the cloud has decided; its name makes
+// sendScaleOut sends a request, which is repeated until the cloud has decided; its name makes
 // sure that it is carried out once.
-func (h *Holder) rent(ctx context.Context, e Edges, name string, r scheduler.Rent) {
-	names, err := e.Cloud.Rent(ctx, wire.Rental{Ask: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
+func (h *Leader) sendScaleOut(ctx context.Context, e Dependencies, name string, r scheduler.ScaleOut) {
+	names, err := e.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
 	if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-		h.rented(time.Now(), name, names)
+		h.scaledOut(time.Now(), name, names)
 		return
 	}
 	h.log.Debug("rental without an answer", "ask", name, "error", err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rentals.Unanswered(name)
+	h.scaleOutRequests.MarkUnanswered(name)
 }
 
-func (h *Holder) rented(now time.Time, name string, names []string) {
+func (h *Leader) scaledOut(now time.Time, name string, names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.rentals.Ask(name)
+	a := h.scaleOutRequests.Ask(name)
 	if a == nil {
 		return
 	}
 	for _, id := range names {
-		h.fleet.Know(now, id, a.Type, a.Zone, a.Spot)
+		h.fleet.EnsureMachine(now, id, a.Type, a.Zone, a.Spot)
 	}
-	over := h.rentals.Answered(now, name, len(names))
+	over := h.scaleOutRequests.Complete(now, name, len(names))
 	h.log.Info("rented", "ask", name, "type", a.Type, "zone", a.Zone, "spot", a.Spot, "wanted", a.Count, "got", len(names), "unsent", len(over)-1)
 	for _, name := range over {
-		h.dropAsks[name] = true
+		h.requestsToDrop[name] = true
 	}
-	h.kickRents()
-	h.Kick()
+	h.wakeScaleOutLoop()
+	h.Wake()
 }
 
-// releases returns the machines that are given up, again until the cloud has
+// scaleInLoop returns the machines that are given up, again until the cloud has
 // taken it.
-func (h *Holder) releases(ctx context.Context, e Edges) error {
+func (h *Leader) scaleInLoop(ctx context.Context, e Dependencies) error {
 	for ctx.Err() == nil {
-		if names := h.toRelease(); len(names) > 0 && e.Valid() {
+		if names := h.pendingReleases(); len(names) > 0 && e.LeaseValid() {
 			if err := e.Cloud.Release(ctx, names); err == nil {
-				h.takenBack(names)
+				h.scaledIn(names)
 			} else {
 				h.log.Debug("release without an answer", "machines", names, "error", err)
-				store.Pause(ctx, time.Second)
+				store.Backoff(ctx, time.Second)
 			}
 		}
-		store.Pause(ctx, 300*time.Millisecond)
+		store.Backoff(ctx, 300*time.Millisecond)
 	}
 	return nil
 }
 
-func (h *Holder) toRelease() []string {
+func (h *Leader) pendingReleases() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	names := sortedKeys(h.release)
+	names := sortedKeys(h.machinesToRelease)
 	return names[:min(len(names), wire.MaxRelease)]
 }
 
-// takenBack takes in that the cloud has taken machines back.
-func (h *Holder) takenBack(names []string) {
+// scaledIn takes in that the cloud has taken machines back.
+func (h *Leader) scaledIn(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range names {
 		if m := h.fleet.Machine(id); m != nil {
-			h.rentals.Returned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			h.scaleOutRequests.InstanceReturned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
-		h.fleet.Released(id)
-		h.gone(id, "released")
+		h.fleet.MarkReleased(id)
+		h.forgetMachine(id, "released")
 	}
 }
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -14,8 +14,8 @@
 func TestStallDetector(t *testing.T) {
 	begun := time.Unix(1e9, 0)
 	at := func(s int) time.Time { return begun.Add(time.Duration(s) * time.Second) }
-	s := stallDetector{well: begun}
-	if s.looks(at(14)) || !s.looks(at(15)) {
+	s := stallDetector{lastProgress: begun}
+	if s.checkDue(at(14)) || !s.checkDue(at(15)) {
 		t.Error("whether anything could start is not asked after 15 s")
 	}
 	s.blocked(at(20), StallPlan, "wk-1")
@@ -27,13 +27,13 @@
 	if got, is := s.stall(at(50)); !is || got != (Stall{at(20), StallLedger, "wk-2"}) {
 		t.Errorf("after 30 s: %+v, %v", got, is)
 	}
-	if _, tells := s.tell(at(50)); !tells {
+	if _, tells := s.toLog(at(50)); !tells {
 		t.Error("not logged after 30 s")
 	}
-	if _, tells := s.tell(at(79)); tells {
+	if _, tells := s.toLog(at(79)); tells {
 		t.Error("logged again after 29 s")
 	}
-	if _, tells := s.tell(at(80)); !tells {
+	if _, tells := s.toLog(at(80)); !tells {
 		t.Error("not logged again after 30 s")
 	}
 	s.idle(at(100)) // its machines were returned, and others are being rented
@@ -47,7 +47,7 @@
 	s.blocked(at(200), StallPlan, "wk-3")
 	s.blocked(at(240), StallPlan, "wk-3")
 	s.started(at(241))
-	if _, is := s.stall(at(241)); is || s.looks(at(255)) {
+	if _, is := s.stall(at(241)); is || s.checkDue(at(255)) {
 		t.Error("a start does not end the stall")
 	}
 }
@@ -56,19 +56,19 @@
 func TestStallIsTold(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		plant func(c *crowd)
+		plant func(c *largeFleet)
 		cause StallCause
 	}{
-		{"all is well", func(*crowd) {}, ""},
-		{"the ledger has no room", func(c *crowd) { c.ledger, _ = store.NewLedger("fleet", 300, nil) }, StallLedger},
-		{"nor for rentals", func(c *crowd) {
+		{"all is well", func(*largeFleet) {}, ""},
+		{"the ledger has no room", func(c *largeFleet) { c.ledger, _ = store.NewLedger("fleet", 300, nil) }, StallLedger},
+		{"nor for rentals", func(c *largeFleet) {
 			c.ledger, _ = store.NewLedger("fleet", 300, nil)
-			c.reports = nil // no machine is heard any more
-		}, StallRentals},
+			c.heartbeats = nil // no machine is heard any more
+		}, StallScaleOut},
 		{"every round is refused", nil, StallRefused},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newCrowd(t, 60, 1)
+			c := newLargeFleet(t, 60, 1)
 			c.cfg.Tuning.Idle = time.Hour
 			var logged strings.Builder
 			c.log = slog.New(slog.NewTextHandler(&logged, nil))
@@ -77,16 +77,16 @@
 			}
 			for range 50 {
 				if x.plant != nil {
-					c.turn()
-					c.reportAll()
+					c.runRound()
+					c.heartbeatAll()
 					continue
 				}
 				c.now = c.now.Add(time.Second)
 				if d := c.Decide(c.now, c.view.Snapshot()); d != nil {
-					c.unwritten(c.now, d, StallRefused)
+					c.roundUnwritten(c.now, d, StallRefused)
 					c.Discard(d)
 				}
-				c.reportAll()
+				c.heartbeatAll()
 			}
 			stall, is := c.Stall(c.now)
 			if is != (x.cause != "") || stall.Cause != x.cause {
@@ -103,15 +103,15 @@
 func TestNoStallWithoutRoom(t *testing.T) {
 	for name, teams := range map[string]int{"full": 0, "at the limits": 15} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrowdOf(t, 60, 1, teams)
+			c := newLargeFleetOf(t, 60, 1, teams)
 			for i := range c.cfg.Teams {
 				if teams > 0 {
 					c.cfg.Teams[i].GPUsMax = 6
 				}
 			}
 			for range 120 {
-				c.turn()
-				c.reportAll()
+				c.runRound()
+				c.heartbeatAll()
 			}
 			if stall, is := c.Stall(c.now); is {
 				t.Errorf("%+v", stall)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -8,69 +8,69 @@
 	"amberdeal.example/amberdeal/internal/tier"
 )
 
-// PartStatus is what the holder of a part tells its siblings of it, once a second. Rules
+// ShardStatus is what the holder of a part tells its siblings of it, once a second. Rules
 // never rest on it: it says where work might find room, not whose it is.
-type PartStatus struct {
+type ShardStatus struct {
 	Term     uint64
-	Counts   map[string]Count
-	Rooms    map[string]scheduler.Room   // by class
-	Wants    map[string]scheduler.Want   // by team: what its grant holds back
-	Used     map[string][2]float64       // CPUs and GPUs, by team
-	Stays    map[string]scheduler.Amount // what services take of that, or are to, by team
-	Zones    map[string]Reach
+	Counts   map[string]TaskCount
+	Rooms    map[string]scheduler.FreeCapacity // by class
+	Wants    map[string]scheduler.QuotaDemand  // by team: what its grant holds back
+	Used     map[string][2]float64             // CPUs and GPUs, by team
+	Stays    map[string]scheduler.Resources    // what services take of that, or are to, by team
+	Zones    map[string]ZoneHealth
 	Ready    []string // gangs for whose tasks here there is room, of which others have the rest
 	Tiers    map[string]tier.Status
 	Backlog  int // tasks that found no room
 	Machines int
 }
 
-// Reach counts the machines of a zone that should be heard, and those that are overdue.
-type Reach struct{ Up, Quiet int }
+// ZoneHealth counts the machines of a zone that should be heard, and those that are overdue.
+type ZoneHealth struct{ Up, Quiet int }
 
 // Status gives the part's status, no older than the counts. Its maps are shared and
 // never changed.
-func (h *Holder) Status(now time.Time) PartStatus {
-	counts := h.Counts(now)
+func (h *Leader) Status(now time.Time) ShardStatus {
+	counts := h.TaskCounts(now)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.status.Counts != nil && now.Sub(h.stood) < countGap {
-		return h.status
+	if h.lastStatus.Counts != nil && now.Sub(h.lastStatusAt) < statusInterval {
+		return h.lastStatus
 	}
-	s := PartStatus{Term: h.held.Term, Counts: counts, Wants: maps.Clone(h.outlook.wants), Used: h.used(), Stays: h.outlook.stays, Zones: h.zones(now), Machines: len(h.fleet.Machines()), Ready: h.outlook.ready}
+	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.forecast.demands), Used: h.teamUsage(), Stays: h.forecast.serviceUsage, Zones: h.zoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
 	s.Tiers = h.tierStatuses()
-	if h.resumed {
-		s.Rooms = h.outlook.rooms
+	if h.rebuiltReachable {
+		s.Rooms = h.forecast.freeCapacity
 	}
-	for _, short := range h.outlook.short {
-		s.Backlog += short.Coming + short.None
+	for _, short := range h.forecast.unplaced {
+		s.Backlog += short.Coming + short.Unserved
 	}
-	h.status, h.stood = s, now
+	h.lastStatus, h.lastStatusAt = s, now
 	return s
 }
 
-// SetOthers takes in how the other parts stand, and how many siblings pass reports on to
+// SetPeerShards takes in how the other parts stand, and how many siblings pass reports on to
 // this controller.
-func (h *Holder) SetOthers(others map[string]PartStatus, edges int) {
+func (h *Leader) SetPeerShards(shards map[string]ShardStatus, ingestPeers int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.others, h.edges = others, edges
+	h.peerShards, h.ingestPeers = shards, ingestPeers
 }
 
 // Rebuilt reports whether all machines have been accounted for under this term.
-func (h *Holder) Rebuilt() bool {
+func (h *Leader) Rebuilt() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rebuilt
 }
 
-// zones counts by zone the machines that should be heard and those that are overdue.
-func (h *Holder) zones(now time.Time) map[string]Reach {
-	out := make(map[string]Reach)
+// zoneHealth counts by zone the machines that should be heard and those that are overdue.
+func (h *Leader) zoneHealth(now time.Time) map[string]ZoneHealth {
+	out := make(map[string]ZoneHealth)
 	for _, m := range h.fleet.Machines() {
 		if (m.Up || m.Recorded) && !m.Releasing {
 			r := out[m.Zone]
 			r.Up++
-			if h.quiet(now, m) > h.times.overdue || h.silent(now, m) {
+			if h.heartbeatAge(now, m) > h.timeouts.suspectAfter || h.unreachable(now, m) {
 				r.Quiet++
 			}
 			out[m.Zone] = r
@@ -79,20 +79,20 @@
 	return out
 }
 
-// darkAlone reports whether hardly any machine of this part is heard, by siblings either,
+// unreachableAlone reports whether hardly any machine of this part is heard, by siblings either,
 // while those of other parts are: its zones are dark, not the way to this controller.
-func (h *Holder) darkAlone(now time.Time) bool {
-	if h.edges == 0 || len(h.others) == 0 {
+func (h *Leader) unreachableAlone(now time.Time) bool {
+	if h.ingestPeers == 0 || len(h.peerShards) == 0 {
 		return false
 	}
 	up, quiet, otherUp, otherQuiet := 0, 0, 0, 0
-	for _, r := range h.zones(now) {
+	for _, r := range h.zoneHealth(now) {
 		up, quiet = up+r.Up, quiet+r.Quiet
 	}
-	for _, o := range h.others {
+	for _, o := range h.peerShards {
 		for _, r := range o.Zones {
 			otherUp, otherQuiet = otherUp+r.Up, otherQuiet+r.Quiet
 		}
 	}
-	return up >= darkLeast && quiet*10 >= up*9 && otherUp >= darkLeast && otherQuiet*3 <= otherUp
+	return up >= minMachinesToJudge && quiet*10 >= up*9 && otherUp >= minMachinesToJudge && otherQuiet*3 <= otherUp
 }
--- a/internal/leader/teams.go
+++ b/internal/leader/teams.go
@@ -5,18 +5,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// teams lists the teams of the settings and those that have left them while jobs of theirs go on.
+// allTeams lists the teams of the settings and those that have left them while jobs of theirs go on.
 // Such a team is guaranteed nothing, and may use no more than its largest job needs to run at all:
 // that much was within its limit when the job was accepted.
-func (h *Holder) teams() []config.Team {
+func (h *Leader) allTeams() []config.Team {
 	known := make(map[string]bool, len(h.cfg.Teams))
 	for i := range h.cfg.Teams {
 		known[h.cfg.Teams[i].Name] = true
 	}
 	departed := make(map[string]config.Team)
-	for _, l := range h.live {
+	for _, l := range h.liveJobs {
 		if j := l.Record.Job; !known[j.Team] {
-			departed[j.Team] = withRoomFor(departed[j.Team], j)
+			departed[j.Team] = withLimitFor(departed[j.Team], j)
 		}
 	}
 	all := h.cfg.Teams[:len(h.cfg.Teams):len(h.cfg.Teams)]
@@ -26,9 +26,9 @@
 	return all
 }
 
-// withRoomFor raises the limits of a team to what a job needs to run at all: one task of an array,
+// withLimitFor raises the limits of a team to what a job needs to run at all: one task of an array,
 // all tasks of any other job.
-func withRoomFor(t config.Team, j *wire.Job) config.Team {
+func withLimitFor(t config.Team, j *wire.Job) config.Team {
 	tasks := 1.0
 	if j.Shape != wire.Array {
 		tasks = float64(j.Tasks)
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -22,42 +22,42 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// bench is a holder with its view, driven by the steps of a trace.
-type bench struct {
-	t      *testing.T
-	now    time.Time
-	view   *store.View
-	holder *Holder
-	era    uint64
-	draft  *Draft
-	open   []*fleet.Placement // launched by direct calls that are not answered yet
-	left   store.SlotRecord   // what an earlier holder has left in the ledger
-	slot   int                // where
-	cfg    *config.Config
-	part   string // that is claimed
-	grant  *Regrant
-	says   map[string]zone.Witness
-	ward   *ward
+// traceDriver is a holder with its view, driven by the steps of a trace.
+type traceDriver struct {
+	t               *testing.T
+	now             time.Time
+	view            *store.View
+	leader          *Leader
+	revision        uint64
+	draft           *Draft
+	open            []*fleet.Placement  // launched by direct calls that are not answered yet
+	previousSlot    store.SegmentRecord // what an earlier holder has left in the ledger
+	slot            int                 // where
+	cfg             *config.Config
+	shard           string // that is claimed
+	grantChange     *GrantChange
+	observers       map[string]zone.Observer
+	preemptionCheck *workerModel
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, cfg: traceConfig(), part: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	b.view.Load(nil, 0, &wire.Changes{})
+func newTraceDriver(t *testing.T) *traceDriver {
+	b := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	b.view.Load(nil, 0, &wire.WatchResponse{})
 	return b
 }
 
 func traceConfig() *config.Config {
 	return &config.Config{Teams: []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue"}},
-		Workers: config.Workers{Report: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 60 * time.Second},
+		Workers: config.Workers{HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 60 * time.Second},
 		Store:   config.Store{TxnOps: 12, ValueBytes: 8192}, Cloud: config.Cloud{ListLag: 3 * time.Second}, Tuning: config.DefaultTuning()}
 }
 
 // apply puts changes into the view, as the watch would.
-func (b *bench) apply(then ...wire.Change) {
-	b.era++
-	ch := &wire.Changes{Revision: b.era}
+func (b *traceDriver) apply(then ...wire.Operation) {
+	b.revision++
+	ch := &wire.WatchResponse{Revision: b.revision}
 	for _, c := range then {
-		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: b.era})
+		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: b.revision})
 	}
 	b.view.Apply(ch)
 }
@@ -65,7 +65,7 @@
 func attempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
 
 // parseTasks reads "wk-1/0#5.1 running" and the like, separated by commas.
-func (b *bench) parseTasks(text string) []wire.ReportedTask {
+func (b *traceDriver) parseTasks(text string) []wire.ReportedTask {
 	var out []wire.ReportedTask
 	for _, item := range strings.Split(text, ",") {
 		f := strings.Fields(item)
@@ -89,7 +89,7 @@
 	return out
 }
 
-func (b *bench) step(line string) []string {
+func (b *traceDriver) step(line string) []string {
 	step, tasks, _ := strings.Cut(line, ":")
 	w, kv := simulator.Words(step)
 	num := func(key string, otherwise int) int {
@@ -111,156 +111,156 @@
 			rec.Created = b.now.Add(-time.Duration(num("age", 0)) * time.Second).UnixMilli()
 		}
 		if kv["key"] == "own" { // as version 1 stored it
-			b.apply(wire.Change{Put: store.JobKey(j.ID), Value: rec})
+			b.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
 			break
 		}
-		b.apply(wire.Change{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
+		b.apply(wire.Operation{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
 	case "batch": // jobs accepted together, as one record
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for _, id := range w[2:] {
 			j := &wire.Job{ID: id, Class: "c", Shape: wire.Array, Team: "blue", Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: j}
 		}
-		b.apply(wire.Change{Put: store.BatchKey(w[1]), Value: rec})
+		b.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
 	case "cancel":
 		l, _ := b.view.Live(w[1])
-		r := l.Home.Rewrite()
-		r.End(w[1], wire.Cancelled, b.now)
+		r := l.Batch.Update()
+		r.EndJob(w[1], wire.Cancelled, b.now)
 		b.apply(r.Change())
 	case "fold": // the holder has moved jobs out of their homes
-		b.fold(w[1:])
+		b.compact(w[1:])
 	case "machine":
 		rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
 		for _, t := range b.parseTasks(strings.ReplaceAll(kv["holds"], ",", " running,") + " running") {
 			rec.Tasks[t.Task] = t.Attempt
 		}
-		b.leave(store.MachineEntry(w[1], rec))
+		b.addToPreviousSlot(store.MachineEntry(w[1], rec))
 	case "ask":
-		b.leave(store.AskEntry(w[1], store.AskRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
+		b.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
 	case "zone": // its state, as an earlier holder has left it
-		b.leave(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Falls: num("falls", 1)}))
+		b.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Outages: num("falls", 1)}))
 	case "zones":
 		var out []string
-		for _, name := range sortedKeys(b.holder.ZoneStates()) {
-			r := b.holder.ZoneStates()[name]
+		for _, name := range sortedKeys(b.leader.ZoneRecords()) {
+			r := b.leader.ZoneRecords()[name]
 			out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
 		}
 		return out
 	case "return": // of a zone, as an earlier holder has left it
-		b.leave(store.ReturnEntry(w[1], store.ReturnRecord{Step: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Work: float64(num("work", 0))}))
+		b.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Work: float64(num("work", 0))}))
 	case "returns":
 		var out []string
-		for _, name := range sortedKeys(b.holder.Returns()) {
-			out = append(out, name+": "+b.holder.Returns()[name])
+		for _, name := range sortedKeys(b.leader.ZoneRecoveries()) {
+			out = append(out, name+": "+b.leader.ZoneRecoveries()[name])
 		}
 		return out
 	case "sibling": // a controller in a zone, and how many machines of one it hears, and doesn't
-		if b.says == nil {
-			b.says = map[string]zone.Witness{}
+		if b.observers == nil {
+			b.observers = map[string]zone.Observer{}
 		}
-		b.says[w[1]] = zone.Witness{Zone: w[2], Sights: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
-		b.cfg.Siblings = make([]config.Sibling, len(b.says))
-		b.holder.SetWitnesses(b.says)
+		b.observers[w[1]] = zone.Observer{Zone: w[2], Observations: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
+		b.cfg.Peers = make([]config.Peer, len(b.observers))
+		b.leader.SetObservers(b.observers)
 	case "tier":
 		b.tier(w[1], kv)
 	case "workers", "play", "crash", "stubborn", "finish", "lose": // with workers that do as they are told
 		return b.play(w)
 	case "claims": // what is being claimed back
-		return b.claimsNow()
+		return b.preemptionsNow()
 	case "claim":
 		return b.claim(uint64(num("term", 1)))
 	case "parts": // the fleet is in parts by zone, of which the first is claimed here
-		b.cfg.Tuning.Parts.By, b.cfg.Zones, b.part = "zone", w[1:], w[1]
+		b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
 	case "divided": // anew, into parts by zone, of which the first is claimed here, or into one
-		b.cfg.Tuning.Parts.By, b.part = "off", "fleet"
+		b.cfg.Tuning.Shards.By, b.shard = "off", "fleet"
 		if len(w) > 1 {
-			b.cfg.Tuning.Parts.By, b.cfg.Zones, b.part = "zone", w[1:], w[1]
+			b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
 		}
-		state := b.view.State()
-		txn, err := reshard.Next(&state, b.cfg.Grouping(), func(job string) (store.Takes, bool) {
+		state := b.view.ShardingState()
+		txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
 			rec, _ := b.view.Job(job)
-			return rec.TaskTakes()
+			return rec.TaskDemand()
 		})
 		if err != nil {
 			return []string{err.Error()}
 		}
 		b.apply(txn.Then...)
-		b.left, b.slot = store.SlotRecord{}, 0
+		b.previousSlot, b.slot = store.SegmentRecord{}, 0
 	case "small": // values may hold little more than they do
 		b.cfg.Store.ValueBytes = 500
 	case "carried": // another part has taken over what is of its machines
-		b.apply(wire.Change{Put: store.SlotKey(store.LedgerOf(w[1], b.view.Grouping().Record.Number), 0), Value: store.SlotRecord{Carried: b.view.Grouping().Record.Number}})
+		b.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], b.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: b.view.Sharding().Record.Generation}})
 	case "finished": // tasks of a job, as the ledger says
-		done := store.NewBits(0)
+		done := store.NewTaskSet(0)
 		for _, text := range w[2:] {
 			n, _ := strconv.Atoi(text)
-			done.Set(n)
+			done.Add(n)
 		}
-		b.leave(store.ProgressEntry(w[1], 0, done))
+		b.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
 	case "order": // what the part that leads a gang has written
 		l, _ := b.view.Live(w[1])
-		r := l.Home.Rewrite()
-		if orders := map[string]uint64{"off": store.CoAllocationOff, "hold": store.CoAllocationHold}; orders[w[2]] > 0 {
-			r.CoAllocate(w[1], orders[w[2]])
+		r := l.Batch.Update()
+		if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[w[2]] > 0 {
+			r.SetCoAllocation(w[1], orders[w[2]])
 		} else {
 			term, seq, _ := strings.Cut(strings.TrimPrefix(w[2], "#"), ".")
 			hi, _ := strconv.ParseUint(term, 10, 64)
 			lo, _ := strconv.ParseUint(seq, 10, 64)
-			r.CoAllocate(w[1], hi<<24|lo)
+			r.SetCoAllocation(w[1], hi<<24|lo)
 		}
 		b.apply(r.Change())
 	case "gave": // another part has given what it had of a job to this one
 		l, _ := b.view.Live(w[1])
-		r := l.Home.Rewrite()
-		r.Reshare(w[1], parseShares(b.t, w[2:]), b.view.Grouping().Record.Number)
+		r := l.Batch.Update()
+		r.AssignRanges(w[1], parseShares(b.t, w[2:]), b.view.Sharding().Record.Generation)
 		b.apply(r.Change())
 	case "done": // another part has finished all that it has of a job, of which the record says no more
 		l, _ := b.view.Live(w[1])
-		r := l.Home.Rewrite()
-		r.DoneIn(w[1], store.LedgerOf(w[2], b.view.Grouping().Record.Number))
+		r := l.Batch.Update()
+		r.MarkFinishedIn(w[1], store.LedgerName(w[2], b.view.Sharding().Record.Generation))
 		b.apply(r.Change())
 	case "shares": // of a job's tasks, as the record says
 		l, _ := b.view.Live(w[1])
-		r := l.Home.Rewrite()
-		r.Reshare(w[1], parseShares(b.t, w[2:]), 0)
+		r := l.Batch.Update()
+		r.AssignRanges(w[1], parseShares(b.t, w[2:]), 0)
 		b.apply(r.Change())
 	case "others": // what another part has said of itself
-		s := PartStatus{Term: 99, Rooms: map[string]scheduler.Room{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
-			Zones: map[string]Reach{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
+		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
+			Zones: map[string]ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
 		if kv["ready"] != "" {
 			s.Ready = []string{kv["ready"]}
 		}
 		if n := num("want", 0); n > 0 {
-			s.Wants = map[string]scheduler.Want{"red": {GPUs: float64(n), Least: scheduler.Amount{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
+			s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
 		}
-		s.Stays = map[string]scheduler.Amount{"red": {GPUs: float64(num("stays", 0))}}
-		b.holder.SetOthers(map[string]PartStatus{w[1]: s}, 1)
+		s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(num("stays", 0))}}
+		b.leader.SetPeerShards(map[string]ShardStatus{w[1]: s}, 1)
 	case "grants": // of the GPUs of the team red
-		rec := store.GrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
+		rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
 		for part, text := range kv {
 			n, _ := strconv.Atoi(text)
 			rec.Teams["red"][part] = [2]float64{0, float64(n)}
 		}
-		b.apply(wire.Change{Put: store.GrantKey, Value: rec})
+		b.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
 	case "regrant":
-		rg := b.holder.Regrant(b.now)
+		rg := b.leader.ProposeGrants(b.now)
 		if rg == nil {
 			return []string{"nothing to change"}
 		}
-		b.grant = rg
-		out := []string{fmt.Sprintf("put grant %v", b.grant.Txn.Then[0].Value.(store.GrantRecord).Teams)}
-		for _, c := range b.grant.Txn.If {
-			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.Root), c.Version))
+		b.grantChange = rg
+		out := []string{fmt.Sprintf("put grant %v", b.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
+		for _, c := range b.grantChange.Txn.If {
+			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 		}
 		return out
 	case "regranted": // taken or not, and seen
 		if w[1] == "taken" {
-			b.apply(b.grant.Txn.Then...)
+			b.apply(b.grantChange.Txn.Then...)
 		}
-		b.holder.Regranted(b.view.Snapshot().Grants)
+		b.leader.GrantsSettled(b.view.Snapshot().QuotaGrants)
 	case "spends": // what the part may spend of the team red
-		pic := b.holder.picture(b.now)
-		return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].GPUsMax, pic.Teams["red"].UsedGPUs, pic.Teams["red"].ElseGPUs)}
+		pic := b.leader.clusterSnapshot(b.now)
+		return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].LimitGPUs, pic.Teams["red"].UsedGPUs, pic.Teams["red"].RemoteUsedGPUs)}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		b.now = b.now.Add(d)
@@ -270,58 +270,58 @@
 		return b.round(w[1:])
 	case "raises": // calls that a sibling may make
 		var out []string
-		for _, c := range b.holder.Raises(b.now, num("most", 9)) {
+		for _, c := range b.leader.FencingCalls(b.now, num("most", 9)) {
 			out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
 		}
 		return out
 	case "raised": // by a sibling, in vain or with a report
 		if slices.Contains(w, "vain") {
-			b.holder.Raised(b.now, w[1], nil)
+			b.leader.FencingCallDone(b.now, w[1], nil)
 			break
 		}
 		session, seq, _ := strings.Cut(w[2], "/")
 		s, _ := strconv.ParseUint(session, 10, 64)
 		q, _ := strconv.ParseUint(seq, 10, 64)
-		b.holder.Raised(b.now, w[1], &wire.Report{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Session: s, Seq: q, Term: uint64(num("term", 0)), Tasks: b.parseTasks(tasks)})
+		b.leader.FencingCallDone(b.now, w[1], &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(num("term", 0)), Tasks: b.parseTasks(tasks)})
 	case "odd": // reports that changed nothing
-		odd := b.holder.Odd()
-		return []string{fmt.Sprintf("%d late, %d impossible", odd.Late, odd.Impossible)}
+		odd := b.leader.RejectedHeartbeats()
+		return []string{fmt.Sprintf("%d late, %d impossible", odd.Stale, odd.Impossible)}
 	case "seen": // the view holds all that is in the store by now
-		b.view.Reached(b.now)
+		b.view.MarkCurrent(b.now)
 	case "tend": // while a round waits for the store
-		b.holder.Tend(b.now, b.view.Snapshot())
+		b.leader.Reconcile(b.now, b.view.Snapshot())
 	case "entitled": // the claim was renewed just now
-		return []string{fmt.Sprint(b.holder.Entitled(b.now, true, b.now))}
+		return []string{fmt.Sprint(b.leader.MayAnswer(b.now, true, b.now))}
 	case "refused": // the round that had no answer will never be in the store
-		b.holder.Discard(b.draft)
+		b.leader.Discard(b.draft)
 	case "older": // what was left so far stands in a slot of its own
 		n, _ := strconv.Atoi(w[1])
-		b.left, b.slot = store.SlotRecord{}, n
+		b.previousSlot, b.slot = store.SegmentRecord{}, n
 	case "drop":
-		b.leave(store.DropMachine(w[1]))
+		b.addToPreviousSlot(store.DropMachine(w[1]))
 	case "taken": // the round that had no answer turns out to be in the store
 		b.commit()
 	case "direct":
-		return b.direct(w[1:])
+		return b.directCalls(w[1:])
 	case "answered": // what became of the direct calls that were left open
-		b.holder.fleet.Called(b.open, map[string]fleet.Outcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
+		b.leader.fleet.CallFinished(b.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
 		b.open = nil
 	case "rented":
 		names := w[2:]
 		for i := range num("got", 0) {
 			names = append(names, fmt.Sprintf("%s-%02d", w[1], i))
 		}
-		b.holder.rented(b.now, w[1], names)
+		b.leader.scaledOut(b.now, w[1], names)
 	case "asks":
 		var out []string
-		for _, a := range b.holder.rentals.Open() {
+		for _, a := range b.leader.scaleOutRequests.Pending() {
 			out = append(out, fmt.Sprintf("%s for %d in %s", a.Name, a.Count, a.Zone))
 		}
 		return out
 	case "send": // the rentals that may be
 		var out []string
-		for i := 0; i < num("most", 99) && b.holder.nextAsk(b.now) != nil; i++ {
-			a := b.holder.sendAsk(b.now)
+		for i := 0; i < num("most", 99) && b.leader.nextScaleOut(b.now) != nil; i++ {
+			a := b.leader.takeScaleOut(b.now)
 			out = append(out, fmt.Sprintf("send %s for %d in %s", a.Name, a.Count, a.Zone))
 		}
 		return out
@@ -330,21 +330,21 @@
 		for _, id := range w[1:] {
 			list = append(list, wire.ListedMachine{ID: id, Type: "g4", Zone: "a", Stage: wire.MachineRunning})
 		}
-		b.holder.listed(b.now, b.now, list)
+		b.leader.handleMachineList(b.now, b.now, list)
 	case "released": // the cloud has acknowledged it
-		b.holder.fleet.Released(w[1])
-		b.holder.gone(w[1], "released")
+		b.leader.fleet.MarkReleased(w[1])
+		b.leader.forgetMachine(w[1], "released")
 	case "ending": // jobs that must not be folded yet
-		jobs, ok := b.holder.Ending()
+		jobs, ok := b.leader.UnfinishedJobs()
 		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
 	case "calls": // to machines, one after the other, all of which have the same end
 		for _, id := range w[2:] {
-			b.holder.tried(b.now, id, w[1] == "answered")
+			b.leader.noteCallResult(b.now, id, w[1] == "answered")
 		}
 	case "unreached": // whether hardly any call gets through to machines that are heard
-		return []string{fmt.Sprint(b.holder.Unreached(b.now))}
+		return []string{fmt.Sprint(b.leader.CallsFailing(b.now))}
 	case "deaf": // how many machines the holder does not hear, by no fault of theirs
-		return []string{fmt.Sprint(b.holder.Unheard(b.now))}
+		return []string{fmt.Sprint(b.leader.UnreachableMachines(b.now))}
 	case "show":
 		return b.show()
 	default:
@@ -354,11 +354,11 @@
 }
 
 // parseShares reads "0-2/a", "2-4/b,done" and the like.
-func parseShares(t *testing.T, words []string) (out []store.Share) {
+func parseShares(t *testing.T, words []string) (out []store.ShardRange) {
 	for _, w := range words {
-		var s store.Share
+		var s store.ShardRange
 		runs, part, _ := strings.Cut(w, "/")
-		s.Part, s.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
+		s.Shard, s.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
 		if _, err := fmt.Sscanf(runs, "%d-%d", &s.From, &s.To); err != nil {
 			t.Fatal(err)
 		}
@@ -367,62 +367,62 @@
 	return out
 }
 
-// fold moves batches, all of whose jobs are over, into a recent block.
-func (b *bench) fold(batches []string) {
+// compact moves batches, all of whose jobs are over, into a recent block.
+func (b *traceDriver) compact(batches []string) {
 	var entries []jobblock.Entry
-	var then []wire.Change
-	for _, h := range b.view.Over(99, func(*store.Home) bool { return true }) {
+	var then []wire.Operation
+	for _, h := range b.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
 		for _, m := range h.Jobs {
 			entries = append(entries, jobblock.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
 		}
-		then = append(then, wire.Change{Delete: h.Key})
+		then = append(then, wire.Operation{Delete: h.Key})
 	}
 	if len(then) != len(batches) {
 		b.t.Fatalf("%d homes are over, not %v", len(then), batches)
 	}
 	entries, _ = jobblock.Sort(entries)
-	b.apply(append(then, wire.Change{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
+	b.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
-// leave puts an entry into the ledger, as an earlier holder did.
-func (b *bench) leave(e store.Entry) {
-	if b.left.Entries == nil {
-		b.left.Entries = map[string]wire.Raw{}
+// addToPreviousSlot puts an entry into the ledger, as an earlier holder did.
+func (b *traceDriver) addToPreviousSlot(e store.Entry) {
+	if b.previousSlot.Entries == nil {
+		b.previousSlot.Entries = map[string]wire.Raw{}
 	}
-	if b.left.Entries[e.Key] = e.Value; e.Value == nil {
-		b.left.Entries[e.Key] = wire.Raw{0xf6}
+	if b.previousSlot.Entries[e.Key] = e.Value; e.Value == nil {
+		b.previousSlot.Entries[e.Key] = wire.Raw{0xf6}
 	}
-	b.apply(wire.Change{Put: store.SlotKey(b.part, b.slot), Value: b.left})
+	b.apply(wire.Operation{Put: store.SegmentKey(b.shard, b.slot), Value: b.previousSlot})
 }
 
-func (b *bench) claim(term uint64) []string {
-	b.apply(wire.Change{Put: store.PartKey(b.part), Value: store.PartRecord{Holder: "me", Term: term}})
+func (b *traceDriver) claim(term uint64) []string {
+	b.apply(wire.Operation{Put: store.LeaderKey(b.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: term}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
-	b.holder = New(b.cfg, leadership.Held{Part: b.part, Term: term, Version: b.era, Revision: b.era}, b.view.Snapshot(),
-		b.view.Ledgers(b.part), types, b.view, b.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	b.leader = New(b.cfg, leadership.Tenure{Shard: b.shard, FencingToken: term, Version: b.revision, Revision: b.revision}, b.view.Snapshot(),
+		b.view.ShardLedgers(b.shard), types, b.view, b.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return nil
 }
 
-func (b *bench) report(w []string, zone string, term uint64, tasks string) []string {
+func (b *traceDriver) report(w []string, zone string, term uint64, tasks string) []string {
 	session, seq, _ := strings.Cut(w[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
-	r := &wire.Report{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Session: s, Seq: q, Term: term, Tasks: b.parseTasks(tasks)}
-	if b.part != "fleet" {
-		r.Zone = b.part
+	r := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: term, Tasks: b.parseTasks(tasks)}
+	if b.shard != "fleet" {
+		r.Zone = b.shard
 	}
-	if m := b.holder.fleet.Machine(w[1]); m != nil {
+	if m := b.leader.fleet.Machine(w[1]); m != nil {
 		r.Zone = m.Zone
 	}
 	if zone != "" {
 		r.Zone = zone
 	}
 	if w[0] == "inspected" {
-		b.holder.Inspected(b.now, r)
+		b.leader.HandleInspection(b.now, r)
 		return nil
 	}
 	var out []string
-	a, ok := b.holder.Report(b.now, r, !slices.Contains(w, "invalid"))
+	a, ok := b.leader.HandleHeartbeat(b.now, r, !slices.Contains(w, "invalid"))
 	if !ok {
 		return []string{"no answer"}
 	}
@@ -432,40 +432,40 @@
 	return out
 }
 
-// direct makes the direct calls that are due; the step says what becomes of
+// directCalls makes the direct calls that are due; the step says what becomes of
 // them.
-func (b *bench) direct(fate []string) []string {
+func (b *traceDriver) directCalls(fate []string) []string {
 	var out []string
-	for _, c := range b.holder.calls(b.now, true, maxDirect) {
-		line := fmt.Sprintf("to %s, session %d:", c.machine, c.session)
+	for _, c := range b.leader.dueCalls(b.now, true, maxOpenCalls) {
+		line := fmt.Sprintf("to %s, session %d:", c.machine, c.incarnation)
 		for _, cmd := range c.commands {
 			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, attempt(cmd.Attempt))
 		}
 		out = append(out, line)
 		switch fate[0] {
 		case "open":
-			b.open = append(b.open, c.launched...)
+			b.open = append(b.open, c.launches...)
 		case "executed":
-			b.holder.fleet.Called(c.launched, fleet.Executed)
+			b.leader.fleet.CallFinished(c.launches, fleet.Executed)
 		case "refused":
-			b.holder.fleet.Called(c.launched, fleet.Refused)
+			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if fate[0] == "unreached" {
-			b.holder.fleet.Called(c.launched, fleet.Refused)
+			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
-		if c.raise {
-			b.holder.raising--
+		if c.fencing {
+			b.leader.fencingCallsOpen--
 		}
 		silent := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines behind the fate are silent
-		b.holder.outcome(b.now, c.machine, !silent)
+		b.leader.callFinished(b.now, c.machine, !silent)
 	}
 	return out
 }
 
 // round decides one round. Its fate is to be taken, unless the step says that
 // it is refused or lost.
-func (b *bench) round(fate []string) []string {
-	b.draft = b.holder.Decide(b.now, b.view.Snapshot())
+func (b *traceDriver) round(fate []string) []string {
+	b.draft = b.leader.Decide(b.now, b.view.Snapshot())
 	if b.draft == nil {
 		return []string{"nothing to write"}
 	}
@@ -476,9 +476,9 @@
 	for _, c := range b.draft.Txn.Then {
 		switch {
 		case c.Delete != "":
-			out = append(out, "drop "+strings.TrimPrefix(c.Delete, store.Root))
+			out = append(out, "drop "+strings.TrimPrefix(c.Delete, store.StatePrefix))
 		default:
-			line := "put " + strings.TrimPrefix(c.Put, store.Root)
+			line := "put " + strings.TrimPrefix(c.Put, store.StatePrefix)
 			switch rec := c.Value.(type) {
 			case store.JobRecord:
 				line += " " + string(rec.Stage)
@@ -486,59 +486,59 @@
 				for _, id := range sortedKeys(rec.Jobs) {
 					line += " " + id + "=" + string(rec.Jobs[id].Stage)
 					switch m := rec.Jobs[id].CoAllocation; {
-					case m == store.CoAllocationOff:
+					case m == store.CoAllocationRelease:
 						line += " called off"
-					case m == store.CoAllocationHold:
+					case m == store.CoAllocationReserve:
 						line += " held"
 					case m > 0:
 						line += " start " + attempt(m)
 					}
-					if in := rec.Jobs[id].DoneIn; len(in) > 0 {
+					if in := rec.Jobs[id].FinishedIn; len(in) > 0 {
 						line += " done in " + strings.Join(in, ",")
 					}
-					for _, s := range rec.Jobs[id].Shares {
-						line += fmt.Sprintf(" %d-%d/%s", s.From, s.To, s.Part)
+					for _, s := range rec.Jobs[id].Ranges {
+						line += fmt.Sprintf(" %d-%d/%s", s.From, s.To, s.Shard)
 						if s.Done {
 							line += ",done"
 						}
 					}
 				}
-			case store.SlotRecord:
-				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, b.holder.used(), strings.Join(rec.Describe(), " "))
-				if rec.Carried > 0 {
+			case store.SegmentRecord:
+				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, b.leader.teamUsage(), strings.Join(rec.Describe(), " "))
+				if rec.Migrated > 0 {
 					line += ", all taken over"
 				}
-			case store.GroupingRecord:
-				line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Number, rec.Before)
+			case store.ShardingRecord:
+				line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers)
 			}
 			out = append(out, line)
 		}
 	}
 	for _, c := range b.draft.Txn.If {
-		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.Root), c.Version))
+		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 	}
 	switch {
 	case slices.Contains(fate, "refused"):
-		b.holder.Discard(b.draft)
+		b.leader.Discard(b.draft)
 	case !slices.Contains(fate, "lost"):
 		b.commit()
 	}
 	return out
 }
 
-func (b *bench) commit() {
+func (b *traceDriver) commit() {
 	b.apply(b.draft.Txn.Then...)
-	b.holder.Committed(b.draft, b.era)
+	b.leader.Committed(b.draft, b.revision)
 }
 
-func (b *bench) show() []string {
-	h := b.holder
+func (b *traceDriver) show() []string {
+	h := b.leader
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []string
 	for _, m := range h.fleet.Machines() {
 		line := m.ID
-		if slices.Contains(h.fleet.Unproven(), m) {
+		if slices.Contains(h.fleet.UnprovenMachines(), m) {
 			line += " unproven"
 		}
 		if m.Releasing {
@@ -547,7 +547,7 @@
 		for _, p := range m.Placements() {
 			line += fmt.Sprintf(" %v%s=%s", p.Task, attempt(p.Attempt),
 				[]string{"planned", "sent", "fetching", "waiting", "running", "saving", "ended"}[p.State])
-			if p.Loose() {
+			if p.CallPending() {
 				line += "(loose)"
 			}
 			if p.Stop != nil {
@@ -556,7 +556,7 @@
 		}
 		out = append(out, line)
 	}
-	for _, a := range h.rentals.Open() {
+	for _, a := range h.scaleOutRequests.Pending() {
 		out = append(out, fmt.Sprintf("ask %s for %d in %s", a.Name, a.Count, a.Zone))
 	}
 	return out
@@ -564,41 +564,41 @@
 
 // TestTraces plays the kept traces of the holder.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newBench(t).step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
 
-// TestTimesFollowReports: what counts as silence depends on how often the
+// TestTimeoutsFollowHeartbeatInterval: what counts as silence depends on how often the
 // workers report. Fitted to reports each 3 s, it made a third of a fleet unfit
 // that reports each 8 s, and gave the rest up.
-func TestTimesFollowReports(t *testing.T) {
+func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
-		cfg.Workers.Report = every
-		got, latest := timesOf(cfg), every*5/4
-		if got.direct <= latest || got.fresh <= got.direct || got.overdue <= latest || got.silence <= got.overdue && every < 20*time.Second {
+		cfg.Workers.HeartbeatInterval = every
+		got, latest := timeoutsOf(cfg), every*5/4
+		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && every < 20*time.Second {
 			t.Errorf("reports each %v: %+v", every, got)
 		}
-		b := newBench(t)
+		b := newTraceDriver(t)
 		b.step("claim term=2")
-		b.holder.times = got
+		b.leader.timeouts = got
 		b.step("report n-1 1/1 term=2")
 		b.now = b.now.Add(latest)
-		b.holder.Decide(b.now, b.view.Snapshot())
-		if pic := b.holder.picture(b.now); !pic.Machines[0].Usable || b.holder.fleet.Machine("n-1").Releasing {
+		b.leader.Decide(b.now, b.view.Snapshot())
+		if pic := b.leader.clusterSnapshot(b.now); !pic.Machines[0].Usable || b.leader.fleet.Machine("n-1").Releasing {
 			t.Errorf("reports each %v: a machine is unfit between two of them", every)
 		}
-		for end := b.now.Add(got.silence); b.now.Before(end); { // or it would seem to have stood still
+		for end := b.now.Add(got.unreachableAfter); b.now.Before(end); { // or it would seem to have stood still
 			b.now = b.now.Add(min(2*time.Second, end.Sub(b.now)))
-			b.holder.Decide(b.now, b.view.Snapshot())
+			b.leader.Decide(b.now, b.view.Snapshot())
 		}
 		for _, other := range []string{"n-2", "n-3", "n-4"} {
 			b.step("report " + other + " 1/1 term=2")
 		}
-		b.holder.outcome(b.now, "n-2", true)
-		b.holder.called["n-1"] = called{at: b.now}
-		b.holder.outcome(b.now, "n-1", false)
-		if b.holder.Decide(b.now, b.view.Snapshot()); !b.holder.fleet.Machine("n-1").Releasing {
-			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.silence)
+		b.leader.callFinished(b.now, "n-2", true)
+		b.leader.callStates["n-1"] = callState{startedAt: b.now}
+		b.leader.callFinished(b.now, "n-1", false)
+		if b.leader.Decide(b.now, b.view.Snapshot()); !b.leader.fleet.Machine("n-1").Releasing {
+			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.unreachableAfter)
 		}
 	}
 }
@@ -607,15 +607,15 @@
 // and a transaction may hold next to nothing: no round goes over the limits, and
 // all of it is stored in the end.
 func TestSmallLimits(t *testing.T) {
-	b := newBench(t)
+	b := newTraceDriver(t)
 	b.step("job wk-1 sweep team=blue tasks=100000")
 	b.step("claim term=2")
-	h := b.holder
+	h := b.leader
 	h.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
 	h.ledger, _ = store.NewLedger("fleet", 1024, nil)
-	j := h.history("wk-1")
+	j := h.jobState("wk-1")
 	for i := range 50_000 {
-		h.finish(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
+		h.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
 	}
 	for range 200 {
 		b.now = b.now.Add(time.Second)
@@ -634,20 +634,20 @@
 		b.draft = d
 		b.commit()
 	}
-	if n := j.stored.Count(); n != 50_000 {
+	if n := j.storedFinished.Count(); n != 50_000 {
 		t.Errorf("%d of 50,000 finished tasks are stored", n)
 	}
 }
 
-// TestPictureCountsCancelled guards the quota: a task of a cancelled job counts
+// TestSnapshotCountsCancelled guards the quota: a task of a cancelled job counts
 // until it is gone.
-func TestPictureCountsCancelled(t *testing.T) {
-	b := newBench(t)
+func TestSnapshotCountsCancelled(t *testing.T) {
+	b := newTraceDriver(t)
 	for _, s := range []string{"job wk-1 sweep team=red tasks=1 gpus=4", "claim term=2", "report n-1 1/1 term=2: wk-1/0#1.1 running", "cancel wk-1"} {
 		b.step(s)
 	}
-	b.holder.Decide(b.now, b.view.Snapshot())
-	if pic := b.holder.picture(b.now); pic.Teams["red"].UsedGPUs != 4 {
+	b.leader.Decide(b.now, b.view.Snapshot())
+	if pic := b.leader.clusterSnapshot(b.now); pic.Teams["red"].UsedGPUs != 4 {
 		t.Errorf("the cancelled task counts %v of 4 GPUs", pic.Teams["red"].UsedGPUs)
 	}
 }
@@ -667,12 +667,12 @@
 
 // crowdedRounds launches one more task on each of many machines that have some.
 func crowdedRounds(t *testing.T, tasks int) (squeezed int) {
-	b := newBench(t)
+	b := newTraceDriver(t)
 	const machines = 120
 	b.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
 	b.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
 	b.step("claim term=2")
-	h := b.holder
+	h := b.leader
 	h.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
 	h.ledger, _ = store.NewLedger("fleet", 4096, nil)
 	n := float64(tasks + 1)
@@ -689,12 +689,12 @@
 		d := h.Decide(b.now, b.view.Snapshot())
 		b.now = b.now.Add(10 * time.Millisecond)
 		if d == nil {
-			squeezed += h.squeeze
+			squeezed += h.batchBackoff
 			continue
 		}
 		written := map[string]bool{}
 		for _, c := range d.Txn.Then {
-			if slot, ok := c.Value.(store.SlotRecord); ok {
+			if slot, ok := c.Value.(store.SegmentRecord); ok {
 				for key := range slot.Entries {
 					written[key] = true
 				}
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -15,79 +15,79 @@
 
 // What becomes of the machines of a zone that is cut off, and how it comes back into use.
 
-// recallReturns goes on with the returns that the ledger tells of. Those of earlier groupings
+// recoverZoneRecoveries goes on with the returns that the ledger tells of. Those of earlier groupings
 // are written to it by the next round.
-func (h *Holder) recallReturns(now time.Time, last *store.Recalled) {
-	h.returns = make(map[string]*zonerecovery.Plan)
-	take := func(name string, r store.ReturnRecord) {
+func (h *Leader) recoverZoneRecoveries(now time.Time, last *store.RecoveredState) {
+	h.zoneRecoveries = make(map[string]*zonerecovery.Plan)
+	take := func(name string, r store.ZoneRecoveryRecord) {
 		since := time.UnixMilli(r.Since)
 		if since.After(now) {
 			since = now // of another clock
 		}
-		h.returns[name] = &zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: since, Work: r.Work}
+		h.zoneRecoveries[name] = &zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: since, Work: r.Work}
 		h.log.Info("return of a zone recalled", "zone", name, "step", r.Step, "number", r.Number)
 	}
-	if !h.carry.said {
-		for name, r := range h.past.Returns {
-			if h.mine(name) {
+	if !h.migration.recorded {
+		for name, r := range h.previous.ZoneRecoveries {
+			if h.ownsZone(name) {
 				take(name, r)
 			}
 		}
 	}
-	for name, r := range last.Returns {
+	for name, r := range last.ZoneRecoveries {
 		take(name, r)
 	}
 }
 
-// judgeReturns takes into a round what follows in the return of each zone, by the zones'
+// decideZoneRecoveries takes into a round what follows in the return of each zone, by the zones'
 // records as the store has them. Two of them are two plans, in the order of their names.
-func (h *Holder) judgeReturns(now time.Time, d *Draft) {
-	records := h.states.All()
+func (h *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
+	records := h.zoneStates.Records()
 	d.returns = make(map[string]*zonerecovery.Plan)
 	for _, name := range sortedKeys(records) {
-		p := h.returns[name]
-		if p == nil && records[name].State != zone.Dark || !h.mine(name) {
+		p := h.zoneRecoveries[name]
+		if p == nil && records[name].State != zone.Unreachable || !h.ownsZone(name) {
 			continue
 		}
-		next := zonerecovery.Next(now, p, h.seen(now, name, records))
+		next := zonerecovery.Next(now, p, h.observeZone(now, name, records))
 		switch {
-		case next == nil && !d.add(store.DropReturn(name)):
-		case next != nil && (next != p || !h.ledger.HasReturn(name)) && !d.add(returnEntry(name, next)):
+		case next == nil && !d.addEntries(store.DropZoneRecovery(name)):
+		case next != nil && (next != p || !h.ledger.HasZoneRecovery(name)) && !d.addEntries(zoneRecoveryEntry(name, next)):
 		case next != p:
 			d.returns[name] = next
 		}
 	}
 }
 
-func returnEntry(name string, p *zonerecovery.Plan) store.Entry {
-	return store.ReturnEntry(name, store.ReturnRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
+func zoneRecoveryEntry(name string, p *zonerecovery.Plan) store.Entry {
+	return store.ZoneRecoveryEntry(name, store.ZoneRecoveryRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
 }
 
-// returned takes in what the store has taken: only now does it count.
-func (h *Holder) returned(returns map[string]*zonerecovery.Plan) {
+// zoneRecoveriesCommitted takes in what the store has taken: only now does it count.
+func (h *Leader) zoneRecoveriesCommitted(returns map[string]*zonerecovery.Plan) {
 	for _, name := range sortedKeys(returns) {
 		p := returns[name]
 		if p == nil {
 			h.log.Info("return of a zone is over", "zone", name)
-			delete(h.returns, name)
+			delete(h.zoneRecoveries, name)
 			continue
 		}
 		h.log.Info("return of a zone", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
-		h.returns[name] = p
+		h.zoneRecoveries[name] = p
 	}
 }
 
-// seen gathers what the return of a zone is judged by.
-func (h *Holder) seen(now time.Time, name string, records map[string]zone.Record) zonerecovery.Seen {
+// observeZone gathers what the return of a zone is judged by.
+func (h *Leader) observeZone(now time.Time, name string, records map[string]zone.Record) zonerecovery.Observation {
 	r := records[name]
-	s := zonerecovery.Seen{Dark: r.State == zone.Dark, Number: r.Number, Waits: h.left.Waits, Uneven: h.uneven, Settle: h.times.silence, Idle: h.cfg.Tuning.Idle}
+	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: h.freeCapacity.HasQueued, Unbalanced: h.unbalanced, SettleTime: h.timeouts.unreachableAfter, IdleTimeout: h.cfg.Tuning.Idle}
 	for other, o := range records {
-		behind := h.returns[other] != nil && (h.returns[other].Step != zonerecovery.Spread || other < name)
-		s.Busy = s.Busy || o.State == zone.Dark || o.State == zone.Doubt || other != name && behind
+		behind := h.zoneRecoveries[other] != nil && (h.zoneRecoveries[other].Step != zonerecovery.StepSpread || other < name)
+		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && behind
 	}
 	for _, t := range h.types {
 		if slices.Contains(t.Zones, name) {
-			s.Boot = max(s.Boot, wire.Seconds(t.BootS))
+			s.BootTime = max(s.BootTime, wire.Seconds(t.BootS))
 		}
 	}
 	for _, m := range h.fleet.Machines() {
@@ -95,7 +95,7 @@
 			continue
 		}
 		for _, p := range m.Placements() {
-			if t, ok := h.takes(p.Task.Job); ok && p.Active() {
+			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
 				s.Work += t.GPUs + t.CPUs/16
 			}
 		}
@@ -103,178 +103,178 @@
 	return s
 }
 
-// moveMost is how many replicas may be away at once for the sake of spreading.
-const moveMost = 4
+// maxMovingReplicas is how many replicas may be away at once for the sake of spreading.
+const maxMovingReplicas = 4
 
-// mayMove tells how many replicas may be away: none while a zone is in question, or has not
+// allowedMoves tells how many replicas may be away: none while a zone is in question, or has not
 // come to that step of its return.
-func (h *Holder) mayMove() int {
-	for _, r := range h.states.All() {
-		if r.State != zone.Up && r.State != zone.Back {
+func (h *Leader) allowedMoves() int {
+	for _, r := range h.zoneStates.Records() {
+		if r.State != zone.Up && r.State != zone.Recovering {
 			return 0
 		}
 	}
-	for _, p := range h.returns {
-		if p.Step != zonerecovery.Spread {
+	for _, p := range h.zoneRecoveries {
+		if p.Step != zonerecovery.StepSpread {
 			return 0
 		}
 	}
-	if !h.resumed {
+	if !h.rebuiltReachable {
 		return 0
 	}
-	return moveMost
+	return maxMovingReplicas
 }
 
-// homeless reports whether work is still away from a zone to which it comes back: what was
+// refillingZone reports whether work is still away from a zone to which it comes back: what was
 // rented elsewhere for it is not given back before.
-func (h *Holder) homeless() bool {
-	for _, p := range h.returns {
-		if p.Step == zonerecovery.Fill {
+func (h *Leader) refillingZone() bool {
+	for _, p := range h.zoneRecoveries {
+		if p.Step == zonerecovery.StepRefill {
 			return true
 		}
 	}
 	return false
 }
 
-// Returns tells how far the return of each zone has come.
-func (h *Holder) Returns() map[string]string {
+// ZoneRecoveries tells how far the return of each zone has come.
+func (h *Leader) ZoneRecoveries() map[string]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]string, len(h.returns))
-	for name, p := range h.returns {
+	out := make(map[string]string, len(h.zoneRecoveries))
+	for name, p := range h.zoneRecoveries {
 		out[name] = p.String()
 	}
 	return out
 }
 
-// leave takes in what a plan leaves for the work of machines that are out of reach. What is
+// noteFreeCapacity takes in what a plan leaves for the work of machines that are out of reach. What is
 // being given up will take some of it.
-func (h *Holder) leave(now time.Time, plan *scheduler.Plan) {
-	h.uneven = plan.Uneven
-	zones := h.zones(now)
+func (h *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
+	h.unbalanced = plan.SpreadViolated
+	zones := h.zoneHealth(now)
 	for name, r := range zones {
-		if _, is := h.hushed[name]; !is && r.hushed() {
-			h.hushed[name] = now
+		if _, is := h.unreachableZones[name]; !is && r.mostlyMissing() {
+			h.unreachableZones[name] = now
 		}
 	}
-	maps.DeleteFunc(h.hushed, func(name string, _ time.Time) bool { return !zones[name].hushed() })
-	h.left = zonerecovery.Room{Waits: plan.Waits, Free: plan.Spare, Rents: wire.MaxRent}
+	maps.DeleteFunc(h.unreachableZones, func(name string, _ time.Time) bool { return !zones[name].mostlyMissing() })
+	h.freeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
 	for _, m := range h.fleet.Machines() {
 		if m.Releasing {
-			takes, _ := h.lesser(m)
-			h.left.Take(takes)
-			h.left.Rents--
+			takes, _ := h.nonProductionDemand(m)
+			h.freeCapacity.Reserve(takes)
+			h.freeCapacity.ScaleOuts--
 		}
 	}
 }
 
-// hushed reports whether hardly a machine is heard.
-func (r Reach) hushed() bool { return r.Up >= darkLeast && r.Quiet*2 > r.Up }
+// mostlyMissing reports whether hardly a machine is heard.
+func (r ZoneHealth) mostlyMissing() bool { return r.Up >= minMachinesToJudge && r.Quiet*2 > r.Up }
 
-// keeps reports whether a machine that is lost is kept, since its zone is cut off or has come
+// keepsLostMachine reports whether a machine that is lost is kept, since its zone is cut off or has come
 // back just now.
-func (h *Holder) keeps(now time.Time, m *fleet.Machine) bool {
-	since, dark := h.cutOff(now, m.Zone)
-	if !dark {
+func (h *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
+	since, cutOff := h.zoneCutOff(now, m.Zone)
+	if !cutOff {
 		return false
 	}
-	takes, top := h.lesser(m)
+	demand, production := h.nonProductionDemand(m)
 	gb := 0.0
 	for _, p := range m.Placements() {
-		if l := h.live[p.Task.Job]; l != nil {
+		if l := h.liveJobs[p.Task.Job]; l != nil {
 			gb += l.Record.Job.ImageGB
 		}
 	}
-	return h.left.Keeps(zonerecovery.Lost{Top: top, Takes: takes, Rent: func() bool { return h.elsewhere(now, m) },
-		Dark: now.Sub(since), Anew: zonerecovery.Anew(h.typeOf(m.Type), gb)})
+	return h.freeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return h.canMoveElsewhere(now, m) },
+		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(h.machineType(m.Type), gb)})
 }
 
-// cutOff tells since when a zone is cut off, if it is or may be, or was until just now: its
+// zoneCutOff tells since when a zone is cut off, if it is or may be, or was until just now: its
 // machines are all heard, or called in vain, a while after. Before several controllers have
 // judged, or this one can, what it hears itself is enough to keep them.
-func (h *Holder) cutOff(now time.Time, name string) (since time.Time, dark bool) {
-	switch r := h.states.Of(name); {
-	case r.State == zone.Dark, r.State == zone.Doubt:
+func (h *Leader) zoneCutOff(now time.Time, name string) (since time.Time, cutOff bool) {
+	switch r := h.zoneStates.Record(name); {
+	case r.State == zone.Unreachable, r.State == zone.Suspected:
 		return r.Since, true
-	case r.State == zone.Back && now.Sub(r.Since) < h.times.silence:
+	case r.State == zone.Recovering && now.Sub(r.Since) < h.timeouts.unreachableAfter:
 		return now, true
 	}
-	since, dark = h.hushed[name]
-	return since, dark
+	since, cutOff = h.unreachableZones[name]
+	return since, cutOff
 }
 
-// lesser sums what the tasks on a machine take but for those of production, and tells
+// nonProductionDemand sums what the tasks on a machine take but for those of production, and tells
 // whether there are such.
-func (h *Holder) lesser(m *fleet.Machine) (sum scheduler.Amount, top bool) {
+func (h *Leader) nonProductionDemand(m *fleet.Machine) (sum scheduler.Resources, production bool) {
 	for _, p := range m.Placements() {
-		l := h.live[p.Task.Job]
+		l := h.liveJobs[p.Task.Job]
 		switch {
 		case l == nil || !p.Active():
 		case l.Record.Job.Priority == wire.Production:
-			top = true
+			production = true
 		default:
-			sum = sum.Plus(scheduler.Of(l.Record.Job), 1)
+			sum = sum.AddScaled(scheduler.ResourcesOf(l.Record.Job), 1)
 		}
 	}
-	return sum, top
+	return sum, production
 }
 
-// elsewhere reports whether machines in other zones can be had for all that is on one, here
+// canMoveElsewhere reports whether machines in other zones can be had for all that is on one, here
 // or by another part: the cloud has not refused them when it was last asked.
-func (h *Holder) elsewhere(now time.Time, m *fleet.Machine) bool {
+func (h *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
 	for _, p := range m.Placements() {
-		if l := h.live[p.Task.Job]; l != nil && p.Active() && !h.rentable(now, l.Record.Job) {
+		if l := h.liveJobs[p.Task.Job]; l != nil && p.Active() && !h.canScaleOutFor(now, l.Record.Job) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Holder) rentable(now time.Time, j *wire.Job) bool {
-	for _, t := range h.ownTypes() {
+func (h *Leader) canScaleOutFor(now time.Time, j *wire.Job) bool {
+	for _, t := range h.shardMachineTypes() {
 		for _, zone := range t.Zones {
-			if !h.states.Of(zone).Open(now) || !size(t).Fits(scheduler.Of(j)) {
+			if !h.zoneStates.Record(zone).AcceptsScaleOut(now) || !capacityOf(t).Fits(scheduler.ResourcesOf(j)) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
 				o := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
-				if !h.rentals.Doubted(o) && scheduler.Allows(j, o) {
+				if !h.scaleOutRequests.Constrained(o) && scheduler.OfferAllowed(j, o) {
 					return true
 				}
 			}
 		}
 	}
-	for part, o := range h.others {
-		if room := o.Rooms[j.Class]; (room.Rent || room.Now > 0) && h.group.Suits(part, j, h.types) {
+	for part, o := range h.peerShards {
+		if room := o.Rooms[j.Class]; (room.Rent || room.Now > 0) && h.sharding.MayHost(part, j, h.types) {
 			return true
 		}
 	}
 	return false
 }
 
-// hear takes in that a machine is heard again: calls that were in vain meanwhile say nothing
+// noteHeartbeat takes in that a machine is heard again: calls that were in vain meanwhile say nothing
 // of the next one. The first of a zone that was cut off says so of all of them.
-func (h *Holder) hear(now time.Time, machine string) {
+func (h *Leader) noteHeartbeat(now time.Time, machine string) {
 	m := h.fleet.Machine(machine)
-	if m == nil || !h.silent(now, m) {
+	if m == nil || !h.unreachable(now, m) {
 		return
 	}
-	h.anew(m)
-	if _, dark := h.cutOff(now, m.Zone); !dark || now.Sub(h.roused[m.Zone]) < longRaise {
+	h.forgetFailedCalls(m)
+	if _, cutOff := h.zoneCutOff(now, m.Zone); !cutOff || now.Sub(h.recoveredZones[m.Zone]) < maxFencingCallInterval {
 		return
 	}
-	h.roused[m.Zone] = now
+	h.recoveredZones[m.Zone] = now
 	for _, o := range h.fleet.Machines() {
-		if o.Zone == m.Zone && h.silent(now, o) {
-			h.anew(o)
+		if o.Zone == m.Zone && h.unreachable(now, o) {
+			h.forgetFailedCalls(o)
 		}
 	}
 	h.log.Info("a zone is heard again", "zone", m.Zone, "machine", machine)
 }
 
-// anew forgets the calls to a machine that were in vain.
-func (h *Holder) anew(m *fleet.Machine) {
-	if c := h.called[m.ID]; !c.open && c.failures > 0 {
-		delete(h.called, m.ID)
+// forgetFailedCalls forgets the calls to a machine that were in vain.
+func (h *Leader) forgetFailedCalls(m *fleet.Machine) {
+	if c := h.callStates[m.ID]; !c.open && c.failures > 0 {
+		delete(h.callStates, m.ID)
 	}
 }
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -14,105 +14,105 @@
 // The state of the zones of this part: the evidence for it, its records in the part's
 // ledger, and what is rented in one that is dark.
 
-// SetWitnesses takes in what siblings whose beats come in see of each zone's machines.
-func (h *Holder) SetWitnesses(w map[string]zone.Witness) {
+// SetObservers takes in what siblings whose beats come in see of each zone's machines.
+func (h *Leader) SetObservers(w map[string]zone.Observer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.witnesses = w
+	h.zoneObservers = w
 }
 
-// ZoneStates gives the state of each zone that ever was in question, by the store.
-func (h *Holder) ZoneStates() map[string]zone.Record {
+// ZoneRecords gives the state of each zone that ever was in question, by the store.
+func (h *Leader) ZoneRecords() map[string]zone.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.states.All()
+	return h.zoneStates.Records()
 }
 
-// recallZones goes on from the states that the ledger tells. Those of earlier groupings are
+// recoverZones goes on from the states that the ledger tells. Those of earlier groupings are
 // yet to be written to it.
-func (h *Holder) recallZones(now time.Time, last *store.Recalled) {
-	if !h.carry.said {
-		for name, r := range h.past.Zones {
-			if own, known := last.Zones[name]; (!known || r.Number > own.Number) && h.mine(name) {
+func (h *Leader) recoverZones(now time.Time, last *store.RecoveredState) {
+	if !h.migration.recorded {
+		for name, r := range h.previous.Zones {
+			if own, known := last.Zones[name]; (!known || r.Number > own.Number) && h.ownsZone(name) {
 				last.Zones[name] = r
-				h.carry.zones = append(h.carry.zones, name)
+				h.migration.zones = append(h.migration.zones, name)
 			}
 		}
-		slices.Sort(h.carry.zones)
+		slices.Sort(h.migration.zones)
 	}
 	records := make(map[string]zone.Record, len(last.Zones))
 	for name, r := range last.Zones {
-		records[name] = zone.Record{State: zone.State(r.State), Number: r.Number, Since: time.UnixMilli(r.Since), Falls: r.Falls}
-		h.log.Info("zone recalled", "zone", name, "state", r.State, "number", r.Number, "falls", r.Falls)
+		records[name] = zone.Record{State: zone.State(r.State), Number: r.Number, Since: time.UnixMilli(r.Since), Outages: r.Outages}
+		h.log.Info("zone recalled", "zone", name, "state", r.State, "number", r.Number, "falls", r.Outages)
 	}
-	h.states = zone.New(now, records)
+	h.zoneStates = zone.New(now, records)
 }
 
 func zoneEntry(name string, r zone.Record) store.Entry {
-	return store.ZoneEntry(name, store.ZoneRecord{State: string(r.State), Number: r.Number, Since: r.Since.UnixMilli(), Falls: r.Falls})
+	return store.ZoneEntry(name, store.ZoneRecord{State: string(r.State), Number: r.Number, Since: r.Since.UnixMilli(), Outages: r.Outages})
 }
 
-// mine reports whether this part has machines in a zone.
-func (h *Holder) mine(name string) bool {
-	return h.group.Whole() || slices.ContainsFunc(h.types, func(t wire.MachineType) bool {
-		return slices.Contains(t.Zones, name) && h.group.PartOf(name, t.Name) == h.held.Part
+// ownsZone reports whether this part has machines in a zone.
+func (h *Leader) ownsZone(name string) bool {
+	return h.sharding.IsSingle() || slices.ContainsFunc(h.types, func(t wire.MachineType) bool {
+		return slices.Contains(t.Zones, name) && h.sharding.ShardOf(name, t.Name) == h.lease.Shard
 	})
 }
 
-// judgeZones takes into a round what becomes of the zones.
-func (h *Holder) judgeZones(now time.Time, d *Draft) {
-	for _, c := range h.states.Next(now, h.evidence(now)) {
-		if h.mine(c.Zone) && d.add(zoneEntry(c.Zone, c.Record)) {
+// decideZones takes into a round what becomes of the zones.
+func (h *Leader) decideZones(now time.Time, d *Draft) {
+	for _, c := range h.zoneStates.Next(now, h.zoneEvidence(now)) {
+		if h.ownsZone(c.Zone) && d.addEntries(zoneEntry(c.Zone, c.Record)) {
 			d.zones = append(d.zones, c)
 		}
 	}
 }
 
-// judged takes in what the store has taken: only now does it count.
-func (h *Holder) judged(changes []zone.Change) {
-	h.states.Take(changes)
+// zonesCommitted takes in what the store has taken: only now does it count.
+func (h *Leader) zonesCommitted(changes []zone.Change) {
+	h.zoneStates.Commit(changes)
 	for _, c := range changes {
-		h.log.Info("zone", "zone", c.Zone, "state", string(c.Record.State), "was", string(c.Was), "number", c.Record.Number, "falls", c.Record.Falls, "evidence", c.Why)
-		if c.Record.State == zone.Back { // what the cloud refused there was before
-			h.rentals.Back(c.Zone)
+		h.log.Info("zone", "zone", c.Zone, "state", string(c.Record.State), "was", string(c.Previous), "number", c.Record.Number, "falls", c.Record.Outages, "evidence", c.Reason)
+		if c.Record.State == zone.Recovering { // what the cloud refused there was before
+			h.scaleOutRequests.ZoneRecovered(c.Zone)
 		}
 	}
 }
 
-// heardIn notes that a machine was heard. One that was given up or is not known any more
+// noteZoneHeartbeat notes that a machine was heard. One that was given up or is not known any more
 // tells of its zone all the same.
-func (h *Holder) heardIn(now time.Time, r *wire.Report) {
-	h.lastIn[r.Zone] = now
+func (h *Leader) noteZoneHeartbeat(now time.Time, r *wire.Heartbeat) {
+	h.lastZoneHeartbeat[r.Zone] = now
 	if m := h.fleet.Machine(r.Machine); m == nil || m.Releasing {
-		h.strays[r.Zone] = now
+		h.orphans[r.Zone] = now
 	}
 }
 
-// evidence gathers what there is to judge the zones by. What other parts' holders say of
+// zoneEvidence gathers what there is to judge the zones by. What other parts' holders say of
 // their machines counts as heard here only if siblings pass reports on to this controller.
-func (h *Holder) evidence(now time.Time) *zone.Evidence {
-	e := &zone.Evidence{Own: zone.Witness{Zone: h.cfg.Zone, Sights: map[string]zone.Observation{}}, Last: h.lastIn, Others: h.witnesses, All: len(h.cfg.Siblings) + 1,
-		Mute: now.Sub(h.fleet.Claimed) < h.times.silence || now.Sub(h.awake) < awakeTime}
+func (h *Leader) zoneEvidence(now time.Time) *zone.Evidence {
+	e := &zone.Evidence{Own: zone.Observer{Zone: h.cfg.Zone, Observations: map[string]zone.Observation{}}, LastHeartbeat: h.lastZoneHeartbeat, Peers: h.zoneObservers, Controllers: len(h.cfg.Peers) + 1,
+		CannotJudge: now.Sub(h.fleet.ElectedAt) < h.timeouts.unreachableAfter || now.Sub(h.lastPauseEnd) < pauseGrace}
 	add := func(name string, s zone.Observation) {
-		sum := e.Own.Sights[name]
+		sum := e.Own.Observations[name]
 		sum.Heard, sum.Quiet, sum.Lost = sum.Heard+s.Heard, sum.Quiet+s.Quiet, sum.Lost+s.Lost
-		e.Own.Sights[name] = sum
+		e.Own.Observations[name] = sum
 	}
-	for name, r := range h.zones(now) {
+	for name, r := range h.zoneHealth(now) {
 		add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
 	}
-	for _, s := range h.silenced {
+	for _, s := range h.evictedUnreachable {
 		if now.Sub(s.at) <= h.cfg.Workers.Lease {
 			add(s.zone, zone.Observation{Lost: 1})
 		}
 	}
-	for name, at := range h.strays {
-		if now.Sub(at) < h.times.overdue {
+	for name, at := range h.orphans {
+		if now.Sub(at) < h.timeouts.suspectAfter {
 			add(name, zone.Observation{Heard: 1})
 		}
 	}
-	if h.edges > 0 {
-		for _, o := range h.others {
+	if h.ingestPeers > 0 {
+		for _, o := range h.peerShards {
 			for name, r := range o.Zones {
 				add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
 			}
@@ -121,15 +121,17 @@
 	return e
 }
 
-// dark reports whether a zone is, by the store.
-func (h *Holder) dark(name string) bool { return h.states.Of(name).State == zone.Dark }
+// zoneUnreachable reports whether a zone is, by the store.
+func (h *Leader) zoneUnreachable(name string) bool {
+	return h.zoneStates.Record(name).State == zone.Unreachable
+}
 
-// darkLast puts machines of dark zones behind all others: calls there are in vain, and each
+// unreachableZonesLast puts machines of dark zones behind all others: calls there are in vain, and each
 // takes a while to be so.
-func (h *Holder) darkLast(machines []*fleet.Machine) []*fleet.Machine {
+func (h *Leader) unreachableZonesLast(machines []*fleet.Machine) []*fleet.Machine {
 	var out, last []*fleet.Machine
 	for _, m := range machines {
-		if h.dark(m.Zone) {
+		if h.zoneUnreachable(m.Zone) {
 			last = append(last, m)
 		} else {
 			out = append(out, m)
@@ -138,42 +140,42 @@
 	return append(out, last...)
 }
 
-// shutZones refuses the offers of zones that are not open, but for what probes ask for.
-func (h *Holder) shutZones(now time.Time, pic *scheduler.Picture) {
+// refuseClosedZones refuses the offers of zones that are not open, but for what probes ask for.
+func (h *Leader) refuseClosedZones(now time.Time, pic *scheduler.Snapshot) {
 	for _, t := range h.types {
 		for _, name := range t.Zones {
-			if !h.states.Of(name).Open(now) {
-				pic.Refused[scheduler.Offer{Type: t.Name, Zone: name}] = true
-				pic.Refused[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
+			if !h.zoneStates.Record(name).AcceptsScaleOut(now) {
+				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name}] = true
+				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
 			}
 		}
 	}
 }
 
-// probeMost is how many machines that nobody has heard yet a probed zone may have.
-const probeMost = 3
+// maxZoneProbes is how many machines that nobody has heard yet a probed zone may have.
+const maxZoneProbes = 3
 
-// withProbes adds to what a plan wants to rent a machine in each zone that is to be
+// withZoneProbes adds to what a plan wants to rent a machine in each zone that is to be
 // probed, of what is wanted anyway: where nothing is, nobody needs the zone.
-func (h *Holder) withProbes(now time.Time, pic *scheduler.Picture, plan *scheduler.Plan) []scheduler.Rent {
-	rents := plan.Rents
-	for _, name := range sortedKeys(h.states.All()) {
-		if !h.states.ProbeDue(now, name) || !h.mine(name) || !h.probeable(name) {
+func (h *Leader) withZoneProbes(now time.Time, pic *scheduler.Snapshot, plan *scheduler.Plan) []scheduler.ScaleOut {
+	rents := plan.ScaleOuts
+	for _, name := range sortedKeys(h.zoneStates.Records()) {
+		if !h.zoneStates.ProbeDue(now, name) || !h.ownsZone(name) || !h.mayProbeZone(name) {
 			continue
 		}
-		if o, ok := h.probeOffer(name, pic, plan); ok {
-			h.states.Probed(now, name)
-			rents = append(rents, scheduler.Rent{Offer: o, Count: 1})
+		if o, ok := h.zoneProbeOffer(name, pic, plan); ok {
+			h.zoneStates.MarkProbed(now, name)
+			rents = append(rents, scheduler.ScaleOut{Offer: o, Count: 1})
 			h.log.Info("zone probed", "zone", name, "type", o.Type, "spot", o.Spot)
 		}
 	}
 	return rents
 }
 
-// probeable reports whether nothing is asked of a zone now, and few of its machines that
+// mayProbeZone reports whether nothing is asked of a zone now, and few of its machines that
 // were rented have not been heard yet.
-func (h *Holder) probeable(name string) bool {
-	for _, a := range h.rentals.Open() {
+func (h *Leader) mayProbeZone(name string) bool {
+	for _, a := range h.scaleOutRequests.Pending() {
 		if a.Zone == name {
 			return false
 		}
@@ -184,17 +186,17 @@
 			coming++
 		}
 	}
-	return coming < probeMost
+	return coming < maxZoneProbes
 }
 
-// probeOffer picks what to ask a zone for: what most is rented of elsewhere, or what suits
+// zoneProbeOffer picks what to ask a zone for: what most is rented of elsewhere, or what suits
 // the job with the most tasks that found no room.
-func (h *Holder) probeOffer(name string, pic *scheduler.Picture, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
+func (h *Leader) zoneProbeOffer(name string, pic *scheduler.Snapshot, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	has := func(typ string) bool {
-		return slices.Contains(h.typeOf(typ).Zones, name) && h.group.PartOf(name, typ) == h.held.Part
+		return slices.Contains(h.machineType(typ).Zones, name) && h.sharding.ShardOf(name, typ) == h.lease.Shard
 	}
 	most := 0
-	for _, r := range plan.Rents {
+	for _, r := range plan.ScaleOuts {
 		if r.Count > most && has(r.Type) {
 			best, most = scheduler.Offer{Type: r.Type, Zone: name, Spot: r.Spot}, r.Count
 		}
@@ -212,7 +214,7 @@
 			continue
 		}
 		for _, t := range h.types {
-			if has(t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && size(t).Fits(scheduler.Of(j.Job)) {
+			if has(t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && capacityOf(t).Fits(scheduler.ResourcesOf(j.Job)) {
 				best, most = scheduler.Offer{Type: t.Name, Zone: name, Spot: j.Spot}, left
 				break
 			}
@@ -221,37 +223,37 @@
 	return best, most > 0
 }
 
-// doubtGap is the time between two rounds of calls that siblings are asked to make where a
+// suspectedZoneInterval is the time between two rounds of calls that siblings are asked to make where a
 // zone is in doubt, and doubtCalls how many machines there each of them calls.
 const (
-	doubtGap   = 250 * time.Millisecond
-	doubtCalls = 2
+	suspectedZoneInterval = 250 * time.Millisecond
+	suspectedZoneCalls    = 2
 )
 
-// doubted picks machines of a zone in doubt, and one of another zone that is heard: what a
+// callsToSuspectedZones picks machines of a zone in doubt, and one of another zone that is heard: what a
 // sibling can't reach says something only where it can reach others.
-func (h *Holder) doubted(now time.Time) (out []*fleet.Machine) {
-	if now.Sub(h.raisesAt) < doubtGap {
+func (h *Leader) callsToSuspectedZones(now time.Time) (out []*fleet.Machine) {
+	if now.Sub(h.pendingFencingCallsAt) < suspectedZoneInterval {
 		return nil
 	}
 	left, heard := map[string]int{}, (*fleet.Machine)(nil)
-	for name, r := range h.states.All() {
-		if r.State == zone.Doubt {
-			left[name] = doubtCalls
+	for name, r := range h.zoneStates.Records() {
+		if r.State == zone.Suspected {
+			left[name] = suspectedZoneCalls
 		}
 	}
 	if len(left) == 0 {
 		return nil
 	}
-	h.raisesAt = now
+	h.pendingFencingCallsAt = now
 	for _, m := range h.fleet.Machines() {
-		last := h.called[m.ID]
-		if m.Addr == "" || m.Releasing || last.underWay(now) || now.Sub(last.at) < raiseGap {
+		last := h.callStates[m.ID]
+		if m.Addr == "" || m.Releasing || last.inFlight(now) || now.Sub(last.startedAt) < minFencingCallInterval {
 			continue
 		}
-		if _, is := left[m.Zone]; !is && heard == nil && h.quiet(now, m) < h.times.fresh {
+		if _, is := left[m.Zone]; !is && heard == nil && h.heartbeatAge(now, m) < h.timeouts.launchWithin {
 			heard = m
-		} else if left[m.Zone] > 0 && h.quiet(now, m) > h.times.overdue {
+		} else if left[m.Zone] > 0 && h.heartbeatAge(now, m) > h.timeouts.suspectAfter {
 			left[m.Zone]--
 			out = append(out, m)
 		}
@@ -262,19 +264,19 @@
 	return out
 }
 
-// resume notes that this holder goes on as usual: every machine is accounted for but those
+// noteResumed notes that this holder goes on as usual: every machine is accounted for but those
 // that are silent, or in a zone that is dark. What may be on one of these is in its
 // record, which no launch was said without, and holds back those tasks alone.
-func (h *Holder) resume(now time.Time, unproven []*fleet.Machine) {
-	if h.resumed || len(unproven) > 0 && now.Sub(h.fleet.Claimed) < rebuildWait {
+func (h *Leader) noteResumed(now time.Time, unproven []*fleet.Machine) {
+	if h.rebuiltReachable || len(unproven) > 0 && now.Sub(h.fleet.ElectedAt) < maxRebuildWait {
 		return
 	}
 	for _, m := range unproven {
-		if !h.dark(m.Zone) && !h.silent(now, m) && h.fleet.Heeds(now, m) {
+		if !h.zoneUnreachable(m.Zone) && !h.unreachable(now, m) && h.fleet.ReceivesCommands(now, m) {
 			return
 		}
 	}
-	if h.resumed = true; len(unproven) > 0 {
-		h.log.Info("resumed", "after", now.Sub(h.fleet.Claimed), "machines", len(h.fleet.Machines()), "silent", len(unproven))
+	if h.rebuiltReachable = true; len(unproven) > 0 {
+		h.log.Info("resumed", "after", now.Sub(h.fleet.ElectedAt), "machines", len(h.fleet.Machines()), "silent", len(unproven))
 	}
 }
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -26,14 +26,14 @@
 				d, _ := time.ParseDuration(w[1])
 				now = zero.Add(d)
 			case "granted":
-				c.Granted(num("lease"), now)
+				c.LeaseGranted(num("lease"), now)
 			case "renewed":
-				c.Renewed(now)
+				c.LeaseRenewed(now)
 			case "lost":
-				c.Lost()
+				c.LeaseLost()
 			case "attempt":
-				txn, term := c.Attempt("fleet", store.Versioned[uint64]{Record: num("term"), Version: num("version")})
-				out := []string{fmt.Sprintf("term %d", term)}
+				txn, token := c.Campaign("fleet", store.Versioned[uint64]{Record: num("term"), Version: num("version")})
+				out := []string{fmt.Sprintf("term %d", token)}
 				for _, cond := range txn.If {
 					out = append(out, fmt.Sprintf("if %s is at %d", cond.Key, cond.Version))
 				}
@@ -44,27 +44,27 @@
 			case "won":
 				c.Won("fleet", num("term"), num("revision"))
 			case "see":
-				rec := store.Versioned[store.PartRecord]{Version: num("version"),
-					Record: store.PartRecord{Holder: kv["holder"], Term: num("term"), Lease: num("lease")}}
-				if old := c.See("fleet", rec, kv["holder"] != "", num("revision")); old != 0 {
+				rec := store.Versioned[store.LeaderRecord]{Version: num("version"),
+					Record: store.LeaderRecord{Leader: kv["holder"], FencingToken: num("term"), Lease: num("lease")}}
+				if old := c.Observe("fleet", rec, kv["holder"] != "", num("revision")); old != 0 {
 					return []string{fmt.Sprintf("end lease %d", old)}
 				}
 			case "leave": // give the part back
-				c.Leave("fleet")
+				c.StepDown("fleet")
 			case "releases":
 				var out []string
-				for part, txn := range c.Releases() {
+				for part, txn := range c.PendingReleases() {
 					out = append(out, fmt.Sprintf("drop %s if %s is at %d", part, txn.If[0].Key, txn.If[0].Version))
 				}
 				return out
 			default:
 				t.Fatalf("no such step: %s", step)
 			}
-			held, ok := c.Held("fleet")
+			held, ok := c.Tenure("fleet")
 			if !ok {
-				return []string{fmt.Sprintf("holds nothing, valid=%v", c.Valid(now))}
+				return []string{fmt.Sprintf("holds nothing, valid=%v", c.LeaseValid(now))}
 			}
-			return []string{fmt.Sprintf("holds the fleet with term %d at version %d, valid=%v", held.Term, held.Version, c.Valid(now))}
+			return []string{fmt.Sprintf("holds the fleet with term %d at version %d, valid=%v", held.FencingToken, held.Version, c.LeaseValid(now))}
 		}
 	})
 }
