--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -16,339 +16,339 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Keeper runs a Claim: it renews the lease and claims every part that is free.
-type Keeper struct {
-	Claim  *Claim
-	Group  *fleet.Grouping
-	Tiers  string // how the tiers of work are set, in short
-	Client *store.Client
-	View   *store.View
-	Follow *store.Follower
-	Log    *slog.Logger
-	// Ready says whether this controller is to claim a part that has been free for
+// Elector runs a Claim: it renews the lease and claims every part that is free.
+type Elector struct {
+	Election    *Election
+	Sharding    *fleet.Sharding
+	TiersDigest string // how the tiers of work are set, in short
+	Client      *store.Client
+	View        *store.View
+	Follow      *store.Follower
+	Log         *slog.Logger
+	// ShouldCampaign says whether this controller is to claim a part that has been free for
 	// so long.
-	Ready func(part string, free time.Duration) bool
-	// Changed is called when a claim may have been won or lost.
-	Changed func()
-	// Agreed names a controller that lives and is set to another grouping, or one that may
+	ShouldCampaign func(part string, free time.Duration) bool
+	// OnChange is called when a claim may have been won or lost.
+	OnChange func()
+	// ConfigMismatch names a controller that lives and is set to another grouping, or one that may
 	// live and was not heard yet, if there is one.
-	Agreed func() (other string, heard bool)
+	ConfigMismatch func() (other string, heard bool)
 
-	kick    chan struct{}
-	free    map[string]time.Time // parts that nobody holds, since when
-	refused string               // why nothing is claimed, as it was last said
-	untiers string               // and why for the tiers of work
+	wake                chan struct{}
+	vacantSince         map[string]time.Time // parts that nobody holds, since when
+	lastShardingRefusal string               // why nothing is claimed, as it was last said
+	lastTiersRefusal    string               // and why for the tiers of work
 
 	mu sync.Mutex
 }
 
-// Held tells the claim on a part, whether its lease surely lasts, and when the
+// Tenure tells the claim on a part, whether its lease surely lasts, and when the
 // last renewal that succeeded was sent.
-func (k *Keeper) Held(part string, now time.Time) (h Held, held, valid bool, confirmed time.Time) {
+func (k *Elector) Tenure(shard string, now time.Time) (h Tenure, held, valid bool, lastRenewal time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	h, held = k.Claim.Held(part)
-	return h, held, k.Claim.Valid(now), k.Claim.Confirmed()
+	h, held = k.Election.Tenure(shard)
+	return h, held, k.Election.LeaseValid(now), k.Election.LastRenewal()
 }
 
 // Run keeps the claim until the context ends; then it ends the lease, so that
 // a sibling can take over at once.
-func (k *Keeper) Run(ctx context.Context) error {
-	ctx = store.For(ctx, store.Claims)
-	kick := k.kicked()
+func (k *Elector) Run(ctx context.Context) error {
+	ctx = store.WithPurpose(ctx, store.PurposeLeadership)
+	wake := k.wakeChannel()
 	for ctx.Err() == nil {
-		k.turn(ctx)
+		k.step(ctx)
 		k.mu.Lock()
-		wait := time.Until(k.Claim.Due())
+		wait := time.Until(k.Election.NextRenewal())
 		k.mu.Unlock()
-		if len(k.free) > 0 {
+		if len(k.vacantSince) > 0 {
 			wait = min(wait, 300*time.Millisecond)
 		}
 		t := time.NewTimer(max(wait, 100*time.Millisecond))
 		select {
 		case <-ctx.Done():
 		case <-k.View.Changed():
-		case <-kick:
+		case <-wake:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	if lease := k.Claim.Lease(); lease != 0 {
-		return k.Client.End(end, lease)
+	if lease := k.Election.Lease(); lease != 0 {
+		return k.Client.RevokeLease(end, lease)
 	}
 	return nil
 }
 
 // Resign ends the lease, because another controller can serve better.
-func (k *Keeper) Resign(ctx context.Context, why string) {
+func (k *Elector) Resign(ctx context.Context, why string) {
 	k.mu.Lock()
-	lease := k.Claim.Lease()
-	k.Claim.Lost()
+	lease := k.Election.Lease()
+	k.Election.LeaseLost()
 	k.mu.Unlock()
 	k.Log.Warn("claim given up", "lease", lease, "why", why)
-	k.Changed()
+	k.OnChange()
 	if lease != 0 {
-		_ = k.Client.End(ctx, lease)
+		_ = k.Client.RevokeLease(ctx, lease)
 	}
 }
 
-func (k *Keeper) turn(ctx context.Context) {
+func (k *Elector) step(ctx context.Context) {
 	now := time.Now()
 	k.mu.Lock()
-	lease := k.Claim.Lease()
+	lease := k.Election.Lease()
 	k.mu.Unlock()
 	if lease == 0 {
-		id, err := k.Client.Grant(ctx, k.Claim.TTL)
+		id, err := k.Client.GrantLease(ctx, k.Election.TTL)
 		if err != nil {
-			store.Pause(ctx, 400*time.Millisecond)
+			store.Backoff(ctx, 400*time.Millisecond)
 			return
 		}
 		k.mu.Lock()
-		k.Claim.Granted(id, now)
+		k.Election.LeaseGranted(id, now)
 		k.mu.Unlock()
 	}
-	if !k.lasts(ctx) {
+	if !k.ensureLease(ctx) {
 		return
 	}
-	k.release(ctx)
-	group, ok := k.grouped(ctx)
-	tiers, alike := k.tiered(ctx)
+	k.releaseShards(ctx)
+	shardingUnchanged, shardingMatches := k.shardingCondition(ctx)
+	tiersUnchanged, tiersMatch := k.tiersCondition(ctx)
 	// Claims that get no answer, one after the other, take longer than a lease: all that were taken
 	// would go with it, and be made again, for ever.
-	for parts := k.Group.Parts(); len(parts) > 0 && k.lasts(ctx); parts = parts[1:] {
-		k.look(ctx, parts[0], ok && alike, group, tiers)
+	for shards := k.Sharding.Shards(); len(shards) > 0 && k.ensureLease(ctx); shards = shards[1:] {
+		k.campaign(ctx, shards[0], shardingMatches && tiersMatch, shardingUnchanged, tiersUnchanged)
 	}
 }
 
-// lasts renews the lease where that is due, and says whether it goes on.
-func (k *Keeper) lasts(ctx context.Context) bool {
+// ensureLease renews the lease where that is due, and says whether it goes on.
+func (k *Elector) ensureLease(ctx context.Context) bool {
 	now := time.Now()
 	k.mu.Lock()
-	lease, due, valid := k.Claim.Lease(), k.Claim.Due(), k.Claim.Valid(now)
+	lease, due, valid := k.Election.Lease(), k.Election.NextRenewal(), k.Election.LeaseValid(now)
 	k.mu.Unlock()
 	return lease != 0 && (now.Before(due) || k.renew(ctx, lease, now, valid))
 }
 
-// Leave gives a part back, once the duties for it have ended. The claim of it counts as
+// StepDown gives a part back, once the duties for it have ended. The claim of it counts as
 // lost from now on, and never comes back.
-func (k *Keeper) Leave(part string) {
-	kick := k.kicked()
+func (k *Elector) StepDown(shard string) {
+	wake := k.wakeChannel()
 	k.mu.Lock()
-	k.Claim.Leave(part)
+	k.Election.StepDown(shard)
 	k.mu.Unlock()
 	select {
-	case kick <- struct{}{}:
+	case wake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) kicked() chan struct{} {
+func (k *Elector) wakeChannel() chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.kick == nil {
-		k.kick = make(chan struct{}, 1)
+	if k.wake == nil {
+		k.wake = make(chan struct{}, 1)
 	}
-	return k.kick
+	return k.wake
 }
 
-// release makes the writes for parts that were given back, until each has an answer.
-func (k *Keeper) release(ctx context.Context) {
+// releaseShards makes the writes for parts that were given back, until each has an answer.
+func (k *Elector) releaseShards(ctx context.Context) {
 	k.mu.Lock()
-	releases := k.Claim.Releases()
+	releases := k.Election.PendingReleases()
 	k.mu.Unlock()
-	for part, txn := range releases {
+	for shard, txn := range releases {
 		_, err := k.Client.Txn(ctx, txn)
-		k.Log.Info("part given back", "part", part, "error", err)
+		k.Log.Info("part given back", "part", shard, "error", err)
 		if berr := k.Follow.Barrier(ctx); berr != nil {
 			return
 		}
-		rec, known := k.View.Part(part)
+		rec, known := k.View.Leader(shard)
 		k.mu.Lock()
-		k.Claim.See(part, rec, known, k.View.Revision())
+		k.Election.Observe(shard, rec, known, k.View.Revision())
 		k.mu.Unlock()
 	}
 }
 
-// grouped gives the condition that the state is divided into parts as this controller is
+// shardingCondition gives the condition that the state is divided into parts as this controller is
 // set to. Where it is divided otherwise nothing is claimed: two controllers would answer
 // for one machine. Once nobody holds a part and all controllers that live are set alike, the
 // state is divided anew.
-func (k *Keeper) grouped(ctx context.Context) (wire.Condition, bool) {
+func (k *Elector) shardingCondition(ctx context.Context) (wire.Condition, bool) {
 	if !k.View.Loaded() {
 		return wire.Condition{}, false
 	}
-	rec, want := k.View.Grouping(), k.Group.String()
-	cond := wire.Condition{Key: store.GroupingKey, Version: rec.Version}
+	rec, want := k.View.Sharding(), k.Sharding.String()
+	cond := wire.Condition{Key: store.ShardingKey, Version: rec.Version}
 	if rec.Record.Text == want {
-		k.refused = ""
+		k.lastShardingRefusal = ""
 		return cond, true
 	}
 	if form := k.View.Format(); form.Format < store.Format || form.Import != "" {
 		return cond, false
 	}
-	if err := k.regroup(ctx); err != nil && err.Error() != k.refused {
-		k.refused = err.Error()
+	if err := k.reshard(ctx); err != nil && err.Error() != k.lastShardingRefusal {
+		k.lastShardingRefusal = err.Error()
 		level := slog.LevelError
-		if errors.Is(err, errUnheard) {
+		if errors.Is(err, errPeerUnknown) {
 			level = slog.LevelInfo
 		}
-		k.Log.Log(ctx, level, "no part is claimed", "state", describe(rec.Record.Text), "settings", describe(want), "why", err, "do", "see docs/parts.md, To change the grouping")
+		k.Log.Log(ctx, level, "no part is claimed", "state", describeSharding(rec.Record.Text), "settings", describeSharding(want), "why", err, "do", "see docs/parts.md, To change the grouping")
 	}
 	return cond, false
 }
 
-// errUnheard means that it is not known yet how a sibling is set.
-var errUnheard = errors.New("is yet to be heard")
+// errPeerUnknown means that it is not known yet how a sibling is set.
+var errPeerUnknown = errors.New("is yet to be heard")
 
-// movable says why the state can't follow the settings yet: a part is held, or a controller that
+// checkReconfigurable says why the state can't follow the settings yet: a part is held, or a controller that
 // lives is set otherwise. Before anything was launched nobody need be asked.
-func (k *Keeper) movable() error {
-	held, used := k.View.Held()
-	switch other, heard := k.Agreed(); {
+func (k *Elector) checkReconfigurable() error {
+	held, used := k.View.LedShards()
+	switch other, heard := k.ConfigMismatch(); {
 	case !used && len(held) == 0: // nothing was ever launched
 	case other != "" && heard:
 		return fmt.Errorf("%s is set otherwise", other)
 	case other != "":
-		return fmt.Errorf("%s %w", other, errUnheard)
+		return fmt.Errorf("%s %w", other, errPeerUnknown)
 	}
 	if len(held) > 0 {
-		return fmt.Errorf("%w: %s", reshard.ErrHeld, strings.Join(held, ", "))
+		return fmt.Errorf("%w: %s", reshard.ErrLed, strings.Join(held, ", "))
 	}
 	return nil
 }
 
-// regroup divides the state as this controller is set to, or says why not.
-func (k *Keeper) regroup(ctx context.Context) error {
-	if err := k.movable(); err != nil {
+// reshard divides the state as this controller is set to, or says why not.
+func (k *Elector) reshard(ctx context.Context) error {
+	if err := k.checkReconfigurable(); err != nil {
 		return err
 	}
 	if err := k.Follow.Barrier(ctx); err != nil {
 		return err
 	}
-	state := k.View.State()
-	if state.Grouping.Record.Text == k.Group.String() {
+	state := k.View.ShardingState()
+	if state.Sharding.Record.Text == k.Sharding.String() {
 		return nil // another was first
 	}
-	txn, err := reshard.Next(&state, k.Group, func(job string) (store.Takes, bool) {
+	txn, err := reshard.Transaction(&state, k.Sharding, func(job string) (store.TaskDemand, bool) {
 		rec, _ := k.View.Job(job)
-		return rec.TaskTakes()
+		return rec.TaskDemand()
 	})
 	if err != nil {
 		return err
 	}
 	_, err = k.Client.Txn(ctx, txn)
-	k.Log.Info("state divided anew", "before", describe(state.Grouping.Record.Text), "now", describe(k.Group.String()),
-		"grouping", state.Grouping.Record.Number+1, "ledgers", state.Ledgers, "error", err)
+	k.Log.Info("state divided anew", "before", describeSharding(state.Sharding.Record.Text), "now", describeSharding(k.Sharding.String()),
+		"grouping", state.Sharding.Record.Generation+1, "ledgers", state.LedgerNames, "error", err)
 	_ = k.Follow.Barrier(ctx)
 	return nil
 }
 
-// tiered gives the condition that the tiers of work are set in the state as they are here.
+// tiersCondition gives the condition that the tiers of work are set in the state as they are here.
 // Where they are set otherwise nothing is claimed: one holder would take what the next
 // guarantees. Once nobody holds a part and all that live are set alike, the state follows.
-func (k *Keeper) tiered(ctx context.Context) (wire.Condition, bool) {
-	rec, counter := k.View.Tiers(), k.View.Term()
+func (k *Elector) tiersCondition(ctx context.Context) (wire.Condition, bool) {
+	rec, counter := k.View.Tiers(), k.View.FencingToken()
 	cond := wire.Condition{Key: store.TiersKey, Version: rec.Version}
-	if !k.View.Loaded() || rec.Record.Digest == k.Tiers {
-		k.untiers = ""
+	if !k.View.Loaded() || rec.Record.Digest == k.TiersDigest {
+		k.lastTiersRefusal = ""
 		return cond, k.View.Loaded()
 	}
-	if err := k.retier(ctx, cond, counter); err != nil && err.Error() != k.untiers {
-		k.untiers = err.Error()
+	if err := k.writeTiers(ctx, cond, counter); err != nil && err.Error() != k.lastTiersRefusal {
+		k.lastTiersRefusal = err.Error()
 		level := slog.LevelError
-		if errors.Is(err, errUnheard) {
+		if errors.Is(err, errPeerUnknown) {
 			level = slog.LevelInfo
 		}
-		k.Log.Log(ctx, level, "no part is claimed", "tiers in the state", cmp.Or(rec.Record.Digest, "default"), "in the settings", cmp.Or(k.Tiers, "default"),
+		k.Log.Log(ctx, level, "no part is claimed", "tiers in the state", cmp.Or(rec.Record.Digest, "default"), "in the settings", cmp.Or(k.TiersDigest, "default"),
 			"why", err, "do", "see docs/tiers.md, To change the tiers")
 	}
 	return cond, false
 }
 
-// retier writes how the tiers are set here, or says why not. That no part is held is a condition
+// writeTiers writes how the tiers are set here, or says why not. That no part is held is a condition
 // that comes true again and again, and holds for the parts of this grouping alone: the counter
 // of terms, read before anyone was asked, refuses a copy that comes after another claim.
-func (k *Keeper) retier(ctx context.Context, cond wire.Condition, counter store.Versioned[uint64]) error {
-	if err := k.movable(); err != nil {
+func (k *Elector) writeTiers(ctx context.Context, cond wire.Condition, counter store.Versioned[uint64]) error {
+	if err := k.checkReconfigurable(); err != nil {
 		return err
 	}
-	txn := wire.Txn{If: []wire.Condition{cond, {Key: store.TermKey, Version: counter.Version}}, Then: []wire.Change{{Put: store.TiersKey, Value: store.TiersRecord{Digest: k.Tiers}}}}
-	for _, part := range k.Group.Parts() {
-		txn.If = append(txn.If, wire.Condition{Key: store.PartKey(part)})
+	txn := wire.Txn{If: []wire.Condition{cond, {Key: store.FencingTokenKey, Version: counter.Version}}, Then: []wire.Operation{{Put: store.TiersKey, Value: store.TiersRecord{Digest: k.TiersDigest}}}}
+	for _, shard := range k.Sharding.Shards() {
+		txn.If = append(txn.If, wire.Condition{Key: store.LeaderKey(shard)})
 	}
 	_, err := k.Client.Txn(ctx, txn)
-	k.Log.Info("tiers set anew", "before", cmp.Or(k.View.Tiers().Record.Digest, "default"), "now", cmp.Or(k.Tiers, "default"), "error", err)
+	k.Log.Info("tiers set anew", "before", cmp.Or(k.View.Tiers().Record.Digest, "default"), "now", cmp.Or(k.TiersDigest, "default"), "error", err)
 	_ = k.Follow.Barrier(ctx)
 	return nil
 }
 
-func describe(grouping string) string {
-	if grouping == "" {
+func describeSharding(sharding string) string {
+	if sharding == "" {
 		return "one part"
 	}
-	return "parts by " + grouping
+	return "parts by " + sharding
 }
 
-func (k *Keeper) renew(ctx context.Context, lease uint64, now time.Time, valid bool) bool {
-	err := k.Client.Renew(ctx, lease)
+func (k *Elector) renew(ctx context.Context, lease uint64, now time.Time, valid bool) bool {
+	err := k.Client.RenewLease(ctx, lease)
 	switch {
 	case err == nil:
 		k.mu.Lock()
-		k.Claim.Renewed(now)
+		k.Election.LeaseRenewed(now)
 		k.mu.Unlock()
 		if !valid {
-			k.Changed()
+			k.OnChange()
 		}
 		return true
-	case errors.Is(err, store.ErrNoLease):
+	case errors.Is(err, store.ErrLeaseNotFound):
 		k.Log.Warn("lease has ended", "lease", lease)
 		k.mu.Lock()
-		k.Claim.Lost()
+		k.Election.LeaseLost()
 		k.mu.Unlock()
-		k.Changed()
+		k.OnChange()
 	default:
 		k.Log.Info("renewal failed", "lease", lease, "error", err)
-		store.Pause(ctx, 300*time.Millisecond)
+		store.Backoff(ctx, 300*time.Millisecond)
 	}
 	return false
 }
 
-// look compares a part's record with what is held, and claims a free part.
-func (k *Keeper) look(ctx context.Context, part string, alike bool, more ...wire.Condition) {
+// campaign compares a part's record with what is held, and claims a free part.
+func (k *Elector) campaign(ctx context.Context, shard string, configMatches bool, conditions ...wire.Condition) {
 	if !k.View.Loaded() {
 		return
 	}
 	revision := k.View.Revision()
-	rec, known := k.View.Part(part)
+	rec, known := k.View.Leader(shard)
 	k.mu.Lock()
-	before, _ := k.Claim.Held(part)
-	old := k.Claim.See(part, rec, known, revision)
-	after, held := k.Claim.Held(part)
-	valid := k.Claim.Valid(time.Now())
-	txn, term := k.Claim.Attempt(part, k.View.Term(), more...)
+	before, _ := k.Election.Tenure(shard)
+	staleLease := k.Election.Observe(shard, rec, known, revision)
+	after, held := k.Election.Tenure(shard)
+	valid := k.Election.LeaseValid(time.Now())
+	txn, token := k.Election.Campaign(shard, k.View.FencingToken(), conditions...)
 	k.mu.Unlock()
 	if before != after {
-		k.Changed()
+		k.OnChange()
 	}
-	if old != 0 {
-		k.Log.Info("ending the lease of an earlier run of this controller", "lease", old, "part", part)
-		_ = k.Client.End(ctx, old)
+	if staleLease != 0 {
+		k.Log.Info("ending the lease of an earlier run of this controller", "lease", staleLease, "part", shard)
+		_ = k.Client.RevokeLease(ctx, staleLease)
 		_ = k.Follow.Barrier(ctx)
 		return
 	}
 	if known || held {
-		delete(k.free, part)
+		delete(k.vacantSince, shard)
 		return
 	}
-	if k.free == nil {
-		k.free = make(map[string]time.Time)
+	if k.vacantSince == nil {
+		k.vacantSince = make(map[string]time.Time)
 	}
-	if k.free[part].IsZero() {
-		k.free[part] = time.Now()
+	if k.vacantSince[shard].IsZero() {
+		k.vacantSince[shard] = time.Now()
 	}
-	if !valid || !alike || !k.Ready(part, time.Since(k.free[part])) {
+	if !valid || !configMatches || !k.ShouldCampaign(shard, time.Since(k.vacantSince[shard])) {
 		return
 	}
 	rev, err := k.Client.Txn(ctx, txn)
@@ -356,15 +356,15 @@
 	switch {
 	case err == nil:
 		k.mu.Lock()
-		k.Claim.Won(part, term, rev)
+		k.Election.Won(shard, token, rev)
 		k.mu.Unlock()
-		k.Log.Info("claim won", "part", part, "term", term, "revision", rev)
-		k.Changed()
+		k.Log.Info("claim won", "part", shard, "term", token, "revision", rev)
+		k.OnChange()
 	case errors.As(err, &conflict):
-		k.Log.Debug("claim lost to another", "part", part, "term", term)
+		k.Log.Debug("claim lost to another", "part", shard, "term", token)
 	default:
-		k.Log.Info("claim without an answer", "part", part, "term", term, "error", err)
-		store.Pause(ctx, 200*time.Millisecond)
+		k.Log.Info("claim without an answer", "part", shard, "term", token, "error", err)
+		store.Backoff(ctx, 200*time.Millisecond)
 	}
 	_ = k.Follow.Barrier(ctx) // win or not, the view must know before the next look
 }
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -14,30 +14,30 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestLateChangeOfTiers: a change of the tiers has no answer and is carried out when the settings
+// TestLateTiersChangeIsRefused: a change of the tiers has no answer and is carried out when the settings
 // are as before, others have divided the fleet and held its parts since, and none of the parts that
 // it knows of is held. It is refused: one part's holder would go by other tiers than the next's.
-func TestLateChangeOfTiers(t *testing.T) {
+func TestLateTiersChangeIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s, log := simulator.NewNet(), simulator.NewStore(1, 0), slog.New(slog.NewTextHandler(io.Discard, nil))
+		net, s, log := simulator.NewNetwork(), simulator.NewStateService(1, 0), slog.New(slog.NewTextHandler(io.Discard, nil))
 		go net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve())
 		synctest.Wait()
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.TermKey, Value: uint64(4)}}})
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(4)}}})
 		c, v := store.NewClient(net.Host("10.0.0.1"), "10.2.0.1:2379", 100, 100, store.EvenAllowance(1), log), store.NewView(log)
-		k := &Keeper{Claim: New("me", 9*time.Second, 3*time.Second), Group: fleet.One(), Tiers: "new", Client: c, View: v,
-			Follow: store.NewFollower(c, v, log), Log: log, Agreed: func() (string, bool) { return "", true }}
+		k := &Elector{Election: New("me", 9*time.Second, 3*time.Second), Sharding: fleet.SingleShard(), TiersDigest: "new", Client: c, View: v,
+			Follow: store.NewFollower(c, v, log), Log: log, ConfigMismatch: func() (string, bool) { return "", true }}
 		go k.Follow.Run(ctx)
 		go k.Follow.RunBarriers(ctx)
 		time.Sleep(time.Second)
-		s.Stage(func(s *simulator.Store) {
-			s.Holds = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
+		s.Configure(func(s *simulator.StateService) {
+			s.HoldTxn = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
 		})
-		if _, alike := k.tiered(ctx); alike {
+		if _, matches := k.tiersCondition(ctx); matches {
 			t.Error("the state does not follow the settings yet")
 		}
-		s.Commit(wire.Txn{Then: []wire.Change{{Put: store.TermKey, Value: uint64(5)}, {Put: store.PartKey("a"), Value: store.PartRecord{Holder: "other", Term: 5}}}})
-		if n := s.Release(); n != 0 {
+		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(5)}, {Put: store.LeaderKey("a"), Value: store.LeaderRecord{Leader: "other", FencingToken: 5}}}})
+		if n := s.ReleaseHeld(); n != 0 {
 			t.Error("the late change was taken")
 		}
 		stop()
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -32,24 +32,24 @@
 	stage  wire.Stage
 }
 
-// history is what users asked and were told, with times, for a checker of linearizability: every
+// answerHistory is what users asked and were told, with times, for a checker of linearizability: every
 // answer must be that of some moment between its question and itself, and all of them in one
 // order in which a job is accepted once and what is over stays so.
-type history struct {
-	mu    sync.Mutex
-	begun time.Time
-	ops   map[string][]porcupine.Operation
-	last  map[string]wire.Stage
+type answerHistory struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	ops       map[string][]porcupine.Operation
+	last      map[string]wire.Stage
 }
 
-func (h *history) begin() {
-	h.begun, h.ops, h.last = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
+func (h *answerHistory) begin() {
+	h.startedAt, h.ops, h.last = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
 }
 
-func (h *history) now() int64 { return time.Since(h.begun).Nanoseconds() }
+func (h *answerHistory) now() int64 { return time.Since(h.startedAt).Nanoseconds() }
 
 // add keeps an answer. An attempt without one may take effect at any later time.
-func (h *history) add(job string, op opKind, status int, stage wire.Stage, sent, back int64) {
+func (h *answerHistory) add(job string, op opKind, status int, stage wire.Stage, sent, back int64) {
 	out := answer{known: status == 200 || status == 201 || status == 404, absent: status == 404, stage: stage}
 	if !out.known && op == opStatus {
 		return // it told nothing, and did nothing
@@ -66,7 +66,7 @@
 }
 
 // open names the jobs that were accepted and whose users were not told that they are over.
-func (h *history) open() (jobs []string) {
+func (h *answerHistory) open() (jobs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for job, stage := range h.last {
@@ -79,7 +79,7 @@
 }
 
 // stage is what the user of a job was told last.
-func (h *history) stage(job string) wire.Stage {
+func (h *answerHistory) stage(job string) wire.Stage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.last[job]
@@ -95,8 +95,8 @@
 	cancelled
 )
 
-// stages is a job as a sequential object.
-var stages = porcupine.Model{
+// jobModel is a job as a sequential object.
+var jobModel = porcupine.Model{
 	Init: func() any { return absent },
 	Step: func(state, input, output any) (bool, any) {
 		s, out := state.(phase), output.(answer)
@@ -124,15 +124,15 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " ", output) },
 }
 
-// checkTime bounds the search for an order of one job's answers.
-const checkTime = 5 * time.Second
+// checkTimeout bounds the search for an order of one job's answers.
+const checkTimeout = 5 * time.Second
 
-// broken names the jobs for whose answers there is no order.
-func (h *history) broken() (out []string) {
+// violations names the jobs for whose answers there is no order.
+func (h *answerHistory) violations() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for job, ops := range h.ops {
-		if res := porcupine.CheckOperationsTimeout(stages, ops, checkTime); res == porcupine.Illegal {
+		if res := porcupine.CheckOperationsTimeout(jobModel, ops, checkTimeout); res == porcupine.Illegal {
 			out = append(out, "went_back: no order explains what users were told of "+job)
 		}
 	}
@@ -140,8 +140,8 @@
 	return out
 }
 
-// Status asks a world how it stands.
-func Status(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
+// ClusterStatus asks a world how it stands.
+func ClusterStatus(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
 	call, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	resp, err := caller.Call(call, control, "GET", emulator.PathStatus, nil)
--- a/internal/load/answer_history_test.go
+++ b/internal/load/answer_history_test.go
@@ -31,12 +31,12 @@
 		"accepted without an answer":    {[]op{{opSubmit, 0, "", 0, 1}, {opStatus, 200, wire.Running, 2, 3}}, false},
 		"invented":                      {[]op{{opStatus, 200, wire.Running, 0, 1}}, true},
 	} {
-		var h history
+		var h answerHistory
 		h.begin()
 		for _, o := range x.ops {
 			h.add("wk-1", o.kind, o.status, o.stage, o.sent, o.back)
 		}
-		if got := strings.Join(h.broken(), "; "); (got != "") != x.broken {
+		if got := strings.Join(h.violations(), "; "); (got != "") != x.broken {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -12,66 +12,66 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// followed is a job with its user, who may ask for several things at once.
-type followed struct {
-	n     int // of the controller that is asked first
-	job   *wire.Job
-	body  []byte      // of its submission
-	asked atomic.Bool // to cancel it
-	told  atomic.Bool // to do so, by the world's faults
+// trackedJob is a job with its user, who may ask for several things at once.
+type trackedJob struct {
+	firstController int // of the controller that is asked first
+	job             *wire.Job
+	body            []byte      // of its submission
+	cancelRequested atomic.Bool // to cancel it
+	toldToCancel    atomic.Bool // to do so, by the world's faults
 }
 
-// Ordered counts what users did since the world's faults had them do so.
-type Ordered struct {
-	Cancelled int `json:"cancelled"` // jobs that were to be
-	Odd       int `json:"odd_requests"`
-	Looks     int `json:"close_looks"` // answers
+// InstructionCounts counts what users did since the world's faults had them do so.
+type InstructionCounts struct {
+	Cancelled         int `json:"cancelled"` // jobs that were to be
+	MalformedRequests int `json:"odd_requests"`
+	ConcurrentReads   int `json:"close_looks"` // answers
 }
 
-// obey does what the world's faults have users do, until the context ends.
-func (r *Runner) obey(ctx context.Context) {
-	if r.Judge == "" {
+// followInstructions does what the world's faults have users do, until the context ends.
+func (r *Runner) followInstructions(ctx context.Context) {
+	if r.JudgeAddr == "" {
 		return
 	}
 	var group sync.WaitGroup
 	defer group.Wait()
 	for beat := 0; ctx.Err() == nil; beat++ {
 		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.Judge, "GET", emulator.PathUsers, nil)
+		resp, err := r.Caller.Call(call, r.JudgeAddr, "GET", emulator.PathUsers, nil)
 		cancel()
-		var o emulator.Orders
+		var o emulator.UserInstructions
 		if err != nil || json.Unmarshal(resp.Body, &o) != nil {
 			pause(ctx, time.Second)
 			continue
 		}
 		r.mu.Lock()
-		r.orders = o
-		var called []*followed
+		r.instructions = o
+		var called []*trackedJob
 		for _, id := range o.Cancel {
 			if f := r.jobs[id]; f != nil {
 				called = append(called, f)
 			}
 		}
-		r.ordered.Cancelled += len(called)
+		r.instructionCounts.Cancelled += len(called)
 		r.mu.Unlock()
 		for k, f := range called {
-			f.told.Store(true) // also again, until it is answered
+			f.toldToCancel.Store(true) // also again, until it is answered
 			group.Go(func() {
-				r.call(ctx, f.n+k, f, opAbort)
-				r.look(ctx, f)
+				r.call(ctx, f.firstController+k, f, opAbort)
+				r.readConcurrently(ctx, f)
 			})
 		}
-		if o.OddRequest {
-			group.Go(func() { r.oddRequests(ctx, beat) })
+		if o.MalformedRequests {
+			group.Go(func() { r.malformedRequests(ctx, beat) })
 		}
 	}
 }
 
-// look has a user ask all controllers at once, and submit the job again, if it is time for close
+// readConcurrently has a user ask all controllers at once, and submit the job again, if it is time for close
 // looks.
-func (r *Runner) look(ctx context.Context, f *followed) {
+func (r *Runner) readConcurrently(ctx context.Context, f *trackedJob) {
 	r.mu.Lock()
-	looks := r.orders.CloseLooks
+	looks := r.instructions.ConcurrentReads
 	r.mu.Unlock()
 	if !looks {
 		return
@@ -82,7 +82,7 @@
 			all.Go(func() {
 				if status, _ := r.call(ctx, i, f, op); status > 0 {
 					r.mu.Lock()
-					r.ordered.Looks++
+					r.instructionCounts.ConcurrentReads++
 					r.mu.Unlock()
 				}
 			})
@@ -91,11 +91,11 @@
 	all.Wait()
 }
 
-// oddRequests repeats submissions of jobs that are known, cancels one that is done, and submits one
+// malformedRequests repeats submissions of jobs that are known, cancels one that is done, and submits one
 // that lacks a field and one that fits no machine.
-func (r *Runner) oddRequests(ctx context.Context, beat int) {
+func (r *Runner) malformedRequests(ctx context.Context, beat int) {
 	r.mu.Lock()
-	var live, over *followed
+	var live, over *trackedJob
 	for id, f := range r.jobs { // in no order
 		if r.history.stage(id) == wire.Done {
 			over = f
@@ -103,12 +103,12 @@
 			live = f
 		}
 	}
-	r.odd += 2
-	odd := r.odd
-	r.ordered.Odd += 2
-	for _, f := range []*followed{live, over} {
+	r.malformed += 2
+	odd := r.malformed
+	r.instructionCounts.MalformedRequests += 2
+	for _, f := range []*trackedJob{live, over} {
 		if f != nil {
-			r.ordered.Odd++
+			r.instructionCounts.MalformedRequests++
 		}
 	}
 	r.mu.Unlock()
@@ -135,7 +135,7 @@
 		resp, err := r.Caller.Call(call, r.Addrs[(beat+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil {
-			r.tell(emulator.Told{Job: j.ID, Status: resp.Status, Body: body})
+			r.recordObservation(emulator.Observation{Job: j.ID, Status: resp.Status, Body: body})
 		}
 	}
 }
--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -78,24 +78,24 @@
 func TestAnswersByRealTime(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			n := simulator.NewNet()
+			n := simulator.NewNetwork()
 			ctx, stop := context.WithCancel(t.Context())
 			s := &service{stages: map[string][]stageSince{}, lag: 150 * time.Millisecond, stale: stale}
-			r := Runner{Addrs: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}, Prefix: "7", Wait: time.Minute,
-				Caller: &transport.Caller{Limit: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, For: 5 * time.Second, Poll: time.Second, Classes: []Class{newClass("a")}}}
+			r := Runner{Addrs: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}, Prefix: "7", DrainTimeout: time.Minute,
+				Caller: &transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, For: 5 * time.Second, Poll: time.Second, Classes: []Class{newClass("a")}}}
 			r.Mix.Classes[0].PerMin, r.Mix.Classes[0].Cancel = 60, 1
 			for i, addr := range r.Addrs {
 				go n.Host(simulator.HostOf(addr)).Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, s.answer(i == 2)))
 			}
 			time.Sleep(time.Second)
-			r.orders.CloseLooks = true
+			r.instructions.ConcurrentReads = true
 			var looks sync.WaitGroup
 			looks.Go(func() {
 				for ctx.Err() == nil {
 					time.Sleep(100 * time.Millisecond)
 					r.mu.Lock()
 					for _, f := range r.jobs {
-						looks.Go(func() { r.look(ctx, f) })
+						looks.Go(func() { r.readConcurrently(ctx, f) })
 					}
 					r.mu.Unlock()
 				}
@@ -103,10 +103,10 @@
 			res, err := r.Run(ctx, func(int, int, int) {})
 			stop()
 			looks.Wait()
-			if err != nil || len(res.Open) > 0 || res.Ordered.Looks < 100 || res.Classes["a"].Cancelled < 3 {
-				t.Errorf("%v, open %v, %+v", err, res.Open, res.Ordered)
+			if err != nil || len(res.Open) > 0 || res.Instructions.ConcurrentReads < 100 || res.Classes["a"].Cancelled < 3 {
+				t.Errorf("%v, open %v, %+v", err, res.Open, res.Instructions)
 			}
-			if broken := strings.Join(res.Broken, "\n"); strings.Contains(broken, "went_back") != stale {
+			if broken := strings.Join(res.Violations, "\n"); strings.Contains(broken, "went_back") != stale {
 				t.Errorf("stale: %v, found %q", stale, broken)
 			}
 			n.Close()
--- a/internal/load/linearizability.go
+++ b/internal/load/linearizability.go
@@ -12,50 +12,50 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Judge judges what users were told of jobs by the order of calls and answers alone, for days on
+// LinearizabilityChecker judges what users were told of jobs by the order of calls and answers alone, for days on
 // a fake clock, on which much happens at the same instant.
-type Judge struct {
+type LinearizabilityChecker struct {
 	mu   sync.Mutex
 	tick int64
 	ops  map[string][]porcupine.Operation
 }
 
-// Call tells that something is asked now.
-func (j *Judge) Call() int64 {
+// BeginCall tells that something is asked now.
+func (j *LinearizabilityChecker) BeginCall() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.tick++
 	return j.tick
 }
 
-// Asked takes in what became of a question, as Submitted and Cancelled do of their calls: a
+// ObserveStatus takes in what became of a question, as Submitted and Cancelled do of their calls: a
 // status, 0 for no answer, and on success the stage. A submission that is refused for ever tells that the job is not known.
-func (j *Judge) Asked(job string, call int64, status int, stage wire.Stage) {
+func (j *LinearizabilityChecker) ObserveStatus(job string, call int64, status int, stage wire.Stage) {
 	if status == 200 || status == 404 {
 		j.add(job, opStatus, call, answer{known: true, absent: status == 404, stage: stage})
 	}
 }
 
-// Submitted is told of a submission. What it tells may be newer than what it did: it is a
+// ObserveSubmission is told of a submission. What it tells may be newer than what it did: it is a
 // submission and a question.
-func (j *Judge) Submitted(job string, call int64, status int, stage wire.Stage) {
+func (j *LinearizabilityChecker) ObserveSubmission(job string, call int64, status int, stage wire.Stage) {
 	switch status {
 	case 400, 422:
-		j.Asked(job, call, 404, "")
+		j.ObserveStatus(job, call, 404, "")
 	case 200, 201:
-		j.Asked(job, call, 200, stage)
+		j.ObserveStatus(job, call, 200, stage)
 		fallthrough
 	default:
 		j.add(job, opSubmit, call, answer{})
 	}
 }
 
-// Cancelled is told of a cancellation.
-func (j *Judge) Cancelled(job string, call int64, status int, stage wire.Stage) {
+// ObserveCancellation is told of a cancellation.
+func (j *LinearizabilityChecker) ObserveCancellation(job string, call int64, status int, stage wire.Stage) {
 	j.add(job, opAbort, call, answer{known: status == 200 || status == 404, absent: status == 404, stage: stage})
 }
 
-func (j *Judge) add(job string, op opKind, call int64, out answer) {
+func (j *LinearizabilityChecker) add(job string, op opKind, call int64, out answer) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.ops == nil {
@@ -69,23 +69,23 @@
 	j.ops[job] = append(j.ops[job], porcupine.Operation{Input: op, Call: call, Output: out, Return: back})
 }
 
-// Broken names the jobs for whose answers there is no order.
-func (j *Judge) Broken() (out []string) {
+// Violations names the jobs for whose answers there is no order.
+func (j *LinearizabilityChecker) Violations() (out []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for job, ops := range j.ops {
-		if res, _ := porcupine.CheckOperationsVerbose(stages, telling(ops), 0); res != porcupine.Ok {
-			out = append(out, fmt.Sprintf("went_back: no order explains what users were told of %s: %s", job, describe(telling(ops))))
+		if res, _ := porcupine.CheckOperationsVerbose(jobModel, essentialCalls(ops), 0); res != porcupine.Ok {
+			out = append(out, fmt.Sprintf("went_back: no order explains what users were told of %s: %s", job, describe(essentialCalls(ops))))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// telling leaves out what others imply, or the search for an order would not end where there is
+// essentialCalls leaves out what others imply, or the search for an order would not end where there is
 // none. Stages only go on: of calls of one kind with one answer, those that were asked first and last
 // and the one that was answered first leave the others no less room.
-func telling(ops []porcupine.Operation) (out []porcupine.Operation) {
+func essentialCalls(ops []porcupine.Operation) (out []porcupine.Operation) {
 	type kind struct {
 		op    opKind
 		phase phase
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -17,9 +17,9 @@
 		status int
 		stage  wire.Stage
 	}
-	calls := func(j *Judge) func(x told, call int64) {
+	calls := func(j *LinearizabilityChecker) func(x told, call int64) {
 		return func(x told, call int64) {
-			map[string]func(string, int64, int, wire.Stage){"ask": j.Asked, "submit": j.Submitted, "cancel": j.Cancelled}[x.how]("wk-1", call, x.status, x.stage)
+			map[string]func(string, int64, int, wire.Stage){"ask": j.ObserveStatus, "submit": j.ObserveSubmission, "cancel": j.ObserveCancellation}[x.how]("wk-1", call, x.status, x.stage)
 		}
 	}
 	accepted, ended := told{"submit", 201, wire.Pending}, told{"cancel", 200, wire.Cancelled}
@@ -43,23 +43,23 @@
 		"submitted in vain":       {[]told{{"submit", 503, ""}}, told{"ask", 200, wire.Pending}, true},
 		"refused, then submitted": {[]told{{"submit", 400, ""}}, accepted, true},
 	} {
-		j := &Judge{}
+		j := &LinearizabilityChecker{}
 		tell := calls(j)
 		var open []int64
 		for _, y := range x.then {
 			for range 200 {
-				open = append(open, j.Call()) // answered only at the end
+				open = append(open, j.BeginCall()) // answered only at the end
 			}
-			tell(y, j.Call())
+			tell(y, j.BeginCall())
 		}
-		call := j.Call()
+		call := j.BeginCall()
 		for i, c := range open { // they may tell either
 			if x.then[0] == accepted {
 				tell(told{"submit", 200, []wire.Stage{wire.Pending, wire.Running}[i%2]}, c)
 			}
 		}
 		tell(x.last, call)
-		if got := j.Broken(); (len(got) == 0) != x.fine {
+		if got := j.Violations(); (len(got) == 0) != x.fine {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -67,23 +67,23 @@
 
 // TestTellingTellsAll: what is left out changes no verdict.
 func TestTellingTellsAll(t *testing.T) {
-	luck, bad := rand.New(rand.NewPCG(1, 30)), 0
+	rng, bad := rand.New(rand.NewPCG(1, 30)), 0
 	for range 4000 {
 		var ops []porcupine.Operation
-		for i := range 3 + luck.IntN(7) {
-			call := luck.Int64N(60)
-			out := answer{known: luck.IntN(9) > 0, stage: []wire.Stage{wire.Pending, wire.Pending, wire.Done, wire.Cancelled}[min(int(call)/17, 3)]}
-			op := opKind(luck.IntN(3))
+		for i := range 3 + rng.IntN(7) {
+			call := rng.Int64N(60)
+			out := answer{known: rng.IntN(9) > 0, stage: []wire.Stage{wire.Pending, wire.Pending, wire.Done, wire.Cancelled}[min(int(call)/17, 3)]}
+			op := opKind(rng.IntN(3))
 			if out.absent = out.known && op != opSubmit && call < 9; out.absent {
 				out.stage = ""
 			}
-			back := call + 1 + luck.Int64N(25)
+			back := call + 1 + rng.Int64N(25)
 			if !out.known {
 				back = 1 << 61
 			}
 			ops = append(ops, porcupine.Operation{ClientId: i, Input: op, Call: 2 * call, Output: out, Return: 2*back + 1})
 		}
-		all, few := porcupine.CheckOperations(stages, ops), porcupine.CheckOperations(stages, telling(ops))
+		all, few := porcupine.CheckOperations(jobModel, ops), porcupine.CheckOperations(jobModel, essentialCalls(ops))
 		if all != few {
 			t.Fatalf("%v of all, %v of those that tell: %v", all, few, ops)
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -63,7 +63,7 @@
 // back from the state service and a room cut off meanwhile: every job gets its end, and no rule
 // is broken.
 func TestLoad(t *testing.T) {
-	w, err := emulator.Start(t.Context(), emulator.Small(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
+	w, err := emulator.Start(t.Context(), emulator.DefaultConfig(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,8 +104,8 @@
 shape = service
 per_minute = 24
 run = 3s-5s
-priority = production`), Addrs: addrs, Judge: w.Control(), Prefix: "9", Wait: time.Minute,
-		Caller: &transport.Caller{Limit: 1 << 20, Dial: emulator.Dial}}
+priority = production`), Addrs: addrs, JudgeAddr: w.Control(), Prefix: "9", DrainTimeout: time.Minute,
+		Caller: &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}}
 	for _, f := range []emulator.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
 		if _, err := w.Stage(f); err != nil {
 			t.Fatal(err)
@@ -124,10 +124,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(res.Broken) > 0 || len(res.Open) > 0 {
-		t.Errorf("broken: %v; open: %v", res.Broken, res.Open)
+	if len(res.Violations) > 0 || len(res.Open) > 0 {
+		t.Errorf("broken: %v; open: %v", res.Violations, res.Open)
 	}
-	if o := res.Ordered; o.Cancelled < 5 || o.Odd < 4 || o.Looks < 20 {
+	if o := res.Instructions; o.Cancelled < 5 || o.MalformedRequests < 4 || o.ConcurrentReads < 20 {
 		t.Errorf("%+v", o)
 	}
 	for name, c := range res.Classes {
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -44,7 +44,7 @@
 // Burst has jobs come some times as often for a while.
 type Burst struct {
 	At, For time.Duration
-	Times   float64
+	Factor  float64
 }
 
 // Arrival is a job that is to be sent at a time.
@@ -104,16 +104,16 @@
 	}
 }
 
-func amount(to *float64, most float64) func(string) string {
+func parseAmount(to *float64, most float64) func(string) string {
 	return parse(to, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) },
 		func(v float64) bool { return v >= 0 && v <= most && !math.IsNaN(v) }, fmt.Sprintf("a number from 0 to %g", most))
 }
 
-func span(to *time.Duration, least, most time.Duration) func(string) string {
+func parseSpan(to *time.Duration, least, most time.Duration) func(string) string {
 	return parse(to, time.ParseDuration, func(v time.Duration) bool { return v >= least && v <= most }, fmt.Sprintf("a duration from %v to %v", least, most))
 }
 
-func oneOf(to *string, allowed ...string) func(string) string {
+func parseOneOf(to *string, allowed ...string) func(string) string {
 	return func(text string) string {
 		if *to = text; !slices.Contains(allowed, text) {
 			return "one of " + strings.Join(allowed, ", ")
@@ -137,7 +137,7 @@
 func (m *Mix) set(key, value string) string {
 	return set(map[string]func(string) string{
 		"seed": parse(&m.Seed, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 32) }, func(uint64) bool { return true }, "a count"),
-		"for":  span(&m.For, time.Second, 24*time.Hour), "poll": span(&m.Poll, 100*time.Millisecond, time.Minute)}, key, value)
+		"for":  parseSpan(&m.For, time.Second, 24*time.Hour), "poll": parseSpan(&m.Poll, 100*time.Millisecond, time.Minute)}, key, value)
 }
 
 func (c *Class) set(key, value string) string {
@@ -154,12 +154,12 @@
 	}
 	text := func(to *string) func(string) string { return func(s string) string { *to = s; return "" } }
 	return set(map[string]func(string) string{
-		"per_minute": amount(&c.PerMin, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": amount(&c.Cancel, 1),
+		"per_minute": parseAmount(&c.PerMin, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": parseAmount(&c.Cancel, 1),
 		"tasks": c.setTasks, "run": c.setRun,
-		"team": text(&j.Team), "shape": oneOf(&shape, string(wire.Array), string(wire.Gang), string(wire.Service)),
-		"priority": oneOf(&priority, string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)),
-		"cpus":     amount(&j.CPUs, 1e5), "gpus": amount(&j.GPUs, 1e4), "memory_gb": amount(&j.MemoryGB, 1e6), "image": text(&j.Image), "image_gb": amount(&j.ImageGB, 1e4),
-		"spot": flag(&j.Spot), "one_zone": flag(&j.OneZone), "spread": flag(&j.Spread), "checkpoint_s": amount(&j.CheckpointS, 1e5), "save_s": amount(&j.SaveS, 1e4)}, key, value)
+		"team": text(&j.Team), "shape": parseOneOf(&shape, string(wire.Array), string(wire.Gang), string(wire.Service)),
+		"priority": parseOneOf(&priority, string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)),
+		"cpus":     parseAmount(&j.CPUs, 1e5), "gpus": parseAmount(&j.GPUs, 1e4), "memory_gb": parseAmount(&j.MemoryGB, 1e6), "image": text(&j.Image), "image_gb": parseAmount(&j.ImageGB, 1e4),
+		"spot": flag(&j.Spot), "one_zone": flag(&j.OneZone), "spread": flag(&j.Spread), "checkpoint_s": parseAmount(&j.CheckpointS, 1e5), "save_s": parseAmount(&j.SaveS, 1e4)}, key, value)
 }
 
 func (c *Class) setCurve(text string) string {
@@ -183,9 +183,9 @@
 		var errs [3]error
 		if len(f) == 4 && f[2] == "for" && strings.HasPrefix(f[1], "x") {
 			b.At, errs[0] = time.ParseDuration(f[0])
-			b.Times, errs[1] = strconv.ParseFloat(f[1][1:], 64)
+			b.Factor, errs[1] = strconv.ParseFloat(f[1][1:], 64)
 			b.For, errs[2] = time.ParseDuration(f[3])
-			if errors.Join(errs[:]...) == nil && b.Times >= 0 && b.Times <= 1000 {
+			if errors.Join(errs[:]...) == nil && b.Factor >= 0 && b.Factor <= 1000 {
 				c.Bursts = append(c.Bursts, b)
 				continue
 			}
@@ -196,15 +196,15 @@
 }
 
 func (c *Class) setTasks(text string) string {
-	return ends(&c.Tasks, text, strconv.Atoi, 1, wire.MaxTasks, "a count or a range such as 2-8")
+	return parseRange(&c.Tasks, text, strconv.Atoi, 1, wire.MaxTasks, "a count or a range such as 2-8")
 }
 
 func (c *Class) setRun(text string) string {
-	return ends(&c.Run, text, time.ParseDuration, 0, 24*time.Hour, "a duration or a range such as 5s-1m")
+	return parseRange(&c.Run, text, time.ParseDuration, 0, 24*time.Hour, "a duration or a range such as 5s-1m")
 }
 
-// ends reads a value or two with a dash between them.
-func ends[T cmp.Ordered](to *[2]T, text string, read func(string) (T, error), least, most T, allowed string) string {
+// parseRange reads a value or two with a dash between them.
+func parseRange[T cmp.Ordered](to *[2]T, text string, read func(string) (T, error), least, most T, allowed string) string {
 	from, until, ranged := strings.Cut(text, "-")
 	if !ranged {
 		until = from
@@ -226,7 +226,7 @@
 	}
 	for _, b := range c.Bursts {
 		if at >= b.At && at < b.At+b.For {
-			r *= b.Times
+			r *= b.Factor
 		}
 	}
 	return r
@@ -237,7 +237,7 @@
 func (m *Mix) Arrivals(prefix string) (out []Arrival) {
 	for k := range m.Classes {
 		c := &m.Classes[k]
-		luck := rand.New(rand.NewPCG(m.Seed, uint64(k)+100))
+		rng := rand.New(rand.NewPCG(m.Seed, uint64(k)+100))
 		most := 0.0
 		for at := time.Duration(0); at < m.For; at += 100 * time.Millisecond {
 			most = max(most, c.rate(at, m.For))
@@ -247,13 +247,13 @@
 		}
 		// Thinned from a steady stream of the highest rate.
 		for at := 0.0; ; {
-			at += luck.ExpFloat64() / most
+			at += rng.ExpFloat64() / most
 			when := time.Duration(at * float64(time.Second))
 			if when >= m.For {
 				break
 			}
-			if luck.Float64()*most < c.rate(when, m.For) {
-				out = append(out, c.arrival(luck, when, fmt.Sprintf("%s%s%06d", wire.JobPrefix, prefix, len(out))))
+			if rng.Float64()*most < c.rate(when, m.For) {
+				out = append(out, c.arrival(rng, when, fmt.Sprintf("%s%s%06d", wire.JobPrefix, prefix, len(out))))
 			}
 		}
 	}
@@ -261,16 +261,16 @@
 	return out
 }
 
-func (c *Class) arrival(luck *rand.Rand, at time.Duration, id string) Arrival {
+func (c *Class) arrival(rng *rand.Rand, at time.Duration, id string) Arrival {
 	j := c.Template
 	j.ID = id
-	j.Tasks = c.Tasks[0] + luck.IntN(c.Tasks[1]-c.Tasks[0]+1)
-	run := c.Run[0] + time.Duration(luck.Float64()*float64(c.Run[1]-c.Run[0]))
+	j.Tasks = c.Tasks[0] + rng.IntN(c.Tasks[1]-c.Tasks[0]+1)
+	run := c.Run[0] + time.Duration(rng.Float64()*float64(c.Run[1]-c.Run[0]))
 	a := Arrival{At: at, Job: &j}
 	if j.Shape == wire.Service {
 		a.Cancel = max(run, time.Second)
-	} else if j.EstimateS = run.Seconds(); luck.Float64() < c.Cancel {
-		a.Cancel = max(time.Second, time.Duration(luck.Float64()*float64(run)))
+	} else if j.EstimateS = run.Seconds(); rng.Float64() < c.Cancel {
+		a.Cancel = max(time.Second, time.Duration(rng.Float64()*float64(run)))
 	}
 	return a
 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -21,24 +21,24 @@
 
 // Runner puts load on a service.
 type Runner struct {
-	Mix    *Mix
-	Addrs  []string // of the controllers
-	Judge  string   // control address of the world that judges; none if it is empty
-	Prefix string   // of the ids, so that two runs don't meet
-	Caller *transport.Caller
-	Wait   time.Duration // for what is not over when the last job has come
+	Mix          *Mix
+	Addrs        []string // of the controllers
+	JudgeAddr    string   // control address of the world that judges; none if it is empty
+	Prefix       string   // of the ids, so that two runs don't meet
+	Caller       *transport.Caller
+	DrainTimeout time.Duration // for what is not over when the last job has come
 
-	history history
-	known   simulator.Forgotten // judges where no world does; nobody tells it that troubles are over
-	mu      sync.Mutex
-	classes map[string]*ClassResult
-	told    []emulator.Told
-	jobs    map[string]*followed
-	orders  emulator.Orders
-	odd     int // submissions that must be refused, so far
-	ordered Ordered
-	open    atomic.Int64
-	sent    atomic.Int64
+	history           answerHistory
+	liveness          simulator.LivenessChecker // judges where no world does; nobody tells it that troubles are over
+	mu                sync.Mutex
+	classes           map[string]*ClassResult
+	observations      []emulator.Observation
+	jobs              map[string]*trackedJob
+	instructions      emulator.UserInstructions
+	malformed         int // submissions that must be refused, so far
+	instructionCounts InstructionCounts
+	open              atomic.Int64
+	sent              atomic.Int64
 }
 
 // ClassResult is what became of the jobs of a class. Times are in milliseconds, from when a job
@@ -74,19 +74,19 @@
 
 // Result is what a run has shown.
 type Result struct {
-	Classes map[string]*ClassResult `json:"classes"`
-	Open    []string                `json:"open"` // jobs that are not over
-	Broken  []string                `json:"rules_broken"`
-	Late    int                     `json:"sent_late"` // jobs that this program sent over 100 ms late
-	Ordered Ordered                 `json:"ordered"`
+	Classes      map[string]*ClassResult `json:"classes"`
+	Open         []string                `json:"open"` // jobs that are not over
+	Violations   []string                `json:"rules_broken"`
+	SentLate     int                     `json:"sent_late"` // jobs that this program sent over 100 ms late
+	Instructions InstructionCounts       `json:"ordered"`
 }
 
-const longest = 24 * 3600 * 1000 // ms
+const maxMillis = 24 * 3600 * 1000 // ms
 
 func (r *Runner) class(name string) *ClassResult {
 	c := r.classes[name]
 	if c == nil {
-		c = &ClassResult{Statuses: map[string]int{}, accept: hdrhistogram.New(1, longest, 3), start: hdrhistogram.New(1, longest, 3), finish: hdrhistogram.New(1, longest, 3)}
+		c = &ClassResult{Statuses: map[string]int{}, accept: hdrhistogram.New(1, maxMillis, 3), start: hdrhistogram.New(1, maxMillis, 3), finish: hdrhistogram.New(1, maxMillis, 3)}
 		r.classes[name] = c
 	}
 	return c
@@ -100,20 +100,20 @@
 }
 
 func record(h *hdrhistogram.Histogram, since time.Time) {
-	_ = h.RecordValue(min(longest, max(1, time.Since(since).Milliseconds())))
+	_ = h.RecordValue(min(maxMillis, max(1, time.Since(since).Milliseconds())))
 }
 
 // Run sends the jobs of the mix, each at its time, and follows them until they are over.
 // progress is told how many were sent of how many, and how many are open.
 func (r *Runner) Run(ctx context.Context, progress func(sent, all, open int)) (*Result, error) {
-	r.classes, r.jobs = make(map[string]*ClassResult), make(map[string]*followed)
+	r.classes, r.jobs = make(map[string]*ClassResult), make(map[string]*trackedJob)
 	arrivals := r.Mix.Arrivals(r.Prefix)
 	r.history.begin()
 	judging, stop := context.WithCancel(context.WithoutCancel(ctx))
 	judged := make(chan struct{})
-	go func() { defer close(judged); r.judge(judging) }()
+	go func() { defer close(judged); r.sendObservations(judging) }()
 	acted := make(chan struct{})
-	go func() { defer close(acted); r.obey(judging) }()
+	go func() { defer close(acted); r.followInstructions(judging) }()
 	var group sync.WaitGroup
 	begun, late := time.Now(), 0
 	follow, cancel := context.WithCancel(ctx)
@@ -144,24 +144,24 @@
 	stop()
 	<-acted
 	<-judged
-	res := &Result{Classes: r.classes, Late: late, Ordered: r.ordered, Open: r.history.open(), Broken: r.history.broken()}
+	res := &Result{Classes: r.classes, SentLate: late, Instructions: r.instructionCounts, Open: r.history.open(), Violations: r.history.violations()}
 	for _, c := range r.classes {
 		c.Accept, c.Start, c.Finish = TimesOf(c.accept), TimesOf(c.start), TimesOf(c.finish)
 	}
-	if r.Judge == "" {
-		res.Broken = append(res.Broken, r.known.Broken()...)
+	if r.JudgeAddr == "" {
+		res.Violations = append(res.Violations, r.liveness.Violations()...)
 	} else {
-		s, err := Status(context.WithoutCancel(ctx), r.Caller, r.Judge)
+		s, err := ClusterStatus(context.WithoutCancel(ctx), r.Caller, r.JudgeAddr)
 		if err != nil {
 			return res, err
 		}
-		res.Broken = append(res.Broken, s.Broken...)
+		res.Violations = append(res.Violations, s.Violations...)
 	}
 	return res, ctx.Err()
 }
 
 func (r *Runner) await(ctx context.Context, over chan struct{}, all int, progress func(sent, all, open int)) {
-	until := time.After(r.Wait)
+	until := time.After(r.DrainTimeout)
 	for {
 		select {
 		case <-over:
@@ -188,18 +188,18 @@
 	}
 }
 
-// pollWait is how long users wait for the answer to a question.
-const pollWait = 2 * time.Second
+// pollTimeout is how long users wait for the answer to a question.
+const pollTimeout = 2 * time.Second
 
-// giveUp bounds how long a user tries to submit a job.
-const giveUp = time.Minute
+// submitTimeout bounds how long a user tries to submit a job.
+const submitTimeout = time.Minute
 
 // job submits a job and follows it.
 func (r *Runner) job(ctx context.Context, n int, a *Arrival, meant time.Time) {
 	j := a.Job
 	r.note(j.Class, func(c *ClassResult) { c.Jobs++ })
-	r.tell(emulator.Told{Submitted: j})
-	f := &followed{n: n, job: j, body: wire.Encode(j)}
+	r.recordObservation(emulator.Observation{Submitted: j})
+	f := &trackedJob{firstController: n, job: j, body: wire.Encode(j)}
 	accepted := false
 	for try := 0; !accepted; try++ {
 		status, _ := r.call(ctx, n+try, f, opSubmit)
@@ -210,7 +210,7 @@
 		case status == 400 || status == 422:
 			r.note(j.Class, func(c *ClassResult) { c.Refused++ })
 			return
-		case ctx.Err() != nil || time.Since(meant) > giveUp:
+		case ctx.Err() != nil || time.Since(meant) > submitTimeout:
 			r.note(j.Class, func(c *ClassResult) { c.GivenUp++ })
 			return
 		default:
@@ -220,13 +220,13 @@
 	r.mu.Lock()
 	r.jobs[j.ID] = f
 	r.mu.Unlock()
-	r.look(ctx, f)
+	r.readConcurrently(ctx, f)
 	r.follow(ctx, f, a, meant)
-	r.look(ctx, f)
+	r.readConcurrently(ctx, f)
 }
 
 // follow asks about a job until it is over, and cancels it if that is meant.
-func (r *Runner) follow(ctx context.Context, f *followed, a *Arrival, meant time.Time) {
+func (r *Runner) follow(ctx context.Context, f *trackedJob, a *Arrival, meant time.Time) {
 	j, begun, started := a.Job, time.Now(), false
 	for try := 0; ctx.Err() == nil; try++ {
 		wait := r.Mix.Poll
@@ -238,10 +238,10 @@
 		}
 		pause(ctx, wait)
 		op := opStatus
-		if f.told.Load() || a.Cancel > 0 && time.Since(begun) >= a.Cancel {
+		if f.toldToCancel.Load() || a.Cancel > 0 && time.Since(begun) >= a.Cancel {
 			op = opAbort
 		}
-		status, s := r.call(ctx, f.n+try, f, op)
+		status, s := r.call(ctx, f.firstController+try, f, op)
 		if status != 200 {
 			continue
 		}
@@ -261,15 +261,15 @@
 }
 
 // call makes a request to one of the controllers, and remembers when it was made and answered.
-func (r *Runner) call(ctx context.Context, n int, f *followed, op opKind) (status int, s wire.JobStatus) {
+func (r *Runner) call(ctx context.Context, n int, f *trackedJob, op opKind) (status int, s wire.JobStatus) {
 	j, wait := f.job, 5*time.Second
 	method, path, body := "POST", wire.PathJobs, f.body
 	switch op {
 	case opStatus:
-		method, path, body, wait = "GET", path+"/"+j.ID, nil, pollWait
+		method, path, body, wait = "GET", path+"/"+j.ID, nil, pollTimeout
 	case opAbort:
 		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
-		f.asked.Store(true)
+		f.cancelRequested.Store(true)
 	}
 	call, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -279,46 +279,46 @@
 		status = resp.Status
 		_ = wire.Decode(resp.Body, &s)
 	}
-	back, asked := r.history.now(), f.asked.Load()
+	back, asked := r.history.now(), f.cancelRequested.Load()
 	r.history.add(j.ID, op, status, s.Stage, sent, back)
 	r.note(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
 	if ctx.Err() == nil && (status > 0 || op == opStatus) {
-		r.tell(emulator.Told{Job: j.ID, Status: status, Stage: s.Stage, Asked: asked, Poll: op == opStatus, Sent: sent, Back: back})
-		r.known.Heard(time.Now(), j.ID, status, s.Stage, asked, op == opStatus)
+		r.recordObservation(emulator.Observation{Job: j.ID, Status: status, Stage: s.Stage, CancelRequested: asked, Poll: op == opStatus, SentNS: sent, AnsweredNS: back})
+		r.liveness.ObserveAnswer(time.Now(), j.ID, status, s.Stage, asked, op == opStatus)
 	}
 	return status, s
 }
 
-func (r *Runner) tell(t emulator.Told) {
-	if r.Judge == "" {
+func (r *Runner) recordObservation(t emulator.Observation) {
+	if r.JudgeAddr == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = append(r.told, t)
+	r.observations = append(r.observations, t)
 }
 
-// judge hands what users did and were told to the world that judges, in order.
-func (r *Runner) judge(ctx context.Context) {
-	for last := false; r.Judge != "" && !last; {
+// sendObservations hands what users did and were told to the world that judges, in order.
+func (r *Runner) sendObservations(ctx context.Context) {
+	for last := false; r.JudgeAddr != "" && !last; {
 		pause(ctx, 50*time.Millisecond)
 		last = ctx.Err() != nil
 		for {
 			r.mu.Lock()
-			n := min(len(r.told), 500)
-			batch := slices.Clone(r.told[:n])
+			n := min(len(r.observations), 500)
+			batch := slices.Clone(r.observations[:n])
 			r.mu.Unlock()
 			if n == 0 {
 				break
 			}
 			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-			resp, err := r.Caller.Call(call, r.Judge, "POST", emulator.PathJudge, wire.Encode(map[string]any{"told": batch}))
+			resp, err := r.Caller.Call(call, r.JudgeAddr, "POST", emulator.PathJudge, wire.Encode(map[string]any{"told": batch}))
 			cancel()
 			if err != nil || resp.Status != 200 {
 				break // the world is gone; the end says so
 			}
 			r.mu.Lock()
-			r.told = r.told[n:]
+			r.observations = r.observations[n:]
 			r.mu.Unlock()
 		}
 	}
@@ -343,16 +343,16 @@
 			c.Accept.P50, c.Accept.P99, c.Start.P50, c.Start.P99, c.Finish.P50, c.Finish.P99)
 	}
 	_ = t.Flush()
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		fmt.Fprintln(out, "rule broken:", b)
 	}
 	for _, id := range res.Open {
 		fmt.Fprintln(out, "not over:", id)
 	}
-	if o := res.Ordered; o != (Ordered{}) {
-		fmt.Fprintf(out, "by the world's faults %d jobs were cancelled, %d odd requests made and %d answers taken in close looks\n", o.Cancelled, o.Odd, o.Looks)
+	if o := res.Instructions; o != (InstructionCounts{}) {
+		fmt.Fprintf(out, "by the world's faults %d jobs were cancelled, %d odd requests made and %d answers taken in close looks\n", o.Cancelled, o.MalformedRequests, o.ConcurrentReads)
 	}
-	if res.Late > 0 {
-		fmt.Fprintf(out, "%d jobs were sent over 100 ms late: this machine is too slow for the load\n", res.Late)
+	if res.SentLate > 0 {
+		fmt.Fprintf(out, "%d jobs were sent over 100 ms late: this machine is too slow for the load\n", res.SentLate)
 	}
 }
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -16,7 +16,7 @@
 // same kinds, with the same labels and values. Those of the Go runtime are the library's.
 func TestGoldenMetrics(t *testing.T) {
 	r := goldentest.Filled[Reading](t)
-	r.Zones = map[string]zone.Record{"a": {State: zone.Dark, Number: 3}}
+	r.Zones = map[string]zone.Record{"a": {State: zone.Unreachable, Number: 3}}
 	resp := Handler(func() Reading { return r })(context.Background(), &httpwire.Request{Method: "GET", Path: Path})
 	if resp.Status != 200 {
 		t.Fatalf("%d %s", resp.Status, resp.Body)
@@ -33,8 +33,8 @@
 		lines = append(lines, line)
 	}
 	slices.Sort(lines)
-	goldentest.Text(t, "metrics.txt", Path+" "+resp.Type+"\n"+strings.Join(lines, "\n")+"\n")
-	if age := time.Since(r.OldestOver); age < 0 {
+	goldentest.Text(t, "metrics.txt", Path+" "+resp.ContentType+"\n"+strings.Join(lines, "\n")+"\n")
+	if age := time.Since(r.OldestEnd); age < 0 {
 		t.Errorf("the filled times are in the future: %v", age)
 	}
 }
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -25,12 +25,12 @@
 func (stream) Close() error                 { return nil }
 func (stream) SetIdle(time.Duration)        {}
 
-// FuzzBeat receives what anything may have sent: it must not end the process, and no one
+// FuzzHeartbeat receives what anything may have sent: it must not end the process, and no one
 // but a sibling is listened to.
-func FuzzBeat(f *testing.F) {
-	for _, b := range []Beat{
-		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.Silences{"c-2": time.Second}},
-		{From: "c-1", Parts: map[string]leader.PartStatus{"a": {Term: 3, Rooms: map[string]scheduler.Room{"x": {Now: 2}}, Zones: map[string]leader.Reach{"a": {Up: 3}}}}},
+func FuzzHeartbeat(f *testing.F) {
+	for _, b := range []Heartbeat{
+		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.HeartbeatAges{"c-2": time.Second}},
+		{From: "c-1", Parts: map[string]leader.ShardStatus{"a": {Term: 3, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: 2}}, Zones: map[string]leader.ZoneHealth{"a": {Up: 3}}}}},
 		{From: "c-2", Sights: map[string]zone.Observation{"a": {Heard: 3, Vain: 1}}},
 		{From: "stranger"},
 	} {
@@ -39,7 +39,7 @@
 		f.Add(buf.Bytes())
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		m := &Mesh{Siblings: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), Heard: func(b Beat) {
+		m := &Mesh{Peers: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), OnHeartbeat: func(b Heartbeat) {
 			if b.From != "c-1" && b.From != "c-2" {
 				t.Errorf("%q was listened to", b.From)
 			}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,5 +9,5 @@
 // TestGoldenBeat: another version reads every field of what this one sends, and this
 // one every field of what another has sent. See frozen_test.go.
 func TestGoldenBeat(t *testing.T) {
-	goldentest.CheckGob[Beat, frozenBeat](t, "beat.gob")
+	goldentest.CheckGob[Heartbeat, frozenBeat](t, "beat.gob")
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -13,48 +13,48 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// TestStreamOfAnEarlierLife: a controller is back, and the stream that its earlier life opened
+// TestStreamOfSupersededIncarnation: a controller is back, and the stream that its earlier life opened
 // arrives after its first beat. It is not served, or it would end that of the present one.
-func TestStreamOfAnEarlierLife(t *testing.T) {
+func TestStreamOfSupersededIncarnation(t *testing.T) {
 	served := 0
-	m := &Mesh{Siblings: map[string]string{"c-1": ""}, Log: slog.New(slog.DiscardHandler),
-		Streams: map[string]Stream{"reports": func(context.Context, string, transport.Stream, *gob.Decoder) { served++ }}}
-	say := func(b Beat) {
+	m := &Mesh{Peers: map[string]string{"c-1": ""}, Log: slog.New(slog.DiscardHandler),
+		Handlers: map[string]StreamHandler{"reports": func(context.Context, string, transport.Stream, *gob.Decoder) { served++ }}}
+	say := func(b Heartbeat) {
 		var buf bytes.Buffer
 		_ = gob.NewEncoder(&buf).Encode(b)
 		m.Receive(t.Context(), stream{Reader: &buf})
 	}
-	say(Beat{From: "c-1", Begun: 200, Number: 1})
-	say(Beat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
+	say(Heartbeat{From: "c-1", Begun: 200, Number: 1})
+	say(Heartbeat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
 	if served > 0 {
 		t.Error("the stream of the earlier life was served")
 	}
-	say(Beat{From: "c-1", Begun: 200, Number: 2, Stream: "reports"})
+	say(Heartbeat{From: "c-1", Begun: 200, Number: 2, Stream: "reports"})
 	if served != 1 {
 		t.Error("that of the present one was not")
 	}
 }
 
-// BenchmarkBeat tells what a beat of a part's holder takes on the mesh, by the teams whose use it names.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkHeartbeat tells what a beat of a part's holder takes on the mesh, by the teams whose use it names.
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, teams := range []int{5, 100, 530, 2000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
-			status := leader.PartStatus{Term: 9, Used: map[string][2]float64{}, Stays: map[string]scheduler.Amount{}, Wants: map[string]scheduler.Want{}}
+			status := leader.ShardStatus{Term: 9, Used: map[string][2]float64{}, Stays: map[string]scheduler.Resources{}, Wants: map[string]scheduler.QuotaDemand{}}
 			for i := range teams {
 				name := fmt.Sprintf("team-%04d", i)
 				status.Used[name] = [2]float64{123.5, 17}
-				status.Stays[name] = scheduler.Amount{CPUs: 20, GPUs: 4, MemoryGB: 100}
+				status.Stays[name] = scheduler.Resources{CPUs: 20, GPUs: 4, MemoryGB: 100}
 			}
-			beat := Beat{From: "c-1", StoreOK: true, Term: 9, Parts: map[string]leader.PartStatus{"a": status}}
+			heartbeat := Heartbeat{From: "c-1", StoreOK: true, Term: 9, Parts: map[string]leader.ShardStatus{"a": status}}
 			var out bytes.Buffer
 			enc := gob.NewEncoder(&out)
-			if err := enc.Encode(beat); err != nil { // the first tells the types too
+			if err := enc.Encode(heartbeat); err != nil { // the first tells the types too
 				b.Fatal(err)
 			}
 			out.Reset()
 			for b.Loop() {
 				out.Reset()
-				if err := enc.Encode(beat); err != nil {
+				if err := enc.Encode(heartbeat); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/reapi/client.go
+++ b/internal/reapi/client.go
@@ -47,8 +47,8 @@
 	return errors.Join(errs...)
 }
 
-// From gives the client that asks another controller first.
-func (c *Client) From(n int) *Client {
+// StartingAt gives the client that asks another controller first.
+func (c *Client) StartingAt(n int) *Client {
 	other := *c
 	other.next = n
 	return &other
@@ -93,15 +93,15 @@
 		case code == codes.NotFound && operation != "":
 			operation = "" // the controllers do not know it any more: execute anew
 		case errors.Is(err, io.EOF), code == codes.Unavailable, code == codes.ResourceExhausted, code == codes.Canceled, code == codes.Internal, code == codes.Unknown:
-			if code == codes.Unavailable && operation != "" && answerGone(err) {
+			if code == codes.Unavailable && operation != "" && answerEvicted(err) {
 				operation = ""
 			}
 		default:
 			return nil, err
 		}
-		store.Pause(ctx, 500*time.Millisecond)
+		store.Backoff(ctx, 500*time.Millisecond)
 	}
 }
 
-// answerGone reports whether an execution is over and its answer was evicted.
-func answerGone(err error) bool { return status.Convert(err).Message() == goneMessage }
+// answerEvicted reports whether an execution is over and its answer was evicted.
+func answerEvicted(err error) bool { return status.Convert(err).Message() == evictedMessage }
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -43,14 +43,14 @@
 	Defaults  Defaults
 	Log       *slog.Logger
 	// Count gives how many tasks of a job run.
-	Count func(job string) leader.Count
+	Count func(job string) leader.TaskCount
 
 	watch watchers
 }
 
 // GRPC gives the gRPC server, of so many open calls and streams at the most.
 func (s *Server) GRPC(calls int) *grpc.Server {
-	g := grpc.NewServer(append(cas.Gate(calls), grpc.MaxRecvMsgSize(1<<20))...)
+	g := grpc.NewServer(append(cas.LimitCalls(calls), grpc.MaxRecvMsgSize(1<<20))...)
 	repb.RegisterExecutionServer(g, s)
 	repb.RegisterCapabilitiesServer(g, s)
 	healthpb.RegisterHealthServer(g, health.NewServer())
@@ -65,7 +65,7 @@
 
 // GetCapabilities implements the API.
 func (s *Server) GetCapabilities(context.Context, *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
-	return cas.Versions(&repb.ServerCapabilities{
+	return cas.WithVersions(&repb.ServerCapabilities{
 		CacheCapabilities: cas.CacheCapabilities(cas.DefaultLimits),
 		ExecutionCapabilities: &repb.ExecutionCapabilities{DigestFunction: cas.Functions[0], DigestFunctions: cas.Functions, ExecEnabled: true,
 			ExecutionPriorityCapabilities: &repb.PriorityCapabilities{}},
@@ -79,19 +79,19 @@
 	action cas.Digest
 }
 
-const operations = "operations"
+const operationPrefix = "operations"
 
 func (o operation) name() string {
-	return strings.Join([]string{operations, o.action.Function.String(), o.action.String(), o.job}, "/")
+	return strings.Join([]string{operationPrefix, o.action.Function.String(), o.action.String(), o.job}, "/")
 }
 
 func parseOperation(name string) (operation, error) {
 	bad := status.Errorf(codes.NotFound, "operation %q: not a name that this service gave", name)
 	words := strings.Split(name, "/")
-	if len(words) != 5 || words[0] != operations || !wire.ValidJobID(words[4]) {
+	if len(words) != 5 || words[0] != operationPrefix || !wire.ValidJobID(words[4]) {
 		return operation{}, bad
 	}
-	g, err := cas.FromString(words[2] + "/" + words[3])
+	g, err := cas.DigestFromString(words[2] + "/" + words[3])
 	if err != nil {
 		return operation{}, bad
 	}
@@ -128,17 +128,17 @@
 	if err != nil {
 		return status.Errorf(codes.InvalidArgument, "action_digest: %v", err)
 	}
-	blobs := s.Store.In(r.InstanceName)
+	blobs := s.Store.ForInstance(r.InstanceName)
 	if !r.SkipCacheLookup {
 		res, err := blobs.Result(ctx, g)
 		switch {
 		case err == nil:
 			return operation{action.JobID(g, 0), g}.send(out, repb.ExecutionStage_COMPLETED, &repb.ExecuteResponse{Result: res, CachedResult: true, Status: status.New(codes.OK, "").Proto()})
 		case status.Code(err) != codes.NotFound:
-			return away(err)
+			return storeUnavailable(err)
 		}
 	}
-	job, cacheable, err := s.describe(ctx, blobs, r, g)
+	job, cacheable, err := s.newJob(ctx, blobs, r, g)
 	if err != nil {
 		return err
 	}
@@ -149,16 +149,16 @@
 	return s.follow(ctx, op, r.InstanceName, cacheable, out)
 }
 
-// away is the answer while the store of blobs can't be reached.
-func away(err error) error {
+// storeUnavailable is the answer while the store of blobs can't be reached.
+func storeUnavailable(err error) error {
 	if code := status.Code(err); code == codes.Canceled || code == codes.DeadlineExceeded {
 		return err
 	}
-	return retry(codes.Unavailable, "the store of blobs: "+err.Error(), 2*time.Second)
+	return retryStatus(codes.Unavailable, "the store of blobs: "+err.Error(), 2*time.Second)
 }
 
-// retry is a status that says when to come back.
-func retry(code codes.Code, why string, after time.Duration) error {
+// retryStatus is a status that says when to come back.
+func retryStatus(code codes.Code, why string, after time.Duration) error {
 	st := status.New(code, why)
 	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
 		st = with
@@ -166,11 +166,11 @@
 	return st.Err()
 }
 
-// describe reads the action and its command and makes a job of them. The machine
+// newJob reads the action and its command and makes a job of them. The machine
 // that runs it looks at the rest; here only what must be known to place it is read.
-func (s *Server) describe(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, g cas.Digest) (*wire.Job, bool, error) {
+func (s *Server) newJob(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, g cas.Digest) (*wire.Job, bool, error) {
 	var a repb.Action
-	if err := s.message(ctx, blobs, g, &a); err != nil {
+	if err := s.readMessage(ctx, blobs, g, &a); err != nil {
 		return nil, false, err
 	}
 	cg, err := cas.ParseDigest(g.Function, a.CommandDigest)
@@ -182,12 +182,12 @@
 		return nil, false, status.Errorf(codes.InvalidArgument, "input_root_digest: %v", err)
 	}
 	var c repb.Command
-	if err := s.message(ctx, blobs, cg, &c); err != nil {
+	if err := s.readMessage(ctx, blobs, cg, &c); err != nil {
 		return nil, false, err
 	}
 	lost, err := blobs.Missing(ctx, []cas.Digest{rg})
 	if err != nil {
-		return nil, false, away(err)
+		return nil, false, storeUnavailable(err)
 	}
 	if len(lost) > 0 {
 		return nil, false, action.MissingStatus(lost...).Err()
@@ -208,8 +208,8 @@
 	return job, !a.DoNotCache, nil
 }
 
-// message reads a blob that the action names.
-func (s *Server) message(ctx context.Context, blobs *cas.Client, g cas.Digest, m proto.Message) error {
+// readMessage reads a blob that the action names.
+func (s *Server) readMessage(ctx context.Context, blobs *cas.Client, g cas.Digest, m proto.Message) error {
 	err := blobs.Message(ctx, g, m)
 	switch {
 	case err == nil:
@@ -222,7 +222,7 @@
 			return action.MissingStatus(g).Err()
 		}
 	}
-	return away(err)
+	return storeUnavailable(err)
 }
 
 // submit finds the job that executes an action now, or submits one. An action that
@@ -232,9 +232,9 @@
 	// What is over by now must not be taken for running: its answer is from before
 	// the client asked.
 	if err := s.Admission.Follow.Barrier(ctx); err != nil {
-		return operation{}, refusal(fmt.Errorf("%w: %w", admission.ErrLater, err))
+		return operation{}, admissionStatus(fmt.Errorf("%w: %w", admission.ErrRetryLater, err))
 	}
-	generation, err := s.generation(ctx, g)
+	generation, err := s.firstUnfinishedGeneration(ctx, g)
 	if err != nil {
 		return operation{}, err
 	}
@@ -243,13 +243,13 @@
 		rec, created, err := s.Admission.Submit(ctx, job)
 		switch {
 		case err != nil:
-			return operation{}, refusal(err)
+			return operation{}, admissionStatus(err)
 		case created, rec.Job != nil && sameAction(rec.Job, g):
 			return operation{job.ID, g}, nil
 		}
 		generation++ // over meanwhile, or another action's
 	}
-	return operation{}, retry(codes.Unavailable, "the action is executed again and again", time.Second)
+	return operation{}, retryStatus(codes.Unavailable, "the action is executed again and again", time.Second)
 }
 
 // sameAction reports whether a job executes an action.
@@ -258,9 +258,9 @@
 	return err == nil && other == g
 }
 
-// generation gives the first that is not over: they are used in order, so that a
+// firstUnfinishedGeneration gives the first that is not over: they are used in order, so that a
 // search that doubles and then halves finds it.
-func (s *Server) generation(ctx context.Context, g cas.Digest) (uint64, error) {
+func (s *Server) firstUnfinishedGeneration(ctx context.Context, g cas.Digest) (uint64, error) {
 	over := func(n uint64) (bool, error) {
 		rec, known, err := s.Admission.Find(ctx, action.JobID(g, n))
 		return known && rec.Stage.Final(), err
@@ -269,7 +269,7 @@
 	for step := uint64(1); ; step *= 2 {
 		is, err := over(high)
 		if err != nil {
-			return 0, refusal(err)
+			return 0, admissionStatus(err)
 		}
 		if !is {
 			break
@@ -281,7 +281,7 @@
 		mid := low + (high-low)/2
 		is, err := over(mid)
 		if err != nil {
-			return 0, refusal(err)
+			return 0, admissionStatus(err)
 		}
 		if is {
 			low = mid + 1
@@ -292,20 +292,20 @@
 	return low, nil
 }
 
-// refusal gives what admission says the code that the API has for it.
-func refusal(err error) error {
-	var never *admission.NeverError
+// admissionStatus gives what admission says the code that the API has for it.
+func admissionStatus(err error) error {
+	var never *admission.UnrunnableError
 	switch {
 	case errors.As(err, &never), errors.Is(err, admission.ErrTooLarge):
 		return status.Error(codes.InvalidArgument, err.Error())
-	case errors.Is(err, admission.ErrUnknown):
+	case errors.Is(err, admission.ErrUnknownJob):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, admission.ErrFull):
 		return cas.Busy(err.Error(), 2*time.Second)
-	case errors.Is(err, admission.ErrBehind):
+	case errors.Is(err, admission.ErrCompactionBehind):
 		return cas.Busy(err.Error(), 5*time.Second)
 	}
-	return retry(codes.Unavailable, err.Error(), time.Second)
+	return retryStatus(codes.Unavailable, err.Error(), time.Second)
 }
 
 // WaitExecution implements the API, at any controller.
@@ -320,21 +320,21 @@
 // follow tells of an execution until it is over. Whoever leaves, and whoever else
 // waits, changes nothing of it.
 func (s *Server) follow(ctx context.Context, op operation, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
-	news := s.watch.add(op.job)
-	defer s.watch.remove(op.job, news)
+	news := s.watch.subscribe(op.job)
+	defer s.watch.unsubscribe(op.job, news)
 	touched := time.Now()
 	for told := repb.ExecutionStage_UNKNOWN; ; {
-		if time.Since(touched) > touchEvery { // as long as it is waited for, it is not evicted
-			s.touch(ctx, op, instance)
+		if time.Since(touched) > retainInterval { // as long as it is waited for, it is not evicted
+			s.retainInputs(ctx, op, instance)
 			touched = time.Now()
 		}
 		rec, err := s.Admission.Status(ctx, op.job)
-		if errors.Is(err, admission.ErrLater) && ctx.Err() == nil && told != repb.ExecutionStage_UNKNOWN {
+		if errors.Is(err, admission.ErrRetryLater) && ctx.Err() == nil && told != repb.ExecutionStage_UNKNOWN {
 			err = nil // the stream stands: what is not known now is told later
 			rec.Stage = wire.Pending
 		}
 		if err != nil {
-			return refusal(err)
+			return admissionStatus(err)
 		}
 		if rec.Stage.Final() {
 			resp, err := s.answer(ctx, op, rec, instance, cacheable)
@@ -353,7 +353,7 @@
 			}
 			told = stage
 		}
-		again := time.NewTimer(lookAgain)
+		again := time.NewTimer(statusInterval)
 		select {
 		case <-ctx.Done():
 			err = status.FromContextError(ctx.Err()).Err()
@@ -366,13 +366,13 @@
 	}
 }
 
-// touchEvery is how often the store of blobs is told that an action is still
+// retainInterval is how often the store of blobs is told that an action is still
 // needed.
-const touchEvery = 4 * time.Minute
+const retainInterval = 4 * time.Minute
 
-// touch has the blobs kept that an execution needs and has perhaps not read yet.
-func (s *Server) touch(ctx context.Context, op operation, instance string) {
-	blobs := s.Store.In(instance)
+// retainInputs has the blobs kept that an execution needs and has perhaps not read yet.
+func (s *Server) retainInputs(ctx context.Context, op operation, instance string) {
+	blobs := s.Store.ForInstance(instance)
 	var a repb.Action
 	err := blobs.Message(ctx, op.action, &a)
 	if err == nil {
@@ -391,11 +391,11 @@
 	}
 }
 
-// lookAgain is how often a stream looks for itself, whatever it is told.
-const lookAgain = 15 * time.Second
+// statusInterval is how often a stream looks for itself, whatever it is told.
+const statusInterval = 15 * time.Second
 
-// goneMessage tells that an execution is over and its answer is gone.
-const goneMessage = "the answer of the execution is gone: execute the action again"
+// evictedMessage tells that an execution is over and its answer is gone.
+const evictedMessage = "the answer of the execution is gone: execute the action again"
 
 // answer gives the final answer of an execution that is over, the same to all who
 // ask.
@@ -407,13 +407,13 @@
 	switch {
 	case errors.Is(err, action.ErrNoAnswer):
 		// It was evicted: who asks for the action again has it executed anew.
-		return nil, retry(codes.Unavailable, goneMessage, time.Second)
+		return nil, retryStatus(codes.Unavailable, evictedMessage, time.Second)
 	case err != nil:
-		return nil, away(err)
+		return nil, storeUnavailable(err)
 	}
 	if cacheable && resp.Status.GetCode() == 0 && resp.Result.GetExitCode() == 0 {
 		// Whoever was first has it under an instance of theirs.
-		if err := s.Store.In(instance).PutResult(ctx, op.action, resp.Result); err != nil {
+		if err := s.Store.ForInstance(instance).PutResult(ctx, op.action, resp.Result); err != nil {
 			s.Log.Info("result not kept", "job", op.job, "instance", instance, "error", err)
 		}
 	}
--- a/internal/reapi/watch.go
+++ b/internal/reapi/watch.go
@@ -11,49 +11,49 @@
 // watchers tells those who follow a job that it may have changed. One goroutine
 // looks at all of them: many streams cost no more than their number at a change.
 type watchers struct {
-	mu  sync.Mutex
-	job map[string]*watched
+	mu   sync.Mutex
+	jobs map[string]*watchedJob
 }
 
-type watched struct {
-	state   string
-	waiting map[chan struct{}]bool
+type watchedJob struct {
+	state       string
+	subscribers map[chan struct{}]bool
 }
 
-// add gives a channel that gets news of a job.
-func (w *watchers) add(job string) chan struct{} {
+// subscribe gives a channel that gets news of a job.
+func (w *watchers) subscribe(job string) chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.job == nil {
-		w.job = make(map[string]*watched)
+	if w.jobs == nil {
+		w.jobs = make(map[string]*watchedJob)
 	}
-	if w.job[job] == nil {
-		w.job[job] = &watched{waiting: make(map[chan struct{}]bool)}
+	if w.jobs[job] == nil {
+		w.jobs[job] = &watchedJob{subscribers: make(map[chan struct{}]bool)}
 	}
 	news := make(chan struct{}, 1)
-	w.job[job].waiting[news] = true
+	w.jobs[job].subscribers[news] = true
 	return news
 }
 
-func (w *watchers) remove(job string, news chan struct{}) {
+func (w *watchers) unsubscribe(job string, news chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.job[job].waiting, news)
-	if len(w.job[job].waiting) == 0 {
-		delete(w.job, job)
+	delete(w.jobs[job].subscribers, news)
+	if len(w.jobs[job].subscribers) == 0 {
+		delete(w.jobs, job)
 	}
 }
 
-// lookEvery is how often running tasks are looked at: their number is not in the
+// watchInterval is how often running tasks are looked at: their number is not in the
 // view.
-const lookEvery = 500 * time.Millisecond
+const watchInterval = 500 * time.Millisecond
 
 // run looks at the followed jobs at every change of the view, and now and then.
 func (w *watchers) run(ctx context.Context, view *store.View, running func(job string) int) error {
 	for ctx.Err() == nil {
 		changed := view.Changed()
-		w.look(view, running)
-		t := time.NewTimer(lookEvery)
+		w.notifyChanged(view, running)
+		t := time.NewTimer(watchInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -64,10 +64,10 @@
 	return nil
 }
 
-func (w *watchers) look(view *store.View, running func(job string) int) {
+func (w *watchers) notifyChanged(view *store.View, running func(job string) int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, j := range w.job {
+	for id, j := range w.jobs {
 		rec, known := view.Job(id)
 		state := string(rec.Stage)
 		if !known {
@@ -79,7 +79,7 @@
 			continue
 		}
 		j.state = state
-		for news := range j.waiting {
+		for news := range j.subscribers {
 			select {
 			case news <- struct{}{}:
 			default:
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -16,41 +16,41 @@
 
 // Errors of Next: why a state can't be divided anew now.
 var (
-	// ErrHeld means that a part is held by somebody.
-	ErrHeld = errors.New("parts are held")
-	// ErrBroken means that a record was not understood: what it says would be lost.
-	ErrBroken = errors.New("records are not understood")
-	// ErrTypes means that parts by type take over no machine that is in use: a job that is
+	// ErrLed means that a part is held by somebody.
+	ErrLed = errors.New("parts are held")
+	// ErrUnreadable means that a record was not understood: what it says would be lost.
+	ErrUnreadable = errors.New("records are not understood")
+	// ErrByType means that parts by type take over no machine that is in use: a job that is
 	// spread over zones would be in several parts, of which none knows all of its zones.
-	ErrTypes = errors.New("it is in use, and a state in use is not divided by type")
+	ErrByType = errors.New("it is in use, and a state in use is not divided by type")
 )
 
-// Takes tells what each task of a job takes, if that is known, be the job over.
-type Takes func(job string) (store.Takes, bool)
+// ResourcesOf tells what each task of a job takes, if that is known, be the job over.
+type ResourcesOf func(job string) (store.TaskDemand, bool)
 
-// Next gives the transaction that divides a state as wanted. Nobody has claimed anything
+// Transaction gives the transaction that divides a state as wanted. Nobody has claimed anything
 // since the state was read, by the counter of terms, so that what it shows of the ledgers is
 // all there is: every earlier holder's rounds were conditional on a record that is gone. The
 // counter moves, so that a claim that was prepared before fails, also one of a
 // version that knows of no parts.
-func Next(s *store.State, want *fleet.Grouping, takes Takes) (wire.Txn, error) {
-	left := store.Recall(s.Slots)
+func Transaction(s *store.ShardingState, want *fleet.Sharding, resourcesOf ResourcesOf) (wire.Txn, error) {
+	recalled := store.RecoverSegments(s.Segments)
 	switch {
-	case len(s.Held) > 0:
-		return wire.Txn{}, fmt.Errorf("%w: %s", ErrHeld, strings.Join(s.Held, ", "))
-	case len(s.Broken) > 0:
-		return wire.Txn{}, fmt.Errorf("%w: %s", ErrBroken, strings.Join(s.Broken, ", "))
-	case !want.Zoned() && inUse(left.Machines):
-		return wire.Txn{}, ErrTypes
+	case len(s.LedShards) > 0:
+		return wire.Txn{}, fmt.Errorf("%w: %s", ErrLed, strings.Join(s.LedShards, ", "))
+	case len(s.Unreadable) > 0:
+		return wire.Txn{}, fmt.Errorf("%w: %s", ErrUnreadable, strings.Join(s.Unreadable, ", "))
+	case !want.KeepsZonesWhole() && inUse(recalled.Machines):
+		return wire.Txn{}, ErrByType
 	}
-	form := s.Format
-	form.Format = store.FormatParts // others read no ledger but those of the first grouping
-	rec := store.GroupingRecord{Text: want.String(), Number: s.Grouping.Record.Number + 1, Before: s.Ledgers}
+	format := s.Format
+	format.Format = store.FormatSharded // others read no ledger but those of the first grouping
+	rec := store.ShardingRecord{Text: want.String(), Generation: s.Sharding.Record.Generation + 1, PreviousLedgers: s.LedgerNames}
 	return wire.Txn{
-		If: []wire.Condition{{Key: store.GroupingKey, Version: s.Grouping.Version}, {Key: store.TermKey, Version: s.Term.Version},
-			{Key: store.GrantKey, Version: s.Grants.Version}},
-		Then: []wire.Change{{Put: store.GroupingKey, Value: rec}, {Put: store.TermKey, Value: s.Term.Record + 1},
-			{Put: store.FormatKey, Value: form}, {Put: store.GrantKey, Value: grants(left.Machines, want, takes)}},
+		If: []wire.Condition{{Key: store.ShardingKey, Version: s.Sharding.Version}, {Key: store.FencingTokenKey, Version: s.FencingToken.Version},
+			{Key: store.QuotaGrantKey, Version: s.QuotaGrants.Version}},
+		Then: []wire.Operation{{Put: store.ShardingKey, Value: rec}, {Put: store.FencingTokenKey, Value: s.FencingToken.Record + 1},
+			{Put: store.FormatKey, Value: format}, {Put: store.QuotaGrantKey, Value: initialGrants(recalled.Machines, want, resourcesOf)}},
 	}, nil
 }
 
@@ -63,30 +63,30 @@
 	return false
 }
 
-// grants gives each part what may be running on its machines, for each team. That may be
+// initialGrants gives each part what may be running on its machines, for each team. That may be
 // more than a team's limit, since the ledgers also name what has ended: the parts then
 // spend nothing before they have given that back.
-func grants(machines map[string]store.MachineRecord, want *fleet.Grouping, takes Takes) store.GrantRecord {
-	rec := store.GrantRecord{Teams: make(map[string]map[string][2]float64)}
-	if want.Whole() {
+func initialGrants(machines map[string]store.MachineRecord, want *fleet.Sharding, resourcesOf ResourcesOf) store.QuotaGrantRecord {
+	rec := store.QuotaGrantRecord{Teams: make(map[string]map[string][2]float64)}
+	if want.IsSingle() {
 		return rec
 	}
 	for _, m := range machines {
-		part := want.PartOf(m.Zone, m.Type)
+		shard := want.ShardOf(m.Zone, m.Type)
 		for name := range m.Tasks {
 			id, err := wire.ParseTaskID(name)
 			if err != nil {
 				continue
 			}
-			t, known := takes(id.Job)
+			t, known := resourcesOf(id.Job)
 			if !known {
 				continue // folded: proven to be nowhere
 			}
 			if rec.Teams[t.Team] == nil {
 				rec.Teams[t.Team] = make(map[string][2]float64)
 			}
-			g := rec.Teams[t.Team][part]
-			rec.Teams[t.Team][part] = [2]float64{g[0] + t.CPUs, g[1] + t.GPUs}
+			g := rec.Teams[t.Team][shard]
+			rec.Teams[t.Team][shard] = [2]float64{g[0] + t.CPUs, g[1] + t.GPUs}
 		}
 	}
 	return rec
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -13,26 +13,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// bench is a state that is divided anew.
-type bench struct {
-	state   store.State
+// fixture is a state that is divided anew.
+type fixture struct {
+	state   store.ShardingState
 	jobs    map[string]*store.JobRecord
 	entries map[string]map[string]wire.Raw // by ledger
 	version uint64
 }
 
-func (b *bench) leave(ledger string, e store.Entry) {
+func (b *fixture) leave(ledger string, e store.Entry) {
 	if b.entries[ledger] == nil {
 		b.entries[ledger] = map[string]wire.Raw{}
-		b.state.Ledgers = append(b.state.Ledgers, ledger)
+		b.state.LedgerNames = append(b.state.LedgerNames, ledger)
 	}
 	b.entries[ledger][e.Key] = e.Value
 	b.version++
-	b.state.Slots = slices.DeleteFunc(b.state.Slots, func(s store.Slot) bool { return s.Number == len(b.entries) })
-	b.state.Slots = append(b.state.Slots, store.Slot{Number: len(b.entries), Version: b.version, Record: store.SlotRecord{Entries: b.entries[ledger]}})
+	b.state.Segments = slices.DeleteFunc(b.state.Segments, func(s store.Segment) bool { return s.Number == len(b.entries) })
+	b.state.Segments = append(b.state.Segments, store.Segment{Number: len(b.entries), Version: b.version, Record: store.SegmentRecord{Entries: b.entries[ledger]}})
 }
 
-func grouping(text string) *fleet.Grouping {
+func parseSharding(text string) *fleet.Sharding {
 	by, names, _ := strings.Cut(text, ":")
 	list := strings.Split(names, ",")
 	switch by {
@@ -41,7 +41,7 @@
 	case "type":
 		return fleet.ByTypes(list)
 	}
-	return fleet.One()
+	return fleet.SingleShard()
 }
 
 func attempt(text string) uint64 {
@@ -51,21 +51,21 @@
 	return hi<<24 | lo
 }
 
-func (b *bench) step(t *testing.T, line string) []string {
+func (b *fixture) step(t *testing.T, line string) []string {
 	w, kv := simulator.Words(line)
 	switch w[0] {
 	case "job": // wk-1 gang tasks=3 zone=a
 		tasks, _ := strconv.Atoi(kv["tasks"])
 		rec := &store.JobRecord{Tasks: tasks, Job: &wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Team: "red", Tasks: tasks, CPUs: 2, GPUs: 1, Zone: kv["zone"], OneZone: kv["one_zone"] != ""}}
 		for _, s := range strings.Fields(strings.ReplaceAll(kv["done"], ",", " ")) {
-			share := store.Share{Part: "old", Done: true}
+			share := store.ShardRange{Shard: "old", Done: true}
 			if _, err := fmt.Sscanf(s, "%d-%d", &share.From, &share.To); err != nil {
 				t.Fatal(err)
 			}
-			rec.Shares = append(rec.Shares, share)
+			rec.Ranges = append(rec.Ranges, share)
 		}
 		if in := kv["done_in"]; in != "" {
-			rec.DoneIn = strings.Split(in, ",")
+			rec.FinishedIn = strings.Split(in, ",")
 		}
 		b.jobs[w[1]] = rec
 	case "machine": // n-1 a ledger=fleet holds=wk-1/0#1.1
@@ -76,53 +76,53 @@
 		}
 		b.leave(kv["ledger"], store.MachineEntry(w[1], rec))
 	case "finished": // wk-1 2 3 ledger=fleet
-		done := store.NewBits(0)
+		done := store.NewTaskSet(0)
 		for _, text := range w[2:] {
 			n, _ := strconv.Atoi(text)
-			done.Set(n)
+			done.Add(n)
 		}
 		b.leave(kv["ledger"], store.ProgressEntry(w[1], 0, done))
 	case "held":
-		b.state.Held = w[1:]
+		b.state.LedShards = w[1:]
 	case "broken":
-		b.state.Broken = w[1:]
+		b.state.Unreadable = w[1:]
 	case "divide": // to=zone:a,b
-		txn, err := Next(&b.state, grouping(kv["to"]), func(job string) (store.Takes, bool) {
+		txn, err := Transaction(&b.state, parseSharding(kv["to"]), func(job string) (store.TaskDemand, bool) {
 			if rec := b.jobs[job]; rec != nil {
-				return rec.TaskTakes()
+				return rec.TaskDemand()
 			}
-			return store.Takes{}, false
+			return store.TaskDemand{}, false
 		})
 		if err != nil {
 			return []string{err.Error()}
 		}
 		var out []string
 		for _, c := range txn.If {
-			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.Root), c.Version))
+			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 		}
 		for _, c := range txn.Then {
 			switch rec := c.Value.(type) {
-			case store.GroupingRecord:
-				out = append(out, fmt.Sprintf("put grouping %q, number %d, before %v", rec.Text, rec.Number, rec.Before))
+			case store.ShardingRecord:
+				out = append(out, fmt.Sprintf("put grouping %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers))
 			case store.FormatRecord:
 				out = append(out, fmt.Sprintf("put format %d", rec.Format))
 			default:
-				out = append(out, fmt.Sprintf("put %s %v", strings.TrimPrefix(c.Put, store.Root), rec))
+				out = append(out, fmt.Sprintf("put %s %v", strings.TrimPrefix(c.Put, store.StatePrefix), rec))
 			}
 		}
 		return out
 	case "shares": // wk-1 to=zone:a,b
-		p := NewPast(grouping(kv["to"]), store.PartLedgers{Number: 1, Before: b.state.Slots})
+		p := NewPrevious(parseSharding(kv["to"]), store.ShardLedgers{Generation: 1, Previous: b.state.Segments})
 		line := ""
-		shares := p.Shares(w[1], b.jobs[w[1]])
+		shares := p.Ranges(w[1], b.jobs[w[1]])
 		for _, s := range shares {
-			line += fmt.Sprintf("%d-%d/%s", s.From, s.To, s.Part)
+			line += fmt.Sprintf("%d-%d/%s", s.From, s.To, s.Shard)
 			if s.Done {
 				line += ",done"
 			}
 			line += " "
 		}
-		lead, parts := Whose(shares)
+		lead, parts := LeadShard(shares)
 		return []string{fmt.Sprintf("%sled by %q, %d parts", line, lead, parts)}
 	default:
 		t.Fatalf("no such step: %s", line)
@@ -133,8 +133,8 @@
 // TestTraces plays the kept traces of states that are divided anew.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
-		b := &bench{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
-		b.state.Grouping.Version, b.state.Term = 7, store.Versioned[uint64]{Record: 4, Version: 9}
+		b := &fixture{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
+		b.state.Sharding.Version, b.state.FencingToken = 7, store.Versioned[uint64]{Record: 4, Version: 9}
 		return func(line string) []string { return b.step(t, line) }
 	})
 }
@@ -153,19 +153,19 @@
 			entries[e.Key] = e.Value
 		}
 		for i, x := range done {
-			rec.Shares = append(rec.Shares, store.Share{From: int(x) - 2, To: int(x) + i%5, Part: "old", Done: i%2 == 0})
+			rec.Ranges = append(rec.Ranges, store.ShardRange{From: int(x) - 2, To: int(x) + i%5, Shard: "old", Done: i%2 == 0})
 		}
-		left := store.PartLedgers{Number: 2, Before: []store.Slot{{Version: 1, Record: store.SlotRecord{Entries: entries}}}}
+		left := store.ShardLedgers{Generation: 2, Previous: []store.Segment{{Version: 1, Record: store.SegmentRecord{Entries: entries}}}}
 		group := fleet.ByZones(3, []string{"a", "b", "c"})
-		shares := NewPast(group, left).Shares("wk-1", rec)
+		shares := NewPrevious(group, left).Ranges("wk-1", rec)
 		at := 0
 		for _, s := range shares {
-			if s.From != at || s.To <= s.From || !slices.Contains(group.Parts(), s.Part) {
+			if s.From != at || s.To <= s.From || !slices.Contains(group.Shards(), s.Shard) {
 				t.Fatalf("%v", shares)
 			}
 			at = s.To
 		}
-		if at != tasks || !slices.Equal(shares, NewPast(group, left).Shares("wk-1", rec)) {
+		if at != tasks || !slices.Equal(shares, NewPrevious(group, left).Ranges("wk-1", rec)) {
 			t.Errorf("%d tasks: %v", tasks, shares)
 		}
 	})
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -29,8 +29,8 @@
 // agents are real agents as processes, which run real actions from a real store of blobs.
 type agents struct {
 	program, dir string
-	world        *emulator.World
-	conf         *emulator.Config
+	cluster      *emulator.Cluster
+	config       *emulator.Config
 	sizes        []int // how many actions each runs at once
 
 	mu    sync.Mutex
@@ -88,18 +88,18 @@
 func (a *agents) settings(id, addr, typ, zone string, spot bool, actions int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = %d\ngpus = 0\nmemory_gb = %d\n", id, typ, zone, spot, addr, actions, 4*actions)
-	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.conf.Workers.Report, a.conf.Workers.Lease, a.world.Blobs(), filepath.Join(a.dir, id))
-	for i := range a.conf.Controllers {
-		fmt.Fprintf(&text, "c-%d = %s\n", i, a.world.Public(i))
+	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.config.Workers.HeartbeatInterval, a.config.Workers.Lease, a.cluster.Blobs(), filepath.Join(a.dir, id))
+	for i := range a.config.Controllers {
+		fmt.Fprintf(&text, "c-%d = %s\n", i, a.cluster.Public(i))
 	}
 	return text.String()
 }
 
 // startBlobs starts the store of blobs.
 func (a *agents) startBlobs(ctx context.Context) (err error) {
-	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.world.Blobs())
+	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
 	for begun := time.Now(); err == nil && ctx.Err() == nil; {
-		conn, dialed := emulator.Dial(ctx, a.world.Blobs())
+		conn, dialed := emulator.Dial(ctx, a.cluster.Blobs())
 		if dialed == nil {
 			return conn.Close()
 		}
@@ -113,14 +113,14 @@
 
 // run has each agent run as many actions at once as it has room for, until the context ends.
 func (a *agents) run(ctx context.Context) error {
-	blobs, err := cas.Dial(a.world.Blobs(), "")
+	blobs, err := cas.Dial(a.cluster.Blobs(), "")
 	if err != nil {
 		return err
 	}
 	defer blobs.Close()
 	var addrs []string
-	for i := range a.conf.Controllers {
-		addrs = append(addrs, a.world.Builds(i))
+	for i := range a.config.Controllers {
+		addrs = append(addrs, a.cluster.Builds(i))
 	}
 	front, err := reapi.Dial(addrs, "")
 	if err != nil {
@@ -133,7 +133,7 @@
 			group.Go(func() {
 				pause(ctx, actionTime*time.Duration(i)/time.Duration(actions)) // not all at once
 				for n := 0; ctx.Err() == nil; n++ {
-					if err := execute(ctx, blobs, front.From(i), agentType(actions), fmt.Sprintf("%d-%d-%d", k, i, n)); err != nil {
+					if err := execute(ctx, blobs, front.StartingAt(i), agentType(actions), fmt.Sprintf("%d-%d-%d", k, i, n)); err != nil {
 						pause(ctx, time.Second)
 						continue
 					}
--- a/internal/scale/needs.go
+++ b/internal/scale/needs.go
@@ -15,14 +15,14 @@
 	agentBytes      = 60 << 20
 	workerBytes     = 160 << 10
 	taskBytes       = 8 << 10
-	worldBytes      = 300 << 20
+	emulatorBytes   = 300 << 20
 	workerSockets   = 3 // it listens, reports to a controller and is called by one
 	linkSockets     = 6 // of each pair of controllers
 	spareSockets    = 500
 )
 
-// mostProcesses bounds the processes of a step.
-const mostProcesses = 300
+// maxProcesses bounds the processes of a step.
+const maxProcesses = 300
 
 // Machine is what the machine has that a run may use.
 type Machine struct {
@@ -53,14 +53,14 @@
 	for _, step := range p.Steps() {
 		workers, controllers := uint64(step[Workers]), uint64(step[Controllers])
 		agents := uint64(len(p.Agents))
-		memory := worldBytes + workers*workerBytes + uint64(step[Workers]*step[Tasks])*taskBytes + controllers*controllerBytes + (agents+1)*agentBytes
+		memory := emulatorBytes + workers*workerBytes + uint64(step[Workers]*step[Tasks])*taskBytes + controllers*controllerBytes + (agents+1)*agentBytes
 		processes := controllers + agents + 2
 		sockets := workers*workerSockets + controllers*controllers*linkSockets + spareSockets
 		if memory > m.MemoryBytes/2 {
 			faults = append(faults, fmt.Errorf("%v: memory: %d MB: must be at most %d MB, half of the machine's", step, memory>>20, m.MemoryBytes>>21))
 		}
-		if processes > mostProcesses {
-			faults = append(faults, fmt.Errorf("%v: processes: %d: must be at most %d", step, processes, mostProcesses))
+		if processes > maxProcesses {
+			faults = append(faults, fmt.Errorf("%v: processes: %d: must be at most %d", step, processes, maxProcesses))
 		}
 		if sockets > m.Sockets {
 			faults = append(faults, fmt.Errorf("%v: sockets: %d: must be at most %d, see ulimit -n", step, sockets, m.Sockets))
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -18,8 +18,8 @@
 // The roles. What a hollow worker or the state service takes of a processor is not that of a real
 // one, and is not told: for workers the agents stand.
 const (
-	Holder       Role = "controller that holds the fleet"
-	Other        Role = "other controllers"
+	Leader       Role = "controller that holds the fleet"
+	Follower     Role = "other controllers"
 	Worker       Role = "worker"
 	Agent        Role = "agent"
 	StateService Role = "state service"
@@ -69,10 +69,10 @@
 	Urgent        load.Times `json:"urgent_start_ms"`
 	Refused       int        `json:"answers_503"`
 	Submitted     int        `json:"submitted"`
-	TakeoverS     float64    `json:"takeover_claim_s"`  // from the kill to the next claim, 0 where none was seen
-	TakeoverStart load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
+	FailoverS     float64    `json:"takeover_claim_s"`  // from the kill to the next claim, 0 where none was seen
+	FailoverStart load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
 	Actions       int        `json:"actions"`
-	Broken        []string   `json:"rules_broken"`
+	Violations    []string   `json:"rules_broken"`
 }
 
 // add notes a figure of a role.
@@ -103,8 +103,8 @@
 	return filepath.Join(dir, fmt.Sprintf("step-%v.json", step))
 }
 
-// keep writes an outcome so that it is there whole or not at all.
-func keep(dir string, o *Outcome) error {
+// saveOutcome writes an outcome so that it is there whole or not at all.
+func saveOutcome(dir string, o *Outcome) error {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return err
@@ -116,8 +116,8 @@
 	return os.Rename(path+".part", path)
 }
 
-// kept reads an outcome that an earlier run left, nil where there is none.
-func kept(dir string, step Point) (*Outcome, error) {
+// loadOutcome reads an outcome that an earlier run left, nil where there is none.
+func loadOutcome(dir string, step Point) (*Outcome, error) {
 	text, err := os.ReadFile(outcomeFile(dir, step))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -32,8 +32,8 @@
 // Axes lists the axes in the order in which they are played.
 var Axes = []Axis{Workers, Teams, Controllers, Tasks, Starts}
 
-// mostOf bounds the values of each axis.
-var mostOf = map[Axis]float64{Workers: 10_000, Teams: 5000, Controllers: 24, Tasks: 64, Starts: 10_000}
+// maxOf bounds the values of each axis.
+var maxOf = map[Axis]float64{Workers: 10_000, Teams: 5000, Controllers: 24, Tasks: 64, Starts: 10_000}
 
 // Point is a size of a site.
 type Point map[Axis]float64
@@ -59,13 +59,13 @@
 
 // Plan is what a scale run consists of.
 type Plan struct {
-	Values                  map[Axis][]float64
-	Middle, Target          Point
-	Fill, Measure, Takeover time.Duration
-	Urgent                  float64 // jobs a second
-	Agents                  []int   // for each real agent, how many actions it runs at once
-	Seed                    uint64
-	State                   config.Store
+	Values                      map[Axis][]float64
+	Middle, Target              Point
+	Fill, Measure, FailoverTime time.Duration
+	Urgent                      float64 // jobs a second
+	Agents                      []int   // for each real agent, how many actions it runs at once
+	Seed                        uint64
+	State                       config.Store
 }
 
 // DefaultPlan is used for what a file leaves out.
@@ -74,7 +74,7 @@
 	return &Plan{
 		Values: map[Axis][]float64{Workers: {500, 1500, 4900}, Teams: {5, 100, 530}, Controllers: {3, 5, 24}, Tasks: {1, 4, 8}, Starts: {50, 200, 600, 2400}},
 		Middle: middle, Target: Point{Workers: 4900, Teams: 530, Controllers: 24, Tasks: 7.6, Starts: 2400},
-		Fill: 100 * time.Second, Measure: 20 * time.Second, Takeover: 15 * time.Second, Urgent: 2, Agents: []int{8, 64}, Seed: 1,
+		Fill: 100 * time.Second, Measure: 20 * time.Second, FailoverTime: 15 * time.Second, Urgent: 2, Agents: []int{8, 64}, Seed: 1,
 		State: config.Store{RPS: 250, WriteRPS: 30, ValueBytes: 16 << 10, TxnOps: 24},
 	}
 }
@@ -154,7 +154,7 @@
 
 func (r *planReader) values(key *ini.Key, section string, axis Axis) []float64 {
 	values, err := key.StrictFloat64s(",")
-	most := mostOf[axis]
+	most := maxOf[axis]
 	if err != nil || len(values) == 0 || slices.Min(values) < 1 || slices.Max(values) > most {
 		r.wrong(key, section, fmt.Sprintf("numbers from 1 to %g, separated by commas", most))
 	}
@@ -164,8 +164,8 @@
 func (r *planReader) point(key *ini.Key, section string, to Point) {
 	if axis, known := r.axis(key, section); known {
 		value, err := key.Float64()
-		if err != nil || value < 1 || value > mostOf[axis] {
-			r.wrong(key, section, fmt.Sprintf("a number from 1 to %g", mostOf[axis]))
+		if err != nil || value < 1 || value > maxOf[axis] {
+			r.wrong(key, section, fmt.Sprintf("a number from 1 to %g", maxOf[axis]))
 		}
 		to[axis] = value
 	}
@@ -192,7 +192,7 @@
 	case "measure":
 		r.duration(key, &p.Measure)
 	case "takeover":
-		r.duration(key, &p.Takeover)
+		r.duration(key, &p.FailoverTime)
 	case "urgent":
 		r.number(key, "step", &p.Urgent, 0.1, 100)
 	case "agents":
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -8,10 +8,10 @@
 
 // Budgets is what users allow at the target.
 var Budgets = map[Role]map[Measure]float64{
-	Worker: {BytesOut: 17, BytesIn: 17},
-	Agent:  {Processor: 0.016, Memory: 256},
-	Holder: {Processor: 0.18, Memory: 234},
-	Other:  {Processor: 0.18, Memory: 234},
+	Worker:   {BytesOut: 17, BytesIn: 17},
+	Agent:    {Processor: 0.016, Memory: 256},
+	Leader:   {Processor: 0.18, Memory: 234},
+	Follower: {Processor: 0.18, Memory: 234},
 }
 
 // budgetOf gives the budget of a measure, if there is one. Agents share one whatever they run.
@@ -41,7 +41,7 @@
 		}
 		fmt.Fprintf(text, "| %g | %g | %g | %g | %g | %s | %d | %d%s | %s | %d, %d | %d of %d | %d, %d, %d | %s | %d, %d |\n", o.Step[Workers], o.Step[Teams], o.Step[Controllers], o.Step[Tasks], o.Step[Starts],
 			short(o.StartsReached), o.Up, o.Running, full, short(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.Refused, o.Refused+o.Submitted,
-			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, short(o.TakeoverS), o.TakeoverStart.P50, o.TakeoverStart.Max)
+			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, short(o.FailoverS), o.FailoverStart.P50, o.FailoverStart.Max)
 	}
 	fmt.Fprintln(text)
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -35,14 +35,14 @@
 }
 
 func (r *Runner) step(ctx context.Context, step Point) (o *Outcome, before bool, err error) {
-	if o, err = kept(r.Out, step); o != nil || err != nil {
+	if o, err = loadOutcome(r.Out, step); o != nil || err != nil {
 		return o, true, err
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, false, err
 	}
-	if o, err = play(ctx, r.Plan, step, r.Program, r.Port); err != nil {
+	if o, err = runStep(ctx, r.Plan, step, r.Program, r.Port); err != nil {
 		return nil, false, err
 	}
-	return o, false, keep(r.Out, o)
+	return o, false, saveOutcome(r.Out, o)
 }
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -88,8 +88,8 @@
 	var all []*Outcome
 	for i, step := range p.Steps() {
 		o := &Outcome{Step: step, StartsReached: step[Starts] / 2}
-		o.add(Holder, Processor, 0.1+0.0001*step[Workers]+0.002*o.StartsReached)
-		o.add(Other, Memory, 50+step[Teams]/100*[]float64{1, -1}[i%2])
+		o.add(Leader, Processor, 0.1+0.0001*step[Workers]+0.002*o.StartsReached)
+		o.add(Follower, Memory, 50+step[Teams]/100*[]float64{1, -1}[i%2])
 		all = append(all, o)
 	}
 	predicted := Predict(p, all)
@@ -123,7 +123,7 @@
 	p := DefaultPlan()
 	p.Middle = Point{Workers: 20, Teams: 3, Controllers: 3, Tasks: 2, Starts: 8}
 	p.Values = map[Axis][]float64{Workers: {20, 30}}
-	p.Fill, p.Measure, p.Takeover, p.Agents = 20*time.Second, 2*time.Second, 12*time.Second, []int{2}
+	p.Fill, p.Measure, p.FailoverTime, p.Agents = 20*time.Second, 2*time.Second, 12*time.Second, []int{2}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	r := Runner{Plan: p, Out: t.TempDir(), Program: program, Port: 23_100, Progress: func(Point, bool) { time.AfterFunc(2*time.Second, stop) }}
@@ -132,11 +132,11 @@
 		t.Fatalf("%d steps, %v", len(all), err)
 	}
 	o := all[0]
-	if !o.Full || o.Up < 20 || o.Running == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.TakeoverS <= 0 || o.TakeoverStart.Count == 0 || len(o.Broken) > 0 {
+	if !o.Full || o.Up < 20 || o.Running == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverS <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
 		t.Errorf("%+v", o)
 	}
 	for role, measures := range map[Role][]Measure{
-		Holder: {Memory, BytesIn, BytesOut, MessagesIn}, Other: {Memory, BytesIn}, Worker: {BytesIn, BytesOut, MessagesOut}, "agent with 2 actions at once": {Memory},
+		Leader: {Memory, BytesIn, BytesOut, MessagesIn}, Follower: {Memory, BytesIn}, Worker: {BytesIn, BytesOut, MessagesOut}, "agent with 2 actions at once": {Memory},
 		StateService: {Keys, Requests, Changes, BytesIn}, Link: {BytesOut, MessagesOut},
 	} {
 		for _, m := range measures {
--- a/internal/scale/site.go
+++ b/internal/scale/site.go
@@ -23,38 +23,38 @@
 
 // site is a step's world with all that runs in it.
 type site struct {
-	plan   *Plan
-	step   Point
-	world  *emulator.World
-	conf   *emulator.Config
-	procs  *emulator.Procs
-	agents *agents
-	users  *users
-	dir    string
-	stop   context.CancelFunc
+	plan    *Plan
+	step    Point
+	cluster *emulator.Cluster
+	config  *emulator.Config
+	procs   *emulator.Processes
+	agents  *agents
+	users   *users
+	dir     string
+	stop    context.CancelFunc
 }
 
-// worldOf gives the world of a step.
-func worldOf(p *Plan, step Point) *emulator.Config {
+// clusterOf gives the world of a step.
+func clusterOf(p *Plan, step Point) *emulator.Config {
 	slots := step[Tasks]
-	hollow := wire.MachineType{Name: hollowType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
-	c := emulator.Small()
+	hollow := wire.MachineType{Name: emulatedType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
+	c := emulator.DefaultConfig()
 	c.Seed, c.Controllers, c.Zones, c.State = p.Seed, int(step[Controllers]), zones, p.State
-	c.Types, c.Rooms, c.Teams = []wire.MachineType{hollow}, map[simulator.Offer]int{}, nil
-	c.Workers = config.Workers{Report: 6 * time.Second, Lease: 31 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 56 * time.Second}
+	c.Types, c.CapacityByOffer, c.Teams = []wire.MachineType{hollow}, map[simulator.Offer]int{}, nil
+	c.Workers = config.Workers{HeartbeatInterval: 6 * time.Second, Lease: 31 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 56 * time.Second}
 	c.Cloud = config.Cloud{RPS: 12, ListLag: 2 * time.Second}
 	c.Limits = config.Limits{RAMBytes: 234 << 20, Files: 10_000}
 	for i, zone := range zones {
-		c.Rooms[simulator.Offer{Type: hollowType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
+		c.CapacityByOffer[simulator.Offer{Type: emulatedType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
 	}
 	for _, actions := range p.Agents {
 		name := agentType(actions)
 		c.Types = append(c.Types, wire.MachineType{Name: name, CPUs: float64(actions), MemoryGB: 4 * float64(actions), CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones[:1]})
-		c.Rooms[simulator.Offer{Type: name, Zone: zones[0]}] = 1
+		c.CapacityByOffer[simulator.Offer{Type: name, Zone: zones[0]}] = 1
 	}
 	share := step[Workers] * step[Tasks] / step[Teams]
 	for i := range int(step[Teams]) {
-		c.Teams = append(c.Teams, config.Team{Name: teamName(i), GPUs: share / 2, GPUsMax: max(2*mostTasks, 3*share)})
+		c.Teams = append(c.Teams, config.Team{Name: teamName(i), GPUs: share / 2, GPUsMax: max(2*maxTasks, 3*share)})
 	}
 	return c
 }
@@ -64,7 +64,7 @@
 
 // openSite starts the world of a step and all that runs in it.
 func openSite(ctx context.Context, p *Plan, step Point, program string, port int) (s *site, err error) {
-	s = &site{plan: p, step: step, conf: worldOf(p, step)}
+	s = &site{plan: p, step: step, config: clusterOf(p, step)}
 	ctx, s.stop = context.WithCancel(ctx)
 	defer func() {
 		if err != nil {
@@ -74,17 +74,17 @@
 	if s.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
 		return nil, err
 	}
-	caller := &transport.Caller{Limit: 1 << 20, Keep: 2 * mostOpen, Dial: emulator.Dial}
+	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 2 * maxOpen, Dial: emulator.Dial}
 	s.users = newUsers(step, p.Seed, caller)
-	s.agents = &agents{program: program, dir: s.dir, conf: s.conf, sizes: p.Agents, procs: map[string]*process{}}
-	s.procs = &emulator.Procs{Program: program, Level: "error", Dir: s.dir, Tuning: tuning}
+	s.agents = &agents{program: program, dir: s.dir, config: s.config, sizes: p.Agents, procs: map[string]*process{}}
+	s.procs = &emulator.Processes{Program: program, Level: "error", Dir: s.dir, Tuning: tuning}
 	s.procs.Begin(ctx)
-	s.world, err = emulator.Start(ctx, s.conf, emulator.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Hang: s.procs.HangNamed,
-		Machine: s.agents.machine, Started: s.users.started})
+	s.cluster, err = emulator.Start(ctx, s.config, emulator.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Pause: s.procs.PauseNamed,
+		Machine: s.agents.machine, OnTaskStart: s.users.started})
 	if err != nil {
 		return nil, err
 	}
-	s.users.world, s.agents.world = s.world, s.world
+	s.users.cluster, s.agents.cluster = s.cluster, s.cluster
 	if len(p.Agents) > 0 {
 		if err := s.agents.startBlobs(ctx); err != nil {
 			return nil, err
@@ -96,16 +96,16 @@
 
 // buildTools is what a controller is told of build tools.
 func (s *site) buildTools(i int) string {
-	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", s.world.Builds(i), s.world.Blobs(), teamName(0), actionTime)
+	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", s.cluster.Builds(i), s.cluster.Blobs(), teamName(0), actionTime)
 }
 
 func (s *site) startControllers(ctx context.Context, caller *transport.Caller) error {
-	s.procs.Settings, s.procs.Metrics = s.world.Settings, s.world.Metrics
-	for i := range s.conf.Controllers {
+	s.procs.Settings, s.procs.Metrics = s.cluster.Settings, s.cluster.Metrics
+	for i := range s.config.Controllers {
 		if err := s.procs.Start(i); err != nil {
 			return err
 		}
-		s.users.addrs = append(s.users.addrs, s.world.Public(i))
+		s.users.addrs = append(s.users.addrs, s.cluster.Public(i))
 	}
 	return emulator.Ready(ctx, caller, s.users.addrs)
 }
@@ -116,8 +116,8 @@
 	if s.procs != nil {
 		s.procs.Stop()
 	}
-	if s.world != nil {
-		s.world.Stop()
+	if s.cluster != nil {
+		s.cluster.Stop()
 	}
 	if s.agents != nil {
 		s.agents.stop()
@@ -127,34 +127,34 @@
 	}
 }
 
-var errNoHolder = errors.New("no controller holds the fleet")
+var errNoLeader = errors.New("no controller holds the fleet")
 
-// holder names the controller that holds the fleet.
-func (s *site) holder() (string, error) {
-	items := s.world.Page(store.PartKey("fleet"), 1)
+// leader names the controller that holds the fleet.
+func (s *site) leader() (string, error) {
+	items := s.cluster.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
-		return "", errNoHolder
+		return "", errNoLeader
 	}
-	var rec store.PartRecord
+	var rec store.LeaderRecord
 	if err := wire.DecodeValue(items[0].Value, &rec); err != nil {
 		return "", err
 	}
-	return rec.Holder, nil
+	return rec.Leader, nil
 }
 
 // reading is how a site stood at a moment.
 type reading struct {
 	at       time.Time
 	status   emulator.Status
-	traffic  map[emulator.Way]emulator.Flow
+	traffic  map[emulator.Direction]emulator.Flow
 	used     map[string]usage // of controllers, by name
 	agents   map[string]usage // by machine type
 	startsAt int64
 }
 
 func (s *site) read() reading {
-	r := reading{at: time.Now(), status: s.world.Status(), traffic: s.world.Traffic(), used: map[string]usage{}, agents: s.agents.usages(), startsAt: s.users.begun.Load()}
-	for i := range s.conf.Controllers {
+	r := reading{at: time.Now(), status: s.cluster.Status(), traffic: s.cluster.Traffic(), used: map[string]usage{}, agents: s.agents.usages(), startsAt: s.users.begun.Load()}
+	for i := range s.config.Controllers {
 		if pid := s.procs.PID(i); pid > 0 {
 			if used, err := usageOf(pid); err == nil {
 				r.used[controllerName(i)] = used
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -15,27 +15,27 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// hollowType is the type of the hollow workers' machines.
-const hollowType = "hollow"
+// emulatedType is the type of the hollow workers' machines.
+const emulatedType = "hollow"
 
 const (
-	mostTasks     = 32              // of an ordinary job
+	maxTasks      = 32              // of an ordinary job
 	urgentRun     = 2 * time.Second // of an urgent one
-	answerWait    = 5 * time.Second // for the answer to a submission
-	submitGiveUp  = time.Minute     // after which a job is not submitted any more
-	longestMillis = 10 * 60 * 1000  // that a histogram holds
+	answerTimeout = 5 * time.Second // for the answer to a submission
+	submitTimeout = time.Minute     // after which a job is not submitted any more
+	maxMillis     = 10 * 60 * 1000  // that a histogram holds
 	significant   = 3               // digits of it
-	mostOpen      = 256             // submissions that are on their way
+	maxOpen       = 256             // submissions that are on their way
 	idleGap       = 20 * time.Millisecond
 )
 
 // users submit jobs and note when they start.
 type users struct {
-	step   Point
-	addrs  []string
-	world  *emulator.World
-	caller *transport.Caller
-	luck   *rand.Rand // of the one goroutine that makes jobs
+	step    Point
+	addrs   []string
+	cluster *emulator.Cluster
+	caller  *transport.Caller
+	rng     *rand.Rand // of the one goroutine that makes jobs
 
 	next, waiting             atomic.Int64 // jobs so far; tasks that were submitted and have not started
 	submitted, refused, begun atomic.Int64
@@ -50,14 +50,14 @@
 }
 
 func newUsers(step Point, seed uint64, caller *transport.Caller) *users {
-	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestMillis, significant) }
-	return &users{step: step, caller: caller, luck: rand.New(rand.NewPCG(seed, 1)), open: make(chan struct{}, mostOpen),
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMillis, significant) }
+	return &users{step: step, caller: caller, rng: rand.New(rand.NewPCG(seed, 1)), open: make(chan struct{}, maxOpen),
 		sent: map[string]time.Time{}, urgent: map[string]bool{}, accept: histogram(), start: histogram(), early: histogram(), late: histogram()}
 }
 
 // record notes how long something has taken; the lock is held.
 func record(h *hdrhistogram.Histogram, took time.Duration) {
-	_ = h.RecordValue(min(longestMillis, max(1, took.Milliseconds())))
+	_ = h.RecordValue(min(maxMillis, max(1, took.Milliseconds())))
 }
 
 // started takes in that a task starts.
@@ -87,8 +87,8 @@
 	}
 }
 
-// kill says that the holder is being killed.
-func (u *users) kill(now time.Time) {
+// markLeaderKilled says that the holder is being killed.
+func (u *users) markLeaderKilled(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.killed = now
@@ -107,7 +107,7 @@
 func (u *users) job(tasks int, run time.Duration) *wire.Job {
 	n := u.next.Add(1)
 	return &wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "ordinary", Team: teamName(int(n) % int(u.step[Teams])), Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
-		CPUs: 1, GPUs: 1, MemoryGB: 4, Types: []string{hollowType}, Image: "img", ImageGB: 0.01, EstimateS: run.Seconds(), Spot: true}
+		CPUs: 1, GPUs: 1, MemoryGB: 4, Types: []string{emulatedType}, Image: "img", ImageGB: 0.01, EstimateS: run.Seconds(), Spot: true}
 }
 
 func teamName(i int) string { return fmt.Sprintf("team-%04d", i) }
@@ -122,9 +122,9 @@
 
 // fill submits as much as the fleet has room for, of which as much ends each second as is to start.
 func (u *users) fill(ctx context.Context) {
-	for left := u.full(); left > 0 && ctx.Err() == nil; left -= mostTasks {
-		run := time.Duration((0.05 + 0.95*u.luck.Float64()) * float64(u.run()))
-		u.submit(ctx, u.job(min(left, mostTasks), run), false)
+	for left := u.full(); left > 0 && ctx.Err() == nil; left -= maxTasks {
+		run := time.Duration((0.05 + 0.95*u.rng.Float64()) * float64(u.run()))
+		u.submit(ctx, u.job(min(left, maxTasks), run), false)
 	}
 }
 
@@ -134,13 +134,13 @@
 	begun, came := time.Now(), 0.0
 	for ctx.Err() == nil {
 		due := u.step[Starts] * time.Since(begun).Seconds()
-		if due-came < mostTasks || u.waiting.Load() > int64(u.full()) {
-			came = max(came, due-2*mostTasks) // what the service has no room for does not pile up here
+		if due-came < maxTasks || u.waiting.Load() > int64(u.full()) {
+			came = max(came, due-2*maxTasks) // what the service has no room for does not pile up here
 			pause(ctx, idleGap)
 			continue
 		}
-		came += mostTasks
-		u.submit(ctx, u.job(mostTasks, u.run()), false)
+		came += maxTasks
+		u.submit(ctx, u.job(maxTasks, u.run()), false)
 	}
 }
 
@@ -174,19 +174,19 @@
 	}
 	u.mu.Unlock()
 	u.waiting.Add(int64(j.Tasks))
-	u.world.Judge([]emulator.Told{{Submitted: j}})
+	u.cluster.Observe([]emulator.Observation{{Submitted: j}})
 	u.group.Go(func() {
 		defer func() { <-u.open }()
-		u.insist(ctx, j)
+		u.submitUntilAccepted(ctx, j)
 	})
 }
 
-// insist submits a job until it is accepted.
-func (u *users) insist(ctx context.Context, j *wire.Job) {
+// submitUntilAccepted submits a job until it is accepted.
+func (u *users) submitUntilAccepted(ctx context.Context, j *wire.Job) {
 	begun, body := time.Now(), wire.Encode(j)
-	for try := 0; ctx.Err() == nil && time.Since(begun) < submitGiveUp; try++ {
+	for try := 0; ctx.Err() == nil && time.Since(begun) < submitTimeout; try++ {
 		sent := time.Now()
-		call, cancel := context.WithTimeout(ctx, answerWait)
+		call, cancel := context.WithTimeout(ctx, answerTimeout)
 		resp, err := u.caller.Call(call, u.addrs[(len(u.addrs)+int(j.ID[len(j.ID)-1])+try+int(sent.UnixNano()/1000))%len(u.addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil && (resp.Status == 200 || resp.Status == 201) {
@@ -202,7 +202,7 @@
 func (u *users) accepted(j *wire.Job, status int, body []byte, begun, sent time.Time) {
 	var s wire.JobStatus
 	_ = wire.Decode(body, &s)
-	u.world.Judge([]emulator.Told{{Job: j.ID, Status: status, Stage: s.Stage, Sent: sent.UnixNano(), Back: time.Now().UnixNano()}})
+	u.cluster.Observe([]emulator.Observation{{Job: j.ID, Status: status, Stage: s.Stage, SentNS: sent.UnixNano(), AnsweredNS: time.Now().UnixNano()}})
 	u.submitted.Add(1)
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/scheduler/first_replica.go
+++ b/internal/scheduler/first_replica.go
@@ -12,9 +12,9 @@
 // production, one replica of every service before the second of any, then by how far each
 // is below its replicas. And images are fetched for these before others.
 
-// further compares production jobs by how much of each waits, and then by how soon the image
+// compareProduction compares production jobs by how much of each waits, and then by how soon the image
 // could be there, as far as that differs by much.
-func (pl *planner) further(a, b *Job) int {
+func (pl *planner) compareProduction(a, b *Job) int {
 	if a.Priority != wire.Production || b.Priority != wire.Production {
 		return 0
 	}
@@ -24,83 +24,83 @@
 		}
 		return float64(len(j.Waiting)) / float64(j.Tasks)
 	}
-	return cmp.Or(cmp.Compare(missing(b), missing(a)), cmp.Compare(pl.fetch(a)/largeFetch, pl.fetch(b)/largeFetch))
+	return cmp.Or(cmp.Compare(missing(b), missing(a)), cmp.Compare(pl.fetchTime(a)/fetchTimeStep, pl.fetchTime(b)/fetchTimeStep))
 }
 
-// largeFetch is the step in which fetches differ by much: that of weights, which take longer
+// fetchTimeStep is the step in which fetches differ by much: that of weights, which take longer
 // than a machine boots.
-const largeFetch = 30 * time.Second
+const fetchTimeStep = 30 * time.Second
 
-// firsts launches one replica of every service that has none, where there is room, before
+// launchFirstReplicas launches one replica of every service that has none, where there is room, before
 // the others of any. Where tiers are set, these are the services of the first one.
-func (pl *planner) firsts() {
+func (pl *planner) launchFirstReplicas() {
 	for _, j := range pl.Jobs {
-		if j.Priority != wire.Production || pl.tiers != nil && j.tier > 0 {
+		if j.Priority != wire.Production || pl.tiering != nil && j.tier > 0 {
 			return // these come first in the order
 		}
-		if j.Shape == wire.Service && j.Active+j.Elsewhere == 0 && len(j.Waiting) > 1 && pl.Teams[j.Team] != nil {
-			pl.enter(j, false)
-			j.begun = 1 - len(pl.search(j, j.InZone, "").now(j.Waiting[:1]))
+		if j.Shape == wire.Service && j.Active+j.RemoteTasks == 0 && len(j.Waiting) > 1 && pl.Teams[j.Team] != nil {
+			pl.beginJob(j, false)
+			j.launchedEarly = 1 - len(pl.newSearch(j, j.InZone, "").launchNow(j.Waiting[:1]))
 		}
 	}
 }
 
 // Fetch is an image that is on its way to a machine.
 type Fetch struct {
-	Image string
-	Top   bool // production waits for it
+	Image         string
+	ForProduction bool // production waits for it
 }
 
-// Fetch notes an image that is on its way to a machine.
-func (m *Machine) Fetch(image string, top bool) {
+// AddFetch notes an image that is on its way to a machine.
+func (m *Machine) AddFetch(image string, top bool) {
 	for i := range m.Fetches {
 		if m.Fetches[i].Image == image {
-			m.Fetches[i].Top = m.Fetches[i].Top || top
+			m.Fetches[i].ForProduction = m.Fetches[i].ForProduction || top
 			return
 		}
 	}
 	m.Fetches = append(m.Fetches, Fetch{image, top})
 }
 
-func fetches(list []Fetch, image string) bool {
+func containsFetch(list []Fetch, image string) bool {
 	return slices.ContainsFunc(list, func(f Fetch) bool { return f.Image == image })
 }
 
-// calm reports whether nothing is being fetched to a machine: what comes there has its whole
+// fetchesNothing reports whether nothing is being fetched to a machine: what comes there has its whole
 // rate.
-func (m *Machine) calm() bool { return len(m.Fetches)+len(m.planned) == 0 }
+func (m *Machine) fetchesNothing() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
 
-// comes reports whether an image is still on its way to a machine.
-func (m *Machine) comes(image string) bool {
-	return fetches(m.Fetches, image) || fetches(m.planned, image)
+// isFetching reports whether an image is still on its way to a machine.
+func (m *Machine) isFetching(image string) bool {
+	return containsFetch(m.Fetches, image) || containsFetch(m.plannedFetches, image)
 }
 
-// paces reports whether a machine is not to begin with the image of a job: it may share its
+// defersFetch reports whether a machine is not to begin with the image of a job: it may share its
 // rate among all that it fetches, and production waits for one of these.
-func (m *Machine) paces(j *Job) bool {
-	top := func(f Fetch) bool { return f.Top }
-	return j.Priority != wire.Production && (slices.ContainsFunc(m.Fetches, top) || slices.ContainsFunc(m.planned, top))
+func (m *Machine) defersFetch(j *Job) bool {
+	top := func(f Fetch) bool { return f.ForProduction }
+	return j.Priority != wire.Production && (slices.ContainsFunc(m.Fetches, top) || slices.ContainsFunc(m.plannedFetches, top))
 }
 
-// pacedRoom finds room on a machine that fetches for production: the task waits for that, and
+// deferredMachine finds room on a machine that fetches for production: the task waits for that, and
 // none is rented for it.
-func (s *search) pacedRoom() *Machine {
-	for _, m := range s.paced {
-		if m.Free.Fits(s.need) && s.ok(m) {
+func (s *search) deferredMachine() *Machine {
+	for _, m := range s.deferred {
+		if m.Free.Fits(s.need) && s.permitsMachine(m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// Allows reports whether the tasks of a job may ever be on machines of an offer.
-func Allows(j *wire.Job, o Offer) bool { return allowed(&Job{Job: j}, o) }
+// OfferAllowed reports whether the tasks of a job may ever be on machines of an offer.
+func OfferAllowed(j *wire.Job, o Offer) bool { return allowsOffer(&Job{Job: j}, o) }
 
-// spareRoom sums what is left on machines that are up.
-func (pl *planner) spareRoom() {
+// sumSpareCapacity sums what is left on machines that are up.
+func (pl *planner) sumSpareCapacity() {
 	for _, m := range pl.usable {
 		if m.Usable {
-			pl.plan.Spare = pl.plan.Spare.Plus(m.Free, 1)
+			pl.plan.SpareCapacity = pl.plan.SpareCapacity.AddScaled(m.Free, 1)
 		}
 	}
 }
--- a/internal/scheduler/first_replica_test.go
+++ b/internal/scheduler/first_replica_test.go
@@ -8,10 +8,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func launched(p Plan) string {
+func launchesOf(p Plan) string {
 	out := ""
 	for _, l := range p.Launches {
-		out += fmt.Sprintf("%s/%d on %s, ", l.Job.ID, l.Index, l.Machine)
+		out += fmt.Sprintf("%s/%d on %s, ", l.Job.ID, l.TaskIndex, l.Machine)
 	}
 	return out
 }
@@ -22,39 +22,39 @@
 	few := job("wk-3", wire.Service, wire.Production, 4, 2, 3) // of four
 	few.Active, few.InZone["b"] = 2, 2
 	jobs := []*Job{job("wk-1", wire.Service, wire.Production, 4, 0, 1, 2, 3), job("wk-2", wire.Service, wire.Production, 4, 0, 1, 2, 3), few}
-	got := launched(Choose(picture(jobs, machine("n-1", "a"), machine("n-2", "a"), machine("n-3", "a"))))
+	got := launchesOf(Schedule(testSnapshot(jobs, machine("n-1", "a"), machine("n-2", "a"), machine("n-3", "a"))))
 	if want := "wk-1/0 on n-3, wk-2/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
 }
 
-// TestPacedFetches: a lesser image is not begun where production waits for one, nor is a
+// TestDeferredFetches: a lesser image is not begun where production waits for one, nor is a
 // machine rented for that; and production goes where nothing else is fetched.
-func TestPacedFetches(t *testing.T) {
+func TestDeferredFetches(t *testing.T) {
 	top, low := job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 	low.Image = "other"
 	busy, calm := machine("n-1", "a"), machine("n-2", "a")
-	busy.Fetch("third", false)
+	busy.AddFetch("third", false)
 	calm.Free.GPUs = 2
-	plan := Choose(picture([]*Job{top, low}, busy, calm))
-	if got, want := launched(plan), "wk-1/0 on n-2, wk-2/0 on n-1, "; got != want {
+	plan := Schedule(testSnapshot([]*Job{top, low}, busy, calm))
+	if got, want := launchesOf(plan), "wk-1/0 on n-2, wk-2/0 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
 	top, low = job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 	low.Image = "other"
-	plan = Choose(picture([]*Job{top, low}, machine("n-1", "a")))
-	if got, want := launched(plan), "wk-1/0 on n-1, "; got != want || len(plan.Rents) > 0 {
-		t.Errorf("%s, not %s; rents %v", got, want, plan.Rents)
+	plan = Schedule(testSnapshot([]*Job{top, low}, machine("n-1", "a")))
+	if got, want := launchesOf(plan), "wk-1/0 on n-1, "; got != want || len(plan.ScaleOuts) > 0 {
+		t.Errorf("%s, not %s; rents %v", got, want, plan.ScaleOuts)
 	}
 }
 
 // TestSpreadRules: a replica goes where its service has the fewest, where there is room; one at a
 // time is moved there while all are up and no production waits; and no more than may be lost are in one zone.
 func TestSpreadRules(t *testing.T) {
-	even, survive := &Rule{Even: true}, &Rule{Survive: 0.5}
+	even, survive := &SpreadRule{Even: true}, &SpreadRule{Survive: 0.5}
 	for _, c := range []struct {
 		name         string
-		rule         *Rule
+		rule         *SpreadRule
 		in           []string // zones of its replicas
 		waiting      []int
 		room         []string // zones with room
@@ -73,13 +73,13 @@
 		{"one is away", even, []string{"a", "a", "a"}, []int{3}, []string{"b"}, 4, false, 1, 0, false},
 		{"half survives", survive, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
 		{"half would survive", survive, []string{"a", "a"}, nil, []string{"b"}, 4, false, 0, 1, true},
-		{"only there", &Rule{Even: true, Zones: []string{"a"}}, []string{"a", "a"}, []int{2}, []string{"b"}, 4, false, 0, 0, false},
+		{"only there", &SpreadRule{Even: true, Zones: []string{"a"}}, []string{"a", "a"}, []int{2}, []string{"b"}, 4, false, 0, 0, false},
 	} {
 		j := job("wk-1", wire.Service, wire.Production, 4, c.waiting...)
-		j.Rule, j.Tasks = c.rule, len(c.in)+len(c.waiting)
+		j.SpreadRule, j.Tasks = c.rule, len(c.in)+len(c.waiting)
 		var machines []*Machine
 		for i, zone := range c.in {
-			machines = append(machines, machine(fmt.Sprint("n-", i), zone, Task{Job: j, Index: i, Ran: time.Minute}))
+			machines = append(machines, machine(fmt.Sprint("n-", i), zone, Task{Job: j, Index: i, RunTime: time.Minute}))
 		}
 		for _, zone := range c.room {
 			machines = append(machines, machine("n-"+zone, zone))
@@ -88,16 +88,16 @@
 		if c.other {
 			jobs = append(jobs, job("wk-2", wire.Service, wire.Production, 99, 0))
 		}
-		pic := picture(jobs, machines...)
-		pic.Moves = c.moves
-		plan := Choose(pic)
+		pic := testSnapshot(jobs, machines...)
+		pic.MaxMoves = c.moves
+		plan := Schedule(pic)
 		for _, l := range plan.Launches {
 			if l.Machine != "n-b" {
 				t.Errorf("%s: launched on %s", c.name, l.Machine)
 			}
 		}
-		if len(plan.Launches) != c.launch || len(plan.Stops) != c.stop || plan.Uneven != c.uneven {
-			t.Errorf("%s: %d launches, %+v, uneven: %v", c.name, len(plan.Launches), plan.Stops, plan.Uneven)
+		if len(plan.Launches) != c.launch || len(plan.Stops) != c.stop || plan.SpreadViolated != c.uneven {
+			t.Errorf("%s: %d launches, %+v, uneven: %v", c.name, len(plan.Launches), plan.Stops, plan.SpreadViolated)
 		}
 	}
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -19,66 +19,66 @@
 // The past that tells how much comes: the middle one of several spans, so that
 // the jobs of a fleet's first minute, or of a burst that is over, count little.
 const (
-	spans = 6
-	span  = 15 * time.Second
+	arrivalWindows = 6
+	arrivalWindow  = 15 * time.Second
 )
 
-// demand is what comes of a class.
-type demand struct {
-	tasks [spans]float64 // by age
-	last  *Job           // the newest one, which stands for those to come
+// arrivals is what comes of a class.
+type arrivals struct {
+	tasks  [arrivalWindows]float64 // by age
+	newest *Job                    // the newest one, which stands for those to come
 }
 
 // expected gives how many tasks come within a time.
-func (d *demand) expected(within time.Duration) int {
+func (d *arrivals) expected(within time.Duration) int {
 	sorted := d.tasks
 	slices.Sort(sorted[:])
-	middle := (sorted[spans/2-1] + sorted[spans/2]) / 2
-	return int(middle * within.Seconds() / span.Seconds())
+	middle := (sorted[arrivalWindows/2-1] + sorted[arrivalWindows/2]) / 2
+	return int(middle * within.Seconds() / arrivalWindow.Seconds())
 }
 
-// headroom holds room for what is about to come.
-func (pl *planner) headroom() {
-	classes := make(map[string]*demand)
+// reserveHeadroom holds room for what is about to come.
+func (pl *planner) reserveHeadroom() {
+	classes := make(map[string]*arrivals)
 	for _, j := range pl.Jobs {
-		i := int(j.Age / span)
-		if j.Age < 0 || i >= spans || !pl.hasty(j) {
+		i := int(j.Age / arrivalWindow)
+		if j.Age < 0 || i >= arrivalWindows || !pl.needsHeadroom(j) {
 			continue
 		}
 		d := classes[j.Class]
 		if d == nil {
-			d = &demand{}
+			d = &arrivals{}
 			classes[j.Class] = d
 		}
-		if !pl.Parts {
+		if !pl.Sharded {
 			d.tasks[i] += float64(j.Tasks)
 		} else {
-			d.tasks[i] += float64(j.Mine)
+			d.tasks[i] += float64(j.LocalTasks)
 		}
-		if d.last == nil || cmp.Compare(j.Age, d.last.Age) < 0 {
-			d.last = j
+		if d.newest == nil || cmp.Compare(j.Age, d.newest.Age) < 0 {
+			d.newest = j
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
 		d := classes[class]
-		pl.hold(d.last, d.expected(pl.boot(d.last)))
+		pl.holdHeadroom(d.newest, d.expected(pl.bootTime(d.newest)))
 	}
 }
 
-// hasty reports whether a job is to start sooner than a machine for it boots.
-func (pl *planner) hasty(j *Job) bool {
-	boot := pl.boot(j)
-	return slices.ContainsFunc(pl.Aims, func(o Objective) bool {
-		return o.Kind == StartWithin && o.Class == j.Class && o.Within < boot*3/2+pl.fetch(j)
+// needsHeadroom reports whether a job is to start sooner than a machine for it boots.
+func (pl *planner) needsHeadroom(j *Job) bool {
+	boot := pl.bootTime(j)
+	return slices.ContainsFunc(pl.Objectives, func(o Objective) bool {
+		return o.Kind == StartWithin && o.Class == j.Class && o.Within < boot*3/2+pl.fetchTime(j)
 	})
 }
 
-// boot is how long a machine for a job takes to boot, at the least; 0 where
+// bootTime is how long a machine for a job takes to boot, at the least; 0 where
 // none can be rented.
-func (pl *planner) boot(j *Job) time.Duration { return pl.bootIn(j, "") }
+func (pl *planner) bootTime(j *Job) time.Duration { return pl.bootTimeIn(j, "") }
 
-// bootIn is the same for one zone.
-func (pl *planner) bootIn(j *Job, zone string) time.Duration {
+// bootTimeIn is the same for one zone.
+func (pl *planner) bootTimeIn(j *Job, zone string) time.Duration {
 	var least time.Duration
 	for i := range pl.Types {
 		t := &pl.Types[i]
@@ -86,7 +86,7 @@
 			for _, spot := range []bool{true, false} {
 				o := Offer{t.Name, z, spot}
 				b := wire.Seconds(t.BootS)
-				if (least == 0 || b < least) && (zone == "" || z == zone) && allowed(j, o) && !pl.Refused[o] && !pl.Doubted[o] && (Amount{t.CPUs, t.GPUs, t.MemoryGB}).Fits(Of(j.Job)) {
+				if (least == 0 || b < least) && (zone == "" || z == zone) && allowsOffer(j, o) && !pl.Unavailable[o] && !pl.Doubtful[o] && (Resources{t.CPUs, t.GPUs, t.MemoryGB}).Fits(ResourcesOf(j.Job)) {
 					least = b
 				}
 			}
@@ -95,49 +95,49 @@
 	return least
 }
 
-// hold occupies room for so many tasks like those of a job, zone by zone in
+// holdHeadroom occupies room for so many tasks like those of a job, zone by zone in
 // turn: where it is free, or boots, and else on machines to be rented.
-func (pl *planner) hold(like *Job, tasks int) {
+func (pl *planner) holdHeadroom(like *Job, tasks int) {
 	if tasks <= 0 {
 		return
 	}
 	j := &Job{Job: &wire.Job{}, InZone: map[string]int{}, Waiting: make([]int, tasks)}
 	*j.Job = *like.Job
 	j.Image, j.OneZone, j.Spread = "", false, false
-	s := pl.search(j, j.InZone, "")
-	s.limit = dear * pl.cheapest(j)
+	s := pl.newSearch(j, j.InZone, "")
+	s.maxShareCost = maxHeadroomPriceRatio * pl.cheapestShare(j)
 	s.scan()
 	for range tasks {
-		m := s.emptiest()
+		m := s.headroomMachine()
 		if m == nil {
-			if m = s.coming(); m == nil {
+			if m = s.upcomingMachine(); m == nil {
 				return
 			}
 		}
 		if m.Usable {
-			if pl.heldFor == nil {
-				pl.heldFor = make(map[string]int)
+			if pl.headroomByClass == nil {
+				pl.headroomByClass = make(map[string]int)
 			}
-			pl.heldFor[like.Class]++
+			pl.headroomByClass[like.Class]++
 		}
-		s.take(m)
+		s.place(m)
 	}
 }
 
-// dear is by how much room that stands ready may cost more than the cheapest.
-const dear = 1.5
+// maxHeadroomPriceRatio is by how much room that stands ready may cost more than the cheapest.
+const maxHeadroomPriceRatio = 1.5
 
-// cheapest is the price of the cheapest machine for a task, for its share.
-func (pl *planner) cheapest(j *Job) float64 {
+// cheapestShare is the price of the cheapest machine for a task, for its share.
+func (pl *planner) cheapestShare(j *Job) float64 {
 	least := math.Inf(1)
 	for i := range pl.Types {
 		t := &pl.Types[i]
-		full := float64((Amount{t.CPUs, t.GPUs, t.MemoryGB}).Slots(Of(j.Job)))
+		full := float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(ResourcesOf(j.Job)))
 		for _, zone := range t.Zones {
-			if full > 0 && allowed(j, Offer{t.Name, zone, false}) {
+			if full > 0 && allowsOffer(j, Offer{t.Name, zone, false}) {
 				least = min(least, t.Price/full)
 			}
-			if full > 0 && allowed(j, Offer{t.Name, zone, true}) {
+			if full > 0 && allowsOffer(j, Offer{t.Name, zone, true}) {
 				least = min(least, t.SpotPrice/full)
 			}
 		}
@@ -145,32 +145,32 @@
 	return least
 }
 
-// emptiest picks room in the zone of which the least is held, on the machine
+// headroomMachine picks room in the zone of which the least is held, on the machine
 // with the least room to spare.
-func (s *search) emptiest() *Machine {
+func (s *search) headroomMachine() *Machine {
 	var best *Machine
-	for _, m := range s.others {
-		if m.keptFrom(s.j) {
+	for _, m := range s.withoutImage {
+		if m.reservedForOther(s.job) {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(s.in[m.Zone], s.in[best.Zone]), cmp.Compare(m.Free.GPUs, best.Free.GPUs)) < 0 {
+		if best == nil || cmp.Or(cmp.Compare(s.tasksByZone[m.Zone], s.tasksByZone[best.Zone]), cmp.Compare(m.Free.GPUs, best.Free.GPUs)) < 0 {
 			best = m
 		}
 	}
-	for _, c := range s.holders { // those in use by what is held already
-		if best == nil || s.in[c.Zone] <= s.in[best.Zone] {
+	for _, c := range s.withImage { // those in use by what is held already
+		if best == nil || s.tasksByZone[c.Zone] <= s.tasksByZone[best.Zone] {
 			best = c.Machine
 		}
 	}
 	return best
 }
 
-// coming finds room on a machine that boots, or on a new one.
-func (s *search) coming() *Machine {
-	offer, cost := s.offer()
-	m := s.bootingRoom(cost)
+// upcomingMachine finds room on a machine that boots, or on a new one.
+func (s *search) upcomingMachine() *Machine {
+	offer, cost := s.cheapestOffer()
+	m := s.bootingMachine(cost)
 	if m == nil && !math.IsInf(cost, 1) {
-		m = s.pl.hypothetical(offer)
+		m = s.planner.addMachine(offer)
 	}
 	return m
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,25 +14,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Amount is what a task takes or a machine has.
-type Amount struct{ CPUs, GPUs, MemoryGB float64 }
+// Resources is what a task takes or a machine has.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Of is what one task of a job takes.
-func Of(j *wire.Job) Amount { return Amount{j.CPUs, j.GPUs, j.MemoryGB} }
+// ResourcesOf is what one task of a job takes.
+func ResourcesOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// Plus adds, n times.
-func (a Amount) Plus(b Amount, n float64) Amount {
-	return Amount{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
+// AddScaled adds, n times.
+func (a Resources) AddScaled(b Resources, n float64) Resources {
+	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
 }
 
 // Fits reports whether b fits into a.
-func (a Amount) Fits(b Amount) bool {
+func (a Resources) Fits(b Resources) bool {
 	const dust = 1e-6
 	return b.CPUs <= a.CPUs+dust && b.GPUs <= a.GPUs+dust && b.MemoryGB <= a.MemoryGB+dust
 }
 
 // Slots is how many times b fits into a.
-func (a Amount) Slots(b Amount) int {
+func (a Resources) Slots(b Resources) int {
 	n := math.Inf(1)
 	for _, p := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.MemoryGB, b.MemoryGB}} {
 		if p[1] > 0 {
@@ -44,16 +44,16 @@
 
 // Task is a task on a machine.
 type Task struct {
-	Job      *Job
-	Index    int
-	Ran      time.Duration // since it was seen running
-	Stopping bool          // or should end for a claim back
-	Vain     int           // times that it was stopped before its image had come
-	Stuck    bool          // it has not stopped in time: nothing is to wait for its room
+	Job            *Job
+	Index          int
+	RunTime        time.Duration // since it was seen running
+	Stopping       bool          // or should end for a claim back
+	FailedAttempts int           // times that it was stopped before its image had come
+	StopOverdue    bool          // it has not stopped in time: nothing is to wait for its room
 }
 
 // Images tells which images a machine holds or fetches.
-type Images interface{ Holds(image string) bool }
+type Images interface{ HasImage(image string) bool }
 
 // Machine is a machine as the choice sees it.
 type Machine struct {
@@ -61,62 +61,62 @@
 	Spot           bool
 	Usable         bool // may be launched on now
 	Booting        bool
-	Free           Amount
+	Free           Resources
 	Images         Images // may be nil
 	Fetches        []Fetch
 	Tasks          []Task
-	Idle           time.Duration // without any task, 0 while it has one
-	Long           Amount        // what has been free for long, see Stood
-
-	offer   int       // its offer's place in planner.offers
-	place   int       // of the job for which it would be rented
-	taken   bool      // by the plan being made
-	planned []Fetch   // images that the plan brings here
-	leaving Amount    // what tasks that are being stopped will leave
-	load    [4]Amount // what the others take, by the rank of their jobs
-	kept    *Job      // for which room is gathered here
-	ends    []end     // of its tasks, once asked for
+	IdleFor        time.Duration // without any task, 0 while it has one
+	IdleCapacity   Resources     // what has been free for long, see Stood
+
+	offerIndex     int          // its offer's place in planner.offers
+	queuePosition  int          // of the job for which it would be rented
+	usedByPlan     bool         // by the plan being made
+	plannedFetches []Fetch      // images that the plan brings here
+	stopping       Resources    // what tasks that are being stopped will leave
+	loadByRank     [4]Resources // what the others take, by the rank of their jobs
+	reservedFor    *Job         // for which room is gathered here
+	taskEnds       []taskEnd    // of its tasks, once asked for
 }
 
 // empty reports whether a machine is without any task, planned ones included.
-func (m *Machine) empty() bool { return len(m.Tasks) == 0 && !m.taken }
+func (m *Machine) empty() bool { return len(m.Tasks) == 0 && !m.usedByPlan }
 
-// holds reports whether a machine has an image, or will have by the plan.
-func (m *Machine) holds(image string) bool {
-	return m.Images != nil && m.Images.Holds(image) || fetches(m.planned, image)
+// hasImage reports whether a machine has an image, or will have by the plan.
+func (m *Machine) hasImage(image string) bool {
+	return m.Images != nil && m.Images.HasImage(image) || containsFetch(m.plannedFetches, image)
 }
 
 // Job is an unfinished job.
 type Job struct {
 	*wire.Job
-	Age     time.Duration
-	Since   time.Time // of its submission
-	Order   uint64
-	Waiting []int // tasks that are nowhere and may be placed
-	InZone  map[string]int
-	Active  int
-	Stood   time.Duration   // for how long no task of it was anywhere and some could have been
-	Ending  bool            // a gang of which tasks are still to leave
-	Avoid   map[string]bool // machines on which it failed
-	Rule    *Rule           // of a service; may be nil
-
-	Mine      int  // tasks of it that are of this part, where there are several
-	Elsewhere int  // tasks that other parts have yet to finish
-	Outside   int  // tasks for which another part has room that the job allows
-	Hold      bool // a gang of which other parts have the rest: room is held, nothing is started
-	Unsure    bool // a gang that may be running somewhere: nothing is started, what it had gathered stays
-
-	guaranteed bool
-	begun      int // tasks of Waiting that the plan has launched before the others' turn
-	work       tier.Work
-	tier       int
-	level      int           // in the queue, where tiers are set
-	rest       *Job          // of which this is what its tier is guaranteed
-	place      int           // in the order in which jobs get room
-	left       time.Duration // until it must start to meet the next aim
-	slack      time.Duration // the same, less for rare classes
-	elder      int           // its turn among those that gather room, 0 for none
-	picks      []*Machine    // that are gathered for it
+	Age           time.Duration
+	SubmittedAt   time.Time // of its submission
+	Order         uint64
+	Waiting       []int // tasks that are nowhere and may be placed
+	InZone        map[string]int
+	Active        int
+	StarvedFor    time.Duration   // for how long no task of it was anywhere and some could have been
+	Terminating   bool            // a gang of which tasks are still to leave
+	AvoidMachines map[string]bool // machines on which it failed
+	SpreadRule    *SpreadRule     // of a service; may be nil
+
+	LocalTasks     int  // tasks of it that are of this part, where there are several
+	RemoteTasks    int  // tasks that other parts have yet to finish
+	RemoteCapacity int  // tasks for which another part has room that the job allows
+	ReserveOnly    bool // a gang of which other parts have the rest: room is held, nothing is started
+	MaybeRunning   bool // a gang that may be running somewhere: nothing is started, what it had gathered stays
+
+	guaranteed       bool
+	launchedEarly    int // tasks of Waiting that the plan has launched before the others' turn
+	work             tier.Workload
+	tier             int
+	queueLevel       int           // in the queue, where tiers are set
+	remainder        *Job          // of which this is what its tier is guaranteed
+	queuePosition    int           // in the order in which jobs get room
+	timeLeft         time.Duration // until it must start to meet the next aim
+	weightedSlack    time.Duration // the same, less for rare classes
+	reservationTurn  int           // its turn among those that gather room, 0 for none
+	reservedMachines []*Machine    // that are gathered for it
 }
 
 // Objective is an aim of the users for a class of jobs: that they start, or
@@ -136,44 +136,44 @@
 // Team is what a team is guaranteed, may use at most, and uses. A limit of 0
 // means none.
 type Team struct {
-	CPUs, GPUs, CPUsMax, GPUsMax float64
-	UsedCPUs, UsedGPUs           float64
-	ElseCPUs, ElseGPUs           float64 // what other parts use, as last told
-	AllCPUs, AllGPUs             float64 // limits of all parts together, 0 for none; CPUsMax and GPUsMax are this part's
+	GuaranteedCPUs, GuaranteedGPUs, LimitCPUs, LimitGPUs float64
+	UsedCPUs, UsedGPUs                                   float64
+	RemoteUsedCPUs, RemoteUsedGPUs                       float64 // what other parts use, as last told
+	GlobalLimitCPUs, GlobalLimitGPUs                     float64 // limits of all parts together, 0 for none; CPUsMax and GPUsMax are this part's
 }
 
-// most is how many tasks more the team could have here if this part were granted all that there is.
-func (t *Team) most(need Amount) int {
+// maxMoreTasks is how many tasks more the team could have here if this part were granted all that there is.
+func (t *Team) maxMoreTasks(need Resources) int {
 	const dust = 1e-6
 	n := float64(wire.MaxTasks)
-	if t.AllCPUs > 0 && need.CPUs > 0 {
-		n = min(n, (t.AllCPUs-t.UsedCPUs+dust)/need.CPUs)
+	if t.GlobalLimitCPUs > 0 && need.CPUs > 0 {
+		n = min(n, (t.GlobalLimitCPUs-t.UsedCPUs+dust)/need.CPUs)
 	}
-	if t.AllGPUs > 0 && need.GPUs > 0 {
-		n = min(n, (t.AllGPUs-t.UsedGPUs+dust)/need.GPUs)
+	if t.GlobalLimitGPUs > 0 && need.GPUs > 0 {
+		n = min(n, (t.GlobalLimitGPUs-t.UsedGPUs+dust)/need.GPUs)
 	}
 	return int(max(0, n))
 }
 
-func (t *Team) allows(a Amount) bool {
+func (t *Team) allows(a Resources) bool {
 	const dust = 1e-6
-	return (t.CPUsMax == 0 || t.UsedCPUs+a.CPUs <= t.CPUsMax+dust) && (t.GPUsMax == 0 || t.UsedGPUs+a.GPUs <= t.GPUsMax+dust)
+	return (t.LimitCPUs == 0 || t.UsedCPUs+a.CPUs <= t.LimitCPUs+dust) && (t.LimitGPUs == 0 || t.UsedGPUs+a.GPUs <= t.LimitGPUs+dust)
 }
 
-// Within reports whether a team uses no more than it may, with all that was planned.
-func (t *Team) Within() bool { return t.allows(Amount{}) }
+// WithinLimit reports whether a team uses no more than it may, with all that was planned.
+func (t *Team) WithinLimit() bool { return t.allows(Resources{}) }
 
-func (t *Team) use(a Amount) { t.UsedCPUs += a.CPUs; t.UsedGPUs += a.GPUs }
+func (t *Team) consume(a Resources) { t.UsedCPUs += a.CPUs; t.UsedGPUs += a.GPUs }
 
-// left tells after how long a task should end, as far as its estimate can tell.
-func (t Task) left() time.Duration {
+// remaining tells after how long a task should end, as far as its estimate can tell.
+func (t Task) remaining() time.Duration {
 	switch {
 	case t.Stopping:
 		return 0
 	case t.Job.Shape == wire.Service:
 		return math.MaxInt64
 	}
-	return max(t.Job.Estimate()-t.Ran, 5*time.Second)
+	return max(t.Job.Estimate()-t.RunTime, 5*time.Second)
 }
 
 // Offer is a type of machine in a zone, ordinary or spot.
@@ -182,109 +182,109 @@
 	Spot       bool
 }
 
-// Picture is all that the choice depends on.
-type Picture struct {
-	Machines []*Machine
-	Jobs     []*Job
-	Teams    map[string]*Team
-	Types    []wire.MachineType
-	Aims     []Objective
-	Refused  map[Offer]bool // offers that the cloud refused a while ago
-	Doubted  map[Offer]bool // offers that it refused when they were last asked for
-	Most     map[Offer]int  // machines that can be asked for now, of offers in doubt: more are better asked elsewhere
-	Idle     time.Duration  // after which an idle machine is returned
-	Tasks    int            // that may be launched in this round
-
-	Moves       int            // replicas that may be away at once for spreading
-	BeginWithin time.Duration  // how long even the largest gang should wait at the most, 0 for any time
-	Parts       bool           // the fleet is in several parts, of which this is one
-	Outside     map[string]int // room that other parts have now, by class
-	Tiers       *tier.Set      // nil stands for the order without settings
-	Claims      []Claim        // room that is being claimed back
+// Snapshot is all that the choice depends on.
+type Snapshot struct {
+	Machines     []*Machine
+	Jobs         []*Job
+	Teams        map[string]*Team
+	Types        []wire.MachineType
+	Objectives   []Objective
+	Unavailable  map[Offer]bool // offers that the cloud refused a while ago
+	Doubtful     map[Offer]bool // offers that it refused when they were last asked for
+	RequestLimit map[Offer]int  // machines that can be asked for now, of offers in doubt: more are better asked elsewhere
+	IdleTimeout  time.Duration  // after which an idle machine is returned
+	LaunchBudget int            // that may be launched in this round
+
+	MaxMoves       int            // replicas that may be away at once for spreading
+	MaxGangWait    time.Duration  // how long even the largest gang should wait at the most, 0 for any time
+	Sharded        bool           // the fleet is in several parts, of which this is one
+	RemoteCapacity map[string]int // room that other parts have now, by class
+	Tiers          *tier.Set      // nil stands for the order without settings
+	Reclaims       []Reclaim      // room that is being claimed back
 }
 
 // Launch places a task. Launches of a gang come together.
 type Launch struct {
-	Job     *Job
-	Index   int
-	Machine string
+	Job       *Job
+	TaskIndex int
+	Machine   string
 }
 
 // Stop ends a task to make room.
 type Stop struct {
-	Job     *Job
-	Index   int
-	Machine string
-	Why     string
-	For     *Job // that gets the room, nil where nobody does
-	Await   bool // it should end by itself in time
+	Job             *Job
+	TaskIndex       int
+	Machine         string
+	Reason          string
+	Beneficiary     *Job // that gets the room, nil where nobody does
+	AwaitCompletion bool // it should end by itself in time
 }
 
-// Rent asks for machines.
-type Rent struct {
+// ScaleOut asks for machines.
+type ScaleOut struct {
 	Offer
-	Count int
-	Place int // in the order of jobs, of the most urgent one that it is for
+	Count         int
+	QueuePosition int // in the order of jobs, of the most urgent one that it is for
 }
 
 // Plan is what to do.
 type Plan struct {
-	Launches []Launch
-	Stops    []Stop
-	Rents    []Rent
-	Releases []string
-	Claims   []Claimed // what is stopped where tiers are set
-	Tiers    []tier.Status
+	Launches  []Launch
+	Stops     []Stop
+	ScaleOuts []ScaleOut
+	ScaleIns  []string
+	Reclaims  []PlannedReclaim // what is stopped where tiers are set
+	Tiers     []tier.Status
 
 	// Where the fleet is in several parts: what the others should know.
-	Short []Short
-	Rooms map[string]Room   // by class
-	Wants map[string]Want   // by team
-	Stays map[string]Amount // what services take, by team
-	Ready []string          // gangs to hold for which there is room
+	Unplaced     []UnplacedJob
+	FreeCapacity map[string]FreeCapacity // by class
+	QuotaDemands map[string]QuotaDemand  // by team
+	ServiceUsage map[string]Resources    // what services take, by team
+	ReadyGangs   []string                // gangs to hold for which there is room
 
-	Uneven bool // services are to be moved
+	SpreadViolated bool // services are to be moved
 
-	Waits bool   // work found no room now
-	Spare Amount // that is left once all that waits has its own
+	Backlogged    bool      // work found no room now
+	SpareCapacity Resources // that is left once all that waits has its own
 }
 
 // planner carries a plan in the making. A fleet has thousands of machines, and
 // most jobs fit few of them: what a job could use is looked up once and kept in
 // a search, and a try that fails is undone by what it changed.
 type planner struct {
-	*Picture
-	plan     Plan
-	types    map[string]*wire.MachineType
-	kinds    []kind
-	offers   []Offer
-	usable   []*Machine
-	booting  [][]*Machine // by offer, also the hypothetical ones
-	leaving  []*Machine   // of which tasks are being stopped
-	fresh    []*Machine   // hypothetical machines that would be rented
-	inZone   map[string]int
-	asked    map[Offer]int // hypothetical machines, by offer
-	weakest  int           // the least rank of a running job
-	undone   []undo
-	effort   int            // machines that may still be looked at closely
-	services []*Job         // one of each class, once asked for
-	heldFor  map[string]int // tasks for which room is held on machines that are there, by class
-	turns    turnover
-
-	gathering []*Job            // gangs, in their turn
-	stays     map[string]Amount // what services take, by team, once asked for
-	top       bool              // production waits
-	tiers     *tiering          // nil where none are set
+	*Snapshot
+	plan             Plan
+	types            map[string]*wire.MachineType
+	classes          []classProfile
+	offers           []Offer
+	usable           []*Machine
+	booting          [][]*Machine // by offer, also the hypothetical ones
+	stoppingMachines []*Machine   // of which tasks are being stopped
+	newMachines      []*Machine   // hypothetical machines that would be rented
+	machinesInZone   map[string]int
+	requested        map[Offer]int // hypothetical machines, by offer
+	lowestRank       int           // the least rank of a running job
+	undoLog          []undoEntry
+	searchBudget     int            // machines that may still be looked at closely
+	serviceClasses   []*Job         // one of each class, once asked for
+	headroomByClass  map[string]int // tasks for which room is held on machines that are there, by class
+	turnover         turnover
+
+	reservingGangs  []*Job               // gangs, in their turn
+	serviceUsage    map[string]Resources // what services take, by team, once asked for
+	productionWaits bool                 // production waits
+	tiering         *tiering             // nil where none are set
 }
 
-// effort bounds how many machines a plan looks at closely, to stop lesser work
+// maxSearchBudget bounds how many machines a plan looks at closely, to stop lesser work
 // or to hold room that is to come: enough for any fleet in a quiet minute. What
 // comes later in the order is looked at in the next round.
-const effort = 100_000
+const maxSearchBudget = 100_000
 
-// Choose makes the plan for a picture, whose machines and teams it changes.
-func Choose(p *Picture) Plan {
-	pl := &planner{Picture: p, types: make(map[string]*wire.MachineType), inZone: make(map[string]int), weakest: math.MaxInt, effort: effort}
+// Schedule makes the plan for a picture, whose machines and teams it changes.
+func Schedule(p *Snapshot) Plan {
+	pl := &planner{Snapshot: p, types: make(map[string]*wire.MachineType), machinesInZone: make(map[string]int), lowestRank: math.MaxInt, searchBudget: maxSearchBudget}
 	for i := range p.Types {
 		pl.types[p.Types[i].Name] = &p.Types[i]
 	}
@@ -292,72 +292,72 @@
 	for name, t := range p.Teams {
 		teams[name] = *t
 	}
-	pl.index()
-	pl.order()
-	pl.value()
+	pl.indexMachines()
+	pl.sortJobs()
+	pl.profileClasses()
 	pl.countTurnover()
-	pl.keep()
-	queue := pl.queue()
-	pl.firsts()
+	pl.reserveMachines()
+	queue := pl.buildQueue()
+	pl.launchFirstReplicas()
 	held := false
 	for _, j := range queue {
-		if pl.enter(j, true); len(j.Waiting) == 0 || j.Ending || j.Unsure && j.elder == 0 {
+		if pl.beginJob(j, true); len(j.Waiting) == 0 || j.Terminating || j.MaybeRunning && j.reservationTurn == 0 {
 			continue
 		}
-		pl.undone = pl.undone[:0]
-		if !held && j.Priority != wire.Production && (j.elder == 0 || j.Shape == wire.Array) && !pl.hasty(j) {
-			pl.headroom()
+		pl.undoLog = pl.undoLog[:0]
+		if !held && j.Priority != wire.Production && (j.reservationTurn == 0 || j.Shape == wire.Array) && !pl.needsHeadroom(j) {
+			pl.reserveHeadroom()
 			held = true
 		}
 		if j.Shape == wire.Gang {
-			pl.gang(j)
+			pl.placeGang(j)
 		} else {
-			pl.single(j)
+			pl.placeTasks(j)
 		}
 	}
 	if !held {
-		pl.headroom()
+		pl.reserveHeadroom()
 	}
-	pl.letIn(teams)
-	pl.rent()
-	pl.release()
-	pl.rooms()
-	pl.claimBack()
-	pl.moves()
-	pl.spareRoom()
+	pl.admitStarved(teams)
+	pl.planScaleOut()
+	pl.planScaleIn()
+	pl.reportFreeCapacity()
+	pl.planReclaims()
+	pl.rebalanceServices()
+	pl.sumSpareCapacity()
 	return pl.plan
 }
 
-// index sorts the machines by what they are good for.
-func (pl *planner) index() {
+// indexMachines sorts the machines by what they are good for.
+func (pl *planner) indexMachines() {
 	for _, m := range pl.Machines {
-		m.offer = pl.offerOf(Offer{m.Type, m.Zone, m.Spot})
-		pl.inZone[m.Zone]++
+		m.offerIndex = pl.offerIndex(Offer{m.Type, m.Zone, m.Spot})
+		pl.machinesInZone[m.Zone]++
 		for _, t := range m.Tasks {
-			if t.Stopping && t.Stuck {
+			if t.Stopping && t.StopOverdue {
 				continue
 			}
 			if t.Stopping {
-				m.leaving = m.leaving.Plus(Of(t.Job.Job), 1)
+				m.stopping = m.stopping.AddScaled(ResourcesOf(t.Job.Job), 1)
 			} else {
 				rank := t.Job.Priority.Rank()
-				pl.weakest = min(pl.weakest, rank)
-				m.load[rank] = m.load[rank].Plus(Of(t.Job.Job), 1)
+				pl.lowestRank = min(pl.lowestRank, rank)
+				m.loadByRank[rank] = m.loadByRank[rank].AddScaled(ResourcesOf(t.Job.Job), 1)
 			}
 		}
 		switch {
 		case m.Usable:
 			pl.usable = append(pl.usable, m)
-			if m.leaving != (Amount{}) {
-				pl.leaving = append(pl.leaving, m)
+			if m.stopping != (Resources{}) {
+				pl.stoppingMachines = append(pl.stoppingMachines, m)
 			}
 		case m.Booting:
-			pl.booting[m.offer] = append(pl.booting[m.offer], m)
+			pl.booting[m.offerIndex] = append(pl.booting[m.offerIndex], m)
 		}
 	}
 }
 
-func (pl *planner) offerOf(o Offer) int {
+func (pl *planner) offerIndex(o Offer) int {
 	i := slices.Index(pl.offers, o)
 	if i < 0 {
 		i = len(pl.offers)
@@ -366,20 +366,20 @@
 	return i
 }
 
-// order sorts the jobs by their tiers, which are without settings: production first,
+// sortJobs sorts the jobs by their tiers, which are without settings: production first,
 // then what a team is guaranteed, then by priority. Within a tier it goes by priority, then
 // the gangs that gather room go, then by the time that is left to meet the aims.
-func (pl *planner) order() {
+func (pl *planner) sortJobs() {
 	slices.SortFunc(pl.Jobs, func(a, b *Job) int { return cmp.Compare(a.Order, b.Order) })
-	sum := make(map[string]Amount)
+	sum := make(map[string]Resources)
 	for _, j := range pl.Jobs {
 		t := pl.Teams[j.Team]
 		if t == nil {
 			continue
 		}
-		sum[j.Team] = sum[j.Team].Plus(Of(j.Job), float64(len(j.Waiting)+j.Active+j.Elsewhere))
+		sum[j.Team] = sum[j.Team].AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)+j.Active+j.RemoteTasks))
 		s := sum[j.Team]
-		j.guaranteed = t.CPUs+t.GPUs > 0 && (t.CPUs == 0 || s.CPUs <= t.CPUs) && (t.GPUs == 0 || s.GPUs <= t.GPUs)
+		j.guaranteed = t.GuaranteedCPUs+t.GuaranteedGPUs > 0 && (t.GuaranteedCPUs == 0 || s.CPUs <= t.GuaranteedCPUs) && (t.GuaranteedGPUs == 0 || s.GPUs <= t.GuaranteedGPUs)
 	}
 	if pl.Tiers == nil {
 		pl.Tiers = tier.Default()
@@ -389,23 +389,23 @@
 	count, most := make(map[string]int), 1
 	for _, j := range pl.Jobs {
 		count[j.Class]++
-		pl.top = pl.top || j.Priority == wire.Production && len(j.Waiting) > 0
+		pl.productionWaits = pl.productionWaits || j.Priority == wire.Production && len(j.Waiting) > 0
 		most = max(most, count[j.Class])
 	}
-	pl.elders()
+	pl.assignReservationTurns()
 	for _, j := range pl.Jobs {
-		j.work = tier.Work{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service, Guaranteed: j.guaranteed}
-		j.tier = pl.Tiers.Of(j.work)
-		j.left = pl.slackOf(j)
-		j.slack = j.left * time.Duration(count[j.Class]) / time.Duration(most)
+		j.work = tier.Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service, Guaranteed: j.guaranteed}
+		j.tier = pl.Tiers.IndexOf(j.work)
+		j.timeLeft = pl.slackOf(j)
+		j.weightedSlack = j.timeLeft * time.Duration(count[j.Class]) / time.Duration(most)
 	}
-	turn := func(j *Job) int { return cmp.Or(j.elder, math.MaxInt) }
+	turn := func(j *Job) int { return cmp.Or(j.reservationTurn, math.MaxInt) }
 	slices.SortStableFunc(pl.Jobs, func(a, b *Job) int {
 		return cmp.Or(cmp.Compare(a.tier, b.tier), cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(turn(a), turn(b)),
-			pl.further(a, b), cmp.Compare(a.slack, b.slack), cmp.Compare(a.Order, b.Order))
+			pl.compareProduction(a, b), cmp.Compare(a.weightedSlack, b.weightedSlack), cmp.Compare(a.Order, b.Order))
 	})
 	for i, j := range pl.Jobs {
-		j.place = i
+		j.queuePosition = i
 	}
 }
 
@@ -415,8 +415,8 @@
 func (pl *planner) slackOf(j *Job) time.Duration {
 	const late = 45 * time.Second
 	best, missed := time.Duration(math.MaxInt64), time.Duration(0)
-	for _, o := range pl.Aims {
-		need := pl.fetch(j) + 3*time.Second
+	for _, o := range pl.Objectives {
+		need := pl.fetchTime(j) + 3*time.Second
 		switch {
 		case o.Kind == GuaranteeWithin && j.guaranteed, o.Kind == StartWithin && o.Class == j.Class:
 		case o.Kind == FinishWithin && o.Class == j.Class:
@@ -439,9 +439,9 @@
 	return best
 }
 
-// fetch is how long a machine takes to fetch a job's image, at the rate of the
+// fetchTime is how long a machine takes to fetch a job's image, at the rate of the
 // slowest type.
-func (pl *planner) fetch(j *Job) time.Duration {
+func (pl *planner) fetchTime(j *Job) time.Duration {
 	var longest float64
 	for _, t := range pl.Types {
 		if t.FetchGBps > 0 {
@@ -451,57 +451,57 @@
 	return wire.Seconds(longest)
 }
 
-// kind is what the tasks of a class take on the average, with what one is
+// classProfile is what the tasks of a class take on the average, with what one is
 // worth: its share of the cheapest machine, by how many there are.
-type kind struct {
+type classProfile struct {
 	job   *Job // one of the class, for what it may use
-	need  Amount
+	need  Resources
 	tasks float64
 	worth float64
 }
 
-// value sets what the room on a machine is worth to the work at hand.
-func (pl *planner) value() {
-	byClass := make(map[string]*kind)
+// profileClasses sets what the room on a machine is worth to the work at hand.
+func (pl *planner) profileClasses() {
+	byClass := make(map[string]*classProfile)
 	for _, j := range pl.Jobs {
 		k := byClass[j.Class]
 		if k == nil {
-			k = &kind{job: j}
+			k = &classProfile{job: j}
 			byClass[j.Class] = k
 		}
 		n := float64(len(j.Waiting) + j.Active)
-		k.need, k.tasks = k.need.Plus(Of(j.Job), n), k.tasks+n
+		k.need, k.tasks = k.need.AddScaled(ResourcesOf(j.Job), n), k.tasks+n
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		k := byClass[class]
 		if k.tasks == 0 {
 			continue
 		}
-		k.need = Amount{}.Plus(k.need, 1/k.tasks)
+		k.need = Resources{}.AddScaled(k.need, 1/k.tasks)
 		k.worth = math.Inf(1)
 		for _, t := range pl.Types {
-			if n := (Amount{t.CPUs, t.GPUs, t.MemoryGB}).Slots(k.need); n > 0 {
+			if n := (Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(k.need); n > 0 {
 				k.worth = min(k.worth, t.Price/float64(n))
 			}
 		}
 		if !math.IsInf(k.worth, 1) {
-			pl.kinds = append(pl.kinds, *k)
+			pl.classes = append(pl.classes, *k)
 		}
 	}
 }
 
-// worth tells what room is worth to the work at hand. Counting each kind by
+// capacityValue tells what room is worth to the work at hand. Counting each kind by
 // itself shows what a task spoils: memory gone from beside idle GPUs, or a
 // small machine that only small work can use.
-func (pl *planner) worth(room Amount) float64 {
+func (pl *planner) capacityValue(room Resources) float64 {
 	sum := 0.0
-	for _, k := range pl.kinds {
+	for _, k := range pl.classes {
 		sum += k.tasks * k.worth * float64(max(0, room.Slots(k.need)))
 	}
 	return sum
 }
 
-// spoils tells what placing a task takes from the worth of a machine's room.
-func (pl *planner) spoils(m *Machine, need Amount) float64 {
-	return pl.worth(m.Free) - pl.worth(m.Free.Plus(need, -1))
+// valueLost tells what placing a task takes from the worth of a machine's room.
+func (pl *planner) valueLost(m *Machine, need Resources) float64 {
+	return pl.capacityValue(m.Free) - pl.capacityValue(m.Free.AddScaled(need, -1))
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -10,14 +10,14 @@
 
 var g4 = wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, FetchGBps: 1, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}
 
-type holds map[string]bool
+type imageSet map[string]bool
 
-func (h holds) Holds(image string) bool { return h[image] }
+func (h imageSet) HasImage(image string) bool { return h[image] }
 
 func machine(id, zone string, tasks ...Task) *Machine {
-	m := &Machine{ID: id, Type: "g4", Zone: zone, Usable: true, Free: Amount{16, 4, 64}, Images: holds{}}
+	m := &Machine{ID: id, Type: "g4", Zone: zone, Usable: true, Free: Resources{16, 4, 64}, Images: imageSet{}}
 	for _, t := range tasks {
-		m.Free = m.Free.Plus(Of(t.Job.Job), -1)
+		m.Free = m.Free.AddScaled(ResourcesOf(t.Job.Job), -1)
 		m.Tasks = append(m.Tasks, t)
 		t.Job.Active++
 		t.Job.InZone[zone]++
@@ -30,27 +30,27 @@
 		Waiting: waiting, InZone: map[string]int{}}
 }
 
-func picture(jobs []*Job, machines ...*Machine) *Picture {
+func testSnapshot(jobs []*Job, machines ...*Machine) *Snapshot {
 	for i, j := range jobs {
 		j.Order = uint64(i)
 	}
-	return &Picture{Machines: machines, Jobs: jobs, Teams: map[string]*Team{"red": {}, "blue": {GPUs: 4}}, Types: []wire.MachineType{g4},
-		Refused: map[Offer]bool{}, Doubted: map[Offer]bool{}, Idle: time.Minute, Tasks: 500}
+	return &Snapshot{Machines: machines, Jobs: jobs, Teams: map[string]*Team{"red": {}, "blue": {GuaranteedGPUs: 4}}, Types: []wire.MachineType{g4},
+		Unavailable: map[Offer]bool{}, Doubtful: map[Offer]bool{}, IdleTimeout: time.Minute, LaunchBudget: 500}
 }
 
-// TestNoChase guards against two jobs that take the same room from each other
+// TestNoPreemptionCycle guards against two jobs that take the same room from each other
 // for ever: guaranteed work goes before higher priority that only borrows, so
 // that one must not stop it either.
-func TestNoChase(t *testing.T) {
+func TestNoPreemptionCycle(t *testing.T) {
 	safe := job("wk-1", wire.Array, wire.Normal, 4)
 	safe.Team = "blue"
 	high := job("wk-2", wire.Gang, wire.High, 4, 0)
-	plan := Choose(picture([]*Job{safe, high}, machine("n-1", "a", Task{Job: safe})))
+	plan := Schedule(testSnapshot([]*Job{safe, high}, machine("n-1", "a", Task{Job: safe})))
 	if len(plan.Stops) != 0 {
 		t.Errorf("stops guaranteed work: %+v", plan.Stops)
 	}
-	if len(plan.Rents) != 1 {
-		t.Errorf("rents %+v instead", plan.Rents)
+	if len(plan.ScaleOuts) != 1 {
+		t.Errorf("rents %+v instead", plan.ScaleOuts)
 	}
 }
 
@@ -58,20 +58,20 @@
 func TestPreempt(t *testing.T) {
 	low, equal, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Service, wire.Production, 1), job("wk-3", wire.Service, wire.Production, 2, 0)
 	a := machine("n-1", "a", Task{Job: equal}, Task{Job: equal, Index: 1}, Task{Job: equal, Index: 2}, Task{Job: equal, Index: 3})
-	b := machine("n-2", "a", Task{Job: low, Ran: time.Minute}, Task{Job: low, Index: 1}, Task{Job: low, Index: 2, Ran: time.Second}, Task{Job: low, Index: 3, Ran: time.Minute})
-	plan := Choose(picture([]*Job{low, equal, top}, a, b))
-	if len(plan.Stops) != 2 || plan.Stops[0].Index != 1 || plan.Stops[1].Index != 2 || plan.Stops[0].Machine != "n-2" {
+	b := machine("n-2", "a", Task{Job: low, RunTime: time.Minute}, Task{Job: low, Index: 1}, Task{Job: low, Index: 2, RunTime: time.Second}, Task{Job: low, Index: 3, RunTime: time.Minute})
+	plan := Schedule(testSnapshot([]*Job{low, equal, top}, a, b))
+	if len(plan.Stops) != 2 || plan.Stops[0].TaskIndex != 1 || plan.Stops[1].TaskIndex != 2 || plan.Stops[0].Machine != "n-2" {
 		t.Errorf("stops %+v", plan.Stops)
 	}
 }
 
-// TestWholeGangIsDear: a gang that has just got its room was the cheapest to stop, whole, for
+// TestWholeGangIsCostly: a gang that has just got its room was the cheapest to stop, whole, for
 // a task of a service, again and again; a task of an array counted as much as all of it.
-func TestWholeGangIsDear(t *testing.T) {
+func TestWholeGangIsCostly(t *testing.T) {
 	array, gang, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Gang, wire.Normal, 4), job("wk-3", wire.Service, wire.Production, 1, 0)
 	array.Active, gang.Age, gang.CheckpointS, gang.SaveS = 25, 2*time.Minute, 30, 2 // its others are elsewhere
-	a := machine("n-1", "a", Task{Job: array, Ran: time.Minute}, Task{Job: array, Index: 1, Ran: time.Minute}, Task{Job: array, Index: 2, Ran: time.Minute}, Task{Job: array, Index: 3, Ran: time.Minute})
-	plan := Choose(picture([]*Job{array, gang, top}, a, machine("n-2", "b", Task{Job: gang}), machine("n-3", "b", Task{Job: gang, Index: 1})))
+	a := machine("n-1", "a", Task{Job: array, RunTime: time.Minute}, Task{Job: array, Index: 1, RunTime: time.Minute}, Task{Job: array, Index: 2, RunTime: time.Minute}, Task{Job: array, Index: 3, RunTime: time.Minute})
+	plan := Schedule(testSnapshot([]*Job{array, gang, top}, a, machine("n-2", "b", Task{Job: gang}), machine("n-3", "b", Task{Job: gang, Index: 1})))
 	if len(plan.Stops) != 1 || plan.Stops[0].Job != array {
 		t.Errorf("stops %+v, want a task of the array", plan.Stops)
 	}
@@ -82,11 +82,11 @@
 func TestSpread(t *testing.T) {
 	j := job("wk-1", wire.Service, wire.Production, 1, 1, 2, 3)
 	j.Spread = true
-	plan := Choose(picture([]*Job{j}, machine("n-1", "a", Task{Job: j, Stopping: true}), machine("n-2", "a")))
+	plan := Schedule(testSnapshot([]*Job{j}, machine("n-1", "a", Task{Job: j, Stopping: true}), machine("n-2", "a")))
 	if len(plan.Launches) != 1 {
 		t.Errorf("launches %d beside the one that is stopping, want 1", len(plan.Launches))
 	}
-	for _, r := range plan.Rents {
+	for _, r := range plan.ScaleOuts {
 		if r.Zone != "b" {
 			t.Errorf("rents in zone %s", r.Zone)
 		}
@@ -97,12 +97,12 @@
 func TestGangWhole(t *testing.T) {
 	j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1)
 	j.Tasks, j.OneZone = 2, true
-	plan := Choose(picture([]*Job{j}, machine("n-1", "a"), machine("n-2", "b")))
+	plan := Schedule(testSnapshot([]*Job{j}, machine("n-1", "a"), machine("n-2", "b")))
 	if len(plan.Launches) != 0 {
 		t.Errorf("launches across zones: %+v", plan.Launches)
 	}
 	j.InZone = map[string]int{}
-	plan = Choose(picture([]*Job{j}, machine("n-1", "a"), machine("n-2", "b"), machine("n-3", "b")))
+	plan = Schedule(testSnapshot([]*Job{j}, machine("n-1", "a"), machine("n-2", "b"), machine("n-3", "b")))
 	if len(plan.Launches) != 2 || plan.Launches[0].Machine == plan.Launches[1].Machine {
 		t.Errorf("launches %+v", plan.Launches)
 	}
@@ -111,23 +111,23 @@
 // TestLimit lets a team use no more than its limit, waiting tasks included.
 func TestLimit(t *testing.T) {
 	j := job("wk-1", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
-	p := picture([]*Job{j}, machine("n-1", "a"))
-	p.Teams["red"] = &Team{GPUsMax: 3, UsedGPUs: 1}
-	if plan := Choose(p); len(plan.Launches) != 2 || len(plan.Rents) != 0 {
-		t.Errorf("launches %d, rents %v", len(plan.Launches), plan.Rents)
+	p := testSnapshot([]*Job{j}, machine("n-1", "a"))
+	p.Teams["red"] = &Team{LimitGPUs: 3, UsedGPUs: 1}
+	if plan := Schedule(p); len(plan.Launches) != 2 || len(plan.ScaleOuts) != 0 {
+		t.Errorf("launches %d, rents %v", len(plan.Launches), plan.ScaleOuts)
 	}
 }
 
-// TestCompanion prefers the machine that holds the image, then the roomiest.
-func TestCompanion(t *testing.T) {
+// TestBestFit prefers the machine that holds the image, then the roomiest.
+func TestBestFit(t *testing.T) {
 	busy := job("wk-9", wire.Service, wire.Production, 1)
 	holder, roomy := machine("n-1", "a", Task{Job: busy}), machine("n-2", "a")
-	holder.Images = holds{"img": true}
-	if plan := Choose(picture([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, holder, roomy)); plan.Launches[0].Machine != "n-1" {
+	holder.Images = imageSet{"img": true}
+	if plan := Schedule(testSnapshot([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, holder, roomy)); plan.Launches[0].Machine != "n-1" {
 		t.Errorf("the image is on n-1: %+v", plan.Launches)
 	}
 	busy = job("wk-9", wire.Service, wire.Production, 1)
-	if plan := Choose(picture([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"))); plan.Launches[0].Machine != "n-2" {
+	if plan := Schedule(testSnapshot([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"))); plan.Launches[0].Machine != "n-2" {
 		t.Errorf("n-2 is the roomiest: %+v", plan.Launches)
 	}
 }
@@ -139,24 +139,24 @@
 	top.ImageGB = 10
 	full := func() *Machine {
 		m := machine("n-1", "a", Task{Job: low}, Task{Job: low, Index: 1}, Task{Job: low, Index: 2}, Task{Job: low, Index: 3})
-		m.Images = holds{"img": true}
+		m.Images = imageSet{"img": true}
 		return m
 	}
-	plan := Choose(picture([]*Job{low, top}, full(), machine("n-2", "a")))
+	plan := Schedule(testSnapshot([]*Job{low, top}, full(), machine("n-2", "a")))
 	if len(plan.Launches) != 0 || len(plan.Stops) != 1 || plan.Stops[0].Machine != "n-1" {
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
 	}
 	// A short fetch is not worth anybody's work.
 	top.ImageGB, top.InZone = 1, map[string]int{}
-	if plan := Choose(picture([]*Job{low, top}, full(), machine("n-2", "a"))); len(plan.Launches) != 1 || len(plan.Stops) != 0 {
+	if plan := Schedule(testSnapshot([]*Job{low, top}, full(), machine("n-2", "a"))); len(plan.Launches) != 1 || len(plan.Stops) != 0 {
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
 	}
 }
 
-// TestGangStopsNothingInVain: what a gang would have stopped while some of it waits for a boot
+// TestGangStopsNothingNeedlessly: what a gang would have stopped while some of it waits for a boot
 // found its room again at once, and was stopped again, four times a second. It stops work only
 // where all of it then has room, and holds that.
-func TestGangStopsNothingInVain(t *testing.T) {
+func TestGangStopsNothingNeedlessly(t *testing.T) {
 	low := func() *Job { return job("wk-1", wire.Array, wire.Normal, 2, 2) }
 	gang := func() *Job {
 		j := job("wk-2", wire.Gang, wire.High, 4, 0, 1)
@@ -164,24 +164,24 @@
 		return j
 	}
 	l, g := low(), gang()
-	plan := Choose(picture([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1})))
-	if len(plan.Stops) != 0 || len(plan.Rents) == 0 {
-		t.Errorf("one machine is up: stops %+v, rents %+v", plan.Stops, plan.Rents)
+	plan := Schedule(testSnapshot([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1})))
+	if len(plan.Stops) != 0 || len(plan.ScaleOuts) == 0 {
+		t.Errorf("one machine is up: stops %+v, rents %+v", plan.Stops, plan.ScaleOuts)
 	}
 	l, g = low(), gang()
-	plan = Choose(picture([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1}), machine("n-2", "a")))
+	plan = Schedule(testSnapshot([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1}), machine("n-2", "a")))
 	if len(plan.Stops) != 2 {
 		t.Errorf("two machines are up: stops %+v", plan.Stops)
 	}
 	for _, x := range plan.Launches {
-		t.Errorf("%s/%d takes the room that is held", x.Job.ID, x.Index)
+		t.Errorf("%s/%d takes the room that is held", x.Job.ID, x.TaskIndex)
 	}
 }
 
-// TestWantedElsewhere: of an offer in doubt no more is wanted than can be asked, and the
+// TestRequestedElsewhere: of an offer in doubt no more is wanted than can be asked, and the
 // rest of the next best, whatever tries were undone; but what has no other offer wants it
 // all the same, or the largest gangs would never be asked for.
-func TestWantedElsewhere(t *testing.T) {
+func TestRequestedElsewhere(t *testing.T) {
 	seven := []int{0, 1, 2, 3, 4, 5, 6}
 	many := job("wk-1", wire.Array, wire.Normal, 4, seven...)
 	gang := job("wk-2", wire.Gang, wire.Normal, 4, seven...)
@@ -192,43 +192,43 @@
 		jobs []*Job
 		zone string // in doubt
 		most int
-		want []Rent
+		want []ScaleOut
 	}{
-		{[]*Job{many}, "a", 3, []Rent{{Offer{"g4", "a", false}, 3, 0}, {Offer{"g4", "b", false}, 4, 0}}},
-		{[]*Job{only}, "a", 3, []Rent{{Offer{"g4", "a", false}, 7, 0}}},
-		{[]*Job{gang, many}, "b", 7, []Rent{{Offer{"g4", "a", false}, 7, 0}, {Offer{"g4", "b", false}, 7, 1}}},
+		{[]*Job{many}, "a", 3, []ScaleOut{{Offer{"g4", "a", false}, 3, 0}, {Offer{"g4", "b", false}, 4, 0}}},
+		{[]*Job{only}, "a", 3, []ScaleOut{{Offer{"g4", "a", false}, 7, 0}}},
+		{[]*Job{gang, many}, "b", 7, []ScaleOut{{Offer{"g4", "a", false}, 7, 0}, {Offer{"g4", "b", false}, 7, 1}}},
 	} {
-		pic := picture(c.jobs)
-		pic.Most = map[Offer]int{{"g4", c.zone, false}: c.most}
-		if plan := Choose(pic); !slices.Equal(plan.Rents, c.want) {
-			t.Errorf("%s rents %v, not %v", c.jobs[0].ID, plan.Rents, c.want)
+		pic := testSnapshot(c.jobs)
+		pic.RequestLimit = map[Offer]int{{"g4", c.zone, false}: c.most}
+		if plan := Schedule(pic); !slices.Equal(plan.ScaleOuts, c.want) {
+			t.Errorf("%s rents %v, not %v", c.jobs[0].ID, plan.ScaleOuts, c.want)
 		}
 	}
 }
 
-// TestPieceAtItsLimit: of a gang that is co-allocated from several parts this one holds room for a single
+// TestGrantAtItsLimit: of a gang that is co-allocated from several parts this one holds room for a single
 // task. Small tasks of its team come first and would take each bit of the limit as it comes
 // free: once the gang has waited for long, they don't.
-func TestPieceAtItsLimit(t *testing.T) {
+func TestGrantAtItsLimit(t *testing.T) {
 	for n, waited := range []time.Duration{30 * time.Second, 2 * time.Minute, 2 * time.Minute} {
 		piece, small := job("wk-1", wire.Gang, wire.Normal, 2, 0), job("wk-2", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
-		piece.Hold, piece.Elsewhere, piece.Age = n < 2, 1, waited // or all have said that they have room
-		p := picture([]*Job{small, piece}, machine("n-1", "a"))
-		p.Parts, p.BeginWithin, p.Teams["red"] = true, 4*time.Minute, &Team{GPUsMax: 3, UsedGPUs: 2}
-		if plan := Choose(p); len(plan.Launches) != map[bool]int{true: 1}[waited < time.Minute] {
+		piece.ReserveOnly, piece.RemoteTasks, piece.Age = n < 2, 1, waited // or all have said that they have room
+		p := testSnapshot([]*Job{small, piece}, machine("n-1", "a"))
+		p.Sharded, p.MaxGangWait, p.Teams["red"] = true, 4*time.Minute, &Team{LimitGPUs: 3, UsedGPUs: 2}
+		if plan := Schedule(p); len(plan.Launches) != map[bool]int{true: 1}[waited < time.Minute] {
 			t.Errorf("%d small tasks are started beside a gang that has waited for %v", len(plan.Launches), waited)
 		}
 	}
 }
 
-// TestRoomOfAClass: what a part tells of the room for a class does not go by a job that may not be
+// TestFreeCapacityOfClass: what a part tells of the room for a class does not go by a job that may not be
 // there, be it the newest.
-func TestRoomOfAClass(t *testing.T) {
+func TestFreeCapacityOfClass(t *testing.T) {
 	free, bound := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Array, wire.Normal, 1)
 	free.Class, bound.Class, bound.Zone = "c", "c", "a"
-	p := picture([]*Job{free, bound}, machine("n-1", "b"))
-	p.Parts = true
-	if room := Choose(p).Rooms["c"]; room.Now != 4 {
+	p := testSnapshot([]*Job{free, bound}, machine("n-1", "b"))
+	p.Sharded = true
+	if room := Schedule(p).FreeCapacity["c"]; room.Now != 4 {
 		t.Errorf("there is room for %d", room.Now)
 	}
 	// An offer that had not all that it was asked for has room once it is not left alone any more, or a part
@@ -237,10 +237,10 @@
 		for _, zone := range []string{"a", "b"} {
 			for _, spot := range []bool{true, false} {
 				o := Offer{"g4", zone, spot}
-				p.Doubted[o], p.Refused[o] = true, left
+				p.Doubtful[o], p.Unavailable[o] = true, left
 			}
 		}
-		if room := Choose(p).Rooms["c"]; room.Rent == left {
+		if room := Schedule(p).FreeCapacity["c"]; room.Rent == left {
 			t.Errorf("left alone: %v, to be rented: %v", left, room.Rent)
 		}
 	}
--- a/internal/scheduler/shard_capacity.go
+++ b/internal/scheduler/shard_capacity.go
@@ -11,97 +11,97 @@
 
 // What a plan says to the holders of other parts.
 
-// Room is how many more tasks of a class a part could take: on machines that have room
+// FreeCapacity is how many more tasks of a class a part could take: on machines that have room
 // now, on those beside lesser work, and whether machines for it can be rented.
-type Room struct {
+type FreeCapacity struct {
 	Now, Below int
 	Rent       bool
 }
 
-// Want is what a team's grant holds back: work that would be launched if it were larger.
-type Want struct {
+// QuotaDemand is what a team's grant holds back: work that would be launched if it were larger.
+type QuotaDemand struct {
 	CPUs, GPUs float64
 	Rank       int       // of the most urgent of it
 	Since      time.Time // when the oldest of that was submitted
-	Least      Amount    // that any of it takes: a task, or a gang
+	Least      Resources // that any of it takes: a task, or a gang
 }
 
 // Compare orders wants, the one that goes first before others. An age would not do: what another
 // part has told was so a while ago, and of two that are as old each would take its own for the older.
-func (w Want) Compare(other Want) int {
+func (w QuotaDemand) Compare(other QuotaDemand) int {
 	return cmp.Or(cmp.Compare(other.Rank, w.Rank), w.Since.Compare(other.Since))
 }
 
-// Short is a job of which tasks found no room: some wait for what is on its way, for
+// UnplacedJob is a job of which tasks found no room: some wait for what is on its way, for
 // others nothing is.
-type Short struct {
-	Job          *Job
-	Coming, None int
+type UnplacedJob struct {
+	Job              *Job
+	Coming, Unserved int
 }
 
-// want notes tasks that a team's grant holds back. Of those for which the limit of all parts together
+// reportQuotaDemand notes tasks that a team's grant holds back. Of those for which the limit of all parts together
 // has no room beside what is used here nothing is asked for: a part that kept a rest of the limit
 // for them would keep it from smaller work in others for nothing. They wait all the same.
-func (pl *planner) want(j *Job, tasks int) {
-	if !pl.Parts || tasks <= 0 {
+func (pl *planner) reportQuotaDemand(j *Job, tasks int) {
+	if !pl.Sharded || tasks <= 0 {
 		return
 	}
-	fit := min(tasks, pl.Teams[j.Team].most(Of(j.Job)))
-	least := Of(j.Job)
+	fit := min(tasks, pl.Teams[j.Team].maxMoreTasks(ResourcesOf(j.Job)))
+	least := ResourcesOf(j.Job)
 	if j.Shape == wire.Gang {
-		if least = (Amount{}).Plus(least, float64(tasks)); fit < tasks {
+		if least = (Resources{}).AddScaled(least, float64(tasks)); fit < tasks {
 			fit = 0
 		}
 	}
-	if pl.plan.Wants == nil {
-		pl.plan.Wants = make(map[string]Want)
+	if pl.plan.QuotaDemands == nil {
+		pl.plan.QuotaDemands = make(map[string]QuotaDemand)
 	}
-	w, known := pl.plan.Wants[j.Team]
+	w, known := pl.plan.QuotaDemands[j.Team]
 	w.CPUs += j.CPUs * float64(fit)
 	w.GPUs += j.GPUs * float64(fit)
 	if w.Least.Fits(least) || !known {
 		w.Least = least
 	}
-	if rank := j.Priority.Rank(); !known || rank > w.Rank || rank == w.Rank && j.Since.Before(w.Since) {
-		w.Rank, w.Since = rank, j.Since
+	if rank := j.Priority.Rank(); !known || rank > w.Rank || rank == w.Rank && j.SubmittedAt.Before(w.Since) {
+		w.Rank, w.Since = rank, j.SubmittedAt
 	}
-	pl.plan.Wants[j.Team] = w
+	pl.plan.QuotaDemands[j.Team] = w
 }
 
-// Asks reports whether a want asks for anything now.
-func (w Want) Asks() bool { return w.CPUs > 0 || w.GPUs > 0 }
+// IsPending reports whether a want asks for anything now.
+func (w QuotaDemand) IsPending() bool { return w.CPUs > 0 || w.GPUs > 0 }
 
-// Worth reports whether what is wanted will fit into a limit once all has ended but what stays, so
+// WorthReserving reports whether what is wanted will fit into a limit once all has ended but what stays, so
 // that work of other parts is to wait for it: it has waited for long, as in one part.
-func (w Want) Worth(waited, beginWithin time.Duration, limit Team, stays Amount) bool {
-	return beginWithin > 0 && waited >= beginWithin/patience && waited < 2*beginWithin && limit.allows(stays.Plus(w.Least, 1))
+func (w QuotaDemand) WorthReserving(waited, beginWithin time.Duration, limit Team, stays Resources) bool {
+	return beginWithin > 0 && waited >= beginWithin/reservationWaitDivisor && waited < 2*beginWithin && limit.allows(stays.AddScaled(w.Least, 1))
 }
 
-// short notes tasks that found no room now.
-func (pl *planner) short(j *Job, coming, none int) {
-	pl.plan.Waits = pl.plan.Waits || coming+none > 0
-	if pl.Parts && coming+none > 0 {
-		pl.plan.Short = append(pl.plan.Short, Short{j, coming, none})
+// reportUnplaced notes tasks that found no room now.
+func (pl *planner) reportUnplaced(j *Job, coming, none int) {
+	pl.plan.Backlogged = pl.plan.Backlogged || coming+none > 0
+	if pl.Sharded && coming+none > 0 {
+		pl.plan.Unplaced = append(pl.plan.Unplaced, UnplacedJob{j, coming, none})
 	}
 }
 
-// outside takes room for so many tasks of a job that another part has, if any has.
-func (pl *planner) outside(j *Job, tasks int) bool {
-	if j.Spread || j.OneZone && j.Shape != wire.Gang || min(j.Outside, pl.Outside[j.Class]) < tasks {
+// useRemoteCapacity takes room for so many tasks of a job that another part has, if any has.
+func (pl *planner) useRemoteCapacity(j *Job, tasks int) bool {
+	if j.Spread || j.OneZone && j.Shape != wire.Gang || min(j.RemoteCapacity, pl.RemoteCapacity[j.Class]) < tasks {
 		return false
 	}
-	pl.Outside[j.Class] -= tasks
+	pl.RemoteCapacity[j.Class] -= tasks
 	return true
 }
 
-// rooms tells for each class how many more of its tasks would find room once all that is
+// reportFreeCapacity tells for each class how many more of its tasks would find room once all that is
 // planned has its own.
-func (pl *planner) rooms() {
-	if !pl.Parts {
+func (pl *planner) reportFreeCapacity() {
+	if !pl.Sharded {
 		return
 	}
-	pl.countStays()
-	pl.plan.Stays = pl.stays
+	pl.countServiceUsage()
+	pl.plan.ServiceUsage = pl.serviceUsage
 	newest := make(map[string]*Job)
 	for _, j := range pl.Jobs {
 		// One that is bound to a zone says nothing of the room that others of its class find.
@@ -109,28 +109,28 @@
 			newest[j.Class] = j
 		}
 	}
-	pl.plan.Rooms = make(map[string]Room, len(newest))
+	pl.plan.FreeCapacity = make(map[string]FreeCapacity, len(newest))
 	for _, class := range slices.Sorted(maps.Keys(newest)) {
-		pl.plan.Rooms[class] = pl.room(newest[class])
+		pl.plan.FreeCapacity[class] = pl.freeCapacityFor(newest[class])
 	}
 }
 
-func (pl *planner) room(j *Job) Room {
-	need, rank := Of(j.Job), j.Priority.Rank()
+func (pl *planner) freeCapacityFor(j *Job) FreeCapacity {
+	need, rank := ResourcesOf(j.Job), j.Priority.Rank()
 	now, below := make(map[string]int), 0
 	for _, m := range pl.usable {
-		if !allowed(j, pl.offers[m.offer]) || !m.Usable {
+		if !allowsOffer(j, pl.offers[m.offerIndex]) || !m.Usable {
 			continue
 		}
 		slots := max(0, m.Free.Slots(need))
 		now[m.Zone] += slots
-		room := m.Free.Plus(m.leaving, 1)
-		for _, l := range m.load[:rank] {
-			room = room.Plus(l, 1)
+		room := m.Free.AddScaled(m.stopping, 1)
+		for _, l := range m.loadByRank[:rank] {
+			room = room.AddScaled(l, 1)
 		}
 		below += max(0, room.Slots(need)-slots)
 	}
-	r := Room{Below: below, Now: pl.heldFor[j.Class]}
+	r := FreeCapacity{Below: below, Now: pl.headroomByClass[j.Class]}
 	for _, n := range now {
 		if j.OneZone {
 			r.Now = max(r.Now, n)
@@ -144,7 +144,7 @@
 				o := Offer{t.Name, zone, spot}
 				// One in doubt that is not left alone any more counts: nobody else would ever ask it, and a
 				// gang that needs room there would wait for ever.
-				r.Rent = r.Rent || allowed(j, o) && !pl.Refused[o] && (Amount{t.CPUs, t.GPUs, t.MemoryGB}).Fits(need)
+				r.Rent = r.Rent || allowsOffer(j, o) && !pl.Unavailable[o] && (Resources{t.CPUs, t.GPUs, t.MemoryGB}).Fits(need)
 			}
 		}
 	}
