--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -13,66 +13,66 @@
 // been free for as long without a break, whatever it is held for. It takes no more than a task, or a
 // gang's whole, so that what room is held for is put off by little.
 const (
-	standMost  = 60 * time.Second
-	standStep  = 15 * time.Second
-	standSteps = int(standMost/standStep) + 1
+	starvationLimit   = 60 * time.Second
+	idleCapacityStep  = 15 * time.Second
+	idleCapacitySteps = int(starvationLimit/idleCapacityStep) + 1
 )
 
-// Stood remembers what has been free on a machine of late.
-type Stood struct {
+// IdleCapacity remembers what has been free on a machine of late.
+type IdleCapacity struct {
 	step  int64
-	least [standSteps]Amount // in each step, the present one first
+	least [idleCapacitySteps]Resources // in each step, the present one first
 }
 
-// Note takes in what is free now, and gives what has been for standMost at the least. Of steps in which
+// Record takes in what is free now, and gives what has been for standMost at the least. Of steps in which
 // nobody looked nothing is known.
-func (s *Stood) Note(now time.Time, free Amount) Amount {
-	step := now.UnixNano() / int64(standStep)
+func (s *IdleCapacity) Record(now time.Time, free Resources) Resources {
+	step := now.UnixNano() / int64(idleCapacityStep)
 	if gone := step - s.step; gone > 0 {
-		var next [standSteps]Amount
+		var next [idleCapacitySteps]Resources
 		if gone == 1 {
 			copy(next[1:], s.least[:])
 		}
 		next[0] = free
 		s.step, s.least = step, next
 	}
-	s.least[0] = s.least[0].least(free)
+	s.least[0] = s.least[0].min(free)
 	out := s.least[0]
 	for _, a := range s.least[1:] {
-		out = out.least(a)
+		out = out.min(a)
 	}
 	return out
 }
 
-func (a Amount) least(b Amount) Amount {
-	return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemoryGB, b.MemoryGB)}
+func (a Resources) min(b Resources) Resources {
+	return Resources{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemoryGB, b.MemoryGB)}
 }
 
-// stood reports whether a job is to wait no longer where there is room.
-func (j *Job) stood() bool {
-	return j.Stood >= standMost && len(j.Waiting) > 0 && j.Active+j.Elsewhere == 0 && !j.Ending && !j.Unsure && !j.Hold
+// starved reports whether a job is to wait no longer where there is room.
+func (j *Job) starved() bool {
+	return j.StarvedFor >= starvationLimit && len(j.Waiting) > 0 && j.Active+j.RemoteTasks == 0 && !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
 }
 
-// letIn launches what has stood beside room for too long, in the order of jobs. Where tiers are set,
+// admitStarved launches what has stood beside room for too long, in the order of jobs. Where tiers are set,
 // room that is not lent stays what it is.
-func (pl *planner) letIn(teams map[string]Team) {
-	if pl.Tiers.Given() {
+func (pl *planner) admitStarved(teams map[string]Team) {
+	if pl.Tiers.Configured() {
 		return
 	}
 	var standing []*Job
 	for _, j := range pl.Jobs {
-		if j.stood() {
+		if j.starved() {
 			standing = append(standing, j)
 		}
 	}
 	if len(standing) == 0 {
 		return
 	}
-	taken, begun := make(map[string]Amount), make(map[*Job]bool)
+	taken, begun := make(map[string]Resources), make(map[*Job]bool)
 	use := func(l Launch) {
-		taken[l.Machine] = taken[l.Machine].Plus(Of(l.Job.Job), 1)
+		taken[l.Machine] = taken[l.Machine].AddScaled(ResourcesOf(l.Job.Job), 1)
 		t := teams[l.Job.Team]
-		t.use(Of(l.Job.Job))
+		t.consume(ResourcesOf(l.Job.Job))
 		teams[l.Job.Team], begun[l.Job] = t, true
 	}
 	for _, l := range pl.plan.Launches {
@@ -84,36 +84,36 @@
 			n = len(j.Waiting)
 		}
 		team := teams[j.Team]
-		if begun[j] || n > pl.Tasks || pl.Teams[j.Team] == nil || !team.allows(Amount{}.Plus(Of(j.Job), float64(n))) {
+		if begun[j] || n > pl.LaunchBudget || pl.Teams[j.Team] == nil || !team.allows(Resources{}.AddScaled(ResourcesOf(j.Job), float64(n))) {
 			continue
 		}
-		for _, zone := range pl.zonesOf(j) {
-			picks := pl.standingRoom(j, zone, n, taken)
+		for _, zone := range pl.candidateZones(j) {
+			picks := pl.placeStarved(j, zone, n, taken)
 			if picks == nil {
 				continue
 			}
 			for i, m := range picks {
 				l := Launch{j, j.Waiting[i], m.ID}
 				pl.plan.Launches = append(pl.plan.Launches, l)
-				m.taken = true
+				m.usedByPlan = true
 				use(l)
 			}
-			pl.Tasks -= n
+			pl.LaunchBudget -= n
 			break
 		}
 	}
 }
 
-// standingRoom picks machines for so many tasks of a job that stands: those that hold its image first.
+// placeStarved picks machines for so many tasks of a job that stands: those that hold its image first.
 // Where something is being stopped, what it is for has the rest.
-func (pl *planner) standingRoom(j *Job, zone string, n int, taken map[string]Amount) (picks []*Machine) {
-	need, in, own := Of(j.Job), make(map[string]int), make(map[*Machine]int)
+func (pl *planner) placeStarved(j *Job, zone string, n int, taken map[string]Resources) (picks []*Machine) {
+	need, in, own := ResourcesOf(j.Job), make(map[string]int), make(map[*Machine]int)
 	for _, holds := range []bool{true, false} {
 		for _, m := range pl.usable {
-			if m.holds(j.Image) != holds || !m.Usable || m.leaving != (Amount{}) || !allowed(j, pl.offers[m.offer]) || zone != "" && zone != m.Zone {
+			if m.hasImage(j.Image) != holds || !m.Usable || m.stopping != (Resources{}) || !allowsOffer(j, pl.offers[m.offerIndex]) || zone != "" && zone != m.Zone {
 				continue
 			}
-			for len(picks) < n && zoneOpen(j, in, m.Zone) && m.Long.Plus(taken[m.ID], -1).Plus(need, -float64(own[m])).Fits(need) {
+			for len(picks) < n && zoneAllowed(j, in, m.Zone) && m.IdleCapacity.AddScaled(taken[m.ID], -1).AddScaled(need, -float64(own[m])).Fits(need) {
 				in[m.Zone]++
 				own[m]++
 				picks = append(picks, m)
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -8,13 +8,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestNothingStandsBesideRoom: each rule by which room is held from work that could use it, for as long as its
+// TestStarvationGuard: each rule by which room is held from work that could use it, for as long as its
 // cause lasts. What has stood beside it for standMost takes a task's room, or a gang's, that has been free for
 // as long; not a second sooner, and none that has come free since.
-func TestNothingStandsBesideRoom(t *testing.T) {
+func TestStarvationGuard(t *testing.T) {
 	type scene struct {
 		job  *Job
-		pic  *Picture
+		pic  *Snapshot
 		room []*Machine // that is held from it
 	}
 	low := func(shape wire.Shape, gpus float64, waiting ...int) *Job {
@@ -31,23 +31,23 @@
 				jobs = append(jobs, hasty)
 			}
 			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
-			pic := picture(append(jobs, j), m)
-			pic.Aims = []Objective{{StartWithin, "s", 10 * time.Second}}
+			pic := testSnapshot(append(jobs, j), m)
+			pic.Objectives = []Objective{{StartWithin, "s", 10 * time.Second}}
 			j.Zone = "a"
 			for _, spot := range []bool{false, true} { // there is no more in this zone, but in the other
-				pic.Refused[Offer{"g4", "a", spot}] = true
+				pic.Unavailable[Offer{"g4", "a", spot}] = true
 			}
 			return scene{j, pic, []*Machine{m}}
 		},
 		"an image that comes for production": func() scene {
 			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
-			m.Fetch("other", true)
-			return scene{j, picture([]*Job{j}, m), []*Machine{m}}
+			m.AddFetch("other", true)
+			return scene{j, testSnapshot([]*Job{j}, m), []*Machine{m}}
 		},
 		"a machine on which the job failed": func() scene {
 			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
-			j.Avoid = map[string]bool{"n-1": true}
-			return scene{j, refused(picture([]*Job{j}, m)), []*Machine{m}}
+			j.AvoidMachines = map[string]bool{"n-1": true}
+			return scene{j, withoutCapacity(testSnapshot([]*Job{j}, m)), []*Machine{m}}
 		},
 		"a gang that gathers": func() scene {
 			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), low(wire.Array, 1, 0, 1)
@@ -55,8 +55,8 @@
 			long := job("wk-2", wire.Array, wire.Normal, 4)
 			long.EstimateS = 3600
 			m := machine("n-1", "a")
-			pic := refused(picture([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, Ran: time.Minute})))
-			pic.BeginWithin = 4 * time.Minute
+			pic := withoutCapacity(testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute})))
+			pic.MaxGangWait = 4 * time.Minute
 			return scene{j, pic, []*Machine{m}}
 		},
 		"the limit of a team, for a larger job": func() scene {
@@ -65,26 +65,26 @@
 			long := job("wk-2", wire.Array, wire.Normal, 4)
 			long.EstimateS = 3600
 			m := machine("n-1", "a")
-			pic := picture([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, Ran: time.Minute}), machine("n-3", "a"))
-			pic.BeginWithin, pic.Teams["red"] = 4*time.Minute, &Team{GPUsMax: 8, UsedGPUs: 4}
+			pic := testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute}), machine("n-3", "a"))
+			pic.MaxGangWait, pic.Teams["red"] = 4*time.Minute, &Team{LimitGPUs: 8, UsedGPUs: 4}
 			return scene{j, pic, []*Machine{m}}
 		},
 		"a gang's room": func() scene {
 			j, a, b := low(wire.Gang, 4, 0, 1), machine("n-1", "a"), machine("n-2", "b")
-			a.Fetch("other", true)
-			return scene{j, picture([]*Job{j}, a, b), []*Machine{a, b}}
+			a.AddFetch("other", true)
+			return scene{j, testSnapshot([]*Job{j}, a, b), []*Machine{a, b}}
 		},
 	}
 	for name, make := range scenes {
 		t.Run(name, func(t *testing.T) {
 			launched := func(stood time.Duration, long bool) (on []string) {
 				s := make()
-				if s.job.Stood = stood; long {
+				if s.job.StarvedFor = stood; long {
 					for _, m := range s.room {
-						m.Long = m.Free
+						m.IdleCapacity = m.Free
 					}
 				}
-				for _, l := range Choose(s.pic).Launches {
+				for _, l := range Schedule(s.pic).Launches {
 					if l.Job == s.job {
 						on = append(on, l.Machine)
 					}
@@ -96,13 +96,13 @@
 			if want.job.Shape == wire.Gang {
 				n = len(want.job.Waiting)
 			}
-			if on := launched(standMost-time.Second, true); len(on) > 0 {
+			if on := launched(starvationLimit-time.Second, true); len(on) > 0 {
 				t.Errorf("nothing is held: it is on %v at once", on)
 			}
-			if on := launched(standMost, false); len(on) > 0 {
+			if on := launched(starvationLimit, false); len(on) > 0 {
 				t.Errorf("it takes room that has come free just now, on %v", on)
 			}
-			if on := launched(standMost, true); len(on) != n || slices.ContainsFunc(on, func(id string) bool {
+			if on := launched(starvationLimit, true); len(on) != n || slices.ContainsFunc(on, func(id string) bool {
 				return !slices.ContainsFunc(want.room, func(m *Machine) bool { return m.ID == id })
 			}) {
 				t.Errorf("%d tasks are let in, on %v", len(on), on)
@@ -111,36 +111,36 @@
 	}
 }
 
-func refused(p *Picture) *Picture {
+func withoutCapacity(p *Snapshot) *Snapshot {
 	for _, zone := range g4.Zones {
-		p.Refused[Offer{"g4", zone, false}], p.Refused[Offer{"g4", zone, true}] = true, true
+		p.Unavailable[Offer{"g4", zone, false}], p.Unavailable[Offer{"g4", zone, true}] = true, true
 	}
 	return p
 }
 
-// TestStoodNote: room counts from when it was last taken, and nothing is known of times in which nobody looked.
-func TestStoodNote(t *testing.T) {
-	one, two := Amount{4, 1, 16}, Amount{8, 2, 32}
-	var s Stood
+// TestIdleCapacity: room counts from when it was last taken, and nothing is known of times in which nobody looked.
+func TestIdleCapacity(t *testing.T) {
+	one, two := Resources{4, 1, 16}, Resources{8, 2, 32}
+	var s IdleCapacity
 	now, free := time.Unix(0, 0), time.Duration(-1)
-	note := func(d time.Duration, a Amount) Amount {
-		var out Amount
+	note := func(d time.Duration, a Resources) Resources {
+		var out Resources
 		for range d / time.Second {
 			now = now.Add(time.Second)
-			if out = s.Note(now, a); free < 0 && out.Fits(one) {
+			if out = s.Record(now, a); free < 0 && out.Fits(one) {
 				free = now.Sub(time.Unix(0, 0))
 			}
 		}
 		return out
 	}
-	note(10*time.Second, Amount{})
+	note(10*time.Second, Resources{})
 	note(time.Second, two) // and it is taken again
 	note(20*time.Second, one)
-	if got := note(2*time.Minute, two); !got.Fits(two) || free-11*time.Second < standMost || free-11*time.Second > standMost+standStep {
+	if got := note(2*time.Minute, two); !got.Fits(two) || free-11*time.Second < starvationLimit || free-11*time.Second > starvationLimit+idleCapacityStep {
 		t.Errorf("%v is free, the first of it after %v", got, free)
 	}
-	now = now.Add(2 * standStep)
-	if got := s.Note(now, two); got.Fits(one) {
+	now = now.Add(2 * idleCapacityStep)
+	if got := s.Record(now, two); got.Fits(one) {
 		t.Errorf("%v counts though nobody looked", got)
 	}
 }
--- a/internal/scheduler/tiers_test.go
+++ b/internal/scheduler/tiers_test.go
@@ -8,14 +8,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestTiersBeside: what else a plan does goes on where tiers are set. A replica is moved
+// TestTierShares: what else a plan does goes on where tiers are set. A replica is moved
 // without a claim; first replicas are those of the first tier, and leave alone what is kept; and
 // a gang that its tier's share has room for takes what it has gathered.
-func TestTiersBeside(t *testing.T) {
-	plan := func(jobs []*Job, tiers []tier.Tier, claims []Claim, machines ...*Machine) Plan {
-		pic := picture(jobs, machines...)
-		pic.Tiers, pic.Claims, pic.Moves, pic.BeginWithin = tier.New(tiers), claims, 4, time.Minute
-		return Choose(pic)
+func TestTierShares(t *testing.T) {
+	plan := func(jobs []*Job, tiers []tier.Tier, claims []Reclaim, machines ...*Machine) Plan {
+		pic := testSnapshot(jobs, machines...)
+		pic.Tiers, pic.Reclaims, pic.MaxMoves, pic.MaxGangWait = tier.New(tiers), claims, 4, time.Minute
+		return Schedule(pic)
 	}
 	service := func(id string, active int, waiting ...int) *Job {
 		j := job(id, wire.Service, wire.Production, 4, waiting...)
@@ -25,19 +25,19 @@
 	top := []tier.Tier{{Name: "top", Order: 1, Priorities: []string{"production"}}}
 
 	moved := service("wk-1", 0)
-	moved.Rule, moved.Tasks = &Rule{Even: true}, 2
-	run := func(i int) Task { return Task{Job: moved, Index: i, Ran: time.Minute} }
-	if p := plan([]*Job{moved}, top, nil, machine("n-1", "a", run(0)), machine("n-2", "a", run(1)), machine("n-3", "b")); len(p.Stops) != 1 || len(p.Claims) != 0 {
-		t.Errorf("moves %+v, claims %+v", p.Stops, p.Claims)
+	moved.SpreadRule, moved.Tasks = &SpreadRule{Even: true}, 2
+	run := func(i int) Task { return Task{Job: moved, Index: i, RunTime: time.Minute} }
+	if p := plan([]*Job{moved}, top, nil, machine("n-1", "a", run(0)), machine("n-2", "a", run(1)), machine("n-3", "b")); len(p.Stops) != 1 || len(p.Reclaims) != 0 {
+		t.Errorf("moves %+v, claims %+v", p.Stops, p.Reclaims)
 	}
 	first := []tier.Tier{{Name: "top", Order: 1, Classes: []string{"wk-1"}}}
-	if got, want := launched(plan([]*Job{service("wk-2", 0, 0, 1), service("wk-1", 0, 0, 1)}, first, nil, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := launchesOf(plan([]*Job{service("wk-2", 0, 0, 1), service("wk-1", 0, 0, 1)}, first, nil, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
-	if got, want := launched(plan([]*Job{service("wk-1", 3, 3), service("wk-2", 0, 0, 1, 2, 3)}, top, []Claim{{"wk-1", "n-1", 1, 0}}, machine("n-1", "a"))), "wk-1/3 on n-1, "; got != want {
+	if got, want := launchesOf(plan([]*Job{service("wk-1", 3, 3), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}}, machine("n-1", "a"))), "wk-1/3 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
-	if got, want := launched(plan([]*Job{service("wk-1", 0, 0, 1), service("wk-2", 0, 0, 1, 2, 3)}, top, []Claim{{"wk-1", "n-1", 1, 0}, {"wk-1", "n-2", 1, 0}}, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := launchesOf(plan([]*Job{service("wk-1", 0, 0, 1), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}, {"wk-1", "n-2", 1, 0}}, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
 	gang := job("wk-1", wire.Gang, wire.High, 4, 0, 1)
@@ -45,7 +45,7 @@
 	small := machine("n-3", "a")
 	small.Free.CPUs = 8
 	shared := append(top, tier.Tier{Name: "live", Order: 2, Priorities: []string{"high"}, Share: tier.Share{Cards: 8}})
-	if got, want := launched(plan([]*Job{gang}, shared, nil, machine("n-1", "a"), machine("n-2", "a"), small)), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := launchesOf(plan([]*Job{gang}, shared, nil, machine("n-1", "a"), machine("n-2", "a"), small)), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("%s, not %s", got, want)
 	}
 }
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -15,13 +15,13 @@
 // evens out over many tasks; a part is left out for that and for what does not
 // divide.
 const (
-	turnSteps = 12
-	turnStep  = 10 * time.Second
-	turnShare = 0.6
+	turnoverSteps = 12
+	turnoverStep  = 10 * time.Second
+	turnoverShare = 0.6
 )
 
 // turnover is the room that comes free, by offer and step.
-type turnover [][turnSteps]Amount
+type turnover [][turnoverSteps]Resources
 
 func (pl *planner) countTurnover() {
 	for _, m := range pl.usable {
@@ -30,50 +30,50 @@
 				continue // the room of a gang is the next gang's
 			}
 			e := t.Job.Estimate()
-			pl.turn(m.offer, max(e-t.Ran, e/4), Of(t.Job.Job), turnShare)
+			pl.addTurnover(m.offerIndex, max(e-t.RunTime, e/4), ResourcesOf(t.Job.Job), turnoverShare)
 		}
 	}
 }
 
-// turn counts room that comes free after a time.
-func (pl *planner) turn(offer int, after time.Duration, a Amount, share float64) {
-	for len(pl.turns) <= offer {
-		pl.turns = append(pl.turns, [turnSteps]Amount{})
+// addTurnover counts room that comes free after a time.
+func (pl *planner) addTurnover(offer int, after time.Duration, a Resources, share float64) {
+	for len(pl.turnover) <= offer {
+		pl.turnover = append(pl.turnover, [turnoverSteps]Resources{})
 	}
-	if step := int(after / turnStep); step < turnSteps {
-		t := &pl.turns[offer][step]
-		*t = t.Plus(a, share)
+	if step := int(after / turnoverStep); step < turnoverSteps {
+		t := &pl.turnover[offer][step]
+		*t = t.AddScaled(a, share)
 	}
 }
 
-// soon takes room for a task that comes free in time, if there is any: before a
+// takeTurnover takes room for a task that comes free in time, if there is any: before a
 // machine would boot, or at the latest when the job must start to meet its aim.
-func (s *search) soon() bool {
-	pl, j := s.pl, s.j
+func (s *search) takeTurnover() bool {
+	pl, j := s.planner, s.job
 	if j.Shape != wire.Array || j.Priority == wire.Production {
 		return false
 	}
 	const spare = 30 * time.Second
-	boot := pl.boot(j)
+	boot := pl.bootTime(j)
 	if j.Age > 2*boot {
 		return false // what it was to wait for went to others, or its work was stopped
 	}
-	steps := min(turnSteps, int(max(boot, j.left-spare)/turnStep))
-	for o := range pl.turns {
-		if !s.permits(o) || !zoneOpen(j, s.in, pl.offers[o].Zone) {
+	steps := min(turnoverSteps, int(max(boot, j.timeLeft-spare)/turnoverStep))
+	for o := range pl.turnover {
+		if !s.permitsOffer(o) || !zoneAllowed(j, s.tasksByZone, pl.offers[o].Zone) {
 			continue
 		}
-		var sum Amount
+		var sum Resources
 		for i := range steps {
-			if sum = sum.Plus(pl.turns[o][i], 1); !sum.Fits(s.need) {
+			if sum = sum.AddScaled(pl.turnover[o][i], 1); !sum.Fits(s.need) {
 				continue
 			}
 			// All up to here is used up but for the rest of the last step.
 			for k := range i {
-				pl.turns[o][k] = Amount{}
+				pl.turnover[o][k] = Resources{}
 			}
-			pl.turns[o][i] = sum.Plus(s.need, -1)
-			pl.turn(o, time.Duration(i)*turnStep+j.Estimate(), s.need, 1) // and is free again after
+			pl.turnover[o][i] = sum.AddScaled(s.need, -1)
+			pl.addTurnover(o, time.Duration(i)*turnoverStep+j.Estimate(), s.need, 1) // and is free again after
 			return true
 		}
 	}
--- a/internal/shard/assign.go
+++ b/internal/shard/assign.go
@@ -14,28 +14,30 @@
 // Controller is one that may hold parts.
 type Controller struct {
 	Name, Zone string
-	Holds      int // parts that it holds
+	Leads      int // parts that it holds
 }
 
-// Part is a part of the fleet and the zones that are of it alone.
-type Part struct {
+// Shard is a part of the fleet and the zones that are of it alone.
+type Shard struct {
 	Name  string
 	Zones []string
 }
 
-// bound is how many parts one controller should hold at the most.
-func bound(parts, controllers int) int { return (parts + controllers - 1) / max(1, controllers) }
+// maxPerController is how many parts one controller should hold at the most.
+func maxPerController(shards, controllers int) int {
+	return (shards + controllers - 1) / max(1, controllers)
+}
 
 // Assign says which controller should claim each free part, of so many parts in all. No
 // controller gets more than its share; among those with room one in a zone of the part
 // goes first, then the one that holds the fewest, then rendezvous hashing decides, so
 // that one that comes or goes moves hardly any other part.
-func Assign(free []Part, controllers []Controller, total int) map[string]string {
+func Assign(free []Shard, controllers []Controller, total int) map[string]string {
 	out := make(map[string]string, len(free))
 	load := slices.Clone(controllers)
 	slices.SortFunc(load, func(a, b Controller) int { return cmp.Compare(a.Name, b.Name) })
-	most := bound(total, len(load))
-	free = slices.SortedFunc(slices.Values(free), func(a, b Part) int { return cmp.Compare(a.Name, b.Name) })
+	most := maxPerController(total, len(load))
+	free = slices.SortedFunc(slices.Values(free), func(a, b Shard) int { return cmp.Compare(a.Name, b.Name) })
 	for _, near := range []bool{true, false} { // those that have a controller in their zone choose first
 		for _, p := range free {
 			if out[p.Name] != "" {
@@ -43,15 +45,15 @@
 			}
 			best := -1
 			for i, c := range load {
-				if c.Holds >= most || near && !slices.Contains(p.Zones, c.Zone) {
+				if c.Leads >= most || near && !slices.Contains(p.Zones, c.Zone) {
 					continue
 				}
-				if best < 0 || cmp.Or(cmp.Compare(c.Holds, load[best].Holds), cmp.Compare(weight(p.Name, load[best].Name), weight(p.Name, c.Name))) < 0 {
+				if best < 0 || cmp.Or(cmp.Compare(c.Leads, load[best].Leads), cmp.Compare(rendezvousWeight(p.Name, load[best].Name), rendezvousWeight(p.Name, c.Name))) < 0 {
 					best = i
 				}
 			}
 			if best >= 0 {
-				load[best].Holds++
+				load[best].Leads++
 				out[p.Name] = load[best].Name
 			}
 		}
@@ -59,23 +61,25 @@
 	return out
 }
 
-func weight(part, controller string) uint64 { return xxhash.Sum64String(part + "\x00" + controller) }
+func rendezvousWeight(shard, controller string) uint64 {
+	return xxhash.Sum64String(shard + "\x00" + controller)
+}
 
-// Spare says which of its parts a controller should give back, if any: one that holds two
+// Surplus says which of its parts a controller should give back, if any: one that holds two
 // more than another does. The part goes that is nearest to the other, so that it is
 // claimed there.
-func Spare(me Controller, mine []Part, others []Controller) (part string, ok bool) {
+func Surplus(me Controller, own []Shard, others []Controller) (shard string, ok bool) {
 	least := -1
 	for i, c := range others {
-		if least < 0 || cmp.Or(cmp.Compare(c.Holds, others[least].Holds), cmp.Compare(c.Name, others[least].Name)) < 0 {
+		if least < 0 || cmp.Or(cmp.Compare(c.Leads, others[least].Leads), cmp.Compare(c.Name, others[least].Name)) < 0 {
 			least = i
 		}
 	}
-	if least < 0 || me.Holds < others[least].Holds+2 {
+	if least < 0 || me.Leads < others[least].Leads+2 {
 		return "", false
 	}
 	best, rank := "", -1
-	for _, p := range mine {
+	for _, p := range own {
 		r := 1
 		switch {
 		case slices.Contains(p.Zones, others[least].Zone):
@@ -90,17 +94,17 @@
 	return best, best != ""
 }
 
-// spreadMost is the number of parts that a job's tasks are dealt out to at the most.
-const spreadMost = 4
+// maxSpreadShards is the number of parts that a job's tasks are dealt out to at the most.
+const maxSpreadShards = 4
 
-func sortedBy[T any](list []T, score func(T) float64) []T {
+func sortedByScore[T any](list []T, score func(T) float64) []T {
 	out := slices.Clone(list)
 	slices.SortStableFunc(out, func(a, b T) int { return cmp.Compare(score(b), score(a)) })
 	return out
 }
 
-func share(part float64, n int) int { return int(math.Round(part * float64(n))) }
+func fractionOf(fraction float64, n int) int { return int(math.Round(fraction * float64(n))) }
 
-func key(id string, part string) float64 {
-	return float64(xxhash.Sum64String(id+"\x00"+part)%1000) / 1000
+func tieBreak(id string, shard string) float64 {
+	return float64(xxhash.Sum64String(id+"\x00"+shard)%1000) / 1000
 }
--- a/internal/shard/parts_test.go
+++ b/internal/shard/parts_test.go
@@ -16,29 +16,29 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// table is what the kept traces are played on: parts a, b, c, each of a zone of its name.
-type table struct {
+// fixture is what the kept traces are played on: parts a, b, c, each of a zone of its name.
+type fixture struct {
 	now         time.Time
 	controllers []Controller
-	statuses    map[string]leader.PartStatus
+	statuses    map[string]leader.ShardStatus
 	router      *Router
 	types       []wire.MachineType
 }
 
-func newTable() *table {
-	b := &table{now: time.Unix(1e9, 0), statuses: map[string]leader.PartStatus{}}
-	b.group(3, "a", "b", "c")
+func newFixture() *fixture {
+	b := &fixture{now: time.Unix(1e9, 0), statuses: map[string]leader.ShardStatus{}}
+	b.setSharding(3, "a", "b", "c")
 	b.types = []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"a", "b", "c"}}, {Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 128, Zones: []string{"c"}}}
 	return b
 }
 
-func (b *table) group(n int, zones ...string) {
-	b.router = &Router{Group: fleet.ByZones(n, zones), Statuses: func() map[string]leader.PartStatus { return b.statuses }}
+func (b *fixture) setSharding(n int, zones ...string) {
+	b.router = &Router{Sharding: fleet.ByZones(n, zones), Statuses: func() map[string]leader.ShardStatus { return b.statuses }}
 }
 
-func (b *table) part(name string) Part { return Part{name, b.router.Group.Zones(name)} }
+func (b *fixture) shard(name string) Shard { return Shard{name, b.router.Sharding.ZonesOf(name)} }
 
-func (b *table) step(line string) []string {
+func (b *fixture) step(line string) []string {
 	w, kv := simulator.Words(line)
 	num := func(key string) int {
 		n, _ := strconv.Atoi(kv[key])
@@ -47,19 +47,19 @@
 	switch w[0] {
 	case "parts":
 		n, _ := strconv.Atoi(w[1])
-		b.group(n, w[2:]...)
-		return []string{fmt.Sprint(b.router.Group.Parts())}
+		b.setSharding(n, w[2:]...)
+		return []string{fmt.Sprint(b.router.Sharding.Shards())}
 	case "controller":
 		b.controllers = slices.DeleteFunc(b.controllers, func(c Controller) bool { return c.Name == w[1] })
 		if len(w) > 2 {
 			b.controllers = append(b.controllers, Controller{w[1], w[2], num("holds")})
 		}
 	case "assign":
-		var free []Part
+		var free []Shard
 		for _, p := range w[1:] {
-			free = append(free, b.part(p))
+			free = append(free, b.shard(p))
 		}
-		got := Assign(free, b.controllers, len(b.router.Group.Parts()))
+		got := Assign(free, b.controllers, len(b.router.Sharding.Shards()))
 		var out []string
 		for _, p := range slices.Sorted(maps.Keys(got)) {
 			out = append(out, p+" to "+got[p])
@@ -67,16 +67,16 @@
 		return out
 	case "spare":
 		i := slices.IndexFunc(b.controllers, func(c Controller) bool { return c.Name == w[1] })
-		var mine []Part
+		var mine []Shard
 		for _, p := range w[2:] {
-			mine = append(mine, b.part(p))
+			mine = append(mine, b.shard(p))
 		}
 		others := slices.Delete(slices.Clone(b.controllers), i, i+1)
-		p, ok := Spare(b.controllers[i], mine, others)
+		p, ok := Surplus(b.controllers[i], mine, others)
 		return []string{fmt.Sprintf("%q %v", p, ok)}
 	case "stands": // a part says how much room it has for class x
-		b.statuses[w[1]] = leader.PartStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
-			Rooms: map[string]scheduler.Room{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
+		b.statuses[w[1]] = leader.ShardStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
+			Rooms: map[string]scheduler.FreeCapacity{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		b.now = b.now.Add(d)
@@ -88,7 +88,7 @@
 		}
 		var out []string
 		for _, s := range b.router.Route(b.now, j, b.types) {
-			out = append(out, fmt.Sprintf("%d-%d to %s", s.From, s.To, s.Part))
+			out = append(out, fmt.Sprintf("%d-%d to %s", s.From, s.To, s.Shard))
 		}
 		return out
 	}
@@ -97,16 +97,16 @@
 
 // TestTraces plays the kept traces of who should hold what, and of where jobs go.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTable().step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newFixture().step })
 }
 
 // TestSharesCover: whatever the room, the shares of a job cover its tasks once, and no part
 // gets more of a job that must be spread than its zones may hold.
 func TestSharesCover(t *testing.T) {
-	b := newTable()
+	b := newFixture()
 	for i := range 3000 {
 		for _, p := range []string{"a", "b", "c"} {
-			b.statuses[p] = leader.PartStatus{Machines: i * 7 % 90, Backlog: i * 13 % 40, Rooms: map[string]scheduler.Room{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
+			b.statuses[p] = leader.ShardStatus{Machines: i * 7 % 90, Backlog: i * 13 % 40, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
 		}
 		j := &wire.Job{ID: fmt.Sprint("wk-", i), Class: "x", Shape: []wire.Shape{wire.Array, wire.Gang, wire.Service}[i%3], Tasks: 1 + i%200, CPUs: 1, GPUs: 1, MemoryGB: 1, Spread: i%5 == 0}
 		at, most := 0, map[string]int{}
@@ -115,8 +115,8 @@
 				t.Fatalf("job %+v: %+v", j, s)
 			}
 			at = s.To
-			if most[s.Part] += s.To - s.From; j.Spread && j.Shape != wire.Gang && j.Tasks > 1 && most[s.Part] > (j.Tasks+1)/2 {
-				t.Errorf("%d of %d tasks that must be spread go to %s", most[s.Part], j.Tasks, s.Part)
+			if most[s.Shard] += s.To - s.From; j.Spread && j.Shape != wire.Gang && j.Tasks > 1 && most[s.Shard] > (j.Tasks+1)/2 {
+				t.Errorf("%d of %d tasks that must be spread go to %s", most[s.Shard], j.Tasks, s.Shard)
 			}
 		}
 		if at != j.Tasks {
--- a/internal/shard/route.go
+++ b/internal/shard/route.go
@@ -14,28 +14,28 @@
 // Router says which parts the tasks of new jobs go to, by what the parts have last said
 // of themselves and by what it has sent there since.
 type Router struct {
-	Group *fleet.Grouping
+	Sharding *fleet.Sharding
 	// Statuses gives what the parts have last said.
-	Statuses func() map[string]leader.PartStatus
+	Statuses func() map[string]leader.ShardStatus
 
-	mu   sync.Mutex
-	sent map[string]sent
+	mu     sync.Mutex
+	recent map[string]recentTasks
 }
 
-// sent counts the tasks that were sent to a part and that its status may not show yet.
-type sent struct {
+// recentTasks counts the tasks that were sent to a part and that its status may not show yet.
+type recentTasks struct {
 	at    time.Time
 	tasks map[string]int // by class
 }
 
-// sentAge is after how long a part's status shows what was sent to it: the write, a
+// statusLag is after how long a part's status shows what was sent to it: the write, a
 // round, and a beat.
-const sentAge = 2500 * time.Millisecond
+const statusLag = 2500 * time.Millisecond
 
-// lot is a part as a place for a job.
-type lot struct {
-	part     string
-	room     scheduler.Room
+// candidate is a part as a place for a job.
+type candidate struct {
+	shard    string
+	capacity scheduler.FreeCapacity
 	free     int
 	machines int
 	backlog  int
@@ -43,106 +43,106 @@
 }
 
 // Route gives the shares of a new job.
-func (r *Router) Route(now time.Time, j *wire.Job, types []wire.MachineType) []store.Share {
-	if r.Group.Whole() {
+func (r *Router) Route(now time.Time, j *wire.Job, types []wire.MachineType) []store.ShardRange {
+	if r.Sharding.IsSingle() {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lots := r.lots(now, j, types)
-	var shares []store.Share
-	if j.Spread && j.Shape != wire.Gang && r.Group.Zoned() && len(lots) > 1 && j.Tasks > 1 {
-		shares = deal(j, lots)
+	candidates := r.candidates(now, j, types)
+	var ranges []store.ShardRange
+	if j.Spread && j.Shape != wire.Gang && r.Sharding.KeepsZonesWhole() && len(candidates) > 1 && j.Tasks > 1 {
+		ranges = placeSpread(j, candidates)
 	} else {
-		shares = whole(j, lots)
+		ranges = placeTogether(j, candidates)
 	}
-	for _, s := range shares {
-		r.note(now, s.Part, j.Class, s.To-s.From)
+	for _, s := range ranges {
+		r.record(now, s.Shard, j.Class, s.To-s.From)
 	}
-	return shares
+	return ranges
 }
 
-// lots lists the parts that may have machines which a job allows, the best first.
-func (r *Router) lots(now time.Time, j *wire.Job, types []wire.MachineType) []lot {
+// candidates lists the parts that may have machines which a job allows, the best first.
+func (r *Router) candidates(now time.Time, j *wire.Job, types []wire.MachineType) []candidate {
 	statuses := r.Statuses()
-	var out []lot
-	for _, part := range r.Group.Parts() {
-		if !r.Group.Suits(part, j, types) {
+	var out []candidate
+	for _, shard := range r.Sharding.Shards() {
+		if !r.Sharding.MayHost(shard, j, types) {
 			continue
 		}
-		s := statuses[part]
-		l := lot{part: part, room: s.Rooms[j.Class], machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Group.Zones(part)))}
+		s := statuses[shard]
+		l := candidate{shard: shard, capacity: s.Rooms[j.Class], machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
 		if _, known := s.Rooms[j.Class]; !known {
-			l.room.Rent = true // nothing of the class has come yet, or the part is being rebuilt
+			l.capacity.Rent = true // nothing of the class has come yet, or the part is being rebuilt
 		}
-		l.free = l.room.Now
-		if g := r.sent[part]; now.Sub(g.at) < sentAge {
+		l.free = l.capacity.Now
+		if g := r.recent[shard]; now.Sub(g.at) < statusLag {
 			l.free -= g.tasks[j.Class]
 		}
 		out = append(out, l)
 	}
 	if len(out) == 0 { // it can never run, or the types have changed since
-		out = []lot{{part: r.Group.Parts()[0], zones: 1}}
+		out = []candidate{{shard: r.Sharding.Shards()[0], zones: 1}}
 	}
-	return sortedBy(out, func(l lot) float64 { return l.score(j) })
+	return sortedByScore(out, func(l candidate) float64 { return l.score(j) })
 }
 
 // score says how good a place is for a job: where all of it has room, the more the better;
 // then where machines can be rented, the fewer there are the better; then where the least
 // waits.
-func (l lot) score(j *wire.Job) float64 {
-	tie := key(j.ID, l.part) / 1000
+func (l candidate) score(j *wire.Job) float64 {
+	tie := tieBreak(j.ID, l.shard) / 1000
 	switch {
 	case l.free >= j.Tasks:
 		return 1e6 + float64(l.free) + tie
-	case l.room.Rent:
+	case l.capacity.Rent:
 		return 1e3 - float64(l.machines)/100 - 100*float64(l.backlog)/float64(l.machines+10) + tie
 	}
 	return -100*float64(l.backlog)/float64(l.machines+10) + float64(l.free)/1e3 + tie
 }
 
-// splitOver is the number of tasks from which on an array goes to several parts.
-const splitOver = 64
+// splitThreshold is the number of tasks from which on an array goes to several parts.
+const splitThreshold = 64
 
-// whole gives a job to the best part: a gang too that must be spread over zones, which that
+// placeTogether gives a job to the best part: a gang too that must be spread over zones, which that
 // part then co-allocates from several. A large array that has no room in one is dealt
 // out by what room there is, and the rest by the size of the parts.
-func whole(j *wire.Job, lots []lot) []store.Share {
-	if j.Shape != wire.Array || j.OneZone || j.Spread || j.Tasks < splitOver || lots[0].free >= j.Tasks || len(lots) == 1 {
-		return []store.Share{{From: 0, To: j.Tasks, Part: lots[0].part}}
+func placeTogether(j *wire.Job, candidates []candidate) []store.ShardRange {
+	if j.Shape != wire.Array || j.OneZone || j.Spread || j.Tasks < splitThreshold || candidates[0].free >= j.Tasks || len(candidates) == 1 {
+		return []store.ShardRange{{From: 0, To: j.Tasks, Shard: candidates[0].shard}}
 	}
-	lots = lots[:min(len(lots), spreadMost)]
+	candidates = candidates[:min(len(candidates), maxSpreadShards)]
 	sum := 0.0
-	for _, l := range lots {
+	for _, l := range candidates {
 		sum += float64(max(1, l.machines))
 	}
-	var out []store.Share
+	var out []store.ShardRange
 	from := 0
-	for i, l := range lots {
-		n := share(float64(max(1, l.machines))/sum, j.Tasks)
-		if n = min(n, j.Tasks-from); i == len(lots)-1 {
+	for i, l := range candidates {
+		n := fractionOf(float64(max(1, l.machines))/sum, j.Tasks)
+		if n = min(n, j.Tasks-from); i == len(candidates)-1 {
 			n = j.Tasks - from
 		}
 		if n > 0 {
-			out = append(out, store.Share{From: from, To: from + n, Part: l.part})
+			out = append(out, store.ShardRange{From: from, To: from + n, Shard: l.shard})
 			from += n
 		}
 	}
 	return out
 }
 
-// deal gives the tasks of a job that must be spread to several parts, to none more than
+// placeSpread gives the tasks of a job that must be spread to several parts, to none more than
 // its zones may hold.
-func deal(j *wire.Job, lots []lot) []store.Share {
-	parts := min(len(lots), spreadMost, max(2, j.Tasks/3))
+func placeSpread(j *wire.Job, candidates []candidate) []store.ShardRange {
+	shards := min(len(candidates), maxSpreadShards, max(2, j.Tasks/3))
 	most := (j.Tasks + 1) / 2
-	var out []store.Share
+	var out []store.ShardRange
 	from := 0
-	for i, l := range lots[:parts] {
-		left := parts - i
+	for i, l := range candidates[:shards] {
+		left := shards - i
 		n := min((j.Tasks-from+left-1)/left, most*l.zones)
 		if n > 0 {
-			out = append(out, store.Share{From: from, To: from + n, Part: l.part})
+			out = append(out, store.ShardRange{From: from, To: from + n, Shard: l.shard})
 			from += n
 		}
 	}
@@ -152,15 +152,15 @@
 	return out
 }
 
-func (r *Router) note(now time.Time, part, class string, n int) {
-	if r.sent == nil {
-		r.sent = make(map[string]sent)
+func (r *Router) record(now time.Time, shard, class string, n int) {
+	if r.recent == nil {
+		r.recent = make(map[string]recentTasks)
 	}
-	g := r.sent[part]
-	if g.tasks == nil || now.Sub(g.at) > sentAge {
-		g = sent{tasks: make(map[string]int)}
+	g := r.recent[shard]
+	if g.tasks == nil || now.Sub(g.at) > statusLag {
+		g = recentTasks{tasks: make(map[string]int)}
 	}
 	g.at = now
 	g.tasks[class] += n
-	r.sent[part] = g
+	r.recent[shard] = g
 }
--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -27,17 +27,17 @@
 func TestCancelledLaunchHeldUp(t *testing.T) {
 	for n, x := range []struct {
 		name string
-		cast func(w *world)
+		cast func(w *simulation)
 	}{
-		{"the cloud is in trouble", func(w *world) {
-			lasting(2*time.Minute, func(on bool) { w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = on }) })
+		{"the cloud is in trouble", func(w *simulation) {
+			during(2*time.Minute, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 		}},
-		{"the state service is out", func(w *world) {
-			time.AfterFunc(15*time.Second, func() { lasting(70*time.Second, w.store.Outage) })
+		{"the state service is out", func(w *simulation) {
+			time.AfterFunc(15*time.Second, func() { during(70*time.Second, w.store.SetOutage) })
 		}},
-		{"the cloud does not hear the leader", func(w *world) {
-			ip := w.ip(w.leader())
-			lasting(2*time.Minute, func(on bool) { w.net.Cut(ip, cloudHost, on) })
+		{"the cloud does not hear the leader", func(w *simulation) {
+			ip := w.ip(w.anyLeader())
+			during(2*time.Minute, func(on bool) { w.net.Partition(ip, cloudHost, on) })
 		}},
 	} {
 		for k, held := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
@@ -48,10 +48,10 @@
 				var hold atomic.Int64
 				var sent, came chan struct{}
 				var told time.Time
-				day{seed: 31, begin: func(w *world) {
+				script{seed: 31, setUp: func(w *simulation) {
 					sent, came = make(chan struct{}), make(chan struct{})
 					var once sync.Once
-					w.machines(2*time.Second, func() time.Duration {
+					w.reconfigureMachines(2*time.Second, func() time.Duration {
 						d := time.Duration(hold.Load())
 						if d > 0 {
 							once.Do(func() {
@@ -61,44 +61,44 @@
 						}
 						return d
 					})
-					w.service("wk-1", 3*time.Minute)
+					w.startService("wk-1", 3*time.Minute)
 				}, steps: []step{
-					{40 * time.Second, "its launch is held up, and it is cancelled", func(w *world) { // all machines were heard
+					{40 * time.Second, "its launch is held up, and it is cancelled", func(w *simulation) { // all machines were heard
 						hold.Store(int64(held))
-						c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), luckOf(31, "wk-2"), 5*time.Minute)
-						c.until(c.submit)
+						c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
+						c.untilAnswered(c.submit)
 						<-sent
-						if w.check.Running("wk-2") > 0 {
+						if w.checker.Running("wk-2") > 0 {
 							w.t.Error("the task runs already")
 						}
-						c.until(c.cancel)
+						c.untilAnswered(c.cancel)
 						told = time.Now()
 						hold.Store(0)
 					}},
 					{0, x.name, x.cast},
-					{0, "its launch comes", func(w *world) {
+					{0, "its launch comes", func(w *simulation) {
 						<-came
-						if late := time.Since(told); late < 45*time.Second || w.check.Stage("wk-2") != wire.Cancelled {
-							w.t.Errorf("the launch came %v after the user was told that the job is %s", late, w.check.Stage("wk-2"))
+						if late := time.Since(told); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
+							w.t.Errorf("the launch came %v after the user was told that the job is %s", late, w.checker.Stage("wk-2"))
 						}
 					}},
-					{4 * time.Minute, "all is over", func(*world) {}},
-				}}.play(t)
+					{4 * time.Minute, "all is over", func(*simulation) {}},
+				}}.run(t)
 			})
 		}
 	}
 }
 
-// deafDays are the offsets around the bounds that the proofs by time rest on: a report, what a
+// partitionLengths are the offsets around the bounds that the proofs by time rest on: a report, what a
 // controller's lease lasts, a worker's, and all together.
-var deafDays = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
+var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
 
 // TestLeaderEndsWhileMachinesAreDeaf: the leader ends while some of the machines that have long
 // tasks - an array up to its team's limit, a gang in one zone, one over two, and a service that
 // is spread - hear nothing, for less or more than any lease. They are deaf from before the
 // change or from after it. Nothing starts twice, or where it must not.
 func TestLeaderEndsWhileMachinesAreDeaf(t *testing.T) {
-	for n, d := range deafDays {
+	for n, d := range partitionLengths {
 		for k, before := range []time.Duration{-3 * time.Second, 0, 5 * time.Second, 17 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && (k != (n+1)%4 || n%2 == 0) {
 				continue // the rest with the longer days
@@ -109,8 +109,8 @@
 					// A deaf machine gives an answer up after 4 s and tries elsewhere 1 s later: here that is
 					// no longer than between two reports, so that it is heard all the while.
 					const report = 6 * time.Second
-					w := newWorld(t, uint64(40+n), 0, func(c *config.Config) { c.Tuning.Silence, c.Workers.Report = silence, report })
-					w.machines(report, nil)
+					w := newSimulation(t, uint64(40+n), 0, func(c *config.Config) { c.Tuning.HeartbeatTimeout, c.Workers.HeartbeatInterval = silence, report })
+					w.reconfigureMachines(report, nil)
 					job := func(id string, shape wire.Shape, tasks int, run, until time.Duration, change ...func(*wire.Job)) {
 						w.user(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
 					}
@@ -121,10 +121,10 @@
 					job("wk-4", wire.Service, 6, forever, 4*time.Minute, spread)
 					job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, oneZone)
 					time.Sleep(35 * time.Second)
-					running, _ := w.check.Counts()
+					running, _ := w.checker.Counts()
 					var deafened []upMachine
 					listen := func() {
-						for i, m := range w.workers() {
+						for i, m := range w.runningMachines() {
 							if i%2 == n%2 {
 								deafened = append(deafened, deaf(d, m)...)
 							}
@@ -134,77 +134,77 @@
 						listen()
 						time.Sleep(before)
 					}
-					term, first := w.term(), w.leader()
+					term, first := w.token(), w.anyLeader()
 					w.kill(first, 20*time.Second)
 					if before < 0 {
 						time.Sleep(-before)
 						listen()
 					}
 					if before < d {
-						for w.term() == term {
+						for w.token() == term {
 							time.Sleep(100 * time.Millisecond)
 						}
 					}
 					time.Sleep(d + 10*time.Second)
-					lost, up := 0, w.workers()
+					lost, up := 0, w.runningMachines()
 					for _, m := range deafened {
-						if lost += m.Lost(); !slices.Contains(up, m) {
+						if lost += m.ExpiredLeases(); !slices.Contains(up, m) {
 							lost++ // it was given up
 						}
 					}
-					if running < 15 || len(deafened) < 2 || w.term() == term || d > workerLease+5*time.Second && lost == 0 {
-						t.Errorf("%d tasks ran, %d machines were deaf, %d lost what they had, term %d after %d", running, len(deafened), lost, w.term(), term)
+					if running < 15 || len(deafened) < 2 || w.token() == term || d > workerLease+5*time.Second && lost == 0 {
+						t.Errorf("%d tasks ran, %d machines were deaf, %d lost what they had, term %d after %d", running, len(deafened), lost, w.token(), term)
 					}
 					w.finish(15 * time.Minute)
-					w.judge()
+					w.checkResults()
 				})
 			})
 		}
 	}
 }
 
-// meetings are what meets on the days of TestReportsMeet, beside what all such days have.
-var meetings = []trouble{
-	{"some machines are deaf", func(w *world, luck *rand.Rand, d time.Duration) {
-		for _, m := range w.workers() {
+// heartbeatFaults are what meets on the days of TestReportsMeet, beside what all such days have.
+var heartbeatFaults = []fault{
+	{"some machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
+		for _, m := range w.runningMachines() {
 			if luck.IntN(3) == 0 {
 				deaf(d, m)
 			}
 		}
 	}},
-	{"a machine is deaf while the leader ends", func(w *world, luck *rand.Rand, d time.Duration) {
-		if all := w.workers(); len(all) > 0 {
+	{"a machine is deaf while the leader ends", func(w *simulation, luck *rand.Rand, d time.Duration) {
+		if all := w.runningMachines(); len(all) > 0 {
 			deaf(d, all[luck.IntN(len(all))])
 		}
-		if i := w.leader(); i >= 0 {
+		if i := w.anyLeader(); i >= 0 {
 			time.AfterFunc(time.Duration(luck.IntN(6000))*time.Millisecond, func() { w.kill(i, 3*time.Second) })
 		}
 	}},
-	{"the leader ends twice", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"the leader ends twice", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 2 {
-			if i := w.leader(); i >= 0 {
+			if i := w.anyLeader(); i >= 0 {
 				w.kill(i, 3*time.Second)
 			}
 			time.Sleep(time.Duration(500+luck.IntN(5000)) * time.Millisecond)
 		}
 	}},
-	{"the leader loses the state service and its siblings", func(w *world, _ *rand.Rand, d time.Duration) {
-		if i := w.leader(); i >= 0 {
-			lasting(d, func(on bool) { w.cutOff(i, on) })
+	{"the leader loses the state service and its siblings", func(w *simulation, _ *rand.Rand, d time.Duration) {
+		if i := w.anyLeader(); i >= 0 {
+			during(d, func(on bool) { w.cutOff(i, on) })
 		}
 	}},
-	{"a machine hangs and goes on", func(w *world, luck *rand.Rand, _ time.Duration) {
-		if all := w.workers(); len(all) > 0 {
+	{"a machine hangs and goes on", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		if all := w.runningMachines(); len(all) > 0 {
 			all[luck.IntN(len(all))].Hang(time.Duration(2+luck.IntN(24)) * time.Second)
 		}
 	}},
-	{"a machine is taken", func(w *world, luck *rand.Rand, _ time.Duration) { w.cloud.Take(luck.IntN(8)) }},
-	{"the cloud is in trouble", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(d, func(on bool) { w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = on }) })
+	{"a machine is taken", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(luck.IntN(8)) }},
+	{"the cloud is in trouble", func(w *simulation, _ *rand.Rand, d time.Duration) {
+		during(d, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}},
-	{"many reports come again", func(w *world, luck *rand.Rand, d time.Duration) {
-		w.echo.Share(0.5)
-		time.AfterFunc(d, func() { w.echo.Share(0.1) })
+	{"many reports come again", func(w *simulation, luck *rand.Rand, d time.Duration) {
+		w.replayer.SetShare(0.5)
+		time.AfterFunc(d, func() { w.replayer.SetShare(0.1) })
 	}},
 }
 
@@ -212,15 +212,15 @@
 // late, direct calls are held up, machines are deaf or hang, and leaders end or are cut.
 // AMBERDEAL_DEAFS sets how many days, AMBERDEAL_DEAF plays one.
 func TestReportsMeet(t *testing.T) {
-	stallDays(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
-		luck := rand.New(rand.NewPCG(seed, 13))
-		keep := []int{0, 2, 200}[luck.IntN(3)]
-		silence := []time.Duration{0, time.Hour}[luck.IntN(2)]
-		by := []string{"off", "off", "zone"}[luck.IntN(3)]
-		w := newWorld(t, seed, 0.02*float64(luck.IntN(4)), func(c *config.Config) {
-			c.Tuning.KeepReports, c.Tuning.Silence, c.Tuning.Parts.By = keep, silence, by
+	playSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
+		rng := rand.New(rand.NewPCG(seed, 13))
+		keep := []int{0, 2, 200}[rng.IntN(3)]
+		silence := []time.Duration{0, time.Hour}[rng.IntN(2)]
+		by := []string{"off", "off", "zone"}[rng.IntN(3)]
+		w := newSimulation(t, seed, 0.02*float64(rng.IntN(4)), func(c *config.Config) {
+			c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, silence, by
 		})
-		w.echo.Share(0.1)
+		w.replayer.SetShare(0.1)
 		w.group.Add(1)
 		go func() {
 			defer w.group.Done()
@@ -228,23 +228,23 @@
 		}()
 		time.Sleep(10 * time.Second)
 		for range 14 {
-			x := meetings[luck.IntN(len(meetings))]
-			if luck.IntN(4) == 0 {
-				x = troubles[luck.IntN(len(troubles))]
+			x := heartbeatFaults[rng.IntN(len(heartbeatFaults))]
+			if rng.IntN(4) == 0 {
+				x = stallFaults[rng.IntN(len(stallFaults))]
 			}
-			d := time.Duration(1+luck.IntN(70)) * time.Second
+			d := time.Duration(1+rng.IntN(70)) * time.Second
 			log(x.name, d)
-			x.cast(w, luck, d)
-			time.Sleep(time.Duration(luck.IntN(12000)) * time.Millisecond)
+			x.apply(w, rng, d)
+			time.Sleep(time.Duration(rng.IntN(12000)) * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		w.echo.Share(0)
-		if w.echo.Came() < 5 {
-			t.Errorf("%d reports came again", w.echo.Came())
+		w.replayer.SetShare(0)
+		if w.replayer.Delivered() < 5 {
+			t.Errorf("%d reports came again", w.replayer.Delivered())
 		}
 		w.finish(20 * time.Minute)
-		w.judge()
-		if w.check.Started == 0 {
+		w.checkResults()
+		if w.checker.Started == 0 {
 			t.Error("no task was started")
 		}
 	})
@@ -258,8 +258,8 @@
 		t.Run(fmt.Sprint("the leader ends: ", ends), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const report = 6 * time.Second
-				w := newWorld(t, 33, 0, func(c *config.Config) { c.Workers.Report, c.Tuning.Idle = report, time.Hour })
-				w.machines(report, nil)
+				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.Idle = report, time.Hour })
+				w.reconfigureMachines(report, nil)
 				job := func(id string, shape wire.Shape, tasks int, gpus float64, run, until time.Duration) {
 					w.user(jobOf(id, shape, tasks, run, func(j *wire.Job) { j.Priority, j.GPUs = wire.Normal, gpus }), run, until)
 				}
@@ -267,26 +267,26 @@
 				time.Sleep(70 * time.Second)
 				job("wk-2", wire.Service, 4, 2, 24*time.Hour, 4*time.Minute)
 				time.Sleep(20 * time.Second)
-				all := w.workers()
+				all := w.runningMachines()
 				deaf(3*time.Minute, all[0]) // which is one that they are on
-				before := w.check.Running("wk-2")
+				before := w.checker.Running("wk-2")
 				if ends {
-					w.kill(w.leader(), 3*time.Second)
+					w.kill(w.anyLeader(), 3*time.Second)
 				}
 				time.Sleep(workerLease + 25*time.Second)
-				if n := w.check.Running("wk-2"); before != 4 || n != 4 || w.check.Stopped == 0 {
-					t.Errorf("%d of 4 replicas run, %d did before, %d were lost", n, before, w.check.Stopped)
+				if n := w.checker.Running("wk-2"); before != 4 || n != 4 || w.checker.Stopped == 0 {
+					t.Errorf("%d of 4 replicas run, %d did before, %d were lost", n, before, w.checker.Stopped)
 				}
 				begun := time.Now()
 				job("wk-3", wire.Gang, 8, 2, 20*time.Second, 0)
-				for w.check.Running("wk-3") < 8 && time.Since(begun) < time.Minute {
+				for w.checker.Running("wk-3") < 8 && time.Since(begun) < time.Minute {
 					time.Sleep(time.Second)
 				}
 				if late := time.Since(begun); late > 30*time.Second {
 					t.Errorf("a gang has begun after %v", late)
 				}
 				w.finish(15 * time.Minute)
-				w.judge()
+				w.checkResults()
 			})
 		})
 	}
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -29,28 +29,28 @@
 // controller confirms cancellations to users, and then the service is out for all. What the
 // holder does not know it can't stop, and each answer of its lets tasks live for another
 // lease: no renewal, which it may get in between, says anything of what it knows.
-type gap struct {
-	nodes         int
-	lease, cancel time.Duration // of workers, and for cancellations
-	by            string        // the fleet's parts
-	keep          int           // reports that the holder takes itself: 0 has all passed on by siblings
-	refused       time.Duration // before the cancellations are asked for; after it where it is negative
-	outage        time.Duration // after the confirmation
-	lasts         time.Duration
-	renews        time.Duration // before the outage the refusal ends, so that a renewal may get through; 0: it doesn't
-	again         time.Duration // after the outage another refusal with an outage follows; 0: none
-	with          string        // what meets it beside: words
-}
-
-func (g gap) String() string {
+type outageCase struct {
+	nodes             int
+	lease, cancel     time.Duration // of workers, and for cancellations
+	sharding          string        // the fleet's parts
+	directHeartbeats  int           // reports that the holder takes itself: 0 has all passed on by siblings
+	refusedFor        time.Duration // before the cancellations are asked for; after it where it is negative
+	outage            time.Duration // after the confirmation
+	outageLength      time.Duration
+	renewalWindow     time.Duration // before the outage the refusal ends, so that a renewal may get through; 0: it doesn't
+	secondOutageAfter time.Duration // after the outage another refusal with an outage follows; 0: none
+	extra             string        // what meets it beside: words
+}
+
+func (g outageCase) String() string {
 	return fmt.Sprintf("%d nodes %v/%v by=%s keep=%d refused=%v outage=%v lasts=%v renews=%v again=%v with=%q",
-		g.nodes, g.lease, g.cancel, g.by, g.keep, g.refused, g.outage, g.lasts, g.renews, g.again, g.with)
+		g.nodes, g.lease, g.cancel, g.sharding, g.directHeartbeats, g.refusedFor, g.outage, g.outageLength, g.renewalWindow, g.secondOutageAfter, g.extra)
 }
 
-func (g gap) has(word string) bool { return slices.Contains(strings.Fields(g.with), word) }
+func (g outageCase) hasExtra(word string) bool { return slices.Contains(strings.Fields(g.extra), word) }
 
-// withs are what may meet a gap beside.
-var withs = []string{
+// extraFaults are what may meet a gap beside.
+var extraFaults = []string{
 	"",
 	"asked",         // the abort's answer is lost; the user learns of it by asking another controller
 	"both",          // two controllers are asked to cancel at once
@@ -80,53 +80,53 @@
 	"loose apart cloud",
 }
 
-// tapped is an answer that a machine has taken in: from whom, and under which term.
-type tapped struct {
+// machineAnswer is an answer that a machine has taken in: from whom, and under which term.
+type machineAnswer struct {
 	at            time.Time
 	machine, node string
 	term          uint64
 }
 
-// watcher sees the answers that come to machines and where tasks are.
-type watcher struct {
+// answerWatcher sees the answers that come to machines and where tasks are.
+type answerWatcher struct {
 	*simulator.Checker
-	mu      sync.Mutex
-	answers []tapped
-	on      map[wire.TaskID]map[string]bool
-	left    map[string]time.Time // when the last task of a job was gone
-	gone    map[string]int       // how many were
+	mu         sync.Mutex
+	answers    []machineAnswer
+	placements map[wire.TaskID]map[string]bool
+	jobGoneAt  map[string]time.Time // when the last task of a job was gone
+	goneTasks  map[string]int       // how many were
 }
 
-func (g *watcher) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	run, ok := g.Checker.On(t, machine, typ, zone, spot)
+func (g *answerWatcher) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	run, ok := g.Checker.TaskStarted(t, machine, typ, zone, spot)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ok {
-		if g.on[t] == nil {
-			g.on[t] = map[string]bool{}
+		if g.placements[t] == nil {
+			g.placements[t] = map[string]bool{}
 		}
-		g.on[t][machine] = true
+		g.placements[t][machine] = true
 	}
 	return run, ok
 }
 
-func (g *watcher) Off(t wire.TaskID, machine string) {
-	g.Checker.Off(t, machine)
+func (g *answerWatcher) TaskStopped(t wire.TaskID, machine string) {
+	g.Checker.TaskStopped(t, machine)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.on[t][machine] {
-		delete(g.on[t], machine)
-		g.left[t.Job] = time.Now()
-		g.gone[t.Job]++
+	if g.placements[t][machine] {
+		delete(g.placements[t], machine)
+		g.jobGoneAt[t.Job] = time.Now()
+		g.goneTasks[t.Job]++
 	}
 }
 
 // machines names those that have tasks of jobs.
-func (g *watcher) machines(jobs []string) map[string]bool {
+func (g *answerWatcher) machines(jobs []string) map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
-	for t, where := range g.on {
+	for t, where := range g.placements {
 		for m := range where {
 			if slices.Contains(jobs, t.Job) {
 				out[m] = true
@@ -136,9 +136,9 @@
 	return out
 }
 
-// answered counts the answers under a term to some machines, from a time on, and names the
+// answersSince counts the answers under a term to some machines, from a time on, and names the
 // controllers by which they came.
-func (g *watcher) answered(from time.Time, term uint64, machines map[string]bool) (n int, by map[string]int) {
+func (g *answerWatcher) answersSince(from time.Time, term uint64, machines map[string]bool) (n int, by map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	by = map[string]int{}
@@ -151,99 +151,99 @@
 	return n, by
 }
 
-// tap is a machine's network, on which answers are seen.
-type tap struct {
+// tappedNetwork is a machine's network, on which answers are seen.
+type tappedNetwork struct {
 	transport.Network
 	machine string
-	seen    *watcher
+	watcher *answerWatcher
 }
 
-func (p tap) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (p tappedNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	c, err := p.Network.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return &tapConn{Conn: c, tap: p, node: simulator.HostOf(addr)}, nil
+	return &tappedConn{Conn: c, tap: p, node: simulator.HostOf(addr)}, nil
 }
 
-type tapConn struct {
+type tappedConn struct {
 	net.Conn
-	tap  tap
+	tap  tappedNetwork
 	node string
 	got  []byte
 }
 
-func (c *tapConn) Read(p []byte) (int, error) {
+func (c *tappedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.got = append(c.got, p[:n]...)
 	if r, e := httpwire.ReadResponse(bufio.NewReader(bytes.NewReader(c.got)), 8<<20); e == nil {
 		c.got = nil
-		var a wire.Answer
+		var a wire.HeartbeatResponse
 		if r.Status == 200 && wire.Decode(r.Body, &a) == nil {
-			c.tap.seen.mu.Lock()
-			c.tap.seen.answers = append(c.tap.seen.answers, tapped{time.Now(), c.tap.machine, c.node, a.Term})
-			c.tap.seen.mu.Unlock()
+			c.tap.watcher.mu.Lock()
+			c.tap.watcher.answers = append(c.tap.watcher.answers, machineAnswer{time.Now(), c.tap.machine, c.node, a.FencingToken})
+			c.tap.watcher.mu.Unlock()
 		}
 	}
 	return n, err
 }
 
-// gapWorld is a world in which each controller has a way of its own to the state service.
-type gapWorld struct {
-	*world
-	gap     gap
-	seen    *watcher
-	mu      sync.Mutex
-	workers map[string]*simulator.Worker
-	held    time.Duration     // for which direct calls are held up now
-	stuck   int               // that were
-	gone    bool              // the outage has begun
-	blind   map[int]bool      // controllers that get no answer to a read
-	renewed map[int]time.Time // when the lease of each was last renewed
-	told    map[string]time.Time
+// outageSimulation is a world in which each controller has a way of its own to the state service.
+type outageSimulation struct {
+	*simulation
+	outageCase     outageCase
+	watcher        *answerWatcher
+	mu             sync.Mutex
+	workers        map[string]*simulator.Worker
+	callDelay      time.Duration     // for which direct calls are held up now
+	heldCalls      int               // that were
+	outageBegun    bool              // the outage has begun
+	readsBlocked   map[int]bool      // controllers that get no answer to a read
+	leaseRenewedAt map[int]time.Time // when the lease of each was last renewed
+	confirmedAt    map[string]time.Time
 }
 
-const gapUser = "10.3.0.9"
+const userHost = "10.3.0.9"
 
-func newGapWorld(t *testing.T, g gap, seed uint64) *gapWorld {
-	w := &gapWorld{gap: g, workers: map[string]*simulator.Worker{}, blind: map[int]bool{}, renewed: map[int]time.Time{}, told: map[string]time.Time{}}
-	w.world = newWorldOf(t, g.nodes, seed, 0, func(c *config.Config) {
+func newOutageSimulation(t *testing.T, g outageCase, seed uint64) *outageSimulation {
+	w := &outageSimulation{outageCase: g, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
+	w.simulation = newSimulationOf(t, g.nodes, seed, 0, func(c *config.Config) {
 		c.Workers.Lease, c.Workers.Cancel = g.lease, g.cancel
-		c.Tuning.KeepReports = g.keep
-		if g.by != "" {
-			c.Tuning.Parts.By = g.by
+		c.Tuning.DirectHeartbeats = g.directHeartbeats
+		if g.sharding != "" {
+			c.Tuning.Shards.By = g.sharding
 		}
 		c.StoreAddr = strings.Replace(strings.Replace(c.PublicAddr, "10.0.0.", "10.2.1.", 1), ":8080", ":2379", 1)
 	})
 	for i := range g.nodes {
 		addr := fmt.Sprintf("10.2.1.%d:2379", i+1)
-		go w.net.Host(simulator.HostOf(addr)).Listen(w.ctx, addr, 0, w.front(i))
+		go w.net.Host(simulator.HostOf(addr)).Listen(w.ctx, addr, 0, w.stateProxy(i))
 	}
-	w.check.Cancel = g.cancel
-	w.seen = &watcher{Checker: w.check, on: map[wire.TaskID]map[string]bool{}, left: map[string]time.Time{}, gone: map[string]int{}}
+	w.checker.CancelWithin = g.cancel
+	w.watcher = &answerWatcher{Checker: w.checker, placements: map[wire.TaskID]map[string]bool{}, jobGoneAt: map[string]time.Time{}, goneTasks: map[string]int{}}
 	names := map[string]string{}
 	for i := range g.nodes {
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
-	yard := simulator.NewYard(w.seen, 20*time.Second, 3*time.Second)
+	yard := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
 	held := func() time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.held > 0 {
-			w.stuck++
+		if w.callDelay > 0 {
+			w.heldCalls++
 		}
-		return w.held
+		return w.callDelay
 	}
-	w.cloud.Fail(func(*simulator.CloudFaults) { // no machine has started yet
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { // no machine has started yet
 		w.cloud.Start = func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			host := simulator.HostOf(addr)
-			w.net.Place(host, zone)
+			w.net.SetZone(host, zone)
 			pull := 1.0
 			if zone == "b" {
 				pull = 5 // so that of a gang over both zones some wait for the others
 			}
-			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tap{w.net.Host(host), id, w.seen},
-				Down: func() { w.net.Down(host, true) }, Controllers: names, Yard: yard, Lease: g.lease, Report: 2 * time.Second, Late: held, Pull: pull})
+			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tappedNetwork{w.net.Host(host), id, w.watcher},
+				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: yard, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: held, FetchFactor: pull})
 			w.mu.Lock()
 			w.workers[id] = m
 			w.mu.Unlock()
@@ -254,8 +254,8 @@
 }
 
 // ask asks a controller once.
-func (w *gapWorld) ask(i int, method, path string, body []byte) (status int, s wire.JobStatus) {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host(gapUser).Dial}
+func (w *outageSimulation) ask(i int, method, path string, body []byte) (status int, s wire.JobStatus) {
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host(userHost).Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	resp, err := caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
@@ -266,12 +266,12 @@
 	return resp.Status, s
 }
 
-func (w *gapWorld) submitTo(i int, j *wire.Job) {
-	w.check.Submitted(j, 24*time.Hour)
+func (w *outageSimulation) submitTo(i int, j *wire.Job) {
+	w.checker.Submitted(j, 24*time.Hour)
 	for w.ctx.Err() == nil {
 		if status, s := w.ask(i, "POST", wire.PathJobs, wire.Encode(j)); status == 200 || status == 201 {
-			w.check.Told(j.ID, status, s.Stage, false)
-			w.follow(j.ID)
+			w.checker.ObserveAnswer(j.ID, status, s.Stage, false)
+			w.pollUntilOver(j.ID)
 			return
 		}
 		time.Sleep(time.Second)
@@ -279,21 +279,21 @@
 }
 
 // confirm cancels a job at some controllers, in turn, until its user is told so.
-func (w *gapWorld) confirm(id string, nodes ...int) {
+func (w *outageSimulation) confirm(id string, nodes ...int) {
 	path := wire.PathJobs + "/" + id
 	for try := 0; w.ctx.Err() == nil && try < 400; try++ {
 		status, s := 0, wire.JobStatus{}
 		at := nodes[try%len(nodes)]
-		if asks := w.gap.has("asked"); asks && try%2 == 1 {
+		if asks := w.outageCase.hasExtra("asked"); asks && try%2 == 1 {
 			status, s = w.ask(at, "GET", path, nil)
 		} else if status, s = w.ask(at, "POST", path+"/"+wire.CancelWord, []byte{}); asks {
 			continue // the answer is lost: what the abort came to is asked elsewhere
 		}
 		if status == 200 && s.Stage == wire.Cancelled {
-			w.check.Told(id, status, s.Stage, true)
+			w.checker.ObserveAnswer(id, status, s.Stage, true)
 			w.mu.Lock()
-			if w.told[id].IsZero() {
-				w.told[id] = time.Now()
+			if w.confirmedAt[id].IsZero() {
+				w.confirmedAt[id] = time.Now()
 			}
 			w.mu.Unlock()
 			return
@@ -307,44 +307,46 @@
 	}
 }
 
-// leader tells who holds the first part, and its term.
-func (w *gapWorld) leader() (i int, term uint64) {
-	items := w.store.Page(store.PartKey(""), "", 0).Items
+// firstLeader tells who holds the first part, and its term.
+func (w *outageSimulation) firstLeader() (i int, term uint64) {
+	items := w.store.Page(store.LeaderKey(""), "", 0).Items
 	if len(items) == 0 {
 		return -1, 0
 	}
-	var rec store.PartRecord
+	var rec store.LeaderRecord
 	_ = wire.DecodeValue(items[0].Value, &rec)
-	i, _ = strconv.Atoi(strings.TrimPrefix(rec.Holder, "c-"))
-	return i, rec.Term
+	i, _ = strconv.Atoi(strings.TrimPrefix(rec.Leader, "c-"))
+	return i, rec.FencingToken
 }
 
-func (w *gapWorld) lost() (n int) {
+func (w *outageSimulation) lostLeases() (n int) {
 	w.mu.Lock()
 	all := slices.Collect(maps.Values(w.workers))
 	w.mu.Unlock()
 	for _, m := range all {
-		n += m.Lost()
+		n += m.ExpiredLeases()
 	}
 	return n
 }
 
-// front is a controller's way to the state service. Renewals that are answered are noted, and
+// stateProxy is a controller's way to the state service. Renewals that are answered are noted, and
 // while the controller is blind no answer to a read gets through: the service is slow, or what
 // lies between holds it up.
-func (w *gapWorld) front(i int) transport.ServeConn {
-	serve := w.store.ServeTo(w.ip(i))
-	return func(ctx context.Context, s transport.Stream) { serve(ctx, &fronted{Stream: s, world: w, node: i}) }
+func (w *outageSimulation) stateProxy(i int) transport.ServeConn {
+	serve := w.store.ServeCaller(w.ip(i))
+	return func(ctx context.Context, s transport.Stream) {
+		serve(ctx, &proxiedStream{Stream: s, world: w, node: i})
+	}
 }
 
-type fronted struct {
+type proxiedStream struct {
 	transport.Stream
-	world       *gapWorld
+	world       *outageSimulation
 	node        int
 	read, renew bool // what was asked last
 }
 
-func (f *fronted) Read(p []byte) (int, error) {
+func (f *proxiedStream) Read(p []byte) (int, error) {
 	n, err := f.Stream.Read(p)
 	if line, _, ok := bytes.Cut(p[:n], []byte("\r\n")); ok && bytes.HasSuffix(line, []byte(" HTTP/1.1")) {
 		f.read, f.renew = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
@@ -352,47 +354,47 @@
 	return n, err
 }
 
-func (f *fronted) Write(p []byte) (int, error) {
+func (f *proxiedStream) Write(p []byte) (int, error) {
 	w := f.world
-	if f.read && w.isBlind(f.node) && w.gap.has("lagging") {
-		time.Sleep(lag)
+	if f.read && w.areReadsBlocked(f.node) && w.outageCase.hasExtra("lagging") {
+		time.Sleep(readLag)
 	}
-	for f.read && w.isBlind(f.node) && w.ctx.Err() == nil && (!w.gap.has("lagging") || w.out()) {
+	for f.read && w.areReadsBlocked(f.node) && w.ctx.Err() == nil && (!w.outageCase.hasExtra("lagging") || w.inOutage()) {
 		time.Sleep(50 * time.Millisecond)
 	}
 	if f.renew && bytes.HasPrefix(p, []byte("HTTP/1.1 200")) {
 		w.mu.Lock()
-		w.renewed[f.node] = time.Now()
+		w.leaseRenewedAt[f.node] = time.Now()
 		w.mu.Unlock()
 	}
 	return f.Stream.Write(p)
 }
 
-// lag is by how much the answers to a holder's reads are late.
-const lag = 2300 * time.Millisecond
+// readLag is by how much the answers to a holder's reads are late.
+const readLag = 2300 * time.Millisecond
 
-// out reports whether the outage has begun.
-func (w *gapWorld) out() bool {
+// inOutage reports whether the outage has begun.
+func (w *outageSimulation) inOutage() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.gone
+	return w.outageBegun
 }
 
-func (w *gapWorld) isBlind(i int) bool {
+func (w *outageSimulation) areReadsBlocked(i int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.blind[i]
+	return w.readsBlocked[i]
 }
 
-func (w *gapWorld) blinded(i int, blind bool) {
+func (w *outageSimulation) setReadsBlocked(i int, blind bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.blind[i] = blind
+	w.readsBlocked[i] = blind
 }
 
-// gapJobs are tasks of every kind: that run, wait for their gang, and, of the last ones, that
+// outageJobs are tasks of every kind: that run, wait for their gang, and, of the last ones, that
 // are yet to come.
-func gapJobs(now bool) []*wire.Job {
+func outageJobs(now bool) []*wire.Job {
 	job := func(id string, shape wire.Shape, tasks int, gpus float64, image string, gb float64) *wire.Job {
 		return &wire.Job{ID: id, Class: "c", Team: "blue", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 0.5, GPUs: gpus, MemoryGB: 1, Image: image, ImageGB: gb, EstimateS: 60, Spot: true}
 	}
@@ -408,66 +410,66 @@
 	return []*wire.Job{gang, job("wk-000004", wire.Array, 4, 0.25, "large", 30), job("wk-000006", wire.Array, 4, 0.25, "small", 0)}
 }
 
-// gapMet is what a gap has brought about.
-type gapMet struct {
-	direct, passed int                    // answers of the holder that was refused, after the confirmation, to machines with such tasks
-	room           time.Duration          // that was left when the last task was gone
-	rest, killed   int                    // tasks that nobody cancelled, and how many of them were gone before the service was back
-	lost           int                    // leases that ran out
-	renewed        time.Duration          // from the refusal to the last renewal of the holder before the service was back
-	stuck          int                    // direct calls that were held up
-	states         map[wire.TaskState]int // of the tasks when they were cancelled
+// outageResult is what a gap has brought about.
+type outageResult struct {
+	directAnswers, relayedAnswers       int                    // answers of the holder that was refused, after the confirmation, to machines with such tasks
+	remainingTime                       time.Duration          // that was left when the last task was gone
+	uncancelledTasks, uncancelledKilled int                    // tasks that nobody cancelled, and how many of them were gone before the service was back
+	lostLeases                          int                    // leases that ran out
+	lastRenewalAfter                    time.Duration          // from the refusal to the last renewal of the holder before the service was back
+	heldCalls                           int                    // direct calls that were held up
+	taskStates                          map[wire.TaskState]int // of the tasks when they were cancelled
 }
 
-// part cuts the siblings of a controller from it and from the machines, or it from the
+// partitionMachines cuts the siblings of a controller from it and from the machines, or it from the
 // machines.
-func (w *gapWorld) part(leader int, others []int, on bool) {
+func (w *outageSimulation) partitionMachines(leader int, others []int, on bool) {
 	for _, host := range w.everyMachine() {
-		if w.gap.has("passed") {
-			w.net.Cut(w.ip(leader), host, on)
+		if w.outageCase.hasExtra("passed") {
+			w.net.Partition(w.ip(leader), host, on)
 		}
 		for _, i := range others {
-			if w.gap.has("apart") {
-				w.net.Cut(w.ip(i), host, on)
+			if w.outageCase.hasExtra("apart") {
+				w.net.Partition(w.ip(i), host, on)
 			}
 		}
 	}
 	for _, i := range others {
-		if w.gap.has("apart") {
-			w.net.Cut(w.ip(leader), w.ip(i), on)
+		if w.outageCase.hasExtra("apart") {
+			w.net.Partition(w.ip(leader), w.ip(i), on)
 		}
 	}
 }
 
-// launch has jobs be cancelled while their tasks wait for the others or for an image, and a
+// prepareTasks has jobs be cancelled while their tasks wait for the others or for an image, and a
 // machine be taken, so that tasks save. Then it has a job begin; if its direct launches are to be
 // held up for a while, it returns as soon as one is.
-func (w *gapWorld) launch(at int, jobs []*wire.Job, stuck time.Duration) {
+func (w *outageSimulation) prepareTasks(at int, jobs []*wire.Job, stuck time.Duration) {
 	begin := jobs[len(jobs)-1]
 	for _, j := range jobs[:len(jobs)-1] {
 		w.submitTo(at, j)
 	}
 	time.Sleep(7 * time.Second)
-	for id := range w.seen.machines([]string{"wk-000005"}) {
+	for id := range w.watcher.machines([]string{"wk-000005"}) {
 		w.mu.Lock()
 		m := w.workers[id]
 		w.mu.Unlock()
 		m.Notice(2 * time.Minute)
 		break
 	}
-	if !w.gap.has("loose") {
+	if !w.outageCase.hasExtra("loose") {
 		w.submitTo(at, begin)
 		time.Sleep(2 * time.Second)
 		return
 	}
 	time.Sleep(2 * time.Second)
 	w.mu.Lock()
-	w.held = stuck
+	w.callDelay = stuck
 	w.mu.Unlock()
 	w.submitTo(at, begin)
 	for range 150 {
 		w.mu.Lock()
-		n := w.stuck
+		n := w.heldCalls
 		w.mu.Unlock()
 		if n > 0 {
 			return
@@ -477,17 +479,17 @@
 }
 
 // states counts the tasks of jobs by what they do, as the machines say.
-func (w *gapWorld) states(jobs []string) map[wire.TaskState]int {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
+func (w *outageSimulation) states(jobs []string) map[wire.TaskState]int {
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	out := map[wire.TaskState]int{}
 	for _, host := range w.everyMachine() {
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-		resp, err := caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathInspect, nil)
+		resp, err := caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathStatus, nil)
 		cancel()
 		if err != nil {
 			continue
 		}
-		if r, err := wire.DecodeReport(resp.Body); err == nil {
+		if r, err := wire.DecodeHeartbeat(resp.Body); err == nil {
 			for _, t := range r.Tasks {
 				if slices.Contains(jobs, t.ID.Job) {
 					out[t.State]++
@@ -498,123 +500,123 @@
 	return out
 }
 
-// watch has machines look whether their lease has run out, which they otherwise do when
+// watchLeases has machines look whether their lease has run out, which they otherwise do when
 // they report; a call that hangs would keep them from it.
-func (w *gapWorld) watch(d time.Duration) {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
+func (w *outageSimulation) watchLeases(d time.Duration) {
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
 		for _, host := range w.everyMachine() {
 			ctx, cancel := context.WithTimeout(w.ctx, time.Second)
-			_, _ = caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathInspect, nil)
+			_, _ = caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathStatus, nil)
 			cancel()
 		}
 	}
 }
 
-// befall brings what meets a gap beside, once cancellations were confirmed.
-func (w *gapWorld) befall(leader int, others []int, luck *rand.Rand) {
-	g, ip := w.gap, w.ip(leader)
-	still := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Still(ip, d) }) }
+// applyExtraFaults brings what meets a gap beside, once cancellations were confirmed.
+func (w *outageSimulation) applyExtraFaults(leader int, others []int, rng *rand.Rand) {
+	g, ip := w.outageCase, w.ip(leader)
+	still := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Pause(ip, d) }) }
 	switch {
-	case g.has("crash"):
+	case g.hasExtra("crash"):
 		for _, i := range others {
 			w.crash(i, 100*time.Millisecond, 0)
 		}
-	case g.has("crash-leader"):
+	case g.hasExtra("crash-leader"):
 		w.group.Add(1)
 		time.AfterFunc(g.outage/2+2*time.Second, func() {
 			defer w.group.Done()
 			w.crash(leader, 100*time.Millisecond, 0)
 		})
-	case g.has("still"):
-		still(2500*time.Millisecond, time.Duration(2+luck.IntN(25))*time.Second)
-	case g.has("still-twice"):
+	case g.hasExtra("still"):
+		still(2500*time.Millisecond, time.Duration(2+rng.IntN(25))*time.Second)
+	case g.hasExtra("still-twice"):
 		for k := range 8 {
 			still(2500*time.Millisecond+time.Duration(k)*4*time.Second, 3800*time.Millisecond)
 		}
-	case g.has("held"):
+	case g.hasExtra("held"):
 		time.AfterFunc(2500*time.Millisecond, func() {
 			for i := range g.nodes {
-				w.net.Hold(w.ip(i), time.Duration(1+luck.IntN(12))*time.Second)
+				w.net.Hold(w.ip(i), time.Duration(1+rng.IntN(12))*time.Second)
 			}
 		})
 	}
-	if g.has("slow") {
-		steps := rand.New(rand.NewPCG(luck.Uint64(), 7))
-		w.net.Slow(ip, func() time.Duration { return time.Duration(w.draw(steps, 900)) * time.Millisecond })
-		time.AfterFunc(max(g.lasts, 30*time.Second), func() { w.net.Slow(ip, nil) })
+	if g.hasExtra("slow") {
+		steps := rand.New(rand.NewPCG(rng.Uint64(), 7))
+		w.net.SetStepDelay(ip, func() time.Duration { return time.Duration(w.draw(steps, 900)) * time.Millisecond })
+		time.AfterFunc(max(g.outageLength, 30*time.Second), func() { w.net.SetStepDelay(ip, nil) })
 	}
 }
 
-// deafen keeps every second machine from hearing any controller, for a while.
-func (w *gapWorld) deafen(d time.Duration) {
+// deafenHalf keeps every second machine from hearing any controller, for a while.
+func (w *outageSimulation) deafenHalf(d time.Duration) {
 	for k, host := range w.everyMachine() {
-		for i := range w.gap.nodes {
+		for i := range w.outageCase.nodes {
 			if k%2 == 0 {
-				lasting(d, func(on bool) { w.net.Lose(w.ip(i), host, on) })
+				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
 			}
 		}
 	}
 }
 
-// delay has the first transaction of a batch from now on stay without an answer, and be carried
+// delayNextCommit has the first transaction of a batch from now on stay without an answer, and be carried
 // out a second later.
-func (w *gapWorld) delay() {
-	w.store.Stage(func(s *simulator.Store) {
+func (w *outageSimulation) delayNextCommit() {
+	w.store.Configure(func(s *simulator.StateService) {
 		first := true
-		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
+		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
 			for key := range puts {
 				if first && store.Kind(key) == "batch" {
 					first = false
-					return simulator.Late
+					return simulator.FateDelayed
 				}
 			}
-			return simulator.Answered
+			return simulator.FateAnswered
 		}
 	})
 }
 
-// outage plays the outage of the state service, from the confirmation on.
-func (w *gapWorld) outage(ip string, first bool) {
-	g := w.gap
+// playOutage plays the outage of the state service, from the confirmation on.
+func (w *outageSimulation) playOutage(ip string, first bool) {
+	g := w.outageCase
 	switch {
-	case g.refused < 0 && first:
-		time.Sleep(min(-g.refused, g.outage))
-		w.store.Refuse(ip, true)
-		time.Sleep(max(0, g.outage+g.refused))
-	case g.renews > 0 && g.renews < g.outage:
-		time.Sleep(g.outage - g.renews)
-		w.store.Refuse(ip, false)
-		time.Sleep(g.renews)
+	case g.refusedFor < 0 && first:
+		time.Sleep(min(-g.refusedFor, g.outage))
+		w.store.RefuseCaller(ip, true)
+		time.Sleep(max(0, g.outage+g.refusedFor))
+	case g.renewalWindow > 0 && g.renewalWindow < g.outage:
+		time.Sleep(g.outage - g.renewalWindow)
+		w.store.RefuseCaller(ip, false)
+		time.Sleep(g.renewalWindow)
 	default:
 		time.Sleep(g.outage)
 	}
-	if g.lasts > 0 {
-		w.store.Outage(true)
+	if g.outageLength > 0 {
+		w.store.SetOutage(true)
 	}
 	w.mu.Lock()
-	w.gone = true
+	w.outageBegun = true
 	w.mu.Unlock()
-	w.store.Refuse(ip, false)
-	time.Sleep(g.lasts)
-	w.store.Outage(false)
+	w.store.RefuseCaller(ip, false)
+	time.Sleep(g.outageLength)
+	w.store.SetOutage(false)
 }
 
-// play brings a gap about and has the rules judged.
-func (g gap) play(t *testing.T, seed uint64) (m gapMet) {
-	w := newGapWorld(t, g, seed)
+// run brings a gap about and has the rules judged.
+func (g outageCase) run(t *testing.T, seed uint64) (m outageResult) {
+	w := newOutageSimulation(t, g, seed)
 	time.Sleep(8 * time.Second)
 	var rest []string // that nobody cancels, and that all ask about
 	for i := range 6 {
 		rest = append(rest, fmt.Sprint("wk-00001", i))
 		w.submitTo(i%g.nodes, &wire.Job{ID: rest[i], Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 0.5, GPUs: 0.25, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true})
 	}
-	jobs, last := gapJobs(true), gapJobs(false)
+	jobs, last := outageJobs(true), outageJobs(false)
 	for _, j := range jobs {
 		w.submitTo(1, j)
 	}
 	time.Sleep(25 * time.Second)
-	leader, term := w.leader()
+	leader, term := w.firstLeader()
 	if leader < 0 || len(w.workers) == 0 {
 		t.Fatal("nobody holds the fleet, or there is no machine")
 	}
@@ -625,124 +627,124 @@
 		}
 	}
 	// These are launched while the holder is served, or just before it is refused.
-	w.launch(others[0], last, g.cancel+max(g.refused, 0)+5*time.Second)
-	w.part(leader, others, true)
-	if g.has("cloud") {
-		w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = true })
+	w.prepareTasks(others[0], last, g.cancel+max(g.refusedFor, 0)+5*time.Second)
+	w.partitionMachines(leader, others, true)
+	if g.hasExtra("cloud") {
+		w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
 	}
-	w.blinded(leader, g.has("blind"))
-	if g.refused >= 0 {
-		w.store.Refuse(w.ip(leader), !g.has("blind"))
+	w.setReadsBlocked(leader, g.hasExtra("blind"))
+	if g.refusedFor >= 0 {
+		w.store.RefuseCaller(w.ip(leader), !g.hasExtra("blind"))
 	}
 	refused := time.Now()
-	time.Sleep(max(g.refused, 0))
+	time.Sleep(max(g.refusedFor, 0))
 	w.mu.Lock()
-	w.held, m.stuck = 0, w.stuck
+	w.callDelay, m.heldCalls = 0, w.heldCalls
 	w.mu.Unlock()
-	if g.has("deaf") {
-		w.deafen(30 * time.Second)
+	if g.hasExtra("deaf") {
+		w.deafenHalf(30 * time.Second)
 	}
-	if g.has("late") {
-		w.delay()
+	if g.hasExtra("late") {
+		w.delayNextCommit()
 	}
 	var ids []string
 	for _, j := range append(jobs, last...) {
 		ids = append(ids, j.ID)
 	}
-	on := w.seen.machines(ids)
-	m.states = w.states(ids)
+	on := w.watcher.machines(ids)
+	m.taskStates = w.states(ids)
 	var told sync.WaitGroup
 	for k, id := range ids {
 		a, b := others[k%len(others)], others[(k+1)%len(others)]
 		told.Go(func() { w.confirm(id, a, b) })
-		if g.has("both") {
+		if g.hasExtra("both") {
 			told.Go(func() { w.confirm(id, b, a) })
 		}
 	}
 	told.Wait()
 	confirmed := time.Now()
-	w.store.Stage(func(s *simulator.Store) { s.Meets = nil })
-	m.rest, m.killed = len(rest), -w.seen.went(rest)
-	w.befall(leader, others, rand.New(rand.NewPCG(seed, 8)))
-	time.AfterFunc(g.lease, func() { w.watch(g.cancel - g.lease + time.Second) })
-	w.outage(w.ip(leader), true)
+	w.store.Configure(func(s *simulator.StateService) { s.FateOf = nil })
+	m.uncancelledTasks, m.uncancelledKilled = len(rest), -w.watcher.goneCount(rest)
+	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
+	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancel - g.lease + time.Second) })
+	w.playOutage(w.ip(leader), true)
 	w.mu.Lock()
-	m.renewed = w.renewed[leader].Sub(refused)
+	m.lastRenewalAfter = w.leaseRenewedAt[leader].Sub(refused)
 	w.mu.Unlock()
-	w.blinded(leader, false)
-	if g.again > 0 {
-		time.Sleep(g.again)
-		w.store.Refuse(w.ip(leader), true)
+	w.setReadsBlocked(leader, false)
+	if g.secondOutageAfter > 0 {
+		time.Sleep(g.secondOutageAfter)
+		w.store.RefuseCaller(w.ip(leader), true)
 		time.Sleep(time.Second)
-		w.outage(w.ip(leader), false)
+		w.playOutage(w.ip(leader), false)
 	}
-	m.killed += w.seen.went(rest)
+	m.uncancelledKilled += w.watcher.goneCount(rest)
 	time.Sleep(max(0, g.cancel+15*time.Second-time.Since(confirmed))) // what was held up has come, and an image since
 	from := confirmed
-	if g.refused > g.cancel-g.lease-13*time.Second || g.has("apart") { // it may have stopped by then
+	if g.refusedFor > g.cancel-g.lease-13*time.Second || g.hasExtra("apart") { // it may have stopped by then
 		from = refused
 	}
-	all, by := w.seen.answered(from, term, on)
-	m.direct = by[w.ip(leader)]
-	m.passed = all - m.direct
-	w.part(leader, others, false)
-	w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = false })
-	m.room = w.room()
-	m.lost = w.lost()
-	w.calm()
+	all, by := w.watcher.answersSince(from, term, on)
+	m.directAnswers = by[w.ip(leader)]
+	m.relayedAnswers = all - m.directAnswers
+	w.partitionMachines(leader, others, false)
+	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = false })
+	m.remainingTime = w.remainingTime()
+	m.lostLeases = w.lostLeases()
+	w.declareQuiet()
 	time.Sleep(10 * time.Second)
-	w.gap.with = ""
+	w.outageCase.extra = ""
 	for _, id := range rest {
 		w.confirm(id, 0, 1)
 	}
 	w.finish(10 * time.Minute)
-	w.judge()
+	w.checkResults()
 	return m
 }
 
-// missed says why what was to meet has not met, or nothing.
-func (g gap) missed(m gapMet) string {
+// unmetConditions says why what was to meet has not met, or nothing.
+func (g outageCase) unmetConditions(m outageResult) string {
 	switch {
-	case m.direct+m.passed == 0 && g.cancel-g.lease >= 10*time.Second:
+	case m.directAnswers+m.relayedAnswers == 0 && g.cancel-g.lease >= 10*time.Second:
 		return "the holder that was refused answered no machine with a cancelled task"
-	case g.has("apart") && m.direct == 0:
+	case g.hasExtra("apart") && m.directAnswers == 0:
 		return "no answer came straight from the holder"
-	case g.has("passed") && m.passed == 0:
+	case g.hasExtra("passed") && m.relayedAnswers == 0:
 		return "no answer came by a sibling"
-	case g.has("blind") && m.renewed < g.refused+g.outage-4*time.Second:
+	case g.hasExtra("blind") && m.lastRenewalAfter < g.refusedFor+g.outage-4*time.Second:
 		return "the holder that read nothing did not renew its lease"
-	case g.has("loose") && m.stuck == 0:
+	case g.hasExtra("loose") && m.heldCalls == 0:
 		return "no direct call was held up"
 	}
 	return ""
 }
 
-// went counts the tasks of jobs that have gone.
-func (g *watcher) went(jobs []string) (n int) {
+// goneCount counts the tasks of jobs that have gone.
+func (g *answerWatcher) goneCount(jobs []string) (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, id := range jobs {
-		n += g.gone[id]
+		n += g.goneTasks[id]
 	}
 	return n
 }
 
-// room is what was left of the time for cancellations when the last task was gone.
-func (w *gapWorld) room() time.Duration {
-	w.seen.mu.Lock()
-	defer w.seen.mu.Unlock()
-	room := w.gap.cancel
-	for id, at := range w.seen.left {
-		if told := w.told[id]; !told.IsZero() {
-			room = min(room, w.gap.cancel-at.Sub(told))
+// remainingTime is what was left of the time for cancellations when the last task was gone.
+func (w *outageSimulation) remainingTime() time.Duration {
+	w.watcher.mu.Lock()
+	defer w.watcher.mu.Unlock()
+	room := w.outageCase.cancel
+	for id, at := range w.watcher.jobGoneAt {
+		if told := w.confirmedAt[id]; !told.IsZero() {
+			room = min(room, w.outageCase.cancel-at.Sub(told))
 		}
 	}
 	return room
 }
 
-// gaps lists all that are played, each time in the same order, in which every part of the list
+// outageCases lists all that are played, each time in the same order, in which every part of the list
 // is a fair sample.
-func gaps() (all []gap) {
+func outageCases() (all []outageCase) {
 	s, ms := time.Second, time.Millisecond
 	for _, nodes := range []int{3, 5} {
 		for _, times := range [][2]time.Duration{{20 * s, 45 * s}, {31 * s, 56 * s}, {36 * s, 61 * s}, {20 * s, 35 * s}, {20 * s, 30 * s}, {20 * s, 27 * s}} {
@@ -753,9 +755,9 @@
 							for _, lasts := range []time.Duration{0, times[0] - 8*s, times[0] + s, times[1] - s, times[1] + 3*s, times[1] + 40*s} {
 								for _, renews := range []time.Duration{0, 50 * ms, 150 * ms, 350 * ms, s} {
 									for _, again := range []time.Duration{0, 300 * ms, 3 * s} {
-										for _, with := range withs {
-											g := gap{nodes, times[0], times[1], by, keep, refused, outage, lasts, renews, again, with}
-											if g.sound() {
+										for _, with := range extraFaults {
+											g := outageCase{nodes, times[0], times[1], by, keep, refused, outage, lasts, renews, again, with}
+											if g.feasible() {
 												all = append(all, g)
 											}
 										}
@@ -772,21 +774,21 @@
 	return all
 }
 
-// sound leaves out what can't meet: a holder that is refused for long is replaced, unless the
+// feasible leaves out what can't meet: a holder that is refused for long is replaced, unless the
 // others don't reach the machines.
-func (g gap) sound() bool {
+func (g outageCase) feasible() bool {
 	room := g.cancel - g.lease
-	return (g.refused <= 5*time.Second && !g.has("apart") || g.refused >= 0 && g.has("apart")) && g.refused < max(room-9*time.Second, time.Second) && (room > 15*time.Second || !g.has("apart")) &&
-		(g.outage <= 5*time.Second || g.has("blind")) && (!g.has("blind") || g.refused >= 0 && g.renews == 0 && g.again == 0) &&
-		(g.renews == 0 || g.refused >= 0 && g.renews < g.outage) &&
-		(g.lasts > 0 || g.has("loose") && g.again == 0 && g.refused < 0)
+	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(room-9*time.Second, time.Second) && (room > 15*time.Second || !g.hasExtra("apart")) &&
+		(g.outage <= 5*time.Second || g.hasExtra("blind")) && (!g.hasExtra("blind") || g.refusedFor >= 0 && g.renewalWindow == 0 && g.secondOutageAfter == 0) &&
+		(g.renewalWindow == 0 || g.refusedFor >= 0 && g.renewalWindow < g.outage) &&
+		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
 // TestGap plays a fixed set of gaps. AMBERDEAL_GAPS sets how many of all are played instead,
 // from the one on that AMBERDEAL_GAP names.
 func TestGap(t *testing.T) {
 	s, ms := time.Second, time.Millisecond
-	list := []gap{
+	list := []outageCase{
 		{3, 20 * s, 45 * s, "", 200, 2 * s, s, 60 * s, 0, 0, ""},
 		{5, 20 * s, 45 * s, "zone", 0, 4 * s, 500 * ms, 48 * s, 0, 0, "asked"},
 		{3, 31 * s, 56 * s, "", 200, 0, 0, 60 * s, 0, 0, "both"},
@@ -810,11 +812,11 @@
 	first, fixed := 0, os.Getenv("AMBERDEAL_GAP")+os.Getenv("AMBERDEAL_GAPS") == ""
 	if text := os.Getenv("AMBERDEAL_GAP"); text != "" {
 		first, _ = strconv.Atoi(text)
-		list = gaps()[first : first+1]
+		list = outageCases()[first : first+1]
 	}
 	if text := os.Getenv("AMBERDEAL_GAPS"); text != "" {
 		n, _ := strconv.Atoi(text)
-		all := gaps()
+		all := outageCases()
 		list = all[first:min(first+n, len(all))]
 		t.Logf("%d of %d", len(list), len(all))
 	}
@@ -822,17 +824,17 @@
 	for i, g := range list {
 		t.Run(fmt.Sprint("gap ", first+i), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := g.play(t, uint64(first+i))
+				m := g.run(t, uint64(first+i))
 				t.Logf("%v: answers %d direct, %d passed; room %v; %d of %d others killed; %d leases lost; %d calls stuck; %v",
-					g, m.direct, m.passed, m.room.Round(10*time.Millisecond), m.killed, m.rest, m.lost, m.stuck, m.states)
-				if why := g.missed(m); why != "" && fixed {
+					g, m.directAnswers, m.relayedAnswers, m.remainingTime.Round(10*time.Millisecond), m.uncancelledKilled, m.uncancelledTasks, m.lostLeases, m.heldCalls, m.taskStates)
+				if why := g.unmetConditions(m); why != "" && fixed {
 					t.Error(why)
 				} else if why != "" {
 					missed++
 					t.Log("not met: ", why)
 				}
 				played++
-				for state, n := range m.states {
+				for state, n := range m.taskStates {
 					met[state] += n
 				}
 			})
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -16,32 +16,32 @@
 // with room. Both are found, and nothing else.
 func TestCheckerSeesPlants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 51, 0, nil)
-		w.service("wk-1", 4*time.Minute)
+		w := newSimulation(t, 51, 0, nil)
+		w.startService("wk-1", 4*time.Minute)
 		w.user(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 300},
 			5*time.Minute, 20*time.Second)
 		time.Sleep(40 * time.Second)
-		if w.check.Stage("wk-2") != wire.Cancelled {
+		if w.checker.Stage("wk-2") != wire.Cancelled {
 			t.Fatal("not cancelled")
 		}
-		w.calm()
+		w.declareQuiet()
 		time.Sleep(3 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		resp, err := (&transport.Caller{Limit: 1 << 20, Dial: w.net.Host("10.5.0.1").Dial}).Call(ctx, w.cloud.Up(0), "POST", wire.PathDirect,
-			wire.Encode(wire.Direct{Term: w.term(), Session: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "wk-2/1", Attempt: 99}}}))
+		resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: w.net.Host("10.5.0.1").Dial}).Call(ctx, w.cloud.AddrOfNth(0), "POST", wire.PathCommands,
+			wire.Encode(wire.CommandRequest{FencingToken: w.token(), Incarnation: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "wk-2/1", Attempt: 99}}}))
 		if err != nil || resp.Status != 200 {
 			t.Fatal(resp, err)
 		}
-		w.check.Submitted(&wire.Job{ID: "wk-3", Team: "blue", Shape: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, time.Minute)
-		w.check.Told("wk-3", 201, wire.Pending, false)
+		w.checker.Submitted(&wire.Job{ID: "wk-3", Team: "blue", Shape: wire.Array, Priority: wire.Low, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1}, time.Minute)
+		w.checker.ObserveAnswer("wk-3", 201, wire.Pending, false)
 		time.Sleep(100 * time.Second)
 		w.finish(5 * time.Minute)
-		broken := w.check.Broken()
+		broken := w.checker.Violations()
 		if all := strings.Join(broken, "\n"); len(broken) != 2 || !strings.Contains(all, "launched_cancelled: wk-2/1#99 by 10.5.0.1") || !strings.Contains(all, "left_waiting: wk-3") {
 			t.Errorf("%s", all)
 		}
-		if starts, launches := w.check.Late.After(); len(starts) != 1 || len(launches) != 1 {
+		if starts, launches := w.checker.Launches.AfterCancellation(); len(starts) != 1 || len(launches) != 1 {
 			t.Errorf("%v, %v", starts, launches)
 		}
 	})
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -137,73 +137,73 @@
 	return ""
 }
 
-// fate is what becomes of a write that is held back: how long until it is carried out, and what
+// writeFate is what becomes of a write that is held back: how long until it is carried out, and what
 // the copies of it get that are sent meanwhile, for some time.
-type fate struct {
-	late   time.Duration
-	copies int // what they get: 200 for what the service says, 0 for no answer, and 503
+type writeFate struct {
+	delay      time.Duration
+	copyStatus int // what they get: 200 for what the service says, 0 for no answer, and 503
 }
 
 // Every other of the first writes of each kind meets these, in turn, and a share of all others
 // something like them.
-var fates = []fate{{4 * time.Second, 200}, {9 * time.Second, 0}, {80 * time.Second, 503}, {150 * time.Second, 0}}
+var writeFates = []writeFate{{4 * time.Second, 200}, {9 * time.Second, 0}, {80 * time.Second, 503}, {150 * time.Second, 0}}
 
-// copiesFor is for how long copies of what is held back get no answer, or 503: whoever sends
+// copyFaultTime is for how long copies of what is held back get no answer, or 503: whoever sends
 // them gives up, where it does.
-const copiesFor = 7 * time.Second
+const copyFaultTime = 7 * time.Second
 
-// lateness stands between controllers and the state service. It holds writes back without an
+// delayProxy stands between controllers and the state service. It holds writes back without an
 // answer, and carries them out later, after newer ones of the same controller.
-type lateness struct {
-	t     *testing.T
-	net   *simulator.Net
-	to    string
-	share float64
-	luck  *rand.Rand
+type delayProxy struct {
+	t      *testing.T
+	net    *simulator.Network
+	target string
+	share  float64
+	rng    *rand.Rand
 
-	mu      sync.Mutex
-	kinds   map[string]int // writes that were met, copies aside
-	writes  map[string]*lateWrite
-	held    []*lateWrite
-	late    map[string]lateTally
-	unknown map[string]bool
+	mu         sync.Mutex
+	kindCounts map[string]int // writes that were met, copies aside
+	writes     map[string]*delayedWrite
+	held       []*delayedWrite
+	tallies    map[string]delayedTally
+	unknown    map[string]bool
 
-	// serving, if it is set, says what becomes of the requests of controllers instead.
-	serving func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
+	// serveInstead, if it is set, says what becomes of the requests of controllers instead.
+	serveInstead func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
 }
 
 // What becomes of a request that gets no answer: nobody waits for longer than the silence lasts.
 const (
-	silent = 0
-	closed = -1 // the connection is, after a moment
+	noReply    = 0
+	connClosed = -1 // the connection is, after a moment
 )
 
-// lateTally tells of the writes of a kind that were carried out after newer ones.
-type lateTally struct{ taken, refused int }
+// delayedTally tells of the writes of a kind that were carried out after newer ones.
+type delayedTally struct{ taken, refused int }
 
-// lateWrite is a write, with all copies of it.
-type lateWrite struct {
+// delayedWrite is a write, with all copies of it.
+type delayedWrite struct {
 	kind, from   string
 	method, path string
 	body         []byte
 	at           time.Time
-	fate         *fate // nil where it is not held back
-	newer        int   // writes of the same controller that were taken since
+	fate         *writeFate // nil where it is not held back
+	newer        int        // writes of the same controller that were taken since
 	taken        int
 	refused      time.Time
 }
 
-func newLateness(t *testing.T, net *simulator.Net, to string, seed uint64, share float64) *lateness {
-	l := &lateness{t: t, net: net, to: to, share: share, luck: rand.New(rand.NewPCG(seed, 12)),
-		kinds: map[string]int{}, writes: map[string]*lateWrite{}, late: map[string]lateTally{}, unknown: map[string]bool{}}
-	l.serving = l.serve
+func newDelayProxy(t *testing.T, net *simulator.Network, to string, seed uint64, share float64) *delayProxy {
+	l := &delayProxy{t: t, net: net, target: to, share: share, rng: rand.New(rand.NewPCG(seed, 12)),
+		kindCounts: map[string]int{}, writes: map[string]*delayedWrite{}, tallies: map[string]delayedTally{}, unknown: map[string]bool{}}
+	l.serveInstead = l.serve
 	return l
 }
 
 // listen serves one controller at a host of its own, which it gives.
-func (l *lateness) listen(ctx context.Context, from, ip string) (addr string) {
+func (l *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
 	host := l.net.Host(ip)
-	caller := &transport.Caller{Limit: 8 << 20, Dial: host.Dial}
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
 	addr = simulator.Address(ip, 2379)
 	go host.Listen(ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
@@ -216,9 +216,9 @@
 			if req.Query != "" {
 				target += "?" + req.Query
 			}
-			status, body := l.serving(ctx, caller, from, req.Method, target, req.Body)
-			if status <= silent {
-				time.Sleep(map[int]time.Duration{silent: 2600 * time.Millisecond, closed: 10 * time.Millisecond}[status])
+			status, body := l.serveInstead(ctx, caller, from, req.Method, target, req.Body)
+			if status <= noReply {
+				time.Sleep(map[int]time.Duration{noReply: 2600 * time.Millisecond, connClosed: 10 * time.Millisecond}[status])
 				return
 			}
 			if _, err := s.Write(httpwire.AppendResponse(nil, &httpwire.Response{Status: status, Body: body})); err != nil {
@@ -229,23 +229,23 @@
 	return addr
 }
 
-func (l *lateness) pass(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
-	resp, err := caller.Call(ctx, l.to, method, target, body)
+func (l *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
+	resp, err := caller.Call(ctx, l.target, method, target, body)
 	if err != nil {
 		return 0, nil
 	}
 	return resp.Status, resp.Body
 }
 
-// met counts the writes of a kind, copies aside.
-func (l *lateness) met(kind string) int {
+// countOf counts the writes of a kind, copies aside.
+func (l *delayProxy) countOf(kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.kinds[kind]
+	return l.kindCounts[kind]
 }
 
 // kindSent tells the kind of a request, "" for one that changes nothing.
-func (l *lateness) kindSent(from, method, target string, body []byte) (kind string) {
+func (l *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
 	switch {
 	case target == wire.PathTxn:
 		var t txnAsSent
@@ -272,23 +272,23 @@
 	return kind
 }
 
-func (l *lateness) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+func (l *delayProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 	kind := l.kindSent(from, method, target, body)
 	if kind == "" {
-		return l.pass(ctx, caller, method, target, body)
+		return l.forward(ctx, caller, method, target, body)
 	}
-	w, status := l.meet(kind, from, method, target, body)
+	w, status := l.decideFate(kind, from, method, target, body)
 	if status != 200 {
 		return status, nil
 	}
 	sent := time.Now()
-	status, answer := l.pass(ctx, caller, method, target, body)
-	l.took(w, sent, status, false)
+	status, answer := l.forward(ctx, caller, method, target, body)
+	l.noteResult(w, sent, status, false)
 	return status, answer
 }
 
-// meet says what becomes of a write: 200 stands for what the service says.
-func (l *lateness) meet(kind, from, method, target string, body []byte) (*lateWrite, int) {
+// decideFate says what becomes of a write: 200 stands for what the service says.
+func (l *delayProxy) decideFate(kind, from, method, target string, body []byte) (*delayedWrite, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -296,18 +296,18 @@
 	w := l.writes[id]
 	lease := slices.Contains(leaseKinds, kind) // all of a kind look alike: each is a write of its own
 	if w == nil || lease {
-		w = &lateWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), at: now}
+		w = &delayedWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), at: now}
 		l.writes[id] = w
-		n := l.kinds[kind]
-		l.kinds[kind]++
+		n := l.kindCounts[kind]
+		l.kindCounts[kind]++
 		switch {
-		case n < 2*len(fates) && n%2 == 0:
-			f := fates[n/2]
+		case n < 2*len(writeFates) && n%2 == 0:
+			f := writeFates[n/2]
 			w.fate = &f
-		case l.luck.Float64() < l.share:
-			w.fate = &fate{time.Duration(2000+l.luck.IntN(10000)) * time.Millisecond, []int{200, 200, 0, 503}[l.luck.IntN(4)]}
-			if l.luck.IntN(8) == 0 {
-				w.fate.late += time.Duration(l.luck.IntN(180)) * time.Second
+		case l.rng.Float64() < l.share:
+			w.fate = &writeFate{time.Duration(2000+l.rng.IntN(10000)) * time.Millisecond, []int{200, 200, 0, 503}[l.rng.IntN(4)]}
+			if l.rng.IntN(8) == 0 {
+				w.fate.delay += time.Duration(l.rng.IntN(180)) * time.Second
 			}
 		}
 		if w.fate != nil {
@@ -316,16 +316,16 @@
 		}
 		return w, 200
 	}
-	if w.fate != nil && now.Sub(w.at) < copiesFor {
-		return w, w.fate.copies
+	if w.fate != nil && now.Sub(w.at) < copyFaultTime {
+		return w, w.fate.copyStatus
 	}
 	return w, 200
 }
 
-// took takes in what came of a copy of a write. One that was taken is never taken again, nor one
+// noteResult takes in what came of a copy of a write. One that was taken is never taken again, nor one
 // that was once refused for what it demands. Only new jobs may come a second time, between their
 // settling and the move of the gate: what was settled goes before them (TestLateSubmissionBeforeGate).
-func (l *lateness) took(w *lateWrite, sent time.Time, status int, late bool) {
+func (l *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.path == wire.PathTxn && w.kind != "new jobs" {
@@ -352,15 +352,15 @@
 	}
 }
 
-// run carries out what is held back, each after newer ones of its controller, or at the end.
-func (l *lateness) run(ctx context.Context) {
-	caller := &transport.Caller{Limit: 8 << 20, Dial: l.net.Host("10.2.1.99").Dial}
+// releaseHeld carries out what is held back, each after newer ones of its controller, or at the end.
+func (l *delayProxy) releaseHeld(ctx context.Context) {
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: l.net.Host("10.2.1.99").Dial}
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		l.mu.Lock()
-		var due []*lateWrite
-		l.held = slices.DeleteFunc(l.held, func(w *lateWrite) bool {
-			ripe := time.Since(w.at) >= w.fate.late && (w.newer > 0 || time.Since(w.at) > 5*time.Minute)
+		var due []*delayedWrite
+		l.held = slices.DeleteFunc(l.held, func(w *delayedWrite) bool {
+			ripe := time.Since(w.at) >= w.fate.delay && (w.newer > 0 || time.Since(w.at) > 5*time.Minute)
 			if ripe {
 				due = append(due, w)
 			}
@@ -369,57 +369,57 @@
 		l.mu.Unlock()
 		for _, w := range due {
 			sent := time.Now()
-			status, _ := l.pass(ctx, caller, w.method, w.path, w.body)
-			l.took(w, sent, status, true)
+			status, _ := l.forward(ctx, caller, w.method, w.path, w.body)
+			l.noteResult(w, sent, status, true)
 			l.mu.Lock()
 			if w.newer > 0 && status != 0 {
-				t := l.late[w.kind]
+				t := l.tallies[w.kind]
 				if status == 200 {
 					t.taken++
 				} else {
 					t.refused++
 				}
-				l.late[w.kind] = t
+				l.tallies[w.kind] = t
 			}
 			l.mu.Unlock()
 		}
 	}
 }
 
-// addTo adds up what was carried out late.
-func (l *lateness) addTo(all map[string]lateTally) {
+// addTallies adds up what was carried out late.
+func (l *delayProxy) addTallies(all map[string]delayedTally) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for kind, n := range l.late {
-		all[kind] = lateTally{all[kind].taken + n.taken, all[kind].refused + n.refused}
+	for kind, n := range l.tallies {
+		all[kind] = delayedTally{all[kind].taken + n.taken, all[kind].refused + n.refused}
 	}
 }
 
-// lateDay plays a day on which some of all that controllers write is carried out late.
-func lateDay(t *testing.T, seed uint64, share float64) *lateness {
-	var l *lateness
-	writingDay(t, seed, 3, func(w *world) *lateness {
-		l = newLateness(t, w.net, "10.2.0.1:2379", seed, share)
-		go l.run(w.ctx)
+// playDelayedWritesDay plays a day on which some of all that controllers write is carried out late.
+func playDelayedWritesDay(t *testing.T, seed uint64, share float64) *delayProxy {
+	var l *delayProxy
+	playAllWritesDay(t, seed, 3, func(w *simulation) *delayProxy {
+		l = newDelayProxy(t, w.net, "10.2.0.1:2379", seed, share)
+		go l.releaseHeld(w.ctx)
 		return l
 	})
 	return l
 }
 
-// writingDay plays a day on which controllers make every kind of write to the state service, past
+// playAllWritesDay plays a day on which controllers make every kind of write to the state service, past
 // what stands between: jobs come, end and are folded, the fleet is divided into parts and put
 // together again, the tiers of work change, holders end and are back.
-func writingDay(t *testing.T, seed uint64, count int, between func(w *world) *lateness) {
+func playAllWritesDay(t *testing.T, seed uint64, count int, between func(w *simulation) *delayProxy) {
 	var mu sync.Mutex
 	by, tiers := map[string]string{}, map[string]bool{}
-	w := newWorldOf(t, count, seed, 0, func(c *config.Config) {
+	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
 		mu.Lock()
 		defer mu.Unlock()
 		c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379)
-		c.Tuning.Parts.By = by[c.Name]
+		c.Tuning.Shards.By = by[c.Name]
 		c.Store.ValueBytes = 2048 // many slots
 		if tiers[c.Name] {
-			liveAndBatch(c)
+			twoTiers(c)
 		}
 	})
 	l := between(w)
@@ -449,22 +449,22 @@
 	}
 	if seed >= 2 {
 		w.group.Go(func() {
-			luck := rand.New(rand.NewPCG(seed, 13))
+			rng := rand.New(rand.NewPCG(seed, 13))
 			for range 20 {
-				time.Sleep(time.Duration(luck.IntN(24000)) * time.Millisecond)
-				x := slices.Concat(troubles, returns)[luck.IntN(len(troubles)+len(returns))]
-				x.cast(w, luck, time.Duration(1+luck.IntN(30))*time.Second)
+				time.Sleep(time.Duration(rng.IntN(24000)) * time.Millisecond)
+				x := slices.Concat(stallFaults, restartFaults)[rng.IntN(len(stallFaults)+len(restartFaults))]
+				x.apply(w, rng, time.Duration(1+rng.IntN(30))*time.Second)
 			}
 		})
 	}
-	w.service("wk-1", 7*time.Minute)
+	w.startService("wk-1", 7*time.Minute)
 	small("wk-2")
 	jobs(1)
-	w.kill(int((w.holders()["fleet"] + "c-0")[2]-'0'), 3*time.Second)
+	w.kill(int((w.leaders()["fleet"] + "c-0")[2]-'0'), 3*time.Second)
 	jobs(2)
 	roll(func(name string) { by[name] = "zone" })
 	jobs(3)
-	for try := 0; try < 5 && l.met("part given back") == 0; try++ {
+	for try := 0; try < 5 && l.countOf("part given back") == 0; try++ {
 		for i := 1; i < w.count; i++ { // the one that is left takes all, and gives back
 			w.kill(i, 30*time.Second)
 		}
@@ -481,7 +481,7 @@
 		w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		time.Sleep(2 * time.Second)
 	}
-	w.calm()
+	w.declareQuiet()
 	homes := func() int { return len(w.store.Page(store.BatchKey(""), "", 0).Items) }
 	for begun := time.Now(); homes() > 0 && time.Since(begun) < 20*time.Minute; time.Sleep(5 * time.Second) {
 	}
@@ -489,8 +489,8 @@
 		t.Errorf("%d batches of jobs are never folded", n)
 	}
 	w.finish(20 * time.Minute)
-	w.judge()
-	if w.check.Started == 0 {
+	w.checkResults()
+	if w.checker.Started == 0 {
 		t.Error("no task was started")
 	}
 }
@@ -499,23 +499,23 @@
 // days outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other troubles too
 // and up to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
 func TestLateWrites(t *testing.T) {
-	all := map[string]lateTally{}
+	all := map[string]delayedTally{}
 	var mu sync.Mutex
-	stallDays(t, 2, "AMBERDEAL_LATEWRITE", func(t *testing.T, seed uint64) {
+	playSeeds(t, 2, "AMBERDEAL_LATEWRITE", func(t *testing.T, seed uint64) {
 		share := 0.03
 		if seed >= 2 {
 			share = []float64{0.03, 0.1, 0.3}[seed%3]
 		}
-		l := lateDay(t, seed, share)
+		l := playDelayedWritesDay(t, seed, share)
 		mu.Lock()
 		defer mu.Unlock()
-		l.addTo(all)
+		l.addTallies(all)
 	})
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
 		t.Logf("%s: carried out late, after newer ones: %d taken, %d refused", kind, all[kind].taken, all[kind].refused)
 	}
-	for _, kind := range append(leaseKinds, names(func(name string) bool { return !strings.Contains(name, "import") })...) {
-		if all[kind] == (lateTally{}) && os.Getenv("AMBERDEAL_LATEWRITE") == "" {
+	for _, kind := range append(leaseKinds, kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
+		if all[kind] == (delayedTally{}) && os.Getenv("AMBERDEAL_LATEWRITE") == "" {
 			t.Errorf("no %q was carried out after a newer write of its controller: it was never held back, or the day has none", kind)
 		}
 	}
@@ -525,64 +525,64 @@
 // lets controllers go on with it: nothing of it is there twice.
 func TestLateImport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 80, 0, func(c *config.Config) { c.Tuning.History.Fold = false })
+		w := newSimulation(t, 80, 0, func(c *config.Config) { c.Tuning.History.Compact = false })
 		for i := range 12 {
 			w.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1,
 				Image: "img", ImageGB: 1, EstimateS: 5}, 20*time.Second, 0)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		var items []wire.Item
+		var items []wire.KeyValue
 		for after := ""; ; {
-			page := w.store.Page(store.Stem, after, 0)
+			page := w.store.Page(store.CommonPrefix, after, 0)
 			items = append(items, page.Items...)
 			if !page.More {
 				break
 			}
 			after = page.Items[len(page.Items)-1].Key
 		}
-		to := simulator.NewStore(1, 0)
+		to := simulator.NewStateService(1, 0)
 		go w.net.Host("10.2.0.3").Listen(w.ctx, "10.2.0.3:2379", 0, to.Serve())
-		l := newLateness(t, w.net, "10.2.0.3:2379", 80, 0.3)
+		l := newDelayProxy(t, w.net, "10.2.0.3:2379", 80, 0.3)
 		addr := l.listen(w.ctx, "import", "10.2.1.50")
-		go l.run(w.ctx)
+		go l.releaseHeld(w.ctx)
 		c := store.NewClient(w.net.Host("10.3.0.9"), addr, 100, 100, store.EvenAllowance(1), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		if _, err := snapshot.Restore(t.Context(), c, items, "sum", snapshot.Limits{ValueBytes: 8192, TxnOps: 12}, func(int, int) {}); err != nil {
+		if _, err := snapshot.Import(t.Context(), c, items, "sum", snapshot.Limits{ValueBytes: 8192, TxnOps: 12}, func(int, int) {}); err != nil {
 			t.Errorf("import: %v", err)
 		}
 		// What a holder does first: a term, and batches that go into the history.
-		status, _ := to.Commit(wire.Txn{Then: []wire.Change{{Put: store.TermKey, Value: uint64(1 << 40)}}})
+		status, _ := to.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1 << 40)}}})
 		batches := to.Page(store.BatchKey(""), "", 0).Items
 		for _, it := range batches {
-			to.Commit(wire.Txn{Then: []wire.Change{{Delete: it.Key}}})
+			to.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
 		}
 		for i := range 4 { // newer ones of the same sender
 			key := store.BatchKey(fmt.Sprint("new-", i))
-			_, _ = c.Txn(t.Context(), wire.Txn{If: []wire.Condition{{Key: store.GateKey}, {Key: key}}, Then: []wire.Change{{Put: key, Value: store.BatchRecord{}}}})
+			_, _ = c.Txn(t.Context(), wire.Txn{If: []wire.Condition{{Key: store.SubmissionFenceKey}, {Key: key}}, Then: []wire.Operation{{Put: key, Value: store.BatchRecord{}}}})
 		}
 		time.Sleep(6 * time.Minute)
 		var term uint64
-		if page := to.Page(store.TermKey, "", 0); len(page.Items) == 1 {
+		if page := to.Page(store.FencingTokenKey, "", 0); len(page.Items) == 1 {
 			_ = wire.DecodeValue(page.Items[0].Value, &term)
 		}
-		back := slices.DeleteFunc(to.Page(store.BatchKey(""), "", 0).Items, func(it wire.Item) bool { return strings.Contains(it.Key, "/new-") })
+		back := slices.DeleteFunc(to.Page(store.BatchKey(""), "", 0).Items, func(it wire.KeyValue) bool { return strings.Contains(it.Key, "/new-") })
 		if status != 200 || len(batches) == 0 || len(back) > 0 || term != 1<<40 {
 			t.Errorf("%d of %d batches are back; the counter of terms is %d", len(back), len(batches), term)
 		}
-		all := map[string]lateTally{}
-		l.addTo(all)
-		for _, kind := range names(func(name string) bool { return strings.Contains(name, "import") }) {
-			if all[kind] == (lateTally{}) {
+		all := map[string]delayedTally{}
+		l.addTallies(all)
+		for _, kind := range kindNames(func(name string) bool { return strings.Contains(name, "import") }) {
+			if all[kind] == (delayedTally{}) {
 				t.Errorf("no %q was carried out after a newer write", kind)
 			}
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
-// names lists the kinds of transactions of some names.
-func names(of func(name string) bool) (out []string) {
+// kindNames lists the kinds of transactions of some names.
+func kindNames(of func(name string) bool) (out []string) {
 	for _, k := range writeKinds {
 		if of(k.name) {
 			out = append(out, k.name)
@@ -595,11 +595,14 @@
 // belongs into the table of docs/design.md, and its kind into writeKinds.
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
-		internal/admission.write internal/leadership.Attempt internal/leadership.Releases internal/leadership.Resign internal/leadership.Run internal/leadership.look internal/leadership.regroup
-		internal/leadership.release internal/leadership.renew internal/leadership.retier internal/leadership.turn internal/controller.watchHolders
-		internal/archive.clear internal/archive.commit internal/archive.moveGate internal/archive.settle internal/archive.write internal/reshard.Next
-		internal/leader.Decide internal/leader.Regrant internal/leader.commitGrant internal/leader.forget internal/leader.guard internal/leader.tidy internal/leader.write
-		internal/snapshot.Restore internal/snapshot.begin internal/snapshot.finish internal/snapshot.put internal/store.Txn internal/store.TxnAfter internal/store.look`)
+		internal/admission.commit
+		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
+		internal/controller.watchLeaders
+		internal/leader.Decide internal/leader.ProposeGrants internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers internal/leader.guardBatch
+		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.campaign internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.step internal/leadership.writeTiers
+		internal/reshard.Transaction
+		internal/snapshot.Import internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport
+		internal/store.Txn internal/store.TxnBeforeSend internal/store.check`)
 	var got []string
 	for _, dir := range []string{"internal", "cmd", "."} {
 		_ = filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(file string, d fs.DirEntry, err error) error {
@@ -620,7 +623,7 @@
 				return err
 			}
 			for _, decl := range f.Decls {
-				if fn, ok := decl.(*ast.FuncDecl); ok && writes(fn) {
+				if fn, ok := decl.(*ast.FuncDecl); ok && sendsTransaction(fn) {
 					got = append(got, filepath.Dir(path)+"."+fn.Name.Name)
 				}
 			}
@@ -634,8 +637,8 @@
 	}
 }
 
-// writes reports whether a function makes or sends a transaction, or makes a lease call.
-func writes(fn *ast.FuncDecl) (found bool) {
+// sendsTransaction reports whether a function makes or sends a transaction, or makes a lease call.
+func sendsTransaction(fn *ast.FuncDecl) (found bool) {
 	ast.Inspect(fn, func(n ast.Node) bool {
 		sel, ok := n.(*ast.SelectorExpr)
 		if !ok {
@@ -643,7 +646,7 @@
 		}
 		of, _ := sel.X.(*ast.SelectorExpr)
 		client := of != nil && strings.EqualFold(of.Sel.Name, "client")
-		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnAfter" || client && slices.Contains([]string{"Grant", "Renew", "End"}, sel.Sel.Name)
+		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnBeforeSend" || client && slices.Contains([]string{"GrantLease", "RenewLease", "RevokeLease"}, sel.Sel.Name)
 		return true
 	})
 	return found
@@ -651,16 +654,16 @@
 
 // TestNewKindIsSeen: a write of another kind of key, or with a condition less, is of no kind.
 func TestNewKindIsSeen(t *testing.T) {
-	fence, grant := wire.Condition{Key: store.PartKey("a"), Version: 7}, wire.Condition{Key: store.GrantKey, Version: 5}
-	put := wire.Change{Put: store.GrantKey, Value: store.GrantRecord{}}
+	fence, grant := wire.Condition{Key: store.LeaderKey("a"), Version: 7}, wire.Condition{Key: store.QuotaGrantKey, Version: 5}
+	put := wire.Operation{Put: store.QuotaGrantKey, Value: store.QuotaGrantRecord{}}
 	for name, x := range map[string]struct {
 		txn  wire.Txn
 		want string
 	}{
-		"as it is":      {wire.Txn{If: []wire.Condition{fence, grant}, Then: []wire.Change{put}}, "grant"},
-		"unfenced":      {wire.Txn{If: []wire.Condition{grant}, Then: []wire.Change{put}}, ""},
-		"another key":   {wire.Txn{If: []wire.Condition{fence, grant}, Then: []wire.Change{put, {Put: store.Root + "other"}}}, ""},
-		"unconditional": {wire.Txn{Then: []wire.Change{{Put: store.TermKey, Value: uint64(1)}}}, ""},
+		"as it is":      {wire.Txn{If: []wire.Condition{fence, grant}, Then: []wire.Operation{put}}, "grant"},
+		"unfenced":      {wire.Txn{If: []wire.Condition{grant}, Then: []wire.Operation{put}}, ""},
+		"another key":   {wire.Txn{If: []wire.Condition{fence, grant}, Then: []wire.Operation{put, {Put: store.StatePrefix + "other"}}}, ""},
+		"unconditional": {wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1)}}}, ""},
 	} {
 		var sent txnAsSent
 		if err := wire.Decode(wire.Encode(x.txn), &sent); err != nil || kindOf(&sent) != x.want {
@@ -689,25 +692,25 @@
 	}
 }
 
-// lateCloud stands between the controllers and the cloud. It holds some rentals and releases
+// delayedCloud stands between the controllers and the cloud. It holds some rentals and releases
 // back without an answer, and carries them out later, after newer requests.
-type lateCloud struct {
-	*world
-	mu       sync.Mutex
-	requests map[string]int       // of each kind, copies aside
-	begun    map[string]time.Time // when each was first sent
-	held     map[string]time.Time // until when its copies fare badly
-	newer    int                  // requests that were carried out as they came
-	given    map[string]bool      // rentals of which a copy was refused: the holder has given them up
-	got      map[string]bool      // machines that were rented so, after that
-	used     int                  // releases that hit a machine in use
-	late     map[string]int       // of each kind, after newer ones
-	released func(names []string) // called when a release is held back
-}
-
-func (l *lateCloud) listen(addr string) {
+type delayedCloud struct {
+	*simulation
+	mu            sync.Mutex
+	requests      map[string]int       // of each kind, copies aside
+	firstSent     map[string]time.Time // when each was first sent
+	held          map[string]time.Time // until when its copies fare badly
+	newer         int                  // requests that were carried out as they came
+	abandoned     map[string]bool      // rentals of which a copy was refused: the holder has given them up
+	rentedLate    map[string]bool      // machines that were rented so, after that
+	usedReleases  int                  // releases that hit a machine in use
+	delayedCounts map[string]int       // of each kind, after newer ones
+	released      func(names []string) // called when a release is held back
+}
+
+func (l *delayedCloud) listen(addr string) {
 	host := l.net.Host(simulator.HostOf(addr))
-	caller := &transport.Caller{Limit: 8 << 20, Dial: host.Dial}
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
 	pass := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		target := req.Path
 		if req.Query != "" {
@@ -726,7 +729,7 @@
 			if err != nil {
 				return
 			}
-			status := l.meet(req, func() *httpwire.Response { return pass(l.ctx, req) })
+			status := l.decideFate(req, func() *httpwire.Response { return pass(l.ctx, req) })
 			var resp *httpwire.Response
 			switch status {
 			case 200:
@@ -745,8 +748,8 @@
 	})
 }
 
-// meet says what becomes of a request: 200 stands for what the cloud says.
-func (l *lateCloud) meet(req *httpwire.Request, carryOut func() *httpwire.Response) int {
+// decideFate says what becomes of a request: 200 stands for what the cloud says.
+func (l *delayedCloud) decideFate(req *httpwire.Request, carryOut func() *httpwire.Response) int {
 	kind := map[string]string{wire.PathRentals: "rental", wire.PathRelease: "release"}[req.Path]
 	if req.Method != "POST" || kind == "" {
 		return 200
@@ -754,18 +757,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id, now := kind+string(req.Body), time.Now()
-	if at, known := l.begun[id]; known {
+	if at, known := l.firstSent[id]; known {
 		switch {
 		case l.held[id].Before(now):
 			l.newer++
 			return 200
 		case kind == "rental" && now.Sub(at) > 4*time.Second: // the second copy is refused
-			l.given[id] = true
+			l.abandoned[id] = true
 			return 503
 		}
 		return 0
 	}
-	l.begun[id] = now
+	l.firstSent[id] = now
 	n := l.requests[kind]
 	l.requests[kind]++
 	if n%2 == 1 {
@@ -776,22 +779,22 @@
 	l.held[id] = now.Add(9 * time.Second)
 	newer := l.newer
 	time.AfterFunc(late, func() {
-		before, _ := l.check.Counts()
+		before, _ := l.checker.Counts()
 		resp := carryOut()
-		after, _ := l.check.Counts()
+		after, _ := l.checker.Counts()
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if resp == nil || l.newer == newer {
 			return
 		}
-		l.late[kind]++
+		l.delayedCounts[kind]++
 		if kind == "release" && after < before {
-			l.used++
+			l.usedReleases++
 		}
 		var names wire.MachineNames
-		if kind == "rental" && l.given[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
+		if kind == "rental" && l.abandoned[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
 			for _, name := range names.Machines {
-				l.got[name] = true
+				l.rentedLate[name] = true
 			}
 		}
 	})
@@ -803,11 +806,11 @@
 	return 0
 }
 
-// wasUsed reports whether a release was carried out late that ended a task.
-func (l *lateCloud) wasUsed() bool {
+// releasedInUse reports whether a release was carried out late that ended a task.
+func (l *delayedCloud) releasedInUse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used > 0
+	return l.usedReleases > 0
 }
 
 // TestLateRentals carries rentals out after their holder was told that there is no room, and
@@ -815,9 +818,9 @@
 // ran there runs again, and no rule breaks.
 func TestLateRentals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
-		l := &lateCloud{world: w, requests: map[string]int{}, begun: map[string]time.Time{}, held: map[string]time.Time{}, given: map[string]bool{},
-			got: map[string]bool{}, late: map[string]int{}}
+		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
+		l := &delayedCloud{simulation: w, requests: map[string]int{}, firstSent: map[string]time.Time{}, held: map[string]time.Time{}, abandoned: map[string]bool{},
+			rentedLate: map[string]bool{}, delayedCounts: map[string]int{}}
 		jobs := 0
 		array := func(run time.Duration) {
 			jobs++
@@ -829,29 +832,29 @@
 		l.released = func([]string) { // nobody remembers: the next holder goes on with the machine
 			once.Lock()
 			defer once.Unlock()
-			if h := w.holders()["fleet"]; h != "" && kills < 12 && !l.wasUsed() {
+			if h := w.leaders()["fleet"]; h != "" && kills < 12 && !l.releasedInUse() {
 				kills++
 				w.kill(int(h[2]-'0'), 3*time.Second)
 				array(40 * time.Second)
 			}
 		}
 		l.listen("10.2.1.60:8443")
-		for n := 0; n < 6 || !l.wasUsed() && n < 24; n++ { // until what was released late was in use
+		for n := 0; n < 6 || !l.releasedInUse() && n < 24; n++ { // until what was released late was in use
 			array(15 * time.Second)
 			time.Sleep(45 * time.Second)
 		}
 		time.Sleep(3 * time.Minute) // what nobody needs is returned
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.late["rental"] == 0 || l.late["release"] == 0 || len(l.got) == 0 || l.used == 0 {
-			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.late, l.got, l.used)
+		if l.delayedCounts["rental"] == 0 || l.delayedCounts["release"] == 0 || len(l.rentedLate) == 0 || l.usedReleases == 0 {
+			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.delayedCounts, l.rentedLate, l.usedReleases)
 		}
-		w.cloud.Each(func(m wire.ListedMachine, _ simulator.Machine) {
-			if l.got[m.ID] {
+		w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
+			if l.rentedLate[m.ID] {
 				t.Errorf("%s, which was rented late, is neither used nor returned", m.ID)
 			}
 		})
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -19,22 +19,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// soon is after how long whatever ended is back.
-func soon(luck *rand.Rand) time.Duration { return time.Duration(50+luck.IntN(451)) * time.Millisecond }
+// restartDelay is after how long whatever ended is back.
+func restartDelay(rng *rand.Rand) time.Duration {
+	return time.Duration(50+rng.IntN(451)) * time.Millisecond
+}
 
-// held is for how long the last words of a process are held: mostly not at all, at times for
+// finalHoldTime is for how long the last words of a process are held: mostly not at all, at times for
 // longer than any lease.
-func held(luck *rand.Rand) time.Duration {
-	return []time.Duration{0, 0, time.Duration(luck.IntN(2000)), time.Duration(luck.IntN(40_000))}[luck.IntN(4)] * time.Millisecond
+func finalHoldTime(rng *rand.Rand) time.Duration {
+	return []time.Duration{0, 0, time.Duration(rng.IntN(2000)), time.Duration(rng.IntN(40_000))}[rng.IntN(4)] * time.Millisecond
 }
 
 // crashAt has whoever makes the next change of a key with a prefix crash before it is answered:
 // the holder of the part that is written, or all where nobody holds any.
-func (w *world) crashAt(prefix string, back time.Duration) {
+func (w *simulation) crashAt(prefix string, back time.Duration) {
 	var once atomic.Bool
 	crash := func(key string) {
 		defer w.group.Done()
-		holders := w.holders()
+		holders := w.leaders()
 		for n := range w.count {
 			hit := len(holders) == 0
 			for part, name := range holders {
@@ -45,13 +47,13 @@
 			}
 		}
 	}
-	w.store.Stage(func(s *simulator.Store) {
-		s.Took = func(puts []string) {
-			i := slices.IndexFunc(puts, func(key string) bool { return strings.HasPrefix(key, store.Root+prefix) })
+	w.store.Configure(func(s *simulator.StateService) {
+		s.OnCommit = func(puts []string) {
+			i := slices.IndexFunc(puts, func(key string) bool { return strings.HasPrefix(key, store.StatePrefix+prefix) })
 			if i < 0 || once.Swap(true) {
 				return
 			}
-			w.net.Still("10.2.0.1", 5*time.Millisecond) // its answers wait
+			w.net.Pause("10.2.0.1", 5*time.Millisecond) // its answers wait
 			w.group.Add(1)
 			go crash(puts[i])
 		}
@@ -60,7 +62,7 @@
 
 // twin starts another process of a controller's name beside the one that runs, which ends a
 // while later.
-func (w *world) twin(i int, d, held time.Duration) {
+func (w *simulation) twin(i int, d, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
 		return
@@ -70,32 +72,32 @@
 	w.group.Add(1)
 	time.AfterFunc(d, func() {
 		defer w.group.Done()
-		w.endLife(old, held)
+		w.endIncarnation(old, held)
 		n.down.Store(false)
 	})
 }
 
 // reboot has a machine restart, before anybody saw it go.
-func (w *world) reboot(id, host string, m simulator.Machine, luck *rand.Rand) {
-	if late := held(luck); late > 0 {
+func (w *simulation) reboot(id, host string, m simulator.Machine, rng *rand.Rand) {
+	if late := finalHoldTime(rng); late > 0 {
 		w.net.Hold(host, late)
 	}
-	m.(interface{ Reboot(time.Duration, bool) }).Reboot(soon(luck), luck.IntN(2) == 0)
+	m.(interface{ Reboot(time.Duration, bool) }).Reboot(restartDelay(rng), rng.IntN(2) == 0)
 	w.net.Reset(host)
 }
 
-// again repeats what users have asked for long ago: submissions, also with another body, and
+// repeatOldRequests repeats what users have asked for long ago: submissions, also with another body, and
 // cancellations. The answers must be as they were.
-func (w *world) again(luck *rand.Rand) {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.2").Dial}
-	for _, id := range w.check.Jobs() {
-		before := w.check.Stage(id)
-		if before == "" || luck.IntN(2) == 0 {
+func (w *simulation) repeatOldRequests(rng *rand.Rand) {
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.2").Dial}
+	for _, id := range w.checker.Jobs() {
+		before := w.checker.Stage(id)
+		if before == "" || rng.IntN(2) == 0 {
 			continue
 		}
-		j, _ := w.check.Describe(id)
+		j, _ := w.checker.Describe(id)
 		other := *j
-		switch luck.IntN(4) {
+		switch rng.IntN(4) {
 		case 0:
 			other.Tasks, other.Team, other.CPUs, other.Image = 90, "nobody", 1000, "other"
 		case 1:
@@ -105,127 +107,127 @@
 		}
 		asked := before == wire.Cancelled
 		path, body := wire.PathJobs, wire.Encode(&other)
-		if asked && luck.IntN(2) == 0 {
+		if asked && rng.IntN(2) == 0 {
 			path, body = path+"/"+id+"/"+wire.CancelWord, []byte{}
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
-		resp, err := caller.Call(ctx, simulator.Address(w.ip(luck.IntN(w.count)), 8080), "POST", path, body)
+		resp, err := caller.Call(ctx, simulator.Address(w.ip(rng.IntN(w.count)), 8080), "POST", path, body)
 		cancel()
 		if err != nil || resp.Status >= 500 || resp.Status == 200 && !before.Final() {
 			continue // or it may have changed meanwhile
 		}
 		var s wire.JobStatus
 		_ = wire.Decode(resp.Body, &s)
-		w.check.Told(id, resp.Status, s.Stage, asked)
+		w.checker.ObserveAnswer(id, resp.Status, s.Stage, asked)
 		if resp.Status != 200 {
 			w.t.Errorf("%s, which was %s, is answered %d", id, before, resp.Status)
 		}
 	}
 }
 
-// returns are processes and machines that end, and are back before anybody saw them go.
-var returns = []trouble{
-	{"a controller crashes", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.crash(luck.IntN(w.count), soon(luck), held(luck))
+// restartFaults are processes and machines that end, and are back before anybody saw them go.
+var restartFaults = []fault{
+	{"a controller crashes", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		w.crash(luck.IntN(w.count), restartDelay(luck), finalHoldTime(luck))
 	}},
-	{"a controller crashes five times in 2 s", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"a controller crashes five times in 2 s", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		i := luck.IntN(w.count)
 		for range 5 {
 			w.crash(i, 50*time.Millisecond, 0)
 			time.Sleep(400 * time.Millisecond)
 		}
 	}},
-	{"all controllers crash and are back in another order", func(w *world, luck *rand.Rand, _ time.Duration) {
-		late := held(luck)
+	{"all controllers crash and are back in another order", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		late := finalHoldTime(luck)
 		for k, i := range luck.Perm(w.count) {
 			back := time.Duration(50+k*100) * time.Millisecond
 			go w.crash(i, back, late)
 		}
 		time.Sleep(time.Second)
 	}},
-	{"all controllers crash again and again", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"all controllers crash again and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 3 {
 			for _, i := range luck.Perm(w.count) {
-				w.crash(i, soon(luck), 0)
+				w.crash(i, restartDelay(luck), 0)
 			}
 			time.Sleep(time.Duration(200+luck.IntN(3000)) * time.Millisecond)
 		}
 	}},
-	{"two controllers swap their roles", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"two controllers swap their roles", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 2 {
-			for _, name := range w.holders() {
-				w.crash(int(name[2]-'0'), soon(luck), held(luck))
+			for _, name := range w.leaders() {
+				w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
 			}
 			time.Sleep(time.Duration(500+luck.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"two processes of one name", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.twin(luck.IntN(w.count), time.Duration(50+luck.IntN(3000))*time.Millisecond, held(luck))
+	{"two processes of one name", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		w.twin(luck.IntN(w.count), time.Duration(50+luck.IntN(3000))*time.Millisecond, finalHoldTime(luck))
 	}},
-	{"whoever claims next crashes before the answer", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.crashAt("part/", soon(luck))
-		w.crash(luck.IntN(w.count), soon(luck), 0)
+	{"whoever claims next crashes before the answer", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		w.crashAt("part/", restartDelay(luck))
+		w.crash(luck.IntN(w.count), restartDelay(luck), 0)
 	}},
-	{"whoever writes a round next crashes before the answer", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.crashAt("ledger/", soon(luck))
+	{"whoever writes a round next crashes before the answer", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		w.crashAt("ledger/", restartDelay(luck))
 	}},
-	{"a controller crashes while another is suspected", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"a controller crashes while another is suspected", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		i := luck.IntN(w.count)
-		w.net.Still(w.ip(i), 4*time.Second)
+		w.net.Pause(w.ip(i), 4*time.Second)
 		time.Sleep(time.Duration(2000+luck.IntN(3000)) * time.Millisecond)
-		w.crash((i+luck.IntN(2))%w.count, soon(luck), held(luck))
+		w.crash((i+luck.IntN(2))%w.count, restartDelay(luck), finalHoldTime(luck))
 	}},
-	{"a controller crashes in a rebuild", func(w *world, luck *rand.Rand, _ time.Duration) {
-		w.crash(luck.IntN(w.count), soon(luck), 0)
+	{"a controller crashes in a rebuild", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		w.crash(luck.IntN(w.count), restartDelay(luck), 0)
 		time.Sleep(time.Duration(luck.IntN(2500)) * time.Millisecond)
-		for _, name := range w.holders() {
-			w.crash(int(name[2]-'0'), soon(luck), held(luck))
+		for _, name := range w.leaders() {
+			w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
 		}
 	}},
-	{"a controller crashes while the state service is out", func(w *world, luck *rand.Rand, d time.Duration) {
-		lasting(min(d, 8*time.Second), w.store.Outage)
+	{"a controller crashes while the state service is out", func(w *simulation, luck *rand.Rand, d time.Duration) {
+		during(min(d, 8*time.Second), w.store.SetOutage)
 		time.Sleep(time.Duration(luck.IntN(3000)) * time.Millisecond)
-		w.crash(luck.IntN(w.count), soon(luck), held(luck))
+		w.crash(luck.IntN(w.count), restartDelay(luck), finalHoldTime(luck))
 	}},
-	{"a machine restarts", func(w *world, luck *rand.Rand, _ time.Duration) { w.reboots(luck, 1) }},
-	{"half of the machines restart", func(w *world, luck *rand.Rand, _ time.Duration) { w.reboots(luck, w.cloud.Count()/2) }},
-	{"a machine restarts again and again", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"a machine restarts", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.rebootFirst(luck, 1) }},
+	{"half of the machines restart", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.rebootFirst(luck, w.cloud.CountRunning()/2) }},
+	{"a machine restarts again and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 4 {
-			w.reboots(luck, 1)
+			w.rebootFirst(luck, 1)
 			time.Sleep(time.Duration(luck.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"the holder and machines restart", func(w *world, luck *rand.Rand, _ time.Duration) {
-		for _, name := range w.holders() {
-			w.crash(int(name[2]-'0'), soon(luck), held(luck))
+	{"the holder and machines restart", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+		for _, name := range w.leaders() {
+			w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
 		}
-		w.reboots(luck, 3)
+		w.rebootFirst(luck, 3)
 	}},
-	{"users ask again", func(w *world, luck *rand.Rand, _ time.Duration) { w.again(luck) }},
+	{"users ask again", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.repeatOldRequests(luck) }},
 }
 
-// reboots has so many of the first machines restart.
-func (w *world) reboots(luck *rand.Rand, n int) {
-	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
+// rebootFirst has so many of the first machines restart.
+func (w *simulation) rebootFirst(rng *rand.Rand, n int) {
+	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if n > 0 {
 			n--
-			w.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
+			w.reboot(m.ID, simulator.HostOf(m.Addr), x, rng)
 		}
 	})
 }
 
-// backDay plays a day on which processes and machines end and are back after 50 to 500 ms,
+// playRestartDay plays a day on which processes and machines end and are back after 50 to 500 ms,
 // what they sent last arrives after that, and some of all that is asked for is asked twice.
-func backDay(t *testing.T, seed uint64, by func(name string) string, settle func(*world), more ...trouble) {
-	returns := slices.Concat(returns, more)
-	luck := rand.New(rand.NewPCG(seed, 8))
-	keep := []int{0, 2, 200}[luck.IntN(3)]
-	silence := []time.Duration{0, time.Hour}[luck.IntN(2)]
-	w := newWorldOf(t, []int{3, 5}[seed%2], seed, 0.02*float64(luck.IntN(2)), func(c *config.Config) {
-		c.Tuning.KeepReports, c.Tuning.Silence, c.Tuning.Parts.By = keep, silence, by(c.Name)
+func playRestartDay(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
+	returns := slices.Concat(restartFaults, more)
+	rng := rand.New(rand.NewPCG(seed, 8))
+	keep := []int{0, 2, 200}[rng.IntN(3)]
+	silence := []time.Duration{0, time.Hour}[rng.IntN(2)]
+	w := newSimulationOf(t, []int{3, 5}[seed%2], seed, 0.02*float64(rng.IntN(2)), func(c *config.Config) {
+		c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, silence, by(c.Name)
 	})
 	twice := rand.New(rand.NewPCG(seed, 9))
-	w.net.Copies(func(_, addr string) time.Duration {
+	w.net.Duplicate(func(_, addr string) time.Duration {
 		if w.draw(twice, 1000) >= 3 {
 			return 0
 		}
@@ -239,24 +241,24 @@
 	time.Sleep(10 * time.Second)
 	for range 16 {
 		from := returns
-		if luck.IntN(5) == 0 {
-			from = troubles
+		if rng.IntN(5) == 0 {
+			from = stallFaults
 		}
-		x, d := from[luck.IntN(len(from))], time.Duration(1+luck.IntN(30))*time.Second
+		x, d := from[rng.IntN(len(from))], time.Duration(1+rng.IntN(30))*time.Second
 		if os.Getenv("SIM_LOG") != "" {
 			fmt.Fprintln(os.Stderr, time.Now(), x.name, d)
 		}
-		x.cast(w, luck, d)
-		time.Sleep(time.Duration(luck.IntN(8000)) * time.Millisecond)
+		x.apply(w, rng, d)
+		time.Sleep(time.Duration(rng.IntN(8000)) * time.Millisecond)
 	}
 	if settle != nil {
 		settle(w)
 	}
 	time.Sleep(time.Minute)
-	w.again(luck)
+	w.repeatOldRequests(rng)
 	w.finish(20 * time.Minute)
-	w.judge()
-	if w.check.Started == 0 {
+	w.checkResults()
+	if w.checker.Started == 0 {
 		t.Error("no task was started")
 	}
 }
@@ -264,31 +266,31 @@
 // TestBackAtOnce plays such days in one part. AMBERDEAL_BACKS sets how many, AMBERDEAL_BACK
 // plays one.
 func TestBackAtOnce(t *testing.T) {
-	stallDays(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { backDay(t, seed, always("off"), nil) })
+	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { playRestartDay(t, seed, sameSharding("off"), nil) })
 }
 
 // TestPartsBackAtOnce plays them in several, half of them regrouped now and then.
 // AMBERDEAL_PARTBACKS sets how many, AMBERDEAL_PARTBACK plays one.
 func TestPartsBackAtOnce(t *testing.T) {
-	stallDays(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
+	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
-			backDay(t, seed, always("zone"), nil)
+			playRestartDay(t, seed, sameSharding("zone"), nil)
 			return
 		}
 		var set sync.Map
 		by := func(name string) string { to, _ := set.LoadOrStore(name, "zone"); return to.(string) }
-		roll := func(w *world, to string, luck *rand.Rand) {
-			for _, i := range luck.Perm(w.count) {
+		roll := func(w *simulation, to string, rng *rand.Rand) {
+			for _, i := range rng.Perm(w.count) {
 				set.Store(fmt.Sprint("c-", i), to)
-				w.crash(i, soon(luck), 0)
-				time.Sleep(time.Duration(luck.IntN(800)) * time.Millisecond)
+				w.crash(i, restartDelay(rng), 0)
+				time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 			}
 		}
-		anew := trouble{"all controllers are set to another grouping and crash again", func(w *world, luck *rand.Rand, _ time.Duration) {
-			roll(w, []string{"off", "zone"}[luck.IntN(2)], luck)
-			w.crashAt([]string{"grouping", "part/"}[luck.IntN(2)], soon(luck))
+		anew := fault{"all controllers are set to another grouping and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+			roll(w, []string{"off", "zone"}[rng.IntN(2)], rng)
+			w.crashAt([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
 		}}
-		backDay(t, seed, by, func(w *world) {
+		playRestartDay(t, seed, by, func(w *simulation) {
 			time.Sleep(5 * time.Second) // all are back
 			roll(w, "zone", rand.New(rand.NewPCG(seed, 11)))
 		}, anew, anew, anew)
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -62,7 +62,7 @@
 			}
 			t.Run(fmt.Sprint(name, ", parts ", by), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, 71, 0, func(c *config.Config) { c.Tuning.Parts.By = by })
+					w := newSimulation(t, 71, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 					time.Sleep(8 * time.Second)
 					for i, c := range jobs {
 						j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: c.team, Shape: c.shape, Priority: c.priority, Tasks: c.tasks, CPUs: 1, GPUs: c.gpus, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: c.run.Seconds()}
@@ -72,10 +72,10 @@
 						w.user(j, c.run, 4*time.Minute)
 						time.Sleep(20 * time.Second)
 					}
-					w.calm()
+					w.declareQuiet()
 					time.Sleep(150 * time.Second)
 					w.finish(20 * time.Minute)
-					w.judge()
+					w.checkResults()
 				})
 			})
 		}
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -16,15 +16,15 @@
 func TestTenLeaders(t *testing.T) {
 	ways := []struct {
 		name string
-		ends func(w *world, i int)
+		ends func(w *simulation, i int)
 	}{
-		{"killed, back at once", func(w *world, i int) { w.crash(i, 100*time.Millisecond, 0) }},
-		{"killed, back after half a second, its last words are late", func(w *world, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
-		{"killed, back after 9 s", func(w *world, i int) { w.kill(i, 9*time.Second) }},
-		{"cut off from the state service and the others", func(w *world, i int) {
-			lasting(15*time.Second, func(on bool) { w.cutOff(i, on) })
+		{"killed, back at once", func(w *simulation, i int) { w.crash(i, 100*time.Millisecond, 0) }},
+		{"killed, back after half a second, its last words are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
+		{"killed, back after 9 s", func(w *simulation, i int) { w.kill(i, 9*time.Second) }},
+		{"cut off from the state service and the others", func(w *simulation, i int) {
+			during(15*time.Second, func(on bool) { w.cutOff(i, on) })
 		}},
-		{"refused alone", func(w *world, i int) { lasting(12*time.Second, func(on bool) { w.refuse(i, on) }) }},
+		{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
 	}
 	const every = 11 * time.Second
 	for n, c := range []struct {
@@ -35,8 +35,8 @@
 		t.Run(fmt.Sprint(c.count, " controllers, parts by ", c.by, ", an outage of ", c.outage), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				seed := uint64(300 + n)
-				w := worldOfDoors(t, c.count, seed, func(s *config.Config) { s.Tuning.Parts.By = c.by })
-				w.copies(seed, 0.05)
+				w := newProxiedSimulation(t, c.count, seed, func(s *config.Config) { s.Tuning.Shards.By = c.by })
+				w.replayHeartbeats(seed, 0.05)
 				w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
 				w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
 				w.submitter(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, red), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
@@ -49,20 +49,20 @@
 					w.submitter(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
 				}
 				time.Sleep(begins)
-				start, term, ended, inOutage := time.Now(), w.term(), 0, 0
+				start, term, ended, inOutage := time.Now(), w.token(), 0, 0
 				out := func() bool {
 					return c.outage > 0 && time.Since(start) > 33*time.Second && time.Since(start) < 33*time.Second+c.outage
 				}
 				if c.outage > 0 {
-					time.AfterFunc(33*time.Second, func() { lasting(c.outage, w.store.Outage) })
+					time.AfterFunc(33*time.Second, func() { during(c.outage, w.store.SetOutage) })
 				}
 				for k := range 10 {
-					for w.leader() < 0 || w.nodes[w.leader()].down.Load() {
+					for w.anyLeader() < 0 || w.nodes[w.anyLeader()].down.Load() {
 						time.Sleep(50 * time.Millisecond)
 					}
 					way := ways[(k+n)%len(ways)]
 					log(way.name)
-					way.ends(w, w.leader())
+					way.ends(w, w.anyLeader())
 					if ended++; out() {
 						inOutage++
 					}
@@ -70,12 +70,12 @@
 				}
 				took := time.Since(start)
 				time.Sleep(15 * time.Second)
-				if changes := w.term() - term; changes < 5 || ended < 10 || took > 2*time.Minute || c.outage > 0 && inOutage == 0 {
+				if changes := w.token() - term; changes < 5 || ended < 10 || took > 2*time.Minute || c.outage > 0 && inOutage == 0 {
 					t.Errorf("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
 				} else {
 					t.Logf("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
 				}
-				w.close(90*time.Second, 10*time.Minute)
+				w.finishQuietly(90*time.Second, 10*time.Minute)
 			})
 		})
 	}
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -21,7 +21,7 @@
 )
 
 // batchOf finds the record that a job was accepted with.
-func (w *world) batchOf(job string) (key string, rec store.BatchRecord) {
+func (w *simulation) batchOf(job string) (key string, rec store.BatchRecord) {
 	for _, it := range w.store.Page(store.BatchKey(""), "", 0).Items {
 		var rec store.BatchRecord
 		if _ = wire.DecodeValue(it.Value, &rec); rec.Jobs[job].Tasks > 0 {
@@ -32,46 +32,46 @@
 	return "", rec
 }
 
-// change writes to the state service behind everybody's back.
-func (w *world) change(c wire.Change) {
-	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Change{c}}); status != 200 {
+// writeState writes to the state service behind everybody's back.
+func (w *simulation) writeState(c wire.Operation) {
+	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Operation{c}}); status != 200 {
 		w.t.Fatalf("%+v was answered %d", c, status)
 	}
 }
 
-// answered is a connection on which questions about one job get an answer of their own, or
+// overriddenConn is a connection on which questions about one job get an answer of their own, or
 // none if that is empty.
-type answered struct {
+type overriddenConn struct {
 	net.Conn
 	line, answer []byte
-	asked        bool
+	matched      bool
 }
 
-func (a *answered) Write(p []byte) (int, error) {
-	if a.asked = bytes.HasPrefix(p, a.line); a.asked {
+func (a *overriddenConn) Write(p []byte) (int, error) {
+	if a.matched = bytes.HasPrefix(p, a.line); a.matched {
 		return len(p), nil
 	}
 	return a.Conn.Write(p)
 }
 
-func (a *answered) Read(p []byte) (int, error) {
-	if a.asked && len(a.answer) > 0 {
-		a.asked = false
+func (a *overriddenConn) Read(p []byte) (int, error) {
+	if a.matched && len(a.answer) > 0 {
+		a.matched = false
 		return copy(p, a.answer), nil
 	}
 	return a.Conn.Read(p)
 }
 
-// shed gives an answer of its own to questions about a job, at one controller or at each.
-func (w *world) shed(job, at string, answer []byte) {
+// overrideAnswers gives an answer of its own to questions about a job, at one controller or at each.
+func (w *simulation) overrideAnswers(job, at string, answer []byte) {
 	w.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := w.net.Host("10.3.0.2").Dial(ctx, addr)
 		if err != nil || at != "" && at != addr {
 			return conn, err
 		}
-		return &answered{Conn: conn, line: []byte("GET " + wire.PathJobs + "/" + job + " "), answer: answer}, nil
+		return &overriddenConn{Conn: conn, line: []byte("GET " + wire.PathJobs + "/" + job + " "), answer: answer}, nil
 	}
-	w.askers()
+	w.pollers()
 	time.Sleep(10 * time.Second) // all are healthy
 }
 
@@ -79,35 +79,35 @@
 // the checker names it and no other.
 func TestForgottenIsSeen(t *testing.T) {
 	for name, plant := range map[string]struct {
-		before, after func(w *world)
+		before, after func(w *simulation)
 		want          string
 	}{
 		"nothing": {},
-		"a batch that no reader can decode": {want: "no question about wk-1 is answered", after: func(w *world) {
+		"a batch that no reader can decode": {want: "no question about wk-1 is answered", after: func(w *simulation) {
 			key, _ := w.batchOf("wk-1")
-			w.change(wire.Change{Put: key, Value: "garbled"})
+			w.writeState(wire.Operation{Put: key, Value: "garbled"})
 			for i := range 3 { // whoever has read it before goes on with that
 				w.kill(i, time.Second)
 			}
 		}},
-		"lost between batch and history": {want: "wk-1 was accepted and is answered 404", after: func(w *world) {
+		"lost between batch and history": {want: "wk-1 was accepted and is answered 404", after: func(w *simulation) {
 			key, _ := w.batchOf("wk-1")
-			w.change(wire.Change{Delete: key})
+			w.writeState(wire.Operation{Delete: key})
 		}},
-		"given to a part that nobody holds": {want: "wk-1 is called pending", before: func(w *world) {
+		"given to a part that nobody holds": {want: "wk-1 is called pending", before: func(w *simulation) {
 			time.Sleep(10 * time.Second)
-			w.change(wire.Change{Put: store.PartKey("b"), Value: store.PartRecord{Holder: "c-9", Term: 99, Format: store.Format}})
+			w.writeState(wire.Operation{Put: store.LeaderKey("b"), Value: store.LeaderRecord{Leader: "c-9", FencingToken: 99, Format: store.Format}})
 		}},
 		"not answered by the controller that its user has come to": {want: "no question about wk-1 is answered",
-			before: func(w *world) { w.shed("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
-		"shed again and again": {want: "no question about wk-1 is answered", before: func(w *world) {
-			w.shed("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
+			before: func(w *simulation) { w.overrideAnswers("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
+		"shed again and again": {want: "no question about wk-1 is answered", before: func(w *simulation) {
+			w.overrideAnswers("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 51, 0, func(c *config.Config) { c.Tuning.Parts.By = "zone" })
-				w.check.Known.Begin = 90 * time.Second
+				w := newSimulation(t, 51, 0, func(c *config.Config) { c.Tuning.Shards.By = "zone" })
+				w.checker.Liveness.MaxPending = 90 * time.Second
 				if plant.before != nil {
 					plant.before(w)
 				}
@@ -119,9 +119,9 @@
 				if plant.after != nil {
 					plant.after(w)
 				}
-				w.calm()
+				w.declareQuiet()
 				time.Sleep(3 * time.Minute)
-				broken := w.check.Known.Broken()
+				broken := w.checker.Liveness.Violations()
 				if plant.want == "" && len(broken) > 0 || plant.want != "" && (len(broken) != 1 || !strings.Contains(broken[0], plant.want)) {
 					t.Errorf("seen: %q", broken)
 				}
@@ -133,69 +133,71 @@
 	}
 }
 
-// crowd has users ask about whatever jobs there may be, each so often, until the day ends. They
+// addPollingCrowd has users ask about whatever jobs there may be, each so often, until the day ends. They
 // keep their connections.
-func (w *world) crowd(luck *rand.Rand, users int, every time.Duration) {
+func (w *simulation) addPollingCrowd(rng *rand.Rand, users int, every time.Duration) {
 	for n := range users {
-		w.asking.Go(func() {
-			caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
+		w.pollGroup.Go(func() {
+			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
 			for try := n; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
-				_, _ = caller.Call(ctx, simulator.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(luck, 1e6)), nil)
+				_, _ = caller.Call(ctx, simulator.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(rng, 1e6)), nil)
 				cancel()
-				time.Sleep(every/2 + time.Duration(w.draw(luck, int(every))))
+				time.Sleep(every/2 + time.Duration(w.draw(rng, int(every))))
 			}
 		})
 	}
 }
 
-// knownTroubles are what a question must survive that comes when they are over.
-var knownTroubles = []trouble{
-	{"the holder dies while it folds, and again", func(w *world, luck *rand.Rand, _ time.Duration) {
+// livenessFaults are what a question must survive that comes when they are over.
+var livenessFaults = []fault{
+	{"the holder dies while it folds, and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 1 + luck.IntN(4) {
-			for _, name := range w.holders() {
+			for _, name := range w.leaders() {
 				w.kill(int(name[2]-'0'), time.Duration(50+luck.IntN(450))*time.Millisecond)
 			}
 			time.Sleep(time.Duration(luck.IntN(3000)) * time.Millisecond)
 		}
 	}},
-	{"all die at once", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"all die at once", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for i := range 3 {
 			w.kill(i, time.Duration(50+luck.IntN(2000))*time.Millisecond)
 		}
 	}},
-	{"two are away, and get their parts back", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"two are away, and get their parts back", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		first := luck.IntN(3)
 		w.kill(first, d)
 		w.kill((first+1)%3, d)
 	}},
-	{"the state service is out, and comes back with leases at full time", func(w *world, _ *rand.Rand, d time.Duration) { lasting(d, w.store.Outage) }},
-	{"the state service forgets its changes", func(w *world, luck *rand.Rand, _ time.Duration) {
+	{"the state service is out, and comes back with leases at full time", func(w *simulation, _ *rand.Rand, d time.Duration) { during(d, w.store.SetOutage) }},
+	{"the state service forgets its changes", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 1 + luck.IntN(20) {
-			w.store.Forget()
+			w.store.DropHistory()
 			time.Sleep(time.Duration(luck.IntN(800)) * time.Millisecond)
 		}
 	}},
-	{"transactions get no answer", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(d, func(on bool) { w.store.Stage(func(s *simulator.Store) { s.Lossy = map[bool]float64{true: 0.4}[on] }) })
+	{"transactions get no answer", func(w *simulation, _ *rand.Rand, d time.Duration) {
+		during(d, func(on bool) {
+			w.store.Configure(func(s *simulator.StateService) { s.LossShare = map[bool]float64{true: 0.4}[on] })
+		})
 	}},
-	{"the state service is slow", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(d, func(on bool) {
-			w.store.Stage(func(s *simulator.Store) {
-				if s.Delay = nil; on {
-					s.Delay = func() time.Duration { return 1500 * time.Millisecond }
+	{"the state service is slow", func(w *simulation, _ *rand.Rand, d time.Duration) {
+		during(d, func(on bool) {
+			w.store.Configure(func(s *simulator.StateService) {
+				if s.ResponseDelay = nil; on {
+					s.ResponseDelay = func() time.Duration { return 1500 * time.Millisecond }
 				}
 			})
 		})
 	}},
-	{"one does not hear the state service", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"one does not hear the state service", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) { w.net.Lose("10.2.0.1", ip, on) })
+		during(d, func(on bool) { w.net.DropOneWay("10.2.0.1", ip, on) })
 	}},
-	{"a controller stands still", func(w *world, luck *rand.Rand, d time.Duration) { w.net.Still(w.ip(luck.IntN(3)), d) }},
-	{"a controller is cut off", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"a controller stands still", func(w *simulation, luck *rand.Rand, d time.Duration) { w.net.Pause(w.ip(luck.IntN(3)), d) }},
+	{"a controller is cut off", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) { w.net.Down(ip, on) })
+		during(d, func(on bool) { w.net.SetDown(ip, on) })
 	}},
 }
 
@@ -204,31 +206,31 @@
 // question is in vain for long then, whatever a crowd asks meanwhile. AMBERDEAL_QUIETS sets how
 // many days, AMBERDEAL_QUIET plays one.
 func TestNothingIsForgotten(t *testing.T) {
-	stallDays(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
-		luck := rand.New(rand.NewPCG(seed, 9))
+	playSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
+		rng := rand.New(rand.NewPCG(seed, 9))
 		var set sync.Map // how controllers divide the fleet
-		to := []string{"off", "zone"}[luck.IntN(2)]
-		busy := luck.IntN(2) == 0 // the state service takes few requests
-		w := newWorld(t, seed, 0, func(c *config.Config) {
+		to := []string{"off", "zone"}[rng.IntN(2)]
+		busy := rng.IntN(2) == 0 // the state service takes few requests
+		w := newSimulation(t, seed, 0, func(c *config.Config) {
 			by, _ := set.LoadOrStore(c.Name, to)
-			c.Tuning.Parts.By = by.(string)
+			c.Tuning.Shards.By = by.(string)
 			c.Tuning.History.Every, c.Tuning.History.Wait = 200*time.Millisecond, 500*time.Millisecond
 			if busy {
 				c.Store.RPS = 36
 			}
 		})
 		if busy {
-			w.store.Stage(func(s *simulator.Store) { s.Limits.RPS = 36 })
+			w.store.Configure(func(s *simulator.StateService) { s.Limits.RPS = 36 })
 		}
-		regroup := trouble{"all are set to another grouping", func(w *world, luck *rand.Rand, _ time.Duration) {
+		regroup := fault{"all are set to another grouping", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			to = map[string]string{"off": "zone", "zone": "off"}[to]
 			for i := range 3 {
 				set.Store(fmt.Sprint("c-", i), to)
-				w.kill(i, time.Duration(50+luck.IntN(450))*time.Millisecond)
-				time.Sleep(time.Duration(luck.IntN(4000)) * time.Millisecond)
+				w.kill(i, time.Duration(50+rng.IntN(450))*time.Millisecond)
+				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 			}
 		}}
-		w.crowd(rand.New(rand.NewPCG(seed, 10)), 30, 3*time.Second)
+		w.addPollingCrowd(rand.New(rand.NewPCG(seed, 10)), 30, 3*time.Second)
 		w.group.Add(1)
 		go func() {
 			defer w.group.Done()
@@ -236,15 +238,15 @@
 		}()
 		time.Sleep(15 * time.Second)
 		for range 8 {
-			x := append(knownTroubles, regroup)[luck.IntN(len(knownTroubles)+1)]
-			x.cast(w, luck, time.Duration(1+luck.IntN(30))*time.Second)
-			time.Sleep(time.Duration(luck.IntN(9000)) * time.Millisecond)
+			x := append(livenessFaults, regroup)[rng.IntN(len(livenessFaults)+1)]
+			x.apply(w, rng, time.Duration(1+rng.IntN(30))*time.Second)
+			time.Sleep(time.Duration(rng.IntN(9000)) * time.Millisecond)
 		}
 		time.Sleep(32 * time.Second) // the last of them is over
-		w.calm()
+		w.declareQuiet()
 		time.Sleep(3 * time.Minute)
 		w.finish(20 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -252,14 +254,14 @@
 // and keep their connections. Another's job is accepted, and stays known.
 func TestKeptConnectionsShutNobodyOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
+		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
 		time.Sleep(10 * time.Second)
-		w.crowd(rand.New(rand.NewPCG(1, 1)), 300, 5*time.Second)
+		w.addPollingCrowd(rand.New(rand.NewPCG(1, 1)), 300, 5*time.Second)
 		time.Sleep(20 * time.Second)
 		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1, MemoryGB: 8,
 			Image: "img", ImageGB: 1, EstimateS: 200}, 200*time.Second, 0)
-		w.calm()
+		w.declareQuiet()
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -21,122 +21,122 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// loss is how the answer to a write is lost that was carried out at once, and what its sender
+// replyLoss is how the answer to a write is lost that was carried out at once, and what its sender
 // meets then.
-type loss struct {
-	name     string
-	answer   int           // silent or closed
-	copies   int           // what its repeats get for a while, 0 for what the service says
-	cut, out time.Duration // for how long the sender alone, or everybody, is refused
-	crash    bool          // the sender ends, and is back soon
+type replyLoss struct {
+	name        string
+	answer      int           // silent or closed
+	copies      int           // what its repeats get for a while, 0 for what the service says
+	cut, outage time.Duration // for how long the sender alone, or everybody, is refused
+	crash       bool          // the sender ends, and is back soon
 }
 
-var losses = []loss{
-	{name: "closed at once", answer: closed},
-	{name: "silence", answer: silent},
-	{name: "the sender crashes", answer: silent, crash: true},
-	{name: "repeats get 503", answer: closed, copies: 503},
-	{name: "the sender alone is refused", answer: closed, cut: 12 * time.Second},
-	{name: "repeats get 429", answer: silent, copies: 429},
-	{name: "an outage for longer than cancel_s", answer: closed, out: 50 * time.Second},
+var replyLosses = []replyLoss{
+	{name: "closed at once", answer: connClosed},
+	{name: "silence", answer: noReply},
+	{name: "the sender crashes", answer: noReply, crash: true},
+	{name: "repeats get 503", answer: connClosed, copies: 503},
+	{name: "the sender alone is refused", answer: connClosed, cut: 12 * time.Second},
+	{name: "repeats get 429", answer: noReply, copies: 429},
+	{name: "an outage for longer than cancel_s", answer: connClosed, outage: 50 * time.Second},
 }
 
-// mostAnswers is how often a write is answered that its sender goes on repeating: what was answered
+// maxAnswers is how often a write is answered that its sender goes on repeating: what was answered
 // once need not be asked for again, but that the answer may come too late.
-const mostAnswers = 3
+const maxAnswers = 3
 
-// atOnce stands between controllers and the state service. Of some writes that are taken it loses
+// replyLossProxy stands between controllers and the state service. Of some writes that are taken it loses
 // the answer, and shows their sender nothing of them before another controller has read them.
-type atOnce struct {
-	*lateness
-	w     *world
-	seed  int
-	sent  map[string]*sentOne // by sender and body
-	lost  []*sentOne          // of which the sender knows nothing yet
-	cut   map[string]time.Time
-	out   time.Time // when the last outage began
-	told  map[string]*toldOf
-	tally map[string]lossTally
+type replyLossProxy struct {
+	*delayProxy
+	sim             *simulation
+	seed            int
+	writes          map[string]*trackedWrite // by sender and body
+	unknownToSender []*trackedWrite          // of which the sender knows nothing yet
+	cut             map[string]time.Time
+	outageBegan     time.Time // when the last outage began
+	observed        map[string]*observedJob
+	tallies         map[string]replyLossTally
 }
 
-// sentOne is a write, with all copies of it.
-type sentOne struct {
-	kind, from string
-	at         time.Time
-	loss       *loss // nil where it was answered
-	revision   uint64
-	read       bool // by another controller, before its sender knew
-	answers    int  // that copies of it got, of what is for good
+// trackedWrite is a write, with all copies of it.
+type trackedWrite struct {
+	kind, sender string
+	at           time.Time
+	loss         *replyLoss // nil where it was answered
+	revision     uint64
+	read         bool // by another controller, before its sender knew
+	answers      int  // that copies of it got, of what is for good
 }
 
-// lossTally tells of the writes of a kind of which the answer was lost.
-type lossTally struct {
+// replyLossTally tells of the writes of a kind of which the answer was lost.
+type replyLossTally struct {
 	lost, read int
 	by         map[string]int // how
 }
 
-// toldOf is what anybody was told of a job, and since when.
-type toldOf struct {
+// observedJob is what anybody was told of a job, and since when.
+type observedJob struct {
 	stage        wire.Stage // the final one
 	known, final time.Time
 }
 
-func newAtOnce(w *world, seed uint64, share float64) *atOnce {
-	a := &atOnce{lateness: newLateness(w.t, w.net, "10.2.0.1:2379", seed, share), w: w, seed: int(seed), sent: map[string]*sentOne{},
-		cut: map[string]time.Time{}, told: map[string]*toldOf{}, tally: map[string]lossTally{}}
-	a.serving = a.serve
+func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
+	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
+		cut: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
+	a.serveInstead = a.serve
 	return a
 }
 
-// unreadable are the kinds that change nothing that anybody reads.
-func unreadable(kind string) bool { return kind == "new lease" || kind == "renewal" }
+// isUnreadable are the kinds that change nothing that anybody reads.
+func isUnreadable(kind string) bool { return kind == "new lease" || kind == "renewal" }
 
-func (a *atOnce) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
-	if a.refused(from) {
+func (a *replyLossProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+	if a.isRefused(from) {
 		return 503, nil
 	}
 	kind := a.kindSent(from, method, target, body)
 	if kind == "" {
-		status, answer := a.pass(ctx, caller, method, target, body)
-		var page wire.Changes // a list has its revision too
+		status, answer := a.forward(ctx, caller, method, target, body)
+		var page wire.WatchResponse // a list has its revision too
 		if status == 200 && wire.Decode(answer, &page) == nil {
-			a.reads(from, page.Revision)
+			a.noteRead(from, page.Revision)
 		}
-		if a.refused(from) {
+		if a.isRefused(from) {
 			return 503, nil
 		}
 		return status, answer
 	}
 	id := from + " " + target + " " + string(body)
-	s := a.copyOf(id)
+	s := a.originalOf(id)
 	if s != nil && s.loss != nil {
-		a.unseen(s)
-		if s.loss.copies != 0 && time.Since(s.at) < copiesFor {
+		a.awaitRead(s)
+		if s.loss.copies != 0 && time.Since(s.at) < copyFaultTime {
 			return s.loss.copies, nil
 		}
 	}
-	status, answer := a.pass(ctx, caller, method, target, body)
-	return a.took(id, kind, from, body, status), answer
+	status, answer := a.forward(ctx, caller, method, target, body)
+	return a.noteAnswer(id, kind, from, body, status), answer
 }
 
-func (a *atOnce) refused(from string) bool {
+func (a *replyLossProxy) isRefused(from string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return time.Now().Before(a.cut[from])
 }
 
-// copyOf gives the write of which this is a repeat, or nil.
-func (a *atOnce) copyOf(id string) *sentOne {
+// originalOf gives the write of which this is a repeat, or nil.
+func (a *replyLossProxy) originalOf(id string) *trackedWrite {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.sent[id]
+	return a.writes[id]
 }
 
-// unseen waits until another controller has read a write, for a while.
-func (a *atOnce) unseen(s *sentOne) {
+// awaitRead waits until another controller has read a write, for a while.
+func (a *replyLossProxy) awaitRead(s *trackedWrite) {
 	for begun := time.Now(); time.Since(begun) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
-		read := s.read || unreadable(s.kind)
+		read := s.read || isUnreadable(s.kind)
 		a.mu.Unlock()
 		if read {
 			return
@@ -144,15 +144,15 @@
 	}
 }
 
-// reads takes in that a controller is about to be shown all up to a revision.
-func (a *atOnce) reads(from string, revision uint64) {
+// noteRead takes in that a controller is about to be shown all up to a revision.
+func (a *replyLossProxy) noteRead(from string, revision uint64) {
 	a.mu.Lock()
-	var own []*sentOne
-	a.lost = slices.DeleteFunc(a.lost, func(s *sentOne) bool {
+	var own []*trackedWrite
+	a.unknownToSender = slices.DeleteFunc(a.unknownToSender, func(s *trackedWrite) bool {
 		if s.revision > revision {
 			return false
 		}
-		if s.from == from {
+		if s.sender == from {
 			own = append(own, s)
 			return false
 		}
@@ -161,97 +161,97 @@
 	})
 	a.mu.Unlock()
 	for _, s := range own {
-		a.unseen(s)
-		a.knows(s)
+		a.awaitRead(s)
+		a.noteKnown(s)
 	}
 }
 
-// knows takes in that the sender learns what became of a write.
-func (a *atOnce) knows(s *sentOne) {
+// noteKnown takes in that the sender learns what became of a write.
+func (a *replyLossProxy) noteKnown(s *trackedWrite) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	i := slices.Index(a.lost, s)
+	i := slices.Index(a.unknownToSender, s)
 	if i < 0 {
 		return
 	}
-	a.lost = slices.Delete(a.lost, i, i+1)
+	a.unknownToSender = slices.Delete(a.unknownToSender, i, i+1)
 	if s.read {
-		n := a.tally[s.kind]
+		n := a.tallies[s.kind]
 		n.read++
-		a.tally[s.kind] = n
+		a.tallies[s.kind] = n
 	}
 }
 
-// took says what the sender of a write gets to which the service has answered.
-func (a *atOnce) took(id, kind, from string, body []byte, status int) int {
+// noteAnswer says what the sender of a write gets to which the service has answered.
+func (a *replyLossProxy) noteAnswer(id, kind, from string, body []byte, status int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := a.sent[id]
+	s := a.writes[id]
 	lease := slices.Contains(leaseKinds, kind) // all of a kind look alike
 	if s != nil && !lease {
 		if status == 200 && s.revision > 0 && kind != "new jobs" {
 			a.t.Errorf("%s: %s was taken twice", from, kind)
 		}
 		if answered := status == 200 || status == 409; answered {
-			if s.answers++; s.answers > mostAnswers {
+			if s.answers++; s.answers > maxAnswers {
 				a.t.Errorf("%s: %s of %v is answered %d times", from, kind, s.at, s.answers)
 			}
 		}
-		go a.knows(s)
+		go a.noteKnown(s)
 		return status
 	}
-	s = &sentOne{kind: kind, from: from, at: time.Now()}
+	s = &trackedWrite{kind: kind, sender: from, at: time.Now()}
 	if !lease && status != 0 {
-		a.sent[id] = s
+		a.writes[id] = s
 	}
 	if status != 200 {
 		return status
 	}
-	s.revision = a.w.store.Page(store.TermKey, "", 1).Revision
-	n := a.kinds[kind]
-	a.kinds[kind]++
+	s.revision = a.sim.store.Page(store.FencingTokenKey, "", 1).Revision
+	n := a.kindCounts[kind]
+	a.kindCounts[kind]++
 	switch at := slices.IndexFunc(writeKinds, func(k writeKind) bool { return k.name == kind }); {
-	case n < 2*len(losses) && n%2 == 0: // the rare ones in another way each day
-		s.loss = &losses[(n/2+1+at+a.seed)%len(losses)]
-	case a.luck.Float64() < a.share:
-		s.loss = &losses[a.luck.IntN(len(losses)-1)]
+	case n < 2*len(replyLosses) && n%2 == 0: // the rare ones in another way each day
+		s.loss = &replyLosses[(n/2+1+at+a.seed)%len(replyLosses)]
+	case a.rng.Float64() < a.share:
+		s.loss = &replyLosses[a.rng.IntN(len(replyLosses)-1)]
 	}
-	if s.loss != nil && s.loss.out > 0 {
-		if time.Since(a.out) < 4*time.Minute { // or nobody could answer anything for too long
-			s.loss = &losses[a.luck.IntN(2)]
+	if s.loss != nil && s.loss.outage > 0 {
+		if time.Since(a.outageBegan) < 4*time.Minute { // or nobody could answer anything for too long
+			s.loss = &replyLosses[a.rng.IntN(2)]
 		} else {
-			a.out = time.Now()
+			a.outageBegan = time.Now()
 		}
 	}
 	if s.loss == nil {
 		return status
 	}
-	a.lost = append(a.lost, s)
-	t := a.tally[kind]
+	a.unknownToSender = append(a.unknownToSender, s)
+	t := a.tallies[kind]
 	if t.by == nil {
 		t.by = map[string]int{}
 	}
 	t.lost++
 	t.by[s.loss.name]++
-	a.tally[kind] = t
+	a.tallies[kind] = t
 	if os.Getenv("SIM_LOG") != "" {
 		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== taken, no answer:", kind, "of", from, "revision", s.revision, s.loss.name)
 	}
-	a.follow(s, body)
+	a.applyConsequences(s, body)
 	return s.loss.answer
 }
 
-// follow brings about what comes with a loss, and has users ask about the jobs that were written.
-func (a *atOnce) follow(s *sentOne, body []byte) {
+// applyConsequences brings about what comes with a loss, and has users ask about the jobs that were written.
+func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
 	if s.loss.cut > 0 {
-		a.cut[s.from] = time.Now().Add(s.loss.cut)
+		a.cut[s.sender] = time.Now().Add(s.loss.cut)
 	}
-	if s.loss.out > 0 {
-		lasting(s.loss.out, a.w.store.Outage)
+	if s.loss.outage > 0 {
+		during(s.loss.outage, a.sim.store.SetOutage)
 	}
 	if s.loss.crash {
-		back := soon(a.luck)
-		go a.w.crash(int(s.from[2]-'0'), back, 0)
+		back := restartDelay(a.rng)
+		go a.sim.crash(int(s.sender[2]-'0'), back, 0)
 	}
 	var t txnAsSent
 	_ = wire.Decode(body, &t)
@@ -262,33 +262,33 @@
 		}
 		for id := range batch.Jobs {
 			for _, d := range []time.Duration{0, 5, 50, 300, 1000, 3000, 10_000} {
-				for i := range a.w.count {
-					a.w.asking.Go(func() { a.ask(id, i, d*time.Millisecond) })
+				for i := range a.sim.count {
+					a.sim.pollGroup.Go(func() { a.pollLater(id, i, d*time.Millisecond) })
 				}
 			}
 		}
 	}
 }
 
-// ask has a user ask a controller about a job after a while. No answer to a question is older than
+// pollLater has a user ask a controller about a job after a while. No answer to a question is older than
 // any that was given, by whichever controller, before it was asked.
-func (a *atOnce) ask(id string, node int, after time.Duration) {
-	ctx, cancel := context.WithTimeout(a.w.ctx, after+2*time.Second)
+func (a *replyLossProxy) pollLater(id string, node int, after time.Duration) {
+	ctx, cancel := context.WithTimeout(a.sim.ctx, after+2*time.Second)
 	defer cancel()
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
 	time.Sleep(after)
 	asked := time.Now()
-	resp, err := caller.Call(ctx, simulator.Address(a.w.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
+	resp, err := caller.Call(ctx, simulator.Address(a.sim.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
 	var st wire.JobStatus
-	if err != nil || a.w.ctx.Err() != nil || resp.Status != 404 && (resp.Status != 200 || wire.Decode(resp.Body, &st) != nil) {
+	if err != nil || a.sim.ctx.Err() != nil || resp.Status != 404 && (resp.Status != 200 || wire.Decode(resp.Body, &st) != nil) {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := a.told[id]
+	t := a.observed[id]
 	if t == nil {
-		t = &toldOf{}
-		a.told[id] = t
+		t = &observedJob{}
+		a.observed[id] = t
 	}
 	switch {
 	case resp.Status == 404:
@@ -305,16 +305,16 @@
 	if t.final.IsZero() && st.Stage.Final() {
 		t.stage, t.final = st.Stage, time.Now()
 		if st.Stage == wire.Cancelled {
-			a.w.check.Told(id, 200, st.Stage, true) // its tasks must be gone in time from now on
+			a.sim.checker.ObserveAnswer(id, 200, st.Stage, true) // its tasks must be gone in time from now on
 		}
 	}
 }
 
-// atOnceDay plays a day on which writes of each kind are taken while their senders learn nothing.
-func atOnceDay(t *testing.T, seed uint64, share float64) (a *atOnce) {
-	writingDay(t, seed, []int{3, 5}[seed%2], func(w *world) *lateness {
-		a = newAtOnce(w, seed, share)
-		return a.lateness
+// playReplyLossDay plays a day on which writes of each kind are taken while their senders learn nothing.
+func playReplyLossDay(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
+	playAllWritesDay(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
+		a = newReplyLossProxy(w, seed, share)
+		return a.delayProxy
 	})
 	return a
 }
@@ -324,17 +324,17 @@
 // AMBERDEAL_ATONCES=N, all but the first two have other troubles too and up to one write of ten
 // without an answer. AMBERDEAL_ATONCE plays one.
 func TestTakenAtOnce(t *testing.T) {
-	all := map[string]lossTally{}
+	all := map[string]replyLossTally{}
 	var mu sync.Mutex
-	stallDays(t, 2, "AMBERDEAL_ATONCE", func(t *testing.T, seed uint64) {
+	playSeeds(t, 2, "AMBERDEAL_ATONCE", func(t *testing.T, seed uint64) {
 		share := 0.02
 		if seed >= 2 {
 			share = []float64{0.02, 0.05, 0.1}[seed%3]
 		}
-		a := atOnceDay(t, seed, share)
+		a := playReplyLossDay(t, seed, share)
 		mu.Lock()
 		defer mu.Unlock()
-		for kind, n := range a.tally {
+		for kind, n := range a.tallies {
 			sum := all[kind]
 			sum.lost, sum.read = sum.lost+n.lost, sum.read+n.read
 			if sum.by == nil {
@@ -349,8 +349,8 @@
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
 		t.Logf("%s: %d taken without an answer, %d of them read by another before the sender knew; %v", kind, all[kind].lost, all[kind].read, all[kind].by)
 	}
-	for _, kind := range append(slices.Clone(leaseKinds), names(func(name string) bool { return !strings.Contains(name, "import") })...) {
-		if n := all[kind]; os.Getenv("AMBERDEAL_ATONCE") == "" && (n.lost == 0 || n.read == 0 && !unreadable(kind)) {
+	for _, kind := range append(slices.Clone(leaseKinds), kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
+		if n := all[kind]; os.Getenv("AMBERDEAL_ATONCE") == "" && (n.lost == 0 || n.read == 0 && !isUnreadable(kind)) {
 			t.Errorf("%q: %d were taken without an answer, and %d read by another before the sender knew", kind, n.lost, n.read)
 		}
 	}
@@ -360,23 +360,23 @@
 // after a silence. Its lease is renewed meanwhile, so that none is claimed a second time.
 func TestClaimsWithoutAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldOf(t, 1, 91, 0, func(c *config.Config) {
-			c.Zones, c.Tuning.Parts.By = []string{"a", "b", "c", "d", "e"}, "zone"
+		w := newSimulationOf(t, 1, 91, 0, func(c *config.Config) {
+			c.Zones, c.Tuning.Shards.By = []string{"a", "b", "c", "d", "e"}, "zone"
 			c.StoreAddr = simulator.Address("10.2.1.0", 2379)
 		})
-		l := newLateness(t, w.net, "10.2.0.1:2379", 91, 0)
+		l := newDelayProxy(t, w.net, "10.2.0.1:2379", 91, 0)
 		var claims atomic.Int64
-		l.serving = func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
-			status, answer := l.pass(ctx, caller, method, target, body)
+		l.serveInstead = func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+			status, answer := l.forward(ctx, caller, method, target, body)
 			if l.kindSent(from, method, target, body) == "claim" && status == 200 {
 				claims.Add(1)
-				return silent, nil
+				return noReply, nil
 			}
 			return status, answer
 		}
 		l.listen(w.ctx, "c-0", "10.2.1.0")
 		time.Sleep(time.Minute)
-		if held := w.holders(); len(held) != 5 || claims.Load() != 5 {
+		if held := w.leaders(); len(held) != 5 || claims.Load() != 5 {
 			t.Errorf("after %d claims that were taken %v are held", claims.Load(), held)
 		}
 		w.finish(time.Minute)
@@ -389,9 +389,9 @@
 // one of them it is refused all reads for a while before, and does not send the round again meanwhile.
 func TestCancelledWhileItsLaunchIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
-		l := newLateness(t, w.net, "10.2.0.1:2379", 92, 0)
-		caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
+		w := newSimulation(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
+		l := newDelayProxy(t, w.net, "10.2.0.1:2379", 92, 0)
+		caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
 		call := func(from int, path string, body []byte) int {
 			resp, err := caller.Call(w.ctx, simulator.Address(w.ip(from), 8080), "POST", path, body)
 			if err != nil {
@@ -403,7 +403,7 @@
 		copies := map[string]int{} // of the rounds that launch the jobs
 		rounds, unread := map[string]string{}, map[string]time.Time{}
 		job := "none"
-		l.serving = func(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+		l.serveInstead = func(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 			mu.Lock()
 			id, n := job, 0
 			if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (copies[id] == 0 || rounds[id] == string(body)) {
@@ -421,9 +421,9 @@
 					t.Errorf("the cancellation of %s is answered %d", id, status)
 				}
 			}
-			status, answer := l.pass(ctx, via, method, target, body)
+			status, answer := l.forward(ctx, via, method, target, body)
 			if n == 1 && status == 200 {
-				return silent, nil
+				return noReply, nil
 			}
 			if n == 2 && id == "wk-2" {
 				mu.Lock()
@@ -435,12 +435,12 @@
 		for i := range w.count {
 			l.listen(w.ctx, fmt.Sprint("c-", i), fmt.Sprint("10.2.1.", i))
 		}
-		w.service("wk-1", 2*time.Minute)
+		w.startService("wk-1", 2*time.Minute)
 		time.Sleep(40 * time.Second)
-		_, before := w.check.Counts()
+		_, before := w.checker.Counts()
 		for i := range 4 {
 			j := &wire.Job{ID: fmt.Sprint("wk-", 2+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}
-			w.check.Submitted(j, 5*time.Second)
+			w.checker.Submitted(j, 5*time.Second)
 			mu.Lock()
 			job = j.ID
 			mu.Unlock()
@@ -454,10 +454,10 @@
 				t.Errorf("the round that launches %s was sent %d times, not twice", id, n)
 			}
 		}
-		if _, after := w.check.Counts(); len(copies) != 4 || after != before {
+		if _, after := w.checker.Counts(); len(copies) != 4 || after != before {
 			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(copies), after-before)
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
--- a/internal/simtest/malformed_requests_test.go
+++ b/internal/simtest/malformed_requests_test.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// oddBodies are submissions that are never accepted, by what is odd of them.
-func oddBodies(id string) map[string][]byte {
+// malformedBodies are submissions that are never accepted, by what is odd of them.
+func malformedBodies(id string) map[string][]byte {
 	whole := func(field string, value any) []byte {
 		var m map[string]any
 		_ = wire.Decode(wire.Encode(jobOf(id, wire.Array, 2, time.Minute)), &m)
@@ -39,15 +39,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			met := map[int]int{}
 			var mu sync.Mutex
-			w := worldOfDoors(t, count, uint64(seed), nil)
-			w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = true })
+			w := newProxiedSimulation(t, count, uint64(seed), nil)
+			w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
 			odd := func(round int) {
 				n := 0
-				for what, body := range oddBodies(fmt.Sprint("wk-9", round)) {
+				for what, body := range malformedBodies(fmt.Sprint("wk-9", round)) {
 					n++
 					i := (n + round) % count
 					w.group.Go(func() {
-						resp, err := w.reach(i, 5*time.Second, "POST", wire.PathJobs, body)
+						resp, err := w.request(i, 5*time.Second, "POST", wire.PathJobs, body)
 						if err != nil || resp.Status != 400 && resp.Status != 422 && resp.Status != 503 && resp.Status != 429 {
 							t.Errorf("%s at %d: %+v, %v", what, i, resp, err)
 							return
@@ -59,52 +59,52 @@
 				}
 				time.Sleep(time.Second)
 				for i := range count {
-					if resp, err := w.reach(i, 5*time.Second, "GET", wire.PathJobs+fmt.Sprint("/wk-9", round), nil); err != nil || resp.Status != 404 && resp.Status != 503 {
+					if resp, err := w.request(i, 5*time.Second, "GET", wire.PathJobs+fmt.Sprint("/wk-9", round), nil); err != nil || resp.Status != 404 && resp.Status != 503 {
 						t.Errorf("%d tells of what was refused: %+v, %v", i, resp, err)
 					}
 				}
 			}
 			for i := range count { // it listens
 				for err := net.ErrClosed; err != nil; time.Sleep(time.Millisecond) {
-					_, err = w.reach(i, 5*time.Second, "GET", wire.PathReady, nil)
+					_, err = w.request(i, 5*time.Second, "GET", wire.PathReady, nil)
 				}
 			}
 			for round := range 6 { // before the state is read, and while no types are known
 				odd(round)
 			}
-			w.cloud.Fail(func(f *simulator.CloudFaults) { f.Trouble = false })
+			w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = false })
 			time.Sleep(10 * time.Second)
-			early := w.client(jobOf("wk-1", wire.Array, 3, 300*time.Second, func(j *wire.Job) { j.Types = []string{"g4"} }), luckOf(uint64(seed), "wk-1"), 300*time.Second)
-			if status := early.until(early.submit); status != 201 {
+			early := w.client(jobOf("wk-1", wire.Array, 3, 300*time.Second, func(j *wire.Job) { j.Types = []string{"g4"} }), rngOf(uint64(seed), "wk-1"), 300*time.Second)
+			if status := early.untilAnswered(early.submit); status != 201 {
 				t.Errorf("it was answered %d", status)
 			}
 			odd(10)
 			time.Sleep(10 * time.Second)
 			other := w.cloud.Types[0]
 			other.Name = "g5"
-			w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Types = []wire.MachineType{other} })
+			w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Types = []wire.MachineType{other} })
 			for round := range 16 { // each controller learns of it within two minutes
 				odd(20 + round)
 				for i := range count {
 					if status := early.submit(i); status != 200 && status != 0 {
 						t.Errorf("the repeat is answered %d at %d", status, i)
 					}
-					for _, body := range oddBodies("wk-1") {
-						if resp, err := w.reach(i, 5*time.Second, "POST", wire.PathJobs, body); err == nil && wire.SubmittedID(body) != "" && (resp.Status == 400 || resp.Status == 422) {
+					for _, body := range malformedBodies("wk-1") {
+						if resp, err := w.request(i, 5*time.Second, "POST", wire.PathJobs, body); err == nil && wire.SubmittedID(body) != "" && (resp.Status == 400 || resp.Status == 422) {
 							t.Errorf("a repeat is answered %d at %d", resp.Status, i)
 						}
 					}
 				}
 				time.Sleep(9 * time.Second)
 			}
-			gone := w.client(jobOf("wk-2", wire.Array, 1, time.Minute, func(j *wire.Job) { j.Types = []string{"g4"} }), luckOf(uint64(seed), "wk-2"), time.Minute)
+			gone := w.client(jobOf("wk-2", wire.Array, 1, time.Minute, func(j *wire.Job) { j.Types = []string{"g4"} }), rngOf(uint64(seed), "wk-2"), time.Minute)
 			for i := range count {
-				if resp, err := w.reach(i, 5*time.Second, "POST", wire.PathJobs, wire.Encode(gone.job)); err != nil || resp.Status != 422 {
+				if resp, err := w.request(i, 5*time.Second, "POST", wire.PathJobs, wire.Encode(gone.job)); err != nil || resp.Status != 422 {
 					t.Errorf("a job for a type that is gone is answered %+v, %v at %d", resp, err, i)
 				}
 			}
-			early.until(early.cancel)
-			w.close(0, 5*time.Minute)
+			early.untilAnswered(early.cancel)
+			w.finishQuietly(0, 5*time.Minute)
 			t.Logf("answered %v", met)
 			if met[503] < 20 || met[400] < 200 || met[422] < 40 {
 				t.Errorf("answered %v", met)
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -25,20 +25,20 @@
 	return names
 }
 
-// worldOfTeams is one in which each team may use one GPU.
-func worldOfTeams(t *testing.T, names []string, set func(*config.Config)) *world {
+// newTeamSimulation is one in which each team may use one GPU.
+func newTeamSimulation(t *testing.T, names []string, set func(*config.Config)) *simulation {
 	limits := make(map[string]float64)
 	var teams []config.Team
 	for _, name := range names {
 		limits[name] = 1
 		teams = append(teams, config.Team{Name: name, GPUsMax: 1})
 	}
-	w := worldOfDoors(t, 3, 1, func(c *config.Config) {
+	w := newProxiedSimulation(t, 3, 1, func(c *config.Config) {
 		if c.Teams = teams; set != nil {
 			set(c)
 		}
 	})
-	w.check.Limits = limits
+	w.checker.GPULimits = limits
 	return w
 }
 
@@ -59,19 +59,19 @@
 		t.Run(fmt.Sprintf("%d teams with names of %d bytes", x.teams, x.length), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				names := teamNames(x.teams, x.length)
-				w := worldOfTeams(t, names, nil)
-				w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 40 })
+				w := newTeamSimulation(t, names, nil)
+				w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 40 })
 				const run = 8 * time.Second
 				for i := range x.active {
 					w.submitter(1, teamJob(i, names[i*len(names)/x.active], 3, run), time.Duration(i%20)*time.Second, 0, run)
 				}
-				luck := rand.New(rand.NewPCG(1, 40))
+				rng := rand.New(rand.NewPCG(1, 40))
 				for _, at := range []time.Duration{25 * time.Second, 30 * time.Second} {
 					time.Sleep(at)
-					w.handOver(handovers[0].cast, luck)
+					w.handOverAll(handovers[0].apply, rng)
 				}
-				w.close(0, 12*time.Minute)
-				if term := w.term(); term < 3 {
+				w.finishQuietly(0, 12*time.Minute)
+				if term := w.token(); term < 3 {
 					t.Errorf("the leader has not changed twice: term %d", term)
 				}
 			})
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var left atomic.Bool
 		names := teamNames(3, 8)
-		w := worldOfTeams(t, names, func(c *config.Config) {
+		w := newTeamSimulation(t, names, func(c *config.Config) {
 			if left.Load() {
 				c.Teams = c.Teams[1:]
 			}
@@ -96,7 +96,7 @@
 		w.submitter(1, running, 0, 0, run)
 		w.submitter(1, waiting, time.Second, 0, run)
 		w.submitter(1, teamJob(3, names[1], 4, run), 0, 0, run)
-		if !awaits(40*time.Second, func() bool { return w.check.Running(running.ID)+w.check.Running(waiting.ID) > 0 }) {
+		if !waitUntil(40*time.Second, func() bool { return w.checker.Running(running.ID)+w.checker.Running(waiting.ID) > 0 }) {
 			t.Error("no job of the team has begun")
 		}
 		left.Store(true)
@@ -104,13 +104,13 @@
 			w.crash(i, time.Second, 0)
 			time.Sleep(12 * time.Second)
 		}
-		late := w.client(teamJob(4, names[0], 1, run), luckOf(1, "late"), run)
+		late := w.client(teamJob(4, names[0], 1, run), rngOf(1, "late"), run)
 		if status := late.refused(); status != 422 {
 			t.Errorf("a job of a team that has left is answered %d", status)
 		}
-		w.close(0, 5*time.Minute)
+		w.finishQuietly(0, 5*time.Minute)
 		for _, j := range []*wire.Job{running, waiting} {
-			if stage := w.check.Stage(j.ID); stage != wire.Done {
+			if stage := w.checker.Stage(j.ID); stage != wire.Done {
 				t.Errorf("%s is %s", j.ID, stage)
 			}
 		}
@@ -120,7 +120,7 @@
 // refused submits a job that is to be refused, and gives the answer's status.
 func (c *client) refused() (status int) {
 	for c.ctx.Err() == nil {
-		resp, err := c.reach(c.any(), 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
+		resp, err := c.request(c.anyController(), 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
 		if err == nil && resp.Status != 503 {
 			return resp.Status
 		}
