--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -18,74 +18,74 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// site is what the state service takes of all controllers of a site.
-type site struct {
-	name  string
-	count int
-	store config.Store
+// deployment is what the state service takes of all controllers of a site.
+type deployment struct {
+	name   string
+	count  int
+	limits config.Store
 }
 
-// sites are the two of the users, as they are and with half of the limits.
-func sites() (out []site) {
-	for _, s := range []site{
+// deployments are the two of the users, as they are and with half of the limits.
+func deployments() (out []deployment) {
+	for _, s := range []deployment{
 		{"three", 3, config.Store{RPS: 250, WriteRPS: 25, ValueBytes: 16 << 10, TxnOps: 24}},
 		{"five", 5, config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8 << 10, TxnOps: 20}},
 	} {
 		half := s
 		half.name = "half of " + s.name
-		half.store.RPS, half.store.WriteRPS, half.store.TxnOps = s.store.RPS/2, s.store.WriteRPS/2, min(s.store.TxnOps, int(s.store.WriteRPS/2))
+		half.limits.RPS, half.limits.WriteRPS, half.limits.TxnOps = s.limits.RPS/2, s.limits.WriteRPS/2, min(s.limits.TxnOps, int(s.limits.WriteRPS/2))
 		out = append(out, s, half)
 	}
 	return out
 }
 
-// drop is a job of a flood with its user, and what became of it and when.
-type drop struct {
+// overloadJob is a job of a flood with its user, and what became of it and when.
+type overloadJob struct {
 	*client
-	come, accepted, asked, told, begun, ended, seen time.Time
+	arrivedAt, acceptedAt, cancelAskedAt, cancelToldAt, startedAt, endedAt, endSeenAt time.Time
 }
 
-// flood is a day on which one-task jobs come four a second for minutes, of which a quarter are cancelled.
-type flood struct {
-	*world
+// overload is a day on which one-task jobs come four a second for minutes, of which a quarter are cancelled.
+type overload struct {
+	*simulation
 	*simulator.Checker
-	luck  *rand.Rand
-	slow  *rand.Rand
-	mu    sync.Mutex
-	drops map[string]*drop
-	order []*drop
-	keys  []map[string]int // of each kind, every five seconds
-	heap  []uint64         // in use, every minute
+	jobRNG    *rand.Rand
+	slowRNG   *rand.Rand
+	mu        sync.Mutex
+	jobs      map[string]*overloadJob
+	order     []*overloadJob
+	keyCounts []map[string]int // of each kind, every five seconds
+	heapBytes []uint64         // in use, every minute
 }
 
-func (f *flood) drop(job string) *drop {
+func (f *overload) job(job string) *overloadJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.drops[job]
+	return f.jobs[job]
 }
 
-// On tells that a task starts.
-func (f *flood) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	if d := f.drop(t.Job); d.begun.IsZero() {
-		d.begun = time.Now()
+// TaskStarted tells that a task starts.
+func (f *overload) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	if d := f.job(t.Job); d.startedAt.IsZero() {
+		d.startedAt = time.Now()
 	}
-	return f.Checker.On(t, machine, typ, zone, spot)
+	return f.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// Done tells that a task has completed: its user looks 3 s later.
-func (f *flood) Done(t wire.TaskID) {
-	f.Checker.Done(t)
-	d := f.drop(t.Job)
-	if !d.ended.IsZero() {
+// TaskCompleted tells that a task has completed: its user looks 3 s later.
+func (f *overload) TaskCompleted(t wire.TaskID) {
+	f.Checker.TaskCompleted(t)
+	d := f.job(t.Job)
+	if !d.endedAt.IsZero() {
 		return
 	}
-	d.ended = time.Now()
+	d.endedAt = time.Now()
 	f.group.Go(func() {
 		time.Sleep(3 * time.Second)
-		for f.ctx.Err() == nil && d.seen.IsZero() {
+		for f.ctx.Err() == nil && d.endSeenAt.IsZero() {
 			asked := time.Now()
-			if d.look(f.up(d)); f.Stage(t.Job).Final() {
-				d.seen = asked
+			if d.poll(f.reachableController(d)); f.Stage(t.Job).Final() {
+				d.endSeenAt = asked
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -93,141 +93,141 @@
 	})
 }
 
-// up is a controller that takes connections, as a balancer picks it.
-func (f *flood) up(d *drop) int {
+// reachableController is a controller that takes connections, as a balancer picks it.
+func (f *overload) reachableController(d *overloadJob) int {
 	for range 20 {
-		if i := d.any(); !f.nodes[i].down.Load() {
+		if i := d.anyController(); !f.nodes[i].down.Load() {
 			return i
 		}
 	}
 	return 0
 }
 
-// comes is a user with a job, who calls it off after a while unless that is zero.
-func (f *flood) comes(j *wire.Job, run, cancel time.Duration) {
-	d := &drop{client: f.client(j, luckOf(1, j.ID), run), come: time.Now()}
+// addJob is a user with a job, who calls it off after a while unless that is zero.
+func (f *overload) addJob(j *wire.Job, run, cancel time.Duration) {
+	d := &overloadJob{client: f.client(j, rngOf(1, j.ID), run), arrivedAt: time.Now()}
 	f.mu.Lock()
-	f.drops[j.ID], f.order = d, append(f.order, d)
+	f.jobs[j.ID], f.order = d, append(f.order, d)
 	f.mu.Unlock()
 	f.group.Go(func() {
 		until := func(ask func(i int) int) time.Time {
-			for f.ctx.Err() == nil && ask(f.up(d)) == 0 {
+			for f.ctx.Err() == nil && ask(f.reachableController(d)) == 0 {
 				time.Sleep(time.Second)
 			}
 			return time.Now()
 		}
-		d.accepted = until(d.submit)
+		d.acceptedAt = until(d.submit)
 		if cancel > 0 {
 			time.Sleep(cancel)
-			d.asked = time.Now()
-			d.told = until(d.cancel)
+			d.cancelAskedAt = time.Now()
+			d.cancelToldAt = until(d.cancel)
 		}
 		for f.ctx.Err() == nil && !f.Stage(j.ID).Final() {
 			time.Sleep(5 * time.Second)
-			d.look(f.up(d))
+			d.poll(f.reachableController(d))
 		}
 	})
 }
 
-// pour has jobs come for a while.
-func (f *flood) pour(d time.Duration) {
+// generate has jobs come for a while.
+func (f *overload) generate(d time.Duration) {
 	begun := time.Now()
 	for n := 0; time.Since(begun) < d; n++ {
-		run := time.Duration(4000+f.luck.IntN(8000)) * time.Millisecond
+		run := time.Duration(4000+f.jobRNG.IntN(8000)) * time.Millisecond
 		cancel := time.Duration(0)
 		if n%4 == 3 {
-			cancel = time.Duration(1+f.luck.IntN(10000)) * time.Millisecond
+			cancel = time.Duration(1+f.jobRNG.IntN(10000)) * time.Millisecond
 		}
-		f.comes(jobOf(fmt.Sprintf("wk-%06d", n), wire.Array, 1, run, func(j *wire.Job) { j.Image, j.Spot = fmt.Sprint("img-", n%3), n%2 == 0 }), run, cancel)
-		time.Sleep(time.Duration(f.luck.IntN(500)) * time.Millisecond)
+		f.addJob(jobOf(fmt.Sprintf("wk-%06d", n), wire.Array, 1, run, func(j *wire.Job) { j.Image, j.Spot = fmt.Sprint("img-", n%3), n%2 == 0 }), run, cancel)
+		time.Sleep(time.Duration(f.jobRNG.IntN(500)) * time.Millisecond)
 	}
 }
 
-// count counts keys and the heap.
-func (f *flood) count() {
+// sampleUsage counts keys and the heap.
+func (f *overload) sampleUsage() {
 	for n := 0; f.ctx.Err() == nil; n++ {
 		keys := map[string]int{}
 		for kind, k := range f.account().Kinds {
 			keys[kind] = k.Keys
 		}
-		f.keys = append(f.keys, keys)
+		f.keyCounts = append(f.keyCounts, keys)
 		if n%12 == 0 {
 			runtime.GC()
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			f.heap = append(f.heap, m.HeapAlloc)
+			f.heapBytes = append(f.heapBytes, m.HeapAlloc)
 		}
 		time.Sleep(5 * time.Second)
 	}
 }
 
-func newFlood(t *testing.T, s site) *flood {
-	w := newWorldOf(t, s.count, 1, 0, func(c *config.Config) {
-		c.Store, c.Tuning.History = s.store, config.DefaultTuning().History
+func newOverload(t *testing.T, s deployment) *overload {
+	w := newSimulationOf(t, s.count, 1, 0, func(c *config.Config) {
+		c.Store, c.Tuning.History = s.limits, config.DefaultTuning().History
 	})
-	w.store.Stage(func(st *simulator.Store) {
-		st.Limits = simulator.Limits{RPS: s.store.RPS, WriteRPS: s.store.WriteRPS, ValueBytes: s.store.ValueBytes, TxnOps: s.store.TxnOps, Kept: 1000}
-		st.Delay = usual
+	w.store.Configure(func(st *simulator.StateService) {
+		st.Limits = simulator.StateLimits{RPS: s.limits.RPS, WriteRPS: s.limits.WriteRPS, ValueBytes: s.limits.ValueBytes, TxnOps: s.limits.TxnOps, RetainedChanges: 1000}
+		st.ResponseDelay = usualStoreDelay
 	})
-	f := &flood{world: w, Checker: w.check, luck: rand.New(rand.NewPCG(1, 7)), slow: rand.New(rand.NewPCG(1, 9)), drops: map[string]*drop{}}
-	w.ground = f
-	w.machines(2*time.Second, func() time.Duration { return 0 })
-	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 15 })
+	f := &overload{simulation: w, Checker: w.checker, jobRNG: rand.New(rand.NewPCG(1, 7)), slowRNG: rand.New(rand.NewPCG(1, 9)), jobs: map[string]*overloadJob{}}
+	w.fixture = f
+	w.reconfigureMachines(2*time.Second, func() time.Duration { return 0 })
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 15 })
 	return f
 }
 
-// usual is how long the state service takes.
-func usual() time.Duration { return 6 * time.Millisecond }
+// usualStoreDelay is how long the state service takes.
+func usualStoreDelay() time.Duration { return 6 * time.Millisecond }
 
-// floodTroubles come in the second minute of a flood. took is by how much they may put off what users wait for:
+// overloadFaults come in the second minute of a flood. took is by how much they may put off what users wait for:
 // a leader's successor begins once the lease has run out, and knows what runs after rebuildWait.
-var floodTroubles = map[string]struct {
-	cast func(f *flood)
+var overloadFaults = map[string]struct {
+	cast func(f *overload)
 	took time.Duration
 }{
-	"calm": {func(*flood) {}, 0},
-	"the leader changes twice": {func(f *flood) {
+	"calm": {func(*overload) {}, 0},
+	"the leader changes twice": {func(f *overload) {
 		for _, at := range []time.Duration{0, 50 * time.Second} {
-			time.AfterFunc(at, func() { f.crash(f.leader(), 3*time.Second, 0) })
+			time.AfterFunc(at, func() { f.crash(f.anyLeader(), 3*time.Second, 0) })
 		}
 	}, 9*time.Second + 4*time.Second},
-	"the state service is slow": {func(f *flood) {
-		lasting(60*time.Second, func(on bool) {
-			f.store.Stage(func(st *simulator.Store) {
-				if st.Delay = usual; on {
-					st.Delay = func() time.Duration { return time.Duration(300+f.draw(f.slow, 700)) * time.Millisecond }
+	"the state service is slow": {func(f *overload) {
+		during(60*time.Second, func(on bool) {
+			f.store.Configure(func(st *simulator.StateService) {
+				if st.ResponseDelay = usualStoreDelay; on {
+					st.ResponseDelay = func() time.Duration { return time.Duration(300+f.draw(f.slowRNG, 700)) * time.Millisecond }
 				}
 			})
 		})
 	}, 4 * time.Second}, // a read, a write and the two before them
-	"writes get no answer": {func(f *flood) {
-		lasting(60*time.Second, func(on bool) {
-			f.store.Stage(func(st *simulator.Store) { st.Lossy = map[bool]float64{true: 0.3}[on] })
+	"writes get no answer": {func(f *overload) {
+		during(60*time.Second, func(on bool) {
+			f.store.Configure(func(st *simulator.StateService) { st.LossShare = map[bool]float64{true: 0.3}[on] })
 		})
 	}, 10 * time.Second}, // some of them four times, which takes 2.5 s each
 }
 
-// play pours for some minutes, and has all bounds judged that follow from the settings.
-func (f *flood) play(s site, trouble string, minutes int) {
-	t, x := f.t, floodTroubles[trouble]
+// run pours for some minutes, and has all bounds judged that follow from the settings.
+func (f *overload) run(s deployment, trouble string, minutes int) {
+	t, x := f.t, overloadFaults[trouble]
 	time.Sleep(10 * time.Second)
-	f.asking.Go(f.count)
-	term, begun := f.term(), time.Now()
+	f.pollGroup.Go(f.sampleUsage)
+	term, begun := f.token(), time.Now()
 	_, changes, _ := f.store.Counts()
 	time.AfterFunc(time.Minute, func() { x.cast(f) })
-	f.pour(time.Duration(minutes) * time.Minute)
+	f.generate(time.Duration(minutes) * time.Minute)
 	_, after, _ := f.store.Counts()
 	spent := float64(after-changes) / time.Since(begun).Seconds()
 	time.Sleep(75 * time.Second) // all have ended, and what is over waits for 15 s at the most to be folded
 	left := f.account()
-	f.calm()
+	f.declareQuiet()
 	f.finish(3 * time.Minute)
 
 	full := !strings.HasPrefix(s.name, "half")
 	const attempt = 5*time.Second + time.Second // a request without an answer, and the pause before the next
 	bounds := map[string]struct{ most, worst time.Duration }{
-		"accepted":  {most: writePatience + x.took},
-		"cancelled": {most: writePatience + x.took},
+		"accepted":  {most: writeTimeout + x.took},
+		"cancelled": {most: writeTimeout + x.took},
 		// An array waits for room that others will leave for two boots, or has a machine rented, which
 		// boots and is then heard; and it fetches.
 		"begun": {most: 3*5*time.Second + 4*time.Second + time.Second + x.took},
@@ -247,16 +247,16 @@
 	}
 	cancelled, ended := 0, 0
 	for _, d := range f.order {
-		took := map[string]time.Duration{"accepted": d.accepted.Sub(d.come)}
-		if !d.told.IsZero() {
-			took["cancelled"] = d.told.Sub(d.asked)
+		took := map[string]time.Duration{"accepted": d.acceptedAt.Sub(d.arrivedAt)}
+		if !d.cancelToldAt.IsZero() {
+			took["cancelled"] = d.cancelToldAt.Sub(d.cancelAskedAt)
 			cancelled++
 		}
-		if !d.begun.IsZero() {
-			took["begun"] = d.begun.Sub(d.accepted)
+		if !d.startedAt.IsZero() {
+			took["begun"] = d.startedAt.Sub(d.acceptedAt)
 		}
-		if !d.seen.IsZero() {
-			took["told"] = d.seen.Sub(d.ended)
+		if !d.endSeenAt.IsZero() {
+			took["told"] = d.endSeenAt.Sub(d.endedAt)
 			ended++
 		}
 		for what, d := range took {
@@ -273,17 +273,17 @@
 	}
 	// It was a flood: four a second, a quarter cancelled, most of the others done.
 	n := len(f.order)
-	t.Logf("%d jobs, %d cancelled, %d ended, %.1f changes a second of %v", n, cancelled, ended, spent, s.store.WriteRPS)
+	t.Logf("%d jobs, %d cancelled, %d ended, %.1f changes a second of %v", n, cancelled, ended, spent, s.limits.WriteRPS)
 	if n < minutes*60*7/2 || cancelled < n/5 || ended < n/2 {
 		t.Errorf("%d jobs in %d minutes, %d cancelled, %d ended", n, minutes, cancelled, ended)
 	}
-	if strings.Contains(trouble, "leader") && f.term() < term+2 {
+	if strings.Contains(trouble, "leader") && f.token() < term+2 {
 		t.Error("the leader has not changed twice")
 	}
 	// Keys: of jobs that live, of such as are over and wait for 15 s to be folded, and what comes while nobody folds.
 	lives := bounds["begun"].most + 12*time.Second + 15*time.Second + x.took
 	most, batches := int(4.5*lives.Seconds()), 0
-	for _, k := range f.keys {
+	for _, k := range f.keyCounts {
 		batches = max(batches, k["batch"])
 		if k["ledger"] > 8 || k["recent"] > 8 {
 			t.Errorf("%d slots and %d recent blocks", k["ledger"], k["recent"])
@@ -298,7 +298,7 @@
 	case full && (batches > most || kept > 0):
 		t.Errorf("%d batches at the most, %d left: more than %d", batches, kept, most)
 	case !full: // what is spent on one job is more than there is: folding has its floor, and goes on after
-		floor := s.store.WriteRPS * (1/(2*float64(s.count)) + 0.5) / 8 * float64(minutes) * 60 / 2
+		floor := s.limits.WriteRPS * (1/(2*float64(s.count)) + 0.5) / 8 * float64(minutes) * 60 / 2
 		if folded := n - batches; float64(folded) < floor {
 			t.Errorf("only %d of %d jobs were folded meanwhile, not %.0f", folded, n, floor)
 		}
@@ -307,18 +307,18 @@
 		}
 	}
 	// Memory: an hour of this takes less than a quarter of a controller's 200 MB.
-	if from, to := 3, minutes; full && to-from >= 2 && len(f.heap) > to {
-		grown := (float64(f.heap[to]) - float64(f.heap[from])) / float64(to-from) * 60 / float64(s.count)
-		t.Logf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heap)
+	if from, to := 3, minutes; full && to-from >= 2 && len(f.heapBytes) > to {
+		grown := (float64(f.heapBytes[to]) - float64(f.heapBytes[from])) / float64(to-from) * 60 / float64(s.count)
+		t.Logf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
 		if grown > 50e6 {
-			t.Errorf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heap)
+			t.Errorf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
 		}
 	}
-	f.judge()
+	f.checkResults()
 }
 
-// writePatience is for how long a controller tries to write what a user waits for.
-const writePatience = 3500 * time.Millisecond
+// writeTimeout is for how long a controller tries to write what a user waits for.
+const writeTimeout = 3500 * time.Millisecond
 
 // TestFlood plays floods, each with a trouble of its own. AMBERDEAL_FLOODS plays all sites and troubles, for
 // so many minutes.
@@ -326,13 +326,13 @@
 	minutes := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FLOODS"), &minutes)
 	short := map[string]string{"half of three": "the leader changes twice", "five": "the state service is slow"}
-	for _, s := range sites() {
-		for _, trouble := range slices.Sorted(maps.Keys(floodTroubles)) {
+	for _, s := range deployments() {
+		for _, trouble := range slices.Sorted(maps.Keys(overloadFaults)) {
 			if minutes == 0 && short[s.name] != trouble {
 				continue
 			}
 			t.Run(s.name+", "+trouble, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { newFlood(t, s).play(s, trouble, max(minutes, 2)) })
+				synctest.Test(t, func(t *testing.T) { newOverload(t, s).run(s, trouble, max(minutes, 2)) })
 			})
 		}
 	}
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -14,104 +14,104 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// trouble is a fault that lasts for a while.
-type trouble struct {
-	name string
-	cast func(w *world, luck *rand.Rand, d time.Duration)
+// fault is a fault that lasts for a while.
+type fault struct {
+	name  string
+	apply func(w *simulation, luck *rand.Rand, d time.Duration)
 }
 
-// lasting begins a fault and ends it after a while.
-func lasting(d time.Duration, cast func(on bool)) {
+// during begins a fault and ends it after a while.
+func during(d time.Duration, cast func(on bool)) {
 	cast(true)
 	time.AfterFunc(d, func() { cast(false) })
 }
 
 // everyMachine gives the hosts of all machines that are up.
-func (w *world) everyMachine() (hosts []string) {
-	for i := range w.cloud.Count() {
-		hosts = append(hosts, simulator.HostOf(w.cloud.Up(i)))
+func (w *simulation) everyMachine() (hosts []string) {
+	for i := range w.cloud.CountRunning() {
+		hosts = append(hosts, simulator.HostOf(w.cloud.AddrOfNth(i)))
 	}
 	return hosts
 }
 
-// troubles are what a processor that is too small, sockets that run out and cuts one way
+// stallFaults are what a processor that is too small, sockets that run out and cuts one way
 // do to the proofs by time: between taking a time, using it and saying something, any
 // time may pass.
-var troubles = []trouble{
-	{"a controller stands still", func(w *world, luck *rand.Rand, d time.Duration) { w.net.Still(w.ip(luck.IntN(3)), d) }},
-	{"all controllers stand still", func(w *world, _ *rand.Rand, d time.Duration) {
+var stallFaults = []fault{
+	{"a controller stands still", func(w *simulation, luck *rand.Rand, d time.Duration) { w.net.Pause(w.ip(luck.IntN(3)), d) }},
+	{"all controllers stand still", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		for i := range 3 {
-			w.net.Still(w.ip(i), d)
+			w.net.Pause(w.ip(i), d)
 		}
 	}},
-	{"a controller is slow at each step", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"a controller is slow at each step", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		most, steps := 1+luck.IntN(1500), rand.New(rand.NewPCG(luck.Uint64(), 7))
 		step := func() time.Duration { return time.Duration(w.draw(steps, most)) * time.Millisecond }
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) {
+		during(d, func(on bool) {
 			if !on {
 				step = nil
 			}
-			w.net.Slow(ip, step)
+			w.net.SetStepDelay(ip, step)
 		})
 	}},
-	{"machines hear a controller, which does not hear them", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"machines hear a controller, which does not hear them", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
 		for _, host := range w.everyMachine() {
-			lasting(d, func(on bool) { w.net.Lose(host, ip, on) })
+			during(d, func(on bool) { w.net.DropOneWay(host, ip, on) })
 		}
 	}},
-	{"a controller hears machines, which do not hear it", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"a controller hears machines, which do not hear it", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
 		for _, host := range w.everyMachine() {
-			lasting(d, func(on bool) { w.net.Lose(ip, host, on) })
+			during(d, func(on bool) { w.net.DropOneWay(ip, host, on) })
 		}
 	}},
-	{"no machine finds a socket, all can be called", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"no machine finds a socket, all can be called", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		first, n := luck.IntN(3), 1+luck.IntN(3)
 		for k := range n {
-			lasting(d, func(on bool) { w.net.Full(w.ip((first+k)%3), on) })
+			during(d, func(on bool) { w.net.RefuseInbound(w.ip((first+k)%3), on) })
 		}
 	}},
-	{"one machine's answers are lost", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"one machine's answers are lost", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
 			host := hosts[luck.IntN(len(hosts))]
 			for i := range 3 {
-				lasting(d, func(on bool) { w.net.Lose(w.ip(i), host, on) })
+				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
 			}
 		}
 	}},
-	{"one machine can only be called", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"one machine can only be called", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
 			host := hosts[luck.IntN(len(hosts))]
-			lasting(d, func(on bool) { w.net.Mute(host, on) })
+			during(d, func(on bool) { w.net.RefuseOutbound(host, on) })
 		}
 	}},
-	{"a machine hangs", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"a machine hangs", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
 			host := hosts[luck.IntN(len(hosts))]
-			lasting(d, func(on bool) { w.net.Down(host, on) })
+			during(d, func(on bool) { w.net.SetDown(host, on) })
 		}
 	}},
-	{"the state service's answers to one are lost", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"the state service's answers to one are lost", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) { w.net.Lose("10.2.0.1", ip, on) })
+		during(d, func(on bool) { w.net.DropOneWay("10.2.0.1", ip, on) })
 	}},
-	{"one does not reach the state service", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"one does not reach the state service", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) { w.net.Cut(ip, "10.2.0.1", on) })
+		during(d, func(on bool) { w.net.Partition(ip, "10.2.0.1", on) })
 	}},
-	{"controllers don't hear each other", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"controllers don't hear each other", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		a, b := luck.IntN(3), luck.IntN(3)
-		lasting(d, func(on bool) { w.net.Lose(w.ip(a), w.ip(b), on) })
+		during(d, func(on bool) { w.net.DropOneWay(w.ip(a), w.ip(b), on) })
 	}},
-	{"the cloud is not heard", func(w *world, luck *rand.Rand, d time.Duration) {
+	{"the cloud is not heard", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		ip := w.ip(luck.IntN(3))
-		lasting(d, func(on bool) { w.net.Lose("10.2.0.2", ip, on) })
+		during(d, func(on bool) { w.net.DropOneWay("10.2.0.2", ip, on) })
 	}},
-	{"a controller is killed", func(w *world, luck *rand.Rand, _ time.Duration) { w.kill(luck.IntN(3), 3*time.Second) }},
-	{"the state service is out", func(w *world, _ *rand.Rand, d time.Duration) {
-		lasting(min(d, 30*time.Second), w.store.Outage)
+	{"a controller is killed", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.kill(luck.IntN(3), 3*time.Second) }},
+	{"the state service is out", func(w *simulation, _ *rand.Rand, d time.Duration) {
+		during(min(d, 30*time.Second), w.store.SetOutage)
 	}},
 }
 
@@ -120,15 +120,15 @@
 // only, and lets the checker judge them. AMBERDEAL_STALLS sets how many days,
 // AMBERDEAL_STALL plays one.
 func TestProofsHoldHoweverSlow(t *testing.T) {
-	stallDays(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { stallDay(t, seed, always("off"), nil) })
+	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("off"), nil) })
 }
 
-// always sets every controller to the same grouping.
-func always(by string) func(string) string { return func(string) string { return by } }
+// sameSharding sets every controller to the same grouping.
+func sameSharding(by string) func(string) string { return func(string) string { return by } }
 
-// stallDays plays so many days, or as many as the variable with an S behind it says, or the
+// playSeeds plays so many days, or as many as the variable with an S behind it says, or the
 // one that the variable names.
-func stallDays(t *testing.T, days uint64, variable string, play func(t *testing.T, seed uint64)) {
+func playSeeds(t *testing.T, days uint64, variable string, play func(t *testing.T, seed uint64)) {
 	first := uint64(0)
 	if text := os.Getenv(variable + "S"); text != "" {
 		days, _ = strconv.ParseUint(text, 10, 64)
@@ -142,15 +142,15 @@
 	}
 }
 
-// stallDay plays a day on which controllers are set to groupings by their names, and more
+// playStallSeed plays a day on which controllers are set to groupings by their names, and more
 // troubles come than those that all days have. Before its end it is settled, if need be.
-func stallDay(t *testing.T, seed uint64, by func(name string) string, settle func(*world), more ...trouble) {
-	troubles := slices.Concat(troubles, more)
-	luck := rand.New(rand.NewPCG(seed, 6))
-	keep := []int{0, 2, 200}[luck.IntN(3)]                 // reports go to the holder, or by the siblings
-	silence := []time.Duration{0, time.Hour}[luck.IntN(2)] // silent machines are released, or time alone proves
-	w := newWorld(t, seed, 0.02*float64(luck.IntN(3)), func(c *config.Config) {
-		c.Tuning.KeepReports, c.Tuning.Silence, c.Tuning.Parts.By = keep, silence, by(c.Name)
+func playStallSeed(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
+	troubles := slices.Concat(stallFaults, more)
+	rng := rand.New(rand.NewPCG(seed, 6))
+	keep := []int{0, 2, 200}[rng.IntN(3)]                 // reports go to the holder, or by the siblings
+	silence := []time.Duration{0, time.Hour}[rng.IntN(2)] // silent machines are released, or time alone proves
+	w := newSimulation(t, seed, 0.02*float64(rng.IntN(3)), func(c *config.Config) {
+		c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, silence, by(c.Name)
 	})
 	w.group.Add(1)
 	go func() {
@@ -159,22 +159,22 @@
 	}()
 	time.Sleep(10 * time.Second)
 	for range 14 {
-		x := troubles[luck.IntN(len(troubles))]
-		d := time.Duration(1+luck.IntN(60)) * time.Second
+		x := troubles[rng.IntN(len(troubles))]
+		d := time.Duration(1+rng.IntN(60)) * time.Second
 		if os.Getenv("SIM_LOG") != "" {
 			fmt.Fprintln(os.Stderr, time.Now(), x.name, d)
 		}
-		x.cast(w, luck, d)
-		time.Sleep(time.Duration(luck.IntN(12000)) * time.Millisecond)
+		x.apply(w, rng, d)
+		time.Sleep(time.Duration(rng.IntN(12000)) * time.Millisecond)
 	}
 	if settle != nil {
 		settle(w)
 	}
 	w.finish(20 * time.Minute)
-	for _, b := range w.check.Broken() {
+	for _, b := range w.checker.Violations() {
 		t.Error(b)
 	}
-	if w.check.Started == 0 {
+	if w.checker.Started == 0 {
 		t.Error("no task was started")
 	}
 	for _, p := range w.account().Problems {
@@ -185,5 +185,5 @@
 // TestPartsHold plays such days on a fleet in two parts. AMBERDEAL_PARTS sets how many
 // days, AMBERDEAL_PART plays one.
 func TestPartsHold(t *testing.T) {
-	stallDays(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { stallDay(t, seed, always("zone"), nil) })
+	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -25,38 +25,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// cluster is three controllers as real processes on loopback, among stand-ins on
+// processCluster is three controllers as real processes on loopback, among stand-ins on
 // real sockets in this process.
-type cluster struct {
-	t        testing.TB
-	ctx      context.Context
-	dir      string
-	subnet   string // such as 127.45.0.
-	binary   string
-	store    *simulator.Store
-	cloud    *simulator.Cloud
-	check    *simulator.Checker
-	caller   *transport.Caller
-	settings map[string]any // params.state
-	state    string         // address of the state service
-	promised float64        // CPUs that the team blue is guaranteed
-	mu       sync.Mutex
-	procs    [3]*exec.Cmd
-	blobs    *exec.Cmd // amberdeal cas
-	agents   []*machine
+type processCluster struct {
+	t              testing.TB
+	ctx            context.Context
+	dir            string
+	subnet         string // such as 127.45.0.
+	binary         string
+	store          *simulator.StateService
+	cloud          *simulator.Cloud
+	checker        *simulator.Checker
+	caller         *transport.Caller
+	settings       map[string]any // params.state
+	state          string         // address of the state service
+	guaranteedCPUs float64        // CPUs that the team blue is guaranteed
+	mu             sync.Mutex
+	procs          [3]*exec.Cmd
+	blobs          *exec.Cmd // amberdeal cas
+	agents         []*agentMachine
 }
 
 var sockets = transport.Sockets{Log: slog.New(slog.DiscardHandler)}
 
-// newCluster builds the program and starts the stand-ins. What it starts ends
+// newProcessCluster builds the program and starts the stand-ins. What it starts ends
 // with the test.
-func newCluster(t testing.TB, state map[string]any, ini string, capacity int) *cluster {
+func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &cluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStore(1, 0), settings: state,
-		caller: &transport.Caller{Limit: 1 << 20, Dial: sockets.Dial}}
+	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), settings: state,
+		caller: &transport.Caller{MaxBody: 1 << 20, Dial: sockets.Dial}}
 	c.subnet = fmt.Sprintf("127.%d.%d.", 20+os.Getpid()%200, 1+time.Now().UnixNano()%250)
 	c.state = c.subnet + "200:2379"
-	c.check = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
+	c.checker = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
 	c.binary = filepath.Join(c.dir, "amberdeal")
 	build := exec.Command("go", "build", "-o", c.binary, "./cmd/amberdeal")
 	build.Dir = repositoryRoot
@@ -68,12 +68,12 @@
 		names[fmt.Sprint("c-", i)] = c.addr(i + 1)
 	}
 	spec := wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1, BootS: 1, Zones: []string{"a", "b"}}
-	yard := simulator.NewYard(c.check, 20*time.Second, 3*time.Second)
-	c.cloud = &simulator.Cloud{Capacity: capacity, Boot: 100 * time.Millisecond, Lag: 200 * time.Millisecond, Subnet: c.subnet, Rand: rand.New(rand.NewPCG(1, 3)),
+	yard := simulator.NewTaskRuntime(c.checker, 20*time.Second, 3*time.Second)
+	c.cloud = &simulator.Cloud{Capacity: capacity, BootTime: 100 * time.Millisecond, ListLag: 200 * time.Millisecond, Subnet: c.subnet, Rand: rand.New(rand.NewPCG(1, 3)),
 		Types: []wire.MachineType{spec},
 		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
-			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: spec, Net: sockets, Down: func() {}, Controllers: names,
-				Yard: yard, Lease: 8 * time.Second, Report: time.Second})
+			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: spec, Net: sockets, TakeDown: func() {}, Controllers: names,
+				Runtime: yard, Lease: 8 * time.Second, HeartbeatInterval: time.Second})
 		}}
 	go sockets.Listen(ctx, c.subnet+"200:2379", 1000, c.store.Serve())
 	go sockets.Listen(ctx, c.subnet+"201:8443", 100, c.cloud.Serve())
@@ -97,9 +97,9 @@
 
 // addr gives the public address of a host: controllers are 1 to 3. Machines count
 // from 1 too, on another port.
-func (c *cluster) addr(host int) string { return fmt.Sprintf("%s%d:8080", c.subnet, host) }
+func (c *processCluster) addr(host int) string { return fmt.Sprintf("%s%d:8080", c.subnet, host) }
 
-func (c *cluster) reachable(addr string) bool {
+func (c *processCluster) reachable(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err == nil {
 		conn.Close()
@@ -108,7 +108,7 @@
 }
 
 // waitFor waits until a condition holds, for a minute at the most.
-func (c *cluster) waitFor(what string, holds func() bool) {
+func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > time.Minute {
@@ -118,10 +118,10 @@
 	}
 }
 
-func (c *cluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
+func (c *processCluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
 
-// figure reads a metric of all controllers, and gives the sum.
-func (c *cluster) figure(name string) (sum float64) {
+// metric reads a metric of all controllers, and gives the sum.
+func (c *processCluster) metric(name string) (sum float64) {
 	for i := range 3 {
 		resp, err := c.caller.Call(c.ctx, fmt.Sprintf("%s%d:9464", c.subnet, i+1), "GET", "/metrics", nil)
 		if err != nil || resp.Status != 200 {
@@ -142,7 +142,7 @@
 }
 
 // configure writes the platform's file of a controller.
-func (c *cluster) configure(i int) string {
+func (c *processCluster) configure(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
 		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
 	var siblings []any
@@ -152,7 +152,7 @@
 		}
 	}
 	cfg["siblings"] = siblings
-	cfg["params"] = map[string]any{"zones": []string{"a", "b"}, "teams": []any{map[string]any{"name": "red", "gpus_max": 12}, map[string]any{"name": "blue", "cpus": c.promised}},
+	cfg["params"] = map[string]any{"zones": []string{"a", "b"}, "teams": []any{map[string]any{"name": "red", "gpus_max": 12}, map[string]any{"name": "blue", "cpus": c.guaranteedCPUs}},
 		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.settings,
 		"cloud": map[string]any{"rps": 50, "list_lag_s": 0.2}, "limits": map[string]any{"ram_mb": 234, "fd_limit": 3000}}
 	text, err := json.Marshal(cfg)
@@ -167,7 +167,7 @@
 }
 
 // start starts a controller.
-func (c *cluster) start(i int) {
+func (c *processCluster) start(i int) {
 	path := c.configure(i)
 	log, err := os.OpenFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -185,7 +185,7 @@
 }
 
 // kill ends a controller with no signal that it could see.
-func (c *cluster) kill(i int) {
+func (c *processCluster) kill(i int) {
 	c.mu.Lock()
 	cmd := c.procs[i]
 	c.procs[i] = nil
@@ -196,7 +196,7 @@
 	}
 }
 
-func (c *cluster) ready(i int) bool {
+func (c *processCluster) ready(i int) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
 	resp, err := c.caller.Call(ctx, c.addr(i+1), "GET", wire.PathReady, nil)
@@ -204,7 +204,7 @@
 }
 
 // ask sends a request to the controllers in turn until one decides.
-func (c *cluster) ask(first int, method, path string, body []byte) (status int, stage wire.Stage) {
+func (c *processCluster) ask(first int, method, path string, body []byte) (status int, stage wire.Stage) {
 	for try := 0; c.ctx.Err() == nil; try++ {
 		ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
 		resp, err := c.caller.Call(ctx, c.addr((first+try)%3+1), method, path, body)
@@ -221,17 +221,17 @@
 
 func jobPath(id string) string { return wire.PathJobs + "/" + id }
 
-// story is a user's: a job is submitted and done or cancelled, and its answer
+// playJob is a user's: a job is submitted and done or cancelled, and its answer
 // stands.
-func (c *cluster) story(id string, n int) {
+func (c *processCluster) playJob(id string, n int) {
 	j := &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + n%3,
 		CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 1, Spot: true}
-	c.check.Submitted(j, 50*time.Millisecond)
-	tell := func(asked bool, status int, stage wire.Stage) { c.check.Told(id, status, stage, asked) }
+	c.checker.Submitted(j, 50*time.Millisecond)
+	tell := func(asked bool, status int, stage wire.Stage) { c.checker.ObserveAnswer(id, status, stage, asked) }
 	status, stage := c.ask(n, "POST", wire.PathJobs, wire.Encode(j))
 	tell(false, status, stage)
 	cancelled := n%3 == 0
-	for !c.check.Stage(id).Final() && c.ctx.Err() == nil {
+	for !c.checker.Stage(id).Final() && c.ctx.Err() == nil {
 		if cancelled {
 			status, stage = c.ask(n+1, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{})
 		} else {
@@ -251,9 +251,11 @@
 	if text := os.Getenv("AMBERDEAL_KILLS"); text != "" {
 		kills, _ = strconv.Atoi(text)
 	}
-	c := newCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 1, "txn_ops": 8},
+	c := newProcessCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 1, "txn_ops": 8},
 		"[claim]\nlease = 2s\nrenew = 500ms\n[history]\nevery = 100ms\nwait = 200ms\nmerge_at = 1\n", 3)
-	c.store.Stage(func(s *simulator.Store) { s.Limits = simulator.Limits{ValueBytes: 1024, TxnOps: 8, PageItems: 20} })
+	c.store.Configure(func(s *simulator.StateService) {
+		s.Limits = simulator.StateLimits{ValueBytes: 1024, TxnOps: 8, PageItems: 20}
+	})
 	for i := range 3 {
 		c.start(i)
 	}
@@ -261,12 +263,12 @@
 	var users sync.WaitGroup
 	var mu sync.Mutex
 	var ids []string
-	luck := rand.New(rand.NewPCG(1, 9))
-	seven := luck.Perm(10_000_000)
+	rng := rand.New(rand.NewPCG(1, 9))
+	seven := rng.Perm(10_000_000)
 	pick := func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		return ids[luck.IntN(len(ids))]
+		return ids[rng.IntN(len(ids))]
 	}
 	over := make(chan struct{})
 	for u := range 12 {
@@ -280,13 +282,13 @@
 				default:
 				}
 				id := fmt.Sprintf("wk-%07d", seven[n%len(seven)])
-				c.story(id, n)
+				c.playJob(id, n)
 				mu.Lock()
 				ids = append(ids, id)
 				mu.Unlock()
 				old := pick() // an answer of long ago, and a job that nobody submitted
 				status, stage := c.ask(n, "GET", jobPath(old), nil)
-				c.check.Told(old, status, stage, c.check.Stage(old) == wire.Cancelled)
+				c.checker.ObserveAnswer(old, status, stage, c.checker.Stage(old) == wire.Cancelled)
 				if status, _ := c.ask(n, "GET", jobPath(fmt.Sprintf("wk-%09d", n)), nil); status != 404 && c.ctx.Err() == nil {
 					t.Errorf("a job that nobody submitted is answered %d", status)
 				}
@@ -309,20 +311,20 @@
 	c.waitFor("jobs in the history", func() bool { return c.account().Kinds["history"] != nil })
 	close(over)
 	users.Wait()
-	if n := c.figure("view_keys"); n == 0 || c.figure(`store_changes_total{purpose="submission"}`) == 0 || c.figure("records_not_understood")+c.figure("answers_differ_total") > 0 {
+	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
 		t.Errorf("the metrics tell of %v keys", n)
 	}
 	askAll := func() {
 		for _, id := range ids {
 			status, stage := c.ask(1, "GET", jobPath(id), nil)
-			c.check.Told(id, status, stage, c.check.Stage(id) == wire.Cancelled)
+			c.checker.ObserveAnswer(id, status, stage, c.checker.Stage(id) == wire.Cancelled)
 		}
 	}
 	askAll()
-	c.moveHouse()
+	c.migrateState()
 	askAll()
-	c.story("wk-10000001", 1) // the machines obey the new claim
-	for _, b := range c.check.Broken() {
+	c.playJob("wk-10000001", 1) // the machines obey the new claim
+	for _, b := range c.checker.Violations() {
 		t.Error(b)
 	}
 	a := c.account()
@@ -330,7 +332,7 @@
 		t.Error(p)
 	}
 	_, changes, keys := c.store.Counts()
-	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(ids), c.check.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
+	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(ids), c.checker.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
 	if t.Failed() {
 		c.logs()
 	}
@@ -345,7 +347,7 @@
 	if err != nil {
 		t.Skip("AMBERDEAL_RETURNS is not set")
 	}
-	c := newCluster(t, map[string]any{"rps": 400, "write_rps": 200, "value_kb": 8, "txn_ops": 24}, "", 12)
+	c := newProcessCluster(t, map[string]any{"rps": 400, "write_rps": 200, "value_kb": 8, "txn_ops": 24}, "", 12)
 	for i := range 3 {
 		c.start(i)
 	}
@@ -365,9 +367,9 @@
 				case <-time.After(time.Duration(n%7) * 50 * time.Millisecond):
 				}
 				id, begun := fmt.Sprintf("wk-%07d", n*7919%10_000_000), time.Now()
-				c.story(id, n)
+				c.playJob(id, n)
 				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // once more
-				c.check.Told(id, status, stage, n%3 == 0)
+				c.checker.ObserveAnswer(id, status, stage, n%3 == 0)
 				mu.Lock()
 				jobs, longest = jobs+1, max(longest, time.Since(begun))
 				mu.Unlock()
@@ -386,7 +388,7 @@
 		for _, i := range order {
 			c.start(i)
 		}
-		c.cloud.Each(func(_ wire.ListedMachine, m simulator.Machine) {
+		c.cloud.EachRunning(func(_ wire.ListedMachine, m simulator.Machine) {
 			if fate.IntN(40) == 0 {
 				m.(interface{ Reboot(time.Duration, bool) }).Reboot(100*time.Millisecond, false)
 			}
@@ -395,21 +397,21 @@
 	took := time.Since(begun)
 	close(over)
 	users.Wait()
-	for _, b := range append(c.check.Broken(), c.account().Problems...) {
+	for _, b := range append(c.checker.Violations(), c.account().Problems...) {
 		t.Error(b)
 	}
-	if open := c.check.Open(); len(open) > 0 {
+	if open := c.checker.OpenJobs(); len(open) > 0 {
 		t.Errorf("without an end: %v", open)
 	}
-	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.check.Started, longest.Round(100*time.Millisecond))
+	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
 	if t.Failed() {
 		c.logs()
 	}
 }
 
-// moveHouse exports the state, ends all controllers, and starts them on another
+// migrateState exports the state, ends all controllers, and starts them on another
 // state service that the export was put into.
-func (c *cluster) moveHouse() {
+func (c *processCluster) migrateState() {
 	c.t.Helper()
 	run := func(args ...string) string {
 		out, err := exec.CommandContext(c.ctx, c.binary, append([]string{"state"}, args...)...).CombinedOutput()
@@ -427,7 +429,7 @@
 	run("export", "--config", config, file)
 	run("verify", file)
 	limits := c.store.Limits
-	c.store = simulator.NewStore(2, 0)
+	c.store = simulator.NewStateService(2, 0)
 	c.store.Limits = limits
 	c.state = c.subnet + "202:2379"
 	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
@@ -442,10 +444,10 @@
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
-func (c *cluster) account() archive.Account {
-	var items []wire.Item
+func (c *processCluster) account() archive.Report {
+	var items []wire.KeyValue
 	for after := ""; ; {
-		page := c.store.Page(store.Stem, after, 0)
+		page := c.store.Page(store.CommonPrefix, after, 0)
 		items = append(items, page.Items...)
 		if !page.More {
 			return archive.Verify(c.ctx, items)
@@ -454,7 +456,7 @@
 	}
 }
 
-func (c *cluster) logs() {
+func (c *processCluster) logs() {
 	for kind, k := range c.account().Kinds {
 		c.t.Logf("%s: %+v", kind, *k)
 	}
@@ -464,15 +466,15 @@
 	}
 }
 
-// fill puts so many ended jobs into the state as folding would have left them:
+// seedEndedJobs puts so many ended jobs into the state as folding would have left them:
 // ids at random over ten times as many, blocks that are two thirds full.
-func (c *cluster) fill(n int) (ids []string) {
+func (c *processCluster) seedEndedJobs(n int) (ids []string) {
 	limit := c.settings["value_kb"].(int) << 10
-	luck := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	entries := make([]jobblock.Entry, 0, n)
 	for i := range n {
-		id := fmt.Sprintf("wk-%08d", i*10+luck.IntN(10))
-		entries = append(entries, jobblock.Entry{ID: id, Stage: []wire.Stage{wire.Done, wire.Cancelled, wire.Done}[luck.IntN(3)], Tasks: 1 + luck.IntN(30)})
+		id := fmt.Sprintf("wk-%08d", i*10+rng.IntN(10))
+		entries = append(entries, jobblock.Entry{ID: id, Stage: []wire.Stage{wire.Done, wire.Cancelled, wire.Done}[rng.IntN(3)], Tasks: 1 + rng.IntN(30)})
 	}
 	recent := entries[:0:0]
 	if n > 3000 {
@@ -485,9 +487,9 @@
 		if i+1 < len(records) {
 			to = records[i+1].From
 		}
-		c.store.Commit(wire.Txn{Then: []wire.Change{{Put: store.History + to, Value: r}}})
+		c.store.Commit(wire.Txn{Then: []wire.Operation{{Put: store.ArchivePrefix + to, Value: r}}})
 	}
-	c.store.Commit(wire.Txn{Then: []wire.Change{{Put: store.RecentKey(0), Value: jobblock.Pack("", recent)}}})
+	c.store.Commit(wire.Txn{Then: []wire.Operation{{Put: store.RecentKey(0), Value: jobblock.Pack("", recent)}}})
 	for _, e := range append(entries, recent...) {
 		ids = append(ids, e.ID)
 	}
@@ -495,7 +497,7 @@
 }
 
 // memory gives a figure of a process's memory in MB.
-func (c *cluster) memory(i int, name string) float64 {
+func (c *processCluster) memory(i int, name string) float64 {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.procs[i].Process.Pid))
 	if err != nil {
 		return 0
@@ -513,7 +515,7 @@
 
 // burst submits and cancels jobs from many users at once, and gives the jobs per
 // second of the submissions.
-func (c *cluster) burst(first, jobs, users int) float64 {
+func (c *processCluster) burst(first, jobs, users int) float64 {
 	var group sync.WaitGroup
 	each := func(f func(id string, n int)) {
 		for u := range users {
@@ -548,9 +550,9 @@
 func BenchmarkEnded(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			c := newCluster(b, map[string]any{"rps": 30000, "write_rps": 30000, "value_kb": 8, "txn_ops": 20}, "[history]\nevery = 100ms\nwait = 1s\n", 0)
-			c.store.Stage(func(s *simulator.Store) { s.Limits = simulator.Limits{ValueBytes: 8192, TxnOps: 20} })
-			ids := c.fill(n)
+			c := newProcessCluster(b, map[string]any{"rps": 30000, "write_rps": 30000, "value_kb": 8, "txn_ops": 20}, "[history]\nevery = 100ms\nwait = 1s\n", 0)
+			c.store.Configure(func(s *simulator.StateService) { s.Limits = simulator.StateLimits{ValueBytes: 8192, TxnOps: 20} })
+			ids := c.seedEndedJobs(n)
 			for i := range 3 {
 				c.start(i)
 			}
@@ -562,7 +564,7 @@
 	}
 }
 
-func (c *cluster) measure(b *testing.B, ids []string) {
+func (c *processCluster) measure(b *testing.B, ids []string) {
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
 	rate := c.burst(int(changes), jobs, 96)
@@ -587,7 +589,7 @@
 	requests, _, _ := c.store.Counts()
 	b.ReportMetric(took.Seconds()*1000, "restart-ms")
 	b.ReportMetric(float64(requests-before), "restart-requests")
-	page := c.store.Page(store.Root, "", 0)
+	page := c.store.Page(store.StatePrefix, "", 0)
 	bytes := 0
 	for _, it := range page.Items {
 		bytes += len(it.Key) + len(it.Value)
@@ -602,22 +604,22 @@
 	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
 	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
 	// A takeover: the holder ends, another has claimed.
-	holder, term := c.holder()
+	holder, term := c.leader()
 	begun = time.Now()
 	c.kill(holder)
-	c.waitFor("a takeover", func() bool { _, now := c.holder(); return now > term })
+	c.waitFor("a takeover", func() bool { _, now := c.leader(); return now > term })
 	b.ReportMetric(time.Since(begun).Seconds()*1000, "takeover-ms")
 	c.start(holder)
 	c.waitFor("ready", func() bool { return c.ready(holder) })
 }
 
-// holder gives the controller that holds the fleet, and its term.
-func (c *cluster) holder() (int, uint64) {
-	for _, it := range c.store.Page(store.PartKey("fleet"), "", 0).Items {
-		var rec store.PartRecord
+// leader gives the controller that holds the fleet, and its term.
+func (c *processCluster) leader() (int, uint64) {
+	for _, it := range c.store.Page(store.LeaderKey("fleet"), "", 0).Items {
+		var rec store.LeaderRecord
 		_ = wire.DecodeValue(it.Value, &rec)
-		i, _ := strconv.Atoi(strings.TrimPrefix(rec.Holder, "c-"))
-		return i, rec.Term
+		i, _ := strconv.Atoi(strings.TrimPrefix(rec.Leader, "c-"))
+		return i, rec.FencingToken
 	}
 	return 0, 0
 }
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -27,14 +27,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// machine is a rented machine, with an agent as a real process.
-type machine struct {
+// agentMachine is a rented machine, with an agent as a real process.
+type agentMachine struct {
 	mu  sync.Mutex
 	cmd *exec.Cmd
 }
 
 // Kill implements standin.Machine.
-func (m *machine) Kill() {
+func (m *agentMachine) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cmd != nil {
@@ -45,7 +45,7 @@
 }
 
 // background starts the program, its log into a file.
-func (c *cluster) background(log string, args ...string) *exec.Cmd {
+func (c *processCluster) background(log string, args ...string) *exec.Cmd {
 	f, err := os.OpenFile(filepath.Join(c.dir, log+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Error(err)
@@ -61,14 +61,14 @@
 	return cmd
 }
 
-func (c *cluster) casAddr() string { return c.subnet + "210:8980" }
+func (c *processCluster) casAddr() string { return c.subnet + "210:8980" }
 
-func (c *cluster) startBlobs() {
+func (c *processCluster) startBlobs() {
 	c.blobs = c.background("cas", "cas", "--dir", filepath.Join(c.dir, "blobs"), "--listen", c.casAddr())
 	c.waitFor("the store of blobs", func() bool { return c.reachable(c.casAddr()) })
 }
 
-func (c *cluster) killBlobs() {
+func (c *processCluster) killBlobs() {
 	if c.blobs != nil {
 		_ = c.blobs.Process.Kill()
 		_ = c.blobs.Wait()
@@ -77,14 +77,14 @@
 }
 
 // agent starts an agent on a rented machine.
-func (c *cluster) agent(id, addr, typ, zone string, spot bool) simulator.Machine {
+func (c *processCluster) agent(id, addr, typ, zone string, spot bool) simulator.Machine {
 	ini := fmt.Sprintf("[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = 16\ngpus = 4\nmemory_gb = 64\n[workers]\nreport = 1s\nlease = 8s\n[actions]\ncas = %s\ndir = %s\n[controllers]\n",
 		id, typ, zone, spot, addr, c.casAddr(), filepath.Join(c.dir, id))
 	for i := range 3 {
 		ini += fmt.Sprintf("c-%d = %s\n", i, c.addr(i+1))
 	}
 	path := filepath.Join(c.dir, id+".ini")
-	m := &machine{}
+	m := &agentMachine{}
 	if err := os.WriteFile(path, []byte(ini), 0o644); err != nil {
 		c.t.Error(err)
 		return m
@@ -96,11 +96,11 @@
 	return m
 }
 
-// newFarm is a cluster that serves build tools, with agents as real processes and
+// newBuildCluster is a cluster that serves build tools, with agents as real processes and
 // so many CPUs guaranteed to the team blue.
-func newFarm(t testing.TB, capacity int, promised float64) *cluster {
-	c := newCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 8, "txn_ops": 20}, "[claim]\nlease = 2s\nrenew = 500ms\n[machines]\nidle = 60s\n", capacity)
-	c.cloud.Start, c.promised = c.agent, promised
+func newBuildCluster(t testing.TB, capacity int, promised float64) *processCluster {
+	c := newProcessCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 8, "txn_ops": 20}, "[claim]\nlease = 2s\nrenew = 500ms\n[machines]\nidle = 60s\n", capacity)
+	c.cloud.Start, c.guaranteedCPUs = c.agent, promised
 	for i := range 3 {
 		text, err := os.ReadFile(c.ini(i))
 		if err != nil {
@@ -119,16 +119,16 @@
 	return c
 }
 
-func (c *cluster) front(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
+func (c *processCluster) front(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
 
-// tool is a stand-in of a build tool.
-type tool struct {
-	c     *cluster
+// buildTool is a stand-in of a build tool.
+type buildTool struct {
+	c     *processCluster
 	blobs *cas.Client
 	exec  *reapi.Client
 }
 
-func (c *cluster) tool(instance string) *tool {
+func (c *processCluster) tool(instance string) *buildTool {
 	blobs, err := cas.Dial(c.casAddr(), instance)
 	if err != nil {
 		c.t.Fatal(err)
@@ -138,13 +138,13 @@
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(func() { blobs.Close(); front.Close() })
-	return &tool{c, blobs, front}
+	return &buildTool{c, blobs, front}
 }
 
 const sha = repb.DigestFunction_SHA256
 
 // upload writes an action that runs a shell script.
-func (b *tool) upload(ctx context.Context, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (cas.Digest, error) {
+func (b *buildTool) upload(ctx context.Context, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (cas.Digest, error) {
 	root := &repb.Directory{}
 	for _, name := range slices.Sorted(maps.Keys(inputs)) { // in order, as the API demands
 		content := inputs[name]
@@ -173,12 +173,12 @@
 }
 
 // run executes a script, from a controller on, and gives its answer and output.
-func (b *tool) run(ctx context.Context, from int, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (*repb.ExecuteResponse, string, error) {
+func (b *buildTool) run(ctx context.Context, from int, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (*repb.ExecuteResponse, string, error) {
 	g, err := b.upload(ctx, script, inputs, change)
 	if err != nil {
 		return nil, "", err
 	}
-	resp, err := b.exec.From(from).Execute(ctx, g, false, nil)
+	resp, err := b.exec.StartingAt(from).Execute(ctx, g, false, nil)
 	if err != nil || len(resp.Result.GetOutputFiles()) == 0 {
 		return resp, "", err
 	}
@@ -205,7 +205,7 @@
 	if text := os.Getenv("AMBERDEAL_ACTIONS"); text != "" {
 		actions, _ = strconv.Atoi(text)
 	}
-	c := newFarm(t, 3, 0)
+	c := newBuildCluster(t, 3, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute+time.Duration(actions)*time.Second)
 	defer cancel()
 	b := c.tool("blue/build")
@@ -242,12 +242,12 @@
 	kills.Add(1)
 	go func() {
 		defer kills.Done()
-		luck := rand.New(rand.NewPCG(2, 2))
+		rng := rand.New(rand.NewPCG(2, 2))
 		for k := 0; ; k++ {
 			// Each kill waits until the build has got on: a machine that was
 			// killed is given up only some 10 s into a term, so kills by the
 			// clock alone can end every holder before that, for ever.
-			for pause := time.Duration(700+luck.IntN(900)) * time.Millisecond; pause > 0 || answered.Load() < int64(3*k); pause = 0 {
+			for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || answered.Load() < int64(3*k); pause = 0 {
 				select {
 				case <-over:
 					return
@@ -256,14 +256,14 @@
 			}
 			switch k % 3 {
 			case 0:
-				i := luck.IntN(3)
+				i := rng.IntN(3)
 				c.kill(i)
 				c.start(i)
 			case 1:
 				c.mu.Lock()
-				var m *machine
+				var m *agentMachine
 				if len(c.agents) > 0 {
-					m = c.agents[luck.IntN(len(c.agents))]
+					m = c.agents[rng.IntN(len(c.agents))]
 				}
 				c.mu.Unlock()
 				if m != nil {
@@ -297,7 +297,7 @@
 
 // TestBuildCases plays what is hard about single actions, against real processes.
 func TestBuildCases(t *testing.T) {
-	c := newFarm(t, 2, 0)
+	c := newBuildCluster(t, 2, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	red, blue := c.tool("red"), c.tool("blue")
@@ -323,7 +323,7 @@
 		script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", runs)
 		var outs [2]string
 		var group sync.WaitGroup
-		for i, b := range []*tool{red, blue} {
+		for i, b := range []*buildTool{red, blue} {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -338,7 +338,7 @@
 		if outs[0] != outs[1] || outs[0] == "" || count("shared") != 1 {
 			t.Errorf("%q, executed %d times", outs, count("shared"))
 		}
-		for i, b := range []*tool{red, blue} { // and both have it cached
+		for i, b := range []*buildTool{red, blue} { // and both have it cached
 			if resp, out, err := b.run(ctx, i, script, nil, nil); err != nil || !resp.CachedResult || out != outs[0] {
 				t.Errorf("%v, %v", resp, err)
 			}
@@ -432,7 +432,7 @@
 			t.Fatal(err)
 		}
 		leave, gone := context.WithCancel(ctx)
-		_, err = red.exec.From(0).Execute(leave, g, false, func(m *repb.ExecuteOperationMetadata) {
+		_, err = red.exec.StartingAt(0).Execute(leave, g, false, func(m *repb.ExecuteOperationMetadata) {
 			if m.Stage == repb.ExecutionStage_EXECUTING {
 				gone()
 			}
@@ -443,7 +443,7 @@
 		}
 		c.kill(0) // and the controller that held the stream ends
 		c.start(0)
-		if resp, err := red.exec.From(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || count("left") != 1 {
+		if resp, err := red.exec.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || count("left") != 1 {
 			t.Errorf("%v, %v, executed %d times", resp, err, count("left"))
 		}
 	})
@@ -558,7 +558,7 @@
 }
 
 // tree executes an action whose input root is changed.
-func (b *tool) tree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
+func (b *buildTool) tree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	change(root)
 	rg, err := b.blobs.PutMessage(ctx, sha, root)
@@ -579,7 +579,7 @@
 // BenchmarkActions executes actions through Execute, with their results known and
 // not, on one farm.
 func BenchmarkActions(b *testing.B) {
-	c := newFarm(b, 3, 0)
+	c := newBuildCluster(b, 3, 0)
 	t := c.tool("blue")
 	run := func(b *testing.B, name func(i int) string) {
 		var group sync.WaitGroup
@@ -605,7 +605,7 @@
 // BenchmarkStreams holds streams open at one controller, for an action that waits
 // for a machine that never comes, and tells what each costs in memory there.
 func BenchmarkStreams(b *testing.B) {
-	c := newFarm(b, 0, 0)
+	c := newBuildCluster(b, 0, 0)
 	t := c.tool("blue")
 	g, err := t.upload(b.Context(), "true", nil, nil)
 	if err != nil {
@@ -643,12 +643,12 @@
 // and with nothing.
 func BenchmarkTwoTeams(b *testing.B) {
 	for _, promised := range []float64{0, 16} {
-		b.Run(fmt.Sprint(promised, " CPUs guaranteed"), func(b *testing.B) { twoTeams(b, promised) })
+		b.Run(fmt.Sprint(promised, " CPUs guaranteed"), func(b *testing.B) { benchmarkTwoTeams(b, promised) })
 	}
 }
 
-func twoTeams(b *testing.B, promised float64) {
-	c := newFarm(b, 1, promised)
+func benchmarkTwoTeams(b *testing.B, promised float64) {
+	c := newBuildCluster(b, 1, promised)
 	build := func(instance string, actions int, salt any) time.Duration {
 		t := c.tool(instance)
 		begun := time.Now()
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -17,34 +17,34 @@
 
 // Days on which reports from long ago reach every controller around a change of the leader.
 
-// drawer keeps reports to be delivered later.
-type drawer struct {
-	*world
-	kept  []wire.Report
-	was   uint64         // the term before that of the leader to whom they are to come
-	few   bool           // each was made before a launch
-	kinds map[string]int // of those that it answered
+// heartbeatRecorder keeps reports to be delivered later.
+type heartbeatRecorder struct {
+	*simulation
+	heartbeats       []wire.Heartbeat
+	previousToken    uint64         // the term before that of the leader to whom they are to come
+	beforeLaunchOnly bool           // each was made before a launch
+	answeredKinds    map[string]int // of those that it answered
 }
 
-// keep has each machine make a report that nobody hears for now.
-func (d *drawer) keep() {
-	caller := &transport.Caller{Limit: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
-	for _, m := range d.workers() {
+// recordHeartbeats has each machine make a report that nobody hears for now.
+func (d *heartbeatRecorder) recordHeartbeats() {
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
+	for _, m := range d.runningMachines() {
 		ctx, cancel := context.WithTimeout(d.ctx, sec)
-		resp, err := caller.Call(ctx, simulator.Address(m.host, 9000), "GET", wire.PathInspect, nil)
+		resp, err := caller.Call(ctx, simulator.Address(m.host, 9000), "GET", wire.PathStatus, nil)
 		cancel()
-		var r wire.Report
+		var r wire.Heartbeat
 		if err == nil && wire.Decode(resp.Body, &r) == nil {
-			d.kept = append(d.kept, r)
+			d.heartbeats = append(d.heartbeats, r)
 		}
 	}
 }
 
-// inA gives the machines in zone a, which is a part where the fleet is divided.
-func (d *drawer) inA() (out []upMachine) {
+// machinesInZoneA gives the machines in zone a, which is a part where the fleet is divided.
+func (d *heartbeatRecorder) machinesInZoneA() (out []upMachine) {
 	in := map[string]bool{}
-	d.cloud.Each(func(l wire.ListedMachine, _ simulator.Machine) { in[l.ID] = l.Zone == "a" })
-	for _, m := range d.workers() {
+	d.cloud.EachRunning(func(l wire.ListedMachine, _ simulator.Machine) { in[l.ID] = l.Zone == "a" })
+	for _, m := range d.runningMachines() {
 		if in[m.id] {
 			out = append(out, m)
 		}
@@ -52,73 +52,73 @@
 	return out
 }
 
-// kind says what a report is of, by what is so now.
-func (d *drawer) kind(r *wire.Report, now map[string]bool) (kinds []string) {
+// kindsOf says what a report is of, by what is so now.
+func (d *heartbeatRecorder) kindsOf(r *wire.Heartbeat, now map[string]bool) (kinds []string) {
 	add := func(is bool, kind string) {
 		if is {
 			kinds = append(kinds, kind)
 		}
 	}
 	add(!now[r.Machine], "of a machine that is gone")
-	add(slices.ContainsFunc(d.kept, func(o wire.Report) bool { return o.Machine == r.Machine && o.Session > r.Session }), "of an earlier session")
-	add(r.Term < d.was, "of an earlier term")
-	add(d.few || len(r.Tasks) == 0, "from before a launch")
+	add(slices.ContainsFunc(d.heartbeats, func(o wire.Heartbeat) bool { return o.Machine == r.Machine && o.Incarnation > r.Incarnation }), "of an earlier session")
+	add(r.FencingToken < d.previousToken, "of an earlier term")
+	add(d.beforeLaunchOnly || len(r.Tasks) == 0, "from before a launch")
 	for _, t := range r.Tasks {
 		add(strings.HasPrefix(t.Task, "wk-4/"), "from before an end")
 	}
 	return kinds
 }
 
-// lacking leaves what was kept of those machines alone whose last report shows more than it: whoever takes it for
+// keepIncomplete leaves what was kept of those machines alone whose last report shows more than it: whoever takes it for
 // what is so now starts that again.
-func (d *drawer) lacking() {
-	d.few = true
-	last := map[string]wire.Report{}
-	for _, r := range d.kept {
+func (d *heartbeatRecorder) keepIncomplete() {
+	d.beforeLaunchOnly = true
+	last := map[string]wire.Heartbeat{}
+	for _, r := range d.heartbeats {
 		last[r.Machine] = r
 	}
-	d.kept = slices.DeleteFunc(d.kept, func(r wire.Report) bool {
+	d.heartbeats = slices.DeleteFunc(d.heartbeats, func(r wire.Heartbeat) bool {
 		return !slices.ContainsFunc(last[r.Machine].Tasks, func(t wire.ReportedTask) bool {
 			return t.State == wire.TaskRunning && !slices.ContainsFunc(r.Tasks, func(o wire.ReportedTask) bool { return o.Task == t.Task && o.Attempt == t.Attempt })
 		})
 	})
 }
 
-// deliver has all that was kept reach every controller, in the order in which it was made, or from the
+// replayAll has all that was kept reach every controller, in the order in which it was made, or from the
 // newest on.
-func (d *drawer) deliver(newest bool) {
+func (d *heartbeatRecorder) replayAll(newest bool) {
 	now := map[string]bool{}
-	for _, m := range d.workers() {
+	for _, m := range d.runningMachines() {
 		now[m.id] = true
 	}
-	caller := &transport.Caller{Limit: 8 << 20, Dial: d.net.Host("10.4.0.1").Dial}
-	for k := range d.kept {
-		r := &d.kept[k]
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.4.0.1").Dial}
+	for k := range d.heartbeats {
+		r := &d.heartbeats[k]
 		if newest {
-			r = &d.kept[len(d.kept)-1-k]
+			r = &d.heartbeats[len(d.heartbeats)-1-k]
 		}
 		for i := range d.count {
 			ctx, cancel := context.WithTimeout(d.ctx, sec)
-			resp, err := caller.Call(ctx, simulator.Address(d.ip(i), 8080), "POST", wire.PathReport, wire.Encode(r))
+			resp, err := caller.Call(ctx, simulator.Address(d.ip(i), 8080), "POST", wire.PathHeartbeat, wire.Encode(r))
 			cancel()
-			var a wire.Answer
-			if err != nil || resp.Status != 200 || wire.Decode(resp.Body, &a) != nil || a.Term <= d.was {
+			var a wire.HeartbeatResponse
+			if err != nil || resp.Status != 200 || wire.Decode(resp.Body, &a) != nil || a.FencingToken <= d.previousToken {
 				continue
 			}
-			for _, kind := range d.kind(r, now) {
-				d.kinds[kind]++
+			for _, kind := range d.kindsOf(r, now) {
+				d.answeredKinds[kind]++
 			}
 		}
 	}
 }
 
-// oldKinds are what must have reached a leader.
-var oldKinds = []string{"of a machine that is gone", "of an earlier session", "of an earlier term", "from before a launch", "from before an end"}
+// replayKinds are what must have reached a leader.
+var replayKinds = []string{"of a machine that is gone", "of an earlier session", "of an earlier term", "from before a launch", "from before an end"}
 
 // The instants after a claim at which old reports come: with its write, until the fleet is rebuilt, with the
 // first rounds, when silent machines are waited for no longer or given up, and when leases are over. A
 // negative one is from the end of the leader until the claim.
-var oldInstants = []time.Duration{-1, 0, 15 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
+var replayOffsets = []time.Duration{-1, 0, 15 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	2 * sec, 4100 * time.Millisecond, 6 * sec, 12 * sec, 19 * sec, 27 * sec}
 
 // TestOldReportsAtNextLeader: reports of earlier sessions and terms, from before launches and ends, and of a
@@ -127,35 +127,35 @@
 // them. Nothing starts twice, or where it must not, for all that these reports show or lack; and
 // they hold nothing up for long.
 func TestOldReportsAtNextLeader(t *testing.T) {
-	for n, at := range oldInstants {
+	for n, at := range replayOffsets {
 		for k := range 4 {
-			if !wide("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
+			if !allCases("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
 				continue
 			}
 			few := (n+k)%2 == 0
 			by, count, dark, slow := []string{"off", "zone"}[k%2], []int{3, 5}[k/2], []time.Duration{8 * sec, 17 * sec, 40 * sec}[(n+k)%3], (n+k/2)%2 == 0
 			t.Run(fmt.Sprint("after ", at, ", parts ", by, ", ", count, ", cut for ", dark, ", the lease runs out: ", slow, ", only what shows too little: ", few), func(t *testing.T) {
-				oldDay(t, uint64(100+4*n+k), at, by, count, dark, slow, few)
+				playReplayDay(t, uint64(100+4*n+k), at, by, count, dark, slow, few)
 			})
 		}
 	}
 }
 
-func oldDay(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
-	var d *drawer
+func playReplayDay(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
+	var d *heartbeatRecorder
 	var claimed chan struct{}
-	kinds := oldKinds
+	kinds := replayKinds
 	if few {
 		kinds = []string{"of an earlier term", "from before a launch"}
 	}
 	var hard string // the machine of which a session ends
-	lastly := func(w *world) int { return w.holder(map[string]string{"off": "fleet", "zone": "a"}[by]) }
-	day{seed: seed, count: count, set: func(c *config.Config) { c.Tuning.Parts.By = by }, begin: func(w *world) {
-		d, claimed = &drawer{world: w, kinds: map[string]int{}}, make(chan struct{}, 100)
-		w.store.Stage(func(s *simulator.Store) {
-			s.Took = func(puts []string) {
+	lastly := func(w *simulation) int { return w.leaderOf(map[string]string{"off": "fleet", "zone": "a"}[by]) }
+	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: func(w *simulation) {
+		d, claimed = &heartbeatRecorder{simulation: w, answeredKinds: map[string]int{}}, make(chan struct{}, 100)
+		w.store.Configure(func(s *simulator.StateService) {
+			s.OnCommit = func(puts []string) {
 				for _, key := range puts {
-					if key == store.TermKey {
+					if key == store.FencingTokenKey {
 						claimed <- struct{}{}
 					}
 				}
@@ -169,56 +169,56 @@
 		w.group.Go(func() {
 			for range 10 {
 				time.Sleep(4700 * time.Millisecond)
-				d.keep()
+				d.recordHeartbeats()
 			}
 		})
 	}, steps: []step{
-		{22 * sec, "a machine is deaf, until its lease is over", func(w *world) {
-			hard = d.inA()[0].id
-			deaf(24*sec, d.inA()[0])
+		{22 * sec, "a machine is deaf, until its lease is over", func(w *simulation) {
+			hard = d.machinesInZoneA()[0].id
+			deaf(24*sec, d.machinesInZoneA()[0])
 		}},
-		{34 * sec, "a machine dies", func(w *world) { w.cloud.Die(d.inA()[1].id) }},
-		{50 * sec, "the leader ends", func(w *world) { w.crash(lastly(w), 300*time.Millisecond, 0) }},
-		{58 * sec, "some more reports are made", func(*world) { d.keep() }},
-		{60 * sec, "the next leader ends, machines are cut off, old reports come", func(w *world) {
-			for i, m := range w.workers() {
+		{34 * sec, "a machine dies", func(w *simulation) { w.cloud.Crash(d.machinesInZoneA()[1].id) }},
+		{50 * sec, "the leader ends", func(w *simulation) { w.crash(lastly(w), 300*time.Millisecond, 0) }},
+		{58 * sec, "some more reports are made", func(*simulation) { d.recordHeartbeats() }},
+		{60 * sec, "the next leader ends, machines are cut off, old reports come", func(w *simulation) {
+			for i, m := range w.runningMachines() {
 				if i%2 == 0 || m.id == hard {
-					lasting(dark, func(on bool) { w.net.Down(m.host, on) })
+					during(dark, func(on bool) { w.net.SetDown(m.host, on) })
 				}
 			}
 			if few {
-				d.lacking()
+				d.keepIncomplete()
 			}
 			for len(claimed) > 0 {
 				<-claimed
 			}
-			d.was = w.term()
+			d.previousToken = w.token()
 			if i := lastly(w); slow {
 				w.kill(i, 12*sec)
 			} else {
 				w.crash(i, 300*time.Millisecond, 0)
 			}
 			for at < 0 && len(claimed) == 0 {
-				d.deliver(seed%2 == 0)
+				d.replayAll(seed%2 == 0)
 				time.Sleep(100 * time.Millisecond)
 			}
 			<-claimed
 			time.Sleep(at)
 			for k := range 8 { // the first of them may find nobody who answers
-				if d.deliver((seed+uint64(k))%2 == 0); k > 0 && len(d.kinds) >= len(kinds) {
+				if d.replayAll((seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(kinds) {
 					break
 				}
 			}
 			time.Sleep(dark + 40*sec)
-			if n := w.check.Running("wk-3"); n != 4 {
+			if n := w.checker.Running("wk-3"); n != 4 {
 				w.t.Errorf("%d of 4 replicas run", n)
 			}
 		}},
-	}, came: func(w *world) {
+	}, verify: func(w *simulation) {
 		for _, kind := range kinds {
-			if d.kinds[kind] == 0 {
+			if d.answeredKinds[kind] == 0 {
 				w.t.Errorf("none that was %s was answered by the leader", kind)
 			}
 		}
-	}, quiet: 60 * sec}.play(t)
+	}, quietTime: 60 * sec}.run(t)
 }
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -15,17 +15,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// regrouping is a world of which the controllers are set to a grouping when they start.
-type regrouping struct {
-	*world
-	by   map[string]string
-	jobs int
+// reshardSimulation is a world of which the controllers are set to a grouping when they start.
+type reshardSimulation struct {
+	*simulation
+	shardings map[string]string
+	jobs      int
 }
 
-func newRegrouping(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *regrouping {
-	r := &regrouping{by: map[string]string{}}
-	r.world = newWorld(t, seed, lossy, func(c *config.Config) {
-		c.Tuning.Parts.By = r.by[c.Name]
+func newReshardSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *reshardSimulation {
+	r := &reshardSimulation{shardings: map[string]string{}}
+	r.simulation = newSimulation(t, seed, lossy, func(c *config.Config) {
+		c.Tuning.Shards.By = r.shardings[c.Name]
 		if tamper != nil {
 			tamper(c)
 		}
@@ -33,34 +33,34 @@
 	return r
 }
 
-// array submits a job of so many tasks that run for so long.
-func (r *regrouping) array(tasks int, run time.Duration) {
+// submitArray submits a job of so many tasks that run for so long.
+func (r *reshardSimulation) submitArray(tasks int, run time.Duration) {
 	r.jobs++
 	r.user(&wire.Job{ID: fmt.Sprintf("wk-%d", 100+r.jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 }
 
-// roll restarts all controllers, one after the other, set to another grouping.
-func (r *regrouping) roll(by string, every time.Duration) {
+// rollTo restarts all controllers, one after the other, set to another grouping.
+func (r *reshardSimulation) rollTo(by string, every time.Duration) {
 	for i := range 3 {
-		r.by[fmt.Sprint("c-", i)] = by
+		r.shardings[fmt.Sprint("c-", i)] = by
 		r.kill(i, time.Second)
 		time.Sleep(every)
 	}
 }
 
-func (r *regrouping) grouping() (rec store.GroupingRecord) {
-	for _, it := range r.store.Page(store.GroupingKey, "", 0).Items {
+func (r *reshardSimulation) storedSharding() (rec store.ShardingRecord) {
+	for _, it := range r.store.Page(store.ShardingKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &rec)
 	}
 	return rec
 }
 
-func (r *regrouping) ledgers() (out []string) {
+func (r *reshardSimulation) ledgers() (out []string) {
 	for after := ""; ; {
-		page := r.store.Page(store.Root+"ledger/", after, 0)
+		page := r.store.Page(store.StatePrefix+"ledger/", after, 0)
 		for _, it := range page.Items {
-			name, _, _ := strings.Cut(strings.TrimPrefix(it.Key, store.Root+"ledger/"), "/")
+			name, _, _ := strings.Cut(strings.TrimPrefix(it.Key, store.StatePrefix+"ledger/"), "/")
 			if !slices.Contains(out, name) {
 				out = append(out, name)
 			}
@@ -78,45 +78,45 @@
 // left in the store goes.
 func TestRegroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegrouping(t, 21, 0, nil)
-		w.service("wk-1", 20*time.Minute)
+		w := newReshardSimulation(t, 21, 0, nil)
+		w.startService("wk-1", 20*time.Minute)
 		w.user(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Gang, Priority: wire.High, Tasks: 4, Spread: true, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img",
 			ImageGB: 1, EstimateS: 800}, 15*time.Minute, 0) // over both zones
 		time.Sleep(40 * time.Second)
-		if w.check.Started != 10 {
-			t.Fatalf("%d tasks were started", w.check.Started)
+		if w.checker.Started != 10 {
+			t.Fatalf("%d tasks were started", w.checker.Started)
 		}
 		for n, next := range []string{"zone", "off", "zone"} {
-			before, begun := w.grouping(), w.check.Started
-			w.by["c-0"] = next // one controller alone, while the others hold
+			before, begun := w.storedSharding(), w.checker.Started
+			w.shardings["c-0"] = next // one controller alone, while the others hold
 			w.kill(0, time.Second)
 			time.Sleep(30 * time.Second)
-			if got := w.grouping(); got.Number != before.Number {
+			if got := w.storedSharding(); got.Generation != before.Generation {
 				t.Errorf("grouped as %q while controllers are set otherwise", got.Text)
 			}
-			w.roll(next, 8*time.Second)
+			w.rollTo(next, 8*time.Second)
 			time.Sleep(40 * time.Second)
 			want := map[string]string{"off": "map[fleet]", "zone": "map[a b]"}[next]
 			held := map[string]bool{}
-			for part := range w.holders() {
+			for part := range w.leaders() {
 				held[part] = true
 			}
 			if got := strings.ReplaceAll(fmt.Sprint(held), ":true", ""); got != want {
-				t.Errorf("set to %s, %v are held, grouping %+v", next, got, w.grouping())
+				t.Errorf("set to %s, %v are held, grouping %+v", next, got, w.storedSharding())
 			}
 			for range 3 {
-				w.array(4, 8*time.Second)
+				w.submitArray(4, 8*time.Second)
 			}
 			time.Sleep(time.Minute)
-			if g := w.grouping(); g.Number != uint64(n+1) || len(g.Before) > 0 || len(w.ledgers()) > 2 {
+			if g := w.storedSharding(); g.Generation != uint64(n+1) || len(g.PreviousLedgers) > 0 || len(w.ledgers()) > 2 {
 				t.Errorf("after a minute: %+v, ledgers %v", g, w.ledgers())
 			}
-			if extra := w.check.Started - begun - 12; extra > 0 {
+			if extra := w.checker.Started - begun - 12; extra > 0 {
 				t.Errorf("set to %s: %d tasks were started again", next, extra)
 			}
 		}
 		w.finish(30 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -124,30 +124,30 @@
 // change the grouping again and again while jobs run, and at times leave a
 // controller set otherwise. AMBERDEAL_REGROUPS sets how many days, AMBERDEAL_REGROUP plays one.
 func TestRegroupHolds(t *testing.T) {
-	stallDays(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
+	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var set sync.Map // controllers start whenever they are back
 		by := func(name string) string { to, _ := set.LoadOrStore(name, ""); return to.(string) }
-		roll := trouble{"controllers are set to another grouping", func(w *world, luck *rand.Rand, _ time.Duration) {
-			to := []string{"off", "zone"}[luck.IntN(2)]
+		roll := fault{"controllers are set to another grouping", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+			to := []string{"off", "zone"}[rng.IntN(2)]
 			for i := range 3 {
-				if luck.IntN(8) > 0 { // or it is forgotten
+				if rng.IntN(8) > 0 { // or it is forgotten
 					set.Store(fmt.Sprint("c-", i), to)
 				}
-				w.kill(i, time.Duration(1+luck.IntN(6))*time.Second)
-				time.Sleep(time.Duration(luck.IntN(6)) * time.Second)
+				w.kill(i, time.Duration(1+rng.IntN(6))*time.Second)
+				time.Sleep(time.Duration(rng.IntN(6)) * time.Second)
 			}
 		}}
-		alike := func(w *world) {
+		alike := func(w *simulation) {
 			for i := range 3 {
 				set.Store(fmt.Sprint("c-", i), by("c-0"))
 				w.kill(i, time.Second)
 			}
 		}
-		again := trouble{"all controllers are set alike", func(w *world, _ *rand.Rand, _ time.Duration) { alike(w) }}
-		settle := func(w *world) {
+		again := fault{"all controllers are set alike", func(w *simulation, _ *rand.Rand, _ time.Duration) { alike(w) }}
+		settle := func(w *simulation) {
 			time.Sleep(10 * time.Second) // whoever was killed is back
 			alike(w)
 		}
-		stallDay(t, seed, by, settle, roll, roll, roll, again, again)
+		playStallSeed(t, seed, by, settle, roll, roll, roll, again, again)
 	})
 }
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -26,102 +26,102 @@
 
 const stateHost, cloudHost = "10.2.0.1", "10.2.0.2"
 
-// day is a day as it is told: what there is, what comes when, and what must have come about.
-type day struct {
-	seed  uint64
-	count int                  // of controllers, 3 if it is 0
-	set   func(*config.Config) // how they are set, if it matters
-	begin func(w *world)       // users and jobs
-	steps []step
-	came  func(w *world) // says what has not come about, by w.t
-	quiet time.Duration  // after it, before all that is left must end
+// script is a day as it is told: what there is, what comes when, and what must have come about.
+type script struct {
+	seed      uint64
+	count     int                  // of controllers, 3 if it is 0
+	settings  func(*config.Config) // how they are set, if it matters
+	setUp     func(w *simulation)  // users and jobs
+	steps     []step
+	verify    func(w *simulation) // says what has not come about, by w.t
+	quietTime time.Duration       // after it, before all that is left must end
 }
 
 // step is what comes so long after the day has begun, or when the one before it is over.
 type step struct {
-	at   time.Duration
-	what string
-	cast func(w *world)
+	at    time.Duration
+	label string
+	apply func(w *simulation)
 }
 
-// play plays a day, and has it judged.
-func (d day) play(t *testing.T) {
+// run plays a day, and has it judged.
+func (d script) run(t *testing.T) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := worldOfDoors(t, max(3, d.count), d.seed, d.set)
+		w := newProxiedSimulation(t, max(3, d.count), d.seed, d.settings)
 		start := time.Now()
-		if d.begin != nil {
-			d.begin(w)
+		if d.setUp != nil {
+			d.setUp(w)
 		}
 		for _, s := range d.steps {
 			time.Sleep(time.Until(start.Add(s.at)))
-			log(s.what)
-			s.cast(w)
+			log(s.label)
+			s.apply(w)
 		}
-		if d.came != nil {
-			d.came(w)
+		if d.verify != nil {
+			d.verify(w)
 		}
 		log("quiet")
-		w.close(d.quiet, 10*time.Minute)
+		w.finishQuietly(d.quietTime, 10*time.Minute)
 	})
 }
 
-// close says that all troubles are over, and has the day judged once all jobs are.
-func (w *world) close(quiet, patience time.Duration) {
+// finishQuietly says that all troubles are over, and has the day judged once all jobs are.
+func (w *simulation) finishQuietly(quiet, patience time.Duration) {
 	w.t.Helper()
-	w.calm()
+	w.declareQuiet()
 	time.Sleep(quiet)
 	w.finish(patience)
-	w.judge()
-	if w.check.Started == 0 {
+	w.checkResults()
+	if w.checker.Started == 0 {
 		w.t.Error("no task was started")
 	}
 }
 
-// worldOfDoors is one in which each controller has a door of its own to the state service, so that
+// newProxiedSimulation is one in which each controller has a door of its own to the state service, so that
 // one alone can be refused.
-func worldOfDoors(t *testing.T, count int, seed uint64, set func(*config.Config)) *world {
+func newProxiedSimulation(t *testing.T, count int, seed uint64, set func(*config.Config)) *simulation {
 	door := func(i int) string { return simulator.Address(stateHost, 2400+i) }
-	w := newWorldOf(t, count, seed, 0, func(c *config.Config) {
-		if c.StoreAddr = door(numberOf(c.Name)); set != nil {
+	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
+		if c.StoreAddr = door(controllerNumber(c.Name)); set != nil {
 			set(c)
 		}
 	})
 	for i := range count {
-		go w.net.Host(stateHost).Listen(w.ctx, door(i), 0, w.store.ServeTo(fmt.Sprint("c-", i)))
+		go w.net.Host(stateHost).Listen(w.ctx, door(i), 0, w.store.ServeCaller(fmt.Sprint("c-", i)))
 	}
 	return w
 }
 
-// refuse has the state service refuse one controller alone, or serve it again.
-func (w *world) refuse(i int, on bool) { w.store.Refuse(fmt.Sprint("c-", i), on) }
+// refuseByStore has the state service refuse one controller alone, or serve it again.
+func (w *simulation) refuseByStore(i int, on bool) { w.store.RefuseCaller(fmt.Sprint("c-", i), on) }
 
-// numberOf is that of the controller of a name.
-func numberOf(name string) int {
+// controllerNumber is that of the controller of a name.
+func controllerNumber(name string) int {
 	n, _ := strconv.Atoi(name[2:])
 	return n
 }
 
-// holder tells which controller holds a part by the state service, -1 for none.
-func (w *world) holder(part string) int {
-	if name := w.holders()[part]; name != "" {
-		return numberOf(name)
+// leaderOf tells which controller holds a part by the state service, -1 for none.
+func (w *simulation) leaderOf(part string) int {
+	if name := w.leaders()[part]; name != "" {
+		return controllerNumber(name)
 	}
 	return -1
 }
 
-// leader tells who holds the fleet, or a part of one that is divided.
-func (w *world) leader() int {
+// anyLeader tells who holds the fleet, or a part of one that is divided.
+func (w *simulation) anyLeader() int {
 	for _, part := range []string{"fleet", "a", "b"} {
-		if i := w.holder(part); i >= 0 {
+		if i := w.leaderOf(part); i >= 0 {
 			return i
 		}
 	}
 	return -1
 }
 
-// sever parts some controllers from hosts and from the other controllers, in the way that is given.
-func (w *world) sever(how func(a, b string, on bool), on bool, hosts []string, cut ...int) {
+// partition parts some controllers from hosts and from the other controllers, in the way that is given.
+func (w *simulation) partition(how func(a, b string, on bool), on bool, hosts []string, cut ...int) {
 	for k := range w.count {
 		if !slices.Contains(cut, k) {
 			hosts = append(slices.Clip(hosts), w.ip(k))
@@ -136,15 +136,15 @@
 
 // cutOff severs a controller from the state service and its siblings, and cutPeers from these alone.
 // Machines and users still reach it.
-func (w *world) cutOff(i int, on bool)   { w.sever(w.net.Cut, on, []string{stateHost}, i) }
-func (w *world) cutPeers(i int, on bool) { w.sever(w.net.Cut, on, nil, i) }
+func (w *simulation) cutOff(i int, on bool)   { w.partition(w.net.Partition, on, []string{stateHost}, i) }
+func (w *simulation) cutPeers(i int, on bool) { w.partition(w.net.Partition, on, nil, i) }
 
-// apart loses all between some controllers on one side and the state service and the other controllers,
+// isolate loses all between some controllers on one side and the state service and the other controllers,
 // also on the connections that are open.
-func (w *world) apart(on bool, cut ...int) {
-	w.sever(func(a, b string, on bool) {
-		w.net.Lose(a, b, on)
-		w.net.Lose(b, a, on)
+func (w *simulation) isolate(on bool, cut ...int) {
+	w.partition(func(a, b string, on bool) {
+		w.net.DropOneWay(a, b, on)
+		w.net.DropOneWay(b, a, on)
 	}, on, []string{stateHost}, cut...)
 }
 
@@ -154,42 +154,42 @@
 	id, host string
 }
 
-// workers gives the machines that are up.
-func (w *world) workers() (out []upMachine) {
-	w.cloud.Each(func(l wire.ListedMachine, m simulator.Machine) {
+// runningMachines gives the machines that are up.
+func (w *simulation) runningMachines() (out []upMachine) {
+	w.cloud.EachRunning(func(l wire.ListedMachine, m simulator.Machine) {
 		out = append(out, upMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
 	})
 	return out
 }
 
-// machines says how often the machines that come up from now on report, and how late they
+// reconfigureMachines says how often the machines that come up from now on report, and how late they
 // get direct calls.
-func (w *world) machines(report time.Duration, late func() time.Duration) {
+func (w *simulation) reconfigureMachines(report time.Duration, late func() time.Duration) {
 	begin := w.machine(report, late)
-	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Start = begin })
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = begin })
 }
 
 // deaf has machines be heard, and hear nothing, for a while, and gives them.
 func deaf(d time.Duration, machines ...upMachine) []upMachine {
 	for _, m := range machines {
-		lasting(d, m.Deaf)
+		during(d, m.Deaf)
 	}
 	return machines
 }
 
-// deaf loses all that controllers send to hosts for a while: these find none any more, and what they
+// deafenHosts loses all that controllers send to hosts for a while: these find none any more, and what they
 // send on connections that are open is heard.
-func (w *world) deaf(hosts []string, d time.Duration) {
+func (w *simulation) deafenHosts(hosts []string, d time.Duration) {
 	for _, host := range hosts {
 		for i := range w.count {
-			lasting(d, func(on bool) { w.net.Lose(w.ip(i), host, on) })
+			during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
 		}
 	}
 }
 
-// reach asks one controller something, as users do.
-func (w *world) reach(i int, patience time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
+// request asks one controller something, as users do.
+func (w *simulation) request(i int, patience time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, patience)
 	defer cancel()
 	return caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
@@ -223,69 +223,69 @@
 	}
 }
 
-// floor is what machines do as the checker sees it, and where and when, for troubles that come then.
-type floor struct {
+// taskObserver is what machines do as the checker sees it, and where and when, for troubles that come then.
+type taskObserver struct {
 	*simulator.Checker
-	mu    sync.Mutex
-	quick time.Time                 // until when machines are up at once
-	since map[string]time.Time      // when each of these came up
-	at    map[wire.TaskID]string    // the machine that each task was on last
-	ends  map[wire.TaskID]time.Time // when each ends, or has ended
-	close time.Time                 // until when users look closely
+	mu                   sync.Mutex
+	instantBootUntil     time.Time                 // until when machines are up at once
+	bootedAt             map[string]time.Time      // when each of these came up
+	lastMachine          map[wire.TaskID]string    // the machine that each task was on last
+	taskEnds             map[wire.TaskID]time.Time // when each ends, or has ended
+	concurrentReadsUntil time.Time                 // until when users look closely
 
-	cancelled, looks, atOnce atomic.Int64 // jobs, questions, and tasks on machines that have just come up
+	cancelled, polls, startsAtBoot atomic.Int64 // jobs, questions, and tasks on machines that have just come up
 }
 
-func newFloor(c *simulator.Checker) *floor {
-	return &floor{Checker: c, since: map[string]time.Time{}, at: map[wire.TaskID]string{}, ends: map[wire.TaskID]time.Time{}}
+func newTaskObserver(c *simulator.Checker) *taskObserver {
+	return &taskObserver{Checker: c, bootedAt: map[string]time.Time{}, lastMachine: map[wire.TaskID]string{}, taskEnds: map[wire.TaskID]time.Time{}}
 }
 
-func (f *floor) up(machine string) {
+func (f *taskObserver) machineBooted(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); now.Before(f.quick) {
-		f.since[machine] = now
+	if now := time.Now(); now.Before(f.instantBootUntil) {
+		f.bootedAt[machine] = now
 	}
 }
 
-// quickly has machines be up at once for a while, and lookClosely has users look closely.
-func (f *floor) quickly(d time.Duration) {
+// setInstantBoot has machines be up at once for a while, and lookClosely has users look closely.
+func (f *taskObserver) setInstantBoot(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.quick = time.Now().Add(d)
+	f.instantBootUntil = time.Now().Add(d)
 }
 
-func (f *floor) lookClosely(d time.Duration) {
+func (f *taskObserver) setConcurrentReads(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.close = time.Now().Add(d)
+	f.concurrentReadsUntil = time.Now().Add(d)
 }
 
-// On and Done implement standin.Ground.
-func (f *floor) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	run, ok := f.Checker.On(t, machine, typ, zone, spot)
+// TaskStarted and Done implement standin.Ground.
+func (f *taskObserver) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	run, ok := f.Checker.TaskStarted(t, machine, typ, zone, spot)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at[t], f.ends[t] = machine, time.Now().Add(run)
-	if time.Since(f.since[machine]) < 4*time.Second { // it had to fetch
-		f.atOnce.Add(1)
+	f.lastMachine[t], f.taskEnds[t] = machine, time.Now().Add(run)
+	if time.Since(f.bootedAt[machine]) < 4*time.Second { // it had to fetch
+		f.startsAtBoot.Add(1)
 	}
 	return run, ok
 }
 
-func (f *floor) Done(t wire.TaskID) {
-	f.Checker.Done(t)
+func (f *taskObserver) TaskCompleted(t wire.TaskID) {
+	f.Checker.TaskCompleted(t)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ends[t] = time.Now()
+	f.taskEnds[t] = time.Now()
 }
 
-// end tells when the last task of a job ends or has ended, as far as all have begun.
-func (f *floor) end(j *wire.Job) (last time.Time, ok bool) {
+// jobEnd tells when the last task of a job ends or has ended, as far as all have begun.
+func (f *taskObserver) jobEnd(j *wire.Job) (last time.Time, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range j.Tasks {
-		at := f.ends[wire.TaskID{Job: j.ID, Index: i}]
+		at := f.taskEnds[wire.TaskID{Job: j.ID, Index: i}]
 		if at.IsZero() {
 			return at, false
 		}
@@ -296,12 +296,12 @@
 	return last, true
 }
 
-// on tells whether a task of a job was on a machine last.
-func (f *floor) on(machine string, j *wire.Job) bool {
+// ranOn tells whether a task of a job was on a machine last.
+func (f *taskObserver) ranOn(machine string, j *wire.Job) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range j.Tasks {
-		if f.at[wire.TaskID{Job: j.ID, Index: i}] == machine {
+		if f.lastMachine[wire.TaskID{Job: j.ID, Index: i}] == machine {
 			return true
 		}
 	}
@@ -310,24 +310,24 @@
 
 // client is the user of one job, or several who are about it at once. What they are told is judged.
 type client struct {
-	*world
-	job   *wire.Job
-	long  time.Duration // that one of its tasks runs, at the most
-	luck  *rand.Rand    // of its own: others draw at the same moment
-	asked atomic.Bool   // to cancel it
-	vain  *atomic.Int64 // counts the requests that got no answer, if it is set
-	known atomic.Int32  // what was told: 0 nothing, 1 that it is accepted, 2 that it is over
+	*simulation
+	job             *wire.Job
+	maxRunTime      time.Duration // that one of its tasks runs, at the most
+	rng             *rand.Rand    // of its own: others draw at the same moment
+	cancelRequested atomic.Bool   // to cancel it
+	unanswered      *atomic.Int64 // counts the requests that got no answer, if it is set
+	progress        atomic.Int32  // what was told: 0 nothing, 1 that it is accepted, 2 that it is over
 }
 
 // client has a user come with a job, of which the tasks run so long, in turn.
-func (w *world) client(j *wire.Job, luck *rand.Rand, runs ...time.Duration) *client {
-	w.check.Submitted(j, runs[0])
-	w.check.Uneven(j.ID, runs...)
-	return &client{world: w, job: j, long: slices.Max(runs), luck: luck}
+func (w *simulation) client(j *wire.Job, rng *rand.Rand, runs ...time.Duration) *client {
+	w.checker.Submitted(j, runs[0])
+	w.checker.SetTaskRunTimes(j.ID, runs...)
+	return &client{simulation: w, job: j, maxRunTime: slices.Max(runs), rng: rng}
 }
 
-// luckOf is of a seed and a job's own.
-func luckOf(seed uint64, job string) *rand.Rand {
+// rngOf is of a seed and a job's own.
+func rngOf(seed uint64, job string) *rand.Rand {
 	h := fnv.New64()
 	_, _ = h.Write([]byte(job))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
@@ -336,55 +336,55 @@
 // ask asks one controller, has the answer judged, and gives its status, 0 for none. An answer may
 // be older than one that was given while the question was on its way, not than one given before.
 func (c *client) ask(i int, patience time.Duration, method, path string, body []byte) int {
-	before, id := c.check.Stage(c.job.ID), c.job.ID
-	resp, err := c.reach(i, patience, method, path, body)
+	before, id := c.checker.Stage(c.job.ID), c.job.ID
+	resp, err := c.request(i, patience, method, path, body)
 	if err != nil || c.ctx.Err() != nil || resp.Status == 429 || resp.Status >= 500 {
-		if c.vain != nil {
-			c.vain.Add(1)
+		if c.unanswered != nil {
+			c.unanswered.Add(1)
 		}
 		return 0
 	}
 	var s wire.JobStatus
 	_ = wire.Decode(resp.Body, &s)
-	if before == "" && resp.Status >= 400 || !before.Final() && c.check.Stage(id).Final() && !s.Stage.Final() {
+	if before == "" && resp.Status >= 400 || !before.Final() && c.checker.Stage(id).Final() && !s.Stage.Final() {
 		return resp.Status
 	}
-	if c.check.Told(id, resp.Status, s.Stage, c.asked.Load()); resp.Status >= 400 {
+	if c.checker.ObserveAnswer(id, resp.Status, s.Stage, c.cancelRequested.Load()); resp.Status >= 400 {
 		c.t.Errorf("%s, which was %s, is answered %d at %d", id, before, resp.Status, i)
 		return resp.Status
 	}
-	if is := map[bool]int32{false: 1, true: 2}[s.Stage.Final()]; c.known.Swap(is) < is && c.looksClosely() {
+	if is := map[bool]int32{false: 1, true: 2}[s.Stage.Final()]; c.progress.Swap(is) < is && c.readsConcurrently() {
 		c.group.Go(func() {
-			if c.closely(2); is == 1 && c.draw(c.luck, 6) == 0 {
-				c.until(c.cancel)
+			if c.readConcurrently(2); is == 1 && c.draw(c.rng, 6) == 0 {
+				c.untilAnswered(c.cancel)
 			}
 		})
 	}
 	return resp.Status
 }
 
-func (w *world) looksClosely() bool {
-	w.floor.mu.Lock()
-	defer w.floor.mu.Unlock()
-	return time.Now().Before(w.floor.close)
+func (w *simulation) readsConcurrently() bool {
+	w.tasks.mu.Lock()
+	defer w.tasks.mu.Unlock()
+	return time.Now().Before(w.tasks.concurrentReadsUntil)
 }
 
-// closely has users ask all controllers within milliseconds, some of them by submitting it again,
+// readConcurrently has users ask all controllers within milliseconds, some of them by submitting it again,
 // and that so many times.
-func (c *client) closely(times int) {
+func (c *client) readConcurrently(times int) {
 	var all sync.WaitGroup
 	for range times {
 		for i := range c.count {
 			all.Go(func() {
-				time.Sleep(time.Duration(c.draw(c.luck, 5000)) * time.Microsecond)
-				if c.floor.looks.Add(1); c.draw(c.luck, 3) == 0 {
+				time.Sleep(time.Duration(c.draw(c.rng, 5000)) * time.Microsecond)
+				if c.tasks.polls.Add(1); c.draw(c.rng, 3) == 0 {
 					c.submit(i)
 				} else {
-					c.look(i)
+					c.poll(i)
 				}
 			})
 		}
-		time.Sleep(time.Duration(c.draw(c.luck, 200)) * time.Millisecond)
+		time.Sleep(time.Duration(c.draw(c.rng, 200)) * time.Millisecond)
 	}
 	all.Wait()
 }
@@ -396,17 +396,17 @@
 	return c.ask(i, 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
 }
 
-func (c *client) look(i int) int { return c.ask(i, 2*time.Second, "GET", c.path(), nil) }
+func (c *client) poll(i int) int { return c.ask(i, 2*time.Second, "GET", c.path(), nil) }
 
 func (c *client) cancel(i int) int {
-	c.asked.Store(true)
+	c.cancelRequested.Store(true)
 	return c.ask(i, 5*time.Second, "POST", c.path()+"/"+wire.CancelWord, []byte{})
 }
 
 // body gives the submission again, as it was or another of the same name.
 func (c *client) body() []byte {
 	other := *c.job
-	switch c.draw(c.luck, 6) {
+	switch c.draw(c.rng, 6) {
 	case 0:
 		other.Tasks, other.Team, other.CPUs = 90, "nobody", 1000
 	case 1:
@@ -417,13 +417,13 @@
 	return wire.Encode(&other)
 }
 
-// any is a controller, as a balancer picks it.
-func (c *client) any() int { return c.draw(c.luck, c.count) }
+// anyController is a controller, as a balancer picks it.
+func (c *client) anyController() int { return c.draw(c.rng, c.count) }
 
-// until asks whichever controllers until one answers.
-func (c *client) until(ask func(i int) int) int {
+// untilAnswered asks whichever controllers until one answers.
+func (c *client) untilAnswered(ask func(i int) int) int {
 	for c.ctx.Err() == nil {
-		if status := ask(c.any()); status > 0 {
+		if status := ask(c.anyController()); status > 0 {
 			return status
 		}
 		time.Sleep(time.Second)
@@ -434,32 +434,32 @@
 // submitter is a user who submits a job some time after the day has begun, asks about it, and may
 // cancel it at another time if that is not 0, each through whichever controller the balancer
 // picks. Once it is over it asks them all.
-func (w *world) submitter(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
-	c, start := w.client(j, luckOf(seed, j.ID), runs...), time.Now()
+func (w *simulation) submitter(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
+	c, start := w.client(j, rngOf(seed, j.ID), runs...), time.Now()
 	w.group.Go(func() {
 		time.Sleep(submit)
-		if status := c.until(c.submit); status != 200 && status != 201 && w.ctx.Err() == nil {
+		if status := c.untilAnswered(c.submit); status != 200 && status != 201 && w.ctx.Err() == nil {
 			w.t.Errorf("%s was answered %d", j.ID, status)
 			return
 		}
-		w.follow(j.ID)
-		for w.ctx.Err() == nil && !w.check.Stage(j.ID).Final() {
+		w.pollUntilOver(j.ID)
+		for w.ctx.Err() == nil && !w.checker.Stage(j.ID).Final() {
 			if left := cancel - time.Since(start); cancel > 0 && left < 3*time.Second {
 				time.Sleep(left)
-				if c.until(c.cancel) == 200 {
-					w.floor.cancelled.Add(1)
+				if c.untilAnswered(c.cancel) == 200 {
+					w.tasks.cancelled.Add(1)
 				}
 				continue
 			}
-			time.Sleep(2*time.Second + time.Duration(c.draw(c.luck, 2000))*time.Millisecond)
-			c.look(c.any())
+			time.Sleep(2*time.Second + time.Duration(c.draw(c.rng, 2000))*time.Millisecond)
+			c.poll(c.anyController())
 		}
 		for range 8 { // what was told stays so, whoever is asked
-			time.Sleep(time.Duration(c.draw(c.luck, 8000)) * time.Millisecond)
-			c.look(c.any())
+			time.Sleep(time.Duration(c.draw(c.rng, 8000)) * time.Millisecond)
+			c.poll(c.anyController())
 		}
-		if c.until(c.submit); c.asked.Load() { // a late retry finds the final state
-			c.until(c.cancel)
+		if c.untilAnswered(c.submit); c.cancelRequested.Load() { // a late retry finds the final state
+			c.untilAnswered(c.cancel)
 		}
 	})
 	return c
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -12,52 +12,52 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// inParts makes a world of a fleet in two parts, a and b.
-func inParts(t *testing.T, seed uint64) *world {
-	return newWorld(t, seed, 0, func(c *config.Config) { c.Tuning.Parts.By = "zone" })
+// newTwoShardSimulation makes a world of a fleet in two parts, a and b.
+func newTwoShardSimulation(t *testing.T, seed uint64) *simulation {
+	return newSimulation(t, seed, 0, func(c *config.Config) { c.Tuning.Shards.By = "zone" })
 }
 
-// holders tells who holds each part, by the store.
-func (w *world) holders() map[string]string {
+// leaders tells who holds each part, by the store.
+func (w *simulation) leaders() map[string]string {
 	out := map[string]string{}
-	for _, it := range w.store.Page(store.PartKey(""), "", 0).Items {
-		var rec store.PartRecord
+	for _, it := range w.store.Page(store.LeaderKey(""), "", 0).Items {
+		var rec store.LeaderRecord
 		_ = wire.DecodeValue(it.Value, &rec)
-		out[strings.TrimPrefix(it.Key, store.PartKey(""))] = rec.Holder
+		out[strings.TrimPrefix(it.Key, store.LeaderKey(""))] = rec.Leader
 	}
 	return out
 }
 
-func (w *world) term() (term uint64) {
-	for _, it := range w.store.Page(store.TermKey, "", 0).Items {
+func (w *simulation) token() (term uint64) {
+	for _, it := range w.store.Page(store.FencingTokenKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &term)
 	}
 	return term
 }
 
-// service keeps six tasks running in both zones, for a while.
-func (w *world) service(id string, until time.Duration) {
+// startService keeps six tasks running in both zones, for a while.
+func (w *simulation) startService(id string, until time.Duration) {
 	w.user(&wire.Job{ID: id, Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6, Spread: true,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, until)
 }
 
-func (w *world) judge() {
-	for _, b := range append(w.check.Broken(), w.account().Problems...) {
+func (w *simulation) checkResults() {
+	for _, b := range append(w.checker.Violations(), w.account().Problems...) {
 		w.t.Error(b)
 	}
-	w.counted()
+	w.logCounts()
 }
 
-// counted tells what is counted and breaks no rule.
-func (w *world) counted() {
-	starts, launches := w.check.Late.After()
+// logCounts tells what is counted and breaks no rule.
+func (w *simulation) logCounts() {
+	starts, launches := w.checker.Launches.AfterCancellation()
 	for _, s := range starts {
 		w.t.Log("started:", s)
 	}
 	for _, s := range launches {
 		w.t.Log("launched:", s)
 	}
-	for _, s := range w.check.Room.Partly() {
+	for _, s := range w.checker.Starvation.PartiallyStarved() {
 		w.t.Log("partly", s)
 	}
 }
@@ -67,39 +67,39 @@
 // moves any more. No task is lost over any of it.
 func TestSurvivorTakesAllAndSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := inParts(t, 31)
-		w.service("wk-1", 5*time.Minute)
+		w := newTwoShardSimulation(t, 31)
+		w.startService("wk-1", 5*time.Minute)
 		time.Sleep(40 * time.Second)
-		if h := w.holders(); len(h) != 2 || h["a"] == h["b"] {
+		if h := w.leaders(); len(h) != 2 || h["a"] == h["b"] {
 			t.Errorf("held by %v", h)
 		}
 		w.kill(1, time.Minute)
 		w.kill(2, time.Minute)
 		time.Sleep(25 * time.Second)
-		if h := w.holders(); h["a"] != "c-0" || h["b"] != "c-0" {
+		if h := w.leaders(); h["a"] != "c-0" || h["b"] != "c-0" {
 			t.Errorf("one is left, the parts are held by %v", h)
 		}
-		before := w.term()
+		before := w.token()
 		time.Sleep(35 * time.Second)
 		gap := time.Duration(0)
 		for range 6000 { // who holds them while the others come back
 			time.Sleep(10 * time.Millisecond)
-			if len(w.holders()) < 2 {
+			if len(w.leaders()) < 2 {
 				gap += 10 * time.Millisecond
 			}
 		}
-		h := w.holders()
-		if len(h) != 2 || h["a"] == h["b"] || w.term() != before+1 {
-			t.Errorf("after a minute the parts are held by %v, %d claims", h, w.term()-before)
+		h := w.leaders()
+		if len(h) != 2 || h["a"] == h["b"] || w.token() != before+1 {
+			t.Errorf("after a minute the parts are held by %v, %d claims", h, w.token()-before)
 		}
 		if gap > 500*time.Millisecond {
 			t.Errorf("a part was free for %v", gap)
 		}
-		if w.check.Started != 6 {
-			t.Errorf("%d starts of 6 tasks", w.check.Started)
+		if w.checker.Started != 6 {
+			t.Errorf("%d starts of 6 tasks", w.checker.Started)
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -107,8 +107,8 @@
 // machines at once. What ran there runs in the other zone before it is back.
 func TestZoneGoesDark(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 32, 0, func(c *config.Config) {
-			c.Tuning.Parts.By = "zone"
+		w := newSimulation(t, 32, 0, func(c *config.Config) {
+			c.Tuning.Shards.By = "zone"
 			c.Zone = map[string]string{"c-0": "a", "c-1": "b", "c-2": "b"}[c.Name]
 		})
 		for i := range 3 {
@@ -116,7 +116,7 @@
 				CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 60}, 90*time.Second, 0)
 		}
 		time.Sleep(30 * time.Second)
-		before := w.holders()["a"]
+		before := w.leaders()["a"]
 		var inside []string
 		outside := []string{"10.2.0.1", "10.2.0.2", "10.3.0.1"}
 		for i := range 3 {
@@ -127,10 +127,10 @@
 			}
 		}
 		for m := range 8 {
-			host := strings.Split(w.cloud.Up(m), ":")[0]
+			host := strings.Split(w.cloud.AddrOfNth(m), ":")[0]
 			if host == "" {
 				continue
-			} else if w.cloud.ZoneOf(w.cloud.Up(m)) == "a" {
+			} else if w.cloud.ZoneOf(w.cloud.AddrOfNth(m)) == "a" {
 				inside = append(inside, host)
 			} else {
 				outside = append(outside, host)
@@ -139,22 +139,22 @@
 		cut := func(on bool) {
 			for _, a := range inside {
 				for _, b := range outside {
-					w.net.Cut(a, b, on)
+					w.net.Partition(a, b, on)
 				}
 			}
 		}
 		cut(true)
 		time.Sleep(20 * time.Second)
-		if h := w.holders(); h["a"] == before || len(h) != 2 {
+		if h := w.leaders(); h["a"] == before || len(h) != 2 {
 			t.Errorf("held by %v", h)
 		}
 		time.Sleep(50 * time.Second)
-		if n := w.check.Started; n <= 12 {
+		if n := w.checker.Started; n <= 12 {
 			t.Errorf("%d starts: nothing of the dark zone runs elsewhere", n)
 		}
 		cut(false)
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -162,39 +162,39 @@
 // the users reach all; then the reverse: the store answers none of two. Every job ends.
 func TestHalvesDoNotHearEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := inParts(t, 33)
+		w := newTwoShardSimulation(t, 33)
 		w.group.Add(1)
 		go func() {
 			defer w.group.Done()
 			w.submit(33, 20)
 		}()
 		time.Sleep(20 * time.Second)
-		before := w.term()
+		before := w.token()
 		for i := range 3 {
-			w.net.Cut(w.ip(i), w.ip((i+1)%3), true)
+			w.net.Partition(w.ip(i), w.ip((i+1)%3), true)
 		}
 		time.Sleep(30 * time.Second)
-		if n := w.term() - before; n > 0 {
+		if n := w.token() - before; n > 0 {
 			t.Errorf("%d claims while controllers don't hear each other", n)
 		}
 		for i := range 3 {
-			w.net.Cut(w.ip(i), w.ip((i+1)%3), false)
+			w.net.Partition(w.ip(i), w.ip((i+1)%3), false)
 		}
 		time.Sleep(10 * time.Second)
 		for _, i := range []int{0, 1} {
-			w.net.Cut(w.ip(i), "10.2.0.1", true)
+			w.net.Partition(w.ip(i), "10.2.0.1", true)
 		}
 		time.Sleep(25 * time.Second)
-		for part, name := range w.holders() {
+		for part, name := range w.leaders() {
 			if name != "c-2" {
 				t.Errorf("%s is held by %s, which the store does not hear", part, name)
 			}
 		}
 		for _, i := range []int{0, 1} {
-			w.net.Cut(w.ip(i), "10.2.0.1", false)
+			w.net.Partition(w.ip(i), "10.2.0.1", false)
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -202,24 +202,24 @@
 // its siblings do not hear is left alone while it writes.
 func TestDeadHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 34, 0, nil)
-		w.service("wk-1", 4*time.Minute)
+		w := newSimulation(t, 34, 0, nil)
+		w.startService("wk-1", 4*time.Minute)
 		time.Sleep(30 * time.Second)
-		dead := int(w.holders()["fleet"][2] - '0')
+		dead := int(w.leaders()["fleet"][2] - '0')
 		w.kill(dead, 40*time.Second)
 		begun := time.Now()
-		for w.holders()["fleet"] == fmt.Sprint("c-", dead) || len(w.holders()) == 0 {
+		for w.leaders()["fleet"] == fmt.Sprint("c-", dead) || len(w.leaders()) == 0 {
 			time.Sleep(50 * time.Millisecond)
 		}
 		if took := time.Since(begun); took > 7*time.Second {
 			t.Errorf("taken over after %v", took)
 		}
 		time.Sleep(time.Minute)
-		before := w.term()
-		alive := int(w.holders()["fleet"][2] - '0')
+		before := w.token()
+		alive := int(w.leaders()["fleet"][2] - '0')
 		for i := range 3 { // its beats are lost, but jobs come, so that it writes
 			if i != alive {
-				w.net.Lose(w.ip(alive), w.ip(i), true)
+				w.net.DropOneWay(w.ip(alive), w.ip(i), true)
 			}
 		}
 		for i := range 10 {
@@ -227,13 +227,13 @@
 				CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: 5}, 2*time.Second, 0)
 			time.Sleep(2 * time.Second)
 		}
-		if n := w.term() - before; n > 0 {
+		if n := w.token() - before; n > 0 {
 			t.Errorf("%d claims while the holder writes", n)
 		}
 		for i := range 3 {
-			w.net.Lose(w.ip(alive), w.ip(i), false)
+			w.net.DropOneWay(w.ip(alive), w.ip(i), false)
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -26,31 +26,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// world is three controllers among stand-ins, on a fake clock, or as many as its count says.
-type world struct {
-	t      *testing.T
-	count  int
-	net    *simulator.Net
-	store  *simulator.Store
-	cloud  *simulator.Cloud
-	check  *simulator.Checker
-	floor  *floor
-	ground simulator.Ground // that machines come up on, if it is not the floor
-	rand   *rand.Rand
-	nodes  []*node
-	group  sync.WaitGroup
-	ctx    context.Context
-	stop   context.CancelFunc
-	// tamper changes the settings of the controllers, to remove a guard.
-	tamper  func(*config.Config)
-	drawing sync.Mutex
-	// users ask about all jobs that were accepted, apart from those who submitted them.
-	users  *simulator.Users
-	dial   func(ctx context.Context, addr string) (net.Conn, error) // by which they reach controllers, if it is set
-	asking sync.WaitGroup
-	echo   *simulator.Echo
-	over   time.Time       // since when all troubles are; zero while nobody has said so
-	yard   *simulator.Yard // that machines share
+// simulation is three controllers among stand-ins, on a fake clock, or as many as its count says.
+type simulation struct {
+	t       *testing.T
+	count   int
+	net     *simulator.Network
+	store   *simulator.StateService
+	cloud   *simulator.Cloud
+	checker *simulator.Checker
+	tasks   *taskObserver
+	fixture simulator.Fixture // that machines come up on, if it is not the floor
+	rng     *rand.Rand
+	nodes   []*node
+	group   sync.WaitGroup
+	ctx     context.Context
+	stop    context.CancelFunc
+	// changeSettings changes the settings of the controllers, to remove a guard.
+	changeSettings func(*config.Config)
+	rngMu          sync.Mutex
+	// polling ask about all jobs that were accepted, apart from those who submitted them.
+	polling    *simulator.Users
+	dial       func(ctx context.Context, addr string) (net.Conn, error) // by which they reach controllers, if it is set
+	pollGroup  sync.WaitGroup
+	replayer   *simulator.HeartbeatReplayer
+	quietSince time.Time              // since when all troubles are; zero while nobody has said so
+	runtime    *simulator.TaskRuntime // that machines share
 }
 
 type node struct {
@@ -66,12 +66,12 @@
 // g4 is the type of machine that the cloud has.
 var g4 = wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a", "b"}}
 
-func newWorld(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *world {
-	return newWorldOf(t, 3, seed, lossy, tamper)
+func newSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
+	return newSimulationOf(t, 3, seed, lossy, tamper)
 }
 
-func newWorldOf(t *testing.T, count int, seed uint64, lossy float64, tamper func(*config.Config)) *world {
-	w := &world{t: t, count: count, net: simulator.NewNet(), store: simulator.NewStore(seed, lossy), rand: rand.New(rand.NewPCG(seed, 2)), tamper: tamper}
+func newSimulationOf(t *testing.T, count int, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
+	w := &simulation{t: t, count: count, net: simulator.NewNetwork(), store: simulator.NewStateService(seed, lossy), rng: rand.New(rand.NewPCG(seed, 2)), changeSettings: tamper}
 	late := rand.New(rand.NewPCG(seed, 5))
 	var mu sync.Mutex
 	heldUp := func() time.Duration {
@@ -82,20 +82,20 @@
 		}
 		return time.Duration(late.IntN(40000)+1) * time.Millisecond
 	}
-	w.store.Limits = simulator.Limits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that paging is tried
-	w.check = simulator.NewChecker(45*time.Second, map[string]float64{"red": 6})
-	w.floor = newFloor(w.check)
+	w.store.Limits = simulator.StateLimits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that paging is tried
+	w.checker = simulator.NewChecker(45*time.Second, map[string]float64{"red": 6})
+	w.tasks = newTaskObserver(w.checker)
 	w.ctx, w.stop = context.WithCancel(t.Context())
 	for i := range count {
-		w.net.Place(w.ip(i), w.settings(i).Zone)
+		w.net.SetZone(w.ip(i), w.settings(i).Zone)
 	}
-	w.echo = &simulator.Echo{Dial: w.net.Host("10.4.0.1").Dial, Most: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
+	w.replayer = &simulator.HeartbeatReplayer{Dial: w.net.Host("10.4.0.1").Dial, MaxDelay: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
 	for i := range count {
-		w.echo.Nodes = append(w.echo.Nodes, simulator.Address(w.ip(i), 8080))
+		w.replayer.Controllers = append(w.replayer.Controllers, simulator.Address(w.ip(i), 8080))
 	}
 	typ := g4
 	typ.Zones = w.settings(0).Zones
-	w.cloud = &simulator.Cloud{Capacity: 4, Lag: 2 * time.Second, Boot: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
+	w.cloud = &simulator.Cloud{Capacity: 4, ListLag: 2 * time.Second, BootTime: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
 		Types: []wire.MachineType{typ}, Start: w.machine(2*time.Second, heldUp)}
 	go w.net.Host("10.2.0.1").Listen(w.ctx, "10.2.0.1:2379", 0, w.store.Serve())
 	go w.net.Host("10.2.0.2").Listen(w.ctx, "10.2.0.2:8443", 0, w.cloud.Serve())
@@ -104,65 +104,65 @@
 		w.nodes = append(w.nodes, n)
 		w.start(i)
 	}
-	w.check.Site = simulator.Site{Types: []wire.MachineType{typ}, Teams: map[string]simulator.Limit{}}
+	w.checker.Submissions = simulator.SubmissionRules{Types: []wire.MachineType{typ}, Teams: map[string]simulator.TeamLimit{}}
 	for _, team := range w.settings(0).Teams {
-		w.check.Site.Teams[team.Name] = simulator.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
+		w.checker.Submissions.Teams[team.Name] = simulator.TeamLimit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 	}
-	w.check.Room.Limits = w.check.Site.Teams
-	w.net.Watch(func(from string, p []byte) { w.check.Late.Sees(time.Now(), from, p) })
-	w.asking.Go(func() { w.check.Watch(w.ctx, w.cloud) })
+	w.checker.Starvation.Limits = w.checker.Submissions.Teams
+	w.net.Observe(func(from string, p []byte) { w.checker.Launches.InspectMessage(time.Now(), from, p) })
+	w.pollGroup.Go(func() { w.checker.WatchMachines(w.ctx, w.cloud) })
 	return w
 }
 
 // machine starts machines that report so often and get direct calls so late.
-func (w *world) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
-	names, yard := map[string]string{}, simulator.NewYard(cmp.Or[simulator.Ground](w.ground, w.floor), 20*time.Second, 3*time.Second)
-	w.yard = yard
+func (w *simulation) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
+	names, yard := map[string]string{}, simulator.NewTaskRuntime(cmp.Or[simulator.Fixture](w.fixture, w.tasks), 20*time.Second, 3*time.Second)
+	w.runtime = yard
 	for i := range w.count {
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
 	return func(id, addr, typ, zone string, spot bool) simulator.Machine {
 		host := simulator.HostOf(addr)
-		w.net.Place(host, zone)
-		w.floor.up(id)
+		w.net.SetZone(host, zone)
+		w.tasks.machineBooted(id)
 		return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
-			Down: func() { w.net.Down(host, true) }, Controllers: names, Yard: yard, Lease: workerLease, Report: report, Late: late, Echo: w.echo})
+			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: yard, Lease: workerLease, HeartbeatInterval: report, CallDelay: late, Replayer: w.replayer})
 	}
 }
 
 // draw takes a number of a source that several hosts share.
-func (w *world) draw(source *rand.Rand, n int) int {
-	w.drawing.Lock()
-	defer w.drawing.Unlock()
+func (w *simulation) draw(source *rand.Rand, n int) int {
+	w.rngMu.Lock()
+	defer w.rngMu.Unlock()
 	return source.IntN(n)
 }
 
-func (w *world) ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
+func (w *simulation) ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-func (w *world) settings(i int) *config.Config {
-	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), MeshAddr: simulator.Address(w.ip(i), 8081),
+func (w *simulation) settings(i int) *config.Config {
+	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), PeerAddr: simulator.Address(w.ip(i), 8081),
 		CloudAddr: "10.2.0.2:8443", StoreAddr: "10.2.0.1:2379", Zones: []string{"a", "b"},
 		Teams:   []config.Team{{Name: "red", GPUs: 4, GPUsMax: 6}, {Name: "blue"}},
-		Workers: config.Workers{Report: 2 * time.Second, Lease: workerLease, GangWait: 20 * time.Second, GangPeer: 3 * time.Second, Cancel: 45 * time.Second},
+		Workers: config.Workers{HeartbeatInterval: 2 * time.Second, Lease: workerLease, GangWait: 20 * time.Second, GangPeer: 3 * time.Second, Cancel: 45 * time.Second},
 		Store:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12}, Cloud: config.Cloud{RPS: 10, ListLag: 2 * time.Second},
 		Limits: config.Limits{RAMBytes: 200 << 20, Files: 500}, Tuning: config.DefaultTuning()}
-	c.Tuning.History = config.History{Fold: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // merged at once
+	c.Tuning.History = config.History{Compact: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // merged at once
 	for k := range w.count {
 		if k != i {
-			c.Siblings = append(c.Siblings, config.Sibling{Name: fmt.Sprintf("c-%d", k), Addr: simulator.Address(w.ip(k), 8081)})
+			c.Peers = append(c.Peers, config.Peer{Name: fmt.Sprintf("c-%d", k), Addr: simulator.Address(w.ip(k), 8081)})
 		}
 	}
-	if w.tamper != nil {
-		w.tamper(c)
+	if w.changeSettings != nil {
+		w.changeSettings(c)
 	}
 	return c
 }
 
-func (w *world) start(i int) {
+func (w *simulation) start(i int) {
 	n := w.nodes[i]
 	ctx, stop := context.WithCancel(w.ctx)
 	done := make(chan struct{})
-	n.stop, n.done, n.host = stop, done, w.net.Live(n.ip)
+	n.stop, n.done, n.host = stop, done, w.net.StartIncarnation(n.ip)
 	out := io.Discard
 	if os.Getenv("SIM_LOG") != "" {
 		out = os.Stderr
@@ -176,18 +176,18 @@
 }
 
 // kill ends a controller without a word, and starts it again later.
-func (w *world) kill(i int, back time.Duration) {
+func (w *simulation) kill(i int, back time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
 		return // it was killed just now, and is yet to come back
 	}
-	w.net.Down(n.ip, true)
+	w.net.SetDown(n.ip, true)
 	n.stop()
 	<-n.done
 	w.group.Add(1)
 	time.AfterFunc(back, func() {
 		defer w.group.Done()
-		w.net.Down(n.ip, false)
+		w.net.SetDown(n.ip, false)
 		w.start(i)
 		n.down.Store(false)
 	})
@@ -195,12 +195,12 @@
 
 // crash ends a controller's process, which is back after a moment: its host refuses
 // connections meanwhile, and what it sent last may be held for a while.
-func (w *world) crash(i int, back, held time.Duration) {
+func (w *simulation) crash(i int, back, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
 		return
 	}
-	w.endLife(n, held)
+	w.endIncarnation(n, held)
 	w.group.Add(1)
 	time.AfterFunc(back, func() {
 		defer w.group.Done()
@@ -209,14 +209,14 @@
 	})
 }
 
-// lastWords is for how long before its end the network holds what a process sends.
-const lastWords = 200 * time.Millisecond
+// finalHold is for how long before its end the network holds what a process sends.
+const finalHold = 200 * time.Millisecond
 
-// endLife ends the present life of a controller.
-func (w *world) endLife(n *node, held time.Duration) {
+// endIncarnation ends the present life of a controller.
+func (w *simulation) endIncarnation(n *node, held time.Duration) {
 	if held > 0 {
 		w.net.Hold(n.ip, held)
-		time.Sleep(min(held, lastWords))
+		time.Sleep(min(held, finalHold))
 	}
 	n.host.End()
 	n.stop()
@@ -228,42 +228,42 @@
 	}()
 }
 
-// askers are who asks about jobs, by way of a load balancer.
-func (w *world) askers() *simulator.Users {
-	w.drawing.Lock()
-	defer w.drawing.Unlock()
-	if w.users == nil {
-		w.users = &simulator.Users{Dial: w.net.Host("10.3.0.2").Dial, Judge: &w.check.Known}
+// pollers are who asks about jobs, by way of a load balancer.
+func (w *simulation) pollers() *simulator.Users {
+	w.rngMu.Lock()
+	defer w.rngMu.Unlock()
+	if w.polling == nil {
+		w.polling = &simulator.Users{Dial: w.net.Host("10.3.0.2").Dial, Judge: &w.checker.Liveness}
 		if w.dial != nil {
-			w.users.Dial = w.dial
+			w.polling.Dial = w.dial
 		}
 		for i := range w.nodes {
-			w.users.Nodes = append(w.users.Nodes, simulator.Address(w.ip(i), 8080))
+			w.polling.Nodes = append(w.polling.Nodes, simulator.Address(w.ip(i), 8080))
 		}
-		w.asking.Go(func() { w.users.Run(w.ctx) })
+		w.pollGroup.Go(func() { w.polling.Run(w.ctx) })
 	}
-	return w.users
+	return w.polling
 }
 
-// follow has one of them ask about a job until the day ends.
-func (w *world) follow(id string) {
-	users := w.askers()
-	w.asking.Go(func() { users.Follow(w.ctx, id) })
+// pollUntilOver has one of them ask about a job until the day ends.
+func (w *simulation) pollUntilOver(id string) {
+	users := w.pollers()
+	w.pollGroup.Go(func() { users.Follow(w.ctx, id) })
 }
 
-// calm says that all troubles are over.
-func (w *world) calm() {
-	w.over = time.Now()
-	w.check.Over(w.over)
+// declareQuiet says that all troubles are over.
+func (w *simulation) declareQuiet() {
+	w.quietSince = time.Now()
+	w.checker.SetQuietSince(w.quietSince)
 }
 
 // user submits a job, asks about it until it is over, and may cancel it.
-func (w *world) user(j *wire.Job, run, cancelAfter time.Duration) {
-	w.check.Submitted(j, run)
+func (w *simulation) user(j *wire.Job, run, cancelAfter time.Duration) {
+	w.checker.Submitted(j, run)
 	w.group.Add(1)
 	go func() {
 		defer w.group.Done()
-		caller := &transport.Caller{Limit: wire.MaxBody, Dial: w.net.Host("10.3.0.1").Dial}
+		caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.1").Dial}
 		ask := func(method, path string, body []byte, asked bool) int {
 			for try := 0; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
@@ -272,7 +272,7 @@
 				if err == nil && resp.Status != 503 {
 					var s wire.JobStatus
 					_ = wire.Decode(resp.Body, &s)
-					w.check.Told(j.ID, resp.Status, s.Stage, asked)
+					w.checker.ObserveAnswer(j.ID, resp.Status, s.Stage, asked)
 					return resp.Status
 				}
 				time.Sleep(time.Second)
@@ -284,9 +284,9 @@
 			w.t.Errorf("%s was answered %d", j.ID, status)
 			return
 		}
-		w.follow(j.ID)
+		w.pollUntilOver(j.ID)
 		begun, asked := time.Now(), false
-		for w.ctx.Err() == nil && !w.check.Stage(j.ID).Final() {
+		for w.ctx.Err() == nil && !w.checker.Stage(j.ID).Final() {
 			time.Sleep(3 * time.Second)
 			if cancelAfter > 0 && time.Since(begun) > cancelAfter {
 				asked = true
@@ -300,15 +300,15 @@
 }
 
 // jobs of every shape, enough for the team red to meet its limit.
-func (w *world) submit(seed uint64, n int) {
-	luck := rand.New(rand.NewPCG(seed, 4))
+func (w *simulation) submit(seed uint64, n int) {
+	rng := rand.New(rand.NewPCG(seed, 4))
 	for i := range n {
-		j := &wire.Job{ID: fmt.Sprintf("wk-%06d", luck.IntN(1e6)), Class: "c", Team: []string{"red", "blue"}[i%2], Priority: wire.Normal,
+		j := &wire.Job{ID: fmt.Sprintf("wk-%06d", rng.IntN(1e6)), Class: "c", Team: []string{"red", "blue"}[i%2], Priority: wire.Normal,
 			CPUs: 2, GPUs: 1, MemoryGB: 8, Image: fmt.Sprintf("img-%d", i%2), ImageGB: 1, EstimateS: 10, Spot: i%2 == 0}
-		run, cancel := time.Duration(5+luck.IntN(20))*time.Second, time.Duration(0)
+		run, cancel := time.Duration(5+rng.IntN(20))*time.Second, time.Duration(0)
 		switch i % 4 {
 		case 0, 1:
-			j.Shape, j.Tasks = wire.Array, 3+luck.IntN(4)
+			j.Shape, j.Tasks = wire.Array, 3+rng.IntN(4)
 		case 2:
 			j.Shape, j.Tasks, j.OneZone, j.CheckpointS, j.SaveS = wire.Gang, 2, true, 5, 1
 			if i%8 == 6 { // over two zones, so that no part can take it whole
@@ -316,20 +316,20 @@
 			}
 		case 3:
 			j.Shape, j.Tasks, j.Spread, j.Priority = wire.Service, 2, true, wire.Production
-			run, cancel = 24*time.Hour, time.Duration(40+luck.IntN(60))*time.Second
+			run, cancel = 24*time.Hour, time.Duration(40+rng.IntN(60))*time.Second
 		}
 		if i%6 == 0 {
-			cancel = time.Duration(5+luck.IntN(30)) * time.Second
+			cancel = time.Duration(5+rng.IntN(30)) * time.Second
 		}
 		w.user(j, run, cancel)
-		time.Sleep(time.Duration(luck.IntN(4000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 	}
 }
 
 // finish waits for the users, for some time, and ends the world.
-func (w *world) finish(patience time.Duration) {
-	if w.over.IsZero() { // what a day has begun lasts for a minute at the most
-		w.check.Over(time.Now().Add(65 * time.Second))
+func (w *simulation) finish(patience time.Duration) {
+	if w.quietSince.IsZero() { // what a day has begun lasts for a minute at the most
+		w.checker.SetQuietSince(time.Now().Add(65 * time.Second))
 	}
 	over := make(chan struct{})
 	go func() {
@@ -339,7 +339,7 @@
 	select {
 	case <-over:
 	case <-time.After(patience):
-		w.t.Errorf("jobs are not over after %v: %v", patience, w.check.Open())
+		w.t.Errorf("jobs are not over after %v: %v", patience, w.checker.OpenJobs())
 	}
 	w.end()
 	<-over
@@ -347,14 +347,14 @@
 }
 
 // end ends the world.
-func (w *world) end() {
+func (w *simulation) end() {
 	w.stop()
 	w.cloud.Stop()
 	for _, n := range w.nodes {
 		<-n.done
 	}
 	w.net.Close()
-	w.asking.Wait()
+	w.pollGroup.Wait()
 }
 
 // TestRulesHoldThroughFaults plays a day with kills, cuts, lost answers and an
@@ -367,32 +367,32 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, seed, 0.05, nil)
+				w := newSimulation(t, seed, 0.05, nil)
 				w.group.Add(1)
 				go func() {
 					defer w.group.Done()
 					w.submit(seed, 24)
 				}()
 				for step := range 12 {
-					time.Sleep(time.Duration(6+w.rand.IntN(10)) * time.Second)
-					i := w.rand.IntN(3)
+					time.Sleep(time.Duration(6+w.rng.IntN(10)) * time.Second)
+					i := w.rng.IntN(3)
 					switch step % 6 {
 					case 0:
 						w.kill(i, 3*time.Second)
 					case 1:
-						w.cloud.Take(w.rand.IntN(8))
+						w.cloud.RemoveNth(w.rng.IntN(8))
 					case 2:
-						w.net.Cut(w.ip(i), "10.2.0.1", true)
-						time.AfterFunc(25*time.Second, func() { w.net.Cut(w.ip(i), "10.2.0.1", false) })
+						w.net.Partition(w.ip(i), "10.2.0.1", true)
+						time.AfterFunc(25*time.Second, func() { w.net.Partition(w.ip(i), "10.2.0.1", false) })
 					case 3:
-						if addr := w.cloud.Up(w.rand.IntN(8)); addr != "" {
+						if addr := w.cloud.AddrOfNth(w.rng.IntN(8)); addr != "" {
 							host := strings.Split(addr, ":")[0]
-							w.net.Down(host, true)
-							time.AfterFunc(time.Duration(10+w.rand.IntN(30))*time.Second, func() { w.net.Down(host, false) })
+							w.net.SetDown(host, true)
+							time.AfterFunc(time.Duration(10+w.rng.IntN(30))*time.Second, func() { w.net.SetDown(host, false) })
 						}
 					case 4:
-						w.store.Outage(true)
-						time.AfterFunc(12*time.Second, func() { w.store.Outage(false) })
+						w.store.SetOutage(true)
+						time.AfterFunc(12*time.Second, func() { w.store.SetOutage(false) })
 					case 5:
 						for k := range 3 {
 							w.kill(k, 3*time.Second)
@@ -400,10 +400,10 @@
 					}
 				}
 				w.finish(10 * time.Minute)
-				for _, b := range w.check.Broken() {
+				for _, b := range w.checker.Violations() {
 					t.Error(b)
 				}
-				if w.check.Started == 0 {
+				if w.checker.Started == 0 {
 					t.Error("no task was started")
 				}
 				a := w.account()
@@ -419,10 +419,10 @@
 }
 
 // account looks at all that is in the state service.
-func (w *world) account() archive.Account {
-	var items []wire.Item
+func (w *simulation) account() archive.Report {
+	var items []wire.KeyValue
 	for after := ""; ; {
-		page := w.store.Page(store.Stem, after, 0)
+		page := w.store.Page(store.CommonPrefix, after, 0)
 		items = append(items, page.Items...)
 		if !page.More {
 			return archive.Verify(context.Background(), items)
@@ -436,8 +436,8 @@
 // come no more it catches up.
 func TestFoldingFallsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
-		w.store.Stage(func(s *simulator.Store) { s.Limits.WriteRPS = 4 })
+		w := newSimulation(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
+		w.store.Configure(func(s *simulator.StateService) { s.Limits.WriteRPS = 4 })
 		time.Sleep(5 * time.Second)
 		for i := range 120 {
 			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
@@ -454,7 +454,7 @@
 			t.Errorf("it was never behind: %+v", behind.Kinds["batch"])
 		}
 		w.finish(5 * time.Minute)
-		for _, b := range append(w.check.Broken(), after.Problems...) {
+		for _, b := range append(w.checker.Violations(), after.Problems...) {
 			t.Error(b)
 		}
 	})
@@ -465,8 +465,10 @@
 // anew and no answer is lost.
 func TestForgetfulStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 12, 0.02, nil)
-		w.store.Stage(func(s *simulator.Store) { s.Delay = func() time.Duration { return 20 * time.Millisecond } })
+		w := newSimulation(t, 12, 0.02, nil)
+		w.store.Configure(func(s *simulator.StateService) {
+			s.ResponseDelay = func() time.Duration { return 20 * time.Millisecond }
+		})
 		w.group.Add(1)
 		go func() {
 			defer w.group.Done()
@@ -474,12 +476,12 @@
 		}()
 		for range 40 {
 			time.Sleep(1700 * time.Millisecond)
-			w.store.Forget()
+			w.store.DropHistory()
 			time.Sleep(30 * time.Millisecond)
-			w.store.Forget()
+			w.store.DropHistory()
 		}
 		w.finish(10 * time.Minute)
-		for _, b := range append(w.check.Broken(), w.account().Problems...) {
+		for _, b := range append(w.checker.Violations(), w.account().Problems...) {
 			t.Error(b)
 		}
 	})
@@ -489,21 +491,21 @@
 // checker must see tasks run twice, or it could not have seen anything above.
 func TestCheckerSeesRemovedGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 7, 0, func(c *config.Config) {
+		w := newSimulation(t, 7, 0, func(c *config.Config) {
 			c.Workers.Lease = 100 * time.Millisecond // what proofs by time rest on
-			c.Tuning.Silence = time.Hour             // and no release to prove absence instead
+			c.Tuning.HeartbeatTimeout = time.Hour    // and no release to prove absence instead
 		})
 		for i := range 3 {
 			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
 				CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 60}, 60*time.Second, 0)
 		}
 		time.Sleep(30 * time.Second)
-		host := strings.Split(w.cloud.Up(0), ":")[0]
-		w.net.Down(host, true) // its tasks run on, for as long as its lease lasts
+		host := strings.Split(w.cloud.AddrOfNth(0), ":")[0]
+		w.net.SetDown(host, true) // its tasks run on, for as long as its lease lasts
 		time.Sleep(18 * time.Second)
-		w.net.Down(host, false)
+		w.net.SetDown(host, false)
 		w.finish(10 * time.Minute)
-		if broken := strings.Join(w.check.Broken(), "\n"); !strings.Contains(broken, "ran_twice") {
+		if broken := strings.Join(w.checker.Violations(), "\n"); !strings.Contains(broken, "ran_twice") {
 			t.Errorf("the checker saw nothing of it: %q", broken)
 		}
 	})
@@ -514,7 +516,7 @@
 // accepted long before a change for each would be.
 func TestBurstSharesWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3, 0, func(c *config.Config) { c.Store.WriteRPS = 6 })
+		w := newSimulation(t, 3, 0, func(c *config.Config) { c.Store.WriteRPS = 6 })
 		time.Sleep(2 * time.Second)
 		_, before, _ := w.store.Counts()
 		const jobs = 90
@@ -528,12 +530,12 @@
 		}
 		time.Sleep(12 * time.Second)
 		for i := range jobs {
-			if id := fmt.Sprintf("wk-%d", i); w.check.Stage(id) == "" {
+			if id := fmt.Sprintf("wk-%d", i); w.checker.Stage(id) == "" {
 				t.Errorf("%s has no answer after 20 s", id)
 			}
 		}
 		w.finish(15 * time.Minute)
-		for _, b := range w.check.Broken() {
+		for _, b := range w.checker.Violations() {
 			t.Error(b)
 		}
 	})
@@ -544,25 +546,25 @@
 // workers reach, and no task is lost.
 func TestDeafHolderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 9, 0, nil)
+		w := newSimulation(t, 9, 0, nil)
 		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6,
 			CPUs: 2, GPUs: 2, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, 4*time.Minute)
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
 			for m := range 8 {
-				w.net.Cut(w.ip(i), strings.Split(w.cloud.Up(m), ":")[0], true)
+				w.net.Partition(w.ip(i), strings.Split(w.cloud.AddrOfNth(m), ":")[0], true)
 			}
 			time.Sleep(2 * workerLease)
 			for m := range 8 {
-				w.net.Cut(w.ip(i), strings.Split(w.cloud.Up(m), ":")[0], false)
+				w.net.Partition(w.ip(i), strings.Split(w.cloud.AddrOfNth(m), ":")[0], false)
 			}
 			time.Sleep(15 * time.Second)
 		}
-		if w.check.Started != 6 {
-			t.Errorf("%d starts of 6 tasks: some were lost", w.check.Started)
+		if w.checker.Started != 6 {
+			t.Errorf("%d starts of 6 tasks: some were lost", w.checker.Started)
 		}
 		w.finish(10 * time.Minute)
-		for _, b := range w.check.Broken() {
+		for _, b := range w.checker.Violations() {
 			t.Error(b)
 		}
 	})
@@ -573,8 +575,8 @@
 // crowded controller sends on to one that has more room, and no worker's lease runs out.
 func TestEachMachineFindsAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 21, 0, func(c *config.Config) {
-			c.Limits.Files, c.Tuning.KeepReports, c.Tuning.Idle = 100, 20, time.Hour
+		w := newSimulation(t, 21, 0, func(c *config.Config) {
+			c.Limits.Files, c.Tuning.DirectHeartbeats, c.Tuning.Idle = 100, 20, time.Hour
 		})
 		names := map[string]string{}
 		for i := range 3 {
@@ -584,7 +586,7 @@
 		for i := range 500 {
 			ip := fmt.Sprintf("10.9.%d.%d", i/200, i%200)
 			workers = append(workers, simulator.NewWorker(simulator.WorkerConfig{ID: fmt.Sprintf("n-9%05d", i), Addr: simulator.Address(ip, 9000), Type: "g4", Zone: "a", Spec: g4,
-				Net: w.net.Host(ip), Down: func() {}, Controllers: names, Yard: simulator.NewYard(w.check, time.Minute, time.Second), Lease: workerLease, Report: 2 * time.Second}))
+				Net: w.net.Host(ip), TakeDown: func() {}, Controllers: names, Runtime: simulator.NewTaskRuntime(w.checker, time.Minute, time.Second), Lease: workerLease, HeartbeatInterval: 2 * time.Second}))
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
@@ -592,7 +594,7 @@
 		time.Sleep(time.Minute)
 		lost := 0
 		for _, m := range workers {
-			lost += m.Lost()
+			lost += m.ExpiredLeases()
 			m.Kill()
 		}
 		if lost > 0 {
--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -15,23 +15,25 @@
 // given up with it, the next one would end the same way, for ever, beside room for all of the gang.
 func TestGangWaitsForASlowFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 41, 0, nil)
-		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 2} })
+		w := newSimulation(t, 41, 0, nil)
+		w.cloud.SetFaults(func(*simulator.CloudFaults) {
+			w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 2}
+		})
 		big := func(j *wire.Job) { j.GPUs, j.CPUs, j.ImageGB, j.Image = 4, 8, 30, "big" }
 		w.submitter(41, jobOf("wk-1", wire.Array, 1, 10*time.Second, big), time.Second, 0, 10*time.Second)
-		for w.check.Stage("wk-1") != wire.Done {
+		for w.checker.Stage("wk-1") != wire.Done {
 			time.Sleep(time.Second)
 		}
-		w.calm()
+		w.declareQuiet()
 		w.submitter(41, jobOf("wk-2", wire.Gang, 2, 10*time.Second, big, saves), time.Second, 0, 10*time.Second)
 		time.Sleep(2 * time.Minute)
-		if stage := w.check.Stage("wk-2"); stage != wire.Done {
-			t.Errorf("the gang is %q after two minutes, fetches given up: %v", stage, w.yard.GivenUp())
+		if stage := w.checker.Stage("wk-2"); stage != wire.Done {
+			t.Errorf("the gang is %q after two minutes, fetches given up: %v", stage, w.runtime.CancelledFetches())
 		}
 		w.finish(3 * time.Minute)
-		w.judge()
-		if w.check.Started < 4 {
-			t.Errorf("%d starts: no task was alone", w.check.Started)
+		w.checkResults()
+		if w.checker.Started < 4 {
+			t.Errorf("%d starts: no task was alone", w.checker.Started)
 		}
 	})
 }
@@ -40,22 +42,24 @@
 // slow link, and lesser work is kept from sharing that rate. It does not wait for as long as that.
 func TestNothingWaitsForALongFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 42, 0, nil)
-		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 1} })
-		w.calm()
+		w := newSimulation(t, 42, 0, nil)
+		w.cloud.SetFaults(func(*simulator.CloudFaults) {
+			w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 1}
+		})
+		w.declareQuiet()
 		w.submitter(42, jobOf("wk-1", wire.Service, 1, forever, func(j *wire.Job) { j.Image, j.ImageGB = "weights", 200 }), 0, 5*time.Minute, forever)
 		time.Sleep(20 * time.Second)
 		w.submitter(42, jobOf("wk-2", wire.Array, 1, 10*time.Second), 0, 0, 10*time.Second)
 		time.Sleep(40 * time.Second)
-		if w.check.Started > 0 {
+		if w.checker.Started > 0 {
 			t.Error("nothing was kept from the machine")
 		}
 		time.Sleep(45 * time.Second)
-		if w.check.Started != 1 || w.check.Running("wk-1") > 0 {
-			t.Errorf("%d starts after 85 s, %d of them of the service", w.check.Started, w.check.Running("wk-1"))
+		if w.checker.Started != 1 || w.checker.Running("wk-1") > 0 {
+			t.Errorf("%d starts after 85 s, %d of them of the service", w.checker.Started, w.checker.Running("wk-1"))
 		}
 		w.finish(5 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
 
@@ -63,8 +67,10 @@
 // waits for an image over a slow link loses the fetch: that may happen to a task, not again and again.
 func TestFetchesAreNotGivenUpAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 43, 0, nil)
-		w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Rooms = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 3} })
+		w := newSimulation(t, 43, 0, nil)
+		w.cloud.SetFaults(func(*simulator.CloudFaults) {
+			w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 3}
+		})
 		for n := range 6 {
 			w.submitter(43, jobOf(fmt.Sprint("wk-", n+1), wire.Array, 4, 20*time.Second, func(j *wire.Job) { j.Image, j.ImageGB = fmt.Sprint("big-", n), 30 }), time.Second, 0, 20*time.Second)
 		}
@@ -73,11 +79,11 @@
 			w.submitter(43, jobOf(fmt.Sprint("wk-", 100+n), wire.Array, 1, 8*time.Second, high), time.Duration(20+3*n)*time.Second, 0, 8*time.Second)
 		}
 		time.Sleep(5 * time.Minute)
-		w.calm()
+		w.declareQuiet()
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 		most, sum := 0, 0
-		for _, n := range w.yard.GivenUp() {
+		for _, n := range w.runtime.CancelledFetches() {
 			most, sum = max(most, n), sum+n
 		}
 		t.Logf("%d fetches given up, %d of one task", sum, most)
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -12,9 +12,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func liveAndBatch(c *config.Config) {
-	c.Tuning.Tiers = []tier.Tier{{Name: "live", Order: 1, Priorities: []string{"production"}, Share: tier.Share{Part: 0.5}, Within: 20 * time.Second},
-		{Name: "batch", Order: 2, Within: 20 * time.Second}}
+func twoTiers(c *config.Config) {
+	c.Tuning.Tiers = []tier.Tier{{Name: "live", Order: 1, Priorities: []string{"production"}, Share: tier.Share{Fraction: 0.5}, ReclaimWithin: 20 * time.Second},
+		{Name: "batch", Order: 2, ReclaimWithin: 20 * time.Second}}
 }
 
 // TestTiersFailOver: all cards are lent to batch work when the first tier wants its half
@@ -25,37 +25,37 @@
 		for seed := range uint64(6) {
 			t.Run(fmt.Sprint(by, "/", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, 70+seed, 0, func(c *config.Config) {
-						liveAndBatch(c)
-						c.Tuning.Parts.By = by
+					w := newSimulation(t, 70+seed, 0, func(c *config.Config) {
+						twoTiers(c)
+						c.Tuning.Shards.By = by
 					})
 					for i := range 8 {
 						w.user(&wire.Job{ID: fmt.Sprint("wk-1", i), Class: "batch", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 12,
 							CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true}, 150*time.Second, 4*time.Minute)
 					}
 					time.Sleep(60 * time.Second)
-					_, before := w.check.Counts()
+					_, before := w.checker.Counts()
 					w.user(&wire.Job{ID: "wk-2", Class: "live", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 12, Spread: true,
 						CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true}, 24*time.Hour, 2*time.Minute)
 					for k := range 2 {
-						time.Sleep(time.Duration(100+300*w.rand.IntN(8)) * time.Millisecond)
+						time.Sleep(time.Duration(100+300*w.rng.IntN(8)) * time.Millisecond)
 						for i := range 3 {
-							if h := w.holders(); h["fleet"] == fmt.Sprint("c-", i) || h["a"] == fmt.Sprint("c-", i) {
-								w.kill(i, time.Duration(100+100*w.rand.IntN(5))*time.Millisecond)
+							if h := w.leaders(); h["fleet"] == fmt.Sprint("c-", i) || h["a"] == fmt.Sprint("c-", i) {
+								w.kill(i, time.Duration(100+100*w.rng.IntN(5))*time.Millisecond)
 								break
 							}
 						}
 						time.Sleep(time.Duration(k) * 2 * time.Second)
 					}
 					time.Sleep(45 * time.Second)
-					if n := w.check.Running("wk-2"); n != 12 {
+					if n := w.checker.Running("wk-2"); n != 12 {
 						t.Errorf("%d of 12 replicas run", n)
 					}
-					if _, after := w.check.Counts(); after-before > 12+4 {
+					if _, after := w.checker.Counts(); after-before > 12+4 {
 						t.Errorf("%d tasks were started for 12", after-before)
 					}
 					w.finish(10 * time.Minute)
-					w.judge()
+					w.checkResults()
 				})
 			})
 		}
@@ -67,12 +67,12 @@
 func TestTiersSetOtherwise(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		with := map[string]bool{"c-0": true, "c-1": true, "c-2": true}
-		w := newWorld(t, 77, 0, func(c *config.Config) {
+		w := newSimulation(t, 77, 0, func(c *config.Config) {
 			if with[c.Name] {
-				liveAndBatch(c)
+				twoTiers(c)
 			}
 		})
-		w.service("wk-1", 3*time.Minute)
+		w.startService("wk-1", 3*time.Minute)
 		time.Sleep(30 * time.Second)
 		with["c-2"] = false
 		w.kill(2, time.Second)
@@ -80,7 +80,7 @@
 		for i := range 2 {
 			w.kill(i, 5*time.Second)
 			time.Sleep(20 * time.Second)
-			if h := w.holders(); h["fleet"] == "c-2" || len(h) != 1 {
+			if h := w.leaders(); h["fleet"] == "c-2" || len(h) != 1 {
 				t.Errorf("held by %v, of which c-2 is set otherwise", h)
 			}
 		}
@@ -96,10 +96,10 @@
 			_ = wire.DecodeValue(it.Value, &rec)
 			digest = rec.Digest
 		}
-		if h := w.holders(); len(h) != 1 || digest != "" {
+		if h := w.leaders(); len(h) != 1 || digest != "" {
 			t.Errorf("held by %v with tiers %q", h, digest)
 		}
 		w.finish(10 * time.Minute)
-		w.judge()
+		w.checkResults()
 	})
 }
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -20,70 +20,70 @@
 // proven gone, or done, the rest goes wherever it may.
 
 // zoneLoss is how the machines of a zone are lost. gone says that the cloud itself ends them.
-var zoneLosses = []struct {
+var zoneLossKinds = []struct {
 	name string
-	cast func(w *world, lost []upMachine, d time.Duration)
+	cast func(w *simulation, lost []upMachine, d time.Duration)
 }{
-	{"die", func(w *world, lost []upMachine, _ time.Duration) {
+	{"die", func(w *simulation, lost []upMachine, _ time.Duration) {
 		for _, m := range lost {
-			w.cloud.Die(m.id)
+			w.cloud.Crash(m.id)
 		}
 	}},
-	{"are taken", func(w *world, lost []upMachine, _ time.Duration) {
+	{"are taken", func(w *simulation, lost []upMachine, _ time.Duration) {
 		for i, m := range lost {
-			w.cloud.TakeBack(m.id, time.Duration(i%3)*4*time.Second)
+			w.cloud.Preempt(m.id, time.Duration(i%3)*4*time.Second)
 		}
 	}},
-	{"hang", func(_ *world, lost []upMachine, d time.Duration) {
+	{"hang", func(_ *simulation, lost []upMachine, d time.Duration) {
 		for _, m := range lost {
 			m.Hang(d)
 		}
 	}},
-	{"are cut off", func(w *world, lost []upMachine, d time.Duration) {
+	{"are cut off", func(w *simulation, lost []upMachine, d time.Duration) {
 		for _, m := range lost {
-			lasting(d, func(on bool) { w.net.Down(m.host, on) })
+			during(d, func(on bool) { w.net.SetDown(m.host, on) })
 		}
 	}},
-	{"are cut off with their zone", func(w *world, lost []upMachine, d time.Duration) {
+	{"are cut off with their zone", func(w *simulation, lost []upMachine, d time.Duration) {
 		zone := w.cloud.ZoneOf(lost[0].host + ":9000")
-		lasting(d, func(on bool) { w.net.Apart(zone, on) })
+		during(d, func(on bool) { w.net.IsolateZone(zone, on) })
 	}},
-	{"hear nothing", func(_ *world, lost []upMachine, d time.Duration) { deaf(d, lost...) }},
+	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { deaf(d, lost...) }},
 }
 
-// bound sees where tasks of a job start.
-type bound struct {
+// zoneObserver sees where tasks of a job start.
+type zoneObserver struct {
 	*simulator.Checker
-	mu    sync.Mutex
-	zones map[string][]string // of a job's starts, in order
+	mu         sync.Mutex
+	startZones map[string][]string // of a job's starts, in order
 }
 
-func (b *bound) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+func (b *zoneObserver) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	b.mu.Lock()
-	b.zones[t.Job] = append(b.zones[t.Job], zone)
+	b.startZones[t.Job] = append(b.startZones[t.Job], zone)
 	b.mu.Unlock()
-	return b.Checker.On(t, machine, typ, zone, spot)
+	return b.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-func (b *bound) starts(job string) []string {
+func (b *zoneObserver) starts(job string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.zones[job])
+	return slices.Clone(b.startZones[job])
 }
 
-// zoneDay loses the machines of the zone in which most one_zone jobs are, or all but one of them, for a while. What may
+// playZoneLossDay loses the machines of the zone in which most one_zone jobs are, or all but one of them, for a while. What may
 // start elsewhere does, what may not goes on where it is once machines are there again.
-func zoneDay(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
-	x := zoneLosses[loss]
-	w := newWorldOf(t, count, seed, 0, func(c *config.Config) {
-		c.Zone = []string{"a", "b"}[numberOf(c.Name)%2]
-		c.Tuning.Parts.By = by
+func playZoneLossDay(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
+	x := zoneLossKinds[loss]
+	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
+		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
+		c.Tuning.Shards.By = by
 	})
-	b := &bound{Checker: w.check, zones: map[string][]string{}}
-	w.ground = b
-	w.machines(2*time.Second, func() time.Duration { return 0 })
-	w.cloud.Fail(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
-	luck := rand.New(rand.NewPCG(seed, 31))
+	b := &zoneObserver{Checker: w.checker, startZones: map[string][]string{}}
+	w.fixture = b
+	w.reconfigureMachines(2*time.Second, func() time.Duration { return 0 })
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
+	rng := rand.New(rand.NewPCG(seed, 31))
 	var free, tied []string // jobs that may go elsewhere, and such as name their zone
 	for i, shape := range []wire.Shape{wire.Gang, wire.Array, wire.Service, wire.Array, wire.Gang, wire.Array, wire.Array, wire.Service} {
 		id, runs := fmt.Sprint("wk-", i+1), []time.Duration{100 * time.Second}
@@ -105,7 +105,7 @@
 		case wire.Gang:
 			saves(j)
 		}
-		w.submitter(seed, j, time.Duration(1000+luck.IntN(3000))*time.Millisecond, cancel, runs...)
+		w.submitter(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
 	}
 	time.Sleep(50 * time.Second)
 	in := map[string]int{}
@@ -119,7 +119,7 @@
 		zone = "b"
 	}
 	var lost []upMachine
-	for _, m := range w.workers() {
+	for _, m := range w.runningMachines() {
 		if w.cloud.ZoneOf(m.host+":9000") == zone {
 			lost = append(lost, m)
 		}
@@ -138,7 +138,7 @@
 	log("machines of", zone, x.name, "for", d)
 	x.cast(w, lost, d)
 	time.Sleep(max(d, 10*time.Second))
-	w.close(100*time.Second, 10*time.Minute)
+	w.finishQuietly(100*time.Second, 10*time.Minute)
 	for _, id := range free {
 		if s := b.starts(id); len(s) > before[id] && s[len(s)-1] != s[0] {
 			moved++
@@ -157,7 +157,7 @@
 func TestZoneBound(t *testing.T) {
 	seeds, moved := 0, 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_ZONEBOUND"), &seeds)
-	for i, x := range zoneLosses {
+	for i, x := range zoneLossKinds {
 		for k, d := range []time.Duration{12 * time.Second, 35 * time.Second} {
 			for n := range max(1, 4*seeds) {
 				count, by, all := 3+2*(n%2), []string{"off", "zone"}[n/2%2], (i+k+n)%2 == 0
@@ -168,7 +168,7 @@
 					count, by = 3+2*(i%2), []string{"off", "zone"}[i/2%2]
 				}
 				t.Run(fmt.Sprint(x.name, " for ", d, ", all ", all, ", ", count, " controllers, parts ", by, ", ", n/4), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { moved += zoneDay(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
+					synctest.Test(t, func(t *testing.T) { moved += playZoneLossDay(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
 				})
 			}
 		}
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -18,188 +18,188 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// rooms is a world with services on several zones, in which the controllers stand too.
-type rooms struct {
-	*world
-	zones []string
-	want  int // replicas of the services
-	back  []time.Duration
+// zoneSimulation is a world with services on several zones, in which the controllers stand too.
+type zoneSimulation struct {
+	*simulation
+	zones          []string
+	wantedReplicas int // replicas of the services
+	recoveryTimes  []time.Duration
 }
 
-const services = 2 // that run all day
+const serviceCount = 2 // that run all day
 
-// newRooms makes a world of so many controllers that stand in turn in each of the zones, with
+// newZoneSimulation makes a world of so many controllers that stand in turn in each of the zones, with
 // two services that need several machines of each.
-func newRooms(t *testing.T, seed uint64, zones string, count int, lossy float64, tamper func(*config.Config)) *rooms {
-	r := &rooms{zones: strings.Split(zones, "")}
-	r.world = newWorldOf(t, count, seed, lossy, func(c *config.Config) {
+func newZoneSimulation(t *testing.T, seed uint64, zones string, count int, lossy float64, tamper func(*config.Config)) *zoneSimulation {
+	r := &zoneSimulation{zones: strings.Split(zones, "")}
+	r.simulation = newSimulationOf(t, count, seed, lossy, func(c *config.Config) {
 		c.Zones = r.zones
 		c.Zone = r.zones[int(c.Name[2]-'0')%len(r.zones)]
 		tamper(c)
 	})
-	r.cloud.Fail(func(*simulator.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
-	for i, tasks := range [services]int{6, 9} {
+	r.cloud.SetFaults(func(*simulator.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
+	for i, tasks := range [serviceCount]int{6, 9} {
 		r.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: tasks, Spread: true,
 			CPUs: 4, GPUs: 2, MemoryGB: 8, Image: fmt.Sprint("model-", i), ImageGB: 4}, 24*time.Hour, 0)
-		r.want += tasks
+		r.wantedReplicas += tasks
 	}
 	return r
 }
 
-// replicas counts those of the services that run.
-func (r *rooms) replicas() (n int) {
-	for _, k := range r.check.Replicas("s") {
+// runningReplicas counts those of the services that run.
+func (r *zoneSimulation) runningReplicas() (n int) {
+	for _, k := range r.checker.Replicas("s") {
 		n += k
 	}
 	return n
 }
 
-// away cuts zones off for a while, and notes how soon after it as many replicas run as before.
-func (r *rooms) away(zones []string, d time.Duration) {
-	before := r.replicas()
+// cutOffZones cuts zones off for a while, and notes how soon after it as many replicas run as before.
+func (r *zoneSimulation) cutOffZones(zones []string, d time.Duration) {
+	before := r.runningReplicas()
 	for _, z := range zones {
-		r.net.Apart(z, true)
+		r.net.IsolateZone(z, true)
 	}
 	time.Sleep(d)
 	for _, z := range zones {
-		r.net.Apart(z, false)
+		r.net.IsolateZone(z, false)
 	}
 	begun := time.Now()
 	r.group.Go(func() {
-		for r.replicas() < before && time.Since(begun) < 2*time.Minute {
+		for r.runningReplicas() < before && time.Since(begun) < 2*time.Minute {
 			time.Sleep(250 * time.Millisecond)
 		}
-		r.drawing.Lock()
-		defer r.drawing.Unlock()
-		r.back = append(r.back, time.Since(begun).Truncate(time.Second))
+		r.rngMu.Lock()
+		defer r.rngMu.Unlock()
+		r.recoveryTimes = append(r.recoveryTimes, time.Since(begun).Truncate(time.Second))
 	})
 }
 
-// close ends the day when all jobs but the services are over, and judges it.
-func (r *rooms) close(patience time.Duration) {
-	r.calm()
-	for end := time.Now().Add(patience); len(r.check.Open()) > services; time.Sleep(time.Second) {
+// finishZones ends the day when all jobs but the services are over, and judges it.
+func (r *zoneSimulation) finishZones(patience time.Duration) {
+	r.declareQuiet()
+	for end := time.Now().Add(patience); len(r.checker.OpenJobs()) > serviceCount; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			r.t.Errorf("jobs are not over after %v: %v", patience, r.check.Open())
+			r.t.Errorf("jobs are not over after %v: %v", patience, r.checker.OpenJobs())
 			break
 		}
 	}
-	r.judge()
+	r.checkResults()
 	r.end()
 	r.group.Wait()
 	time.Sleep(time.Minute) // late timers of the stand-ins run out
 }
 
-// crashHolders has whoever holds a part crash.
-func (w *world) crashHolders(luck *rand.Rand) {
-	for _, part := range slices.Sorted(maps.Keys(w.holders())) {
-		if name := w.holders()[part]; name != "" {
-			w.crash(int(name[2]-'0'), soon(luck), held(luck))
+// crashLeaders has whoever holds a part crash.
+func (w *simulation) crashLeaders(rng *rand.Rand) {
+	for _, part := range slices.Sorted(maps.Keys(w.leaders())) {
+		if name := w.leaders()[part]; name != "" {
+			w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 		}
 	}
 }
 
-// machinesOf has something done to some of the machines of a zone.
-func (w *world) machinesOf(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
-	w.cloud.Each(func(m wire.ListedMachine, x simulator.Machine) {
+// eachInZone has something done to some of the machines of a zone.
+func (w *simulation) eachInZone(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
+	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if m.Zone == zone {
 			do(m, x)
 		}
 	})
 }
 
-// roomTrouble is a fault of zones, which has ended when cast returns.
-type roomTrouble struct {
-	name string
-	cast func(r *rooms, luck *rand.Rand, zone string, d time.Duration)
+// zoneFault is a fault of zones, which has ended when cast returns.
+type zoneFault struct {
+	name  string
+	apply func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration)
 }
 
-var roomTroubles = []roomTrouble{
-	{"a zone is cut off", func(r *rooms, _ *rand.Rand, zone string, d time.Duration) { r.away([]string{zone}, d) }},
-	{"a zone goes and comes every 10 s", func(r *rooms, luck *rand.Rand, zone string, _ time.Duration) {
+var zoneFaults = []zoneFault{
+	{"a zone is cut off", func(r *zoneSimulation, _ *rand.Rand, zone string, d time.Duration) { r.cutOffZones([]string{zone}, d) }},
+	{"a zone goes and comes every 10 s", func(r *zoneSimulation, luck *rand.Rand, zone string, _ time.Duration) {
 		for range 3 + luck.IntN(3) {
-			r.away([]string{zone}, 10*time.Second)
+			r.cutOffZones([]string{zone}, 10*time.Second)
 			time.Sleep(10 * time.Second)
 		}
 	}},
-	{"two zones in turn", func(r *rooms, luck *rand.Rand, _ string, d time.Duration) {
+	{"two zones in turn", func(r *zoneSimulation, luck *rand.Rand, _ string, d time.Duration) {
 		for _, k := range luck.Perm(len(r.zones))[:2] {
-			r.away([]string{r.zones[k]}, d/2)
+			r.cutOffZones([]string{r.zones[k]}, d/2)
 			time.Sleep(time.Duration(luck.IntN(5000)) * time.Millisecond)
 		}
 	}},
-	{"two zones at once", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"two zones at once", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(time.Duration(luck.IntN(5000)) * time.Millisecond)
-		r.away([]string{r.zones[luck.IntN(len(r.zones))]}, d)
+		r.cutOffZones([]string{r.zones[luck.IntN(len(r.zones))]}, d)
 	}},
-	{"a zone fails again half way through its return", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.away([]string{zone}, d)
+	{"a zone fails again half way through its return", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.cutOffZones([]string{zone}, d)
 		time.Sleep(time.Duration(luck.IntN(30_000)) * time.Millisecond)
-		r.away([]string{zone}, d/2)
+		r.cutOffZones([]string{zone}, d/2)
 	}},
-	{"machines of a zone come back restarted", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"machines of a zone come back restarted", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(d - time.Duration(luck.IntN(4000))*time.Millisecond)
 		some := 1 + luck.IntN(3)
-		r.machinesOf(zone, func(m wire.ListedMachine, x simulator.Machine) {
+		r.eachInZone(zone, func(m wire.ListedMachine, x simulator.Machine) {
 			if luck.IntN(3) < some {
 				r.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
 			}
 		})
 		time.Sleep(5 * time.Second)
 	}},
-	{"machines of a zone die while it is cut off", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"machines of a zone die while it is cut off", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(d / 2)
-		r.machinesOf(zone, func(m wire.ListedMachine, _ simulator.Machine) {
+		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) {
 			if luck.IntN(2) == 0 {
-				r.cloud.Die(m.ID)
+				r.cloud.Crash(m.ID)
 			}
 		})
 		time.Sleep(d - d/2)
 	}},
-	{"the cloud has nothing to give while a zone is cut off", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.cloud.Fail(func(f *simulator.CloudFaults) { f.Fewer = 1 })
-		r.away([]string{zone}, d)
+	{"the cloud has nothing to give while a zone is cut off", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.MissingCapacityShare = 1 })
+		r.cutOffZones([]string{zone}, d)
 		time.Sleep(time.Duration(luck.IntN(20_000)) * time.Millisecond)
-		r.cloud.Fail(func(f *simulator.CloudFaults) { f.Fewer = 0 })
+		r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.MissingCapacityShare = 0 })
 	}},
-	{"the state service is out in the middle", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
+	{"the state service is out in the middle", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() {
 			time.Sleep(time.Duration(luck.Int64N(int64(d))))
-			lasting(min(d, 20*time.Second), r.store.Outage)
+			during(min(d, 20*time.Second), r.store.SetOutage)
 		})
-		r.away([]string{zone}, d)
+		r.cutOffZones([]string{zone}, d)
 	}},
-	{"holders crash while a zone is cut off, and when it returns", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"holders crash while a zone is cut off, and when it returns", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(time.Duration(luck.Int64N(int64(d))))
-		r.crashHolders(luck)
+		r.crashLeaders(luck)
 		time.Sleep(time.Duration(luck.Int64N(int64(d))))
-		r.crashHolders(luck)
+		r.crashLeaders(luck)
 	}},
-	{"controllers crash again and again while a zone goes", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"controllers crash again and again while a zone goes", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		for end := time.Now().Add(d + 10*time.Second); time.Now().Before(end); {
-			r.crash(luck.IntN(r.count), soon(luck), held(luck))
+			r.crash(luck.IntN(r.count), restartDelay(luck), finalHoldTime(luck))
 			time.Sleep(time.Duration(500+luck.IntN(8000)) * time.Millisecond)
 		}
 	}},
-	{"whoever writes a round crashes before the answer", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
+	{"whoever writes a round crashes before the answer", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		for range 3 {
 			time.Sleep(time.Duration(luck.Int64N(int64(d/2 + 1))))
-			r.crashAt("ledger/", soon(luck))
+			r.crashAt("ledger/", restartDelay(luck))
 		}
 	}},
-	{"a zone is dark for one controller alone", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
+	{"a zone is dark for one controller alone", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
 		i := luck.IntN(r.count)
 		var hosts []string
-		r.machinesOf(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
+		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
 		for _, on := range []bool{true, false} {
 			for _, host := range hosts {
-				r.net.Cut(r.ip(i), host, on)
+				r.net.Partition(r.ip(i), host, on)
 			}
 			if on {
 				time.Sleep(d)
@@ -208,72 +208,72 @@
 	}},
 }
 
-// roomDay plays a day on which zones go and come.
-func roomDay(t *testing.T, seed uint64) {
+// playZoneDay plays a day on which zones go and come.
+func playZoneDay(t *testing.T, seed uint64) {
 	const day = 150 * time.Second
-	luck := rand.New(rand.NewPCG(seed, 12))
+	rng := rand.New(rand.NewPCG(seed, 12))
 	var set sync.Map
 	begin := []string{"off", "zone"}[seed/2%2]
 	by := func(name string) string { to, _ := set.LoadOrStore(name, begin); return to.(string) }
-	keep := []int{0, 2, 200}[luck.IntN(3)]
-	silence := []time.Duration{0, time.Hour}[luck.IntN(2)]
-	r := newRooms(t, seed, []string{"ab", "abc"}[seed/4%2], []int{3, 5}[seed%2], 0.02*float64(luck.IntN(2)), func(c *config.Config) {
-		c.Tuning.KeepReports, c.Tuning.Silence, c.Tuning.Parts.By = keep, silence, by(c.Name)
+	keep := []int{0, 2, 200}[rng.IntN(3)]
+	silence := []time.Duration{0, time.Hour}[rng.IntN(2)]
+	r := newZoneSimulation(t, seed, []string{"ab", "abc"}[seed/4%2], []int{3, 5}[seed%2], 0.02*float64(rng.IntN(2)), func(c *config.Config) {
+		c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, silence, by(c.Name)
 	})
 	r.group.Go(func() { r.submit(seed, 20) })
 	roll := func(to string) {
-		for _, i := range luck.Perm(r.count) {
+		for _, i := range rng.Perm(r.count) {
 			set.Store(fmt.Sprint("c-", i), to)
-			r.crash(i, soon(luck), 0)
-			time.Sleep(time.Duration(luck.IntN(800)) * time.Millisecond)
+			r.crash(i, restartDelay(rng), 0)
+			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 		}
 		time.Sleep(time.Second) // all are back
 	}
-	anew := roomTrouble{"regrouped while a zone is cut off", func(r *rooms, luck *rand.Rand, zone string, d time.Duration) {
-		r.group.Go(func() { r.away([]string{zone}, d) })
-		time.Sleep(time.Duration(luck.Int64N(int64(d + 10*time.Second))))
-		roll([]string{"off", "zone"}[luck.IntN(2)])
+	anew := zoneFault{"regrouped while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
+		time.Sleep(time.Duration(rng.Int64N(int64(d + 10*time.Second))))
+		roll([]string{"off", "zone"}[rng.IntN(2)])
 	}}
-	list := roomTroubles
+	list := zoneFaults
 	if seed%3 == 0 {
-		list = slices.Concat(list, []roomTrouble{anew, anew})
+		list = slices.Concat(list, []zoneFault{anew, anew})
 	}
 	begun := time.Now()
 	time.Sleep(40 * time.Second)
 	for time.Since(begun) < day {
-		x, d := list[luck.IntN(len(list))], time.Duration(5+luck.IntN(86))*time.Second
-		zone := r.zones[luck.IntN(len(r.zones))]
+		x, d := list[rng.IntN(len(list))], time.Duration(5+rng.IntN(86))*time.Second
+		zone := r.zones[rng.IntN(len(r.zones))]
 		if os.Getenv("SIM_LOG") != "" {
-			fmt.Fprintln(os.Stderr, time.Now(), x.name, zone, d, r.check.Replicas("s"))
+			fmt.Fprintln(os.Stderr, time.Now(), x.name, zone, d, r.checker.Replicas("s"))
 		}
-		x.cast(r, luck, zone, d)
-		if luck.IntN(4) == 0 {
-			returns[luck.IntN(len(returns))].cast(r.world, luck, 10*time.Second)
+		x.apply(r, rng, zone, d)
+		if rng.IntN(4) == 0 {
+			restartFaults[rng.IntN(len(restartFaults))].apply(r.simulation, rng, 10*time.Second)
 		}
-		time.Sleep(time.Duration(luck.IntN(40_000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(40_000)) * time.Millisecond)
 	}
 	if seed%3 == 0 {
 		time.Sleep(time.Second)
 		roll("zone") // in case some were missed
 	}
 	time.Sleep(2 * time.Minute)
-	if n := r.replicas(); n != r.want {
-		t.Errorf("%d replicas of %d run two minutes after the last trouble: %v", n, r.want, r.check.Replicas("s"))
+	if n := r.runningReplicas(); n != r.wantedReplicas {
+		t.Errorf("%d replicas of %d run two minutes after the last trouble: %v", n, r.wantedReplicas, r.checker.Replicas("s"))
 	}
-	t.Logf("replicas %v; %d starts, %d stops; as many as before ran so long after each return: %v", r.check.Replicas("s"), r.check.Started, r.check.Stopped, r.back)
-	r.close(20 * time.Minute)
+	t.Logf("replicas %v; %d starts, %d stops; as many as before ran so long after each return: %v", r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
+	r.finishZones(20 * time.Minute)
 }
 
 // TestRoomsComeAndGo plays days on which zones are cut off for 5 to 90 s, alone and together,
 // while processes and machines end and are back. AMBERDEAL_ROOMS sets how many,
 // AMBERDEAL_ROOM plays one.
-func TestRoomsComeAndGo(t *testing.T) { stallDays(t, 12, "AMBERDEAL_ROOM", roomDay) }
+func TestRoomsComeAndGo(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", playZoneDay) }
 
-// changed tells whether a write of a round changes what is said of a zone or its return.
-func changed(known map[string]string, puts map[string]wire.Raw) (is bool, part, what string) {
+// recordsZoneChange tells whether a write of a round changes what is said of a zone or its return.
+func recordsZoneChange(known map[string]string, puts map[string]wire.Raw) (is bool, part, what string) {
 	for key, raw := range puts {
-		rest, ok := strings.CutPrefix(key, store.Root+"ledger/")
-		var slot store.SlotRecord
+		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
+		var slot store.SegmentRecord
 		if !ok || wire.DecodeValue(raw, &slot) != nil {
 			continue
 		}
@@ -283,7 +283,7 @@
 				if v := string(slot.Entries[entry]); known[name] != v {
 					known[name], is = v, true
 					var rec store.ZoneRecord
-					var ret store.ReturnRecord
+					var ret store.ZoneRecoveryRecord
 					_ = wire.DecodeValue(slot.Entries[entry], &rec)
 					_ = wire.DecodeValue(slot.Entries[entry], &ret)
 					what += fmt.Sprint(" ", entry, " ", rec.State, ret.Step)
@@ -300,7 +300,7 @@
 // 0.5 s. In the end all replicas run, and the return is over. In a short run each step meets
 // one of these fates.
 func TestCrashAtEachStepOfReturn(t *testing.T) {
-	fates := []simulator.Fate{simulator.Lost, simulator.Late, simulator.Taken}
+	fates := []simulator.Fate{simulator.FateDropped, simulator.FateDelayed, simulator.FateReplyLost}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
 	const least, sure = 7, 4 // of a zone that goes and comes, and of its return; some may come in one write
 	for k, by := range []string{"off", "zone"} {
@@ -310,7 +310,7 @@
 					continue
 				}
 				t.Run(fmt.Sprint(by, " step ", step, " fate ", f), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { met = crashAtStep(t, by, fate, step) })
+					synctest.Test(t, func(t *testing.T) { met = crashAtRecoveryStep(t, by, fate, step) })
 				})
 				if !met && step <= sure && by == "off" {
 					t.Errorf("only %d steps", step-1)
@@ -320,23 +320,23 @@
 	}
 }
 
-func crashAtStep(t *testing.T, by string, fate simulator.Fate, step int) (met bool) {
-	luck := rand.New(rand.NewPCG(uint64(step), 13))
-	r := newRooms(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Parts.By = by })
+func crashAtRecoveryStep(t *testing.T, by string, fate simulator.Fate, step int) (met bool) {
+	rng := rand.New(rand.NewPCG(uint64(step), 13))
+	r := newZoneSimulation(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 	known, said := map[string]string{}, ""
-	r.store.Stage(func(s *simulator.Store) {
-		s.Meets = func(puts map[string]wire.Raw) simulator.Fate {
-			is, part, what := changed(known, puts)
+	r.store.Configure(func(s *simulator.StateService) {
+		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+			is, part, what := recordsZoneChange(known, puts)
 			if !is {
-				return simulator.Answered
+				return simulator.FateAnswered
 			}
 			if said += what; len(strings.Split(said, ";")) != step+1 {
-				return simulator.Answered
+				return simulator.FateAnswered
 			}
 			met, said = true, said+" (crash)"
-			back, late := time.Duration(100+luck.IntN(401))*time.Millisecond, held(luck)
+			back, late := time.Duration(100+rng.IntN(401))*time.Millisecond, finalHoldTime(rng)
 			r.group.Go(func() {
-				if name := r.holders()[part]; name != "" {
+				if name := r.leaders()[part]; name != "" {
 					r.crash(int(name[2]-'0'), back, late)
 				}
 			})
@@ -344,16 +344,16 @@
 		}
 	})
 	time.Sleep(30 * time.Second)
-	if r.holders()["fleet"] == "c-1" { // in zone b: it would answer the machines there for all of the cut, and none be given up
+	if r.leaders()["fleet"] == "c-1" { // in zone b: it would answer the machines there for all of the cut, and none be given up
 		r.kill(1, 15*time.Second)
 		time.Sleep(30 * time.Second)
 	}
-	r.away([]string{"b"}, 30*time.Second)
+	r.cutOffZones([]string{"b"}, 30*time.Second)
 	time.Sleep(100 * time.Second)
-	if n := r.replicas(); n != r.want {
-		t.Errorf("%d replicas of %d run: %v", n, r.want, r.check.Replicas("s"))
+	if n := r.runningReplicas(); n != r.wantedReplicas {
+		t.Errorf("%d replicas of %d run: %v", n, r.wantedReplicas, r.checker.Replicas("s"))
 	}
-	t.Logf("%s replicas %v, %d starts, %d stops, as many as before after %v", said, r.check.Replicas("s"), r.check.Started, r.check.Stopped, r.back)
-	r.close(time.Minute)
+	t.Logf("%s replicas %v, %d starts, %d stops, as many as before after %v", said, r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
+	r.finishZones(time.Minute)
 	return met
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -14,56 +14,56 @@
 // Checker watches the rules of the protocol from the outside: it sees what
 // the workers do and what users are told, and nothing of the controllers.
 type Checker struct {
-	Cancel time.Duration      // within which a cancelled job's tasks must be gone
-	Limits map[string]float64 // of GPUs, by team
-	Known  Forgotten          // whether what was accepted stays known
-	Site   Site               // by which submissions are judged; none are where it is empty
-	Late   Launches           // what is started though its user was told that it is cancelled
-	Room   Room               // whether jobs wait while there is room
+	CancelWithin time.Duration      // within which a cancelled job's tasks must be gone
+	GPULimits    map[string]float64 // of GPUs, by team
+	Liveness     LivenessChecker    // whether what was accepted stays known
+	Submissions  SubmissionRules    // by which submissions are judged; none are where it is empty
+	Launches     LaunchChecker      // what is started though its user was told that it is cancelled
+	Starvation   StarvationChecker  // whether jobs wait while there is room
 
-	mu        sync.Mutex
-	submitted map[string]*wire.Job
-	run       map[string]time.Duration
-	each      map[string][]time.Duration        // of tasks of their own run times
-	places    map[wire.TaskID]map[string]string // machine to zone
-	since     map[wire.TaskID]time.Time         // when each was last started
-	finished  map[wire.TaskID]bool
-	told      map[string]wire.Stage
-	cancelled map[string]time.Time // when the user was told
-	used      map[string]float64
-	order     map[string]*order
-	asked     map[string]bool // users who have asked to cancel and were answered something
-	valid     map[string]bool // submissions that must be accepted
-	broken    []string
-	Started   int
-	Stopped   int // tasks that went before they had completed
+	mu              sync.Mutex
+	submitted       map[string]*wire.Job
+	runTimes        map[string]time.Duration
+	taskRunTimes    map[string][]time.Duration        // of tasks of their own run times
+	placements      map[wire.TaskID]map[string]string // machine to zone
+	startedAt       map[wire.TaskID]time.Time         // when each was last started
+	finished        map[wire.TaskID]bool
+	lastStage       map[string]wire.Stage
+	cancelled       map[string]time.Time // when the user was told
+	usedGPUs        map[string]float64
+	answers         map[string]*answerOrder
+	cancelRequested map[string]bool // users who have asked to cancel and were answered something
+	valid           map[string]bool // submissions that must be accepted
+	violations      []string
+	Started         int
+	Stopped         int // tasks that went before they had completed
 }
 
 // NewChecker gives a checker that has seen nothing.
 func NewChecker(cancel time.Duration, limits map[string]float64) *Checker {
-	return &Checker{Cancel: cancel, Limits: limits, submitted: map[string]*wire.Job{}, run: map[string]time.Duration{}, each: map[string][]time.Duration{},
-		places: map[wire.TaskID]map[string]string{}, finished: map[wire.TaskID]bool{}, told: map[string]wire.Stage{},
-		cancelled: map[string]time.Time{}, used: map[string]float64{}, asked: map[string]bool{},
-		since: map[wire.TaskID]time.Time{}, order: map[string]*order{}}
+	return &Checker{CancelWithin: cancel, GPULimits: limits, submitted: map[string]*wire.Job{}, runTimes: map[string]time.Duration{}, taskRunTimes: map[string][]time.Duration{},
+		placements: map[wire.TaskID]map[string]string{}, finished: map[wire.TaskID]bool{}, lastStage: map[string]wire.Stage{},
+		cancelled: map[string]time.Time{}, usedGPUs: map[string]float64{}, cancelRequested: map[string]bool{},
+		startedAt: map[wire.TaskID]time.Time{}, answers: map[string]*answerOrder{}}
 }
 
-func (c *Checker) breaks(rule, format string, args ...any) {
-	c.broken = append(c.broken, rule+": "+fmt.Sprintf(format, args...))
+func (c *Checker) violate(rule, format string, args ...any) {
+	c.violations = append(c.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// Broken lists the rules that were broken, each with what broke it.
-func (c *Checker) Broken() []string {
+// Violations lists the rules that were broken, each with what broke it.
+func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for t, where := range c.places {
-		c.late(t, where)
+	for t, where := range c.placements {
+		c.checkCancelled(t, where)
 	}
-	return slices.Concat(c.broken, c.Late.Broken(), c.Room.Broken(), c.Known.Broken())
+	return slices.Concat(c.violations, c.Launches.Violations(), c.Starvation.Violations(), c.Liveness.Violations())
 }
 
-func (c *Checker) late(t wire.TaskID, where map[string]string) {
-	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.Cancel {
-		c.breaks("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
+func (c *Checker) checkCancelled(t wire.TaskID, where map[string]string) {
+	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.CancelWithin {
+		c.violate("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
 	}
 }
 
@@ -71,18 +71,18 @@
 func (c *Checker) Submitted(j *wire.Job, run time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.submitted[j.ID], c.run[j.ID] = j, run
+	c.submitted[j.ID], c.runTimes[j.ID] = j, run
 }
 
-// Uneven gives each task of a job, which is yet to be submitted, a run time of its own.
-func (c *Checker) Uneven(job string, run ...time.Duration) {
+// SetTaskRunTimes gives each task of a job, which is yet to be submitted, a run time of its own.
+func (c *Checker) SetTaskRunTimes(job string, run ...time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.each[job] = run
+	c.taskRunTimes[job] = run
 }
 
-// On tells that a task starts on a machine, and gives its run time.
-func (c *Checker) On(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+// TaskStarted tells that a task starts on a machine, and gives its run time.
+func (c *Checker) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.submitted[t.Job]
@@ -90,24 +90,24 @@
 		return 0, false
 	}
 	c.Started++
-	if len(c.places[t]) > 0 {
-		c.breaks("ran_twice", "%v starts on %s while it is on %v", t, machine, c.places[t])
+	if len(c.placements[t]) > 0 {
+		c.violate("ran_twice", "%v starts on %s while it is on %v", t, machine, c.placements[t])
 	}
-	if c.places[t] == nil {
-		c.places[t] = map[string]string{}
+	if c.placements[t] == nil {
+		c.placements[t] = map[string]string{}
 	}
-	c.places[t][machine], c.since[t] = zone, time.Now()
-	c.used[j.Team] += j.GPUs
-	if limit := c.Limits[j.Team]; limit > 0 && c.used[j.Team] > limit {
-		c.breaks("quota", "team %s uses %v of %v", j.Team, c.used[j.Team], limit)
+	c.placements[t][machine], c.startedAt[t] = zone, time.Now()
+	c.usedGPUs[j.Team] += j.GPUs
+	if limit := c.GPULimits[j.Team]; limit > 0 && c.usedGPUs[j.Team] > limit {
+		c.violate("quota", "team %s uses %v of %v", j.Team, c.usedGPUs[j.Team], limit)
 	}
 	if spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, typ) || j.Zone != "" && j.Zone != zone {
-		c.breaks("wrong_place", "%v on %s %s in %s", t, typ, machine, zone)
+		c.violate("wrong_place", "%v on %s %s in %s", t, typ, machine, zone)
 	}
-	c.zones(j, t)
-	c.Late.Started(time.Now(), t)
-	if at, ok := c.cancelled[t.Job]; ok && time.Since(at) > c.Cancel {
-		c.breaks("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
+	c.checkZones(j, t)
+	c.Launches.TaskStarted(time.Now(), t)
+	if at, ok := c.cancelled[t.Job]; ok && time.Since(at) > c.CancelWithin {
+		c.violate("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
 	}
 	if c.finished[t] { // started again, it ends as soon as it has its image
 		return 10 * time.Millisecond, true
@@ -116,21 +116,21 @@
 }
 
 func (c *Checker) runs(t wire.TaskID) time.Duration {
-	if each := c.each[t.Job]; len(each) > 0 {
+	if each := c.taskRunTimes[t.Job]; len(each) > 0 {
 		return each[t.Index%len(each)]
 	}
-	return c.run[t.Job]
+	return c.runTimes[t.Job]
 }
 
-// Long names up to so many jobs that run and have longest to go, at least some time, with the
+// LongRunning names up to so many jobs that run and have longest to go, at least some time, with the
 // machines that they are on.
-func (c *Checker) Long(n int, least time.Duration) (jobs, machines []string) {
+func (c *Checker) LongRunning(n int, least time.Duration) (jobs, machines []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left, on := map[string]time.Duration{}, map[string][]string{}
-	for t, where := range c.places {
-		if len(where) > 0 && !c.told[t.Job].Final() && !c.asked[t.Job] {
-			left[t.Job] = max(left[t.Job], c.runs(t)-time.Since(c.since[t]))
+	for t, where := range c.placements {
+		if len(where) > 0 && !c.lastStage[t.Job].Final() && !c.cancelRequested[t.Job] {
+			left[t.Job] = max(left[t.Job], c.runs(t)-time.Since(c.startedAt[t]))
 			on[t.Job] = slices.AppendSeq(on[t.Job], maps.Keys(where))
 		}
 	}
@@ -157,17 +157,17 @@
 	return j != nil
 }
 
-// zones checks where the tasks of a job are when one more starts.
-func (c *Checker) zones(j *wire.Job, t wire.TaskID) {
+// checkZones checks where the tasks of a job are when one more starts.
+func (c *Checker) checkZones(j *wire.Job, t wire.TaskID) {
 	in := map[string]int{}
 	for i := range j.Tasks {
-		for _, zone := range c.places[wire.TaskID{Job: j.ID, Index: i}] {
+		for _, zone := range c.placements[wire.TaskID{Job: j.ID, Index: i}] {
 			in[zone]++
 		}
 	}
 	for _, n := range in {
 		if j.OneZone && len(in) > 1 || j.Spread && n > (j.Tasks+1)/2 {
-			c.breaks("wrong_place", "%v: the job's tasks are in %v", t, in)
+			c.violate("wrong_place", "%v: the job's tasks are in %v", t, in)
 			return
 		}
 	}
@@ -188,22 +188,22 @@
 	return slices.Sorted(maps.Keys(c.submitted))
 }
 
-// Off tells that a task is no longer on a machine.
-func (c *Checker) Off(t wire.TaskID, machine string) {
+// TaskStopped tells that a task is no longer on a machine.
+func (c *Checker) TaskStopped(t wire.TaskID, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.places[t][machine]; ok {
-		c.late(t, c.places[t])
+	if _, ok := c.placements[t][machine]; ok {
+		c.checkCancelled(t, c.placements[t])
 		if !c.finished[t] {
 			c.Stopped++
 		}
-		delete(c.places[t], machine)
-		c.used[c.submitted[t.Job].Team] -= c.submitted[t.Job].GPUs
+		delete(c.placements[t], machine)
+		c.usedGPUs[c.submitted[t.Job].Team] -= c.submitted[t.Job].GPUs
 	}
 }
 
-// Done tells that a task has completed.
-func (c *Checker) Done(t wire.TaskID) {
+// TaskCompleted tells that a task has completed.
+func (c *Checker) TaskCompleted(t wire.TaskID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finished[t] = true
@@ -214,35 +214,35 @@
 	}
 }
 
-// Told tells what a user was answered about a job: a status, and on success
+// ObserveAnswer tells what a user was answered about a job: a status, and on success
 // the stage. asked says whether the user had asked to cancel it.
-func (c *Checker) Told(id string, status int, stage wire.Stage, asked bool) {
+func (c *Checker) ObserveAnswer(id string, status int, stage wire.Stage, asked bool) {
 	now := time.Now()
-	c.ToldAt(id, status, stage, asked, now, now)
+	c.ObserveAnswerAt(id, status, stage, asked, now, now)
 }
 
-// order is when users were told what of a job, by one clock.
-type order struct {
+// answerOrder is when users were told what of a job, by one clock.
+type answerOrder struct {
 	accepted, final time.Time // the answer that said so first
 	open            time.Time // the last question that was answered otherwise
 }
 
-// ToldAt tells when the question was sent and the answer was there, by the clock of the users: of
+// ObserveAnswerAt tells when the question was sent and the answer was there, by the clock of the users: of
 // two that overlap either may be the older one, in whatever order they are told.
-func (c *Checker) ToldAt(id string, status int, stage wire.Stage, asked bool, sent, back time.Time) {
+func (c *Checker) ObserveAnswerAt(id string, status int, stage wire.Stage, asked bool, sent, back time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	j, before := c.submitted[id], c.told[id]
-	if c.order[id] == nil {
-		c.order[id] = &order{}
+	j, before := c.submitted[id], c.lastStage[id]
+	if c.answers[id] == nil {
+		c.answers[id] = &answerOrder{}
 	}
-	o := c.order[id]
-	c.asked[id] = c.asked[id] || asked
+	o := c.answers[id]
+	c.cancelRequested[id] = c.cancelRequested[id] || asked
 	switch {
 	case j == nil && status == 200:
-		c.breaks("invented", "%s", id)
+		c.violate("invented", "%s", id)
 	case before != "" && !sent.Before(o.accepted) && (status == 404 || status == 400 || status == 422):
-		c.breaks("forgotten", "%s: %d", id, status)
+		c.violate("forgotten", "%s: %d", id, status)
 	}
 	if j == nil || status != 200 && status != 201 {
 		return
@@ -254,7 +254,7 @@
 	case before.Final() && !stage.Final() && sent.Before(o.final):
 		return // it left before that was told
 	case before.Final() && stage != before, stage.Final() && !before.Final() && o.open.After(back), stage == wire.Cancelled && !asked:
-		c.breaks("went_back", "%s was %s, is called %s", id, before, stage)
+		c.violate("went_back", "%s was %s, is called %s", id, before, stage)
 	}
 	if !stage.Final() {
 		o.open = latest(o.open, sent)
@@ -264,22 +264,22 @@
 	if stage == wire.Done {
 		for i := range j.Tasks {
 			if !c.finished[wire.TaskID{Job: id, Index: i}] {
-				c.breaks("not_done", "%s/%d", id, i)
+				c.violate("not_done", "%s/%d", id, i)
 			}
 		}
 	}
 	if stage == wire.Cancelled && before != wire.Cancelled {
 		c.cancelled[id] = time.Now()
-		c.Late.Cancelled(time.Now(), id)
+		c.Launches.Cancelled(time.Now(), id)
 	}
-	c.told[id] = stage
+	c.lastStage[id] = stage
 }
 
 // Counts tells how many tasks are on machines, and how many were started.
 func (c *Checker) Counts() (running, started int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, where := range c.places {
+	for _, where := range c.placements {
 		running += len(where)
 	}
 	return running, c.Started
@@ -289,7 +289,7 @@
 func (c *Checker) Running(job string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for t, where := range c.places {
+	for t, where := range c.placements {
 		if t.Job == job && len(where) > 0 {
 			n++
 		}
@@ -302,7 +302,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	in := map[string]int{}
-	for t, where := range c.places {
+	for t, where := range c.placements {
 		for _, zone := range where {
 			if c.submitted[t.Job].Class == class {
 				in[zone]++
@@ -312,14 +312,14 @@
 	return in
 }
 
-// Open names the jobs whose users were not told that they are over, with what they were
+// OpenJobs names the jobs whose users were not told that they are over, with what they were
 // told.
-func (c *Checker) Open() (jobs []string) {
+func (c *Checker) OpenJobs() (jobs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.submitted {
-		if !c.told[id].Final() {
-			jobs = append(jobs, id+" "+string(c.told[id]))
+		if !c.lastStage[id].Final() {
+			jobs = append(jobs, id+" "+string(c.lastStage[id]))
 		}
 	}
 	slices.Sort(jobs)
@@ -330,5 +330,5 @@
 func (c *Checker) Stage(id string) wire.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told[id]
+	return c.lastStage[id]
 }
