--- a/internal/simulator/checkers_test.go
+++ b/internal/simulator/checkers_test.go
@@ -27,23 +27,23 @@
 		"sent after, quiet since a moment":   {5 * time.Second, 0, 4 * time.Second, 1, 1, 0},
 		"sent after, while nobody need know": {time.Second, 0, 0, 1, 1, 0},
 	} {
-		l := Launches{}
+		l := LaunchChecker{}
 		if x.over >= 0 {
-			l.Over(told.Add(x.over))
+			l.SetQuietSince(told.Add(x.over))
 		}
 		sends := func(at time.Duration) {
-			l.Sees(told.Add(at), "c-0", append([]byte("POST /do HTTP/1.1\r\n\r\n"), wire.Encode(wire.Direct{Term: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: task.String(), Attempt: 2}}})...))
+			l.InspectMessage(told.Add(at), "c-0", append([]byte("POST /do HTTP/1.1\r\n\r\n"), wire.Encode(wire.CommandRequest{FencingToken: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: task.String(), Attempt: 2}}})...))
 		}
 		if x.sent < 0 {
 			sends(x.sent)
 		}
 		l.Cancelled(told, task.Job)
 		sends(max(x.sent, x.again))
-		l.Started(told.Add(10*time.Second), task)
-		l.Started(told.Add(10*time.Second), wire.TaskID{Job: "wk-2"})
-		starts, late := l.After()
-		if len(late) != x.late || len(starts) != x.starts || len(l.Broken()) != x.fault {
-			t.Errorf("%s: launches %v, starts %v, %v", name, late, starts, l.Broken())
+		l.TaskStarted(told.Add(10*time.Second), task)
+		l.TaskStarted(told.Add(10*time.Second), wire.TaskID{Job: "wk-2"})
+		starts, late := l.AfterCancellation()
+		if len(late) != x.late || len(starts) != x.starts || len(l.Violations()) != x.fault {
+			t.Errorf("%s: launches %v, starts %v, %v", name, late, starts, l.Violations())
 		}
 	}
 }
@@ -58,15 +58,15 @@
 		}
 		return j
 	}
-	place := func(id, zone string, gpus float64) Place {
-		return Place{Machine: id, Type: "g4", Zone: zone, CPUs: 16, GPUs: gpus, Memory: 64, Cache: 20}
+	place := func(id, zone string, gpus float64) MachineState {
+		return MachineState{Machine: id, Type: "g4", Zone: zone, FreeCPUs: 16, FreeGPUs: gpus, FreeMemoryGB: 64, CacheGB: 20}
 	}
-	two := []Place{place("n-1", "a", 1), place("n-2", "b", 2)}
+	two := []MachineState{place("n-1", "a", 1), place("n-2", "b", 2)}
 	spot := place("n-3", "a", 4)
 	spot.Spot = true
 	for name, x := range map[string]struct {
 		job    *wire.Job
-		places []Place
+		places []MachineState
 		on     map[int]string
 		used   float64 // of the team's 6 GPUs
 		gone   bool    // for a moment there is no room
@@ -77,12 +77,12 @@
 		"a machine is away for a moment":   {job: job(wire.Array, 9, nil), places: two, gone: true},
 		"machines take turns":              {job: job(wire.Array, 9, nil), places: two, turns: 12, want: "idle"},
 		"they do so fast":                  {job: job(wire.Array, 9, nil), places: two, turns: 3},
-		"full":                             {job: job(wire.Array, 9, nil), places: []Place{place("n-1", "a", 0.5)}},
+		"full":                             {job: job(wire.Array, 9, nil), places: []MachineState{place("n-1", "a", 0.5)}},
 		"another zone":                     {job: job(wire.Array, 1, func(j *wire.Job) { j.Zone = "b" }), places: two[:1]},
 		"its zone":                         {job: job(wire.Array, 1, func(j *wire.Job) { j.Zone = "b" }), places: two, want: "idle"},
 		"another type":                     {job: job(wire.Array, 1, func(j *wire.Job) { j.Types = []string{"g8"} }), places: two},
-		"a spot machine":                   {job: job(wire.Array, 1, nil), places: []Place{spot}},
-		"a spot machine that is allowed":   {job: job(wire.Array, 1, func(j *wire.Job) { j.Spot = true }), places: []Place{spot}, want: "idle"},
+		"a spot machine":                   {job: job(wire.Array, 1, nil), places: []MachineState{spot}},
+		"a spot machine that is allowed":   {job: job(wire.Array, 1, func(j *wire.Job) { j.Spot = true }), places: []MachineState{spot}, want: "idle"},
 		"an image that is too large":       {job: job(wire.Array, 1, func(j *wire.Job) { j.ImageGB = 30 }), places: two},
 		"its team is at its limit":         {job: job(wire.Array, 9, nil), places: two, used: 5.5},
 		"a gang":                           {job: job(wire.Gang, 3, nil), places: two, want: "idle"},
@@ -98,9 +98,9 @@
 		"all are somewhere":                {job: job(wire.Array, 2, nil), places: two, on: map[int]string{0: "a", 1: "b"}},
 		"a gang of which a task is on yet": {job: job(wire.Gang, 2, nil), places: two, on: map[int]string{0: "a"}},
 	} {
-		r := Room{Limits: map[string]Limit{"red": {GPUs: 6}}}
+		r := StarvationChecker{Limits: map[string]TeamLimit{"red": {GPUs: 6}}}
 		begun := time.Unix(1000, 0)
-		r.Over(begun.Add(30 * time.Second))
+		r.SetQuietSince(begun.Add(30 * time.Second))
 		for at := time.Duration(0); at <= 123*time.Second; at += 3 * time.Second {
 			places := x.places
 			if n := int(at / (3 * time.Second)); x.turns > 0 && n%x.turns > 6 || x.turns > 0 && x.turns < 6 {
@@ -109,14 +109,14 @@
 			if x.gone && at == time.Minute {
 				places = places[:0]
 			}
-			if at == 117*time.Second && len(r.Broken())+len(r.Partly()) > 0 {
+			if at == 117*time.Second && len(r.Violations())+len(r.PartiallyStarved()) > 0 {
 				t.Errorf("%s: too soon", name)
 			}
-			r.Sample(begun.Add(at), places, []Wants{{Job: x.job, On: maps.Clone(x.on), Finished: func(int) bool { return false }}}, map[string]Limit{"red": {GPUs: x.used}})
+			r.Sample(begun.Add(at), places, []PendingJob{{Job: x.job, Placed: maps.Clone(x.on), Finished: func(int) bool { return false }}}, map[string]TeamLimit{"red": {GPUs: x.used}})
 		}
-		got := map[[2]int]string{{1, 0}: "idle", {0, 1}: "partly", {0, 0}: ""}[[2]int{len(r.Broken()), len(r.Partly())}]
+		got := map[[2]int]string{{1, 0}: "idle", {0, 1}: "partly", {0, 0}: ""}[[2]int{len(r.Violations()), len(r.PartiallyStarved())}]
 		if got != x.want {
-			t.Errorf("%s: %v %v, not %q", name, r.Broken(), r.Partly(), x.want)
+			t.Errorf("%s: %v %v, not %q", name, r.Violations(), r.PartiallyStarved(), x.want)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 // TestVerdict judges submissions by the protocol's table: each field that is missing or wrong, and
 // what can never run.
 func TestVerdict(t *testing.T) {
-	s := Site{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}, {Name: "c4", CPUs: 4, MemoryGB: 16, Zones: []string{"b"}}},
-		Teams: map[string]Limit{"red": {GPUs: 20}, "blue": {}}}
+	s := SubmissionRules{Types: []wire.MachineType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}, {Name: "c4", CPUs: 4, MemoryGB: 16, Zones: []string{"b"}}},
+		Teams: map[string]TeamLimit{"red": {GPUs: 20}, "blue": {}}}
 	good := map[string]any{"uid": "wk-000412", "breed": "train", "keeper": "red", "shape": "gang", "rank": "high", "cells": 16, "vcpus": 8, "accelerators": 1.0, "mem_gb": 64.0,
 		"comb": "img-07", "image_gb": 6.2, "frames": []string{"g8"}, "apiary": nil, "one_zone": true, "spread": false, "borrowed": true, "expect_s": 240.0, "capping_s": 30.0, "seal_s": 4.0, "due_s": nil}
 	check := func(name string, want int, changes map[string]any) {
@@ -172,22 +172,22 @@
 	}
 
 	c := NewChecker(time.Minute, nil)
-	c.Site = s
+	c.Submissions = s
 	odd := func(id string, change string) []byte {
 		m := maps.Clone(good)
 		m["uid"] = id
 		delete(m, change)
 		return wire.Encode(m)
 	}
-	c.Answered(odd("wk-1", "breed"), 400)
-	c.Answered(odd("wk-2", ""), 201)
-	c.Answered(odd("wk-2", "breed"), 200) // it is known
-	if b := c.Broken(); len(b) > 0 {
+	c.ObserveSubmission(odd("wk-1", "breed"), 400)
+	c.ObserveSubmission(odd("wk-2", ""), 201)
+	c.ObserveSubmission(odd("wk-2", "breed"), 200) // it is known
+	if b := c.Violations(); len(b) > 0 {
 		t.Errorf("%v", b)
 	}
-	c.Answered(odd("wk-3", "breed"), 201)
-	c.Answered(odd("wk-4", ""), 422)
-	if b := strings.Join(c.Broken(), "; "); b != "accepted_wrong: wk-3 is answered 201: breed is missing; refused_valid: wk-4 is answered 422" {
+	c.ObserveSubmission(odd("wk-3", "breed"), 201)
+	c.ObserveSubmission(odd("wk-4", ""), 422)
+	if b := strings.Join(c.Violations(), "; "); b != "accepted_wrong: wk-3 is answered 201: breed is missing; refused_valid: wk-4 is answered 422" {
 		t.Error(b)
 	}
 }
@@ -197,14 +197,14 @@
 // task that goes on afterwards is seen.
 func TestHangPausesTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNet(), &answering{got: map[string][]wire.Report{}}
+		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		check := NewChecker(8*time.Second, nil)
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
-		yard := NewYard(check, time.Minute, 3*time.Second)
+		yard := NewTaskRuntime(check, time.Minute, 3*time.Second)
 		machine := func(ip string) *Worker {
-			return NewWorker(WorkerConfig{ID: ip, Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: n.Host(ip), Down: func() {}, Spec: wire.MachineType{CPUs: 9, GPUs: 9, MemoryGB: 9, FetchGBps: 1},
-				Yard: yard, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 30 * time.Second, Report: 2 * time.Second})
+			return NewWorker(WorkerConfig{ID: ip, Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: n.Host(ip), TakeDown: func() {}, Spec: wire.MachineType{CPUs: 9, GPUs: 9, MemoryGB: 9, FetchGBps: 1},
+				Runtime: yard, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 30 * time.Second, HeartbeatInterval: 2 * time.Second})
 		}
 		time.Sleep(time.Second)
 		w, other := machine("10.1.0.1"), machine("10.1.0.2")
@@ -212,17 +212,17 @@
 		for id, j := range map[string]wire.Job{"wk-1": {Shape: wire.Array}, "wk-2": {Shape: wire.Array}, "wk-3": {Shape: wire.Array}, "wk-4": {Shape: wire.Gang, Tasks: 2}, "wk-5": {Shape: wire.Array, ImageGB: 4}} {
 			j.ID, j.Tasks, j.CPUs, j.Image = id, max(j.Tasks, 1), 1, id
 			check.Submitted(&j, map[string]time.Duration{"wk-1": 10 * time.Second}[id]+10*time.Second)
-			check.Told(id, 201, wire.Pending, false)
+			check.ObserveAnswer(id, 201, wire.Pending, false)
 		}
 		run := func(w *Worker, verb wire.Verb, tasks ...string) {
-			var d wire.Direct
+			var d wire.CommandRequest
 			for _, id := range tasks {
 				d.Commands = append(d.Commands, wire.Command{Verb: verb, Task: id, Attempt: 1})
 			}
-			d.Term, d.Session = 1, 1
+			d.FencingToken, d.Incarnation = 1, 1
 			call, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			_, _ = (&transport.Caller{Limit: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(call, w.addr, "POST", wire.PathDirect, wire.Encode(d))
+			_, _ = (&transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(call, w.addr, "POST", wire.PathCommands, wire.Encode(d))
 		}
 		run(other, wire.Launch, "wk-4/1")
 		run(w, wire.Launch, "wk-1/0", "wk-2/0", "wk-3/0", "wk-4/0", "wk-5/0")
@@ -237,8 +237,8 @@
 			}
 		}
 		at(2, map[string]int{"wk-1": 1, "wk-2": 1, "wk-4": 2, "wk-5": 0})
-		check.Told("wk-1", 200, wire.Cancelled, true)
-		check.Told("wk-2", 200, wire.Cancelled, true)
+		check.ObserveAnswer("wk-1", 200, wire.Cancelled, true)
+		check.ObserveAnswer("wk-2", 200, wire.Cancelled, true)
 		w.Hang(14 * time.Second)
 		if _, ok := w.Place(); ok {
 			t.Error("a machine that hangs is said to have room")
@@ -252,7 +252,7 @@
 		at(18.1, map[string]int{"wk-5": 1})
 		at(23.9, map[string]int{"wk-1": 1, "wk-3": 1})
 		at(24.1, map[string]int{"wk-1": 1, "wk-3": 0})
-		if b := strings.Join(check.Broken(), "\n"); !strings.Contains(b, "ran_cancelled: wk-1/0") || !strings.Contains(b, "ran_cancelled: wk-2/0") {
+		if b := strings.Join(check.Violations(), "\n"); !strings.Contains(b, "ran_cancelled: wk-1/0") || !strings.Contains(b, "ran_cancelled: wk-2/0") {
 			t.Errorf("not seen: %q", b)
 		}
 		w.Kill()
@@ -283,13 +283,13 @@
 		c := NewChecker(time.Minute, nil)
 		c.Submitted(&wire.Job{ID: "wk-1", Shape: wire.Array}, time.Second)
 		tell := func(x told) {
-			c.ToldAt("wk-1", 200, x.stage, true, time.Unix(0, x.sent), time.Unix(0, x.back))
+			c.ObserveAnswerAt("wk-1", 200, x.stage, true, time.Unix(0, x.sent), time.Unix(0, x.back))
 		}
 		tell(told{wire.Pending, 1, 2})
 		for _, a := range x.told {
 			tell(a)
 		}
-		if got := strings.Join(c.Broken(), "; "); strings.Contains(got, "went_back") != x.broken {
+		if got := strings.Join(c.Violations(), "; "); strings.Contains(got, "went_back") != x.broken {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -18,24 +18,24 @@
 
 // Cloud is a stand-in of the cloud: it starts workers after their boot time.
 type Cloud struct {
-	Types    []wire.MachineType
-	Capacity int                // of machines, in each zone
-	Rooms    map[Offer]int      // of each type, zone and kind instead, if it is set
-	RPS      float64            // with bursts of two seconds' worth; 0 stands for none
-	Lag      time.Duration      // of lists
-	Boot     time.Duration      // 0 stands for what each type says
-	Subnet   string             // of the machines, 10.1.0. if it is empty
-	Addr     func(n int) string // gives the address of the n-th machine instead, if it is set
-	Rand     *rand.Rand
-	Start    func(id, addr, typ, zone string, spot bool) Machine
-	Faults   CloudFaults
+	Types           []wire.MachineType
+	Capacity        int                // of machines, in each zone
+	CapacityByOffer map[Offer]int      // of each type, zone and kind instead, if it is set
+	RPS             float64            // with bursts of two seconds' worth; 0 stands for none
+	ListLag         time.Duration      // of lists
+	BootTime        time.Duration      // 0 stands for what each type says
+	Subnet          string             // of the machines, 10.1.0. if it is empty
+	AddrOf          func(n int) string // gives the address of the n-th machine instead, if it is set
+	Rand            *rand.Rand
+	Start           func(id, addr, typ, zone string, spot bool) Machine
+	Faults          CloudFaults
 
-	mu       sync.Mutex
-	next     int
-	machines map[string]*rented
-	answers  map[string][]string
-	rps      *rate.Limiter
-	spent    float64 // price times hours, of machines that are gone
+	mu                sync.Mutex
+	next              int
+	machines          map[string]*instance
+	idempotentAnswers map[string][]string
+	rps               *rate.Limiter
+	pastCost          float64 // price times hours, of machines that are gone
 }
 
 // Offer is what can be rented.
@@ -46,11 +46,11 @@
 
 // CloudFaults is what goes wrong in a cloud.
 type CloudFaults struct {
-	Trouble   bool          // every call is answered 503
-	BootTimes float64       // times the boot time; 0 stands for 1
-	NeverUp   float64       // share of the machines that never come up
-	Fewer     float64       // share of the capacity that is not to be had
-	Late      time.Duration // by which rentals are carried out late, without an answer
+	Unavailable          bool          // every call is answered 503
+	BootFactor           float64       // times the boot time; 0 stands for 1
+	NeverBootShare       float64       // share of the machines that never come up
+	MissingCapacityShare float64       // share of the capacity that is not to be had
+	RentDelay            time.Duration // by which rentals are carried out late, without an answer
 }
 
 // Machine is what runs on a rented machine.
@@ -59,23 +59,23 @@
 	Kill()
 }
 
-type rented struct {
+type instance struct {
 	wire.ListedMachine
-	worker  Machine
-	since   time.Time
-	deleted time.Time
-	dead    time.Time // when it stopped on its own
-	price   float64   // an hour
+	worker      Machine
+	rentedAt    time.Time
+	deletedAt   time.Time
+	crashedAt   time.Time // when it stopped on its own
+	hourlyPrice float64   // an hour
 }
 
 // Serve answers the protocol of the cloud.
 func (c *Cloud) Serve() transport.ServeConn {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines, c.answers = map[string]*rented{}, map[string][]string{}
+		c.machines, c.idempotentAnswers = map[string]*instance{}, map[string][]string{}
 	}
 	c.mu.Unlock()
-	return handler(func(method, path string, q map[string]string, body []byte) (int, any) {
+	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.RPS > 0 {
@@ -86,7 +86,7 @@
 				return 429, nil
 			}
 		}
-		if c.Faults.Trouble {
+		if c.Faults.Unavailable {
 			return 503, wire.Failure{Error: "trouble"}
 		}
 		switch {
@@ -102,19 +102,19 @@
 			}
 			return 200, map[string]any{}
 		case method == "POST":
-			var r wire.Rental
-			if err := wire.Decode(body, &r); err != nil || r.Ask == "" || r.Count < 1 || r.Count > wire.MaxRent || c.typeOf(r.Type) == nil {
+			var r wire.ScaleOutRequest
+			if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.typeOf(r.Type) == nil {
 				return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
 			}
-			if late := c.Faults.Late; late > 0 {
+			if late := c.Faults.RentDelay; late > 0 {
 				time.AfterFunc(late, func() {
 					c.mu.Lock()
 					defer c.mu.Unlock()
-					c.rent(r)
+					c.rentMachines(r)
 				})
 				return 0, nil
 			}
-			return c.rent(r)
+			return c.rentMachines(r)
 		}
 		limit, _ := strconv.Atoi(q["limit"])
 		return 200, c.list(q["from"], limit)
@@ -130,58 +130,58 @@
 	return nil
 }
 
-// room tells how many more machines of an offer there are.
-func (c *Cloud) room(o Offer) int {
+// freeCapacity tells how many more machines of an offer there are.
+func (c *Cloud) freeCapacity(o Offer) int {
 	all := c.Capacity
-	if c.Rooms != nil {
-		all = c.Rooms[o]
+	if c.CapacityByOffer != nil {
+		all = c.CapacityByOffer[o]
 	}
-	left := int(float64(all) * (1 - c.Faults.Fewer))
+	left := int(float64(all) * (1 - c.Faults.MissingCapacityShare))
 	for _, m := range c.machines {
-		if m.deleted.IsZero() && m.Zone == o.Zone && (c.Rooms == nil || m.Type == o.Type && m.Spot == o.Spot) {
+		if m.deletedAt.IsZero() && m.Zone == o.Zone && (c.CapacityByOffer == nil || m.Type == o.Type && m.Spot == o.Spot) {
 			left--
 		}
 	}
 	return left
 }
 
-func (c *Cloud) rent(r wire.Rental) (int, any) {
-	if names, again := c.answers[r.Ask]; again {
+func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
+	if names, again := c.idempotentAnswers[r.RequestID]; again {
 		return 200, wire.MachineNames{Machines: names}
 	}
 	names := []string{}
-	for left := c.room(Offer{r.Type, r.Zone, r.Spot}); len(names) < r.Count && left > 0; left-- {
-		names = append(names, c.start(r))
+	for left := c.freeCapacity(Offer{r.Type, r.Zone, r.Spot}); len(names) < r.Count && left > 0; left-- {
+		names = append(names, c.startMachine(r))
 	}
 	if len(names) == 0 {
 		return 503, wire.Failure{Error: "no capacity"}
 	}
-	c.answers[r.Ask] = names
+	c.idempotentAnswers[r.RequestID] = names
 	return 200, wire.MachineNames{Machines: names}
 }
 
-// start rents a machine, which comes up after its boot time, or never.
-func (c *Cloud) start(r wire.Rental) string {
+// startMachine rents a machine, which comes up after its boot time, or never.
+func (c *Cloud) startMachine(r wire.ScaleOutRequest) string {
 	c.next++
 	id, ip := fmt.Sprintf("n-%06d", c.next), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.next)
 	addr := Address(ip, 9000)
-	if c.Addr != nil {
-		addr = c.Addr(c.next)
+	if c.AddrOf != nil {
+		addr = c.AddrOf(c.next)
 	}
 	t := c.typeOf(r.Type)
-	m := &rented{ListedMachine: wire.ListedMachine{ID: id, Addr: addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Stage: wire.MachineStarting}, since: time.Now(), price: t.Price}
+	m := &instance{ListedMachine: wire.ListedMachine{ID: id, Addr: addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Stage: wire.MachineStarting}, rentedAt: time.Now(), hourlyPrice: t.Price}
 	if r.Spot {
-		m.price = t.SpotPrice
+		m.hourlyPrice = t.SpotPrice
 	}
 	c.machines[id] = m
-	boot := time.Duration(float64(cmp.Or(c.Boot, wire.Seconds(t.BootS))) * cmp.Or(c.Faults.BootTimes, 1))
-	if c.Faults.NeverUp > 0 && c.Rand.Float64() < c.Faults.NeverUp {
+	boot := time.Duration(float64(cmp.Or(c.BootTime, wire.Seconds(t.BootS))) * cmp.Or(c.Faults.BootFactor, 1))
+	if c.Faults.NeverBootShare > 0 && c.Rand.Float64() < c.Faults.NeverBootShare {
 		return id
 	}
 	time.AfterFunc(boot, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if m.deleted.IsZero() {
+		if m.deletedAt.IsZero() {
 			m.Stage = wire.MachineRunning
 			m.worker = c.Start(id, m.Addr, m.Type, m.Zone, m.Spot)
 		}
@@ -190,9 +190,9 @@
 }
 
 func (c *Cloud) remove(id string) {
-	if m := c.machines[id]; m != nil && m.deleted.IsZero() {
-		m.deleted = time.Now()
-		c.spent += m.cost(m.deleted)
+	if m := c.machines[id]; m != nil && m.deletedAt.IsZero() {
+		m.deletedAt = time.Now()
+		c.pastCost += m.cost(m.deletedAt)
 		if m.worker != nil {
 			m.worker.Kill()
 		}
@@ -200,20 +200,20 @@
 }
 
 // cost is what a machine has cost by some time: it is charged for a minute at least.
-func (m *rented) cost(by time.Time) float64 {
-	if !m.dead.IsZero() {
-		by = m.dead
+func (m *instance) cost(by time.Time) float64 {
+	if !m.crashedAt.IsZero() {
+		by = m.crashedAt
 	}
-	return m.price * max(by.Sub(m.since), time.Minute).Hours()
+	return m.hourlyPrice * max(by.Sub(m.rentedAt), time.Minute).Hours()
 }
 
-// Spent tells what all machines have cost so far, and how many are rented.
-func (c *Cloud) Spent() (cost float64, machines int) {
+// Cost tells what all machines have cost so far, and how many are rented.
+func (c *Cloud) Cost() (cost float64, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cost = c.spent
+	cost = c.pastCost
 	for _, m := range c.machines {
-		if m.deleted.IsZero() {
+		if m.deletedAt.IsZero() {
 			cost += m.cost(time.Now())
 			machines++
 		}
@@ -221,45 +221,45 @@
 	return cost, machines
 }
 
-// Fail changes what goes wrong.
-func (c *Cloud) Fail(change func(*CloudFaults)) {
+// SetFaults changes what goes wrong.
+func (c *Cloud) SetFaults(change func(*CloudFaults)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.Faults)
 }
 
-// deadTime is how long a machine that has died is listed as running.
-const deadTime = 30 * time.Second
+// crashedListingTime is how long a machine that has died is listed as running.
+const crashedListingTime = 30 * time.Second
 
-// Each gives the machines that are up, in order, with what they are.
-func (c *Cloud) Each(do func(m wire.ListedMachine, w Machine)) {
+// EachRunning gives the machines that are up, in order, with what they are.
+func (c *Cloud) EachRunning(do func(m wire.ListedMachine, w Machine)) {
 	c.mu.Lock()
-	all := c.up()
+	all := c.running()
 	c.mu.Unlock()
 	for _, m := range all {
 		do(m.ListedMachine, m.worker)
 	}
 }
 
-// Die ends a machine on its own: it stays listed.
-func (c *Cloud) Die(id string) {
+// Crash ends a machine on its own: it stays listed.
+func (c *Cloud) Crash(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[id]
-	if m == nil || m.worker == nil || !m.deleted.IsZero() || !m.dead.IsZero() {
+	if m == nil || m.worker == nil || !m.deletedAt.IsZero() || !m.crashedAt.IsZero() {
 		return
 	}
-	m.dead = time.Now()
+	m.crashedAt = time.Now()
 	m.worker.Kill()
-	time.AfterFunc(deadTime, func() {
+	time.AfterFunc(crashedListingTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		m.Stage = wire.MachineFailed
 	})
 }
 
-// TakeBack has a spot machine go after a notice, or at once.
-func (c *Cloud) TakeBack(id string, notice time.Duration) {
+// Preempt has a spot machine go after a notice, or at once.
+func (c *Cloud) Preempt(id string, notice time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[id]
@@ -276,11 +276,11 @@
 	})
 }
 
-// Take removes the n-th machine that is up, as when a spot machine is taken.
-func (c *Cloud) Take(n int) {
+// RemoveNth removes the n-th machine that is up, as when a spot machine is taken.
+func (c *Cloud) RemoveNth(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.up(); len(w) > 0 {
+	if w := c.running(); len(w) > 0 {
 		c.remove(w[n%len(w)].ID)
 	}
 }
@@ -297,27 +297,27 @@
 	return ""
 }
 
-// Up gives the address of the n-th machine that is up.
-func (c *Cloud) Up(n int) string {
+// AddrOfNth gives the address of the n-th machine that is up.
+func (c *Cloud) AddrOfNth(n int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.up(); len(w) > 0 {
+	if w := c.running(); len(w) > 0 {
 		return w[n%len(w)].ListedMachine.Addr
 	}
 	return ""
 }
 
-// Count tells how many machines are up.
-func (c *Cloud) Count() int {
+// CountRunning tells how many machines are up.
+func (c *Cloud) CountRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.up())
+	return len(c.running())
 }
 
-func (c *Cloud) up() []*rented {
-	var out []*rented
+func (c *Cloud) running() []*instance {
+	var out []*instance
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
-		if m := c.machines[id]; m.worker != nil && m.deleted.IsZero() && m.dead.IsZero() {
+		if m := c.machines[id]; m.worker != nil && m.deletedAt.IsZero() && m.crashedAt.IsZero() {
 			out = append(out, m)
 		}
 	}
@@ -327,11 +327,11 @@
 // list shows a moment between twice the lag and now, a different one each time, from a
 // machine on.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
-	at := time.Now().Add(-time.Duration(c.Rand.Int64N(int64(2*c.Lag) + 1)))
+	at := time.Now().Add(-time.Duration(c.Rand.Int64N(int64(2*c.ListLag) + 1)))
 	out := wire.MachineList{Machines: []wire.ListedMachine{}}
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
 		m := c.machines[id]
-		if id <= after || !m.since.Before(at) || !m.deleted.IsZero() && !m.deleted.After(at) {
+		if id <= after || !m.rentedAt.Before(at) || !m.deletedAt.IsZero() && !m.deletedAt.After(at) {
 			continue
 		}
 		if len(out.Machines) == min(cmp.Or(max(limit, 0), wire.MaxListPage), wire.MaxListPage) {
@@ -339,7 +339,7 @@
 			break
 		}
 		l := m.ListedMachine
-		l.AgeS = at.Sub(m.since).Seconds()
+		l.AgeS = at.Sub(m.rentedAt).Seconds()
 		out.Machines = append(out.Machines, l)
 	}
 	return out
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -10,41 +10,41 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Launches counts what is started though its user was told that its job is cancelled. "From then
+// LaunchChecker counts what is started though its user was told that its job is cancelled. "From then
 // on, no task of the job may be started", but "start commands still in flight" get cancel_s: so
 // a start of what was sent before is counted and no more, and what is *sent* afterwards is a fault
 // of the controllers, once all troubles are over: while they last a holder that the state service
 // doesn't reach learns of it from nobody. It is pure: times and events come in.
-type Launches struct {
-	mu        sync.Mutex
-	cancelled map[string]time.Time
-	sent      map[launched]time.Time    // first
-	newest    map[wire.TaskID]time.Time // when the newest attempt was first sent
-	over      time.Time                 // since when all troubles are; zero while there are some
-	late      []string                  // launches that were first sent after the answer
-	after     []string                  // starts after it
-	broken    []string
+type LaunchChecker struct {
+	mu           sync.Mutex
+	cancelled    map[string]time.Time
+	firstSent    map[launchKey]time.Time   // first
+	newestSent   map[wire.TaskID]time.Time // when the newest attempt was first sent
+	quietSince   time.Time                 // since when all troubles are; zero while there are some
+	lateLaunches []string                  // launches that were first sent after the answer
+	lateStarts   []string                  // starts after it
+	violations   []string
 }
 
-// knownWithin is for how long after the answer a launch may still be sent in quiet: whoever sends
+// propagationDelay is for how long after the answer a launch may still be sent in quiet: whoever sends
 // it learns of the cancellation by a watch.
-const knownWithin = 2 * time.Second
+const propagationDelay = 2 * time.Second
 
-// launched is an attempt of a task.
-type launched struct {
+// launchKey is an attempt of a task.
+type launchKey struct {
 	task    wire.TaskID
 	attempt uint64
 }
 
-// Over tells since when all troubles are over; a zero time means that there are some.
-func (l *Launches) Over(since time.Time) {
+// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+func (l *LaunchChecker) SetQuietSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = since
+	l.quietSince = since
 }
 
 // Cancelled tells that a user was told that a job is cancelled.
-func (l *Launches) Cancelled(now time.Time, job string) {
+func (l *LaunchChecker) Cancelled(now time.Time, job string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cancelled == nil {
@@ -55,9 +55,9 @@
 	}
 }
 
-// Sees looks for launches in a message as it leaves a host: one to a machine, or the answer to
+// InspectMessage looks for launches in a message as it leaves a host: one to a machine, or the answer to
 // its report.
-func (l *Launches) Sees(now time.Time, from string, message []byte) {
+func (l *LaunchChecker) InspectMessage(now time.Time, from string, message []byte) {
 	if !bytes.Contains(message, []byte(wire.Launch)) {
 		return
 	}
@@ -70,58 +70,58 @@
 	}
 	for _, c := range m.Commands {
 		if id, err := wire.ParseTaskID(c.Task); err == nil && c.Verb == wire.Launch {
-			l.Sent(now, from, id, c.Attempt)
+			l.LaunchSent(now, from, id, c.Attempt)
 		}
 	}
 }
 
-// Sent tells that a controller sends a launch, for the first time or again.
-func (l *Launches) Sent(now time.Time, from string, task wire.TaskID, attempt uint64) {
+// LaunchSent tells that a controller sends a launch, for the first time or again.
+func (l *LaunchChecker) LaunchSent(now time.Time, from string, task wire.TaskID, attempt uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sent == nil {
-		l.sent, l.newest = make(map[launched]time.Time), make(map[wire.TaskID]time.Time)
+	if l.firstSent == nil {
+		l.firstSent, l.newestSent = make(map[launchKey]time.Time), make(map[wire.TaskID]time.Time)
 	}
-	k := launched{task, attempt}
-	if !l.sent[k].IsZero() {
+	k := launchKey{task, attempt}
+	if !l.firstSent[k].IsZero() {
 		return // once decided, it is sent until the machine is heard
 	}
-	l.sent[k], l.newest[task] = now, now
+	l.firstSent[k], l.newestSent[task] = now, now
 	told, ok := l.cancelled[task.Job]
 	if !ok || now.Before(told) {
 		return
 	}
 	text := fmt.Sprintf("%v#%d by %s, %v after its user was told", task, attempt, from, now.Sub(told))
-	l.late = append(l.late, text)
-	if !l.over.IsZero() && now.Sub(latest(told, l.over)) > knownWithin {
-		l.broken = append(l.broken, "launched_cancelled: "+text)
+	l.lateLaunches = append(l.lateLaunches, text)
+	if !l.quietSince.IsZero() && now.Sub(latest(told, l.quietSince)) > propagationDelay {
+		l.violations = append(l.violations, "launched_cancelled: "+text)
 	}
 }
 
-// Started tells that a task starts.
-func (l *Launches) Started(now time.Time, task wire.TaskID) {
+// TaskStarted tells that a task starts.
+func (l *LaunchChecker) TaskStarted(now time.Time, task wire.TaskID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if told, ok := l.cancelled[task.Job]; ok {
 		text := fmt.Sprintf("%v, %v after its user was told", task, now.Sub(told))
-		if at := l.newest[task]; !at.IsZero() {
+		if at := l.newestSent[task]; !at.IsZero() {
 			text += fmt.Sprintf(", launched %v after", at.Sub(told))
 		}
-		l.after = append(l.after, text)
+		l.lateStarts = append(l.lateStarts, text)
 	}
 }
 
-// After lists the starts after an answer that the job is cancelled, and the launches that were
+// AfterCancellation lists the starts after an answer that the job is cancelled, and the launches that were
 // first sent after it.
-func (l *Launches) After() (starts, launches []string) {
+func (l *LaunchChecker) AfterCancellation() (starts, launches []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.after), slices.Clone(l.late)
+	return slices.Clone(l.lateStarts), slices.Clone(l.lateLaunches)
 }
 
-// Broken lists the launches that no controller had to send.
-func (l *Launches) Broken() []string {
+// Violations lists the launches that no controller had to send.
+func (l *LaunchChecker) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.broken)
+	return slices.Clone(l.violations)
 }
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -19,79 +19,79 @@
 // vainInTrouble while most others are answered; and, once all troubles are over, when none is
 // answered for vainInQuiet, whatever others get.
 const (
-	vainInTrouble = 90 * time.Second
-	vainInQuiet   = 75 * time.Second
+	unansweredLimit      = 90 * time.Second
+	quietUnansweredLimit = 75 * time.Second
 )
 
-// Forgotten judges by the users' rules whether an accepted job was forgotten. It is pure: times,
+// LivenessChecker judges by the users' rules whether an accepted job was forgotten. It is pure: times,
 // answers, and since when all troubles are over come in.
-type Forgotten struct {
-	// Begin bounds how long a job may be called pending once all troubles are over: what runs
+type LivenessChecker struct {
+	// MaxPending bounds how long a job may be called pending once all troubles are over: what runs
 	// nowhere is known in vain. 0 stands for no bound.
-	Begin time.Duration
+	MaxPending time.Duration
 
-	mu     sync.Mutex
-	jobs   map[string]*known
-	recent []second // of all questions, for as long as the first rule looks back
-	over   time.Time
-	broken []string
+	mu          sync.Mutex
+	jobs        map[string]*trackedJob
+	recentPolls []pollCounts // of all questions, for as long as the first rule looks back
+	quietSince  time.Time
+	violations  []string
 }
 
-// known is a job that was accepted and not cancelled.
-type known struct {
-	answered time.Time   // last, or accepted
-	vain     []time.Time // questions since then, as far back as the first rule looks
-	pending  time.Time   // since when it is called so; zero while it isn't
-	judged   bool
+// trackedJob is a job that was accepted and not cancelled.
+type trackedJob struct {
+	lastAnswered time.Time   // last, or accepted
+	failedPolls  []time.Time // questions since then, as far back as the first rule looks
+	pendingSince time.Time   // since when it is called so; zero while it isn't
+	judged       bool
 }
 
-// second is what became of the questions of a second.
-type second struct {
+// pollCounts is what became of the questions of a second.
+type pollCounts struct {
 	at              time.Time
 	asked, answered int
 }
 
-// Over tells since when all troubles are over; a zero time means that there are some.
-func (f *Forgotten) Over(since time.Time) {
+// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+func (f *LivenessChecker) SetQuietSince(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.over = since
+	f.quietSince = since
 }
 
 // Accepted tells that a user was told that a job is accepted.
-func (f *Forgotten) Accepted(now time.Time, job string) {
+func (f *LivenessChecker) Accepted(now time.Time, job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.jobs == nil {
-		f.jobs = make(map[string]*known)
+		f.jobs = make(map[string]*trackedJob)
 	}
 	if f.jobs[job] == nil {
-		f.jobs[job] = &known{answered: now, pending: now}
+		f.jobs[job] = &trackedJob{lastAnswered: now, pendingSince: now}
 	}
 }
 
 // Cancelled tells that a job's user doesn't care for it any more.
-func (f *Forgotten) Cancelled(job string) {
+func (f *LivenessChecker) Cancelled(job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.jobs, job)
 }
 
-// Heard takes in any answer to a user: cancels says that the user has asked to cancel the job,
+// ObserveAnswer takes in any answer to a user: cancels says that the user has asked to cancel the job,
 // poll that this was a question.
-func (f *Forgotten) Heard(now time.Time, job string, status int, stage wire.Stage, cancels, poll bool) {
+func (f *LivenessChecker) ObserveAnswer(now time.Time, job string, status int, stage wire.Stage, cancels, poll bool) {
 	switch {
 	case cancels || stage == wire.Cancelled:
 		f.Cancelled(job)
 	case poll:
-		f.Asked(now, job, status, stage)
+		f.ObservePoll(now, job, status, stage)
 	case status == 200 || status == 201:
 		f.Accepted(now, job)
 	}
 }
 
-// Asked tells what a question about a job was answered, with status 0 for nothing in time.
-func (f *Forgotten) Asked(now time.Time, job string, status int, stage wire.Stage) {
+// ObservePoll tells what a question about a job was answered, with status 0 for nothing in time.
+func (f *LivenessChecker) ObservePoll(now time.Time, job string, status int, stage wire.Stage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.jobs[job]
@@ -99,59 +99,59 @@
 		return
 	}
 	answered := status == 200 || status == 404
-	f.count(now, answered)
+	f.countPoll(now, answered)
 	if status == 404 {
-		f.breaks(k, "%s was accepted and is answered 404", job)
+		f.violate(k, "%s was accepted and is answered 404", job)
 	}
 	if !answered {
-		k.vain = append(k.vain, now)
+		k.failedPolls = append(k.failedPolls, now)
 		f.judge(now, job, k)
 		return
 	}
-	k.answered, k.vain = now, nil
+	k.lastAnswered, k.failedPolls = now, nil
 	switch {
 	case stage != wire.Pending:
-		k.pending = time.Time{}
-	case k.pending.IsZero():
-		k.pending = now
+		k.pendingSince = time.Time{}
+	case k.pendingSince.IsZero():
+		k.pendingSince = now
 	}
-	if since := latest(k.pending, f.over); f.Begin > 0 && !f.over.IsZero() && !k.pending.IsZero() && now.Sub(since) > f.Begin {
-		f.breaks(k, "%s is called pending for %v and runs nowhere", job, now.Sub(since))
+	if since := latest(k.pendingSince, f.quietSince); f.MaxPending > 0 && !f.quietSince.IsZero() && !k.pendingSince.IsZero() && now.Sub(since) > f.MaxPending {
+		f.violate(k, "%s is called pending for %v and runs nowhere", job, now.Sub(since))
 	}
 }
 
-// count keeps what became of all questions.
-func (f *Forgotten) count(now time.Time, answered bool) {
-	if n := len(f.recent); n == 0 || now.Sub(f.recent[n-1].at) >= time.Second {
-		f.recent = append(f.recent, second{at: now})
+// countPoll keeps what became of all questions.
+func (f *LivenessChecker) countPoll(now time.Time, answered bool) {
+	if n := len(f.recentPolls); n == 0 || now.Sub(f.recentPolls[n-1].at) >= time.Second {
+		f.recentPolls = append(f.recentPolls, pollCounts{at: now})
 	}
-	s := &f.recent[len(f.recent)-1]
+	s := &f.recentPolls[len(f.recentPolls)-1]
 	if s.asked++; answered {
 		s.answered++
 	}
-	f.recent = slices.DeleteFunc(f.recent, func(s second) bool { return now.Sub(s.at) > vainInTrouble })
+	f.recentPolls = slices.DeleteFunc(f.recentPolls, func(s pollCounts) bool { return now.Sub(s.at) > unansweredLimit })
 }
 
-func (f *Forgotten) judge(now time.Time, job string, k *known) {
-	if quiet := now.Sub(latest(k.answered, f.over)); !f.over.IsZero() && quiet >= vainInQuiet {
-		f.breaks(k, "no question about %s is answered for %v, and all troubles are over", job, quiet)
+func (f *LivenessChecker) judge(now time.Time, job string, k *trackedJob) {
+	if quiet := now.Sub(latest(k.lastAnswered, f.quietSince)); !f.quietSince.IsZero() && quiet >= quietUnansweredLimit {
+		f.violate(k, "no question about %s is answered for %v, and all troubles are over", job, quiet)
 	}
-	if now.Sub(k.answered) < vainInTrouble {
+	if now.Sub(k.lastAnswered) < unansweredLimit {
 		return
 	}
-	k.vain = slices.DeleteFunc(k.vain, func(at time.Time) bool { return now.Sub(at) > vainInTrouble })
-	others, answered := -len(k.vain), 0
-	for _, s := range f.recent {
+	k.failedPolls = slices.DeleteFunc(k.failedPolls, func(at time.Time) bool { return now.Sub(at) > unansweredLimit })
+	others, answered := -len(k.failedPolls), 0
+	for _, s := range f.recentPolls {
 		others, answered = others+s.asked, answered+s.answered
 	}
 	if answered*2 > others {
-		f.breaks(k, "no question about %s is answered for %v, %d of %d about others are", job, now.Sub(k.answered), answered, others)
+		f.violate(k, "no question about %s is answered for %v, %d of %d about others are", job, now.Sub(k.lastAnswered), answered, others)
 	}
 }
 
-func (f *Forgotten) breaks(k *known, format string, args ...any) {
+func (f *LivenessChecker) violate(k *trackedJob, format string, args ...any) {
 	if !k.judged {
-		f.broken = append(f.broken, "forgotten: "+fmt.Sprintf(format, args...))
+		f.violations = append(f.violations, "forgotten: "+fmt.Sprintf(format, args...))
 	}
 	k.judged = true
 }
@@ -163,11 +163,11 @@
 	return a
 }
 
-// Broken lists the jobs that were forgotten, each once.
-func (f *Forgotten) Broken() []string {
+// Violations lists the jobs that were forgotten, each once.
+func (f *LivenessChecker) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.violations)
 }
 
 // Users ask about jobs as the platform's users do: each on a connection of its own, which a load
@@ -177,14 +177,14 @@
 type Users struct {
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
 	Nodes []string
-	Judge *Forgotten
+	Judge *LivenessChecker
 
 	mu    sync.Mutex
-	nodes map[string]*balanced
+	nodes map[string]*backend
 }
 
-// balanced is a controller as the balancer sees it.
-type balanced struct {
+// backend is a controller as the balancer sees it.
+type backend struct {
 	healthy, ever bool
 	probes        []bool // the last six
 	out           time.Time
@@ -205,14 +205,14 @@
 
 // What the protocol says of users and of the balancer.
 const (
-	pollEvery    = 5 * time.Second
-	pollWait     = 2 * time.Second
-	probeEvery   = time.Second
-	connectWait  = 500 * time.Millisecond
-	resetAfter   = 5 * time.Second
-	leastPause   = 3 * time.Second
-	longestPause = time.Minute
-	samePause    = 2 * time.Minute // a removal within this of the last doubles the pause
+	pollEvery      = 5 * time.Second
+	pollTimeout    = 2 * time.Second
+	probeEvery     = time.Second
+	connectTimeout = 500 * time.Millisecond
+	resetAfter     = 5 * time.Second
+	minPause       = 3 * time.Second
+	longestPause   = time.Minute
+	samePause      = 2 * time.Minute // a removal within this of the last doubles the pause
 )
 
 // Run probes the controllers until the context ends.
@@ -220,7 +220,7 @@
 	var group sync.WaitGroup
 	for _, addr := range u.Nodes {
 		group.Go(func() {
-			caller := &transport.Caller{Limit: wire.MaxBody, Dial: u.Dial}
+			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.Dial}
 			for ctx.Err() == nil {
 				call, cancel := context.WithTimeout(ctx, probeEvery)
 				resp, err := caller.Call(call, addr, "GET", wire.PathReady, nil)
@@ -242,12 +242,12 @@
 	}
 }
 
-func (u *Users) node(addr string) *balanced {
+func (u *Users) node(addr string) *backend {
 	if u.nodes == nil {
-		u.nodes = make(map[string]*balanced)
+		u.nodes = make(map[string]*backend)
 	}
 	if u.nodes[addr] == nil {
-		u.nodes[addr] = &balanced{conns: make(map[*userConn]bool)}
+		u.nodes[addr] = &backend{conns: make(map[*userConn]bool)}
 	}
 	return u.nodes[addr]
 }
@@ -267,9 +267,9 @@
 	two := slices.Clone(m.probes[max(0, len(m.probes)-2):])
 	switch {
 	case m.healthy && (failed >= 3 || len(two) == 2 && !two[0] && !two[1]):
-		m.pause = max(leastPause, min(longestPause, 2*m.pause))
+		m.pause = max(minPause, min(longestPause, 2*m.pause))
 		if now.Sub(m.out) > samePause {
-			m.pause = leastPause
+			m.pause = minPause
 		}
 		m.healthy, m.out = false, now
 	case !m.healthy && ok && (!m.ever || len(two) == 2 && two[0] && now.Sub(m.out) >= m.pause):
@@ -294,7 +294,7 @@
 	err := errors.New("no controller is healthy")
 	for _, addr := range nodes[:min(3, len(nodes))] {
 		var conn net.Conn
-		call, cancel := context.WithTimeout(ctx, connectWait)
+		call, cancel := context.WithTimeout(ctx, connectTimeout)
 		conn, err = u.Dial(call, addr)
 		cancel()
 		if err != nil {
@@ -316,10 +316,10 @@
 
 // Follow asks about a job, also when it is done, until it is cancelled or the context ends.
 func (u *Users) Follow(ctx context.Context, job string) {
-	caller := &transport.Caller{Limit: wire.MaxBody, Dial: u.connect}
+	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.connect}
 	u.Judge.Accepted(time.Now(), job)
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, pollWait)
+		call, cancel := context.WithTimeout(ctx, pollTimeout)
 		resp, err := caller.Call(call, "controllers", "GET", wire.PathJobs+"/"+job, nil)
 		cancel()
 		status, s := 0, wire.JobStatus{}
@@ -334,7 +334,7 @@
 			u.Judge.Cancelled(job)
 			return
 		}
-		u.Judge.Asked(time.Now(), job, status, s.Stage)
+		u.Judge.ObservePoll(time.Now(), job, status, s.Stage)
 		wait(ctx, pollEvery)
 	}
 }
--- a/internal/simulator/liveness_test.go
+++ b/internal/simulator/liveness_test.go
@@ -24,10 +24,10 @@
 		"in quiet, not for long enough":                 {0, 74 * time.Second, 0, ""},
 		"troubles last for a while, quiet is too short": {70 * time.Second, 140 * time.Second, 140 * time.Second, ""},
 	} {
-		var f Forgotten
+		var f LivenessChecker
 		begun := time.Unix(1000, 0)
 		if c.over >= 0 {
-			f.Over(begun.Add(c.over))
+			f.SetQuietSince(begun.Add(c.over))
 		}
 		f.Accepted(begun, "wk-1")
 		f.Accepted(begun, "wk-2")
@@ -37,14 +37,14 @@
 			if at > 0 && at <= vain {
 				status = 503
 			}
-			f.Asked(begun.Add(at), job, status, wire.Running)
+			f.ObservePoll(begun.Add(at), job, status, wire.Running)
 		}
 		for at := time.Duration(0); at < 4*time.Minute; at += 5 * time.Second {
 			ask("wk-1", at, c.vain)
 			ask("wk-2", at, c.others)
 			ask("wk-3", at, c.others)
 		}
-		got := strings.Join(f.Broken(), "\n")
+		got := strings.Join(f.Violations(), "\n")
 		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", name, got)
 		}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -22,40 +22,40 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// Net is a network of hosts, named by their IP addresses, in memory.
-type Net struct {
-	mu        sync.Mutex
-	listeners map[string]listener
-	down      map[string]bool
-	cut       map[[2]string]bool
-	zones     map[string]string  // of hosts
-	apart     map[string]int     // how many cuts each zone is behind
-	lost      map[[2]string]bool // packets one way
-	still     map[string]time.Time
-	slow      map[string]func() time.Duration
-	full      map[string]bool // hosts that take no connection
-	mute      map[string]bool // hosts that get none out
-	conns     map[*conn]bool
-	copies    func(from, to string) time.Duration
-	watch     func(from string, p []byte)
+// Network is a network of hosts, named by their IP addresses, in memory.
+type Network struct {
+	mu             sync.Mutex
+	listeners      map[string]listener
+	downHosts      map[string]bool
+	partitions     map[[2]string]bool
+	zones          map[string]string  // of hosts
+	isolatedZones  map[string]int     // how many cuts each zone is behind
+	dropped        map[[2]string]bool // packets one way
+	pausedUntil    map[string]time.Time
+	stepDelay      map[string]func() time.Duration
+	refuseInbound  map[string]bool // hosts that take no connection
+	refuseOutbound map[string]bool // hosts that get none out
+	conns          map[*conn]bool
+	duplicate      func(from, to string) time.Duration
+	observe        func(from string, p []byte)
 }
 
 type listener struct {
-	life  *Life
-	ctx   context.Context
-	serve transport.ServeConn
-	conns int // that may be open, 0 for any number
-	open  *int
-	turn  transport.Turn
+	incarnation *Incarnation
+	ctx         context.Context
+	serve       transport.ServeConn
+	conns       int // that may be open, 0 for any number
+	open        *int
+	screen      transport.Rejecter
 }
 
-// first is a connection of which the first bytes were read ahead.
-type first struct {
+// prefetchedConn is a connection of which the first bytes were read ahead.
+type prefetchedConn struct {
 	net.Conn
 	bytes []byte
 }
 
-func (f *first) Read(p []byte) (int, error) {
+func (f *prefetchedConn) Read(p []byte) (int, error) {
 	if len(f.bytes) > 0 {
 		n := copy(p, f.bytes)
 		f.bytes = f.bytes[n:]
@@ -66,17 +66,17 @@
 
 // serveFirst serves a connection unless its peer is turned away by its first bytes.
 func (l *listener) serveFirst(in net.Conn) {
-	if l.turn != nil {
+	if l.screen != nil {
 		b := make([]byte, 4096)
 		n, err := in.Read(b)
 		if err != nil {
 			return
 		}
-		if answer := l.turn(b[:n]); answer != nil {
+		if answer := l.screen(b[:n]); answer != nil {
 			_, _ = in.Write(answer)
 			return
 		}
-		in = &first{in, b[:n]}
+		in = &prefetchedConn{in, b[:n]}
 	}
 	l.serve(l.ctx, &stream{Conn: in})
 }
@@ -86,15 +86,15 @@
 	net.Conn
 	from, to    string
 	local, peer string
-	net         *Net
-	addr        string // that was dialled
-	life        *Life  // of the end's host
+	net         *Network
+	addr        string       // that was dialled
+	incarnation *Incarnation // of the end's host
 	other       *conn
-	held        *held // under the network's lock
+	held        *heldBytes // under the network's lock
 }
 
-// held is what the network keeps of what was sent on a connection.
-type held struct {
+// heldBytes is what the network keeps of what was sent on a connection.
+type heldBytes struct {
 	bytes  []byte
 	closed bool // the sender has given up
 }
@@ -102,7 +102,7 @@
 // Read gives what has come once the host gets round to it.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.net.hold(c.local)
+	c.net.waitForHost(c.local)
 	return n, err
 }
 
@@ -110,14 +110,14 @@
 // what the network holds.
 func (c *conn) Write(p []byte) (int, error) {
 	c.net.mu.Lock()
-	watch := c.net.watch
+	watch := c.net.observe
 	c.net.mu.Unlock()
 	if watch != nil {
 		watch(c.local, p)
 	}
-	c.net.hold(c.local)
+	c.net.waitForHost(c.local)
 	c.net.mu.Lock()
-	lost, copies := c.net.lost[[2]string{c.local, c.peer}], c.net.copies
+	lost, copies := c.net.dropped[[2]string{c.local, c.peer}], c.net.duplicate
 	if c.held != nil && c.held.closed {
 		c.net.mu.Unlock()
 		return 0, net.ErrClosed
@@ -129,7 +129,7 @@
 	c.net.mu.Unlock()
 	if copies != nil && c.local == c.from {
 		if late := copies(c.local, c.addr); late > 0 {
-			c.net.again(c.local, c.addr, slices.Clone(p), late)
+			c.net.redeliver(c.local, c.addr, slices.Clone(p), late)
 		}
 	}
 	if lost {
@@ -138,9 +138,9 @@
 	return c.Conn.Write(p)
 }
 
-// again has what a host sent arrive once more, on a connection of its own. Nobody reads the
+// redeliver has what a host sent arrive once more, on a connection of its own. Nobody reads the
 // answer.
-func (n *Net) again(from, addr string, p []byte, late time.Duration) {
+func (n *Network) redeliver(from, addr string, p []byte, late time.Duration) {
 	time.AfterFunc(late, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -160,35 +160,35 @@
 	time.AfterFunc(10*time.Second, func() { c.Close() })
 }
 
-// Copies has some of what is sent to an address arrive again, so much later as the
+// Duplicate has some of what is sent to an address arrive again, so much later as the
 // function says, 0 for not.
-func (n *Net) Copies(late func(from, addr string) time.Duration) {
+func (n *Network) Duplicate(late func(from, addr string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.copies = late
+	n.duplicate = late
 }
 
-// Watch has somebody see whatever hosts send, at the moment at which they do so: what the network
+// Observe has somebody see whatever hosts send, at the moment at which they do so: what the network
 // then holds, delays or loses too.
-func (n *Net) Watch(see func(from string, p []byte)) {
+func (n *Network) Observe(see func(from string, p []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.watch = see
+	n.observe = see
 }
 
 // Hold keeps what a host sends from now on over the connections that it has, and delivers it
 // after a while, also if the host has gone and is back meanwhile.
-func (n *Net) Hold(host string, d time.Duration) {
+func (n *Network) Hold(host string, d time.Duration) {
 	n.HoldTo(host, func(string) bool { return true }, d)
 }
 
 // HoldTo does so with what it sends to some hosts.
-func (n *Net) HoldTo(host string, to func(peer string) bool, d time.Duration) {
+func (n *Network) HoldTo(host string, to func(peer string) bool, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.local == host && c.held == nil && to(c.peer) {
-			c.held = &held{}
+			c.held = &heldBytes{}
 			time.AfterFunc(d, c.release)
 		}
 	}
@@ -215,10 +215,10 @@
 	}
 }
 
-// hold waits while a host stands still, and for as long as its steps take.
-func (n *Net) hold(host string) {
+// waitForHost waits while a host stands still, and for as long as its steps take.
+func (n *Network) waitForHost(host string) {
 	n.mu.Lock()
-	still, slow := max(0, time.Until(n.still[host])), n.slow[host]
+	still, slow := max(0, time.Until(n.pausedUntil[host])), n.stepDelay[host]
 	n.mu.Unlock()
 	if slow != nil {
 		still += slow()
@@ -228,42 +228,42 @@
 	}
 }
 
-// Still makes a host stand still for a while: what it reads, it reads late, and what it
+// Pause makes a host stand still for a while: what it reads, it reads late, and what it
 // writes or dials leaves late, as when a process gets no processor.
-func (n *Net) Still(host string, d time.Duration) {
+func (n *Network) Pause(host string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.still[host] = time.Now().Add(d)
+	n.pausedUntil[host] = time.Now().Add(d)
 }
 
-// Slow makes each step of a host take as long as it says; nil ends that.
-func (n *Net) Slow(host string, step func() time.Duration) {
+// SetStepDelay makes each step of a host take as long as it says; nil ends that.
+func (n *Network) SetStepDelay(host string, step func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[host] = step
+	n.stepDelay[host] = step
 }
 
-// Full makes a host refuse every connection, and ends those that came in.
-func (n *Net) Full(host string, full bool) {
+// RefuseInbound makes a host refuse every connection, and ends those that came in.
+func (n *Network) RefuseInbound(host string, full bool) {
 	n.mu.Lock()
-	n.full[host] = full
+	n.refuseInbound[host] = full
 	n.mu.Unlock()
-	n.end(func(c *conn) bool { return full && c.to == host })
+	n.closeConns(func(c *conn) bool { return full && c.to == host })
 }
 
-// Mute lets a host open no connection, and ends those that it has opened.
-func (n *Net) Mute(host string, mute bool) {
+// RefuseOutbound lets a host open no connection, and ends those that it has opened.
+func (n *Network) RefuseOutbound(host string, mute bool) {
 	n.mu.Lock()
-	n.mute[host] = mute
+	n.refuseOutbound[host] = mute
 	n.mu.Unlock()
-	n.end(func(c *conn) bool { return mute && c.from == host })
+	n.closeConns(func(c *conn) bool { return mute && c.from == host })
 }
 
-// Lose loses what one host sends to another, and nothing the other way.
-func (n *Net) Lose(from, to string, lose bool) {
+// DropOneWay loses what one host sends to another, and nothing the other way.
+func (n *Network) DropOneWay(from, to string, lose bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lost[[2]string{from, to}] = lose
+	n.dropped[[2]string{from, to}] = lose
 }
 
 func (c *conn) Close() error {
@@ -293,55 +293,57 @@
 	return s.Conn.Read(p)
 }
 
-// NewNet gives an empty network.
-func NewNet() *Net {
-	return &Net{listeners: map[string]listener{}, down: map[string]bool{}, cut: map[[2]string]bool{}, zones: map[string]string{}, apart: map[string]int{},
-		lost: map[[2]string]bool{}, still: map[string]time.Time{}, slow: map[string]func() time.Duration{},
-		full: map[string]bool{}, mute: map[string]bool{}, conns: map[*conn]bool{}}
+// NewNetwork gives an empty network.
+func NewNetwork() *Network {
+	return &Network{listeners: map[string]listener{}, downHosts: map[string]bool{}, partitions: map[[2]string]bool{}, zones: map[string]string{}, isolatedZones: map[string]int{},
+		dropped: map[[2]string]bool{}, pausedUntil: map[string]time.Time{}, stepDelay: map[string]func() time.Duration{},
+		refuseInbound: map[string]bool{}, refuseOutbound: map[string]bool{}, conns: map[*conn]bool{}}
 }
 
 // Host is the network as one host sees it.
 type Host struct {
-	net  *Net
-	name string
-	life *Life
+	net         *Network
+	name        string
+	incarnation *Incarnation
 }
 
 // Host gives the view of the host with an IP address.
-func (n *Net) Host(ip string) Host { return Host{n, ip, nil} }
+func (n *Network) Host(ip string) Host { return Host{n, ip, nil} }
 
-// Life is one run of a process on a host, which may have several, also at the same time.
-type Life struct{ over atomic.Bool }
+// Incarnation is one run of a process on a host, which may have several, also at the same time.
+type Incarnation struct{ ended atomic.Bool }
 
-// Live begins a life on a host.
-func (n *Net) Live(ip string) Host { return Host{n, ip, new(Life)} }
+// StartIncarnation begins a life on a host.
+func (n *Network) StartIncarnation(ip string) Host { return Host{n, ip, new(Incarnation)} }
 
 // End ends a host's life with its connections: it is not heard again, but for what is held.
 func (h Host) End() {
-	h.life.over.Store(true)
-	h.net.end(func(c *conn) bool { return c.life == h.life || c.other.life == h.life })
+	h.incarnation.ended.Store(true)
+	h.net.closeConns(func(c *conn) bool { return c.incarnation == h.incarnation || c.other.incarnation == h.incarnation })
 }
 
 // Reset ends all connections of a host.
-func (n *Net) Reset(host string) { n.end(func(c *conn) bool { return c.from == host || c.to == host }) }
+func (n *Network) Reset(host string) {
+	n.closeConns(func(c *conn) bool { return c.from == host || c.to == host })
+}
 
 // HostOf gives the host of an address.
 func HostOf(addr string) string { return strings.Split(addr, ":")[0] }
 
-func (n *Net) severed(a, b string) bool {
+func (n *Network) partitioned(a, b string) bool {
 	za, zb := n.zones[a], n.zones[b]
-	return n.down[a] || n.down[b] || n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}] || za != zb && n.apart[za]+n.apart[zb] > 0
+	return n.downHosts[a] || n.downHosts[b] || n.partitions[[2]string{a, b}] || n.partitions[[2]string{b, a}] || za != zb && n.isolatedZones[za]+n.isolatedZones[zb] > 0
 }
 
 // Listen implements transport.Network.
 func (h Host) Listen(ctx context.Context, addr string, conns int, serve transport.ServeConn) error {
-	return h.ListenTurning(ctx, addr, conns, serve, nil)
+	return h.ListenRejecting(ctx, addr, conns, serve, nil)
 }
 
-// ListenTurning implements transport.Turner.
-func (h Host) ListenTurning(ctx context.Context, addr string, conns int, serve transport.ServeConn, turn transport.Turn) error {
+// ListenRejecting implements transport.Turner.
+func (h Host) ListenRejecting(ctx context.Context, addr string, conns int, serve transport.ServeConn, turn transport.Rejecter) error {
 	h.net.mu.Lock()
-	h.net.listeners[addr] = listener{h.life, ctx, serve, conns, new(int), turn}
+	h.net.listeners[addr] = listener{h.incarnation, ctx, serve, conns, new(int), turn}
 	h.net.mu.Unlock()
 	<-ctx.Done()
 	return nil
@@ -359,21 +361,21 @@
 
 func (h Host) dial(ctx context.Context, addr string) (*conn, error) {
 	n, to := h.net, HostOf(addr)
-	n.hold(h.name)
+	n.waitForHost(h.name)
 	n.mu.Lock()
 	l, ok := n.listeners[addr]
-	severed := n.severed(h.name, to) || n.lost[[2]string{h.name, to}] || n.lost[[2]string{to, h.name}]
-	full := ok && l.conns > 0 && *l.open >= l.conns || n.full[to] && h.name != to || n.mute[h.name]
+	severed := n.partitioned(h.name, to) || n.dropped[[2]string{h.name, to}] || n.dropped[[2]string{to, h.name}]
+	full := ok && l.conns > 0 && *l.open >= l.conns || n.refuseInbound[to] && h.name != to || n.refuseOutbound[h.name]
 	n.mu.Unlock()
 	if severed {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if !ok || full || l.ctx.Err() != nil || h.life != nil && h.life.over.Load() {
+	if !ok || full || l.ctx.Err() != nil || h.incarnation != nil && h.incarnation.ended.Load() {
 		return nil, errors.New("connection refused")
 	}
 	a, b := net.Pipe()
-	out, in := &conn{Conn: a, from: h.name, to: to, local: h.name, peer: to, net: n, addr: addr, life: h.life}, &conn{Conn: b, from: h.name, to: to, local: to, peer: h.name, net: n, life: l.life}
+	out, in := &conn{Conn: a, from: h.name, to: to, local: h.name, peer: to, net: n, addr: addr, incarnation: h.incarnation}, &conn{Conn: b, from: h.name, to: to, local: to, peer: h.name, net: n, incarnation: l.incarnation}
 	out.other, in.other = in, out
 	n.mu.Lock()
 	n.conns[out], n.conns[in] = true, true
@@ -391,13 +393,13 @@
 	return out, nil
 }
 
-// reset closes every connection that is severed.
-func (n *Net) reset(all bool) {
-	n.end(func(c *conn) bool { return all || n.severed(c.from, c.to) })
+// closeSevered closes every connection that is severed.
+func (n *Network) closeSevered(all bool) {
+	n.closeConns(func(c *conn) bool { return all || n.partitioned(c.from, c.to) })
 }
 
-// end closes the connections that are picked.
-func (n *Net) end(pick func(*conn) bool) {
+// closeConns closes the connections that are picked.
+func (n *Network) closeConns(pick func(*conn) bool) {
 	n.mu.Lock()
 	var gone []*conn
 	for c := range n.conns {
@@ -411,51 +413,51 @@
 	}
 }
 
-// Down takes a host off the network, or brings it back.
-func (n *Net) Down(host string, down bool) {
+// SetDown takes a host off the network, or brings it back.
+func (n *Network) SetDown(host string, down bool) {
 	n.mu.Lock()
-	n.down[host] = down
+	n.downHosts[host] = down
 	n.mu.Unlock()
-	n.reset(false)
+	n.closeSevered(false)
 }
 
-// Cut severs two hosts, or joins them again.
-func (n *Net) Cut(a, b string, cut bool) {
+// Partition severs two hosts, or joins them again.
+func (n *Network) Partition(a, b string, cut bool) {
 	n.mu.Lock()
-	n.cut[[2]string{a, b}] = cut
+	n.partitions[[2]string{a, b}] = cut
 	n.mu.Unlock()
-	n.reset(false)
+	n.closeSevered(false)
 }
 
-// Place tells in which zone a host stands.
-func (n *Net) Place(host, zone string) {
+// SetZone tells in which zone a host stands.
+func (n *Network) SetZone(host, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[host] = zone
 }
 
-// Apart severs all hosts of a zone from all others, also those that are placed there later, or
+// IsolateZone severs all hosts of a zone from all others, also those that are placed there later, or
 // ends that.
-func (n *Net) Apart(zone string, apart bool) {
+func (n *Network) IsolateZone(zone string, apart bool) {
 	n.mu.Lock()
 	if apart {
-		n.apart[zone]++
+		n.isolatedZones[zone]++
 	} else {
-		n.apart[zone]--
+		n.isolatedZones[zone]--
 	}
 	n.mu.Unlock()
-	n.reset(false)
+	n.closeSevered(false)
 }
 
 // Close ends every connection.
-func (n *Net) Close() { n.reset(true) }
+func (n *Network) Close() { n.closeSevered(true) }
 
-// silence is the status of a request that gets no answer, on a connection that stays open: its
+// noAnswer is the status of a request that gets no answer, on a connection that stays open: its
 // caller learns nothing before it gives up.
-const silence = -1
+const noAnswer = -1
 
-// handler serves requests with bodies and query parameters taken apart.
-func handler(f func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
+// serveHTTP serves requests with bodies and query parameters taken apart.
+func serveHTTP(f func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
 	return func(_ context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
 		for {
@@ -469,7 +471,7 @@
 				query[k] = unescape(v)
 			}
 			status, body := f(req.Method, req.Path, query, req.Body)
-			if status == silence {
+			if status == noAnswer {
 				_, _ = io.Copy(io.Discard, s)
 				return
 			}
--- a/internal/simulator/network_test.go
+++ b/internal/simulator/network_test.go
@@ -15,7 +15,7 @@
 func TestLastWords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		n, begun, heard := NewNet(), time.Now(), []string{}
+		n, begun, heard := NewNetwork(), time.Now(), []string{}
 		go n.Host("10.0.0.2").Listen(t.Context(), "10.0.0.2:1", 0, func(_ context.Context, s transport.Stream) {
 			for b := make([]byte, 9); ; {
 				k, err := s.Read(b)
@@ -28,14 +28,14 @@
 			}
 		})
 		synctest.Wait()
-		life := n.Live("10.0.0.1")
+		life := n.StartIncarnation("10.0.0.1")
 		c, err := life.Dial(t.Context(), "10.0.0.2:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = c.Write([]byte("one"))
 		n.Hold("10.0.0.1", 3*time.Second)
-		n.Copies(func(from, _ string) time.Duration { return 9 * time.Second })
+		n.Duplicate(func(from, _ string) time.Duration { return 9 * time.Second })
 		_, _ = c.Write([]byte("two"))
 		time.Sleep(time.Second)
 		life.End()
--- a/internal/simulator/partition.go
+++ b/internal/simulator/partition.go
@@ -18,21 +18,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if deaf {
-		w.deaf++
+		w.inboundFaults++
 	} else {
-		w.deaf--
+		w.inboundFaults--
 	}
 }
 
-// hears reports whether what comes in now is heard.
-func (w *Worker) hears() bool {
+// receivesInbound reports whether what comes in now is heard.
+func (w *Worker) receivesInbound() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.deaf == 0
+	return w.inboundFaults == 0
 }
 
-func (w *Worker) dial(ctx context.Context, addr string) (net.Conn, error) {
-	if w.isMute() {
+func (w *Worker) dialLink(ctx context.Context, addr string) (net.Conn, error) {
+	if w.outboundBlocked() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -40,9 +40,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &earOut{conn, ear{w: w}}
+	c := &dialedLink{conn, link{worker: w}}
 	w.mu.Lock()
-	w.out[c] = true
+	w.dialed[c] = true
 	w.mu.Unlock()
 	return c, nil
 }
@@ -51,14 +51,14 @@
 // was open is gone. Calls to it get through. Faults that meet each count.
 func (w *Worker) Mute(mute bool) {
 	w.mu.Lock()
-	var gone []*earOut
+	var gone []*dialedLink
 	if mute {
-		w.mute++
-		for c := range w.out {
+		w.outboundFaults++
+		for c := range w.dialed {
 			gone = append(gone, c)
 		}
 	} else {
-		w.mute--
+		w.outboundFaults--
 	}
 	w.mu.Unlock()
 	for _, c := range gone {
@@ -66,164 +66,164 @@
 	}
 }
 
-func (w *Worker) isMute() bool {
+func (w *Worker) outboundBlocked() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.mute > 0
+	return w.outboundFaults > 0
 }
 
-// ear is a machine's end of a connection, on which what comes while it is deaf is lost, with all
+// link is a machine's end of a connection, on which what comes while it is deaf is lost, with all
 // that follows: without it a stream makes no sense.
-type ear struct {
-	w    *Worker
-	lost bool
+type link struct {
+	worker *Worker
+	lost   bool
 }
 
-func (e *ear) read(from io.Reader, p []byte) (int, error) {
+func (e *link) read(from io.Reader, p []byte) (int, error) {
 	for {
 		n, err := from.Read(p)
-		if e.lost = e.lost || !e.w.hears(); !e.lost || err != nil {
+		if e.lost = e.lost || !e.worker.receivesInbound(); !e.lost || err != nil {
 			return n, err
 		}
 	}
 }
 
-// earOut and earIn are those of connections that the machine has opened, and that it took.
-type earOut struct {
+// dialedLink and earIn are those of connections that the machine has opened, and that it took.
+type dialedLink struct {
 	net.Conn
-	ear
+	link
 }
 
-func (e *earOut) Close() error {
-	e.w.mu.Lock()
-	delete(e.w.out, e)
-	e.w.mu.Unlock()
+func (e *dialedLink) Close() error {
+	e.worker.mu.Lock()
+	delete(e.worker.dialed, e)
+	e.worker.mu.Unlock()
 	return e.Conn.Close()
 }
 
-func (e *earOut) Read(p []byte) (int, error) { return e.read(e.Conn, p) }
+func (e *dialedLink) Read(p []byte) (int, error) { return e.read(e.Conn, p) }
 
-type earIn struct {
+type acceptedLink struct {
 	transport.Stream
-	ear
+	link
 }
 
-func (e *earIn) Read(p []byte) (int, error) { return e.read(e.Stream, p) }
+func (e *acceptedLink) Read(p []byte) (int, error) { return e.read(e.Stream, p) }
 
-// Echo has copies of some of the workers' reports arrive again: from 2 s to well over a lease
+// HeartbeatReplayer has copies of some of the workers' reports arrive again: from 2 s to well over a lease
 // later, at the same controller or another, also when their machine is gone; or once a new leader
 // has acted, there. Nobody reads the answer.
-type Echo struct {
-	Dial  func(ctx context.Context, addr string) (net.Conn, error)
-	Nodes []string // addresses of the controllers
-	Most  time.Duration
-	Rand  *rand.Rand
+type HeartbeatReplayer struct {
+	Dial        func(ctx context.Context, addr string) (net.Conn, error)
+	Controllers []string // addresses of the controllers
+	MaxDelay    time.Duration
+	Rand        *rand.Rand
 
-	mu    sync.Mutex
-	share float64
-	keep  float64 // share of which copies are kept for the next leader
-	came  int
-	anew  int    // of them, those that were kept for a leader
-	term  uint64 // of the last leader that acted
-	kept  []keptReport
+	mu                   sync.Mutex
+	share                float64
+	keepShare            float64 // share of which copies are kept for the next leader
+	delivered            int
+	deliveredToNewLeader int    // of them, those that were kept for a leader
+	token                uint64 // of the last leader that acted
+	kept                 []keptHeartbeat
 }
 
-// keptReport is a copy of a report whose worker had seen a term.
-type keptReport struct {
-	body []byte
-	term uint64
+// keptHeartbeat is a copy of a report whose worker had seen a term.
+type keptHeartbeat struct {
+	body  []byte
+	token uint64
 }
 
-// mostKept bounds the copies that are kept, the newest of them.
-const mostKept = 2000
+// maxKept bounds the copies that are kept, the newest of them.
+const maxKept = 2000
 
-// ForNext sets of which share of the reports a copy is kept from now on until a new leader has
+// KeepForNextLeader sets of which share of the reports a copy is kept from now on until a new leader has
 // acted, apart from those that Share has come back.
-func (e *Echo) ForNext(share float64) {
+func (e *HeartbeatReplayer) KeepForNextLeader(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keep = share
+	e.keepShare = share
 }
 
-// acts tells that a worker has taken an answer of a controller with a term. The first of a new
+// leaderAnswered tells that a worker has taken an answer of a controller with a term. The first of a new
 // leader has the copies of reports from before come to it.
-func (e *Echo) acts(at string, term uint64) {
+func (e *HeartbeatReplayer) leaderAnswered(at string, term uint64) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if term <= e.term {
+	if term <= e.token {
 		return
 	}
-	e.term = term
-	var rest []keptReport
+	e.token = term
+	var rest []keptHeartbeat
 	for _, k := range e.kept {
-		if k.term >= term {
+		if k.token >= term {
 			rest = append(rest, k)
 			continue
 		}
-		e.deliver(at, k.body, time.Duration(e.Rand.Int64N(int64(nextWithin))), &e.anew)
+		e.replay(at, k.body, time.Duration(e.Rand.Int64N(int64(newLeaderDelay))), &e.deliveredToNewLeader)
 	}
 	e.kept = rest
 }
 
-// nextWithin is how soon copies that were kept come to the next leader.
-const nextWithin = 500 * time.Millisecond
+// newLeaderDelay is how soon copies that were kept come to the next leader.
+const newLeaderDelay = 500 * time.Millisecond
 
-// Share sets of which share of the reports a copy is to arrive from now on.
-func (e *Echo) Share(share float64) {
+// SetShare sets of which share of the reports a copy is to arrive from now on.
+func (e *HeartbeatReplayer) SetShare(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.share = share
 }
 
-// CameAnew tells how many were delivered to a leader that had just acted.
-func (e *Echo) CameAnew() int {
+// DeliveredToNewLeader tells how many were delivered to a leader that had just acted.
+func (e *HeartbeatReplayer) DeliveredToNewLeader() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.anew
+	return e.deliveredToNewLeader
 }
 
-// Came tells how many copies were delivered.
-func (e *Echo) Came() int {
+// Delivered tells how many copies were delivered.
+func (e *HeartbeatReplayer) Delivered() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.came
+	return e.delivered
 }
 
-// sent takes in a report that goes to a controller.
-func (e *Echo) sent(to string, body []byte, term uint64) {
+// heartbeatSent takes in a report that goes to a controller.
+func (e *HeartbeatReplayer) heartbeatSent(to string, body []byte, term uint64) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.keep > 0 && e.Rand.Float64() < e.keep {
-		e.kept = append(e.kept, keptReport{body, term})
-		e.kept = e.kept[max(0, len(e.kept)-mostKept):]
+	if e.keepShare > 0 && e.Rand.Float64() < e.keepShare {
+		e.kept = append(e.kept, keptHeartbeat{body, term})
+		e.kept = e.kept[max(0, len(e.kept)-maxKept):]
 	}
 	if e.share <= 0 || e.Rand.Float64() >= e.share {
 		return
 	}
 	const least = 2 * time.Second
-	late := least + time.Duration(e.Rand.Int64N(int64(max(e.Most-least, time.Second))))
+	late := least + time.Duration(e.Rand.Int64N(int64(max(e.MaxDelay-least, time.Second))))
 	if e.Rand.IntN(2) == 0 {
-		to = e.Nodes[e.Rand.IntN(len(e.Nodes))]
+		to = e.Controllers[e.Rand.IntN(len(e.Controllers))]
 	}
-	e.deliver(to, body, late, nil)
+	e.replay(to, body, late, nil)
 }
 
-// deliver has a copy arrive a while later, and counts it, also where that is asked for.
-func (e *Echo) deliver(to string, body []byte, late time.Duration, also *int) {
+// replay has a copy arrive a while later, and counts it, also where that is asked for.
+func (e *HeartbeatReplayer) replay(to string, body []byte, late time.Duration, also *int) {
 	time.AfterFunc(late, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 		defer cancel()
-		caller := &transport.Caller{Limit: 8 << 20, Dial: e.Dial}
-		if _, err := caller.Call(ctx, to, "POST", wire.PathReport, body); err == nil {
+		caller := &transport.Caller{MaxBody: 8 << 20, Dial: e.Dial}
+		if _, err := caller.Call(ctx, to, "POST", wire.PathHeartbeat, body); err == nil {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.came++; also != nil {
+			if e.delivered++; also != nil {
 				*also++
 			}
 		}
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -14,27 +14,27 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// answering is two controllers that answer every report, and keep it.
-type answering struct {
+// recordingController is two controllers that answer every report, and keep it.
+type recordingController struct {
 	mu  sync.Mutex
-	got map[string][]wire.Report
+	got map[string][]wire.Heartbeat
 }
 
-func (a *answering) serve(node string) transport.ServeConn {
-	return handler(func(_, _ string, _ map[string]string, body []byte) (int, any) {
-		var r wire.Report
+func (a *recordingController) serve(node string) transport.ServeConn {
+	return serveHTTP(func(_, _ string, _ map[string]string, body []byte) (int, any) {
+		var r wire.Heartbeat
 		_ = wire.Decode(body, &r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.got[node] = append(a.got[node], r)
-		return 200, wire.Answer{Term: 1, Commands: []wire.Command{}}
+		return 200, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}
 	})
 }
 
-func (a *answering) take() (out map[string][]wire.Report) {
+func (a *recordingController) take() (out map[string][]wire.Heartbeat) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out, a.got = a.got, map[string][]wire.Report{}
+	out, a.got = a.got, map[string][]wire.Heartbeat{}
 	return out
 }
 
@@ -43,30 +43,30 @@
 // arrive at both controllers, as old as they are.
 func TestDeaf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNet(), &answering{got: map[string][]wire.Report{}}
+		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
 		nodes := map[string]string{"c-0": "10.0.0.1:8080", "c-1": "10.0.0.2:8080"}
-		echo := &Echo{Dial: n.Host("10.4.0.1").Dial, Most: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
+		echo := &HeartbeatReplayer{Dial: n.Host("10.4.0.1").Dial, MaxDelay: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
 		for name, addr := range nodes {
 			go n.Host(HostOf(addr)).Listen(ctx, addr, 0, a.serve(name))
-			echo.Nodes = append(echo.Nodes, addr)
+			echo.Controllers = append(echo.Controllers, addr)
 		}
 		time.Sleep(time.Second)
-		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), Down: func() {},
-			Yard: NewYard(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: nodes, Lease: 20 * time.Second, Report: 2 * time.Second, Echo: echo})
+		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {},
+			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: nodes, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second, Replayer: echo})
 		direct := func() (int, error) {
 			ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 			defer cancel()
-			resp, err := (&transport.Caller{Limit: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.1.0.1:9000", "POST", wire.PathDirect,
-				wire.Encode(wire.Direct{Term: 7, Session: 1, Commands: []wire.Command{}}))
+			resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.1.0.1:9000", "POST", wire.PathCommands,
+				wire.Encode(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: []wire.Command{}}))
 			if err != nil {
 				return 0, err
 			}
 			return resp.Status, nil
 		}
 		time.Sleep(15 * time.Second)
-		if got := a.take(); w.Lost() > 0 || len(got["c-0"]) < 5 || len(got["c-1"]) > 0 {
-			t.Errorf("%d sessions lost, %v", w.Lost(), got)
+		if got := a.take(); w.ExpiredLeases() > 0 || len(got["c-0"]) < 5 || len(got["c-1"]) > 0 {
+			t.Errorf("%d sessions lost, %v", w.ExpiredLeases(), got)
 		}
 		w.Deaf(true)
 		time.Sleep(15 * time.Second)
@@ -75,25 +75,25 @@
 		}
 		time.Sleep(15 * time.Second)
 		got := a.take()
-		if w.Lost() != 1 || len(got["c-0"]) < 2 || len(got["c-1"]) < 2 {
-			t.Errorf("%d sessions lost, %v", w.Lost(), got)
+		if w.ExpiredLeases() != 1 || len(got["c-0"]) < 2 || len(got["c-1"]) < 2 {
+			t.Errorf("%d sessions lost, %v", w.ExpiredLeases(), got)
 		}
 		for _, reports := range got {
 			for _, r := range reports {
-				if r.Term != 1 {
+				if r.FencingToken != 1 {
 					t.Errorf("it has heard: %+v", r)
 				}
 			}
 		}
 		w.Deaf(false)
 		time.Sleep(25 * time.Second)
-		if status, err := direct(); status != 409 || w.Lost() > 2 { // the session is another
-			t.Errorf("answered %d, %v, %d sessions lost", status, err, w.Lost())
+		if status, err := direct(); status != 409 || w.ExpiredLeases() > 2 { // the session is another
+			t.Errorf("answered %d, %v, %d sessions lost", status, err, w.ExpiredLeases())
 		}
-		before := w.Lost()
-		echo.Share(1)
+		before := w.ExpiredLeases()
+		echo.SetShare(1)
 		time.Sleep(10 * time.Second)
-		echo.Share(0)
+		echo.SetShare(0)
 		a.take()
 		time.Sleep(5 * time.Second)
 		w.Kill()
@@ -102,11 +102,11 @@
 		last := map[string]bool{}
 		for node, reports := range got {
 			for _, r := range reports {
-				last[node] = last[node] || r.Session == uint64(before)+1
+				last[node] = last[node] || r.Incarnation == uint64(before)+1
 			}
 		}
-		if echo.Came() < 4 || !last["c-0"] || !last["c-1"] {
-			t.Errorf("%d copies, %v", echo.Came(), got)
+		if echo.Delivered() < 4 || !last["c-0"] || !last["c-1"] {
+			t.Errorf("%d copies, %v", echo.Delivered(), got)
 		}
 		stop()
 		n.Close()
@@ -118,11 +118,11 @@
 // mute any more it reports again.
 func TestMute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNet(), &answering{got: map[string][]wire.Report{}}
+		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
-		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), Down: func() {},
-			Yard: NewYard(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, Report: 2 * time.Second})
+		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {},
+			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
 		time.Sleep(5 * time.Second)
 		if got := a.take()["c-0"]; len(got) < 2 {
 			t.Errorf("%d reports", len(got))
@@ -131,13 +131,13 @@
 		time.Sleep(15 * time.Second)
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		resp, err := (&transport.Caller{Limit: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(call, "10.1.0.1:9000", "POST", wire.PathDirect, wire.Encode(wire.Direct{Term: 7, Session: 1}))
+		resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(call, "10.1.0.1:9000", "POST", wire.PathCommands, wire.Encode(wire.CommandRequest{FencingToken: 7, Incarnation: 1}))
 		if err != nil || resp.Status != 200 {
 			t.Errorf("a direct command: %v, %v", resp, err)
 		}
 		time.Sleep(6 * time.Second)
-		if got := a.take()["c-0"]; len(got) > 0 || w.Lost() != 1 {
-			t.Errorf("%d reports came, %d sessions lost", len(got), w.Lost())
+		if got := a.take()["c-0"]; len(got) > 0 || w.ExpiredLeases() != 1 {
+			t.Errorf("%d reports came, %d sessions lost", len(got), w.ExpiredLeases())
 		}
 		w.Mute(false)
 		time.Sleep(10 * time.Second)
@@ -155,30 +155,30 @@
 // next one as soon as it has.
 func TestForNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := NewNet()
+		n := NewNetwork()
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var old int
 		term := uint64(1)
-		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, handler(func(_, _ string, _ map[string]string, body []byte) (int, any) {
-			var r wire.Report
+		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, serveHTTP(func(_, _ string, _ map[string]string, body []byte) (int, any) {
+			var r wire.Heartbeat
 			_ = wire.Decode(body, &r)
 			mu.Lock()
 			defer mu.Unlock()
-			if r.Term == 1 && term == 2 {
+			if r.FencingToken == 1 && term == 2 {
 				old++
 			}
-			return 200, wire.Answer{Term: term, Commands: []wire.Command{}}
+			return 200, wire.HeartbeatResponse{FencingToken: term, Commands: []wire.Command{}}
 		}))
 		time.Sleep(time.Second)
-		echo := &Echo{Dial: n.Host("10.4.0.1").Dial, Nodes: []string{"10.0.0.1:8080"}, Most: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
-		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), Down: func() {}, Echo: echo,
-			Yard: NewYard(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, Report: 2 * time.Second})
+		echo := &HeartbeatReplayer{Dial: n.Host("10.4.0.1").Dial, Controllers: []string{"10.0.0.1:8080"}, MaxDelay: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
+		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {}, Replayer: echo,
+			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
 		time.Sleep(5 * time.Second)
-		echo.ForNext(1)
+		echo.KeepForNextLeader(1)
 		time.Sleep(time.Minute)
-		echo.ForNext(0)
-		if echo.Came() > 0 {
+		echo.KeepForNextLeader(0)
+		if echo.Delivered() > 0 {
 			t.Error("they came while the same leader acted")
 		}
 		mu.Lock()
@@ -187,8 +187,8 @@
 		time.Sleep(3 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		if echo.Came() < 25 || old < echo.Came() {
-			t.Errorf("%d copies came, %d of them old", echo.Came(), old)
+		if echo.Delivered() < 25 || old < echo.Delivered() {
+			t.Errorf("%d copies came, %d of them old", echo.Delivered(), old)
 		}
 		w.Kill()
 		stop()
@@ -202,21 +202,21 @@
 // answer is lost is carried out at once.
 func TestLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, s := NewNet(), NewStore(1, 0)
+		n, s := NewNetwork(), NewStateService(1, 0)
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve())
 		time.Sleep(time.Second)
 		put := func(key string, version uint64) (int, error) {
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			resp, err := (&transport.Caller{Limit: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.2.0.1:2379", "POST", wire.PathTxn,
-				wire.Encode(wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: "x"}}}))
+			resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.2.0.1:2379", "POST", wire.PathTxn,
+				wire.Encode(wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Operation{{Put: key, Value: "x"}}}))
 			if err != nil {
 				return 0, err
 			}
 			return resp.Status, nil
 		}
-		s.Stage(func(s *Store) { s.Later = 1 })
+		s.Configure(func(s *StateService) { s.DelayedShare = 1 })
 		for _, key := range []string{"a", "b"} {
 			if status, err := put(key, 0); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%s was answered %d, %v", key, status, err)
@@ -225,18 +225,18 @@
 		if items := s.Page("", "", 0).Items; len(items) > 0 {
 			t.Errorf("carried out at once: %v", items)
 		}
-		s.Stage(func(s *Store) { s.Later = 0 })
+		s.Configure(func(s *StateService) { s.DelayedShare = 0 })
 		if status, err := put("a", 0); status != 200 {
 			t.Errorf("a newer one was answered %d, %v", status, err)
 		}
-		s.Stage(func(s *Store) { s.Unheard = 1 })
-		if status, err := put("c", 0); !errors.Is(err, os.ErrDeadlineExceeded) || len(s.Page("c", "", 0).Items) != 1 || s.TakenUnheard() != 1 {
+		s.Configure(func(s *StateService) { s.LostReplyShare = 1 })
+		if status, err := put("c", 0); !errors.Is(err, os.ErrDeadlineExceeded) || len(s.Page("c", "", 0).Items) != 1 || s.LostReplyCount() != 1 {
 			t.Errorf("one that is taken at once was answered %d, %v", status, err)
 		}
-		s.Stage(func(s *Store) { s.Unheard = 0 })
+		s.Configure(func(s *StateService) { s.LostReplyShare = 0 })
 		time.Sleep(12 * time.Second)
 		items := s.Page("", "", 0).Items
-		if late, taken := s.PutOff(); late != 2 || taken != 1 || len(items) != 3 || items[0].Version != 1 || items[1].Version != 3 {
+		if late, taken := s.DelayedCounts(); late != 2 || taken != 1 || len(items) != 3 || items[0].Version != 1 || items[1].Version != 3 {
 			t.Errorf("%d late, %d taken, %v", late, taken, items)
 		}
 		stop()
@@ -249,13 +249,13 @@
 // when it goes on.
 func TestHangEndsWithTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNet(), &answering{got: map[string][]wire.Report{}}
+		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		check := NewChecker(time.Minute, nil)
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
 		time.Sleep(time.Second)
-		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), Down: func() {}, Spec: wire.MachineType{CPUs: 4, GPUs: 4, MemoryGB: 4},
-			Yard: NewYard(check, time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, Report: 2 * time.Second})
+		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {}, Spec: wire.MachineType{CPUs: 4, GPUs: 4, MemoryGB: 4},
+			Runtime: NewTaskRuntime(check, time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
 		check.Submitted(&wire.Job{ID: "wk-1", Shape: wire.Array, Tasks: 1, CPUs: 1}, time.Hour)
 		time.Sleep(5 * time.Second)
 		w.mu.Lock()
--- a/internal/simulator/service_test.go
+++ b/internal/simulator/service_test.go
@@ -15,20 +15,20 @@
 
 // services are a state service and a cloud that a trace calls.
 type services struct {
-	store  *Store
+	store  *StateService
 	cloud  *Cloud
 	caller *transport.Caller
 	stop   context.CancelFunc
 }
 
-func (b *yardBench) services() *services {
+func (b *runtimeBench) services() *services {
 	if b.serves != nil {
 		return b.serves
 	}
-	s := &services{store: NewStore(1, 0), caller: &transport.Caller{Limit: 1 << 20, Dial: b.net.Host("10.0.0.1").Dial}}
-	s.store.Limits = Limits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, Kept: 4}
-	s.cloud = &Cloud{Types: []wire.MachineType{{Name: "g4", Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}, RPS: 5, Lag: 2 * time.Second,
-		Rooms: map[Offer]int{{"g4", "a", false}: 2, {"g4", "a", true}: 1}, Rand: rand.New(rand.NewPCG(1, 1)),
+	s := &services{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: b.net.Host("10.0.0.1").Dial}}
+	s.store.Limits = StateLimits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, RetainedChanges: 4}
+	s.cloud = &Cloud{Types: []wire.MachineType{{Name: "g4", Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}, RPS: 5, ListLag: 2 * time.Second,
+		CapacityByOffer: map[Offer]int{{"g4", "a", false}: 2, {"g4", "a", true}: 1}, Rand: rand.New(rand.NewPCG(1, 1)),
 		Start: func(id, addr, typ, zone string, spot bool) Machine { return nothing{} }}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -69,7 +69,7 @@
 }
 
 // service takes the steps that call the state service and the cloud.
-func (b *yardBench) service(w []string, kv map[string]string) []string {
+func (b *runtimeBench) service(w []string, kv map[string]string) []string {
 	s := b.services()
 	tell := func(status int, body wire.Raw) []string {
 		if status == 0 {
@@ -93,10 +93,10 @@
 		}
 		lease, _ := strconv.ParseUint(kv["lease"], 10, 64)
 		for _, p := range pairs(kv["put"]) {
-			t.Then = append(t.Then, wire.Change{Put: p[0], Value: strings.Repeat(p[1], max(1, n)), Lease: lease})
+			t.Then = append(t.Then, wire.Operation{Put: p[0], Value: strings.Repeat(p[1], max(1, n)), Lease: lease})
 		}
 		for _, p := range pairs(kv["drop"]) {
-			t.Then = append(t.Then, wire.Change{Delete: p[0]})
+			t.Then = append(t.Then, wire.Operation{Delete: p[0]})
 		}
 		return state("POST", wire.PathTxn, t)
 	case "get":
@@ -104,7 +104,7 @@
 	case "list":
 		return state("GET", wire.KeysPath(w[2], kv["from"], n), nil)
 	case "grant":
-		return state("POST", wire.PathLeases, wire.LeaseGrant{TTLms: int64(n)})
+		return state("POST", wire.PathLeases, wire.LeaseGrantRequest{TTLms: int64(n)})
 	case "touch":
 		return state("POST", wire.RenewPath(uint64(n)), nil)
 	case "end":
@@ -112,23 +112,23 @@
 	case "watch":
 		from, _ := strconv.ParseUint(kv["from"], 10, 64)
 		d, _ := time.ParseDuration(kv["wait"])
-		return append(state("GET", wire.ChangesPath(w[2], from, d), nil), "at "+time.Since(b.begun).String())
+		return append(state("GET", wire.WatchPath(w[2], from, d), nil), "at "+time.Since(b.startedAt).String())
 	case "down", "up":
-		s.store.Outage(w[1] == "down")
+		s.store.SetOutage(w[1] == "down")
 	case "rent":
-		return cloud("POST", wire.PathRentals, wire.Rental{Ask: w[2], Type: "g4", Zone: "a", Spot: kv["spot"] != "", Count: n})
+		return cloud("POST", wire.PathRentals, wire.ScaleOutRequest{RequestID: w[2], Type: "g4", Zone: "a", Spot: kv["spot"] != "", Count: n})
 	case "machines":
 		return cloud("GET", wire.PathRentals+"?limit="+strconv.Itoa(max(n, 1))+"&from="+kv["from"], nil)
 	case "release":
 		return cloud("POST", wire.PathRelease, wire.MachineNames{Machines: w[2:]})
 	case "dies":
-		s.cloud.Die(w[2])
+		s.cloud.Crash(w[2])
 	case "taken":
-		s.cloud.TakeBack(w[2], 0)
+		s.cloud.Preempt(w[2], 0)
 	case "trouble":
-		s.cloud.Fail(func(f *CloudFaults) { f.Trouble = w[2] == "on" })
+		s.cloud.SetFaults(func(f *CloudFaults) { f.Unavailable = w[2] == "on" })
 	case "spent":
-		cost, machines := s.cloud.Spent()
+		cost, machines := s.cloud.Cost()
 		return []string{fmt.Sprintf("%.3f for %d machines", cost, machines)}
 	default:
 		b.t.Fatalf("no such call: %v", w)
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -13,20 +13,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// waitsInQuiet is for how long a job may wait by the users' rules, once all troubles are over,
+// starvationLimit is for how long a job may wait by the users' rules, once all troubles are over,
 // "while a machine that fits has room and its team is under its limit".
-const waitsInQuiet = 90 * time.Second
+const starvationLimit = 90 * time.Second
 
-// Place is a machine as it stands: what it is, what of it is free, and which tasks take the rest.
-type Place struct {
-	Machine, Type, Zone string
-	Spot                bool
-	CPUs, GPUs, Memory  float64 // that are free
-	Cache               float64 // GB of images, 0 for any
-	Tasks               []wire.TaskID
+// MachineState is a machine as it stands: what it is, what of it is free, and which tasks take the rest.
+type MachineState struct {
+	Machine, Type, Zone              string
+	Spot                             bool
+	FreeCPUs, FreeGPUs, FreeMemoryGB float64 // that are free
+	CacheGB                          float64 // GB of images, 0 for any
+	Tasks                            []wire.TaskID
 }
 
-// Room judges whether jobs wait while there is room for them. It is pure: what it knows of jobs,
+// StarvationChecker judges whether jobs wait while there is room for them. It is pure: what it knows of jobs,
 // machines and times comes in, every few seconds.
 //
 // A job waits while no task of it is on any machine, fetching ones counted. A machine has room for
@@ -38,31 +38,31 @@
 // last 12 s (what becomes free is taken by another job sooner), and all 90 s through there must be
 // such room: for one task more of an array or a service, for all tasks of a gang, in the zones
 // that the job allows, and within what its team's limit leaves in each sample.
-type Room struct {
-	Limits map[string]Limit // of teams
+type StarvationChecker struct {
+	Limits map[string]TeamLimit // of teams
 
-	mu     sync.Mutex
-	over   time.Time
-	waits  map[string]*waiting
-	broken []string
-	partly []string
+	mu               sync.Mutex
+	quietSince       time.Time
+	waitingJobs      map[string]*waitingJob
+	violations       []string
+	partiallyStarved []string
 }
 
-// waiting is a job with tasks that are nowhere while there has been room for them.
-type waiting struct {
-	since  time.Time
-	idle   bool             // no task of it is anywhere
-	recent []map[string]int // for how many tasks each machine had room in the last samples
-	judged bool
+// waitingJob is a job with tasks that are nowhere while there has been room for them.
+type waitingJob struct {
+	since       time.Time
+	nothingRuns bool             // no task of it is anywhere
+	recentSlots []map[string]int // for how many tasks each machine had room in the last samples
+	reported    bool
 }
 
-// steadySamples is for how many samples room must be there to count.
-const steadySamples = 5
+// stableSampleCount is for how many samples room must be there to count.
+const stableSampleCount = 5
 
-// steady is what room there was in all of the last samples.
-func (w *waiting) steady() map[string]int {
-	out := maps.Clone(w.recent[0])
-	for _, slots := range w.recent[1:] {
+// stableSlots is what room there was in all of the last samples.
+func (w *waitingJob) stableSlots() map[string]int {
+	out := maps.Clone(w.recentSlots[0])
+	for _, slots := range w.recentSlots[1:] {
 		for m, n := range out {
 			out[m] = min(n, slots[m])
 		}
@@ -70,49 +70,49 @@
 	return out
 }
 
-// Wants is a job as its users know it.
-type Wants struct {
+// PendingJob is a job as its users know it.
+type PendingJob struct {
 	Job      *wire.Job
 	Finished func(index int) bool
-	On       map[int]string // zones of its tasks that are somewhere, by index
+	Placed   map[int]string // zones of its tasks that are somewhere, by index
 }
 
-// Over tells since when all troubles are over; a zero time means that there are some.
-func (r *Room) Over(since time.Time) {
+// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+func (r *StarvationChecker) SetQuietSince(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over, r.waits = since, nil
+	r.quietSince, r.waitingJobs = since, nil
 }
 
-// Quiet reports whether all troubles are over.
-func (r *Room) Quiet(now time.Time) bool {
+// IsQuiet reports whether all troubles are over.
+func (r *StarvationChecker) IsQuiet(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.over.IsZero() && !now.Before(r.over)
+	return !r.quietSince.IsZero() && !now.Before(r.quietSince)
 }
 
 // Sample takes in how machines stand, which jobs are accepted and not over, and what teams use.
-func (r *Room) Sample(now time.Time, places []Place, jobs []Wants, used map[string]Limit) {
+func (r *StarvationChecker) Sample(now time.Time, places []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over.IsZero() || now.Before(r.over) {
+	if r.quietSince.IsZero() || now.Before(r.quietSince) {
 		return
 	}
-	before := r.waits
-	r.waits = make(map[string]*waiting)
+	before := r.waitingJobs
+	r.waitingJobs = make(map[string]*waitingJob)
 	for _, w := range jobs {
 		j := w.Job
 		missing := 0
 		for i := range j.Tasks {
-			if _, on := w.On[i]; !on && !w.Finished(i) {
+			if _, on := w.Placed[i]; !on && !w.Finished(i) {
 				missing++
 			}
 		}
-		idle, need := len(w.On) == 0, 1
+		idle, need := len(w.Placed) == 0, 1
 		if j.Shape == wire.Gang {
 			need = j.Tasks
 		}
-		if missing < need || r.Limits[j.Team].left(used[j.Team], j) < need {
+		if missing < need || r.Limits[j.Team].remainingTasks(used[j.Team], j) < need {
 			continue
 		}
 		slots, zones := map[string]int{}, map[string]string{}
@@ -121,41 +121,41 @@
 				slots[p.Machine], zones[p.Machine] = n, p.Zone
 			}
 		}
-		k := &waiting{since: now, idle: idle, recent: []map[string]int{slots}}
-		if b := before[j.ID]; b != nil && b.idle == idle {
-			b.recent = append(b.recent, slots)
-			if b.recent = b.recent[max(0, len(b.recent)-steadySamples):]; fits(j, need, b.steady(), zones, w.On) {
+		k := &waitingJob{since: now, nothingRuns: idle, recentSlots: []map[string]int{slots}}
+		if b := before[j.ID]; b != nil && b.nothingRuns == idle {
+			b.recentSlots = append(b.recentSlots, slots)
+			if b.recentSlots = b.recentSlots[max(0, len(b.recentSlots)-stableSampleCount):]; fits(j, need, b.stableSlots(), zones, w.Placed) {
 				k = b
 			}
 		}
-		if !fits(j, need, k.steady(), zones, w.On) {
+		if !fits(j, need, k.stableSlots(), zones, w.Placed) {
 			continue
 		}
-		r.waits[j.ID] = k
-		if waits := now.Sub(k.since); waits >= waitsInQuiet && !k.judged {
-			k.judged = true
-			text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, w.On, waits, k.steady())
+		r.waitingJobs[j.ID] = k
+		if waits := now.Sub(k.since); waits >= starvationLimit && !k.reported {
+			k.reported = true
+			text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, w.Placed, waits, k.stableSlots())
 			if idle {
-				r.broken = append(r.broken, text)
+				r.violations = append(r.violations, text)
 			} else {
-				r.partly = append(r.partly, text)
+				r.partiallyStarved = append(r.partiallyStarved, text)
 			}
 		}
 	}
 }
 
-// dust is what sums of amounts are wrong by.
-const dust = 1e-6
+// epsilon is what sums of amounts are wrong by.
+const epsilon = 1e-6
 
 // slots tells how many tasks of a job there is room for.
-func (p *Place) slots(j *wire.Job) int {
-	if p.Spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, p.Type) || j.Zone != "" && j.Zone != p.Zone || p.Cache > 0 && j.ImageGB > p.Cache {
+func (p *MachineState) slots(j *wire.Job) int {
+	if p.Spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, p.Type) || j.Zone != "" && j.Zone != p.Zone || p.CacheGB > 0 && j.ImageGB > p.CacheGB {
 		return 0
 	}
 	n := math.Inf(1)
-	for _, x := range [][2]float64{{p.CPUs, j.CPUs}, {p.GPUs, j.GPUs}, {p.Memory, j.MemoryGB}} {
+	for _, x := range [][2]float64{{p.FreeCPUs, j.CPUs}, {p.FreeGPUs, j.GPUs}, {p.FreeMemoryGB, j.MemoryGB}} {
 		if x[1] > 0 {
-			n = min(n, math.Floor((x[0]+dust)/x[1]))
+			n = min(n, math.Floor((x[0]+epsilon)/x[1]))
 		}
 	}
 	return int(min(max(n, 0), wire.MaxTasks))
@@ -186,52 +186,52 @@
 	return sum >= need
 }
 
-// Broken lists the jobs that waited while there was room.
-func (r *Room) Broken() []string {
+// Violations lists the jobs that waited while there was room.
+func (r *StarvationChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.broken)
+	return slices.Clone(r.violations)
 }
 
-// Partly lists the jobs of which some tasks did, while others ran. No rule speaks of these.
-func (r *Room) Partly() []string {
+// PartiallyStarved lists the jobs of which some tasks did, while others ran. No rule speaks of these.
+func (r *StarvationChecker) PartiallyStarved() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.partly)
+	return slices.Clone(r.partiallyStarved)
 }
 
 // Place tells how the machine stands; ok is false while nothing can be started there.
-func (w *Worker) Place() (p Place, ok bool) {
+func (w *Worker) Place() (p MachineState, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.spec
-	p = Place{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, CPUs: s.CPUs, GPUs: s.GPUs, Memory: s.MemoryGB, Cache: s.CacheGB}
+	p = MachineState{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, FreeCPUs: s.CPUs, FreeGPUs: s.GPUs, FreeMemoryGB: s.MemoryGB, CacheGB: s.CacheGB}
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		if t := w.tasks[key]; t.State != wire.TaskEnded {
 			p.Tasks = append(p.Tasks, t.ID)
 			if t.job != nil {
-				p.CPUs, p.GPUs, p.Memory = p.CPUs-t.job.CPUs, p.GPUs-t.job.GPUs, p.Memory-t.job.MemoryGB
+				p.FreeCPUs, p.FreeGPUs, p.FreeMemoryGB = p.FreeCPUs-t.job.CPUs, p.FreeGPUs-t.job.GPUs, p.FreeMemoryGB-t.job.MemoryGB
 			}
 		}
 	}
-	return p, w.ctx.Err() == nil && w.notice.IsZero() && w.deaf == 0 && w.mute == 0 && time.Until(w.hangs) <= 0 && time.Since(w.answered) < w.lease
+	return p, w.ctx.Err() == nil && w.takenAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
 }
 
-// samples is how often the machines are looked at.
-const samples = 3 * time.Second
+// sampleInterval is how often the machines are looked at.
+const sampleInterval = 3 * time.Second
 
-// Watch looks at a cloud's machines until the context ends.
-func (c *Checker) Watch(ctx context.Context, cloud *Cloud) {
+// WatchMachines looks at a cloud's machines until the context ends.
+func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
 	for ctx.Err() == nil {
-		wait(ctx, samples)
-		if now := time.Now(); ctx.Err() == nil && c.Room.Quiet(now) {
-			c.look(now, cloud)
+		wait(ctx, sampleInterval)
+		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsQuiet(now) {
+			c.sampleMachines(now, cloud)
 		}
 	}
 }
 
-func (c *Checker) look(now time.Time, cloud *Cloud) {
-	var places []Place
+func (c *Checker) sampleMachines(now time.Time, cloud *Cloud) {
+	var places []MachineState
 	on := map[string]map[int]string{}
 	put := func(t wire.TaskID, zone string) {
 		if on[t.Job] == nil {
@@ -239,8 +239,8 @@
 		}
 		on[t.Job][t.Index] = zone
 	}
-	cloud.Each(func(_ wire.ListedMachine, m Machine) {
-		if w, is := m.(interface{ Place() (Place, bool) }); is {
+	cloud.EachRunning(func(_ wire.ListedMachine, m Machine) {
+		if w, is := m.(interface{ Place() (MachineState, bool) }); is {
 			p, ok := w.Place()
 			for _, t := range p.Tasks {
 				put(t, p.Zone)
@@ -252,44 +252,44 @@
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for t, where := range c.places {
+	for t, where := range c.placements {
 		for _, zone := range where {
 			put(t, zone)
 		}
 	}
-	used := map[string]Limit{}
+	used := map[string]TeamLimit{}
 	for id, tasks := range on {
 		if j := c.submitted[id]; j != nil {
 			u, n := used[j.Team], float64(len(tasks))
-			used[j.Team] = Limit{u.CPUs + n*j.CPUs, u.GPUs + n*j.GPUs}
+			used[j.Team] = TeamLimit{u.CPUs + n*j.CPUs, u.GPUs + n*j.GPUs}
 		}
 	}
-	var jobs []Wants
+	var jobs []PendingJob
 	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
-		if c.told[id] == "" || c.told[id].Final() || c.asked[id] {
+		if c.lastStage[id] == "" || c.lastStage[id].Final() || c.cancelRequested[id] {
 			continue
 		}
-		jobs = append(jobs, Wants{Job: c.submitted[id], On: on[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
+		jobs = append(jobs, PendingJob{Job: c.submitted[id], Placed: on[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
 	}
-	c.Room.Sample(now, places, jobs, used)
+	c.Starvation.Sample(now, places, jobs, used)
 }
 
-// Over tells all measures since when all troubles are over; a zero time means that there are some.
-func (c *Checker) Over(since time.Time) {
-	c.Known.Over(since)
-	c.Late.Over(since)
-	c.Room.Over(since)
+// SetQuietSince tells all measures since when all troubles are over; a zero time means that there are some.
+func (c *Checker) SetQuietSince(since time.Time) {
+	c.Liveness.SetQuietSince(since)
+	c.Launches.SetQuietSince(since)
+	c.Starvation.SetQuietSince(since)
 }
 
-// Limit is what a team's tasks may use at once; 0 stands for any amount.
-type Limit struct{ CPUs, GPUs float64 }
+// TeamLimit is what a team's tasks may use at once; 0 stands for any amount.
+type TeamLimit struct{ CPUs, GPUs float64 }
 
-// left tells for how many tasks more of a job a limit leaves room.
-func (l Limit) left(used Limit, j *wire.Job) int {
+// remainingTasks tells for how many tasks more of a job a limit leaves room.
+func (l TeamLimit) remainingTasks(used TeamLimit, j *wire.Job) int {
 	n := math.Inf(1)
 	for _, x := range [][3]float64{{l.CPUs, used.CPUs, j.CPUs}, {l.GPUs, used.GPUs, j.GPUs}} {
 		if x[0] > 0 && x[2] > 0 {
-			n = min(n, math.Floor((x[0]-x[1]+dust)/x[2]))
+			n = min(n, math.Floor((x[0]-x[1]+epsilon)/x[2]))
 		}
 	}
 	return int(cmp.Or(min(max(n, 0), wire.MaxTasks), 0))
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -27,62 +27,62 @@
 	return wire.Encode(v)
 }
 
-// Limits are what the state service holds its callers to; 0 stands for none.
-type Limits struct {
-	RPS, WriteRPS float64 // with bursts of one second's worth
-	ValueBytes    int
-	TxnOps        int // and four times as many conditions
-	PageItems     int // 1000 if it is 0
-	Kept          int // changes that are remembered, 10,000 if it is 0
+// StateLimits are what the state service holds its callers to; 0 stands for none.
+type StateLimits struct {
+	RPS, WriteRPS   float64 // with bursts of one second's worth
+	ValueBytes      int
+	TxnOps          int // and four times as many conditions
+	PageItems       int // 1000 if it is 0
+	RetainedChanges int // changes that are remembered, 10,000 if it is 0
 }
 
 // What a transaction, a page and a lease may take, and the length of a key.
 const (
-	mostWait     = 60_000 // ms of a watch
-	leastTTL     = 100
-	mostTTL      = 600_000
-	maxKey       = 200
+	maxWatchMS   = 60_000 // ms of a watch
+	minTTLMS     = 100
+	maxTTLMS     = 600_000
+	maxKeyBytes  = 200
 	maxTxnBytes  = 64 << 10
 	maxPageBytes = 512 << 10
 )
 
-// Store is a stand-in of the state service.
-type Store struct {
+// StateService is a stand-in of the state service.
+type StateService struct {
 	Rand   *rand.Rand
-	Limits Limits
-	// Holds, if it is set, picks transactions that are held up without an answer,
+	Limits StateLimits
+	// HoldTxn, if it is set, picks transactions that are held up without an answer,
 	// until Release.
-	Holds func(puts []string) bool
-	// Delay, if it is set, gives the time that an answer takes.
-	Delay func() time.Duration
-	Lossy float64
-	// Later is the share of the transactions that get no answer and are carried out 2 to 12 s
+	HoldTxn func(puts []string) bool
+	// ResponseDelay, if it is set, gives the time that an answer takes.
+	ResponseDelay func() time.Duration
+	LossShare     float64
+	// DelayedShare is the share of the transactions that get no answer and are carried out 2 to 12 s
 	// later, after newer ones.
-	Later float64
-	// Unheard is the share of the transactions that are carried out at once, and of which only
+	DelayedShare float64
+	// LostReplyShare is the share of the transactions that are carried out at once, and of which only
 	// the answer is lost.
-	Unheard float64
-	// Took, if it is set, is told the keys of each transaction that was carried out.
-	Took func(puts []string)
-	// Meets, if it is set, says what becomes of a transaction with such values.
-	Meets func(puts map[string]wire.Raw) Fate
-	held  []txn
-
-	mu       sync.Mutex
-	down     bool
-	refused  map[string]bool // callers that get 503 while others are served
-	revision uint64
-	items    btree.Map[string, wire.Item]
-	log      []wire.Event
-	cut      uint64 // revision up to which changes were forgotten
-	leases   map[uint64]*lease
-	changed  chan struct{}
-	writes   int
-	requests int
-	rps, wps *rate.Limiter
-
-	late, lateTaken int // transactions that were put off, and those of them that were taken
-	unheard         int // that were taken at once without an answer
+	LostReplyShare float64
+	// OnCommit, if it is set, is told the keys of each transaction that was carried out.
+	OnCommit func(puts []string)
+	// FateOf, if it is set, says what becomes of a transaction with such values.
+	FateOf   func(puts map[string]wire.Raw) Fate
+	heldTxns []txn
+
+	mu                sync.Mutex
+	down              bool
+	refused           map[string]bool // callers that get 503 while others are served
+	revision          uint64
+	items             btree.Map[string, wire.KeyValue]
+	log               []wire.Event
+	compactedRevision uint64 // revision up to which changes were forgotten
+	leases            map[uint64]*lease
+	changed           chan struct{}
+	writes            int
+	requests          int
+	rps, wps          *rate.Limiter
+
+	delayed, delayedCommitted int // transactions that were put off, and those of them that were taken
+	lostReplies               int // that were taken at once without an answer
 }
 
 // Fate is what becomes of a transaction.
@@ -90,18 +90,18 @@
 
 // The fates of transactions. Whoever asked gets an answer only to the first.
 const (
-	Answered Fate = iota
-	Lost          // it is never carried out
-	Late          // it is after a second
-	Taken         // it is at once
+	FateAnswered  Fate = iota
+	FateDropped        // it is never carried out
+	FateDelayed        // it is after a second
+	FateReplyLost      // it is at once
 )
 
-// meet has a transaction meet its fate, of which the caller learns nothing for a moment.
-func (s *Store) meet(t txn, f Fate) (int, any) {
+// applyFate has a transaction meet its fate, of which the caller learns nothing for a moment.
+func (s *StateService) applyFate(t txn, f Fate) (int, any) {
 	switch f {
-	case Taken:
+	case FateReplyLost:
 		s.commit(t)
-	case Late:
+	case FateDelayed:
 		time.AfterFunc(time.Second, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -119,14 +119,14 @@
 	end time.Time
 }
 
-// NewStore gives an empty store with a fixed seed. The share lossy of all
+// NewStateService gives an empty store with a fixed seed. The share lossy of all
 // transactions gets no answer; half of these are not carried out until later.
-func NewStore(seed uint64, lossy float64) *Store {
-	return &Store{Lossy: lossy, Rand: rand.New(rand.NewPCG(seed, 1)), leases: map[uint64]*lease{}, changed: make(chan struct{})}
+func NewStateService(seed uint64, lossy float64) *StateService {
+	return &StateService{LossShare: lossy, Rand: rand.New(rand.NewPCG(seed, 1)), leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-// Stage changes what is staged while the store serves.
-func (s *Store) Stage(change func(*Store)) {
+// Configure changes what is staged while the store serves.
+func (s *StateService) Configure(change func(*StateService)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
@@ -134,21 +134,21 @@
 
 // Counts tells how many requests there were, how many changes were taken, and how
 // many keys there are.
-func (s *Store) Counts() (requests, changes, keys int) {
+func (s *StateService) Counts() (requests, changes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests, s.writes, s.items.Len()
 }
 
-// Forget makes every watch that begins before now too old.
-func (s *Store) Forget() {
+// DropHistory makes every watch that begins before now too old.
+func (s *StateService) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log, s.cut = nil, s.revision
+	s.log, s.compactedRevision = nil, s.revision
 }
 
-// over reports whether a limiter refuses n more at once.
-func over(l **rate.Limiter, limit float64, n int) bool {
+// exceeds reports whether a limiter refuses n more at once.
+func exceeds(l **rate.Limiter, limit float64, n int) bool {
 	if limit <= 0 {
 		return false
 	}
@@ -158,8 +158,8 @@
 	return !(*l).AllowN(time.Now(), n)
 }
 
-// Outage begins or ends an outage; after one every lease has its full time.
-func (s *Store) Outage(down bool) {
+// SetOutage begins or ends an outage; after one every lease has its full time.
+func (s *StateService) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -169,7 +169,7 @@
 }
 
 // expire ends leases that were not renewed.
-func (s *Store) expire() {
+func (s *StateService) expire() {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if l := s.leases[id]; !s.down && time.Now().After(l.end) {
 			s.endLease(id)
@@ -177,12 +177,12 @@
 	}
 }
 
-func (s *Store) endLease(id uint64) {
+func (s *StateService) endLease(id uint64) {
 	delete(s.leases, id)
-	var then []wire.Change
-	s.items.Scan(func(key string, it wire.Item) bool {
+	var then []wire.Operation
+	s.items.Scan(func(key string, it wire.KeyValue) bool {
 		if it.Lease == id {
-			then = append(then, wire.Change{Delete: key})
+			then = append(then, wire.Operation{Delete: key})
 		}
 		return true
 	})
@@ -192,7 +192,7 @@
 	}
 }
 
-func (s *Store) apply(then []wire.Change) {
+func (s *StateService) apply(then []wire.Operation) {
 	s.revision++
 	s.writes += len(then)
 	for _, c := range then {
@@ -201,12 +201,12 @@
 			s.log = append(s.log, wire.Event{Delete: c.Delete, Version: s.revision})
 			continue
 		}
-		it := wire.Item{Key: c.Put, Value: wire.Encode(c.Value), Version: s.revision, Lease: c.Lease}
+		it := wire.KeyValue{Key: c.Put, Value: wire.Encode(c.Value), Version: s.revision, Lease: c.Lease}
 		s.items.Set(c.Put, it)
 		s.log = append(s.log, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
-	if kept := cmp.Or(s.Limits.Kept, 10_000); len(s.log) > 2*kept {
-		s.cut = s.log[len(s.log)-kept-1].Version
+	if kept := cmp.Or(s.Limits.RetainedChanges, 10_000); len(s.log) > 2*kept {
+		s.compactedRevision = s.log[len(s.log)-kept-1].Version
 		s.log = slices.Clone(s.log[len(s.log)-kept:])
 	}
 	close(s.changed)
@@ -243,21 +243,21 @@
 	return out
 }
 
-// Release carries out what was held up, and tells how many were taken.
-func (s *Store) Release() (taken int) {
+// ReleaseHeld carries out what was held up, and tells how many were taken.
+func (s *StateService) ReleaseHeld() (taken int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.held {
+	for _, t := range s.heldTxns {
 		if status, _ := s.commit(t); status == 200 {
 			taken++
 		}
 	}
-	s.held = nil
+	s.heldTxns = nil
 	return taken
 }
 
 // malformed says what of a transaction is over the limits. Sizes count as JSON.
-func (s *Store) malformed(t txn) string {
+func (s *StateService) malformed(t txn) string {
 	ops, sum := s.Limits.TxnOps, 0
 	if ops > 0 && (len(t.Then) > ops || len(t.If) > 4*ops) {
 		return fmt.Sprintf("%d changes, %d conditions", len(t.Then), len(t.If))
@@ -285,7 +285,9 @@
 	return ""
 }
 
-func validKey(key string) bool { return key != "" && len(key) <= maxKey && !strings.Contains(key, " ") }
+func validKey(key string) bool {
+	return key != "" && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
+}
 
 // jsonSize counts a CBOR value as JSON; what JSON has no form for is refused.
 func jsonSize(raw wire.Raw) (int, error) {
@@ -324,7 +326,7 @@
 }
 
 // Commit carries out a transaction at once, past limits and faults.
-func (s *Store) Commit(t wire.Txn) (status int, result wire.TxnResult) {
+func (s *StateService) Commit(t wire.Txn) (status int, result wire.TxnResult) {
 	var in txn
 	if err := wire.Decode(wire.Encode(t), &in); err != nil {
 		panic(err) // the formats of wire always decode
@@ -337,7 +339,7 @@
 }
 
 // Page lists keys and Since gives changes, past limits and faults.
-func (s *Store) Page(prefix, after string, limit int) *wire.ItemList {
+func (s *StateService) Page(prefix, after string, limit int) *wire.KeyValueList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.list(prefix, after, limit)
@@ -345,23 +347,23 @@
 }
 
 // Since gives the changes after a revision, or false if they were forgotten.
-func (s *Store) Since(prefix string, from uint64) (*wire.Changes, bool) {
+func (s *StateService) Since(prefix string, from uint64) (*wire.WatchResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since(prefix, from)
 }
 
-func (s *Store) commit(t txn) (int, any) {
+func (s *StateService) commit(t txn) (int, any) {
 	s.expire()
 	if why := s.malformed(t); why != "" {
 		return 400, wire.Failure{Error: why}
 	}
-	var then []wire.Change
+	var then []wire.Operation
 	for _, c := range t.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return 400, wire.Failure{Error: "no such lease"}
 		}
-		then = append(then, wire.Change{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
+		then = append(then, wire.Operation{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
 	}
 	var failed []string
 	for _, c := range t.If {
@@ -374,15 +376,15 @@
 	}
 	if len(then) > 0 {
 		s.apply(then)
-		if s.Took != nil {
-			s.Took(t.puts())
+		if s.OnCommit != nil {
+			s.OnCommit(t.puts())
 		}
 	}
 	return 200, wire.TxnResult{Failed: []string{}, Revision: s.revision}
 }
 
-// Refuse has the store answer one caller with 503, and serve the others.
-func (s *Store) Refuse(caller string, refuse bool) {
+// RefuseCaller has the store answer one caller with 503, and serve the others.
+func (s *StateService) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refused == nil {
@@ -392,24 +394,24 @@
 }
 
 // Serve answers the protocol of the state service.
-func (s *Store) Serve() transport.ServeConn { return s.ServeTo("") }
+func (s *StateService) Serve() transport.ServeConn { return s.ServeCaller("") }
 
-// ServeTo answers one caller, who can be refused.
-func (s *Store) ServeTo(caller string) transport.ServeConn {
-	return handler(func(method, path string, q map[string]string, body []byte) (int, any) {
+// ServeCaller answers one caller, who can be refused.
+func (s *StateService) ServeCaller(caller string) transport.ServeConn {
+	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
 		s.mu.Lock()
-		delay := s.Delay
+		delay := s.ResponseDelay
 		s.mu.Unlock()
 		if delay != nil {
 			time.Sleep(delay())
 		}
 		s.mu.Lock()
 		s.requests++
-		if !s.down && over(&s.rps, s.Limits.RPS, 1) {
+		if !s.down && exceeds(&s.rps, s.Limits.RPS, 1) {
 			s.mu.Unlock()
 			return 429, nil
 		}
-		if path == wire.PathChanges {
+		if path == wire.PathWatch {
 			s.mu.Unlock()
 			return s.watch(caller, q)
 		}
@@ -427,43 +429,43 @@
 			if why := s.malformed(t); why != "" {
 				return 400, wire.Failure{Error: why}
 			}
-			if over(&s.wps, s.Limits.WriteRPS, len(t.Then)) {
+			if exceeds(&s.wps, s.Limits.WriteRPS, len(t.Then)) {
 				return 429, nil
 			}
-			if s.Holds != nil && s.Holds(t.puts()) {
-				s.held = append(s.held, t)
+			if s.HoldTxn != nil && s.HoldTxn(t.puts()) {
+				s.heldTxns = append(s.heldTxns, t)
 				return 0, nil
 			}
-			if s.Meets != nil {
-				if f := s.Meets(t.values()); f != Answered {
-					return s.meet(t, f)
+			if s.FateOf != nil {
+				if f := s.FateOf(t.values()); f != FateAnswered {
+					return s.applyFate(t, f)
 				}
 			}
-			if s.Later > 0 && s.Rand.Float64() < s.Later {
-				return s.putOff(t)
+			if s.DelayedShare > 0 && s.Rand.Float64() < s.DelayedShare {
+				return s.delayTxn(t)
 			}
-			if s.Unheard > 0 && s.Rand.Float64() < s.Unheard {
+			if s.LostReplyShare > 0 && s.Rand.Float64() < s.LostReplyShare {
 				if status, _ := s.commit(t); status == 200 {
-					s.unheard++
+					s.lostReplies++
 				}
-				return silence, nil
+				return noAnswer, nil
 			}
-			if s.Rand.Float64() < s.Lossy {
-				return s.lose(t)
+			if s.Rand.Float64() < s.LossShare {
+				return s.loseReply(t)
 			}
 			return s.commit(t)
 		case path == wire.PathKeys:
 			limit, _ := strconv.Atoi(q["limit"])
 			return 200, s.list(q["prefix"], q["from"], limit)
 		case path == wire.PathLeases:
-			var g wire.LeaseGrant
-			if err := wire.Decode(body, &g); err != nil || g.TTLms < leastTTL || g.TTLms > mostTTL {
+			var g wire.LeaseGrantRequest
+			if err := wire.Decode(body, &g); err != nil || g.TTLms < minTTLMS || g.TTLms > maxTTLMS {
 				return 400, wire.Failure{Error: "ttl_ms: 100 to 600,000"}
 			}
 			s.revision++
 			ttl := time.Duration(g.TTLms) * time.Millisecond
 			s.leases[s.revision] = &lease{ttl, time.Now().Add(ttl)}
-			return 200, wire.LeaseID{Lease: s.revision}
+			return 200, wire.LeaseGrantResponse{Lease: s.revision}
 		}
 		if key, ok := strings.CutPrefix(path, wire.PathKeys+"/"); ok {
 			if it, found := s.items.Get(key); found {
@@ -482,12 +484,12 @@
 		case word == wire.RenewWord:
 			l.end = time.Now().Add(l.ttl)
 		}
-		return 200, wire.LeaseID{Lease: id}
+		return 200, wire.LeaseGrantResponse{Lease: id}
 	})
 }
 
-// lose swallows the answer to a transaction; half of them are applied late.
-func (s *Store) lose(t txn) (int, any) {
+// loseReply swallows the answer to a transaction; half of them are applied late.
+func (s *StateService) loseReply(t txn) (int, any) {
 	if s.Rand.IntN(2) == 0 {
 		s.commit(t)
 		return 0, nil
@@ -500,43 +502,43 @@
 	return 0, nil
 }
 
-// putOff carries a transaction out after newer ones. Its caller hears nothing.
-func (s *Store) putOff(t txn) (int, any) {
+// delayTxn carries a transaction out after newer ones. Its caller hears nothing.
+func (s *StateService) delayTxn(t txn) (int, any) {
 	const least, most = 2 * time.Second, 12 * time.Second
-	s.late++
+	s.delayed++
 	time.AfterFunc(least+time.Duration(s.Rand.Int64N(int64(most-least))), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if status, _ := s.commit(t); status == 200 {
-			s.lateTaken++
+			s.delayedCommitted++
 		}
 	})
-	return silence, nil
+	return noAnswer, nil
 }
 
-// PutOff tells how many transactions were to be carried out late, and how many of them have
+// DelayedCounts tells how many transactions were to be carried out late, and how many of them have
 // changed something.
-func (s *Store) PutOff() (late, taken int) {
+func (s *StateService) DelayedCounts() (late, taken int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late, s.lateTaken
+	return s.delayed, s.delayedCommitted
 }
 
-// TakenUnheard tells how many transactions have changed something at once and got no answer.
-func (s *Store) TakenUnheard() int {
+// LostReplyCount tells how many transactions have changed something at once and got no answer.
+func (s *StateService) LostReplyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.unheard
+	return s.lostReplies
 }
 
-func (s *Store) list(prefix, after string, limit int) wire.ItemList {
-	out := wire.ItemList{Items: []wire.Item{}, Revision: s.revision}
+func (s *StateService) list(prefix, after string, limit int) wire.KeyValueList {
+	out := wire.KeyValueList{Items: []wire.KeyValue{}, Revision: s.revision}
 	most := cmp.Or(s.Limits.PageItems, wire.MaxItems)
 	if limit > 0 {
 		most = min(most, limit)
 	}
 	bytes := 0
-	s.items.Ascend(max(prefix, after), func(key string, it wire.Item) bool {
+	s.items.Ascend(max(prefix, after), func(key string, it wire.KeyValue) bool {
 		if !strings.HasPrefix(key, prefix) {
 			return key < prefix
 		}
@@ -553,12 +555,12 @@
 	return out
 }
 
-func (s *Store) since(prefix string, from uint64) (*wire.Changes, bool) {
-	if from < s.cut {
+func (s *StateService) since(prefix string, from uint64) (*wire.WatchResponse, bool) {
+	if from < s.compactedRevision {
 		return nil, false
 	}
 	i, _ := slices.BinarySearchFunc(s.log, from+1, func(e wire.Event, v uint64) int { return cmp.Compare(e.Version, v) })
-	out := &wire.Changes{Revision: s.revision}
+	out := &wire.WatchResponse{Revision: s.revision}
 	for _, e := range s.log[i:] {
 		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
 			out.Events = append(out.Events, e)
@@ -567,10 +569,10 @@
 	return out, true
 }
 
-func (s *Store) watch(caller string, q map[string]string) (int, any) {
+func (s *StateService) watch(caller string, q map[string]string) (int, any) {
 	from, _ := strconv.ParseUint(q["from"], 10, 64)
 	wait, _ := strconv.Atoi(q["block_ms"])
-	wait = min(wait, mostWait)
+	wait = min(wait, maxWatchMS)
 	until := time.After(time.Duration(wait) * time.Millisecond)
 	for last := wait == 0; ; {
 		s.mu.Lock()
@@ -596,19 +598,19 @@
 	}
 }
 
-// Kept is the content of a store as it is kept on disk.
-type Kept struct {
+// StateSnapshot is the content of a store as it is kept on disk.
+type StateSnapshot struct {
 	Revision uint64           `cbor:"era"`
-	Items    []wire.Item      `cbor:"items"`
+	Items    []wire.KeyValue  `cbor:"items"`
 	Leases   map[uint64]int64 `cbor:"holds"` // ms that each lasts
 }
 
-// Keep gives the content, to go on with in another process.
-func (s *Store) Keep() Kept {
+// Snapshot gives the content, to go on with in another process.
+func (s *StateService) Snapshot() StateSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := Kept{Revision: s.revision, Leases: map[uint64]int64{}}
-	s.items.Scan(func(_ string, it wire.Item) bool {
+	k := StateSnapshot{Revision: s.revision, Leases: map[uint64]int64{}}
+	s.items.Scan(func(_ string, it wire.KeyValue) bool {
 		k.Items = append(k.Items, it)
 		return true
 	})
@@ -620,10 +622,10 @@
 
 // Resume puts content into an empty store. As after an outage every lease has its full time;
 // changes from before are forgotten.
-func (s *Store) Resume(k Kept) {
+func (s *StateService) Resume(k StateSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision, s.cut = k.Revision, k.Revision
+	s.revision, s.compactedRevision = k.Revision, k.Revision
 	for _, it := range k.Items {
 		s.items.Set(it.Key, it)
 	}
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -9,10 +9,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Site is what submissions are judged by: the machine types of the cloud, and the teams.
-type Site struct {
+// SubmissionRules is what submissions are judged by: the machine types of the cloud, and the teams.
+type SubmissionRules struct {
 	Types []wire.MachineType
-	Teams map[string]Limit
+	Teams map[string]TeamLimit
 }
 
 // The protocol's table of a submission's fields: what each must be, and whether it may be null.
@@ -65,7 +65,7 @@
 
 // Verdict reads a submission by the protocol's page alone: 400 for what is malformed, 422 for what
 // can never run, with the reason, and 0 for what must be accepted.
-func (s *Site) Verdict(body []byte) (status int, why string) {
+func (s *SubmissionRules) Verdict(body []byte) (status int, why string) {
 	var m map[string]any
 	if err := wire.Decode(body, &m); err != nil {
 		return 400, err.Error()
@@ -88,26 +88,26 @@
 	if !slices.ContainsFunc(s.Types, func(t wire.MachineType) bool {
 		zone, _ := m["apiary"].(string)
 		return (len(frames) == 0 || slices.Contains(frames, any(t.Name))) && (zone == "" || slices.Contains(t.Zones, zone)) &&
-			cpus <= t.CPUs+dust && gpus <= t.GPUs+dust && memory <= t.MemoryGB+dust
+			cpus <= t.CPUs+epsilon && gpus <= t.GPUs+epsilon && memory <= t.MemoryGB+epsilon
 	}) {
 		return 422, "a task fits no allowed type"
 	}
 	if m["shape"] != "sweep" {
 		at = amount("cells")
 	}
-	if limit.CPUs > 0 && at*cpus > limit.CPUs+dust || limit.GPUs > 0 && at*gpus > limit.GPUs+dust {
+	if limit.CPUs > 0 && at*cpus > limit.CPUs+epsilon || limit.GPUs > 0 && at*gpus > limit.GPUs+epsilon {
 		return 422, fmt.Sprintf("%v tasks at once are over the limit of %v", at, limit)
 	}
 	return 0, ""
 }
 
-// Answered tells what a user's submission was answered: one that must be refused must not be
+// ObserveSubmission tells what a user's submission was answered: one that must be refused must not be
 // accepted, and the other way round. What repeats the id of an accepted job may say anything.
-func (c *Checker) Answered(body []byte, status int) {
-	if len(c.Site.Types) == 0 {
+func (c *Checker) ObserveSubmission(body []byte, status int) {
+	if len(c.Submissions.Types) == 0 {
 		return
 	}
-	must, why := c.Site.Verdict(body)
+	must, why := c.Submissions.Verdict(body)
 	id := wire.SubmittedID(body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,8 +119,8 @@
 	}
 	switch accepted := status == 200 || status == 201; {
 	case accepted && must != 0 && !c.valid[id] && c.submitted[id] == nil:
-		c.breaks("accepted_wrong", "%s is answered %d: %s", id, status, why)
-	case must == 0 && (status == 400 || status == 422) && c.told[id] == "":
-		c.breaks("refused_valid", "%s is answered %d", id, status)
+		c.violate("accepted_wrong", "%s is answered %d: %s", id, status, why)
+	case must == 0 && (status == 400 || status == 422) && c.lastStage[id] == "":
+		c.violate("refused_valid", "%s is answered %d", id, status)
 	}
 }
--- a/internal/simulator/task_runtime.go
+++ b/internal/simulator/task_runtime.go
@@ -10,65 +10,65 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Ground knows how long tasks run, and is told what becomes of them. A Checker is
+// Fixture knows how long tasks run, and is told what becomes of them. A Checker is
 // one.
-type Ground interface {
-	// On tells that a task starts on a machine, and gives its run time; ok is false
+type Fixture interface {
+	// TaskStarted tells that a task starts on a machine, and gives its run time; ok is false
 	// for a job that nobody has submitted.
-	On(t wire.TaskID, machine, typ, zone string, spot bool) (run time.Duration, ok bool)
-	Off(t wire.TaskID, machine string)
-	Done(t wire.TaskID)
+	TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (run time.Duration, ok bool)
+	TaskStopped(t wire.TaskID, machine string)
+	TaskCompleted(t wire.TaskID)
 	// Describe gives a job's description.
 	Describe(job string) (*wire.Job, bool)
 }
 
-// Slow is a Ground that must look for a job before it knows: its tasks are fetching
+// LookupFixture is a Ground that must look for a job before it knows: its tasks are fetching
 // meanwhile.
-type Slow interface {
-	Ground
-	Look(ctx context.Context, t wire.TaskID) error
+type LookupFixture interface {
+	Fixture
+	LookUp(ctx context.Context, t wire.TaskID) error
 }
 
-// Yard is what the machines of a world share: where tasks keep the progress that they have
+// TaskRuntime is what the machines of a world share: where tasks keep the progress that they have
 // saved, and how those of a gang find each other.
-type Yard struct {
-	Ground
-	GangWait time.Duration // a task waits for so long for the others of its gang
-	GangPeer time.Duration // and notices within this that one is gone
+type TaskRuntime struct {
+	Fixture
+	GangWaitTimeout time.Duration // a task waits for so long for the others of its gang
+	GangPeerTimeout time.Duration // and notices within this that one is gone
 
-	mu    sync.Mutex
-	saved map[wire.TaskID]time.Duration
-	gangs map[gangKey]*gang
-	vain  map[wire.TaskID]int // fetches that were given up
+	mu               sync.Mutex
+	saved            map[wire.TaskID]time.Duration
+	gangs            map[gangKey]*gang
+	cancelledFetches map[wire.TaskID]int // fetches that were given up
 }
 
-// NewYard gives a yard on a ground.
-func NewYard(g Ground, gangWait, gangPeer time.Duration) *Yard {
-	return &Yard{Ground: g, GangWait: gangWait, GangPeer: gangPeer, saved: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, vain: map[wire.TaskID]int{}}
+// NewTaskRuntime gives a yard on a ground.
+func NewTaskRuntime(g Fixture, gangWait, gangPeer time.Duration) *TaskRuntime {
+	return &TaskRuntime{Fixture: g, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, saved: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
 }
 
-// gaveUp notes that the fetch of a task's image ended before it had come.
-func (y *Yard) gaveUp(t wire.TaskID) {
+// fetchCancelled notes that the fetch of a task's image ended before it had come.
+func (y *TaskRuntime) fetchCancelled(t wire.TaskID) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	y.vain[t]++
+	y.cancelledFetches[t]++
 }
 
-// GivenUp tells how many times the fetch of a task's image was given up, for each with any.
-func (y *Yard) GivenUp() map[wire.TaskID]int {
+// CancelledFetches tells how many times the fetch of a task's image was given up, for each with any.
+func (y *TaskRuntime) CancelledFetches() map[wire.TaskID]int {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	return maps.Clone(y.vain)
+	return maps.Clone(y.cancelledFetches)
 }
 
-// Saved tells what progress a task has saved; that of a gang is kept with its first task.
-func (y *Yard) Saved(t wire.TaskID) time.Duration {
+// SavedProgress tells what progress a task has saved; that of a gang is kept with its first task.
+func (y *TaskRuntime) SavedProgress(t wire.TaskID) time.Duration {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.saved[t]
 }
 
-func (y *Yard) save(t wire.TaskID, progress time.Duration) {
+func (y *TaskRuntime) saveProgress(t wire.TaskID, progress time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.saved[t] = max(y.saved[t], progress)
@@ -82,16 +82,16 @@
 // gang is an attempt of a gang. Its members are told what becomes of it by calls that
 // come without any lock.
 type gang struct {
-	job     *wire.Job
-	members map[int]*member
-	run     time.Duration
-	begun   time.Time // zero until all have come
-	stopped time.Time // when the first was told to stop
-	timer   *time.Timer
-	over    bool
+	job       *wire.Job
+	members   map[int]*gangMember
+	runTime   time.Duration
+	startedAt time.Time // zero until all have come
+	stopped   time.Time // when the first was told to stop
+	timer     *time.Timer
+	over      bool
 }
 
-type member struct {
+type gangMember struct {
 	saving bool
 	tell   func(event gangEvent)
 }
@@ -102,37 +102,37 @@
 const (
 	gangRuns gangEvent = iota
 	gangDone
-	gangTorn  // a task of it is gone
-	gangSaved // all were told to stop, and have saved
-	gangLost  // some were not told in time, and nothing is saved
+	gangBroken  // a task of it is gone
+	gangSaved   // all were told to stop, and have saved
+	gangUnsaved // some were not told in time, and nothing is saved
 )
 
-// join has a task wait for its gang, which begins with the last.
-func (y *Yard) join(j *wire.Job, k gangKey, index int, run time.Duration, tell func(gangEvent)) {
+// joinGang has a task wait for its gang, which begins with the last.
+func (y *TaskRuntime) joinGang(j *wire.Job, k gangKey, index int, run time.Duration, tell func(gangEvent)) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
 	if g == nil {
-		g = &gang{job: j, members: map[int]*member{}}
+		g = &gang{job: j, members: map[int]*gangMember{}}
 		y.gangs[k] = g
 	}
-	if g.over || !g.begun.IsZero() {
-		go tell(gangTorn)
+	if g.over || !g.startedAt.IsZero() {
+		go tell(gangBroken)
 		return
 	}
-	g.members[index] = &member{tell: tell}
-	if g.run = max(g.run, run); len(g.members) < j.Tasks {
+	g.members[index] = &gangMember{tell: tell}
+	if g.runTime = max(g.runTime, run); len(g.members) < j.Tasks {
 		return
 	}
-	g.begun = time.Now()
-	g.timer = time.AfterFunc(max(0, g.run-y.saved[lead(j)]), func() { y.end(g, gangDone) })
-	g.all(gangRuns)
+	g.startedAt = time.Now()
+	g.timer = time.AfterFunc(max(0, g.runTime-y.saved[leadTask(j)]), func() { y.endGang(g, gangDone) })
+	g.notifyAll(gangRuns)
 }
 
-func lead(j *wire.Job) wire.TaskID { return wire.TaskID{Job: j.ID} }
+func leadTask(j *wire.Job) wire.TaskID { return wire.TaskID{Job: j.ID} }
 
-// all tells the members, in order.
-func (g *gang) all(e gangEvent) {
+// notifyAll tells the members, in order.
+func (g *gang) notifyAll(e gangEvent) {
 	var tells []func(gangEvent)
 	indexes := make([]int, 0, len(g.members))
 	for i := range g.members {
@@ -149,20 +149,20 @@
 	}()
 }
 
-// end tells all that are left what has become of the gang, once.
-func (y *Yard) end(g *gang, e gangEvent) {
+// endGang tells all that are left what has become of the gang, once.
+func (y *TaskRuntime) endGang(g *gang, e gangEvent) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if g.over || e == gangDone && !g.stopped.IsZero() {
 		return
 	}
 	g.over = true
-	g.all(e)
+	g.notifyAll(e)
 }
 
-// leave takes a task out of its gang, without a word. Before the gang has begun another may
+// leaveGang takes a task out of its gang, without a word. Before the gang has begun another may
 // come in its place; then the others notice, and what was not saved is lost.
-func (y *Yard) leave(k gangKey, index int) {
+func (y *TaskRuntime) leaveGang(k gangKey, index int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
@@ -173,73 +173,73 @@
 	if len(g.members) == 0 {
 		delete(y.gangs, k)
 	}
-	if g.begun.IsZero() || g.over {
+	if g.startedAt.IsZero() || g.over {
 		return
 	}
 	g.timer.Stop()
-	y.fallBack(g)
-	time.AfterFunc(y.GangPeer, func() { y.end(g, gangTorn) })
+	y.keepLastCheckpoint(g)
+	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
 }
 
-// stall tells that a machine with a task of a gang that runs hangs for a while. If that is longer
+// pauseMember tells that a machine with a task of a gang that runs hangs for a while. If that is longer
 // than the others take to notice, they exit, and what was not saved is lost; else the gang
 // ends later.
-func (y *Yard) stall(k gangKey, d time.Duration) {
+func (y *TaskRuntime) pauseMember(k gangKey, d time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
-	if g == nil || g.begun.IsZero() || g.over {
+	if g == nil || g.startedAt.IsZero() || g.over {
 		return
 	}
-	if d < y.GangPeer {
-		g.begun = g.begun.Add(d)
+	if d < y.GangPeerTimeout {
+		g.startedAt = g.startedAt.Add(d)
 		if g.timer.Stop() {
-			g.timer.Reset(max(0, g.run-y.progress(g)))
+			g.timer.Reset(max(0, g.runTime-y.gangProgress(g)))
 		}
 		return
 	}
 	g.timer.Stop()
-	y.fallBack(g)
-	time.AfterFunc(y.GangPeer, func() { y.end(g, gangTorn) })
+	y.keepLastCheckpoint(g)
+	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
 }
 
-// fallBack keeps the last checkpoint of a gang that did not save.
-func (y *Yard) fallBack(g *gang) {
-	if every := wire.Seconds(g.job.CheckpointS); every > 0 && !g.begun.IsZero() {
-		t := lead(g.job)
-		y.saved[t] = max(y.saved[t], y.progress(g).Truncate(every))
+// keepLastCheckpoint keeps the last checkpoint of a gang that did not save.
+func (y *TaskRuntime) keepLastCheckpoint(g *gang) {
+	if every := wire.Seconds(g.job.CheckpointS); every > 0 && !g.startedAt.IsZero() {
+		t := leadTask(g.job)
+		y.saved[t] = max(y.saved[t], y.gangProgress(g).Truncate(every))
 	}
 }
 
-func (y *Yard) progress(g *gang) time.Duration {
+func (y *TaskRuntime) gangProgress(g *gang) time.Duration {
 	until := time.Now()
 	if !g.stopped.IsZero() {
 		until = g.stopped
 	}
-	return min(g.run, y.saved[lead(g.job)]+until.Sub(g.begun))
+	return min(g.runTime, y.saved[leadTask(g.job)]+until.Sub(g.startedAt))
 }
 
-// stop tells that a task of a running gang was told to stop with time to save; the others
+// stopMember tells that a task of a running gang was told to stop with time to save; the others
 // must be told soon. It reports whether the gang runs.
-func (y *Yard) stop(k gangKey, index int) bool {
+func (y *TaskRuntime) stopMember(k gangKey, index int) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
-	if g == nil || g.begun.IsZero() || g.over || g.members[index] == nil {
+	if g == nil || g.startedAt.IsZero() || g.over || g.members[index] == nil {
 		return false
 	}
 	g.members[index].saving = true
 	if g.stopped.IsZero() {
 		g.stopped = time.Now()
 		g.timer.Stop()
-		time.AfterFunc(y.GangPeer, func() { y.judge(g, false) })
+		time.AfterFunc(y.GangPeerTimeout, func() { y.finishSaving(g, false) })
 	}
-	time.AfterFunc(wire.Seconds(g.job.SaveS), func() { y.judge(g, true) })
+	time.AfterFunc(wire.Seconds(g.job.SaveS), func() { y.finishSaving(g, true) })
 	return true
 }
 
-// judge ends a gang that is saving: when all were told and have saved, or too late.
-func (y *Yard) judge(g *gang, inTime bool) {
+// finishSaving ends a gang that is saving: when all were told and have saved, or too late.
+func (y *TaskRuntime) finishSaving(g *gang, inTime bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	told := len(g.members) == g.job.Tasks
@@ -250,13 +250,13 @@
 	case g.over || !told && inTime:
 		return
 	case told && time.Since(g.stopped) >= wire.Seconds(g.job.SaveS):
-		t := lead(g.job)
-		y.saved[t] = max(y.saved[t], y.progress(g))
+		t := leadTask(g.job)
+		y.saved[t] = max(y.saved[t], y.gangProgress(g))
 		g.over = true
-		g.all(gangSaved)
+		g.notifyAll(gangSaved)
 	case !told:
-		y.fallBack(g)
+		y.keepLastCheckpoint(g)
 		g.over = true
-		g.all(gangLost)
+		g.notifyAll(gangUnsaved)
 	}
 }
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -8,42 +8,42 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// running is a task on a machine.
-type running struct {
+// runningTask is a task on a machine.
+type runningTask struct {
 	wire.ReportedTask
-	job   *wire.Job
-	timer *time.Timer
-	at    time.Time // when the timer goes off
-	begun time.Time
-	made  time.Duration // progress when it was stopped
-	run   time.Duration
-	on    bool // it has its image, and the ground was told
+	job       *wire.Job
+	timer     *time.Timer
+	timerAt   time.Time // when the timer goes off
+	startedAt time.Time
+	progress  time.Duration // progress when it was stopped
+	runTime   time.Duration
+	started   bool // it has its image, and the ground was told
 }
 
 // after does something once the task has gone on for a while.
-func (t *running) after(d time.Duration, do func()) {
-	t.timer, t.at = time.AfterFunc(d, do), time.Now().Add(d)
+func (t *runningTask) after(d time.Duration, do func()) {
+	t.timer, t.timerAt = time.AfterFunc(d, do), time.Now().Add(d)
 }
 
 // pause has a task that its machine does not execute go on so much later.
-func (t *running) pause(d time.Duration) {
+func (t *runningTask) pause(d time.Duration) {
 	if t.timer.Stop() {
-		t.at = t.at.Add(d)
-		t.timer.Reset(time.Until(t.at))
+		t.timerAt = t.timerAt.Add(d)
+		t.timer.Reset(time.Until(t.timerAt))
 	}
-	if !t.begun.IsZero() {
-		t.begun = t.begun.Add(d)
+	if !t.startedAt.IsZero() {
+		t.startedAt = t.startedAt.Add(d)
 	}
 }
 
-// image is one that the machine has or fetches.
-type image struct {
-	gb    float64
-	left  float64 // of these, to be fetched
-	used  time.Time
-	here  bool
-	timer *time.Timer
-	wants []func() // of the tasks that wait for it
+// cachedImage is one that the machine has or fetches.
+type cachedImage struct {
+	sizeGB      float64
+	remainingGB float64 // of these, to be fetched
+	lastUsed    time.Time
+	present     bool
+	timer       *time.Timer
+	waiters     []func() // of the tasks that wait for it
 }
 
 func (w *Worker) execute(cmds []wire.Command) {
@@ -56,61 +56,61 @@
 		t := w.tasks[key]
 		switch {
 		case c.Verb == wire.Launch && t == nil:
-			w.launch(key, id, c.Attempt)
+			w.launchTask(key, id, c.Attempt)
 		case c.Verb == wire.Stop && t != nil && t.State != wire.TaskEnded:
 			grace := time.Duration(0)
 			if c.GraceS != nil {
 				grace = wire.Seconds(*c.GraceS)
 			}
-			w.halt(t, grace)
+			w.stopTask(t, grace)
 		case c.Verb == wire.Clear && t != nil && t.State == wire.TaskEnded:
 			delete(w.tasks, key)
 		}
 	}
 }
 
-func (w *Worker) launch(key string, id wire.TaskID, attempt uint64) {
-	t := &running{ReportedTask: wire.ReportedTask{Task: id.String(), Attempt: attempt, State: wire.TaskFetching, ID: id}, timer: time.NewTimer(0)}
+func (w *Worker) launchTask(key string, id wire.TaskID, attempt uint64) {
+	t := &runningTask{ReportedTask: wire.ReportedTask{Task: id.String(), Attempt: attempt, State: wire.TaskFetching, ID: id}, timer: time.NewTimer(0)}
 	t.timer.Stop()
 	busy := false
 	for _, o := range w.tasks {
 		busy = busy || o.ID == id && o.State != wire.TaskEnded
 	}
 	w.tasks[key] = t
-	w.hurry()
-	slow, must := w.yard.Ground.(Slow)
+	w.reportSoon()
+	slow, must := w.runtime.Fixture.(LookupFixture)
 	switch {
 	case busy:
-		w.refuse(t, wire.CauseBusy)
+		w.refuseTask(t, wire.CauseBusy)
 	case !must:
-		w.admit(key, t)
+		w.admitTask(key, t)
 	default:
 		go func() {
-			err := slow.Look(w.ctx, id)
-			w.resume()
+			err := slow.LookUp(w.ctx, id)
+			w.waitWhilePaused()
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			switch {
 			case w.tasks[key] != t || t.State != wire.TaskFetching:
 			case err != nil:
-				w.refuse(t, wire.CauseUnknown)
+				w.refuseTask(t, wire.CauseUnknown)
 			default:
-				w.admit(key, t)
+				w.admitTask(key, t)
 			}
 		}()
 	}
 }
 
-func (w *Worker) refuse(t *running, why wire.Cause) {
+func (w *Worker) refuseTask(t *runningTask, why wire.Cause) {
 	t.State, t.Cause = wire.TaskEnded, why
-	w.hurry()
+	w.reportSoon()
 }
 
-// admit takes a task whose job is known, if there is room for it, and fetches its image.
-func (w *Worker) admit(key string, t *running) {
-	j, known := w.yard.Describe(t.ID.Job)
+// admitTask takes a task whose job is known, if there is room for it, and fetches its image.
+func (w *Worker) admitTask(key string, t *runningTask) {
+	j, known := w.runtime.Describe(t.ID.Job)
 	if !known || t.ID.Index >= j.Tasks {
-		w.refuse(t, wire.CauseUnknown)
+		w.refuseTask(t, wire.CauseUnknown)
 		return
 	}
 	cpus, gpus, memory := j.CPUs, j.GPUs, j.MemoryGB
@@ -121,99 +121,99 @@
 	}
 	const dust = 1e-6
 	if s := w.spec; cpus > s.CPUs+dust || gpus > s.GPUs+dust || memory > s.MemoryGB+dust {
-		w.refuse(t, wire.CauseNoRoom)
+		w.refuseTask(t, wire.CauseNoRoom)
 		return
 	}
 	t.job = j
-	w.fetch(j.Image, j.ImageGB, func() {
+	w.fetchImage(j.Image, j.ImageGB, func() {
 		if w.tasks[key] == t && t.State == wire.TaskFetching {
-			w.begin(key, t)
+			w.startTask(key, t)
 		}
 	})
 }
 
-// fetch has the machine get an image, once for all that want it, and keep the most recently
+// fetchImage has the machine get an image, once for all that want it, and keep the most recently
 // used ones. done is called with the lock held.
-func (w *Worker) fetch(name string, gb float64, done func()) {
+func (w *Worker) fetchImage(name string, gb float64, done func()) {
 	img := w.images[name]
 	if img == nil {
-		img = &image{gb: gb, left: gb}
+		img = &cachedImage{sizeGB: gb, remainingGB: gb}
 		w.images[name] = img
 	}
-	if img.used = time.Now(); img.here {
+	if img.lastUsed = time.Now(); img.present {
 		done()
 		return
 	}
-	img.wants = append(img.wants, done)
+	img.waiters = append(img.waiters, done)
 	if img.timer != nil {
 		return
 	}
-	w.fetched()
+	w.accountFetched()
 	img.timer = time.AfterFunc(time.Hour, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.images[name] != img {
 			return
 		}
-		w.fetched()
-		img.here = true
-		w.retime()
-		wants := img.wants
-		img.wants = nil
+		w.accountFetched()
+		img.present = true
+		w.rescheduleFetches()
+		wants := img.waiters
+		img.waiters = nil
 		for _, want := range wants {
 			want()
 		}
-		w.evict()
+		w.evictImages()
 	})
-	w.retime()
+	w.rescheduleFetches()
 }
 
-// coming lists what is being fetched.
-func (w *Worker) coming() (out []*image) {
+// fetching lists what is being fetched.
+func (w *Worker) fetching() (out []*cachedImage) {
 	for _, img := range w.images {
-		if img.timer != nil && !img.here {
+		if img.timer != nil && !img.present {
 			out = append(out, img)
 		}
 	}
 	return out
 }
 
-// rate is how many GB a second come of each of so many images.
-func (w *Worker) rate(images int) float64 {
-	if !w.shared {
+// fetchRate is how many GB a second come of each of so many images.
+func (w *Worker) fetchRate(images int) float64 {
+	if !w.sharedFetchRate {
 		images = 1
 	}
-	return w.spec.FetchGBps / w.pull / float64(images)
+	return w.spec.FetchGBps / w.fetchFactor / float64(images)
 }
 
-// fetched notes what has come by now, at the rate that each image had.
-func (w *Worker) fetched() {
-	coming, now := w.coming(), time.Now()
-	if now.Before(w.paced) { // the machine hangs
+// accountFetched notes what has come by now, at the rate that each image had.
+func (w *Worker) accountFetched() {
+	coming, now := w.fetching(), time.Now()
+	if now.Before(w.fetchAccountedUntil) { // the machine hangs
 		return
 	}
 	for _, img := range coming {
-		img.left = max(0, img.left-w.rate(len(coming))*now.Sub(w.paced).Seconds())
+		img.remainingGB = max(0, img.remainingGB-w.fetchRate(len(coming))*now.Sub(w.fetchAccountedUntil).Seconds())
 	}
-	w.paced = now
+	w.fetchAccountedUntil = now
 }
 
-// retime sets when what is being fetched will have come, at the rate that is left for each.
-func (w *Worker) retime() {
-	coming := w.coming()
+// rescheduleFetches sets when what is being fetched will have come, at the rate that is left for each.
+func (w *Worker) rescheduleFetches() {
+	coming := w.fetching()
 	for _, img := range coming {
 		took := time.Duration(0)
 		if w.spec.FetchGBps > 0 {
-			took = time.Duration(img.left / w.rate(len(coming)) * float64(time.Second))
+			took = time.Duration(img.remainingGB / w.fetchRate(len(coming)) * float64(time.Second))
 		}
-		img.timer.Reset(took + max(0, time.Until(w.hangs)))
+		img.timer.Reset(took + max(0, time.Until(w.pausedUntil)))
 	}
 }
 
-// giveUp ends the fetch of a task's image if no other task waits for it.
-func (w *Worker) giveUp(t *running) {
+// cancelFetch ends the fetch of a task's image if no other task waits for it.
+func (w *Worker) cancelFetch(t *runningTask) {
 	img := w.images[t.job.Image]
-	if img == nil || img.here {
+	if img == nil || img.present {
 		return
 	}
 	for _, o := range w.tasks {
@@ -221,23 +221,23 @@
 			return
 		}
 	}
-	w.fetched()
+	w.accountFetched()
 	img.timer.Stop()
 	delete(w.images, t.job.Image)
-	w.retime()
-	w.yard.gaveUp(t.ID)
+	w.rescheduleFetches()
+	w.runtime.fetchCancelled(t.ID)
 }
 
-// evict forgets the images that were used least lately, as far as the cache is too small.
-func (w *Worker) evict() {
+// evictImages forgets the images that were used least lately, as far as the cache is too small.
+func (w *Worker) evictImages() {
 	for {
 		sum, oldest := 0.0, ""
 		for name, img := range w.images {
-			if !img.here {
+			if !img.present {
 				continue
 			}
-			sum += img.gb
-			if o := w.images[oldest]; oldest == "" || img.used.Before(o.used) || img.used.Equal(o.used) && name < oldest {
+			sum += img.sizeGB
+			if o := w.images[oldest]; oldest == "" || img.lastUsed.Before(o.lastUsed) || img.lastUsed.Equal(o.lastUsed) && name < oldest {
 				oldest = name
 			}
 		}
@@ -248,48 +248,48 @@
 	}
 }
 
-// begin starts a task that the machine has all for. One that has completed before ends at once.
-func (w *Worker) begin(key string, t *running) {
-	run, ok := w.yard.On(t.ID, w.id, w.typ, w.zone, w.spot)
-	w.hurry()
+// startTask starts a task that the machine has all for. One that has completed before ends at once.
+func (w *Worker) startTask(key string, t *runningTask) {
+	run, ok := w.runtime.TaskStarted(t.ID, w.id, w.typ, w.zone, w.spot)
+	w.reportSoon()
 	if !ok {
-		w.refuse(t, wire.CauseUnknown)
+		w.refuseTask(t, wire.CauseUnknown)
 		return
 	}
-	t.on, t.run = true, time.Duration(float64(run)*w.slow)
+	t.started, t.runTime = true, time.Duration(float64(run)*w.runFactor)
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		t.State = wire.TaskWaiting
-		t.after(w.yard.GangWait, func() { w.later(key, t, wire.TaskWaiting, func() { w.end(t, wire.CauseAlone) }) })
-		w.yard.join(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.run, func(e gangEvent) { w.heard(key, t, e) })
+		t.after(w.runtime.GangWaitTimeout, func() { w.ifStill(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseAlone) }) })
+		w.runtime.joinGang(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.runTime, func(e gangEvent) { w.notifyGang(key, t, e) })
 		return
 	}
-	t.State, t.begun = wire.TaskRunning, time.Now()
-	if saved := w.yard.Saved(t.ID); saved > 0 {
-		t.begun = t.begun.Add(-saved)
+	t.State, t.startedAt = wire.TaskRunning, time.Now()
+	if saved := w.runtime.SavedProgress(t.ID); saved > 0 {
+		t.startedAt = t.startedAt.Add(-saved)
 	}
-	t.after(max(0, t.run-time.Since(t.begun)), func() {
-		w.later(key, t, wire.TaskRunning, func() {
-			w.yard.Done(t.ID)
-			w.end(t, wire.CauseDone)
+	t.after(max(0, t.runTime-time.Since(t.startedAt)), func() {
+		w.ifStill(key, t, wire.TaskRunning, func() {
+			w.runtime.TaskCompleted(t.ID)
+			w.endTask(t, wire.CauseDone)
 		})
 	})
 }
 
-// later does something unless the task has gone on meanwhile.
-func (w *Worker) later(key string, t *running, state wire.TaskState, do func()) {
-	w.awake(func() {
+// ifStill does something unless the task has gone on meanwhile.
+func (w *Worker) ifStill(key string, t *runningTask, state wire.TaskState, do func()) {
+	w.whenResumed(func() {
 		if w.tasks[key] == t && t.State == state {
 			do()
 		}
 	})
 }
 
-// heard takes in what has become of the task's gang.
-func (w *Worker) heard(key string, t *running, e gangEvent) {
-	w.awake(func() { w.mates(key, t, e) })
+// notifyGang takes in what has become of the task's gang.
+func (w *Worker) notifyGang(key string, t *runningTask, e gangEvent) {
+	w.whenResumed(func() { w.handleGangEvent(key, t, e) })
 }
 
-func (w *Worker) mates(key string, t *running, e gangEvent) {
+func (w *Worker) handleGangEvent(key string, t *runningTask, e gangEvent) {
 	if w.tasks[key] != t || t.State == wire.TaskEnded {
 		return
 	}
@@ -297,74 +297,74 @@
 	case gangRuns:
 		t.timer.Stop()
 		t.State = wire.TaskRunning
-		w.hurry()
+		w.reportSoon()
 	case gangDone:
-		w.yard.Done(t.ID)
-		w.end(t, wire.CauseDone)
+		w.runtime.TaskCompleted(t.ID)
+		w.endTask(t, wire.CauseDone)
 	case gangSaved:
 		t.Saved = true
-		w.end(t, wire.CauseStopped)
-	case gangLost:
+		w.endTask(t, wire.CauseStopped)
+	case gangUnsaved:
 		if t.State == wire.TaskSaving {
-			w.end(t, wire.CauseStopped)
+			w.endTask(t, wire.CauseStopped)
 		} else {
-			w.end(t, wire.CausePeers)
+			w.endTask(t, wire.CausePeers)
 		}
-	case gangTorn:
-		w.end(t, wire.CausePeers)
+	case gangBroken:
+		w.endTask(t, wire.CausePeers)
 	}
 }
 
-// halt stops a task: with time to save, where it can.
-func (w *Worker) halt(t *running, grace time.Duration) {
+// stopTask stops a task: with time to save, where it can.
+func (w *Worker) stopTask(t *runningTask, grace time.Duration) {
 	saves := t.State == wire.TaskRunning && t.job.CheckpointS > 0 && grace >= wire.Seconds(t.job.SaveS)
 	key := t.Task + "#" + strconv.FormatUint(t.Attempt, 10)
 	switch {
 	case t.State == wire.TaskSaving && grace > 0:
 	case saves && t.job.Shape == wire.Gang && t.job.Tasks > 1:
-		if w.yard.stop(gangKey{t.ID.Job, t.Attempt}, t.ID.Index) {
+		if w.runtime.stopMember(gangKey{t.ID.Job, t.Attempt}, t.ID.Index) {
 			t.State = wire.TaskSaving
-			w.hurry()
+			w.reportSoon()
 			return
 		}
-		w.end(t, wire.CauseStopped)
+		w.endTask(t, wire.CauseStopped)
 	case saves:
 		t.timer.Stop()
 		t.State = wire.TaskSaving
-		w.hurry()
-		t.made = time.Since(t.begun)
+		w.reportSoon()
+		t.progress = time.Since(t.startedAt)
 		t.after(wire.Seconds(t.job.SaveS), func() {
-			w.later(key, t, wire.TaskSaving, func() {
-				w.yard.save(t.ID, t.made)
+			w.ifStill(key, t, wire.TaskSaving, func() {
+				w.runtime.saveProgress(t.ID, t.progress)
 				t.Saved = true
-				w.end(t, wire.CauseStopped)
+				w.endTask(t, wire.CauseStopped)
 			})
 		})
 	default:
-		w.end(t, wire.CauseStopped)
+		w.endTask(t, wire.CauseStopped)
 	}
 }
 
-// end ends a task that is on the machine.
-func (w *Worker) end(t *running, why wire.Cause) {
-	w.gone(t)
+// endTask ends a task that is on the machine.
+func (w *Worker) endTask(t *runningTask, why wire.Cause) {
+	w.releaseTask(t)
 	t.State, t.Cause = wire.TaskEnded, why
-	w.hurry()
+	w.reportSoon()
 }
 
-// gone stops what a task does and keeps its last checkpoint.
-func (w *Worker) gone(t *running) {
+// releaseTask stops what a task does and keeps its last checkpoint.
+func (w *Worker) releaseTask(t *runningTask) {
 	t.timer.Stop()
-	if t.job != nil && !t.on {
-		w.giveUp(t)
+	if t.job != nil && !t.started {
+		w.cancelFetch(t)
 	}
-	if t.job == nil || !t.on {
+	if t.job == nil || !t.started {
 		return
 	}
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
-		w.yard.leave(gangKey{t.ID.Job, t.Attempt}, t.ID.Index)
-	} else if every := wire.Seconds(t.job.CheckpointS); every > 0 && !t.begun.IsZero() {
-		w.yard.save(t.ID, cmp.Or(t.made, time.Since(t.begun)).Truncate(every))
+		w.runtime.leaveGang(gangKey{t.ID.Job, t.Attempt}, t.ID.Index)
+	} else if every := wire.Seconds(t.job.CheckpointS); every > 0 && !t.startedAt.IsZero() {
+		w.runtime.saveProgress(t.ID, cmp.Or(t.progress, time.Since(t.startedAt)).Truncate(every))
 	}
-	w.yard.Off(t.ID, w.id)
+	w.runtime.TaskStopped(t.ID, w.id)
 }
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -15,17 +15,17 @@
 // with # or > is a step, and the lines with > behind it are what came of it.
 // play is called for each file, and gives the function that takes its steps.
 func Traces(t *testing.T, play func(t *testing.T) func(step string) []string) {
-	each(t, func(t *testing.T, file string) { trace(t, file, play(t)) })
+	eachTrace(t, func(t *testing.T, file string) { playTrace(t, file, play(t)) })
 }
 
 // ClockTraces plays the traces each on a fake clock of its own.
 func ClockTraces(t *testing.T, play func(t *testing.T) func(step string) []string) {
-	each(t, func(t *testing.T, file string) {
-		synctest.Test(t, func(t *testing.T) { trace(t, file, play(t)) })
+	eachTrace(t, func(t *testing.T, file string) {
+		synctest.Test(t, func(t *testing.T) { playTrace(t, file, play(t)) })
 	})
 }
 
-func each(t *testing.T, play func(t *testing.T, file string)) {
+func eachTrace(t *testing.T, play func(t *testing.T, file string)) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
@@ -35,7 +35,7 @@
 	}
 }
 
-func trace(t *testing.T, file string, step func(string) []string) {
+func playTrace(t *testing.T, file string, step func(string) []string) {
 	kept, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -13,23 +13,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// yardBench is a few machines that nobody answers, driven by the steps of a trace.
-type yardBench struct {
-	t     *testing.T
-	net   *Net
-	check *Checker
-	yard  *Yard
-	on    map[string]*Worker
-	begun time.Time
+// runtimeBench is a few machines that nobody answers, driven by the steps of a trace.
+type runtimeBench struct {
+	t         *testing.T
+	net       *Network
+	checker   *Checker
+	runtime   *TaskRuntime
+	workers   map[string]*Worker
+	startedAt time.Time
 
 	serves *services
 }
 
-func newYardBench(t *testing.T) *yardBench {
-	b := &yardBench{t: t, net: NewNet(), check: NewChecker(time.Minute, nil), on: map[string]*Worker{}, begun: time.Now()}
-	b.yard = NewYard(b.check, 20*time.Second, 3*time.Second)
+func newRuntimeBench(t *testing.T) *runtimeBench {
+	b := &runtimeBench{t: t, net: NewNetwork(), checker: NewChecker(time.Minute, nil), workers: map[string]*Worker{}, startedAt: time.Now()}
+	b.runtime = NewTaskRuntime(b.checker, 20*time.Second, 3*time.Second)
 	t.Cleanup(func() {
-		for _, w := range b.on {
+		for _, w := range b.workers {
 			w.Kill()
 		}
 		if b.serves != nil {
@@ -41,7 +41,7 @@
 	return b
 }
 
-func (b *yardBench) step(line string) []string {
+func (b *runtimeBench) step(line string) []string {
 	w, kv := Words(line)
 	num := func(key string, otherwise float64) float64 {
 		if x, err := strconv.ParseFloat(kv[key], 64); err == nil {
@@ -52,17 +52,17 @@
 	switch w[0] {
 	case "job": // wk-1 gang tasks=2 run=30s
 		run, _ := time.ParseDuration(kv["run"])
-		b.check.Submitted(&wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Tasks: int(num("tasks", 1)), CPUs: num("cpus", 1), GPUs: num("gpus", 1), MemoryGB: 1,
+		b.checker.Submitted(&wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Tasks: int(num("tasks", 1)), CPUs: num("cpus", 1), GPUs: num("gpus", 1), MemoryGB: 1,
 			Image: kv["image"], ImageGB: num("gb", 0), CheckpointS: num("checkpoint", 0), SaveS: num("save", 0)}, run)
 	case "machine":
 		ip := "10.1.0." + strings.TrimPrefix(w[1], "n-")
-		b.on[w[1]] = NewWorker(WorkerConfig{ID: w[1], Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: b.net.Host(ip), Down: func() {}, Yard: b.yard,
+		b.workers[w[1]] = NewWorker(WorkerConfig{ID: w[1], Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: b.net.Host(ip), TakeDown: func() {}, Runtime: b.runtime,
 			Spec:  wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: num("cache", 20), FetchGBps: 1},
-			Lease: time.Duration(num("lease", 3600)) * time.Second, Report: 3 * time.Second, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Shared: kv["shared"] != ""})
+			Lease: time.Duration(num("lease", 3600)) * time.Second, HeartbeatInterval: 3 * time.Second, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, SharedFetchRate: kv["shared"] != ""})
 	case "launch", "stop", "clear": // n-1 wk-1/0 try=1 grace=10
 		b.command(w, uint64(num("try", 1)), kv["grace"])
 	case "kill":
-		b.on[w[1]].Kill()
+		b.workers[w[1]].Kill()
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		time.Sleep(d)
@@ -70,9 +70,9 @@
 		return b.service(w, kv)
 	case "saved":
 		id, _ := wire.ParseTaskID(w[1])
-		return []string{b.yard.Saved(id).String()}
+		return []string{b.runtime.SavedProgress(id).String()}
 	case "images":
-		on := b.on[w[1]]
+		on := b.workers[w[1]]
 		on.mu.Lock()
 		defer on.mu.Unlock()
 		return []string{fmt.Sprint(slices.Sorted(maps.Keys(on.images)))}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-func (b *yardBench) command(w []string, try uint64, grace string) {
-	on := b.on[w[1]]
+func (b *runtimeBench) command(w []string, try uint64, grace string) {
+	on := b.workers[w[1]]
 	var cmds []wire.Command
 	for _, task := range w[2:] {
 		c := wire.Command{Verb: wire.Verb(w[0]), Task: task, Attempt: try}
@@ -97,15 +97,15 @@
 	}
 	on.mu.Lock()
 	defer on.mu.Unlock()
-	on.expire()
+	on.expireLease()
 	on.execute(cmds)
 }
 
-func (b *yardBench) show() (out []string) {
-	for _, name := range slices.Sorted(maps.Keys(b.on)) {
-		w := b.on[name]
+func (b *runtimeBench) show() (out []string) {
+	for _, name := range slices.Sorted(maps.Keys(b.workers)) {
+		w := b.workers[name]
 		w.mu.Lock()
-		line := fmt.Sprintf("%v %s session %d:", time.Since(b.begun), name, w.session)
+		line := fmt.Sprintf("%v %s session %d:", time.Since(b.startedAt), name, w.incarnation)
 		for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 			t := w.tasks[key]
 			line += fmt.Sprintf(" %s=%s", key, t.State)
@@ -119,10 +119,10 @@
 		w.mu.Unlock()
 		out = append(out, line)
 	}
-	return append(out, b.check.Broken()...)
+	return append(out, b.checker.Violations()...)
 }
 
 // TestTraces plays what the protocol says of workers, clause by clause.
 func TestTraces(t *testing.T) {
-	ClockTraces(t, func(t *testing.T) func(string) []string { return newYardBench(t).step })
+	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeBench(t).step })
 }
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -25,12 +25,12 @@
 // Format is the newest form of a file that is understood here.
 const Format = 1
 
-const magic = "amberdeal-state "
+const fileMagic = "amberdeal-state "
 
 // What can be wrong with a file.
 var (
-	// ErrNotOurs means that it is not an export.
-	ErrNotOurs = errors.New("not an export of amberdeal")
+	// ErrNotExport means that it is not an export.
+	ErrNotExport = errors.New("not an export of amberdeal")
 	// ErrNewer means that a later version wrote it.
 	ErrNewer = errors.New("exported by a newer version")
 	// ErrDamaged means that it is not what was written.
@@ -39,13 +39,13 @@
 
 // Header says what a file holds.
 type Header struct {
-	State    int    `cbor:"state"` // the form of the state, 0 for none
-	Revision uint64 `cbor:"revision"`
-	Taken    int64  `cbor:"taken"` // s since 1970
+	StateFormat int    `cbor:"state"` // the form of the state, 0 for none
+	Revision    uint64 `cbor:"revision"`
+	TakenAtUnix int64  `cbor:"taken"` // s since 1970
 }
 
-// At is when the state was taken.
-func (h Header) At() time.Time { return time.Unix(h.Taken, 0).UTC() }
+// TakenAt is when the state was taken.
+func (h Header) TakenAt() time.Time { return time.Unix(h.TakenAtUnix, 0).UTC() }
 
 // frame is one value of a file; a trailer has no key and counts them.
 type frame struct {
@@ -60,10 +60,10 @@
 const maxFrame = 1 << 20
 
 // Write writes a state into a file.
-func Write(w io.Writer, h Header, items []wire.Item) error { return write(w, h, items, true) }
+func Write(w io.Writer, h Header, items []wire.KeyValue) error { return write(w, h, items, true) }
 
-func write(w io.Writer, h Header, items []wire.Item, whole bool) error {
-	if _, err := fmt.Fprintf(w, "%s%d\n", magic, Format); err != nil {
+func write(w io.Writer, h Header, items []wire.KeyValue, whole bool) error {
+	if _, err := fmt.Fprintf(w, "%s%d\n", fileMagic, Format); err != nil {
 		return err
 	}
 	z, err := zstd.NewWriter(w)
@@ -98,13 +98,13 @@
 
 // Read reads a file to its end. Nothing is given of one that is not whole. The
 // sum tells one file from another.
-func Read(r io.Reader) (h Header, items []wire.Item, sum string, err error) {
+func Read(r io.Reader) (h Header, items []wire.KeyValue, sum string, err error) {
 	in := bufio.NewReader(r)
 	line, err := in.ReadString('\n')
-	version, ours := strings.CutPrefix(strings.TrimSuffix(line, "\n"), magic)
+	version, ours := strings.CutPrefix(strings.TrimSuffix(line, "\n"), fileMagic)
 	var format int
 	if _, serr := fmt.Sscan(version, &format); err != nil || !ours || serr != nil {
-		return h, nil, "", ErrNotOurs
+		return h, nil, "", ErrNotExport
 	}
 	if format > Format {
 		return h, nil, "", fmt.Errorf("%w: format %d, at most %d is understood", ErrNewer, format, Format)
@@ -114,7 +114,7 @@
 		return h, nil, "", err
 	}
 	defer z.Close()
-	f := &frames{r: bufio.NewReader(z), sum: xxhash.New()}
+	f := &frameReader{r: bufio.NewReader(z), sum: xxhash.New()}
 	if err := f.next(&h); err != nil {
 		return h, nil, "", fmt.Errorf("%w: in the header: %w", ErrDamaged, err)
 	}
@@ -133,18 +133,18 @@
 			}
 			return h, items, fmt.Sprintf("%016x", fr.Sum), nil
 		}
-		items = append(items, wire.Item{Key: fr.Key, Value: fr.Value, Version: fr.Version})
+		items = append(items, wire.KeyValue{Key: fr.Key, Value: fr.Value, Version: fr.Version})
 		last = fr.Key
 	}
 }
 
-// frames reads frames and sums them up.
-type frames struct {
+// frameReader reads frames and sums them up.
+type frameReader struct {
 	r   *bufio.Reader
 	sum *xxhash.Digest
 }
 
-func (f *frames) next(v any) error {
+func (f *frameReader) next(v any) error {
 	n, err := binary.ReadUvarint(f.r)
 	if err != nil {
 		return err
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -20,7 +20,7 @@
 // TestGoldenFile: an export is written as it was, and one of then is read to the same keys.
 func TestGoldenFile(t *testing.T) {
 	head := goldentest.Filled[Header](t)
-	items := []wire.Item{{Key: "amberdeal/a", Value: wire.Encode("one"), Version: 3}, {Key: "amberdeal/b", Value: wire.Encode(map[string]int{"n": 2}), Version: 4}}
+	items := []wire.KeyValue{{Key: "amberdeal/a", Value: wire.Encode("one"), Version: 3}, {Key: "amberdeal/b", Value: wire.Encode(map[string]int{"n": 2}), Version: 4}}
 	var out bytes.Buffer
 	if err := Write(&out, head, items); err != nil {
 		t.Fatal(err)
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -13,44 +13,44 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// State reads and writes the state service.
-type State interface {
-	List(ctx context.Context, prefix, after string, limit int) (*wire.ItemList, error)
-	Changes(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Changes, error)
+// Service reads and writes the state service.
+type Service interface {
+	List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error)
+	Changes(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.WatchResponse, error)
 	Txn(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
-// tries is how often a call that failed is made again, with a pause.
-const tries = 20
+// maxAttempts is how often a call that failed is made again, with a pause.
+const maxAttempts = 20
 
-func again(ctx context.Context, call func() error) error {
+func retry(ctx context.Context, call func() error) error {
 	for try := 1; ; try++ {
 		err := call()
-		if err == nil || try == tries || ctx.Err() != nil || !errors.Is(err, store.ErrRefused) && !errors.Is(err, store.ErrUnknown) {
+		if err == nil || try == maxAttempts || ctx.Err() != nil || !errors.Is(err, store.ErrRefused) && !errors.Is(err, store.ErrUnknownOutcome) {
 			return err
 		}
-		store.Pause(ctx, 500*time.Millisecond)
+		store.Backoff(ctx, 500*time.Millisecond)
 	}
 }
 
-// Take reads the whole state as it is at one revision: all pages, and the changes
+// Export reads the whole state as it is at one revision: all pages, and the changes
 // since the first. Progress is told after each page.
-func Take(ctx context.Context, s State, progress func(keys int, at string)) ([]wire.Item, uint64, error) {
+func Export(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
 	for try := 0; ; try++ {
-		items, revision, err := take(ctx, s, progress)
-		if errors.Is(err, store.ErrTooOld) && try < 3 {
+		items, revision, err := exportOnce(ctx, s, progress)
+		if errors.Is(err, store.ErrCompacted) && try < 3 {
 			continue // it has changed faster than it was read
 		}
 		return items, revision, err
 	}
 }
 
-func take(ctx context.Context, s State, progress func(keys int, at string)) ([]wire.Item, uint64, error) {
-	found := make(map[string]wire.Item)
+func exportOnce(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
+	found := make(map[string]wire.KeyValue)
 	first := uint64(0)
 	for after := ""; ; {
-		var page *wire.ItemList
-		err := again(ctx, func() (err error) { page, err = s.List(ctx, store.Stem, after, 0); return err })
+		var page *wire.KeyValueList
+		err := retry(ctx, func() (err error) { page, err = s.List(ctx, store.CommonPrefix, after, 0); return err })
 		if err != nil {
 			return nil, 0, fmt.Errorf("reading the keys after %q: %w", after, err)
 		}
@@ -66,8 +66,8 @@
 			break
 		}
 	}
-	var ch *wire.Changes
-	err := again(ctx, func() (err error) { ch, err = s.Changes(ctx, store.Stem, first, 0); return err })
+	var ch *wire.WatchResponse
+	err := retry(ctx, func() (err error) { ch, err = s.Changes(ctx, store.CommonPrefix, first, 0); return err })
 	if err != nil {
 		return nil, 0, fmt.Errorf("reading the changes since revision %d: %w", first, err)
 	}
@@ -75,26 +75,26 @@
 		if e.Delete != "" {
 			delete(found, e.Delete)
 		} else {
-			found[e.Put] = wire.Item{Key: e.Put, Value: e.Value, Version: e.Version}
+			found[e.Put] = wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version}
 		}
 	}
-	var items []wire.Item
+	var items []wire.KeyValue
 	for _, it := range found {
-		if ours(it.Key) {
+		if isOwnKey(it.Key) {
 			items = append(items, it)
 		}
 	}
-	slices.SortFunc(items, func(a, b wire.Item) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return items, ch.Revision, nil
 }
 
-// ours leaves out the keys of others whose names begin alike.
-func ours(key string) bool {
-	return strings.HasPrefix(key, store.Root) || strings.HasPrefix(key, store.History)
+// isOwnKey leaves out the keys of others whose names begin alike.
+func isOwnKey(key string) bool {
+	return strings.HasPrefix(key, store.StatePrefix) || strings.HasPrefix(key, store.ArchivePrefix)
 }
 
-// FormatOf gives the form that a state's marker names, 0 without one.
-func FormatOf(items []wire.Item) int {
+// StateFormat gives the form that a state's marker names, 0 without one.
+func StateFormat(items []wire.KeyValue) int {
 	var rec store.FormatRecord
 	for _, it := range items {
 		if it.Key == store.FormatKey {
@@ -112,28 +112,28 @@
 	ErrTooLarge = errors.New("a value is larger than the state service takes")
 )
 
-// TermMargin is by how much an import raises the counter of terms: workers obey
+// FencingTokenMargin is by how much an import raises the counter of terms: workers obey
 // the highest term that they have seen, which may have been given after the export.
-const TermMargin = 1_000_000
+const FencingTokenMargin = 1_000_000
 
-// importing is the form of a state that is being put in: no version works on it.
-const importing = 1 << 30
+// formatImporting is the form of a state that is being put in: no version works on it.
+const formatImporting = 1 << 30
 
 // Limits is what the state service takes.
 type Limits struct{ ValueBytes, TxnOps int }
 
-// Restore puts a state into an empty state service. One that was broken off goes
+// Import puts a state into an empty state service. One that was broken off goes
 // on with the same file. Until it is through, every controller stands back.
-func Restore(ctx context.Context, s State, items []wire.Item, sum string, lim Limits, progress func(done, all int)) (term uint64, err error) {
-	there, mark, err := begin(ctx, s, sum)
+func Import(ctx context.Context, s Service, items []wire.KeyValue, sum string, lim Limits, progress func(done, all int)) (token uint64, err error) {
+	present, marker, err := beginImport(ctx, s, sum)
 	if err != nil {
 		return 0, err
 	}
 	items = slices.Clone(items)
 	// In the order of their versions, each at a revision of its own: the newest
 	// slot of the ledger and the oldest home of a job count.
-	slices.SortStableFunc(items, func(a, b wire.Item) int {
-		return cmp.Or(cmp.Compare(since(a), since(b)), strings.Compare(a.Key, b.Key))
+	slices.SortStableFunc(items, func(a, b wire.KeyValue) int {
+		return cmp.Or(cmp.Compare(importOrder(a), importOrder(b)), strings.Compare(a.Key, b.Key))
 	})
 	var txn wire.Txn
 	bytes := 0
@@ -143,8 +143,8 @@
 		}
 		// A copy that comes late finds the marker written over: its keys may be absent again by
 		// then, and a batch of jobs that were folded long ago must not come back.
-		txn.If = append(txn.If, mark)
-		err := put(ctx, s, txn)
+		txn.If = append(txn.If, marker)
+		err := commit(ctx, s, txn)
 		txn, bytes = wire.Txn{}, 0
 		return err
 	}
@@ -159,10 +159,10 @@
 		case "part": // held by a lease of the other service
 			continue
 		case "format":
-			format = FormatOf([]wire.Item{it})
+			format = StateFormat([]wire.KeyValue{it})
 			continue
 		case "term":
-			if err := wire.DecodeValue(it.Value, &term); err != nil {
+			if err := wire.DecodeValue(it.Value, &token); err != nil {
 				return 0, fmt.Errorf("%s: %w", it.Key, err)
 			}
 			continue
@@ -176,7 +176,7 @@
 		case "history", "recent", "gate", "types", "grouping", "grant", "tiers":
 			alone = false
 		}
-		if there[it.Key] {
+		if present[it.Key] {
 			continue
 		}
 		if alone || len(txn.Then) >= lim.TxnOps || bytes+len(it.Value) > 40<<10 {
@@ -185,7 +185,7 @@
 			}
 		}
 		txn.If = append(txn.If, wire.Condition{Key: it.Key})
-		txn.Then = append(txn.Then, wire.Change{Put: it.Key, Value: value})
+		txn.Then = append(txn.Then, wire.Operation{Put: it.Key, Value: value})
 		bytes += len(it.Value)
 		if alone {
 			if err := flush(); err != nil {
@@ -197,12 +197,12 @@
 	if err := flush(); err != nil {
 		return 0, err
 	}
-	return term + TermMargin, finish(ctx, s, mark, format, term+TermMargin)
+	return token + FencingTokenMargin, finishImport(ctx, s, marker, format, token+FencingTokenMargin)
 }
 
-// since orders what is put in: a batch that was written again is as old as its
+// importOrder orders what is put in: a batch that was written again is as old as its
 // first revision.
-func since(it wire.Item) uint64 {
+func importOrder(it wire.KeyValue) uint64 {
 	var rec store.BatchRecord
 	if store.Kind(it.Key) == "batch" && wire.DecodeValue(it.Value, &rec) == nil && rec.Since > 0 {
 		return rec.Since
@@ -210,67 +210,67 @@
 	return it.Version
 }
 
-// begin marks an empty state service, or finds what an import that was broken off
+// beginImport marks an empty state service, or finds what an import that was broken off
 // has left there. It gives the condition that the marker still stands.
-func begin(ctx context.Context, s State, sum string) (there map[string]bool, mark wire.Condition, err error) {
+func beginImport(ctx context.Context, s Service, sum string) (present map[string]bool, marker wire.Condition, err error) {
 	for marked := false; ; marked = true {
-		items, _, err := Take(ctx, s, func(int, string) {})
+		items, _, err := Export(ctx, s, func(int, string) {})
 		if err != nil {
-			return nil, mark, err
+			return nil, marker, err
 		}
-		there = make(map[string]bool)
+		present = make(map[string]bool)
 		var m store.FormatRecord
 		for _, it := range items {
-			there[it.Key] = true
+			present[it.Key] = true
 			if it.Key == store.FormatKey {
 				_ = wire.DecodeValue(it.Value, &m)
-				mark = wire.Condition{Key: it.Key, Version: it.Version}
+				marker = wire.Condition{Key: it.Key, Version: it.Version}
 			}
 		}
 		switch {
-		case len(items) > 0 && (m.Format != importing || m.Import != sum), len(items) == 0 && marked:
-			return nil, mark, fmt.Errorf("%w: it holds %d keys, the first is %s", ErrNotEmpty, len(items), first(items))
+		case len(items) > 0 && (m.Format != formatImporting || m.Import != sum), len(items) == 0 && marked:
+			return nil, marker, fmt.Errorf("%w: it holds %d keys, the first is %s", ErrNotEmpty, len(items), firstKey(items))
 		case len(items) > 0:
-			return there, mark, nil
+			return present, marker, nil
 		}
 		// A state of version 1 has no marker once it is in, but every state has a counter of
 		// terms from then on: a copy of this that comes late must not close a state in use.
-		if err := put(ctx, s, wire.Txn{If: []wire.Condition{{Key: store.FormatKey}, {Key: store.TermKey}},
-			Then: []wire.Change{{Put: store.FormatKey, Value: store.FormatRecord{Format: importing, Import: sum}}}}); err != nil {
-			return nil, mark, err
+		if err := commit(ctx, s, wire.Txn{If: []wire.Condition{{Key: store.FormatKey}, {Key: store.FencingTokenKey}},
+			Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: formatImporting, Import: sum}}}}); err != nil {
+			return nil, marker, err
 		}
 	}
 }
 
-func first(items []wire.Item) string {
+func firstKey(items []wire.KeyValue) string {
 	if len(items) == 0 {
 		return "none"
 	}
 	return items[0].Key
 }
 
-// finish sets the counter of terms and opens the state to controllers, once: a copy that comes
+// finishImport sets the counter of terms and opens the state to controllers, once: a copy that comes
 // after they have begun to claim would set the counter back, and terms, attempts and names of
 // rentals would come twice.
-func finish(ctx context.Context, s State, mark wire.Condition, format int, term uint64) error {
-	open := wire.Change{Put: store.FormatKey, Value: store.FormatRecord{Format: format}}
+func finishImport(ctx context.Context, s Service, marker wire.Condition, format int, token uint64) error {
+	open := wire.Operation{Put: store.FormatKey, Value: store.FormatRecord{Format: format}}
 	if format == 0 { // of version 1, which had no marker
-		open = wire.Change{Delete: store.FormatKey}
+		open = wire.Operation{Delete: store.FormatKey}
 	}
-	return put(ctx, s, wire.Txn{If: []wire.Condition{mark}, Then: []wire.Change{{Put: store.TermKey, Value: term}, open}})
+	return commit(ctx, s, wire.Txn{If: []wire.Condition{marker}, Then: []wire.Operation{{Put: store.FencingTokenKey, Value: token}, open}})
 }
 
-// put makes a write. Nobody else writes, so that one without an answer can be made
+// commit makes a write. Nobody else writes, so that one without an answer can be made
 // again, and a conflict after that on a key that it changes means that it was taken.
-func put(ctx context.Context, s State, txn wire.Txn) error {
+func commit(ctx context.Context, s Service, txn wire.Txn) error {
 	unsure := false
-	return again(ctx, func() error {
+	return retry(ctx, func() error {
 		_, err := s.Txn(ctx, txn)
 		var conflict *store.ConflictError
-		if errors.As(err, &conflict) && unsure && slices.ContainsFunc(txn.Then, func(c wire.Change) bool { return slices.Contains(conflict.Failed, c.Put+c.Delete) }) {
+		if errors.As(err, &conflict) && unsure && slices.ContainsFunc(txn.Then, func(c wire.Operation) bool { return slices.Contains(conflict.Failed, c.Put+c.Delete) }) {
 			return nil
 		}
-		unsure = unsure || errors.Is(err, store.ErrUnknown)
+		unsure = unsure || errors.Is(err, store.ErrUnknownOutcome)
 		if err != nil {
 			return fmt.Errorf("writing %s: %w", txn.Then[0].Put, err)
 		}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,32 +14,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// state is a state service that may fail at its n-th write.
-type state struct {
-	*simulator.Store
-	failAt int
-	paged  func() // called after each page
+// fakeService is a state service that may fail at its n-th write.
+type fakeService struct {
+	*simulator.StateService
+	failAt    int
+	afterPage func() // called after each page
 }
 
 var errBroken = errors.New("broken off")
 
-func (s *state) List(_ context.Context, prefix, after string, limit int) (*wire.ItemList, error) {
+func (s *fakeService) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	page := s.Page(prefix, after, limit)
-	if s.paged != nil {
-		s.paged()
+	if s.afterPage != nil {
+		s.afterPage()
 	}
 	return page, nil
 }
 
-func (s *state) Changes(_ context.Context, prefix string, from uint64, _ time.Duration) (*wire.Changes, error) {
+func (s *fakeService) Changes(_ context.Context, prefix string, from uint64, _ time.Duration) (*wire.WatchResponse, error) {
 	ch, ok := s.Since(prefix, from)
 	if !ok {
-		return nil, store.ErrTooOld
+		return nil, store.ErrCompacted
 	}
 	return ch, nil
 }
 
-func (s *state) Txn(_ context.Context, t wire.Txn) (uint64, error) {
+func (s *fakeService) Txn(_ context.Context, t wire.Txn) (uint64, error) {
 	if s.failAt--; s.failAt == 0 {
 		return 0, errBroken
 	}
@@ -53,11 +53,13 @@
 	return 0, fmt.Errorf("status %d", status)
 }
 
-func newState() *state { return &state{Store: simulator.NewStore(1, 0)} }
+func newFakeService() *fakeService {
+	return &fakeService{StateService: simulator.NewStateService(1, 0)}
+}
 
-func (s *state) put(t *testing.T, key string, v any) {
+func (s *fakeService) put(t *testing.T, key string, v any) {
 	t.Helper()
-	if status, _ := s.Commit(wire.Txn{Then: []wire.Change{{Put: key, Value: v}}}); status != 200 {
+	if status, _ := s.Commit(wire.Txn{Then: []wire.Operation{{Put: key, Value: v}}}); status != 200 {
 		t.Fatalf("%s: %d", key, status)
 	}
 }
@@ -68,16 +70,16 @@
 
 // sample is a state with a key of each kind. Slots and batches were written in
 // another order than that of their names.
-func sample(t *testing.T) *state {
-	s := newState()
+func sample(t *testing.T) *fakeService {
+	s := newFakeService()
 	s.put(t, store.FormatKey, store.FormatRecord{Format: store.Format})
-	s.put(t, store.TermKey, uint64(41))
+	s.put(t, store.FencingTokenKey, uint64(41))
 	s.put(t, store.BatchKey("z"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1")}})
 	s.put(t, store.BatchKey("a"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1"), "wk-2": pending("wk-2")}})
-	s.put(t, store.SlotKey("fleet", 1), store.SlotRecord{Term: 40, Round: 1, Entries: map[string]wire.Raw{}})
-	s.put(t, store.SlotKey("fleet", 0), store.SlotRecord{Term: 41, Round: 2, Entries: map[string]wire.Raw{}})
+	s.put(t, store.SegmentKey("fleet", 1), store.SegmentRecord{FencingToken: 40, Round: 1, Entries: map[string]wire.Raw{}})
+	s.put(t, store.SegmentKey("fleet", 0), store.SegmentRecord{FencingToken: 41, Round: 2, Entries: map[string]wire.Raw{}})
 	s.put(t, store.BatchKey("z"), store.BatchRecord{Since: 3, Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1")}}) // written again
-	s.put(t, store.PartKey("fleet"), store.PartRecord{Holder: "c-0", Term: 41, Format: store.Format})
+	s.put(t, store.LeaderKey("fleet"), store.LeaderRecord{Leader: "c-0", FencingToken: 41, Format: store.Format})
 	s.put(t, store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-8", Stage: wire.Done, Tasks: 1}}))
 	for i := range 40 {
 		to, from := fmt.Sprintf("02%02d", i+10), fmt.Sprintf("02%02d", i+9)
@@ -87,98 +89,98 @@
 		if i == 39 {
 			to = "~"
 		}
-		s.put(t, store.History+to, jobblock.Pack(from, nil))
+		s.put(t, store.ArchivePrefix+to, jobblock.Pack(from, nil))
 	}
 	return s
 }
 
-func quiet(int, string) {}
-func silent(int, int)   {}
+func noExportProgress(int, string) {}
+func noImportProgress(int, int)    {}
 
 // TestExportAndImport takes a state out and puts it into an empty service: all of
 // it is there, in the same order, under a term above all that workers have seen,
 // and nobody holds it.
 func TestExportAndImport(t *testing.T) {
-	from, to := sample(t), newState()
-	items, revision, err := Take(t.Context(), from, quiet)
+	from, to := sample(t), newFakeService()
+	items, revision, err := Export(t.Context(), from, noExportProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var file bytes.Buffer
-	if err := Write(&file, Header{State: FormatOf(items), Revision: revision, Taken: 1e9}, items); err != nil {
+	if err := Write(&file, Header{StateFormat: StateFormat(items), Revision: revision, TakenAtUnix: 1e9}, items); err != nil {
 		t.Fatal(err)
 	}
 	h, read, sum, err := Read(bytes.NewReader(file.Bytes()))
-	if err != nil || h.State != store.Format || h.Revision != revision || len(read) != len(items) {
+	if err != nil || h.StateFormat != store.Format || h.Revision != revision || len(read) != len(items) {
 		t.Fatalf("%+v, %d of %d keys, %v", h, len(read), len(items), err)
 	}
 	lim := Limits{ValueBytes: 8192, TxnOps: 12}
 	to.failAt = 5
-	if _, err := Restore(t.Context(), to, read, sum, lim, silent); !errors.Is(err, errBroken) {
+	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, errBroken) {
 		t.Fatalf("broken off: %v", err)
 	}
-	if f := FormatOf(to.Page(store.Root, "", 0).Items); f <= store.Format {
+	if f := StateFormat(to.Page(store.StatePrefix, "", 0).Items); f <= store.Format {
 		t.Errorf("a half import has format %d: a controller would work on it", f)
 	}
-	if _, err := Restore(t.Context(), to, read, "another", lim, silent); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Import(t.Context(), to, read, "another", lim, noImportProgress); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("another file on top of it: %v", err)
 	}
-	term, err := Restore(t.Context(), to, read, sum, lim, silent)
-	if err != nil || term != 41+TermMargin {
+	term, err := Import(t.Context(), to, read, sum, lim, noImportProgress)
+	if err != nil || term != 41+FencingTokenMargin {
 		t.Fatalf("term %d, %v", term, err)
 	}
-	got := map[string]wire.Item{}
-	for _, it := range to.Page(store.Stem, "", 0).Items {
+	got := map[string]wire.KeyValue{}
+	for _, it := range to.Page(store.CommonPrefix, "", 0).Items {
 		got[it.Key] = it
 	}
-	if _, held := got[store.PartKey("fleet")]; held || len(got) != len(items)-1 {
+	if _, held := got[store.LeaderKey("fleet")]; held || len(got) != len(items)-1 {
 		t.Errorf("held %v, %d keys of %d", held, len(got), len(items))
 	}
-	if got[store.BatchKey("z")].Version >= got[store.BatchKey("a")].Version || got[store.SlotKey("fleet", 1)].Version >= got[store.SlotKey("fleet", 0)].Version {
+	if got[store.BatchKey("z")].Version >= got[store.BatchKey("a")].Version || got[store.SegmentKey("fleet", 1)].Version >= got[store.SegmentKey("fleet", 0)].Version {
 		t.Error("the order was lost: a job would have another home, an old slot would count")
 	}
 	var rec store.BatchRecord
 	if err := wire.DecodeValue(got[store.BatchKey("z")].Value, &rec); err != nil || rec.Since != 0 {
 		t.Errorf("a batch is there since revision %d of another service", rec.Since)
 	}
-	if _, err := Restore(t.Context(), to, read, sum, lim, silent); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("a second import: %v", err)
 	}
 }
 
-// TestTakeIsOfOneRevision changes keys between two pages: what is taken is the
+// TestExportIsConsistent changes keys between two pages: what is taken is the
 // state at one revision, not a mixture; a service that forgets meanwhile is read
 // anew.
-func TestTakeIsOfOneRevision(t *testing.T) {
+func TestExportIsConsistent(t *testing.T) {
 	s := sample(t)
 	s.Limits.PageItems = 9
 	n := 0
-	s.paged = func() {
+	s.afterPage = func() {
 		if n++; n == 2 {
 			s.put(t, store.BatchKey("a"), store.BatchRecord{})
-			s.Commit(wire.Txn{Then: []wire.Change{{Delete: store.RecentKey(0)}}})
+			s.Commit(wire.Txn{Then: []wire.Operation{{Delete: store.RecentKey(0)}}})
 		}
 		if n == 3 {
-			s.Forget()
+			s.DropHistory()
 		}
 	}
-	items, revision, err := Take(t.Context(), s, quiet)
+	items, revision, err := Export(t.Context(), s, noExportProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Limits.PageItems = 0
-	want := s.Page(store.Stem, "", 0)
+	want := s.Page(store.CommonPrefix, "", 0)
 	if n < 8 || len(items) != len(want.Items) || revision != want.Revision {
 		t.Errorf("%d pages, %d of %d keys at %d", n, len(items), len(want.Items), revision)
 	}
 }
 
-// TestDamagedFileIsRefused cuts and changes an export at every byte: none is read,
+// TestDamagedFileIsRejected cuts and changes an export at every byte: none is read,
 // and the error names the key before.
-func TestDamagedFileIsRefused(t *testing.T) {
-	items := sample(t).Page(store.Stem, "", 0).Items
+func TestDamagedFileIsRejected(t *testing.T) {
+	items := sample(t).Page(store.CommonPrefix, "", 0).Items
 	var file bytes.Buffer
-	if err := Write(&file, Header{State: store.Format}, items); err != nil {
+	if err := Write(&file, Header{StateFormat: store.Format}, items); err != nil {
 		t.Fatal(err)
 	}
 	whole := file.Bytes()
@@ -190,7 +192,7 @@
 		changed[i] ^= 0x55
 		if h, got, _, err := Read(bytes.NewReader(changed)); err == nil {
 			for k := range got {
-				if got[k].Key != items[k].Key || !bytes.Equal(got[k].Value, items[k].Value) || h.State != store.Format {
+				if got[k].Key != items[k].Key || !bytes.Equal(got[k].Value, items[k].Value) || h.StateFormat != store.Format {
 					t.Fatalf("changed at %d: read as something else", i)
 				}
 			}
@@ -199,7 +201,7 @@
 	if _, _, _, err := Read(bytes.NewReader([]byte("amberdeal-state 2\n"))); !errors.Is(err, ErrNewer) {
 		t.Errorf("a newer file: %v", err)
 	}
-	if _, _, _, err := Read(bytes.NewReader([]byte("something\n"))); !errors.Is(err, ErrNotOurs) {
+	if _, _, _, err := Read(bytes.NewReader([]byte("something\n"))); !errors.Is(err, ErrNotExport) {
 		t.Errorf("another file: %v", err)
 	}
 	// Inside of the compression too: a frame that is left out, and one that is changed.
@@ -210,7 +212,7 @@
 }
 
 // cutInside writes four keys as if more followed, and reads that.
-func cutInside(t *testing.T, items []wire.Item) error {
+func cutInside(t *testing.T, items []wire.KeyValue) error {
 	t.Helper()
 	var file bytes.Buffer
 	if err := write(&file, Header{}, items[:4], false); err != nil {
@@ -220,45 +222,45 @@
 	return err
 }
 
-// kept remembers every transaction that an import makes.
-type kept struct {
-	*state
-	made []wire.Txn
+// recordingService remembers every transaction that an import makes.
+type recordingService struct {
+	*fakeService
+	sent []wire.Txn
 }
 
-func (k *kept) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
-	k.made = append(k.made, t)
-	return k.state.Txn(ctx, t)
+func (k *recordingService) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
+	k.sent = append(k.sent, t)
+	return k.fakeService.Txn(ctx, t)
 }
 
-// TestLateCopiesOfAnImport: each write of an import is carried out once more when controllers have
+// TestLateImportWritesAreRejected: each write of an import is carried out once more when controllers have
 // worked on the state for a while: the counter of terms has risen, and what was put in is gone
 // again. None is taken; also not where a state of version 1 was put in, which has no marker.
-func TestLateCopiesOfAnImport(t *testing.T) {
-	for name, before := range map[string]func(s *state){
-		"format 2": func(*state) {},
-		"format 1": func(s *state) {
-			s.Commit(wire.Txn{Then: []wire.Change{{Delete: store.FormatKey}}})
+func TestLateImportWritesAreRejected(t *testing.T) {
+	for name, before := range map[string]func(s *fakeService){
+		"format 2": func(*fakeService) {},
+		"format 1": func(s *fakeService) {
+			s.Commit(wire.Txn{Then: []wire.Operation{{Delete: store.FormatKey}}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			from, to := sample(t), &kept{state: newState()}
+			from, to := sample(t), &recordingService{fakeService: newFakeService()}
 			before(from)
-			items, _, err := Take(t.Context(), from, quiet)
+			items, _, err := Export(t.Context(), from, noExportProgress)
 			if err != nil {
 				t.Fatal(err)
 			}
-			term, err := Restore(t.Context(), to, items, "sum", Limits{ValueBytes: 8192, TxnOps: 12}, silent)
+			term, err := Import(t.Context(), to, items, "sum", Limits{ValueBytes: 8192, TxnOps: 12}, noImportProgress)
 			if err != nil {
 				t.Fatal(err)
 			}
-			to.put(t, store.TermKey, term+1)
-			for _, it := range to.Page(store.Root, "", 0).Items {
+			to.put(t, store.FencingTokenKey, term+1)
+			for _, it := range to.Page(store.StatePrefix, "", 0).Items {
 				if kind := store.Kind(it.Key); kind == "batch" || kind == "ledger" {
-					to.Commit(wire.Txn{Then: []wire.Change{{Delete: it.Key}}})
+					to.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
 				}
 			}
-			for _, txn := range to.made {
+			for _, txn := range to.sent {
 				if status, _ := to.Commit(txn); status != 409 {
 					t.Errorf("a late copy of the write of %s: %d", txn.Then[0].Put, status)
 				}
--- a/internal/store/callstats.go
+++ b/internal/store/callstats.go
@@ -6,25 +6,25 @@
 	"sync"
 )
 
-// Spent counts what the state service was asked for.
-type Spent struct {
+// CallStats counts what the state service was asked for.
+type CallStats struct {
 	Requests, Changes, Refused, Unanswered, Bytes uint64
 }
 
 // The purposes that calls are counted by.
 const (
-	Claims      = "claim"
-	Rounds      = "round"
-	Submissions = "submission"
-	Cancels     = "cancel"
-	Folding     = "fold"
-	Reading     = "read"
+	PurposeLeadership    = "claim"
+	PurposeRounds        = "round"
+	PurposeSubmissions   = "submission"
+	PurposeCancellations = "cancel"
+	PurposeCompaction    = "fold"
+	PurposeReads         = "read"
 )
 
 type purposeKey struct{}
 
-// For marks the calls under a context by what they are made for.
-func For(ctx context.Context, purpose string) context.Context {
+// WithPurpose marks the calls under a context by what they are made for.
+func WithPurpose(ctx context.Context, purpose string) context.Context {
 	return context.WithValue(ctx, purposeKey{}, purpose)
 }
 
@@ -32,36 +32,36 @@
 	if p, ok := ctx.Value(purposeKey{}).(string); ok {
 		return p
 	}
-	return Reading
+	return PurposeReads
 }
 
-type spent struct {
-	mu sync.Mutex
-	by map[string]Spent
+type callCounters struct {
+	mu        sync.Mutex
+	byPurpose map[string]CallStats
 }
 
-func (s *spent) add(purpose string, f func(*Spent)) {
+func (s *callCounters) add(purpose string, f func(*CallStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.by == nil {
-		s.by = make(map[string]Spent)
+	if s.byPurpose == nil {
+		s.byPurpose = make(map[string]CallStats)
 	}
-	n := s.by[purpose]
+	n := s.byPurpose[purpose]
 	f(&n)
-	s.by[purpose] = n
+	s.byPurpose[purpose] = n
 }
 
-// SpentBy gives the counts by purpose.
-func (c *Client) SpentBy() map[string]Spent {
-	c.spent.mu.Lock()
-	defer c.spent.mu.Unlock()
-	return maps.Clone(c.spent.by)
+// CallStatsByPurpose gives the counts by purpose.
+func (c *Client) CallStatsByPurpose() map[string]CallStats {
+	c.calls.mu.Lock()
+	defer c.calls.mu.Unlock()
+	return maps.Clone(c.calls.byPurpose)
 }
 
-// Spent gives the counts of all purposes together.
-func (c *Client) Spent() Spent {
-	var sum Spent
-	for _, s := range c.SpentBy() {
+// CallStats gives the counts of all purposes together.
+func (c *Client) CallStats() CallStats {
+	var sum CallStats
+	for _, s := range c.CallStatsByPurpose() {
 		sum.Requests += s.Requests
 		sum.Changes += s.Changes
 		sum.Refused += s.Refused
