--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -22,12 +22,12 @@
 var (
 	// ErrRefused means that the call was not executed and never will be.
 	ErrRefused = errors.New("state service refused the call")
-	// ErrUnknown means that the call may have been executed, or may still be.
-	ErrUnknown = errors.New("state service gave no answer")
-	// ErrNoLease means that the lease has ended.
-	ErrNoLease = errors.New("no such lease")
-	// ErrTooOld means that a watch begins before what the service remembers.
-	ErrTooOld = errors.New("revision too old")
+	// ErrUnknownOutcome means that the call may have been executed, or may still be.
+	ErrUnknownOutcome = errors.New("state service gave no answer")
+	// ErrLeaseNotFound means that the lease has ended.
+	ErrLeaseNotFound = errors.New("no such lease")
+	// ErrCompacted means that a watch begins before what the service remembers.
+	ErrCompacted = errors.New("revision too old")
 )
 
 // ConflictError names the keys whose versions were not as demanded.
@@ -40,22 +40,22 @@
 // half, by parts, and the rest is for acceptance, shared evenly or as package writers says.
 // Shares that overlap while a holder changes only cost a refusal.
 type Client struct {
-	addr     string
-	caller   *transport.Caller
-	reads    *rate.Limiter
-	writes   *rate.Limiter
-	rps      float64
-	writeRPS float64
-	log      *slog.Logger
-	spent    spent
+	addr         string
+	caller       *transport.Caller
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
+	rps          float64
+	writeRPS     float64
+	log          *slog.Logger
+	calls        callCounters
 }
 
 // Allowance is what one controller may take of the limits, each part from 0 to 1.
 type Allowance struct {
 	Requests   float64 // of all requests
 	Acceptance float64 // of the changes that are for acceptance
-	Holding    float64 // of those that are for holding the fleet: the part of it that is held
-	Held       bool    // whether anyone holds the fleet; otherwise all changes are for acceptance
+	Leading    float64 // of those that are for holding the fleet: the part of it that is held
+	HasLeader  bool    // whether anyone holds the fleet; otherwise all changes are for acceptance
 }
 
 // EvenAllowance is that of one of so many controllers while nobody holds the fleet.
@@ -63,21 +63,21 @@
 	return Allowance{Requests: 1 / float64(controllers), Acceptance: 1 / float64(controllers)}
 }
 
-// changes is the part of all changes that an allowance comes to.
-func (a Allowance) changes() float64 {
-	if !a.Held && a.Holding == 0 {
+// writeShare is the part of all changes that an allowance comes to.
+func (a Allowance) writeShare() float64 {
+	if !a.HasLeader && a.Leading == 0 {
 		return a.Acceptance
 	}
-	return a.Acceptance/2 + a.Holding/2
+	return a.Acceptance/2 + a.Leading/2
 }
 
-// maxAnswer bounds an answer: a page of keys takes half a MiB, and where changes take more than
+// maxResponseBytes bounds an answer: a page of keys takes half a MiB, and where changes take more than
 // this the keys are read in less.
-const maxAnswer = 8 << 20
+const maxResponseBytes = 8 << 20
 
 // NewClient gives a client that keeps to an allowance.
 func NewClient(net transport.Network, addr string, rps, writeRPS float64, allowed Allowance, log *slog.Logger) *Client {
-	c := &Client{addr: addr, caller: &transport.Caller{Limit: maxAnswer, Dial: net.Dial}, reads: rate.NewLimiter(0, 1), writes: rate.NewLimiter(0, 1),
+	c := &Client{addr: addr, caller: &transport.Caller{MaxBody: maxResponseBytes, Dial: net.Dial}, readLimiter: rate.NewLimiter(0, 1), writeLimiter: rate.NewLimiter(0, 1),
 		rps: rps, writeRPS: writeRPS, log: log}
 	c.Allow(allowed)
 	return c
@@ -92,49 +92,49 @@
 
 // Allow sets what this controller may take of the limits.
 func (c *Client) Allow(a Allowance) {
-	setRate(c.reads, c.rps*a.Requests)
-	setRate(c.writes, c.writeRPS*a.changes())
+	setRate(c.readLimiter, c.rps*a.Requests)
+	setRate(c.writeLimiter, c.writeRPS*a.writeShare())
 }
 
-// HolderBurst is how many changes the holder of one of so many parts, with a share of acceptance,
+// LeaderBurst is how many changes the holder of one of so many parts, with a share of acceptance,
 // may surely make at once: what is more is refused as long as the others spend theirs. A limit of 0
 // stands for none.
-func HolderBurst(writeRPS, acceptance float64, parts int) int {
+func LeaderBurst(writeRPS, acceptance float64, parts int) int {
 	if writeRPS == 0 {
 		return math.MaxInt
 	}
-	share := Allowance{Acceptance: acceptance, Holding: 1 / float64(parts), Held: true}
-	return max(leastBurst, int(writeRPS*share.changes()))
+	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(parts), HasLeader: true}
+	return max(minBurst, int(writeRPS*share.writeShare()))
 }
 
-// leastBurst is what a round has to have room for: a slot of the ledger, one that is added or
+// minBurst is what a round has to have room for: a slot of the ledger, one that is added or
 // dropped, and homes in which jobs end.
-const leastBurst = 4
+const minBurst = 4
 
-// Gap is the least time between two requests of one kind that may take a part
+// MinInterval is the least time between two requests of one kind that may take a part
 // of this controller's share of the requests.
-func (c *Client) Gap(part float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(0.1, part*float64(c.reads.Limit())))
+func (c *Client) MinInterval(part float64) time.Duration {
+	return time.Duration(float64(time.Second) / max(0.1, part*float64(c.readLimiter.Limit())))
 }
 
-// patience bounds an ordinary call. Answers mostly come within 10 ms, but a
+// callTimeout bounds an ordinary call. Answers mostly come within 10 ms, but a
 // service that takes 2 s for each must still be of use: giving up sooner makes
 // an outage of its slowness.
-const patience = 2500 * time.Millisecond
+const callTimeout = 2500 * time.Millisecond
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration) (*httpwire.Response, error) {
 	purpose := purposeOf(ctx)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	c.spent.add(purpose, func(s *Spent) { s.Requests++ })
+	c.calls.add(purpose, func(s *CallStats) { s.Requests++ })
 	resp, err := c.caller.Call(ctx, c.addr, method, path, body)
 	if err != nil {
-		c.spent.add(purpose, func(s *Spent) { s.Unanswered++ })
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		c.calls.add(purpose, func(s *CallStats) { s.Unanswered++ })
+		return nil, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
-	c.spent.add(purpose, func(s *Spent) { s.Bytes += uint64(len(body) + len(resp.Body)) })
+	c.calls.add(purpose, func(s *CallStats) { s.Bytes += uint64(len(body) + len(resp.Body)) })
 	if resp.Status == 429 || resp.Status == 503 {
-		c.spent.add(purpose, func(s *Spent) { s.Refused++ })
+		c.calls.add(purpose, func(s *CallStats) { s.Refused++ })
 		return nil, fmt.Errorf("%w: status %d", ErrRefused, resp.Status)
 	}
 	return resp, nil
@@ -143,7 +143,7 @@
 // decode reads an answer; a malformed one counts as none.
 func decode(resp *httpwire.Response, v any) error {
 	if err := wire.Decode(resp.Body, v); err != nil {
-		return fmt.Errorf("%w: malformed answer, status %d: %w", ErrUnknown, resp.Status, err)
+		return fmt.Errorf("%w: malformed answer, status %d: %w", ErrUnknownOutcome, resp.Status, err)
 	}
 	return nil
 }
@@ -151,31 +151,31 @@
 // Txn commits a transaction and gives its revision. What came of it is in the
 // error: *ConflictError, ErrNoLease, ErrRefused or ErrUnknown.
 func (c *Client) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
-	return c.TxnAfter(ctx, t, func() {})
+	return c.TxnBeforeSend(ctx, t, func() {})
 }
 
-// TxnAfter is Txn; sending is called once the limits allow the transaction, before it is sent.
-func (c *Client) TxnAfter(ctx context.Context, t wire.Txn, sending func()) (uint64, error) {
-	if err := c.reads.Wait(ctx); err != nil {
+// TxnBeforeSend is Txn; sending is called once the limits allow the transaction, before it is sent.
+func (c *Client) TxnBeforeSend(ctx context.Context, t wire.Txn, beforeSend func()) (uint64, error) {
+	if err := c.readLimiter.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	if n := min(len(t.Then), c.writes.Burst()); n > 0 {
-		if err := c.writes.WaitN(ctx, n); err != nil {
+	if n := min(len(t.Then), c.writeLimiter.Burst()); n > 0 {
+		if err := c.writeLimiter.WaitN(ctx, n); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 		if rest := len(t.Then) - n; rest > 0 { // more than a burst: owe the rest
-			c.writes.ReserveN(time.Now(), min(rest, c.writes.Burst()))
+			c.writeLimiter.ReserveN(time.Now(), min(rest, c.writeLimiter.Burst()))
 		}
 	}
 	if t.If == nil {
 		t.If = []wire.Condition{}
 	}
 	if t.Then == nil {
-		t.Then = []wire.Change{}
+		t.Then = []wire.Operation{}
 	}
-	c.spent.add(purposeOf(ctx), func(s *Spent) { s.Changes += uint64(len(t.Then)) })
-	sending()
-	resp, err := c.call(ctx, "POST", wire.PathTxn, wire.Encode(t), patience)
+	c.calls.add(purposeOf(ctx), func(s *CallStats) { s.Changes += uint64(len(t.Then)) })
+	beforeSend()
+	resp, err := c.call(ctx, "POST", wire.PathTxn, wire.Encode(t), callTimeout)
 	if err != nil {
 		return 0, err
 	}
@@ -192,108 +192,108 @@
 	case 400:
 		var f wire.Failure
 		_ = decode(resp, &f)
-		if f.Error == ErrNoLease.Error() {
-			return 0, ErrNoLease
+		if f.Error == ErrLeaseNotFound.Error() {
+			return 0, ErrLeaseNotFound
 		}
 		c.log.Error("state service calls a transaction malformed", "error", f.Error, "changes", len(t.Then), "conditions", len(t.If))
 		return 0, fmt.Errorf("%w: %s", ErrRefused, f.Error)
 	}
-	return 0, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+	return 0, fmt.Errorf("%w: status %d", ErrUnknownOutcome, resp.Status)
 }
 
 // List reads a page of keys, of at most limit; 0 stands for as many as there may
 // be.
-func (c *Client) List(ctx context.Context, prefix, after string, limit int) (*wire.ItemList, error) {
+func (c *Client) List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	if limit == 0 {
 		limit = wire.MaxItems
 	}
-	if err := c.reads.Wait(ctx); err != nil {
+	if err := c.readLimiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	resp, err := c.call(ctx, "GET", wire.KeysPath(prefix, after, limit), nil, 4*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	var l wire.ItemList
+	var l wire.KeyValueList
 	if resp.Status != 200 {
-		return nil, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+		return nil, fmt.Errorf("%w: status %d", ErrUnknownOutcome, resp.Status)
 	}
 	return &l, decode(resp, &l)
 }
 
 // Changes waits for changes after a revision, at most for wait.
-func (c *Client) Changes(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.Changes, error) {
-	if err := c.reads.Wait(ctx); err != nil {
+func (c *Client) Changes(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.WatchResponse, error) {
+	if err := c.readLimiter.Wait(ctx); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	resp, err := c.call(ctx, "GET", wire.ChangesPath(prefix, from, wait), nil, wait+patience)
+	resp, err := c.call(ctx, "GET", wire.WatchPath(prefix, from, wait), nil, wait+callTimeout)
 	var fault *httpwire.Error
 	switch {
 	case errors.As(err, &fault): // too many, and there would only be more of them next time
-		return nil, fmt.Errorf("%w: %w", ErrTooOld, err)
+		return nil, fmt.Errorf("%w: %w", ErrCompacted, err)
 	case err != nil:
 		return nil, err
 	}
 	switch resp.Status {
 	case 200:
-		var ch wire.Changes
+		var ch wire.WatchResponse
 		return &ch, decode(resp, &ch)
 	case 410:
-		return nil, ErrTooOld
+		return nil, ErrCompacted
 	}
-	return nil, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+	return nil, fmt.Errorf("%w: status %d", ErrUnknownOutcome, resp.Status)
 }
 
-// Grant takes a new lease. Lease calls go before all others: they are charged
+// GrantLease takes a new lease. Lease calls go before all others: they are charged
 // to the share but never wait for it.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	c.reads.Reserve()
-	resp, err := c.call(ctx, "POST", wire.PathLeases, wire.Encode(wire.LeaseGrant{TTLms: ttl.Milliseconds()}), patience)
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	c.readLimiter.Reserve()
+	resp, err := c.call(ctx, "POST", wire.PathLeases, wire.Encode(wire.LeaseGrantRequest{TTLms: ttl.Milliseconds()}), callTimeout)
 	if err != nil {
 		return 0, err
 	}
-	var id wire.LeaseID
+	var id wire.LeaseGrantResponse
 	if resp.Status != 200 {
-		return 0, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+		return 0, fmt.Errorf("%w: status %d", ErrUnknownOutcome, resp.Status)
 	}
 	return id.Lease, decode(resp, &id)
 }
 
-// Renew gives a lease its full time again.
-func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	c.reads.Reserve()
-	resp, err := c.call(ctx, "POST", wire.RenewPath(lease), nil, patience)
+// RenewLease gives a lease its full time again.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
+	c.readLimiter.Reserve()
+	resp, err := c.call(ctx, "POST", wire.RenewPath(lease), nil, callTimeout)
 	switch {
 	case err != nil:
 		return err
 	case resp.Status == 404:
-		return ErrNoLease
+		return ErrLeaseNotFound
 	case resp.Status != 200:
-		return fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
+		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, resp.Status)
 	}
 	return nil
 }
 
-// End ends a lease at once.
-func (c *Client) End(ctx context.Context, lease uint64) error {
-	c.reads.Reserve()
-	_, err := c.call(ctx, "DELETE", wire.LeasePath(lease), nil, patience)
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+	c.readLimiter.Reserve()
+	_, err := c.call(ctx, "DELETE", wire.LeasePath(lease), nil, callTimeout)
 	return err
 }
 
-// spareFloor is the part of a controller's share that is left to what can wait, however much else
+// minBackgroundShare is the part of a controller's share that is left to what can wait, however much else
 // there is: it is to go on, if slowly, in a flood that takes all the rest for minutes.
-const spareFloor = 1. / 8
+const minBackgroundShare = 1. / 8
 
-// Spare waits until n changes can be made and half of this controller's share
+// WaitForSpareWrites waits until n changes can be made and half of this controller's share
 // is left to others: what can wait goes last, but not without an end.
-func (c *Client) Spare(ctx context.Context, n int) error {
+func (c *Client) WaitForSpareWrites(ctx context.Context, n int) error {
 	for begun := time.Now(); ; {
-		burst := float64(c.writes.Burst())
-		if need := min(float64(n)+burst/2, burst); c.writes.Tokens() >= need {
+		burst := float64(c.writeLimiter.Burst())
+		if need := min(float64(n)+burst/2, burst); c.writeLimiter.Tokens() >= need {
 			return nil
 		}
-		if time.Since(begun).Seconds()*float64(c.writes.Limit())*spareFloor >= float64(n) {
+		if time.Since(begun).Seconds()*float64(c.writeLimiter.Limit())*minBackgroundShare >= float64(n) {
 			return nil
 		}
 		t := time.NewTimer(100 * time.Millisecond)
@@ -306,11 +306,11 @@
 	}
 }
 
-// Burst is how many changes this controller may make at once.
-func (c *Client) Burst() int { return c.writes.Burst() }
+// WriteBurst is how many changes this controller may make at once.
+func (c *Client) WriteBurst() int { return c.writeLimiter.Burst() }
 
-// Pause is a jittered back-off after a call that failed.
-func Pause(ctx context.Context, d time.Duration) {
+// Backoff is a jittered back-off after a call that failed.
+func Backoff(ctx context.Context, d time.Duration) {
 	d = d/2 + time.Duration(rand.Int64N(int64(d)))
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -13,31 +13,33 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// nowhere is a network on which nothing is reached.
-type nowhere struct{ transport.Network }
+// unreachableNetwork is a network on which nothing is reached.
+type unreachableNetwork struct{ transport.Network }
 
-func (nowhere) Dial(context.Context, string) (net.Conn, error) { return nil, transport.ErrNotSent }
+func (unreachableNetwork) Dial(context.Context, string) (net.Conn, error) {
+	return nil, transport.ErrNotSent
+}
 
-// TestSpareGoesOn: rounds take every change that a holder has, without a pause. What can wait
+// TestBackgroundWritesMakeProgress: rounds take every change that a holder has, without a pause. What can wait
 // still gets its turn, for an eighth of the share; and at once where there is room.
-func TestSpareGoesOn(t *testing.T) {
+func TestBackgroundWritesMakeProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewClient(nowhere{}, "", 1000, 12, EvenAllowance(3), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Allow(Allowance{Requests: 1. / 3, Acceptance: 1. / 3, Holding: 1, Held: true}) // 8 a second
+		c := NewClient(unreachableNetwork{}, "", 1000, 12, EvenAllowance(3), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c.Allow(Allowance{Requests: 1. / 3, Acceptance: 1. / 3, Leading: 1, HasLeader: true}) // 8 a second
 		time.Sleep(2 * time.Second)
 		begun := time.Now()
-		if _ = c.Spare(t.Context(), 4); time.Since(begun) > 0 {
+		if _ = c.WaitForSpareWrites(t.Context(), 4); time.Since(begun) > 0 {
 			t.Errorf("it waited for %v though nobody else wants anything", time.Since(begun))
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go func() {
-			for c.writes.WaitN(ctx, 1) == nil {
+			for c.writeLimiter.WaitN(ctx, 1) == nil {
 			}
 		}()
 		time.Sleep(2 * time.Second)
 		begun = time.Now()
 		for range 10 {
-			_ = c.Spare(ctx, 4)
+			_ = c.WaitForSpareWrites(ctx, 4)
 		}
 		if took := time.Since(begun); took < 39*time.Second || took > 42*time.Second { // 4 of one a second, with the time between two looks
 			t.Errorf("40 changes that can wait took %v", took)
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -10,48 +10,50 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// watchGap is the least time between two watches: each counts as a request,
+// minWatchInterval is the least time between two watches: each counts as a request,
 // and one brings all changes since the last. Of a small share of the requests,
 // watches and barriers take a third each.
-const watchGap = 150 * time.Millisecond
+const minWatchInterval = 150 * time.Millisecond
 
-// watchTime bounds a watch: how fresh the view surely is follows from when the last
+// maxWatchTimeout bounds a watch: how fresh the view surely is follows from when the last
 // one was begun.
-const watchTime = 4 * time.Second
+const maxWatchTimeout = 4 * time.Second
 
-// WatchFor gives the bound of a watch where what it tells may be no older than so much.
-func WatchFor(linger time.Duration) time.Duration { return min(watchTime, linger/3) }
+// WatchTimeoutFor gives the bound of a watch where what it tells may be no older than so much.
+func WatchTimeoutFor(maxStaleness time.Duration) time.Duration {
+	return min(maxWatchTimeout, maxStaleness/3)
+}
 
 // Follower keeps a View up to date and makes read barriers.
 type Follower struct {
-	// Watch bounds a watch.
-	Watch time.Duration
+	// WatchTimeout bounds a watch.
+	WatchTimeout time.Duration
 
 	client *Client
 	view   *View
 	log    *slog.Logger
 
-	mu      sync.Mutex
-	next    *barrier
-	wake    chan struct{}
-	reached time.Time
-	failed  time.Time
-	loaded  Loaded
+	mu          sync.Mutex
+	pending     *barrier
+	wake        chan struct{}
+	lastSuccess time.Time
+	lastFailure time.Time
+	lastLoad    LoadStats
 }
 
-// Loaded tells how the view was last read as a whole.
-type Loaded struct {
-	At             time.Time
-	Took           time.Duration
+// LoadStats tells how the view was last read as a whole.
+type LoadStats struct {
+	FinishedAt     time.Time
+	Duration       time.Duration
 	Keys, Requests int
 	Bytes          int
 }
 
-// Loaded tells of the last list.
-func (f *Follower) Loaded() Loaded {
+// LastLoad tells of the last list.
+func (f *Follower) LastLoad() LoadStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.loaded
+	return f.lastLoad
 }
 
 type barrier struct {
@@ -61,35 +63,35 @@
 
 // NewFollower gives a follower of the client's store.
 func NewFollower(c *Client, v *View, log *slog.Logger) *Follower {
-	return &Follower{Watch: watchTime, client: c, view: v, log: log, wake: make(chan struct{}, 1)}
+	return &Follower{WatchTimeout: maxWatchTimeout, client: c, view: v, log: log, wake: make(chan struct{}, 1)}
 }
 
-// note remembers when the store was last reached, and when it last was not. One that calls
+// recordContact remembers when the store was last reached, and when it last was not. One that calls
 // the view too old has told nothing: whoever can't read it anew must not seem to be served.
-func (f *Follower) note(err error) {
+func (f *Follower) recordContact(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err == nil {
-		f.reached = time.Now()
+		f.lastSuccess = time.Now()
 	} else {
-		f.failed = time.Now()
+		f.lastFailure = time.Now()
 	}
 }
 
-// Reached tells when the store last answered, and whether a later call failed.
-func (f *Follower) Reached() (at time.Time, failing bool) {
+// LastContact tells when the store last answered, and whether a later call failed.
+func (f *Follower) LastContact() (at time.Time, failing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.reached, f.failed.After(f.reached)
+	return f.lastSuccess, f.lastFailure.After(f.lastSuccess)
 }
 
 // Run lists and watches until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := f.list(ctx); err != nil {
-			f.note(err)
+		if err := f.load(ctx); err != nil {
+			f.recordContact(err)
 			f.log.Debug("listing the store failed", "error", err)
-			Pause(ctx, 300*time.Millisecond)
+			Backoff(ctx, 300*time.Millisecond)
 			continue
 		}
 		f.watch(ctx)
@@ -97,14 +99,14 @@
 	return nil
 }
 
-// list reads all keys but the history, page by page, and what has changed
+// load reads all keys but the history, page by page, and what has changed
 // meanwhile.
-func (f *Follower) list(ctx context.Context) error {
-	var items []wire.Item
+func (f *Follower) load(ctx context.Context) error {
+	var items []wire.KeyValue
 	var first uint64
 	begun, pages := time.Now(), 0
 	for after := ""; ; {
-		page, err := f.client.List(ctx, Root, after, 0)
+		page, err := f.client.List(ctx, StatePrefix, after, 0)
 		if err != nil {
 			return err
 		}
@@ -117,24 +119,24 @@
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
-	since := &wire.Changes{Revision: first}
+	changes := &wire.WatchResponse{Revision: first}
 	if pages > 1 { // one page is of one moment
 		var err error
-		if since, err = f.client.Changes(ctx, Stem, first, 0); err != nil {
+		if changes, err = f.client.Changes(ctx, CommonPrefix, first, 0); err != nil {
 			return err
 		}
 	}
-	f.note(nil)
-	f.view.Load(items, first, since)
-	f.view.Reached(begun)
-	l := Loaded{At: time.Now(), Took: time.Since(begun), Keys: len(items), Requests: pages + min(pages-1, 1)}
+	f.recordContact(nil)
+	f.view.Load(items, first, changes)
+	f.view.MarkCurrent(begun)
+	l := LoadStats{FinishedAt: time.Now(), Duration: time.Since(begun), Keys: len(items), Requests: pages + min(pages-1, 1)}
 	for _, it := range items {
 		l.Bytes += len(it.Key) + len(it.Value)
 	}
 	f.mu.Lock()
-	f.loaded = l
+	f.lastLoad = l
 	f.mu.Unlock()
-	f.log.Info("view loaded", "keys", l.Keys, "bytes", l.Bytes, "requests", l.Requests, "after", l.Took, "revision", f.view.Revision())
+	f.log.Info("view loaded", "keys", l.Keys, "bytes", l.Bytes, "requests", l.Requests, "after", l.Duration, "revision", f.view.Revision())
 	return nil
 }
 
@@ -142,19 +144,19 @@
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		begun := time.Now()
-		ch, err := f.client.Changes(ctx, Stem, f.view.Revision(), f.Watch)
-		f.note(err)
+		ch, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), f.WatchTimeout)
+		f.recordContact(err)
 		switch {
 		case err == nil:
 			f.view.Apply(ch)
-			f.view.Reached(begun)
-			if gap := max(watchGap, f.client.Gap(1./3)) - time.Since(begun); gap > 0 {
-				Pause(ctx, gap)
+			f.view.MarkCurrent(begun)
+			if gap := max(minWatchInterval, f.client.MinInterval(1./3)) - time.Since(begun); gap > 0 {
+				Backoff(ctx, gap)
 			}
-		case errors.Is(err, ErrTooOld):
+		case errors.Is(err, ErrCompacted):
 			return
 		default:
-			Pause(ctx, 400*time.Millisecond)
+			Backoff(ctx, 400*time.Millisecond)
 		}
 	}
 }
@@ -168,16 +170,16 @@
 		case <-f.wake:
 		}
 		f.mu.Lock()
-		b := f.next
-		f.next = nil
+		b := f.pending
+		f.pending = nil
 		f.mu.Unlock()
 		if b == nil {
 			continue
 		}
 		begun := time.Now()
-		b.err = f.cross(ctx)
+		b.err = f.catchUp(ctx)
 		close(b.done)
-		if gap := f.client.Gap(1./3) - time.Since(begun); gap > 0 {
+		if gap := f.client.MinInterval(1./3) - time.Since(begun); gap > 0 {
 			t := time.NewTimer(gap)
 			select {
 			case <-ctx.Done():
@@ -187,31 +189,31 @@
 	}
 }
 
-func (f *Follower) cross(ctx context.Context) error {
+func (f *Follower) catchUp(ctx context.Context) error {
 	if !f.view.Loaded() {
 		return ErrRefused
 	}
 	begun := time.Now()
-	ch, err := f.client.Changes(ctx, Stem, f.view.Revision(), 0)
-	f.note(err)
+	ch, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), 0)
+	f.recordContact(err)
 	if err == nil {
 		f.view.Apply(ch)
-		f.view.Reached(begun)
+		f.view.MarkCurrent(begun)
 	}
 	return err
 }
 
 // Barrier returns once the view holds everything that was in the store when
 // Barrier was called. All who wait share one cheap read.
-func (f *Follower) Barrier(ctx context.Context) error { return f.Ask()(ctx) }
+func (f *Follower) Barrier(ctx context.Context) error { return f.RequestBarrier()(ctx) }
 
-// Ask begins a barrier; what it gives waits for it.
-func (f *Follower) Ask() (wait func(ctx context.Context) error) {
+// RequestBarrier begins a barrier; what it gives waits for it.
+func (f *Follower) RequestBarrier() (wait func(ctx context.Context) error) {
 	f.mu.Lock()
-	b := f.next
+	b := f.pending
 	if b == nil {
 		b = &barrier{done: make(chan struct{})}
-		f.next = b
+		f.pending = b
 		select {
 		case f.wake <- struct{}{}:
 		default:
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -17,12 +17,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestTooMuchToFollow: a follower that was cut off for long would get more changes than an answer
+// TestFollowerReloadsWhenChangesAreTooLarge: a follower that was cut off for long would get more changes than an answer
 // may hold, each time again; it reads the keys instead.
-func TestTooMuchToFollow(t *testing.T) {
+func TestFollowerReloadsWhenChangesAreTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
+		net, s := simulator.NewNetwork(), simulator.NewStateService(1, 0)
 		go func() { _ = net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve()) }()
 		log := slog.New(slog.DiscardHandler)
 		v := NewView(log)
@@ -30,12 +30,12 @@
 		go f.Run(ctx)
 		go f.RunBarriers(ctx)
 		time.Sleep(time.Second)
-		net.Cut("10.0.0.1", "10.2.0.1", true)
+		net.Partition("10.0.0.1", "10.2.0.1", true)
 		large := strings.Repeat("x", 16<<10)
 		for range 1000 {
-			s.Commit(wire.Txn{Then: []wire.Change{{Put: Root + "other/x", Value: large}}})
+			s.Commit(wire.Txn{Then: []wire.Operation{{Put: StatePrefix + "other/x", Value: large}}})
 		}
-		net.Cut("10.0.0.1", "10.2.0.1", false)
+		net.Partition("10.0.0.1", "10.2.0.1", false)
 		time.Sleep(30 * time.Second)
 		if err := f.Barrier(ctx); err != nil {
 			t.Error(err)
@@ -46,14 +46,14 @@
 	})
 }
 
-// TestBarrierHoldsHoweverAnswersCross: answers of watches, barriers and lists take their time, each
+// TestBarrierHoldsWhenResponsesOvertake: answers of watches, barriers and lists take their time, each
 // another, so that they overtake each other, and the service forgets its changes now and then. What was
 // in it when a barrier was asked for is in the view once it is crossed, whoever else shares it, and
 // no job's stage ever goes back.
-func TestBarrierHoldsHoweverAnswersCross(t *testing.T) {
+func TestBarrierHoldsWhenResponsesOvertake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		net, s := simulator.NewNet(), simulator.NewStore(1, 0)
+		net, s := simulator.NewNetwork(), simulator.NewStateService(1, 0)
 		s.Limits.PageItems = 40
 		var mu sync.Mutex
 		luck := rand.New(rand.NewPCG(1, 1))
@@ -62,7 +62,7 @@
 			defer mu.Unlock()
 			return luck.IntN(n)
 		}
-		net.Slow("10.2.0.1", func() time.Duration { return time.Duration(draw(1<<draw(9))) * time.Millisecond })
+		net.SetStepDelay("10.2.0.1", func() time.Duration { return time.Duration(draw(1<<draw(9))) * time.Millisecond })
 		go func() { _ = net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve()) }()
 		log := slog.New(slog.DiscardHandler)
 		v := NewView(log)
@@ -77,31 +77,31 @@
 			for n := 1; n <= jobs; n++ {
 				rec := JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id(n), Tasks: 1}}
 				key := BatchKey(fmt.Sprint(n))
-				put := func(c ...wire.Change) { s.Commit(wire.Txn{Then: c}) }
-				put(wire.Change{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id(n): rec}}})
+				put := func(c ...wire.Operation) { s.Commit(wire.Txn{Then: c}) }
+				put(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id(n): rec}}})
 				accepted.Store(int64(n))
 				time.Sleep(time.Duration(draw(200)) * time.Millisecond)
-				put(wire.Change{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id(n): rec.End(wire.Cancelled, time.Now())}}})
+				put(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id(n): rec.End(wire.Cancelled, time.Now())}}})
 				ended.Store(int64(n))
 				if n > 3 { // an older one is folded
-					put(wire.Change{Delete: BatchKey(fmt.Sprint(n - 3))},
-						wire.Change{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{{ID: id(n - 3), Stage: wire.Cancelled, Tasks: 1}})})
+					put(wire.Operation{Delete: BatchKey(fmt.Sprint(n - 3))},
+						wire.Operation{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{{ID: id(n - 3), Stage: wire.Cancelled, Tasks: 1}})})
 				}
 				if n%25 == 0 {
-					s.Forget()
+					s.DropHistory()
 				}
 			}
 		})
-		crossed, vain := 0, 0
+		crossed, failed := 0, 0
 		for range 30 {
 			group.Go(func() {
 				for ended.Load() < jobs {
 					time.Sleep(time.Duration(draw(1500)) * time.Millisecond)
-					a, e, rev := accepted.Load(), ended.Load(), s.Page(Root, "", 1).Revision
+					a, e, rev := accepted.Load(), ended.Load(), s.Page(StatePrefix, "", 1).Revision
 					err := f.Barrier(ctx)
 					mu.Lock()
 					if err != nil {
-						vain++
+						failed++
 						mu.Unlock()
 						continue
 					}
@@ -133,8 +133,8 @@
 			}
 		})
 		group.Wait()
-		if crossed < 200 || f.Loaded().At.IsZero() {
-			t.Errorf("%d barriers were crossed, %d in vain", crossed, vain)
+		if crossed < 200 || f.LastLoad().FinishedAt.IsZero() {
+			t.Errorf("%d barriers were crossed, %d in vain", crossed, failed)
 		}
 		stop()
 		net.Close()
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -11,32 +11,32 @@
 // them: nothing of it may end the process, and what is packed fits.
 func FuzzLedger(f *testing.F) {
 	m := MachineEntry("n-1", MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Tasks: map[string]uint64{"wk-1/0": 3 << 24}})
-	a := AskEntry("t1-1", AskRecord{Type: "g4", Zone: "a", Count: 3})
-	done := NewBits(0)
-	done.Set(1025)
+	a := ScaleOutEntry("t1-1", ScaleOutRecord{Type: "g4", Zone: "a", Count: 3})
+	done := NewTaskSet(0)
+	done.Add(1025)
 	p := ProgressEntry("wk-1", 1, done)
-	f.Add([]byte(wire.Encode(SlotRecord{Term: 3, Round: 2, Clear: 7, Entries: map[string]wire.Raw{m.Key: m.Value, a.Key: a.Value, p.Key: p.Value}})),
-		[]byte(wire.Encode(SlotRecord{Term: 3, Round: 3, Entries: map[string]wire.Raw{m.Key: {0xf6}, "x/y": {0x01}}})))
+	f.Add([]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 2, DrainedThrough: 7, Entries: map[string]wire.Raw{m.Key: m.Value, a.Key: a.Value, p.Key: p.Value}})),
+		[]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 3, Entries: map[string]wire.Raw{m.Key: {0xf6}, "x/y": {0x01}}})))
 	f.Add([]byte{0xa0}, []byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		var slots []Slot
+		var slots []Segment
 		for i, raw := range [][]byte{one, two} {
-			var rec SlotRecord
+			var rec SegmentRecord
 			if wire.DecodeValue(raw, &rec) == nil {
-				slots = append(slots, Slot{i, uint64(i + 1), rec})
+				slots = append(slots, Segment{i, uint64(i + 1), rec})
 			}
 		}
 		l, left := NewLedger("a", 4096, slots)
 		for id := range left.Machines {
-			l.Has(id)
+			l.HasMachine(id)
 		}
 		e := MachineEntry("n-2", MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "a"})
-		if l.Room(2) < e.Size {
+		if l.FreeBytes(2) < e.Size {
 			return
 		}
-		packed, rest := l.Pack(SlotRecord{Term: 4, Round: left.Round + 1}, []Entry{e}, 2, true)
+		packed, rest := l.Pack(SegmentRecord{FencingToken: 4, Round: left.Round + 1}, []Entry{e}, 2, true)
 		if len(rest) > 0 {
-			t.Errorf("%d bytes have no room, of which there are %d", e.Size, l.Room(2))
+			t.Errorf("%d bytes have no room, of which there are %d", e.Size, l.FreeBytes(2))
 		}
 		l.Commit(packed, 9)
 	})
@@ -46,30 +46,30 @@
 func FuzzView(f *testing.F) {
 	job := &wire.Job{ID: "wk-1", Tasks: 3, Team: "red", Shape: wire.Array}
 	for key, value := range map[string]any{
-		BatchKey("x"):   BatchRecord{Jobs: map[string]JobRecord{"wk-1": {Stage: wire.Pending, Tasks: 3, Job: job, Shares: []Share{{From: 0, To: 2, Part: "a"}, {From: 2, To: 3, Part: "b", Done: true}}}}},
-		GrantKey:        GrantRecord{Teams: map[string]map[string][2]float64{"red": {"a": {1, 2}}}},
-		GroupingKey:     GroupingRecord{Text: "zones a,b in a,b"},
-		SlotKey("a", 0): SlotRecord{Term: 1, Clear: 3},
-		PartKey("a"):    PartRecord{Holder: "c-0", Term: 1, Lease: 2},
-		TermKey:         uint64(4),
+		BatchKey("x"):      BatchRecord{Jobs: map[string]JobRecord{"wk-1": {Stage: wire.Pending, Tasks: 3, Job: job, Ranges: []ShardRange{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 3, Shard: "b", Done: true}}}}},
+		QuotaGrantKey:      QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {"a": {1, 2}}}},
+		ShardingKey:        ShardingRecord{Text: "zones a,b in a,b"},
+		SegmentKey("a", 0): SegmentRecord{FencingToken: 1, DrainedThrough: 3},
+		LeaderKey("a"):     LeaderRecord{Leader: "c-0", FencingToken: 1, Lease: 2},
+		FencingTokenKey:    uint64(4),
 	} {
 		f.Add(key, []byte(wire.Encode(value)))
 	}
 	f.Fuzz(func(t *testing.T, key string, raw []byte) {
 		v := NewView(slog.New(slog.DiscardHandler))
-		v.Load(nil, 0, &wire.Changes{})
+		v.Load(nil, 0, &wire.WatchResponse{})
 		for version := uint64(1); version <= 2; version++ {
-			v.Apply(&wire.Changes{Revision: version, Events: []wire.Event{{Put: key, Value: raw, Version: version}}})
+			v.Apply(&wire.WatchResponse{Revision: version, Events: []wire.Event{{Put: key, Value: raw, Version: version}}})
 			v.Snapshot()
-			v.Clear("a")
-			v.Written("a")
-			v.State()
-			v.Carried("a")
-			v.Leftover()
-			v.Ledgers("a")
+			v.DrainedThrough("a")
+			v.LedgerRevision("a")
+			v.ShardingState()
+			v.Migrated("a")
+			v.PreviousLedgerSlots()
+			v.ShardLedgers("a")
 		}
-		v.Apply(&wire.Changes{Revision: 3, Events: []wire.Event{{Delete: key, Version: 3}}})
-		if n := len(v.Snapshot().Live); n > 0 {
+		v.Apply(&wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: key, Version: 3}}})
+		if n := len(v.Snapshot().LiveJobs); n > 0 {
 			t.Errorf("%d jobs live on without a key", n)
 		}
 	})
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -19,18 +19,18 @@
 	check[JobRecord](t, "job.cbor")
 	check[BatchRecord](t, "batch.cbor")
 	check[FormatRecord](t, "format.cbor")
-	check[GateRecord](t, "gate.cbor")
-	check[PartRecord](t, "part.cbor")
-	check[GroupingRecord](t, "grouping.cbor")
-	check[GrantRecord](t, "grant.cbor")
+	check[SubmissionFenceRecord](t, "gate.cbor")
+	check[LeaderRecord](t, "part.cbor")
+	check[ShardingRecord](t, "grouping.cbor")
+	check[QuotaGrantRecord](t, "grant.cbor")
 	check[TiersRecord](t, "tiers.cbor")
-	check[TypesRecord](t, "types.cbor")
-	check[SlotRecord](t, "slot.cbor")
+	check[MachineTypesRecord](t, "types.cbor")
+	check[SegmentRecord](t, "slot.cbor")
 	check[MachineRecord](t, "machine.cbor")
-	check[AskRecord](t, "ask.cbor")
+	check[ScaleOutRecord](t, "ask.cbor")
 	check[ZoneRecord](t, "zone.cbor")
-	check[ReturnRecord](t, "return.cbor")
-	check[tier.Room](t, "claim.cbor")
+	check[ZoneRecoveryRecord](t, "return.cbor")
+	check[tier.Reservation](t, "claim.cbor")
 }
 
 func check[T any](t *testing.T, name string) {
@@ -41,30 +41,30 @@
 // TestGoldenKeys: the keys of the state service are what they were.
 func TestGoldenKeys(t *testing.T) {
 	goldentest.Text(t, "keys.txt", strings.Join([]string{
-		Stem, Root, History, fmt.Sprint(Format, FormatParts),
-		TermKey, TypesKey, GateKey, GroupingKey, GrantKey, TiersKey, FormatKey,
-		JobKey("j-1"), BatchKey("b-1"), RecentKey(7), SlotKey(LedgerOf("a", 0), 3), SlotKey(LedgerOf("a", 2), 3), PartKey("a"),
-		Kind(History + "x"), Kind(JobKey("j-1")),
-		fmt.Sprint(CoAllocationOff, CoAllocationHold, CoAllocationFirst),
-		Claims, Rounds, Submissions, Cancels, Folding, Reading,
+		CommonPrefix, StatePrefix, ArchivePrefix, fmt.Sprint(Format, FormatSharded),
+		FencingTokenKey, MachineTypesKey, SubmissionFenceKey, ShardingKey, QuotaGrantKey, TiersKey, FormatKey,
+		JobKey("j-1"), BatchKey("b-1"), RecentKey(7), SegmentKey(LedgerName("a", 0), 3), SegmentKey(LedgerName("a", 2), 3), LeaderKey("a"),
+		Kind(ArchivePrefix + "x"), Kind(JobKey("j-1")),
+		fmt.Sprint(CoAllocationRelease, CoAllocationReserve, CoAllocationFirstAttempt),
+		PurposeLeadership, PurposeRounds, PurposeSubmissions, PurposeCancellations, PurposeCompaction, PurposeReads,
 	}, "\n")+"\n")
 }
 
 // TestGoldenEntries: the entries of a ledger are stored under the keys that they had, with
 // the values that they had, and count for as many bytes.
 func TestGoldenEntries(t *testing.T) {
-	done := NewBits(3000)
+	done := NewTaskSet(3000)
 	for _, n := range []int{0, 1, 2, 70, 2999} {
-		done.Set(n)
+		done.Add(n)
 	}
 	var out strings.Builder
 	for _, e := range []Entry{
 		MachineEntry("m-1", goldentest.Filled[MachineRecord](t)), DropMachine("m-1"),
-		AskEntry("a-1", goldentest.Filled[AskRecord](t)), DropAsk("a-1"),
+		ScaleOutEntry("a-1", goldentest.Filled[ScaleOutRecord](t)), DropScaleOut("a-1"),
 		ProgressEntry("j-1", 0, done), ProgressEntry("j-1", 1, done),
 		ZoneEntry("z-1", goldentest.Filled[ZoneRecord](t)),
-		ReturnEntry("z-1", goldentest.Filled[ReturnRecord](t)), DropReturn("z-1"),
-		ClaimEntry("j-1", goldentest.Filled[tier.Room](t)), DropClaim("j-1", "m-1"),
+		ZoneRecoveryEntry("z-1", goldentest.Filled[ZoneRecoveryRecord](t)), DropZoneRecovery("z-1"),
+		PreemptionEntry("j-1", goldentest.Filled[tier.Reservation](t)), DropPreemption("j-1", "m-1"),
 	} {
 		fmt.Fprintf(&out, "%s %d %x\n", e.Key, e.Size, []byte(e.Value))
 	}
@@ -75,10 +75,10 @@
 func TestGoldenHome(t *testing.T) {
 	rec := goldentest.Filled[JobRecord](t)
 	rec.Stage = wire.Pending
-	h := Home{Key: BatchKey("b-1"), Version: 9, Since: 4, Jobs: members(map[string]JobRecord{"j-1": rec, "j-2": rec})}
-	r := h.Rewrite()
-	r.End("j-1", wire.Done, time.UnixMilli(1_700_000_000_123))
-	r.DoneIn("j-2", "a@2")
+	h := Batch{Key: BatchKey("b-1"), Version: 9, SinceRevision: 4, Jobs: sortedJobs(map[string]JobRecord{"j-1": rec, "j-2": rec})}
+	r := h.Update()
+	r.EndJob("j-1", wire.Done, time.UnixMilli(1_700_000_000_123))
+	r.MarkFinishedIn("j-2", "a@2")
 	change, err := encode(r.Change())
 	if err := errors.Join(err); err != nil {
 		t.Fatal(err)
--- a/internal/store/ledger.go
+++ b/internal/store/ledger.go
@@ -24,121 +24,123 @@
 // written oldest first, always: the slot that says that a record is dropped is
 // never written over before those that hold its earlier values.
 
-// SlotRecord is what a slot holds. A null entry drops a record.
-type SlotRecord struct {
-	Term    uint64              `cbor:"term"`
-	Round   uint64              `cbor:"round"`
-	Clear   uint64              `cbor:"clear,omitempty"`   // no task is in the part of any job that had ended by this revision
-	Carried uint64              `cbor:"carried,omitempty"` // number of the grouping for which the ledgers of earlier ones need not be read any more
-	Entries map[string]wire.Raw `cbor:"entries"`
+// SegmentRecord is what a slot holds. A null entry drops a record.
+type SegmentRecord struct {
+	FencingToken   uint64              `cbor:"term"`
+	Round          uint64              `cbor:"round"`
+	DrainedThrough uint64              `cbor:"clear,omitempty"`   // no task is in the part of any job that had ended by this revision
+	Migrated       uint64              `cbor:"carried,omitempty"` // number of the grouping for which the ledgers of earlier ones need not be read any more
+	Entries        map[string]wire.Raw `cbor:"entries"`
 }
 
 // Ledger is a part's ledger as its holder knows it. It is pure.
 type Ledger struct {
-	part  string
-	limit int // bytes of a slot
-	slots []slot
-	order []int // numbers of the slots, the oldest first
-	at    map[string]int
-	live  int // bytes of all entries that are still of use
+	name         string
+	segmentLimit int // bytes of a slot
+	segments     []segmentState
+	writeOrder   []int // numbers of the slots, the oldest first
+	location     map[string]int
+	liveBytes    int // bytes of all entries that are still of use
 }
 
-type slot struct {
+type segmentState struct {
 	version uint64
-	live    map[string]Entry
+	entries map[string]Entry
 	bytes   int
 }
 
-// Slot is a slot as the state service holds it.
-type Slot struct {
+// Segment is a slot as the state service holds it.
+type Segment struct {
 	Number  int
 	Version uint64
-	Record  SlotRecord
+	Record  SegmentRecord
 }
 
-// Recalled is what a ledger tells a new holder.
-type Recalled struct {
-	Round    uint64
-	Machines map[string]MachineRecord
-	Asks     map[string]AskRecord
-	Finished map[string]*Bits
-	Zones    map[string]ZoneRecord
-	Returns  map[string]ReturnRecord
-	Claims   map[string]*tier.Claim // by job
+// RecoveredState is what a ledger tells a new holder.
+type RecoveredState struct {
+	Round          uint64
+	Machines       map[string]MachineRecord
+	ScaleOuts      map[string]ScaleOutRecord
+	FinishedTasks  map[string]*TaskSet
+	Zones          map[string]ZoneRecord
+	ZoneRecoveries map[string]ZoneRecoveryRecord
+	Preemptions    map[string]*tier.Preemption // by job
 }
 
-// PartLedgers is what is known of a part: its own ledger, by its name, and those of earlier
+// ShardLedgers is what is known of a part: its own ledger, by its name, and those of earlier
 // groupings. Carried says that the own one has taken over all that is of use to the part
 // in the others but for whose the tasks are.
-type PartLedgers struct {
-	Name    string
-	Number  uint64 // of the grouping
-	Own     []Slot
-	Before  []Slot
-	Carried bool
+type ShardLedgers struct {
+	Name       string
+	Generation uint64 // of the grouping
+	Own        []Segment
+	Previous   []Segment
+	Migrated   bool
 }
 
 // NewLedger reads a ledger from its slots, for values of so many bytes.
-func NewLedger(part string, limit int, slots []Slot) (*Ledger, Recalled) {
-	l := &Ledger{part: part, limit: limit, at: make(map[string]int)}
-	rec := newRecalled()
-	for _, s := range byAge(slots) {
+func NewLedger(name string, limit int, slots []Segment) (*Ledger, RecoveredState) {
+	l := &Ledger{name: name, segmentLimit: limit, location: make(map[string]int)}
+	rec := newRecoveredState()
+	for _, s := range sortedByAge(slots) {
 		rec.Round = max(rec.Round, s.Record.Round)
-		for len(l.slots) <= s.Number {
-			l.slots = append(l.slots, slot{live: map[string]Entry{}})
+		for len(l.segments) <= s.Number {
+			l.segments = append(l.segments, segmentState{entries: map[string]Entry{}})
 		}
-		l.slots[s.Number].version = s.Version
-		l.order = append(l.order, s.Number)
+		l.segments[s.Number].version = s.Version
+		l.writeOrder = append(l.writeOrder, s.Number)
 		for key, raw := range s.Record.Entries {
-			l.set(s.Number, rec.take(key, raw))
+			l.place(s.Number, rec.apply(key, raw))
 		}
 	}
 	return l, rec
 }
 
-// Recall reads what slots of ledgers tell that nobody writes any more.
-func Recall(slots []Slot) Recalled {
-	rec := newRecalled()
-	for _, s := range byAge(slots) {
+// RecoverSegments reads what slots of ledgers tell that nobody writes any more.
+func RecoverSegments(slots []Segment) RecoveredState {
+	rec := newRecoveredState()
+	for _, s := range sortedByAge(slots) {
 		rec.Round = max(rec.Round, s.Record.Round)
 		for key, raw := range s.Record.Entries {
-			rec.take(key, raw)
+			rec.apply(key, raw)
 		}
 	}
 	return rec
 }
 
-func newRecalled() Recalled {
-	return Recalled{Machines: map[string]MachineRecord{}, Asks: map[string]AskRecord{}, Finished: map[string]*Bits{}, Zones: map[string]ZoneRecord{}, Returns: map[string]ReturnRecord{}, Claims: map[string]*tier.Claim{}}
+func newRecoveredState() RecoveredState {
+	return RecoveredState{Machines: map[string]MachineRecord{}, ScaleOuts: map[string]ScaleOutRecord{}, FinishedTasks: map[string]*TaskSet{}, Zones: map[string]ZoneRecord{}, ZoneRecoveries: map[string]ZoneRecoveryRecord{}, Preemptions: map[string]*tier.Preemption{}}
 }
 
-// byAge orders slots by when they were written: the newest value of a record counts.
-func byAge(slots []Slot) []Slot {
+// sortedByAge orders slots by when they were written: the newest value of a record counts.
+func sortedByAge(slots []Segment) []Segment {
 	slots = slices.Clone(slots)
-	slices.SortFunc(slots, func(a, b Slot) int { return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Number, b.Number)) })
+	slices.SortFunc(slots, func(a, b Segment) int {
+		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Number, b.Number))
+	})
 	return slots
 }
 
-// take decodes an entry; what is not understood is kept as dropped.
-func (rec *Recalled) take(key string, raw wire.Raw) Entry {
+// apply decodes an entry; what is not understood is kept as dropped.
+func (rec *RecoveredState) apply(key string, raw wire.Raw) Entry {
 	null := len(raw) == 0 || raw[0] == 0xf6
-	if id, ok := strings.CutPrefix(key, machineEntry); ok {
+	if id, ok := strings.CutPrefix(key, machinePrefix); ok {
 		delete(rec.Machines, id)
 		var r MachineRecord
 		if !null && wire.DecodeValue(raw, &r) == nil {
 			rec.Machines[id] = r
-			return Entry{key, raw, MachineBytes(id, &r)}
+			return Entry{key, raw, MachineEntryBytes(id, &r)}
 		}
 	}
-	if name, ok := strings.CutPrefix(key, askEntry); ok {
-		delete(rec.Asks, name)
-		var r AskRecord
+	if name, ok := strings.CutPrefix(key, scaleOutPrefix); ok {
+		delete(rec.ScaleOuts, name)
+		var r ScaleOutRecord
 		if !null && wire.DecodeValue(raw, &r) == nil {
-			rec.Asks[name] = r
-			return AskEntry(name, r)
+			rec.ScaleOuts[name] = r
+			return ScaleOutEntry(name, r)
 		}
 	}
-	if zone, ok := strings.CutPrefix(key, zoneEntry); ok && !null {
+	if zone, ok := strings.CutPrefix(key, zonePrefix); ok && !null {
 		var r ZoneRecord
 		// Of two parts' ledgers of an earlier grouping the one that went further counts.
 		if wire.DecodeValue(raw, &r) == nil {
@@ -148,130 +150,138 @@
 			return ZoneEntry(zone, r)
 		}
 	}
-	if zone, ok := strings.CutPrefix(key, returnEntry); ok {
-		delete(rec.Returns, zone)
-		var r ReturnRecord
+	if zone, ok := strings.CutPrefix(key, zoneRecoveryPrefix); ok {
+		delete(rec.ZoneRecoveries, zone)
+		var r ZoneRecoveryRecord
 		if !null && wire.DecodeValue(raw, &r) == nil {
-			rec.Returns[zone] = r
-			return ReturnEntry(zone, r)
+			rec.ZoneRecoveries[zone] = r
+			return ZoneRecoveryEntry(zone, r)
 		}
 	}
-	if rest, ok := strings.CutPrefix(key, claimEntry); ok {
-		return rec.takeClaim(key, rest, raw, null)
+	if rest, ok := strings.CutPrefix(key, preemptionPrefix); ok {
+		return rec.applyPreemption(key, rest, raw, null)
 	}
-	if rest, ok := strings.CutPrefix(key, progressEntry); ok && !null {
+	if rest, ok := strings.CutPrefix(key, progressPrefix); ok && !null {
 		job, num, _ := strings.Cut(rest, "/")
 		block, err := strconv.Atoi(num)
 		var text string
-		if err == nil && block >= 0 && block <= wire.MaxTasks/BlockTasks && wire.DecodeValue(raw, &text) == nil {
-			if rec.Finished[job] == nil {
-				rec.Finished[job] = NewBits(0)
+		if err == nil && block >= 0 && block <= wire.MaxTasks/TasksPerBlock && wire.DecodeValue(raw, &text) == nil {
+			if rec.FinishedTasks[job] == nil {
+				rec.FinishedTasks[job] = NewTaskSet(0)
 			}
-			rec.Finished[job].Merge(block, text)
-			return Entry{key, raw, entryBytes + len(key) + 10 + len(text)}
+			rec.FinishedTasks[job].MergeBlock(block, text)
+			return Entry{key, raw, entryOverheadBytes + len(key) + 10 + len(text)}
 		}
 	}
 	return Entry{Key: key}
 }
 
-// set makes a slot the place of an entry's newest value.
-func (l *Ledger) set(number int, e Entry) {
-	l.Forget(e.Key)
+// place makes a slot the place of an entry's newest value.
+func (l *Ledger) place(number int, e Entry) {
+	l.Discard(e.Key)
 	if e.Value == nil {
 		return
 	}
-	s := &l.slots[number]
-	s.live[e.Key], l.at[e.Key] = e, number
+	s := &l.segments[number]
+	s.entries[e.Key], l.location[e.Key] = e, number
 	s.bytes += e.Size
-	l.live += e.Size
+	l.liveBytes += e.Size
 }
 
-// Forget drops a record without a write: what it says is known to be of no use
+// Discard drops a record without a write: what it says is known to be of no use
 // from the rest of the store, such as the progress of a job that is over.
-func (l *Ledger) Forget(key string) {
-	if n, ok := l.at[key]; ok {
-		s := &l.slots[n]
-		s.bytes -= s.live[key].Size
-		l.live -= s.live[key].Size
-		delete(s.live, key)
-		delete(l.at, key)
+func (l *Ledger) Discard(key string) {
+	if n, ok := l.location[key]; ok {
+		s := &l.segments[n]
+		s.bytes -= s.entries[key].Size
+		l.liveBytes -= s.entries[key].Size
+		delete(s.entries, key)
+		delete(l.location, key)
 	}
 }
 
-// ForgetJob forgets the progress of a job that is over.
-func (l *Ledger) ForgetJob(job string, tasks int) {
-	for b := 0; b*BlockTasks < tasks; b++ {
-		l.Forget(progressKey(job, b))
+// DiscardJob forgets the progress of a job that is over.
+func (l *Ledger) DiscardJob(job string, tasks int) {
+	for b := 0; b*TasksPerBlock < tasks; b++ {
+		l.Discard(progressKey(job, b))
 	}
 }
 
-// Has reports whether a machine's record is in the ledger.
-func (l *Ledger) Has(machine string) bool { _, ok := l.at[machineEntry+machine]; return ok }
+// HasMachine reports whether a machine's record is in the ledger.
+func (l *Ledger) HasMachine(machine string) bool {
+	_, ok := l.location[machinePrefix+machine]
+	return ok
+}
 
-// HasAsk reports whether the intent of a rental is in the ledger.
-func (l *Ledger) HasAsk(name string) bool { _, ok := l.at[askEntry+name]; return ok }
+// HasScaleOut reports whether the intent of a rental is in the ledger.
+func (l *Ledger) HasScaleOut(name string) bool { _, ok := l.location[scaleOutPrefix+name]; return ok }
 
-// HasReturn reports whether the return of a zone is in the ledger.
-func (l *Ledger) HasReturn(zone string) bool { _, ok := l.at[returnEntry+zone]; return ok }
+// HasZoneRecovery reports whether the return of a zone is in the ledger.
+func (l *Ledger) HasZoneRecovery(zone string) bool {
+	_, ok := l.location[zoneRecoveryPrefix+zone]
+	return ok
+}
 
 // HasZone reports whether the state of a zone is in the ledger.
-func (l *Ledger) HasZone(zone string) bool { _, ok := l.at[zoneEntry+zone]; return ok }
-
-// turn goes through the slots in the order in which rounds write them.
-type turn struct {
-	l     *Ledger
-	order []int
-	slots int // that there are, with those that are added
-	fresh map[int]bool
+func (l *Ledger) HasZone(zone string) bool { _, ok := l.location[zonePrefix+zone]; return ok }
+
+// segmentCursor goes through the slots in the order in which rounds write them.
+type segmentCursor struct {
+	ledger    *Ledger
+	remaining []int
+	total     int // that there are, with those that are added
+	added     map[int]bool
 }
 
-func (l *Ledger) turn() *turn { return &turn{l, l.order, len(l.order), map[int]bool{}} }
+func (l *Ledger) cursor() *segmentCursor {
+	return &segmentCursor{l, l.writeOrder, len(l.writeOrder), map[int]bool{}}
+}
 
 // next gives the slot to write next: a new one while the ledger is more than a
 // third full, so that a slot's turn comes late, and else the oldest.
-func (t *turn) next(live int) (number int, added bool) {
-	if len(t.order) > 0 && live <= t.slots*t.l.limit/3 {
-		number, t.order = t.order[0], t.order[1:]
+func (t *segmentCursor) next(liveBytes int) (number int, added bool) {
+	if len(t.remaining) > 0 && liveBytes <= t.total*t.ledger.segmentLimit/3 {
+		number, t.remaining = t.remaining[0], t.remaining[1:]
 		return number, false
 	}
-	for number < len(t.l.slots) && t.l.slots[number].version > 0 || t.fresh[number] {
+	for number < len(t.ledger.segments) && t.ledger.segments[number].version > 0 || t.added[number] {
 		number++
 	}
-	t.fresh[number] = true
-	t.slots++
+	t.added[number] = true
+	t.total++
 	return number, true
 }
 
-// headBytes bounds what a slot takes beside its entries. Part of it is left free: versions before
+// headerBytes bounds what a slot takes beside its entries. Part of it is left free: versions before
 // this one also write there what each team uses, which nobody reads, and one that takes a part over
 // must not come to more than a value may take with what it keeps of a slot.
-func (l *Ledger) headBytes() int { return slotBytes + l.limit/32 }
+func (l *Ledger) headerBytes() int { return segmentOverheadBytes + l.segmentLimit/32 }
 
-// leastLost is what may be lost in a slot to entries that do not divide: an eighth of it, and in a
+// minFragmentationBytes is what may be lost in a slot to entries that do not divide: an eighth of it, and in a
 // small one the entry of a machine with some tasks.
-const leastLost = 256
-
-// Room tells how many bytes of entries are sure to fit into so many slots.
-func (l *Ledger) Room(slots int) int {
-	t, sum := l.turn(), 0
-	for range slots {
-		number, added := t.next(l.live + sum)
-		room := l.limit - max(l.limit/8, leastLost) - l.headBytes()
+const minFragmentationBytes = 256
+
+// FreeBytes tells how many bytes of entries are sure to fit into so many slots.
+func (l *Ledger) FreeBytes(segments int) int {
+	t, sum := l.cursor(), 0
+	for range segments {
+		number, added := t.next(l.liveBytes + sum)
+		free := l.segmentLimit - max(l.segmentLimit/8, minFragmentationBytes) - l.headerBytes()
 		if !added {
-			room -= l.slots[number].bytes
+			free -= l.segments[number].bytes
 		}
-		sum += max(0, room)
+		sum += max(0, free)
 	}
 	return sum
 }
 
-// Packed is a write to the ledger that is yet to be taken.
-type Packed struct {
-	If      []wire.Condition
-	Then    []wire.Change
-	slots   []int
-	put     [][]Entry
-	dropped int // slot that goes away, 0 for none
+// PackedWrite is a write to the ledger that is yet to be taken.
+type PackedWrite struct {
+	If       []wire.Condition
+	Then     []wire.Operation
+	segments []int
+	entries  [][]Entry
+	removed  int // slot that goes away, 0 for none
 }
 
 // Pack puts entries into so many slots at the most. What found no room is given
@@ -282,23 +292,23 @@
 // a round is also conditional on the slot that was written last before it. That
 // one is older, so that it was written over, or given up, before the slot that was
 // added is given up, and a late copy of the round is refused.
-func (l *Ledger) Pack(head SlotRecord, entries []Entry, most int, drop bool) (Packed, []Entry) {
-	var p Packed
-	fresh, wanted := make(map[string]bool, len(entries)), 0
+func (l *Ledger) Pack(head SegmentRecord, entries []Entry, maxSegments int, mayRemove bool) (PackedWrite, []Entry) {
+	var p PackedWrite
+	replaced, newBytes := make(map[string]bool, len(entries)), 0
 	for _, e := range entries {
-		fresh[e.Key] = true
-		wanted += e.Size
+		replaced[e.Key] = true
+		newBytes += e.Size
 	}
-	t, live := l.turn(), l.live
-	for i := 0; i == 0 || len(entries) > 0 && i < most; i++ {
+	t, live := l.cursor(), l.liveBytes
+	for i := 0; i == 0 || len(entries) > 0 && i < maxSegments; i++ {
 		number, added := t.next(live)
 		rec := head
 		rec.Entries = make(map[string]wire.Raw)
-		size := l.headBytes()
+		size := l.headerBytes()
 		var put []Entry
 		keep := func(number int) {
-			for key, e := range l.slots[number].live {
-				if !fresh[key] {
+			for key, e := range l.segments[number].entries {
+				if !replaced[key] {
 					put = append(put, e)
 					size += e.Size
 				}
@@ -306,18 +316,18 @@
 		}
 		version := uint64(0)
 		if !added {
-			version = l.slots[number].version
+			version = l.segments[number].version
 			keep(number)
-			if old := l.spare(t.order); i == 0 && drop && old > 0 && size+l.slots[old].bytes+wanted <= l.limit*3/4 {
+			if old := l.removable(t.remaining); i == 0 && mayRemove && old > 0 && size+l.segments[old].bytes+newBytes <= l.segmentLimit*3/4 {
 				keep(old)
-				t.order = t.order[1:]
-				p.dropped = old
+				t.remaining = t.remaining[1:]
+				p.removed = old
 			}
-		} else if i == 0 && len(l.order) > 0 {
-			before := l.order[len(l.order)-1]
-			p.If = append(p.If, wire.Condition{Key: SlotKey(l.part, before), Version: l.slots[before].version})
+		} else if i == 0 && len(l.writeOrder) > 0 {
+			before := l.writeOrder[len(l.writeOrder)-1]
+			p.If = append(p.If, wire.Condition{Key: SegmentKey(l.name, before), Version: l.segments[before].version})
 		}
-		for len(entries) > 0 && size+entries[0].Size <= l.limit {
+		for len(entries) > 0 && size+entries[0].Size <= l.segmentLimit {
 			put = append(put, entries[0])
 			size += entries[0].Size
 			live += entries[0].Size
@@ -329,56 +339,56 @@
 				rec.Entries[e.Key] = wire.Raw{0xf6}
 			}
 		}
-		key := SlotKey(l.part, number)
+		key := SegmentKey(l.name, number)
 		p.If = append(p.If, wire.Condition{Key: key, Version: version})
-		p.Then = append(p.Then, wire.Change{Put: key, Value: rec})
-		p.slots, p.put = append(p.slots, number), append(p.put, put)
+		p.Then = append(p.Then, wire.Operation{Put: key, Value: rec})
+		p.segments, p.entries = append(p.segments, number), append(p.entries, put)
 	}
-	if p.dropped > 0 {
-		key := SlotKey(l.part, p.dropped)
-		p.If = append(p.If, wire.Condition{Key: key, Version: l.slots[p.dropped].version})
-		p.Then = append(p.Then, wire.Change{Delete: key})
+	if p.removed > 0 {
+		key := SegmentKey(l.name, p.removed)
+		p.If = append(p.If, wire.Condition{Key: key, Version: l.segments[p.removed].version})
+		p.Then = append(p.Then, wire.Operation{Delete: key})
 	}
 	return p, entries
 }
 
-// spare gives the slot that is the oldest but for the one that is being written,
+// removable gives the slot that is the oldest but for the one that is being written,
 // if there are far more than what is of use needs, or 0. The first slot stays:
 // nothing older guards its coming back.
-func (l *Ledger) spare(order []int) int {
-	needed := 3*l.live/l.limit + 1
-	if len(order) == 0 || len(l.order) <= 2*needed+2 {
+func (l *Ledger) removable(order []int) int {
+	needed := 3*l.liveBytes/l.segmentLimit + 1
+	if len(order) == 0 || len(l.writeOrder) <= 2*needed+2 {
 		return 0
 	}
 	return order[0]
 }
 
 // Commit takes in that a write was taken at a revision.
-func (l *Ledger) Commit(p Packed, revision uint64) {
-	for i, number := range p.slots {
-		for len(l.slots) <= number {
-			l.slots = append(l.slots, slot{live: map[string]Entry{}})
+func (l *Ledger) Commit(p PackedWrite, revision uint64) {
+	for i, number := range p.segments {
+		for len(l.segments) <= number {
+			l.segments = append(l.segments, segmentState{entries: map[string]Entry{}})
 		}
-		l.slots[number].version = revision
-		l.order = append(slices.DeleteFunc(l.order, func(n int) bool { return n == number }), number)
-		for _, e := range p.put[i] {
-			l.set(number, e)
+		l.segments[number].version = revision
+		l.writeOrder = append(slices.DeleteFunc(l.writeOrder, func(n int) bool { return n == number }), number)
+		for _, e := range p.entries[i] {
+			l.place(number, e)
 		}
 	}
-	if p.dropped > 0 {
-		l.slots[p.dropped].version = 0
-		l.order = slices.DeleteFunc(l.order, func(n int) bool { return n == p.dropped })
+	if p.removed > 0 {
+		l.segments[p.removed].version = 0
+		l.writeOrder = slices.DeleteFunc(l.writeOrder, func(n int) bool { return n == p.removed })
 	}
 }
 
 // String tells of the ledger's size, for logs.
 func (l *Ledger) String() string {
-	return fmt.Sprintf("%d slots, %d records, %d bytes", len(l.order), len(l.at), l.live)
+	return fmt.Sprintf("%d slots, %d records, %d bytes", len(l.writeOrder), len(l.location), l.liveBytes)
 }
 
 // Describe lists the keys of a slot's entries in order, a dropped one with a
 // minus, for people who read traces.
-func (r *SlotRecord) Describe() []string {
+func (r *SegmentRecord) Describe() []string {
 	var out []string
 	for _, key := range slices.Sorted(maps.Keys(r.Entries)) {
 		if raw := r.Entries[key]; len(raw) == 1 && raw[0] == 0xf6 {
--- a/internal/store/ledger_test.go
+++ b/internal/store/ledger_test.go
@@ -31,17 +31,17 @@
 	return len(text)
 }
 
-// TestLedger writes thousands of rounds into a ledger and reads it again after
+// TestLedgerKeepsNewestRecords writes thousands of rounds into a ledger and reads it again after
 // each hundred, as a new holder would: it must tell what was written last, no
 // value may be larger than allowed, and the ledger may not grow without end.
-func TestLedger(t *testing.T) {
+func TestLedgerKeepsNewestRecords(t *testing.T) {
 	for _, limit := range []int{1 << 10, 8 << 10, 16 << 10} {
 		luck := rand.New(rand.NewPCG(1, uint64(limit)))
 		l, _ := NewLedger("p", limit, nil)
-		stored := map[string]Slot{}
+		stored := map[string]Segment{}
 		want := map[string]MachineRecord{}
-		finished := NewBits(5000)
-		zone, told := ZoneRecord{Number: 1 << 40, Since: 1780000000000, Falls: 99}, ZoneRecord{} // of a zone that is dark now and then
+		finished := NewTaskSet(5000)
+		zone, told := ZoneRecord{Number: 1 << 40, Since: 1780000000000, Outages: 99}, ZoneRecord{} // of a zone that is dark now and then
 		revision := uint64(0)
 		changes, most := 0, 0
 		var sent [][]wire.Condition // of the rounds so far
@@ -49,7 +49,7 @@
 		for round := range rounds {
 			revision++
 			var entries []Entry
-			room, seen := l.Room(3), map[string]bool{}
+			room, seen := l.FreeBytes(3), map[string]bool{}
 			for range 1 + luck.IntN(12) {
 				id := fmt.Sprintf("n-%06d", luck.IntN(100))
 				if round > rounds*3/4 { // the fleet has gone
@@ -58,7 +58,7 @@
 				if seen[id] {
 					continue
 				}
-				rec := MachineRecord{Addr: "10.1.0.232:9000", Type: "some-type", Zone: "some-zone", Session: 3, Tasks: map[string]uint64{}}
+				rec := MachineRecord{Addr: "10.1.0.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
 				for range luck.IntN(5) {
 					rec.Tasks[fmt.Sprintf("wk-%06d/%d", luck.IntN(1e6), luck.IntN(100))] = 40<<24 + luck.Uint64N(1<<24)
 				}
@@ -76,7 +76,7 @@
 					want[id] = rec
 				}
 			}
-			finished.Set(luck.IntN(4000))
+			finished.Add(luck.IntN(4000))
 			if zone.Number++; round%5 == 0 && room > 200 {
 				zone.State = []string{"up", "in doubt", "dark", "back"}[round%4]
 				entries, room = append(entries, ZoneEntry("some-zone", zone)), room-ZoneEntry("some-zone", zone).Size
@@ -85,7 +85,7 @@
 			if e := ProgressEntry("wk-1", 0, finished); limit > 1<<10 && e.Size <= room {
 				entries = append(entries, e)
 			}
-			head := SlotRecord{Term: 40, Round: uint64(round), Clear: 1 << 40, Carried: 1 << 30}
+			head := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
 			p, rest := l.Pack(head, entries, 3, true)
 			if len(rest) > 0 {
 				t.Fatalf("round %d: %d entries found no room", round, len(rest))
@@ -103,8 +103,8 @@
 				if size := jsonBytes(t, c.Value); size > limit {
 					t.Fatalf("round %d: a value of %d bytes", round, size)
 				}
-				rec := c.Value.(SlotRecord)
-				stored[c.Put] = Slot{Version: revision, Record: rec, Number: p.slots[i]}
+				rec := c.Value.(SegmentRecord)
+				stored[c.Put] = Segment{Version: revision, Record: rec, Number: p.segments[i]}
 			}
 			// No copy of an earlier round may be taken, however late: not even one
 			// that added a slot which has been given up since.
@@ -120,7 +120,7 @@
 			changes += len(p.Then)
 			l.Commit(p, revision)
 			if round%100 == 99 {
-				var slots []Slot
+				var slots []Segment
 				for _, s := range stored {
 					slots = append(slots, s)
 				}
@@ -138,8 +138,8 @@
 				}
 			}
 		}
-		if bound := 4 + 8*l.live/limit; len(stored) > bound || limit == 1<<10 && most < 3*len(stored) {
-			t.Errorf("values of %d bytes: %d slots of %d are left for %d bytes", limit, len(stored), most, l.live)
+		if bound := 4 + 8*l.liveBytes/limit; len(stored) > bound || limit == 1<<10 && most < 3*len(stored) {
+			t.Errorf("values of %d bytes: %d slots of %d are left for %d bytes", limit, len(stored), most, l.liveBytes)
 		}
 		if limit > 1<<10 && changes > rounds*11/10 {
 			t.Errorf("values of %d bytes: %d changes for %d rounds", limit, changes, rounds)
@@ -149,7 +149,7 @@
 
 // olderHead is what versions wrote as the head of a slot that had the teams' use in it.
 type olderHead struct {
-	SlotRecord
+	SegmentRecord
 	Teams map[string][2]float64 `cbor:"teams,omitempty"`
 }
 
@@ -159,10 +159,10 @@
 	for limit, teams := range map[int]int{8 << 10: 109, 16 << 10: 218} {
 		l, _ := NewLedger("p", limit, nil)
 		for round := range 400 { // machines with as much as there may be on them
-			room := l.Room(2)
+			room := l.FreeBytes(2)
 			var entries []Entry
 			for i := 0; ; i++ {
-				rec := MachineRecord{Addr: "10.1.200.232:9000", Type: "some-type", Zone: "some-zone", Session: 3, Tasks: map[string]uint64{}}
+				rec := MachineRecord{Addr: "10.1.200.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
 				for k := range 8 {
 					rec.Tasks[fmt.Sprintf("wk-%06d/%d", 700_000+8*round+k, 90_000+i)] = 40<<24 + 1<<23 + uint64(k)
 				}
@@ -172,7 +172,7 @@
 				}
 				entries = append(entries, e)
 			}
-			p, rest := l.Pack(SlotRecord{Term: 40, Round: uint64(round)}, entries, 2, true)
+			p, rest := l.Pack(SegmentRecord{FencingToken: 40, Round: uint64(round)}, entries, 2, true)
 			if len(rest) > 0 {
 				t.Fatalf("round %d: %d entries found no room", round, len(rest))
 			}
@@ -182,9 +182,9 @@
 		for i := range teams {
 			used[fmt.Sprintf("team-of-%03d", i)] = [2]float64{1234.5, 640}
 		}
-		for _, number := range l.order {
-			head := olderHead{SlotRecord{Term: 41, Round: 401, Clear: 1 << 40, Entries: map[string]wire.Raw{}}, used}
-			for key, e := range l.slots[number].live {
+		for _, number := range l.writeOrder {
+			head := olderHead{SegmentRecord{FencingToken: 41, Round: 401, DrainedThrough: 1 << 40, Entries: map[string]wire.Raw{}}, used}
+			for key, e := range l.segments[number].entries {
 				head.Entries[key] = e.Value
 			}
 			if size := jsonBytes(t, head); size > limit {
@@ -197,7 +197,7 @@
 	}
 }
 
-func decodeSlot(t *testing.T, v any) (rec SlotRecord) {
+func decodeSlot(t *testing.T, v any) (rec SegmentRecord) {
 	if err := wire.DecodeValue(wire.Encode(v), &rec); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/lookup.go
+++ b/internal/store/lookup.go
@@ -13,13 +13,13 @@
 func (v *View) Job(id string) (rec JobRecord, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if l, ok := v.live[id]; ok {
+	if l, ok := v.liveJobs[id]; ok {
 		return l.Record, true
 	}
-	if rec, ok := v.final[id]; ok {
+	if rec, ok := v.endedJobs[id]; ok {
 		return *rec, true
 	}
-	if e, ok := v.recent(id); ok {
+	if e, ok := v.recentEntry(id); ok {
 		return JobRecord{Stage: e.Stage, Tasks: e.Tasks}, true
 	}
 	return JobRecord{}, false
@@ -29,56 +29,56 @@
 func (v *View) Live(id string) (*LiveJob, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l, ok := v.live[id]
+	l, ok := v.liveJobs[id]
 	return l, ok
 }
 
-// Settled reports whether a job is over and was folded: no task of it can be
+// Compacted reports whether a job is over and was folded: no task of it can be
 // anywhere any more.
-func (v *View) Settled(id string) bool {
+func (v *View) Compacted(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	key, _ := v.doubt(id)
-	return len(v.in[id]) == 0 && key == ""
+	key, _ := v.unreadableRecordFor(id)
+	return len(v.batchesOf[id]) == 0 && key == ""
 }
 
-// Doubt names a record that was not understood and that may hold the job: as
+// UnreadableRecordFor names a record that was not understood and that may hold the job: as
 // long as there is one, nobody can say that the job is not known.
-func (v *View) Doubt(id string) (key string, err error) {
+func (v *View) UnreadableRecordFor(id string) (key string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.doubt(id)
+	return v.unreadableRecordFor(id)
 }
 
-func (v *View) doubt(id string) (key string, err error) {
-	if len(v.broken) == 0 {
+func (v *View) unreadableRecordFor(id string) (key string, err error) {
+	if len(v.unreadable) == 0 {
 		return "", nil
 	}
-	for _, key := range slices.Sorted(maps.Keys(v.broken)) {
+	for _, key := range slices.Sorted(maps.Keys(v.unreadable)) {
 		switch Kind(key) {
 		case "batch", "recent":
-			return key, v.broken[key]
+			return key, v.unreadable[key]
 		case "job":
 			if key == JobKey(id) {
-				return key, v.broken[key]
+				return key, v.unreadable[key]
 			}
 		}
 	}
 	return "", nil
 }
 
-// Broken lists the records that were not understood.
-func (v *View) Broken() []string {
+// UnreadableRecords lists the records that were not understood.
+func (v *View) UnreadableRecords() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.broken))
+	return slices.Sorted(maps.Keys(v.unreadable))
 }
 
-// Gate gives the version of the gate, 0 while there is none.
-func (v *View) Gate() Versioned[GateRecord] {
+// SubmissionFence gives the version of the gate, 0 while there is none.
+func (v *View) SubmissionFence() Versioned[SubmissionFenceRecord] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gate
+	return v.submissionFence
 }
 
 // Format is the form of the state as its marker says, 0 without one.
@@ -88,61 +88,61 @@
 	return v.format
 }
 
-// Fresh reports whether nothing was ever kept in the state service.
-func (v *View) Fresh() bool {
+// Empty reports whether nothing was ever kept in the state service.
+func (v *View) Empty() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.term.Version == 0 && len(v.homes) == 0 && len(v.broken) == 0
+	return v.fencingToken.Version == 0 && len(v.batches) == 0 && len(v.unreadable) == 0
 }
 
-// Over lists homes of which every job is over, the oldest first: at most so many
+// EndedBatches lists homes of which every job is over, the oldest first: at most so many
 // of those that fit.
-func (v *View) Over(most int, fit func(*Home) bool) []*Home {
+func (v *View) EndedBatches(limit int, accept func(*Batch) bool) []*Batch {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var out []*Home
-	v.over.Scan(func(h *Home) bool {
-		if fit(h) {
+	var out []*Batch
+	v.endedBatches.Scan(func(h *Batch) bool {
+		if accept(h) {
 			out = append(out, h)
 		}
-		return len(out) < most
+		return len(out) < limit
 	})
 	return out
 }
 
-// Recents lists the recent blocks in order of their slots.
-func (v *View) Recents() []Recent {
+// RecentBlocks lists the recent blocks in order of their slots.
+func (v *View) RecentBlocks() []RecentBlock {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.SortedFunc(maps.Values(v.recents), func(a, b Recent) int { return a.Slot - b.Slot })
+	return slices.SortedFunc(maps.Values(v.recentBlocks), func(a, b RecentBlock) int { return a.Index - b.Index })
 }
 
 // Size tells how much the view holds: jobs that are live, jobs that are over and
 // have a home, homes, and jobs in recent blocks.
-func (v *View) Size() (live, over, homes, recent int) {
+func (v *View) Size() (live, ended, batches, recent int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, r := range v.recents {
+	for _, r := range v.recentBlocks {
 		if r.Block != nil {
 			recent += r.Block.Len()
 		}
 	}
-	return len(v.live), len(v.final), len(v.homes), recent
+	return len(v.liveJobs), len(v.endedJobs), len(v.batches), recent
 }
 
-// Unfolded reports whether there are homes of which every job is over.
-func (v *View) Unfolded() bool {
+// Uncompacted reports whether there are homes of which every job is over.
+func (v *View) Uncompacted() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.over.Len() > 0
+	return v.endedBatches.Len() > 0
 }
 
-// OldestOver is when the first of the jobs ended that wait to be folded.
-func (v *View) OldestOver() time.Time {
+// OldestEnd is when the first of the jobs ended that wait to be folded.
+func (v *View) OldestEnd() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var at int64
-	if h, ok := v.over.Min(); ok {
+	if h, ok := v.endedBatches.Min(); ok {
 		for _, m := range h.Jobs {
 			if e := m.Record.Ended; e > 0 && (at == 0 || e < at) {
 				at = e
@@ -155,40 +155,40 @@
 	return time.UnixMilli(at)
 }
 
-// Part tells who holds a part.
-func (v *View) Part(part string) (Versioned[PartRecord], bool) {
+// Leader tells who holds a part.
+func (v *View) Leader(shard string) (Versioned[LeaderRecord], bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	p, ok := v.parts[part]
+	p, ok := v.leaders[shard]
 	return p, ok
 }
 
-// Term gives the counter of terms; version 0 means that there is none yet.
-func (v *View) Term() Versioned[uint64] {
+// FencingToken gives the counter of terms; version 0 means that there is none yet.
+func (v *View) FencingToken() Versioned[uint64] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.term
+	return v.fencingToken
 }
 
-// Types gives the machine types kept in the store, if any.
-func (v *View) Types() []wire.MachineType {
+// MachineTypes gives the machine types kept in the store, if any.
+func (v *View) MachineTypes() []wire.MachineType {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.types
+	return v.machineTypes
 }
 
 // Snapshot copies what a holder decides on.
 func (v *View) Snapshot() Snapshot {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return Snapshot{v.revision, v.fresh, maps.Clone(v.live), v.grants, v.grouping}
+	return Snapshot{v.revision, v.currentAt, maps.Clone(v.liveJobs), v.quotaGrants, v.sharding}
 }
 
-// Grouping tells how the state is divided into parts; version 0 means one part.
-func (v *View) Grouping() Versioned[GroupingRecord] {
+// Sharding tells how the state is divided into parts; version 0 means one part.
+func (v *View) Sharding() Versioned[ShardingRecord] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.grouping
+	return v.sharding
 }
 
 // Tiers tells how the tiers of work are set; version 0 means the default.
--- a/internal/store/preemption.go
+++ b/internal/store/preemption.go
@@ -11,36 +11,36 @@
 // Room that is claimed back for a job is a record for each machine: what is stopped there is
 // written before anything is said, and the next holder goes on with it.
 
-// ClaimEntry gives the entry of room that is claimed back for a job.
-func ClaimEntry(job string, r tier.Room) Entry {
-	return Entry{claimKey(job, r.Machine), wire.Encode(r), entryBytes + len(job) + len(r.Machine) + r.Bytes()}
+// PreemptionEntry gives the entry of room that is claimed back for a job.
+func PreemptionEntry(job string, r tier.Reservation) Entry {
+	return Entry{preemptionKey(job, r.Machine), wire.Encode(r), entryOverheadBytes + len(job) + len(r.Machine) + r.SizeBound()}
 }
 
-// DropClaim gives the entry that drops it.
-func DropClaim(job, machine string) Entry {
-	return Entry{Key: claimKey(job, machine), Size: entryBytes + len(job) + len(machine) + 8}
+// DropPreemption gives the entry that drops it.
+func DropPreemption(job, machine string) Entry {
+	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 8}
 }
 
-// HasClaim reports whether room on a machine is claimed back for a job.
-func (l *Ledger) HasClaim(job, machine string) bool {
-	_, ok := l.at[claimKey(job, machine)]
+// HasPreemption reports whether room on a machine is claimed back for a job.
+func (l *Ledger) HasPreemption(job, machine string) bool {
+	_, ok := l.location[preemptionKey(job, machine)]
 	return ok
 }
 
-func claimKey(job, machine string) string { return claimEntry + job + "/" + machine }
+func preemptionKey(job, machine string) string { return preemptionPrefix + job + "/" + machine }
 
-func (rec *Recalled) takeClaim(key, rest string, raw wire.Raw, null bool) Entry {
+func (rec *RecoveredState) applyPreemption(key, rest string, raw wire.Raw, null bool) Entry {
 	job, machine, _ := strings.Cut(rest, "/")
-	c := rec.Claims[job]
+	c := rec.Preemptions[job]
 	if c == nil {
-		c = &tier.Claim{}
-		rec.Claims[job] = c
+		c = &tier.Preemption{}
+		rec.Preemptions[job] = c
 	}
-	c.Rooms = slices.DeleteFunc(c.Rooms, func(r tier.Room) bool { return r.Machine == machine })
-	var r tier.Room
+	c.Reservations = slices.DeleteFunc(c.Reservations, func(r tier.Reservation) bool { return r.Machine == machine })
+	var r tier.Reservation
 	if null || wire.DecodeValue(raw, &r) != nil || r.Machine != machine {
 		return Entry{Key: key}
 	}
-	c.Rooms = append(c.Rooms, r)
-	return ClaimEntry(job, r)
+	c.Reservations = append(c.Reservations, r)
+	return PreemptionEntry(job, r)
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -8,147 +8,149 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Root begins every key of what amberdeal lives on, and History those of the
+// StatePrefix begins every key of what amberdeal lives on, and History those of the
 // blocks in which jobs that are over are kept for ever. Stem begins both, so that
 // one watch follows them all; a controller that starts lists only the first.
 const (
-	Stem    = "amberdeal"
-	Root    = Stem + "/"
-	History = Stem + "-history/"
+	CommonPrefix  = "amberdeal"
+	StatePrefix   = CommonPrefix + "/"
+	ArchivePrefix = CommonPrefix + "-history/"
 )
 
 // Format is the form of the state that this version writes. 1, which had no
 // marker, kept a key for each job that was over.
 const Format = 2
 
-// FormatParts is the form of a state of which the fleet is in several parts. Versions that
+// FormatSharded is the form of a state of which the fleet is in several parts. Versions that
 // know of one part alone don't work on it.
-const FormatParts = 3
+const FormatSharded = 3
 
 // The kinds of keys.
 const (
-	jobs    = Root + "job/"
-	batches = Root + "batch/"
-	ledgers = Root + "ledger/"
-	parts   = Root + "part/"
-	recents = Root + "recent/"
-	// TermKey holds the fleet-wide counter of terms.
-	TermKey = Root + "term"
-	// TypesKey holds the machine types last seen.
-	TypesKey = Root + "types"
-	// GateKey is a condition of every submission: once it has moved, none that
+	jobPrefix    = StatePrefix + "job/"
+	batchPrefix  = StatePrefix + "batch/"
+	ledgerPrefix = StatePrefix + "ledger/"
+	leaderPrefix = StatePrefix + "part/"
+	recentPrefix = StatePrefix + "recent/"
+	// FencingTokenKey holds the fleet-wide counter of terms.
+	FencingTokenKey = StatePrefix + "term"
+	// MachineTypesKey holds the machine types last seen.
+	MachineTypesKey = StatePrefix + "types"
+	// SubmissionFenceKey is a condition of every submission: once it has moved, none that
 	// was sent before is taken any more.
-	GateKey = Root + "gate"
-	// GroupingKey says how the fleet is divided into parts; absent, it is one.
-	GroupingKey = Root + "grouping"
-	// GrantKey holds what each part may spend of the teams' limits.
-	GrantKey = Root + "grant"
+	SubmissionFenceKey = StatePrefix + "gate"
+	// ShardingKey says how the fleet is divided into parts; absent, it is one.
+	ShardingKey = StatePrefix + "grouping"
+	// QuotaGrantKey holds what each part may spend of the teams' limits.
+	QuotaGrantKey = StatePrefix + "grant"
 	// TiersKey says how the tiers of work are set; absent, they are the default.
-	TiersKey = Root + "tiers"
+	TiersKey = StatePrefix + "tiers"
 	// FormatKey holds the form of the state.
-	FormatKey = Root + "format"
+	FormatKey = StatePrefix + "format"
 )
 
 // JobKey holds a job in the form of version 1.
-func JobKey(id string) string { return jobs + id }
+func JobKey(id string) string { return jobPrefix + id }
 
 // BatchKey holds jobs that were accepted together, until all of them are over:
 // launch, cancel and done of a job are ordered by the version of this key.
-func BatchKey(name string) string { return batches + name }
+func BatchKey(name string) string { return batchPrefix + name }
 
 // RecentKey holds a block of jobs that are over, on their way into the history.
-func RecentKey(n int) string { return recents + strconv.Itoa(n) }
+func RecentKey(n int) string { return recentPrefix + strconv.Itoa(n) }
 
 // Kind names the kind of a key, for accounts of what is in the state service.
 func Kind(key string) string {
-	if strings.HasPrefix(key, History) {
+	if strings.HasPrefix(key, ArchivePrefix) {
 		return "history"
 	}
-	kind, _, _ := strings.Cut(strings.TrimPrefix(key, Root), "/")
+	kind, _, _ := strings.Cut(strings.TrimPrefix(key, StatePrefix), "/")
 	return kind
 }
 
-// SlotKey holds a slot of a ledger.
-func SlotKey(ledger string, slot int) string { return ledgers + ledger + "/" + strconv.Itoa(slot) }
+// SegmentKey holds a slot of a ledger.
+func SegmentKey(ledger string, segment int) string {
+	return ledgerPrefix + ledger + "/" + strconv.Itoa(segment)
+}
 
-// LedgerOf names the ledger of a part in a state that was divided anew so many times. Each
+// LedgerName names the ledger of a part in a state that was divided anew so many times. Each
 // grouping has ledgers of its own, so that no holder takes another's for its own.
-func LedgerOf(part string, number uint64) string {
-	if number == 0 {
-		return part
+func LedgerName(shard string, generation uint64) string {
+	if generation == 0 {
+		return shard
 	}
-	return part + "@" + strconv.FormatUint(number, 10)
+	return shard + "@" + strconv.FormatUint(generation, 10)
 }
 
-// PartKey holds the claim of a part.
-func PartKey(part string) string { return parts + part }
+// LeaderKey holds the claim of a part.
+func LeaderKey(shard string) string { return leaderPrefix + shard }
 
 // JobRecord is a job as it is stored. One that is over keeps its stage and size,
 // and, until no task of it can be anywhere any more, what its tasks take.
 type JobRecord struct {
-	Stage   wire.Stage `cbor:"stage"`
-	Tasks   int        `cbor:"tasks"`
-	Created int64      `cbor:"created,omitempty"` // ms since 1970
-	Job     *wire.Job  `cbor:"job,omitempty"`
-	Takes   *Takes     `cbor:"takes,omitempty"`
-	Ended   int64      `cbor:"ended,omitempty"` // ms since 1970
-	Shares  []Share    `cbor:"shares,omitempty"`
-	// Grouping is the number of the grouping that the shares are of. Where the state has been
+	Stage   wire.Stage   `cbor:"stage"`
+	Tasks   int          `cbor:"tasks"`
+	Created int64        `cbor:"created,omitempty"` // ms since 1970
+	Job     *wire.Job    `cbor:"job,omitempty"`
+	Demand  *TaskDemand  `cbor:"takes,omitempty"`
+	Ended   int64        `cbor:"ended,omitempty"` // ms since 1970
+	Ranges  []ShardRange `cbor:"shares,omitempty"`
+	// ShardingGeneration is the number of the grouping that the shares are of. Where the state has been
 	// divided anew since, the ledgers of the groupings before say whose the tasks are; DoneIn
 	// then names the ledgers of the parts that have finished all of theirs.
-	Grouping uint64   `cbor:"grouping,omitempty"`
-	DoneIn   []string `cbor:"done_in,omitempty"`
+	ShardingGeneration uint64   `cbor:"grouping,omitempty"`
+	FinishedIn         []string `cbor:"done_in,omitempty"`
 	// CoAllocation says what the parts that have tasks of a gang are to do: nothing, hold room for
 	// them, stop them, or start them with this attempt.
 	CoAllocation uint64 `cbor:"muster,omitempty"`
 }
 
-// Share is a run of a job's tasks that a part answers for: From up to and without To. Only
+// ShardRange is a run of a job's tasks that a part answers for: From up to and without To. Only
 // its holder launches them, and only the holder gives them to another part, in a
 // fenced round, once it has proof that they are nowhere. The shares of a job cover all
 // its tasks; a job without any is of the first part.
-type Share struct {
-	_    struct{} `cbor:",toarray"`
-	From int
-	To   int
-	Part string
-	Done bool // every task of it has finished
+type ShardRange struct {
+	_     struct{} `cbor:",toarray"`
+	From  int
+	To    int
+	Shard string
+	Done  bool // every task of it has finished
 }
 
 // What a gang's parts are to do; from CoAllocationFirst on it is the attempt to start.
 const (
-	CoAllocationOff   uint64 = 1
-	CoAllocationHold  uint64 = 2
-	CoAllocationFirst uint64 = 1 << 24
+	CoAllocationRelease      uint64 = 1
+	CoAllocationReserve      uint64 = 2
+	CoAllocationFirstAttempt uint64 = 1 << 24
 )
 
 // Within reports whether a share is a run of so many tasks. One that is not is of nobody.
-func (s Share) Within(tasks int) bool { return s.From >= 0 && s.From < s.To && s.To <= tasks }
+func (s ShardRange) Within(tasks int) bool { return s.From >= 0 && s.From < s.To && s.To <= tasks }
 
-// Takes is what each task of a job takes, and whose limit it counts against.
-type Takes struct {
+// TaskDemand is what each task of a job takes, and whose limit it counts against.
+type TaskDemand struct {
 	Team     string  `cbor:"team"`
 	CPUs     float64 `cbor:"cpus"`
 	GPUs     float64 `cbor:"gpus"`
 	MemoryGB float64 `cbor:"memory_gb"`
 }
 
-// TaskTakes tells what each task of the job takes, if that is known.
-func (r *JobRecord) TaskTakes() (Takes, bool) {
+// TaskDemand tells what each task of the job takes, if that is known.
+func (r *JobRecord) TaskDemand() (TaskDemand, bool) {
 	switch {
 	case r.Job != nil:
-		return Takes{r.Job.Team, r.Job.CPUs, r.Job.GPUs, r.Job.MemoryGB}, true
-	case r.Takes != nil:
-		return *r.Takes, true
+		return TaskDemand{r.Job.Team, r.Job.CPUs, r.Job.GPUs, r.Job.MemoryGB}, true
+	case r.Demand != nil:
+		return *r.Demand, true
 	}
-	return Takes{}, false
+	return TaskDemand{}, false
 }
 
 // End gives the record of the job once it is done or cancelled.
 func (r *JobRecord) End(stage wire.Stage, now time.Time) JobRecord {
 	end := JobRecord{Stage: stage, Tasks: r.Tasks, Ended: now.UnixMilli()}
-	if t, ok := r.TaskTakes(); ok {
-		end.Takes = &t
+	if t, ok := r.TaskDemand(); ok {
+		end.Demand = &t
 	}
 	return end
 }
@@ -160,16 +162,16 @@
 	Since uint64               `cbor:"since,omitempty"`
 }
 
-// RecordBytes bounds what a job takes in the form in which the service counts.
-func RecordBytes(rec *JobRecord) int {
-	return len(wire.Encode(rec))*5/4 + shareBytes*len(rec.Shares) + 150
+// JobRecordBytes bounds what a job takes in the form in which the service counts.
+func JobRecordBytes(rec *JobRecord) int {
+	return len(wire.Encode(rec))*5/4 + rangeOverheadBytes*len(rec.Ranges) + 150
 }
 
-// shareBytes is what a share may take beyond a quarter more than its encoding, and
+// rangeOverheadBytes is what a share may take beyond a quarter more than its encoding, and
 // spareBytes what of a job's bound is left for what is written of it later.
 const (
-	shareBytes = 16
-	spareBytes = 90
+	rangeOverheadBytes = 16
+	reservedJobBytes   = 90
 )
 
 // FormatRecord says in which form the state is, and since when, if it was in
@@ -181,32 +183,32 @@
 	Import string `cbor:"import,omitempty"`
 }
 
-// GateRecord counts how often the gate has moved.
-type GateRecord struct {
-	Moved uint64 `cbor:"moved"`
+// SubmissionFenceRecord counts how often the gate has moved.
+type SubmissionFenceRecord struct {
+	Generation uint64 `cbor:"moved"`
 }
 
-// PartRecord says who holds a part. It is attached to the holder's lease.
-type PartRecord struct {
-	Holder string `cbor:"holder"`
-	Term   uint64 `cbor:"term"`
-	Lease  uint64 `cbor:"lease"`
-	Format int    `cbor:"format,omitempty"` // of the state that the holder writes, 0 for version 1
+// LeaderRecord says who holds a part. It is attached to the holder's lease.
+type LeaderRecord struct {
+	Leader       string `cbor:"holder"`
+	FencingToken uint64 `cbor:"term"`
+	Lease        uint64 `cbor:"lease"`
+	Format       int    `cbor:"format,omitempty"` // of the state that the holder writes, 0 for version 1
 }
 
-// GroupingRecord says how the fleet is divided into parts, and how often it was divided
+// ShardingRecord says how the fleet is divided into parts, and how often it was divided
 // anew. Before names the ledgers of earlier groupings that nobody writes any more and that
 // still say what may be where.
-type GroupingRecord struct {
-	Text   string   `cbor:"text"`
-	Number uint64   `cbor:"number,omitempty"`
-	Before []string `cbor:"before,omitempty"`
+type ShardingRecord struct {
+	Text            string   `cbor:"text"`
+	Generation      uint64   `cbor:"number,omitempty"`
+	PreviousLedgers []string `cbor:"before,omitempty"`
 }
 
-// GrantRecord says what each part may spend of the limit of each team that has one: CPUs
+// QuotaGrantRecord says what each part may spend of the limit of each team that has one: CPUs
 // and GPUs, by team and part. Only a part's holder changes the part's own grants, under
 // its fence and on the version that it has seen; their sum never exceeds the limit.
-type GrantRecord struct {
+type QuotaGrantRecord struct {
 	Teams map[string]map[string][2]float64 `cbor:"teams"`
 }
 
@@ -216,7 +218,7 @@
 	Digest string `cbor:"digest"`
 }
 
-// TypesRecord keeps the machine types through an outage of the cloud.
-type TypesRecord struct {
+// MachineTypesRecord keeps the machine types through an outage of the cloud.
+type MachineTypesRecord struct {
 	Types []wire.MachineType `cbor:"types"`
 }
--- a/internal/store/shardledgers.go
+++ b/internal/store/shardledgers.go
@@ -9,61 +9,61 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Ledgers reads the ledger of a part, and those of earlier groupings; a slot that is not
+// ShardLedgers reads the ledger of a part, and those of earlier groupings; a slot that is not
 // understood is logged and counts as empty.
-func (v *View) Ledgers(part string) PartLedgers {
+func (v *View) ShardLedgers(shard string) ShardLedgers {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	g := v.grouping.Record
-	out := PartLedgers{Name: LedgerOf(part, g.Number), Number: g.Number}
-	out.Own = v.ledger(out.Name)
-	out.Carried = len(g.Before) == 0 || v.newest(out.Name).Carried == g.Number
-	for _, name := range g.Before {
-		out.Before = append(out.Before, v.ledger(name)...)
+	g := v.sharding.Record
+	out := ShardLedgers{Name: LedgerName(shard, g.Generation), Generation: g.Generation}
+	out.Own = v.segmentsOf(out.Name)
+	out.Migrated = len(g.PreviousLedgers) == 0 || v.newestSegment(out.Name).Migrated == g.Generation
+	for _, name := range g.PreviousLedgers {
+		out.Previous = append(out.Previous, v.segmentsOf(name)...)
 	}
 	return out
 }
 
-func (v *View) ledger(name string) (out []Slot) {
-	for key, raw := range v.slots {
-		num, mine := strings.CutPrefix(key, ledgers+name+"/")
+func (v *View) segmentsOf(name string) (out []Segment) {
+	for key, raw := range v.segments {
+		num, mine := strings.CutPrefix(key, ledgerPrefix+name+"/")
 		if n, err := strconv.Atoi(num); mine && err == nil && n >= 0 {
-			rec, _ := read[SlotRecord](v, key, raw.Record)
-			out = append(out, Slot{n, raw.Version, rec})
+			rec, _ := decodeRecord[SegmentRecord](v, key, raw.Record)
+			out = append(out, Segment{n, raw.Version, rec})
 		}
 	}
 	return out
 }
 
-// newest reads the slot of a ledger that was written last.
-func (v *View) newest(name string) (rec SlotRecord) {
+// newestSegment reads the slot of a ledger that was written last.
+func (v *View) newestSegment(name string) (rec SegmentRecord) {
 	var newest Versioned[wire.Raw]
-	for key, raw := range v.slots {
-		if strings.HasPrefix(key, ledgers+name+"/") && raw.Version > newest.Version {
+	for key, raw := range v.segments {
+		if strings.HasPrefix(key, ledgerPrefix+name+"/") && raw.Version > newest.Version {
 			newest = raw
 		}
 	}
 	if newest.Version == 0 || wire.DecodeValue(newest.Record, &rec) != nil {
-		return SlotRecord{}
+		return SegmentRecord{}
 	}
 	return rec
 }
 
-// Carried reports whether a part has taken over what the ledgers of earlier groupings say.
-func (v *View) Carried(part string) bool {
+// Migrated reports whether a part has taken over what the ledgers of earlier groupings say.
+func (v *View) Migrated(shard string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	g := v.grouping.Record
-	return v.newest(LedgerOf(part, g.Number)).Carried == g.Number
+	g := v.sharding.Record
+	return v.newestSegment(LedgerName(shard, g.Generation)).Migrated == g.Generation
 }
 
-// Leftover names the slots of the ledgers of earlier groupings, in order.
-func (v *View) Leftover() (out []string) {
+// PreviousLedgerSlots names the slots of the ledgers of earlier groupings, in order.
+func (v *View) PreviousLedgerSlots() (out []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for key := range v.slots {
-		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgers), "/")
-		if slices.Contains(v.grouping.Record.Before, name) {
+	for key := range v.segments {
+		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgerPrefix), "/")
+		if slices.Contains(v.sharding.Record.PreviousLedgers, name) {
 			out = append(out, key)
 		}
 	}
@@ -71,74 +71,74 @@
 	return out
 }
 
-// State is what a state is divided anew by: how it was, what all ledgers say, and who
+// ShardingState is what a state is divided anew by: how it was, what all ledgers say, and who
 // holds what.
-type State struct {
-	Grouping Versioned[GroupingRecord]
-	Term     Versioned[uint64]
-	Grants   Versioned[GrantRecord]
-	Format   FormatRecord
-	Ledgers  []string // the names of all
-	Slots    []Slot   // of all
-	Held     []string // parts that somebody holds
-	Broken   []string // records that were not understood
+type ShardingState struct {
+	Sharding     Versioned[ShardingRecord]
+	FencingToken Versioned[uint64]
+	QuotaGrants  Versioned[QuotaGrantRecord]
+	Format       FormatRecord
+	LedgerNames  []string  // the names of all
+	Segments     []Segment // of all
+	LedShards    []string  // parts that somebody holds
+	Unreadable   []string  // records that were not understood
 }
 
-// Held names the parts that somebody holds, and tells whether there is any ledger.
-func (v *View) Held() (parts []string, used bool) {
+// LedShards names the parts that somebody holds, and tells whether there is any ledger.
+func (v *View) LedShards() (shards []string, used bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.parts)), len(v.slots) > 0
+	return slices.Sorted(maps.Keys(v.leaders)), len(v.segments) > 0
 }
 
-// State gives what the view shows of the state as a whole; it decodes every ledger.
-func (v *View) State() State {
+// ShardingState gives what the view shows of the state as a whole; it decodes every ledger.
+func (v *View) ShardingState() ShardingState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	s := State{Grouping: v.grouping, Term: v.term, Grants: v.grants, Format: v.format, Held: slices.Sorted(maps.Keys(v.parts))}
-	for key := range v.slots {
-		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgers), "/")
-		if !slices.Contains(s.Ledgers, name) {
-			s.Ledgers = append(s.Ledgers, name)
+	s := ShardingState{Sharding: v.sharding, FencingToken: v.fencingToken, QuotaGrants: v.quotaGrants, Format: v.format, LedShards: slices.Sorted(maps.Keys(v.leaders))}
+	for key := range v.segments {
+		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgerPrefix), "/")
+		if !slices.Contains(s.LedgerNames, name) {
+			s.LedgerNames = append(s.LedgerNames, name)
 		}
 	}
-	slices.Sort(s.Ledgers)
-	for _, name := range s.Ledgers {
-		s.Slots = append(s.Slots, v.ledger(name)...)
+	slices.Sort(s.LedgerNames)
+	for _, name := range s.LedgerNames {
+		s.Segments = append(s.Segments, v.segmentsOf(name)...)
 	}
-	s.Broken = slices.Sorted(maps.Keys(v.broken))
+	s.Unreadable = slices.Sorted(maps.Keys(v.unreadable))
 	return s
 }
 
-// Slot reads one slot, by its key.
-func (v *View) Slot(key string) (SlotRecord, uint64) {
+// Segment reads one slot, by its key.
+func (v *View) Segment(key string) (SegmentRecord, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	raw, ok := v.slots[key]
+	raw, ok := v.segments[key]
 	if !ok {
-		return SlotRecord{}, 0
+		return SegmentRecord{}, 0
 	}
-	rec, _ := read[SlotRecord](v, key, raw.Record)
+	rec, _ := decodeRecord[SegmentRecord](v, key, raw.Record)
 	return rec, raw.Version
 }
 
-// Written gives the revision at which a part's ledger was last written.
-func (v *View) Written(part string) (newest uint64) {
+// LedgerRevision gives the revision at which a part's ledger was last written.
+func (v *View) LedgerRevision(shard string) (newest uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	name := LedgerOf(part, v.grouping.Record.Number)
-	for key, raw := range v.slots {
-		if strings.HasPrefix(key, ledgers+name+"/") {
+	name := LedgerName(shard, v.sharding.Record.Generation)
+	for key, raw := range v.segments {
+		if strings.HasPrefix(key, ledgerPrefix+name+"/") {
 			newest = max(newest, raw.Version)
 		}
 	}
 	return newest
 }
 
-// Clear tells up to which revision a part has said that no task is in it of any job
+// DrainedThrough tells up to which revision a part has said that no task is in it of any job
 // that had ended by then. What it said is true for ever.
-func (v *View) Clear(part string) uint64 {
+func (v *View) DrainedThrough(shard string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.newest(LedgerOf(part, v.grouping.Record.Number)).Clear
+	return v.newestSegment(LedgerName(shard, v.sharding.Record.Generation)).DrainedThrough
 }
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -25,33 +25,33 @@
 // LiveJob is a job that is neither done nor cancelled. Since is the revision
 // from which on it is known.
 type LiveJob struct {
-	Record JobRecord
-	Home   *Home
-	Since  uint64
+	Record        JobRecord
+	Batch         *Batch
+	SinceRevision uint64
 }
 
 // Snapshot is a copy of what a holder decides on. Its maps are its own; what
 // they point to is never changed.
 type Snapshot struct {
-	Revision uint64
-	Fresh    time.Time // everything that was in the store by then is in it
-	Live     map[string]*LiveJob
-	Grants   Versioned[GrantRecord]
-	Grouping Versioned[GroupingRecord]
+	Revision    uint64
+	CurrentAt   time.Time // everything that was in the store by then is in it
+	LiveJobs    map[string]*LiveJob
+	QuotaGrants Versioned[QuotaGrantRecord]
+	Sharding    Versioned[ShardingRecord]
 }
 
-// Recent is a block of jobs that are over and on their way into the history.
-type Recent struct {
-	Slot    int
+// RecentBlock is a block of jobs that are over and on their way into the history.
+type RecentBlock struct {
+	Index   int
 	Version uint64
 	Block   *jobblock.Block // nil where it was not understood
 	Bytes   int
 }
 
-// Blocks is told what becomes of the blocks of the history.
-type Blocks interface {
-	// Changed tells a block's new value, Reset that changes were missed.
-	Changed(key string, raw wire.Raw, version uint64)
+// ArchiveObserver is told what becomes of the blocks of the history.
+type ArchiveObserver interface {
+	// BlockChanged tells a block's new value, Reset that changes were missed.
+	BlockChanged(key string, raw wire.Raw, version uint64)
 	Reset()
 }
 
@@ -59,57 +59,57 @@
 // It is pure: lists and changes come in, in any order, and are applied once.
 type View struct {
 	log *slog.Logger
-	// Blocks follows the history, if it is set before the first list.
-	Blocks Blocks
-
-	mu       sync.Mutex
-	loaded   bool
-	fresh    time.Time
-	revision uint64
-	homes    map[string]*Home
-	in       map[string][]*Home // the homes of each job
-	live     map[string]*LiveJob
-	final    map[string]*JobRecord // jobs that are over and still have a home
-	over     *btree.BTreeG[*Home]  // homes of which every job is over, the oldest first
-	recents  map[int]Recent
-	slots    map[string]Versioned[wire.Raw]
-	parts    map[string]Versioned[PartRecord]
-	term     Versioned[uint64]
-	gate     Versioned[GateRecord]
-	format   FormatRecord
-	grouping Versioned[GroupingRecord]
-	grants   Versioned[GrantRecord]
-	tiers    Versioned[TiersRecord]
-	types    []wire.MachineType
-	broken   map[string]error // records that were not understood
-	changed  chan struct{}
+	// Archive follows the history, if it is set before the first list.
+	Archive ArchiveObserver
+
+	mu              sync.Mutex
+	loaded          bool
+	currentAt       time.Time
+	revision        uint64
+	batches         map[string]*Batch
+	batchesOf       map[string][]*Batch // the homes of each job
+	liveJobs        map[string]*LiveJob
+	endedJobs       map[string]*JobRecord // jobs that are over and still have a home
+	endedBatches    *btree.BTreeG[*Batch] // homes of which every job is over, the oldest first
+	recentBlocks    map[int]RecentBlock
+	segments        map[string]Versioned[wire.Raw]
+	leaders         map[string]Versioned[LeaderRecord]
+	fencingToken    Versioned[uint64]
+	submissionFence Versioned[SubmissionFenceRecord]
+	format          FormatRecord
+	sharding        Versioned[ShardingRecord]
+	quotaGrants     Versioned[QuotaGrantRecord]
+	tiers           Versioned[TiersRecord]
+	machineTypes    []wire.MachineType
+	unreadable      map[string]error // records that were not understood
+	changed         chan struct{}
 }
 
 // NewView gives an empty view that is not loaded.
 func NewView(log *slog.Logger) *View {
 	v := &View{log: log, changed: make(chan struct{})}
-	v.clear()
+	v.reset()
 	return v
 }
 
-func (v *View) clear() {
-	v.homes = make(map[string]*Home)
-	v.in = make(map[string][]*Home)
-	v.live = make(map[string]*LiveJob)
-	v.final = make(map[string]*JobRecord)
-	v.over = btree.NewBTreeGOptions(func(a, b *Home) bool {
-		return cmp.Or(cmp.Compare(a.Since, b.Since), strings.Compare(a.Key, b.Key)) < 0
+func (v *View) reset() {
+	v.batches = make(map[string]*Batch)
+	v.batchesOf = make(map[string][]*Batch)
+	v.liveJobs = make(map[string]*LiveJob)
+	v.endedJobs = make(map[string]*JobRecord)
+	v.endedBatches = btree.NewBTreeGOptions(func(a, b *Batch) bool {
+		return cmp.Or(cmp.Compare(a.SinceRevision, b.SinceRevision), strings.Compare(a.Key, b.Key)) < 0
 	}, btree.Options{NoLocks: true})
-	v.recents = make(map[int]Recent)
-	v.slots = make(map[string]Versioned[wire.Raw])
-	v.parts = make(map[string]Versioned[PartRecord])
-	v.broken = make(map[string]error)
-	v.term, v.gate = Versioned[uint64]{}, Versioned[GateRecord]{}
-	v.grouping, v.grants = Versioned[GroupingRecord]{}, Versioned[GrantRecord]{}
+	v.recentBlocks = make(map[int]RecentBlock)
+	v.segments = make(map[string]Versioned[wire.Raw])
+	v.leaders = make(map[string]Versioned[LeaderRecord])
+	v.unreadable = make(map[string]error)
+	v.fencingToken, v.submissionFence = Versioned[uint64]{}, Versioned[SubmissionFenceRecord]{}
+	v.sharding, v.quotaGrants = Versioned[ShardingRecord]{}, Versioned[QuotaGrantRecord]{}
 	v.tiers = Versioned[TiersRecord]{}
 	v.revision, v.format = 0, FormatRecord{}
-	if v.Blocks != nil {
-		v.Blocks.Reset()
+	if v.Archive != nil {
+		v.Archive.Reset()
 	}
 }
 
@@ -117,25 +117,25 @@
 // changes that came while it was read. Both are taken in at once: a mixture of
 // pages from different moments must not be seen, in which a job may seem to
 // begin in its second home.
-func (v *View) Load(items []wire.Item, revision uint64, since *wire.Changes) {
+func (v *View) Load(items []wire.KeyValue, revision uint64, since *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.loaded && max(revision, since.Revision) < v.revision {
 		return // a list that was overtaken by a barrier
 	}
-	v.clear()
+	v.reset()
 	for _, it := range items {
 		v.put(it.Key, it.Value, it.Version)
 	}
 	v.revision = revision
 	v.apply(since)
 	v.loaded = true
-	v.wake()
+	v.notify()
 }
 
 // Apply takes in the changes of a watch. Revisions that were seen are skipped,
 // because a late answer must not bring back a key that has since been dropped.
-func (v *View) Apply(ch *wire.Changes) {
+func (v *View) Apply(ch *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.loaded {
@@ -143,11 +143,11 @@
 	}
 	v.apply(ch)
 	if len(ch.Events) > 0 {
-		v.wake()
+		v.notify()
 	}
 }
 
-func (v *View) apply(ch *wire.Changes) {
+func (v *View) apply(ch *wire.WatchResponse) {
 	seen := v.revision
 	for _, e := range ch.Events {
 		switch {
@@ -161,25 +161,25 @@
 	v.revision = max(seen, ch.Revision)
 }
 
-// Wrote takes in that this controller's own change of some homes was taken, ahead
+// ApplyOwnWrite takes in that this controller's own change of some homes was taken, ahead
 // of the watch: what it does next must not be refused for its own sake.
-func (v *View) Wrote(homes ...*Home) {
+func (v *View) ApplyOwnWrite(batches ...*Batch) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, h := range homes {
-		if old := v.homes[h.Key]; old != nil && old.Version < h.Version {
-			v.putHome(h)
+	for _, h := range batches {
+		if old := v.batches[h.Key]; old != nil && old.Version < h.Version {
+			v.putBatch(h)
 		}
 	}
 }
 
-// Reached takes in that an answer which was asked for at a time has been taken in: all
+// MarkCurrent takes in that an answer which was asked for at a time has been taken in: all
 // that was in the store by then is in the view.
-func (v *View) Reached(asked time.Time) {
+func (v *View) MarkCurrent(requestedAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.loaded && asked.After(v.fresh) {
-		v.fresh = asked
+	if v.loaded && requestedAt.After(v.currentAt) {
+		v.currentAt = requestedAt
 	}
 }
 
@@ -187,10 +187,10 @@
 func (v *View) CurrentAt() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fresh
+	return v.currentAt
 }
 
-func (v *View) wake() {
+func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -202,176 +202,176 @@
 	return v.changed
 }
 
-// read decodes a record; a malformed one is logged and left out.
-func read[T any](v *View, key string, raw wire.Raw) (T, bool) {
+// decodeRecord decodes a record; a malformed one is logged and left out.
+func decodeRecord[T any](v *View, key string, raw wire.Raw) (T, bool) {
 	var rec T
 	if err := wire.DecodeValue(raw, &rec); err != nil {
-		v.breaks(key, err)
+		v.markUnreadable(key, err)
 		return rec, false
 	}
-	delete(v.broken, key)
+	delete(v.unreadable, key)
 	return rec, true
 }
 
-func (v *View) breaks(key string, err error) {
+func (v *View) markUnreadable(key string, err error) {
 	v.log.Error("record not understood", "key", key, "error", err)
-	v.broken[key] = err
+	v.unreadable[key] = err
 }
 
 func (v *View) put(key string, raw wire.Raw, version uint64) {
 	kind, name := key, ""
-	if i := strings.IndexByte(key[min(len(key), len(Root)):], '/'); i >= 0 {
-		kind, name = key[:len(Root)+i+1], key[len(Root)+i+1:]
+	if i := strings.IndexByte(key[min(len(key), len(StatePrefix)):], '/'); i >= 0 {
+		kind, name = key[:len(StatePrefix)+i+1], key[len(StatePrefix)+i+1:]
 	}
 	switch kind {
-	case jobs:
-		if rec, ok := read[JobRecord](v, key, raw); ok {
-			v.putHome(&Home{key, version, version, []Member{{name, rec}}, true})
+	case jobPrefix:
+		if rec, ok := decodeRecord[JobRecord](v, key, raw); ok {
+			v.putBatch(&Batch{key, version, version, []BatchJob{{name, rec}}, true})
 		}
-	case batches:
-		if rec, ok := read[BatchRecord](v, key, raw); ok {
+	case batchPrefix:
+		if rec, ok := decodeRecord[BatchRecord](v, key, raw); ok {
 			since := version
 			if rec.Since > 0 {
 				since = rec.Since
 			}
-			v.putHome(&Home{key, version, since, members(rec.Jobs), false})
+			v.putBatch(&Batch{key, version, since, sortedJobs(rec.Jobs), false})
 		}
-	case recents:
-		v.putRecent(key, name, raw, version)
-	case ledgers:
-		v.slots[key] = Versioned[wire.Raw]{raw, version} // read by a new holder only
-	case parts:
-		if rec, ok := read[PartRecord](v, key, raw); ok {
-			v.parts[name] = Versioned[PartRecord]{rec, version}
+	case recentPrefix:
+		v.putRecentBlock(key, name, raw, version)
+	case ledgerPrefix:
+		v.segments[key] = Versioned[wire.Raw]{raw, version} // read by a new holder only
+	case leaderPrefix:
+		if rec, ok := decodeRecord[LeaderRecord](v, key, raw); ok {
+			v.leaders[name] = Versioned[LeaderRecord]{rec, version}
 		}
-	case TermKey:
-		if rec, ok := read[uint64](v, key, raw); ok {
-			v.term = Versioned[uint64]{rec, version}
+	case FencingTokenKey:
+		if rec, ok := decodeRecord[uint64](v, key, raw); ok {
+			v.fencingToken = Versioned[uint64]{rec, version}
 		}
-	case TypesKey:
-		if rec, ok := read[TypesRecord](v, key, raw); ok {
-			v.types = rec.Types
+	case MachineTypesKey:
+		if rec, ok := decodeRecord[MachineTypesRecord](v, key, raw); ok {
+			v.machineTypes = rec.Types
 		}
-	case GateKey:
-		if rec, ok := read[GateRecord](v, key, raw); ok {
-			v.gate = Versioned[GateRecord]{rec, version}
+	case SubmissionFenceKey:
+		if rec, ok := decodeRecord[SubmissionFenceRecord](v, key, raw); ok {
+			v.submissionFence = Versioned[SubmissionFenceRecord]{rec, version}
 		}
-	case GroupingKey:
-		if rec, ok := read[GroupingRecord](v, key, raw); ok {
-			v.grouping = Versioned[GroupingRecord]{rec, version}
+	case ShardingKey:
+		if rec, ok := decodeRecord[ShardingRecord](v, key, raw); ok {
+			v.sharding = Versioned[ShardingRecord]{rec, version}
 		}
-	case GrantKey:
-		if rec, ok := read[GrantRecord](v, key, raw); ok {
-			v.grants = Versioned[GrantRecord]{rec, version}
+	case QuotaGrantKey:
+		if rec, ok := decodeRecord[QuotaGrantRecord](v, key, raw); ok {
+			v.quotaGrants = Versioned[QuotaGrantRecord]{rec, version}
 		}
 	case TiersKey:
-		if rec, ok := read[TiersRecord](v, key, raw); ok {
+		if rec, ok := decodeRecord[TiersRecord](v, key, raw); ok {
 			v.tiers = Versioned[TiersRecord]{rec, version}
 		}
 	case FormatKey:
-		if rec, ok := read[FormatRecord](v, key, raw); ok {
+		if rec, ok := decodeRecord[FormatRecord](v, key, raw); ok {
 			v.format = rec
 		}
 	default:
-		if strings.HasPrefix(key, History) && v.Blocks != nil {
-			v.Blocks.Changed(key, raw, version)
+		if strings.HasPrefix(key, ArchivePrefix) && v.Archive != nil {
+			v.Archive.BlockChanged(key, raw, version)
 		}
 	}
 }
 
-// putHome takes in a home's newest value.
-func (v *View) putHome(h *Home) {
-	old := v.homes[h.Key]
+// putBatch takes in a home's newest value.
+func (v *View) putBatch(h *Batch) {
+	old := v.batches[h.Key]
 	if old != nil && old.Version >= h.Version {
 		return // taken in ahead of the watch
 	}
-	v.homes[h.Key] = h
+	v.batches[h.Key] = h
 	if old != nil {
-		v.leave(old)
+		v.detach(old)
 	}
 	for _, m := range h.Jobs {
-		v.in[m.ID] = append(v.in[m.ID], h)
+		v.batchesOf[m.ID] = append(v.batchesOf[m.ID], h)
 	}
-	v.settle(h)
+	v.refresh(h)
 	if old != nil {
-		v.settle(old)
+		v.refresh(old)
 	}
-	v.tally(h)
+	v.refreshEnded(h)
 }
 
-// leave takes a home from the jobs that it held.
-func (v *View) leave(h *Home) {
-	v.over.Delete(h)
+// detach takes a home from the jobs that it held.
+func (v *View) detach(h *Batch) {
+	v.endedBatches.Delete(h)
 	for _, m := range h.Jobs {
-		v.in[m.ID] = slices.DeleteFunc(v.in[m.ID], func(o *Home) bool { return o == h })
-		if len(v.in[m.ID]) == 0 {
-			delete(v.in, m.ID)
+		v.batchesOf[m.ID] = slices.DeleteFunc(v.batchesOf[m.ID], func(o *Batch) bool { return o == h })
+		if len(v.batchesOf[m.ID]) == 0 {
+			delete(v.batchesOf, m.ID)
 		}
 	}
 }
 
-// settle finds out about all jobs of a home, and which of their other homes are
+// refresh finds out about all jobs of a home, and which of their other homes are
 // over by it.
-func (v *View) settle(h *Home) {
+func (v *View) refresh(h *Batch) {
 	for _, m := range h.Jobs {
-		v.settleJob(m.ID)
+		v.refreshJob(m.ID)
 	}
 	for _, m := range h.Jobs {
-		for _, other := range v.in[m.ID] {
+		for _, other := range v.batchesOf[m.ID] {
 			if other != h {
-				v.tally(other)
+				v.refreshEnded(other)
 			}
 		}
 	}
 }
 
-// tally notes whether every job of a home is over.
-func (v *View) tally(h *Home) {
+// refreshEnded notes whether every job of a home is over.
+func (v *View) refreshEnded(h *Batch) {
 	for _, m := range h.Jobs {
-		if v.live[m.ID] != nil {
-			v.over.Delete(h)
+		if v.liveJobs[m.ID] != nil {
+			v.endedBatches.Delete(h)
 			return
 		}
 	}
-	v.over.Set(h)
+	v.endedBatches.Set(h)
 }
 
-// settleJob finds out what a job's homes and the recent blocks say of it. The
+// refreshJob finds out what a job's homes and the recent blocks say of it. The
 // same job may be in several batches: the first revision that holds it is its
 // beginning, and an end anywhere is its end.
-func (v *View) settleJob(id string) {
-	delete(v.live, id)
-	delete(v.final, id)
-	if len(v.in[id]) == 0 {
+func (v *View) refreshJob(id string) {
+	delete(v.liveJobs, id)
+	delete(v.endedJobs, id)
+	if len(v.batchesOf[id]) == 0 {
 		return
 	}
 	// What was folded came first: an end that comes late changes nothing.
-	e, folded := v.recent(id)
-	if folded {
-		v.final[id] = &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
+	e, compacted := v.recentEntry(id)
+	if compacted {
+		v.endedJobs[id] = &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
 	}
-	var home *Home
+	var batch *Batch
 	since := uint64(0)
-	for _, h := range v.in[id] {
+	for _, h := range v.batchesOf[id] {
 		rec := h.job(id)
-		if !folded && (rec.Stage.Final() || rec.Job == nil) {
-			v.final[id] = rec
+		if !compacted && (rec.Stage.Final() || rec.Job == nil) {
+			v.endedJobs[id] = rec
 		}
-		if since == 0 || h.Since < since {
-			since = h.Since
+		if since == 0 || h.SinceRevision < since {
+			since = h.SinceRevision
 		}
 		// A key of its own goes before a batch, as it did in version 1.
-		if home == nil || h.single && !home.single || h.single == home.single && h.Since < home.Since {
-			home = h
+		if batch == nil || h.standalone && !batch.standalone || h.standalone == batch.standalone && h.SinceRevision < batch.SinceRevision {
+			batch = h
 		}
 	}
-	if _, over := v.final[id]; !over {
-		v.live[id] = &LiveJob{*home.job(id), home, since}
+	if _, over := v.endedJobs[id]; !over {
+		v.liveJobs[id] = &LiveJob{*batch.job(id), batch, since}
 	}
 }
 
-func (v *View) recent(id string) (jobblock.Entry, bool) {
-	for _, r := range v.recents {
+func (v *View) recentEntry(id string) (jobblock.Entry, bool) {
+	for _, r := range v.recentBlocks {
 		if r.Block != nil {
 			if e, ok := r.Block.Find(id); ok {
 				return e, true
@@ -381,44 +381,44 @@
 	return jobblock.Entry{}, false
 }
 
-func (v *View) putRecent(key, name string, raw wire.Raw, version uint64) {
-	slot, err := strconv.Atoi(name)
-	if err != nil || slot < 0 {
-		v.breaks(key, fmt.Errorf("%q is not a slot", name))
+func (v *View) putRecentBlock(key, name string, raw wire.Raw, version uint64) {
+	index, err := strconv.Atoi(name)
+	if err != nil || index < 0 {
+		v.markUnreadable(key, fmt.Errorf("%q is not a slot", name))
 		return
 	}
-	r := Recent{Slot: slot, Version: version}
-	if rec, ok := read[jobblock.Record](v, key, raw); ok {
+	r := RecentBlock{Index: index, Version: version}
+	if rec, ok := decodeRecord[jobblock.Record](v, key, raw); ok {
 		if r.Block, err = rec.Unpack(); err != nil {
-			v.breaks(key, err)
+			v.markUnreadable(key, err)
 		}
 		r.Bytes = rec.Bytes()
 	}
-	v.recents[slot] = r
+	v.recentBlocks[index] = r
 	if r.Block == nil {
 		return
 	}
 	for _, e := range r.Block.Entries() { // a home may still call it live
-		for _, h := range v.in[e.ID] {
-			v.settleJob(e.ID)
-			v.tally(h)
+		for _, h := range v.batchesOf[e.ID] {
+			v.refreshJob(e.ID)
+			v.refreshEnded(h)
 		}
 	}
 }
 
 func (v *View) drop(key string) {
-	delete(v.broken, key)
+	delete(v.unreadable, key)
 	switch {
-	case strings.HasPrefix(key, batches), strings.HasPrefix(key, jobs):
-		if h := v.homes[key]; h != nil {
-			delete(v.homes, key)
-			v.leave(h)
-			v.settle(h)
+	case strings.HasPrefix(key, batchPrefix), strings.HasPrefix(key, jobPrefix):
+		if h := v.batches[key]; h != nil {
+			delete(v.batches, key)
+			v.detach(h)
+			v.refresh(h)
 		}
-	case strings.HasPrefix(key, ledgers):
-		delete(v.slots, key)
-	case strings.HasPrefix(key, parts):
-		delete(v.parts, strings.TrimPrefix(key, parts))
+	case strings.HasPrefix(key, ledgerPrefix):
+		delete(v.segments, key)
+	case strings.HasPrefix(key, leaderPrefix):
+		delete(v.leaders, strings.TrimPrefix(key, leaderPrefix))
 	}
 }
 
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func item(key string, v any, version uint64) wire.Item {
-	return wire.Item{Key: key, Value: wire.Encode(v), Version: version}
+func item(key string, v any, version uint64) wire.KeyValue {
+	return wire.KeyValue{Key: key, Value: wire.Encode(v), Version: version}
 }
 
 func event(key string, v any, version uint64) wire.Event {
@@ -27,35 +27,35 @@
 	v := NewView(slog.Default())
 	job := JobRecord{Stage: wire.Pending, Tasks: 3, Job: &wire.Job{ID: "wk-1", Tasks: 3}}
 	done := job.End(wire.Done, time.Unix(1e9, 0))
-	v.Load([]wire.Item{item(JobKey("wk-1"), job, 4), item(JobKey("wk-2"), done, 7)}, 5, &wire.Changes{Revision: 5})
+	v.Load([]wire.KeyValue{item(JobKey("wk-1"), job, 4), item(JobKey("wk-2"), done, 7)}, 5, &wire.WatchResponse{Revision: 5})
 	// The watch begins at the first page's revision and repeats the rest.
-	v.Apply(&wire.Changes{Revision: 7, Events: []wire.Event{event(JobKey("wk-2"), job, 6), event(JobKey("wk-2"), done, 7)}})
+	v.Apply(&wire.WatchResponse{Revision: 7, Events: []wire.Event{event(JobKey("wk-2"), job, 6), event(JobKey("wk-2"), done, 7)}})
 	if _, known := v.Job("wk-1"); !known {
 		t.Error("wk-1 is not known")
 	}
-	v.Apply(&wire.Changes{Revision: 9, Events: []wire.Event{event(PartKey("p"), PartRecord{}, 8), {Delete: PartKey("p"), Version: 9}}})
-	v.Apply(&wire.Changes{Revision: 8, Events: []wire.Event{event(PartKey("p"), PartRecord{}, 8)}})
-	if _, held := v.Part("p"); held {
+	v.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8), {Delete: LeaderKey("p"), Version: 9}}})
+	v.Apply(&wire.WatchResponse{Revision: 8, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8)}})
+	if _, held := v.Leader("p"); held {
 		t.Error("a dropped claim is back")
 	}
 	if v.Revision() != 9 {
 		t.Errorf("revision %d went back", v.Revision())
 	}
 	rec, known := v.Job("wk-2")
-	if _, takes := rec.TaskTakes(); !known || rec.Stage != wire.Done || !takes {
+	if _, takes := rec.TaskDemand(); !known || rec.Stage != wire.Done || !takes {
 		t.Errorf("wk-2: %+v, known %v", rec, known)
 	}
 }
 
-// TestListOvertakenByBarrier: a list that was begun before a barrier is taken in after it. What the
+// TestLoadOvertakenByBarrier: a list that was begun before a barrier is taken in after it. What the
 // barrier has shown, and was told from memory since, stays.
-func TestListOvertakenByBarrier(t *testing.T) {
+func TestLoadOvertakenByBarrier(t *testing.T) {
 	v := NewView(slog.Default())
 	job := pending("wk-1")
-	older := []wire.Item{item(JobKey("wk-1"), job, 4)}
-	v.Load(older, 5, &wire.Changes{Revision: 5})
-	v.Apply(&wire.Changes{Revision: 8, Events: []wire.Event{event(JobKey("wk-1"), job.End(wire.Cancelled, time.Unix(1e9, 0)), 8)}})
-	v.Load(older, 5, &wire.Changes{Revision: 7})
+	older := []wire.KeyValue{item(JobKey("wk-1"), job, 4)}
+	v.Load(older, 5, &wire.WatchResponse{Revision: 5})
+	v.Apply(&wire.WatchResponse{Revision: 8, Events: []wire.Event{event(JobKey("wk-1"), job.End(wire.Cancelled, time.Unix(1e9, 0)), 8)}})
+	v.Load(older, 5, &wire.WatchResponse{Revision: 7})
 	if rec, _ := v.Job("wk-1"); rec.Stage != wire.Cancelled || v.Revision() != 8 {
 		t.Errorf("at revision %d it is %s", v.Revision(), rec.Stage)
 	}
@@ -90,29 +90,29 @@
 	for i := range events {
 		events[i].Version = revision
 	}
-	v.Apply(&wire.Changes{Revision: revision, Events: events})
+	v.Apply(&wire.WatchResponse{Revision: revision, Events: events})
 }
 
-func overKeys(v *View) (keys []string) {
-	for _, h := range v.Over(99, func(*Home) bool { return true }) {
-		keys = append(keys, strings.TrimPrefix(h.Key, Root))
+func endedBatchKeys(v *View) (keys []string) {
+	for _, h := range v.EndedBatches(99, func(*Batch) bool { return true }) {
+		keys = append(keys, strings.TrimPrefix(h.Key, StatePrefix))
 	}
 	return keys
 }
 
-// TestBatch: a job may be in as many batches as it likes; the first revision
+// TestJobInSeveralBatches: a job may be in as many batches as it likes; the first revision
 // that holds it is its beginning and its home, however often that is written
 // again, and an end anywhere is its end.
-func TestBatch(t *testing.T) {
+func TestJobInSeveralBatches(t *testing.T) {
 	v := NewView(slog.Default())
-	v.Load(nil, 1, &wire.Changes{})
+	v.Load(nil, 1, &wire.WatchResponse{})
 	at(v, 2, event(BatchKey("z-1"), batch("wk-1", "wk-2"), 0))
 	at(v, 4, event(BatchKey("b-1"), batch("wk-2", "wk-3"), 0))
 	one := batch("wk-1", "wk-2")
 	one.Since = 2
 	one = ended(one, wire.Cancelled, "wk-1")
 	at(v, 5, event(BatchKey("z-1"), one, 0)) // written again, it is still the older
-	if l, _ := v.Live("wk-2"); l == nil || l.Home.Key != BatchKey("z-1") || l.Home.Version != 5 || l.Since != 2 {
+	if l, _ := v.Live("wk-2"); l == nil || l.Batch.Key != BatchKey("z-1") || l.Batch.Version != 5 || l.SinceRevision != 2 {
 		t.Fatalf("wk-2: %+v", l)
 	}
 	at(v, 6, event(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 0))
@@ -120,119 +120,119 @@
 	if rec, _ := v.Job("wk-2"); rec.Stage != wire.Done {
 		t.Errorf("a late batch brought a job back: %+v", rec)
 	}
-	if l := v.Snapshot().Live; len(l) != 1 || l["wk-3"].Since != 4 {
+	if l := v.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"].SinceRevision != 4 {
 		t.Errorf("live: %+v", l)
 	}
-	if over := overKeys(v); !slices.Equal(over, []string{"batch/z-1", "batch/c-1"}) {
+	if over := endedBatchKeys(v); !slices.Equal(over, []string{"batch/z-1", "batch/c-1"}) {
 		t.Errorf("over: %v", over)
 	}
 	// A list brings the same, in the order of the keys.
 	w := NewView(slog.Default())
-	w.Load([]wire.Item{item(BatchKey("b-1"), batch("wk-2", "wk-3"), 4), item(BatchKey("c-1"), batch("wk-2"), 7),
-		item(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 6)}, 7, &wire.Changes{Revision: 7})
-	if l := w.Snapshot().Live; len(l) != 1 || l["wk-3"] == nil || !slices.Equal(overKeys(w), overKeys(v)) {
-		t.Errorf("live by the list: %+v, over %v", l, overKeys(w))
+	w.Load([]wire.KeyValue{item(BatchKey("b-1"), batch("wk-2", "wk-3"), 4), item(BatchKey("c-1"), batch("wk-2"), 7),
+		item(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 6)}, 7, &wire.WatchResponse{Revision: 7})
+	if l := w.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"] == nil || !slices.Equal(endedBatchKeys(w), endedBatchKeys(v)) {
+		t.Errorf("live by the list: %+v, over %v", l, endedBatchKeys(w))
 	}
 }
 
-// TestFolded: a job that was folded is known by its recent block, a batch that
+// TestCompactedJobStaysEnded: a job that was folded is known by its recent block, a batch that
 // still names it as live does not bring it back, and it is settled once no home
 // names it.
-func TestFolded(t *testing.T) {
+func TestCompactedJobStaysEnded(t *testing.T) {
 	v := NewView(slog.Default())
-	v.Load(nil, 1, &wire.Changes{})
+	v.Load(nil, 1, &wire.WatchResponse{})
 	at(v, 2, event(BatchKey("a"), batch("wk-1"), 0))
 	at(v, 3, event(BatchKey("b"), batch("wk-1", "wk-2"), 0))
 	at(v, 4, event(BatchKey("a"), ended(batch("wk-1"), wire.Cancelled, "wk-1"), 0))
 	recent := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Cancelled, Tasks: 1}})
 	at(v, 5, wire.Event{Delete: BatchKey("a")}, event(RecentKey(0), recent, 0))
-	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || v.Settled("wk-1") {
-		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Settled("wk-1"))
+	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || v.Compacted("wk-1") {
+		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Compacted("wk-1"))
 	}
 	at(v, 6, event(BatchKey("b"), ended(batch("wk-1", "wk-2"), wire.Done, "wk-2"), 0))
-	if over := overKeys(v); len(over) != 1 {
+	if over := endedBatchKeys(v); len(over) != 1 {
 		t.Errorf("over: %v", over)
 	}
 	at(v, 7, wire.Event{Delete: BatchKey("b")})
-	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || !v.Settled("wk-1") {
-		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Settled("wk-1"))
+	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || !v.Compacted("wk-1") {
+		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Compacted("wk-1"))
 	}
 }
 
-// TestVersionOne reads what version 1 left: a key for each job that was accepted
+// TestReadsFormatOne reads what version 1 left: a key for each job that was accepted
 // alone or is over, which goes before any batch that names it.
-func TestVersionOne(t *testing.T) {
+func TestReadsFormatOne(t *testing.T) {
 	rec := pending("wk-2")
 	v := NewView(slog.Default())
-	v.Load([]wire.Item{item(BatchKey("a-1"), batch("wk-1", "wk-2"), 2), item(JobKey("wk-2"), rec.End(wire.Cancelled, time.Unix(1e9, 0)), 3),
-		item(JobKey("wk-3"), pending("wk-3"), 4), item(BatchKey("b-1"), batch("wk-3"), 3)}, 5, &wire.Changes{Revision: 5})
-	if l := v.Snapshot().Live; len(l) != 2 || l["wk-3"].Home.Key != JobKey("wk-3") || l["wk-3"].Since != 3 {
+	v.Load([]wire.KeyValue{item(BatchKey("a-1"), batch("wk-1", "wk-2"), 2), item(JobKey("wk-2"), rec.End(wire.Cancelled, time.Unix(1e9, 0)), 3),
+		item(JobKey("wk-3"), pending("wk-3"), 4), item(BatchKey("b-1"), batch("wk-3"), 3)}, 5, &wire.WatchResponse{Revision: 5})
+	if l := v.Snapshot().LiveJobs; len(l) != 2 || l["wk-3"].Batch.Key != JobKey("wk-3") || l["wk-3"].SinceRevision != 3 {
 		t.Errorf("live: %+v", l)
 	}
 	if rec, _ := v.Job("wk-2"); rec.Stage != wire.Cancelled {
 		t.Errorf("wk-2: %+v", rec)
 	}
 	l, _ := v.Live("wk-3")
-	r := l.Home.Rewrite()
-	r.End("wk-3", wire.Done, time.Unix(1e9, 0))
+	r := l.Batch.Update()
+	r.EndJob("wk-3", wire.Done, time.Unix(1e9, 0))
 	c := r.Change()
 	if put, ok := c.Value.(JobRecord); !ok || c.Put != JobKey("wk-3") || put.Stage != wire.Done {
 		t.Errorf("the end of wk-3: %+v", c)
 	}
 }
 
-// TestLoadIsOfOneMoment: pages are read one after the other. What is in them is
+// TestLoadIsConsistent: pages are read one after the other. What is in them is
 // seen together with what came meanwhile, or not at all: from the pages alone a
 // job may seem to begin in its second batch.
-func TestLoadIsOfOneMoment(t *testing.T) {
+func TestLoadIsConsistent(t *testing.T) {
 	v := NewView(slog.Default())
 	// The first page was read before a/1 was there, the second after.
-	v.Load([]wire.Item{item(BatchKey("z"), batch("wk-1"), 7)}, 5, &wire.Changes{Revision: 8, Events: []wire.Event{
+	v.Load([]wire.KeyValue{item(BatchKey("z"), batch("wk-1"), 7)}, 5, &wire.WatchResponse{Revision: 8, Events: []wire.Event{
 		event(BatchKey("a"), batch("wk-1"), 6), event(BatchKey("z"), batch("wk-1"), 7)}})
-	if l, _ := v.Live("wk-1"); l == nil || l.Home.Key != BatchKey("a") || v.Revision() != 8 {
+	if l, _ := v.Live("wk-1"); l == nil || l.Batch.Key != BatchKey("a") || v.Revision() != 8 {
 		t.Errorf("wk-1: %+v at %d", l, v.Revision())
 	}
 }
 
-// TestBrokenRecordLeavesDoubt: as long as a batch or a recent block is not
+// TestUnreadableRecordLeavesJobsUncertain: as long as a batch or a recent block is not
 // understood, nobody can say that a job is not known; others are as before.
-func TestBrokenRecordLeavesDoubt(t *testing.T) {
+func TestUnreadableRecordLeavesJobsUncertain(t *testing.T) {
 	v := NewView(slog.New(slog.DiscardHandler))
 	newer := jobblock.Pack("", nil)
 	newer.Format++
-	v.Load([]wire.Item{item(BatchKey("a"), batch("wk-1"), 2), item(RecentKey(0), newer, 3), item(JobKey("wk-9"), "?", 4)}, 5, &wire.Changes{})
-	if key, err := v.Doubt("wk-2"); key != RecentKey(0) || !errors.Is(err, jobblock.ErrNewer) || v.Settled("wk-2") {
+	v.Load([]wire.KeyValue{item(BatchKey("a"), batch("wk-1"), 2), item(RecentKey(0), newer, 3), item(JobKey("wk-9"), "?", 4)}, 5, &wire.WatchResponse{})
+	if key, err := v.UnreadableRecordFor("wk-2"); key != RecentKey(0) || !errors.Is(err, jobblock.ErrNewer) || v.Compacted("wk-2") {
 		t.Errorf("doubt %q, %v", key, err)
 	}
-	if _, known := v.Job("wk-1"); !known || len(v.Broken()) != 2 {
-		t.Errorf("known %v, broken %v", known, v.Broken())
+	if _, known := v.Job("wk-1"); !known || len(v.UnreadableRecords()) != 2 {
+		t.Errorf("known %v, broken %v", known, v.UnreadableRecords())
 	}
 	at(v, 6, event(RecentKey(0), jobblock.Pack("", nil), 0))
-	if key, _ := v.Doubt("wk-2"); key != "" {
+	if key, _ := v.UnreadableRecordFor("wk-2"); key != "" {
 		t.Errorf("doubt %q", key)
 	}
-	if key, _ := v.Doubt("wk-9"); key != JobKey("wk-9") {
+	if key, _ := v.UnreadableRecordFor("wk-9"); key != JobKey("wk-9") {
 		t.Errorf("doubt %q", key)
 	}
 }
 
-// TestBits: the text form of a block gives the same tasks back.
-func TestBits(t *testing.T) {
-	a, b := NewBits(3*BlockTasks), NewBits(3*BlockTasks)
-	for i := 0; i < 3*BlockTasks; i += 7 {
-		a.Set(i)
+// TestTaskSet: the text form of a block gives the same tasks back.
+func TestTaskSet(t *testing.T) {
+	a, b := NewTaskSet(3*TasksPerBlock), NewTaskSet(3*TasksPerBlock)
+	for i := 0; i < 3*TasksPerBlock; i += 7 {
+		a.Add(i)
 	}
 	for n := range 3 {
-		if text := a.Block(n); len(text) > 1000 {
+		if text := a.EncodeBlock(n); len(text) > 1000 {
 			t.Errorf("block %d takes %d bytes", n, len(text))
 		} else {
-			b.Merge(n, text)
+			b.MergeBlock(n, text)
 		}
 	}
-	for i := range 3 * BlockTasks {
-		if a.Has(i) != b.Has(i) {
+	for i := range 3 * TasksPerBlock {
+		if a.Contains(i) != b.Contains(i) {
 			t.Fatalf("task %d", i)
 		}
 	}
-	b.Merge(0, "not base64!")
+	b.MergeBlock(0, "not base64!")
 }
--- a/internal/tier/preemption.go
+++ b/internal/tier/preemption.go
@@ -9,96 +9,98 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Claim is a claim back: room that is being made for tasks of one job. Each room is a
+// Preemption is a claim back: room that is being made for tasks of one job. Each room is a
 // record of the round that decides it, and only once that is taken is anything stopped.
 // The next holder goes on with it: it stops what the claim names, and nothing else for
 // the tasks that it covers.
-type Claim struct{ Rooms []Room }
-
-// Room is what a claim makes on one machine.
-type Room struct {
-	_       struct{} `cbor:",toarray"`
-	Machine string
-	Tier    string            // that it is claimed back for
-	Level   int               // of the work that leaves it alone: this one and those behind
-	Tasks   int               // of the job, for which it is
-	Until   int64             // when all that is named is to be gone, in milliseconds
-	Stops   map[string]uint64 // attempts that are stopped, by task
-	Awaits  map[string]uint64 // that should end before, and are stopped only if they don't
+type Preemption struct{ Reservations []Reservation }
+
+// Reservation is what a claim makes on one machine.
+type Reservation struct {
+	_        struct{} `cbor:",toarray"`
+	Machine  string
+	Tier     string            // that it is claimed back for
+	Level    int               // of the work that leaves it alone: this one and those behind
+	Tasks    int               // of the job, for which it is
+	Deadline int64             // when all that is named is to be gone, in milliseconds
+	Stops    map[string]uint64 // attempts that are stopped, by task
+	Awaits   map[string]uint64 // that should end before, and are stopped only if they don't
 }
 
 // The times of a claim.
 const (
-	// DefaultWithin is the bound in which what was lent comes back, where none is set.
-	DefaultWithin = 30 * time.Second
-	// lead is how long before its bound a claim no longer waits for what was to end.
-	lead = 8 * time.Second
-	// keep is how long after its bound room that has come free waits for its task.
-	keep = 5 * time.Second
+	// DefaultReclaimWithin is the bound in which what was lent comes back, where none is set.
+	DefaultReclaimWithin = 30 * time.Second
+	// stopLead is how long before its bound a claim no longer waits for what was to end.
+	stopLead = 8 * time.Second
+	// reservationGrace is how long after its bound room that has come free waits for its task.
+	reservationGrace = 5 * time.Second
 )
 
-// Soon reports whether work is left to end by itself: if it does so before a claim's bound,
+// EndsInTime reports whether work is left to end by itself: if it does so before a claim's bound,
 // by its owner's estimate, with time to save left if it doesn't. Left is what remains of the
 // estimate: of what has run for longer nobody knows.
-func Soon(left, save, within time.Duration) bool { return left > 0 && left+save+lead <= within }
+func EndsInTime(remaining, checkpoint, within time.Duration) bool {
+	return remaining > 0 && remaining+checkpoint+stopLead <= within
+}
 
 // Facts is what a claim is looked at by.
 type Facts struct {
-	Now     time.Time
-	Waiting func(job string) (tasks int, known bool) // of a job, -1 where it is over
-	Serves  func(machine string) bool                // and may serve again
-	On      func(task string, attempt uint64, machine string) bool
+	Now           time.Time
+	WaitingTasks  func(job string) (tasks int, known bool) // of a job, -1 where it is over
+	MachineUsable func(machine string) bool                // and may serve again
+	MayOccupy     func(task string, attempt uint64, machine string) bool
 }
 
 // Review gives what is left of a claim, and the attempts that have not gone in time. The
 // room goes that is of no more use: its job is over or has its tasks elsewhere, the machine
 // is gone, or what was to leave is still there when the time is up.
-func (c *Claim) Review(job string, f Facts) (next *Claim, stuck map[string]uint64) {
-	waiting, known := f.Waiting(job)
+func (c *Preemption) Review(job string, f Facts) (next *Preemption, stuck map[string]uint64) {
+	waiting, known := f.WaitingTasks(job)
 	if !known {
 		return c, nil
 	}
-	type lot struct {
-		Room
+	type candidate struct {
+		Reservation
 		waits, told int // 1 while somebody is there, and where somebody was told to stop
 	}
-	var lots []lot
-	for _, r := range c.Rooms {
-		late := f.Now.UnixMilli() - r.Until
-		there := r.there(f)
+	var candidates []candidate
+	for _, r := range c.Reservations {
+		late := f.Now.UnixMilli() - r.Deadline
+		there := r.occupants(f)
 		switch {
-		case !f.Serves(r.Machine):
+		case !f.MachineUsable(r.Machine):
 		case len(there) > 0 && late > 0:
 			if stuck == nil {
 				stuck = make(map[string]uint64)
 			}
 			maps.Copy(stuck, there)
-		case late > keep.Milliseconds():
+		case late > reservationGrace.Milliseconds():
 		default:
-			lots = append(lots, lot{r, min(1, len(there)), min(1, len(r.Stops))})
+			candidates = append(candidates, candidate{r, min(1, len(there)), min(1, len(r.Stops))})
 		}
 	}
 	// Room that is free is kept first, and what nobody was told of goes first.
-	slices.SortStableFunc(lots, func(a, b lot) int { return cmp.Or(cmp.Compare(a.waits, b.waits), cmp.Compare(b.told, a.told)) })
-	next = &Claim{}
-	for _, l := range lots {
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.waits, b.waits), cmp.Compare(b.told, a.told)) })
+	next = &Preemption{}
+	for _, l := range candidates {
 		if waiting <= 0 {
 			break
 		}
 		l.Tasks = min(l.Tasks, waiting)
 		waiting -= l.Tasks
-		next.Rooms = append(next.Rooms, l.Room)
+		next.Reservations = append(next.Reservations, l.Reservation)
 	}
-	slices.SortStableFunc(next.Rooms, func(a, b Room) int { return cmp.Compare(a.Machine, b.Machine) })
+	slices.SortStableFunc(next.Reservations, func(a, b Reservation) int { return cmp.Compare(a.Machine, b.Machine) })
 	return next, stuck
 }
 
-// there gives those that a room waits for.
-func (r *Room) there(f Facts) map[string]uint64 {
+// occupants gives those that a room waits for.
+func (r *Reservation) occupants(f Facts) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
 		for task, attempt := range named {
-			if f.On(task, attempt, r.Machine) {
+			if f.MayOccupy(task, attempt, r.Machine) {
 				out[task] = attempt
 			}
 		}
@@ -107,30 +109,30 @@
 }
 
 // Add gives the claim with more room.
-func (c *Claim) Add(rooms ...Room) *Claim {
-	next := &Claim{Rooms: slices.Clone(c.Rooms)}
+func (c *Preemption) Add(rooms ...Reservation) *Preemption {
+	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
 	for _, r := range rooms {
-		i := slices.IndexFunc(next.Rooms, func(o Room) bool { return o.Machine == r.Machine })
+		i := slices.IndexFunc(next.Reservations, func(o Reservation) bool { return o.Machine == r.Machine })
 		if i < 0 {
-			next.Rooms = append(next.Rooms, r)
+			next.Reservations = append(next.Reservations, r)
 			continue
 		}
-		old := next.Rooms[i]
+		old := next.Reservations[i]
 		r.Tasks += old.Tasks
 		r.Stops, r.Awaits = merge(old.Stops, r.Stops), merge(old.Awaits, r.Awaits)
-		next.Rooms[i] = r
+		next.Reservations[i] = r
 	}
-	slices.SortStableFunc(next.Rooms, func(a, b Room) int { return cmp.Compare(a.Machine, b.Machine) })
+	slices.SortStableFunc(next.Reservations, func(a, b Reservation) int { return cmp.Compare(a.Machine, b.Machine) })
 	return next
 }
 
-// Less gives the claim once a task of the job is placed in room that it made.
-func (c *Claim) Less(machine string) *Claim {
-	next := &Claim{Rooms: slices.Clone(c.Rooms)}
-	for i := range next.Rooms {
-		if r := &next.Rooms[i]; r.Machine == machine {
+// WithPlaced gives the claim once a task of the job is placed in room that it made.
+func (c *Preemption) WithPlaced(machine string) *Preemption {
+	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
+	for i := range next.Reservations {
+		if r := &next.Reservations[i]; r.Machine == machine {
 			if r.Tasks--; r.Tasks == 0 {
-				next.Rooms = slices.Delete(next.Rooms, i, i+1)
+				next.Reservations = slices.Delete(next.Reservations, i, i+1)
 			}
 			break
 		}
@@ -147,15 +149,15 @@
 	return out
 }
 
-// Due names the attempts that are to be stopped by now.
-func (c *Claim) Due(now time.Time, save func(task string) time.Duration) []Victim {
+// DueVictims names the attempts that are to be stopped by now.
+func (c *Preemption) DueVictims(now time.Time, save func(task string) time.Duration) []Victim {
 	var out []Victim
-	for _, r := range c.Rooms {
+	for _, r := range c.Reservations {
 		for task, attempt := range r.Stops {
 			out = append(out, Victim{task, attempt, r.Machine})
 		}
 		for task, attempt := range r.Awaits {
-			if time.UnixMilli(r.Until).Sub(now) <= lead+save(task) {
+			if time.UnixMilli(r.Deadline).Sub(now) <= stopLead+save(task) {
 				out = append(out, Victim{task, attempt, r.Machine})
 			}
 		}
@@ -177,8 +179,8 @@
 	return id
 }
 
-// Bytes bounds what a room takes as a record.
-func (r *Room) Bytes() int {
+// SizeBound bounds what a room takes as a record.
+func (r *Reservation) SizeBound() int {
 	n := len(r.Machine) + len(r.Tier) + 40
 	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
 		for task := range named {
@@ -188,12 +190,12 @@
 	return n
 }
 
-// Room gives the room on a machine, an empty one where there is none.
-func (c *Claim) Room(machine string) Room {
-	for _, r := range c.Rooms {
+// Reservation gives the room on a machine, an empty one where there is none.
+func (c *Preemption) Reservation(machine string) Reservation {
+	for _, r := range c.Reservations {
 		if r.Machine == machine {
 			return r
 		}
 	}
-	return Room{Machine: machine}
+	return Reservation{Machine: machine}
 }
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -13,17 +13,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// table is what the kept traces are played on.
-type table struct {
+// traceModel is what the kept traces are played on.
+type traceModel struct {
 	t     *testing.T
 	now   time.Time
 	tiers []Tier
-	claim *Claim
+	claim *Preemption
 	on    map[string]string // machine of each attempt that is still there
 	dead  map[string]bool
 }
 
-func (b *table) step(line string) []string {
+func (b *traceModel) step(line string) []string {
 	w, kv := simulator.Words(line)
 	num := func(key string) float64 {
 		n, _ := strconv.ParseFloat(kv[key], 64)
@@ -32,7 +32,7 @@
 	share := func(text string) Share {
 		n, _ := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
 		if strings.HasSuffix(text, "%") {
-			return Share{Part: n / 100}
+			return Share{Fraction: n / 100}
 		}
 		return Share{Cards: n}
 	}
@@ -54,21 +54,21 @@
 		b.tiers = append(b.tiers, t)
 	case "work": // which tier has it
 		s := New(b.tiers)
-		return []string{s.Tiers[s.Of(Work{Priority: wire.Priority(kv["priority"]), Class: kv["class"], Guaranteed: kv["in_team"] != ""})].Name}
+		return []string{s.Tiers[s.IndexOf(Workload{Priority: wire.Priority(kv["priority"]), Class: kv["class"], Guaranteed: kv["in_team"] != ""})].Name}
 	case "fit": // with so many cards in each zone
 		cards := make(map[string]float64)
 		for zone := range kv {
 			cards[zone] = num(zone)
 		}
 		s, out := New(b.tiers), []string{}
-		for i, h := range s.Fit(cards) {
-			if len(b.tiers) > 0 && s.Tiers[i].Name != rest {
-				out = append(out, fmt.Sprintf("%s holds %.4g, by zone %v", s.Tiers[i].Name, h.All, h.Zones))
+		for i, h := range s.Guarantees(cards) {
+			if len(b.tiers) > 0 && s.Tiers[i].Name != restName {
+				out = append(out, fmt.Sprintf("%s holds %.4g, by zone %v", s.Tiers[i].Name, h.Total, h.Zones))
 			}
 		}
 		return out
 	case "claim": // room for a job on a machine: who is stopped, and who is waited for
-		r := Room{Machine: w[1], Tier: "live", Tasks: int(num("tasks")), Until: b.now.Add(30 * time.Second).UnixMilli(), Stops: map[string]uint64{}, Awaits: map[string]uint64{}}
+		r := Reservation{Machine: w[1], Tier: "live", Tasks: int(num("tasks")), Deadline: b.now.Add(30 * time.Second).UnixMilli(), Stops: map[string]uint64{}, Awaits: map[string]uint64{}}
 		for key, named := range map[string]map[string]uint64{"stops": r.Stops, "awaits": r.Awaits} {
 			for _, task := range strings.FieldsFunc(kv[key], func(r rune) bool { return r == ',' }) {
 				named[task], b.on[task] = 1, w[1]
@@ -82,22 +82,22 @@
 	case "gone":
 		b.dead[w[1]] = true
 	case "placed":
-		b.claim = b.claim.Less(w[1])
+		b.claim = b.claim.WithPlaced(w[1])
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		b.now = b.now.Add(d)
 	case "review": // with so many tasks waiting, -1 where the job is over
-		next, stuck := b.claim.Review("wk-9", Facts{Now: b.now, Waiting: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
-			Serves: func(m string) bool { return !b.dead[m] }, On: func(task string, _ uint64, m string) bool { return b.on[task] == m }})
+		next, stuck := b.claim.Review("wk-9", Facts{Now: b.now, WaitingTasks: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
+			MachineUsable: func(m string) bool { return !b.dead[m] }, MayOccupy: func(task string, _ uint64, m string) bool { return b.on[task] == m }})
 		b.claim = next
 		var out []string
-		for _, r := range next.Rooms {
+		for _, r := range next.Reservations {
 			out = append(out, fmt.Sprintf("room for %d on %s", r.Tasks, r.Machine))
 		}
 		for _, task := range slices.Sorted(maps.Keys(stuck)) {
 			out = append(out, task+" does not stop")
 		}
-		for _, v := range next.Due(b.now, func(string) time.Duration { return time.Second }) {
+		for _, v := range next.DueVictims(b.now, func(string) time.Duration { return time.Second }) {
 			if b.on[v.Task] != "" {
 				out = append(out, "stop "+v.Task)
 			}
@@ -115,7 +115,7 @@
 // TestTraces plays the kept traces.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
-		return (&table{t: t, now: time.Unix(1e9, 0), claim: &Claim{}, on: map[string]string{}, dead: map[string]bool{}}).step
+		return (&traceModel{t: t, now: time.Unix(1e9, 0), claim: &Preemption{}, on: map[string]string{}, dead: map[string]bool{}}).step
 	})
 }
 
@@ -125,15 +125,15 @@
 	for i := range 4000 {
 		n := func(k, most int) float64 { return float64((i*7919 + k*104729 + i/7*k) % most) }
 		tiers := []Tier{{Name: "x", Order: 1, Share: Share{Cards: n(1, 40)}, Zones: map[string]Share{"a": {Cards: n(2, 20)}}},
-			{Name: "y", Order: 1 + i%2, Share: Share{Part: n(3, 60) / 100}, Zones: map[string]Share{"a": {Part: n(4, 80) / 100}, "b": {Cards: n(5, 30)}}}}
+			{Name: "y", Order: 1 + i%2, Share: Share{Fraction: n(3, 60) / 100}, Zones: map[string]Share{"a": {Fraction: n(4, 80) / 100}, "b": {Cards: n(5, 30)}}}}
 		cards := map[string]float64{"a": n(6, 40), "b": n(7, 40)}
-		held := New(tiers).Fit(cards)
-		alone := New(tiers[:1]).Fit(cards)
-		if held[0].All+held[1].All > cards["a"]+cards["b"]+dust || i%2 == 1 && held[0].All < alone[0].All-dust {
+		held := New(tiers).Guarantees(cards)
+		alone := New(tiers[:1]).Guarantees(cards)
+		if held[0].Total+held[1].Total > cards["a"]+cards["b"]+epsilon || i%2 == 1 && held[0].Total < alone[0].Total-epsilon {
 			t.Fatalf("%v: %+v, alone %+v", cards, held, alone[0])
 		}
 		for z, c := range cards {
-			if held[0].Zones[z]+held[1].Zones[z] > c+dust {
+			if held[0].Zones[z]+held[1].Zones[z] > c+epsilon {
 				t.Fatalf("%v: %+v", cards, held)
 			}
 		}
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -16,33 +16,33 @@
 
 // Status is what one controller knows.
 type Status struct {
-	Name     string           `json:"name"`
-	Ready    bool             `json:"ready"`
-	UpS      int              `json:"up_s"`
-	Reports  int              `json:"machines_reporting_here"`
-	Parts    map[string]Part  `json:"parts"`
-	Classes  map[string]Class `json:"classes"`
-	Teams    map[string]Team  `json:"teams"`
-	Zones    map[string]Zone  `json:"zones"` // of the parts that it knows of
-	Tiers    map[string]Tier  `json:"tiers,omitempty"`
-	Stalls   map[string]Stall `json:"stalls,omitempty"` // of the parts that it holds, by part
-	Budget   Budget           `json:"state_service"`
-	Revision uint64           `json:"revision"`
+	Name              string           `json:"name"`
+	Ready             bool             `json:"ready"`
+	UpS               int              `json:"up_s"`
+	ReportingMachines int              `json:"machines_reporting_here"`
+	Shards            map[string]Shard `json:"parts"`
+	Classes           map[string]Class `json:"classes"`
+	Teams             map[string]Team  `json:"teams"`
+	Zones             map[string]Zone  `json:"zones"` // of the parts that it knows of
+	Tiers             map[string]Tier  `json:"tiers,omitempty"`
+	Stalls            map[string]Stall `json:"stalls,omitempty"` // of the parts that it holds, by part
+	Budget            Budget           `json:"state_service"`
+	Revision          uint64           `json:"revision"`
 }
 
-// Part is who holds a part, and under which term.
-type Part struct {
-	Holder string `json:"holder"`
-	Term   uint64 `json:"term"`
+// Shard is who holds a part, and under which term.
+type Shard struct {
+	Leader       string `json:"holder"`
+	FencingToken uint64 `json:"term"`
 }
 
 // Class counts the jobs of a class that are not over, and their tasks.
 type Class struct {
-	Pending int `json:"jobs_pending"`
-	Running int `json:"jobs_running"`
-	Tasks   int `json:"tasks"`
-	On      int `json:"tasks_running"`
-	Done    int `json:"tasks_done"`
+	PendingJobs   int `json:"jobs_pending"`
+	RunningJobs   int `json:"jobs_running"`
+	Tasks         int `json:"tasks"`
+	RunningTasks  int `json:"tasks_running"`
+	FinishedTasks int `json:"tasks_done"`
 }
 
 // Team is what a team uses, is guaranteed and may use at most; 0 stands for none.
@@ -57,27 +57,27 @@
 
 // Tier is how a tier of work stands against its share, in cards.
 type Tier struct {
-	Order   int     `json:"order"`
-	Cards   float64 `json:"cards"`
-	Share   float64 `json:"share"`
-	Lent    float64 `json:"lent"`
-	Waiting int     `json:"tasks_waiting"`
-	Claims  int     `json:"claims_back"`
+	Order    int     `json:"order"`
+	GPUs     float64 `json:"cards"`
+	Share    float64 `json:"share"`
+	Lent     float64 `json:"lent"`
+	Waiting  int     `json:"tasks_waiting"`
+	Reclaims int     `json:"claims_back"`
 }
 
 // Zone counts the machines that should be heard, and those that are overdue.
 type Zone struct {
-	Up    int `json:"machines"`
-	Quiet int `json:"overdue"`
+	Machines int `json:"machines"`
+	Overdue  int `json:"overdue"`
 
-	Return string `json:"return,omitempty"` // how far its return has come
+	Recovery string `json:"return,omitempty"` // how far its return has come
 }
 
 // Stall says that the holder of a part starts nothing although there is work and room for it.
 type Stall struct {
-	ForS  int    `json:"for_s"`
-	Cause string `json:"cause"`
-	Job   string `json:"job"` // one that could start
+	DurationS int    `json:"for_s"`
+	Cause     string `json:"cause"`
+	Job       string `json:"job"` // one that could start
 }
 
 // Budget counts what the controller has asked of the state service since it began.
@@ -92,15 +92,15 @@
 
 // View is several controllers' statuses at a moment.
 type View struct {
-	At      time.Time          `json:"at"`
-	Known   map[string]*Status `json:"controllers"` // by address
-	Missing map[string]string  `json:"unanswered"`  // why, by address
+	At          time.Time          `json:"at"`
+	Statuses    map[string]*Status `json:"controllers"` // by address
+	Unreachable map[string]string  `json:"unanswered"`  // why, by address
 }
 
 // newest gives the status that has come furthest; what all know alike is taken from it.
 func (v *View) newest() *Status {
 	var best *Status
-	for _, s := range v.Known {
+	for _, s := range v.Statuses {
 		if best == nil || s.Revision > best.Revision || s.Revision == best.Revision && s.Name < best.Name {
 			best = s
 		}
@@ -108,18 +108,18 @@
 	return best
 }
 
-// whole puts together what only holders know.
-func (v *View) whole() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
+// merged puts together what only holders know.
+func (v *View) merged() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
 	zones, teams, tiers = map[string]Zone{}, map[string]Team{}, map[string]Tier{}
-	for _, addr := range slices.Sorted(maps.Keys(v.Known)) {
-		s := v.Known[addr]
+	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
+		s := v.Statuses[addr]
 		for name, z := range s.Zones {
-			if z.Up >= zones[name].Up {
+			if z.Machines >= zones[name].Machines {
 				zones[name] = z
 			}
 		}
 		for name, t := range s.Tiers {
-			if o, known := tiers[name]; !known || t.Cards+t.Share >= o.Cards+o.Share {
+			if o, known := tiers[name]; !known || t.GPUs+t.Share >= o.GPUs+o.Share {
 				tiers[name] = t
 			}
 		}
@@ -148,49 +148,49 @@
 	if s == nil {
 		line("no controller answers")
 	} else {
-		v.fleet(line, s)
+		v.printFleet(line, s)
 	}
 	line("CONTROLLER\tNAME\tREADY\tUP\tREPORTS\tREQUESTS/S\tCHANGES/S\tREFUSED\tUNANSWERED\t")
-	for _, addr := range slices.Sorted(maps.Keys(v.Known)) {
-		c, requests, changes := v.Known[addr], "-", "-"
-		if before != nil && before.Known[addr] != nil {
+	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
+		c, requests, changes := v.Statuses[addr], "-", "-"
+		if before != nil && before.Statuses[addr] != nil {
 			d := v.At.Sub(before.At)
-			requests = rate(c.Budget.Requests, before.Known[addr].Budget.Requests, d)
-			changes = rate(c.Budget.Changes, before.Known[addr].Budget.Changes, d)
+			requests = rate(c.Budget.Requests, before.Statuses[addr].Budget.Requests, d)
+			changes = rate(c.Budget.Changes, before.Statuses[addr].Budget.Changes, d)
 		}
-		line("%s\t%s\t%v\t%v\t%d\t%s of %.0f\t%s of %.0f\t%d\t%d\t", addr, c.Name, c.Ready, time.Duration(c.UpS)*time.Second, c.Reports,
+		line("%s\t%s\t%v\t%v\t%d\t%s of %.0f\t%s of %.0f\t%d\t%d\t", addr, c.Name, c.Ready, time.Duration(c.UpS)*time.Second, c.ReportingMachines,
 			requests, c.Budget.RPS, changes, c.Budget.WriteRPS, c.Budget.Refused, c.Budget.Unanswered)
 	}
 	_ = t.Flush()
-	for _, addr := range slices.Sorted(maps.Keys(v.Missing)) {
-		fmt.Fprintf(out, "%s  %s\n", addr, v.Missing[addr])
+	for _, addr := range slices.Sorted(maps.Keys(v.Unreachable)) {
+		fmt.Fprintf(out, "%s  %s\n", addr, v.Unreachable[addr])
 	}
 }
 
-// fleet shows what is the same wherever one asks.
-func (v *View) fleet(line func(string, ...any), s *Status) {
+// printFleet shows what is the same wherever one asks.
+func (v *View) printFleet(line func(string, ...any), s *Status) {
 	line("PART\tHOLDER\tTERM\t")
-	for _, part := range slices.Sorted(maps.Keys(s.Parts)) {
-		p := s.Parts[part]
-		line("%s\t%s\t%d\t", part, cmp.Or(p.Holder, "nobody"), p.Term)
+	for _, part := range slices.Sorted(maps.Keys(s.Shards)) {
+		p := s.Shards[part]
+		line("%s\t%s\t%d\t", part, cmp.Or(p.Leader, "nobody"), p.FencingToken)
 	}
-	for _, addr := range slices.Sorted(maps.Keys(v.Known)) {
-		for part, x := range v.Known[addr].Stalls {
-			line("\nNOTHING STARTS in %s for %v: %s (%s could)", part, time.Duration(x.ForS)*time.Second, x.Cause, x.Job)
+	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
+		for part, x := range v.Statuses[addr].Stalls {
+			line("\nNOTHING STARTS in %s for %v: %s (%s could)", part, time.Duration(x.DurationS)*time.Second, x.Cause, x.Job)
 		}
 	}
 	line("\nCLASS\tPENDING\tRUNNING\tTASKS\tON MACHINES\tDONE\t")
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
 		c := s.Classes[name]
-		line("%s\t%d\t%d\t%d\t%d\t%d\t", name, c.Pending, c.Running, c.Tasks, c.On, c.Done)
+		line("%s\t%d\t%d\t%d\t%d\t%d\t", name, c.PendingJobs, c.RunningJobs, c.Tasks, c.RunningTasks, c.FinishedTasks)
 	}
-	zones, teams, tiers := v.whole()
+	zones, teams, tiers := v.merged()
 	if len(tiers) > 0 {
 		line("\nTIER\tCARDS\tSHARE\tLENT\tTASKS WAITING\tCLAIMS BACK\t")
 	}
 	for _, name := range slices.SortedFunc(maps.Keys(tiers), func(a, b string) int { return cmp.Or(cmp.Compare(tiers[a].Order, tiers[b].Order), cmp.Compare(a, b)) }) {
 		x := tiers[name]
-		line("%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t", name, x.Cards, x.Share, x.Lent, x.Waiting, x.Claims)
+		line("%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t", name, x.GPUs, x.Share, x.Lent, x.Waiting, x.Reclaims)
 	}
 	line("\nTEAM\tGPUS\tGUARANTEED\tLIMIT\tCPUS\tGUARANTEED\tLIMIT\t")
 	none := func(x float64) string {
@@ -205,7 +205,7 @@
 	}
 	line("\nZONE\tMACHINES\tOVERDUE\t")
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		line("%s\t%d\t%d\t%s", name, zones[name].Up, zones[name].Quiet, zones[name].Return)
+		line("%s\t%d\t%d\t%s", name, zones[name].Machines, zones[name].Overdue, zones[name].Recovery)
 	}
 	line("")
 }
--- a/internal/top/top_test.go
+++ b/internal/top/top_test.go
@@ -11,9 +11,9 @@
 func TestPrint(t *testing.T) {
 	at := time.Unix(1e9, 0)
 	view := func(at time.Time, changes uint64) *View {
-		return &View{At: at, Missing: map[string]string{"10.0.0.3:9464": "connection refused"}, Known: map[string]*Status{
-			"10.0.0.1:9464": {Name: "c-0", Revision: 5, Parts: map[string]Part{"fleet": {"c-9", 1}}, Teams: map[string]Team{"red": {GPUsMax: 6}}},
-			"10.0.0.2:9464": {Name: "c-1", Ready: true, UpS: 90, Revision: 9, Parts: map[string]Part{"fleet": {"c-1", 7}}, Classes: map[string]Class{"tidy": {2, 3, 40, 12, 9}},
+		return &View{At: at, Unreachable: map[string]string{"10.0.0.3:9464": "connection refused"}, Statuses: map[string]*Status{
+			"10.0.0.1:9464": {Name: "c-0", Revision: 5, Shards: map[string]Shard{"fleet": {"c-9", 1}}, Teams: map[string]Team{"red": {GPUsMax: 6}}},
+			"10.0.0.2:9464": {Name: "c-1", Ready: true, UpS: 90, Revision: 9, Shards: map[string]Shard{"fleet": {"c-1", 7}}, Classes: map[string]Class{"tidy": {2, 3, 40, 12, 9}},
 				Teams: map[string]Team{"red": {GPUs: 5, GPUsMin: 4, GPUsMax: 6}}, Zones: map[string]Zone{"a": {8, 1, "fill, 4 GPUs were at work"}}, Tiers: map[string]Tier{"live": {1, 12, 20, 8, 3, 1}}, Budget: Budget{RPS: 100, WriteRPS: 30, Changes: changes}}}}
 	}
 	var out strings.Builder
--- a/internal/transport/caller.go
+++ b/internal/transport/caller.go
@@ -13,39 +13,39 @@
 	"amberdeal.example/amberdeal/internal/httpwire"
 )
 
-// maxIdle bounds the connections to one address that are kept for reuse.
-const maxIdle = 4
+// maxIdlePerAddr bounds the connections to one address that are kept for reuse.
+const maxIdlePerAddr = 4
 
-// idleLife is how long an unused connection is kept.
-const idleLife = 15 * time.Second
+// idleTimeout is how long an unused connection is kept.
+const idleTimeout = 15 * time.Second
 
 // Caller makes calls out. Every call has a deadline and reuses connections; a
 // silent peer costs a time-out only to its own callers.
 type Caller struct {
-	Limit int64 // of an answer's body
-	Keep  int   // unused connections that are kept in all; 0 stands for no bound
-	Dial  func(ctx context.Context, addr string) (net.Conn, error)
+	MaxBody int64 // of an answer's body
+	MaxIdle int   // unused connections that are kept in all; 0 stands for no bound
+	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	idle  map[string][]*outConn
-	kept  int // of them in all
-	swept time.Time
+	mu        sync.Mutex
+	idle      map[string][]*clientConn
+	idleCount int // of them in all
+	lastSweep time.Time
 }
 
 // ErrNotSent means that the request was never sent: no connection came about,
 // and one that was given up does not complete later.
 var ErrNotSent = errors.New("not sent")
 
-type outConn struct {
+type clientConn struct {
 	net.Conn
-	r     *bufio.Reader
-	since time.Time
+	r         *bufio.Reader
+	idleSince time.Time
 }
 
 // Call sends a request and waits for its answer until the context ends. An
 // error leaves open whether the peer has executed the request.
 func (c *Caller) Call(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Response, error) {
-	conn, reused, err := c.take(ctx, addr)
+	conn, reused, err := c.getConn(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -59,7 +59,7 @@
 	return resp, err
 }
 
-func (c *Caller) exchange(ctx context.Context, conn *outConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
+func (c *Caller) exchange(ctx context.Context, conn *clientConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	if d, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(d)
 	}
@@ -69,7 +69,7 @@
 		conn.Close()
 		return nil, err
 	}
-	resp, err := httpwire.ReadResponse(conn.r, c.Limit)
+	resp, err := httpwire.ReadResponse(conn.r, c.MaxBody)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -77,18 +77,18 @@
 	if resp.Close || !stop() {
 		conn.Close()
 	} else {
-		c.give(addr, conn)
+		c.putConn(addr, conn)
 	}
 	return resp, nil
 }
 
-func (c *Caller) take(ctx context.Context, addr string) (*outConn, bool, error) {
+func (c *Caller) getConn(ctx context.Context, addr string) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle[addr]); n > 0; n-- {
 		conn := c.idle[addr][n-1]
 		c.idle[addr] = c.idle[addr][:n-1]
-		c.kept--
-		if time.Since(conn.since) < idleLife {
+		c.idleCount--
+		if time.Since(conn.idleSince) < idleTimeout {
 			c.mu.Unlock()
 			return conn, true, nil
 		}
@@ -99,29 +99,29 @@
 	return conn, false, err
 }
 
-func (c *Caller) dial(ctx context.Context, addr string) (*outConn, error) {
+func (c *Caller) dial(ctx context.Context, addr string) (*clientConn, error) {
 	conn, err := c.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return &outConn{Conn: conn, r: bufio.NewReaderSize(conn, 4<<10)}, nil
+	return &clientConn{Conn: conn, r: bufio.NewReaderSize(conn, 4<<10)}, nil
 }
 
-func (c *Caller) give(addr string, conn *outConn) {
+func (c *Caller) putConn(addr string, conn *clientConn) {
 	_ = conn.SetDeadline(time.Time{})
-	conn.since = time.Now()
+	conn.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
-		c.idle = make(map[string][]*outConn)
+		c.idle = make(map[string][]*clientConn)
 	}
-	if len(c.idle[addr]) >= maxIdle || c.Keep > 0 && c.kept >= c.Keep {
+	if len(c.idle[addr]) >= maxIdlePerAddr || c.MaxIdle > 0 && c.idleCount >= c.MaxIdle {
 		conn.Close()
 	} else {
 		c.idle[addr] = append(c.idle[addr], conn)
-		c.kept++
+		c.idleCount++
 	}
-	if time.Since(c.swept) > idleLife/4 {
+	if time.Since(c.lastSweep) > idleTimeout/4 {
 		c.sweep()
 	}
 }
@@ -129,13 +129,13 @@
 // sweep closes the connections that were not used for long: with thousands of
 // addresses, kept ones would take all sockets.
 func (c *Caller) sweep() {
-	c.swept = time.Now()
+	c.lastSweep = time.Now()
 	for addr, conns := range c.idle {
-		rest := slices.DeleteFunc(conns, func(o *outConn) bool {
-			old := time.Since(o.since) > idleLife
+		rest := slices.DeleteFunc(conns, func(o *clientConn) bool {
+			old := time.Since(o.idleSince) > idleTimeout
 			if old {
 				o.Close()
-				c.kept--
+				c.idleCount--
 			}
 			return old
 		})
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -26,23 +26,23 @@
 // maxUnread bounds the bytes of a connection that wait for its peer.
 const maxUnread = 256 << 10
 
-// firstTime bounds how long a new connection may stay without a byte.
-const firstTime = 30 * time.Second
+// firstByteTimeout bounds how long a new connection may stay without a byte.
+const firstByteTimeout = 30 * time.Second
 
-// requestTime bounds how long one request may take to come in whole.
-const requestTime = 10 * time.Second
+// requestTimeout bounds how long one request may take to come in whole.
+const requestTimeout = 10 * time.Second
 
 // Conn is an accepted connection: gnet's loop fills it, its goroutine reads
 // and writes it.
 type Conn struct {
-	conn    gnet.Conn
-	mu      sync.Mutex
-	pending []byte
-	closed  bool
-	wake    chan struct{}
-	idle    time.Duration
-	first   *time.Timer // ends a connection on which nothing ever came
-	begun   bool        // its goroutine runs; of the loop alone
+	conn           gnet.Conn
+	mu             sync.Mutex
+	pending        []byte
+	closed         bool
+	wake           chan struct{}
+	idle           time.Duration
+	firstByteTimer *time.Timer // ends a connection on which nothing ever came
+	serving        bool        // its goroutine runs; of the loop alone
 }
 
 // SetIdle bounds each Read from now on; 0 means no bound.
@@ -126,7 +126,7 @@
 	return true
 }
 
-func (c *Conn) end() {
+func (c *Conn) markClosed() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
@@ -164,48 +164,48 @@
 
 // Listen serves an address on an event loop of its own.
 func (n Sockets) Listen(ctx context.Context, addr string, conns int, serve ServeConn) error {
-	return n.ListenTurning(ctx, addr, conns, serve, nil)
+	return n.ListenRejecting(ctx, addr, conns, serve, nil)
 }
 
-// ListenTurning implements Turner.
-func (n Sockets) ListenTurning(ctx context.Context, addr string, conns int, serve ServeConn, turn Turn) error {
-	s := &server{addr: addr, conns: int64(conns), serve: serve, turn: turn, log: n.Log}
+// ListenRejecting implements Turner.
+func (n Sockets) ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, reject Rejecter) error {
+	s := &server{addr: addr, conns: int64(conns), serve: serve, reject: reject, log: n.Log}
 	return s.run(ctx)
 }
 
-// Turn looks at the first bytes of a connection and gives the answer that turns its peer
+// Rejecter looks at the first bytes of a connection and gives the answer that turns its peer
 // away, or nil where the connection is to be served. It is called by the loop, and must
 // take no time.
-type Turn func(first []byte) []byte
+type Rejecter func(first []byte) []byte
 
-// Turner is a Network that can turn peers away by the first bytes that they send. It
+// RejectingNetwork is a Network that can turn peers away by the first bytes that they send. It
 // costs a fraction of serving them, so that a crowd which is to come again, or to go
 // elsewhere, doesn't keep those from being served that can be.
-type Turner interface {
-	ListenTurning(ctx context.Context, addr string, conns int, serve ServeConn, turn Turn) error
+type RejectingNetwork interface {
+	ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, turn Rejecter) error
 }
 
 // server is gnet's view of one listening address.
 type server struct {
 	gnet.BuiltinEventEngine
-	addr  string
-	conns int64
-	serve ServeConn
-	turn  Turn
-	log   *slog.Logger
-
-	ctx    context.Context
-	engine gnet.Engine
-	booted atomic.Bool
-	open   atomic.Int64
-	group  sync.WaitGroup
+	addr   string
+	conns  int64
+	serve  ServeConn
+	reject Rejecter
+	log    *slog.Logger
+
+	ctx     context.Context
+	engine  gnet.Engine
+	booted  atomic.Bool
+	open    atomic.Int64
+	serving sync.WaitGroup
 	// Of the loop alone: connections that were refused since that was last told.
-	refused int
-	told    time.Time
+	refused     int
+	lastWarning time.Time
 }
 
-// tellGap is the time between two lines that tell of refused connections.
-const tellGap = 10 * time.Second
+// refusalLogInterval is the time between two lines that tell of refused connections.
+const refusalLogInterval = 10 * time.Second
 
 func (s *server) run(ctx context.Context) error {
 	s.ctx = ctx
@@ -213,7 +213,7 @@
 	go func() {
 		done <- gnet.Run(s, "tcp://"+s.addr, gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true),
 			gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(64<<10),
-			gnet.WithLogger(quiet{s.log}), gnet.WithLogLevel(logging.ErrorLevel))
+			gnet.WithLogger(gnetLogger{s.log}), gnet.WithLogLevel(logging.ErrorLevel))
 	}()
 	select {
 	case err := <-done:
@@ -228,7 +228,7 @@
 		defer cancel()
 		_ = s.engine.Stop(stop)
 	}
-	s.group.Wait()
+	s.serving.Wait()
 	return nil
 }
 
@@ -243,24 +243,24 @@
 func (s *server) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
 	if s.open.Add(1) > s.conns {
 		s.refused++
-		if now := time.Now(); now.Sub(s.told) > tellGap { // a line for each would cost more than the refusal
+		if now := time.Now(); now.Sub(s.lastWarning) > refusalLogInterval { // a line for each would cost more than the refusal
 			s.log.Warn("connections refused: too many are open", "addr", s.addr, "limit", s.conns, "refused", s.refused)
-			s.told, s.refused = now, 0
+			s.lastWarning, s.refused = now, 0
 		}
 		return nil, gnet.Close
 	}
 	c := &Conn{conn: g, wake: make(chan struct{}, 1)}
-	c.first = time.AfterFunc(firstTime, func() { _ = c.Close() })
+	c.firstByteTimer = time.AfterFunc(firstByteTimeout, func() { _ = c.Close() })
 	g.SetContext(c)
 	return nil, gnet.None
 }
 
-// begin starts the goroutine of a connection.
-func (s *server) begin(c *Conn) {
-	c.begun = true
-	s.group.Add(1)
+// startServing starts the goroutine of a connection.
+func (s *server) startServing(c *Conn) {
+	c.serving = true
+	s.serving.Add(1)
 	go func() {
-		defer s.group.Done()
+		defer s.serving.Done()
 		defer c.Close()
 		s.serve(s.ctx, c)
 	}()
@@ -270,8 +270,8 @@
 func (s *server) OnClose(g gnet.Conn, _ error) gnet.Action {
 	s.open.Add(-1)
 	if c, ok := g.Context().(*Conn); ok {
-		c.first.Stop()
-		c.end()
+		c.firstByteTimer.Stop()
+		c.markClosed()
 	}
 	return gnet.None
 }
@@ -283,15 +283,15 @@
 		return gnet.Close
 	}
 	b, _ := g.Next(-1)
-	if !c.begun {
-		c.first.Stop()
-		if s.turn != nil {
-			if answer := s.turn(b); answer != nil {
+	if !c.serving {
+		c.firstByteTimer.Stop()
+		if s.reject != nil {
+			if answer := s.reject(b); answer != nil {
 				_, _ = g.Write(answer)
 				return gnet.Close
 			}
 		}
-		s.begin(c)
+		s.startServing(c)
 	}
 	if !c.feed(b) {
 		return gnet.Close
@@ -299,14 +299,14 @@
 	return gnet.None
 }
 
-// quiet keeps gnet's own words in our log.
-type quiet struct{ log *slog.Logger }
+// gnetLogger keeps gnet's own words in our log.
+type gnetLogger struct{ log *slog.Logger }
 
-func (q quiet) Debugf(string, ...any)     {}
-func (q quiet) Infof(string, ...any)      {}
-func (q quiet) Warnf(f string, a ...any)  { q.log.Debug("gnet", "warn", f, "args", a) }
-func (q quiet) Errorf(f string, a ...any) { q.log.Debug("gnet", "error", f, "args", a) }
-func (q quiet) Fatalf(f string, a ...any) { q.log.Error("gnet", "fatal", f, "args", a) }
+func (q gnetLogger) Debugf(string, ...any)     {}
+func (q gnetLogger) Infof(string, ...any)      {}
+func (q gnetLogger) Warnf(f string, a ...any)  { q.log.Debug("gnet", "warn", f, "args", a) }
+func (q gnetLogger) Errorf(f string, a ...any) { q.log.Debug("gnet", "error", f, "args", a) }
+func (q gnetLogger) Fatalf(f string, a ...any) { q.log.Error("gnet", "fatal", f, "args", a) }
 
 // Handler answers one request.
 type Handler func(ctx context.Context, r *httpwire.Request) *httpwire.Response
@@ -324,7 +324,7 @@
 			if _, err := r.Peek(1); err != nil {
 				return
 			}
-			slow := time.AfterFunc(requestTime, func() { c.Close() })
+			slow := time.AfterFunc(requestTimeout, func() { c.Close() })
 			req, err := httpwire.ReadRequest(r, limit)
 			slow.Stop()
 			var fault *httpwire.Error
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -83,7 +83,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	network, done := Sockets{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, make(chan error, 1)
 	go func() { done <- network.Listen(ctx, addr, 10, HTTP(64, time.Minute, echo)) }()
-	caller := &Caller{Limit: 1024, Dial: network.Dial}
+	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
 	call, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, path := range []string{"/a", "/b"} {
@@ -138,7 +138,7 @@
 		}))
 	}()
 	call, cancel := context.WithTimeout(ctx, time.Minute)
-	caller := &Caller{Limit: 64, Dial: network.Dial}
+	caller := &Caller{MaxBody: 64, Dial: network.Dial}
 	var group sync.WaitGroup
 	for range 1000 {
 		group.Add(1)
@@ -170,21 +170,21 @@
 	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
 	done := make(chan error, 1)
 	go func() {
-		done <- network.ListenTurning(ctx, addr, 10, HTTP(64, time.Minute, echo), func(first []byte) []byte {
+		done <- network.ListenRejecting(ctx, addr, 10, HTTP(64, time.Minute, echo), func(first []byte) []byte {
 			if bytes.HasPrefix(first, []byte("POST /crowd ")) {
 				return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Close: true})
 			}
 			return nil
 		})
 	}()
-	caller := &Caller{Limit: 1024, Dial: network.Dial}
+	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
 	call, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, c := range []struct {
 		method, path string
 		want         int
 	}{{"GET", "/a", 200}, {"POST", "/crowd", 421}, {"POST", "/crowd", 421}, {"GET", "/b", 200}} {
-		fresh := &Caller{Limit: 1024, Dial: network.Dial}
+		fresh := &Caller{MaxBody: 1024, Dial: network.Dial}
 		if c.want == 200 {
 			fresh = caller
 		}
--- a/internal/writers/writers.go
+++ b/internal/writers/writers.go
@@ -22,21 +22,21 @@
 	defaultWriters = 4
 )
 
-// reserve is the part of the changes for acceptance that is left to those who don't write for
+// nonWriterReserve is the part of the changes for acceptance that is left to those who don't write for
 // others: each may be cut off from its siblings and have to write by itself.
-const reserve = 0.15
+const nonWriterReserve = 0.15
 
 // Of the requests a second, a controller that writes for others has three times as many as one that
 // does not, and holding the fleet counts as three more controllers.
 const (
 	writerRequests = 2
-	holderRequests = 3
+	leaderRequests = 3
 )
 
 // Policy is how many of a site's controllers write.
 type Policy struct {
 	Controllers int
-	Most        int // that write for all; 0 stands for each by itself
+	MaxWriters  int // that write for all; 0 stands for each by itself
 }
 
 // Auto has PolicyFor choose by the number of controllers.
@@ -55,28 +55,28 @@
 }
 
 // Forwards reports whether there are controllers that write for others.
-func (p Policy) Forwards() bool { return p.Most > 0 }
+func (p Policy) Forwards() bool { return p.MaxWriters > 0 }
 
 // Choose names the writers, of those that are alive. Whoever holds the fleet has enough to do and is
 // left out where there are others. Where no majority of all controllers is alive as seen from
 // here, there is none: whoever sees so few may be cut off.
-func (p Policy) Choose(alive []string, holds func(name string) bool) []string {
+func (p Policy) Choose(alive []string, leads func(name string) bool) []string {
 	if !p.Forwards() || 2*len(alive) <= p.Controllers {
 		return nil
 	}
 	ranked := slices.Clone(alive)
 	slices.SortFunc(ranked, func(a, b string) int {
-		if holds(a) != holds(b) {
-			return map[bool]int{true: 1, false: -1}[holds(a)]
+		if leads(a) != leads(b) {
+			return map[bool]int{true: 1, false: -1}[leads(a)]
 		}
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
-	return ranked[:min(p.Most, len(ranked))]
+	return ranked[:min(p.MaxWriters, len(ranked))]
 }
 
-// For names the writer of a key by rendezvous hashing, so that a writer that comes or goes moves
+// WriterOf names the writer of a key by rendezvous hashing, so that a writer that comes or goes moves
 // few other keys. It names nobody where all of them are to be avoided.
-func For(writers []string, key string, avoid func(name string) bool) string {
+func WriterOf(writers []string, key string, avoid func(name string) bool) string {
 	best, weight := "", uint64(0)
 	for _, name := range writers {
 		if avoid(name) {
@@ -89,39 +89,39 @@
 	return best
 }
 
-// Changes is this controller's share of the changes that are there for acceptance.
-func (p Policy) Changes(writers []string, me string) float64 {
+// WriteShare is this controller's share of the changes that are there for acceptance.
+func (p Policy) WriteShare(writers []string, me string) float64 {
 	switch {
 	case !p.Forwards():
 		return 1 / float64(p.Controllers)
 	case slices.Contains(writers, me):
-		return (1 - reserve) / float64(len(writers))
+		return (1 - nonWriterReserve) / float64(len(writers))
 	}
-	return p.LeastChanges()
+	return p.MinWriteShare()
 }
 
-// Even is the share of both that a controller may take which has just begun and knows of nobody, or
+// EvenShare is the share of both that a controller may take which has just begun and knows of nobody, or
 // which lives among others of a version that forwards nothing and shares evenly. All that begin at
 // once come to the whole, and one alone to what others leave.
-func (p Policy) Even() float64 { return 1 / float64(p.Controllers) }
+func (p Policy) EvenShare() float64 { return 1 / float64(p.Controllers) }
 
-// LeastChanges is the least share of those changes that any controller has.
-func (p Policy) LeastChanges() float64 {
+// MinWriteShare is the least share of those changes that any controller has.
+func (p Policy) MinWriteShare() float64 {
 	if !p.Forwards() {
 		return 1 / float64(p.Controllers)
 	}
-	return reserve / float64(p.Controllers-1)
+	return nonWriterReserve / float64(p.Controllers-1)
 }
 
-// Requests is this controller's share of the requests, where it holds so much of the fleet, from 0
+// RequestShare is this controller's share of the requests, where it holds so much of the fleet, from 0
 // to 1.
-func (p Policy) Requests(writers []string, me string, held float64) float64 {
+func (p Policy) RequestShare(writers []string, me string, ledShare float64) float64 {
 	if !p.Forwards() {
 		return 1 / float64(p.Controllers)
 	}
-	mine := 1 + holderRequests*held
+	mine := 1 + leaderRequests*ledShare
 	if slices.Contains(writers, me) {
 		mine += writerRequests
 	}
-	return mine / float64(p.Controllers+p.Most*writerRequests+holderRequests)
+	return mine / float64(p.Controllers+p.MaxWriters*writerRequests+leaderRequests)
 }
--- a/internal/writers/writers_test.go
+++ b/internal/writers/writers_test.go
@@ -19,12 +19,12 @@
 // TestPolicy: small sites write as they always did, each controller by itself.
 func TestPolicy(t *testing.T) {
 	for _, x := range []struct{ controllers, set, most int }{{1, Auto, 0}, {3, Auto, 0}, {5, Auto, 0}, {6, Auto, 4}, {24, Auto, 4}, {24, 0, 0}, {5, 2, 2}, {3, 3, 0}, {3, 9, 0}} {
-		if p := PolicyFor(x.controllers, x.set); p.Most != x.most {
-			t.Errorf("%d controllers, set to %d: %d write, not %d", x.controllers, x.set, p.Most, x.most)
+		if p := PolicyFor(x.controllers, x.set); p.MaxWriters != x.most {
+			t.Errorf("%d controllers, set to %d: %d write, not %d", x.controllers, x.set, p.MaxWriters, x.most)
 		}
 	}
 	p := PolicyFor(5, Auto)
-	if p.Choose(names(5), nobody) != nil || p.Changes(nil, "c-1") != 0.2 || p.LeastChanges() != 0.2 || p.Requests(nil, "c-1", 1) != 0.2 {
+	if p.Choose(names(5), nobody) != nil || p.WriteShare(nil, "c-1") != 0.2 || p.MinWriteShare() != 0.2 || p.RequestShare(nil, "c-1", 1) != 0.2 {
 		t.Error("five controllers don't share evenly")
 	}
 }
@@ -65,14 +65,14 @@
 	}
 }
 
-// TestFor: keys are spread over the writers, and those of one that is avoided move alone.
-func TestFor(t *testing.T) {
+// TestWriterOf: keys are spread over the writers, and those of one that is avoided move alone.
+func TestWriterOf(t *testing.T) {
 	writers, count := names(4), map[string]int{}
 	for i := range 4000 {
 		key := fmt.Sprintf("wk-%06d", i)
-		first := For(writers, key, nobody)
+		first := WriterOf(writers, key, nobody)
 		count[first]++
-		other := For(writers, key, func(name string) bool { return name == "c-2" })
+		other := WriterOf(writers, key, func(name string) bool { return name == "c-2" })
 		if other == "c-2" || first != "c-2" && other != first {
 			t.Fatalf("%s goes to %s, and to %s where c-2 is avoided", key, first, other)
 		}
@@ -82,7 +82,7 @@
 			t.Errorf("%s writes %d of 4000", name, n)
 		}
 	}
-	if got := For(nil, "wk-1", nobody); got != "" {
+	if got := WriterOf(nil, "wk-1", nobody); got != "" {
 		t.Errorf("without writers %q writes", got)
 	}
 }
@@ -101,14 +101,14 @@
 				if !slices.Contains(writers, name) && i >= n-apart {
 					seen = nil
 				}
-				changes += p.Changes(seen, name)
-				requests += p.Requests(seen, name, map[bool]float64{true: 1}[i == 0])
+				changes += p.WriteShare(seen, name)
+				requests += p.RequestShare(seen, name, map[bool]float64{true: 1}[i == 0])
 			}
 			if changes > 1+1e-9 || requests > 1+1e-9 || apart == 0 && math.Abs(requests-1) > 1e-9 {
 				t.Errorf("%d controllers, %d of them apart: %v of the changes, %v of the requests", n, apart, changes, requests)
 			}
 		}
-		if p.Changes(writers, writers[0]) <= 2*p.LeastChanges() {
+		if p.WriteShare(writers, writers[0]) <= 2*p.MinWriteShare() {
 			t.Errorf("%d controllers: a writer has hardly more than others", n)
 		}
 	}
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -9,6 +9,6 @@
 
 // TestGoldenStates: the states of a zone are stored in the words that they had.
 func TestGoldenStates(t *testing.T) {
-	words := []string{string(Up), string(Doubt), string(Dark), string(Back)}
+	words := []string{string(Up), string(Suspected), string(Unreachable), string(Recovering)}
 	goldentest.Text(t, "states.txt", strings.Join(words, "\n")+"\n")
 }
--- a/internal/zone/probe.go
+++ b/internal/zone/probe.go
@@ -6,30 +6,30 @@
 // a while that doubles, so that a cloud and a network that work again are found without
 // waiting for old machines to be heard.
 const (
-	firstProbe = 4 * time.Second
-	lastProbe  = 30 * time.Second
+	initialProbeInterval = 4 * time.Second
+	maxProbeInterval     = 30 * time.Second
 )
 
 // probe remembers how often a zone was probed.
 type probe struct {
-	at    time.Time
-	times int
+	lastAt time.Time
+	count  int
 }
 
 // ProbeDue reports whether a machine is to be asked for in a zone that is not open.
-func (z *Zones) ProbeDue(now time.Time, zone string) bool {
-	r, p := z.Of(zone), z.probes[zone]
-	if r.Open(now) {
+func (z *Tracker) ProbeDue(now time.Time, zone string) bool {
+	r, p := z.Record(zone), z.probes[zone]
+	if r.AcceptsScaleOut(now) {
 		return false
 	}
 	since := r.Since
-	if p.times > 0 {
-		since = p.at
+	if p.count > 0 {
+		since = p.lastAt
 	}
-	return now.Sub(since) >= min(lastProbe, firstProbe<<min(p.times, 8))
+	return now.Sub(since) >= min(maxProbeInterval, initialProbeInterval<<min(p.count, 8))
 }
 
-// Probed notes that one was.
-func (z *Zones) Probed(now time.Time, zone string) {
-	z.probes[zone] = probe{now, z.probes[zone].times + 1}
+// MarkProbed notes that one was.
+func (z *Tracker) MarkProbed(now time.Time, zone string) {
+	z.probes[zone] = probe{now, z.probes[zone].count + 1}
 }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -12,46 +12,48 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// world is some controllers and zones with machines, who can't hear what, and the records
+// clusterModel is some controllers and zones with machines, who can't hear what, and the records
 // that the store holds.
-type world struct {
-	now, begun time.Time
-	names      []string
-	stands     map[string]string // controller to zone
-	machines   map[string]int
-	cut        map[[2]string]bool      // controller and zone whose machines it does not hear
-	apart      map[[2]string]bool      // controllers that don't hear each other
-	heard      map[[2]string]time.Time // controller and zone
-	gaveUp     map[string]time.Time    // zones whose machines were
-	lost       map[string]int
-	store      map[string]Record
-	out        bool // the store
-	holder     string
-	takes      string // the one controller to which all machines report, if it is set
-	claimed    time.Time
-	zones      *Zones
-	last       map[string]time.Time
+type clusterModel struct {
+	now, begun    time.Time
+	names         []string
+	zoneOf        map[string]string // controller to zone
+	machines      map[string]int
+	cut           map[[2]string]bool      // controller and zone whose machines it does not hear
+	peerLinkCut   map[[2]string]bool      // controllers that don't hear each other
+	lastHeartbeat map[[2]string]time.Time // controller and zone
+	evictedAt     map[string]time.Time    // zones whose machines were
+	lost          map[string]int
+	store         map[string]Record
+	storeDown     bool // the store
+	leader        string
+	receiver      string // the one controller to which all machines report, if it is set
+	electedAt     time.Time
+	zones         *Tracker
+	zoneHeartbeat map[string]time.Time
 }
 
-func newWorld() *world {
+func newClusterModel() *clusterModel {
 	at := time.Unix(1e9, 0)
-	return &world{now: at, begun: at, stands: map[string]string{}, machines: map[string]int{}, cut: map[[2]string]bool{}, apart: map[[2]string]bool{},
-		heard: map[[2]string]time.Time{}, gaveUp: map[string]time.Time{}, lost: map[string]int{}, store: map[string]Record{}}
+	return &clusterModel{now: at, begun: at, zoneOf: map[string]string{}, machines: map[string]int{}, cut: map[[2]string]bool{}, peerLinkCut: map[[2]string]bool{},
+		lastHeartbeat: map[[2]string]time.Time{}, evictedAt: map[string]time.Time{}, lost: map[string]int{}, store: map[string]Record{}}
 }
 
 // hears reports whether a controller hears a zone's machines now.
-func (w *world) hears(c, zone string) bool { return w.machines[zone] > 0 && !w.cut[[2]string{c, zone}] }
+func (w *clusterModel) hears(c, zone string) bool {
+	return w.machines[zone] > 0 && !w.cut[[2]string{c, zone}]
+}
 
-// sights is what a controller sees by itself: the machines of a zone report in equal
+// observations is what a controller sees by itself: the machines of a zone report in equal
 // numbers to all controllers, and move on where one does not answer.
-func (w *world) sights(c string) map[string]Observation {
+func (w *clusterModel) observations(c string) map[string]Observation {
 	out := map[string]Observation{}
-	if w.takes != "" && c != w.takes {
+	if w.receiver != "" && c != w.receiver {
 		return out
 	}
 	for zone, n := range w.machines {
 		share := (n + len(w.names) - 1) / len(w.names)
-		at, known := w.heard[[2]string{c, zone}]
+		at, known := w.lastHeartbeat[[2]string{c, zone}]
 		switch age := w.now.Sub(at); {
 		case !known || age > 20*time.Second:
 		case age > 4*time.Second:
@@ -64,88 +66,88 @@
 }
 
 // evidence is what the holder has: what it and those that pass reports on to it hear.
-func (w *world) evidence() *Evidence {
-	e := &Evidence{Own: Witness{w.stands[w.holder], map[string]Observation{}}, Last: w.last, Mute: w.now.Sub(w.claimed) < 7*time.Second,
-		Others: map[string]Witness{}, All: len(w.names)}
-	passed := w.sights(w.holder)
+func (w *clusterModel) evidence() *Evidence {
+	e := &Evidence{Own: Observer{w.zoneOf[w.leader], map[string]Observation{}}, LastHeartbeat: w.zoneHeartbeat, CannotJudge: w.now.Sub(w.electedAt) < 7*time.Second,
+		Peers: map[string]Observer{}, Controllers: len(w.names)}
+	passed := w.observations(w.leader)
 	for _, c := range w.names {
-		if c == w.holder || w.apart[[2]string{c, w.holder}] {
+		if c == w.leader || w.peerLinkCut[[2]string{c, w.leader}] {
 			continue
 		}
-		x := Witness{w.stands[c], w.sights(c)}
+		x := Observer{w.zoneOf[c], w.observations(c)}
 		for zone, at := range w.machines {
-			if w.zones.Of(zone).State == Doubt && at > 0 { // it is asked to call there, and elsewhere
-				w.call(c, x.Sights)
+			if w.zones.Record(zone).State == Suspected && at > 0 { // it is asked to call there, and elsewhere
+				w.call(c, x.Observations)
 			}
 		}
-		e.Others[c] = x
+		e.Peers[c] = x
 	}
 	for zone, n := range w.machines {
 		s := Observation{Quiet: n, Lost: w.lost[zone]}
-		if at := w.heard[[2]string{w.holder, zone}]; w.now.Sub(at) <= 4*time.Second || passed[zone].Heard > 0 {
+		if at := w.lastHeartbeat[[2]string{w.leader, zone}]; w.now.Sub(at) <= 4*time.Second || passed[zone].Heard > 0 {
 			s = Observation{Heard: n}
 		}
-		if at, ok := w.gaveUp[zone]; ok {
+		if at, ok := w.evictedAt[zone]; ok {
 			s.Quiet, s.Lost = 0, n
 			if w.now.Sub(at) > 30*time.Second {
 				s.Lost = 0
 			}
 		}
-		e.Own.Sights[zone] = s
+		e.Own.Observations[zone] = s
 	}
 	return e
 }
 
 // call has a controller call some machines of each zone.
-func (w *world) call(c string, sights map[string]Observation) {
-	var calls Calls
+func (w *clusterModel) call(c string, sights map[string]Observation) {
+	var calls CallLog
 	for zone := range w.machines {
 		for range 2 {
-			calls.Note(w.now, zone, w.hears(c, zone))
+			calls.Record(w.now, zone, w.hears(c, zone))
 		}
 	}
-	calls.Count(w.now, sights)
+	calls.AddTo(w.now, sights)
 }
 
-func (w *world) second() (out []string) {
+func (w *clusterModel) second() (out []string) {
 	w.now = w.now.Add(time.Second)
 	for _, c := range w.names {
 		for zone := range w.machines {
 			if w.hears(c, zone) {
-				w.heard[[2]string{c, zone}] = w.now
+				w.lastHeartbeat[[2]string{c, zone}] = w.now
 			}
 		}
 	}
 	for zone := range w.machines {
-		if w.hears(w.holder, zone) {
-			w.last[zone] = w.now
-			if w.gaveUp[zone].Before(w.now.Add(-time.Second)) {
-				delete(w.gaveUp, zone)
+		if w.hears(w.leader, zone) {
+			w.zoneHeartbeat[zone] = w.now
+			if w.evictedAt[zone].Before(w.now.Add(-time.Second)) {
+				delete(w.evictedAt, zone)
 			}
 		}
 	}
 	changes := w.zones.Next(w.now, w.evidence())
 	for _, c := range changes {
-		if w.out {
+		if w.storeDown {
 			out = append(out, fmt.Sprintf("%v: %s would be %s", w.now.Sub(w.begun), c.Zone, c.Record.State))
 			continue
 		}
-		out = append(out, fmt.Sprintf("%v: %s is %s, number %d, falls %d: %s", w.now.Sub(w.begun), c.Zone, c.Record.State, c.Record.Number, c.Record.Falls, c.Why))
+		out = append(out, fmt.Sprintf("%v: %s is %s, number %d, falls %d: %s", w.now.Sub(w.begun), c.Zone, c.Record.State, c.Record.Number, c.Record.Outages, c.Reason))
 		w.store[c.Zone] = c.Record
 	}
-	if !w.out {
-		w.zones.Take(changes)
+	if !w.storeDown {
+		w.zones.Commit(changes)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(w.machines)) {
 		if w.zones.ProbeDue(w.now, zone) {
-			w.zones.Probed(w.now, zone)
+			w.zones.MarkProbed(w.now, zone)
 			out = append(out, fmt.Sprintf("%v: probe of %s", w.now.Sub(w.begun), zone))
 		}
 	}
 	return out
 }
 
-func (w *world) seconds(n int) (out []string) {
+func (w *clusterModel) seconds(n int) (out []string) {
 	for range n {
 		out = append(out, w.second()...)
 	}
@@ -155,47 +157,47 @@
 	return out
 }
 
-func (w *world) step(line string) []string {
+func (w *clusterModel) step(line string) []string {
 	f, kv := simulator.Words(line)
 	switch f[0] {
 	case "controllers": // name/zone
 		for _, x := range f[1:] {
 			name, zone, _ := strings.Cut(x, "/")
 			w.names = append(w.names, name)
-			w.stands[name] = zone
+			w.zoneOf[name] = zone
 		}
 	case "machines":
 		for zone, n := range kv {
 			w.machines[zone], _ = strconv.Atoi(n)
 		}
 	case "reports": // go to one controller
-		w.takes = f[1]
+		w.receiver = f[1]
 	case "claim": // by a controller, that recalls what the store holds
-		if w.holder == "" {
+		if w.leader == "" {
 			for _, c := range w.names {
 				for zone := range w.machines {
-					w.heard[[2]string{c, zone}] = w.now
+					w.lastHeartbeat[[2]string{c, zone}] = w.now
 				}
 			}
 		}
-		w.holder, w.claimed, w.last = f[1], w.now, map[string]time.Time{}
+		w.leader, w.electedAt, w.zoneHeartbeat = f[1], w.now, map[string]time.Time{}
 		w.zones = New(w.now, maps.Clone(w.store))
 	case "cut", "heal": // a zone from all that are outside, or one controller from a zone's machines
 		is := f[0] == "cut"
-		if _, one := w.stands[f[1]]; one {
+		if _, one := w.zoneOf[f[1]]; one {
 			for _, zone := range f[2:] {
 				w.cut[[2]string{f[1], zone}] = is
 			}
 			break
 		}
 		for _, c := range w.names {
-			if w.stands[c] == f[1] {
+			if w.zoneOf[c] == f[1] {
 				for zone := range w.machines {
 					w.cut[[2]string{c, zone}] = is && zone != f[1] && kv["ways"] != "in"
 				}
 				for _, o := range w.names {
-					if w.stands[o] != f[1] && kv["mesh"] != "open" {
-						w.apart[[2]string{c, o}], w.apart[[2]string{o, c}] = is, is
+					if w.zoneOf[o] != f[1] && kv["mesh"] != "open" {
+						w.peerLinkCut[[2]string{c, o}], w.peerLinkCut[[2]string{o, c}] = is, is
 					}
 				}
 			} else {
@@ -203,14 +205,14 @@
 			}
 		}
 	case "given": // up, all machines of a zone
-		w.gaveUp[f[2]] = w.now
+		w.evictedAt[f[2]] = w.now
 	case "ahead": // the clock of the holder that wrote a zone's record, by so many seconds
 		n, _ := strconv.Atoi(f[2])
 		r := w.store[f[1]]
 		r.Since = r.Since.Add(time.Duration(n) * time.Second)
 		w.store[f[1]] = r
 	case "store":
-		w.out = f[1] == "out"
+		w.storeDown = f[1] == "out"
 	case "seconds":
 		n, _ := strconv.Atoi(f[1])
 		return w.seconds(n)
@@ -230,8 +232,8 @@
 	case "show":
 		var out []string
 		for _, zone := range slices.Sorted(maps.Keys(w.machines)) {
-			r := w.zones.Of(zone)
-			out = append(out, fmt.Sprintf("%s: %s, number %d, open %v", zone, r.State, r.Number, r.Open(w.now)))
+			r := w.zones.Record(zone)
+			out = append(out, fmt.Sprintf("%s: %s, number %d, open %v", zone, r.State, r.Number, r.AcceptsScaleOut(w.now)))
 		}
 		return out
 	}
@@ -240,5 +242,5 @@
 
 // TestTraces plays the kept traces of what the states of zones become.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newWorld().step })
+	simulator.Traces(t, func(t *testing.T) func(string) []string { return newClusterModel().step })
 }
--- a/internal/zonerecovery/plan.go
+++ b/internal/zonerecovery/plan.go
@@ -10,10 +10,10 @@
 
 // The steps of a return, in order. After the last there is no plan.
 const (
-	Kept   Step = "kept"   // the zone is cut off: what would not run sooner elsewhere is kept there
-	Fill   Step = "fill"   // it is back, and work goes to it: nothing rented elsewhere is given back yet
-	Home   Step = "home"   // as much is at work there as before: what is idle elsewhere is given back
-	Spread Step = "spread" // services are spread over the zones anew
+	StepRetain   Step = "kept"   // the zone is cut off: what would not run sooner elsewhere is kept there
+	StepRefill   Step = "fill"   // it is back, and work goes to it: nothing rented elsewhere is given back yet
+	StepRefilled Step = "home"   // as much is at work there as before: what is idle elsewhere is given back
+	StepSpread   Step = "spread" // services are spread over the zones anew
 )
 
 // Plan is the return of a zone as the store holds it. The next holder goes on with its step:
@@ -25,64 +25,64 @@
 	Work   float64 // that was done there when it was cut off, in GPUs
 }
 
-// Seen is what there is to judge a step by.
-type Seen struct {
-	Dark   bool
-	Number uint64  // of the zone's record
-	Work   float64 // that is done there, or may be
-	Waits  bool    // work waits that found no room
-	Busy   bool    // another zone is cut off, or in doubt, or further behind with its return
-	Uneven bool    // services are to be moved
+// Observation is what there is to judge a step by.
+type Observation struct {
+	Unreachable   bool
+	Number        uint64  // of the zone's record
+	Work          float64 // that is done there, or may be
+	HasQueued     bool    // work waits that found no room
+	OtherZoneBusy bool    // another zone is cut off, or in doubt, or further behind with its return
+	Unbalanced    bool    // services are to be moved
 
-	Settle time.Duration // until all machines of a zone are heard
-	Boot   time.Duration // of machines there
-	Idle   time.Duration // after which an idle machine is given back
+	SettleTime  time.Duration // until all machines of a zone are heard
+	BootTime    time.Duration // of machines there
+	IdleTimeout time.Duration // after which an idle machine is given back
 }
 
-// enough is the part of the work that was done there from which on a zone is home: tasks end
+// refilledShare is the part of the work that was done there from which on a zone is home: tasks end
 // meanwhile, and others begin elsewhere.
-const enough = 0.95
+const refilledShare = 0.95
 
-// spreadTime bounds how long services are spread after a return.
-const spreadTime = 5 * time.Minute
+// maxSpreadTime bounds how long services are spread after a return.
+const maxSpreadTime = 5 * time.Minute
 
 // Next gives the plan that follows, or none. A zone that is cut off again begins anew, whatever
 // step it had come to, and with the work that was to come back to it then.
-func Next(now time.Time, p *Plan, s Seen) *Plan {
+func Next(now time.Time, p *Plan, s Observation) *Plan {
 	to := func(step Step) *Plan { return &Plan{step, p.Number, now, p.Work} }
 	switch {
-	case p == nil && s.Dark:
-		return &Plan{Kept, s.Number, now, s.Work}
+	case p == nil && s.Unreachable:
+		return &Plan{StepRetain, s.Number, now, s.Work}
 	case p == nil:
 		return nil
-	case s.Dark && s.Number > p.Number && p.Step != Kept:
+	case s.Unreachable && s.Number > p.Number && p.Step != StepRetain:
 		work := s.Work
-		if p.Step == Fill {
+		if p.Step == StepRefill {
 			work = max(work, p.Work)
 		}
-		return &Plan{Kept, s.Number, now, work}
-	case s.Dark:
+		return &Plan{StepRetain, s.Number, now, work}
+	case s.Unreachable:
 		return p
 	}
 	switch since := now.Sub(p.Since); p.Step {
-	case Kept:
-		return to(Fill)
-	case Fill:
-		full := s.Work >= enough*p.Work || !s.Waits
+	case StepRetain:
+		return to(StepRefill)
+	case StepRefill:
+		full := s.Work >= refilledShare*p.Work || !s.HasQueued
 		// What does not come back in the time in which machines boot is not to be had.
-		if since >= s.Settle && full || since >= s.Settle+2*s.Boot {
-			return to(Home)
+		if since >= s.SettleTime && full || since >= s.SettleTime+2*s.BootTime {
+			return to(StepRefilled)
 		}
-	case Home:
+	case StepRefilled:
 		switch {
-		case since < 2*s.Idle:
-		case s.Uneven && !s.Busy:
-			return to(Spread)
-		case !s.Uneven:
+		case since < 2*s.IdleTimeout:
+		case s.Unbalanced && !s.OtherZoneBusy:
+			return to(StepSpread)
+		case !s.Unbalanced:
 			return nil
 		}
-	case Spread:
-		if !s.Uneven || s.Busy || since >= spreadTime {
+	case StepSpread:
+		if !s.Unbalanced || s.OtherZoneBusy || since >= maxSpreadTime {
 			return nil
 		}
 	default:
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -10,22 +10,22 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// returns is a holder's plans, driven by the steps of a trace.
-type returns struct {
-	now   time.Time
-	plans map[string]*Plan
-	seen  map[string]Seen
+// recoveries is a holder's plans, driven by the steps of a trace.
+type recoveries struct {
+	now      time.Time
+	plans    map[string]*Plan
+	observed map[string]Observation
 }
 
-func (r *returns) step(line string) []string {
+func (r *recoveries) step(line string) []string {
 	w, kv := simulator.Words(line)
 	switch w[0] {
 	case "see": // b dark work=100 waits
 		n, _ := strconv.ParseUint(kv["number"], 10, 64)
 		work, _ := strconv.ParseFloat(kv["work"], 64)
 		has := func(word string) bool { return slices.Contains(w[2:], word) }
-		r.seen[w[1]] = Seen{Dark: has("dark"), Number: n, Work: work, Waits: has("waits"), Busy: has("busy"), Uneven: has("uneven"),
-			Settle: 8 * time.Second, Boot: 40 * time.Second, Idle: 25 * time.Second}
+		r.observed[w[1]] = Observation{Unreachable: has("dark"), Number: n, Work: work, HasQueued: has("waits"), OtherZoneBusy: has("busy"), Unbalanced: has("uneven"),
+			SettleTime: 8 * time.Second, BootTime: 40 * time.Second, IdleTimeout: 25 * time.Second}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		r.now = r.now.Add(d)
@@ -37,7 +37,7 @@
 	}
 	var out []string
 	for _, name := range []string{"a", "b"} {
-		s, known := r.seen[name]
+		s, known := r.observed[name]
 		if !known {
 			continue
 		}
@@ -57,9 +57,9 @@
 	return out
 }
 
-// TestReturns plays the kept traces of returns.
-func TestReturns(t *testing.T) {
+// TestRecoveryTraces plays the kept traces of returns.
+func TestRecoveryTraces(t *testing.T) {
 	simulator.Traces(t, func(*testing.T) func(string) []string {
-		return (&returns{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Seen{}}).step
+		return (&recoveries{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Observation{}}).step
 	})
 }
