--- a/internal/zonerecovery/retain.go
+++ b/internal/zonerecovery/retain.go
@@ -10,21 +10,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Lost is a silent machine of a zone that is cut off.
-type Lost struct {
-	Top   bool             // it has production tasks, which may run on
-	Takes scheduler.Amount // what its other tasks take
-	Rent  func() bool      // whether machines can be had for these elsewhere
-	Dark  time.Duration    // since the zone was cut off
-	Anew  time.Duration    // for how long it may stand there before another one had been cheaper
+// LostMachine is a silent machine of a zone that is cut off.
+type LostMachine struct {
+	HasProduction   bool                // it has production tasks, which may run on
+	Demand          scheduler.Resources // what its other tasks take
+	CanScaleOut     func() bool         // whether machines can be had for these elsewhere
+	CutOffFor       time.Duration       // since the zone was cut off
+	ReplacementTime time.Duration       // for how long it may stand there before another one had been cheaper
 }
 
-// Room is what the rest of the fleet has for the work of such machines once all that waits
+// FreeCapacity is what the rest of the fleet has for the work of such machines once all that waits
 // has its own.
-type Room struct {
-	Waits bool // work waits that found no room
-	Free  scheduler.Amount
-	Rents int // machines that may be asked for at once in their stead
+type FreeCapacity struct {
+	HasQueued bool // work waits that found no room
+	Free      scheduler.Resources
+	ScaleOuts int // machines that may be asked for at once in their stead
 }
 
 // Keeps reports whether a lost machine is kept until its zone is back, and takes the room for
@@ -35,30 +35,30 @@
 // not, these prove them gone, and production has room at once. Nobody knows when a zone
 // returns, so that a machine is kept for no longer than renting another would cost: at
 // worst twice of what the one who knows had spent.
-func (r *Room) Keeps(l Lost) bool {
+func (r *FreeCapacity) Keeps(l LostMachine) bool {
 	switch {
-	case l.Dark >= l.Anew:
+	case l.CutOffFor >= l.ReplacementTime:
 		return false
-	case l.Top, l.Takes == scheduler.Amount{}, r.Waits:
+	case l.HasProduction, l.Demand == scheduler.Resources{}, r.HasQueued:
 		return true
-	case r.Free.Fits(l.Takes):
-		r.Take(l.Takes)
+	case r.Free.Fits(l.Demand):
+		r.Reserve(l.Demand)
 		return false
-	case r.Rents > 0 && l.Rent():
-		r.Rents--
+	case r.ScaleOuts > 0 && l.CanScaleOut():
+		r.ScaleOuts--
 		return false
 	}
 	return true
 }
 
-// Take takes room for the work of a machine that was given up.
-func (r *Room) Take(a scheduler.Amount) { r.Free = r.Free.Plus(a, -1) }
+// Reserve takes room for the work of a machine that was given up.
+func (r *FreeCapacity) Reserve(a scheduler.Resources) { r.Free = r.Free.AddScaled(a, -1) }
 
-// Anew is what another machine in the stead of one costs, in the time for which that one could
+// ReplacementTime is what another machine in the stead of one costs, in the time for which that one could
 // stand idle: it boots, fetches the images anew, and is charged for a least time when it is
 // returned.
-func Anew(t wire.MachineType, imagesGB float64) time.Duration {
-	d := wire.Seconds(t.BootS) + wire.LeastCharge
+func ReplacementTime(t wire.MachineType, imagesGB float64) time.Duration {
+	d := wire.Seconds(t.BootS) + wire.MinimumCharge
 	if t.FetchGBps > 0 {
 		d += wire.Seconds(imagesGB / t.FetchGBps)
 	}
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -16,13 +16,13 @@
 
 // Limits of the cloud's interface.
 const (
-	MaxRent     = 50
+	MaxScaleOut = 50
 	MaxRelease  = 100
 	MaxListPage = 500
 )
 
-// LeastCharge is the time that a machine is charged for at least, once it is returned.
-const LeastCharge = 60 * time.Second
+// MinimumCharge is the time that a machine is charged for at least, once it is returned.
+const MinimumCharge = 60 * time.Second
 
 // MachineType is a kind of machine that the cloud rents out.
 type MachineType struct {
@@ -48,9 +48,9 @@
 	}
 	for i := range m.Types {
 		t := &m.Types[i]
-		err := errors.Join(amount("vcpus", &t.CPUs), amount("accelerators", &t.GPUs), amount("mem_gb", &t.MemoryGB),
-			amount("local_gb", &t.CacheGB), amount("fetch_gb_per_s", &t.FetchGBps), amount("price", &t.Price),
-			amount("spot_price", &t.SpotPrice), amount("boot_s", &t.BootS), textField("label", &t.Name))
+		err := errors.Join(checkAmount("vcpus", &t.CPUs), checkAmount("accelerators", &t.GPUs), checkAmount("mem_gb", &t.MemoryGB),
+			checkAmount("local_gb", &t.CacheGB), checkAmount("fetch_gb_per_s", &t.FetchGBps), checkAmount("price", &t.Price),
+			checkAmount("spot_price", &t.SpotPrice), checkAmount("boot_s", &t.BootS), checkText("label", &t.Name))
 		if err != nil {
 			return nil, err
 		}
@@ -61,13 +61,13 @@
 	return m.Types, nil
 }
 
-// Rental asks the cloud for machines; Ask is never used for another request.
-type Rental struct {
-	Ask   string `cbor:"ask"`
-	Type  string `cbor:"frame"`
-	Zone  string `cbor:"apiary"`
-	Spot  bool   `cbor:"borrowed"`
-	Count int    `cbor:"how_many"`
+// ScaleOutRequest asks the cloud for machines; Ask is never used for another request.
+type ScaleOutRequest struct {
+	RequestID string `cbor:"ask"`
+	Type      string `cbor:"frame"`
+	Zone      string `cbor:"apiary"`
+	Spot      bool   `cbor:"borrowed"`
+	Count     int    `cbor:"how_many"`
 }
 
 // MachineNames is a list of machines, in answers and in releases.
@@ -102,8 +102,8 @@
 	More     bool            `cbor:"more"`
 }
 
-// ListPath is the path of the page that begins after a machine.
-func ListPath(after string) string {
+// MachineListPath is the path of the page that begins after a machine.
+func MachineListPath(after string) string {
 	p := PathRentals + "?limit=" + strconv.Itoa(MaxListPage)
 	if after != "" {
 		p += "&from=" + url.QueryEscape(after)
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -15,7 +15,7 @@
 const MaxBody = 64 << 10
 
 var (
-	decoder = must(cbor.DecOptions{
+	decoder = mustNotFail(cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxNestedLevels:  16,
 		MaxArrayElements: 1 << 17,
@@ -24,10 +24,10 @@
 		// A field of nearly the same name is one that a receiver doesn't know.
 		FieldNameMatching: cbor.FieldNameMatchingCaseSensitive,
 	}.DecMode())
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
+	encoder = mustNotFail(cbor.CanonicalEncOptions().EncMode())
 )
 
-func must[T any](v T, err error) T {
+func mustNotFail[T any](v T, err error) T {
 	if err != nil {
 		panic(err) // only a wrong constant above can do this
 	}
@@ -39,7 +39,7 @@
 
 // Encode gives the CBOR form of v. The formats of this package always encode.
 func Encode(v any) []byte {
-	return must(encoder.Marshal(v))
+	return mustNotFail(encoder.Marshal(v))
 }
 
 // Decode reads the CBOR value in body into v. Anything but one whole map is
@@ -51,8 +51,8 @@
 	return decoder.Unmarshal(body, v)
 }
 
-// fields gives what follows the head of a CBOR map, or nothing.
-func fields(body []byte) []byte {
+// mapBody gives what follows the head of a CBOR map, or nothing.
+func mapBody(body []byte) []byte {
 	if len(body) == 0 || body[0]>>5 != 5 {
 		return nil
 	}
@@ -66,9 +66,9 @@
 // DecodeValue reads any CBOR value, such as a stored one, into v.
 func DecodeValue(body []byte, v any) error { return decoder.Unmarshal(body, v) }
 
-// amount reports whether a decimal number of the wire is one that can be
+// checkAmount reports whether a decimal number of the wire is one that can be
 // reckoned with.
-func amount(name string, v *float64) error {
+func checkAmount(name string, v *float64) error {
 	switch {
 	case v == nil:
 		return fmt.Errorf("field %s: missing", name)
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -16,38 +16,38 @@
 // TestGoldenMessages: each message of the interfaces is sent as it was.
 func TestGoldenMessages(t *testing.T) {
 	check[MachineType](t, "machine-type.cbor")
-	check[Rental](t, "rental.cbor")
+	check[ScaleOutRequest](t, "rental.cbor")
 	check[MachineNames](t, "machine-names.cbor")
 	check[ListedMachine](t, "listed-machine.cbor")
 	check[MachineList](t, "machine-list.cbor")
-	check[Item](t, "item.cbor")
-	check[ItemList](t, "item-list.cbor")
+	check[KeyValue](t, "item.cbor")
+	check[KeyValueList](t, "item-list.cbor")
 	check[Condition](t, "condition.cbor")
-	check[Change](t, "change.cbor")
+	check[Operation](t, "change.cbor")
 	check[Txn](t, "txn.cbor")
 	check[TxnResult](t, "txn-result.cbor")
 	check[Event](t, "event.cbor")
-	check[Changes](t, "changes.cbor")
-	check[LeaseGrant](t, "lease-grant.cbor")
-	check[LeaseID](t, "lease-id.cbor")
+	check[WatchResponse](t, "changes.cbor")
+	check[LeaseGrantRequest](t, "lease-grant.cbor")
+	check[LeaseGrantResponse](t, "lease-id.cbor")
 	check[Job](t, "job.cbor")
 	check[submission](t, "submission.cbor")
 	check[JobStatus](t, "job-status.cbor")
 	check[Failure](t, "failure.cbor")
 	check[ReportedTask](t, "reported-task.cbor")
-	check[Report](t, "report.cbor")
+	check[Heartbeat](t, "report.cbor")
 	check[Command](t, "command.cbor")
-	check[Answer](t, "answer.cbor")
+	check[HeartbeatResponse](t, "answer.cbor")
 	check[Redirect](t, "redirect.cbor")
-	check[Direct](t, "direct.cbor")
+	check[CommandRequest](t, "direct.cbor")
 }
 
 // TestGoldenWords: the paths and words of the interfaces are what they were.
 func TestGoldenWords(t *testing.T) {
 	words := []string{
-		PathJobs, PathReady, CancelWord, WorkWord, PathKeys, PathTxn, PathLeases, PathChanges, RenewWord,
-		PathTypes, PathRentals, PathRelease, PathReport, PathDirect, PathInspect,
-		KeyPath("a/b"), KeysPath("a/", "a/b", 7), ChangesPath("a/", 9, 2*time.Second), LeasePath(5), RenewPath(5), ListPath("m 1"),
+		PathJobs, PathReady, CancelWord, WorkWord, PathKeys, PathTxn, PathLeases, PathWatch, RenewWord,
+		PathTypes, PathRentals, PathRelease, PathHeartbeat, PathCommands, PathStatus,
+		KeyPath("a/b"), KeysPath("a/", "a/b", 7), WatchPath("a/", 9, 2*time.Second), LeasePath(5), RenewPath(5), MachineListPath("m 1"),
 		string(Array), string(Gang), string(Service), string(Production), string(High), string(Normal), string(Low),
 		string(Pending), string(Running), string(Done), string(Cancelled),
 		string(MachineStarting), string(MachineRunning), string(MachineFailed),
--- a/wire/store.go
+++ b/wire/store.go
@@ -8,29 +8,29 @@
 
 // Paths of the state service.
 const (
-	PathKeys    = "/keys"
-	PathTxn     = "/multi"
-	PathLeases  = "/holds"
-	PathChanges = "/changes"
-	RenewWord   = "touch"
+	PathKeys   = "/keys"
+	PathTxn    = "/multi"
+	PathLeases = "/holds"
+	PathWatch  = "/changes"
+	RenewWord  = "touch"
 )
 
 // MaxItems is how many keys a page may have.
 const MaxItems = 1000
 
-// Item is a key of the state service with its value and version.
-type Item struct {
+// KeyValue is a key of the state service with its value and version.
+type KeyValue struct {
 	Key     string `cbor:"path"`
 	Value   Raw    `cbor:"data"`
 	Version uint64 `cbor:"mark"`
 	Lease   uint64 `cbor:"tenure"`
 }
 
-// ItemList is a page of keys.
-type ItemList struct {
-	Items    []Item `cbor:"items"`
-	More     bool   `cbor:"more"`
-	Revision uint64 `cbor:"era"`
+// KeyValueList is a page of keys.
+type KeyValueList struct {
+	Items    []KeyValue `cbor:"items"`
+	More     bool       `cbor:"more"`
+	Revision uint64     `cbor:"era"`
 }
 
 // Condition demands that a key has a version; 0 means that it does not exist.
@@ -39,8 +39,8 @@
 	Version uint64 `cbor:"mark"`
 }
 
-// Change is one put or delete of a transaction.
-type Change struct {
+// Operation is one put or delete of a transaction.
+type Operation struct {
 	Put    string `cbor:"put,omitempty"`
 	Value  any    `cbor:"data,omitempty"`
 	Lease  uint64 `cbor:"tenure,omitempty"`
@@ -50,7 +50,7 @@
 // Txn is a conditional transaction.
 type Txn struct {
 	If   []Condition `cbor:"when"`
-	Then []Change    `cbor:"then"`
+	Then []Operation `cbor:"then"`
 }
 
 // TxnResult is the answer to a transaction.
@@ -67,19 +67,19 @@
 	Version uint64 `cbor:"mark"`
 }
 
-// Changes is the answer to a watch.
-type Changes struct {
+// WatchResponse is the answer to a watch.
+type WatchResponse struct {
 	Revision uint64  `cbor:"era"`
 	Events   []Event `cbor:"log"`
 }
 
-// LeaseGrant asks for a lease.
-type LeaseGrant struct {
+// LeaseGrantRequest asks for a lease.
+type LeaseGrantRequest struct {
 	TTLms int64 `cbor:"ttl_ms"`
 }
 
-// LeaseID answers a grant.
-type LeaseID struct {
+// LeaseGrantResponse answers a grant.
+type LeaseGrantResponse struct {
 	Lease uint64 `cbor:"tenure"`
 }
 
@@ -95,9 +95,9 @@
 	return p
 }
 
-// ChangesPath is the path of a watch.
-func ChangesPath(prefix string, from uint64, wait time.Duration) string {
-	return PathChanges + "?prefix=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
+// WatchPath is the path of a watch.
+func WatchPath(prefix string, from uint64, wait time.Duration) string {
+	return PathWatch + "?prefix=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&block_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 }
 
--- a/wire/user.go
+++ b/wire/user.go
@@ -131,7 +131,7 @@
 // SubmittedID gives the id in a submission of which the rest may not be understood, or nothing: it
 // looks at one field after the other, as far as it gets.
 func SubmittedID(body []byte) string {
-	rest := fields(body)
+	rest := mapBody(body)
 	for len(rest) > 0 {
 		var key, value Raw
 		var name, id string
@@ -157,10 +157,10 @@
 		return nil, err
 	}
 	errs := []error{
-		textField("uid", s.ID), textField("breed", s.Class), textField("keeper", s.Team), textField("comb", s.Image),
-		amount("vcpus", s.CPUs), amount("accelerators", s.GPUs), amount("mem_gb", s.MemoryGB), amount("image_gb", s.ImageGB),
-		amount("expect_s", s.EstimateS), amount("capping_s", s.CheckpointS), amount("seal_s", s.SaveS),
-		present("one_zone", s.OneZone), present("spread", s.Spread), present("borrowed", s.Spot),
+		checkText("uid", s.ID), checkText("breed", s.Class), checkText("keeper", s.Team), checkText("comb", s.Image),
+		checkAmount("vcpus", s.CPUs), checkAmount("accelerators", s.GPUs), checkAmount("mem_gb", s.MemoryGB), checkAmount("image_gb", s.ImageGB),
+		checkAmount("expect_s", s.EstimateS), checkAmount("capping_s", s.CheckpointS), checkAmount("seal_s", s.SaveS),
+		checkPresent("one_zone", s.OneZone), checkPresent("spread", s.Spread), checkPresent("borrowed", s.Spot),
 	}
 	if s.ID != nil && !ValidJobID(*s.ID) {
 		errs = append(errs, fmt.Errorf("field uid: %.40q is not wk- and digits", *s.ID))
@@ -175,7 +175,7 @@
 		errs = append(errs, fmt.Errorf("field cells: must be a count from 1 to %d", MaxTasks))
 	}
 	if s.DeadlineS != nil {
-		errs = append(errs, amount("due_s", s.DeadlineS))
+		errs = append(errs, checkAmount("due_s", s.DeadlineS))
 	}
 	if s.Work != nil && len(*s.Work) > MaxWork {
 		errs = append(errs, fmt.Errorf("field work: more than %d bytes", MaxWork))
@@ -184,7 +184,7 @@
 		errs = append(errs, errors.New("field frames: must be null, for any, or name 1 to 64 types"))
 	}
 	if s.Zone != nil {
-		errs = append(errs, textField("apiary", s.Zone))
+		errs = append(errs, checkText("apiary", s.Zone))
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
@@ -210,14 +210,14 @@
 	return j, nil
 }
 
-func textField(name string, v *string) error {
+func checkText(name string, v *string) error {
 	if v == nil || *v == "" || len(*v) > 200 {
 		return fmt.Errorf("field %s: must be text of 1 to 200 bytes", name)
 	}
 	return nil
 }
 
-func present(name string, v *bool) error {
+func checkPresent(name string, v *bool) error {
 	if v == nil {
 		return fmt.Errorf("field %s: missing", name)
 	}
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -113,7 +113,7 @@
 		if j, err := DecodeJob(b); err == nil && (j.Tasks < 1 || j.Tasks > MaxTasks || !ValidJobID(j.ID) || j.CPUs < 0) {
 			t.Errorf("accepted %+v", j)
 		}
-		if r, err := DecodeReport(b); err == nil {
+		if r, err := DecodeHeartbeat(b); err == nil {
 			for _, task := range r.Tasks {
 				if task.ID.String() != task.Task {
 					t.Errorf("task %q read as %v", task.Task, task.ID)
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -9,9 +9,9 @@
 
 // Paths of the workers' interface.
 const (
-	PathReport  = "/hello"
-	PathDirect  = "/do"
-	PathInspect = "/inspect"
+	PathHeartbeat = "/hello"
+	PathCommands  = "/do"
+	PathStatus    = "/inspect"
 )
 
 // TaskState is what a worker says of a task.
@@ -70,35 +70,35 @@
 	ID      TaskID    `cbor:"-"`
 }
 
-// Report is what a worker says of itself and of all tasks on its machine.
-type Report struct {
-	Machine string         `cbor:"hive"`
-	Addr    string         `cbor:"endpoint"`
-	Type    string         `cbor:"frame"`
-	Zone    string         `cbor:"apiary"`
-	Spot    bool           `cbor:"borrowed"`
-	Session uint64         `cbor:"flight"`
-	Seq     uint64         `cbor:"tally"`
-	Term    uint64         `cbor:"crown"`
-	NoticeS *float64       `cbor:"notice_s"`
-	Tasks   []ReportedTask `cbor:"cells"`
+// Heartbeat is what a worker says of itself and of all tasks on its machine.
+type Heartbeat struct {
+	Machine            string         `cbor:"hive"`
+	Addr               string         `cbor:"endpoint"`
+	Type               string         `cbor:"frame"`
+	Zone               string         `cbor:"apiary"`
+	Spot               bool           `cbor:"borrowed"`
+	Incarnation        uint64         `cbor:"flight"`
+	Seq                uint64         `cbor:"tally"`
+	FencingToken       uint64         `cbor:"crown"`
+	TerminationNoticeS *float64       `cbor:"notice_s"`
+	Tasks              []ReportedTask `cbor:"cells"`
 }
 
-// DecodeReport reads and checks a report.
-func DecodeReport(body []byte) (*Report, error) {
-	var r Report
+// DecodeHeartbeat reads and checks a report.
+func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := Decode(body, &r); err != nil {
 		return nil, err
 	}
 	if r.Machine == "" || len(r.Machine) > 100 || strings.ContainsAny(r.Machine, " /") {
 		return nil, errors.New("field hive: not a machine's name")
 	}
-	if r.Session == 0 {
+	if r.Incarnation == 0 {
 		return nil, errors.New("field flight: must be 1 or more")
 	}
-	if r.NoticeS != nil {
-		if err := amount("notice_s", r.NoticeS); err != nil {
-			r.NoticeS = new(float64)
+	if r.TerminationNoticeS != nil {
+		if err := checkAmount("notice_s", r.TerminationNoticeS); err != nil {
+			r.TerminationNoticeS = new(float64)
 		}
 	}
 	for i := range r.Tasks {
@@ -129,20 +129,20 @@
 	GraceS  *float64 `cbor:"grace_s,omitempty"`
 }
 
-// Answer is the answer to a report.
-type Answer struct {
-	Term     uint64    `cbor:"crown"`
-	Commands []Command `cbor:"orders"`
+// HeartbeatResponse is the answer to a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `cbor:"crown"`
+	Commands     []Command `cbor:"orders"`
 }
 
 // Redirect sends a worker to another controller; an empty Holder names none.
 type Redirect struct {
-	Holder string `cbor:"queen,omitempty"`
+	Leader string `cbor:"queen,omitempty"`
 }
 
-// Direct carries commands straight to a worker.
-type Direct struct {
-	Term     uint64    `cbor:"crown"`
-	Session  uint64    `cbor:"flight"`
-	Commands []Command `cbor:"orders"`
+// CommandRequest carries commands straight to a worker.
+type CommandRequest struct {
+	FencingToken uint64    `cbor:"crown"`
+	Incarnation  uint64    `cbor:"flight"`
+	Commands     []Command `cbor:"orders"`
 }
