--- /dev/null
+++ b/internal/scheduler/fetch.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import (
+	"slices"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// Fetch is an image that is on its way to a machine.
+type Fetch struct {
+	Image         string
+	ForProduction bool // production waits for it
+}
+
+// AddFetch notes an image that is on its way to a machine.
+func (m *Machine) AddFetch(image string, top bool) {
+	for i := range m.Fetches {
+		if m.Fetches[i].Image == image {
+			m.Fetches[i].ForProduction = m.Fetches[i].ForProduction || top
+			return
+		}
+	}
+	m.Fetches = append(m.Fetches, Fetch{image, top})
+}
+
+func containsFetch(list []Fetch, image string) bool {
+	return slices.ContainsFunc(list, func(f Fetch) bool { return f.Image == image })
+}
+
+// fetchesNothing reports whether nothing is being fetched to a machine: what comes there has its whole
+// rate.
+func (m *Machine) fetchesNothing() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
+
+// isFetching reports whether an image is still on its way to a machine.
+func (m *Machine) isFetching(image string) bool {
+	return containsFetch(m.Fetches, image) || containsFetch(m.plannedFetches, image)
+}
+
+// defersFetch reports whether a machine is not to begin with the image of a job: it may share its
+// rate among all that it fetches, and production waits for one of these.
+func (m *Machine) defersFetch(j *Job) bool {
+	top := func(f Fetch) bool { return f.ForProduction }
+	return j.Priority != wire.Production && (slices.ContainsFunc(m.Fetches, top) || slices.ContainsFunc(m.plannedFetches, top))
+}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -158,32 +158,6 @@
 	return picks
 }
 
-// savepoint is a state of the plan to come back to.
-type savepoint struct{ undoLog, newMachines, stoppingMachines, stops int }
-
-func (pl *planner) savepoint() savepoint {
-	return savepoint{len(pl.undoLog), len(pl.newMachines), len(pl.stoppingMachines), len(pl.plan.Stops)}
-}
-
-// rollback takes back all changes after a mark.
-func (pl *planner) rollback(to savepoint) {
-	for i := len(pl.undoLog) - 1; i >= to.undoLog; i-- {
-		u := pl.undoLog[i]
-		m := u.machine
-		m.Free, m.stopping, m.loadByRank, m.usedByPlan, m.plannedFetches = u.free, u.stopping, u.loadByRank, u.usedByPlan, m.plannedFetches[:u.plannedFetches]
-		if u.task >= 0 {
-			m.Tasks[u.task].Stopping = false
-		}
-	}
-	for _, m := range pl.newMachines[to.newMachines:] {
-		pl.machinesInZone[m.Zone]--
-		pl.requested[pl.offers[m.offerIndex]]--
-		pl.booting[m.offerIndex] = pl.booting[m.offerIndex][:len(pl.booting[m.offerIndex])-1]
-	}
-	pl.undoLog, pl.newMachines = pl.undoLog[:to.undoLog], pl.newMachines[:to.newMachines]
-	pl.stoppingMachines, pl.plan.Stops = pl.stoppingMachines[:to.stoppingMachines], pl.plan.Stops[:to.stops]
-}
-
 // candidateZones lists the zones of which a gang must be in one.
 func (pl *planner) candidateZones(j *Job) []string {
 	if j.Zone == "" && j.OneZone && len(j.Waiting) > 1 {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -10,12 +10,6 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// A class whose jobs are to start sooner than a machine boots needs room that is
-// there before they come. How much is told by how many came of late: what comes
-// while a machine boots. That room is kept from work that has no such aim, is
-// not returned, and is rented where it lacks, but only while the cloud has
-// machines to give: in a full fleet, room that stands empty serves nobody.
-
 // The past that tells how much comes: the middle one of several spans, so that
 // the jobs of a fleet's first minute, or of a burst that is over, count little.
 const (
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,8 +9,6 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What is stopped to make room.
-
 // mayPreempt reports whether the protocol lets a job stop another's task:
 // lesser priority, or work beyond a team's own guarantee for one within it.
 // What would get the room again before the job does is left alone, or the two
--- a/internal/scheduler/shard_capacity.go
+++ b/internal/scheduler/shard.go
@@ -1,44 +1,12 @@
 package scheduler
 
 import (
-	"cmp"
 	"maps"
 	"slices"
-	"time"
 
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What a plan says to the holders of other parts.
-
-// FreeCapacity is how many more tasks of a class a part could take: on machines that have room
-// now, on those beside lesser work, and whether machines for it can be rented.
-type FreeCapacity struct {
-	Now, Below int
-	Rent       bool
-}
-
-// QuotaDemand is what a team's grant holds back: work that would be launched if it were larger.
-type QuotaDemand struct {
-	CPUs, GPUs float64
-	Rank       int       // of the most urgent of it
-	Since      time.Time // when the oldest of that was submitted
-	Least      Resources // that any of it takes: a task, or a gang
-}
-
-// Compare orders wants, the one that goes first before others. An age would not do: what another
-// part has told was so a while ago, and of two that are as old each would take its own for the older.
-func (w QuotaDemand) Compare(other QuotaDemand) int {
-	return cmp.Or(cmp.Compare(other.Rank, w.Rank), w.Since.Compare(other.Since))
-}
-
-// UnplacedJob is a job of which tasks found no room: some wait for what is on its way, for
-// others nothing is.
-type UnplacedJob struct {
-	Job              *Job
-	Coming, Unserved int
-}
-
 // reportQuotaDemand notes tasks that a team's grant holds back. Of those for which the limit of all parts together
 // has no room beside what is used here nothing is asked for: a part that kept a rest of the limit
 // for them would keep it from smaller work in others for nothing. They wait all the same.
@@ -68,15 +36,6 @@
 	pl.plan.QuotaDemands[j.Team] = w
 }
 
-// IsPending reports whether a want asks for anything now.
-func (w QuotaDemand) IsPending() bool { return w.CPUs > 0 || w.GPUs > 0 }
-
-// WorthReserving reports whether what is wanted will fit into a limit once all has ended but what stays, so
-// that work of other parts is to wait for it: it has waited for long, as in one part.
-func (w QuotaDemand) WorthReserving(waited, beginWithin time.Duration, limit Team, stays Resources) bool {
-	return beginWithin > 0 && waited >= beginWithin/reservationWaitDivisor && waited < 2*beginWithin && limit.allows(stays.AddScaled(w.Least, 1))
-}
-
 // reportUnplaced notes tasks that found no room now.
 func (pl *planner) reportUnplaced(j *Job, coming, none int) {
 	pl.plan.Backlogged = pl.plan.Backlogged || coming+none > 0
@@ -150,3 +109,12 @@
 	}
 	return r
 }
+
+// sumSpareCapacity sums what is left on machines that are up.
+func (pl *planner) sumSpareCapacity() {
+	for _, m := range pl.usable {
+		if m.Usable {
+			pl.plan.SpareCapacity = pl.plan.SpareCapacity.AddScaled(m.Free, 1)
+		}
+	}
+}
--- a/internal/scheduler/soonest.go
+++ b/internal/scheduler/soonest.go
@@ -48,6 +48,27 @@
 	return pl.addMachineFor(s.job, offer)
 }
 
+// deferredMachine finds room on a machine that fetches for production: the task waits for that, and
+// none is rented for it.
+func (s *search) deferredMachine() *Machine {
+	for _, m := range s.deferred {
+		if m.Free.Fits(s.need) && s.permitsMachine(m) {
+			return m
+		}
+	}
+	return nil
+}
+
+// stoppingMachine finds a machine that has room once what is stopping is gone.
+func (pl *planner) stoppingMachine(need Resources, ok func(*Machine) bool) *Machine {
+	for _, m := range pl.stoppingMachines {
+		if m.Free.AddScaled(m.stopping, 1).Fits(need) && ok(m) {
+			return m
+		}
+	}
+	return nil
+}
+
 // bootingMachine finds room on a machine that boots, the cheapest first, up to
 // what a task's share costs on one that would be rented.
 func (s *search) bootingMachine(most float64) *Machine {
@@ -69,22 +90,6 @@
 	return nil
 }
 
-// priceOffers reckons what a task costs on each offer that has come up since it was
-// last called.
-func (s *search) priceOffers() {
-	for o := len(s.costByOffer); o < len(s.planner.offers); o++ {
-		cost := math.Inf(1)
-		if t := s.planner.types[s.planner.offers[o].Type]; t != nil && s.permitsOffer(o) {
-			cost = s.planner.shareCost(s.job, t, s.planner.offers[o].Spot)
-		}
-		s.costByOffer, s.bootingCursor = append(s.costByOffer, cost), append(s.bootingCursor, 0)
-		if s.permitsOffer(o) {
-			at, _ := slices.BinarySearchFunc(s.offersByCost, cost, func(i int, c float64) int { return cmp.Or(cmp.Compare(s.costByOffer[i], c), -1) })
-			s.offersByCost = slices.Insert(s.offersByCost, at, o)
-		}
-	}
-}
-
 // soonestToFit holds the machine that will soonest have room for a task of a gang,
 // as its other tasks end; small tasks would take every gap before it.
 func (pl *planner) soonestToFit(need Resources, ok func(*Machine) bool) *Machine {
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -44,15 +44,6 @@
 	return out
 }
 
-func (a Resources) min(b Resources) Resources {
-	return Resources{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemoryGB, b.MemoryGB)}
-}
-
-// starved reports whether a job is to wait no longer where there is room.
-func (j *Job) starved() bool {
-	return j.StarvedFor >= starvationLimit && len(j.Waiting) > 0 && j.Active+j.RemoteTasks == 0 && !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
-}
-
 // admitStarved launches what has stood beside room for too long, in the order of jobs. Where tiers are set,
 // room that is not lent stays what it is.
 func (pl *planner) admitStarved(teams map[string]Team) {
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -6,10 +6,6 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// In a large fleet tasks end all the time, and what ends before a rented machine
-// would be up makes room sooner and for nothing. Work without an aim that this
-// would miss waits for that room rather than have more machines rented.
-
 // Room that comes free is counted by offer and by when, in steps of a few
 // seconds, from the owners' estimates. These are often wrong, which mostly
 // evens out over many tasks; a part is left out for that and for what does not
