--- a/internal/archive/verify.go
+++ b/internal/archive/verify.go
@@ -44,7 +44,7 @@
 	blocks int
 }
 
-// Verify reads a whole state and checks every invariant that docs/history.md
+// Verify reads a whole state and checks every invariant that docs/archive.md
 // names.
 func Verify(ctx context.Context, items []wire.KeyValue) Report {
 	v := &verifier{stages: map[string]wire.Stage{}, live: map[string]string{}, ended: newIDSet()}
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -194,7 +194,7 @@
 		if errors.Is(err, errPeerUnknown) {
 			level = slog.LevelInfo
 		}
-		k.Log.Log(ctx, level, "no part is claimed", "state", describeSharding(rec.Record.Text), "settings", describeSharding(want), "why", err, "do", "see docs/parts.md, To change the grouping")
+		k.Log.Log(ctx, level, "no part is claimed", "state", describeSharding(rec.Record.Text), "settings", describeSharding(want), "why", err, "do", "see docs/sharding.md, To change the grouping")
 	}
 	return cond, false
 }
