--- /dev/null
+++ b/internal/archive/block.go
@@ -0,0 +1,33 @@
+package archive
+
+import (
+	"fmt"
+
+	"amberdeal.example/amberdeal/internal/jobblock"
+	"amberdeal.example/amberdeal/internal/store"
+)
+
+// lastBlock ends the block that no other follows.
+const lastBlock = "~"
+
+// Block is a block of the history as it was read.
+type Block struct {
+	To      string // the first key that it does not cover
+	From    string // the first that it does
+	Version uint64 // 0 for one that is yet to be written
+	Record  jobblock.Record
+}
+
+func (b *Block) covers(key string) bool { return b.From <= key && key < b.To }
+
+// unpack decodes a block; one that was never written is empty.
+func (b *Block) unpack() (*jobblock.Block, error) {
+	if b.Version == 0 {
+		return &jobblock.Block{}, nil
+	}
+	blk, err := b.Record.Unpack()
+	if err != nil {
+		return nil, fmt.Errorf("%s%s: %w", store.ArchivePrefix, b.To, err)
+	}
+	return blk, nil
+}
--- /dev/null
+++ b/internal/archive/idset.go
@@ -0,0 +1,35 @@
+package archive
+
+import (
+	"strconv"
+	"strings"
+
+	"github.com/RoaringBitmap/roaring/v2/roaring64"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// idSet is a set of many ids: numbers in a compressed bitmap for each length.
+type idSet struct {
+	numbers map[int]*roaring64.Bitmap
+	texts   map[string]bool // of ids that are no numbers of 64 bits
+}
+
+func newIDSet() idSet { return idSet{map[int]*roaring64.Bitmap{}, map[string]bool{}} }
+
+// add reports whether an id is new.
+func (s idSet) add(id string) bool {
+	digits := strings.TrimPrefix(id, wire.JobPrefix)
+	n, err := strconv.ParseUint(digits, 10, 64)
+	if err != nil {
+		was := s.texts[id]
+		s.texts[id] = true
+		return !was
+	}
+	set := s.numbers[len(digits)]
+	if set == nil {
+		set = roaring64.New()
+		s.numbers[len(digits)] = set
+	}
+	return set.CheckedAdd(n)
+}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -7,8 +7,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math"
-	"math/rand/v2"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -18,23 +16,6 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What can become of a call.
-var (
-	// ErrRefused means that the call was not executed and never will be.
-	ErrRefused = errors.New("state service refused the call")
-	// ErrUnknownOutcome means that the call may have been executed, or may still be.
-	ErrUnknownOutcome = errors.New("state service gave no answer")
-	// ErrLeaseNotFound means that the lease has ended.
-	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted means that a watch begins before what the service remembers.
-	ErrCompacted = errors.New("revision too old")
-)
-
-// ConflictError names the keys whose versions were not as demanded.
-type ConflictError struct{ Failed []string }
-
-func (e *ConflictError) Error() string { return fmt.Sprintf("conflict on %q", e.Failed) }
-
 // Client calls the state service. Each controller takes its share of the
 // limits, which hold for all controllers together. Of the changes, whoever holds the fleet gets
 // half, by parts, and the rest is for acceptance, shared evenly or as package writers says.
@@ -50,27 +31,6 @@
 	calls        callCounters
 }
 
-// Allowance is what one controller may take of the limits, each part from 0 to 1.
-type Allowance struct {
-	Requests   float64 // of all requests
-	Acceptance float64 // of the changes that are for acceptance
-	Leading    float64 // of those that are for holding the fleet: the part of it that is held
-	HasLeader  bool    // whether anyone holds the fleet; otherwise all changes are for acceptance
-}
-
-// EvenAllowance is that of one of so many controllers while nobody holds the fleet.
-func EvenAllowance(controllers int) Allowance {
-	return Allowance{Requests: 1 / float64(controllers), Acceptance: 1 / float64(controllers)}
-}
-
-// writeShare is the part of all changes that an allowance comes to.
-func (a Allowance) writeShare() float64 {
-	if !a.HasLeader && a.Leading == 0 {
-		return a.Acceptance
-	}
-	return a.Acceptance/2 + a.Leading/2
-}
-
 // maxResponseBytes bounds an answer: a page of keys takes half a MiB, and where changes take more than
 // this the keys are read in less.
 const maxResponseBytes = 8 << 20
@@ -83,40 +43,6 @@
 	return c
 }
 
-func setRate(l *rate.Limiter, r float64) {
-	if l.Limit() != rate.Limit(r) {
-		l.SetLimit(rate.Limit(r))
-		l.SetBurst(max(1, int(r)))
-	}
-}
-
-// Allow sets what this controller may take of the limits.
-func (c *Client) Allow(a Allowance) {
-	setRate(c.readLimiter, c.rps*a.Requests)
-	setRate(c.writeLimiter, c.writeRPS*a.writeShare())
-}
-
-// LeaderBurst is how many changes the holder of one of so many parts, with a share of acceptance,
-// may surely make at once: what is more is refused as long as the others spend theirs. A limit of 0
-// stands for none.
-func LeaderBurst(writeRPS, acceptance float64, parts int) int {
-	if writeRPS == 0 {
-		return math.MaxInt
-	}
-	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(parts), HasLeader: true}
-	return max(minBurst, int(writeRPS*share.writeShare()))
-}
-
-// minBurst is what a round has to have room for: a slot of the ledger, one that is added or
-// dropped, and homes in which jobs end.
-const minBurst = 4
-
-// MinInterval is the least time between two requests of one kind that may take a part
-// of this controller's share of the requests.
-func (c *Client) MinInterval(part float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(0.1, part*float64(c.readLimiter.Limit())))
-}
-
 // callTimeout bounds an ordinary call. Answers mostly come within 10 ms, but a
 // service that takes 2 s for each must still be of use: giving up sooner makes
 // an outage of its slowness.
@@ -280,42 +206,3 @@
 	_, err := c.call(ctx, "DELETE", wire.LeasePath(lease), nil, callTimeout)
 	return err
 }
-
-// minBackgroundShare is the part of a controller's share that is left to what can wait, however much else
-// there is: it is to go on, if slowly, in a flood that takes all the rest for minutes.
-const minBackgroundShare = 1. / 8
-
-// WaitForSpareWrites waits until n changes can be made and half of this controller's share
-// is left to others: what can wait goes last, but not without an end.
-func (c *Client) WaitForSpareWrites(ctx context.Context, n int) error {
-	for begun := time.Now(); ; {
-		burst := float64(c.writeLimiter.Burst())
-		if need := min(float64(n)+burst/2, burst); c.writeLimiter.Tokens() >= need {
-			return nil
-		}
-		if time.Since(begun).Seconds()*float64(c.writeLimiter.Limit())*minBackgroundShare >= float64(n) {
-			return nil
-		}
-		t := time.NewTimer(100 * time.Millisecond)
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return ctx.Err()
-		case <-t.C:
-		}
-	}
-}
-
-// WriteBurst is how many changes this controller may make at once.
-func (c *Client) WriteBurst() int { return c.writeLimiter.Burst() }
-
-// Backoff is a jittered back-off after a call that failed.
-func Backoff(ctx context.Context, d time.Duration) {
-	d = d/2 + time.Duration(rand.Int64N(int64(d)))
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	}
-}
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"io"
 	"log/slog"
 	"net"
@@ -8,8 +9,6 @@
 	"testing/synctest"
 	"time"
 
-	"context"
-
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
--- a/internal/store/lookup.go
+++ b/internal/store/lookup.go
@@ -3,45 +3,10 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Job looks a job up; its description is there only while it is live. One that
-// is not known may stand in the history.
-func (v *View) Job(id string) (rec JobRecord, known bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if l, ok := v.liveJobs[id]; ok {
-		return l.Record, true
-	}
-	if rec, ok := v.endedJobs[id]; ok {
-		return *rec, true
-	}
-	if e, ok := v.recentEntry(id); ok {
-		return JobRecord{Stage: e.Stage, Tasks: e.Tasks}, true
-	}
-	return JobRecord{}, false
-}
-
-// Live looks a job up that is not over.
-func (v *View) Live(id string) (*LiveJob, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l, ok := v.liveJobs[id]
-	return l, ok
-}
-
-// Compacted reports whether a job is over and was folded: no task of it can be
-// anywhere any more.
-func (v *View) Compacted(id string) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	key, _ := v.unreadableRecordFor(id)
-	return len(v.batchesOf[id]) == 0 && key == ""
-}
-
 // UnreadableRecordFor names a record that was not understood and that may hold the job: as
 // long as there is one, nobody can say that the job is not known.
 func (v *View) UnreadableRecordFor(id string) (key string, err error) {
@@ -95,66 +60,6 @@
 	return v.fencingToken.Version == 0 && len(v.batches) == 0 && len(v.unreadable) == 0
 }
 
-// EndedBatches lists homes of which every job is over, the oldest first: at most so many
-// of those that fit.
-func (v *View) EndedBatches(limit int, accept func(*Batch) bool) []*Batch {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	var out []*Batch
-	v.endedBatches.Scan(func(h *Batch) bool {
-		if accept(h) {
-			out = append(out, h)
-		}
-		return len(out) < limit
-	})
-	return out
-}
-
-// RecentBlocks lists the recent blocks in order of their slots.
-func (v *View) RecentBlocks() []RecentBlock {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.SortedFunc(maps.Values(v.recentBlocks), func(a, b RecentBlock) int { return a.Index - b.Index })
-}
-
-// Size tells how much the view holds: jobs that are live, jobs that are over and
-// have a home, homes, and jobs in recent blocks.
-func (v *View) Size() (live, ended, batches, recent int) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, r := range v.recentBlocks {
-		if r.Block != nil {
-			recent += r.Block.Len()
-		}
-	}
-	return len(v.liveJobs), len(v.endedJobs), len(v.batches), recent
-}
-
-// Uncompacted reports whether there are homes of which every job is over.
-func (v *View) Uncompacted() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.endedBatches.Len() > 0
-}
-
-// OldestEnd is when the first of the jobs ended that wait to be folded.
-func (v *View) OldestEnd() time.Time {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	var at int64
-	if h, ok := v.endedBatches.Min(); ok {
-		for _, m := range h.Jobs {
-			if e := m.Record.Ended; e > 0 && (at == 0 || e < at) {
-				at = e
-			}
-		}
-	}
-	if at == 0 {
-		return time.Time{}
-	}
-	return time.UnixMilli(at)
-}
-
 // Leader tells who holds a part.
 func (v *View) Leader(shard string) (Versioned[LeaderRecord], bool) {
 	v.mu.Lock()
--- a/internal/store/preemption.go
+++ b/internal/store/preemption.go
@@ -1,9 +1,6 @@
 package store
 
 import (
-	"slices"
-	"strings"
-
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -28,19 +25,3 @@
 }
 
 func preemptionKey(job, machine string) string { return preemptionPrefix + job + "/" + machine }
-
-func (rec *RecoveredState) applyPreemption(key, rest string, raw wire.Raw, null bool) Entry {
-	job, machine, _ := strings.Cut(rest, "/")
-	c := rec.Preemptions[job]
-	if c == nil {
-		c = &tier.Preemption{}
-		rec.Preemptions[job] = c
-	}
-	c.Reservations = slices.DeleteFunc(c.Reservations, func(r tier.Reservation) bool { return r.Machine == machine })
-	var r tier.Reservation
-	if null || wire.DecodeValue(raw, &r) != nil || r.Machine != machine {
-		return Entry{Key: key}
-	}
-	c.Reservations = append(c.Reservations, r)
-	return PreemptionEntry(job, r)
-}
--- a/internal/store/shardledgers.go
+++ b/internal/store/shardledgers.go
@@ -142,3 +142,14 @@
 	defer v.mu.Unlock()
 	return v.newestSegment(LedgerName(shard, v.sharding.Record.Generation)).DrainedThrough
 }
+
+// ShardLedgers is what is known of a part: its own ledger, by its name, and those of earlier
+// groupings. Carried says that the own one has taken over all that is of use to the part
+// in the others but for whose the tasks are.
+type ShardLedgers struct {
+	Name       string
+	Generation uint64 // of the grouping
+	Own        []Segment
+	Previous   []Segment
+	Migrated   bool
+}
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -2,17 +2,13 @@
 
 import (
 	"cmp"
-	"fmt"
 	"log/slog"
-	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/tidwall/btree"
 
-	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/wire"
 )
 
@@ -22,14 +18,6 @@
 	Version uint64
 }
 
-// LiveJob is a job that is neither done nor cancelled. Since is the revision
-// from which on it is known.
-type LiveJob struct {
-	Record        JobRecord
-	Batch         *Batch
-	SinceRevision uint64
-}
-
 // Snapshot is a copy of what a holder decides on. Its maps are its own; what
 // they point to is never changed.
 type Snapshot struct {
@@ -40,14 +28,6 @@
 	Sharding    Versioned[ShardingRecord]
 }
 
-// RecentBlock is a block of jobs that are over and on their way into the history.
-type RecentBlock struct {
-	Index   int
-	Version uint64
-	Block   *jobblock.Block // nil where it was not understood
-	Bytes   int
-}
-
 // ArchiveObserver is told what becomes of the blocks of the history.
 type ArchiveObserver interface {
 	// BlockChanged tells a block's new value, Reset that changes were missed.
@@ -279,133 +259,6 @@
 	}
 }
 
-// putBatch takes in a home's newest value.
-func (v *View) putBatch(h *Batch) {
-	old := v.batches[h.Key]
-	if old != nil && old.Version >= h.Version {
-		return // taken in ahead of the watch
-	}
-	v.batches[h.Key] = h
-	if old != nil {
-		v.detach(old)
-	}
-	for _, m := range h.Jobs {
-		v.batchesOf[m.ID] = append(v.batchesOf[m.ID], h)
-	}
-	v.refresh(h)
-	if old != nil {
-		v.refresh(old)
-	}
-	v.refreshEnded(h)
-}
-
-// detach takes a home from the jobs that it held.
-func (v *View) detach(h *Batch) {
-	v.endedBatches.Delete(h)
-	for _, m := range h.Jobs {
-		v.batchesOf[m.ID] = slices.DeleteFunc(v.batchesOf[m.ID], func(o *Batch) bool { return o == h })
-		if len(v.batchesOf[m.ID]) == 0 {
-			delete(v.batchesOf, m.ID)
-		}
-	}
-}
-
-// refresh finds out about all jobs of a home, and which of their other homes are
-// over by it.
-func (v *View) refresh(h *Batch) {
-	for _, m := range h.Jobs {
-		v.refreshJob(m.ID)
-	}
-	for _, m := range h.Jobs {
-		for _, other := range v.batchesOf[m.ID] {
-			if other != h {
-				v.refreshEnded(other)
-			}
-		}
-	}
-}
-
-// refreshEnded notes whether every job of a home is over.
-func (v *View) refreshEnded(h *Batch) {
-	for _, m := range h.Jobs {
-		if v.liveJobs[m.ID] != nil {
-			v.endedBatches.Delete(h)
-			return
-		}
-	}
-	v.endedBatches.Set(h)
-}
-
-// refreshJob finds out what a job's homes and the recent blocks say of it. The
-// same job may be in several batches: the first revision that holds it is its
-// beginning, and an end anywhere is its end.
-func (v *View) refreshJob(id string) {
-	delete(v.liveJobs, id)
-	delete(v.endedJobs, id)
-	if len(v.batchesOf[id]) == 0 {
-		return
-	}
-	// What was folded came first: an end that comes late changes nothing.
-	e, compacted := v.recentEntry(id)
-	if compacted {
-		v.endedJobs[id] = &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
-	}
-	var batch *Batch
-	since := uint64(0)
-	for _, h := range v.batchesOf[id] {
-		rec := h.job(id)
-		if !compacted && (rec.Stage.Final() || rec.Job == nil) {
-			v.endedJobs[id] = rec
-		}
-		if since == 0 || h.SinceRevision < since {
-			since = h.SinceRevision
-		}
-		// A key of its own goes before a batch, as it did in version 1.
-		if batch == nil || h.standalone && !batch.standalone || h.standalone == batch.standalone && h.SinceRevision < batch.SinceRevision {
-			batch = h
-		}
-	}
-	if _, over := v.endedJobs[id]; !over {
-		v.liveJobs[id] = &LiveJob{*batch.job(id), batch, since}
-	}
-}
-
-func (v *View) recentEntry(id string) (jobblock.Entry, bool) {
-	for _, r := range v.recentBlocks {
-		if r.Block != nil {
-			if e, ok := r.Block.Find(id); ok {
-				return e, true
-			}
-		}
-	}
-	return jobblock.Entry{}, false
-}
-
-func (v *View) putRecentBlock(key, name string, raw wire.Raw, version uint64) {
-	index, err := strconv.Atoi(name)
-	if err != nil || index < 0 {
-		v.markUnreadable(key, fmt.Errorf("%q is not a slot", name))
-		return
-	}
-	r := RecentBlock{Index: index, Version: version}
-	if rec, ok := decodeRecord[jobblock.Record](v, key, raw); ok {
-		if r.Block, err = rec.Unpack(); err != nil {
-			v.markUnreadable(key, err)
-		}
-		r.Bytes = rec.Bytes()
-	}
-	v.recentBlocks[index] = r
-	if r.Block == nil {
-		return
-	}
-	for _, e := range r.Block.Entries() { // a home may still call it live
-		for _, h := range v.batchesOf[e.ID] {
-			v.refreshJob(e.ID)
-			v.refreshEnded(h)
-		}
-	}
-}
-
 func (v *View) drop(key string) {
 	delete(v.unreadable, key)
 	switch {
