--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -11,35 +11,37 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Checker watches the rules of the protocol from the outside: it sees what
-// the workers do and what users are told, and nothing of the controllers.
+// Checker verifies the rules of the protocol from the outside: from what machines execute and what
+// users are answered, without knowledge of the controllers' state. It is the Fixture of a
+// simulation's machines.
 type Checker struct {
-	CancelWithin time.Duration      // within which a cancelled job's tasks must be gone
-	GPULimits    map[string]float64 // of GPUs, by team
-	Liveness     LivenessChecker    // whether what was accepted stays known
-	Submissions  SubmissionRules    // by which submissions are judged; none are where it is empty
-	Launches     LaunchChecker      // what is started though its user was told that it is cancelled
-	Starvation   StarvationChecker  // whether jobs wait while there is room
+	CancelWithin time.Duration      // after which a cancelled job may have no task left
+	GPULimits    map[string]float64 // by team
+	Liveness     LivenessChecker    // whether accepted jobs remain known
+	Submissions  SubmissionRules    // by which submissions are judged, if set
+	Launches     LaunchChecker      // launches after their user was told that the job is cancelled
+	Starvation   StarvationChecker  // jobs that wait while capacity is free
 
 	mu              sync.Mutex
 	submitted       map[string]*wire.Job
 	runTimes        map[string]time.Duration
-	taskRunTimes    map[string][]time.Duration        // of tasks of their own run times
+	taskRunTimes    map[string][]time.Duration        // of jobs whose tasks differ
 	placements      map[wire.TaskID]map[string]string // machine to zone
-	startedAt       map[wire.TaskID]time.Time         // when each was last started
+	startedAt       map[wire.TaskID]time.Time         // the last start
 	finished        map[wire.TaskID]bool
 	lastStage       map[string]wire.Stage
 	cancelled       map[string]time.Time // when the user was told
 	usedGPUs        map[string]float64
 	answers         map[string]*answerOrder
-	cancelRequested map[string]bool // users who have asked to cancel and were answered something
-	valid           map[string]bool // submissions that must be accepted
+	cancelRequested map[string]bool // jobs with an answered request to cancel them
+	valid           map[string]bool // submissions that have to be accepted
 	violations      []string
 	Started         int
-	Stopped         int // tasks that went before they had completed
+	Stopped         int // tasks that were stopped before their completion
 }
 
-// NewChecker gives a checker that has seen nothing.
+// NewChecker returns a checker without observations. cancel is the time within which a cancelled
+// job has to be gone; limits are GPUs by team.
 func NewChecker(cancel time.Duration, limits map[string]float64) *Checker {
 	return &Checker{CancelWithin: cancel, GPULimits: limits, submitted: map[string]*wire.Job{}, runTimes: map[string]time.Duration{}, taskRunTimes: map[string][]time.Duration{},
 		placements: map[wire.TaskID]map[string]string{}, finished: map[wire.TaskID]bool{}, lastStage: map[string]wire.Stage{},
@@ -47,11 +49,12 @@
 		startedAt: map[wire.TaskID]time.Time{}, answers: map[string]*answerOrder{}}
 }
 
+// violate records a violation of a rule.
 func (c *Checker) violate(rule, format string, args ...any) {
 	c.violations = append(c.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations lists the rules that were broken, each with what broke it.
+// Violations lists the violated rules, each with the observation that violates it.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,27 +64,29 @@
 	return slices.Concat(c.violations, c.Launches.Violations(), c.Starvation.Violations(), c.Liveness.Violations())
 }
 
+// checkCancelled records a violation if a task still runs too long after its cancellation.
 func (c *Checker) checkCancelled(t wire.TaskID, where map[string]string) {
 	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.CancelWithin {
 		c.violate("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
 	}
 }
 
-// Submitted tells that a user submits a job whose tasks run for a time.
+// Submitted is called when a user submits a job, with the run time of its tasks.
 func (c *Checker) Submitted(j *wire.Job, run time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.submitted[j.ID], c.runTimes[j.ID] = j, run
 }
 
-// SetTaskRunTimes gives each task of a job, which is yet to be submitted, a run time of its own.
+// SetTaskRunTimes sets the run time of each task of a job that is yet to be submitted.
 func (c *Checker) SetTaskRunTimes(job string, run ...time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.taskRunTimes[job] = run
 }
 
-// TaskStarted tells that a task starts on a machine, and gives its run time.
+// TaskStarted implements Fixture: it checks a start against every rule and returns the task's run
+// time.
 func (c *Checker) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,6 +120,7 @@
 	return c.runs(t), true
 }
 
+// runs returns a task's run time.
 func (c *Checker) runs(t wire.TaskID) time.Duration {
 	if each := c.taskRunTimes[t.Job]; len(each) > 0 {
 		return each[t.Index%len(each)]
@@ -122,8 +128,7 @@
 	return c.runTimes[t.Job]
 }
 
-// LongRunning names up to so many jobs that run and have longest to go, at least some time, with the
-// machines that they are on.
+// LongRunning returns up to n jobs whose tasks still have at least that long to run.
 func (c *Checker) LongRunning(n int, least time.Duration) (jobs, machines []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,7 +162,7 @@
 	return j != nil
 }
 
-// checkZones checks where the tasks of a job are when one more starts.
+// checkZones verifies the zone constraints of a job's running tasks.
 func (c *Checker) checkZones(j *wire.Job, t wire.TaskID) {
 	in := map[string]int{}
 	for i := range j.Tasks {
@@ -173,7 +178,7 @@
 	}
 }
 
-// Describe gives the description of a job that a user has submitted.
+// Describe implements Fixture.
 func (c *Checker) Describe(job string) (*wire.Job, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,14 +186,14 @@
 	return j, j != nil
 }
 
-// Jobs names the jobs that users have submitted, in order.
+// Jobs lists the submitted jobs.
 func (c *Checker) Jobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.submitted))
 }
 
-// TaskStopped tells that a task is no longer on a machine.
+// TaskStopped implements Fixture.
 func (c *Checker) TaskStopped(t wire.TaskID, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +207,7 @@
 	}
 }
 
-// TaskCompleted tells that a task has completed.
+// TaskCompleted implements Fixture.
 func (c *Checker) TaskCompleted(t wire.TaskID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,21 +219,22 @@
 	}
 }
 
-// ObserveAnswer tells what a user was answered about a job: a status, and on success
-// the stage. asked says whether the user had asked to cancel it.
+// ObserveAnswer is called with each answer to a user, whose request and answer are taken to have
+// no duration. cancelRequested says that this user has asked to cancel the job.
 func (c *Checker) ObserveAnswer(id string, status int, stage wire.Stage, asked bool) {
 	now := time.Now()
 	c.ObserveAnswerAt(id, status, stage, asked, now, now)
 }
 
-// answerOrder is when users were told what of a job, by one clock.
+// answerOrder keeps the times by which answers about a job were given, to recognise answers that
+// contradict earlier ones.
 type answerOrder struct {
 	accepted, final time.Time // the answer that said so first
 	open            time.Time // the last question that was answered otherwise
 }
 
-// ObserveAnswerAt tells when the question was sent and the answer was there, by the clock of the users: of
-// two that overlap either may be the older one, in whatever order they are told.
+// ObserveAnswerAt is ObserveAnswer with the times at which the request was sent and answered:
+// answers to overlapping requests may contradict each other.
 func (c *Checker) ObserveAnswerAt(id string, status int, stage wire.Stage, asked bool, sent, back time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -275,7 +281,7 @@
 	c.lastStage[id] = stage
 }
 
-// Counts tells how many tasks are on machines, and how many were started.
+// Counts returns how many tasks run and have started.
 func (c *Checker) Counts() (running, started int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,7 +291,7 @@
 	return running, c.Started
 }
 
-// Running counts the tasks of a job that are somewhere.
+// Running returns the running tasks of a job.
 func (c *Checker) Running(job string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,7 +303,7 @@
 	return n
 }
 
-// Replicas tells how many tasks of a class are on machines, in each zone.
+// Replicas counts the running tasks of services of a class.
 func (c *Checker) Replicas(class string) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -312,8 +318,7 @@
 	return in
 }
 
-// OpenJobs names the jobs whose users were not told that they are over, with what they were
-// told.
+// OpenJobs lists the jobs without a final answer.
 func (c *Checker) OpenJobs() (jobs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -326,7 +331,7 @@
 	return jobs
 }
 
-// Stage is what the user of a job was last told.
+// Stage returns the last stage that was answered for a job.
 func (c *Checker) Stage(id string) wire.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -16,16 +16,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Cloud is a stand-in of the cloud: it starts workers after their boot time.
+// Cloud imitates the cloud provider: it starts machines after their boot time, and lists and
+// deletes them.
 type Cloud struct {
 	Types           []wire.MachineType
-	Capacity        int                // of machines, in each zone
-	CapacityByOffer map[Offer]int      // of each type, zone and kind instead, if it is set
-	RPS             float64            // with bursts of two seconds' worth; 0 stands for none
-	ListLag         time.Duration      // of lists
-	BootTime        time.Duration      // 0 stands for what each type says
-	Subnet          string             // of the machines, 10.1.0. if it is empty
-	AddrOf          func(n int) string // gives the address of the n-th machine instead, if it is set
+	Capacity        int                // machines in each zone
+	CapacityByOffer map[Offer]int      // if set, replaces Capacity
+	RPS             float64            // with bursts of two seconds' worth; 0 for no limit
+	ListLag         time.Duration      // by which lists may be out of date
+	BootTime        time.Duration      // 0 for the boot time of the machine type
+	Subnet          string             // of the machines; 10.1.0. if it is empty
+	AddrOf          func(n int) string // if set, returns the address of the n-th machine
 	Rand            *rand.Rand
 	Start           func(id, addr, typ, zone string, spot bool) Machine
 	Faults          CloudFaults
@@ -35,40 +36,41 @@
 	machines          map[string]*instance
 	idempotentAnswers map[string][]string
 	rps               *rate.Limiter
-	pastCost          float64 // price times hours, of machines that are gone
+	pastCost          float64 // of the machines that were deleted
 }
 
-// Offer is what can be rented.
+// Offer is a kind of machine that can be rented.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// CloudFaults is what goes wrong in a cloud.
+// CloudFaults are the faults of a cloud.
 type CloudFaults struct {
 	Unavailable          bool          // every call is answered 503
-	BootFactor           float64       // times the boot time; 0 stands for 1
-	NeverBootShare       float64       // share of the machines that never come up
-	MissingCapacityShare float64       // share of the capacity that is not to be had
-	RentDelay            time.Duration // by which rentals are carried out late, without an answer
+	BootFactor           float64       // multiple of the boot time; 0 stands for 1
+	NeverBootShare       float64       // share of machines that never come up
+	MissingCapacityShare float64       // share of the capacity that is not available
+	RentDelay            time.Duration // machines are rented this much later, without an answer
 }
 
 // Machine is what runs on a rented machine.
 type Machine interface {
-	// Kill ends the machine with all that is on it.
+	// Kill ends the machine with everything on it.
 	Kill()
 }
 
+// instance is a rented machine.
 type instance struct {
 	wire.ListedMachine
 	worker      Machine
 	rentedAt    time.Time
 	deletedAt   time.Time
 	crashedAt   time.Time // when it stopped on its own
-	hourlyPrice float64   // an hour
+	hourlyPrice float64
 }
 
-// Serve answers the protocol of the cloud.
+// Serve implements the protocol of the cloud.
 func (c *Cloud) Serve() transport.ServeConn {
 	c.mu.Lock()
 	if c.machines == nil {
@@ -121,6 +123,7 @@
 	})
 }
 
+// typeOf returns a machine type by name, or nil.
 func (c *Cloud) typeOf(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// freeCapacity tells how many more machines of an offer there are.
+// freeCapacity returns how many more machines of an offer are available.
 func (c *Cloud) freeCapacity(o Offer) int {
 	all := c.Capacity
 	if c.CapacityByOffer != nil {
@@ -145,6 +148,7 @@
 	return left
 }
 
+// rentMachines handles a request to rent machines; a repeated request gets the same answer.
 func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
 	if names, again := c.idempotentAnswers[r.RequestID]; again {
 		return 200, wire.MachineNames{Machines: names}
@@ -160,7 +164,7 @@
 	return 200, wire.MachineNames{Machines: names}
 }
 
-// startMachine rents a machine, which comes up after its boot time, or never.
+// startMachine rents one machine, which comes up after its boot time, or never.
 func (c *Cloud) startMachine(r wire.ScaleOutRequest) string {
 	c.next++
 	id, ip := fmt.Sprintf("n-%06d", c.next), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.next)
@@ -189,6 +193,7 @@
 	return id
 }
 
+// remove deletes a machine and ends what runs on it.
 func (c *Cloud) remove(id string) {
 	if m := c.machines[id]; m != nil && m.deletedAt.IsZero() {
 		m.deletedAt = time.Now()
@@ -199,7 +204,7 @@
 	}
 }
 
-// cost is what a machine has cost by some time: it is charged for a minute at least.
+// cost returns what a machine has cost by a point in time; at least a minute is charged.
 func (m *instance) cost(by time.Time) float64 {
 	if !m.crashedAt.IsZero() {
 		by = m.crashedAt
@@ -207,7 +212,7 @@
 	return m.hourlyPrice * max(by.Sub(m.rentedAt), time.Minute).Hours()
 }
 
-// Cost tells what all machines have cost so far, and how many are rented.
+// Cost returns what all machines have cost so far, and how many are rented.
 func (c *Cloud) Cost() (cost float64, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,17 +226,17 @@
 	return cost, machines
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults changes the injected faults.
 func (c *Cloud) SetFaults(change func(*CloudFaults)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change(&c.Faults)
 }
 
-// crashedListingTime is how long a machine that has died is listed as running.
+// crashedListingTime is how long a crashed machine is still listed as running.
 const crashedListingTime = 30 * time.Second
 
-// EachRunning gives the machines that are up, in order, with what they are.
+// EachRunning calls a function for each machine that is up, in order of their ids.
 func (c *Cloud) EachRunning(do func(m wire.ListedMachine, w Machine)) {
 	c.mu.Lock()
 	all := c.running()
@@ -241,7 +246,7 @@
 	}
 }
 
-// Crash ends a machine on its own: it stays listed.
+// Crash ends a machine on its own; it remains listed.
 func (c *Cloud) Crash(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,7 +263,7 @@
 	})
 }
 
-// Preempt has a spot machine go after a notice, or at once.
+// Preempt takes a spot machine back, after a notice or at once.
 func (c *Cloud) Preempt(id string, notice time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,7 +281,7 @@
 	})
 }
 
-// RemoveNth removes the n-th machine that is up, as when a spot machine is taken.
+// RemoveNth takes the n-th running machine back without a notice.
 func (c *Cloud) RemoveNth(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,7 +290,7 @@
 	}
 }
 
-// ZoneOf tells the zone of the machine at an address.
+// ZoneOf returns the zone of the machine at an address.
 func (c *Cloud) ZoneOf(addr string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,7 +302,7 @@
 	return ""
 }
 
-// AddrOfNth gives the address of the n-th machine that is up.
+// AddrOfNth returns the address of the n-th running machine.
 func (c *Cloud) AddrOfNth(n int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -307,13 +312,14 @@
 	return ""
 }
 
-// CountRunning tells how many machines are up.
+// CountRunning returns how many machines are up.
 func (c *Cloud) CountRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running())
 }
 
+// running returns the machines that are up. The lock is held.
 func (c *Cloud) running() []*instance {
 	var out []*instance
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
@@ -324,8 +330,8 @@
 	return out
 }
 
-// list shows a moment between twice the lag and now, a different one each time, from a
-// machine on.
+// list returns a page of machines as they were at some time within twice the list lag, a different
+// one on each call.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
 	at := time.Now().Add(-time.Duration(c.Rand.Int64N(int64(2*c.ListLag) + 1)))
 	out := wire.MachineList{Machines: []wire.ListedMachine{}}
@@ -345,7 +351,7 @@
 	return out
 }
 
-// Stop ends all workers.
+// Stop ends all machines.
 func (c *Cloud) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -10,40 +10,41 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// LaunchChecker counts what is started though its user was told that its job is cancelled. "From then
-// on, no task of the job may be started", but "start commands still in flight" get cancel_s: so
-// a start of what was sent before is counted and no more, and what is *sent* afterwards is a fault
-// of the controllers, once all troubles are over: while they last a holder that the state service
-// doesn't reach learns of it from nobody. It is pure: times and events come in.
+// LaunchChecker counts tasks that start although their user was already told that the job is
+// cancelled. The protocol says "From then on, no task of the job may be started", but allows
+// "start commands still in flight" until cancel_s: a start whose command was sent before is only
+// counted, while a command *sent* afterwards is a violation once no fault is active (while there
+// are faults, a leader without access to the state service cannot learn of the cancellation). It
+// does no I/O: times and events are passed in.
 type LaunchChecker struct {
 	mu           sync.Mutex
 	cancelled    map[string]time.Time
-	firstSent    map[launchKey]time.Time   // first
+	firstSent    map[launchKey]time.Time
 	newestSent   map[wire.TaskID]time.Time // when the newest attempt was first sent
-	quietSince   time.Time                 // since when all troubles are; zero while there are some
-	lateLaunches []string                  // launches that were first sent after the answer
-	lateStarts   []string                  // starts after it
+	quietSince   time.Time                 // zero while there are faults
+	lateLaunches []string                  // commands first sent after the answer
+	lateStarts   []string                  // starts after the answer
 	violations   []string
 }
 
-// propagationDelay is for how long after the answer a launch may still be sent in quiet: whoever sends
-// it learns of the cancellation by a watch.
+// propagationDelay is how long after the answer a launch may still be sent without faults: its
+// sender learns of the cancellation by a watch.
 const propagationDelay = 2 * time.Second
 
-// launchKey is an attempt of a task.
+// launchKey identifies an attempt of a task.
 type launchKey struct {
 	task    wire.TaskID
 	attempt uint64
 }
 
-// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+// SetQuietSince sets since when no fault is active; a zero time means that there are faults.
 func (l *LaunchChecker) SetQuietSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quietSince = since
 }
 
-// Cancelled tells that a user was told that a job is cancelled.
+// Cancelled is called when a user was told that a job is cancelled.
 func (l *LaunchChecker) Cancelled(now time.Time, job string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,8 +56,8 @@
 	}
 }
 
-// InspectMessage looks for launches in a message as it leaves a host: one to a machine, or the answer to
-// its report.
+// InspectMessage looks for launches in a message as a host sends it: a direct call to a machine,
+// or the answer to its heartbeat.
 func (l *LaunchChecker) InspectMessage(now time.Time, from string, message []byte) {
 	if !bytes.Contains(message, []byte(wire.Launch)) {
 		return
@@ -75,7 +76,7 @@
 	}
 }
 
-// LaunchSent tells that a controller sends a launch, for the first time or again.
+// LaunchSent is called when a controller sends a launch, for the first time or again.
 func (l *LaunchChecker) LaunchSent(now time.Time, from string, task wire.TaskID, attempt uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +99,7 @@
 	}
 }
 
-// TaskStarted tells that a task starts.
+// TaskStarted is called when a task starts.
 func (l *LaunchChecker) TaskStarted(now time.Time, task wire.TaskID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// AfterCancellation lists the starts after an answer that the job is cancelled, and the launches that were
+// AfterCancellation lists the starts after a confirmed cancellation, and the launches that were
 // first sent after it.
 func (l *LaunchChecker) AfterCancellation() (starts, launches []string) {
 	l.mu.Lock()
@@ -119,7 +120,7 @@
 	return slices.Clone(l.lateStarts), slices.Clone(l.lateLaunches)
 }
 
-// Violations lists the launches that no controller had to send.
+// Violations lists the launches that should not have been sent.
 func (l *LaunchChecker) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -23,42 +23,42 @@
 	quietUnansweredLimit = 75 * time.Second
 )
 
-// LivenessChecker judges by the users' rules whether an accepted job was forgotten. It is pure: times,
-// answers, and since when all troubles are over come in.
+// LivenessChecker checks by the users' rules that accepted jobs remain known. It does no I/O:
+// times, answers and the end of all faults are passed in.
 type LivenessChecker struct {
-	// MaxPending bounds how long a job may be called pending once all troubles are over: what runs
-	// nowhere is known in vain. 0 stands for no bound.
+	// MaxPending bounds how long a job may be reported as pending once no fault is active: a job that
+	// never starts is as good as forgotten. 0 stands for no bound.
 	MaxPending time.Duration
 
 	mu          sync.Mutex
 	jobs        map[string]*trackedJob
-	recentPolls []pollCounts // of all questions, for as long as the first rule looks back
+	recentPolls []pollCounts // of all users, for as long as the first rule needs them
 	quietSince  time.Time
 	violations  []string
 }
 
 // trackedJob is a job that was accepted and not cancelled.
 type trackedJob struct {
-	lastAnswered time.Time   // last, or accepted
-	failedPolls  []time.Time // questions since then, as far back as the first rule looks
-	pendingSince time.Time   // since when it is called so; zero while it isn't
+	lastAnswered time.Time   // or accepted
+	failedPolls  []time.Time // since then, as far back as the first rule needs them
+	pendingSince time.Time   // since when it is reported as pending; zero while it is not
 	judged       bool
 }
 
-// pollCounts is what became of the questions of a second.
+// pollCounts counts the polls of one second.
 type pollCounts struct {
 	at              time.Time
 	asked, answered int
 }
 
-// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+// SetQuietSince sets since when no fault is active; a zero time means that there are faults.
 func (f *LivenessChecker) SetQuietSince(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.quietSince = since
 }
 
-// Accepted tells that a user was told that a job is accepted.
+// Accepted is called when a user was told that a job is accepted.
 func (f *LivenessChecker) Accepted(now time.Time, job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,15 +70,15 @@
 	}
 }
 
-// Cancelled tells that a job's user doesn't care for it any more.
+// Cancelled is called when a job's user no longer follows it.
 func (f *LivenessChecker) Cancelled(job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.jobs, job)
 }
 
-// ObserveAnswer takes in any answer to a user: cancels says that the user has asked to cancel the job,
-// poll that this was a question.
+// ObserveAnswer handles any answer to a user. cancels says that the user has asked to cancel the
+// job, poll that the request was a poll.
 func (f *LivenessChecker) ObserveAnswer(now time.Time, job string, status int, stage wire.Stage, cancels, poll bool) {
 	switch {
 	case cancels || stage == wire.Cancelled:
@@ -90,7 +90,7 @@
 	}
 }
 
-// ObservePoll tells what a question about a job was answered, with status 0 for nothing in time.
+// ObservePoll handles the answer to a poll, with status 0 if none came in time.
 func (f *LivenessChecker) ObservePoll(now time.Time, job string, status int, stage wire.Stage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// countPoll keeps what became of all questions.
+// countPoll adds a poll to the recent ones and drops those that no rule needs.
 func (f *LivenessChecker) countPoll(now time.Time, answered bool) {
 	if n := len(f.recentPolls); n == 0 || now.Sub(f.recentPolls[n-1].at) >= time.Second {
 		f.recentPolls = append(f.recentPolls, pollCounts{at: now})
@@ -132,6 +132,7 @@
 	f.recentPolls = slices.DeleteFunc(f.recentPolls, func(s pollCounts) bool { return now.Sub(s.at) > unansweredLimit })
 }
 
+// judge applies both rules to a job after an unanswered poll.
 func (f *LivenessChecker) judge(now time.Time, job string, k *trackedJob) {
 	if quiet := now.Sub(latest(k.lastAnswered, f.quietSince)); !f.quietSince.IsZero() && quiet >= quietUnansweredLimit {
 		f.violate(k, "no question about %s is answered for %v, and all troubles are over", job, quiet)
@@ -149,6 +150,7 @@
 	}
 }
 
+// violate records a violation, one for each job.
 func (f *LivenessChecker) violate(k *trackedJob, format string, args ...any) {
 	if !k.judged {
 		f.violations = append(f.violations, "forgotten: "+fmt.Sprintf(format, args...))
@@ -163,17 +165,14 @@
 	return a
 }
 
-// Violations lists the jobs that were forgotten, each once.
+// Violations lists the forgotten jobs.
 func (f *LivenessChecker) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
 }
 
-// Users ask about jobs as the platform's users do: each on a connection of its own, which a load
-// balancer has brought to a controller, and stays there until it breaks. The balancer takes the
-// controller with the fewest connections of those whose probes are answered, so that one that
-// answers nothing draws ever more of them.
+// Users poll jobs through a load balancer that removes failing controllers from rotation.
 type Users struct {
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
 	Nodes []string
@@ -183,7 +182,7 @@
 	nodes map[string]*backend
 }
 
-// backend is a controller as the balancer sees it.
+// backend is a controller as the load balancer sees it.
 type backend struct {
 	healthy, ever bool
 	probes        []bool // the last six
@@ -314,7 +313,7 @@
 	return nil, err
 }
 
-// Follow asks about a job, also when it is done, until it is cancelled or the context ends.
+// Follow polls a job until the context ends or the job is over.
 func (u *Users) Follow(ctx context.Context, job string) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.connect}
 	u.Judge.Accepted(time.Now(), job)
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -1,7 +1,9 @@
-// Package standin holds small stand-ins of everything that a controller talks
-// to: the network, the state service, the cloud and the workers, and a checker
-// of the protocol's rules that knows nothing of the controllers. They serve
-// tests, in one process and on any clock.
+// Package simulator imitates, in one process and on any clock, everything that a controller talks
+// to: the network (Network), the state service (StateService), the cloud provider (Cloud), the
+// machines and the tasks that run on them (Worker, TaskRuntime), and the users (Users). Checker
+// and the checkers that it holds verify the rules of the protocol from the outside, from what
+// machines and users observe, without any knowledge of the controllers' state. Tests and the
+// emulator use it.
 package simulator
 
 import (
@@ -22,19 +24,21 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// Network is a network of hosts, named by their IP addresses, in memory.
+// Network is an in-memory network of hosts that are named by their IP addresses. Every fault of a
+// network can be injected: cuts, asymmetric partitions, delays, duplicates, and hosts that pause
+// or refuse connections.
 type Network struct {
 	mu             sync.Mutex
 	listeners      map[string]listener
 	downHosts      map[string]bool
 	partitions     map[[2]string]bool
-	zones          map[string]string  // of hosts
-	isolatedZones  map[string]int     // how many cuts each zone is behind
-	dropped        map[[2]string]bool // packets one way
-	pausedUntil    map[string]time.Time
+	zones          map[string]string    // zone of each host
+	isolatedZones  map[string]int       // number of faults that isolate each zone
+	dropped        map[[2]string]bool   // from, to: packets in this direction are lost
+	pausedUntil    map[string]time.Time // hosts that make no progress until then
 	stepDelay      map[string]func() time.Duration
-	refuseInbound  map[string]bool // hosts that take no connection
-	refuseOutbound map[string]bool // hosts that get none out
+	refuseInbound  map[string]bool // hosts that accept no connection
+	refuseOutbound map[string]bool // hosts that can open no connection
 	conns          map[*conn]bool
 	duplicate      func(from, to string) time.Duration
 	observe        func(from string, p []byte)
@@ -44,12 +48,12 @@
 	incarnation *Incarnation
 	ctx         context.Context
 	serve       transport.ServeConn
-	conns       int // that may be open, 0 for any number
+	conns       int // limit on open connections, 0 for none
 	open        *int
 	screen      transport.Rejecter
 }
 
-// prefetchedConn is a connection of which the first bytes were read ahead.
+// prefetchedConn is a connection whose first bytes were already read in order to screen them.
 type prefetchedConn struct {
 	net.Conn
 	bytes []byte
@@ -64,7 +68,7 @@
 	return f.Conn.Read(p)
 }
 
-// serveFirst serves a connection unless its peer is turned away by its first bytes.
+// serveFirst serves a connection unless the listener's screen rejects it on its first bytes.
 func (l *listener) serveFirst(in net.Conn) {
 	if l.screen != nil {
 		b := make([]byte, 4096)
@@ -87,27 +91,27 @@
 	from, to    string
 	local, peer string
 	net         *Network
-	addr        string       // that was dialled
-	incarnation *Incarnation // of the end's host
+	addr        string       // the address that was dialled
+	incarnation *Incarnation // of the host at this end
 	other       *conn
-	held        *heldBytes // under the network's lock
+	held        *heldBytes // bytes that are delayed; guarded by the network's lock
 }
 
-// heldBytes is what the network keeps of what was sent on a connection.
+// heldBytes holds what was sent on a connection while its delivery is delayed.
 type heldBytes struct {
 	bytes  []byte
-	closed bool // the sender has given up
+	closed bool // the sender has closed its end
 }
 
-// Read gives what has come once the host gets round to it.
+// Read returns received bytes, after any pause or step delay of the host.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.net.waitForHost(c.local)
 	return n, err
 }
 
-// Write sends once the host gets round to it. What is lost on its way seems sent, and so does
-// what the network holds.
+// Write sends bytes, after any pause or step delay of the host. Writes that are dropped or delayed
+// succeed from the sender's point of view.
 func (c *conn) Write(p []byte) (int, error) {
 	c.net.mu.Lock()
 	watch := c.net.observe
@@ -138,8 +142,7 @@
 	return c.Conn.Write(p)
 }
 
-// redeliver has what a host sent arrive once more, on a connection of its own. Nobody reads the
-// answer.
+// redeliver sends a duplicate of a message on a connection of its own. The answer is discarded.
 func (n *Network) redeliver(from, addr string, p []byte, late time.Duration) {
 	time.AfterFunc(late, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -152,7 +155,7 @@
 	})
 }
 
-// deliver writes to a connection of which the sender is no longer there, and ends it.
+// deliver writes to a connection whose sender is gone, and closes it ten seconds later.
 func (c *conn) deliver(p []byte) {
 	_ = c.Conn.SetDeadline(time.Now().Add(10 * time.Second))
 	go func() { _, _ = io.Copy(io.Discard, c.Conn) }()
@@ -160,29 +163,29 @@
 	time.AfterFunc(10*time.Second, func() { c.Close() })
 }
 
-// Duplicate has some of what is sent to an address arrive again, so much later as the
-// function says, 0 for not.
+// Duplicate makes some messages arrive a second time: the function returns the delay of the
+// duplicate, or 0 for none.
 func (n *Network) Duplicate(late func(from, addr string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.duplicate = late
 }
 
-// Observe has somebody see whatever hosts send, at the moment at which they do so: what the network
-// then holds, delays or loses too.
+// Observe calls a function with every message as its host sends it, also if the network then
+// delays or drops it.
 func (n *Network) Observe(see func(from string, p []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.observe = see
 }
 
-// Hold keeps what a host sends from now on over the connections that it has, and delivers it
-// after a while, also if the host has gone and is back meanwhile.
+// Hold delays what a host sends from now on over its open connections by d. The bytes arrive even
+// if the host has terminated or restarted in the meantime.
 func (n *Network) Hold(host string, d time.Duration) {
 	n.HoldTo(host, func(string) bool { return true }, d)
 }
 
-// HoldTo does so with what it sends to some hosts.
+// HoldTo is Hold for the peers that the predicate selects.
 func (n *Network) HoldTo(host string, to func(peer string) bool, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -194,7 +197,8 @@
 	}
 }
 
-// release delivers what was held, and goes on as before unless the sender is gone.
+// release delivers what was held. The connection then continues normally unless the sender has
+// closed it.
 func (c *conn) release() {
 	for {
 		c.net.mu.Lock()
@@ -215,7 +219,7 @@
 	}
 }
 
-// waitForHost waits while a host stands still, and for as long as its steps take.
+// waitForHost blocks while a host is paused, and then for the host's step delay.
 func (n *Network) waitForHost(host string) {
 	n.mu.Lock()
 	still, slow := max(0, time.Until(n.pausedUntil[host])), n.stepDelay[host]
@@ -228,22 +232,24 @@
 	}
 }
 
-// Pause makes a host stand still for a while: what it reads, it reads late, and what it
-// writes or dials leaves late, as when a process gets no processor.
+// Pause suspends a host for d: what it reads, writes or dials is delayed, as in a process that
+// gets no CPU time.
 func (n *Network) Pause(host string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.pausedUntil[host] = time.Now().Add(d)
 }
 
-// SetStepDelay makes each step of a host take as long as it says; nil ends that.
+// SetStepDelay delays each read, write and dial of a host by the value of the function; nil
+// removes the delay.
 func (n *Network) SetStepDelay(host string, step func() time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stepDelay[host] = step
 }
 
-// RefuseInbound makes a host refuse every connection, and ends those that came in.
+// RefuseInbound makes a host refuse new connections and closes those that it has accepted, or ends
+// that.
 func (n *Network) RefuseInbound(host string, full bool) {
 	n.mu.Lock()
 	n.refuseInbound[host] = full
@@ -251,7 +257,8 @@
 	n.closeConns(func(c *conn) bool { return full && c.to == host })
 }
 
-// RefuseOutbound lets a host open no connection, and ends those that it has opened.
+// RefuseOutbound prevents a host from opening connections and closes those that it has opened, or
+// ends that.
 func (n *Network) RefuseOutbound(host string, mute bool) {
 	n.mu.Lock()
 	n.refuseOutbound[host] = mute
@@ -259,7 +266,8 @@
 	n.closeConns(func(c *conn) bool { return mute && c.from == host })
 }
 
-// DropOneWay loses what one host sends to another, and nothing the other way.
+// DropOneWay loses everything that one host sends to another, while the opposite direction works,
+// or ends that.
 func (n *Network) DropOneWay(from, to string, lose bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -278,7 +286,7 @@
 	return c.Conn.Close()
 }
 
-// stream gives the accepting end the bound on silence that the service sets.
+// stream adds the idle timeout that services set to the accepting end of a connection.
 type stream struct {
 	net.Conn
 	idle time.Duration
@@ -293,43 +301,45 @@
 	return s.Conn.Read(p)
 }
 
-// NewNetwork gives an empty network.
+// NewNetwork returns a network without hosts or faults.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]listener{}, downHosts: map[string]bool{}, partitions: map[[2]string]bool{}, zones: map[string]string{}, isolatedZones: map[string]int{},
 		dropped: map[[2]string]bool{}, pausedUntil: map[string]time.Time{}, stepDelay: map[string]func() time.Duration{},
 		refuseInbound: map[string]bool{}, refuseOutbound: map[string]bool{}, conns: map[*conn]bool{}}
 }
 
-// Host is the network as one host sees it.
+// Host is the network as one host sees it. It implements transport.Network.
 type Host struct {
 	net         *Network
 	name        string
 	incarnation *Incarnation
 }
 
-// Host gives the view of the host with an IP address.
+// Host returns the network as the host with this IP address sees it.
 func (n *Network) Host(ip string) Host { return Host{n, ip, nil} }
 
-// Incarnation is one run of a process on a host, which may have several, also at the same time.
+// Incarnation is one run of a process on a host. A host may have several, also at the same time.
 type Incarnation struct{ ended atomic.Bool }
 
-// StartIncarnation begins a life on a host.
+// StartIncarnation returns the network as a new incarnation of a process on a host sees it.
 func (n *Network) StartIncarnation(ip string) Host { return Host{n, ip, new(Incarnation)} }
 
-// End ends a host's life with its connections: it is not heard again, but for what is held.
+// End terminates the host's incarnation and its connections. Only bytes that the network holds
+// back may still arrive from it.
 func (h Host) End() {
 	h.incarnation.ended.Store(true)
 	h.net.closeConns(func(c *conn) bool { return c.incarnation == h.incarnation || c.other.incarnation == h.incarnation })
 }
 
-// Reset ends all connections of a host.
+// Reset closes all connections of a host.
 func (n *Network) Reset(host string) {
 	n.closeConns(func(c *conn) bool { return c.from == host || c.to == host })
 }
 
-// HostOf gives the host of an address.
+// HostOf returns the host part of an address.
 func HostOf(addr string) string { return strings.Split(addr, ":")[0] }
 
+// partitioned reports whether two hosts cannot exchange anything; the lock is held.
 func (n *Network) partitioned(a, b string) bool {
 	za, zb := n.zones[a], n.zones[b]
 	return n.downHosts[a] || n.downHosts[b] || n.partitions[[2]string{a, b}] || n.partitions[[2]string{b, a}] || za != zb && n.isolatedZones[za]+n.isolatedZones[zb] > 0
@@ -349,8 +359,8 @@
 	return nil
 }
 
-// Dial implements transport.Network. Behind a cut it hangs, as on a network
-// that swallows packets.
+// Dial implements transport.Network. Across a partition it blocks until the context ends, as on a
+// network that drops packets silently.
 func (h Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	c, err := h.dial(ctx, addr)
 	if err != nil {
@@ -393,12 +403,12 @@
 	return out, nil
 }
 
-// closeSevered closes every connection that is severed.
+// closeSevered closes every connection that crosses a partition, or all connections.
 func (n *Network) closeSevered(all bool) {
 	n.closeConns(func(c *conn) bool { return all || n.partitioned(c.from, c.to) })
 }
 
-// closeConns closes the connections that are picked.
+// closeConns closes the selected connections, except for those that still have bytes to deliver.
 func (n *Network) closeConns(pick func(*conn) bool) {
 	n.mu.Lock()
 	var gone []*conn
@@ -421,7 +431,7 @@
 	n.closeSevered(false)
 }
 
-// Partition severs two hosts, or joins them again.
+// Partition separates two hosts from each other, or reconnects them.
 func (n *Network) Partition(a, b string, cut bool) {
 	n.mu.Lock()
 	n.partitions[[2]string{a, b}] = cut
@@ -429,15 +439,15 @@
 	n.closeSevered(false)
 }
 
-// SetZone tells in which zone a host stands.
+// SetZone assigns a host to a zone.
 func (n *Network) SetZone(host, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[host] = zone
 }
 
-// IsolateZone severs all hosts of a zone from all others, also those that are placed there later, or
-// ends that.
+// IsolateZone separates all hosts of a zone, including those that are assigned to it later, from
+// all hosts of other zones, or ends that. Overlapping faults are counted.
 func (n *Network) IsolateZone(zone string, apart bool) {
 	n.mu.Lock()
 	if apart {
@@ -449,14 +459,15 @@
 	n.closeSevered(false)
 }
 
-// Close ends every connection.
+// Close closes every connection.
 func (n *Network) Close() { n.closeSevered(true) }
 
-// noAnswer is the status of a request that gets no answer, on a connection that stays open: its
-// caller learns nothing before it gives up.
+// noAnswer is the status of a request that is never answered while its connection stays open: the
+// caller learns nothing until it times out.
 const noAnswer = -1
 
-// serveHTTP serves requests with bodies and query parameters taken apart.
+// serveHTTP serves requests through a function that gets path, query parameters and body. Status 0
+// closes the connection without an answer.
 func serveHTTP(f func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
 	return func(_ context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
@@ -493,5 +504,5 @@
 	return v
 }
 
-// Address makes the address of a host's port.
+// Address joins an IP address and a port.
 func Address(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
--- a/internal/simulator/partition.go
+++ b/internal/simulator/partition.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Deaf has a machine hear nothing, or ends that: its reports arrive, and the answers to them and
-// what is sent straight to it are lost. Faults that meet each count.
+// Deaf starts or ends an asymmetric partition: the worker's heartbeats arrive, while answers and
+// direct calls to it are lost. Overlapping faults are counted.
 func (w *Worker) Deaf(deaf bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -24,13 +24,14 @@
 	}
 }
 
-// receivesInbound reports whether what comes in now is heard.
+// receivesInbound reports whether the worker receives anything at present.
 func (w *Worker) receivesInbound() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inboundFaults == 0
 }
 
+// dialLink opens a connection whose inbound direction follows the worker's faults.
 func (w *Worker) dialLink(ctx context.Context, addr string) (net.Conn, error) {
 	if w.outboundBlocked() {
 		<-ctx.Done()
@@ -47,8 +48,9 @@
 	return c, nil
 }
 
-// Mute has a machine reach no controller, or ends that: what it opens leads nowhere, and what
-// was open is gone. Calls to it get through. Faults that meet each count.
+// Mute starts or ends an asymmetric partition in which the worker can reach no controller: its
+// open connections are closed, new ones lead nowhere, and direct calls still arrive. Overlapping
+// faults are counted.
 func (w *Worker) Mute(mute bool) {
 	w.mu.Lock()
 	var gone []*dialedLink
@@ -66,14 +68,15 @@
 	}
 }
 
+// outboundBlocked reports whether the worker can reach no controller at present.
 func (w *Worker) outboundBlocked() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.outboundFaults > 0
 }
 
-// link is a machine's end of a connection, on which what comes while it is deaf is lost, with all
-// that follows: without it a stream makes no sense.
+// link is the machine's end of a connection. Once anything was lost on it everything that follows
+// is lost too, since a stream with a gap cannot be parsed.
 type link struct {
 	worker *Worker
 	lost   bool
@@ -88,7 +91,7 @@
 	}
 }
 
-// dialedLink and earIn are those of connections that the machine has opened, and that it took.
+// dialedLink is a connection that the machine has opened.
 type dialedLink struct {
 	net.Conn
 	link
@@ -103,6 +106,7 @@
 
 func (e *dialedLink) Read(p []byte) (int, error) { return e.read(e.Conn, p) }
 
+// acceptedLink is a connection that the machine has accepted.
 type acceptedLink struct {
 	transport.Stream
 	link
@@ -110,43 +114,43 @@
 
 func (e *acceptedLink) Read(p []byte) (int, error) { return e.read(e.Stream, p) }
 
-// HeartbeatReplayer has copies of some of the workers' reports arrive again: from 2 s to well over a lease
-// later, at the same controller or another, also when their machine is gone; or once a new leader
-// has acted, there. Nobody reads the answer.
+// HeartbeatReplayer delivers copies of some heartbeats a second time: two seconds to well over a
+// lease later, to the same or another controller, also if the machine is gone by then; or to the
+// next leader as soon as it acts. Answers are discarded.
 type HeartbeatReplayer struct {
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Controllers []string // addresses of the controllers
+	Controllers []string // their addresses
 	MaxDelay    time.Duration
 	Rand        *rand.Rand
 
 	mu                   sync.Mutex
 	share                float64
-	keepShare            float64 // share of which copies are kept for the next leader
-	delivered            int
-	deliveredToNewLeader int    // of them, those that were kept for a leader
-	token                uint64 // of the last leader that acted
+	keepShare            float64 // share of heartbeats whose copies are kept for the next leader
+	delivered            int     // number of copies
+	deliveredToNewLeader int     // number of those that were kept for a leader
+	token                uint64  // of the last leader that acted
 	kept                 []keptHeartbeat
 }
 
-// keptHeartbeat is a copy of a report whose worker had seen a term.
+// keptHeartbeat is a copy of a heartbeat with the fencing token that its worker had seen.
 type keptHeartbeat struct {
 	body  []byte
 	token uint64
 }
 
-// maxKept bounds the copies that are kept, the newest of them.
+// maxKept bounds the kept copies; the oldest are dropped.
 const maxKept = 2000
 
-// KeepForNextLeader sets of which share of the reports a copy is kept from now on until a new leader has
-// acted, apart from those that Share has come back.
+// KeepForNextLeader sets the share of heartbeats of which a copy is kept until a new leader acts,
+// independently of SetShare.
 func (e *HeartbeatReplayer) KeepForNextLeader(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.keepShare = share
 }
 
-// leaderAnswered tells that a worker has taken an answer of a controller with a term. The first of a new
-// leader has the copies of reports from before come to it.
+// leaderAnswered is called when a worker has accepted an answer. The first answer of a new leader
+// triggers the replay of heartbeats from before its term.
 func (e *HeartbeatReplayer) leaderAnswered(at string, term uint64) {
 	if e == nil {
 		return
@@ -168,31 +172,31 @@
 	e.kept = rest
 }
 
-// newLeaderDelay is how soon copies that were kept come to the next leader.
+// newLeaderDelay bounds how soon kept copies reach the next leader.
 const newLeaderDelay = 500 * time.Millisecond
 
-// SetShare sets of which share of the reports a copy is to arrive from now on.
+// SetShare sets the share of heartbeats that are replayed later.
 func (e *HeartbeatReplayer) SetShare(share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.share = share
 }
 
-// DeliveredToNewLeader tells how many were delivered to a leader that had just acted.
+// DeliveredToNewLeader returns how many copies reached a leader that had just started to act.
 func (e *HeartbeatReplayer) DeliveredToNewLeader() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.deliveredToNewLeader
 }
 
-// Delivered tells how many copies were delivered.
+// Delivered returns how many copies were delivered.
 func (e *HeartbeatReplayer) Delivered() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.delivered
 }
 
-// heartbeatSent takes in a report that goes to a controller.
+// heartbeatSent is called with each heartbeat that a worker sends.
 func (e *HeartbeatReplayer) heartbeatSent(to string, body []byte, term uint64) {
 	if e == nil {
 		return
@@ -214,7 +218,8 @@
 	e.replay(to, body, late, nil)
 }
 
-// replay has a copy arrive a while later, and counts it, also where that is asked for.
+// replay delivers a copy after a delay and counts it, also in the given counter unless that is
+// nil.
 func (e *HeartbeatReplayer) replay(to string, body []byte, late time.Duration, also *int) {
 	time.AfterFunc(late, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -13,31 +13,33 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// starvationLimit is for how long a job may wait by the users' rules, once all troubles are over,
-// "while a machine that fits has room and its team is under its limit".
+// starvationLimit is how long a job may wait by the users' rules, once no fault is active, "while
+// a machine that fits has room and its team is under its limit".
 const starvationLimit = 90 * time.Second
 
-// MachineState is a machine as it stands: what it is, what of it is free, and which tasks take the rest.
+// MachineState is a machine's free capacity and its tasks.
 type MachineState struct {
 	Machine, Type, Zone              string
 	Spot                             bool
 	FreeCPUs, FreeGPUs, FreeMemoryGB float64 // that are free
-	CacheGB                          float64 // GB of images, 0 for any
+	CacheGB                          float64 // 0 for any
 	Tasks                            []wire.TaskID
 }
 
-// StarvationChecker judges whether jobs wait while there is room for them. It is pure: what it knows of jobs,
-// machines and times comes in, every few seconds.
+// StarvationChecker checks that no job waits while capacity for it is free. It does no I/O:
+// samples of jobs and machines are passed in every few seconds.
 //
-// A job waits while no task of it is on any machine, fetching ones counted. A machine has room for
-// a task if its type, zone and kind are allowed and what its tasks leave free is enough; a machine
-// that hangs, hears nothing or has a notice is none. The rule knows no exception for room that is
-// kept for another job, whatever its priority: a job that waits for its machines to boot keeps
-// nobody from work that would go by then, and what has room for 90 s is not about to be
-// taken. To be never wrong, room counts only where the same machines have had it in all samples of the
-// last 12 s (what becomes free is taken by another job sooner), and all 90 s through there must be
-// such room: for one task more of an array or a service, for all tasks of a gang, in the zones
-// that the job allows, and within what its team's limit leaves in each sample.
+// A job waits while none of its tasks is on any machine; a fetching task counts as being there. A
+// machine has capacity for a task if its type, zone and kind are allowed and its free resources
+// suffice; a machine that is paused, partitioned or under notice has none. Capacity that is
+// reserved for another job is no exception, whatever its priority: a job that waits for its
+// machines to boot keeps nobody from work that would be done by then, and capacity that is free
+// for 90 s is not about to be taken.
+//
+// To avoid false alarms, capacity counts only where the same machines had it in all samples of the
+// last 12 s, and such capacity has to exist throughout the 90 s: for one more task of an array or
+// a service, for all tasks of a gang, in the zones that the job allows and within its team's limit
+// in each sample.
 type StarvationChecker struct {
 	Limits map[string]TeamLimit // of teams
 
@@ -48,18 +50,18 @@
 	partiallyStarved []string
 }
 
-// waitingJob is a job with tasks that are nowhere while there has been room for them.
+// waitingJob is a job with tasks that are on no machine although there has been capacity for them.
 type waitingJob struct {
 	since       time.Time
-	nothingRuns bool             // no task of it is anywhere
-	recentSlots []map[string]int // for how many tasks each machine had room in the last samples
+	nothingRuns bool             // none of its tasks is on a machine
+	recentSlots []map[string]int // for how many tasks each machine had capacity, by sample
 	reported    bool
 }
 
-// stableSampleCount is for how many samples room must be there to count.
+// stableSampleCount is in how many samples capacity has to be free to count.
 const stableSampleCount = 5
 
-// stableSlots is what room there was in all of the last samples.
+// stableSlots returns the capacity that was free in all recent samples.
 func (w *waitingJob) stableSlots() map[string]int {
 	out := maps.Clone(w.recentSlots[0])
 	for _, slots := range w.recentSlots[1:] {
@@ -74,24 +76,25 @@
 type PendingJob struct {
 	Job      *wire.Job
 	Finished func(index int) bool
-	Placed   map[int]string // zones of its tasks that are somewhere, by index
+	Placed   map[int]string // zones of its tasks that are on a machine, by index
 }
 
-// SetQuietSince tells since when all troubles are over; a zero time means that there are some.
+// SetQuietSince sets since when no fault is active; a zero time means that there are faults.
 func (r *StarvationChecker) SetQuietSince(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quietSince, r.waitingJobs = since, nil
 }
 
-// IsQuiet reports whether all troubles are over.
+// IsQuiet reports whether no fault is active.
 func (r *StarvationChecker) IsQuiet(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.quietSince.IsZero() && !now.Before(r.quietSince)
 }
 
-// Sample takes in how machines stand, which jobs are accepted and not over, and what teams use.
+// Sample processes the state of all machines, the jobs that are accepted and not over, and the
+// teams' use.
 func (r *StarvationChecker) Sample(now time.Time, places []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,10 +147,10 @@
 	}
 }
 
-// epsilon is what sums of amounts are wrong by.
+// epsilon is the rounding error that sums of resources may have.
 const epsilon = 1e-6
 
-// slots tells how many tasks of a job there is room for.
+// slots returns for how many tasks of a job a machine has capacity.
 func (p *MachineState) slots(j *wire.Job) int {
 	if p.Spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, p.Type) || j.Zone != "" && j.Zone != p.Zone || p.CacheGB > 0 && j.ImageGB > p.CacheGB {
 		return 0
@@ -161,7 +164,7 @@
 	return int(min(max(n, 0), wire.MaxTasks))
 }
 
-// fits reports whether so many tasks of a job have room at once beside those that it has.
+// fits reports whether that many tasks of a job can run at once beside those that already do.
 func fits(j *wire.Job, need int, slots map[string]int, zones map[string]string, on map[int]string) bool {
 	in, free := map[string]int{}, map[string]int{}
 	for _, zone := range on {
@@ -186,21 +189,22 @@
 	return sum >= need
 }
 
-// Violations lists the jobs that waited while there was room.
+// Violations lists the jobs that waited while capacity was free.
 func (r *StarvationChecker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.violations)
 }
 
-// PartiallyStarved lists the jobs of which some tasks did, while others ran. No rule speaks of these.
+// PartiallyStarved lists the jobs of which some tasks waited while others ran. No rule covers
+// these.
 func (r *StarvationChecker) PartiallyStarved() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.partiallyStarved)
 }
 
-// Place tells how the machine stands; ok is false while nothing can be started there.
+// Place returns the machine's state; ok is false while nothing can be started there.
 func (w *Worker) Place() (p MachineState, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -217,10 +221,10 @@
 	return p, w.ctx.Err() == nil && w.takenAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
 }
 
-// sampleInterval is how often the machines are looked at.
+// sampleInterval is how often the machines are sampled.
 const sampleInterval = 3 * time.Second
 
-// WatchMachines looks at a cloud's machines until the context ends.
+// WatchMachines samples the cloud's machines until the context ends.
 func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
 	for ctx.Err() == nil {
 		wait(ctx, sampleInterval)
@@ -230,6 +234,7 @@
 	}
 }
 
+// sampleMachines passes one sample of machines, jobs and quota use to the starvation checker.
 func (c *Checker) sampleMachines(now time.Time, cloud *Cloud) {
 	var places []MachineState
 	on := map[string]map[int]string{}
@@ -274,17 +279,18 @@
 	c.Starvation.Sample(now, places, jobs, used)
 }
 
-// SetQuietSince tells all measures since when all troubles are over; a zero time means that there are some.
+// SetQuietSince tells all checkers since when no fault is active; a zero time means that there are
+// faults.
 func (c *Checker) SetQuietSince(since time.Time) {
 	c.Liveness.SetQuietSince(since)
 	c.Launches.SetQuietSince(since)
 	c.Starvation.SetQuietSince(since)
 }
 
-// TeamLimit is what a team's tasks may use at once; 0 stands for any amount.
+// TeamLimit is what a team's tasks may use at once; 0 stands for no limit.
 type TeamLimit struct{ CPUs, GPUs float64 }
 
-// remainingTasks tells for how many tasks more of a job a limit leaves room.
+// remainingTasks returns how many more tasks of a job a limit allows.
 func (l TeamLimit) remainingTasks(used TeamLimit, j *wire.Job) int {
 	n := math.Inf(1)
 	for _, x := range [][3]float64{{l.CPUs, used.CPUs, j.CPUs}, {l.GPUs, used.GPUs, j.GPUs}} {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -27,13 +27,13 @@
 	return wire.Encode(v)
 }
 
-// StateLimits are what the state service holds its callers to; 0 stands for none.
+// StateLimits are the limits that the state service imposes on its callers; 0 stands for none.
 type StateLimits struct {
 	RPS, WriteRPS   float64 // with bursts of one second's worth
 	ValueBytes      int
 	TxnOps          int // and four times as many conditions
 	PageItems       int // 1000 if it is 0
-	RetainedChanges int // changes that are remembered, 10,000 if it is 0
+	RetainedChanges int // 10,000 if it is 0
 }
 
 // What a transaction, a page and a lease may take, and the length of a key.
@@ -46,25 +46,26 @@
 	maxPageBytes = 512 << 10
 )
 
-// StateService is a stand-in of the state service.
+// StateService imitates the consensus-backed key-value store: compare-and-swap transactions,
+// leases, pages and watches, under the limits and faults that are configured.
 type StateService struct {
 	Rand   *rand.Rand
 	Limits StateLimits
-	// HoldTxn, if it is set, picks transactions that are held up without an answer,
-	// until Release.
+	// HoldTxn, if set, selects transactions that are held back without an answer until ReleaseHeld.
 	HoldTxn func(puts []string) bool
-	// ResponseDelay, if it is set, gives the time that an answer takes.
+	// ResponseDelay, if set, returns the time that an answer takes.
 	ResponseDelay func() time.Duration
-	LossShare     float64
-	// DelayedShare is the share of the transactions that get no answer and are carried out 2 to 12 s
+	// LossShare is the share of transactions without an answer; half of them are carried out later.
+	LossShare float64
+	// DelayedShare is the share of transactions without an answer that are carried out 2 to 12 s
 	// later, after newer ones.
 	DelayedShare float64
-	// LostReplyShare is the share of the transactions that are carried out at once, and of which only
-	// the answer is lost.
+	// LostReplyShare is the share of transactions that are carried out at once and whose answer is
+	// lost.
 	LostReplyShare float64
-	// OnCommit, if it is set, is told the keys of each transaction that was carried out.
+	// OnCommit, if set, is called with the keys of each committed transaction.
 	OnCommit func(puts []string)
-	// FateOf, if it is set, says what becomes of a transaction with such values.
+	// FateOf, if set, decides what happens to a transaction with these values.
 	FateOf   func(puts map[string]wire.Raw) Fate
 	heldTxns []txn
 
@@ -74,29 +75,29 @@
 	revision          uint64
 	items             btree.Map[string, wire.KeyValue]
 	log               []wire.Event
-	compactedRevision uint64 // revision up to which changes were forgotten
+	compactedRevision uint64 // changes up to this revision are no longer retained
 	leases            map[uint64]*lease
 	changed           chan struct{}
 	writes            int
 	requests          int
 	rps, wps          *rate.Limiter
 
-	delayed, delayedCommitted int // transactions that were put off, and those of them that were taken
-	lostReplies               int // that were taken at once without an answer
+	delayed, delayedCommitted int // transactions that were delayed, and those of them that were committed
+	lostReplies               int // transactions that were committed and not answered
 }
 
-// Fate is what becomes of a transaction.
+// Fate is what happens to a transaction.
 type Fate int
 
-// The fates of transactions. Whoever asked gets an answer only to the first.
+// The fates of transactions. Only with the first does the caller get an answer.
 const (
 	FateAnswered  Fate = iota
 	FateDropped        // it is never carried out
-	FateDelayed        // it is after a second
-	FateReplyLost      // it is at once
+	FateDelayed        // it is carried out a second later
+	FateReplyLost      // it is carried out at once
 )
 
-// applyFate has a transaction meet its fate, of which the caller learns nothing for a moment.
+// applyFate applies a fate to a transaction; its caller gets no answer. The lock is held.
 func (s *StateService) applyFate(t txn, f Fate) (int, any) {
 	switch f {
 	case FateReplyLost:
@@ -114,40 +115,42 @@
 	return 0, nil
 }
 
+// lease is a lease of the state service.
 type lease struct {
 	ttl time.Duration
 	end time.Time
 }
 
-// NewStateService gives an empty store with a fixed seed. The share lossy of all
-// transactions gets no answer; half of these are not carried out until later.
+// NewStateService returns an empty service with a fixed seed. The share lossy of all transactions
+// gets no answer; half of these are carried out later.
 func NewStateService(seed uint64, lossy float64) *StateService {
 	return &StateService{LossShare: lossy, Rand: rand.New(rand.NewPCG(seed, 1)), leases: map[uint64]*lease{}, changed: make(chan struct{})}
 }
 
-// Configure changes what is staged while the store serves.
+// Configure changes the configured faults while the service runs.
 func (s *StateService) Configure(change func(*StateService)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// Counts tells how many requests there were, how many changes were taken, and how
-// many keys there are.
+// Counts returns how many requests were made, how many changes were committed, and how many keys
+// exist.
 func (s *StateService) Counts() (requests, changes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests, s.writes, s.items.Len()
 }
 
-// DropHistory makes every watch that begins before now too old.
+// DropHistory discards the retained changes: every watch that starts earlier than now fails as too
+// old.
 func (s *StateService) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log, s.compactedRevision = nil, s.revision
 }
 
-// exceeds reports whether a limiter refuses n more at once.
+// exceeds reports whether a rate limiter refuses n more operations at once.
 func exceeds(l **rate.Limiter, limit float64, n int) bool {
 	if limit <= 0 {
 		return false
@@ -158,7 +161,7 @@
 	return !(*l).AllowN(time.Now(), n)
 }
 
-// SetOutage begins or ends an outage; after one every lease has its full time.
+// SetOutage starts or ends an outage. After an outage every lease has its full time to live.
 func (s *StateService) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +171,7 @@
 	}
 }
 
-// expire ends leases that were not renewed.
+// expire ends the leases that were not renewed in time.
 func (s *StateService) expire() {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if l := s.leases[id]; !s.down && time.Now().After(l.end) {
@@ -177,6 +180,7 @@
 	}
 }
 
+// endLease ends a lease and deletes its keys.
 func (s *StateService) endLease(id uint64) {
 	delete(s.leases, id)
 	var then []wire.Operation
@@ -192,6 +196,7 @@
 	}
 }
 
+// apply carries out the changes of a committed transaction.
 func (s *StateService) apply(then []wire.Operation) {
 	s.revision++
 	s.writes += len(then)
@@ -213,7 +218,7 @@
 	s.changed = make(chan struct{})
 }
 
-// txn is a transaction as it comes in: values stay as they are.
+// txn is a transaction as received, with values left encoded.
 type txn struct {
 	If   []wire.Condition `cbor:"when"`
 	Then []struct {
@@ -224,6 +229,7 @@
 	} `cbor:"then"`
 }
 
+// puts returns the keys that are written.
 func (t *txn) puts() (keys []string) {
 	for _, c := range t.Then {
 		if c.Put != "" {
@@ -233,6 +239,7 @@
 	return keys
 }
 
+// values returns the written values by key.
 func (t *txn) values() map[string]wire.Raw {
 	out := make(map[string]wire.Raw)
 	for _, c := range t.Then {
@@ -243,7 +250,8 @@
 	return out
 }
 
-// ReleaseHeld carries out what was held up, and tells how many were taken.
+// ReleaseHeld carries out the transactions that were held back, and returns how many were
+// committed.
 func (s *StateService) ReleaseHeld() (taken int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,7 +264,8 @@
 	return taken
 }
 
-// malformed says what of a transaction is over the limits. Sizes count as JSON.
+// malformed describes what of a transaction exceeds the limits, "" for nothing. Sizes are those of
+// the JSON encoding.
 func (s *StateService) malformed(t txn) string {
 	ops, sum := s.Limits.TxnOps, 0
 	if ops > 0 && (len(t.Then) > ops || len(t.If) > 4*ops) {
@@ -289,7 +298,8 @@
 	return key != "" && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
 }
 
-// jsonSize counts a CBOR value as JSON; what JSON has no form for is refused.
+// jsonSize returns the size of a CBOR value as JSON, or an error for values that JSON cannot
+// express.
 func jsonSize(raw wire.Raw) (int, error) {
 	if len(raw) == 0 {
 		return 0, nil
@@ -325,7 +335,7 @@
 	return len(text), err
 }
 
-// Commit carries out a transaction at once, past limits and faults.
+// Commit carries out a transaction at once, bypassing limits and faults.
 func (s *StateService) Commit(t wire.Txn) (status int, result wire.TxnResult) {
 	var in txn
 	if err := wire.Decode(wire.Encode(t), &in); err != nil {
@@ -338,7 +348,7 @@
 	return status, result
 }
 
-// Page lists keys and Since gives changes, past limits and faults.
+// Page lists keys, bypassing limits and faults.
 func (s *StateService) Page(prefix, after string, limit int) *wire.KeyValueList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -346,13 +356,15 @@
 	return &l
 }
 
-// Since gives the changes after a revision, or false if they were forgotten.
+// Since returns the changes after a revision, or false if they are no longer retained. It bypasses
+// limits and faults.
 func (s *StateService) Since(prefix string, from uint64) (*wire.WatchResponse, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.since(prefix, from)
 }
 
+// commit evaluates a transaction's conditions and applies its changes. The lock is held.
 func (s *StateService) commit(t txn) (int, any) {
 	s.expire()
 	if why := s.malformed(t); why != "" {
@@ -383,7 +395,7 @@
 	return 200, wire.TxnResult{Failed: []string{}, Revision: s.revision}
 }
 
-// RefuseCaller has the store answer one caller with 503, and serve the others.
+// RefuseCaller answers one caller with 503 while the others are served, or ends that.
 func (s *StateService) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -393,10 +405,10 @@
 	s.refused[caller] = refuse
 }
 
-// Serve answers the protocol of the state service.
+// Serve implements the protocol of the state service.
 func (s *StateService) Serve() transport.ServeConn { return s.ServeCaller("") }
 
-// ServeCaller answers one caller, who can be refused.
+// ServeCaller implements the protocol for one caller, who can be refused by name.
 func (s *StateService) ServeCaller(caller string) transport.ServeConn {
 	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
 		s.mu.Lock()
@@ -488,7 +500,7 @@
 	})
 }
 
-// loseReply swallows the answer to a transaction; half of them are applied late.
+// loseReply drops the answer to a transaction; half of those transactions are carried out late.
 func (s *StateService) loseReply(t txn) (int, any) {
 	if s.Rand.IntN(2) == 0 {
 		s.commit(t)
@@ -502,7 +514,7 @@
 	return 0, nil
 }
 
-// delayTxn carries a transaction out after newer ones. Its caller hears nothing.
+// delayTxn carries a transaction out after newer ones, without an answer.
 func (s *StateService) delayTxn(t txn) (int, any) {
 	const least, most = 2 * time.Second, 12 * time.Second
 	s.delayed++
@@ -516,21 +528,21 @@
 	return noAnswer, nil
 }
 
-// DelayedCounts tells how many transactions were to be carried out late, and how many of them have
-// changed something.
+// DelayedCounts returns how many transactions were delayed, and how many of those were committed.
 func (s *StateService) DelayedCounts() (late, taken int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delayed, s.delayedCommitted
 }
 
-// LostReplyCount tells how many transactions have changed something at once and got no answer.
+// LostReplyCount returns how many transactions were committed without an answer.
 func (s *StateService) LostReplyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lostReplies
 }
 
+// list returns one page of keys. The lock is held.
 func (s *StateService) list(prefix, after string, limit int) wire.KeyValueList {
 	out := wire.KeyValueList{Items: []wire.KeyValue{}, Revision: s.revision}
 	most := cmp.Or(s.Limits.PageItems, wire.MaxItems)
@@ -555,6 +567,7 @@
 	return out
 }
 
+// since returns the retained changes after a revision. The lock is held.
 func (s *StateService) since(prefix string, from uint64) (*wire.WatchResponse, bool) {
 	if from < s.compactedRevision {
 		return nil, false
@@ -569,6 +582,7 @@
 	return out, true
 }
 
+// watch waits for changes after a revision.
 func (s *StateService) watch(caller string, q map[string]string) (int, any) {
 	from, _ := strconv.ParseUint(q["from"], 10, 64)
 	wait, _ := strconv.Atoi(q["block_ms"])
@@ -598,14 +612,14 @@
 	}
 }
 
-// StateSnapshot is the content of a store as it is kept on disk.
+// StateSnapshot is the content of a state service as it is stored on disk.
 type StateSnapshot struct {
 	Revision uint64           `cbor:"era"`
 	Items    []wire.KeyValue  `cbor:"items"`
-	Leases   map[uint64]int64 `cbor:"holds"` // ms that each lasts
+	Leases   map[uint64]int64 `cbor:"holds"` // time to live in ms, by lease
 }
 
-// Snapshot gives the content, to go on with in another process.
+// Snapshot returns the content, for another process to continue with.
 func (s *StateService) Snapshot() StateSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -620,8 +634,8 @@
 	return k
 }
 
-// Resume puts content into an empty store. As after an outage every lease has its full time;
-// changes from before are forgotten.
+// Resume loads content into an empty service. As after an outage every lease has its full time to
+// live; earlier changes are not retained.
 func (s *StateService) Resume(k StateSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// SubmissionRules is what submissions are judged by: the machine types of the cloud, and the teams.
+// SubmissionRules are a site's machine types and teams, by which submissions are valid or not.
 type SubmissionRules struct {
 	Types []wire.MachineType
 	Teams map[string]TeamLimit
@@ -101,8 +101,7 @@
 	return 0, ""
 }
 
-// ObserveSubmission tells what a user's submission was answered: one that must be refused must not be
-// accepted, and the other way round. What repeats the id of an accepted job may say anything.
+// ObserveSubmission checks the answer to a submission against the rules of Submissions.
 func (c *Checker) ObserveSubmission(body []byte, status int) {
 	if len(c.Submissions.Types) == 0 {
 		return
--- a/internal/simulator/task_runtime.go
+++ b/internal/simulator/task_runtime.go
@@ -10,83 +10,87 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fixture knows how long tasks run, and is told what becomes of them. A Checker is
-// one.
+// Fixture determines how long tasks run and is notified when they start, stop and complete.
+// Checker is a Fixture.
 type Fixture interface {
-	// TaskStarted tells that a task starts on a machine, and gives its run time; ok is false
-	// for a job that nobody has submitted.
+	// TaskStarted is called when a task starts on a machine and returns its run time; ok is false for
+	// a job that was never submitted.
 	TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (run time.Duration, ok bool)
+	// TaskStopped is called when a task leaves a machine, for whatever reason.
 	TaskStopped(t wire.TaskID, machine string)
+	// TaskCompleted is called when a task has run to its end.
 	TaskCompleted(t wire.TaskID)
-	// Describe gives a job's description.
+	// Describe returns a job's description.
 	Describe(job string) (*wire.Job, bool)
 }
 
-// LookupFixture is a Ground that must look for a job before it knows: its tasks are fetching
-// meanwhile.
+// LookupFixture is a Fixture that first has to look a job up elsewhere; its tasks count as
+// fetching meanwhile.
 type LookupFixture interface {
 	Fixture
 	LookUp(ctx context.Context, t wire.TaskID) error
 }
 
-// TaskRuntime is what the machines of a world share: where tasks keep the progress that they have
-// saved, and how those of a gang find each other.
+// TaskRuntime is the state that the tasks of all machines of a cluster share: the checkpoints that
+// they have saved and the rendezvous of gangs.
 type TaskRuntime struct {
 	Fixture
-	GangWaitTimeout time.Duration // a task waits for so long for the others of its gang
-	GangPeerTimeout time.Duration // and notices within this that one is gone
+	GangWaitTimeout time.Duration // how long a task waits for the other members of its gang
+	GangPeerTimeout time.Duration // how long members take to notice that one of them is gone
 
 	mu               sync.Mutex
 	saved            map[wire.TaskID]time.Duration
 	gangs            map[gangKey]*gang
-	cancelledFetches map[wire.TaskID]int // fetches that were given up
+	cancelledFetches map[wire.TaskID]int // image fetches that were cancelled, by task
 }
 
-// NewTaskRuntime gives a yard on a ground.
+// NewTaskRuntime returns a runtime without tasks.
 func NewTaskRuntime(g Fixture, gangWait, gangPeer time.Duration) *TaskRuntime {
 	return &TaskRuntime{Fixture: g, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, saved: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
 }
 
-// fetchCancelled notes that the fetch of a task's image ended before it had come.
+// fetchCancelled counts an image fetch of a task that was cancelled before its end.
 func (y *TaskRuntime) fetchCancelled(t wire.TaskID) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.cancelledFetches[t]++
 }
 
-// CancelledFetches tells how many times the fetch of a task's image was given up, for each with any.
+// CancelledFetches returns how many image fetches of each task were cancelled.
 func (y *TaskRuntime) CancelledFetches() map[wire.TaskID]int {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return maps.Clone(y.cancelledFetches)
 }
 
-// SavedProgress tells what progress a task has saved; that of a gang is kept with its first task.
+// SavedProgress returns the progress that a task has saved. A gang's progress is kept under its
+// first task.
 func (y *TaskRuntime) SavedProgress(t wire.TaskID) time.Duration {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.saved[t]
 }
 
+// saveProgress records a checkpoint unless a later one is known.
 func (y *TaskRuntime) saveProgress(t wire.TaskID, progress time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.saved[t] = max(y.saved[t], progress)
 }
 
+// gangKey identifies one attempt of a gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
-// gang is an attempt of a gang. Its members are told what becomes of it by calls that
-// come without any lock.
+// gang is one attempt of a gang. Members are notified without any lock held.
 type gang struct {
 	job       *wire.Job
 	members   map[int]*gangMember
 	runTime   time.Duration
-	startedAt time.Time // zero until all have come
-	stopped   time.Time // when the first was told to stop
+	startedAt time.Time // zero until all members have joined
+	stopped   time.Time // when the first member was told to stop
 	timer     *time.Timer
 	over      bool
 }
@@ -96,18 +100,18 @@
 	tell   func(event gangEvent)
 }
 
-// gangEvent is what a task hears of its gang.
+// gangEvent is what members are notified of.
 type gangEvent int
 
 const (
 	gangRuns gangEvent = iota
 	gangDone
-	gangBroken  // a task of it is gone
-	gangSaved   // all were told to stop, and have saved
-	gangUnsaved // some were not told in time, and nothing is saved
+	gangBroken  // a member is gone
+	gangSaved   // all members were told to stop and have saved
+	gangUnsaved // some members were not told to stop in time; nothing is saved
 )
 
-// joinGang has a task wait for its gang, which begins with the last.
+// joinGang adds a task to its gang. The gang starts when its last member has joined.
 func (y *TaskRuntime) joinGang(j *wire.Job, k gangKey, index int, run time.Duration, tell func(gangEvent)) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -129,9 +133,10 @@
 	g.notifyAll(gangRuns)
 }
 
+// leadTask is the task under which a gang's progress is kept.
 func leadTask(j *wire.Job) wire.TaskID { return wire.TaskID{Job: j.ID} }
 
-// notifyAll tells the members, in order.
+// notifyAll notifies all members in the order of their indexes.
 func (g *gang) notifyAll(e gangEvent) {
 	var tells []func(gangEvent)
 	indexes := make([]int, 0, len(g.members))
@@ -149,7 +154,7 @@
 	}()
 }
 
-// endGang tells all that are left what has become of the gang, once.
+// endGang ends a gang once, and notifies the members that are left.
 func (y *TaskRuntime) endGang(g *gang, e gangEvent) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -160,8 +165,9 @@
 	g.notifyAll(e)
 }
 
-// leaveGang takes a task out of its gang, without a word. Before the gang has begun another may
-// come in its place; then the others notice, and what was not saved is lost.
+// leaveGang removes a task from its gang without notice. A gang that has not started may still be
+// completed by another task; otherwise the other members notice after GangPeerTimeout, and
+// progress that was not saved is lost.
 func (y *TaskRuntime) leaveGang(k gangKey, index int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -181,9 +187,9 @@
 	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
 }
 
-// pauseMember tells that a machine with a task of a gang that runs hangs for a while. If that is longer
-// than the others take to notice, they exit, and what was not saved is lost; else the gang
-// ends later.
+// pauseMember is called when a machine that runs a member pauses for d. If that is longer than
+// GangPeerTimeout, the other members exit and unsaved progress is lost; otherwise the gang ends
+// later by d.
 func (y *TaskRuntime) pauseMember(k gangKey, d time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -203,7 +209,8 @@
 	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
 }
 
-// keepLastCheckpoint keeps the last checkpoint of a gang that did not save.
+// keepLastCheckpoint records the last periodic checkpoint of a gang that did not save when it was
+// stopped.
 func (y *TaskRuntime) keepLastCheckpoint(g *gang) {
 	if every := wire.Seconds(g.job.CheckpointS); every > 0 && !g.startedAt.IsZero() {
 		t := leadTask(g.job)
@@ -211,6 +218,7 @@
 	}
 }
 
+// gangProgress returns how much of its run time a gang has completed.
 func (y *TaskRuntime) gangProgress(g *gang) time.Duration {
 	until := time.Now()
 	if !g.stopped.IsZero() {
@@ -219,8 +227,8 @@
 	return min(g.runTime, y.saved[leadTask(g.job)]+until.Sub(g.startedAt))
 }
 
-// stopMember tells that a task of a running gang was told to stop with time to save; the others
-// must be told soon. It reports whether the gang runs.
+// stopMember is called when a member was told to stop with time to save; the other members have to
+// be told within GangPeerTimeout. It reports whether the gang runs.
 func (y *TaskRuntime) stopMember(k gangKey, index int) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
@@ -238,7 +246,8 @@
 	return true
 }
 
-// finishSaving ends a gang that is saving: when all were told and have saved, or too late.
+// finishSaving ends a gang that is saving: successfully once all members were told and have saved,
+// unsuccessfully if some were not told in time.
 func (y *TaskRuntime) finishSaving(g *gang, inTime bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -13,19 +13,19 @@
 	wire.ReportedTask
 	job       *wire.Job
 	timer     *time.Timer
-	timerAt   time.Time // when the timer goes off
+	timerAt   time.Time // when the timer fires
 	startedAt time.Time
 	progress  time.Duration // progress when it was stopped
 	runTime   time.Duration
-	started   bool // it has its image, and the ground was told
+	started   bool // its image is present and the fixture was notified
 }
 
-// after does something once the task has gone on for a while.
+// after calls a function once the task has made progress for d.
 func (t *runningTask) after(d time.Duration, do func()) {
 	t.timer, t.timerAt = time.AfterFunc(d, do), time.Now().Add(d)
 }
 
-// pause has a task that its machine does not execute go on so much later.
+// pause delays the task's timer while its machine makes no progress.
 func (t *runningTask) pause(d time.Duration) {
 	if t.timer.Stop() {
 		t.timerAt = t.timerAt.Add(d)
@@ -36,16 +36,17 @@
 	}
 }
 
-// cachedImage is one that the machine has or fetches.
+// cachedImage is an image that the machine has or fetches.
 type cachedImage struct {
 	sizeGB      float64
-	remainingGB float64 // of these, to be fetched
+	remainingGB float64 // of sizeGB, still to be fetched
 	lastUsed    time.Time
 	present     bool
 	timer       *time.Timer
-	waiters     []func() // of the tasks that wait for it
+	waiters     []func() // starts of the tasks that wait for it
 }
 
+// execute carries out a leader's commands; repeated commands have no effect.
 func (w *Worker) execute(cmds []wire.Command) {
 	for _, c := range cmds {
 		id, err := wire.ParseTaskID(c.Task)
@@ -69,6 +70,7 @@
 	}
 }
 
+// launchTask accepts a launch, unless another attempt of the task still runs here.
 func (w *Worker) launchTask(key string, id wire.TaskID, attempt uint64) {
 	t := &runningTask{ReportedTask: wire.ReportedTask{Task: id.String(), Attempt: attempt, State: wire.TaskFetching, ID: id}, timer: time.NewTimer(0)}
 	t.timer.Stop()
@@ -101,12 +103,13 @@
 	}
 }
 
+// refuseTask ends a task that cannot start.
 func (w *Worker) refuseTask(t *runningTask, why wire.Cause) {
 	t.State, t.Cause = wire.TaskEnded, why
 	w.reportSoon()
 }
 
-// admitTask takes a task whose job is known, if there is room for it, and fetches its image.
+// admitTask accepts a task whose job is known if its resources are free, and fetches its image.
 func (w *Worker) admitTask(key string, t *runningTask) {
 	j, known := w.runtime.Describe(t.ID.Job)
 	if !known || t.ID.Index >= j.Tasks {
@@ -132,8 +135,8 @@
 	})
 }
 
-// fetchImage has the machine get an image, once for all that want it, and keep the most recently
-// used ones. done is called with the lock held.
+// fetchImage fetches an image once for all tasks that need it and evicts those least recently
+// used. done is called with the lock held.
 func (w *Worker) fetchImage(name string, gb float64, done func()) {
 	img := w.images[name]
 	if img == nil {
@@ -168,7 +171,7 @@
 	w.rescheduleFetches()
 }
 
-// fetching lists what is being fetched.
+// fetching lists the images that are being fetched.
 func (w *Worker) fetching() (out []*cachedImage) {
 	for _, img := range w.images {
 		if img.timer != nil && !img.present {
@@ -178,7 +181,7 @@
 	return out
 }
 
-// fetchRate is how many GB a second come of each of so many images.
+// fetchRate returns the GB per second for each of that many concurrent fetches.
 func (w *Worker) fetchRate(images int) float64 {
 	if !w.sharedFetchRate {
 		images = 1
@@ -186,7 +189,7 @@
 	return w.spec.FetchGBps / w.fetchFactor / float64(images)
 }
 
-// accountFetched notes what has come by now, at the rate that each image had.
+// accountFetched subtracts what was fetched since the last call from the images being fetched.
 func (w *Worker) accountFetched() {
 	coming, now := w.fetching(), time.Now()
 	if now.Before(w.fetchAccountedUntil) { // the machine hangs
@@ -198,7 +201,7 @@
 	w.fetchAccountedUntil = now
 }
 
-// rescheduleFetches sets when what is being fetched will have come, at the rate that is left for each.
+// rescheduleFetches sets the end of each fetch according to its present rate.
 func (w *Worker) rescheduleFetches() {
 	coming := w.fetching()
 	for _, img := range coming {
@@ -210,7 +213,7 @@
 	}
 }
 
-// cancelFetch ends the fetch of a task's image if no other task waits for it.
+// cancelFetch cancels the fetch of a task's image unless another task waits for it.
 func (w *Worker) cancelFetch(t *runningTask) {
 	img := w.images[t.job.Image]
 	if img == nil || img.present {
@@ -228,7 +231,7 @@
 	w.runtime.fetchCancelled(t.ID)
 }
 
-// evictImages forgets the images that were used least lately, as far as the cache is too small.
+// evictImages removes the least recently used images until the cache is within its size.
 func (w *Worker) evictImages() {
 	for {
 		sum, oldest := 0.0, ""
@@ -248,7 +251,7 @@
 	}
 }
 
-// startTask starts a task that the machine has all for. One that has completed before ends at once.
+// startTask starts a task whose image is present. A task that has completed before ends at once.
 func (w *Worker) startTask(key string, t *runningTask) {
 	run, ok := w.runtime.TaskStarted(t.ID, w.id, w.typ, w.zone, w.spot)
 	w.reportSoon()
@@ -275,7 +278,7 @@
 	})
 }
 
-// ifStill does something unless the task has gone on meanwhile.
+// ifStill calls a function unless the task's state has changed in the meantime.
 func (w *Worker) ifStill(key string, t *runningTask, state wire.TaskState, do func()) {
 	w.whenResumed(func() {
 		if w.tasks[key] == t && t.State == state {
@@ -284,11 +287,12 @@
 	})
 }
 
-// notifyGang takes in what has become of the task's gang.
+// notifyGang handles a gang event, after the current pause if there is one.
 func (w *Worker) notifyGang(key string, t *runningTask, e gangEvent) {
 	w.whenResumed(func() { w.handleGangEvent(key, t, e) })
 }
 
+// handleGangEvent changes a task's state according to what happened to its gang.
 func (w *Worker) handleGangEvent(key string, t *runningTask, e gangEvent) {
 	if w.tasks[key] != t || t.State == wire.TaskEnded {
 		return
@@ -315,7 +319,7 @@
 	}
 }
 
-// stopTask stops a task: with time to save, where it can.
+// stopTask stops a task; a task that can save its progress within the grace period does so first.
 func (w *Worker) stopTask(t *runningTask, grace time.Duration) {
 	saves := t.State == wire.TaskRunning && t.job.CheckpointS > 0 && grace >= wire.Seconds(t.job.SaveS)
 	key := t.Task + "#" + strconv.FormatUint(t.Attempt, 10)
@@ -345,14 +349,14 @@
 	}
 }
 
-// endTask ends a task that is on the machine.
+// endTask ends a task and frees what it used.
 func (w *Worker) endTask(t *runningTask, why wire.Cause) {
 	w.releaseTask(t)
 	t.State, t.Cause = wire.TaskEnded, why
 	w.reportSoon()
 }
 
-// releaseTask stops what a task does and keeps its last checkpoint.
+// releaseTask stops a task's activity, keeps its last checkpoint and notifies the fixture.
 func (w *Worker) releaseTask(t *runningTask) {
 	t.timer.Stop()
 	if t.job != nil && !t.started {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Worker is a stand-in of a worker: it reports, runs tasks, and kills them all
-// when its lease runs out.
+// Worker imitates a machine with its agent: it sends heartbeats, runs tasks, and kills all of them
+// when its lease expires.
 type Worker struct {
 	id, addr, typ, zone      string
 	spot                     bool
@@ -21,12 +21,12 @@
 	net                      transport.Network
 	takeDown                 func() // takes the machine off the network
 	caller                   *transport.Caller
-	controllers              map[string]string // controllers, by name
+	controllers              map[string]string // addresses by name
 	runtime                  *TaskRuntime
 	lease, heartbeatInterval time.Duration
-	callDelay                func() time.Duration // by how much a direct call is held up, mostly 0
-	runFactor, fetchFactor   float64              // times the nominal run and fetch times
-	sharedFetchRate          bool                 // images that are fetched at once share the rate
+	callDelay                func() time.Duration // delay of each direct call, mostly 0
+	runFactor, fetchFactor   float64              // multiples of the nominal run and fetch times
+	sharedFetchRate          bool                 // concurrent image fetches share the rate
 	replayer                 *HeartbeatReplayer
 
 	mu                  sync.Mutex
@@ -36,36 +36,36 @@
 	incarnation         uint64
 	seq                 uint64
 	token               uint64
-	lastAnswered        time.Time // when the last answered report was sent
-	takenAt             time.Time // when the machine is taken; zero: no notice
-	pausedUntil         time.Time // until when it does nothing
-	deferred            []func()  // what it does then, in order
-	inboundFaults       int       // faults by which it hears nothing
-	outboundFaults      int       // faults by which it reaches no controller
+	lastAnswered        time.Time // when the last heartbeat that was answered had been sent
+	takenAt             time.Time // when the cloud takes the machine back; zero without a notice
+	pausedUntil         time.Time // the machine makes no progress until then
+	deferred            []func()  // what it does after the pause, in order
+	inboundFaults       int       // number of faults that lose everything sent to it
+	outboundFaults      int       // number of faults that keep it from reaching controllers
 	dialed              map[*dialedLink]bool
 	tasks               map[string]*runningTask
 	images              map[string]*cachedImage
-	fetchAccountedUntil time.Time // up to when what was fetched is counted
+	fetchAccountedUntil time.Time // up to when fetched image data is accounted for
 	reportNow           chan struct{}
 }
 
-// WorkerConfig is what a worker is and what it is told.
+// WorkerConfig describes a worker.
 type WorkerConfig struct {
 	ID, Addr, Type, Zone     string
 	Spot                     bool
-	Spec                     wire.MachineType // what the machine has
+	Spec                     wire.MachineType // the machine's resources
 	Net                      transport.Network
 	TakeDown                 func()            // takes the machine off the network when it ends
-	Controllers              map[string]string // by name
+	Controllers              map[string]string // addresses by name
 	Runtime                  *TaskRuntime
 	Lease, HeartbeatInterval time.Duration
-	CallDelay                func() time.Duration // by how much a direct call is held up; nil: none is
-	RunFactor, FetchFactor   float64              // times the nominal run and fetch times; 0 stands for 1
-	SharedFetchRate          bool                 // images that are fetched at once share the rate
-	Replayer                 *HeartbeatReplayer   // by which some reports arrive again; nil: none does
+	CallDelay                func() time.Duration // delay of each direct call; nil for none
+	RunFactor, FetchFactor   float64              // multiples of the nominal run and fetch times; 0 stands for 1
+	SharedFetchRate          bool                 // concurrent image fetches share the rate
+	Replayer                 *HeartbeatReplayer   // replays some heartbeats; nil for none
 }
 
-// answerTimeout is how long a worker waits for the answer to a report.
+// answerTimeout is how long a worker waits for the answer to a heartbeat.
 const answerTimeout = 4 * time.Second
 
 // NewWorker starts a worker.
@@ -85,7 +85,7 @@
 	return w
 }
 
-// Notice tells that the cloud takes the machine in a while.
+// Notice announces that the cloud takes the machine back after a while.
 func (w *Worker) Notice(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,9 +93,9 @@
 	w.reportSoon()
 }
 
-// Hang has the machine do nothing for a while: it reports nothing, answers nothing and executes
-// none of its tasks, which go on afterwards as they stood, if its lease has not run out. The
-// others of a gang that runs notice, unless it is soon over.
+// Hang pauses the machine for d: it sends and answers nothing, and its tasks make no progress.
+// They continue afterwards unless the lease has expired. The other members of a running gang
+// notice the pause unless it is short.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	time.AfterFunc(d, w.runDeferred)
 }
 
-// runDeferred does what has waited for the end of a hang.
+// runDeferred executes what was deferred by a pause.
 func (w *Worker) runDeferred() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// whenResumed does something with the lock held, after a hang if there is one.
+// whenResumed calls a function with the lock held, after the current pause if there is one.
 func (w *Worker) whenResumed(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +140,7 @@
 	do()
 }
 
-// waitWhilePaused waits while the machine hangs.
+// waitWhilePaused blocks while the machine is paused.
 func (w *Worker) waitWhilePaused() {
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
@@ -156,8 +156,9 @@
 	}
 }
 
-// Reboot ends the machine with all that is on it, and has it back after a while with the same
-// name and address, in a new session, with an empty cache. It may have forgotten the term.
+// Reboot ends the machine with all its tasks and restarts it after a while under the same name and
+// address, as a new incarnation with an empty image cache. A forgetful machine has also lost its
+// fencing token.
 func (w *Worker) Reboot(back time.Duration, forgetful bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,14 +172,14 @@
 	}
 }
 
-// ExpiredLeases tells how many times the worker's lease has run out.
+// ExpiredLeases returns how many leases of the worker have expired.
 func (w *Worker) ExpiredLeases() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(w.incarnation) - 1
 }
 
-// Kill ends the machine with all that is on it.
+// Kill ends the machine with everything on it.
 func (w *Worker) Kill() {
 	w.stop()
 	w.takeDown()
@@ -187,6 +188,7 @@
 	w.dropTasks()
 }
 
+// dropTasks ends and forgets all tasks.
 func (w *Worker) dropTasks() {
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		if t := w.tasks[key]; t.State != wire.TaskEnded {
@@ -196,6 +198,7 @@
 	}
 }
 
+// heartbeat builds the next heartbeat.
 func (w *Worker) heartbeat() wire.Heartbeat {
 	w.seq++
 	r := wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation, Seq: w.seq, FencingToken: w.token,
@@ -210,7 +213,7 @@
 	return r
 }
 
-// expireLease moves on to the next session when the lease has run out.
+// expireLease starts a new incarnation if the lease has expired.
 func (w *Worker) expireLease() {
 	if time.Since(w.lastAnswered) > w.lease {
 		w.dropTasks()
@@ -219,8 +222,9 @@
 	}
 }
 
-// watchLease ends the session when the lease runs out, also while the machine hangs or waits for an
-// answer: what is on it is gone then, not when it next has something to do.
+// watchLease ends the incarnation as soon as its lease expires, also while the machine is paused
+// or waits for an answer: tasks are gone at that time and not when the machine next becomes
+// active.
 func (w *Worker) watchLease() {
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
@@ -234,6 +238,7 @@
 	}
 }
 
+// run sends heartbeats and executes the commands in their answers.
 func (w *Worker) run() {
 	for w.ctx.Err() == nil {
 		w.waitWhilePaused()
@@ -279,7 +284,7 @@
 	}
 }
 
-// nextController picks the controller to report to next, and says when.
+// nextController selects the controller for the next heartbeat and returns the delay before it.
 func (w *Worker) nextController(holder string) time.Duration {
 	if w.controllers[holder] != "" && holder != w.controller {
 		w.controller = holder
@@ -290,13 +295,14 @@
 	return time.Second
 }
 
-// currentToken is the highest term that the worker has seen.
+// currentToken returns the highest fencing token that the worker has seen.
 func (w *Worker) currentToken() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.token
 }
 
+// adoptToken records a higher fencing token and reports soon.
 func (w *Worker) adoptToken(term uint64) {
 	if term > w.token {
 		w.token = term
@@ -304,6 +310,7 @@
 	}
 }
 
+// reportSoon triggers a heartbeat before the interval has passed.
 func (w *Worker) reportSoon() {
 	select {
 	case w.reportNow <- struct{}{}:
@@ -311,11 +318,13 @@
 	}
 }
 
+// serve answers direct calls, through the machine's possibly faulty link.
 func (w *Worker) serve() transport.ServeConn {
 	serve := w.answers()
 	return func(ctx context.Context, s transport.Stream) { serve(ctx, &acceptedLink{s, link{worker: w}}) }
 }
 
+// answers handles direct calls and inspections.
 func (w *Worker) answers() transport.ServeConn {
 	return serveHTTP(func(method, path string, _ map[string]string, body []byte) (int, any) {
 		w.waitWhilePaused()
@@ -342,6 +351,8 @@
 	})
 }
 
+// handleDirect executes a direct call unless its fencing token or incarnation is stale, and
+// returns the HTTP status.
 func (w *Worker) handleDirect(d wire.CommandRequest) int {
 	if d.FencingToken < w.token || d.Incarnation != w.incarnation || w.ctx.Err() != nil {
 		return 409
