--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -99,7 +99,7 @@
 	return w.checkUnchanged(ctx, jobs, say)
 }
 
-// checkUnchanged asks every controller about every job.
+// checkUnchanged verifies that running tasks are where they were.
 func (w *Cluster) checkUnchanged(ctx context.Context, jobs []*wire.Job, say func(string, ...any)) error {
 	for _, j := range jobs {
 		want := wire.Done
@@ -127,6 +127,7 @@
 	return s
 }
 
+// waitUntil polls until a condition holds.
 func (w *Cluster) waitUntil(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -41,7 +41,7 @@
 
 const operatorSettings = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
 
-// Start starts a world and waits until its controllers are ready.
+// Start starts a cluster of three controllers on this machine.
 func Start(ctx context.Context, opt Options) (*Cluster, error) {
 	dir, err := os.MkdirTemp("", "amberdeal-dev-*")
 	if err != nil {
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -22,27 +22,27 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Options of a world.
+// Options are the options of a cluster.
 type Options struct {
-	Port    int    // the first of its ports on 127.0.0.1
-	Dir     string // where the settings of the controllers are written, and the state is kept
-	Persist bool   // whether the state is kept, and gone on with
+	Port    int    // first of the ports on 127.0.0.1
+	Dir     string // for the controllers' settings and the persisted state
+	Persist bool   // persist the state and resume from it
 	Log     *slog.Logger
-	// Pause has a controller stand still or go on, and Kill ends one, where this process
-	// has started them.
+	// Pause suspends a controller or lets it continue, and Kill terminates one, if this process has
+	// started them.
 	Pause func(controller string, still bool) error
 	Kill  func(controller string, back time.Duration) error
-	// Machine, if it is set, starts what runs on a machine of a type that is not emulated; it gives
-	// nil for all others.
+	// Machine, if set, starts what runs on a machine of a type that is not emulated; it returns nil
+	// for all other types.
 	Machine func(id, addr, typ, zone string, spot bool) simulator.Machine
-	// OnTaskStart, if it is set, is told of each start of a task.
+	// OnTaskStart, if set, is called with each start of a task.
 	OnTaskStart func(t wire.TaskID)
 }
 
-// maxMachines bounds the machines of a world.
+// maxMachines bounds the machines of a cluster.
 const maxMachines = 20_000
 
-// Cluster is what runs.
+// Cluster is a running emulated cluster.
 type Cluster struct {
 	Config    *Config
 	opt       Options
@@ -62,20 +62,20 @@
 	mu           sync.Mutex
 	activeFaults map[int]*StagedFault
 	faultCount   int
-	usedPorts    map[int]bool // ports of machines
+	usedPorts    map[int]bool // of machines
 }
 
-// StagedFault is a fault that is in force, or was.
+// StagedFault is a fault that is active, or was.
 type StagedFault struct {
 	Number      int     `json:"number"`
 	Label       string  `json:"label,omitempty"`
 	Description string  `json:"what"`
 	Since       float64 `json:"since_s"`
-	Until       float64 `json:"until_s,omitempty"` // 0 while it is in force
+	Until       float64 `json:"until_s,omitempty"` // 0 while it is active
 	lift        func()
 }
 
-// Start starts a world. Its timeline begins now.
+// Start starts a cluster and its timeline.
 func Start(ctx context.Context, c *Config, opt Options) (*Cluster, error) {
 	layout := layOutPorts(c.Controllers)
 	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
@@ -106,25 +106,25 @@
 	return w, nil
 }
 
+// addr returns the address at an offset from the first port.
 func (w *Cluster) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", w.opt.Port+offset) }
 
-// Public is where users and machines reach a controller, and Control where the world itself is
-// asked and told.
+// Public returns the address at which users and machines reach a controller.
 func (w *Cluster) Public(i int) string { return w.addr(i) }
 
-// Control is where faults are told.
+// Control returns the address by which faults are staged and observations are sent.
 func (w *Cluster) Control() string { return w.addr(w.ports.control) }
 
-// Metrics is where a controller that this program starts serves its metrics.
+// Metrics returns the address at which a controller that this program starts serves its metrics.
 func (w *Cluster) Metrics(i int) string { return w.addr(w.ports.metrics + i) }
 
-// Builds is where a controller may serve build tools.
+// Builds returns the address at which a controller may serve the remote execution API.
 func (w *Cluster) Builds(i int) string { return w.addr(w.ports.builds + i) }
 
-// Blobs is where the blobs of build tools may be kept.
+// Blobs returns the address of the blob store for remote execution.
 func (w *Cluster) Blobs() string { return w.addr(w.ports.blobs) }
 
-// Settings is the platform's file of a controller.
+// Settings returns the path of a controller's platform file.
 func (w *Cluster) Settings(i int) string {
 	return filepath.Join(w.opt.Dir, fmt.Sprintf("c-%d.json", i))
 }
@@ -140,6 +140,7 @@
 	cloud = side{"cloud", "cloud", ""}
 )
 
+// makeCloud creates the cloud, whose machines are emulated workers or started by Options.Machine.
 func (w *Cluster) makeCloud() {
 	c := w.Config
 	w.fixture = newTaskFixture(w)
@@ -174,7 +175,7 @@
 	return wire.MachineType{}
 }
 
-// peer tells who is at an address. What calls a machine is some controller.
+// peer returns the side at an address. Any caller of a machine is some controller.
 func (w *Cluster) peer(addr string) side {
 	for i := range w.Config.Controllers {
 		if addr == w.Public(i) {
@@ -184,7 +185,7 @@
 	return side{"", "controllers", ""}
 }
 
-// machineAddr gives the first free port to a machine.
+// machineAddr reserves the first free port for a machine.
 func (w *Cluster) machineAddr(int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,6 +199,7 @@
 	return w.addr(w.ports.machines) // it will never come up
 }
 
+// freePort releases the port of a machine.
 func (w *Cluster) freePort(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -211,7 +213,7 @@
 	}
 }
 
-// listen opens every port of the world, or names those that are in use.
+// listen opens every port of the cluster, or reports those that are in use.
 func (w *Cluster) listen() error {
 	var errs []error
 	serve := func(offset int, me, peer side, f transport.ServeConn) {
@@ -240,7 +242,7 @@
 	return nil
 }
 
-// forward passes a connection on to a controller, in both directions as the rules say.
+// forward relays a connection to a controller, in both directions as the rules allow.
 func (w *Cluster) forward(to int, from side) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
 		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -259,7 +261,7 @@
 	}
 }
 
-// writeSettings writes the platform's file of each controller.
+// writeSettings writes the platform file of each controller.
 func (w *Cluster) writeSettings() error {
 	if w.opt.Dir == "" {
 		return nil
@@ -272,7 +274,7 @@
 	return errors.Join(errs...)
 }
 
-// writeWhole writes a file so that it is there whole or as it was.
+// writeWhole replaces a file atomically.
 func writeWhole(path string, content []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
@@ -288,6 +290,7 @@
 	return err
 }
 
+// settings returns the content of a controller's platform file.
 func (w *Cluster) settings(i int) map[string]any {
 	c := w.Config
 	siblings := []any{}
@@ -308,7 +311,7 @@
 
 func (w *Cluster) stateFile() string { return filepath.Join(w.opt.Dir, "state.cbor") }
 
-// restoreState goes on with a state that was kept, and keeps this one from then on.
+// restoreState loads a persisted state, and persists this cluster's state from then on.
 func (w *Cluster) restoreState() error {
 	if !w.opt.Persist {
 		return nil
@@ -335,6 +338,7 @@
 	return nil
 }
 
+// persistState writes the state to disk.
 func (w *Cluster) persistState() {
 	if err := writeWhole(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
 		w.log.Error("the state can't be kept", "error", err)
@@ -350,7 +354,7 @@
 	}
 }
 
-// Stop ends the world, and keeps its state if that was asked for.
+// Stop ends the cluster, and persists its state if that was asked for.
 func (w *Cluster) Stop() {
 	w.stop()
 	if w.cloud != nil {
@@ -361,7 +365,7 @@
 	}
 }
 
-// pickMachines picks machines of a zone, spot ones alone if that is asked for.
+// pickMachines selects machines of a fault's zone, or spot machines only.
 func (w *Cluster) pickMachines(f *Fault, spot bool) (ids []string) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
 		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
@@ -383,7 +387,7 @@
 	return ids
 }
 
-// Liveness judges whether jobs are forgotten, by what their users are answered.
+// Liveness returns the checker of whether jobs are forgotten.
 func (w *Cluster) Liveness() *simulator.LivenessChecker { return &w.fixture.Liveness }
 
 // Page lists keys of the state service.
@@ -391,7 +395,7 @@
 	return w.state.Page(prefix, "", most).Items
 }
 
-// Status is how a world stands.
+// Status is the state of a cluster.
 type Status struct {
 	AgeS               float64       `json:"age_s"`
 	Machines           int           `json:"machines"`
@@ -402,13 +406,13 @@
 	Keys               int           `json:"state_keys"`
 	RunningTasks       int           `json:"tasks_on_machines"`
 	StartedTasks       int           `json:"tasks_started"`
-	FencingToken       uint64        `json:"term"` // of the last claim
+	FencingToken       uint64        `json:"term"` // of the last election
 	StartedAfterCancel []string      `json:"started_after_cancellation"`
 	Violations         []string      `json:"rules_broken"`
 	Faults             []StagedFault `json:"faults"`
 }
 
-// Status tells how the world stands.
+// Status returns the state of the cluster.
 func (w *Cluster) Status() Status {
 	s := Status{AgeS: time.Since(w.startedAt).Seconds(), Up: w.cloud.CountRunning()}
 	s.Cost, s.Machines = w.cloud.Cost()
@@ -427,15 +431,16 @@
 	return s
 }
 
-// taskFixture is how long tasks run: as long as their owners reckon, services until they are
-// stopped. It looks a job up at the controllers, as the platform's users upload them, and
-// judges by the rules of the protocol what it sees.
+// taskFixture determines how long tasks run: as long as their owners estimate, services until they
+// are stopped. It looks jobs up at the controllers, as a platform would upload them, and checks
+// the rules of the protocol.
 type taskFixture struct {
 	*simulator.Checker
 	cluster *Cluster
 	caller  *transport.Caller
 }
 
+// newTaskFixture returns the fixture of a cluster.
 func newTaskFixture(w *Cluster) *taskFixture {
 	limits, teams := make(map[string]float64), make(map[string]simulator.TeamLimit)
 	for _, t := range w.Config.Teams {
@@ -446,7 +451,7 @@
 	return &taskFixture{Checker: c, cluster: w, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
 }
 
-// TaskStarted implements standin.Ground.
+// TaskStarted implements simulator.Fixture.
 func (l *taskFixture) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	if started := l.cluster.opt.OnTaskStart; started != nil {
 		started(t)
@@ -454,7 +459,7 @@
 	return l.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// TaskCompleted implements standin.Ground.
+// TaskCompleted implements simulator.Fixture.
 func (l *taskFixture) TaskCompleted(t wire.TaskID) {
 	l.Checker.TaskCompleted(t)
 	if l.Finished(t.Job) {
@@ -462,7 +467,7 @@
 	}
 }
 
-// LookUp implements standin.Slow.
+// LookUp implements simulator.LookupFixture.
 func (l *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
 	for try := 0; ; try++ {
 		if _, known := l.Describe(t.Job); known {
@@ -483,7 +488,7 @@
 	}
 }
 
-// recordSubmission takes in a job, once.
+// recordSubmission records a job, once.
 func (l *taskFixture) recordSubmission(j *wire.Job) {
 	if _, known := l.Describe(j.ID); known {
 		return
@@ -495,7 +500,7 @@
 	l.Submitted(j, run)
 }
 
-// describe tells of a fault in a line.
+// describe returns a description of a fault in one line.
 func (f *Fault) describe() string {
 	var out []string
 	add := func(name string, set bool, value any) {
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -1,6 +1,7 @@
-// Package world is a whole world around controllers on loopback, as real servers: the state
-// service, the cloud and its machines, with the faults that a file or a live command stages.
-// The servers are those of package standin, which tests run on a fake clock.
+// Package emulator runs a cluster on real sockets for real controller processes: an emulated state
+// service, cloud and machines, links between all of them on which faults can be injected, a
+// timeline of faults, and a control address by which faults are staged and users' observations are
+// judged.
 package emulator
 
 import (
@@ -20,7 +21,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Config is what a world file says.
+// Config is the content of a world file, which describes a cluster and its timeline of faults.
 type Config struct {
 	Seed            uint64
 	Controllers     int
@@ -33,14 +34,15 @@
 	Teams           []config.Team
 	Types           []wire.MachineType
 	CapacityByOffer map[simulator.Offer]int
-	SharedFetchRate bool // images that a machine fetches at once share its rate
+	SharedFetchRate bool // concurrent image fetches of a machine share its rate
 	Timeline        []Fault
 }
 
-// MaxControllers is how many controllers a world may have.
+// MaxControllers bounds the controllers of a cluster.
 const MaxControllers = 24
 
-// DefaultConfig is the world of newcomers: three controllers, two zones, machines that are up at once.
+// DefaultConfig is the smallest useful cluster: three controllers, two zones, machines that boot
+// at once.
 func DefaultConfig() *Config {
 	t := wire.MachineType{Name: "dev-4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"}}
 	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, CapacityByOffer: map[simulator.Offer]int{},
@@ -54,17 +56,18 @@
 	return c
 }
 
-// reader reads a world file and gathers all that is wrong with it, each with its line.
+// reader parses a world file and collects all errors, each with its line.
 type reader struct {
 	lines  []string
 	faults []error
 }
 
+// reject records that a value is not allowed, and what is.
 func (r *reader) reject(section, key, value, allowed string) {
 	r.faults = append(r.faults, fmt.Errorf("line %d: [%s] %s: %q: must be %s", r.line(section, key), section, key, value, allowed))
 }
 
-// line finds where a key stands, or its section.
+// line returns the line of a key, or of its section.
 func (r *reader) line(section, key string) int {
 	in, at := section == ini.DefaultSection, 0
 	for i, text := range r.lines {
@@ -80,7 +83,8 @@
 	return at
 }
 
-// fields tells for each key of a section how its value is taken.
+// fields maps each key of a section to its parser, which returns what is allowed if it rejects the
+// value.
 type fields map[string]func(value string) (allowed string)
 
 func duration(d *time.Duration, least, most time.Duration) func(string) string {
@@ -142,7 +146,7 @@
 	}
 }
 
-// section takes the keys of a section, and names those that can't be taken.
+// section parses the keys of a section and returns those that it rejected.
 func (r *reader) section(sec *ini.Section, f fields) (bad []string) {
 	for _, key := range sec.Keys() {
 		take := f[key.Name()]
@@ -157,6 +161,7 @@
 	return bad
 }
 
+// keysOf lists the keys that a section accepts.
 func keysOf(f fields) (names []string) {
 	for name := range f {
 		names = append(names, name)
@@ -165,7 +170,7 @@
 	return names
 }
 
-// Parse reads a world file. What it leaves out is as in Small.
+// Parse reads a world file. What it does not set is as in DefaultConfig.
 func Parse(text []byte) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: false}, text)
 	if err != nil {
@@ -204,6 +209,7 @@
 	return c, nil
 }
 
+// clusterFields returns the parsers of the section [world].
 func (c *Config) clusterFields() fields {
 	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.Files, 200.0
 	return fields{
@@ -272,7 +278,7 @@
 	c.Timeline = append(c.Timeline, f)
 }
 
-// checkConsistency checks what follows from several sections.
+// checkConsistency checks what depends on several sections.
 func (r *reader) checkConsistency(c *Config, types bool) {
 	check := func(ok bool, key, value, allowed string) {
 		if !ok {
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Fault is something that goes wrong, from the time of a timeline on or at once. What its
-// fields mean depends on the kind; docs/emulator.md has the table.
+// Fault is a fault to be injected at a time of a timeline, or at once. The meaning of its fields
+// depends on the kind; docs/emulator.md has the table.
 type Fault struct {
 	Label  string        `json:"label,omitempty"`
 	Kind   string        `json:"kind"`
@@ -35,7 +35,8 @@
 	Hang    time.Duration `json:"hang,omitempty"`
 }
 
-// The kinds of faults, and which fields each needs and may have beside at and for.
+// kinds lists the kinds of faults, and for each the fields that it requires and allows beside at
+// and for.
 var kinds = map[string]struct{ needs, may []string }{
 	"cut":             {[]string{"from", "to"}, []string{"mode", "one_way"}},
 	"slow":            {[]string{"from", "to", "delay"}, []string{"one_way"}},
@@ -75,6 +76,7 @@
 	return out
 }
 
+// fields returns the parsers of a fault's keys.
 func (f *Fault) fields() fields {
 	return fields{"kind": word(&f.Kind, Kinds()...), "at": duration(&f.At, 0, 24*time.Hour), "for": duration(&f.For, 0, 24*time.Hour),
 		"from": word(&f.From), "to": word(&f.To), "mode": word(&f.Mode, "hold", "lose", "reset"), "one_way": boolean(&f.OneWay), "delay": duration(&f.Delay, time.Millisecond, time.Hour),
@@ -84,18 +86,19 @@
 		"at_once": boolean(&f.AtOnce), "for_next": boolean(&f.ForNext), "hang": duration(&f.Hang, time.Millisecond, time.Hour)}
 }
 
-// takes lists the fields that a fault of this kind has.
+// takes lists the fields that a fault of this kind accepts.
 func (f *Fault) takes() string {
 	k := kinds[f.Kind]
 	return strings.Join(slices.Concat([]string{"for"}, k.needs, k.may), ", ")
 }
 
-// fieldError is a fault in one field.
+// fieldError is an error in one field.
 type fieldError struct {
 	field string
 	error
 }
 
+// fieldOf returns the field that an error is about, if any.
 func fieldOf(err error) string {
 	var f *fieldError
 	if errors.As(err, &f) {
@@ -104,6 +107,7 @@
 	return ""
 }
 
+// splitJoined returns the errors that errors.Join has combined.
 func splitJoined(err error) []error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()
@@ -111,7 +115,7 @@
 	return []error{err}
 }
 
-// Check names all that is wrong with a fault in a world.
+// Check reports everything that is wrong with a fault in a cluster.
 func (f *Fault) Check(c *Config) error {
 	var out []error
 	wrong := func(field, format string, args ...any) {
@@ -170,6 +174,7 @@
 	return out
 }
 
+// endpoint reports whether a name denotes an endpoint of the cluster's links.
 func (c *Config) endpoint(side string) bool {
 	zone, isZone := strings.CutPrefix(side, "zone:")
 	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, side) || slices.Contains(c.names(), side) || isZone && slices.Contains(c.Zones, zone)
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -11,23 +11,25 @@
 
 // side is one end of a connection.
 type side struct {
-	name string // of a controller, or state, cloud or a machine
+	name string // of a controller or a machine, or state or cloud
 	kind string // controllers, machines, or the same as the name
 	zone string // empty for what is regional
 }
 
+// is reports whether a selector of a rule matches this side.
 func (s side) is(what string) bool {
 	return what == "all" || what == s.name || what == s.kind || s.zone != "" && what == "zone:"+s.zone
 }
 
-// rule is what becomes of bytes from one side to another.
+// rule determines what happens to bytes from one side to another.
 type rule struct {
 	from, to     string
-	sparesInside bool // a zone that is cut off works on inside
+	sparesInside bool // a zone that is isolated works inside
 	mode         string
 	delay        time.Duration
 }
 
+// applies reports whether a rule matches a direction.
 func (r *rule) applies(from, to side) bool {
 	if !from.is(r.from) || !to.is(r.to) {
 		return false
@@ -35,7 +37,7 @@
 	return !(r.sparesInside && from.zone == to.zone)
 }
 
-// links says what becomes of what is sent, as faults come and go.
+// links applies the rules in force to all connections of a cluster.
 type links struct {
 	mu      sync.Mutex
 	rules   map[int]*rule
@@ -45,11 +47,12 @@
 	traffic map[Direction]*counter
 }
 
+// newLinks returns links without rules.
 func newLinks() *links {
 	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*counter{}}
 }
 
-// add puts a rule into force, until the function that it gives is called.
+// add puts a rule into force until the returned function is called.
 func (l *links) add(r *rule) (lift func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,12 +75,14 @@
 	}
 }
 
+// notifyChange wakes all connections that wait for a rule to end; the lock is held.
 func (l *links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// modeOf tells what becomes of bytes from one side to another now.
+// modeOf returns what happens at present to bytes from one side to another, and a channel that is
+// closed when that changes.
 func (l *links) modeOf(from, to side) (mode string, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,7 +100,8 @@
 	return mode, delay, l.changed
 }
 
-// awaitPassage waits until bytes may go from one side to another, and says whether they are lost.
+// awaitPassage blocks until bytes may pass from one side to another, and reports whether they are
+// lost.
 func (l *links) awaitPassage(done <-chan struct{}, from, to side) (lost bool, err error) {
 	for {
 		mode, delay, changed := l.modeOf(from, to)
@@ -121,12 +127,12 @@
 	}
 }
 
-// link is one end of a connection, whose bytes go as the rules say.
+// link is one end of a connection whose bytes are subject to the rules.
 type link struct {
 	net.Conn
 	links          *links
 	local, peer    side
-	checkReads     bool // what is read is judged here too, since the other end is outside
+	checkReads     bool // reads are subject to rules here, since the other end is not a link
 	done           chan struct{}
 	once           sync.Once
 	idle           time.Duration
@@ -137,6 +143,7 @@
 	closing bool
 }
 
+// wrap makes a connection subject to the rules.
 func (l *links) wrap(c net.Conn, local, peer side, in bool) *link {
 	k := &link{Conn: c, links: l, local: local, peer: peer, checkReads: in, done: make(chan struct{})}
 	l.mu.Lock()
@@ -149,7 +156,7 @@
 // SetIdle implements transport.Stream.
 func (c *link) SetIdle(d time.Duration) { c.idle = d }
 
-// Read gives what the peer has sent, once it has come through.
+// Read returns received bytes once the rules let them pass.
 func (c *link) Read(p []byte) (int, error) {
 	for {
 		if c.idle > 0 {
@@ -173,8 +180,8 @@
 	}
 }
 
-// Write sends as the rules say. What is lost or held up seems sent; what was held up is
-// delivered in order afterwards, also if the sender has closed meanwhile.
+// Write sends as the rules allow. Bytes that are lost or held back seem to be sent; those held
+// back are delivered later in order, also if the sender has closed the connection by then.
 func (c *link) Write(p []byte) (int, error) {
 	mode, delay, _ := c.links.modeOf(c.local, c.peer)
 	c.sent.add(len(p))
@@ -194,7 +201,7 @@
 	return len(p), nil
 }
 
-// deliver sends what was held up.
+// deliver sends what was held back.
 func (c *link) deliver() {
 	for {
 		lost, _ := c.links.awaitPassage(nil, c.local, c.peer)
@@ -214,7 +221,7 @@
 	}
 }
 
-// Close ends the connection, once what was held up is delivered.
+// Close closes the connection after what was held back is delivered.
 func (c *link) Close() error {
 	c.once.Do(func() {
 		close(c.done)
@@ -232,12 +239,13 @@
 	return c.Conn.Close()
 }
 
-// host is the network as one side sees it: plain sockets of the library, since thousands of
-// machines listen in one process and an event loop for each would be a thread for each.
+// host is the network as one side sees it. It uses plain sockets of the standard library, since
+// thousands of machines listen in one process and an event loop for each would be a thread for
+// each.
 type host struct {
 	links  *links
 	self   side
-	sideAt func(addr string) side // who is at an address
+	sideAt func(addr string) side // returns the side at an address
 }
 
 // Dial implements transport.Network.
@@ -259,7 +267,7 @@
 	return h.links.wrap(c, h.self, to, true), nil
 }
 
-// Dial opens a connection that no fault touches.
+// Dial opens a connection that is not subject to faults.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp4", addr)
--- a/internal/emulator/ports.go
+++ b/internal/emulator/ports.go
@@ -1,22 +1,22 @@
 package emulator
 
-// ports are the offsets of a world's ports from its first one, at which the controllers serve users
-// and machines. Each controller has ports of its own for the state service and the cloud, and one
-// for each sibling, so that one can be cut off alone.
+// ports are the offsets of a cluster's ports from its first one, at which the controllers serve
+// users and machines. Each controller has its own ports for the state service and the cloud, and
+// one for each peer, so that one controller alone can be cut off.
 type ports struct {
-	step                                                                     int // between two kinds
+	step                                                                     int // distance between two kinds of ports
 	mesh, state, cloud, control, metrics, builds, blobs, peerLinks, machines int
 }
 
-// Between two kinds of ports is room for as many controllers as there may be in a world, or in an
-// ordinary one.
+// There is room between two kinds of ports for as many controllers as a cluster may have, or a
+// usual one.
 const (
 	usualControllers = 9
 	usualStep        = 10
 	largeStep        = 32
 )
 
-// layOutPorts lays out the ports of a world with so many controllers.
+// layOutPorts lays out the ports of a cluster with that many controllers.
 func layOutPorts(controllers int) ports {
 	step := usualStep
 	if controllers > usualControllers {
@@ -26,5 +26,5 @@
 		peerLinks: 10 * step, machines: 10*step + step*step}
 }
 
-// between gives the port by which a controller reaches a sibling.
+// between returns the port by which a controller reaches a peer.
 func (p ports) between(from, to int) int { return p.peerLinks + p.step*from + to }
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -14,32 +14,32 @@
 	"time"
 )
 
-// Processes are the controllers of a world as processes of this one. They end with it, however
-// it ends.
+// Processes are the controllers of a cluster as child processes. They are terminated with the
+// parent, however it ends.
 type Processes struct {
-	Program  string // the path of amberdeal
+	Program  string // path of the amberdeal binary
 	Level    string // their LOG_LEVEL
 	Dir      string // of their logs
 	Settings func(i int) string
-	Tuning   string             // what the operators' file of each says, if anything
-	Extra    func(i int) string // what that of one says beside, if it is set
-	Metrics  func(i int) string // where each serves metrics
+	Tuning   string             // content of every controller's operators' file, if any
+	Extra    func(i int) string // additional content for one controller, if set
+	Metrics  func(i int) string // address at which each serves metrics
 
 	ctx     context.Context
 	starts  chan func()
 	mu      sync.Mutex
 	procs   map[int]*exec.Cmd
-	stopped bool // all were ended, and none is started any more
+	stopped bool // all were terminated; no process is started any more
 }
 
-// Begin readies the processes, which end when the context does.
+// Begin prepares the processes, which are terminated when the context ends.
 func (p *Processes) Begin(ctx context.Context) {
 	p.ctx, p.starts, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
 	go p.starter()
 }
 
-// starter starts processes, always on the same thread: they end with it, however
-// this process ends.
+// starter starts processes, always on the same thread: the kernel kills them when that thread
+// ends, however this process ends.
 func (p *Processes) starter() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -53,7 +53,7 @@
 	}
 }
 
-// Log is the file of a controller's log.
+// Log returns the path of a controller's log.
 func (p *Processes) Log(i int) string { return filepath.Join(p.Dir, fmt.Sprintf("c-%d.log", i)) }
 
 // Start starts a controller that does not run.
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// errStopped means that all processes were ended.
+// errStopped is returned once all processes were terminated.
 var errStopped = errors.New("all controllers were ended")
 
-// PID gives the process id of a controller, 0 where it does not run.
+// PID returns the process id of a controller, 0 if it does not run.
 func (p *Processes) PID(i int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// Kill ends a controller with no signal that it could see.
+// Kill terminates a controller with SIGKILL.
 func (p *Processes) Kill(i int) {
 	p.mu.Lock()
 	cmd := p.procs[i]
@@ -123,8 +123,8 @@
 	}
 }
 
-// KillNamed ends a controller, as a fault does: it is started again after a while, 2 s unless
-// that is said.
+// KillNamed injects a crash: the controller is killed and started again after a while, 2 s by
+// default.
 func (p *Processes) KillNamed(name string, back time.Duration) error {
 	i, err := numberOf(name)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// PauseNamed has a controller stand still, or go on.
+// PauseNamed suspends a controller, or lets it continue.
 func (p *Processes) PauseNamed(name string, still bool) error {
 	i, err := numberOf(name)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return i, err
 }
 
-// Stop ends all of them.
+// Stop terminates all processes.
 func (p *Processes) Stop() {
 	p.mu.Lock()
 	p.stopped = true
--- a/internal/emulator/ready.go
+++ b/internal/emulator/ready.go
@@ -9,10 +9,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// readyWait is how long controllers may take to be ready.
+// readyWait bounds how long controllers may take to become ready.
 const readyWait = 30 * time.Second
 
-// Ready waits until all controllers at some addresses are ready.
+// Ready waits until all controllers at the addresses are ready.
 func Ready(ctx context.Context, caller *transport.Caller, addrs []string) error {
 	for begun := time.Now(); ; {
 		n := 0
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// timeline stages the faults of the file, each at its time.
+// timeline stages the faults of the world file, each at its time.
 func (w *Cluster) timeline() {
 	for _, f := range w.Config.Timeline {
 		sleep(w.ctx, f.At-time.Since(w.startedAt))
@@ -29,7 +29,7 @@
 	}
 }
 
-// Stage has a fault happen now, for as long as it says, or until it is lifted.
+// Stage injects a fault now, for its duration or until it is lifted.
 func (w *Cluster) Stage(f Fault) (StagedFault, error) {
 	if err := f.Check(w.Config); err != nil {
 		return StagedFault{}, err
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// Lift ends a fault that is in force, and reports whether it was.
+// Lift ends an active fault, and reports whether it was active.
 func (w *Cluster) Lift(number int) bool {
 	w.mu.Lock()
 	s := w.activeFaults[number]
@@ -75,7 +75,7 @@
 	return true
 }
 
-// noActiveFaults reports whether no fault is in force.
+// noActiveFaults reports whether no fault is active.
 func (w *Cluster) noActiveFaults() bool {
 	for _, s := range w.activeFaults {
 		if s.Until == 0 {
@@ -85,9 +85,10 @@
 	return true
 }
 
+// ageS returns the seconds since the cluster started.
 func (w *Cluster) ageS() float64 { return time.Since(w.startedAt).Round(time.Millisecond).Seconds() }
 
-// apply has a fault happen, and gives what ends it, or nil where it has no end.
+// apply injects a fault and returns the function that ends it, nil if it has no duration.
 func (w *Cluster) apply(f *Fault) (lift func(), err error) {
 	store := func(change, back func(*simulator.StateService)) func() {
 		w.state.Configure(change)
@@ -163,8 +164,8 @@
 	return nil, nil
 }
 
-// cutLinks puts rules into force, in both directions unless one is meant. A zone that is cut off
-// from all works on inside.
+// cutLinks puts a fault's rules into force, in both directions unless it is one way. A zone that
+// is isolated from all others works inside.
 func (w *Cluster) cutLinks(f *Fault) func() {
 	inside := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
 	mode := f.Mode
@@ -182,8 +183,8 @@
 	}
 }
 
-// cutOffController severs a controller from the state service, from its siblings, or from both, and from
-// nobody else.
+// cutOffController separates a controller from the state service, from its peers, or from both,
+// and from nobody else.
 func (w *Cluster) cutOffController(f *Fault) func() {
 	var lifts []func()
 	for to, meant := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
@@ -198,10 +199,11 @@
 	}
 }
 
-// defaultRestartDelay is after how long what ends is back, unless a fault says otherwise.
+// defaultRestartDelay is how long after its end something is restarted, unless a fault says
+// otherwise.
 const defaultRestartDelay = 2 * time.Second
 
-// eachMachine does something to the machines that a fault is about.
+// eachMachine calls a function for each machine that a fault selects.
 func (w *Cluster) eachMachine(f *Fault, do func(simulator.Machine)) {
 	picked := map[string]bool{}
 	for _, id := range w.pickMachines(f, false) {
@@ -214,7 +216,8 @@
 	})
 }
 
-// holdMachines does something to the machines that a fault is about, and gives what ends it.
+// holdMachines applies a fault to the machines that it selects and returns the function that ends
+// it.
 func (w *Cluster) holdMachines(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
 	var all []simulator.Machine
 	w.eachMachine(f, func(m simulator.Machine) {
@@ -228,9 +231,11 @@
 	}
 }
 
-// errExternalControllers means that this world's controllers are not its processes.
+// errExternalControllers is returned for faults of controller processes that this command has not
+// started.
 var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
 
+// cloudFault injects a fault of the cloud.
 func (w *Cluster) cloudFault(f *Fault) (lift func(), err error) {
 	names := w.Config.names()
 	if f.Who != "" {
@@ -256,7 +261,7 @@
 	}, err
 }
 
-// The paths of the control address, which speaks JSON.
+// The paths of the control address. Its protocol is JSON.
 const (
 	PathStatus = "/status"
 	PathFaults = "/faults"
@@ -264,20 +269,20 @@
 	PathJudge  = "/judge" // CBOR: what users did and were told, so that all rules can be judged
 )
 
-// Observation is what a user was answered about a job, or the job that a user is about to submit.
+// Observation is an answer that a user got about a job, or the job that a user is about to submit.
 type Observation struct {
 	Submitted       *wire.Job  `cbor:"submitted,omitempty"`
 	Job             string     `cbor:"job"`
 	Status          int        `cbor:"status"`
 	Stage           wire.Stage `cbor:"stage"`
-	CancelRequested bool       `cbor:"asked"` // to cancel it
-	Poll            bool       `cbor:"poll"`  // a question, with status 0 where no answer came in time
-	SentNS          int64      `cbor:"sent"`  // and Back: ns on a clock of the users
+	CancelRequested bool       `cbor:"asked"` // the user has asked to cancel the job
+	Poll            bool       `cbor:"poll"`  // a poll, with status 0 if no answer came in time
+	SentNS          int64      `cbor:"sent"`  // with AnsweredNS: ns on a clock that all users share
 	AnsweredNS      int64      `cbor:"back"`
-	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that must be refused, or may have to be
+	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that has to be refused, or may have to be
 }
 
-// Observe takes in what users did and were told.
+// Observe passes users' observations to the checkers.
 func (w *Cluster) Observe(told []Observation) {
 	for _, t := range told {
 		if t.Submitted != nil {
@@ -295,11 +300,12 @@
 	}
 }
 
-// Refusal is the answer to what can't be staged.
+// Refusal is the answer to a fault that cannot be staged.
 type Refusal struct {
 	Error string `json:"error"`
 }
 
+// control serves the control address.
 func (w *Cluster) control() transport.ServeConn {
 	answer := func(status int, v any) *httpwire.Response {
 		text, _ := json.Marshal(v)
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -2,11 +2,11 @@
 
 import "sync/atomic"
 
-// Direction is a direction of traffic: from and to a controller by its name, or all machines, the state
+// Direction is a direction of traffic. Its ends are a controller's name, all machines, the state
 // service or the cloud. A controller that calls a machine is not known by name.
 type Direction struct{ From, To string }
 
-// The ends of ways that are no controllers by name.
+// The ends of directions that are not controllers.
 const (
 	Machines    = "machines"
 	Controllers = "controllers"
@@ -14,10 +14,10 @@
 	CloudName   = "cloud"
 )
 
-// Flow is what has gone one way. A message is what was handed over or taken at once.
+// Flow is the traffic of one direction. A message is what was read or written at once.
 type Flow struct{ Bytes, Messages uint64 }
 
-// Sub gives what has gone since an earlier count.
+// Sub returns the traffic since an earlier count.
 func (f Flow) Sub(earlier Flow) Flow {
 	return Flow{f.Bytes - earlier.Bytes, f.Messages - earlier.Messages}
 }
@@ -35,7 +35,7 @@
 	c.messages.Add(1)
 }
 
-// end names a side as an end of ways.
+// end returns the name of a side in a Direction.
 func (s side) end() string {
 	if s.kind == Machines || s.name == "" {
 		return s.kind
@@ -43,7 +43,7 @@
 	return s.name
 }
 
-// counter gives the count of a way; the lock is held.
+// counter returns the counter of a direction; the lock is held.
 func (l *links) counter(from, to side) *counter {
 	w := Direction{from.end(), to.end()}
 	if l.traffic[w] == nil {
@@ -52,8 +52,8 @@
 	return l.traffic[w]
 }
 
-// Traffic counts what has gone each way since the world began. Users reach controllers directly,
-// and so do machines that are not emulated: what they send is not in it.
+// Traffic returns the traffic of each direction since the cluster started. Connections of users
+// and of machines that are not emulated go to controllers directly and are not counted.
 func (w *Cluster) Traffic() map[Direction]Flow {
 	w.links.mu.Lock()
 	defer w.links.mu.Unlock()
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -12,21 +12,22 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// UserInstructions is what users are to do now: amberdeal load asks for it while it judges by a world.
+// UserInstructions tells the load generator what users have to do at present; it polls for them
+// while a cluster judges its run.
 type UserInstructions struct {
-	Cancel            []string `json:"cancel"` // these jobs at once, each is told once
+	Cancel            []string `json:"cancel"` // jobs to cancel at once, each listed once
 	MalformedRequests bool     `json:"odd_requests"`
 	ConcurrentReads   bool     `json:"close_looks"`
 }
 
-// userFaults is what faults have the users of a world do.
+// userFaults are the faults that consist of users' behaviour.
 type userFaults struct {
 	mu                   sync.Mutex
 	toCancel             []string
-	endedJobs            map[string]bool // jobs whose end was seen
-	cancelAtEndShare     float64         // share of them that are cancelled then
+	endedJobs            map[string]bool // jobs whose last task has completed
+	cancelAtEndShare     float64         // share of them that are cancelled at that time
 	rng                  *rand.Rand
-	malformedFaults      int // faults of the kind in force
+	malformedFaults      int // number of active faults of the kind
 	concurrentReadFaults int
 	wake                 chan struct{}
 }
@@ -35,7 +36,7 @@
 	u.endedJobs, u.rng, u.wake = make(map[string]bool), rand.New(rand.NewPCG(seed, 10)), make(chan struct{}, 1)
 }
 
-// requestCancel has users cancel jobs.
+// requestCancel instructs users to cancel jobs.
 func (u *userFaults) requestCancel(jobs ...string) {
 	u.toCancel = append(u.toCancel, jobs...)
 	select {
@@ -44,7 +45,7 @@
 	}
 }
 
-// jobEnded tells that the last task of a job has completed.
+// jobEnded is called when the last task of a job has completed.
 func (u *userFaults) jobEnded(job string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -54,10 +55,10 @@
 	u.endedJobs[job] = true
 }
 
-// instructionsWait is how long a question for orders waits for a cancellation.
+// instructionsWait is how long a poll for instructions waits for a cancellation.
 const instructionsWait = 100 * time.Millisecond
 
-// instructions gives what is to be done now, cancellations as soon as there are any.
+// instructions returns what users have to do now; it returns early if there are cancellations.
 func (u *userFaults) instructions() UserInstructions {
 	select {
 	case <-u.wake:
@@ -70,7 +71,8 @@
 	return o
 }
 
-// The bounds of cancel_now: jobs that have at least so long to go, and as many of their machines.
+// The bounds of cancel_now: the remaining run time of its jobs, and how many of their machines it
+// pauses.
 const (
 	minRemaining = 10 * time.Second
 	maxPaused    = 8
@@ -78,6 +80,7 @@
 
 var errNoLongJobs = errors.New("no job runs that has 10 s to go")
 
+// apply injects a fault that concerns users.
 func (u *userFaults) apply(w *Cluster, f *Fault) (lift func(), err error) {
 	count := func(n *int) func() {
 		add := func(by int) {
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -32,9 +32,7 @@
 	stage  wire.Stage
 }
 
-// answerHistory is what users asked and were told, with times, for a checker of linearizability: every
-// answer must be that of some moment between its question and itself, and all of them in one
-// order in which a job is accepted once and what is over stays so.
+// answerHistory records the operations on each job with their answers and times.
 type answerHistory struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -48,7 +46,7 @@
 
 func (h *answerHistory) now() int64 { return time.Since(h.startedAt).Nanoseconds() }
 
-// add keeps an answer. An attempt without one may take effect at any later time.
+// add records an operation. One without an answer may take effect at any later time.
 func (h *answerHistory) add(job string, op opKind, status int, stage wire.Stage, sent, back int64) {
 	out := answer{known: status == 200 || status == 201 || status == 404, absent: status == 404, stage: stage}
 	if !out.known && op == opStatus {
@@ -65,7 +63,7 @@
 	}
 }
 
-// open names the jobs that were accepted and whose users were not told that they are over.
+// open lists the jobs that were accepted and whose users were not told of their end.
 func (h *answerHistory) open() (jobs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,14 +76,14 @@
 	return jobs
 }
 
-// stage is what the user of a job was told last.
+// stage returns the last stage that the user of a job was told.
 func (h *answerHistory) stage(job string) wire.Stage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.last[job]
 }
 
-// phase is how far a job has come.
+// phase is the part of its life cycle that a job has reached.
 type phase int
 
 const (
@@ -95,7 +93,7 @@
 	cancelled
 )
 
-// jobModel is a job as a sequential object.
+// jobModel is the sequential specification of a job for the linearizability check.
 var jobModel = porcupine.Model{
 	Init: func() any { return absent },
 	Step: func(state, input, output any) (bool, any) {
@@ -124,10 +122,10 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " ", output) },
 }
 
-// checkTimeout bounds the search for an order of one job's answers.
+// checkTimeout bounds the search for a linearization of one job's answers.
 const checkTimeout = 5 * time.Second
 
-// violations names the jobs for whose answers there is no order.
+// violations lists the jobs whose answers have no linearization.
 func (h *answerHistory) violations() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -140,7 +138,7 @@
 	return out
 }
 
-// ClusterStatus asks a world how it stands.
+// ClusterStatus asks an emulated cluster for its status.
 func ClusterStatus(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
 	call, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -12,23 +12,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// trackedJob is a job with its user, who may ask for several things at once.
+// trackedJob is a job with its user, who may make several requests at once.
 type trackedJob struct {
-	firstController int // of the controller that is asked first
+	firstController int // the first that is asked
 	job             *wire.Job
 	body            []byte      // of its submission
 	cancelRequested atomic.Bool // to cancel it
-	toldToCancel    atomic.Bool // to do so, by the world's faults
+	toldToCancel    atomic.Bool // instructed to do so by a fault of the cluster
 }
 
-// InstructionCounts counts what users did since the world's faults had them do so.
+// InstructionCounts counts what users did on the cluster's instructions.
 type InstructionCounts struct {
-	Cancelled         int `json:"cancelled"` // jobs that were to be
+	Cancelled         int `json:"cancelled"` // jobs
 	MalformedRequests int `json:"odd_requests"`
 	ConcurrentReads   int `json:"close_looks"` // answers
 }
 
-// followInstructions does what the world's faults have users do, until the context ends.
+// followInstructions does what the cluster's faults have users do, until the context ends.
 func (r *Runner) followInstructions(ctx context.Context) {
 	if r.JudgeAddr == "" {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// readConcurrently has a user ask all controllers at once, and submit the job again, if it is time for close
-// looks.
+// readConcurrently asks all controllers about a job at once, and submits it again, while the
+// cluster's instructions ask for that.
 func (r *Runner) readConcurrently(ctx context.Context, f *trackedJob) {
 	r.mu.Lock()
 	looks := r.instructions.ConcurrentReads
@@ -91,8 +91,8 @@
 	all.Wait()
 }
 
-// malformedRequests repeats submissions of jobs that are known, cancels one that is done, and submits one
-// that lacks a field and one that fits no machine.
+// malformedRequests repeats submissions of known jobs, cancels a job that is done, and submits a
+// job without a required field and one that fits no machine.
 func (r *Runner) malformedRequests(ctx context.Context, beat int) {
 	r.mu.Lock()
 	var live, over *trackedJob
--- a/internal/load/linearizability.go
+++ b/internal/load/linearizability.go
@@ -12,15 +12,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// LinearizabilityChecker judges what users were told of jobs by the order of calls and answers alone, for days on
-// a fake clock, on which much happens at the same instant.
+// LinearizabilityChecker checks users' answers by the order of calls and returns alone, for
+// simulated days on a fake clock in which much happens at the same instant.
 type LinearizabilityChecker struct {
 	mu   sync.Mutex
 	tick int64
 	ops  map[string][]porcupine.Operation
 }
 
-// BeginCall tells that something is asked now.
+// BeginCall returns the logical time of a call that starts now.
 func (j *LinearizabilityChecker) BeginCall() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -28,16 +28,17 @@
 	return j.tick
 }
 
-// ObserveStatus takes in what became of a question, as Submitted and Cancelled do of their calls: a
-// status, 0 for no answer, and on success the stage. A submission that is refused for ever tells that the job is not known.
+// ObserveStatus records the result of a poll: its status, 0 without an answer, and on success the
+// stage.
 func (j *LinearizabilityChecker) ObserveStatus(job string, call int64, status int, stage wire.Stage) {
 	if status == 200 || status == 404 {
 		j.add(job, opStatus, call, answer{known: true, absent: status == 404, stage: stage})
 	}
 }
 
-// ObserveSubmission is told of a submission. What it tells may be newer than what it did: it is a
-// submission and a question.
+// ObserveSubmission records the result of a submission. Since its answer may reflect later
+// changes, it counts as a submission followed by a poll. A final refusal tells that the job does
+// not exist.
 func (j *LinearizabilityChecker) ObserveSubmission(job string, call int64, status int, stage wire.Stage) {
 	switch status {
 	case 400, 422:
@@ -50,7 +51,7 @@
 	}
 }
 
-// ObserveCancellation is told of a cancellation.
+// ObserveCancellation records the result of a cancellation.
 func (j *LinearizabilityChecker) ObserveCancellation(job string, call int64, status int, stage wire.Stage) {
 	j.add(job, opAbort, call, answer{known: status == 200 || status == 404, absent: status == 404, stage: stage})
 }
@@ -69,7 +70,7 @@
 	j.ops[job] = append(j.ops[job], porcupine.Operation{Input: op, Call: call, Output: out, Return: back})
 }
 
-// Violations names the jobs for whose answers there is no order.
+// Violations lists the jobs whose answers have no linearization.
 func (j *LinearizabilityChecker) Violations() (out []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -82,9 +83,10 @@
 	return out
 }
 
-// essentialCalls leaves out what others imply, or the search for an order would not end where there is
-// none. Stages only go on: of calls of one kind with one answer, those that were asked first and last
-// and the one that was answered first leave the others no less room.
+// essentialCalls leaves out calls that are implied by others, without which the search would not
+// end where there is no linearization. Stages only advance: among calls of one kind with the same
+// answer, those that started first and last and the one that was answered first constrain the
+// others as much as all do.
 func essentialCalls(ops []porcupine.Operation) (out []porcupine.Operation) {
 	type kind struct {
 		op    opKind
@@ -119,7 +121,7 @@
 	return out
 }
 
-// describe lists calls in the order in which they came.
+// describe lists calls in the order of their start.
 func describe(ops []porcupine.Operation) string {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	var out []string
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -21,40 +21,40 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Mix is what load consists of.
+// Mix describes a load.
 type Mix struct {
 	Seed    uint64
 	For     time.Duration
-	Poll    time.Duration // between two questions about a job
+	Poll    time.Duration // interval between two polls of a job
 	Classes []Class
 }
 
-// Class is a kind of jobs that come.
+// Class is a kind of jobs.
 type Class struct {
 	Name     string
 	PerMin   float64
-	Curve    []float64 // what the rate is multiplied by, over the whole time, evenly
+	Curve    []float64 // factors of the rate, evenly spread over the whole time
 	Bursts   []Burst
-	Tasks    [2]int // from and to
+	Tasks    [2]int // minimum and maximum
 	Run      [2]time.Duration
-	Cancel   float64 // share of the jobs that are cancelled while they run
+	Cancel   float64 // share of jobs that are cancelled while they run
 	Template wire.Job
 }
 
-// Burst has jobs come some times as often for a while.
+// Burst multiplies the rate of a class for a while.
 type Burst struct {
 	At, For time.Duration
 	Factor  float64
 }
 
-// Arrival is a job that is to be sent at a time.
+// Arrival is a job that is to be submitted at a time.
 type Arrival struct {
 	At     time.Duration
 	Job    *wire.Job
-	Cancel time.Duration // after which it is cancelled; 0: never
+	Cancel time.Duration // after which it is cancelled; 0 for never
 }
 
-// ParseMix reads a mix file and names all that is wrong with it.
+// ParseMix reads a mix file and reports everything that is wrong with it.
 func ParseMix(text []byte) (*Mix, error) {
 	file, err := ini.Load(text)
 	if err != nil {
@@ -174,7 +174,7 @@
 	return ""
 }
 
-// setBursts reads "30s x3 for 20s, 2m x2 for 1m".
+// setBursts parses bursts such as "30s x3 for 20s, 2m x2 for 1m".
 func (c *Class) setBursts(text string) string {
 	c.Bursts = nil
 	for _, w := range strings.Split(text, ",") {
@@ -203,7 +203,7 @@
 	return parseRange(&c.Run, text, time.ParseDuration, 0, 24*time.Hour, "a duration or a range such as 5s-1m")
 }
 
-// parseRange reads a value or two with a dash between them.
+// parseRange parses one value, or two that are joined by a dash.
 func parseRange[T cmp.Ordered](to *[2]T, text string, read func(string) (T, error), least, most T, allowed string) string {
 	from, until, ranged := strings.Cut(text, "-")
 	if !ranged {
@@ -218,7 +218,7 @@
 	return ""
 }
 
-// rate gives the jobs a second at a time.
+// rate returns the jobs per second at a time.
 func (c *Class) rate(at, all time.Duration) float64 {
 	r := c.PerMin / 60
 	if n := len(c.Curve); n > 0 {
@@ -232,8 +232,8 @@
 	return r
 }
 
-// Arrivals gives all jobs of a mix in the order in which they come, by Poisson: the same for
-// the same seed. prefix, of digits, tells the ids of two runs apart.
+// Arrivals returns all jobs of a mix in the order of their arrival, a Poisson process that is the
+// same for the same seed. prefix, of digits, distinguishes the job ids of two runs.
 func (m *Mix) Arrivals(prefix string) (out []Arrival) {
 	for k := range m.Classes {
 		c := &m.Classes[k]
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -19,30 +19,30 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Runner puts load on a service.
+// Runner generates load on a set of controllers.
 type Runner struct {
 	Mix          *Mix
 	Addrs        []string // of the controllers
-	JudgeAddr    string   // control address of the world that judges; none if it is empty
-	Prefix       string   // of the ids, so that two runs don't meet
+	JudgeAddr    string   // control address of the emulated cluster that judges the run; empty for none
+	Prefix       string   // of job ids, to distinguish two runs
 	Caller       *transport.Caller
-	DrainTimeout time.Duration // for what is not over when the last job has come
+	DrainTimeout time.Duration // for jobs that are not over when the last one was submitted
 
 	history           answerHistory
-	liveness          simulator.LivenessChecker // judges where no world does; nobody tells it that troubles are over
+	liveness          simulator.LivenessChecker // used without a judging cluster; it is never told that faults are over
 	mu                sync.Mutex
 	classes           map[string]*ClassResult
 	observations      []emulator.Observation
 	jobs              map[string]*trackedJob
 	instructions      emulator.UserInstructions
-	malformed         int // submissions that must be refused, so far
+	malformed         int // submissions so far that have to be refused
 	instructionCounts InstructionCounts
 	open              atomic.Int64
 	sent              atomic.Int64
 }
 
-// ClassResult is what became of the jobs of a class. Times are in milliseconds, from when a job
-// was meant to be sent.
+// ClassResult is what happened to the jobs of a class. Times are in milliseconds, from when a job
+// was due to be sent.
 type ClassResult struct {
 	Jobs      int            `json:"jobs"`
 	Accepted  int            `json:"accepted"`
@@ -58,7 +58,7 @@
 	accept, start, finish *hdrhistogram.Histogram
 }
 
-// Times sums a histogram up.
+// Times summarises a histogram of milliseconds.
 type Times struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -67,12 +67,12 @@
 	Max   int64 `json:"max"`
 }
 
-// TimesOf sums up a histogram of milliseconds.
+// TimesOf summarises a histogram of milliseconds.
 func TimesOf(h *hdrhistogram.Histogram) Times {
 	return Times{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Result is what a run has shown.
+// Result is the result of a run.
 type Result struct {
 	Classes      map[string]*ClassResult `json:"classes"`
 	Open         []string                `json:"open"` // jobs that are not over
@@ -81,6 +81,7 @@
 	Instructions InstructionCounts       `json:"ordered"`
 }
 
+// maxMillis is the largest value of a histogram, a day.
 const maxMillis = 24 * 3600 * 1000 // ms
 
 func (r *Runner) class(name string) *ClassResult {
@@ -92,7 +93,7 @@
 	return c
 }
 
-// note changes what is counted of a class.
+// note changes the counts of a class.
 func (r *Runner) note(name string, change func(*ClassResult)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +104,8 @@
 	_ = h.RecordValue(min(maxMillis, max(1, time.Since(since).Milliseconds())))
 }
 
-// Run sends the jobs of the mix, each at its time, and follows them until they are over.
-// progress is told how many were sent of how many, and how many are open.
+// Run submits the jobs of the mix, each at its time, and follows them until they are over.
+// progress is called with how many were sent, how many there are, and how many are open.
 func (r *Runner) Run(ctx context.Context, progress func(sent, all, open int)) (*Result, error) {
 	r.classes, r.jobs = make(map[string]*ClassResult), make(map[string]*trackedJob)
 	arrivals := r.Mix.Arrivals(r.Prefix)
@@ -188,7 +189,7 @@
 	}
 }
 
-// pollTimeout is how long users wait for the answer to a question.
+// pollTimeout is how long users wait for the answer to a poll.
 const pollTimeout = 2 * time.Second
 
 // submitTimeout bounds how long a user tries to submit a job.
@@ -225,7 +226,7 @@
 	r.readConcurrently(ctx, f)
 }
 
-// follow asks about a job until it is over, and cancels it if that is meant.
+// follow polls a job until it is over, and cancels it if that is due.
 func (r *Runner) follow(ctx context.Context, f *trackedJob, a *Arrival, meant time.Time) {
 	j, begun, started := a.Job, time.Now(), false
 	for try := 0; ctx.Err() == nil; try++ {
@@ -260,7 +261,7 @@
 	}
 }
 
-// call makes a request to one of the controllers, and remembers when it was made and answered.
+// call makes a request to one of the controllers and records when it was made and answered.
 func (r *Runner) call(ctx context.Context, n int, f *trackedJob, op opKind) (status int, s wire.JobStatus) {
 	j, wait := f.job, 5*time.Second
 	method, path, body := "POST", wire.PathJobs, f.body
@@ -298,7 +299,7 @@
 	r.observations = append(r.observations, t)
 }
 
-// sendObservations hands what users did and were told to the world that judges, in order.
+// sendObservations sends what users did and were answered to the judging cluster, in order.
 func (r *Runner) sendObservations(ctx context.Context) {
 	for last := false; r.JudgeAddr != "" && !last; {
 		pause(ctx, 50*time.Millisecond)
@@ -333,7 +334,7 @@
 	return names
 }
 
-// Print tells a result to people.
+// Print writes a result in readable form.
 func (res *Result) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tjobs\taccepted\trefused\tgiven up\tdone\tcancelled\taccept p50\tp99 ms\tstart p50\tp99 ms\tfinish p50\tp99 ms\t")
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Path is where a controller tells it, beside its metrics.
+// Path is the path of a controller's status, beside its metrics.
 const Path = "/status"
 
 // Status is what one controller knows.
@@ -23,14 +23,14 @@
 	Shards            map[string]Shard `json:"parts"`
 	Classes           map[string]Class `json:"classes"`
 	Teams             map[string]Team  `json:"teams"`
-	Zones             map[string]Zone  `json:"zones"` // of the parts that it knows of
+	Zones             map[string]Zone  `json:"zones"` // of the shards that it knows
 	Tiers             map[string]Tier  `json:"tiers,omitempty"`
-	Stalls            map[string]Stall `json:"stalls,omitempty"` // of the parts that it holds, by part
+	Stalls            map[string]Stall `json:"stalls,omitempty"` // of the shards that it leads, by shard
 	Budget            Budget           `json:"state_service"`
 	Revision          uint64           `json:"revision"`
 }
 
-// Shard is who holds a part, and under which term.
+// Shard names the leader of a shard and its fencing token.
 type Shard struct {
 	Leader       string `json:"holder"`
 	FencingToken uint64 `json:"term"`
@@ -45,7 +45,7 @@
 	FinishedTasks int `json:"tasks_done"`
 }
 
-// Team is what a team uses, is guaranteed and may use at most; 0 stands for none.
+// Team is a team's use, guarantee and limit; 0 stands for none.
 type Team struct {
 	CPUs    float64 `json:"cpus"`
 	CPUsMin float64 `json:"cpus_guaranteed"`
@@ -55,7 +55,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Tier is how a tier of work stands against its share, in cards.
+// Tier is a priority tier's use of GPUs against its share.
 type Tier struct {
 	Order    int     `json:"order"`
 	GPUs     float64 `json:"cards"`
@@ -65,22 +65,23 @@
 	Reclaims int     `json:"claims_back"`
 }
 
-// Zone counts the machines that should be heard, and those that are overdue.
+// Zone counts a zone's machines whose heartbeats are expected, and those whose heartbeats are
+// overdue.
 type Zone struct {
 	Machines int `json:"machines"`
 	Overdue  int `json:"overdue"`
 
-	Recovery string `json:"return,omitempty"` // how far its return has come
+	Recovery string `json:"return,omitempty"` // step of the zone's recovery
 }
 
-// Stall says that the holder of a part starts nothing although there is work and room for it.
+// Stall reports that a shard's leader starts nothing although there is work and capacity for it.
 type Stall struct {
 	DurationS int    `json:"for_s"`
 	Cause     string `json:"cause"`
 	Job       string `json:"job"` // one that could start
 }
 
-// Budget counts what the controller has asked of the state service since it began.
+// Budget counts the controller's requests to the state service since it started.
 type Budget struct {
 	RPS        float64 `json:"requests_allowed_s"`
 	WriteRPS   float64 `json:"changes_allowed_s"`
@@ -90,14 +91,14 @@
 	Unanswered uint64  `json:"unanswered"`
 }
 
-// View is several controllers' statuses at a moment.
+// View is the status of several controllers at one time.
 type View struct {
 	At          time.Time          `json:"at"`
 	Statuses    map[string]*Status `json:"controllers"` // by address
-	Unreachable map[string]string  `json:"unanswered"`  // why, by address
+	Unreachable map[string]string  `json:"unanswered"`  // reasons, by address
 }
 
-// newest gives the status that has come furthest; what all know alike is taken from it.
+// newest returns the status with the highest revision; what all controllers know is taken from it.
 func (v *View) newest() *Status {
 	var best *Status
 	for _, s := range v.Statuses {
@@ -108,7 +109,7 @@
 	return best
 }
 
-// merged puts together what only holders know.
+// merged combines what only leaders know.
 func (v *View) merged() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
 	zones, teams, tiers = map[string]Zone{}, map[string]Team{}, map[string]Tier{}
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
@@ -132,7 +133,7 @@
 	return zones, teams, tiers
 }
 
-// rate gives the change of a count a second, since an earlier view.
+// rate returns the change of a count per second since an earlier view.
 func rate(now, before uint64, d time.Duration) string {
 	if d <= 0 || now < before {
 		return "-"
@@ -140,7 +141,7 @@
 	return fmt.Sprintf("%.1f", float64(now-before)/d.Seconds())
 }
 
-// Print shows a view to people; rates are since the one before, if there is one.
+// Print writes a view in readable form; rates are relative to the previous view, if there is one.
 func (v *View) Print(out io.Writer, before *View) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	line := func(format string, args ...any) { fmt.Fprintf(t, format+"\n", args...) }
@@ -167,7 +168,7 @@
 	}
 }
 
-// printFleet shows what is the same wherever one asks.
+// printFleet writes what is the same at every controller.
 func (v *View) printFleet(line func(string, ...any), s *Status) {
 	line("PART\tHOLDER\tTERM\t")
 	for _, part := range slices.Sorted(maps.Keys(s.Shards)) {
