--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -24,17 +24,11 @@
 	Level       string `default:"info" enum:"error,warn,info,debug" help:"LOG_LEVEL of these controllers."`
 }
 
-// Run runs a world until Ctrl-C.
+// Run runs an emulated cluster until Ctrl-C.
 func (e emulateCmd) Run() error {
-	c := emulator.DefaultConfig()
-	if e.World != "" {
-		text, err := os.ReadFile(e.World)
-		if err != nil {
-			return settingsError{err}
-		}
-		if c, err = emulator.Parse(text); err != nil {
-			return settingsError{fmt.Errorf("%s:\n%w", e.World, err)}
-		}
+	c, err := e.config()
+	if err != nil {
+		return settingsError{err}
 	}
 	if e.Keep && e.Dir == "" {
 		return settingsError{errors.New("--keep needs --dir")}
@@ -54,17 +48,10 @@
 	if err != nil {
 		return err
 	}
-	program, err := os.Executable()
+	procs, err := e.processes(dir)
 	if err != nil {
 		return err
 	}
-	var tuning []byte
-	if e.Settings != "" {
-		if tuning, err = os.ReadFile(e.Settings); err != nil {
-			return settingsError{err}
-		}
-	}
-	procs := emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}
 	opt := emulator.Options{Port: e.Port, Dir: dir, Persist: e.Keep, Log: log}
 	if e.Controllers {
 		procs.Begin(ctx)
@@ -77,8 +64,48 @@
 	}
 	defer w.Stop()
 	procs.Settings, procs.Metrics = w.Settings, w.Metrics
+	if err := e.announce(w, procs, c.Controllers); err != nil {
+		return err
+	}
+	<-ctx.Done()
+	return nil
+}
+
+// config reads the world file, or returns the default.
+func (e emulateCmd) config() (*emulator.Config, error) {
+	if e.World == "" {
+		return emulator.DefaultConfig(), nil
+	}
+	text, err := os.ReadFile(e.World)
+	if err != nil {
+		return nil, err
+	}
+	c, err := emulator.Parse(text)
+	if err != nil {
+		return nil, fmt.Errorf("%s:\n%w", e.World, err)
+	}
+	return c, nil
+}
+
+// processes prepares the controllers' processes; none is started yet.
+func (e emulateCmd) processes(dir string) (*emulator.Processes, error) {
+	program, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	var tuning []byte
+	if e.Settings != "" {
+		if tuning, err = os.ReadFile(e.Settings); err != nil {
+			return nil, settingsError{err}
+		}
+	}
+	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}, nil
+}
+
+// announce starts the controllers, or prints the commands that do, and prints all addresses.
+func (e emulateCmd) announce(w *emulator.Cluster, procs *emulator.Processes, controllers int) error {
 	var addrs, metrics []string
-	for i := range c.Controllers {
+	for i := range controllers {
 		addrs, metrics = append(addrs, w.Public(i)), append(metrics, w.Metrics(i))
 		if e.Controllers {
 			if err := procs.Start(i); err != nil {
@@ -92,7 +119,6 @@
 	if e.Controllers {
 		fmt.Printf("%s top --addr %s\n", os.Args[0], strings.Join(metrics, ","))
 	}
-	<-ctx.Done()
 	return nil
 }
 
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -29,34 +29,52 @@
 	return []*wire.Job{array, gang, service}
 }
 
-// Demo submits a job of each shape, kills the holder while they run, and shows that
-// each still gets its answer, the same from every controller. An error says what was
-// not so.
+// demo is one run of the demonstration.
+type demo struct {
+	*Cluster
+	jobs []*wire.Job
+	say  func(format string, args ...any)
+}
+
+// Demo submits a job of each shape, kills the leader while they run, and shows that each still
+// gets its answer, the same from every controller. An error says what did not happen.
 func (w *Cluster) Demo(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTime)
 	defer cancel()
 	begun := time.Now()
-	say := func(format string, args ...any) {
+	d := &demo{w, demoJobs(), func(format string, args ...any) {
 		fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
-	}
-	jobs := demoJobs()
+	}}
 	users := &simulator.Users{Dial: emulator.Dial, Judge: w.Liveness()}
 	for i := range Controllers {
 		users.Nodes = append(users.Nodes, w.Addr(i))
 	}
-	var asking sync.WaitGroup
-	defer func() { cancel(); asking.Wait() }()
-	asking.Go(func() { users.Run(ctx) })
-	for i, j := range jobs {
-		if status, _ := w.ask(ctx, i, "POST", wire.PathJobs, wire.Encode(j)); status != 201 {
+	var polling sync.WaitGroup
+	defer func() { cancel(); polling.Wait() }()
+	polling.Go(func() { users.Run(ctx) })
+	follow := func(id string) { polling.Go(func() { users.Follow(ctx, id) }) }
+	if err := d.submit(ctx, follow); err != nil {
+		return err
+	}
+	killed, err := d.killLeader(ctx)
+	if err != nil {
+		return err
+	}
+	return d.finish(ctx, killed)
+}
+
+// submit submits all jobs, each to another controller, and waits until they run.
+func (d *demo) submit(ctx context.Context, follow func(id string)) error {
+	for i, j := range d.jobs {
+		if status, _ := d.ask(ctx, i, "POST", wire.PathJobs, wire.Encode(j)); status != 201 {
 			return fmt.Errorf("%s was answered %d", j.ID, status)
 		}
-		asking.Go(func() { users.Follow(ctx, j.ID) })
-		say("submitted %s to %s: %s of %d tasks", j.ID, w.Addr(i), j.Shape, j.Tasks)
+		follow(j.ID)
+		d.say("submitted %s to %s: %s of %d tasks", j.ID, d.Addr(i), j.Shape, j.Tasks)
 	}
-	if err := w.waitUntil(ctx, func() bool {
-		for i, j := range jobs {
-			if s := w.status(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
+	if err := d.waitUntil(ctx, func() bool {
+		for i, j := range d.jobs {
+			if s := d.status(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
 				return false
 			}
 		}
@@ -64,59 +82,68 @@
 	}); err != nil {
 		return fmt.Errorf("not every job came to run: %w", err)
 	}
-	say("all of them run")
-	holder, term, ok := w.Leader()
+	d.say("all of them run")
+	return nil
+}
+
+// killLeader kills the leader, waits for the next one, and restarts the controller that it killed.
+func (d *demo) killLeader(ctx context.Context) (killed int, err error) {
+	killed, token, ok := d.Leader()
 	if !ok {
-		return errors.New("nobody holds the fleet")
+		return 0, errors.New("nobody holds the fleet")
 	}
-	w.Kill(holder)
-	say("killed %s, which held the fleet under term %d", name(holder), term)
-	now := holder
-	if err := w.waitUntil(ctx, func() bool {
-		i, t, ok := w.Leader()
-		now = i
-		return ok && t > term
+	d.Kill(killed)
+	d.say("killed %s, which held the fleet under term %d", name(killed), token)
+	next := killed
+	if err := d.waitUntil(ctx, func() bool {
+		i, t, ok := d.Leader()
+		next = i
+		return ok && t > token
 	}); err != nil {
-		return fmt.Errorf("nobody took the fleet over: %w", err)
+		return 0, fmt.Errorf("nobody took the fleet over: %w", err)
 	}
-	say("%s holds it now", name(now))
-	if err := w.Restart(holder); err != nil {
-		return err
-	}
-	for i, j := range jobs[:2] {
-		if err := w.waitUntil(ctx, func() bool { return w.status(ctx, holder+1+i, j.ID).Stage == wire.Done }); err != nil {
+	d.say("%s holds it now", name(next))
+	return killed, d.Restart(killed)
+}
+
+// finish waits for the ends of the jobs, cancels the service, and compares the answers.
+func (d *demo) finish(ctx context.Context, killed int) error {
+	for i, j := range d.jobs[:2] {
+		if err := d.waitUntil(ctx, func() bool { return d.status(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
 			return fmt.Errorf("%s is not done: %w", j.ID, err)
 		}
-		say("%s is done", j.ID)
+		d.say("%s is done", j.ID)
 	}
-	if status, _ := w.ask(ctx, 0, "POST", wire.PathJobs+"/"+jobs[2].ID+"/"+wire.CancelWord, []byte{}); status != 200 {
-		return fmt.Errorf("the cancellation of %s was answered %d", jobs[2].ID, status)
+	service := d.jobs[2].ID
+	if status, _ := d.ask(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelWord, []byte{}); status != 200 {
+		return fmt.Errorf("the cancellation of %s was answered %d", service, status)
 	}
-	say("%s is cancelled", jobs[2].ID)
-	if err := w.waitUntil(ctx, func() bool { return w.Ready(holder) }); err != nil {
-		return fmt.Errorf("%s did not come back: %w", name(holder), err)
+	d.say("%s is cancelled", service)
+	if err := d.waitUntil(ctx, func() bool { return d.Ready(killed) }); err != nil {
+		return fmt.Errorf("%s did not come back: %w", name(killed), err)
 	}
-	return w.checkUnchanged(ctx, jobs, say)
+	return d.checkUnchanged(ctx)
 }
 
-// checkUnchanged verifies that running tasks are where they were.
-func (w *Cluster) checkUnchanged(ctx context.Context, jobs []*wire.Job, say func(string, ...any)) error {
-	for _, j := range jobs {
+// checkUnchanged verifies that every controller tells the same end of each job, and that no rule
+// was violated.
+func (d *demo) checkUnchanged(ctx context.Context) error {
+	for _, j := range d.jobs {
 		want := wire.Done
 		if j.Shape == wire.Service {
 			want = wire.Cancelled
 		}
 		for i := range Controllers {
-			if s := w.status(ctx, i, j.ID); s.Stage != want {
-				return fmt.Errorf("%s calls %s %s, not %s", w.Addr(i), j.ID, s.Stage, want)
+			if s := d.status(ctx, i, j.ID); s.Stage != want {
+				return fmt.Errorf("%s calls %s %s, not %s", d.Addr(i), j.ID, s.Stage, want)
 			}
 		}
 	}
-	s := w.Status()
+	s := d.Status()
 	if len(s.Violations) > 0 {
 		return errors.New(strings.Join(s.Violations, "\n"))
 	}
-	say("every controller gives the same answers; %d tasks were started, none twice at a time", s.StartedTasks)
+	d.say("every controller gives the same answers; %d tasks were started, none twice at a time", s.StartedTasks)
 	return nil
 }
 
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -90,53 +90,91 @@
 
 // apply injects a fault and returns the function that ends it, nil if it has no duration.
 func (w *Cluster) apply(f *Fault) (lift func(), err error) {
-	store := func(change, back func(*simulator.StateService)) func() {
+	switch f.Kind {
+	case "cut", "slow":
+		return w.cutLinks(f), nil
+	case "controller_cut":
+		return w.cutOffController(f), nil
+	case "state_down", "state_refuse", "state_slow", "state_lose", "state_late", "state_forget":
+		return w.applyToState(f), nil
+	case "cloud_down", "cloud_fewer", "cloud_late", "boot_slow", "boot_never":
+		return w.applyToCloud(f), nil
+	case "report_late":
+		return w.replayHeartbeats(f), nil
+	case "machine_die", "machine_hang", "machine_deaf", "machine_mute", "machine_restart", "spot_taken":
+		return w.applyToMachines(f), nil
+	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
+		return w.users.apply(w, f)
+	case "controller_kill", "controller_hang":
+		return w.applyToController(f)
+	}
+	return nil, nil
+}
+
+// applyToState injects a fault of the state service.
+func (w *Cluster) applyToState(f *Fault) (lift func()) {
+	configure := func(change, back func(*simulator.StateService)) func() {
 		w.state.Configure(change)
 		return func() { w.state.Configure(back) }
 	}
-	cloud := func(change, back func(*simulator.CloudFaults)) func() {
-		w.cloud.SetFaults(change)
-		return func() { w.cloud.SetFaults(back) }
-	}
 	switch f.Kind {
-	case "cut", "slow":
-		return w.cutLinks(f), nil
 	case "state_down":
 		w.state.SetOutage(true)
-		return func() { w.state.SetOutage(false) }, nil
+		return func() { w.state.SetOutage(false) }
 	case "state_refuse":
 		w.state.RefuseCaller(f.Who, true)
-		return func() { w.state.RefuseCaller(f.Who, false) }, nil
+		return func() { w.state.RefuseCaller(f.Who, false) }
 	case "state_slow":
 		usual := w.Config.StateDelay
-		return store(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
-			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } }), nil
+		return configure(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
+			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } })
 	case "state_lose":
-		return store(func(s *simulator.StateService) { s.LossShare = f.Share }, func(s *simulator.StateService) { s.LossShare = 0 }), nil
+		return configure(func(s *simulator.StateService) { s.LossShare = f.Share }, func(s *simulator.StateService) { s.LossShare = 0 })
 	case "state_late":
 		if f.AtOnce {
-			return store(func(s *simulator.StateService) { s.LostReplyShare = f.Share }, func(s *simulator.StateService) { s.LostReplyShare = 0 }), nil
-		}
-		return store(func(s *simulator.StateService) { s.DelayedShare = f.Share }, func(s *simulator.StateService) { s.DelayedShare = 0 }), nil
-	case "report_late":
-		if f.ForNext {
-			w.replayer.KeepForNextLeader(f.Share)
-		} else {
-			w.replayer.SetShare(f.Share)
+			return configure(func(s *simulator.StateService) { s.LostReplyShare = f.Share }, func(s *simulator.StateService) { s.LostReplyShare = 0 })
 		}
-		return func() { w.replayer.SetShare(0) }, nil
+		return configure(func(s *simulator.StateService) { s.DelayedShare = f.Share }, func(s *simulator.StateService) { s.DelayedShare = 0 })
 	case "state_forget":
 		w.state.DropHistory()
+	}
+	return nil
+}
+
+// applyToCloud injects a fault of the cloud.
+func (w *Cluster) applyToCloud(f *Fault) (lift func()) {
+	set := func(change, back func(*simulator.CloudFaults)) func() {
+		w.cloud.SetFaults(change)
+		return func() { w.cloud.SetFaults(back) }
+	}
+	switch f.Kind {
 	case "cloud_down":
-		return cloud(func(c *simulator.CloudFaults) { c.Unavailable = true }, func(c *simulator.CloudFaults) { c.Unavailable = false }), nil
+		return set(func(c *simulator.CloudFaults) { c.Unavailable = true }, func(c *simulator.CloudFaults) { c.Unavailable = false })
 	case "cloud_fewer":
-		return cloud(func(c *simulator.CloudFaults) { c.MissingCapacityShare = f.Share }, func(c *simulator.CloudFaults) { c.MissingCapacityShare = 0 }), nil
+		return set(func(c *simulator.CloudFaults) { c.MissingCapacityShare = f.Share }, func(c *simulator.CloudFaults) { c.MissingCapacityShare = 0 })
 	case "cloud_late":
-		return cloud(func(c *simulator.CloudFaults) { c.RentDelay = f.Delay }, func(c *simulator.CloudFaults) { c.RentDelay = 0 }), nil
+		return set(func(c *simulator.CloudFaults) { c.RentDelay = f.Delay }, func(c *simulator.CloudFaults) { c.RentDelay = 0 })
 	case "boot_slow":
-		return cloud(func(c *simulator.CloudFaults) { c.BootFactor = f.Times }, func(c *simulator.CloudFaults) { c.BootFactor = 0 }), nil
+		return set(func(c *simulator.CloudFaults) { c.BootFactor = f.Times }, func(c *simulator.CloudFaults) { c.BootFactor = 0 })
 	case "boot_never":
-		return cloud(func(c *simulator.CloudFaults) { c.NeverBootShare = f.Share }, func(c *simulator.CloudFaults) { c.NeverBootShare = 0 }), nil
+		return set(func(c *simulator.CloudFaults) { c.NeverBootShare = f.Share }, func(c *simulator.CloudFaults) { c.NeverBootShare = 0 })
+	}
+	return nil
+}
+
+// replayHeartbeats delivers copies of heartbeats late, or to the next leader.
+func (w *Cluster) replayHeartbeats(f *Fault) (lift func()) {
+	if f.ForNext {
+		w.replayer.KeepForNextLeader(f.Share)
+	} else {
+		w.replayer.SetShare(f.Share)
+	}
+	return func() { w.replayer.SetShare(0) }
+}
+
+// applyToMachines injects a fault of machines.
+func (w *Cluster) applyToMachines(f *Fault) (lift func()) {
+	switch f.Kind {
 	case "machine_die":
 		for _, id := range w.pickMachines(f, false) {
 			w.cloud.Crash(id)
@@ -144,13 +182,9 @@
 	case "machine_hang":
 		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
 	case "machine_deaf":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) }), nil
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) })
 	case "machine_mute":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) }), nil
-	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
-		return w.users.apply(w, f)
-	case "controller_cut":
-		return w.cutOffController(f), nil
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) })
 	case "machine_restart":
 		back := cmp.Or(f.Delay, defaultRestartDelay)
 		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
@@ -158,10 +192,8 @@
 		for _, id := range w.pickMachines(f, true) {
 			w.cloud.Preempt(id, f.Notice)
 		}
-	case "controller_kill", "controller_hang":
-		return w.cloudFault(f)
 	}
-	return nil, nil
+	return nil
 }
 
 // cutLinks puts a fault's rules into force, in both directions unless it is one way. A zone that
@@ -235,8 +267,8 @@
 // started.
 var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
 
-// cloudFault injects a fault of the cloud.
-func (w *Cluster) cloudFault(f *Fault) (lift func(), err error) {
+// applyToController kills or suspends a controller.
+func (w *Cluster) applyToController(f *Fault) (lift func(), err error) {
 	names := w.Config.names()
 	if f.Who != "" {
 		names = []string{f.Who}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -104,8 +104,8 @@
 	WriteRPS float64                `json:"state_write_rps"`
 }
 
-// Parse reads an experiment's file and names all that is wrong with it, also in the files that
-// it names.
+// Parse reads an experiment's file and reports everything that is wrong with it and with the files
+// that it names.
 func Parse(path string) (*Plan, error) {
 	file, err := ini.Load(path)
 	if err != nil {
@@ -113,42 +113,52 @@
 	}
 	p := &Plan{Dir: filepath.Dir(path), Settings: []string{"none"}, Seeds: []uint64{1}, Parallel: 1, Port: 12080, Wait: 2 * time.Minute}
 	var faults []error
-	wrong := func(key, value, allowed string) {
-		faults = append(faults, fmt.Errorf("[experiment] %s: %q: must be %s", key, value, allowed))
-	}
 	for _, sec := range file.Sections() {
 		for _, key := range sec.Keys() {
-			name, value := key.Name(), key.Value()
-			switch {
-			case sec.Name() != "experiment":
+			if sec.Name() != "experiment" {
 				faults = append(faults, fmt.Errorf("[%s]: must be experiment", sec.Name()))
-			case name == "worlds":
-				p.Worlds = key.Strings(",")
-			case name == "mixes":
-				p.Mixes = key.Strings(",")
-			case name == "settings":
-				p.Settings = key.Strings(",")
-			case name == "seeds":
-				if p.Seeds, err = key.StrictUint64s(","); err != nil || len(p.Seeds) == 0 {
-					wrong(name, value, "counts separated by commas")
-				}
-			case name == "parallel":
-				if p.Parallel, err = key.Int(); err != nil || p.Parallel < 1 || p.Parallel > 16 {
-					wrong(name, value, "a count from 1 to 16")
-				}
-			case name == "port":
-				if p.Port, err = key.Int(); err != nil || p.Port < 1024 || p.Port > 12080 {
-					wrong(name, value, "a port from 1024 to 12080, below those that the system gives out")
-				}
-			case name == "wait":
-				if p.Wait, err = time.ParseDuration(value); err != nil || p.Wait < time.Second {
-					wrong(name, value, "a duration of a second or more")
-				}
-			default:
-				wrong(name, value, "left out; known are mixes, parallel, port, seeds, settings, wait, worlds")
+			} else if allowed := p.setKey(key); allowed != "" {
+				faults = append(faults, fmt.Errorf("[experiment] %s: %q: must be %s", key.Name(), key.Value(), allowed))
 			}
 		}
 	}
+	return p, errors.Join(append(faults, p.checkFiles()...)...)
+}
+
+// setKey sets a field from its key in the file; if the value is rejected it returns what is allowed.
+func (p *Plan) setKey(key *ini.Key) (allowed string) {
+	var err error
+	switch key.Name() {
+	case "worlds":
+		p.Worlds = key.Strings(",")
+	case "mixes":
+		p.Mixes = key.Strings(",")
+	case "settings":
+		p.Settings = key.Strings(",")
+	case "seeds":
+		if p.Seeds, err = key.StrictUint64s(","); err != nil || len(p.Seeds) == 0 {
+			return "counts separated by commas"
+		}
+	case "parallel":
+		if p.Parallel, err = key.Int(); err != nil || p.Parallel < 1 || p.Parallel > 16 {
+			return "a count from 1 to 16"
+		}
+	case "port":
+		if p.Port, err = key.Int(); err != nil || p.Port < 1024 || p.Port > 12080 {
+			return "a port from 1024 to 12080, below those that the system gives out"
+		}
+	case "wait":
+		if p.Wait, err = time.ParseDuration(key.Value()); err != nil || p.Wait < time.Second {
+			return "a duration of a second or more"
+		}
+	default:
+		return "left out; known are mixes, parallel, port, seeds, settings, wait, worlds"
+	}
+	return ""
+}
+
+// checkFiles checks the files that a plan names; its elements are nil for those without an error.
+func (p *Plan) checkFiles() (faults []error) {
 	if len(p.Worlds) == 0 || len(p.Mixes) == 0 {
 		faults = append(faults, errors.New("[experiment] worlds and mixes: must name a file each at least"))
 	}
@@ -167,7 +177,7 @@
 			}
 		}
 	}
-	return p, errors.Join(faults...)
+	return faults
 }
 
 func (p *Plan) world(name string) (*emulator.Config, error) {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -252,47 +252,68 @@
 			top = max(top, maximum(o, of))
 		}
 	}
-	if faults := by[settings[0]][0].Faults; len(faults) > 0 {
-		if err := faultBands(p, faults, top); err != nil {
+	first := by[settings[0]][0]
+	if len(first.Faults) > 0 {
+		if err := faultBands(p, first.Faults, top); err != nil {
 			return "", err
 		}
 	}
 	for i, s := range settings {
-		for k, o := range by[s] {
-			pts := make(plotter.XYs, len(o.Samples))
-			for n, x := range o.Samples {
-				pts[n] = plotter.XY{X: x.T, Y: of(x)}
-			}
-			if len(pts) == 0 {
-				continue
-			}
-			l, err := plotter.NewLine(pts)
-			if err != nil {
-				return "", err
-			}
-			l.Color, l.Width = palette[i%len(palette)], vg.Points(1.2)
-			p.Add(l)
-			if k == 0 {
-				p.Legend.Add(s, l)
-			}
+		if err := cellLines(p, s, palette[i%len(palette)], by[s], of); err != nil {
+			return "", err
 		}
 	}
 	if limit != nil {
-		o := by[settings[0]][0]
-		if at := limit(o); at <= 3*top {
-			end := 1.0
-			if n := len(o.Samples); n > 0 {
-				end = o.Samples[n-1].T
-			}
-			l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: at}, {X: end, Y: at}})
-			if err != nil {
+		if at := limit(first); at <= 3*top {
+			if err := limitLine(p, first, at); err != nil {
 				return "", err
 			}
-			l.Dashes, l.Color = []vg.Length{vg.Points(4), vg.Points(3)}, color.RGBA{0xb0, 0x20, 0x20, 0xff}
-			p.Add(l)
-			p.Legend.Add("limit", l)
 		}
 	}
+	return render(p)
+}
+
+// cellLines draws the cells of one setting in one colour, with one entry in the legend.
+func cellLines(p *plot.Plot, setting string, colour color.Color, cells []*Outcome, of func(Sample) float64) error {
+	for k, o := range cells {
+		pts := make(plotter.XYs, len(o.Samples))
+		for n, x := range o.Samples {
+			pts[n] = plotter.XY{X: x.T, Y: of(x)}
+		}
+		if len(pts) == 0 {
+			continue
+		}
+		l, err := plotter.NewLine(pts)
+		if err != nil {
+			return err
+		}
+		l.Color, l.Width = colour, vg.Points(1.2)
+		p.Add(l)
+		if k == 0 {
+			p.Legend.Add(setting, l)
+		}
+	}
+	return nil
+}
+
+// limitLine draws a limit as a dashed line over the length of a cell.
+func limitLine(p *plot.Plot, o *Outcome, at float64) error {
+	end := 1.0
+	if n := len(o.Samples); n > 0 {
+		end = o.Samples[n-1].T
+	}
+	l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: at}, {X: end, Y: at}})
+	if err != nil {
+		return err
+	}
+	l.Dashes, l.Color = []vg.Length{vg.Points(4), vg.Points(3)}, color.RGBA{0xb0, 0x20, 0x20, 0xff}
+	p.Add(l)
+	p.Legend.Add("limit", l)
+	return nil
+}
+
+// render returns a plot as an SVG element.
+func render(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(9*vg.Inch, 2.8*vg.Inch)
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -434,50 +434,12 @@
 		s.expire()
 		switch {
 		case path == wire.PathTxn:
-			var t txn
-			if err := wire.Decode(body, &t); err != nil {
-				return 400, wire.Failure{Error: err.Error()}
-			}
-			if why := s.malformed(t); why != "" {
-				return 400, wire.Failure{Error: why}
-			}
-			if exceeds(&s.wps, s.Limits.WriteRPS, len(t.Then)) {
-				return 429, nil
-			}
-			if s.HoldTxn != nil && s.HoldTxn(t.puts()) {
-				s.heldTxns = append(s.heldTxns, t)
-				return 0, nil
-			}
-			if s.FateOf != nil {
-				if f := s.FateOf(t.values()); f != FateAnswered {
-					return s.applyFate(t, f)
-				}
-			}
-			if s.DelayedShare > 0 && s.Rand.Float64() < s.DelayedShare {
-				return s.delayTxn(t)
-			}
-			if s.LostReplyShare > 0 && s.Rand.Float64() < s.LostReplyShare {
-				if status, _ := s.commit(t); status == 200 {
-					s.lostReplies++
-				}
-				return noAnswer, nil
-			}
-			if s.Rand.Float64() < s.LossShare {
-				return s.loseReply(t)
-			}
-			return s.commit(t)
+			return s.serveTxn(body)
 		case path == wire.PathKeys:
 			limit, _ := strconv.Atoi(q["limit"])
 			return 200, s.list(q["prefix"], q["from"], limit)
 		case path == wire.PathLeases:
-			var g wire.LeaseGrantRequest
-			if err := wire.Decode(body, &g); err != nil || g.TTLms < minTTLMS || g.TTLms > maxTTLMS {
-				return 400, wire.Failure{Error: "ttl_ms: 100 to 600,000"}
-			}
-			s.revision++
-			ttl := time.Duration(g.TTLms) * time.Millisecond
-			s.leases[s.revision] = &lease{ttl, time.Now().Add(ttl)}
-			return 200, wire.LeaseGrantResponse{Lease: s.revision}
+			return s.grantLease(body)
 		}
 		if key, ok := strings.CutPrefix(path, wire.PathKeys+"/"); ok {
 			if it, found := s.items.Get(key); found {
@@ -485,21 +447,75 @@
 			}
 			return 404, map[string]uint64{"era": s.revision}
 		}
-		num, word, _ := strings.Cut(strings.TrimPrefix(path, wire.PathLeases+"/"), "/")
-		id, _ := strconv.ParseUint(num, 10, 64)
-		l := s.leases[id]
-		switch {
-		case l == nil:
-			return 404, wire.Failure{Error: "no such lease"}
-		case method == "DELETE":
-			s.endLease(id)
-		case word == wire.RenewWord:
-			l.end = time.Now().Add(l.ttl)
-		}
-		return 200, wire.LeaseGrantResponse{Lease: id}
+		return s.serveLease(method, strings.TrimPrefix(path, wire.PathLeases+"/"))
 	})
 }
 
+// serveTxn answers a transaction, under the limits and the injected faults. The lock is held.
+func (s *StateService) serveTxn(body []byte) (int, any) {
+	var t txn
+	if err := wire.Decode(body, &t); err != nil {
+		return 400, wire.Failure{Error: err.Error()}
+	}
+	if why := s.malformed(t); why != "" {
+		return 400, wire.Failure{Error: why}
+	}
+	if exceeds(&s.wps, s.Limits.WriteRPS, len(t.Then)) {
+		return 429, nil
+	}
+	if s.HoldTxn != nil && s.HoldTxn(t.puts()) {
+		s.heldTxns = append(s.heldTxns, t)
+		return 0, nil
+	}
+	if s.FateOf != nil {
+		if f := s.FateOf(t.values()); f != FateAnswered {
+			return s.applyFate(t, f)
+		}
+	}
+	if s.DelayedShare > 0 && s.Rand.Float64() < s.DelayedShare {
+		return s.delayTxn(t)
+	}
+	if s.LostReplyShare > 0 && s.Rand.Float64() < s.LostReplyShare {
+		if status, _ := s.commit(t); status == 200 {
+			s.lostReplies++
+		}
+		return noAnswer, nil
+	}
+	if s.Rand.Float64() < s.LossShare {
+		return s.loseReply(t)
+	}
+	return s.commit(t)
+}
+
+// grantLease answers the request for a new lease. The lock is held.
+func (s *StateService) grantLease(body []byte) (int, any) {
+	var g wire.LeaseGrantRequest
+	if err := wire.Decode(body, &g); err != nil || g.TTLms < minTTLMS || g.TTLms > maxTTLMS {
+		return 400, wire.Failure{Error: "ttl_ms: 100 to 600,000"}
+	}
+	s.revision++
+	ttl := time.Duration(g.TTLms) * time.Millisecond
+	s.leases[s.revision] = &lease{ttl, time.Now().Add(ttl)}
+	return 200, wire.LeaseGrantResponse{Lease: s.revision}
+}
+
+// serveLease answers the renewal or the end of a lease; target is its number, and the word for a
+// renewal. The lock is held.
+func (s *StateService) serveLease(method, target string) (int, any) {
+	num, word, _ := strings.Cut(target, "/")
+	id, _ := strconv.ParseUint(num, 10, 64)
+	l := s.leases[id]
+	switch {
+	case l == nil:
+		return 404, wire.Failure{Error: "no such lease"}
+	case method == "DELETE":
+		s.endLease(id)
+	case word == wire.RenewWord:
+		l.end = time.Now().Add(l.ttl)
+	}
+	return 200, wire.LeaseGrantResponse{Lease: id}
+}
+
 // loseReply drops the answer to a transaction; half of those transactions are carried out late.
 func (s *StateService) loseReply(t txn) (int, any) {
 	if s.Rand.IntN(2) == 0 {
