--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -19,12 +19,12 @@
 // Days on which machines hear nothing, direct calls are held up and old reports come after
 // newer ones, while the leader changes.
 
-// TestCancelledLaunchHeldUp: a launch goes straight to a machine and is held up, its job is
+// TestDelayedLaunchOfCancelledJob: a launch goes straight to a machine and is held up, its job is
 // cancelled before the machine's next report, and the machine can't be returned, for the cloud
 // is in trouble, or the state service is out so that no claim surely lasts. The launch comes
 // when the job's tasks must long be gone: the machine was not answered any more, and is in
 // another session by then.
-func TestCancelledLaunchHeldUp(t *testing.T) {
+func TestDelayedLaunchOfCancelledJob(t *testing.T) {
 	for n, x := range []struct {
 		name string
 		cast func(w *simulation)
@@ -93,11 +93,11 @@
 // controller's lease lasts, a worker's, and all together.
 var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
 
-// TestLeaderEndsWhileMachinesAreDeaf: the leader ends while some of the machines that have long
+// TestLeaderEndsDuringAsymmetricPartition: the leader ends while some of the machines that have long
 // tasks - an array up to its team's limit, a gang in one zone, one over two, and a service that
 // is spread - hear nothing, for less or more than any lease. They are deaf from before the
 // change or from after it. Nothing starts twice, or where it must not.
-func TestLeaderEndsWhileMachinesAreDeaf(t *testing.T) {
+func TestLeaderEndsDuringAsymmetricPartition(t *testing.T) {
 	for n, d := range partitionLengths {
 		for k, before := range []time.Duration{-3 * time.Second, 0, 5 * time.Second, 17 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && (k != (n+1)%4 || n%2 == 0) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// heartbeatFaults are what meets on the days of TestReportsMeet, beside what all such days have.
+// heartbeatFaults are what meets on the days of TestLateHeartbeats, beside what all such days have.
 var heartbeatFaults = []fault{
 	{"some machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
@@ -208,10 +208,10 @@
 	}},
 }
 
-// TestReportsMeet plays days on which old reports come after newer ones, up to three leases
+// TestLateHeartbeats plays days on which old reports come after newer ones, up to three leases
 // late, direct calls are held up, machines are deaf or hang, and leaders end or are cut.
 // AMBERDEAL_DEAFS sets how many days, AMBERDEAL_DEAF plays one.
-func TestReportsMeet(t *testing.T) {
+func TestLateHeartbeats(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 13))
 		keep := []int{0, 2, 200}[rng.IntN(3)]
@@ -250,10 +250,10 @@
 	})
 }
 
-// TestDeafMachineHoldsUpNobody: a machine with replicas hears nothing for minutes. Its reports go
+// TestPartitionedMachineBlocksNobody: a machine with replicas hears nothing for minutes. Its reports go
 // on, so that it seems to live, with room for what it lost with its lease. It is told nothing
 // that would start there, and what it had runs elsewhere soon.
-func TestDeafMachineHoldsUpNobody(t *testing.T) {
+func TestPartitionedMachineBlocksNobody(t *testing.T) {
 	for _, ends := range []bool{false, true} { // whether the leader does just then
 		t.Run(fmt.Sprint("the leader ends: ", ends), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -350,9 +350,9 @@
 	}
 }
 
-// TestCancelledAsWorkChangesHands plays such days. AMBERDEAL_HANDS sets how many, AMBERDEAL_HAND
+// TestCancelDuringHandover plays such days. AMBERDEAL_HANDS sets how many, AMBERDEAL_HAND
 // plays one.
-func TestCancelledAsWorkChangesHands(t *testing.T) {
+func TestCancelDuringHandover(t *testing.T) {
 	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandover(seed).run(t) })
 	if n := cancelHandoversPlayed.Load(); n > 10 {
 		t.Logf("%d days, %d launches in a last round; cancellations confirmed before the claim, within a second of it, and later: %d, %d, %d", n, lastLaunches.Load(), confirmedAt[0].Load(), confirmedAt[1].Load(), confirmedAt[2].Load())
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -784,9 +784,9 @@
 		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
-// TestGap plays a fixed set of gaps. AMBERDEAL_GAPS sets how many of all are played instead,
+// TestCancelDuringOutage plays a fixed set of gaps. AMBERDEAL_GAPS sets how many of all are played instead,
 // from the one on that AMBERDEAL_GAP names.
-func TestGap(t *testing.T) {
+func TestCancelDuringOutage(t *testing.T) {
 	s, ms := time.Second, time.Millisecond
 	list := []outageCase{
 		{3, 20 * s, 45 * s, "", 200, 2 * s, s, 60 * s, 0, 0, ""},
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -11,10 +11,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestCheckerSeesPlants: in quiet, a host that is no controller starts a task of a job of which the
+// TestCheckerFindsInjectedViolations: in quiet, a host that is no controller starts a task of a job of which the
 // user was told that it is cancelled, and a job of which no controller has heard waits beside machines
 // with room. Both are found, and nothing else.
-func TestCheckerSeesPlants(t *testing.T) {
+func TestCheckerFindsInjectedViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 51, 0, nil)
 		w.startService("wk-1", 4*time.Minute)
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -622,10 +622,10 @@
 	})
 }
 
-// TestMeetings plays every kind of trouble once as the first and once as the second of two that
+// TestFaultPairs plays every kind of trouble once as the first and once as the second of two that
 // meet. AMBERDEAL_MEETINGS sets how many cases are played, as N or FROM-TO: the square of the number of
 // troubles holds all ordered pairs, and more play them again at other offsets. AMBERDEAL_MEETING plays one.
-func TestMeetings(t *testing.T) {
+func TestFaultPairs(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_MEETING", uint64(len(combinedFaults)))
 	playCaseRange(t, from, to, func(number uint64) []*combinedFault {
 		first, second := faultPair(number)
@@ -645,16 +645,16 @@
 	}
 }
 
-// TestMeetingsOfThree plays meetings of three that are drawn. AMBERDEAL_THREES sets which, as N or
+// TestFaultTriples plays meetings of three that are drawn. AMBERDEAL_THREES sets which, as N or
 // FROM-TO, AMBERDEAL_THREE plays one.
-func TestMeetingsOfThree(t *testing.T) {
+func TestFaultTriples(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_THREE", 3)
 	playCaseRange(t, from, to, threeFaults)
 }
 
-// TestMeetingsHoldAllPairs: the enumeration holds every ordered pair, and every kind in both
+// TestFaultPairsAreComplete: the enumeration holds every ordered pair, and every kind in both
 // places among the cases that are played by default.
-func TestMeetingsHoldAllPairs(t *testing.T) {
+func TestFaultPairsAreComplete(t *testing.T) {
 	n := uint64(len(combinedFaults))
 	seen, firsts, seconds := map[[2]string]bool{}, map[string]bool{}, map[string]bool{}
 	for number := range n * n {
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -380,9 +380,9 @@
 	"a view was too old": 10, "vain at a new one": 100, "answered by a new one": 50, "who leads hears late": 1, "another leads": 1,
 }
 
-// TestLooks plays days of looks. AMBERDEAL_LOOKS sets how many, of which sixteen hold all there are
+// TestConcurrentReads plays days of looks. AMBERDEAL_LOOKS sets how many, of which sixteen hold all there are
 // of controllers, parts and what is late; AMBERDEAL_LOOK plays one.
-func TestLooks(t *testing.T) {
+func TestConcurrentReads(t *testing.T) {
 	all, played := map[string]int{}, 0
 	playSeeds(t, 4, "AMBERDEAL_LOOK", func(t *testing.T, seed uint64) {
 		n := 5 * seed % 16
@@ -440,10 +440,10 @@
 	})
 }
 
-// TestCancelMeetsEnd: a cancellation, a question and a repeated submission come around the end of a
+// TestCancelAtCompletion: a cancellation, a question and a repeated submission come around the end of a
 // job's last task, its report and the round that writes it, at each controller: the job is done or
 // cancelled, once, whoever is asked.
-func TestCancelMeetsEnd(t *testing.T) {
+func TestCancelAtCompletion(t *testing.T) {
 	met := map[string]int{}
 	for seed, x := range []readCase{{3, "off", "", 0}, {5, "zone", "", 0}} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -495,10 +495,10 @@
 	}
 }
 
-// TestLateWrites holds the writes of each kind back past newer ones of the same controller. Of the
+// TestDelayedWrites holds the writes of each kind back past newer ones of the same controller. Of the
 // days outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other troubles too
 // and up to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
-func TestLateWrites(t *testing.T) {
+func TestDelayedWrites(t *testing.T) {
 	all := map[string]delayedTally{}
 	var mu sync.Mutex
 	playSeeds(t, 2, "AMBERDEAL_LATEWRITE", func(t *testing.T, seed uint64) {
@@ -521,9 +521,9 @@
 	}
 }
 
-// TestLateImport puts a state in while each kind of the writes that do so is carried out late, and
+// TestDelayedImport puts a state in while each kind of the writes that do so is carried out late, and
 // lets controllers go on with it: nothing of it is there twice.
-func TestLateImport(t *testing.T) {
+func TestDelayedImport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 80, 0, func(c *config.Config) { c.Tuning.History.Compact = false })
 		for i := range 12 {
@@ -652,8 +652,8 @@
 	return found
 }
 
-// TestNewKindIsSeen: a write of another kind of key, or with a condition less, is of no kind.
-func TestNewKindIsSeen(t *testing.T) {
+// TestUnknownWriteKindIsFound: a write of another kind of key, or with a condition less, is of no kind.
+func TestUnknownWriteKindIsFound(t *testing.T) {
 	fence, grant := wire.Condition{Key: store.LeaderKey("a"), Version: 7}, wire.Condition{Key: store.QuotaGrantKey, Version: 5}
 	put := wire.Operation{Put: store.QuotaGrantKey, Value: store.QuotaGrantRecord{}}
 	for name, x := range map[string]struct {
@@ -672,8 +672,8 @@
 	}
 }
 
-// TestLateWritesAreExplained: each kind has its line in the table.
-func TestLateWritesAreExplained(t *testing.T) {
+// TestDelayedWritesAreDocumented: each kind has its line in the table.
+func TestDelayedWritesAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/design.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -813,10 +813,10 @@
 	return l.usedReleases > 0
 }
 
-// TestLateRentals carries rentals out after their holder was told that there is no room, and
+// TestDelayedRentals carries rentals out after their holder was told that there is no room, and
 // releases after another has put work on the machine: what was rented so is used or returned, what
 // ran there runs again, and no rule breaks.
-func TestLateRentals(t *testing.T) {
+func TestDelayedRentals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
 		l := &delayedCloud{simulation: w, requests: map[string]int{}, firstSent: map[string]time.Time{}, held: map[string]time.Time{}, abandoned: map[string]bool{},
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -263,15 +263,15 @@
 	}
 }
 
-// TestBackAtOnce plays such days in one part. AMBERDEAL_BACKS sets how many, AMBERDEAL_BACK
+// TestFastRestarts plays such days in one part. AMBERDEAL_BACKS sets how many, AMBERDEAL_BACK
 // plays one.
-func TestBackAtOnce(t *testing.T) {
+func TestFastRestarts(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { playRestartDay(t, seed, sameSharding("off"), nil) })
 }
 
-// TestPartsBackAtOnce plays them in several, half of them regrouped now and then.
+// TestFastRestartsOfShards plays them in several, half of them regrouped now and then.
 // AMBERDEAL_PARTBACKS sets how many, AMBERDEAL_PARTBACK plays one.
-func TestPartsBackAtOnce(t *testing.T) {
+func TestFastRestartsOfShards(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
 			playRestartDay(t, seed, sameSharding("zone"), nil)
--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestForwarded plays such days: whoever is asked, a job has one story, and all that was accepted ends.
+// TestForwarding plays such days: whoever is asked, a job has one story, and all that was accepted ends.
 // AMBERDEAL_FORWARDED plays all troubles with 24 controllers too, so many times.
-func TestForwarded(t *testing.T) {
+func TestForwarding(t *testing.T) {
 	times := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FORWARDED"), &times)
 	for i, x := range []struct{ count, set int }{{3, 1}, {5, 2}, {24, writers.Auto}} {
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestManyAccept: with 24 controllers users wait for a job's acceptance no longer than with five.
-func TestManyAccept(t *testing.T) {
+// TestAcceptLatencyOfManyControllers: with 24 controllers users wait for a job's acceptance no longer than with five.
+func TestAcceptLatencyOfManyControllers(t *testing.T) {
 	for _, count := range []int{5, 24} {
 		t.Run(fmt.Sprint(count, " controllers"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -39,8 +39,8 @@
 }
 
 // TestGuardsAreNeeded takes each guard of testdata/guards.txt out of a copy of the sources,
-// and demands that the kept traces, the model, or the days of TestProofsHoldHoweverSlow and
-// TestPartsHold, TestRegroupHolds, TestBackAtOnce or TestTakenAtOnce see it. It takes minutes, and is played with AMBERDEAL_GUARDS=1 only.
+// and demands that the kept traces, the model, or the days of TestProcessStalls and
+// TestShardsThroughFaults, TestReshardThroughFaults, TestFastRestarts or TestLostReplies see it. It takes minutes, and is played with AMBERDEAL_GUARDS=1 only.
 func TestGuardsAreNeeded(t *testing.T) {
 	if os.Getenv("AMBERDEAL_GUARDS") == "" {
 		t.Skip("AMBERDEAL_GUARDS is not set")
@@ -71,8 +71,8 @@
 				}
 			}
 			for _, args := range [][]string{{"./wire", "./internal/leadership", "./internal/admission", "./internal/controller", "./internal/fleet", "./internal/forward", "./internal/archive", "./internal/membership", "./internal/peer", "./internal/reshard", "./internal/ingest", "./internal/autoscale", "./internal/zonerecovery", "./internal/leader", "./internal/scheduler", "./internal/snapshot", "./internal/store", "./internal/tier", "./internal/writers", "./internal/zone"},
-				{"-run", "LateWrites$|LateImport|TakenAtOnce$|WithoutAnswers$|WhileItsLaunch", "./internal/simtest"}, {"-run", "BackAtOnce", "./internal/simtest"}, {"-run", "PartsHold|Regroup", "./internal/simtest"}, {"-run", "Looks|Odd", "./internal/simtest"}, {"-run", "Forwarded|ManyAccept|ManyTeams|TeamLeaves", "./internal/simtest"},
-				{"-run", "ProofsHold|EachMachine|KeptConnections|CutLeader|TestGap|NoJobWaits|LimitsHold|ZoneBound|CanOnlyBeCalled|OldReports|Fetch", "./internal/simtest"}} {
+				{"-run", "DelayedWrites$|DelayedImport|LostReplies$|WhileLaunchUnknown", "./internal/simtest"}, {"-run", "FastRestarts", "./internal/simtest"}, {"-run", "ShardsThroughFaults|Reshard", "./internal/simtest"}, {"-run", "ConcurrentReads|Malformed", "./internal/simtest"}, {"-run", "Forwarding|OfManyControllers|ManyTeams|TeamLeaves", "./internal/simtest"},
+				{"-run", "ProcessStalls|EachMachine|IdleConnections|PartitionedLeaderTurns|CancelDuringOutage|NoJobWaits|QuotasHold|ZoneBound|OutboundBlocked|ReplayedHeartbeats|Fetch", "./internal/simtest"}} {
 				run := exec.Command("go", append([]string{"test"}, args...)...)
 				run.Dir, run.Env = dir, append(os.Environ(), "AMBERDEAL_STALLS=150", "AMBERDEAL_PARTS=150", "AMBERDEAL_REGROUPS=100", "AMBERDEAL_GUARDS=")
 				if out, err := run.CombinedOutput(); err != nil {
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -11,10 +11,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestNoJobWaitsBesideRoom: with no trouble at all, work that can't begin yet stands before a job for
+// TestNoJobWaitsBesideIdleCapacity: with no trouble at all, work that can't begin yet stands before a job for
 // which there is room and which its team's limit leaves room for: the job begins. AMBERDEAL_WAITING
 // plays it in one part too.
-func TestNoJobWaitsBesideRoom(t *testing.T) {
+func TestNoJobWaitsBesideIdleCapacity(t *testing.T) {
 	type come struct {
 		shape    wire.Shape
 		team     string
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -75,9 +75,9 @@
 	time.Sleep(10 * time.Second) // all are healthy
 }
 
-// TestForgottenIsSeen plants what must never be: by the users' rules one job is forgotten, and
+// TestLivenessCheckerFindsForgottenJobs plants what must never be: by the users' rules one job is forgotten, and
 // the checker names it and no other.
-func TestForgottenIsSeen(t *testing.T) {
+func TestLivenessCheckerFindsForgottenJobs(t *testing.T) {
 	for name, plant := range map[string]struct {
 		before, after func(w *simulation)
 		want          string
@@ -201,11 +201,11 @@
 	}},
 }
 
-// TestNothingIsForgotten plays days on which jobs end and are folded at once while holders die,
+// TestNoJobIsForgotten plays days on which jobs end and are folded at once while holders die,
 // parts and groupings change, and the state service fails, and which end with quiet: no
 // question is in vain for long then, whatever a crowd asks meanwhile. AMBERDEAL_QUIETS sets how
 // many days, AMBERDEAL_QUIET plays one.
-func TestNothingIsForgotten(t *testing.T) {
+func TestNoJobIsForgotten(t *testing.T) {
 	playSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		var set sync.Map // how controllers divide the fleet
@@ -250,9 +250,9 @@
 	})
 }
 
-// TestKeptConnectionsShutNobodyOut: more users than all controllers have sockets for ask seldom
+// TestIdleConnectionsBlockNobody: more users than all controllers have sockets for ask seldom
 // and keep their connections. Another's job is accepted, and stays known.
-func TestKeptConnectionsShutNobodyOut(t *testing.T) {
+func TestIdleConnectionsBlockNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
 		time.Sleep(10 * time.Second)
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -319,11 +319,11 @@
 	return a
 }
 
-// TestTakenAtOnce carries writes of each kind out at once and loses only the answer, while other
+// TestLostReplies carries writes of each kind out at once and loses only the answer, while other
 // controllers read them and act, and users ask at all of them. Of the days outside of CI, with
 // AMBERDEAL_ATONCES=N, all but the first two have other troubles too and up to one write of ten
 // without an answer. AMBERDEAL_ATONCE plays one.
-func TestTakenAtOnce(t *testing.T) {
+func TestLostReplies(t *testing.T) {
 	all := map[string]replyLossTally{}
 	var mu sync.Mutex
 	playSeeds(t, 2, "AMBERDEAL_ATONCE", func(t *testing.T, seed uint64) {
@@ -356,9 +356,9 @@
 	}
 }
 
-// TestClaimsWithoutAnswers: the only controller claims five parts, and learns of each claim only
+// TestElectionsWithLostReplies: the only controller claims five parts, and learns of each claim only
 // after a silence. Its lease is renewed meanwhile, so that none is claimed a second time.
-func TestClaimsWithoutAnswers(t *testing.T) {
+func TestElectionsWithLostReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulationOf(t, 1, 91, 0, func(c *config.Config) {
 			c.Zones, c.Tuning.Shards.By = []string{"a", "b", "c", "d", "e"}, "zone"
@@ -383,11 +383,11 @@
 	})
 }
 
-// TestCancelledWhileItsLaunchIsUnknown: the round that launches a job is taken, and its holder learns
+// TestCancelWhileLaunchUnknown: the round that launches a job is taken, and its holder learns
 // that by its repeat alone. Just before, another controller has told a user that the job is
 // cancelled: what the holder reads to know its own write says that too, and no task starts. Of
 // one of them it is refused all reads for a while before, and does not send the round again meanwhile.
-func TestCancelledWhileItsLaunchIsUnknown(t *testing.T) {
+func TestCancelWhileLaunchUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
 		l := newDelayProxy(t, w.net, "10.2.0.1:2379", 92, 0)
--- a/internal/simtest/malformed_requests_test.go
+++ b/internal/simtest/malformed_requests_test.go
@@ -31,10 +31,10 @@
 	return out
 }
 
-// TestOddRequests: odd submissions meet machine types that are not known yet, and that change. Each is
+// TestMalformedRequests: odd submissions meet machine types that are not known yet, and that change. Each is
 // answered 400 or 422 by every controller, or 503 while it can't tell; none is ever accepted, and
 // a job that was accepted before its machine type went is not forgotten, whatever its repeats say.
-func TestOddRequests(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	for seed, count := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
 			met := map[int]int{}
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -80,11 +80,11 @@
 // called: a report may be lost for other reasons.
 const outboundBlockGrace = 11 * sec
 
-// TestMachinesThatCanOnlyBeCalled: half of the machines open no connection for a while, and answer
+// TestOutboundBlockedMachines: half of the machines open no connection for a while, and answer
 // calls all the same. What they run is told to stop at once when its job is cancelled, and what
 // was lost with their leases runs elsewhere soon; they get nothing that would be lost so. Once
 // they are heard again their room is used. The leader ends in between, or does not.
-func TestMachinesThatCanOnlyBeCalled(t *testing.T) {
+func TestOutboundBlockedMachines(t *testing.T) {
 	for n, d := range outboundBlockLengths {
 		for k, ends := range []time.Duration{-1, 0, 2 * sec, 15 * sec} { // when the leader does
 			if !allCases("AMBERDEAL_NEWMACHINES") && (k != (n+1)%4 || n%2 == 0 && n != 4) {
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -320,9 +320,9 @@
 // writeTimeout is for how long a controller tries to write what a user waits for.
 const writeTimeout = 3500 * time.Millisecond
 
-// TestFlood plays floods, each with a trouble of its own. AMBERDEAL_FLOODS plays all sites and troubles, for
+// TestOverload plays floods, each with a trouble of its own. AMBERDEAL_FLOODS plays all sites and troubles, for
 // so many minutes.
-func TestFlood(t *testing.T) {
+func TestOverload(t *testing.T) {
 	minutes := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FLOODS"), &minutes)
 	short := map[string]string{"half of three": "the leader changes twice", "five": "the state service is slow"}
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -115,11 +115,11 @@
 	}},
 }
 
-// TestProofsHoldHoweverSlow plays days on which controllers stand still for 1 to 60 s at
+// TestProcessStalls plays days on which controllers stand still for 1 to 60 s at
 // any step or are slow at each, sockets run out, and what is sent gets through one way
 // only, and lets the checker judge them. AMBERDEAL_STALLS sets how many days,
 // AMBERDEAL_STALL plays one.
-func TestProofsHoldHoweverSlow(t *testing.T) {
+func TestProcessStalls(t *testing.T) {
 	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("off"), nil) })
 }
 
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestPartsHold plays such days on a fleet in two parts. AMBERDEAL_PARTS sets how many
+// TestShardsThroughFaults plays such days on a fleet in two parts. AMBERDEAL_PARTS sets how many
 // days, AMBERDEAL_PART plays one.
-func TestPartsHold(t *testing.T) {
+func TestShardsThroughFaults(t *testing.T) {
 	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -338,11 +338,11 @@
 	}
 }
 
-// TestBackUnderLoad kills controllers again and again, one or all at once, has them back after
+// TestRestartsUnderLoad kills controllers again and again, one or all at once, has them back after
 // 100 ms, and restarts machines, while jobs come. Each job is asked about until its end, what was
 // said stays so, and none is left without an answer for long. It is played with
 // AMBERDEAL_RETURNS only, which sets how many kills.
-func TestBackUnderLoad(t *testing.T) {
+func TestRestartsUnderLoad(t *testing.T) {
 	kills, err := strconv.Atoi(os.Getenv("AMBERDEAL_RETURNS"))
 	if err != nil {
 		t.Skip("AMBERDEAL_RETURNS is not set")
@@ -545,9 +545,9 @@
 	return float64(jobs) / took.Seconds()
 }
 
-// BenchmarkEnded measures three real processes with ever more ended jobs behind
+// BenchmarkEndedJobs measures three real processes with ever more ended jobs behind
 // them: what a restart and a takeover take, what a job costs, what is held.
-func BenchmarkEnded(b *testing.B) {
+func BenchmarkEndedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			c := newProcessCluster(b, map[string]any{"rps": 30000, "write_rps": 30000, "value_kb": 8, "txn_ops": 20}, "[history]\nevery = 100ms\nwait = 1s\n", 0)
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -248,9 +248,9 @@
 	w.finishQuietly(0, 15*time.Minute)
 }
 
-// TestLimitsHoldWhoeverLeads plays such days. AMBERDEAL_LIMITS sets how many, AMBERDEAL_LIMIT plays
+// TestQuotasHoldThroughFailover plays such days. AMBERDEAL_LIMITS sets how many, AMBERDEAL_LIMIT plays
 // one.
-func TestLimitsHoldWhoeverLeads(t *testing.T) {
+func TestQuotasHoldThroughFailover(t *testing.T) {
 	playSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
 	t.Logf("every team was at its limit as the leader changed on %d of %d days", daysAtLimit.Load(), quotaDaysPlayed.Load())
 	if n := quotaDaysPlayed.Load(); n > 7 && daysAtLimit.Load()*3 < n {
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -121,12 +121,12 @@
 var replayOffsets = []time.Duration{-1, 0, 15 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	2 * sec, 4100 * time.Millisecond, 6 * sec, 12 * sec, 19 * sec, 27 * sec}
 
-// TestOldReportsAtNextLeader: reports of earlier sessions and terms, from before launches and ends, and of a
+// TestReplayedHeartbeatsAtNextLeader: reports of earlier sessions and terms, from before launches and ends, and of a
 // machine that is gone, reach every controller as a new leader begins, to which all of them are
 // news. Half of the machines are cut off just then, so that hardly anything else is heard of
 // them. Nothing starts twice, or where it must not, for all that these reports show or lack; and
 // they hold nothing up for long.
-func TestOldReportsAtNextLeader(t *testing.T) {
+func TestReplayedHeartbeatsAtNextLeader(t *testing.T) {
 	for n, at := range replayOffsets {
 		for k := range 4 {
 			if !allCases("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -72,11 +72,11 @@
 	}
 }
 
-// TestRegroup divides a state anew while jobs run, from one part to several, to fewer, and back
+// TestReshard divides a state anew while jobs run, from one part to several, to fewer, and back
 // to one: a controller that is set otherwise than others claims nothing; once all are set
 // alike nothing that runs is disturbed, every job gets its answer, and what earlier groupings
 // left in the store goes.
-func TestRegroup(t *testing.T) {
+func TestReshard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newReshardSimulation(t, 21, 0, nil)
 		w.startService("wk-1", 20*time.Minute)
@@ -120,10 +120,10 @@
 	})
 }
 
-// TestRegroupHolds plays days like those of TestProofsHoldHoweverSlow on which the operators
+// TestReshardThroughFaults plays days like those of TestProcessStalls on which the operators
 // change the grouping again and again while jobs run, and at times leave a
 // controller set otherwise. AMBERDEAL_REGROUPS sets how many days, AMBERDEAL_REGROUP plays one.
-func TestRegroupHolds(t *testing.T) {
+func TestReshardThroughFaults(t *testing.T) {
 	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var set sync.Map // controllers start whenever they are back
 		by := func(name string) string { to, _ := set.LoadOrStore(name, ""); return to.(string) }
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// TestSurvivorTakesAllAndSpreads: two of three controllers die; the one that is left holds all
+// TestSurvivorLeadsAllShards: two of three controllers die; the one that is left holds all
 // parts. When they are back one part is given back and claimed at once, once, and nothing
 // moves any more. No task is lost over any of it.
-func TestSurvivorTakesAllAndSpreads(t *testing.T) {
+func TestSurvivorLeadsAllShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 31)
 		w.startService("wk-1", 5*time.Minute)
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestZoneGoesDark: a zone is cut off with the controllers in it, and comes back with all its
+// TestZoneOutage: a zone is cut off with the controllers in it, and comes back with all its
 // machines at once. What ran there runs in the other zone before it is back.
-func TestZoneGoesDark(t *testing.T) {
+func TestZoneOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 32, 0, func(c *config.Config) {
 			c.Tuning.Shards.By = "zone"
@@ -158,9 +158,9 @@
 	})
 }
 
-// TestHalvesDoNotHearEachOther: no controller hears another, while the store, the machines and
+// TestPeersPartitioned: no controller hears another, while the store, the machines and
 // the users reach all; then the reverse: the store answers none of two. Every job ends.
-func TestHalvesDoNotHearEachOther(t *testing.T) {
+func TestPeersPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 33)
 		w.group.Add(1)
@@ -198,9 +198,9 @@
 	})
 }
 
-// TestDeadHolder: a holder that dies is not waited for until its lease has run out; one that
+// TestDeadLeader: a holder that dies is not waited for until its lease has run out; one that
 // its siblings do not hear is left alone while it writes.
-func TestDeadHolder(t *testing.T) {
+func TestDeadLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 34, 0, nil)
 		w.startService("wk-1", 4*time.Minute)
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -431,10 +431,10 @@
 	}
 }
 
-// TestFoldingFallsBehind gives the state service so few changes that folding,
+// TestCompactionFallsBehind gives the state service so few changes that folding,
 // which goes last, gets none while jobs come in: nothing is lost, and once they
 // come no more it catches up.
-func TestFoldingFallsBehind(t *testing.T) {
+func TestCompactionFallsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
 		w.store.Configure(func(s *simulator.StateService) { s.Limits.WriteRPS = 4 })
@@ -460,10 +460,10 @@
 	})
 }
 
-// TestForgetfulStore: the state service forgets its changes again and again, also
+// TestStoreDropsWatchHistory: the state service forgets its changes again and again, also
 // in the middle of a list, while jobs come, end and are folded: every view is read
 // anew and no answer is lost.
-func TestForgetfulStore(t *testing.T) {
+func TestStoreDropsWatchHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 12, 0.02, nil)
 		w.store.Configure(func(s *simulator.StateService) {
@@ -487,9 +487,9 @@
 	})
 }
 
-// TestCheckerSeesRemovedGuard takes the wait for the workers' leases away: the
+// TestCheckerFindsRemovedGuard takes the wait for the workers' leases away: the
 // checker must see tasks run twice, or it could not have seen anything above.
-func TestCheckerSeesRemovedGuard(t *testing.T) {
+func TestCheckerFindsRemovedGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 7, 0, func(c *config.Config) {
 			c.Workers.Lease = 100 * time.Millisecond // what proofs by time rest on
@@ -541,10 +541,10 @@
 	})
 }
 
-// TestDeafHolderResigns cuts each controller from the workers in turn, for
+// TestPartitionedLeaderResigns cuts each controller from the workers in turn, for
 // longer than their lease: whoever holds the fleet gives it up to one that the
 // workers reach, and no task is lost.
-func TestDeafHolderResigns(t *testing.T) {
+func TestPartitionedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 9, 0, nil)
 		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6,
@@ -570,10 +570,10 @@
 	})
 }
 
-// TestEachMachineFindsAnAnswer: far more machines than all controllers have sockets for,
+// TestEachMachineReachesAController: far more machines than all controllers have sockets for,
 // among them one that crashes. Whoever can be answered gives the socket up for the next, a
 // crowded controller sends on to one that has more room, and no worker's lease runs out.
-func TestEachMachineFindsAnAnswer(t *testing.T) {
+func TestEachMachineReachesAController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 21, 0, func(c *config.Config) {
 			c.Limits.Files, c.Tuning.DirectHeartbeats, c.Tuning.Idle = 100, 20, time.Hour
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -245,9 +245,9 @@
 
 func shardByZone(c *config.Config) { c.Tuning.Shards.By = "zone" }
 
-// TestScenarios stages each fault alone: no rule is broken, every job has its end, and what ran
+// TestSingleFaults stages each fault alone: no rule is broken, every job has its end, and what ran
 // goes on where it can.
-func TestScenarios(t *testing.T) {
+func TestSingleFaults(t *testing.T) {
 	for i := range singleFaults {
 		x := &singleFaults[i]
 		t.Run(x.name, func(t *testing.T) {
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestScenariosAreTold: the table in docs/emulator.md names every scenario.
-func TestScenariosAreTold(t *testing.T) {
+// TestSingleFaultsAreDocumented: the table in docs/emulator.md names every scenario.
+func TestSingleFaultsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/emulator.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -63,9 +63,9 @@
 	})
 }
 
-// TestFetchesAreNotGivenUpAgain: urgent work comes all the time to a full fleet, and stops what loses least. What
+// TestFetchesAreNotCancelledAgain: urgent work comes all the time to a full fleet, and stops what loses least. What
 // waits for an image over a slow link loses the fetch: that may happen to a task, not again and again.
-func TestFetchesAreNotGivenUpAgain(t *testing.T) {
+func TestFetchesAreNotCancelledAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 43, 0, nil)
 		w.cloud.SetFaults(func(*simulator.CloudFaults) {
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -157,11 +157,11 @@
 	}
 }
 
-// TestRefusedAloneThenAll: the state service answers slowly, refuses the leader alone, and then
+// TestStoreRefusesLeaderThenAll: the state service answers slowly, refuses the leader alone, and then
 // everybody for longer than cancel_s, while users cancel, ask and submit again at all controllers.
 // What was told holds: a final stage is told from memory for ever, all else is read behind a barrier
 // or answered 503. AMBERDEAL_REFUSALS sets how many days, AMBERDEAL_REFUSAL plays one.
-func TestRefusedAloneThenAll(t *testing.T) {
+func TestStoreRefusesLeaderThenAll(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_REFUSAL", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
 		rng := rand.New(rand.NewPCG(seed, 13))
@@ -204,11 +204,11 @@
 	})
 }
 
-// TestCutLeaderTurnsUsersAway: a leader is cut from the state service and from the other controllers
+// TestPartitionedLeaderTurnsUsersAway: a leader is cut from the state service and from the other controllers
 // while users and machines still reach it, and jobs are cancelled through the others. It tells what is final
 // from memory, and turns all else away: at once, with when to come back, and so that the user comes to
 // another. It calls itself ready no more as soon as it can know, and is so again soon after the cut.
-func TestCutLeaderTurnsUsersAway(t *testing.T) {
+func TestPartitionedLeaderTurnsUsersAway(t *testing.T) {
 	for _, cut := range []struct{ of, also int }{{3, 0}, {5, 0}, {5, 2}} { // the leader, and the one so many after it
 		count := cut.of
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
@@ -350,10 +350,10 @@
 	{"the state service is out", func(w *simulation, _ *rand.Rand, d time.Duration) { during(d, w.store.SetOutage) }},
 }
 
-// TestAskedThroughReturns plays days on which controllers hand over and back, all end and one returns,
+// TestUsersThroughRestarts plays days on which controllers hand over and back, all end and one returns,
 // also at once, and two processes of one name run, while the leader is refused or cut off and users cancel, ask and
 // submit again at all of them. AMBERDEAL_ASKEDS sets how many, AMBERDEAL_ASKED plays one.
-func TestAskedThroughReturns(t *testing.T) {
+func TestUsersThroughRestarts(t *testing.T) {
 	playSeeds(t, 3, "AMBERDEAL_ASKED", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
 		rng := rand.New(rand.NewPCG(seed, 13))
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -121,11 +121,11 @@
 	})
 }
 
-// TestCrashAtEachEnd has each write that says that a task or a job has ended meet something, in
+// TestCrashAtEachCompletion has each write that says that a task or a job has ended meet something, in
 // turn, while copies of reports arrive late: the job becomes done, no sooner than its last task,
 // and nothing that ended on a machine that lives is started again. In a short run each end meets
 // one thing. AMBERDEAL_ENDS has it meet all.
-func TestCrashAtEachEnd(t *testing.T) {
+func TestCrashAtEachCompletion(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
 	const sure = 5 // ends that are written apart, at the least
 	for k, by := range []string{"off", "zone"} {
@@ -218,11 +218,11 @@
 	return is, part
 }
 
-// TestCutAtEachLaunch has the write of each launch meet something: the next holder finds it in the
+// TestPartitionAtEachLaunch has the write of each launch meet something: the next holder finds it in the
 // store, or will, or never, while the one that decided it is cut off with the machines, or
 // gone, or the machines hear nobody. No task runs twice, no limit is exceeded, each job
 // gets done. In a short run each launch meets one thing. AMBERDEAL_ENDS has it meet all.
-func TestCutAtEachLaunch(t *testing.T) {
+func TestPartitionAtEachLaunch(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
 	sure := 2
 	if all {
@@ -314,10 +314,10 @@
 	}},
 }
 
-// TestEndsMeet plays days of such jobs, two and three troubles at a time, on one part and
+// TestCompletionFaults plays days of such jobs, two and three troubles at a time, on one part and
 // several, with 3 and 5 controllers, at times divided anew. Red's limit binds all day.
 // AMBERDEAL_ENDS sets how many, AMBERDEAL_END plays one.
-func TestEndsMeet(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", playCompletionDay) }
+func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", playCompletionDay) }
 
 func playCompletionDay(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestTiersSetOtherwise: a controller whose tiers are set otherwise claims nothing while its
+// TestTiersDisagree: a controller whose tiers are set otherwise claims nothing while its
 // siblings live, and once all are set alike the state follows.
-func TestTiersSetOtherwise(t *testing.T) {
+func TestTiersDisagree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		with := map[string]bool{"c-0": true, "c-1": true, "c-2": true}
 		w := newSimulation(t, 77, 0, func(c *config.Config) {
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -152,9 +152,9 @@
 	return moved
 }
 
-// TestZoneBound plays each loss, short of a lease and beyond it, of some and of all machines of a zone. AMBERDEAL_ZONEBOUND
+// TestZoneBoundJobs plays each loss, short of a lease and beyond it, of some and of all machines of a zone. AMBERDEAL_ZONEBOUND
 // plays them with 3 and 5 controllers, in one part and in two, for so many seeds.
-func TestZoneBound(t *testing.T) {
+func TestZoneBoundJobs(t *testing.T) {
 	seeds, moved := 0, 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_ZONEBOUND"), &seeds)
 	for i, x := range zoneLossKinds {
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -264,10 +264,10 @@
 	r.finishZones(20 * time.Minute)
 }
 
-// TestRoomsComeAndGo plays days on which zones are cut off for 5 to 90 s, alone and together,
+// TestZoneFailures plays days on which zones are cut off for 5 to 90 s, alone and together,
 // while processes and machines end and are back. AMBERDEAL_ROOMS sets how many,
 // AMBERDEAL_ROOM plays one.
-func TestRoomsComeAndGo(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", playZoneDay) }
+func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", playZoneDay) }
 
 // recordsZoneChange tells whether a write of a round changes what is said of a zone or its return.
 func recordsZoneChange(known map[string]string, puts map[string]wire.Raw) (is bool, part, what string) {
@@ -295,11 +295,11 @@
 	return is, part, what
 }
 
-// TestCrashAtEachStepOfReturn has the holder crash at each step of a zone's return in turn: its
+// TestCrashAtEachRecoveryStep has the holder crash at each step of a zone's return in turn: its
 // write is never carried out, late, or at once, and it learns of none; it is back after 0.1 to
 // 0.5 s. In the end all replicas run, and the return is over. In a short run each step meets
 // one of these fates.
-func TestCrashAtEachStepOfReturn(t *testing.T) {
+func TestCrashAtEachRecoveryStep(t *testing.T) {
 	fates := []simulator.Fate{simulator.FateDropped, simulator.FateDelayed, simulator.FateReplyLost}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
 	const least, sure = 7, 4 // of a zone that goes and comes, and of its return; some may come in one write
