--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -19,11 +19,11 @@
 // Days on which machines hear nothing, direct calls are held up and old reports come after
 // newer ones, while the leader changes.
 
-// TestDelayedLaunchOfCancelledJob: a launch goes straight to a machine and is held up, its job is
-// cancelled before the machine's next report, and the machine can't be returned, for the cloud
-// is in trouble, or the state service is out so that no claim surely lasts. The launch comes
-// when the job's tasks must long be gone: the machine was not answered any more, and is in
-// another session by then.
+// TestDelayedLaunchOfCancelledJob delays a direct launch while its job is cancelled before the
+// machine's next heartbeat, and while the machine cannot be returned because the cloud is
+// unavailable, or because the state service is out so that no term surely lasts. The launch
+// arrives when the job's tasks have to be gone: by then the machine was not answered any more and
+// runs a later incarnation.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
 	for n, x := range []struct {
 		name string
@@ -89,14 +89,14 @@
 	}
 }
 
-// partitionLengths are the offsets around the bounds that the proofs by time rest on: a report, what a
-// controller's lease lasts, a worker's, and all together.
+// partitionLengths are around the bounds that the time-based rules rest on: a heartbeat, a
+// controller's lease, a worker's lease, and their sum.
 var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
 
-// TestLeaderEndsDuringAsymmetricPartition: the leader ends while some of the machines that have long
-// tasks - an array up to its team's limit, a gang in one zone, one over two, and a service that
-// is spread - hear nothing, for less or more than any lease. They are deaf from before the
-// change or from after it. Nothing starts twice, or where it must not.
+// TestLeaderEndsDuringAsymmetricPartition ends the leader while some of the machines with long
+// tasks (an array up to its team's quota, a gang in one zone, one over two, and a spread service)
+// receive nothing, for less or more than any lease, starting before or after the failover. Nothing
+// may start twice or in the wrong place.
 func TestLeaderEndsDuringAsymmetricPartition(t *testing.T) {
 	for n, d := range partitionLengths {
 		for k, before := range []time.Duration{-3 * time.Second, 0, 5 * time.Second, 17 * time.Second} {
@@ -163,7 +163,7 @@
 	}
 }
 
-// heartbeatFaults are what meets on the days of TestLateHeartbeats, beside what all such days have.
+// heartbeatFaults are the additional faults of TestLateHeartbeats.
 var heartbeatFaults = []fault{
 	{"some machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
@@ -208,9 +208,9 @@
 	}},
 }
 
-// TestLateHeartbeats plays days on which old reports come after newer ones, up to three leases
-// late, direct calls are held up, machines are deaf or hang, and leaders end or are cut.
-// AMBERDEAL_DEAFS sets how many days, AMBERDEAL_DEAF plays one.
+// TestLateHeartbeats simulates days on which heartbeats arrive after newer ones, up to three
+// leases late, direct calls are delayed, machines receive nothing or are paused, and leaders end
+// or are cut off. AMBERDEAL_DEAFS sets the number of days, AMBERDEAL_DEAF plays one.
 func TestLateHeartbeats(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 13))
@@ -250,9 +250,9 @@
 	})
 }
 
-// TestPartitionedMachineBlocksNobody: a machine with replicas hears nothing for minutes. Its reports go
-// on, so that it seems to live, with room for what it lost with its lease. It is told nothing
-// that would start there, and what it had runs elsewhere soon.
+// TestPartitionedMachineBlocksNobody loses everything that is sent to a machine with replicas for
+// minutes. Its heartbeats still arrive, so that it appears healthy, with free capacity for what it
+// lost with its lease. Nothing may be launched there, and its replicas have to run elsewhere soon.
 func TestPartitionedMachineBlocksNobody(t *testing.T) {
 	for _, ends := range []bool{false, true} { // whether the leader does just then
 		t.Run(fmt.Sprint("the leader ends: ", ends), func(t *testing.T) {
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -17,23 +17,24 @@
 
 // Days on which jobs are cancelled in the seconds in which the work of a controller changes hands.
 
-// commitObserver sees what the state service takes, in order: claims, and which launches name a job that
-// is cancelled by then.
+// commitObserver sees what the state service commits, in order: elections, and which launches name
+// a job that is already cancelled.
 type commitObserver struct {
 	*simulation
 	mu                  sync.Mutex
-	pendingValues       map[string]wire.Raw // by the transaction that is being taken
+	pendingValues       map[string]wire.Raw // of the transaction that is being committed
 	known               map[string]string
-	cancelledJobs       map[string]bool // jobs that are cancelled by the state service
+	cancelledJobs       map[string]bool // according to the state service
 	launchesAfterCancel []string        // launches of these after that
 	launched            map[string]time.Time
 	claims              []time.Time
-	claimed             chan struct{}  // closed by the next claim
-	lastJob             string         // the job with whose first launch the work changes hands
-	fate                simulator.Fate // of the write of that
-	onLastLaunch        func()         // is called then
+	claimed             chan struct{}  // closed by the next election
+	lastJob             string         // the job whose first launch triggers the handover
+	fate                simulator.Fate // of the write of that launch
+	onLastLaunch        func()         // called then
 }
 
+// newCommitObserver attaches an observer to the state service.
 func (w *simulation) newCommitObserver() *commitObserver {
 	r := &commitObserver{simulation: w, known: map[string]string{}, cancelledJobs: map[string]bool{}, launched: map[string]time.Time{}, claimed: make(chan struct{})}
 	w.store.Configure(func(s *simulator.StateService) {
@@ -53,7 +54,7 @@
 	return r
 }
 
-// noteCommit takes in the keys that a transaction has written, whose values were seen just before.
+// noteCommit handles a committed transaction, given its keys; its values were seen just before.
 func (r *commitObserver) noteCommit(keys []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// noteLedgerSlot takes in what a ledger names anew.
+// noteLedgerSlot handles the tasks that a ledger slot names for the first time.
 func (r *commitObserver) noteLedgerSlot(slot store.SegmentRecord) {
 	for entry, raw := range slot.Entries {
 		var m store.MachineRecord
@@ -108,7 +109,7 @@
 	}
 }
 
-// handoverKinds are how work changes hands, beside those of handovers.
+// handoverKinds are the ways in which work changes its leader, in addition to handovers.
 var handoverKinds = append([]handover{
 	{"is reached by no machine, and heard by no sibling", func(w *simulation, i int, _ *rand.Rand) {
 		for _, m := range w.runningMachines() {
@@ -139,20 +140,21 @@
 	}},
 }, handovers...)
 
-// handoverByReshard and givenBack are two that concern the whole fleet.
+// handoverByReshard and handoverByRelease are two kinds that concern the whole fleet.
 const handoverByReshard, handoverByRelease = -1, -2
 
-// cancelHandoverCase is a day on which jobs are cancelled so long after the work is about to change hands, or
-// after the claim by which it does, at the controller that had it, one that had nothing, or any.
+// cancelHandoverCase is a day on which jobs are cancelled at some time after a handover begins, or
+// after the election that completes it, at the previous leader, at a controller that leads
+// nothing, or at any.
 type cancelHandoverCase struct {
 	seed       uint64
 	sharding   string
 	count      int
-	kind       int // of hands, or regrouped or givenBack
+	kind       int // of handover, or handoverByReshard or handoverByRelease
 	afterClaim bool
 	cancelAt   time.Duration
 	controller int
-	lastRound  int // 0: a job is launched in the last round, 1: of which the answer is lost, 2: and its calls are held up, 3: there is none
+	lastRound  int // 0: a job is launched in the last round, 1: the answer to that is lost, 2: its direct calls are delayed too, 3: there is none
 }
 
 func (d cancelHandoverCase) String() string {
@@ -164,16 +166,16 @@
 		[]string{"any", "the one that led", "another"}[d.controller], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are held up", "no launch"}[d.lastRound])
 }
 
-// Moments of cancellations: since the work is about to change hands, which takes up to a lease of
-// the holder, and since the claim, after which the view is read, machines are called and the first round
-// is written, all within a second if nothing is in the way.
+// The times of cancellations: since the start of the handover, which takes up to a lease of the
+// leader, and since the election, after which the view is read, machines are called and the first
+// round is written, all within a second if nothing fails.
 var (
 	sinceEvent = []time.Duration{-2 * time.Second, -300 * time.Millisecond, -20 * time.Millisecond, 0, 5 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second}
 	sinceClaim = []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond, 700 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second}
 )
 
-// drawCancelHandover draws a day. Each way, each moment and each launch come in turn, in steps that have
-// no common divisor.
+// drawCancelHandover draws a day. Each kind, time and launch comes in turn, in steps that have no
+// common divisor.
 func drawCancelHandover(seed uint64) cancelHandoverCase {
 	n := int(seed)
 	d := cancelHandoverCase{seed: seed, sharding: []string{"off", "zone"}[n%2], count: []int{3, 5}[n/2%2], kind: n*5%(len(handoverKinds)+2) - 2, controller: n / 3 % 3, lastRound: n * 3 / 2 % 4}
@@ -188,11 +190,12 @@
 	return d
 }
 
-// told counts the cancellations that were confirmed before the claim, in the second after it, and
-// later, and the launches in a last round, in all days that were played.
+// confirmedAt counts the cancellations that were confirmed before the election, in the second
+// after it, and later, and lastLaunches the launches in a last round, over all days.
 var confirmedAt [3]atomic.Int64
 var lastLaunches, cancelHandoversPlayed atomic.Int64
 
+// run simulates the day.
 func (d cancelHandoverCase) run(t *testing.T) {
 	rng := rand.New(rand.NewPCG(d.seed, 32))
 	var set sync.Map
@@ -350,7 +353,7 @@
 	}
 }
 
-// TestCancelDuringHandover plays such days. AMBERDEAL_HANDS sets how many, AMBERDEAL_HAND
+// TestCancelDuringHandover simulates such days. AMBERDEAL_HANDS sets their number, AMBERDEAL_HAND
 // plays one.
 func TestCancelDuringHandover(t *testing.T) {
 	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandover(seed).run(t) })
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -25,21 +25,22 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// A gap is a meeting of troubles: the state service refuses the holder alone, another
-// controller confirms cancellations to users, and then the service is out for all. What the
-// holder does not know it can't stop, and each answer of its lets tasks live for another
-// lease: no renewal, which it may get in between, says anything of what it knows.
+// outageCase combines faults around cancellations: the state service refuses the leader alone,
+// another controller confirms cancellations to users, and then the service is out for everybody.
+// The leader cannot stop what it does not know, and each of its answers extends the leases of
+// machines: no renewal of its own lease, which it may get in between, tells it about the
+// cancellations.
 type outageCase struct {
 	nodes             int
-	lease, cancel     time.Duration // of workers, and for cancellations
+	lease, cancel     time.Duration // of workers, and the bound for cancellations
 	sharding          string        // the fleet's parts
-	directHeartbeats  int           // reports that the holder takes itself: 0 has all passed on by siblings
-	refusedFor        time.Duration // before the cancellations are asked for; after it where it is negative
+	directHeartbeats  int           // heartbeats that the leader receives itself; 0: all are relayed by peers
+	refusedFor        time.Duration // before the cancellations are requested; after it if negative
 	outage            time.Duration // after the confirmation
 	outageLength      time.Duration
-	renewalWindow     time.Duration // before the outage the refusal ends, so that a renewal may get through; 0: it doesn't
-	secondOutageAfter time.Duration // after the outage another refusal with an outage follows; 0: none
-	extra             string        // what meets it beside: words
+	renewalWindow     time.Duration // the refusal ends that long before the outage, so that a renewal may succeed; 0: it does not end
+	secondOutageAfter time.Duration // a second refusal with an outage follows that long after the first; 0: none
+	extra             string        // names of additional faults
 }
 
 func (g outageCase) String() string {
@@ -49,7 +50,7 @@
 
 func (g outageCase) hasExtra(word string) bool { return slices.Contains(strings.Fields(g.extra), word) }
 
-// extraFaults are what may meet a gap beside.
+// extraFaults are the additional faults of an outage case.
 var extraFaults = []string{
 	"",
 	"asked",         // the abort's answer is lost; the user learns of it by asking another controller
@@ -80,21 +81,22 @@
 	"loose apart cloud",
 }
 
-// machineAnswer is an answer that a machine has taken in: from whom, and under which term.
+// machineAnswer is an answer that a machine has received: from which controller, under which
+// fencing token.
 type machineAnswer struct {
 	at            time.Time
 	machine, node string
 	term          uint64
 }
 
-// answerWatcher sees the answers that come to machines and where tasks are.
+// answerWatcher records the answers that machines receive, and where tasks are.
 type answerWatcher struct {
 	*simulator.Checker
 	mu         sync.Mutex
 	answers    []machineAnswer
 	placements map[wire.TaskID]map[string]bool
 	jobGoneAt  map[string]time.Time // when the last task of a job was gone
-	goneTasks  map[string]int       // how many were
+	goneTasks  map[string]int       // number of a job's tasks that were gone
 }
 
 func (g *answerWatcher) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
@@ -121,7 +123,7 @@
 	}
 }
 
-// machines names those that have tasks of jobs.
+// machines returns those that have tasks of the jobs.
 func (g *answerWatcher) machines(jobs []string) map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,8 +138,8 @@
 	return out
 }
 
-// answersSince counts the answers under a term to some machines, from a time on, and names the
-// controllers by which they came.
+// answersSince counts the answers under a token to some machines since a time, and names the
+// controllers that gave them.
 func (g *answerWatcher) answersSince(from time.Time, term uint64, machines map[string]bool) (n int, by map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,7 +153,7 @@
 	return n, by
 }
 
-// tappedNetwork is a machine's network, on which answers are seen.
+// tappedNetwork is a machine's network on which answers are recorded.
 type tappedNetwork struct {
 	transport.Network
 	machine string
@@ -188,23 +190,24 @@
 	return n, err
 }
 
-// outageSimulation is a world in which each controller has a way of its own to the state service.
+// outageSimulation is a simulation in which each controller has its own path to the state service.
 type outageSimulation struct {
 	*simulation
 	outageCase     outageCase
 	watcher        *answerWatcher
 	mu             sync.Mutex
 	workers        map[string]*simulator.Worker
-	callDelay      time.Duration     // for which direct calls are held up now
-	heldCalls      int               // that were
+	callDelay      time.Duration     // of direct calls, at present
+	heldCalls      int               // direct calls that were delayed
 	outageBegun    bool              // the outage has begun
 	readsBlocked   map[int]bool      // controllers that get no answer to a read
-	leaseRenewedAt map[int]time.Time // when the lease of each was last renewed
+	leaseRenewedAt map[int]time.Time // by controller
 	confirmedAt    map[string]time.Time
 }
 
 const userHost = "10.3.0.9"
 
+// newOutageSimulation starts the simulation of a case.
 func newOutageSimulation(t *testing.T, g outageCase, seed uint64) *outageSimulation {
 	w := &outageSimulation{outageCase: g, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
 	w.simulation = newSimulationOf(t, g.nodes, seed, 0, func(c *config.Config) {
@@ -253,7 +256,7 @@
 	return w
 }
 
-// ask asks a controller once.
+// ask sends one request to a controller.
 func (w *outageSimulation) ask(i int, method, path string, body []byte) (status int, s wire.JobStatus) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host(userHost).Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
@@ -278,7 +281,7 @@
 	}
 }
 
-// confirm cancels a job at some controllers, in turn, until its user is told so.
+// confirm cancels a job at some controllers, in turn, until that is confirmed.
 func (w *outageSimulation) confirm(id string, nodes ...int) {
 	path := wire.PathJobs + "/" + id
 	for try := 0; w.ctx.Err() == nil && try < 400; try++ {
@@ -307,7 +310,7 @@
 	}
 }
 
-// firstLeader tells who holds the first part, and its term.
+// firstLeader returns the leader of the first shard and its fencing token.
 func (w *outageSimulation) firstLeader() (i int, term uint64) {
 	items := w.store.Page(store.LeaderKey(""), "", 0).Items
 	if len(items) == 0 {
@@ -329,9 +332,8 @@
 	return n
 }
 
-// stateProxy is a controller's way to the state service. Renewals that are answered are noted, and
-// while the controller is blind no answer to a read gets through: the service is slow, or what
-// lies between holds it up.
+// stateProxy is a controller's path to the state service. It records answered renewals, and blocks
+// answers to reads while the controller's reads are blocked, as a slow service does.
 func (w *outageSimulation) stateProxy(i int) transport.ServeConn {
 	serve := w.store.ServeCaller(w.ip(i))
 	return func(ctx context.Context, s transport.Stream) {
@@ -370,7 +372,7 @@
 	return f.Stream.Write(p)
 }
 
-// readLag is by how much the answers to a holder's reads are late.
+// readLag is the delay of answers to a leader's reads.
 const readLag = 2300 * time.Millisecond
 
 // inOutage reports whether the outage has begun.
@@ -392,8 +394,8 @@
 	w.readsBlocked[i] = blind
 }
 
-// outageJobs are tasks of every kind: that run, wait for their gang, and, of the last ones, that
-// are yet to come.
+// outageJobs returns jobs of every kind, whose tasks run, wait for their gang, or are yet to
+// start.
 func outageJobs(now bool) []*wire.Job {
 	job := func(id string, shape wire.Shape, tasks int, gpus float64, image string, gb float64) *wire.Job {
 		return &wire.Job{ID: id, Class: "c", Team: "blue", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 0.5, GPUs: gpus, MemoryGB: 1, Image: image, ImageGB: gb, EstimateS: 60, Spot: true}
@@ -410,18 +412,18 @@
 	return []*wire.Job{gang, job("wk-000004", wire.Array, 4, 0.25, "large", 30), job("wk-000006", wire.Array, 4, 0.25, "small", 0)}
 }
 
-// outageResult is what a gap has brought about.
+// outageResult is what happened in a case.
 type outageResult struct {
-	directAnswers, relayedAnswers       int                    // answers of the holder that was refused, after the confirmation, to machines with such tasks
-	remainingTime                       time.Duration          // that was left when the last task was gone
+	directAnswers, relayedAnswers       int                    // answers of the refused leader to machines with cancelled tasks after the confirmation
+	remainingTime                       time.Duration          // of the bound for cancellations when the last task was gone
 	uncancelledTasks, uncancelledKilled int                    // tasks that nobody cancelled, and how many of them were gone before the service was back
-	lostLeases                          int                    // leases that ran out
-	lastRenewalAfter                    time.Duration          // from the refusal to the last renewal of the holder before the service was back
-	heldCalls                           int                    // direct calls that were held up
+	lostLeases                          int                    // leases of workers that expired
+	lastRenewalAfter                    time.Duration          // from the refusal to the leader's last renewal before the service was back
+	heldCalls                           int                    // direct calls that were delayed
 	taskStates                          map[wire.TaskState]int // of the tasks when they were cancelled
 }
 
-// partitionMachines cuts the siblings of a controller from it and from the machines, or it from the
+// partitionMachines separates a controller's peers from it and from the machines, or it from the
 // machines.
 func (w *outageSimulation) partitionMachines(leader int, others []int, on bool) {
 	for _, host := range w.everyMachine() {
@@ -441,9 +443,9 @@
 	}
 }
 
-// prepareTasks has jobs be cancelled while their tasks wait for the others or for an image, and a
-// machine be taken, so that tasks save. Then it has a job begin; if its direct launches are to be
-// held up for a while, it returns as soon as one is.
+// prepareTasks has jobs cancelled while their tasks wait for other members or an image, and a
+// machine taken so that tasks save. Then it starts a job; if the job's direct launches are to be
+// delayed, it returns as soon as one is.
 func (w *outageSimulation) prepareTasks(at int, jobs []*wire.Job, stuck time.Duration) {
 	begin := jobs[len(jobs)-1]
 	for _, j := range jobs[:len(jobs)-1] {
@@ -478,7 +480,7 @@
 	}
 }
 
-// states counts the tasks of jobs by what they do, as the machines say.
+// states counts the tasks of jobs by their state on the machines.
 func (w *outageSimulation) states(jobs []string) map[wire.TaskState]int {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	out := map[wire.TaskState]int{}
@@ -500,8 +502,8 @@
 	return out
 }
 
-// watchLeases has machines look whether their lease has run out, which they otherwise do when
-// they report; a call that hangs would keep them from it.
+// watchLeases has machines check whether their lease has expired, which they otherwise do before a
+// heartbeat; a call that hangs would prevent it.
 func (w *outageSimulation) watchLeases(d time.Duration) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
@@ -513,7 +515,7 @@
 	}
 }
 
-// applyExtraFaults brings what meets a gap beside, once cancellations were confirmed.
+// applyExtraFaults injects the additional faults of a case once cancellations were confirmed.
 func (w *outageSimulation) applyExtraFaults(leader int, others []int, rng *rand.Rand) {
 	g, ip := w.outageCase, w.ip(leader)
 	still := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Pause(ip, d) }) }
@@ -548,7 +550,7 @@
 	}
 }
 
-// deafenHalf keeps every second machine from hearing any controller, for a while.
+// deafenHalf loses everything that is sent to every second machine for a while.
 func (w *outageSimulation) deafenHalf(d time.Duration) {
 	for k, host := range w.everyMachine() {
 		for i := range w.outageCase.nodes {
@@ -559,8 +561,8 @@
 	}
 }
 
-// delayNextCommit has the first transaction of a batch from now on stay without an answer, and be carried
-// out a second later.
+// delayNextCommit leaves the next transaction that writes a batch without an answer, and commits
+// it a second later.
 func (w *outageSimulation) delayNextCommit() {
 	w.store.Configure(func(s *simulator.StateService) {
 		first := true
@@ -576,7 +578,7 @@
 	})
 }
 
-// playOutage plays the outage of the state service, from the confirmation on.
+// playOutage stages the outage of the state service after the confirmation.
 func (w *outageSimulation) playOutage(ip string, first bool) {
 	g := w.outageCase
 	switch {
@@ -602,7 +604,7 @@
 	w.store.SetOutage(false)
 }
 
-// run brings a gap about and has the rules judged.
+// run stages a case and checks the rules.
 func (g outageCase) run(t *testing.T, seed uint64) (m outageResult) {
 	w := newOutageSimulation(t, g, seed)
 	time.Sleep(8 * time.Second)
@@ -702,7 +704,7 @@
 	return m
 }
 
-// unmetConditions says why what was to meet has not met, or nothing.
+// unmetConditions describes which fault of a case did not take effect, "" if all did.
 func (g outageCase) unmetConditions(m outageResult) string {
 	switch {
 	case m.directAnswers+m.relayedAnswers == 0 && g.cancel-g.lease >= 10*time.Second:
@@ -719,7 +721,7 @@
 	return ""
 }
 
-// goneCount counts the tasks of jobs that have gone.
+// goneCount counts the tasks of jobs that are gone.
 func (g *answerWatcher) goneCount(jobs []string) (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -729,7 +731,7 @@
 	return n
 }
 
-// remainingTime is what was left of the time for cancellations when the last task was gone.
+// remainingTime returns what was left of the bound for cancellations when the last task was gone.
 func (w *outageSimulation) remainingTime() time.Duration {
 	w.watcher.mu.Lock()
 	defer w.watcher.mu.Unlock()
@@ -742,8 +744,7 @@
 	return room
 }
 
-// outageCases lists all that are played, each time in the same order, in which every part of the list
-// is a fair sample.
+// outageCases lists all cases in a fixed order of which every section is a fair sample.
 func outageCases() (all []outageCase) {
 	s, ms := time.Second, time.Millisecond
 	for _, nodes := range []int{3, 5} {
@@ -774,8 +775,8 @@
 	return all
 }
 
-// feasible leaves out what can't meet: a holder that is refused for long is replaced, unless the
-// others don't reach the machines.
+// feasible excludes faults that cannot coincide: a leader that is refused for long is replaced,
+// unless the others cannot reach the machines.
 func (g outageCase) feasible() bool {
 	room := g.cancel - g.lease
 	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(room-9*time.Second, time.Second) && (room > 15*time.Second || !g.hasExtra("apart")) &&
@@ -784,8 +785,8 @@
 		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
-// TestCancelDuringOutage plays a fixed set of gaps. AMBERDEAL_GAPS sets how many of all are played instead,
-// from the one on that AMBERDEAL_GAP names.
+// TestCancelDuringOutage plays a fixed set of cases. AMBERDEAL_GAPS sets how many of all are
+// played instead, starting with the one that AMBERDEAL_GAP names.
 func TestCancelDuringOutage(t *testing.T) {
 	s, ms := time.Second, time.Millisecond
 	list := []outageCase{
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -11,9 +11,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestCheckerFindsInjectedViolations: in quiet, a host that is no controller starts a task of a job of which the
-// user was told that it is cancelled, and a job of which no controller has heard waits beside machines
-// with room. Both are found, and nothing else.
+// TestCheckerFindsInjectedViolations has a host that is no controller start a task of a job whose
+// user was told that it is cancelled, and registers a job that no controller knows beside machines
+// with free capacity. The checkers have to find both violations and no other.
 func TestCheckerFindsInjectedViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 51, 0, nil)
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -20,19 +20,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// combinedFault is a trouble that lasts from least to most; one that has no length is over at once.
+// combinedFault is a fault whose length is between two bounds; one without length is over at once.
 type combinedFault struct {
 	name                 string
 	minLength, maxLength time.Duration
 	apply                func(m *faultCombination, d time.Duration)
 }
 
-// timeBounds are the times that rules rest on in a world of stand-ins: how long an answer is waited
-// for, when a machine is silent, the age of what a holder knows, its lease, the workers' lease, the
-// longest that a holder answers unconfirmed and the lease after that, and cancel_s.
+// timeBounds are the times that rules rest on in a simulation: how long an answer is waited for,
+// when a machine is suspected, the age of what a leader knows, its lease, the workers' lease, the
+// longest that a leader answers unconfirmed and the lease after that, and cancel_s.
 var timeBounds = []time.Duration{2 * time.Second, 4 * time.Second, 5750 * time.Millisecond, 8 * time.Second, 9 * time.Second, workerLease, 40 * time.Second, 45 * time.Second}
 
-// nearBound draws a time around one of the bounds, between two others.
+// nearBound draws a time around one of timeBounds, between two others.
 func nearBound(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -44,20 +44,21 @@
 	return d
 }
 
-// faultCombination is a day on which one trouble meets another.
+// faultCombination is a day on which faults overlap.
 type faultCombination struct {
 	*simulation
 	number              uint64
 	faultRNG            *rand.Rand
-	target              int          // the controller that troubles are about
-	replayedToNewLeader atomic.Int64 // reports that came to the next leader
+	target              int          // the controller that faults are about
+	replayedToNewLeader atomic.Int64 // heartbeats that were replayed to the next leader
 	mu                  sync.Mutex
 	clients             []*client
 }
 
+// targetIP returns the address of the target.
 func (m *faultCombination) targetIP() string { return m.ip(m.target) }
 
-// addClient has a user come, who is one of all users then.
+// addClient adds a user, who is one of allClients then.
 func (m *faultCombination) addClient(j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) {
 	c := m.submitter(m.number, j, submit, cancel, runs...)
 	m.mu.Lock()
@@ -65,13 +66,14 @@
 	m.clients = append(m.clients, c)
 }
 
+// allClients lists the users.
 func (m *faultCombination) allClients() []*client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.clients)
 }
 
-// pickTarget picks whom troubles are about: mostly who holds something.
+// pickTarget picks the controller that faults are about: usually a leader.
 func (m *faultCombination) pickTarget() {
 	m.target = m.faultRNG.IntN(m.count)
 	if m.faultRNG.IntN(4) > 0 {
@@ -83,7 +85,7 @@
 	}
 }
 
-// pickMachines gives some of the machines that are up: one, half, or all.
+// pickMachines picks some of the machines that are up: one, half of them, or all.
 func (m *faultCombination) pickMachines() (out []upMachine) {
 	share := m.faultRNG.IntN(3)
 	for i, x := range m.runningMachines() {
@@ -94,7 +96,7 @@
 	return out
 }
 
-// machineHosts are those of all machines, also of those that are yet to come.
+// machineHosts returns the hosts of all machines, including those that do not exist yet.
 func machineHosts() (hosts []string) {
 	for n := range 60 {
 		hosts = append(hosts, fmt.Sprintf("10.1.0.%d", n+1))
@@ -107,7 +109,7 @@
 	sec   = time.Second
 )
 
-// combinedFaults are all troubles that meet each other.
+// combinedFaults are all faults that are combined with each other.
 var combinedFaults = []combinedFault{
 	{"a controller is killed and back at once", 0, 0, func(m *faultCombination, _ time.Duration) {
 		m.crash(m.target, restartDelay(m.faultRNG), finalHoldTime(m.faultRNG))
@@ -364,8 +366,8 @@
 	}},
 }
 
-// cancelRunning has users call off most of the jobs that run and have long to go within a fifth of a
-// second. For a while machines on which they run hang, if that is not 0.
+// cancelRunning has users cancel most of the jobs that run and have long to go within a fifth of a
+// second. Machines on which they run are paused for a while, if that is not 0.
 func (m *faultCombination) cancelRunning(hang time.Duration) {
 	hung := 0
 	for _, c := range m.allClients() {
@@ -389,8 +391,8 @@
 	}
 }
 
-// atJobEnds does something with each job around the moment at which its last task ends, so much sooner
-// or up to half a second later, for a while.
+// atJobEnds calls a function with each job around the end of its last task, up to so much earlier
+// or half a second later, for a while.
 func (m *faultCombination) atJobEnds(d, from time.Duration, do func(c *client)) {
 	rng, met := rand.New(rand.NewPCG(m.number, 23)), map[*client]bool{}
 	const step = 200 * time.Millisecond
@@ -410,8 +412,9 @@
 	}
 }
 
-// sendMalformed has a user send what is odd: a submission once more, also with another body, of a job that is
-// not over, the cancellation of one that is done, or a job that lacks a field or can never run.
+// sendMalformed sends an unusual request: a repeated submission, also with another content, of a
+// job that is not over, the cancellation of one that is done, or a job that lacks a field or can
+// never run.
 func (m *faultCombination) sendMalformed(rng *rand.Rand) {
 	users := m.allClients()
 	c := users[rng.IntN(len(users))]
@@ -460,15 +463,16 @@
 	}
 }
 
-// faultPair gives the troubles of a case: as many cases as there are troubles hold each of them once
-// as the first and once as the second, and their square holds every ordered pair.
+// faultPair returns the faults of a case: as many cases as there are faults contain each of them
+// once as the first and once as the second, and the square of that number contains every ordered
+// pair.
 func faultPair(number uint64) (first, second *combinedFault) {
 	n := uint64(len(combinedFaults))
 	i, round := number%n, number/n%n
 	return &combinedFaults[i], &combinedFaults[(i+7+round*5)%n] // 5 and their number have no common divisor
 }
 
-// threeFaults draws the troubles of a meeting of three.
+// threeFaults draws the faults of a case of three.
 func threeFaults(number uint64) (out []*combinedFault) {
 	for _, i := range rand.New(rand.NewPCG(number, 21)).Perm(len(combinedFaults))[:3] {
 		out = append(out, &combinedFaults[i])
@@ -476,14 +480,15 @@
 	return out
 }
 
-// faultCounts counts what has come about in all cases that were played, lest troubles are only names.
+// faultCounts counts what took effect in all cases that were played, to verify that each fault
+// does something.
 var faultCounts struct {
 	played, putOff, putOffTaken, echoes, takeovers, cancelled, twoParts, taken, kept, atOnce, hung, atEnd, looks, odd, quick atomic.Int64
 }
 
-// playCombinedFaults plays a day on which troubles meet while jobs of every shape run, among them
-// arrays of which the tasks end far apart, and users cancel before, in and after the meeting
-// through all controllers. Then it is quiet.
+// playCombinedFaults simulates a day on which faults overlap while jobs of every shape run, among
+// them arrays whose tasks end far apart, and users cancel before, during and after the faults at
+// all controllers. Afterwards no fault is active.
 func playCombinedFaults(t *testing.T, number uint64, troubles ...*combinedFault) {
 	rng := rand.New(rand.NewPCG(number, 20))
 	// Each comes around a bound after the one before it has begun, or about when that ends.
@@ -555,7 +560,7 @@
 	}
 }
 
-// submitJobs has users submit jobs and cancel some, around when troubles begin and end.
+// submitJobs has users submit jobs and cancel some, around the start and the end of the faults.
 func (m *faultCombination) submitJobs(begins, follows, over time.Duration) {
 	n := 0
 	job := func(shape wire.Shape, tasks int, change func(j *wire.Job), submit, cancel time.Duration, runs ...time.Duration) {
@@ -594,7 +599,8 @@
 	job(wire.Gang, 2, saves, wobble(follows, 2000), 0, 15*sec)
 }
 
-// caseRange gives those that a variable asks for, as N or FROM-TO, or the one that it names without an S.
+// caseRange returns the cases that a variable selects, as N or FROM-TO, or the one that the
+// variable without the final S names.
 func caseRange(variable string, usual uint64) (from, to uint64) {
 	to = usual
 	if text := os.Getenv(variable + "S"); text != "" {
@@ -611,6 +617,7 @@
 	return from, to
 }
 
+// playCaseRange plays cases as subtests.
 func playCaseRange(t *testing.T, from, to uint64, troubles func(number uint64) []*combinedFault) {
 	t.Run("cases", func(t *testing.T) {
 		for n := from; n < to; n++ {
@@ -622,9 +629,10 @@
 	})
 }
 
-// TestFaultPairs plays every kind of trouble once as the first and once as the second of two that
-// meet. AMBERDEAL_MEETINGS sets how many cases are played, as N or FROM-TO: the square of the number of
-// troubles holds all ordered pairs, and more play them again at other offsets. AMBERDEAL_MEETING plays one.
+// TestFaultPairs plays every fault once as the first and once as the second of two that overlap.
+// AMBERDEAL_MEETINGS sets how many cases are played, as N or FROM-TO: the square of the number of
+// faults contains all ordered pairs, and more cases repeat them at other offsets.
+// AMBERDEAL_MEETING plays one.
 func TestFaultPairs(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_MEETING", uint64(len(combinedFaults)))
 	playCaseRange(t, from, to, func(number uint64) []*combinedFault {
@@ -645,15 +653,15 @@
 	}
 }
 
-// TestFaultTriples plays meetings of three that are drawn. AMBERDEAL_THREES sets which, as N or
-// FROM-TO, AMBERDEAL_THREE plays one.
+// TestFaultTriples plays combinations of three faults that are drawn at random. AMBERDEAL_THREES
+// selects them, as N or FROM-TO, AMBERDEAL_THREE plays one.
 func TestFaultTriples(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_THREE", 3)
 	playCaseRange(t, from, to, threeFaults)
 }
 
-// TestFaultPairsAreComplete: the enumeration holds every ordered pair, and every kind in both
-// places among the cases that are played by default.
+// TestFaultPairsAreComplete checks that the enumeration contains every ordered pair, and every
+// fault in both places among the cases that are played by default.
 func TestFaultPairsAreComplete(t *testing.T) {
 	n := uint64(len(combinedFaults))
 	seen, firsts, seconds := map[[2]string]bool{}, map[string]bool{}, map[string]bool{}
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -24,49 +24,50 @@
 // Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled,
 // while one of these hears the state service late.
 
-// readCase says how such a day is: how many controllers there are, in how many parts, and what of one
-// of them is late by up to 1.5 s: the state service's answers, its own requests, the answers on
-// every other connection, or those to what is read.
+// readCase is the number of controllers, their sharding, and which link of one of them is delayed
+// by up to 1.5 s: the answers of the state service, its own requests, the answers on every other
+// connection, or the answers to reads.
 type readCase struct {
 	count              int
 	sharding, lateLink string
-	writers            int // that write for all; 0 stands for each by itself
+	writers            int // that write for all; 0: each writes for itself
 }
 
-// concurrentReads is the users of such a day, and what met.
+// concurrentReads is the users of such a day, and which overlaps of requests occurred.
 type concurrentReads struct {
 	*simulation
 	lateLink       string
 	answers        load.LinearizabilityChecker
-	slowController atomic.Int64 // who hears late, -1 for nobody
+	slowController atomic.Int64 // whose link is delayed, -1 for none
 
 	mu          sync.Mutex
 	faultRNG    *rand.Rand
 	conns       int
-	openCalls   []int // calls under way, by controller
+	openCalls   []int // by controller
 	jobs        map[string]*readJob
-	restartedAt map[int]time.Time // when a controller came back
+	restartedAt map[int]time.Time // by controller
 	overlaps    map[string]int
 }
 
-// readJob is a job that users look at.
+// readJob is a job that users read.
 type readJob struct {
 	job                                 *wire.Job
-	stage                               wire.Stage // the last that anybody was told
+	stage                               wire.Stage // the last that any user was told
 	firstToldAt                         time.Time  // when it was told first
 	toldBy                              int        // and by whom
 	cancelRequested                     bool       // to cancel it
-	openSubmits, openReads, openCancels int        // calls under way
+	openSubmits, openReads, openCancels int        // calls under way, of each kind
 }
 
+// maxLinkDelay bounds the delay of a link.
 const maxLinkDelay = 1500 * time.Millisecond
 
-// slowStream is a controller's connection to the state service.
+// slowStream is a controller's connection to the state service with a delay.
 type slowStream struct {
 	transport.Stream
 	run        *concurrentReads
 	node, conn int
-	reads      bool // something is read, not written
+	reads      bool // a read is under way, not a write
 }
 
 func (s *slowStream) Read(p []byte) (int, error) {
@@ -86,7 +87,7 @@
 	return s.Stream.Write(p)
 }
 
-// delayFor takes as long as what a controller asks, or hears, is under way.
+// delayFor waits as long as a message of a delayed link is under way.
 func (l *concurrentReads) delayFor(node int, what ...string) {
 	l.mu.Lock()
 	d := time.Duration(1+l.faultRNG.IntN(6)) * time.Millisecond
@@ -97,6 +98,7 @@
 	time.Sleep(d)
 }
 
+// noteOverlap counts an overlap, if it occurs.
 func (l *concurrentReads) noteOverlap(what string, does bool) {
 	if does {
 		l.mu.Lock()
@@ -105,8 +107,10 @@
 	}
 }
 
+// slowProxyAddr is a controller's address of the state service.
 func slowProxyAddr(i int) string { return simulator.Address(stateHost, 2500+i) }
 
+// newConcurrentReads starts a day.
 func newConcurrentReads(t *testing.T, x readCase, seed uint64) *concurrentReads {
 	l := &concurrentReads{lateLink: x.lateLink, faultRNG: rand.New(rand.NewPCG(seed, 31)), jobs: map[string]*readJob{}, restartedAt: map[int]time.Time{}, overlaps: map[string]int{}, openCalls: make([]int, x.count)}
 	l.slowController.Store(-1)
@@ -130,7 +134,7 @@
 	return l
 }
 
-// noteCommit sees the writes in which a job goes from its home to the history while it is asked about.
+// noteCommit notes the writes that move a job from its batch to the archive while it is polled.
 func (l *concurrentReads) noteCommit(puts []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +149,7 @@
 	}
 }
 
-// body gives the submission again, as it was or in other words.
+// body returns the submission again, as it was or with another content.
 func (l *concurrentReads) body(j *wire.Job) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +174,8 @@
 	return wire.Encode(&other)
 }
 
-// requestAndJudge asks one controller, has the answer judged, and asks all if it tells what nobody was told before.
+// requestAndJudge sends a request to one controller, checks the answer, and asks all controllers
+// if the answer is news to every user.
 func (l *concurrentReads) requestAndJudge(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
 	path := wire.PathJobs
 	if method == "GET" || word != "" {
@@ -259,7 +264,7 @@
 	}
 }
 
-// requestUntilAnswered asks again and again, each time another controller, until one tells it.
+// requestUntilAnswered repeats a request, each time at another controller, until one answers.
 func (l *concurrentReads) requestUntilAnswered(i int, x *readJob, method, word string, body []byte) {
 	for l.ctx.Err() == nil {
 		if status, _ := l.requestAndJudge(i%l.count, x, method, word, body); status == 200 || status == 201 {
@@ -270,8 +275,8 @@
 	}
 }
 
-// runJob is a job's day: it is submitted at one controller, and, so much later, cancelled at another,
-// -1 for not, while a third is asked. Once it is over all are asked until it is in the history.
+// runJob submits a job at one controller and cancels it later at another (-1 for not), while a
+// third is polled. When it is over all are polled until it is in the archive.
 func (l *concurrentReads) runJob(n, first int, cancel, run time.Duration) {
 	nodes := make([]int, l.count)
 	for i := range nodes {
@@ -280,7 +285,7 @@
 	l.runJobAt(n, nodes, cancel, run)
 }
 
-// runJobAt is the same at some controllers alone.
+// runJobAt is runJob at some controllers only.
 func (l *concurrentReads) runJobAt(n int, nodes []int, cancel, run time.Duration) {
 	j := &wire.Job{ID: fmt.Sprintf("wk-%06d", (n*7919)%1_000_000), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 4,
 		Image: "img", ImageGB: 1, EstimateS: 1}
@@ -318,11 +323,12 @@
 	})
 }
 
-// cancelDelays are how long after its submission was sent a job is cancelled.
+// cancelDelays are how long after its submission a job is cancelled.
 var cancelDelays = []time.Duration{0, 1, 2, 5, 10, 20, 50, 150, 400, 1000, 3000}
 
-// run plays a day on which who hears late is first asked to accept, then to cancel, then for all else.
-// In between the state service forgets its changes, and a controller ends and is back at once.
+// run simulates a day: the controller with the delayed link is first the one that accepts, then
+// the one that cancels, then the one for everything else. In between the state service drops its
+// watch history, and a controller restarts.
 func (l *concurrentReads) run(seed uint64) {
 	time.Sleep(8 * time.Second)
 	l.runJob(999, 0, 45*time.Second, forever) // it keeps a machine there
@@ -354,8 +360,7 @@
 	}
 }
 
-// restart ends a controller, which is back at once and asked about all jobs before and while it reads the
-// state.
+// restart restarts a controller and polls it for all jobs before and while it reads the state.
 func (l *concurrentReads) restart(i int) {
 	const gone = 50 * time.Millisecond
 	l.mu.Lock()
@@ -371,7 +376,7 @@
 	time.Sleep(4 * time.Second)
 }
 
-// requiredOverlaps is what must have met on the days that are played by default, at least so often.
+// requiredOverlaps is how often each overlap has to occur on the days that are played by default.
 var requiredOverlaps = map[string]int{
 	"late is asked within 5 ms of pending": 100, "late is asked within 5 ms of done": 20, "late is asked within 5 ms of withdrawn": 100,
 	"another is asked within 5 ms of pending": 300, "another is asked within 5 ms of done": 100, "another is asked within 5 ms of withdrawn": 300,
@@ -380,8 +385,9 @@
 	"a view was too old": 10, "vain at a new one": 100, "answered by a new one": 50, "who leads hears late": 1, "another leads": 1,
 }
 
-// TestConcurrentReads plays days of looks. AMBERDEAL_LOOKS sets how many, of which sixteen hold all there are
-// of controllers, parts and what is late; AMBERDEAL_LOOK plays one.
+// TestConcurrentReads simulates days of concurrent reads. AMBERDEAL_LOOKS sets their number,
+// sixteen of which contain every combination of controllers, shards and delayed links;
+// AMBERDEAL_LOOK plays one.
 func TestConcurrentReads(t *testing.T) {
 	all, played := map[string]int{}, 0
 	playSeeds(t, 4, "AMBERDEAL_LOOK", func(t *testing.T, seed uint64) {
@@ -407,11 +413,11 @@
 	}
 }
 
-// endOffsets are how long after its last task has ended a job is cancelled.
+// endOffsets are how long after the end of its last task a job is cancelled.
 var endOffsets = []time.Duration{-300, -20, -2, -1, 0, 1, 2, 5, 20, 100, 300, 600, 900, 1500, 2500}
 
-// runJobCancelledAtEnd has a job be cancelled, asked about and submitted again at three controllers so long after
-// its last task has ended, with no other trouble, and tells how it became.
+// runJobCancelledAtEnd has a job cancelled, polled and resubmitted at three controllers that long
+// after the end of its last task, without other faults.
 func (l *concurrentReads) runJobCancelledAtEnd(n, first int, offset time.Duration, shape wire.Shape, tasks int) {
 	const run = 4 * time.Second
 	j := jobOf(fmt.Sprintf("wk-%06d", n), shape, tasks, run)
@@ -440,9 +446,9 @@
 	})
 }
 
-// TestCancelAtCompletion: a cancellation, a question and a repeated submission come around the end of a
-// job's last task, its report and the round that writes it, at each controller: the job is done or
-// cancelled, once, whoever is asked.
+// TestCancelAtCompletion sends a cancellation, a poll and a repeated submission around the end of
+// a job's last task, its heartbeat and the round that writes it, to each controller: the job has
+// to be done or cancelled, once, whichever controller answers.
 func TestCancelAtCompletion(t *testing.T) {
 	met := map[string]int{}
 	for seed, x := range []readCase{{3, "off", "", 0}, {5, "zone", "", 0}} {
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -31,15 +31,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// writeKind is a kind of transaction: what it is conditional on, and what it changes. Words are
-// kinds of keys; of conditions with =0 where the key must be absent, =v where it must be there,
-// and without either where it may be both; of changes with + for a put, +lease: for one under a
-// lease, - for a drop, and -old: for one of a ledger of an earlier grouping. A ? goes before what
-// may be left out.
+// writeKind is a kind of transaction: its conditions and its changes. The words are kinds of keys;
+// a condition has =0 if the key must be absent, =v if it must exist, and no suffix if it may be
+// either; a change has + for a put, +lease: for one under a lease, - for a delete, and -old: for
+// the delete of a key of an earlier sharding's ledger. A ? precedes what may be absent.
 type writeKind struct{ name, when, then string }
 
-// writeKinds are all kinds that there are, the special before the ordinary. Each is in the table of
-// docs/design.md, "What a late write can do", with why a late copy of it does no harm.
+// writeKinds are all kinds of writes, special ones first. Each is in the table of docs/design.md,
+// "What a late write can do", with the reason why a late copy does no harm.
 var writeKinds = []writeKind{
 	{"new jobs", "batch=0 gate", "+batch"},
 	{"cancellations", "batch=v", "+batch"},
@@ -66,10 +65,10 @@
 		"?+batch ?+ledger ?+history ?+recent ?+gate ?+types ?+grouping ?+grant ?+tiers"},
 }
 
-// leaseKinds are the lease calls.
+// leaseKinds are the kinds of lease calls.
 var leaseKinds = []string{"new lease", "renewal", "end of a lease"}
 
-// txnAsSent is a transaction as it comes in.
+// txnAsSent is a transaction as it is received.
 type txnAsSent struct {
 	If   []wire.Condition `cbor:"when"`
 	Then []struct {
@@ -80,7 +79,7 @@
 	} `cbor:"then"`
 }
 
-// words describes a transaction.
+// words describes a transaction in the words of writeKind.
 func (t *txnAsSent) words() (when, then []string) {
 	ledger := "" // that it writes
 	for _, c := range t.Then {
@@ -111,7 +110,7 @@
 	return when, then
 }
 
-// matches reports whether words are those of a pattern.
+// matches reports whether words match a pattern of writeKind.
 func matches(words []string, pattern string) bool {
 	words = slices.Clone(words)
 	for _, p := range strings.Fields(pattern) {
@@ -127,6 +126,7 @@
 	return len(words) == 0
 }
 
+// kindOf returns the kind of a transaction, "" for none.
 func kindOf(t *txnAsSent) string {
 	when, then := t.words()
 	for _, k := range writeKinds {
@@ -137,23 +137,23 @@
 	return ""
 }
 
-// writeFate is what becomes of a write that is held back: how long until it is carried out, and what
-// the copies of it get that are sent meanwhile, for some time.
+// writeFate is what happens to a write that is delayed: how long until it is carried out, and what
+// the copies get that are sent meanwhile.
 type writeFate struct {
 	delay      time.Duration
-	copyStatus int // what they get: 200 for what the service says, 0 for no answer, and 503
+	copyStatus int // 200 for the answer of the service, 0 for no answer, or 503
 }
 
-// Every other of the first writes of each kind meets these, in turn, and a share of all others
-// something like them.
+// writeFates apply in turn to every other of the first writes of each kind; a share of all others
+// meets similar ones.
 var writeFates = []writeFate{{4 * time.Second, 200}, {9 * time.Second, 0}, {80 * time.Second, 503}, {150 * time.Second, 0}}
 
-// copyFaultTime is for how long copies of what is held back get no answer, or 503: whoever sends
-// them gives up, where it does.
+// copyFaultTime is how long copies of a delayed write get no answer or 503. Their sender gives up
+// by then, if it ever does.
 const copyFaultTime = 7 * time.Second
 
-// delayProxy stands between controllers and the state service. It holds writes back without an
-// answer, and carries them out later, after newer ones of the same controller.
+// delayProxy is a proxy between controllers and the state service. It withholds the answers to
+// some writes, and carries these out later, after newer writes of the same controller.
 type delayProxy struct {
 	t      *testing.T
 	net    *simulator.Network
@@ -162,37 +162,38 @@
 	rng    *rand.Rand
 
 	mu         sync.Mutex
-	kindCounts map[string]int // writes that were met, copies aside
+	kindCounts map[string]int // writes, without copies
 	writes     map[string]*delayedWrite
 	held       []*delayedWrite
 	tallies    map[string]delayedTally
 	unknown    map[string]bool
 
-	// serveInstead, if it is set, says what becomes of the requests of controllers instead.
+	// serveInstead, if set, handles the controllers' requests instead.
 	serveInstead func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
 }
 
-// What becomes of a request that gets no answer: nobody waits for longer than the silence lasts.
+// What happens to a request without an answer: nobody waits for longer than that.
 const (
 	noReply    = 0
 	connClosed = -1 // the connection is, after a moment
 )
 
-// delayedTally tells of the writes of a kind that were carried out after newer ones.
+// delayedTally counts the writes of a kind that were carried out after newer ones.
 type delayedTally struct{ taken, refused int }
 
-// delayedWrite is a write, with all copies of it.
+// delayedWrite is a write with all its copies.
 type delayedWrite struct {
 	kind, from   string
 	method, path string
 	body         []byte
 	at           time.Time
-	fate         *writeFate // nil where it is not held back
-	newer        int        // writes of the same controller that were taken since
+	fate         *writeFate // nil if it is not delayed
+	newer        int        // writes of the same controller that were committed since
 	taken        int
 	refused      time.Time
 }
 
+// newDelayProxy returns a proxy that delays a share of the writes.
 func newDelayProxy(t *testing.T, net *simulator.Network, to string, seed uint64, share float64) *delayProxy {
 	l := &delayProxy{t: t, net: net, target: to, share: share, rng: rand.New(rand.NewPCG(seed, 12)),
 		kindCounts: map[string]int{}, writes: map[string]*delayedWrite{}, tallies: map[string]delayedTally{}, unknown: map[string]bool{}}
@@ -200,7 +201,7 @@
 	return l
 }
 
-// listen serves one controller at a host of its own, which it gives.
+// listen serves one controller at a host of its own, whose address it returns.
 func (l *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
 	host := l.net.Host(ip)
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
@@ -229,6 +230,7 @@
 	return addr
 }
 
+// forward sends a request to the state service.
 func (l *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
 	resp, err := caller.Call(ctx, l.target, method, target, body)
 	if err != nil {
@@ -237,14 +239,14 @@
 	return resp.Status, resp.Body
 }
 
-// countOf counts the writes of a kind, copies aside.
+// countOf counts the writes of a kind, without copies.
 func (l *delayProxy) countOf(kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kindCounts[kind]
 }
 
-// kindSent tells the kind of a request, "" for one that changes nothing.
+// kindSent returns the kind of a request, "" for one that changes nothing.
 func (l *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
 	switch {
 	case target == wire.PathTxn:
@@ -272,6 +274,7 @@
 	return kind
 }
 
+// serve handles a request of a controller.
 func (l *delayProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 	kind := l.kindSent(from, method, target, body)
 	if kind == "" {
@@ -287,7 +290,7 @@
 	return status, answer
 }
 
-// decideFate says what becomes of a write: 200 stands for what the service says.
+// decideFate returns the status for a write: 200 stands for the answer of the service.
 func (l *delayProxy) decideFate(kind, from, method, target string, body []byte) (*delayedWrite, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -322,9 +325,10 @@
 	return w, 200
 }
 
-// noteResult takes in what came of a copy of a write. One that was taken is never taken again, nor one
-// that was once refused for what it demands. Only new jobs may come a second time, between their
-// settling and the move of the gate: what was settled goes before them (TestLateSubmissionBeforeGate).
+// noteResult checks the result of a copy of a write. A write that was committed may never be
+// committed again, nor one that was refused because of its conditions. Only new jobs may be
+// submitted a second time, between their removal and the next submission fence: the removed record
+// precedes them (TestLateSubmissionBeforeGate).
 func (l *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -352,7 +356,7 @@
 	}
 }
 
-// releaseHeld carries out what is held back, each after newer ones of its controller, or at the end.
+// releaseHeld carries out what is delayed, after newer writes of its controller or at the end.
 func (l *delayProxy) releaseHeld(ctx context.Context) {
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: l.net.Host("10.2.1.99").Dial}
 	for ctx.Err() == nil {
@@ -395,7 +399,8 @@
 	}
 }
 
-// playDelayedWritesDay plays a day on which some of all that controllers write is carried out late.
+// playDelayedWritesDay simulates a day on which a share of all writes of controllers is carried
+// out late.
 func playDelayedWritesDay(t *testing.T, seed uint64, share float64) *delayProxy {
 	var l *delayProxy
 	playAllWritesDay(t, seed, 3, func(w *simulation) *delayProxy {
@@ -406,9 +411,9 @@
 	return l
 }
 
-// playAllWritesDay plays a day on which controllers make every kind of write to the state service, past
-// what stands between: jobs come, end and are folded, the fleet is divided into parts and put
-// together again, the tiers of work change, holders end and are back.
+// playAllWritesDay simulates a day on which controllers make every kind of write to the state
+// service, through the given proxy: jobs are submitted, end and are compacted, the fleet is
+// divided into shards and merged again, the tiers change, and leaders end and restart.
 func playAllWritesDay(t *testing.T, seed uint64, count int, between func(w *simulation) *delayProxy) {
 	var mu sync.Mutex
 	by, tiers := map[string]string{}, map[string]bool{}
@@ -495,9 +500,9 @@
 	}
 }
 
-// TestDelayedWrites holds the writes of each kind back past newer ones of the same controller. Of the
-// days outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other troubles too
-// and up to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
+// TestDelayedWrites delays writes of each kind past newer ones of the same controller. Of the days
+// outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other faults too and up
+// to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
 func TestDelayedWrites(t *testing.T) {
 	all := map[string]delayedTally{}
 	var mu sync.Mutex
@@ -521,8 +526,8 @@
 	}
 }
 
-// TestDelayedImport puts a state in while each kind of the writes that do so is carried out late, and
-// lets controllers go on with it: nothing of it is there twice.
+// TestDelayedImport imports a state while each kind of the writes that do so is carried out late,
+// and lets controllers continue with it: nothing may exist twice.
 func TestDelayedImport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 80, 0, func(c *config.Config) { c.Tuning.History.Compact = false })
@@ -581,7 +586,7 @@
 	})
 }
 
-// kindNames lists the kinds of transactions of some names.
+// kindNames lists the kinds of transactions whose names are selected.
 func kindNames(of func(name string) bool) (out []string) {
 	for _, k := range writeKinds {
 		if of(k.name) {
@@ -591,8 +596,8 @@
 	return out
 }
 
-// TestWritersAreKnown: whoever makes or sends a transaction, or a lease call, is one of these. A new one
-// belongs into the table of docs/design.md, and its kind into writeKinds.
+// TestWritersAreKnown lists all functions that build or send a transaction or make a lease call. A
+// new one belongs into the table of docs/design.md, and its kind into writeKinds.
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
 		internal/admission.commit
@@ -637,7 +642,8 @@
 	}
 }
 
-// sendsTransaction reports whether a function makes or sends a transaction, or makes a lease call.
+// sendsTransaction reports whether a function builds or sends a transaction, or makes a lease
+// call.
 func sendsTransaction(fn *ast.FuncDecl) (found bool) {
 	ast.Inspect(fn, func(n ast.Node) bool {
 		sel, ok := n.(*ast.SelectorExpr)
@@ -652,7 +658,8 @@
 	return found
 }
 
-// TestUnknownWriteKindIsFound: a write of another kind of key, or with a condition less, is of no kind.
+// TestUnknownWriteKindIsFound checks that a write of another kind of key, or without one of its
+// conditions, is of no known kind.
 func TestUnknownWriteKindIsFound(t *testing.T) {
 	fence, grant := wire.Condition{Key: store.LeaderKey("a"), Version: 7}, wire.Condition{Key: store.QuotaGrantKey, Version: 5}
 	put := wire.Operation{Put: store.QuotaGrantKey, Value: store.QuotaGrantRecord{}}
@@ -672,7 +679,7 @@
 	}
 }
 
-// TestDelayedWritesAreDocumented: each kind has its line in the table.
+// TestDelayedWritesAreDocumented checks that the table has a line for each kind.
 func TestDelayedWritesAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/design.md"))
 	if err != nil {
@@ -692,20 +699,20 @@
 	}
 }
 
-// delayedCloud stands between the controllers and the cloud. It holds some rentals and releases
-// back without an answer, and carries them out later, after newer requests.
+// delayedCloud is a proxy between the controllers and the cloud. It withholds the answers to some
+// rentals and releases, and carries these out later, after newer requests.
 type delayedCloud struct {
 	*simulation
 	mu            sync.Mutex
-	requests      map[string]int       // of each kind, copies aside
+	requests      map[string]int       // of each kind, without copies
 	firstSent     map[string]time.Time // when each was first sent
-	held          map[string]time.Time // until when its copies fare badly
-	newer         int                  // requests that were carried out as they came
-	abandoned     map[string]bool      // rentals of which a copy was refused: the holder has given them up
-	rentedLate    map[string]bool      // machines that were rented so, after that
-	usedReleases  int                  // releases that hit a machine in use
-	delayedCounts map[string]int       // of each kind, after newer ones
-	released      func(names []string) // called when a release is held back
+	held          map[string]time.Time // until when copies get no useful answer
+	newer         int                  // requests that were carried out at once
+	abandoned     map[string]bool      // rentals that the leader has given up, because a copy was refused
+	rentedLate    map[string]bool      // machines that were rented by these afterwards
+	usedReleases  int                  // releases of a machine in use
+	delayedCounts map[string]int       // of each kind, carried out after newer ones
+	released      func(names []string) // called when a release is delayed
 }
 
 func (l *delayedCloud) listen(addr string) {
@@ -748,7 +755,7 @@
 	})
 }
 
-// decideFate says what becomes of a request: 200 stands for what the cloud says.
+// decideFate returns the status for a request: 200 stands for the answer of the cloud.
 func (l *delayedCloud) decideFate(req *httpwire.Request, carryOut func() *httpwire.Response) int {
 	kind := map[string]string{wire.PathRentals: "rental", wire.PathRelease: "release"}[req.Path]
 	if req.Method != "POST" || kind == "" {
@@ -806,16 +813,16 @@
 	return 0
 }
 
-// releasedInUse reports whether a release was carried out late that ended a task.
+// releasedInUse reports whether a release that ended a task was carried out late.
 func (l *delayedCloud) releasedInUse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.usedReleases > 0
 }
 
-// TestDelayedRentals carries rentals out after their holder was told that there is no room, and
-// releases after another has put work on the machine: what was rented so is used or returned, what
-// ran there runs again, and no rule breaks.
+// TestDelayedRentals carries rentals out after their leader was told that there is no capacity,
+// and releases after another leader has put work on the machine: machines rented so have to be
+// used or returned, tasks that ended so have to run again, and no rule may be violated.
 func TestDelayedRentals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -19,19 +19,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// restartDelay is after how long whatever ended is back.
+// restartDelay draws how long a restart takes.
 func restartDelay(rng *rand.Rand) time.Duration {
 	return time.Duration(50+rng.IntN(451)) * time.Millisecond
 }
 
-// finalHoldTime is for how long the last words of a process are held: mostly not at all, at times for
-// longer than any lease.
+// finalHoldTime draws how long the last messages of a process are delayed: mostly not at all,
+// sometimes for longer than any lease.
 func finalHoldTime(rng *rand.Rand) time.Duration {
 	return []time.Duration{0, 0, time.Duration(rng.IntN(2000)), time.Duration(rng.IntN(40_000))}[rng.IntN(4)] * time.Millisecond
 }
 
-// crashAt has whoever makes the next change of a key with a prefix crash before it is answered:
-// the holder of the part that is written, or all where nobody holds any.
+// crashAt crashes whoever makes the next change of a key with a prefix before it is answered: the
+// leader of the shard that is written, or all controllers if nobody leads any.
 func (w *simulation) crashAt(prefix string, back time.Duration) {
 	var once atomic.Bool
 	crash := func(key string) {
@@ -60,8 +60,7 @@
 	})
 }
 
-// twin starts another process of a controller's name beside the one that runs, which ends a
-// while later.
+// twin starts a second process under a controller's name, which ends a while later.
 func (w *simulation) twin(i int, d, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -77,7 +76,7 @@
 	})
 }
 
-// reboot has a machine restart, before anybody saw it go.
+// reboot restarts a machine before anybody can notice its absence.
 func (w *simulation) reboot(id, host string, m simulator.Machine, rng *rand.Rand) {
 	if late := finalHoldTime(rng); late > 0 {
 		w.net.Hold(host, late)
@@ -86,8 +85,8 @@
 	w.net.Reset(host)
 }
 
-// repeatOldRequests repeats what users have asked for long ago: submissions, also with another body, and
-// cancellations. The answers must be as they were.
+// repeatOldRequests repeats requests from long ago: submissions, also with another content, and
+// cancellations. The answers have to be the same.
 func (w *simulation) repeatOldRequests(rng *rand.Rand) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.2").Dial}
 	for _, id := range w.checker.Jobs() {
@@ -125,7 +124,7 @@
 	}
 }
 
-// restartFaults are processes and machines that end, and are back before anybody saw them go.
+// restartFaults restart processes and machines before anybody can notice their absence.
 var restartFaults = []fault{
 	{"a controller crashes", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		w.crash(luck.IntN(w.count), restartDelay(luck), finalHoldTime(luck))
@@ -206,7 +205,7 @@
 	{"users ask again", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.repeatOldRequests(luck) }},
 }
 
-// rebootFirst has so many of the first machines restart.
+// rebootFirst restarts that many of the first machines.
 func (w *simulation) rebootFirst(rng *rand.Rand, n int) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if n > 0 {
@@ -216,8 +215,8 @@
 	})
 }
 
-// playRestartDay plays a day on which processes and machines end and are back after 50 to 500 ms,
-// what they sent last arrives after that, and some of all that is asked for is asked twice.
+// playRestartDay simulates a day on which processes and machines restart after 50 to 500 ms, their
+// last messages arrive after that, and some requests are repeated.
 func playRestartDay(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
 	returns := slices.Concat(restartFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 8))
@@ -263,14 +262,14 @@
 	}
 }
 
-// TestFastRestarts plays such days in one part. AMBERDEAL_BACKS sets how many, AMBERDEAL_BACK
-// plays one.
+// TestFastRestarts simulates such days with one shard. AMBERDEAL_BACKS sets their number,
+// AMBERDEAL_BACK plays one.
 func TestFastRestarts(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { playRestartDay(t, seed, sameSharding("off"), nil) })
 }
 
-// TestFastRestartsOfShards plays them in several, half of them regrouped now and then.
-// AMBERDEAL_PARTBACKS sets how many, AMBERDEAL_PARTBACK plays one.
+// TestFastRestartsOfShards simulates them with several shards, half of the days with resharding
+// now and then. AMBERDEAL_PARTBACKS sets their number, AMBERDEAL_PARTBACK plays one.
 func TestFastRestartsOfShards(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -20,23 +20,24 @@
 
 // Days on which a few controllers write what users wait for, for all.
 
-// forwardingCase is such a day: how many controllers there are, how many of them write, and what becomes
-// of those who do.
+// forwardingCase is the number of controllers, how many of them write submissions for all, and
+// what happens to those that do.
 type forwardingCase struct {
 	count, writers int
 	fault          string
 }
 
-// forwardingRun is a day's world, and who has written batches of new jobs.
+// forwardingRun is a simulated day that keeps which controllers have written batches of new jobs.
 type forwardingRun struct {
 	*concurrentReads
 	day forwardingCase
 
-	firstWriters []int // who writes as the trouble begins
+	firstWriters []int // those that write when the fault begins
 	mu           sync.Mutex
 	batches      map[string]int // since then, by controller
 }
 
+// newForwardingRun starts a day.
 func newForwardingRun(t *testing.T, d forwardingCase, seed uint64) *forwardingRun {
 	w := &forwardingRun{day: d, batches: map[string]int{}}
 	w.concurrentReads = newConcurrentReads(t, readCase{count: d.count, sharding: "off", writers: d.writers}, seed)
@@ -44,7 +45,7 @@
 	return w
 }
 
-// noteCommit notes who has written a batch.
+// noteCommit counts the batches by writer.
 func (w *forwardingRun) noteCommit(puts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// writers lists those who write while all live.
+// writers lists the controllers that write while all are up.
 func (w *forwardingRun) writers() (out []int) {
 	var all []string
 	for i := range w.count {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// forwardingFaults are what becomes of a controller that writes, or of all.
+// forwardingFaults are what happens to a controller that writes, or to all.
 var forwardingFaults = map[string]func(w *forwardingRun, i int){
 	"calm":                               func(*forwardingRun, int) {},
 	"it ends and is back after 100 ms":   func(w *forwardingRun, i int) { w.crash(i, 100*time.Millisecond, 0) },
@@ -124,8 +125,8 @@
 	},
 }
 
-// run has jobs be submitted at some controllers, cancelled at others and asked about and submitted again at
-// all, while a trouble is on, and has what users were told judged by the order of calls.
+// run has jobs submitted at some controllers, cancelled at others, and polled and resubmitted at
+// all, during a fault, and checks the answers for linearizability.
 func (w *forwardingRun) run() {
 	time.Sleep(8 * time.Second)
 	w.runJob(999, 0, 100*time.Second, forever) // it keeps a machine there
@@ -156,7 +157,7 @@
 	}
 }
 
-// runJobAtSome is a job's day of which only some controllers are asked.
+// runJobAtSome runs a job about which only some controllers are asked.
 func (w *forwardingRun) runJobAtSome(n int, cancel time.Duration) {
 	all := w.count
 	if all > 5 {
@@ -167,7 +168,8 @@
 	w.runJob(n, n%all, cancel, 3*time.Second)
 }
 
-// run plays the day. In calm nobody else writes batches of new jobs.
+// run simulates the day. Without a fault only the designated controllers may write batches of new
+// jobs.
 func (d forwardingCase) run(t *testing.T, seed uint64) {
 	w := newForwardingRun(t, d, seed)
 	w.run()
@@ -181,8 +183,9 @@
 	}
 }
 
-// TestForwarding plays such days: whoever is asked, a job has one story, and all that was accepted ends.
-// AMBERDEAL_FORWARDED plays all troubles with 24 controllers too, so many times.
+// TestForwarding simulates such days: answers about a job have to agree whichever controller gives
+// them, and everything that was accepted has to end. AMBERDEAL_FORWARDED plays all faults with 24
+// controllers too, that many times.
 func TestForwarding(t *testing.T) {
 	times := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FORWARDED"), &times)
@@ -202,7 +205,8 @@
 	}
 }
 
-// TestAcceptLatencyOfManyControllers: with 24 controllers users wait for a job's acceptance no longer than with five.
+// TestAcceptLatencyOfManyControllers checks that with 24 controllers users wait for the acceptance
+// of a job no longer than with five.
 func TestAcceptLatencyOfManyControllers(t *testing.T) {
 	for _, count := range []int{5, 24} {
 		t.Run(fmt.Sprint(count, " controllers"), func(t *testing.T) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -12,9 +12,10 @@
 // repositoryRoot is the way from this package's directory, in which its tests run, to the module's.
 const repositoryRoot = "../.."
 
-// guard is a line of the sources, and the same without the guard.
+// guard is a line of the sources, with and without the guard.
 type guard struct{ name, file, with, without string }
 
+// guards reads testdata/guards.txt.
 func guards(t *testing.T) (out []guard) {
 	text, err := os.ReadFile("testdata/guards.txt")
 	if err != nil {
@@ -28,7 +29,7 @@
 	return out
 }
 
-// TestGuardsApply: each guard still names one place of its file.
+// TestGuardsApply checks that each guard still names exactly one place of its file.
 func TestGuardsApply(t *testing.T) {
 	for _, g := range guards(t) {
 		b, err := os.ReadFile(filepath.Join(repositoryRoot, g.file))
@@ -38,9 +39,9 @@
 	}
 }
 
-// TestGuardsAreNeeded takes each guard of testdata/guards.txt out of a copy of the sources,
-// and demands that the kept traces, the model, or the days of TestProcessStalls and
-// TestShardsThroughFaults, TestReshardThroughFaults, TestFastRestarts or TestLostReplies see it. It takes minutes, and is played with AMBERDEAL_GUARDS=1 only.
+// TestGuardsAreNeeded removes each guard of testdata/guards.txt from a copy of the sources, and
+// requires that a kept trace, the model or a simulation fails. It takes minutes, and runs with
+// AMBERDEAL_GUARDS=1 only.
 func TestGuardsAreNeeded(t *testing.T) {
 	if os.Getenv("AMBERDEAL_GUARDS") == "" {
 		t.Skip("AMBERDEAL_GUARDS is not set")
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -11,9 +11,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestNoJobWaitsBesideIdleCapacity: with no trouble at all, work that can't begin yet stands before a job for
-// which there is room and which its team's limit leaves room for: the job begins. AMBERDEAL_WAITING
-// plays it in one part too.
+// TestNoJobWaitsBesideIdleCapacity: without any fault, work that cannot start yet is ahead of a
+// job for which there is capacity and quota: that job has to start. AMBERDEAL_WAITING plays it
+// with one shard too.
 func TestNoJobWaitsBesideIdleCapacity(t *testing.T) {
 	type come struct {
 		shape    wire.Shape
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -10,9 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestTenLeaders: the leader ends every ten seconds, ten times in two minutes, in one way or another,
-// and for a while in the middle the state service is out, so that some end in which nobody can follow. Users cancel
-// around each end. All rules hold, what nobody cancels goes on, and once it is over nothing waits.
+// TestTenLeaders ends the leader every ten seconds, ten times in two minutes, in various ways; in
+// the middle the state service is out for a while, so that nobody can succeed some of them. Users
+// cancel around each end. All rules have to hold, what is not cancelled has to continue, and
+// afterwards nothing may wait.
 func TestTenLeaders(t *testing.T) {
 	ways := []struct {
 		name string
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -20,7 +20,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// batchOf finds the record that a job was accepted with.
+// batchOf returns the record that a job was accepted with.
 func (w *simulation) batchOf(job string) (key string, rec store.BatchRecord) {
 	for _, it := range w.store.Page(store.BatchKey(""), "", 0).Items {
 		var rec store.BatchRecord
@@ -32,15 +32,15 @@
 	return "", rec
 }
 
-// writeState writes to the state service behind everybody's back.
+// writeState writes to the state service, bypassing the controllers.
 func (w *simulation) writeState(c wire.Operation) {
 	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Operation{c}}); status != 200 {
 		w.t.Fatalf("%+v was answered %d", c, status)
 	}
 }
 
-// overriddenConn is a connection on which questions about one job get an answer of their own, or
-// none if that is empty.
+// overriddenConn is a connection on which requests about one job get a fixed answer, or none if
+// that is empty.
 type overriddenConn struct {
 	net.Conn
 	line, answer []byte
@@ -62,7 +62,7 @@
 	return a.Conn.Read(p)
 }
 
-// overrideAnswers gives an answer of its own to questions about a job, at one controller or at each.
+// overrideAnswers overrides the answers about a job, at one controller or at each.
 func (w *simulation) overrideAnswers(job, at string, answer []byte) {
 	w.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := w.net.Host("10.3.0.2").Dial(ctx, addr)
@@ -75,8 +75,8 @@
 	time.Sleep(10 * time.Second) // all are healthy
 }
 
-// TestLivenessCheckerFindsForgottenJobs plants what must never be: by the users' rules one job is forgotten, and
-// the checker names it and no other.
+// TestLivenessCheckerFindsForgottenJobs stages the loss of one job by the users' rules; the
+// checker has to report it and no other.
 func TestLivenessCheckerFindsForgottenJobs(t *testing.T) {
 	for name, plant := range map[string]struct {
 		before, after func(w *simulation)
@@ -133,8 +133,8 @@
 	}
 }
 
-// addPollingCrowd has users ask about whatever jobs there may be, each so often, until the day ends. They
-// keep their connections.
+// addPollingCrowd has users poll random jobs at an interval until the day ends. They keep their
+// connections open.
 func (w *simulation) addPollingCrowd(rng *rand.Rand, users int, every time.Duration) {
 	for n := range users {
 		w.pollGroup.Go(func() {
@@ -149,7 +149,7 @@
 	}
 }
 
-// livenessFaults are what a question must survive that comes when they are over.
+// livenessFaults are faults that may not affect polls which are sent after their end.
 var livenessFaults = []fault{
 	{"the holder dies while it folds, and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		for range 1 + luck.IntN(4) {
@@ -201,10 +201,10 @@
 	}},
 }
 
-// TestNoJobIsForgotten plays days on which jobs end and are folded at once while holders die,
-// parts and groupings change, and the state service fails, and which end with quiet: no
-// question is in vain for long then, whatever a crowd asks meanwhile. AMBERDEAL_QUIETS sets how
-// many days, AMBERDEAL_QUIET plays one.
+// TestNoJobIsForgotten simulates days on which jobs end and are compacted at once while leaders
+// end, shards and the sharding change, and the state service fails. No poll may remain unanswered
+// for long once the faults are over, whatever a crowd polls meanwhile. AMBERDEAL_QUIETS sets the
+// number of days, AMBERDEAL_QUIET plays one.
 func TestNoJobIsForgotten(t *testing.T) {
 	playSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -250,8 +250,8 @@
 	})
 }
 
-// TestIdleConnectionsBlockNobody: more users than all controllers have sockets for ask seldom
-// and keep their connections. Another's job is accepted, and stays known.
+// TestIdleConnectionsBlockNobody has more users than all controllers have sockets for poll seldom
+// and keep their connections. Another user's job has to be accepted and to remain known.
 func TestIdleConnectionsBlockNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -21,14 +21,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// replyLoss is how the answer to a write is lost that was carried out at once, and what its sender
-// meets then.
+// replyLoss is how the answer to a committed write is lost, and what its sender meets afterwards.
 type replyLoss struct {
 	name        string
-	answer      int           // silent or closed
-	copies      int           // what its repeats get for a while, 0 for what the service says
-	cut, outage time.Duration // for how long the sender alone, or everybody, is refused
-	crash       bool          // the sender ends, and is back soon
+	answer      int           // noReply or connClosed
+	copies      int           // status that repeats of the write get for a while, 0 for that of the service
+	cut, outage time.Duration // how long the sender alone (cut) or everybody is refused
+	crash       bool          // the sender crashes and restarts soon
 }
 
 var replyLosses = []replyLoss{
@@ -41,46 +40,48 @@
 	{name: "an outage for longer than cancel_s", answer: connClosed, outage: 50 * time.Second},
 }
 
-// maxAnswers is how often a write is answered that its sender goes on repeating: what was answered
-// once need not be asked for again, but that the answer may come too late.
+// maxAnswers is how often a write is answered that its sender keeps repeating: one answer
+// suffices, unless it comes too late.
 const maxAnswers = 3
 
-// replyLossProxy stands between controllers and the state service. Of some writes that are taken it loses
-// the answer, and shows their sender nothing of them before another controller has read them.
+// replyLossProxy is a proxy between controllers and the state service. It loses the answers to
+// some committed writes, and shows nothing of them to their sender until another controller has
+// read them.
 type replyLossProxy struct {
 	*delayProxy
 	sim             *simulation
 	seed            int
 	writes          map[string]*trackedWrite // by sender and body
-	unknownToSender []*trackedWrite          // of which the sender knows nothing yet
+	unknownToSender []*trackedWrite          // writes whose sender does not know their result yet
 	cut             map[string]time.Time
 	outageBegan     time.Time // when the last outage began
 	observed        map[string]*observedJob
 	tallies         map[string]replyLossTally
 }
 
-// trackedWrite is a write, with all copies of it.
+// trackedWrite is a write with all its copies.
 type trackedWrite struct {
 	kind, sender string
 	at           time.Time
-	loss         *replyLoss // nil where it was answered
+	loss         *replyLoss // nil if it was answered
 	revision     uint64
-	read         bool // by another controller, before its sender knew
-	answers      int  // that copies of it got, of what is for good
+	read         bool // by another controller, before its sender knew the result
+	answers      int  // number of final answers to copies of it
 }
 
-// replyLossTally tells of the writes of a kind of which the answer was lost.
+// replyLossTally counts the writes of a kind whose answer was lost.
 type replyLossTally struct {
 	lost, read int
-	by         map[string]int // how
+	by         map[string]int // by kind of loss
 }
 
-// observedJob is what anybody was told of a job, and since when.
+// observedJob is what any user was answered about a job, and since when.
 type observedJob struct {
 	stage        wire.Stage // the final one
 	known, final time.Time
 }
 
+// newReplyLossProxy returns a proxy that loses the answers to a share of the writes.
 func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
 	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
 		cut: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
@@ -88,9 +89,10 @@
 	return a
 }
 
-// isUnreadable are the kinds that change nothing that anybody reads.
+// isUnreadable reports whether writes of a kind change nothing that controllers read.
 func isUnreadable(kind string) bool { return kind == "new lease" || kind == "renewal" }
 
+// serve handles a request of a controller.
 func (a *replyLossProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 	if a.isRefused(from) {
 		return 503, nil
@@ -119,13 +121,14 @@
 	return a.noteAnswer(id, kind, from, body, status), answer
 }
 
+// isRefused reports whether a controller is refused at present.
 func (a *replyLossProxy) isRefused(from string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return time.Now().Before(a.cut[from])
 }
 
-// originalOf gives the write of which this is a repeat, or nil.
+// originalOf returns the write that is repeated, or nil.
 func (a *replyLossProxy) originalOf(id string) *trackedWrite {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,7 +147,7 @@
 	}
 }
 
-// noteRead takes in that a controller is about to be shown all up to a revision.
+// noteRead is called before a controller is shown everything up to a revision.
 func (a *replyLossProxy) noteRead(from string, revision uint64) {
 	a.mu.Lock()
 	var own []*trackedWrite
@@ -166,7 +169,7 @@
 	}
 }
 
-// noteKnown takes in that the sender learns what became of a write.
+// noteKnown is called when the sender learns the result of a write.
 func (a *replyLossProxy) noteKnown(s *trackedWrite) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,7 +185,7 @@
 	}
 }
 
-// noteAnswer says what the sender of a write gets to which the service has answered.
+// noteAnswer decides what the sender of a write gets whose answer has arrived from the service.
 func (a *replyLossProxy) noteAnswer(id, kind, from string, body []byte, status int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -241,7 +244,8 @@
 	return s.loss.answer
 }
 
-// applyConsequences brings about what comes with a loss, and has users ask about the jobs that were written.
+// applyConsequences injects what follows from a loss, and has users poll the jobs that were
+// written.
 func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
 	if s.loss.cut > 0 {
 		a.cut[s.sender] = time.Now().Add(s.loss.cut)
@@ -270,8 +274,8 @@
 	}
 }
 
-// pollLater has a user ask a controller about a job after a while. No answer to a question is older than
-// any that was given, by whichever controller, before it was asked.
+// pollLater has a user poll a job at a controller after a while. No answer may be older than one
+// that any controller gave before the poll was sent.
 func (a *replyLossProxy) pollLater(id string, node int, after time.Duration) {
 	ctx, cancel := context.WithTimeout(a.sim.ctx, after+2*time.Second)
 	defer cancel()
@@ -310,7 +314,8 @@
 	}
 }
 
-// playReplyLossDay plays a day on which writes of each kind are taken while their senders learn nothing.
+// playReplyLossDay simulates a day on which writes of each kind are committed while their senders
+// learn nothing.
 func playReplyLossDay(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
 	playAllWritesDay(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
 		a = newReplyLossProxy(w, seed, share)
@@ -319,9 +324,9 @@
 	return a
 }
 
-// TestLostReplies carries writes of each kind out at once and loses only the answer, while other
-// controllers read them and act, and users ask at all of them. Of the days outside of CI, with
-// AMBERDEAL_ATONCES=N, all but the first two have other troubles too and up to one write of ten
+// TestLostReplies commits writes of each kind and loses only the answer, while other controllers
+// read them and act and users poll at all of them. Of the days outside of CI, with
+// AMBERDEAL_ATONCES=N, all but the first two have other faults too and up to one write of ten
 // without an answer. AMBERDEAL_ATONCE plays one.
 func TestLostReplies(t *testing.T) {
 	all := map[string]replyLossTally{}
@@ -356,8 +361,9 @@
 	}
 }
 
-// TestElectionsWithLostReplies: the only controller claims five parts, and learns of each claim only
-// after a silence. Its lease is renewed meanwhile, so that none is claimed a second time.
+// TestElectionsWithLostReplies lets the only controller win five shards while the answer to each
+// election transaction is lost for a while. Its lease is renewed meanwhile, so that it wins none
+// of them a second time.
 func TestElectionsWithLostReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulationOf(t, 1, 91, 0, func(c *config.Config) {
@@ -383,10 +389,11 @@
 	})
 }
 
-// TestCancelWhileLaunchUnknown: the round that launches a job is taken, and its holder learns
-// that by its repeat alone. Just before, another controller has told a user that the job is
-// cancelled: what the holder reads to know its own write says that too, and no task starts. Of
-// one of them it is refused all reads for a while before, and does not send the round again meanwhile.
+// TestCancelWhileLaunchUnknown commits the round that launches a job while the leader learns that
+// only by its repeat. Just before, another controller has told a user that the job is cancelled:
+// what the leader reads to learn the fate of its own write says that too, so that no task may
+// start. In one case its reads are refused for a while before, and it may not repeat the round
+// meanwhile.
 func TestCancelWhileLaunchUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
--- a/internal/simtest/malformed_requests_test.go
+++ b/internal/simtest/malformed_requests_test.go
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// malformedBodies are submissions that are never accepted, by what is odd of them.
+// malformedBodies returns submissions that may never be accepted, by their defect.
 func malformedBodies(id string) map[string][]byte {
 	whole := func(field string, value any) []byte {
 		var m map[string]any
@@ -31,9 +31,10 @@
 	return out
 }
 
-// TestMalformedRequests: odd submissions meet machine types that are not known yet, and that change. Each is
-// answered 400 or 422 by every controller, or 503 while it can't tell; none is ever accepted, and
-// a job that was accepted before its machine type went is not forgotten, whatever its repeats say.
+// TestMalformedRequests sends malformed submissions while machine types are not known yet, and
+// while they change. Each has to be answered 400 or 422 by every controller, or 503 while it
+// cannot decide; none may ever be accepted, and a job that was accepted before its machine type
+// was removed may not be forgotten, whatever its repeats are answered.
 func TestMalformedRequests(t *testing.T) {
 	for seed, count := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -16,7 +16,7 @@
 
 // Days with hundreds of teams, on which controllers fail.
 
-// teamNames gives so many names, of so many bytes.
+// teamNames returns that many names of that many bytes.
 func teamNames(n, length int) (names []string) {
 	for i := range n {
 		number := fmt.Sprintf("%04d", i)
@@ -25,7 +25,7 @@
 	return names
 }
 
-// newTeamSimulation is one in which each team may use one GPU.
+// newTeamSimulation starts a simulation in which each team may use one GPU.
 func newTeamSimulation(t *testing.T, names []string, set func(*config.Config)) *simulation {
 	limits := make(map[string]float64)
 	var teams []config.Team
@@ -42,14 +42,14 @@
 	return w
 }
 
-// teamJob is a job of a team with more tasks than its limit allows at once.
+// teamJob returns a job of a team with more tasks than its quota allows at once.
 func teamJob(i int, team string, tasks int, run time.Duration) *wire.Job {
 	return jobOf(fmt.Sprintf("wk-%06d", i), wire.Array, tasks, run, func(j *wire.Job) { j.Team, j.CPUs, j.MemoryGB = team, 1, 4 })
 }
 
-// TestManyTeams: with hundreds of teams, all of which have more work than their limits allow, every
-// job is done although the leader changes twice, and no limit is passed. Half of the leaders end
-// while all teams of the work are at their limits.
+// TestManyTeams: with hundreds of teams, all of which have more work than their quotas allow,
+// every job has to be done although the leader changes twice, and no quota may be exceeded. Half
+// of the leaders end while all teams are at their quotas.
 func TestManyTeams(t *testing.T) {
 	for _, x := range []struct {
 		teams, length, active int
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestTeamLeavesTheSettings: a team is taken out of the settings, at each controller as it is
-// restarted, while a job of it runs and another waits. Both go on to their ends, within what the
-// team's limit was; what is submitted for it then is refused.
+// TestTeamLeavesTheSettings removes a team from the settings, at each controller as it is
+// restarted, while a job of it runs and another waits. Both have to run to their ends within the
+// team's previous quota; later submissions for it have to be refused.
 func TestTeamLeavesTheSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var left atomic.Bool
@@ -117,7 +117,7 @@
 	})
 }
 
-// refused submits a job that is to be refused, and gives the answer's status.
+// refused submits a job that has to be refused, and returns the status.
 func (c *client) refused() (status int) {
 	for c.ctx.Err() == nil {
 		resp, err := c.request(c.anyController(), 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -14,7 +14,7 @@
 
 // Days on which machines are up as soon as they are rented, and on which some can only be called.
 
-// bootObserver keeps when machines came up and when tasks started on them.
+// bootObserver records when machines came up and when tasks started on them.
 type bootObserver struct {
 	*simulator.Checker
 	mu       sync.Mutex
@@ -22,13 +22,14 @@
 	starts   []observedStart
 }
 
+// observedStart is the start of a task on a machine.
 type observedStart struct {
 	at      time.Time
 	machine string
 	task    wire.TaskID
 }
 
-// TaskStarted is told of a start.
+// TaskStarted implements simulator.Fixture.
 func (b *bootObserver) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	b.mu.Lock()
 	b.starts = append(b.starts, observedStart{time.Now(), machine, t})
@@ -36,7 +37,7 @@
 	return b.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// countStarts counts the starts that are picked.
+// countStarts counts the selected starts.
 func (b *bootObserver) countStarts(pick func(observedStart) bool) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +49,7 @@
 	return n
 }
 
-// observeBoots has the machines that come up from now on be up so long after they were rented.
+// observeBoots sets the boot time of machines that are rented from now on, and observes them.
 func (w *simulation) observeBoots(boot time.Duration) *bootObserver {
 	b := &bootObserver{Checker: w.checker, bootedAt: map[string]time.Time{}}
 	w.fixture = b
@@ -65,7 +66,7 @@
 	return b
 }
 
-// allCases reports whether all cases are asked for, and not a few.
+// allCases reports whether all cases are requested, and not a few.
 func allCases(variable string) bool { return os.Getenv(variable) != "" }
 
 // withSharding divides the fleet by zones, or not.
@@ -73,17 +74,19 @@
 	return func(c *config.Config) { c.Tuning.Shards.By, c.Tuning.Idle = by, time.Hour }
 }
 
-// The offsets around what lasts for a report, for what an answer is waited for, and for a worker's lease.
+// outboundBlockLengths are around the heartbeat interval, the answer timeout, and a worker's
+// lease.
 var outboundBlockLengths = []time.Duration{3 * sec, 8 * sec, 12 * sec, 19 * sec, 21 * sec, 26 * sec, 60 * sec, 100 * sec}
 
-// outboundBlockGrace is after how long without a report nothing is started any more on a machine that is
-// called: a report may be lost for other reasons.
+// outboundBlockGrace is how long after its last heartbeat tasks may still be started on a machine
+// that only answers calls: a heartbeat may be lost for other reasons.
 const outboundBlockGrace = 11 * sec
 
-// TestOutboundBlockedMachines: half of the machines open no connection for a while, and answer
-// calls all the same. What they run is told to stop at once when its job is cancelled, and what
-// was lost with their leases runs elsewhere soon; they get nothing that would be lost so. Once
-// they are heard again their room is used. The leader ends in between, or does not.
+// TestOutboundBlockedMachines keeps half of the machines from opening connections for a while;
+// they still answer calls. Their tasks have to be stopped at once when their job is cancelled,
+// what was lost with their leases has to run elsewhere soon, and they may get nothing that would
+// be lost the same way. When their heartbeats arrive again their capacity has to be used. The
+// leader ends meanwhile, or does not.
 func TestOutboundBlockedMachines(t *testing.T) {
 	for n, d := range outboundBlockLengths {
 		for k, ends := range []time.Duration{-1, 0, 2 * sec, 15 * sec} { // when the leader does
@@ -98,6 +101,7 @@
 	}
 }
 
+// playOutboundBlockDay simulates such a day.
 func playOutboundBlockDay(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
 	var b *bootObserver
 	var long *client
@@ -173,10 +177,11 @@
 	}}.run(t)
 }
 
-// leaderEndOffsets are the instants after the write of a launch on a new machine at which its leader ends.
+// leaderEndOffsets are the times after the write of a launch on a new machine at which its leader
+// ends.
 var leaderEndOffsets = []time.Duration{0, 15 * time.Millisecond, 60 * time.Millisecond, 200 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond, 3 * sec}
 
-// newMachineFaults is what becomes of new machines when the leader ends.
+// newMachineFaults are what happens to new machines when the leader ends.
 var newMachineFaults = []struct {
 	name string
 	cast func(w *simulation, m upMachine)
@@ -192,11 +197,12 @@
 	{"are gone", func(w *simulation, m upMachine) { w.cloud.Preempt(m.id, 0) }},
 }
 
-// TestNewMachinesAsLeaderEnds: machines are up before the rental's answer and before any list shows them,
-// and get work at once: an array up to its team's limit, a gang and an array in one zone, a service that
-// is spread. The write of a launch there is answered, or carried out and not answered, at once or
-// late, and the leader ends then; some of the machines are not to be asked. Whoever leads next
-// goes by the launch's own record of machine and tasks: nothing starts twice or where it must not.
+// TestNewMachinesAsLeaderEnds has machines come up before the answer to their rental and before
+// any list shows them, and get work at once: an array up to its team's quota, a gang and an array
+// in one zone, a spread service. The write of a launch there is answered, or carried out without
+// an answer, at once or late, and the leader ends then; some of the machines cannot be reached.
+// The next leader has to rely on the launch's own record of machine and task: nothing may start
+// twice or in the wrong place.
 func TestNewMachinesAsLeaderEnds(t *testing.T) {
 	for n, at := range leaderEndOffsets {
 		for k, x := range newMachineFaults {
@@ -213,6 +219,7 @@
 	}
 }
 
+// playNewMachineDay simulates such a day.
 func playNewMachineDay(t *testing.T, seed uint64, at time.Duration, cast func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
 	var b *bootObserver
 	var met chan string
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -18,14 +18,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// deployment is what the state service takes of all controllers of a site.
+// deployment is what the state service takes from all controllers of a site.
 type deployment struct {
 	name   string
 	count  int
 	limits config.Store
 }
 
-// deployments are the two of the users, as they are and with half of the limits.
+// deployments are the two sites of the users, as they are and with half of the limits.
 func deployments() (out []deployment) {
 	for _, s := range []deployment{
 		{"three", 3, config.Store{RPS: 250, WriteRPS: 25, ValueBytes: 16 << 10, TxnOps: 24}},
@@ -39,13 +39,14 @@
 	return out
 }
 
-// overloadJob is a job of a flood with its user, and what became of it and when.
+// overloadJob is a job of an overload with its user, and when it reached each stage.
 type overloadJob struct {
 	*client
 	arrivedAt, acceptedAt, cancelAskedAt, cancelToldAt, startedAt, endedAt, endSeenAt time.Time
 }
 
-// overload is a day on which one-task jobs come four a second for minutes, of which a quarter are cancelled.
+// overload is a day on which one-task jobs arrive four a second for minutes, a quarter of which
+// are cancelled.
 type overload struct {
 	*simulation
 	*simulator.Checker
@@ -64,7 +65,7 @@
 	return f.jobs[job]
 }
 
-// TaskStarted tells that a task starts.
+// TaskStarted implements simulator.Fixture.
 func (f *overload) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	if d := f.job(t.Job); d.startedAt.IsZero() {
 		d.startedAt = time.Now()
@@ -72,7 +73,7 @@
 	return f.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// TaskCompleted tells that a task has completed: its user looks 3 s later.
+// TaskCompleted implements simulator.Fixture. The job's user polls it 3 s later.
 func (f *overload) TaskCompleted(t wire.TaskID) {
 	f.Checker.TaskCompleted(t)
 	d := f.job(t.Job)
@@ -93,7 +94,8 @@
 	})
 }
 
-// reachableController is a controller that takes connections, as a balancer picks it.
+// reachableController returns a controller that accepts connections, as a load balancer selects
+// it.
 func (f *overload) reachableController(d *overloadJob) int {
 	for range 20 {
 		if i := d.anyController(); !f.nodes[i].down.Load() {
@@ -103,7 +105,7 @@
 	return 0
 }
 
-// addJob is a user with a job, who calls it off after a while unless that is zero.
+// addJob adds a user with a job, who cancels it after a while unless that is zero.
 func (f *overload) addJob(j *wire.Job, run, cancel time.Duration) {
 	d := &overloadJob{client: f.client(j, rngOf(1, j.ID), run), arrivedAt: time.Now()}
 	f.mu.Lock()
@@ -129,7 +131,7 @@
 	})
 }
 
-// generate has jobs come for a while.
+// generate has jobs arrive for a while.
 func (f *overload) generate(d time.Duration) {
 	begun := time.Now()
 	for n := 0; time.Since(begun) < d; n++ {
@@ -161,6 +163,7 @@
 	}
 }
 
+// newOverload starts the simulation of an overload.
 func newOverload(t *testing.T, s deployment) *overload {
 	w := newSimulationOf(t, s.count, 1, 0, func(c *config.Config) {
 		c.Store, c.Tuning.History = s.limits, config.DefaultTuning().History
@@ -179,8 +182,9 @@
 // usualStoreDelay is how long the state service takes.
 func usualStoreDelay() time.Duration { return 6 * time.Millisecond }
 
-// overloadFaults come in the second minute of a flood. took is by how much they may put off what users wait for:
-// a leader's successor begins once the lease has run out, and knows what runs after rebuildWait.
+// overloadFaults are injected in the second minute of an overload. took bounds by how much they
+// may delay what users wait for: the next leader starts once the lease has expired, and knows what
+// runs after rebuildWait.
 var overloadFaults = map[string]struct {
 	cast func(f *overload)
 	took time.Duration
@@ -207,7 +211,7 @@
 	}, 10 * time.Second}, // some of them four times, which takes 2.5 s each
 }
 
-// run pours for some minutes, and has all bounds judged that follow from the settings.
+// run generates load for some minutes, and checks all bounds that follow from the settings.
 func (f *overload) run(s deployment, trouble string, minutes int) {
 	t, x := f.t, overloadFaults[trouble]
 	time.Sleep(10 * time.Second)
@@ -317,11 +321,11 @@
 	f.checkResults()
 }
 
-// writeTimeout is for how long a controller tries to write what a user waits for.
+// writeTimeout is how long a controller tries to write what a user waits for.
 const writeTimeout = 3500 * time.Millisecond
 
-// TestOverload plays floods, each with a trouble of its own. AMBERDEAL_FLOODS plays all sites and troubles, for
-// so many minutes.
+// TestOverload simulates overloads, each with a fault of its own. AMBERDEAL_FLOODS plays all sites
+// and faults for that many minutes.
 func TestOverload(t *testing.T) {
 	minutes := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FLOODS"), &minutes)
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -20,13 +20,13 @@
 	apply func(w *simulation, luck *rand.Rand, d time.Duration)
 }
 
-// during begins a fault and ends it after a while.
+// during starts a fault and ends it after a while.
 func during(d time.Duration, cast func(on bool)) {
 	cast(true)
 	time.AfterFunc(d, func() { cast(false) })
 }
 
-// everyMachine gives the hosts of all machines that are up.
+// everyMachine returns the hosts of all machines that are up.
 func (w *simulation) everyMachine() (hosts []string) {
 	for i := range w.cloud.CountRunning() {
 		hosts = append(hosts, simulator.HostOf(w.cloud.AddrOfNth(i)))
@@ -34,9 +34,9 @@
 	return hosts
 }
 
-// stallFaults are what a processor that is too small, sockets that run out and cuts one way
-// do to the proofs by time: between taking a time, using it and saying something, any
-// time may pass.
+// stallFaults are what too little CPU time, exhausted sockets and asymmetric partitions do to the
+// time-based rules: any time may pass between reading a clock, using its value and sending a
+// message.
 var stallFaults = []fault{
 	{"a controller stands still", func(w *simulation, luck *rand.Rand, d time.Duration) { w.net.Pause(w.ip(luck.IntN(3)), d) }},
 	{"all controllers stand still", func(w *simulation, _ *rand.Rand, d time.Duration) {
@@ -115,19 +115,18 @@
 	}},
 }
 
-// TestProcessStalls plays days on which controllers stand still for 1 to 60 s at
-// any step or are slow at each, sockets run out, and what is sent gets through one way
-// only, and lets the checker judge them. AMBERDEAL_STALLS sets how many days,
-// AMBERDEAL_STALL plays one.
+// TestProcessStalls simulates days on which controllers are paused for 1 to 60 s at any step or
+// are slow at each, sockets run out, and messages pass in one direction only. AMBERDEAL_STALLS
+// sets the number of days, AMBERDEAL_STALL plays one.
 func TestProcessStalls(t *testing.T) {
 	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("off"), nil) })
 }
 
-// sameSharding sets every controller to the same grouping.
+// sameSharding sets every controller to the same sharding.
 func sameSharding(by string) func(string) string { return func(string) string { return by } }
 
-// playSeeds plays so many days, or as many as the variable with an S behind it says, or the
-// one that the variable names.
+// playSeeds plays that many days, or as many as the variable with a final S says, or the one that
+// the variable names.
 func playSeeds(t *testing.T, days uint64, variable string, play func(t *testing.T, seed uint64)) {
 	first := uint64(0)
 	if text := os.Getenv(variable + "S"); text != "" {
@@ -142,8 +141,8 @@
 	}
 }
 
-// playStallSeed plays a day on which controllers are set to groupings by their names, and more
-// troubles come than those that all days have. Before its end it is settled, if need be.
+// playStallSeed simulates a day with each controller's sharding by its name, and with the given
+// faults in addition to those that all days have. settle, if set, is called before its end.
 func playStallSeed(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
 	troubles := slices.Concat(stallFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 6))
@@ -182,8 +181,8 @@
 	}
 }
 
-// TestShardsThroughFaults plays such days on a fleet in two parts. AMBERDEAL_PARTS sets how many
-// days, AMBERDEAL_PART plays one.
+// TestShardsThroughFaults simulates such days with a fleet in two shards. AMBERDEAL_PARTS sets
+// their number, AMBERDEAL_PART plays one.
 func TestShardsThroughFaults(t *testing.T) {
 	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -25,8 +25,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// processCluster is three controllers as real processes on loopback, among stand-ins on
-// real sockets in this process.
+// processCluster is three controllers as real processes on loopback, with a simulated state
+// service, cloud and machines on real sockets in this process.
 type processCluster struct {
 	t              testing.TB
 	ctx            context.Context
@@ -48,8 +48,7 @@
 
 var sockets = transport.Sockets{Log: slog.New(slog.DiscardHandler)}
 
-// newProcessCluster builds the program and starts the stand-ins. What it starts ends
-// with the test.
+// newProcessCluster builds the program and starts the cluster. Everything ends with the test.
 func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), settings: state,
@@ -95,8 +94,8 @@
 	return c
 }
 
-// addr gives the public address of a host: controllers are 1 to 3. Machines count
-// from 1 too, on another port.
+// addr returns the public address of a host: controllers are 1 to 3, machines count from 1 too, on
+// another port.
 func (c *processCluster) addr(host int) string { return fmt.Sprintf("%s%d:8080", c.subnet, host) }
 
 func (c *processCluster) reachable(addr string) bool {
@@ -107,7 +106,7 @@
 	return err == nil
 }
 
-// waitFor waits until a condition holds, for a minute at the most.
+// waitFor waits until a condition holds, for a minute at most.
 func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -120,7 +119,7 @@
 
 func (c *processCluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
 
-// metric reads a metric of all controllers, and gives the sum.
+// metric returns the sum of a metric over all controllers.
 func (c *processCluster) metric(name string) (sum float64) {
 	for i := range 3 {
 		resp, err := c.caller.Call(c.ctx, fmt.Sprintf("%s%d:9464", c.subnet, i+1), "GET", "/metrics", nil)
@@ -141,7 +140,7 @@
 	return sum
 }
 
-// configure writes the platform's file of a controller.
+// configure writes the platform file of a controller and returns its path.
 func (c *processCluster) configure(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
 		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
@@ -184,7 +183,7 @@
 	c.mu.Unlock()
 }
 
-// kill ends a controller with no signal that it could see.
+// kill ends a controller with SIGKILL.
 func (c *processCluster) kill(i int) {
 	c.mu.Lock()
 	cmd := c.procs[i]
@@ -221,8 +220,8 @@
 
 func jobPath(id string) string { return wire.PathJobs + "/" + id }
 
-// playJob is a user's: a job is submitted and done or cancelled, and its answer
-// stands.
+// playJob submits a job, waits until it is done or cancels it, and checks that its final answer
+// stays the same.
 func (c *processCluster) playJob(id string, n int) {
 	j := &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + n%3,
 		CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 1, Spot: true}
@@ -242,10 +241,9 @@
 	}
 }
 
-// TestKillsLoseNoAnswer kills controllers at random moments while jobs are
-// submitted, cancelled, done and folded, with values so small that blocks fill and
-// split all the time. No final answer may be lost, changed or invented.
-// AMBERDEAL_KILLS sets how many kills; CI is content with few.
+// TestKillsLoseNoAnswer kills controllers at random times while jobs are submitted, cancelled,
+// done and compacted, with values so small that blocks fill and split all the time. No final
+// answer may be lost, changed or invented. AMBERDEAL_KILLS sets the number of kills; CI runs few.
 func TestKillsLoseNoAnswer(t *testing.T) {
 	kills := 5
 	if text := os.Getenv("AMBERDEAL_KILLS"); text != "" {
@@ -338,10 +336,10 @@
 	}
 }
 
-// TestRestartsUnderLoad kills controllers again and again, one or all at once, has them back after
-// 100 ms, and restarts machines, while jobs come. Each job is asked about until its end, what was
-// said stays so, and none is left without an answer for long. It is played with
-// AMBERDEAL_RETURNS only, which sets how many kills.
+// TestRestartsUnderLoad kills controllers again and again, one or all at once, restarts them after
+// 100 ms, and restarts machines, while jobs arrive. Each job is polled until its end; what was
+// answered has to hold, and none may remain without an answer for long. It runs with
+// AMBERDEAL_RETURNS only, which sets the number of kills.
 func TestRestartsUnderLoad(t *testing.T) {
 	kills, err := strconv.Atoi(os.Getenv("AMBERDEAL_RETURNS"))
 	if err != nil {
@@ -409,8 +407,8 @@
 	}
 }
 
-// migrateState exports the state, ends all controllers, and starts them on another
-// state service that the export was put into.
+// migrateState exports the state, ends all controllers, and starts them on another state service
+// into which the export was imported.
 func (c *processCluster) migrateState() {
 	c.t.Helper()
 	run := func(args ...string) string {
@@ -444,6 +442,7 @@
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
+// account returns the archive's account of the state.
 func (c *processCluster) account() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
@@ -456,6 +455,7 @@
 	}
 }
 
+// logs prints the end of each controller's log.
 func (c *processCluster) logs() {
 	for kind, k := range c.account().Kinds {
 		c.t.Logf("%s: %+v", kind, *k)
@@ -466,8 +466,8 @@
 	}
 }
 
-// seedEndedJobs puts so many ended jobs into the state as folding would have left them:
-// ids at random over ten times as many, blocks that are two thirds full.
+// seedEndedJobs writes that many ended jobs into the state as compaction would have left them:
+// random ids over ten times as many, blocks that are two thirds full.
 func (c *processCluster) seedEndedJobs(n int) (ids []string) {
 	limit := c.settings["value_kb"].(int) << 10
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -496,7 +496,7 @@
 	return ids
 }
 
-// memory gives a figure of a process's memory in MB.
+// memory returns a figure of a process's memory in MB.
 func (c *processCluster) memory(i int, name string) float64 {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.procs[i].Process.Pid))
 	if err != nil {
@@ -513,8 +513,7 @@
 	return 0
 }
 
-// burst submits and cancels jobs from many users at once, and gives the jobs per
-// second of the submissions.
+// burst submits and cancels jobs from many users at once, and returns the submissions per second.
 func (c *processCluster) burst(first, jobs, users int) float64 {
 	var group sync.WaitGroup
 	each := func(f func(id string, n int)) {
@@ -545,8 +544,8 @@
 	return float64(jobs) / took.Seconds()
 }
 
-// BenchmarkEndedJobs measures three real processes with ever more ended jobs behind
-// them: what a restart and a takeover take, what a job costs, what is held.
+// BenchmarkEndedJobs measures three real processes with increasing numbers of ended jobs: the
+// times of a restart and a failover, the cost of a job, and the memory.
 func BenchmarkEndedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -613,7 +612,7 @@
 	c.waitFor("ready", func() bool { return c.ready(holder) })
 }
 
-// leader gives the controller that holds the fleet, and its term.
+// leader returns the leader of the fleet and its fencing token.
 func (c *processCluster) leader() (int, uint64) {
 	for _, it := range c.store.Page(store.LeaderKey("fleet"), "", 0).Items {
 		var rec store.LeaderRecord
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -16,13 +16,13 @@
 // Days on which every team is at its limit while jobs are cancelled whose machines can't be asked,
 // and the leader changes.
 
-// gpuLimits of GPUs: a machine has 4, so that machines never bind.
+// gpuLimits are the teams' quotas; a machine has 4 GPUs, so that capacity never binds.
 var gpuLimits = map[string]float64{"red": 6, "blue": 8}
 
-// limitedTeams are those of the limits, in order.
+// limitedTeams are the teams with a quota, in order.
 var limitedTeams = []string{"red", "blue"}
 
-// newLimitedSimulation makes a world in which every team has a limit.
+// newLimitedSimulation starts a simulation in which every team has a quota.
 func newLimitedSimulation(t *testing.T, count int, seed uint64, by string) *simulation {
 	w := newProxiedSimulation(t, count, seed, func(c *config.Config) {
 		c.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: gpuLimits["red"]}, {Name: "blue", GPUsMax: gpuLimits["blue"]}}
@@ -32,7 +32,7 @@
 	return w
 }
 
-// usedGPUs tells how many GPUs a team uses.
+// usedGPUs returns how many GPUs a team uses.
 func (w *simulation) usedGPUs(team string) (sum float64) {
 	for _, id := range w.checker.Jobs() {
 		if j, _ := w.checker.Describe(id); j.Team == team {
@@ -42,12 +42,12 @@
 	return sum
 }
 
-// allTeamsAtLimit tells whether every team uses all that it may.
+// allTeamsAtLimit reports whether every team uses its whole quota.
 func (w *simulation) allTeamsAtLimit() bool {
 	return !slices.ContainsFunc(limitedTeams, func(team string) bool { return w.usedGPUs(team) < gpuLimits[team] })
 }
 
-// waitUntil waits until something is so, for a time at the most.
+// waitUntil waits until a condition holds, for a time at most, and reports whether it does.
 func waitUntil(most time.Duration, is func() bool) bool {
 	for begun := time.Now(); !is(); time.Sleep(200 * time.Millisecond) {
 		if time.Since(begun) > most {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// unreachableFaults are the ways in which a machine can't be asked for a while.
+// unreachableFaults are the ways in which a machine cannot be reached for a while.
 var unreachableFaults = []struct {
 	name string
 	cast func(w *simulation, m upMachine, d time.Duration)
@@ -73,13 +73,13 @@
 	{"held up", func(w *simulation, m upMachine, d time.Duration) { w.net.Hold(m.host, d) }},
 }
 
-// handover is how a controller loses what it holds.
+// handover is how a controller loses the shards that it leads.
 type handover struct {
 	name  string
 	apply func(w *simulation, holder int, luck *rand.Rand)
 }
 
-// handovers are after the holder's end, on purpose, and because it is cut off.
+// handovers are by the end of the leader, on purpose, and by a partition.
 var handovers = []handover{
 	{"crashes and is back at once", func(w *simulation, i int, luck *rand.Rand) { w.crash(i, restartDelay(luck), 0) }},
 	{"crashes, its last words are held up", func(w *simulation, i int, luck *rand.Rand) { w.crash(i, restartDelay(luck), 20*time.Second) }},
@@ -101,7 +101,7 @@
 	}},
 }
 
-// stopGracefully has a controller end as its operator asks it to: it gives back what it holds.
+// stopGracefully has a controller end at its operator's request: it resigns first.
 func (w *simulation) stopGracefully(i int, back time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -117,7 +117,7 @@
 	})
 }
 
-// handOverAll has all who hold something lose it.
+// handOverAll applies a handover to all leaders.
 func (w *simulation) handOverAll(cast func(w *simulation, holder int, rng *rand.Rand), rng *rand.Rand) {
 	holders := map[int]bool{}
 	for _, name := range w.leaders() {
@@ -130,16 +130,15 @@
 	}
 }
 
-// quotaFailoverCase is a day: some machines of the jobs that are cancelled can't be asked for a while, the
-// leader changes so long after that has begun, and they are cancelled before or after.
+// quotaFailoverCase is a day on which the leader changes while some machines cannot be reached.
 type quotaFailoverCase struct {
 	seed                              uint64
 	sharding                          string
 	count                             int
-	unreachableBy, handoverKind       int           // in which machines can't be asked, and the leader changes
-	faultLength                       time.Duration // that they can't
-	handoverAt, cancelAt              time.Duration // when the leader changes, and when jobs are cancelled, since then
-	cloudKeepsMachines, gangOverZones bool          // the cloud takes nothing back meanwhile; a gang is over two zones
+	unreachableBy, handoverKind       int           // in which way machines cannot be reached and the leader changes
+	faultLength                       time.Duration // how long machines cannot be reached
+	handoverAt, cancelAt              time.Duration // when the leader changes and when jobs are cancelled, relative to the start of the fault
+	cloudKeepsMachines, gangOverZones bool          // the cloud takes no machine back meanwhile; a gang is spread over two zones
 	oneMachineOnly                    bool          // only one machine
 }
 
@@ -148,8 +147,9 @@
 		d.sharding, d.count, unreachableFaults[d.unreachableBy].name, d.faultLength, d.oneMachineOnly, d.handoverAt, handovers[d.handoverKind].name, d.cancelAt, d.cloudKeepsMachines)
 }
 
-// drawQuotaFailover draws a day: what lasts does so for about as long as a bound, and what follows does so
-// before, at or after one. As many days as there are ways to change hold each way.
+// drawQuotaFailover draws a day: the fault lasts about as long as one of the bounds, and what
+// follows comes before, at or after a bound. As many days as there are kinds of handover contain
+// each of them.
 func drawQuotaFailover(seed uint64) quotaFailoverCase {
 	rng := rand.New(rand.NewPCG(seed, 30))
 	d := quotaFailoverCase{seed: seed, sharding: []string{"off", "zone"}[seed%2], count: []int{3, 5}[seed/2%2], unreachableBy: int(seed) % len(unreachableFaults), handoverKind: int(seed*5+seed/8) % len(handovers),
@@ -159,9 +159,11 @@
 	return d
 }
 
-// quotaDaysPlayed counts the days, and fullDays those on which every team is at its limit as the leader changes.
+// quotaDaysPlayed counts the days, and daysAtLimit those on which every team is at its quota when
+// the leader changes.
 var quotaDaysPlayed, daysAtLimit atomic.Int64
 
+// run simulates the day.
 func (d quotaFailoverCase) run(t *testing.T) {
 	rng := rand.New(rand.NewPCG(d.seed, 31))
 	w := newLimitedSimulation(t, d.count, d.seed, d.sharding)
@@ -248,8 +250,8 @@
 	w.finishQuietly(0, 15*time.Minute)
 }
 
-// TestQuotasHoldThroughFailover plays such days. AMBERDEAL_LIMITS sets how many, AMBERDEAL_LIMIT plays
-// one.
+// TestQuotasHoldThroughFailover simulates such days. AMBERDEAL_LIMITS sets their number,
+// AMBERDEAL_LIMIT plays one.
 func TestQuotasHoldThroughFailover(t *testing.T) {
 	playSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
 	t.Logf("every team was at its limit as the leader changed on %d of %d days", daysAtLimit.Load(), quotaDaysPlayed.Load())
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -27,13 +27,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// agentMachine is a rented machine, with an agent as a real process.
+// agentMachine is a rented machine with an agent as a real process.
 type agentMachine struct {
 	mu  sync.Mutex
 	cmd *exec.Cmd
 }
 
-// Kill implements standin.Machine.
+// Kill implements simulator.Machine.
 func (m *agentMachine) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// background starts the program, its log into a file.
+// background starts the program with its log in a file.
 func (c *processCluster) background(log string, args ...string) *exec.Cmd {
 	f, err := os.OpenFile(filepath.Join(c.dir, log+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return m
 }
 
-// newBuildCluster is a cluster that serves build tools, with agents as real processes and
-// so many CPUs guaranteed to the team blue.
+// newBuildCluster starts a cluster that serves the remote execution API, with agents as real
+// processes and that many CPUs guaranteed to the team blue.
 func newBuildCluster(t testing.TB, capacity int, promised float64) *processCluster {
 	c := newProcessCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 8, "txn_ops": 20}, "[claim]\nlease = 2s\nrenew = 500ms\n[machines]\nidle = 60s\n", capacity)
 	c.cloud.Start, c.guaranteedCPUs = c.agent, promised
@@ -121,7 +121,7 @@
 
 func (c *processCluster) front(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
 
-// buildTool is a stand-in of a build tool.
+// buildTool imitates a build tool.
 type buildTool struct {
 	c     *processCluster
 	blobs *cas.Client
@@ -143,7 +143,7 @@
 
 const sha = repb.DigestFunction_SHA256
 
-// upload writes an action that runs a shell script.
+// upload uploads an action that runs a shell script.
 func (b *buildTool) upload(ctx context.Context, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (cas.Digest, error) {
 	root := &repb.Directory{}
 	for _, name := range slices.Sorted(maps.Keys(inputs)) { // in order, as the API demands
@@ -172,7 +172,7 @@
 	return b.blobs.PutMessage(ctx, sha, a)
 }
 
-// run executes a script, from a controller on, and gives its answer and output.
+// run executes a script, starting with some controller, and returns its result and output.
 func (b *buildTool) run(ctx context.Context, from int, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (*repb.ExecuteResponse, string, error) {
 	g, err := b.upload(ctx, script, inputs, change)
 	if err != nil {
@@ -196,10 +196,10 @@
 	}
 }
 
-// TestBuild plays a graph of actions against three controllers, a store of blobs
-// and agents, all of them real processes that are killed at random: each action
-// gets its answer, the same whoever asks, and a second build executes nothing.
-// AMBERDEAL_ACTIONS sets how many; CI is content with few.
+// TestBuild executes a graph of actions against three controllers, a blob store and agents, all of
+// them real processes that are killed at random. Each action has to get its result, the same from
+// every controller, and a second build may execute nothing. AMBERDEAL_ACTIONS sets their number;
+// CI runs few.
 func TestBuild(t *testing.T) {
 	actions := 36
 	if text := os.Getenv("AMBERDEAL_ACTIONS"); text != "" {
@@ -295,7 +295,7 @@
 	}
 }
 
-// TestBuildCases plays what is hard about single actions, against real processes.
+// TestBuildCases tests the difficult cases of single actions against real processes.
 func TestBuildCases(t *testing.T) {
 	c := newBuildCluster(t, 2, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -539,7 +539,7 @@
 	}
 }
 
-// syncBuffer is a buffer for two.
+// syncBuffer is a buffer for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -557,7 +557,7 @@
 	return b.buf.String()
 }
 
-// tree executes an action whose input root is changed.
+// tree executes an action with a modified input root.
 func (b *buildTool) tree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	change(root)
@@ -576,8 +576,8 @@
 	return b.exec.Execute(ctx, g, false, nil)
 }
 
-// BenchmarkActions executes actions through Execute, with their results known and
-// not, on one farm.
+// BenchmarkActions executes actions through Execute, with and without cached results, on one
+// cluster.
 func BenchmarkActions(b *testing.B) {
 	c := newBuildCluster(b, 3, 0)
 	t := c.tool("blue")
@@ -602,8 +602,8 @@
 	b.Run("cached", func(b *testing.B) { run(b, func(int) string { return "known" }) })
 }
 
-// BenchmarkStreams holds streams open at one controller, for an action that waits
-// for a machine that never comes, and tells what each costs in memory there.
+// BenchmarkStreams holds streams open at one controller for an action that waits for a machine
+// that never comes, and reports the memory of each.
 func BenchmarkStreams(b *testing.B) {
 	c := newBuildCluster(b, 0, 0)
 	t := c.tool("blue")
@@ -637,10 +637,9 @@
 	}
 }
 
-// BenchmarkTwoTeams has two teams build at once, one of which asks for three times
-// as much, on a farm that is too small for either: how much longer the small build
-// takes beside the large one than alone, with half of the farm guaranteed to its team
-// and with nothing.
+// BenchmarkTwoTeams has two teams build at once, one of which asks for three times as much, on a
+// cluster that is too small for either. It reports how much longer the small build takes than
+// alone, with half of the cluster guaranteed to its team and without a guarantee.
 func BenchmarkTwoTeams(b *testing.B) {
 	for _, promised := range []float64{0, 16} {
 		b.Run(fmt.Sprint(promised, " CPUs guaranteed"), func(b *testing.B) { benchmarkTwoTeams(b, promised) })
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -17,16 +17,16 @@
 
 // Days on which reports from long ago reach every controller around a change of the leader.
 
-// heartbeatRecorder keeps reports to be delivered later.
+// heartbeatRecorder records heartbeats to replay them later.
 type heartbeatRecorder struct {
 	*simulation
 	heartbeats       []wire.Heartbeat
-	previousToken    uint64         // the term before that of the leader to whom they are to come
+	previousToken    uint64         // the token before that of the leader to whom they are to be replayed
 	beforeLaunchOnly bool           // each was made before a launch
-	answeredKinds    map[string]int // of those that it answered
+	answeredKinds    map[string]int // of those that the leader answered
 }
 
-// recordHeartbeats has each machine make a report that nobody hears for now.
+// recordHeartbeats has each machine make a heartbeat that is not sent for now.
 func (d *heartbeatRecorder) recordHeartbeats() {
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
 	for _, m := range d.runningMachines() {
@@ -40,7 +40,7 @@
 	}
 }
 
-// machinesInZoneA gives the machines in zone a, which is a part where the fleet is divided.
+// machinesInZoneA returns the machines of zone a, which is a shard if the fleet is divided.
 func (d *heartbeatRecorder) machinesInZoneA() (out []upMachine) {
 	in := map[string]bool{}
 	d.cloud.EachRunning(func(l wire.ListedMachine, _ simulator.Machine) { in[l.ID] = l.Zone == "a" })
@@ -52,7 +52,7 @@
 	return out
 }
 
-// kindsOf says what a report is of, by what is so now.
+// kindsOf classifies a heartbeat by what is true at present.
 func (d *heartbeatRecorder) kindsOf(r *wire.Heartbeat, now map[string]bool) (kinds []string) {
 	add := func(is bool, kind string) {
 		if is {
@@ -69,8 +69,8 @@
 	return kinds
 }
 
-// keepIncomplete leaves what was kept of those machines alone whose last report shows more than it: whoever takes it for
-// what is so now starts that again.
+// keepIncomplete keeps the recorded heartbeats of those machines only whose last heartbeat shows
+// more tasks: a leader that takes the old one as current starts these again.
 func (d *heartbeatRecorder) keepIncomplete() {
 	d.beforeLaunchOnly = true
 	last := map[string]wire.Heartbeat{}
@@ -84,8 +84,8 @@
 	})
 }
 
-// replayAll has all that was kept reach every controller, in the order in which it was made, or from the
-// newest on.
+// replayAll replays all recorded heartbeats to every controller, in their order or from the newest
+// on.
 func (d *heartbeatRecorder) replayAll(newest bool) {
 	now := map[string]bool{}
 	for _, m := range d.runningMachines() {
@@ -112,20 +112,21 @@
 	}
 }
 
-// replayKinds are what must have reached a leader.
+// replayKinds are the kinds that have to reach a leader.
 var replayKinds = []string{"of a machine that is gone", "of an earlier session", "of an earlier term", "from before a launch", "from before an end"}
 
-// The instants after a claim at which old reports come: with its write, until the fleet is rebuilt, with the
-// first rounds, when silent machines are waited for no longer or given up, and when leases are over. A
-// negative one is from the end of the leader until the claim.
+// replayOffsets are the times after an election at which old heartbeats arrive: with its write,
+// until the fleet is rebuilt, with the first rounds, when suspected machines are no longer waited
+// for or given up, and when leases have expired. A negative one is between the end of the leader
+// and the election.
 var replayOffsets = []time.Duration{-1, 0, 15 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	2 * sec, 4100 * time.Millisecond, 6 * sec, 12 * sec, 19 * sec, 27 * sec}
 
-// TestReplayedHeartbeatsAtNextLeader: reports of earlier sessions and terms, from before launches and ends, and of a
-// machine that is gone, reach every controller as a new leader begins, to which all of them are
-// news. Half of the machines are cut off just then, so that hardly anything else is heard of
-// them. Nothing starts twice, or where it must not, for all that these reports show or lack; and
-// they hold nothing up for long.
+// TestReplayedHeartbeatsAtNextLeader replays heartbeats of earlier incarnations and terms, from
+// before launches and ends, and of a machine that is gone, to every controller as a new leader
+// starts, to whom all of them are new. Half of the machines are cut off at that time, so that
+// hardly any other heartbeat of them arrives. Nothing may start twice or in the wrong place
+// because of what these heartbeats show or lack, and nothing may be delayed for long.
 func TestReplayedHeartbeatsAtNextLeader(t *testing.T) {
 	for n, at := range replayOffsets {
 		for k := range 4 {
@@ -141,6 +142,7 @@
 	}
 }
 
+// playReplayDay simulates such a day.
 func playReplayDay(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
 	var d *heartbeatRecorder
 	var claimed chan struct{}
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -15,13 +15,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reshardSimulation is a world of which the controllers are set to a grouping when they start.
+// reshardSimulation is a simulation whose controllers get their sharding when they start.
 type reshardSimulation struct {
 	*simulation
 	shardings map[string]string
 	jobs      int
 }
 
+// newReshardSimulation starts the simulation.
 func newReshardSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *reshardSimulation {
 	r := &reshardSimulation{shardings: map[string]string{}}
 	r.simulation = newSimulation(t, seed, lossy, func(c *config.Config) {
@@ -33,14 +34,14 @@
 	return r
 }
 
-// submitArray submits a job of so many tasks that run for so long.
+// submitArray submits a job of that many tasks with this run time.
 func (r *reshardSimulation) submitArray(tasks int, run time.Duration) {
 	r.jobs++
 	r.user(&wire.Job{ID: fmt.Sprintf("wk-%d", 100+r.jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 }
 
-// rollTo restarts all controllers, one after the other, set to another grouping.
+// rollTo restarts all controllers, one after the other, with another sharding.
 func (r *reshardSimulation) rollTo(by string, every time.Duration) {
 	for i := range 3 {
 		r.shardings[fmt.Sprint("c-", i)] = by
@@ -49,6 +50,7 @@
 	}
 }
 
+// storedSharding returns the sharding according to the state service.
 func (r *reshardSimulation) storedSharding() (rec store.ShardingRecord) {
 	for _, it := range r.store.Page(store.ShardingKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &rec)
@@ -56,6 +58,7 @@
 	return rec
 }
 
+// ledgers lists the ledgers in the state service.
 func (r *reshardSimulation) ledgers() (out []string) {
 	for after := ""; ; {
 		page := r.store.Page(store.StatePrefix+"ledger/", after, 0)
@@ -72,10 +75,10 @@
 	}
 }
 
-// TestReshard divides a state anew while jobs run, from one part to several, to fewer, and back
-// to one: a controller that is set otherwise than others claims nothing; once all are set
-// alike nothing that runs is disturbed, every job gets its answer, and what earlier groupings
-// left in the store goes.
+// TestReshard changes the sharding while jobs run, from one shard to several, to fewer, and back
+// to one: a controller whose settings differ from the others' may not become leader; once all
+// settings agree running tasks may not be disturbed, every job has to get its answer, and the
+// remains of earlier shardings have to disappear from the state service.
 func TestReshard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newReshardSimulation(t, 21, 0, nil)
@@ -120,9 +123,9 @@
 	})
 }
 
-// TestReshardThroughFaults plays days like those of TestProcessStalls on which the operators
-// change the grouping again and again while jobs run, and at times leave a
-// controller set otherwise. AMBERDEAL_REGROUPS sets how many days, AMBERDEAL_REGROUP plays one.
+// TestReshardThroughFaults simulates days like those of TestProcessStalls on which the operators
+// change the sharding again and again while jobs run, and sometimes leave one controller with
+// other settings. AMBERDEAL_REGROUPS sets the number of days, AMBERDEAL_REGROUP plays one.
 func TestReshardThroughFaults(t *testing.T) {
 	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var set sync.Map // controllers start whenever they are back
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -24,27 +24,28 @@
 
 // What days on which troubles meet are told with.
 
+// stateHost and cloudHost are the hosts of the state service and the cloud.
 const stateHost, cloudHost = "10.2.0.1", "10.2.0.2"
 
-// script is a day as it is told: what there is, what comes when, and what must have come about.
+// script is a day with faults at fixed times: its setup, its steps, and what has to have happened.
 type script struct {
 	seed      uint64
 	count     int                  // of controllers, 3 if it is 0
-	settings  func(*config.Config) // how they are set, if it matters
+	settings  func(*config.Config) // changes the controllers' settings, if set
 	setUp     func(w *simulation)  // users and jobs
 	steps     []step
-	verify    func(w *simulation) // says what has not come about, by w.t
-	quietTime time.Duration       // after it, before all that is left must end
+	verify    func(w *simulation) // reports by t what did not happen
+	quietTime time.Duration       // after the last step, before all that is left has to end
 }
 
-// step is what comes so long after the day has begun, or when the one before it is over.
+// step happens that long after the start of the day, or when the previous step is over.
 type step struct {
 	at    time.Duration
 	label string
 	apply func(w *simulation)
 }
 
-// run plays a day, and has it judged.
+// run simulates the day and checks it.
 func (d script) run(t *testing.T) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -66,7 +67,8 @@
 	})
 }
 
-// finishQuietly says that all troubles are over, and has the day judged once all jobs are.
+// finishQuietly declares that no fault is active, waits until all jobs are over, and checks the
+// day.
 func (w *simulation) finishQuietly(quiet, patience time.Duration) {
 	w.t.Helper()
 	w.declareQuiet()
@@ -78,8 +80,8 @@
 	}
 }
 
-// newProxiedSimulation is one in which each controller has a door of its own to the state service, so that
-// one alone can be refused.
+// newProxiedSimulation starts a simulation in which each controller reaches the state service by
+// an address of its own, so that one controller alone can be refused.
 func newProxiedSimulation(t *testing.T, count int, seed uint64, set func(*config.Config)) *simulation {
 	door := func(i int) string { return simulator.Address(stateHost, 2400+i) }
 	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
@@ -93,16 +95,16 @@
 	return w
 }
 
-// refuseByStore has the state service refuse one controller alone, or serve it again.
+// refuseByStore has the state service refuse one controller, or serve it again.
 func (w *simulation) refuseByStore(i int, on bool) { w.store.RefuseCaller(fmt.Sprint("c-", i), on) }
 
-// controllerNumber is that of the controller of a name.
+// controllerNumber returns the number of the controller with this name.
 func controllerNumber(name string) int {
 	n, _ := strconv.Atoi(name[2:])
 	return n
 }
 
-// leaderOf tells which controller holds a part by the state service, -1 for none.
+// leaderOf returns the leader of a shard according to the state service, -1 for none.
 func (w *simulation) leaderOf(part string) int {
 	if name := w.leaders()[part]; name != "" {
 		return controllerNumber(name)
@@ -110,7 +112,7 @@
 	return -1
 }
 
-// anyLeader tells who holds the fleet, or a part of one that is divided.
+// anyLeader returns the leader of the fleet, or of some shard of a fleet that is divided.
 func (w *simulation) anyLeader() int {
 	for _, part := range []string{"fleet", "a", "b"} {
 		if i := w.leaderOf(part); i >= 0 {
@@ -120,7 +122,8 @@
 	return -1
 }
 
-// partition parts some controllers from hosts and from the other controllers, in the way that is given.
+// partition separates some controllers from hosts and from the other controllers, by the given
+// function.
 func (w *simulation) partition(how func(a, b string, on bool), on bool, hosts []string, cut ...int) {
 	for k := range w.count {
 		if !slices.Contains(cut, k) {
@@ -134,13 +137,15 @@
 	}
 }
 
-// cutOff severs a controller from the state service and its siblings, and cutPeers from these alone.
-// Machines and users still reach it.
-func (w *simulation) cutOff(i int, on bool)   { w.partition(w.net.Partition, on, []string{stateHost}, i) }
+// cutOff separates a controller from the state service and its peers. Machines and users still
+// reach it.
+func (w *simulation) cutOff(i int, on bool) { w.partition(w.net.Partition, on, []string{stateHost}, i) }
+
+// cutPeers separates a controller from its peers alone.
 func (w *simulation) cutPeers(i int, on bool) { w.partition(w.net.Partition, on, nil, i) }
 
-// isolate loses all between some controllers on one side and the state service and the other controllers,
-// also on the connections that are open.
+// isolate loses everything between some controllers on one side and the state service and the
+// other controllers on the other, also on open connections.
 func (w *simulation) isolate(on bool, cut ...int) {
 	w.partition(func(a, b string, on bool) {
 		w.net.DropOneWay(a, b, on)
@@ -148,13 +153,13 @@
 	}, on, []string{stateHost}, cut...)
 }
 
-// upMachine is one that is up.
+// upMachine is a machine that is up.
 type upMachine struct {
 	*simulator.Worker
 	id, host string
 }
 
-// runningMachines gives the machines that are up.
+// runningMachines returns the machines that are up.
 func (w *simulation) runningMachines() (out []upMachine) {
 	w.cloud.EachRunning(func(l wire.ListedMachine, m simulator.Machine) {
 		out = append(out, upMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
@@ -162,14 +167,15 @@
 	return out
 }
 
-// reconfigureMachines says how often the machines that come up from now on report, and how late they
-// get direct calls.
+// reconfigureMachines sets the heartbeat interval and the delay of direct calls of the machines
+// that boot from now on.
 func (w *simulation) reconfigureMachines(report time.Duration, late func() time.Duration) {
 	begin := w.machine(report, late)
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = begin })
 }
 
-// deaf has machines be heard, and hear nothing, for a while, and gives them.
+// deaf loses everything that is sent to machines for a while, and returns them. Their heartbeats
+// still arrive.
 func deaf(d time.Duration, machines ...upMachine) []upMachine {
 	for _, m := range machines {
 		during(d, m.Deaf)
@@ -177,8 +183,8 @@
 	return machines
 }
 
-// deafenHosts loses all that controllers send to hosts for a while: these find none any more, and what they
-// send on connections that are open is heard.
+// deafenHosts loses everything that controllers send to hosts for a while: new connections fail,
+// and what the hosts send on open ones still arrives.
 func (w *simulation) deafenHosts(hosts []string, d time.Duration) {
 	for _, host := range hosts {
 		for i := range w.count {
@@ -187,7 +193,7 @@
 	}
 }
 
-// request asks one controller something, as users do.
+// request sends one request to a controller, as a user does.
 func (w *simulation) request(i int, patience time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, patience)
@@ -195,10 +201,10 @@
 	return caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
 }
 
-// forever is how long tasks of services run.
+// forever is the run time of services.
 const forever = 24 * time.Hour
 
-// jobOf describes a job of the team blue, of which each task fits a quarter of a machine.
+// jobOf returns a job of the team blue, each of whose tasks takes a quarter of a machine.
 func jobOf(id string, shape wire.Shape, tasks int, run time.Duration, change ...func(*wire.Job)) *wire.Job {
 	j := &wire.Job{ID: id, Class: "c", Team: "blue", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}
 	if shape == wire.Service {
@@ -210,36 +216,39 @@
 	return j
 }
 
-// What jobs may be besides.
+// red, spread, oneZone and saves are changes for jobOf.
 func red(j *wire.Job)     { j.Team = "red" }
 func spread(j *wire.Job)  { j.Spread = true }
 func oneZone(j *wire.Job) { j.OneZone = true }
 func saves(j *wire.Job)   { j.CheckpointS, j.SaveS = 5, 1 }
 
-// log prints what comes, if that is asked for.
+// log prints a message if SIM_LOG is set.
 func log(what ...any) {
 	if os.Getenv("SIM_LOG") != "" {
 		fmt.Fprintln(os.Stderr, append([]any{time.Now().Format("15:04:05.000"), "====="}, what...)...)
 	}
 }
 
-// taskObserver is what machines do as the checker sees it, and where and when, for troubles that come then.
+// taskObserver passes task events to the checker and keeps when and where tasks ran, for faults
+// that depend on it.
 type taskObserver struct {
 	*simulator.Checker
 	mu                   sync.Mutex
-	instantBootUntil     time.Time                 // until when machines are up at once
-	bootedAt             map[string]time.Time      // when each of these came up
+	instantBootUntil     time.Time                 // until when machines boot at once
+	bootedAt             map[string]time.Time      // of the machines that booted at once
 	lastMachine          map[wire.TaskID]string    // the machine that each task was on last
-	taskEnds             map[wire.TaskID]time.Time // when each ends, or has ended
-	concurrentReadsUntil time.Time                 // until when users look closely
+	taskEnds             map[wire.TaskID]time.Time // when each task ends, or has ended
+	concurrentReadsUntil time.Time                 // until when users read concurrently
 
 	cancelled, polls, startsAtBoot atomic.Int64 // jobs, questions, and tasks on machines that have just come up
 }
 
+// newTaskObserver returns an observer that reports to a checker.
 func newTaskObserver(c *simulator.Checker) *taskObserver {
 	return &taskObserver{Checker: c, bootedAt: map[string]time.Time{}, lastMachine: map[wire.TaskID]string{}, taskEnds: map[wire.TaskID]time.Time{}}
 }
 
+// machineBooted is called when a machine starts to boot.
 func (f *taskObserver) machineBooted(machine string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,20 +257,21 @@
 	}
 }
 
-// setInstantBoot has machines be up at once for a while, and lookClosely has users look closely.
+// setInstantBoot has machines boot at once for a while.
 func (f *taskObserver) setInstantBoot(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instantBootUntil = time.Now().Add(d)
 }
 
+// setConcurrentReads has users read concurrently for a while.
 func (f *taskObserver) setConcurrentReads(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.concurrentReadsUntil = time.Now().Add(d)
 }
 
-// TaskStarted and Done implement standin.Ground.
+// TaskStarted implements simulator.Fixture.
 func (f *taskObserver) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	run, ok := f.Checker.TaskStarted(t, machine, typ, zone, spot)
 	f.mu.Lock()
@@ -273,6 +283,7 @@
 	return run, ok
 }
 
+// TaskCompleted implements simulator.Fixture.
 func (f *taskObserver) TaskCompleted(t wire.TaskID) {
 	f.Checker.TaskCompleted(t)
 	f.mu.Lock()
@@ -280,7 +291,7 @@
 	f.taskEnds[t] = time.Now()
 }
 
-// jobEnd tells when the last task of a job ends or has ended, as far as all have begun.
+// jobEnd returns when the last task of a job ends or has ended, if all tasks have started.
 func (f *taskObserver) jobEnd(j *wire.Job) (last time.Time, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -296,7 +307,7 @@
 	return last, true
 }
 
-// ranOn tells whether a task of a job was on a machine last.
+// ranOn reports whether a task of a job was on a machine last.
 func (f *taskObserver) ranOn(machine string, j *wire.Job) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,33 +319,35 @@
 	return false
 }
 
-// client is the user of one job, or several who are about it at once. What they are told is judged.
+// client is the user of one job, or several users who make requests about it at once. The answers
+// are checked.
 type client struct {
 	*simulation
 	job             *wire.Job
-	maxRunTime      time.Duration // that one of its tasks runs, at the most
-	rng             *rand.Rand    // of its own: others draw at the same moment
-	cancelRequested atomic.Bool   // to cancel it
-	unanswered      *atomic.Int64 // counts the requests that got no answer, if it is set
-	progress        atomic.Int32  // what was told: 0 nothing, 1 that it is accepted, 2 that it is over
+	maxRunTime      time.Duration // of any of its tasks
+	rng             *rand.Rand    // of its own, since others draw at the same time
+	cancelRequested atomic.Bool
+	unanswered      *atomic.Int64 // counts requests without an answer, if set
+	progress        atomic.Int32  // what was answered: 0 nothing, 1 accepted, 2 over
 }
 
-// client has a user come with a job, of which the tasks run so long, in turn.
+// client returns the user of a job whose tasks have these run times in turn.
 func (w *simulation) client(j *wire.Job, rng *rand.Rand, runs ...time.Duration) *client {
 	w.checker.Submitted(j, runs[0])
 	w.checker.SetTaskRunTimes(j.ID, runs...)
 	return &client{simulation: w, job: j, maxRunTime: slices.Max(runs), rng: rng}
 }
 
-// rngOf is of a seed and a job's own.
+// rngOf returns a random source that depends on a seed and a job only.
 func rngOf(seed uint64, job string) *rand.Rand {
 	h := fnv.New64()
 	_, _ = h.Write([]byte(job))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// ask asks one controller, has the answer judged, and gives its status, 0 for none. An answer may
-// be older than one that was given while the question was on its way, not than one given before.
+// ask sends a request to one controller, checks the answer and returns its status, 0 for none. An
+// answer may be older than one that was given while the request was under way, but not older than
+// one that was given before.
 func (c *client) ask(i int, patience time.Duration, method, path string, body []byte) int {
 	before, id := c.checker.Stage(c.job.ID), c.job.ID
 	resp, err := c.request(i, patience, method, path, body)
@@ -363,14 +376,15 @@
 	return resp.Status
 }
 
+// readsConcurrently reports whether users read concurrently at present.
 func (w *simulation) readsConcurrently() bool {
 	w.tasks.mu.Lock()
 	defer w.tasks.mu.Unlock()
 	return time.Now().Before(w.tasks.concurrentReadsUntil)
 }
 
-// readConcurrently has users ask all controllers within milliseconds, some of them by submitting it again,
-// and that so many times.
+// readConcurrently asks all controllers about the job within milliseconds, some of them by
+// submitting it again, that many times.
 func (c *client) readConcurrently(times int) {
 	var all sync.WaitGroup
 	for range times {
@@ -391,19 +405,21 @@
 
 func (c *client) path() string { return wire.PathJobs + "/" + c.job.ID }
 
-// submit, look and cancel ask one controller for that.
+// submit submits the job to one controller.
 func (c *client) submit(i int) int {
 	return c.ask(i, 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
 }
 
+// poll asks one controller for the job's status.
 func (c *client) poll(i int) int { return c.ask(i, 2*time.Second, "GET", c.path(), nil) }
 
+// cancel asks one controller to cancel the job.
 func (c *client) cancel(i int) int {
 	c.cancelRequested.Store(true)
 	return c.ask(i, 5*time.Second, "POST", c.path()+"/"+wire.CancelWord, []byte{})
 }
 
-// body gives the submission again, as it was or another of the same name.
+// body returns the submission, as it was or with a different content under the same id.
 func (c *client) body() []byte {
 	other := *c.job
 	switch c.draw(c.rng, 6) {
@@ -417,10 +433,10 @@
 	return wire.Encode(&other)
 }
 
-// anyController is a controller, as a balancer picks it.
+// anyController returns a controller, as a load balancer selects it.
 func (c *client) anyController() int { return c.draw(c.rng, c.count) }
 
-// untilAnswered asks whichever controllers until one answers.
+// untilAnswered repeats a request to any controller until one answers.
 func (c *client) untilAnswered(ask func(i int) int) int {
 	for c.ctx.Err() == nil {
 		if status := ask(c.anyController()); status > 0 {
@@ -431,9 +447,9 @@
 	return 0
 }
 
-// submitter is a user who submits a job some time after the day has begun, asks about it, and may
-// cancel it at another time if that is not 0, each through whichever controller the balancer
-// picks. Once it is over it asks them all.
+// submitter starts a user who submits a job some time after the start of the day, polls it, and
+// may cancel it at another time unless that is 0, each at a controller that the load balancer
+// selects. When the job is over it asks all controllers.
 func (w *simulation) submitter(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
 	c, start := w.client(j, rngOf(seed, j.ID), runs...), time.Now()
 	w.group.Go(func() {
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -12,12 +12,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// newTwoShardSimulation makes a world of a fleet in two parts, a and b.
+// newTwoShardSimulation starts a simulation of a fleet in two shards, a and b.
 func newTwoShardSimulation(t *testing.T, seed uint64) *simulation {
 	return newSimulation(t, seed, 0, func(c *config.Config) { c.Tuning.Shards.By = "zone" })
 }
 
-// leaders tells who holds each part, by the store.
+// leaders returns the leader of each shard, according to the state service.
 func (w *simulation) leaders() map[string]string {
 	out := map[string]string{}
 	for _, it := range w.store.Page(store.LeaderKey(""), "", 0).Items {
@@ -28,6 +28,7 @@
 	return out
 }
 
+// token returns the fencing token of the shard that is listed last.
 func (w *simulation) token() (term uint64) {
 	for _, it := range w.store.Page(store.FencingTokenKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &term)
@@ -35,12 +36,13 @@
 	return term
 }
 
-// startService keeps six tasks running in both zones, for a while.
+// startService keeps six tasks running in both zones for a while.
 func (w *simulation) startService(id string, until time.Duration) {
 	w.user(&wire.Job{ID: id, Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6, Spread: true,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, until)
 }
 
+// checkResults reports every violation of a rule.
 func (w *simulation) checkResults() {
 	for _, b := range append(w.checker.Violations(), w.account().Problems...) {
 		w.t.Error(b)
@@ -48,7 +50,7 @@
 	w.logCounts()
 }
 
-// logCounts tells what is counted and breaks no rule.
+// logCounts logs what is counted and violates no rule.
 func (w *simulation) logCounts() {
 	starts, launches := w.checker.Launches.AfterCancellation()
 	for _, s := range starts {
@@ -62,9 +64,9 @@
 	}
 }
 
-// TestSurvivorLeadsAllShards: two of three controllers die; the one that is left holds all
-// parts. When they are back one part is given back and claimed at once, once, and nothing
-// moves any more. No task is lost over any of it.
+// TestSurvivorLeadsAllShards ends two of three controllers; the survivor has to lead all shards.
+// When the others are back one shard has to be released and taken over at once, once, and nothing
+// may move afterwards. No task may be lost.
 func TestSurvivorLeadsAllShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 31)
@@ -103,8 +105,8 @@
 	})
 }
 
-// TestZoneOutage: a zone is cut off with the controllers in it, and comes back with all its
-// machines at once. What ran there runs in the other zone before it is back.
+// TestZoneOutage cuts a zone off with its controllers, and brings it back with all its machines at
+// once. What ran there has to run in the other zone before.
 func TestZoneOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 32, 0, func(c *config.Config) {
@@ -158,8 +160,9 @@
 	})
 }
 
-// TestPeersPartitioned: no controller hears another, while the store, the machines and
-// the users reach all; then the reverse: the store answers none of two. Every job ends.
+// TestPeersPartitioned separates all controllers from each other, while the state service, the
+// machines and the users reach all of them; then the reverse: the state service answers none of
+// two. Every job has to end.
 func TestPeersPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 33)
@@ -198,8 +201,8 @@
 	})
 }
 
-// TestDeadLeader: a holder that dies is not waited for until its lease has run out; one that
-// its siblings do not hear is left alone while it writes.
+// TestDeadLeader checks that a dead leader is replaced before its lease has expired, and that one
+// whose peers do not hear from it keeps its shards while it still writes.
 func TestDeadLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 34, 0, nil)
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -26,7 +26,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// simulation is three controllers among stand-ins, on a fake clock, or as many as its count says.
+// simulation is a cluster of controllers on a fake clock, with a simulated network, state service,
+// cloud, machines and users.
 type simulation struct {
 	t       *testing.T
 	count   int
@@ -35,41 +36,46 @@
 	cloud   *simulator.Cloud
 	checker *simulator.Checker
 	tasks   *taskObserver
-	fixture simulator.Fixture // that machines come up on, if it is not the floor
+	fixture simulator.Fixture // of the machines, if it is not tasks
 	rng     *rand.Rand
 	nodes   []*node
 	group   sync.WaitGroup
 	ctx     context.Context
 	stop    context.CancelFunc
-	// changeSettings changes the settings of the controllers, to remove a guard.
+	// changeSettings changes the settings of the controllers, for example to remove a guard.
 	changeSettings func(*config.Config)
 	rngMu          sync.Mutex
-	// polling ask about all jobs that were accepted, apart from those who submitted them.
+	// polling polls all accepted jobs, in addition to the users who submitted them.
 	polling    *simulator.Users
-	dial       func(ctx context.Context, addr string) (net.Conn, error) // by which they reach controllers, if it is set
+	dial       func(ctx context.Context, addr string) (net.Conn, error) // by which users reach controllers, if it is set
 	pollGroup  sync.WaitGroup
 	replayer   *simulator.HeartbeatReplayer
-	quietSince time.Time              // since when all troubles are; zero while nobody has said so
-	runtime    *simulator.TaskRuntime // that machines share
+	quietSince time.Time              // since when no fault is active; zero until declareQuiet
+	runtime    *simulator.TaskRuntime // that all machines share
 }
 
+// node is a controller.
 type node struct {
 	ip   string
-	host simulator.Host // of its present life
+	host simulator.Host // of its present incarnation
 	stop context.CancelFunc
 	done chan struct{}
 	down atomic.Bool
 }
 
+// workerLease is how long a worker's lease lasts.
 const workerLease = 20 * time.Second
 
-// g4 is the type of machine that the cloud has.
+// g4 is the machine type of the cloud.
 var g4 = wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a", "b"}}
 
+// newSimulation starts a simulation of three controllers.
 func newSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
 	return newSimulationOf(t, 3, seed, lossy, tamper)
 }
 
+// newSimulationOf starts a simulation. A share lossy of transactions gets no answer, and a share
+// of direct calls to machines is delayed.
 func newSimulationOf(t *testing.T, count int, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
 	w := &simulation{t: t, count: count, net: simulator.NewNetwork(), store: simulator.NewStateService(seed, lossy), rng: rand.New(rand.NewPCG(seed, 2)), changeSettings: tamper}
 	late := rand.New(rand.NewPCG(seed, 5))
@@ -114,7 +120,8 @@
 	return w
 }
 
-// machine starts machines that report so often and get direct calls so late.
+// machine returns a function that starts machines with this heartbeat interval and delay of direct
+// calls.
 func (w *simulation) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
 	names, yard := map[string]string{}, simulator.NewTaskRuntime(cmp.Or[simulator.Fixture](w.fixture, w.tasks), 20*time.Second, 3*time.Second)
 	w.runtime = yard
@@ -130,15 +137,17 @@
 	}
 }
 
-// draw takes a number of a source that several hosts share.
+// draw returns a random number of a source that several hosts share.
 func (w *simulation) draw(source *rand.Rand, n int) int {
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
 	return source.IntN(n)
 }
 
+// ip returns the address of a controller.
 func (w *simulation) ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
+// settings returns the settings of a controller.
 func (w *simulation) settings(i int) *config.Config {
 	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), PeerAddr: simulator.Address(w.ip(i), 8081),
 		CloudAddr: "10.2.0.2:8443", StoreAddr: "10.2.0.1:2379", Zones: []string{"a", "b"},
@@ -158,6 +167,7 @@
 	return c
 }
 
+// start starts a controller.
 func (w *simulation) start(i int) {
 	n := w.nodes[i]
 	ctx, stop := context.WithCancel(w.ctx)
@@ -175,7 +185,7 @@
 	}()
 }
 
-// kill ends a controller without a word, and starts it again later.
+// kill takes a controller off the network, ends it, and starts it again later.
 func (w *simulation) kill(i int, back time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -193,8 +203,8 @@
 	})
 }
 
-// crash ends a controller's process, which is back after a moment: its host refuses
-// connections meanwhile, and what it sent last may be held for a while.
+// crash ends a controller's process and starts it again after a moment. Its host refuses
+// connections in between, and what it sent last may be delayed.
 func (w *simulation) crash(i int, back, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -209,10 +219,10 @@
 	})
 }
 
-// finalHold is for how long before its end the network holds what a process sends.
+// finalHold is how long before its end the network starts to hold what a process sends.
 const finalHold = 200 * time.Millisecond
 
-// endIncarnation ends the present life of a controller.
+// endIncarnation ends the present process of a controller.
 func (w *simulation) endIncarnation(n *node, held time.Duration) {
 	if held > 0 {
 		w.net.Hold(n.ip, held)
@@ -228,7 +238,7 @@
 	}()
 }
 
-// pollers are who asks about jobs, by way of a load balancer.
+// pollers returns the users who poll jobs through a load balancer.
 func (w *simulation) pollers() *simulator.Users {
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
@@ -245,19 +255,19 @@
 	return w.polling
 }
 
-// pollUntilOver has one of them ask about a job until the day ends.
+// pollUntilOver has one of them poll a job until the day ends.
 func (w *simulation) pollUntilOver(id string) {
 	users := w.pollers()
 	w.pollGroup.Go(func() { users.Follow(w.ctx, id) })
 }
 
-// declareQuiet says that all troubles are over.
+// declareQuiet tells the checkers that no fault is active any more.
 func (w *simulation) declareQuiet() {
 	w.quietSince = time.Now()
 	w.checker.SetQuietSince(w.quietSince)
 }
 
-// user submits a job, asks about it until it is over, and may cancel it.
+// user submits a job, polls it until it is over, and may cancel it.
 func (w *simulation) user(j *wire.Job, run, cancelAfter time.Duration) {
 	w.checker.Submitted(j, run)
 	w.group.Add(1)
@@ -299,7 +309,7 @@
 	}()
 }
 
-// jobs of every shape, enough for the team red to meet its limit.
+// submit submits jobs of every shape, enough for the team red to reach its limit.
 func (w *simulation) submit(seed uint64, n int) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for i := range n {
@@ -326,7 +336,7 @@
 	}
 }
 
-// finish waits for the users, for some time, and ends the world.
+// finish waits for the users, for some time, and ends the simulation.
 func (w *simulation) finish(patience time.Duration) {
 	if w.quietSince.IsZero() { // what a day has begun lasts for a minute at the most
 		w.checker.SetQuietSince(time.Now().Add(65 * time.Second))
@@ -346,7 +356,7 @@
 	time.Sleep(time.Minute) // late timers of the stand-ins run out
 }
 
-// end ends the world.
+// end stops the simulation.
 func (w *simulation) end() {
 	w.stop()
 	w.cloud.Stop()
@@ -357,8 +367,8 @@
 	w.pollGroup.Wait()
 }
 
-// TestRulesHoldThroughFaults plays a day with kills, cuts, lost answers and an
-// outage, and lets the checker judge it. AMBERDEAL_SEEDS sets how many days.
+// TestRulesHoldThroughFaults simulates days with random crashes, partitions, lost answers and an
+// outage of the state service.
 func TestRulesHoldThroughFaults(t *testing.T) {
 	seeds := uint64(3)
 	if text := os.Getenv("AMBERDEAL_SEEDS"); text != "" {
@@ -418,7 +428,7 @@
 	}
 }
 
-// account looks at all that is in the state service.
+// account returns the archive's account of the state.
 func (w *simulation) account() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
@@ -431,9 +441,9 @@
 	}
 }
 
-// TestCompactionFallsBehind gives the state service so few changes that folding,
-// which goes last, gets none while jobs come in: nothing is lost, and once they
-// come no more it catches up.
+// TestCompactionFallsBehind gives the state service so few changes that compaction, which has the
+// lowest priority, gets none while jobs arrive: nothing may be lost, and it has to catch up
+// afterwards.
 func TestCompactionFallsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
@@ -460,9 +470,9 @@
 	})
 }
 
-// TestStoreDropsWatchHistory: the state service forgets its changes again and again, also
-// in the middle of a list, while jobs come, end and are folded: every view is read
-// anew and no answer is lost.
+// TestStoreDropsWatchHistory: the state service drops its retained changes again and again, also
+// in the middle of a list, while jobs arrive, end and are compacted. Every view has to be read
+// anew, and no answer may be lost.
 func TestStoreDropsWatchHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 12, 0.02, nil)
@@ -487,8 +497,8 @@
 	})
 }
 
-// TestCheckerFindsRemovedGuard takes the wait for the workers' leases away: the
-// checker must see tasks run twice, or it could not have seen anything above.
+// TestCheckerFindsRemovedGuard removes the wait for the workers' leases: the checker has to see
+// tasks run twice, otherwise the tests above prove nothing.
 func TestCheckerFindsRemovedGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 7, 0, func(c *config.Config) {
@@ -511,9 +521,9 @@
 	})
 }
 
-// TestBurstSharesWrites submits a burst of jobs at once: the state service takes
-// few changes, so that those which wait together become one record, and all are
-// accepted long before a change for each would be.
+// TestBurstSharesWrites submits a burst of jobs at once. The state service takes few changes, so
+// that submissions which wait together have to become one record, and all are accepted long before
+// a change for each would be.
 func TestBurstSharesWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 3, 0, func(c *config.Config) { c.Store.WriteRPS = 6 })
@@ -541,9 +551,9 @@
 	})
 }
 
-// TestPartitionedLeaderResigns cuts each controller from the workers in turn, for
-// longer than their lease: whoever holds the fleet gives it up to one that the
-// workers reach, and no task is lost.
+// TestPartitionedLeaderResigns cuts each controller off from the workers in turn, for longer than
+// their lease: a leader has to hand over to a controller that the workers reach, and no task may
+// be lost.
 func TestPartitionedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 9, 0, nil)
@@ -570,9 +580,10 @@
 	})
 }
 
-// TestEachMachineReachesAController: far more machines than all controllers have sockets for,
-// among them one that crashes. Whoever can be answered gives the socket up for the next, a
-// crowded controller sends on to one that has more room, and no worker's lease runs out.
+// TestEachMachineReachesAController has far more machines than all controllers have sockets for,
+// and one controller that crashes. A connection whose request is answered has to make room for the
+// next, a crowded controller has to redirect to one that has more room, and no worker's lease may
+// expire.
 func TestEachMachineReachesAController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 21, 0, func(c *config.Config) {
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -15,20 +15,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// singleFault is a fault that is staged 25 s into a day of jobs of every shape: a service over both
-// zones, a gang that saves, arrays, spot work, and some that are cancelled.
+// singleFault is a fault that is injected 25 s into a day with jobs of every shape: a service over
+// both zones, a gang with checkpoints, arrays, spot work, and some that are cancelled.
 type singleFault struct {
 	name   string
 	inject func(w *faultScene)
-	// maxRestarts bounds how many tasks may be started again that ran when the fault came, -1 for any
-	// number: what people notice of it.
+	// maxRestarts bounds how many tasks that ran when the fault came may be started again, -1 for any
+	// number: it is what users notice of the fault.
 	maxRestarts int
 	settings    func(*config.Config)
 }
 
-// faultScene is the world of a scenario.
+// faultScene is the simulation of a single fault.
 type faultScene struct{ *simulation }
 
+// leaderIndex returns the number of the leader.
 func (s *faultScene) leaderIndex() int {
 	for _, name := range s.leaders() {
 		return int(name[2] - '0')
@@ -36,12 +37,13 @@
 	return 0
 }
 
+// eachMachine calls a function for each machine that is up.
 func (s *faultScene) eachMachine(do func(m wire.ListedMachine, w simulator.Machine)) {
 	s.cloud.EachRunning(do)
 }
 
-// cutMachines severs a controller from all machines, also those that are yet to come, one
-// way if that is meant.
+// cutMachines separates a controller from all machines, including those that do not exist yet, in
+// one or both directions.
 func (s *faultScene) cutMachines(i int, d time.Duration, in, out bool) {
 	for n := range 60 {
 		host := fmt.Sprintf("10.1.0.%d", n+1)
@@ -56,7 +58,7 @@
 	}
 }
 
-// cutOffZone cuts a zone's machines off from everything, and the controllers that are named with them.
+// cutOffZone cuts a zone's machines off from everything, together with the given controllers.
 func (s *faultScene) cutOffZone(zone string, d time.Duration, controllers ...int) {
 	var inside []string
 	outside := []string{"10.2.0.1", "10.2.0.2", "10.3.0.1"}
@@ -83,7 +85,7 @@
 	})
 }
 
-// machine does something to the first machines that are up.
+// firstMachines calls a function for the first machines that are up.
 func (s *faultScene) firstMachines(n int, spot bool, do func(id string, w simulator.Machine)) {
 	s.eachMachine(func(m wire.ListedMachine, w simulator.Machine) {
 		if n > 0 && (!spot || m.Spot) {
@@ -93,26 +95,31 @@
 	})
 }
 
+// pauseFirst pauses the first machines.
 func (s *faultScene) pauseFirst(n int, d time.Duration) {
 	s.firstMachines(n, false, func(_ string, w simulator.Machine) { w.(interface{ Hang(time.Duration) }).Hang(d) })
 }
 
+// setCloudFaults injects faults of the cloud for a while.
 func (s *faultScene) setCloudFaults(d time.Duration, change func(f *simulator.CloudFaults)) {
 	s.cloud.SetFaults(change)
 	time.AfterFunc(d, func() { s.cloud.SetFaults(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 }
 
+// loseReplies loses the answers to a share of transactions for a while.
 func (s *faultScene) loseReplies(share float64, d time.Duration) {
 	s.store.Configure(func(st *simulator.StateService) { st.LossShare = share })
 	time.AfterFunc(d, func() { s.store.Configure(func(st *simulator.StateService) { st.LossShare = 0 }) })
 }
 
+// killAll kills all controllers, which restart later.
 func (s *faultScene) killAll(back time.Duration) {
 	for i := range 3 {
 		s.kill(i, back)
 	}
 }
 
+// singleFaults are all single faults. docs/emulator.md has a table of them.
 var singleFaults = []singleFault{
 	{name: "nothing goes wrong", inject: func(*faultScene) {}},
 	{name: "the state service is out for 12 s", inject: func(s *faultScene) { during(12*time.Second, s.store.SetOutage) }},
@@ -243,10 +250,11 @@
 	{name: "a room of its own part is cut off", settings: shardByZone, inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
 }
 
+// shardByZone makes each zone a shard.
 func shardByZone(c *config.Config) { c.Tuning.Shards.By = "zone" }
 
-// TestSingleFaults stages each fault alone: no rule is broken, every job has its end, and what ran
-// goes on where it can.
+// TestSingleFaults injects each fault alone: no rule may be violated, every job has to end, and
+// running tasks have to continue where they can.
 func TestSingleFaults(t *testing.T) {
 	for i := range singleFaults {
 		x := &singleFaults[i]
@@ -257,6 +265,7 @@
 	}
 }
 
+// run simulates the day.
 func (x *singleFault) run(t *testing.T, seed uint64) {
 	s := &faultScene{newSimulation(t, 100+seed, 0, x.settings)}
 	s.startService("wk-1", 2*time.Minute)
@@ -280,7 +289,7 @@
 	}
 }
 
-// TestSingleFaultsAreDocumented: the table in docs/emulator.md names every scenario.
+// TestSingleFaultsAreDocumented checks that the table in docs/emulator.md names every fault.
 func TestSingleFaultsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/emulator.md"))
 	if err != nil {
--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -10,9 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestGangWaitsForASlowFetch: of two machines one holds the image of a gang, and the other fetches it for
-// longer than a task waits for its gang. Each attempt ends with the first task alone. Were the fetch
-// given up with it, the next one would end the same way, for ever, beside room for all of the gang.
+// TestGangWaitsForASlowFetch: of two machines one has the image of a gang, and the other fetches
+// it for longer than a task waits for its gang. Each attempt ends with the first task alone. If
+// the fetch were cancelled with the attempt, the next one would end the same way, for ever, beside
+// enough capacity for the gang.
 func TestGangWaitsForASlowFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 41, 0, nil)
@@ -38,8 +39,9 @@
 	})
 }
 
-// TestNothingWaitsForALongFetch: the only machine that there is fetches weights for production, for minutes over a
-// slow link, and lesser work is kept from sharing that rate. It does not wait for as long as that.
+// TestNothingWaitsForALongFetch: the only machine fetches an image for production work for minutes
+// over a slow link, and lesser work may not share that rate. It may not wait until the fetch is
+// over, either.
 func TestNothingWaitsForALongFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 42, 0, nil)
@@ -63,8 +65,9 @@
 	})
 }
 
-// TestFetchesAreNotCancelledAgain: urgent work comes all the time to a full fleet, and stops what loses least. What
-// waits for an image over a slow link loses the fetch: that may happen to a task, not again and again.
+// TestFetchesAreNotCancelledAgain: urgent work arrives all the time at a full fleet, and preempts
+// what loses least. A task that waits for an image over a slow link loses its fetch; that may
+// happen to a task, but not again and again.
 func TestFetchesAreNotCancelledAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 43, 0, nil)
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -14,23 +14,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// userPopulation is the users of a day on which much is asked, and what became of it.
+// userPopulation is the users of a day with many requests, and their results.
 type userPopulation struct {
 	*simulation
 	seed      uint64
-	cancelAll atomic.Bool // whoever has not cancelled yet, and must, does so now
+	cancelAll atomic.Bool // users who have not cancelled yet, and have to, do so now
 
 	unanswered, confirmed, repeatedSubmissions atomic.Int64
 }
 
-// populationUser is a user who asks about one job at all controllers, repeats its submission with
-// whatever body, and may cancel it.
+// populationUser makes requests about one job at all controllers, repeats its submission with
+// various contents, and may cancel it.
 type populationUser struct {
 	*client
 	population *userPopulation
 }
 
-// addUser has a user come with a job.
+// addUser adds a user with a job.
 func (m *userPopulation) addUser(j *wire.Job, run time.Duration) *populationUser {
 	var n uint64
 	_, _ = fmt.Sscanf(j.ID, "wk-%d", &n)
@@ -39,7 +39,7 @@
 	return &populationUser{c, m}
 }
 
-// addService has a user come with a service of one replica, and submit it.
+// addService adds a user with a service of one replica, and submits it.
 func (m *userPopulation) addService(id string) *populationUser {
 	c := m.addUser(jobOf(id, wire.Service, 1, forever), forever)
 	for try := 0; m.checker.Stage(id) == "" && try < 10; try++ {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// cancelOnce cancels a job at one controller that can.
+// cancelOnce cancels the job at one controller that can.
 func (c *populationUser) cancelOnce(i int) {
 	for try := 0; try < 5 && !c.checker.Stage(c.job.ID).Final(); try++ {
 		c.cancel(i)
@@ -59,14 +59,17 @@
 	}
 }
 
+// pollOnce polls the job at one controller.
 func (c *populationUser) pollOnce(i int) { c.ask(i, 5*time.Second, "GET", c.path(), nil) }
 
+// resubmit submits the job again to one controller.
 func (c *populationUser) resubmit(i int) {
 	c.population.repeatedSubmissions.Add(1)
 	c.ask(i, 5*time.Second, "POST", wire.PathJobs, c.body())
 }
 
-// cancelAndVerify asks for it at one controller, and, once told, at once at all others for all that can be asked.
+// cancelAndVerify cancels the job at one controller and, once that is confirmed, makes every kind
+// of request at all others at once.
 func (c *populationUser) cancelAndVerify() {
 	if c.cancel(c.anyController()) != 200 {
 		return
@@ -83,8 +86,8 @@
 	all.Wait()
 }
 
-// run is what the customer does from its first submission until its job is over, cancels not
-// after which time it cancels if that is not 0.
+// run is what the user does from the first submission until the job is over. It cancels the job
+// after a time unless that is 0.
 func (c *populationUser) run(cancels time.Duration) {
 	for c.ctx.Err() == nil && c.checker.Stage(c.job.ID) == "" {
 		c.submit(c.anyController())
@@ -109,7 +112,7 @@
 	}
 }
 
-// addUsers has users come, one every gap.
+// addUsers adds users, one after each gap.
 func (w *simulation) addUsers(seed uint64, n int, gap time.Duration) *userPopulation {
 	m := &userPopulation{simulation: w, seed: seed}
 	w.group.Go(func() {
@@ -147,7 +150,7 @@
 	return m
 }
 
-// finish has all that is asked for come to its end, and judges the day.
+// finish waits for all jobs to end, and checks the day.
 func (m *userPopulation) finish(cancels, repeats int64) {
 	m.t.Helper()
 	m.cancelAll.Store(true)
@@ -157,10 +160,11 @@
 	}
 }
 
-// TestStoreRefusesLeaderThenAll: the state service answers slowly, refuses the leader alone, and then
-// everybody for longer than cancel_s, while users cancel, ask and submit again at all controllers.
-// What was told holds: a final stage is told from memory for ever, all else is read behind a barrier
-// or answered 503. AMBERDEAL_REFUSALS sets how many days, AMBERDEAL_REFUSAL plays one.
+// TestStoreRefusesLeaderThenAll has the state service answer slowly, refuse the leader alone, and
+// then refuse everybody for longer than cancel_s, while users cancel, poll and resubmit at all
+// controllers. What was answered has to hold: final stages are answered from memory for ever,
+// everything else is read behind a barrier or answered 503. AMBERDEAL_REFUSALS sets the number of
+// days, AMBERDEAL_REFUSAL plays one.
 func TestStoreRefusesLeaderThenAll(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_REFUSAL", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
@@ -204,10 +208,11 @@
 	})
 }
 
-// TestPartitionedLeaderTurnsUsersAway: a leader is cut from the state service and from the other controllers
-// while users and machines still reach it, and jobs are cancelled through the others. It tells what is final
-// from memory, and turns all else away: at once, with when to come back, and so that the user comes to
-// another. It calls itself ready no more as soon as it can know, and is so again soon after the cut.
+// TestPartitionedLeaderTurnsUsersAway separates a leader from the state service and the other
+// controllers while users and machines still reach it and jobs are cancelled through the others.
+// It has to answer what is final from memory and to turn everything else away at once, with a time
+// to retry, so that users reach another controller. It has to report itself unready as soon as it
+// can know, and ready again soon after the partition.
 func TestPartitionedLeaderTurnsUsersAway(t *testing.T) {
 	for _, cut := range []struct{ of, also int }{{3, 0}, {5, 0}, {5, 2}} { // the leader, and the one so many after it
 		count := cut.of
@@ -292,6 +297,7 @@
 	}
 }
 
+// allControllersRestart ends all controllers, of which one returns first.
 var allControllersRestart = fault{"all end, and one returns", func(w *simulation, luck *rand.Rand, d time.Duration) {
 	first := luck.IntN(w.count)
 	for i := range w.count {
@@ -302,7 +308,8 @@
 	w.crash(first, restartDelay(luck), finalHoldTime(luck))
 }}
 
-// stateAccessFaults are troubles beside those of returns: a controller is refused or cut off for a while.
+// stateAccessFaults are faults in addition to those of restarts: a controller is refused or cut
+// off for a while.
 var stateAccessFaults = []fault{
 	{"the leader is refused", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
@@ -350,9 +357,10 @@
 	{"the state service is out", func(w *simulation, _ *rand.Rand, d time.Duration) { during(d, w.store.SetOutage) }},
 }
 
-// TestUsersThroughRestarts plays days on which controllers hand over and back, all end and one returns,
-// also at once, and two processes of one name run, while the leader is refused or cut off and users cancel, ask and
-// submit again at all of them. AMBERDEAL_ASKEDS sets how many, AMBERDEAL_ASKED plays one.
+// TestUsersThroughRestarts simulates days on which controllers hand over and back, all restart at
+// once, and two processes run under one name, while the leader is refused or cut off and users
+// cancel, poll and resubmit at all of them. AMBERDEAL_ASKEDS sets the number of days,
+// AMBERDEAL_ASKED plays one.
 func TestUsersThroughRestarts(t *testing.T) {
 	playSeeds(t, 3, "AMBERDEAL_ASKED", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -18,9 +18,9 @@
 
 // Jobs of two or three tasks that end far apart, while holders change.
 
-// submitStaggeredEnds submits jobs of so few tasks that they end one after the other: each needs more than
-// half of its team's limit, or is a gang, or is long beside a short one. It tells how many
-// tasks they have.
+// submitStaggeredEnds submits jobs of few tasks that end one after the other: each needs more than
+// half of its team's quota, or is a gang, or has long and short tasks. It returns the number of
+// their tasks.
 func (w *simulation) submitStaggeredEnds() (tasks int) {
 	for i, j := range []wire.Job{
 		{Shape: wire.Array, Team: "red", Tasks: 3, GPUs: 4},
@@ -38,8 +38,8 @@
 	return tasks
 }
 
-// recordsCompletion tells whether a write says of a task that it has ended, or of a job that it is
-// done, which was not said before, and of which part's ledger it is.
+// recordsCompletion reports whether a write is the first to record that a task has ended or a job
+// is done, and in which shard's ledger.
 func recordsCompletion(known map[string]string, puts map[string]wire.Raw) (is bool, part string) {
 	for key, raw := range puts {
 		var batch store.BatchRecord
@@ -71,14 +71,15 @@
 	return is, part
 }
 
-// completionFault is what meets the write of an end, by whoever holds the part.
+// completionFault is what happens to the write of a completion and to the leader that writes it.
 type completionFault struct {
 	name         string
 	fate         simulator.Fate
 	apply        func(w *simulation, holder int, luck *rand.Rand)
-	losesMachine bool // a machine goes with it, so that what it did may have to be done again
+	losesMachine bool // a machine ends too, so that its work may have to be repeated
 }
 
+// completionFaults are the faults that are injected at the write of a completion.
 var completionFaults = []completionFault{
 	{"the holder crashes, the write is lost", simulator.FateDropped, crashLeader, false},
 	{"the holder crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
@@ -102,15 +103,18 @@
 	}, true},
 }
 
+// cutLeader cuts a leader off for a while.
 func cutLeader(w *simulation, holder int, _ *rand.Rand) {
 	during(30*time.Second, func(on bool) { w.cutOff(holder, on) })
 }
 
+// crashLeader crashes a leader, which restarts soon.
 func crashLeader(w *simulation, holder int, rng *rand.Rand) {
 	w.crash(holder, restartDelay(rng), finalHoldTime(rng))
 }
 
-// replayHeartbeats has a share of the reports arrive again, from 2 s to well over a lease later.
+// replayHeartbeats delivers copies of a share of the heartbeats from 2 s to well over a lease
+// later.
 func (w *simulation) replayHeartbeats(seed uint64, share float64) {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	w.net.Duplicate(func(from, addr string) time.Duration {
@@ -121,10 +125,10 @@
 	})
 }
 
-// TestCrashAtEachCompletion has each write that says that a task or a job has ended meet something, in
-// turn, while copies of reports arrive late: the job becomes done, no sooner than its last task,
-// and nothing that ended on a machine that lives is started again. In a short run each end meets
-// one thing. AMBERDEAL_ENDS has it meet all.
+// TestCrashAtEachCompletion injects a fault at each write that records the end of a task or job in
+// turn, while copies of heartbeats arrive late. The job has to become done, not before its last
+// task, and nothing that ended on a surviving machine may start again. A short run injects one
+// fault at each write, AMBERDEAL_ENDS all.
 func TestCrashAtEachCompletion(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
 	const sure = 5 // ends that are written apart, at the least
@@ -147,11 +151,13 @@
 	}
 }
 
+// crashAtCompletion injects a fault at the step-th write of a completion, and reports whether
+// there was one.
 func crashAtCompletion(t *testing.T, by string, x completionFault, step int) (met bool) {
 	return faultAtWrite(t, by, x, step, recordsCompletion)
 }
 
-// faultAtWrite has a write of a kind meet something.
+// faultAtWrite injects a fault at the step-th write of a kind, and reports whether there was one.
 func faultAtWrite(t *testing.T, by string, x completionFault, step int, kind func(known map[string]string, puts map[string]wire.Raw) (is bool, part string)) (met bool) {
 	seed := uint64(step)
 	rng := rand.New(rand.NewPCG(seed, 14))
@@ -194,7 +200,7 @@
 	return met
 }
 
-// recordsLaunch tells whether a write names a task on a machine that was not named there before.
+// recordsLaunch reports whether a write is the first to name a task on a machine.
 func recordsLaunch(known map[string]string, puts map[string]wire.Raw) (is bool, part string) {
 	for key, raw := range puts {
 		var slot store.SegmentRecord
@@ -218,10 +224,11 @@
 	return is, part
 }
 
-// TestPartitionAtEachLaunch has the write of each launch meet something: the next holder finds it in the
-// store, or will, or never, while the one that decided it is cut off with the machines, or
-// gone, or the machines hear nobody. No task runs twice, no limit is exceeded, each job
-// gets done. In a short run each launch meets one thing. AMBERDEAL_ENDS has it meet all.
+// TestPartitionAtEachLaunch injects a fault at the write of each launch: the next leader finds it
+// in the state service, or later, or never, while the leader that decided it is cut off together
+// with the machines, or has ended, or the machines receive nothing. No task may run twice, no
+// quota may be exceeded, and each job has to be done. A short run injects one fault at each
+// launch, AMBERDEAL_ENDS all.
 func TestPartitionAtEachLaunch(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
 	sure := 2
@@ -247,7 +254,7 @@
 	}
 }
 
-// completionDayFaults are the users' newest ones, for days of such jobs.
+// completionDayFaults are additional faults for days of such jobs.
 var completionDayFaults = []fault{
 	{"machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
 		hosts := w.everyMachine()
@@ -314,11 +321,12 @@
 	}},
 }
 
-// TestCompletionFaults plays days of such jobs, two and three troubles at a time, on one part and
-// several, with 3 and 5 controllers, at times divided anew. Red's limit binds all day.
-// AMBERDEAL_ENDS sets how many, AMBERDEAL_END plays one.
+// TestCompletionFaults simulates days of such jobs with two and three faults at a time, with one
+// shard and several, with 3 and 5 controllers, some with resharding. The quota of the team red is
+// exhausted all day. AMBERDEAL_ENDS sets the number of days, AMBERDEAL_END plays one.
 func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", playCompletionDay) }
 
+// playCompletionDay simulates such a day.
 func playCompletionDay(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	var set sync.Map
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -12,14 +12,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// twoTiers sets two tiers, for live and batch work.
 func twoTiers(c *config.Config) {
 	c.Tuning.Tiers = []tier.Tier{{Name: "live", Order: 1, Priorities: []string{"production"}, Share: tier.Share{Fraction: 0.5}, ReclaimWithin: 20 * time.Second},
 		{Name: "batch", Order: 2, ReclaimWithin: 20 * time.Second}}
 }
 
-// TestTiersFailOver: all cards are lent to batch work when the first tier wants its half
-// back. The holders fail in turn while room is made, and are back in a moment: the tier has
-// its cards within the bound and the takeovers, and little more is stopped than it needs.
+// TestTiersFailOver: all GPUs are lent to batch work when the first tier wants its half back. The
+// leaders fail in turn while batch work is preempted, and restart at once: the tier has to get its
+// GPUs within the bound plus the failovers, and little more may be preempted than it needs.
 func TestTiersFailOver(t *testing.T) {
 	for _, by := range []string{"off", "zone"} {
 		for seed := range uint64(6) {
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestTiersDisagree: a controller whose tiers are set otherwise claims nothing while its
-// siblings live, and once all are set alike the state follows.
+// TestTiersDisagree: a controller whose tiers are set differently may not become leader while its
+// peers live, and once all settings agree the state has to follow.
 func TestTiersDisagree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		with := map[string]bool{"c-0": true, "c-1": true, "c-2": true}
