--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -19,7 +19,7 @@
 // such as name a zone. While a task may be where it was, none of a job starts in another zone; once all are
 // proven gone, or done, the rest goes wherever it may.
 
-// zoneLoss is how the machines of a zone are lost. gone says that the cloud itself ends them.
+// zoneLossKinds are how the machines of a zone are lost; gone says that the cloud ends them.
 var zoneLossKinds = []struct {
 	name string
 	cast func(w *simulation, lost []upMachine, d time.Duration)
@@ -51,13 +51,14 @@
 	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { deaf(d, lost...) }},
 }
 
-// zoneObserver sees where tasks of a job start.
+// zoneObserver records in which zones the tasks of jobs start.
 type zoneObserver struct {
 	*simulator.Checker
 	mu         sync.Mutex
 	startZones map[string][]string // of a job's starts, in order
 }
 
+// TaskStarted implements simulator.Fixture.
 func (b *zoneObserver) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	b.mu.Lock()
 	b.startZones[t.Job] = append(b.startZones[t.Job], zone)
@@ -71,8 +72,9 @@
 	return slices.Clone(b.startZones[job])
 }
 
-// playZoneLossDay loses the machines of the zone in which most one_zone jobs are, or all but one of them, for a while. What may
-// start elsewhere does, what may not goes on where it is once machines are there again.
+// playZoneLossDay loses the machines of the zone with the most one_zone jobs, or all but one of
+// them, for a while. What may start elsewhere has to, what may not has to continue in its zone
+// once it has machines again.
 func playZoneLossDay(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
 	x := zoneLossKinds[loss]
 	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
@@ -152,8 +154,9 @@
 	return moved
 }
 
-// TestZoneBoundJobs plays each loss, short of a lease and beyond it, of some and of all machines of a zone. AMBERDEAL_ZONEBOUND
-// plays them with 3 and 5 controllers, in one part and in two, for so many seeds.
+// TestZoneBoundJobs plays each loss, for less and more than a lease, of some and of all machines
+// of a zone. AMBERDEAL_ZONEBOUND plays them with 3 and 5 controllers, with one shard and two, for
+// that many seeds.
 func TestZoneBoundJobs(t *testing.T) {
 	seeds, moved := 0, 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_ZONEBOUND"), &seeds)
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -18,18 +18,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// zoneSimulation is a world with services on several zones, in which the controllers stand too.
+// zoneSimulation is a simulation with services in several zones, in which the controllers are too.
 type zoneSimulation struct {
 	*simulation
 	zones          []string
-	wantedReplicas int // replicas of the services
+	wantedReplicas int // of the services
 	recoveryTimes  []time.Duration
 }
 
+// that run all day
 const serviceCount = 2 // that run all day
 
-// newZoneSimulation makes a world of so many controllers that stand in turn in each of the zones, with
-// two services that need several machines of each.
+// newZoneSimulation starts a simulation of that many controllers, in turn in each of the zones,
+// with two services that need several machines of each.
 func newZoneSimulation(t *testing.T, seed uint64, zones string, count int, lossy float64, tamper func(*config.Config)) *zoneSimulation {
 	r := &zoneSimulation{zones: strings.Split(zones, "")}
 	r.simulation = newSimulationOf(t, count, seed, lossy, func(c *config.Config) {
@@ -46,7 +47,7 @@
 	return r
 }
 
-// runningReplicas counts those of the services that run.
+// runningReplicas counts the running replicas of the services.
 func (r *zoneSimulation) runningReplicas() (n int) {
 	for _, k := range r.checker.Replicas("s") {
 		n += k
@@ -54,7 +55,8 @@
 	return n
 }
 
-// cutOffZones cuts zones off for a while, and notes how soon after it as many replicas run as before.
+// cutOffZones cuts zones off for a while, and notes how soon afterwards as many replicas run as
+// before.
 func (r *zoneSimulation) cutOffZones(zones []string, d time.Duration) {
 	before := r.runningReplicas()
 	for _, z := range zones {
@@ -75,7 +77,7 @@
 	})
 }
 
-// finishZones ends the day when all jobs but the services are over, and judges it.
+// finishZones ends the day when all jobs but the services are over, and checks it.
 func (r *zoneSimulation) finishZones(patience time.Duration) {
 	r.declareQuiet()
 	for end := time.Now().Add(patience); len(r.checker.OpenJobs()) > serviceCount; time.Sleep(time.Second) {
@@ -90,7 +92,7 @@
 	time.Sleep(time.Minute) // late timers of the stand-ins run out
 }
 
-// crashLeaders has whoever holds a part crash.
+// crashLeaders crashes all leaders.
 func (w *simulation) crashLeaders(rng *rand.Rand) {
 	for _, part := range slices.Sorted(maps.Keys(w.leaders())) {
 		if name := w.leaders()[part]; name != "" {
@@ -99,7 +101,7 @@
 	}
 }
 
-// eachInZone has something done to some of the machines of a zone.
+// eachInZone calls a function for some of the machines of a zone.
 func (w *simulation) eachInZone(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if m.Zone == zone {
@@ -108,12 +110,13 @@
 	})
 }
 
-// zoneFault is a fault of zones, which has ended when cast returns.
+// zoneFault is a fault of zones, which is over when apply returns.
 type zoneFault struct {
 	name  string
 	apply func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration)
 }
 
+// zoneFaults are the faults of zones.
 var zoneFaults = []zoneFault{
 	{"a zone is cut off", func(r *zoneSimulation, _ *rand.Rand, zone string, d time.Duration) { r.cutOffZones([]string{zone}, d) }},
 	{"a zone goes and comes every 10 s", func(r *zoneSimulation, luck *rand.Rand, zone string, _ time.Duration) {
@@ -208,7 +211,7 @@
 	}},
 }
 
-// playZoneDay plays a day on which zones go and come.
+// playZoneDay simulates a day on which zones fail and return.
 func playZoneDay(t *testing.T, seed uint64) {
 	const day = 150 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 12))
@@ -264,12 +267,13 @@
 	r.finishZones(20 * time.Minute)
 }
 
-// TestZoneFailures plays days on which zones are cut off for 5 to 90 s, alone and together,
-// while processes and machines end and are back. AMBERDEAL_ROOMS sets how many,
-// AMBERDEAL_ROOM plays one.
+// TestZoneFailures simulates days on which zones are cut off for 5 to 90 s, alone and together,
+// while processes and machines restart. AMBERDEAL_ROOMS sets the number of days, AMBERDEAL_ROOM
+// plays one.
 func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", playZoneDay) }
 
-// recordsZoneChange tells whether a write of a round changes what is said of a zone or its return.
+// recordsZoneChange reports whether a write of a round changes the record of a zone or of its
+// recovery.
 func recordsZoneChange(known map[string]string, puts map[string]wire.Raw) (is bool, part, what string) {
 	for key, raw := range puts {
 		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
@@ -295,10 +299,10 @@
 	return is, part, what
 }
 
-// TestCrashAtEachRecoveryStep has the holder crash at each step of a zone's return in turn: its
-// write is never carried out, late, or at once, and it learns of none; it is back after 0.1 to
-// 0.5 s. In the end all replicas run, and the return is over. In a short run each step meets
-// one of these fates.
+// TestCrashAtEachRecoveryStep crashes the leader at each step of a zone's recovery in turn: its
+// write is never carried out, late, or at once, and the leader learns of none; it restarts after
+// 0.1 to 0.5 s. In the end all replicas have to run, and the recovery has to be over. A short run
+// plays one of these fates at each step.
 func TestCrashAtEachRecoveryStep(t *testing.T) {
 	fates := []simulator.Fate{simulator.FateDropped, simulator.FateDelayed, simulator.FateReplyLost}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
@@ -320,6 +324,7 @@
 	}
 }
 
+// crashAtRecoveryStep crashes the leader at one step, and reports whether the step was reached.
 func crashAtRecoveryStep(t *testing.T, by string, fate simulator.Fate, step int) (met bool) {
 	rng := rand.New(rand.NewPCG(uint64(step), 13))
 	r := newZoneSimulation(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
