--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -19,76 +19,82 @@
 // Days on which machines hear nothing, direct calls are held up and old reports come after
 // newer ones, while the leader changes.
 
+// unreturnableMachine are the reasons why a machine cannot be returned to the cloud for a while.
+var unreturnableMachine = []struct {
+	name string
+	cast func(w *simulation)
+}{
+	{"the cloud is in trouble", func(w *simulation) {
+		during(2*time.Minute, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
+	}},
+	{"the state service is out", func(w *simulation) {
+		time.AfterFunc(15*time.Second, func() { during(70*time.Second, w.store.SetOutage) })
+	}},
+	{"the cloud does not hear the leader", func(w *simulation) {
+		ip := w.ip(w.anyLeader())
+		during(2*time.Minute, func(on bool) { w.net.Partition(ip, cloudHost, on) })
+	}},
+}
+
 // TestDelayedLaunchOfCancelledJob delays a direct launch while its job is cancelled before the
 // machine's next heartbeat, and while the machine cannot be returned because the cloud is
 // unavailable, or because the state service is out so that no term surely lasts. The launch
 // arrives when the job's tasks have to be gone: by then the machine was not answered any more and
 // runs a later incarnation.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
-	for n, x := range []struct {
-		name string
-		cast func(w *simulation)
-	}{
-		{"the cloud is in trouble", func(w *simulation) {
-			during(2*time.Minute, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
-		}},
-		{"the state service is out", func(w *simulation) {
-			time.AfterFunc(15*time.Second, func() { during(70*time.Second, w.store.SetOutage) })
-		}},
-		{"the cloud does not hear the leader", func(w *simulation) {
-			ip := w.ip(w.anyLeader())
-			during(2*time.Minute, func(on bool) { w.net.Partition(ip, cloudHost, on) })
-		}},
-	} {
+	for n, x := range unreturnableMachine {
 		for k, held := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && k != n {
 				continue // the rest with the longer days
 			}
-			t.Run(fmt.Sprint(x.name, ", held ", held), func(t *testing.T) {
-				var hold atomic.Int64
-				var sent, came chan struct{}
-				var told time.Time
-				script{seed: 31, setUp: func(w *simulation) {
-					sent, came = make(chan struct{}), make(chan struct{})
-					var once sync.Once
-					w.reconfigureMachines(2*time.Second, func() time.Duration {
-						d := time.Duration(hold.Load())
-						if d > 0 {
-							once.Do(func() {
-								close(sent)
-								time.AfterFunc(d, func() { close(came) })
-							})
-						}
-						return d
-					})
-					w.startService("wk-1", 3*time.Minute)
-				}, steps: []step{
-					{40 * time.Second, "its launch is held up, and it is cancelled", func(w *simulation) { // all machines were heard
-						hold.Store(int64(held))
-						c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
-						c.untilAnswered(c.submit)
-						<-sent
-						if w.checker.Running("wk-2") > 0 {
-							w.t.Error("the task runs already")
-						}
-						c.untilAnswered(c.cancel)
-						told = time.Now()
-						hold.Store(0)
-					}},
-					{0, x.name, x.cast},
-					{0, "its launch comes", func(w *simulation) {
-						<-came
-						if late := time.Since(told); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
-							w.t.Errorf("the launch came %v after the user was told that the job is %s", late, w.checker.Stage("wk-2"))
-						}
-					}},
-					{4 * time.Minute, "all is over", func(*simulation) {}},
-				}}.run(t)
-			})
+			t.Run(fmt.Sprint(x.name, ", held ", held), func(t *testing.T) { delayLaunch(t, x.name, x.cast, held) })
 		}
 	}
 }
 
+// delayLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
+func delayLaunch(t *testing.T, name string, cast func(w *simulation), held time.Duration) {
+	var hold atomic.Int64
+	var sent, came chan struct{}
+	var told time.Time
+	script{seed: 31, setUp: func(w *simulation) {
+		sent, came = make(chan struct{}), make(chan struct{})
+		var once sync.Once
+		w.reconfigureMachines(2*time.Second, func() time.Duration {
+			d := time.Duration(hold.Load())
+			if d > 0 {
+				once.Do(func() {
+					close(sent)
+					time.AfterFunc(d, func() { close(came) })
+				})
+			}
+			return d
+		})
+		w.startService("wk-1", 3*time.Minute)
+	}, steps: []step{
+		{40 * time.Second, "its launch is held up, and it is cancelled", func(w *simulation) { // every machine has sent a heartbeat
+			hold.Store(int64(held))
+			c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
+			c.untilAnswered(c.submit)
+			<-sent
+			if w.checker.Running("wk-2") > 0 {
+				w.t.Error("the task runs already")
+			}
+			c.untilAnswered(c.cancel)
+			told = time.Now()
+			hold.Store(0)
+		}},
+		{0, name, cast},
+		{0, "its launch comes", func(w *simulation) {
+			<-came
+			if late := time.Since(told); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
+				w.t.Errorf("the launch came %v after the user was told that the job is %s", late, w.checker.Stage("wk-2"))
+			}
+		}},
+		{4 * time.Minute, "all is over", func(*simulation) {}},
+	}}.run(t)
+}
+
 // partitionLengths are around the bounds that the time-based rules rest on: a heartbeat, a
 // controller's lease, a worker's lease, and their sum.
 var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
@@ -104,65 +110,75 @@
 				continue // the rest with the longer days
 			}
 			t.Run(fmt.Sprint("for ", d, ", from ", before, " before"), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					silence := []time.Duration{0, time.Hour}[n%2] // machines are released, or time alone proves
-					// A deaf machine gives an answer up after 4 s and tries elsewhere 1 s later: here that is
-					// no longer than between two reports, so that it is heard all the while.
-					const report = 6 * time.Second
-					w := newSimulation(t, uint64(40+n), 0, func(c *config.Config) { c.Tuning.HeartbeatTimeout, c.Workers.HeartbeatInterval = silence, report })
-					w.reconfigureMachines(report, nil)
-					job := func(id string, shape wire.Shape, tasks int, run, until time.Duration, change ...func(*wire.Job)) {
-						w.user(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
-					}
-					saves := func(j *wire.Job) { j.CheckpointS, j.SaveS = 10, 1 }
-					job("wk-1", wire.Array, 9, 70*time.Second, 0, red)
-					job("wk-2", wire.Gang, 4, 80*time.Second, 0, oneZone, saves)
-					job("wk-3", wire.Gang, 4, 90*time.Second, 0, spread, saves)
-					job("wk-4", wire.Service, 6, forever, 4*time.Minute, spread)
-					job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, oneZone)
-					time.Sleep(35 * time.Second)
-					running, _ := w.checker.Counts()
-					var deafened []upMachine
-					listen := func() {
-						for i, m := range w.runningMachines() {
-							if i%2 == n%2 {
-								deafened = append(deafened, deaf(d, m)...)
-							}
-						}
-					}
-					if before >= 0 {
-						listen()
-						time.Sleep(before)
-					}
-					term, first := w.token(), w.anyLeader()
-					w.kill(first, 20*time.Second)
-					if before < 0 {
-						time.Sleep(-before)
-						listen()
-					}
-					if before < d {
-						for w.token() == term {
-							time.Sleep(100 * time.Millisecond)
-						}
-					}
-					time.Sleep(d + 10*time.Second)
-					lost, up := 0, w.runningMachines()
-					for _, m := range deafened {
-						if lost += m.ExpiredLeases(); !slices.Contains(up, m) {
-							lost++ // it was given up
-						}
-					}
-					if running < 15 || len(deafened) < 2 || w.token() == term || d > workerLease+5*time.Second && lost == 0 {
-						t.Errorf("%d tasks ran, %d machines were deaf, %d lost what they had, term %d after %d", running, len(deafened), lost, w.token(), term)
-					}
-					w.finish(15 * time.Minute)
-					w.checkResults()
-				})
+				synctest.Test(t, func(t *testing.T) { endLeaderDuringPartition(t, n, d, before) })
 			})
 		}
 	}
 }
 
+// endLeaderDuringPartition ends the leader while every second machine receives nothing for d,
+// starting the given time before the end, or after it if that is negative.
+func endLeaderDuringPartition(t *testing.T, n int, d, before time.Duration) {
+	silence := []time.Duration{0, time.Hour}[n%2] // machines are released, or time alone proves
+	// A partitioned machine gives an answer up after 4 s and tries elsewhere 1 s later. With this
+	// interval that is no longer than between two heartbeats, which thus arrive all the time.
+	const interval = 6 * time.Second
+	w := newSimulation(t, uint64(40+n), 0, func(c *config.Config) { c.Tuning.HeartbeatTimeout, c.Workers.HeartbeatInterval = silence, interval })
+	w.reconfigureMachines(interval, nil)
+	w.submitLongJobs()
+	time.Sleep(35 * time.Second)
+	running, _ := w.checker.Counts()
+	var deafened []upMachine
+	deafen := func() {
+		for i, m := range w.runningMachines() {
+			if i%2 == n%2 {
+				deafened = append(deafened, deaf(d, m)...)
+			}
+		}
+	}
+	if before >= 0 {
+		deafen()
+		time.Sleep(before)
+	}
+	token, first := w.token(), w.anyLeader()
+	w.kill(first, 20*time.Second)
+	if before < 0 {
+		time.Sleep(-before)
+		deafen()
+	}
+	if before < d {
+		for w.token() == token {
+			time.Sleep(100 * time.Millisecond)
+		}
+	}
+	time.Sleep(d + 10*time.Second)
+	lost, up := 0, w.runningMachines()
+	for _, m := range deafened {
+		if lost += m.ExpiredLeases(); !slices.Contains(up, m) {
+			lost++ // it was given up
+		}
+	}
+	if running < 15 || len(deafened) < 2 || w.token() == token || d > workerLease+5*time.Second && lost == 0 {
+		t.Errorf("%d tasks ran, %d machines were deaf, %d lost what they had, term %d after %d", running, len(deafened), lost, w.token(), token)
+	}
+	w.finish(15 * time.Minute)
+	w.checkResults()
+}
+
+// submitLongJobs submits spot work with long tasks: arrays, gangs in one zone and over two, and a
+// spread service.
+func (w *simulation) submitLongJobs() {
+	job := func(id string, shape wire.Shape, tasks int, run, until time.Duration, change ...func(*wire.Job)) {
+		w.user(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
+	}
+	saves := func(j *wire.Job) { j.CheckpointS, j.SaveS = 10, 1 }
+	job("wk-1", wire.Array, 9, 70*time.Second, 0, red)
+	job("wk-2", wire.Gang, 4, 80*time.Second, 0, oneZone, saves)
+	job("wk-3", wire.Gang, 4, 90*time.Second, 0, spread, saves)
+	job("wk-4", wire.Service, 6, forever, 4*time.Minute, spread)
+	job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, oneZone)
+}
+
 // heartbeatFaults are the additional faults of TestLateHeartbeats.
 var heartbeatFaults = []fault{
 	{"some machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -197,158 +197,209 @@
 
 // run simulates the day.
 func (d cancelHandoverCase) run(t *testing.T) {
-	rng := rand.New(rand.NewPCG(d.seed, 32))
-	var set sync.Map
-	w := newProxiedSimulation(t, d.count, d.seed, func(c *config.Config) {
-		by, _ := set.LoadOrStore(c.Name, d.sharding)
-		c.Tuning.Shards.By, c.Zone = by.(string), []string{"a", "b"}[controllerNumber(c.Name)%2]
-	})
+	r := newCancelHandoverRun(t, d)
 	log(d)
 	defer func() {
 		if t.Failed() {
 			t.Log(d)
 		}
 	}()
-	r := w.newCommitObserver()
-	var hold atomic.Int64
-	w.reconfigureMachines(2*time.Second, func() time.Duration { return time.Duration(hold.Load()) })
+	r.observer = r.newCommitObserver()
+	r.reconfigureMachines(2*time.Second, func() time.Duration { return time.Duration(r.hold.Load()) })
 	time.Sleep(8 * time.Second)
-	const long = 10 * time.Minute
-	var ended []*client
-	for i, j := range []*wire.Job{jobOf("wk-1", wire.Array, 3, long), jobOf("wk-2", wire.Gang, 2, long, saves, oneZone), jobOf("wk-3", wire.Gang, 2, long, spread),
-		jobOf("wk-4", wire.Service, 3, forever, spread), jobOf("wk-5", wire.Array, 2, long, saves, red)} {
-		if i%3 != int(d.seed)%3 { // or there would be much of everything on each day
-			ended = append(ended, w.submitter(d.seed, j, 0, 0, forever))
-		}
-	}
-	w.submitter(d.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // which stays
-	if !waitUntil(45*time.Second, func() bool {
-		for _, c := range ended {
-			if w.checker.Running(c.job.ID) < c.job.Tasks {
-				return false
-			}
-		}
-		return true
-	}) {
-		t.Error("not all run that is to be cancelled")
-	}
-	if d.kind == handoverByRelease { // by the one that is left, once the others are back
-		for i := range w.count {
-			if i != w.leaderOf("a") {
-				w.kill(i, 25*time.Second)
-			}
-		}
-		waitUntil(20*time.Second, func() bool { return w.leaderOf("b") == w.leaderOf("a") })
-		time.Sleep(8 * time.Second)
+	r.startJobs()
+	if d.kind == handoverByRelease {
+		r.prepareRelease()
 	}
-	term, holders := w.token(), w.leaders()
-	old := w.anyLeader()
+	token, leaders := r.token(), r.leaders()
+	r.previous = r.anyLeader()
 
-	r.mu.Lock()
-	claimed := r.claimed
-	r.mu.Unlock()
-	event := make(chan time.Time, 1)
-	cast := func() {
-		event <- time.Now()
-		switch d.kind {
-		case handoverByRelease:
-		case handoverByReshard:
-			to := map[string]string{"off": "zone", "zone": "off"}[d.sharding]
-			for i := range w.count {
-				set.Store(fmt.Sprint("c-", i), to)
-			}
-			for _, i := range rng.Perm(w.count) {
-				w.crash(i, restartDelay(rng), 0)
-			}
-		default:
-			w.handOverAll(handoverKinds[d.kind].apply, rng)
-		}
-	}
-	var told []time.Time
-	var mu sync.Mutex
-	cancel := func() {
-		log("cancelled")
-		for _, c := range ended {
-			w.group.Go(func() {
-				status := 0
-				switch d.controller {
-				case 1:
-					status = c.cancel(max(0, old))
-				case 2:
-					status = c.cancel((max(0, old) + 1 + int(d.seed)%(w.count-1)) % w.count)
-				}
-				if status != 200 {
-					c.untilAnswered(c.cancel)
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				told = append(told, time.Now())
-			})
-		}
-	}
-	if d.lastRound < 3 { // the work changes hands with a launch, which is to be cancelled too
-		if d.lastRound == 2 {
-			hold.Store(int64(40*time.Second + time.Duration(rng.IntN(15000))*time.Millisecond))
-		}
-		r.mu.Lock()
-		r.lastJob, r.fate, r.onLastLaunch = "wk-9", []simulator.Fate{simulator.FateAnswered, simulator.FateReplyLost, simulator.FateAnswered}[d.lastRound], cast
-		r.mu.Unlock()
-		ended = append(ended, w.submitter(d.seed, jobOf("wk-9", wire.Array, 3, long), 0, 0, forever))
-	} else {
-		w.group.Go(func() {
-			time.Sleep(3 * time.Second)
-			cast()
-		})
-	}
+	r.observer.mu.Lock()
+	claimed := r.observer.claimed
+	r.observer.mu.Unlock()
+	r.triggerHandover()
 	if d.lastRound == 3 && !d.afterClaim && d.cancelAt < 0 {
 		time.Sleep(3*time.Second + d.cancelAt)
-		cancel()
+		r.cancel()
 	}
 	var begun time.Time
 	select {
-	case begun = <-event:
+	case begun = <-r.begun:
 	case <-time.After(30 * time.Second):
 		t.Error("nothing was launched")
 		begun = time.Now()
-		w.group.Go(cast)
+		r.group.Go(r.handOver)
 	}
 	if !d.afterClaim && (d.cancelAt >= 0 || d.lastRound < 3) {
 		time.Sleep(max(0, d.cancelAt))
-		cancel()
+		r.cancel()
 	}
 	var at time.Time
 	select {
 	case <-claimed:
 		at = time.Now()
 	case <-time.After(time.Minute):
-		t.Errorf("nobody claimed anything: %v, %v before", w.leaders(), holders)
+		t.Errorf("nobody claimed anything: %v, %v before", r.leaders(), leaders)
 		at = time.Now()
 	}
 	if d.afterClaim {
 		time.Sleep(d.cancelAt)
-		cancel()
+		r.cancel()
 	}
 	time.Sleep(time.Until(begun.Add(20 * time.Second)))
-	hold.Store(0)
-	for _, c := range ended {
-		if !waitUntil(40*time.Second, func() bool { return w.checker.Stage(c.job.ID) == wire.Cancelled }) {
-			t.Errorf("%s is %s", c.job.ID, w.checker.Stage(c.job.ID))
+	r.hold.Store(0)
+	r.finish(token, at)
+}
+
+// cancelHandoverRun is the simulation of a cancelHandoverCase.
+type cancelHandoverRun struct {
+	*simulation
+	cancelHandoverCase
+	rng       *rand.Rand
+	shardings sync.Map // by controller, for the next start
+	observer  *commitObserver
+	hold      atomic.Int64 // delay of direct calls
+	clients   []*client    // of the jobs to cancel
+	previous  int          // leader before the handover
+	begun     chan time.Time
+
+	mu        sync.Mutex
+	confirmed []time.Time // cancellations
+}
+
+func newCancelHandoverRun(t *testing.T, d cancelHandoverCase) *cancelHandoverRun {
+	r := &cancelHandoverRun{cancelHandoverCase: d, rng: rand.New(rand.NewPCG(d.seed, 32)), begun: make(chan time.Time, 1)}
+	r.simulation = newProxiedSimulation(t, d.count, d.seed, func(c *config.Config) {
+		by, _ := r.shardings.LoadOrStore(c.Name, d.sharding)
+		c.Tuning.Shards.By, c.Zone = by.(string), []string{"a", "b"}[controllerNumber(c.Name)%2]
+	})
+	return r
+}
+
+// longRun is the run time of the jobs that are cancelled.
+const longRun = 10 * time.Minute
+
+// startJobs submits jobs of every shape and waits until those that are to be cancelled run.
+func (r *cancelHandoverRun) startJobs() {
+	for i, j := range []*wire.Job{jobOf("wk-1", wire.Array, 3, longRun), jobOf("wk-2", wire.Gang, 2, longRun, saves, oneZone), jobOf("wk-3", wire.Gang, 2, longRun, spread),
+		jobOf("wk-4", wire.Service, 3, forever, spread), jobOf("wk-5", wire.Array, 2, longRun, saves, red)} {
+		if i%3 != int(r.seed)%3 { // or there would be much of everything on each day
+			r.clients = append(r.clients, r.submitter(r.seed, j, 0, 0, forever))
 		}
 	}
-	time.Sleep(30 * time.Second) // what is to hold up the leader is over
-	if w.token() == term {
-		t.Error("nothing changed hands")
+	r.submitter(r.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // which stays
+	if !waitUntil(45*time.Second, func() bool {
+		for _, c := range r.clients {
+			if r.checker.Running(c.job.ID) < c.job.Tasks {
+				return false
+			}
+		}
+		return true
+	}) {
+		r.t.Error("not all run that is to be cancelled")
 	}
-	w.finishQuietly(0, 10*time.Minute)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, name := range r.launchesAfterCancel {
-		t.Errorf("%s is decided on after its job is cancelled", name)
+}
+
+// prepareRelease kills all controllers but one, which releases a shard once the others are back.
+func (r *cancelHandoverRun) prepareRelease() {
+	for i := range r.simulation.count {
+		if i != r.leaderOf("a") {
+			r.kill(i, 25*time.Second)
+		}
+	}
+	waitUntil(20*time.Second, func() bool { return r.leaderOf("b") == r.leaderOf("a") })
+	time.Sleep(8 * time.Second)
+}
+
+// handOver starts the handover.
+func (r *cancelHandoverRun) handOver() {
+	r.begun <- time.Now()
+	switch r.kind {
+	case handoverByRelease:
+	case handoverByReshard:
+		to := map[string]string{"off": "zone", "zone": "off"}[r.sharding]
+		for i := range r.simulation.count {
+			r.shardings.Store(fmt.Sprint("c-", i), to)
+		}
+		for _, i := range r.rng.Perm(r.simulation.count) {
+			r.crash(i, restartDelay(r.rng), 0)
+		}
+	default:
+		r.handOverAll(handoverKinds[r.kind].apply, r.rng)
+	}
+}
+
+// triggerHandover has the handover start with the launch of a job that is to be cancelled too, or
+// after three seconds.
+func (r *cancelHandoverRun) triggerHandover() {
+	if r.lastRound == 3 {
+		r.group.Go(func() {
+			time.Sleep(3 * time.Second)
+			r.handOver()
+		})
+		return
+	}
+	if r.lastRound == 2 {
+		r.hold.Store(int64(40*time.Second + time.Duration(r.rng.IntN(15000))*time.Millisecond))
+	}
+	r.observer.mu.Lock()
+	r.observer.lastJob, r.observer.onLastLaunch = "wk-9", r.handOver
+	r.observer.fate = []simulator.Fate{simulator.FateAnswered, simulator.FateReplyLost, simulator.FateAnswered}[r.lastRound]
+	r.observer.mu.Unlock()
+	r.clients = append(r.clients, r.submitter(r.seed, jobOf("wk-9", wire.Array, 3, longRun), 0, 0, forever))
+}
+
+// cancel has all users cancel their jobs.
+func (r *cancelHandoverRun) cancel() {
+	log("cancelled")
+	for _, c := range r.clients {
+		r.group.Go(func() {
+			status := 0
+			switch r.controller {
+			case 1:
+				status = c.cancel(max(0, r.previous))
+			case 2:
+				status = c.cancel((max(0, r.previous) + 1 + int(r.seed)%(r.simulation.count-1)) % r.simulation.count)
+			}
+			if status != 200 {
+				c.untilAnswered(c.cancel)
+			}
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.confirmed = append(r.confirmed, time.Now())
+		})
+	}
+}
+
+// finish waits for the end of the cancelled jobs and checks the day. The token is that before the
+// handover, claimed the time of the election.
+func (r *cancelHandoverRun) finish(token uint64, claimed time.Time) {
+	for _, c := range r.clients {
+		if !waitUntil(40*time.Second, func() bool { return r.checker.Stage(c.job.ID) == wire.Cancelled }) {
+			r.t.Errorf("%s is %s", c.job.ID, r.checker.Stage(c.job.ID))
+		}
 	}
-	for _, when := range told {
-		confirmedAt[map[bool]int{false: 0, true: 1}[!when.Before(at)]+map[bool]int{true: 1}[when.Sub(at) > time.Second]].Add(1)
+	time.Sleep(30 * time.Second) // what is to delay the leader is over
+	if r.token() == token {
+		r.t.Error("nothing changed hands")
+	}
+	r.finishQuietly(0, 10*time.Minute)
+	r.observer.mu.Lock()
+	defer r.observer.mu.Unlock()
+	for _, name := range r.observer.launchesAfterCancel {
+		r.t.Errorf("%s is decided on after its job is cancelled", name)
+	}
+	for _, when := range r.confirmed {
+		switch {
+		case when.Before(claimed):
+			confirmedAt[0].Add(1)
+		case when.Sub(claimed) <= time.Second:
+			confirmedAt[1].Add(1)
+		default:
+			confirmedAt[2].Add(1)
+		}
 	}
-	if cancelHandoversPlayed.Add(1); d.lastRound < 3 && !r.launched["wk-9"].IsZero() {
+	if cancelHandoversPlayed.Add(1); r.lastRound < 3 && !r.observer.launched["wk-9"].IsZero() {
 		lastLaunches.Add(1)
 	}
 }
