--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -608,17 +608,13 @@
 func (g outageCase) run(t *testing.T, seed uint64) (m outageResult) {
 	w := newOutageSimulation(t, g, seed)
 	time.Sleep(8 * time.Second)
-	var rest []string // that nobody cancels, and that all ask about
-	for i := range 6 {
-		rest = append(rest, fmt.Sprint("wk-00001", i))
-		w.submitTo(i%g.nodes, &wire.Job{ID: rest[i], Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 0.5, GPUs: 0.25, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true})
-	}
+	rest := w.submitUncancelled()
 	jobs, last := outageJobs(true), outageJobs(false)
 	for _, j := range jobs {
 		w.submitTo(1, j)
 	}
 	time.Sleep(25 * time.Second)
-	leader, term := w.firstLeader()
+	leader, token := w.firstLeader()
 	if leader < 0 || len(w.workers) == 0 {
 		t.Fatal("nobody holds the fleet, or there is no machine")
 	}
@@ -628,18 +624,9 @@
 			others = append(others, i)
 		}
 	}
-	// These are launched while the holder is served, or just before it is refused.
+	// These are launched while the leader is served, or just before it is refused.
 	w.prepareTasks(others[0], last, g.cancel+max(g.refusedFor, 0)+5*time.Second)
-	w.partitionMachines(leader, others, true)
-	if g.hasExtra("cloud") {
-		w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
-	}
-	w.setReadsBlocked(leader, g.hasExtra("blind"))
-	if g.refusedFor >= 0 {
-		w.store.RefuseCaller(w.ip(leader), !g.hasExtra("blind"))
-	}
-	refused := time.Now()
-	time.Sleep(max(g.refusedFor, 0))
+	refused := w.refuseLeader(leader, others)
 	w.mu.Lock()
 	w.callDelay, m.heldCalls = 0, w.heldCalls
 	w.mu.Unlock()
@@ -655,17 +642,7 @@
 	}
 	on := w.watcher.machines(ids)
 	m.taskStates = w.states(ids)
-	var told sync.WaitGroup
-	for k, id := range ids {
-		a, b := others[k%len(others)], others[(k+1)%len(others)]
-		told.Go(func() { w.confirm(id, a, b) })
-		if g.hasExtra("both") {
-			told.Go(func() { w.confirm(id, b, a) })
-		}
-	}
-	told.Wait()
-	confirmed := time.Now()
-	w.store.Configure(func(s *simulator.StateService) { s.FateOf = nil })
+	confirmed := w.confirmAll(ids, others)
 	m.uncancelledTasks, m.uncancelledKilled = len(rest), -w.watcher.goneCount(rest)
 	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
 	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancel - g.lease + time.Second) })
@@ -681,14 +658,61 @@
 		w.playOutage(w.ip(leader), false)
 	}
 	m.uncancelledKilled += w.watcher.goneCount(rest)
-	time.Sleep(max(0, g.cancel+15*time.Second-time.Since(confirmed))) // what was held up has come, and an image since
+	time.Sleep(max(0, g.cancel+15*time.Second-time.Since(confirmed))) // delayed messages and images have arrived
 	from := confirmed
 	if g.refusedFor > g.cancel-g.lease-13*time.Second || g.hasExtra("apart") { // it may have stopped by then
 		from = refused
 	}
-	all, by := w.watcher.answersSince(from, term, on)
+	all, by := w.watcher.answersSince(from, token, on)
 	m.directAnswers = by[w.ip(leader)]
 	m.relayedAnswers = all - m.directAnswers
+	w.finishCase(leader, others, rest, &m)
+	return m
+}
+
+// submitUncancelled submits jobs that nobody cancels and that every controller is asked about.
+func (w *outageSimulation) submitUncancelled() (ids []string) {
+	for i := range 6 {
+		ids = append(ids, fmt.Sprint("wk-00001", i))
+		w.submitTo(i%w.outageCase.nodes, &wire.Job{ID: ids[i], Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 0.5, GPUs: 0.25, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true})
+	}
+	return ids
+}
+
+// refuseLeader separates the leader as the case says, lets that last, and returns when it began.
+func (w *outageSimulation) refuseLeader(leader int, others []int) (refused time.Time) {
+	g := w.outageCase
+	w.partitionMachines(leader, others, true)
+	if g.hasExtra("cloud") {
+		w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
+	}
+	w.setReadsBlocked(leader, g.hasExtra("blind"))
+	if g.refusedFor >= 0 {
+		w.store.RefuseCaller(w.ip(leader), !g.hasExtra("blind"))
+	}
+	refused = time.Now()
+	time.Sleep(max(g.refusedFor, 0))
+	return refused
+}
+
+// confirmAll cancels jobs through the other controllers, and returns when all were confirmed.
+func (w *outageSimulation) confirmAll(ids []string, others []int) (confirmed time.Time) {
+	var told sync.WaitGroup
+	for k, id := range ids {
+		a, b := others[k%len(others)], others[(k+1)%len(others)]
+		told.Go(func() { w.confirm(id, a, b) })
+		if w.outageCase.hasExtra("both") {
+			told.Go(func() { w.confirm(id, b, a) })
+		}
+	}
+	told.Wait()
+	confirmed = time.Now()
+	w.store.Configure(func(s *simulator.StateService) { s.FateOf = nil })
+	return confirmed
+}
+
+// finishCase ends all faults, cancels the remaining jobs, and checks the rules.
+func (w *outageSimulation) finishCase(leader int, others []int, rest []string, m *outageResult) {
 	w.partitionMachines(leader, others, false)
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = false })
 	m.remainingTime = w.remainingTime()
@@ -701,7 +725,6 @@
 	}
 	w.finish(10 * time.Minute)
 	w.checkResults()
-	return m
 }
 
 // unmetConditions describes which fault of a case did not take effect, "" if all did.
@@ -785,11 +808,10 @@
 		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
-// TestCancelDuringOutage plays a fixed set of cases. AMBERDEAL_GAPS sets how many of all are
-// played instead, starting with the one that AMBERDEAL_GAP names.
-func TestCancelDuringOutage(t *testing.T) {
+// fixedOutageCases are the cases that are played by default.
+func fixedOutageCases() []outageCase {
 	s, ms := time.Second, time.Millisecond
-	list := []outageCase{
+	return []outageCase{
 		{3, 20 * s, 45 * s, "", 200, 2 * s, s, 60 * s, 0, 0, ""},
 		{5, 20 * s, 45 * s, "zone", 0, 4 * s, 500 * ms, 48 * s, 0, 0, "asked"},
 		{3, 31 * s, 56 * s, "", 200, 0, 0, 60 * s, 0, 0, "both"},
@@ -810,6 +832,12 @@
 		{3, 20 * s, 45 * s, "", 200, -3 * s, 5 * s, 0, 0, 0, "loose cloud"},
 		{3, 20 * s, 45 * s, "", 200, s, 2 * s, 48 * s, 0, 0, "loose apart cloud"},
 	}
+}
+
+// TestCancelDuringOutage plays a fixed set of cases. AMBERDEAL_GAPS sets how many of all are
+// played instead, starting with the one that AMBERDEAL_GAP names.
+func TestCancelDuringOutage(t *testing.T) {
+	list := fixedOutageCases()
 	first, fixed := 0, os.Getenv("AMBERDEAL_GAP")+os.Getenv("AMBERDEAL_GAPS") == ""
 	if text := os.Getenv("AMBERDEAL_GAP"); text != "" {
 		first, _ = strconv.Atoi(text)
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -489,29 +489,12 @@
 // playCombinedFaults simulates a day on which faults overlap while jobs of every shape run, among
 // them arrays whose tasks end far apart, and users cancel before, during and after the faults at
 // all controllers. Afterwards no fault is active.
-func playCombinedFaults(t *testing.T, number uint64, troubles ...*combinedFault) {
+func playCombinedFaults(t *testing.T, number uint64, faults ...*combinedFault) {
 	rng := rand.New(rand.NewPCG(number, 20))
-	// Each comes around a bound after the one before it has begun, or about when that ends.
-	lengths, offsets := make([]time.Duration, len(troubles)), make([]time.Duration, len(troubles))
-	for k, x := range troubles {
-		lengths[k] = nearBound(rng, x.minLength, x.maxLength)
-	}
-	for k := range troubles[1:] {
-		if offsets[k+1] = nearBound(rng, 0, 46*sec); rng.IntN(2) == 0 {
-			offsets[k+1] = max(0, lengths[k]+time.Duration(rng.IntN(5000)-1500)*time.Millisecond)
-		}
-	}
-	by, count := []string{"off", "zone"}[rng.IntN(2)], []int{3, 3, 5}[rng.IntN(3)]
-	keep := []int{0, 2, 200}[rng.IntN(3)]
-	silence := []time.Duration{0, 0, time.Hour}[rng.IntN(3)]
-	told := fmt.Sprintf("case %d:", number)
-	for k, x := range troubles {
-		told += fmt.Sprintf(" %v later %s for %v;", offsets[k], x.name, lengths[k])
-	}
-	told += fmt.Sprintf(" parts %s, %d controllers, %d reports kept, silence %v", by, count, keep, silence)
-	w := newProxiedSimulation(t, count, number, func(c *config.Config) {
+	d := drawCombination(rng, number, faults)
+	w := newProxiedSimulation(t, d.count, number, func(c *config.Config) {
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
-		c.Tuning.Shards.By, c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout = by, keep, silence
+		c.Tuning.Shards.By, c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout = d.sharding, d.directHeartbeats, d.heartbeatTimeout
 	})
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
 	w.checker.Liveness.MaxPending = 4 * time.Minute
@@ -519,43 +502,84 @@
 	m := &faultCombination{simulation: w, number: number, faultRNG: rng}
 	defer func() {
 		if t.Failed() {
-			t.Log(told)
+			t.Log(d)
 		}
 	}()
-	log(told)
+	log(d)
 
 	begins := 24*sec + time.Duration(rng.IntN(6000))*time.Millisecond
-	starts, over, at := make([]time.Duration, len(troubles)), time.Duration(0), begins
-	for k := range troubles {
-		at += offsets[k]
-		starts[k], over = at, max(over, at+lengths[k])
+	starts, over, at := make([]time.Duration, len(faults)), time.Duration(0), begins
+	for k := range faults {
+		at += d.offsets[k]
+		starts[k], over = at, max(over, at+d.lengths[k])
 	}
 	m.submitJobs(begins, starts[1], over)
-	start, term := time.Now(), uint64(0)
-	for k, x := range troubles {
+	start, token := time.Now(), uint64(0)
+	for k, x := range faults {
 		time.Sleep(time.Until(start.Add(starts[k])))
 		if k == 0 {
-			term = w.token()
+			token = w.token()
 		}
 		m.pickTarget()
-		log(x.name, "for", lengths[k], "about", m.target)
-		x.apply(m, lengths[k])
+		log(x.name, "for", d.lengths[k], "about", m.target)
+		x.apply(m, d.lengths[k])
 	}
 	time.Sleep(time.Until(start.Add(over)))
 	log("quiet")
 	w.finishQuietly(100*sec, 10*time.Minute)
+	m.countEffects(token, d.sharding)
+}
+
+// drawnCombination is how a combination of faults is played.
+type drawnCombination struct {
+	number           uint64
+	faults           []*combinedFault
+	lengths, offsets []time.Duration // an offset is from the start of the previous fault
+	sharding         string
+	count            int // of controllers
+	directHeartbeats int
+	heartbeatTimeout time.Duration
+}
+
+// drawCombination draws when each fault starts, how long it lasts, and the controllers' settings.
+func drawCombination(rng *rand.Rand, number uint64, faults []*combinedFault) drawnCombination {
+	// Each comes around a bound after the start of the previous one, or around its end.
+	d := drawnCombination{number: number, faults: faults, lengths: make([]time.Duration, len(faults)), offsets: make([]time.Duration, len(faults))}
+	for k, x := range faults {
+		d.lengths[k] = nearBound(rng, x.minLength, x.maxLength)
+	}
+	for k := range faults[1:] {
+		if d.offsets[k+1] = nearBound(rng, 0, 46*sec); rng.IntN(2) == 0 {
+			d.offsets[k+1] = max(0, d.lengths[k]+time.Duration(rng.IntN(5000)-1500)*time.Millisecond)
+		}
+	}
+	d.sharding, d.count = []string{"off", "zone"}[rng.IntN(2)], []int{3, 3, 5}[rng.IntN(3)]
+	d.directHeartbeats = []int{0, 2, 200}[rng.IntN(3)]
+	d.heartbeatTimeout = []time.Duration{0, 0, time.Hour}[rng.IntN(3)]
+	return d
+}
+
+func (d drawnCombination) String() string {
+	text := fmt.Sprintf("case %d:", d.number)
+	for k, x := range d.faults {
+		text += fmt.Sprintf(" %v later %s for %v;", d.offsets[k], x.name, d.lengths[k])
+	}
+	return text + fmt.Sprintf(" parts %s, %d controllers, %d reports kept, silence %v", d.sharding, d.count, d.directHeartbeats, d.heartbeatTimeout)
+}
 
+// countEffects adds what took effect to faultCounts. token is that before the first fault.
+func (m *faultCombination) countEffects(token uint64, sharding string) {
 	faultCounts.played.Add(1)
-	late, taken := w.store.DelayedCounts()
+	late, taken := m.store.DelayedCounts()
 	faultCounts.putOff.Add(int64(late))
 	faultCounts.putOffTaken.Add(int64(taken))
-	faultCounts.echoes.Add(int64(w.replayer.Delivered()) - m.replayedToNewLeader.Load())
+	faultCounts.echoes.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
 	faultCounts.kept.Add(m.replayedToNewLeader.Load())
-	faultCounts.takeovers.Add(int64(w.token() - term))
-	faultCounts.cancelled.Add(w.tasks.cancelled.Load())
-	faultCounts.looks.Add(w.tasks.polls.Load())
-	faultCounts.quick.Add(w.tasks.startsAtBoot.Load())
-	if by == "zone" {
+	faultCounts.takeovers.Add(int64(m.token() - token))
+	faultCounts.cancelled.Add(m.tasks.cancelled.Load())
+	faultCounts.looks.Add(m.tasks.polls.Load())
+	faultCounts.quick.Add(m.tasks.startsAtBoot.Load())
+	if sharding == "zone" {
 		faultCounts.twoParts.Add(1)
 	}
 }
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -184,24 +184,7 @@
 	if word != "" {
 		path += "/" + word
 	}
-	under := &x.openReads
-	if word != "" {
-		under = &x.openCancels
-	} else if method == "POST" {
-		under = &x.openSubmits
-	}
-	l.mu.Lock()
-	sent, slow, told, at, by := time.Now(), int(l.slowController.Load()) == i, x.stage, x.firstToldAt, x.toldBy
-	back := l.restartedAt[i]
-	others := l.openCalls[i]
-	l.openCalls[i]++
-	*under++
-	x.cancelRequested = x.cancelRequested || word != ""
-	if x.openSubmits > 0 && x.openReads > 0 && x.openCancels > 0 {
-		l.overlaps["submission, question and cancellation under way"]++
-	}
-	l.mu.Unlock()
-
+	before := l.beginRequest(i, x, method, word)
 	call := l.answers.BeginCall()
 	resp, err := l.request(i, 5*time.Second, method, path, body)
 	var s wire.JobStatus
@@ -218,33 +201,78 @@
 		l.answers.ObserveStatus(x.job.ID, call, status, s.Stage)
 	}
 	known := status == 200 || status == 201
+	news := l.endRequest(i, x, before, status, s.Stage)
+	otherBody := known && method == "POST" && word == "" && before.stage != "" && !bytes.Equal(body, wire.Encode(x.job))
+	l.noteOverlaps(i, before, status, otherBody)
+	if news {
+		l.requestAll(x)
+	}
+	return status, s.Stage
+}
+
+// beforeRequest is what was true when a request was sent.
+type beforeRequest struct {
+	open        *int // calls of its kind under way
+	sent        time.Time
+	slow        bool       // it goes to the controller with the delayed link
+	stage       wire.Stage // the last that any user was told
+	toldAt      time.Time
+	toldBy      int
+	restartedAt time.Time // of the controller
+	others      int       // calls under way at the controller
+}
 
+// beginRequest counts a request as under way.
+func (l *concurrentReads) beginRequest(i int, x *readJob, method, word string) beforeRequest {
+	open := &x.openReads
+	if word != "" {
+		open = &x.openCancels
+	} else if method == "POST" {
+		open = &x.openSubmits
+	}
 	l.mu.Lock()
+	defer l.mu.Unlock()
+	b := beforeRequest{open, time.Now(), int(l.slowController.Load()) == i, x.stage, x.firstToldAt, x.toldBy, l.restartedAt[i], l.openCalls[i]}
+	l.openCalls[i]++
+	*open++
+	x.cancelRequested = x.cancelRequested || word != ""
+	if x.openSubmits > 0 && x.openReads > 0 && x.openCancels > 0 {
+		l.overlaps["submission, question and cancellation under way"]++
+	}
+	return b
+}
+
+// endRequest has an answer checked, and reports whether it is news to every user.
+func (l *concurrentReads) endRequest(i int, x *readJob, b beforeRequest, status int, stage wire.Stage) (news bool) {
+	known := status == 200 || status == 201
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.openCalls[i]--
-	*under--
-	news := known && (x.stage == "" || s.Stage.Final() && !x.stage.Final())
+	*b.open--
+	news = known && (x.stage == "" || stage.Final() && !x.stage.Final())
 	if news {
-		x.stage, x.firstToldAt, x.toldBy = s.Stage, time.Now(), i
+		x.stage, x.firstToldAt, x.toldBy = stage, time.Now(), i
 	}
-	if known && (s.Stage.Final() || !x.stage.Final()) {
-		l.checker.ObserveAnswer(x.job.ID, status, s.Stage, x.cancelRequested)
+	if known && (stage.Final() || !x.stage.Final()) {
+		l.checker.ObserveAnswer(x.job.ID, status, stage, x.cancelRequested)
 	}
-	l.mu.Unlock()
+	return news
+}
 
-	soon := told != "" && by != i && sent.Sub(at) <= 5*time.Millisecond
-	where := map[bool]string{true: "late", false: "another"}[slow]
-	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", where, told), soon && known)
-	l.noteOverlap("answered late and not alone", slow && others > 0 && known && sent.Before(time.Now()))
-	l.noteOverlap("known in other words", known && method == "POST" && word == "" && told != "" && !bytes.Equal(body, wire.Encode(x.job)))
+// noteOverlaps counts which overlaps a request to a controller had. otherBody says that it was a
+// submission with another content which was answered as known.
+func (l *concurrentReads) noteOverlaps(i int, b beforeRequest, status int, otherBody bool) {
+	known := status == 200 || status == 201
+	soon := b.stage != "" && b.toldBy != i && b.sent.Sub(b.toldAt) <= 5*time.Millisecond
+	where := map[bool]string{true: "late", false: "another"}[b.slow]
+	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", where, b.stage), soon && known)
+	l.noteOverlap("answered late and not alone", b.slow && b.others > 0 && known && b.sent.Before(time.Now()))
+	l.noteOverlap("known in other words", otherBody)
 	l.noteOverlap("refused while not known", status == 400 || status == 422)
-	l.noteOverlap("vain at a new one", !known && status != 404 && sent.Sub(back) < 200*time.Millisecond)
-	l.noteOverlap("answered by a new one", known && sent.Sub(back) < 2*time.Second)
+	l.noteOverlap("vain at a new one", !known && status != 404 && b.sent.Sub(b.restartedAt) < 200*time.Millisecond)
+	l.noteOverlap("answered by a new one", known && b.sent.Sub(b.restartedAt) < 2*time.Second)
 	l.noteOverlap(where+" answers", known || status == 404)
 	l.noteOverlap(where+" is asked in vain", status == 0 || status >= 429)
-	if news {
-		l.requestAll(x)
-	}
-	return status, s.Stage
 }
 
 // requestAll has users ask all controllers within milliseconds.
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -415,43 +415,12 @@
 // service, through the given proxy: jobs are submitted, end and are compacted, the fleet is
 // divided into shards and merged again, the tiers change, and leaders end and restart.
 func playAllWritesDay(t *testing.T, seed uint64, count int, between func(w *simulation) *delayProxy) {
-	var mu sync.Mutex
-	by, tiers := map[string]string{}, map[string]bool{}
-	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
-		mu.Lock()
-		defer mu.Unlock()
-		c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379)
-		c.Tuning.Shards.By = by[c.Name]
-		c.Store.ValueBytes = 2048 // many slots
-		if tiers[c.Name] {
-			twoTiers(c)
-		}
-	})
+	d := newAllWritesDay(t, seed, count)
+	w := d.simulation
 	l := between(w)
 	for i := range w.count {
 		l.listen(w.ctx, fmt.Sprint("c-", i), fmt.Sprint("10.2.1.", i))
 	}
-	roll := func(set func(name string)) {
-		for i := range w.count {
-			mu.Lock()
-			set(fmt.Sprint("c-", i))
-			mu.Unlock()
-			w.kill(i, time.Second)
-			time.Sleep(6 * time.Second)
-		}
-		time.Sleep(25 * time.Second)
-	}
-	jobs := func(n uint64) {
-		w.group.Add(1)
-		go func() {
-			defer w.group.Done()
-			w.submit(100*seed+n, 12)
-		}()
-		time.Sleep(25 * time.Second)
-	}
-	small := func(id string) { // many tasks, so that the ledger grows, and shrinks later
-		w.user(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
-	}
 	if seed >= 2 {
 		w.group.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, 13))
@@ -463,34 +432,34 @@
 		})
 	}
 	w.startService("wk-1", 7*time.Minute)
-	small("wk-2")
-	jobs(1)
+	d.manyTasks("wk-2")
+	d.someJobs(1)
 	w.kill(int((w.leaders()["fleet"] + "c-0")[2]-'0'), 3*time.Second)
-	jobs(2)
-	roll(func(name string) { by[name] = "zone" })
-	jobs(3)
+	d.someJobs(2)
+	d.roll(func(name string) { d.shardings[name] = "zone" })
+	d.someJobs(3)
 	for try := 0; try < 5 && l.countOf("part given back") == 0; try++ {
 		for i := 1; i < w.count; i++ { // the one that is left takes all, and gives back
 			w.kill(i, 30*time.Second)
 		}
 		time.Sleep(75 * time.Second)
 	}
-	roll(func(name string) { tiers[name] = true })
-	jobs(4)
-	roll(func(name string) { by[name] = "off" })
-	small("wk-3")
-	jobs(5)
-	roll(func(name string) { tiers[name] = false })
+	d.roll(func(name string) { d.tiers[name] = true })
+	d.someJobs(4)
+	d.roll(func(name string) { d.shardings[name] = "off" })
+	d.manyTasks("wk-3")
+	d.someJobs(5)
+	d.roll(func(name string) { d.tiers[name] = false })
 	time.Sleep(time.Minute) // what was in the ledger goes
 	for i := range 20 {
 		w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		time.Sleep(2 * time.Second)
 	}
 	w.declareQuiet()
-	homes := func() int { return len(w.store.Page(store.BatchKey(""), "", 0).Items) }
-	for begun := time.Now(); homes() > 0 && time.Since(begun) < 20*time.Minute; time.Sleep(5 * time.Second) {
+	batches := func() int { return len(w.store.Page(store.BatchKey(""), "", 0).Items) }
+	for begun := time.Now(); batches() > 0 && time.Since(begun) < 20*time.Minute; time.Sleep(5 * time.Second) {
 	}
-	if n := homes(); n > 0 {
+	if n := batches(); n > 0 {
 		t.Errorf("%d batches of jobs are never folded", n)
 	}
 	w.finish(20 * time.Minute)
@@ -500,6 +469,58 @@
 	}
 }
 
+// allWritesDay is a day whose controllers change their settings when they restart.
+type allWritesDay struct {
+	*simulation
+	seed uint64
+
+	mu        sync.Mutex
+	shardings map[string]string // by controller
+	tiers     map[string]bool   // controllers with two tiers
+}
+
+func newAllWritesDay(t *testing.T, seed uint64, count int) *allWritesDay {
+	d := &allWritesDay{seed: seed, shardings: map[string]string{}, tiers: map[string]bool{}}
+	d.simulation = newSimulationOf(t, count, seed, 0, func(c *config.Config) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379)
+		c.Tuning.Shards.By = d.shardings[c.Name]
+		c.Store.ValueBytes = 2048 // many slots
+		if d.tiers[c.Name] {
+			twoTiers(c)
+		}
+	})
+	return d
+}
+
+// roll changes the settings of all controllers, one after the other, and restarts each.
+func (d *allWritesDay) roll(set func(name string)) {
+	for i := range d.count {
+		d.mu.Lock()
+		set(fmt.Sprint("c-", i))
+		d.mu.Unlock()
+		d.kill(i, time.Second)
+		time.Sleep(6 * time.Second)
+	}
+	time.Sleep(25 * time.Second)
+}
+
+// someJobs submits jobs of every shape.
+func (d *allWritesDay) someJobs(n uint64) {
+	d.group.Add(1)
+	go func() {
+		defer d.group.Done()
+		d.submit(100*d.seed+n, 12)
+	}()
+	time.Sleep(25 * time.Second)
+}
+
+// manyTasks submits a job with so many tasks that the ledger grows, and shrinks later.
+func (d *allWritesDay) manyTasks(id string) {
+	d.user(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
+}
+
 // TestDelayedWrites delays writes of each kind past newer ones of the same controller. Of the days
 // outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other faults too and up
 // to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -11,73 +11,83 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// waitingJob is a job of a waiting case.
+type waitingJob struct {
+	shape    wire.Shape
+	team     string
+	priority wire.Priority
+	tasks    int
+	gpus     float64
+	run      time.Duration
+	change   func(*wire.Job)
+}
+
+// untilCancelled is the run time of jobs that only end when they are cancelled.
+const untilCancelled = 10 * time.Minute
+
+// waitingCases are jobs in the order of their submission. The last one can start.
+var waitingCases = map[string][]waitingJob{
+	"a task of its team needs more than the limit leaves": {
+		{wire.Array, "red", wire.High, 2, 4, 4 * time.Minute, nil},
+		{wire.Service, "blue", wire.Production, 3, 1, untilCancelled, nil},
+		{wire.Array, "red", wire.Normal, 1, 1, 20 * time.Second, nil}},
+	"one of the same priority does": {
+		{wire.Array, "red", wire.Normal, 2, 4, 4 * time.Minute, nil},
+		{wire.Service, "blue", wire.Production, 3, 1, untilCancelled, nil},
+		{wire.Array, "red", wire.Normal, 2, 1, 20 * time.Second, nil}},
+	"a gang of its team does": {
+		{wire.Service, "red", wire.Production, 1, 1, untilCancelled, nil},
+		{wire.Gang, "red", wire.High, 3, 2, 20 * time.Second, nil},
+		{wire.Array, "red", wire.Low, 1, 1, 20 * time.Second, nil}},
+	"a gang needs more than the cloud has": {
+		{wire.Service, "blue", wire.Production, 9, 1, untilCancelled, nil},
+		{wire.Gang, "blue", wire.High, 9, 4, 20 * time.Second, nil},
+		{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, nil},
+		{wire.Gang, "blue", wire.Low, 2, 1, 20 * time.Second, nil}},
+	"a gang needs more than its zone has": {
+		{wire.Service, "blue", wire.Production, 5, 1, untilCancelled, func(j *wire.Job) { j.Zone = "a" }},
+		{wire.Gang, "blue", wire.High, 5, 4, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }},
+		{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, func(j *wire.Job) { j.Zone = "a" }}},
+	"an array is larger than the cloud": {
+		{wire.Service, "blue", wire.Production, 4, 3, untilCancelled, nil},
+		{wire.Array, "blue", wire.High, 40, 4, 4 * time.Minute, nil},
+		{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, nil}},
+	"production that is spread finds its zone full": {
+		{wire.Array, "blue", wire.High, 4, 4, untilCancelled, func(j *wire.Job) { j.Zone = "b" }},
+		{wire.Service, "blue", wire.Production, 4, 3, untilCancelled, func(j *wire.Job) { j.Spread = true }},
+		{wire.Array, "blue", wire.Low, 2, 1, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }}},
+}
+
 // TestNoJobWaitsBesideIdleCapacity: without any fault, work that cannot start yet is ahead of a
 // job for which there is capacity and quota: that job has to start. AMBERDEAL_WAITING plays it
 // with one shard too.
 func TestNoJobWaitsBesideIdleCapacity(t *testing.T) {
-	type come struct {
-		shape    wire.Shape
-		team     string
-		priority wire.Priority
-		tasks    int
-		gpus     float64
-		run      time.Duration
-		change   func(*wire.Job)
-	}
-	const long = 10 * time.Minute
-	for name, jobs := range map[string][]come{
-		"a task of its team needs more than the limit leaves": {
-			{wire.Array, "red", wire.High, 2, 4, 4 * time.Minute, nil},
-			{wire.Service, "blue", wire.Production, 3, 1, long, nil},
-			{wire.Array, "red", wire.Normal, 1, 1, 20 * time.Second, nil}},
-		"one of the same priority does": {
-			{wire.Array, "red", wire.Normal, 2, 4, 4 * time.Minute, nil},
-			{wire.Service, "blue", wire.Production, 3, 1, long, nil},
-			{wire.Array, "red", wire.Normal, 2, 1, 20 * time.Second, nil}},
-		"a gang of its team does": {
-			{wire.Service, "red", wire.Production, 1, 1, long, nil},
-			{wire.Gang, "red", wire.High, 3, 2, 20 * time.Second, nil},
-			{wire.Array, "red", wire.Low, 1, 1, 20 * time.Second, nil}},
-		"a gang needs more than the cloud has": {
-			{wire.Service, "blue", wire.Production, 9, 1, long, nil},
-			{wire.Gang, "blue", wire.High, 9, 4, 20 * time.Second, nil},
-			{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, nil},
-			{wire.Gang, "blue", wire.Low, 2, 1, 20 * time.Second, nil}},
-		"a gang needs more than its zone has": {
-			{wire.Service, "blue", wire.Production, 5, 1, long, func(j *wire.Job) { j.Zone = "a" }},
-			{wire.Gang, "blue", wire.High, 5, 4, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }},
-			{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, func(j *wire.Job) { j.Zone = "a" }}},
-		"an array is larger than the cloud": {
-			{wire.Service, "blue", wire.Production, 4, 3, long, nil},
-			{wire.Array, "blue", wire.High, 40, 4, 4 * time.Minute, nil},
-			{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, nil}},
-		"production that is spread finds its zone full": {
-			{wire.Array, "blue", wire.High, 4, 4, long, func(j *wire.Job) { j.Zone = "b" }},
-			{wire.Service, "blue", wire.Production, 4, 3, long, func(j *wire.Job) { j.Spread = true }},
-			{wire.Array, "blue", wire.Low, 2, 1, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }}},
-	} {
+	for name, jobs := range waitingCases {
 		for _, by := range []string{"zone", "off"} {
 			if by == "off" && os.Getenv("AMBERDEAL_WAITING") == "" {
 				continue
 			}
 			t.Run(fmt.Sprint(name, ", parts ", by), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) {
-					w := newSimulation(t, 71, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
-					time.Sleep(8 * time.Second)
-					for i, c := range jobs {
-						j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: c.team, Shape: c.shape, Priority: c.priority, Tasks: c.tasks, CPUs: 1, GPUs: c.gpus, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: c.run.Seconds()}
-						if c.change != nil {
-							c.change(j)
-						}
-						w.user(j, c.run, 4*time.Minute)
-						time.Sleep(20 * time.Second)
-					}
-					w.declareQuiet()
-					time.Sleep(150 * time.Second)
-					w.finish(20 * time.Minute)
-					w.checkResults()
-				})
+				synctest.Test(t, func(t *testing.T) { playWaiting(t, jobs, by) })
 			})
 		}
 	}
 }
+
+// playWaiting submits jobs in their order; none may wait beside capacity for it.
+func playWaiting(t *testing.T, jobs []waitingJob, by string) {
+	w := newSimulation(t, 71, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
+	time.Sleep(8 * time.Second)
+	for i, c := range jobs {
+		j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: c.team, Shape: c.shape, Priority: c.priority, Tasks: c.tasks, CPUs: 1, GPUs: c.gpus, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: c.run.Seconds()}
+		if c.change != nil {
+			c.change(j)
+		}
+		w.user(j, c.run, 4*time.Minute)
+		time.Sleep(20 * time.Second)
+	}
+	w.declareQuiet()
+	time.Sleep(150 * time.Second)
+	w.finish(20 * time.Minute)
+	w.checkResults()
+}
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -10,74 +10,90 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// leaderEnds are the ways in which a leader ends.
+var leaderEnds = []struct {
+	name string
+	ends func(w *simulation, i int)
+}{
+	{"killed, back at once", func(w *simulation, i int) { w.crash(i, 100*time.Millisecond, 0) }},
+	{"killed, back after half a second, its last words are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
+	{"killed, back after 9 s", func(w *simulation, i int) { w.kill(i, 9*time.Second) }},
+	{"cut off from the state service and the others", func(w *simulation, i int) {
+		during(15*time.Second, func(on bool) { w.cutOff(i, on) })
+	}},
+	{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
+}
+
 // TestTenLeaders ends the leader every ten seconds, ten times in two minutes, in various ways; in
 // the middle the state service is out for a while, so that nobody can succeed some of them. Users
 // cancel around each end. All rules have to hold, what is not cancelled has to continue, and
 // afterwards nothing may wait.
 func TestTenLeaders(t *testing.T) {
-	ways := []struct {
-		name string
-		ends func(w *simulation, i int)
-	}{
-		{"killed, back at once", func(w *simulation, i int) { w.crash(i, 100*time.Millisecond, 0) }},
-		{"killed, back after half a second, its last words are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
-		{"killed, back after 9 s", func(w *simulation, i int) { w.kill(i, 9*time.Second) }},
-		{"cut off from the state service and the others", func(w *simulation, i int) {
-			during(15*time.Second, func(on bool) { w.cutOff(i, on) })
-		}},
-		{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
-	}
-	const every = 11 * time.Second
 	for n, c := range []struct {
 		count  int
 		by     string
 		outage time.Duration // 0 for none
 	}{{3, "off", 0}, {5, "off", 28 * time.Second}, {3, "zone", 50 * time.Second}, {5, "zone", 14 * time.Second}} {
 		t.Run(fmt.Sprint(c.count, " controllers, parts by ", c.by, ", an outage of ", c.outage), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				seed := uint64(300 + n)
-				w := newProxiedSimulation(t, c.count, seed, func(s *config.Config) { s.Tuning.Shards.By = c.by })
-				w.replayHeartbeats(seed, 0.05)
-				w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
-				w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
-				w.submitter(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, red), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
-				const begins = 26 * time.Second
-				for k := range 20 {
-					at, cancel := begins+time.Duration(k)*every/2, time.Duration(0)
-					if k%2 == 1 { // around an end
-						cancel = begins + time.Duration(k/2+1)*every + time.Duration(k-10)*200*time.Millisecond
-					}
-					w.submitter(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
-				}
-				time.Sleep(begins)
-				start, term, ended, inOutage := time.Now(), w.token(), 0, 0
-				out := func() bool {
-					return c.outage > 0 && time.Since(start) > 33*time.Second && time.Since(start) < 33*time.Second+c.outage
-				}
-				if c.outage > 0 {
-					time.AfterFunc(33*time.Second, func() { during(c.outage, w.store.SetOutage) })
-				}
-				for k := range 10 {
-					for w.anyLeader() < 0 || w.nodes[w.anyLeader()].down.Load() {
-						time.Sleep(50 * time.Millisecond)
-					}
-					way := ways[(k+n)%len(ways)]
-					log(way.name)
-					way.ends(w, w.anyLeader())
-					if ended++; out() {
-						inOutage++
-					}
-					time.Sleep(time.Until(start.Add(time.Duration(k+1) * every)))
-				}
-				took := time.Since(start)
-				time.Sleep(15 * time.Second)
-				if changes := w.token() - term; changes < 5 || ended < 10 || took > 2*time.Minute || c.outage > 0 && inOutage == 0 {
-					t.Errorf("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
-				} else {
-					t.Logf("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
-				}
-				w.finishQuietly(90*time.Second, 10*time.Minute)
-			})
+			synctest.Test(t, func(t *testing.T) { playTenLeaders(t, n, c.count, c.by, c.outage) })
 		})
 	}
 }
+
+// leaderEndInterval is the time between two ends of a leader, and firstLeaderEnd that before the
+// first. The outage begins outageAfter the latter.
+const (
+	leaderEndInterval = 11 * time.Second
+	firstLeaderEnd    = 26 * time.Second
+	outageAfter       = 33 * time.Second
+)
+
+// playTenLeaders ends ten leaders in turn, beside an outage unless its length is 0.
+func playTenLeaders(t *testing.T, n, count int, by string, outage time.Duration) {
+	seed := uint64(300 + n)
+	w := newProxiedSimulation(t, count, seed, func(s *config.Config) { s.Tuning.Shards.By = by })
+	w.replayHeartbeats(seed, 0.05)
+	w.submitAroundLeaderEnds(seed)
+	time.Sleep(firstLeaderEnd)
+	start, token, ended, inOutage := time.Now(), w.token(), 0, 0
+	if outage > 0 {
+		time.AfterFunc(outageAfter, func() { during(outage, w.store.SetOutage) })
+	}
+	for k := range 10 {
+		for w.anyLeader() < 0 || w.nodes[w.anyLeader()].down.Load() {
+			time.Sleep(50 * time.Millisecond)
+		}
+		way := leaderEnds[(k+n)%len(leaderEnds)]
+		log(way.name)
+		way.ends(w, w.anyLeader())
+		ended++
+		if outage > 0 && time.Since(start) > outageAfter && time.Since(start) < outageAfter+outage {
+			inOutage++
+		}
+		time.Sleep(time.Until(start.Add(time.Duration(k+1) * leaderEndInterval)))
+	}
+	took := time.Since(start)
+	time.Sleep(15 * time.Second)
+	changes := w.token() - token
+	report := t.Logf
+	if changes < 5 || ended < 10 || took > 2*time.Minute || outage > 0 && inOutage == 0 {
+		report = t.Errorf
+	}
+	report("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
+	w.finishQuietly(90*time.Second, 10*time.Minute)
+}
+
+// submitAroundLeaderEnds submits jobs of every shape, of which every second one is cancelled around
+// the end of a leader.
+func (w *simulation) submitAroundLeaderEnds(seed uint64) {
+	w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
+	w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
+	w.submitter(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, red), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
+	for k := range 20 {
+		at, cancel := firstLeaderEnd+time.Duration(k)*leaderEndInterval/2, time.Duration(0)
+		if k%2 == 1 {
+			cancel = firstLeaderEnd + time.Duration(k/2+1)*leaderEndInterval + time.Duration(k-10)*200*time.Millisecond
+		}
+		w.submitter(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
+	}
+}
