--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -48,20 +48,6 @@
 // that is not answered soon, so that more would only be written in vain.
 const maxQueue = 400
 
-var (
-	// ErrFull means that too many wait already; come back a little later.
-	ErrFull = errors.New("too many submissions wait")
-	// ErrTooLarge means that the job can never be stored.
-	ErrTooLarge = errors.New("the job's description is too large to be stored")
-	// errGateMoved means that the gate has moved: the job may have been accepted, have
-	// ended and have gone into the history since it was looked up.
-	errGateMoved = errors.New("the gate of submissions has moved")
-	// errCopyTaken means that a copy without an answer was taken before.
-	errCopyTaken = errors.New("an earlier copy was taken")
-	// errRerouted means that another controller is to write the job, which is not written here.
-	errRerouted = errors.New("another controller writes it now")
-)
-
 // maxBatch bounds a batch, which is written again when one of its jobs ends, beside
 // a slot of the ledger in the same transaction.
 const maxBatch = 16 << 10
--- /dev/null
+++ b/internal/controller/budget.go
@@ -0,0 +1,30 @@
+package controller
+
+import (
+	"time"
+
+	"amberdeal.example/amberdeal/internal/store"
+)
+
+// startupGrace is how long a controller that has begun may take to hear its siblings.
+const startupGrace = 3 * time.Second
+
+// allocateStoreBudget sets this controller's share of the limits of the state service, by the parts that are held
+// and by who writes.
+func (c *Controller) allocateStoreBudget() {
+	anyLed, ledShare := false, 0.0
+	for _, shard := range c.sharding.Shards() {
+		_, isHeld, _, _ := c.elector.Tenure(shard, time.Now())
+		_, known := c.view.Leader(shard)
+		anyLed = anyLed || known || isHeld
+		if isHeld {
+			ledShare += 1 / float64(len(c.sharding.Shards()))
+		}
+	}
+	policy, writing := c.cfg.Writers(), c.writers(time.Now())
+	allowed := store.Allowance{Requests: policy.RequestShare(writing.names, c.cfg.Name, ledShare), Acceptance: policy.WriteShare(writing.names, c.cfg.Name), Leading: ledShare, HasLeader: anyLed}
+	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGrace {
+		allowed.Requests, allowed.Acceptance = policy.EvenShare(), policy.EvenShare()
+	}
+	c.client.Allow(allowed)
+}
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -5,17 +5,9 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/membership"
-	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// recordHeartbeat takes in a sibling's beat.
-func (c *Controller) recordHeartbeat(b peer.Heartbeat) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.detector.RecordHeartbeat(time.Now(), b.From, b.StoreOK, b.Says)
-}
-
 // ledgerWrite is when a part's ledger was last seen to have changed.
 type ledgerWrite struct {
 	revision uint64
