--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -1,4 +1,4 @@
-// Package history keeps the jobs that are over, for ever, in blocks that divide
+// Package archive keeps the jobs that are over, for ever, in blocks that divide
 // all ids among them, and finds them there again.
 //
 // A block's key is the first id that it no longer covers, so that the key after
--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -1,4 +1,4 @@
-// Package rental decides what is asked of the cloud, and when: a state machine of
+// Package autoscale decides what is asked of the cloud, and when: a state machine of
 // the offers and of the rentals that are open. It is pure: times, wishes and the
 // cloud's answers come in, calls to make come out.
 //
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -1,4 +1,4 @@
-// Package relay lets every controller take workers' reports for the holder.
+// Package ingest lets every controller take workers' reports for the holder.
 //
 // A controller that does not hold the fleet is an edge: it gathers the reports that
 // come in, passes them to the holder in bulk on one stream of the mesh, and gives each
--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -1,4 +1,4 @@
-// Package archive holds the compact form in which jobs that are over are kept
+// Package jobblock holds the compact form in which jobs that are over are kept
 // for ever: blocks of ids in order, each with its final stage and size.
 //
 // A block is text in one value of the state service. Ids are written as
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,4 +1,4 @@
-// Package round is the holder's loop: it collects what the workers and the
+// Package leader is the holder's loop: it collects what the workers and the
 // cloud report, decides, and writes each round as one fenced transaction.
 // Only after the store has taken a round are its launches said to anyone.
 package leader
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -1,4 +1,4 @@
-// Package claim takes parts of the fleet through a lease on the state service.
+// Package leadership takes parts of the fleet through a lease on the state service.
 // Each claim carries a fleet-wide term that only rises. The fence is the
 // condition on the part's version in every write of the holder; the local
 // check of the lease's time is a courtesy.
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -1,4 +1,4 @@
-// Package member tells which controllers live, by what each of them hears: a controller
+// Package membership tells which controllers live, by what each of them hears: a controller
 // that one sibling does not hear may only be cut off from that one. It follows the ideas
 // of the SWIM family (suspicion before removal, evidence of several) over the beats that
 // controllers send each other anyway.
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,4 +1,4 @@
-// Package mesh is what controllers tell each other: a beat a second, in gob,
+// Package peer is what controllers tell each other: a beat a second, in gob,
 // with counts for display and signs of health, and streams of other kinds. Nothing
 // that a rule rests on goes this way.
 package peer
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -1,4 +1,4 @@
-// Package regroup divides a state anew while jobs run. One transaction says so, once
+// Package reshard divides a state anew while jobs run. One transaction says so, once
 // nobody holds a part; the ledgers that there are by then are never written again. They go on
 // saying what may be where, and so whose each task is until its job's record says that
 // itself. It is pure.
--- a/internal/shard/assign.go
+++ b/internal/shard/assign.go
@@ -1,4 +1,4 @@
-// Package parts decides between the parts of a fleet: which controller should hold
+// Package shard decides between the parts of a fleet: which controller should hold
 // which part, and which part a new job's tasks go to. It is pure, and no rule rests on
 // it: controllers that see things differently only meet at the store, where one wins.
 package shard
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,4 +1,4 @@
-// Package pace bounds what can wait by how late the process is: what takes the processor
+// Package throttle bounds what can wait by how late the process is: what takes the processor
 // from answers that keep leases must give way, and by itself, whatever the machine.
 package throttle
 
--- a/internal/zonerecovery/retain.go
+++ b/internal/zonerecovery/retain.go
@@ -1,4 +1,4 @@
-// Package restore is how a zone that was cut off comes back into use: which of its machines
+// Package zonerecovery is how a zone that was cut off comes back into use: which of its machines
 // are kept meanwhile, and the steps of the return. It is pure: times and what was seen come
 // in, and it goes through everything in a fixed order.
 package zonerecovery
