--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -63,12 +63,12 @@
 			hidden := reflect.ValueOf(x).Elem()
 			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
 			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
-				int(w.Incarnation)-int(x.Incarnation), int(w.Seq)-int(hidden.FieldByName("seq").Uint()), int(w.Seq)-int(hidden.FieldByName("reportSeq").Uint()), x.RecordedIncarnation,
-				hidden.FieldByName("met").Bool(), hidden.FieldByName("proven").Bool())
+				int(w.Incarnation)-int(x.Incarnation), int(w.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(w.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
+				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
-				put("%v %v %v %v", v.FieldByName("said").Bool(), v.FieldByName("direct").Bool(), v.FieldByName("recalled").Bool(), m.age(p.PlacedAt))
+				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.age(p.PlacedAt))
 			}
 			last := h.callStates[x.ID]
 			put("%d %v %d %s", m.age(last.startedAt), last.open, last.failures, last.digest)
