--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -397,48 +397,7 @@
 func TestCancelWhileLaunchUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
-		l := newDelayProxy(t, w.net, "10.2.0.1:2379", 92, 0)
-		caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
-		call := func(from int, path string, body []byte) int {
-			resp, err := caller.Call(w.ctx, simulator.Address(w.ip(from), 8080), "POST", path, body)
-			if err != nil {
-				return 0
-			}
-			return resp.Status
-		}
-		var mu sync.Mutex
-		copies := map[string]int{} // of the rounds that launch the jobs
-		rounds, unread := map[string]string{}, map[string]time.Time{}
-		job := "none"
-		l.serveInstead = func(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
-			mu.Lock()
-			id, n := job, 0
-			if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (copies[id] == 0 || rounds[id] == string(body)) {
-				rounds[id] = string(body)
-				copies[id]++
-				n = copies[id]
-			}
-			refused := method == "GET" && time.Now().Before(unread[from])
-			mu.Unlock()
-			if refused {
-				return 503, nil
-			}
-			if n == 2 {
-				if status := call((int(from[2]-'0')+1)%3, wire.PathJobs+"/"+id+"/"+wire.CancelWord, []byte{}); status != 200 {
-					t.Errorf("the cancellation of %s is answered %d", id, status)
-				}
-			}
-			status, answer := l.forward(ctx, via, method, target, body)
-			if n == 1 && status == 200 {
-				return noReply, nil
-			}
-			if n == 2 && id == "wk-2" {
-				mu.Lock()
-				unread[from] = time.Now().Add(4 * time.Second)
-				mu.Unlock()
-			}
-			return status, answer
-		}
+		l := newUnknownLaunchProxy(w)
 		for i := range w.count {
 			l.listen(w.ctx, fmt.Sprint("c-", i), fmt.Sprint("10.2.1.", i))
 		}
@@ -448,23 +407,85 @@
 		for i := range 4 {
 			j := &wire.Job{ID: fmt.Sprint("wk-", 2+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}
 			w.checker.Submitted(j, 5*time.Second)
-			mu.Lock()
-			job = j.ID
-			mu.Unlock()
-			if status := call(0, wire.PathJobs, wire.Encode(j)); status != 201 {
+			l.mu.Lock()
+			l.job = j.ID
+			l.mu.Unlock()
+			if status := l.call(0, wire.PathJobs, wire.Encode(j)); status != 201 {
 				t.Errorf("%s is answered %d", j.ID, status)
 			}
 			time.Sleep(15 * time.Second)
 		}
-		for id, n := range copies {
+		for id, n := range l.copies {
 			if n != 2 {
 				t.Errorf("the round that launches %s was sent %d times, not twice", id, n)
 			}
 		}
-		if _, after := w.checker.Counts(); len(copies) != 4 || after != before {
-			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(copies), after-before)
+		if _, after := w.checker.Counts(); len(l.copies) != 4 || after != before {
+			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(l.copies), after-before)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
 	})
 }
+
+// unknownLaunchProxy loses the answer to the first copy of the round that launches a job, and has
+// the job cancelled at another controller before it passes the second copy on.
+type unknownLaunchProxy struct {
+	*delayProxy
+	sim    *simulation
+	caller *transport.Caller // of the user
+
+	mu           sync.Mutex
+	job          string               // the present one
+	copies       map[string]int       // sent of the round that launches each job
+	rounds       map[string]string    // the body of that round
+	readsRefused map[string]time.Time // by controller, until when
+}
+
+func newUnknownLaunchProxy(w *simulation) *unknownLaunchProxy {
+	l := &unknownLaunchProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", 92, 0), sim: w,
+		caller: &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial},
+		job:    "none", copies: map[string]int{}, rounds: map[string]string{}, readsRefused: map[string]time.Time{}}
+	l.serveInstead = l.serveRound
+	return l
+}
+
+// call sends a user's request to a controller, and returns the status, 0 for no answer.
+func (l *unknownLaunchProxy) call(to int, path string, body []byte) int {
+	resp, err := l.caller.Call(l.sim.ctx, simulator.Address(l.sim.ip(to), 8080), "POST", path, body)
+	if err != nil {
+		return 0
+	}
+	return resp.Status
+}
+
+// serveRound handles a controller's request.
+func (l *unknownLaunchProxy) serveRound(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+	l.mu.Lock()
+	id, n := l.job, 0
+	if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (l.copies[id] == 0 || l.rounds[id] == string(body)) {
+		l.rounds[id] = string(body)
+		l.copies[id]++
+		n = l.copies[id]
+	}
+	refused := method == "GET" && time.Now().Before(l.readsRefused[from])
+	l.mu.Unlock()
+	if refused {
+		return 503, nil
+	}
+	if n == 2 {
+		if status := l.call((int(from[2]-'0')+1)%3, wire.PathJobs+"/"+id+"/"+wire.CancelWord, []byte{}); status != 200 {
+			l.t.Errorf("the cancellation of %s is answered %d", id, status)
+		}
+	}
+	status, answer := l.forward(ctx, via, method, target, body)
+	if n == 1 && status == 200 {
+		return noReply, nil
+	}
+	if n == 2 && id == "wk-2" {
+		l.mu.Lock()
+		l.readsRefused[from] = time.Now().Add(4 * time.Second)
+		l.mu.Unlock()
+	}
+	return status, answer
+}
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -103,78 +103,103 @@
 
 // playOutboundBlockDay simulates such a day.
 func playOutboundBlockDay(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
-	var b *bootObserver
-	var long *client
-	var term uint64
-	mute, replicas, tasks, all := map[string]upMachine{}, 0, 0, 0
-	var begun, over time.Time
-	var claimed chan time.Time
-	script{seed: seed, count: count, settings: withSharding(by), setUp: func(w *simulation) {
-		b, claimed = w.observeBoots(2*sec), make(chan time.Time, 1)
-		w.submitter(seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // has eight machines rented
-		w.submitter(seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+d+3*time.Minute, forever)
-		long = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(seed, "wk-3"), 10*time.Minute)
-		w.submitter(seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
-	}, steps: []step{
-		{50 * sec, "a long job", func(*simulation) { long.untilAnswered(long.submit) }},
-		{65 * sec, "half of the machines can only be called", func(w *simulation) {
-			replicas, tasks, begun, term = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
-			for i, m := range w.runningMachines() {
-				if all++; i%2 == 0 || i < 2 {
-					mute[m.id] = m
-					during(d, func(on bool) { w.net.RefuseOutbound(m.host, on) })
-				}
-			}
-			if ends >= 0 {
-				w.group.Go(func() {
-					time.Sleep(ends)
-					w.crash(w.anyLeader(), 400*time.Millisecond, 0)
-					for w.token() == term {
-						time.Sleep(50 * time.Millisecond)
-					}
-					claimed <- time.Now()
-				})
-			}
-		}},
-		{66500 * time.Millisecond, "a cancellation", func(*simulation) { long.untilAnswered(long.cancel) }},
+	o := &outboundBlockDay{seed: seed, length: d, ends: ends, blocked: map[string]upMachine{}}
+	script{seed: seed, count: count, settings: withSharding(by), setUp: o.setUp, steps: []step{
+		{50 * sec, "a long job", func(*simulation) { o.long.untilAnswered(o.long.submit) }},
+		{65 * sec, "half of the machines can only be called", o.block},
+		{66500 * time.Millisecond, "a cancellation", func(*simulation) { o.long.untilAnswered(o.long.cancel) }},
 		{70 * sec, "which has stopped all", func(w *simulation) {
 			if n := w.checker.Running("wk-3"); n > 0 {
 				w.t.Errorf("%d tasks of a cancelled job go on", n)
 			}
 		}},
-		{65*sec + d, "they are heard again", func(w *simulation) {
-			over = time.Now()
-			if n := w.checker.Running("wk-2"); d > workerLease+10*sec && n < 4 {
-				w.t.Errorf("%d of 4 replicas run", n)
-			}
-			lost := 0
-			for _, m := range mute {
-				lost += m.ExpiredLeases()
-			}
-			if all < 6 || len(mute) < 3 || replicas != 4 || tasks != 8 || d > workerLease && lost < len(mute) {
-				w.t.Errorf("%d machines, %d of them were called only, %d leases ran out, %d replicas and %d tasks ran", all, len(mute), lost, replicas, tasks)
-			}
-		}},
-		{71*sec + d, "a gang for all of them", func(w *simulation) {
-			w.submitter(seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
-			for w.checker.Running("wk-5") < 10 && time.Since(over) < 2*time.Minute {
-				time.Sleep(sec)
-			}
-			if late := time.Since(over); late > 60*sec {
-				w.t.Errorf("a gang has begun %v after all troubles", late)
-			}
-		}},
-	}, verify: func(w *simulation) {
-		anew := begun
-		if ends >= 0 {
-			anew = <-claimed
-		}
-		if n := b.countStarts(func(s observedStart) bool {
-			return mute[s.machine].Worker != nil && s.at.After(begun.Add(outboundBlockGrace)) && s.at.Before(over) && (s.at.Before(anew) || s.at.After(anew.Add(outboundBlockGrace)))
-		}); n > 0 {
-			w.t.Errorf("%d tasks were started on machines that can only be called", n)
+		{65*sec + d, "they are heard again", o.unblocked},
+		{71*sec + d, "a gang for all of them", o.gangForAll},
+	}, verify: o.verify}.run(t)
+}
+
+// outboundBlockDay is a day on which half of the machines open no connection for a while.
+type outboundBlockDay struct {
+	seed          uint64
+	length, ends  time.Duration // of the fault, and when the leader ends after its start; negative for not
+	boots         *bootObserver
+	long          *client
+	token         uint64
+	blocked       map[string]upMachine
+	machines      int // before the fault
+	replicas      int // that ran then
+	tasks         int // of the long job, that ran then
+	begun, over   time.Time
+	leaderElected chan time.Time
+}
+
+func (o *outboundBlockDay) setUp(w *simulation) {
+	o.boots, o.leaderElected = w.observeBoots(2*sec), make(chan time.Time, 1)
+	w.submitter(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // has eight machines rented
+	w.submitter(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.length+3*time.Minute, forever)
+	o.long = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(o.seed, "wk-3"), 10*time.Minute)
+	w.submitter(o.seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
+}
+
+// block starts the fault, and ends the leader if that is due.
+func (o *outboundBlockDay) block(w *simulation) {
+	o.replicas, o.tasks, o.begun, o.token = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
+	for i, m := range w.runningMachines() {
+		if o.machines++; i%2 == 0 || i < 2 {
+			o.blocked[m.id] = m
+			during(o.length, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 		}
-	}}.run(t)
+	}
+	if o.ends >= 0 {
+		w.group.Go(func() {
+			time.Sleep(o.ends)
+			w.crash(w.anyLeader(), 400*time.Millisecond, 0)
+			for w.token() == o.token {
+				time.Sleep(50 * time.Millisecond)
+			}
+			o.leaderElected <- time.Now()
+		})
+	}
+}
+
+// unblocked checks, at the end of the fault, that it had an effect and that replicas run elsewhere.
+func (o *outboundBlockDay) unblocked(w *simulation) {
+	o.over = time.Now()
+	if n := w.checker.Running("wk-2"); o.length > workerLease+10*sec && n < 4 {
+		w.t.Errorf("%d of 4 replicas run", n)
+	}
+	lost := 0
+	for _, m := range o.blocked {
+		lost += m.ExpiredLeases()
+	}
+	if o.machines < 6 || len(o.blocked) < 3 || o.replicas != 4 || o.tasks != 8 || o.length > workerLease && lost < len(o.blocked) {
+		w.t.Errorf("%d machines, %d of them were called only, %d leases ran out, %d replicas and %d tasks ran", o.machines, len(o.blocked), lost, o.replicas, o.tasks)
+	}
+}
+
+// gangForAll checks that the capacity of all machines is used again.
+func (o *outboundBlockDay) gangForAll(w *simulation) {
+	w.submitter(o.seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
+	for w.checker.Running("wk-5") < 10 && time.Since(o.over) < 2*time.Minute {
+		time.Sleep(sec)
+	}
+	if late := time.Since(o.over); late > 60*sec {
+		w.t.Errorf("a gang has begun %v after all troubles", late)
+	}
+}
+
+// verify checks that nothing was started on machines that could only be called. A new leader has
+// outboundBlockGrace to learn that, too.
+func (o *outboundBlockDay) verify(w *simulation) {
+	anew := o.begun
+	if o.ends >= 0 {
+		anew = <-o.leaderElected
+	}
+	if n := o.boots.countStarts(func(s observedStart) bool {
+		return o.blocked[s.machine].Worker != nil && s.at.After(o.begun.Add(outboundBlockGrace)) && s.at.Before(o.over) && (s.at.Before(anew) || s.at.After(anew.Add(outboundBlockGrace)))
+	}); n > 0 {
+		w.t.Errorf("%d tasks were started on machines that can only be called", n)
+	}
 }
 
 // leaderEndOffsets are the times after the write of a launch on a new machine at which its leader
@@ -221,68 +246,83 @@
 
 // playNewMachineDay simulates such a day.
 func playNewMachineDay(t *testing.T, seed uint64, at time.Duration, cast func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
-	var b *bootObserver
-	var met chan string
-	var term uint64
-	young := 0
-	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: func(w *simulation) {
-		b, met = w.observeBoots(300*time.Millisecond), make(chan string, 1)
-		w.cloud.SetFaults(func(f *simulator.CloudFaults) {
-			if w.cloud.ListLag = 4 * sec; late { // carried out without an answer
-				f.RentDelay = 700 * time.Millisecond
-			}
-		})
-		known, over := map[string]string{}, false
-		w.store.Configure(func(s *simulator.StateService) {
-			s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-				is, part := recordsLaunch(known, puts)
-				if !is || over {
-					return simulator.FateAnswered
-				}
-				over = true
-				met <- part
-				return fate
-			}
-		})
-		w.submitter(seed, jobOf("wk-1", wire.Array, 9, 40*sec, red), 6*sec, 0, 40*sec)
-		w.submitter(seed, jobOf("wk-2", wire.Gang, 3, 40*sec, oneZone, saves), 6*sec, 0, 40*sec)
-		w.submitter(seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 2*time.Minute, forever)
-		w.submitter(seed, jobOf("wk-4", wire.Array, 3, 30*sec, oneZone), 6*sec, 0, 30*sec)
-		w.submitter(seed, jobOf("wk-5", wire.Array, 2, 30*sec), 6*sec, 45*sec, 10*time.Minute)
-	}, steps: []step{
-		{6 * sec, "a launch on a new machine, and the leader ends", func(w *simulation) {
-			part := ""
-			select {
-			case part = <-met:
-			case <-time.After(time.Minute):
-				w.t.Error("no launch was written")
-				return
-			}
-			time.Sleep(at)
-			term = w.token()
-			b.mu.Lock()
-			for _, up := range b.bootedAt {
-				if time.Since(up) < 2*w.cloud.ListLag {
-					young++ // no list has to show it yet
-				}
-			}
-			b.mu.Unlock()
-			for i, m := range w.runningMachines() {
-				if i%2 == 0 {
-					cast(w, m)
-				}
-			}
-			w.crash(max(w.leaderOf(part), w.anyLeader()), 300*time.Millisecond, 0)
-			time.Sleep(10 * sec)
-			w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.RentDelay = 0 })
-			time.Sleep(45 * sec)
-			if n := w.checker.Running("wk-3"); n != 4 {
-				w.t.Errorf("%d of 4 replicas run", n)
-			}
-		}},
+	d := &newMachineDay{seed: seed, endsAfter: at, cast: cast, fate: fate, lateRental: late}
+	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
+		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
-		if young == 0 || w.token() == term {
-			w.t.Errorf("%d machines were new, term %d after %d", young, w.token(), term)
+		if d.young == 0 || w.token() == d.token {
+			w.t.Errorf("%d machines were new, term %d after %d", d.young, w.token(), d.token)
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
+
+// newMachineDay is a day on which the leader ends after the write of a launch on a new machine.
+type newMachineDay struct {
+	seed       uint64
+	endsAfter  time.Duration
+	cast       func(*simulation, upMachine) // happens to every second machine
+	fate       simulator.Fate               // of the write
+	lateRental bool                         // rentals are carried out without an answer
+	boots      *bootObserver
+	launched   chan string // the shard of the launch
+	token      uint64      // before the end
+	young      int         // machines that no list has to show yet
+}
+
+func (d *newMachineDay) setUp(w *simulation) {
+	d.boots, d.launched = w.observeBoots(300*time.Millisecond), make(chan string, 1)
+	w.cloud.SetFaults(func(f *simulator.CloudFaults) {
+		if w.cloud.ListLag = 4 * sec; d.lateRental {
+			f.RentDelay = 700 * time.Millisecond
+		}
+	})
+	known, over := map[string]string{}, false
+	w.store.Configure(func(s *simulator.StateService) {
+		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+			is, part := recordsLaunch(known, puts)
+			if !is || over {
+				return simulator.FateAnswered
+			}
+			over = true
+			d.launched <- part
+			return d.fate
+		}
+	})
+	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 40*sec, red), 6*sec, 0, 40*sec)
+	w.submitter(d.seed, jobOf("wk-2", wire.Gang, 3, 40*sec, oneZone, saves), 6*sec, 0, 40*sec)
+	w.submitter(d.seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 2*time.Minute, forever)
+	w.submitter(d.seed, jobOf("wk-4", wire.Array, 3, 30*sec, oneZone), 6*sec, 0, 30*sec)
+	w.submitter(d.seed, jobOf("wk-5", wire.Array, 2, 30*sec), 6*sec, 45*sec, 10*time.Minute)
+}
+
+// endLeader waits for the launch, ends the leader, and checks that the service recovers.
+func (d *newMachineDay) endLeader(w *simulation) {
+	part := ""
+	select {
+	case part = <-d.launched:
+	case <-time.After(time.Minute):
+		w.t.Error("no launch was written")
+		return
+	}
+	time.Sleep(d.endsAfter)
+	d.token = w.token()
+	d.boots.mu.Lock()
+	for _, up := range d.boots.bootedAt {
+		if time.Since(up) < 2*w.cloud.ListLag {
+			d.young++
+		}
+	}
+	d.boots.mu.Unlock()
+	for i, m := range w.runningMachines() {
+		if i%2 == 0 {
+			d.cast(w, m)
+		}
+	}
+	w.crash(max(w.leaderOf(part), w.anyLeader()), 300*time.Millisecond, 0)
+	time.Sleep(10 * sec)
+	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.RentDelay = 0 })
+	time.Sleep(45 * sec)
+	if n := w.checker.Running("wk-3"); n != 4 {
+		w.t.Errorf("%d of 4 replicas run", n)
+	}
+}
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -166,88 +166,118 @@
 // run simulates the day.
 func (d quotaFailoverCase) run(t *testing.T) {
 	rng := rand.New(rand.NewPCG(d.seed, 31))
-	w := newLimitedSimulation(t, d.count, d.seed, d.sharding)
+	r := &quotaFailoverRun{simulation: newLimitedSimulation(t, d.count, d.seed, d.sharding), c: d}
 	log(d)
 	defer func() {
 		if t.Failed() {
 			t.Log(d)
 		}
 	}()
-	var ended []*client
-	submit := func(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, change ...func(*wire.Job)) *client {
-		j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(change, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
-		return w.submitter(d.seed, j, 0, cancel, run)
-	}
 	time.Sleep(8 * time.Second)
-	const long, short = 10 * time.Minute, 25 * time.Second
-	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[d.gangOverZones]
-	for _, team := range limitedTeams { // as much as the limit allows, of which most is cancelled
-		ended = append(ended, submit(1, team, wire.Array, 2, 1, long, 0), submit(2, team, wire.Gang, 2, 1, long, 0, saves, zones))
-		submit(3, team, wire.Service, 2, 1, forever, 4*time.Minute)
-	}
-	ended = append(ended, submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
-	if !waitUntil(50*time.Second, w.allTeamsAtLimit) {
-		t.Error("the teams don't come to their limits")
-	}
-	for _, team := range limitedTeams { // and what waits for room
-		submit(5, team, wire.Array, 1, 3, short, 0)
-		submit(6, team, wire.Gang, 2, 2, short, 0, spread)
-		submit(7, team, wire.Array, 30, 1, short, 0)
-	}
+	r.submitAll()
 	time.Sleep(3 * time.Second)
 
-	begun, lost := time.Now(), 0
-	for _, m := range w.runningMachines() {
-		if has := slices.ContainsFunc(ended, func(c *client) bool { return w.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !d.oneMachineOnly) {
-			lost++
-			unreachableFaults[d.unreachableBy].cast(w, m, d.faultLength)
-		}
-	}
+	r.begun = time.Now()
+	lost := r.loseMachines()
 	if d.cloudKeepsMachines {
-		during(max(d.faultLength, d.handoverAt+30*time.Second), func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
-	}
-	at := func(after time.Duration) { time.Sleep(time.Until(begun.Add(after))) }
-	cancel := func() {
-		at(d.handoverAt + d.cancelAt)
-		log("cancelled")
-		for _, c := range ended {
-			w.group.Go(func() { c.untilAnswered(c.cancel) })
-		}
+		during(max(d.faultLength, d.handoverAt+30*time.Second), func(on bool) { r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}
 	if d.cancelAt < 0 {
-		cancel()
+		r.cancel()
 	}
-	at(d.handoverAt)
-	term := w.token()
-	if quotaDaysPlayed.Add(1); w.allTeamsAtLimit() {
+	r.waitUntilAfter(d.handoverAt)
+	token := r.token()
+	if quotaDaysPlayed.Add(1); r.allTeamsAtLimit() {
 		daysAtLimit.Add(1)
 	}
 	if lost == 0 {
 		t.Error("all machines can be asked")
 	}
-	w.handOverAll(handovers[d.handoverKind].apply, rng)
+	r.handOverAll(handovers[d.handoverKind].apply, rng)
 	if d.cancelAt >= 0 {
-		cancel()
+		r.cancel()
 	}
-	at(max(d.faultLength, d.handoverAt+30*time.Second))
-	for _, c := range ended {
-		if !waitUntil(30*time.Second, func() bool { return w.checker.Stage(c.job.ID) == wire.Cancelled }) {
-			t.Errorf("%s is %s", c.job.ID, w.checker.Stage(c.job.ID))
+	r.waitUntilAfter(max(d.faultLength, d.handoverAt+30*time.Second))
+	for _, c := range r.cancelled {
+		if !waitUntil(30*time.Second, func() bool { return r.checker.Stage(c.job.ID) == wire.Cancelled }) {
+			t.Errorf("%s is %s", c.job.ID, r.checker.Stage(c.job.ID))
 		}
 	}
-	if w.token() == term {
+	if r.token() == token {
 		t.Error("the leader did not change")
 	}
-	// What is proven to be gone leaves room that is used: more than enough small tasks wait. In several
-	// parts some of it may be held for a gang that is co-allocated, for 90 s at the most.
-	over, most := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[d.sharding]
+	r.checkQuotasUsed()
+	r.finishQuietly(0, 15*time.Minute)
+}
+
+// quotaFailoverRun is the simulation of a quotaFailoverCase.
+type quotaFailoverRun struct {
+	*simulation
+	c         quotaFailoverCase
+	cancelled []*client // of the jobs to cancel
+	begun     time.Time // of the fault
+}
+
+// submit submits a job of a team; n distinguishes it from the team's others.
+func (r *quotaFailoverRun) submit(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, change ...func(*wire.Job)) *client {
+	j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(change, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
+	return r.submitter(r.c.seed, j, 0, cancel, run)
+}
+
+// submitAll submits as much as the quotas allow, of which most is cancelled later, and then what
+// has to wait.
+func (r *quotaFailoverRun) submitAll() {
+	const long, short = 10 * time.Minute, 25 * time.Second
+	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[r.c.gangOverZones]
+	for _, team := range limitedTeams {
+		r.cancelled = append(r.cancelled, r.submit(1, team, wire.Array, 2, 1, long, 0), r.submit(2, team, wire.Gang, 2, 1, long, 0, saves, zones))
+		r.submit(3, team, wire.Service, 2, 1, forever, 4*time.Minute)
+	}
+	r.cancelled = append(r.cancelled, r.submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
+	if !waitUntil(50*time.Second, r.allTeamsAtLimit) {
+		r.t.Error("the teams don't come to their limits")
+	}
+	for _, team := range limitedTeams {
+		r.submit(5, team, wire.Array, 1, 3, short, 0)
+		r.submit(6, team, wire.Gang, 2, 2, short, 0, spread)
+		r.submit(7, team, wire.Array, 30, 1, short, 0)
+	}
+}
+
+// loseMachines makes machines unreachable that run jobs to be cancelled, and returns how many.
+func (r *quotaFailoverRun) loseMachines() (lost int) {
+	for _, m := range r.runningMachines() {
+		if has := slices.ContainsFunc(r.cancelled, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !r.c.oneMachineOnly) {
+			lost++
+			unreachableFaults[r.c.unreachableBy].cast(r.simulation, m, r.c.faultLength)
+		}
+	}
+	return lost
+}
+
+// waitUntilAfter waits until that long after the start of the fault.
+func (r *quotaFailoverRun) waitUntilAfter(d time.Duration) { time.Sleep(time.Until(r.begun.Add(d))) }
+
+// cancel has the users cancel, at the time that the case says.
+func (r *quotaFailoverRun) cancel() {
+	r.waitUntilAfter(r.c.handoverAt + r.c.cancelAt)
+	log("cancelled")
+	for _, c := range r.cancelled {
+		r.group.Go(func() { c.untilAnswered(c.cancel) })
+	}
+}
+
+// checkQuotasUsed checks that what is proven to be gone leaves quota that is used: more than enough
+// small tasks wait. With several shards some of it may be reserved for a gang that is co-allocated,
+// for 90 s at most.
+func (r *quotaFailoverRun) checkQuotasUsed() {
+	over, most := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[r.c.sharding]
 	for k, team := range limitedTeams {
 		small := fmt.Sprintf("wk-%d7", k+1)
-		if !waitUntil(most, func() bool { return w.usedGPUs(team) == gpuLimits[team] || w.checker.Stage(small).Final() }) {
-			t.Errorf("%s uses %v of %v %v after all troubles", team, w.usedGPUs(team), gpuLimits[team], time.Since(over))
+		if !waitUntil(most, func() bool { return r.usedGPUs(team) == gpuLimits[team] || r.checker.Stage(small).Final() }) {
+			r.t.Errorf("%s uses %v of %v %v after all troubles", team, r.usedGPUs(team), gpuLimits[team], time.Since(over))
 		}
 	}
-	w.finishQuietly(0, 15*time.Minute)
 }
 
 // TestQuotasHoldThroughFailover simulates such days. AMBERDEAL_LIMITS sets their number,
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -144,83 +144,105 @@
 
 // playReplayDay simulates such a day.
 func playReplayDay(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
-	var d *heartbeatRecorder
-	var claimed chan struct{}
-	kinds := replayKinds
+	d := &replayDay{seed: seed, at: at, sharding: by, dark: dark, slowRestart: slow, beforeLaunches: few, kinds: replayKinds}
 	if few {
-		kinds = []string{"of an earlier term", "from before a launch"}
-	}
-	var hard string // the machine of which a session ends
-	lastly := func(w *simulation) int { return w.leaderOf(map[string]string{"off": "fleet", "zone": "a"}[by]) }
-	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: func(w *simulation) {
-		d, claimed = &heartbeatRecorder{simulation: w, answeredKinds: map[string]int{}}, make(chan struct{}, 100)
-		w.store.Configure(func(s *simulator.StateService) {
-			s.OnCommit = func(puts []string) {
-				for _, key := range puts {
-					if key == store.FencingTokenKey {
-						claimed <- struct{}{}
-					}
-				}
-			}
-		})
-		w.submitter(seed, jobOf("wk-1", wire.Array, 9, 70*sec, red), 6*sec, 0, 70*sec) // up to its team's limit
-		w.submitter(seed, jobOf("wk-2", wire.Gang, 3, 80*sec, oneZone, saves), 6*sec, 0, 80*sec)
-		w.submitter(seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
-		w.submitter(seed, jobOf("wk-4", wire.Array, 3, 14*sec), 6*sec, 0, 14*sec)
-		w.submitter(seed, jobOf("wk-5", wire.Array, 4, 60*sec, oneZone), 25*sec, 0, 60*sec)
-		w.group.Go(func() {
-			for range 10 {
-				time.Sleep(4700 * time.Millisecond)
-				d.recordHeartbeats()
-			}
-		})
-	}, steps: []step{
-		{22 * sec, "a machine is deaf, until its lease is over", func(w *simulation) {
-			hard = d.machinesInZoneA()[0].id
+		d.kinds = []string{"of an earlier term", "from before a launch"}
+	}
+	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: d.setUp, steps: []step{
+		{22 * sec, "a machine is deaf, until its lease is over", func(*simulation) {
+			d.expired = d.machinesInZoneA()[0].id
 			deaf(24*sec, d.machinesInZoneA()[0])
 		}},
 		{34 * sec, "a machine dies", func(w *simulation) { w.cloud.Crash(d.machinesInZoneA()[1].id) }},
-		{50 * sec, "the leader ends", func(w *simulation) { w.crash(lastly(w), 300*time.Millisecond, 0) }},
+		{50 * sec, "the leader ends", func(w *simulation) { w.crash(d.leaderOfA(), 300*time.Millisecond, 0) }},
 		{58 * sec, "some more reports are made", func(*simulation) { d.recordHeartbeats() }},
-		{60 * sec, "the next leader ends, machines are cut off, old reports come", func(w *simulation) {
-			for i, m := range w.runningMachines() {
-				if i%2 == 0 || m.id == hard {
-					during(dark, func(on bool) { w.net.SetDown(m.host, on) })
-				}
-			}
-			if few {
-				d.keepIncomplete()
-			}
-			for len(claimed) > 0 {
-				<-claimed
-			}
-			d.previousToken = w.token()
-			if i := lastly(w); slow {
-				w.kill(i, 12*sec)
-			} else {
-				w.crash(i, 300*time.Millisecond, 0)
-			}
-			for at < 0 && len(claimed) == 0 {
-				d.replayAll(seed%2 == 0)
-				time.Sleep(100 * time.Millisecond)
-			}
-			<-claimed
-			time.Sleep(at)
-			for k := range 8 { // the first of them may find nobody who answers
-				if d.replayAll((seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(kinds) {
-					break
-				}
-			}
-			time.Sleep(dark + 40*sec)
-			if n := w.checker.Running("wk-3"); n != 4 {
-				w.t.Errorf("%d of 4 replicas run", n)
-			}
-		}},
+		{60 * sec, "the next leader ends, machines are cut off, old reports come", d.replayAtElection},
 	}, verify: func(w *simulation) {
-		for _, kind := range kinds {
+		for _, kind := range d.kinds {
 			if d.answeredKinds[kind] == 0 {
 				w.t.Errorf("none that was %s was answered by the leader", kind)
 			}
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
+
+// replayDay is a day on which recorded heartbeats are replayed to the next leader.
+type replayDay struct {
+	*heartbeatRecorder
+	seed           uint64
+	at             time.Duration // of the replay, after the election; negative: before it
+	sharding       string
+	dark           time.Duration // how long machines are cut off
+	slowRestart    bool          // the leader is back after 12 s
+	beforeLaunches bool          // only heartbeats from before a launch are replayed
+	kinds          []string      // that have to reach the leader
+	expired        string        // the machine whose incarnation ends
+	elected        chan struct{} // a value for each election
+}
+
+func (d *replayDay) setUp(w *simulation) {
+	d.heartbeatRecorder = &heartbeatRecorder{simulation: w, answeredKinds: map[string]int{}}
+	d.elected = make(chan struct{}, 100)
+	w.store.Configure(func(s *simulator.StateService) {
+		s.OnCommit = func(puts []string) {
+			for _, key := range puts {
+				if key == store.FencingTokenKey {
+					d.elected <- struct{}{}
+				}
+			}
+		}
+	})
+	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 70*sec, red), 6*sec, 0, 70*sec) // up to its team's quota
+	w.submitter(d.seed, jobOf("wk-2", wire.Gang, 3, 80*sec, oneZone, saves), 6*sec, 0, 80*sec)
+	w.submitter(d.seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
+	w.submitter(d.seed, jobOf("wk-4", wire.Array, 3, 14*sec), 6*sec, 0, 14*sec)
+	w.submitter(d.seed, jobOf("wk-5", wire.Array, 4, 60*sec, oneZone), 25*sec, 0, 60*sec)
+	w.group.Go(func() {
+		for range 10 {
+			time.Sleep(4700 * time.Millisecond)
+			d.recordHeartbeats()
+		}
+	})
+}
+
+// leaderOfA returns the leader of the shard with zone a.
+func (d *replayDay) leaderOfA() int {
+	return d.leaderOf(map[string]string{"off": "fleet", "zone": "a"}[d.sharding])
+}
+
+// replayAtElection ends the leader, cuts half of the machines off, and replays what was recorded
+// around the next election.
+func (d *replayDay) replayAtElection(w *simulation) {
+	for i, m := range w.runningMachines() {
+		if i%2 == 0 || m.id == d.expired {
+			during(d.dark, func(on bool) { w.net.SetDown(m.host, on) })
+		}
+	}
+	if d.beforeLaunches {
+		d.keepIncomplete()
+	}
+	for len(d.elected) > 0 {
+		<-d.elected
+	}
+	d.previousToken = w.token()
+	if i := d.leaderOfA(); d.slowRestart {
+		w.kill(i, 12*sec)
+	} else {
+		w.crash(i, 300*time.Millisecond, 0)
+	}
+	for d.at < 0 && len(d.elected) == 0 {
+		d.replayAll(d.seed%2 == 0)
+		time.Sleep(100 * time.Millisecond)
+	}
+	<-d.elected
+	time.Sleep(d.at)
+	for k := range 8 { // the first of them may find nobody who answers
+		if d.replayAll((d.seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(d.kinds) {
+			break
+		}
+	}
+	time.Sleep(d.dark + 40*sec)
+	if n := w.checker.Running("wk-3"); n != 4 {
+		w.t.Errorf("%d of 4 replicas run", n)
+	}
+}
