--- /dev/null
+++ b/internal/cas/bytestream.go
@@ -0,0 +1,193 @@
+package cas
+
+import (
+	"context"
+	"errors"
+	"io"
+
+	"github.com/klauspost/compress/zstd"
+	bspb "google.golang.org/genproto/googleapis/bytestream"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+)
+
+// Read implements ByteStream.
+func (s *Server) Read(r *bspb.ReadRequest, out bspb.ByteStream_ReadServer) error {
+	if name, ok := parseLog(r.ResourceName); ok {
+		if r.ReadOffset < 0 || r.ReadLimit != 0 {
+			return status.Error(codes.OutOfRange, "a log is read from an offset of 0 or more, without a limit")
+		}
+		return asStatus(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &streamWriter{out: out}))
+	}
+	res, err := ParseResource(r.ResourceName)
+	if err != nil || res.Upload != "" {
+		return status.Errorf(codes.InvalidArgument, "%v", err)
+	}
+	size := res.Digest.Size
+	if r.ReadOffset < 0 || r.ReadOffset > size || r.ReadLimit < 0 || res.Zstd && r.ReadLimit > 0 {
+		return status.Errorf(codes.OutOfRange, "offset %d, limit %d of %d bytes", r.ReadOffset, r.ReadLimit, size)
+	}
+	in, err := s.disk.Reader(res.Digest)
+	if err != nil {
+		return asStatus(err)
+	}
+	defer in.Close()
+	if _, err := in.Seek(r.ReadOffset, io.SeekStart); err != nil {
+		return asStatus(err)
+	}
+	left := size - r.ReadOffset
+	if r.ReadLimit > 0 {
+		left = min(left, r.ReadLimit)
+	}
+	to := &streamWriter{out: out}
+	if !res.Zstd {
+		_, err = io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(in, left), make([]byte, chunkBytes))
+		return asStatus(err)
+	}
+	z, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+	if err != nil {
+		return asStatus(err)
+	}
+	_, err = io.CopyBuffer(struct{ io.Writer }{z}, io.LimitReader(in, left), make([]byte, chunkBytes))
+	return asStatus(errors.Join(err, z.Close()))
+}
+
+// streamWriter sends what is written to it in messages of a bounded size.
+type streamWriter struct {
+	out bspb.ByteStream_ReadServer
+}
+
+func (s *streamWriter) Write(p []byte) (int, error) {
+	n := 0
+	for len(p) > 0 {
+		part := p[:min(len(p), chunkBytes)]
+		if err := s.out.Send(&bspb.ReadResponse{Data: part}); err != nil {
+			return n, err
+		}
+		n += len(part)
+		p = p[len(part):]
+	}
+	return n, nil
+}
+
+// QueryWriteStatus implements ByteStream.
+func (s *Server) QueryWriteStatus(_ context.Context, r *bspb.QueryWriteStatusRequest) (*bspb.QueryWriteStatusResponse, error) {
+	res, err := ParseResource(r.ResourceName)
+	if err != nil || res.Upload == "" {
+		return nil, status.Errorf(codes.InvalidArgument, "not the name of an upload: %v", err)
+	}
+	if s.disk.Has(res.Digest) {
+		return &bspb.QueryWriteStatusResponse{CommittedSize: res.Digest.Size, Complete: true}, nil
+	}
+	n, ok := s.disk.Uploaded(res.Digest, res.Upload)
+	if !ok || res.Zstd { // a compressed upload begins anew
+		return nil, status.Error(codes.NotFound, "no such upload")
+	}
+	return &bspb.QueryWriteStatusResponse{CommittedSize: n}, nil
+}
+
+// Write implements ByteStream. An upload that was broken off goes on at the offset
+// that QueryWriteStatus tells.
+func (s *Server) Write(in bspb.ByteStream_WriteServer) error {
+	first, err := in.Recv()
+	if err != nil {
+		return err
+	}
+	if name, ok := parseLog(first.ResourceName); ok {
+		return s.writeLog(name, first, in)
+	}
+	res, err := ParseResource(first.ResourceName)
+	if err != nil || res.Upload == "" {
+		return status.Errorf(codes.InvalidArgument, "not the name of an upload: %v", err)
+	}
+	if s.disk.Has(res.Digest) {
+		n := res.Digest.Size
+		if res.Zstd {
+			n = -1 // as the API has it
+		}
+		return in.SendAndClose(&bspb.WriteResponse{CommittedSize: n})
+	}
+	id := res.Upload
+	if res.Zstd {
+		id = ""
+	}
+	w, err := s.disk.Writer(res.Digest, id)
+	if err != nil {
+		return asStatus(err)
+	}
+	defer w.Close()
+	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, at: w.Size()}
+	if res.Zstd {
+		msgs.at = 0
+		err = decompressTo(w, msgs)
+	} else {
+		_, err = io.Copy(w, msgs)
+	}
+	if err != nil {
+		return asStatus(err)
+	}
+	if err := w.Commit(); err != nil {
+		return asStatus(err)
+	}
+	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.at})
+}
+
+func decompressTo(w io.Writer, r io.Reader) error {
+	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
+	if err != nil {
+		return err
+	}
+	defer z.Close()
+	if _, err = io.Copy(w, z); err != nil && status.Code(err) == codes.Unknown && !errors.Is(err, ErrWrongContent) {
+		err = errors.Join(ErrWrongContent, err)
+	}
+	return err
+}
+
+// uploadReader reads the data of an upload's messages, in order.
+type uploadReader struct {
+	in   bspb.ByteStream_WriteServer
+	next *bspb.WriteRequest
+	name string
+	at   int64
+}
+
+func (m *uploadReader) Read(p []byte) (int, error) {
+	for m.next == nil || len(m.next.Data) == 0 {
+		if m.next != nil {
+			if err := m.check(); err != nil {
+				return 0, err
+			}
+			if m.next.FinishWrite {
+				return 0, io.EOF
+			}
+		}
+		msg, err := m.in.Recv()
+		if errors.Is(err, io.EOF) {
+			return 0, status.Error(codes.InvalidArgument, "the upload ended without finish_write; go on with it from where it is")
+		}
+		if err != nil {
+			return 0, err
+		}
+		m.next = msg
+	}
+	if err := m.check(); err != nil {
+		return 0, err
+	}
+	n := copy(p, m.next.Data)
+	m.next.Data = m.next.Data[n:]
+	m.next.WriteOffset += int64(n)
+	m.at += int64(n)
+	return n, nil
+}
+
+// check compares a message with what came before it.
+func (m *uploadReader) check() error {
+	if m.next.ResourceName != "" && m.next.ResourceName != m.name {
+		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.name)
+	}
+	if m.next.WriteOffset != m.at {
+		return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", m.next.WriteOffset, m.at)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/cas/logclient.go
@@ -0,0 +1,61 @@
+package cas
+
+import (
+	"context"
+	"errors"
+	"io"
+
+	bspb "google.golang.org/genproto/googleapis/bytestream"
+)
+
+// Log is a log that is being written.
+type Log struct {
+	out  bspb.ByteStream_WriteClient
+	name string
+	at   int64
+	stop context.CancelFunc
+}
+
+// Log begins a log; it ends with the context at the latest.
+func (c *Client) Log(ctx context.Context, name string) (*Log, error) {
+	ctx, stop := context.WithCancel(ctx)
+	out, err := c.stream.Write(ctx)
+	if err != nil {
+		stop()
+		return nil, err
+	}
+	return &Log{out: out, name: LogName(c.Instance, name), stop: stop}, nil
+}
+
+// Write appends to the log.
+func (l *Log) Write(p []byte) (int, error) {
+	err := l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, Data: p})
+	if err == nil {
+		l.at += int64(len(p))
+	}
+	return len(p), err
+}
+
+// Close finishes the log.
+func (l *Log) Close() error {
+	defer l.stop()
+	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, FinishWrite: true})
+	_, err := l.out.CloseAndRecv()
+	return err
+}
+
+// FollowLog copies a log to w as it grows, and tells how much that was.
+func (c *Client) FollowLog(ctx context.Context, resource string, w io.Writer) (n int64, err error) {
+	in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
+	for err == nil {
+		var msg *bspb.ReadResponse
+		if msg, err = in.Recv(); err == nil {
+			n += int64(len(msg.Data))
+			_, err = w.Write(msg.Data)
+		}
+	}
+	if errors.Is(err, io.EOF) {
+		err = nil
+	}
+	return n, err
+}
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -11,7 +11,6 @@
 	"sync"
 	"time"
 
-	bspb "google.golang.org/genproto/googleapis/bytestream"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 )
@@ -171,83 +170,3 @@
 		}
 	}
 }
-
-// writeLog takes a log by ByteStream: offset 0 begins it anew.
-func (s *Server) writeLog(name string, first *bspb.WriteRequest, in bspb.ByteStream_WriteServer) error {
-	if first.WriteOffset != 0 {
-		return status.Error(codes.OutOfRange, "write_offset: a log begins at 0")
-	}
-	g, err := s.disk.logs.create(name)
-	if err != nil {
-		return asStatus(err)
-	}
-	at := int64(0)
-	for msg := first; ; {
-		if msg.WriteOffset != at {
-			return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", msg.WriteOffset, at)
-		}
-		at += int64(len(msg.Data))
-		if err := s.disk.logs.appendTo(g, msg.Data, msg.FinishWrite); err != nil {
-			return status.Error(codes.Aborted, err.Error())
-		}
-		if msg.FinishWrite {
-			return in.SendAndClose(&bspb.WriteResponse{CommittedSize: at})
-		}
-		if msg, err = in.Recv(); err != nil {
-			_ = s.disk.logs.appendTo(g, nil, true) // whoever wrote it is gone
-			return err
-		}
-	}
-}
-
-// Log is a log that is being written.
-type Log struct {
-	out  bspb.ByteStream_WriteClient
-	name string
-	at   int64
-	stop context.CancelFunc
-}
-
-// Log begins a log; it ends with the context at the latest.
-func (c *Client) Log(ctx context.Context, name string) (*Log, error) {
-	ctx, stop := context.WithCancel(ctx)
-	out, err := c.stream.Write(ctx)
-	if err != nil {
-		stop()
-		return nil, err
-	}
-	return &Log{out: out, name: LogName(c.Instance, name), stop: stop}, nil
-}
-
-// Write appends to the log.
-func (l *Log) Write(p []byte) (int, error) {
-	err := l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, Data: p})
-	if err == nil {
-		l.at += int64(len(p))
-	}
-	return len(p), err
-}
-
-// Close finishes the log.
-func (l *Log) Close() error {
-	defer l.stop()
-	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, FinishWrite: true})
-	_, err := l.out.CloseAndRecv()
-	return err
-}
-
-// FollowLog copies a log to w as it grows, and tells how much that was.
-func (c *Client) FollowLog(ctx context.Context, resource string, w io.Writer) (n int64, err error) {
-	in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
-	for err == nil {
-		var msg *bspb.ReadResponse
-		if msg, err = in.Recv(); err == nil {
-			n += int64(len(msg.Data))
-			_, err = w.Write(msg.Data)
-		}
-	}
-	if errors.Is(err, io.EOF) {
-		err = nil
-	}
-	return n, err
-}
--- /dev/null
+++ b/internal/cas/reader.go
@@ -0,0 +1,86 @@
+package cas
+
+import (
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"strings"
+)
+
+// Reader opens a blob. It was checked since this start before any of it is given.
+func (d *Disk) Reader(g Digest) (io.ReadSeekCloser, error) {
+	if g.Empty() {
+		return &reader{ReadSeeker: strings.NewReader("")}, nil
+	}
+	d.mu.Lock()
+	b := d.touch(g)
+	if b == nil {
+		d.mu.Unlock()
+		return nil, fmt.Errorf("%w: %v", ErrNotFound, g)
+	}
+	b.readers++
+	verified := b.verified
+	d.mu.Unlock()
+	release := func() {
+		d.mu.Lock()
+		b.readers--
+		d.mu.Unlock()
+	}
+	f, err := os.Open(d.path(g))
+	if err == nil && !verified {
+		err = d.verify(f, b)
+	}
+	if err != nil {
+		release()
+		if f != nil {
+			f.Close()
+		}
+		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, ErrWrongContent) {
+			d.mu.Lock()
+			d.remove(g)
+			d.damaged++
+			d.mu.Unlock()
+			return nil, fmt.Errorf("%w: %v: %w", ErrNotFound, g, err)
+		}
+		return nil, err
+	}
+	return &reader{f, func() { f.Close(); release() }}, nil
+}
+
+// verify checks a file against its digest.
+func (d *Disk) verify(f *os.File, b *blob) error {
+	h, err := newHash(b.digest.Function)
+	if err != nil {
+		return err
+	}
+	n, err := io.Copy(h, f)
+	if err != nil {
+		return err
+	}
+	if n != b.digest.Size || hex.EncodeToString(h.Sum(nil)) != b.digest.Hash {
+		return ErrWrongContent
+	}
+	if _, err := f.Seek(0, io.SeekStart); err != nil {
+		return err
+	}
+	d.mu.Lock()
+	b.verified = true
+	d.mu.Unlock()
+	return nil
+}
+
+type reader struct {
+	io.ReadSeeker
+	release func()
+}
+
+func (r *reader) Close() error {
+	if r.release != nil {
+		r.release()
+		r.release = nil
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/faults.go
@@ -0,0 +1,25 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"net/netip"
+)
+
+// faults gathers everything that is wrong with a file.
+type faults []error
+
+func (f *faults) check(ok bool, field string, value any, allowed string) {
+	if !ok {
+		*f = append(*f, fmt.Errorf("%s: %v: must be %s", field, value, allowed))
+	}
+}
+
+func (f *faults) addr(field, value string) {
+	_, err := netip.ParseAddrPort(value)
+	f.check(err == nil, field, fmt.Sprintf("%q", value), "an IP address and a port, such as 10.0.0.1:8080")
+}
+
+func (f *faults) positive(field string, value float64) {
+	f.check(value > 0 && !math.IsInf(value, 0), field, value, "a number above 0")
+}
--- /dev/null
+++ b/internal/config/shards.go
@@ -0,0 +1,51 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+)
+
+// Sharding gives the parts of the fleet.
+func (c *Config) Sharding() *fleet.Sharding {
+	switch by := c.Tuning.Shards.By; by {
+	case "", "off":
+		return fleet.SingleShard()
+	case "zone":
+		return fleet.ByZones(len(c.Zones), c.Zones)
+	case "type":
+		return fleet.ByTypes(c.Tuning.Shards.Types)
+	default:
+		n, _ := strconv.Atoi(by)
+		return fleet.ByZones(n, c.Zones)
+	}
+}
+
+// checkShards finds what the operators' file says of parts and the platform's does not
+// allow.
+func (c *Config) checkShards() error {
+	var f faults
+	p := c.Tuning.Shards
+	n, err := strconv.Atoi(p.By)
+	switch {
+	case p.By == "", p.By == "off", p.By == "zone", p.By == "type" && len(p.Types) > 0:
+	case p.By == "type":
+		f.check(false, "parts.types", `""`, "the machine types that are parts, separated by commas")
+	default:
+		f.check(err == nil && n >= 1 && n <= len(c.Zones), "parts.by", fmt.Sprintf("%q", p.By), fmt.Sprintf("off, zone, type, or a number from 1 to %d, that of the zones", len(c.Zones)))
+	}
+	if p.By == "" || p.By == "off" {
+		return errors.Join(f...)
+	}
+	for field, names := range map[string][]string{"params.zones": c.Zones, "parts.types": p.Types} {
+		for i, name := range names {
+			f.check(name != "" && len(name) <= 60 && !strings.ContainsAny(name, " /\t\n") && !slices.Contains(names[:i], name), fmt.Sprintf("%s[%d]", field, i),
+				fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
+		}
+	}
+	return errors.Join(f...)
+}
--- /dev/null
+++ b/internal/reapi/status.go
@@ -0,0 +1,47 @@
+package reapi
+
+import (
+	"errors"
+	"time"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"amberdeal.example/amberdeal/internal/admission"
+	"amberdeal.example/amberdeal/internal/cas"
+)
+
+// storeUnavailable is the answer while the store of blobs can't be reached.
+func storeUnavailable(err error) error {
+	if code := status.Code(err); code == codes.Canceled || code == codes.DeadlineExceeded {
+		return err
+	}
+	return retryStatus(codes.Unavailable, "the store of blobs: "+err.Error(), 2*time.Second)
+}
+
+// retryStatus is a status that says when to come back.
+func retryStatus(code codes.Code, why string, after time.Duration) error {
+	st := status.New(code, why)
+	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
+		st = with
+	}
+	return st.Err()
+}
+
+// admissionStatus gives what admission says the code that the API has for it.
+func admissionStatus(err error) error {
+	var never *admission.UnrunnableError
+	switch {
+	case errors.As(err, &never), errors.Is(err, admission.ErrTooLarge):
+		return status.Error(codes.InvalidArgument, err.Error())
+	case errors.Is(err, admission.ErrUnknownJob):
+		return status.Error(codes.NotFound, err.Error())
+	case errors.Is(err, admission.ErrFull):
+		return cas.Busy(err.Error(), 2*time.Second)
+	case errors.Is(err, admission.ErrCompactionBehind):
+		return cas.Busy(err.Error(), 5*time.Second)
+	}
+	return retryStatus(codes.Unavailable, err.Error(), time.Second)
+}
--- /dev/null
+++ b/internal/transport/server.go
@@ -0,0 +1,139 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+	"github.com/panjf2000/gnet/v2/pkg/logging"
+)
+
+// firstByteTimeout bounds how long a new connection may stay without a byte.
+const firstByteTimeout = 30 * time.Second
+
+// server is gnet's view of one listening address.
+type server struct {
+	gnet.BuiltinEventEngine
+	addr   string
+	conns  int64
+	serve  ServeConn
+	reject Rejecter
+	log    *slog.Logger
+
+	ctx     context.Context
+	engine  gnet.Engine
+	booted  atomic.Bool
+	open    atomic.Int64
+	serving sync.WaitGroup
+	// Of the loop alone: connections that were refused since that was last told.
+	refused     int
+	lastWarning time.Time
+}
+
+// refusalLogInterval is the time between two lines that tell of refused connections.
+const refusalLogInterval = 10 * time.Second
+
+func (s *server) run(ctx context.Context) error {
+	s.ctx = ctx
+	done := make(chan error, 1)
+	go func() {
+		done <- gnet.Run(s, "tcp://"+s.addr, gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true),
+			gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(64<<10),
+			gnet.WithLogger(gnetLogger{s.log}), gnet.WithLogLevel(logging.ErrorLevel))
+	}()
+	select {
+	case err := <-done:
+		if err == nil {
+			err = errors.New("listener ended")
+		}
+		return err
+	case <-ctx.Done():
+	}
+	if s.booted.Load() {
+		stop, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		defer cancel()
+		_ = s.engine.Stop(stop)
+	}
+	s.serving.Wait()
+	return nil
+}
+
+// OnBoot is called by gnet.
+func (s *server) OnBoot(e gnet.Engine) gnet.Action {
+	s.engine = e
+	s.booted.Store(true)
+	return gnet.None
+}
+
+// OnOpen is called by gnet for each new connection.
+func (s *server) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
+	if s.open.Add(1) > s.conns {
+		s.refused++
+		if now := time.Now(); now.Sub(s.lastWarning) > refusalLogInterval { // a line for each would cost more than the refusal
+			s.log.Warn("connections refused: too many are open", "addr", s.addr, "limit", s.conns, "refused", s.refused)
+			s.lastWarning, s.refused = now, 0
+		}
+		return nil, gnet.Close
+	}
+	c := &Conn{conn: g, wake: make(chan struct{}, 1)}
+	c.firstByteTimer = time.AfterFunc(firstByteTimeout, func() { _ = c.Close() })
+	g.SetContext(c)
+	return nil, gnet.None
+}
+
+// startServing starts the goroutine of a connection.
+func (s *server) startServing(c *Conn) {
+	c.serving = true
+	s.serving.Add(1)
+	go func() {
+		defer s.serving.Done()
+		defer c.Close()
+		s.serve(s.ctx, c)
+	}()
+}
+
+// OnClose is called by gnet when a connection is gone.
+func (s *server) OnClose(g gnet.Conn, _ error) gnet.Action {
+	s.open.Add(-1)
+	if c, ok := g.Context().(*Conn); ok {
+		c.firstByteTimer.Stop()
+		c.markClosed()
+	}
+	return gnet.None
+}
+
+// OnTraffic is called by gnet when bytes have come.
+func (s *server) OnTraffic(g gnet.Conn) gnet.Action {
+	c, ok := g.Context().(*Conn)
+	if !ok {
+		return gnet.Close
+	}
+	b, _ := g.Next(-1)
+	if !c.serving {
+		c.firstByteTimer.Stop()
+		if s.reject != nil {
+			if answer := s.reject(b); answer != nil {
+				_, _ = g.Write(answer)
+				return gnet.Close
+			}
+		}
+		s.startServing(c)
+	}
+	if !c.feed(b) {
+		return gnet.Close
+	}
+	return gnet.None
+}
+
+// gnetLogger keeps gnet's own words in our log.
+type gnetLogger struct{ log *slog.Logger }
+
+func (q gnetLogger) Debugf(string, ...any)     {}
+func (q gnetLogger) Infof(string, ...any)      {}
+func (q gnetLogger) Warnf(f string, a ...any)  { q.log.Debug("gnet", "warn", f, "args", a) }
+func (q gnetLogger) Errorf(f string, a ...any) { q.log.Debug("gnet", "error", f, "args", a) }
+func (q gnetLogger) Fatalf(f string, a ...any) { q.log.Error("gnet", "fatal", f, "args", a) }
