--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -14,10 +14,10 @@
 func (c *Controller) allocateStoreBudget() {
 	anyLed, ledShare := false, 0.0
 	for _, shard := range c.sharding.Shards() {
-		_, isHeld, _, _ := c.elector.Tenure(shard, time.Now())
+		leading := c.elector.Standing(shard, time.Now()).Leading
 		_, known := c.view.Leader(shard)
-		anyLed = anyLed || known || isHeld
-		if isHeld {
+		anyLed = anyLed || known || leading
+		if leading {
 			ledShare += 1 / float64(len(c.sharding.Shards()))
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -89,11 +89,10 @@
 	c.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
 	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*0.85)
 	c.workers = worker.NewClient(network, cfg.Limits.Files/16)
-	c.elector = &leadership.Elector{
-		Election: leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew),
-		Sharding: c.sharding, TiersDigest: c.tiersDigest, Client: c.client, View: c.view, Follow: c.follow, Log: log,
-		ShouldCampaign: c.shouldCampaign, OnChange: c.wake, ConfigMismatch: c.configMismatch,
-	}
+	state := leadership.State{Client: c.client, View: c.view, Follow: c.follow}
+	gate := &leadership.SettingsGate{Sharding: c.sharding, TiersDigest: c.tiersDigest, Mismatch: c.configMismatch, State: state, Log: log}
+	c.elector = leadership.NewElector(leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew), gate, state, log)
+	c.elector.ShouldCampaign, c.elector.OnChange = c.shouldCampaign, c.wake
 	c.peers = &peer.Mesh{Peers: make(map[string]string), Local: c.localHeartbeat, Dial: network.Dial, Log: log, OnHeartbeat: c.recordHeartbeat}
 	for _, sib := range cfg.Peers {
 		c.peers.Peers[sib.Name] = sib.Addr
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -107,16 +107,19 @@
 // answerHeartbeat answers a report, where this controller holds the machine's part.
 func (c *Controller) answerHeartbeat(now time.Time, r *wire.Heartbeat) (worker.HeartbeatResult, bool) {
 	shard := c.sharding.ShardOf(r.Zone, r.Type)
-	tenure, leading, valid, lastRenewal := c.elector.Tenure(shard, now)
+	standing := c.elector.Standing(shard, now)
 	c.mu.Lock()
 	h := c.led[shard]
 	c.mu.Unlock()
 	// A holder that can't renew goes on answering, without launches, but no
 	// longer than a cancelled task may live.
-	if h != nil && leading && h.tenure.Version == tenure.Version && r.FencingToken <= tenure.FencingToken && h.MayAnswer(now, valid, lastRenewal) {
-		if a, ok := h.HandleHeartbeat(now, r, valid); ok {
-			return worker.HeartbeatResult{Response: &a}, true
-		}
+	current := h != nil && standing.Leading && h.tenure.Version == standing.Tenure.Version
+	if !current || r.FencingToken > standing.Tenure.FencingToken || !h.MayAnswer(now, standing.LeaseValid, standing.LastRenewal) {
+		return worker.HeartbeatResult{}, false
+	}
+	a, ok := h.HandleHeartbeat(now, r, standing.LeaseValid)
+	if !ok {
+		return worker.HeartbeatResult{}, false
 	}
-	return worker.HeartbeatResult{}, false
+	return worker.HeartbeatResult{Response: &a}, true
 }
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -48,11 +48,11 @@
 }
 
 func (c *Controller) manageShard(ctx context.Context, shard string) {
-	tenure, leading, _, _ := c.elector.Tenure(shard, time.Now())
+	standing := c.elector.Standing(shard, time.Now())
 	c.mu.Lock()
 	h := c.led[shard]
 	c.mu.Unlock()
-	if h != nil && (!leading || h.tenure.Version != tenure.Version) {
+	if h != nil && (!standing.Leading || h.tenure.Version != standing.Tenure.Version) {
 		c.log.Warn("part lost", "part", shard, "term", h.tenure.FencingToken)
 		c.stopLeading(shard, h)
 		h = nil
@@ -62,10 +62,10 @@
 		c.resignIfPartitioned(ctx, h)
 		return
 	}
-	if !leading || c.view.Revision() < tenure.Revision && c.follow.Barrier(ctx) != nil {
+	if !standing.Leading || c.view.Revision() < standing.Tenure.Revision && c.follow.Barrier(ctx) != nil {
 		return
 	}
-	c.startLeading(ctx, shard, tenure)
+	c.startLeading(ctx, shard, standing.Tenure)
 }
 
 // startLeading starts the duties for a part that was won.
@@ -75,7 +75,10 @@
 		Leader: leader.New(c.cfg, tenure, c.view.Snapshot(), c.view.ShardLedgers(shard), c.machineTypes(), c.view, now, c.log)}
 	duties, stop := context.WithCancel(ctx)
 	h.stop = stop
-	leaseValid := func() bool { _, ok, valid, _ := c.elector.Tenure(shard, time.Now()); return ok && valid }
+	leaseValid := func() bool {
+		standing := c.elector.Standing(shard, time.Now())
+		return standing.Leading && standing.LeaseValid
+	}
 	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // one holder folds, for all parts
 		h.compactor = c.newCompactor(h, leaseValid)
 	}
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -9,74 +9,83 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// campaign compares a part's record with what is held, and claims a free part.
-func (k *Elector) campaign(ctx context.Context, shard string, configMatches bool, conditions ...wire.Condition) {
-	if !k.View.Loaded() {
+// campaign compares a shard's record with what this controller believes, and tries to win a
+// vacant shard where the settings match the state.
+func (e *Elector) campaign(ctx context.Context, shard string, settingsMatch bool, conditions []wire.Condition) {
+	if !e.state.View.Loaded() {
 		return
 	}
-	revision := k.View.Revision()
-	rec, known := k.View.Leader(shard)
-	k.mu.Lock()
-	before, _ := k.Election.Tenure(shard)
-	staleLease := k.Election.Observe(shard, rec, known, revision)
-	after, held := k.Election.Tenure(shard)
-	valid := k.Election.LeaseValid(time.Now())
-	txn, token := k.Election.Campaign(shard, k.View.FencingToken(), conditions...)
-	k.mu.Unlock()
-	if before != after {
-		k.OnChange()
-	}
-	if staleLease != 0 {
-		k.Log.Info("ending the lease of an earlier run of this controller", "lease", staleLease, "part", shard)
-		_ = k.Client.RevokeLease(ctx, staleLease)
-		_ = k.Follow.Barrier(ctx)
+	seen := e.observe(shard, conditions)
+	switch {
+	case seen.staleLease != 0:
+		e.revokeStaleLease(ctx, shard, seen.staleLease)
 		return
-	}
-	if known || held {
-		delete(k.vacantSince, shard)
+	case !seen.vacant:
+		delete(e.vacantSince, shard)
 		return
 	}
-	if k.vacantSince == nil {
-		k.vacantSince = make(map[string]time.Time)
+	if e.vacantSince[shard].IsZero() {
+		e.vacantSince[shard] = time.Now()
 	}
-	if k.vacantSince[shard].IsZero() {
-		k.vacantSince[shard] = time.Now()
+	if seen.leaseValid && settingsMatch && e.ShouldCampaign(shard, time.Since(e.vacantSince[shard])) {
+		e.claim(ctx, shard, seen)
 	}
-	if !valid || !configMatches || !k.ShouldCampaign(shard, time.Since(k.vacantSince[shard])) {
-		return
+}
+
+// observation is what a look at a shard's record has shown.
+type observation struct {
+	staleLease uint64 // of an earlier incarnation of this controller that leads the shard
+	vacant     bool
+	leaseValid bool
+
+	txn   wire.Txn // wins the shard, unless something has changed since
+	token uint64   // that it takes
+}
+
+// observe takes in a shard's record. The revision is read before the record, so that the record
+// is at least as new.
+func (e *Elector) observe(shard string, conditions []wire.Condition) (seen observation) {
+	view := e.state.View
+	revision := view.Revision()
+	rec, known := view.Leader(shard)
+	e.mu.Lock()
+	before, _ := e.election.Tenure(shard)
+	seen.staleLease = e.election.Observe(shard, rec, known, revision)
+	after, leading := e.election.Tenure(shard)
+	seen.leaseValid = e.election.LeaseValid(time.Now())
+	seen.txn, seen.token = e.election.Campaign(shard, view.FencingToken(), conditions...)
+	e.mu.Unlock()
+	if before != after {
+		e.OnChange()
 	}
-	rev, err := k.Client.Txn(ctx, txn)
+	seen.vacant = !known && !leading
+	return seen
+}
+
+// revokeStaleLease ends the lease of an earlier incarnation of this controller, whose shards
+// would otherwise stay without a leader until it expires.
+func (e *Elector) revokeStaleLease(ctx context.Context, shard string, lease uint64) {
+	e.log.Info("revoking the lease of an earlier incarnation", "lease", lease, "shard", shard)
+	_ = e.state.Client.RevokeLease(ctx, lease) // the next look repeats it
+	_ = e.state.Follow.Barrier(ctx)
+}
+
+// claim tries to win a vacant shard.
+func (e *Elector) claim(ctx context.Context, shard string, seen observation) {
+	rev, err := e.state.Client.Txn(ctx, seen.txn)
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		k.mu.Lock()
-		k.Election.Won(shard, token, rev)
-		k.mu.Unlock()
-		k.Log.Info("claim won", "part", shard, "term", token, "revision", rev)
-		k.OnChange()
+		e.mu.Lock()
+		e.election.Won(shard, seen.token, rev)
+		e.mu.Unlock()
+		e.log.Info("leadership won", "shard", shard, "token", seen.token, "revision", rev)
+		e.OnChange()
 	case errors.As(err, &conflict):
-		k.Log.Debug("claim lost to another", "part", shard, "term", token)
+		e.log.Debug("leadership lost to another controller", "shard", shard, "token", seen.token)
 	default:
-		k.Log.Info("claim without an answer", "part", shard, "term", token, "error", err)
-		store.Backoff(ctx, 200*time.Millisecond)
-	}
-	_ = k.Follow.Barrier(ctx) // win or not, the view must know before the next look
-}
-
-// releaseShards makes the writes for parts that were given back, until each has an answer.
-func (k *Elector) releaseShards(ctx context.Context) {
-	k.mu.Lock()
-	releases := k.Election.PendingReleases()
-	k.mu.Unlock()
-	for shard, txn := range releases {
-		_, err := k.Client.Txn(ctx, txn)
-		k.Log.Info("part given back", "part", shard, "error", err)
-		if berr := k.Follow.Barrier(ctx); berr != nil {
-			return
-		}
-		rec, known := k.View.Leader(shard)
-		k.mu.Lock()
-		k.Election.Observe(shard, rec, known, k.View.Revision())
-		k.mu.Unlock()
+		e.log.Info("no answer to a leadership claim", "shard", shard, "token", seen.token, "err", err)
+		store.Backoff(ctx, campaignRetryDelay)
 	}
+	_ = e.state.Follow.Barrier(ctx) // the view must show the outcome before the next look
 }
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -1,7 +1,3 @@
-// Package leadership takes parts of the fleet through a lease on the state service.
-// Each claim carries a fleet-wide term that only rises. The fence is the
-// condition on the part's version in every write of the holder; the local
-// check of the lease's time is a courtesy.
 package leadership
 
 import (
@@ -11,135 +7,150 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// maxClockDrift is by how much the steady clocks of two machines may differ.
-const maxClockDrift = 0.0005
+const (
+	// maxClockDrift is by how much the monotonic clocks of two machines may differ, as a fraction.
+	maxClockDrift = 0.0005
+	// leaseMargin is how long before its computed end a lease no longer counts as valid.
+	leaseMargin = 200 * time.Millisecond
+)
 
-// Tenure is a part that this controller holds.
+// Tenure is the leadership of one shard, from the transaction that won it.
 type Tenure struct {
 	Shard        string
 	FencingToken uint64
-	Version      uint64 // of the part's record: the fence
-	Revision     uint64 // of the claim: later jobs can't be anywhere yet
+	Version      uint64 // of the shard's leader record: every write of the leader is conditional on it
+	Revision     uint64 // of the state in which it was won: no job that is newer can be running yet
 }
 
-// Election is the state of one controller's lease and of the parts it covers. It
-// is pure: times and answers come in.
+// Election is the state of one controller's lease and of the shards that it leads under it. It
+// does no I/O: times and answers are passed in.
 type Election struct {
-	Name       string
-	TTL, Every time.Duration
+	Name string        // of this controller
+	TTL  time.Duration // of its lease
+	// Every is the time between two renewals.
+	Every time.Duration
 
 	lease       uint64
 	lastRenewal time.Time // when the last renewal that succeeded was sent
 	tenures     map[string]Tenure
-	resigned    map[string]Tenure // parts that were given back, until that shows
+	resigned    map[string]Tenure // shards that were given up, until the state shows it
 }
 
-// New gives a claim without a lease.
+// New returns an election without a lease.
 func New(name string, ttl, every time.Duration) *Election {
 	return &Election{Name: name, TTL: ttl, Every: every, tenures: make(map[string]Tenure), resigned: make(map[string]Tenure)}
 }
 
-// Lease is the current lease, 0 for none.
-func (c *Election) Lease() uint64 { return c.lease }
+// Lease returns the current lease, 0 for none.
+func (e *Election) Lease() uint64 { return e.lease }
 
-// LeaseGranted takes in a new lease that was asked for at a time.
-func (c *Election) LeaseGranted(lease uint64, sent time.Time) {
-	c.lease, c.lastRenewal = lease, sent
-	clear(c.tenures)
-	clear(c.resigned)
+// LeaseGranted records a new lease, which was requested at sent.
+func (e *Election) LeaseGranted(lease uint64, sent time.Time) {
+	e.lease, e.lastRenewal = lease, sent
+	clear(e.tenures)
+	clear(e.resigned)
 }
 
-// LeaseRenewed takes in a renewal that was sent at a time.
-func (c *Election) LeaseRenewed(sent time.Time) {
-	if sent.After(c.lastRenewal) {
-		c.lastRenewal = sent
+// LeaseRenewed records a renewal, which was requested at sent.
+func (e *Election) LeaseRenewed(sent time.Time) {
+	if sent.After(e.lastRenewal) {
+		e.lastRenewal = sent
 	}
 }
 
-// LeaseLost takes in that the lease has ended, and with it every claim.
-func (c *Election) LeaseLost() {
-	c.lease = 0
-	clear(c.tenures)
+// LeaseLost records that the lease has ended, and every tenure with it.
+func (e *Election) LeaseLost() {
+	e.lease = 0
+	clear(e.tenures)
 }
 
-// LeaseValid reports whether the lease can't have ended yet. It is counted from
-// before the renewal was sent, less the drift of the clocks.
-func (c *Election) LeaseValid(now time.Time) bool {
-	safeFor := c.TTL - time.Duration(float64(c.TTL)*2*maxClockDrift) - 200*time.Millisecond
-	return c.lease != 0 && now.Sub(c.lastRenewal) < safeFor
+// LeaseValid reports whether the lease cannot have expired yet. It counts from before the
+// renewal was sent, and allows for the drift of both clocks.
+func (e *Election) LeaseValid(now time.Time) bool {
+	safeFor := e.TTL - time.Duration(float64(e.TTL)*2*maxClockDrift) - leaseMargin
+	return e.lease != 0 && now.Sub(e.lastRenewal) < safeFor
 }
 
-// LastRenewal is when the last renewal that succeeded was sent.
-func (c *Election) LastRenewal() time.Time { return c.lastRenewal }
+// LastRenewal returns when the last renewal that succeeded was sent.
+func (e *Election) LastRenewal() time.Time { return e.lastRenewal }
 
-// NextRenewal tells when to renew next.
-func (c *Election) NextRenewal() time.Time { return c.lastRenewal.Add(c.Every) }
+// NextRenewal returns when the next renewal is due.
+func (e *Election) NextRenewal() time.Time { return e.lastRenewal.Add(e.Every) }
 
-// Tenure gives the claim on a part.
-func (c *Election) Tenure(shard string) (Tenure, bool) {
-	h, ok := c.tenures[shard]
-	return h, ok
+// Tenure returns this controller's tenure of a shard, if it leads it.
+func (e *Election) Tenure(shard string) (Tenure, bool) {
+	tenure, leading := e.tenures[shard]
+	return tenure, leading
 }
 
-// StepDown gives a part back. From now on it is not held, whatever its record says: what is
-// known of its machines ends with the duties, and a claim of its own must bring it anew.
-func (c *Election) StepDown(shard string) {
-	if h, ok := c.tenures[shard]; ok {
-		c.resigned[shard] = h
-		delete(c.tenures, shard)
+// StepDown gives up a shard. From now on this controller does not lead it, whatever the shard's
+// record says: what it knew of the machines is dropped with its duties, so that only a tenure
+// that was won anew may act on them.
+func (e *Election) StepDown(shard string) {
+	if tenure, leading := e.tenures[shard]; leading {
+		e.resigned[shard] = tenure
+		delete(e.tenures, shard)
 	}
 }
 
-// PendingReleases gives the transactions that are still to be made for parts given back.
-func (c *Election) PendingReleases() map[string]wire.Txn {
-	txns := make(map[string]wire.Txn, len(c.resigned))
-	for shard, h := range c.resigned {
-		txns[shard] = wire.Txn{If: []wire.Condition{{Key: store.LeaderKey(shard), Version: h.Version}}, Then: []wire.Operation{{Delete: store.LeaderKey(shard)}}}
+// PendingReleases returns, by shard, the transactions that still have to free shards which were
+// given up.
+func (e *Election) PendingReleases() map[string]wire.Txn {
+	txns := make(map[string]wire.Txn, len(e.resigned))
+	for shard, tenure := range e.resigned {
+		key := store.LeaderKey(shard)
+		txns[shard] = wire.Txn{
+			If:   []wire.Condition{{Key: key, Version: tenure.Version}},
+			Then: []wire.Operation{{Delete: key}},
+		}
 	}
 	return txns
 }
 
-// Campaign gives the transaction that claims a part: it must be free, the counter of
-// terms must be as it was read, and whatever else is demanded must be so.
-func (c *Election) Campaign(shard string, counter store.Versioned[uint64], conditions ...wire.Condition) (wire.Txn, uint64) {
+// Campaign returns the transaction that wins a shard, and the fencing token that it takes. It is
+// conditional on the shard being free, on the counter of tokens being as it was read, and on
+// conditions.
+func (e *Election) Campaign(shard string, counter store.Versioned[uint64], conditions ...wire.Condition) (wire.Txn, uint64) {
 	token := counter.Record + 1
+	leader := store.LeaderRecord{Leader: e.Name, FencingToken: token, Lease: e.lease, Format: store.Format}
 	return wire.Txn{
 		If: append([]wire.Condition{{Key: store.LeaderKey(shard)}, {Key: store.FencingTokenKey, Version: counter.Version}}, conditions...),
 		Then: []wire.Operation{
 			{Put: store.FencingTokenKey, Value: token},
-			{Put: store.LeaderKey(shard), Value: store.LeaderRecord{Leader: c.Name, FencingToken: token, Lease: c.lease, Format: store.Format}, Lease: c.lease},
+			{Put: store.LeaderKey(shard), Value: leader, Lease: e.lease},
 		},
 	}, token
 }
 
-// Won takes in that the claim of a part was committed at a revision.
-func (c *Election) Won(shard string, token, revision uint64) {
-	c.tenures[shard] = Tenure{shard, token, revision, revision}
+// Won records that a campaign was committed at a revision.
+func (e *Election) Won(shard string, token, revision uint64) {
+	e.tenures[shard] = Tenure{Shard: shard, FencingToken: token, Version: revision, Revision: revision}
 }
 
-// Observe takes in the part's record. A claim whose answer was lost, and that was
-// applied late, is found here; so is one that is gone. It reports the lease of
-// an earlier incarnation of this controller, which must be ended at once.
-func (c *Election) Observe(shard string, rec store.Versioned[store.LeaderRecord], known bool, revision uint64) (staleLease uint64) {
-	mine := known && rec.Record.Leader == c.Name
-	h, held := c.tenures[shard]
-	if resigned, ok := c.resigned[shard]; ok {
+// Observe compares a shard's record, as of a revision, with what this controller believes. A
+// campaign that was applied although its answer was lost is found here, and so is a tenure that
+// has ended. It returns the lease of an earlier incarnation of this controller that still leads
+// the shard, which must be revoked at once, or 0.
+func (e *Election) Observe(shard string, rec store.Versioned[store.LeaderRecord], known bool, revision uint64) (staleLease uint64) {
+	mine := known && rec.Record.Leader == e.Name
+	tenure, leading := e.tenures[shard]
+	if resigned, ok := e.resigned[shard]; ok {
 		if mine && rec.Version == resigned.Version {
 			return 0
 		}
 		if revision > resigned.Revision {
-			delete(c.resigned, shard)
+			delete(e.resigned, shard)
 		}
 	}
 	switch {
-	case mine && rec.Record.Lease == c.lease && c.lease != 0:
-		if !held || h.Version != rec.Version {
-			c.tenures[shard] = Tenure{shard, rec.Record.FencingToken, rec.Version, rec.Version}
+	case mine && rec.Record.Lease == e.lease && e.lease != 0:
+		if !leading || tenure.Version != rec.Version {
+			e.tenures[shard] = Tenure{Shard: shard, FencingToken: rec.Record.FencingToken, Version: rec.Version, Revision: rec.Version}
 		}
-	case held && revision > h.Revision:
-		delete(c.tenures, shard)
+	case leading && revision > tenure.Revision:
+		delete(e.tenures, shard)
 	}
-	if mine && rec.Record.Lease != c.lease {
+	if mine && rec.Record.Lease != e.lease {
 		return rec.Record.Lease
 	}
 	return 0
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -2,138 +2,170 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Elector runs a Claim: it renews the lease and claims every part that is free.
+const (
+	// minStepInterval bounds how often the elector acts while a renewal is overdue.
+	minStepInterval = 100 * time.Millisecond
+	// vacancyPollInterval is how often a vacant shard is looked at: whether this controller
+	// should campaign for it also depends on what does not show in the state.
+	vacancyPollInterval = 300 * time.Millisecond
+	// grantRetryDelay is the pause after a lease was not granted.
+	grantRetryDelay = 400 * time.Millisecond
+	// renewRetryDelay is the pause after a renewal without an answer.
+	renewRetryDelay = 300 * time.Millisecond
+	// campaignRetryDelay is the pause after a campaign without an answer.
+	campaignRetryDelay = 200 * time.Millisecond
+	// revokeTimeout bounds the last call of a controller that shuts down.
+	revokeTimeout = time.Second
+)
+
+// State is the state service as one controller reaches it.
+type State struct {
+	Client *store.Client
+	View   *store.View
+	Follow *store.Follower
+}
+
+// Elector runs an Election: it renews the lease and campaigns for every vacant shard.
 type Elector struct {
-	Election    *Election
-	Sharding    *fleet.Sharding
-	TiersDigest string // how the tiers of work are set, in short
-	Client      *store.Client
-	View        *store.View
-	Follow      *store.Follower
-	Log         *slog.Logger
-	// ShouldCampaign says whether this controller is to claim a part that has been free for
-	// so long.
-	ShouldCampaign func(part string, free time.Duration) bool
-	// OnChange is called when a claim may have been won or lost.
+	// ShouldCampaign reports whether this controller is to campaign for a shard that has been
+	// vacant for some time.
+	ShouldCampaign func(shard string, vacant time.Duration) bool
+	// OnChange is called when a shard may have been won or lost.
 	OnChange func()
-	// ConfigMismatch names a controller that lives and is set to another grouping, or one that may
-	// live and was not heard yet, if there is one.
-	ConfigMismatch func() (other string, heard bool)
 
-	wake                chan struct{}
-	vacantSince         map[string]time.Time // parts that nobody holds, since when
-	lastShardingRefusal string               // why nothing is claimed, as it was last said
-	lastTiersRefusal    string               // and why for the tiers of work
+	gate  *SettingsGate
+	state State
+	log   *slog.Logger
+	wake  chan struct{}
+	// vacantSince says since when a shard has had no leader. Only Run's goroutine uses it.
+	vacantSince map[string]time.Time
+
+	mu       sync.Mutex
+	election *Election
+}
 
-	mu sync.Mutex
+// NewElector returns an elector for the shards of the gate's sharding.
+func NewElector(election *Election, gate *SettingsGate, state State, log *slog.Logger) *Elector {
+	return &Elector{election: election, gate: gate, state: state, log: log,
+		wake: make(chan struct{}, 1), vacantSince: make(map[string]time.Time)}
 }
 
-// Tenure tells the claim on a part, whether its lease surely lasts, and when the
-// last renewal that succeeded was sent.
-func (k *Elector) Tenure(shard string, now time.Time) (h Tenure, held, valid bool, lastRenewal time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	h, held = k.Election.Tenure(shard)
-	return h, held, k.Election.LeaseValid(now), k.Election.LastRenewal()
+// Standing is how this controller stands towards a shard at some time.
+type Standing struct {
+	Tenure  Tenure
+	Leading bool // it leads the shard, as far as it knows
+	// LeaseValid says that its lease cannot have expired.
+	LeaseValid bool
+	// LastRenewal is when the last renewal that succeeded was sent.
+	LastRenewal time.Time
 }
 
-// Run keeps the claim until the context ends; then it ends the lease, so that
-// a sibling can take over at once.
-func (k *Elector) Run(ctx context.Context) error {
+// Standing tells how this controller stands towards a shard.
+func (e *Elector) Standing(shard string, now time.Time) Standing {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	tenure, leading := e.election.Tenure(shard)
+	return Standing{Tenure: tenure, Leading: leading, LeaseValid: e.election.LeaseValid(now), LastRenewal: e.election.LastRenewal()}
+}
+
+// Run takes part in the elections until the context ends. Then it revokes the lease, so that a
+// peer can take over at once.
+func (e *Elector) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeLeadership)
-	wake := k.wakeChannel()
 	for ctx.Err() == nil {
-		k.step(ctx)
-		k.mu.Lock()
-		wait := time.Until(k.Election.NextRenewal())
-		k.mu.Unlock()
-		if len(k.vacantSince) > 0 {
-			wait = min(wait, 300*time.Millisecond)
-		}
-		t := time.NewTimer(max(wait, 100*time.Millisecond))
+		e.step(ctx)
+		t := time.NewTimer(e.untilNextStep())
 		select {
 		case <-ctx.Done():
-		case <-k.View.Changed():
-		case <-wake:
+		case <-e.state.View.Changed():
+		case <-e.wake:
 		case <-t.C:
 		}
 		t.Stop()
 	}
-	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	lease := e.election.Lease()
+	if lease == 0 {
+		return nil
+	}
+	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
-	if lease := k.Election.Lease(); lease != 0 {
-		return k.Client.RevokeLease(end, lease)
+	if err := e.state.Client.RevokeLease(end, lease); err != nil {
+		return fmt.Errorf("revoke the lease at shutdown: %w", err)
 	}
 	return nil
 }
 
-// Resign ends the lease, because another controller can serve better.
-func (k *Elector) Resign(ctx context.Context, why string) {
-	k.mu.Lock()
-	lease := k.Election.Lease()
-	k.Election.LeaseLost()
-	k.mu.Unlock()
-	k.Log.Warn("claim given up", "lease", lease, "why", why)
-	k.OnChange()
-	if lease != 0 {
-		_ = k.Client.RevokeLease(ctx, lease)
+// untilNextStep returns how long to wait where nothing changes.
+func (e *Elector) untilNextStep() time.Duration {
+	e.mu.Lock()
+	wait := time.Until(e.election.NextRenewal())
+	e.mu.Unlock()
+	if len(e.vacantSince) > 0 {
+		wait = min(wait, vacancyPollInterval)
 	}
+	return max(wait, minStepInterval)
 }
 
-func (k *Elector) step(ctx context.Context) {
-	now := time.Now()
-	k.mu.Lock()
-	lease := k.Election.Lease()
-	k.mu.Unlock()
-	if lease == 0 {
-		id, err := k.Client.GrantLease(ctx, k.Election.TTL)
-		if err != nil {
-			store.Backoff(ctx, 400*time.Millisecond)
-			return
-		}
-		k.mu.Lock()
-		k.Election.LeaseGranted(id, now)
-		k.mu.Unlock()
-	}
-	if !k.ensureLease(ctx) {
+// step does what is due: the lease first, then shards to give up, then campaigns.
+func (e *Elector) step(ctx context.Context) {
+	if !e.obtainLease(ctx) || !e.ensureLease(ctx) {
 		return
 	}
-	k.releaseShards(ctx)
-	shardingUnchanged, shardingMatches := k.shardingCondition(ctx)
-	tiersUnchanged, tiersMatch := k.tiersCondition(ctx)
-	// Claims that get no answer, one after the other, take longer than a lease: all that were taken
-	// would go with it, and be made again, for ever.
-	for shards := k.Sharding.Shards(); len(shards) > 0 && k.ensureLease(ctx); shards = shards[1:] {
-		k.campaign(ctx, shards[0], shardingMatches && tiersMatch, shardingUnchanged, tiersUnchanged)
+	e.releaseShards(ctx)
+	unchanged, match := e.gate.Conditions(ctx)
+	// Campaigns that get no answer, one after the other, take longer than a lease lasts: every
+	// shard that was won would be lost with it, and won again, without end.
+	for shards := e.gate.Sharding.Shards(); len(shards) > 0 && e.ensureLease(ctx); shards = shards[1:] {
+		e.campaign(ctx, shards[0], match, unchanged)
 	}
 }
 
-// StepDown gives a part back, once the duties for it have ended. The claim of it counts as
-// lost from now on, and never comes back.
-func (k *Elector) StepDown(shard string) {
-	wake := k.wakeChannel()
-	k.mu.Lock()
-	k.Election.StepDown(shard)
-	k.mu.Unlock()
+// Resign revokes the lease, because another controller can lead better.
+func (e *Elector) Resign(ctx context.Context, reason string) {
+	e.mu.Lock()
+	lease := e.election.Lease()
+	e.election.LeaseLost()
+	e.mu.Unlock()
+	e.log.Warn("leadership resigned", "lease", lease, "reason", reason)
+	e.OnChange()
+	if lease != 0 {
+		_ = e.state.Client.RevokeLease(ctx, lease) // or it expires
+	}
+}
+
+// StepDown gives up one shard, once its duties have ended here. The tenure is over from now on.
+func (e *Elector) StepDown(shard string) {
+	e.mu.Lock()
+	e.election.StepDown(shard)
+	e.mu.Unlock()
 	select {
-	case wake <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Elector) wakeChannel() chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.wake == nil {
-		k.wake = make(chan struct{}, 1)
+// releaseShards frees the shards that were given up, and repeats that until the state shows it.
+func (e *Elector) releaseShards(ctx context.Context) {
+	e.mu.Lock()
+	releases := e.election.PendingReleases()
+	e.mu.Unlock()
+	for shard, txn := range releases {
+		_, err := e.state.Client.Txn(ctx, txn)
+		e.log.Info("shard released", "shard", shard, "err", err)
+		if err := e.state.Follow.Barrier(ctx); err != nil {
+			return
+		}
+		rec, known := e.state.View.Leader(shard)
+		e.mu.Lock()
+		e.election.Observe(shard, rec, known, e.state.View.Revision())
+		e.mu.Unlock()
 	}
-	return k.wake
 }
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -8,35 +8,56 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// ensureLease renews the lease where that is due, and says whether it goes on.
-func (k *Elector) ensureLease(ctx context.Context) bool {
+// obtainLease requests a lease where there is none, and reports whether there is one.
+func (e *Elector) obtainLease(ctx context.Context) bool {
 	now := time.Now()
-	k.mu.Lock()
-	lease, due, valid := k.Election.Lease(), k.Election.NextRenewal(), k.Election.LeaseValid(now)
-	k.mu.Unlock()
-	return lease != 0 && (now.Before(due) || k.renew(ctx, lease, now, valid))
+	e.mu.Lock()
+	lease := e.election.Lease()
+	e.mu.Unlock()
+	if lease != 0 {
+		return true
+	}
+	id, err := e.state.Client.GrantLease(ctx, e.election.TTL)
+	if err != nil {
+		store.Backoff(ctx, grantRetryDelay)
+		return false
+	}
+	e.mu.Lock()
+	e.election.LeaseGranted(id, now)
+	e.mu.Unlock()
+	return true
+}
+
+// ensureLease renews the lease where that is due, and reports whether there still is one.
+func (e *Elector) ensureLease(ctx context.Context) bool {
+	now := time.Now()
+	e.mu.Lock()
+	lease, due, valid := e.election.Lease(), e.election.NextRenewal(), e.election.LeaseValid(now)
+	e.mu.Unlock()
+	return lease != 0 && (now.Before(due) || e.renew(ctx, lease, now, valid))
 }
 
-func (k *Elector) renew(ctx context.Context, lease uint64, now time.Time, valid bool) bool {
-	err := k.Client.RenewLease(ctx, lease)
+// renew renews the lease at a time when it was valid or not, and reports whether that succeeded.
+func (e *Elector) renew(ctx context.Context, lease uint64, now time.Time, wasValid bool) bool {
+	err := e.state.Client.RenewLease(ctx, lease)
 	switch {
 	case err == nil:
-		k.mu.Lock()
-		k.Election.LeaseRenewed(now)
-		k.mu.Unlock()
-		if !valid {
-			k.OnChange()
+		e.mu.Lock()
+		e.election.LeaseRenewed(now)
+		e.mu.Unlock()
+		if !wasValid {
+			e.OnChange()
 		}
 		return true
 	case errors.Is(err, store.ErrLeaseNotFound):
-		k.Log.Warn("lease has ended", "lease", lease)
-		k.mu.Lock()
-		k.Election.LeaseLost()
-		k.mu.Unlock()
-		k.OnChange()
+		e.log.Warn("lease expired", "lease", lease)
+		e.mu.Lock()
+		e.election.LeaseLost()
+		e.mu.Unlock()
+		e.OnChange()
 	default:
-		k.Log.Info("renewal failed", "lease", lease, "error", err)
-		store.Backoff(ctx, 300*time.Millisecond)
+		e.log.Info("lease renewal failed", "lease", lease, "err", err)
+		store.Backoff(ctx, renewRetryDelay)
 	}
 	return false
 }
--- /dev/null
+++ b/internal/leadership/settings.go
@@ -0,0 +1,173 @@
+package leadership
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/reshard"
+	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// SettingsGate lets a controller campaign only while the state is divided into shards, and its
+// tiers of work are set, as in the controller's settings. Two controllers with different sharding
+// would both answer for one machine; with different tiers, one leader would take what another
+// guarantees. Once no shard is led and all live controllers have the same settings, the gate
+// changes the state to them.
+type SettingsGate struct {
+	Sharding    *fleet.Sharding
+	TiersDigest string // identifies the settings of the tiers of work
+	// Mismatch names a peer that is alive and has other settings (known), or one that may be
+	// alive and has not sent a heartbeat yet. It is empty where there is neither.
+	Mismatch func() (peer string, known bool)
+	State    State
+	Log      *slog.Logger
+
+	sharding, tiers refusalLog
+}
+
+// errSettingsUnknown means that a peer has not said yet which settings it has.
+var errSettingsUnknown = errors.New("has not sent a heartbeat yet")
+
+// Conditions returns the conditions under which the state still has this controller's settings,
+// and whether it has them now.
+func (g *SettingsGate) Conditions(ctx context.Context) (unchanged []wire.Condition, match bool) {
+	sharding, shardingMatches := g.shardingCondition(ctx)
+	tiers, tiersMatch := g.tiersCondition(ctx)
+	return []wire.Condition{sharding, tiers}, shardingMatches && tiersMatch
+}
+
+// shardingCondition returns the condition that the sharding is unchanged, and whether it is that
+// of the settings. Where it isn't, the state is resharded if that is possible.
+func (g *SettingsGate) shardingCondition(ctx context.Context) (wire.Condition, bool) {
+	view := g.State.View
+	if !view.Loaded() {
+		return wire.Condition{}, false
+	}
+	rec, want := view.Sharding(), g.Sharding.String()
+	cond := wire.Condition{Key: store.ShardingKey, Version: rec.Version}
+	if rec.Record.Text == want {
+		g.sharding.clear()
+		return cond, true
+	}
+	if format := view.Format(); format.Format < store.Format || format.Import != "" {
+		return cond, false
+	}
+	if err := g.reshard(ctx); err != nil {
+		g.sharding.report(ctx, g.Log, err, "setting", "sharding", "state", describeSharding(rec.Record.Text), "settings", describeSharding(want),
+			"see", "docs/sharding.md, To change the sharding")
+	}
+	return cond, false
+}
+
+// tiersCondition returns the condition that the tiers of work are unchanged, and whether they are
+// those of the settings. Where they aren't, they are written if that is possible.
+func (g *SettingsGate) tiersCondition(ctx context.Context) (wire.Condition, bool) {
+	view := g.State.View
+	rec, counter := view.Tiers(), view.FencingToken()
+	cond := wire.Condition{Key: store.TiersKey, Version: rec.Version}
+	if !view.Loaded() || rec.Record.Digest == g.TiersDigest {
+		g.tiers.clear()
+		return cond, view.Loaded()
+	}
+	if err := g.writeTiers(ctx, cond, counter); err != nil {
+		g.tiers.report(ctx, g.Log, err, "setting", "tiers", "state", describeTiers(rec.Record.Digest), "settings", describeTiers(g.TiersDigest),
+			"see", "docs/tiers.md, To change the tiers")
+	}
+	return cond, false
+}
+
+// checkChangeable says why the state can't take over the settings yet: a shard is led, or a peer
+// that is alive has other settings. Before anything was launched no peer need be asked.
+func (g *SettingsGate) checkChangeable() error {
+	led, used := g.State.View.LedShards()
+	switch peer, known := g.Mismatch(); {
+	case !used && len(led) == 0: // nothing was ever launched
+	case peer != "" && known:
+		return fmt.Errorf("controller %s has other settings", peer)
+	case peer != "":
+		return fmt.Errorf("controller %s %w", peer, errSettingsUnknown)
+	}
+	if len(led) > 0 {
+		return fmt.Errorf("%w: %s", reshard.ErrLed, strings.Join(led, ", "))
+	}
+	return nil
+}
+
+// reshard divides the state as in the settings, or says why that can't be done.
+func (g *SettingsGate) reshard(ctx context.Context) error {
+	if err := g.checkChangeable(); err != nil {
+		return err
+	}
+	if err := g.State.Follow.Barrier(ctx); err != nil {
+		return fmt.Errorf("read the state before resharding: %w", err)
+	}
+	state := g.State.View.ShardingState()
+	if state.Sharding.Record.Text == g.Sharding.String() {
+		return nil // another controller did it
+	}
+	txn, err := reshard.Transaction(&state, g.Sharding, func(job string) (store.TaskDemand, bool) {
+		rec, _ := g.State.View.Job(job)
+		return rec.TaskDemand()
+	})
+	if err != nil {
+		return fmt.Errorf("divide the state anew: %w", err)
+	}
+	_, err = g.State.Client.Txn(ctx, txn)
+	g.Log.Info("state resharded", "before", describeSharding(state.Sharding.Record.Text), "after", describeSharding(g.Sharding.String()),
+		"generation", state.Sharding.Record.Generation+1, "ledgers", state.LedgerNames, "err", err)
+	_ = g.State.Follow.Barrier(ctx) // the next look must see it
+	return nil
+}
+
+// writeTiers writes the tiers of the settings, or says why that can't be done. That no shard is
+// led is a condition which comes true again and again, and covers only the shards of this
+// sharding. So the counter of fencing tokens, read before any peer was asked, makes sure that a
+// delayed copy of the transaction is refused once a shard has been won.
+func (g *SettingsGate) writeTiers(ctx context.Context, cond wire.Condition, counter store.Versioned[uint64]) error {
+	if err := g.checkChangeable(); err != nil {
+		return err
+	}
+	txn := wire.Txn{
+		If:   []wire.Condition{cond, {Key: store.FencingTokenKey, Version: counter.Version}},
+		Then: []wire.Operation{{Put: store.TiersKey, Value: store.TiersRecord{Digest: g.TiersDigest}}},
+	}
+	for _, shard := range g.Sharding.Shards() {
+		txn.If = append(txn.If, wire.Condition{Key: store.LeaderKey(shard)})
+	}
+	_, err := g.State.Client.Txn(ctx, txn)
+	g.Log.Info("tiers changed", "before", describeTiers(g.State.View.Tiers().Record.Digest), "after", describeTiers(g.TiersDigest), "err", err)
+	_ = g.State.Follow.Barrier(ctx) // the next look must see it
+	return nil
+}
+
+// refusalLog logs why this controller does not campaign, once for each reason.
+type refusalLog struct{ last string }
+
+func (r *refusalLog) clear() { r.last = "" }
+
+func (r *refusalLog) report(ctx context.Context, log *slog.Logger, err error, attrs ...any) {
+	if err.Error() == r.last {
+		return
+	}
+	r.last = err.Error()
+	level := slog.LevelError
+	if errors.Is(err, errSettingsUnknown) {
+		level = slog.LevelInfo // expected for a few seconds after a start
+	}
+	log.Log(ctx, level, "not campaigning: the state has other settings", append(attrs, "err", err)...)
+}
+
+func describeSharding(sharding string) string {
+	if sharding == "" {
+		return "one shard"
+	}
+	return "shards by " + sharding
+}
+
+func describeTiers(digest string) string { return cmp.Or(digest, "default") }
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/settings_test.go
@@ -14,9 +14,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestLateTiersChangeIsRefused: a change of the tiers has no answer and is carried out when the settings
-// are as before, others have divided the fleet and held its parts since, and none of the parts that
-// it knows of is held. It is refused: one part's holder would go by other tiers than the next's.
+// TestLateTiersChangeIsRefused: a change of the tiers gets no answer and is applied late. By then the
+// settings are as before, other controllers have resharded the fleet and led its shards, and no shard
+// that the change knows of is led. It is refused: two leaders would go by different tiers.
 func TestLateTiersChangeIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -25,15 +25,15 @@
 		synctest.Wait()
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(4)}}})
 		c, v := store.NewClient(net.Host("10.0.0.1"), "10.2.0.1:2379", 100, 100, store.EvenAllowance(1), log), store.NewView(log)
-		k := &Elector{Election: New("me", 9*time.Second, 3*time.Second), Sharding: fleet.SingleShard(), TiersDigest: "new", Client: c, View: v,
-			Follow: store.NewFollower(c, v, log), Log: log, ConfigMismatch: func() (string, bool) { return "", true }}
-		go k.Follow.Run(ctx)
-		go k.Follow.RunBarriers(ctx)
+		gate := &SettingsGate{Sharding: fleet.SingleShard(), TiersDigest: "new", State: State{Client: c, View: v, Follow: store.NewFollower(c, v, log)},
+			Log: log, Mismatch: func() (string, bool) { return "", true }}
+		go gate.State.Follow.Run(ctx)
+		go gate.State.Follow.RunBarriers(ctx)
 		time.Sleep(time.Second)
 		s.Configure(func(s *simulator.StateService) {
 			s.HoldTxn = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
 		})
-		if _, matches := k.tiersCondition(ctx); matches {
+		if _, matches := gate.tiersCondition(ctx); matches {
 			t.Error("the state does not follow the settings yet")
 		}
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(5)}, {Put: store.LeaderKey("a"), Value: store.LeaderRecord{Leader: "other", FencingToken: 5}}}})
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -625,7 +625,7 @@
 		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
 		internal/controller.watchLeaders
 		internal/leader.Decide internal/leader.ProposeGrants internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers internal/leader.guardBatch
-		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.campaign internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.step internal/leadership.writeTiers
+		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
 		internal/reshard.Transaction
 		internal/snapshot.Import internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport
 		internal/store.Txn internal/store.TxnBeforeSend internal/store.check`)
