--- a/internal/store/callstats.go
+++ b/internal/store/callstats.go
@@ -11,7 +11,7 @@
 	Requests, Changes, Refused, Unanswered, Bytes uint64
 }
 
-// The purposes that calls are counted by.
+// The purposes by which calls are counted; they are labels of the metrics.
 const (
 	PurposeLeadership    = "claim"
 	PurposeRounds        = "round"
@@ -35,30 +35,32 @@
 	return PurposeReads
 }
 
+// callCounters keeps CallStats by purpose.
 type callCounters struct {
 	mu        sync.Mutex
 	byPurpose map[string]CallStats
 }
 
-func (s *callCounters) add(purpose string, f func(*CallStats)) {
+// add updates the counts of a purpose.
+func (s *callCounters) add(purpose string, update func(*CallStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byPurpose == nil {
 		s.byPurpose = make(map[string]CallStats)
 	}
 	n := s.byPurpose[purpose]
-	f(&n)
+	update(&n)
 	s.byPurpose[purpose] = n
 }
 
-// CallStatsByPurpose gives the counts by purpose.
+// CallStatsByPurpose returns the counts by purpose.
 func (c *Client) CallStatsByPurpose() map[string]CallStats {
 	c.calls.mu.Lock()
 	defer c.calls.mu.Unlock()
 	return maps.Clone(c.calls.byPurpose)
 }
 
-// CallStats gives the counts of all purposes together.
+// CallStats returns the counts of all purposes together.
 func (c *Client) CallStats() CallStats {
 	var sum CallStats
 	for _, s := range c.CallStatsByPurpose() {
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -8,20 +8,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Allowance is what one controller may take of the limits, each part from 0 to 1.
+// Allowance is the share of the state service's limits that one controller may use, each
+// fraction from 0 to 1. Half of all changes are for the leaders of the shards, in equal
+// parts, and half for accepting jobs, shared evenly or as package writers decides.
 type Allowance struct {
 	Requests   float64 // of all requests
-	Acceptance float64 // of the changes that are for acceptance
-	Leading    float64 // of those that are for holding the fleet: the part of it that is held
-	HasLeader  bool    // whether anyone holds the fleet; otherwise all changes are for acceptance
+	Acceptance float64 // of the changes that are for accepting jobs
+	Leading    float64 // of the changes that are for leaders: the share of shards that it leads
+	HasLeader  bool    // whether any shard has a leader; otherwise all changes are for acceptance
 }
 
-// EvenAllowance is that of one of so many controllers while nobody holds the fleet.
+// EvenAllowance is the allowance of one of so many controllers while no shard has a leader.
 func EvenAllowance(controllers int) Allowance {
 	return Allowance{Requests: 1 / float64(controllers), Acceptance: 1 / float64(controllers)}
 }
 
-// writeShare is the part of all changes that an allowance comes to.
+// writeShare is the share of all changes that an allowance amounts to.
 func (a Allowance) writeShare() float64 {
 	if !a.HasLeader && a.Leading == 0 {
 		return a.Acceptance
@@ -29,6 +31,7 @@
 	return a.Acceptance/2 + a.Leading/2
 }
 
+// setRate changes a limiter's rate, with a burst of one second.
 func setRate(l *rate.Limiter, r float64) {
 	if l.Limit() != rate.Limit(r) {
 		l.SetLimit(rate.Limit(r))
@@ -36,56 +39,66 @@
 	}
 }
 
-// Allow sets what this controller may take of the limits.
+// Allow sets the controller's allowance.
 func (c *Client) Allow(a Allowance) {
 	setRate(c.readLimiter, c.rps*a.Requests)
 	setRate(c.writeLimiter, c.writeRPS*a.writeShare())
 }
 
-// LeaderBurst is how many changes the holder of one of so many parts, with a share of acceptance,
-// may surely make at once: what is more is refused as long as the others spend theirs. A limit of 0
-// stands for none.
-func LeaderBurst(writeRPS, acceptance float64, parts int) int {
+// minBurst is what every round must be able to write: a segment of the ledger, one that is
+// added or removed, and batches in which jobs end.
+const minBurst = 4
+
+// LeaderBurst is how many changes the leader of one of so many shards, with a share of
+// acceptance, can surely make at once: what exceeds it is refused as long as the others use
+// their allowances. A limit of 0 means no limit.
+func LeaderBurst(writeRPS, acceptance float64, shards int) int {
 	if writeRPS == 0 {
 		return math.MaxInt
 	}
-	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(parts), HasLeader: true}
+	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(shards), HasLeader: true}
 	return max(minBurst, int(writeRPS*share.writeShare()))
 }
 
-// minBurst is what a round has to have room for: a slot of the ledger, one that is added or
-// dropped, and homes in which jobs end.
-const minBurst = 4
+// minRequestRate, in requests per second, bounds MinInterval to ten seconds also for a
+// controller that may hardly send anything.
+const minRequestRate = 0.1
 
-// MinInterval is the least time between two requests of one kind that may take a part
-// of this controller's share of the requests.
-func (c *Client) MinInterval(part float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(0.1, part*float64(c.readLimiter.Limit())))
+// MinInterval is the least time between two requests of one kind that may use a fraction
+// of this controller's requests.
+func (c *Client) MinInterval(fraction float64) time.Duration {
+	return time.Duration(float64(time.Second) / max(minRequestRate, fraction*float64(c.readLimiter.Limit())))
 }
 
-// minBackgroundShare is the part of a controller's share that is left to what can wait, however much else
-// there is: it is to go on, if slowly, in a flood that takes all the rest for minutes.
+// minBackgroundShare is the part of a controller's changes that background writes get
+// however many others there are: compaction must go on, if slowly, during a flood of
+// submissions that takes everything else for minutes.
 const minBackgroundShare = 1. / 8
 
-// WaitForSpareWrites waits until n changes can be made and half of this controller's share
-// is left to others: what can wait goes last, but not without an end.
+// spareCheckInterval is how often a background write looks whether its turn has come.
+const spareCheckInterval = 100 * time.Millisecond
+
+// WaitForSpareWrites lets a background write of n changes wait until half of this
+// controller's burst would remain for others, but not longer than n changes take at
+// minBackgroundShare.
 func (c *Client) WaitForSpareWrites(ctx context.Context, n int) error {
-	for begun := time.Now(); ; {
-		burst := float64(c.writeLimiter.Burst())
-		if need := min(float64(n)+burst/2, burst); c.writeLimiter.Tokens() >= need {
-			return nil
-		}
-		if time.Since(begun).Seconds()*float64(c.writeLimiter.Limit())*minBackgroundShare >= float64(n) {
-			return nil
-		}
-		t := time.NewTimer(100 * time.Millisecond)
-		select {
-		case <-ctx.Done():
-			t.Stop()
-			return ctx.Err()
-		case <-t.C:
+	begun := time.Now()
+	for !c.hasSpareWrites(n, begun) {
+		sleep(ctx, spareCheckInterval)
+		if err := ctx.Err(); err != nil {
+			return err
 		}
 	}
+	return nil
+}
+
+// hasSpareWrites reports whether n changes may be made that have waited since begun.
+func (c *Client) hasSpareWrites(n int, begun time.Time) bool {
+	burst := float64(c.writeLimiter.Burst())
+	if need := min(float64(n)+burst/2, burst); c.writeLimiter.Tokens() >= need {
+		return true
+	}
+	return time.Since(begun).Seconds()*float64(c.writeLimiter.Limit())*minBackgroundShare >= float64(n)
 }
 
 // WriteBurst is how many changes this controller may make at once.
