--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -90,15 +90,15 @@
 
 // storeFinishedJobs writes that jobs are done, of which every task is.
 func (h *Leader) storeFinishedJobs(now time.Time, d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.oldestFirst()) {
+	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
 		j, l := h.jobStates[id], h.liveJobs[id]
 		if l == nil || j == nil {
-			h.unstored.remove(id)
+			h.unstored.Remove(id)
 			continue
 		}
 		tasks, all := j.finished.Difference(j.storedFinished), h.allFinished(l, j)
 		if len(tasks) == 0 && (!all || h.sharding.IsSingle()) {
-			h.unstored.remove(id)
+			h.unstored.Remove(id)
 			continue
 		}
 		if !all || len(tasks) > 0 && h.unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
@@ -116,7 +116,7 @@
 // storeProgress writes the blocks of jobs in which tasks have finished, as far as
 // the round has room.
 func (h *Leader) storeProgress(d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.oldestFirst()) {
+	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
 		j, l := h.jobStates[id], h.liveJobs[id]
 		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.unassigned(l)) {
 			continue
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -53,7 +53,7 @@
 
 func (h *Leader) newDraft() *Draft {
 	maxChanges := min(h.cfg.Store.TxnOps, store.LeaderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().MinWriteShare(), len(h.sharding.Shards())))
-	guards := h.contention.limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
+	guards := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
 	return &Draft{Number: h.lastRound + 1, finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{}, expansions: map[string]*tier.Preemption{}, stale: map[reservationKey]bool{},
 		rewrites: map[string]*store.BatchUpdate{}, guardedBatches: map[string]bool{}, txnBytesLeft: maxRoundBytes, changesLeft: maxChanges, conditionsLeft: guards}
 }
@@ -126,7 +126,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastRound = d.Number
-	h.contention.taken()
+	h.conflicts.Committed()
 	if len(d.launches) > 0 {
 		h.stalls.started(d.decidedAt)
 	}
@@ -176,7 +176,7 @@
 func (h *Leader) Discard(d *Draft) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.contention.refused(len(d.guardedBatches))
+	h.conflicts.Refused(len(d.guardedBatches))
 	h.discardDraft(d)
 }
 
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -334,7 +334,7 @@
 	if !h.rewriteRanges(d, id, l, next) {
 		return false
 	}
-	h.unstored.add(id, h.lastRound) // what is left here may all have finished
+	h.unstored.Add(id, h.lastRound) // what is left here may all have finished
 	return true
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -12,6 +12,7 @@
 	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
@@ -66,7 +67,7 @@
 	timeouts              timeouts
 	lastRound             uint64
 	batchBackoff          int // halvings of what a round may hold, after one that did not fit
-	contention            contention
+	conflicts             commit.ConflictBackoff
 	stalls                stallDetector
 	lastDecided           time.Time // when a round was last decided
 	lastPauseEnd          time.Time // when the holder last went on after it had stood still
@@ -93,7 +94,7 @@
 	requestsToDrop        map[string]bool           // asks to drop from the store
 	machinesToDrop        map[string]bool           // machine records to drop
 	machinesToRelease     map[string]bool           // machines to release
-	unstored              completionQueue           // jobs with tasks that are done but not stored
+	unstored              commit.CompletionQueue    // jobs with tasks that are done but not stored
 	liveJobs              map[string]*store.LiveJob // of the last snapshot
 	wakeLoop              chan struct{}
 	wakeCalls             chan struct{}
@@ -157,7 +158,7 @@
 		fleet:  fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
 		ledger: ledger, timeouts: timeoutsOf(cfg), types: types, lastRound: last.Round, lastDecided: now,
 		jobStates: map[string]*jobState{}, scaleOutRequests: autoscale.New(cfg.Cloud.RPS), scaleOutWake: make(chan struct{}, 1), requestsToDrop: map[string]bool{}, machinesToDrop: map[string]bool{},
-		machinesToRelease: map[string]bool{}, unstored: completionQueue{}, stalls: stallDetector{lastProgress: now},
+		machinesToRelease: map[string]bool{}, unstored: commit.CompletionQueue{}, stalls: stallDetector{lastProgress: now},
 		sharding: cfg.Sharding(), recentHandovers: map[string]recentHandovers{}, shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
 		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), callStates: map[string]callState{}, throttle: throttle.New(),
 		lastZoneHeartbeat: map[string]time.Time{}, orphans: map[string]time.Time{}, recoveredZones: map[string]time.Time{}, unreachableZones: map[string]time.Time{},
@@ -187,7 +188,7 @@
 			j.storedFinished.Add(i)
 		}
 		if !h.sharding.IsSingle() {
-			h.unstored.add(id, h.lastRound) // the rest may have been given away since
+			h.unstored.Add(id, h.lastRound) // the rest may have been given away since
 		}
 	}
 	h.liveJobs, h.viewCurrentAt = snap.LiveJobs, snap.CurrentAt
@@ -410,7 +411,7 @@
 			h.withdrawLaterAttempt(wire.TaskID{Job: t.Job, Index: i}, true)
 		}
 	}
-	h.unstored.add(t.Job, h.lastRound)
+	h.unstored.Add(t.Job, h.lastRound)
 }
 
 // TaskCount is how many tasks of a job run and are done, for display.
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -62,7 +62,7 @@
 				j.finished.Add(i)
 			}
 			h.migration.jobs[id] = true
-			h.unstored.add(id, h.lastRound)
+			h.unstored.Add(id, h.lastRound)
 		}
 		for _, s := range l.Record.Ranges {
 			if !s.Done || !s.Within(l.Record.Tasks) || !h.unassigned(l) {
@@ -73,7 +73,7 @@
 				j.finished.Add(i)
 				j.storedFinished.Add(i)
 			}
-			h.unstored.add(id, h.lastRound)
+			h.unstored.Add(id, h.lastRound)
 			if gangCompleted(l, l.Record.Ranges) { // its tasks complete together
 				h.markFinished(wire.TaskID{Job: id, Index: s.From}, j)
 			}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -58,7 +58,7 @@
 		j.endedAt = at // its user was told then, by whichever controller
 	}
 	h.ledger.DiscardJob(id, rec.Tasks)
-	h.unstored.remove(id)
+	h.unstored.Remove(id)
 	delete(h.inferredShares, id)
 }
 
