--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,6 +1,6 @@
-// Package httpwire is the project's own HTTP/1.1: a parser and a writer for
-// requests and responses. Heads and bodies are bounded, and anything that two
-// readers could understand differently is refused.
+// Package httpwire parses and writes HTTP/1.1 requests and responses. Heads and bodies
+// are bounded, and a message that two parsers could understand differently is rejected,
+// so that no proxy in between can be made to see other requests than this package does.
 package httpwire
 
 import (
@@ -16,34 +16,35 @@
 
 // Bounds of a message's head.
 const (
-	maxLine    = 8 << 10
-	maxHeaders = 64
+	maxLine    = 8 << 10 // bytes of a line
+	maxHeaders = 64      // also of a chunked body's trailers
 )
 
-// Error is a fault of a peer's message, with the status that answers it.
+// Error is a malformed or oversized message, with the status to answer it with.
 type Error struct {
 	Status int
 	Reason string
 }
 
+// Error returns the reason.
 func (e *Error) Error() string { return e.Reason }
 
 func errorf(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Request is a request that was read in whole.
+// Request is a request that has been read completely.
 type Request struct {
 	Method, Path, Query string
 	Close               bool
 	Body                []byte
 }
 
-// Response is a response, read or to be written.
+// Response is a response that has been read or is to be written.
 type Response struct {
 	Status      int
 	Body        []byte
-	ContentType string // of the body; CBOR if it is empty
+	ContentType string // of the body; empty means CBOR
 	RetryAfter  time.Duration
 	Close       bool
 }
@@ -74,15 +75,16 @@
 	return s, nil
 }
 
-// head is what the headers of a message say about the rest of it.
+// head holds what a message's headers say about the rest of it.
 type head struct {
-	length     int64 // -1: not given
+	length     int64 // of the body; -1 if it is not given
 	chunked    bool
 	close      bool
 	expect     bool
 	retryAfter time.Duration
 }
 
+// readHeaders reads headers up to the empty line that ends them.
 func readHeaders(r *bufio.Reader) (head, error) {
 	h := head{length: -1}
 	for n := 0; ; n++ {
@@ -110,6 +112,7 @@
 	return h, nil
 }
 
+// set takes in one header; its name is in lower case.
 func (h *head) set(name, value string) error {
 	switch name {
 	case "content-length":
@@ -157,23 +160,22 @@
 	return b, nil
 }
 
+// readChunks reads a chunked body of at most limit bytes, and drops its trailers.
 func readChunks(r *bufio.Reader, limit int64) ([]byte, error) {
 	var out []byte
 	for {
-		s, err := readLine(r)
+		n, err := readChunkSize(r)
 		if err != nil {
 			return nil, err
 		}
-		size, _, _ := strings.Cut(s, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil {
-			return nil, errorf(400, "bad chunk size")
-		}
-		if int64(len(out))+int64(n) > limit {
+		if int64(len(out))+n > limit {
 			return nil, errorf(413, "body larger than %d bytes", limit)
 		}
 		if n == 0 {
-			break
+			if err := skipTrailers(r); err != nil {
+				return nil, err
+			}
+			return out, nil
 		}
 		at := len(out)
 		out = append(out, make([]byte, n)...)
@@ -184,22 +186,38 @@
 			return nil, errorf(400, "chunk without its end")
 		}
 	}
-	for n := 0; ; n++ { // trailers
+}
+
+// readChunkSize reads the line before a chunk. Chunk extensions are ignored.
+func readChunkSize(r *bufio.Reader) (int64, error) {
+	s, err := readLine(r)
+	if err != nil {
+		return 0, err
+	}
+	size, _, _ := strings.Cut(s, ";")
+	n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
+	if err != nil {
+		return 0, errorf(400, "bad chunk size")
+	}
+	return int64(n), nil
+}
+
+// skipTrailers reads up to the empty line that ends a chunked body.
+func skipTrailers(r *bufio.Reader) error {
+	for n := 0; ; n++ {
 		s, err := readLine(r)
-		if err != nil {
-			return nil, err
-		}
-		if s == "" {
-			return out, nil
+		if err != nil || s == "" {
+			return err
 		}
 		if n == maxHeaders {
-			return nil, errorf(431, "too many trailers")
+			return errorf(431, "too many trailers")
 		}
 	}
 }
 
-// ReadRequest reads one request with a body of at most limit bytes. io.EOF
-// means that the peer closed between requests.
+// ReadRequest reads one request with a body of at most limit bytes. The error is io.EOF if
+// the peer closed the connection between requests, and an *Error if the request must be
+// answered with a status.
 func ReadRequest(r *bufio.Reader, limit int64) (*Request, error) {
 	s, err := readLine(r)
 	if err != nil {
@@ -228,7 +246,7 @@
 	return &Request{method, path, query, h.close || proto == "HTTP/1.0", b}, nil
 }
 
-// AppendRequest writes a request.
+// AppendRequest appends a request to out. A body is announced as CBOR.
 func AppendRequest(out []byte, host, method, target string, body []byte) []byte {
 	out = fmt.Appendf(out, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	if body != nil {
@@ -241,7 +259,8 @@
 	return append(out, body...)
 }
 
-// ReadResponse reads one response with a body of at most limit bytes.
+// ReadResponse reads one response with a body of at most limit bytes. The error is an
+// *Error if the response is malformed or too large.
 func ReadResponse(r *bufio.Reader, limit int64) (*Response, error) {
 	s, err := readLine(r)
 	if err != nil {
@@ -261,7 +280,7 @@
 	if status == 204 || status == 304 {
 		return resp, nil
 	}
-	if !h.chunked && h.length < 0 { // the body lasts until the peer closes
+	if !h.chunked && h.length < 0 { // the body ends where the peer closes the connection
 		resp.Close = true
 		resp.Body, err = io.ReadAll(io.LimitReader(r, limit+1))
 		if err == nil && int64(len(resp.Body)) > limit {
@@ -273,6 +292,7 @@
 	return resp, err
 }
 
+// reasonPhrases of the statuses that are sent.
 var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	409: "Conflict", 410: "Gone", 413: "Content Too Large", 417: "Expectation Failed", 421: "Misdirected Request", 422: "Unprocessable Content",
@@ -280,7 +300,7 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported",
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends a response to out.
 func AppendResponse(out []byte, r *Response) []byte {
 	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, reasonPhrases[r.Status], len(r.Body))
 	if len(r.Body) > 0 {
--- a/internal/transport/caller.go
+++ b/internal/transport/caller.go
@@ -13,37 +13,43 @@
 	"amberdeal.example/amberdeal/internal/httpwire"
 )
 
-// maxIdlePerAddr bounds the connections to one address that are kept for reuse.
-const maxIdlePerAddr = 4
-
-// idleTimeout is how long an unused connection is kept.
-const idleTimeout = 15 * time.Second
+const (
+	// maxIdlePerAddr bounds the idle connections to one address that are kept for reuse.
+	maxIdlePerAddr = 4
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 15 * time.Second
+	// sweepInterval is the least time between two searches for expired idle connections.
+	sweepInterval = idleTimeout / 4
+	// responseBufferBytes is the size of the buffer that responses are parsed from.
+	responseBufferBytes = 4 << 10
+)
 
-// Caller makes calls out. Every call has a deadline and reuses connections; a
-// silent peer costs a time-out only to its own callers.
+// Caller makes HTTP calls and reuses connections. Every call ends with its context, so
+// that an unresponsive peer delays nobody but its own callers.
 type Caller struct {
-	MaxBody int64 // of an answer's body
-	MaxIdle int   // unused connections that are kept in all; 0 stands for no bound
+	MaxBody int64 // of a response's body, in bytes
+	MaxIdle int   // idle connections that are kept in all; 0 means no bound
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu        sync.Mutex
 	idle      map[string][]*clientConn
-	idleCount int // of them in all
+	idleCount int // over all addresses
 	lastSweep time.Time
 }
 
-// ErrNotSent means that the request was never sent: no connection came about,
-// and one that was given up does not complete later.
+// ErrNotSent means that no connection could be opened, so that the request was certainly
+// not sent.
 var ErrNotSent = errors.New("not sent")
 
+// clientConn is an outgoing connection.
 type clientConn struct {
 	net.Conn
 	r         *bufio.Reader
 	idleSince time.Time
 }
 
-// Call sends a request and waits for its answer until the context ends. An
-// error leaves open whether the peer has executed the request.
+// Call sends a request and waits for its response until the context ends. With any error
+// but ErrNotSent, the peer may or may not have executed the request.
 func (c *Caller) Call(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	conn, reused, err := c.getConn(ctx, addr)
 	if err != nil {
@@ -51,7 +57,7 @@
 	}
 	resp, err := c.exchange(ctx, conn, addr, method, target, body)
 	if err != nil && reused && method == "GET" && ctx.Err() == nil {
-		// The peer may have closed the kept connection; a read can be repeated.
+		// The peer may have closed the idle connection meanwhile. A read is idempotent.
 		if conn, err = c.dial(ctx, addr); err == nil {
 			resp, err = c.exchange(ctx, conn, addr, method, target, body)
 		}
@@ -59,6 +65,8 @@
 	return resp, err
 }
 
+// exchange sends a request on a connection and reads the response. The connection is kept
+// for reuse or closed.
 func (c *Caller) exchange(ctx context.Context, conn *clientConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	if d, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(d)
@@ -67,12 +75,12 @@
 	defer stop()
 	if _, err := conn.Write(httpwire.AppendRequest(nil, addr, method, target, body)); err != nil {
 		conn.Close()
-		return nil, err
+		return nil, fmt.Errorf("send %s %s to %s: %w", method, target, addr, err)
 	}
 	resp, err := httpwire.ReadResponse(conn.r, c.MaxBody)
 	if err != nil {
 		conn.Close()
-		return nil, err
+		return nil, fmt.Errorf("read response to %s %s from %s: %w", method, target, addr, err)
 	}
 	if resp.Close || !stop() {
 		conn.Close()
@@ -82,6 +90,7 @@
 	return resp, nil
 }
 
+// getConn returns an idle connection to an address, or opens one. It reports which it was.
 func (c *Caller) getConn(ctx context.Context, addr string) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle[addr]); n > 0; n-- {
@@ -104,9 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, r: bufio.NewReaderSize(conn, 4<<10)}, nil
+	return &clientConn{Conn: conn, r: bufio.NewReaderSize(conn, responseBufferBytes)}, nil
 }
 
+// putConn keeps a connection for reuse, or closes it where enough are idle already.
 func (c *Caller) putConn(addr string, conn *clientConn) {
 	_ = conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -121,13 +131,13 @@
 		c.idle[addr] = append(c.idle[addr], conn)
 		c.idleCount++
 	}
-	if time.Since(c.lastSweep) > idleTimeout/4 {
+	if time.Since(c.lastSweep) > sweepInterval {
 		c.sweep()
 	}
 }
 
-// sweep closes the connections that were not used for long: with thousands of
-// addresses, kept ones would take all sockets.
+// sweep closes connections that have been idle for too long: with thousands of addresses
+// they would otherwise use up all sockets. The lock is held.
 func (c *Caller) sweep() {
 	c.lastSweep = time.Now()
 	for addr, conns := range c.idle {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,30 +9,33 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxPending bounds the bytes of a connection that wait for its goroutine.
+// maxPending bounds the bytes received on a connection that its goroutine has not read yet.
 const maxPending = 128 << 10
 
-// maxUnread bounds the bytes of a connection that wait for its peer.
+// maxUnread bounds the bytes written to a connection that its peer has not taken yet.
 const maxUnread = 256 << 10
 
-// Conn is an accepted connection: gnet's loop fills it, its goroutine reads
-// and writes it.
+// Conn is an accepted connection. gnet's event loop feeds it, and the goroutine that serves
+// it reads and writes it.
 type Conn struct {
-	conn           gnet.Conn
-	mu             sync.Mutex
-	pending        []byte
-	closed         bool
-	wake           chan struct{}
-	idle           time.Duration
-	firstByteTimer *time.Timer // ends a connection on which nothing ever came
-	serving        bool        // its goroutine runs; of the loop alone
+	conn gnet.Conn
+	wake chan struct{} // has room for one signal to a waiting Read
+	idle time.Duration // bounds each Read; 0 means no bound
+
+	firstByteTimer *time.Timer // closes a connection on which nothing ever arrived
+	serving        bool        // its goroutine has been started; used on the event loop only
+
+	mu      sync.Mutex
+	pending []byte // received and not read yet
+	closed  bool
 }
 
 // SetIdle bounds each Read from now on; 0 means no bound.
 func (c *Conn) SetIdle(d time.Duration) { c.idle = d }
 
-// Read waits for bytes of the peer. Those of a peer that has gone are not read: nobody
-// waits for an answer any more, and under a heavy load most that is late is such.
+// Read waits for bytes from the peer. What a peer has sent before it closed the connection
+// is discarded: nobody waits for the response any more, and under heavy load most late
+// requests are of this kind.
 func (c *Conn) Read(p []byte) (int, error) {
 	var expired <-chan time.Time
 	for {
@@ -64,7 +67,7 @@
 	}
 }
 
-// Write hands bytes to the loop.
+// Write hands a copy of p to the event loop, which sends it.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	closed := c.closed
@@ -78,8 +81,8 @@
 	return len(p), nil
 }
 
-// closeUnread ends a connection whose peer asks and asks and reads no answers,
-// which would pile up here. The loop calls it after each write.
+// closeUnread closes a connection whose peer keeps sending requests without reading the
+// responses, which would pile up in memory. The event loop calls it after each write.
 func closeUnread(c gnet.Conn, err error) error {
 	if err == nil && c.OutboundBuffered() > maxUnread {
 		return c.Close()
@@ -87,9 +90,10 @@
 	return nil
 }
 
-// Close ends the connection after what was written.
+// Close closes the connection once everything written to it has been sent.
 func (c *Conn) Close() error { return c.conn.Close() }
 
+// signal wakes a waiting Read.
 func (c *Conn) signal() {
 	select {
 	case c.wake <- struct{}{}:
@@ -97,7 +101,8 @@
 	}
 }
 
-// feed takes bytes from the loop; false means that the peer sent too much.
+// feed takes bytes from the event loop. It returns false if the peer sends faster than
+// its requests are read.
 func (c *Conn) feed(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,6 +114,7 @@
 	return true
 }
 
+// markClosed makes every further Read and Write fail.
 func (c *Conn) markClosed() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/transport/connlimit.go
+++ b/internal/transport/connlimit.go
@@ -5,29 +5,30 @@
 	"sync/atomic"
 )
 
-// ConnLimit counts the connections that a listener has open, so that whoever can come again
-// may be asked to before nobody finds one.
+// ConnLimit counts a listener's open connections against their limit, so that clients which
+// can reconnect may be asked to close theirs before no connection is left for others.
 type ConnLimit struct {
-	Max int // connections that may be open
+	Max int // open connections
 
 	open atomic.Int64
 }
 
-// Serve counts the connections that are served.
-func (r *ConnLimit) Serve(serve ServeConn) ServeConn {
+// Serve wraps serve so that its open connections are counted.
+func (l *ConnLimit) Serve(serve ServeConn) ServeConn {
 	return func(ctx context.Context, c Stream) {
-		r.open.Add(1)
-		defer r.open.Add(-1)
+		l.open.Add(1)
+		defer l.open.Add(-1)
 		serve(ctx, c)
 	}
 }
 
-// Open tells how many connections are open.
-func (r *ConnLimit) Open() int { return int(r.open.Load()) }
+// Open returns the number of open connections.
+func (l *ConnLimit) Open() int { return int(l.open.Load()) }
 
-// Scarce reports whether less than a third of the connections is left.
-func (r *ConnLimit) Scarce() bool { return r.Open()*3 > r.Max*2 }
+// Scarce reports whether less than a third of the connections is free.
+func (l *ConnLimit) Scarce() bool { return l.Open()*3 > l.Max*2 }
 
-// Full reports whether next to none is left: whoever can come again must, whether a machine or
-// a user, or connections that are kept for seldom use shut all others out for ever.
-func (r *ConnLimit) Full() bool { return r.Open()*10 > r.Max*9 }
+// Full reports whether less than a tenth of the connections is free. Every client that can
+// reconnect, machine or user, must then close its connection: connections kept open for
+// occasional use would otherwise lock out all other clients permanently.
+func (l *ConnLimit) Full() bool { return l.Open()*10 > l.Max*9 }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -9,21 +9,24 @@
 	"amberdeal.example/amberdeal/internal/httpwire"
 )
 
-// requestTimeout bounds how long one request may take to come in whole.
+// requestTimeout bounds how long one request may take to arrive completely.
 const requestTimeout = 10 * time.Second
 
+// headBufferBytes is the size of the buffer that requests are parsed from.
+const headBufferBytes = 4 << 10
+
 // Handler answers one request.
 type Handler func(ctx context.Context, r *httpwire.Request) *httpwire.Response
 
-// HTTP serves requests, one after the other, on a connection. A peer that is
-// silent for longer than idle, or slower with one request than requestTime, is
-// closed.
+// HTTP serves the requests of a connection one after the other, each with a body of at
+// most limit bytes. It closes a connection whose peer is idle for longer than idle, or
+// takes longer than requestTimeout to send one request.
 func HTTP(limit int64, idle time.Duration, h Handler) ServeConn {
 	return func(ctx context.Context, c Stream) {
 		c.SetIdle(idle)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		defer stop()
-		r := bufio.NewReaderSize(c, 4<<10)
+		r := bufio.NewReaderSize(c, headBufferBytes)
 		for {
 			if _, err := r.Peek(1); err != nil {
 				return
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -1,5 +1,7 @@
-// Package transport moves bytes: listeners and connections on gnet's event
-// loop, a goroutine for each connection, and calls out with deadlines.
+// Package transport accepts and opens connections. Listeners run on gnet's event
+// loop with one goroutine for each connection that is served; outgoing calls have
+// deadlines and reuse connections. Every buffer and every wait is bounded, so that
+// no peer can hold memory, a goroutine or a socket for ever.
 package transport
 
 import (
@@ -10,27 +12,28 @@
 	"time"
 )
 
-// Stream is an accepted connection as its goroutine sees it.
+// Stream is an accepted connection as its ServeConn function sees it.
 type Stream interface {
 	io.ReadWriteCloser
 	// SetIdle bounds each Read from now on; 0 means no bound.
 	SetIdle(time.Duration)
 }
 
-// ServeConn is run in a goroutine for each accepted connection.
+// ServeConn serves one accepted connection, in a goroutine of its own. The connection is
+// closed when it returns.
 type ServeConn func(ctx context.Context, c Stream)
 
 // Network is how a controller reaches the world; a test may bring its own.
 type Network interface {
-	// Listen serves an address until the context ends, so many connections at
-	// the most.
+	// Listen serves an address until the context ends, with at most conns
+	// connections open at once.
 	Listen(ctx context.Context, addr string, conns int, serve ServeConn) error
 	// Dial opens a connection out.
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Sockets is the real network: gnet's event loop for what comes in, the
-// library's dialer for what goes out.
+// Sockets is the operating system's network: gnet's event loop for incoming connections,
+// the standard library's dialer for outgoing ones.
 type Sockets struct{ Log *slog.Logger }
 
 // Dial opens a connection out.
@@ -44,20 +47,20 @@
 	return n.ListenRejecting(ctx, addr, conns, serve, nil)
 }
 
-// ListenRejecting implements Turner.
+// ListenRejecting implements RejectingNetwork.
 func (n Sockets) ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, reject Rejecter) error {
 	s := &server{addr: addr, conns: int64(conns), serve: serve, reject: reject, log: n.Log}
 	return s.run(ctx)
 }
 
-// Rejecter looks at the first bytes of a connection and gives the answer that turns its peer
-// away, or nil where the connection is to be served. It is called by the loop, and must
-// take no time.
+// Rejecter looks at the first bytes of a connection and returns the response with which it is
+// rejected, or nil if it is to be served. It is called on the event loop and must not block.
 type Rejecter func(first []byte) []byte
 
-// RejectingNetwork is a Network that can turn peers away by the first bytes that they send. It
-// costs a fraction of serving them, so that a crowd which is to come again, or to go
-// elsewhere, doesn't keep those from being served that can be.
+// RejectingNetwork is a Network that can reject connections by their first bytes. That costs a
+// fraction of serving them, so that a crowd of clients which must retry, here or elsewhere,
+// does not starve those that can be served.
 type RejectingNetwork interface {
+	// ListenRejecting is Listen, with each connection first shown to reject.
 	ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, turn Rejecter) error
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -12,10 +13,20 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 )
 
-// firstByteTimeout bounds how long a new connection may stay without a byte.
-const firstByteTimeout = 30 * time.Second
+const (
+	// firstByteTimeout bounds how long a new connection may stay without a byte.
+	firstByteTimeout = 30 * time.Second
+	// refusalLogInterval is the time between two log lines about refused connections: a
+	// line for each would cost more than the refusal.
+	refusalLogInterval = 10 * time.Second
+	// stopTimeout bounds how long gnet may take to stop its event loop.
+	stopTimeout = 2 * time.Second
 
-// server is gnet's view of one listening address.
+	readBufferBytes  = 16 << 10
+	writeBufferBytes = 64 << 10
+)
+
+// server implements gnet's callbacks for one listening address.
 type server struct {
 	gnet.BuiltinEventEngine
 	addr   string
@@ -24,25 +35,25 @@
 	reject Rejecter
 	log    *slog.Logger
 
+	// gnet's callbacks take no context; this is the one that run was called with.
 	ctx     context.Context
 	engine  gnet.Engine
 	booted  atomic.Bool
 	open    atomic.Int64
 	serving sync.WaitGroup
-	// Of the loop alone: connections that were refused since that was last told.
+	// Used on the event loop only: connections refused since the last warning.
 	refused     int
 	lastWarning time.Time
 }
 
-// refusalLogInterval is the time between two lines that tell of refused connections.
-const refusalLogInterval = 10 * time.Second
-
+// run serves the address until the context ends, and returns once all connections are
+// done.
 func (s *server) run(ctx context.Context) error {
 	s.ctx = ctx
 	done := make(chan error, 1)
 	go func() {
 		done <- gnet.Run(s, "tcp://"+s.addr, gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true),
-			gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(64<<10),
+			gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(readBufferBytes), gnet.WithWriteBufferCap(writeBufferBytes),
 			gnet.WithLogger(gnetLogger{s.log}), gnet.WithLogLevel(logging.ErrorLevel))
 	}()
 	select {
@@ -50,11 +61,11 @@
 		if err == nil {
 			err = errors.New("listener ended")
 		}
-		return err
+		return fmt.Errorf("listen on %s: %w", s.addr, err)
 	case <-ctx.Done():
 	}
 	if s.booted.Load() {
-		stop, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		_ = s.engine.Stop(stop)
 	}
@@ -73,7 +84,7 @@
 func (s *server) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
 	if s.open.Add(1) > s.conns {
 		s.refused++
-		if now := time.Now(); now.Sub(s.lastWarning) > refusalLogInterval { // a line for each would cost more than the refusal
+		if now := time.Now(); now.Sub(s.lastWarning) > refusalLogInterval {
 			s.log.Warn("connections refused: too many are open", "addr", s.addr, "limit", s.conns, "refused", s.refused)
 			s.lastWarning, s.refused = now, 0
 		}
@@ -106,7 +117,7 @@
 	return gnet.None
 }
 
-// OnTraffic is called by gnet when bytes have come.
+// OnTraffic is called by gnet when bytes have arrived.
 func (s *server) OnTraffic(g gnet.Conn) gnet.Action {
 	c, ok := g.Context().(*Conn)
 	if !ok {
@@ -115,11 +126,9 @@
 	b, _ := g.Next(-1)
 	if !c.serving {
 		c.firstByteTimer.Stop()
-		if s.reject != nil {
-			if answer := s.reject(b); answer != nil {
-				_, _ = g.Write(answer)
-				return gnet.Close
-			}
+		if answer := s.rejection(b); answer != nil {
+			_, _ = g.Write(answer)
+			return gnet.Close
 		}
 		s.startServing(c)
 	}
@@ -129,7 +138,15 @@
 	return gnet.None
 }
 
-// gnetLogger keeps gnet's own words in our log.
+// rejection returns the response that rejects a connection with these first bytes, or nil.
+func (s *server) rejection(first []byte) []byte {
+	if s.reject == nil {
+		return nil
+	}
+	return s.reject(first)
+}
+
+// gnetLogger passes gnet's own messages to the log, at debug level unless they are fatal.
 type gnetLogger struct{ log *slog.Logger }
 
 func (q gnetLogger) Debugf(string, ...any)     {}
