--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -13,6 +13,7 @@
 	"testing/synctest"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
@@ -213,31 +214,56 @@
 
 // run generates load for some minutes, and checks all bounds that follow from the settings.
 func (f *overload) run(s deployment, trouble string, minutes int) {
-	t, x := f.t, overloadFaults[trouble]
+	x := overloadFaults[trouble]
 	time.Sleep(10 * time.Second)
 	f.pollGroup.Go(f.sampleUsage)
-	term, begun := f.token(), time.Now()
+	token, begun := f.token(), time.Now()
 	_, changes, _ := f.store.Counts()
 	time.AfterFunc(time.Minute, func() { x.cast(f) })
 	f.generate(time.Duration(minutes) * time.Minute)
 	_, after, _ := f.store.Counts()
 	spent := float64(after-changes) / time.Since(begun).Seconds()
-	time.Sleep(75 * time.Second) // all have ended, and what is over waits for 15 s at the most to be folded
+	time.Sleep(75 * time.Second) // all have ended, and what is over waits for 15 s at most to be compacted
 	left := f.account()
 	f.declareQuiet()
 	f.finish(3 * time.Minute)
 
 	full := !strings.HasPrefix(s.name, "half")
+	bounds := overloadBounds(full, x.took)
+	cancelled, ended := f.measure(bounds)
+	f.checkBounds(bounds)
+	// It was an overload: four a second, a quarter cancelled, most of the others done.
+	n := len(f.order)
+	f.t.Logf("%d jobs, %d cancelled, %d ended, %.1f changes a second of %v", n, cancelled, ended, spent, s.limits.WriteRPS)
+	if n < minutes*60*7/2 || cancelled < n/5 || ended < n/2 {
+		f.t.Errorf("%d jobs in %d minutes, %d cancelled, %d ended", n, minutes, cancelled, ended)
+	}
+	if strings.Contains(trouble, "leader") && f.token() < token+2 {
+		f.t.Error("the leader has not changed twice")
+	}
+	// Of jobs that live, and of such as are over and wait for 15 s to be compacted.
+	lives := bounds["begun"].most + 12*time.Second + 15*time.Second + x.took
+	f.checkKeys(s, full, int(4.5*lives.Seconds()), minutes, left)
+	f.checkMemory(s, full, minutes)
+	f.checkResults()
+}
+
+// overloadBound is how long something may take, and the longest that it took.
+type overloadBound struct{ most, worst time.Duration }
+
+// overloadBounds returns how long users may wait. full says that the state service has its usual
+// limits; took is by how much the fault may delay them.
+func overloadBounds(full bool, took time.Duration) map[string]overloadBound {
 	const attempt = 5*time.Second + time.Second // a request without an answer, and the pause before the next
-	bounds := map[string]struct{ most, worst time.Duration }{
-		"accepted":  {most: writeTimeout + x.took},
-		"cancelled": {most: writeTimeout + x.took},
-		// An array waits for room that others will leave for two boots, or has a machine rented, which
-		// boots and is then heard; and it fetches.
-		"begun": {most: 3*5*time.Second + 4*time.Second + time.Second + x.took},
-		"told":  {most: 3*time.Second + x.took},
+	bounds := map[string]overloadBound{
+		"accepted":  {most: writeTimeout + took},
+		"cancelled": {most: writeTimeout + took},
+		// An array waits for capacity that others free within two boots, or has a machine rented, which
+		// boots and then sends its first heartbeat; and it fetches.
+		"begun": {most: 3*5*time.Second + 4*time.Second + time.Second + took},
+		"told":  {most: 3*time.Second + took},
 	}
-	if x.took > 0 {
+	if took > 0 {
 		for _, what := range []string{"accepted", "cancelled"} {
 			b := bounds[what]
 			b.most += attempt
@@ -245,11 +271,15 @@
 		}
 	}
 	if !full {
-		b := bounds["told"] // a round's share of changes for a second, in which all that has gathered is told
+		b := bounds["told"] // a round's share of changes for a second, in which everything that has gathered is written
 		b.most += 4 * time.Second
 		bounds["told"] = b
 	}
-	cancelled, ended := 0, 0
+	return bounds
+}
+
+// measure notes the longest times of all jobs in bounds, and counts the cancelled and ended jobs.
+func (f *overload) measure(bounds map[string]overloadBound) (cancelled, ended int) {
 	for _, d := range f.order {
 		took := map[string]time.Duration{"accepted": d.acceptedAt.Sub(d.arrivedAt)}
 		if !d.cancelToldAt.IsZero() {
@@ -269,24 +299,22 @@
 			bounds[what] = b
 		}
 	}
+	return cancelled, ended
+}
+
+// checkBounds checks that nothing took longer than its bound.
+func (f *overload) checkBounds(bounds map[string]overloadBound) {
 	for what, b := range bounds {
-		t.Logf("%s after %v at the most", what, b.worst.Round(10*time.Millisecond))
+		f.t.Logf("%s after %v at the most", what, b.worst.Round(10*time.Millisecond))
 		if b.worst > b.most {
-			t.Errorf("%s after %v, not within %v", what, b.worst, b.most)
+			f.t.Errorf("%s after %v, not within %v", what, b.worst, b.most)
 		}
 	}
-	// It was a flood: four a second, a quarter cancelled, most of the others done.
-	n := len(f.order)
-	t.Logf("%d jobs, %d cancelled, %d ended, %.1f changes a second of %v", n, cancelled, ended, spent, s.limits.WriteRPS)
-	if n < minutes*60*7/2 || cancelled < n/5 || ended < n/2 {
-		t.Errorf("%d jobs in %d minutes, %d cancelled, %d ended", n, minutes, cancelled, ended)
-	}
-	if strings.Contains(trouble, "leader") && f.token() < term+2 {
-		t.Error("the leader has not changed twice")
-	}
-	// Keys: of jobs that live, of such as are over and wait for 15 s to be folded, and what comes while nobody folds.
-	lives := bounds["begun"].most + 12*time.Second + 15*time.Second + x.took
-	most, batches := int(4.5*lives.Seconds()), 0
+}
+
+// checkKeys checks how many keys there were in the state service, and what compaction has left.
+func (f *overload) checkKeys(s deployment, full bool, most, minutes int, left archive.Report) {
+	t, n, batches := f.t, len(f.order), 0
 	for _, k := range f.keyCounts {
 		batches = max(batches, k["batch"])
 		if k["ledger"] > 8 || k["recent"] > 8 {
@@ -301,7 +329,7 @@
 	switch {
 	case full && (batches > most || kept > 0):
 		t.Errorf("%d batches at the most, %d left: more than %d", batches, kept, most)
-	case !full: // what is spent on one job is more than there is: folding has its floor, and goes on after
+	case !full: // what is spent on one job is more than there is: compaction has its share, and goes on after
 		floor := s.limits.WriteRPS * (1/(2*float64(s.count)) + 0.5) / 8 * float64(minutes) * 60 / 2
 		if folded := n - batches; float64(folded) < floor {
 			t.Errorf("only %d of %d jobs were folded meanwhile, not %.0f", folded, n, floor)
@@ -310,15 +338,17 @@
 			t.Errorf("%d of %d batches are left after 75 s", kept, batches)
 		}
 	}
-	// Memory: an hour of this takes less than a quarter of a controller's 200 MB.
+}
+
+// checkMemory checks that an hour of this takes less than a quarter of a controller's 200 MB.
+func (f *overload) checkMemory(s deployment, full bool, minutes int) {
 	if from, to := 3, minutes; full && to-from >= 2 && len(f.heapBytes) > to {
 		grown := (float64(f.heapBytes[to]) - float64(f.heapBytes[from])) / float64(to-from) * 60 / float64(s.count)
-		t.Logf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
+		f.t.Logf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
 		if grown > 50e6 {
-			t.Errorf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
+			f.t.Errorf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
 		}
 	}
-	f.checkResults()
 }
 
 // writeTimeout is how long a controller tries to write what a user waits for.
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -258,41 +258,85 @@
 		c.start(i)
 	}
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
-	var users sync.WaitGroup
-	var mu sync.Mutex
-	var ids []string
-	rng := rand.New(rand.NewPCG(1, 9))
-	seven := rng.Perm(10_000_000)
-	pick := func() string {
-		mu.Lock()
-		defer mu.Unlock()
-		return ids[rng.IntN(len(ids))]
-	}
 	over := make(chan struct{})
-	for u := range 12 {
-		users.Add(1)
-		go func() {
-			defer users.Done()
-			for n := u; ; n += 12 {
+	users := c.startKillUsers(over)
+	c.killAtWork(kills)
+	c.waitFor("jobs in the history", func() bool { return c.account().Kinds["history"] != nil })
+	close(over)
+	users.Wait()
+	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
+		t.Errorf("the metrics tell of %v keys", n)
+	}
+	users.askAll()
+	c.migrateState()
+	users.askAll()
+	c.playJob("wk-10000001", 1) // the machines obey the new leader
+	for _, b := range c.checker.Violations() {
+		t.Error(b)
+	}
+	a := c.account()
+	for _, p := range a.Problems {
+		t.Error(p)
+	}
+	_, changes, keys := c.store.Counts()
+	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(users.ids), c.checker.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
+	if t.Failed() {
+		c.logs()
+	}
+}
+
+// killUsers are users who submit jobs while controllers are killed.
+type killUsers struct {
+	sync.WaitGroup
+	c   *processCluster
+	mu  sync.Mutex
+	rng *rand.Rand
+	ids []string // of the jobs that were played
+}
+
+// startKillUsers starts twelve users, who end when over is closed.
+func (c *processCluster) startKillUsers(over <-chan struct{}) *killUsers {
+	u := &killUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
+	numbers := u.rng.Perm(10_000_000)
+	for first := range 12 {
+		u.Go(func() {
+			for n := first; ; n += 12 {
 				select {
 				case <-over:
 					return
 				default:
 				}
-				id := fmt.Sprintf("wk-%07d", seven[n%len(seven)])
-				c.playJob(id, n)
-				mu.Lock()
-				ids = append(ids, id)
-				mu.Unlock()
-				old := pick() // an answer of long ago, and a job that nobody submitted
-				status, stage := c.ask(n, "GET", jobPath(old), nil)
-				c.checker.ObserveAnswer(old, status, stage, c.checker.Stage(old) == wire.Cancelled)
-				if status, _ := c.ask(n, "GET", jobPath(fmt.Sprintf("wk-%09d", n)), nil); status != 404 && c.ctx.Err() == nil {
-					t.Errorf("a job that nobody submitted is answered %d", status)
-				}
+				u.play(fmt.Sprintf("wk-%07d", numbers[n%len(numbers)]), n)
 			}
-		}()
+		})
+	}
+	return u
+}
+
+// play plays a job, and asks about one of long ago and one that nobody submitted.
+func (u *killUsers) play(id string, n int) {
+	u.c.playJob(id, n)
+	u.mu.Lock()
+	u.ids = append(u.ids, id)
+	old := u.ids[u.rng.IntN(len(u.ids))]
+	u.mu.Unlock()
+	status, stage := u.c.ask(n, "GET", jobPath(old), nil)
+	u.c.checker.ObserveAnswer(old, status, stage, u.c.checker.Stage(old) == wire.Cancelled)
+	if status, _ := u.c.ask(n, "GET", jobPath(fmt.Sprintf("wk-%09d", n)), nil); status != 404 && u.c.ctx.Err() == nil {
+		u.c.t.Errorf("a job that nobody submitted is answered %d", status)
 	}
+}
+
+// askAll asks about all jobs again.
+func (u *killUsers) askAll() {
+	for _, id := range u.ids {
+		status, stage := u.c.ask(1, "GET", jobPath(id), nil)
+		u.c.checker.ObserveAnswer(id, status, stage, u.c.checker.Stage(id) == wire.Cancelled)
+	}
+}
+
+// killAtWork kills controllers one after the other, each once the others have written something.
+func (c *processCluster) killAtWork(kills int) {
 	fate := rand.New(rand.NewPCG(1, 10))
 	for k := range kills {
 		_, before, _ := c.store.Counts()
@@ -306,34 +350,6 @@
 		c.start(i)
 		c.waitFor("ready", func() bool { return c.ready(i) })
 	}
-	c.waitFor("jobs in the history", func() bool { return c.account().Kinds["history"] != nil })
-	close(over)
-	users.Wait()
-	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
-		t.Errorf("the metrics tell of %v keys", n)
-	}
-	askAll := func() {
-		for _, id := range ids {
-			status, stage := c.ask(1, "GET", jobPath(id), nil)
-			c.checker.ObserveAnswer(id, status, stage, c.checker.Stage(id) == wire.Cancelled)
-		}
-	}
-	askAll()
-	c.migrateState()
-	askAll()
-	c.playJob("wk-10000001", 1) // the machines obey the new claim
-	for _, b := range c.checker.Violations() {
-		t.Error(b)
-	}
-	a := c.account()
-	for _, p := range a.Problems {
-		t.Error(p)
-	}
-	_, changes, keys := c.store.Counts()
-	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(ids), c.checker.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
-	if t.Failed() {
-		c.logs()
-	}
 }
 
 // TestRestartsUnderLoad kills controllers again and again, one or all at once, restarts them after
@@ -355,9 +371,7 @@
 	var mu sync.Mutex
 	jobs, longest := 0, time.Duration(0)
 	for u := range 32 {
-		users.Add(1)
-		go func() {
-			defer users.Done()
+		users.Go(func() {
 			for n := u; ; n += 32 {
 				select {
 				case <-over:
@@ -372,9 +386,29 @@
 				jobs, longest = jobs+1, max(longest, time.Since(begun))
 				mu.Unlock()
 			}
-		}()
+		})
+	}
+	begun := time.Now()
+	c.restartAtRandom(kills)
+	took := time.Since(begun)
+	close(over)
+	users.Wait()
+	for _, b := range append(c.checker.Violations(), c.account().Problems...) {
+		t.Error(b)
 	}
-	fate, begun := rand.New(rand.NewPCG(2, 10)), time.Now()
+	if open := c.checker.OpenJobs(); len(open) > 0 {
+		t.Errorf("without an end: %v", open)
+	}
+	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
+	if t.Failed() {
+		c.logs()
+	}
+}
+
+// restartAtRandom kills one or more controllers at random times, restarts them after 100 ms, and
+// reboots some machines.
+func (c *processCluster) restartAtRandom(kills int) {
+	fate := rand.New(rand.NewPCG(2, 10))
 	for range kills {
 		time.Sleep(time.Duration(fate.IntN(2000)) * time.Millisecond)
 		order := fate.Perm(3)[:[]int{1, 1, 1, 2, 3}[fate.IntN(5)]]
@@ -392,19 +426,6 @@
 			}
 		})
 	}
-	took := time.Since(begun)
-	close(over)
-	users.Wait()
-	for _, b := range append(c.checker.Violations(), c.account().Problems...) {
-		t.Error(b)
-	}
-	if open := c.checker.OpenJobs(); len(open) > 0 {
-		t.Errorf("without an end: %v", open)
-	}
-	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
-	if t.Failed() {
-		c.logs()
-	}
 }
 
 // migrateState exports the state, ends all controllers, and starts them on another state service
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -208,79 +208,16 @@
 	c := newBuildCluster(t, 3, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute+time.Duration(actions)*time.Second)
 	defer cancel()
-	b := c.tool("blue/build")
-	runs := filepath.Join(c.dir, "runs") // grows with each execution
-	var answered atomic.Int64
-	build := func() (outs []string) {
-		outs = make([]string, actions)
-		layer := max(12, actions/12)
-		for first := 0; first < actions; first += layer {
-			var group sync.WaitGroup
-			for i := first; i < min(first+layer, actions); i++ {
-				inputs := map[string]string{"source": fmt.Sprint("source ", i)}
-				for k := 1; k <= 3 && first > 0; k++ { // what it depends on
-					inputs[fmt.Sprint("dep", k)] = outs[first-layer+(i*k)%layer]
-				}
-				group.Add(1)
-				go func() {
-					defer group.Done()
-					script := fmt.Sprintf("echo %d >> %s; sleep 0.05; cat source dep* > out 2>/dev/null; true", i, runs)
-					resp, out, err := b.run(ctx, i, script, inputs, nil)
-					if err != nil || resp.Result.GetExitCode() != 0 || resp.Status.GetCode() != 0 || !strings.HasPrefix(out, fmt.Sprint("source ", i)) {
-						t.Errorf("action %d: %v, %v, %q", i, err, resp, out)
-					}
-					outs[i] = out
-					answered.Add(1)
-				}()
-			}
-			group.Wait()
-		}
-		return outs
-	}
+	b := &graphBuild{buildTool: c.tool("blue/build"), actions: actions, runs: filepath.Join(c.dir, "runs")}
 	over := make(chan struct{})
 	var kills sync.WaitGroup
-	kills.Add(1)
-	go func() {
-		defer kills.Done()
-		rng := rand.New(rand.NewPCG(2, 2))
-		for k := 0; ; k++ {
-			// Each kill waits until the build has got on: a machine that was
-			// killed is given up only some 10 s into a term, so kills by the
-			// clock alone can end every holder before that, for ever.
-			for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || answered.Load() < int64(3*k); pause = 0 {
-				select {
-				case <-over:
-					return
-				case <-time.After(max(pause, 100*time.Millisecond)):
-				}
-			}
-			switch k % 3 {
-			case 0:
-				i := rng.IntN(3)
-				c.kill(i)
-				c.start(i)
-			case 1:
-				c.mu.Lock()
-				var m *agentMachine
-				if len(c.agents) > 0 {
-					m = c.agents[rng.IntN(len(c.agents))]
-				}
-				c.mu.Unlock()
-				if m != nil {
-					m.Kill()
-				}
-			case 2:
-				c.killBlobs()
-				c.startBlobs()
-			}
-		}
-	}()
-	first := build()
+	kills.Go(func() { c.killDuring(b, over) })
+	first := b.build(ctx)
 	close(over)
 	kills.Wait()
-	executed, _ := os.ReadFile(runs)
-	second := build()
-	again, _ := os.ReadFile(runs)
+	executed, _ := os.ReadFile(b.runs)
+	second := b.build(ctx)
+	again, _ := os.ReadFile(b.runs)
 	if len(again) != len(executed) {
 		t.Errorf("the second build executed %d bytes' worth of actions", len(again)-len(executed))
 	}
@@ -295,247 +232,366 @@
 	}
 }
 
-// TestBuildCases tests the difficult cases of single actions against real processes.
-func TestBuildCases(t *testing.T) {
-	c := newBuildCluster(t, 2, 0)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
-	defer cancel()
-	red, blue := c.tool("red"), c.tool("blue")
-	runs := filepath.Join(c.dir, "runs")
-	count := func(what string) int {
-		text, _ := os.ReadFile(runs)
-		return strings.Count(string(text), what+"\n")
-	}
-
-	t.Run("an exit code is an answer, and is not cached", func(t *testing.T) {
-		for n := 1; n <= 2; n++ {
-			resp, _, err := red.run(ctx, 0, fmt.Sprintf("echo fails >> %s; echo why >&2; exit 7", runs), nil, nil)
-			if err != nil || resp.Status.GetCode() != 0 || resp.Result.GetExitCode() != 7 || resp.CachedResult || count("fails") != n {
-				t.Fatalf("%v, %v, executed %d times", resp, err, count("fails"))
-			}
-			g, _ := cas.ParseDigest(sha, resp.Result.StderrDigest)
-			if text, err := red.blobs.Get(ctx, g); err != nil || string(text) != "why\n" {
-				t.Errorf("stderr %q, %v", text, err)
-			}
-		}
-	})
-	t.Run("two teams ask for the same action at once: one execution, one answer", func(t *testing.T) {
-		script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", runs)
-		var outs [2]string
+// graphBuild is a build of actions in layers, each of which depends on three of the previous layer.
+type graphBuild struct {
+	*buildTool
+	actions  int
+	runs     string // a file that grows with each execution
+	answered atomic.Int64
+}
+
+// build executes all actions and returns their outputs.
+func (b *graphBuild) build(ctx context.Context) (outs []string) {
+	outs = make([]string, b.actions)
+	layer := max(12, b.actions/12)
+	for first := 0; first < b.actions; first += layer {
 		var group sync.WaitGroup
-		for i, b := range []*buildTool{red, blue} {
-			group.Add(1)
-			go func() {
-				defer group.Done()
-				_, out, err := b.run(ctx, i, script, nil, nil)
-				if err != nil {
-					t.Error(err)
+		for i := first; i < min(first+layer, b.actions); i++ {
+			inputs := map[string]string{"source": fmt.Sprint("source ", i)}
+			for k := 1; k <= 3 && first > 0; k++ { // what it depends on
+				inputs[fmt.Sprint("dep", k)] = outs[first-layer+(i*k)%layer]
+			}
+			group.Go(func() {
+				script := fmt.Sprintf("echo %d >> %s; sleep 0.05; cat source dep* > out 2>/dev/null; true", i, b.runs)
+				resp, out, err := b.run(ctx, i, script, inputs, nil)
+				if err != nil || resp.Result.GetExitCode() != 0 || resp.Status.GetCode() != 0 || !strings.HasPrefix(out, fmt.Sprint("source ", i)) {
+					b.c.t.Errorf("action %d: %v, %v, %q", i, err, resp, out)
 				}
 				outs[i] = out
-			}()
+				b.answered.Add(1)
+			})
 		}
 		group.Wait()
-		if outs[0] != outs[1] || outs[0] == "" || count("shared") != 1 {
-			t.Errorf("%q, executed %d times", outs, count("shared"))
-		}
-		for i, b := range []*buildTool{red, blue} { // and both have it cached
-			if resp, out, err := b.run(ctx, i, script, nil, nil); err != nil || !resp.CachedResult || out != outs[0] {
-				t.Errorf("%v, %v", resp, err)
+	}
+	return outs
+}
+
+// killDuring kills controllers, agents and the blob store in turn until over is closed.
+func (c *processCluster) killDuring(b *graphBuild, over <-chan struct{}) {
+	rng := rand.New(rand.NewPCG(2, 2))
+	for k := 0; ; k++ {
+		// Each kill waits until the build has got on: a machine that was killed is given up only some
+		// 10 s into a term, so that kills by the clock alone can end every leader before that, for ever.
+		for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || b.answered.Load() < int64(3*k); pause = 0 {
+			select {
+			case <-over:
+				return
+			case <-time.After(max(pause, 100*time.Millisecond)):
 			}
 		}
-	})
-	t.Run("do_not_cache and skip_cache_lookup", func(t *testing.T) {
-		script := fmt.Sprintf("echo anew >> %s", runs)
-		for range 2 {
-			if _, _, err := red.run(ctx, 1, script, nil, func(a *repb.Action, _ *repb.Command) { a.DoNotCache = true }); err != nil {
-				t.Fatal(err)
+		switch k % 3 {
+		case 0:
+			i := rng.IntN(3)
+			c.kill(i)
+			c.start(i)
+		case 1:
+			c.mu.Lock()
+			var m *agentMachine
+			if len(c.agents) > 0 {
+				m = c.agents[rng.IntN(len(c.agents))]
 			}
-		}
-		g, err := red.upload(ctx, script, nil, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for range 2 {
-			if _, err := red.exec.Execute(ctx, g, true, nil); err != nil {
-				t.Fatal(err)
+			c.mu.Unlock()
+			if m != nil {
+				m.Kill()
 			}
+		case 2:
+			c.killBlobs()
+			c.startBlobs()
 		}
-		if resp, err := red.exec.Execute(ctx, g, false, nil); err != nil || !resp.CachedResult || count("anew") != 4 {
-			t.Errorf("%v, %v, executed %d times", resp, err, count("anew"))
-		}
-	})
-	t.Run("a time limit ends the command and all that it has started", func(t *testing.T) {
-		resp, _, err := red.run(ctx, 2, fmt.Sprintf("(sleep 3; echo escaped >> %s) & sleep 30", runs), nil, func(a *repb.Action, _ *repb.Command) { a.Timeout = durationpb.New(500 * time.Millisecond) })
-		if err != nil || resp.Status.GetCode() != int32(codes.DeadlineExceeded) {
-			t.Errorf("%v, %v", resp, err)
-		}
-	})
-	t.Run("only the declared environment", func(t *testing.T) {
-		_, out, err := red.run(ctx, 0, "env | grep -v ^PWD= | grep -v ^_= | grep -v ^SHLVL= > out", nil, nil)
-		if err != nil || strings.TrimSpace(out) != "PATH=/usr/bin:/bin" {
-			t.Errorf("%q, %v", out, err)
-		}
-	})
-	t.Run("an unknown property is named", func(t *testing.T) {
-		_, _, err := red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
-			property("gpu-brand", "x")(a, cmd)
-			property("cpus", "many")(a, cmd)
-		})
-		if err == nil || !strings.Contains(err.Error(), "gpu-brand") || !strings.Contains(err.Error(), "many") {
-			t.Errorf("%v", err)
+	}
+}
+
+// TestBuildCases tests the difficult cases of single actions against real processes.
+func TestBuildCases(t *testing.T) {
+	c := newBuildCluster(t, 2, 0)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
+	defer cancel()
+	b := &buildCases{c: c, red: c.tool("red"), blue: c.tool("blue"), runs: filepath.Join(c.dir, "runs")}
+	for _, x := range []struct {
+		name string
+		test func(ctx context.Context, t *testing.T)
+	}{
+		{"an exit code is an answer, and is not cached", b.exitCode},
+		{"two teams ask for the same action at once: one execution, one answer", b.sharedAction},
+		{"do_not_cache and skip_cache_lookup", b.cachingFlags},
+		{"a time limit ends the command and all that it has started", b.timeLimit},
+		{"only the declared environment", b.environment},
+		{"an unknown property is named", b.unknownProperty},
+		{"a missing blob is named", b.missingBlob},
+		{"a tree that leads out of its root is refused", b.treeOutsideRoot},
+		{"who leaves halfway finds it at another controller", b.leaveHalfway},
+		{"alerts go first while a heavy build runs", b.priorities},
+		{"what a command writes is shown while it runs", b.liveOutput},
+		{"the tools of the command line", b.commandLine},
+	} {
+		t.Run(x.name, func(t *testing.T) { x.test(ctx, t) })
+	}
+	if n := b.count("escaped"); n != 0 {
+		t.Error("what the command over its time limit had started went on")
+	}
+	if t.Failed() {
+		c.logs()
+	}
+}
+
+// buildCases is the cluster of TestBuildCases with the tools of two teams.
+type buildCases struct {
+	c         *processCluster
+	red, blue *buildTool
+	runs      string // a file to which commands append
+}
+
+// count returns how many lines of runs are equal to a word.
+func (b *buildCases) count(what string) int {
+	text, _ := os.ReadFile(b.runs)
+	return strings.Count(string(text), what+"\n")
+}
+
+// exitCode: an exit code is a result, and is not cached.
+func (b *buildCases) exitCode(ctx context.Context, t *testing.T) {
+	for n := 1; n <= 2; n++ {
+		resp, _, err := b.red.run(ctx, 0, fmt.Sprintf("echo fails >> %s; echo why >&2; exit 7", b.runs), nil, nil)
+		if err != nil || resp.Status.GetCode() != 0 || resp.Result.GetExitCode() != 7 || resp.CachedResult || b.count("fails") != n {
+			t.Fatalf("%v, %v, executed %d times", resp, err, b.count("fails"))
 		}
-		if _, _, err := c.tool("nobody").run(ctx, 0, "true", nil, nil); err == nil || !strings.Contains(err.Error(), "unknown team") {
-			t.Errorf("%v", err)
+		g, _ := cas.ParseDigest(sha, resp.Result.StderrDigest)
+		if text, err := b.red.blobs.Get(ctx, g); err != nil || string(text) != "why\n" {
+			t.Errorf("stderr %q, %v", text, err)
 		}
-	})
-	t.Run("a missing blob is named", func(t *testing.T) {
-		for what, change := range map[string]func(*repb.Directory){
-			"file": func(d *repb.Directory) {
-				d.Files = []*repb.FileNode{{Name: "f", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
-			},
-			"directory": func(d *repb.Directory) {
-				d.Directories = []*repb.DirectoryNode{{Name: "d", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
-			},
-		} {
-			resp, err := red.tree(ctx, change)
-			if err != nil || resp.Status.GetCode() != int32(codes.FailedPrecondition) || len(resp.Status.Details) != 1 {
-				t.Errorf("%s: %v, %v", what, resp, err)
+	}
+}
+
+// sharedAction: two teams ask for the same action at once: one execution, one result for both.
+func (b *buildCases) sharedAction(ctx context.Context, t *testing.T) {
+	script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", b.runs)
+	var outs [2]string
+	var group sync.WaitGroup
+	for i, tool := range []*buildTool{b.red, b.blue} {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			_, out, err := tool.run(ctx, i, script, nil, nil)
+			if err != nil {
+				t.Error(err)
 			}
+			outs[i] = out
+		}()
+	}
+	group.Wait()
+	if outs[0] != outs[1] || outs[0] == "" || b.count("shared") != 1 {
+		t.Errorf("%q, executed %d times", outs, b.count("shared"))
+	}
+	for i, tool := range []*buildTool{b.red, b.blue} { // and both have it cached
+		if resp, out, err := tool.run(ctx, i, script, nil, nil); err != nil || !resp.CachedResult || out != outs[0] {
+			t.Errorf("%v, %v", resp, err)
 		}
-		if _, err := red.exec.Execute(ctx, cas.Sum(sha, []byte("no action")), false, nil); err == nil || !strings.Contains(err.Error(), "missing") {
-			t.Errorf("the action itself: %v", err)
-		}
-	})
-	t.Run("a tree that leads out of its root is refused", func(t *testing.T) {
-		there, err := red.blobs.Put(ctx, sha, []byte("x"))
-		if err != nil {
+	}
+}
+
+// cachingFlags: do_not_cache and skip_cache_lookup cause executions.
+func (b *buildCases) cachingFlags(ctx context.Context, t *testing.T) {
+	script := fmt.Sprintf("echo anew >> %s", b.runs)
+	for range 2 {
+		if _, _, err := b.red.run(ctx, 1, script, nil, func(a *repb.Action, _ *repb.Command) { a.DoNotCache = true }); err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range []string{"..", "a/b", "/etc/passwd", "", "."} {
-			resp, err := red.tree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: there.Proto()}} })
-			if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
-				t.Errorf("%q: %v, %v", name, resp, err)
-			}
-		}
-		resp, err := red.tree(ctx, func(d *repb.Directory) { d.Symlinks = []*repb.SymlinkNode{{Name: "l", Target: "../../etc"}} })
-		if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
-			t.Errorf("a symlink: %v, %v", resp, err)
-		}
-		resp, _, err = red.run(ctx, 0, "true", nil, func(_ *repb.Action, cmd *repb.Command) { cmd.OutputPaths = []string{"../../x"} })
-		if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
-			t.Errorf("an output: %v, %v", resp, err)
-		}
-	})
-	t.Run("who leaves halfway finds it at another controller", func(t *testing.T) {
-		g, err := red.upload(ctx, fmt.Sprintf("echo left >> %s; sleep 1; echo x > out", runs), nil, nil)
-		if err != nil {
+	}
+	g, err := b.red.upload(ctx, script, nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 2 {
+		if _, err := b.red.exec.Execute(ctx, g, true, nil); err != nil {
 			t.Fatal(err)
 		}
-		leave, gone := context.WithCancel(ctx)
-		_, err = red.exec.StartingAt(0).Execute(leave, g, false, func(m *repb.ExecuteOperationMetadata) {
-			if m.Stage == repb.ExecutionStage_EXECUTING {
-				gone()
-			}
-		})
-		gone()
-		if err == nil {
-			t.Log("it was over before it was left")
-		}
-		c.kill(0) // and the controller that held the stream ends
-		c.start(0)
-		if resp, err := red.exec.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || count("left") != 1 {
-			t.Errorf("%v, %v, executed %d times", resp, err, count("left"))
-		}
+	}
+	if resp, err := b.red.exec.Execute(ctx, g, false, nil); err != nil || !resp.CachedResult || b.count("anew") != 4 {
+		t.Errorf("%v, %v, executed %d times", resp, err, b.count("anew"))
+	}
+}
+
+// timeLimit: a time limit ends a command and everything that it has started.
+func (b *buildCases) timeLimit(ctx context.Context, t *testing.T) {
+	resp, _, err := b.red.run(ctx, 2, fmt.Sprintf("(sleep 3; echo escaped >> %s) & sleep 30", b.runs), nil, func(a *repb.Action, _ *repb.Command) { a.Timeout = durationpb.New(500 * time.Millisecond) })
+	if err != nil || resp.Status.GetCode() != int32(codes.DeadlineExceeded) {
+		t.Errorf("%v, %v", resp, err)
+	}
+}
+
+// environment: a command has the declared environment only.
+func (b *buildCases) environment(ctx context.Context, t *testing.T) {
+	_, out, err := b.red.run(ctx, 0, "env | grep -v ^PWD= | grep -v ^_= | grep -v ^SHLVL= > out", nil, nil)
+	if err != nil || strings.TrimSpace(out) != "PATH=/usr/bin:/bin" {
+		t.Errorf("%q, %v", out, err)
+	}
+}
+
+// unknownProperty: an unknown property, or a property with an invalid value, is named in the error, and an unknown team too.
+func (b *buildCases) unknownProperty(ctx context.Context, t *testing.T) {
+	_, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
+		property("gpu-brand", "x")(a, cmd)
+		property("cpus", "many")(a, cmd)
 	})
-	t.Run("alerts go first while a heavy build runs", func(t *testing.T) {
-		var group sync.WaitGroup
-		var mu sync.Mutex
-		through := 0
-		const heavy = 60
-		for i := range heavy {
-			group.Add(1)
-			go func() {
-				defer group.Done()
-				if _, _, err := blue.run(ctx, i, fmt.Sprintf("sleep 1.%02d", i), nil, property("cpus", "4")); err != nil {
-					t.Error(err)
-				}
-				mu.Lock()
-				through++
-				mu.Unlock()
-			}()
-		}
-		c.waitFor("the build", func() bool { mu.Lock(); defer mu.Unlock(); return through > 0 })
-		if _, _, err := red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
-			property("priority", string(wire.Production))(a, cmd)
-			property("cpus", "4")(a, cmd)
-		}); err != nil {
-			t.Error(err)
+	if err == nil || !strings.Contains(err.Error(), "gpu-brand") || !strings.Contains(err.Error(), "many") {
+		t.Errorf("%v", err)
+	}
+	if _, _, err := b.c.tool("nobody").run(ctx, 0, "true", nil, nil); err == nil || !strings.Contains(err.Error(), "unknown team") {
+		t.Errorf("%v", err)
+	}
+}
+
+// missingBlob: a missing blob is named in the result.
+func (b *buildCases) missingBlob(ctx context.Context, t *testing.T) {
+	for what, change := range map[string]func(*repb.Directory){
+		"file": func(d *repb.Directory) {
+			d.Files = []*repb.FileNode{{Name: "f", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
+		},
+		"directory": func(d *repb.Directory) {
+			d.Directories = []*repb.DirectoryNode{{Name: "d", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
+		},
+	} {
+		resp, err := b.red.tree(ctx, change)
+		if err != nil || resp.Status.GetCode() != int32(codes.FailedPrecondition) || len(resp.Status.Details) != 1 {
+			t.Errorf("%s: %v, %v", what, resp, err)
+		}
+	}
+	if _, err := b.red.exec.Execute(ctx, cas.Sum(sha, []byte("no action")), false, nil); err == nil || !strings.Contains(err.Error(), "missing") {
+		t.Errorf("the action itself: %v", err)
+	}
+}
+
+// treeOutsideRoot: an input tree or an output path that leads out of its root is refused.
+func (b *buildCases) treeOutsideRoot(ctx context.Context, t *testing.T) {
+	there, err := b.red.blobs.Put(ctx, sha, []byte("x"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"..", "a/b", "/etc/passwd", "", "."} {
+		resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: there.Proto()}} })
+		if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
+			t.Errorf("%q: %v, %v", name, resp, err)
 		}
-		mu.Lock()
-		before := through
-		mu.Unlock()
-		if before > heavy*3/4 {
-			t.Errorf("%d of %d actions of the build went before the alert", before, heavy)
+	}
+	resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Symlinks = []*repb.SymlinkNode{{Name: "l", Target: "../../etc"}} })
+	if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
+		t.Errorf("a symlink: %v, %v", resp, err)
+	}
+	resp, _, err = b.red.run(ctx, 0, "true", nil, func(_ *repb.Action, cmd *repb.Command) { cmd.OutputPaths = []string{"../../x"} })
+	if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
+		t.Errorf("an output: %v, %v", resp, err)
+	}
+}
+
+// leaveHalfway: a client that leaves during an execution finds it at another controller.
+func (b *buildCases) leaveHalfway(ctx context.Context, t *testing.T) {
+	g, err := b.red.upload(ctx, fmt.Sprintf("echo left >> %s; sleep 1; echo x > out", b.runs), nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	leave, gone := context.WithCancel(ctx)
+	_, err = b.red.exec.StartingAt(0).Execute(leave, g, false, func(m *repb.ExecuteOperationMetadata) {
+		if m.Stage == repb.ExecutionStage_EXECUTING {
+			gone()
 		}
-		t.Logf("%d of %d actions were through when the alert was", before, heavy)
-		group.Wait()
 	})
-	t.Run("what a command writes is shown while it runs", func(t *testing.T) {
-		g, err := red.upload(ctx, "echo early; sleep 2; echo late", nil, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var live syncBuffer
-		var watch sync.WaitGroup
-		over := false
-		_, err = red.exec.Execute(ctx, g, false, func(m *repb.ExecuteOperationMetadata) {
-			if m.Stage == repb.ExecutionStage_COMPLETED {
-				over = true
+	gone()
+	if err == nil {
+		t.Log("it was over before it was left")
+	}
+	b.c.kill(0) // and the controller that held the stream ends
+	b.c.start(0)
+	if resp, err := b.red.exec.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || b.count("left") != 1 {
+		t.Errorf("%v, %v, executed %d times", resp, err, b.count("left"))
+	}
+}
+
+// priorities: an action with a high priority runs before those of a heavy build.
+func (b *buildCases) priorities(ctx context.Context, t *testing.T) {
+	var group sync.WaitGroup
+	var mu sync.Mutex
+	through := 0
+	const heavy = 60
+	for i := range heavy {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			if _, _, err := b.blue.run(ctx, i, fmt.Sprintf("sleep 1.%02d", i), nil, property("cpus", "4")); err != nil {
+				t.Error(err)
 			}
-			if m.StdoutStreamName != "" && live.String() == "" {
-				watch.Go(func() {
-					for ctx.Err() == nil { // it begins with the first that is written
-						if n, err := red.blobs.FollowLog(ctx, m.StdoutStreamName, &live); err == nil && n > 0 {
-							return
-						}
-						time.Sleep(20 * time.Millisecond)
+			mu.Lock()
+			through++
+			mu.Unlock()
+		}()
+	}
+	b.c.waitFor("the build", func() bool { mu.Lock(); defer mu.Unlock(); return through > 0 })
+	if _, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
+		property("priority", string(wire.Production))(a, cmd)
+		property("cpus", "4")(a, cmd)
+	}); err != nil {
+		t.Error(err)
+	}
+	mu.Lock()
+	before := through
+	mu.Unlock()
+	if before > heavy*3/4 {
+		t.Errorf("%d of %d actions of the build went before the alert", before, heavy)
+	}
+	t.Logf("%d of %d actions were through when the alert was", before, heavy)
+	group.Wait()
+}
+
+// liveOutput: the output of a command can be followed while it runs.
+func (b *buildCases) liveOutput(ctx context.Context, t *testing.T) {
+	g, err := b.red.upload(ctx, "echo early; sleep 2; echo late", nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var live syncBuffer
+	var watch sync.WaitGroup
+	over := false
+	_, err = b.red.exec.Execute(ctx, g, false, func(m *repb.ExecuteOperationMetadata) {
+		if m.Stage == repb.ExecutionStage_COMPLETED {
+			over = true
+		}
+		if m.StdoutStreamName != "" && live.String() == "" {
+			watch.Go(func() {
+				for ctx.Err() == nil { // it begins with the first that is written
+					if n, err := b.red.blobs.FollowLog(ctx, m.StdoutStreamName, &live); err == nil && n > 0 {
+						return
 					}
-				})
-				c.waitFor("the first line", func() bool { return strings.HasPrefix(live.String(), "early\n") })
-				if over || strings.Contains(live.String(), "late") {
-					t.Error("it was shown when it was over")
+					time.Sleep(20 * time.Millisecond)
 				}
+			})
+			b.c.waitFor("the first line", func() bool { return strings.HasPrefix(live.String(), "early\n") })
+			if over || strings.Contains(live.String(), "late") {
+				t.Error("it was shown when it was over")
 			}
-		})
-		watch.Wait()
-		if err != nil || live.String() != "early\nlate\n" {
-			t.Errorf("%q, %v", live.String(), err)
 		}
 	})
-	t.Run("the tools of the command line", func(t *testing.T) {
-		dir := t.TempDir()
-		_ = os.WriteFile(filepath.Join(dir, "in.txt"), []byte("hello\n"), 0o644)
-		cmd := exec.CommandContext(ctx, c.binary, "reapi", "run", "--cas", c.casAddr(), "--executor", c.front(0)+","+c.front(1), "--instance", "red",
-			"-i", "in.txt", "-o", "sub/out.txt", "-e", "PATH=/bin:/usr/bin", "--", "sh", "-c", "cat in.txt; tr a-z A-Z < in.txt > sub/out.txt; exit 4")
-		cmd.Dir = dir
-		out, err := cmd.Output()
-		if cmd.ProcessState.ExitCode() != 4 || string(out) != "hello\n" {
-			t.Errorf("%q, %v", out, err)
-		}
-		text, err := os.ReadFile(filepath.Join(dir, "sub", "out.txt"))
-		if string(text) != "HELLO\n" {
-			t.Errorf("%q, %v", text, err)
-		}
-		got, err := exec.CommandContext(ctx, c.binary, "reapi", "get", "--cas", c.casAddr(), cas.Sum(sha, text).String()).Output()
-		if string(got) != "HELLO\n" {
-			t.Errorf("%q, %v", got, err)
-		}
-	})
-	if n := count("escaped"); n != 0 {
-		t.Error("what the command over its time limit had started went on")
+	watch.Wait()
+	if err != nil || live.String() != "early\nlate\n" {
+		t.Errorf("%q, %v", live.String(), err)
 	}
-	if t.Failed() {
-		c.logs()
+}
+
+// commandLine: the command line tools run an action and get its output.
+func (b *buildCases) commandLine(ctx context.Context, t *testing.T) {
+	dir := t.TempDir()
+	_ = os.WriteFile(filepath.Join(dir, "in.txt"), []byte("hello\n"), 0o644)
+	cmd := exec.CommandContext(ctx, b.c.binary, "reapi", "run", "--cas", b.c.casAddr(), "--executor", b.c.front(0)+","+b.c.front(1), "--instance", "red",
+		"-i", "in.txt", "-o", "sub/out.txt", "-e", "PATH=/bin:/usr/bin", "--", "sh", "-c", "cat in.txt; tr a-z A-Z < in.txt > sub/out.txt; exit 4")
+	cmd.Dir = dir
+	out, err := cmd.Output()
+	if cmd.ProcessState.ExitCode() != 4 || string(out) != "hello\n" {
+		t.Errorf("%q, %v", out, err)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, "sub", "out.txt"))
+	if string(text) != "HELLO\n" {
+		t.Errorf("%q, %v", text, err)
+	}
+	got, err := exec.CommandContext(ctx, b.c.binary, "reapi", "get", "--cas", b.c.casAddr(), cas.Sum(sha, text).String()).Output()
+	if string(got) != "HELLO\n" {
+		t.Errorf("%q, %v", got, err)
 	}
 }
 
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -215,88 +215,102 @@
 // can know, and ready again soon after the partition.
 func TestPartitionedLeaderTurnsUsersAway(t *testing.T) {
 	for _, cut := range []struct{ of, also int }{{3, 0}, {5, 0}, {5, 2}} { // the leader, and the one so many after it
-		count := cut.of
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				w := newSimulationOf(t, count, 61, 0, nil)
-				time.Sleep(8 * time.Second)
-				m := w.addUsers(61, 16, 2*time.Second)
-				early, late, stays := m.addService("wk-1"), m.addService("wk-2"), m.addService("wk-3")
-				time.Sleep(30 * time.Second)
-				leader := w.anyLeader()
-				early.cancelOnce(leader)
-				cutOff := []int{leader}
-				if cut.also > 0 {
-					cutOff = append(cutOff, (leader+cut.also)%count)
-				}
-				w.isolate(true, cutOff...)
-				since := time.Now()
-				var unready time.Duration
-				for time.Since(since) < 2*time.Minute {
-					resp, err := w.request(leader, 5*time.Second, "GET", wire.PathReady, nil)
-					if err != nil {
-						t.Fatal(err)
-					}
-					if resp.Status == 200 && unready > 0 {
-						t.Errorf("it is ready %v after the cut", time.Since(since))
-					} else if resp.Status != 200 && unready == 0 {
-						unready = time.Since(since)
-					}
-					if time.Since(since) > 20*time.Second && !w.checker.Stage("wk-2").Final() {
-						late.cancelOnce((leader + 1) % count)
-					}
-					early.pollOnce(leader) // judged: it is final
-					for _, ask := range []struct {
-						method, path string
-						body         []byte
-					}{
-						{"POST", "", wire.Encode(map[string]string{"uid": "wk-3"})}, // which is malformed
-						{"GET", "/wk-3", nil}, {"GET", "/wk-2", nil}, {"GET", "/wk-8", nil}, {"POST", "/wk-3/" + wire.CancelWord, []byte{}}, {"POST", "", stays.body()},
-					} {
-						if strings.HasSuffix(ask.path, wire.CancelWord) && unready == 0 {
-							continue // or it may be written
-						}
-						begun := time.Now()
-						resp, err := w.request(leader, 5*time.Second, ask.method, wire.PathJobs+ask.path, ask.body)
-						took := time.Since(begun)
-						switch {
-						case err != nil || resp.Status != 503 || resp.RetryAfter == 0:
-							t.Errorf("%s %s is answered %+v, %v, %v after the cut", ask.method, ask.path, resp, err, time.Since(since))
-						case took > 2*time.Second, unready > 0 && !resp.Close, time.Since(since) > 7*time.Second && took > 50*time.Millisecond:
-							t.Errorf("%s %s is answered after %v, closing: %v, %v after the cut", ask.method, ask.path, took, resp.Close, time.Since(since))
-						}
-					}
-					time.Sleep(500 * time.Millisecond)
-				}
-				if unready == 0 || unready > 7*time.Second {
-					t.Errorf("it is not ready from %v after the cut on", unready)
-				}
-				if holder := w.anyLeader(); holder == leader || w.checker.Stage("wk-2") != wire.Cancelled {
-					t.Errorf("%d leads after %d, and wk-2 is %s", holder, leader, w.checker.Stage("wk-2"))
-				}
-				w.isolate(false, cutOff...)
-				over := time.Now()
-				for {
-					if resp, err := w.request(leader, 5*time.Second, "GET", wire.PathReady, nil); err == nil && resp.Status == 200 {
-						break
-					}
-					if time.Sleep(100 * time.Millisecond); time.Since(over) > 10*time.Second {
-						t.Error("it is not ready 10 s after the cut")
-						break
-					}
-				}
-				for i := range count {
-					late.pollOnce(i)
-					late.resubmit(i)
-					stays.pollOnce(i)
-				}
-				stays.cancelOnce(leader)
-				m.finish(3, 20)
-			})
+			synctest.Test(t, func(t *testing.T) { partitionLeader(t, cut.of, cut.also) })
 		})
 	}
 }
 
+// partitionLeader isolates the leader of count controllers, and the controller also after it unless
+// that is 0, for two minutes, in which it has to turn users away.
+func partitionLeader(t *testing.T, count, also int) {
+	w := newSimulationOf(t, count, 61, 0, nil)
+	time.Sleep(8 * time.Second)
+	m := w.addUsers(61, 16, 2*time.Second)
+	early, late, stays := m.addService("wk-1"), m.addService("wk-2"), m.addService("wk-3")
+	time.Sleep(30 * time.Second)
+	leader := w.anyLeader()
+	early.cancelOnce(leader)
+	cutOff := []int{leader}
+	if also > 0 {
+		cutOff = append(cutOff, (leader+also)%count)
+	}
+	w.isolate(true, cutOff...)
+	since := time.Now()
+	var unready time.Duration
+	for time.Since(since) < 2*time.Minute {
+		resp, err := w.request(leader, 5*time.Second, "GET", wire.PathReady, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if resp.Status == 200 && unready > 0 {
+			t.Errorf("it is ready %v after the cut", time.Since(since))
+		} else if resp.Status != 200 && unready == 0 {
+			unready = time.Since(since)
+		}
+		if time.Since(since) > 20*time.Second && !w.checker.Stage("wk-2").Final() {
+			late.cancelOnce((leader + 1) % count)
+		}
+		early.pollOnce(leader) // judged: it is final
+		w.checkTurnedAway(leader, stays.body(), since, unready)
+		time.Sleep(500 * time.Millisecond)
+	}
+	if unready == 0 || unready > 7*time.Second {
+		t.Errorf("it is not ready from %v after the cut on", unready)
+	}
+	if next := w.anyLeader(); next == leader || w.checker.Stage("wk-2") != wire.Cancelled {
+		t.Errorf("%d leads after %d, and wk-2 is %s", next, leader, w.checker.Stage("wk-2"))
+	}
+	w.isolate(false, cutOff...)
+	w.awaitReady(leader, 10*time.Second)
+	for i := range count {
+		late.pollOnce(i)
+		late.resubmit(i)
+		stays.pollOnce(i)
+	}
+	stays.cancelOnce(leader)
+	m.finish(3, 20)
+}
+
+// checkTurnedAway makes every kind of request whose answer is not final at a partitioned leader, and
+// checks that each is turned away at once. unready is when the leader was first unready after the
+// start of the partition, 0 for not yet.
+func (w *simulation) checkTurnedAway(leader int, submission []byte, since time.Time, unready time.Duration) {
+	for _, ask := range []struct {
+		method, path string
+		body         []byte
+	}{
+		{"POST", "", wire.Encode(map[string]string{"uid": "wk-3"})}, // which is malformed
+		{"GET", "/wk-3", nil}, {"GET", "/wk-2", nil}, {"GET", "/wk-8", nil}, {"POST", "/wk-3/" + wire.CancelWord, []byte{}}, {"POST", "", submission},
+	} {
+		if strings.HasSuffix(ask.path, wire.CancelWord) && unready == 0 {
+			continue // or it may be written
+		}
+		begun := time.Now()
+		resp, err := w.request(leader, 5*time.Second, ask.method, wire.PathJobs+ask.path, ask.body)
+		took := time.Since(begun)
+		switch {
+		case err != nil || resp.Status != 503 || resp.RetryAfter == 0:
+			w.t.Errorf("%s %s is answered %+v, %v, %v after the cut", ask.method, ask.path, resp, err, time.Since(since))
+		case took > 2*time.Second, unready > 0 && !resp.Close, time.Since(since) > 7*time.Second && took > 50*time.Millisecond:
+			w.t.Errorf("%s %s is answered after %v, closing: %v, %v after the cut", ask.method, ask.path, took, resp.Close, time.Since(since))
+		}
+	}
+}
+
+// awaitReady waits until a controller reports that it is ready.
+func (w *simulation) awaitReady(i int, most time.Duration) {
+	for begun := time.Now(); ; {
+		if resp, err := w.request(i, 5*time.Second, "GET", wire.PathReady, nil); err == nil && resp.Status == 200 {
+			return
+		}
+		if time.Sleep(100 * time.Millisecond); time.Since(begun) > most {
+			w.t.Errorf("it is not ready %v after the cut", most)
+			return
+		}
+	}
+}
+
 // allControllersRestart ends all controllers, of which one returns first.
 var allControllersRestart = fault{"all end, and one returns", func(w *simulation, luck *rand.Rand, d time.Duration) {
 	first := luck.IntN(w.count)
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -340,23 +340,7 @@
 	w.replayHeartbeats(seed, 0.05)
 	w.group.Go(func() {
 		for i := range 24 {
-			j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.Array, Priority: []wire.Priority{wire.Normal, wire.High, wire.Production}[i%3],
-				Tasks: 2 + rng.IntN(2), CPUs: 2, GPUs: float64(1 + rng.IntN(3)), MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 20}
-			switch i % 5 {
-			case 1:
-				j.Shape, j.OneZone, j.CheckpointS, j.SaveS, j.GPUs = wire.Gang, true, 5, 1, min(j.GPUs, 2) // or red's limit is too small
-			case 2:
-				j.Spread, j.Spot = true, true
-			case 3:
-				j.OneZone = true
-			case 4:
-				j.Zone = []string{"a", "b"}[rng.IntN(2)]
-			}
-			cancel := time.Duration(0)
-			if i%4 == 3 {
-				cancel = time.Duration(5+rng.IntN(40)) * time.Second
-			}
-			w.user(j, time.Duration(5+rng.IntN(30))*time.Second, cancel)
+			w.submitCompletionJob(rng, i)
 			time.Sleep(time.Duration(rng.IntN(7000)) * time.Millisecond)
 		}
 	})
@@ -378,7 +362,7 @@
 		time.Sleep(time.Duration(5000+rng.IntN(20_000)) * time.Millisecond)
 	}
 	time.Sleep(time.Minute)  // the last of them is over
-	for i := range w.count { // whoever missed it is set as the others are
+	for i := range w.count { // a controller that missed a change gets the others' settings
 		if set.Store(fmt.Sprint("c-", i), by("c-0")); seed%3 == 2 {
 			w.kill(i, time.Second)
 		}
@@ -388,3 +372,24 @@
 	w.finish(20 * time.Minute)
 	w.checkResults()
 }
+
+// submitCompletionJob submits the i-th job of a day on which the quota of the team red is exhausted.
+func (w *simulation) submitCompletionJob(rng *rand.Rand, i int) {
+	j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.Array, Priority: []wire.Priority{wire.Normal, wire.High, wire.Production}[i%3],
+		Tasks: 2 + rng.IntN(2), CPUs: 2, GPUs: float64(1 + rng.IntN(3)), MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 20}
+	switch i % 5 {
+	case 1:
+		j.Shape, j.OneZone, j.CheckpointS, j.SaveS, j.GPUs = wire.Gang, true, 5, 1, min(j.GPUs, 2) // or red's quota is too small
+	case 2:
+		j.Spread, j.Spot = true, true
+	case 3:
+		j.OneZone = true
+	case 4:
+		j.Zone = []string{"a", "b"}[rng.IntN(2)]
+	}
+	cancel := time.Duration(0)
+	if i%4 == 3 {
+		cancel = time.Duration(5+rng.IntN(40)) * time.Second
+	}
+	w.user(j, time.Duration(5+rng.IntN(30))*time.Second, cancel)
+}
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -85,41 +85,9 @@
 	w.fixture = b
 	w.reconfigureMachines(2*time.Second, func() time.Duration { return 0 })
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
-	rng := rand.New(rand.NewPCG(seed, 31))
-	var free, tied []string // jobs that may go elsewhere, and such as name their zone
-	for i, shape := range []wire.Shape{wire.Gang, wire.Array, wire.Service, wire.Array, wire.Gang, wire.Array, wire.Array, wire.Service} {
-		id, runs := fmt.Sprint("wk-", i+1), []time.Duration{100 * time.Second}
-		cancel := time.Duration(0)
-		j := jobOf(id, shape, 2+i%3, runs[0])
-		switch j.Spot = i%2 == 0; {
-		case i < 6:
-			j.OneZone = true
-			free = append(free, id)
-		default:
-			j.Zone = "a"
-			tied = append(tied, id)
-		}
-		switch shape {
-		case wire.Service:
-			runs, cancel = []time.Duration{forever}, 7*time.Minute
-		case wire.Array: // some have ended by the time of the loss, and bind the rest no more
-			runs = []time.Duration{15 * time.Second, 100 * time.Second, 130 * time.Second}
-		case wire.Gang:
-			saves(j)
-		}
-		w.submitter(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
-	}
+	free, tied := w.submitZoneJobs(seed)
 	time.Sleep(50 * time.Second)
-	in := map[string]int{}
-	for _, id := range free {
-		if s := b.starts(id); len(s) > 0 {
-			in[s[0]]++
-		}
-	}
-	zone := "a"
-	if in["b"] > in["a"] {
-		zone = "b"
-	}
+	zone, jobs := b.busiestZone(free)
 	var lost []upMachine
 	for _, m := range w.runningMachines() {
 		if w.cloud.ZoneOf(m.host+":9000") == zone {
@@ -129,8 +97,8 @@
 	if !all && len(lost) > 1 {
 		lost = lost[:len(lost)-1] // some tasks of a job are still there
 	}
-	if len(lost) == 0 || in[zone] == 0 {
-		t.Errorf("nothing is bound to a zone: %v, %d machines", in, len(lost))
+	if len(lost) == 0 || jobs == 0 {
+		t.Errorf("nothing is bound to a zone: %d jobs in %s, %d machines", jobs, zone, len(lost))
 		return 0
 	}
 	before := map[string]int{}
@@ -154,6 +122,50 @@
 	return moved
 }
 
+// submitZoneJobs submits jobs of every shape: free ones, which run in one zone but in any, and tied
+// ones, which name their zone.
+func (w *simulation) submitZoneJobs(seed uint64) (free, tied []string) {
+	rng := rand.New(rand.NewPCG(seed, 31))
+	for i, shape := range []wire.Shape{wire.Gang, wire.Array, wire.Service, wire.Array, wire.Gang, wire.Array, wire.Array, wire.Service} {
+		id, runs := fmt.Sprint("wk-", i+1), []time.Duration{100 * time.Second}
+		cancel := time.Duration(0)
+		j := jobOf(id, shape, 2+i%3, runs[0])
+		switch j.Spot = i%2 == 0; {
+		case i < 6:
+			j.OneZone = true
+			free = append(free, id)
+		default:
+			j.Zone = "a"
+			tied = append(tied, id)
+		}
+		switch shape {
+		case wire.Service:
+			runs, cancel = []time.Duration{forever}, 7*time.Minute
+		case wire.Array: // some have ended by the time of the loss, and bind the rest no more
+			runs = []time.Duration{15 * time.Second, 100 * time.Second, 130 * time.Second}
+		case wire.Gang:
+			saves(j)
+		}
+		w.submitter(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
+	}
+	return free, tied
+}
+
+// busiestZone returns the zone in which most of the jobs started, and how many did.
+func (b *zoneObserver) busiestZone(ids []string) (zone string, jobs int) {
+	in := map[string]int{}
+	for _, id := range ids {
+		if s := b.starts(id); len(s) > 0 {
+			in[s[0]]++
+		}
+	}
+	zone = "a"
+	if in["b"] > in["a"] {
+		zone = "b"
+	}
+	return zone, in[zone]
+}
+
 // TestZoneBoundJobs plays each loss, for less and more than a lease, of some and of all machines
 // of a zone. AMBERDEAL_ZONEBOUND plays them with 3 and 5 controllers, with one shard and two, for
 // that many seeds.
