--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads and checks the two files of settings: the platform's
-// (JSON, unknown fields ignored) and the operators' own (INI, unknown keys
-// refused).
+// Package config reads and validates the two settings files: the platform's (JSON, unknown
+// fields are ignored, since later versions of the platform may add some) and the operators'
+// own (INI, unknown keys are refused, since they are misspelt). Every fault found in a file
+// is reported at once.
 package config
 
 import (
@@ -12,7 +13,7 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// Config is everything that a controller is told when it starts.
+// Config holds all settings of a controller.
 type Config struct {
 	Name, Zone           string
 	PublicAddr, PeerAddr string
@@ -35,7 +36,8 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Team is a team with what it is guaranteed and what it may use at most.
+// Team is a team with its guarantee (CPUs, GPUs) and its limit (CPUsMax, GPUsMax); a limit of
+// 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -44,7 +46,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective repeats an aim of the users.
+// Objective is a service-level objective of the users.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -54,21 +56,35 @@
 
 // Workers holds the timing of the workers' protocol.
 type Workers struct {
-	HeartbeatInterval, Lease, GangWait, GangPeer, Cancel time.Duration
+	HeartbeatInterval time.Duration
+	Lease             time.Duration // that a controller's answer extends; tasks end when it expires
+	GangWait          time.Duration // for which a gang's task waits for the others
+	GangPeer          time.Duration // after which a gang's task ends that has lost the others
+	Cancel            time.Duration // in which a confirmed cancellation must have taken effect
 }
 
-// MinCancelMargin is what must lie between a worker's lease and the time for a cancellation.
+// MinCancelMargin is the least time between the expiry of a worker's lease and the time by
+// which a cancellation must have taken effect.
 const MinCancelMargin = 4 * time.Second
 
-// MaxCancelStaleness is how old what a controller knows of cancellations may be when it answers a
-// worker. The answer lets tasks live for another lease, so that a cancellation that was
-// confirmed just after is kept within its time by what is left of that: less the drift of two
-// clocks over the whole, and a margin for timers that fire late.
+// MaxCancelStaleness is how old a controller's knowledge of cancellations may be when it
+// answers a worker. The answer extends the lease of the worker's tasks. A cancellation that
+// was confirmed just after that knowledge was read must still take effect in time, so that
+// only the difference between Cancel and Lease is left, less the drift of two clocks over
+// the whole time and a margin for timers that fire late.
 func (w Workers) MaxCancelStaleness() time.Duration {
 	margin := w.Cancel - w.Lease
-	return max(0, margin-min(5*time.Second, margin/4)-w.Cancel/1000)
+	late := min(maxTimerDelay, margin/4)
+	drift := w.Cancel / clockDriftDivisor
+	return max(0, margin-late-drift)
 }
 
+// Bounds of what makes a worker's timer fire later than the controllers expect.
+const (
+	maxTimerDelay     = 5 * time.Second
+	clockDriftDivisor = 1000 // two clocks differ by at most a thousandth of the time that passes
+)
+
 // Store holds the limits of the state service.
 type Store struct {
 	RPS, WriteRPS float64
@@ -82,28 +98,32 @@
 	ListLag time.Duration
 }
 
-// Limits bounds this process.
+// Limits bounds the resources of this process.
 type Limits struct {
 	RAMBytes int64
 	Files    int
 }
 
-// Writers gives how many controllers write what users wait for.
+// Writers returns the policy of which controllers write users' submissions.
 func (c *Config) Writers() writers.Policy {
 	return writers.PolicyFor(len(c.Peers)+1, c.Tuning.Writers)
 }
 
-// HeartbeatTimeout is how long a machine may be silent before it is given up: somewhat
-// more than the longest time between two reports.
+// HeartbeatTimeout is the time without a heartbeat after which a machine counts as failed:
+// somewhat more than the longest time between two heartbeats.
 func (c *Config) HeartbeatTimeout() time.Duration {
 	if c.Tuning.HeartbeatTimeout > 0 {
 		return c.Tuning.HeartbeatTimeout
 	}
-	return c.Workers.HeartbeatInterval*5/4 + 3250*time.Millisecond
+	return c.Workers.HeartbeatInterval*5/4 + heartbeatGrace
 }
 
-// Load reads the platform's file and, where named, the operators' file. The
-// error joins every fault found.
+// heartbeatGrace is how long a heartbeat may take to arrive beyond the longest interval, which
+// is a quarter more than HeartbeatInterval.
+const heartbeatGrace = 3250 * time.Millisecond
+
+// Load reads the platform's file and, if it is named, the operators' file. The error joins
+// every fault found.
 func Load(path, settings string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -6,20 +6,23 @@
 	"net/netip"
 )
 
-// faults gathers everything that is wrong with a file.
+// faults collects everything that is wrong with a file.
 type faults []error
 
+// check adds a fault unless ok holds: the value of a field, and what it must be.
 func (f *faults) check(ok bool, field string, value any, allowed string) {
 	if !ok {
 		*f = append(*f, fmt.Errorf("%s: %v: must be %s", field, value, allowed))
 	}
 }
 
+// addr checks a network address.
 func (f *faults) addr(field, value string) {
 	_, err := netip.ParseAddrPort(value)
 	f.check(err == nil, field, fmt.Sprintf("%q", value), "an IP address and a port, such as 10.0.0.1:8080")
 }
 
+// positive checks a finite number above 0.
 func (f *faults) positive(field string, value float64) {
 	f.check(value > 0 && !math.IsInf(value, 0), field, value, "a number above 0")
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -28,7 +28,7 @@
 // TestGoldenSettings: the operators' file has the keys that it had, and they mean what they
 // meant: testdata/all.ini sets each of them.
 func TestGoldenSettings(t *testing.T) {
-	keys := slices.Sorted(maps.Keys(new(Tuning).setters(new(faults))))
+	keys := slices.Sorted(maps.Keys(new(Tuning).setters()))
 	goldentest.Text(t, "keys.txt", strings.Join(keys, "\n")+"\n")
 	text, err := os.ReadFile("testdata/all.ini")
 	if err != nil {
--- a/internal/config/grants.go
+++ b/internal/config/grants.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// What the record that grants parts their shares of the teams' limits takes, in the form in which
-// the state service counts: around all teams, for each team, for each part of one, and for each of
-// the two amounts, of which one without a limit is 0.
+// Bounds of the record that grants shards their shares of the teams' limits, in bytes as the
+// state service counts them: around all teams, for each team, for each shard of a team, and for
+// each of the two amounts, of which one without a limit is written as 0.
 const (
 	grantsBytes     = 12
 	grantTeamBytes  = 4
@@ -16,7 +16,7 @@
 	grantBytes      = 20
 )
 
-// checkGrants finds settings under which that record could grow larger than a value may be. It
+// checkGrants rejects settings under which that record could exceed the size of a value. It
 // would then be refused, and work that waits for a grant would never start.
 func (c *Config) checkGrants() error {
 	if c.checkShards() != nil {
@@ -35,7 +35,7 @@
 }
 
 // grantRecordBytes bounds the record of grants, and counts the teams that it may name.
-func (c *Config) grantRecordBytes(parts []string) (teams, bytes int) {
+func (c *Config) grantRecordBytes(shards []string) (teams, bytes int) {
 	bytes = grantsBytes
 	for _, t := range c.Teams {
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
@@ -43,13 +43,14 @@
 		}
 		teams++
 		bytes += jsonBytes(t.Name) + grantTeamBytes
-		for _, part := range parts {
-			bytes += jsonBytes(part) + grantShardBytes + amountBytes(t.CPUsMax) + amountBytes(t.GPUsMax)
+		for _, shard := range shards {
+			bytes += jsonBytes(shard) + grantShardBytes + amountBytes(t.CPUsMax) + amountBytes(t.GPUsMax)
 		}
 	}
 	return teams, bytes
 }
 
+// amountBytes bounds one amount of a grant.
 func amountBytes(limit float64) int {
 	if limit == 0 {
 		return len("0")
@@ -57,7 +58,7 @@
 	return grantBytes
 }
 
-// jsonBytes is what a text takes between its quotes, and these.
+// jsonBytes is the size of a text with its quotes.
 func jsonBytes(text string) int {
 	quoted, err := json.Marshal(text)
 	if err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// platformFile is the platform's file as it is written.
+// platformFile is the form of the platform's file.
 type platformFile struct {
 	Name       string `json:"host_name"`
 	Zone       string `json:"location"`
@@ -47,14 +47,41 @@
 	} `json:"params"`
 }
 
-// Parse reads the platform's file. On a fault it still returns what it read,
-// unless that is not JSON at all.
+// Parse reads the platform's file. If it has faults, both what was read and the error are
+// returned, unless the file is not JSON.
 func Parse(text []byte) (*Config, error) {
 	var p platformFile
 	if err := json.Unmarshal(text, &p); err != nil {
 		return nil, fmt.Errorf("not a valid settings file: %w", err)
 	}
 	var f faults
+	p.checkAddresses(&f)
+	p.checkTeams(&f)
+	p.checkWorkers(&f)
+	p.checkLimits(&f)
+	w, s := p.Params.Workers, p.Params.State
+	return &Config{
+		Name: p.Name, Zone: p.Zone, PublicAddr: p.PublicAddr, PeerAddr: p.PeerAddr, Peers: p.Peers,
+		CloudAddr: p.Endpoints.Cloud, StoreAddr: p.Endpoints.State,
+		Zones: p.Params.Zones, Teams: p.Params.Teams, Objectives: p.Params.Objectives,
+		Workers: Workers{seconds(w.ReportS), seconds(w.LeaseS), seconds(w.GangWaitS), seconds(w.GangPeerS), seconds(w.CancelS)},
+		// A transaction with more changes than are allowed in a second would never be
+		// accepted, nor one of several values that each take more than half of its bytes.
+		Store:  Store{s.RPS, s.WriteRPS, min(int(s.ValueKB*1024), maxValueBytes), min(s.TxnOps, max(2, int(s.WriteRPS)))},
+		Cloud:  Cloud{p.Params.Cloud.RPS, seconds(p.Params.Cloud.ListLagS)},
+		Limits: Limits{int64(p.Params.Limits.RAMMB * (1 << 20)), p.Params.Limits.Files},
+		Tuning: DefaultTuning(),
+	}, errors.Join(f...)
+}
+
+// maxValueBytes bounds the values that are written, even if the state service allows more.
+const maxValueBytes = 32 << 10
+
+// seconds converts a number of seconds.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// checkAddresses checks the names and addresses of controllers and services.
+func (p *platformFile) checkAddresses(f *faults) {
 	f.check(p.Name != "", "host_name", `""`, "the name of this controller")
 	f.addr("public_addr", p.PublicAddr)
 	f.addr("mesh_addr", p.PeerAddr)
@@ -68,6 +95,10 @@
 		names = append(names, s.Name)
 		f.addr(fmt.Sprintf("siblings[%d].peer_addr", i), s.Addr)
 	}
+}
+
+// checkTeams checks the zones, and each team's guarantee against its limit.
+func (p *platformFile) checkTeams(f *faults) {
 	f.check(len(p.Params.Zones) > 0, "params.zones", "none", "at least one zone")
 	f.check(len(p.Params.Teams) > 0, "params.teams", "none", "at least one team")
 	for i, t := range p.Params.Teams {
@@ -77,6 +108,10 @@
 		f.check(t.CPUsMax == 0 || t.CPUs <= t.CPUsMax, at+".cpus", t.CPUs, "no more than cpus_max")
 		f.check(t.GPUsMax == 0 || t.GPUs <= t.GPUsMax, at+".gpus", t.GPUs, "no more than gpus_max")
 	}
+}
+
+// checkWorkers checks the timing of the workers' protocol.
+func (p *platformFile) checkWorkers(f *faults) {
 	w := p.Params.Workers
 	f.positive("params.workers.report_s", w.ReportS)
 	f.check(w.LeaseS > w.ReportS, "params.workers.lease_s", w.LeaseS, "more than report_s")
@@ -84,6 +119,10 @@
 	f.positive("params.workers.gang_peer_s", w.GangPeerS)
 	f.check(w.CancelS >= w.LeaseS+MinCancelMargin.Seconds(), "params.workers.cancel_s", w.CancelS,
 		fmt.Sprintf("lease_s and %v s more, or an answer could keep a cancelled task for longer", MinCancelMargin.Seconds()))
+}
+
+// checkLimits checks the limits of the state service, of the cloud and of this process.
+func (p *platformFile) checkLimits(f *faults) {
 	s := p.Params.State
 	f.positive("params.state.rps", s.RPS)
 	f.positive("params.state.write_rps", s.WriteRPS)
@@ -93,22 +132,4 @@
 	f.check(p.Params.Cloud.ListLagS >= 0, "params.cloud.list_lag_s", p.Params.Cloud.ListLagS, "0 or more")
 	f.check(p.Params.Limits.RAMMB >= 32, "params.limits.ram_mb", p.Params.Limits.RAMMB, "32 or more")
 	f.check(p.Params.Limits.Files >= 64, "params.limits.fd_limit", p.Params.Limits.Files, "64 or more")
-
-	return &Config{
-		Name: p.Name, Zone: p.Zone, PublicAddr: p.PublicAddr, PeerAddr: p.PeerAddr, Peers: p.Peers,
-		CloudAddr: p.Endpoints.Cloud, StoreAddr: p.Endpoints.State,
-		Zones: p.Params.Zones, Teams: p.Params.Teams, Objectives: p.Params.Objectives,
-		Workers: Workers{seconds(w.ReportS), seconds(w.LeaseS), seconds(w.GangWaitS), seconds(w.GangPeerS), seconds(w.CancelS)},
-		// A transaction of more changes than a second's worth would never be taken, nor
-		// one of several values that are each larger than half of what it may take.
-		Store:  Store{s.RPS, s.WriteRPS, min(int(s.ValueKB*1024), maxValueBytes), min(s.TxnOps, max(2, int(s.WriteRPS)))},
-		Cloud:  Cloud{p.Params.Cloud.RPS, seconds(p.Params.Cloud.ListLagS)},
-		Limits: Limits{int64(p.Params.Limits.RAMMB * (1 << 20)), p.Params.Limits.Files},
-		Tuning: DefaultTuning(),
-	}, errors.Join(f...)
 }
-
-// maxValueBytes bounds the values that are written, however large they may be.
-const maxValueBytes = 32 << 10
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/shards.go
+++ b/internal/config/shards.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 )
 
-// Sharding gives the parts of the fleet.
+// Sharding returns how the fleet is divided into shards.
 func (c *Config) Sharding() *fleet.Sharding {
 	switch by := c.Tuning.Shards.By; by {
 	case "", "off":
@@ -25,8 +25,10 @@
 	}
 }
 
-// checkShards finds what the operators' file says of parts and the platform's does not
-// allow.
+// maxShardName bounds the names of zones and machine types that are shards, in bytes.
+const maxShardName = 60
+
+// checkShards checks the division into shards against the zones of the platform's file.
 func (c *Config) checkShards() error {
 	var f faults
 	p := c.Tuning.Shards
@@ -43,7 +45,9 @@
 	}
 	for field, names := range map[string][]string{"params.zones": c.Zones, "parts.types": p.Types} {
 		for i, name := range names {
-			f.check(name != "" && len(name) <= 60 && !strings.ContainsAny(name, " /\t\n") && !slices.Contains(names[:i], name), fmt.Sprintf("%s[%d]", field, i),
+			usable := name != "" && len(name) <= maxShardName && !strings.ContainsAny(name, " /\t\n")
+			unique := !slices.Contains(names[:i], name)
+			f.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
 				fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
 		}
 	}
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -11,8 +11,11 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// readSpreadRule takes a section of the operators' file that says how the services of a class are
-// spread over the zones.
+// spreadSection begins the names of the sections that say how services are spread.
+const spreadSection = "spread "
+
+// readSpreadRule reads the section that says how the services of a class are spread over the
+// zones.
 func (t *Tuning) readSpreadRule(f *faults, class string, sec *ini.Section) {
 	var r scheduler.SpreadRule
 	for _, key := range sec.Keys() {
@@ -37,12 +40,11 @@
 	t.Spread[class] = &r
 }
 
-// checkSpread finds what the operators' file says of spreading and the platform's zones do
-// not allow.
+// checkSpread checks the spread rules against the zones of the platform's file.
 func (c *Config) checkSpread() error {
 	var f faults
 	for class, r := range c.Tuning.Spread {
-		at := "spread " + class
+		at := spreadSection + class
 		for _, zone := range r.Zones {
 			f.check(slices.Contains(c.Zones, zone), at+".zones", fmt.Sprintf("%q", zone), "of "+strings.Join(c.Zones, ", "))
 		}
--- a/internal/config/tiers.go
+++ b/internal/config/tiers.go
@@ -17,59 +17,80 @@
 // tierSection begins the names of the sections that set tiers.
 const tierSection = "tier "
 
-// Tiers gives the tiers of work, in their order.
+// Tiers returns the tiers of work, in their order.
 func (c *Config) Tiers() *tier.Set { return tier.New(c.Tuning.Tiers) }
 
+// maxTierName bounds the name of a tier, in bytes.
+const maxTierName = 40
+
+// reservedTierNames have a meaning of their own in lists of tiers.
+var reservedTierNames = []string{"all", "none", "rest"}
+
 // readTier reads a section that sets a tier.
 func (t *Tuning) readTier(f *faults, sec *ini.Section) {
 	name := strings.TrimSpace(strings.TrimPrefix(sec.Name(), tierSection))
 	at := "[" + sec.Name() + "]"
-	out := tier.Tier{Name: name, ReclaimWithin: tier.DefaultReclaimWithin}
-	known := !strings.ContainsAny(name, " ,\t") && name != "" && len(name) <= 40 && !slices.Contains([]string{"all", "none", "rest"}, name)
-	f.check(known && !slices.ContainsFunc(t.Tiers, func(o tier.Tier) bool { return o.Name == name }), at, fmt.Sprintf("%q", name),
+	usable := name != "" && len(name) <= maxTierName && !strings.ContainsAny(name, " ,\t") && !slices.Contains(reservedTierNames, name)
+	unique := !slices.ContainsFunc(t.Tiers, func(o tier.Tier) bool { return o.Name == name })
+	f.check(usable && unique, at, fmt.Sprintf("%q", name),
 		"another name of up to 40 bytes without spaces and commas, but for all, none and rest")
 	f.check(sec.HasKey("order"), at+".order", "none", "a count from 0 to 1000, the least is ahead")
+	out := tier.Tier{Name: name, ReclaimWithin: tier.DefaultReclaimWithin}
 	for _, key := range sec.Keys() {
-		field, value := at+"."+key.Name(), key.Value()
-		zone, zoned := strings.CutPrefix(key.Name(), "cards.")
-		switch {
-		case zoned:
-			if out.Zones == nil {
-				out.Zones = make(map[string]tier.Share)
-			}
-			out.Zones[zone] = parseShare(f, field, value)
-		case key.Name() == "order":
-			n, err := key.Int()
-			f.check(err == nil && n >= 0 && n <= 1000, field, value, "a count from 0 to 1000, the least is ahead")
-			out.Order = n
-		case key.Name() == "priority":
-			out.Priorities = key.Strings(",")
-		case key.Name() == "class":
-			out.Classes = key.Strings(",")
-		case key.Name() == "team":
-			out.Teams = key.Strings(",")
-		case key.Name() == "in_team":
-			v, err := key.Bool()
-			f.check(err == nil, field, value, "on or off")
-			out.InTeam = v
-		case key.Name() == "cards":
-			out.Share = parseShare(f, field, value)
-		case key.Name() == "within":
-			v, err := time.ParseDuration(value)
-			f.check(err == nil && v >= 10*time.Second && v <= 10*time.Minute, field, value, "a duration from 10s to 10m")
-			out.ReclaimWithin = v
-		case key.Name() == "lend" && value == "all":
-		case key.Name() == "lend":
-			if out.LendsTo = []string{}; value != "none" {
-				out.LendsTo = key.Strings(",")
-			}
-		default:
-			f.check(false, field, value, "one of order, priority, class, team, in_team, cards, cards.ZONE, within, lend")
-		}
+		readTierKey(f, &out, at+"."+key.Name(), key)
 	}
 	t.Tiers = append(t.Tiers, out)
 }
 
+// readTierKey reads one key of a tier's section; field is its name in messages.
+func readTierKey(f *faults, out *tier.Tier, field string, key *ini.Key) {
+	value := key.Value()
+	if zone, ok := strings.CutPrefix(key.Name(), "cards."); ok {
+		if out.Zones == nil {
+			out.Zones = make(map[string]tier.Share)
+		}
+		out.Zones[zone] = parseShare(f, field, value)
+		return
+	}
+	switch key.Name() {
+	case "order":
+		n, err := key.Int()
+		f.check(err == nil && n >= 0 && n <= 1000, field, value, "a count from 0 to 1000, the least is ahead")
+		out.Order = n
+	case "priority":
+		out.Priorities = key.Strings(",")
+	case "class":
+		out.Classes = key.Strings(",")
+	case "team":
+		out.Teams = key.Strings(",")
+	case "in_team":
+		v, err := key.Bool()
+		f.check(err == nil, field, value, "on or off")
+		out.InTeam = v
+	case "cards":
+		out.Share = parseShare(f, field, value)
+	case "within":
+		v, err := time.ParseDuration(value)
+		f.check(err == nil && v >= 10*time.Second && v <= maxDuration, field, value, "a duration from 10s to 10m")
+		out.ReclaimWithin = v
+	case "lend":
+		out.LendsTo = parseLend(out.LendsTo, key)
+	default:
+		f.check(false, field, value, "one of order, priority, class, team, in_team, cards, cards.ZONE, within, lend")
+	}
+}
+
+// parseLend reads to which tiers idle cards are lent: before means all, as without the key.
+func parseLend(before []string, key *ini.Key) []string {
+	switch key.Value() {
+	case "all":
+		return before
+	case "none":
+		return []string{}
+	}
+	return key.Strings(",")
+}
+
 // parseShare reads a number of cards, or a part of those that there are.
 func parseShare(f *faults, field, value string) tier.Share {
 	text, part := strings.CutSuffix(value, "%")
@@ -81,7 +102,7 @@
 	return tier.Share{Cards: n}
 }
 
-// checkTiers finds what the tiers say of each other, and of what the platform's file tells.
+// checkTiers checks the tiers against each other and against the platform's file.
 func (c *Config) checkTiers() error {
 	var f faults
 	var names, teams []string
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -1,47 +1,39 @@
 package config
 
 import (
-	"cmp"
-	"errors"
-	"fmt"
-	"maps"
-	"slices"
-	"strings"
 	"time"
 
-	"gopkg.in/ini.v1"
-
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// Tuning is what operators may set themselves.
+// Tuning holds what the operators' file sets.
 type Tuning struct {
-	Lease            time.Duration // of the claim on the state service
-	Renew            time.Duration
-	RoundTasks       int
+	Lease            time.Duration // of a shard's leader in the state service
+	Renew            time.Duration // interval between two renewals of that lease
+	RoundTasks       int           // launches that one round may decide
 	RoundWindow      time.Duration
-	Idle             time.Duration // before an idle machine is returned
-	BeginWithin      time.Duration // that even the largest gangs should have begun, where there is room for them
-	HeartbeatTimeout time.Duration // before a silent machine is given up; 0 follows from the reports
+	Idle             time.Duration // after which an idle machine is released
+	BeginWithin      time.Duration // in which even the largest gangs should start, where they fit
+	HeartbeatTimeout time.Duration // after which a machine counts as failed; 0 derives it from the heartbeat interval
 	History          History
-	DirectHeartbeats int // machines up to which the holder takes reports itself
+	DirectHeartbeats int // machines up to which the leader takes all heartbeats itself
 	Shards           Shards
-	Writers          int                              // controllers that write what users wait for, for all; writers.Auto follows from their number, 0 stands for each by itself
+	Writers          int                              // controllers that write submissions for all; writers.Auto derives it from their number, 0 means that each writes its own
 	Spread           map[string]*scheduler.SpreadRule // of services, by class
-	Tiers            []tier.Tier                      // of work; none stands for the order without settings
+	Tiers            []tier.Tier                      // of work; empty means the default order
 	Metrics          string                           // address that metrics are served on, if any
 	Reapi            Reapi
 }
 
-// Shards is how the fleet is divided among holders; it is one part by default.
+// Shards says how the fleet is divided among leaders; by default it is one shard.
 type Shards struct {
-	By    string   // off, zone, type, or a number of parts over which the zones are dealt out
-	Types []string // the types that are parts, by type
+	By    string   // off, zone, type, or a number of shards to which the zones are assigned
+	Types []string // the machine types that are shards, where it is divided by type
 }
 
-// Reapi is what operators set for build tools; it is off without an address.
+// Reapi holds the settings of the interface for build tools. It is off without an address.
 type Reapi struct {
 	Listen, Store string // addresses of the service, and of amberdeal cas
 	Calls         int    // open calls and streams
@@ -54,17 +46,17 @@
 	Estimate      time.Duration
 }
 
-// History is what operators may set of the jobs that are over.
+// History holds the settings of how ended jobs are archived.
 type History struct {
-	Compact bool          // whether they leave their keys
-	Every   time.Duration // how often the holder looks for some
-	Wait    time.Duration // how long a few wait for others to be folded with
-	MergeAt int           // full recent blocks before they go into the history
-	CacheMB int           // of blocks in memory
-	Backlog int           // of jobs that are over and not folded; no more jobs are accepted beyond it
+	Compact bool          // whether ended jobs are moved from their keys into blocks
+	Every   time.Duration // interval between two searches for ended jobs
+	Wait    time.Duration // how long a few ended jobs wait to be compacted with others
+	MergeAt int           // full recent blocks that are merged into the archive together
+	CacheMB int           // of decoded blocks in memory
+	Backlog int           // ended jobs that are not compacted yet, beyond which no more jobs are accepted
 }
 
-// DefaultTuning is used where the operators' file says nothing.
+// DefaultTuning returns the values of all settings that the operators' file leaves out.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Lease: 9 * time.Second, Renew: 3 * time.Second,
@@ -74,99 +66,3 @@
 		Reapi:   Reapi{Calls: 500, Class: "action", Priority: "normal", Image: "none", CPUs: 1, MemoryGB: 1, Spot: true, Estimate: time.Minute},
 	}
 }
-
-// parse reads the operators' file into t.
-func (t *Tuning) parse(text []byte) error {
-	file, err := ini.Load(text)
-	if err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	var f faults
-	known := t.setters(&f)
-	for _, sec := range file.Sections() {
-		if class, ok := strings.CutPrefix(sec.Name(), "spread "); ok {
-			t.readSpreadRule(&f, strings.TrimSpace(class), sec)
-			continue
-		}
-		if strings.HasPrefix(sec.Name(), tierSection) {
-			t.readTier(&f, sec)
-			continue
-		}
-		for _, key := range sec.Keys() {
-			name := sec.Name() + "." + key.Name()
-			if set := known[name]; set != nil {
-				set(name, key)
-			} else {
-				f.check(false, name, key.Value(), "one of "+strings.Join(slices.Sorted(maps.Keys(known)), ", "))
-			}
-		}
-	}
-	f.check(t.Reapi.Listen == "" || t.Reapi.Store != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
-	f.check(t.Renew*2 <= t.Lease, "claim.renew", t.Renew, "at most half of claim.lease")
-	return errors.Join(f...)
-}
-
-// setters tells for each key of the operators' file how its value is taken.
-func (t *Tuning) setters(f *faults) map[string]func(name string, key *ini.Key) {
-	duration := func(d *time.Duration) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			v, err := time.ParseDuration(key.Value())
-			f.check(err == nil && v >= 100*time.Millisecond && v <= 10*time.Minute, name, key.Value(), "a duration from 100ms to 10m")
-			*d = v
-		}
-	}
-	count := func(n *int, least, most int) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			v, err := key.Int()
-			f.check(err == nil && v >= least && v <= most, name, key.Value(), fmt.Sprintf("a count from %d to %d", least, most))
-			*n = v
-		}
-	}
-	flag := func(b *bool) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			v, err := key.Bool()
-			f.check(err == nil, name, key.Value(), "on or off")
-			*b = v
-		}
-	}
-	number := func(n *float64) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			v, err := key.Float64()
-			f.check(err == nil && v >= 0 && v <= 1e6, name, key.Value(), "a number from 0 to 1e6")
-			*n = v
-		}
-	}
-	address := func(text *string) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			*text = key.Value()
-			f.addr(name, *text)
-		}
-	}
-	words := func(text *string, allowed ...string) func(string, *ini.Key) {
-		return func(name string, key *ini.Key) {
-			*text = key.Value()
-			f.check(*text != "" && (allowed == nil || slices.Contains(allowed, *text)), name, fmt.Sprintf("%q", *text), cmp.Or(strings.Join(allowed, ", "), "some text"))
-		}
-	}
-	list := func(names *[]string) func(string, *ini.Key) {
-		return func(_ string, key *ini.Key) { *names = key.Strings(",") }
-	}
-	return map[string]func(string, *ini.Key){
-		"parts.by": words(&t.Shards.By), "parts.types": list(&t.Shards.Types),
-		"claim.lease": duration(&t.Lease), "claim.renew": duration(&t.Renew),
-		"round.window": duration(&t.RoundWindow), "round.tasks": count(&t.RoundTasks, 1, 500),
-		"jobs.begin_within": duration(&t.BeginWithin),
-		"reports.keep":      count(&t.DirectHeartbeats, 0, 1_000_000),
-		"accept.writers":    count(&t.Writers, 0, 24),
-		"machines.idle":     duration(&t.Idle), "machines.silence": duration(&t.HeartbeatTimeout),
-		"history.fold":  flag(&t.History.Compact),
-		"history.every": duration(&t.History.Every), "history.wait": duration(&t.History.Wait),
-		"history.merge_at": count(&t.History.MergeAt, 1, 64), "history.cache_mb": count(&t.History.CacheMB, 1, 1024), "history.backlog": count(&t.History.Backlog, 100, 10_000_000),
-		"reapi.listen": address(&t.Reapi.Listen), "reapi.cas": address(&t.Reapi.Store), "reapi.calls": count(&t.Reapi.Calls, 1, 100_000),
-		"reapi.team": words(&t.Reapi.Team), "reapi.class": words(&t.Reapi.Class), "reapi.image": words(&t.Reapi.Image),
-		"reapi.priority": words(&t.Reapi.Priority, "production", "high", "normal", "low"),
-		"reapi.cpus":     number(&t.Reapi.CPUs), "reapi.gpus": number(&t.Reapi.GPUs), "reapi.memory_gb": number(&t.Reapi.MemoryGB),
-		"reapi.spot": flag(&t.Reapi.Spot), "reapi.estimate": duration(&t.Reapi.Estimate),
-		"metrics.listen": address(&t.Metrics),
-	}
-}
