--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -221,7 +221,7 @@
 			break
 		}
 		c.revision++
-		for i, ch := range d.packed.Then {
+		for i, ch := range d.Packed().Then {
 			slots[ch.Put] = store.Segment{Number: i, Version: c.revision, Record: ch.Value.(store.SegmentRecord)}
 		}
 		c.Committed(d, c.revision)
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -122,7 +122,7 @@
 	if _, ends := d.finished[id]; ends {
 		return false
 	}
-	r := d.rewriteBatch(l)
+	r := d.Update(l)
 	if r == nil {
 		return false
 	}
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -45,23 +45,20 @@
 	h.handOverUnplaced(now, d)
 	h.assignRanges(d)
 	h.dropPreviousLedgers(d, snap)
-	for _, r := range d.orderedRewrites {
-		d.Txn.Then = append(d.Txn.Then, r.Change())
-	}
-	h.reserveLedgerSlots(d)
+	d.OpenLedger(h.ledger, h.cfg.Store.TxnOps/2, h.cfg.Store.ValueBytes, &h.sizes)
 	h.decideZones(now, d)
 	h.decideZoneRecoveries(now, d)
 	h.storeProgress(d)
 	h.plan(now, d)
 	h.writeMigrated(d)
 	carried, disowns := h.migrationDue(), h.releaseOwnership(d)
-	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !disowns && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
+	if d.Empty() && !carried && !disowns && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
 		return nil // what is only to be tidied up can wait for company
 	}
 	h.dropObsolete(d)
 	h.writeStalePreemptions(d)
 	clear := h.clearedRevision(snap.Revision)
-	if len(d.Txn.Then) == 0 && len(d.entries) == 0 && !carried && !h.clearedDue(now, clear) {
+	if d.Empty() && !carried && !h.clearedDue(now, clear) {
 		return nil
 	}
 	h.lastDecided, d.clearedRevision, d.migrated = now, clear, carried
@@ -69,22 +66,20 @@
 	if carried || h.migration.recorded {
 		head.Migrated = h.shardingNumber
 	}
-	d.packed, d.entries = h.ledger.Pack(head, d.entries, d.slotBudget, d.changesLeft > 0)
-	if len(d.entries) > 0 {
+	if left := d.Pack(h.ledger, head); left > 0 {
 		// A launch whose machine's record is left out must never be said: the next
 		// holder would not know of it. A smaller round is decided instead.
-		h.batchBackoff = min(h.batchBackoff+1, 12)
+		h.sizes.TooLarge()
 		if len(d.launches) > 0 {
 			h.stalls.blocked(now, StallTooLarge, d.launches[0].Task.Job)
 		}
-		h.log.Error("round too large", "number", d.Number, "left", len(d.entries), "squeeze", h.batchBackoff)
+		h.log.Error("round too large", "number", d.Number, "left", left, "squeeze", h.sizes.Halvings())
 		h.discardDraft(d)
 		return nil
 	}
-	h.batchBackoff = max(0, h.batchBackoff-1)
+	h.sizes.Fitted()
 	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version})
-	d.Txn.If = append(d.Txn.If, d.packed.If...)
-	d.Txn.Then = append(d.Txn.Then, d.packed.Then...)
+	d.Seal()
 	return d
 }
 
@@ -104,7 +99,7 @@
 		if !all || len(tasks) > 0 && h.unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
 			continue
 		}
-		if r := d.rewriteBatch(l); r != nil { // or the next round has room
+		if r := d.Update(l); r != nil { // or the next round has room
 			if h.finishRanges(r, id, l, now) {
 				d.done = append(d.done, id)
 			}
@@ -125,7 +120,7 @@
 		var stored []int
 		for _, i := range j.finished.Difference(j.storedFinished) {
 			if b := i / store.TasksPerBlock; b != last {
-				last, fits = b, d.addEntries(store.ProgressEntry(id, b, j.finished))
+				last, fits = b, d.Add(store.ProgressEntry(id, b, j.finished))
 			}
 			if fits {
 				stored = append(stored, i)
@@ -139,18 +134,17 @@
 
 // dropObsolete drops what is of no more use, as far as the round has room.
 func (h *Leader) dropObsolete(d *Draft) {
-	if h.typesChanged && d.changesLeft > 0 {
-		d.changesLeft--
-		d.Txn.Then = append(d.Txn.Then, wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
+	if h.typesChanged && d.ChangesLeft() > 0 {
+		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
 		h.typesChanged, d.storesTypes = false, true
 	}
 	for _, id := range sortedKeys(h.machinesToDrop) {
-		if !h.ledger.HasMachine(id) || d.machines[id] || d.addEntries(store.DropMachine(id)) {
+		if !h.ledger.HasMachine(id) || d.machines[id] || d.Add(store.DropMachine(id)) {
 			d.dropped = append(d.dropped, id)
 		}
 	}
 	for _, name := range sortedKeys(h.requestsToDrop) {
-		if !h.ledger.HasScaleOut(name) || d.addEntries(store.DropScaleOut(name)) {
+		if !h.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
 			d.dropped = append(d.dropped, name)
 		}
 	}
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -4,16 +4,16 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/internal/zonerecovery"
-	"amberdeal.example/amberdeal/wire"
 )
 
 // Draft is a round that was decided and is yet to be written.
 type Draft struct {
-	Txn    wire.Txn
+	*commit.Builder
 	Number uint64
 
 	clearedRevision uint64 // up to which it says that nothing is left of ended jobs
@@ -31,94 +31,14 @@
 	decidedAt       time.Time
 	expansions      map[string]*tier.Preemption // that get more room, by job
 	stale           map[reservationKey]bool     // records of room, and whether they are still out of date after it
-
-	entries         []store.Entry
-	packed          store.PackedWrite
-	rewrites        map[string]*store.BatchUpdate // homes in which it marks jobs as done, or gives tasks away
-	orderedRewrites []*store.BatchUpdate          // the same, in order
-	guardedBatches  map[string]bool               // homes that must be as they were seen
-	slotBudget      int                           // that it may write
-	entryBytesLeft  int                           // bytes that are left for entries
-	txnBytesLeft    int                           // and in the transaction
-	changesLeft     int                           // changes that are left
-	conditionsLeft  int                           // conditions that are left
 }
 
-// What the values of one round may take together, and the ends among them where
-// more than the ledger's slots want to be written.
-const (
-	maxRoundBytes        = 58 << 10
-	maxExtraRewriteBytes = 20 << 10
-)
-
 func (h *Leader) newDraft() *Draft {
 	maxChanges := min(h.cfg.Store.TxnOps, store.LeaderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().MinWriteShare(), len(h.sharding.Shards())))
-	guards := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
-	return &Draft{Number: h.lastRound + 1, finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{}, expansions: map[string]*tier.Preemption{}, stale: map[reservationKey]bool{},
-		rewrites: map[string]*store.BatchUpdate{}, guardedBatches: map[string]bool{}, txnBytesLeft: maxRoundBytes, changesLeft: maxChanges, conditionsLeft: guards}
-}
-
-// reserveLedgerSlots sets aside what is left for the slots of the ledger.
-func (h *Leader) reserveLedgerSlots(d *Draft) {
-	d.slotBudget = max(1, min(h.cfg.Store.TxnOps/2, d.txnBytesLeft/h.cfg.Store.ValueBytes, d.changesLeft))
-	d.changesLeft -= d.slotBudget
-	d.entryBytesLeft = h.ledger.FreeBytes(d.slotBudget) >> h.batchBackoff
-}
-
-// addEntries takes entries into the round if all of them fit.
-func (d *Draft) addEntries(entries ...store.Entry) bool {
-	size := 0
-	for _, e := range entries {
-		size += e.Size
-	}
-	if size > d.entryBytesLeft {
-		return false
-	}
-	d.entryBytesLeft -= size
-	d.entries = append(d.entries, entries...)
-	return true
-}
-
-// guardBatch demands that the home of a job is as it was seen, so that a cancellation
-// that came in between fails the round.
-func (d *Draft) guardBatch(l *store.LiveJob) bool {
-	if d.guardedBatches[l.Batch.Key] {
-		return true
-	}
-	if d.conditionsLeft == 0 {
-		return false
-	}
-	d.conditionsLeft--
-	d.guardedBatches[l.Batch.Key] = true
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: l.Batch.Key, Version: l.Batch.Version})
-	return true
-}
-
-// rewriteBatch begins the next value of a job's home, if the round has room for that.
-func (d *Draft) rewriteBatch(l *store.LiveJob) *store.BatchUpdate {
-	r := d.rewrites[l.Batch.Key]
-	if r == nil {
-		size := l.Batch.Bytes()
-		if d.changesLeft <= 1 || len(d.orderedRewrites) > 0 && d.txnBytesLeft-size < maxRoundBytes-maxExtraRewriteBytes || !d.guardBatch(l) {
-			return nil
-		}
-		d.changesLeft--
-		d.txnBytesLeft -= size
-		r = l.Batch.Update()
-		d.rewrites[l.Batch.Key] = r
-		d.orderedRewrites = append(d.orderedRewrites, r)
-	}
-	return r
-}
-
-// WrittenBatches gives the homes that the round has written, once it was taken at a
-// revision.
-func (d *Draft) WrittenBatches(revision uint64) []*store.Batch {
-	out := make([]*store.Batch, len(d.orderedRewrites))
-	for i, r := range d.orderedRewrites {
-		out[i] = r.Committed(revision)
-	}
-	return out
+	conditions := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
+	return &Draft{Builder: commit.NewBuilder(commit.Limits{Changes: maxChanges, Conditions: conditions}), Number: h.lastRound + 1,
+		finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{},
+		expansions: map[string]*tier.Preemption{}, stale: map[reservationKey]bool{}}
 }
 
 // Committed takes in that the store has taken a round.
@@ -132,7 +52,7 @@
 	}
 	h.clearedWritten = max(h.clearedWritten, d.clearedRevision)
 	h.migration.recorded = h.migration.recorded || d.migrated
-	h.ledger.Commit(d.packed, revision)
+	h.ledger.Commit(d.Packed(), revision)
 	h.preemptionsCommitted(d)
 	for _, p := range d.launches {
 		p.Committed = true
@@ -168,7 +88,7 @@
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "asks", len(d.requests), "slots", len(d.packed.Then))
+		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "asks", len(d.requests), "slots", len(d.Packed().Then))
 	}
 }
 
@@ -176,7 +96,7 @@
 func (h *Leader) Discard(d *Draft) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.conflicts.Refused(len(d.guardedBatches))
+	h.conflicts.Refused(d.Guarded())
 	h.discardDraft(d)
 }
 
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -349,14 +349,14 @@
 			return false // it goes once the ledger names it no more
 		}
 	}
-	r := d.rewrites[l.Batch.Key]
+	r := d.Pending(l)
 	if r == nil {
 		r = l.Batch.Update()
 	}
 	if r.BytesWithRanges(id, ranges, h.shardingNumber) > h.cfg.Store.ValueBytes {
 		return false
 	}
-	if r = d.rewriteBatch(l); r == nil {
+	if r = d.Update(l); r == nil {
 		return false
 	}
 	h.updateRanges(r, id, l, ranges)
@@ -426,7 +426,7 @@
 		switch m := h.fleet.Machine(id); {
 		case m == nil:
 			drops = drops || h.machinesToDrop[id]
-		case !d.machines[id] && d.addEntries(h.machineEntry(d, id)):
+		case !d.machines[id] && d.Add(h.machineEntry(d, id)):
 			d.machines[id] = true
 		}
 	}
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -36,14 +36,14 @@
 		case full:
 			withheld = StallMachines
 			continue
-		case size > d.entryBytesLeft:
+		case !d.Fits(size):
 			withheld = StallLedger
 			continue
-		case !d.guardBatch(h.liveJobs[id]):
+		case !d.Guard(h.liveJobs[id]):
 			withheld = StallConditions
 			continue
 		}
-		d.entryBytesLeft -= size
+		d.Reserve(size)
 		for id := range fresh {
 			d.machines[id] = true
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, id := range sortedKeys(d.machines) {
-		d.entries = append(d.entries, h.machineEntry(d, id))
+		d.AddReserved(h.machineEntry(d, id))
 	}
 	return withheld
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -66,7 +66,7 @@
 	ledger                *store.Ledger
 	timeouts              timeouts
 	lastRound             uint64
-	batchBackoff          int // halvings of what a round may hold, after one that did not fit
+	sizes                 commit.SizeBackoff
 	conflicts             commit.ConflictBackoff
 	stalls                stallDetector
 	lastDecided           time.Time // when a round was last decided
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -113,7 +113,7 @@
 					return
 				}
 			}
-			firstSlot := d.packed.Then[0].Put
+			firstSlot := d.FirstSegment()
 			if last, version := e.View.Segment(firstSlot); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
 				h.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
 				h.Committed(d, version)                    // a copy without an answer was taken
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -90,7 +90,7 @@
 		m := h.fleet.Machine(id)
 		if m == nil || h.ledger.HasMachine(id) {
 			delete(h.migration.machines, id)
-		} else if !d.machines[id] && d.addEntries(h.machineEntry(d, id)) {
+		} else if !d.machines[id] && d.Add(h.machineEntry(d, id)) {
 			d.machines[id] = true
 		}
 	}
@@ -99,13 +99,13 @@
 		if a == nil || h.ledger.HasScaleOut(name) {
 			delete(h.migration.scaleOutRequests, name)
 		} else {
-			d.addEntries(store.ScaleOutEntry(name, scaleOutRecord(a.ScaleOut)))
+			d.Add(store.ScaleOutEntry(name, scaleOutRecord(a.ScaleOut)))
 		}
 	}
 	h.migration.zones = slices.DeleteFunc(h.migration.zones, h.ledger.HasZone)
 	for _, name := range h.migration.zones {
 		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // or the round says what follows
-			d.addEntries(zoneEntry(name, h.zoneStates.Record(name)))
+			d.Add(zoneEntry(name, h.zoneStates.Record(name)))
 		}
 	}
 	for id := range h.migration.jobs {
@@ -151,7 +151,7 @@
 	if h.sharding.IsSingle() || h.shardingNumber == 0 {
 		return
 	}
-	before, remaining := len(d.orderedRewrites), make(map[string]bool)
+	before, remaining := d.Updates(), make(map[string]bool)
 	for id, l := range h.liveJobs { // mostly none
 		if h.unassigned(l) {
 			remaining[id] = true
@@ -161,7 +161,7 @@
 	}
 	for _, id := range sortedKeys(remaining) {
 		l := h.liveJobs[id]
-		if len(d.orderedRewrites)-before >= maxAssignedBatches && d.rewrites[l.Batch.Key] == nil || !h.assigner(l) {
+		if d.Updates()-before >= maxAssignedBatches && d.Pending(l) == nil || !h.assigner(l) {
 			continue
 		}
 		h.rewriteRanges(d, id, l, h.allRanges(l))
@@ -201,7 +201,7 @@
 // are. It is done by the holder of the first part.
 func (h *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
 	g := snap.Sharding
-	if len(g.Record.PreviousLedgers) == 0 || g.Record.Generation != h.shardingNumber || h.lease.Shard != h.sharding.Shards()[0] || !h.migration.recorded || d.changesLeft <= 2 {
+	if len(g.Record.PreviousLedgers) == 0 || g.Record.Generation != h.shardingNumber || h.lease.Shard != h.sharding.Shards()[0] || !h.migration.recorded || d.ChangesLeft() <= 2 {
 		return
 	}
 	for _, shard := range h.sharding.Shards() {
@@ -215,16 +215,13 @@
 		}
 	}
 	slots := h.jobIndex.PreviousLedgerSlots()
-	for _, key := range slots[:min(len(slots), maxDroppedSlots, d.changesLeft-2)] {
-		d.changesLeft--
-		d.Txn.Then = append(d.Txn.Then, wire.Operation{Delete: key})
+	for _, key := range slots[:min(len(slots), maxDroppedSlots, d.ChangesLeft()-2)] {
+		d.AddChange(wire.Operation{Delete: key})
 	}
 	if len(slots) > 0 {
 		return
 	}
-	d.changesLeft--
-	d.conditionsLeft--
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.ShardingKey, Version: g.Version})
-	d.Txn.Then = append(d.Txn.Then, wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: g.Record.Text, Generation: g.Record.Generation}})
+	d.AddChangeIf(wire.Condition{Key: store.ShardingKey, Version: g.Version},
+		wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: g.Record.Text, Generation: g.Record.Generation}})
 	h.log.Info("the ledgers of earlier groupings are gone", "grouping", h.shardingNumber)
 }
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -528,7 +528,7 @@
 	case "a round is not fenced by the part":
 		c.draft.Txn.If = without(c.draft.Txn.If, store.LeaderKey(timedPart))
 	case "a round is not bound to its ledger":
-		for _, t := range c.draft.packed.Then {
+		for _, t := range c.draft.Packed().Then {
 			c.draft.Txn.If = without(c.draft.Txn.If, t.Put)
 		}
 	case "an end is not bound to the job's record":
@@ -550,7 +550,7 @@
 	h := c.leader
 	c.draft = nil
 	m.read(i)
-	if last, version := c.view.Segment(d.packed.Then[0].Put); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
+	if last, version := c.view.Segment(d.FirstSegment()); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
 		h.Committed(d, version)
 		m.reached["a copy of a round was taken"] = true
 		return
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -187,7 +187,7 @@
 				r.Stops[p.Task.String()] = p.Attempt
 			}
 		}
-		if next := h.preemptionFor(d, c.Job).Add(r); d.addEntries(store.PreemptionEntry(c.Job, next.Reservation(c.Machine))) {
+		if next := h.preemptionFor(d, c.Job).Add(r); d.Add(store.PreemptionEntry(c.Job, next.Reservation(c.Machine))) {
 			d.expansions[c.Job] = next
 			d.stale[reservationKey{c.Job, c.Machine}] = false
 			h.log.Info("claiming back", "job", c.Job, "tier", c.Tier, "machine", c.Machine, "stops", len(r.Stops), "awaits", len(r.Awaits), "round", d.Number)
@@ -214,7 +214,7 @@
 		if r.Tasks > 0 {
 			e = store.PreemptionEntry(key.job, r)
 		}
-		if r.Tasks == 0 && !h.ledger.HasPreemption(key.job, key.machine) || d.addEntries(e) {
+		if r.Tasks == 0 && !h.ledger.HasPreemption(key.job, key.machine) || d.Add(e) {
 			d.stale[key] = false
 		}
 	}
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -20,7 +20,7 @@
 func (h *Leader) requestScaleOut(now time.Time, d *Draft, rents []scheduler.ScaleOut) {
 	for _, r := range h.scaleOutRequests.Admit(now, rents) {
 		name := fmt.Sprintf("t%d-%d", h.lease.FencingToken, h.attemptSequence+1)
-		if !d.addEntries(store.ScaleOutEntry(name, scaleOutRecord(r))) {
+		if !d.Add(store.ScaleOutEntry(name, scaleOutRecord(r))) {
 			if len(d.requests) == 0 && len(d.launches) == 0 {
 				h.stalls.blocked(now, StallScaleOut, "")
 			}
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -689,7 +689,7 @@
 		d := h.Decide(b.now, b.view.Snapshot())
 		b.now = b.now.Add(10 * time.Millisecond)
 		if d == nil {
-			squeezed += h.batchBackoff
+			squeezed += h.sizes.Halvings()
 			continue
 		}
 		written := map[string]bool{}
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -51,8 +51,8 @@
 		}
 		next := zonerecovery.Next(now, p, h.observeZone(now, name, records))
 		switch {
-		case next == nil && !d.addEntries(store.DropZoneRecovery(name)):
-		case next != nil && (next != p || !h.ledger.HasZoneRecovery(name)) && !d.addEntries(zoneRecoveryEntry(name, next)):
+		case next == nil && !d.Add(store.DropZoneRecovery(name)):
+		case next != nil && (next != p || !h.ledger.HasZoneRecovery(name)) && !d.Add(zoneRecoveryEntry(name, next)):
 		case next != p:
 			d.returns[name] = next
 		}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -62,7 +62,7 @@
 // decideZones takes into a round what becomes of the zones.
 func (h *Leader) decideZones(now time.Time, d *Draft) {
 	for _, c := range h.zoneStates.Next(now, h.zoneEvidence(now)) {
-		if h.ownsZone(c.Zone) && d.addEntries(zoneEntry(c.Zone, c.Record)) {
+		if h.ownsZone(c.Zone) && d.Add(zoneEntry(c.Zone, c.Record)) {
 			d.zones = append(d.zones, c)
 		}
 	}
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -624,7 +624,8 @@
 		internal/admission.commit
 		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
 		internal/controller.watchLeaders
-		internal/leader.Decide internal/leader.ProposeGrants internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers internal/leader.guardBatch
+		internal/leader.Decide internal/leader.ProposeGrants internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
+		internal/leader/commit.AddChange internal/leader/commit.AddChangeIf internal/leader/commit.Empty internal/leader/commit.Guard internal/leader/commit.OpenLedger internal/leader/commit.Seal
 		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
 		internal/reshard.Transaction
 		internal/snapshot.Import internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport
@@ -673,7 +674,7 @@
 		}
 		of, _ := sel.X.(*ast.SelectorExpr)
 		client := of != nil && strings.EqualFold(of.Sel.Name, "client")
-		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnBeforeSend" || client && slices.Contains([]string{"GrantLease", "RenewLease", "RevokeLease"}, sel.Sel.Name)
+		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnBeforeSend" || strings.HasPrefix(sel.Sel.Name, "AddChange") || client && slices.Contains([]string{"GrantLease", "RenewLease", "RevokeLease"}, sel.Sel.Name)
 		return true
 	})
 	return found
