--- a/cmd/amberdeal/agent.go
+++ b/cmd/amberdeal/agent.go
@@ -40,7 +40,7 @@
 	ctx, stop := interruptible()
 	defer stop()
 	now := time.Now()
-	// A session that no earlier run of this machine can have had.
+	// An incarnation that no earlier process of this machine can have had.
 	core := agent.NewCore(cfg.Identity, cfg.Lease, uint64(now.UnixMilli()), now)
 	log.Info("working", "machine", cfg.Identity.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
 	return (&agent.Agent{Core: core, Net: transport.Sockets{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, HeartbeatInterval: cfg.HeartbeatInterval, Capacity: cfg.Capacity, Log: log,
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,37 +16,53 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Agent is a worker with its edges.
+// Agent runs a Core: it sends its heartbeats, serves direct calls and runs its tasks.
 type Agent struct {
 	Core              *Core
 	Net               transport.Network
-	Listen            string            // its address
+	Listen            string            // the machine's address
 	Controllers       map[string]string // names to public addresses
-	HeartbeatInterval time.Duration     // time between two reports
-	Capacity          Resources
+	HeartbeatInterval time.Duration
+	Capacity          Resources // for all tasks together
 	Actions           *action.Runner
 	Log               *slog.Logger
 
-	mu       sync.Mutex
+	caller *transport.Caller
+	wake   chan struct{} // has room for one request to send a heartbeat early
+	// launch starts the goroutine of an attempt. The attempt outlives the call that asks for
+	// it: it ends with the context of Run.
+	launch func(Key, []chan struct{})
+	group  sync.WaitGroup // of the attempts
+
+	mu       sync.Mutex // also guards Core
 	cancels  map[Key]context.CancelFunc
-	exited   map[Key]chan struct{} // closed when the last process of an attempt is gone
+	exited   map[Key]chan struct{} // closed once the last process of an attempt has exited
 	reserved map[Key]Resources
-	dying    []chan struct{} // of the session before, closed when their processes are gone
-	wake     chan struct{}
-	caller   *transport.Caller
-	ctx      context.Context
-	group    sync.WaitGroup
+	dying    []chan struct{} // attempts of the previous incarnation, as in exited
 }
 
-// Run works until the context ends; then every task is killed.
+// Bounds of what the agent accepts.
+const (
+	maxConns        = 256
+	connIdleTimeout = 90 * time.Second
+	maxAnswerBytes  = 1 << 20
+)
+
+// Run works until the context ends, kills every task then, and returns once all their
+// processes have exited.
 func (a *Agent) Run(ctx context.Context) error {
 	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
 	a.wake = make(chan struct{}, 1)
-	a.caller = &transport.Caller{MaxBody: 1 << 20, Dial: a.Net.Dial}
+	a.caller = &transport.Caller{MaxBody: maxAnswerBytes, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
-	a.ctx = ctx
+	a.launch = func(k Key, after []chan struct{}) {
+		taskCtx, cancel := context.WithCancel(ctx)
+		a.cancels[k], a.exited[k] = cancel, make(chan struct{})
+		a.group.Add(1)
+		go a.run(taskCtx, k, after)
+	}
 	g.Go(func() error {
-		return a.Net.Listen(ctx, a.Listen, 256, transport.HTTP(wire.MaxBody, 90*time.Second, a.serve))
+		return a.Net.Listen(ctx, a.Listen, maxConns, transport.HTTP(wire.MaxBody, connIdleTimeout, a.serve))
 	})
 	g.Go(func() error { return a.heartbeats(ctx) })
 	err := g.Wait()
@@ -54,14 +70,14 @@
 	return err
 }
 
-// serve answers direct calls.
+// serve answers direct calls: commands of the leader, and questions for the machine's state.
 func (a *Agent) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.apply(a.Core.Expire(time.Now()))
-	for _, gone := range a.dying {
+	for _, exited := range a.dying {
 		select {
-		case <-gone:
+		case <-exited:
 		default:
 			return &httpwire.Response{Status: 503, RetryAfter: time.Second}
 		}
@@ -85,22 +101,19 @@
 	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Heartbeat())}
 }
 
-// apply carries out effects; the lock is held.
+// apply carries out the effects of a step of the Core. The lock is held.
 func (a *Agent) apply(e Effects) {
 	if e.NewIncarnation {
 		a.dying = slices.Collect(maps.Values(a.exited))
 	}
 	for _, k := range e.Kill {
-		if kill := a.cancels[k]; kill != nil {
+		if cancel := a.cancels[k]; cancel != nil {
 			a.Log.Info("killing", "task", k.Task, "attempt", k.Attempt)
-			kill()
+			cancel()
 		}
 	}
 	for _, k := range e.Start {
-		ctx, kill := context.WithCancel(a.ctx)
-		a.cancels[k], a.exited[k] = kill, make(chan struct{})
-		a.group.Add(1)
-		go a.run(ctx, k, a.pendingExits(k))
+		a.launch(k, a.pendingExits(k))
 	}
 	if e.HeartbeatNow {
 		select {
@@ -110,13 +123,13 @@
 	}
 }
 
-// pendingExits lists what must be gone before an attempt may start: earlier attempts of
-// the same task that were killed and are not reaped yet.
-func (a *Agent) pendingExits(k Key) (wait []chan struct{}) {
-	for other, gone := range a.exited {
+// pendingExits lists what must have exited before an attempt may start: other attempts of
+// the same task that were killed but whose processes have not been reaped yet.
+func (a *Agent) pendingExits(k Key) (pending []chan struct{}) {
+	for other, exited := range a.exited {
 		if other.Task == k.Task && other != k {
-			wait = append(wait, gone)
+			pending = append(pending, exited)
 		}
 	}
-	return wait
+	return pending
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -13,16 +13,22 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Resources is what a machine has for tasks.
+// Resources is an amount of what tasks take of a machine.
 type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
 
-// run carries out an attempt.
-func (a *Agent) run(ctx context.Context, k Key, before []chan struct{}) {
+// exceeds reports whether r is more than free in any respect, rounding errors aside.
+func (r Resources) exceeds(free Resources) bool {
+	const epsilon = 1e-9
+	return r.CPUs > free.CPUs+epsilon || r.GPUs > free.GPUs+epsilon || r.MemoryGB > free.MemoryGB+epsilon
+}
+
+// run runs an attempt to its end, once all that it must wait for have exited.
+func (a *Agent) run(ctx context.Context, k Key, after []chan struct{}) {
 	defer a.group.Done()
-	for _, gone := range before {
-		<-gone
+	for _, exited := range after {
+		<-exited
 	}
 	why := a.work(ctx, k)
 	a.mu.Lock()
@@ -38,7 +44,7 @@
 	a.apply(a.Core.MarkEnded(k, why))
 }
 
-// work finds out what an attempt is to do, and does it.
+// work fetches the job of an attempt and runs its action. It returns why the attempt ended.
 func (a *Agent) work(ctx context.Context, k Key) wire.Cause {
 	job, err := a.fetchJob(ctx, k.Task.Job)
 	switch {
@@ -51,7 +57,7 @@
 	}
 	w, g, err := action.ParseWork(job.Work)
 	if err != nil {
-		a.Log.Warn("job not understood", "job", job.ID, "error", err)
+		a.Log.Warn("job not understood", "job", job.ID, "err", err)
 		return wire.CauseError
 	}
 	a.mu.Lock()
@@ -60,14 +66,14 @@
 	a.Log.Info("task runs", "task", k.Task, "attempt", k.Attempt, "action", g)
 	if err := a.Actions.Run(ctx, job.ID, w, g); err != nil {
 		if ctx.Err() == nil {
-			a.Log.Warn("task failed", "task", k.Task, "attempt", k.Attempt, "error", err)
+			a.Log.Warn("task failed", "task", k.Task, "attempt", k.Attempt, "err", err)
 		}
 		return wire.CauseError
 	}
 	return wire.CauseDone
 }
 
-// reserve sets room aside for an attempt.
+// reserve reserves resources for an attempt, and reports whether they are free.
 func (a *Agent) reserve(k Key, j *wire.Job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,35 +81,40 @@
 	for _, t := range a.reserved {
 		free.CPUs, free.GPUs, free.MemoryGB = free.CPUs-t.CPUs, free.GPUs-t.GPUs, free.MemoryGB-t.MemoryGB
 	}
-	const dust = 1e-9
-	if j.CPUs > free.CPUs+dust || j.GPUs > free.GPUs+dust || j.MemoryGB > free.MemoryGB+dust {
+	needed := Resources{j.CPUs, j.GPUs, j.MemoryGB}
+	if needed.exceeds(free) {
 		return false
 	}
-	a.reserved[k] = Resources{j.CPUs, j.GPUs, j.MemoryGB}
+	a.reserved[k] = needed
 	return true
 }
 
+// errUnknownJob means that the controllers know no such job, or that it has ended.
 var errUnknownJob = errors.New("no such job")
 
-// fetchJob asks the controllers in turn for the description of a job, until one
-// knows.
+// fetchPause is the time before the next controller is asked for a job.
+const fetchPause = 200 * time.Millisecond
+
+// fetchJob asks the controllers in turn for the description of a job, until one knows it.
 func (a *Agent) fetchJob(ctx context.Context, id string) (*wire.Job, error) {
 	names := slices.Sorted(maps.Keys(a.Controllers))
+	path := wire.PathJobs + "/" + id + "/" + wire.WorkWord
 	for try := rand.IntN(len(names)); ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, answerTimeout)
-		resp, err := a.caller.Call(call, a.Controllers[names[try%len(names)]], "GET", wire.PathJobs+"/"+id+"/"+wire.WorkWord, nil)
-		cancel()
+		resp, err := a.call(ctx, names[try%len(names)], "GET", path, nil)
 		switch {
 		case err == nil && resp.Status == 200:
 			var j wire.Job
-			if err := wire.Decode(resp.Body, &j); err != nil || j.ID != id {
-				return nil, fmt.Errorf("the description of %s is not understood: %w", id, err)
+			if err := wire.Decode(resp.Body, &j); err != nil {
+				return nil, fmt.Errorf("decode the description of job %s: %w", id, err)
+			}
+			if j.ID != id {
+				return nil, fmt.Errorf("asked for job %s, got the description of %q", id, j.ID)
 			}
 			return &j, nil
 		case err == nil && (resp.Status == 404 || resp.Status == 410):
 			return nil, errUnknownJob
 		}
-		pause(ctx, 200*time.Millisecond)
+		pause(ctx, fetchPause)
 	}
 	return nil, ctx.Err()
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -11,19 +11,26 @@
 	"gopkg.in/ini.v1"
 )
 
-// Config is an agent's settings, an INI file.
+// Config holds an agent's settings, read from an INI file.
 type Config struct {
 	Identity          Identity
 	Listen            string
 	Capacity          Resources
-	Controllers       map[string]string
+	Controllers       map[string]string // names to public addresses
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
-	Store             string // address of the store of blobs
+	Store             string // address of the content-addressable store
 	Dir               string // where tasks run
 }
 
-// allowedKeys are the keys of the file.
+// Values of settings that the file leaves out.
+const (
+	defaultHeartbeatInterval = 3 * time.Second
+	defaultLease             = 30 * time.Second
+	minDuration              = 100 * time.Millisecond
+)
+
+// allowedKeys of the file, by section.
 var allowedKeys = map[string][]string{
 	"machine":     {"name", "type", "zone", "spot", "listen", "cpus", "gpus", "memory_gb"},
 	"controllers": nil, // names of controllers
@@ -31,65 +38,100 @@
 	"actions":     {"cas", "dir"},
 }
 
-// ParseConfig reads an agent's settings. The error names every fault.
+// ParseConfig reads an agent's settings. The error joins every fault found.
 func ParseConfig(text []byte) (*Config, error) {
 	file, err := ini.Load(text)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var errs []error
-	fault := func(ok bool, key string, value any, must string) {
-		if !ok {
-			errs = append(errs, fmt.Errorf("%s: %v: must be %s", key, value, must))
-		}
+	r := &configReader{file: file}
+	r.checkKeys()
+	c := &Config{
+		Listen:            r.addr("machine.listen", r.value("machine", "listen")),
+		Controllers:       map[string]string{},
+		Capacity:          Resources{r.amount("cpus"), r.amount("gpus"), r.amount("memory_gb")},
+		HeartbeatInterval: r.duration("report", defaultHeartbeatInterval),
+		Lease:             r.duration("lease", defaultLease),
+		Store:             r.addr("actions.cas", r.value("actions", "cas")),
+		Dir:               r.text("actions", "dir"),
 	}
-	for _, sec := range file.Sections() {
-		keys, known := allowedKeys[sec.Name()]
-		for _, key := range sec.Keys() {
-			name := sec.Name() + "." + key.Name()
-			fault(known && (keys == nil || slices.Contains(keys, key.Name())), name, key.Value(), "a key of [machine], [controllers], [workers] or [actions]: see docs/reapi.md")
-		}
-	}
-	get := func(sec, key string) *ini.Key { return file.Section(sec).Key(key) }
-	text1 := func(sec, key string) string {
-		v := get(sec, key).Value()
-		fault(v != "", sec+"."+key, `""`, "some text")
-		return v
+	c.Identity = Identity{Machine: r.text("machine", "name"), Addr: c.Listen, Type: r.text("machine", "type"), Zone: r.text("machine", "zone")}
+	r.check(!strings.ContainsAny(c.Identity.Machine, " /"), "machine.name", c.Identity.Machine, "without spaces and /")
+	c.Identity.Spot = r.spot()
+	for _, key := range file.Section("controllers").Keys() {
+		c.Controllers[key.Name()] = r.addr("controllers."+key.Name(), key.Value())
 	}
-	addr := func(name, v string) string {
-		_, err := netip.ParseAddrPort(v)
-		fault(err == nil, name, fmt.Sprintf("%q", v), "an IP address and a port")
-		return v
+	r.check(len(c.Controllers) > 0, "controllers", "none", "one NAME = IP:PORT for each controller")
+	r.check(c.Lease > c.HeartbeatInterval, "workers.lease", c.Lease, "more than workers.report")
+	if err := errors.Join(r.faults...); err != nil {
+		return nil, err
 	}
-	amount := func(key string) float64 {
-		v, err := get("machine", key).Float64()
-		fault(err == nil && v >= 0, "machine."+key, get("machine", key).Value(), "a number of 0 or more")
-		return v
+	return c, nil
+}
+
+// configReader reads values of a file and collects what is wrong with them.
+type configReader struct {
+	file   *ini.File
+	faults []error
+}
+
+// check adds a fault unless ok holds: the value of a key, and what it must be.
+func (r *configReader) check(ok bool, key string, value any, must string) {
+	if !ok {
+		r.faults = append(r.faults, fmt.Errorf("%s: %v: must be %s", key, value, must))
 	}
-	duration := func(key string, otherwise time.Duration) time.Duration {
-		if get("workers", key).Value() == "" {
-			return otherwise
+}
+
+// checkKeys rejects keys that don't exist.
+func (r *configReader) checkKeys() {
+	for _, sec := range r.file.Sections() {
+		keys, known := allowedKeys[sec.Name()]
+		for _, key := range sec.Keys() {
+			ok := known && (keys == nil || slices.Contains(keys, key.Name()))
+			r.check(ok, sec.Name()+"."+key.Name(), key.Value(), "a key of [machine], [controllers], [workers] or [actions]: see docs/reapi.md")
 		}
-		v, err := time.ParseDuration(get("workers", key).Value())
-		fault(err == nil && v >= 100*time.Millisecond, "workers."+key, get("workers", key).Value(), "a duration of 100ms or more")
-		return v
-	}
-	c := &Config{Listen: addr("machine.listen", get("machine", "listen").Value()), Controllers: map[string]string{},
-		Capacity: Resources{amount("cpus"), amount("gpus"), amount("memory_gb")}, HeartbeatInterval: duration("report", 3*time.Second), Lease: duration("lease", 30*time.Second),
-		Store: addr("actions.cas", get("actions", "cas").Value()), Dir: text1("actions", "dir")}
-	c.Identity = Identity{Machine: text1("machine", "name"), Addr: c.Listen, Type: text1("machine", "type"), Zone: text1("machine", "zone")}
-	fault(!strings.ContainsAny(c.Identity.Machine, " /"), "machine.name", c.Identity.Machine, "without spaces and /")
-	if v := get("machine", "spot").Value(); v != "" {
-		c.Identity.Spot, err = get("machine", "spot").Bool()
-		fault(err == nil, "machine.spot", v, "on or off")
 	}
-	for _, key := range file.Section("controllers").Keys() {
-		c.Controllers[key.Name()] = addr("controllers."+key.Name(), key.Value())
+}
+
+func (r *configReader) value(sec, key string) string { return r.file.Section(sec).Key(key).Value() }
+
+func (r *configReader) text(sec, key string) string {
+	v := r.value(sec, key)
+	r.check(v != "", sec+"."+key, `""`, "some text")
+	return v
+}
+
+func (r *configReader) addr(name, v string) string {
+	_, err := netip.ParseAddrPort(v)
+	r.check(err == nil, name, fmt.Sprintf("%q", v), "an IP address and a port")
+	return v
+}
+
+// amount reads a number of section machine.
+func (r *configReader) amount(key string) float64 {
+	v, err := r.file.Section("machine").Key(key).Float64()
+	r.check(err == nil && v >= 0, "machine."+key, r.value("machine", key), "a number of 0 or more")
+	return v
+}
+
+// duration reads a duration of section workers.
+func (r *configReader) duration(key string, otherwise time.Duration) time.Duration {
+	text := r.value("workers", key)
+	if text == "" {
+		return otherwise
 	}
-	fault(len(c.Controllers) > 0, "controllers", "none", "one NAME = IP:PORT for each controller")
-	fault(c.Lease > c.HeartbeatInterval, "workers.lease", c.Lease, "more than workers.report")
-	if err := errors.Join(errs...); err != nil {
-		return nil, err
+	v, err := time.ParseDuration(text)
+	r.check(err == nil && v >= minDuration, "workers."+key, text, "a duration of 100ms or more")
+	return v
+}
+
+// spot reads whether the machine is a spot instance; left out, it is none.
+func (r *configReader) spot() bool {
+	text := r.value("machine", "spot")
+	if text == "" {
+		return false
 	}
-	return c, nil
+	v, err := r.file.Section("machine").Key("spot").Bool()
+	r.check(err == nil, "machine.spot", text, "on or off")
+	return v
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -1,8 +1,8 @@
-// Package agent is the worker on a machine: it reports to the controllers, takes
-// their commands and carries tasks out as real processes.
+// Package agent is the worker on a machine: it sends heartbeats to the controllers, executes
+// their commands and runs tasks as processes.
 //
-// Core is the protocol as a pure state machine: times and messages come in, what
-// is to be started and killed comes out. Agent has the goroutines at the edges.
+// Core is the worker's protocol as a pure state machine: times and messages go in, what must
+// be started and killed comes out. Agent adds the goroutines, sockets and processes.
 package agent
 
 import (
@@ -13,62 +13,64 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Identity is what a machine says of itself.
+// Identity is how a machine describes itself in its heartbeats.
 type Identity struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
 }
 
-// Key names an attempt of a task.
+// Key identifies an attempt of a task.
 type Key struct {
 	Task    wire.TaskID
 	Attempt uint64
 }
 
-// attempt is an attempt that the machine knows.
+// attempt is the state of an attempt on this machine.
 type attempt struct {
 	Key
 	state    wire.TaskState
 	cause    wire.Cause
 	ended    bool
-	stopping bool // its processes are being killed
+	stopping bool // its processes are being killed on command
 }
 
-// Effects is what is to be done after a step of the Core.
+// Effects is what must be done after a step of the Core.
 type Effects struct {
 	Start        []Key
 	Kill         []Key
-	HeartbeatNow bool // report as soon as may be
-	// NewIncarnation says that a new session has begun. Nothing may be said of it before
-	// every process of the one before is gone: it is the proof that they are.
+	HeartbeatNow bool // send a heartbeat as soon as the protocol allows
+	// NewIncarnation says that the lease has expired and a new incarnation has begun. No
+	// heartbeat of it may be sent before every process of the previous one has exited: the
+	// controllers take it as the proof that they have.
 	NewIncarnation bool
 }
 
-// Core is the state of a worker. It is pure.
+// Core is the state of a worker. It has no goroutines, clocks or locks of its own.
 type Core struct {
 	identity    Identity
 	lease       time.Duration
 	incarnation uint64
 	seq         uint64
 	token       uint64
-	leaseStart  time.Time // when the last answered report was sent, or the session began
-	tokenRaised time.Time // when a higher term last counted as a change
+	leaseStart  time.Time // when the last answered heartbeat was sent, or the incarnation began
+	tokenRaised time.Time // when a higher fencing token last triggered an early heartbeat
 	tasks       map[Key]*attempt
 }
 
-// NewCore gives a worker in its first session. Sessions go on from the one before,
-// if the machine remembers it.
+// NewCore returns a worker without tasks. Its incarnation must be higher than that of any
+// earlier process on the machine.
 func NewCore(self Identity, lease time.Duration, incarnation uint64, now time.Time) *Core {
 	return &Core{identity: self, lease: lease, incarnation: max(1, incarnation), leaseStart: now, tasks: make(map[Key]*attempt)}
 }
 
-// NextHeartbeat gives the next report.
+// NextHeartbeat returns the next heartbeat to send.
 func (c *Core) NextHeartbeat() wire.Heartbeat {
 	c.seq++
 	return c.Heartbeat()
 }
 
-// Heartbeat gives the report as of now, for those who ask.
+// Heartbeat returns the machine's state as a heartbeat, without counting it as one that is
+// sent.
 func (c *Core) Heartbeat() wire.Heartbeat {
 	r := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
 		Incarnation: c.incarnation, Seq: c.seq, FencingToken: c.token, Tasks: []wire.ReportedTask{}}
@@ -78,6 +80,7 @@
 	return r
 }
 
+// sorted lists the attempts by job, index and attempt number.
 func (c *Core) sorted() []*attempt {
 	var out []*attempt
 	for _, t := range c.tasks {
@@ -89,11 +92,10 @@
 	return out
 }
 
-// Incarnation is the number of the current session.
+// Incarnation returns the number of the current incarnation.
 func (c *Core) Incarnation() uint64 { return c.incarnation }
 
-// Expire ends the session if the lease has run out: all tasks are killed and
-// forgotten.
+// Expire ends the incarnation if the lease has expired: all tasks are killed and forgotten.
 func (c *Core) Expire(now time.Time) (e Effects) {
 	if now.Sub(c.leaseStart) <= c.lease {
 		return e
@@ -110,8 +112,9 @@
 	return e
 }
 
-// HandleAnswer takes in the answer to a report that was sent at a time in a session.
-// One with a lower term, or to a report of an earlier session, is dropped.
+// HandleAnswer handles the answer to a heartbeat that was sent at a given time in a given
+// incarnation. It extends the lease from the time at which the heartbeat was sent. An answer
+// with a lower fencing token, or to a heartbeat of an earlier incarnation, is dropped.
 func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, a wire.HeartbeatResponse) (e Effects) {
 	if a.FencingToken < c.token || a.FencingToken == 0 || incarnation != c.incarnation {
 		return e
@@ -124,8 +127,8 @@
 	return e
 }
 
-// HandleDirect takes in commands that came straight to the machine. They are refused
-// under a lower term or for another session.
+// HandleDirect handles commands that a leader sent to the machine directly. They are refused
+// with a lower fencing token or for another incarnation. They don't extend the lease.
 func (c *Core) HandleDirect(now time.Time, d wire.CommandRequest) (e Effects, ok bool) {
 	if d.FencingToken < c.token || d.Incarnation != c.incarnation {
 		return e, false
@@ -135,18 +138,21 @@
 	return e, true
 }
 
-// adoptToken takes in a term; a higher one counts as a change once in half a lease.
-func (c *Core) adoptToken(now time.Time, term uint64) (soon bool) {
-	if term <= c.token {
+// adoptToken adopts a higher fencing token. It reports whether a heartbeat should show that
+// early, which is at most once in half a lease.
+func (c *Core) adoptToken(now time.Time, token uint64) (heartbeatNow bool) {
+	if token <= c.token {
 		return false
 	}
-	c.token = term
-	if soon = now.Sub(c.tokenRaised) >= c.lease/2; soon {
-		c.tokenRaised = now
+	c.token = token
+	if now.Sub(c.tokenRaised) < c.lease/2 {
+		return false
 	}
-	return soon
+	c.tokenRaised = now
+	return true
 }
 
+// execute applies commands. Those that repeat what was done before have no effect.
 func (c *Core) execute(cmds []wire.Command, e *Effects) {
 	for _, cmd := range cmds {
 		id, err := wire.ParseTaskID(cmd.Task)
@@ -160,7 +166,7 @@
 			c.launch(k, e)
 			e.HeartbeatNow = true
 		case cmd.Verb == wire.Stop && t != nil && !t.ended && !t.stopping:
-			t.stopping = true // it has ended when its processes are gone
+			t.stopping = true // it has ended once its processes have exited
 			e.Kill = append(e.Kill, k)
 		case cmd.Verb == wire.Clear && t != nil && t.ended:
 			delete(c.tasks, k)
@@ -169,6 +175,7 @@
 	}
 }
 
+// launch starts an attempt, or ends it as busy while another attempt of the task runs here.
 func (c *Core) launch(k Key, e *Effects) {
 	t := &attempt{Key: k, state: wire.TaskFetching}
 	for _, other := range c.tasks {
@@ -184,7 +191,7 @@
 
 func (t *attempt) end(why wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, why, true }
 
-// MarkRunning takes in that a task has its inputs and runs.
+// MarkRunning records that an attempt has its inputs and runs.
 func (c *Core) MarkRunning(k Key) (e Effects) {
 	if t := c.tasks[k]; t != nil && t.state == wire.TaskFetching {
 		t.state = wire.TaskRunning
@@ -193,8 +200,8 @@
 	return e
 }
 
-// MarkEnded takes in that the last process of a task is gone, and why. One that belongs
-// to an earlier session is forgotten already.
+// MarkEnded records that the last process of an attempt has exited, and why. Attempts of an
+// earlier incarnation are forgotten already and have no effect.
 func (c *Core) MarkEnded(k Key, why wire.Cause) (e Effects) {
 	if t := c.tasks[k]; t != nil && !t.ended {
 		if t.stopping && why != wire.CauseDone {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -7,61 +7,93 @@
 	"slices"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/httpwire"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Times of the worker's protocol.
 const (
-	answerTimeout   = 4 * time.Second
+	// answerTimeout is how long an answer is waited for. One that comes later is dropped,
+	// so that no answer takes effect on a worker longer than this after its heartbeat.
+	answerTimeout = 4 * time.Second
+	// minHeartbeatGap is the least time between two heartbeats, however much changes.
 	minHeartbeatGap = 500 * time.Millisecond
+	// retryPause is the time before the next controller is tried.
+	retryPause = time.Second
 )
 
-// heartbeats keeps one report in flight, to one controller at a time.
+// heartbeats keeps one heartbeat in flight, to one controller at a time, until the context
+// ends. It follows redirects to the leader and tries the controllers in turn while none
+// answers.
 func (a *Agent) heartbeats(ctx context.Context) error {
 	names := slices.Sorted(maps.Keys(a.Controllers))
-	node := names[rand.IntN(len(names))]
+	controller := names[rand.IntN(len(names))]
 	for ctx.Err() == nil {
-		a.mu.Lock()
-		a.apply(a.Core.Expire(time.Now()))
-		dying := a.dying
-		a.mu.Unlock()
-		for _, gone := range dying {
-			<-gone
-		}
-		a.mu.Lock()
-		session := a.Core.Incarnation()
-		body := wire.Encode(a.Core.NextHeartbeat())
-		a.mu.Unlock()
+		a.awaitExits()
+		incarnation, body := a.nextHeartbeat()
 		sent := time.Now()
-		call, cancel := context.WithTimeout(ctx, answerTimeout)
-		resp, err := a.caller.Call(call, a.Controllers[node], "POST", wire.PathHeartbeat, body)
-		cancel()
+		resp, err := a.call(ctx, controller, "POST", wire.PathHeartbeat, body)
 		wait := a.HeartbeatInterval*3/4 + time.Duration(rand.Int64N(int64(a.HeartbeatInterval/2)+1))
 		var answer wire.HeartbeatResponse
 		if err == nil && resp.Status == 200 && wire.Decode(resp.Body, &answer) == nil {
-			a.mu.Lock()
-			a.apply(a.Core.Expire(time.Now()))
-			a.apply(a.Core.HandleAnswer(time.Now(), sent, session, answer))
-			a.mu.Unlock()
+			a.answered(sent, incarnation, answer)
 			a.waitForNext(ctx, wait)
 			continue
 		}
-		var r wire.Redirect
-		if err == nil && resp.Status == 421 {
-			_ = wire.Decode(resp.Body, &r)
-		}
-		if a.Controllers[r.Leader] != "" && r.Leader != node {
-			node = r.Leader
+		if leader := redirect(resp, err); a.Controllers[leader] != "" && leader != controller {
+			controller = leader
 			continue
 		}
-		node = names[(slices.Index(names, node)+1)%len(names)]
-		pause(ctx, time.Second)
+		controller = names[(slices.Index(names, controller)+1)%len(names)]
+		pause(ctx, retryPause)
 	}
 	return nil
 }
 
-// waitForNext waits for the next report: as long as said, or, after a change, no shorter
-// than the protocol allows.
+// awaitExits waits until the processes of an earlier incarnation have exited: a heartbeat of
+// the new one is the proof that they have.
+func (a *Agent) awaitExits() {
+	a.mu.Lock()
+	a.apply(a.Core.Expire(time.Now()))
+	dying := a.dying
+	a.mu.Unlock()
+	for _, exited := range dying {
+		<-exited
+	}
+}
+
+// nextHeartbeat returns the next heartbeat, encoded, and its incarnation.
+func (a *Agent) nextHeartbeat() (uint64, []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.Core.Incarnation(), wire.Encode(a.Core.NextHeartbeat())
+}
+
+// answered takes in the answer to a heartbeat.
+func (a *Agent) answered(sent time.Time, incarnation uint64, answer wire.HeartbeatResponse) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.apply(a.Core.Expire(time.Now()))
+	a.apply(a.Core.HandleAnswer(time.Now(), sent, incarnation, answer))
+}
+
+// call makes a call to a controller.
+func (a *Agent) call(ctx context.Context, controller, method, path string, body []byte) (*httpwire.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	defer cancel()
+	return a.caller.Call(ctx, a.Controllers[controller], method, path, body)
+}
+
+// redirect returns the name of the leader in a redirect, or nothing.
+func redirect(resp *httpwire.Response, err error) string {
+	var r wire.Redirect
+	if err == nil && resp.Status == 421 {
+		_ = wire.Decode(resp.Body, &r)
+	}
+	return r.Leader
+}
+
+// waitForNext waits until the next heartbeat is due: after the given time, or early after a
+// change, but never sooner than minHeartbeatGap.
 func (a *Agent) waitForNext(ctx context.Context, wait time.Duration) {
 	begun := time.Now()
 	t := time.NewTimer(wait)
@@ -74,6 +106,7 @@
 	}
 }
 
+// pause waits for some time or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
