--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -25,7 +25,7 @@
 		h.lastPauseEnd = now
 	}
 	h.liveJobs, h.lastReconciled = snap.LiveJobs, now
-	h.grants.observe(snap.QuotaGrants)
+	h.quota.Observe(snap.QuotaGrants)
 	h.noteLiveJobs(snap)
 	h.applyEvents(now, h.fleet.ExpireLeases(now))
 	h.reconcilePlacements(now)
@@ -181,7 +181,7 @@
 	plan := scheduler.Schedule(snapshot)
 	withheld := h.launch(now, d, plan.Launches)
 	h.noteStarts(now, d, &plan, startable, withheld)
-	h.updateForecast(now, &plan, snapshot.Teams)
+	h.updateForecast(&plan, snapshot.Teams)
 	h.noteFreeCapacity(now, &plan)
 	if h.preemptions.tierSet.Configured() { // and nothing is stopped for room before the round is taken
 		h.startPreemptions(now, d, plan.Reclaims)
@@ -224,13 +224,13 @@
 }
 
 // teamUsage sums what the teams' tasks use or may use.
-func (h *Leader) teamUsage() map[string][2]float64 {
-	out := make(map[string][2]float64)
+func (h *Leader) teamUsage() map[string]scheduler.Resources {
+	out := make(map[string]scheduler.Resources)
 	for _, m := range h.fleet.Machines() {
 		for _, p := range m.Placements() {
 			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
 				u := out[t.Team]
-				out[t.Team] = [2]float64{u[0] + t.CPUs, u[1] + t.GPUs}
+				out[t.Team] = scheduler.Resources{CPUs: u.CPUs + t.CPUs, GPUs: u.GPUs + t.GPUs}
 			}
 		}
 	}
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
@@ -114,25 +115,24 @@
 	tasks map[string]int // by class
 }
 
-// forecast is what the last plan leaves to do between parts.
+// forecast is what the last plan leaves to other shards.
 type forecast struct {
-	at             time.Time
-	unplaced       []scheduler.UnplacedJob
-	freeCapacity   map[string]scheduler.FreeCapacity
-	demands        map[string]scheduler.QuotaDemand
-	readyGangs     []string // gangs in pieces for which there is room
-	serviceUsage   map[string]scheduler.Resources
-	projectedUsage map[string][2]float64 // what teams use with all that the plan has found a place for
+	unplaced     []scheduler.UnplacedJob
+	freeCapacity map[string]scheduler.FreeCapacity // by class
+	readyGangs   []string                          // gangs over several shards for whose tasks here there is capacity
 }
 
-func (h *Leader) updateForecast(now time.Time, plan *scheduler.Plan, teams map[string]*scheduler.Team) {
-	h.forecast = forecast{now, plan.Unplaced, plan.FreeCapacity, plan.QuotaDemands, plan.ReadyGangs, plan.ServiceUsage, make(map[string][2]float64, len(teams))}
+// updateForecast takes in what a plan leaves.
+func (h *Leader) updateForecast(plan *scheduler.Plan, teams map[string]*scheduler.Team) {
+	h.forecast = forecast{plan.Unplaced, plan.FreeCapacity, plan.ReadyGangs}
+	projected := make(map[string]scheduler.Resources, len(teams))
 	for name, t := range teams {
-		// Or it has reserved what there is not, for a job that has waited for long.
+		// A team beyond its limit has capacity reserved that there is not, for a job that has waited for long.
 		if t.WithinLimit() {
-			h.forecast.projectedUsage[name] = [2]float64{t.UsedCPUs, t.UsedGPUs}
+			projected[name] = scheduler.Resources{CPUs: t.UsedCPUs, GPUs: t.UsedGPUs}
 		}
 	}
+	h.quota.SetForecast(quota.Forecast{Demands: plan.QuotaDemands, Services: plan.ServiceUsage, Projected: projected})
 	for _, j := range h.jobStates {
 		j.coAllocation.ready = false
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -14,6 +14,7 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
@@ -82,7 +83,7 @@
 	forecast              forecast
 	recentHandovers       map[string]recentHandovers // tasks that were lately given to other parts
 	ledgerTasks           ledgerTasks                // what the own ledger names
-	grants                quotaGrants
+	quota                 *quota.Quota
 	clearedWritten        uint64 // up to which revision the ledger says that nothing is left of ended jobs
 	shardingNumber        uint64 // of the grouping
 	previous              *reshard.Previous
@@ -163,6 +164,7 @@
 		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), callStates: map[string]callState{}, throttle: throttle.New(),
 		lastZoneHeartbeat: map[string]time.Time{}, orphans: map[string]time.Time{}, recoveredZones: map[string]time.Time{}, unreachableZones: map[string]time.Time{},
 	}
+	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
 	h.previous = reshard.NewPrevious(h.sharding, ledgers)
 	h.startMigration(ledgers.Migrated, &last)
 	h.recoverZones(now, &last)
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -18,6 +18,7 @@
 
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
@@ -64,7 +65,7 @@
 type modelLeader struct {
 	*Leader
 	draft       *Draft
-	grantChange *GrantChange
+	grantChange *quota.Change
 }
 
 type modelWorker struct {
@@ -409,7 +410,7 @@
 		}
 		for _, o := range m.controllers {
 			if oh := o.leaders[other]; oh != nil {
-				status.Wants, status.Ready = oh.forecast.demands, oh.forecast.readyGangs
+				status.Wants, status.Ready = oh.quota.Forecast().Demands, oh.forecast.readyGangs
 			}
 		}
 		h.SetPeerShards(map[string]ShardStatus{other: status}, 1)
@@ -424,7 +425,7 @@
 		}
 		h.draft = nil
 	case "regrant":
-		h.grantChange = h.ProposeGrants(modelTime)
+		h.grantChange = h.ProposeGrants()
 	case "granted":
 		if m.conditionsHold(h.grantChange.Txn) {
 			m.apply(h.grantChange.Txn.Then)
@@ -523,8 +524,8 @@
 		for _, part := range slices.Sorted(maps.Keys(n.leaders)) {
 			h := n.leaders[part]
 			b := &traceDriver{leader: h.Leader}
-			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.forecast.demands)
-			put("%v %v %v %v", h.grants.pendingLower, h.grants.inFlight, h.grants.record.Record, h.recentHandovers)
+			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.quota.Forecast().Demands)
+			put("%v %v", h.quota, h.recentHandovers)
 			for _, id := range sortedKeys(h.jobStates) {
 				j := h.jobStates[id]
 				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.started, j.coAllocation.ready)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -13,14 +13,14 @@
 func (h *Leader) clusterSnapshot(now time.Time) *scheduler.Snapshot {
 	snapshot := &scheduler.Snapshot{Types: h.shardMachineTypes(), Teams: map[string]*scheduler.Team{}, Unavailable: map[scheduler.Offer]bool{}, Doubtful: map[scheduler.Offer]bool{}, RequestLimit: map[scheduler.Offer]int{},
 		IdleTimeout: h.cfg.Tuning.Idle, MaxGangWait: h.cfg.Tuning.BeginWithin}
-	var used map[string][2]float64
+	var used map[string]scheduler.Resources
 	if !h.sharding.IsSingle() {
 		used = h.teamUsage()
 	}
 	for _, t := range h.allTeams() {
 		team := &scheduler.Team{GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs, LimitCPUs: t.CPUsMax, LimitGPUs: t.GPUsMax}
 		if !h.sharding.IsSingle() {
-			h.applyGrant(now, team, t.Name, used[t.Name])
+			h.quota.Apply(now, t.Name, team, used[t.Name])
 		}
 		snapshot.Teams[t.Name] = team
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -36,7 +36,7 @@
 	if h.lastStatus.Counts != nil && now.Sub(h.lastStatusAt) < statusInterval {
 		return h.lastStatus
 	}
-	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.forecast.demands), Used: h.teamUsage(), Stays: h.forecast.serviceUsage, Zones: h.zoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
+	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.quota.Forecast().Demands), Used: resourcePairs(h.teamUsage()), Stays: h.quota.Forecast().Services, Zones: h.zoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
 	s.Tiers = h.tierStatuses()
 	if h.rebuiltReachable {
 		s.Rooms = h.forecast.freeCapacity
@@ -54,6 +54,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.peerShards, h.ingestPeers = shards, ingestPeers
+	h.quota.SetPeers(quotaPeers(shards))
 }
 
 // Rebuilt reports whether all machines have been accounted for under this term.
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -14,6 +14,7 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/leadership"
+	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/simulator"
@@ -35,7 +36,7 @@
 	slot            int                 // where
 	cfg             *config.Config
 	shard           string // that is claimed
-	grantChange     *GrantChange
+	grantChange     *quota.Change
 	observers       map[string]zone.Observer
 	preemptionCheck *workerModel
 }
@@ -243,7 +244,7 @@
 		}
 		b.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
 	case "regrant":
-		rg := b.leader.ProposeGrants(b.now)
+		rg := b.leader.ProposeGrants()
 		if rg == nil {
 			return []string{"nothing to change"}
 		}
@@ -504,7 +505,7 @@
 					}
 				}
 			case store.SegmentRecord:
-				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, b.leader.teamUsage(), strings.Join(rec.Describe(), " "))
+				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(b.leader.teamUsage()), strings.Join(rec.Describe(), " "))
 				if rec.Migrated > 0 {
 					line += ", all taken over"
 				}
--- /dev/null
+++ b/internal/quota/quota_test.go
@@ -0,0 +1,155 @@
+package quota
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/config"
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/wire"
+)
+
+var (
+	start    = time.Unix(1e9, 0)
+	sharding = fleet.ByZones(2, []string{"a", "b"})
+	teams    = []config.Team{{Name: "red", GPUsMax: 32}, {Name: "blue"}}
+)
+
+func gpus(n float64) scheduler.Resources { return scheduler.Resources{GPUs: n} }
+
+func demand(n float64, since time.Time) map[string]scheduler.QuotaDemand {
+	return map[string]scheduler.QuotaDemand{"red": {GPUs: n, Least: gpus(1), Since: since}}
+}
+
+func record(version uint64, a, b float64) store.Versioned[store.QuotaGrantRecord] {
+	return store.Versioned[store.QuotaGrantRecord]{Version: version, Record: store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {"a": {0, a}, "b": {0, b}}}}}
+}
+
+func newQuota(rec store.Versioned[store.QuotaGrantRecord]) *Quota {
+	q := New("a", sharding, 0, slog.New(slog.DiscardHandler))
+	q.Observe(rec)
+	return q
+}
+
+// limit gives what the shard may use of red's GPUs.
+func limit(q *Quota, used float64) float64 {
+	t := &scheduler.Team{LimitGPUs: 32}
+	q.Apply(start, "red", t, gpus(used))
+	return t.LimitGPUs
+}
+
+// TestPropose: a grant grows where work waits for it, up to what is left, and is lowered to what is used
+// where other work goes first or more is granted than there is.
+func TestPropose(t *testing.T) {
+	for _, x := range []struct {
+		name                    string
+		a, b, used, own, theirs float64
+		peerFirst               bool
+		want                    float64 // -1: no change
+	}{
+		{"nothing waits", 8, 8, 8, 0, 0, false, -1},
+		{"work waits", 8, 8, 8, 4, 0, false, 13},
+		{"a little work waits", 8, 8, 8, 0.5, 0, false, 9},
+		{"more waits than is left", 8, 20, 8, 10, 0, false, 12},
+		{"nothing is left", 8, 24, 8, 10, 0, false, -1},
+		{"others wait", 12, 20, 5, 0, 4, true, 5},
+		{"others wait, and enough is left", 12, 8, 5, 0, 4, true, -1},
+		{"both wait, this one for longer", 12, 20, 12, 4, 4, false, -1},
+		{"both wait, the other for longer", 12, 20, 5, 4, 4, true, 5},
+		{"more is granted than there is", 30, 20, 25, 4, 0, false, 25},
+	} {
+		q := newQuota(record(3, x.a, x.b))
+		f := Forecast{}
+		if x.own > 0 {
+			f.Demands = demand(x.own, start)
+		}
+		if x.theirs > 0 {
+			since := start.Add(time.Second)
+			if x.peerFirst {
+				since = start.Add(-time.Second)
+			}
+			q.SetPeers([]Peer{{Shard: "b", Demands: demand(x.theirs, since)}})
+		}
+		q.SetForecast(f)
+		change := q.Propose(wire.Condition{Key: "fence"}, teams, map[string]scheduler.Resources{"red": gpus(x.used)})
+		got := -1.0
+		if change != nil {
+			got = change.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams["red"]["a"][1]
+			if len(change.Txn.If) != 2 || change.Txn.If[0].Key != "fence" || change.Txn.If[1] != (wire.Condition{Key: store.QuotaGrantKey, Version: 3}) {
+				t.Errorf("%s: on %v", x.name, change.Txn.If)
+			}
+		}
+		if got != x.want {
+			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+		}
+	}
+}
+
+// TestLoweredIsNotUsed: what a change returns is not used from the moment it is proposed until it is over, and no other
+// change is proposed meanwhile.
+func TestLoweredIsNotUsed(t *testing.T) {
+	q := newQuota(record(3, 12, 20))
+	if q.Idle() || limit(q, 5) != 12 {
+		t.Errorf("before a plan: %v, %v", q.Idle(), limit(q, 5))
+	}
+	q.SetForecast(Forecast{})
+	q.SetPeers([]Peer{{Shard: "b", Used: map[string]scheduler.Resources{"red": gpus(20)}, Demands: demand(4, start)}})
+	if !q.Idle() || q.Propose(wire.Condition{}, teams, map[string]scheduler.Resources{"red": gpus(5)}) == nil {
+		t.Fatal("nothing is returned")
+	}
+	if q.Idle() || limit(q, 5) != 5 {
+		t.Errorf("while the change is in flight: %v, %v", q.Idle(), limit(q, 5))
+	}
+	q.Settled(record(2, 1, 1)) // which is older than what was read
+	if !q.Idle() || limit(q, 5) != 12 {
+		t.Errorf("after it was refused: %v, %v", q.Idle(), limit(q, 5))
+	}
+	q.Settled(record(4, 5, 20))
+	team := &scheduler.Team{LimitGPUs: 32}
+	if q.Apply(start, "red", team, gpus(5)); team.LimitGPUs != 5 || team.GlobalLimitGPUs != 32 || team.RemoteUsedGPUs != 20 || team.LimitCPUs != 0 {
+		t.Errorf("after it was taken: %+v", team)
+	}
+}
+
+// TestLimitHolds: whatever shards demand and in whichever order their changes are taken, the grants never sum up to more
+// than the limit.
+func TestLimitHolds(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	rec := store.Versioned[store.QuotaGrantRecord]{Version: 1}
+	quotas := map[string]*Quota{}
+	for _, shard := range sharding.Shards() {
+		quotas[shard] = New(shard, sharding, 0, slog.New(slog.DiscardHandler))
+	}
+	for range 3000 {
+		for shard, q := range quotas {
+			if random.IntN(3) == 0 {
+				q.Observe(rec) // or it goes by an older one
+			}
+			q.SetForecast(Forecast{Demands: demand(float64(random.IntN(12)), start.Add(time.Duration(random.IntN(9))*time.Second))})
+			other := map[string]string{"a": "b", "b": "a"}[shard]
+			q.SetPeers([]Peer{{Shard: other, Demands: demand(float64(random.IntN(12)), start)}})
+			change := q.Propose(wire.Condition{}, teams, map[string]scheduler.Resources{"red": gpus(float64(random.IntN(20)))})
+			if change == nil {
+				continue
+			}
+			if change.Txn.If[1].Version == rec.Version {
+				rec = store.Versioned[store.QuotaGrantRecord]{Version: rec.Version + 1, Record: change.Txn.Then[0].Value.(store.QuotaGrantRecord)}
+			}
+			q.Settled(rec)
+			sum := 0.0
+			for _, grant := range rec.Record.Teams["red"] {
+				sum += grant[1]
+			}
+			if sum > 32+negligible {
+				t.Fatalf("%v", rec.Record.Teams)
+			}
+		}
+	}
+	if rec.Version < 100 {
+		t.Errorf("only %d changes were taken", rec.Version)
+	}
+}
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -624,9 +624,10 @@
 		internal/admission.commit
 		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
 		internal/controller.watchLeaders
-		internal/leader.Decide internal/leader.ProposeGrants internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
+		internal/leader.Decide internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
 		internal/leader/commit.AddChange internal/leader/commit.AddChangeIf internal/leader/commit.Empty internal/leader/commit.Guard internal/leader/commit.OpenLedger internal/leader/commit.Seal
 		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
+		internal/quota.Propose
 		internal/reshard.Transaction
 		internal/snapshot.Import internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport
 		internal/store.Txn internal/store.TxnBeforeSend internal/store.mark`)
