--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -6,25 +6,30 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// startupGrace is how long a controller that has begun may take to hear its siblings.
+// startupGrace is how long a controller that has just started may take to get heartbeats of its peers.
 const startupGrace = 3 * time.Second
 
-// allocateStoreBudget sets this controller's share of the limits of the state service, by the parts that are held
-// and by who writes.
+// allocateStoreBudget sets this controller's share of the limits of the state service, by the
+// shards that are led and by who writes.
 func (c *Controller) allocateStoreBudget() {
 	anyLed, ledShare := false, 0.0
 	for _, shard := range c.sharding.Shards() {
 		leading := c.elector.Standing(shard, time.Now()).Leading
-		_, known := c.view.Leader(shard)
-		anyLed = anyLed || known || leading
+		_, led := c.state.view.Leader(shard)
+		anyLed = anyLed || led || leading
 		if leading {
 			ledShare += 1 / float64(len(c.sharding.Shards()))
 		}
 	}
-	policy, writing := c.cfg.Writers(), c.writers(time.Now())
-	allowed := store.Allowance{Requests: policy.RequestShare(writing.names, c.cfg.Name, ledShare), Acceptance: policy.WriteShare(writing.names, c.cfg.Name), Leading: ledShare, HasLeader: anyLed}
+	policy, writing := c.writers.policy, c.writers.choose(time.Now())
+	allowed := store.Allowance{
+		Requests:   policy.RequestShare(writing.names, c.cfg.Name, ledShare),
+		Acceptance: policy.WriteShare(writing.names, c.cfg.Name),
+		Leading:    ledShare,
+		HasLeader:  anyLed,
+	}
 	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGrace {
 		allowed.Requests, allowed.Acceptance = policy.EvenShare(), policy.EvenShare()
 	}
-	c.client.Allow(allowed)
+	c.state.client.Allow(allowed)
 }
--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -1,30 +1,54 @@
 package controller
 
 import (
-	"context"
 	"slices"
+	"sync"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/config"
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/shard"
+	"amberdeal.example/amberdeal/internal/store"
 )
 
-// preferredLeaderDelay is how long a free part is left to a sibling that hears the workers
-// better.
-const preferredLeaderDelay = 4 * time.Second
+const (
+	// preferredLeaderDelay is for how long a vacant shard is left to a peer that more workers
+	// reach, or that leads fewer shards.
+	preferredLeaderDelay = 4 * time.Second
+	// minMissing is how many machines must be missing before this controller doubts its own links.
+	minMissing = 2
+)
+
+// candidacy decides for which shards this controller stands: for none that a peer can lead better.
+type candidacy struct {
+	cfg         *config.Config
+	sharding    *fleet.Sharding
+	tiersDigest string
+	view        *store.View
+	mesh        *peer.Mesh
+	peers       *peerTracker
+	startedAt   time.Time
+	offered     func() int  // machines that send their heartbeats here
+	operational func() bool // this controller can lead at all
+
+	mu            sync.Mutex
+	partitionedAt time.Time // when this controller last resigned because workers didn't reach it
+}
 
-// canLead says whether this controller should claim a part that has been free for
-// some time. One that the workers can't reach leaves it to one that they can.
-func (c *Controller) canLead(vacant time.Duration) bool {
-	if c.machineTypes() == nil || !c.writable() {
+// canLead reports whether this controller should campaign for a shard that has been vacant for
+// some time. One that workers don't reach leaves it to one that they do.
+func (a *candidacy) canLead(vacant time.Duration) bool {
+	if !a.operational() {
 		return false
 	}
-	local := c.gateway.Offered()
-	c.mu.Lock()
-	if time.Since(c.partitionedAt) < 2*c.cfg.Workers.HeartbeatInterval {
-		local = 0 // what it remembers is from before it gave the claim up
+	local := a.offered()
+	a.mu.Lock()
+	if time.Since(a.partitionedAt) < 2*a.cfg.Workers.HeartbeatInterval {
+		local = 0 // those heartbeats came before it resigned
 	}
-	c.mu.Unlock()
-	for _, b := range c.peers.Latest(3 * time.Second) {
+	a.mu.Unlock()
+	for _, b := range a.mesh.Latest(peerHealthMaxAge) {
 		if b.StoreOK && b.Heard > 2*local+2 && vacant < preferredLeaderDelay {
 			return false
 		}
@@ -32,92 +56,101 @@
 	return true
 }
 
-// resignIfPartitioned gives the claim up when many machines are silent here while they
-// report to a sibling that can take over, or when they are heard by siblings alone and
-// calls don't reach them: the way between the workers and this controller is cut.
-func (c *Controller) resignIfPartitioned(ctx context.Context, h *ledShard) {
+// partitioned says why this controller should resign, or nothing. It should where many machines
+// are missing here that send heartbeats to a peer which could lead, or where heartbeats only
+// come by way of peers and calls to the machines fail: its links to the workers are down.
+func (a *candidacy) partitioned(s *ledShard) (reason string) {
 	now := time.Now()
-	missing, uncallable := h.UnreachableMachines(now), h.CallsFailing(now)
-	if missing < 2 && !uncallable {
-		return
+	missing, uncallable := s.UnreachableMachines(now), s.CallsFailing(now)
+	if missing < minMissing && !uncallable {
+		return ""
 	}
-	for name, b := range c.peers.Latest(3 * time.Second) {
-		// What a sibling hears that passes it on is not silent for want of a way.
-		forwards := b.Passes == c.cfg.Name || slices.Contains(b.Ways, c.cfg.Name)
-		partitioned := missing >= 2 && !forwards && b.Heard >= (missing+1)/2
-		if b.StoreOK && (partitioned || uncallable && b.Heard > 2*c.gateway.Offered()) {
-			c.mu.Lock()
-			c.partitionedAt = now
-			c.mu.Unlock()
-			c.elector.Resign(ctx, "workers reach "+name+", not this controller")
-			return
+	for name, b := range a.mesh.Latest(peerHealthMaxAge) {
+		// A machine is not missing for want of a link where the peer forwards its heartbeats here.
+		forwards := b.Passes == a.cfg.Name || slices.Contains(b.Ways, a.cfg.Name)
+		cutOff := missing >= minMissing && !forwards && b.Heard >= (missing+1)/2
+		if b.StoreOK && (cutOff || uncallable && b.Heard > 2*a.offered()) {
+			a.mu.Lock()
+			a.partitionedAt = now
+			a.mu.Unlock()
+			return "workers reach " + name + ", not this controller"
 		}
 	}
+	return ""
 }
 
-// configMismatch names a sibling that is set to divide the fleet, or its work, otherwise, or that may
-// yet be heard.
-func (c *Controller) configMismatch() (other string, heard bool) {
-	beats := c.peers.Latest(heartbeatMaxAge)
-	for _, sib := range c.cfg.Peers {
-		b, heard := beats[sib.Name]
-		if heard && (b.Groups != c.sharding.String() || b.Tiers != c.tiersDigest) || !heard && time.Since(c.startedAt) < preferredLeaderDelay {
-			return sib.Name, heard
+// settingsMismatch names a peer with other settings of shards or tiers (known), or one that may be
+// alive and has not sent a heartbeat yet.
+func (a *candidacy) settingsMismatch() (name string, known bool) {
+	latest := a.mesh.Latest(heartbeatMaxAge)
+	for _, p := range a.cfg.Peers {
+		b, alive := latest[p.Name]
+		differs := alive && (b.Groups != a.sharding.String() || b.Tiers != a.tiersDigest)
+		mayBeStarting := !alive && time.Since(a.startedAt) < preferredLeaderDelay
+		if differs || mayBeStarting {
+			return p.Name, alive
 		}
 	}
 	return "", true
 }
 
-// shouldCampaign says whether this controller is to claim a part that has been free for a while.
-func (c *Controller) shouldCampaign(shardName string, vacant time.Duration) bool {
-	if !c.canLead(vacant) {
+// shouldCampaign reports whether this controller is to campaign for a shard that has been vacant
+// for some time. Controllers that know the same of each other assign the shards alike.
+func (a *candidacy) shouldCampaign(name string, vacant time.Duration) bool {
+	if !a.canLead(vacant) {
 		return false
 	}
-	if c.sharding.IsSingle() || vacant >= preferredLeaderDelay {
+	if a.sharding.IsSingle() || vacant >= preferredLeaderDelay {
 		return true
 	}
-	candidates := append(c.candidates(), c.self())
-	if time.Since(c.startedAt) < preferredLeaderDelay { // those that have not been heard yet may just have begun too
-		seen := make(map[string]bool)
-		for _, x := range candidates {
-			seen[x.Name] = true
-		}
-		for _, sib := range c.cfg.Peers {
-			if !seen[sib.Name] {
-				candidates = append(candidates, shard.Controller{Name: sib.Name, Zone: sib.Zone, Leads: c.shardsLedBy(sib.Name)})
-			}
-		}
+	candidates := append(a.candidates(), a.self())
+	if time.Since(a.startedAt) < preferredLeaderDelay {
+		candidates = a.addStarting(candidates)
 	}
 	var vacantShards []shard.Shard
-	for _, p := range c.sharding.Shards() {
-		if _, held := c.view.Leader(p); !held {
-			vacantShards = append(vacantShards, shard.Shard{Name: p, Zones: c.sharding.ZonesOf(p)})
+	for _, s := range a.sharding.Shards() {
+		if _, led := a.view.Leader(s); !led {
+			vacantShards = append(vacantShards, shard.Shard{Name: s, Zones: a.sharding.ZonesOf(s)})
 		}
 	}
-	return shard.Assign(vacantShards, candidates, len(c.sharding.Shards()))[shardName] == c.cfg.Name
+	return shard.Assign(vacantShards, candidates, len(a.sharding.Shards()))[name] == a.cfg.Name
 }
 
-// candidates lists the siblings that could hold parts.
-func (c *Controller) candidates() (out []shard.Controller) {
-	c.mu.Lock()
-	alive := c.detector.Alive(time.Now())
-	c.mu.Unlock()
-	for _, sib := range c.cfg.Peers {
-		if slices.Contains(alive, sib.Name) {
-			out = append(out, shard.Controller{Name: sib.Name, Zone: sib.Zone, Leads: c.shardsLedBy(sib.Name)})
+// addStarting adds the peers without a heartbeat, which may just have been started too.
+func (a *candidacy) addStarting(candidates []shard.Controller) []shard.Controller {
+	seen := make(map[string]bool)
+	for _, c := range candidates {
+		seen[c.Name] = true
+	}
+	for _, p := range a.cfg.Peers {
+		if !seen[p.Name] {
+			candidates = append(candidates, a.candidate(p.Name, p.Zone))
+		}
+	}
+	return candidates
+}
+
+// candidates lists the live peers, which could lead shards.
+func (a *candidacy) candidates() (out []shard.Controller) {
+	alive := a.peers.alive(time.Now())
+	for _, p := range a.cfg.Peers {
+		if slices.Contains(alive, p.Name) {
+			out = append(out, a.candidate(p.Name, p.Zone))
 		}
 	}
 	return out
 }
 
-func (c *Controller) self() shard.Controller {
-	return shard.Controller{Name: c.cfg.Name, Zone: c.cfg.Zone, Leads: c.shardsLedBy(c.cfg.Name)}
+func (a *candidacy) self() shard.Controller { return a.candidate(a.cfg.Name, a.cfg.Zone) }
+
+func (a *candidacy) candidate(name, zone string) shard.Controller {
+	return shard.Controller{Name: name, Zone: zone, Leads: a.shardsLedBy(name)}
 }
 
-// shardsLedBy counts the parts that a controller holds, by the store.
-func (c *Controller) shardsLedBy(name string) (n int) {
-	for _, part := range c.sharding.Shards() {
-		if rec, ok := c.view.Leader(part); ok && rec.Record.Leader == name {
+// shardsLedBy counts the shards that a controller leads, by the state service.
+func (a *candidacy) shardsLedBy(name string) (n int) {
+	for _, s := range a.sharding.Shards() {
+		if rec, led := a.view.Leader(s); led && rec.Record.Leader == name {
 			n++
 		}
 	}
--- a/internal/controller/compaction.go
+++ b/internal/controller/compaction.go
@@ -6,22 +6,28 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func (c *Controller) newCompactor(h *ledShard, leaseValid func() bool) *archive.Compactor {
-	tune := c.cfg.Tuning.History
-	f := &archive.Compactor{Store: c.client, View: c.view, Follower: c.follow, Reader: c.history, Log: c.log.With("term", h.tenure.FencingToken),
+// newCompactor returns the compactor of ended jobs that runs beside a leader, under its fence.
+func (c *Controller) newCompactor(s *ledShard, leaseValid func() bool) *archive.Compactor {
+	settings, view := c.cfg.Tuning.History, c.state.view
+	compactor := &archive.Compactor{
+		Store: c.state.client, View: view, Follower: c.state.follow, Reader: c.state.history,
+		Log:           c.log.With("token", s.tenure.FencingToken),
 		Limits:        archive.Limits{ValueBytes: c.cfg.Store.ValueBytes, TxnOps: c.cfg.Store.TxnOps},
-		Fence:         wire.Condition{Key: store.LeaderKey(h.tenure.Shard), Version: h.tenure.Version},
-		JobsWithTasks: h.UnfinishedJobs, LeaseValid: leaseValid, Interval: tune.Every, MaxWait: tune.Wait, MergeThreshold: tune.MergeAt}
+		Fence:         wire.Condition{Key: store.LeaderKey(s.tenure.Shard), Version: s.tenure.Version},
+		JobsWithTasks: s.UnfinishedJobs,
+		LeaseValid:    leaseValid,
+		Interval:      settings.Every, MaxWait: settings.Wait, MergeThreshold: settings.MergeAt,
+	}
 	if !c.sharding.IsSingle() {
-		f.DrainedThrough = func() uint64 {
-			least := c.view.Revision()
-			for _, part := range c.sharding.Shards() {
-				if part != h.tenure.Shard {
-					least = min(least, c.view.DrainedThrough(part))
+		compactor.DrainedThrough = func() uint64 {
+			least := view.Revision()
+			for _, name := range c.sharding.Shards() {
+				if name != s.tenure.Shard {
+					least = min(least, view.DrainedThrough(name))
 				}
 			}
 			return least
 		}
 	}
-	return f
+	return compactor
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is what one controller does: it answers users, takes the reports of
-// workers, keeps its claim, and holds the parts of the fleet that it has won. What it
-// does is in the packages below; this one wires them and starts and ends the duties.
+// Package controller is one controller process: it answers users, takes workers' heartbeats, takes
+// part in the elections, and leads the shards that it has won. What each of these does is in the
+// packages below; this one wires them together, and starts and ends the duties of a leader.
 package controller
 
 import (
@@ -9,7 +9,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"sync"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -21,152 +20,209 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/forward"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/ingest"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/membership"
 	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/shard"
 	"amberdeal.example/amberdeal/internal/store"
-	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/internal/user"
 	"amberdeal.example/amberdeal/internal/worker"
-	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/wire"
 )
 
+const (
+	// cloudRequestShare is the share of the cloud's request limit that a controller uses; the rest
+	// is headroom.
+	cloudRequestShare = 0.85
+	// maxPeerConns and maxOperatorConns bound the connections of peers, and of metrics and status.
+	maxPeerConns     = 64
+	maxOperatorConns = 16
+	// httpIdleTimeout is for how long a connection of HTTP may be idle.
+	httpIdleTimeout = 90 * time.Second
+)
+
 // Controller is one controller.
 type Controller struct {
-	cfg          *config.Config
-	log          *slog.Logger
-	net          transport.Network
-	client       *store.Client
-	view         *store.View
-	follow       *store.Follower
-	format       *store.FormatGuard
-	history      *archive.Reader
-	cloud        *cloud.Client
-	workers      *worker.Client
-	elector      *leadership.Elector
-	peers        *peer.Mesh
-	userAPI      *user.API
-	admission    *admission.Service
-	sharding     *fleet.Sharding
-	router       *shard.Router
-	uplinks      *ingest.Uplinks
-	callThrottle *throttle.Limiter // of calls made for siblings
-	receiver     *ingest.Receiver
-	gateway      *ingest.Gateway
-	forwarder    *forward.Client
-	changed      chan struct{}
-	startedAt    time.Time
-	tiersDigest  string // how the tiers of work are set, in short
-
-	mu              sync.Mutex
-	detector        *membership.Detector
-	heartbeatsSent  uint64                 // that were sent
-	fencingCalls    zone.CallLog           // made for siblings
-	ledgerWrites    map[string]ledgerWrite // by part
-	led             map[string]*ledShard
-	cloudTypes      []wire.MachineType
-	partitionedAt   time.Time // when a claim was last given up for not hearing the machines
-	shardStatuses   map[string]leader.ShardStatus
-	shardStatusesAt time.Time
-	shardMovedAt    time.Time    // when a part was last won, lost or given back
-	writerChoice    writerChoice // who writes
+	cfg         *config.Config
+	log         *slog.Logger
+	net         transport.Network
+	startedAt   time.Time
+	sharding    *fleet.Sharding
+	tiersDigest string        // identifies the settings of the tiers of work
+	changed     chan struct{} // wakes manageShards
+
+	state   storeState
+	cloud   *cloud.Client
+	types   *machineTypes
+	workers *worker.Client
+
+	mesh    *peer.Mesh
+	tracker *peerTracker
+	health  *storeHealth
+
+	elector   *leadership.Elector
+	candidacy *candidacy
+	failover  *failover
+	led       *shardRegistry
+	statuses  *statusBoard
+	ingest    ingestion
+
+	admission *admission.Service
+	router    *shard.Router
+	writers   *writerChooser
+	forwarder *forward.Client
+	users     *user.API
+}
+
+// storeState is the state service as this controller reaches it.
+type storeState struct {
+	client  *store.Client
+	view    *store.View
+	follow  *store.Follower
+	format  *store.FormatGuard
+	history *archive.Reader
 }
 
 // New makes a controller on a network; it opens nothing yet.
 func New(network transport.Network, cfg *config.Config, log *slog.Logger) *Controller {
-	c := &Controller{cfg: cfg, log: log, net: network, changed: make(chan struct{}, 1), startedAt: time.Now(),
-		sharding: cfg.Sharding(), tiersDigest: cfg.Tiers().Digest(), led: make(map[string]*ledShard)}
-	c.client = store.NewClient(network, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+1), log)
-	c.view = store.NewView(log)
-	c.history = archive.NewReader(c.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, log)
-	c.view.Archive = c.history
-	c.follow = store.NewFollower(c.client, c.view, log)
-	c.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
-	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*0.85)
+	c := &Controller{cfg: cfg, log: log, net: network, startedAt: time.Now(), sharding: cfg.Sharding(), tiersDigest: cfg.Tiers().Digest(),
+		changed: make(chan struct{}, 1), led: newShardRegistry()}
+	c.openState()
+	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*cloudRequestShare)
+	c.types = &machineTypes{cloud: c.cloud, view: c.state.view, onChange: c.wake}
 	c.workers = worker.NewClient(network, cfg.Limits.Files/16)
-	state := leadership.State{Client: c.client, View: c.view, Follow: c.follow}
-	gate := &leadership.SettingsGate{Sharding: c.sharding, TiersDigest: c.tiersDigest, Mismatch: c.configMismatch, State: state, Log: log}
-	c.elector = leadership.NewElector(leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew), gate, state, log)
-	c.elector.ShouldCampaign, c.elector.OnChange = c.shouldCampaign, c.wake
-	c.peers = &peer.Mesh{Peers: make(map[string]string), Local: c.localHeartbeat, Dial: network.Dial, Log: log, OnHeartbeat: c.recordHeartbeat}
-	for _, sib := range cfg.Peers {
-		c.peers.Peers[sib.Name] = sib.Addr
-	}
-	c.detector = membership.New(slices.Collect(maps.Keys(c.peers.Peers)))
-	c.setUpIngest()
-	c.format = &store.FormatGuard{Client: c.client, View: c.view, Follower: c.follow, Log: log, Shards: c.sharding.Shards(), GracePeriod: 3 * peer.Interval,
-		OlderController: func() string { return c.peers.PeerWithOlderFormat(3*peer.Interval, store.Format) }}
-	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses}
-	c.admission = &admission.Service{Teams: cfg.Teams, View: c.view, Follow: c.follow, History: c.history, Log: log,
-		Intake:       admission.NewIntake(c.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
-		Canceller:    admission.NewCanceller(c.client, c.view, c.follow, cfg.Store.TxnOps),
-		MachineTypes: c.machineTypes, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.Backlog, OnChange: c.wake}
-	c.admission.Intake.Prioritized = cfg.Tiers().InFirst
+	c.setUpPeers()
+	c.setUpElections()
+	c.ingest = c.newIngestion()
+	c.setUpAdmission()
 	c.setUpForwarding()
-	c.userAPI = &user.API{Admission: c.admission, Log: log, Count: c.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
+	c.users = &user.API{Admission: c.admission, Log: log, Count: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
 	return c
 }
 
+// openState makes the client of the state service and what reads through it.
+func (c *Controller) openState() {
+	cfg, s := c.cfg, &c.state
+	s.client = store.NewClient(c.net, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+1), c.log)
+	s.view = store.NewView(c.log)
+	s.history = archive.NewReader(s.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, c.log)
+	s.view.Archive = s.history
+	s.follow = store.NewFollower(s.client, s.view, c.log)
+	s.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
+	s.format = &store.FormatGuard{Client: s.client, View: s.view, Follower: s.follow, Log: c.log, Shards: c.sharding.Shards(), GracePeriod: heartbeatMaxAge,
+		OlderController: func() string { return c.mesh.PeerWithOlderFormat(heartbeatMaxAge, store.Format) }}
+}
+
+// setUpPeers makes the links to the peers, and what is judged by their heartbeats.
+func (c *Controller) setUpPeers() {
+	addrs := make(map[string]string, len(c.cfg.Peers))
+	for _, p := range c.cfg.Peers {
+		addrs[p.Name] = p.Addr
+	}
+	c.tracker = &peerTracker{detector: membership.New(slices.Collect(maps.Keys(addrs)))}
+	c.mesh = &peer.Mesh{Peers: addrs, Local: c.localHeartbeat, Dial: c.net.Dial, Log: c.log, OnHeartbeat: c.tracker.record}
+	c.health = &storeHealth{view: c.state.view, follow: c.state.follow, mesh: c.mesh, peers: len(c.cfg.Peers), startedAt: c.startedAt}
+	c.statuses = &statusBoard{sharding: c.sharding, mesh: c.mesh, led: c.led}
+	c.writers = &writerChooser{self: c.cfg.Name, policy: c.cfg.Writers(), mesh: c.mesh, peers: c.tracker, health: c.health, leads: c.leads,
+		reroute: func() { c.admission.Intake.Reroute() }}
+}
+
+// setUpElections makes what campaigns for shards, and what ends the leases of dead leaders.
+func (c *Controller) setUpElections() {
+	cfg := c.cfg
+	c.candidacy = &candidacy{cfg: cfg, sharding: c.sharding, tiersDigest: c.tiersDigest, view: c.state.view, mesh: c.mesh, peers: c.tracker, startedAt: c.startedAt,
+		offered:     func() int { return c.ingest.gateway.Offered() },
+		operational: func() bool { return c.types.get() != nil && c.writable() }}
+	state := leadership.State{Client: c.state.client, View: c.state.view, Follow: c.state.follow}
+	gate := &leadership.SettingsGate{Sharding: c.sharding, TiersDigest: c.tiersDigest, Mismatch: c.candidacy.settingsMismatch, State: state, Log: c.log}
+	c.elector = leadership.NewElector(leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew), gate, state, c.log)
+	c.elector.ShouldCampaign, c.elector.OnChange = c.candidacy.shouldCampaign, c.wake
+	c.failover = &failover{self: cfg.Name, shards: c.sharding.Shards(), client: c.state.client, view: c.state.view, follow: c.state.follow, peers: c.tracker, log: c.log,
+		ledgerWrites: make(map[string]ledgerWrite), deadSince: make(map[uint64]time.Time)}
+}
+
+// setUpAdmission makes what accepts and cancels jobs.
+func (c *Controller) setUpAdmission() {
+	cfg, s := c.cfg, &c.state
+	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.all}
+	c.admission = &admission.Service{Teams: cfg.Teams, View: s.view, Follow: s.follow, History: s.history, Log: c.log,
+		Intake:       admission.NewIntake(s.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
+		Canceller:    admission.NewCanceller(s.client, s.view, s.follow, cfg.Store.TxnOps),
+		MachineTypes: c.types.get, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.Backlog, OnChange: c.wake}
+	c.admission.Intake.Prioritized = cfg.Tiers().InFirst
+}
+
 // Run serves until the context ends.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	heartbeats := worker.Handler(c.gateway.HandleHeartbeat, c.log)
-	connections := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4}
-	public := connections.Serve(transport.HTTP(wire.MaxBody, 90*time.Second, func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
-		if r.Path != wire.PathHeartbeat {
-			resp := c.userAPI.Handle(ctx, r)
-			resp.Close = resp.Close || connections.Full()
-			return resp
-		}
-		// A worker that must come again costs more than one that stays, but one that
-		// finds no socket costs most.
-		resp := heartbeats(ctx, r)
-		resp.Close = resp.Close || connections.Scarce()
-		return resp
-	}))
-	g.Go(func() error { return c.listen(ctx, connections, public) })
-	g.Go(func() error { return c.net.Listen(ctx, c.cfg.PeerAddr, 64, c.peers.Receive) })
-	g.Go(func() error { return c.follow.Run(ctx) })
-	g.Go(func() error { return c.follow.RunBarriers(ctx) })
-	g.Go(func() error { return c.format.Run(ctx) })
-	g.Go(func() error { return c.admission.Intake.Run(ctx) })
-	g.Go(func() error { return c.admission.Canceller.Run(ctx) })
+	run := func(f func(context.Context) error) { g.Go(func() error { return f(ctx) }) }
+	run(c.servePublic)
+	run(c.servePeers)
+	run(c.state.follow.Run)
+	run(c.state.follow.RunBarriers)
+	run(c.state.format.Run)
+	run(c.admission.Intake.Run)
+	run(c.admission.Canceller.Run)
 	if c.cfg.Tuning.Reapi.Listen != "" {
-		g.Go(func() error { return c.serveBuilds(ctx) })
+		run(c.serveBuilds)
 	}
-	if addr := c.cfg.Tuning.Metrics; addr != "" {
-		g.Go(func() error {
-			return c.net.Listen(ctx, addr, 16, transport.HTTP(wire.MaxBody, 90*time.Second, c.operatorHandler()))
-		})
+	if c.cfg.Tuning.Metrics != "" {
+		run(c.serveOperators)
 	}
-	g.Go(func() error { return c.forwarder.Run(ctx) })
-	g.Go(func() error { return c.elector.Run(ctx) })
-	g.Go(func() error { return c.uplinks.Run(ctx) })
-	g.Go(func() error { return c.callThrottle.Run(ctx) })
-	g.Go(func() error { return c.learnTypes(ctx) })
-	g.Go(func() error { return c.manageShards(ctx) })
-	g.Go(func() error { return c.watchLeaders(ctx) })
-	for _, sib := range c.cfg.Peers {
-		g.Go(func() error { return c.peers.SendHeartbeats(ctx, sib.Addr) })
+	run(c.forwarder.Run)
+	run(c.elector.Run)
+	run(c.ingest.uplinks.Run)
+	run(c.ingest.throttle.Run)
+	run(c.types.run)
+	run(c.manageShards)
+	run(c.failover.run)
+	for _, p := range c.cfg.Peers {
+		run(func(ctx context.Context) error { return c.mesh.SendHeartbeats(ctx, p.Addr) })
 	}
-	c.log.Info("serving", "name", c.cfg.Name, "zone", c.cfg.Zone, "public", c.cfg.PublicAddr, "mesh", c.cfg.PeerAddr)
+	c.log.Info("serving", "name", c.cfg.Name, "zone", c.cfg.Zone, "public", c.cfg.PublicAddr, "peers", c.cfg.PeerAddr)
 	return g.Wait()
 }
 
-// listen serves users and workers. Reports that can only be turned away are, before they
+// servePublic serves users and workers. Heartbeats that can only be redirected are, before they
 // are read.
-func (c *Controller) listen(ctx context.Context, connections *transport.ConnLimit, serve transport.ServeConn) error {
-	if t, ok := c.net.(transport.RejectingNetwork); ok {
-		return t.ListenRejecting(ctx, c.cfg.PublicAddr, connections.Max, serve, c.gateway.RedirectUnread)
+func (c *Controller) servePublic(ctx context.Context) error {
+	conns := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4} // the rest is for peers, the state service and calls
+	serve := conns.Serve(transport.HTTP(wire.MaxBody, httpIdleTimeout, c.publicHandler(conns)))
+	if n, ok := c.net.(transport.RejectingNetwork); ok {
+		return n.ListenRejecting(ctx, c.cfg.PublicAddr, conns.Max, serve, c.ingest.gateway.RedirectUnread)
 	}
-	return c.net.Listen(ctx, c.cfg.PublicAddr, connections.Max, serve)
+	return c.net.Listen(ctx, c.cfg.PublicAddr, conns.Max, serve)
+}
+
+// publicHandler answers users and workers.
+func (c *Controller) publicHandler(conns *transport.ConnLimit) transport.Handler {
+	heartbeats := worker.Handler(c.ingest.gateway.HandleHeartbeat, c.log)
+	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
+		if r.Path != wire.PathHeartbeat {
+			resp := c.users.Handle(ctx, r)
+			resp.Close = resp.Close || conns.Full()
+			return resp
+		}
+		// A worker that must connect again costs more than one that stays connected, but one that
+		// finds no socket costs most.
+		resp := heartbeats(ctx, r)
+		resp.Close = resp.Close || conns.Scarce()
+		return resp
+	}
+}
+
+// servePeers serves the streams of peers.
+func (c *Controller) servePeers(ctx context.Context) error {
+	return c.net.Listen(ctx, c.cfg.PeerAddr, maxPeerConns, c.mesh.Receive)
+}
+
+// serveOperators serves metrics and status.
+func (c *Controller) serveOperators(ctx context.Context) error {
+	return c.net.Listen(ctx, c.cfg.Tuning.Metrics, maxOperatorConns, transport.HTTP(wire.MaxBody, httpIdleTimeout, c.operatorHandler()))
 }
 
+// wake has the shards looked at soon.
 func (c *Controller) wake() {
 	select {
 	case c.changed <- struct{}{}:
@@ -174,8 +230,8 @@
 	}
 }
 
-// writable says whether this version may work on the state.
+// writable reports whether this version may write the state.
 func (c *Controller) writable() bool {
-	open, _ := c.format.Writable()
-	return open
+	writable, _ := c.state.format.Writable()
+	return writable
 }
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -2,114 +2,123 @@
 
 import (
 	"context"
+	"log/slog"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/membership"
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// ledgerWrite is when a part's ledger was last seen to have changed.
+const (
+	// failoverCheckInterval is the time between two looks at the leaders.
+	failoverCheckInterval = 500 * time.Millisecond
+	// ledgerIdleTime is for how long a dead leader must not have written its shards' ledgers.
+	ledgerIdleTime = 4 * time.Second
+	// maxViewAge is how old the view may be that shows that.
+	maxViewAge = 1500 * time.Millisecond
+	// firstActsAlone is for how long the first of the controllers that see the same acts alone.
+	firstActsAlone = 2 * time.Second
+)
+
+// failover revokes the leases of dead leaders before they expire, so that their shards can be won
+// sooner. Nothing rests on it: if such a leader is alive after all, its next renewal or round is
+// refused, as if its lease had expired. Only the goroutine of run uses its state.
+type failover struct {
+	self   string // this controller's name
+	shards []string
+	client *store.Client
+	view   *store.View
+	follow *store.Follower
+	peers  *peerTracker
+	log    *slog.Logger
+
+	ledgerWrites map[string]ledgerWrite // by shard
+	deadSince    map[uint64]time.Time   // leases of dead leaders
+}
+
+// ledgerWrite is when a shard's ledger was last seen to have changed.
 type ledgerWrite struct {
 	revision uint64
 	at       time.Time
 }
 
-// Between two looks at the holders; how long a part's ledger must have been quiet, and how
-// old the view may be that says so; and for how long the first of those that see the same
-// is left to act alone.
-const (
-	failoverCheckInterval = 500 * time.Millisecond
-	ledgerIdleTime        = 4 * time.Second
-	maxViewAge            = 1500 * time.Millisecond
-	firstActsAlone        = 2 * time.Second
-)
-
-// watchLeaders ends the lease of a holder that all siblings agree is dead and that has
-// written nothing for a while, so that its parts are free before the lease has run out.
-// Should it live, its next renewal or round is refused, as if the lease had: the rules
-// rest on that, and on how long it may answer since its last renewal.
-func (c *Controller) watchLeaders(ctx context.Context) error {
+// run revokes leases of dead leaders until the context ends.
+func (f *failover) run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeLeadership)
-	confirmedSince := make(map[uint64]time.Time) // leases that were found so, since when
 	for ctx.Err() == nil {
 		store.Backoff(ctx, failoverCheckInterval)
-		now := time.Now()
-		for _, part := range c.sharding.Shards() {
-			c.ledgerIdle(now, part) // from before anyone is in doubt
-		}
-		if c.anyLeaderDead(now) && now.Sub(c.view.CurrentAt()) > maxViewAge && c.follow.Barrier(ctx) != nil {
-			continue // nothing is known of what it has written
+		f.step(ctx, time.Now())
+	}
+	return nil
+}
+
+// step looks at all leaders once.
+func (f *failover) step(ctx context.Context, now time.Time) {
+	for _, shard := range f.shards {
+		f.ledgerIdle(now, shard) // notes its writes also while no leader is in doubt
+	}
+	if f.anyLeaderDead(now) && now.Sub(f.view.CurrentAt()) > maxViewAge && f.follow.Barrier(ctx) != nil {
+		return // what the leader has written lately is not known
+	}
+	leases := f.deadLeases(now)
+	for lease := range f.deadSince {
+		if leases[lease] == "" {
+			delete(f.deadSince, lease)
 		}
-		leases := c.deadLeases(now)
-		for lease := range confirmedSince {
-			if leases[lease] == "" {
-				delete(confirmedSince, lease)
-			}
+	}
+	for lease, leader := range leases {
+		if f.deadSince[lease].IsZero() {
+			f.deadSince[lease] = now
 		}
-		for lease, leader := range leases {
-			if confirmedSince[lease].IsZero() {
-				confirmedSince[lease] = now
-			}
-			c.mu.Lock()
-			first := c.detector.FirstAlive(now, c.cfg.Name)
-			c.mu.Unlock()
-			if first || now.Sub(confirmedSince[lease]) > firstActsAlone {
-				err := c.client.RevokeLease(ctx, lease)
-				c.log.Warn("ending the lease of a silent holder", "holder", leader, "lease", lease, "error", err)
-			}
+		if f.peers.firstAlive(now, f.self) || now.Sub(f.deadSince[lease]) > firstActsAlone {
+			err := f.client.RevokeLease(ctx, lease)
+			f.log.Warn("revoked the lease of a dead leader", "leader", leader, "lease", lease, "err", err)
 		}
 	}
-	return nil
 }
 
-// anyLeaderDead reports whether a holder is taken for dead.
-func (c *Controller) anyLeaderDead(now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, shard := range c.sharding.Shards() {
-		if rec, ok := c.view.Leader(shard); ok && rec.Record.Leader != c.cfg.Name && c.detector.State(now, rec.Record.Leader) == membership.Dead {
+// leaderDead reports whether a shard's leader is dead, as the peers agree.
+func (f *failover) leaderDead(now time.Time, rec store.LeaderRecord) bool {
+	return rec.Leader != f.self && f.peers.dead(now, rec.Leader)
+}
+
+func (f *failover) anyLeaderDead(now time.Time) bool {
+	for _, shard := range f.shards {
+		if rec, led := f.view.Leader(shard); led && f.leaderDead(now, rec.Record) {
 			return true
 		}
 	}
 	return false
 }
 
-// deadLeases names the holders that are dead by all that is known here, by their leases.
-func (c *Controller) deadLeases(now time.Time) map[uint64]string {
+// deadLeases names, by lease, the leaders that are dead and have written nothing for a while.
+func (f *failover) deadLeases(now time.Time) map[uint64]string {
 	out := make(map[uint64]string)
-	if !c.view.Loaded() || now.Sub(c.view.CurrentAt()) > maxViewAge {
+	if !f.view.Loaded() || now.Sub(f.view.CurrentAt()) > maxViewAge {
 		return out
 	}
-	idle := make(map[string]bool) // holders none of whose parts was written
-	for _, shard := range c.sharding.Shards() {
-		if rec, ok := c.view.Leader(shard); ok {
+	idle := make(map[string]bool) // leaders none of whose shards was written
+	for _, shard := range f.shards {
+		if rec, led := f.view.Leader(shard); led {
 			was, known := idle[rec.Record.Leader]
-			idle[rec.Record.Leader] = c.ledgerIdle(now, shard) && (was || !known)
+			idle[rec.Record.Leader] = f.ledgerIdle(now, shard) && (was || !known)
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, shard := range c.sharding.Shards() {
-		rec, ok := c.view.Leader(shard)
-		if ok && rec.Record.Leader != c.cfg.Name && idle[rec.Record.Leader] && c.detector.State(now, rec.Record.Leader) == membership.Dead {
+	for _, shard := range f.shards {
+		rec, led := f.view.Leader(shard)
+		if led && idle[rec.Record.Leader] && f.leaderDead(now, rec.Record) {
 			out[rec.Record.Lease] = rec.Record.Leader
 		}
 	}
 	return out
 }
 
-// ledgerIdle reports whether a part was neither claimed nor its ledger written for a while,
-// as far as the view shows.
-func (c *Controller) ledgerIdle(now time.Time, shard string) bool {
-	rec, _ := c.view.Leader(shard)
-	revision := max(rec.Version, c.view.LedgerRevision(shard))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ledgerWrites == nil {
-		c.ledgerWrites = make(map[string]ledgerWrite)
-	}
-	if c.ledgerWrites[shard].revision != revision {
-		c.ledgerWrites[shard] = ledgerWrite{revision, now}
+// ledgerIdle reports whether a shard was neither won nor its ledger written for a while, as far as
+// the view shows.
+func (f *failover) ledgerIdle(now time.Time, shard string) bool {
+	rec, _ := f.view.Leader(shard)
+	revision := max(rec.Version, f.view.LedgerRevision(shard))
+	if f.ledgerWrites[shard].revision != revision {
+		f.ledgerWrites[shard] = ledgerWrite{revision, now}
 	}
-	return now.Sub(c.ledgerWrites[shard].at) >= ledgerIdleTime
+	return now.Sub(f.ledgerWrites[shard].at) >= ledgerIdleTime
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -2,42 +2,63 @@
 
 import (
 	"time"
+
+	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/store"
 )
 
-// ready says whether users are served here. A controller that alone can't
-// reach the store steps aside. In an outage that all share it stays: users get
-// the same answer everywhere, and a controller that was taken out is brought
-// back late, the later the more often that happens.
-func (c *Controller) ready() bool {
-	if open, _ := c.format.Writable(); !open && c.view.Loaded() {
-		return false
-	}
-	return !c.storePartitioned(2 * time.Second)
-}
+const (
+	// viewLoadTime is how long loading the view may take where the state service answers.
+	viewLoadTime = 2 * time.Second
+	// notReadyAfter is after how long without the state service users are sent elsewhere.
+	notReadyAfter = 2 * time.Second
+	// refuseReadsAfter is after how long without it questions are refused that it must answer. It
+	// is longer, since a service that is slow or refuses a call now and then is still of use.
+	refuseReadsAfter = 5 * time.Second
+	// peerHealthMaxAge is how old a heartbeat may be that tells of a peer's health and load.
+	peerHealthMaxAge = 3 * time.Second
+)
 
-// storeOutOfReach reports whether questions that the store must answer are not even worth a try. A store
-// that is slow, or refuses a call now and then, is still of use.
-func (c *Controller) storeOutOfReach() bool { return c.storePartitioned(5 * time.Second) }
+// storeHealth judges whether this controller, rather than the state service, is cut off.
+type storeHealth struct {
+	view      *store.View
+	follow    *store.Follower
+	mesh      *peer.Mesh
+	peers     int // that are configured
+	startedAt time.Time
+}
 
-// storePartitioned reports whether the store has been out of reach here for so long while others may reach
-// it. Whoever hears less than most controllers can't know that all share its outage, and is rather
-// cut off itself: as long as it called itself ready, its users stayed and asked in vain.
-func (c *Controller) storePartitioned(unreachableFor time.Duration) bool {
-	at, failing := c.follow.LastContact()
-	if c.view.Loaded() && (!failing || time.Since(at) < unreachableFor) {
+// partitioned reports whether this controller has been without the state service for some time
+// while others may reach it. A controller that has heartbeats of less than a majority cannot know
+// that all share its outage, and is more likely cut off itself: if it called itself ready, its
+// users would stay and wait in vain.
+func (h *storeHealth) partitioned(unreachableFor time.Duration) bool {
+	contact, failing := h.follow.LastContact()
+	if h.view.Loaded() && (!failing || time.Since(contact) < unreachableFor) {
 		return false
 	}
-	beats := c.peers.Latest(3 * time.Second)
-	for _, b := range beats {
+	latest := h.mesh.Latest(peerHealthMaxAge)
+	for _, b := range latest {
 		if b.StoreOK {
 			return true
 		}
 	}
-	if alone := (len(beats)+1)*2 <= len(c.cfg.Peers)+1; alone {
+	if minority := (len(latest)+1)*2 <= h.peers+1; minority {
 		return true
 	}
-	return time.Since(c.startedAt) <= viewLoadTime
+	return time.Since(h.startedAt) <= viewLoadTime
+}
+
+// ready reports whether users are served here. A controller that is cut off from the state
+// service on its own steps aside. In an outage that all share it stays: users get the same answer
+// everywhere, and a load balancer brings back a controller late that it has taken out, the later
+// the more often that happens.
+func (c *Controller) ready() bool {
+	if writable, _ := c.state.format.Writable(); !writable && c.state.view.Loaded() {
+		return false
+	}
+	return !c.health.partitioned(notReadyAfter)
 }
 
-// viewLoadTime is how long loading the view may take where the store answers.
-const viewLoadTime = 2 * time.Second
+// storeOutOfReach reports whether a question that the state service must answer is not worth a try.
+func (c *Controller) storeOutOfReach() bool { return c.health.partitioned(refuseReadsAfter) }
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -2,41 +2,31 @@
 
 import (
 	"context"
-	"maps"
-	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"amberdeal.example/amberdeal/internal/archive"
 	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/leadership"
 )
 
-// ledShard is a part that this controller holds, and the end of its duties.
-type ledShard struct {
-	*leader.Leader
-	compactor *archive.Compactor // nil where another holder folds
-	tenure    leadership.Tenure
-	stop      context.CancelFunc
-	done      chan struct{}
-}
+// manageInterval is how often the shards are looked at where nothing changes.
+const manageInterval = time.Second
 
-// manageShards starts a holder for each part that was won and ends it when the
-// claim is lost.
+// manageShards starts a leader for each shard that was won and ends it when its leadership is lost.
 func (c *Controller) manageShards(ctx context.Context) error {
 	defer c.stopLeadingAll()
 	for ctx.Err() == nil {
 		c.allocateStoreBudget()
-		for _, part := range c.sharding.Shards() {
-			c.manageShard(ctx, part)
+		for _, name := range c.sharding.Shards() {
+			c.manageShard(ctx, name)
 		}
 		c.shareObservations()
 		if !c.sharding.IsSingle() {
 			c.shareStatuses()
 			c.rebalance()
 		}
-		t := time.NewTimer(time.Second)
+		t := time.NewTimer(manageInterval)
 		select {
 		case <-ctx.Done():
 		case <-c.changed:
@@ -47,81 +37,77 @@
 	return nil
 }
 
-func (c *Controller) manageShard(ctx context.Context, shard string) {
-	standing := c.elector.Standing(shard, time.Now())
-	c.mu.Lock()
-	h := c.led[shard]
-	c.mu.Unlock()
-	if h != nil && (!standing.Leading || h.tenure.Version != standing.Tenure.Version) {
-		c.log.Warn("part lost", "part", shard, "term", h.tenure.FencingToken)
-		c.stopLeading(shard, h)
-		h = nil
+// manageShard starts or ends the duties for one shard, as the election went.
+func (c *Controller) manageShard(ctx context.Context, name string) {
+	standing := c.elector.Standing(name, time.Now())
+	s := c.led.get(name)
+	if s != nil && (!standing.Leading || s.tenure.Version != standing.Tenure.Version) {
+		c.log.Warn("leadership lost", "shard", name, "token", s.tenure.FencingToken)
+		c.stopLeading(s)
+		s = nil
 	}
-	if h != nil {
-		h.Wake()
-		c.resignIfPartitioned(ctx, h)
+	if s != nil {
+		s.Wake()
+		c.resignIfPartitioned(ctx, s)
 		return
 	}
-	if !standing.Leading || c.view.Revision() < standing.Tenure.Revision && c.follow.Barrier(ctx) != nil {
-		return
+	if !standing.Leading || c.state.view.Revision() < standing.Tenure.Revision && c.state.follow.Barrier(ctx) != nil {
+		return // the leader starts from a view that shows its own election
+	}
+	c.startLeading(ctx, standing.Tenure)
+}
+
+// resignIfPartitioned resigns where workers reach a peer rather than the leader of a shard here.
+func (c *Controller) resignIfPartitioned(ctx context.Context, s *ledShard) {
+	if reason := c.candidacy.partitioned(s); reason != "" {
+		c.elector.Resign(ctx, reason)
 	}
-	c.startLeading(ctx, shard, standing.Tenure)
 }
 
-// startLeading starts the duties for a part that was won.
-func (c *Controller) startLeading(ctx context.Context, shard string, tenure leadership.Tenure) {
-	now := time.Now()
-	h := &ledShard{tenure: tenure, done: make(chan struct{}),
-		Leader: leader.New(c.cfg, tenure, c.view.Snapshot(), c.view.ShardLedgers(shard), c.machineTypes(), c.view, now, c.log)}
+// startLeading starts the duties for a shard that was won.
+func (c *Controller) startLeading(ctx context.Context, tenure leadership.Tenure) {
+	now, shard := time.Now(), tenure.Shard
+	s := &ledShard{
+		Leader: leader.New(c.cfg, tenure, c.state.view.Snapshot(), c.state.view.ShardLedgers(shard), c.types.get(), c.state.view, now, c.log),
+		tenure: tenure,
+		done:   make(chan struct{}),
+	}
 	duties, stop := context.WithCancel(ctx)
-	h.stop = stop
+	s.stop = stop
 	leaseValid := func() bool {
 		standing := c.elector.Standing(shard, time.Now())
 		return standing.Leading && standing.LeaseValid
 	}
-	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // one holder folds, for all parts
-		h.compactor = c.newCompactor(h, leaseValid)
+	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // one leader compacts, for all shards
+		s.compactor = c.newCompactor(s, leaseValid)
 	}
-	c.mu.Lock()
-	c.led[shard], c.shardMovedAt = h, now
-	c.mu.Unlock()
-	c.log.Info("holding", "part", shard, "term", tenure.FencingToken)
+	c.led.add(now, s)
+	c.log.Info("leading", "shard", shard, "token", tenure.FencingToken)
 	go func() {
-		defer close(h.done)
+		defer close(s.done)
 		g, duties := errgroup.WithContext(duties)
 		g.Go(func() error {
-			return h.Run(duties, leader.Dependencies{Store: c.client, View: c.view, Follower: c.follow, Cloud: c.cloud, Workers: c.workers, LeaseValid: leaseValid, OnFenced: c.wake})
+			return s.Run(duties, leader.Dependencies{Store: c.state.client, View: c.state.view, Follower: c.state.follow, Cloud: c.cloud, Workers: c.workers,
+				LeaseValid: leaseValid, OnFenced: c.wake})
 		})
-		if h.compactor != nil {
-			g.Go(func() error { return h.compactor.Run(duties) })
+		if s.compactor != nil {
+			g.Go(func() error { return s.compactor.Run(duties) })
 		}
 		_ = g.Wait()
 	}()
 }
 
-func (c *Controller) stopLeading(shard string, h *ledShard) {
-	h.stop()
-	c.mu.Lock()
-	delete(c.led, shard)
-	c.shardMovedAt = time.Now()
-	c.mu.Unlock()
-	<-h.done
+// stopLeading ends the duties for a shard, and waits until they have ended.
+func (c *Controller) stopLeading(s *ledShard) {
+	s.stop()
+	c.led.remove(s.tenure.Shard)
+	<-s.done
 }
 
 func (c *Controller) stopLeadingAll() {
-	for _, part := range c.sharding.Shards() {
-		c.mu.Lock()
-		h := c.led[part]
-		c.mu.Unlock()
-		if h != nil {
-			c.stopLeading(part, h)
+	for _, name := range c.sharding.Shards() {
+		if s := c.led.get(name); s != nil {
+			c.stopLeading(s)
 		}
 	}
 }
-
-// ledShards lists the parts that this controller holds.
-func (c *Controller) ledShards() []*ledShard {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Collect(maps.Values(c.led))
-}
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -2,34 +2,52 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/cloud"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// learnTypes reads the machine types until they are known, from the cloud or,
-// while that is out, from the store.
-func (c *Controller) learnTypes(ctx context.Context) error {
+const (
+	machineTypesInterval   = 2 * time.Minute        // between two readings of the machine types
+	machineTypesRetryDelay = 300 * time.Millisecond // after one that failed
+)
+
+// machineTypes knows the machine types: from the cloud or, while that is out, from the state service.
+type machineTypes struct {
+	cloud    *cloud.Client
+	view     *store.View
+	onChange func()
+
+	mu        sync.Mutex
+	fromCloud []wire.MachineType
+}
+
+// run reads the machine types from the cloud until the context ends.
+func (m *machineTypes) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if types, err := c.cloud.MachineTypes(ctx); err == nil {
-			c.mu.Lock()
-			c.cloudTypes = types
-			c.mu.Unlock()
-			c.wake()
-			store.Backoff(ctx, 2*time.Minute)
+		types, err := m.cloud.MachineTypes(ctx)
+		if err != nil {
+			store.Backoff(ctx, machineTypesRetryDelay)
 			continue
 		}
-		store.Backoff(ctx, 300*time.Millisecond)
+		m.mu.Lock()
+		m.fromCloud = types
+		m.mu.Unlock()
+		m.onChange()
+		store.Backoff(ctx, machineTypesInterval)
 	}
 	return nil
 }
 
-func (c *Controller) machineTypes() []wire.MachineType {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cloudTypes == nil {
-		return c.view.MachineTypes()
+// get returns the machine types, nil while they are not known.
+func (m *machineTypes) get() []wire.MachineType {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.fromCloud == nil {
+		return m.view.MachineTypes()
 	}
-	return c.cloudTypes
+	return m.fromCloud
 }
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -6,14 +6,13 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/metrics"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/top"
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// operatorHandler serves metrics, and what the fleet is like at a glance.
+// operatorHandler serves the metrics, and the status of the fleet in JSON.
 func (c *Controller) operatorHandler() transport.Handler {
 	scrape := metrics.Handler(c.readMetrics)
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
@@ -28,51 +27,68 @@
 	}
 }
 
+// operatorStatus is the fleet at a glance, as far as this controller knows it.
 func (c *Controller) operatorStatus() top.Status {
-	s := top.Status{Name: c.cfg.Name, Ready: c.ready(), UpS: int(time.Since(c.startedAt).Seconds()), ReportingMachines: c.gateway.Reporting(), Revision: c.view.Revision(),
-		Shards: map[string]top.Shard{}, Classes: map[string]top.Class{}, Teams: map[string]top.Team{}, Zones: map[string]top.Zone{}}
-	for _, part := range c.sharding.Shards() {
-		rec, _ := c.view.Leader(part)
-		s.Shards[part] = top.Shard{Leader: rec.Record.Leader, FencingToken: rec.Record.FencingToken}
+	s := top.Status{
+		Name:              c.cfg.Name,
+		Ready:             c.ready(),
+		UpS:               int(time.Since(c.startedAt).Seconds()),
+		ReportingMachines: c.ingest.gateway.Reporting(),
+		Revision:          c.state.view.Revision(),
+		Shards:            make(map[string]top.Shard),
+		Classes:           c.classStatus(),
+		Teams:             make(map[string]top.Team),
+		Zones:             make(map[string]top.Zone),
 	}
-	for id, l := range c.view.Snapshot().LiveJobs {
-		n, k := c.taskCounts(id), s.Classes[l.Record.Job.Class]
-		if n.Running > 0 {
-			k.RunningJobs++
-		} else {
-			k.PendingJobs++
-		}
-		k.Tasks, k.RunningTasks, k.FinishedTasks = k.Tasks+l.Record.Tasks, k.RunningTasks+n.Running, k.FinishedTasks+n.Done
-		s.Classes[l.Record.Job.Class] = k
+	for _, name := range c.sharding.Shards() {
+		rec, _ := c.state.view.Leader(name)
+		s.Shards[name] = top.Shard{Leader: rec.Record.Leader, FencingToken: rec.Record.FencingToken}
 	}
 	for _, t := range c.cfg.Teams {
 		s.Teams[t.Name] = top.Team{CPUsMin: t.CPUs, CPUsMax: t.CPUsMax, GPUsMin: t.GPUs, GPUsMax: t.GPUsMax}
 	}
-	tiers := make(map[string]tier.Status)
-	for _, st := range c.knownStatuses() {
-		for name, x := range st.Tiers {
-			tiers[name] = tiers[name].Add(x)
-		}
-		for name, used := range st.Used {
-			t := s.Teams[name]
-			t.CPUs, t.GPUs = t.CPUs+used[0], t.GPUs+used[1]
-			s.Teams[name] = t
-		}
-		for zone, r := range st.Zones {
-			s.Zones[zone] = top.Zone{Machines: r.Up, Overdue: r.Quiet}
+	c.addShardStatuses(&s)
+	for _, led := range c.led.all() {
+		addLeaderStatus(&s, led)
+	}
+	stats := c.state.client.CallStats()
+	s.Budget = top.Budget{RPS: c.cfg.Store.RPS, WriteRPS: c.cfg.Store.WriteRPS, Requests: uint64(stats.Requests), Changes: uint64(stats.Changes),
+		Refused: uint64(stats.Refused), Unanswered: uint64(stats.Unanswered)}
+	return s
+}
+
+// classStatus counts the live jobs and their tasks by class.
+func (c *Controller) classStatus() map[string]top.Class {
+	out := make(map[string]top.Class)
+	for id, job := range c.state.view.Snapshot().LiveJobs {
+		counts, class := c.statuses.taskCounts(id), out[job.Record.Job.Class]
+		if counts.Running > 0 {
+			class.RunningJobs++
+		} else {
+			class.PendingJobs++
 		}
+		class.Tasks += job.Record.Tasks
+		class.RunningTasks += counts.Running
+		class.FinishedTasks += counts.Done
+		out[job.Record.Job.Class] = class
 	}
-	for _, h := range c.ledShards() {
-		if stall, stalled := h.Stall(time.Now()); stalled {
-			if s.Stalls == nil {
-				s.Stalls = make(map[string]top.Stall)
-			}
-			s.Stalls[h.tenure.Shard] = top.Stall{DurationS: int(time.Since(stall.Since).Seconds()), Cause: string(stall.Cause), Job: stall.Job}
+	return out
+}
+
+// addShardStatuses adds what the leaders of all shards tell of teams, zones and tiers.
+func (c *Controller) addShardStatuses(s *top.Status) {
+	tiers := make(map[string]tier.Status)
+	for _, status := range c.statuses.known() {
+		for name, t := range status.Tiers {
+			tiers[name] = tiers[name].Add(t)
 		}
-		for zone, text := range h.ZoneRecoveries() {
-			z := s.Zones[zone]
-			z.Recovery = text
-			s.Zones[zone] = z
+		for name, used := range status.Used {
+			team := s.Teams[name]
+			team.CPUs, team.GPUs = team.CPUs+used[0], team.GPUs+used[1]
+			s.Teams[name] = team
+		}
+		for zone, z := range status.Zones {
+			s.Zones[zone] = top.Zone{Machines: z.Up, Overdue: z.Quiet}
 		}
 	}
 	for name, t := range tiers {
@@ -81,21 +97,19 @@
 		}
 		s.Tiers[name] = top.Tier{Order: c.cfg.Tiers().IndexOfName(name), GPUs: t.Cards, Share: t.Share, Lent: t.Lent, Waiting: t.Waiting, Reclaims: t.Claims}
 	}
-	spent := c.client.CallStats()
-	s.Budget = top.Budget{RPS: c.cfg.Store.RPS, WriteRPS: c.cfg.Store.WriteRPS, Requests: uint64(spent.Requests), Changes: uint64(spent.Changes),
-		Refused: uint64(spent.Refused), Unanswered: uint64(spent.Unanswered)}
-	return s
 }
 
-// knownStatuses gives what the parts have said of themselves: all of them where there are several, else
-// that of the fleet, if it is held here.
-func (c *Controller) knownStatuses() map[string]leader.ShardStatus {
-	if !c.sharding.IsSingle() {
-		return c.statuses()
+// addLeaderStatus adds what only the leader of a shard knows, where that is here.
+func addLeaderStatus(s *top.Status, led *ledShard) {
+	if stall, stalled := led.Stall(time.Now()); stalled {
+		if s.Stalls == nil {
+			s.Stalls = make(map[string]top.Stall)
+		}
+		s.Stalls[led.tenure.Shard] = top.Stall{DurationS: int(time.Since(stall.Since).Seconds()), Cause: string(stall.Cause), Job: stall.Job}
 	}
-	out := make(map[string]leader.ShardStatus)
-	for _, h := range c.ledShards() {
-		out[h.tenure.Shard] = h.Status(time.Now())
+	for zone, text := range led.ZoneRecoveries() {
+		z := s.Zones[zone]
+		z.Recovery = text
+		s.Zones[zone] = z
 	}
-	return out
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,70 +1,117 @@
 package controller
 
 import (
+	"sync"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/membership"
 	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// Where the fleet is in several parts, what each holder says of its own reaches the
-// others in the beats of the mesh.
+const (
+	// heartbeatMaxAge is how old the last heartbeat of a live peer may be.
+	heartbeatMaxAge = 3 * peer.Interval
+	// storeContactMaxAge is for how long a controller that has lost the state service still tells
+	// its peers that the service answers.
+	storeContactMaxAge = 15 * time.Second
+)
+
+// peerTracker detects failures among the peers and numbers the heartbeats to them.
+type peerTracker struct {
+	mu       sync.Mutex
+	detector *membership.Detector
+	sent     uint64 // heartbeats
+}
+
+// record takes in a peer's heartbeat.
+func (t *peerTracker) record(b peer.Heartbeat) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.detector.RecordHeartbeat(time.Now(), b.From, b.StoreOK, b.Says)
+}
+
+// next returns the number of the next heartbeat, and what it says about the peers.
+func (t *peerTracker) next() (number uint64, ages membership.HeartbeatAges) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sent++
+	return t.sent, t.detector.HeartbeatAges(time.Now())
+}
 
-// heartbeatMaxAge is how old the beat of a sibling that lives may be.
-const heartbeatMaxAge = 3 * peer.Interval
+// alive lists the live peers that reach the state service, in order.
+func (t *peerTracker) alive(now time.Time) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.detector.Alive(now)
+}
 
+// firstAlive reports whether a controller comes first among those that are alive.
+func (t *peerTracker) firstAlive(now time.Time, name string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.detector.FirstAlive(now, name)
+}
+
+// dead reports whether the peers agree that one of them is dead.
+func (t *peerTracker) dead(now time.Time, name string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.detector.State(now, name) == membership.Dead
+}
+
+// localHeartbeat is what this controller tells its peers.
 func (c *Controller) localHeartbeat() peer.Heartbeat {
-	at, failing := c.follow.LastContact()
-	b := peer.Heartbeat{From: c.cfg.Name, StoreOK: !failing && time.Since(at) < 15*time.Second, Heard: c.gateway.Offered(), Passes: c.uplinks.ForwardsTo(), Format: store.Format,
-		Groups: c.sharding.String(), Tiers: c.tiersDigest, Writes: true, UpS: int(time.Since(c.startedAt).Seconds()), Begun: c.startedAt.UnixNano()}
-	c.mu.Lock()
-	c.heartbeatsSent++
-	b.Number = c.heartbeatsSent
-	b.Says = c.detector.HeartbeatAges(time.Now())
-	c.mu.Unlock()
+	contact, failing := c.state.follow.LastContact()
+	single := c.sharding.IsSingle()
+	b := peer.Heartbeat{
+		From:    c.cfg.Name,
+		StoreOK: !failing && time.Since(contact) < storeContactMaxAge,
+		Heard:   c.ingest.gateway.Offered(),
+		Passes:  c.ingest.uplinks.ForwardsTo(),
+		Format:  store.Format,
+		Groups:  c.sharding.String(),
+		Tiers:   c.tiersDigest,
+		Writes:  true,
+		UpS:     int(time.Since(c.startedAt).Seconds()),
+		Begun:   c.startedAt.UnixNano(),
+	}
+	b.Number, b.Says = c.tracker.next()
 	b.Sights = c.observations()
-	if !c.sharding.IsSingle() {
-		b.Ways, b.Parts = c.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
+	if !single {
+		b.Ways, b.Parts = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
 	}
-	for _, h := range c.ledShards() {
-		b.Term = max(b.Term, h.FencingToken())
-		if c.sharding.IsSingle() {
-			b.Counts = h.TaskCounts(time.Now())
+	for _, s := range c.led.all() {
+		b.Term = max(b.Term, s.FencingToken())
+		if single {
+			b.Counts = s.TaskCounts(time.Now())
 		} else {
-			b.Parts[h.tenure.Shard] = h.Status(time.Now())
+			b.Parts[s.tenure.Shard] = s.Status(time.Now())
 		}
 	}
 	return b
 }
 
-// sights gives what this controller sees of each zone by itself.
+// observations counts what this controller by itself knows of the machines of each zone.
 func (c *Controller) observations() map[string]zone.Observation {
 	now := time.Now()
-	out := c.gateway.Observations(now, c.cfg.Workers.HeartbeatInterval*7/5)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.fencingCalls.AddTo(now, out)
+	// A heartbeat that is late by two fifths of the interval is overdue.
+	out := c.ingest.gateway.Observations(now, c.cfg.Workers.HeartbeatInterval*7/5)
+	c.ingest.calls.addTo(now, out)
 	return out
 }
 
-// shareObservations tells the holders here what siblings see of each zone.
+// shareObservations gives the leaders here what the peers know of the machines of each zone.
 func (c *Controller) shareObservations() {
-	observers, beats := make(map[string]zone.Observer), c.peers.Latest(heartbeatMaxAge)
-	for _, sib := range c.cfg.Peers {
-		if b, heard := beats[sib.Name]; heard {
-			observers[sib.Name] = zone.Observer{Zone: sib.Zone, Observations: b.Sights}
+	observers, latest := make(map[string]zone.Observer), c.mesh.Latest(heartbeatMaxAge)
+	for _, p := range c.cfg.Peers {
+		if b, alive := latest[p.Name]; alive {
+			observers[p.Name] = zone.Observer{Zone: p.Zone, Observations: b.Sights}
 		}
 	}
-	for _, h := range c.ledShards() {
-		h.SetObservers(observers)
+	for _, s := range c.led.all() {
+		s.SetObservers(observers)
 	}
 }
-
-// recordHeartbeat takes in a sibling's beat.
-func (c *Controller) recordHeartbeat(b peer.Heartbeat) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.detector.RecordHeartbeat(time.Now(), b.From, b.StoreOK, b.Says)
-}
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -6,46 +6,39 @@
 	"amberdeal.example/amberdeal/internal/shard"
 )
 
-// Parts move only in quiet times, one after the other.
-const (
-	rebalanceAfter = 10 * time.Second // since a part last moved, and since the other began
-)
+// rebalanceAfter is how long no shard must have moved here, and how long a peer must have run,
+// before a shard moves to it: shards move one after the other, in quiet times.
+const rebalanceAfter = 10 * time.Second
 
-// rebalance gives one part back where a sibling holds far fewer. Its duties end first: once
-// another has claimed it, nothing is said here any more.
+// rebalance gives up one shard where a peer leads far fewer. Its duties end first: once a peer has
+// won it, nothing may be said of it here any more.
 func (c *Controller) rebalance() {
-	now := time.Now()
-	c.mu.Lock()
-	settled := now.Sub(c.shardMovedAt) >= rebalanceAfter
-	c.mu.Unlock()
-	if !settled {
+	if c.led.unchangedFor(time.Now()) < rebalanceAfter {
 		return
 	}
-	var others []shard.Controller
-	beats := c.peers.Latest(heartbeatMaxAge)
-	for _, o := range c.candidates() {
-		if time.Duration(beats[o.Name].UpS)*time.Second >= rebalanceAfter {
-			others = append(others, o)
+	var peers []shard.Controller
+	latest := c.mesh.Latest(heartbeatMaxAge)
+	for _, p := range c.candidacy.candidates() {
+		if time.Duration(latest[p.Name].UpS)*time.Second >= rebalanceAfter {
+			peers = append(peers, p)
 		}
 	}
 	var mine []shard.Shard
-	for _, h := range c.ledShards() {
-		if !h.Rebuilt() {
+	for _, s := range c.led.all() {
+		if !s.Rebuilt() {
 			return
 		}
-		mine = append(mine, shard.Shard{Name: h.tenure.Shard, Zones: c.sharding.ZonesOf(h.tenure.Shard)})
+		mine = append(mine, shard.Shard{Name: s.tenure.Shard, Zones: c.sharding.ZonesOf(s.tenure.Shard)})
 	}
-	shardName, ok := shard.Surplus(c.self(), mine, others)
-	if !ok {
+	name, found := shard.Surplus(c.candidacy.self(), mine, peers)
+	if !found {
 		return
 	}
-	c.mu.Lock()
-	h := c.led[shardName]
-	c.mu.Unlock()
-	if h == nil {
+	s := c.led.get(name)
+	if s == nil {
 		return
 	}
-	c.log.Info("giving a part back", "part", shardName, "term", h.tenure.FencingToken, "why", "a sibling holds fewer")
-	c.stopLeading(shardName, h)
-	c.elector.StepDown(shardName)
+	c.log.Info("giving up a shard", "shard", name, "token", s.tenure.FencingToken, "reason", "a peer leads fewer")
+	c.stopLeading(s)
+	c.elector.StepDown(name)
 }
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -1,90 +1,124 @@
 package controller
 
 import (
+	"sync"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/peer"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// statuses gives what the parts have last said, from here and by the mesh. The map is
-// shared and never changed: users' questions ask for it all the time.
-func (c *Controller) statuses() map[string]leader.ShardStatus {
-	c.mu.Lock()
-	all, at := c.shardStatuses, c.shardStatusesAt
-	c.mu.Unlock()
-	if all != nil && time.Since(at) < peer.Interval/4 {
-		return all
+const (
+	// statusMaxAge is for how long a collected status of all shards is used again: questions of
+	// users ask for it all the time.
+	statusMaxAge = peer.Interval / 4
+	// taskCountMaxAge is how old a leader's heartbeat may be whose task counts are shown.
+	taskCountMaxAge = 6 * time.Second
+)
+
+// statusBoard collects what the leaders say of their shards, from here and from the heartbeats of
+// the peers. Where the fleet is one shard, only its counts of tasks travel in heartbeats.
+type statusBoard struct {
+	sharding *fleet.Sharding
+	mesh     *peer.Mesh
+	led      *shardRegistry
+
+	mu        sync.Mutex
+	cached    map[string]leader.ShardStatus
+	collected time.Time
+}
+
+// all returns the last status of each shard. The map is shared and must not be changed.
+func (b *statusBoard) all() map[string]leader.ShardStatus {
+	b.mu.Lock()
+	cached, collected := b.cached, b.collected
+	b.mu.Unlock()
+	if cached != nil && time.Since(collected) < statusMaxAge {
+		return cached
 	}
-	all = c.collectStatuses()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.shardStatuses, c.shardStatusesAt = all, time.Now()
-	return all
+	cached = b.collect()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.cached, b.collected = cached, time.Now()
+	return cached
 }
 
-func (c *Controller) collectStatuses() map[string]leader.ShardStatus {
+func (b *statusBoard) collect() map[string]leader.ShardStatus {
 	out := make(map[string]leader.ShardStatus)
-	for _, b := range c.peers.Latest(2 * heartbeatMaxAge) {
-		for part, s := range b.Parts {
-			if s.Term > out[part].Term {
-				out[part] = s
+	for _, hb := range b.mesh.Latest(2 * heartbeatMaxAge) {
+		for name, status := range hb.Parts {
+			if status.Term > out[name].Term {
+				out[name] = status
 			}
 		}
 	}
 	now := time.Now()
-	for _, h := range c.ledShards() {
-		out[h.tenure.Shard] = h.Status(now)
+	for _, s := range b.led.all() {
+		out[s.tenure.Shard] = s.Status(now)
 	}
 	return out
 }
 
-// shareStatuses tells the holders here how the other parts stand.
-func (c *Controller) shareStatuses() {
-	all, edges := c.statuses(), len(c.receiver.ForwardingPeers(2*time.Second))
-	for _, h := range c.ledShards() {
-		others := make(map[string]leader.ShardStatus, len(all))
-		for part, s := range all {
-			if part != h.tenure.Shard {
-				others[part] = s
-			}
-		}
-		h.SetPeerShards(others, edges)
+// known returns the status of each shard of which something is known: of all where there are
+// several, else that of the fleet if it is led here.
+func (b *statusBoard) known() map[string]leader.ShardStatus {
+	if !b.sharding.IsSingle() {
+		return b.all()
 	}
-}
-
-// route gives the shares of a new job, and the number of the grouping that they are of. One
-// that comes while the state is divided otherwise is dealt out later.
-func (c *Controller) route(j *wire.Job, types []wire.MachineType) ([]store.ShardRange, uint64) {
-	g := c.view.Sharding().Record
-	if c.sharding.IsSingle() || g.Text != c.sharding.String() {
-		return nil, 0
+	out := make(map[string]leader.ShardStatus)
+	for _, s := range b.led.all() {
+		out[s.tenure.Shard] = s.Status(time.Now())
 	}
-	return c.router.Route(time.Now(), j, types), g.Generation
+	return out
 }
 
-// taskCounts gives a job's counts for display, from the holders wherever they are.
-func (c *Controller) taskCounts(job string) (sum leader.TaskCount) {
-	if !c.sharding.IsSingle() {
-		for _, s := range c.statuses() {
+// taskCounts returns a job's counts for display, from the leaders wherever they are.
+func (b *statusBoard) taskCounts(job string) (sum leader.TaskCount) {
+	if !b.sharding.IsSingle() {
+		for _, s := range b.all() {
 			n := s.Counts[job]
 			sum.Running += n.Running
 			sum.Done += n.Done
 		}
 		return sum
 	}
-	for _, h := range c.ledShards() {
-		if n, ok := h.TaskCounts(time.Now())[job]; ok {
+	for _, s := range b.led.all() {
+		if n, ok := s.TaskCounts(time.Now())[job]; ok {
 			return n
 		}
 	}
-	var best peer.Heartbeat
-	for _, b := range c.peers.Latest(6 * time.Second) {
-		if b.Term > best.Term {
-			best = b
+	var newest peer.Heartbeat
+	for _, hb := range b.mesh.Latest(taskCountMaxAge) {
+		if hb.Term > newest.Term {
+			newest = hb
 		}
 	}
-	return best.Counts[job]
+	return newest.Counts[job]
+}
+
+// shareStatuses gives the leaders here the status of the other shards.
+func (c *Controller) shareStatuses() {
+	all, forwarding := c.statuses.all(), len(c.ingest.receiver.ForwardingPeers(forwardingMaxAge))
+	for _, s := range c.led.all() {
+		others := make(map[string]leader.ShardStatus, len(all))
+		for name, status := range all {
+			if name != s.tenure.Shard {
+				others[name] = status
+			}
+		}
+		s.SetPeerShards(others, forwarding)
+	}
+}
+
+// route returns the shares of a new job and the generation of the sharding that they are of. A job
+// that comes while the state is sharded otherwise is assigned later.
+func (c *Controller) route(j *wire.Job, types []wire.MachineType) ([]store.ShardRange, uint64) {
+	current := c.state.view.Sharding().Record
+	if c.sharding.IsSingle() || current.Text != c.sharding.String() {
+		return nil, 0
+	}
+	return c.router.Route(time.Now(), j, types), current.Generation
 }
--- a/internal/controller/writers.go
+++ b/internal/controller/writers.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"sync"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/forward"
@@ -12,60 +13,73 @@
 // writerChoiceInterval is the time between two choices of who writes.
 const writerChoiceInterval = 250 * time.Millisecond
 
-// writerChoice is who writes, as last chosen.
+// writerChoice is who writes what users submit and cancel, as last chosen.
 type writerChoice struct {
 	names     []string
-	olderPeer bool // a sibling that is alive does not take what is forwarded: nobody forwards yet
+	olderPeer bool // a live peer of an older version takes nothing that is forwarded, so that nobody forwards yet
 	at        time.Time
 }
 
-// setUpForwarding sets up how submissions and cancellations reach those who write them.
-func (c *Controller) setUpForwarding() {
-	server := &forward.Server{Admission: c.admission, Log: c.log}
-	c.peers.Handlers[forward.StreamKind] = server.Serve
-	c.forwarder = &forward.Client{OpenStream: c.peers.OpenStream, Writer: c.writerOf, Log: c.log}
-	if policy := c.cfg.Writers(); policy.Forwards() {
-		c.admission.Forwarder = c.forwarder
-		c.admission.Intake.MaxQueue *= max(1, policy.Controllers/policy.MaxWriters/2) // a writer's users are those of several
-	}
+// writerChooser chooses the controllers that write for all.
+type writerChooser struct {
+	self   string // this controller's name
+	policy writers.Policy
+	mesh   *peer.Mesh
+	peers  *peerTracker
+	health *storeHealth
+	leads  func(name string) bool
+	// reroute sends back what waits here to be written, so that it can be forwarded.
+	reroute func()
+
+	mu   sync.Mutex
+	last writerChoice
 }
 
-// writers gives the controllers that write for all, none where each writes by itself or where too
-// few are heard here.
-func (c *Controller) writers(now time.Time) writerChoice {
-	policy := c.cfg.Writers()
-	if !policy.Forwards() {
+// choose returns the writers, none where each controller writes by itself or where too few peers
+// are alive.
+func (w *writerChooser) choose(now time.Time) writerChoice {
+	if !w.policy.Forwards() {
 		return writerChoice{}
 	}
-	c.mu.Lock()
-	last := c.writerChoice
-	alive := c.detector.Alive(now)
-	c.mu.Unlock()
+	w.mu.Lock()
+	last := w.last
+	w.mu.Unlock()
 	if !last.at.IsZero() && now.Sub(last.at) < writerChoiceInterval {
 		return last
 	}
-	beats := c.peers.Latest(3 * peer.Interval)
-	next := writerChoice{at: now, olderPeer: slices.ContainsFunc(alive, func(name string) bool { return !beats[name].Writes })}
-	if !c.storePartitioned(2 * time.Second) {
-		alive = append(alive, c.cfg.Name)
+	alive, latest := w.peers.alive(now), w.mesh.Latest(heartbeatMaxAge)
+	next := writerChoice{at: now, olderPeer: slices.ContainsFunc(alive, func(name string) bool { return !latest[name].Writes })}
+	if !w.health.partitioned(notReadyAfter) {
+		alive = append(alive, w.self)
 	}
 	if !next.olderPeer {
-		next.names = policy.Choose(alive, c.leads)
+		next.names = w.policy.Choose(alive, w.leads)
 	}
-	c.mu.Lock()
-	c.writerChoice = next
-	c.mu.Unlock()
-	if last.names == nil && next.names != nil && !slices.Contains(next.names, c.cfg.Name) {
-		c.admission.Intake.Reroute() // its share of the changes is about to fall
+	w.mu.Lock()
+	w.last = next
+	w.mu.Unlock()
+	if last.names == nil && next.names != nil && !slices.Contains(next.names, w.self) {
+		w.reroute() // this controller's share of the changes is about to fall
 	}
 	return next
 }
 
-// writerOf names the sibling that writes a job, none where this controller does.
-func (c *Controller) writerOf(job string, avoid func(name string) bool) string {
-	name := writers.WriterOf(c.writers(time.Now()).names, job, avoid)
-	if name == c.cfg.Name {
+// writerOf names the peer that writes a job, none where this controller does.
+func (w *writerChooser) writerOf(job string, avoid func(name string) bool) string {
+	name := writers.WriterOf(w.choose(time.Now()).names, job, avoid)
+	if name == w.self {
 		return ""
 	}
 	return name
 }
+
+// setUpForwarding sets up how submissions and cancellations reach those who write them.
+func (c *Controller) setUpForwarding() {
+	server := &forward.Server{Admission: c.admission, Log: c.log}
+	c.mesh.Handlers[forward.StreamKind] = server.Serve
+	c.forwarder = &forward.Client{OpenStream: c.mesh.OpenStream, Writer: c.writers.writerOf, Log: c.log}
+	if policy := c.writers.policy; policy.Forwards() {
+		c.admission.Forwarder = c.forwarder
+		c.admission.Intake.MaxQueue *= max(1, policy.Controllers/policy.MaxWriters/2) // a writer serves the users of several controllers
+	}
+}
--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -38,10 +38,10 @@
 					_ = gob.NewEncoder(its).Encode(peer.Heartbeat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
 					its.Close()
 				}()
-				c.peers.Receive(t.Context(), pipe{mine})
+				c.mesh.Receive(t.Context(), pipe{mine})
 			}
 			time.Sleep(time.Second)
-			return c.writers(time.Now())
+			return c.writers.choose(time.Now())
 		}
 		all := []int{1, 2, 3, 4, 5, 6}
 		if got := hear(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
@@ -56,7 +56,7 @@
 		for range 4 {
 			hear(func(int) bool { return true }, 1, 2, 4, 5, 6)
 		}
-		if got := c.writers(time.Now()); got.olderPeer || len(got.names) != 4 {
+		if got := c.writers.choose(time.Now()); got.olderPeer || len(got.names) != 4 {
 			t.Errorf("once the older one is not heard: %+v", got)
 		}
 		if got := hear(func(int) bool { return true }, 1, 2); len(got.names) != 4 {
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -623,7 +623,7 @@
 	want := strings.Fields(`
 		internal/admission.commit
 		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
-		internal/controller.watchLeaders
+		internal/controller.step
 		internal/leader.Decide internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
 		internal/leader/commit.AddChange internal/leader/commit.AddChangeIf internal/leader/commit.Empty internal/leader/commit.Guard internal/leader/commit.OpenLedger internal/leader/commit.Seal
 		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
