--- /dev/null
+++ b/internal/leader/calls.go
@@ -0,0 +1,156 @@
+package leader
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/transport"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// Direct calls: how many at once, how long before the same stops are sent
+// again, and how long before a machine is again asked to take the term or to
+// be heard, which doubles with each call in vain.
+const (
+	maxOpenCalls           = 48
+	stopResendInterval     = 3 * time.Second
+	minFencingCallInterval = time.Second
+	maxFencingCallInterval = 8 * time.Second
+)
+
+// callLoop sends stops and launches straight to the machines, and raises the
+// term at machines that have not been seen at it.
+func (h *Leader) callLoop(ctx context.Context, e Dependencies) error {
+	busy := make(chan struct{}, maxOpenCalls)
+	for ctx.Err() == nil {
+		if h.reconcileDue(time.Now()) {
+			h.Reconcile(time.Now(), e.View.Snapshot())
+		}
+		for _, c := range h.dueCalls(time.Now(), e.LeaseValid(), maxOpenCalls-len(busy)) {
+			busy <- struct{}{}
+			go func() {
+				defer func() { <-busy }()
+				h.callMachine(ctx, e, c)
+			}()
+		}
+		t := time.NewTimer(300 * time.Millisecond)
+		select {
+		case <-ctx.Done():
+		case <-h.wakeCalls:
+		case <-t.C:
+		}
+		t.Stop()
+	}
+	return nil
+}
+
+// directCall is a direct call to a machine.
+type directCall struct {
+	machine, addr string
+	incarnation   uint64
+	digest        string // the commands, for telling whether they are the same
+	commands      []wire.Command
+	launches      []*fleet.Placement
+	fencing       bool // only to be heard, or to raise the term
+}
+
+// callState is what the holder remembers of the direct calls to a machine.
+type callState struct {
+	startedAt     time.Time
+	digest        string
+	open          bool      // not answered yet
+	failures      int       // calls in vain since it last answered
+	firstFailedAt time.Time // when the first of these was made
+	peerFailed    bool      // the last one was left to a sibling, in vain
+}
+
+// dueCalls lists the direct calls to make now, at most so many: those with
+// commands go first, since many machines may be waiting for the term, and of
+// these the ones with the fewest tasks, where work can be placed soonest.
+func (h *Leader) dueCalls(now time.Time, valid bool, limit int) []directCall {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	var out []directCall
+	var due []*fleet.Machine
+	machines, urgent := h.machinesByUrgency()
+	for i, m := range machines {
+		if i == urgent && h.preemptions.tierSet.Configured() {
+			limit -= maxOpenCalls / 8 // which is the first tier's
+		}
+		if len(out) >= limit {
+			break
+		}
+		last := h.callStates[m.ID]
+		if m.Addr == "" || m.Releasing || last.inFlight(now) {
+			continue
+		}
+		c := directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
+		// Where calls are in vain while reports come, launches go by the answers.
+		reached := last.failures < 2 || now.Sub(last.startedAt) >= maxFencingCallInterval
+		c.commands, c.launches = h.fleet.DirectCommands(m, valid && reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m))
+		if len(c.commands) > 0 {
+			if c.digest = fmt.Sprint(c.commands); len(c.launches) > 0 || c.digest != last.digest || now.Sub(last.startedAt) >= stopResendInterval {
+				out = append(out, c)
+			}
+			continue
+		}
+		if h.fencingCallDue(now, m) {
+			due = append(due, m)
+		}
+	}
+	probes := h.probes(now, len(due) > 0)
+	if left := max(0, min(limit-len(out), h.throttle.Window()-h.fencingCallsOpen)-len(probes)); len(due) > left {
+		sortByLoad(due)
+		due = h.unreachableZonesLast(due)[:left]
+	}
+	due = append(due, probes...)
+	for _, m := range due {
+		out = append(out, directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation), fencing: true})
+	}
+	h.fencingCallsOpen += len(due)
+	for _, c := range out {
+		last := h.callStates[c.machine]
+		h.callStates[c.machine] = callState{startedAt: now, digest: c.digest, open: true, failures: last.failures, firstFailedAt: last.firstFailedAt}
+	}
+	return out
+}
+
+func (h *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
+	outcome, answered := fleet.Refused, false
+	defer func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.fleet.CallFinished(c.launches, outcome)
+		if c.fencing {
+			h.fencingCallsOpen--
+		}
+		h.callFinished(time.Now(), c.machine, answered)
+	}()
+	if c.incarnation == 0 {
+		r, err := e.Workers.Inspect(ctx, c.addr)
+		if err != nil || r.Machine != c.machine {
+			return
+		}
+		h.HandleInspection(time.Now(), r)
+		c.incarnation = r.Incarnation
+	}
+	r, ok, err := e.Workers.Send(ctx, c.addr, wire.CommandRequest{FencingToken: h.lease.FencingToken, Incarnation: c.incarnation, Commands: c.commands})
+	switch {
+	case errors.Is(err, transport.ErrNotSent):
+	case err != nil || r.Machine != c.machine:
+		outcome = fleet.Unanswered
+	case ok:
+		outcome = fleet.Executed
+	}
+	if err != nil || r.Machine != c.machine {
+		h.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "error", err)
+		return
+	}
+	if answered = true; r.FencingToken <= h.lease.FencingToken {
+		h.HandleInspection(time.Now(), r)
+	}
+}
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
@@ -83,92 +82,6 @@
 	return d
 }
 
-// storeFinishedJobs writes that jobs are done, of which every task is.
-func (h *Leader) storeFinishedJobs(now time.Time, d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
-		j, l := h.jobStates[id], h.liveJobs[id]
-		if l == nil || j == nil {
-			h.unstored.Remove(id)
-			continue
-		}
-		tasks, all := j.finished.Difference(j.storedFinished), h.allFinished(l, j)
-		if len(tasks) == 0 && (!all || h.sharding.IsSingle()) {
-			h.unstored.Remove(id)
-			continue
-		}
-		if !all || len(tasks) > 0 && h.unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
-			continue
-		}
-		if r := d.Update(l); r != nil { // or the next round has room
-			if h.finishRanges(r, id, l, now) {
-				d.done = append(d.done, id)
-			}
-			d.finished[id] = tasks
-		}
-	}
-}
-
-// storeProgress writes the blocks of jobs in which tasks have finished, as far as
-// the round has room.
-func (h *Leader) storeProgress(d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
-		j, l := h.jobStates[id], h.liveJobs[id]
-		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.unassigned(l)) {
-			continue
-		}
-		last, fits := -1, false
-		var stored []int
-		for _, i := range j.finished.Difference(j.storedFinished) {
-			if b := i / store.TasksPerBlock; b != last {
-				last, fits = b, d.Add(store.ProgressEntry(id, b, j.finished))
-			}
-			if fits {
-				stored = append(stored, i)
-			}
-		}
-		if len(stored) > 0 {
-			d.finished[id] = stored
-		}
-	}
-}
-
-// dropObsolete drops what is of no more use, as far as the round has room.
-func (h *Leader) dropObsolete(d *Draft) {
-	if h.typesChanged && d.ChangesLeft() > 0 {
-		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
-		h.typesChanged, d.storesTypes = false, true
-	}
-	for _, id := range sortedKeys(h.machinesToDrop) {
-		if !h.ledger.HasMachine(id) || d.machines[id] || d.Add(store.DropMachine(id)) {
-			d.dropped = append(d.dropped, id)
-		}
-	}
-	for _, name := range sortedKeys(h.requestsToDrop) {
-		if !h.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
-			d.dropped = append(d.dropped, name)
-		}
-	}
-}
-
-// machineRecord is what the store keeps of a machine. What was seen ended there is not named, be its
-// launch loose: until a clear at a later term a copy does nothing, and then it is refused.
-func machineRecord(m *fleet.Machine) store.MachineRecord {
-	tasks := m.PossibleAttempts()
-	for _, p := range m.Placements() {
-		if name := p.Task.String(); !p.Active() && tasks[name] == p.Attempt {
-			delete(tasks, name)
-		}
-	}
-	return store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation, Tasks: tasks}
-}
-
-// machineEntry gives the entry of a machine for a round.
-func (h *Leader) machineEntry(d *Draft, id string) store.Entry {
-	r := machineRecord(h.fleet.Machine(id))
-	d.ledgerTasks[id] = r.Tasks
-	return store.MachineEntry(id, r)
-}
-
 // plan lets sched choose and turns its plan into the draft.
 func (h *Leader) plan(now time.Time, d *Draft) {
 	snapshot := h.clusterSnapshot(now)
@@ -214,38 +127,6 @@
 	h.logStall(now)
 }
 
-func (h *Leader) machineType(name string) wire.MachineType {
-	for _, t := range h.types {
-		if t.Name == name {
-			return t
-		}
-	}
-	return wire.MachineType{}
-}
-
-// teamUsage sums what the teams' tasks use or may use.
-func (h *Leader) teamUsage() map[string]scheduler.Resources {
-	out := make(map[string]scheduler.Resources)
-	for _, m := range h.fleet.Machines() {
-		for _, p := range m.Placements() {
-			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
-				u := out[t.Team]
-				out[t.Team] = scheduler.Resources{CPUs: u.CPUs + t.CPUs, GPUs: u.GPUs + t.GPUs}
-			}
-		}
-	}
-	return out
-}
-
-// taskDemand tells what a task of a job takes, even when the job is over.
-func (h *Leader) taskDemand(job string) (store.TaskDemand, bool) {
-	if l := h.liveJobs[job]; l != nil {
-		return l.Record.TaskDemand()
-	}
-	rec, _ := h.jobIndex.Job(job)
-	return rec.TaskDemand()
-}
-
 func sortedKeys[K interface{ ~string | ~int }, V any](m map[K]V) []K {
 	out := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -4,6 +4,7 @@
 	"maps"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/tier"
 )
@@ -97,3 +98,37 @@
 	}
 	return up >= minMachinesToJudge && quiet*10 >= up*9 && otherUp >= minMachinesToJudge && otherQuiet*3 <= otherUp
 }
+
+// TaskCount is how many tasks of a job run and are done, for display.
+type TaskCount struct{ Running, Done int }
+
+// statusInterval is how old the counts may be: users expect no more of them than to
+// follow within a few seconds.
+const statusInterval = time.Second
+
+// TaskCounts gives the counts of all live jobs that have any. The map is shared and
+// never changed.
+func (h *Leader) TaskCounts(now time.Time) map[string]TaskCount {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.taskCounts != nil && now.Sub(h.taskCountsAt) < statusInterval {
+		return h.taskCounts
+	}
+	out := make(map[string]TaskCount, len(h.liveJobs))
+	for id, j := range h.jobStates {
+		if n := j.storedFinished.Count(); n > 0 && h.liveJobs[id] != nil {
+			out[id] = TaskCount{Done: n}
+		}
+	}
+	for _, m := range h.fleet.Machines() {
+		for _, p := range m.Placements() {
+			if (p.State == fleet.Running || p.State == fleet.Saving) && h.liveJobs[p.Task.Job] != nil {
+				c := out[p.Task.Job]
+				c.Running++
+				out[p.Task.Job] = c
+			}
+		}
+	}
+	h.taskCounts, h.taskCountsAt = out, now
+	return out
+}
