--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -6,71 +6,61 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// addMachineFor adds a machine that would be rented for a job.
-func (pl *planner) addMachineFor(j *Job, o Offer) *Machine {
-	m := pl.addMachine(o)
-	m.queuePosition = j.queuePosition
-	return m
-}
-
-// addMachine adds a machine that would be rented, for what is yet to come.
-func (pl *planner) addMachine(o Offer) *Machine {
-	t := pl.types[o.Type]
-	m := &Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Booting: true, Free: Resources{t.CPUs, t.GPUs, t.MemoryGB}, offerIndex: pl.offerIndex(o), queuePosition: len(pl.Jobs)}
-	if pl.requested == nil {
-		pl.requested = make(map[Offer]int)
-	}
-	pl.requested[o]++
-	pl.newMachines = append(pl.newMachines, m)
-	pl.booting[m.offerIndex] = append(pl.booting[m.offerIndex], m)
-	pl.machinesInZone[m.Zone]++
-	return m
-}
-
+// planScaleOut counts the machines that the plan would rent, by offer.
 func (pl *planner) planScaleOut() {
-	at := make(map[Offer]int)
-	for _, m := range pl.newMachines {
+	index := make(map[Offer]int)
+	for _, m := range pl.pool.added {
 		o := Offer{m.Type, m.Zone, m.Spot}
-		i, known := at[o]
+		i, known := index[o]
 		if !known {
-			i, at[o] = len(pl.plan.ScaleOuts), len(pl.plan.ScaleOuts)
+			i = len(pl.plan.ScaleOuts)
+			index[o] = i
 			pl.plan.ScaleOuts = append(pl.plan.ScaleOuts, ScaleOut{Offer: o, QueuePosition: m.queuePosition})
 		}
-		r := &pl.plan.ScaleOuts[i]
-		r.Count, r.QueuePosition = r.Count+1, min(r.QueuePosition, m.queuePosition)
+		out := &pl.plan.ScaleOuts[i]
+		out.Count++
+		out.QueuePosition = min(out.QueuePosition, m.queuePosition)
 	}
 }
 
-// planScaleIn returns machines that have been idle for long, but keeps room for
-// the next service that comes.
+// planScaleIn returns machines that have been idle for long, but keeps capacity for the next
+// service that comes.
 func (pl *planner) planScaleIn() {
 	for _, m := range pl.Machines {
-		if !m.usedByPlan && m.Usable && len(m.Tasks) == 0 && m.IdleFor > pl.IdleTimeout && pl.servicesStillFit(m) {
+		idle := m.Usable && !m.usedByPlan && len(m.Tasks) == 0 && m.IdleFor > pl.IdleTimeout
+		if idle && pl.servicesStillFit(m) {
 			m.Usable = false
 			pl.plan.ScaleIns = append(pl.plan.ScaleIns, m.ID)
 		}
 	}
 }
 
-// servicesStillFit reports whether every class of services still finds room for one more
-// task when a machine is gone.
+// servicesStillFit reports whether every class of services still finds capacity for one more task
+// when a machine is gone.
 func (pl *planner) servicesStillFit(without *Machine) bool {
 	if pl.serviceClasses == nil {
-		asked := make(map[string]bool)
-		pl.serviceClasses = []*Job{}
-		for _, j := range pl.Jobs {
-			if j.Shape == wire.Service && !asked[j.Class] {
-				asked[j.Class] = true
-				pl.serviceClasses = append(pl.serviceClasses, j)
-			}
-		}
+		pl.serviceClasses = oneServiceOfEachClass(pl.Jobs)
 	}
 	for _, j := range pl.serviceClasses {
-		if !slices.ContainsFunc(pl.usable, func(m *Machine) bool {
-			return m != without && m.Usable && m.Free.Fits(ResourcesOf(j.Job)) && allowsOffer(j, pl.offers[m.offerIndex])
-		}) {
+		fits := slices.ContainsFunc(pl.pool.usable, func(m *Machine) bool {
+			return m != without && m.Usable && m.Free.Fits(ResourcesOf(j.Job)) && allowsOffer(j, pl.pool.offers[m.offerIndex])
+		})
+		if !fits {
 			return false
 		}
 	}
 	return true
 }
+
+// oneServiceOfEachClass gives the first job of each class of services; the list is never nil.
+func oneServiceOfEachClass(jobs []*Job) []*Job {
+	known := make(map[string]bool)
+	out := []*Job{}
+	for _, j := range jobs {
+		if j.Shape == wire.Service && !known[j.Class] {
+			known[j.Class] = true
+			out = append(out, j)
+		}
+	}
+	return out
+}
--- a/internal/scheduler/bestfit.go
+++ b/internal/scheduler/bestfit.go
@@ -9,16 +9,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// candidate is a machine with what placing a task there spoils.
+// candidate is a machine that has a job's image, with what a task of it takes there.
 type candidate struct {
 	*Machine
-	valueLost float64
-	cost      float64 // of a task's share, by the offer
+	valueLost float64 // see valuation.lost
+	cost      float64 // of the task's share, by the machine's offer
 }
 
-// bestFit picks the machine for a task: one that holds the image or fetches
-// it, else the roomiest of a zone. Among holders the one is taken whose room is
-// spoilt least, and among zones the one whose roomiest machine is the fullest.
+// bestFit picks the machine for a task: one that has the image or fetches it, else the emptiest
+// of a zone. Among those with the image it takes the one on which the least value is lost, and
+// among zones the one whose emptiest machine is the fullest.
 func (s *search) bestFit() *Machine {
 	if !s.scanned {
 		s.scan()
@@ -35,26 +35,44 @@
 	if best >= 0 {
 		return s.withImage[best].Machine
 	}
-	roomiest := make(map[string]*Machine)
+	return s.emptiestOfAZone()
+}
+
+// emptiestOfAZone picks a machine for a task that must fetch its image.
+func (s *search) emptiestOfAZone() (pick *Machine) {
+	emptiest := make(map[string]*Machine)
 	for _, m := range s.withoutImage {
-		if r := roomiest[m.Zone]; r == nil || emptierMachine(s.job, m, r) {
-			roomiest[m.Zone] = m
+		if known := emptiest[m.Zone]; known == nil || emptierMachine(s.job, m, known) {
+			emptiest[m.Zone] = m
 		}
 	}
-	var pick *Machine
-	for _, zone := range slices.Sorted(maps.Keys(roomiest)) {
-		m := roomiest[zone]
-		if zoneAllowed(s.job, s.tasksByZone, zone) && (pick == nil || pick.reservedForOther(s.job) && !m.reservedForOther(s.job) || s.tasksByZone[zone] < s.tasksByZone[pick.Zone] && s.job.Spread || s.tasksByZone[zone] == s.tasksByZone[pick.Zone] && fuller(s.job, m, pick)) {
+	for _, zone := range slices.Sorted(maps.Keys(emptiest)) {
+		m := emptiest[zone]
+		if zoneAllowed(s.job, s.tasksByZone, zone) && (pick == nil || s.betterZone(m, pick)) {
 			pick = m
 		}
 	}
 	return pick
 }
 
+// betterZone reports whether a machine is to be taken rather than that of another zone.
+func (s *search) betterZone(m, pick *Machine) bool {
+	here, there := s.tasksByZone[m.Zone], s.tasksByZone[pick.Zone]
+	return pick.reservedForOther(s.job) && !m.reservedForOther(s.job) ||
+		here < there && s.job.Spread ||
+		here == there && fuller(s.job, m, pick)
+}
+
+// sameWithin is how much two costs may differ and still count as equal, as a part of their sum.
+const sameWithin = 1e-6
+
+// differs reports whether two costs differ by more than rounding.
+func differs(a, b float64) bool { return math.Abs(a-b) > sameWithin*(a+b) }
+
 // betterCandidate reports whether a is to be taken rather than b.
 func betterCandidate(j *Job, a, b candidate) bool {
-	if ka, kb := a.reservedForOther(j), b.reservedForOther(j); ka != kb {
-		return kb
+	if ra, rb := a.reservedForOther(j), b.reservedForOther(j); ra != rb {
+		return rb
 	}
 	if j.Spot && a.Spot != b.Spot {
 		return a.Spot
@@ -62,20 +80,20 @@
 	if ea, eb := a.empty(), b.empty(); ea != eb {
 		return eb // an empty machine may be returned
 	}
-	if ca, cb := a.isFetching(j.Image), b.isFetching(j.Image); j.Priority == wire.Production && ca != cb {
-		return cb
+	if fa, fb := a.isFetching(j.Image), b.isFetching(j.Image); j.Priority == wire.Production && fa != fb {
+		return fb
 	}
-	if math.Abs(a.cost-b.cost) > 1e-6*(a.cost+b.cost) {
-		return a.cost < b.cost // so that the dear ones fall empty first
+	if differs(a.cost, b.cost) {
+		return a.cost < b.cost // so that the expensive ones become empty first
 	}
-	if math.Abs(a.valueLost-b.valueLost) > 1e-6*(a.valueLost+b.valueLost) {
+	if differs(a.valueLost, b.valueLost) {
 		return a.valueLost < b.valueLost
 	}
 	return fuller(j, a.Machine, b.Machine)
 }
 
-// fuller reports whether a is the better of two machines for keeping others
-// free: cheap ones first where the job may, then the one with less room.
+// fuller reports whether a is to be taken rather than b so that others stay free: spot machines
+// first where the job may use them, then the one with less capacity.
 func fuller(j *Job, a, b *Machine) bool {
 	if j.Spot && a.Spot != b.Spot {
 		return a.Spot
@@ -83,17 +101,17 @@
 	return cmp.Or(cmp.Compare(a.Free.GPUs, b.Free.GPUs), cmp.Compare(a.Free.CPUs, b.Free.CPUs), cmp.Compare(a.ID, b.ID)) < 0
 }
 
-// emptierMachine reports whether a is the better of two machines for a task that must
-// fetch its image: cheap ones first here too, then the one with more room.
+// emptierMachine reports whether a is to be taken rather than b for a task that must fetch its
+// image: spot machines first here too, then the one with more capacity.
 func emptierMachine(j *Job, a, b *Machine) bool {
-	if ka, kb := a.reservedForOther(j), b.reservedForOther(j); ka != kb {
-		return kb
+	if ra, rb := a.reservedForOther(j), b.reservedForOther(j); ra != rb {
+		return rb
 	}
 	if j.Spot && a.Spot != b.Spot {
 		return a.Spot
 	}
-	if ca, cb := a.fetchesNothing(), b.fetchesNothing(); j.Priority == wire.Production && ca != cb {
-		return ca
+	if fa, fb := a.fetchesNothing(), b.fetchesNothing(); j.Priority == wire.Production && fa != fb {
+		return fa
 	}
 	return fuller(j, b, a)
 }
--- a/internal/scheduler/fetch.go
+++ b/internal/scheduler/fetch.go
@@ -13,22 +13,22 @@
 }
 
 // AddFetch notes an image that is on its way to a machine.
-func (m *Machine) AddFetch(image string, top bool) {
+func (m *Machine) AddFetch(image string, forProduction bool) {
 	for i := range m.Fetches {
 		if m.Fetches[i].Image == image {
-			m.Fetches[i].ForProduction = m.Fetches[i].ForProduction || top
+			m.Fetches[i].ForProduction = m.Fetches[i].ForProduction || forProduction
 			return
 		}
 	}
-	m.Fetches = append(m.Fetches, Fetch{image, top})
+	m.Fetches = append(m.Fetches, Fetch{image, forProduction})
 }
 
 func containsFetch(list []Fetch, image string) bool {
 	return slices.ContainsFunc(list, func(f Fetch) bool { return f.Image == image })
 }
 
-// fetchesNothing reports whether nothing is being fetched to a machine: what comes there has its whole
-// rate.
+// fetchesNothing reports whether no image is on its way to a machine: a new one gets the
+// machine's whole fetch rate.
 func (m *Machine) fetchesNothing() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
 
 // isFetching reports whether an image is still on its way to a machine.
@@ -36,9 +36,10 @@
 	return containsFetch(m.Fetches, image) || containsFetch(m.plannedFetches, image)
 }
 
-// defersFetch reports whether a machine is not to begin with the image of a job: it may share its
-// rate among all that it fetches, and production waits for one of these.
+// defersFetch reports whether a machine is not to begin with the image of a job yet: all fetches
+// may share the machine's rate, and production waits for one that is under way.
 func (m *Machine) defersFetch(j *Job) bool {
-	top := func(f Fetch) bool { return f.ForProduction }
-	return j.Priority != wire.Production && (slices.ContainsFunc(m.Fetches, top) || slices.ContainsFunc(m.plannedFetches, top))
+	forProduction := func(f Fetch) bool { return f.ForProduction }
+	return j.Priority != wire.Production &&
+		(slices.ContainsFunc(m.Fetches, forProduction) || slices.ContainsFunc(m.plannedFetches, forProduction))
 }
--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -3,69 +3,119 @@
 import (
 	"cmp"
 	"maps"
+	"math"
 	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/wire"
 )
 
-// slot is room for one task on a machine, with what there is to wait for: the seconds until
-// it is free, less where a part of it is free already.
+// slot is capacity for one task on a machine, now or later.
 type slot struct {
 	*Machine
-	wait float64
+	wait float64 // seconds until it is free, less where a part of it is free already
 }
 
-// slotList collects slots, of which only so many are asked for in the end.
+// slotList collects slots, of which only so many are needed in the end.
 type slotList struct {
 	list   []slot
 	wanted int
-	cutoff float64 // as far as there are enough better ones
+	cutoff float64 // the longest wait of interest, as far as there are enough better slots
 }
 
-func (s *slotList) add(next slot, all bool) {
-	if next.wait >= s.cutoff {
+// slotSlack and slotFactor tell how long a list may become, beside how many slots are wanted, before it is
+// cut: sorting it at each slot would cost more than it saves.
+const (
+	slotFactor = 4
+	slotSlack  = 64
+)
+
+// add takes in a slot, unless there are enough better ones. With all none is left out.
+func (l *slotList) add(s slot, all bool) {
+	if s.wait >= l.cutoff {
 		return
 	}
-	if s.list = append(s.list, next); all || len(s.list) < 4*s.wanted+64 {
+	l.list = append(l.list, s)
+	if all || len(l.list) < slotFactor*l.wanted+slotSlack {
 		return
 	}
-	s.sort()
-	s.list = s.list[:s.wanted]
-	s.cutoff = s.list[s.wanted-1].wait
+	l.sort()
+	l.list = l.list[:l.wanted]
+	l.cutoff = l.list[l.wanted-1].wait
+}
+
+func (l *slotList) sort() {
+	slices.SortStableFunc(l.list, func(a, b slot) int { return cmp.Compare(a.wait, b.wait) })
+}
+
+// gangSlots is the slots for a gang, by zone where it must be in one, else all under the job's zone.
+type gangSlots map[string]*slotList
+
+func (g gangSlots) add(j *Job, m *Machine, wait float64) {
+	zone := j.Zone
+	if j.OneZone {
+		zone = m.Zone
+	}
+	if g[zone] == nil {
+		g[zone] = &slotList{wanted: len(j.Waiting), cutoff: math.Inf(1)}
+	}
+	g[zone].add(slot{m, wait}, j.Spread)
 }
 
-func (s *slotList) sort() {
-	slices.SortStableFunc(s.list, func(a, b slot) int { return cmp.Compare(a.wait, b.wait) })
+// slotsByZone finds slots for a gang on machines that boot or are up.
+func (pl *planner) slotsByZone(j *Job) gangSlots {
+	slots, need := make(gangSlots), ResourcesOf(j.Job)
+	allowed := make([]bool, len(pl.pool.offers))
+	for i, o := range pl.pool.offers {
+		allowed[i] = allowsOffer(j, o)
+		t := pl.pool.types[o.Type]
+		if t == nil || !allowed[i] {
+			continue
+		}
+		for _, m := range pl.pool.booting[i] {
+			if m.ID == "" && pl.Doubtful[o] {
+				continue // what is asked for there will hardly come
+			}
+			for range min(m.Free.Slots(need), len(j.Waiting)) {
+				slots.add(j, m, t.BootS)
+			}
+		}
+	}
+	for _, m := range pl.pool.usable {
+		if allowed[m.offerIndex] && !j.AvoidMachines[m.ID] {
+			slots.addFuture(j, need, m)
+		}
+	}
+	return slots
 }
 
-// futureSlots lists room for so many tasks on a machine as its tasks end, as far as their estimates can
-// tell. What is free already of a slot counts more than when the rest will be: else it would
-// be given up again for one that seems a little sooner.
-func (pl *planner) futureSlots(need Resources, most int, m *Machine, add func(*Machine, float64)) {
-	room := m.Free
-	n := min(max(0, room.Slots(need)), most)
+// addFuture adds the slots on a machine as its tasks end, as far as their estimates can tell. What
+// is free already of a slot counts more than when the rest will be: else the slot would be given
+// up again for one that seems a little sooner.
+func (g gangSlots) addFuture(j *Job, need Resources, m *Machine) {
+	free, wanted := m.Free, len(j.Waiting)
+	n := min(max(0, free.Slots(need)), wanted)
 	for range n {
-		add(m, 0)
+		g.add(j, m, 0)
 	}
-	missing := room.AddScaled(need, -float64(n)).shortfall(need)
-	for _, e := range pl.taskEndsOf(m) {
-		room = room.AddScaled(e.frees, 1)
-		for ; n < min(room.Slots(need), most); n++ {
-			add(m, e.after.Seconds()*missing*missing)
+	missing := free.AddScaled(need, -float64(n)).shortfall(need)
+	for _, e := range m.endsOfTasks() {
+		free = free.AddScaled(e.frees, 1)
+		for ; n < min(free.Slots(need), wanted); n++ {
+			g.add(j, m, e.after.Seconds()*missing*missing)
 			missing = 1
 		}
 	}
 }
 
-// taskEnd is a task that will leave its room.
+// taskEnd is when a task should end, and what it frees then.
 type taskEnd struct {
 	frees Resources
 	after time.Duration
 }
 
-// taskEndsOf lists the tasks of a machine that should end, the next first.
-func (pl *planner) taskEndsOf(m *Machine) []taskEnd {
+// endsOfTasks lists when the machine's tasks should end, the next first. Services do not end.
+func (m *Machine) endsOfTasks() []taskEnd {
 	if m.taskEnds == nil {
 		m.taskEnds = make([]taskEnd, 0, len(m.Tasks))
 		for _, t := range m.Tasks {
@@ -79,19 +129,19 @@
 }
 
 // pickLeastWait picks slots for a gang, the soonest first, but for those that take longer than a
-// boot where one can be had.
-func pickLeastWait(j *Job, from *slotList, boot float64) (picks []slot, sum float64) {
+// boot where a machine can be rented. wait sums what there is to wait for.
+func pickLeastWait(j *Job, from *slotList, boot float64) (picks []slot, wait float64) {
 	from.sort()
-	in := maps.Clone(j.InZone)
+	tasksByZone := maps.Clone(j.InZone)
 	for _, s := range from.list {
 		if len(picks) == len(j.Waiting) || boot > 0 && s.wait > boot {
 			break
 		}
-		if zoneAllowed(j, in, s.Zone) {
-			in[s.Zone]++
+		if zoneAllowed(j, tasksByZone, s.Zone) {
+			tasksByZone[s.Zone]++
 			picks = append(picks, s)
-			sum += s.wait
+			wait += s.wait
 		}
 	}
-	return picks, sum
+	return picks, wait
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,70 +9,80 @@
 
 // placeGang places all waiting tasks of a gang, or none.
 func (pl *planner) placeGang(j *Job) {
-	team := pl.Teams[j.Team]
-	whole := Resources{}.AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)))
+	team, n := pl.Teams[j.Team], len(j.Waiting)
 	if team == nil || j.Active > 0 {
 		return
 	}
-	if !team.allows(whole) {
-		if pl.reportQuotaDemand(j, len(j.Waiting)); j.reservationTurn > 0 {
-			team.consume(whole) // what is left is not for smaller work that stands behind it
+	whole := ResourcesOf(j.Job).Scaled(float64(n))
+	switch {
+	case !team.allows(whole):
+		pl.reportQuotaDemand(j, n)
+		if j.reservationTurn > 0 {
+			team.consume(whole) // what is left is not for smaller work that is behind it
 		}
-		return
-	}
-	if j.MaybeRunning {
+	case j.MaybeRunning:
 		for _, m := range j.reservedMachines {
 			pl.occupy(j, m)
 		}
-		return
-	}
-	if pl.LaunchBudget >= len(j.Waiting) {
-		if picks := pl.placeTogether(j, true); picks != nil {
-			if team.consume(whole); j.ReserveOnly {
-				pl.plan.ReadyGangs = append(pl.plan.ReadyGangs, j.ID)
-				return
-			}
-			for i, m := range picks {
-				pl.plan.Launches = append(pl.plan.Launches, Launch{j, j.Waiting[i], m.ID})
-				j.InZone[m.Zone]++
-			}
-			pl.LaunchBudget -= len(picks)
+	case pl.LaunchBudget < n: // it is launched or reported in the next round
+		if pl.reserveForGang(j) != nil {
+			team.consume(whole)
+		}
+	case pl.launchGang(j):
+		team.consume(whole)
+	case pl.useRemoteCapacity(j, n):
+		team.consume(whole)
+		pl.reportUnplaced(j, n, 0)
+	default:
+		picks := pl.reserveForGang(j)
+		if picks == nil {
+			pl.reportUnplaced(j, 0, n)
 			return
 		}
-	}
-	// Not now: hold room for it on what stops, boots or is to be rented.
-	if pl.LaunchBudget >= len(j.Waiting) && pl.useRemoteCapacity(j, len(j.Waiting)) {
 		team.consume(whole)
-		pl.reportUnplaced(j, len(j.Waiting), 0)
-		return
+		if slices.ContainsFunc(picks, func(m *Machine) bool { return !m.Usable }) {
+			pl.reportUnplaced(j, n, 0)
+		}
 	}
-	var picks []*Machine
+}
+
+// launchGang launches a gang if there is capacity for it now, or reports it as ready where other
+// shards have the rest of it.
+func (pl *planner) launchGang(j *Job) bool {
+	picks := pl.placeTogether(j, true)
+	if picks == nil {
+		return false
+	}
+	if j.ReserveOnly {
+		pl.plan.ReadyGangs = append(pl.plan.ReadyGangs, j.ID)
+		return true
+	}
+	for i, m := range picks {
+		pl.plan.Launches = append(pl.plan.Launches, Launch{j, j.Waiting[i], m.ID})
+		j.InZone[m.Zone]++
+	}
+	pl.LaunchBudget -= len(picks)
+	return true
+}
+
+// reserveForGang reserves capacity for a gang on machines where something is being stopped, that
+// boot, or that are to be rented.
+func (pl *planner) reserveForGang(j *Job) []*Machine {
 	if len(j.reservedMachines) > 0 {
-		picks = pl.holdReservation(j)
-	} else {
-		picks = pl.placeTogether(j, false)
-	}
-	if picks != nil {
-		team.consume(whole)
-	}
-	switch n := len(j.Waiting); {
-	case pl.LaunchBudget < n:
-	case picks == nil:
-		pl.reportUnplaced(j, 0, n)
-	case slices.ContainsFunc(picks, func(m *Machine) bool { return !m.Usable }):
-		pl.reportUnplaced(j, n, 0)
+		return pl.holdReservation(j)
 	}
+	return pl.placeTogether(j, false)
 }
 
-// placeTogether finds machines for all waiting tasks of a gang and occupies them,
-// or leaves everything as it was. now asks for room that is there; else the zone
-// is taken in which the least must be rented. The cheapest zone is another one
-// from round to round, and machines would be rented for the gang in each.
+// placeTogether finds machines for all waiting tasks of a gang and occupies them, or leaves
+// everything as it was. With now it is capacity that is there; else the zone is taken in which
+// the least must be rented. (The cheapest zone is another one from round to round, and machines
+// would be rented for the gang in each.)
 func (pl *planner) placeTogether(j *Job, now bool) []*Machine {
 	zones := pl.candidateZones(j)
-	if now && j.Spot { // cheap machines of any zone before others of the first
+	if now && j.Spot { // spot machines of any zone before others of the first
 		for _, zone := range zones {
-			if picks, _ := pl.tryZone(j, zone, true, true); picks != nil {
+			if picks := pl.placeNow(j, zone, true); picks != nil {
 				return picks
 			}
 		}
@@ -80,7 +90,7 @@
 	best, least := "", math.Inf(1)
 	for _, zone := range zones {
 		at := pl.savepoint()
-		picks, price := pl.tryZone(j, zone, now, false)
+		picks, price := pl.tryZone(j, zone, now)
 		if picks != nil && (price == 0 || len(zones) == 1) {
 			return picks
 		}
@@ -92,64 +102,72 @@
 	if math.IsInf(least, 1) {
 		return nil
 	}
-	picks, _ := pl.tryZone(j, best, now, false)
+	picks, _ := pl.tryZone(j, best, now)
 	return picks
 }
 
-// tryZone finds machines for all waiting tasks of a gang in one zone, and tells what
-// those to be rented for it cost; on failure it leaves everything as it was.
-func (pl *planner) tryZone(j *Job, zone string, now, spotOnly bool) (picks []*Machine, price float64) {
-	at := pl.savepoint()
-	if !now && len(j.Waiting) > 1 {
+// tryZone finds machines for all waiting tasks of a gang in one zone, and tells what those that would be
+// rented for it cost; on failure it leaves everything as it was.
+func (pl *planner) tryZone(j *Job, zone string, now bool) (picks []*Machine, price float64) {
+	if now {
+		return pl.placeNow(j, zone, false), 0
+	}
+	if len(j.Waiting) > 1 {
 		if picks := pl.placeOnRunning(j, zone); picks != nil {
 			return picks, 0
 		}
 	}
+	at := pl.savepoint()
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
-	pick := s.soonestMachine
-	// What waits for a boot anyway has nothing stopped meanwhile: the room would go to
+	// For what waits for a boot anyway nothing is stopped meanwhile: the capacity would go to
 	// lesser work again, which would be stopped again, round after round.
 	s.noPreempt = len(j.Waiting) > 1
-	if now {
-		pick, s.spotOnly = s.bestFit, spotOnly
-		if s.scan(); s.countSlots(len(j.Waiting)) < len(j.Waiting) {
-			return nil, 0
-		}
-	}
-	for range j.Waiting {
-		m := pick()
-		if m == nil {
-			pl.rollback(at)
-			return nil, 0
-		}
-		s.place(m)
-		picks = append(picks, m)
-	}
-	for _, m := range pl.newMachines[at.newMachines:] {
-		price += pl.machinePrice(pl.types[m.Type], m.Spot, m.Zone)
+	picks = s.placeAll(s.soonestMachine)
+	for _, m := range pl.pool.added[at.added:] {
+		price += pl.machinePrice(pl.pool.typeOf(m), m.Spot, m.Zone)
 	}
 	return picks, price
 }
 
-// placeOnRunning finds machines for all waiting tasks of a gang among those that are up, of which
-// lesser work is stopped where need be, and holds what is free already until that is gone;
+// placeNow finds machines for all waiting tasks of a gang that have capacity now; on failure it
+// leaves everything as it was.
+func (pl *planner) placeNow(j *Job, zone string, spotOnly bool) []*Machine {
+	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s.spotOnly = spotOnly
+	s.scan()
+	if s.countSlots(len(j.Waiting)) < len(j.Waiting) {
+		return nil
+	}
+	return s.placeAll(s.bestFit)
+}
+
+// placeOnRunning finds machines for all waiting tasks of a gang among those that are up. Lesser
+// work is stopped on them where need be, and what is free already is reserved until that is gone;
 // on failure it leaves everything as it was.
-func (pl *planner) placeOnRunning(j *Job, zone string) (picks []*Machine) {
-	at := pl.savepoint()
+func (pl *planner) placeOnRunning(j *Job, zone string) []*Machine {
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
-	for range j.Waiting {
-		m := s.bestFit()
-		if m == nil {
-			m = s.deferredMachine()
+	return s.placeAll(func() *Machine {
+		if m := s.bestFit(); m != nil {
+			return m
 		}
-		if m == nil {
-			m = pl.stoppingMachine(s.need, s.permitsMachine)
+		if m := s.deferredMachine(); m != nil {
+			return m
 		}
-		if m == nil {
-			m = pl.preempt(j, s.need, s.permitsMachine)
+		if m := pl.stoppingMachine(s.need, s.permitsMachine); m != nil {
+			return m
 		}
+		return pl.preempt(j, s.need, s.permitsMachine)
+	})
+}
+
+// placeAll places each waiting task of the job on the machine that pick gives, or leaves
+// everything as it was and gives nil.
+func (s *search) placeAll(pick func() *Machine) (picks []*Machine) {
+	at := s.planner.savepoint()
+	for range s.job.Waiting {
+		m := pick()
 		if m == nil {
-			pl.rollback(at)
+			s.planner.rollback(at)
 			return nil
 		}
 		s.place(m)
@@ -166,8 +184,8 @@
 	return []string{j.Zone}
 }
 
-// zonesByPrice lists all zones, the cheapest for a job first: the first that has room
-// for a gang gets it, and its machines are then kept for that.
+// zonesByPrice lists all zones, the cheapest for a job first: the first that has capacity for a
+// gang gets it, and its machines are then reserved for that.
 func (pl *planner) zonesByPrice(j *Job) []string {
 	price := make(map[string]float64)
 	for i := range pl.Types {
@@ -178,7 +196,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				if o := (Offer{t.Name, z, spot}); allowsOffer(j, o) && !pl.Unavailable[o] {
-					price[z] = min(price[z], pl.machinePrice(t, spot, z)/float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(ResourcesOf(j.Job))))
+					price[z] = min(price[z], pl.machinePrice(t, spot, z)/float64(capacityOf(t).Slots(ResourcesOf(j.Job))))
 				}
 			}
 		}
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -10,56 +10,49 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The past that tells how much comes: the middle one of several spans, so that
-// the jobs of a fleet's first minute, or of a burst that is over, count little.
+// A class whose jobs must start sooner than a machine boots needs capacity that is there before
+// they come. How much is told by how many came of late: what comes while a machine boots. That
+// headroom is left alone by work that has no such objective, is not returned, and is rented where
+// it lacks, but only while the cloud has machines to give: in a full fleet, idle headroom serves nobody.
+
+// Arrivals are counted in several windows, of which the median tells what is to come, so that the
+// jobs of a fleet's first minute, or of a burst that is over, count little.
 const (
 	arrivalWindows = 6
 	arrivalWindow  = 15 * time.Second
 )
 
-// arrivals is what comes of a class.
+// arrivals is what has come of a class of late.
 type arrivals struct {
-	tasks  [arrivalWindows]float64 // by age
-	newest *Job                    // the newest one, which stands for those to come
+	tasks  [arrivalWindows]float64 // in each window, the latest first
+	newest *Job                    // stands for those to come
 }
 
 // expected gives how many tasks come within a time.
-func (d *arrivals) expected(within time.Duration) int {
-	sorted := d.tasks
+func (a *arrivals) expected(within time.Duration) int {
+	sorted := a.tasks
 	slices.Sort(sorted[:])
-	middle := (sorted[arrivalWindows/2-1] + sorted[arrivalWindows/2]) / 2
-	return int(middle * within.Seconds() / arrivalWindow.Seconds())
+	median := (sorted[arrivalWindows/2-1] + sorted[arrivalWindows/2]) / 2
+	return int(median * within.Seconds() / arrivalWindow.Seconds())
 }
 
-// reserveHeadroom holds room for what is about to come.
-func (pl *planner) reserveHeadroom() {
-	classes := make(map[string]*arrivals)
-	for _, j := range pl.Jobs {
-		i := int(j.Age / arrivalWindow)
-		if j.Age < 0 || i >= arrivalWindows || !pl.needsHeadroom(j) {
-			continue
-		}
-		d := classes[j.Class]
-		if d == nil {
-			d = &arrivals{}
-			classes[j.Class] = d
-		}
-		if !pl.Sharded {
-			d.tasks[i] += float64(j.Tasks)
-		} else {
-			d.tasks[i] += float64(j.LocalTasks)
-		}
-		if d.newest == nil || cmp.Compare(j.Age, d.newest.Age) < 0 {
-			d.newest = j
-		}
+// add counts a job that came so many windows ago.
+func (a *arrivals) add(j *Job, window, tasks int) {
+	a.tasks[window] += float64(tasks)
+	if a.newest == nil || j.Age < a.newest.Age {
+		a.newest = j
 	}
-	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		d := classes[class]
-		pl.holdHeadroom(d.newest, d.expected(pl.bootTime(d.newest)))
+}
+
+// sparesHeadroom reports whether a job must leave headroom alone.
+func (pl *planner) sparesHeadroom(j *Job) bool {
+	if j.Priority == wire.Production || j.reservationTurn > 0 && j.Shape != wire.Array {
+		return false
 	}
+	return !pl.needsHeadroom(j)
 }
 
-// needsHeadroom reports whether a job is to start sooner than a machine for it boots.
+// needsHeadroom reports whether a job must start sooner than a machine for it boots.
 func (pl *planner) needsHeadroom(j *Job) bool {
 	boot := pl.bootTime(j)
 	return slices.ContainsFunc(pl.Objectives, func(o Objective) bool {
@@ -67,21 +60,46 @@
 	})
 }
 
-// bootTime is how long a machine for a job takes to boot, at the least; 0 where
-// none can be rented.
+// reserveHeadroom reserves capacity for what is about to come.
+func (pl *planner) reserveHeadroom() {
+	byClass := make(map[string]*arrivals)
+	for _, j := range pl.Jobs {
+		window := int(j.Age / arrivalWindow)
+		if j.Age < 0 || window >= arrivalWindows || !pl.needsHeadroom(j) {
+			continue
+		}
+		if byClass[j.Class] == nil {
+			byClass[j.Class] = &arrivals{}
+		}
+		tasks := j.Tasks
+		if pl.Sharded {
+			tasks = j.LocalTasks
+		}
+		byClass[j.Class].add(j, window, tasks)
+	}
+	for _, class := range slices.Sorted(maps.Keys(byClass)) {
+		a := byClass[class]
+		pl.holdHeadroom(a.newest, a.expected(pl.bootTime(a.newest)))
+	}
+}
+
+// bootTime gives how long a machine for a job takes to boot, at least; 0 where none can be rented.
 func (pl *planner) bootTime(j *Job) time.Duration { return pl.bootTimeIn(j, "") }
 
-// bootTimeIn is the same for one zone.
+// bootTimeIn gives the same for one zone.
 func (pl *planner) bootTimeIn(j *Job, zone string) time.Duration {
 	var least time.Duration
 	for i := range pl.Types {
 		t := &pl.Types[i]
+		boot := wire.Seconds(t.BootS)
+		if least > 0 && boot >= least || !capacityOf(t).Fits(ResourcesOf(j.Job)) {
+			continue
+		}
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				o := Offer{t.Name, z, spot}
-				b := wire.Seconds(t.BootS)
-				if (least == 0 || b < least) && (zone == "" || z == zone) && allowsOffer(j, o) && !pl.Unavailable[o] && !pl.Doubtful[o] && (Resources{t.CPUs, t.GPUs, t.MemoryGB}).Fits(ResourcesOf(j.Job)) {
-					least = b
+				if (zone == "" || z == zone) && allowsOffer(j, o) && !pl.Unavailable[o] && !pl.Doubtful[o] {
+					least = boot
 				}
 			}
 		}
@@ -89,8 +107,11 @@
 	return least
 }
 
-// holdHeadroom occupies room for so many tasks like those of a job, zone by zone in
-// turn: where it is free, or boots, and else on machines to be rented.
+// maxHeadroomPriceRatio is by how much idle headroom may cost more than the cheapest capacity.
+const maxHeadroomPriceRatio = 1.5
+
+// holdHeadroom occupies capacity for so many tasks like those of a job, zone by zone in turn:
+// where it is free, or boots, and else on machines to be rented.
 func (pl *planner) holdHeadroom(like *Job, tasks int) {
 	if tasks <= 0 {
 		return
@@ -104,9 +125,10 @@
 	for range tasks {
 		m := s.headroomMachine()
 		if m == nil {
-			if m = s.upcomingMachine(); m == nil {
-				return
-			}
+			m = s.upcomingMachine()
+		}
+		if m == nil {
+			return
 		}
 		if m.Usable {
 			if pl.headroomByClass == nil {
@@ -118,29 +140,28 @@
 	}
 }
 
-// maxHeadroomPriceRatio is by how much room that stands ready may cost more than the cheapest.
-const maxHeadroomPriceRatio = 1.5
-
-// cheapestShare is the price of the cheapest machine for a task, for its share.
+// cheapestShare gives the price of a task's share of the cheapest machine for it.
 func (pl *planner) cheapestShare(j *Job) float64 {
 	least := math.Inf(1)
 	for i := range pl.Types {
 		t := &pl.Types[i]
-		full := float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(ResourcesOf(j.Job)))
+		full := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
+		if full <= 0 {
+			continue
+		}
 		for _, zone := range t.Zones {
-			if full > 0 && allowsOffer(j, Offer{t.Name, zone, false}) {
-				least = min(least, t.Price/full)
-			}
-			if full > 0 && allowsOffer(j, Offer{t.Name, zone, true}) {
-				least = min(least, t.SpotPrice/full)
+			for _, spot := range []bool{false, true} {
+				if allowsOffer(j, Offer{t.Name, zone, spot}) {
+					least = min(least, priceOf(t, spot)/full)
+				}
 			}
 		}
 	}
 	return least
 }
 
-// headroomMachine picks room in the zone of which the least is held, on the machine
-// with the least room to spare.
+// headroomMachine picks capacity in the zone in which the least headroom is, on the machine with
+// the least capacity to spare.
 func (s *search) headroomMachine() *Machine {
 	var best *Machine
 	for _, m := range s.withoutImage {
@@ -151,7 +172,7 @@
 			best = m
 		}
 	}
-	for _, c := range s.withImage { // those in use by what is held already
+	for _, c := range s.withImage { // those that have some headroom already
 		if best == nil || s.tasksByZone[c.Zone] <= s.tasksByZone[best.Zone] {
 			best = c.Machine
 		}
@@ -159,12 +180,12 @@
 	return best
 }
 
-// upcomingMachine finds room on a machine that boots, or on a new one.
+// upcomingMachine finds capacity on a machine that boots, or on a new one.
 func (s *search) upcomingMachine() *Machine {
 	offer, cost := s.cheapestOffer()
 	m := s.bootingMachine(cost)
 	if m == nil && !math.IsInf(cost, 1) {
-		m = s.planner.addMachine(offer)
+		m = s.planner.pool.add(offer, len(s.planner.Jobs)) // for what is yet to come: behind all jobs
 	}
 	return m
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,52 +8,67 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Job is an unfinished job.
+// Job is an unfinished job, as the snapshot has it.
 type Job struct {
 	*wire.Job
-	Age           time.Duration
-	SubmittedAt   time.Time // of its submission
-	Order         uint64
-	Waiting       []int // tasks that are nowhere and may be placed
-	InZone        map[string]int
-	Active        int
-	StarvedFor    time.Duration   // for how long no task of it was anywhere and some could have been
-	Terminating   bool            // a gang of which tasks are still to leave
+	Age           time.Duration   // since its submission
+	SubmittedAt   time.Time       // the same as a time
+	Order         uint64          // of its submission among all jobs
+	Waiting       []int           // indices of the tasks that are nowhere and may be placed
+	InZone        map[string]int  // how many of its tasks are in each zone, old attempts included
+	Active        int             // tasks that are on machines
+	StarvedFor    time.Duration   // for how long it has had no task anywhere although some could have been placed
+	Terminating   bool            // a gang of which some tasks have yet to end
 	AvoidMachines map[string]bool // machines on which it failed
 	SpreadRule    *SpreadRule     // of a service; may be nil
 
-	LocalTasks     int  // tasks of it that are of this part, where there are several
-	RemoteTasks    int  // tasks that other parts have yet to finish
-	RemoteCapacity int  // tasks for which another part has room that the job allows
-	ReserveOnly    bool // a gang of which other parts have the rest: room is held, nothing is started
-	MaybeRunning   bool // a gang that may be running somewhere: nothing is started, what it had gathered stays
+	// These matter where the fleet is divided into several shards.
 
-	guaranteed       bool
-	launchedEarly    int // tasks of Waiting that the plan has launched before the others' turn
-	work             tier.Workload
-	tier             int
-	queueLevel       int           // in the queue, where tiers are set
-	remainder        *Job          // of which this is what its tier is guaranteed
-	queuePosition    int           // in the order in which jobs get room
-	timeLeft         time.Duration // until it must start to meet the next aim
-	weightedSlack    time.Duration // the same, less for rare classes
-	reservationTurn  int           // its turn among those that gather room, 0 for none
-	reservedMachines []*Machine    // that are gathered for it
+	LocalTasks     int  // tasks that belong to this shard
+	RemoteTasks    int  // tasks that other shards have yet to finish
+	RemoteCapacity int  // tasks for which another shard has free capacity that the job allows
+	ReserveOnly    bool // a gang whose other tasks are in other shards: capacity is reserved, nothing is started
+	MaybeRunning   bool // a gang that may be running somewhere: nothing is started, its reservation stays
+
+	jobPlan
 }
 
-// starved reports whether a job is to wait no longer where there is room.
+// jobPlan is what the planner keeps with a job while it makes a plan.
+type jobPlan struct {
+	work          tier.Workload // what tiers go by
+	tier          int
+	guaranteed    bool // it is within its team's guarantee
+	queuePosition int  // in the order in which jobs are placed
+	queueLevel    int  // the level of the queue, where tiers are set
+	remainder     *Job // where this is the part of a job that its tier's share has capacity for: the job itself
+	launchedEarly int  // tasks of Waiting that were launched before the job's turn
+
+	timeLeft      time.Duration // until it must start to meet its next objective
+	weightedSlack time.Duration // timeLeft, reduced for classes with few jobs
+
+	reservationTurn  int        // its turn among the jobs that must not be passed over; 0 for none
+	reservedMachines []*Machine // a machine for each waiting task, or less
+}
+
+// starved reports whether a job is to be admitted wherever there is idle capacity.
 func (j *Job) starved() bool {
-	return j.StarvedFor >= starvationLimit && len(j.Waiting) > 0 && j.Active+j.RemoteTasks == 0 && !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
+	if j.StarvedFor < starvationLimit || len(j.Waiting) == 0 || j.Active+j.RemoteTasks > 0 {
+		return false
+	}
+	return !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
 }
 
+// minRemaining is the least time that a task is expected to run on: estimates are often too low.
+const minRemaining = 5 * time.Second
+
 // Task is a task on a machine.
 type Task struct {
 	Job            *Job
 	Index          int
-	RunTime        time.Duration // since it was seen running
-	Stopping       bool          // or should end for a claim back
+	RunTime        time.Duration // since it was first seen running
+	Stopping       bool          // it is being stopped, or is awaited by a reclaim
 	FailedAttempts int           // times that it was stopped before its image had come
-	StopOverdue    bool          // it has not stopped in time: nothing is to wait for its room
+	StopOverdue    bool          // it has not stopped in time: its resources are not waited for
 }
 
 // remaining tells after how long a task should end, as far as its estimate can tell.
@@ -64,5 +79,5 @@
 	case t.Job.Shape == wire.Service:
 		return math.MaxInt64
 	}
-	return max(t.Job.Estimate()-t.RunTime, 5*time.Second)
+	return max(t.Job.Estimate()-t.RunTime, minRemaining)
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,10 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// mayPreempt reports whether the protocol lets a job stop another's task:
-// lesser priority, or work beyond a team's own guarantee for one within it.
-// What would get the room again before the job does is left alone, or the two
-// would chase each other for ever.
+// mayPreempt reports whether a job may stop another's task: one of lesser priority, or, for work
+// within its team's guarantee, one beyond that of its own team. What would get the capacity again
+// before the job does is left alone, or the two would preempt each other for ever.
 func (pl *planner) mayPreempt(j, victim *Job) bool {
 	if victim.queuePosition < j.queuePosition {
 		return false
@@ -20,8 +19,11 @@
 	if tier.MayPreempt(&j.work, &victim.work, false) {
 		return true
 	}
-	t := pl.Teams[victim.Team]
-	return j.guaranteed && tier.MayPreempt(&j.work, &victim.work, t != nil && (t.GuaranteedGPUs > 0 && t.UsedGPUs+t.RemoteUsedGPUs-victim.GPUs >= t.GuaranteedGPUs || t.GuaranteedGPUs == 0 && t.GuaranteedCPUs == 0))
+	if !j.guaranteed {
+		return false
+	}
+	team := pl.Teams[victim.Team]
+	return tier.MayPreempt(&j.work, &victim.work, team != nil && team.exceedsGuarantee(victim.GPUs))
 }
 
 // canPreempt reports whether there is anything that a job might stop.
@@ -29,75 +31,80 @@
 	if pl.lowestRank < j.Priority.Rank() {
 		return true
 	}
-	if j.guaranteed {
-		for _, t := range pl.Teams {
-			if t.GuaranteedGPUs > 0 && t.UsedGPUs+t.RemoteUsedGPUs > t.GuaranteedGPUs || t.GuaranteedGPUs == 0 && t.GuaranteedCPUs == 0 {
-				return true
-			}
+	if !j.guaranteed {
+		return false
+	}
+	for _, t := range pl.Teams {
+		if t.borrows() {
+			return true
 		}
 	}
 	return false
 }
 
-// reservedPreemptionFactor is by how much more it costs to stop work where another job gathers room: that
-// room goes with it.
-const reservedPreemptionFactor = 4
+// preemption is tasks of one machine to stop.
+type preemption struct {
+	machine *Machine
+	victims []int   // indices of its tasks
+	cost    float64 // what stopping them loses, see stopCost
+}
 
-// preempt stops the work that loses least on one machine, so that a task fits.
+// preempt stops the work that loses least on one machine, so that a task of the job fits there
+// once that has ended; nil means that there is none.
 func (pl *planner) preempt(j *Job, need Resources, ok func(*Machine) bool) *Machine {
 	if !pl.canPreempt(j) {
 		return nil
 	}
+	best := pl.cheapestPreemption(j, need, ok)
+	if best.machine == nil {
+		return nil
+	}
+	if best.machine.stopping == (Resources{}) {
+		pl.pool.stopping = append(pl.pool.stopping, best.machine)
+	}
+	for _, i := range best.victims {
+		pl.stop(j, best.machine, i)
+	}
+	return best.machine
+}
+
+// reservedPreemptionFactor is by how much more it costs to stop work where capacity is reserved
+// for another job: it takes that along.
+const reservedPreemptionFactor = 4
+
+// cheapestPreemption finds the tasks to stop on one machine that lose least.
+func (pl *planner) cheapestPreemption(j *Job, need Resources, ok func(*Machine) bool) preemption {
 	rank := j.Priority.Rank()
 	if j.guaranteed {
-		rank = len(Machine{}.loadByRank)
-	}
-	var best *Machine
-	var victims []int
-	cost := math.Inf(1)
-	fetch := pl.fetchTime(j).Seconds() * (need.GPUs + need.CPUs/16)
-	for _, m := range pl.usable {
-		room := m.Free.AddScaled(m.stopping, 1)
-		for _, l := range m.loadByRank[:rank] {
-			room = room.AddScaled(l, 1)
-		}
-		if !room.Fits(need) || !ok(m) {
+		rank = ranks
+	}
+	best := preemption{cost: math.Inf(1)}
+	fetch := pl.fetchTime(j).Seconds() * weightOf(need)
+	for _, m := range pl.pool.usable {
+		if !m.freeBelow(rank).Fits(need) || !ok(m) {
 			continue
 		}
-		if pl.searchBudget--; pl.searchBudget < 0 {
+		pl.searchBudget--
+		if pl.searchBudget < 0 {
 			break
 		}
-		v, c := pl.victims(j, need, m)
-		if !m.hasImage(j.Image) { // the room stands empty while the image comes
-			c += fetch
+		victims, cost := pl.victims(j, need, m)
+		if !m.hasImage(j.Image) { // the capacity is idle while the image comes
+			cost += fetch
 		}
-		if m.reservedForOther(j) { // as far as there is other room
-			c *= reservedPreemptionFactor
+		if m.reservedForOther(j) {
+			cost *= reservedPreemptionFactor
 		}
-		if v != nil && c < cost {
-			best, victims, cost = m, v, c
+		if victims != nil && cost < best.cost {
+			best = preemption{m, victims, cost}
 		}
 	}
-	if best == nil {
-		return nil
-	}
-	if best.stopping == (Resources{}) {
-		pl.stoppingMachines = append(pl.stoppingMachines, best)
-	}
-	for _, i := range victims {
-		t := &best.Tasks[i]
-		pl.recordUndo(best, i)
-		t.Stopping = true
-		takes := ResourcesOf(t.Job.Job)
-		best.stopping = best.stopping.AddScaled(takes, 1)
-		best.loadByRank[t.Job.Priority.Rank()] = best.loadByRank[t.Job.Priority.Rank()].AddScaled(takes, -1)
-		pl.plan.Stops = append(pl.plan.Stops, Stop{t.Job, t.Index, best.ID, "room for " + j.ID, j, pl.endsBeforeReclaim(j, *t)})
-	}
 	return best
 }
 
+// victims picks the tasks to stop on a machine so that a task of the job fits, those first that
+// lose least; none if it can't fit.
 func (pl *planner) victims(j *Job, need Resources, m *Machine) (picked []int, cost float64) {
-	room := m.Free.AddScaled(m.stopping, 1)
 	order := make([]int, 0, len(m.Tasks))
 	for i, t := range m.Tasks {
 		if !t.Stopping && pl.mayPreempt(j, t.Job) {
@@ -107,24 +114,36 @@
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(pl.preemptionCost(j, m.Tasks[a]), pl.preemptionCost(j, m.Tasks[b]))
 	})
+	free := m.freeAfterStops()
 	for _, i := range order {
-		if room.Fits(need) {
+		if free.Fits(need) {
 			break
 		}
 		if !pl.mayTakeFromTier(j, m, picked, i) {
 			continue
 		}
-		room = room.AddScaled(ResourcesOf(m.Tasks[i].Job.Job), 1)
+		free = free.AddScaled(ResourcesOf(m.Tasks[i].Job.Job), 1)
 		picked = append(picked, i)
 		cost += pl.preemptionCost(j, m.Tasks[i])
 	}
-	if !room.Fits(need) {
+	if !free.Fits(need) {
 		return nil, 0
 	}
 	return picked, cost
 }
 
-// preemptionCost is what stopping a task for a job wastes: nothing where it ends in time by itself.
+// stop plans to stop a task of a machine for a job.
+func (pl *planner) stop(j *Job, m *Machine, task int) {
+	t := &m.Tasks[task]
+	pl.undo.record(m, task)
+	t.Stopping = true
+	frees, rank := ResourcesOf(t.Job.Job), t.Job.Priority.Rank()
+	m.stopping = m.stopping.AddScaled(frees, 1)
+	m.loadByRank[rank] = m.loadByRank[rank].AddScaled(frees, -1)
+	pl.plan.Stops = append(pl.plan.Stops, Stop{t.Job, t.Index, m.ID, "room for " + j.ID, j, pl.endsBeforeReclaim(j, *t)})
+}
+
+// preemptionCost is what stopping a task for a job loses: nothing where it ends in time by itself.
 func (pl *planner) preemptionCost(j *Job, t Task) float64 {
 	if pl.endsBeforeReclaim(j, t) {
 		return 0
@@ -132,12 +151,22 @@
 	return stopCost(t)
 }
 
-// failedAttemptCost is the loss, in seconds, for each time that a task was stopped before it ran: what waits for
-// its image loses nothing else, and would be the cheapest to stop again and again.
-const failedAttemptCost = 60
+const (
+	// failedAttemptCost is the loss, in seconds, for each time that a task was stopped before it
+	// ran: what waits for its image loses nothing else, and would be the cheapest to stop again and
+	// again.
+	failedAttemptCost = 60
+	// stopOverhead is the loss, in seconds, that each stop has at least.
+	stopOverhead = 5
+	// cpusPerGPU is how many CPUs count as much as a GPU.
+	cpusPerGPU = 16
+)
+
+// weightOf gives how much of a machine a task is, in GPUs.
+func weightOf(r Resources) float64 { return r.GPUs + r.CPUs/cpusPerGPU }
 
-// stopCost is what stopping a task wastes, in seconds of GPUs and CPUs. With a task of a gang all
-// its mates go, and the wait for room for all of them, which it has to go through again.
+// stopCost is what stopping a task loses, in seconds of GPUs. With a task of a gang all others go,
+// and the wait for capacity for all of them, which it has to go through again.
 func stopCost(t Task) float64 {
 	lost := t.RunTime.Seconds()
 	if t.Job.CheckpointS > 0 {
@@ -151,5 +180,5 @@
 		tasks = t.Job.Active
 		lost += max(0, (t.Job.Age - t.RunTime).Seconds())
 	}
-	return (lost + 5) * (t.Job.GPUs + t.Job.CPUs/16) * float64(tasks)
+	return (lost + stopOverhead) * weightOf(ResourcesOf(t.Job.Job)) * float64(tasks)
 }
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -8,111 +8,109 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// machinePrice is what a machine costs, somewhat more in zones that have many, so that
-// the fleet spreads.
-func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
-	p := t.Price
+// priceOf gives the price of a type of machine.
+func priceOf(t *wire.MachineType, spot bool) float64 {
 	if spot {
-		p = t.SpotPrice
+		return t.SpotPrice
 	}
-	total := len(pl.Machines) + len(pl.newMachines)
-	return p * (1 + 0.3*float64(pl.machinesInZone[zone])/float64(max(30, total)))
+	return t.Price
+}
+
+const (
+	// zoneCrowding is by how much a machine counts as dearer in a zone that has all machines, so
+	// that the fleet spreads.
+	zoneCrowding = 0.3
+	// minFleetForCrowding is the least fleet of which a zone's share is reckoned: in a smaller one
+	// each machine would move the price too much.
+	minFleetForCrowding = 30
+)
+
+// machinePrice gives what a machine counts as, somewhat more in zones that have many.
+func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
+	total := len(pl.Machines) + len(pl.pool.added)
+	return priceOf(t, spot) * (1 + zoneCrowding*float64(pl.pool.inZone[zone])/float64(max(minFleetForCrowding, total)))
 }
 
-// shareCost is what a task's share of a machine costs, with what others lose who
-// need that type more.
+// shareCost gives what a task's share of a machine costs, with what others lose who need that
+// type more; it is infinite where the task does not fit.
 func (pl *planner) shareCost(j *Job, t *wire.MachineType, spot bool) float64 {
-	full := float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(ResourcesOf(j.Job)))
+	full := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
 	if full == 0 {
 		return math.Inf(1)
 	}
-	p := t.Price
-	if spot {
-		p = t.SpotPrice
-	}
-	return (p + pl.opportunityCost(j, t, spot)) / full
+	return (priceOf(t, spot) + pl.valuation.opportunityCost(j, t, spot, pl.Types)) / full
 }
 
-// opportunityCostShare is the part of another class's loss that counts: how much there is of
-// a type is not known before it has run out, and then it is too late, since
-// services never leave the machines that they begin on.
-const opportunityCostShare = 0.5
+// offerChoice is an offer with what a task costs there.
+type offerChoice struct {
+	offer     Offer
+	cost      float64 // of the task's share of a machine, see shareCost
+	price     float64 // the same with the zone's price, and the part of the machine that stays empty
+	exhausted bool    // no more can be asked for now
+}
 
-// opportunityCost is what another class of jobs would lose, at the most, if there were
-// one machine less of a type, by having to take the next best.
-func (pl *planner) opportunityCost(j *Job, t *wire.MachineType, spot bool) float64 {
-	most := 0.0
-	for _, k := range pl.classes {
-		if k.job.Class == j.Class || spot && !k.job.Spot {
-			continue
-		}
-		own, other := math.Inf(1), math.Inf(1)
-		for i := range pl.Types {
-			u := &pl.Types[i]
-			if len(k.job.Types) > 0 && !slices.Contains(k.job.Types, u.Name) {
-				continue
-			}
-			full := float64((Resources{u.CPUs, u.GPUs, u.MemoryGB}).Slots(k.need))
-			p := u.Price / full
-			if k.job.Spot {
-				p = u.SpotPrice / full
-			}
-			if u.Name == t.Name {
-				own = p
-			} else {
-				other = min(other, p)
-			}
-		}
-		if k.job.Spot == spot && own < other && !math.IsInf(other, 1) {
-			slots := float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(k.need))
-			most = max(most, opportunityCostShare*(other-own)*slots)
-		}
+// betterThan reports whether an offer is to be preferred. One of which no more can be asked for
+// now is left to those who find no other.
+func (c offerChoice) betterThan(other offerChoice) bool {
+	if c.exhausted != other.exhausted {
+		return !c.exhausted
 	}
-	return most
+	return c.price < other.price
 }
 
-// cheapestOffer picks the cheapest offer for a task, counting the price of the share
-// that the job can fill; its cost is infinite when there is none. One of which no
-// more can be asked for now is left to those who find no other.
+// emptyShareCost is which part counts of the share of a machine that the job leaves empty: it is
+// mostly of use to others.
+const emptyShareCost = 0.5
+
+// cheapestOffer picks the cheapest offer for a task, counting the price of the share that the job
+// can fill; its cost is infinite where there is none.
 func (s *search) cheapestOffer() (best Offer, cost float64) {
-	pl, j := s.planner, s.job
-	price, cost, spent := math.Inf(1), math.Inf(1), true
+	pl := s.planner
+	choice := offerChoice{cost: math.Inf(1), price: math.Inf(1), exhausted: true}
 	for i := range pl.Types {
 		t := &pl.Types[i]
-		full := float64((Resources{t.CPUs, t.GPUs, t.MemoryGB}).Slots(s.need))
-		slots := min(full, float64(len(j.Waiting)))
+		full := float64(capacityOf(t).Slots(s.need))
+		slots := min(full, float64(len(s.job.Waiting)))
 		if slots == 0 {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			share := pl.shareCost(j, t, spot)
+			share := pl.shareCost(s.job, t, spot)
 			for _, zone := range t.Zones {
 				o := Offer{t.Name, zone, spot}
-				if pl.Unavailable[o] || !allowsOffer(j, o) || s.zone != "" && s.zone != zone || !zoneAllowed(j, s.tasksByZone, zone) {
+				if !s.mayRequest(o) {
 					continue
 				}
-				// The share of the machine that the job leaves empty is mostly
-				// of use to others: count half of it.
-				p := share * pl.machinePrice(t, spot, zone) / pl.machinePrice(t, spot, "")
-				p += 0.5 * p * (full/slots - 1)
-				most, limited := pl.RequestLimit[o]
-				over := limited && pl.requested[o] >= most
-				if (p < price && over == spent || spent && !over) && (s.maxShareCost == 0 || p <= s.maxShareCost) {
-					best, price, cost, spent = o, p, share, over
+				price := share * pl.machinePrice(t, spot, zone) / pl.machinePrice(t, spot, "")
+				price += emptyShareCost * price * (full/slots - 1)
+				c := offerChoice{o, share, price, s.exhausted(o)}
+				if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
+					choice = c
 				}
 			}
 		}
 	}
-	return best, cost
+	return choice.offer, choice.cost
+}
+
+// mayRequest reports whether a machine of an offer may be asked for.
+func (s *search) mayRequest(o Offer) bool {
+	return !s.planner.Unavailable[o] && allowsOffer(s.job, o) && (s.zone == "" || s.zone == o.Zone) && zoneAllowed(s.job, s.tasksByZone, o.Zone)
+}
+
+// exhausted reports whether the plan asks for as many machines of an offer as can be asked for now.
+func (s *search) exhausted(o Offer) bool {
+	limit, limited := s.planner.RequestLimit[o]
+	return limited && s.planner.pool.requested[o] >= limit
 }
 
-// priceOffers reckons what a task costs on each offer that has come up since it was
-// last called.
+// priceOffers finds what a task costs on each offer that has come up since it was last called.
 func (s *search) priceOffers() {
-	for o := len(s.costByOffer); o < len(s.planner.offers); o++ {
+	pool := &s.planner.pool
+	for o := len(s.costByOffer); o < len(pool.offers); o++ {
 		cost := math.Inf(1)
-		if t := s.planner.types[s.planner.offers[o].Type]; t != nil && s.permitsOffer(o) {
-			cost = s.planner.shareCost(s.job, t, s.planner.offers[o].Spot)
+		if t := pool.types[pool.offers[o].Type]; t != nil && s.permitsOffer(o) {
+			cost = s.planner.shareCost(s.job, t, pool.offers[o].Spot)
 		}
 		s.costByOffer, s.bootingCursor = append(s.costByOffer, cost), append(s.bootingCursor, 0)
 		if s.permitsOffer(o) {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// reserveMachines picks the machines that are gathered before anything is placed, so that what goes
-// before the gangs takes other room where there is any.
+// reserveMachines picks the machines of all reservations before anything is placed, so that what
+// is placed before the gangs takes other capacity where there is any.
 func (pl *planner) reserveMachines() {
 	at := pl.savepoint()
 	for _, j := range pl.reservingGangs {
@@ -22,62 +22,34 @@
 	pl.rollback(at)
 }
 
-// selectReservation picks the slots with the least to wait for, all in one zone where the gang must be.
-// What could surely be rented sooner is left out.
+// selectReservation picks the slots with the least to wait for, all in one zone where the gang
+// must be. What could surely be rented sooner is left out.
 func (pl *planner) selectReservation(j *Job) []*Machine {
-	zones, need := make(map[string]*slotList), ResourcesOf(j.Job)
-	add := func(m *Machine, wait float64) {
-		zone := j.Zone
-		if j.OneZone {
-			zone = m.Zone
-		}
-		if zones[zone] == nil {
-			zones[zone] = &slotList{wanted: len(j.Waiting), cutoff: math.Inf(1)}
-		}
-		zones[zone].add(slot{m, wait}, j.Spread)
-	}
-	may := make([]bool, len(pl.offers))
-	for i, o := range pl.offers {
-		may[i] = allowsOffer(j, o)
-		t := pl.types[o.Type]
-		if t == nil || !may[i] {
-			continue
-		}
-		for _, m := range pl.booting[i] {
-			if m.ID == "" && pl.Doubtful[o] {
-				continue // what is asked for there will hardly come
-			}
-			for range min(m.Free.Slots(need), len(j.Waiting)) {
-				add(m, t.BootS)
-			}
-		}
-	}
-	for _, m := range pl.usable {
-		if may[m.offerIndex] && !j.AvoidMachines[m.ID] {
-			pl.futureSlots(need, len(j.Waiting), m, add)
-		}
-	}
+	slots := pl.slotsByZone(j)
 	var best []slot
 	least := math.Inf(1)
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
+	for _, zone := range slices.Sorted(maps.Keys(slots)) {
 		boot := pl.bootTimeIn(j, zone).Seconds()
-		picks, sum := pickLeastWait(j, zones[zone], boot)
-		if lacks := len(j.Waiting) - len(picks); lacks > 0 && boot == 0 {
-			continue
-		} else if sum += boot * float64(lacks); sum < least {
-			best, least = picks, sum
+		picks, wait := pickLeastWait(j, slots[zone], boot)
+		missing := len(j.Waiting) - len(picks)
+		if missing > 0 && boot == 0 {
+			continue // they can't be rented
+		}
+		wait += boot * float64(missing)
+		if wait < least {
+			best, least = picks, wait
 		}
 	}
-	out := make([]*Machine, len(best))
+	machines := make([]*Machine, len(best))
 	for i, s := range best {
-		out[i] = s.Machine
+		machines[i] = s.Machine
 	}
-	return out
+	return machines
 }
 
-// holdReservation holds what is gathered for a gang that finds no room yet, and has the rest
-// rented where that can be.
-func (pl *planner) holdReservation(j *Job) (picks []*Machine) {
+// holdReservation occupies what is reserved for a gang that finds no capacity yet, and has the
+// rest rented where that can be; on failure it leaves everything as it was.
+func (pl *planner) holdReservation(j *Job) []*Machine {
 	for _, zone := range pl.candidateZones(j) {
 		if picks := pl.placeOnRunning(j, zone); picks != nil {
 			return picks
@@ -90,14 +62,16 @@
 			zone = m.Zone
 		}
 	}
-	if picks = slices.Clone(j.reservedMachines); len(picks) == len(j.Waiting) {
+	picks := slices.Clone(j.reservedMachines)
+	if len(picks) == len(j.Waiting) {
 		return picks
 	}
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s.noPreempt = true
 	for _, m := range picks {
 		s.tasksByZone[m.Zone]++
 	}
-	for s.noPreempt = true; len(picks) < len(j.Waiting); {
+	for len(picks) < len(j.Waiting) {
 		m := s.soonestMachine()
 		if m == nil {
 			pl.rollback(at)
--- a/internal/scheduler/reservation_turns.go
+++ b/internal/scheduler/reservation_turns.go
@@ -7,12 +7,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Those that have waited for a part of the bound gather, and hold a part of the fleet
-// together at the most, but always one.
 const (
+	// reservationWaitDivisor is the part of MaxGangWait after which a job reserves or goes first: a
+	// quarter, so that three quarters are left for capacity to come free.
 	reservationWaitDivisor = 4
-	maxReservedShare       = 0.25
-	maxReservingGangs      = 8
+	// maxReservedShare bounds the part of the fleet that is reserved together; one gang always is.
+	maxReservedShare = 0.25
+	// maxReservingGangs bounds how many gangs reserve at once, each of which costs a search.
+	maxReservingGangs = 8
 )
 
 // earnsReservation reports whether a job has waited for so long that it must not be passed over
@@ -21,31 +23,43 @@
 	return pl.MaxGangWait > 0 && j.Age+pl.fetchTime(j) >= pl.MaxGangWait/reservationWaitDivisor
 }
 
-// assignReservationTurns marks the jobs that must not be passed over: those go first that have waited for the
-// most, which counts for each of their tasks, since a larger one is passed over more often.
-// Of a team whose limit leaves no room for its first gang, no other gathers: that would be
-// in vain.
+// assignReservationTurns gives a turn to the jobs that must not be passed over: the first to those
+// that have waited for the most, which counts for each of their tasks, since a larger one is
+// passed over more often.
 func (pl *planner) assignReservationTurns() {
-	var waiting, arrays []*Job
+	var gangs, arrays []*Job
 	for _, j := range pl.Jobs {
-		coAllocated := pl.Sharded && !j.OneZone && j.Zone == "" && j.RemoteTasks == 0 // from several parts, which tell what is free
-		if j.Shape == wire.Gang && j.Priority != wire.Production && (len(j.Waiting) > 1 || j.RemoteTasks > 0 && len(j.Waiting) > 0) && j.Active == 0 && !j.Terminating && !coAllocated && pl.earnsReservation(j) {
-			waiting = append(waiting, j)
-		}
-		if j.Shape == wire.Array && j.Priority != wire.Production && len(j.Waiting) > 1 && !j.Terminating && pl.earnsReservation(j) {
+		switch {
+		case j.Priority == wire.Production || j.Terminating || len(j.Waiting) == 0:
+		case j.Shape == wire.Gang && pl.waitsWhole(j) && pl.earnsReservation(j):
+			gangs = append(gangs, j)
+		case j.Shape == wire.Array && len(j.Waiting) > 1 && pl.earnsReservation(j):
 			arrays = append(arrays, j)
 		}
 	}
-	if len(waiting)+len(arrays) == 0 {
+	if len(gangs)+len(arrays) == 0 {
 		return
 	}
-	var most Resources
-	for _, m := range pl.usable {
-		if t := pl.types[m.Type]; t != nil {
-			most = most.AddScaled(Resources{t.CPUs, t.GPUs, t.MemoryGB}, maxReservedShare)
+	limit := pl.reservableCapacity()
+	turn := pl.selectReservingGangs(gangs, limit)
+	pl.prioritizeArrays(arrays, limit, turn)
+}
+
+// waitsWhole reports whether all of a gang of several tasks waits, so that it may reserve. One
+// that could be co-allocated over several shards does not: those tell each other what is free.
+func (pl *planner) waitsWhole(j *Job) bool {
+	coAllocated := pl.Sharded && !j.OneZone && j.Zone == "" && j.RemoteTasks == 0
+	return !coAllocated && j.Active == 0 && len(j.Waiting)+j.RemoteTasks > 1
+}
+
+// reservableCapacity gives how much of the fleet may be reserved at once.
+func (pl *planner) reservableCapacity() (sum Resources) {
+	for _, m := range pl.pool.usable {
+		if t := pl.pool.typeOf(m); t != nil {
+			sum = sum.AddScaled(capacityOf(t), maxReservedShare)
 		}
 	}
-	pl.prioritizeArrays(arrays, most, pl.selectReservingGangs(waiting, most))
+	return sum
 }
 
 // sortByWait orders jobs by how long they have waited, which counts for each of their tasks.
@@ -56,81 +70,87 @@
 	})
 }
 
-// prioritizeArrays has the largest arrays of each class that have waited for half the bound go
-// behind the gangs that gather, and before all others: of what those leave, smaller work
-// would take each bit before the last tasks of a large array. They take room as it comes,
-// and hold none.
-func (pl *planner) prioritizeArrays(waiting []*Job, most Resources, turn int) {
+// selectReservingGangs picks the gangs that reserve, and gives the last turn. Of a team whose
+// limit leaves nothing for its first gang, no other reserves: it could not start either.
+func (pl *planner) selectReservingGangs(waiting []*Job, limit Resources) (turn int) {
 	sortByWait(waiting)
-	first, large, sum := turn, make(map[string]int), Resources{}
-	for _, j := range waiting {
-		large[j.Class] = max(large[j.Class], j.Tasks)
-	}
+	// What has found no capacity for twice the bound may never find any, and must not keep others
+	// from reserving for as long as it waits.
+	slices.SortStableFunc(waiting, func(a, b *Job) int {
+		return cmp.Compare(a.Age/(2*pl.MaxGangWait), b.Age/(2*pl.MaxGangWait))
+	})
+	var sum Resources
+	byTeam := make(map[string]Resources) // nothing for a team that is at its limit
 	for _, j := range waiting {
-		if j.Age < pl.MaxGangWait/2 || j.Age >= pl.MaxGangWait || 2*j.Tasks < large[j.Class] {
-			continue // or has missed the bound: smaller ones would starve for nothing
+		team, whole := pl.Teams[j.Team], ResourcesOf(j.Job).Scaled(float64(len(j.Waiting)))
+		used, known := byTeam[j.Team]
+		if team == nil || known && used == (Resources{}) {
+			continue
 		}
-		if sum = sum.AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting))); turn > first && !most.Fits(sum) {
-			return
+		if !team.allows(used.AddScaled(whole, 1)) {
+			byTeam[j.Team] = Resources{}
+			if pl.worthReservingQuota(j, whole) { // it goes first, but reserves no machines
+				turn++
+				j.reservationTurn = turn
+			}
+			continue
+		}
+		if n := len(pl.reservingGangs); n > 0 && !limit.Fits(sum.AddScaled(whole, 1)) || n == maxReservingGangs {
+			return turn
 		}
+		byTeam[j.Team], sum = used.AddScaled(whole, 1), sum.AddScaled(whole, 1)
+		pl.reservingGangs = append(pl.reservingGangs, j)
 		turn++
 		j.reservationTurn = turn
 	}
+	return turn
 }
 
-// selectReservingGangs picks the gangs that gather, and gives the last one's turn.
-func (pl *planner) selectReservingGangs(waiting []*Job, most Resources) (turn int) {
+// prioritizeArrays has the largest arrays of each class that have waited for half the bound go
+// behind the gangs that reserve, and before all others: of what those leave, smaller work would
+// take each bit before the last tasks of a large array. They take capacity as it comes, and
+// reserve none.
+func (pl *planner) prioritizeArrays(waiting []*Job, limit Resources, turn int) {
 	sortByWait(waiting)
-	// What has found no room for twice the bound may never find any, and must not keep others
-	// from gathering for as long as it lives.
-	slices.SortStableFunc(waiting, func(a, b *Job) int {
-		return cmp.Compare(a.Age/(2*pl.MaxGangWait), b.Age/(2*pl.MaxGangWait))
-	})
-	var sum Resources
-	teams := make(map[string]Resources)
+	largest := make(map[string]int) // tasks, by class
 	for _, j := range waiting {
-		team, whole := pl.Teams[j.Team], Resources{}.AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)))
-		switch used, stuck := teams[j.Team]; {
-		case team == nil, stuck && used == (Resources{}):
-			continue
-		case !team.allows(used.AddScaled(whole, 1)):
-			if teams[j.Team] = (Resources{}); !pl.worthReservingQuota(j, whole) {
-				continue
-			}
-		case len(pl.reservingGangs) > 0 && !most.Fits(sum.AddScaled(whole, 1)), len(pl.reservingGangs) == maxReservingGangs:
-			return turn
-		default:
-			teams[j.Team], sum = used.AddScaled(whole, 1), sum.AddScaled(whole, 1)
-			pl.reservingGangs = append(pl.reservingGangs, j)
+		largest[j.Class] = max(largest[j.Class], j.Tasks)
+	}
+	first, sum := turn, Resources{}
+	for _, j := range waiting {
+		if j.Age < pl.MaxGangWait/2 || j.Age >= pl.MaxGangWait || 2*j.Tasks < largest[j.Class] {
+			continue // of one that has missed the bound: smaller ones would starve for nothing
+		}
+		sum = sum.AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)))
+		if turn > first && !limit.Fits(sum) {
+			return
 		}
 		turn++
 		j.reservationTurn = turn
 	}
-	return turn
 }
 
-// worthReservingQuota reports whether a team's limit will leave room for so much of a job that has
-// waited for long, so that smaller work of the team is to wait for it: not beside services,
-// which stay, and not where more urgent work has taken it for twice the bound.
-func (pl *planner) worthReservingQuota(j *Job, a Resources) bool {
+// worthReservingQuota reports whether a team's limit will allow so much of a job that has waited
+// for long, so that smaller work of the team is to wait for it: not beside services, which do not
+// end, and not where more urgent work has taken it for twice the bound.
+func (pl *planner) worthReservingQuota(j *Job, need Resources) bool {
 	if !pl.earnsReservation(j) || j.Age >= 2*pl.MaxGangWait {
 		return false
 	}
-	t := *pl.Teams[j.Team]
-	t.UsedCPUs, t.UsedGPUs = 0, 0
-	pl.countServiceUsage()
-	return t.allows(pl.serviceUsage[j.Team].AddScaled(a, 1))
+	team := *pl.Teams[j.Team]
+	team.UsedCPUs, team.UsedGPUs = 0, 0
+	return team.allows(pl.usageOfServices()[j.Team].AddScaled(need, 1))
 }
 
-// countServiceUsage sums what services take, by team.
-func (pl *planner) countServiceUsage() {
-	if pl.serviceUsage != nil {
-		return
-	}
-	pl.serviceUsage = make(map[string]Resources)
-	for _, other := range pl.Jobs {
-		if other.Shape == wire.Service {
-			pl.serviceUsage[other.Team] = pl.serviceUsage[other.Team].AddScaled(ResourcesOf(other.Job), float64(other.Active+len(other.Waiting)))
+// usageOfServices sums what services use or are to use, by team.
+func (pl *planner) usageOfServices() map[string]Resources {
+	if pl.serviceUsage == nil {
+		pl.serviceUsage = make(map[string]Resources)
+		for _, j := range pl.Jobs {
+			if j.Shape == wire.Service {
+				pl.serviceUsage[j.Team] = pl.serviceUsage[j.Team].AddScaled(ResourcesOf(j.Job), float64(j.Active+len(j.Waiting)))
+			}
 		}
 	}
+	return pl.serviceUsage
 }
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -6,45 +6,59 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Resources is what a task takes or a machine has.
+// epsilon absorbs the rounding of sums and differences wherever resources are compared.
+const epsilon = 1e-6
+
+// Resources is what a task needs, or what a machine has, or has left.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// ResourcesOf is what one task of a job takes.
+// ResourcesOf gives what one task of a job needs.
 func ResourcesOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// AddScaled adds, n times.
-func (a Resources) AddScaled(b Resources, n float64) Resources {
-	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
+// capacityOf gives what an empty machine of a type has.
+func capacityOf(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
+
+// AddScaled adds other n times; a negative n subtracts.
+func (r Resources) AddScaled(other Resources, n float64) Resources {
+	return Resources{r.CPUs + n*other.CPUs, r.GPUs + n*other.GPUs, r.MemoryGB + n*other.MemoryGB}
 }
 
-// Fits reports whether b fits into a.
-func (a Resources) Fits(b Resources) bool {
-	const dust = 1e-6
-	return b.CPUs <= a.CPUs+dust && b.GPUs <= a.GPUs+dust && b.MemoryGB <= a.MemoryGB+dust
+// Scaled gives n times r.
+func (r Resources) Scaled(n float64) Resources { return Resources{}.AddScaled(r, n) }
+
+// Fits reports whether need fits into r.
+func (r Resources) Fits(need Resources) bool {
+	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// Slots is how many times b fits into a.
-func (a Resources) Slots(b Resources) int {
-	n := math.Inf(1)
-	for _, p := range [][2]float64{{a.CPUs, b.CPUs}, {a.GPUs, b.GPUs}, {a.MemoryGB, b.MemoryGB}} {
-		if p[1] > 0 {
-			n = min(n, math.Floor(p[0]/p[1]+1e-6))
-		}
-	}
+// Slots gives how many times need fits into r; it is negative where r is.
+func (r Resources) Slots(need Resources) int {
+	n := min(slots(r.CPUs, need.CPUs), slots(r.GPUs, need.GPUs), slots(r.MemoryGB, need.MemoryGB))
 	return int(min(n, wire.MaxTasks))
 }
 
-func (a Resources) min(b Resources) Resources {
-	return Resources{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemoryGB, b.MemoryGB)}
+// slots gives how many times one kind of resource suffices: without limit if none is needed.
+func slots(have, need float64) float64 {
+	if need > 0 {
+		return math.Floor(have/need + epsilon)
+	}
+	return math.Inf(1)
 }
 
-// shortfall is the part of an amount that is not there, of whatever it lacks most.
-func (a Resources) shortfall(need Resources) float64 {
-	most := 0.0
-	for _, p := range [][2]float64{{a.CPUs, need.CPUs}, {a.GPUs, need.GPUs}, {a.MemoryGB, need.MemoryGB}} {
-		if p[1] > 0 {
-			most = max(most, 1-p[0]/p[1])
-		}
+// shortfall gives the fraction of need that r lacks, of the resource that it lacks most.
+func (r Resources) shortfall(need Resources) float64 {
+	return min(1, max(0, lacking(r.CPUs, need.CPUs), lacking(r.GPUs, need.GPUs), lacking(r.MemoryGB, need.MemoryGB)))
+}
+
+// lacking gives the fraction of one kind of resource that is not there; it is negative where there is more than enough.
+func lacking(have, need float64) float64 {
+	if need > 0 {
+		return 1 - have/need
 	}
-	return min(most, 1)
+	return 0
+}
+
+// min gives the lesser of each resource.
+func (r Resources) min(other Resources) Resources {
+	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB)}
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -1,50 +1,108 @@
 package scheduler
 
 import (
+	"cmp"
 	"maps"
 	"slices"
+	"time"
 
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reportQuotaDemand notes tasks that a team's grant holds back. Of those for which the limit of all parts together
-// has no room beside what is used here nothing is asked for: a part that kept a rest of the limit
-// for them would keep it from smaller work in others for nothing. They wait all the same.
+// ShardReport is what a plan has to say to the leaders of other shards. All but Unplaced and
+// ReadyGangs is for all of a class or team.
+type ShardReport struct {
+	Unplaced     []UnplacedJob
+	ReadyGangs   []string                // gangs to reserve for which there is capacity, by their IDs
+	FreeCapacity map[string]FreeCapacity // by class
+	QuotaDemands map[string]QuotaDemand  // by team
+	ServiceUsage map[string]Resources    // what services use or are to use, by team
+}
+
+// UnplacedJob is a job with tasks that found no capacity: some wait for what is on its way, for
+// others nothing is.
+type UnplacedJob struct {
+	Job              *Job
+	Coming, Unserved int
+}
+
+// FreeCapacity is how many more tasks of a class a shard could take. It travels between
+// controllers by these field names.
+type FreeCapacity struct {
+	Now   int  // on machines that have capacity now
+	Below int  // more on machines beside lesser work, which would be stopped
+	Rent  bool // machines for it can be rented
+}
+
+// QuotaDemand is work that a team's quota in this shard holds back: it would be launched if the
+// quota were larger. It travels between controllers by these field names.
+type QuotaDemand struct {
+	CPUs, GPUs float64
+	Rank       int       // of the most urgent of it
+	Since      time.Time // when the oldest of that was submitted
+	Least      Resources // what any of it needs: a task, or a gang
+}
+
+// Compare orders demands, the one that goes first before others. An age would not do: what another
+// shard has told was so a while ago, and of two that are as old each would take its own for the older.
+func (d QuotaDemand) Compare(other QuotaDemand) int {
+	return cmp.Or(cmp.Compare(other.Rank, d.Rank), d.Since.Compare(other.Since))
+}
+
+// IsPending reports whether anything is demanded now.
+func (d QuotaDemand) IsPending() bool { return d.CPUs > 0 || d.GPUs > 0 }
+
+// WorthReserving reports whether work of other shards is to wait for a demand: it has waited for
+// long, and will fit into the limit once all has ended but services. This is what
+// worthReservingQuota is within a shard.
+func (d QuotaDemand) WorthReserving(waited, maxGangWait time.Duration, limit Team, services Resources) bool {
+	return maxGangWait > 0 && waited >= maxGangWait/reservationWaitDivisor && waited < 2*maxGangWait && limit.allows(services.AddScaled(d.Least, 1))
+}
+
+// reportQuotaDemand reports tasks that a team's quota in this shard holds back. For those for which
+// the limit of all shards together leaves nothing beside what is used here, nothing is demanded: a
+// shard that kept a rest of the limit for them would keep it from smaller work in others for
+// nothing. They wait all the same.
 func (pl *planner) reportQuotaDemand(j *Job, tasks int) {
 	if !pl.Sharded || tasks <= 0 {
 		return
 	}
-	fit := min(tasks, pl.Teams[j.Team].maxMoreTasks(ResourcesOf(j.Job)))
 	least := ResourcesOf(j.Job)
+	fit := min(tasks, pl.Teams[j.Team].maxMoreTasks(least))
 	if j.Shape == wire.Gang {
-		if least = (Resources{}).AddScaled(least, float64(tasks)); fit < tasks {
+		least = least.Scaled(float64(tasks))
+		if fit < tasks {
 			fit = 0
 		}
 	}
 	if pl.plan.QuotaDemands == nil {
 		pl.plan.QuotaDemands = make(map[string]QuotaDemand)
 	}
-	w, known := pl.plan.QuotaDemands[j.Team]
-	w.CPUs += j.CPUs * float64(fit)
-	w.GPUs += j.GPUs * float64(fit)
-	if w.Least.Fits(least) || !known {
-		w.Least = least
+	d, known := pl.plan.QuotaDemands[j.Team]
+	d.CPUs += j.CPUs * float64(fit)
+	d.GPUs += j.GPUs * float64(fit)
+	if !known || d.Least.Fits(least) {
+		d.Least = least
 	}
-	if rank := j.Priority.Rank(); !known || rank > w.Rank || rank == w.Rank && j.SubmittedAt.Before(w.Since) {
-		w.Rank, w.Since = rank, j.SubmittedAt
+	rank := j.Priority.Rank()
+	if !known || rank > d.Rank || rank == d.Rank && j.SubmittedAt.Before(d.Since) {
+		d.Rank, d.Since = rank, j.SubmittedAt
 	}
-	pl.plan.QuotaDemands[j.Team] = w
+	pl.plan.QuotaDemands[j.Team] = d
 }
 
-// reportUnplaced notes tasks that found no room now.
-func (pl *planner) reportUnplaced(j *Job, coming, none int) {
-	pl.plan.Backlogged = pl.plan.Backlogged || coming+none > 0
-	if pl.Sharded && coming+none > 0 {
-		pl.plan.Unplaced = append(pl.plan.Unplaced, UnplacedJob{j, coming, none})
+// reportUnplaced reports tasks that found no capacity now.
+func (pl *planner) reportUnplaced(j *Job, coming, unserved int) {
+	if coming+unserved == 0 {
+		return
+	}
+	pl.plan.Backlogged = true
+	if pl.Sharded {
+		pl.plan.Unplaced = append(pl.plan.Unplaced, UnplacedJob{j, coming, unserved})
 	}
 }
 
-// useRemoteCapacity takes room for so many tasks of a job that another part has, if any has.
+// useRemoteCapacity takes capacity of other shards for so many tasks of a job, if they have it.
 func (pl *planner) useRemoteCapacity(j *Job, tasks int) bool {
 	if j.Spread || j.OneZone && j.Shape != wire.Gang || min(j.RemoteCapacity, pl.RemoteCapacity[j.Class]) < tasks {
 		return false
@@ -53,66 +111,79 @@
 	return true
 }
 
-// reportFreeCapacity tells for each class how many more of its tasks would find room once all that is
-// planned has its own.
+// reportFreeCapacity reports for each class how many more of its tasks would find capacity once
+// all that is planned has its own.
 func (pl *planner) reportFreeCapacity() {
 	if !pl.Sharded {
 		return
 	}
-	pl.countServiceUsage()
-	pl.plan.ServiceUsage = pl.serviceUsage
-	newest := make(map[string]*Job)
+	pl.plan.ServiceUsage = pl.usageOfServices()
+	typical := make(map[string]*Job) // by class: the newest job, of those that are bound to no zone where there are any
 	for _, j := range pl.Jobs {
-		// One that is bound to a zone says nothing of the room that others of its class find.
-		if n := newest[j.Class]; n == nil || n.Zone != "" && j.Zone == "" || (n.Zone == "") == (j.Zone == "") && j.Order > n.Order {
-			newest[j.Class] = j
+		if known := typical[j.Class]; known == nil || moreTypical(j, known) {
+			typical[j.Class] = j
 		}
 	}
-	pl.plan.FreeCapacity = make(map[string]FreeCapacity, len(newest))
-	for _, class := range slices.Sorted(maps.Keys(newest)) {
-		pl.plan.FreeCapacity[class] = pl.freeCapacityFor(newest[class])
+	pl.plan.FreeCapacity = make(map[string]FreeCapacity, len(typical))
+	for _, class := range slices.Sorted(maps.Keys(typical)) {
+		pl.plan.FreeCapacity[class] = pl.freeCapacityFor(typical[class])
+	}
+}
+
+// moreTypical reports whether a job is to stand for its class rather than another. One that is
+// bound to a zone says nothing of the capacity that others of its class find.
+func moreTypical(j, known *Job) bool {
+	if bound, knownBound := j.Zone != "", known.Zone != ""; bound != knownBound {
+		return knownBound
 	}
+	return j.Order > known.Order
 }
 
+// freeCapacityFor gives how many more tasks like those of a job would find capacity.
 func (pl *planner) freeCapacityFor(j *Job) FreeCapacity {
 	need, rank := ResourcesOf(j.Job), j.Priority.Rank()
-	now, below := make(map[string]int), 0
-	for _, m := range pl.usable {
-		if !allowsOffer(j, pl.offers[m.offerIndex]) || !m.Usable {
+	now := make(map[string]int) // by zone
+	free := FreeCapacity{Now: pl.headroomByClass[j.Class], Rent: pl.canRent(j)}
+	for _, m := range pl.pool.usable {
+		if !m.Usable || !allowsOffer(j, pl.pool.offers[m.offerIndex]) {
 			continue
 		}
 		slots := max(0, m.Free.Slots(need))
 		now[m.Zone] += slots
-		room := m.Free.AddScaled(m.stopping, 1)
-		for _, l := range m.loadByRank[:rank] {
-			room = room.AddScaled(l, 1)
-		}
-		below += max(0, room.Slots(need)-slots)
+		free.Below += max(0, m.freeBelow(rank).Slots(need)-slots)
 	}
-	r := FreeCapacity{Below: below, Now: pl.headroomByClass[j.Class]}
 	for _, n := range now {
 		if j.OneZone {
-			r.Now = max(r.Now, n)
+			free.Now = max(free.Now, n)
 		} else {
-			r.Now += n
+			free.Now += n
 		}
 	}
-	for _, t := range pl.Types {
+	return free
+}
+
+// canRent reports whether machines for a job can be rented. A doubtful offer that is not left alone
+// any more counts: nobody else would ever ask for it, and a gang that needs it would wait for ever.
+func (pl *planner) canRent(j *Job) bool {
+	for i := range pl.Types {
+		t := &pl.Types[i]
+		if !capacityOf(t).Fits(ResourcesOf(j.Job)) {
+			continue
+		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				o := Offer{t.Name, zone, spot}
-				// One in doubt that is not left alone any more counts: nobody else would ever ask it, and a
-				// gang that needs room there would wait for ever.
-				r.Rent = r.Rent || allowsOffer(j, o) && !pl.Unavailable[o] && (Resources{t.CPUs, t.GPUs, t.MemoryGB}).Fits(need)
+				if o := (Offer{t.Name, zone, spot}); allowsOffer(j, o) && !pl.Unavailable[o] {
+					return true
+				}
 			}
 		}
 	}
-	return r
+	return false
 }
 
 // sumSpareCapacity sums what is left on machines that are up.
 func (pl *planner) sumSpareCapacity() {
-	for _, m := range pl.usable {
+	for _, m := range pl.pool.usable {
 		if m.Usable {
 			pl.plan.SpareCapacity = pl.plan.SpareCapacity.AddScaled(m.Free, 1)
 		}
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Objective is an aim of the users for a class of jobs: that they start, or
-// are finished, within a time.
+// Objective is a service-level objective of a class of jobs: that they start, or are finished,
+// within a time.
 type Objective struct {
 	Kind, Class string
 	Within      time.Duration
@@ -17,55 +17,66 @@
 
 // The kinds of objectives.
 const (
-	StartWithin     = "wait"
-	FinishWithin    = "finished"
-	GuaranteeWithin = "guarantee"
+	StartWithin     = "wait"      // after submission
+	FinishWithin    = "finished"  // after submission
+	GuaranteeWithin = "guarantee" // start of work within a team's guarantee, of any class
 )
 
-// Offer is a type of machine in a zone, ordinary or spot.
+// Offer is a type of machine in a zone, on demand or spot.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Snapshot is all that the choice depends on.
+// Snapshot is all that a plan depends on.
 type Snapshot struct {
 	Machines     []*Machine
 	Jobs         []*Job
 	Teams        map[string]*Team
 	Types        []wire.MachineType
 	Objectives   []Objective
-	Unavailable  map[Offer]bool // offers that the cloud refused a while ago
-	Doubtful     map[Offer]bool // offers that it refused when they were last asked for
-	RequestLimit map[Offer]int  // machines that can be asked for now, of offers in doubt: more are better asked elsewhere
+	Unavailable  map[Offer]bool // offers that the cloud refused a while ago: none is asked for
+	Doubtful     map[Offer]bool // offers that the cloud refused when they were last asked for
+	RequestLimit map[Offer]int  // of doubtful offers, how many machines may be asked for now: more are better asked for elsewhere
 	IdleTimeout  time.Duration  // after which an idle machine is returned
-	LaunchBudget int            // that may be launched in this round
+	LaunchBudget int            // tasks that may be launched in this round
+	MaxMoves     int            // replicas that may be down at once for the sake of spreading
+	MaxGangWait  time.Duration  // how long even the largest gang should wait at most; 0 for any time
+	Tiers        *tier.Set      // nil stands for the order without settings
+	Reclaims     []Reclaim      // capacity that is being reclaimed
 
-	MaxMoves       int            // replicas that may be away at once for spreading
-	MaxGangWait    time.Duration  // how long even the largest gang should wait at the most, 0 for any time
-	Sharded        bool           // the fleet is in several parts, of which this is one
-	RemoteCapacity map[string]int // room that other parts have now, by class
-	Tiers          *tier.Set      // nil stands for the order without settings
-	Reclaims       []Reclaim      // room that is being claimed back
+	Sharded        bool           // the fleet is divided into several shards, of which this is one
+	RemoteCapacity map[string]int // tasks for which other shards have free capacity now, by class
 }
 
-// allowsOffer reports whether a job's tasks may ever be on such a machine.
+// allowsOffer reports whether tasks of a job may ever be on machines of an offer.
 func allowsOffer(j *Job, o Offer) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, o.Type)) && (j.Zone == "" || j.Zone == o.Zone) && (j.Spot || !o.Spot) && (j.SpreadRule == nil || j.SpreadRule.permitsZone(o.Zone))
+	switch {
+	case len(j.Types) > 0 && !slices.Contains(j.Types, o.Type):
+		return false
+	case j.Zone != "" && j.Zone != o.Zone:
+		return false
+	case o.Spot && !j.Spot:
+		return false
+	}
+	return j.SpreadRule == nil || j.SpreadRule.permitsZone(o.Zone)
 }
 
-// OfferAllowed reports whether the tasks of a job may ever be on machines of an offer.
+// OfferAllowed reports whether tasks of a job may ever be on machines of an offer.
 func OfferAllowed(j *wire.Job, o Offer) bool { return allowsOffer(&Job{Job: j}, o) }
 
-// zoneAllowed reports whether one more task of a job may be in a zone, given
-// where its tasks are, old attempts included.
-func zoneAllowed(j *Job, in map[string]int, zone string) bool {
+// zoneAllowed reports whether one more task of a job may be in a zone, given how many of its
+// tasks are in each zone, old attempts included.
+func zoneAllowed(j *Job, tasksByZone map[string]int, zone string) bool {
 	if j.OneZone {
-		for z, n := range in {
+		for z, n := range tasksByZone {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !j.Spread || in[zone] < (j.Tasks+1)/2
+	return !j.Spread || tasksByZone[zone] < maxPerZoneSpread(j)
 }
+
+// maxPerZoneSpread gives how many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
+func maxPerZoneSpread(j *Job) int { return (j.Tasks + 1) / 2 }
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// SpreadRule is how the services of a class are spread over the zones, by their operators.
+// SpreadRule is how the services of a class are spread over the zones, as their operators set it.
 type SpreadRule struct {
-	Even    bool     // the counts of two zones differ by one at most, where there is room
+	Even    bool     // the counts of two zones differ by one at most, where there is capacity
 	Survive float64  // the share of the replicas that is to survive the loss of any one zone
 	Zones   []string // the only ones, or none for any
 }
@@ -20,28 +20,35 @@
 	return len(r.Zones) == 0 || slices.Contains(r.Zones, zone)
 }
 
-// maxPerZone is how many replicas of a service may be in one zone, so that enough survive the loss of
-// it: one at least.
+// maxPerZone is how many replicas of a service may be in one zone, so that enough survive the loss
+// of it: one at least.
 func (r *SpreadRule) maxPerZone(tasks int) int {
-	return max(1, int(math.Floor(float64(tasks)*(1-r.Survive)+1e-6)))
+	return max(1, int(math.Floor(float64(tasks)*(1-r.Survive)+epsilon)))
 }
 
-// excess tells how bad it is to have so many replicas in a zone: by evenness first, then by what
-// would not survive.
-func (r *SpreadRule) excess(j *Job, in int) (much, many int) {
+// imbalance tells how bad it is to have so many replicas in a zone: by what would not survive its
+// loss first, then by evenness.
+type imbalance struct{ lost, uneven int }
+
+func (i imbalance) compare(other imbalance) int {
+	return cmp.Or(cmp.Compare(i.lost, other.lost), cmp.Compare(i.uneven, other.uneven))
+}
+
+// imbalance gives how bad it is for a job to have so many replicas in one zone.
+func (r *SpreadRule) imbalance(j *Job, replicas int) (i imbalance) {
 	if r.Survive > 0 {
-		much = max(0, in-r.maxPerZone(j.Tasks))
+		i.lost = max(0, replicas-r.maxPerZone(j.Tasks))
 	}
 	if r.Even {
-		many = in
+		i.uneven = replicas
 	}
-	return much, many
+	return i
 }
 
 // bestFitEvenly picks the machine for a replica of a service with a rule: in the zone that has the
-// fewest of it, where there is room; there, one with the image before the roomiest.
+// fewest of it, where there is capacity; there, one with the image before the emptiest.
 func (s *search) bestFitEvenly() *Machine {
-	best := make(map[string]candidate)
+	best := make(map[string]candidate) // by zone
 	for _, c := range s.withImage {
 		if b, known := best[c.Zone]; zoneAllowed(s.job, s.tasksByZone, c.Zone) && (!known || betterCandidate(s.job, c, b)) {
 			best[c.Zone] = c
@@ -65,78 +72,102 @@
 	return best[pick].Machine
 }
 
+// spreadsBetter reports whether a replica on a leaves its service more balanced than on b; of two
+// as good, the one with the image is better.
 func (s *search) spreadsBetter(a, b *Machine) bool {
-	muchA, manyA := s.job.SpreadRule.excess(s.job, s.tasksByZone[a.Zone]+1)
-	muchB, manyB := s.job.SpreadRule.excess(s.job, s.tasksByZone[b.Zone]+1)
-	here := func(m *Machine) int {
+	after := func(m *Machine) imbalance { return s.job.SpreadRule.imbalance(s.job, s.tasksByZone[m.Zone]+1) }
+	fetches := func(m *Machine) int {
 		if m.hasImage(s.job.Image) {
 			return 0
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(muchA, muchB), cmp.Compare(manyA, manyB), cmp.Compare(here(a), here(b))) < 0
+	return cmp.Or(after(a).compare(after(b)), cmp.Compare(fetches(a), fetches(b))) < 0
+}
+
+// replica is a task of a service on a machine.
+type replica struct {
+	machine *Machine
+	index   int // in machine.Tasks
+}
+
+// runningReplicas lists the replicas that run, of each service with a rule.
+func (pl *planner) runningReplicas() map[*Job][]replica {
+	running := make(map[*Job][]replica)
+	for _, m := range pl.Machines {
+		for i, t := range m.Tasks {
+			if t.Job.SpreadRule != nil && t.RunTime > 0 && !t.Stopping && m.Usable {
+				running[t.Job] = append(running[t.Job], replica{m, i})
+			}
+		}
+	}
+	return running
 }
 
-// rebalanceServices mends services that are uneven: one replica is stopped, and starts where it is missing.
-// It can't run twice, so that it is away meanwhile: one of a service at the most, few in all,
-// and none while production waits anywhere.
+// rebalanceServices mends services that are not spread as their rules demand: one replica is
+// stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
+// a service at most, few in all, and none while production waits anywhere.
 func (pl *planner) rebalanceServices() {
-	var ruled []*Job
+	var services []*Job
 	for _, j := range pl.Jobs {
 		if j.SpreadRule != nil {
-			ruled = append(ruled, j)
+			services = append(services, j)
 		}
 	}
-	if len(ruled) == 0 || pl.Sharded {
+	if len(services) == 0 || pl.Sharded {
 		return
 	}
-	type replica struct {
-		on    *Machine
-		index int
-	}
-	run, away := make(map[*Job][]replica), make(map[*Job]bool)
-	for _, m := range pl.Machines {
-		for i, t := range m.Tasks {
-			if t.Job.SpreadRule != nil && t.RunTime > 0 && !t.Stopping && m.Usable {
-				run[t.Job] = append(run[t.Job], replica{m, i})
-			}
-		}
-	}
-	left := pl.MaxMoves
-	for _, j := range ruled {
-		if len(run[j]) < j.Tasks {
-			away[j], left = true, left-1
+	running := pl.runningReplicas()
+	moves := pl.MaxMoves
+	for _, j := range services {
+		if len(running[j]) < j.Tasks {
+			moves-- // some replica of it is down already
 		}
 	}
-	for _, j := range ruled {
-		if away[j] || j.Shape != wire.Service {
+	for _, j := range services {
+		if len(running[j]) < j.Tasks || j.Shape != wire.Service {
 			continue
 		}
-		s := pl.newSearch(j, j.InZone, "")
-		s.scan()
-		to := s.bestFitEvenly()
+		from, to := pl.betterZoneFor(j, running[j])
 		if to == nil {
 			continue
 		}
-		var from *replica
-		for i, r := range run[j] {
-			if from == nil || j.InZone[r.on.Zone] > j.InZone[from.on.Zone] {
-				from = &run[j][i]
-			}
-		}
-		much, many := j.SpreadRule.excess(j, j.InZone[from.on.Zone])
-		muchTo, manyTo := j.SpreadRule.excess(j, j.InZone[to.Zone]+1)
-		if much <= muchTo && (muchTo > much || many <= manyTo) {
-			continue
-		}
 		pl.plan.SpreadViolated = true
-		if pl.productionWaits || left <= 0 {
+		if pl.productionWaits || moves <= 0 {
 			return
 		}
-		left--
-		t := &from.on.Tasks[from.index]
-		t.Stopping = true
-		pl.plan.Stops = append(pl.plan.Stops, Stop{Job: j, TaskIndex: t.Index, Machine: from.on.ID, Reason: "its service is spread to " + to.Zone})
-		pl.occupy(j, to)
+		moves--
+		pl.move(j, from, to)
 	}
 }
+
+// betterZoneFor finds a replica of a service to move and the machine to move it to, or nil if that
+// would not make the service more balanced.
+func (pl *planner) betterZoneFor(j *Job, running []replica) (from replica, to *Machine) {
+	s := pl.newSearch(j, j.InZone, "")
+	s.scan()
+	to = s.bestFitEvenly()
+	if to == nil {
+		return replica{}, nil
+	}
+	from = running[0]
+	for _, r := range running {
+		if j.InZone[r.machine.Zone] > j.InZone[from.machine.Zone] {
+			from = r
+		}
+	}
+	before := j.SpreadRule.imbalance(j, j.InZone[from.machine.Zone])
+	after := j.SpreadRule.imbalance(j, j.InZone[to.Zone]+1)
+	if before.compare(after) <= 0 {
+		return replica{}, nil
+	}
+	return from, to
+}
+
+// move plans to stop a replica, and reserves capacity for it elsewhere.
+func (pl *planner) move(j *Job, from replica, to *Machine) {
+	t := &from.machine.Tasks[from.index]
+	t.Stopping = true
+	pl.plan.Stops = append(pl.plan.Stops, Stop{Job: j, TaskIndex: t.Index, Machine: from.machine.ID, Reason: "its service is spread to " + to.Zone})
+	pl.occupy(j, to)
+}
--- a/internal/scheduler/startable.go
+++ b/internal/scheduler/startable.go
@@ -2,38 +2,41 @@
 
 import "amberdeal.example/amberdeal/wire"
 
-// maxStartableChecks bounds how many machines Startable looks at.
+// maxStartableChecks bounds how many machines FirstStartable examines.
 const maxStartableChecks = 200_000
 
-// FirstStartable gives a job of which a task, or the gang whole, has room on machines that are there and
-// within its team's limit, or nil. It knows nothing of what room is kept for: it is for noticing
-// that nothing is started at all. It is asked before Choose changes the picture.
-func (p *Snapshot) FirstStartable() *Job {
-	effort := maxStartableChecks
-	for _, j := range p.Jobs {
+// FirstStartable gives a job of which a task, or the whole gang, has capacity on machines that are
+// up and within its team's limit, or nil. It does not know for what capacity is reserved: it is for
+// noticing that nothing is started at all. It must be called before Schedule, which changes the
+// snapshot.
+func (s *Snapshot) FirstStartable() *Job {
+	budget := maxStartableChecks
+	for _, j := range s.Jobs {
 		if len(j.Waiting) == 0 || j.Terminating || j.MaybeRunning || j.ReserveOnly {
 			continue
 		}
-		if effort -= len(p.Machines); effort < 0 {
+		budget -= len(s.Machines)
+		if budget < 0 {
 			return nil
 		}
-		if p.canStart(j) {
+		if s.canStart(j) {
 			return j
 		}
 	}
 	return nil
 }
 
-func (p *Snapshot) canStart(j *Job) bool {
-	team, need, wanted := p.Teams[j.Team], ResourcesOf(j.Job), 1
+// canStart reports whether there is capacity for a task of a job, or the whole gang.
+func (s *Snapshot) canStart(j *Job) bool {
+	team, need, wanted := s.Teams[j.Team], ResourcesOf(j.Job), 1
 	if j.Shape == wire.Gang {
 		wanted = len(j.Waiting)
 	}
-	if team == nil || !team.allows(Resources{}.AddScaled(need, float64(wanted))) {
+	if team == nil || !team.allows(need.Scaled(float64(wanted))) {
 		return false
 	}
-	slots, most := make(map[string]int), 0 // by zone, or all together
-	for _, m := range p.Machines {
+	slots, most := make(map[string]int), 0 // by zone where the job must be in one, else together
+	for _, m := range s.Machines {
 		if !m.Usable || j.AvoidMachines[m.ID] || !allowsOffer(j, Offer{m.Type, m.Zone, m.Spot}) || !zoneAllowed(j, j.InZone, m.Zone) {
 			continue
 		}
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -6,110 +6,128 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Room is held for what is to come: for gangs that gather it or have the rest rented, as headroom, for
-// the first of a team that takes up its limit, beside images that come for production, away from
-// machines on which a job failed. Each of these rules may hold it for as long as its cause lasts.
-// No job waits for as long as that: what has no task anywhere for standMost takes room that has
-// been free for as long without a break, whatever it is held for. It takes no more than a task, or a
-// gang's whole, so that what room is held for is put off by little.
+// The starvation guard. Capacity is reserved for what is to come: for gangs, as headroom, for the
+// first of a team that takes up its limit, beside images that come for production, away from
+// machines on which a job failed. Each of these rules may reserve it for as long as its cause lasts.
+// No job waits for as long as that: what has had no task anywhere for starvationLimit takes capacity
+// that has been idle for as long without a break, whatever it is reserved for. It takes no more than
+// a task, or a whole gang, so that what capacity is reserved for is put off by little.
 const (
-	starvationLimit   = 60 * time.Second
+	// starvationLimit is for how long a job is passed over beside idle capacity, at most.
+	starvationLimit = 60 * time.Second
+	// idleCapacityStep is how finely idle capacity is remembered.
 	idleCapacityStep  = 15 * time.Second
 	idleCapacitySteps = int(starvationLimit/idleCapacityStep) + 1
 )
 
-// IdleCapacity remembers what has been free on a machine of late.
+// IdleCapacity remembers what has been free on a machine of late. The zero value knows of nothing.
 type IdleCapacity struct {
-	step  int64
+	step  int64                        // the present one, counted from 1970
 	least [idleCapacitySteps]Resources // in each step, the present one first
 }
 
-// Record takes in what is free now, and gives what has been for standMost at the least. Of steps in which
-// nobody looked nothing is known.
-func (s *IdleCapacity) Record(now time.Time, free Resources) Resources {
+// Record takes in what is free now, and gives what has been free throughout starvationLimit. Steps
+// in which nothing was recorded count as without free capacity.
+func (c *IdleCapacity) Record(now time.Time, free Resources) Resources {
 	step := now.UnixNano() / int64(idleCapacityStep)
-	if gone := step - s.step; gone > 0 {
+	if passed := step - c.step; passed > 0 {
 		var next [idleCapacitySteps]Resources
-		if gone == 1 {
-			copy(next[1:], s.least[:])
+		if passed == 1 {
+			copy(next[1:], c.least[:])
 		}
 		next[0] = free
-		s.step, s.least = step, next
+		c.step, c.least = step, next
 	}
-	s.least[0] = s.least[0].min(free)
-	out := s.least[0]
-	for _, a := range s.least[1:] {
-		out = out.min(a)
+	c.least[0] = c.least[0].min(free)
+	idle := c.least[0]
+	for _, least := range c.least[1:] {
+		idle = idle.min(least)
 	}
-	return out
+	return idle
 }
 
-// admitStarved launches what has stood beside room for too long, in the order of jobs. Where tiers are set,
-// room that is not lent stays what it is.
+// starvationGuard launches starved jobs beside what the plan has launched already.
+type starvationGuard struct {
+	teams    map[string]Team      // their use without what the plan reserves
+	launched map[string]Resources // what the plan launches, by machine
+	begun    map[*Job]bool        // jobs of which the plan launches something
+}
+
+// count counts a launch of the plan.
+func (g *starvationGuard) count(l Launch) {
+	need := ResourcesOf(l.Job.Job)
+	g.launched[l.Machine] = g.launched[l.Machine].AddScaled(need, 1)
+	team := g.teams[l.Job.Team]
+	team.consume(need)
+	g.teams[l.Job.Team] = team
+	g.begun[l.Job] = true
+}
+
+// admitStarved launches what has waited beside idle capacity for too long, in the order of jobs.
+// Where tiers are set nothing is admitted: capacity that a tier does not lend stays its own.
 func (pl *planner) admitStarved(teams map[string]Team) {
 	if pl.Tiers.Configured() {
 		return
 	}
-	var standing []*Job
+	var starved []*Job
 	for _, j := range pl.Jobs {
 		if j.starved() {
-			standing = append(standing, j)
+			starved = append(starved, j)
 		}
 	}
-	if len(standing) == 0 {
+	if len(starved) == 0 {
 		return
 	}
-	taken, begun := make(map[string]Resources), make(map[*Job]bool)
-	use := func(l Launch) {
-		taken[l.Machine] = taken[l.Machine].AddScaled(ResourcesOf(l.Job.Job), 1)
-		t := teams[l.Job.Team]
-		t.consume(ResourcesOf(l.Job.Job))
-		teams[l.Job.Team], begun[l.Job] = t, true
-	}
+	guard := &starvationGuard{teams: teams, launched: make(map[string]Resources), begun: make(map[*Job]bool)}
 	for _, l := range pl.plan.Launches {
-		use(l)
+		guard.count(l)
 	}
-	for _, j := range standing {
-		n := 1
-		if j.Shape == wire.Gang {
-			n = len(j.Waiting)
-		}
-		team := teams[j.Team]
-		if begun[j] || n > pl.LaunchBudget || pl.Teams[j.Team] == nil || !team.allows(Resources{}.AddScaled(ResourcesOf(j.Job), float64(n))) {
+	for _, j := range starved {
+		pl.admit(j, guard)
+	}
+}
+
+// admit launches a task of a starved job, or the whole gang, if there is idle capacity for it.
+func (pl *planner) admit(j *Job, guard *starvationGuard) {
+	tasks := 1
+	if j.Shape == wire.Gang {
+		tasks = len(j.Waiting)
+	}
+	team := guard.teams[j.Team]
+	if guard.begun[j] || tasks > pl.LaunchBudget || pl.Teams[j.Team] == nil || !team.allows(ResourcesOf(j.Job).Scaled(float64(tasks))) {
+		return
+	}
+	for _, zone := range pl.candidateZones(j) {
+		picks := pl.placeStarved(j, zone, tasks, guard.launched)
+		if picks == nil {
 			continue
 		}
-		for _, zone := range pl.candidateZones(j) {
-			picks := pl.placeStarved(j, zone, n, taken)
-			if picks == nil {
-				continue
-			}
-			for i, m := range picks {
-				l := Launch{j, j.Waiting[i], m.ID}
-				pl.plan.Launches = append(pl.plan.Launches, l)
-				m.usedByPlan = true
-				use(l)
-			}
-			pl.LaunchBudget -= n
-			break
+		for i, m := range picks {
+			l := Launch{j, j.Waiting[i], m.ID}
+			pl.plan.Launches = append(pl.plan.Launches, l)
+			m.usedByPlan = true
+			guard.count(l)
 		}
+		pl.LaunchBudget -= tasks
+		return
 	}
 }
 
-// placeStarved picks machines for so many tasks of a job that stands: those that hold its image first.
-// Where something is being stopped, what it is for has the rest.
-func (pl *planner) placeStarved(j *Job, zone string, n int, taken map[string]Resources) (picks []*Machine) {
-	need, in, own := ResourcesOf(j.Job), make(map[string]int), make(map[*Machine]int)
-	for _, holds := range []bool{true, false} {
-		for _, m := range pl.usable {
-			if m.hasImage(j.Image) != holds || !m.Usable || m.stopping != (Resources{}) || !allowsOffer(j, pl.offers[m.offerIndex]) || zone != "" && zone != m.Zone {
+// placeStarved picks machines for so many tasks of a starved job: those that have its image first.
+// Where something is being stopped, the capacity is left to what it is stopped for.
+func (pl *planner) placeStarved(j *Job, zone string, tasks int, launched map[string]Resources) (picks []*Machine) {
+	need, tasksByZone, own := ResourcesOf(j.Job), make(map[string]int), make(map[*Machine]int)
+	for _, withImage := range []bool{true, false} {
+		for _, m := range pl.pool.usable {
+			if m.hasImage(j.Image) != withImage || !m.Usable || m.stopping != (Resources{}) || !allowsOffer(j, pl.pool.offers[m.offerIndex]) || zone != "" && zone != m.Zone {
 				continue
 			}
-			for len(picks) < n && zoneAllowed(j, in, m.Zone) && m.IdleCapacity.AddScaled(taken[m.ID], -1).AddScaled(need, -float64(own[m])).Fits(need) {
-				in[m.Zone]++
+			for len(picks) < tasks && zoneAllowed(j, tasksByZone, m.Zone) && m.IdleCapacity.AddScaled(launched[m.ID], -1).AddScaled(need, -float64(own[m])).Fits(need) {
+				tasksByZone[m.Zone]++
 				own[m]++
 				picks = append(picks, m)
 			}
-			if len(picks) == n {
+			if len(picks) == tasks {
 				return picks
 			}
 		}
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -2,34 +2,56 @@
 
 import "amberdeal.example/amberdeal/wire"
 
-// Team is what a team is guaranteed, may use at most, and uses. A limit of 0
-// means none.
+// Team is a team's quota and its use. A limit of 0 means that there is none.
 type Team struct {
-	GuaranteedCPUs, GuaranteedGPUs, LimitCPUs, LimitGPUs float64
-	UsedCPUs, UsedGPUs                                   float64
-	RemoteUsedCPUs, RemoteUsedGPUs                       float64 // what other parts use, as last told
-	GlobalLimitCPUs, GlobalLimitGPUs                     float64 // limits of all parts together, 0 for none; CPUsMax and GPUsMax are this part's
+	GuaranteedCPUs, GuaranteedGPUs   float64
+	LimitCPUs, LimitGPUs             float64 // of this shard
+	UsedCPUs, UsedGPUs               float64 // in this shard, with all that the plan has placed so far
+	RemoteUsedCPUs, RemoteUsedGPUs   float64 // in other shards, as they last told
+	GlobalLimitCPUs, GlobalLimitGPUs float64 // of all shards together
 }
 
-// maxMoreTasks is how many tasks more the team could have here if this part were granted all that there is.
+// maxMoreTasks gives how many more tasks the team could have in this shard if the whole limit were granted to it.
 func (t *Team) maxMoreTasks(need Resources) int {
-	const dust = 1e-6
 	n := float64(wire.MaxTasks)
 	if t.GlobalLimitCPUs > 0 && need.CPUs > 0 {
-		n = min(n, (t.GlobalLimitCPUs-t.UsedCPUs+dust)/need.CPUs)
+		n = min(n, (t.GlobalLimitCPUs-t.UsedCPUs+epsilon)/need.CPUs)
 	}
 	if t.GlobalLimitGPUs > 0 && need.GPUs > 0 {
-		n = min(n, (t.GlobalLimitGPUs-t.UsedGPUs+dust)/need.GPUs)
+		n = min(n, (t.GlobalLimitGPUs-t.UsedGPUs+epsilon)/need.GPUs)
 	}
 	return int(max(0, n))
 }
 
-func (t *Team) allows(a Resources) bool {
-	const dust = 1e-6
-	return (t.LimitCPUs == 0 || t.UsedCPUs+a.CPUs <= t.LimitCPUs+dust) && (t.LimitGPUs == 0 || t.UsedGPUs+a.GPUs <= t.LimitGPUs+dust)
+// allows reports whether the team's limit has so much left.
+func (t *Team) allows(r Resources) bool {
+	return (t.LimitCPUs == 0 || t.UsedCPUs+r.CPUs <= t.LimitCPUs+epsilon) &&
+		(t.LimitGPUs == 0 || t.UsedGPUs+r.GPUs <= t.LimitGPUs+epsilon)
 }
 
-// WithinLimit reports whether a team uses no more than it may, with all that was planned.
+// WithinLimit reports whether the team uses no more than its limit, with all that was planned.
 func (t *Team) WithinLimit() bool { return t.allows(Resources{}) }
 
-func (t *Team) consume(a Resources) { t.UsedCPUs += a.CPUs; t.UsedGPUs += a.GPUs }
+// consume counts resources as used.
+func (t *Team) consume(r Resources) {
+	t.UsedCPUs += r.CPUs
+	t.UsedGPUs += r.GPUs
+}
+
+// exceedsGuarantee reports whether the team would use its guarantee of GPUs, in all shards, without
+// so many of those that it uses. A team to which nothing is guaranteed borrows all that it uses.
+func (t *Team) exceedsGuarantee(without float64) bool {
+	if t.GuaranteedGPUs > 0 {
+		return t.UsedGPUs+t.RemoteUsedGPUs-without >= t.GuaranteedGPUs
+	}
+	return t.GuaranteedGPUs == 0 && t.GuaranteedCPUs == 0
+}
+
+// borrows reports whether the team uses more GPUs than are guaranteed to it, or may have nothing but
+// what it borrows.
+func (t *Team) borrows() bool {
+	if t.GuaranteedGPUs > 0 {
+		return t.UsedGPUs+t.RemoteUsedGPUs > t.GuaranteedGPUs
+	}
+	return t.GuaranteedGPUs == 0 && t.GuaranteedCPUs == 0
+}
--- a/internal/scheduler/tier_shares.go
+++ b/internal/scheduler/tier_shares.go
@@ -10,65 +10,58 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tiering is what a plan goes by where tiers are set.
+// tiering is what a plan goes by where operators have set tiers: work within its tier's share goes
+// before all that exceeds one, the first tier before everything.
 type tiering struct {
-	shares         []tier.Guarantee
-	use            *tier.Usage
-	reclaims       []withheldCapacity
-	unlent         []withheldCapacity // of shares that are not lent to the tier at hand
-	current        *Job
-	teamGPUsBefore float64 // by its team, before it
-
-	countedStops  int         // stops of the plan that gone counts
-	stopped       *tier.Usage // by them
-	zoneByMachine map[string]string
+	shares   []tier.Guarantee   // by tier
+	use      *tier.Usage        // of GPUs, with what the plan has placed
+	reclaims []withheldCapacity // what is being reclaimed for some job
+	unlent   []withheldCapacity // free capacity of shares that are not lent to the tier at hand
+
+	current        *Job    // the job that is being placed
+	teamGPUsBefore float64 // what its team used before it
+
+	stopped       *tier.Usage       // what the plan's stops free
+	countedStops  int               // how many stops that counts
+	zoneByMachine map[string]string // of usable machines
 }
 
-// withheldCapacity keeps room from others.
+// withheldCapacity is capacity of a machine that is kept from some jobs.
 type withheldCapacity struct {
 	Reclaim
 	machine *Machine
 	amount  Resources
-	active  bool
+	active  bool // it is withheld now
 }
 
-func (h *withheldCapacity) setActive(on bool) {
-	if on != h.active {
-		n := -1.0
-		if h.active = on; !on {
-			n = 1
-		}
-		h.machine.Free = h.machine.Free.AddScaled(h.amount, n)
-		h.machine.usedByPlan = true
+// setActive withholds the capacity, or gives it back.
+func (w *withheldCapacity) setActive(active bool) {
+	if active == w.active {
+		return
+	}
+	w.active = active
+	n := 1.0
+	if active {
+		n = -1
 	}
+	w.machine.Free = w.machine.Free.AddScaled(w.amount, n)
+	w.machine.usedByPlan = true
 }
 
-// buildQueue gives the jobs in the order in which they get room. Work of a tier that has a
-// share left stands in it twice: for what the share has, and for the rest.
+// buildQueue gives the jobs in the order in which they are placed. A job of a tier that has some of
+// its share left is in it twice: for what the share has capacity for, and for the rest.
 func (pl *planner) buildQueue() []*Job {
 	if !pl.Tiers.Configured() {
 		return pl.Jobs
 	}
 	pl.countTierUse()
 	var queue []*Job
-	last := len(pl.Tiers.Tiers)
 	for i := range pl.Tiers.Tiers {
-		left := tier.Unused(pl.tiering.shares[i], pl.tiering.use, i, "") > 0
-		for _, j := range pl.Jobs {
-			if j.tier != i || i > 0 && (!left || len(j.Waiting) == 0 || j.GPUs == 0) {
-				continue
-			}
-			if i > 0 {
-				part := *j
-				part.remainder, j = j, &part
-			}
-			j.queueLevel = i
-			queue = append(queue, j)
-		}
+		queue = append(queue, pl.withinShare(i)...)
 	}
 	for _, j := range pl.Jobs {
 		if j.tier > 0 {
-			j.queueLevel = last + j.tier
+			j.queueLevel = len(pl.Tiers.Tiers) + j.tier
 			queue = append(queue, j)
 		}
 	}
@@ -78,52 +71,88 @@
 	return queue
 }
 
-// countTierUse counts the cards that there are, and those that tiers use. What is being stopped
-// no longer counts.
+// withinShare lists the jobs of a tier for what its share has capacity for. All of the first tier
+// counts as within its share.
+func (pl *planner) withinShare(i int) (jobs []*Job) {
+	if i > 0 && tier.Unused(pl.tiering.shares[i], pl.tiering.use, i, "") <= 0 {
+		return nil
+	}
+	for _, j := range pl.Jobs {
+		if j.tier != i || i > 0 && (len(j.Waiting) == 0 || j.GPUs == 0) {
+			continue
+		}
+		if i > 0 {
+			part := *j
+			part.remainder = j
+			j = &part
+		}
+		j.queueLevel = i
+		jobs = append(jobs, j)
+	}
+	return jobs
+}
+
+// countTierUse counts the GPUs that there are, and those that tiers use. What is being stopped no
+// longer counts.
 func (pl *planner) countTierUse() {
 	t := &tiering{use: pl.Tiers.NewUsage(), zoneByMachine: make(map[string]string)}
 	pl.tiering = t
-	cards, free := make(map[string]float64), 0.0
+	gpus, free := make(map[string]float64), 0.0 // gpus by zone
 	for _, m := range pl.Machines {
 		if !m.Usable && len(m.Tasks) == 0 {
 			continue
 		}
-		if typ := pl.types[m.Type]; typ != nil {
-			cards[m.Zone] += typ.GPUs
+		if typ := pl.pool.typeOf(m); typ != nil {
+			gpus[m.Zone] += typ.GPUs
 		}
 		if m.Usable {
 			free += max(0, m.Free.GPUs)
+			t.zoneByMachine[m.ID] = m.Zone
 		}
-		for _, x := range m.Tasks {
-			if !x.Stopping {
-				t.use.Add(x.Job.tier, m.Zone, x.Job.GPUs)
+		for _, task := range m.Tasks {
+			if !task.Stopping {
+				t.use.Add(task.Job.tier, m.Zone, task.Job.GPUs)
 			}
 		}
 	}
-	t.shares = pl.Tiers.Guarantees(cards)
+	t.shares = pl.Tiers.Guarantees(gpus)
+	pl.reportTiers(free)
+	pl.loadReclaims()
+}
+
+// reportTiers reports what each tier uses, how much of its share others use, and what waits.
+func (pl *planner) reportTiers(freeGPUs float64) {
+	t := pl.tiering
 	pl.plan.Tiers = make([]tier.Status, len(t.shares))
-	for i, h := range t.shares {
-		pl.plan.Tiers[i] = tier.Status{Cards: t.use.Total[i], Share: h.Total}
+	for i, share := range t.shares {
+		pl.plan.Tiers[i] = tier.Status{Cards: t.use.Total[i], Share: share.Total}
+	}
+	tier.FillLent(pl.plan.Tiers, freeGPUs)
+	for _, j := range pl.Jobs {
+		pl.plan.Tiers[j.tier].Waiting += len(j.Waiting)
 	}
-	tier.FillLent(pl.plan.Tiers, free)
-	byID := make(map[string]*Machine, len(pl.usable))
-	for _, m := range pl.usable {
-		byID[m.ID], t.zoneByMachine[m.ID] = m, m.Zone
+}
+
+// loadReclaims finds the capacity that is being reclaimed.
+func (pl *planner) loadReclaims() {
+	machines := make(map[string]*Machine, len(pl.pool.usable))
+	for _, m := range pl.pool.usable {
+		machines[m.ID] = m
 	}
 	jobs := make(map[string]*Job, len(pl.Jobs))
 	for _, j := range pl.Jobs {
 		jobs[j.ID] = j
-		pl.plan.Tiers[j.tier].Waiting += len(j.Waiting)
 	}
-	for _, c := range pl.Reclaims {
-		if m, j := byID[c.Machine], jobs[c.Job]; m != nil && j != nil {
-			t.reclaims = append(t.reclaims, withheldCapacity{Reclaim: c, machine: m, amount: Resources{}.AddScaled(ResourcesOf(j.Job), float64(c.Tasks))})
+	for _, r := range pl.Reclaims {
+		if m, j := machines[r.Machine], jobs[r.Job]; m != nil && j != nil {
+			amount := ResourcesOf(j.Job).Scaled(float64(r.Tasks))
+			pl.tiering.reclaims = append(pl.tiering.reclaims, withheldCapacity{Reclaim: r, machine: m, amount: amount})
 		}
 	}
 }
 
-// beginJob begins with a job, or with a first task of it: it sets what is kept from it, and
-// how much of it its tier's share has room for.
+// beginJob begins with a job, or, unless whole, with a first task of it: it sets what is withheld
+// from it, and for how much of it its tier's share has capacity.
 func (pl *planner) beginJob(j *Job, whole bool) {
 	t := pl.tiering
 	if t == nil {
@@ -131,20 +160,17 @@
 	}
 	pl.chargeTier()
 	for i := range t.reclaims {
-		h := &t.reclaims[i]
-		h.setActive(h.Job != j.ID && h.Level <= j.queueLevel)
-		if whole && h.Job == j.ID && h.Level <= j.queueLevel {
-			h.Level = math.MaxInt // from here on it takes its room itself
+		r := &t.reclaims[i]
+		r.setActive(r.Job != j.ID && r.Level <= j.queueLevel)
+		if whole && r.Job == j.ID && r.Level <= j.queueLevel {
+			r.Level = math.MaxInt // from here on the job takes the capacity itself
 		}
 	}
 	if t.current == nil || t.current.tier != j.tier || t.current.queueLevel != j.queueLevel {
 		pl.withholdUnlentShares(j.tier)
 	}
 	if j.remainder != nil {
-		n := int((tier.Unused(t.shares[j.tier], t.use, j.tier, j.Zone) + 1e-6) / j.GPUs)
-		if n = min(n, len(j.Waiting)); j.Shape == wire.Gang && n < len(j.Waiting) {
-			n = 0
-		}
+		n := t.fitsShare(j)
 		j.Waiting, j.remainder.Waiting = j.Waiting[:n], j.Waiting[n:]
 	}
 	t.current, t.teamGPUsBefore = j, 0
@@ -153,18 +179,30 @@
 	}
 }
 
-// chargeTier counts what the job before has got, by what its team spends.
+// fitsShare gives for how many waiting tasks of a job its tier's share has capacity; all or none of
+// a gang.
+func (t *tiering) fitsShare(j *Job) int {
+	left := tier.Unused(t.shares[j.tier], t.use, j.tier, j.Zone)
+	n := min(int((left+epsilon)/j.GPUs), len(j.Waiting))
+	if j.Shape == wire.Gang && n < len(j.Waiting) {
+		return 0
+	}
+	return n
+}
+
+// chargeTier counts what the last job has got, by what its team has used since.
 func (pl *planner) chargeTier() {
 	t := pl.tiering
-	if t.current != nil {
-		if team := pl.Teams[t.current.Team]; team != nil {
-			t.use.Total[t.current.tier] += team.UsedGPUs - t.teamGPUsBefore
-			t.teamGPUsBefore = team.UsedGPUs
-		}
+	if t.current == nil {
+		return
+	}
+	if team := pl.Teams[t.current.Team]; team != nil {
+		t.use.Total[t.current.tier] += team.UsedGPUs - t.teamGPUsBefore
+		t.teamGPUsBefore = team.UsedGPUs
 	}
 }
 
-// withholdUnlentShares holds what tiers have free of their shares and don't lend to another one.
+// withholdUnlentShares withholds what tiers have free of their shares and don't lend to a tier.
 func (pl *planner) withholdUnlentShares(to int) {
 	t := pl.tiering
 	for i := range t.unlent {
@@ -185,19 +223,21 @@
 	}
 }
 
-// withholdGPUs holds so many cards of a zone that are free, on the emptiest machines.
+// withholdGPUs withholds so many free GPUs of a zone, or of any, on the emptiest machines.
 func (pl *planner) withholdGPUs(n float64, zone string) {
 	if n <= 0 {
 		return
 	}
-	free := slices.DeleteFunc(slices.Clone(pl.usable), func(m *Machine) bool { return m.Free.GPUs < 1 || zone != "" && m.Zone != zone })
+	unfit := func(m *Machine) bool { return m.Free.GPUs < 1 || zone != "" && m.Zone != zone }
+	free := slices.DeleteFunc(slices.Clone(pl.pool.usable), unfit)
 	slices.SortStableFunc(free, func(a, b *Machine) int { return cmp.Compare(b.Free.GPUs, a.Free.GPUs) })
 	for _, m := range free {
-		k := min(n, m.Free.GPUs)
-		h := withheldCapacity{machine: m, amount: Resources{}.AddScaled(m.Free, k/m.Free.GPUs)}
-		h.setActive(true)
-		pl.tiering.unlent = append(pl.tiering.unlent, h)
-		if n -= k; n <= 0 {
+		gpus := min(n, m.Free.GPUs)
+		w := withheldCapacity{machine: m, amount: m.Free.Scaled(gpus / m.Free.GPUs)}
+		w.setActive(true)
+		pl.tiering.unlent = append(pl.tiering.unlent, w)
+		n -= gpus
+		if n <= 0 {
 			return
 		}
 	}
