--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/wire"
@@ -42,15 +41,19 @@
 	return cmds
 }
 
-// MustLapse reports whether a machine is to lose its lease: a launch of a job that is over may be
-// executed there as long as the session lasts, and each answer would let that last beyond the
-// time within which the job's tasks must be gone. The cloud may be out, or this holder not
-// entitled to release a machine.
-func (f *Fleet) MustLapse(now time.Time, machine string) bool {
-	m := f.machines[machine]
-	return m != nil && slices.ContainsFunc(m.placements, func(p *Placement) bool {
-		return p.callPending && p.State <= Sent && p.Stop != nil && p.Stop.JobFinished && !now.Before(p.Stop.RenewUntil)
-	})
+// launchable reports whether a machine may be launched on.
+func (m *Machine) launchable() bool {
+	return m.SeenAtToken && m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
+}
+
+// isStale reports whether the worker waits for no answer to a report any more: it has sent a newer
+// one, or is in a later session, or sent this one too long ago. Such an answer renews no lease, and a
+// proof by time does not wait for it.
+func (m *Machine) isStale(now time.Time, r *wire.Heartbeat) bool {
+	if r.Incarnation != m.Incarnation {
+		return r.Incarnation < m.Incarnation
+	}
+	return r.Seq < m.heartbeatSeq || r.Seq == m.heartbeatSeq && now.Sub(m.heartbeatAt) > proofMargin
 }
 
 // DirectCommands gives the commands that go straight to a machine: stops, which are
@@ -76,6 +79,13 @@
 // CallOutcome is what became of a direct call.
 type CallOutcome int
 
+// The outcomes of a direct call.
+const (
+	Unanswered CallOutcome = iota // it may have been executed, or may still be
+	Executed
+	Refused // it was not executed and never will be
+)
+
 // CallFinished takes in what became of a direct call that carried launches.
 func (f *Fleet) CallFinished(launched []*Placement, o CallOutcome) {
 	if o == Unanswered {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -3,8 +3,6 @@
 import (
 	"cmp"
 	"time"
-
-	"amberdeal.example/amberdeal/wire"
 )
 
 // Machine is a machine that may be launched on, or may once have been.
@@ -53,73 +51,6 @@
 	}
 }
 
-func (m *Machine) evictImage(image string) {
-	m.imagesGB -= m.images[image].gb
-	delete(m.images, image)
-}
-
-// A machine may be deaf: its reports come, and what it is told is lost. After so many signs of
-// it in a row nothing is launched there.
-const maxLostCommands = 2
-
-// noteLostCommand notes that what a machine was told was lost.
-func (m *Machine) noteLostCommand(now time.Time) {
-	if m.lostCommands++; m.lostCommands == 1 {
-		m.lostCommandsSince = now
-	}
-}
-
-// HeartbeatsLost reports whether a machine has answered calls for so long while no report of it came: what it
-// runs ends with its lease, which calls don't renew.
-func (m *Machine) HeartbeatsLost(now time.Time, wait time.Duration) bool {
-	return !m.firstCallSinceHeartbeat.IsZero() && now.Sub(m.firstCallSinceHeartbeat) > wait
-}
-
-// noteResponse notes that the lease may count from as late as now.
-func (m *Machine) noteResponse(now time.Time) {
-	if m.LastResponse.Before(now) {
-		m.LastResponse = now
-	}
-}
-
-// cachedImage is an image that a machine should hold.
-type cachedImage struct {
-	gb       float64
-	lastUsed time.Time
-	present  bool // it has come, as far as is known
-}
-
-// UseImage notes that a task on the machine uses an image, or waits for it. The machine caches the
-// most recently used images, as far as they fit its cache together.
-func (m *Machine) UseImage(now time.Time, image string, gb, cacheGB float64, here bool) {
-	c, known := m.images[image]
-	if !known {
-		m.imagesGB += gb
-	}
-	m.images[image] = cachedImage{gb, now, here || c.present}
-	for m.imagesGB > cacheGB && len(m.images) > 1 {
-		oldest := ""
-		for name, c := range m.images {
-			if o := m.images[oldest]; oldest == "" || c.lastUsed.Before(o.lastUsed) || c.lastUsed.Equal(o.lastUsed) && name < oldest {
-				oldest = name
-			}
-		}
-		if oldest == image {
-			return
-		}
-		m.evictImage(oldest)
-	}
-}
-
-// HasImage reports whether the machine should hold an image, or fetches it.
-func (m *Machine) HasImage(image string) bool { _, ok := m.images[image]; return ok }
-
-// LacksImage reports whether an image that a task here needs has not come yet.
-func (m *Machine) LacksImage(image string) bool {
-	c, ok := m.images[image]
-	return !ok || !c.present
-}
-
 // Placements lists what is or may be on the machine, in a fixed order. The list
 // is the caller's to go through, whatever becomes of the placements meanwhile.
 func (m *Machine) Placements() []*Placement { return m.placements }
@@ -138,13 +69,6 @@
 	return nil
 }
 
-// messageNumber orders the messages of a machine.
-type messageNumber struct{ incarnation, seq uint64 }
-
-func (n messageNumber) before(r *wire.Heartbeat) bool {
-	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
-}
-
 // PossibleAttempts names every attempt that is or may yet be on the machine.
 func (m *Machine) PossibleAttempts() map[string]uint64 {
 	out := make(map[string]uint64)
@@ -165,18 +89,3 @@
 	}
 	return n
 }
-
-// launchable reports whether a machine may be launched on.
-func (m *Machine) launchable() bool {
-	return m.SeenAtToken && m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
-}
-
-// isStale reports whether the worker waits for no answer to a report any more: it has sent a newer
-// one, or is in a later session, or sent this one too long ago. Such an answer renews no lease, and a
-// proof by time does not wait for it.
-func (m *Machine) isStale(now time.Time, r *wire.Heartbeat) bool {
-	if r.Incarnation != m.Incarnation {
-		return r.Incarnation < m.Incarnation
-	}
-	return r.Seq < m.heartbeatSeq || r.Seq == m.heartbeatSeq && now.Sub(m.heartbeatAt) > proofMargin
-}
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -74,6 +74,13 @@
 	attempt uint64
 }
 
+// duplicateCallWindow is for how long a copy of a call that was answered may yet come, and copyMost how
+// many attempts stay on a machine's list for that: it goes into each of its reports.
+const (
+	duplicateCallWindow = 3 * time.Minute
+	maxTombstones       = 100
+)
+
 // mayBeDuplicated reports whether a late copy of the call that launched an attempt would start it
 // again once it was cleared, while the task may be elsewhere. As long as the worker knows
 // the attempt, a copy does nothing. What is done is never started elsewhere.
