--- a/internal/store/batchupdate.go
+++ b/internal/store/batchupdate.go
@@ -7,82 +7,81 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// BatchUpdate is the next value of a home, in which some of its jobs have ended.
+// BatchUpdate is the next value of a batch, in which some of its jobs have changed.
 type BatchUpdate struct {
 	batch *Batch
 	jobs  []BatchJob
 }
 
-// Update begins the next value of a home.
-func (h *Batch) Update() *BatchUpdate { return &BatchUpdate{h, slices.Clone(h.Jobs)} }
-
-// IsFor reports whether it is the home, as it is there, that is written again.
-func (r *BatchUpdate) IsFor(h *Batch) bool { return r.batch == h }
+// IsFor reports whether it is an update of this value of a batch.
+func (u *BatchUpdate) IsFor(b *Batch) bool { return u.batch == b }
 
 // EndJob marks a job as done or cancelled.
-func (r *BatchUpdate) EndJob(id string, stage wire.Stage, now time.Time) JobRecord {
-	return r.change(id, func(rec *JobRecord) { *rec = rec.End(stage, now) })
+func (u *BatchUpdate) EndJob(id string, stage wire.Stage, now time.Time) JobRecord {
+	return u.change(id, func(rec *JobRecord) { *rec = rec.End(stage, now) })
 }
 
-// AssignRanges gives a job other shares, of the grouping of a number.
-func (r *BatchUpdate) AssignRanges(id string, ranges []ShardRange, generation uint64) JobRecord {
-	return r.change(id, func(rec *JobRecord) {
-		rec.Ranges, rec.ShardingGeneration, rec.FinishedIn, rec.CoAllocation = ranges, generation, nil, 0
+// AssignRanges gives a job the ranges of a generation of the sharding.
+func (u *BatchUpdate) AssignRanges(id string, ranges []ShardRange, generation uint64) JobRecord {
+	return u.change(id, func(rec *JobRecord) {
+		rec.Ranges, rec.ShardingGeneration = ranges, generation
+		rec.FinishedIn, rec.CoAllocation = nil, 0
 	})
 }
 
-// SetCoAllocation says what the parts that have tasks of a gang are to do.
-func (r *BatchUpdate) SetCoAllocation(id string, order uint64) JobRecord {
-	return r.change(id, func(rec *JobRecord) { rec.CoAllocation = order })
+// SetCoAllocation says what the shards that have tasks of a gang are to do.
+func (u *BatchUpdate) SetCoAllocation(id string, order uint64) JobRecord {
+	return u.change(id, func(rec *JobRecord) { rec.CoAllocation = order })
 }
 
-// MarkFinishedIn notes that the part of a ledger has finished all that it has of a job.
-func (r *BatchUpdate) MarkFinishedIn(id, ledger string) JobRecord {
-	return r.change(id, func(rec *JobRecord) { rec.FinishedIn = append(slices.Clone(rec.FinishedIn), ledger) })
+// MarkFinishedIn notes that the shard of a ledger has finished all its tasks of a job.
+func (u *BatchUpdate) MarkFinishedIn(id, ledger string) JobRecord {
+	return u.change(id, func(rec *JobRecord) { rec.FinishedIn = append(slices.Clone(rec.FinishedIn), ledger) })
 }
 
-func (r *BatchUpdate) change(id string, change func(*JobRecord)) JobRecord {
-	for i := range r.jobs {
-		if m := &r.jobs[i]; m.ID == id {
-			change(&m.Record)
-			return m.Record
+// change changes the record of a job, and returns it.
+func (u *BatchUpdate) change(id string, change func(*JobRecord)) JobRecord {
+	for i := range u.jobs {
+		if job := &u.jobs[i]; job.ID == id {
+			change(&job.Record)
+			return job.Record
 		}
 	}
 	return JobRecord{}
 }
 
-// BytesWithRanges bounds what the new value would take with other shares of a job. Little is left of
-// what was set aside for each job when it came.
-func (r *BatchUpdate) BytesWithRanges(id string, ranges []ShardRange, generation uint64) int {
-	n := 100
-	for _, m := range r.jobs {
-		if m.ID == id {
-			m.Record.Ranges, m.Record.ShardingGeneration = ranges, generation
+// BytesWithRanges bounds what the new value would take with other ranges of a job. The
+// bytes that were reserved for each job when it was accepted are counted as used.
+func (u *BatchUpdate) BytesWithRanges(id string, ranges []ShardRange, generation uint64) int {
+	n := batchOverheadBytes
+	for _, job := range u.jobs {
+		if job.ID == id {
+			job.Record.Ranges, job.Record.ShardingGeneration = ranges, generation
 		}
-		n += len(m.ID) + JobRecordBytes(&m.Record) - reservedJobBytes
+		n += len(job.ID) + JobRecordBytes(&job.Record) - reservedJobBytes
 	}
 	return n
 }
 
-// Change is the put of the new value; the condition on the home's version goes
-// with it.
-func (r *BatchUpdate) Change() wire.Operation {
-	if r.batch.standalone {
-		return wire.Operation{Put: r.batch.Key, Value: r.jobs[0].Record}
+// Change returns the operation that puts the new value; it is only valid together with
+// Condition.
+func (u *BatchUpdate) Change() wire.Operation {
+	if u.batch.standalone {
+		return wire.Operation{Put: u.batch.Key, Value: u.jobs[0].Record}
 	}
-	rec := BatchRecord{Jobs: make(map[string]JobRecord, len(r.jobs)), Since: r.batch.SinceRevision}
-	for _, m := range r.jobs {
-		rec.Jobs[m.ID] = m.Record
+	rec := BatchRecord{Jobs: make(map[string]JobRecord, len(u.jobs)), Since: u.batch.SinceRevision}
+	for _, job := range u.jobs {
+		rec.Jobs[job.ID] = job.Record
 	}
-	return wire.Operation{Put: r.batch.Key, Value: rec}
+	return wire.Operation{Put: u.batch.Key, Value: rec}
 }
 
-// Condition is the condition that nobody has written the home since it was read.
-func (r *BatchUpdate) Condition() wire.Condition {
-	return wire.Condition{Key: r.batch.Key, Version: r.batch.Version}
+// Condition demands that nobody has written the batch since it was read.
+func (u *BatchUpdate) Condition() wire.Condition {
+	return wire.Condition{Key: u.batch.Key, Version: u.batch.Version}
 }
 
-// Committed gives the home as it is once the change was taken at a revision.
-func (r *BatchUpdate) Committed(revision uint64) *Batch {
-	return &Batch{r.batch.Key, revision, r.batch.SinceRevision, r.jobs, r.batch.standalone}
+// Committed returns the batch as it is once the change was committed at a revision.
+func (u *BatchUpdate) Committed(revision uint64) *Batch {
+	return &Batch{u.batch.Key, revision, u.batch.SinceRevision, u.jobs, u.batch.standalone}
 }
--- a/internal/store/entries.go
+++ b/internal/store/entries.go
@@ -6,8 +6,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// MachineRecord is what a new holder must know of a machine. Tasks names every
-// attempt that may be there: it is written in the round that launches them.
+// MachineRecord is what a new leader must know of a machine. Tasks holds the attempt of
+// every task that may be there: it is written in the round that launches them.
 type MachineRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Addr        string
@@ -18,7 +18,8 @@
 	Tasks       map[string]uint64
 }
 
-// ScaleOutRecord is the intent of a rental.
+// ScaleOutRecord is the intent to scale out by some machines, written before they are
+// requested.
 type ScaleOutRecord struct {
 	_     struct{} `cbor:",toarray"`
 	Type  string
@@ -27,31 +28,34 @@
 	Count int
 }
 
-// ZoneRecord is what is thought of a zone, by the holder that wrote it.
+// ZoneRecord is the state of a zone as the leader that wrote it has observed it.
 type ZoneRecord struct {
 	State   string `cbor:"state"`
-	Number  uint64 `cbor:"number"`
-	Since   int64  `cbor:"since"` // ms, time of day
+	Number  uint64 `cbor:"number"` // grows with every change
+	Since   int64  `cbor:"since"`  // ms since 1970
 	Outages int    `cbor:"falls,omitempty"`
 }
 
-// ZoneRecoveryRecord is how far the return of a zone has come.
+// ZoneRecoveryRecord is how far the recovery of a zone has come.
 type ZoneRecoveryRecord struct {
 	Step   string  `cbor:"step"`
 	Number uint64  `cbor:"number"` // of the zone's record with which it began
-	Since  int64   `cbor:"since"`  // ms, time of day
+	Since  int64   `cbor:"since"`  // ms since 1970
 	Work   float64 `cbor:"work"`   // that was done there before, in GPUs
 }
 
-// Entry is a record of the ledger. Size bounds what it takes in a slot in the
-// form in which the state service counts; an entry without a value is dropped.
+// Entry is a record of the ledger. Size bounds what it takes in a segment as the state
+// service counts it. An entry without a value deletes the record.
 type Entry struct {
 	Key   string
 	Value wire.Raw
 	Size  int
 }
 
-// The kinds of entries.
+// cborNull is the encoded value of a deleted entry.
+const cborNull = 0xf6
+
+// The prefixes of the kinds of entries.
 const (
 	machinePrefix      = "m/"
 	scaleOutPrefix     = "a/"
@@ -61,62 +65,65 @@
 	preemptionPrefix   = "c/"
 )
 
-// What a slot and an entry take beside their contents, at the most, and what
-// one task takes in a machine's record.
+// Bounds of what parts of a segment take as the state service counts them, beside texts.
 const (
-	segmentOverheadBytes = 120
-	entryOverheadBytes   = 12
-	MachineTaskBytes     = 44
+	segmentOverheadBytes = 120 // a segment, without its entries
+	entryOverheadBytes   = 12  // an entry, without its key and value
+	nullBytes            = 4   // the value of a deleted entry
+	// MachineTaskBytes is what one task takes in a machine's record.
+	MachineTaskBytes        = 44
+	machineFieldsBytes      = 40  // a machine's record without texts and tasks
+	scaleOutFieldsBytes     = 30  // a scale-out's record without texts
+	blockNumberBytes        = 10  // the number of a block of finished tasks
+	zoneFieldsBytes         = 90  // a zone's record without texts
+	zoneRecoveryFieldsBytes = 100 // a zone recovery's record without texts
 )
 
-// MachineEntry gives the entry of a machine.
+// MachineEntry returns the entry of a machine.
 func MachineEntry(id string, r MachineRecord) Entry {
-	size := MachineEntryBytes(id, &r)
-	return Entry{machinePrefix + id, wire.Encode(r), size}
+	return Entry{machinePrefix + id, wire.Encode(r), MachineEntryBytes(id, &r)}
 }
 
 // MachineEntryBytes bounds what a machine's entry takes.
 func MachineEntryBytes(id string, r *MachineRecord) int {
-	return entryOverheadBytes + len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + 40 + MachineTaskBytes*len(r.Tasks)
+	return entryOverheadBytes + len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + machineFieldsBytes + MachineTaskBytes*len(r.Tasks)
 }
 
-// ScaleOutEntry gives the entry of a rental's intent.
+// DropMachine returns the entry that deletes a machine.
+func DropMachine(id string) Entry { return dropEntry(machinePrefix, id) }
+
+// ScaleOutEntry returns the entry of the intent to scale out.
 func ScaleOutEntry(name string, r ScaleOutRecord) Entry {
-	return Entry{scaleOutPrefix + name, wire.Encode(r), entryOverheadBytes + len(name) + len(r.Type) + len(r.Zone) + 30}
+	return Entry{scaleOutPrefix + name, wire.Encode(r), entryOverheadBytes + len(name) + len(r.Type) + len(r.Zone) + scaleOutFieldsBytes}
 }
 
-// ProgressEntry gives the entry that tells which tasks of a block of a job are
-// finished.
-func ProgressEntry(job string, block int, done *TaskSet) Entry {
-	text := done.EncodeBlock(block)
-	return Entry{progressKey(job, block), wire.Encode(text), entryOverheadBytes + len(job) + 10 + len(text)}
+// DropScaleOut returns the entry that deletes the intent to scale out.
+func DropScaleOut(name string) Entry { return dropEntry(scaleOutPrefix, name) }
+
+// ProgressEntry returns the entry of the finished tasks in one block of a job.
+func ProgressEntry(job string, block int, finished *TaskSet) Entry {
+	text := finished.EncodeBlock(block)
+	return Entry{progressKey(job, block), wire.Encode(text), entryOverheadBytes + len(job) + blockNumberBytes + len(text)}
 }
 
 func progressKey(job string, block int) string {
 	return progressPrefix + job + "/" + strconv.Itoa(block)
 }
 
-// ZoneEntry gives the entry that tells the state of a zone.
+// ZoneEntry returns the entry of the state of a zone.
 func ZoneEntry(zone string, r ZoneRecord) Entry {
-	return Entry{zonePrefix + zone, wire.Encode(r), entryOverheadBytes + len(zone) + len(r.State) + 90}
+	return Entry{zonePrefix + zone, wire.Encode(r), entryOverheadBytes + len(zone) + len(r.State) + zoneFieldsBytes}
 }
 
-// ZoneRecoveryEntry gives the entry of a zone's return.
+// ZoneRecoveryEntry returns the entry of the recovery of a zone.
 func ZoneRecoveryEntry(zone string, r ZoneRecoveryRecord) Entry {
-	return Entry{zoneRecoveryPrefix + zone, wire.Encode(r), entryOverheadBytes + len(zone) + len(r.Step) + 100}
+	return Entry{zoneRecoveryPrefix + zone, wire.Encode(r), entryOverheadBytes + len(zone) + len(r.Step) + zoneRecoveryFieldsBytes}
 }
 
-// DropZoneRecovery gives the entry that drops a zone's return.
-func DropZoneRecovery(zone string) Entry {
-	return Entry{Key: zoneRecoveryPrefix + zone, Size: entryOverheadBytes + len(zone) + 4}
-}
-
-// DropMachine gives the entry that drops a machine.
-func DropMachine(id string) Entry {
-	return Entry{Key: machinePrefix + id, Size: entryOverheadBytes + len(id) + 4}
-}
+// DropZoneRecovery returns the entry that deletes the recovery of a zone.
+func DropZoneRecovery(zone string) Entry { return dropEntry(zoneRecoveryPrefix, zone) }
 
-// DropScaleOut gives the entry that drops the intent of a rental.
-func DropScaleOut(name string) Entry {
-	return Entry{Key: scaleOutPrefix + name, Size: entryOverheadBytes + len(name) + 4}
+// dropEntry returns the entry that deletes a record.
+func dropEntry(prefix, name string) Entry {
+	return Entry{Key: prefix + name, Size: entryOverheadBytes + len(name) + nullBytes}
 }
--- a/internal/store/jobindex.go
+++ b/internal/store/jobindex.go
@@ -1,249 +1,271 @@
 package store
 
 import (
-	"fmt"
+	"cmp"
 	"maps"
 	"slices"
-	"strconv"
+	"strings"
 	"time"
 
+	"github.com/tidwall/btree"
+
 	"amberdeal.example/amberdeal/internal/jobblock"
-	"amberdeal.example/amberdeal/wire"
 )
 
-// LiveJob is a job that is neither done nor cancelled. Since is the revision
-// from which on it is known.
+// LiveJob is a job that is neither done nor cancelled.
 type LiveJob struct {
 	Record        JobRecord
-	Batch         *Batch
-	SinceRevision uint64
+	Batch         *Batch // the batch that orders its launch, cancellation and end
+	SinceRevision uint64 // the first revision at which any batch held it
 }
 
-// RecentBlock is a block of jobs that are over and on their way into the history.
+// RecentBlock is a block of ended jobs on their way into the archive.
 type RecentBlock struct {
 	Index   int
 	Version uint64
-	Block   *jobblock.Block // nil where it was not understood
+	Block   *jobblock.Block // nil where the record is unreadable
 	Bytes   int
 }
 
-// putBatch takes in a home's newest value.
-func (v *View) putBatch(h *Batch) {
-	old := v.batches[h.Key]
-	if old != nil && old.Version >= h.Version {
-		return // taken in ahead of the watch
+// jobIndex finds jobs by id in all batches and recent blocks, and batches all of whose jobs
+// have ended. It has no lock of its own; its View's guards it.
+//
+// A job may be in several batches, because a submission without an answer is sent again to
+// another controller. The first revision that holds it is its beginning, and an end in any
+// of them is its end.
+type jobIndex struct {
+	batches      map[string]*Batch     // by key
+	batchesOf    map[string][]*Batch   // by job id
+	live         map[string]*LiveJob   // by job id
+	ended        map[string]*JobRecord // jobs that have ended and that a batch still holds
+	endedBatches *btree.BTreeG[*Batch] // batches whose jobs have all ended, the oldest first
+	recentBlocks map[int]RecentBlock
+}
+
+func newJobIndex() jobIndex {
+	return jobIndex{
+		batches:   make(map[string]*Batch),
+		batchesOf: make(map[string][]*Batch),
+		live:      make(map[string]*LiveJob),
+		ended:     make(map[string]*JobRecord),
+		endedBatches: btree.NewBTreeGOptions(func(a, b *Batch) bool {
+			return cmp.Or(cmp.Compare(a.SinceRevision, b.SinceRevision), strings.Compare(a.Key, b.Key)) < 0
+		}, btree.Options{NoLocks: true}),
+		recentBlocks: make(map[int]RecentBlock),
 	}
-	v.batches[h.Key] = h
+}
+
+// putBatch takes a batch's newest value.
+func (x *jobIndex) putBatch(b *Batch) {
+	old := x.batches[b.Key]
+	if old != nil && old.Version >= b.Version {
+		return // it was taken ahead of the watch
+	}
+	x.batches[b.Key] = b
 	if old != nil {
-		v.detach(old)
+		x.detach(old)
 	}
-	for _, m := range h.Jobs {
-		v.batchesOf[m.ID] = append(v.batchesOf[m.ID], h)
+	for _, job := range b.Jobs {
+		x.batchesOf[job.ID] = append(x.batchesOf[job.ID], b)
 	}
-	v.refresh(h)
+	x.refresh(b)
 	if old != nil {
-		v.refresh(old)
+		x.refresh(old)
 	}
-	v.refreshEnded(h)
+	x.refreshEnded(b)
 }
 
-// detach takes a home from the jobs that it held.
-func (v *View) detach(h *Batch) {
-	v.endedBatches.Delete(h)
-	for _, m := range h.Jobs {
-		v.batchesOf[m.ID] = slices.DeleteFunc(v.batchesOf[m.ID], func(o *Batch) bool { return o == h })
-		if len(v.batchesOf[m.ID]) == 0 {
-			delete(v.batchesOf, m.ID)
+// removeBatch takes the deletion of a batch.
+func (x *jobIndex) removeBatch(key string) {
+	b := x.batches[key]
+	if b == nil {
+		return
+	}
+	delete(x.batches, key)
+	x.detach(b)
+	x.refresh(b)
+}
+
+// detach removes a batch from the jobs that it held.
+func (x *jobIndex) detach(b *Batch) {
+	x.endedBatches.Delete(b)
+	for _, job := range b.Jobs {
+		x.batchesOf[job.ID] = slices.DeleteFunc(x.batchesOf[job.ID], func(o *Batch) bool { return o == b })
+		if len(x.batchesOf[job.ID]) == 0 {
+			delete(x.batchesOf, job.ID)
 		}
 	}
 }
 
-// refresh finds out about all jobs of a home, and which of their other homes are
-// over by it.
-func (v *View) refresh(h *Batch) {
-	for _, m := range h.Jobs {
-		v.refreshJob(m.ID)
+// refresh recomputes the state of all jobs of a batch, and whether the other batches that
+// hold them have ended by it.
+func (x *jobIndex) refresh(b *Batch) {
+	for _, job := range b.Jobs {
+		x.refreshJob(job.ID)
 	}
-	for _, m := range h.Jobs {
-		for _, other := range v.batchesOf[m.ID] {
-			if other != h {
-				v.refreshEnded(other)
+	for _, job := range b.Jobs {
+		for _, other := range x.batchesOf[job.ID] {
+			if other != b {
+				x.refreshEnded(other)
 			}
 		}
 	}
 }
 
-// refreshEnded notes whether every job of a home is over.
-func (v *View) refreshEnded(h *Batch) {
-	for _, m := range h.Jobs {
-		if v.liveJobs[m.ID] != nil {
-			v.endedBatches.Delete(h)
+// refreshEnded records whether every job of a batch has ended.
+func (x *jobIndex) refreshEnded(b *Batch) {
+	for _, job := range b.Jobs {
+		if x.live[job.ID] != nil {
+			x.endedBatches.Delete(b)
 			return
 		}
 	}
-	v.endedBatches.Set(h)
+	x.endedBatches.Set(b)
 }
 
-// refreshJob finds out what a job's homes and the recent blocks say of it. The
-// same job may be in several batches: the first revision that holds it is its
-// beginning, and an end anywhere is its end.
-func (v *View) refreshJob(id string) {
-	delete(v.liveJobs, id)
-	delete(v.endedJobs, id)
-	if len(v.batchesOf[id]) == 0 {
+// refreshJob recomputes the state of a job from its batches and the recent blocks.
+func (x *jobIndex) refreshJob(id string) {
+	delete(x.live, id)
+	delete(x.ended, id)
+	batches := x.batchesOf[id]
+	if len(batches) == 0 {
 		return
 	}
-	// What was folded came first: an end that comes late changes nothing.
-	e, compacted := v.recentEntry(id)
-	if compacted {
-		v.endedJobs[id] = &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
-	}
-	var batch *Batch
-	since := uint64(0)
-	for _, h := range v.batchesOf[id] {
-		rec := h.job(id)
-		if !compacted && (rec.Stage.Final() || rec.Job == nil) {
-			v.endedJobs[id] = rec
-		}
-		if since == 0 || h.SinceRevision < since {
-			since = h.SinceRevision
-		}
-		// A key of its own goes before a batch, as it did in version 1.
-		if batch == nil || h.standalone && !batch.standalone || h.standalone == batch.standalone && h.SinceRevision < batch.SinceRevision {
-			batch = h
-		}
+	if end := x.endOf(id, batches); end != nil {
+		x.ended[id] = end
+		return
+	}
+	batch := owner(batches)
+	x.live[id] = &LiveJob{*batch.job(id), batch, firstRevision(batches)}
+}
+
+// endOf returns the record of a job's end, or nil for a live job. An end in a recent block
+// was there before any in a batch: one that comes later changes nothing.
+func (x *jobIndex) endOf(id string, batches []*Batch) (end *JobRecord) {
+	if e, compacted := x.recentEntry(id); compacted {
+		return &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
 	}
-	if _, over := v.endedJobs[id]; !over {
-		v.liveJobs[id] = &LiveJob{*batch.job(id), batch, since}
+	for _, b := range batches {
+		if rec := b.job(id); rec.Stage.Final() || rec.Job == nil {
+			end = rec
+		}
 	}
+	return end
 }
 
-func (v *View) recentEntry(id string) (jobblock.Entry, bool) {
-	for _, r := range v.recentBlocks {
-		if r.Block != nil {
-			if e, ok := r.Block.Find(id); ok {
-				return e, true
+// owner returns the batch that orders a job's changes: the oldest one, where a key of the
+// job's own goes before any batch, as it did in format 1.
+func owner(batches []*Batch) *Batch {
+	first := batches[0]
+	for _, b := range batches[1:] {
+		if b.standalone != first.standalone {
+			if b.standalone {
+				first = b
 			}
+			continue
+		}
+		if b.SinceRevision < first.SinceRevision {
+			first = b
 		}
 	}
-	return jobblock.Entry{}, false
+	return first
 }
 
-func (v *View) putRecentBlock(key, name string, raw wire.Raw, version uint64) {
-	index, err := strconv.Atoi(name)
-	if err != nil || index < 0 {
-		v.markUnreadable(key, fmt.Errorf("%q is not a slot", name))
-		return
+// firstRevision returns the first revision at which one of the batches was there; 0, of a
+// batch that never was at any, is not one.
+func firstRevision(batches []*Batch) uint64 {
+	first := uint64(0)
+	for _, b := range batches {
+		if first == 0 || b.SinceRevision < first {
+			first = b.SinceRevision
+		}
 	}
-	r := RecentBlock{Index: index, Version: version}
-	if rec, ok := decodeRecord[jobblock.Record](v, key, raw); ok {
-		if r.Block, err = rec.Unpack(); err != nil {
-			v.markUnreadable(key, err)
+	return first
+}
+
+// recentEntry looks a job up in the recent blocks.
+func (x *jobIndex) recentEntry(id string) (jobblock.Entry, bool) {
+	for _, r := range x.recentBlocks {
+		if r.Block == nil {
+			continue
+		}
+		if e, ok := r.Block.Find(id); ok {
+			return e, true
 		}
-		r.Bytes = rec.Bytes()
 	}
-	v.recentBlocks[index] = r
+	return jobblock.Entry{}, false
+}
+
+// putRecentBlock takes a recent block's newest value. A batch may still call its jobs live.
+func (x *jobIndex) putRecentBlock(r RecentBlock) {
+	x.recentBlocks[r.Index] = r
 	if r.Block == nil {
 		return
 	}
-	for _, e := range r.Block.Entries() { // a home may still call it live
-		for _, h := range v.batchesOf[e.ID] {
-			v.refreshJob(e.ID)
-			v.refreshEnded(h)
+	for _, e := range r.Block.Entries() {
+		for _, b := range x.batchesOf[e.ID] {
+			x.refreshJob(e.ID)
+			x.refreshEnded(b)
 		}
 	}
 }
 
-// Job looks a job up; its description is there only while it is live. One that
-// is not known may stand in the history.
-func (v *View) Job(id string) (rec JobRecord, known bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if l, ok := v.liveJobs[id]; ok {
+// job looks up the record of a job, of which an ended one has only its stage and size.
+func (x *jobIndex) job(id string) (rec JobRecord, known bool) {
+	if l, ok := x.live[id]; ok {
 		return l.Record, true
 	}
-	if rec, ok := v.endedJobs[id]; ok {
+	if rec, ok := x.ended[id]; ok {
 		return *rec, true
 	}
-	if e, ok := v.recentEntry(id); ok {
+	if e, ok := x.recentEntry(id); ok {
 		return JobRecord{Stage: e.Stage, Tasks: e.Tasks}, true
 	}
 	return JobRecord{}, false
 }
 
-// Live looks a job up that is not over.
-func (v *View) Live(id string) (*LiveJob, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l, ok := v.liveJobs[id]
-	return l, ok
-}
-
-// Compacted reports whether a job is over and was folded: no task of it can be
-// anywhere any more.
-func (v *View) Compacted(id string) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	key, _ := v.unreadableRecordFor(id)
-	return len(v.batchesOf[id]) == 0 && key == ""
-}
-
-// EndedBatches lists homes of which every job is over, the oldest first: at most so many
-// of those that fit.
-func (v *View) EndedBatches(limit int, accept func(*Batch) bool) []*Batch {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	var out []*Batch
-	v.endedBatches.Scan(func(h *Batch) bool {
-		if accept(h) {
-			out = append(out, h)
+// selectEnded lists, the oldest first, at most limit batches whose jobs have all ended and
+// that are accepted.
+func (x *jobIndex) selectEnded(limit int, accept func(*Batch) bool) (out []*Batch) {
+	x.endedBatches.Scan(func(b *Batch) bool {
+		if accept(b) {
+			out = append(out, b)
 		}
 		return len(out) < limit
 	})
 	return out
 }
 
-// RecentBlocks lists the recent blocks in order of their slots.
-func (v *View) RecentBlocks() []RecentBlock {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.SortedFunc(maps.Values(v.recentBlocks), func(a, b RecentBlock) int { return a.Index - b.Index })
+// sortedRecentBlocks lists the recent blocks by their index.
+func (x *jobIndex) sortedRecentBlocks() []RecentBlock {
+	return slices.SortedFunc(maps.Values(x.recentBlocks), func(a, b RecentBlock) int { return a.Index - b.Index })
 }
 
-// Size tells how much the view holds: jobs that are live, jobs that are over and
-// have a home, homes, and jobs in recent blocks.
-func (v *View) Size() (live, ended, batches, recent int) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	for _, r := range v.recentBlocks {
+// recentJobs counts the jobs in recent blocks.
+func (x *jobIndex) recentJobs() (n int) {
+	for _, r := range x.recentBlocks {
 		if r.Block != nil {
-			recent += r.Block.Len()
+			n += r.Block.Len()
 		}
 	}
-	return len(v.liveJobs), len(v.endedJobs), len(v.batches), recent
-}
-
-// Uncompacted reports whether there are homes of which every job is over.
-func (v *View) Uncompacted() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.endedBatches.Len() > 0
+	return n
 }
 
-// OldestEnd is when the first of the jobs ended that wait to be folded.
-func (v *View) OldestEnd() time.Time {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	var at int64
-	if h, ok := v.endedBatches.Min(); ok {
-		for _, m := range h.Jobs {
-			if e := m.Record.Ended; e > 0 && (at == 0 || e < at) {
-				at = e
-			}
+// oldestEnd returns when the first job ended of the oldest batch that waits for compaction,
+// or zero where none waits or its jobs do not say when they ended.
+func (x *jobIndex) oldestEnd() time.Time {
+	b, ok := x.endedBatches.Min()
+	if !ok {
+		return time.Time{}
+	}
+	first := int64(0)
+	for _, job := range b.Jobs {
+		if ended := job.Record.Ended; ended > 0 && (first == 0 || ended < first) {
+			first = ended
 		}
 	}
-	if at == 0 {
+	if first == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(at)
+	return time.UnixMilli(first)
 }
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -5,65 +5,88 @@
 	"strings"
 )
 
-// StatePrefix begins every key of what amberdeal lives on, and History those of the
-// blocks in which jobs that are over are kept for ever. Stem begins both, so that
-// one watch follows them all; a controller that starts lists only the first.
+// The prefixes of all keys.
 const (
-	CommonPrefix  = "amberdeal"
-	StatePrefix   = CommonPrefix + "/"
+	// CommonPrefix begins every key, so that one watch follows them all.
+	CommonPrefix = "amberdeal"
+	// StatePrefix begins every key but those of the archive: a controller that starts
+	// lists only these.
+	StatePrefix = CommonPrefix + "/"
+	// ArchivePrefix begins the keys of the archive's blocks, which keep ended jobs for good.
 	ArchivePrefix = CommonPrefix + "-history/"
 )
 
-// The kinds of keys.
+// The prefixes of kinds of which there are several keys.
 const (
 	jobPrefix    = StatePrefix + "job/"
 	batchPrefix  = StatePrefix + "batch/"
 	ledgerPrefix = StatePrefix + "ledger/"
 	leaderPrefix = StatePrefix + "part/"
 	recentPrefix = StatePrefix + "recent/"
-	// FencingTokenKey holds the fleet-wide counter of terms.
+)
+
+// The keys of which there is only one.
+const (
+	// FencingTokenKey holds the fleet-wide counter of fencing tokens.
 	FencingTokenKey = StatePrefix + "term"
 	// MachineTypesKey holds the machine types last seen.
 	MachineTypesKey = StatePrefix + "types"
-	// SubmissionFenceKey is a condition of every submission: once it has moved, none that
-	// was sent before is taken any more.
+	// SubmissionFenceKey is a condition of every submission: once it has advanced, no
+	// submission that was sent before is accepted any more.
 	SubmissionFenceKey = StatePrefix + "gate"
-	// ShardingKey says how the fleet is divided into parts; absent, it is one.
+	// ShardingKey holds how the fleet is divided into shards; without it there is one.
 	ShardingKey = StatePrefix + "grouping"
-	// QuotaGrantKey holds what each part may spend of the teams' limits.
+	// QuotaGrantKey holds what each shard may use of the teams' quotas.
 	QuotaGrantKey = StatePrefix + "grant"
-	// TiersKey says how the tiers of work are set; absent, they are the default.
+	// TiersKey holds how the tiers of work are configured; without it they are the default.
 	TiersKey = StatePrefix + "tiers"
-	// FormatKey holds the form of the state.
+	// FormatKey holds the format of the state.
 	FormatKey = StatePrefix + "format"
 )
 
-// JobKey holds a job in the form of version 1.
-func JobKey(id string) string { return jobPrefix + id }
-
-// BatchKey holds jobs that were accepted together, until all of them are over:
-// launch, cancel and done of a job are ordered by the version of this key.
-func BatchKey(name string) string { return batchPrefix + name }
-
-// RecentKey holds a block of jobs that are over, on their way into the history.
-func RecentKey(n int) string { return recentPrefix + strconv.Itoa(n) }
+// The kinds of keys, as Kind returns them.
+const (
+	KindJob             = "job"
+	KindBatch           = "batch"
+	KindLedger          = "ledger"
+	KindLeader          = "part"
+	KindRecent          = "recent"
+	KindArchive         = "history"
+	KindFencingToken    = "term"
+	KindMachineTypes    = "types"
+	KindSubmissionFence = "gate"
+	KindSharding        = "grouping"
+	KindQuotaGrant      = "grant"
+	KindTiers           = "tiers"
+	KindFormat          = "format"
+)
 
-// Kind names the kind of a key, for accounts of what is in the state service.
+// Kind returns the kind of a key.
 func Kind(key string) string {
 	if strings.HasPrefix(key, ArchivePrefix) {
-		return "history"
+		return KindArchive
 	}
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, StatePrefix), "/")
 	return kind
 }
 
-// SegmentKey holds a slot of a ledger.
+// JobKey is the key of a single job in format 1.
+func JobKey(id string) string { return jobPrefix + id }
+
+// BatchKey is the key of jobs that were accepted together, until all of them have ended.
+// The version of this key orders launch, cancellation and end of each of its jobs.
+func BatchKey(name string) string { return batchPrefix + name }
+
+// RecentKey is the key of a block of ended jobs on their way into the archive.
+func RecentKey(index int) string { return recentPrefix + strconv.Itoa(index) }
+
+// SegmentKey is the key of a segment of a ledger.
 func SegmentKey(ledger string, segment int) string {
 	return ledgerPrefix + ledger + "/" + strconv.Itoa(segment)
 }
 
-// LedgerName names the ledger of a part in a state that was divided anew so many times. Each
-// grouping has ledgers of its own, so that no holder takes another's for its own.
+// LedgerName names the ledger of a shard in a generation of the sharding. Each generation
+// has ledgers of its own, so that no leader mistakes another shard's for its own.
 func LedgerName(shard string, generation uint64) string {
 	if generation == 0 {
 		return shard
@@ -71,5 +94,5 @@
 	return shard + "@" + strconv.FormatUint(generation, 10)
 }
 
-// LeaderKey holds the claim of a part.
+// LeaderKey is the key of the record of a shard's leader.
 func LeaderKey(shard string) string { return leaderPrefix + shard }
--- a/internal/store/lookup.go
+++ b/internal/store/lookup.go
@@ -2,103 +2,162 @@
 
 import (
 	"maps"
-	"slices"
+	"time"
 
 	"amberdeal.example/amberdeal/wire"
 )
 
-// UnreadableRecordFor names a record that was not understood and that may hold the job: as
-// long as there is one, nobody can say that the job is not known.
-func (v *View) UnreadableRecordFor(id string) (key string, err error) {
+// Loaded reports whether the view has ever been complete.
+func (v *View) Loaded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.unreadableRecordFor(id)
+	return v.loaded
 }
 
-func (v *View) unreadableRecordFor(id string) (key string, err error) {
-	if len(v.unreadable) == 0 {
-		return "", nil
-	}
-	for _, key := range slices.Sorted(maps.Keys(v.unreadable)) {
-		switch Kind(key) {
-		case "batch", "recent":
-			return key, v.unreadable[key]
-		case "job":
-			if key == JobKey(id) {
-				return key, v.unreadable[key]
-			}
-		}
-	}
-	return "", nil
+// Revision returns the last revision whose changes are in the view.
+func (v *View) Revision() uint64 {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.revision
 }
 
-// UnreadableRecords lists the records that were not understood.
-func (v *View) UnreadableRecords() []string {
+// Job looks up a job; it has its description only while it is live. One that is not known
+// may be in the archive.
+func (v *View) Job(id string) (rec JobRecord, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.unreadable))
+	return v.jobs.job(id)
 }
 
-// SubmissionFence gives the version of the gate, 0 while there is none.
-func (v *View) SubmissionFence() Versioned[SubmissionFenceRecord] {
+// Live looks up a job that has not ended.
+func (v *View) Live(id string) (*LiveJob, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.submissionFence
+	l, ok := v.jobs.live[id]
+	return l, ok
 }
 
-// Format is the form of the state as its marker says, 0 without one.
-func (v *View) Format() FormatRecord {
+// Compacted reports whether no batch holds a job any more. A job that was accepted has then
+// ended and was compacted: no task of it can be anywhere.
+func (v *View) Compacted(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.format
+	key, _ := v.unreadable.mayHold(id)
+	return len(v.jobs.batchesOf[id]) == 0 && key == ""
+}
+
+// UnreadableRecordFor returns a record that could not be decoded and that may hold a job:
+// as long as there is one, the job must not be called unknown.
+func (v *View) UnreadableRecordFor(id string) (key string, err error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.unreadable.mayHold(id)
+}
+
+// UnreadableRecords lists the keys of records that could not be decoded.
+func (v *View) UnreadableRecords() []string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.unreadable.keys()
 }
 
 // Empty reports whether nothing was ever kept in the state service.
 func (v *View) Empty() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fencingToken.Version == 0 && len(v.batches) == 0 && len(v.unreadable) == 0
+	return v.fleet.fencingToken.Version == 0 && len(v.jobs.batches) == 0 && len(v.unreadable.errs) == 0
+}
+
+// EndedBatches lists batches whose jobs have all ended, the oldest first: at most limit of
+// those that are accepted.
+func (v *View) EndedBatches(limit int, accept func(*Batch) bool) []*Batch {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.jobs.selectEnded(limit, accept)
+}
+
+// RecentBlocks lists the recent blocks by their index.
+func (v *View) RecentBlocks() []RecentBlock {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.jobs.sortedRecentBlocks()
+}
+
+// Size counts what the view holds: live jobs, ended jobs that a batch still holds, batches,
+// and jobs in recent blocks.
+func (v *View) Size() (live, ended, batches, recent int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return len(v.jobs.live), len(v.jobs.ended), len(v.jobs.batches), v.jobs.recentJobs()
+}
+
+// Uncompacted reports whether there are batches whose jobs have all ended.
+func (v *View) Uncompacted() bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.jobs.endedBatches.Len() > 0
 }
 
-// Leader tells who holds a part.
+// OldestEnd returns when the first of the jobs ended that wait for compaction.
+func (v *View) OldestEnd() time.Time {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.jobs.oldestEnd()
+}
+
+// Leader returns the record of a shard's leader, if it has one.
 func (v *View) Leader(shard string) (Versioned[LeaderRecord], bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	p, ok := v.leaders[shard]
+	p, ok := v.fleet.leaders[shard]
 	return p, ok
 }
 
-// FencingToken gives the counter of terms; version 0 means that there is none yet.
+// FencingToken returns the counter of fencing tokens; version 0 means that there is none yet.
 func (v *View) FencingToken() Versioned[uint64] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fencingToken
+	return v.fleet.fencingToken
 }
 
-// MachineTypes gives the machine types kept in the store, if any.
-func (v *View) MachineTypes() []wire.MachineType {
+// SubmissionFence returns the submission fence; version 0 means that there is none yet.
+func (v *View) SubmissionFence() Versioned[SubmissionFenceRecord] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.machineTypes
+	return v.fleet.submissionFence
 }
 
-// Snapshot copies what a holder decides on.
-func (v *View) Snapshot() Snapshot {
+// Format returns the format of the state as its marker says, zero without one.
+func (v *View) Format() FormatRecord {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.fleet.format
+}
+
+// MachineTypes returns the machine types kept in the state service, if any.
+func (v *View) MachineTypes() []wire.MachineType {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return Snapshot{v.revision, v.currentAt, maps.Clone(v.liveJobs), v.quotaGrants, v.sharding}
+	return v.fleet.machineTypes
 }
 
-// Sharding tells how the state is divided into parts; version 0 means one part.
+// Sharding returns how the fleet is divided into shards; version 0 means a single shard.
 func (v *View) Sharding() Versioned[ShardingRecord] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.sharding
+	return v.fleet.sharding
 }
 
-// Tiers tells how the tiers of work are set; version 0 means the default.
+// Tiers returns how the tiers of work are configured; version 0 means the default.
 func (v *View) Tiers() Versioned[TiersRecord] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.tiers
+	return v.fleet.tiers
+}
+
+// Snapshot copies what a leader's decisions are based on.
+func (v *View) Snapshot() Snapshot {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return Snapshot{v.revision, v.currentAt, maps.Clone(v.jobs.live), v.fleet.quotaGrants, v.fleet.sharding}
 }
--- a/internal/store/preemption.go
+++ b/internal/store/preemption.go
@@ -1,27 +1,47 @@
 package store
 
 import (
+	"slices"
+	"strings"
+
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Room that is claimed back for a job is a record for each machine: what is stopped there is
-// written before anything is said, and the next holder goes on with it.
+// A preemption has a record for each machine on which it reserves capacity. It is written
+// before any task is told to stop, so that the next leader goes on with it.
 
-// PreemptionEntry gives the entry of room that is claimed back for a job.
+// PreemptionEntry returns the entry of the capacity that a preemption for a job reserves on
+// one machine.
 func PreemptionEntry(job string, r tier.Reservation) Entry {
 	return Entry{preemptionKey(job, r.Machine), wire.Encode(r), entryOverheadBytes + len(job) + len(r.Machine) + r.SizeBound()}
 }
 
-// DropPreemption gives the entry that drops it.
+// DropPreemption returns the entry that deletes a PreemptionEntry.
 func DropPreemption(job, machine string) Entry {
-	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 8}
+	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 2*nullBytes}
 }
 
-// HasPreemption reports whether room on a machine is claimed back for a job.
+// HasPreemption reports whether the ledger holds a reservation for a job on a machine.
 func (l *Ledger) HasPreemption(job, machine string) bool {
-	_, ok := l.location[preemptionKey(job, machine)]
-	return ok
+	return l.has(preemptionKey(job, machine))
 }
 
 func preemptionKey(job, machine string) string { return preemptionPrefix + job + "/" + machine }
+
+// applyPreemption takes a reservation, whose name is of the job and the machine.
+func (rec *RecoveredState) applyPreemption(name, key string, raw wire.Raw) Entry {
+	job, machine, _ := strings.Cut(name, "/")
+	p := rec.Preemptions[job]
+	if p == nil {
+		p = &tier.Preemption{}
+		rec.Preemptions[job] = p
+	}
+	p.Reservations = slices.DeleteFunc(p.Reservations, func(r tier.Reservation) bool { return r.Machine == machine })
+	r, ok := decodeEntry[tier.Reservation](raw)
+	if !ok || r.Machine != machine {
+		return Entry{Key: key}
+	}
+	p.Reservations = append(p.Reservations, r)
+	return PreemptionEntry(job, r)
+}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -6,38 +6,49 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Format is the form of the state that this version writes. 1, which had no
-// marker, kept a key for each job that was over.
-const Format = 2
-
-// FormatSharded is the form of a state of which the fleet is in several parts. Versions that
-// know of one part alone don't work on it.
-const FormatSharded = 3
+// The formats of the state.
+const (
+	// Format is the one that this version writes. Format 1, which had no marker, kept a
+	// key for each job that had ended.
+	Format = 2
+	// FormatSharded is the format of a state whose fleet is in several shards. Versions
+	// that know only a single shard don't work on it.
+	FormatSharded = 3
+)
 
-// JobRecord is a job as it is stored. One that is over keeps its stage and size,
-// and, until no task of it can be anywhere any more, what its tasks take.
+// JobRecord is a job as it is stored. One that has ended keeps its stage and size and, until
+// no task of it can be anywhere any more, the demand of its tasks.
 type JobRecord struct {
-	Stage   wire.Stage   `cbor:"stage"`
-	Tasks   int          `cbor:"tasks"`
-	Created int64        `cbor:"created,omitempty"` // ms since 1970
-	Job     *wire.Job    `cbor:"job,omitempty"`
-	Demand  *TaskDemand  `cbor:"takes,omitempty"`
-	Ended   int64        `cbor:"ended,omitempty"` // ms since 1970
-	Ranges  []ShardRange `cbor:"shares,omitempty"`
-	// ShardingGeneration is the number of the grouping that the shares are of. Where the state has been
-	// divided anew since, the ledgers of the groupings before say whose the tasks are; DoneIn
-	// then names the ledgers of the parts that have finished all of theirs.
+	Stage   wire.Stage  `cbor:"stage"`
+	Tasks   int         `cbor:"tasks"`
+	Created int64       `cbor:"created,omitempty"` // ms since 1970
+	Job     *wire.Job   `cbor:"job,omitempty"`
+	Demand  *TaskDemand `cbor:"takes,omitempty"`
+	Ended   int64       `cbor:"ended,omitempty"` // ms since 1970
+	// Ranges says which shard is responsible for which tasks. They cover all tasks of the
+	// job; a job without any belongs to the first shard.
+	Ranges []ShardRange `cbor:"shares,omitempty"`
+	// ShardingGeneration is the sharding that the ranges are of. Where the fleet was
+	// resharded since, the previous ledgers say where the tasks are, and FinishedIn names
+	// the ledgers of those shards that have finished all of theirs.
 	ShardingGeneration uint64   `cbor:"grouping,omitempty"`
 	FinishedIn         []string `cbor:"done_in,omitempty"`
-	// CoAllocation says what the parts that have tasks of a gang are to do: nothing, hold room for
-	// them, stop them, or start them with this attempt.
+	// CoAllocation says what the shards that have tasks of a gang are to do: nothing, one
+	// of the constants below, or start them with this attempt.
 	CoAllocation uint64 `cbor:"muster,omitempty"`
 }
 
-// ShardRange is a run of a job's tasks that a part answers for: From up to and without To. Only
-// its holder launches them, and only the holder gives them to another part, in a
-// fenced round, once it has proof that they are nowhere. The shares of a job cover all
-// its tasks; a job without any is of the first part.
+// What the shards of a gang are to do; see JobRecord.CoAllocation.
+const (
+	CoAllocationRelease uint64 = 1 // stop its tasks and release their capacity
+	CoAllocationReserve uint64 = 2 // reserve capacity for its tasks
+	// CoAllocationFirstAttempt is the first value that is an attempt to start.
+	CoAllocationFirstAttempt uint64 = 1 << 24
+)
+
+// ShardRange is a range of a job's tasks for which a shard is responsible: From up to but
+// without To. Only the shard's leader launches them, and only it hands them over to another
+// shard, in a fenced round, once it has proof that none of them is running.
 type ShardRange struct {
 	_     struct{} `cbor:",toarray"`
 	From  int
@@ -46,17 +57,11 @@
 	Done  bool // every task of it has finished
 }
 
-// What a gang's parts are to do; from CoAllocationFirst on it is the attempt to start.
-const (
-	CoAllocationRelease      uint64 = 1
-	CoAllocationReserve      uint64 = 2
-	CoAllocationFirstAttempt uint64 = 1 << 24
-)
-
-// Within reports whether a share is a run of so many tasks. One that is not is of nobody.
+// Within reports whether a range is one of a job of so many tasks. One that is not belongs
+// to no shard.
 func (s ShardRange) Within(tasks int) bool { return s.From >= 0 && s.From < s.To && s.To <= tasks }
 
-// TaskDemand is what each task of a job takes, and whose limit it counts against.
+// TaskDemand is what each task of a job needs, and the team whose quota it counts against.
 type TaskDemand struct {
 	Team     string  `cbor:"team"`
 	CPUs     float64 `cbor:"cpus"`
@@ -64,7 +69,7 @@
 	MemoryGB float64 `cbor:"memory_gb"`
 }
 
-// TaskDemand tells what each task of the job takes, if that is known.
+// TaskDemand returns what each task of the job needs, if that is known.
 func (r *JobRecord) TaskDemand() (TaskDemand, bool) {
 	switch {
 	case r.Job != nil:
@@ -75,74 +80,76 @@
 	return TaskDemand{}, false
 }
 
-// End gives the record of the job once it is done or cancelled.
+// End returns the record of the job once it is done or cancelled.
 func (r *JobRecord) End(stage wire.Stage, now time.Time) JobRecord {
 	end := JobRecord{Stage: stage, Tasks: r.Tasks, Ended: now.UnixMilli()}
-	if t, ok := r.TaskDemand(); ok {
-		end.Demand = &t
+	if demand, ok := r.TaskDemand(); ok {
+		end.Demand = &demand
 	}
 	return end
 }
 
-// BatchRecord is a number of jobs that were accepted together. One that was
-// written again says since which revision it is there.
+// BatchRecord holds jobs that were accepted together. Since is the first revision that held
+// it, where it was written again.
 type BatchRecord struct {
 	Jobs  map[string]JobRecord `cbor:"jobs"`
 	Since uint64               `cbor:"since,omitempty"`
 }
 
-// JobRecordBytes bounds what a job takes in the form in which the service counts.
-func JobRecordBytes(rec *JobRecord) int {
-	return len(wire.Encode(rec))*5/4 + rangeOverheadBytes*len(rec.Ranges) + 150
-}
-
-// rangeOverheadBytes is what a share may take beyond a quarter more than its encoding, and
-// spareBytes what of a job's bound is left for what is written of it later.
 const (
+	// jobOverheadBytes is what a job's record may take beside a quarter more than its
+	// encoding, with reservedJobBytes of it for what is written of the job later.
+	jobOverheadBytes = 150
+	reservedJobBytes = 90
+	// rangeOverheadBytes is what a range may take beside that.
 	rangeOverheadBytes = 16
-	reservedJobBytes   = 90
 )
 
-// FormatRecord says in which form the state is, and since when, if it was in
-// another one before. While an export is being put in, it names that, and no
-// controller works on the state.
+// JobRecordBytes bounds what a job takes as the state service counts it.
+func JobRecordBytes(rec *JobRecord) int {
+	return len(wire.Encode(rec))*5/4 + rangeOverheadBytes*len(rec.Ranges) + jobOverheadBytes
+}
+
+// FormatRecord marks the state with its format, and since when it has this one if it was in
+// another before. While an import is under way it names that, and no controller works on
+// the state.
 type FormatRecord struct {
 	Format int    `cbor:"format"`
 	Since  int64  `cbor:"since,omitempty"` // ms since 1970
 	Import string `cbor:"import,omitempty"`
 }
 
-// SubmissionFenceRecord counts how often the gate has moved.
+// SubmissionFenceRecord counts how often the submission fence has advanced.
 type SubmissionFenceRecord struct {
 	Generation uint64 `cbor:"moved"`
 }
 
-// LeaderRecord says who holds a part. It is attached to the holder's lease.
+// LeaderRecord says which controller leads a shard. It is attached to the leader's lease.
 type LeaderRecord struct {
 	Leader       string `cbor:"holder"`
 	FencingToken uint64 `cbor:"term"`
 	Lease        uint64 `cbor:"lease"`
-	Format       int    `cbor:"format,omitempty"` // of the state that the holder writes, 0 for version 1
+	Format       int    `cbor:"format,omitempty"` // of the state that the leader writes, 0 for format 1
 }
 
-// ShardingRecord says how the fleet is divided into parts, and how often it was divided
-// anew. Before names the ledgers of earlier groupings that nobody writes any more and that
-// still say what may be where.
+// ShardingRecord says how the fleet is divided into shards, and how often that has changed.
+// PreviousLedgers names the ledgers of earlier shardings that nobody writes any more and
+// that still say which tasks may run where.
 type ShardingRecord struct {
 	Text            string   `cbor:"text"`
 	Generation      uint64   `cbor:"number,omitempty"`
 	PreviousLedgers []string `cbor:"before,omitempty"`
 }
 
-// QuotaGrantRecord says what each part may spend of the limit of each team that has one: CPUs
-// and GPUs, by team and part. Only a part's holder changes the part's own grants, under
-// its fence and on the version that it has seen; their sum never exceeds the limit.
+// QuotaGrantRecord says what each shard may use of the quota of each team that has one: CPUs
+// and GPUs, by team and shard. Only a shard's leader changes the shard's own grants, under
+// its fence and on the version that it has seen; their sum never exceeds the quota.
 type QuotaGrantRecord struct {
 	Teams map[string]map[string][2]float64 `cbor:"teams"`
 }
 
-// TiersRecord tells in short how the tiers of work are set. Claims are conditional on it, so
-// that no two holders go by different ones.
+// TiersRecord is a digest of the configuration of the tiers of work. Becoming a leader is
+// conditional on it, so that no two leaders go by different ones.
 type TiersRecord struct {
 	Digest string `cbor:"digest"`
 }
--- a/internal/store/recovered.go
+++ b/internal/store/recovered.go
@@ -10,21 +10,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// RecoveredState is what a ledger tells a new holder.
+// RecoveredState is what a new leader reads from a ledger.
 type RecoveredState struct {
-	Round          uint64
+	Round          uint64 // the last one that was written
 	Machines       map[string]MachineRecord
 	ScaleOuts      map[string]ScaleOutRecord
-	FinishedTasks  map[string]*TaskSet
+	FinishedTasks  map[string]*TaskSet // by job
 	Zones          map[string]ZoneRecord
 	ZoneRecoveries map[string]ZoneRecoveryRecord
 	Preemptions    map[string]*tier.Preemption // by job
 }
 
-// RecoverSegments reads what slots of ledgers tell that nobody writes any more.
-func RecoverSegments(slots []Segment) RecoveredState {
+func newRecoveredState() RecoveredState {
+	return RecoveredState{
+		Machines:       map[string]MachineRecord{},
+		ScaleOuts:      map[string]ScaleOutRecord{},
+		FinishedTasks:  map[string]*TaskSet{},
+		Zones:          map[string]ZoneRecord{},
+		ZoneRecoveries: map[string]ZoneRecoveryRecord{},
+		Preemptions:    map[string]*tier.Preemption{},
+	}
+}
+
+// RecoverSegments reads ledgers that nobody writes any more.
+func RecoverSegments(segments []Segment) RecoveredState {
 	rec := newRecoveredState()
-	for _, s := range sortedByAge(slots) {
+	for _, s := range sortedByAge(segments) {
 		rec.Round = max(rec.Round, s.Record.Round)
 		for key, raw := range s.Record.Entries {
 			rec.apply(key, raw)
@@ -33,86 +44,109 @@
 	return rec
 }
 
-func newRecoveredState() RecoveredState {
-	return RecoveredState{Machines: map[string]MachineRecord{}, ScaleOuts: map[string]ScaleOutRecord{}, FinishedTasks: map[string]*TaskSet{}, Zones: map[string]ZoneRecord{}, ZoneRecoveries: map[string]ZoneRecoveryRecord{}, Preemptions: map[string]*tier.Preemption{}}
-}
-
-// sortedByAge orders slots by when they were written: the newest value of a record counts.
-func sortedByAge(slots []Segment) []Segment {
-	slots = slices.Clone(slots)
-	slices.SortFunc(slots, func(a, b Segment) int {
+// sortedByAge orders segments by when they were written, so that the newest value of an
+// entry is applied last.
+func sortedByAge(segments []Segment) []Segment {
+	segments = slices.Clone(segments)
+	slices.SortFunc(segments, func(a, b Segment) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Number, b.Number))
 	})
-	return slots
+	return segments
+}
+
+// entryKinds says how the entries of each kind are recovered. Each function gets the name
+// after the prefix, the whole key and the value, and returns the entry to keep in the ledger.
+var entryKinds = []struct {
+	prefix string
+	apply  func(rec *RecoveredState, name, key string, raw wire.Raw) Entry
+}{
+	{machinePrefix, (*RecoveredState).applyMachine},
+	{scaleOutPrefix, (*RecoveredState).applyScaleOut},
+	{zonePrefix, (*RecoveredState).applyZone},
+	{zoneRecoveryPrefix, (*RecoveredState).applyZoneRecovery},
+	{preemptionPrefix, (*RecoveredState).applyPreemption},
+	{progressPrefix, (*RecoveredState).applyProgress},
 }
 
-// apply decodes an entry; what is not understood is kept as dropped.
+// apply takes an entry. One that can't be decoded counts as deleted.
 func (rec *RecoveredState) apply(key string, raw wire.Raw) Entry {
-	null := len(raw) == 0 || raw[0] == 0xf6
-	if id, ok := strings.CutPrefix(key, machinePrefix); ok {
-		delete(rec.Machines, id)
-		var r MachineRecord
-		if !null && wire.DecodeValue(raw, &r) == nil {
-			rec.Machines[id] = r
-			return Entry{key, raw, MachineEntryBytes(id, &r)}
+	for _, kind := range entryKinds {
+		if name, ok := strings.CutPrefix(key, kind.prefix); ok {
+			return kind.apply(rec, name, key, raw)
 		}
 	}
-	if name, ok := strings.CutPrefix(key, scaleOutPrefix); ok {
-		delete(rec.ScaleOuts, name)
-		var r ScaleOutRecord
-		if !null && wire.DecodeValue(raw, &r) == nil {
-			rec.ScaleOuts[name] = r
-			return ScaleOutEntry(name, r)
-		}
+	return Entry{Key: key}
+}
+
+// decodeEntry decodes an entry's value; ok is false for one that was deleted or is damaged.
+func decodeEntry[T any](raw wire.Raw) (v T, ok bool) {
+	if len(raw) == 0 || raw[0] == cborNull {
+		return v, false
 	}
-	if zone, ok := strings.CutPrefix(key, zonePrefix); ok && !null {
-		var r ZoneRecord
-		// Of two parts' ledgers of an earlier grouping the one that went further counts.
-		if wire.DecodeValue(raw, &r) == nil {
-			if r.Number >= rec.Zones[zone].Number {
-				rec.Zones[zone] = r
-			}
-			return ZoneEntry(zone, r)
-		}
+	if err := wire.DecodeValue(raw, &v); err != nil {
+		return v, false
 	}
-	if zone, ok := strings.CutPrefix(key, zoneRecoveryPrefix); ok {
-		delete(rec.ZoneRecoveries, zone)
-		var r ZoneRecoveryRecord
-		if !null && wire.DecodeValue(raw, &r) == nil {
-			rec.ZoneRecoveries[zone] = r
-			return ZoneRecoveryEntry(zone, r)
-		}
+	return v, true
+}
+
+func (rec *RecoveredState) applyMachine(id, key string, raw wire.Raw) Entry {
+	delete(rec.Machines, id)
+	r, ok := decodeEntry[MachineRecord](raw)
+	if !ok {
+		return Entry{Key: key}
 	}
-	if rest, ok := strings.CutPrefix(key, preemptionPrefix); ok {
-		return rec.applyPreemption(key, rest, raw, null)
+	rec.Machines[id] = r
+	return Entry{key, raw, MachineEntryBytes(id, &r)}
+}
+
+func (rec *RecoveredState) applyScaleOut(name, key string, raw wire.Raw) Entry {
+	delete(rec.ScaleOuts, name)
+	r, ok := decodeEntry[ScaleOutRecord](raw)
+	if !ok {
+		return Entry{Key: key}
 	}
-	if rest, ok := strings.CutPrefix(key, progressPrefix); ok && !null {
-		job, num, _ := strings.Cut(rest, "/")
-		block, err := strconv.Atoi(num)
-		var text string
-		if err == nil && block >= 0 && block <= wire.MaxTasks/TasksPerBlock && wire.DecodeValue(raw, &text) == nil {
-			if rec.FinishedTasks[job] == nil {
-				rec.FinishedTasks[job] = NewTaskSet(0)
-			}
-			rec.FinishedTasks[job].MergeBlock(block, text)
-			return Entry{key, raw, entryOverheadBytes + len(key) + 10 + len(text)}
-		}
+	rec.ScaleOuts[name] = r
+	return ScaleOutEntry(name, r)
+}
+
+// applyZone takes the state of a zone. The ledgers of two shards of an earlier sharding may
+// both have one: the later one counts. A zone's state is never deleted.
+func (rec *RecoveredState) applyZone(zone, key string, raw wire.Raw) Entry {
+	r, ok := decodeEntry[ZoneRecord](raw)
+	if !ok {
+		return Entry{Key: key}
 	}
-	return Entry{Key: key}
+	if r.Number >= rec.Zones[zone].Number {
+		rec.Zones[zone] = r
+	}
+	return ZoneEntry(zone, r)
+}
+
+func (rec *RecoveredState) applyZoneRecovery(zone, key string, raw wire.Raw) Entry {
+	delete(rec.ZoneRecoveries, zone)
+	r, ok := decodeEntry[ZoneRecoveryRecord](raw)
+	if !ok {
+		return Entry{Key: key}
+	}
+	rec.ZoneRecoveries[zone] = r
+	return ZoneRecoveryEntry(zone, r)
 }
 
-func (rec *RecoveredState) applyPreemption(key, rest string, raw wire.Raw, null bool) Entry {
-	job, machine, _ := strings.Cut(rest, "/")
-	c := rec.Preemptions[job]
-	if c == nil {
-		c = &tier.Preemption{}
-		rec.Preemptions[job] = c
+// applyProgress adds finished tasks of a job; a task that has finished stays finished, so
+// that the blocks of several segments are merged.
+func (rec *RecoveredState) applyProgress(name, key string, raw wire.Raw) Entry {
+	job, number, _ := strings.Cut(name, "/")
+	block, err := strconv.Atoi(number)
+	if err != nil || block < 0 || block > wire.MaxTasks/TasksPerBlock {
+		return Entry{Key: key}
 	}
-	c.Reservations = slices.DeleteFunc(c.Reservations, func(r tier.Reservation) bool { return r.Machine == machine })
-	var r tier.Reservation
-	if null || wire.DecodeValue(raw, &r) != nil || r.Machine != machine {
+	text, ok := decodeEntry[string](raw)
+	if !ok {
 		return Entry{Key: key}
 	}
-	c.Reservations = append(c.Reservations, r)
-	return PreemptionEntry(job, r)
+	if rec.FinishedTasks[job] == nil {
+		rec.FinishedTasks[job] = NewTaskSet(0)
+	}
+	rec.FinishedTasks[job].MergeBlock(block, text)
+	return Entry{key, raw, entryOverheadBytes + len(key) + blockNumberBytes + len(text)}
 }
--- a/internal/store/shardledgers.go
+++ b/internal/store/shardledgers.go
@@ -5,65 +5,78 @@
 	"slices"
 	"strconv"
 	"strings"
-
-	"amberdeal.example/amberdeal/wire"
 )
 
-// ShardLedgers reads the ledger of a part, and those of earlier groupings; a slot that is not
-// understood is logged and counts as empty.
+// ShardLedgers are the ledgers that a new leader of a shard reads: the shard's own, and
+// those of earlier shardings.
+type ShardLedgers struct {
+	Name       string // of the shard's own ledger
+	Generation uint64 // of the sharding
+	Own        []Segment
+	Previous   []Segment
+	// Migrated says that the own ledger has taken over everything that the shard needs of
+	// the previous ones, but for the ownership of tasks.
+	Migrated bool
+}
+
+// ShardingState is what a new sharding is computed from: the sharding so far, all ledgers,
+// and which shards have a leader.
+type ShardingState struct {
+	Sharding     Versioned[ShardingRecord]
+	FencingToken Versioned[uint64]
+	QuotaGrants  Versioned[QuotaGrantRecord]
+	Format       FormatRecord
+	LedgerNames  []string
+	Segments     []Segment // of all ledgers
+	LedShards    []string  // shards that have a leader
+	Unreadable   []string  // keys of records that could not be decoded
+}
+
+// ShardLedgers reads the ledgers of a shard; a segment that can't be decoded is logged and
+// counts as empty.
 func (v *View) ShardLedgers(shard string) ShardLedgers {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	g := v.sharding.Record
-	out := ShardLedgers{Name: LedgerName(shard, g.Generation), Generation: g.Generation}
-	out.Own = v.segmentsOf(out.Name)
-	out.Migrated = len(g.PreviousLedgers) == 0 || v.newestSegment(out.Name).Migrated == g.Generation
-	for _, name := range g.PreviousLedgers {
-		out.Previous = append(out.Previous, v.segmentsOf(name)...)
+	sharding := v.fleet.sharding.Record
+	name := LedgerName(shard, sharding.Generation)
+	out := ShardLedgers{Name: name, Generation: sharding.Generation, Own: v.segmentsOf(name)}
+	out.Migrated = len(sharding.PreviousLedgers) == 0 || v.segments.newestRecord(name).Migrated == sharding.Generation
+	for _, previous := range sharding.PreviousLedgers {
+		out.Previous = append(out.Previous, v.segmentsOf(previous)...)
 	}
 	return out
 }
 
-func (v *View) segmentsOf(name string) (out []Segment) {
+// segmentsOf decodes all segments of a ledger.
+func (v *View) segmentsOf(ledger string) (out []Segment) {
 	for key, raw := range v.segments {
-		num, mine := strings.CutPrefix(key, ledgerPrefix+name+"/")
-		if n, err := strconv.Atoi(num); mine && err == nil && n >= 0 {
-			rec, _ := decodeRecord[SegmentRecord](v, key, raw.Record)
+		number, mine := strings.CutPrefix(key, ledgerPrefix+ledger+"/")
+		if n, err := strconv.Atoi(number); mine && err == nil && n >= 0 {
+			rec, _ := decodeRecord[SegmentRecord](&v.unreadable, key, raw.Record)
 			out = append(out, Segment{n, raw.Version, rec})
 		}
 	}
 	return out
 }
 
-// newestSegment reads the slot of a ledger that was written last.
-func (v *View) newestSegment(name string) (rec SegmentRecord) {
-	var newest Versioned[wire.Raw]
-	for key, raw := range v.segments {
-		if strings.HasPrefix(key, ledgerPrefix+name+"/") && raw.Version > newest.Version {
-			newest = raw
-		}
-	}
-	if newest.Version == 0 || wire.DecodeValue(newest.Record, &rec) != nil {
-		return SegmentRecord{}
-	}
-	return rec
+// ownLedger names the ledger of a shard in the present sharding.
+func (v *View) ownLedger(shard string) string {
+	return LedgerName(shard, v.fleet.sharding.Record.Generation)
 }
 
-// Migrated reports whether a part has taken over what the ledgers of earlier groupings say.
+// Migrated reports whether a shard's ledger has taken over what those of earlier shardings say.
 func (v *View) Migrated(shard string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	g := v.sharding.Record
-	return v.newestSegment(LedgerName(shard, g.Generation)).Migrated == g.Generation
+	return v.segments.newestRecord(v.ownLedger(shard)).Migrated == v.fleet.sharding.Record.Generation
 }
 
-// PreviousLedgerSlots names the slots of the ledgers of earlier groupings, in order.
+// PreviousLedgerSlots lists the keys of the segments of earlier shardings' ledgers, in order.
 func (v *View) PreviousLedgerSlots() (out []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for key := range v.segments {
-		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgerPrefix), "/")
-		if slices.Contains(v.sharding.Record.PreviousLedgers, name) {
+		if slices.Contains(v.fleet.sharding.Record.PreviousLedgers, ledgerOf(key)) {
 			out = append(out, key)
 		}
 	}
@@ -71,46 +84,33 @@
 	return out
 }
 
-// ShardingState is what a state is divided anew by: how it was, what all ledgers say, and who
-// holds what.
-type ShardingState struct {
-	Sharding     Versioned[ShardingRecord]
-	FencingToken Versioned[uint64]
-	QuotaGrants  Versioned[QuotaGrantRecord]
-	Format       FormatRecord
-	LedgerNames  []string  // the names of all
-	Segments     []Segment // of all
-	LedShards    []string  // parts that somebody holds
-	Unreadable   []string  // records that were not understood
-}
-
-// LedShards names the parts that somebody holds, and tells whether there is any ledger.
+// LedShards lists the shards that have a leader, and reports whether there is any ledger.
 func (v *View) LedShards() (shards []string, used bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return slices.Sorted(maps.Keys(v.leaders)), len(v.segments) > 0
+	return v.fleet.ledShards(), len(v.segments) > 0
 }
 
-// ShardingState gives what the view shows of the state as a whole; it decodes every ledger.
+// ShardingState returns what a new sharding is computed from; it decodes every ledger.
 func (v *View) ShardingState() ShardingState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	s := ShardingState{Sharding: v.sharding, FencingToken: v.fencingToken, QuotaGrants: v.quotaGrants, Format: v.format, LedShards: slices.Sorted(maps.Keys(v.leaders))}
-	for key := range v.segments {
-		name, _, _ := strings.Cut(strings.TrimPrefix(key, ledgerPrefix), "/")
-		if !slices.Contains(s.LedgerNames, name) {
-			s.LedgerNames = append(s.LedgerNames, name)
-		}
+	s := ShardingState{
+		Sharding:     v.fleet.sharding,
+		FencingToken: v.fleet.fencingToken,
+		QuotaGrants:  v.fleet.quotaGrants,
+		Format:       v.fleet.format,
+		LedgerNames:  v.segments.ledgers(),
+		LedShards:    v.fleet.ledShards(),
 	}
-	slices.Sort(s.LedgerNames)
 	for _, name := range s.LedgerNames {
 		s.Segments = append(s.Segments, v.segmentsOf(name)...)
 	}
-	s.Unreadable = slices.Sorted(maps.Keys(v.unreadable))
+	s.Unreadable = v.unreadable.keys() // after all segments were decoded
 	return s
 }
 
-// Segment reads one slot, by its key.
+// Segment reads one segment by its key; its version is 0 where there is none.
 func (v *View) Segment(key string) (SegmentRecord, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -118,38 +118,25 @@
 	if !ok {
 		return SegmentRecord{}, 0
 	}
-	rec, _ := decodeRecord[SegmentRecord](v, key, raw.Record)
+	rec, _ := decodeRecord[SegmentRecord](&v.unreadable, key, raw.Record)
 	return rec, raw.Version
 }
 
-// LedgerRevision gives the revision at which a part's ledger was last written.
-func (v *View) LedgerRevision(shard string) (newest uint64) {
+// LedgerRevision returns the revision at which a shard's ledger was last written.
+func (v *View) LedgerRevision(shard string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	name := LedgerName(shard, v.sharding.Record.Generation)
-	for key, raw := range v.segments {
-		if strings.HasPrefix(key, ledgerPrefix+name+"/") {
-			newest = max(newest, raw.Version)
-		}
-	}
-	return newest
+	return v.segments.newest(v.ownLedger(shard)).Version
 }
 
-// DrainedThrough tells up to which revision a part has said that no task is in it of any job
-// that had ended by then. What it said is true for ever.
+// DrainedThrough returns the revision for which a shard's ledger says that no task is left
+// in the shard of any job that had ended by then. Once said it stays true, because ended
+// jobs are never started again.
 func (v *View) DrainedThrough(shard string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.newestSegment(LedgerName(shard, v.sharding.Record.Generation)).DrainedThrough
+	return v.segments.newestRecord(v.ownLedger(shard)).DrainedThrough
 }
 
-// ShardLedgers is what is known of a part: its own ledger, by its name, and those of earlier
-// groupings. Carried says that the own one has taken over all that is of use to the part
-// in the others but for whose the tasks are.
-type ShardLedgers struct {
-	Name       string
-	Generation uint64 // of the grouping
-	Own        []Segment
-	Previous   []Segment
-	Migrated   bool
-}
+// ledShards lists the shards that have a leader, in order.
+func (r *fleetRecords) ledShards() []string { return slices.Sorted(maps.Keys(r.leaders)) }
--- a/internal/store/taskset.go
+++ b/internal/store/taskset.go
@@ -5,74 +5,84 @@
 	"math/bits"
 )
 
-// TasksPerBlock is how many tasks share a progress record: few enough that its
-// bits fit a slot of the smallest value that settings may allow (1 KiB).
-const TasksPerBlock = 1024
+const (
+	wordBits = 64
+	byteBits = 8
+	// TasksPerBlock is how many tasks share a progress record: few enough that their bits
+	// fit a segment of the smallest value that the settings allow (1 KiB).
+	TasksPerBlock = 1024
+)
 
-// TaskSet marks the finished tasks of a job.
+// TaskSet is a set of the tasks of a job, such as those that have finished. It is stored in
+// blocks of TasksPerBlock tasks.
 type TaskSet struct {
 	words []uint64
 	count int
 }
 
-// NewTaskSet has room for n tasks.
-func NewTaskSet(n int) *TaskSet { return &TaskSet{words: make([]uint64, (n+63)/64)} }
+// NewTaskSet returns an empty set with space for n tasks; it grows as need be.
+func NewTaskSet(n int) *TaskSet {
+	return &TaskSet{words: make([]uint64, (n+wordBits-1)/wordBits)}
+}
 
-// Contains reports whether task i is marked.
-func (b *TaskSet) Contains(i int) bool { return i/64 < len(b.words) && b.words[i/64]>>(i%64)&1 == 1 }
+// Contains reports whether task i is in the set.
+func (s *TaskSet) Contains(i int) bool {
+	return i/wordBits < len(s.words) && s.words[i/wordBits]>>(i%wordBits)&1 == 1
+}
 
-// Add marks task i and reports whether that is new.
-func (b *TaskSet) Add(i int) bool {
-	if i/64 >= len(b.words) {
-		b.words = append(b.words, make([]uint64, i/64+1-len(b.words))...)
+// Add adds task i and reports whether that is new.
+func (s *TaskSet) Add(i int) bool {
+	if i/wordBits >= len(s.words) {
+		s.words = append(s.words, make([]uint64, i/wordBits+1-len(s.words))...)
 	}
-	if b.Contains(i) {
+	if s.Contains(i) {
 		return false
 	}
-	b.words[i/64] |= 1 << (i % 64)
-	b.count++
+	s.words[i/wordBits] |= 1 << (i % wordBits)
+	s.count++
 	return true
 }
 
-// Count tells how many are marked.
-func (b *TaskSet) Count() int { return b.count }
+// Count returns the number of tasks in the set.
+func (s *TaskSet) Count() int { return s.count }
 
-// Difference lists what b marks and other does not.
-func (b *TaskSet) Difference(other *TaskSet) []int {
+// Difference lists the tasks that are in s and not in other, in order.
+func (s *TaskSet) Difference(other *TaskSet) []int {
 	var out []int
-	for i, w := range b.words {
+	for i, w := range s.words {
 		if i < len(other.words) {
 			w &^= other.words[i]
 		}
-		for ; w != 0; w &= w - 1 {
-			out = append(out, i*64+bits.TrailingZeros64(w))
+		for ; w != 0; w &= w - 1 { // clears the lowest bit
+			out = append(out, i*wordBits+bits.TrailingZeros64(w))
 		}
 	}
 	return out
 }
 
-// EncodeBlock gives the text form of one block.
-func (b *TaskSet) EncodeBlock(n int) string {
-	const perBlock = TasksPerBlock / 64
+// EncodeBlock returns the stored form of the n-th block.
+func (s *TaskSet) EncodeBlock(n int) string {
+	const wordsPerBlock = TasksPerBlock / wordBits
 	var out []byte
-	for i := n * perBlock; i < min((n+1)*perBlock, len(b.words)); i++ {
-		for s := 0; s < 64; s += 8 {
-			out = append(out, byte(b.words[i]>>s))
+	for i := n * wordsPerBlock; i < min((n+1)*wordsPerBlock, len(s.words)); i++ {
+		for shift := 0; shift < wordBits; shift += byteBits {
+			out = append(out, byte(s.words[i]>>shift))
 		}
 	}
 	return base64.RawStdEncoding.EncodeToString(out)
 }
 
-// MergeBlock marks what the text form of a block marks.
-func (b *TaskSet) MergeBlock(n int, text string) {
+// MergeBlock adds the tasks of the stored form of the n-th block. One that is damaged adds
+// nothing: its tasks run again.
+func (s *TaskSet) MergeBlock(n int, text string) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
-	if err != nil || len(raw) > TasksPerBlock/8 {
+	if err != nil || len(raw) > TasksPerBlock/byteBits {
 		return
 	}
 	for i, c := range raw {
-		for s := range 8 {
-			if c>>s&1 == 1 {
-				b.Add(n*TasksPerBlock + i*8 + s)
+		for bit := range byteBits {
+			if c>>bit&1 == 1 {
+				s.Add(n*TasksPerBlock + i*byteBits + bit)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/store/unreadable.go
@@ -0,0 +1,53 @@
+package store
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// unreadableRecords remembers the keys whose values could not be decoded: they are damaged,
+// or a newer version wrote them. It has no lock of its own; its View's guards it.
+type unreadableRecords struct {
+	log  *slog.Logger
+	errs map[string]error // by key
+}
+
+// decodeRecord decodes a value; one that can't be decoded is logged and remembered.
+func decodeRecord[T any](u *unreadableRecords, key string, raw wire.Raw) (T, bool) {
+	var rec T
+	if err := wire.DecodeValue(raw, &rec); err != nil {
+		u.mark(key, err)
+		return rec, false
+	}
+	delete(u.errs, key)
+	return rec, true
+}
+
+func (u *unreadableRecords) mark(key string, err error) {
+	u.log.Error("record not understood", "key", key, "err", err)
+	u.errs[key] = err
+}
+
+// keys lists the keys in order.
+func (u *unreadableRecords) keys() []string { return slices.Sorted(maps.Keys(u.errs)) }
+
+// mayHold returns the first unreadable record that may hold a job.
+func (u *unreadableRecords) mayHold(job string) (key string, err error) {
+	if len(u.errs) == 0 {
+		return "", nil
+	}
+	for _, key := range u.keys() {
+		switch Kind(key) {
+		case KindBatch, KindRecent:
+			return key, u.errs[key]
+		case KindJob:
+			if key == JobKey(job) {
+				return key, u.errs[key]
+			}
+		}
+	}
+	return "", nil
+}
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -1,59 +1,62 @@
 package store
 
 import (
-	"cmp"
+	"fmt"
 	"log/slog"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
 
-	"github.com/tidwall/btree"
-
+	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Versioned is a record with the version of its key.
+// Versioned is a record with the version of its key; version 0 means that the key is absent.
 type Versioned[T any] struct {
 	Record  T
 	Version uint64
 }
 
-// Snapshot is a copy of what a holder decides on. Its maps are its own; what
-// they point to is never changed.
+// Snapshot is a copy of what a leader's decisions are based on. Its maps belong to the
+// caller; what they point to is never changed.
 type Snapshot struct {
 	Revision    uint64
-	CurrentAt   time.Time // everything that was in the store by then is in it
+	CurrentAt   time.Time // all changes that were committed by then are in it
 	LiveJobs    map[string]*LiveJob
 	QuotaGrants Versioned[QuotaGrantRecord]
 	Sharding    Versioned[ShardingRecord]
 }
 
-// ArchiveObserver is told what becomes of the blocks of the history.
+// ArchiveObserver follows the blocks of the archive, which a View does not keep.
 type ArchiveObserver interface {
-	// BlockChanged tells a block's new value, Reset that changes were missed.
+	// BlockChanged gives a block's new value.
 	BlockChanged(key string, raw wire.Raw, version uint64)
+	// Reset says that changes may have been missed.
 	Reset()
 }
 
-// View is the content of the state service as last seen, but for the history.
-// It is pure: lists and changes come in, in any order, and are applied once.
+// View is the content of the state service as last seen, but for the archive. It makes no
+// calls: lists and changes come in, in any order, and each is applied once.
 type View struct {
 	log *slog.Logger
-	// Archive follows the history, if it is set before the first list.
+	// Archive follows the archive's blocks, if it is set before the first load.
 	Archive ArchiveObserver
 
-	mu              sync.Mutex
-	loaded          bool
-	currentAt       time.Time
-	revision        uint64
-	batches         map[string]*Batch
-	batchesOf       map[string][]*Batch // the homes of each job
-	liveJobs        map[string]*LiveJob
-	endedJobs       map[string]*JobRecord // jobs that are over and still have a home
-	endedBatches    *btree.BTreeG[*Batch] // homes of which every job is over, the oldest first
-	recentBlocks    map[int]RecentBlock
-	segments        map[string]Versioned[wire.Raw]
-	leaders         map[string]Versioned[LeaderRecord]
+	mu         sync.Mutex
+	loaded     bool
+	currentAt  time.Time
+	revision   uint64
+	changed    chan struct{} // closed at the next change
+	jobs       jobIndex
+	segments   ledgerSegments
+	fleet      fleetRecords
+	unreadable unreadableRecords
+}
+
+// fleetRecords are the records of which there is one for the fleet, or one for each shard.
+type fleetRecords struct {
+	leaders         map[string]Versioned[LeaderRecord] // by shard
 	fencingToken    Versioned[uint64]
 	submissionFence Versioned[SubmissionFenceRecord]
 	format          FormatRecord
@@ -61,51 +64,39 @@
 	quotaGrants     Versioned[QuotaGrantRecord]
 	tiers           Versioned[TiersRecord]
 	machineTypes    []wire.MachineType
-	unreadable      map[string]error // records that were not understood
-	changed         chan struct{}
 }
 
-// NewView gives an empty view that is not loaded.
+// NewView returns an empty view that is not loaded.
 func NewView(log *slog.Logger) *View {
 	v := &View{log: log, changed: make(chan struct{})}
 	v.reset()
 	return v
 }
 
+// reset forgets everything but the machine types, which outlive a state that is loaded again.
 func (v *View) reset() {
-	v.batches = make(map[string]*Batch)
-	v.batchesOf = make(map[string][]*Batch)
-	v.liveJobs = make(map[string]*LiveJob)
-	v.endedJobs = make(map[string]*JobRecord)
-	v.endedBatches = btree.NewBTreeGOptions(func(a, b *Batch) bool {
-		return cmp.Or(cmp.Compare(a.SinceRevision, b.SinceRevision), strings.Compare(a.Key, b.Key)) < 0
-	}, btree.Options{NoLocks: true})
-	v.recentBlocks = make(map[int]RecentBlock)
-	v.segments = make(map[string]Versioned[wire.Raw])
-	v.leaders = make(map[string]Versioned[LeaderRecord])
-	v.unreadable = make(map[string]error)
-	v.fencingToken, v.submissionFence = Versioned[uint64]{}, Versioned[SubmissionFenceRecord]{}
-	v.sharding, v.quotaGrants = Versioned[ShardingRecord]{}, Versioned[QuotaGrantRecord]{}
-	v.tiers = Versioned[TiersRecord]{}
-	v.revision, v.format = 0, FormatRecord{}
+	v.jobs = newJobIndex()
+	v.segments = make(ledgerSegments)
+	v.fleet = fleetRecords{leaders: make(map[string]Versioned[LeaderRecord]), machineTypes: v.fleet.machineTypes}
+	v.unreadable = unreadableRecords{log: v.log, errs: make(map[string]error)}
+	v.revision = 0
 	if v.Archive != nil {
 		v.Archive.Reset()
 	}
 }
 
-// Load replaces the content by a list that was begun at a revision, with the
-// changes that came while it was read. Both are taken in at once: a mixture of
-// pages from different moments must not be seen, in which a job may seem to
-// begin in its second home.
+// Load replaces the content by a list that began at a revision, and the changes that came
+// while it was read. Both are taken at once: pages of different revisions must not be seen
+// without the changes between them, or a job may seem to begin in its second batch.
 func (v *View) Load(items []wire.KeyValue, revision uint64, since *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.loaded && max(revision, since.Revision) < v.revision {
-		return // a list that was overtaken by a barrier
+		return // a barrier was faster, and its callers have seen more
 	}
 	v.reset()
 	for _, it := range items {
-		v.put(it.Key, it.Value, it.Version)
+		v.put(it)
 	}
 	v.revision = revision
 	v.apply(since)
@@ -113,8 +104,8 @@
 	v.notify()
 }
 
-// Apply takes in the changes of a watch. Revisions that were seen are skipped,
-// because a late answer must not bring back a key that has since been dropped.
+// Apply takes the changes of a watch. Revisions that were seen are skipped, because a late
+// response must not bring back a key that was deleted since.
 func (v *View) Apply(ch *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -133,28 +124,28 @@
 		switch {
 		case e.Version <= seen:
 		case e.Delete != "":
-			v.drop(e.Delete)
+			v.remove(e.Delete)
 		default:
-			v.put(e.Put, e.Value, e.Version)
+			v.put(wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version})
 		}
 	}
 	v.revision = max(seen, ch.Revision)
 }
 
-// ApplyOwnWrite takes in that this controller's own change of some homes was taken, ahead
-// of the watch: what it does next must not be refused for its own sake.
+// ApplyOwnWrite takes batches that this controller has written, ahead of the watch: its next
+// write must not be refused because of its own last one.
 func (v *View) ApplyOwnWrite(batches ...*Batch) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, h := range batches {
-		if old := v.batches[h.Key]; old != nil && old.Version < h.Version {
-			v.putBatch(h)
+	for _, b := range batches {
+		if old := v.jobs.batches[b.Key]; old != nil && old.Version < b.Version {
+			v.jobs.putBatch(b)
 		}
 	}
 }
 
-// MarkCurrent takes in that an answer which was asked for at a time has been taken in: all
-// that was in the store by then is in the view.
+// MarkCurrent says that the response to a request made at a time was applied: all changes
+// that were committed by then are in the view.
 func (v *View) MarkCurrent(requestedAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -163,7 +154,7 @@
 	}
 }
 
-// CurrentAt tells up to when all that was in the store is surely in the view.
+// CurrentAt returns the time by which all committed changes are in the view.
 func (v *View) CurrentAt() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -175,116 +166,113 @@
 	v.changed = make(chan struct{})
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// decodeRecord decodes a record; a malformed one is logged and left out.
-func decodeRecord[T any](v *View, key string, raw wire.Raw) (T, bool) {
-	var rec T
-	if err := wire.DecodeValue(raw, &rec); err != nil {
-		v.markUnreadable(key, err)
-		return rec, false
+// splitKey returns the prefix of a key's kind, and the name after it, or the whole key for
+// one of which there is only one.
+func splitKey(key string) (kind, name string) {
+	start := min(len(key), len(StatePrefix))
+	i := strings.IndexByte(key[start:], '/')
+	if i < 0 {
+		return key, ""
 	}
-	delete(v.unreadable, key)
-	return rec, true
-}
-
-func (v *View) markUnreadable(key string, err error) {
-	v.log.Error("record not understood", "key", key, "error", err)
-	v.unreadable[key] = err
+	end := len(StatePrefix) + i + 1
+	return key[:end], key[end:]
 }
 
-func (v *View) put(key string, raw wire.Raw, version uint64) {
-	kind, name := key, ""
-	if i := strings.IndexByte(key[min(len(key), len(StatePrefix)):], '/'); i >= 0 {
-		kind, name = key[:len(StatePrefix)+i+1], key[len(StatePrefix)+i+1:]
-	}
+// put takes the newest value of a key.
+func (v *View) put(it wire.KeyValue) {
+	kind, name := splitKey(it.Key)
 	switch kind {
 	case jobPrefix:
-		if rec, ok := decodeRecord[JobRecord](v, key, raw); ok {
-			v.putBatch(&Batch{key, version, version, []BatchJob{{name, rec}}, true})
+		if rec, ok := decodeRecord[JobRecord](&v.unreadable, it.Key, it.Value); ok {
+			v.jobs.putBatch(standaloneBatch(it.Key, it.Version, name, rec))
 		}
 	case batchPrefix:
-		if rec, ok := decodeRecord[BatchRecord](v, key, raw); ok {
-			since := version
-			if rec.Since > 0 {
-				since = rec.Since
-			}
-			v.putBatch(&Batch{key, version, since, sortedJobs(rec.Jobs), false})
+		if rec, ok := decodeRecord[BatchRecord](&v.unreadable, it.Key, it.Value); ok {
+			v.jobs.putBatch(newBatch(it.Key, it.Version, rec))
 		}
 	case recentPrefix:
-		v.putRecentBlock(key, name, raw, version)
+		v.putRecentBlock(it, name)
 	case ledgerPrefix:
-		v.segments[key] = Versioned[wire.Raw]{raw, version} // read by a new holder only
+		v.segments[it.Key] = Versioned[wire.Raw]{it.Value, it.Version}
 	case leaderPrefix:
-		if rec, ok := decodeRecord[LeaderRecord](v, key, raw); ok {
-			v.leaders[name] = Versioned[LeaderRecord]{rec, version}
+		if rec, ok := decodeRecord[LeaderRecord](&v.unreadable, it.Key, it.Value); ok {
+			v.fleet.leaders[name] = Versioned[LeaderRecord]{rec, it.Version}
 		}
+	default:
+		v.putFleetRecord(it)
+	}
+}
+
+// putFleetRecord takes the newest value of a key of which there is only one, or of the archive.
+func (v *View) putFleetRecord(it wire.KeyValue) {
+	switch it.Key {
 	case FencingTokenKey:
-		if rec, ok := decodeRecord[uint64](v, key, raw); ok {
-			v.fencingToken = Versioned[uint64]{rec, version}
-		}
-	case MachineTypesKey:
-		if rec, ok := decodeRecord[MachineTypesRecord](v, key, raw); ok {
-			v.machineTypes = rec.Types
-		}
+		putVersioned(v, &v.fleet.fencingToken, it)
 	case SubmissionFenceKey:
-		if rec, ok := decodeRecord[SubmissionFenceRecord](v, key, raw); ok {
-			v.submissionFence = Versioned[SubmissionFenceRecord]{rec, version}
-		}
+		putVersioned(v, &v.fleet.submissionFence, it)
 	case ShardingKey:
-		if rec, ok := decodeRecord[ShardingRecord](v, key, raw); ok {
-			v.sharding = Versioned[ShardingRecord]{rec, version}
-		}
+		putVersioned(v, &v.fleet.sharding, it)
 	case QuotaGrantKey:
-		if rec, ok := decodeRecord[QuotaGrantRecord](v, key, raw); ok {
-			v.quotaGrants = Versioned[QuotaGrantRecord]{rec, version}
-		}
+		putVersioned(v, &v.fleet.quotaGrants, it)
 	case TiersKey:
-		if rec, ok := decodeRecord[TiersRecord](v, key, raw); ok {
-			v.tiers = Versioned[TiersRecord]{rec, version}
+		putVersioned(v, &v.fleet.tiers, it)
+	case MachineTypesKey:
+		if rec, ok := decodeRecord[MachineTypesRecord](&v.unreadable, it.Key, it.Value); ok {
+			v.fleet.machineTypes = rec.Types
 		}
 	case FormatKey:
-		if rec, ok := decodeRecord[FormatRecord](v, key, raw); ok {
-			v.format = rec
+		if rec, ok := decodeRecord[FormatRecord](&v.unreadable, it.Key, it.Value); ok {
+			v.fleet.format = rec
 		}
 	default:
-		if strings.HasPrefix(key, ArchivePrefix) && v.Archive != nil {
-			v.Archive.BlockChanged(key, raw, version)
+		if strings.HasPrefix(it.Key, ArchivePrefix) && v.Archive != nil {
+			v.Archive.BlockChanged(it.Key, it.Value, it.Version)
 		}
 	}
 }
 
-func (v *View) drop(key string) {
-	delete(v.unreadable, key)
+// putVersioned decodes a record in place; one that can't be decoded changes nothing.
+func putVersioned[T any](v *View, record *Versioned[T], it wire.KeyValue) {
+	if rec, ok := decodeRecord[T](&v.unreadable, it.Key, it.Value); ok {
+		*record = Versioned[T]{rec, it.Version}
+	}
+}
+
+// putRecentBlock takes the newest value of a recent block. One that can't be decoded is kept
+// without its jobs, so that nobody writes over it.
+func (v *View) putRecentBlock(it wire.KeyValue, name string) {
+	index, err := strconv.Atoi(name)
+	if err != nil || index < 0 {
+		v.unreadable.mark(it.Key, fmt.Errorf("%q is not the number of a recent block", name))
+		return
+	}
+	r := RecentBlock{Index: index, Version: it.Version}
+	if rec, ok := decodeRecord[jobblock.Record](&v.unreadable, it.Key, it.Value); ok {
+		if r.Block, err = rec.Unpack(); err != nil {
+			v.unreadable.mark(it.Key, err)
+		}
+		r.Bytes = rec.Bytes()
+	}
+	v.jobs.putRecentBlock(r)
+}
+
+// remove takes the deletion of a key. Only batches, segments and leaders are deleted while
+// controllers run; records of other kinds are kept until the next load.
+func (v *View) remove(key string) {
+	delete(v.unreadable.errs, key)
 	switch {
 	case strings.HasPrefix(key, batchPrefix), strings.HasPrefix(key, jobPrefix):
-		if h := v.batches[key]; h != nil {
-			delete(v.batches, key)
-			v.detach(h)
-			v.refresh(h)
-		}
+		v.jobs.removeBatch(key)
 	case strings.HasPrefix(key, ledgerPrefix):
 		delete(v.segments, key)
 	case strings.HasPrefix(key, leaderPrefix):
-		delete(v.leaders, strings.TrimPrefix(key, leaderPrefix))
+		delete(v.fleet.leaders, strings.TrimPrefix(key, leaderPrefix))
 	}
 }
-
-// Loaded reports whether the view has ever been complete.
-func (v *View) Loaded() bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.loaded
-}
-
-// Revision is how far the view has come.
-func (v *View) Revision() uint64 {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.revision
-}
