--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -49,7 +49,7 @@
 	}
 	a.mu.Unlock()
 	for _, b := range a.mesh.Latest(peerHealthMaxAge) {
-		if b.StoreOK && b.Heard > 2*local+2 && vacant < preferredLeaderDelay {
+		if b.StoreReachable && b.OfferedMachines > 2*local+2 && vacant < preferredLeaderDelay {
 			return false
 		}
 	}
@@ -67,9 +67,9 @@
 	}
 	for name, b := range a.mesh.Latest(peerHealthMaxAge) {
 		// A machine is not missing for want of a link where the peer forwards its heartbeats here.
-		forwards := b.Passes == a.cfg.Name || slices.Contains(b.Ways, a.cfg.Name)
-		cutOff := missing >= minMissing && !forwards && b.Heard >= (missing+1)/2
-		if b.StoreOK && (cutOff || uncallable && b.Heard > 2*a.offered()) {
+		forwards := b.ForwardsTo == a.cfg.Name || slices.Contains(b.ConnectedLeaders, a.cfg.Name)
+		cutOff := missing >= minMissing && !forwards && b.OfferedMachines >= (missing+1)/2
+		if b.StoreReachable && (cutOff || uncallable && b.OfferedMachines > 2*a.offered()) {
 			a.mu.Lock()
 			a.partitionedAt = now
 			a.mu.Unlock()
@@ -85,7 +85,7 @@
 	latest := a.mesh.Latest(heartbeatMaxAge)
 	for _, p := range a.cfg.Peers {
 		b, alive := latest[p.Name]
-		differs := alive && (b.Groups != a.sharding.String() || b.Tiers != a.tiersDigest)
+		differs := alive && (b.Sharding != a.sharding.String() || b.TiersDigest != a.tiersDigest)
 		mayBeStarting := !alive && time.Since(a.startedAt) < preferredLeaderDelay
 		if differs || mayBeStarting {
 			return p.Name, alive
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,7 +121,7 @@
 		addrs[p.Name] = p.Addr
 	}
 	c.tracker = &peerTracker{detector: membership.New(slices.Collect(maps.Keys(addrs)))}
-	c.mesh = &peer.Mesh{Peers: addrs, Local: c.localHeartbeat, Dial: c.net.Dial, Log: c.log, OnHeartbeat: c.tracker.record}
+	c.mesh = &peer.Mesh{Peers: addrs, Local: c.localStatus, Dial: c.net.Dial, Log: c.log, OnHeartbeat: c.tracker.record}
 	c.health = &storeHealth{view: c.state.view, follow: c.state.follow, mesh: c.mesh, peers: len(c.cfg.Peers), startedAt: c.startedAt}
 	c.statuses = &statusBoard{sharding: c.sharding, mesh: c.mesh, led: c.led}
 	c.writers = &writerChooser{self: c.cfg.Name, policy: c.cfg.Writers(), mesh: c.mesh, peers: c.tracker, health: c.health, leads: c.leads,
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -39,7 +39,7 @@
 	}
 	latest := h.mesh.Latest(peerHealthMaxAge)
 	for _, b := range latest {
-		if b.StoreOK {
+		if b.StoreReachable {
 			return true
 		}
 	}
--- a/internal/controller/ingest.go
+++ b/internal/controller/ingest.go
@@ -108,13 +108,13 @@
 	forwarding := c.ingest.receiver.ForwardingPeers(forwardingMaxAge)
 	for name, b := range c.mesh.Latest(peerHealthMaxAge) {
 		if !c.sharding.IsSingle() {
-			if b.StoreOK && (len(b.Parts) > 0 || len(b.Ways) > 0) {
-				out[name] = b.Heard
+			if b.StoreReachable && (len(b.Shards) > 0 || len(b.ConnectedLeaders) > 0) {
+				out[name] = b.OfferedMachines
 			}
 			continue
 		}
-		if leader && forwarding[name] || !leader && b.Passes == forwardsTo {
-			out[name] = b.Heard
+		if leader && forwarding[name] || !leader && b.ForwardsTo == forwardsTo {
+			out[name] = b.OfferedMachines
 		}
 	}
 	return out
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -27,10 +27,10 @@
 }
 
 // record takes in a peer's heartbeat.
-func (t *peerTracker) record(b peer.Heartbeat) {
+func (t *peerTracker) record(s peer.Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.detector.RecordHeartbeat(time.Now(), b.From, b.StoreOK, b.Says)
+	t.detector.RecordHeartbeat(time.Now(), s.Name, s.StoreReachable, s.HeartbeatAges)
 }
 
 // next returns the number of the next heartbeat, and what it says about the peers.
@@ -62,33 +62,33 @@
 	return t.detector.State(now, name) == membership.Dead
 }
 
-// localHeartbeat is what this controller tells its peers.
-func (c *Controller) localHeartbeat() peer.Heartbeat {
+// localStatus is what this controller tells its peers.
+func (c *Controller) localStatus() peer.Status {
 	contact, failing := c.state.follow.LastContact()
 	single := c.sharding.IsSingle()
-	b := peer.Heartbeat{
-		From:    c.cfg.Name,
-		StoreOK: !failing && time.Since(contact) < storeContactMaxAge,
-		Heard:   c.ingest.gateway.Offered(),
-		Passes:  c.ingest.uplinks.ForwardsTo(),
-		Format:  store.Format,
-		Groups:  c.sharding.String(),
-		Tiers:   c.tiersDigest,
-		Writes:  true,
-		UpS:     int(time.Since(c.startedAt).Seconds()),
-		Begun:   c.startedAt.UnixNano(),
+	b := peer.Status{
+		Name:            c.cfg.Name,
+		Incarnation:     c.startedAt.UnixNano(),
+		Uptime:          time.Since(c.startedAt),
+		Format:          store.Format,
+		Sharding:        c.sharding.String(),
+		TiersDigest:     c.tiersDigest,
+		StoreReachable:  !failing && time.Since(contact) < storeContactMaxAge,
+		WritesForPeers:  true,
+		OfferedMachines: c.ingest.gateway.Offered(),
+		ForwardsTo:      c.ingest.uplinks.ForwardsTo(),
 	}
-	b.Number, b.Says = c.tracker.next()
-	b.Sights = c.observations()
+	b.Sequence, b.HeartbeatAges = c.tracker.next()
+	b.Observations = c.observations()
 	if !single {
-		b.Ways, b.Parts = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
+		b.ConnectedLeaders, b.Shards = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
 	}
 	for _, s := range c.led.all() {
-		b.Term = max(b.Term, s.FencingToken())
+		b.FencingToken = max(b.FencingToken, s.FencingToken())
 		if single {
-			b.Counts = s.TaskCounts(time.Now())
+			b.TaskCounts = s.TaskCounts(time.Now())
 		} else {
-			b.Parts[s.tenure.Shard] = s.Status(time.Now())
+			b.Shards[s.tenure.Shard] = s.Status(time.Now())
 		}
 	}
 	return b
@@ -108,7 +108,7 @@
 	observers, latest := make(map[string]zone.Observer), c.mesh.Latest(heartbeatMaxAge)
 	for _, p := range c.cfg.Peers {
 		if b, alive := latest[p.Name]; alive {
-			observers[p.Name] = zone.Observer{Zone: p.Zone, Observations: b.Sights}
+			observers[p.Name] = zone.Observer{Zone: p.Zone, Observations: b.Observations}
 		}
 	}
 	for _, s := range c.led.all() {
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -19,7 +19,7 @@
 	var peers []shard.Controller
 	latest := c.mesh.Latest(heartbeatMaxAge)
 	for _, p := range c.candidacy.candidates() {
-		if time.Duration(latest[p.Name].UpS)*time.Second >= rebalanceAfter {
+		if latest[p.Name].Uptime >= rebalanceAfter {
 			peers = append(peers, p)
 		}
 	}
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -49,7 +49,7 @@
 func (b *statusBoard) collect() map[string]leader.ShardStatus {
 	out := make(map[string]leader.ShardStatus)
 	for _, hb := range b.mesh.Latest(2 * heartbeatMaxAge) {
-		for name, status := range hb.Parts {
+		for name, status := range hb.Shards {
 			if status.Term > out[name].Term {
 				out[name] = status
 			}
@@ -90,13 +90,13 @@
 			return n
 		}
 	}
-	var newest peer.Heartbeat
+	var newest peer.Status
 	for _, hb := range b.mesh.Latest(taskCountMaxAge) {
-		if hb.Term > newest.Term {
+		if hb.FencingToken > newest.FencingToken {
 			newest = hb
 		}
 	}
-	return newest.Counts[job]
+	return newest.TaskCounts[job]
 }
 
 // shareStatuses gives the leaders here the status of the other shards.
--- a/internal/controller/writers.go
+++ b/internal/controller/writers.go
@@ -48,7 +48,7 @@
 		return last
 	}
 	alive, latest := w.peers.alive(now), w.mesh.Latest(heartbeatMaxAge)
-	next := writerChoice{at: now, olderPeer: slices.ContainsFunc(alive, func(name string) bool { return !latest[name].Writes })}
+	next := writerChoice{at: now, olderPeer: slices.ContainsFunc(alive, func(name string) bool { return !latest[name].WritesForPeers })}
 	if !w.health.partitioned(notReadyAfter) {
 		alive = append(alive, w.self)
 	}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -39,9 +39,9 @@
 		f.Add(buf.Bytes())
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		m := &Mesh{Peers: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), OnHeartbeat: func(b Heartbeat) {
-			if b.From != "c-1" && b.From != "c-2" {
-				t.Errorf("%q was listened to", b.From)
+		m := &Mesh{Peers: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), OnHeartbeat: func(s Status) {
+			if s.Name != "c-1" && s.Name != "c-2" {
+				t.Errorf("%q was listened to", s.Name)
 			}
 		}}
 		m.Receive(t.Context(), stream{Reader: bytes.NewReader(text)})
