--- a/internal/cas/bytestream.go
+++ b/internal/cas/bytestream.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Read implements ByteStream.
+// Read implements ByteStream, for blobs and for logs.
 func (s *Server) Read(r *bspb.ReadRequest, out bspb.ByteStream_ReadServer) error {
 	if name, ok := parseLog(r.ResourceName); ok {
 		if r.ReadOffset < 0 || r.ReadLimit != 0 {
@@ -40,16 +40,26 @@
 		left = min(left, r.ReadLimit)
 	}
 	to := &streamWriter{out: out}
-	if !res.Zstd {
-		_, err = io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(in, left), make([]byte, chunkBytes))
-		return asStatus(err)
+	if res.Zstd {
+		return asStatus(copyCompressed(to, io.LimitReader(in, left)))
 	}
+	return asStatus(copyChunks(to, io.LimitReader(in, left)))
+}
+
+// copyChunks copies in chunks. The destination's ReadFrom, if it has one, is not used: it
+// would choose a size of its own.
+func copyChunks(to io.Writer, from io.Reader) error {
+	_, err := io.CopyBuffer(struct{ io.Writer }{to}, from, make([]byte, chunkBytes))
+	return err
+}
+
+// copyCompressed copies and compresses with zstd.
+func copyCompressed(to io.Writer, from io.Reader) error {
 	z, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
-		return asStatus(err)
+		return err
 	}
-	_, err = io.CopyBuffer(struct{ io.Writer }{z}, io.LimitReader(in, left), make([]byte, chunkBytes))
-	return asStatus(errors.Join(err, z.Close()))
+	return errors.Join(copyChunks(z, from), z.Close())
 }
 
 // streamWriter sends what is written to it in messages of a bounded size.
@@ -57,6 +67,7 @@
 	out bspb.ByteStream_ReadServer
 }
 
+// Write sends p in messages of at most chunkBytes.
 func (s *streamWriter) Write(p []byte) (int, error) {
 	n := 0
 	for len(p) > 0 {
@@ -80,14 +91,14 @@
 		return &bspb.QueryWriteStatusResponse{CommittedSize: res.Digest.Size, Complete: true}, nil
 	}
 	n, ok := s.disk.Uploaded(res.Digest, res.Upload)
-	if !ok || res.Zstd { // a compressed upload begins anew
+	if !ok || res.Zstd { // a compressed upload can't be resumed
 		return nil, status.Error(codes.NotFound, "no such upload")
 	}
 	return &bspb.QueryWriteStatusResponse{CommittedSize: n}, nil
 }
 
-// Write implements ByteStream. An upload that was broken off goes on at the offset
-// that QueryWriteStatus tells.
+// Write implements ByteStream, for blobs and for logs. An upload that was interrupted is
+// resumed at the offset that QueryWriteStatus returns.
 func (s *Server) Write(in bspb.ByteStream_WriteServer) error {
 	first, err := in.Recv()
 	if err != nil {
@@ -103,7 +114,7 @@
 	if s.disk.Has(res.Digest) {
 		n := res.Digest.Size
 		if res.Zstd {
-			n = -1 // as the API has it
+			n = -1 // as the API demands for compressed uploads
 		}
 		return in.SendAndClose(&bspb.WriteResponse{CommittedSize: n})
 	}
@@ -132,6 +143,7 @@
 	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.at})
 }
 
+// decompressTo copies and decompresses with zstd. Malformed data is ErrWrongContent.
 func decompressTo(w io.Writer, r io.Reader) error {
 	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
@@ -144,7 +156,7 @@
 	return err
 }
 
-// uploadReader reads the data of an upload's messages, in order.
+// uploadReader reads the data of an upload's messages in order, and checks their offsets.
 type uploadReader struct {
 	in   bspb.ByteStream_WriteServer
 	next *bspb.WriteRequest
@@ -152,6 +164,7 @@
 	at   int64
 }
 
+// Read returns the data of the next message, io.EOF after the one that finishes the upload.
 func (m *uploadReader) Read(p []byte) (int, error) {
 	for m.next == nil || len(m.next.Data) == 0 {
 		if m.next != nil {
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -19,8 +19,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Client works with a server of the API. Calls that find it busy or away are made
-// again, until their context ends.
+// Client is a client of a store. Calls that find it busy or unreachable are retried a few
+// times, until their context ends.
 type Client struct {
 	Instance string
 	blobs    repb.ContentAddressableStorageClient
@@ -29,23 +29,26 @@
 	conn     *grpc.ClientConn
 }
 
-// Dial gives a client of an address; nothing is sent before the first call.
+// Dial returns a client of the store at an address. It connects with the first call.
 func Dial(addr, instance string) (*Client, error) {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16<<20)))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("dial store %s: %w", addr, err)
 	}
 	return &Client{instance, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bspb.NewByteStreamClient(conn), conn}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// maxRetries is how often a call is made again, with a pause that doubles.
-const maxRetries = 6
+// maxRetries is how often a call is retried, after a pause that doubles from firstRetry on.
+const (
+	maxRetries = 6
+	firstRetry = 100 * time.Millisecond
+)
 
-// Retry makes a call again while the server is busy or away.
+// Retry makes a call, and retries it while the server is busy or unreachable.
 func Retry(ctx context.Context, call func() error) error {
 	for try := 0; ; try++ {
 		err := call()
@@ -57,7 +60,7 @@
 		if try == maxRetries {
 			return err
 		}
-		wait := 100 * time.Millisecond << try
+		wait := firstRetry << try
 		t := time.NewTimer(wait/2 + time.Duration(rand.Int64N(int64(wait))))
 		select {
 		case <-ctx.Done():
@@ -68,12 +71,14 @@
 	}
 }
 
-// Missing lists the blobs that the server does not have. The others are kept there
-// for a while.
+// maxMissing bounds the digests of one request for missing blobs: a request has a bounded size.
+const maxMissing = 10_000
+
+// Missing returns which of some blobs are not in the store. The others count as used.
 func (c *Client) Missing(ctx context.Context, digests []Digest) ([]Digest, error) {
 	var missing []Digest
-	for len(digests) > 0 { // a request has its bound
-		n := min(len(digests), 10_000)
+	for len(digests) > 0 {
+		n := min(len(digests), maxMissing)
 		req := &repb.FindMissingBlobsRequest{InstanceName: c.Instance, DigestFunction: digests[0].Function}
 		for _, g := range digests[:n] {
 			req.BlobDigests = append(req.BlobDigests, g.Proto())
@@ -91,7 +96,7 @@
 	return missing, nil
 }
 
-// Get reads a small blob whole, and checks it.
+// Get reads a whole blob and checks it.
 func (c *Client) Get(ctx context.Context, g Digest) ([]byte, error) {
 	var out bytes.Buffer
 	if err := c.Read(ctx, g, &out); err != nil {
@@ -103,7 +108,7 @@
 // ErrMalformed means that a blob is not the message that it should be.
 var ErrMalformed = errors.New("malformed message")
 
-// Message reads a blob that is a message.
+// Message reads a blob that holds a message of the API.
 func (c *Client) Message(ctx context.Context, g Digest, m proto.Message) error {
 	if g.Size > maxMessage {
 		return fmt.Errorf("%w: %v has more than %d bytes", ErrMalformed, g, maxMessage)
@@ -118,8 +123,8 @@
 	return nil
 }
 
-// Read copies a blob to w, and checks it: on an error w has got what must not be
-// used. A read that is broken off goes on where it was.
+// Read copies a blob to w and checks it. After an error, what was written to w must not be
+// used. A read that is interrupted is resumed.
 func (c *Client) Read(ctx context.Context, g Digest, w io.Writer) error {
 	h, err := newHash(g.Function)
 	if err != nil || g.Empty() {
@@ -151,13 +156,13 @@
 	return nil
 }
 
-// Put writes a small blob.
+// Put stores a blob and returns its digest.
 func (c *Client) Put(ctx context.Context, f Function, content []byte) (Digest, error) {
 	g := Sum(f, content)
 	return g, c.upload(ctx, g, bytes.NewReader(content))
 }
 
-// PutMessage writes a message as a blob.
+// PutMessage stores a message as a blob.
 func (c *Client) PutMessage(ctx context.Context, f Function, m proto.Message) (Digest, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -166,7 +171,7 @@
 	return c.Put(ctx, f, raw)
 }
 
-// SumFile gives the digest of a file.
+// SumFile returns the digest of a file.
 func SumFile(f Function, path string) (Digest, error) {
 	h, err := newHash(f)
 	if err != nil {
@@ -181,7 +186,7 @@
 	return Digest{f, fmt.Sprintf("%x", h.Sum(nil)), n}, err
 }
 
-// PutFile writes a file as the blob that it is.
+// PutFile stores a file whose digest is known.
 func (c *Client) PutFile(ctx context.Context, g Digest, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
@@ -191,8 +196,8 @@
 	return c.upload(ctx, g, in)
 }
 
-// upload uploads a blob. What the server has already is not sent, and an upload that
-// is broken off goes on where it was.
+// upload sends a blob. One that the store already has is not sent, and an upload that is
+// interrupted is resumed.
 func (c *Client) upload(ctx context.Context, g Digest, r io.ReadSeeker) error {
 	if g.Empty() {
 		return nil
@@ -225,6 +230,7 @@
 	return nil
 }
 
+// send makes one attempt to send a blob from an offset on.
 func (c *Client) send(ctx context.Context, name string, size, at int64, r io.Reader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -241,7 +247,7 @@
 		msg := &bspb.WriteRequest{ResourceName: name, WriteOffset: at, Data: buf[:n], FinishWrite: at+int64(n) == size}
 		at += int64(n)
 		if err := out.Send(msg); err != nil || msg.FinishWrite {
-			break // CloseAndRecv tells what the matter is
+			break // CloseAndRecv returns the server's error
 		}
 	}
 	resp, err := out.CloseAndRecv()
@@ -251,7 +257,7 @@
 	return err
 }
 
-// Result finds the result of an action.
+// Result returns the result of an action.
 func (c *Client) Result(ctx context.Context, action Digest) (r *repb.ActionResult, err error) {
 	err = Retry(ctx, func() (err error) {
 		r, err = c.results.GetActionResult(ctx, &repb.GetActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function})
@@ -260,7 +266,7 @@
 	return r, err
 }
 
-// PutResult keeps the result of an action, whose outputs are in the store.
+// PutResult stores the result of an action. Its outputs must be in the store.
 func (c *Client) PutResult(ctx context.Context, action Digest, r *repb.ActionResult) error {
 	return Retry(ctx, func() error {
 		_, err := c.results.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), ActionResult: r, DigestFunction: action.Function})
@@ -268,8 +274,8 @@
 	})
 }
 
-// Tree lists all directories of an input tree by their digests, and has all that
-// they name kept for a while.
+// Tree returns all directories of an input tree by their digests. All that they name counts as
+// used.
 func (c *Client) Tree(ctx context.Context, root Digest) (dirs map[Digest]*repb.Directory, err error) {
 	err = Retry(ctx, func() error {
 		dirs = make(map[Digest]*repb.Directory)
@@ -295,26 +301,25 @@
 	return dirs, err
 }
 
-// ForInstance gives the client for another instance.
+// ForInstance returns a client for another instance on the same connection.
 func (c *Client) ForInstance(instance string) *Client {
 	other := *c
 	other.Instance = instance
 	return &other
 }
 
-// ReadMany reads blobs, the small ones in batches, and gives each to take.
-// Each was checked.
+// ReadMany reads blobs of at most MaxBatchedBlob in batches, checks each and passes it to take.
 func (c *Client) ReadMany(ctx context.Context, digests []Digest, take func(Digest, []byte) error) error {
-	const most, each = 2 << 20, 1000
+	const maxBatchBytes, maxBatchBlobs = 2 << 20, 1000
 	for len(digests) > 0 {
 		req := &repb.BatchReadBlobsRequest{InstanceName: c.Instance, DigestFunction: digests[0].Function}
 		n, sum := 0, int64(0)
-		for n < len(digests) && n < each && (n == 0 || sum+digests[n].Size <= most) {
+		for n < len(digests) && n < maxBatchBlobs && (n == 0 || sum+digests[n].Size <= maxBatchBytes) {
 			sum += digests[n].Size
 			req.Digests = append(req.Digests, digests[n].Proto())
 			n++
 		}
-		if sum > most {
+		if sum > maxBatchBytes {
 			return fmt.Errorf("%v: too large for a batch", digests[0])
 		}
 		var resp *repb.BatchReadBlobsResponse
@@ -337,5 +342,5 @@
 	return nil
 }
 
-// MaxBatchedBlob is the size up to which ReadMany reads a blob.
+// MaxBatchedBlob is the size up to which a blob should be read by ReadMany, in bytes.
 const MaxBatchedBlob = 1 << 20
--- a/internal/cas/digest.go
+++ b/internal/cas/digest.go
@@ -1,11 +1,10 @@
-// Package cas keeps blobs by their content, and the results of actions, and
-// serves both through the Remote Execution API. It is the disk that controllers
-// do not have: build tools, workers and controllers are its clients.
+// Package cas is a content-addressable store. It keeps blobs by their digests and the results
+// of actions, and serves both through the Remote Execution API to build tools, workers and
+// controllers; controllers have no disk of their own.
 //
-// A blob is a file, named by its digest. It comes to be under that name by a
-// rename, once all of it is there and its hash was checked, and is checked again
-// before it is first served after a start: whatever a crash leaves, no wrong or
-// half blob is ever given out.
+// A blob is a file that is named by its digest. It gets that name by a rename, after all of it
+// was written and its hash was checked, and its hash is checked again before it is first
+// served after a start. So no wrong or partial blob is ever served, whatever a crash leaves.
 package cas
 
 import (
@@ -14,6 +13,7 @@
 	"errors"
 	"fmt"
 	"hash"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -24,23 +24,23 @@
 // Function is a digest function.
 type Function = repb.DigestFunction_Value
 
-// Functions are those that are served; the first is taken where none is named.
+// Functions lists the digest functions that are served. The first is the default.
 var Functions = []Function{repb.DigestFunction_SHA256, repb.DigestFunction_BLAKE3}
 
-// ErrBadDigest means that a digest can't be one.
+// ErrBadDigest means that a digest is malformed.
 var ErrBadDigest = errors.New("malformed digest")
 
-// Digest names a blob.
+// Digest identifies a blob by its hash and size.
 type Digest struct {
 	Function Function
 	Hash     string
 	Size     int64
 }
 
-// hashDigits is the length of a hash of either function.
+// hashDigits is the length of a hash in hex digits, with either function.
 const hashDigits = 64
 
-// ParseDigest checks a digest as it comes in a request.
+// ParseDigest reads and checks the digest of a request.
 func ParseDigest(f Function, d *repb.Digest) (Digest, error) {
 	if f == repb.DigestFunction_UNKNOWN {
 		f = Functions[0]
@@ -49,6 +49,7 @@
 	return out, out.check()
 }
 
+// check reports what is wrong with a digest.
 func (d Digest) check() error {
 	if _, err := newHash(d.Function); err != nil {
 		return err
@@ -65,10 +66,10 @@
 	return nil
 }
 
-// Proto gives the digest as it goes into an answer.
+// Proto returns the digest as the API's message.
 func (d Digest) Proto() *repb.Digest { return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size} }
 
-// String is the usual text form, HASH/SIZE.
+// String returns the usual text form, HASH/SIZE.
 func (d Digest) String() string { return d.Hash + "/" + strconv.FormatInt(d.Size, 10) }
 
 // DigestFromString reads the text form HASH/SIZE.
@@ -82,9 +83,10 @@
 	return d, d.check()
 }
 
-// Empty reports whether the digest is that of the empty blob, which always exists.
+// Empty reports whether the digest is that of the empty blob, which exists everywhere.
 func (d Digest) Empty() bool { return d.Size == 0 }
 
+// newHash returns the hash of a digest function.
 func newHash(f Function) (hash.Hash, error) {
 	switch f {
 	case repb.DigestFunction_SHA256:
@@ -95,7 +97,7 @@
 	return nil, fmt.Errorf("%w: function %v: must be SHA256 or BLAKE3", ErrBadDigest, f)
 }
 
-// Sum gives the digest of a blob.
+// Sum returns the digest of a blob. An unknown function is replaced by the default.
 func Sum(f Function, blob []byte) Digest {
 	h, err := newHash(f)
 	if err != nil {
@@ -105,30 +107,38 @@
 	return Digest{f, hex.EncodeToString(h.Sum(nil)), int64(len(blob))}
 }
 
-// Resource is what a ByteStream name says: a blob to read, or an upload of one.
+// Resource is a parsed resource name of ByteStream: a blob to read, or an upload of one.
 type Resource struct {
 	Instance string
-	Upload   string // its uuid; empty for a read
-	Zstd     bool
+	Upload   string // UUID of the upload; empty for a read
+	Zstd     bool   // the blob is transferred compressed
 	Digest   Digest
 }
 
-// ParseResource reads the name of a blob, such as
-// INSTANCE/compressed-blobs/zstd/HASH/SIZE, or of an upload of one, such as
-// INSTANCE/uploads/UUID/blobs/HASH/SIZE. A digest function that is not SHA256
-// stands before the hash; what follows the size of an upload is ignored.
+// maxUploadID bounds the UUID of an upload, in bytes.
+const maxUploadID = 128
+
+// ParseResource reads the resource name of a blob, such as
+// INSTANCE/compressed-blobs/zstd/HASH/SIZE, or of an upload, such as
+// INSTANCE/uploads/UUID/blobs/HASH/SIZE. A digest function other than SHA256
+// precedes the hash; what follows the size of an upload is ignored.
 func ParseResource(name string) (Resource, error) {
-	bad := func(why string) (Resource, error) { return Resource{}, fmt.Errorf("resource name %q: %s", name, why) }
-	words := strings.Split(name, "/")
-	at := 0
-	for at < len(words) && words[at] != "uploads" && words[at] != "blobs" && words[at] != "compressed-blobs" {
-		at++
-	}
-	r := Resource{Instance: strings.Join(words[:at], "/")}
-	words = words[at:]
+	r, err := parseResource(strings.Split(name, "/"))
+	if err != nil {
+		return Resource{}, fmt.Errorf("resource name %q: %w", name, err)
+	}
+	return r, nil
+}
+
+func parseResource(words []string) (r Resource, err error) {
+	start := slices.IndexFunc(words, func(w string) bool { return w == "uploads" || w == "blobs" || w == "compressed-blobs" })
+	if start < 0 {
+		start = len(words)
+	}
+	r.Instance, words = strings.Join(words[:start], "/"), words[start:]
 	if len(words) > 1 && words[0] == "uploads" {
-		if r.Upload = words[1]; r.Upload == "" || len(r.Upload) > 128 {
-			return bad("the upload has no id, or a very long one")
+		if r.Upload = words[1]; r.Upload == "" || len(r.Upload) > maxUploadID {
+			return r, errors.New("the upload has no id, or a very long one")
 		}
 		words = words[2:]
 	}
@@ -137,34 +147,37 @@
 		words = words[1:]
 	case len(words) > 3 && words[0] == "compressed-blobs":
 		if words[1] != "zstd" {
-			return bad("compressor " + words[1] + ": must be zstd")
+			return r, fmt.Errorf("compressor %s: must be zstd", words[1])
 		}
 		r.Zstd, words = true, words[2:]
 	default:
-		return bad("must hold blobs/HASH/SIZE or compressed-blobs/zstd/HASH/SIZE")
+		return r, errors.New("must hold blobs/HASH/SIZE or compressed-blobs/zstd/HASH/SIZE")
 	}
+	r.Digest, err = parseResourceDigest(words, r.Upload != "")
+	return r, err
+}
+
+// parseResourceDigest reads [FUNCTION/]HASH/SIZE. More may follow if that is allowed.
+func parseResourceDigest(words []string, moreAllowed bool) (Digest, error) {
 	f := Functions[0]
-	if words[0] == "blake3" || words[0] == "sha256" {
-		if words[0] == "blake3" {
-			f = repb.DigestFunction_BLAKE3
-		}
+	switch words[0] {
+	case "blake3":
+		f, words = repb.DigestFunction_BLAKE3, words[1:]
+	case "sha256":
 		words = words[1:]
 	}
-	if len(words) < 2 || r.Upload == "" && len(words) > 2 {
-		return bad("must end with HASH/SIZE")
+	if len(words) < 2 || !moreAllowed && len(words) > 2 {
+		return Digest{}, errors.New("must end with HASH/SIZE")
 	}
 	size, err := strconv.ParseInt(words[1], 10, 64)
 	if err != nil {
-		return bad("size " + words[1] + ": must be a number")
+		return Digest{}, fmt.Errorf("size %s: must be a number", words[1])
 	}
-	r.Digest = Digest{f, words[0], size}
-	if err := r.Digest.check(); err != nil {
-		return bad(err.Error())
-	}
-	return r, nil
+	d := Digest{f, words[0], size}
+	return d, d.check()
 }
 
-// Name is the name that ParseResource reads.
+// Name returns the resource name, as ParseResource reads it.
 func (r Resource) Name() string {
 	var words []string
 	if r.Instance != "" {
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -19,19 +19,19 @@
 
 // What can be wrong with a blob.
 var (
-	// ErrNotFound means that the blob is not here, or was found damaged.
+	// ErrNotFound means that the blob is not in the store, or was found damaged.
 	ErrNotFound = errors.New("no such blob")
-	// ErrWrongContent means that what was written is not what its digest says.
+	// ErrWrongContent means that the content does not match the digest.
 	ErrWrongContent = errors.New("content does not match the digest")
-	// ErrFull means that nothing can be evicted to make room.
+	// ErrFull means that nothing can be evicted: everything was used lately.
 	ErrFull = errors.New("the store is full, and all of it was used lately")
-	// ErrBusy means that somebody else is at the same upload.
+	// ErrBusy means that another call is writing the same upload.
 	ErrBusy = errors.New("the upload is being written by another call")
-	// ErrTooLarge means that a blob will never fit.
+	// ErrTooLarge means that the blob is larger than the whole store.
 	ErrTooLarge = errors.New("the blob is larger than the store")
 )
 
-// Disk keeps blobs as files in a directory, the least recently used of which make
+// Disk keeps blobs as files in a directory, and evicts the least recently used ones to make
 // room for new ones.
 type Disk struct {
 	dir       string
@@ -42,10 +42,10 @@
 	blobs    map[Digest]*list.Element // of *blob
 	lru      *list.List               // the least recently used first
 	bytes    int64
-	reserved int64 // by uploads that are not through
+	reserved int64 // by unfinished uploads
 	evicted  int
 	damaged  int
-	uploads  map[string]bool // ids that a writer is at
+	uploads  map[string]bool // ids of uploads that have a writer
 	now      func() time.Time
 	logs     *logs
 }
@@ -54,14 +54,15 @@
 	digest      Digest
 	lastUsed    time.Time
 	lastTouched time.Time // when the file was last touched for it
-	verified    bool      // since this start
+	verified    bool      // since the process started
 	readers     int       // readers
 }
 
-// touchInterval is how often the time of use is noted in the file system.
+// touchInterval is the least time between two updates of a file's time of use: the file
+// system keeps the order of use over a restart.
 const touchInterval = time.Minute
 
-// Open opens a directory, which is made if need be, and finds what is in it.
+// Open opens the store in a directory, which is created if need be.
 func Open(dir string, limit int64, keep time.Duration) (*Disk, error) {
 	d := &Disk{dir: dir, limit: limit, retention: keep, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
 	for _, sub := range []string{"blobs", "uploads", "results"} {
@@ -82,7 +83,8 @@
 	return d, nil
 }
 
-// load lists the files, and puts them in the order in which they were used.
+// load finds the blobs in the directory and orders them by when they were used. Files that
+// are no complete blob are deleted.
 func (d *Disk) load() error {
 	var found []*blob
 	err := filepath.WalkDir(filepath.Join(d.dir, "blobs"), func(path string, e fs.DirEntry, err error) error {
@@ -94,7 +96,7 @@
 			return err
 		}
 		g, ok := digestOf(path)
-		if !ok || info.Size() != g.Size { // half a blob, or nothing of ours
+		if !ok || info.Size() != g.Size { // a partial blob, or a foreign file
 			return os.Remove(path)
 		}
 		found = append(found, &blob{digest: g, lastUsed: info.ModTime(), lastTouched: info.ModTime()})
@@ -111,7 +113,7 @@
 	return d.sweepUploads(time.Hour)
 }
 
-// sweepUploads removes uploads that nobody has gone on with.
+// sweepUploads deletes uploads that were not resumed for so long.
 func (d *Disk) sweepUploads(age time.Duration) error {
 	entries, err := os.ReadDir(filepath.Join(d.dir, "uploads"))
 	for _, e := range entries {
@@ -122,11 +124,12 @@
 	return err
 }
 
+// path returns the file of a blob.
 func (d *Disk) path(g Digest) string {
 	return filepath.Join(d.dir, "blobs", strings.ToLower(g.Function.String()), g.Hash[:2], g.Hash+"-"+strconv.FormatInt(g.Size, 10))
 }
 
-// digestOf reads the digest from a file's name.
+// digestOf returns the digest of the blob in a file, from its name.
 func digestOf(path string) (Digest, bool) {
 	h, size, _ := strings.Cut(filepath.Base(path), "-")
 	n, err := strconv.ParseInt(size, 10, 64)
@@ -135,8 +138,8 @@
 	return g, err == nil && g.check() == nil
 }
 
-// Has reports whether a blob is here, and counts as its use: it is not evicted for
-// the time to keep.
+// Has reports whether a blob is in the store. That counts as a use: the blob is not evicted
+// for the retention time.
 func (d *Disk) Has(g Digest) bool {
 	if g.Empty() {
 		return true
@@ -146,7 +149,8 @@
 	return d.touch(g) != nil
 }
 
-// touch notes the use of a blob.
+// touch records the use of a blob and returns it, or nil if it is not in the store. The lock
+// is held.
 func (d *Disk) touch(g Digest) *blob {
 	e := d.blobs[g]
 	if e == nil {
@@ -162,7 +166,7 @@
 	return b
 }
 
-// remove removes a blob's file and what is known of it.
+// remove deletes a blob. The lock is held. and what is known of it.
 func (d *Disk) remove(g Digest) {
 	if e := d.blobs[g]; e != nil {
 		d.lru.Remove(e)
@@ -172,7 +176,7 @@
 	}
 }
 
-// makeRoom evicts blobs that were not used lately until so many bytes fit.
+// makeRoom evicts blobs that were not used lately until size more bytes fit. The lock is held.
 func (d *Disk) makeRoom(size int64) error {
 	if size > d.limit {
 		return ErrTooLarge
@@ -182,7 +186,7 @@
 		b := e.Value.(*blob)
 		next := e.Next()
 		if now.Sub(b.lastUsed) <= d.retention {
-			break // and all that follow
+			break // all that follow were used later still
 		}
 		if b.readers == 0 {
 			d.remove(b.digest)
@@ -196,13 +200,13 @@
 	return nil
 }
 
-// Stats tells of the store's state.
+// Stats counts what the store holds and has evicted.
 type Stats struct {
 	Blobs, Evicted, Damaged int
 	Bytes, Limit            int64
 }
 
-// Stats gives the counts.
+// Stats returns the current counts.
 func (d *Disk) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cas/limits.go
+++ b/internal/cas/limits.go
@@ -17,11 +17,11 @@
 	Batch int64 // bytes of a BatchRead or BatchUpdate
 }
 
-// DefaultLimits is used where nothing else is said.
+// DefaultLimits is used unless settings say otherwise.
 var DefaultLimits = Limits{Calls: 1000, Batch: 4 << 20}
 
-// LimitCalls refuses calls beyond a number of open ones, at once and with when to come
-// back: none is held back.
+// LimitCalls refuses calls beyond a number of open ones, at once and with a time to retry
+// after. No call is queued.
 func LimitCalls(calls int) []grpc.ServerOption {
 	open := make(chan struct{}, calls)
 	enter := func() (func(), error) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// Busy is the answer to a call that there is no room for now.
+// Busy is the error for a call that must be retried later, because too many are open or the
+// store is full.
 func Busy(why string, after time.Duration) error {
 	st := status.New(codes.ResourceExhausted, why)
 	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
--- a/internal/cas/logclient.go
+++ b/internal/cas/logclient.go
@@ -16,7 +16,7 @@
 	stop context.CancelFunc
 }
 
-// Log begins a log; it ends with the context at the latest.
+// Log begins a log. It ends with the context at the latest.
 func (c *Client) Log(ctx context.Context, name string) (*Log, error) {
 	ctx, stop := context.WithCancel(ctx)
 	out, err := c.stream.Write(ctx)
@@ -44,7 +44,7 @@
 	return err
 }
 
-// FollowLog copies a log to w as it grows, and tells how much that was.
+// FollowLog copies a log to w as it grows until it is finished, and returns the bytes copied.
 func (c *Client) FollowLog(ctx context.Context, resource string, w io.Writer) (n int64, err error) {
 	in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
 	for err == nil {
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -15,9 +15,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// logs are what commands write while they run, for those who watch. They are no
-// blobs: they grow, have no digest, and go some time after the last was written to
-// them. A log that is begun anew, since its command is, sends its readers away.
+// logs hold what commands write while they run, for clients that follow them. A log is not a
+// blob: it grows, has no digest, and is deleted some time after the last write. When a command
+// is run again its log is replaced, and the readers of the old one are disconnected.
 type logs struct {
 	dir       string
 	retention time.Duration
@@ -26,43 +26,48 @@
 	open map[string]*logFile
 }
 
+// logFile is the state of one log; the lock of its logs guards it.
 type logFile struct {
 	path       string
 	size       int64
 	finished   bool
 	lastWrite  time.Time
 	changed    chan struct{} // closed at the next change
-	superseded bool          // another has taken its place
+	superseded bool          // another log has replaced it
 }
 
 // Bounds of logs.
 const (
-	maxLog    = 64 << 20
-	maxLogs   = 10_000
-	logPrefix = "logs"
+	maxLog     = 64 << 20 // bytes of one
+	maxLogs    = 10_000   // at once
+	maxLogName = 300      // bytes of a resource name
 )
 
-// LogName names a log, as a ByteStream resource.
+// logPrefix precedes the name of a log in its resource name, and is the directory of logs.
+const logPrefix = "logs"
+
+// LogName returns the ByteStream resource name of a log.
 func LogName(instance, name string) string {
 	return strings.TrimPrefix(instance+"/"+logPrefix+"/"+name, "/")
 }
 
-// parseLog reads the name of a log.
+// parseLog returns the name of the log that a resource name stands for, if it does.
 func parseLog(resource string) (string, bool) {
 	at := strings.Index("/"+resource, "/"+logPrefix+"/")
-	if at < 0 || len(resource) > 300 {
+	if at < 0 || len(resource) > maxLogName {
 		return "", false
 	}
 	return resource[at+len(logPrefix)+1:], true
 }
 
+// newLogs returns an empty set of logs in a directory, and deletes those of earlier processes.
 func newLogs(dir string, keep time.Duration) (*logs, error) {
 	l := &logs{dir: filepath.Join(dir, logPrefix), retention: max(keep, time.Minute), open: make(map[string]*logFile)}
-	// What an earlier run has left is of use to nobody.
+	// The commands of an earlier process are not followed any more.
 	return l, errors.Join(os.RemoveAll(l.dir), os.MkdirAll(l.dir, 0o755))
 }
 
-// create starts a log, in the place of one of the same name.
+// create starts a log, and replaces one of the same name.
 func (l *logs) create(name string) (*logFile, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +92,7 @@
 	return g, nil
 }
 
-// remove forgets a log and sends its readers away; the lock is held.
+// remove deletes a log and disconnects its readers. The lock is held.
 func (l *logs) remove(name string, g *logFile) {
 	g.superseded = true
 	close(g.changed)
@@ -96,13 +101,14 @@
 	_ = os.Remove(g.path)
 }
 
+// find returns a log, or nil.
 func (l *logs) find(name string) *logFile {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open[name]
 }
 
-// appendTo appends to a log; what goes over the bound is left out.
+// appendTo appends to a log. What exceeds the bound is dropped.
 func (l *logs) appendTo(g *logFile, data []byte, finished bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,11 +131,10 @@
 	return nil
 }
 
-// errSuperseded means that another log has taken the place of this one.
+// errSuperseded means that a new log of the same name has replaced this one.
 var errSuperseded = errors.New("the log was begun anew")
 
-// follow gives what is in a log from an offset on, as it grows, until it is
-// finished.
+// follow copies a log from an offset on to w as it grows, until it is finished.
 func (l *logs) follow(ctx context.Context, name string, offset int64, w io.Writer) error {
 	g := l.find(name)
 	if g == nil {
--- a/internal/cas/logserver.go
+++ b/internal/cas/logserver.go
@@ -6,7 +6,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// writeLog takes a log by ByteStream: offset 0 begins it anew.
+// writeLog receives a log by ByteStream. A write at offset 0 replaces an earlier log.
 func (s *Server) writeLog(name string, first *bspb.WriteRequest, in bspb.ByteStream_WriteServer) error {
 	if first.WriteOffset != 0 {
 		return status.Error(codes.OutOfRange, "write_offset: a log begins at 0")
@@ -28,7 +28,7 @@
 			return in.SendAndClose(&bspb.WriteResponse{CommittedSize: at})
 		}
 		if msg, err = in.Recv(); err != nil {
-			_ = s.disk.logs.appendTo(g, nil, true) // whoever wrote it is gone
+			_ = s.disk.logs.appendTo(g, nil, true) // its writer is gone: the readers have all there will be
 			return err
 		}
 	}
--- a/internal/cas/reader.go
+++ b/internal/cas/reader.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Reader opens a blob. It was checked since this start before any of it is given.
+// Reader opens a blob. Its hash is checked first if it was not since the process started.
 func (d *Disk) Reader(g Digest) (io.ReadSeekCloser, error) {
 	if g.Empty() {
 		return &reader{ReadSeeker: strings.NewReader("")}, nil
@@ -29,15 +29,9 @@
 		b.readers--
 		d.mu.Unlock()
 	}
-	f, err := os.Open(d.path(g))
-	if err == nil && !verified {
-		err = d.verify(f, b)
-	}
+	f, err := d.open(b, verified)
 	if err != nil {
 		release()
-		if f != nil {
-			f.Close()
-		}
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, ErrWrongContent) {
 			d.mu.Lock()
 			d.remove(g)
@@ -47,7 +41,23 @@
 		}
 		return nil, err
 	}
-	return &reader{f, func() { f.Close(); release() }}, nil
+	return &reader{f, func() {
+		_ = f.Close() // of a file that was read
+		release()
+	}}, nil
+}
+
+// open opens a blob's file, and checks it unless that was done before.
+func (d *Disk) open(b *blob, verified bool) (*os.File, error) {
+	f, err := os.Open(d.path(b.digest))
+	if err != nil || verified {
+		return f, err
+	}
+	if err := d.verify(f, b); err != nil {
+		_ = f.Close() // of a file that was read
+		return nil, err
+	}
+	return f, nil
 }
 
 // verify checks a file against its digest.
@@ -72,11 +82,13 @@
 	return nil
 }
 
+// reader reads a blob, and releases it when it is closed.
 type reader struct {
 	io.ReadSeeker
 	release func()
 }
 
+// Close releases the blob; it may be evicted again.
 func (r *reader) Close() error {
 	if r.release != nil {
 		r.release()
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -13,16 +13,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessage bounds a message that is read into memory, such as a Directory.
+// maxMessage bounds a message that is read into memory, such as a Directory, in bytes.
 const maxMessage = 4 << 20
 
-// resultPath names the file of an action's result.
+// resultPath returns the file of an action's result.
 func (d *Disk) resultPath(instance string, action Digest) string {
 	h := Sum(Functions[0], []byte(instance+"\x00"+action.Function.String()+"\x00"+action.String())).Hash
 	return filepath.Join(d.dir, "results", h[:2], h)
 }
 
-// PutResult keeps the result of an action.
+// PutResult stores the result of an action, followed by its checksum.
 func (d *Disk) PutResult(instance string, action Digest, r *repb.ActionResult) error {
 	body, err := proto.Marshal(r)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Result finds the result of an action. One of which any output is gone, or that
-// is damaged, is not given; what it names counts as used.
+// Result returns the result of an action, unless it is damaged or any of its outputs is
+// missing. The outputs count as used.
 func (d *Disk) Result(instance string, action Digest) (*repb.ActionResult, error) {
 	path := d.resultPath(instance, action)
 	raw, err := os.ReadFile(path)
@@ -67,8 +67,11 @@
 	return &r, nil
 }
 
-// MissingOutput names a blob of a result that is not here, or nil. Trees are looked
-// through to their files.
+// maxTree bounds the message of an output directory, in bytes.
+const maxTree = 64 << 20
+
+// MissingOutput returns an output of a result that is not in the store, or nil. For output
+// directories that includes the files in them.
 func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
 	var lost *Digest
 	need := func(p *repb.Digest) bool {
@@ -91,7 +94,7 @@
 			continue
 		}
 		g, _ := ParseDigest(f, o.TreeDigest)
-		raw, err := d.Get(g, 64<<20)
+		raw, err := d.Get(g, maxTree)
 		var tree repb.Tree
 		if err != nil || proto.Unmarshal(raw, &tree) != nil {
 			lost = &g
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -32,7 +32,7 @@
 	log    *slog.Logger
 }
 
-// NewServer gives a gRPC server of a disk, with health and reflection.
+// NewServer returns a gRPC server of a disk, with health and reflection.
 func NewServer(d *Disk, l Limits, log *slog.Logger) *grpc.Server {
 	s := &Server{disk: d, limits: l, log: log}
 	g := grpc.NewServer(append(LimitCalls(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
@@ -45,7 +45,7 @@
 	return g
 }
 
-// CacheCapabilities tells what is served.
+// CacheCapabilities returns what a store with these limits supports.
 func CacheCapabilities(l Limits) *repb.CacheCapabilities {
 	return &repb.CacheCapabilities{
 		DigestFunctions:                 Functions,
@@ -57,7 +57,7 @@
 	}
 }
 
-// WithVersions of the API that are served.
+// WithVersions adds the versions of the API that are supported.
 func WithVersions(c *repb.ServerCapabilities) *repb.ServerCapabilities {
 	c.LowApiVersion, c.HighApiVersion = &semver.SemVer{Major: 2}, &semver.SemVer{Major: 2, Minor: 3}
 	return c
@@ -68,7 +68,7 @@
 	return WithVersions(&repb.ServerCapabilities{CacheCapabilities: CacheCapabilities(s.limits)}), nil
 }
 
-// FindMissingBlobs implements the API. What is here counts as used.
+// FindMissingBlobs implements the API. Blobs that are not missing count as used.
 func (s *Server) FindMissingBlobs(_ context.Context, r *repb.FindMissingBlobsRequest) (*repb.FindMissingBlobsResponse, error) {
 	out := &repb.FindMissingBlobsResponse{}
 	for _, p := range r.BlobDigests {
@@ -98,6 +98,7 @@
 	return out, nil
 }
 
+// update stores one blob of a batch.
 func (s *Server) update(f Function, b *repb.BatchUpdateBlobsRequest_Request) error {
 	g, err := ParseDigest(f, b.Digest)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return s.disk.Put(g, data)
 }
 
-// unzstd unpacks to exactly size bytes.
+// unzstd decompresses a blob of exactly size bytes.
 func unzstd(data []byte, size int64) ([]byte, error) {
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(max(size, 1<<10))))
 	if err != nil {
@@ -152,9 +153,9 @@
 // treePageSize is how many directories go into one message of GetTree.
 const treePageSize = 200
 
-// GetTree implements the API. Directories are given once each, in the order in
-// which they are first met; one that is missing is left out. The files that they
-// name count as used. Page tokens are not made: a tree comes in one stream.
+// GetTree implements the API. Each directory is sent once, in breadth-first order; missing
+// ones are left out. The files that they name count as used. There are no page tokens: a
+// tree is sent in one stream.
 func (s *Server) GetTree(r *repb.GetTreeRequest, out grpc.ServerStreamingServer[repb.GetTreeResponse]) error {
 	root, err := ParseDigest(r.DigestFunction, r.RootDigest)
 	if err != nil {
@@ -166,23 +167,17 @@
 	seen := map[Digest]bool{root: true}
 	page := &repb.GetTreeResponse{}
 	for queue := []Digest{root}; len(queue) > 0; queue = queue[1:] {
-		raw, err := s.disk.Get(queue[0], maxMessage)
-		var dir repb.Directory
-		if err != nil || proto.Unmarshal(raw, &dir) != nil {
+		dir := s.directory(queue[0])
+		if dir == nil {
 			continue
 		}
-		for _, f := range dir.Files {
-			if g, err := ParseDigest(r.DigestFunction, f.Digest); err == nil {
-				s.disk.Has(g)
-			}
-		}
 		for _, sub := range dir.Directories {
 			if g, err := ParseDigest(r.DigestFunction, sub.Digest); err == nil && !seen[g] {
 				seen[g] = true
 				queue = append(queue, g)
 			}
 		}
-		if page.Directories = append(page.Directories, &dir); len(page.Directories) == treePageSize {
+		if page.Directories = append(page.Directories, dir); len(page.Directories) == treePageSize {
 			if err := out.Send(page); err != nil {
 				return err
 			}
@@ -192,6 +187,22 @@
 	return out.Send(page)
 }
 
+// directory reads a directory, or returns nil if it is missing. The files that it names count
+// as used.
+func (s *Server) directory(g Digest) *repb.Directory {
+	raw, err := s.disk.Get(g, maxMessage)
+	var dir repb.Directory
+	if err != nil || proto.Unmarshal(raw, &dir) != nil {
+		return nil
+	}
+	for _, f := range dir.Files {
+		if file, err := ParseDigest(g.Function, f.Digest); err == nil {
+			s.disk.Has(file)
+		}
+	}
+	return &dir
+}
+
 // GetActionResult implements the API.
 func (s *Server) GetActionResult(_ context.Context, r *repb.GetActionResultRequest) (*repb.ActionResult, error) {
 	g, err := ParseDigest(r.DigestFunction, r.ActionDigest)
@@ -202,8 +213,8 @@
 	return res, asStatus(err)
 }
 
-// UpdateActionResult implements the API. A result of which a blob is missing is
-// refused: it would never be served.
+// UpdateActionResult implements the API. A result with a missing output is refused: it would
+// never be served.
 func (s *Server) UpdateActionResult(_ context.Context, r *repb.UpdateActionResultRequest) (*repb.ActionResult, error) {
 	g, err := ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
--- a/internal/cas/status.go
+++ b/internal/cas/status.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// asStatus gives an error the code that the API has for it.
+// asStatus converts an error to the API's code for it.
 func asStatus(err error) error {
 	if err == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return status.Error(code, err.Error())
 }
 
-// statusOf gives an error as it stands in the answer to a batch.
+// statusOf converts an error to a status in the response to a batch.
 func statusOf(err error) *spb.Status {
 	if err == nil {
 		return &spb.Status{}
--- a/internal/cas/writer.go
+++ b/internal/cas/writer.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 )
 
-// Writer takes the content of a blob. An upload with an id can be gone on with
-// after its writer was closed, or the process ended.
+// Writer receives the content of a blob. An upload with an id can be resumed after its writer
+// was closed or the process was restarted.
 type Writer struct {
 	disk     *Disk
 	digest   Digest
@@ -18,10 +18,10 @@
 	hash     hash.Hash
 	written  int64
 	id       string
-	reserved int64 // bytes that are reserved
+	reserved int64 // bytes of the disk's limit
 }
 
-// Writer begins an upload, or goes on with one that has the same id and digest.
+// Writer begins an upload, or resumes the one with the same id and digest.
 func (d *Disk) Writer(g Digest, id string) (*Writer, error) {
 	h, err := newHash(g.Function)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	d.mu.Lock()
 	if err = d.makeRoom(g.Size); id != "" && d.uploads[id] {
-		err = ErrBusy // two at one file would write over each other
+		err = ErrBusy // two writers of one file would overwrite each other
 	}
 	if err == nil {
 		d.reserved += g.Size
@@ -43,7 +43,7 @@
 	if id == "" {
 		w.file, err = os.CreateTemp(filepath.Join(d.dir, "uploads"), "whole-*")
 	} else if w.file, err = os.OpenFile(d.uploadPath(g, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
-		w.written, err = io.Copy(h, io.LimitReader(w.file, g.Size)) // what came before
+		w.written, err = io.Copy(h, io.LimitReader(w.file, g.Size)) // what was uploaded before
 	}
 	if err != nil {
 		w.Close()
@@ -52,12 +52,12 @@
 	return w, nil
 }
 
-// uploadPath names the file of an upload; any id makes a safe name.
+// uploadPath returns the file of an upload. The id comes from a client and may hold anything.
 func (d *Disk) uploadPath(g Digest, id string) string {
 	return filepath.Join(d.dir, "uploads", Sum(Functions[0], []byte(id+"/"+g.String())).Hash)
 }
 
-// Uploaded tells how much of an upload is here.
+// Uploaded returns how many bytes of an upload have been received.
 func (d *Disk) Uploaded(g Digest, id string) (int64, bool) {
 	info, err := os.Stat(d.uploadPath(g, id))
 	if err != nil {
@@ -66,10 +66,10 @@
 	return min(info.Size(), g.Size), true
 }
 
-// Size is how much has been written.
+// Size returns how many bytes have been written.
 func (w *Writer) Size() int64 { return w.written }
 
-// Write takes the next bytes.
+// Write appends the next bytes of the blob.
 func (w *Writer) Write(p []byte) (int, error) {
 	if w.written+int64(len(p)) > w.digest.Size {
 		return 0, fmt.Errorf("%w: %v: more than %d bytes", ErrWrongContent, w.digest, w.digest.Size)
@@ -80,8 +80,8 @@
 	return n, err
 }
 
-// Commit makes the blob readable, if it is whole and what its digest says. What
-// is not is thrown away.
+// Commit makes the blob readable if it is complete and matches its digest. Otherwise the
+// upload is deleted.
 func (w *Writer) Commit() error {
 	if w.written != w.digest.Size || hex.EncodeToString(w.hash.Sum(nil)) != w.digest.Hash {
 		_ = os.Remove(w.file.Name())
@@ -100,7 +100,7 @@
 	d.reserved -= w.reserved
 	w.reserved = 0
 	now := d.now()
-	if e := d.blobs[w.digest]; e != nil { // somebody else was faster
+	if e := d.blobs[w.digest]; e != nil { // stored by another upload meanwhile
 		e.Value.(*blob).verified = true
 		d.touch(w.digest)
 		return nil
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Close gives up what was reserved. The file of an upload without an id goes, one
-// with an id stays, to be gone on with.
+// Close releases the reserved bytes. The file of an upload without an id is deleted; with an
+// id it is kept, so that the upload can be resumed.
 func (w *Writer) Close() {
 	w.disk.mu.Lock()
 	w.disk.reserved -= w.reserved
