--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// applyEvents deals with what reports and proofs have shown.
+// applyEvents reacts to what heartbeats and lease expiries have shown about placements.
 func (h *Leader) applyEvents(now time.Time, events []fleet.Event) {
 	for _, e := range events {
 		p := e.Placement
@@ -18,8 +18,8 @@
 		} else if p.State == fleet.Running {
 			h.log.Debug("task running", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "after", now.Sub(p.PlacedAt))
 		}
-		// What a report shows for the first time, of a job that is known to be over, is
-		// stopped by the answer to that report, which may be the last one for long.
+		// What a heartbeat shows for the first time, of a job that is known to be over, is
+		// stopped by the answer to that heartbeat, which may be the last one for long.
 		if m := h.fleet.Machine(p.Machine); m != nil && !e.Gone && p.Active() && p.Stop == nil && h.liveJobs[p.Task.Job] == nil {
 			h.reconcileEnded(now, m, p)
 		}
@@ -29,6 +29,16 @@
 	}
 }
 
+const (
+	// cordonAfterJobs is how many different jobs fail on a machine before it is cordoned: one may
+	// be at fault itself.
+	cordonAfterJobs = 2
+	// refusedLaunchDelay is how long a job waits after a machine has refused a launch of it, which
+	// is about as long as the heartbeat takes that shows what else is there.
+	refusedLaunchDelay = time.Second
+)
+
+// taskEnded applies the end of a task for which nothing was done yet.
 func (h *Leader) taskEnded(now time.Time, p *fleet.Placement) {
 	j, m := h.jobState(p.Task.Job), h.fleet.Machine(p.Machine)
 	h.log.Debug("task ended", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "cause", p.Cause, "saved", p.Saved)
@@ -40,32 +50,24 @@
 	p.EndHandled = true
 	switch p.Cause {
 	case wire.CauseError:
-		// Evidence about the machine and about the job: other jobs failing
-		// here condemn the machine, this job failing elsewhere makes it wait.
+		// Evidence about the machine and about the job: different jobs that fail on one
+		// machine cordon it, a job that fails on several machines is delayed.
 		h.log.Info("task failed", "task", p.Task, "machine", p.Machine)
 		m.JobFailures[p.Task.Job]++
-		j.failedMachines[p.Machine] = true
-		j.failures++
-		if len(m.JobFailures) >= 2 && m.DrainReason == "" {
+		j.noteFailure(now, p.Machine)
+		if len(m.JobFailures) >= cordonAfterJobs && m.DrainReason == "" {
 			m.DrainReason = "different jobs fail on it"
-			h.log.Warn("machine condemned", "machine", m.ID, "why", m.DrainReason)
-		}
-		if n := len(j.failedMachines); n >= 3 {
-			j.notBefore = now.Add(min(maxJobBackoff, time.Second<<min(n, 7)))
+			h.log.Warn("machine cordoned", "machine", m.ID, "reason", m.DrainReason)
 		}
 	case wire.CauseAlone:
 		j.timedOutAttempt = p.Attempt
 	case wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown:
 		h.log.Info("launch refused", "task", p.Task, "machine", p.Machine, "cause", p.Cause)
-		j.notBefore = now.Add(time.Second)
+		j.notBefore = now.Add(refusedLaunchDelay)
 	}
 }
 
-// maxJobBackoff bounds how long a job that fails again and again waits for its next try: it must not be
-// left waiting beside machines on which it may do.
-const maxJobBackoff = 45 * time.Second
-
-// markFinished marks a task as done; the tasks of a gang complete together.
+// markFinished marks a task as finished; the tasks of a gang finish together.
 func (h *Leader) markFinished(t wire.TaskID, j *jobState) {
 	j.finished.Add(t.Index)
 	l := h.liveJobs[t.Job]
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -7,11 +7,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// MayAnswer reports whether reports may be answered: while the claim surely lasts or for
-// a while after its last renewal, and for a while after the last time that this holder
-// surely knew of every cancellation. A renewal says nothing of what is known: each answer
-// lets a worker's tasks live for another lease, also those of a job of which a holder that
-// is refused by the store, or whose view stands still, does not know that it was cancelled.
+// MayAnswer reports whether heartbeats may be answered: while the leader's lease is valid or for
+// a while after its last confirmed renewal, and for a while after the last time at which this
+// leader knew of every cancellation. A renewal says nothing of what is known: each answer extends
+// the leases of a machine's tasks, also those of a job that was cancelled without the knowledge of
+// a leader that is refused by the state service, or whose view is out of date.
 func (h *Leader) MayAnswer(now time.Time, valid bool, confirmed time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -19,8 +19,9 @@
 	return (valid || now.Sub(confirmed) < linger) && now.Sub(h.viewCurrentAt) < linger
 }
 
-// HandleHeartbeat takes in a worker's report and gives the answer to it; ok is false where there
-// must be none. launch says whether the claim surely lasts.
+// HandleHeartbeat applies a machine's heartbeat and returns the answer to it; ok is false where
+// there must be none. launch says whether the leader's lease is valid, so that the answer may carry
+// launches.
 func (h *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, launch bool) (a wire.HeartbeatResponse, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,19 +35,20 @@
 	return wire.HeartbeatResponse{FencingToken: h.lease.FencingToken, Commands: cmds}, true
 }
 
-// HandleInspection takes in a report that came as the body of a direct call.
+// HandleInspection applies a heartbeat that came in the answer to a direct call.
 func (h *Leader) HandleInspection(now time.Time, r *wire.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.observe(now, r, false)
 }
 
-// observe takes in a report, whichever way it came. One that is older than what is known
-// shows nothing, and one that can't be is not even answered: what made it up may make up more.
+// observe applies a heartbeat, whichever way it came; own says whether the machine sent it by itself.
+// One that is older than what is known shows nothing. One that can't be true is not even answered:
+// whatever made it up may make up more.
 func (h *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
 	if why := h.impossibleReason(r); why != "" {
 		h.rejectedHeartbeats.Impossible++
-		h.log.Warn("impossible report", "machine", r.Machine, "session", r.Incarnation, "number", r.Seq, "why", why)
+		h.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
 		return false
 	}
 	if !h.fleet.IsNewer(r) {
@@ -59,11 +61,11 @@
 	return true
 }
 
-// impossibleReason says what a report can't say, or nothing. Attempts are of terms up to this one;
-// where the fleet is in parts, the holder of another may have given a gang's.
+// impossibleReason says why a heartbeat can't be true, or returns "". Attempts are of fencing tokens up
+// to this one; with several shards, the leader of another one may have given a gang's attempt.
 func (h *Leader) impossibleReason(r *wire.Heartbeat) string {
 	if r.FencingToken > h.lease.FencingToken {
-		return fmt.Sprintf("term %d, which nobody has claimed below this one", r.FencingToken)
+		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", r.FencingToken)
 	}
 	for _, t := range r.Tasks {
 		token, n := t.Attempt>>24, t.Attempt&(1<<24-1)
@@ -74,10 +76,10 @@
 	return ""
 }
 
-// RejectedHeartbeats counts reports that changed nothing.
+// RejectedHeartbeats counts heartbeats that changed nothing.
 type RejectedHeartbeats struct{ Stale, Impossible uint64 }
 
-// RejectedHeartbeats tells how many reports changed nothing.
+// RejectedHeartbeats returns how many heartbeats changed nothing.
 func (h *Leader) RejectedHeartbeats() RejectedHeartbeats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -7,37 +7,56 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// jobState is what the holder remembers of a job beside its placements.
+// jobState is what the leader remembers of a job beside its placements.
 type jobState struct {
 	failedMachines  map[string]bool // machines on which it failed
-	notBefore       time.Time       // back-off
-	failures        int
-	finished        *store.TaskSet // tasks that were reported done
-	storedFinished  *store.TaskSet // and are in the store
-	endedAt         time.Time      // when it was cancelled or done
-	liveRevision    uint64         // the last revision at which it was seen live
-	waitingSince    time.Time      // when tasks of it first waited here
-	coAllocation    coAllocation   // of a gang
-	starvedSince    time.Time      // since when no task of it is anywhere and some could be
-	failedAttempts  map[int]int    // times that a task was stopped before its image had come
-	timedOutAttempt uint64         // the attempt of a gang of which a task waited for the others in vain
+	notBefore       time.Time       // when it may be placed again
+	finished        *store.TaskSet  // tasks that were reported as finished
+	storedFinished  *store.TaskSet  // and are stored as such
+	endedAt         time.Time       // when it was cancelled or done
+	liveRevision    uint64          // the last revision at which it was seen live
+	waitingSince    time.Time       // when tasks of it first waited here
+	coAllocation    coAllocation    // of a gang
+	starvedSince    time.Time       // since when none of its tasks is placed though some could be
+	failedAttempts  map[int]int     // times that a task was stopped before its image had come
+	timedOutAttempt uint64          // the attempt of a gang of which a task waited for the others in vain
 }
 
-// JobIndex is what is known of jobs, be they over.
+const (
+	// delayAfterMachines is on how many machines a job fails before its next attempt is delayed:
+	// until then a machine may be at fault.
+	delayAfterMachines = 3
+	// maxJobBackoff bounds how long a job that fails again and again waits for its next attempt: it
+	// must not be left waiting while there are machines on which it may succeed.
+	maxJobBackoff = 45 * time.Second
+	// maxJobBackoffShift bounds the doublings, so that they don't overflow.
+	maxJobBackoffShift = 7
+)
+
+// noteFailure records that the job has failed on a machine. Each machine more doubles the delay.
+func (j *jobState) noteFailure(now time.Time, machine string) {
+	j.failedMachines[machine] = true
+	if n := len(j.failedMachines); n >= delayAfterMachines {
+		j.notBefore = now.Add(min(maxJobBackoff, time.Second<<min(n, maxJobBackoffShift)))
+	}
+}
+
+// JobIndex answers questions about all jobs, also those that are over.
 type JobIndex interface {
+	// Job returns the record of a job, if it is known.
 	Job(id string) (store.JobRecord, bool)
 	// Compacted reports whether no task of a job can be anywhere any more.
 	Compacted(id string) bool
-	// Uncompacted reports whether jobs are over that may be folded.
+	// Uncompacted reports whether jobs are over that may be compacted.
 	Uncompacted() bool
-	// Migrated reports whether a part needs the ledgers of earlier groupings no more.
-	Migrated(part string) bool
-	// PreviousLedgerSlots names the slots of these.
+	// Migrated reports whether a shard no longer needs the ledgers of previous shardings.
+	Migrated(shard string) bool
+	// PreviousLedgerSlots returns the keys of the segments of these ledgers.
 	PreviousLedgerSlots() []string
 }
 
-// unsettled leaves out the tasks of jobs that were folded: an earlier holder had
-// proof that they are gone, whatever a machine's record, which is not written for
+// unsettled leaves out the tasks of jobs that were compacted: an earlier leader had
+// proof that they are gone, whatever a machine's record, which is not rewritten for
 // that, still says.
 func unsettled(tasks map[string]uint64, jobIndex JobIndex) map[string]uint64 {
 	out := make(map[string]uint64, len(tasks))
@@ -49,9 +68,9 @@
 	return out
 }
 
-// UnfinishedJobs names the jobs of which a task is or may be on a machine, or whose end
-// this holder has not taken in. Until the fleet is rebuilt, but for silent machines,
-// nobody can tell: what may be on those is known by their records.
+// UnfinishedJobs returns the jobs of which a task is or may be on a machine, or whose end this
+// leader has not applied yet. It is not ok until all reachable machines are accounted for; what may
+// be on unreachable ones is known by their records.
 func (h *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,6 +90,7 @@
 	return jobs, h.rebuiltReachable
 }
 
+// jobState returns what is remembered of a job, beginning anew for one that is not known.
 func (h *Leader) jobState(job string) *jobState {
 	j := h.jobStates[job]
 	if j == nil {
--- a/internal/leader/usage.go
+++ b/internal/leader/usage.go
@@ -6,6 +6,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// machineType returns a machine type by name; the zero type if the cloud does not list it.
 func (h *Leader) machineType(name string) wire.MachineType {
 	for _, t := range h.types {
 		if t.Name == name {
@@ -15,7 +16,7 @@
 	return wire.MachineType{}
 }
 
-// teamUsage sums what the teams' tasks use or may use.
+// teamUsage sums what each team's tasks use, or may use while it is not proven that they are gone.
 func (h *Leader) teamUsage() map[string]scheduler.Resources {
 	out := make(map[string]scheduler.Resources)
 	for _, m := range h.fleet.Machines() {
@@ -29,7 +30,7 @@
 	return out
 }
 
-// taskDemand tells what a task of a job takes, even when the job is over.
+// taskDemand returns what a task of a job takes, even when the job is over.
 func (h *Leader) taskDemand(job string) (store.TaskDemand, bool) {
 	if l := h.liveJobs[job]; l != nil {
 		return l.Record.TaskDemand()
