--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -71,8 +71,8 @@
 	"[fault echo] share: \"2\": must be", "[fault apart]: who: \"c-77\": must be one of", "[fault apart] from_peers: \"perhaps\": must be yes or no", "[fault apart]: from_state: missing: controller_cut needs from_state = yes, from_peers = yes, or both", "[fault odd] kind: \"machine_sings\": must be one of boot_never,", "[fault odd] share: \"3\"", "[fault next] for_next: \"soon\": must be yes or no",
 	"[fault next]: at_once: means nothing to report_late, which takes for, share, for_next", "[fault next] colour: \"red\": must be left out; known are at, at_once,", "[fault hang] for: \"long\"", "[fault now]: count: missing: cancel_now needs it", "[planet mars]"}
 
-// TestParse reads the world that is shipped, and names everything that is wrong with one, with
-// lines.
+// TestParse reads the world file that is shipped, and checks that everything wrong with one is
+// reported, with its line.
 func TestParse(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/world.ini")
 	if err != nil {
@@ -126,9 +126,9 @@
 	return resp.Status
 }
 
-// TestDoors: one controller is cut off from the state service, or refused by it, while others are
-// served; an outage is for all; what is lifted is over.
-func TestDoors(t *testing.T) {
+// TestStateServiceFaults cuts one controller off from the state service, and has it refused, while
+// others are served; an outage concerns all. Lifted faults are over.
+func TestStateServiceFaults(t *testing.T) {
 	w := small(t, 27300, Options{})
 	c := caller()
 	for _, x := range []struct {
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestCutOff: a controller that is cut from the state service and its siblings reaches neither,
-// nor do they reach it, and its machines and the cloud do.
-func TestCutOff(t *testing.T) {
+// TestControllerCutOff checks that a controller which is cut off from the state service and its
+// peers reaches neither, that they do not reach it, and that its machines and the cloud do.
+func TestControllerCutOff(t *testing.T) {
 	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	lift := w.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
 	c, machine := w.controller(0), side{"n-1", "machines", "a"}
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestHeldMessages: what is sent into a cut that holds is delivered in order when it ends, though
-// the sender has given up; nothing of it after one that loses.
+// TestHeldMessages checks that messages sent into a cut that holds them are delivered in order
+// when it ends, although the sender has given up, and none after a cut that loses them.
 func TestHeldMessages(t *testing.T) {
 	l := newLinks()
 	me, peer := side{"n-1", "machines", "a"}, side{"c-0", "controllers", "a"}
@@ -221,7 +221,8 @@
 	}
 }
 
-// TestDialNeedsBothWays: where answers are lost no connection comes about, as on a real network.
+// TestDialNeedsBothWays checks that no connection is established where answers are lost, as on a
+// real network.
 func TestDialNeedsBothWays(t *testing.T) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -249,7 +250,8 @@
 	}
 }
 
-// TestZoneWorksInside: a zone that is cut off from all reaches itself, and nothing else.
+// TestZoneWorksInside checks that a zone which is cut off from everything reaches itself, and
+// nothing else.
 func TestZoneWorksInside(t *testing.T) {
 	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	w.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
@@ -264,8 +266,9 @@
 	}
 }
 
-// TestKeep: a world that is stopped goes on with what the state service held, and files are whole.
-func TestKeep(t *testing.T) {
+// TestPersistedState checks that a cluster resumes from the persisted state of the state service,
+// and that files are replaced atomically.
+func TestPersistedState(t *testing.T) {
 	dir := t.TempDir()
 	w := small(t, 27300+400, Options{Dir: dir, Persist: true})
 	if status, _ := w.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -180,14 +180,14 @@
 			w.cloud.Crash(id)
 		}
 	case "machine_hang":
-		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Hang(time.Duration) }).Hang(f.For) })
+		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
 	case "machine_deaf":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Deaf(bool) }).Deaf(on) })
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
 	case "machine_mute":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(interface{ Mute(bool) }).Mute(on) })
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
 	case "machine_restart":
 		back := cmp.Or(f.Delay, defaultRestartDelay)
-		w.eachMachine(f, func(m simulator.Machine) { m.(interface{ Reboot(time.Duration, bool) }).Reboot(back, false) })
+		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
 	case "spot_taken":
 		for _, id := range w.pickMachines(f, true) {
 			w.cloud.Preempt(id, f.Notice)
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -115,7 +115,7 @@
 	machines = machines[:min(maxPaused, len(machines))]
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if f.Hang > 0 && slices.Contains(machines, m.ID) {
-			x.(interface{ Hang(time.Duration) }).Hang(f.Hang)
+			x.(simulator.Pauser).Pause(f.Hang)
 		}
 	})
 	if f.Hang == 0 {
--- a/internal/load/answer_history_test.go
+++ b/internal/load/answer_history_test.go
@@ -7,9 +7,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestHistory: answers that overlap may come in any order; a job that was over and is live again,
-// or that is forgotten, or ends as both, is found.
-func TestHistory(t *testing.T) {
+// TestAnswerHistory checks that overlapping answers may come in any order, and that a job is
+// reported that was over and is live again, that is forgotten, or that ends in two ways.
+func TestAnswerHistory(t *testing.T) {
 	type op struct {
 		kind       opKind
 		status     int
--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -14,8 +14,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// service is three controllers that share what they know. The answers of the last one to questions
-// are on their way for a while, or are from a copy that is as old.
+// service is three controllers with common knowledge. The last one's answers to polls are delayed,
+// or come from a copy that is as old.
 type service struct {
 	mu     sync.Mutex
 	stages map[string][]stageSince
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestAnswersByRealTime: questions are in flight at all controllers while a job is submitted and
+// TestAnswersByRealTime has polls in flight at all controllers while a job is submitted and
 // cancelled. Answers that were on their way may be older than others; a controller that answers
-// from an old copy is found.
+// from an old copy is reported.
 func TestAnswersByRealTime(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestJudgeSeesOlderAnswers: each answer that is older than one that was given before its question
-// is seen among hundreds that are asked at the same time, and nothing is where answers only cross.
-func TestJudgeSeesOlderAnswers(t *testing.T) {
+// TestStaleAnswersAreFound checks that each answer older than one given before its request is
+// reported among hundreds of concurrent ones, and none where answers only cross.
+func TestStaleAnswersAreFound(t *testing.T) {
 	type told struct {
 		how    string // ask, submit or cancel
 		status int
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestTellingTellsAll: what is left out changes no verdict.
-func TestTellingTellsAll(t *testing.T) {
+// TestEssentialCallsKeepVerdict checks that the calls that are left out change no verdict.
+func TestEssentialCallsKeepVerdict(t *testing.T) {
 	rng, bad := rand.New(rand.NewPCG(1, 30)), 0
 	for range 4000 {
 		var ops []porcupine.Operation
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -25,8 +25,8 @@
 	return m
 }
 
-// TestArrivals: the same seed gives the same jobs, as many as the rates say, and bursts more of
-// them.
+// TestArrivals checks that the same seed gives the same jobs, as many as the rates say, and more
+// during bursts.
 func TestArrivals(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/load.ini")
 	if err != nil {
@@ -59,9 +59,8 @@
 	}
 }
 
-// TestLoad puts load on three controllers in a world on loopback, with a controller that stands
-// back from the state service and a room cut off meanwhile: every job gets its end, and no rule
-// is broken.
+// TestLoad generates load on three controllers in an emulated cluster, with one refused by the
+// state service and a zone cut off meanwhile: every job has to end, and no rule may be violated.
 func TestLoad(t *testing.T) {
 	w, err := emulator.Start(t.Context(), emulator.DefaultConfig(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
 	if err != nil {
--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -211,7 +211,7 @@
 	}},
 	{"a machine hangs and goes on", func(w *simulation, luck *rand.Rand, _ time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
-			all[luck.IntN(len(all))].Hang(time.Duration(2+luck.IntN(24)) * time.Second)
+			all[luck.IntN(len(all))].Pause(time.Duration(2+luck.IntN(24)) * time.Second)
 		}
 	}},
 	{"a machine is taken", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(luck.IntN(8)) }},
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -246,7 +246,7 @@
 	}},
 	{"machines hang", 2 * sec, 30 * sec, func(m *faultCombination, d time.Duration) {
 		for _, x := range m.pickMachines() {
-			x.Hang(d)
+			x.Pause(d)
 		}
 	}},
 	{"machines reboot", 0, 0, func(m *faultCombination, _ time.Duration) {
@@ -378,7 +378,7 @@
 		for _, x := range m.runningMachines() {
 			if hang > 0 && hung < 8 && m.tasks.ranOn(x.id, c.job) {
 				hung, counts = hung+1, &faultCounts.hung
-				x.Hang(hang)
+				x.Pause(hang)
 			}
 		}
 		late := time.Duration(m.faultRNG.IntN(200)) * time.Millisecond
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -81,7 +81,7 @@
 	if late := finalHoldTime(rng); late > 0 {
 		w.net.Hold(host, late)
 	}
-	m.(interface{ Reboot(time.Duration, bool) }).Reboot(restartDelay(rng), rng.IntN(2) == 0)
+	m.(simulator.Rebooter).Reboot(restartDelay(rng), rng.IntN(2) == 0)
 	w.net.Reset(host)
 }
 
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -422,7 +422,7 @@
 		}
 		c.cloud.EachRunning(func(_ wire.ListedMachine, m simulator.Machine) {
 			if fate.IntN(40) == 0 {
-				m.(interface{ Reboot(time.Duration, bool) }).Reboot(100*time.Millisecond, false)
+				m.(simulator.Rebooter).Reboot(100*time.Millisecond, false)
 			}
 		})
 	}
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -65,7 +65,7 @@
 	{"cut off", func(w *simulation, m upMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
-	{"hanging", func(_ *simulation, m upMachine, d time.Duration) { m.Hang(d) }},
+	{"hanging", func(_ *simulation, m upMachine, d time.Duration) { m.Pause(d) }},
 	{"deaf", func(_ *simulation, m upMachine, d time.Duration) { deaf(d, m) }},
 	{"mute", func(w *simulation, m upMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.RefuseOutbound(m.host, on) })
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -178,7 +178,7 @@
 // still arrive.
 func deaf(d time.Duration, machines ...upMachine) []upMachine {
 	for _, m := range machines {
-		during(d, m.Deaf)
+		during(d, m.DropInbound)
 	}
 	return machines
 }
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -97,7 +97,7 @@
 
 // pauseFirst pauses the first machines.
 func (s *faultScene) pauseFirst(n int, d time.Duration) {
-	s.firstMachines(n, false, func(_ string, w simulator.Machine) { w.(interface{ Hang(time.Duration) }).Hang(d) })
+	s.firstMachines(n, false, func(_ string, w simulator.Machine) { w.(simulator.Pauser).Pause(d) })
 }
 
 // setCloudFaults injects faults of the cloud for a while.
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -36,7 +36,7 @@
 	}},
 	{"hang", func(_ *simulation, lost []upMachine, d time.Duration) {
 		for _, m := range lost {
-			m.Hang(d)
+			m.Pause(d)
 		}
 	}},
 	{"are cut off", func(w *simulation, lost []upMachine, d time.Duration) {
--- a/internal/simulator/checkers_test.go
+++ b/internal/simulator/checkers_test.go
@@ -12,8 +12,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestLaunchesAfterCancellation: a start of what was sent before the answer is counted, a launch
-// that is first sent after it too, and a fault once all troubles are over.
+// TestLaunchesAfterCancellation checks that a start whose command was sent before the answer is
+// counted, that a launch first sent after it is counted too, and that the latter is a violation
+// once no fault is active.
 func TestLaunchesAfterCancellation(t *testing.T) {
 	task := wire.TaskID{Job: "wk-1", Index: 3}
 	told := time.Unix(1000, 0)
@@ -106,9 +107,10 @@
 	}
 }
 
-// TestRoom: a job for which the same machines have had room for 90 s of quiet is found; none is
-// where a rule, a limit or a moment without room stands in its way.
-func TestRoom(t *testing.T) {
+// TestStarvation checks that a job is reported for which the same machines have had capacity for
+// 90 s without faults, and none for which a rule, a limit or a sample without capacity is in the
+// way.
+func TestStarvation(t *testing.T) {
 	for name, x := range starvationCases() {
 		r := StarvationChecker{Limits: map[string]TeamLimit{"red": {GPUs: 6}}}
 		begun := time.Unix(1000, 0)
@@ -133,9 +135,9 @@
 	}
 }
 
-// TestVerdict judges submissions by the protocol's table: each field that is missing or wrong, and
-// what can never run.
-func TestVerdict(t *testing.T) {
+// TestSubmissionRules judges submissions by the protocol's table: each field that is missing or
+// wrong, and what can never run.
+func TestSubmissionRules(t *testing.T) {
 	s, good := submissionRules(), validSubmission()
 	check := func(name string, want int, changes map[string]any) {
 		m := maps.Clone(good)
@@ -218,10 +220,10 @@
 	}
 }
 
-// TestHangPausesTasks: what is on a machine that hangs stands still, and goes on as it stood; what it
-// is told meanwhile it does then; the others of its gang exit, itself when it notices; a cancelled
-// task that goes on afterwards is seen.
-func TestHangPausesTasks(t *testing.T) {
+// TestPauseDelaysTasks checks that the tasks of a paused machine make no progress and continue
+// afterwards, that commands received meanwhile are executed then, that the other members of its
+// gang exit and itself when it notices, and that a cancelled task which continues is reported.
+func TestPauseDelaysTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPauseBench(t)
 		begun := time.Now()
@@ -237,8 +239,8 @@
 		at(2, map[string]int{"wk-1": 1, "wk-2": 1, "wk-4": 2, "wk-5": 0})
 		p.check.ObserveAnswer("wk-1", 200, wire.Cancelled, true)
 		p.check.ObserveAnswer("wk-2", 200, wire.Cancelled, true)
-		p.paused.Hang(14 * time.Second)
-		if _, ok := p.paused.Place(); ok {
+		p.paused.Pause(14 * time.Second)
+		if _, ok := p.paused.State(); ok {
 			t.Error("a machine that hangs is said to have room")
 		}
 		p.send(p.paused, wire.Stop, "wk-2/0") // nobody waits for the answer any more when it is done
@@ -305,9 +307,10 @@
 	_, _ = (&transport.Caller{MaxBody: 1 << 20, Dial: p.net.Host("10.0.0.1").Dial}).Call(call, w.addr, "POST", wire.PathCommands, wire.Encode(d))
 }
 
-// TestToldByRealTime: of answers that overlap either may be the older one, in whatever order they
-// are told; one whose question left after an end was told must tell it.
-func TestToldByRealTime(t *testing.T) {
+// TestOverlappingAnswers checks that of overlapping answers either may be the older one, in
+// whatever order they arrive, and that one whose request left after an end was reported has to
+// report it.
+func TestOverlappingAnswers(t *testing.T) {
 	type told struct {
 		stage      wire.Stage
 		sent, back int64
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -60,6 +60,26 @@
 	Kill()
 }
 
+// What a machine may support beside Kill. Worker supports all of it.
+type (
+	// NoticeReceiver is told that the cloud takes the machine back after a while.
+	NoticeReceiver interface{ Notice(in time.Duration) }
+	// Pauser can make no progress for a while.
+	Pauser interface{ Pause(d time.Duration) }
+	// Rebooter can restart; a forgetful machine loses its fencing token.
+	Rebooter interface {
+		Reboot(back time.Duration, forgetful bool)
+	}
+	// InboundDropper can lose everything that is sent to it.
+	InboundDropper interface{ DropInbound(deaf bool) }
+	// OutboundBlocker can be kept from opening connections.
+	OutboundBlocker interface{ BlockOutbound(mute bool) }
+	// StateReporter tells its free capacity; ok is false while nothing can be started there.
+	StateReporter interface {
+		State() (p MachineState, ok bool)
+	}
+)
+
 // instance is a rented machine.
 type instance struct {
 	wire.ListedMachine
@@ -271,7 +291,7 @@
 	if m == nil {
 		return
 	}
-	if w, ok := m.worker.(interface{ Notice(time.Duration) }); ok && notice > 0 {
+	if w, ok := m.worker.(NoticeReceiver); ok && notice > 0 {
 		w.Notice(notice)
 	}
 	time.AfterFunc(notice, func() {
--- a/internal/simulator/liveness_test.go
+++ b/internal/simulator/liveness_test.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestUsersRules judges questions that are in vain for a while, in trouble and in quiet.
-func TestUsersRules(t *testing.T) {
+// TestLiveness checks polls without an answer for a while, with and without active faults.
+func TestLiveness(t *testing.T) {
 	for name, c := range map[string]struct {
 		over         time.Duration // since when all troubles are; below 0: never
 		vain, others time.Duration // for how long the job's questions, and those of others, are in vain
--- a/internal/simulator/network_test.go
+++ b/internal/simulator/network_test.go
@@ -11,8 +11,9 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// TestLastWords: what a process sent last arrives after its end, and some of it again.
-func TestLastWords(t *testing.T) {
+// TestHeldMessages checks that the last messages of a process arrive after its end, and some of
+// them twice.
+func TestHeldMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		n, begun, heard := NewNetwork(), time.Now(), []string{}
--- a/internal/simulator/partition.go
+++ b/internal/simulator/partition.go
@@ -12,12 +12,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Deaf starts or ends an asymmetric partition: the worker's heartbeats arrive, while answers and
-// direct calls to it are lost. Overlapping faults are counted.
-func (w *Worker) Deaf(deaf bool) {
+// DropInbound starts or ends an asymmetric partition: the worker's heartbeats arrive, while
+// answers and direct calls to it are lost. Overlapping faults are counted.
+func (w *Worker) DropInbound(drop bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if deaf {
+	if drop {
 		w.inboundFaults++
 	} else {
 		w.inboundFaults--
@@ -48,22 +48,22 @@
 	return c, nil
 }
 
-// Mute starts or ends an asymmetric partition in which the worker can reach no controller: its
-// open connections are closed, new ones lead nowhere, and direct calls still arrive. Overlapping
-// faults are counted.
-func (w *Worker) Mute(mute bool) {
+// BlockOutbound starts or ends an asymmetric partition in which the worker can reach no
+// controller: its open connections are closed, new ones lead nowhere, and direct calls still
+// arrive. Overlapping faults are counted.
+func (w *Worker) BlockOutbound(block bool) {
 	w.mu.Lock()
-	var gone []*dialedLink
-	if mute {
+	var closed []*dialedLink
+	if block {
 		w.outboundFaults++
 		for c := range w.dialed {
-			gone = append(gone, c)
+			closed = append(closed, c)
 		}
 	} else {
 		w.outboundFaults--
 	}
 	w.mu.Unlock()
-	for _, c := range gone {
+	for _, c := range closed {
 		c.Close()
 	}
 }
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -38,10 +38,10 @@
 	return out
 }
 
-// TestDeaf: a deaf machine's reports arrive, its lease runs out though they are answered, a direct
-// command does nothing and gets no answer; once it hears again it goes on. Copies of reports
-// arrive at both controllers, as old as they are.
-func TestDeaf(t *testing.T) {
+// TestInboundLoss checks a machine that receives nothing: its heartbeats arrive, its lease expires
+// although they are answered, and a direct call has no effect and gets no answer; afterwards it
+// continues. Copies of heartbeats arrive at both controllers with their original content.
+func TestInboundLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
@@ -69,7 +69,7 @@
 			t.Errorf("%d sessions lost, %v", w.ExpiredLeases(), got)
 		}
 		checkPartitioned(t, w, a, direct)
-		w.Deaf(false)
+		w.DropInbound(false)
 		time.Sleep(25 * time.Second)
 		if status, err := direct(); status != 409 || w.ExpiredLeases() > 2 { // the incarnation is another
 			t.Errorf("answered %d, %v, %d sessions lost", status, err, w.ExpiredLeases())
@@ -84,7 +84,7 @@
 // checkPartitioned has a machine receive nothing: its heartbeats reach both controllers, its lease
 // expires, and direct calls to it are lost.
 func checkPartitioned(t *testing.T, w *Worker, a *recordingController, direct func() (int, error)) {
-	w.Deaf(true)
+	w.DropInbound(true)
 	time.Sleep(15 * time.Second)
 	if status, err := direct(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a direct command was answered %d, %v", status, err)
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestMute: a mute machine's reports reach nobody, and a direct command reaches it; once it is not
-// mute any more it reports again.
-func TestMute(t *testing.T) {
+// TestOutboundBlock checks that the heartbeats of a machine whose outbound connections are blocked
+// reach nobody while direct calls reach it, and that it sends heartbeats again afterwards.
+func TestOutboundBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
@@ -138,7 +138,7 @@
 		if got := a.take()["c-0"]; len(got) < 2 {
 			t.Errorf("%d reports", len(got))
 		}
-		w.Mute(true)
+		w.BlockOutbound(true)
 		time.Sleep(15 * time.Second)
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
@@ -150,7 +150,7 @@
 		if got := a.take()["c-0"]; len(got) > 0 || w.ExpiredLeases() != 1 {
 			t.Errorf("%d reports came, %d sessions lost", len(got), w.ExpiredLeases())
 		}
-		w.Mute(false)
+		w.BlockOutbound(false)
 		time.Sleep(10 * time.Second)
 		if got := a.take()["c-0"]; len(got) < 2 {
 			t.Errorf("%d reports once it is not mute", len(got))
@@ -162,9 +162,9 @@
 	})
 }
 
-// TestForNext: copies of reports are kept while the same leader acts, however long, and come to the
-// next one as soon as it has.
-func TestForNext(t *testing.T) {
+// TestReplayToNextLeader checks that copies of heartbeats are kept while the same leader acts,
+// however long, and are delivered to the next one as soon as it acts.
+func TestReplayToNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := NewNetwork()
 		ctx, stop := context.WithCancel(t.Context())
@@ -208,10 +208,10 @@
 	})
 }
 
-// TestLater: a transaction that is put off gets no answer, and is carried out 2 to 12 s later,
-// after a newer one; one whose condition no longer holds changes nothing. One of which only the
-// answer is lost is carried out at once.
-func TestLater(t *testing.T) {
+// TestDelayedTransactions checks that a delayed transaction gets no answer and is carried out 2 to
+// 12 s later, after a newer one; that it changes nothing if its condition no longer holds; and
+// that a transaction whose answer alone is lost is carried out at once.
+func TestDelayedTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := NewNetwork(), NewStateService(1, 0)
 		ctx, stop := context.WithCancel(t.Context())
@@ -256,9 +256,9 @@
 	})
 }
 
-// TestHangEndsWithTheLease: what is on a machine that hangs is gone when its lease runs out, not
-// when it goes on.
-func TestHangEndsWithTheLease(t *testing.T) {
+// TestLeaseExpiresDuringPause checks that the tasks of a paused machine are gone when its lease
+// expires, not when it continues.
+func TestLeaseExpiresDuringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
 		check := NewChecker(time.Minute, nil)
@@ -273,7 +273,7 @@
 		w.execute([]wire.Command{{Verb: wire.Launch, Task: "wk-1/0", Attempt: 1}})
 		w.mu.Unlock()
 		time.Sleep(time.Second) // it runs
-		w.Hang(30 * time.Second)
+		w.Pause(30 * time.Second)
 		time.Sleep(17 * time.Second)
 		if check.Running("wk-1") != 1 {
 			t.Error("gone before its lease has run out")
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -204,8 +204,8 @@
 	return slices.Clone(r.partiallyStarved)
 }
 
-// Place returns the machine's state; ok is false while nothing can be started there.
-func (w *Worker) Place() (p MachineState, ok bool) {
+// State returns the machine's state; ok is false while nothing can be started there.
+func (w *Worker) State() (p MachineState, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.spec
@@ -245,8 +245,8 @@
 		on[t.Job][t.Index] = zone
 	}
 	cloud.EachRunning(func(_ wire.ListedMachine, m Machine) {
-		if w, is := m.(interface{ Place() (MachineState, bool) }); is {
-			p, ok := w.Place()
+		if w, is := m.(StateReporter); is {
+			p, ok := w.State()
 			for _, t := range p.Tasks {
 				put(t, p.Zone)
 			}
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -11,14 +11,13 @@
 
 var update = flag.Bool("update", false, "write what the traces now give")
 
-// Traces plays every kept trace in testdata: each line that does not begin
-// with # or > is a step, and the lines with > behind it are what came of it.
-// play is called for each file, and gives the function that takes its steps.
+// Traces plays every trace in testdata; play returns the function that executes one step and
+// returns its output. With -update the traces are written anew.
 func Traces(t *testing.T, play func(t *testing.T) func(step string) []string) {
 	eachTrace(t, func(t *testing.T, file string) { playTrace(t, file, play(t)) })
 }
 
-// ClockTraces plays the traces each on a fake clock of its own.
+// ClockTraces is Traces on a fake clock.
 func ClockTraces(t *testing.T, play func(t *testing.T) func(step string) []string) {
 	eachTrace(t, func(t *testing.T, file string) {
 		synctest.Test(t, func(t *testing.T) { playTrace(t, file, play(t)) })
@@ -64,7 +63,7 @@
 	}
 }
 
-// Words takes a step apart: plain words, and key=value pairs.
+// Words splits a step into its words and its key=value pairs.
 func Words(step string) (words []string, pairs map[string]string) {
 	pairs = map[string]string{}
 	for _, w := range strings.Fields(step) {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -93,10 +93,10 @@
 	w.reportSoon()
 }
 
-// Hang pauses the machine for d: it sends and answers nothing, and its tasks make no progress.
+// Pause pauses the machine for d: it sends and answers nothing, and its tasks make no progress.
 // They continue afterwards unless the lease has expired. The other members of a running gang
 // notice the pause unless it is short.
-func (w *Worker) Hang(d time.Duration) {
+func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// runtimeBench is a few machines that nobody answers, driven by the steps of a trace.
+// runtimeBench is a few machines without a controller, driven by the steps of a trace.
 type runtimeBench struct {
 	t         *testing.T
 	net       *Network
@@ -122,7 +122,7 @@
 	return append(out, b.checker.Violations()...)
 }
 
-// TestTraces plays what the protocol says of workers, clause by clause.
+// TestTraces plays the clauses of the protocol about workers.
 func TestTraces(t *testing.T) {
 	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeBench(t).step })
 }
