--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -138,11 +138,11 @@
 			}
 		}()
 	}},
-	{name: "the holder does not reach the state service", inject: func(s *faultScene) {
+	{name: "the leader does not reach the state service", inject: func(s *faultScene) {
 		i := s.leaderIndex()
 		during(25*time.Second, func(on bool) { s.net.Partition(s.ip(i), "10.2.0.1", on) })
 	}},
-	{name: "the state service's answers to the holder are lost", inject: func(s *faultScene) {
+	{name: "the state service's answers to the leader are lost", inject: func(s *faultScene) {
 		i := s.leaderIndex()
 		during(25*time.Second, func(on bool) { s.net.DropOneWay("10.2.0.1", s.ip(i), on) })
 	}},
@@ -151,8 +151,8 @@
 			during(25*time.Second, func(on bool) { s.net.Partition(s.ip(i), "10.2.0.1", on) })
 		}
 	}},
-	{name: "the holder is killed", inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
-	{name: "the holder is killed again and again", inject: func(s *faultScene) {
+	{name: "the leader is killed", inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
+	{name: "the leader is killed again and again", inject: func(s *faultScene) {
 		for range 4 {
 			s.kill(s.leaderIndex(), 2*time.Second)
 			time.Sleep(12 * time.Second)
@@ -175,28 +175,28 @@
 		s.kill(s.leaderIndex(), 30*time.Second)
 		during(8*time.Second, s.store.SetOutage)
 	}, maxRestarts: -1},
-	{name: "the holder stands still for 6 s", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 6*time.Second) }},
-	{name: "the holder stands still for longer than every lease", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 50*time.Second) }, maxRestarts: -1},
-	{name: "all controllers stand still for 10 s", inject: func(s *faultScene) {
+	{name: "the leader is paused for 6 s", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 6*time.Second) }},
+	{name: "the leader is paused for longer than every lease", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 50*time.Second) }, maxRestarts: -1},
+	{name: "all controllers are paused for 10 s", inject: func(s *faultScene) {
 		for i := range 3 {
 			s.net.Pause(s.ip(i), 10*time.Second)
 		}
 	}, maxRestarts: -1},
-	{name: "the holder is slow at each step", inject: func(s *faultScene) {
+	{name: "the leader is slow at each step", inject: func(s *faultScene) {
 		i, luck := s.leaderIndex(), rand.New(rand.NewPCG(1, 9))
 		during(30*time.Second, func(on bool) {
 			s.net.SetStepDelay(s.ip(i), map[bool]func() time.Duration{true: func() time.Duration { return time.Duration(s.draw(luck, 400)) * time.Millisecond }}[on])
 		})
 	}, maxRestarts: -1},
-	{name: "the holder does not hear the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, false) }},
-	{name: "the machines do not hear the holder", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, false, true) }},
-	{name: "the holder is cut off from the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, true) }},
+	{name: "the leader does not hear the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, false) }},
+	{name: "the machines do not hear the leader", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, false, true) }},
+	{name: "the leader is cut off from the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, true) }},
 	{name: "controllers do not hear each other", inject: func(s *faultScene) {
 		for i := range 3 {
 			during(40*time.Second, func(on bool) { s.net.Partition(s.ip(i), s.ip((i+1)%3), on) })
 		}
 	}},
-	{name: "the holder is heard by no sibling", inject: func(s *faultScene) {
+	{name: "the leader is heard by no peer", inject: func(s *faultScene) {
 		i := s.leaderIndex()
 		for k := range 3 {
 			during(40*time.Second, func(on bool) { s.net.DropOneWay(s.ip(i), s.ip(k), on) })
@@ -218,14 +218,14 @@
 	{name: "most machines hang for a while", inject: func(s *faultScene) { s.pauseFirst(4, 10*time.Second) }, maxRestarts: -1},
 	{name: "a room is cut off for 2 s", inject: func(s *faultScene) { s.cutOffZone("a", 2*time.Second) }},
 	{name: "a room is cut off for a minute", inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
-	{name: "a room is cut off with the holder in it", inject: func(s *faultScene) { s.cutOffZone("b", 40*time.Second, s.leaderIndex()) }, maxRestarts: -1},
+	{name: "a room is cut off with the leader in it", inject: func(s *faultScene) { s.cutOffZone("b", 40*time.Second, s.leaderIndex()) }, maxRestarts: -1},
 	{name: "a wave of spot machines is taken without notice", inject: func(s *faultScene) {
 		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
 	}, maxRestarts: -1},
 	{name: "a wave of spot machines is taken with notice", inject: func(s *faultScene) {
 		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 10*time.Second) })
 	}, maxRestarts: -1},
-	{name: "a room fails while spot machines are taken and jobs are folded", inject: func(s *faultScene) {
+	{name: "a room fails while spot machines are taken and jobs are compacted", inject: func(s *faultScene) {
 		s.cutOffZone("b", 30*time.Second)
 		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
 		s.kill(s.leaderIndex(), 3*time.Second)
@@ -245,9 +245,9 @@
 	{name: "rentals are carried out late and without an answer", inject: func(s *faultScene) {
 		s.setCloudFaults(20*time.Second, func(f *simulator.CloudFaults) { f.RentDelay = 8 * time.Second })
 	}},
-	{name: "the holder of one of two parts is killed", settings: shardByZone, inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
-	{name: "all controllers are killed, two parts", settings: shardByZone, inject: func(s *faultScene) { s.killAll(3 * time.Second) }},
-	{name: "a room of its own part is cut off", settings: shardByZone, inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
+	{name: "the leader of one of two shards is killed", settings: shardByZone, inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
+	{name: "all controllers are killed, two shards", settings: shardByZone, inject: func(s *faultScene) { s.killAll(3 * time.Second) }},
+	{name: "a room of its own shard is cut off", settings: shardByZone, inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
 }
 
 // shardByZone makes each zone a shard.
