--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -1,15 +1,14 @@
-// Package jobblock holds the compact form in which jobs that are over are kept
-// for ever: blocks of ids in order, each with its final stage and size.
+// Package jobblock encodes ended jobs compactly, to be kept for good: a block holds ids in
+// order, each with its final stage and size.
 //
-// A block is text in one value of the state service. Ids are written as
-// differences, sizes with the stage as their last bit, all of it deflated and
-// under a checksum: some two to three bytes a job. Blocks that follow one
-// another divide all ids among them; the order of ids is that of Key.
+// A block is stored as text in one value of the state service. Ids are written as
+// differences, and sizes with the stage as their lowest bit; all of it is deflated and has a
+// checksum. It takes two to three bytes per job. The blocks of the archive divide all ids
+// among them, in the order of SortKey.
 package jobblock
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -18,75 +17,98 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Format is the newest form of a block that is understood here.
-const Format = 1
-
-// What can be wrong with a block.
-var (
-	// ErrNewer means that a later version of amberdeal wrote it.
-	ErrNewer = errors.New("written by a newer version")
-	// ErrDamaged means that it is not what was written.
-	ErrDamaged = errors.New("damaged")
-)
-
-// Entry is a job that is over.
+// Entry is an ended job.
 type Entry struct {
 	ID    string
 	Stage wire.Stage // Done or Cancelled
 	Tasks int
 }
 
-// SortKey orders ids: by length, then by number. It is text, so that the state
-// service's order of keys is the same.
+// SortKey orders ids by length, then by number. It is text, so that the order of keys in the
+// state service is the same.
 func SortKey(id string) string {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	return fmt.Sprintf("%02d%s", len(digits), digits)
 }
 
+// Sort orders entries and removes repeated ones, in place. Of two that differ the first is
+// kept, and the id of the other is returned as conflicting: a final stage that changed is a
+// fault that must be reported.
+func Sort(entries []Entry) (sorted []Entry, conflicting []string) {
+	slices.SortStableFunc(entries, func(a, b Entry) int {
+		return cmp.Or(cmp.Compare(len(a.ID), len(b.ID)), cmp.Compare(a.ID, b.ID))
+	})
+	sorted = entries[:0]
+	for _, e := range entries {
+		n := len(sorted)
+		if n == 0 || sorted[n-1].ID != e.ID {
+			sorted = append(sorted, e)
+			continue
+		}
+		if sorted[n-1].Stage != e.Stage {
+			conflicting = append(conflicting, e.ID)
+		}
+	}
+	return sorted, conflicting
+}
+
 // Block is a decoded record.
 type Block struct {
-	From     string
+	From     string // the first key that the block covers
 	groups   []idGroup
-	outcomes []uint32 // by position: the tasks, and whether it was cancelled in the last bit
+	outcomes []outcome // by position
 }
 
-// idGroup is a run of ids of one length.
+// idGroup is a run of ids of one length. Ids that fit a number are kept as one.
 type idGroup struct {
-	width int
-	first int      // position of its first id
-	ids   []uint64 // up to maxPacked digits
+	width int      // digits of each id
+	first int      // position of its first id in the block
+	ids   []uint64 // of up to maxNumericDigits digits
 	texts []string // longer ones
 }
 
-// maxNumericDigits is how many digits surely fit a number.
-const maxNumericDigits = 18
-
 func (g *idGroup) len() int { return len(g.ids) + len(g.texts) }
 
-// Sort puts entries in order and leaves out repeated ones. The first of two
-// that differ stays; the id of the other is given back, because a final answer
-// that changed is a fault that must be seen.
-func Sort(entries []Entry) (sorted []Entry, conflicting []string) {
-	slices.SortStableFunc(entries, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(len(a.ID), len(b.ID)), cmp.Compare(a.ID, b.ID))
-	})
-	out := entries[:0]
-	for _, e := range entries {
-		if n := len(out); n > 0 && out[n-1].ID == e.ID {
-			if out[n-1].Stage != e.Stage {
-				conflicting = append(conflicting, e.ID)
-			}
-			continue
-		}
-		out = append(out, e)
+// find returns the position of an id in the group.
+func (g *idGroup) find(digits string) (position int, found bool) {
+	if g.width > maxNumericDigits {
+		return slices.BinarySearch(g.texts, digits)
+	}
+	n, err := strconv.ParseUint(digits, 10, 64)
+	if err != nil {
+		return 0, false
+	}
+	return slices.BinarySearch(g.ids, n)
+}
+
+// outcome is the number of a job's tasks, with a lowest bit that says whether it was cancelled.
+type outcome uint32
+
+// maxOutcome is the largest one that a job can have.
+const maxOutcome = wire.MaxTasks<<1 | 1
+
+// encodedOutcome is the outcome of a job as it is written.
+func encodedOutcome(e Entry) uint64 {
+	o := uint64(e.Tasks) << 1
+	if e.Stage == wire.Cancelled {
+		o |= 1
 	}
-	return out, conflicting
+	return o
 }
 
-// Len is how many jobs the block holds.
+// entry returns the job of an id with this outcome.
+func (o outcome) entry(id string) Entry {
+	e := Entry{id, wire.Done, int(o >> 1)}
+	if o&1 == 1 {
+		e.Stage = wire.Cancelled
+	}
+	return e
+}
+
+// Len returns the number of jobs in the block.
 func (b *Block) Len() int { return len(b.outcomes) }
 
-// Find looks an id up.
+// Find looks up an id.
 func (b *Block) Find(id string) (Entry, bool) {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	for i := range b.groups {
@@ -94,36 +116,22 @@
 		if g.width != len(digits) {
 			continue
 		}
-		at, found := 0, false
-		if g.width > maxNumericDigits {
-			at, found = slices.BinarySearch(g.texts, digits)
-		} else if n, err := strconv.ParseUint(digits, 10, 64); err == nil {
-			at, found = slices.BinarySearch(g.ids, n)
-		}
-		if found {
-			return b.entry(id, g.first+at), true
+		if at, found := g.find(digits); found {
+			return b.outcomes[g.first+at].entry(id), true
 		}
 	}
 	return Entry{}, false
 }
 
-func (b *Block) entry(id string, at int) Entry {
-	e := Entry{id, wire.Done, int(b.outcomes[at] >> 1)}
-	if b.outcomes[at]&1 == 1 {
-		e.Stage = wire.Cancelled
-	}
-	return e
-}
-
 // Entries lists all jobs in order.
 func (b *Block) Entries() []Entry {
 	out := make([]Entry, 0, b.Len())
 	for _, g := range b.groups {
 		for _, n := range g.ids {
-			out = append(out, b.entry(wire.JobPrefix+zeroPad(n, g.width), len(out)))
+			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+zeroPad(n, g.width)))
 		}
 		for _, text := range g.texts {
-			out = append(out, b.entry(wire.JobPrefix+text, len(out)))
+			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+text))
 		}
 	}
 	return out
