--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -13,95 +13,121 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// largeFleet is a holder with a large fleet: machines with some tasks each, and jobs that
+// largeFleet is a leader with a large fleet: machines with some tasks each, and jobs that
 // wait.
 type largeFleet struct {
 	*Leader
 	cfg        *config.Config
+	shard      string
 	view       *store.View
 	heartbeats []*wire.Heartbeat
 	now        time.Time
 	revision   uint64
+	jobCount   int
 }
 
-// newLargeFleet gives the holder of one of so many parts of a fleet.
-func newLargeFleet(tb testing.TB, machines, parts int) *largeFleet {
-	return newLargeFleetOf(tb, machines, parts, 0)
+// newLargeFleet gives the leader of one of so many shards of a fleet.
+func newLargeFleet(tb testing.TB, machines, shards int) *largeFleet {
+	return newLargeFleetOf(tb, machines, shards, 0)
 }
 
 // newLargeFleetOf gives the same with so many teams, each with an equal share of half of the fleet
 // guaranteed and three times that as its limit; 0 stands for the one team of the traces.
-func newLargeFleetOf(tb testing.TB, machines, parts, teams int) *largeFleet {
-	cfg, part := traceConfig(), "fleet"
-	team := func(int) string { return "blue" }
+func newLargeFleetOf(tb testing.TB, machines, shards, teams int) *largeFleet {
+	tb.Helper()
+	cfg, shard := largeFleetConfig(machines, shards, teams)
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	c := &largeFleet{cfg: cfg, shard: shard, view: store.NewView(log), now: time.Unix(1e9, 0)}
+	c.view.Load(nil, 0, &wire.WatchResponse{})
+	for range machines / 10 {
+		c.addJob(wire.Array, 25, teams)
+		c.addJob(wire.Service, 4, teams)
+		c.addJob(wire.Gang, 6, teams)
+	}
+	if teams > 0 && shards > 1 {
+		c.grantTeams()
+	}
+	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.5, Price: 4, SpotPrice: 1, BootS: 30, Zones: cfg.Zones}}
+	c.Leader = New(cfg, leadership.Tenure{Shard: shard, FencingToken: 3, Version: c.revision}, c.view.Snapshot(), store.ShardLedgers{Name: shard, Migrated: true}, types, c.view, c.now, log)
+	c.addMachines(machines / shards)
+	return c
+}
+
+// largeFleetConfig gives the settings of a fleet in so many shards, and the shard that is measured.
+func largeFleetConfig(machines, shards, teams int) (cfg *config.Config, shard string) {
+	cfg, shard = traceConfig(), "fleet"
 	if teams > 0 {
 		cfg.Teams = nil
 		for i := range teams {
 			share := float64(4*machines) / float64(2*teams)
 			cfg.Teams = append(cfg.Teams, config.Team{Name: fmt.Sprintf("team-%03d", i), GPUs: share, GPUsMax: max(8, 3*share)})
 		}
-		team = func(job int) string { return cfg.Teams[job%teams].Name }
 	}
-	if cfg.Zones = []string{"a", "b", "c", "d", "e"}[:max(3, parts)]; parts > 1 {
-		cfg.Tuning.Shards.By, part = fmt.Sprint(parts), cfg.Zones[0]
-		if parts < len(cfg.Zones) {
-			part = "part-0"
+	if cfg.Zones = []string{"a", "b", "c", "d", "e"}[:max(3, shards)]; shards > 1 {
+		cfg.Tuning.Shards.By, shard = fmt.Sprint(shards), cfg.Zones[0]
+		if shards < len(cfg.Zones) {
+			shard = "part-0"
 		}
 	}
 	cfg.Workers.HeartbeatInterval = 8 * time.Second
 	cfg.Store = config.Store{TxnOps: 24, ValueBytes: 16 << 10}
 	cfg.Objectives = []config.Objective{{Kind: "wait", Class: "gang", WithinS: 60}, {Kind: "finished", Class: "array", WithinS: 180}}
-	c := &largeFleet{cfg: cfg, view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil))), now: time.Unix(1e9, 0)}
-	c.view.Load(nil, 0, &wire.WatchResponse{})
-	job := func(i int, shape wire.Shape, tasks int) *wire.Job {
-		return &wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: string(map[wire.Shape]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}[shape]),
-			Shape: shape, Team: team(i), Priority: wire.Normal, Tasks: tasks, CPUs: 3, GPUs: 1, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%12), ImageGB: 4,
-			EstimateS: 60, OneZone: shape == wire.Gang, Spread: shape == wire.Service}
+	return cfg, shard
+}
+
+// put stores a value, as the watch would tell.
+func (c *largeFleet) put(key string, value any) {
+	c.revision++
+	c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: key, Value: wire.Encode(value), Version: c.revision}}})
+}
+
+// addJob stores a job, of the next shard and the next team.
+func (c *largeFleet) addJob(shape wire.Shape, tasks, teams int) {
+	n, shards := c.jobCount, c.cfg.Sharding().Shards()
+	c.jobCount++
+	team := "blue"
+	if teams > 0 {
+		team = c.cfg.Teams[n%teams].Name
 	}
-	n := 0
-	put := func(shape wire.Shape, tasks int) {
-		c.revision++
-		j := job(n, shape, tasks)
-		rec := store.JobRecord{Stage: wire.Pending, Tasks: tasks, Job: j, Created: c.now.UnixMilli()}
-		if parts > 1 {
-			names := cfg.Sharding().Shards()
-			rec.Ranges = []store.ShardRange{{From: 0, To: tasks, Shard: names[n%parts]}}
-			if shape == wire.Service { // spread
-				rec.Ranges = []store.ShardRange{{From: 0, To: tasks / 2, Shard: names[n%parts]}, {From: tasks / 2, To: tasks, Shard: names[(n+1)%parts]}}
-			}
+	class := map[wire.Shape]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}[shape]
+	j := &wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: class,
+		Shape: shape, Team: team, Priority: wire.Normal, Tasks: tasks, CPUs: 3, GPUs: 1, MemoryGB: 12, Image: fmt.Sprintf("img-%d", n%12), ImageGB: 4,
+		EstimateS: 60, OneZone: shape == wire.Gang, Spread: shape == wire.Service}
+	rec := store.JobRecord{Stage: wire.Pending, Tasks: tasks, Job: j, Created: c.now.UnixMilli()}
+	if len(shards) > 1 {
+		first, second := shards[n%len(shards)], shards[(n+1)%len(shards)]
+		rec.Ranges = []store.ShardRange{{From: 0, To: tasks, Shard: first}}
+		if shape == wire.Service { // spread
+			rec.Ranges = []store.ShardRange{{From: 0, To: tasks / 2, Shard: first}, {From: tasks / 2, To: tasks, Shard: second}}
 		}
-		n++
-		batch := store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}
-		c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: store.BatchKey(j.ID), Value: wire.Encode(batch), Version: c.revision}}})
 	}
-	for range machines / 10 {
-		put(wire.Array, 25)
-		put(wire.Service, 4)
-		put(wire.Gang, 6)
-	}
-	if teams > 0 && parts > 1 { // each part is granted its share, and one more that it has to give back
-		grants := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{}}
-		for _, t := range cfg.Teams {
-			grants.Teams[t.Name] = map[string][2]float64{}
-			for _, name := range cfg.Sharding().Shards() {
-				grants.Teams[t.Name][name] = [2]float64{0, t.GPUsMax/float64(parts) + 1}
-			}
+	c.put(store.BatchKey(j.ID), store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}})
+}
+
+// grantTeams grants each shard its share of the teams' limits, and one more that it has to give back.
+func (c *largeFleet) grantTeams() {
+	shards := c.cfg.Sharding().Shards()
+	grants := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{}}
+	for _, t := range c.cfg.Teams {
+		grants.Teams[t.Name] = map[string][2]float64{}
+		for _, name := range shards {
+			grants.Teams[t.Name][name] = [2]float64{0, t.GPUsMax/float64(len(shards)) + 1}
 		}
-		c.revision++
-		c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: store.QuotaGrantKey, Value: wire.Encode(grants), Version: c.revision}}})
 	}
-	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.5, Price: 4, SpotPrice: 1, BootS: 30, Zones: cfg.Zones}}
-	c.Leader = New(cfg, leadership.Tenure{Shard: part, FencingToken: 3, Version: c.revision}, c.view.Snapshot(), store.ShardLedgers{Name: part, Migrated: true}, types, c.view, c.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	zones := cfg.Zones
-	if parts > 1 {
-		zones = cfg.Sharding().ZonesOf(part)
+	c.put(store.QuotaGrantKey, grants)
+}
+
+// addMachines has so many machines of the shard send their first heartbeat.
+func (c *largeFleet) addMachines(n int) {
+	zones := c.cfg.Zones
+	if len(c.cfg.Sharding().Shards()) > 1 {
+		zones = c.cfg.Sharding().ZonesOf(c.shard)
 	}
-	for i := range machines / parts {
+	for i := range n {
 		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: zones[i%len(zones)], Incarnation: 1, Seq: 1, FencingToken: 3}
 		c.heartbeats = append(c.heartbeats, r)
 		c.HandleHeartbeat(c.now, r, true)
 	}
-	return c
 }
 
 // runRound decides a round, commits it, and has the machines report its launches.
