--- /dev/null
+++ b/internal/autoscale/scaler_test.go
@@ -0,0 +1,40 @@
+package autoscale
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/scheduler"
+)
+
+// TestScaler: a request that is of no more use by the time its intent is stored is dropped, and a machine is
+// returned until it is gone.
+func TestScaler(t *testing.T) {
+	s := NewScaler(10)
+	s.Stored(nil)
+	select {
+	case <-s.Woken():
+		t.Error("woken by nothing")
+	default:
+	}
+	s.Add(time.Unix(1e9, 0), "x", scheduler.ScaleOut{Count: 1})
+	s.Stored([]string{"x", "y"})
+	<-s.Woken()
+	s.Wake()
+	s.Wake() // never blocks
+	s.Drop([]string{"b", "a"})
+	if got := s.Obsolete(); !slices.Equal(got, []string{"a", "b", "y"}) {
+		t.Error(got)
+	}
+	s.Dropped("a")
+	s.Release("n-2")
+	s.Release("n-1")
+	if got := s.Releasing(); !slices.Equal(got, []string{"n-1", "n-2"}) {
+		t.Error(got)
+	}
+	s.ForgetMachine("n-1")
+	if got := s.Releasing(); !slices.Equal(got, []string{"n-2"}) || len(s.Obsolete()) != 2 {
+		t.Error(got)
+	}
+}
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -16,10 +17,8 @@
 // again, and how long before a machine is again asked to take the term or to
 // be heard, which doubles with each call in vain.
 const (
-	maxOpenCalls           = 48
-	stopResendInterval     = 3 * time.Second
-	minFencingCallInterval = time.Second
-	maxFencingCallInterval = 8 * time.Second
+	maxOpenCalls       = 48
+	stopResendInterval = 3 * time.Second
 )
 
 // callLoop sends stops and launches straight to the machines, and raises the
@@ -58,16 +57,6 @@
 	fencing       bool // only to be heard, or to raise the term
 }
 
-// callState is what the holder remembers of the direct calls to a machine.
-type callState struct {
-	startedAt     time.Time
-	digest        string
-	open          bool      // not answered yet
-	failures      int       // calls in vain since it last answered
-	firstFailedAt time.Time // when the first of these was made
-	peerFailed    bool      // the last one was left to a sibling, in vain
-}
-
 // dueCalls lists the direct calls to make now, at most so many: those with
 // commands go first, since many machines may be waiting for the term, and of
 // these the ones with the fewest tasks, where work can be placed soonest.
@@ -78,43 +67,42 @@
 	var due []*fleet.Machine
 	machines, urgent := h.machinesByUrgency()
 	for i, m := range machines {
-		if i == urgent && h.preemptions.tierSet.Configured() {
+		if i == urgent && h.preemptions.Tiers().Configured() {
 			limit -= maxOpenCalls / 8 // which is the first tier's
 		}
 		if len(out) >= limit {
 			break
 		}
-		last := h.callStates[m.ID]
-		if m.Addr == "" || m.Releasing || last.inFlight(now) {
+		last := h.monitor.Calls.Last(m.ID)
+		if m.Addr == "" || m.Releasing || last.InFlight(now) {
 			continue
 		}
 		c := directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
 		// Where calls are in vain while reports come, launches go by the answers.
-		reached := last.failures < 2 || now.Sub(last.startedAt) >= maxFencingCallInterval
+		reached := last.Failures < 2 || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
 		c.commands, c.launches = h.fleet.DirectCommands(m, valid && reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m))
 		if len(c.commands) > 0 {
-			if c.digest = fmt.Sprint(c.commands); len(c.launches) > 0 || c.digest != last.digest || now.Sub(last.startedAt) >= stopResendInterval {
+			if c.digest = fmt.Sprint(c.commands); len(c.launches) > 0 || c.digest != last.Digest || now.Sub(last.StartedAt) >= stopResendInterval {
 				out = append(out, c)
 			}
 			continue
 		}
-		if h.fencingCallDue(now, m) {
+		if h.fencing.Due(now, m) {
 			due = append(due, m)
 		}
 	}
-	probes := h.probes(now, len(due) > 0)
-	if left := max(0, min(limit-len(out), h.throttle.Window()-h.fencingCallsOpen)-len(probes)); len(due) > left {
-		sortByLoad(due)
+	probes := h.fencing.Probes(now, len(due) > 0)
+	if left := max(0, min(limit-len(out), h.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
+		reachability.SortByLoad(due)
 		due = h.unreachableZonesLast(due)[:left]
 	}
 	due = append(due, probes...)
 	for _, m := range due {
 		out = append(out, directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation), fencing: true})
 	}
-	h.fencingCallsOpen += len(due)
+	h.fencing.Started(len(due))
 	for _, c := range out {
-		last := h.callStates[c.machine]
-		h.callStates[c.machine] = callState{startedAt: now, digest: c.digest, open: true, failures: last.failures, firstFailedAt: last.firstFailedAt}
+		h.monitor.Calls.Start(now, c.machine, c.digest)
 	}
 	return out
 }
@@ -126,9 +114,9 @@
 		defer h.mu.Unlock()
 		h.fleet.CallFinished(c.launches, outcome)
 		if c.fencing {
-			h.fencingCallsOpen--
+			h.fencing.Finished()
 		}
-		h.callFinished(time.Now(), c.machine, answered)
+		h.monitor.CallFinished(time.Now(), c.machine, answered)
 	}()
 	if c.incarnation == 0 {
 		r, err := e.Workers.Inspect(ctx, c.addr)
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -4,7 +4,9 @@
 	"slices"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -20,8 +22,8 @@
 }
 
 func (h *Leader) refresh(now time.Time, snap store.Snapshot) {
-	if !h.lastReconciled.IsZero() && now.Sub(h.lastReconciled) > pauseThreshold {
-		h.lastPauseEnd = now
+	if !h.lastReconciled.IsZero() && now.Sub(h.lastReconciled) > reachability.PauseThreshold {
+		h.monitor.NotePause(now)
 	}
 	h.liveJobs, h.lastReconciled = snap.LiveJobs, now
 	h.quota.Observe(snap.QuotaGrants)
@@ -70,7 +72,7 @@
 		// holder would not know of it. A smaller round is decided instead.
 		h.sizes.TooLarge()
 		if len(d.launches) > 0 {
-			h.stalls.blocked(now, StallTooLarge, d.launches[0].Task.Job)
+			h.stalls.Blocked(now, stall.CauseTooLarge, d.launches[0].Task.Job)
 		}
 		h.log.Error("round too large", "number", d.Number, "left", left, "squeeze", h.sizes.Halvings())
 		h.discardDraft(d)
@@ -88,7 +90,7 @@
 	snapshot.LaunchBudget = h.cfg.Tuning.RoundTasks
 	h.addPreemptions(snapshot)
 	var startable *scheduler.Job
-	if h.stalls.checkDue(now) {
+	if h.stalls.CheckDue(now) {
 		startable = snapshot.FirstStartable()
 	}
 	plan := scheduler.Schedule(snapshot)
@@ -96,9 +98,9 @@
 	h.noteStarts(now, d, &plan, startable, withheld)
 	h.updateForecast(&plan, snapshot.Teams)
 	h.noteFreeCapacity(now, &plan)
-	if h.preemptions.tierSet.Configured() { // and nothing is stopped for room before the round is taken
+	if h.preemptions.Tiers().Configured() { // and nothing is stopped for room before the round is taken
 		h.startPreemptions(now, d, plan.Reclaims)
-		h.noteTierStatuses(&plan)
+		h.preemptions.SetStatuses(plan.Tiers)
 	}
 	for _, s := range plan.Stops {
 		if p := h.fleet.ActivePlacement(wire.TaskID{Job: s.Job.ID, Index: s.TaskIndex}); p != nil {
@@ -114,15 +116,15 @@
 
 // noteStarts takes in what a plan and its round start. Startable is a job that could be started
 // where nothing was for a while, kept is why launches that were planned are not in the round.
-func (h *Leader) noteStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld StallCause) {
+func (h *Leader) noteStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld stall.Cause) {
 	switch {
 	case len(d.launches) > 0: // the state service has yet to take them
 	case len(plan.Launches) > 0:
-		h.stalls.blocked(now, withheld, plan.Launches[0].Job.ID)
+		h.stalls.Blocked(now, withheld, plan.Launches[0].Job.ID)
 	case startable != nil:
-		h.stalls.blocked(now, StallPlan, startable.ID)
-	case h.stalls.checkDue(now):
-		h.stalls.idle(now)
+		h.stalls.Blocked(now, stall.CausePlan, startable.ID)
+	case h.stalls.CheckDue(now):
+		h.stalls.Idle(now)
 	}
 	h.logStall(now)
 }
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -29,8 +29,8 @@
 	dropped         []string // asks and machines whose records it drops
 	storesTypes     bool     // it stores the machine types
 	decidedAt       time.Time
-	expansions      map[string]*tier.Preemption // that get more room, by job
-	stale           map[reservationKey]bool     // records of room, and whether they are still out of date after it
+	expansions      map[string]*tier.Preemption  // that get more room, by job
+	stale           map[tier.ReservationKey]bool // records of room, and whether they are still out of date after it
 }
 
 func (h *Leader) newDraft() *Draft {
@@ -38,7 +38,7 @@
 	conditions := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
 	return &Draft{Builder: commit.NewBuilder(commit.Limits{Changes: maxChanges, Conditions: conditions}), Number: h.lastRound + 1,
 		finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{},
-		expansions: map[string]*tier.Preemption{}, stale: map[reservationKey]bool{}}
+		expansions: map[string]*tier.Preemption{}, stale: map[tier.ReservationKey]bool{}}
 }
 
 // Committed takes in that the store has taken a round.
@@ -48,7 +48,7 @@
 	h.lastRound = d.Number
 	h.conflicts.Committed()
 	if len(d.launches) > 0 {
-		h.stalls.started(d.decidedAt)
+		h.stalls.Launched(d.decidedAt)
 	}
 	h.clearedWritten = max(h.clearedWritten, d.clearedRevision)
 	h.migration.recorded = h.migration.recorded || d.migrated
@@ -77,11 +77,11 @@
 			h.machinesToDrop[id] = true
 		}
 	}
-	h.scaleOutCommitted(d)
+	h.scaleOutRequests.Stored(d.requests)
 	h.zonesCommitted(d.zones)
 	h.zoneRecoveriesCommitted(d.returns)
 	for _, name := range d.dropped {
-		delete(h.requestsToDrop, name)
+		h.scaleOutRequests.Dropped(name)
 		if !d.machines[name] {
 			delete(h.machinesToDrop, name)
 			h.ledgerTasks.update(name, nil)
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -12,7 +13,7 @@
 // and in the ledger each machine, whose record names what may be there. The
 // rest is decided again in the next round; a gang is never split. Kept says why the last one
 // that is left out is.
-func (h *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld StallCause) {
+func (h *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
 	maxTasks := max(1, h.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // tasks of a machine, so that records divide well
 	for len(launches) > 0 {
 		n := 1
@@ -34,13 +35,13 @@
 		}
 		switch {
 		case full:
-			withheld = StallMachines
+			withheld = stall.CauseMachines
 			continue
 		case !d.Fits(size):
-			withheld = StallLedger
+			withheld = stall.CauseLedger
 			continue
 		case !d.Guard(h.liveJobs[id]):
-			withheld = StallConditions
+			withheld = stall.CauseConditions
 			continue
 		}
 		d.Reserve(size)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -14,10 +14,13 @@
 	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/throttle"
+	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/internal/zonerecovery"
 	"amberdeal.example/amberdeal/wire"
@@ -31,69 +34,54 @@
 	log      *slog.Logger
 	jobIndex JobIndex
 
-	mu                    sync.Mutex
-	fleet                 *fleet.Fleet
-	types                 []wire.MachineType
-	ledger                *store.Ledger
-	timeouts              timeouts
-	lastRound             uint64
-	sizes                 commit.SizeBackoff
-	conflicts             commit.ConflictBackoff
-	stalls                stallDetector
-	lastDecided           time.Time // when a round was last decided
-	lastPauseEnd          time.Time // when the holder last went on after it had stood still
-	lastReconciled        time.Time // when the placements were last compared with the jobs
-	viewCurrentAt         time.Time // every end of a job that was in the store by then is taken in
-	attemptSequence       uint64    // of attempts and asks within the term
-	sharding              *fleet.Sharding
-	peerShards            map[string]ShardStatus // of the parts that siblings hold, as last told
-	ingestPeers           int                    // siblings that pass reports on to here
-	lastStatus            ShardStatus            // that was last told
-	lastStatusAt          time.Time
-	forecast              forecast
-	recentHandovers       map[string]recentHandovers // tasks that were lately given to other parts
-	ledgerTasks           ledgerTasks                // what the own ledger names
-	quota                 *quota.Quota
-	clearedWritten        uint64 // up to which revision the ledger says that nothing is left of ended jobs
-	shardingNumber        uint64 // of the grouping
-	previous              *reshard.Previous
-	migration             ledgerMigration
-	inferredShares        map[string]cachedRanges // shares of jobs whose records don't say them
-	jobStates             map[string]*jobState
-	scaleOutRequests      *autoscale.RequestLog
-	scaleOutWake          chan struct{}
-	requestsToDrop        map[string]bool           // asks to drop from the store
-	machinesToDrop        map[string]bool           // machine records to drop
-	machinesToRelease     map[string]bool           // machines to release
-	unstored              commit.CompletionQueue    // jobs with tasks that are done but not stored
-	liveJobs              map[string]*store.LiveJob // of the last snapshot
-	wakeLoop              chan struct{}
-	wakeCalls             chan struct{}
-	callStates            map[string]callState
-	throttle              *throttle.Limiter // of calls that can wait
-	fencingCallsOpen      int               // machines that are called now only to be heard
-	pendingFencingCalls   []*fleet.Machine  // that siblings may call, as of a time
-	pendingFencingCallsAt time.Time
-	callResults           []callResult  // of the last calls
-	lastCallAnswered      time.Time     // when a call from here was last answered
-	rebuilt               bool          // every machine is accounted for
-	rebuiltReachable      bool          // every one but those that are silent
-	zoneStates            *zone.Tracker // of zones
-	zoneObservers         map[string]zone.Observer
-	lastZoneHeartbeat     map[string]time.Time               // when a machine of each zone was last heard
-	orphans               map[string]time.Time               // and one that is of the fleet no more
-	evictedUnreachable    []eviction                         // machines that were given up for their silence
-	freeCapacity          zonerecovery.FreeCapacity          // that the last plan has left
-	idleCapacity          map[string]*scheduler.IdleCapacity // by machine
-	unreachableZones      map[string]time.Time               // zones of which hardly a machine is heard here, and since when
-	zoneRecoveries        map[string]*zonerecovery.Plan
-	unbalanced            bool                 // services are to be moved, by the last plan
-	recoveredZones        map[string]time.Time // zones of which a machine was heard again, and when
-	typesChanged          bool
-	preemptions           preemptions
-	rejectedHeartbeats    RejectedHeartbeats
-	taskCounts            map[string]TaskCount
-	taskCountsAt          time.Time
+	mu                 sync.Mutex
+	fleet              *fleet.Fleet
+	types              []wire.MachineType
+	ledger             *store.Ledger
+	timeouts           timeouts
+	lastRound          uint64
+	sizes              commit.SizeBackoff
+	conflicts          commit.ConflictBackoff
+	stalls             stall.Detector
+	lastDecided        time.Time // when a round was last decided
+	lastReconciled     time.Time // when the placements were last compared with the jobs
+	viewCurrentAt      time.Time // every end of a job that was in the store by then is taken in
+	attemptSequence    uint64    // of attempts and asks within the term
+	sharding           *fleet.Sharding
+	peerShards         map[string]ShardStatus // of the parts that siblings hold, as last told
+	ingestPeers        int                    // siblings that pass reports on to here
+	lastStatus         ShardStatus            // that was last told
+	lastStatusAt       time.Time
+	forecast           forecast
+	recentHandovers    map[string]recentHandovers // tasks that were lately given to other parts
+	ledgerTasks        ledgerTasks                // what the own ledger names
+	quota              *quota.Quota
+	clearedWritten     uint64 // up to which revision the ledger says that nothing is left of ended jobs
+	shardingNumber     uint64 // of the grouping
+	previous           *reshard.Previous
+	migration          ledgerMigration
+	inferredShares     map[string]cachedRanges // shares of jobs whose records don't say them
+	jobStates          map[string]*jobState
+	scaleOutRequests   *autoscale.Scaler
+	machinesToDrop     map[string]bool           // machine records to drop
+	unstored           commit.CompletionQueue    // jobs with tasks that are done but not stored
+	liveJobs           map[string]*store.LiveJob // of the last snapshot
+	wakeLoop           chan struct{}
+	wakeCalls          chan struct{}
+	monitor            *reachability.Monitor
+	detector           *reachability.Detector
+	fencing            *reachability.Fencing
+	throttle           *throttle.Limiter // of calls that can wait
+	rebuilt            bool              // every machine is accounted for
+	rebuiltReachable   bool              // every one but those that are silent
+	zones              *zone.Watch
+	idleCapacity       map[string]*scheduler.IdleCapacity // by machine
+	recovery           *zonerecovery.Tracker
+	typesChanged       bool
+	preemptions        *tier.Preemptions
+	rejectedHeartbeats RejectedHeartbeats
+	taskCounts         map[string]TaskCount
+	taskCountsAt       time.Time
 }
 
 // New gives the holder of a claim, from a snapshot and the part's ledgers, which are not
@@ -105,18 +93,20 @@
 		cfg: cfg, lease: lease, log: log.With("part", lease.Shard, "term", lease.FencingToken), jobIndex: jobIndex,
 		fleet:  fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
 		ledger: ledger, timeouts: timeoutsOf(cfg), types: types, lastRound: last.Round, lastDecided: now,
-		jobStates: map[string]*jobState{}, scaleOutRequests: autoscale.New(cfg.Cloud.RPS), scaleOutWake: make(chan struct{}, 1), requestsToDrop: map[string]bool{}, machinesToDrop: map[string]bool{},
-		machinesToRelease: map[string]bool{}, unstored: commit.CompletionQueue{}, stalls: stallDetector{lastProgress: now},
+		jobStates: map[string]*jobState{}, scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), machinesToDrop: map[string]bool{},
+		unstored: commit.CompletionQueue{}, stalls: stall.NewDetector(now),
 		sharding: cfg.Sharding(), recentHandovers: map[string]recentHandovers{}, shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
-		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), callStates: map[string]callState{}, throttle: throttle.New(),
-		lastZoneHeartbeat: map[string]time.Time{}, orphans: map[string]time.Time{}, recoveredZones: map[string]time.Time{}, unreachableZones: map[string]time.Time{},
+		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), throttle: throttle.New(),
 	}
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
+	h.monitor = reachability.NewMonitor(h.fleet, reachabilityTimeouts(h.timeouts, cfg))
+	h.detector = reachability.NewDetector(h.monitor, h.zoneUnreachable)
+	h.fencing = reachability.NewFencing(h.monitor)
 	h.previous = reshard.NewPrevious(h.sharding, ledgers)
 	h.startMigration(ledgers.Migrated, &last)
 	h.recoverZones(now, &last)
 	h.recoverZoneRecoveries(now, &last)
-	h.recoverPreemptions(last.Preemptions)
+	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
 	for _, id := range sortedKeys(last.Machines) { // in order, each is added at the end
 		m := last.Machines[id]
 		if h.sharding.ShardOf(m.Zone, m.Type) == lease.Shard {
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"amberdeal.example/amberdeal/internal/cloud"
+	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/worker"
 )
@@ -115,7 +116,7 @@
 				return
 			}
 			h.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
-			h.roundUnwritten(time.Now(), d, StallRefused)
+			h.roundUnwritten(time.Now(), d, stall.CauseRefused)
 			h.Discard(d)
 			if failedOn(conflict.Failed, store.LeaderKey(h.lease.Shard)) || failedOn(conflict.Failed, firstSlot) {
 				e.OnFenced()
@@ -123,7 +124,7 @@
 			return
 		default:
 			h.log.Info("round without an answer", "number", d.Number, "error", err)
-			h.roundUnwritten(time.Now(), d, StallUnanswered)
+			h.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
 			store.Backoff(ctx, 300*time.Millisecond)
 		}
 	}
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -46,7 +46,7 @@
 	}
 	for _, l := range mine {
 		if l.Stage == wire.MachineFailed {
-			h.machinesToRelease[l.ID] = true // it stays listed until it is deleted
+			h.scaleOutRequests.Release(l.ID) // it stays listed until it is deleted
 		}
 	}
 }
@@ -58,9 +58,9 @@
 		if m.Recorded {
 			h.machinesToDrop[id] = true
 		}
-		delete(h.callStates, id)
+		h.monitor.Calls.Forget(id)
 		h.fleet.RemoveMachine(id)
 		h.Wake()
 	}
-	delete(h.machinesToRelease, id)
+	h.scaleOutRequests.ForgetMachine(id)
 }
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -105,7 +105,7 @@
 	h.migration.zones = slices.DeleteFunc(h.migration.zones, h.ledger.HasZone)
 	for _, name := range h.migration.zones {
 		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // or the round says what follows
-			d.Add(zoneEntry(name, h.zoneStates.Record(name)))
+			d.Add(zoneEntry(name, h.zones.Record(name)))
 		}
 	}
 	for id := range h.migration.jobs {
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -506,9 +506,9 @@
 		c.leader.mu.Lock()
 		c.leader.fleet.CallFinished(k.launches, outcome)
 		if k.fencing {
-			c.leader.fencingCallsOpen--
+			c.leader.fencing.Finished()
 		}
-		c.leader.callFinished(m.now, k.machine, heard)
+		c.leader.monitor.CallFinished(m.now, k.machine, heard)
 		c.leader.mu.Unlock()
 	}
 }
@@ -653,7 +653,7 @@
 			for k := range m.duplicateReports {
 				add("copy", k, i)
 			}
-			if len(c.leader.machinesToRelease) > 0 && c.claim.LeaseValid(m.now) {
+			if len(c.leader.scaleOutRequests.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
 				add("release", i)
 			}
 			if c.draft == nil && c.claim.LeaseValid(m.now) {
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -58,7 +58,7 @@
 		if h == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", h.lastRound, h.rebuilt, h.rebuiltReachable, m.age(h.fleet.ElectedAt), m.age(h.viewCurrentAt), m.age(h.lastReconciled), m.age(h.lastPauseEnd), m.age(h.lastDecided), len(h.liveJobs))
+		put("%d %v %v %d %d %d %d %d %d", h.lastRound, h.rebuilt, h.rebuiltReachable, m.age(h.fleet.ElectedAt), m.age(h.viewCurrentAt), m.age(h.lastReconciled), m.age(h.monitor.PauseOver()), m.age(h.lastDecided), len(h.liveJobs))
 		for _, x := range h.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
 			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
@@ -70,14 +70,14 @@
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
 				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.age(p.PlacedAt))
 			}
-			last := h.callStates[x.ID]
-			put("%d %v %d %s", m.age(last.startedAt), last.open, last.failures, last.digest)
+			last := h.monitor.Calls.Last(x.ID)
+			put("%d %v %d %s", m.age(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
 		for _, id := range sortedKeys(h.jobStates) {
 			j := h.jobStates[id]
 			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
 		}
-		put("%v", sortedKeys(h.machinesToRelease))
+		put("%v", h.scaleOutRequests.Releasing())
 		if c.draft != nil {
 			left(c.draft.Txn)
 		}
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -33,13 +33,13 @@
 // preemptionsNow tells what the holder is claiming back.
 func (b *traceDriver) preemptionsNow() []string {
 	out := []string{}
-	for _, job := range sortedKeys(b.leader.preemptions.byJob) {
-		for _, r := range b.leader.preemptions.byJob[job].Reservations {
+	for _, job := range b.leader.preemptions.Jobs() {
+		for _, r := range b.leader.preemptions.For(job).Reservations {
 			out = append(out, fmt.Sprintf("for %d of %s (%s) on %s in %v: stops %v, awaits %v", r.Tasks, job, r.Tier, r.Machine,
 				time.UnixMilli(r.Deadline).Sub(b.now), sortedKeys(r.Stops), sortedKeys(r.Awaits)))
 		}
 	}
-	for _, s := range b.leader.preemptions.statuses {
+	for _, s := range b.leader.preemptions.Statuses() {
 		if s.Share > 0 {
 			out = append(out, fmt.Sprintf("%v of %v cards in use, %v lent, %d tasks wait", s.Cards, s.Share, s.Lent, s.Waiting))
 		}
@@ -156,9 +156,9 @@
 			}
 			w.leader.fleet.CallFinished(c.launches, fleet.Executed)
 			if c.fencing {
-				w.leader.fencingCallsOpen--
+				w.leader.fencing.Finished()
 			}
-			w.leader.callFinished(w.now, c.machine, true)
+			w.leader.monitor.CallFinished(w.now, c.machine, true)
 		}
 	}
 	if crash != "" {
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -188,6 +188,6 @@
 		return
 	}
 	m.Releasing = true
-	h.machinesToRelease[m.ID] = true
+	h.scaleOutRequests.Release(m.ID)
 	h.log.Info("releasing", "machine", m.ID, "why", why)
 }
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -9,20 +9,31 @@
 	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/cloud"
 	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What is asked of the cloud: rentals, whose intents a round writes before they are
-// sent, and the return of machines.
+// Scaling out and in. A round writes the intent of a scale-out request before the request is sent.
 
-// requestScaleOut takes the intents of rentals that a plan wants into a round.
+const (
+	// scaleOutPoll is how often requests are looked for that may be sent by the passage of time, such
+	// as one whose offer was left alone.
+	scaleOutPoll = 300 * time.Millisecond
+	// scaleInPoll is the time between two calls that return machines: those that are released
+	// meanwhile share a call, of which the cloud takes few.
+	scaleInPoll = 300 * time.Millisecond
+	// scaleInRetry is the time before a call without an answer is repeated.
+	scaleInRetry = time.Second
+)
+
+// requestScaleOut adds the intents of scale-out requests that a plan wants to a round.
 func (h *Leader) requestScaleOut(now time.Time, d *Draft, rents []scheduler.ScaleOut) {
 	for _, r := range h.scaleOutRequests.Admit(now, rents) {
 		name := fmt.Sprintf("t%d-%d", h.lease.FencingToken, h.attemptSequence+1)
 		if !d.Add(store.ScaleOutEntry(name, scaleOutRecord(r))) {
 			if len(d.requests) == 0 && len(d.launches) == 0 {
-				h.stalls.blocked(now, StallScaleOut, "")
+				h.stalls.Blocked(now, stall.CauseScaleOut, "")
 			}
 			break
 		}
@@ -36,35 +47,15 @@
 	return store.ScaleOutRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// scaleOutCommitted takes in that the intents of a round are stored. Those whose offer has refused
-// others meanwhile are never sent.
-func (h *Leader) scaleOutCommitted(d *Draft) {
-	for _, name := range d.requests {
-		if !h.scaleOutRequests.MarkStored(name) {
-			h.requestsToDrop[name] = true
-		}
-	}
-	if len(d.requests) > 0 {
-		h.wakeScaleOutLoop()
-	}
-}
-
-func (h *Leader) wakeScaleOutLoop() {
-	select {
-	case h.scaleOutWake <- struct{}{}:
-	default:
-	}
-}
-
-// scaleOutLoop sends the rentals whose intents are stored. Which one is chosen only when the
-// cloud takes the next call.
+// scaleOutLoop sends the requests whose intents are stored. Which one is next is decided when the cloud takes
+// the next call, not before: waiting for a turn may take seconds.
 func (h *Leader) scaleOutLoop(ctx context.Context, e Dependencies) error {
 	for ctx.Err() == nil {
 		if h.nextScaleOut(time.Now()) == nil || !e.LeaseValid() {
-			t := time.NewTimer(300 * time.Millisecond)
+			t := time.NewTimer(scaleOutPoll)
 			select {
 			case <-ctx.Done():
-			case <-h.scaleOutWake:
+			case <-h.scaleOutRequests.Woken():
 			case <-t.C:
 			}
 			t.Stop()
@@ -80,12 +71,14 @@
 	return nil
 }
 
+// nextScaleOut returns the request to send next, or nil.
 func (h *Leader) nextScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.scaleOutRequests.Next(now)
 }
 
+// takeScaleOut returns the request to send now, or nil, and records that it is being sent.
 func (h *Leader) takeScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,8 +89,8 @@
 	return a
 }
 
-// sendScaleOut sends a request, which is repeated until the cloud has decided; its name makes
-// sure that it is carried out once.
+// sendScaleOut sends a request. It is repeated until the cloud has decided; its name makes sure that it is
+// carried out only once.
 func (h *Leader) sendScaleOut(ctx context.Context, e Dependencies, name string, r scheduler.ScaleOut) {
 	names, err := e.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
 	if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
@@ -110,6 +103,7 @@
 	h.scaleOutRequests.MarkUnanswered(name)
 }
 
+// scaledOut records how many machines a request got.
 func (h *Leader) scaledOut(now time.Time, name string, names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -122,15 +116,12 @@
 	}
 	over := h.scaleOutRequests.Complete(now, name, len(names))
 	h.log.Info("rented", "ask", name, "type", a.Type, "zone", a.Zone, "spot", a.Spot, "wanted", a.Count, "got", len(names), "unsent", len(over)-1)
-	for _, name := range over {
-		h.requestsToDrop[name] = true
-	}
-	h.wakeScaleOutLoop()
+	h.scaleOutRequests.Drop(over)
+	h.scaleOutRequests.Wake()
 	h.Wake()
 }
 
-// scaleInLoop returns the machines that are given up, again until the cloud has
-// taken it.
+// scaleInLoop returns released machines to the cloud, and repeats that until the cloud has acknowledged it.
 func (h *Leader) scaleInLoop(ctx context.Context, e Dependencies) error {
 	for ctx.Err() == nil {
 		if names := h.pendingReleases(); len(names) > 0 && e.LeaseValid() {
@@ -138,22 +129,23 @@
 				h.scaledIn(names)
 			} else {
 				h.log.Debug("release without an answer", "machines", names, "error", err)
-				store.Backoff(ctx, time.Second)
+				store.Backoff(ctx, scaleInRetry)
 			}
 		}
-		store.Backoff(ctx, 300*time.Millisecond)
+		store.Backoff(ctx, scaleInPoll)
 	}
 	return nil
 }
 
+// pendingReleases lists machines to return, as many as one call takes.
 func (h *Leader) pendingReleases() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	names := sortedKeys(h.machinesToRelease)
+	names := h.scaleOutRequests.Releasing()
 	return names[:min(len(names), wire.MaxRelease)]
 }
 
-// scaledIn takes in that the cloud has taken machines back.
+// scaledIn records that the cloud has taken machines back.
 func (h *Leader) scaledIn(names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -47,7 +47,7 @@
 	}
 	h.noteWaiting(now, snapshot, jobs)
 	for _, a := range h.scaleOutRequests.Pending() {
-		if !h.zoneStates.Record(a.Zone).AcceptsScaleOut(now) {
+		if !h.zones.Record(a.Zone).AcceptsScaleOut(now) {
 			continue // nobody knows when it could be reached
 		}
 		for range a.Count {
@@ -55,7 +55,7 @@
 				Booting: true, Free: capacityOf(h.machineType(a.Type))})
 		}
 	}
-	if !h.rebuiltReachable || h.refillingZone() {
+	if !h.rebuiltReachable || h.recovery.Refilling() {
 		snapshot.IdleTimeout = time.Hour
 	}
 	for _, id := range sortedKeys(jobs) {
@@ -172,7 +172,7 @@
 	s.Usable = serves && heard && m.SeenAtToken
 	// One that has just come up is usable once it has reported at the term: as
 	// good as booting, or another would be rented in its stead.
-	s.Booting = serves && !s.Usable && (heard || !m.Up && !m.Recorded && h.zoneStates.Record(m.Zone).AcceptsScaleOut(now))
+	s.Booting = serves && !s.Usable && (heard || !m.Up && !m.Recorded && h.zones.Record(m.Zone).AcceptsScaleOut(now))
 	busy := false
 	for _, p := range m.Placements() {
 		if !p.Active() {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/tier"
 )
@@ -26,7 +27,7 @@
 }
 
 // ZoneHealth counts the machines of a zone that should be heard, and those that are overdue.
-type ZoneHealth struct{ Up, Quiet int }
+type ZoneHealth = reachability.ZoneHealth
 
 // Status gives the part's status, no older than the counts. Its maps are shared and
 // never changed.
@@ -37,7 +38,7 @@
 	if h.lastStatus.Counts != nil && now.Sub(h.lastStatusAt) < statusInterval {
 		return h.lastStatus
 	}
-	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.quota.Forecast().Demands), Used: resourcePairs(h.teamUsage()), Stays: h.quota.Forecast().Services, Zones: h.zoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
+	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.quota.Forecast().Demands), Used: resourcePairs(h.teamUsage()), Stays: h.quota.Forecast().Services, Zones: h.monitor.ZoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
 	s.Tiers = h.tierStatuses()
 	if h.rebuiltReachable {
 		s.Rooms = h.forecast.freeCapacity
@@ -56,6 +57,19 @@
 	defer h.mu.Unlock()
 	h.peerShards, h.ingestPeers = shards, ingestPeers
 	h.quota.SetPeers(quotaPeers(shards))
+	h.detector.SetPeers(peerZones(shards))
+}
+
+// peerZones adds up the health of zones as the leaders of other shards see it.
+func peerZones(shards map[string]ShardStatus) map[string]reachability.ZoneHealth {
+	zones := make(map[string]reachability.ZoneHealth)
+	for _, s := range shards {
+		for name, r := range s.Zones {
+			sum := zones[name]
+			zones[name] = reachability.ZoneHealth{Up: sum.Up + r.Up, Quiet: sum.Quiet + r.Quiet}
+		}
+	}
+	return zones
 }
 
 // Rebuilt reports whether all machines have been accounted for under this term.
@@ -65,40 +79,6 @@
 	return h.rebuilt
 }
 
-// zoneHealth counts by zone the machines that should be heard and those that are overdue.
-func (h *Leader) zoneHealth(now time.Time) map[string]ZoneHealth {
-	out := make(map[string]ZoneHealth)
-	for _, m := range h.fleet.Machines() {
-		if (m.Up || m.Recorded) && !m.Releasing {
-			r := out[m.Zone]
-			r.Up++
-			if h.heartbeatAge(now, m) > h.timeouts.suspectAfter || h.unreachable(now, m) {
-				r.Quiet++
-			}
-			out[m.Zone] = r
-		}
-	}
-	return out
-}
-
-// unreachableAlone reports whether hardly any machine of this part is heard, by siblings either,
-// while those of other parts are: its zones are dark, not the way to this controller.
-func (h *Leader) unreachableAlone(now time.Time) bool {
-	if h.ingestPeers == 0 || len(h.peerShards) == 0 {
-		return false
-	}
-	up, quiet, otherUp, otherQuiet := 0, 0, 0, 0
-	for _, r := range h.zoneHealth(now) {
-		up, quiet = up+r.Up, quiet+r.Quiet
-	}
-	for _, o := range h.peerShards {
-		for _, r := range o.Zones {
-			otherUp, otherQuiet = otherUp+r.Up, otherQuiet+r.Quiet
-		}
-	}
-	return up >= minMachinesToJudge && quiet*10 >= up*9 && otherUp >= minMachinesToJudge && otherQuiet*3 <= otherUp
-}
-
 // TaskCount is how many tasks of a job run and are done, for display.
 type TaskCount struct{ Running, Done int }
 
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -340,7 +340,7 @@
 		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
 	case "calls": // to machines, one after the other, all of which have the same end
 		for _, id := range w[2:] {
-			b.leader.noteCallResult(b.now, id, w[1] == "answered")
+			b.leader.monitor.NoteCallResult(b.now, id, w[1] == "answered")
 		}
 	case "unreached": // whether hardly any call gets through to machines that are heard
 		return []string{fmt.Sprint(b.leader.CallsFailing(b.now))}
@@ -455,10 +455,10 @@
 			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if c.fencing {
-			b.leader.fencingCallsOpen--
+			b.leader.fencing.Finished()
 		}
 		silent := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines behind the fate are silent
-		b.leader.callFinished(b.now, c.machine, !silent)
+		b.leader.monitor.CallFinished(b.now, c.machine, !silent)
 	}
 	return out
 }
@@ -580,8 +580,8 @@
 			t.Errorf("reports each %v: %+v", every, got)
 		}
 		b := newTraceDriver(t)
+		b.cfg.Workers.HeartbeatInterval = every
 		b.step("claim term=2")
-		b.leader.timeouts = got
 		b.step("report n-1 1/1 term=2")
 		b.now = b.now.Add(latest)
 		b.leader.Decide(b.now, b.view.Snapshot())
@@ -595,9 +595,9 @@
 		for _, other := range []string{"n-2", "n-3", "n-4"} {
 			b.step("report " + other + " 1/1 term=2")
 		}
-		b.leader.callFinished(b.now, "n-2", true)
-		b.leader.callStates["n-1"] = callState{startedAt: b.now}
-		b.leader.callFinished(b.now, "n-1", false)
+		b.leader.monitor.CallFinished(b.now, "n-2", true)
+		b.leader.monitor.Calls.Start(b.now, "n-1", "")
+		b.leader.monitor.CallFinished(b.now, "n-1", false)
 		if b.leader.Decide(b.now, b.view.Snapshot()); !b.leader.fleet.Machine("n-1").Releasing {
 			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.unreachableAfter)
 		}
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -1,11 +1,11 @@
 package leader
 
 import (
-	"maps"
 	"slices"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -13,18 +13,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What becomes of the machines of a zone that is cut off, and how it comes back into use.
+// What becomes of the machines of a zone that is cut off, and how the zone comes back into use.
 
-// recoverZoneRecoveries goes on with the returns that the ledger tells of. Those of earlier groupings
-// are written to it by the next round.
+// recoverZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
+// it by the next round.
 func (h *Leader) recoverZoneRecoveries(now time.Time, last *store.RecoveredState) {
-	h.zoneRecoveries = make(map[string]*zonerecovery.Plan)
+	h.recovery = zonerecovery.NewTracker()
 	take := func(name string, r store.ZoneRecoveryRecord) {
-		since := time.UnixMilli(r.Since)
-		if since.After(now) {
-			since = now // of another clock
-		}
-		h.zoneRecoveries[name] = &zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: since, Work: r.Work}
+		h.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
 		h.log.Info("return of a zone recalled", "zone", name, "step", r.Step, "number", r.Number)
 	}
 	if !h.migration.recorded {
@@ -39,13 +35,13 @@
 	}
 }
 
-// decideZoneRecoveries takes into a round what follows in the return of each zone, by the zones'
-// records as the store has them. Two of them are two plans, in the order of their names.
+// decideZoneRecoveries adds the next step of each zone's recovery to a round, by the stored records of the zones.
+// Several zones have a plan each, in the order of their names.
 func (h *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
-	records := h.zoneStates.Records()
+	records := h.zones.Records()
 	d.returns = make(map[string]*zonerecovery.Plan)
 	for _, name := range sortedKeys(records) {
-		p := h.zoneRecoveries[name]
+		p := h.recovery.Plan(name)
 		if p == nil && records[name].State != zone.Unreachable || !h.ownsZone(name) {
 			continue
 		}
@@ -63,27 +59,25 @@
 	return store.ZoneRecoveryEntry(name, store.ZoneRecoveryRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
 }
 
-// zoneRecoveriesCommitted takes in what the store has taken: only now does it count.
+// zoneRecoveriesCommitted applies the steps of a round that the store has taken: only now do they count.
 func (h *Leader) zoneRecoveriesCommitted(returns map[string]*zonerecovery.Plan) {
 	for _, name := range sortedKeys(returns) {
 		p := returns[name]
 		if p == nil {
 			h.log.Info("return of a zone is over", "zone", name)
-			delete(h.zoneRecoveries, name)
-			continue
+		} else {
+			h.log.Info("return of a zone", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
 		}
-		h.log.Info("return of a zone", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
-		h.zoneRecoveries[name] = p
+		h.recovery.Commit(name, p)
 	}
 }
 
-// observeZone gathers what the return of a zone is judged by.
+// observeZone collects what the next step of a zone's recovery is decided by.
 func (h *Leader) observeZone(now time.Time, name string, records map[string]zone.Record) zonerecovery.Observation {
 	r := records[name]
-	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: h.freeCapacity.HasQueued, Unbalanced: h.unbalanced, SettleTime: h.timeouts.unreachableAfter, IdleTimeout: h.cfg.Tuning.Idle}
+	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: h.recovery.FreeCapacity.HasQueued, Unbalanced: h.recovery.Unbalanced, SettleTime: h.timeouts.unreachableAfter, IdleTimeout: h.cfg.Tuning.Idle}
 	for other, o := range records {
-		behind := h.zoneRecoveries[other] != nil && (h.zoneRecoveries[other].Step != zonerecovery.StepSpread || other < name)
-		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && behind
+		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && h.recovery.Before(other, name)
 	}
 	for _, t := range h.types {
 		if slices.Contains(t.Zones, name) {
@@ -103,78 +97,56 @@
 	return s
 }
 
-// maxMovingReplicas is how many replicas may be away at once for the sake of spreading.
+// maxMovingReplicas is how many replicas of services may be moved at once to spread them: each is missing until it
+// runs elsewhere.
 const maxMovingReplicas = 4
 
-// allowedMoves tells how many replicas may be away: none while a zone is in question, or has not
-// come to that step of its return.
+// allowedMoves returns how many replicas may be moved at once: none while a zone is suspected or unreachable,
+// or has not come to the spreading step of its recovery.
 func (h *Leader) allowedMoves() int {
-	for _, r := range h.zoneStates.Records() {
+	for _, r := range h.zones.Records() {
 		if r.State != zone.Up && r.State != zone.Recovering {
 			return 0
 		}
 	}
-	for _, p := range h.zoneRecoveries {
-		if p.Step != zonerecovery.StepSpread {
-			return 0
-		}
-	}
-	if !h.rebuiltReachable {
+	if !h.recovery.OnlySpreading() || !h.rebuiltReachable {
 		return 0
 	}
 	return maxMovingReplicas
 }
 
-// refillingZone reports whether work is still away from a zone to which it comes back: what was
-// rented elsewhere for it is not given back before.
-func (h *Leader) refillingZone() bool {
-	for _, p := range h.zoneRecoveries {
-		if p.Step == zonerecovery.StepRefill {
-			return true
-		}
-	}
-	return false
-}
-
-// ZoneRecoveries tells how far the return of each zone has come.
+// ZoneRecoveries describes how far the recovery of each zone has come.
 func (h *Leader) ZoneRecoveries() map[string]string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]string, len(h.zoneRecoveries))
-	for name, p := range h.zoneRecoveries {
-		out[name] = p.String()
-	}
-	return out
+	return h.recovery.Progress()
 }
 
-// noteFreeCapacity takes in what a plan leaves for the work of machines that are out of reach. What is
-// being given up will take some of it.
+// noteFreeCapacity records the capacity that a plan leaves for the work of unreachable machines. The work of machines
+// that are being released takes part of it.
 func (h *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
-	h.unbalanced = plan.SpreadViolated
-	zones := h.zoneHealth(now)
-	for name, r := range zones {
-		if _, is := h.unreachableZones[name]; !is && r.mostlyMissing() {
-			h.unreachableZones[name] = now
-		}
+	missing := make(map[string]bool)
+	for name, r := range h.monitor.ZoneHealth(now) {
+		missing[name] = hushed(r)
 	}
-	maps.DeleteFunc(h.unreachableZones, func(name string, _ time.Time) bool { return !zones[name].mostlyMissing() })
-	h.freeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
+	h.zones.SetMissing(now, missing)
+	h.recovery.Unbalanced = plan.SpreadViolated
+	h.recovery.FreeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
 	for _, m := range h.fleet.Machines() {
 		if m.Releasing {
 			takes, _ := h.nonProductionDemand(m)
-			h.freeCapacity.Reserve(takes)
-			h.freeCapacity.ScaleOuts--
+			h.recovery.FreeCapacity.Reserve(takes)
+			h.recovery.FreeCapacity.ScaleOuts--
 		}
 	}
 }
 
-// mostlyMissing reports whether hardly a machine is heard.
-func (r ZoneHealth) mostlyMissing() bool { return r.Up >= minMachinesToJudge && r.Quiet*2 > r.Up }
+// hushed reports whether heartbeats of more than half of a zone's machines are overdue.
+func hushed(r ZoneHealth) bool { return r.Up >= reachability.MinMachinesToJudge && r.Quiet*2 > r.Up }
 
-// keepsLostMachine reports whether a machine that is lost is kept, since its zone is cut off or has come
-// back just now.
+// keepsLostMachine reports whether a lost machine is retained because its zone is cut off or has just recovered.
 func (h *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
-	since, cutOff := h.zoneCutOff(now, m.Zone)
+	since, cutOff := h.zones.CutOff(now, m.Zone, h.timeouts.unreachableAfter)
 	if !cutOff {
 		return false
 	}
@@ -185,26 +157,12 @@
 			gb += l.Record.Job.ImageGB
 		}
 	}
-	return h.freeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return h.canMoveElsewhere(now, m) },
+	return h.recovery.FreeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return h.canMoveElsewhere(now, m) },
 		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(h.machineType(m.Type), gb)})
 }
 
-// zoneCutOff tells since when a zone is cut off, if it is or may be, or was until just now: its
-// machines are all heard, or called in vain, a while after. Before several controllers have
-// judged, or this one can, what it hears itself is enough to keep them.
-func (h *Leader) zoneCutOff(now time.Time, name string) (since time.Time, cutOff bool) {
-	switch r := h.zoneStates.Record(name); {
-	case r.State == zone.Unreachable, r.State == zone.Suspected:
-		return r.Since, true
-	case r.State == zone.Recovering && now.Sub(r.Since) < h.timeouts.unreachableAfter:
-		return now, true
-	}
-	since, cutOff = h.unreachableZones[name]
-	return since, cutOff
-}
-
-// nonProductionDemand sums what the tasks on a machine take but for those of production, and tells
-// whether there are such.
+// nonProductionDemand sums the demand of the tasks on a machine other than those of production, and reports whether
+// there are such.
 func (h *Leader) nonProductionDemand(m *fleet.Machine) (sum scheduler.Resources, production bool) {
 	for _, p := range m.Placements() {
 		l := h.liveJobs[p.Task.Job]
@@ -219,8 +177,8 @@
 	return sum, production
 }
 
-// canMoveElsewhere reports whether machines in other zones can be had for all that is on one, here
-// or by another part: the cloud has not refused them when it was last asked.
+// canMoveElsewhere reports whether machines in other zones can be requested for all tasks on a machine, by this
+// shard or another: the cloud did not refuse when it was last asked.
 func (h *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
 	for _, p := range m.Placements() {
 		if l := h.liveJobs[p.Task.Job]; l != nil && p.Active() && !h.canScaleOutFor(now, l.Record.Job) {
@@ -233,7 +191,7 @@
 func (h *Leader) canScaleOutFor(now time.Time, j *wire.Job) bool {
 	for _, t := range h.shardMachineTypes() {
 		for _, zone := range t.Zones {
-			if !h.zoneStates.Record(zone).AcceptsScaleOut(now) || !capacityOf(t).Fits(scheduler.ResourcesOf(j)) {
+			if !h.zones.Record(zone).AcceptsScaleOut(now) || !capacityOf(t).Fits(scheduler.ResourcesOf(j)) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
@@ -252,29 +210,21 @@
 	return false
 }
 
-// noteHeartbeat takes in that a machine is heard again: calls that were in vain meanwhile say nothing
-// of the next one. The first of a zone that was cut off says so of all of them.
+// noteHeartbeat records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
+// the next one. The first such heartbeat from a zone that was cut off does so for all its machines.
 func (h *Leader) noteHeartbeat(now time.Time, machine string) {
 	m := h.fleet.Machine(machine)
-	if m == nil || !h.unreachable(now, m) {
+	if m == nil || !h.monitor.Unreachable(now, m) {
 		return
 	}
-	h.forgetFailedCalls(m)
-	if _, cutOff := h.zoneCutOff(now, m.Zone); !cutOff || now.Sub(h.recoveredZones[m.Zone]) < maxFencingCallInterval {
+	h.monitor.Calls.ForgetFailures(m.ID)
+	if _, cutOff := h.zones.CutOff(now, m.Zone, h.timeouts.unreachableAfter); !cutOff || !h.zones.Wake(now, m.Zone, reachability.MaxFencingInterval) {
 		return
 	}
-	h.recoveredZones[m.Zone] = now
 	for _, o := range h.fleet.Machines() {
-		if o.Zone == m.Zone && h.unreachable(now, o) {
-			h.forgetFailedCalls(o)
+		if o.Zone == m.Zone && h.monitor.Unreachable(now, o) {
+			h.monitor.Calls.ForgetFailures(o.ID)
 		}
 	}
 	h.log.Info("a zone is heard again", "zone", m.Zone, "machine", machine)
 }
-
-// forgetFailedCalls forgets the calls to a machine that were in vain.
-func (h *Leader) forgetFailedCalls(m *fleet.Machine) {
-	if c := h.callStates[m.ID]; !c.open && c.failures > 0 {
-		delete(h.callStates, m.ID)
-	}
-}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -11,25 +11,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The state of the zones of this part: the evidence for it, its records in the part's
-// ledger, and what is rented in one that is dark.
+// The state of this shard's zones: the evidence for it, its records in the shard's ledger, and which
+// machines are requested in a zone that is unreachable.
 
-// SetObservers takes in what siblings whose beats come in see of each zone's machines.
+// SetObservers records what peers whose heartbeats arrive observe of each zone's machines.
 func (h *Leader) SetObservers(w map[string]zone.Observer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.zoneObservers = w
+	h.zones.SetObservers(w)
 }
 
-// ZoneRecords gives the state of each zone that ever was in question, by the store.
+// ZoneRecords returns the stored record of each zone that was ever suspected.
 func (h *Leader) ZoneRecords() map[string]zone.Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.zoneStates.Records()
+	return h.zones.Records()
 }
 
-// recoverZones goes on from the states that the ledger tells. Those of earlier groupings are
-// yet to be written to it.
+// recoverZones continues from the records in the ledger. Those of earlier shardings, which are newer
+// than the ledger's own, are yet to be written to it.
 func (h *Leader) recoverZones(now time.Time, last *store.RecoveredState) {
 	if !h.migration.recorded {
 		for name, r := range h.previous.Zones {
@@ -45,72 +45,64 @@
 		records[name] = zone.Record{State: zone.State(r.State), Number: r.Number, Since: time.UnixMilli(r.Since), Outages: r.Outages}
 		h.log.Info("zone recalled", "zone", name, "state", r.State, "number", r.Number, "falls", r.Outages)
 	}
-	h.zoneStates = zone.New(now, records)
+	h.zones = zone.NewWatch(now, records)
 }
 
 func zoneEntry(name string, r zone.Record) store.Entry {
 	return store.ZoneEntry(name, store.ZoneRecord{State: string(r.State), Number: r.Number, Since: r.Since.UnixMilli(), Outages: r.Outages})
 }
 
-// ownsZone reports whether this part has machines in a zone.
+// ownsZone reports whether this shard may have machines in a zone.
 func (h *Leader) ownsZone(name string) bool {
 	return h.sharding.IsSingle() || slices.ContainsFunc(h.types, func(t wire.MachineType) bool {
 		return slices.Contains(t.Zones, name) && h.sharding.ShardOf(name, t.Name) == h.lease.Shard
 	})
 }
 
-// decideZones takes into a round what becomes of the zones.
+// decideZones adds the changes of zone states that are due to a round.
 func (h *Leader) decideZones(now time.Time, d *Draft) {
-	for _, c := range h.zoneStates.Next(now, h.zoneEvidence(now)) {
+	for _, c := range h.zones.Next(now, h.zoneEvidence(now)) {
 		if h.ownsZone(c.Zone) && d.Add(zoneEntry(c.Zone, c.Record)) {
 			d.zones = append(d.zones, c)
 		}
 	}
 }
 
-// zonesCommitted takes in what the store has taken: only now does it count.
+// zonesCommitted applies the changes of a round that the store has taken: only now do they count.
 func (h *Leader) zonesCommitted(changes []zone.Change) {
-	h.zoneStates.Commit(changes)
+	h.zones.Commit(changes)
 	for _, c := range changes {
 		h.log.Info("zone", "zone", c.Zone, "state", string(c.Record.State), "was", string(c.Previous), "number", c.Record.Number, "falls", c.Record.Outages, "evidence", c.Reason)
-		if c.Record.State == zone.Recovering { // what the cloud refused there was before
+		if c.Record.State == zone.Recovering { // refusals from before the outage no longer count
 			h.scaleOutRequests.ZoneRecovered(c.Zone)
 		}
 	}
 }
 
-// noteZoneHeartbeat notes that a machine was heard. One that was given up or is not known any more
-// tells of its zone all the same.
+// noteZoneHeartbeat records a heartbeat from a zone. It shows that the zone can be reached even if its machine is
+// being released or is no longer known.
 func (h *Leader) noteZoneHeartbeat(now time.Time, r *wire.Heartbeat) {
-	h.lastZoneHeartbeat[r.Zone] = now
-	if m := h.fleet.Machine(r.Machine); m == nil || m.Releasing {
-		h.orphans[r.Zone] = now
-	}
+	m := h.fleet.Machine(r.Machine)
+	h.zones.NoteHeartbeat(now, r.Zone, m == nil || m.Releasing)
 }
 
-// zoneEvidence gathers what there is to judge the zones by. What other parts' holders say of
-// their machines counts as heard here only if siblings pass reports on to this controller.
+// zoneEvidence combines what this leader observes of zones with what its peers do. What leaders of other
+// shards observe of their machines counts as observed here only if peers forward heartbeats to this
+// controller.
 func (h *Leader) zoneEvidence(now time.Time) *zone.Evidence {
-	e := &zone.Evidence{Own: zone.Observer{Zone: h.cfg.Zone, Observations: map[string]zone.Observation{}}, LastHeartbeat: h.lastZoneHeartbeat, Peers: h.zoneObservers, Controllers: len(h.cfg.Peers) + 1,
-		CannotJudge: now.Sub(h.fleet.ElectedAt) < h.timeouts.unreachableAfter || now.Sub(h.lastPauseEnd) < pauseGrace}
-	add := func(name string, s zone.Observation) {
-		sum := e.Own.Observations[name]
-		sum.Heard, sum.Quiet, sum.Lost = sum.Heard+s.Heard, sum.Quiet+s.Quiet, sum.Lost+s.Lost
-		e.Own.Observations[name] = sum
+	own := zone.Observer{Zone: h.cfg.Zone, Observations: map[string]zone.Observation{}}
+	add := func(name string, o zone.Observation) {
+		sum := own.Observations[name]
+		sum.Heard, sum.Quiet, sum.Lost = sum.Heard+o.Heard, sum.Quiet+o.Quiet, sum.Lost+o.Lost
+		own.Observations[name] = sum
 	}
-	for name, r := range h.zoneHealth(now) {
+	for name, r := range h.monitor.ZoneHealth(now) {
 		add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
 	}
-	for _, s := range h.evictedUnreachable {
-		if now.Sub(s.at) <= h.cfg.Workers.Lease {
-			add(s.zone, zone.Observation{Lost: 1})
-		}
-	}
-	for name, at := range h.orphans {
-		if now.Sub(at) < h.timeouts.suspectAfter {
-			add(name, zone.Observation{Heard: 1})
-		}
+	for name, n := range h.detector.RecentEvictions(now) {
+		add(name, zone.Observation{Lost: n})
 	}
+	h.zones.AddOrphans(now, h.timeouts.suspectAfter, own.Observations)
 	if h.ingestPeers > 0 {
 		for _, o := range h.peerShards {
 			for name, r := range o.Zones {
@@ -118,20 +110,18 @@
 			}
 		}
 	}
-	return e
+	return h.zones.Evidence(own, h.monitor.CannotJudge(now), len(h.cfg.Peers)+1)
 }
 
-// zoneUnreachable reports whether a zone is, by the store.
-func (h *Leader) zoneUnreachable(name string) bool {
-	return h.zoneStates.Record(name).State == zone.Unreachable
-}
+// zoneUnreachable reports whether a zone is unreachable by its record.
+func (h *Leader) zoneUnreachable(name string) bool { return h.zones.Unreachable(name) }
 
-// unreachableZonesLast puts machines of dark zones behind all others: calls there are in vain, and each
-// takes a while to be so.
+// unreachableZonesLast puts machines of unreachable zones behind all others: calls there fail, and each takes a
+// while to do so.
 func (h *Leader) unreachableZonesLast(machines []*fleet.Machine) []*fleet.Machine {
 	var out, last []*fleet.Machine
 	for _, m := range machines {
-		if h.zoneUnreachable(m.Zone) {
+		if h.zones.Unreachable(m.Zone) {
 			last = append(last, m)
 		} else {
 			out = append(out, m)
@@ -140,11 +130,11 @@
 	return append(out, last...)
 }
 
-// refuseClosedZones refuses the offers of zones that are not open, but for what probes ask for.
+// refuseClosedZones keeps the scheduler from scaling out in zones that don't accept it. Probes are added later.
 func (h *Leader) refuseClosedZones(now time.Time, pic *scheduler.Snapshot) {
 	for _, t := range h.types {
 		for _, name := range t.Zones {
-			if !h.zoneStates.Record(name).AcceptsScaleOut(now) {
+			if !h.zones.Record(name).AcceptsScaleOut(now) {
 				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name}] = true
 				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
 			}
@@ -152,19 +142,20 @@
 	}
 }
 
-// maxZoneProbes is how many machines that nobody has heard yet a probed zone may have.
+// maxZoneProbes is how many machines that have not sent a heartbeat yet a probed zone may have: a probe may
+// boot slowly, but if several don't come up, the zone does not work.
 const maxZoneProbes = 3
 
-// withZoneProbes adds to what a plan wants to rent a machine in each zone that is to be
-// probed, of what is wanted anyway: where nothing is, nobody needs the zone.
+// withZoneProbes adds to the scale-out of a plan one machine in each zone that is to be probed. Only what
+// the plan needs anyway is requested: without demand, it does not matter whether the zone works.
 func (h *Leader) withZoneProbes(now time.Time, pic *scheduler.Snapshot, plan *scheduler.Plan) []scheduler.ScaleOut {
 	rents := plan.ScaleOuts
-	for _, name := range sortedKeys(h.zoneStates.Records()) {
-		if !h.zoneStates.ProbeDue(now, name) || !h.ownsZone(name) || !h.mayProbeZone(name) {
+	for _, name := range sortedKeys(h.zones.Records()) {
+		if !h.zones.ProbeDue(now, name) || !h.ownsZone(name) || !h.mayProbeZone(name) {
 			continue
 		}
 		if o, ok := h.zoneProbeOffer(name, pic, plan); ok {
-			h.zoneStates.MarkProbed(now, name)
+			h.zones.MarkProbed(now, name)
 			rents = append(rents, scheduler.ScaleOut{Offer: o, Count: 1})
 			h.log.Info("zone probed", "zone", name, "type", o.Type, "spot", o.Spot)
 		}
@@ -172,8 +163,8 @@
 	return rents
 }
 
-// mayProbeZone reports whether nothing is asked of a zone now, and few of its machines that
-// were rented have not been heard yet.
+// mayProbeZone reports whether no request for a zone is open, and few of its new machines have yet to send
+// a heartbeat.
 func (h *Leader) mayProbeZone(name string) bool {
 	for _, a := range h.scaleOutRequests.Pending() {
 		if a.Zone == name {
@@ -189,90 +180,64 @@
 	return coming < maxZoneProbes
 }
 
-// zoneProbeOffer picks what to ask a zone for: what most is rented of elsewhere, or what suits
-// the job with the most tasks that found no room.
+// zoneProbeOffer picks what to request in a zone that is probed: the type of which most is requested
+// elsewhere, or one that fits the job with the most tasks that could not be placed.
 func (h *Leader) zoneProbeOffer(name string, pic *scheduler.Snapshot, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
-	has := func(typ string) bool {
-		return slices.Contains(h.machineType(typ).Zones, name) && h.sharding.ShardOf(name, typ) == h.lease.Shard
-	}
-	most := 0
-	for _, r := range plan.ScaleOuts {
-		if r.Count > most && has(r.Type) {
-			best, most = scheduler.Offer{Type: r.Type, Zone: name, Spot: r.Spot}, r.Count
-		}
-	}
-	if most > 0 {
+	if best, ok = h.mostRequested(name, plan); ok {
 		return best, true
 	}
 	placed := make(map[*scheduler.Job]int)
 	for _, l := range plan.Launches {
 		placed[l.Job]++
 	}
+	most := 0
 	for _, j := range pic.Jobs {
 		left := len(j.Waiting) - placed[j]
 		if left <= most || j.Zone != "" && j.Zone != name {
 			continue
 		}
-		for _, t := range h.types {
-			if has(t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && capacityOf(t).Fits(scheduler.ResourcesOf(j.Job)) {
-				best, most = scheduler.Offer{Type: t.Name, Zone: name, Spot: j.Spot}, left
-				break
-			}
+		if typ, found := h.typeFor(name, j); found {
+			best, most = scheduler.Offer{Type: typ, Zone: name, Spot: j.Spot}, left
 		}
 	}
 	return best, most > 0
 }
 
-// suspectedZoneInterval is the time between two rounds of calls that siblings are asked to make where a
-// zone is in doubt, and doubtCalls how many machines there each of them calls.
-const (
-	suspectedZoneInterval = 250 * time.Millisecond
-	suspectedZoneCalls    = 2
-)
-
-// callsToSuspectedZones picks machines of a zone in doubt, and one of another zone that is heard: what a
-// sibling can't reach says something only where it can reach others.
-func (h *Leader) callsToSuspectedZones(now time.Time) (out []*fleet.Machine) {
-	if now.Sub(h.pendingFencingCallsAt) < suspectedZoneInterval {
-		return nil
-	}
-	left, heard := map[string]int{}, (*fleet.Machine)(nil)
-	for name, r := range h.zoneStates.Records() {
-		if r.State == zone.Suspected {
-			left[name] = suspectedZoneCalls
+// mostRequested returns the offer of a zone for the type of which a plan requests most elsewhere.
+func (h *Leader) mostRequested(name string, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
+	most := 0
+	for _, r := range plan.ScaleOuts {
+		if r.Count > most && h.offersType(name, r.Type) {
+			best, most = scheduler.Offer{Type: r.Type, Zone: name, Spot: r.Spot}, r.Count
 		}
 	}
-	if len(left) == 0 {
-		return nil
-	}
-	h.pendingFencingCallsAt = now
-	for _, m := range h.fleet.Machines() {
-		last := h.callStates[m.ID]
-		if m.Addr == "" || m.Releasing || last.inFlight(now) || now.Sub(last.startedAt) < minFencingCallInterval {
-			continue
-		}
-		if _, is := left[m.Zone]; !is && heard == nil && h.heartbeatAge(now, m) < h.timeouts.launchWithin {
-			heard = m
-		} else if left[m.Zone] > 0 && h.heartbeatAge(now, m) > h.timeouts.suspectAfter {
-			left[m.Zone]--
-			out = append(out, m)
+	return best, most > 0
+}
+
+// typeFor returns the first machine type of a zone that fits a job.
+func (h *Leader) typeFor(name string, j *scheduler.Job) (typ string, found bool) {
+	for _, t := range h.types {
+		if h.offersType(name, t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && capacityOf(t).Fits(scheduler.ResourcesOf(j.Job)) {
+			return t.Name, true
 		}
 	}
-	if heard != nil && len(out) > 0 {
-		out = append(out, heard)
-	}
-	return out
+	return "", false
+}
+
+// offersType reports whether a zone has machines of a type that belong to this shard.
+func (h *Leader) offersType(name, typ string) bool {
+	return slices.Contains(h.machineType(typ).Zones, name) && h.sharding.ShardOf(name, typ) == h.lease.Shard
 }
 
-// noteResumed notes that this holder goes on as usual: every machine is accounted for but those
-// that are silent, or in a zone that is dark. What may be on one of these is in its
-// record, which no launch was said without, and holds back those tasks alone.
+// noteResumed records that the leader has rebuilt the state of all reachable machines. What may run on an
+// unreachable machine is in its record, which was stored before any launch there, and holds back
+// just those tasks.
 func (h *Leader) noteResumed(now time.Time, unproven []*fleet.Machine) {
 	if h.rebuiltReachable || len(unproven) > 0 && now.Sub(h.fleet.ElectedAt) < maxRebuildWait {
 		return
 	}
 	for _, m := range unproven {
-		if !h.zoneUnreachable(m.Zone) && !h.unreachable(now, m) && h.fleet.ReceivesCommands(now, m) {
+		if !h.zones.Unreachable(m.Zone) && !h.monitor.Unreachable(now, m) && h.fleet.ReceivesCommands(now, m) {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/reachability/calls.go
@@ -0,0 +1,117 @@
+package reachability
+
+import "time"
+
+const (
+	// callTimeout is after how long a call without a result counts as lost, such as one that
+	// was left to a peer which has gone since.
+	callTimeout = 10 * time.Second
+	// answeredMaxAge is for how long an answered call shows that calls from here get through. It
+	// exceeds probeInterval, so that one probe may go missing.
+	answeredMaxAge = 5 * time.Second
+	// callResultMaxAge is for how long a result counts for Failing.
+	callResultMaxAge = 8 * time.Second
+	// minCallResults is how many results Failing needs: fewer may be the fault of single machines.
+	minCallResults = 16
+	// maxCallResults bounds the results that are kept.
+	maxCallResults = 64
+)
+
+// Call is the last direct call to a machine.
+type Call struct {
+	StartedAt time.Time
+	Digest    string // of its commands, to tell whether the next ones are the same
+	Open      bool   // there is no result yet
+	Failures  int    // failed calls since the last one that was answered
+
+	firstFailed time.Time // when the first of these was made
+	peerFailed  bool      // the last call was made by a peer and failed
+}
+
+// InFlight reports whether the result of a call is still to come.
+func (c Call) InFlight(now time.Time) bool { return c.Open && now.Sub(c.StartedAt) < callTimeout }
+
+type callResult struct {
+	at       time.Time
+	answered bool
+}
+
+// CallLog keeps the last direct call to each machine and the latest results.
+type CallLog struct {
+	last         map[string]Call
+	results      []callResult
+	lastAnswered time.Time // when a call from here was last answered
+}
+
+func newCallLog() *CallLog { return &CallLog{last: make(map[string]Call)} }
+
+// Last returns the last call to a machine, or the zero Call if there was none.
+func (l *CallLog) Last(machine string) Call { return l.last[machine] }
+
+// Start records that a call is being made.
+func (l *CallLog) Start(now time.Time, machine, digest string) {
+	last := l.last[machine]
+	l.last[machine] = Call{StartedAt: now, Digest: digest, Open: true, Failures: last.Failures, firstFailed: last.firstFailed}
+}
+
+// finish records the result of a call from here.
+func (l *CallLog) finish(now time.Time, machine string, answered bool) {
+	last := l.last[machine]
+	last.Open = false
+	if last.Failures++; last.Failures == 1 {
+		last.firstFailed = last.StartedAt
+	}
+	if answered {
+		last.Failures, l.lastAnswered = 0, now
+	}
+	l.last[machine] = last
+}
+
+// finishPeer records the result of a call that a peer made. It reports false if the machine has
+// been forgotten since.
+func (l *CallLog) finishPeer(machine string, answered bool) bool {
+	last, known := l.last[machine]
+	if !known {
+		return false
+	}
+	last.Open, last.peerFailed = false, !answered
+	if answered {
+		last.Failures = 0
+	}
+	l.last[machine] = last
+	return true
+}
+
+// Forget drops what is known of calls to a machine that is gone.
+func (l *CallLog) Forget(machine string) { delete(l.last, machine) }
+
+// ForgetFailures drops the failed calls to a machine that is connected again: they tell nothing of
+// the next call.
+func (l *CallLog) ForgetFailures(machine string) {
+	if c := l.last[machine]; !c.Open && c.Failures > 0 {
+		delete(l.last, machine)
+	}
+}
+
+func (l *CallLog) noteResult(now time.Time, answered bool) {
+	if l.results = append(l.results, callResult{now, answered}); len(l.results) > maxCallResults {
+		l.results = l.results[1:]
+	}
+}
+
+// Failing reports whether hardly any call from here is answered by machines that send heartbeats
+// (by way of peers): the network between this controller and the machines is cut. Launches then
+// wait for heartbeats, and so do stops.
+func (l *CallLog) Failing(now time.Time) bool {
+	recent, failed := 0, 0
+	for _, r := range l.results {
+		if now.Sub(r.at) >= callResultMaxAge {
+			continue
+		}
+		recent++
+		if !r.answered {
+			failed++
+		}
+	}
+	return recent >= minCallResults && failed*4 >= recent*3
+}
--- /dev/null
+++ b/internal/reachability/detector.go
@@ -0,0 +1,206 @@
+package reachability
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+)
+
+const (
+	// partitionShare is the part of machines (one in so many) that may be missing before the leader is
+	// assumed to be partitioned. Machines rarely fail together, networks often do.
+	partitionShare = 3
+	// MinMachinesToJudge is how many machines must be concerned before a whole zone or shard is
+	// judged by them: fewer may fail by coincidence.
+	MinMachinesToJudge = 4
+)
+
+// Detector decides whether missing heartbeats mean failed machines or a failed network.
+// A leader that misses heartbeats from more than a third of its machines, the worst zone aside, is
+// assumed to be partitioned itself, and must not evict anything.
+type Detector struct {
+	monitor         *Monitor
+	evicted         []eviction // machines that were lately evicted as unreachable
+	peers           map[string]ZoneHealth
+	zoneUnreachable func(zone string) bool // by the stored states of the zones
+}
+
+// eviction is a machine that was evicted because its heartbeats were missing.
+type eviction struct {
+	at   time.Time
+	zone string
+}
+
+// NewDetector returns a detector. zoneUnreachable tells which zones are known to be unreachable.
+func NewDetector(m *Monitor, zoneUnreachable func(zone string) bool) *Detector {
+	return &Detector{monitor: m, zoneUnreachable: zoneUnreachable}
+}
+
+// SetPeers records the health of zones as leaders of other shards see it. What the leader of a
+// single zone can't tell apart, all of them together can.
+func (d *Detector) SetPeers(zones map[string]ZoneHealth) { d.peers = zones }
+
+// NoteEviction records that a machine was evicted because its heartbeats were missing.
+func (d *Detector) NoteEviction(now time.Time, zone string) {
+	d.evicted = slices.DeleteFunc(d.evicted, func(e eviction) bool { return !d.counts(now, e) })
+	d.evicted = append(d.evicted, eviction{now, zone})
+}
+
+// counts reports whether tasks of an evicted machine may still be running.
+func (d *Detector) counts(now time.Time, e eviction) bool {
+	return now.Sub(e.at) <= d.monitor.timeouts.Lease
+}
+
+// RecentEvictions counts by zone the machines that were evicted for missing heartbeats and whose
+// leases may not be over.
+func (d *Detector) RecentEvictions(now time.Time) map[string]int {
+	out := make(map[string]int)
+	for _, e := range d.evicted {
+		if d.counts(now, e) {
+			out[e.zone]++
+		}
+	}
+	return out
+}
+
+// Partitioned reports whether the leader, rather than its machines, is likely to be cut off.
+func (d *Detector) Partitioned(now time.Time) bool {
+	expected, missing := d.healthSummary(now)
+	return missing*partitionShare > expected
+}
+
+// PartitionedAlone is like Partitioned, but ignores what peers say of other shards.
+func (d *Detector) PartitionedAlone(now time.Time) bool {
+	alone := *d
+	alone.peers = nil
+	return alone.Partitioned(now)
+}
+
+// UnreachableMachines counts the machines that are unreachable by the fault of the network rather than their
+// own; it is 0 unless the leader seems to be partitioned.
+func (d *Detector) UnreachableMachines(now time.Time) int {
+	if !d.PartitionedAlone(now) {
+		return 0
+	}
+	n := 0
+	for _, x := range d.monitor.fleet.Machines() {
+		if (x.Up || x.Recorded) && d.monitor.Unreachable(now, x) {
+			n++
+		}
+	}
+	return n
+}
+
+// healthSummary counts machines in all zones but the worst one and those known to be unavailable.
+// One zone that is cut off whole says nothing of the leader's own links, and its tasks are lost
+// anyway. The last zone is never left out.
+func (d *Detector) healthSummary(now time.Time) (expected, missing int) {
+	zones := d.zoneTotals(now)
+	names := slices.Sorted(maps.Keys(zones))
+	worst := worstZone(zones, names)
+	for _, name := range names {
+		if (name == worst || d.zoneUnreachable(name)) && len(zones) > 1 {
+			delete(zones, name)
+			continue
+		}
+		expected += zones[name].Up
+		missing += zones[name].Quiet
+	}
+	return expected, missing
+}
+
+// zoneTotals adds up the machines of this leader, those of its peers, and those that were lately evicted.
+// Evicted machines count as missing until their leases are over: when many disappear, it is
+// more likely that a network failed than that they all did, and their tasks go on meanwhile.
+func (d *Detector) zoneTotals(now time.Time) map[string]ZoneHealth {
+	totals := make(map[string]ZoneHealth)
+	add := func(zone string, up, quiet int) {
+		t := totals[zone]
+		totals[zone] = ZoneHealth{t.Up + up, t.Quiet + quiet}
+	}
+	for zone, n := range d.RecentEvictions(now) {
+		add(zone, n, n)
+	}
+	for zone, h := range d.monitor.ZoneHealth(now) {
+		add(zone, h.Up, h.Quiet)
+	}
+	for zone, h := range d.peers {
+		add(zone, h.Up, h.Quiet)
+	}
+	return totals
+}
+
+// worstZone returns the zone with the most missing machines, the first by name of several.
+func worstZone(zones map[string]ZoneHealth, names []string) string {
+	worst := ""
+	for _, name := range names {
+		if worst == "" || zones[name].Quiet > zones[worst].Quiet {
+			worst = name
+		}
+	}
+	return worst
+}
+
+// ShardAloneUnreachable reports whether hardly any machine of this shard sends heartbeats while most of
+// other shards do: the zones of this shard are cut off, not this controller.
+func (d *Detector) ShardAloneUnreachable(now time.Time) bool {
+	own, others := total(d.monitor.ZoneHealth(now)), total(d.peers)
+	ownMissing := own.Up >= MinMachinesToJudge && own.Quiet*10 >= own.Up*9
+	othersHealthy := others.Up >= MinMachinesToJudge && others.Quiet*partitionShare <= others.Up
+	return ownMissing && othersHealthy
+}
+
+func total(zones map[string]ZoneHealth) (t ZoneHealth) {
+	for _, h := range zones {
+		t.Up += h.Up
+		t.Quiet += h.Quiet
+	}
+	return t
+}
+
+// OneWay returns machines that send heartbeats and take nothing they are told, and on which an earlier
+// leader may have launched tasks: those are not proven gone for as long as the heartbeats are
+// answered, though the leases that the earlier leader gave are over. If more than a third of the
+// machines, the worst zone aside, are like that, a network has failed that will recover, and none
+// is returned.
+func (d *Detector) OneWay(now time.Time) map[*fleet.Machine]bool {
+	if now.Sub(d.monitor.fleet.ElectedAt) < d.monitor.timeouts.Unreachable+d.monitor.timeouts.Lease {
+		return nil
+	}
+	machines, byZone, worst := make(map[*fleet.Machine]bool), make(map[string]int), ""
+	for _, x := range d.monitor.fleet.UnprovenMachines() {
+		if !d.oneWay(now, x) {
+			continue
+		}
+		machines[x] = true
+		if byZone[x.Zone]++; worst == "" || byZone[x.Zone] > byZone[worst] {
+			worst = x.Zone
+		}
+	}
+	if len(machines) == 0 {
+		return nil
+	}
+	up := make(map[string]int)
+	for _, x := range d.monitor.fleet.Machines() {
+		if x.Up {
+			up[x.Zone]++
+		}
+	}
+	expected, oneWay := 0, 0
+	for zone, n := range up {
+		if zone != worst || len(up) == 1 {
+			expected, oneWay = expected+n, oneWay+byZone[zone]
+		}
+	}
+	if oneWay*partitionShare > expected {
+		return nil
+	}
+	return machines
+}
+
+func (d *Detector) oneWay(now time.Time, x *fleet.Machine) bool {
+	return !d.monitor.fleet.ReceivesCommands(now, x) && d.monitor.Calls.Last(x.ID).Failures >= certainFailures &&
+		d.monitor.HeartbeatAge(now, x) < d.monitor.timeouts.Unreachable
+}
--- /dev/null
+++ b/internal/reachability/fencing.go
@@ -0,0 +1,181 @@
+package reachability
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+)
+
+const (
+	// MinFencingInterval is the time between two fencing calls to a machine. It doubles with
+	// each that fails, up to MaxFencingInterval, so that machines which are gone don't take the
+	// calls that others need.
+	MinFencingInterval = time.Second
+	// MaxFencingInterval bounds the time between two fencing calls to a machine.
+	MaxFencingInterval = 8 * time.Second
+	// scanInterval is the time between two scans of the fleet for machines that peers may call.
+	// Peers ask several times a second, and a scan of thousands of machines is not free.
+	scanInterval = 250 * time.Millisecond
+	// suspectedCalls is how many machines of a suspected zone each peer calls: two, so that one
+	// machine that is gone decides nothing.
+	suspectedCalls = 2
+	// probeInterval is the time between two probes, which is shorter than answeredMaxAge.
+	probeInterval = 2 * time.Second
+	// maxProbes is how many machines are probed at once: enough that one loss decides nothing.
+	maxProbes = 3
+)
+
+// FencingCall is a call to a machine that carries no commands: it brings the leader's fencing token
+// and fetches a heartbeat. Any controller can make it for the leader. Controllers send it to each
+// other: the names of its fields are part of the protocol.
+type FencingCall struct {
+	Machine, Addr string
+	Zone          string
+	Term, Session uint64
+}
+
+// Fencing schedules the fencing calls to machines.
+type Fencing struct {
+	monitor *Monitor
+	open    int              // calls from here without a result
+	pending []*fleet.Machine // that peers may call
+	scanned time.Time        // when they were picked
+}
+
+// NewFencing returns a schedule of calls to the machines of a monitor.
+func NewFencing(m *Monitor) *Fencing { return &Fencing{monitor: m} }
+
+// Open is how many calls from here have no result yet.
+func (f *Fencing) Open() int { return f.open }
+
+// Started records calls that are made from here.
+func (f *Fencing) Started(n int) { f.open += n }
+
+// Finished records that a call from here has its result.
+func (f *Fencing) Finished() { f.open-- }
+
+// Due reports whether a machine is to be called: it has not been seen at the leader's token, its
+// heartbeat is overdue, or it seems not to take what it is told.
+func (f *Fencing) Due(now time.Time, x *fleet.Machine) bool {
+	last := f.monitor.Calls.Last(x.ID)
+	if x.Addr == "" || !expected(x) || last.InFlight(now) {
+		return false
+	}
+	if x.SeenAtToken && f.monitor.HeartbeatAge(now, x) < f.monitor.timeouts.Suspect && f.monitor.fleet.ReceivesCommands(now, x) {
+		return false
+	}
+	return now.Sub(last.StartedAt) >= min(MaxFencingInterval, MinFencingInterval<<min(last.Failures, 4))
+}
+
+// SortByLoad puts the machines with the fewest tasks first, where work can be placed soonest.
+func SortByLoad(machines []*fleet.Machine) {
+	slices.SortStableFunc(machines, func(a, b *fleet.Machine) int {
+		return cmp.Compare(len(a.Placements()), len(b.Placements()))
+	})
+}
+
+// Probes picks machines that are certainly connected, to find out whether calls from here are
+// answered while other machines are missing. Heartbeats also come by way of peers: where the
+// network from here to the machines is cut, or a peer that received a quarter of the heartbeats
+// has failed, machines look lost which are not.
+func (f *Fencing) Probes(now time.Time, someMissing bool) []*fleet.Machine {
+	if !someMissing || now.Sub(f.monitor.Calls.lastAnswered) < probeInterval {
+		return nil
+	}
+	var out []*fleet.Machine
+	for _, x := range f.monitor.fleet.Machines() {
+		if !f.mayProbe(now, x) {
+			continue
+		}
+		if out = append(out, x); len(out) == maxProbes {
+			break
+		}
+	}
+	return out
+}
+
+func (f *Fencing) mayProbe(now time.Time, x *fleet.Machine) bool {
+	if !x.SeenAtToken || x.Addr == "" || x.Releasing {
+		return false
+	}
+	last := f.monitor.Calls.Last(x.ID)
+	return !last.InFlight(now) && now.Sub(last.StartedAt) >= probeInterval && f.monitor.HeartbeatAge(now, x) < probeInterval
+}
+
+// Rebuild returns calls that a peer can make while the leader rebuilds the state of its fleet, at
+// most limit of them: a failover with thousands of machines takes as long as the calls do. Zones
+// for which skip is true are left out.
+func (f *Fencing) Rebuild(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
+	if now.Sub(f.scanned) > scanInterval {
+		f.scanned, f.pending = now, nil
+		for _, x := range f.monitor.fleet.Machines() {
+			// The leader itself calls a machine that a peer could not reach: the link between
+			// those two says nothing of the machine.
+			if !x.SeenAtToken && !f.monitor.Calls.Last(x.ID).peerFailed && !skip(x.Zone) && f.Due(now, x) {
+				f.pending = append(f.pending, x)
+			}
+		}
+		SortByLoad(f.pending)
+	}
+	return f.take(now, limit, func(x *fleet.Machine) bool { return !x.SeenAtToken && f.Due(now, x) })
+}
+
+// Suspected returns calls that a peer can make to machines of suspected zones, for what their
+// results tell of the zones.
+func (f *Fencing) Suspected(now time.Time, limit int, zones []string) []FencingCall {
+	f.pending = f.inSuspectedZones(now, zones)
+	return f.take(now, limit, func(*fleet.Machine) bool { return true })
+}
+
+// inSuspectedZones picks missing machines of suspected zones, and one of another zone that is
+// connected: that a peer can't reach a zone counts only if it can reach others.
+func (f *Fencing) inSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
+	if now.Sub(f.scanned) < scanInterval || len(zones) == 0 {
+		return nil
+	}
+	f.scanned = now
+	left := make(map[string]int, len(zones))
+	for _, zone := range zones {
+		left[zone] = suspectedCalls
+	}
+	var connected *fleet.Machine
+	for _, x := range f.monitor.fleet.Machines() {
+		last := f.monitor.Calls.Last(x.ID)
+		if x.Addr == "" || x.Releasing || last.InFlight(now) || now.Sub(last.StartedAt) < MinFencingInterval {
+			continue
+		}
+		if _, suspected := left[x.Zone]; !suspected && connected == nil && f.monitor.Fresh(now, x) {
+			connected = x
+		} else if left[x.Zone] > 0 && f.monitor.Suspected(now, x) {
+			left[x.Zone]--
+			out = append(out, x)
+		}
+	}
+	if connected != nil && len(out) > 0 {
+		out = append(out, connected)
+	}
+	return out
+}
+
+// take starts pending calls, as far as they are still wanted.
+func (f *Fencing) take(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
+	var out []FencingCall
+	for len(f.pending) > 0 && len(out) < limit {
+		x := f.pending[0]
+		f.pending = f.pending[1:]
+		if !wanted(x) {
+			continue
+		}
+		f.monitor.Calls.Start(now, x.ID, f.monitor.Calls.Last(x.ID).Digest)
+		out = append(out, FencingCall{x.ID, x.Addr, x.Zone, f.monitor.fleet.FencingToken, cmp.Or(x.Incarnation, x.RecordedIncarnation)})
+	}
+	return out
+}
+
+// PeerFinished records the result of a call that a peer made. It reports false if the machine is
+// gone since.
+func (f *Fencing) PeerFinished(machine string, answered bool) bool {
+	return f.monitor.Calls.finishPeer(machine, answered)
+}
--- /dev/null
+++ b/internal/reachability/reachability_test.go
@@ -0,0 +1,328 @@
+package reachability
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/wire"
+)
+
+var testTimeouts = Timeouts{Fresh: 3 * time.Second, Suspect: 4 * time.Second, Unreachable: 8 * time.Second, Lease: 20 * time.Second}
+
+const testToken = 3
+
+// scene is a fleet under a new leader, whose machines send heartbeats as told.
+type scene struct {
+	t       *testing.T
+	now     time.Time
+	fleet   *fleet.Fleet
+	monitor *Monitor
+	seq     uint64
+}
+
+func newScene(t *testing.T) *scene {
+	at := time.Unix(1e9, 0)
+	f := fleet.New(testToken, at, testTimeouts.Lease, 0, time.Minute)
+	return &scene{t: t, now: at, fleet: f, monitor: NewMonitor(f, testTimeouts)}
+}
+
+func name(zone string, i int) string { return fmt.Sprintf("%s-%02d", zone, i) }
+
+// heartbeat has machines from up to (but not including) to of a zone send a heartbeat.
+func (s *scene) heartbeat(zone string, from, to int) {
+	for i := from; i < to; i++ {
+		s.seq++
+		s.fleet.ApplyHeartbeat(s.now, &wire.Heartbeat{Machine: name(zone, i), Addr: "10.0.0.1:9000", Type: "g4", Zone: zone, Incarnation: 1, Seq: s.seq, FencingToken: testToken}, true)
+	}
+}
+
+func (s *scene) wait(d time.Duration) { s.now = s.now.Add(d) }
+
+// detector returns one that knows some zones to be unreachable.
+func (s *scene) detector(unreachable ...string) *Detector {
+	return NewDetector(s.monitor, func(zone string) bool {
+		for _, u := range unreachable {
+			if u == zone {
+				return true
+			}
+		}
+		return false
+	})
+}
+
+// TestPartitioned: the worst zone and the unreachable ones are left out; peers and lately evicted
+// machines count.
+func TestPartitioned(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		missing     map[string]int // of twelve machines in each of the zones a, b and c
+		evicted     int            // machines of c
+		peers       map[string]ZoneHealth
+		unreachable []string
+		want        bool
+		alone       bool
+	}{
+		{name: "all are connected"},
+		{name: "one zone is missing", missing: map[string]int{"a": 12}},
+		{name: "two zones are", missing: map[string]int{"a": 12, "b": 12}, want: true, alone: true},
+		{name: "two, one of which is known to be unreachable", missing: map[string]int{"a": 12, "b": 12}, unreachable: []string{"b"}},
+		{name: "a third of the rest", missing: map[string]int{"a": 12, "b": 8}},
+		{name: "and one more", missing: map[string]int{"a": 12, "b": 9}, want: true, alone: true},
+		{name: "one more was evicted", missing: map[string]int{"a": 12, "b": 8}, evicted: 1, want: true, alone: true},
+		{name: "peers receive theirs", missing: map[string]int{"a": 12, "b": 12}, peers: map[string]ZoneHealth{"d": {Up: 24}}, alone: true},
+		{name: "peers don't either", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newScene(t)
+			for _, zone := range []string{"a", "b", "c"} {
+				s.heartbeat(zone, 0, 12)
+			}
+			s.wait(testTimeouts.Unreachable + time.Second)
+			for _, zone := range []string{"a", "b", "c"} {
+				s.heartbeat(zone, c.missing[zone], 12)
+			}
+			d := s.detector(c.unreachable...)
+			for range c.evicted {
+				d.NoteEviction(s.now, "c")
+			}
+			d.SetPeers(c.peers)
+			if got := d.Partitioned(s.now); got != c.want {
+				t.Errorf("with peers: %v", got)
+			}
+			if got := d.PartitionedAlone(s.now); got != c.alone {
+				t.Errorf("alone: %v", got)
+			}
+			want := 0
+			if c.alone {
+				want = c.missing["a"] + c.missing["b"]
+			}
+			if got := d.UnreachableMachines(s.now); got != want {
+				t.Errorf("%d machines are unreachable by the network's fault, not %d", got, want)
+			}
+		})
+	}
+}
+
+// TestEvictionsExpire: an evicted machine counts until its lease is over.
+func TestEvictionsExpire(t *testing.T) {
+	s := newScene(t)
+	d := s.detector()
+	d.NoteEviction(s.now, "a")
+	s.wait(testTimeouts.Lease)
+	d.NoteEviction(s.now, "a")
+	if n := d.RecentEvictions(s.now)["a"]; n != 2 {
+		t.Errorf("%d at the end of the lease", n)
+	}
+	s.wait(time.Nanosecond)
+	if n := d.RecentEvictions(s.now)["a"]; n != 1 {
+		t.Errorf("%d after it", n)
+	}
+}
+
+// TestUnreachable: a machine is unreachable after a timeout without heartbeats, but not just after
+// the leader paused; one that never sent any only when calls have failed, or all leases are over.
+func TestUnreachable(t *testing.T) {
+	s := newScene(t)
+	s.heartbeat("a", 0, 1)
+	s.fleet.RestoreMachine(s.now, "b-00", "10.0.0.2:9000", "g4", "b", false, 1, nil)
+	sent, never := s.fleet.Machine("a-00"), s.fleet.Machine("b-00")
+	s.wait(testTimeouts.Unreachable)
+	if s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
+		t.Error("unreachable at the timeout")
+	}
+	s.wait(time.Millisecond)
+	if !s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
+		t.Error("after the timeout")
+	}
+	for range certainFailures {
+		s.monitor.Calls.Start(s.now, never.ID, "")
+		s.monitor.CallFinished(s.now, never.ID, false)
+	}
+	if !s.monitor.Unreachable(s.now, never) {
+		t.Error("failed calls don't count")
+	}
+	s.monitor.NotePause(s.now)
+	if s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
+		t.Error("unreachable just after a pause")
+	}
+	s.wait(pauseGrace)
+	if !s.monitor.Unreachable(s.now, sent) {
+		t.Error("the pause never ends")
+	}
+	s.monitor.Calls.Forget(never.ID)
+	s.wait(testTimeouts.Lease)
+	if !s.monitor.Unreachable(s.now, never) {
+		t.Error("every lease is over")
+	}
+}
+
+// TestPresumedLost: a failed call tells that a machine is lost only if another was answered since.
+func TestPresumedLost(t *testing.T) {
+	s := newScene(t)
+	s.heartbeat("a", 0, 2)
+	s.wait(testTimeouts.Unreachable + time.Second)
+	lost := s.fleet.Machine("a-00")
+	s.monitor.Calls.Start(s.now, "a-01", "")
+	s.monitor.CallFinished(s.now, "a-01", true)
+	s.wait(time.Second)
+	s.monitor.Calls.Start(s.now, lost.ID, "")
+	s.monitor.CallFinished(s.now, lost.ID, false)
+	if s.monitor.PresumedLost(s.now, lost) {
+		t.Error("by an answer from before the failed call")
+	}
+	s.wait(time.Second)
+	s.monitor.CallFinished(s.now, "a-01", true)
+	if !s.monitor.PresumedLost(s.now, lost) {
+		t.Error("not presumed lost")
+	}
+	s.wait(answeredMaxAge)
+	if s.monitor.PresumedLost(s.now, lost) {
+		t.Error("by an answer that is old")
+	}
+	s.wait(testTimeouts.Lease)
+	if !s.monitor.PresumedLost(s.now, lost) {
+		t.Error("its tasks have stopped by now")
+	}
+}
+
+// TestFencingBackoff: calls that fail are repeated after a second, and then ever later.
+func TestFencingBackoff(t *testing.T) {
+	s := newScene(t)
+	f := NewFencing(s.monitor)
+	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.2:9000", "g4", "a", false, 1, nil)
+	x := s.fleet.Machine("a-00")
+	var gaps []time.Duration
+	for range 6 {
+		begun := s.now
+		for !f.Due(s.now, x) {
+			s.wait(time.Second)
+		}
+		gaps = append(gaps, s.now.Sub(begun))
+		s.monitor.Calls.Start(s.now, x.ID, "")
+		if f.Due(s.now.Add(callTimeout-1), x) {
+			t.Error("called while a call is open")
+		}
+		s.monitor.CallFinished(s.now, x.ID, false)
+	}
+	if got := fmt.Sprint(gaps); got != "[0s 2s 4s 8s 8s 8s]" {
+		t.Error(got)
+	}
+}
+
+// TestRebuildCalls: peers get the machines that were not seen at the token, those with the fewest tasks first, and none
+// that a peer failed to reach.
+func TestRebuildCalls(t *testing.T) {
+	s := newScene(t)
+	f := NewFencing(s.monitor)
+	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.1:9000", "g4", "a", false, 1, map[string]uint64{"wk-1/0": 1 << 24})
+	for i := 1; i < 4; i++ {
+		s.fleet.RestoreMachine(s.now, name("a", i), "10.0.0.1:9000", "g4", "a", false, 1, nil)
+	}
+	s.fleet.RestoreMachine(s.now, "b-00", "10.0.0.1:9000", "g4", "b", false, 1, nil)
+	s.heartbeat("a", 1, 2)
+	skip := func(zone string) bool { return zone == "b" }
+	names := func(calls []FencingCall) (out []string) {
+		for _, c := range calls {
+			out = append(out, c.Machine)
+		}
+		return out
+	}
+	if got := fmt.Sprint(names(f.Rebuild(s.now, 2, skip))); got != "[a-02 a-03]" {
+		t.Error(got)
+	}
+	if got := fmt.Sprint(names(f.Rebuild(s.now, 2, skip))); got != "[a-00]" {
+		t.Error(got)
+	}
+	f.PeerFinished("a-02", false)
+	f.PeerFinished("a-03", true)
+	s.wait(MinFencingInterval)
+	if got := fmt.Sprint(names(f.Rebuild(s.now, 9, skip))); got != "[a-03]" {
+		t.Error(got)
+	}
+}
+
+// TestSuspectedZoneCalls: two missing machines of a suspected zone are called, and a connected one elsewhere.
+func TestSuspectedZoneCalls(t *testing.T) {
+	s := newScene(t)
+	f := NewFencing(s.monitor)
+	s.heartbeat("a", 0, 5)
+	s.heartbeat("b", 0, 5)
+	s.wait(testTimeouts.Suspect + time.Second)
+	s.heartbeat("b", 0, 5)
+	if got := f.Suspected(s.now, 9, nil); got != nil {
+		t.Error(got)
+	}
+	got := f.Suspected(s.now, 9, []string{"a"})
+	if len(got) != 3 || got[0].Machine != "a-00" || got[1].Machine != "a-01" || got[2].Machine != "b-00" {
+		t.Error(got)
+	}
+	if got := f.Suspected(s.now, 9, []string{"a"}); got != nil {
+		t.Error("again at once", got)
+	}
+}
+
+// TestCallsFailing: three of four recent calls must fail, of at least sixteen.
+func TestCallsFailing(t *testing.T) {
+	s := newScene(t)
+	s.heartbeat("a", 0, 1)
+	fail := func(n int, answered bool) {
+		for range n {
+			s.monitor.NoteCallResult(s.now, "a-00", answered)
+		}
+	}
+	fail(minCallResults-1, false)
+	if s.monitor.Calls.Failing(s.now) {
+		t.Error("by too few calls")
+	}
+	fail(1, false)
+	if !s.monitor.Calls.Failing(s.now) {
+		t.Error("not by sixteen")
+	}
+	fail(6, true)
+	if s.monitor.Calls.Failing(s.now) {
+		t.Error("six of 22 were answered")
+	}
+	s.wait(callResultMaxAge)
+	s.heartbeat("a", 0, 1)
+	fail(1, false)
+	if s.monitor.Calls.Failing(s.now) {
+		t.Error("by results that are old")
+	}
+	s.wait(testTimeouts.Unreachable)
+	fail(minCallResults, false)
+	if s.monitor.Calls.Failing(s.now) {
+		t.Error("by calls to a machine that sends no heartbeats")
+	}
+}
+
+// TestProbes: connected machines are probed while others are missing and no call was answered lately.
+func TestProbes(t *testing.T) {
+	s := newScene(t)
+	f := NewFencing(s.monitor)
+	s.heartbeat("a", 0, 5)
+	if got := f.Probes(s.now, false); got != nil {
+		t.Error(got)
+	}
+	if got := f.Probes(s.now, true); len(got) != maxProbes || got[0].ID != "a-00" {
+		t.Error(got)
+	}
+	s.monitor.CallFinished(s.now, "a-04", true)
+	if got := f.Probes(s.now, true); got != nil {
+		t.Error("although calls are answered", got)
+	}
+}
+
+// TestOneWay: machines that take nothing are returned once all leases of an earlier leader are over.
+func TestOneWay(t *testing.T) {
+	s := newScene(t)
+	if got := s.detector().OneWay(s.now); got != nil {
+		t.Error(got)
+	}
+	s.wait(testTimeouts.Unreachable + testTimeouts.Lease)
+	s.heartbeat("a", 0, 3)
+	if got := s.detector().OneWay(s.now); got != nil {
+		t.Error("of machines that take what they are told", got)
+	}
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -71,7 +71,7 @@
 					t.Fatal(err)
 				}
 			}
-			for _, args := range [][]string{{"./wire", "./internal/leadership", "./internal/admission", "./internal/controller", "./internal/fleet", "./internal/forward", "./internal/archive", "./internal/membership", "./internal/peer", "./internal/reshard", "./internal/ingest", "./internal/autoscale", "./internal/zonerecovery", "./internal/leader/...", "./internal/scheduler", "./internal/snapshot", "./internal/store", "./internal/tier", "./internal/writers", "./internal/zone"},
+			for _, args := range [][]string{{"./wire", "./internal/leadership", "./internal/admission", "./internal/controller", "./internal/fleet", "./internal/forward", "./internal/archive", "./internal/membership", "./internal/peer", "./internal/reshard", "./internal/ingest", "./internal/autoscale", "./internal/zonerecovery", "./internal/leader/...", "./internal/reachability", "./internal/stall", "./internal/scheduler", "./internal/snapshot", "./internal/store", "./internal/tier", "./internal/writers", "./internal/zone"},
 				{"-run", "DelayedWrites$|DelayedImport|LostReplies$|WhileLaunchUnknown", "./internal/simtest"}, {"-run", "FastRestarts", "./internal/simtest"}, {"-run", "ShardsThroughFaults|Reshard", "./internal/simtest"}, {"-run", "ConcurrentReads|Malformed", "./internal/simtest"}, {"-run", "Forwarding|OfManyControllers|ManyTeams|TeamLeaves", "./internal/simtest"},
 				{"-run", "ProcessStalls|EachMachine|IdleConnections|PartitionedLeaderTurns|CancelDuringOutage|NoJobWaits|QuotasHold|ZoneBound|OutboundBlocked|ReplayedHeartbeats|Fetch", "./internal/simtest"}} {
 				run := exec.Command("go", append([]string{"test"}, args...)...)
