--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -1,11 +1,11 @@
-// Package autoscale decides what is asked of the cloud, and when: a state machine of
-// the offers and of the rentals that are open. It is pure: times, wishes and the
-// cloud's answers come in, calls to make come out.
+// Package autoscale decides which machines are requested from the cloud, and when: a state machine of
+// the cloud's offers and of the scale-out requests that are open. It does no I/O: times, the
+// scheduler's plans and the cloud's answers are arguments, and calls to make are results.
 //
-// How many machines an offer has is not published, and the cloud takes few calls.
-// So an offer is asked by one call at a time, and by more only as they succeed. What
-// is wanted besides is asked elsewhere, or gathers for the next call. An offer that
-// has refused is left alone for a while, which grows with the refusals in a row.
+// How many machines an offer (a machine type in a zone, spot or not) has left is not published, and
+// the cloud takes few calls a second. So an offer gets one call at a time, and more as they succeed.
+// Further demand goes to other offers, or collects for the next call. An offer that has refused is
+// left alone for a time that grows with the number of refusals in a row.
 package autoscale
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	maxOpenCalls    = 8                // calls that may be open at once for an offer
-	windowExpiry    = 30 * time.Second // after which an offer that nobody asked is asked by one call again
-	initialBackoff  = 8 * time.Second  // for which an offer is left alone, doubled with each refusal in a row
-	minBackoffLimit = 16 * time.Second // up to this, or more where there are many offers
-	maxBackoffLimit = 64 * time.Second
-	probeCallShare  = 8               // one part in so many of the calls asks offers in vain, at the most
-	hintSpeedup     = 4               // times sooner an offer is asked again that should have room
-	resendAfter     = time.Second     // before a call without an answer is repeated
-	starvationAge   = 2 * time.Second // after which an ask that waits goes before more urgent ones
+	maxOpenCalls    = 8                // calls that may be open at once for an offer, however well it serves
+	windowExpiry    = 30 * time.Second // after which an idle offer begins with a single call again: what it has left may be gone
+	initialBackoff  = 8 * time.Second  // for which an offer is left alone after a refusal, doubled with each further one in a row
+	minBackoffLimit = 16 * time.Second // bound on that time; it is higher where there are many offers
+	maxBackoffLimit = 64 * time.Second // and up to this: capacity that returns is found within a minute or so
+	probeCallShare  = 8                // at most one call in so many goes to an offer that has refused
+	hintSpeedup     = 4                // an offer that should have capacity again is asked so many times sooner
+	resendAfter     = time.Second      // before a call without an answer is repeated, under the same name
+	starvationAge   = 2 * time.Second  // after which a waiting request goes before more urgent ones
 )
 
-// ScaleOutRequest is a rental: an intent with a name, by which it is carried out once.
+// ScaleOutRequest is a scale-out request: an intent with a name, by which the cloud carries it out only once.
 type ScaleOutRequest struct {
 	scheduler.ScaleOut
 	Name string
@@ -38,38 +38,38 @@
 	stored   bool      // the store has its intent
 	inFlight bool      // a call is waiting for its answer
 	addedAt  time.Time // when it was wanted
-	sentAt   time.Time // when it was last sent under this holder; zero if never
+	sentAt   time.Time // when this leader last sent it; zero if never
 }
 
-// offerState is what is known of one.
+// offerState is what is known of an offer's capacity.
 type offerState struct {
 	window         int       // calls that may be open at once
-	constrained    bool      // it had not all that it was asked for
+	constrained    bool      // it did not have all that was last requested
 	refusalsInARow int       // refusals in a row
-	refusedAt      time.Time // when it last had not all, zero if that is of no more interest
+	refusedAt      time.Time // the last of them; zero once it no longer matters
 	answeredAt     time.Time
-	capacityHint   bool // it should have room again
+	capacityHint   bool // it should have capacity again
 }
 
-// RequestLog holds the rentals that are open, and what is known of the offers.
+// RequestLog holds the open requests and what is known of the offers. It is not safe for concurrent use.
 type RequestLog struct {
-	callsPerSecond float64 // calls that the cloud takes a second
+	callsPerSecond float64 // that the cloud takes
 	requests       map[string]*ScaleOutRequest
 	offers         map[scheduler.Offer]*offerState
 }
 
-// New gives an empty book, for a cloud that takes so many calls a second.
+// New returns an empty log for a cloud that takes so many calls a second.
 func New(rps float64) *RequestLog {
 	return &RequestLog{callsPerSecond: rps, requests: map[string]*ScaleOutRequest{}, offers: map[scheduler.Offer]*offerState{}}
 }
 
-// Recover takes in an intent that an earlier holder has left. Whether it was sent nobody
-// knows: the same name gets the same answer.
+// Recover adds the intent of an earlier leader. It may have been sent or not: the cloud gives the same
+// answer to the same name.
 func (b *RequestLog) Recover(name string, r scheduler.ScaleOut) {
 	b.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, stored: true}
 }
 
-// Pending lists the rentals that are not decided yet, by their names.
+// Pending lists the requests that the cloud has not decided yet, by name.
 func (b *RequestLog) Pending() []*ScaleOutRequest {
 	out := make([]*ScaleOutRequest, 0, len(b.requests))
 	for _, name := range slices.Sorted(maps.Keys(b.requests)) {
@@ -78,12 +78,12 @@
 	return out
 }
 
-// Ask gives one that is not decided yet, or nil.
+// Ask returns a request that is not decided yet, or nil.
 func (b *RequestLog) Ask(name string) *ScaleOutRequest { return b.requests[name] }
 
-// Admit picks what is to be asked now of what a plan wants, the most urgent first.
-// While a rental for an offer is open, only full ones are added, as its window allows:
-// what is wanted besides gathers for the next.
+// Admit returns the requests to make now of what a plan wants, the most urgent first. While a request
+// for an offer is open, only requests of the maximum size are added, as the window of the offer
+// allows: the remaining demand collects for the next request.
 func (b *RequestLog) Admit(now time.Time, rents []scheduler.ScaleOut) (out []scheduler.ScaleOut) {
 	rents = slices.Clone(rents)
 	slices.SortStableFunc(rents, func(a, b scheduler.ScaleOut) int { return cmp.Compare(a.QueuePosition, b.QueuePosition) })
@@ -102,13 +102,13 @@
 	return out
 }
 
-// Add takes in an ask whose intent is being written.
+// Add adds a request whose intent is being written to the store.
 func (b *RequestLog) Add(now time.Time, name string, r scheduler.ScaleOut) {
 	b.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, addedAt: now}
 }
 
-// MarkStored notes that the store has an intent. It reports false for one that is of no
-// more use, whose record can be dropped.
+// MarkStored records that the store has an intent. It reports false if the request is of no more use, and
+// its record can be dropped.
 func (b *RequestLog) MarkStored(name string) bool {
 	a := b.requests[name]
 	if a != nil {
@@ -117,11 +117,11 @@
 	return a != nil
 }
 
-// Forget takes back an ask whose intent will never be in the store.
+// Forget removes a request whose intent will never be in the store.
 func (b *RequestLog) Forget(name string) { delete(b.requests, name) }
 
-// Next gives the ask to send now, or nil. Each offer has its turn, the one first that is
-// needed most urgently.
+// Next returns the request to send now, or nil. Offers take turns, beginning with the one that is needed
+// most urgently.
 func (b *RequestLog) Next(now time.Time) *ScaleOutRequest {
 	var best *ScaleOutRequest
 	for _, a := range b.Pending() {
@@ -132,8 +132,8 @@
 	return best
 }
 
-// precedes reports whether a goes before b: what has waited for long, then what has the
-// fewest calls open for its offer, then the more urgent.
+// precedes reports whether x is sent before y: the one that has waited for long, then the one with fewer
+// calls open for its offer, then the more urgent one.
 func (b *RequestLog) precedes(now time.Time, x, y *ScaleOutRequest) bool {
 	starved := func(a *ScaleOutRequest) bool { return now.Sub(a.addedAt) > starvationAge && a.sentAt.IsZero() }
 	if starved(x) != starved(y) {
@@ -145,28 +145,28 @@
 	return cmp.Or(cmp.Compare(b.openCallsFor(x.Offer), b.openCallsFor(y.Offer)), cmp.Compare(x.QueuePosition, y.QueuePosition)) < 0
 }
 
-// MarkSent notes that an ask is on its way.
+// MarkSent records that a request is being sent.
 func (b *RequestLog) MarkSent(now time.Time, name string) {
 	a := b.requests[name]
 	a.inFlight, a.sentAt = true, now
 }
 
-// MarkUnanswered notes that a call had no answer, or one that decides nothing: it may have
-// been carried out, or may yet be, and is repeated.
+// MarkUnanswered records that a call had no answer, or one that decides nothing. The cloud may have carried
+// it out, or may yet do so: it is repeated.
 func (b *RequestLog) MarkUnanswered(name string) {
 	if a := b.requests[name]; a != nil {
 		a.inFlight = false
 	}
 }
 
-// Complete takes in how many machines a rental got, and names the asks that are over by
-// that: their records can be dropped.
+// Complete records how many machines a request got, and returns the requests that are over by that:
+// their records can be dropped.
 //
-// With one that was refused go those of its offer that were not sent: they would be
-// refused too. Those of an earlier holder may have been sent, and may even have got
-// machines. They are let go all the same: such machines are in the cloud's list within
-// its lag, and in reports once they are up, and whatever is there is used or returned.
-// What their names would tell is only told a little sooner.
+// If the cloud has refused it, requests for the same offer that were not sent are dropped as well:
+// they would be refused too. Those of an earlier leader may have been sent and may even have got
+// machines. They are dropped all the same: such machines appear in the cloud's list within its lag,
+// and in heartbeats once they are up, and are then used or returned. The answer to the request
+// would only tell of them a little sooner.
 func (b *RequestLog) Complete(now time.Time, name string, got int) (finished []string) {
 	a := b.requests[name]
 	if a == nil {
@@ -178,7 +178,7 @@
 	o.answeredAt = now
 	switch {
 	case !o.refusedAt.IsZero() && !a.sentAt.After(o.refusedAt):
-		// It was open when another was refused: all of a volley count as one.
+		// It was in flight when another was refused: refusals of concurrent calls count as one.
 	case got >= a.Count:
 		*o = offerState{window: min(2*window, maxOpenCalls), answeredAt: now}
 	default:
@@ -198,15 +198,15 @@
 	return finished
 }
 
-// InstanceReturned notes that a machine was returned: its offer should have room again.
+// InstanceReturned records that a machine was returned: its offer should have capacity again.
 func (b *RequestLog) InstanceReturned(r scheduler.Offer) {
 	if o := b.offers[r]; o != nil {
 		o.capacityHint = true
 	}
 }
 
-// ZoneRecovered notes that a zone can be reached again. What was returned there meanwhile is to be
-// had: all its offers are asked anew, one call each.
+// ZoneRecovered records that a zone can be reached again. Machines that were returned there meanwhile may be
+// available: each of its offers is asked again with one call.
 func (b *RequestLog) ZoneRecovered(zone string) {
 	for of, o := range b.offers {
 		if of.Zone == zone && o.constrained {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Annotate tells a picture which offers are left alone, and which are in doubt. Of these no
-// more is wanted at once than can be asked, so that the rest is asked elsewhere.
+// Annotate marks in a snapshot which offers are left alone, and which may be short of machines. Of the
+// latter no more is planned than can be requested at once, so that the rest is requested elsewhere.
 func (b *RequestLog) Annotate(now time.Time, pic *scheduler.Snapshot) {
 	for of, o := range b.offers {
 		if o.constrained {
@@ -226,13 +226,13 @@
 	}
 }
 
-// Constrained reports whether an offer had not all that it was last asked for.
+// Constrained reports whether an offer did not have all that was last requested of it.
 func (b *RequestLog) Constrained(r scheduler.Offer) bool {
 	o := b.offers[r]
 	return o != nil && o.constrained
 }
 
-// stateOf gives what is known of an offer.
+// stateOf returns what is known of an offer.
 func (b *RequestLog) stateOf(r scheduler.Offer) *offerState {
 	o := b.offers[r]
 	if o == nil {
@@ -242,8 +242,7 @@
 	return o
 }
 
-// callWindow is how many calls may be open for an offer. One that was not asked for long is
-// asked by one call again.
+// callWindow is how many calls may be open for an offer: one if it has not been asked for long.
 func (b *RequestLog) callWindow(now time.Time, r scheduler.Offer) int {
 	if o := b.offers[r]; o != nil && now.Sub(o.answeredAt) < windowExpiry {
 		return o.window
@@ -251,14 +250,14 @@
 	return 1
 }
 
-// backingOff reports whether an offer is not to be asked yet.
+// backingOff reports whether an offer is left alone after a refusal.
 func (b *RequestLog) backingOff(now time.Time, r scheduler.Offer) bool {
 	o := b.offers[r]
 	return o != nil && !o.refusedAt.IsZero() && now.Sub(o.refusedAt) < b.backoff(o)
 }
 
-// backoff is for how long an offer is left alone. Asking all those in doubt takes a small
-// part of the calls at the most, however many there are.
+// backoff is for how long an offer is left alone. It grows with the number of offers that have refused, so
+// that asking all of them takes a small part of the calls.
 func (b *RequestLog) backoff(o *offerState) time.Duration {
 	constrained := 0
 	for _, other := range b.offers {
@@ -274,7 +273,7 @@
 	return wait
 }
 
-// pendingFor is how many rentals for an offer are not decided yet.
+// pendingFor is how many requests for an offer are not decided yet.
 func (b *RequestLog) pendingFor(r scheduler.Offer) (n int) {
 	for _, a := range b.requests {
 		if a.Offer == r {
@@ -284,7 +283,7 @@
 	return n
 }
 
-// openCallsFor is how many of them wait for an answer.
+// openCallsFor is how many requests for an offer wait for an answer.
 func (b *RequestLog) openCallsFor(r scheduler.Offer) (n int) {
 	for _, a := range b.requests {
 		if a.Offer == r && a.inFlight {
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,5 +1,6 @@
-// Package throttle bounds what can wait by how late the process is: what takes the processor
-// from answers that keep leases must give way, and by itself, whatever the machine.
+// Package throttle bounds the work that can wait by how late the process runs. On a busy processor,
+// such work must give way to the answers that renew leases, whatever the size of the machine: the
+// limiter measures how late timers fire and needs no configuration.
 package throttle
 
 import (
@@ -8,35 +9,39 @@
 	"time"
 )
 
-// The time between two looks, how late is too late, and the bounds of the window.
 const (
+	// sampleInterval is the time between two samples: short against the seconds of a lease.
 	sampleInterval = 100 * time.Millisecond
-	lateThreshold  = 60 * time.Millisecond
-	MinWindow      = 2
-	MaxWindow      = 48
+	// lateThreshold is by how much a timer must be late to count. Garbage collection and other processes
+	// delay timers by less even on a machine that is not overloaded.
+	lateThreshold = 60 * time.Millisecond
+	// MinWindow is the smallest window: work that can wait is slowed down, but never stops.
+	MinWindow = 2
+	// MaxWindow is the widest window, which is also how many direct calls a leader makes at once.
+	MaxWindow = 48
 )
 
-// Limiter is a window of things that may be under way at once. It halves with each timer
-// that is late, and grows by little while they are in time.
+// Limiter is a window of operations that may be in progress at once. It halves with each timer that
+// is late, and grows slowly while timers are on time. It is safe for concurrent use.
 type Limiter struct {
 	mu     sync.Mutex
 	window int
 }
 
-// New gives a pace with half of the widest window.
+// New returns a limiter with half of the widest window.
 func New() *Limiter { return &Limiter{window: MaxWindow / 2} }
 
-// Window is how many things may be under way.
+// Window is how many operations may be in progress.
 func (p *Limiter) Window() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.window
 }
 
-// Overloaded reports whether the process has been late for a while.
+// Overloaded reports whether timers have been late for a while.
 func (p *Limiter) Overloaded() bool { return p.Window() <= 2*MinWindow }
 
-// Observe takes in by how much a timer was late.
+// Observe adjusts the window by how late a timer was.
 func (p *Limiter) Observe(lateBy time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +52,7 @@
 	}
 }
 
-// Run looks until the context ends.
+// Run samples until the context ends.
 func (p *Limiter) Run(ctx context.Context) error {
 	for {
 		begun := time.Now()
--- a/internal/tier/preemption.go
+++ b/internal/tier/preemption.go
@@ -9,62 +9,83 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Preemption is a claim back: room that is being made for tasks of one job. Each room is a
-// record of the round that decides it, and only once that is taken is anything stopped.
-// The next holder goes on with it: it stops what the claim names, and nothing else for
-// the tasks that it covers.
+// Preemption is what is preempted for the tasks of one job. Each of its reservations is a record of the
+// round that decides it, and only once the store has taken the round is anything stopped. The next
+// leader continues with it: it stops what the reservations name, and nothing else for the tasks
+// that they cover.
 type Preemption struct{ Reservations []Reservation }
 
-// Reservation is what a claim makes on one machine.
+// Reservation is the capacity that is being freed on one machine. It is stored as an array: the order of its
+// fields is part of the format.
 type Reservation struct {
 	_        struct{} `cbor:",toarray"`
 	Machine  string
-	Tier     string            // that it is claimed back for
-	Level    int               // of the work that leaves it alone: this one and those behind
-	Tasks    int               // of the job, for which it is
-	Deadline int64             // when all that is named is to be gone, in milliseconds
-	Stops    map[string]uint64 // attempts that are stopped, by task
-	Awaits   map[string]uint64 // that should end before, and are stopped only if they don't
+	Tier     string            // that gets the capacity back
+	Level    int               // work of this queue level and behind may not use it
+	Tasks    int               // of the job that fit in
+	Deadline int64             // when all named attempts are to be gone, in Unix milliseconds
+	Stops    map[string]uint64 // attempts that are stopped at once, by task
+	Awaits   map[string]uint64 // attempts that should end in time, and are stopped only if they don't
 }
 
-// The times of a claim.
 const (
-	// DefaultReclaimWithin is the bound in which what was lent comes back, where none is set.
+	// DefaultReclaimWithin bounds how long getting back lent cards may take where nothing is configured: a
+	// stop, the saving of progress and a launch.
 	DefaultReclaimWithin = 30 * time.Second
-	// stopLead is how long before its bound a claim no longer waits for what was to end.
+	// stopLead is how long before the deadline attempts that should have ended are stopped after all: a
+	// stop reaches its machine within a heartbeat, and the launch after it needs as long.
 	stopLead = 8 * time.Second
-	// reservationGrace is how long after its bound room that has come free waits for its task.
+	// reservationGrace is how long after the deadline freed capacity still waits for its task: a few rounds.
 	reservationGrace = 5 * time.Second
 )
 
-// EndsInTime reports whether work is left to end by itself: if it does so before a claim's bound,
-// by its owner's estimate, with time to save left if it doesn't. Left is what remains of the
-// estimate: of what has run for longer nobody knows.
+// EndsInTime reports whether a task is left to end by itself: by its owner's estimate it does before the
+// deadline, and if it does not, there is time to save its progress. left is the rest of the
+// estimate; a task that has exceeded it is never waited for.
 func EndsInTime(remaining, checkpoint, within time.Duration) bool {
 	return remaining > 0 && remaining+checkpoint+stopLead <= within
 }
 
-// Facts is what a claim is looked at by.
+// Facts is what a preemption is reviewed by.
 type Facts struct {
 	Now           time.Time
-	WaitingTasks  func(job string) (tasks int, known bool) // of a job, -1 where it is over
-	MachineUsable func(machine string) bool                // and may serve again
-	MayOccupy     func(task string, attempt uint64, machine string) bool
+	WaitingTasks  func(job string) (tasks int, known bool)               // waiting tasks of a job, -1 if it is over
+	MachineUsable func(machine string) bool                              // whether a machine can run tasks
+	MayOccupy     func(task string, attempt uint64, machine string) bool // whether an attempt may still be there
 }
 
-// Review gives what is left of a claim, and the attempts that have not gone in time. The
-// room goes that is of no more use: its job is over or has its tasks elsewhere, the machine
-// is gone, or what was to leave is still there when the time is up.
+// Review returns what is still needed of a preemption, and the attempts that have not stopped in time. A
+// reservation is dropped if its job is over or has its tasks elsewhere, if its machine is gone, or
+// if an attempt that was to stop is still there after the deadline.
 func (c *Preemption) Review(job string, f Facts) (next *Preemption, stuck map[string]uint64) {
 	waiting, known := f.WaitingTasks(job)
 	if !known {
 		return c, nil
 	}
-	type candidate struct {
-		Reservation
-		waits, told int // 1 while somebody is there, and where somebody was told to stop
+	candidates, stuck := c.candidates(f)
+	next = &Preemption{}
+	for _, x := range candidates {
+		if waiting <= 0 {
+			break
+		}
+		x.Tasks = min(x.Tasks, waiting)
+		waiting -= x.Tasks
+		next.Reservations = append(next.Reservations, x.Reservation)
 	}
-	var candidates []candidate
+	slices.SortStableFunc(next.Reservations, func(a, b Reservation) int { return cmp.Compare(a.Machine, b.Machine) })
+	return next, stuck
+}
+
+// candidate is a reservation that may be kept.
+type candidate struct {
+	Reservation
+	waits, told int // 1 while an attempt is still there, and if any was told to stop
+}
+
+// candidates lists the reservations that can still be used, in the order in which they are kept, and the
+// attempts that have not stopped in time. Free capacity is kept first, and reservations for which
+// nothing was stopped yet are dropped first.
+func (c *Preemption) candidates(f Facts) (out []candidate, stuck map[string]uint64) {
 	for _, r := range c.Reservations {
 		late := f.Now.UnixMilli() - r.Deadline
 		there := r.occupants(f)
@@ -77,25 +98,14 @@
 			maps.Copy(stuck, there)
 		case late > reservationGrace.Milliseconds():
 		default:
-			candidates = append(candidates, candidate{r, min(1, len(there)), min(1, len(r.Stops))})
-		}
-	}
-	// Room that is free is kept first, and what nobody was told of goes first.
-	slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.waits, b.waits), cmp.Compare(b.told, a.told)) })
-	next = &Preemption{}
-	for _, l := range candidates {
-		if waiting <= 0 {
-			break
+			out = append(out, candidate{r, min(1, len(there)), min(1, len(r.Stops))})
 		}
-		l.Tasks = min(l.Tasks, waiting)
-		waiting -= l.Tasks
-		next.Reservations = append(next.Reservations, l.Reservation)
 	}
-	slices.SortStableFunc(next.Reservations, func(a, b Reservation) int { return cmp.Compare(a.Machine, b.Machine) })
-	return next, stuck
+	slices.SortStableFunc(out, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.waits, b.waits), cmp.Compare(b.told, a.told)) })
+	return out, stuck
 }
 
-// occupants gives those that a room waits for.
+// occupants returns the attempts that a reservation waits for.
 func (r *Reservation) occupants(f Facts) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
@@ -108,7 +118,7 @@
 	return out
 }
 
-// Add gives the claim with more room.
+// Add returns the preemption with more reservations.
 func (c *Preemption) Add(rooms ...Reservation) *Preemption {
 	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
 	for _, r := range rooms {
@@ -126,7 +136,7 @@
 	return next
 }
 
-// WithPlaced gives the claim once a task of the job is placed in room that it made.
+// WithPlaced returns the preemption after a task of the job was placed into its reservation on a machine.
 func (c *Preemption) WithPlaced(machine string) *Preemption {
 	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
 	for i := range next.Reservations {
@@ -149,7 +159,8 @@
 	return out
 }
 
-// DueVictims names the attempts that are to be stopped by now.
+// DueVictims lists the attempts that are to be stopped by now, by task. save is how long a task takes to save
+// its progress.
 func (c *Preemption) DueVictims(now time.Time, save func(task string) time.Duration) []Victim {
 	var out []Victim
 	for _, r := range c.Reservations {
@@ -166,20 +177,20 @@
 	return out
 }
 
-// Victim is an attempt that makes way.
+// Victim is an attempt that is preempted.
 type Victim struct {
 	Task    string
 	Attempt uint64
 	Machine string
 }
 
-// ID gives the task of a victim.
+// ID returns the task of a victim.
 func (v Victim) ID() wire.TaskID {
 	id, _ := wire.ParseTaskID(v.Task)
 	return id
 }
 
-// SizeBound bounds what a room takes as a record.
+// SizeBound bounds the size of a reservation as a record.
 func (r *Reservation) SizeBound() int {
 	n := len(r.Machine) + len(r.Tier) + 40
 	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
@@ -190,7 +201,7 @@
 	return n
 }
 
-// Reservation gives the room on a machine, an empty one where there is none.
+// Reservation returns the reservation on a machine, an empty one if there is none.
 func (c *Preemption) Reservation(machine string) Reservation {
 	for _, r := range c.Reservations {
 		if r.Machine == machine {
--- a/internal/tier/tier.go
+++ b/internal/tier/tier.go
@@ -1,6 +1,7 @@
-// Package tier says who is ahead, what is guaranteed, what is lent, and what is claimed
-// back. It is pure: pictures and times come in, and what is promised goes out as records
-// of a round.
+// Package tier orders work by tiers that operators configure: which work goes first, how many GPUs
+// each tier is guaranteed, which of them are lent to others while the tier does not need them, and
+// which tasks are preempted to get them back. It does no I/O: snapshots and times are arguments,
+// and preemptions are records that the leader writes in a round before anything is stopped.
 package tier
 
 import (
@@ -18,17 +19,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Share is what a tier is guaranteed: a number of cards, or a part of those that there are.
+// Share is what a tier is guaranteed: a number of cards (GPUs), or a fraction of those that exist.
 type Share struct{ Cards, Fraction float64 }
 
-// Of gives the share of so many cards.
+// Of returns the guaranteed number of a total.
 func (s Share) Of(cards float64) float64 {
 	if s.Fraction > 0 {
-		return math.Floor(s.Fraction*cards + 1e-6)
+		return math.Floor(s.Fraction*cards + 1e-6) // or 30% of 10 might be 2
 	}
 	return s.Cards
 }
 
+// String returns the share as it is written in the settings.
 func (s Share) String() string {
 	if s.Fraction > 0 {
 		return strconv.FormatFloat(s.Fraction*100, 'g', -1, 64) + "%"
@@ -36,27 +38,28 @@
 	return strconv.FormatFloat(s.Cards, 'g', -1, 64)
 }
 
-// Tier is a tier of work. An empty list allows all.
+// Tier is a tier of work. An empty list of priorities, classes or teams admits all.
 type Tier struct {
 	Name          string
-	Order         int // the least is ahead
+	Order         int // the lowest goes first
 	Priorities    []string
 	Classes       []string
 	Teams         []string
-	InTeam        bool             // only work within its team's guarantee
-	Share         Share            // in all
-	Zones         map[string]Share // of each zone
-	ReclaimWithin time.Duration    // bound in which what was lent comes back
-	LendsTo       []string         // tiers that may use what the share has free; nil stands for all
+	InTeam        bool             // it admits only work within its team's guarantee
+	Share         Share            // of all cards
+	Zones         map[string]Share // of the cards of each zone
+	ReclaimWithin time.Duration    // bound on how long getting back lent cards may take
+	LendsTo       []string         // tiers that may use what is free of the share; nil stands for all
 }
 
-// hasGuarantee reports whether anything is guaranteed to the tier.
+// hasGuarantee reports whether the tier has any guarantee.
 func (t *Tier) hasGuarantee() bool { return t.Share != (Share{}) || len(t.Zones) > 0 }
 
-// lendsToTier reports whether a tier may use what the share has free.
+// lendsToTier reports whether another tier may use what is free of the share.
 func (t *Tier) lendsToTier(to string) bool { return t.LendsTo == nil || slices.Contains(t.LendsTo, to) }
 
-// canonical tells all of a tier in one way, whatever order the lists were written in.
+// canonical describes a tier in full, in the same way for any order of its lists. Digests are made of it:
+// two versions of the program must agree on it.
 func (t *Tier) canonical() string {
 	list := func(names []string) string { return strings.Join(slices.Sorted(slices.Values(names)), ",") }
 	zones := make([]string, 0, len(t.Zones))
@@ -67,7 +70,7 @@
 		list(t.Classes), list(t.Teams), t.InTeam, t.Share, strings.Join(zones, ","), t.ReclaimWithin, list(t.LendsTo), t.LendsTo == nil)
 }
 
-// Workload is what a tier is told by.
+// Workload is the attributes of a job that decide its tier.
 type Workload struct {
 	Priority    wire.Priority
 	Class, Team string
@@ -80,23 +83,24 @@
 	return in(t.Priorities, string(w.Priority)) && in(t.Classes, w.Class) && in(t.Teams, w.Team) && (!t.InTeam || w.Guaranteed)
 }
 
-// Set is all tiers in their order, the first ahead. Behind them stands what is in none.
+// Set is all tiers in their order, the first one being served first. The last tier holds the work that no
+// other admits.
 type Set struct {
 	Tiers      []Tier
 	configured bool
 }
 
-// restName is the tier of what is in no other. It is lent to, like any.
+// restName names the tier of work that no other admits. Cards may be lent to it, as to any.
 const restName = "rest"
 
-// Default gives the order without settings: production, what a team is guaranteed, and then
+// Default returns the tiers without settings: production, work within its team's guarantee, and then
 // by priority.
 func Default() *Set {
 	of := func(p wire.Priority) Tier { return Tier{Name: string(p), Priorities: []string{string(p)}} }
 	return newSet([]Tier{of(wire.Production), {Name: "guaranteed", InTeam: true}, of(wire.High), of(wire.Normal), of(wire.Low)})
 }
 
-// New gives the tiers that operators have set, or the default where they have set none.
+// New returns the configured tiers, or the default ones if none are configured.
 func New(tiers []Tier) *Set {
 	if len(tiers) == 0 {
 		return Default()
@@ -112,22 +116,22 @@
 	return &Set{Tiers: append(tiers, Tier{Name: restName, Order: math.MaxInt})}
 }
 
-// Configured reports whether operators have set tiers.
+// Configured reports whether tiers are configured.
 func (s *Set) Configured() bool { return s != nil && s.configured }
 
-// IndexOf gives the place of a work's tier: the first that has it.
+// IndexOf returns the index of the first tier that admits a job.
 func (s *Set) IndexOf(w Workload) int {
 	return slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.matches(w) })
 }
 
-// InFirst reports whether a job is of the first tier, as far as the job itself can tell.
+// InFirst reports whether a job is of the first tier, leaving its team's guarantee aside.
 func (s *Set) InFirst(j *wire.Job) bool {
 	return s.IndexOf(Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service}) == 0
 }
 
-// PerShard gives the tiers for each of several parts of the fleet: numbers of cards are dealt
-// out evenly, those of a zone only where it is of several parts. Shares are of a part's own
-// cards, so that the sum is never passed.
+// PerShard returns the tiers for each of several shards of the fleet: numbers of cards are divided
+// evenly, those of a zone only if it belongs to several shards. Fractions are of a shard's own
+// cards, so that their sum is never exceeded.
 func (s *Set) PerShard(shards int, zoned bool) *Set {
 	out := &Set{slices.Clone(s.Tiers), s.configured}
 	for i := range out.Tiers {
@@ -144,10 +148,10 @@
 	return out
 }
 
-// Lends reports whether a tier lends what it has free of its share to another.
+// Lends reports whether a tier lends what is free of its share to another, both given by index.
 func (s *Set) Lends(from, to int) bool { return s.Tiers[from].lendsToTier(s.Tiers[to].Name) }
 
-// IndexOfName gives the place of a tier, that of the last where there is none of the name.
+// IndexOfName returns the index of a tier by its name, that of the last one if the name is unknown.
 func (s *Set) IndexOfName(name string) int {
 	if i := slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.Name == name }); i >= 0 {
 		return i
@@ -155,7 +159,7 @@
 	return len(s.Tiers) - 1
 }
 
-// Digest tells in short how the tiers are set; it is empty for the default.
+// Digest identifies the configuration of the tiers; it is empty for the default.
 func (s *Set) Digest() string {
 	if !s.Configured() {
 		return ""
@@ -167,8 +171,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// MayPreempt is the protocol's rule of what may be stopped for a work: what is of lesser
-// priority, or beyond its own team's guarantee for one within it. Tiers never go further.
+// MayPreempt reports whether the protocol allows a job to be preempted for another: it is of lower
+// priority, or beyond its own team's guarantee while the other is within that of its team. Tiers
+// never allow more.
 func MayPreempt(by, victim *Workload, beyondQuota bool) bool {
 	return victim.Priority.Rank() < by.Priority.Rank() || by.Guaranteed && victim.Team != by.Team && !victim.Service && beyondQuota
 }
--- a/internal/zone/calllog.go
+++ b/internal/zone/calllog.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// CallLog keeps what became of a controller's calls to machines, for what it tells of zones.
+// CallLog keeps the recent results of a controller's calls to machines, for what they tell of zones.
+// The zero value is empty.
 type CallLog struct {
 	results []callResult
 }
@@ -13,20 +14,21 @@
 	ok   bool
 }
 
-// callMaxAge is how long a call says something, and callMost how many are kept.
 const (
-	callMaxAge     = 5 * time.Second
+	// callMaxAge is how long a result counts: about two rounds of calls.
+	callMaxAge = 5 * time.Second
+	// maxCallResults bounds the results that are kept.
 	maxCallResults = 256
 )
 
-// Record keeps one.
+// Record keeps the result of a call.
 func (c *CallLog) Record(now time.Time, zone string, ok bool) {
 	if c.results = append(c.results, callResult{now, zone, ok}); len(c.results) > maxCallResults {
 		c.results = append(c.results[:0], c.results[maxCallResults/2:]...)
 	}
 }
 
-// AddTo adds the calls to what is seen of each zone.
+// AddTo adds the results to the observations of each zone.
 func (c *CallLog) AddTo(now time.Time, observations map[string]Observation) {
 	for _, m := range c.results {
 		if now.Sub(m.at) >= callMaxAge {
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,12 +1,13 @@
-// Package zone tells whether a zone is up, in doubt, dark or back, by the evidence of
-// several controllers. What one of them does not hear may be its own deafness: a zone is
-// dark when most of those outside it that can tell say so, and back as soon as its machines
-// are heard again from outside.
+// Package zone decides whether a zone is up, suspected, unreachable or recovering, by the
+// evidence of several controllers. A controller that receives no heartbeats from a zone may be
+// partitioned itself: a zone is unreachable when most of the controllers outside it that can
+// judge say so, and recovering as soon as its machines send heartbeats to the outside again.
 //
-// It is pure: times and evidence come in, and changes go out, which the holder writes in
-// the round that decides them. Until the store has taken one, the state before it counts;
-// the next holder goes on from the records. Its state says where work might run and what
-// is worth renting, never what runs where: the proofs of absence rest on none of it.
+// The package does no I/O: times and evidence are arguments, and the changes it returns are
+// written by the leader in the round that decides them. Until the store has taken a change, the
+// state before it counts; the next leader continues from the stored records. The state of a zone
+// says where work might run and where scaling out makes sense. It never says what runs where:
+// the proofs that a task is gone don't depend on it.
 package zone
 
 import (
@@ -15,40 +16,40 @@
 	"time"
 )
 
-// State is what is thought of a zone.
+// State is the state of a zone. Its text is stored.
 type State string
 
 // The states of a zone.
 const (
 	Up          State = "up"
-	Suspected   State = "in doubt" // the holder hears hardly any machine of it: nothing changes yet
-	Unreachable State = "dark"     // nor do most others: nothing is rented there but a probe
-	Recovering  State = "back"     // machines of it are heard again
+	Suspected   State = "in doubt" // the leader receives hardly any heartbeats from it; nothing changes yet
+	Unreachable State = "dark"     // nor do most other controllers; only probes are requested there
+	Recovering  State = "back"     // its machines send heartbeats again
 )
 
 // Record is the state of a zone as the store holds it.
 type Record struct {
 	State   State
-	Number  uint64    // of its changes: it only rises
-	Since   time.Time // time of day of the holder that decided it
-	Outages int       // how often it went dark, until it was up for long
+	Number  uint64    // counts changes; it only rises
+	Since   time.Time // by the clock of the leader that decided the change
+	Outages int       // how often it became unreachable; 0 again once it was up for outageMemory
 }
 
-// A zone that is back is up after so long without doubt, twice as long for each fall
-// before it was up for long, so that one that comes and goes is not begun anew each time.
+// A recovering zone is up after a stable period, which doubles with each outage, so that work does
+// not return each time to a zone whose network comes and goes.
 const (
-	minStablePeriod = 10 * time.Second
+	minStablePeriod = 10 * time.Second // after the first outage: a few heartbeats of each machine
 	maxStablePeriod = 2 * time.Minute
-	outageMemory    = 5 * time.Minute // of being up
+	outageMemory    = 5 * time.Minute // of being up, after which earlier outages no longer count
 )
 
-// StablePeriod is how long a zone that is back must stay so until it is up.
+// StablePeriod is how long a zone must be recovering without interruption until it is up.
 func (r Record) StablePeriod() time.Duration {
 	return min(maxStablePeriod, minStablePeriod<<max(0, min(r.Outages-1, 8)))
 }
 
-// AcceptsScaleOut reports whether machines are rented in a zone as in any other. One that fell
-// again has its probes for half its time: what is rented there would be lost again.
+// AcceptsScaleOut reports whether machines are requested in a zone as in any other. After a second outage,
+// only probes are for the first half of the stable period: what is requested there may be lost again.
 func (r Record) AcceptsScaleOut(now time.Time) bool {
 	switch r.State {
 	case Unreachable:
@@ -59,38 +60,39 @@
 	return true
 }
 
-// Observation is what a controller sees of a zone's machines.
+// Observation counts what a controller observes of a zone's machines. Controllers send it to each
+// other: the names of its fields are part of the protocol.
 type Observation struct {
-	Heard, Quiet   int // of those that should be heard
-	Lost           int // that were given up lately for their silence
-	Answered, Vain int // calls from there, lately
+	Heard, Quiet   int // machines whose last heartbeat is recent, and overdue
+	Lost           int // machines that were lately evicted because their heartbeats were missing
+	Answered, Vain int // recent calls from this controller that were answered, and that failed
 }
 
-// minMissing is how many machines must be silent before a zone is in question.
+// minMissing is how many machines must be missing before a zone is suspected: fewer may fail by coincidence.
 const minMissing = 4
 
-// unreachable reports whether hardly any machine is heard, and many should be.
+// unreachable reports whether nine of ten machines are missing, and enough of them to judge by.
 func (s Observation) unreachable() bool {
 	missing := s.Quiet + s.Lost
 	return missing >= minMissing && missing*10 >= (s.Heard+missing)*9
 }
 
-// mostlyMissing reports whether more machines than not are missing.
+// mostlyMissing reports whether more than half of the machines are missing.
 func (s Observation) mostlyMissing() bool { return (s.Quiet+s.Lost)*2 > s.Heard+s.Quiet+s.Lost }
 
-// healthy reports whether most machines are heard.
+// healthy reports whether at most a third of the machines is missing.
 func (s Observation) healthy() bool {
 	missing := s.Quiet + s.Lost
 	return s.Heard > 0 && missing*3 <= s.Heard+missing
 }
 
-// Observer is a controller with what it sees.
+// Observer is a controller and what it observes.
 type Observer struct {
-	Zone         string // in which it stands
+	Zone         string // in which it runs
 	Observations map[string]Observation
 }
 
-// verdict is what a controller says of a zone.
+// verdict is what the observations of a controller say of a zone.
 type verdict int
 
 const (
@@ -99,8 +101,9 @@
 	saysUnreachable
 )
 
-// verdictOn tells what a sibling outside says of a zone: nothing, if it hears hardly anything
-// anywhere else, nor is any of its calls answered there. All reports may go to others.
+// verdictOn gives the verdict of a peer outside a zone. It is undecided if the peer receives hardly any
+// heartbeats from elsewhere and none of its calls there is answered: all heartbeats may go to other
+// controllers, or the peer may be partitioned.
 func (w Observer) verdictOn(zone string) verdict {
 	s, reachesElsewhere := w.Observations[zone], false
 	hearsElsewhere := false
@@ -115,24 +118,24 @@
 		return undecided
 	case s.Answered > 0 || s.Heard > 0 && s.Heard >= s.Quiet:
 		return saysReachable
-	case s.Quiet >= 2 || s.Vain >= 2 && reachesElsewhere: // where calls from there are answered at all
+	case s.Quiet >= 2 || s.Vain >= 2 && reachesElsewhere: // failed calls count only if others are answered
 		return saysUnreachable
 	}
 	return undecided
 }
 
-// Evidence is what a holder has to go by.
+// Evidence is what a leader judges zones by.
 type Evidence struct {
-	Own           Observer             // its own, with what siblings pass on to it
-	LastHeartbeat map[string]time.Time // when a machine of each zone was last heard
-	CannotJudge   bool                 // it stood still, or has just claimed: it can't tell who is silent
-	Peers         map[string]Observer  // siblings whose beats come in
-	Controllers   int                  // controllers there are
+	Own           Observer             // what it observes, heartbeats that peers forward included
+	LastHeartbeat map[string]time.Time // the last heartbeat from each zone
+	CannotJudge   bool                 // it paused or was elected just now: missing heartbeats say nothing
+	Peers         map[string]Observer  // peers whose heartbeats arrive
+	Controllers   int                  // the number of controllers
 }
 
-// canJudge reports whether a holder's own ears say anything of a zone: it hears another
-// well, and not only the one that it stands in. Whoever hears no other may be cut off with
-// its zone, unless most controllers are heard as well.
+// canJudge reports whether the leader's own observations say anything of a zone: another zone is
+// healthy, which is not only the one that the leader runs in. A leader that is connected to no
+// other zone may be cut off together with its own, unless most controllers are connected as well.
 func (e *Evidence) canJudge(zone string) bool {
 	if e.CannotJudge {
 		return false
@@ -146,12 +149,12 @@
 	return false
 }
 
-// votes counts the controllers outside a zone: all, and those that say that they hear it
-// or hear nothing of it. The holder is one of them where it stands outside.
+// votes counts the controllers outside a zone: all of them, those that say it is reachable and
+// those that say it is unreachable. The leader is one of them if it runs outside the zone.
 func (e *Evidence) votes(zone string) (outside, reachable, unreachable int) {
 	for _, w := range e.Peers {
 		if w.Zone == zone {
-			continue // a dark zone hears itself
+			continue // a zone that is cut off still reaches itself
 		}
 		outside++
 		switch w.verdictOn(zone) {
@@ -172,16 +175,17 @@
 	return outside, reachable, unreachable
 }
 
-// majorityUnreachable reports whether most controllers outside a zone that can tell hear nothing of it: at
-// least two where there are two to ask.
+// majorityUnreachable reports whether most of the controllers outside a zone that can judge find it unreachable, and
+// at least two where there are two outside.
 func (e *Evidence) majorityUnreachable(zone string) bool {
 	outside, reachable, unreachable := e.votes(zone)
 	return unreachable > reachable && unreachable >= min(2, outside)
 }
 
-// recovered reports whether machines of a dark zone are heard again: by the holder, since it
-// went dark, and more than the few that made no difference then, from outside or not only
-// from there; or by two others, and most don't say that it is dark.
+// recovered reports whether machines of an unreachable zone send heartbeats again: to the leader, after
+// the outage began, from more than the few machines that made no difference then, and to a leader
+// that runs outside the zone or can judge it; or to two other controllers while no majority
+// finds the zone unreachable.
 func (e *Evidence) recovered(zone string, r Record) bool {
 	own := e.Own.Observations[zone]
 	if own.Heard > 0 && e.LastHeartbeat[zone].After(r.Since) && own.Heard*9 >= own.Quiet && (e.Own.Zone != zone || e.canJudge(zone)) {
@@ -191,7 +195,7 @@
 	return reachable >= 2 && !e.majorityUnreachable(zone)
 }
 
-// Change is a zone's next record, which counts once the store has taken it.
+// Change is the next record of a zone, which counts once the store has taken it.
 type Change struct {
 	Zone     string
 	Record   Record
@@ -199,14 +203,14 @@
 	Reason   string
 }
 
-// Tracker holds the record of each zone that has one; any other is up.
+// Tracker holds the record of each zone that has one; any other zone is up.
 type Tracker struct {
 	records map[string]Record
 	probes  map[string]probe
 }
 
-// New begins with the records that the store holds. A time of another clock that is yet to
-// come counts as now.
+// New begins with the records that the store holds. A time in the future, which a leader with another
+// clock wrote, counts as now.
 func New(now time.Time, records map[string]Record) *Tracker {
 	z := &Tracker{records: make(map[string]Record), probes: make(map[string]probe)}
 	for name, r := range records {
@@ -218,7 +222,7 @@
 	return z
 }
 
-// Record gives the state of a zone.
+// Record returns the record of a zone.
 func (z *Tracker) Record(zone string) Record {
 	if r, ok := z.records[zone]; ok {
 		return r
@@ -226,7 +230,7 @@
 	return Record{State: Up}
 }
 
-// Records gives every record. The map is the caller's.
+// Records returns every record. The map is the caller's.
 func (z *Tracker) Records() map[string]Record {
 	out := make(map[string]Record, len(z.records))
 	for name, r := range z.records {
@@ -235,7 +239,7 @@
 	return out
 }
 
-// Next gives the changes that are due by the evidence. Nothing changes by that alone.
+// Next returns the changes that are due by the evidence, without making them.
 func (z *Tracker) Next(now time.Time, e *Evidence) []Change {
 	names := make(map[string]bool)
 	for name := range z.records {
@@ -269,7 +273,7 @@
 	return out
 }
 
-// next gives the state that follows.
+// next returns the state that follows.
 func (r Record) next(now time.Time, zone string, e *Evidence) State {
 	if r.State == Unreachable {
 		if e.recovered(zone, r) {
@@ -283,10 +287,10 @@
 		return Unreachable
 	case r.State != Suspected && e.canJudge(zone) && own.unreachable():
 		return Suspected
-	case !e.canJudge(zone) || own.mostlyMissing(): // nothing ends a doubt but that it is over
+	case !e.canJudge(zone) || own.mostlyMissing(): // a suspicion ends only by evidence against it
 	case r.State == Suspected:
 		if r.Outages > 0 {
-			return Recovering // and its time begins anew
+			return Recovering // whose stable period begins again
 		}
 		return Up
 	case r.State == Recovering && now.Sub(r.Since) >= r.StablePeriod():
@@ -295,7 +299,7 @@
 	return r.State
 }
 
-// summary tells the evidence, for logs.
+// summary describes the evidence, for logs.
 func (e *Evidence) summary(zone string) string {
 	own := e.Own.Observations[zone]
 	outside, hear, none := e.votes(zone)
@@ -303,11 +307,11 @@
 		own.Heard, own.Quiet, own.Lost, outside, hear, none)
 }
 
-// Commit takes in changes that the store has taken.
+// Commit applies changes that the store has taken.
 func (z *Tracker) Commit(changes []Change) {
 	for _, c := range changes {
 		z.records[c.Zone] = c.Record
-		if c.Record.Outages <= 1 { // one that comes and goes is probed no sooner for that
+		if c.Record.Outages <= 1 { // repeated outages don't bring probes forward
 			delete(z.probes, c.Zone)
 		}
 	}
--- a/internal/zonerecovery/plan.go
+++ b/internal/zonerecovery/plan.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Step is how far the return of a zone has come.
+// Step is how far the recovery of a zone has come. Its text is stored.
 type Step string
 
-// The steps of a return, in order. After the last there is no plan.
+// The steps of a recovery, in order. After the last one there is no plan.
 const (
-	StepRetain   Step = "kept"   // the zone is cut off: what would not run sooner elsewhere is kept there
-	StepRefill   Step = "fill"   // it is back, and work goes to it: nothing rented elsewhere is given back yet
-	StepRefilled Step = "home"   // as much is at work there as before: what is idle elsewhere is given back
-	StepSpread   Step = "spread" // services are spread over the zones anew
+	StepRetain   Step = "kept"   // the zone is cut off: machines whose work would not run sooner elsewhere are retained
+	StepRefill   Step = "fill"   // it can be reached, and work returns: nothing requested elsewhere is given back yet
+	StepRefilled Step = "home"   // it runs as much work as before: what is idle elsewhere is given back
+	StepSpread   Step = "spread" // services are spread over the zones again
 )
 
-// Plan is the return of a zone as the store holds it. The next holder goes on with its step:
-// what a step does follows from what is seen, and is there or not, so that none is taken twice.
+// Plan is the recovery of a zone as the store holds it. The next leader continues with its step. What
+// a step does follows from observations alone, so that nothing is done twice after a failover.
 type Plan struct {
 	Step   Step
 	Number uint64 // of the zone's record with which it began
 	Since  time.Time
-	Work   float64 // that was done there when it was cut off, in GPUs
+	Work   float64 // that ran there when the zone was cut off, in GPUs
 }
 
-// Observation is what there is to judge a step by.
+// Observation is what the next step is decided by.
 type Observation struct {
 	Unreachable   bool
 	Number        uint64  // of the zone's record
-	Work          float64 // that is done there, or may be
-	HasQueued     bool    // work waits that found no room
-	OtherZoneBusy bool    // another zone is cut off, or in doubt, or further behind with its return
+	Work          float64 // that runs there, or may run, in GPUs
+	HasQueued     bool    // some work could not be placed
+	OtherZoneBusy bool    // another zone is cut off, suspected, or further behind with its recovery
 	Unbalanced    bool    // services are to be moved
 
-	SettleTime  time.Duration // until all machines of a zone are heard
-	BootTime    time.Duration // of machines there
+	SettleTime  time.Duration // until all machines of a zone have sent a heartbeat
+	BootTime    time.Duration // that machines there take to boot
 	IdleTimeout time.Duration // after which an idle machine is given back
 }
 
-// refilledShare is the part of the work that was done there from which on a zone is home: tasks end
-// meanwhile, and others begin elsewhere.
+// refilledShare is the part of its former work with which a zone counts as refilled. It is less than all,
+// since tasks end meanwhile and others begin elsewhere.
 const refilledShare = 0.95
 
-// maxSpreadTime bounds how long services are spread after a return.
+// maxSpreadTime bounds the last step: services that could not be spread by then stay where they are.
 const maxSpreadTime = 5 * time.Minute
 
-// Next gives the plan that follows, or none. A zone that is cut off again begins anew, whatever
-// step it had come to, and with the work that was to come back to it then.
+// Next returns the plan that follows, or nil for none. A zone that is cut off again starts over from
+// any step, with the work that was to return to it.
 func Next(now time.Time, p *Plan, s Observation) *Plan {
 	to := func(step Step) *Plan { return &Plan{step, p.Number, now, p.Work} }
 	switch {
@@ -69,7 +69,7 @@
 		return to(StepRefill)
 	case StepRefill:
 		full := s.Work >= refilledShare*p.Work || !s.HasQueued
-		// What does not come back in the time in which machines boot is not to be had.
+		// Work that has not returned after twice the boot time will not.
 		if since >= s.SettleTime && full || since >= s.SettleTime+2*s.BootTime {
 			return to(StepRefilled)
 		}
@@ -86,12 +86,12 @@
 			return nil
 		}
 	default:
-		return nil // of another version
+		return nil // a step of another version
 	}
 	return p
 }
 
-// String tells of a plan, for people.
+// String describes a plan for people.
 func (p *Plan) String() string {
 	return fmt.Sprintf("%s, %.0f GPUs were at work", p.Step, p.Work)
 }
