--- a/internal/reapi/client.go
+++ b/internal/reapi/client.go
@@ -18,27 +18,27 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Client has actions executed, by whichever of some controllers answers.
+// Client has actions executed by whichever of several controllers answers.
 type Client struct {
 	Instance string
 	conns    []*grpc.ClientConn
 	next     int
 }
 
-// Dial gives a client of some controllers; nothing is sent before the first call.
+// Dial returns a client of several controllers. It connects with the first call.
 func Dial(addrs []string, instance string) (*Client, error) {
 	c := &Client{Instance: instance}
 	for _, addr := range addrs {
 		conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
-			return nil, errors.Join(err, c.Close())
+			return nil, errors.Join(fmt.Errorf("dial controller %s: %w", addr, err), c.Close())
 		}
 		c.conns = append(c.conns, conn)
 	}
 	return c, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *Client) Close() error {
 	var errs []error
 	for _, conn := range c.conns {
@@ -47,61 +47,88 @@
 	return errors.Join(errs...)
 }
 
-// StartingAt gives the client that asks another controller first.
+// StartingAt returns a client that asks the n-th controller first.
 func (c *Client) StartingAt(n int) *Client {
 	other := *c
 	other.next = n
 	return &other
 }
 
-// Execute has an action executed and waits for its answer. When a stream breaks off
-// it goes on at the next controller. tell, if it is not nil, is told how the
-// execution stands.
-func (c *Client) Execute(ctx context.Context, action cas.Digest, skipCache bool, tell func(*repb.ExecuteOperationMetadata)) (*repb.ExecuteResponse, error) {
-	operation := ""
+// retryPause is the time before a broken stream is opened again at the next controller.
+const retryPause = 500 * time.Millisecond
+
+// Execute has an action executed and waits for its answer. A stream that breaks is opened
+// again at the next controller. If progress is not nil, it is called with each stage of the
+// execution.
+func (c *Client) Execute(ctx context.Context, action cas.Digest, skipCache bool, progress func(*repb.ExecuteOperationMetadata)) (*repb.ExecuteResponse, error) {
+	request := &repb.ExecuteRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function, SkipCacheLookup: skipCache}
+	operation := "" // that the action is executed under, once that is known
 	for ; ; c.next++ {
-		api := repb.NewExecutionClient(c.conns[c.next%len(c.conns)])
-		var in grpc.ServerStreamingClient[longrunningpb.Operation]
-		var err error
-		if operation != "" {
-			in, err = api.WaitExecution(ctx, &repb.WaitExecutionRequest{Name: operation})
-		} else {
-			in, err = api.Execute(ctx, &repb.ExecuteRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function, SkipCacheLookup: skipCache})
-		}
+		in, err := c.open(ctx, request, operation)
 		for err == nil {
 			var op *longrunningpb.Operation
 			if op, err = in.Recv(); err != nil {
 				break
 			}
 			operation = op.Name
-			var meta repb.ExecuteOperationMetadata
-			if tell != nil && op.Metadata.UnmarshalTo(&meta) == nil {
-				tell(&meta)
-			}
-			if !op.Done {
-				continue
+			report(op, progress)
+			if op.Done {
+				return response(op)
 			}
-			var resp repb.ExecuteResponse
-			if err := op.GetResponse().UnmarshalTo(&resp); err != nil {
-				return nil, fmt.Errorf("the answer to %s is not understood: %w", op.Name, err)
-			}
-			return &resp, nil
 		}
-		switch code := status.Code(err); {
-		case ctx.Err() != nil:
+		if ctx.Err() != nil {
 			return nil, ctx.Err()
-		case code == codes.NotFound && operation != "":
-			operation = "" // the controllers do not know it any more: execute anew
-		case errors.Is(err, io.EOF), code == codes.Unavailable, code == codes.ResourceExhausted, code == codes.Canceled, code == codes.Internal, code == codes.Unknown:
-			if code == codes.Unavailable && operation != "" && answerEvicted(err) {
-				operation = ""
-			}
-		default:
+		}
+		if operation, err = resume(operation, err); err != nil {
 			return nil, err
 		}
-		store.Backoff(ctx, 500*time.Millisecond)
+		store.Backoff(ctx, retryPause)
+	}
+}
+
+// open asks the current controller for the action's execution: for the one that is known by
+// name, or for a new one.
+func (c *Client) open(ctx context.Context, r *repb.ExecuteRequest, operation string) (grpc.ServerStreamingClient[longrunningpb.Operation], error) {
+	api := repb.NewExecutionClient(c.conns[c.next%len(c.conns)])
+	if operation != "" {
+		return api.WaitExecution(ctx, &repb.WaitExecutionRequest{Name: operation})
+	}
+	return api.Execute(ctx, r)
+}
+
+// report passes the stage of an operation on to progress.
+func report(op *longrunningpb.Operation, progress func(*repb.ExecuteOperationMetadata)) {
+	var meta repb.ExecuteOperationMetadata
+	if progress != nil && op.Metadata.UnmarshalTo(&meta) == nil {
+		progress(&meta)
+	}
+}
+
+// response returns the answer of an operation that is done.
+func response(op *longrunningpb.Operation) (*repb.ExecuteResponse, error) {
+	var resp repb.ExecuteResponse
+	if err := op.GetResponse().UnmarshalTo(&resp); err != nil {
+		return nil, fmt.Errorf("the answer to %s is not understood: %w", op.Name, err)
+	}
+	return &resp, nil
+}
+
+// resume decides how to go on after a stream has ended with an error: by waiting for the
+// operation that it returns, by executing the action again if that is empty, or not at all.
+func resume(operation string, err error) (string, error) {
+	if errors.Is(err, io.EOF) {
+		return operation, nil
+	}
+	switch code := status.Code(err); {
+	case code == codes.NotFound && operation != "":
+		return "", nil // no controller knows it any more
+	case code == codes.Unavailable && answerEvicted(err):
+		return "", nil
+	case code == codes.Unavailable, code == codes.ResourceExhausted, code == codes.Canceled, code == codes.Internal, code == codes.Unknown:
+		return operation, nil
 	}
+	return "", err
 }
 
-// answerEvicted reports whether an execution is over and its answer was evicted.
+// answerEvicted reports whether an execution is over but its answer was evicted.
 func answerEvicted(err error) bool { return status.Convert(err).Message() == evictedMessage }
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -19,22 +19,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// follow tells of an execution until it is over. Whoever leaves, and whoever else
-// waits, changes nothing of it.
+// follow reports an execution's stage until it is over. A client that disconnects, and any
+// number of others that wait for the same execution, have no influence on it.
 func (s *Server) follow(ctx context.Context, op operation, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
-	news := s.watch.subscribe(op.job)
-	defer s.watch.unsubscribe(op.job, news)
-	touched := time.Now()
-	for told := repb.ExecutionStage_UNKNOWN; ; {
-		if time.Since(touched) > retainInterval { // as long as it is waited for, it is not evicted
+	changed := s.watch.subscribe(op.job)
+	defer s.watch.unsubscribe(op.job, changed)
+	retained := time.Now()
+	for sent := repb.ExecutionStage_UNKNOWN; ; {
+		if time.Since(retained) > retainInterval {
 			s.retainInputs(ctx, op, instance)
-			touched = time.Now()
-		}
-		rec, err := s.Admission.Status(ctx, op.job)
-		if errors.Is(err, admission.ErrRetryLater) && ctx.Err() == nil && told != repb.ExecutionStage_UNKNOWN {
-			err = nil // the stream stands: what is not known now is told later
-			rec.Stage = wire.Pending
+			retained = time.Now()
 		}
+		rec, err := s.status(ctx, op, sent != repb.ExecutionStage_UNKNOWN)
 		if err != nil {
 			return admissionStatus(err)
 		}
@@ -45,34 +41,56 @@
 			}
 			return op.send(out, repb.ExecutionStage_COMPLETED, resp)
 		}
-		stage := repb.ExecutionStage_QUEUED
-		if s.Count(op.job).Running > 0 {
-			stage = repb.ExecutionStage_EXECUTING
-		}
-		if stage != told {
+		if stage := s.stage(op); stage != sent {
 			if err := op.send(out, stage, nil); err != nil {
 				return err
 			}
-			told = stage
-		}
-		again := time.NewTimer(statusInterval)
-		select {
-		case <-ctx.Done():
-			err = status.FromContextError(ctx.Err()).Err()
-		case <-news:
-		case <-again.C:
+			sent = stage
 		}
-		if again.Stop(); err != nil {
+		if err := awaitChange(ctx, changed); err != nil {
 			return err
 		}
 	}
 }
 
-// retainInterval is how often the store of blobs is told that an action is still
-// needed.
+// status returns the record of an execution's job. Once a stage has been sent the client is
+// not disconnected while the state can't be read: the job then counts as pending.
+func (s *Server) status(ctx context.Context, op operation, following bool) (store.JobRecord, error) {
+	rec, err := s.Admission.Status(ctx, op.job)
+	if following && errors.Is(err, admission.ErrRetryLater) && ctx.Err() == nil {
+		rec.Stage = wire.Pending
+		return rec, nil
+	}
+	return rec, err
+}
+
+// stage returns the stage of an execution that is not over.
+func (s *Server) stage(op operation) repb.ExecutionStage_Value {
+	if s.Count(op.job).Running > 0 {
+		return repb.ExecutionStage_EXECUTING
+	}
+	return repb.ExecutionStage_QUEUED
+}
+
+// awaitChange waits until a job may have changed. The error is that of the context.
+func awaitChange(ctx context.Context, changed <-chan struct{}) error {
+	t := time.NewTimer(statusInterval)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return status.FromContextError(ctx.Err()).Err()
+	case <-changed:
+	case <-t.C:
+	}
+	return nil
+}
+
+// retainInterval is the time between two uses of an execution's inputs on behalf of a client
+// that waits for it. It is far less than the time after which the store may evict them.
 const retainInterval = 4 * time.Minute
 
-// retainInputs has the blobs kept that an execution needs and has perhaps not read yet.
+// retainInputs uses the blobs that an execution needs, so that the store does not evict them
+// before a machine has read them.
 func (s *Server) retainInputs(ctx context.Context, op operation, instance string) {
 	blobs := s.Store.ForInstance(instance)
 	var a repb.Action
@@ -89,18 +107,18 @@
 		}
 	}
 	if err != nil {
-		s.Log.Info("inputs of an action not kept", "job", op.job, "error", err)
+		s.Log.Info("inputs of an action not kept", "job", op.job, "err", err)
 	}
 }
 
-// statusInterval is how often a stream looks for itself, whatever it is told.
+// statusInterval is the longest time between two reads of a job's status, changed or not.
 const statusInterval = 15 * time.Second
 
-// evictedMessage tells that an execution is over and its answer is gone.
+// evictedMessage says that an execution is over but its answer was evicted. Clients of this
+// package recognize it.
 const evictedMessage = "the answer of the execution is gone: execute the action again"
 
-// answer gives the final answer of an execution that is over, the same to all who
-// ask.
+// answer returns the final answer of an execution that is over, the same to every client.
 func (s *Server) answer(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool) (*repb.ExecuteResponse, error) {
 	if rec.Stage == wire.Cancelled {
 		return &repb.ExecuteResponse{Status: status.New(codes.Canceled, fmt.Sprintf("job %s was cancelled", op.job)).Proto()}, nil
@@ -108,15 +126,15 @@
 	resp, err := action.Answer(ctx, s.Store, op.job)
 	switch {
 	case errors.Is(err, action.ErrNoAnswer):
-		// It was evicted: who asks for the action again has it executed anew.
-		return nil, retryStatus(codes.Unavailable, evictedMessage, time.Second)
+		// It was evicted: a client that asks for the action again has it executed anew.
+		return nil, unavailable(evictedMessage, time.Second)
 	case err != nil:
 		return nil, storeUnavailable(err)
 	}
 	if cacheable && resp.Status.GetCode() == 0 && resp.Result.GetExitCode() == 0 {
-		// Whoever was first has it under an instance of theirs.
+		// The first client may have asked for it under another instance.
 		if err := s.Store.ForInstance(instance).PutResult(ctx, op.action, resp.Result); err != nil {
-			s.Log.Info("result not kept", "job", op.job, "instance", instance, "error", err)
+			s.Log.Info("result not kept", "job", op.job, "instance", instance, "err", err)
 		}
 	}
 	return resp, nil
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -15,19 +15,22 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// operation names an execution: every controller can tell from it which job it is,
-// and of which action.
+// operation identifies an execution. Every controller can tell from its name which job it is
+// and which action it executes.
 type operation struct {
 	job    string
 	action cas.Digest
 }
 
+// operationPrefix is the first word of every operation's name.
 const operationPrefix = "operations"
 
+// name returns operations/FUNCTION/HASH/SIZE/JOB.
 func (o operation) name() string {
 	return strings.Join([]string{operationPrefix, o.action.Function.String(), o.action.String(), o.job}, "/")
 }
 
+// parseOperation reads the name of an operation.
 func parseOperation(name string) (operation, error) {
 	bad := status.Errorf(codes.NotFound, "operation %q: not a name that this service gave", name)
 	words := strings.Split(name, "/")
@@ -42,14 +45,16 @@
 	return operation{words[4], g}, nil
 }
 
-// send tells the stage of an operation.
+// send sends the stage of an operation, and its response once it is done.
 func (o operation) send(out grpc.ServerStreamingServer[longrunningpb.Operation], stage repb.ExecutionStage_Value, resp *repb.ExecuteResponse) error {
-	told := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: o.action.Proto(), DigestFunction: o.action.Function}
-	if stage != repb.ExecutionStage_COMPLETED { // the logs come once something is written, maybe before this stage is known here
+	stageMeta := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: o.action.Proto(), DigestFunction: o.action.Function}
+	if stage != repb.ExecutionStage_COMPLETED {
+		// Logs exist once something has been written, perhaps before this controller knows
+		// that the action is executing: their names are sent with every stage.
 		stdout, stderr := action.LogNames(o.job)
-		told.StdoutStreamName, told.StderrStreamName = cas.LogName("", stdout), cas.LogName("", stderr)
+		stageMeta.StdoutStreamName, stageMeta.StderrStreamName = cas.LogName("", stdout), cas.LogName("", stderr)
 	}
-	meta, err := anypb.New(told)
+	meta, err := anypb.New(stageMeta)
 	if err != nil {
 		return err
 	}
--- a/internal/reapi/props.go
+++ b/internal/reapi/props.go
@@ -16,8 +16,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Defaults is what an action's job is where neither its instance nor its platform
-// properties say otherwise.
+// Defaults describe the job of an action, unless its instance name or platform properties say
+// otherwise.
 type Defaults struct {
 	Team, Class string
 	Priority    wire.Priority
@@ -28,8 +28,7 @@
 	Estimate    time.Duration
 }
 
-// properties are the platform properties that are understood, each with how it
-// changes a job.
+// properties lists the supported platform properties, each with how it changes a job.
 var properties = map[string]func(j *wire.Job, value string) error{
 	"team":            func(j *wire.Job, v string) error { j.Team = v; return text(v) },
 	"class":           func(j *wire.Job, v string) error { j.Class = v; return text(v) },
@@ -54,8 +53,11 @@
 	},
 }
 
+// maxText bounds the text of a property, in bytes.
+const maxText = 200
+
 func text(v string) error {
-	if v == "" || len(v) > 200 || !utf8.ValidString(v) {
+	if v == "" || len(v) > maxText || !utf8.ValidString(v) {
 		return fmt.Errorf("must be text of 1 to 200 bytes")
 	}
 	return nil
@@ -79,9 +81,9 @@
 	}
 }
 
-// job makes the job of an action: the settings' defaults, changed by what the
-// instance name says (TEAM, or TEAM/CLASS), changed by the platform properties. The
-// error names every property that is unknown or wrong.
+// job returns the job of an action: the defaults, overridden by the instance name (TEAM, or
+// TEAM/CLASS), overridden by the platform properties. The error names every property that is
+// unknown or has a wrong value.
 func (d Defaults) job(instance string, props []*repb.Platform_Property) (*wire.Job, error) {
 	j := &wire.Job{Class: d.Class, Team: d.Team, Shape: wire.Array, Priority: d.Priority, Tasks: 1, CPUs: d.CPUs, GPUs: d.GPUs,
 		MemoryGB: d.MemoryGB, Image: d.Image, Spot: d.Spot, EstimateS: d.Estimate.Seconds()}
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -1,7 +1,7 @@
-// Package reapi is the interface for build tools: the Execution service of the
-// Remote Execution API. An action becomes a job like any other, through the same
-// package, and its answer is what the machine that ran it has kept in the store of
-// blobs. Blobs do not pass through controllers: `amberdeal cas` serves those.
+// Package reapi serves build tools: it implements the Execution service of the Remote
+// Execution API. An action becomes a job, submitted through package admission like any other.
+// Its answer is what the machine that executed it has stored in the content-addressable
+// store. Blobs do not pass through controllers: `amberdeal cas` serves them.
 package reapi
 
 import (
@@ -23,7 +23,7 @@
 	"amberdeal.example/amberdeal/internal/leader"
 )
 
-// Server serves build tools on one controller.
+// Server implements the API on one controller.
 type Server struct {
 	repb.UnimplementedExecutionServer
 	repb.UnimplementedCapabilitiesServer
@@ -32,13 +32,13 @@
 	Store     *cas.Client
 	Defaults  Defaults
 	Log       *slog.Logger
-	// Count gives how many tasks of a job run.
+	// Count returns how many tasks of a job run.
 	Count func(job string) leader.TaskCount
 
 	watch watchers
 }
 
-// GRPC gives the gRPC server, of so many open calls and streams at the most.
+// GRPC returns the gRPC server, with at most calls open calls and streams.
 func (s *Server) GRPC(calls int) *grpc.Server {
 	g := grpc.NewServer(append(cas.LimitCalls(calls), grpc.MaxRecvMsgSize(1<<20))...)
 	repb.RegisterExecutionServer(g, s)
@@ -48,7 +48,7 @@
 	return g
 }
 
-// Run keeps those who wait for a job's end told until the context ends.
+// Run notifies the streams that follow executions until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	return s.watch.run(ctx, s.Admission.View, func(job string) int { return s.Count(job).Running })
 }
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -13,24 +13,25 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// storeUnavailable is the answer while the store of blobs can't be reached.
+// storeUnavailable is the error for a client while the content-addressable store can't be
+// reached.
 func storeUnavailable(err error) error {
 	if code := status.Code(err); code == codes.Canceled || code == codes.DeadlineExceeded {
 		return err
 	}
-	return retryStatus(codes.Unavailable, "the store of blobs: "+err.Error(), 2*time.Second)
+	return unavailable("the store of blobs: "+err.Error(), 2*time.Second)
 }
 
-// retryStatus is a status that says when to come back.
-func retryStatus(code codes.Code, why string, after time.Duration) error {
-	st := status.New(code, why)
+// unavailable is an error that says when to retry.
+func unavailable(why string, after time.Duration) error {
+	st := status.New(codes.Unavailable, why)
 	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
 		st = with
 	}
 	return st.Err()
 }
 
-// admissionStatus gives what admission says the code that the API has for it.
+// admissionStatus converts an error of admission to the API's code for it.
 func admissionStatus(err error) error {
 	var never *admission.UnrunnableError
 	switch {
@@ -43,5 +44,5 @@
 	case errors.Is(err, admission.ErrCompactionBehind):
 		return cas.Busy(err.Error(), 5*time.Second)
 	}
-	return retryStatus(codes.Unavailable, err.Error(), time.Second)
+	return unavailable(err.Error(), time.Second)
 }
--- a/internal/reapi/submit.go
+++ b/internal/reapi/submit.go
@@ -17,8 +17,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// newJob reads the action and its command and makes a job of them. The machine
-// that runs it looks at the rest; here only what must be known to place it is read.
+// newJob reads an action and its command and returns the job that executes it, and whether the
+// result may be cached. Only what is needed to place the job is checked here; the machine that
+// runs it checks the rest.
 func (s *Server) newJob(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, g cas.Digest) (*wire.Job, bool, error) {
 	var a repb.Action
 	if err := s.readMessage(ctx, blobs, g, &a); err != nil {
@@ -59,7 +60,7 @@
 	return job, !a.DoNotCache, nil
 }
 
-// readMessage reads a blob that the action names.
+// readMessage reads the action, or a blob that it names.
 func (s *Server) readMessage(ctx context.Context, blobs *cas.Client, g cas.Digest, m proto.Message) error {
 	err := blobs.Message(ctx, g, m)
 	switch {
@@ -76,12 +77,15 @@
 	return storeUnavailable(err)
 }
 
-// submit finds the job that executes an action now, or submits one. An action that
-// is being executed already is waited for, whoever asked first; one that was
-// executed before, and whose result was not to be had, is executed anew.
+// maxGenerations bounds how many generations of an action's job are tried in one call.
+const maxGenerations = 8
+
+// submit returns the unfinished job that executes an action, or submits a new one. An action
+// that is being executed already is shared by all clients; one that was executed before, and
+// whose result could not be found, is executed again.
 func (s *Server) submit(ctx context.Context, job *wire.Job, g cas.Digest) (operation, error) {
-	// What is over by now must not be taken for running: its answer is from before
-	// the client asked.
+	// A job that has ended by now must not be mistaken for a running one: its answer would
+	// be older than the request.
 	if err := s.Admission.Follow.Barrier(ctx); err != nil {
 		return operation{}, admissionStatus(fmt.Errorf("%w: %w", admission.ErrRetryLater, err))
 	}
@@ -89,7 +93,7 @@
 	if err != nil {
 		return operation{}, err
 	}
-	for range 8 {
+	for range maxGenerations {
 		job.ID = action.JobID(g, generation)
 		rec, created, err := s.Admission.Submit(ctx, job)
 		switch {
@@ -98,9 +102,9 @@
 		case created, rec.Job != nil && sameAction(rec.Job, g):
 			return operation{job.ID, g}, nil
 		}
-		generation++ // over meanwhile, or another action's
+		generation++ // ended meanwhile, or a job of another action with the same id
 	}
-	return operation{}, retryStatus(codes.Unavailable, "the action is executed again and again", time.Second)
+	return operation{}, unavailable("the action is executed again and again", time.Second)
 }
 
 // sameAction reports whether a job executes an action.
@@ -109,20 +113,16 @@
 	return err == nil && other == g
 }
 
-// firstUnfinishedGeneration gives the first that is not over: they are used in order, so that a
-// search that doubles and then halves finds it.
+// firstUnfinishedGeneration returns the first generation of an action's job that has not ended.
+// Generations are used in order, so that an exponential and then a binary search finds it.
 func (s *Server) firstUnfinishedGeneration(ctx context.Context, g cas.Digest) (uint64, error) {
-	over := func(n uint64) (bool, error) {
-		rec, known, err := s.Admission.Find(ctx, action.JobID(g, n))
-		return known && rec.Stage.Final(), err
-	}
-	low, high := uint64(0), uint64(0) // every generation below low is over
+	low, high := uint64(0), uint64(0) // every generation below low has ended
 	for step := uint64(1); ; step *= 2 {
-		is, err := over(high)
+		ended, err := s.ended(ctx, action.JobID(g, high))
 		if err != nil {
-			return 0, admissionStatus(err)
+			return 0, err
 		}
-		if !is {
+		if !ended {
 			break
 		}
 		low = high + 1
@@ -130,11 +130,11 @@
 	}
 	for low < high {
 		mid := low + (high-low)/2
-		is, err := over(mid)
+		ended, err := s.ended(ctx, action.JobID(g, mid))
 		if err != nil {
-			return 0, admissionStatus(err)
+			return 0, err
 		}
-		if is {
+		if ended {
 			low = mid + 1
 		} else {
 			high = mid
@@ -142,3 +142,12 @@
 	}
 	return low, nil
 }
+
+// ended reports whether a job is known and has ended.
+func (s *Server) ended(ctx context.Context, job string) (bool, error) {
+	rec, known, err := s.Admission.Find(ctx, job)
+	if err != nil {
+		return false, admissionStatus(err)
+	}
+	return known && rec.Stage.Final(), nil
+}
--- a/internal/reapi/watch.go
+++ b/internal/reapi/watch.go
@@ -8,19 +8,20 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// watchers tells those who follow a job that it may have changed. One goroutine
-// looks at all of them: many streams cost no more than their number at a change.
+// watchers notifies the streams that follow a job when it may have changed. One goroutine
+// looks at all followed jobs, so that the cost of many streams is only that of notifying them.
 type watchers struct {
 	mu   sync.Mutex
 	jobs map[string]*watchedJob
 }
 
+// watchedJob is a job that is followed.
 type watchedJob struct {
 	state       string
 	subscribers map[chan struct{}]bool
 }
 
-// subscribe gives a channel that gets news of a job.
+// subscribe returns a channel that receives a value when a job may have changed.
 func (w *watchers) subscribe(job string) chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,6 +36,7 @@
 	return news
 }
 
+// unsubscribe ends a subscription.
 func (w *watchers) unsubscribe(job string, news chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,11 +46,12 @@
 	}
 }
 
-// watchInterval is how often running tasks are looked at: their number is not in the
+// watchInterval is how often the number of running tasks is checked, which is not part of the
 // view.
 const watchInterval = 500 * time.Millisecond
 
-// run looks at the followed jobs at every change of the view, and now and then.
+// run checks the followed jobs at every change of the view, and every watchInterval, until the
+// context ends.
 func (w *watchers) run(ctx context.Context, view *store.View, running func(job string) int) error {
 	for ctx.Err() == nil {
 		changed := view.Changed()
@@ -64,6 +67,7 @@
 	return nil
 }
 
+// notifyChanged notifies the subscribers of each job whose state has changed.
 func (w *watchers) notifyChanged(view *store.View, running func(job string) int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
