--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -6,20 +6,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ApplyCloudList takes in a complete list of the cloud that was asked for at a time, and
-// names the machines that it proves gone. A list may be old by twice the lag,
-// so that a machine counts as gone only if it was known to exist well before.
+const (
+	// listMargin is for the way of a list, beside the cloud's lag.
+	listMargin = 2 * time.Second
+	// firstListing is how long a rented machine may take until the cloud lists it.
+	firstListing = 60 * time.Second
+)
+
+// ApplyCloudList takes in a complete list of the cloud that was asked for at a time, and names the
+// machines that it proves gone. A list may be old by twice the lag, so that a machine counts as
+// gone only if it was known to exist well before.
 func (f *Fleet) ApplyCloudList(asked, now time.Time, list []wire.ListedMachine) (gone []string) {
-	stale := 2*f.listLag + 2*time.Second
-	here := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, l := range list {
-		here[l.ID] = true
+		listed[l.ID] = true
 		if l.Stage == wire.MachineFailed {
 			gone = append(gone, l.ID)
 			continue
 		}
-		if _, gone := f.goneMachines[l.ID]; gone {
-			continue
+		if _, known := f.goneMachines[l.ID]; known {
+			continue // the list is older than the proof
 		}
 		m := f.EnsureMachine(now, l.ID, l.Type, l.Zone, l.Spot)
 		if m.Addr == "" {
@@ -29,20 +35,23 @@
 			m.ListedAt = now
 		}
 	}
+	stale := 2*f.listLag + listMargin
 	for _, m := range f.Machines() {
-		if here[m.ID] {
-			continue
-		}
-		known := m.ListedAt
-		if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
-			known = m.UpSince
-		}
-		if known.IsZero() {
-			known = m.Since.Add(60 * time.Second) // rented or recorded, never listed
-		}
-		if asked.Sub(known) > stale {
+		if !listed[m.ID] && asked.Sub(m.knownToExist()) > stale {
 			gone = append(gone, m.ID)
 		}
 	}
 	return gone
 }
+
+// knownToExist gives since when a machine must be in each list that is current.
+func (m *Machine) knownToExist() time.Time {
+	known := m.ListedAt
+	if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
+		known = m.UpSince
+	}
+	if known.IsZero() {
+		return m.Since.Add(firstListing) // rented or recorded, never listed
+	}
+	return known
+}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,49 +8,61 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fleet is what the holder of a part knows under its term.
+// Fleet is what the leader of a shard knows of its machines under its fencing token.
 type Fleet struct {
 	FencingToken     uint64
 	ElectedAt        time.Time
-	workerLease      time.Duration // of the workers
-	predecessorGrace time.Duration // how long an earlier holder answered after the claim, at most
-	listLag          time.Duration
+	workerLease      time.Duration // after which a worker without a response kills its tasks
+	predecessorGrace time.Duration // how long an earlier leader responded after ElectedAt, at most
+	listLag          time.Duration // by how much the cloud's list may be old
+
 	machines         map[string]*Machine
-	sortedMachines   []*Machine // by name; replaced when one goes
+	sortedMachines   []*Machine // by ID; replaced when a machine goes
 	placementsByTask map[wire.TaskID][]*Placement
-	goneMachines     map[string]messageNumber // gone machines, which a stale list may still show, and their last message
-	releasedMachines map[string]messageNumber
+	goneMachines     map[string]messageNumber // which a stale list may still show, with their last messages
+	releasedMachines map[string]messageNumber // the same of those that the cloud has released
 }
 
-// New gives the empty fleet of a term. linger bounds for how long after the
-// claim an earlier holder may have gone on answering reports.
+// New gives the empty fleet of a fencing token. predecessorGrace bounds for how long after the
+// election an earlier leader may have gone on responding to heartbeats.
 func New(token uint64, electedAt time.Time, workerLease, predecessorGrace, listLag time.Duration) *Fleet {
-	return &Fleet{FencingToken: token, ElectedAt: electedAt, workerLease: workerLease, predecessorGrace: max(predecessorGrace, 0), listLag: listLag,
-		machines: make(map[string]*Machine), placementsByTask: make(map[wire.TaskID][]*Placement), goneMachines: make(map[string]messageNumber), releasedMachines: make(map[string]messageNumber)}
+	return &Fleet{
+		FencingToken:     token,
+		ElectedAt:        electedAt,
+		workerLease:      workerLease,
+		predecessorGrace: max(predecessorGrace, 0),
+		listLag:          listLag,
+		machines:         make(map[string]*Machine),
+		placementsByTask: make(map[wire.TaskID][]*Placement),
+		goneMachines:     make(map[string]messageNumber),
+		releasedMachines: make(map[string]messageNumber),
+	}
 }
 
-// EnsureMachine adds a machine that the cloud or a report names. One that the store did
-// not record when the term began was never launched on by an earlier holder.
+// EnsureMachine gives a machine that the cloud or a heartbeat names, and adds it if it is new. One
+// that the state service did not record when the leader was elected was never launched on by an
+// earlier leader.
 func (f *Fleet) EnsureMachine(now time.Time, id, typ, zone string, spot bool) *Machine {
-	m := f.machines[id]
-	if m == nil {
-		delete(f.goneMachines, id)
-		m = &Machine{ID: id, Type: typ, Zone: zone, Spot: spot, Since: now, IdleSince: now,
-			images: map[string]cachedImage{}, JobFailures: map[string]int{}, provenEmpty: true}
-		f.machines[id] = m
-		i, _ := slices.BinarySearchFunc(f.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
-		if i == len(f.sortedMachines) {
-			f.sortedMachines = append(f.sortedMachines, m)
-		} else { // someone may be going through the list
-			f.sortedMachines = slices.Concat(f.sortedMachines[:i], []*Machine{m}, f.sortedMachines[i:])
-		}
+	if m := f.machines[id]; m != nil {
+		return m
+	}
+	delete(f.goneMachines, id)
+	m := &Machine{
+		ID: id, Type: typ, Zone: zone, Spot: spot, Since: now, IdleSince: now, provenEmpty: true,
+		JobFailures: make(map[string]int), imageCache: imageCache{images: make(map[string]cachedImage)},
+	}
+	f.machines[id] = m
+	i, _ := slices.BinarySearchFunc(f.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
+	if i == len(f.sortedMachines) {
+		f.sortedMachines = append(f.sortedMachines, m)
+	} else { // a caller may be going through the list
+		f.sortedMachines = slices.Concat(f.sortedMachines[:i], []*Machine{m}, f.sortedMachines[i:])
 	}
 	return m
 }
 
-// RestoreMachine adds a machine that the store recorded, with the tasks that earlier
-// holders may have placed on it. They count as there until one of the proofs
-// shows that they are not.
+// RestoreMachine adds a machine that the state service recorded, with the tasks that earlier leaders
+// may have placed on it. They count as there until one of the proofs shows that they are not.
 func (f *Fleet) RestoreMachine(now time.Time, id, addr, typ, zone string, spot bool, incarnation uint64, tasks map[string]uint64) {
 	m := f.EnsureMachine(now, id, typ, zone, spot)
 	m.Addr, m.RecordedIncarnation, m.provenEmpty, m.Recorded = addr, incarnation, false, true
@@ -61,41 +73,16 @@
 	}
 }
 
-// Machine looks a machine up.
+// Machine gives a machine by its ID, or nil.
 func (f *Fleet) Machine(id string) *Machine { return f.machines[id] }
 
-// Machines lists all machines in order of their names. The list is the caller's
-// to go through, whatever becomes of the machines meanwhile.
+// Machines lists all machines in order of their IDs. The list is the caller's to go through,
+// whatever becomes of the machines meanwhile.
 func (f *Fleet) Machines() []*Machine {
 	return f.sortedMachines[:len(f.sortedMachines):len(f.sortedMachines)]
 }
 
-// MarkReleased notes that the cloud has acknowledged a machine's release: nothing
-// that comes in its name later is news. After a cut, its reports may still do.
-func (f *Fleet) MarkReleased(id string) {
-	if m := f.machines[id]; m != nil {
-		f.releasedMachines[id] = messageNumber{m.Incarnation, m.lastSeq}
-	} else if !f.IsReleased(id) {
-		f.releasedMachines[id] = messageNumber{}
-	}
-}
-
-// IsReleased reports whether a machine is known to have been released.
-func (f *Fleet) IsReleased(id string) bool { _, ok := f.releasedMachines[id]; return ok }
-
-// RemoveMachine forgets a machine that is proven not to exist any more.
-func (f *Fleet) RemoveMachine(id string) {
-	if m := f.machines[id]; m != nil {
-		for _, p := range m.Placements() {
-			f.removePlacement(m, p)
-		}
-		delete(f.machines, id)
-		f.sortedMachines = slices.DeleteFunc(slices.Clone(f.sortedMachines), func(o *Machine) bool { return o == m })
-		f.goneMachines[id] = messageNumber{m.Incarnation, m.lastSeq}
-	}
-}
-
-// UnprovenMachines lists the machines that may hold tasks that nobody knows of.
+// UnprovenMachines lists the machines that may hold tasks of which this leader does not know.
 func (f *Fleet) UnprovenMachines() []*Machine {
 	var out []*Machine
 	for _, m := range f.Machines() {
@@ -106,31 +93,46 @@
 	return out
 }
 
-func (f *Fleet) addPlacement(m *Machine, p *Placement) {
-	i, _ := slices.BinarySearchFunc(m.placements, p, byTask)
-	m.placements = slices.Insert(slices.Clone(m.placements), i, p)
-	f.placementsByTask[p.Task] = append(f.placementsByTask[p.Task], p)
+// MarkReleased notes that the cloud has acknowledged a machine's release: nothing that comes in its
+// name later counts. After a network failure its heartbeats may still come.
+func (f *Fleet) MarkReleased(id string) {
+	if m := f.machines[id]; m != nil {
+		f.releasedMachines[id] = m.lastMessage()
+	} else if !f.IsReleased(id) {
+		f.releasedMachines[id] = messageNumber{}
+	}
 }
 
-func (f *Fleet) removePlacement(m *Machine, p *Placement) {
-	other := func(q *Placement) bool { return q == p }
-	m.placements = slices.DeleteFunc(slices.Clone(m.placements), other)
-	if rest := slices.DeleteFunc(slices.Clone(f.placementsByTask[p.Task]), other); len(rest) > 0 {
-		f.placementsByTask[p.Task] = rest
-	} else {
-		delete(f.placementsByTask, p.Task)
+// IsReleased reports whether a machine is known to have been released.
+func (f *Fleet) IsReleased(id string) bool {
+	_, ok := f.releasedMachines[id]
+	return ok
+}
+
+// RemoveMachine forgets a machine that is proven not to exist any more, and what was on it.
+func (f *Fleet) RemoveMachine(id string) {
+	m := f.machines[id]
+	if m == nil {
+		return
 	}
+	for _, p := range m.Placements() {
+		f.removePlacement(m, p)
+	}
+	delete(f.machines, id)
+	f.sortedMachines = slices.DeleteFunc(slices.Clone(f.sortedMachines), func(o *Machine) bool { return o == m })
+	f.goneMachines[id] = m.lastMessage()
 }
 
-// Place plans an attempt of a task on a machine. Nothing is said to the
-// machine before Committed is set.
+// Place plans an attempt of a task on a machine. Nothing is sent to the machine before Committed is
+// set.
 func (f *Fleet) Place(now time.Time, m *Machine, t wire.TaskID, attempt uint64) *Placement {
 	p := &Placement{Task: t, Attempt: attempt, Machine: m.ID, PlacedAt: now}
 	f.addPlacement(m, p)
 	return p
 }
 
-// Withdraw takes a planned placement back; what was said can't be taken back.
+// Withdraw takes a planned placement back, and reports whether it could: what was sent can't be taken
+// back.
 func (f *Fleet) Withdraw(p *Placement) bool {
 	if p.State != Planned || p.callPending {
 		return false
@@ -139,8 +141,8 @@
 	return true
 }
 
-// ActivePlacement gives the placement of a task that may hold resources, or nil when
-// the task is nowhere as far as this fleet knows.
+// ActivePlacement gives the placement of a task that may hold resources, or nil when the task is
+// nowhere as far as this leader knows.
 func (f *Fleet) ActivePlacement(t wire.TaskID) *Placement {
 	var found *Placement
 	for _, p := range f.placementsByTask[t] {
@@ -150,3 +152,20 @@
 	}
 	return found
 }
+
+func (f *Fleet) addPlacement(m *Machine, p *Placement) {
+	i, _ := slices.BinarySearchFunc(m.placements, p, byTask)
+	m.placements = slices.Insert(slices.Clone(m.placements), i, p)
+	f.placementsByTask[p.Task] = append(f.placementsByTask[p.Task], p)
+}
+
+func (f *Fleet) removePlacement(m *Machine, p *Placement) {
+	same := func(q *Placement) bool { return q == p }
+	m.placements = slices.DeleteFunc(slices.Clone(m.placements), same)
+	rest := slices.DeleteFunc(slices.Clone(f.placementsByTask[p.Task]), same)
+	if len(rest) > 0 {
+		f.placementsByTask[p.Task] = rest
+	} else {
+		delete(f.placementsByTask, p.Task)
+	}
+}
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -7,51 +7,80 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Event is something that a report has shown.
+// Event is something that a heartbeat or an expired lease has shown.
 type Event struct {
 	Placement *Placement
-	Gone      bool // it is no longer there, and did not end in sight
+	Gone      bool // it is no longer there, and was not seen to end
 }
 
-// IsNewer reports whether a report is newer than all that was heard of its machine, also of one
-// that is gone. A copy that comes late tells nothing, nor of the machine's zone.
+// IsNewer reports whether a heartbeat is newer than all that came of its machine, also of one that
+// is gone. A copy that comes late says nothing, not even of the machine's zone.
 func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
 	last, gone := f.releasedMachines[r.Machine]
 	if !gone {
 		last = f.goneMachines[r.Machine]
 	}
 	if m := f.machines[r.Machine]; m != nil {
-		last = messageNumber{m.Incarnation, m.lastSeq}
+		last = m.lastMessage()
 	}
 	return last.before(r)
 }
 
-// ApplyHeartbeat takes in a worker's report, whichever way it came. A report proves
-// that an unseen launch was not taken only if it came by itself (own), since
-// the answer that carried the launch may be in flight beside any other.
+// messageNumber orders the messages of a machine.
+type messageNumber struct{ incarnation, seq uint64 }
+
+func (n messageNumber) before(r *wire.Heartbeat) bool {
+	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
+}
+
+// ApplyHeartbeat takes in a worker's heartbeat, whichever way it came. A heartbeat proves that an
+// unseen launch was not taken only if the worker sent it by itself (own), and not as the answer to
+// a call: the response that carried the launch may be in flight beside any other.
 func (f *Fleet) ApplyHeartbeat(now time.Time, r *wire.Heartbeat, own bool) []Event {
 	if f.IsReleased(r.Machine) || !f.IsNewer(r) {
-		return nil // its list is as old as the report; what is no more would be launched on
+		return nil // its list is as old as itself; what is gone since would be launched on
 	}
 	m := f.EnsureMachine(now, r.Machine, r.Type, r.Zone, r.Spot)
 	var events []Event
 	if r.Incarnation > m.Incarnation {
-		if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that answer
-			m.lostCommands, m.lostCommandsSince = maxLostCommands, now
+		events = f.enterIncarnation(now, m, r.Incarnation, own)
+	}
+	f.noteContact(now, m, r, own)
+	for _, t := range r.Tasks {
+		if p, changed := f.applyTaskStatus(now, m, t); changed {
+			events = append(events, Event{p, false})
 		}
-		for _, p := range m.Placements() {
-			// Proof 2: the worker has forgotten all tasks of earlier sessions,
-			// and executes nothing that was sent for one.
-			if (p.State != Planned || p.callPending) && (m.SeenAtToken || !p.restored) {
-				f.removePlacement(m, p)
-				events = append(events, Event{p, true})
-			}
+	}
+	if m.SeenAtToken && r.FencingToken >= f.FencingToken {
+		events = append(events, f.reconcileMissing(now, m, r, own)...)
+	}
+	if own {
+		m.heartbeatSeq, m.heartbeatAt = r.Seq, now
+	}
+	return events
+}
+
+// enterIncarnation takes in that a machine's worker has begun anew (proof 2): it has forgotten all
+// tasks of earlier incarnations, and executes nothing that was sent to one.
+func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, own bool) (events []Event) {
+	if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
+		m.certain(now)
+	}
+	for _, p := range m.Placements() {
+		if (p.State != Planned || p.callPending) && (m.SeenAtToken || !p.restored) {
+			f.removePlacement(m, p)
+			events = append(events, Event{p, true})
 		}
-		m.beginIncarnation(r.Incarnation)
 	}
+	m.beginIncarnation(incarnation)
+	return events
+}
+
+// noteContact takes in what a heartbeat says of the machine itself.
+func (f *Fleet) noteContact(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
 	if !m.incarnationSeen {
-		// A session has a lease of its own that counts from its beginning, which
-		// may have been just now.
+		// An incarnation has a lease of its own that counts from its beginning, which may have been
+		// just now.
 		m.incarnationSeen = true
 		m.noteResponse(now)
 	}
@@ -64,7 +93,7 @@
 	case !own:
 		m.lostCommands = 0 // a call was answered
 	case r.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
-		m.noteLostCommand(now) // nor taken the term from the answer to its last report
+		m.noteLostCommand(now) // nor taken the token from the response to its last heartbeat
 	}
 	m.lastSeq = r.Seq
 	m.Addr, m.LastHeartbeat = r.Addr, now
@@ -76,59 +105,46 @@
 	}
 	if r.FencingToken == f.FencingToken && !m.SeenAtToken {
 		m.SeenAtToken, m.lostCommands = true, 0
-		m.noteResponse(now) // an earlier holder's answer may have come until now
+		m.noteResponse(now) // an earlier leader's response may have come until now
 	}
-	for _, t := range r.Tasks {
-		if p, fresh := f.applyTaskStatus(now, m, t); fresh {
-			events = append(events, Event{p, false})
-		}
-	}
-	if m.SeenAtToken && r.FencingToken >= f.FencingToken {
-		events = f.reconcileMissing(now, m, r, own, events)
-	}
-	if own {
-		m.heartbeatSeq, m.heartbeatAt = r.Seq, now
-	}
-	return events
 }
 
-// reconcileMissing deals with what a report at the own term does not list.
-func (f *Fleet) reconcileMissing(now time.Time, m *Machine, r *wire.Heartbeat, own bool, events []Event) []Event {
-	lost := false
-	defer func() {
-		if lost {
-			m.noteLostCommand(now)
-		}
-	}()
+// reconcileMissing deals with what a heartbeat at the own token does not list (proof 1).
+func (f *Fleet) reconcileMissing(now time.Time, m *Machine, r *wire.Heartbeat, own bool) (events []Event) {
+	lost := false // a launch that a response carried
 	for _, p := range m.Placements() {
-		if p.State == Planned || slices.ContainsFunc(r.Tasks, func(t wire.ReportedTask) bool { return t.Attempt == p.Attempt && t.ID == p.Task }) {
+		listed := func(t wire.ReportedTask) bool { return t.Attempt == p.Attempt && t.ID == p.Task }
+		if p.State == Planned || slices.ContainsFunc(r.Tasks, listed) {
 			continue
 		}
-		if p.State == Sent {
-			// Proof 1. One report is in flight at a time, and the answer to it
-			// is executed before the next is made, or never: the launch was
-			// lost, and may be said again, unless it is to stop anyway.
-			if !own {
-				continue
-			}
-			lost = lost || p.sentInResponse
-			if p.State, p.sentInResponse = Planned, false; p.Stop != nil && !p.callPending {
-				f.removePlacement(m, p)
+		if p.State != Sent {
+			f.removePlacement(m, p)
+			if p.State != Ended {
 				events = append(events, Event{p, true})
 			}
 			continue
 		}
-		f.removePlacement(m, p)
-		if p.State != Ended {
+		// One heartbeat is in flight at a time, and the response to it is executed before the next
+		// is made, or never: the launch was lost, and may be sent again, unless it is to stop anyway.
+		if !own {
+			continue
+		}
+		lost = lost || p.sentInResponse
+		p.State, p.sentInResponse = Planned, false
+		if p.Stop != nil && !p.callPending {
+			f.removePlacement(m, p)
 			events = append(events, Event{p, true})
 		}
 	}
+	if lost {
+		m.noteLostCommand(now)
+	}
 	return events
 }
 
-// applyTaskStatus takes in one reported task and reports whether its state is new.
-func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask) (*Placement, bool) {
-	p := m.findPlacement(placementKey{t.ID, t.Attempt})
+// applyTaskStatus takes in one listed task and reports whether its state has changed.
+func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask) (p *Placement, changed bool) {
+	p = m.findPlacement(t.ID, t.Attempt)
 	if p == nil {
 		p = &Placement{Task: t.ID, Attempt: t.Attempt, Machine: m.ID, PlacedAt: now, Committed: true}
 		f.addPlacement(m, p)
@@ -136,18 +152,8 @@
 	if p.State == Sent {
 		m.lostCommands = 0
 	}
-	state := Running // also for what this version does not know: it is there
-	switch t.State {
-	case wire.TaskFetching:
-		state = Fetching
-	case wire.TaskWaiting:
-		state = Waiting
-	case wire.TaskSaving:
-		state = Saving
-	case wire.TaskEnded:
-		state = Ended
-	}
-	fresh := !p.Reported || p.State != state
+	state := stateOf(t.State)
+	changed = !p.Reported || p.State != state
 	p.Reported, p.State, p.Cause, p.Saved = true, state, t.Cause, t.Saved
 	if state == Running && p.StartedAt.IsZero() {
 		p.StartedAt = now
@@ -155,12 +161,21 @@
 	if state == Ended && p.endedAt.IsZero() {
 		p.endedAt = now
 	}
-	return p, fresh
+	return p, changed
 }
 
-// messageNumber orders the messages of a machine.
-type messageNumber struct{ incarnation, seq uint64 }
-
-func (n messageNumber) before(r *wire.Heartbeat) bool {
-	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
+// stateOf gives the state of a placement by what its worker says. A state that this version does
+// not know counts as running: the task is there.
+func stateOf(s wire.TaskState) State {
+	switch s {
+	case wire.TaskFetching:
+		return Fetching
+	case wire.TaskWaiting:
+		return Waiting
+	case wire.TaskSaving:
+		return Saving
+	case wire.TaskEnded:
+		return Ended
+	}
+	return Running
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -3,78 +3,100 @@
 import (
 	"cmp"
 	"time"
+
+	"amberdeal.example/amberdeal/wire"
 )
 
 // Machine is a machine that may be launched on, or may once have been.
 type Machine struct {
-	ID, Addr, Type, Zone    string
-	Spot                    bool
-	Up                      bool // has reported
-	SeenAtToken             bool // has been seen at the own term
-	Since                   time.Time
-	UpSince                 time.Time
-	LastHeartbeat           time.Time // last new report
-	firstCallSinceHeartbeat time.Time // first call that was answered since it last reported by itself
-	LastResponse            time.Time // last answer that it may have taken
-	TerminationTime         time.Time // when the cloud takes it away; zero: no notice
-	DrainReason             string    // why nothing is placed here any more
-	Releasing               bool
-	Recorded                bool           // in the store, so that it may be launched on
-	JobFailures             map[string]int // jobs that failed here
-	IdleSince               time.Time
-	ListedAt                time.Time // when the cloud first listed it
-	images                  map[string]cachedImage
-	imagesGB                float64
-
-	Incarnation uint64
-	// RecordedIncarnation is the one that the store names: a guess for the first call.
-	RecordedIncarnation uint64
-	lastSeq             uint64       // of the newest message
-	heartbeatSeq        uint64       // of the newest report
-	heartbeatAt         time.Time    // when that came
-	launchSeq           uint64       // of the newest report of which the answer carried launches
-	incarnationSeen     bool         // something of the session has been heard
-	lostCommands        int          // signs in a row that it takes nothing that it is told
-	lostCommandsSince   time.Time    // when the first of them was seen, of this session
-	provenEmpty         bool         // holds nothing from before the term, though not seen at it
-	placements          []*Placement // in a fixed order; replaced, never changed in place
+	ID, Addr, Type, Zone string
+	Spot                 bool
+	Recorded             bool           // in the state service, so that it may be launched on
+	Since                time.Time      // when this leader came to know it
+	ListedAt             time.Time      // when the cloud first listed it
+	TerminationTime      time.Time      // when the cloud takes it away; zero without a notice
+	DrainReason          string         // why nothing is placed here any more; empty while it may be
+	Releasing            bool           // its release was asked for
+	JobFailures          map[string]int // failed attempts here, by job
+	IdleSince            time.Time      // since when it has had no task
+
+	Up          bool // a heartbeat has come
+	UpSince     time.Time
+	SeenAtToken bool // a heartbeat has come at the leader's own fencing token
+	provenEmpty bool // nothing from before the token is on it, though it was not seen at the token
+
+	LastHeartbeat           time.Time // when the last new heartbeat came, also in answer to a call
+	LastResponse            time.Time // when the last response was sent that it may have taken
+	firstCallSinceHeartbeat time.Time // when a call was first answered since its last own heartbeat; zero for none
+
+	RecordedIncarnation uint64 // the one that the state service names: a guess for the first call
+	incarnationState
+	commandLoss
+	imageCache
+
+	placements []*Placement // sorted by task and attempt; replaced, never changed in place
+}
+
+// incarnationState is what is known of the present incarnation of a machine's worker.
+type incarnationState struct {
+	Incarnation     uint64
+	incarnationSeen bool      // a heartbeat of it has come
+	lastSeq         uint64    // of its newest heartbeat
+	heartbeatSeq    uint64    // of its newest own heartbeat
+	heartbeatAt     time.Time // when that came
+	launchSeq       uint64    // of its newest heartbeat of which the response carried launches
 }
 
-// beginIncarnation moves on to a session of which nothing has been heard yet. The machine lives on, and
+// beginIncarnation moves on to an incarnation of which nothing has come yet. The machine stays, and
 // so do its images, but for those that were only being fetched: nobody waits for them.
 func (m *Machine) beginIncarnation(incarnation uint64) {
-	m.Incarnation, m.lastSeq, m.heartbeatSeq, m.launchSeq, m.incarnationSeen = incarnation, 0, 0, 0, false
-	for name, c := range m.images {
-		if !c.present {
-			m.evictImage(name)
-		}
+	m.incarnationState = incarnationState{Incarnation: incarnation, heartbeatAt: m.heartbeatAt}
+	m.evictUnfetched()
+}
+
+// lastMessage gives the number of the newest heartbeat.
+func (m *Machine) lastMessage() messageNumber { return messageNumber{m.Incarnation, m.lastSeq} }
+
+// launchable reports whether a machine may be launched on.
+func (m *Machine) launchable() bool {
+	return m.SeenAtToken && m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
+}
+
+// isStale reports whether the worker waits for no response to a heartbeat any more: it has sent a
+// newer one, or is in a later incarnation, or sent this one too long ago. Such a response renews no
+// lease, and a proof by time does not wait for it.
+func (m *Machine) isStale(now time.Time, r *wire.Heartbeat) bool {
+	if r.Incarnation != m.Incarnation {
+		return r.Incarnation < m.Incarnation
 	}
+	return r.Seq < m.heartbeatSeq || r.Seq == m.heartbeatSeq && now.Sub(m.heartbeatAt) > proofMargin
 }
 
-// Placements lists what is or may be on the machine, in a fixed order. The list
-// is the caller's to go through, whatever becomes of the placements meanwhile.
+// Placements lists what is or may be on the machine, sorted by task and attempt. The list is the
+// caller's to go through, whatever becomes of the placements meanwhile.
 func (m *Machine) Placements() []*Placement { return m.placements }
 
 func byTask(a, b *Placement) int {
 	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// findPlacement gives the placement of an attempt.
-func (m *Machine) findPlacement(k placementKey) *Placement {
+// findPlacement gives the placement of an attempt, or nil.
+func (m *Machine) findPlacement(task wire.TaskID, attempt uint64) *Placement {
 	for _, p := range m.placements {
-		if p.Attempt == k.attempt && p.Task == k.task {
+		if p.Attempt == attempt && p.Task == task {
 			return p
 		}
 	}
 	return nil
 }
 
-// PossibleAttempts names every attempt that is or may yet be on the machine.
+// PossibleAttempts names every attempt that is or may yet be on the machine, by its task.
 func (m *Machine) PossibleAttempts() map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, p := range m.placements {
-		if p.Active() || p.callPending {
-			out[p.Task.String()] = max(out[p.Task.String()], p.Attempt)
+		if p.mayBeThere() {
+			task := p.Task.String()
+			out[task] = max(out[task], p.Attempt)
 		}
 	}
 	return out
@@ -83,7 +105,7 @@
 // CountPossible counts the attempts that are or may yet be on the machine.
 func (m *Machine) CountPossible() (n int) {
 	for _, p := range m.placements {
-		if p.Active() || p.callPending {
+		if p.mayBeThere() {
 			n++
 		}
 	}
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -11,9 +11,9 @@
 
 // The states of a placement, in the order in which they are reached.
 const (
-	Planned  State = iota // decided, nothing said to the machine
-	Sent                  // said in an answer that may or may not have been taken
-	Fetching              // the rest is as the worker reported it
+	Planned  State = iota // decided; nothing was sent to the machine
+	Sent                  // sent in a response or call that may or may not have been taken
+	Fetching              // from here on as the worker says
 	Waiting
 	Running
 	Saving
@@ -26,42 +26,40 @@
 	Attempt    uint64
 	Machine    string
 	State      State
-	Committed  bool // its round is in the store, so that it may be said
+	Committed  bool // its round is in the state service, so that it may be sent
 	EndHandled bool // its end has been dealt with, so that it may be cleared
 	Cause      wire.Cause
 	Saved      bool
-	Stop       *StopOrder
+	Stop       *StopOrder // nil unless it is to stop
 	PlacedAt   time.Time
-	StartedAt  time.Time // first seen running
-	Reported   bool      // has been in a report
+	StartedAt  time.Time // when it was first seen running
+	Reported   bool      // a heartbeat has listed it
 
-	// sentInResponse: an answer carried the launch, and no report has shown yet that it was not
+	// sentInResponse: a response carried the launch, and no heartbeat has shown yet that it was not
 	// taken. A direct call that was refused beside it proves nothing.
 	sentInResponse bool
-	// callPending: the launch was also sent by a direct call that was not answered.
-	// It may be executed as long as the session lasts, so that the attempt is
-	// neither taken back nor cleared.
+	// callPending: the launch was also sent by a direct call that was not answered. It may be
+	// executed as long as the incarnation lasts, so that the attempt is neither withdrawn nor cleared.
 	callPending bool
 	// sentByCall: the launch was sent by a direct call, of which a copy may yet come.
 	sentByCall bool
 	endedAt    time.Time // when it was first seen ended
-	// restored: the store names it, from before the term. Nothing is known of
-	// its session, so that only a report at the term shows it gone.
+	// restored: the state service names it, from before the token. Its incarnation is not known, so
+	// that only a heartbeat at the token shows it gone.
 	restored bool
 }
 
 // StopOrder is the order to stop a placement.
 type StopOrder struct {
-	Grace       time.Duration
+	Grace       time.Duration // that the task has for saving its progress
 	Reason      string
 	Since       time.Time
-	JobFinished bool // its job is over: it must not be launched any more
-	// RenewUntil is for how long a machine may be answered on which it may yet be launched.
-	RenewUntil time.Time
+	JobFinished bool      // its job is over: it must not be launched any more
+	RenewUntil  time.Time // while it may yet be launched, until when its machine's lease may be renewed
 }
 
-// HasImage reports whether the placement's image has come to its machine: what an earlier
-// holder placed has mostly run for a while.
+// HasImage reports whether the placement's image has come to its machine: what an earlier leader
+// placed has mostly run for a while.
 func (p *Placement) HasImage() bool {
 	return p.State == Waiting || p.State == Running || p.State == Saving || p.restored && !p.Reported
 }
@@ -69,21 +67,23 @@
 // Active reports whether the placement may hold resources of its machine.
 func (p *Placement) Active() bool { return p.State != Ended }
 
-type placementKey struct {
-	task    wire.TaskID
-	attempt uint64
-}
+// CallPending reports whether a launch of the placement may still be on its way by a direct call.
+func (p *Placement) CallPending() bool { return p.callPending }
+
+// mayBeThere reports whether the attempt is or may yet be on its machine.
+func (p *Placement) mayBeThere() bool { return p.Active() || p.callPending }
 
-// duplicateCallWindow is for how long a copy of a call that was answered may yet come, and copyMost how
-// many attempts stay on a machine's list for that: it goes into each of its reports.
 const (
+	// duplicateCallWindow is for how long a copy of a call that was answered may yet come.
 	duplicateCallWindow = 3 * time.Minute
-	maxTombstones       = 100
+	// maxTombstones is how many attempts stay on a machine's list for that: the list goes into each
+	// of its heartbeats.
+	maxTombstones = 100
 )
 
 // mayBeDuplicated reports whether a late copy of the call that launched an attempt would start it
-// again once it was cleared, while the task may be elsewhere. As long as the worker knows
-// the attempt, a copy does nothing. What is done is never started elsewhere.
+// again once it was cleared, while the task may be elsewhere. As long as the worker lists the
+// attempt, a copy does nothing. What is done is never started elsewhere.
 func (p *Placement) mayBeDuplicated(now time.Time) bool {
 	return now.Sub(p.endedAt) < duplicateCallWindow
 }
@@ -94,10 +94,12 @@
 	return p.State == Ended && p.EndHandled && p.sentByCall && !p.callPending && p.Cause != wire.CauseDone
 }
 
-func (p *Placement) stopCommand() wire.Command {
-	grace := p.Stop.Grace.Seconds()
-	return wire.Command{Verb: wire.Stop, Task: p.Task.String(), Attempt: p.Attempt, GraceS: &grace}
+func (p *Placement) command(verb wire.Verb) wire.Command {
+	return wire.Command{Verb: verb, Task: p.Task.String(), Attempt: p.Attempt}
 }
 
-// CallPending reports whether a launch of the placement may still be on its way.
-func (p *Placement) CallPending() bool { return p.callPending }
+func (p *Placement) stopCommand() wire.Command {
+	cmd, grace := p.command(wire.Stop), p.Stop.Grace.Seconds()
+	cmd.GraceS = &grace
+	return cmd
+}
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -2,25 +2,38 @@
 
 import "time"
 
-// A machine may be deaf: its reports come, and what it is told is lost. After so many signs of
-// it in a row nothing is launched there.
+// maxLostCommands is how many signs in a row that commands are lost count as proof: a single one may
+// come from one lost response.
 const maxLostCommands = 2
 
-// ReceivesCommands reports whether a machine takes what it is told, as far as is known. One that is in a
-// session for longer than that could last without an answer does.
-func (f *Fleet) ReceivesCommands(now time.Time, m *Machine) bool {
-	return m.lostCommands < maxLostCommands || now.Sub(m.lostCommandsSince) > f.leaseExpiry()+proofMargin
+// commandLoss counts the signs that a machine takes nothing of what it is told, while its heartbeats
+// come. Nothing is launched on such a machine.
+type commandLoss struct {
+	lostCommands      int       // signs in a row
+	lostCommandsSince time.Time // when the first of them was seen
 }
 
-// noteLostCommand notes that what a machine was told was lost.
-func (m *Machine) noteLostCommand(now time.Time) {
-	if m.lostCommands++; m.lostCommands == 1 {
-		m.lostCommandsSince = now
+// noteLostCommand notes a sign that something that the machine was told was lost.
+func (l *commandLoss) noteLostCommand(now time.Time) {
+	l.lostCommands++
+	if l.lostCommands == 1 {
+		l.lostCommandsSince = now
 	}
 }
 
-// HeartbeatsLost reports whether a machine has answered calls for so long while no report of it came: what it
-// runs ends with its lease, which calls don't renew.
+// certain notes that commands are surely lost.
+func (l *commandLoss) certain(now time.Time) {
+	l.lostCommands, l.lostCommandsSince = maxLostCommands, now
+}
+
+// ReceivesCommands reports whether a machine takes what it is told, as far as is known. A worker
+// that is still in the same incarnation after longer than that could last without a response does.
+func (f *Fleet) ReceivesCommands(now time.Time, m *Machine) bool {
+	return m.lostCommands < maxLostCommands || now.Sub(m.lostCommandsSince) > f.leaseExpiry()+proofMargin
+}
+
+// HeartbeatsLost reports whether a machine has answered calls for so long while no heartbeat of its
+// own came: its lease runs out, which calls don't renew, and with it what it runs.
 func (m *Machine) HeartbeatsLost(now time.Time, wait time.Duration) bool {
 	return !m.firstCallSinceHeartbeat.IsZero() && now.Sub(m.firstCallSinceHeartbeat) > wait
 }
--- a/internal/fleet/sharding.go
+++ b/internal/fleet/sharding.go
@@ -8,82 +8,80 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Sharding divides a fleet into parts by the facts of its machines alone, so that
-// every controller says the same of a machine that it has never heard of.
+// Sharding divides a fleet into shards by the facts of its machines alone, so that every controller
+// names the same shard for a machine of which it knows nothing else.
 type Sharding struct {
 	description string
 	shards      []string
-	shardByZone map[string]string // the part of each zone, where that decides
-	shardByType map[string]string // the part of each type, where that decides
+	shardByZone map[string]string // where the zone decides
+	shardByType map[string]string // where the type decides
 }
 
-// SingleShard is the grouping of a fleet that is a single part.
+// SingleShard is the sharding of a fleet that is a single shard.
 func SingleShard() *Sharding { return &Sharding{shards: []string{"fleet"}} }
 
-// ByZones gives so many parts, over which the zones are dealt out in order; with as
-// many as there are zones, each zone is a part and gives it its name.
+// ByZones gives so many shards, to which the zones are assigned in turn; with as many as there are
+// zones, each zone is a shard and gives it its name.
 func ByZones(n int, zones []string) *Sharding {
 	zones = slices.Sorted(slices.Values(zones))
 	if n <= 1 {
 		return SingleShard()
 	}
-	g := &Sharding{shardByZone: make(map[string]string)}
-	for i := range n {
-		name := fmt.Sprintf("part-%d", i)
-		if n >= len(zones) {
-			if i >= len(zones) {
-				break
-			}
-			name = zones[i]
+	s := &Sharding{shardByZone: make(map[string]string)}
+	if n >= len(zones) {
+		s.shards = append(s.shards, zones...)
+	} else {
+		for i := range n {
+			s.shards = append(s.shards, fmt.Sprintf("part-%d", i)) // the name in the state service
 		}
-		g.shards = append(g.shards, name)
 	}
 	for i, zone := range zones {
-		g.shardByZone[zone] = g.shards[i%len(g.shards)]
+		s.shardByZone[zone] = s.shards[i%len(s.shards)]
 	}
-	g.description = "zones " + strings.Join(zones, ",") + " in " + strings.Join(g.shards, ",")
-	return g
+	s.description = "zones " + strings.Join(zones, ",") + " in " + strings.Join(s.shards, ",")
+	return s
 }
 
-// ByTypes makes each of the named types a part; machines of others are of the first.
+// ByTypes makes each of the named types a shard; machines of other types are of the first.
 func ByTypes(types []string) *Sharding {
 	types = slices.Compact(slices.Sorted(slices.Values(types)))
 	if len(types) <= 1 {
 		return SingleShard()
 	}
-	g := &Sharding{shards: types, shardByType: make(map[string]string)}
+	s := &Sharding{shards: types, shardByType: make(map[string]string)}
 	for _, t := range types {
-		g.shardByType[t] = t
+		s.shardByType[t] = t
 	}
-	g.description = "types " + strings.Join(types, ",")
-	return g
+	s.description = "types " + strings.Join(types, ",")
+	return s
 }
 
-// Shards names the parts in order.
-func (g *Sharding) Shards() []string { return g.shards }
+// Shards names the shards in order.
+func (s *Sharding) Shards() []string { return s.shards }
 
-// IsSingle reports whether the fleet is a single part.
-func (g *Sharding) IsSingle() bool { return len(g.shards) == 1 }
+// IsSingle reports whether the fleet is a single shard.
+func (s *Sharding) IsSingle() bool { return len(s.shards) == 1 }
 
-// ShardOf names the part that a machine belongs to.
-func (g *Sharding) ShardOf(zone, machineType string) string {
-	if p, ok := g.shardByZone[zone]; ok {
-		return p
+// ShardOf names the shard that a machine belongs to.
+func (s *Sharding) ShardOf(zone, machineType string) string {
+	if shard, ok := s.shardByZone[zone]; ok {
+		return shard
 	}
-	if p, ok := g.shardByType[machineType]; ok {
-		return p
+	if shard, ok := s.shardByType[machineType]; ok {
+		return shard
 	}
-	return g.shards[0]
+	return s.shards[0]
 }
 
-// MayHost reports whether a part may have machines that a job allows and fits on.
-func (g *Sharding) MayHost(shard string, j *wire.Job, types []wire.MachineType) bool {
+// MayHost reports whether a shard may have machines that a job allows and fits on.
+func (s *Sharding) MayHost(shard string, j *wire.Job, types []wire.MachineType) bool {
 	for _, t := range types {
-		if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
+		allowed := len(j.Types) == 0 || slices.Contains(j.Types, t.Name)
+		if !allowed || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
 			continue
 		}
 		for _, zone := range t.Zones {
-			if g.ShardOf(zone, t.Name) == shard && (j.Zone == "" || j.Zone == zone) {
+			if s.ShardOf(zone, t.Name) == shard && (j.Zone == "" || j.Zone == zone) {
 				return true
 			}
 		}
@@ -91,15 +89,15 @@
 	return false
 }
 
-// KeepsZonesWhole reports whether all machines of a zone are in the same part, so that a
-// holder knows of everything that is in its zones.
-func (g *Sharding) KeepsZonesWhole() bool { return g.shardByType == nil }
+// KeepsZonesWhole reports whether all machines of a zone are in the same shard, so that a leader
+// knows of everything that is in its zones.
+func (s *Sharding) KeepsZonesWhole() bool { return s.shardByType == nil }
 
-// ZonesOf lists the zones that belong to a part, where zones decide.
-func (g *Sharding) ZonesOf(shard string) []string {
+// ZonesOf lists the zones that belong to a shard, where zones decide.
+func (s *Sharding) ZonesOf(shard string) []string {
 	var out []string
-	for zone, p := range g.shardByZone {
-		if p == shard {
+	for zone, of := range s.shardByZone {
+		if of == shard {
 			out = append(out, zone)
 		}
 	}
@@ -107,6 +105,6 @@
 	return out
 }
 
-// String tells the grouping, for comparing with what the state says; it is empty
-// for a single part.
-func (g *Sharding) String() string { return g.description }
+// String describes the sharding, for comparing with what the state service says; it is empty for a
+// single shard.
+func (s *Sharding) String() string { return s.description }
