--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -4,44 +4,13 @@
 	"slices"
 	"time"
 
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// A gang that no part can take whole is co-allocated: the part that has it, which leads, deals its
-// tasks out to several. Each holds room for its own and says so; once all do, the leader
-// writes the attempt that all of them start. Whatever goes wrong, it is called off: each
-// part stops what it has and gives it back once that is proven gone.
-
-// reservationTimeout bounds how long parts hold room for a gang, and startTime how long one takes to
-// start its tasks once all have room.
-const (
-	reservationTimeout = 90 * time.Second
-	startTimeout       = 10 * time.Second
-)
-
-// coAllocation is what a holder remembers of a gang that is co-allocated.
-type coAllocation struct {
-	order   uint64 // what the record says, as it was first seen here
-	since   time.Time
-	started uint64 // the attempt that was started here, or will not be
-	ready   bool   // there is room for the tasks of this part
-}
-
-// observe takes in what the record says.
-func (m *coAllocation) observe(now time.Time, order uint64) {
-	if m.order != order {
-		*m = coAllocation{order: order, since: now, started: m.started}
-	}
-}
-
-// mayStart reports whether the tasks of this part may be started with the attempt of the record.
-func (m *coAllocation) mayStart() bool {
-	return m.order >= store.CoAllocationFirstAttempt && m.started != m.order
-}
-
 // eachSplitGang lists the gangs of which this part has some tasks and others have the rest.
 func (h *Leader) eachSplitGang(do func(id string, l *store.LiveJob, j *jobState, ranges []store.ShardRange, lead string)) {
 	split := make(map[string][]store.ShardRange)
@@ -70,19 +39,19 @@
 		return
 	}
 	h.eachSplitGang(func(id string, l *store.LiveJob, j *jobState, ranges []store.ShardRange, lead string) {
-		j.coAllocation.observe(now, l.Record.CoAllocation)
-		waited := now.Sub(j.coAllocation.since)
+		j.coAllocation.Observe(now, l.Record.CoAllocation)
+		waited := j.coAllocation.Age(now)
 		switch order := l.Record.CoAllocation; {
 		case order == store.CoAllocationReserve:
 			if lead == h.lease.Shard {
 				h.leadSplitGang(now, d, id, l, ranges, waited)
 			}
 			return
-		case j.coAllocation.mayStart():
-			if waited < startTimeout {
+		case j.coAllocation.MayStart():
+			if waited < handover.StartTimeout {
 				return
 			}
-			j.coAllocation.started = order // there is no room here any more
+			j.coAllocation.Started = order // there is no room here any more
 			h.log.Info("a gang is not started here in time", "job", id, "attempt", order)
 		}
 		if h.hasActiveTask(l) {
@@ -100,12 +69,12 @@
 // it off when that takes too long.
 func (h *Leader) leadSplitGang(now time.Time, d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange, waited time.Duration) {
 	for _, s := range ranges {
-		ready := h.jobState(id).coAllocation.ready
+		ready := h.jobState(id).coAllocation.Ready
 		if s.Shard != h.lease.Shard {
-			ready = slices.Contains(h.peerShards[s.Shard].Ready, id)
+			ready = h.targets.HoldsGang(s.Shard, id)
 		}
 		if !s.Done && !ready {
-			if waited > reservationTimeout {
+			if waited > handover.ReservationTimeout {
 				h.writeOrder(d, id, l, store.CoAllocationRelease)
 			}
 			return
@@ -142,7 +111,7 @@
 			next[i].Shard = lead
 		}
 	}
-	if next = mergeAdjacent(next); !h.rewriteRanges(d, id, l, next) {
+	if next = handover.Merge(next); !h.rewriteRanges(d, id, l, next) {
 		return
 	}
 	h.log.Info("what was left of a gang given to the part that leads it", "job", id, "to", lead)
@@ -151,64 +120,14 @@
 	}
 }
 
-// coAllocate deals a gang out to parts that together have room for it, or may rent some; no
-// more than its zones may hold to each.
-func (h *Leader) coAllocate(now time.Time, d *Draft, s *scheduler.UnplacedJob, l *store.LiveJob, waited time.Duration) bool {
-	if s.Job.Shape != wire.Gang || s.Job.OneZone || s.Job.Zone != "" || s.Job.Active > 0 || s.Job.RemoteTasks > 0 || len(s.Job.Waiting) != s.Job.Tasks {
-		return false
-	}
-	left := s.Job.Tasks
-	var ranges []store.ShardRange
-	for _, c := range h.candidates(now, s.Job, waited >= handoverToScaleOutAfter) {
-		if n := min(left, c.tasks); n > 0 {
-			ranges = append(ranges, store.ShardRange{From: s.Job.Tasks - left, To: s.Job.Tasks - left + n, Shard: c.shard})
-			left -= n
-		}
-	}
-	if left > 0 || len(ranges) < 2 || !h.rewriteRanges(d, s.Job.ID, l, ranges) {
+// coAllocate divides a gang over shards that together have capacity for it, or may get some by scaling out.
+func (h *Leader) coAllocate(now time.Time, d *Draft, u *scheduler.UnplacedJob, l *store.LiveJob, waited time.Duration) bool {
+	ranges := h.targets.Divide(now, u.Job, h.forecast.freeCapacity[u.Job.Class], h.types, waited)
+	if ranges == nil || !h.rewriteRanges(d, u.Job.ID, l, ranges) {
 		return false
 	}
-	h.log.Info("a gang is co-allocated over several parts", "job", s.Job.ID, "shares", ranges)
-	return h.writeOrder(d, s.Job.ID, h.liveJobs[s.Job.ID], store.CoAllocationReserve)
-}
-
-// candidate is what a part may take of a gang.
-type candidate struct {
-	shard string
-	tasks int
-}
-
-// candidates lists what each part may take of a gang, this one first and then the largest.
-func (h *Leader) candidates(now time.Time, j *scheduler.Job, scaleOut bool) (out []candidate) {
-	of := func(shard string, capacity scheduler.FreeCapacity, handed int) candidate {
-		n := capacity.Now - handed
-		if scaleOut && capacity.Rent {
-			n = j.Tasks
-		}
-		return candidate{shard, min(n, h.spreadLimit(j, shard))}
-	}
-	for _, shard := range sortedKeys(h.peerShards) {
-		if capacity, known := h.peerShards[shard].Rooms[j.Class]; known && h.sharding.MayHost(shard, j.Job, h.types) {
-			out = append(out, of(shard, capacity, h.recentlyHandedTo(now, shard, j.Class)))
-		}
-	}
-	slices.SortStableFunc(out, func(a, b candidate) int { return b.tasks - a.tasks })
-	if h.sharding.MayHost(h.lease.Shard, j.Job, h.types) {
-		out = slices.Insert(out, 0, of(h.lease.Shard, h.forecast.freeCapacity[j.Class], 0))
-	}
-	return out
-}
-
-// spreadLimit bounds the tasks of a gang that a part may have, by the half of them that may be
-// in one zone. Where parts are by type, none knows all that is in a zone.
-func (h *Leader) spreadLimit(j *scheduler.Job, shard string) int {
-	switch {
-	case !j.Spread:
-		return j.Tasks
-	case !h.sharding.KeepsZonesWhole():
-		return 0
-	}
-	return (j.Tasks + 1) / 2 * max(1, len(h.sharding.ZonesOf(shard)))
+	h.log.Info("a gang is co-allocated over several shards", "job", u.Job.ID, "ranges", ranges)
+	return h.writeOrder(d, u.Job.ID, h.liveJobs[u.Job.ID], store.CoAllocationReserve)
 }
 
 // stopAborted stops what this part has of gangs that are called off.
@@ -234,7 +153,7 @@
 	if hist == nil {
 		return false
 	}
-	hist.coAllocation.observe(now, order)
+	hist.coAllocation.Observe(now, order)
 	j.ReserveOnly = order == store.CoAllocationReserve
-	return j.ReserveOnly || hist.coAllocation.mayStart()
+	return j.ReserveOnly || hist.coAllocation.MayStart()
 }
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -56,8 +56,8 @@
 	h.preemptionsCommitted(d)
 	for _, p := range d.launches {
 		p.Committed = true
-		if j := h.jobStates[p.Task.Job]; j != nil && j.coAllocation.order == p.Attempt {
-			j.coAllocation.started = p.Attempt
+		if j := h.jobStates[p.Task.Job]; j != nil {
+			j.coAllocation.Committed(p.Attempt)
 		}
 	}
 	for id, tasks := range d.finished {
@@ -70,7 +70,7 @@
 		h.log.Info("job done", "job", id, "round", d.Number)
 	}
 	for id := range d.machines {
-		h.ledgerTasks.update(id, d.ledgerTasks[id])
+		h.ledgerTasks.Update(id, d.ledgerTasks[id])
 		if m := h.fleet.Machine(id); m != nil {
 			m.Recorded = true
 		} else {
@@ -84,7 +84,7 @@
 		h.scaleOutRequests.Dropped(name)
 		if !d.machines[name] {
 			delete(h.machinesToDrop, name)
-			h.ledgerTasks.update(name, nil)
+			h.ledgerTasks.Update(name, nil)
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -3,23 +3,24 @@
 import (
 	"time"
 
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
 // jobState is what the leader remembers of a job beside its placements.
 type jobState struct {
-	failedMachines  map[string]bool // machines on which it failed
-	notBefore       time.Time       // when it may be placed again
-	finished        *store.TaskSet  // tasks that were reported as finished
-	storedFinished  *store.TaskSet  // and are stored as such
-	endedAt         time.Time       // when it was cancelled or done
-	liveRevision    uint64          // the last revision at which it was seen live
-	waitingSince    time.Time       // when tasks of it first waited here
-	coAllocation    coAllocation    // of a gang
-	starvedSince    time.Time       // since when none of its tasks is placed though some could be
-	failedAttempts  map[int]int     // times that a task was stopped before its image had come
-	timedOutAttempt uint64          // the attempt of a gang of which a task waited for the others in vain
+	failedMachines  map[string]bool       // machines on which it failed
+	notBefore       time.Time             // when it may be placed again
+	finished        *store.TaskSet        // tasks that were reported as finished
+	storedFinished  *store.TaskSet        // and are stored as such
+	endedAt         time.Time             // when it was cancelled or done
+	liveRevision    uint64                // the last revision at which it was seen live
+	waitingSince    time.Time             // when tasks of it first waited here
+	coAllocation    handover.CoAllocation // of a gang
+	starvedSince    time.Time             // since when none of its tasks is placed though some could be
+	failedAttempts  map[int]int           // times that a task was stopped before its image had come
+	timedOutAttempt uint64                // the attempt of a gang of which a task waited for the others in vain
 }
 
 const (
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -11,6 +11,7 @@
 	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
@@ -53,8 +54,8 @@
 	lastStatus         ShardStatus            // that was last told
 	lastStatusAt       time.Time
 	forecast           forecast
-	recentHandovers    map[string]recentHandovers // tasks that were lately given to other parts
-	ledgerTasks        ledgerTasks                // what the own ledger names
+	targets            *handover.Targets    // of tasks that find no capacity here
+	ledgerTasks        handover.LedgerTasks // what the own ledger names
 	quota              *quota.Quota
 	clearedWritten     uint64 // up to which revision the ledger says that nothing is left of ended jobs
 	shardingNumber     uint64 // of the grouping
@@ -95,9 +96,10 @@
 		ledger: ledger, timeouts: timeoutsOf(cfg), types: types, lastRound: last.Round, lastDecided: now,
 		jobStates: map[string]*jobState{}, scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), machinesToDrop: map[string]bool{},
 		unstored: commit.CompletionQueue{}, stalls: stall.NewDetector(now),
-		sharding: cfg.Sharding(), recentHandovers: map[string]recentHandovers{}, shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
+		sharding: cfg.Sharding(), shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
 		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), throttle: throttle.New(),
 	}
+	h.targets = handover.NewTargets(lease.Shard, h.sharding)
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
 	h.monitor = reachability.NewMonitor(h.fleet, reachabilityTimeouts(h.timeouts, cfg))
 	h.detector = reachability.NewDetector(h.monitor, h.zoneUnreachable)
@@ -134,7 +136,7 @@
 	h.migrateFinished()
 	for id, l := range h.liveJobs {
 		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here, nobody knows
-			h.jobState(id).coAllocation.started = l.Record.CoAllocation
+			h.jobState(id).coAllocation.Started = l.Record.CoAllocation
 		}
 	}
 	h.log.Info("recalled", "machines", len(last.Machines), "asks", len(last.ScaleOuts), "ledger", ledger.String())
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -27,11 +28,8 @@
 // startMigration adds to what the own ledger tells what those of earlier groupings do.
 func (h *Leader) startMigration(migrated bool, recalled *store.RecoveredState) {
 	h.migration = ledgerMigration{machines: map[string]bool{}, scaleOutRequests: map[string]bool{}, jobs: map[string]bool{}, recorded: migrated}
-	if h.ledgerTasks = (ledgerTasks{}); !h.sharding.IsSingle() {
-		h.ledgerTasks.byMachine, h.ledgerTasks.machinesOf = make(map[string]map[string]uint64, len(recalled.Machines)), make(map[string]map[string]bool)
-		for id, m := range recalled.Machines {
-			h.ledgerTasks.update(id, m.Tasks)
-		}
+	if !h.sharding.IsSingle() {
+		h.ledgerTasks = handover.NewLedgerTasks(recalled.Machines)
 	}
 	if migrated {
 		return
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -525,10 +525,10 @@
 			h := n.leaders[part]
 			b := &traceDriver{leader: h.Leader}
 			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.quota.Forecast().Demands)
-			put("%v %v", h.quota, h.recentHandovers)
+			put("%v %v", h.quota, h.targets)
 			for _, id := range sortedKeys(h.jobStates) {
 				j := h.jobStates[id]
-				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.started, j.coAllocation.ready)
+				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.Started, j.coAllocation.Ready)
 			}
 			for _, s := range h.forecast.unplaced {
 				put("short %d %d", s.Coming, s.Unserved)
--- a/internal/leader/peershards.go
+++ b/internal/leader/peershards.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
@@ -30,3 +31,13 @@
 	}
 	return out
 }
+
+// handoverPeers gives what other shards say that they could take.
+func handoverPeers(shards map[string]ShardStatus) []handover.Peer {
+	out := make([]handover.Peer, 0, len(shards))
+	for _, name := range sortedKeys(shards) {
+		s := shards[name]
+		out = append(out, handover.Peer{Shard: name, Capacity: s.Rooms, ReadyGangs: s.Ready})
+	}
+	return out
+}
--- /dev/null
+++ b/internal/leader/ranges.go
@@ -0,0 +1,121 @@
+package leader
+
+import (
+	"slices"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/handover"
+	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// ownRanges gives the runs of a job's tasks that this part answers for and that have
+// not all finished, and how many tasks other parts have yet to finish.
+func (h *Leader) ownRanges(l *store.LiveJob) (mine []store.ShardRange, elsewhere int) {
+	if h.sharding.IsSingle() {
+		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: h.lease.Shard}}, 0
+	}
+	for _, s := range h.allRanges(l) {
+		switch {
+		case s.Done, !s.Within(l.Record.Tasks):
+		case s.Shard == h.lease.Shard:
+			mine = append(mine, s)
+		default:
+			elsewhere += s.To - s.From
+		}
+	}
+	return mine, elsewhere
+}
+
+// allRanges gives all shares of a job. Where its record is of an earlier grouping, they follow
+// from the ledgers of that. What was left to a part that is none is of the first.
+func (h *Leader) allRanges(l *store.LiveJob) []store.ShardRange {
+	if h.unassigned(l) {
+		return h.inferredRanges(l)
+	}
+	first := h.sharding.Shards()[0]
+	if len(l.Record.Ranges) == 0 {
+		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: first}}
+	}
+	out := l.Record.Ranges
+	for i, s := range out {
+		if !slices.Contains(h.sharding.Shards(), s.Shard) {
+			if &out[0] == &l.Record.Ranges[0] {
+				out = slices.Clone(out)
+			}
+			out[i].Shard = first
+		}
+	}
+	return out
+}
+
+// allFinished reports whether every task of a job that is this part's has finished.
+func (h *Leader) allFinished(l *store.LiveJob, j *jobState) bool {
+	if h.sharding.IsSingle() {
+		return j.finished.Count() >= l.Record.Tasks
+	}
+	own, _ := h.ownRanges(l)
+	for _, s := range own {
+		for i := s.From; i < s.To; i++ {
+			if !j.finished.Contains(i) {
+				return false
+			}
+		}
+	}
+	return len(own) > 0
+}
+
+// finishRanges marks what this part has of a job as finished. The last part to do so marks
+// the job as done: all others must say so in the very record that is written.
+func (h *Leader) finishRanges(r *store.BatchUpdate, id string, l *store.LiveJob, now time.Time) (done bool) {
+	if h.sharding.IsSingle() {
+		r.EndJob(id, wire.Done, now)
+		return true
+	}
+	ranges, last := slices.Clone(h.allRanges(l)), true
+	for i := range ranges {
+		if ranges[i].Shard == h.lease.Shard {
+			ranges[i].Done = true
+		}
+		last = last && ranges[i].Done
+	}
+	switch {
+	case last:
+		r.EndJob(id, wire.Done, now)
+	case h.unassigned(l): // a job in too many runs to be written as shares says it like this
+		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.shardingNumber)), Batch: l.Batch, SinceRevision: l.SinceRevision}
+	default:
+		h.updateRanges(r, id, l, ranges)
+	}
+	return last
+}
+
+// updateRanges writes other shares of a job, and goes by them from here on.
+func (h *Leader) updateRanges(r *store.BatchUpdate, id string, l *store.LiveJob, ranges []store.ShardRange) {
+	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.shardingNumber), Batch: l.Batch, SinceRevision: l.SinceRevision}
+}
+
+// rewriteRanges puts other shares of a job into a round, if there is room for them in the
+// round and in the job's home.
+func (h *Leader) rewriteRanges(d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange) bool {
+	if _, ends := d.finished[id]; ends {
+		return false // what this round says of its end goes first
+	}
+	for i := range h.staleTasks(id) {
+		if handover.ShardOf(ranges, i) != h.lease.Shard {
+			return false // it goes once the ledger names it no more
+		}
+	}
+	r := d.Pending(l)
+	if r == nil {
+		r = l.Batch.Update()
+	}
+	if r.BytesWithRanges(id, ranges, h.shardingNumber) > h.cfg.Store.ValueBytes {
+		return false
+	}
+	if r = d.Update(l); r == nil {
+		return false
+	}
+	h.updateRanges(r, id, l, ranges)
+	return true
+}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -179,7 +180,7 @@
 	if elsewhere == 0 && len(mine) == 0 {
 		return l.Record.Tasks
 	}
-	return countTasks(mine)
+	return handover.Count(mine)
 }
 
 // releaseMachine has a machine released, whatever is on it.
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/handover"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -128,7 +129,7 @@
 		}
 		hist := h.jobStates[id]
 		shares, elsewhere := h.ownRanges(l)
-		j.RemoteTasks, j.LocalTasks = elsewhere, countTasks(shares)
+		j.RemoteTasks, j.LocalTasks = elsewhere, handover.Count(shares)
 		if hist != nil {
 			j.AvoidMachines = hist.failedMachines
 			if len(hist.failedMachines) >= 3 {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -57,6 +57,7 @@
 	defer h.mu.Unlock()
 	h.peerShards, h.ingestPeers = shards, ingestPeers
 	h.quota.SetPeers(quotaPeers(shards))
+	h.targets.SetPeers(handoverPeers(shards))
 	h.detector.SetPeers(peerZones(shards))
 }
 
