--- a/internal/ingest/codec.go
+++ b/internal/ingest/codec.go
@@ -5,19 +5,23 @@
 	"time"
 )
 
-// sameContent reports whether two reports of a machine say the same but for their numbers.
+// sameContent reports whether two heartbeats of a machine say the same but for their numbers.
 func (it *item) sameContent(other *item) bool {
 	return it.Session == other.Session && it.Addr == other.Addr && it.Type == other.Type && it.Zone == other.Zone && it.Spot == other.Spot &&
 		!it.Noticed && !other.Noticed && slices.Equal(it.Tasks, other.Tasks)
 }
 
-// deltaCodec holds the last whole report of each machine on a stream. Both ends keep one,
-// by the same reports in the same order.
+// memoryAge is after how long without a heartbeat the sender forgets a machine.
+const memoryAge = 2 * time.Minute
+
+// deltaCodec leaves out of a stream what a machine's heartbeat repeats. Both ends keep the last
+// whole heartbeat of each machine, by the same heartbeats in the same order.
 type deltaCodec struct {
 	last      map[string]*lastHeartbeatItem
 	lastSweep time.Time
 }
 
+// lastHeartbeatItem is the last whole heartbeat of a machine.
 type lastHeartbeatItem struct {
 	item
 	at time.Time
@@ -25,27 +29,27 @@
 
 func newDeltaCodec() *deltaCodec { return &deltaCodec{last: make(map[string]*lastHeartbeatItem)} }
 
-// compress leaves out of a report what the other end knows. The other end remembers for
-// twice as long, so that it never lacks what is counted on.
-func (m *deltaCodec) compress(now time.Time, it item) item {
-	m.sweep(now, memoryAge)
-	old := m.last[it.Machine]
+// compress leaves out of a heartbeat what the receiver knows. The receiver remembers for twice as
+// long as the sender, so that it never lacks what the sender relies on.
+func (d *deltaCodec) compress(now time.Time, it item) item {
+	d.sweep(now, memoryAge)
+	old := d.last[it.Machine]
 	if old != nil && now.Sub(old.at) < memoryAge && it.sameContent(&old.item) {
 		old.at = now
 		return item{Machine: it.Machine, Session: it.Session, Seq: it.Seq, Term: it.Term, Same: true}
 	}
-	m.last[it.Machine] = &lastHeartbeatItem{it, now}
+	d.last[it.Machine] = &lastHeartbeatItem{it, now}
 	return it
 }
 
-// expand puts back what shrink left out; it fails where nothing is remembered.
-func (m *deltaCodec) expand(now time.Time, it item) (item, bool) {
-	m.sweep(now, 2*memoryAge)
+// expand puts back what compress left out; it fails where the machine is not known.
+func (d *deltaCodec) expand(now time.Time, it item) (item, bool) {
+	d.sweep(now, 2*memoryAge)
 	if !it.Same {
-		m.last[it.Machine] = &lastHeartbeatItem{it, now}
+		d.last[it.Machine] = &lastHeartbeatItem{it, now}
 		return it, true
 	}
-	old := m.last[it.Machine]
+	old := d.last[it.Machine]
 	if old == nil || old.Session != it.Session {
 		return it, false
 	}
@@ -55,14 +59,15 @@
 	return whole, true
 }
 
-func (m *deltaCodec) sweep(now time.Time, age time.Duration) {
-	if now.Sub(m.lastSweep) < age/4 {
+// sweep forgets machines without a heartbeat for some time.
+func (d *deltaCodec) sweep(now time.Time, age time.Duration) {
+	if now.Sub(d.lastSweep) < age/4 {
 		return
 	}
-	m.lastSweep = now
-	for id, r := range m.last {
+	d.lastSweep = now
+	for id, r := range d.last {
 		if now.Sub(r.at) > age {
-			delete(m.last, id)
+			delete(d.last, id)
 		}
 	}
 }
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -8,137 +8,149 @@
 
 	"amberdeal.example/amberdeal/internal/httpwire"
 	"amberdeal.example/amberdeal/internal/worker"
+	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Gateway decides what becomes of the reports that come in at a controller: the
-// holder answers them, an edge passes them on, and either sends machines to a sibling
-// that has more room.
+// peerLoadInterval is the time between two looks at the load of the peers.
+const peerLoadInterval = 300 * time.Millisecond
+
+// Gateway decides what becomes of the heartbeats that workers send to a controller: the leader
+// answers them, another controller forwards them, and either sends machines to a peer with more
+// free capacity.
 type Gateway struct {
-	// AnswerAsLeader answers a report as the holder; ok is false where this controller is not
-	// entitled to.
+	// AnswerAsLeader answers a heartbeat as the leader of the machine's shard; ok is false where
+	// this controller may not.
 	AnswerAsLeader func(now time.Time, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool)
-	// Leader names who holds the part of a report's machine, by the store, if that is
-	// another; of no report in particular, who holds the fleet if it is in one part.
+	// Leader names the peer that leads the shard of a heartbeat's machine, by the state service;
+	// for nil the peer that leads the fleet, if that is one shard.
 	Leader func(r *wire.Heartbeat) string
-	// PeerLoads tells how many machines report to each sibling that can take more of
-	// them. It is asked a few times a second at the most.
-	PeerLoads func(holder bool) map[string]int
-	// Leads says whether this controller holds a part.
+	// PeerLoads returns how many machines report to each peer that can take more of them. leader
+	// says that this controller leads the fleet. It is called a few times a second at most.
+	PeerLoads func(leader bool) map[string]int
+	// Leads reports whether this controller leads a shard.
 	Leads func() bool
-	// Sharded says that the fleet is in several parts: who holds one passes on the reports
-	// of others, and takes no fewer than its siblings.
-	Sharded         bool
-	Forwarder       Forwarder
-	ReportingWindow time.Duration // for which a machine that has reported counts as one that does
-
-	mu                   sync.Mutex
-	Balancer             Balancer
-	lastHeartbeats       map[string]lastHeartbeat // of the machines that report here
-	reporting            int                      // of them within the window, when they were last counted
-	countedAt            time.Time
-	redirected           int // reports that were turned away unread since then
-	redirectedLastSecond int // in the second before
-	rebalanced           uint64
-	peerLoads            map[string]int
-	peerLoadsAt          time.Time
+	// Sharded says that the fleet has several shards: the leader of one forwards the heartbeats of
+	// others, and takes as many machines as its peers.
+	Sharded   bool
+	Forwarder Forwarder
+	// ReportingWindow is for how long after its heartbeat a machine counts as reporting here.
+	ReportingWindow time.Duration
+
+	reporters reporters
+
+	mu          sync.Mutex // of what follows
+	Balancer    Balancer
+	rebalanced  uint64
+	peerLoads   map[string]int
+	peerLoadsAt time.Time
 }
 
-// Forwarder passes reports on, by an Edge or by several.
+// Forwarder forwards heartbeats, over one uplink or several.
 type Forwarder interface {
 	ForwardsTo() string
 	Reconnecting() bool
 	Forward(ctx context.Context, r *wire.Heartbeat) (worker.HeartbeatResult, bool)
 }
 
-// HandleHeartbeat decides what becomes of a report.
-func (c *Gateway) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) worker.HeartbeatResult {
+// HandleHeartbeat decides what becomes of a heartbeat.
+func (g *Gateway) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) worker.HeartbeatResult {
 	now := time.Now()
-	c.recordHeartbeat(now, r.Machine, r.Zone)
-	if v, ok := c.AnswerAsLeader(now, r); ok {
-		if len(v.Response.Commands) == 0 { // what it is told to do, it should hear now
-			if to := c.rebalanceTarget(now, r.Machine, !c.Sharded, false); to != "" {
-				return worker.HeartbeatResult{Leader: to}
-			}
+	g.reporters.record(now, r.Machine, r.Zone)
+	if v, ok := g.AnswerAsLeader(now, r); ok {
+		if len(v.Response.Commands) > 0 { // a command must not wait for another heartbeat
+			return v
+		}
+		if to := g.rebalanceTarget(now, r.Machine, !g.Sharded, false); to != "" {
+			return worker.HeartbeatResult{Leader: to}
 		}
 		return v
 	}
-	if c.Forwarder.ForwardsTo() == "" {
-		return worker.HeartbeatResult{Leader: c.RedirectTarget(r)}
+	if g.Forwarder.ForwardsTo() == "" {
+		return worker.HeartbeatResult{Leader: g.RedirectTarget(r)}
 	}
-	if to := c.rebalanceTarget(now, r.Machine, false, false); to != "" {
+	if to := g.rebalanceTarget(now, r.Machine, false, false); to != "" {
 		return worker.HeartbeatResult{Leader: to}
 	}
-	if v, ok := c.Forwarder.Forward(ctx, r); ok {
+	if v, ok := g.Forwarder.Forward(ctx, r); ok {
 		return v
 	}
-	return worker.HeartbeatResult{Leader: c.RedirectTarget(r)}
+	return worker.HeartbeatResult{Leader: g.RedirectTarget(r)}
 }
 
-// RedirectTarget names the controller to which workers are sent where their reports can't be
-// passed on: the holder, unless the way to it was open lately. Then it has broken because
-// the holder is gone or has too much to do, and all workers at once would be the end of it;
-// they find another controller instead.
-func (c *Gateway) RedirectTarget(r *wire.Heartbeat) string {
-	if c.Forwarder.Reconnecting() {
+// RedirectTarget names the controller to which a worker is sent where its heartbeat can't be
+// forwarded: the leader, unless the stream to it was open a moment ago. Then the leader is gone or
+// overloaded, and all workers at once would overload it for good; they find another controller.
+func (g *Gateway) RedirectTarget(r *wire.Heartbeat) string {
+	if g.Forwarder.Reconnecting() {
 		return ""
 	}
-	return c.Leader(r)
+	return g.Leader(r)
 }
 
-// peerLoadInterval is the time between two looks at what siblings say.
-const peerLoadInterval = 300 * time.Millisecond
+var heartbeatRequestLine = []byte("POST " + wire.PathHeartbeat + " ")
 
-// RedirectUnread answers a report that is to go elsewhere without reading it: while nobody holds
-// the fleet or there is no way to who does, each worker comes again every second, and all
-// of them at once; and when a new holder is known, all of them go there. It gives nil where
-// the report is to be read.
-func (c *Gateway) RedirectUnread(first []byte) []byte {
+// RedirectUnread answers a heartbeat that is to go elsewhere without reading it, given the first
+// bytes of the request. While there is no leader, or no stream to it, every worker comes again
+// each second, all of them at once; and when there is a new leader, all of them go there. It
+// returns nil where the heartbeat is to be read.
+func (g *Gateway) RedirectUnread(first []byte) []byte {
 	if !bytes.HasPrefix(first, heartbeatRequestLine) {
 		return nil
 	}
-	to, leads := "", c.Leads()
-	if leads || c.Forwarder.ForwardsTo() != "" {
-		if to = c.rebalanceTarget(time.Now(), "", leads && !c.Sharded, true); to == "" {
+	to, leads := "", g.Leads()
+	if leads || g.Forwarder.ForwardsTo() != "" {
+		if to = g.rebalanceTarget(time.Now(), "", leads && !g.Sharded, true); to == "" {
 			return nil
 		}
 	} else {
-		to = c.RedirectTarget(nil)
+		to = g.RedirectTarget(nil)
 	}
-	c.mu.Lock()
-	c.redirected++
-	c.mu.Unlock()
+	g.reporters.recordRedirect()
 	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Leader: to}), Close: true})
 }
 
-var heartbeatRequestLine = []byte("POST " + wire.PathHeartbeat + " ")
-
-// rebalanceTarget names the sibling that a machine's reports should go to from now on. On a
-// new connection it is not known yet which machine that is.
-func (c *Gateway) rebalanceTarget(now time.Time, machine string, leader, newConnection bool) string {
-	mine := c.Reporting()
-	if mine <= c.Balancer.LeaderKeeps {
+// rebalanceTarget names the peer that a machine's heartbeats should go to from now on, or none. On
+// a new connection it is not known yet which machine that is.
+func (g *Gateway) rebalanceTarget(now time.Time, machine string, leader, newConnection bool) string {
+	local := g.Reporting()
+	if local <= g.Balancer.LeaderKeeps {
 		return ""
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now.Sub(c.peerLoadsAt) >= peerLoadInterval {
-		c.peerLoadsAt, c.peerLoads = now, c.PeerLoads(leader)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if now.Sub(g.peerLoadsAt) >= peerLoadInterval {
+		g.peerLoadsAt, g.peerLoads = now, g.PeerLoads(leader)
 	}
-	to := c.Balancer.Target(now, leader, newConnection, mine, c.peerLoads)
+	to := g.Balancer.Target(now, leader, newConnection, local, g.peerLoads)
 	if to != "" {
-		if _, known := c.lastHeartbeats[machine]; known {
-			delete(c.lastHeartbeats, machine)
-			c.reporting--
-		}
-		c.rebalanced++
+		g.reporters.forget(machine)
+		g.rebalanced++
 	}
 	return to
 }
 
-// Rebalanced tells how many times a machine was sent to a sibling with more room.
-func (c *Gateway) Rebalanced() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.rebalanced
+// Reporting counts the machines whose heartbeats are taken here, as of the last second.
+func (g *Gateway) Reporting() int {
+	reporting, _ := g.reporters.counts(g.ReportingWindow)
+	return reporting
+}
+
+// Offered counts the machines that send their heartbeats here, as of the last second, with those
+// that were redirected: they come again each second.
+func (g *Gateway) Offered() int {
+	reporting, redirected := g.reporters.counts(g.ReportingWindow)
+	return reporting + redirected
+}
+
+// Observations counts by zone the machines that report here, and those that are overdue.
+func (g *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
+	return g.reporters.observations(now, overdue)
+}
+
+// Rebalanced returns how many times a machine was sent to a peer with more free capacity.
+func (g *Gateway) Rebalanced() uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.rebalanced
 }
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -1,60 +1,36 @@
-// Package ingest lets every controller take workers' reports for the holder.
-//
-// A controller that does not hold the fleet is an edge: it gathers the reports that
-// come in, passes them to the holder in bulk on one stream of the mesh, and gives each
-// worker the holder's own answer to that very report. The worker accepts it, since it
-// carries the holder's term. So the sockets, the parsing and the formats of thousands
-// of workers are shared by all controllers, and the holder sees one batch where it saw
-// dozens of requests.
-//
-// No rule rests on a relay. To the proofs of absence it is one more stretch of network:
-// a report may be late, an answer may be lost or late, nothing comes twice, and the worker
-// drops what comes more than 4 s after its report. An edge never answers from what it
-// remembers. Where there is no stream, workers are sent to the holder, as without it.
 package ingest
 
 import (
-	"time"
-
 	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// StreamKind is what a stream of reports is called on the mesh.
+// StreamKind names a stream of heartbeats among those of package peer.
 const StreamKind = "reports"
 
-// Bounds of a stream.
-const (
-	maxBatch            = 256                    // reports that are passed on together
-	batchInterval       = 25 * time.Millisecond  // between two batches, so that more share one
-	keepAliveInterval   = time.Second            // after which an empty batch says that the edge is there
-	maxCalls            = 32                     // calls that are asked for together
-	maxInFlight         = 4                      // batches that may be on their way
-	answerTimeout       = 3 * time.Second        // for a report's answer; a worker waits for 4 s
-	stallTimeout        = 8 * time.Second        // after which a stream that does not move is given up
-	leaderCheckInterval = 200 * time.Millisecond // between two looks at who holds the fleet
-	reconnectDelay      = 500 * time.Millisecond // before a stream that broke is opened again
-	memoryAge           = 2 * time.Minute        // after which a machine that is silent here is forgotten
-)
+// The messages of a stream. gob matches fields by their Go names and drops what it doesn't know
+// without an error: a field that is renamed here, or in a type that a message holds, is lost
+// between two versions. So these names never change; the functions below map them to the types
+// that the code uses.
 
-// batch is what an edge sends: reports that are answered in the same order, and what
-// became of the calls that it made for the holder.
+// batch is what a forwarding controller sends: heartbeats, which are answered in the same order,
+// and what became of the fencing calls that it made for the leader.
 type batch struct {
-	Number uint64 // on its stream, from 1: none is left out, whatever lies between the two ends
+	Number uint64 // on its stream, from 1: a gap shows that something between the two ends lost one
 	Items  []item
-	Heard  []item   // reports that calls brought
-	Vain   []string // machines that were called in vain
-	Room   int      // further calls that the edge can make
+	Heard  []item   // heartbeats that fencing calls brought
+	Vain   []string // machines that did not answer a fencing call
+	Room   int      // further calls that the sender can make
 }
 
-// item is a report: whole, or the same as the machine's last one on this stream but
-// for its numbers. gob leaves out what is zero, also behind a pointer, so that pointers
-// of the wire's formats travel as a value and a flag.
+// item is a heartbeat: whole, or with the content of the machine's last one on this stream and
+// new numbers. gob leaves out what is zero, also behind a pointer, so that an optional value
+// travels as a value and a flag.
 type item struct {
 	Machine            string
 	Session, Seq, Term uint64
-	Same               bool
+	Same               bool // as the last one, but for the numbers
 	Addr, Type, Zone   string
 	Spot               bool
 	Noticed            bool
@@ -62,20 +38,22 @@
 	Tasks              []wire.ReportedTask
 }
 
-// reply is what the holder says to a batch: its answers, and calls that it asks for.
+// reply is what the leader says to a batch: its answers, and the calls that it asks for.
 type reply struct {
 	Number  uint64 // of the batch; 0 from a version that does not say it
 	Answers []answer
 	Calls   []leader.FencingCall
 }
 
+// answer is a worker.HeartbeatResult.
 type answer struct {
-	Entitled bool   // it answers for the controllers
-	Holder   string // who does instead, if that is known
+	Entitled bool   // the sender leads the machine's shard
+	Holder   string // who leads it instead, if that is known
 	Term     uint64
 	Commands []command
 }
 
+// command is a wire.Command.
 type command struct {
 	Verb    wire.Verb
 	Task    string
@@ -84,6 +62,7 @@
 	GraceS  float64
 }
 
+// pack returns a heartbeat as it is sent, whole.
 func pack(r *wire.Heartbeat) item {
 	it := item{Machine: r.Machine, Session: r.Incarnation, Seq: r.Seq, Term: r.FencingToken, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Tasks: r.Tasks}
 	if r.TerminationNoticeS != nil {
@@ -92,6 +71,7 @@
 	return it
 }
 
+// heartbeat returns the heartbeat of an item that is whole.
 func (it *item) heartbeat() *wire.Heartbeat {
 	r := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
 	if it.Noticed {
@@ -100,6 +80,7 @@
 	return r
 }
 
+// packAnswer returns an answer as it is sent.
 func packAnswer(v worker.HeartbeatResult) answer {
 	if v.Response == nil {
 		return answer{Holder: v.Leader}
@@ -115,7 +96,8 @@
 	return a
 }
 
-func (a *answer) verdict() worker.HeartbeatResult {
+// result returns what an answer says.
+func (a *answer) result() worker.HeartbeatResult {
 	if !a.Entitled {
 		return worker.HeartbeatResult{Leader: a.Holder}
 	}
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -13,22 +13,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Receiver is the holder's side of the streams.
+// maxCalls bounds the fencing calls that one reply asks for.
+const maxCalls = 32
+
+// Receiver is the leader's end of the streams.
 type Receiver struct {
-	// Decide answers a report that a sibling has passed on.
+	// Decide answers a heartbeat that a peer has forwarded.
 	Decide func(*wire.Heartbeat) worker.HeartbeatResult
-	// FencingCalls gives calls, so many at the most, that a sibling is asked to make, and
-	// Raised takes in what became of one, with the machine's report where it had an answer.
-	FencingCalls    func(most int) []leader.FencingCall
+	// FencingCalls returns fencing calls for a peer to make, limit at most.
+	FencingCalls func(limit int) []leader.FencingCall
+	// FencingCallDone takes in the outcome of one: the machine's heartbeat, or nil where it did
+	// not answer.
 	FencingCallDone func(machine string, r *wire.Heartbeat)
 	Log             *slog.Logger
 
 	mu        sync.Mutex
-	lastBatch map[string]time.Time        // when each edge was last heard
-	streams   map[string]transport.Stream // the stream that each opened last
+	lastBatch map[string]time.Time        // when each peer's last batch came
+	streams   map[string]transport.Stream // that each peer opened last
 }
 
-// ForwardingPeers names the siblings that pass reports on, heard within an age.
+// ForwardingPeers names the peers whose last batch is no older than age.
 func (h *Receiver) ForwardingPeers(age time.Duration) map[string]bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,8 +45,8 @@
 	return out
 }
 
-// registerStream ends the stream that an edge had before: what still comes there is from before a
-// break, or of an earlier life of its, and no call that it is given will be made.
+// registerStream closes the stream that a peer had before: what still arrives there is from before
+// a break, or of an earlier incarnation, and no call that it is given would be made.
 func (h *Receiver) registerStream(from string, c transport.Stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,8 +59,8 @@
 	h.streams[from] = c
 }
 
-// unregisterStream forgets a stream. The calls that it was given and that it has said nothing of are made
-// by nobody: their machines are called from here, and not waited for.
+// unregisterStream forgets a stream. Calls without an outcome that it was given count as failed,
+// so that this controller makes them itself rather than wait for them.
 func (h *Receiver) unregisterStream(from string, c transport.Stream, outstandingCalls map[string]bool) {
 	h.mu.Lock()
 	if h.streams[from] == c {
@@ -68,6 +72,16 @@
 	}
 }
 
+// noteBatch notes that a peer forwards heartbeats.
+func (h *Receiver) noteBatch(now time.Time, from string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.lastBatch == nil {
+		h.lastBatch = make(map[string]time.Time)
+	}
+	h.lastBatch[from] = now
+}
+
 // Serve answers the batches of one stream until it ends.
 func (h *Receiver) Serve(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder) {
 	enc, codec, outstandingCalls := gob.NewEncoder(c), newDeltaCodec(), make(map[string]bool)
@@ -79,38 +93,49 @@
 			return
 		}
 		if b.Number != 0 && b.Number != number {
-			h.Log.Warn("batch of reports missing", "from", from, "number", b.Number, "expected", number)
+			h.Log.Warn("heartbeat batch missing", "peer", from, "number", b.Number, "expected", number)
 			return
 		}
-		now, r := time.Now(), reply{Number: b.Number, Answers: make([]answer, 0, len(b.Items))}
-		h.mu.Lock()
-		if h.lastBatch == nil {
-			h.lastBatch = make(map[string]time.Time)
-		}
-		h.lastBatch[from] = now
-		h.mu.Unlock()
-		for _, it := range b.Items {
-			whole, ok := codec.expand(now, it)
-			if !ok {
-				h.Log.Warn("report without the one before it", "from", from, "machine", it.Machine)
-				return
-			}
-			r.Answers = append(r.Answers, packAnswer(h.Decide(whole.heartbeat())))
-		}
-		for _, it := range b.Heard {
-			delete(outstandingCalls, it.Machine)
-			h.FencingCallDone(it.Machine, it.heartbeat())
-		}
-		for _, machine := range b.Vain {
-			delete(outstandingCalls, machine)
-			h.FencingCallDone(machine, nil)
+		now := time.Now()
+		h.noteBatch(now, from)
+		answers, ok := h.answerAll(now, from, b.Items, codec)
+		if !ok {
+			return
 		}
-		r.Calls = h.FencingCalls(min(b.Room, maxCalls))
-		for _, call := range r.Calls {
+		h.takeOutcomes(&b, outstandingCalls)
+		calls := h.FencingCalls(min(b.Room, maxCalls))
+		for _, call := range calls {
 			outstandingCalls[call.Machine] = true
 		}
-		if err := enc.Encode(r); err != nil {
+		if err := enc.Encode(reply{Number: b.Number, Answers: answers, Calls: calls}); err != nil {
 			return
 		}
 	}
 }
+
+// answerAll answers the heartbeats of a batch in their order. ok is false where one can't be
+// restored, which ends the stream: the next one begins with whole heartbeats.
+func (h *Receiver) answerAll(now time.Time, from string, items []item, codec *deltaCodec) (answers []answer, ok bool) {
+	answers = make([]answer, 0, len(items))
+	for _, it := range items {
+		whole, known := codec.expand(now, it)
+		if !known {
+			h.Log.Warn("heartbeat delta without its base", "peer", from, "machine", it.Machine)
+			return nil, false
+		}
+		answers = append(answers, packAnswer(h.Decide(whole.heartbeat())))
+	}
+	return answers, true
+}
+
+// takeOutcomes takes in what became of the fencing calls that a batch tells of.
+func (h *Receiver) takeOutcomes(b *batch, outstandingCalls map[string]bool) {
+	for _, it := range b.Heard {
+		delete(outstandingCalls, it.Machine)
+		h.FencingCallDone(it.Machine, it.heartbeat())
+	}
+	for _, machine := range b.Vain {
+		delete(outstandingCalls, machine)
+		h.FencingCallDone(machine, nil)
+	}
+}
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -1,80 +1,109 @@
 package ingest
 
 import (
+	"sync"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// lastHeartbeat is when a machine last reported here, and where it stands.
+const (
+	// countInterval is how often the machines that report here are counted.
+	countInterval = time.Second
+	// forgetAfter is after how long without a heartbeat a machine is forgotten.
+	forgetAfter = time.Minute
+	// overdueObservationAge is for how long an overdue machine tells something about its zone: by
+	// then it may send its heartbeats elsewhere.
+	overdueObservationAge = 15 * time.Second
+)
+
+// reporters are the machines that send their heartbeats to this controller.
+type reporters struct {
+	mu        sync.Mutex
+	last      map[string]lastHeartbeat // by machine
+	count     int                      // of them within the window, when they were last counted
+	countedAt time.Time
+	// redirected counts the heartbeats redirected unread since countedAt, and
+	// redirectedLastSecond those in the second before.
+	redirected           int
+	redirectedLastSecond int
+}
+
+// lastHeartbeat is when a machine last sent a heartbeat here, and its zone.
 type lastHeartbeat struct {
 	at   time.Time
 	zone string
 }
 
-func (c *Gateway) recordHeartbeat(now time.Time, machine, zone string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.lastHeartbeats == nil {
-		c.lastHeartbeats = make(map[string]lastHeartbeat)
+// record notes a heartbeat.
+func (r *reporters) record(now time.Time, machine, zone string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.last == nil {
+		r.last = make(map[string]lastHeartbeat)
 	}
-	was, known := c.lastHeartbeats[machine]
+	previous, known := r.last[machine]
 	if !known {
-		c.reporting++
-	} else if was.zone == zone {
-		zone = was.zone // one text for all its reports
+		r.count++
+	} else if previous.zone == zone {
+		zone = previous.zone // keeps one copy of the text, not one for each heartbeat
 	}
-	c.lastHeartbeats[machine] = lastHeartbeat{now, zone}
+	r.last[machine] = lastHeartbeat{now, zone}
 }
 
-// Offered counts the machines that have lately reported here, as of the last second. Who
-// was turned away comes again each second.
-func (c *Gateway) Offered() int {
-	n := c.Reporting()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return n + c.redirectedLastSecond
+// recordRedirect notes a heartbeat that was redirected unread.
+func (r *reporters) recordRedirect() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.redirected++
 }
 
-// Reporting counts the machines whose reports are taken here.
-func (c *Gateway) Reporting() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.countedAt) >= time.Second {
-		c.countedAt, c.reporting, c.redirectedLastSecond, c.redirected = now, 0, c.redirected, 0
-		for id, l := range c.lastHeartbeats {
+// forget forgets a machine that was sent elsewhere.
+func (r *reporters) forget(machine string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, known := r.last[machine]; known {
+		delete(r.last, machine)
+		r.count--
+	}
+}
+
+// counts returns how many machines report here, as of the last second, and how many heartbeats
+// were redirected in the second before. A machine reports if its last heartbeat is within window.
+func (r *reporters) counts(window time.Duration) (reporting, redirected int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if now := time.Now(); now.Sub(r.countedAt) >= countInterval {
+		r.countedAt, r.count, r.redirectedLastSecond, r.redirected = now, 0, r.redirected, 0
+		for id, l := range r.last {
 			switch age := now.Sub(l.at); {
-			case age > time.Minute:
-				delete(c.lastHeartbeats, id)
-			case age < c.ReportingWindow:
-				c.reporting++
+			case age > forgetAfter:
+				delete(r.last, id)
+			case age < window:
+				r.count++
 			}
 		}
 	}
-	return c.reporting
+	return r.count, r.redirectedLastSecond
 }
 
-// Observations counts by zone the machines that report here, and those that lately did and are
-// overdue. Ones that were sent elsewhere are neither.
-func (c *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// observations counts by zone the machines that report here, and those that are overdue. Machines
+// that were sent elsewhere are neither.
+func (r *reporters) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := make(map[string]zone.Observation)
-	for _, l := range c.lastHeartbeats {
-		s := out[l.zone]
+	for _, l := range r.last {
+		seen := out[l.zone]
 		switch age := now.Sub(l.at); {
 		case age <= overdue:
-			s.Heard++
+			seen.Heard++
 		case age < overdue+overdueObservationAge:
-			s.Quiet++
+			seen.Quiet++
 		default:
 			continue
 		}
-		out[l.zone] = s
+		out[l.zone] = seen
 	}
 	return out
 }
-
-// overdueObservationAge is for how long an overdue machine says something of its zone: it may report
-// elsewhere by now.
-const overdueObservationAge = 15 * time.Second
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/gob"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -16,55 +17,80 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// stream is an open way to a holder. Its queue is the edge's, under the edge's lock.
+// Bounds of a stream.
+const (
+	maxBatch            = 256                    // heartbeats in a batch
+	batchInterval       = 25 * time.Millisecond  // between two batches, so that more heartbeats share one
+	keepAliveInterval   = time.Second            // after which an empty batch shows that the sender is alive
+	maxInFlight         = 4                      // batches without a reply
+	stallTimeout        = 8 * time.Second        // after which a stream that makes no progress is closed
+	leaderCheckInterval = 200 * time.Millisecond // between two looks at who leads
+	dialTimeout         = 2 * time.Second
+)
+
+// stream is an open connection to a leader. What is not a channel is guarded by the uplink's lock.
 type stream struct {
-	leader         string
-	conn           net.Conn
-	queue          []*pendingHeartbeat
-	wake           chan struct{}
-	inFlight       chan []*pendingHeartbeat // batches that are not answered yet
-	openCalls      int                      // that are being made for the holder
-	callHeartbeats []item                   // what came of them since the last batch
-	failedCalls    []string
-	runningCalls   sync.WaitGroup // of the calls
-	// proven: the holder has answered a batch, so that it is worth waiting for.
+	leader   string
+	conn     net.Conn
+	queue    []*pendingHeartbeat
+	wake     chan struct{}            // the sender has something to send
+	inFlight chan []*pendingHeartbeat // batches without a reply
+
+	openCalls      int      // fencing calls being made for the leader
+	callHeartbeats []item   // that calls have brought since the last batch
+	failedCalls    []string // machines that have not answered since then
+	runningCalls   sync.WaitGroup
+
+	// proven says that the leader has answered a batch, so that it is worth waiting for.
 	proven bool
 }
 
-// pendingHeartbeat is a report whose worker waits.
+// pendingHeartbeat is a heartbeat whose worker waits.
 type pendingHeartbeat struct {
 	heartbeat *wire.Heartbeat
 	since     time.Time
-	answer    chan worker.HeartbeatResult // closed without one where none came in time
+	answer    chan worker.HeartbeatResult // closed without an answer where none came in time
 }
 
-var errLeaderChanged = errors.New("another controller holds the fleet")
+var (
+	// errLeaderChanged means that another controller leads now.
+	errLeaderChanged = errors.New("another controller leads")
+	errReplyMismatch = errors.New("the reply does not answer each heartbeat of the batch")
+)
 
-func (e *Uplink) runStream(ctx context.Context, leader string) error {
-	dial, cancel := context.WithTimeout(ctx, 2*time.Second)
-	conn, enc, err := e.OpenStream(dial, leader, StreamKind)
+func (s *stream) wakeSender() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// runStream opens a stream to a leader and forwards heartbeats on it until it breaks.
+func (u *Uplink) runStream(ctx context.Context, leader string) error {
+	dial, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, enc, err := u.OpenStream(dial, leader, StreamKind)
 	cancel()
 	if err != nil {
-		return err
+		return fmt.Errorf("open a heartbeat stream: %w", err)
 	}
 	defer conn.Close()
 	s := &stream{leader: leader, conn: conn, wake: make(chan struct{}, 1), inFlight: make(chan []*pendingHeartbeat, maxInFlight)}
-	e.mu.Lock()
-	e.stream = s
-	e.mu.Unlock()
-	defer e.closeStream(s)
+	u.mu.Lock()
+	u.stream = s
+	u.mu.Unlock()
+	defer u.closeStream(s)
 	defer s.runningCalls.Wait()
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	g.Go(func() error { return e.watchLeader(ctx, s) })
-	g.Go(func() error { return e.sendBatches(ctx, s, enc) })
-	g.Go(func() error { return e.receiveReplies(ctx, s, gob.NewDecoder(conn)) })
+	g.Go(func() error { return u.watchLeader(ctx, s) })
+	g.Go(func() error { return u.sendBatches(ctx, s, enc) })
+	g.Go(func() error { return u.receiveReplies(ctx, s, gob.NewDecoder(conn)) })
 	return g.Wait()
 }
 
-// watchLeader ends a stream as soon as another controller holds the fleet, also while the one
-// that held it stands still and takes nothing.
-func (e *Uplink) watchLeader(ctx context.Context, s *stream) error {
+// watchLeader ends a stream as soon as another controller leads, also while the former leader
+// hangs and takes nothing.
+func (u *Uplink) watchLeader(ctx context.Context, s *stream) error {
 	tick := time.NewTicker(leaderCheckInterval)
 	defer tick.Stop()
 	for {
@@ -72,33 +98,33 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			if e.Leader() != s.leader {
+			if u.Leader() != s.leader {
 				return errLeaderChanged
 			}
 		}
 	}
 }
 
-// sendBatches passes batches on, some of them before the first is answered: a holder that
-// decides, or has little of a processor, answers late and not at all less.
-func (e *Uplink) sendBatches(ctx context.Context, s *stream, enc *gob.Encoder) error {
+// sendBatches sends batches, several of them before the first is answered: a leader that is busy
+// answers late, but no fewer in all.
+func (u *Uplink) sendBatches(ctx context.Context, s *stream, enc *gob.Encoder) error {
 	codec := newDeltaCodec()
 	for number := uint64(1); ctx.Err() == nil; number++ {
-		heartbeats, now := e.nextHeartbeats(s), time.Now()
-		b := e.newBatch(s)
+		heartbeats, now := u.nextHeartbeats(s), time.Now()
+		b := u.newBatch(s)
 		b.Number = number
-		for _, w := range heartbeats {
-			b.Items = append(b.Items, codec.compress(now, pack(w.heartbeat)))
+		for _, p := range heartbeats {
+			b.Items = append(b.Items, codec.compress(now, pack(p.heartbeat)))
 		}
 		select {
 		case s.inFlight <- heartbeats:
 		case <-ctx.Done():
-			e.abandon(heartbeats)
+			u.abandon(heartbeats)
 			return nil
 		}
 		_ = s.conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if err := enc.Encode(b); err != nil {
-			return err
+			return fmt.Errorf("send a batch of heartbeats: %w", err)
 		}
 		store.Backoff(ctx, batchInterval)
 		t := time.NewTimer(keepAliveInterval)
@@ -112,115 +138,123 @@
 	return nil
 }
 
-// receiveReplies gives out the answers, which come in the order of the batches.
-func (e *Uplink) receiveReplies(ctx context.Context, s *stream, dec *gob.Decoder) error {
+// receiveReplies hands out the answers, which come in the order of the batches.
+func (u *Uplink) receiveReplies(ctx context.Context, s *stream, dec *gob.Decoder) error {
 	for number := uint64(1); ; number++ {
 		select {
 		case <-ctx.Done():
 			return nil
 		case heartbeats := <-s.inFlight:
-			var r reply
 			_ = s.conn.SetReadDeadline(time.Now().Add(stallTimeout))
-			err := dec.Decode(&r)
-			if err == nil && (len(r.Answers) != len(heartbeats) || r.Number != 0 && r.Number != number) {
-				err = errors.New("not an answer to each report")
-			}
+			r, err := readReply(dec, number, len(heartbeats))
 			if err != nil {
-				e.abandon(heartbeats)
+				u.abandon(heartbeats)
 				return err
 			}
-			for i, w := range heartbeats {
-				w.answer <- r.Answers[i].verdict()
-			}
-			e.mu.Lock()
-			s.proven = true
-			s.openCalls += len(r.Calls)
-			e.mu.Unlock()
-			for _, c := range r.Calls {
-				s.runningCalls.Add(1)
-				go e.makeFencingCall(ctx, s, c)
+			for i, p := range heartbeats {
+				p.answer <- r.Answers[i].result()
 			}
+			u.startCalls(ctx, s, r.Calls)
 		}
 	}
 }
 
-// makeFencingCall makes a call for the holder and keeps what came of it for the next batch.
-func (e *Uplink) makeFencingCall(ctx context.Context, s *stream, c leader.FencingCall) {
+// readReply reads the reply to a batch.
+func readReply(dec *gob.Decoder, number uint64, heartbeats int) (r reply, err error) {
+	if err := dec.Decode(&r); err != nil {
+		return r, fmt.Errorf("read a reply: %w", err)
+	}
+	if len(r.Answers) != heartbeats || r.Number != 0 && r.Number != number {
+		return r, errReplyMismatch
+	}
+	return r, nil
+}
+
+// startCalls makes the fencing calls that a reply asks for.
+func (u *Uplink) startCalls(ctx context.Context, s *stream, calls []leader.FencingCall) {
+	u.mu.Lock()
+	s.proven = true
+	s.openCalls += len(calls)
+	u.mu.Unlock()
+	for _, c := range calls {
+		s.runningCalls.Add(1)
+		go u.makeFencingCall(ctx, s, c)
+	}
+}
+
+// makeFencingCall makes a call for the leader and keeps its outcome for the next batch.
+func (u *Uplink) makeFencingCall(ctx context.Context, s *stream, c leader.FencingCall) {
 	defer s.runningCalls.Done()
-	r := e.FencingCall(ctx, c)
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	r := u.FencingCall(ctx, c)
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	s.openCalls--
 	if r != nil && r.Machine == c.Machine {
 		s.callHeartbeats = append(s.callHeartbeats, pack(r))
 	} else {
 		s.failedCalls = append(s.failedCalls, c.Machine)
 	}
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
+	s.wakeSender()
 }
 
-// newBatch begins a batch with what came of calls, and the room for more.
-func (e *Uplink) newBatch(s *stream) batch {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+// newBatch begins a batch with the outcomes of calls, and how many more can be made.
+func (u *Uplink) newBatch(s *stream) batch {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	b := batch{Heard: s.callHeartbeats, Vain: s.failedCalls}
 	s.callHeartbeats, s.failedCalls = nil, nil
-	if e.FencingCall != nil {
-		b.Room = max(0, e.Throttle.Window()-s.openCalls)
+	if u.FencingCall != nil {
+		b.Room = max(0, u.Throttle.Window()-s.openCalls)
 	}
 	return b
 }
 
-// nextHeartbeats gives the reports to pass on next. Those that have waited for too long are no
-// longer waited for by their workers.
-func (e *Uplink) nextHeartbeats(s *stream) []*pendingHeartbeat {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+// nextHeartbeats takes the heartbeats to forward next. It drops those that have waited so long
+// that their workers don't wait any longer.
+func (u *Uplink) nextHeartbeats(s *stream) []*pendingHeartbeat {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	var out []*pendingHeartbeat
 	n := 0
 	for ; n < len(s.queue) && len(out) < maxBatch; n++ {
-		if w := s.queue[n]; time.Since(w.since) < answerTimeout {
-			out = append(out, w)
+		if p := s.queue[n]; time.Since(p.since) < answerTimeout {
+			out = append(out, p)
 		} else {
-			e.unanswered++
-			close(w.answer)
+			u.unanswered++
+			close(p.answer)
 		}
 	}
 	s.queue = s.queue[n:]
 	if len(s.queue) > 0 {
-		select {
-		case s.wake <- struct{}{}:
-		default:
-		}
+		s.wakeSender()
 	}
 	return out
 }
 
-func (e *Uplink) abandon(heartbeats []*pendingHeartbeat) {
-	for _, w := range heartbeats {
-		close(w.answer)
+// abandon tells those who wait for answers that none will come.
+func (u *Uplink) abandon(heartbeats []*pendingHeartbeat) {
+	for _, p := range heartbeats {
+		close(p.answer)
 	}
-	e.mu.Lock()
-	e.unanswered += uint64(len(heartbeats))
-	e.mu.Unlock()
+	u.mu.Lock()
+	u.unanswered += uint64(len(heartbeats))
+	u.mu.Unlock()
 }
 
-func (e *Uplink) closeStream(s *stream) {
-	e.mu.Lock()
-	if e.stream == s {
-		e.stream = nil
+// closeStream forgets a stream, and abandons what waits on it.
+func (u *Uplink) closeStream(s *stream) {
+	u.mu.Lock()
+	if u.stream == s {
+		u.stream = nil
 		if s.proven {
-			e.brokenAt = time.Now()
+			u.brokenAt = time.Now()
 		}
 	}
 	rest := s.queue
 	s.queue = nil
-	e.mu.Unlock()
-	e.abandon(rest)
+	u.mu.Unlock()
+	u.abandon(rest)
 	for len(s.inFlight) > 0 {
-		e.abandon(<-s.inFlight)
+		u.abandon(<-s.inFlight)
 	}
 }
--- a/internal/ingest/uplink.go
+++ b/internal/ingest/uplink.go
@@ -16,97 +16,100 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Uplink passes reports to the holder.
+const (
+	// answerTimeout is how long a heartbeat may wait to be forwarded; its worker waits for 4 s in all.
+	answerTimeout = 3 * time.Second
+	// reconnectDelay is the pause before a stream that broke is opened again.
+	reconnectDelay = 500 * time.Millisecond
+	// reconnectGrace is for how long a stream that broke is expected to open again.
+	reconnectGrace = 5 * time.Second
+)
+
+// Uplink forwards heartbeats to the leader, and makes the fencing calls that the leader asks for.
 type Uplink struct {
-	// Leader names the controller to pass reports to, empty for none.
+	// Leader names the peer to forward heartbeats to, empty for none.
 	Leader func() string
-	// OpenStream opens a stream to a sibling.
-	OpenStream func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
-	// FencingCall makes a call for the holder; nil makes none.
+	// OpenStream opens a stream to a peer.
+	OpenStream func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error)
+	// FencingCall makes a call for the leader; nil makes none.
 	FencingCall func(ctx context.Context, c leader.FencingCall) *wire.Heartbeat
 	Throttle    *throttle.Limiter // of these calls
 	Log         *slog.Logger
 
 	mu          sync.Mutex
 	stream      *stream
-	leader      string    // that was last named
-	leaderSince time.Time // when it first was
-	brokenAt    time.Time // when a way that was open last broke
+	leader      string    // as Leader last said
+	leaderSince time.Time // when it first said so
+	brokenAt    time.Time // when a stream that had proven itself last broke
 	forwarded   uint64
 	unanswered  uint64
 }
 
-// Counts are what an edge has done.
+// Counts are the heartbeats that were forwarded, and those of them that got no answer.
 type Counts struct{ Forwarded, Unanswered uint64 }
 
-// Counts tells how many reports were passed on, and how many of them had no answer.
-func (e *Uplink) Counts() Counts {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return Counts{e.forwarded, e.unanswered}
+// Counts returns the counts so far.
+func (u *Uplink) Counts() Counts {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return Counts{u.forwarded, u.unanswered}
 }
 
-// ForwardsTo names the holder that reports are passed to at the moment, empty for none.
-func (e *Uplink) ForwardsTo() string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.stream != nil && e.stream.proven {
-		return e.stream.leader
+// ForwardsTo names the leader that heartbeats are forwarded to at present, empty for none.
+func (u *Uplink) ForwardsTo() string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.stream != nil && u.stream.proven {
+		return u.stream.leader
 	}
 	return ""
 }
 
-// reconnectGrace is for how long a way to the holder that has broken is expected to open again.
-const reconnectGrace = 5 * time.Second
-
-// Reconnecting reports whether a way to a holder is expected to open soon: one has broken a
-// short while ago, or the holder is new.
-func (e *Uplink) Reconnecting() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return time.Since(e.brokenAt) < reconnectGrace || time.Since(e.leaderSince) < reconnectGrace
+// Reconnecting reports whether a stream to the leader is expected to open soon: one broke a short
+// while ago, or the leader is new.
+func (u *Uplink) Reconnecting() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return time.Since(u.brokenAt) < reconnectGrace || time.Since(u.leaderSince) < reconnectGrace
 }
 
-// Forward gives a report to the holder and waits for what it says. ok is false where
-// there is no way to it; where it has said nothing in time, the verdict is empty.
-func (e *Uplink) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
-	e.mu.Lock()
-	s := e.stream
-	if s == nil || !s.proven || s.leader != e.Leader() {
-		e.mu.Unlock()
+// Forward forwards a heartbeat to the leader and waits for its answer. ok is false where there is
+// no stream to it; the result is empty where the leader doesn't answer in time.
+func (u *Uplink) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
+	u.mu.Lock()
+	s := u.stream
+	if s == nil || !s.proven || s.leader != u.Leader() {
+		u.mu.Unlock()
 		return worker.HeartbeatResult{}, false
 	}
-	w := &pendingHeartbeat{r, time.Now(), make(chan worker.HeartbeatResult, 1)}
-	s.queue = append(s.queue, w)
-	e.forwarded++
-	e.mu.Unlock()
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
+	p := &pendingHeartbeat{r, time.Now(), make(chan worker.HeartbeatResult, 1)}
+	s.queue = append(s.queue, p)
+	u.forwarded++
+	u.mu.Unlock()
+	s.wakeSender()
 	timeout := time.NewTimer(answerTimeout + answerTimeout/8)
 	defer timeout.Stop()
 	select {
-	case v = <-w.answer:
-	case <-timeout.C: // its worker does not wait any longer
+	case v = <-p.answer:
+	case <-timeout.C: // the worker waits no longer
 	case <-ctx.Done():
 	}
 	return v, true
 }
 
-// Run keeps a stream to whoever holds the fleet until the context ends.
-func (e *Uplink) Run(ctx context.Context) error {
+// Run keeps a stream to whoever leads until the context ends.
+func (u *Uplink) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		var err error
-		leader := e.Leader()
-		e.mu.Lock()
-		if leader != e.leader {
-			e.leader, e.leaderSince = leader, time.Now()
+		leader := u.Leader()
+		u.mu.Lock()
+		if leader != u.leader {
+			u.leader, u.leaderSince = leader, time.Now()
 		}
-		e.mu.Unlock()
+		u.mu.Unlock()
 		if leader != "" {
-			if err = e.runStream(ctx, leader); err != nil && ctx.Err() == nil {
-				e.Log.Debug("stream of reports ended", "holder", leader, "error", err)
+			if err = u.runStream(ctx, leader); err != nil && ctx.Err() == nil {
+				u.Log.Debug("heartbeat stream ended", "leader", leader, "err", err)
 			}
 		}
 		if !errors.Is(err, errLeaderChanged) {
--- a/internal/ingest/uplinks.go
+++ b/internal/ingest/uplinks.go
@@ -10,18 +10,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Uplinks are the edges of a controller, one to each sibling: where the fleet is in several
-// parts, each of them may hold some.
+// Uplinks are a controller's uplinks, one to each peer: where the fleet has several shards, any of
+// them may lead some.
 type Uplinks struct {
 	ByPeer map[string]*Uplink
-	// Leader names the sibling that holds a machine's part, empty for none.
+	// Leader names the peer that leads the shard of a heartbeat's machine, empty for none.
 	Leader func(r *wire.Heartbeat) string
 }
 
-// ConnectedLeaders names the siblings that reports can be passed on to, in order.
-func (w *Uplinks) ConnectedLeaders() []string {
+// ConnectedLeaders names the peers that heartbeats can be forwarded to, in order.
+func (u *Uplinks) ConnectedLeaders() []string {
 	var out []string
-	for name, e := range w.ByPeer {
+	for name, e := range u.ByPeer {
 		if e.ForwardsTo() != "" {
 			out = append(out, name)
 		}
@@ -30,9 +30,9 @@
 	return out
 }
 
-// ForwardsTo names the first sibling that reports can be passed on to, empty for none.
-func (w *Uplinks) ForwardsTo() (first string) {
-	for name, e := range w.ByPeer { // asked for with each report
+// ForwardsTo names the first of the peers that heartbeats can be forwarded to, empty for none.
+func (u *Uplinks) ForwardsTo() (first string) {
+	for name, e := range u.ByPeer { // called for each heartbeat
 		if (first == "" || name < first) && e.ForwardsTo() != "" {
 			first = name
 		}
@@ -40,17 +40,17 @@
 	return first
 }
 
-// Forward gives a report to the holder of its machine's part, as Edge.Pass does.
-func (w *Uplinks) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
-	if e := w.ByPeer[w.Leader(r)]; e != nil {
+// Forward forwards a heartbeat to the leader of its machine's shard, as Uplink.Forward does.
+func (u *Uplinks) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
+	if e := u.ByPeer[u.Leader(r)]; e != nil {
 		return e.Forward(ctx, r)
 	}
 	return worker.HeartbeatResult{}, false
 }
 
-// Reconnecting reports whether a way to a holder is expected to open soon.
-func (w *Uplinks) Reconnecting() bool {
-	for _, e := range w.ByPeer {
+// Reconnecting reports whether a stream to a leader is expected to open soon.
+func (u *Uplinks) Reconnecting() bool {
+	for _, e := range u.ByPeer {
 		if e.Reconnecting() {
 			return true
 		}
@@ -58,9 +58,9 @@
 	return false
 }
 
-// Counts sums what the edges have done.
-func (w *Uplinks) Counts() (sum Counts) {
-	for _, e := range w.ByPeer {
+// Counts sums the counts of all uplinks.
+func (u *Uplinks) Counts() (sum Counts) {
+	for _, e := range u.ByPeer {
 		c := e.Counts()
 		sum.Forwarded += c.Forwarded
 		sum.Unanswered += c.Unanswered
@@ -68,10 +68,10 @@
 	return sum
 }
 
-// Run keeps the ways until the context ends.
-func (w *Uplinks) Run(ctx context.Context) error {
+// Run keeps the streams open until the context ends.
+func (u *Uplinks) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, e := range w.ByPeer {
+	for _, e := range u.ByPeer {
 		g.Go(func() error { return e.Run(ctx) })
 	}
 	return g.Wait()
