--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -1,6 +1,6 @@
-// Package action is what an action of the Remote Execution API is as a job: how
-// it is named and described, how it is carried out on a machine, and how its answer
-// is kept. The interface for build tools and the agent on a machine share it.
+// Package action represents an action of the Remote Execution API as a job: how the job is
+// named and described, how a machine executes it, and how its answer is stored. Package reapi
+// on the controllers and package agent on the machines share it.
 package action
 
 import (
@@ -21,10 +21,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Kind is the kind of work of a job that is an action.
+// Kind is the kind of work of a job that executes an action.
 const Kind = "action"
 
-// Work is what a job's description says of its action.
+// Work describes an action in a job's description.
 type Work struct {
 	Kind     string `json:"kind"`
 	Instance string `json:"instance"`
@@ -32,12 +32,12 @@
 	Action   string `json:"action"` // HASH/SIZE
 }
 
-// NewWork describes an action.
+// NewWork returns the description of an action.
 func NewWork(instance string, action cas.Digest) Work {
 	return Work{Kind, instance, action.Function.String(), action.String()}
 }
 
-// Text is the form in which a job carries it.
+// Text returns the form that a job's description carries.
 func (w Work) Text() string {
 	text, err := json.Marshal(w)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return string(text)
 }
 
-// ParseWork reads what a job carries.
+// ParseWork reads the description of an action and its digest.
 func ParseWork(text string) (w Work, g cas.Digest, err error) {
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
 		return w, g, fmt.Errorf("the job's work is not understood: %w", err)
@@ -60,30 +60,33 @@
 	return w, g, err
 }
 
-// LogNames names the logs of what an execution writes to stdout and stderr while it
-// runs.
+// LogNames returns the names of the logs of a job's stdout and stderr.
 func LogNames(job string) (stdout, stderr string) { return job + "/stdout", job + "/stderr" }
 
-// idDigits is how many digits the id of an action's job has.
+// idDigits is the number of digits in the id of an action's job. The first is always a 9.
 const idDigits = 18
 
-// JobID names the job of an action, the same at every controller and for every
-// team. Generations count how often the action was to be executed anew. Two actions may get the same id,
-// very rarely; whoever finds that takes the next generation.
+// idRange bounds the digits after the first.
+const idRange = 100_000_000_000_000_000
+
+// JobID returns the id of the job that executes an action. It is the same at every controller
+// and for every team. The generation counts how often the action was executed again. Two
+// actions may have the same id, very rarely; the next generation is used then.
 func JobID(action cas.Digest, generation uint64) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%v\x00%s\x00%d", action.Function, action, generation)
-	n := binary.BigEndian.Uint64(h.Sum(nil)) % 100_000_000_000_000_000
+	n := binary.BigEndian.Uint64(h.Sum(nil)) % idRange
 	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, idDigits-1, n)
 }
 
-// answersInstance is the instance under which the answers of executions are kept.
+// answersInstance is the instance of the store under which answers of executions are stored.
 const answersInstance = "amberdeal-answers"
 
+// answerKey returns the digest under which a job's answer is stored, as if it were a result.
 func answerKey(job string) cas.Digest { return cas.Sum(cas.Functions[0], []byte(job)) }
 
-// PutAnswer stores the answer of a job's execution, before the job is reported done. It
-// is kept as a result, so that it is given only while its outputs are there.
+// PutAnswer stores the answer of a job's execution. That happens before the job is reported as
+// done. It is stored as a result, so that it is only returned while all its outputs exist.
 func PutAnswer(ctx context.Context, c *cas.Client, job string, resp *repb.ExecuteResponse) error {
 	r := &repb.ActionResult{}
 	if resp.Result != nil {
@@ -97,10 +100,10 @@
 	return c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r)
 }
 
-// ErrNoAnswer means that the answer of an execution is gone, or never was.
+// ErrNoAnswer means that the answer of an execution was evicted, or was never stored.
 var ErrNoAnswer = errors.New("the answer of the execution is not in the store")
 
-// Answer finds the answer of a job's execution.
+// Answer returns the answer of a job's execution.
 func Answer(ctx context.Context, c *cas.Client, job string) (*repb.ExecuteResponse, error) {
 	r, err := c.ForInstance(answersInstance).Result(ctx, answerKey(job))
 	if status.Code(err) == codes.NotFound {
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -24,7 +25,7 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// Runner carries out actions on a machine.
+// Runner executes actions on a machine.
 type Runner struct {
 	Store  *cas.Client
 	Dir    string // in which each action gets a directory of its own
@@ -32,11 +33,14 @@
 	Limits Limits
 }
 
-// MissingStatus says in the API's way which blobs an action lacks.
+// maxViolations bounds the missing blobs that a status lists.
+const maxViolations = 1000
+
+// MissingStatus returns the API's status for an action of which blobs are not in the store.
 func MissingStatus(digests ...cas.Digest) *status.Status {
 	st := status.New(codes.FailedPrecondition, "blobs are missing")
 	f := &errdetails.PreconditionFailure{}
-	for _, g := range digests[:min(len(digests), 1000)] {
+	for _, g := range digests[:min(len(digests), maxViolations)] {
 		f.Violations = append(f.Violations, &errdetails.PreconditionFailure_Violation{Type: "MISSING", Subject: "blobs/" + g.String()})
 	}
 	if with, err := st.WithDetails(f); err == nil {
@@ -45,13 +49,13 @@
 	return st
 }
 
-// Run carries out the action of a job to its end, and keeps the answer: whatever
-// is wrong with the action itself is an answer too. An error is the machine's, or
-// the store's: the action is to be tried again. When the context ends the command
-// and all that it has started are killed.
+// Run executes the action of a job and stores its answer. A fault of the action itself is an
+// answer, too. An error is a failure of the machine or the store, after which the action
+// should be retried. When the context ends, the command and all processes that it has started
+// are killed.
 func (r *Runner) Run(ctx context.Context, job string, w Work, g cas.Digest) error {
 	if _, err := Answer(ctx, r.Store, job); err == nil {
-		return nil // started again after its answer was kept
+		return nil // launched again after its answer was stored
 	}
 	dir, err := os.MkdirTemp(r.Dir, job+"-*")
 	if err != nil {
@@ -88,7 +92,7 @@
 	return PutAnswer(ctx, r.Store, job, resp)
 }
 
-// removeAll removes a directory of which the action may have locked some.
+// removeAll deletes a directory, including subdirectories that the action made read-only.
 func removeAll(dir string) {
 	_ = filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
 		if err == nil && e.IsDir() {
@@ -99,7 +103,7 @@
 	_ = os.RemoveAll(dir)
 }
 
-// execution is an action that is being carried out.
+// execution is an action that is being executed.
 type execution struct {
 	*Runner
 	client  *cas.Client
@@ -111,6 +115,7 @@
 	command repb.Command
 }
 
+// run fetches the inputs, runs the command and uploads the outputs.
 func (a *execution) run(ctx context.Context) (*repb.ActionResult, error) {
 	a.meta.InputFetchStartTimestamp = timestamppb.Now()
 	root, err := a.fetch(ctx)
@@ -130,7 +135,7 @@
 	if err := os.MkdirAll(cwd, 0o755); err != nil {
 		return nil, err
 	}
-	for _, p := range outs { // the directories that outputs are in are made for the command
+	for _, p := range outs { // the API demands that the directories of outputs exist
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(cwd, p)), 0o755); err != nil {
 			return nil, invalidAction("output %q: %v", p, err)
 		}
@@ -150,7 +155,7 @@
 	return result, err
 }
 
-// fetch reads the action, its command and its inputs.
+// fetch reads the action and its command, and writes its inputs below the root it returns.
 func (a *execution) fetch(ctx context.Context) (root string, err error) {
 	if err := a.client.Message(ctx, a.digest, &a.action); err != nil {
 		return "", notFoundAsMissing(err, a.digest)
@@ -183,7 +188,8 @@
 	return root, in.materialize(ctx, a.client, root)
 }
 
-// notFoundAsMissing turns a blob that is not there into what is wrong with the action.
+// notFoundAsMissing converts the error for a blob that is malformed or not in the store to an
+// actionError.
 func notFoundAsMissing(err error, g cas.Digest) error {
 	if errors.Is(err, cas.ErrMalformed) {
 		return invalidAction("%v", err)
@@ -196,7 +202,7 @@
 	return err
 }
 
-// outputPaths lists what the command says that it leaves.
+// outputPaths lists the outputs that the command declares, relative to its working directory.
 func (a *execution) outputPaths() ([]string, error) {
 	paths := a.command.OutputPaths
 	if len(paths) == 0 {
@@ -218,8 +224,8 @@
 	return out, nil
 }
 
-// Exit codes of commands that could not be started, as shells have them.
 const (
+	// Exit codes as shells report them. A signal's number is added to exitSignal.
 	exitNotFound       = 127
 	exitNotStarted     = 126
 	exitSignal         = 128
@@ -227,8 +233,8 @@
 	outputPollInterval = 200 * time.Millisecond
 )
 
-// execute runs the command in a process group of its own, with no more than the
-// environment that it declares.
+// execute runs the command in a process group of its own, with no other environment than
+// the one that it declares. It reports whether the command exceeded its time limit.
 func (a *execution) execute(ctx context.Context, cwd string) (code int, late bool, err error) {
 	if len(a.command.Arguments) == 0 {
 		return 0, false, invalidAction("the command has no arguments")
@@ -238,8 +244,8 @@
 		ctx, cancel = context.WithTimeoutCause(ctx, d, errTimeLimit)
 		defer cancel()
 	}
-	ctx, over := context.WithCancelCause(ctx)
-	defer over(nil)
+	ctx, end := context.WithCancelCause(ctx)
+	defer end(nil)
 	stdout, err := os.Create(filepath.Join(a.dir, "stdout"))
 	if err != nil {
 		return 0, false, err
@@ -250,6 +256,30 @@
 		return 0, false, err
 	}
 	defer stderr.Close()
+	cmd := a.newCmd(ctx, cwd, stdout, stderr)
+	runtime.LockOSThread() // Pdeathsig kills the command when the thread that started it ends
+	defer runtime.UnlockOSThread()
+	if err := cmd.Start(); err != nil {
+		fmt.Fprintf(stderr, "the command can't be started: %v\n", err)
+		if errors.Is(err, os.ErrNotExist) {
+			return exitNotFound, false, nil
+		}
+		return exitNotStarted, false, nil
+	}
+	cause := a.await(ctx, end, cmd, stdout, stderr)
+	switch {
+	case errors.Is(cause, errOutputLimit):
+		return 0, false, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the command writes more than %d bytes to stdout or stderr", a.Limits.OutputBytes)}
+	case errors.Is(cause, errTimeLimit):
+		return exitSignal + int(syscall.SIGKILL), true, nil
+	case cause != nil:
+		return 0, false, cause
+	}
+	return exitCode(cmd.ProcessState), false, nil
+}
+
+// newCmd prepares the command.
+func (a *execution) newCmd(ctx context.Context, cwd string, stdout, stderr *os.File) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, a.command.Arguments[0], a.command.Arguments[1:]...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = cwd, stdout, stderr
 	cmd.Env = []string{}
@@ -265,37 +295,31 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
 	cmd.WaitDelay = killWait
-	runtime.LockOSThread() // the command ends with the thread that has started it
-	defer runtime.UnlockOSThread()
-	if err := cmd.Start(); err != nil {
-		fmt.Fprintf(stderr, "the command can't be started: %v\n", err)
-		if errors.Is(err, os.ErrNotExist) {
-			return exitNotFound, false, nil
-		}
-		return exitNotStarted, false, nil
-	}
-	var beside errgroup.Group
-	beside.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, over, stdout, stderr); return nil })
+	return cmd
+}
+
+// await waits until the command has ended, while its output is bounded and streamed. It
+// returns why the context ended before, if it did.
+func (a *execution) await(ctx context.Context, end context.CancelCauseFunc, cmd *exec.Cmd, stdout, stderr *os.File) error {
+	var helpers errgroup.Group
+	helpers.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, end, stdout, stderr); return nil })
 	outName, errName := LogNames(a.job)
-	beside.Go(func() error { a.streamLog(ctx, stdout.Name(), outName); return nil })
-	beside.Go(func() error { a.streamLog(ctx, stderr.Name(), errName); return nil })
-	err = cmd.Wait()
-	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // what it has left running
+	helpers.Go(func() error { a.streamLog(ctx, stdout.Name(), outName); return nil })
+	helpers.Go(func() error { a.streamLog(ctx, stderr.Name(), errName); return nil })
+	_ = cmd.Wait()                                      // its state and the cause tell more
+	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // processes that it left running
 	cause := context.Cause(ctx)
-	over(nil)
-	_ = beside.Wait()
-	switch {
-	case errors.Is(cause, errOutputLimit):
-		return 0, false, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the command writes more than %d bytes to stdout or stderr", a.Limits.OutputBytes)}
-	case errors.Is(cause, errTimeLimit):
-		return exitSignal + int(syscall.SIGKILL), true, nil
-	case cause != nil:
-		return 0, false, cause
-	}
-	if state, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && state.Signaled() {
-		return exitSignal + int(state.Signal()), false, nil
+	end(nil)
+	_ = helpers.Wait()
+	return cause
+}
+
+// exitCode returns the exit code of a process as shells report it.
+func exitCode(state *os.ProcessState) int {
+	if ws, ok := state.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
+		return exitSignal + int(ws.Signal())
 	}
-	return cmd.ProcessState.ExitCode(), false, nil
+	return state.ExitCode()
 }
 
 var (
@@ -303,7 +327,7 @@
 	errOutputLimit = errors.New("too much output")
 )
 
-// limitOutput ends the command when it writes too much.
+// limitOutput ends the command when a file exceeds the limit, until the context ends.
 func limitOutput(ctx context.Context, limit int64, over context.CancelCauseFunc, files ...*os.File) {
 	t := time.NewTicker(outputPollInterval)
 	defer t.Stop()
@@ -322,53 +346,85 @@
 	}
 }
 
-// logPollInterval is how often what a command has written is shown to those who watch.
+// logPollInterval is how often new output of a command is copied to its log.
 const logPollInterval = 100 * time.Millisecond
 
-// streamLog writes a file, as it grows, into a log of the store, until the command is
-// over. Nothing rests on it: where the store does not take it, nobody sees it live.
+// streamLog copies a file, as it grows, to a log of the store until the command has ended.
+// The log is for people who watch: where the store does not accept it, it is left out.
 func (a *execution) streamLog(ctx context.Context, file, name string) {
 	f, err := os.Open(file)
 	if err != nil {
 		return
 	}
 	defer f.Close()
-	var log *cas.Log
+	logCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // what is left is sent after the end
+	defer cancel()
+	to := &lazyLog{ctx: logCtx, client: a.client, name: name}
 	t := time.NewTicker(logPollInterval)
 	defer t.Stop()
-	for over := false; ; {
-		for buf := make([]byte, 32<<10); ; {
-			n, err := f.Read(buf)
-			if n == 0 || err != nil {
-				break
-			}
-			if log == nil { // most commands write nothing
-				end, cancel := context.WithCancel(context.WithoutCancel(ctx))
-				defer cancel()
-				if log, err = a.client.Log(end, name); err != nil {
-					return
-				}
-			}
-			if _, err := log.Write(buf[:n]); err != nil {
-				return
-			}
+	for ended := false; ; {
+		if err := copyNew(to, f); err != nil {
+			return
 		}
-		if over {
-			if log != nil {
-				_ = log.Close()
-			}
+		if ended {
+			to.close()
 			return
 		}
 		select {
 		case <-ctx.Done():
-			over = true
+			ended = true
 		case <-t.C:
 		}
 	}
 }
 
-// lookPath finds the program: one with a slash is relative to the working directory,
-// any other is looked for in the PATH that the command declares.
+// logBufferBytes is how much of a file goes into one message of a log.
+const logBufferBytes = 32 << 10
+
+// copyNew copies what was appended to a file since the last call. An error is that of the
+// destination.
+func copyNew(to io.Writer, f *os.File) error {
+	buf := make([]byte, logBufferBytes)
+	for {
+		n, err := f.Read(buf)
+		if n == 0 || err != nil {
+			return nil
+		}
+		if _, err := to.Write(buf[:n]); err != nil {
+			return err
+		}
+	}
+}
+
+// lazyLog is a log that is begun with the first write: most commands write nothing.
+type lazyLog struct {
+	ctx    context.Context // of the whole log
+	client *cas.Client
+	name   string
+	log    *cas.Log
+}
+
+// Write appends to the log.
+func (l *lazyLog) Write(p []byte) (int, error) {
+	if l.log == nil {
+		log, err := l.client.Log(l.ctx, l.name)
+		if err != nil {
+			return 0, err
+		}
+		l.log = log
+	}
+	return l.log.Write(p)
+}
+
+// close finishes the log, if it was begun.
+func (l *lazyLog) close() {
+	if l.log != nil {
+		_ = l.log.Close() // whether it was kept changes nothing
+	}
+}
+
+// lookPath returns the path of a program. A name with a slash is relative to the working
+// directory; any other is searched for in the PATH that the command declares.
 func lookPath(program, cwd, path string) string {
 	if filepath.IsAbs(program) {
 		return program
@@ -385,17 +441,17 @@
 	return filepath.Join(cwd, program)
 }
 
-// collect uploads what the command has left, and makes the result of it.
+// collect uploads the outputs of the command and returns its result.
 func (a *execution) collect(ctx context.Context, root, cwd string, outs []string, code int) (*repb.ActionResult, error) {
 	o := &outputs{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
-	real, err := filepath.EvalSymlinks(root)
+	realRoot, err := filepath.EvalSymlinks(root)
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range outs {
 		at := filepath.Join(cwd, p)
-		// The command may have put a symlink in the way that leads elsewhere.
-		if parent, err := filepath.EvalSymlinks(filepath.Dir(at)); err == nil && parent != real && !strings.HasPrefix(parent, real+"/") {
+		// The command may have replaced a directory by a symlink that leads elsewhere.
+		if parent, err := filepath.EvalSymlinks(filepath.Dir(at)); err == nil && parent != realRoot && !strings.HasPrefix(parent, realRoot+"/") {
 			return nil, invalidAction("output %q: leads out of the input root", p)
 		}
 		if err := o.collect(at, p); err != nil {
--- a/internal/action/tree.go
+++ b/internal/action/tree.go
@@ -18,7 +18,7 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// Limits bounds what an action may bring and leave.
+// Limits bounds the inputs and outputs of an action.
 type Limits struct {
 	Inputs      int   // files and directories of the input tree
 	InputBytes  int64 // of all input files together
@@ -26,42 +26,45 @@
 	OutputBytes int64 // of all outputs, and of each of stdout and stderr
 }
 
-// DefaultLimits is used where nothing else is said.
+// DefaultLimits is used unless settings say otherwise.
 var DefaultLimits = Limits{Inputs: 500_000, InputBytes: 32 << 30, Outputs: 100_000, OutputBytes: 8 << 30}
 
-// actionError is what is wrong with an action itself: an answer, not a failure of the
-// machine.
+// actionError is a fault of the action itself. It becomes the action's answer; any other error
+// is a failure of the machine or the store, after which the action is retried.
 type actionError struct {
 	code    codes.Code
 	missing []cas.Digest
 	message string
 }
 
+// Error returns the message for the client.
 func (f *actionError) Error() string { return f.message }
 
+// invalidAction is the error for a malformed action.
 func invalidAction(format string, args ...any) error {
 	return &actionError{code: codes.InvalidArgument, message: fmt.Sprintf(format, args...)}
 }
 
+// missingBlobs is the error for an action of which blobs are not in the store.
 func missingBlobs(g ...cas.Digest) error {
 	return &actionError{code: codes.FailedPrecondition, missing: g, message: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(g), g[0])}
 }
 
-// inputs is an input tree as it is to be laid out.
+// inputs lists what must be written for an input tree.
 type inputs struct {
 	dirs  []string
 	files map[cas.Digest][]node
 	links []node
 }
 
-// node is a file or a symlink of the tree.
+// node is a file or a symlink of an input tree.
 type node struct {
 	path       string
 	executable bool
 	target     string
 }
 
-// entryPath checks the name of an entry: it must stay in its directory.
+// entryPath returns the path of an entry of a directory. The name must not lead out of it.
 func entryPath(dir, n string) (string, error) {
 	if n == "" || n == "." || n == ".." || strings.ContainsAny(n, "/\x00") {
 		return "", invalidAction("input %q in %q: a name must be one word without /, and not . or ..", n, dir)
@@ -69,7 +72,8 @@
 	return path.Join(dir, n), nil
 }
 
-// relativePath checks a path that the action itself gives, such as an output.
+// relativePath cleans a path that an action gives, such as an output. It must stay within the
+// input root.
 func relativePath(what, p string) (string, error) {
 	if path.IsAbs(p) || strings.ContainsRune(p, 0) {
 		return "", invalidAction("%s %q: must be relative", what, p)
@@ -80,91 +84,154 @@
 	return path.Clean(p), nil
 }
 
-// planInputs walks through a tree and checks it: names that stay inside, entries in
-// bounds, and every directory there.
+// planInputs checks an input tree and lists what must be written: names that stay inside the
+// root, no more entries and bytes than the limits allow, and every directory there.
 func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, lim Limits) (*inputs, error) {
-	in := &inputs{files: make(map[cas.Digest][]node)}
-	type step struct {
-		g   cas.Digest
-		dir string
+	p := &inputPlanner{
+		function: root.Function,
+		limits:   lim,
+		in:       &inputs{files: make(map[cas.Digest][]node)},
+		queue:    []plannedDir{{root, ""}},
 	}
 	var lost []cas.Digest
-	count, bytes := 0, int64(0)
-	for queue := []step{{root, ""}}; len(queue) > 0; queue = queue[1:] {
-		s := queue[0]
-		d := dirs[s.g]
-		if d == nil && s.g.Empty() {
+	for ; len(p.queue) > 0; p.queue = p.queue[1:] {
+		next := p.queue[0]
+		d := dirs[next.digest]
+		if d == nil && next.digest.Empty() {
 			d = &repb.Directory{}
 		}
 		if d == nil {
-			lost = append(lost, s.g)
+			lost = append(lost, next.digest)
 			continue
 		}
-		if count += 1 + len(d.Files) + len(d.Symlinks); count > lim.Inputs {
-			return nil, invalidAction("the input tree has more than %d entries", lim.Inputs)
-		}
-		in.dirs = append(in.dirs, s.dir)
-		seen := make(map[string]bool)
-		add := func(n string) (string, error) {
-			p, err := entryPath(s.dir, n)
-			if err == nil && seen[n] {
-				err = invalidAction("input %q is in %q twice", n, s.dir)
-			}
-			seen[n] = true
-			return p, err
+		if err := p.directory(next.path, d); err != nil {
+			return nil, err
 		}
-		for _, f := range d.Files {
-			p, err := add(f.Name)
-			if err != nil {
-				return nil, err
-			}
-			g, err := cas.ParseDigest(root.Function, f.Digest)
-			if err != nil {
-				return nil, invalidAction("input %q: %v", p, err)
-			}
-			if bytes += g.Size; bytes > lim.InputBytes {
-				return nil, invalidAction("the input tree has more than %d bytes", lim.InputBytes)
-			}
-			in.files[g] = append(in.files[g], node{path: p, executable: f.IsExecutable})
+	}
+	if lost != nil {
+		return nil, missingBlobs(lost...)
+	}
+	return p.in, nil
+}
+
+// plannedDir is a directory that planInputs has yet to look at.
+type plannedDir struct {
+	digest cas.Digest
+	path   string
+}
+
+// inputPlanner is the state of planInputs.
+type inputPlanner struct {
+	function cas.Function
+	limits   Limits
+	in       *inputs
+	queue    []plannedDir
+	count    int   // of entries so far
+	bytes    int64 // of files so far
+}
+
+// directory plans the entries of a directory.
+func (p *inputPlanner) directory(dir string, d *repb.Directory) error {
+	if p.count += 1 + len(d.Files) + len(d.Symlinks); p.count > p.limits.Inputs {
+		return invalidAction("the input tree has more than %d entries", p.limits.Inputs)
+	}
+	p.in.dirs = append(p.in.dirs, dir)
+	seen := make(map[string]bool)
+	for _, f := range d.Files {
+		if err := p.file(dir, f, seen); err != nil {
+			return err
 		}
-		for _, l := range d.Symlinks {
-			p, err := add(l.Name)
-			if err != nil {
-				return nil, err
-			}
-			if _, err := relativePath("symlink "+p+" to", path.Join(s.dir, l.Target)); err != nil || path.IsAbs(l.Target) {
-				return nil, invalidAction("symlink %q to %q: leads out of the input root", p, l.Target)
-			}
-			in.links = append(in.links, node{path: p, target: l.Target})
+	}
+	for _, l := range d.Symlinks {
+		if err := p.symlink(dir, l, seen); err != nil {
+			return err
 		}
-		for _, sub := range d.Directories {
-			p, err := add(sub.Name)
-			if err != nil {
-				return nil, err
-			}
-			g, err := cas.ParseDigest(root.Function, sub.Digest)
-			if err != nil {
-				return nil, invalidAction("input %q: %v", p, err)
-			}
-			if len(p) > 4000 {
-				return nil, invalidAction("input %.60q...: the path is too long", p)
-			}
-			queue = append(queue, step{g, p})
+	}
+	for _, sub := range d.Directories {
+		if err := p.subdirectory(dir, sub, seen); err != nil {
+			return err
 		}
 	}
-	if lost != nil {
-		return nil, missingBlobs(lost...)
+	return nil
+}
+
+// entry returns the path of an entry of a directory, whose names seen holds.
+func entry(dir, name string, seen map[string]bool) (string, error) {
+	p, err := entryPath(dir, name)
+	if err == nil && seen[name] {
+		err = invalidAction("input %q is in %q twice", name, dir)
 	}
-	return in, nil
+	seen[name] = true
+	return p, err
 }
 
-// materialize fetches the inputs into a directory.
+func (p *inputPlanner) file(dir string, f *repb.FileNode, seen map[string]bool) error {
+	at, err := entry(dir, f.Name, seen)
+	if err != nil {
+		return err
+	}
+	g, err := cas.ParseDigest(p.function, f.Digest)
+	if err != nil {
+		return invalidAction("input %q: %v", at, err)
+	}
+	if p.bytes += g.Size; p.bytes > p.limits.InputBytes {
+		return invalidAction("the input tree has more than %d bytes", p.limits.InputBytes)
+	}
+	p.in.files[g] = append(p.in.files[g], node{path: at, executable: f.IsExecutable})
+	return nil
+}
+
+func (p *inputPlanner) symlink(dir string, l *repb.SymlinkNode, seen map[string]bool) error {
+	at, err := entry(dir, l.Name, seen)
+	if err != nil {
+		return err
+	}
+	if _, err := relativePath("symlink "+at+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
+		return invalidAction("symlink %q to %q: leads out of the input root", at, l.Target)
+	}
+	p.in.links = append(p.in.links, node{path: at, target: l.Target})
+	return nil
+}
+
+// maxInputPath bounds the path of an input directory, in bytes; Linux allows 4096.
+const maxInputPath = 4000
+
+func (p *inputPlanner) subdirectory(dir string, sub *repb.DirectoryNode, seen map[string]bool) error {
+	at, err := entry(dir, sub.Name, seen)
+	if err != nil {
+		return err
+	}
+	g, err := cas.ParseDigest(p.function, sub.Digest)
+	if err != nil {
+		return invalidAction("input %q: %v", at, err)
+	}
+	if len(at) > maxInputPath {
+		return invalidAction("input %.60q...: the path is too long", at)
+	}
+	p.queue = append(p.queue, plannedDir{g, at})
+	return nil
+}
+
+// materialize fetches the inputs and writes them below a directory.
 func (in *inputs) materialize(ctx context.Context, c *cas.Client, dir string) error {
 	for _, d := range in.dirs {
 		if err := os.MkdirAll(filepath.Join(dir, d), 0o755); err != nil {
 			return err
 		}
 	}
+	if err := in.fetch(ctx, c, dir); err != nil {
+		return err
+	}
+	for _, l := range in.links { // last, so that nothing is written through one
+		if err := os.Symlink(l.target, filepath.Join(dir, l.path)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// fetch writes the files, the small ones read in batches.
+func (in *inputs) fetch(ctx context.Context, c *cas.Client, dir string) error {
 	var small, large []cas.Digest
 	for g := range in.files {
 		if g.Size <= cas.MaxBatchedBlob {
@@ -197,15 +264,10 @@
 			return notFoundAsFailed(err)
 		}
 	}
-	for _, l := range in.links { // last, so that nothing is written through one
-		if err := os.Symlink(l.target, filepath.Join(dir, l.path)); err != nil {
-			return err
-		}
-	}
 	return nil
 }
 
-// notFoundAsFailed turns a blob that was there a moment ago into what is wrong with the action.
+// notFoundAsFailed converts the error for a blob that was evicted meanwhile to an actionError.
 func notFoundAsFailed(err error) error {
 	if status.Code(errors.Unwrap(err)) == codes.NotFound {
 		return &actionError{code: codes.FailedPrecondition, message: err.Error()}
@@ -213,6 +275,7 @@
 	return err
 }
 
+// fetchLarge writes all files with the content of one large blob.
 func (in *inputs) fetchLarge(ctx context.Context, c *cas.Client, dir string, g cas.Digest) error {
 	for _, n := range in.files[g] {
 		f, err := os.OpenFile(filepath.Join(dir, n.path), os.O_WRONLY|os.O_CREATE|os.O_EXCL, n.mode())
@@ -233,18 +296,18 @@
 	return 0o644
 }
 
-// outputs gathers what an action has left.
+// outputs collects files to upload: the outputs of an action, or an input tree.
 type outputs struct {
 	function cas.Function
 	limits   Limits
 	result   *repb.ActionResult
-	files    map[cas.Digest]string // to upload, by where they are
+	files    map[cas.Digest]string // to upload, with their paths
 	blobs    map[cas.Digest][]byte
 	count    int
 	bytes    int64
 }
 
-// file takes in a file, and gives its digest.
+// file adds a file and returns its digest.
 func (o *outputs) file(at string, info os.FileInfo) (cas.Digest, error) {
 	o.count++
 	if o.bytes += info.Size(); o.count > o.limits.Outputs || o.bytes > o.limits.OutputBytes {
@@ -257,8 +320,8 @@
 	return g, err
 }
 
-// collect takes in an output of the command; one that is not there is left out, as
-// the API has it.
+// collect adds an output of the command. One that does not exist is left out, as the API
+// demands.
 func (o *outputs) collect(at, p string) error {
 	info, err := os.Lstat(at)
 	switch {
@@ -288,7 +351,7 @@
 	return err
 }
 
-// directory takes in a directory with all below it.
+// directory adds a directory with all below it, and returns its message.
 func (o *outputs) directory(at string, tree *repb.Tree) (*repb.Directory, error) {
 	entries, err := os.ReadDir(at) // in order of names, as the API demands
 	if err != nil {
@@ -329,7 +392,7 @@
 	return d, nil
 }
 
-// upload writes what the store does not have yet.
+// upload stores all that the store does not have yet.
 func (o *outputs) upload(ctx context.Context, c *cas.Client) error {
 	var all []cas.Digest
 	for g := range o.files {
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -16,8 +16,8 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// Upload writes files and directories below a directory into the store, as an input
-// tree with the same names, and gives its root.
+// Upload stores files and directories below a directory as an input tree with the same names,
+// and returns the digest of its root.
 func Upload(ctx context.Context, c *cas.Client, f cas.Function, base string, paths []string) (cas.Digest, error) {
 	o := &outputs{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	root := newFolder()
@@ -37,7 +37,7 @@
 	return g, o.upload(ctx, c)
 }
 
-// folder is a directory that is being put together.
+// folder is a directory of an input tree that is being built.
 type folder struct {
 	folders map[string]*folder
 	files   map[string]*repb.FileNode
@@ -48,61 +48,67 @@
 	return &folder{map[string]*folder{}, map[string]*repb.FileNode{}, map[string]*repb.SymlinkNode{}}
 }
 
-// add puts what is at a path, and all below it, into the tree.
-func (o *outputs) add(root *folder, base, p string) error {
-	at := root
-	words := strings.Split(p, "/")
-	if p == "." {
-		words = nil
-	}
-	for i, word := range words {
-		if i == len(words)-1 {
-			break
-		}
-		if at.folders[word] == nil {
-			at.folders[word] = newFolder()
-		}
-		at = at.folders[word]
+// child returns the folder of a name, which is created if need be.
+func (f *folder) child(name string) *folder {
+	if f.folders[name] == nil {
+		f.folders[name] = newFolder()
 	}
+	return f.folders[name]
+}
+
+// add adds the file, symlink or directory at a path, and all below it, to the tree.
+func (o *outputs) add(root *folder, base, p string) error {
 	full := filepath.Join(base, p)
 	info, err := os.Lstat(full)
 	if err != nil {
 		return err
 	}
+	if p == "." && info.IsDir() {
+		return o.addEntries(root, base, p)
+	}
+	parent := root
+	words := strings.Split(p, "/")
+	for _, word := range words[:len(words)-1] {
+		parent = parent.child(word)
+	}
 	name := path.Base(p)
 	switch {
 	case info.IsDir():
-		entries, err := os.ReadDir(full)
-		if err != nil {
-			return err
-		}
-		if p != "." && at.folders[name] == nil {
-			at.folders[name] = newFolder() // an empty one is there too
-		}
-		for _, e := range entries {
-			if err := o.add(root, base, path.Join(p, e.Name())); err != nil {
-				return err
-			}
-		}
+		parent.child(name) // an empty directory is part of the tree, too
+		return o.addEntries(root, base, p)
 	case info.Mode()&os.ModeSymlink != 0:
 		target, err := os.Readlink(full)
 		if err != nil {
 			return err
 		}
-		at.links[name] = &repb.SymlinkNode{Name: name, Target: target}
+		parent.links[name] = &repb.SymlinkNode{Name: name, Target: target}
 	case info.Mode().IsRegular():
 		g, err := o.file(full, info)
 		if err != nil {
 			return err
 		}
-		at.files[name] = &repb.FileNode{Name: name, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0}
+		parent.files[name] = &repb.FileNode{Name: name, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0}
 	default:
 		return fmt.Errorf("%s: is neither a file, a directory nor a symlink", full)
 	}
 	return nil
 }
 
-// pack makes the messages of a tree, and gives its root.
+// addEntries adds all that is in a directory.
+func (o *outputs) addEntries(root *folder, base, p string) error {
+	entries, err := os.ReadDir(filepath.Join(base, p))
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := o.add(root, base, path.Join(p, e.Name())); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// pack adds the messages of a tree to the blobs, and returns the digest of its root.
 func (o *outputs) pack(f *folder) (cas.Digest, error) {
 	d := &repb.Directory{}
 	for _, name := range slices.Sorted(maps.Keys(f.folders)) {
@@ -124,7 +130,7 @@
 	return g, err
 }
 
-// Download brings the outputs of a result back below a directory.
+// Download writes the outputs of a result below a directory. Files that exist are replaced.
 func Download(ctx context.Context, c *cas.Client, f cas.Function, base string, r *repb.ActionResult) error {
 	in := &inputs{files: make(map[cas.Digest][]node)}
 	for _, o := range r.GetOutputFiles() {
@@ -148,7 +154,7 @@
 			return err
 		}
 	}
-	for at := range in.files { // an output that is there makes way
+	for at := range in.files { // symlinks and read-only files would not be overwritten
 		for _, n := range in.files[at] {
 			_ = os.Remove(filepath.Join(base, n.path))
 		}
@@ -156,7 +162,7 @@
 	return in.materialize(ctx, c, base)
 }
 
-// addTree adds an output directory.
+// addTree adds an output directory, checked like an input tree.
 func (in *inputs) addTree(ctx context.Context, c *cas.Client, f cas.Function, at string, digest *repb.Digest) error {
 	g, err := cas.ParseDigest(f, digest)
 	if err != nil {
