--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,12 +1,11 @@
-// Package wire holds the CBOR formats of every interface of amberdeal: users,
-// workers, the cloud and the state service. It is the only place where the
-// names used on the wire appear; the Go names are the terms of the field.
+// Package wire holds the CBOR formats of every interface of amberdeal: users, workers, the cloud and
+// the state service. It is the only place where the names used on the wire appear; the Go names are
+// the terms of the field. The cbor tags are the bytes: a tag never changes, a Go name may, except in
+// TaskID and ReportedTask, which also travel between controllers by their Go field names.
 package wire
 
 import (
 	"errors"
-	"fmt"
-	"math"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -65,15 +64,3 @@
 
 // DecodeValue reads any CBOR value, such as a stored one, into v.
 func DecodeValue(body []byte, v any) error { return decoder.Unmarshal(body, v) }
-
-// checkAmount reports whether a decimal number of the wire is one that can be
-// reckoned with.
-func checkAmount(name string, v *float64) error {
-	switch {
-	case v == nil:
-		return fmt.Errorf("field %s: missing", name)
-	case math.IsNaN(*v) || math.IsInf(*v, 0) || *v < 0 || *v > 1e9:
-		return fmt.Errorf("field %s: %v is not an amount from 0 to 1e9", name, *v)
-	}
-	return nil
-}
