--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -147,7 +147,7 @@
 		if next := h.preemptionFor(d, c.Job).Add(r); d.Add(store.PreemptionEntry(c.Job, next.Reservation(c.Machine))) {
 			d.expansions[c.Job] = next
 			d.stale[tier.ReservationKey{Job: c.Job, Machine: c.Machine}] = false
-			h.log.Info("claiming back", "job", c.Job, "tier", c.Tier, "machine", c.Machine, "stops", len(r.Stops), "awaits", len(r.Awaits), "round", d.Number)
+			h.log.Info("preempting for a tier", "job", c.Job, "tier", c.Tier, "machine", c.Machine, "stops", len(r.Stops), "awaits", len(r.Awaits), "round", d.Number)
 		}
 	}
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -28,12 +28,12 @@
 		case m.Up && !busy && (m.DrainReason != "" || !m.TerminationTime.IsZero()):
 			h.releaseMachine(m, "drained")
 		case h.bootFailed(now, m):
-			h.releaseMachine(m, "it does not come up")
+			h.releaseMachine(m, "did not boot")
 		case !partitioned && h.presumedLost(now, m, onlyShardUnreachable) && !h.keepsLostMachine(now, m):
-			h.releaseMachine(m, "silent")
+			h.releaseMachine(m, "unreachable")
 			h.detector.NoteEviction(now, m.Zone)
 		case oneWay[m] && !m.Releasing:
-			h.releaseMachine(m, "deaf")
+			h.releaseMachine(m, "takes no commands")
 		}
 	}
 }
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -97,7 +97,7 @@
 		h.scaledOut(time.Now(), name, names)
 		return
 	}
-	h.log.Debug("rental without an answer", "ask", name, "error", err)
+	h.log.Debug("scale-out request without an answer", "request", name, "err", err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.scaleOutRequests.MarkUnanswered(name)
@@ -115,7 +115,7 @@
 		h.fleet.EnsureMachine(now, id, a.Type, a.Zone, a.Spot)
 	}
 	over := h.scaleOutRequests.Complete(now, name, len(names))
-	h.log.Info("rented", "ask", name, "type", a.Type, "zone", a.Zone, "spot", a.Spot, "wanted", a.Count, "got", len(names), "unsent", len(over)-1)
+	h.log.Info("scale-out request answered", "request", name, "type", a.Type, "zone", a.Zone, "spot", a.Spot, "wanted", a.Count, "got", len(names), "unsent", len(over)-1)
 	h.scaleOutRequests.Drop(over)
 	h.scaleOutRequests.Wake()
 	h.Wake()
@@ -128,7 +128,7 @@
 			if err := e.Cloud.Release(ctx, names); err == nil {
 				h.scaledIn(names)
 			} else {
-				h.log.Debug("release without an answer", "machines", names, "error", err)
+				h.log.Debug("scale-in without an answer", "machines", names, "err", err)
 				store.Backoff(ctx, scaleInRetry)
 			}
 		}
--- a/internal/leader/stall.go
+++ b/internal/leader/stall.go
@@ -16,7 +16,7 @@
 // logStall logs a stall.
 func (h *Leader) logStall(now time.Time) {
 	if s, stalled := h.stalls.ToLog(now); stalled {
-		h.log.Warn("nothing starts although there is work and room", "for", now.Sub(s.Since).Round(time.Second), "cause", s.Cause, "job", s.Job)
+		h.log.Warn("nothing is launched although jobs wait and capacity is free", "duration", now.Sub(s.Since).Round(time.Second), "cause", s.Cause, "job", s.Job)
 	}
 }
 
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -21,7 +21,7 @@
 	h.recovery = zonerecovery.NewTracker()
 	take := func(name string, r store.ZoneRecoveryRecord) {
 		h.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
-		h.log.Info("return of a zone recalled", "zone", name, "step", r.Step, "number", r.Number)
+		h.log.Info("zone recovery continued", "zone", name, "step", r.Step, "number", r.Number)
 	}
 	if !h.migration.recorded {
 		for name, r := range h.previous.ZoneRecoveries {
@@ -64,9 +64,9 @@
 	for _, name := range sortedKeys(returns) {
 		p := returns[name]
 		if p == nil {
-			h.log.Info("return of a zone is over", "zone", name)
+			h.log.Info("zone recovery finished", "zone", name)
 		} else {
-			h.log.Info("return of a zone", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
+			h.log.Info("zone recovery step", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
 		}
 		h.recovery.Commit(name, p)
 	}
@@ -226,5 +226,5 @@
 			h.monitor.Calls.ForgetFailures(o.ID)
 		}
 	}
-	h.log.Info("a zone is heard again", "zone", m.Zone, "machine", machine)
+	h.log.Info("heartbeats from zone again", "zone", m.Zone, "machine", machine)
 }
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -43,7 +43,7 @@
 	records := make(map[string]zone.Record, len(last.Zones))
 	for name, r := range last.Zones {
 		records[name] = zone.Record{State: zone.State(r.State), Number: r.Number, Since: time.UnixMilli(r.Since), Outages: r.Outages}
-		h.log.Info("zone recalled", "zone", name, "state", r.State, "number", r.Number, "falls", r.Outages)
+		h.log.Info("zone state recovered", "zone", name, "state", r.State, "number", r.Number, "outages", r.Outages)
 	}
 	h.zones = zone.NewWatch(now, records)
 }
@@ -72,7 +72,7 @@
 func (h *Leader) zonesCommitted(changes []zone.Change) {
 	h.zones.Commit(changes)
 	for _, c := range changes {
-		h.log.Info("zone", "zone", c.Zone, "state", string(c.Record.State), "was", string(c.Previous), "number", c.Record.Number, "falls", c.Record.Outages, "evidence", c.Reason)
+		h.log.Info("zone state changed", "zone", c.Zone, "state", string(c.Record.State), "previous", string(c.Previous), "number", c.Record.Number, "outages", c.Record.Outages, "evidence", c.Reason)
 		if c.Record.State == zone.Recovering { // refusals from before the outage no longer count
 			h.scaleOutRequests.ZoneRecovered(c.Zone)
 		}
@@ -242,6 +242,6 @@
 		}
 	}
 	if h.rebuiltReachable = true; len(unproven) > 0 {
-		h.log.Info("resumed", "after", now.Sub(h.fleet.ElectedAt), "machines", len(h.fleet.Machines()), "silent", len(unproven))
+		h.log.Info("reachable machines rebuilt", "after", now.Sub(h.fleet.ElectedAt), "machines", len(h.fleet.Machines()), "unreachable", len(unproven))
 	}
 }
