--- /dev/null
+++ b/internal/action/outputs.go
@@ -0,0 +1,137 @@
+package action
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/protobuf/proto"
+
+	"amberdeal.example/amberdeal/internal/cas"
+)
+
+// outputs collects files to upload: the outputs of an action, or an input tree.
+type outputs struct {
+	function cas.Function
+	limits   Limits
+	result   *repb.ActionResult
+	files    map[cas.Digest]string // to upload, with their paths
+	blobs    map[cas.Digest][]byte
+	count    int
+	bytes    int64
+}
+
+// file adds a file and returns its digest.
+func (o *outputs) file(at string, info os.FileInfo) (cas.Digest, error) {
+	o.count++
+	if o.bytes += info.Size(); o.count > o.limits.Outputs || o.bytes > o.limits.OutputBytes {
+		return cas.Digest{}, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the outputs are more than %d files or %d bytes", o.limits.Outputs, o.limits.OutputBytes)}
+	}
+	g, err := cas.SumFile(o.function, at)
+	if err == nil {
+		o.files[g] = at
+	}
+	return g, err
+}
+
+// collect adds an output of the command. One that does not exist is left out, as the API
+// demands.
+func (o *outputs) collect(at, p string) error {
+	info, err := os.Lstat(at)
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		return nil
+	case err != nil:
+		return err
+	case info.Mode()&os.ModeSymlink != 0:
+		target, err := os.Readlink(at)
+		o.result.OutputSymlinks = append(o.result.OutputSymlinks, &repb.OutputSymlink{Path: p, Target: target})
+		return err
+	case info.IsDir():
+		tree := &repb.Tree{}
+		if tree.Root, err = o.directory(at, tree); err != nil {
+			return err
+		}
+		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(tree)
+		g := cas.Sum(o.function, raw)
+		o.blobs[g] = raw
+		o.result.OutputDirectories = append(o.result.OutputDirectories, &repb.OutputDirectory{Path: p, TreeDigest: g.Proto(), IsTopologicallySorted: false})
+		return err
+	case !info.Mode().IsRegular():
+		return invalidAction("output %q: is neither a file, a directory nor a symlink", p)
+	}
+	g, err := o.file(at, info)
+	o.result.OutputFiles = append(o.result.OutputFiles, &repb.OutputFile{Path: p, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
+	return err
+}
+
+// directory adds a directory with all below it, and returns its message.
+func (o *outputs) directory(at string, tree *repb.Tree) (*repb.Directory, error) {
+	entries, err := os.ReadDir(at) // in order of names, as the API demands
+	if err != nil {
+		return nil, err
+	}
+	d := &repb.Directory{}
+	for _, e := range entries {
+		sub := filepath.Join(at, e.Name())
+		info, err := e.Info()
+		switch {
+		case err != nil:
+			return nil, err
+		case info.Mode()&os.ModeSymlink != 0:
+			target, err := os.Readlink(sub)
+			if err != nil {
+				return nil, err
+			}
+			d.Symlinks = append(d.Symlinks, &repb.SymlinkNode{Name: e.Name(), Target: target})
+		case info.IsDir():
+			child, err := o.directory(sub, tree)
+			if err != nil {
+				return nil, err
+			}
+			raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(child)
+			if err != nil {
+				return nil, err
+			}
+			tree.Children = append(tree.Children, child)
+			d.Directories = append(d.Directories, &repb.DirectoryNode{Name: e.Name(), Digest: cas.Sum(o.function, raw).Proto()})
+		case info.Mode().IsRegular():
+			g, err := o.file(sub, info)
+			if err != nil {
+				return nil, err
+			}
+			d.Files = append(d.Files, &repb.FileNode{Name: e.Name(), Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
+		}
+	}
+	return d, nil
+}
+
+// upload stores all that the store does not have yet.
+func (o *outputs) upload(ctx context.Context, c *cas.Client) error {
+	var all []cas.Digest
+	for g := range o.files {
+		all = append(all, g)
+	}
+	for g := range o.blobs {
+		all = append(all, g)
+	}
+	lost, err := c.Missing(ctx, all)
+	if err != nil {
+		return err
+	}
+	for _, g := range lost {
+		if raw, ok := o.blobs[g]; ok {
+			_, err = c.Put(ctx, g.Function, raw)
+		} else {
+			err = c.PutFile(ctx, g, o.files[g])
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/action/plan.go
@@ -0,0 +1,137 @@
+package action
+
+import (
+	"path"
+
+	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
+
+	"amberdeal.example/amberdeal/internal/cas"
+)
+
+// planInputs checks an input tree and lists what must be written: names that stay inside the
+// root, no more entries and bytes than the limits allow, and every directory there.
+func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, lim Limits) (*inputs, error) {
+	p := &inputPlanner{
+		function: root.Function,
+		limits:   lim,
+		in:       &inputs{files: make(map[cas.Digest][]node)},
+		queue:    []plannedDir{{root, ""}},
+	}
+	var lost []cas.Digest
+	for ; len(p.queue) > 0; p.queue = p.queue[1:] {
+		next := p.queue[0]
+		d := dirs[next.digest]
+		if d == nil && next.digest.Empty() {
+			d = &repb.Directory{}
+		}
+		if d == nil {
+			lost = append(lost, next.digest)
+			continue
+		}
+		if err := p.directory(next.path, d); err != nil {
+			return nil, err
+		}
+	}
+	if lost != nil {
+		return nil, missingBlobs(lost...)
+	}
+	return p.in, nil
+}
+
+// plannedDir is a directory that planInputs has yet to look at.
+type plannedDir struct {
+	digest cas.Digest
+	path   string
+}
+
+// inputPlanner is the state of planInputs.
+type inputPlanner struct {
+	function cas.Function
+	limits   Limits
+	in       *inputs
+	queue    []plannedDir
+	count    int   // of entries so far
+	bytes    int64 // of files so far
+}
+
+// directory plans the entries of a directory.
+func (p *inputPlanner) directory(dir string, d *repb.Directory) error {
+	if p.count += 1 + len(d.Files) + len(d.Symlinks); p.count > p.limits.Inputs {
+		return invalidAction("the input tree has more than %d entries", p.limits.Inputs)
+	}
+	p.in.dirs = append(p.in.dirs, dir)
+	seen := make(map[string]bool)
+	for _, f := range d.Files {
+		if err := p.file(dir, f, seen); err != nil {
+			return err
+		}
+	}
+	for _, l := range d.Symlinks {
+		if err := p.symlink(dir, l, seen); err != nil {
+			return err
+		}
+	}
+	for _, sub := range d.Directories {
+		if err := p.subdirectory(dir, sub, seen); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// entry returns the path of an entry of a directory, whose names seen holds.
+func entry(dir, name string, seen map[string]bool) (string, error) {
+	p, err := entryPath(dir, name)
+	if err == nil && seen[name] {
+		err = invalidAction("input %q is in %q twice", name, dir)
+	}
+	seen[name] = true
+	return p, err
+}
+
+func (p *inputPlanner) file(dir string, f *repb.FileNode, seen map[string]bool) error {
+	at, err := entry(dir, f.Name, seen)
+	if err != nil {
+		return err
+	}
+	g, err := cas.ParseDigest(p.function, f.Digest)
+	if err != nil {
+		return invalidAction("input %q: %v", at, err)
+	}
+	if p.bytes += g.Size; p.bytes > p.limits.InputBytes {
+		return invalidAction("the input tree has more than %d bytes", p.limits.InputBytes)
+	}
+	p.in.files[g] = append(p.in.files[g], node{path: at, executable: f.IsExecutable})
+	return nil
+}
+
+func (p *inputPlanner) symlink(dir string, l *repb.SymlinkNode, seen map[string]bool) error {
+	at, err := entry(dir, l.Name, seen)
+	if err != nil {
+		return err
+	}
+	if _, err := relativePath("symlink "+at+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
+		return invalidAction("symlink %q to %q: leads out of the input root", at, l.Target)
+	}
+	p.in.links = append(p.in.links, node{path: at, target: l.Target})
+	return nil
+}
+
+// maxInputPath bounds the path of an input directory, in bytes; Linux allows 4096.
+const maxInputPath = 4000
+
+func (p *inputPlanner) subdirectory(dir string, sub *repb.DirectoryNode, seen map[string]bool) error {
+	at, err := entry(dir, sub.Name, seen)
+	if err != nil {
+		return err
+	}
+	g, err := cas.ParseDigest(p.function, sub.Digest)
+	if err != nil {
+		return invalidAction("input %q: %v", at, err)
+	}
+	if len(at) > maxInputPath {
+		return invalidAction("input %.60q...: the path is too long", at)
+	}
+	p.queue = append(p.queue, plannedDir{g, at})
+	return nil
+}
--- /dev/null
+++ b/internal/action/stream.go
@@ -0,0 +1,87 @@
+package action
+
+import (
+	"context"
+	"io"
+	"os"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/cas"
+)
+
+// logPollInterval is how often new output of a command is copied to its log.
+const logPollInterval = 100 * time.Millisecond
+
+// streamLog copies a file, as it grows, to a log of the store until the command has ended.
+// The log is for people who watch: where the store does not accept it, it is left out.
+func (a *execution) streamLog(ctx context.Context, file, name string) {
+	f, err := os.Open(file)
+	if err != nil {
+		return
+	}
+	defer f.Close()
+	logCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // what is left is sent after the end
+	defer cancel()
+	to := &lazyLog{ctx: logCtx, client: a.client, name: name}
+	t := time.NewTicker(logPollInterval)
+	defer t.Stop()
+	for ended := false; ; {
+		if err := copyNew(to, f); err != nil {
+			return
+		}
+		if ended {
+			to.close()
+			return
+		}
+		select {
+		case <-ctx.Done():
+			ended = true
+		case <-t.C:
+		}
+	}
+}
+
+// logBufferBytes is how much of a file goes into one message of a log.
+const logBufferBytes = 32 << 10
+
+// copyNew copies what was appended to a file since the last call. An error is that of the
+// destination.
+func copyNew(to io.Writer, f *os.File) error {
+	buf := make([]byte, logBufferBytes)
+	for {
+		n, err := f.Read(buf)
+		if n == 0 || err != nil {
+			return nil
+		}
+		if _, err := to.Write(buf[:n]); err != nil {
+			return err
+		}
+	}
+}
+
+// lazyLog is a log that is begun with the first write: most commands write nothing.
+type lazyLog struct {
+	ctx    context.Context // of the whole log
+	client *cas.Client
+	name   string
+	log    *cas.Log
+}
+
+// Write appends to the log.
+func (l *lazyLog) Write(p []byte) (int, error) {
+	if l.log == nil {
+		log, err := l.client.Log(l.ctx, l.name)
+		if err != nil {
+			return 0, err
+		}
+		l.log = log
+	}
+	return l.log.Write(p)
+}
+
+// close finishes the log, if it was begun.
+func (l *lazyLog) close() {
+	if l.log != nil {
+		_ = l.log.Close() // whether it was kept changes nothing
+	}
+}
