--- a/internal/archive/compactor.go
+++ b/internal/archive/compactor.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -11,7 +12,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Store takes the writes of a Folder.
+// Store takes the writes of a Compactor.
 type Store interface {
 	Txn(ctx context.Context, t wire.Txn) (uint64, error)
 	// WaitForSpareWrites waits until n changes may be made without taking them from others.
@@ -19,11 +20,11 @@
 	WriteBurst() int
 }
 
-// Compactor moves jobs that are over out of their homes, first into recent blocks
-// and from there into the history. It works for the holder of a part, in the
-// background, and every write of it is conditional on the claim. Each write is
-// whole: wherever it is broken off, every job is in one place or in two that
-// agree, and the work begins anew from what is there.
+// Compactor moves ended jobs out of their batches, first into recent blocks and from there
+// into the archive. It works in the background for the leader of a shard, and each of its
+// writes is conditional on the leader's record. Each write is complete in itself: wherever
+// the work is interrupted, every job is in one place, or in two that agree, and the work
+// starts again from what is there.
 type Compactor struct {
 	Store    Store
 	View     *store.View
@@ -33,151 +34,184 @@
 	Reader *Reader
 	Limits Limits
 	Log    *slog.Logger
-	// Fence is the condition that the claim still stands.
+	// Fence is the condition that the controller still leads the shard.
 	Fence wire.Condition
-	// JobsWithTasks names the jobs that may still have a task somewhere.
+	// JobsWithTasks returns the jobs that may still have a task somewhere, if that is known.
 	JobsWithTasks func() (jobs map[string]bool, ok bool)
-	// DrainedThrough tells up to which revision no part but the own has a task of any job that
-	// had ended by then; nil where there is no other part.
+	// DrainedThrough returns a revision such that no other shard has a task left of any job
+	// that had ended by then; nil where there is no other shard.
 	DrainedThrough func() uint64
-	// LeaseValid says whether the claim surely lasts.
+	// LeaseValid reports whether the leader's lease is surely valid.
 	LeaseValid func() bool
-	// Interval is the time between two looks at what there is to do, and Wait how
-	// long a few homes wait for others to be folded with them.
-	Interval, MaxWait time.Duration
-	// MergeThreshold is how many recent blocks are filled before they are merged into
-	// the history: each block of it is then written once for many jobs.
+	// Interval is the time between two checks whether there is anything to do.
+	Interval time.Duration
+	// MaxWait is how long a few batches wait for others to be staged with them.
+	MaxWait time.Duration
+	// MergeThreshold is how many recent blocks are filled before they are merged into the
+	// archive: each of its blocks is then written once for many jobs.
 	MergeThreshold int
 
-	waitingSince time.Time // since when homes wait
+	waitingSince time.Time // since when ended batches wait
 
 	mu    sync.Mutex
 	stats CompactorStats
 }
 
-// errStale means that what a write was planned on has changed: it is planned anew.
+// errStale means that what a write was planned on has changed: it is planned again.
 var errStale = errors.New("planned on what has changed")
 
-// Run folds until the context ends.
-func (f *Compactor) Run(ctx context.Context) error {
+// Run compacts until the context ends.
+func (c *Compactor) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeCompaction)
 	for ctx.Err() == nil {
-		more, err := f.Step(ctx)
+		more, err := c.Step(ctx)
 		switch {
 		case err != nil && !errors.Is(err, errStale) && ctx.Err() == nil:
-			f.Log.Info("folding broken off", "error", err)
-			store.Backoff(ctx, f.Interval)
+			c.Log.Info("compaction interrupted", "err", err)
+			store.Backoff(ctx, c.Interval)
 		case err != nil || more:
 			continue
 		default:
-			store.Backoff(ctx, f.Interval)
+			store.Backoff(ctx, c.Interval)
 		}
 	}
 	return nil
 }
 
-// Step does one thing: it merges the recent blocks if enough are full, or moves
-// some homes into one. It says whether there is more to do.
-func (f *Compactor) Step(ctx context.Context) (more bool, err error) {
-	if !f.LeaseValid() {
+// Step makes one step: it merges the recent blocks if enough of them are full, or stages
+// some batches. It reports whether there is more to do.
+func (c *Compactor) Step(ctx context.Context) (more bool, err error) {
+	if !c.LeaseValid() {
 		return false, nil
 	}
-	if blocks := mergeCandidates(f.View.RecentBlocks(), f.Limits, f.MergeThreshold); blocks != nil && f.safeToArchive() {
-		if more, err := f.merge(ctx, blocks); more || err != nil {
-			return more, err
+	blocks := mergeCandidates(c.View.RecentBlocks(), c.Limits, c.MergeThreshold)
+	if blocks != nil && c.safeToArchive() {
+		more, err := c.merge(ctx, blocks)
+		if err != nil {
+			return more, fmt.Errorf("merge recent blocks into the archive: %w", err)
 		}
+		if more {
+			return true, nil
+		}
+	}
+	more, err = c.stage(ctx)
+	if err != nil {
+		return more, fmt.Errorf("stage ended jobs: %w", err)
 	}
-	return f.stage(ctx)
+	return more, nil
 }
 
-// upgradeQuietPeriod is for how long after an upgrade nothing goes into the history: what an
-// older version had on its way does not stop at the gate, and may come minutes late.
+// upgradeQuietPeriod is how long after an upgrade nothing goes into the archive: a submission
+// that an older version has sent does not respect the submission fence, and may arrive
+// minutes late.
 const upgradeQuietPeriod = 15 * time.Minute
 
-// safeToArchive reports whether all that may hold a live job is understood: a batch
-// that is not may name a job that would else go into the history.
-func (f *Compactor) safeToArchive() bool {
-	key, _ := f.View.UnreadableRecordFor("")
-	since := f.View.Format().Since
+// safeToArchive reports whether every record that may hold a live job is readable: an
+// unreadable batch may hold a job that would otherwise go into the archive.
+func (c *Compactor) safeToArchive() bool {
+	key, _ := c.View.UnreadableRecordFor("")
+	since := c.View.Format().Since
 	return key == "" && (since == 0 || time.Since(time.UnixMilli(since)) > upgradeQuietPeriod)
 }
 
-// maxOps is how many changes one write may have: few enough that they are not felt.
-func (f *Compactor) maxOps() int { return max(2, min(f.Limits.TxnOps, f.Store.WriteBurst()/2)) }
+// minOps is what every write must be able to do: put a block and delete a batch.
+const minOps = 2
 
-func (f *Compactor) stage(ctx context.Context) (more bool, err error) {
-	lim := f.Limits
-	lim.TxnOps = f.maxOps()
-	maxBatches := lim.TxnOps - 1
-	waiting := len(f.View.EndedBatches(maxBatches, func(*store.Batch) bool { return true }))
-	now := time.Now()
-	if waiting == 0 || f.waitingSince.IsZero() {
-		f.waitingSince = now
-	}
-	if waiting == 0 || waiting < maxBatches && now.Sub(f.waitingSince) < f.MaxWait {
+// writeLimits are the limits of one write, which has only as many changes as others do not notice.
+func (c *Compactor) writeLimits() Limits {
+	return Limits{ValueBytes: c.Limits.ValueBytes, TxnOps: max(minOps, min(c.Limits.TxnOps, c.Store.WriteBurst()/2))}
+}
+
+// stage moves the jobs of ended batches into a recent block.
+func (c *Compactor) stage(ctx context.Context) (more bool, err error) {
+	lim := c.writeLimits()
+	maxBatches := lim.TxnOps - 1 // and one change for the recent block
+	if !c.worthStaging(maxBatches) {
 		return false, nil
 	}
-	// What is over now was launched before that if ever, so that the holder, asked after it, names it. Of
-	// what is over later it could have been asked too early: between a launch and a cancellation.
-	drainedThrough := f.View.Revision()
-	withTasks, ok := f.JobsWithTasks()
+	batches, ok := c.quietBatches(maxBatches)
 	if !ok {
 		return false, nil
 	}
-	if f.DrainedThrough != nil {
-		drainedThrough = min(drainedThrough, f.DrainedThrough())
+	txn, size := planStage(batches, c.View.Job, c.View.RecentBlocks(), lim)
+	if size.batches == 0 {
+		return false, nil // tasks of the jobs may still be running
+	}
+	if _, err := c.commit(ctx, txn); err != nil {
+		return false, err
+	}
+	c.updateStats(func(s *CompactorStats) { s.Staged += uint64(size.jobs) })
+	c.Log.Debug("staged ended jobs", "jobs", size.jobs, "batches", size.batches)
+	c.waitingSince = time.Time{}
+	return len(batches) == maxBatches, c.Follower.Barrier(ctx)
+}
+
+// worthStaging reports whether enough batches have ended for a write, or some long ago.
+func (c *Compactor) worthStaging(maxBatches int) bool {
+	waiting := len(c.View.EndedBatches(maxBatches, func(*store.Batch) bool { return true }))
+	now := time.Now()
+	if waiting == 0 || c.waitingSince.IsZero() {
+		c.waitingSince = now
+	}
+	return waiting > 0 && (waiting >= maxBatches || now.Sub(c.waitingSince) >= c.MaxWait)
+}
+
+// quietBatches returns ended batches of which no task can be anywhere; ok is false while
+// that is not known.
+//
+// The view's revision is read before the leader is asked for the jobs that may have tasks:
+// a job that has ended by that revision was launched before the question, if ever, so that
+// the answer names it. For one that ends later the question could come too early, between
+// its launch and its cancellation.
+func (c *Compactor) quietBatches(maxBatches int) (batches []*store.Batch, ok bool) {
+	drainedThrough := c.View.Revision()
+	withTasks, ok := c.JobsWithTasks()
+	if !ok {
+		return nil, false
+	}
+	if c.DrainedThrough != nil {
+		drainedThrough = min(drainedThrough, c.DrainedThrough())
 	}
-	batches := f.View.EndedBatches(maxBatches, func(h *store.Batch) bool {
-		if h.Version > drainedThrough {
+	return c.View.EndedBatches(maxBatches, func(b *store.Batch) bool {
+		if b.Version > drainedThrough {
 			return false
 		}
-		for _, m := range h.Jobs {
-			if withTasks[m.ID] {
+		for _, job := range b.Jobs {
+			if withTasks[job.ID] {
 				return false
 			}
 		}
 		return true
-	})
-	txn, jobs, moved := planStage(batches, f.View.Job, f.View.RecentBlocks(), nil, lim)
-	if moved == 0 {
-		return false, nil // their tasks are still ending
-	}
-	if _, err := f.commit(ctx, txn); err != nil {
-		return false, err
-	}
-	f.updateStats(func(c *CompactorStats) { c.Staged += uint64(jobs) })
-	f.Log.Debug("jobs settled", "jobs", jobs, "homes", moved)
-	f.waitingSince = time.Time{}
-	return len(batches) == maxBatches, f.Follower.Barrier(ctx)
+	}), true
 }
 
-// commit makes a write under the fence. One without an answer is sent again: its
-// conditions let one copy at most be applied.
-func (f *Compactor) commit(ctx context.Context, txn wire.Txn) (uint64, error) {
-	txn.If = append(txn.If, f.Fence)
+// commit makes a write under the fence. One without an answer is sent again: its conditions
+// let at most one copy be applied.
+func (c *Compactor) commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	txn.If = append(txn.If, c.Fence)
 	for {
-		if err := f.Store.WaitForSpareWrites(ctx, len(txn.Then)); err != nil {
+		if err := c.Store.WaitForSpareWrites(ctx, len(txn.Then)); err != nil {
 			return 0, err
 		}
-		if !f.LeaseValid() {
+		if !c.LeaseValid() {
 			return 0, errStale
 		}
-		rev, err := f.Store.Txn(ctx, txn)
+		rev, err := c.Store.Txn(ctx, txn)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			f.updateStats(func(c *CompactorStats) { c.Writes++ })
+			c.updateStats(func(s *CompactorStats) { s.Writes++ })
 			return rev, nil
 		case errors.As(err, &conflict):
-			f.updateStats(func(c *CompactorStats) { c.Refused++ })
-			f.Log.Debug("fold refused", "failed", conflict.Failed)
-			if err := f.Follower.Barrier(ctx); err != nil {
+			c.updateStats(func(s *CompactorStats) { s.Refused++ })
+			c.Log.Debug("compaction write refused", "keys", conflict.Failed)
+			if err := c.Follower.Barrier(ctx); err != nil {
 				return 0, err
 			}
 			return 0, errStale
 		case !errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil:
 			return 0, err
 		}
-		store.Backoff(ctx, f.Interval)
+		store.Backoff(ctx, c.Interval)
 	}
 }
--- a/internal/archive/merge.go
+++ b/internal/archive/merge.go
@@ -9,21 +9,42 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// merge moves the jobs of recent blocks into the history. The gate moves first:
-// a submission of one of them that is still on its way was sent before, and is
-// refused from then on, or was taken and shows in the view.
-func (f *Compactor) merge(ctx context.Context, blocks []store.RecentBlock) (more bool, err error) {
-	fence := f.View.SubmissionFence()
+// merge moves the jobs of recent blocks into the archive. The submission fence advances
+// first: a submission of one of them that is still under way was sent before that, so that
+// it is refused from then on, or was accepted and is in the view.
+func (c *Compactor) merge(ctx context.Context, blocks []store.RecentBlock) (more bool, err error) {
+	fence := c.View.SubmissionFence()
 	for _, r := range blocks {
 		if r.Version >= fence.Version {
-			return true, f.advanceSubmissionFence(ctx, fence)
+			return true, c.advanceSubmissionFence(ctx, fence)
 		}
 	}
-	var entries []jobblock.Entry
-	keep := make(map[string]bool) // a home still names them: it may be all that is known of them
+	entries, keep := c.archivable(blocks)
+	blocked, err := c.archiveEntries(ctx, entries)
+	if err != nil {
+		return false, err
+	}
+	c.updateStats(func(s *CompactorStats) {
+		s.Blocked = len(blocked)
+		s.Merged += uint64(len(entries) - len(blocked))
+	})
+	if len(blocked) == len(entries) {
+		return false, nil // nothing has moved
+	}
+	for _, id := range blocked {
+		keep[id] = true
+	}
+	return true, c.clearRecent(ctx, blocks, keep)
+}
+
+// archivable returns, in order, the jobs of recent blocks that may go into the archive, and
+// those that must be kept because a batch still holds them: the recent block may be the only
+// record of their end.
+func (c *Compactor) archivable(blocks []store.RecentBlock) (entries []jobblock.Entry, keep map[string]bool) {
+	keep = make(map[string]bool)
 	for _, r := range blocks {
 		for _, e := range r.Block.Entries() {
-			if f.View.Compacted(e.ID) {
+			if c.View.Compacted(e.ID) {
 				entries = append(entries, e)
 			} else {
 				keep[e.ID] = true
@@ -31,161 +52,123 @@
 		}
 	}
 	entries, _ = jobblock.Sort(entries)
-	stuck, err := f.archiveEntries(ctx, entries)
-	if err != nil {
-		return false, err
-	}
-	f.updateStats(func(c *CompactorStats) { c.Blocked = len(stuck); c.Merged += uint64(len(entries) - len(stuck)) })
-	for _, id := range stuck {
-		keep[id] = true
-	}
-	if len(stuck) == len(entries) {
-		return false, nil // nothing has moved
-	}
-	return true, f.clearRecent(ctx, blocks, keep)
+	return entries, keep
 }
 
-// advanceSubmissionFence refuses all submissions that are on their way.
-func (f *Compactor) advanceSubmissionFence(ctx context.Context, fence store.Versioned[store.SubmissionFenceRecord]) error {
-	_, err := f.commit(ctx, wire.Txn{If: []wire.Condition{{Key: store.SubmissionFenceKey, Version: fence.Version}},
-		Then: []wire.Operation{{Put: store.SubmissionFenceKey, Value: store.SubmissionFenceRecord{Generation: fence.Record.Generation + 1}}}})
+// advanceSubmissionFence refuses all submissions that are under way.
+func (c *Compactor) advanceSubmissionFence(ctx context.Context, fence store.Versioned[store.SubmissionFenceRecord]) error {
+	next := store.SubmissionFenceRecord{Generation: fence.Record.Generation + 1}
+	_, err := c.commit(ctx, wire.Txn{
+		If:   []wire.Condition{{Key: store.SubmissionFenceKey, Version: fence.Version}},
+		Then: []wire.Operation{{Put: store.SubmissionFenceKey, Value: next}},
+	})
 	if err != nil {
 		return err
 	}
-	f.updateStats(func(c *CompactorStats) { c.FenceAdvances++ })
-	return f.Follower.Barrier(ctx) // what was taken before shows from here on
+	c.updateStats(func(s *CompactorStats) { s.FenceAdvances++ })
+	return c.Follower.Barrier(ctx) // what was accepted before is in the view after this
 }
 
-// archiveEntries puts sorted entries into the blocks of the history. Those of a block that
-// can't be read are given back; nothing is written over it.
-func (f *Compactor) archiveEntries(ctx context.Context, entries []jobblock.Entry) (blocked []string, err error) {
-	lim := f.Limits
-	lim.TxnOps = f.maxOps()
-	var pending []*Block
-	flush := func() error {
-		if len(pending) == 0 {
-			return nil
-		}
-		rev, err := f.commit(ctx, mergeTxn(pending))
-		if err == nil {
-			f.Reader.applyOwnWrite(pending, rev)
-		}
-		pending = nil
-		return err
-	}
+// archiveEntries puts sorted entries into the blocks of the archive, and returns the ids of
+// those whose block can't be read; nothing is written over such a block.
+func (c *Compactor) archiveEntries(ctx context.Context, entries []jobblock.Entry) (blocked []string, err error) {
+	w := blockWriter{compactor: c, limits: c.writeLimits()}
 	for len(entries) > 0 {
-		b, err := f.Reader.blockFor(ctx, jobblock.SortKey(entries[0].ID))
-		if err != nil && (errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil) {
-			return nil, err
-		}
-		taken := 1
-		if err == nil {
-			var next []*Block
-			var differ []string
-			next, taken, differ, err = planMerge(b, entries, lim)
-			for _, id := range differ {
-				f.updateStats(func(c *CompactorStats) { c.Conflicting++ })
-				f.Log.Error("a final answer would change; the first stays", "job", id)
-			}
-			if len(pending) > 0 && (len(pending)+len(next) > lim.TxnOps || encodedBytes(pending)+encodedBytes(next) > txnBytes) {
-				if err := flush(); err != nil {
-					return nil, err
-				}
-			}
-			pending = append(pending, next...)
-		}
+		taken, err := w.add(ctx, entries)
 		if err != nil {
-			f.Log.Error("block of the history can't be read, jobs wait for it", "jobs", taken, "error", err)
-			for _, e := range entries[:taken] {
-				blocked = append(blocked, e.ID)
-			}
+			return nil, err
 		}
 		entries = entries[taken:]
 	}
-	return blocked, flush()
+	return w.blocked, w.flush(ctx)
 }
 
-// clearRecent empties recent blocks whose jobs are in the history, but for some.
-func (f *Compactor) clearRecent(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
-	for len(blocks) > 0 {
-		n := min(len(blocks), f.maxOps(), max(1, txnBytes/f.Limits.ValueBytes))
-		var txn wire.Txn
-		for _, r := range blocks[:n] {
-			var left []jobblock.Entry
-			for _, e := range r.Block.Entries() {
-				if keep[e.ID] {
-					left = append(left, e)
-				}
-			}
-			key := store.RecentKey(r.Index)
-			txn.If = append(txn.If, wire.Condition{Key: key, Version: r.Version})
-			txn.Then = append(txn.Then, wire.Operation{Put: key, Value: jobblock.Pack("", left)})
-		}
-		if _, err := f.commit(ctx, txn); err != nil {
-			return err
-		}
-		blocks = blocks[n:]
-	}
-	return f.Follower.Barrier(ctx)
+// blockWriter collects blocks of the archive until a write is full.
+type blockWriter struct {
+	compactor *Compactor
+	limits    Limits
+	pending   []*Block // merged, not written yet
+	blocked   []string // ids of entries whose block can't be read
 }
 
-// mergeCandidates lists the recent blocks to merge, once enough are full.
-func mergeCandidates(recents []store.RecentBlock, lim Limits, threshold int) []store.RecentBlock {
-	var out []store.RecentBlock
-	n := 0
-	for _, r := range recents {
-		if r.Block == nil || r.Block.Len() == 0 {
-			continue
-		}
-		if out = append(out, r); isFull(r, lim) {
-			n++
+// add merges as many of the entries as the block of the first one covers, and returns their number.
+func (w *blockWriter) add(ctx context.Context, entries []jobblock.Entry) (taken int, err error) {
+	b, err := w.compactor.Reader.blockFor(ctx, jobblock.SortKey(entries[0].ID))
+	switch {
+	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrUnknownOutcome), err != nil && ctx.Err() != nil:
+		return 0, err
+	case err != nil:
+		w.block(entries[:1], err)
+		return 1, nil
+	}
+	plan, unreadable := planMerge(b, entries, w.limits)
+	for _, id := range plan.conflicting {
+		w.compactor.updateStats(func(s *CompactorStats) { s.Conflicting++ })
+		w.compactor.Log.Error("final stage of a job would change, the first is kept", "job", id)
+	}
+	if !w.fits(plan.blocks) {
+		if err := w.flush(ctx); err != nil {
+			return 0, err
 		}
 	}
-	if n < threshold {
-		return nil
+	w.pending = append(w.pending, plan.blocks...)
+	if unreadable != nil {
+		w.block(entries[:plan.taken], unreadable)
 	}
-	return out
+	return plan.taken, nil
+}
+
+// fits reports whether blocks may go into the write with the pending ones.
+func (w *blockWriter) fits(blocks []*Block) bool {
+	return len(w.pending) == 0 ||
+		len(w.pending)+len(blocks) <= w.limits.TxnOps && encodedBytes(w.pending)+encodedBytes(blocks) <= txnBytes
 }
 
-// planMerge plans to add sorted entries to the block that covers the first of them.
-// It gives the blocks that take its place, and how many entries they took.
-func planMerge(b *Block, entries []jobblock.Entry, lim Limits) (parts []*Block, taken int, differ []string, err error) {
-	for taken < len(entries) && b.covers(jobblock.SortKey(entries[taken].ID)) {
-		taken++
+// block notes entries that wait because their block can't be read.
+func (w *blockWriter) block(entries []jobblock.Entry, err error) {
+	w.compactor.Log.Error("archive block can't be read, jobs wait for it", "jobs", len(entries), "err", err)
+	for _, e := range entries {
+		w.blocked = append(w.blocked, e.ID)
 	}
-	blk, err := b.unpack()
-	if err != nil {
-		return nil, taken, nil, err
-	}
-	all, differ := jobblock.Sort(append(blk.Entries(), entries[:taken]...))
-	records := jobblock.Split(b.From, all, lim.ValueBytes)
-	for i, r := range records {
-		part := &Block{To: b.To, From: r.From, Record: r}
-		if i+1 < len(records) {
-			part.To = records[i+1].From
-		} else {
-			part.Version = b.Version
-		}
-		parts = append(parts, part)
+}
+
+// flush writes the pending blocks.
+func (w *blockWriter) flush(ctx context.Context) error {
+	if len(w.pending) == 0 {
+		return nil
 	}
-	return parts, taken, differ, nil
+	rev, err := w.compactor.commit(ctx, mergeTxn(w.pending))
+	if err == nil {
+		w.compactor.Reader.applyOwnWrite(w.pending, rev)
+	}
+	w.pending = nil
+	return err
 }
 
-// mergeTxn gives the transaction that puts the parts of merged blocks.
-func mergeTxn(parts []*Block) (txn wire.Txn) {
-	for _, p := range parts {
-		key := store.ArchivePrefix + p.To
-		txn.If = append(txn.If, wire.Condition{Key: key, Version: p.Version})
-		txn.Then = append(txn.Then, wire.Operation{Put: key, Value: p.Record})
-	}
-	return txn
+// clearRecent empties recent blocks whose jobs are in the archive, but for those to keep.
+func (c *Compactor) clearRecent(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
+	for len(blocks) > 0 {
+		n := min(len(blocks), c.writeLimits().TxnOps, max(1, txnBytes/c.Limits.ValueBytes))
+		var txn wire.Txn
+		for _, r := range blocks[:n] {
+			key := store.RecentKey(r.Index)
+			txn.If = append(txn.If, wire.Condition{Key: key, Version: r.Version})
+			txn.Then = append(txn.Then, wire.Operation{Put: key, Value: jobblock.Pack("", kept(r.Block, keep))})
+		}
+		if _, err := c.commit(ctx, txn); err != nil {
+			return err
+		}
+		blocks = blocks[n:]
+	}
+	return c.Follower.Barrier(ctx)
 }
 
-// encodedBytes is what the parts take in a transaction.
-func encodedBytes(parts []*Block) int {
-	n := 0
-	for _, p := range parts {
-		n += p.Record.Bytes() + 60
+// kept returns the entries of a block that are to be kept.
+func kept(block *jobblock.Block, keep map[string]bool) (entries []jobblock.Entry) {
+	for _, e := range block.Entries() {
+		if keep[e.ID] {
+			entries = append(entries, e)
+		}
 	}
-	return n
+	return entries
 }
--- a/internal/archive/plan.go
+++ b/internal/archive/plan.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Limits bounds what one write of a Folder may take.
+// Limits bounds one write of a Compactor.
 type Limits struct {
 	ValueBytes, TxnOps int
 }
@@ -16,50 +16,65 @@
 // txnBytes bounds the values of one write together.
 const txnBytes = 48 << 10
 
-// planStage plans to move the jobs of homes, all of them over, into a recent block:
-// one put, and a drop for each home. It takes as many of the homes as fit, and
-// leaves the blocks alone that are being merged or were not understood.
-func planStage(batches []*store.Batch, lookup func(id string) (store.JobRecord, bool), recents []store.RecentBlock, merging map[int]bool, lim Limits) (txn wire.Txn, jobs, moved int) {
-	index, entries, version := openRecentBlock(recents, merging, lim)
+// stageSize is how much a write moves into a recent block.
+type stageSize struct{ jobs, batches int }
+
+// planStage returns the write that moves jobs of ended batches into a recent block: the put
+// of the block, and the deletion of each batch whose jobs are in it, of as many as fit.
+// Blocks that can't be read are left alone.
+func planStage(batches []*store.Batch, lookup func(id string) (store.JobRecord, bool), recents []store.RecentBlock, lim Limits) (txn wire.Txn, size stageSize) {
+	target := openRecentBlock(recents, lim)
 	var record jobblock.Record
-	for _, h := range batches {
-		next, over := slices.Clone(entries), true
-		for _, m := range h.Jobs {
-			rec, ok := lookup(m.ID)
-			over = over && ok && rec.Stage.Final()
-			next = append(next, jobblock.Entry{ID: m.ID, Stage: rec.Stage, Tasks: rec.Tasks})
-		}
-		if !over {
-			continue // neither live nor over: a record that makes no sense stays, and holds nobody up
+	for _, b := range batches {
+		entries, ended := endedEntries(b, lookup)
+		if !ended {
+			continue // a record that makes no sense stays, and must not hold up the others
 		}
-		next, _ = jobblock.Sort(next)
+		next, _ := jobblock.Sort(append(slices.Clone(target.entries), entries...))
 		r := jobblock.Pack("", next)
-		if !r.Fits(lim.ValueBytes) && moved > 0 || len(txn.Then)+2 > lim.TxnOps && moved > 0 {
+		if size.batches > 0 && (!r.Fits(lim.ValueBytes) || len(txn.Then)+minOps > lim.TxnOps) {
 			break
 		}
-		entries, record = next, r
-		txn.If = append(txn.If, wire.Condition{Key: h.Key, Version: h.Version})
-		txn.Then = append(txn.Then, wire.Operation{Delete: h.Key})
-		jobs += len(h.Jobs)
-		moved++
+		target.entries, record = next, r
+		txn.If = append(txn.If, wire.Condition{Key: b.Key, Version: b.Version})
+		txn.Then = append(txn.Then, wire.Operation{Delete: b.Key})
+		size.jobs += len(b.Jobs)
+		size.batches++
 	}
-	if moved == 0 {
-		return wire.Txn{}, 0, 0
+	if size.batches == 0 {
+		return wire.Txn{}, size
 	}
-	key := store.RecentKey(index)
-	txn.If = append(txn.If, wire.Condition{Key: key, Version: version})
+	key := store.RecentKey(target.index)
+	txn.If = append(txn.If, wire.Condition{Key: key, Version: target.version})
 	txn.Then = append(txn.Then, wire.Operation{Put: key, Value: record})
-	return txn, jobs, moved
+	return txn, size
+}
+
+// endedEntries returns the jobs of a batch, and whether all of them have ended.
+func endedEntries(b *store.Batch, lookup func(id string) (store.JobRecord, bool)) (entries []jobblock.Entry, ended bool) {
+	ended = true
+	for _, job := range b.Jobs {
+		rec, known := lookup(job.ID)
+		ended = ended && known && rec.Stage.Final()
+		entries = append(entries, jobblock.Entry{ID: job.ID, Stage: rec.Stage, Tasks: rec.Tasks})
+	}
+	return entries, ended
+}
+
+// recentTarget is the recent block that jobs are moved into.
+type recentTarget struct {
+	index   int
+	version uint64
+	entries []jobblock.Entry
 }
 
-// openRecentBlock picks the recent block that goes on growing: the fullest that has
-// room for more, or else one that is empty or new.
-func openRecentBlock(recents []store.RecentBlock, merging map[int]bool, lim Limits) (index int, entries []jobblock.Entry, version uint64) {
+// openRecentBlock picks the fullest recent block that has room for more, or else a new one.
+func openRecentBlock(recents []store.RecentBlock, lim Limits) recentTarget {
 	best := store.RecentBlock{Index: -1}
 	used := make(map[int]bool)
 	for _, r := range recents {
 		used[r.Index] = true
-		if r.Block == nil || merging[r.Index] || isFull(r, lim) {
+		if r.Block == nil || isFull(r, lim) {
 			continue
 		}
 		if best.Index < 0 || r.Bytes > best.Bytes {
@@ -67,16 +82,90 @@
 		}
 	}
 	if best.Index >= 0 {
-		return best.Index, best.Block.Entries(), best.Version
+		return recentTarget{best.Index, best.Version, best.Block.Entries()}
 	}
+	index := 0
 	for used[index] {
 		index++
 	}
-	return index, nil, 0
+	return recentTarget{index: index}
 }
 
-// isFull reports whether a recent block takes no more: an eighth is left, which a
-// large home may need.
+// isFull reports whether a recent block takes no more: an eighth is left for a large batch.
 func isFull(r store.RecentBlock, lim Limits) bool {
 	return r.Bytes > lim.ValueBytes*7/8 || r.Block.Len() > jobblock.MaxJobs*7/8
 }
+
+// mergeCandidates lists the recent blocks to merge, once as many as the threshold are full.
+func mergeCandidates(recents []store.RecentBlock, lim Limits, threshold int) []store.RecentBlock {
+	var out []store.RecentBlock
+	full := 0
+	for _, r := range recents {
+		if r.Block == nil || r.Block.Len() == 0 {
+			continue
+		}
+		out = append(out, r)
+		if isFull(r, lim) {
+			full++
+		}
+	}
+	if full < threshold {
+		return nil
+	}
+	return out
+}
+
+// mergePlan is what takes the place of one block of the archive.
+type mergePlan struct {
+	blocks      []*Block
+	taken       int      // entries that the block covers
+	conflicting []string // jobs whose final stage would change
+}
+
+// planMerge adds sorted entries to the block that covers the first of them. The plan of a
+// block that can't be read says only how many entries it covers.
+func planMerge(b *Block, entries []jobblock.Entry, lim Limits) (mergePlan, error) {
+	var plan mergePlan
+	for plan.taken < len(entries) && b.covers(jobblock.SortKey(entries[plan.taken].ID)) {
+		plan.taken++
+	}
+	old, err := b.unpack()
+	if err != nil {
+		return plan, err
+	}
+	all, conflicting := jobblock.Sort(append(old.Entries(), entries[:plan.taken]...))
+	plan.conflicting = conflicting
+	records := jobblock.Split(b.From, all, lim.ValueBytes)
+	for i, r := range records {
+		part := &Block{To: b.To, From: r.From, Record: r}
+		if i+1 < len(records) {
+			part.To = records[i+1].From
+		} else {
+			part.Version = b.Version // the last part keeps the block's key
+		}
+		plan.blocks = append(plan.blocks, part)
+	}
+	return plan, nil
+}
+
+// mergeTxn returns the transaction that puts blocks.
+func mergeTxn(blocks []*Block) (txn wire.Txn) {
+	for _, b := range blocks {
+		key := store.ArchivePrefix + b.To
+		txn.If = append(txn.If, wire.Condition{Key: key, Version: b.Version})
+		txn.Then = append(txn.Then, wire.Operation{Put: key, Value: b.Record})
+	}
+	return txn
+}
+
+// blockOverheadBytes bounds what a block takes in a transaction beside its record.
+const blockOverheadBytes = 60
+
+// encodedBytes bounds what blocks take in a transaction.
+func encodedBytes(blocks []*Block) int {
+	n := 0
+	for _, b := range blocks {
+		n += b.Record.Bytes() + blockOverheadBytes
+	}
+	return n
+}
--- a/internal/archive/stats.go
+++ b/internal/archive/stats.go
@@ -1,21 +1,22 @@
 package archive
 
-// CompactorStats tells what a Folder has done.
+// CompactorStats counts what a Compactor has done.
 type CompactorStats struct {
-	Staged, Merged, Writes, FenceAdvances, Refused uint64
-	Blocked                                        int // jobs that a block which can't be read holds up
-	Conflicting                                    uint64
+	Staged, Merged                 uint64 // jobs moved into recent blocks, and into the archive
+	Writes, Refused, FenceAdvances uint64
+	Blocked                        int    // jobs that wait because of a block that can't be read
+	Conflicting                    uint64 // jobs whose final stage would have changed
 }
 
-// Stats gives the counts.
-func (f *Compactor) Stats() CompactorStats {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.stats
+// Stats returns the counts.
+func (c *Compactor) Stats() CompactorStats {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.stats
 }
 
-func (f *Compactor) updateStats(add func(*CompactorStats)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	add(&f.stats)
+func (c *Compactor) updateStats(update func(*CompactorStats)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	update(&c.stats)
 }
