--- a/internal/archive/block.go
+++ b/internal/archive/block.go
@@ -7,14 +7,14 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// lastBlock ends the block that no other follows.
+// lastBlock is the key of the block that no other follows: it sorts after every id.
 const lastBlock = "~"
 
-// Block is a block of the history as it was read.
+// Block is a block of the archive as it is stored, without its jobs being decoded.
 type Block struct {
-	To      string // the first key that it does not cover
-	From    string // the first that it does
-	Version uint64 // 0 for one that is yet to be written
+	To      string // the first key that it does not cover, and its own key
+	From    string // the first key that it covers
+	Version uint64 // 0 for one that is not written yet
 	Record  jobblock.Record
 }
 
--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -253,7 +253,7 @@
 	key := store.ArchivePrefix + lastBlock
 	for _, meanwhile := range []func(r *Reader){
 		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9) },
-		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.recency.Remove(lastBlock) }, // and fell out of the cache
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.cache.recency.Remove(lastBlock) }, // and fell out of the cache
 		func(r *Reader) { r.Reset() },
 	} {
 		slow := &hookedLister{page: &wire.KeyValueList{Revision: 5, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(old), Version: 4}}}}
--- a/internal/archive/merge.go
+++ b/internal/archive/merge.go
@@ -139,7 +139,7 @@
 	}
 	rev, err := w.compactor.commit(ctx, mergeTxn(w.pending))
 	if err == nil {
-		w.compactor.Reader.applyOwnWrite(w.pending, rev)
+		w.compactor.Reader.cache.applyOwnWrite(w.pending, rev)
 	}
 	w.pending = nil
 	return err
