--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -119,7 +119,7 @@
 		return fmt.Errorf("the cancellation of %s was answered %d", service, status)
 	}
 	d.say("%s is cancelled", service)
-	if err := d.waitUntil(ctx, func() bool { return d.Ready(killed) }); err != nil {
+	if err := d.waitUntil(ctx, func() bool { return d.Ready(ctx, killed) }); err != nil {
 		return fmt.Errorf("%s did not come back: %w", name(killed), err)
 	}
 	return d.checkUnchanged(ctx)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -34,7 +34,6 @@
 	*emulator.Cluster
 	procs  emulator.Processes
 	dir    string
-	ctx    context.Context
 	stop   context.CancelFunc
 	caller *transport.Caller
 }
@@ -47,18 +46,18 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Cluster{dir: dir}
-	w.ctx, w.stop = context.WithCancel(ctx)
+	ctx, stop := context.WithCancel(ctx)
+	w := &Cluster{dir: dir, stop: stop}
 	w.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
 	w.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: operatorSettings}
-	w.procs.Begin(w.ctx)
-	around, err := emulator.Start(w.ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: w.procs.PauseNamed, Kill: w.procs.KillNamed})
+	w.procs.Begin(ctx)
+	around, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: w.procs.PauseNamed, Kill: w.procs.KillNamed})
 	if err != nil {
 		w.Stop()
 		return nil, err
 	}
 	w.Cluster, w.procs.Settings, w.procs.Metrics = around, around.Settings, around.Metrics
-	if err := w.run(); err != nil {
+	if err := w.run(ctx); err != nil {
 		w.Stop()
 		return nil, err
 	}
@@ -74,16 +73,16 @@
 func name(i int) string { return fmt.Sprint("c-", i) }
 
 // run starts the controllers and waits for them.
-func (w *Cluster) run() error {
+func (w *Cluster) run(ctx context.Context) error {
 	for i := range Controllers {
 		if err := w.Restart(i); err != nil {
 			return err
 		}
 	}
-	for begun := time.Now(); !(w.Ready(0) && w.Ready(1) && w.Ready(2)); time.Sleep(20 * time.Millisecond) {
+	for begun := time.Now(); !(w.Ready(ctx, 0) && w.Ready(ctx, 1) && w.Ready(ctx, 2)); time.Sleep(20 * time.Millisecond) {
 		switch {
-		case w.ctx.Err() != nil:
-			return w.ctx.Err()
+		case ctx.Err() != nil:
+			return ctx.Err()
 		case time.Since(begun) > 30*time.Second:
 			return errors.New("the controllers did not come up within 30 s")
 		}
@@ -92,8 +91,8 @@
 }
 
 // Ready reports whether a controller serves users.
-func (w *Cluster) Ready(i int) bool {
-	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+func (w *Cluster) Ready(ctx context.Context, i int) bool {
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	resp, err := w.caller.Call(ctx, w.Addr(i), "GET", wire.PathReady, nil)
 	return err == nil && resp.Status == 200
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -223,7 +223,7 @@
 			return
 		}
 		h := host{w.links, me, func(string) side { return peer }}
-		go h.accept(w.ctx, lis, 512, func(c net.Conn) { f(w.ctx, w.links.wrap(c, me, peer, true)) })
+		go h.accept(w.ctx, lis, 512, func(c net.Conn) { f(w.ctx, w.links.wrap(c, me, peer)) })
 	}
 	for i := range w.Config.Controllers {
 		c := w.controller(i)
@@ -231,7 +231,7 @@
 		serve(w.ports.cloud+i, cloud, c, w.cloud.Serve())
 		for k := range w.Config.Controllers {
 			if k != i {
-				serve(w.ports.between(i, k), w.controller(k), c, w.forward(k, c))
+				serve(w.ports.between(i, k), w.controller(k), c, w.forward(k))
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // forward relays a connection to a controller, in both directions as the rules allow.
-func (w *Cluster) forward(to int, from side) transport.ServeConn {
+func (w *Cluster) forward(to int) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
 		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -193,7 +193,7 @@
 	me, peer := side{"n-1", "machines", "a"}, side{"c-0", "controllers", "a"}
 	for _, mode := range []string{"hold", "lose"} {
 		a, b := net.Pipe()
-		k := l.wrap(a, me, peer, true)
+		k := l.wrap(a, me, peer)
 		lift := l.add(&rule{from: "machines", to: "c-0", mode: mode})
 		for _, text := range []string{"one ", "two ", "three"} {
 			if _, err := k.Write([]byte(text)); err != nil {
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -132,7 +132,6 @@
 	net.Conn
 	links          *links
 	local, peer    side
-	checkReads     bool // reads are subject to rules here, since the other end is not a link
 	done           chan struct{}
 	once           sync.Once
 	idle           time.Duration
@@ -144,8 +143,8 @@
 }
 
 // wrap makes a connection subject to the rules.
-func (l *links) wrap(c net.Conn, local, peer side, in bool) *link {
-	k := &link{Conn: c, links: l, local: local, peer: peer, checkReads: in, done: make(chan struct{})}
+func (l *links) wrap(c net.Conn, local, peer side) *link {
+	k := &link{Conn: c, links: l, local: local, peer: peer, done: make(chan struct{})}
 	l.mu.Lock()
 	k.sent, k.received = l.counter(local, peer), l.counter(peer, local)
 	l.conns[k] = true
@@ -166,12 +165,12 @@
 		if n > 0 {
 			c.received.add(n)
 		}
-		if n == 0 || err != nil || !c.checkReads {
+		if n == 0 || err != nil {
 			return n, err
 		}
 		lost, err := c.links.awaitPassage(c.done, c.peer, c.local)
 		if err != nil {
-			c.Close()
+			_ = c.Close()
 			return 0, err
 		}
 		if !lost {
@@ -264,7 +263,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.links.wrap(c, h.self, to, true), nil
+	return h.links.wrap(c, h.self, to), nil
 }
 
 // Dial opens a connection that is not subject to faults.
@@ -279,13 +278,13 @@
 	if err != nil {
 		return err
 	}
-	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.self, h.sideAt(""), true)) })
+	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.self, h.sideAt(""))) })
 	return nil
 }
 
 // accept serves the connections of a listener until the context ends.
 func (h host) accept(ctx context.Context, lis net.Listener, conns int, serve func(net.Conn)) {
-	stop := context.AfterFunc(ctx, func() { lis.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = lis.Close() })
 	defer stop()
 	places := make(chan struct{}, conns)
 	for {
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -147,8 +147,11 @@
 		return nil, fmt.Errorf("the world at %s: %w", control, err)
 	}
 	var s emulator.Status
-	if err := json.Unmarshal(resp.Body, &s); err != nil || resp.Status != 200 {
-		return nil, fmt.Errorf("the world at %s: status %d, %v", control, resp.Status, err)
+	if resp.Status != 200 {
+		return nil, fmt.Errorf("the world at %s: status %d", control, resp.Status)
+	}
+	if err := json.Unmarshal(resp.Body, &s); err != nil {
+		return nil, fmt.Errorf("the world at %s: status of the cluster: %w", control, err)
 	}
 	return &s, nil
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -256,10 +256,10 @@
 	if o.accepted.IsZero() || back.Before(o.accepted) {
 		o.accepted = back
 	}
-	switch {
-	case before.Final() && !stage.Final() && sent.Before(o.final):
-		return // it left before that was told
-	case before.Final() && stage != before, stage.Final() && !before.Final() && o.open.After(back), stage == wire.Cancelled && !asked:
+	if before.Final() && !stage.Final() && sent.Before(o.final) {
+		return // the request was sent before the end was reported
+	}
+	if o.contradicts(before, stage, back) || stage == wire.Cancelled && !asked {
 		c.violate("went_back", "%s was %s, is called %s", id, before, stage)
 	}
 	if !stage.Final() {
@@ -267,18 +267,30 @@
 	} else if o.final.IsZero() || back.Before(o.final) {
 		o.final = back
 	}
+	c.advance(j, before, stage)
+}
+
+// contradicts reports whether a stage, answered at a time, contradicts the one that was reported
+// before.
+func (o *answerOrder) contradicts(before, stage wire.Stage, back time.Time) bool {
+	return before.Final() && stage != before || stage.Final() && !before.Final() && o.open.After(back)
+}
+
+// advance records the stage that was answered for a job: one that is done may have no task left, one
+// that is cancelled may start none.
+func (c *Checker) advance(j *wire.Job, before, stage wire.Stage) {
 	if stage == wire.Done {
 		for i := range j.Tasks {
-			if !c.finished[wire.TaskID{Job: id, Index: i}] {
-				c.violate("not_done", "%s/%d", id, i)
+			if !c.finished[wire.TaskID{Job: j.ID, Index: i}] {
+				c.violate("not_done", "%s/%d", j.ID, i)
 			}
 		}
 	}
 	if stage == wire.Cancelled && before != wire.Cancelled {
-		c.cancelled[id] = time.Now()
-		c.Launches.Cancelled(time.Now(), id)
+		c.cancelled[j.ID] = time.Now()
+		c.Launches.Cancelled(time.Now(), j.ID)
 	}
-	c.lastStage[id] = stage
+	c.lastStage[j.ID] = stage
 }
 
 // Counts returns how many tasks run and have started.
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -100,13 +100,8 @@
 	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.RPS > 0 {
-			if c.rps == nil {
-				c.rps = rate.NewLimiter(rate.Limit(c.RPS), max(1, int(2*c.RPS)))
-			}
-			if !c.rps.AllowN(time.Now(), 1) {
-				return 429, nil
-			}
+		if !c.allowRequest() {
+			return 429, nil
 		}
 		if c.Faults.Unavailable {
 			return 503, wire.Failure{Error: "trouble"}
@@ -115,34 +110,55 @@
 		case path == wire.PathTypes:
 			return 200, map[string]any{"frames": c.Types}
 		case path == wire.PathRelease:
-			var names wire.MachineNames
-			if err := wire.Decode(body, &names); err != nil || len(names.Machines) > wire.MaxRelease {
-				return 400, wire.Failure{Error: "hives: at most 100 names"}
-			}
-			for _, id := range names.Machines {
-				c.remove(id)
-			}
-			return 200, map[string]any{}
+			return c.serveRelease(body)
 		case method == "POST":
-			var r wire.ScaleOutRequest
-			if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.typeOf(r.Type) == nil {
-				return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
-			}
-			if late := c.Faults.RentDelay; late > 0 {
-				time.AfterFunc(late, func() {
-					c.mu.Lock()
-					defer c.mu.Unlock()
-					c.rentMachines(r)
-				})
-				return 0, nil
-			}
-			return c.rentMachines(r)
+			return c.serveRent(body)
 		}
 		limit, _ := strconv.Atoi(q["limit"])
 		return 200, c.list(q["from"], limit)
 	})
 }
 
+// allowRequest applies the limit on requests. The lock is held.
+func (c *Cloud) allowRequest() bool {
+	if c.RPS <= 0 {
+		return true
+	}
+	if c.rps == nil {
+		c.rps = rate.NewLimiter(rate.Limit(c.RPS), max(1, int(2*c.RPS)))
+	}
+	return c.rps.AllowN(time.Now(), 1)
+}
+
+// serveRelease answers the request to delete machines. The lock is held.
+func (c *Cloud) serveRelease(body []byte) (int, any) {
+	var names wire.MachineNames
+	if err := wire.Decode(body, &names); err != nil || len(names.Machines) > wire.MaxRelease {
+		return 400, wire.Failure{Error: "hives: at most 100 names"}
+	}
+	for _, id := range names.Machines {
+		c.remove(id)
+	}
+	return 200, map[string]any{}
+}
+
+// serveRent answers the request to rent machines. The lock is held.
+func (c *Cloud) serveRent(body []byte) (int, any) {
+	var r wire.ScaleOutRequest
+	if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.typeOf(r.Type) == nil {
+		return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
+	}
+	if late := c.Faults.RentDelay; late > 0 {
+		time.AfterFunc(late, func() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.rentMachines(r)
+		})
+		return 0, nil
+	}
+	return c.rentMachines(r)
+}
+
 // typeOf returns a machine type by name, or nil.
 func (c *Cloud) typeOf(name string) *wire.MachineType {
 	for i := range c.Types {
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -280,7 +280,7 @@
 	}
 	u.mu.Unlock()
 	for _, c := range gone {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -160,7 +160,7 @@
 	_ = c.Conn.SetDeadline(time.Now().Add(10 * time.Second))
 	go func() { _, _ = io.Copy(io.Discard, c.Conn) }()
 	_, _ = c.Conn.Write(p)
-	time.AfterFunc(10*time.Second, func() { c.Close() })
+	time.AfterFunc(10*time.Second, func() { _ = c.Close() })
 }
 
 // Duplicate makes some messages arrive a second time: the function returns the delay of the
@@ -393,7 +393,7 @@
 	n.mu.Unlock()
 	go func() {
 		defer func() {
-			in.Close()
+			_ = in.Close()
 			n.mu.Lock()
 			*l.open--
 			n.mu.Unlock()
@@ -419,7 +419,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range gone {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
--- a/internal/simulator/partition.go
+++ b/internal/simulator/partition.go
@@ -64,7 +64,7 @@
 	}
 	w.mu.Unlock()
 	for _, c := range closed {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -95,7 +95,7 @@
 
 // Sample processes the state of all machines, the jobs that are accepted and not over, and the
 // teams' use.
-func (r *StarvationChecker) Sample(now time.Time, places []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
+func (r *StarvationChecker) Sample(now time.Time, machines []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.quietSince.IsZero() || now.Before(r.quietSince) {
@@ -103,48 +103,73 @@
 	}
 	before := r.waitingJobs
 	r.waitingJobs = make(map[string]*waitingJob)
-	for _, w := range jobs {
-		j := w.Job
-		missing := 0
-		for i := range j.Tasks {
-			if _, on := w.Placed[i]; !on && !w.Finished(i) {
-				missing++
-			}
-		}
-		idle, need := len(w.Placed) == 0, 1
-		if j.Shape == wire.Gang {
-			need = j.Tasks
+	for _, p := range jobs {
+		need, missing := p.needed(), p.missing()
+		if missing < need || r.Limits[p.Job.Team].remainingTasks(used[p.Job.Team], p.Job) < need {
+			continue
 		}
-		if missing < need || r.Limits[j.Team].remainingTasks(used[j.Team], j) < need {
+		w := p.waitingBeside(now, machines, missing, need, before[p.Job.ID])
+		if w == nil {
 			continue
 		}
-		slots, zones := map[string]int{}, map[string]string{}
-		for _, p := range places {
-			if n := min(missing, p.slots(j)); n > 0 {
-				slots[p.Machine], zones[p.Machine] = n, p.Zone
-			}
+		r.waitingJobs[p.Job.ID] = w
+		if waits := now.Sub(w.since); waits >= starvationLimit && !w.reported {
+			w.reported = true
+			r.report(p, w, waits)
 		}
-		k := &waitingJob{since: now, nothingRuns: idle, recentSlots: []map[string]int{slots}}
-		if b := before[j.ID]; b != nil && b.nothingRuns == idle {
-			b.recentSlots = append(b.recentSlots, slots)
-			if b.recentSlots = b.recentSlots[max(0, len(b.recentSlots)-stableSampleCount):]; fits(j, need, b.stableSlots(), zones, w.Placed) {
-				k = b
-			}
+	}
+}
+
+// missing returns how many unfinished tasks of the job are on no machine.
+func (p *PendingJob) missing() (n int) {
+	for i := range p.Job.Tasks {
+		if _, on := p.Placed[i]; !on && !p.Finished(i) {
+			n++
 		}
-		if !fits(j, need, k.stableSlots(), zones, w.Placed) {
-			continue
+	}
+	return n
+}
+
+// needed returns how many tasks have to start together: all of a gang, else one.
+func (p *PendingJob) needed() int {
+	if p.Job.Shape == wire.Gang {
+		return p.Job.Tasks
+	}
+	return 1
+}
+
+// waitingBeside returns the job's state if machines have stable capacity for it, or nil. It continues
+// the state of the previous sample, if there is one and the job still waits for the same reason.
+func (p *PendingJob) waitingBeside(now time.Time, machines []MachineState, missing, need int, previous *waitingJob) *waitingJob {
+	slots, zones := map[string]int{}, map[string]string{}
+	for _, m := range machines {
+		if n := min(missing, m.slots(p.Job)); n > 0 {
+			slots[m.Machine], zones[m.Machine] = n, m.Zone
 		}
-		r.waitingJobs[j.ID] = k
-		if waits := now.Sub(k.since); waits >= starvationLimit && !k.reported {
-			k.reported = true
-			text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, w.Placed, waits, k.stableSlots())
-			if idle {
-				r.violations = append(r.violations, text)
-			} else {
-				r.partiallyStarved = append(r.partiallyStarved, text)
-			}
+	}
+	w := &waitingJob{since: now, nothingRuns: len(p.Placed) == 0, recentSlots: []map[string]int{slots}}
+	if previous != nil && previous.nothingRuns == w.nothingRuns {
+		previous.recentSlots = append(previous.recentSlots, slots)
+		previous.recentSlots = previous.recentSlots[max(0, len(previous.recentSlots)-stableSampleCount):]
+		if fits(p.Job, need, previous.stableSlots(), zones, p.Placed) {
+			return previous
 		}
 	}
+	if !fits(p.Job, need, w.stableSlots(), zones, p.Placed) {
+		return nil
+	}
+	return w
+}
+
+// report records that a job has waited for too long.
+func (r *StarvationChecker) report(p PendingJob, w *waitingJob, waits time.Duration) {
+	j := p.Job
+	text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, p.Placed, waits, w.stableSlots())
+	if w.nothingRuns {
+		r.violations = append(r.violations, text)
+	} else {
+		r.partiallyStarved = append(r.partiallyStarved, text)
+	}
 }
 
 // epsilon is the rounding error that sums of resources may have.
