--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -1,10 +1,10 @@
-// Package membership tells which controllers live, by what each of them hears: a controller
-// that one sibling does not hear may only be cut off from that one. It follows the ideas
-// of the SWIM family (suspicion before removal, evidence of several) over the beats that
-// controllers send each other anyway.
+// Package membership detects failures among controllers, from what each of them receives: a
+// controller that one peer gets no heartbeats of may only be cut off from that one. It follows the
+// ideas of the SWIM family (suspicion before removal, evidence of several observers) over the
+// heartbeats that controllers send each other anyway.
 //
-// No rule rests on it. It says who should hold what, and when it is worth while to end a
-// silent holder's lease before its time; the store's fence decides who holds.
+// No safety rule rests on it. It says who should lead which shard, and when it is worth while to
+// revoke a dead leader's lease before it expires; the fence in the state service decides who leads.
 package membership
 
 import (
@@ -13,66 +13,70 @@
 	"time"
 )
 
-// State is what is thought of a controller.
+// State is what this controller believes of a peer.
 type State int
 
-// The states of a controller, the worse the higher.
+// The states of a peer, the worse the higher.
 const (
 	Alive            State = iota
-	StoreUnreachable       // it lives, but the store does not answer it
-	Suspected              // not heard here for a while
-	Dead                   // heard by nobody for a while, as all that are heard agree
+	StoreUnreachable       // it is alive, but the state service does not answer it
+	Suspected              // no heartbeat of it has come here for a while
+	Dead                   // no controller gets heartbeats of it, as a majority agrees
 )
 
+// String returns the state in words.
 func (s State) String() string {
 	return [...]string{"alive", "refused by the store", "suspected", "dead"}[s]
 }
 
-// HeartbeatInterval is the time between two beats.
-const HeartbeatInterval = time.Second
-
-// Times after which a controller that is not heard is suspected, and how long nobody may
-// have heard it before it counts as dead. What others hear of it is a beat old.
 const (
+	// HeartbeatInterval is the time between two heartbeats of a controller.
+	HeartbeatInterval = time.Second
+	// SuspectAfter is after how long without a heartbeat a peer is suspected: two may be lost or late.
 	SuspectAfter = 2500 * time.Millisecond
-	DeadAfter    = 4 * time.Second
+	// DeadAfter is for how long no controller may have got a heartbeat of a peer before it counts
+	// as dead. What others say of it is up to an interval old.
+	DeadAfter = 4 * time.Second
 )
 
-// HeartbeatAges says for how long a controller has not heard each of its siblings.
+// HeartbeatAges says, by peer, how long ago a controller got its last heartbeat. It is part of a
+// gob message, which needs its form but not its name.
 type HeartbeatAges map[string]time.Duration
 
+// peerState is what the last heartbeat of a peer said.
 type peerState struct {
-	lastHeartbeat time.Time
-	storeOK       bool
-	reportedAges  HeartbeatAges
+	lastHeartbeat  time.Time
+	storeReachable bool
+	reportedAges   HeartbeatAges
 }
 
-// Detector is what one controller knows of the others. It is pure: times and beats come in.
+// Detector is what one controller knows of its peers. It does no I/O: times and heartbeats are
+// passed in. It is not safe for concurrent use.
 type Detector struct {
 	peers map[string]*peerState
 }
 
-// New gives the list of a controller's siblings, none of which has been heard yet.
+// New returns the detector for peers, none of which has sent a heartbeat yet.
 func New(names []string) *Detector {
-	l := &Detector{peers: make(map[string]*peerState)}
+	d := &Detector{peers: make(map[string]*peerState)}
 	for _, name := range names {
-		l.peers[name] = &peerState{}
+		d.peers[name] = &peerState{}
 	}
-	return l
+	return d
 }
 
-// RecordHeartbeat takes in a beat.
-func (l *Detector) RecordHeartbeat(now time.Time, name string, storeOK bool, reportedAges HeartbeatAges) {
-	if s := l.peers[name]; s != nil {
-		s.lastHeartbeat, s.storeOK, s.reportedAges = now, storeOK, reportedAges
+// RecordHeartbeat takes in a peer's heartbeat, and what it says of the other peers.
+func (d *Detector) RecordHeartbeat(now time.Time, name string, storeReachable bool, reportedAges HeartbeatAges) {
+	if s := d.peers[name]; s != nil {
+		s.lastHeartbeat, s.storeReachable, s.reportedAges = now, storeReachable, reportedAges
 	}
 }
 
-// HeartbeatAges tells for how long each sibling has not been heard here, for the beats to them. One
-// that never was is left out.
-func (l *Detector) HeartbeatAges(now time.Time) HeartbeatAges {
-	out := make(HeartbeatAges, len(l.peers))
-	for name, s := range l.peers {
+// HeartbeatAges returns how old each peer's last heartbeat is, to be sent in this controller's own.
+// A peer that has never sent one is left out.
+func (d *Detector) HeartbeatAges(now time.Time) HeartbeatAges {
+	out := make(HeartbeatAges, len(d.peers))
+	for name, s := range d.peers {
 		if !s.lastHeartbeat.IsZero() {
 			out[name] = now.Sub(s.lastHeartbeat)
 		}
@@ -80,31 +84,32 @@
 	return out
 }
 
-// State tells what is thought of a sibling. One that was never heard is suspected: it may
-// not have begun.
-func (l *Detector) State(now time.Time, name string) State {
-	s := l.peers[name]
+// State returns the state of a peer. One that has never sent a heartbeat is suspected: it may not
+// have started.
+func (d *Detector) State(now time.Time, name string) State {
+	s := d.peers[name]
 	switch {
 	case s == nil || s.lastHeartbeat.IsZero():
 		return Suspected
-	case now.Sub(s.lastHeartbeat) < SuspectAfter && s.storeOK:
+	case now.Sub(s.lastHeartbeat) < SuspectAfter && s.storeReachable:
 		return Alive
 	case now.Sub(s.lastHeartbeat) < SuspectAfter:
 		return StoreUnreachable
-	case l.confirmedDead(now, name):
+	case d.confirmedDead(now, name):
 		return Dead
 	}
 	return Suspected
 }
 
-// confirmedDead reports whether every sibling that is heard says that it does not hear another
-// either. Whoever hears no one at all, or too few, is cut off itself and says nothing.
-func (l *Detector) confirmedDead(now time.Time, name string) bool {
-	if now.Sub(l.peers[name].lastHeartbeat) < DeadAfter {
+// confirmedDead reports whether a majority, of this controller and all peers that it gets
+// heartbeats of, get none of a peer. A controller that reaches no majority may be cut off itself,
+// and confirms nothing.
+func (d *Detector) confirmedDead(now time.Time, name string) bool {
+	if now.Sub(d.peers[name].lastHeartbeat) < DeadAfter {
 		return false
 	}
 	observers := 0
-	for other, s := range l.peers {
+	for other, s := range d.peers {
 		if other == name || now.Sub(s.lastHeartbeat) >= SuspectAfter || s.lastHeartbeat.IsZero() {
 			continue
 		}
@@ -114,25 +119,25 @@
 		}
 		observers++
 	}
-	return observers > 0 && (observers+1)*2 > len(l.peers)+1 // with this one, more than half of all
+	return observers > 0 && (observers+1)*2 > len(d.peers)+1 // with this controller, more than half of all
 }
 
-// FirstAlive reports whether a controller comes first among those that live: of several that
-// see the same, one acts at once and the others after it.
-func (l *Detector) FirstAlive(now time.Time, me string) bool {
-	for name := range l.peers {
-		if strings.Compare(name, me) < 0 && l.State(now, name) == Alive {
+// FirstAlive reports whether a controller comes first, by name, among those that are alive: of
+// several that see the same, one acts at once and the others only if that fails.
+func (d *Detector) FirstAlive(now time.Time, self string) bool {
+	for name := range d.peers {
+		if strings.Compare(name, self) < 0 && d.State(now, name) == Alive {
 			return false
 		}
 	}
 	return true
 }
 
-// Alive names the siblings that live and that the store answers, in order.
-func (l *Detector) Alive(now time.Time) []string {
+// Alive names the peers that are alive and that the state service answers, in order.
+func (d *Detector) Alive(now time.Time) []string {
 	var out []string
-	for name := range l.peers {
-		if l.State(now, name) == Alive {
+	for name := range d.peers {
+		if d.State(now, name) == Alive {
 			out = append(out, name)
 		}
 	}
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -10,15 +10,15 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// cluster is some controllers, each with a list of the others, and who can't hear whom.
+// cluster is some controllers, each with a detector of the others, and the links that are cut.
 type cluster struct {
 	now              time.Time
 	names            []string
 	detectors        map[string]*Detector
 	cut              map[[2]string]bool // from, to
 	down             map[string]bool
-	storeUnreachable map[string]bool // refused by the store
-	incarnations     Incarnations    // as one controller tells them apart
+	storeUnreachable map[string]bool // the state service does not answer them
+	incarnations     Incarnations    // as one of the controllers tells them apart
 }
 
 func newCluster(n int) *cluster {
@@ -32,7 +32,7 @@
 	return w
 }
 
-// heartbeatRound lets a second pass in which everyone tells everyone.
+// heartbeatRound lets a second pass in which every controller sends its heartbeats.
 func (w *cluster) heartbeatRound() {
 	w.now = w.now.Add(HeartbeatInterval)
 	for _, from := range w.names {
@@ -75,7 +75,7 @@
 	case "wait":
 		d, _ := time.ParseDuration(f[1])
 		w.now = w.now.Add(d)
-	case "hear": // a beat of a controller, of a life that began at a time by its own clock
+	case "hear": // a heartbeat of a controller, of an incarnation that started at a time by its own clock
 		begun, _ := strconv.ParseInt(kv["begun"], 10, 64)
 		number, _ := strconv.ParseUint(kv["number"], 10, 64)
 		if w.incarnations.Accept(w.now, f[1], begun, number) {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// TestTraces plays the kept traces of who thinks what of whom.
+// TestTraces plays the kept traces of what each controller believes of the others.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newCluster(3).step })
 }
--- a/internal/membership/incarnations.go
+++ b/internal/membership/incarnations.go
@@ -4,39 +4,41 @@
 	"time"
 )
 
-// Incarnations tells the beats of a process from those of an earlier one of its name, which may
-// arrive after it: what a life before said of itself and of others holds no more.
+// Incarnations tells the heartbeats of a peer's present process from those of an earlier one, which
+// may arrive late: what an earlier incarnation said of itself and of others holds no longer. It is
+// not safe for concurrent use.
 type Incarnations struct{ latest map[string]incarnation }
 
+// incarnation is the present process of a peer.
 type incarnation struct {
-	begun         int64 // by its own clock
-	number        uint64
+	startedAt     int64  // in nanoseconds, by its own clock
+	sequence      uint64 // of its last heartbeat
 	lastHeartbeat time.Time
 }
 
-// Superseded reports whether a life has been followed by another. Clocks may have been set back
-// between the two, so that this is only believed while the other is heard. From a version
-// that does not say when it began none is past.
-func (l *Incarnations) Superseded(now time.Time, name string, begun int64) bool {
-	last := l.latest[name]
-	return begun != 0 && begun < last.begun && now.Sub(last.lastHeartbeat) < SuspectAfter
+// Superseded reports whether another incarnation has followed the one that started at startedAt. A
+// clock may have been set back between the two, so this holds only while heartbeats of the other
+// one come. An incarnation of a version that doesn't say when it started is never superseded.
+func (n *Incarnations) Superseded(now time.Time, name string, startedAt int64) bool {
+	last := n.latest[name]
+	return startedAt != 0 && startedAt < last.startedAt && now.Sub(last.lastHeartbeat) < SuspectAfter
 }
 
-// Accept takes in a beat, and reports whether it is news: of no past life, no copy, and not
-// overtaken by another.
-func (l *Incarnations) Accept(now time.Time, name string, begun int64, number uint64) bool {
-	last, known := l.latest[name]
+// Accept takes in a heartbeat, and reports whether it is news: not of an earlier incarnation, not a
+// copy, and not overtaken by a later one.
+func (n *Incarnations) Accept(now time.Time, name string, startedAt int64, sequence uint64) bool {
+	last, known := n.latest[name]
 	switch {
-	case begun == 0:
+	case startedAt == 0:
 		return true
-	case known && begun == last.begun && number <= last.number:
+	case known && startedAt == last.startedAt && sequence <= last.sequence:
 		return false
-	case l.Superseded(now, name, begun):
+	case n.Superseded(now, name, startedAt):
 		return false
 	}
-	if l.latest == nil {
-		l.latest = make(map[string]incarnation)
+	if n.latest == nil {
+		n.latest = make(map[string]incarnation)
 	}
-	l.latest[name] = incarnation{begun, number, now}
+	n.latest[name] = incarnation{startedAt, sequence, now}
 	return true
 }
