--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -13,61 +13,64 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Bounds of forwarding.
+// Bounds of forwarding. What is left of a user's patience after answerTimeout is for doing the
+// request here.
 const (
 	dialTimeout       = 500 * time.Millisecond  // for a stream to be opened
 	sendTimeout       = 300 * time.Millisecond  // for a request to be taken by the network
-	answerTimeout     = 2500 * time.Millisecond // for its answer; what is left of a user's patience is for doing it here
-	avoidAfterFailure = 3 * time.Second         // a sibling that did not answer
-	maxOutstanding    = 300                     // requests to one sibling that are not answered
+	answerTimeout     = 2500 * time.Millisecond // for its answer
+	avoidAfterFailure = 3 * time.Second         // for which a peer that did not answer is avoided
+	maxOutstanding    = 300                     // requests to one peer without an answer
 )
 
-// errBroken means that a stream ended before a request was answered.
-var errBroken = errors.New("the stream to the writer ended")
+// errBroken means that a stream ended before the request was answered.
+var errBroken = errors.New("stream to the writer ended")
 
-// errBusy means that too many requests wait for a sibling's answers.
-var errBusy = errors.New("too many requests are forwarded")
+// errBusy means that too many requests wait for one peer's answers.
+var errBusy = errors.New("too many forwarded requests wait")
 
-// Client forwards requests to siblings.
+// Client forwards requests to the peers that write for all, on one stream to each.
 type Client struct {
-	// OpenStream opens a stream to a sibling.
+	// OpenStream opens a stream to a peer.
 	OpenStream func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
-	// Writer names who writes a job, if that is a sibling; avoid tells whom not to take.
+	// Writer names the peer that writes a job, empty where this controller does; avoid tells which
+	// peers not to take.
 	Writer func(job string, avoid func(name string) bool) string
 	Log    *slog.Logger
 
 	mu       sync.Mutex
 	streams  map[string]*stream
-	failedAt map[string]time.Time
+	failedAt map[string]time.Time // by peer, when it last did not answer
 	counts   Counts
 	closed   bool
 }
 
-// Counts counts what was forwarded.
+// Counts are the requests that were forwarded, and those of them without an outcome.
 type Counts struct {
 	Forwarded  uint64 // requests
 	Unanswered uint64 // of them, those whose outcome was not told in time
 }
 
-// Counts gives the counts so far.
+// Counts returns the counts so far.
 func (c *Client) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
-// Submit has the writer of a job accept it. Told is false where it is to be done here: nobody else
-// writes it, or the outcome is not known.
+// Submit has the writer of a job accept it. handled is false where it is to be done here: no peer
+// writes the job, or the outcome is not known.
 func (c *Client) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, handled bool, err error) {
 	return c.forward(ctx, request{Verb: Submit, ID: job.ID, Job: wire.Encode(job)})
 }
 
-// Cancel has the writer of a job cancel it, likewise.
+// Cancel has the writer of a job cancel it; handled is as for Submit.
 func (c *Client) Cancel(ctx context.Context, id string) (rec store.JobRecord, handled bool, err error) {
 	rec, _, handled, err = c.forward(ctx, request{Verb: Cancel, ID: id})
 	return rec, handled, err
 }
 
+// forward sends a request to the job's writer and waits for the outcome.
 func (c *Client) forward(ctx context.Context, r request) (rec store.JobRecord, created, handled bool, err error) {
 	to := c.Writer(r.ID, c.recentlyFailed)
 	if to == "" || ctx.Err() != nil {
@@ -77,7 +80,7 @@
 	defer cancel()
 	a, err := c.roundTrip(wait, to, r)
 	if err != nil {
-		if ctx.Err() == nil { // or its user has gone
+		if ctx.Err() == nil { // else the user has gone
 			c.recordFailure(to, r.ID, err)
 		}
 		return rec, false, false, nil
@@ -89,20 +92,21 @@
 	return rec, created, true, err
 }
 
-// recentlyFailed reports whether a sibling did not answer lately.
+// recentlyFailed reports whether a peer did not answer a short while ago.
 func (c *Client) recentlyFailed(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.failedAt[name]) < avoidAfterFailure
 }
 
+// recordFailure notes that a peer did not answer, so that it is avoided for a while.
 func (c *Client) recordFailure(to, job string, err error) {
-	c.Log.Debug("request not forwarded", "job", job, "to", to, "error", err)
+	c.Log.Debug("forwarding failed", "job", job, "peer", to, "err", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Unanswered++
 	if errors.Is(err, errBusy) {
-		return // it answers as fast as it can
+		return // the peer answers as fast as it can
 	}
 	if c.failedAt == nil {
 		c.failedAt = make(map[string]time.Time)
@@ -110,7 +114,7 @@
 	c.failedAt[to] = time.Now()
 }
 
-// roundTrip sends a request and waits for its answer.
+// roundTrip sends a request to a peer and waits for its answer.
 func (c *Client) roundTrip(ctx context.Context, to string, r request) (*answer, error) {
 	s, err := c.streamTo(ctx, to)
 	if err != nil {
@@ -131,7 +135,7 @@
 	}
 }
 
-// streamTo gives the stream to a sibling, which it opens if there is none.
+// streamTo returns the stream to a peer, and opens it if there is none.
 func (c *Client) streamTo(ctx context.Context, to string) (*stream, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -146,7 +150,7 @@
 	if s == nil || s.ended() {
 		s = newStream()
 		c.streams[to] = s
-		go c.runStream(to, s)
+		go c.runStream(context.WithoutCancel(ctx), to, s) // it serves later requests too
 	}
 	c.mu.Unlock()
 	select {
@@ -159,14 +163,14 @@
 	}
 }
 
-// runStream opens a stream and takes its answers until it ends.
-func (c *Client) runStream(to string, s *stream) {
+// runStream opens a stream and takes its answers until it ends. Run ends it at the latest.
+func (c *Client) runStream(ctx context.Context, to string, s *stream) {
 	defer s.end()
-	dial, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	dial, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, enc, err := c.OpenStream(dial, to, StreamKind)
 	cancel()
 	if err != nil {
-		c.Log.Debug("no stream to a writer", "to", to, "error", err)
+		c.Log.Debug("connecting to a writer failed", "peer", to, "err", err)
 		return
 	}
 	defer conn.Close()
@@ -189,7 +193,7 @@
 	}
 }
 
-// Run ends all streams when the context ends; nothing is forwarded after that.
+// Run waits until the context ends, and then ends all streams; nothing is forwarded after that.
 func (c *Client) Run(ctx context.Context) error {
 	<-ctx.Done()
 	c.mu.Lock()
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -1,11 +1,11 @@
 // Package forward passes users' submissions and cancellations on to the controller that writes them,
-// and the answers back. A controller opens one stream to each writer that it needs, on the mesh.
+// and the answers back. A controller opens one stream to each writer that it needs.
 //
-// To users it makes no difference which controller they ask. A writer does for a sibling what it
-// does for a user of its own, and answers only once the write is known to be taken and a read that
-// was begun after the question has come back. An answer that is lost on the way leaves an unknown
-// outcome: the job may have been accepted, or may yet be. Whoever forwarded it then serves the user
-// by itself, which begins with a read.
+// To users it makes no difference which controller they ask. A writer does for a peer what it does
+// for a user of its own, and answers only once the write is known to be committed and a read that
+// was begun after the request has come back. An answer that is lost on the way leaves an unknown
+// outcome: the job may have been accepted, or may yet be. The controller that forwarded it then
+// serves the user itself, which begins with a read.
 package forward
 
 import (
@@ -17,7 +17,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// StreamKind is what a stream of forwarded requests is called on the mesh.
+// StreamKind names a stream of forwarded requests among those of package peer.
 const StreamKind = "writes"
 
 // Verb is what a user wants.
@@ -29,8 +29,9 @@
 	Cancel
 )
 
-// request is what a user wants of a job. The job is encoded as the wire has it: gob leaves out what
-// is zero also behind a pointer.
+// request is what a user wants of a job. gob matches its fields, and those of answer, by their Go
+// names: they never change, or older versions would lose them. The job is encoded as users send it,
+// since gob leaves out what is zero also behind a pointer.
 type request struct {
 	Number uint64
 	Verb   Verb
@@ -47,7 +48,7 @@
 	Why     string
 }
 
-// failure is an error of package admission as it is sent.
+// failure is an error of package admission as it is sent. The numbers never change.
 type failure int
 
 const (
@@ -59,10 +60,10 @@
 	failedFull
 	failedTooLarge
 	failedUnrunnable
-	failedNotUnderstood // the request is not understood: whoever sent it does it
+	failedNotUnderstood // the writer does not understand the request, so that the sender does it itself
 )
 
-// failures are the errors that are told apart, the more special ones first.
+// failures are the errors that are told apart, those that wrap another first.
 var failures = []struct {
 	code failure
 	err  error
@@ -74,7 +75,7 @@
 	{failedTooLarge, admission.ErrTooLarge},
 }
 
-// newAnswer makes the answer to a request.
+// newAnswer returns the answer to a request.
 func newAnswer(number uint64, rec store.JobRecord, created bool, err error) answer {
 	if err == nil {
 		return answer{Number: number, Record: wire.Encode(rec), Created: created}
@@ -94,12 +95,12 @@
 	return out
 }
 
-// outcome gives what an answer tells.
+// outcome returns what an answer says.
 func (a *answer) outcome() (rec store.JobRecord, created bool, err error) {
 	switch a.Failure {
 	case none:
 		if err := wire.DecodeValue(a.Record, &rec); err != nil {
-			return rec, false, fmt.Errorf("%w: a sibling's answer: %w", admission.ErrRetryLater, err)
+			return rec, false, fmt.Errorf("%w: decode a peer's answer: %w", admission.ErrRetryLater, err)
 		}
 		return rec, a.Created, nil
 	case failedUnrunnable:
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -18,22 +18,27 @@
 	CancelLocally(ctx context.Context, id string) (store.JobRecord, error)
 }
 
-// Server does what siblings forward.
+// Server does what peers forward.
 type Server struct {
 	Admission Admission
 	Log       *slog.Logger
 }
 
-// idleTimeout is how long a stream may bring nothing before it is closed; a sibling opens another.
-const idleTimeout = 2 * time.Minute
+const (
+	// idleTimeout is after how long without a request a stream is closed; the peer opens another.
+	idleTimeout = 2 * time.Minute
+	// serveTimeout bounds what is done for a request: a little longer than its sender waits, which
+	// then does it itself.
+	serveTimeout = answerTimeout + 500*time.Millisecond
+)
 
-// Serve answers the requests of one stream until it ends. Whoever sent one that is not answered by
-// then no longer waits.
+// Serve answers the requests of one stream until it ends. The sender of a request that is not
+// answered by then no longer waits.
 func (s *Server) Serve(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder) {
 	ctx, cancel := context.WithCancel(ctx)
 	var open sync.WaitGroup
 	defer open.Wait()
-	defer c.Close() // whoever takes nothing more holds up no answer
+	defer c.Close() // before the wait: a peer that takes nothing more must not hold up the answers
 	defer cancel()
 	c.SetIdle(idleTimeout)
 	out := make(chan answer, maxOutstanding)
@@ -63,10 +68,6 @@
 	}
 }
 
-// serveTimeout bounds what is done for a request: a little longer than its sender waits, who does it by
-// itself then.
-const serveTimeout = answerTimeout + 500*time.Millisecond
-
 // handle does what one request asks for.
 func (s *Server) handle(ctx context.Context, from string, r *request) answer {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
@@ -75,7 +76,7 @@
 	case Submit:
 		job, err := wire.DecodeJob(r.Job)
 		if err != nil {
-			s.Log.Warn("a forwarded job is not understood", "from", from, "job", r.ID, "error", err)
+			s.Log.Warn("forwarded job not understood", "peer", from, "job", r.ID, "err", err)
 			return answer{Number: r.Number, Failure: failedNotUnderstood}
 		}
 		rec, created, err := s.Admission.SubmitLocally(ctx, job)
@@ -84,12 +85,12 @@
 		rec, err := s.Admission.CancelLocally(ctx, r.ID)
 		return newAnswer(r.Number, rec, false, err)
 	}
-	s.Log.Warn("a forwarded request is not understood", "from", from, "verb", r.Verb)
+	s.Log.Warn("forwarded request not understood", "peer", from, "verb", r.Verb)
 	return answer{Number: r.Number, Failure: failedNotUnderstood}
 }
 
-// sendAll sends answers on a stream, one at a time, until the context ends. Where that fails the
-// stream ends, and those who wait do it by themselves.
+// sendAll sends answers on a stream, one at a time, until the context ends. Where that fails it
+// closes the stream, so that those who wait do their requests themselves.
 func sendAll(ctx context.Context, c transport.Stream, out <-chan answer) {
 	enc := gob.NewEncoder(c)
 	for {
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// stream is a connection to a sibling, on which several requests may wait for their answers.
+// stream is a connection to a peer, on which several requests may wait for their answers.
 type stream struct {
-	opened, done chan struct{}
+	opened, done chan struct{} // closed once it is open, and once it has ended
 	conn         net.Conn
 	out          chan request
 
@@ -28,6 +28,7 @@
 	return &stream{opened: make(chan struct{}), done: make(chan struct{}), out: make(chan request, maxOutstanding), pending: make(map[uint64]*pendingRequest)}
 }
 
+// ended reports whether the stream has ended.
 func (s *stream) ended() bool {
 	select {
 	case <-s.done:
@@ -37,9 +38,10 @@
 	}
 }
 
+// end ends the stream for all that wait on it.
 func (s *stream) end() { close(s.done) }
 
-// send has a request be sent.
+// send queues a request to be sent, and numbers it.
 func (s *stream) send(r request) (*pendingRequest, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +60,7 @@
 	return w, nil
 }
 
-// sendAll sends what is to be sent, until the stream ends. A sibling that takes nothing more ends it.
+// sendAll sends the queued requests until the stream ends. A peer that takes nothing more ends it.
 func (s *stream) sendAll(enc *gob.Encoder) {
 	for {
 		select {
@@ -67,20 +69,21 @@
 		case r := <-s.out:
 			_ = s.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 			if err := enc.Encode(r); err != nil {
-				s.conn.Close() // what was sent of it can't be followed by another
+				s.conn.Close() // part of a request can't be followed by another
 				return
 			}
 		}
 	}
 }
 
+// forget stops waiting for an answer.
 func (s *stream) forget(w *pendingRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pending, w.number)
 }
 
-// deliver gives an answer to who waits for it; one that nobody waits for any more is dropped.
+// deliver hands an answer to the request that waits for it; without one it is dropped.
 func (s *stream) deliver(a *answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
