--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -39,7 +39,7 @@
 		t := time.NewTimer(300 * time.Millisecond)
 		select {
 		case <-ctx.Done():
-		case <-h.wakeCalls:
+		case <-h.loop.calls:
 		case <-t.C:
 		}
 		t.Stop()
@@ -92,7 +92,7 @@
 		}
 	}
 	probes := h.fencing.Probes(now, len(due) > 0)
-	if left := max(0, min(limit-len(out), h.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
+	if left := max(0, min(limit-len(out), h.loop.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
 		reachability.SortByLoad(due)
 		due = h.unreachableZonesLast(due)[:left]
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -47,12 +47,12 @@
 // whatever made it up may make up more.
 func (h *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
 	if why := h.impossibleReason(r); why != "" {
-		h.rejectedHeartbeats.Impossible++
+		h.rejected.Impossible++
 		h.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
 		return false
 	}
 	if !h.fleet.IsNewer(r) {
-		h.rejectedHeartbeats.Stale++
+		h.rejected.Stale++
 		return true
 	}
 	h.noteHeartbeat(now, r.Machine)
@@ -83,5 +83,5 @@
 func (h *Leader) RejectedHeartbeats() RejectedHeartbeats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.rejectedHeartbeats
+	return h.rejected
 }
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -91,12 +91,23 @@
 	return jobs, h.rebuiltReachable
 }
 
+// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each.
+type jobTable struct {
+	liveJobs      map[string]*store.LiveJob // of the last view
+	viewCurrentAt time.Time                 // every end of a job that was stored by then is applied
+	jobStates     map[string]*jobState
+}
+
+func newJobTable(snap store.Snapshot) jobTable {
+	return jobTable{liveJobs: snap.LiveJobs, viewCurrentAt: snap.CurrentAt, jobStates: map[string]*jobState{}}
+}
+
 // jobState returns what is remembered of a job, beginning anew for one that is not known.
-func (h *Leader) jobState(job string) *jobState {
-	j := h.jobStates[job]
+func (t *jobTable) jobState(job string) *jobState {
+	j := t.jobStates[job]
 	if j == nil {
 		j = &jobState{failedMachines: map[string]bool{}, finished: store.NewTaskSet(0), storedFinished: store.NewTaskSet(0)}
-		h.jobStates[job] = j
+		t.jobStates[job] = j
 	}
 	return j
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -12,7 +12,6 @@
 	"amberdeal.example/amberdeal/internal/config"
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/handover"
-	"amberdeal.example/amberdeal/internal/leader/commit"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/reachability"
@@ -20,7 +19,6 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
-	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/tier"
 	"amberdeal.example/amberdeal/internal/zone"
 	"amberdeal.example/amberdeal/internal/zonerecovery"
@@ -35,54 +33,38 @@
 	log      *slog.Logger
 	jobIndex JobIndex
 
-	mu                 sync.Mutex
-	fleet              *fleet.Fleet
-	types              []wire.MachineType
-	ledger             *store.Ledger
-	timeouts           timeouts
-	lastRound          uint64
-	sizes              commit.SizeBackoff
-	conflicts          commit.ConflictBackoff
-	stalls             stall.Detector
-	lastDecided        time.Time // when a round was last decided
-	lastReconciled     time.Time // when the placements were last compared with the jobs
-	viewCurrentAt      time.Time // every end of a job that was in the store by then is taken in
-	attemptSequence    uint64    // of attempts and asks within the term
-	sharding           *fleet.Sharding
-	peerShards         map[string]ShardStatus // of the parts that siblings hold, as last told
-	ingestPeers        int                    // siblings that pass reports on to here
-	lastStatus         ShardStatus            // that was last told
-	lastStatusAt       time.Time
-	forecast           forecast
-	targets            *handover.Targets    // of tasks that find no capacity here
-	ledgerTasks        handover.LedgerTasks // what the own ledger names
-	quota              *quota.Quota
-	clearedWritten     uint64 // up to which revision the ledger says that nothing is left of ended jobs
-	shardingNumber     uint64 // of the grouping
-	previous           *reshard.Previous
-	migration          ledgerMigration
-	inferredShares     map[string]cachedRanges // shares of jobs whose records don't say them
-	jobStates          map[string]*jobState
-	scaleOutRequests   *autoscale.Scaler
-	machinesToDrop     map[string]bool           // machine records to drop
-	unstored           commit.CompletionQueue    // jobs with tasks that are done but not stored
-	liveJobs           map[string]*store.LiveJob // of the last snapshot
-	wakeLoop           chan struct{}
-	wakeCalls          chan struct{}
-	monitor            *reachability.Monitor
-	detector           *reachability.Detector
-	fencing            *reachability.Fencing
-	throttle           *throttle.Limiter // of calls that can wait
-	rebuilt            bool              // every machine is accounted for
-	rebuiltReachable   bool              // every one but those that are silent
-	zones              *zone.Watch
-	idleCapacity       map[string]*scheduler.IdleCapacity // by machine
-	recovery           *zonerecovery.Tracker
-	typesChanged       bool
-	preemptions        *tier.Preemptions
-	rejectedHeartbeats RejectedHeartbeats
-	taskCounts         map[string]TaskCount
-	taskCountsAt       time.Time
+	mu sync.Mutex
+	jobTable
+	roundState
+	recoveryState
+	display          statusCache
+	rejected         RejectedHeartbeats
+	idle             idleTracker
+	loop             wakeups
+	fleet            *fleet.Fleet
+	types            []wire.MachineType
+	ledger           *store.Ledger
+	timeouts         timeouts
+	stalls           stall.Detector
+	sharding         *fleet.Sharding
+	peerShards       map[string]ShardStatus // of the parts that siblings hold, as last told
+	ingestPeers      int                    // siblings that pass reports on to here
+	forecast         forecast
+	targets          *handover.Targets    // of tasks that find no capacity here
+	ledgerTasks      handover.LedgerTasks // what the own ledger names
+	quota            *quota.Quota
+	clearedWritten   uint64 // up to which revision the ledger says that nothing is left of ended jobs
+	shardingNumber   uint64 // of the grouping
+	previous         *reshard.Previous
+	migration        ledgerMigration
+	inferredShares   map[string]cachedRanges // shares of jobs whose records don't say them
+	scaleOutRequests *autoscale.Scaler
+	monitor          *reachability.Monitor
+	detector         *reachability.Detector
+	fencing          *reachability.Fencing
+	zones            *zone.Watch
+	recovery         *zonerecovery.Tracker
+	preemptions      *tier.Preemptions
 }
 
 // New gives the holder of a claim, from a snapshot and the part's ledgers, which are not
@@ -93,11 +75,10 @@
 	h := &Leader{
 		cfg: cfg, lease: lease, log: log.With("part", lease.Shard, "term", lease.FencingToken), jobIndex: jobIndex,
 		fleet:  fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
-		ledger: ledger, timeouts: timeoutsOf(cfg), types: types, lastRound: last.Round, lastDecided: now,
-		jobStates: map[string]*jobState{}, scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), machinesToDrop: map[string]bool{},
-		unstored: commit.CompletionQueue{}, stalls: stall.NewDetector(now),
+		ledger: ledger, timeouts: timeoutsOf(cfg), types: types,
+		jobTable: newJobTable(snap), roundState: newRoundState(last.Round, now), loop: newWakeups(),
+		scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), stalls: stall.NewDetector(now),
 		sharding: cfg.Sharding(), shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
-		wakeLoop: make(chan struct{}, 1), wakeCalls: make(chan struct{}, 1), throttle: throttle.New(),
 	}
 	h.targets = handover.NewTargets(lease.Shard, h.sharding)
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
@@ -132,7 +113,6 @@
 			h.unstored.Add(id, h.lastRound) // the rest may have been given away since
 		}
 	}
-	h.liveJobs, h.viewCurrentAt = snap.LiveJobs, snap.CurrentAt
 	h.migrateFinished()
 	for id, l := range h.liveJobs {
 		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here, nobody knows
@@ -148,10 +128,7 @@
 
 // Wake asks for a round soon.
 func (h *Leader) Wake() {
-	select {
-	case h.wakeLoop <- struct{}{}:
-	default:
-	}
+	h.loop.wakeRound()
 }
 
 // SetTypes takes in the cloud's machine types.
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -41,7 +41,7 @@
 func (h *Leader) Run(ctx context.Context, e Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return h.roundLoop(ctx, e) })
-	g.Go(func() error { return h.throttle.Run(ctx) })
+	g.Go(func() error { return h.loop.throttle.Run(ctx) })
 	g.Go(func() error { return h.callLoop(ctx, e) })
 	g.Go(func() error { return h.watchMachineList(ctx, e) })
 	g.Go(func() error { return h.scaleOutLoop(ctx, e) })
@@ -65,16 +65,13 @@
 			if d != nil {
 				h.commitRound(ctx, e, d)
 			}
-			select {
-			case h.wakeCalls <- struct{}{}:
-			default:
-			}
+			h.loop.wakeCalls()
 		}
 		store.Backoff(ctx, max(gap-time.Since(begun), 10*time.Millisecond))
 		t := time.NewTimer(h.cfg.Tuning.RoundWindow / 2)
 		select {
 		case <-ctx.Done():
-		case <-h.wakeLoop:
+		case <-h.loop.round:
 		case <-changed:
 		case <-t.C:
 		}
@@ -85,7 +82,7 @@
 
 // maxRest bounds the rest between two rounds.
 func (h *Leader) maxRest() time.Duration {
-	if h.throttle.Overloaded() {
+	if h.loop.throttle.Overloaded() {
 		return overloadedInterval
 	}
 	return maxRoundInterval
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -79,17 +79,28 @@
 			j.StarvedFor = now.Sub(hist.starvedSince)
 		}
 	}
-	if len(h.idleCapacity) > 2*len(snapshot.Machines) {
-		h.idleCapacity = nil // most of it is of machines that are gone
+	h.idle.note(now, snapshot.Machines)
+}
+
+// idleTracker keeps for how long each machine has had which capacity idle: with it the scheduler
+// finds jobs that starve beside capacity that never comes free at once.
+type idleTracker struct {
+	machines map[string]*scheduler.IdleCapacity // by machine
+}
+
+// note records what is free on the machines now, and tells them how long it has been.
+func (t *idleTracker) note(now time.Time, machines []*scheduler.Machine) {
+	if len(t.machines) > 2*len(machines) {
+		t.machines = nil // most of it is of machines that are gone
 	}
-	if h.idleCapacity == nil {
-		h.idleCapacity = make(map[string]*scheduler.IdleCapacity, len(snapshot.Machines))
+	if t.machines == nil {
+		t.machines = make(map[string]*scheduler.IdleCapacity, len(machines))
 	}
-	for _, m := range snapshot.Machines {
-		s := h.idleCapacity[m.ID]
+	for _, m := range machines {
+		s := t.machines[m.ID]
 		if s == nil {
 			s = new(scheduler.IdleCapacity)
-			h.idleCapacity[m.ID] = s
+			t.machines[m.ID] = s
 		}
 		m.IdleCapacity = s.Record(now, m.Free)
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -26,6 +26,14 @@
 	Machines int
 }
 
+// statusCache keeps what was last computed for display and for the peers.
+type statusCache struct {
+	status   ShardStatus
+	statusAt time.Time
+	counts   map[string]TaskCount
+	countsAt time.Time
+}
+
 // ZoneHealth counts the machines of a zone that should be heard, and those that are overdue.
 type ZoneHealth = reachability.ZoneHealth
 
@@ -35,8 +43,8 @@
 	counts := h.TaskCounts(now)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lastStatus.Counts != nil && now.Sub(h.lastStatusAt) < statusInterval {
-		return h.lastStatus
+	if h.display.status.Counts != nil && now.Sub(h.display.statusAt) < statusInterval {
+		return h.display.status
 	}
 	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.quota.Forecast().Demands), Used: resourcePairs(h.teamUsage()), Stays: h.quota.Forecast().Services, Zones: h.monitor.ZoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
 	s.Tiers = h.tierStatuses()
@@ -46,7 +54,7 @@
 	for _, short := range h.forecast.unplaced {
 		s.Backlog += short.Coming + short.Unserved
 	}
-	h.lastStatus, h.lastStatusAt = s, now
+	h.display.status, h.display.statusAt = s, now
 	return s
 }
 
@@ -92,8 +100,8 @@
 func (h *Leader) TaskCounts(now time.Time) map[string]TaskCount {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.taskCounts != nil && now.Sub(h.taskCountsAt) < statusInterval {
-		return h.taskCounts
+	if h.display.counts != nil && now.Sub(h.display.countsAt) < statusInterval {
+		return h.display.counts
 	}
 	out := make(map[string]TaskCount, len(h.liveJobs))
 	for id, j := range h.jobStates {
@@ -110,6 +118,6 @@
 			}
 		}
 	}
-	h.taskCounts, h.taskCountsAt = out, now
+	h.display.counts, h.display.countsAt = out, now
 	return out
 }
