--- a/internal/controller/ingest.go
+++ b/internal/controller/ingest.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/ingest"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -58,7 +58,7 @@
 				}
 				return ""
 			},
-			FencingCall: func(ctx context.Context, call leader.FencingCall) *wire.Heartbeat {
+			FencingCall: func(ctx context.Context, call reachability.FencingCall) *wire.Heartbeat {
 				r := c.workers.Fence(ctx, call.Addr, call.Term, call.Session)
 				in.calls.record(call.Zone, r != nil)
 				return r
@@ -87,7 +87,7 @@
 }
 
 // fencingCalls returns calls that a peer is to make for the leaders here, limit at most.
-func (c *Controller) fencingCalls(limit int) (out []leader.FencingCall) {
+func (c *Controller) fencingCalls(limit int) (out []reachability.FencingCall) {
 	for _, s := range c.led.all() {
 		out = append(out, s.FencingCalls(time.Now(), limit-len(out))...)
 	}
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -27,7 +27,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	hub := &Receiver{Decide: decide, Log: slog.New(slog.DiscardHandler),
-		FencingCalls: func(int) []leader.FencingCall { return nil }, FencingCallDone: func(string, *wire.Heartbeat) {}}
+		FencingCalls: func(int) []reachability.FencingCall { return nil }, FencingCallDone: func(string, *wire.Heartbeat) {}}
 	edge := &Uplink{Leader: func() string { return "c-0" }, Log: hub.Log,
 		OpenStream: func(ctx context.Context, _, _ string) (net.Conn, *gob.Encoder, error) {
 			conn, err := net.Dial("tcp4", lis.Addr().String())
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
@@ -32,7 +32,7 @@
 
 func newLink(ctx context.Context, decide func(*wire.Heartbeat) worker.HeartbeatResult, setup []func(*link)) *link {
 	l := &link{leader: "c-0", receiver: &Receiver{Decide: decide, Log: slog.New(slog.DiscardHandler)}}
-	l.receiver.FencingCalls, l.receiver.FencingCallDone = func(int) []leader.FencingCall { return nil }, func(string, *wire.Heartbeat) {}
+	l.receiver.FencingCalls, l.receiver.FencingCallDone = func(int) []reachability.FencingCall { return nil }, func(string, *wire.Heartbeat) {}
 	l.Uplink = &Uplink{Log: l.receiver.Log, Leader: func() string {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -179,12 +179,12 @@
 		}
 	}, func(l *link) {
 		l.Throttle = throttle.New()
-		l.receiver.FencingCalls = func(n int) []leader.FencingCall {
+		l.receiver.FencingCalls = func(n int) []reachability.FencingCall {
 			mu.Lock()
 			defer mu.Unlock()
-			var out []leader.FencingCall
+			var out []reachability.FencingCall
 			for ; asked < 100 && len(out) < n; asked++ {
-				out = append(out, leader.FencingCall{Machine: fmt.Sprintf("n-%03d", asked), Term: 3, Session: 1})
+				out = append(out, reachability.FencingCall{Machine: fmt.Sprintf("n-%03d", asked), Term: 3, Session: 1})
 			}
 			return out
 		}
@@ -193,7 +193,7 @@
 			defer mu.Unlock()
 			told[machine] = r != nil && r.FencingToken == 3 && len(r.Tasks) == 5
 		}
-		l.Uplink.FencingCall = func(_ context.Context, c leader.FencingCall) *wire.Heartbeat {
+		l.Uplink.FencingCall = func(_ context.Context, c reachability.FencingCall) *wire.Heartbeat {
 			mu.Lock()
 			open++
 			most = max(most, open)
@@ -442,11 +442,11 @@
 		}
 	}, func(l *link) {
 		l.Throttle = throttle.New()
-		l.receiver.FencingCalls = func(n int) (out []leader.FencingCall) {
+		l.receiver.FencingCalls = func(n int) (out []reachability.FencingCall) {
 			mu.Lock()
 			defer mu.Unlock()
 			for ; given < 8 && len(out) < n; given++ {
-				out = append(out, leader.FencingCall{Machine: fmt.Sprintf("n-%03d", given), Term: 3, Session: 1})
+				out = append(out, reachability.FencingCall{Machine: fmt.Sprintf("n-%03d", given), Term: 3, Session: 1})
 			}
 			return out
 		}
@@ -455,7 +455,7 @@
 			defer mu.Unlock()
 			vain[machine] = r == nil
 		}
-		l.Uplink.FencingCall = func(ctx context.Context, _ leader.FencingCall) *wire.Heartbeat {
+		l.Uplink.FencingCall = func(ctx context.Context, _ reachability.FencingCall) *wire.Heartbeat {
 			<-ctx.Done()
 			return nil
 		}
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -1,7 +1,7 @@
 package ingest
 
 import (
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -42,7 +42,7 @@
 type reply struct {
 	Number  uint64 // of the batch; 0 from a version that does not say it
 	Answers []answer
-	Calls   []leader.FencingCall
+	Calls   []reachability.FencingCall
 }
 
 // answer is a worker.HeartbeatResult.
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
@@ -21,7 +21,7 @@
 	// Decide answers a heartbeat that a peer has forwarded.
 	Decide func(*wire.Heartbeat) worker.HeartbeatResult
 	// FencingCalls returns fencing calls for a peer to make, limit at most.
-	FencingCalls func(limit int) []leader.FencingCall
+	FencingCalls func(limit int) []reachability.FencingCall
 	// FencingCallDone takes in the outcome of one: the machine's heartbeat, or nil where it did
 	// not answer.
 	FencingCallDone func(machine string, r *wire.Heartbeat)
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/worker"
 	"amberdeal.example/amberdeal/wire"
@@ -171,7 +171,7 @@
 }
 
 // startCalls makes the fencing calls that a reply asks for.
-func (u *Uplink) startCalls(ctx context.Context, s *stream, calls []leader.FencingCall) {
+func (u *Uplink) startCalls(ctx context.Context, s *stream, calls []reachability.FencingCall) {
 	u.mu.Lock()
 	s.proven = true
 	s.openCalls += len(calls)
@@ -183,7 +183,7 @@
 }
 
 // makeFencingCall makes a call for the leader and keeps its outcome for the next batch.
-func (u *Uplink) makeFencingCall(ctx context.Context, s *stream, c leader.FencingCall) {
+func (u *Uplink) makeFencingCall(ctx context.Context, s *stream, c reachability.FencingCall) {
 	defer s.runningCalls.Done()
 	r := u.FencingCall(ctx, c)
 	u.mu.Lock()
--- a/internal/ingest/uplink.go
+++ b/internal/ingest/uplink.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/leader"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/throttle"
 	"amberdeal.example/amberdeal/internal/worker"
@@ -32,7 +32,7 @@
 	// OpenStream opens a stream to a peer.
 	OpenStream func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error)
 	// FencingCall makes a call for the leader; nil makes none.
-	FencingCall func(ctx context.Context, c leader.FencingCall) *wire.Heartbeat
+	FencingCall func(ctx context.Context, c reachability.FencingCall) *wire.Heartbeat
 	Throttle    *throttle.Limiter // of these calls
 	Log         *slog.Logger
 
--- a/internal/leader/fencingcalls.go
+++ b/internal/leader/fencingcalls.go
@@ -7,21 +7,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// FencingCall is a call to a machine that any controller can make for the leader.
-type FencingCall = reachability.FencingCall
-
-// FencingCalls returns at most so many calls for a peer to make: to all machines that are due while the fleet is
+// FencingCalls returns at most limit calls for a peer to make: to all machines that are due while the fleet is
 // being rebuilt, and later to a few machines of suspected zones.
-func (h *Leader) FencingCalls(now time.Time, most int) []FencingCall {
+func (h *Leader) FencingCalls(now time.Time, limit int) []reachability.FencingCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if most <= 0 {
+	if limit <= 0 {
 		return nil
 	}
 	if !h.rebuilt {
-		return h.fencing.Rebuild(now, most, h.zones.Unreachable)
+		return h.fencing.Rebuild(now, limit, h.zones.Unreachable)
 	}
-	return h.fencing.Suspected(now, most, h.zones.SuspectedZones())
+	return h.fencing.Suspected(now, limit, h.zones.SuspectedZones())
 }
 
 // FencingCallDone records the result of a call that a peer made: the machine's heartbeat, or nil for none.
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -55,7 +55,7 @@
 		h.rejected.Stale++
 		return true
 	}
-	h.noteHeartbeat(now, r.Machine)
+	h.noteReconnected(now, r.Machine)
 	h.noteZoneHeartbeat(now, r)
 	h.applyEvents(now, h.fleet.ApplyHeartbeat(now, r, own))
 	return true
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -88,7 +88,7 @@
 	h.previous = reshard.NewPrevious(h.sharding, ledgers)
 	h.startMigration(ledgers.Migrated, &last)
 	h.recoverZones(now, &last)
-	h.recoverZoneRecoveries(now, &last)
+	h.continueZoneRecoveries(now, &last)
 	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
 	for _, id := range sortedKeys(last.Machines) { // in order, each is added at the end
 		m := last.Machines[id]
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, name := range sortedKeys(h.migration.scaleOutRequests) {
-		a := h.scaleOutRequests.Ask(name)
+		a := h.scaleOutRequests.Request(name)
 		if a == nil || h.ledger.HasScaleOut(name) {
 			delete(h.migration.scaleOutRequests, name)
 		} else {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -86,20 +86,20 @@
 }
 
 // addPreemptions adds preemptions to a snapshot: the reserved capacity, and which tasks are leaving.
-func (h *Leader) addPreemptions(pic *scheduler.Snapshot) {
-	if pic.Tiers = h.preemptions.Tiers(); !pic.Tiers.Configured() {
+func (h *Leader) addPreemptions(snapshot *scheduler.Snapshot) {
+	if snapshot.Tiers = h.preemptions.Tiers(); !snapshot.Tiers.Configured() {
 		return
 	}
 	leaving := make(map[string]uint64)
 	for _, job := range h.preemptions.Jobs() {
 		for _, r := range h.preemptions.For(job).Reservations {
-			pic.Reclaims = append(pic.Reclaims, scheduler.Reclaim{Job: job, Machine: r.Machine, Tasks: r.Tasks, Level: r.Level})
+			snapshot.Reclaims = append(snapshot.Reclaims, scheduler.Reclaim{Job: job, Machine: r.Machine, Tasks: r.Tasks, Level: r.Level})
 			for task, attempt := range r.Awaits {
 				leaving[task] = attempt
 			}
 		}
 	}
-	for _, m := range pic.Machines {
+	for _, m := range snapshot.Machines {
 		for i := range m.Tasks {
 			t := &m.Tasks[i]
 			id := wire.TaskID{Job: t.Job.ID, Index: t.Index}
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -28,8 +28,8 @@
 )
 
 // requestScaleOut adds the intents of scale-out requests that a plan wants to a round.
-func (h *Leader) requestScaleOut(now time.Time, d *Draft, rents []scheduler.ScaleOut) {
-	for _, r := range h.scaleOutRequests.Admit(now, rents) {
+func (h *Leader) requestScaleOut(now time.Time, d *Draft, wanted []scheduler.ScaleOut) {
+	for _, r := range h.scaleOutRequests.Admit(now, wanted) {
 		name := fmt.Sprintf("t%d-%d", h.lease.FencingToken, h.attemptSequence+1)
 		if !d.Add(store.ScaleOutEntry(name, scaleOutRecord(r))) {
 			if len(d.requests) == 0 && len(d.launches) == 0 {
@@ -64,8 +64,8 @@
 		if e.Cloud.WaitForScaleOut(ctx) != nil || !e.LeaseValid() {
 			continue
 		}
-		if a := h.takeScaleOut(time.Now()); a != nil {
-			go h.sendScaleOut(ctx, e, a.Name, a.ScaleOut)
+		if r := h.takeScaleOut(time.Now()); r != nil {
+			go h.sendScaleOut(ctx, e, r.Name, r.ScaleOut)
 		}
 	}
 	return nil
@@ -82,11 +82,11 @@
 func (h *Leader) takeScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.scaleOutRequests.Next(now)
-	if a != nil {
-		h.scaleOutRequests.MarkSent(now, a.Name)
+	r := h.scaleOutRequests.Next(now)
+	if r != nil {
+		h.scaleOutRequests.MarkSent(now, r.Name)
 	}
-	return a
+	return r
 }
 
 // sendScaleOut sends a request. It is repeated until the cloud has decided; its name makes sure that it is
@@ -107,16 +107,16 @@
 func (h *Leader) scaledOut(now time.Time, name string, names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.scaleOutRequests.Ask(name)
-	if a == nil {
+	r := h.scaleOutRequests.Request(name)
+	if r == nil {
 		return
 	}
 	for _, id := range names {
-		h.fleet.EnsureMachine(now, id, a.Type, a.Zone, a.Spot)
+		h.fleet.EnsureMachine(now, id, r.Type, r.Zone, r.Spot)
 	}
-	over := h.scaleOutRequests.Complete(now, name, len(names))
-	h.log.Info("scale-out request answered", "request", name, "type", a.Type, "zone", a.Zone, "spot", a.Spot, "wanted", a.Count, "got", len(names), "unsent", len(over)-1)
-	h.scaleOutRequests.Drop(over)
+	finished := h.scaleOutRequests.Complete(now, name, len(names))
+	h.log.Info("scale-out request answered", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(names), "unsent", len(finished)-1)
+	h.scaleOutRequests.Drop(finished)
 	h.scaleOutRequests.Wake()
 	h.Wake()
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -19,7 +19,7 @@
 	Wants    map[string]scheduler.QuotaDemand  // by team: what its grant holds back
 	Used     map[string][2]float64             // CPUs and GPUs, by team
 	Stays    map[string]scheduler.Resources    // what services take of that, or are to, by team
-	Zones    map[string]ZoneHealth
+	Zones    map[string]reachability.ZoneHealth
 	Ready    []string // gangs for whose tasks here there is room, of which others have the rest
 	Tiers    map[string]tier.Status
 	Backlog  int // tasks that found no room
@@ -34,9 +34,6 @@
 	countsAt time.Time
 }
 
-// ZoneHealth counts the machines of a zone that should be heard, and those that are overdue.
-type ZoneHealth = reachability.ZoneHealth
-
 // Status gives the part's status, no older than the counts. Its maps are shared and
 // never changed.
 func (h *Leader) Status(now time.Time) ShardStatus {
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -15,6 +15,7 @@
 	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/reshard"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/simulator"
@@ -227,7 +228,7 @@
 		b.apply(r.Change())
 	case "others": // what another part has said of itself
 		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
-			Zones: map[string]ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
+			Zones: map[string]reachability.ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
 		if kv["ready"] != "" {
 			s.Ready = []string{kv["ready"]}
 		}
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -15,9 +15,9 @@
 
 // What becomes of the machines of a zone that is cut off, and how the zone comes back into use.
 
-// recoverZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
+// continueZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
 // it by the next round.
-func (h *Leader) recoverZoneRecoveries(now time.Time, last *store.RecoveredState) {
+func (h *Leader) continueZoneRecoveries(now time.Time, last *store.RecoveredState) {
 	h.recovery = zonerecovery.NewTracker()
 	take := func(name string, r store.ZoneRecoveryRecord) {
 		h.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
@@ -45,7 +45,7 @@
 		if p == nil && records[name].State != zone.Unreachable || !h.ownsZone(name) {
 			continue
 		}
-		next := zonerecovery.Next(now, p, h.observeZone(now, name, records))
+		next := zonerecovery.Next(now, p, h.observeZone(name, records))
 		switch {
 		case next == nil && !d.Add(store.DropZoneRecovery(name)):
 		case next != nil && (next != p || !h.ledger.HasZoneRecovery(name)) && !d.Add(zoneRecoveryEntry(name, next)):
@@ -73,7 +73,7 @@
 }
 
 // observeZone collects what the next step of a zone's recovery is decided by.
-func (h *Leader) observeZone(now time.Time, name string, records map[string]zone.Record) zonerecovery.Observation {
+func (h *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
 	r := records[name]
 	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: h.recovery.FreeCapacity.HasQueued, Unbalanced: h.recovery.Unbalanced, SettleTime: h.timeouts.unreachableAfter, IdleTimeout: h.cfg.Tuning.Idle}
 	for other, o := range records {
@@ -127,7 +127,7 @@
 func (h *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
 	missing := make(map[string]bool)
 	for name, r := range h.monitor.ZoneHealth(now) {
-		missing[name] = hushed(r)
+		missing[name] = r.MostlyMissing()
 	}
 	h.zones.SetMissing(now, missing)
 	h.recovery.Unbalanced = plan.SpreadViolated
@@ -141,9 +141,6 @@
 	}
 }
 
-// hushed reports whether heartbeats of more than half of a zone's machines are overdue.
-func hushed(r ZoneHealth) bool { return r.Up >= reachability.MinMachinesToJudge && r.Quiet*2 > r.Up }
-
 // keepsLostMachine reports whether a lost machine is retained because its zone is cut off or has just recovered.
 func (h *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
 	since, cutOff := h.zones.CutOff(now, m.Zone, h.timeouts.unreachableAfter)
@@ -202,17 +199,17 @@
 			}
 		}
 	}
-	for part, o := range h.peerShards {
-		if room := o.Rooms[j.Class]; (room.Rent || room.Now > 0) && h.sharding.MayHost(part, j, h.types) {
+	for shard, o := range h.peerShards {
+		if free := o.Rooms[j.Class]; (free.Rent || free.Now > 0) && h.sharding.MayHost(shard, j, h.types) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteHeartbeat records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
+// noteReconnected records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
 // the next one. The first such heartbeat from a zone that was cut off does so for all its machines.
-func (h *Leader) noteHeartbeat(now time.Time, machine string) {
+func (h *Leader) noteReconnected(now time.Time, machine string) {
 	m := h.fleet.Machine(machine)
 	if m == nil || !h.monitor.Unreachable(now, m) {
 		return
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -131,12 +131,12 @@
 }
 
 // refuseClosedZones keeps the scheduler from scaling out in zones that don't accept it. Probes are added later.
-func (h *Leader) refuseClosedZones(now time.Time, pic *scheduler.Snapshot) {
+func (h *Leader) refuseClosedZones(now time.Time, snapshot *scheduler.Snapshot) {
 	for _, t := range h.types {
 		for _, name := range t.Zones {
 			if !h.zones.Record(name).AcceptsScaleOut(now) {
-				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name}] = true
-				pic.Unavailable[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
+				snapshot.Unavailable[scheduler.Offer{Type: t.Name, Zone: name}] = true
+				snapshot.Unavailable[scheduler.Offer{Type: t.Name, Zone: name, Spot: true}] = true
 			}
 		}
 	}
@@ -148,19 +148,19 @@
 
 // withZoneProbes adds to the scale-out of a plan one machine in each zone that is to be probed. Only what
 // the plan needs anyway is requested: without demand, it does not matter whether the zone works.
-func (h *Leader) withZoneProbes(now time.Time, pic *scheduler.Snapshot, plan *scheduler.Plan) []scheduler.ScaleOut {
-	rents := plan.ScaleOuts
+func (h *Leader) withZoneProbes(now time.Time, snapshot *scheduler.Snapshot, plan *scheduler.Plan) []scheduler.ScaleOut {
+	requests := plan.ScaleOuts
 	for _, name := range sortedKeys(h.zones.Records()) {
 		if !h.zones.ProbeDue(now, name) || !h.ownsZone(name) || !h.mayProbeZone(name) {
 			continue
 		}
-		if o, ok := h.zoneProbeOffer(name, pic, plan); ok {
+		if o, ok := h.zoneProbeOffer(name, snapshot, plan); ok {
 			h.zones.MarkProbed(now, name)
-			rents = append(rents, scheduler.ScaleOut{Offer: o, Count: 1})
+			requests = append(requests, scheduler.ScaleOut{Offer: o, Count: 1})
 			h.log.Info("zone probed", "zone", name, "type", o.Type, "spot", o.Spot)
 		}
 	}
-	return rents
+	return requests
 }
 
 // mayProbeZone reports whether no request for a zone is open, and few of its new machines have yet to send
@@ -182,7 +182,7 @@
 
 // zoneProbeOffer picks what to request in a zone that is probed: the type of which most is requested
 // elsewhere, or one that fits the job with the most tasks that could not be placed.
-func (h *Leader) zoneProbeOffer(name string, pic *scheduler.Snapshot, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
+func (h *Leader) zoneProbeOffer(name string, snapshot *scheduler.Snapshot, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	if best, ok = h.mostRequested(name, plan); ok {
 		return best, true
 	}
@@ -191,7 +191,7 @@
 		placed[l.Job]++
 	}
 	most := 0
-	for _, j := range pic.Jobs {
+	for _, j := range snapshot.Jobs {
 		left := len(j.Waiting) - placed[j]
 		if left <= most || j.Zone != "" && j.Zone != name {
 			continue
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -11,6 +11,7 @@
 
 	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/membership"
+	"amberdeal.example/amberdeal/internal/reachability"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/zone"
 )
@@ -30,7 +31,7 @@
 func FuzzHeartbeat(f *testing.F) {
 	for _, b := range []Heartbeat{
 		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.HeartbeatAges{"c-2": time.Second}},
-		{From: "c-1", Parts: map[string]leader.ShardStatus{"a": {Term: 3, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: 2}}, Zones: map[string]leader.ZoneHealth{"a": {Up: 3}}}}},
+		{From: "c-1", Parts: map[string]leader.ShardStatus{"a": {Term: 3, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: 2}}, Zones: map[string]reachability.ZoneHealth{"a": {Up: 3}}}}},
 		{From: "c-2", Sights: map[string]zone.Observation{"a": {Heard: 3, Vain: 1}}},
 		{From: "stranger"},
 	} {
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -147,6 +147,9 @@
 // are overdue. Controllers send it to each other: the names of its fields are part of the protocol.
 type ZoneHealth struct{ Up, Quiet int }
 
+// MostlyMissing reports whether heartbeats of more than half of the machines are overdue.
+func (h ZoneHealth) MostlyMissing() bool { return h.Up >= MinMachinesToJudge && h.Quiet*2 > h.Up }
+
 // ZoneHealth returns the health of each zone.
 func (m *Monitor) ZoneHealth(now time.Time) map[string]ZoneHealth {
 	out := make(map[string]ZoneHealth)
