--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -61,7 +61,7 @@
 	return m.Types, nil
 }
 
-// ScaleOutRequest asks the cloud for machines; Ask is never used for another request.
+// ScaleOutRequest asks the cloud for machines; a RequestID is never used for another request.
 type ScaleOutRequest struct {
 	RequestID string `cbor:"ask"`
 	Type      string `cbor:"frame"`
@@ -75,7 +75,7 @@
 	Machines []string `cbor:"hives"`
 }
 
-// MachineStage is the cloud's word on a machine.
+// MachineStage is the state of a machine, as the cloud sees it.
 type MachineStage string
 
 // The stages of a rented machine.
--- a/wire/job.go
+++ b/wire/job.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Shape tells how the tasks of a job hang together.
+// Shape tells how the tasks of a job belong together.
 type Shape string
 
 // The shapes of jobs.
@@ -77,8 +77,8 @@
 	CheckpointS float64  `cbor:"capping_s"`
 	SaveS       float64  `cbor:"seal_s"`
 	DeadlineS   float64  `cbor:"due_s,omitempty"`
-	// Work says what each task does, in words of its own for each kind of agent. The
-	// service keeps it and hands it to machines, and never looks at it.
+	// Work says what each task does, in the form that the kind of agent on its machine understands.
+	// The controllers store it and hand it to machines, and never interpret it.
 	Work string `cbor:"work,omitempty"`
 }
 
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -30,13 +30,12 @@
 	Work        *string   `cbor:"work"`
 }
 
-// SubmittedID gives the id in a submission of which the rest may not be understood, or nothing: it
-// looks at one field after the other, as far as it gets.
+// SubmittedID gives the ID in a submission of which the rest may not be understood, or nothing: it
+// looks at one field after the other, as far as they can be read.
 func SubmittedID(body []byte) string {
 	rest := mapBody(body)
 	for len(rest) > 0 {
 		var key, value Raw
-		var name, id string
 		var err error
 		if rest, err = decoder.UnmarshalFirst(rest, &key); err != nil {
 			return ""
@@ -44,70 +43,88 @@
 		if rest, err = decoder.UnmarshalFirst(rest, &value); err != nil {
 			return ""
 		}
-		if DecodeValue(key, &name) == nil && name == "uid" && DecodeValue(value, &id) == nil && ValidJobID(id) {
+		if id, ok := idField(key, value); ok {
 			return id
 		}
 	}
 	return ""
 }
 
-// DecodeJob reads and checks a submission. The error names the first fields
-// that are missing or invalid.
+// idField gives the ID that a field of a submission holds, if it is the one with a valid ID.
+func idField(key, value Raw) (id string, ok bool) {
+	var name string
+	if DecodeValue(key, &name) != nil || name != "uid" || DecodeValue(value, &id) != nil {
+		return "", false
+	}
+	return id, ValidJobID(id)
+}
+
+// DecodeJob reads and checks a submission. The error names all fields that are missing or invalid.
 func DecodeJob(body []byte) (*Job, error) {
 	var s submission
 	if err := Decode(body, &s); err != nil {
 		return nil, err
 	}
+	if err := s.check(); err != nil {
+		return nil, err
+	}
+	return s.job(), nil
+}
+
+// maxTypes bounds how many types of machines a submission may name.
+const maxTypes = 64
+
+// check finds all faults of a submission.
+func (s *submission) check() error {
 	errs := []error{
 		checkText("uid", s.ID), checkText("breed", s.Class), checkText("keeper", s.Team), checkText("comb", s.Image),
 		checkAmount("vcpus", s.CPUs), checkAmount("accelerators", s.GPUs), checkAmount("mem_gb", s.MemoryGB), checkAmount("image_gb", s.ImageGB),
 		checkAmount("expect_s", s.EstimateS), checkAmount("capping_s", s.CheckpointS), checkAmount("seal_s", s.SaveS),
 		checkPresent("one_zone", s.OneZone), checkPresent("spread", s.Spread), checkPresent("borrowed", s.Spot),
 	}
+	fault := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if s.ID != nil && !ValidJobID(*s.ID) {
-		errs = append(errs, fmt.Errorf("field uid: %.40q is not wk- and digits", *s.ID))
+		fault("field uid: %.40q is not wk- and digits", *s.ID)
 	}
 	if s.Shape == nil || *s.Shape != Array && *s.Shape != Gang && *s.Shape != Service {
-		errs = append(errs, errors.New("field shape: must be sweep, gang or service"))
+		fault("field shape: must be sweep, gang or service")
 	}
 	if s.Priority == nil || s.Priority.Rank() < 0 {
-		errs = append(errs, errors.New("field rank: must be production, high, normal or low"))
+		fault("field rank: must be production, high, normal or low")
 	}
 	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasks {
-		errs = append(errs, fmt.Errorf("field cells: must be a count from 1 to %d", MaxTasks))
+		fault("field cells: must be a count from 1 to %d", MaxTasks)
 	}
 	if s.DeadlineS != nil {
 		errs = append(errs, checkAmount("due_s", s.DeadlineS))
 	}
 	if s.Work != nil && len(*s.Work) > MaxWork {
-		errs = append(errs, fmt.Errorf("field work: more than %d bytes", MaxWork))
+		fault("field work: more than %d bytes", MaxWork)
 	}
-	if s.Types != nil && (len(*s.Types) == 0 || len(*s.Types) > 64) {
-		errs = append(errs, errors.New("field frames: must be null, for any, or name 1 to 64 types"))
+	if s.Types != nil && (len(*s.Types) == 0 || len(*s.Types) > maxTypes) {
+		fault("field frames: must be null, for any, or name 1 to %d types", maxTypes)
 	}
 	if s.Zone != nil {
 		errs = append(errs, checkText("apiary", s.Zone))
 	}
-	if err := errors.Join(errs...); err != nil {
-		return nil, err
-	}
-	j := &Job{
+	return errors.Join(errs...)
+}
+
+// job gives the job of a submission without faults.
+func (s *submission) job() *Job {
+	return &Job{
 		ID: *s.ID, Class: *s.Class, Team: *s.Team, Shape: *s.Shape, Priority: *s.Priority, Tasks: int(*s.Tasks),
 		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB,
-		OneZone: *s.OneZone, Spread: *s.Spread, Spot: *s.Spot,
-		EstimateS: *s.EstimateS, CheckpointS: *s.CheckpointS, SaveS: *s.SaveS,
-	}
-	if s.Types != nil {
-		j.Types = *s.Types
-	}
-	if s.Zone != nil {
-		j.Zone = *s.Zone
+		Types: orZero(s.Types), Zone: orZero(s.Zone), OneZone: *s.OneZone, Spread: *s.Spread, Spot: *s.Spot,
+		EstimateS: *s.EstimateS, CheckpointS: *s.CheckpointS, SaveS: *s.SaveS, DeadlineS: orZero(s.DeadlineS),
+		Work: orZero(s.Work),
 	}
-	if s.DeadlineS != nil {
-		j.DeadlineS = *s.DeadlineS
-	}
-	if s.Work != nil {
-		j.Work = *s.Work
+}
+
+// orZero gives what p points at, or nothing.
+func orZero[T any](p *T) (v T) {
+	if p != nil {
+		v = *p
 	}
-	return j, nil
+	return v
 }
--- a/wire/task.go
+++ b/wire/task.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// TaskState is what a worker says of a task.
+// TaskState is the state of a task, as its worker sees it.
 type TaskState string
 
 // The states of a task on its machine.
@@ -33,7 +33,7 @@
 	CauseUnknown Cause = "unknown"
 )
 
-// TaskID names a task of a job.
+// TaskID names a task of a job. It also travels between controllers by its Go field names.
 type TaskID struct {
 	Job   string
 	Index int
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -12,7 +12,8 @@
 	PathStatus    = "/inspect"
 )
 
-// ReportedTask is one task in a worker's report.
+// ReportedTask is one task in a worker's heartbeat. It also travels between controllers by its Go
+// field names.
 type ReportedTask struct {
 	Task    string    `cbor:"cell"`
 	Attempt uint64    `cbor:"try"`
@@ -36,31 +37,32 @@
 	Tasks              []ReportedTask `cbor:"cells"`
 }
 
-// DecodeHeartbeat reads and checks a report.
+// maxMachineID bounds a machine's ID, in bytes.
+const maxMachineID = 100
+
+// DecodeHeartbeat reads and checks a heartbeat.
 func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
-	var r Heartbeat
-	if err := Decode(body, &r); err != nil {
+	var h Heartbeat
+	if err := Decode(body, &h); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || len(r.Machine) > 100 || strings.ContainsAny(r.Machine, " /") {
+	if h.Machine == "" || len(h.Machine) > maxMachineID || strings.ContainsAny(h.Machine, " /") {
 		return nil, errors.New("field hive: not a machine's name")
 	}
-	if r.Incarnation == 0 {
+	if h.Incarnation == 0 {
 		return nil, errors.New("field flight: must be 1 or more")
 	}
-	if r.TerminationNoticeS != nil {
-		if err := checkAmount("notice_s", r.TerminationNoticeS); err != nil {
-			r.TerminationNoticeS = new(float64)
-		}
+	if h.TerminationNoticeS != nil && checkAmount("notice_s", h.TerminationNoticeS) != nil {
+		h.TerminationNoticeS = new(float64) // there is a notice: the machine goes now, as far as is known
 	}
-	for i := range r.Tasks {
-		id, err := ParseTaskID(r.Tasks[i].Task)
+	for i := range h.Tasks {
+		id, err := ParseTaskID(h.Tasks[i].Task)
 		if err != nil {
 			return nil, err
 		}
-		r.Tasks[i].ID = id
+		h.Tasks[i].ID = id
 	}
-	return &r, nil
+	return &h, nil
 }
 
 // Verb is what a command does.
@@ -73,7 +75,7 @@
 	Clear  Verb = "clear"
 )
 
-// Command is one order to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb    Verb     `cbor:"verb"`
 	Task    string   `cbor:"cell"`
@@ -81,18 +83,18 @@
 	GraceS  *float64 `cbor:"grace_s,omitempty"`
 }
 
-// HeartbeatResponse is the answer to a report.
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"crown"`
 	Commands     []Command `cbor:"orders"`
 }
 
-// Redirect sends a worker to another controller; an empty Holder names none.
+// Redirect sends a worker to another controller; an empty Leader names none.
 type Redirect struct {
 	Leader string `cbor:"queen,omitempty"`
 }
 
-// CommandRequest carries commands straight to a worker.
+// CommandRequest is a direct call that carries commands to a worker.
 type CommandRequest struct {
 	FencingToken uint64    `cbor:"crown"`
 	Incarnation  uint64    `cbor:"flight"`
