--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -86,7 +86,7 @@
 }
 
 // cloudModel is a cloud with a few offers, from which more is wanted than it has. Calls
-// take a fifth of a second, and as many a second are made as rentals may take.
+// take a fifth of a second, and as many a second are made as scale-out requests may take.
 type cloudModel struct {
 	*testing.T
 	log      *RequestLog
@@ -195,7 +195,7 @@
 		s.wanted = 5000
 		s.run(2 * time.Minute)
 		if most := 25 * (offers + 10); s.calls > min(most, 2*60*modelRPS/2) || s.calls != s.refused {
-			t.Errorf("%d offers, all full: %d calls in 2 minutes, %d in vain", offers, s.calls, s.refused)
+			t.Errorf("%d offers, all full: %d calls in 2 minutes, %d refused", offers, s.calls, s.refused)
 		}
 		t.Logf("%d offers, all full: %d calls in 2 minutes", offers, s.calls)
 	}
@@ -206,7 +206,7 @@
 	}
 	s.wanted = 2000
 	took := s.until(900, 15*time.Second)
-	t.Logf("half full: 900 machines after %v by %d calls, %d in vain", took, s.calls, s.refused)
+	t.Logf("half full: 900 machines after %v by %d calls, %d refused", took, s.calls, s.refused)
 	if s.calls > 45 {
 		t.Errorf("half full: %d calls for 900 machines", s.calls)
 	}
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -14,7 +14,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tier sets one, in the order in which they are named.
+// tier configures a tier; their order is that in which they are named.
 func (b *traceDriver) tier(name string, kv map[string]string) {
 	t := tier.Tier{Name: name, Order: len(b.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(kv["cards"], 64)
@@ -30,7 +30,7 @@
 	b.cfg.Tuning.Tiers = append(b.cfg.Tuning.Tiers, t)
 }
 
-// preemptionsNow tells what the holder is claiming back.
+// preemptionsNow describes what the leader preempts for tiers.
 func (b *traceDriver) preemptionsNow() []string {
 	out := []string{}
 	for _, job := range b.leader.preemptions.Jobs() {
@@ -50,7 +50,7 @@
 // workerModel plays the workers of a few machines, second by second.
 type workerModel struct {
 	*traceDriver
-	term        uint64
+	token       uint64
 	seq         uint64
 	tasksOn     map[string]map[string]wire.ReportedTask // by machine and task
 	stubborn    map[string]bool                         // tasks that don't stop
@@ -69,20 +69,21 @@
 	return w
 }
 
-// failover has a new holder claim the part, and late copies of all earlier stops come.
+// failover elects a new leader, and late copies of all earlier stops arrive.
 func (w *workerModel) failover() {
-	w.term++
-	w.traceDriver.claim(w.term)
+	w.token++
+	w.traceDriver.claim(w.token)
 	for _, again := range w.lateStops {
 		again()
 	}
-	w.report()
+	w.heartbeat()
 }
 
-func (w *workerModel) report() {
+// heartbeat has all machines send a heartbeat and carries out the answers.
+func (w *workerModel) heartbeat() {
 	for _, m := range sortedKeys(w.tasksOn) {
 		w.seq++
-		r := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.term}
+		r := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 		for _, task := range sortedKeys(w.tasksOn[m]) {
 			r.Tasks = append(r.Tasks, w.tasksOn[m][task])
 		}
@@ -93,6 +94,7 @@
 	}
 }
 
+// do carries out a command on a machine.
 func (w *workerModel) do(m string, c wire.Command) {
 	t, there := w.tasksOn[m][c.Task]
 	there = there && t.Attempt == c.Attempt
@@ -122,13 +124,14 @@
 	}
 }
 
+// end has a task end.
 func (w *workerModel) end(m, task string, cause wire.Cause) {
 	t := w.tasksOn[m][task]
 	t.State, t.Cause = wire.TaskEnded, cause
 	w.tasksOn[m][task] = t
 }
 
-// second plays one; the holder may crash in it, at a point of its decision. How many stops
+// second plays one second, in which the leader may crash at a point of its decision. How many stops
 // have been said by then is up to the point.
 func (w *workerModel) second(crash string) {
 	w.now = w.now.Add(time.Second)
@@ -138,7 +141,7 @@
 		}
 		w.pendingEnds = nil
 	}
-	w.report()
+	w.heartbeat()
 	d := w.leader.Decide(w.now, w.view.Snapshot())
 	w.draft = d
 	if d != nil && crash != "before" {
@@ -184,7 +187,7 @@
 	switch w[0] {
 	case "workers":
 		b.preemptionCheck = newWorkerModel(b, w[1:]...)
-		b.preemptionCheck.term = 1
+		b.preemptionCheck.token = 1
 		b.preemptionCheck.failover()
 		return nil
 	case "stubborn":
@@ -213,7 +216,7 @@
 	return out
 }
 
-// TestCrashInClaim has the holder of a tier that claims all back crash at every step of its
+// TestCrashInClaim has the leader crash, while a tier gets all its lent cards back, at every step of its
 // decisions in turn, and the next one at every step after that: what is stopped is what the
 // first record names, and the tier has its cards within its bound.
 func TestCrashInClaim(t *testing.T) {
@@ -245,7 +248,7 @@
 	}
 }
 
-// lentOut gives a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
+// lentOut returns a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
 func lentOut(t *testing.T) *workerModel {
 	b := newTraceDriver(t)
 	b.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
@@ -253,7 +256,7 @@
 	b.step("job wk-1 sweep team=blue tasks=12")
 	b.play([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
-		if s == 6 { // what is young loses least, until a new holder has forgotten
+		if s == 6 { // young tasks lose least and are preempted first, until a new leader no longer knows their age
 			for _, task := range sortedKeys(b.preemptionCheck.tasksOn["n-3"]) {
 				b.preemptionCheck.end("n-3", task, wire.CauseStopped)
 			}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// TestStallIsTold plants faults under which nothing starts, and has the holder say so.
+// TestStallIsTold plants faults under which nothing is launched, and has the leader report them.
 func TestStallIsTold(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -21,7 +21,7 @@
 		{"the ledger has no room", func(c *largeFleet) { c.ledger, _ = store.NewLedger("fleet", 300, nil) }, stall.CauseLedger},
 		{"nor for rentals", func(c *largeFleet) {
 			c.ledger, _ = store.NewLedger("fleet", 300, nil)
-			c.heartbeats = nil // no machine is heard any more
+			c.heartbeats = nil // no machine sends heartbeats any more
 		}, stall.CauseScaleOut},
 		{"every round is refused", nil, stall.CauseRefused},
 	} {
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenDigest: the digest of how tiers are set, on which claims are conditional, is what it was.
+// TestGoldenDigest: the digest of the configured tiers, which is a condition of every lease, is what it was.
 func TestGoldenDigest(t *testing.T) {
 	goldentest.Text(t, "digest.txt", New([]Tier{goldentest.Filled[Tier](t)}).Digest()+"\n"+New(nil).Digest()+"\n")
 }
--- a/internal/tier/preemptions_test.go
+++ b/internal/tier/preemptions_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stored gives what the store holds for two jobs, of the first and the second tier.
+// stored returns what the store holds for two jobs, of the first and the second tier.
 func stored() map[string]*Preemption {
 	until := time.Unix(1e9, 0).Add(30 * time.Second).UnixMilli()
 	return map[string]*Preemption{
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestFitNeverTooMuch: whatever is guaranteed, what holds of it never exceeds the cards there
-// are, in all and in each zone, and a tier ahead never has less for one behind.
+// TestFitNeverTooMuch: whatever is configured, the guarantees never exceed the cards that exist, in total
+// and in each zone, and a tier never gets less because of one that is served after it.
 func TestFitNeverTooMuch(t *testing.T) {
 	for i := range 4000 {
 		n := func(k, most int) float64 { return float64((i*7919 + k*104729 + i/7*k) % most) }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -12,22 +12,22 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// clusterModel is some controllers and zones with machines, who can't hear what, and the records
-// that the store holds.
+// clusterModel is a few controllers and zones with machines, the links between them that are cut, and
+// the records that the store holds.
 type clusterModel struct {
 	now, begun    time.Time
 	names         []string
 	zoneOf        map[string]string // controller to zone
 	machines      map[string]int
-	cut           map[[2]string]bool      // controller and zone whose machines it does not hear
-	peerLinkCut   map[[2]string]bool      // controllers that don't hear each other
+	cut           map[[2]string]bool      // controller and zone from which it gets no heartbeats
+	peerLinkCut   map[[2]string]bool      // pairs of controllers that are cut off from each other
 	lastHeartbeat map[[2]string]time.Time // controller and zone
-	evictedAt     map[string]time.Time    // zones whose machines were
+	evictedAt     map[string]time.Time    // zones whose machines were evicted
 	lost          map[string]int
 	store         map[string]Record
-	storeDown     bool // the store
+	storeDown     bool
 	leader        string
-	receiver      string // the one controller to which all machines report, if it is set
+	receiver      string // the one controller to which all heartbeats go, if it is set
 	electedAt     time.Time
 	zones         *Tracker
 	zoneHeartbeat map[string]time.Time
@@ -39,13 +39,13 @@
 		lastHeartbeat: map[[2]string]time.Time{}, evictedAt: map[string]time.Time{}, lost: map[string]int{}, store: map[string]Record{}}
 }
 
-// hears reports whether a controller hears a zone's machines now.
+// hears reports whether a zone's heartbeats reach a controller now.
 func (w *clusterModel) hears(c, zone string) bool {
 	return w.machines[zone] > 0 && !w.cut[[2]string{c, zone}]
 }
 
-// observations is what a controller sees by itself: the machines of a zone report in equal
-// numbers to all controllers, and move on where one does not answer.
+// observations is what a controller observes itself: the heartbeats of a zone go to all controllers in
+// equal numbers, and to another one where a controller does not answer.
 func (w *clusterModel) observations(c string) map[string]Observation {
 	out := map[string]Observation{}
 	if w.receiver != "" && c != w.receiver {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// evidence is what the holder has: what it and those that pass reports on to it hear.
+// evidence is what the leader has: its own heartbeats and those that peers forward to it.
 func (w *clusterModel) evidence() *Evidence {
 	e := &Evidence{Own: Observer{w.zoneOf[w.leader], map[string]Observation{}}, LastHeartbeat: w.zoneHeartbeat, CannotJudge: w.now.Sub(w.electedAt) < 7*time.Second,
 		Peers: map[string]Observer{}, Controllers: len(w.names)}
@@ -76,7 +76,7 @@
 		}
 		x := Observer{w.zoneOf[c], w.observations(c)}
 		for zone, at := range w.machines {
-			if w.zones.Record(zone).State == Suspected && at > 0 { // it is asked to call there, and elsewhere
+			if w.zones.Record(zone).State == Suspected && at > 0 { // it is to call machines there, and elsewhere
 				w.call(c, x.Observations)
 			}
 		}
@@ -99,14 +99,14 @@
 }
 
 // call has a controller call some machines of each zone.
-func (w *clusterModel) call(c string, sights map[string]Observation) {
+func (w *clusterModel) call(c string, observations map[string]Observation) {
 	var calls CallLog
 	for zone := range w.machines {
 		for range 2 {
 			calls.Record(w.now, zone, w.hears(c, zone))
 		}
 	}
-	calls.AddTo(w.now, sights)
+	calls.AddTo(w.now, observations)
 }
 
 func (w *clusterModel) second() (out []string) {
@@ -172,7 +172,7 @@
 		}
 	case "reports": // go to one controller
 		w.receiver = f[1]
-	case "claim": // by a controller, that recalls what the store holds
+	case "claim": // a controller becomes leader and recovers what the store holds
 		if w.leader == "" {
 			for _, c := range w.names {
 				for zone := range w.machines {
@@ -206,7 +206,7 @@
 		}
 	case "given": // up, all machines of a zone
 		w.evictedAt[f[2]] = w.now
-	case "ahead": // the clock of the holder that wrote a zone's record, by so many seconds
+	case "ahead": // the clock of the leader that wrote a zone's record, by so many seconds
 		n, _ := strconv.Atoi(f[2])
 		r := w.store[f[1]]
 		r.Since = r.Since.Add(time.Duration(n) * time.Second)
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// recoveries is a holder's plans, driven by the steps of a trace.
+// recoveries is a leader's plans, driven by the steps of a trace.
 type recoveries struct {
 	now      time.Time
 	plans    map[string]*Plan
