--- a/internal/archive/idset.go
+++ b/internal/archive/idset.go
@@ -9,22 +9,22 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// idSet is a set of many ids: numbers in a compressed bitmap for each length.
+// idSet is a set of very many job ids: numbers, in a compressed bitmap for each length.
 type idSet struct {
-	numbers map[int]*roaring64.Bitmap
-	texts   map[string]bool // of ids that are no numbers of 64 bits
+	numbers map[int]*roaring64.Bitmap // by number of digits
+	texts   map[string]bool           // ids that do not fit a number of 64 bits
 }
 
 func newIDSet() idSet { return idSet{map[int]*roaring64.Bitmap{}, map[string]bool{}} }
 
-// add reports whether an id is new.
+// add adds an id and reports whether it is new.
 func (s idSet) add(id string) bool {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
-		was := s.texts[id]
+		known := s.texts[id]
 		s.texts[id] = true
-		return !was
+		return !known
 	}
 	set := s.numbers[len(digits)]
 	if set == nil {
