--- a/internal/admission/barrier.go
+++ b/internal/admission/barrier.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// barrierRead is a read that is begun as a job is sent to the state service. What happened to the job
-// elsewhere before that is in it.
+// barrierRead is a read that is begun as a job is sent to the state service. It shows what happened
+// to the job on other controllers before that.
 type barrierRead struct {
 	follow *store.Follower
 
@@ -18,13 +18,14 @@
 	done  func(ctx context.Context) error
 }
 
+// begin begins the read.
 func (r *barrierRead) begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.begun, r.done = time.Now(), r.follow.RequestBarrier()
 }
 
-// age tells how long ago it was begun.
+// age returns how long ago it was begun.
 func (r *barrierRead) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/admission/cancel.go
+++ b/internal/admission/cancel.go
@@ -7,32 +7,35 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Cancel marks a job as cancelled before it says so, and tells how it stands.
-func (d *Service) Cancel(ctx context.Context, id string) (store.JobRecord, error) {
+// cancelAttempts bounds how often a cancellation is tried while the job's record changes.
+const cancelAttempts = 8
+
+// Cancel marks a job as cancelled, if it has not ended, and returns its record.
+func (s *Service) Cancel(ctx context.Context, id string) (store.JobRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, writePatience)
 	defer cancel()
-	if _, final := d.finalRecord(id); !final && d.Forwarder != nil {
-		if rec, handled, err := d.Forwarder.Cancel(ctx, id); handled {
+	if _, final := s.finalRecord(id); !final && s.Forwarder != nil {
+		if rec, handled, err := s.Forwarder.Cancel(ctx, id); handled {
 			return rec, err
 		}
 	}
-	return d.CancelLocally(ctx, id)
+	return s.CancelLocally(ctx, id)
 }
 
-// CancelLocally does the same, and writes by itself.
-func (d *Service) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
+// CancelLocally is Cancel without forwarding.
+func (s *Service) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
 	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeCancellations), writePatience)
 	defer cancel()
-	if rec, ok := d.finalRecord(id); ok {
+	if rec, ok := s.finalRecord(id); ok {
 		return rec, nil
 	}
-	if _, known := d.View.Live(id); !known {
-		if err := d.Follow.Barrier(ctx); err != nil {
+	if _, known := s.View.Live(id); !known {
+		if err := s.Follow.Barrier(ctx); err != nil {
 			return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
-	for range 8 {
-		rec, known, err := d.Find(ctx, id)
+	for range cancelAttempts {
+		rec, known, err := s.Find(ctx, id)
 		switch {
 		case err != nil:
 			return rec, err
@@ -40,16 +43,16 @@
 			return rec, ErrUnknownJob
 		case rec.Stage.Final():
 			return rec, nil
-		case !d.Writable(), ctx.Err() != nil:
+		case !s.Writable(), ctx.Err() != nil:
 			return rec, ErrRetryLater
 		}
-		end, err := d.Canceller.Cancel(ctx, id)
+		end, err := s.Canceller.Cancel(ctx, id)
 		switch {
 		case err != nil:
 			return rec, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		case end != nil:
-			d.Log.Info("job cancelled", "job", id)
-			d.OnChange()
+			s.Log.Info("job cancelled", "job", id)
+			s.OnChange()
 			return *end, nil
 		}
 	}
--- a/internal/admission/canceller.go
+++ b/internal/admission/canceller.go
@@ -10,8 +10,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Canceller writes cancellations. Those that wait already go into one transaction,
-// and those of jobs that were accepted together into one change.
+// Canceller writes cancellations. Those that wait already go into one transaction, and those of jobs
+// that were accepted together into one change.
 type Canceller struct {
 	Client *store.Client
 	View   *store.View
@@ -31,23 +31,23 @@
 	done chan cancelResult
 }
 
-// cancelResult is what became of it; with neither an end nor an error the job must be
-// looked up again.
+// cancelResult is the outcome of a cancellation: the job's last record or an error. With neither the
+// job must be looked up again.
 type cancelResult struct {
 	record *store.JobRecord
 	err    error
 }
 
-// maxCancelTxnBytes bounds the values of a transaction.
+// maxCancelTxnBytes bounds the values of a transaction, in bytes.
 const maxCancelTxnBytes = 48 << 10
 
-// NewCanceller gives a closer, whose Run does the writing.
+// NewCanceller returns a canceller, whose Run does the writing.
 func NewCanceller(c *store.Client, v *store.View, f *store.Follower, maxOps int) *Canceller {
 	return &Canceller{Client: c, View: v, Follow: f, MaxOps: maxOps, wake: make(chan struct{}, 1)}
 }
 
-// Cancel waits until a live job is marked as cancelled, and gives its record. It
-// gives nil where the job has changed meanwhile and must be looked up again.
+// Cancel waits until a live job is marked as cancelled, and returns its record. It returns nil where
+// the job has changed meanwhile and must be looked up again.
 func (c *Canceller) Cancel(ctx context.Context, id string) (*store.JobRecord, error) {
 	e := &pendingCancel{id, ctx, make(chan cancelResult, 1)}
 	c.mu.Lock()
@@ -87,21 +87,21 @@
 	}
 }
 
-// cancelBatch is what one transaction closes.
+// cancelBatch is what one transaction cancels.
 type cancelBatch struct {
 	entries  []*pendingCancel
 	records  []store.JobRecord
 	rewrites []*store.BatchUpdate
 }
 
-// nextBatch removes what can be written together. A job that is not live any more is
-// sent back to be looked up.
+// nextBatch takes the cancellations that can be written together. A job that is no longer live is
+// sent back to be looked up again.
 func (c *Canceller) nextBatch() cancelBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var g cancelBatch
 	var rest []*pendingCancel
-	byHome := make(map[string]*store.BatchUpdate)
+	byBatch := make(map[string]*store.BatchUpdate)
 	bytes, now := 0, time.Now()
 	for _, e := range c.queue {
 		if e.ctx.Err() != nil {
@@ -112,15 +112,15 @@
 			e.done <- cancelResult{}
 			continue
 		}
-		r := byHome[l.Batch.Key]
+		r := byBatch[l.Batch.Key]
 		switch size := l.Batch.Bytes(); {
 		case r != nil && r.IsFor(l.Batch):
-		case r != nil, len(byHome) >= c.MaxOps, bytes > 0 && bytes+size > maxCancelTxnBytes:
+		case r != nil, len(byBatch) >= c.MaxOps, bytes > 0 && bytes+size > maxCancelTxnBytes:
 			rest = append(rest, e)
 			continue
 		default:
 			r = l.Batch.Update()
-			byHome[l.Batch.Key] = r
+			byBatch[l.Batch.Key] = r
 			g.rewrites = append(g.rewrites, r)
 			bytes += size
 		}
@@ -131,47 +131,41 @@
 	return g
 }
 
-// commit commits a group. A write without an answer is sent again, since the
+// commit writes a batch of cancellations. A write without an answer is sent again, since the
 // conditions let one copy at most be applied.
 func (c *Canceller) commit(ctx context.Context, g cancelBatch) {
 	var txn wire.Txn
 	for _, r := range g.rewrites {
 		txn.If, txn.Then = append(txn.If, r.Condition()), append(txn.Then, r.Change())
 	}
-	for {
+	send := func(ctx context.Context) (uint64, error) { return c.Client.Txn(ctx, txn) }
+	revision, err := commitUntilAnswered(ctx, send, g.hasWaiters)
+	var conflict *store.ConflictError
+	switch {
+	case err == nil:
+		for _, r := range g.rewrites {
+			c.View.ApplyOwnWrite(r.Committed(revision))
+		}
+		for i, e := range g.entries {
+			e.done <- cancelResult{record: &g.records[i]}
+		}
+		return
+	case errors.As(err, &conflict): // the jobs have changed, and are looked up again in a newer view
 		wait, cancel := context.WithTimeout(ctx, writePatience)
-		rev, err := c.Client.Txn(wait, txn)
+		err = c.Follow.Barrier(wait)
 		cancel()
-		var conflict *store.ConflictError
-		switch {
-		case err == nil:
-			for _, r := range g.rewrites {
-				c.View.ApplyOwnWrite(r.Committed(rev))
-			}
-			for i, e := range g.entries {
-				e.done <- cancelResult{record: &g.records[i]}
-			}
-			return
-		case errors.As(err, &conflict):
-			wait, cancel := context.WithTimeout(ctx, writePatience)
-			err = c.Follow.Barrier(wait)
-			cancel()
-			g.finish(err)
-			return
-		case !errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil || !g.hasWaiters():
-			g.finish(err)
-			return
-		}
-		store.Backoff(ctx, 100*time.Millisecond)
 	}
+	g.finish(err)
 }
 
+// finish gives all that wait the same outcome.
 func (g *cancelBatch) finish(err error) {
 	for _, e := range g.entries {
 		e.done <- cancelResult{err: err}
 	}
 }
 
+// hasWaiters reports whether any user still waits.
 func (g *cancelBatch) hasWaiters() bool {
 	for _, e := range g.entries {
 		if e.ctx.Err() == nil {
--- a/internal/admission/feasibility.go
+++ b/internal/admission/feasibility.go
@@ -9,17 +9,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// unrunnableReason says why a job can never run, or nothing.
-func (d *Service) unrunnableReason(j *wire.Job, types []wire.MachineType) string {
-	var team *config.Team
-	for i := range d.Teams {
-		if d.Teams[i].Name == j.Team {
-			team = &d.Teams[i]
-		}
-	}
+// unrunnableReason says why a job can never run, or nothing. The texts reach users.
+func (s *Service) unrunnableReason(j *wire.Job, types []wire.MachineType) string {
+	team := s.team(j.Team)
 	if team == nil {
 		return "unknown team"
 	}
+	if exceedsLimit(j, team) {
+		return "over the team's limit"
+	}
+	zones := feasibleZones(j, types)
+	switch {
+	case len(zones) == 0:
+		return "no allowed machine type is large enough"
+	case j.Shape == wire.Gang && j.Spread && j.Tasks > 1 && (j.OneZone || len(zones) == 1):
+		return "all its tasks would have to be in one zone, which may hold half of them"
+	}
+	return ""
+}
+
+// team returns the settings of a team, nil where there are none.
+func (s *Service) team(name string) (team *config.Team) {
+	for i := range s.Teams {
+		if s.Teams[i].Name == name {
+			team = &s.Teams[i]
+		}
+	}
+	return team
+}
+
+// exceedsLimit reports whether a job needs more at once than its team may ever use. An array can
+// run one task at a time, other jobs need all their tasks.
+func exceedsLimit(j *wire.Job, team *config.Team) bool {
 	n := 1.0
 	if j.Shape != wire.Array {
 		n = float64(j.Tasks)
@@ -31,10 +52,12 @@
 	if team.GPUsMax > 0 {
 		limit.GPUs = team.GPUsMax
 	}
-	if !limit.Fits(scheduler.Resources{}.AddScaled(scheduler.ResourcesOf(j), n)) {
-		return "over the team's limit"
-	}
-	zones := make(map[string]bool) // in which a task may run
+	return !limit.Fits(scheduler.Resources{}.AddScaled(scheduler.ResourcesOf(j), n))
+}
+
+// feasibleZones returns the zones in which a task of a job may run on some machine type.
+func feasibleZones(j *wire.Job, types []wire.MachineType) map[string]bool {
+	zones := make(map[string]bool)
 	for _, t := range types {
 		size := scheduler.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 		if !size.Fits(scheduler.ResourcesOf(j)) || len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
@@ -46,11 +69,5 @@
 			}
 		}
 	}
-	switch {
-	case len(zones) == 0:
-		return "no allowed machine type is large enough"
-	case j.Shape == wire.Gang && j.Spread && j.Tasks > 1 && (j.OneZone || len(zones) == 1):
-		return "all its tasks would have to be in one zone, which may hold half of them"
-	}
-	return ""
+	return zones
 }
--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -6,63 +6,74 @@
 	"fmt"
 	"slices"
 	"sync"
-	"time"
 
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Intake writes new jobs. The state service counts changes, so that jobs which
-// wait already go into one record together; none waits for company longer than
-// the write ahead of it takes.
+// Intake writes new jobs. The state service limits the changes a second, so that jobs which wait
+// already go into one record together. No job waits for others longer than the write ahead of it
+// takes.
 type Intake struct {
 	Client *store.Client
-	Name   string // unique to this run of the controller
+	Name   string // unique to this incarnation of the controller
 	// MaxBytes bounds a value of the state service.
 	MaxBytes int
 	// MaxQueue bounds the jobs that wait.
 	MaxQueue int
-	// Prioritized says whether a job goes before others that wait; nil stands for none.
+	// Prioritized reports whether a job goes before others that wait; nil for none.
 	Prioritized func(j *wire.Job) bool
 
 	mu      sync.Mutex
 	queue   []*submission
 	wake    chan struct{}
-	batches int
+	batches int // that were written
 }
 
 // submission is a job that waits to be written.
 type submission struct {
 	job    string
 	record store.JobRecord
-	gate   uint64
+	fence  uint64 // the version of the submission fence when the job was not found
 	size   int
-	ctx    context.Context
+	ctx    context.Context // of its user
 	done   chan error
 
 	prioritized bool
-	onSend      func() // is called before it is written, nil for nothing
+	onSend      func() // is called each time before it is sent; nil for nothing
 }
 
-// maxQueue bounds the jobs that wait where each controller writes by itself. Users give up on one
-// that is not answered soon, so that more would only be written in vain.
-const maxQueue = 400
-
-// maxBatch bounds a batch, which is written again when one of its jobs ends, beside
-// a slot of the ledger in the same transaction.
-const maxBatch = 16 << 10
+const (
+	// maxQueue bounds the jobs that wait where each controller writes by itself. Users give up on a
+	// job that is not answered soon, so that more jobs would only be written in vain.
+	maxQueue = 400
+	// maxBatch bounds the bytes of a batch, which is written again when one of its jobs ends, beside
+	// a slot of the ledger in the same transaction.
+	maxBatch = 16 << 10
+	// batchOverhead is what a batch takes beside its jobs, in bytes.
+	batchOverhead = 100
+)
 
-// NewIntake gives an intake, whose Run does the writing.
+// NewIntake returns an intake, whose Run does the writing.
 func NewIntake(c *store.Client, name string, maxBytes int) *Intake {
 	return &Intake{Client: c, Name: name, MaxBytes: min(maxBytes, maxBatch), MaxQueue: maxQueue, wake: make(chan struct{}, 1)}
 }
 
-// Add waits until a job is written, or it is known that it won't be. Gate is the
-// version that the gate had before the job was looked up and not found. Sending is called
-// before each time that it is sent to the state service.
-func (in *Intake) Add(ctx context.Context, id string, rec store.JobRecord, gate uint64, onSend func()) error {
-	e := &submission{id, rec, gate, store.JobRecordBytes(&rec), ctx, make(chan error, 1), in.Prioritized != nil && in.Prioritized(rec.Job), onSend}
-	if e.size > in.MaxBytes-100 {
+// Add waits until a job is written, or it is known that it won't be. fence is the version that the
+// submission fence had before the job was looked up and not found. onSend is called each time
+// before the job is sent to the state service.
+func (in *Intake) Add(ctx context.Context, id string, rec store.JobRecord, fence uint64, onSend func()) error {
+	e := &submission{
+		job:         id,
+		record:      rec,
+		fence:       fence,
+		size:        store.JobRecordBytes(&rec),
+		ctx:         ctx,
+		done:        make(chan error, 1),
+		prioritized: in.Prioritized != nil && in.Prioritized(rec.Job),
+		onSend:      onSend,
+	}
+	if e.size > in.MaxBytes-batchOverhead {
 		return ErrTooLarge
 	}
 	in.mu.Lock()
@@ -130,18 +141,17 @@
 	}
 }
 
-// nextBatch removes the next jobs to write together. One whose user has gone is
-// left out, and so is a second copy of the same job, until the next time.
+// nextBatch takes the next jobs to write together. A job whose user has gone is dropped, and a second
+// copy of the same job waits for the next batch.
 func (in *Intake) nextBatch() []*submission {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	var group []*submission
-	var rest []*submission
-	bytes, seen := 100, make(map[string]bool)
+	var group, rest []*submission
+	bytes, seen := batchOverhead, make(map[string]bool)
 	for _, e := range in.queue {
 		switch {
 		case e.ctx.Err() != nil:
-		case seen[e.job] || len(rest) > 0 || bytes+e.size > in.MaxBytes || len(group) > 0 && e.gate != group[0].gate:
+		case seen[e.job] || len(rest) > 0 || bytes+e.size > in.MaxBytes || len(group) > 0 && e.fence != group[0].fence:
 			rest = append(rest, e)
 		default:
 			seen[e.job] = true
@@ -153,8 +163,8 @@
 	return group
 }
 
-// commit commits a group. A write without an answer is sent again: its key is of
-// its own, so that one copy at most is applied, and none once the gate has moved.
+// commit writes a batch. A write without an answer is sent again: its key is its own, so that one
+// copy at most is applied, and none once the submission fence has moved.
 func (in *Intake) commit(ctx context.Context, group []*submission) {
 	in.batches++
 	key := store.BatchKey(fmt.Sprintf("%s-%d", in.Name, in.batches))
@@ -162,29 +172,22 @@
 	for _, e := range group {
 		rec.Jobs[e.job] = e.record
 	}
-	txn := wire.Txn{If: []wire.Condition{{Key: key}, {Key: store.SubmissionFenceKey, Version: group[0].gate}}, Then: []wire.Operation{{Put: key, Value: rec}}}
-	for {
-		wait, cancel := context.WithTimeout(ctx, writePatience)
-		_, err := in.Client.TxnBeforeSend(wait, txn, func() { notifySending(group) })
-		cancel()
-		var conflict *store.ConflictError
-		switch {
-		case err == nil:
-			finish(group, nil)
-			return
-		case errors.As(err, &conflict):
-			err = errGateMoved
-			if slices.Contains(conflict.Failed, key) {
-				err = errCopyTaken
-			}
-			finish(group, err)
-			return
-		case !errors.Is(err, store.ErrUnknownOutcome) || ctx.Err() != nil || !hasWaiters(group):
-			finish(group, err)
-			return
+	txn := wire.Txn{
+		If:   []wire.Condition{{Key: key}, {Key: store.SubmissionFenceKey, Version: group[0].fence}},
+		Then: []wire.Operation{{Put: key, Value: rec}},
+	}
+	send := func(ctx context.Context) (uint64, error) {
+		return in.Client.TxnBeforeSend(ctx, txn, func() { notifySending(group) })
+	}
+	_, err := commitUntilAnswered(ctx, send, func() bool { return hasWaiters(group) })
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) {
+		err = errFenceMoved
+		if slices.Contains(conflict.Failed, key) {
+			err = errCopyTaken
 		}
-		store.Backoff(ctx, 100*time.Millisecond)
 	}
+	finish(group, err)
 }
 
 // notifySending tells those who wait that their jobs are being sent.
@@ -196,13 +199,14 @@
 	}
 }
 
+// finish tells those who wait what became of their jobs.
 func finish(group []*submission, err error) {
 	for _, e := range group {
 		e.done <- err
 	}
 }
 
-// hasWaiters reports whether the user of any job of a group still waits.
+// hasWaiters reports whether the user of any job of a batch still waits.
 func hasWaiters(group []*submission) bool {
 	for _, e := range group {
 		if e.ctx.Err() == nil {
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -181,7 +181,7 @@
 		gate := b.View.SubmissionFence().Version
 		a.fold(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: "wk-1", Tasks: 1}}
-		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errGateMoved {
+		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errFenceMoved {
 			t.Errorf("the submission became %v", err)
 		}
 		b.ask(t, "submit", "wk-1", "withdrawn")
