--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"context"
 	"fmt"
 	"maps"
 	"slices"
@@ -349,3 +350,69 @@
 	defer c.mu.Unlock()
 	return c.lastStage[id]
 }
+
+// sampleInterval is how often the machines are sampled.
+const sampleInterval = 3 * time.Second
+
+// WatchMachines samples the cloud's machines until the context ends.
+func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
+	for ctx.Err() == nil {
+		wait(ctx, sampleInterval)
+		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsQuiet(now) {
+			c.sampleMachines(now, cloud)
+		}
+	}
+}
+
+// sampleMachines passes one sample of machines, jobs and quota use to the starvation checker.
+func (c *Checker) sampleMachines(now time.Time, cloud *Cloud) {
+	var places []MachineState
+	on := map[string]map[int]string{}
+	put := func(t wire.TaskID, zone string) {
+		if on[t.Job] == nil {
+			on[t.Job] = map[int]string{}
+		}
+		on[t.Job][t.Index] = zone
+	}
+	cloud.EachRunning(func(_ wire.ListedMachine, m Machine) {
+		if w, is := m.(StateReporter); is {
+			p, ok := w.State()
+			for _, t := range p.Tasks {
+				put(t, p.Zone)
+			}
+			if ok {
+				places = append(places, p)
+			}
+		}
+	})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for t, where := range c.placements {
+		for _, zone := range where {
+			put(t, zone)
+		}
+	}
+	used := map[string]TeamLimit{}
+	for id, tasks := range on {
+		if j := c.submitted[id]; j != nil {
+			u, n := used[j.Team], float64(len(tasks))
+			used[j.Team] = TeamLimit{u.CPUs + n*j.CPUs, u.GPUs + n*j.GPUs}
+		}
+	}
+	var jobs []PendingJob
+	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
+		if c.lastStage[id] == "" || c.lastStage[id].Final() || c.cancelRequested[id] {
+			continue
+		}
+		jobs = append(jobs, PendingJob{Job: c.submitted[id], Placed: on[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
+	}
+	c.Starvation.Sample(now, places, jobs, used)
+}
+
+// SetQuietSince tells all checkers since when no fault is active; a zero time means that there are
+// faults.
+func (c *Checker) SetQuietSince(since time.Time) {
+	c.Liveness.SetQuietSince(since)
+	c.Launches.SetQuietSince(since)
+	c.Starvation.SetQuietSince(since)
+}
--- /dev/null
+++ b/internal/simulator/heartbeat_replayer_test.go
@@ -0,0 +1,58 @@
+package simulator
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// TestReplayToNextLeader checks that copies of heartbeats are kept while the same leader acts,
+// however long, and are delivered to the next one as soon as it acts.
+func TestReplayToNextLeader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		n := NewNetwork()
+		ctx, stop := context.WithCancel(t.Context())
+		var mu sync.Mutex
+		var old int
+		term := uint64(1)
+		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, serveHTTP(func(_, _ string, _ map[string]string, body []byte) (int, any) {
+			var r wire.Heartbeat
+			_ = wire.Decode(body, &r)
+			mu.Lock()
+			defer mu.Unlock()
+			if r.FencingToken == 1 && term == 2 {
+				old++
+			}
+			return 200, wire.HeartbeatResponse{FencingToken: term, Commands: []wire.Command{}}
+		}))
+		time.Sleep(time.Second)
+		echo := &HeartbeatReplayer{Dial: n.Host("10.4.0.1").Dial, Controllers: []string{"10.0.0.1:8080"}, MaxDelay: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
+		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {}, Replayer: echo,
+			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
+		time.Sleep(5 * time.Second)
+		echo.KeepForNextLeader(1)
+		time.Sleep(time.Minute)
+		echo.KeepForNextLeader(0)
+		if echo.Delivered() > 0 {
+			t.Error("they came while the same leader acted")
+		}
+		mu.Lock()
+		term = 2
+		mu.Unlock()
+		time.Sleep(3 * time.Second)
+		mu.Lock()
+		defer mu.Unlock()
+		if echo.Delivered() < 25 || old < echo.Delivered() {
+			t.Errorf("%d copies came, %d of them old", echo.Delivered(), old)
+		}
+		w.Kill()
+		stop()
+		n.Close()
+		time.Sleep(time.Minute)
+	})
+}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -1,26 +1,15 @@
-// Package simulator imitates, in one process and on any clock, everything that a controller talks
-// to: the network (Network), the state service (StateService), the cloud provider (Cloud), the
-// machines and the tasks that run on them (Worker, TaskRuntime), and the users (Users). Checker
-// and the checkers that it holds verify the rules of the protocol from the outside, from what
-// machines and users observe, without any knowledge of the controllers' state. Tests and the
-// emulator use it.
 package simulator
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
-	"net/url"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"amberdeal.example/amberdeal/internal/httpwire"
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
@@ -53,21 +42,6 @@
 	screen      transport.Rejecter
 }
 
-// prefetchedConn is a connection whose first bytes were already read in order to screen them.
-type prefetchedConn struct {
-	net.Conn
-	bytes []byte
-}
-
-func (f *prefetchedConn) Read(p []byte) (int, error) {
-	if len(f.bytes) > 0 {
-		n := copy(p, f.bytes)
-		f.bytes = f.bytes[n:]
-		return n, nil
-	}
-	return f.Conn.Read(p)
-}
-
 // serveFirst serves a connection unless the listener's screen rejects it on its first bytes.
 func (l *listener) serveFirst(in net.Conn) {
 	if l.screen != nil {
@@ -85,63 +59,6 @@
 	l.serve(l.ctx, &stream{Conn: in})
 }
 
-// conn is one end of a connection between two hosts.
-type conn struct {
-	net.Conn
-	from, to    string
-	local, peer string
-	net         *Network
-	addr        string       // the address that was dialled
-	incarnation *Incarnation // of the host at this end
-	other       *conn
-	held        *heldBytes // bytes that are delayed; guarded by the network's lock
-}
-
-// heldBytes holds what was sent on a connection while its delivery is delayed.
-type heldBytes struct {
-	bytes  []byte
-	closed bool // the sender has closed its end
-}
-
-// Read returns received bytes, after any pause or step delay of the host.
-func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.net.waitForHost(c.local)
-	return n, err
-}
-
-// Write sends bytes, after any pause or step delay of the host. Writes that are dropped or delayed
-// succeed from the sender's point of view.
-func (c *conn) Write(p []byte) (int, error) {
-	c.net.mu.Lock()
-	watch := c.net.observe
-	c.net.mu.Unlock()
-	if watch != nil {
-		watch(c.local, p)
-	}
-	c.net.waitForHost(c.local)
-	c.net.mu.Lock()
-	lost, copies := c.net.dropped[[2]string{c.local, c.peer}], c.net.duplicate
-	if c.held != nil && c.held.closed {
-		c.net.mu.Unlock()
-		return 0, net.ErrClosed
-	}
-	if c.held != nil && !lost {
-		c.held.bytes = append(c.held.bytes, p...)
-		lost = true
-	}
-	c.net.mu.Unlock()
-	if copies != nil && c.local == c.from {
-		if late := copies(c.local, c.addr); late > 0 {
-			c.net.redeliver(c.local, c.addr, slices.Clone(p), late)
-		}
-	}
-	if lost {
-		return len(p), nil
-	}
-	return c.Conn.Write(p)
-}
-
 // redeliver sends a duplicate of a message on a connection of its own. The answer is discarded.
 func (n *Network) redeliver(from, addr string, p []byte, late time.Duration) {
 	time.AfterFunc(late, func() {
@@ -155,14 +72,6 @@
 	})
 }
 
-// deliver writes to a connection whose sender is gone, and closes it ten seconds later.
-func (c *conn) deliver(p []byte) {
-	_ = c.Conn.SetDeadline(time.Now().Add(10 * time.Second))
-	go func() { _, _ = io.Copy(io.Discard, c.Conn) }()
-	_, _ = c.Conn.Write(p)
-	time.AfterFunc(10*time.Second, func() { _ = c.Close() })
-}
-
 // Duplicate makes some messages arrive a second time: the function returns the delay of the
 // duplicate, or 0 for none.
 func (n *Network) Duplicate(late func(from, addr string) time.Duration) {
@@ -197,28 +106,6 @@
 	}
 }
 
-// release delivers what was held. The connection then continues normally unless the sender has
-// closed it.
-func (c *conn) release() {
-	for {
-		c.net.mu.Lock()
-		h := c.held
-		p, closed := h.bytes, h.closed
-		if h.bytes = nil; closed || len(p) == 0 {
-			c.held = nil
-		}
-		c.net.mu.Unlock()
-		switch {
-		case closed:
-			c.deliver(p)
-			return
-		case len(p) == 0:
-			return
-		}
-		_, _ = c.Conn.Write(p)
-	}
-}
-
 // waitForHost blocks while a host is paused, and then for the host's step delay.
 func (n *Network) waitForHost(host string) {
 	n.mu.Lock()
@@ -274,33 +161,6 @@
 	n.dropped[[2]string{from, to}] = lose
 }
 
-func (c *conn) Close() error {
-	c.net.mu.Lock()
-	if c.held != nil && len(c.held.bytes) > 0 { // what was sent arrives nevertheless
-		c.held.closed = true
-		c.net.mu.Unlock()
-		return c.Conn.SetReadDeadline(time.Unix(1, 0))
-	}
-	delete(c.net.conns, c)
-	c.net.mu.Unlock()
-	return c.Conn.Close()
-}
-
-// stream adds the idle timeout that services set to the accepting end of a connection.
-type stream struct {
-	net.Conn
-	idle time.Duration
-}
-
-func (s *stream) SetIdle(d time.Duration) { s.idle = d }
-
-func (s *stream) Read(p []byte) (int, error) {
-	if s.idle > 0 {
-		_ = s.SetReadDeadline(time.Now().Add(s.idle))
-	}
-	return s.Conn.Read(p)
-}
-
 // NewNetwork returns a network without hosts or faults.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]listener{}, downHosts: map[string]bool{}, partitions: map[[2]string]bool{}, zones: map[string]string{}, isolatedZones: map[string]int{},
@@ -462,47 +322,5 @@
 // Close closes every connection.
 func (n *Network) Close() { n.closeSevered(true) }
 
-// noAnswer is the status of a request that is never answered while its connection stays open: the
-// caller learns nothing until it times out.
-const noAnswer = -1
-
-// serveHTTP serves requests through a function that gets path, query parameters and body. Status 0
-// closes the connection without an answer.
-func serveHTTP(f func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
-	return func(_ context.Context, s transport.Stream) {
-		r := bufio.NewReader(s)
-		for {
-			req, err := httpwire.ReadRequest(r, 1<<20)
-			if err != nil {
-				return
-			}
-			query := map[string]string{}
-			for _, kv := range strings.Split(req.Query, "&") {
-				k, v, _ := strings.Cut(kv, "=")
-				query[k] = unescape(v)
-			}
-			status, body := f(req.Method, req.Path, query, req.Body)
-			if status == noAnswer {
-				_, _ = io.Copy(io.Discard, s)
-				return
-			}
-			if status == 0 { // swallowed: the caller gets no answer
-				return
-			}
-			resp := &httpwire.Response{Status: status, Body: encode(body)}
-			if _, err := s.Write(httpwire.AppendResponse(nil, resp)); err != nil {
-				return
-			}
-		}
-	}
-}
-
-func unescape(v string) string {
-	if text, err := url.QueryUnescape(v); err == nil {
-		return text
-	}
-	return v
-}
-
 // Address joins an IP address and a port.
 func Address(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -1,8 +1,6 @@
 package simulator
 
 import (
-	"cmp"
-	"context"
 	"fmt"
 	"maps"
 	"math"
@@ -228,100 +226,3 @@
 	defer r.mu.Unlock()
 	return slices.Clone(r.partiallyStarved)
 }
-
-// State returns the machine's state; ok is false while nothing can be started there.
-func (w *Worker) State() (p MachineState, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.spec
-	p = MachineState{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, FreeCPUs: s.CPUs, FreeGPUs: s.GPUs, FreeMemoryGB: s.MemoryGB, CacheGB: s.CacheGB}
-	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
-		if t := w.tasks[key]; t.State != wire.TaskEnded {
-			p.Tasks = append(p.Tasks, t.ID)
-			if t.job != nil {
-				p.FreeCPUs, p.FreeGPUs, p.FreeMemoryGB = p.FreeCPUs-t.job.CPUs, p.FreeGPUs-t.job.GPUs, p.FreeMemoryGB-t.job.MemoryGB
-			}
-		}
-	}
-	return p, w.ctx.Err() == nil && w.takenAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
-}
-
-// sampleInterval is how often the machines are sampled.
-const sampleInterval = 3 * time.Second
-
-// WatchMachines samples the cloud's machines until the context ends.
-func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
-	for ctx.Err() == nil {
-		wait(ctx, sampleInterval)
-		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsQuiet(now) {
-			c.sampleMachines(now, cloud)
-		}
-	}
-}
-
-// sampleMachines passes one sample of machines, jobs and quota use to the starvation checker.
-func (c *Checker) sampleMachines(now time.Time, cloud *Cloud) {
-	var places []MachineState
-	on := map[string]map[int]string{}
-	put := func(t wire.TaskID, zone string) {
-		if on[t.Job] == nil {
-			on[t.Job] = map[int]string{}
-		}
-		on[t.Job][t.Index] = zone
-	}
-	cloud.EachRunning(func(_ wire.ListedMachine, m Machine) {
-		if w, is := m.(StateReporter); is {
-			p, ok := w.State()
-			for _, t := range p.Tasks {
-				put(t, p.Zone)
-			}
-			if ok {
-				places = append(places, p)
-			}
-		}
-	})
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for t, where := range c.placements {
-		for _, zone := range where {
-			put(t, zone)
-		}
-	}
-	used := map[string]TeamLimit{}
-	for id, tasks := range on {
-		if j := c.submitted[id]; j != nil {
-			u, n := used[j.Team], float64(len(tasks))
-			used[j.Team] = TeamLimit{u.CPUs + n*j.CPUs, u.GPUs + n*j.GPUs}
-		}
-	}
-	var jobs []PendingJob
-	for _, id := range slices.Sorted(maps.Keys(c.submitted)) {
-		if c.lastStage[id] == "" || c.lastStage[id].Final() || c.cancelRequested[id] {
-			continue
-		}
-		jobs = append(jobs, PendingJob{Job: c.submitted[id], Placed: on[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
-	}
-	c.Starvation.Sample(now, places, jobs, used)
-}
-
-// SetQuietSince tells all checkers since when no fault is active; a zero time means that there are
-// faults.
-func (c *Checker) SetQuietSince(since time.Time) {
-	c.Liveness.SetQuietSince(since)
-	c.Launches.SetQuietSince(since)
-	c.Starvation.SetQuietSince(since)
-}
-
-// TeamLimit is what a team's tasks may use at once; 0 stands for no limit.
-type TeamLimit struct{ CPUs, GPUs float64 }
-
-// remainingTasks returns how many more tasks of a job a limit allows.
-func (l TeamLimit) remainingTasks(used TeamLimit, j *wire.Job) int {
-	n := math.Inf(1)
-	for _, x := range [][3]float64{{l.CPUs, used.CPUs, j.CPUs}, {l.GPUs, used.GPUs, j.GPUs}} {
-		if x[0] > 0 && x[2] > 0 {
-			n = min(n, math.Floor((x[0]-x[1]+epsilon)/x[2]))
-		}
-	}
-	return int(cmp.Or(min(max(n, 0), wire.MaxTasks), 0))
-}
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"regexp"
@@ -123,3 +124,17 @@
 		c.violate("refused_valid", "%s is answered %d", id, status)
 	}
 }
+
+// TeamLimit is what a team's tasks may use at once; 0 stands for no limit.
+type TeamLimit struct{ CPUs, GPUs float64 }
+
+// remainingTasks returns how many more tasks of a job a limit allows.
+func (l TeamLimit) remainingTasks(used TeamLimit, j *wire.Job) int {
+	n := math.Inf(1)
+	for _, x := range [][3]float64{{l.CPUs, used.CPUs, j.CPUs}, {l.GPUs, used.GPUs, j.GPUs}} {
+		if x[0] > 0 && x[2] > 0 {
+			n = min(n, math.Floor((x[0]-x[1]+epsilon)/x[2]))
+		}
+	}
+	return int(cmp.Or(min(max(n, 0), wire.MaxTasks), 0))
+}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -361,3 +361,20 @@
 	w.execute(d.Commands)
 	return 200
 }
+
+// State returns the machine's state; ok is false while nothing can be started there.
+func (w *Worker) State() (p MachineState, ok bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	s := w.spec
+	p = MachineState{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, FreeCPUs: s.CPUs, FreeGPUs: s.GPUs, FreeMemoryGB: s.MemoryGB, CacheGB: s.CacheGB}
+	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
+		if t := w.tasks[key]; t.State != wire.TaskEnded {
+			p.Tasks = append(p.Tasks, t.ID)
+			if t.job != nil {
+				p.FreeCPUs, p.FreeGPUs, p.FreeMemoryGB = p.FreeCPUs-t.job.CPUs, p.FreeGPUs-t.job.GPUs, p.FreeMemoryGB-t.job.MemoryGB
+			}
+		}
+	}
+	return p, w.ctx.Err() == nil && w.takenAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
+}
