--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -2,22 +2,16 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/simulator"
-	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/transport"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -39,9 +33,6 @@
 	OnTaskStart func(t wire.TaskID)
 }
 
-// maxMachines bounds the machines of a cluster.
-const maxMachines = 20_000
-
 // Cluster is a running emulated cluster.
 type Cluster struct {
 	Config    *Config
@@ -65,16 +56,6 @@
 	usedPorts    map[int]bool // of machines
 }
 
-// StagedFault is a fault that is active, or was.
-type StagedFault struct {
-	Number      int     `json:"number"`
-	Label       string  `json:"label,omitempty"`
-	Description string  `json:"what"`
-	Since       float64 `json:"since_s"`
-	Until       float64 `json:"until_s,omitempty"` // 0 while it is active
-	lift        func()
-}
-
 // Start starts a cluster and its timeline.
 func Start(ctx context.Context, c *Config, opt Options) (*Cluster, error) {
 	layout := layOutPorts(c.Controllers)
@@ -124,11 +105,6 @@
 // Blobs returns the address of the blob store for remote execution.
 func (w *Cluster) Blobs() string { return w.addr(w.ports.blobs) }
 
-// Settings returns the path of a controller's platform file.
-func (w *Cluster) Settings(i int) string {
-	return filepath.Join(w.opt.Dir, fmt.Sprintf("c-%d.json", i))
-}
-
 func (w *Cluster) zone(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
 
 func (w *Cluster) controller(i int) side {
@@ -140,41 +116,6 @@
 	cloud = side{"cloud", "cloud", ""}
 )
 
-// makeCloud creates the cloud, whose machines are emulated workers or started by Options.Machine.
-func (w *Cluster) makeCloud() {
-	c := w.Config
-	w.fixture = newTaskFixture(w)
-	w.fixture.SetQuietSince(w.startedAt)
-	yard := simulator.NewTaskRuntime(w.fixture, c.Workers.GangWait, c.Workers.GangPeer)
-	names := map[string]string{}
-	w.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
-	for i := range c.Controllers {
-		names[w.controller(i).name] = w.Public(i)
-		w.replayer.Controllers = append(w.replayer.Controllers, w.Public(i))
-	}
-	w.cloud = &simulator.Cloud{Types: c.Types, CapacityByOffer: c.CapacityByOffer, RPS: c.Cloud.RPS, ListLag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
-		AddrOf: w.machineAddr,
-		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
-			if w.opt.Machine != nil {
-				if m := w.opt.Machine(id, addr, typ, zone, spot); m != nil {
-					return m
-				}
-			}
-			me := side{id, "machines", zone}
-			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
-				TakeDown: func() { w.freePort(addr) }, Controllers: names, Runtime: yard, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: w.replayer})
-		}}
-}
-
-func (c *Config) spec(typ string) wire.MachineType {
-	for _, t := range c.Types {
-		if t.Name == typ {
-			return t
-		}
-	}
-	return wire.MachineType{}
-}
-
 // peer returns the side at an address. Any caller of a machine is some controller.
 func (w *Cluster) peer(addr string) side {
 	for i := range w.Config.Controllers {
@@ -185,34 +126,6 @@
 	return side{"", "controllers", ""}
 }
 
-// machineAddr reserves the first free port for a machine.
-func (w *Cluster) machineAddr(int) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	first := w.opt.Port + w.ports.machines
-	for p := first; p <= min(65535, first+maxMachines); p++ {
-		if !w.usedPorts[p] {
-			w.usedPorts[p] = true
-			return fmt.Sprintf("127.0.0.1:%d", p)
-		}
-	}
-	return w.addr(w.ports.machines) // it will never come up
-}
-
-// freePort releases the port of a machine.
-func (w *Cluster) freePort(addr string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var p int
-	if _, err := fmt.Sscanf(addr, "127.0.0.1:%d", &p); err == nil {
-		time.AfterFunc(time.Second, func() { // its listener is closed by then
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			delete(w.usedPorts, p)
-		})
-	}
-}
-
 // listen opens every port of the cluster, or reports those that are in use.
 func (w *Cluster) listen() error {
 	var errs []error
@@ -261,90 +174,6 @@
 	}
 }
 
-// writeSettings writes the platform file of each controller.
-func (w *Cluster) writeSettings() error {
-	if w.opt.Dir == "" {
-		return nil
-	}
-	errs := []error{os.MkdirAll(w.opt.Dir, 0o755)}
-	for i := range w.Config.Controllers {
-		text, err := json.MarshalIndent(w.settings(i), "", "  ")
-		errs = append(errs, err, writeWhole(w.Settings(i), text))
-	}
-	return errors.Join(errs...)
-}
-
-// writeWhole replaces a file atomically.
-func writeWhole(path string, content []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(content)
-	if err = errors.Join(err, f.Close()); err == nil {
-		err = os.Rename(f.Name(), path)
-	}
-	if err != nil {
-		_ = os.Remove(f.Name())
-	}
-	return err
-}
-
-// settings returns the content of a controller's platform file.
-func (w *Cluster) settings(i int) map[string]any {
-	c := w.Config
-	siblings := []any{}
-	for k := range c.Controllers {
-		if k != i {
-			siblings = append(siblings, map[string]any{"host_name": w.controller(k).name, "location": w.zone(k), "peer_addr": w.addr(w.ports.between(i, k))})
-		}
-	}
-	wk := c.Workers
-	return map[string]any{"host_name": w.controller(i).name, "location": w.zone(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": siblings,
-		"endpoints": map[string]any{"cloud": w.addr(w.ports.cloud + i), "state": w.addr(w.ports.state + i)},
-		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
-			"workers": map[string]any{"report_s": wk.HeartbeatInterval.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
-			"state":   map[string]any{"rps": c.State.RPS, "write_rps": c.State.WriteRPS, "value_kb": float64(c.State.ValueBytes) / 1024, "txn_ops": c.State.TxnOps},
-			"cloud":   map[string]any{"rps": c.Cloud.RPS, "list_lag_s": c.Cloud.ListLag.Seconds()},
-			"limits":  map[string]any{"ram_mb": float64(c.Limits.RAMBytes >> 20), "fd_limit": c.Limits.Files}}}
-}
-
-func (w *Cluster) stateFile() string { return filepath.Join(w.opt.Dir, "state.cbor") }
-
-// restoreState loads a persisted state, and persists this cluster's state from then on.
-func (w *Cluster) restoreState() error {
-	if !w.opt.Persist {
-		return nil
-	}
-	text, err := os.ReadFile(w.stateFile())
-	switch {
-	case errors.Is(err, os.ErrNotExist):
-	case err != nil:
-		return err
-	default:
-		var k simulator.StateSnapshot
-		if err := wire.Decode(text, &k); err != nil {
-			return fmt.Errorf("%s is not a kept state: %w", w.stateFile(), err)
-		}
-		w.state.Resume(k)
-		w.log.Info("going on with a kept state", "keys", len(k.Items), "revision", k.Revision)
-	}
-	go func() {
-		for w.ctx.Err() == nil {
-			sleep(w.ctx, time.Second)
-			w.persistState()
-		}
-	}()
-	return nil
-}
-
-// persistState writes the state to disk.
-func (w *Cluster) persistState() {
-	if err := writeWhole(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
-		w.log.Error("the state can't be kept", "error", err)
-	}
-}
-
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -365,28 +194,6 @@
 	}
 }
 
-// pickMachines selects machines of a fault's zone, or spot machines only.
-func (w *Cluster) pickMachines(f *Fault, spot bool) (ids []string) {
-	w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
-		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
-			ids = append(ids, m.ID)
-		}
-	})
-	w.mu.Lock()
-	w.rng.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
-	w.mu.Unlock()
-	n := len(ids)
-	switch {
-	case f.Count > 0:
-		n = min(n, f.Count)
-	case f.Share > 0:
-		n = min(n, int(f.Share*float64(n)+0.5))
-	}
-	ids = ids[:n]
-	slices.Sort(ids)
-	return ids
-}
-
 // Liveness returns the checker of whether jobs are forgotten.
 func (w *Cluster) Liveness() *simulator.LivenessChecker { return &w.fixture.Liveness }
 
@@ -394,136 +201,3 @@
 func (w *Cluster) Page(prefix string, most int) []wire.KeyValue {
 	return w.state.Page(prefix, "", most).Items
 }
-
-// Status is the state of a cluster.
-type Status struct {
-	AgeS               float64       `json:"age_s"`
-	Machines           int           `json:"machines"`
-	Up                 int           `json:"up"`
-	Cost               float64       `json:"cost"`
-	Requests           int           `json:"state_requests"`
-	Changes            int           `json:"state_changes"`
-	Keys               int           `json:"state_keys"`
-	RunningTasks       int           `json:"tasks_on_machines"`
-	StartedTasks       int           `json:"tasks_started"`
-	FencingToken       uint64        `json:"term"` // of the last election
-	StartedAfterCancel []string      `json:"started_after_cancellation"`
-	Violations         []string      `json:"rules_broken"`
-	Faults             []StagedFault `json:"faults"`
-}
-
-// Status returns the state of the cluster.
-func (w *Cluster) Status() Status {
-	s := Status{AgeS: time.Since(w.startedAt).Seconds(), Up: w.cloud.CountRunning()}
-	s.Cost, s.Machines = w.cloud.Cost()
-	s.Requests, s.Changes, s.Keys = w.state.Counts()
-	s.RunningTasks, s.StartedTasks = w.fixture.Counts()
-	s.Violations = w.fixture.Violations()
-	s.StartedAfterCancel, _ = w.fixture.Launches.AfterCancellation()
-	for _, it := range w.Page(store.FencingTokenKey, 1) {
-		_ = wire.DecodeValue(it.Value, &s.FencingToken)
-	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for n := 1; n <= w.faultCount; n++ {
-		s.Faults = append(s.Faults, *w.activeFaults[n])
-	}
-	return s
-}
-
-// taskFixture determines how long tasks run: as long as their owners estimate, services until they
-// are stopped. It looks jobs up at the controllers, as a platform would upload them, and checks
-// the rules of the protocol.
-type taskFixture struct {
-	*simulator.Checker
-	cluster *Cluster
-	caller  *transport.Caller
-}
-
-// newTaskFixture returns the fixture of a cluster.
-func newTaskFixture(w *Cluster) *taskFixture {
-	limits, teams := make(map[string]float64), make(map[string]simulator.TeamLimit)
-	for _, t := range w.Config.Teams {
-		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.TeamLimit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
-	}
-	c := simulator.NewChecker(w.Config.Workers.Cancel, limits)
-	c.Submissions, c.Starvation.Limits = simulator.SubmissionRules{Types: w.Config.Types, Teams: teams}, teams
-	return &taskFixture{Checker: c, cluster: w, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
-}
-
-// TaskStarted implements simulator.Fixture.
-func (l *taskFixture) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	if started := l.cluster.opt.OnTaskStart; started != nil {
-		started(t)
-	}
-	return l.Checker.TaskStarted(t, machine, typ, zone, spot)
-}
-
-// TaskCompleted implements simulator.Fixture.
-func (l *taskFixture) TaskCompleted(t wire.TaskID) {
-	l.Checker.TaskCompleted(t)
-	if l.Finished(t.Job) {
-		l.cluster.users.jobEnded(t.Job)
-	}
-}
-
-// LookUp implements simulator.LookupFixture.
-func (l *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
-	for try := 0; ; try++ {
-		if _, known := l.Describe(t.Job); known {
-			return nil
-		}
-		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := l.caller.Call(call, l.cluster.Public((t.Index+try)%l.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
-		cancel()
-		var j wire.Job
-		switch {
-		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &j) == nil:
-			l.recordSubmission(&j)
-			return nil
-		case err == nil && resp.Status == 404 && try > 2, ctx.Err() != nil, try > 30:
-			return fmt.Errorf("job %s is not known", t.Job)
-		}
-		sleep(ctx, 300*time.Millisecond)
-	}
-}
-
-// recordSubmission records a job, once.
-func (l *taskFixture) recordSubmission(j *wire.Job) {
-	if _, known := l.Describe(j.ID); known {
-		return
-	}
-	run := max(100*time.Millisecond, j.Estimate())
-	if j.Shape == wire.Service {
-		run = 10_000 * time.Hour
-	}
-	l.Submitted(j, run)
-}
-
-// describe returns a description of a fault in one line.
-func (f *Fault) describe() string {
-	var out []string
-	add := func(name string, set bool, value any) {
-		if set {
-			out = append(out, fmt.Sprintf("%s=%v", name, value))
-		}
-	}
-	add("from", f.From != "", f.From)
-	add("to", f.To != "", f.To)
-	add("mode", f.Mode != "", f.Mode)
-	add("one_way", f.OneWay, "yes")
-	add("delay", f.Delay > 0, f.Delay)
-	add("share", f.Share > 0, f.Share)
-	add("count", f.Count > 0, f.Count)
-	add("zone", f.Zone != "", f.Zone)
-	add("notice", f.Notice > 0, f.Notice)
-	add("times", f.Times > 0, f.Times)
-	add("who", f.Who != "", f.Who)
-	add("from_state", f.FromState, "yes")
-	add("from_peers", f.FromPeers, "yes")
-	add("at_once", f.AtOnce, "yes")
-	add("for_next", f.ForNext, "yes")
-	add("hang", f.Hang > 0, f.Hang)
-	add("for", f.For > 0, f.For)
-	return strings.TrimSpace(f.Kind + " " + strings.Join(out, " "))
-}
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"net"
 	"os"
 	"path/filepath"
 	"strings"
@@ -14,90 +13,6 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// wrongWorld is a world file with a fault of every kind, and wrongWorldFaults how these are reported.
-const wrongWorld = `[world]
-controllers = 25
-zones = a, a
-colour = red
-[type g4]
-cpus = none
-zones = nowhere
-[team red]
-gpus = 9
-gpus_max = 3
-[fault x]
-at = 5
-kind = cut
-from = moon
-[fault y]
-kind = state_down
-count = 3
-[fault z]
-kind = machine_hang
-[fault deaf]
-kind = machine_deaf
-zone = moon
-who = c-0
-[fault late]
-kind = state_late
-[fault echo]
-kind = report_late
-share = 2
-[fault apart]
-kind = controller_cut
-who = c-77
-from_peers = perhaps
-[fault odd]
-kind = machine_sings
-share = 3
-[fault next]
-kind = report_late
-share = 0.5
-for_next = soon
-at_once = yes
-colour = red
-[fault hang]
-kind = machine_hang
-for = long
-[fault now]
-kind = cancel_now
-hang = 2s
-[planet mars]
-`
-
-var wrongWorldFaults = []string{"line 2: [world] controllers: \"25\": must be a count from 1 to 24", "line 3: [world] zones", "line 4: [world] colour: \"red\": must be left out; known are cancel,",
-	"line 6: [type g4] cpus", "line 7: [type g4] zones", "line 9: [team red] gpus", "line 12: [fault x] at", "from: \"moon\"", "to: missing: cut needs it", "line 17: [fault y]: count: means nothing to state_down", "[fault z]: for: missing",
-	"[fault deaf]: who: means nothing to machine_deaf, which takes for, count, share, zone", "[fault deaf]: zone: \"moon\": must be one of", "[fault late]: share: missing: state_late needs it",
-	"[fault echo] share: \"2\": must be", "[fault apart]: who: \"c-77\": must be one of", "[fault apart] from_peers: \"perhaps\": must be yes or no", "[fault apart]: from_state: missing: controller_cut needs from_state = yes, from_peers = yes, or both", "[fault odd] kind: \"machine_sings\": must be one of boot_never,", "[fault odd] share: \"3\"", "[fault next] for_next: \"soon\": must be yes or no",
-	"[fault next]: at_once: means nothing to report_late, which takes for, share, for_next", "[fault next] colour: \"red\": must be left out; known are at, at_once,", "[fault hang] for: \"long\"", "[fault now]: count: missing: cancel_now needs it", "[planet mars]"}
-
-// TestParse reads the world file that is shipped, and checks that everything wrong with one is
-// reported, with its line.
-func TestParse(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/world.ini")
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := Parse(text)
-	if err != nil || len(c.Timeline) != 4 || c.Teams[1].GPUsMax != 32 || c.Types[0].Name != "g4" {
-		t.Fatalf("%+v, %v", c, err)
-	}
-	_, err = Parse([]byte(wrongWorld))
-	if err == nil {
-		t.Fatal("nothing is wrong")
-	}
-	for _, want := range wrongWorldFaults {
-		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in\n%v", want, err)
-		}
-	}
-	for what, times := range map[string]int{"[fault odd]": 2, "[fault next]": 3, "[fault hang]": 1, "machine_sings": 1} { // each fault is named once
-		if n := strings.Count(err.Error(), what); n != times {
-			t.Errorf("%s is named %d times in\n%v", what, n, err)
-		}
-	}
-}
-
 func small(t *testing.T, port int, opt Options) *Cluster {
 	t.Helper()
 	opt.Port = port
@@ -186,70 +101,6 @@
 	}
 }
 
-// TestHeldMessages checks that messages sent into a cut that holds them are delivered in order
-// when it ends, although the sender has given up, and none after a cut that loses them.
-func TestHeldMessages(t *testing.T) {
-	l := newLinks()
-	me, peer := side{"n-1", "machines", "a"}, side{"c-0", "controllers", "a"}
-	for _, mode := range []string{"hold", "lose"} {
-		a, b := net.Pipe()
-		k := l.wrap(a, me, peer)
-		lift := l.add(&rule{from: "machines", to: "c-0", mode: mode})
-		for _, text := range []string{"one ", "two ", "three"} {
-			if _, err := k.Write([]byte(text)); err != nil {
-				t.Fatal(err)
-			}
-		}
-		k.Close()
-		got := make(chan string, 1)
-		go func() {
-			var out []byte
-			buf := make([]byte, 64)
-			for {
-				n, err := b.Read(buf)
-				out = append(out, buf[:n]...)
-				if err != nil {
-					got <- string(out)
-					return
-				}
-			}
-		}()
-		lift()
-		if text, want := <-got, map[string]string{"hold": "one two three", "lose": ""}[mode]; text != want {
-			t.Errorf("%s: %q came through", mode, text)
-		}
-	}
-}
-
-// TestDialNeedsBothWays checks that no connection is established where answers are lost, as on a
-// real network.
-func TestDialNeedsBothWays(t *testing.T) {
-	lis, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer lis.Close()
-	l := newLinks()
-	h := host{l, side{"n-1", "machines", "a"}, func(string) side { return side{"c-0", "controllers", "a"} }}
-	dial := func() error {
-		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		defer cancel()
-		c, err := h.Dial(ctx, lis.Addr().String())
-		if err == nil {
-			c.Close()
-		}
-		return err
-	}
-	lift := l.add(&rule{from: "c-0", to: "machines", mode: "lose"})
-	if dial() == nil {
-		t.Error("connected, though nothing comes back")
-	}
-	lift()
-	if err := dial(); err != nil {
-		t.Error(err)
-	}
-}
-
 // TestZoneWorksInside checks that a zone which is cut off from everything reaches itself, and
 // nothing else.
 func TestZoneWorksInside(t *testing.T) {
--- /dev/null
+++ b/internal/emulator/control.go
@@ -0,0 +1,100 @@
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/httpwire"
+	"amberdeal.example/amberdeal/internal/transport"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// The paths of the control address. Its protocol is JSON.
+const (
+	PathStatus = "/status"
+	PathFaults = "/faults"
+	PathUsers  = "/users" // what users are to do now, see Orders
+	PathJudge  = "/judge" // CBOR: what users did and were told, so that all rules can be judged
+)
+
+// Observation is an answer that a user got about a job, or the job that a user is about to submit.
+type Observation struct {
+	Submitted       *wire.Job  `cbor:"submitted,omitempty"`
+	Job             string     `cbor:"job"`
+	Status          int        `cbor:"status"`
+	Stage           wire.Stage `cbor:"stage"`
+	CancelRequested bool       `cbor:"asked"` // the user has asked to cancel the job
+	Poll            bool       `cbor:"poll"`  // a poll, with status 0 if no answer came in time
+	SentNS          int64      `cbor:"sent"`  // with AnsweredNS: ns on a clock that all users share
+	AnsweredNS      int64      `cbor:"back"`
+	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that has to be refused, or may have to be
+}
+
+// Observe passes users' observations to the checkers.
+func (w *Cluster) Observe(told []Observation) {
+	for _, t := range told {
+		if t.Submitted != nil {
+			w.fixture.recordSubmission(t.Submitted)
+			continue
+		}
+		if t.Body != nil {
+			w.fixture.ObserveSubmission(t.Body, t.Status)
+			continue
+		}
+		if t.Status > 0 {
+			w.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
+		}
+		w.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
+	}
+}
+
+// Refusal is the answer to a fault that cannot be staged.
+type Refusal struct {
+	Error string `json:"error"`
+}
+
+// control serves the control address.
+func (w *Cluster) control() transport.ServeConn {
+	answer := func(status int, v any) *httpwire.Response {
+		text, _ := json.Marshal(v)
+		return &httpwire.Response{Status: status, Body: text}
+	}
+	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
+		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
+		switch {
+		case r.Method == "GET" && r.Path == PathStatus:
+			return answer(200, w.Status())
+		case r.Method == "GET" && r.Path == PathUsers:
+			return answer(200, w.users.instructions())
+		case r.Method == "POST" && r.Path == PathFaults:
+			var f Fault
+			if err := json.Unmarshal(r.Body, &f); err != nil {
+				return answer(400, Refusal{err.Error()})
+			}
+			s, err := w.Stage(f)
+			if err != nil {
+				return answer(422, Refusal{err.Error()})
+			}
+			return answer(200, s)
+		case r.Method == "POST" && r.Path == PathJudge:
+			var told struct {
+				Told []Observation `cbor:"told"`
+			}
+			if err := wire.Decode(r.Body, &told); err != nil {
+				return answer(400, Refusal{err.Error()})
+			}
+			w.Observe(told.Told)
+			return answer(200, struct{}{})
+		case r.Method == "DELETE" && named:
+			if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
+				return answer(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
+			}
+			return answer(200, struct{}{})
+		}
+		return answer(404, Refusal{"no such path"})
+	})
+}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -179,3 +179,31 @@
 	zone, isZone := strings.CutPrefix(side, "zone:")
 	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, side) || slices.Contains(c.names(), side) || isZone && slices.Contains(c.Zones, zone)
 }
+
+// describe returns a description of a fault in one line.
+func (f *Fault) describe() string {
+	var out []string
+	add := func(name string, set bool, value any) {
+		if set {
+			out = append(out, fmt.Sprintf("%s=%v", name, value))
+		}
+	}
+	add("from", f.From != "", f.From)
+	add("to", f.To != "", f.To)
+	add("mode", f.Mode != "", f.Mode)
+	add("one_way", f.OneWay, "yes")
+	add("delay", f.Delay > 0, f.Delay)
+	add("share", f.Share > 0, f.Share)
+	add("count", f.Count > 0, f.Count)
+	add("zone", f.Zone != "", f.Zone)
+	add("notice", f.Notice > 0, f.Notice)
+	add("times", f.Times > 0, f.Times)
+	add("who", f.Who != "", f.Who)
+	add("from_state", f.FromState, "yes")
+	add("from_peers", f.FromPeers, "yes")
+	add("at_once", f.AtOnce, "yes")
+	add("for_next", f.ForNext, "yes")
+	add("hang", f.Hang > 0, f.Hang)
+	add("for", f.For > 0, f.For)
+	return strings.TrimSpace(f.Kind + " " + strings.Join(out, " "))
+}
--- /dev/null
+++ b/internal/emulator/injection.go
@@ -0,0 +1,187 @@
+package emulator
+
+import (
+	"cmp"
+	"errors"
+	"strings"
+	"time"
+
+	"amberdeal.example/amberdeal/internal/simulator"
+)
+
+// apply injects a fault and returns the function that ends it, nil if it has no duration.
+func (w *Cluster) apply(f *Fault) (lift func(), err error) {
+	switch f.Kind {
+	case "cut", "slow":
+		return w.cutLinks(f), nil
+	case "controller_cut":
+		return w.cutOffController(f), nil
+	case "state_down", "state_refuse", "state_slow", "state_lose", "state_late", "state_forget":
+		return w.applyToState(f), nil
+	case "cloud_down", "cloud_fewer", "cloud_late", "boot_slow", "boot_never":
+		return w.applyToCloud(f), nil
+	case "report_late":
+		return w.replayHeartbeats(f), nil
+	case "machine_die", "machine_hang", "machine_deaf", "machine_mute", "machine_restart", "spot_taken":
+		return w.applyToMachines(f), nil
+	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
+		return w.users.apply(w, f)
+	case "controller_kill", "controller_hang":
+		return w.applyToController(f)
+	}
+	return nil, nil
+}
+
+// applyToState injects a fault of the state service.
+func (w *Cluster) applyToState(f *Fault) (lift func()) {
+	configure := func(change, back func(*simulator.StateService)) func() {
+		w.state.Configure(change)
+		return func() { w.state.Configure(back) }
+	}
+	switch f.Kind {
+	case "state_down":
+		w.state.SetOutage(true)
+		return func() { w.state.SetOutage(false) }
+	case "state_refuse":
+		w.state.RefuseCaller(f.Who, true)
+		return func() { w.state.RefuseCaller(f.Who, false) }
+	case "state_slow":
+		usual := w.Config.StateDelay
+		return configure(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
+			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } })
+	case "state_lose":
+		return configure(func(s *simulator.StateService) { s.LossShare = f.Share }, func(s *simulator.StateService) { s.LossShare = 0 })
+	case "state_late":
+		if f.AtOnce {
+			return configure(func(s *simulator.StateService) { s.LostReplyShare = f.Share }, func(s *simulator.StateService) { s.LostReplyShare = 0 })
+		}
+		return configure(func(s *simulator.StateService) { s.DelayedShare = f.Share }, func(s *simulator.StateService) { s.DelayedShare = 0 })
+	case "state_forget":
+		w.state.DropHistory()
+	}
+	return nil
+}
+
+// applyToCloud injects a fault of the cloud.
+func (w *Cluster) applyToCloud(f *Fault) (lift func()) {
+	set := func(change, back func(*simulator.CloudFaults)) func() {
+		w.cloud.SetFaults(change)
+		return func() { w.cloud.SetFaults(back) }
+	}
+	switch f.Kind {
+	case "cloud_down":
+		return set(func(c *simulator.CloudFaults) { c.Unavailable = true }, func(c *simulator.CloudFaults) { c.Unavailable = false })
+	case "cloud_fewer":
+		return set(func(c *simulator.CloudFaults) { c.MissingCapacityShare = f.Share }, func(c *simulator.CloudFaults) { c.MissingCapacityShare = 0 })
+	case "cloud_late":
+		return set(func(c *simulator.CloudFaults) { c.RentDelay = f.Delay }, func(c *simulator.CloudFaults) { c.RentDelay = 0 })
+	case "boot_slow":
+		return set(func(c *simulator.CloudFaults) { c.BootFactor = f.Times }, func(c *simulator.CloudFaults) { c.BootFactor = 0 })
+	case "boot_never":
+		return set(func(c *simulator.CloudFaults) { c.NeverBootShare = f.Share }, func(c *simulator.CloudFaults) { c.NeverBootShare = 0 })
+	}
+	return nil
+}
+
+// replayHeartbeats delivers copies of heartbeats late, or to the next leader.
+func (w *Cluster) replayHeartbeats(f *Fault) (lift func()) {
+	if f.ForNext {
+		w.replayer.KeepForNextLeader(f.Share)
+	} else {
+		w.replayer.SetShare(f.Share)
+	}
+	return func() { w.replayer.SetShare(0) }
+}
+
+// applyToMachines injects a fault of machines.
+func (w *Cluster) applyToMachines(f *Fault) (lift func()) {
+	switch f.Kind {
+	case "machine_die":
+		for _, id := range w.pickMachines(f, false) {
+			w.cloud.Crash(id)
+		}
+	case "machine_hang":
+		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
+	case "machine_deaf":
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
+	case "machine_mute":
+		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
+	case "machine_restart":
+		back := cmp.Or(f.Delay, defaultRestartDelay)
+		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
+	case "spot_taken":
+		for _, id := range w.pickMachines(f, true) {
+			w.cloud.Preempt(id, f.Notice)
+		}
+	}
+	return nil
+}
+
+// cutLinks puts a fault's rules into force, in both directions unless it is one way. A zone that
+// is isolated from all others works inside.
+func (w *Cluster) cutLinks(f *Fault) func() {
+	inside := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
+	mode := f.Mode
+	if f.Kind == "cut" && mode == "" {
+		mode = "hold"
+	}
+	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, sparesInside: inside, mode: mode, delay: f.Delay})}
+	if !f.OneWay {
+		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, sparesInside: inside, mode: mode, delay: f.Delay}))
+	}
+	return func() {
+		for _, lift := range lifts {
+			lift()
+		}
+	}
+}
+
+// cutOffController separates a controller from the state service, from its peers, or from both,
+// and from nobody else.
+func (w *Cluster) cutOffController(f *Fault) func() {
+	var lifts []func()
+	for to, meant := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
+		if meant {
+			lifts = append(lifts, w.cutLinks(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
+		}
+	}
+	return func() {
+		for _, lift := range lifts {
+			lift()
+		}
+	}
+}
+
+// defaultRestartDelay is how long after its end something is restarted, unless a fault says
+// otherwise.
+const defaultRestartDelay = 2 * time.Second
+
+// errExternalControllers is returned for faults of controller processes that this command has not
+// started.
+var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
+
+// applyToController kills or suspends a controller.
+func (w *Cluster) applyToController(f *Fault) (lift func(), err error) {
+	names := w.Config.names()
+	if f.Who != "" {
+		names = []string{f.Who}
+	}
+	if w.opt.Kill == nil || w.opt.Pause == nil {
+		return nil, errExternalControllers
+	}
+	for _, name := range names {
+		if f.Kind == "controller_kill" {
+			err = errors.Join(err, w.opt.Kill(name, f.Delay))
+		} else {
+			err = errors.Join(err, w.opt.Pause(name, true))
+		}
+	}
+	if f.Kind == "controller_kill" {
+		return nil, err
+	}
+	return func() {
+		for _, name := range names {
+			_ = w.opt.Pause(name, false)
+		}
+	}, err
+}
--- /dev/null
+++ b/internal/emulator/links_test.go
@@ -0,0 +1,72 @@
+package emulator
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+)
+
+// TestHeldMessages checks that messages sent into a cut that holds them are delivered in order
+// when it ends, although the sender has given up, and none after a cut that loses them.
+func TestHeldMessages(t *testing.T) {
+	l := newLinks()
+	me, peer := side{"n-1", "machines", "a"}, side{"c-0", "controllers", "a"}
+	for _, mode := range []string{"hold", "lose"} {
+		a, b := net.Pipe()
+		k := l.wrap(a, me, peer)
+		lift := l.add(&rule{from: "machines", to: "c-0", mode: mode})
+		for _, text := range []string{"one ", "two ", "three"} {
+			if _, err := k.Write([]byte(text)); err != nil {
+				t.Fatal(err)
+			}
+		}
+		k.Close()
+		got := make(chan string, 1)
+		go func() {
+			var out []byte
+			buf := make([]byte, 64)
+			for {
+				n, err := b.Read(buf)
+				out = append(out, buf[:n]...)
+				if err != nil {
+					got <- string(out)
+					return
+				}
+			}
+		}()
+		lift()
+		if text, want := <-got, map[string]string{"hold": "one two three", "lose": ""}[mode]; text != want {
+			t.Errorf("%s: %q came through", mode, text)
+		}
+	}
+}
+
+// TestDialNeedsBothWays checks that no connection is established where answers are lost, as on a
+// real network.
+func TestDialNeedsBothWays(t *testing.T) {
+	lis, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer lis.Close()
+	l := newLinks()
+	h := host{l, side{"n-1", "machines", "a"}, func(string) side { return side{"c-0", "controllers", "a"} }}
+	dial := func() error {
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
+		c, err := h.Dial(ctx, lis.Addr().String())
+		if err == nil {
+			c.Close()
+		}
+		return err
+	}
+	lift := l.add(&rule{from: "c-0", to: "machines", mode: "lose"})
+	if dial() == nil {
+		t.Error("connected, though nothing comes back")
+	}
+	lift()
+	if err := dial(); err != nil {
+		t.Error(err)
+	}
+}
