--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -18,7 +18,7 @@
 		if l.Record.Job.Shape != wire.Gang {
 			continue
 		}
-		ranges := h.allRanges(l)
+		ranges := h.assignment.Ranges(l)
 		if _, shards := reshard.LeadShard(ranges); shards > 1 && h.ownsUnfinished(ranges) && !gangCompleted(l, ranges) {
 			split[id] = ranges
 		}
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -52,7 +52,7 @@
 	h.storeProgress(d)
 	h.plan(now, d)
 	h.writeMigrated(d)
-	carried, disowns := h.migrationDue(), h.releaseOwnership(d)
+	carried, disowns := h.migration.due(), h.releaseOwnership(d)
 	if d.Empty() && !carried && !disowns && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
 		return nil // what is only to be tidied up can wait for company
 	}
@@ -65,7 +65,7 @@
 	h.lastDecided, d.clearedRevision, d.migrated = now, clear, carried
 	head := store.SegmentRecord{FencingToken: h.lease.FencingToken, Round: d.Number, DrainedThrough: clear}
 	if carried || h.migration.recorded {
-		head.Migrated = h.shardingNumber
+		head.Migrated = h.assignment.Generation()
 	}
 	if left := d.Pack(h.ledger, head); left > 0 {
 		// A launch whose machine's record is left out must never be said: the next
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -50,7 +50,7 @@
 
 // handOverJob hands tasks of a job over to one shard, or divides a gang over several.
 func (h *Leader) handOverJob(now time.Time, d *Draft, u *scheduler.UnplacedJob, l *store.LiveJob, waited time.Duration) bool {
-	target, n := h.targets.Choose(now, u, h.allRanges(l), h.types, waited)
+	target, n := h.targets.Choose(now, u, h.assignment.Ranges(l), h.types, waited)
 	if target == "" || n <= 0 {
 		return h.coAllocate(now, d, u, l, waited)
 	}
@@ -74,7 +74,7 @@
 // movableTasks gives how many tasks of a job another shard could take. A job in too many ranges already waits
 // for capacity here.
 func (h *Leader) movableTasks(l *store.LiveJob) int {
-	if len(h.allRanges(l)) >= maxRangesPerJob-1 {
+	if len(h.assignment.Ranges(l)) >= maxRangesPerJob-1 {
 		return 0
 	}
 	return h.targets.MovableTasks(l.Record.Job, h.types)
@@ -87,7 +87,7 @@
 	nowhere := func(i int) bool {
 		return !j.finished.Contains(i) && !inLedger[i] && h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}) == nil
 	}
-	ranges := h.allRanges(l)
+	ranges := h.assignment.Ranges(l)
 	next := handover.Move(ranges, l.Record.Tasks, h.lease.Shard, target, n, nowhere)
 	if len(next) > maxRangesPerJob || slices.Equal(next, ranges) || gang && len(next) != 1 {
 		return false
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -53,11 +53,9 @@
 	targets          *handover.Targets    // of tasks that find no capacity here
 	ledgerTasks      handover.LedgerTasks // what the own ledger names
 	quota            *quota.Quota
-	clearedWritten   uint64 // up to which revision the ledger says that nothing is left of ended jobs
-	shardingNumber   uint64 // of the grouping
-	previous         *reshard.Previous
-	migration        ledgerMigration
-	inferredShares   map[string]cachedRanges // shares of jobs whose records don't say them
+	clearedWritten   uint64              // up to which revision the ledger says that nothing is left of ended jobs
+	assignment       *reshard.Assignment // of tasks to shards
+	migration        *ledgerMigration
 	scaleOutRequests *autoscale.Scaler
 	monitor          *reachability.Monitor
 	detector         *reachability.Detector
@@ -78,15 +76,16 @@
 		ledger: ledger, timeouts: timeoutsOf(cfg), types: types,
 		jobTable: newJobTable(snap), roundState: newRoundState(last.Round, now), loop: newWakeups(),
 		scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), stalls: stall.NewDetector(now),
-		sharding: cfg.Sharding(), shardingNumber: ledgers.Generation, inferredShares: map[string]cachedRanges{},
+		sharding: cfg.Sharding(),
 	}
 	h.targets = handover.NewTargets(lease.Shard, h.sharding)
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
 	h.monitor = reachability.NewMonitor(h.fleet, reachabilityTimeouts(h.timeouts, cfg))
 	h.detector = reachability.NewDetector(h.monitor, h.zoneUnreachable)
 	h.fencing = reachability.NewFencing(h.monitor)
-	h.previous = reshard.NewPrevious(h.sharding, ledgers)
-	h.startMigration(ledgers.Migrated, &last)
+	previous := reshard.NewPrevious(h.sharding, ledgers)
+	h.assignment = reshard.NewAssignment(h.sharding, previous)
+	h.startMigration(previous, ledgers.Migrated, &last)
 	h.recoverZones(now, &last)
 	h.continueZoneRecoveries(now, &last)
 	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -15,7 +15,7 @@
 	if h.sharding.IsSingle() {
 		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: h.lease.Shard}}, 0
 	}
-	for _, s := range h.allRanges(l) {
+	for _, s := range h.assignment.Ranges(l) {
 		switch {
 		case s.Done, !s.Within(l.Record.Tasks):
 		case s.Shard == h.lease.Shard:
@@ -27,28 +27,6 @@
 	return mine, elsewhere
 }
 
-// allRanges gives all shares of a job. Where its record is of an earlier grouping, they follow
-// from the ledgers of that. What was left to a part that is none is of the first.
-func (h *Leader) allRanges(l *store.LiveJob) []store.ShardRange {
-	if h.unassigned(l) {
-		return h.inferredRanges(l)
-	}
-	first := h.sharding.Shards()[0]
-	if len(l.Record.Ranges) == 0 {
-		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: first}}
-	}
-	out := l.Record.Ranges
-	for i, s := range out {
-		if !slices.Contains(h.sharding.Shards(), s.Shard) {
-			if &out[0] == &l.Record.Ranges[0] {
-				out = slices.Clone(out)
-			}
-			out[i].Shard = first
-		}
-	}
-	return out
-}
-
 // allFinished reports whether every task of a job that is this part's has finished.
 func (h *Leader) allFinished(l *store.LiveJob, j *jobState) bool {
 	if h.sharding.IsSingle() {
@@ -72,7 +50,7 @@
 		r.EndJob(id, wire.Done, now)
 		return true
 	}
-	ranges, last := slices.Clone(h.allRanges(l)), true
+	ranges, last := slices.Clone(h.assignment.Ranges(l)), true
 	for i := range ranges {
 		if ranges[i].Shard == h.lease.Shard {
 			ranges[i].Done = true
@@ -82,8 +60,8 @@
 	switch {
 	case last:
 		r.EndJob(id, wire.Done, now)
-	case h.unassigned(l): // a job in too many runs to be written as shares says it like this
-		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.shardingNumber)), Batch: l.Batch, SinceRevision: l.SinceRevision}
+	case h.assignment.Unassigned(l): // a job in too many runs to be written as shares says it like this
+		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.assignment.Generation())), Batch: l.Batch, SinceRevision: l.SinceRevision}
 	default:
 		h.updateRanges(r, id, l, ranges)
 	}
@@ -92,7 +70,7 @@
 
 // updateRanges writes other shares of a job, and goes by them from here on.
 func (h *Leader) updateRanges(r *store.BatchUpdate, id string, l *store.LiveJob, ranges []store.ShardRange) {
-	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.shardingNumber), Batch: l.Batch, SinceRevision: l.SinceRevision}
+	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.assignment.Generation()), Batch: l.Batch, SinceRevision: l.SinceRevision}
 }
 
 // rewriteRanges puts other shares of a job into a round, if there is room for them in the
@@ -110,7 +88,7 @@
 	if r == nil {
 		r = l.Batch.Update()
 	}
-	if r.BytesWithRanges(id, ranges, h.shardingNumber) > h.cfg.Store.ValueBytes {
+	if r.BytesWithRanges(id, ranges, h.assignment.Generation()) > h.cfg.Store.ValueBytes {
 		return false
 	}
 	if r = d.Update(l); r == nil {
@@ -119,3 +97,18 @@
 	h.updateRanges(r, id, l, ranges)
 	return true
 }
+
+// hasActiveTask reports whether a task of a job may be on a machine of this shard.
+func (h *Leader) hasActiveTask(l *store.LiveJob) bool {
+	for i := range l.Record.Tasks {
+		if h.fleet.ActivePlacement(wire.TaskID{Job: l.Record.Job.ID, Index: i}) != nil {
+			return true
+		}
+	}
+	return false
+}
+
+// gangCompleted reports whether another shard has seen a gang complete: its tasks do so together.
+func gangCompleted(l *store.LiveJob, ranges []store.ShardRange) bool {
+	return l.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Done })
+}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -60,7 +60,7 @@
 	}
 	h.ledger.DiscardJob(id, rec.Tasks)
 	h.unstored.Remove(id)
-	delete(h.inferredShares, id)
+	h.assignment.Forget(id)
 }
 
 // reconcileEnded deals with a placement of a job that is done or cancelled.
@@ -144,7 +144,7 @@
 		if l.Record.Job.Shape != wire.Gang || l.Record.Tasks < 2 {
 			continue
 		}
-		if !h.sharding.IsSingle() && !h.jobState(id).finished.Contains(0) && gangCompleted(l, h.allRanges(l)) {
+		if !h.sharding.IsSingle() && !h.jobState(id).finished.Contains(0) && gangCompleted(l, h.assignment.Ranges(l)) {
 			h.markFinished(wire.TaskID{Job: id}, h.jobState(id)) // another part has seen it complete
 		}
 		var left []*fleet.Placement
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -21,7 +21,7 @@
 			h.unstored.Remove(id)
 			continue
 		}
-		if !all || len(tasks) > 0 && h.unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
+		if !all || len(tasks) > 0 && h.assignment.Unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
 			continue
 		}
 		if r := d.Update(l); r != nil { // or the next round has room
@@ -38,7 +38,7 @@
 func (h *Leader) storeProgress(d *Draft) {
 	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
 		j, l := h.jobStates[id], h.liveJobs[id]
-		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.unassigned(l)) {
+		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.assignment.Unassigned(l)) {
 			continue
 		}
 		last, fits := -1, false
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -24,7 +24,7 @@
 		h.log.Info("zone recovery continued", "zone", name, "step", r.Step, "number", r.Number)
 	}
 	if !h.migration.recorded {
-		for name, r := range h.previous.ZoneRecoveries {
+		for name, r := range h.migration.previous.ZoneRecoveries {
 			if h.ownsZone(name) {
 				take(name, r)
 			}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -32,7 +32,7 @@
 // than the ledger's own, are yet to be written to it.
 func (h *Leader) recoverZones(now time.Time, last *store.RecoveredState) {
 	if !h.migration.recorded {
-		for name, r := range h.previous.Zones {
+		for name, r := range h.migration.previous.Zones {
 			if own, known := last.Zones[name]; (!known || r.Number > own.Number) && h.ownsZone(name) {
 				last.Zones[name] = r
 				h.migration.zones = append(h.migration.zones, name)
