--- a/internal/leader/cleared.go
+++ b/internal/leader/cleared.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// noteLiveJobs notes which jobs of this part are live at a snapshot.
+// noteLiveJobs records the revision at which the jobs of this shard were last seen live.
 func (h *Leader) noteLiveJobs(snap store.Snapshot) {
 	if h.sharding.IsSingle() {
 		return
@@ -18,8 +18,8 @@
 	}
 }
 
-// clearedRevision tells up to which revision no task is in this part of any job that had ended by
-// then. Whoever folds the jobs of all parts rests on it.
+// clearedRevision gives the revision up to which no task may be in this shard of any job that had ended by then.
+// The compaction of ended jobs of all shards depends on it.
 func (h *Leader) clearedRevision(revision uint64) uint64 {
 	if h.sharding.IsSingle() || !h.rebuiltReachable {
 		return 0
@@ -34,9 +34,10 @@
 	return revision
 }
 
-// clearedInterval is how often a round is written only to say up to when this part is clear.
+// clearedInterval is the least time between rounds that are written only to record the cleared revision.
 const clearedInterval = 5 * time.Second
 
+// clearedDue reports whether a round is to be written only to record the cleared revision.
 func (h *Leader) clearedDue(now time.Time, cleared uint64) bool {
 	return cleared > h.clearedWritten && now.Sub(h.lastDecided) >= clearedInterval && h.jobIndex.Uncompacted()
 }
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -11,8 +11,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// eachSplitGang lists the gangs of which this part has some tasks and others have the rest.
-func (h *Leader) eachSplitGang(do func(id string, l *store.LiveJob, j *jobState, ranges []store.ShardRange, lead string)) {
+// splitGang is a gang of which this shard has some tasks and other shards have the rest.
+type splitGang struct {
+	id     string
+	job    *store.LiveJob
+	state  *jobState
+	ranges []store.ShardRange
+	lead   string // the shard that leads it
+}
+
+// splitGangs lists the gangs that are split over this shard and others, by id.
+func (h *Leader) splitGangs() (gangs []splitGang) {
 	split := make(map[string][]store.ShardRange)
 	for id, l := range h.liveJobs { // mostly none
 		if l.Record.Job.Shape != wire.Gang {
@@ -25,68 +34,76 @@
 	}
 	for _, id := range sortedKeys(split) {
 		lead, _ := reshard.LeadShard(split[id])
-		do(id, h.liveJobs[id], h.jobState(id), split[id], lead)
+		gangs = append(gangs, splitGang{id, h.liveJobs[id], h.jobState(id), split[id], lead})
 	}
+	return gangs
 }
 
+// ownsUnfinished reports whether this shard has yet to finish some of the ranges.
 func (h *Leader) ownsUnfinished(ranges []store.ShardRange) bool {
 	return slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Shard == h.lease.Shard && !s.Done })
 }
 
-// advanceSplitGangs goes on with the gangs that are in pieces.
+// advanceSplitGangs takes each split gang a step further.
 func (h *Leader) advanceSplitGangs(now time.Time, d *Draft) {
 	if h.sharding.IsSingle() || !h.rebuiltReachable {
 		return
 	}
-	h.eachSplitGang(func(id string, l *store.LiveJob, j *jobState, ranges []store.ShardRange, lead string) {
-		j.coAllocation.Observe(now, l.Record.CoAllocation)
-		waited := j.coAllocation.Age(now)
-		switch order := l.Record.CoAllocation; {
-		case order == store.CoAllocationReserve:
-			if lead == h.lease.Shard {
-				h.leadSplitGang(now, d, id, l, ranges, waited)
-			}
-			return
-		case j.coAllocation.MayStart():
-			if waited < handover.StartTimeout {
-				return
-			}
-			j.coAllocation.Started = order // there is no room here any more
-			h.log.Info("a gang is not started here in time", "job", id, "attempt", order)
+	for _, g := range h.splitGangs() {
+		h.advanceSplitGang(now, d, &g)
+	}
+}
+
+func (h *Leader) advanceSplitGang(now time.Time, d *Draft, g *splitGang) {
+	order := g.job.Record.CoAllocation
+	g.state.coAllocation.Observe(now, order)
+	waited := g.state.coAllocation.Age(now)
+	switch {
+	case order == store.CoAllocationReserve:
+		if g.lead == h.lease.Shard {
+			h.leadSplitGang(d, g, waited)
 		}
-		if h.hasActiveTask(l) {
+		return
+	case g.state.coAllocation.MayStart():
+		if waited < handover.StartTimeout {
 			return
 		}
-		if lead != h.lease.Shard {
-			h.returnToLead(d, id, l, ranges, lead)
-		} else if l.Record.CoAllocation >= store.CoAllocationFirstAttempt {
-			h.writeOrder(d, id, l, store.CoAllocationRelease)
-		}
-	})
+		g.state.coAllocation.Started = order // there is no capacity for it here any more
+		h.log.Info("co-allocated gang not started in time", "job", g.id, "attempt", order)
+	}
+	if h.hasActiveTask(g.job) {
+		return
+	}
+	if g.lead != h.lease.Shard {
+		h.returnToLead(d, g)
+	} else if order >= store.CoAllocationFirstAttempt {
+		h.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
+	}
 }
 
-// leadSplitGang has a gang start once all parts that have tasks of it have room for them, and calls
-// it off when that takes too long.
-func (h *Leader) leadSplitGang(now time.Time, d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange, waited time.Duration) {
-	for _, s := range ranges {
-		ready := h.jobState(id).coAllocation.Ready
+// leadSplitGang starts a gang once all shards that have tasks of it hold capacity for them, and aborts it when
+// that takes too long.
+func (h *Leader) leadSplitGang(d *Draft, g *splitGang, waited time.Duration) {
+	for _, s := range g.ranges {
+		ready := g.state.coAllocation.Ready
 		if s.Shard != h.lease.Shard {
-			ready = h.targets.HoldsGang(s.Shard, id)
+			ready = h.targets.HoldsGang(s.Shard, g.id)
 		}
 		if !s.Done && !ready {
 			if waited > handover.ReservationTimeout {
-				h.writeOrder(d, id, l, store.CoAllocationRelease)
+				h.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
 			}
 			return
 		}
 	}
 	h.attemptSequence++
-	if attempt := h.lease.FencingToken<<24 | h.attemptSequence; h.writeOrder(d, id, l, attempt) {
-		h.log.Info("a gang is started in several parts", "job", id, "attempt", attempt)
+	if attempt := h.lease.FencingToken<<24 | h.attemptSequence; h.writeOrder(d, g.id, g.job, attempt) {
+		h.log.Info("co-allocated gang started", "job", g.id, "attempt", attempt)
 	}
 }
 
-// writeOrder writes what the parts that have tasks of a gang are to do.
+// writeOrder writes into a gang's record what the shards that have tasks of it are to do: hold capacity, release it,
+// or start an attempt.
 func (h *Leader) writeOrder(d *Draft, id string, l *store.LiveJob, order uint64) bool {
 	if _, ends := d.finished[id]; ends {
 		return false
@@ -96,27 +113,27 @@
 		return false
 	}
 	if order == store.CoAllocationRelease {
-		h.log.Info("a gang is called off", "job", id)
+		h.log.Info("co-allocation aborted", "job", id)
 	}
 	h.liveJobs[id] = &store.LiveJob{Record: r.SetCoAllocation(id, order), Batch: l.Batch, SinceRevision: l.SinceRevision}
 	return true
 }
 
-// returnToLead gives what this part has of a gang to the part that leads it, once nothing of it is
-// left here: a gang can only be started whole.
-func (h *Leader) returnToLead(d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange, lead string) {
-	next := slices.Clone(ranges)
+// returnToLead hands the tasks that this shard has of a gang over to the shard that leads it, once none of them is
+// active here: a gang can only be started whole.
+func (h *Leader) returnToLead(d *Draft, g *splitGang) {
+	next := slices.Clone(g.ranges)
 	for i := range next {
 		if next[i].Shard == h.lease.Shard {
-			next[i].Shard = lead
+			next[i].Shard = g.lead
 		}
 	}
-	if next = handover.Merge(next); !h.rewriteRanges(d, id, l, next) {
+	if next = handover.Merge(next); !h.rewriteRanges(d, g.id, g.job, next) {
 		return
 	}
-	h.log.Info("what was left of a gang given to the part that leads it", "job", id, "to", lead)
-	if _, shards := reshard.LeadShard(next); shards > 1 && l.Record.CoAllocation != 0 {
-		h.writeOrder(d, id, h.liveJobs[id], store.CoAllocationRelease) // the others need not wait for these
+	h.log.Info("rest of a gang returned to its lead", "job", g.id, "to", g.lead)
+	if _, shards := reshard.LeadShard(next); shards > 1 && g.job.Record.CoAllocation != 0 {
+		h.writeOrder(d, g.id, h.liveJobs[g.id], store.CoAllocationRelease) // the others need not wait for these
 	}
 }
 
@@ -126,34 +143,34 @@
 	if ranges == nil || !h.rewriteRanges(d, u.Job.ID, l, ranges) {
 		return false
 	}
-	h.log.Info("a gang is co-allocated over several shards", "job", u.Job.ID, "ranges", ranges)
+	h.log.Info("gang co-allocated", "job", u.Job.ID, "ranges", ranges)
 	return h.writeOrder(d, u.Job.ID, h.liveJobs[u.Job.ID], store.CoAllocationReserve)
 }
 
-// stopAborted stops what this part has of gangs that are called off.
+// stopAborted stops the tasks here of gangs whose co-allocation was aborted.
 func (h *Leader) stopAborted(now time.Time) {
 	if h.sharding.IsSingle() {
 		return
 	}
-	h.eachSplitGang(func(id string, l *store.LiveJob, _ *jobState, _ []store.ShardRange, _ string) {
-		if l.Record.CoAllocation != store.CoAllocationRelease {
-			return
+	for _, g := range h.splitGangs() {
+		if g.job.Record.CoAllocation != store.CoAllocationRelease {
+			continue
 		}
-		for i := range l.Record.Tasks {
-			if p := h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}); p != nil && p.Stop == nil {
-				h.stopTask(now, p, l.Record.Job, "the gang is called off")
+		for i := range g.job.Record.Tasks {
+			if p := h.fleet.ActivePlacement(wire.TaskID{Job: g.id, Index: i}); p != nil && p.Stop == nil {
+				h.stopTask(now, p, g.job.Record.Job, "the gang is called off")
 			}
 		}
-	})
+	}
 }
 
-// mayPlaceSplit says what is to be done with the tasks of a gang that other parts have tasks of
-// too: they are placed while it is held or started here, and else left alone.
-func (h *Leader) mayPlaceSplit(now time.Time, j *scheduler.Job, hist *jobState, order uint64) (place bool) {
-	if hist == nil {
+// mayPlaceSplit reports whether the tasks here of a split gang may be placed: while its capacity is reserved, or until
+// its attempt was started here. While it is reserved, they are placed but not launched.
+func (h *Leader) mayPlaceSplit(now time.Time, j *scheduler.Job, state *jobState, order uint64) bool {
+	if state == nil {
 		return false
 	}
-	hist.coAllocation.Observe(now, order)
+	state.coAllocation.Observe(now, order)
 	j.ReserveOnly = order == store.CoAllocationReserve
-	return j.ReserveOnly || hist.coAllocation.MayStart()
+	return j.ReserveOnly || state.coAllocation.MayStart()
 }
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -108,8 +108,8 @@
 	return h.ledgerTasks.Stale(job, func(t wire.TaskID) bool { return h.fleet.ActivePlacement(t) != nil })
 }
 
-// releaseOwnership writes the records anew that name tasks which are to be given away. It reports
-// whether one is to be dropped, for which the round need not wait for company.
+// releaseOwnership writes the records anew that name tasks which are to be handed over. It reports whether one is
+// to be dropped, for which the round need not wait for other changes.
 func (h *Leader) releaseOwnership(d *Draft) (drops bool) {
 	for _, id := range h.ledgerTasks.StaleMachines() {
 		switch m := h.fleet.Machine(id); {
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ownRanges gives the runs of a job's tasks that this part answers for and that have
-// not all finished, and how many tasks other parts have yet to finish.
-func (h *Leader) ownRanges(l *store.LiveJob) (mine []store.ShardRange, elsewhere int) {
+// ownRanges gives the ranges of a job's tasks that this shard answers for and that have not all finished, and
+// how many tasks other shards have yet to finish.
+func (h *Leader) ownRanges(l *store.LiveJob) (own []store.ShardRange, elsewhere int) {
 	if h.sharding.IsSingle() {
 		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: h.lease.Shard}}, 0
 	}
@@ -19,15 +19,15 @@
 		switch {
 		case s.Done, !s.Within(l.Record.Tasks):
 		case s.Shard == h.lease.Shard:
-			mine = append(mine, s)
+			own = append(own, s)
 		default:
 			elsewhere += s.To - s.From
 		}
 	}
-	return mine, elsewhere
+	return own, elsewhere
 }
 
-// allFinished reports whether every task of a job that is this part's has finished.
+// allFinished reports whether every task of a job that belongs to this shard has finished.
 func (h *Leader) allFinished(l *store.LiveJob, j *jobState) bool {
 	if h.sharding.IsSingle() {
 		return j.finished.Count() >= l.Record.Tasks
@@ -43,8 +43,8 @@
 	return len(own) > 0
 }
 
-// finishRanges marks what this part has of a job as finished. The last part to do so marks
-// the job as done: all others must say so in the very record that is written.
+// finishRanges marks the tasks of a job that belong to this shard as finished. The last shard to do so marks the job
+// as done: all others must say so in the very record that is written.
 func (h *Leader) finishRanges(r *store.BatchUpdate, id string, l *store.LiveJob, now time.Time) (done bool) {
 	if h.sharding.IsSingle() {
 		r.EndJob(id, wire.Done, now)
@@ -60,7 +60,7 @@
 	switch {
 	case last:
 		r.EndJob(id, wire.Done, now)
-	case h.assignment.Unassigned(l): // a job in too many runs to be written as shares says it like this
+	case h.assignment.Unassigned(l): // it may have too many ranges to be written
 		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.assignment.Generation())), Batch: l.Batch, SinceRevision: l.SinceRevision}
 	default:
 		h.updateRanges(r, id, l, ranges)
@@ -68,20 +68,20 @@
 	return last
 }
 
-// updateRanges writes other shares of a job, and goes by them from here on.
+// updateRanges writes other ranges of a job, and goes by them from here on.
 func (h *Leader) updateRanges(r *store.BatchUpdate, id string, l *store.LiveJob, ranges []store.ShardRange) {
 	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.assignment.Generation()), Batch: l.Batch, SinceRevision: l.SinceRevision}
 }
 
-// rewriteRanges puts other shares of a job into a round, if there is room for them in the
-// round and in the job's home.
+// rewriteRanges adds other ranges of a job to a round, if there is capacity for them in the round and in the
+// job's batch.
 func (h *Leader) rewriteRanges(d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange) bool {
 	if _, ends := d.finished[id]; ends {
-		return false // what this round says of its end goes first
+		return false // the end that this round records goes first
 	}
 	for i := range h.staleTasks(id) {
 		if handover.ShardOf(ranges, i) != h.lease.Shard {
-			return false // it goes once the ledger names it no more
+			return false // it may go once the ledger no longer names it
 		}
 	}
 	r := d.Pending(l)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		if elsewhere > 0 && l.Record.Job.Shape == wire.Gang && !h.mayPlaceSplit(now, j, hist, l.Record.CoAllocation) {
-			continue // it runs in several parts, or is being gathered in one
+			continue // it runs in several shards, or is being returned to one
 		}
 		for _, s := range shares {
 			for i := s.From; i < s.To && len(j.Waiting) < h.cfg.Tuning.RoundTasks; i++ {
--- a/internal/leader/teams.go
+++ b/internal/leader/teams.go
@@ -5,23 +5,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// allTeams lists the teams of the settings and those that have left them while jobs of theirs go on.
-// Such a team is guaranteed nothing, and may use no more than its largest job needs to run at all:
+// allTeams lists the teams of the settings, and those that were removed from them while they still have live jobs.
+// A removed team is guaranteed nothing, and may use no more than its largest job needs to run at all:
 // that much was within its limit when the job was accepted.
 func (h *Leader) allTeams() []config.Team {
 	known := make(map[string]bool, len(h.cfg.Teams))
 	for i := range h.cfg.Teams {
 		known[h.cfg.Teams[i].Name] = true
 	}
-	departed := make(map[string]config.Team)
+	removed := make(map[string]config.Team)
 	for _, l := range h.liveJobs {
 		if j := l.Record.Job; !known[j.Team] {
-			departed[j.Team] = withLimitFor(departed[j.Team], j)
+			removed[j.Team] = withLimitFor(removed[j.Team], j)
 		}
 	}
 	all := h.cfg.Teams[:len(h.cfg.Teams):len(h.cfg.Teams)]
-	for _, name := range sortedKeys(departed) {
-		all = append(all, departed[name])
+	for _, name := range sortedKeys(removed) {
+		all = append(all, removed[name])
 	}
 	return all
 }
