--- a/internal/reshard/previous.go
+++ b/internal/reshard/previous.go
@@ -10,8 +10,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Previous is what the ledgers of earlier groupings say. They are never written again, so that
-// every holder of every part, whenever it begins, says the same of whose a task is.
+// Previous is what the ledgers of earlier shardings say. They are never written again, so that every leader of every
+// shard, whenever it is elected, says the same of which shard a task belongs to.
 type Previous struct {
 	Machines       map[string]store.MachineRecord
 	ScaleOuts      map[string]store.ScaleOutRecord
@@ -24,16 +24,20 @@
 	lastPlaced map[string]map[int]placement // by job and task
 }
 
-// placement is where a task was last, as far as the ledgers say.
+// placement is where a task was placed last, according to the ledgers.
 type placement struct {
 	shard   string
 	attempt uint64
 }
 
-// NewPrevious reads the ledgers of earlier groupings.
+// NewPrevious reads the ledgers of earlier shardings.
 func NewPrevious(sharding *fleet.Sharding, l store.ShardLedgers) *Previous {
 	recalled := store.RecoverSegments(l.Previous)
-	p := &Previous{Machines: recalled.Machines, ScaleOuts: recalled.ScaleOuts, FinishedTasks: recalled.FinishedTasks, Zones: recalled.Zones, ZoneRecoveries: recalled.ZoneRecoveries, sharding: sharding, generation: l.Generation, lastPlaced: make(map[string]map[int]placement)}
+	p := &Previous{
+		Machines: recalled.Machines, ScaleOuts: recalled.ScaleOuts, FinishedTasks: recalled.FinishedTasks,
+		Zones: recalled.Zones, ZoneRecoveries: recalled.ZoneRecoveries,
+		sharding: sharding, generation: l.Generation, lastPlaced: make(map[string]map[int]placement),
+	}
 	for _, m := range recalled.Machines {
 		shard := sharding.ShardOf(m.Zone, m.Type)
 		for name, attempt := range m.Tasks {
@@ -44,7 +48,7 @@
 			if p.lastPlaced[id.Job] == nil {
 				p.lastPlaced[id.Job] = make(map[int]placement)
 			}
-			// An attempt was made only once all before it were proven to be nowhere.
+			// An attempt is made only once all before it are proven to run nowhere.
 			if attempt >= p.lastPlaced[id.Job][id.Index].attempt {
 				p.lastPlaced[id.Job][id.Index] = placement{shard, attempt}
 			}
@@ -53,31 +57,23 @@
 	return p
 }
 
-// Ranges says which part answers for each task of a job whose record says that of an
-// earlier grouping: the part of the machine that it may be on; for a task that is on none,
-// a part that follows from the job alone, since a job that comes late is not in
-// the ledgers, and these are gone some day. A gang that is on machines of several
-// parts is theirs together until it has ended or is whole again.
+// Ranges says which shard answers for each task of a job whose record is of an earlier sharding: the shard of the
+// machine that the task may be on; for a task that is on none, a shard that follows from the job alone, since a job that is
+// submitted late is not in the ledgers, and these are dropped some day. A gang that is on machines of several
+// shards belongs to all of them until it has ended or is in one shard again.
 func (p *Previous) Ranges(id string, rec *store.JobRecord) []store.ShardRange {
 	placed := p.lastPlaced[id]
-	rest := p.defaultShard(id, rec)
 	order := slices.Sorted(maps.Keys(placed))
+	fallback := p.defaultShard(id, rec)
 	together := rec.Job != nil && (rec.Job.Shape == wire.Gang || rec.Job.OneZone)
 	if together && len(order) > 0 {
-		rest = placed[order[0]].shard
+		fallback = placed[order[0]].shard
 	}
 	if rec.Job != nil && rec.Job.OneZone {
-		// No part knows where another's tasks are. Where the last attempt of any was made, all
-		// that was in other zones had been proven to be gone.
-		last := uint64(0)
-		for _, i := range order {
-			if placed[i].attempt > last {
-				last, rest = placed[i].attempt, placed[i].shard
-			}
-		}
-		return p.markDone([]store.ShardRange{{From: 0, To: rec.Tasks, Shard: rest}}, rec)
+		shard := latestShard(placed, order, fallback)
+		return p.markDone([]store.ShardRange{{From: 0, To: rec.Tasks, Shard: shard}}, rec)
 	}
-	r := &rangeBuilder{finished: p.FinishedTasks[id], fallback: rest}
+	r := &rangeBuilder{finished: p.FinishedTasks[id], fallback: fallback}
 	for _, i := range order {
 		if i < rec.Tasks {
 			r.fillTo(i)
@@ -88,7 +84,19 @@
 	return p.markDone(r.out, rec)
 }
 
-// defaultShard gives the part of what is nowhere, by the job alone.
+// latestShard gives the shard of a job that must be in one zone: that of its latest attempt. No shard knows where another's
+// tasks are; when that attempt was made, all tasks in other zones had been proven to be gone.
+func latestShard(placed map[int]placement, order []int, shard string) string {
+	last := uint64(0)
+	for _, i := range order {
+		if placed[i].attempt > last {
+			last, shard = placed[i].attempt, placed[i].shard
+		}
+	}
+	return shard
+}
+
+// defaultShard gives the shard of tasks that are on no machine, by the job alone.
 func (p *Previous) defaultShard(id string, rec *store.JobRecord) string {
 	if rec.Job != nil && rec.Job.Zone != "" && p.sharding.KeepsZonesWhole() {
 		return p.sharding.ShardOf(rec.Job.Zone, "")
@@ -99,7 +107,7 @@
 	return shards[int(sum.Sum32()%uint32(len(shards)))]
 }
 
-// markDone marks what parts of this grouping have finished, and keeps what was marked before.
+// markDone marks the ranges that shards of this sharding have finished, and keeps what was marked before.
 func (p *Previous) markDone(ranges []store.ShardRange, rec *store.JobRecord) []store.ShardRange {
 	for i, s := range ranges {
 		ranges[i].Done = slices.Contains(rec.FinishedIn, store.LedgerName(s.Shard, p.generation))
@@ -112,7 +120,7 @@
 	return ranges
 }
 
-// markRange marks the tasks from a first up to and without a last as done.
+// markRange marks the tasks from one up to and without another as done, and splits ranges where needed.
 func markRange(ranges []store.ShardRange, from, to int) (out []store.ShardRange) {
 	for _, s := range ranges {
 		a, b := min(max(s.From, from), s.To), max(min(s.To, to), s.From)
@@ -120,7 +128,10 @@
 			out = append(out, s)
 			continue
 		}
-		for _, piece := range []store.ShardRange{{From: s.From, To: a, Shard: s.Shard, Done: s.Done}, {From: a, To: b, Shard: s.Shard, Done: true}, {From: b, To: s.To, Shard: s.Shard, Done: s.Done}} {
+		before := store.ShardRange{From: s.From, To: a, Shard: s.Shard, Done: s.Done}
+		marked := store.ShardRange{From: a, To: b, Shard: s.Shard, Done: true}
+		after := store.ShardRange{From: b, To: s.To, Shard: s.Shard, Done: s.Done}
+		for _, piece := range []store.ShardRange{before, marked, after} {
 			if piece.From < piece.To {
 				out = append(out, piece)
 			}
@@ -129,15 +140,16 @@
 	return out
 }
 
-// rangeBuilder puts tasks together that follow each other in one part.
+// rangeBuilder joins tasks that follow each other in one shard into ranges.
 type rangeBuilder struct {
 	out      []store.ShardRange
-	next     int
+	next     int // the first task that has no shard yet
 	finished *store.TaskSet
-	fallback string // the part of what is nowhere
+	fallback string // the shard of tasks that are on no machine
 }
 
-// fillTo gives what is nowhere up to a task: what has finished, to whoever has what is before.
+// fillTo assigns the tasks up to a given one, which are on no machine: those that have finished to the shard of the task
+// before them, others to the fallback.
 func (r *rangeBuilder) fillTo(to int) {
 	for from := r.next; from < to; from = r.next {
 		end := from + 1
@@ -153,6 +165,7 @@
 	}
 }
 
+// add assigns the tasks up to a given one to a shard.
 func (r *rangeBuilder) add(to int, shard string) {
 	if n := len(r.out); n > 0 && r.out[n-1].Shard == shard {
 		r.out[n-1].To = to
@@ -162,8 +175,8 @@
 	r.next = to
 }
 
-// LeadShard tells how many parts answer for what of the shares is not done, and the first of them,
-// which leads: it gathers a gang that is whole nowhere.
+// LeadShard gives the number of shards that answer for tasks that are not done, and the first of them, which leads: it
+// co-allocates a gang that is split over several.
 func LeadShard(ranges []store.ShardRange) (lead string, shards int) {
 	var seen []string
 	for _, s := range ranges {
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -1,7 +1,8 @@
-// Package reshard divides a state anew while jobs run. One transaction says so, once
-// nobody holds a part; the ledgers that there are by then are never written again. They go on
-// saying what may be where, and so whose each task is until its job's record says that
-// itself. It is pure.
+// Package reshard changes the sharding of a fleet while jobs run.
+//
+// One transaction records the new sharding, once no shard has a leader; the ledgers as they are then are never
+// written again. They still say what may run on which machine, and so which shard each task belongs to until its job's
+// record says that itself. The package does no I/O.
 package reshard
 
 import (
@@ -14,25 +15,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Errors of Next: why a state can't be divided anew now.
+// Errors of Transaction: why the sharding can't be changed now.
 var (
-	// ErrLed means that a part is held by somebody.
+	// ErrLed means that a shard has a leader.
 	ErrLed = errors.New("parts are held")
-	// ErrUnreadable means that a record was not understood: what it says would be lost.
+	// ErrUnreadable means that a record was not understood: its content would be lost.
 	ErrUnreadable = errors.New("records are not understood")
-	// ErrByType means that parts by type take over no machine that is in use: a job that is
-	// spread over zones would be in several parts, of which none knows all of its zones.
+	// ErrByType means that a state in use can't be sharded by machine type: a job that is spread over zones would be
+	// in several shards, of which none knows all of its zones.
 	ErrByType = errors.New("it is in use, and a state in use is not divided by type")
 )
 
-// ResourcesOf tells what each task of a job takes, if that is known, be the job over.
+// ResourcesOf gives what each task of a job needs, also of one that has ended, and whether that is known.
 type ResourcesOf func(job string) (store.TaskDemand, bool)
 
-// Transaction gives the transaction that divides a state as wanted. Nobody has claimed anything
-// since the state was read, by the counter of terms, so that what it shows of the ledgers is
-// all there is: every earlier holder's rounds were conditional on a record that is gone. The
-// counter moves, so that a claim that was prepared before fails, also one of a
-// version that knows of no parts.
+// Transaction gives the transaction that changes the sharding of a state. It is conditional on the counter of fencing
+// tokens: no leader was elected since the state was read, so that the ledgers which it shows are complete, since the
+// rounds of every earlier leader are conditional on a record that is gone. It moves the counter, so that an
+// election that was prepared before fails, also one by a version that knows nothing of shards.
 func Transaction(s *store.ShardingState, want *fleet.Sharding, resourcesOf ResourcesOf) (wire.Txn, error) {
 	recalled := store.RecoverSegments(s.Segments)
 	switch {
@@ -44,16 +44,24 @@
 		return wire.Txn{}, ErrByType
 	}
 	format := s.Format
-	format.Format = store.FormatSharded // others read no ledger but those of the first grouping
+	format.Format = store.FormatSharded // other versions read no ledgers but those of the first sharding
 	rec := store.ShardingRecord{Text: want.String(), Generation: s.Sharding.Record.Generation + 1, PreviousLedgers: s.LedgerNames}
 	return wire.Txn{
-		If: []wire.Condition{{Key: store.ShardingKey, Version: s.Sharding.Version}, {Key: store.FencingTokenKey, Version: s.FencingToken.Version},
-			{Key: store.QuotaGrantKey, Version: s.QuotaGrants.Version}},
-		Then: []wire.Operation{{Put: store.ShardingKey, Value: rec}, {Put: store.FencingTokenKey, Value: s.FencingToken.Record + 1},
-			{Put: store.FormatKey, Value: format}, {Put: store.QuotaGrantKey, Value: initialGrants(recalled.Machines, want, resourcesOf)}},
+		If: []wire.Condition{
+			{Key: store.ShardingKey, Version: s.Sharding.Version},
+			{Key: store.FencingTokenKey, Version: s.FencingToken.Version},
+			{Key: store.QuotaGrantKey, Version: s.QuotaGrants.Version},
+		},
+		Then: []wire.Operation{
+			{Put: store.ShardingKey, Value: rec},
+			{Put: store.FencingTokenKey, Value: s.FencingToken.Record + 1},
+			{Put: store.FormatKey, Value: format},
+			{Put: store.QuotaGrantKey, Value: initialGrants(recalled.Machines, want, resourcesOf)},
+		},
 	}, nil
 }
 
+// inUse reports whether a task may be on one of the machines.
 func inUse(machines map[string]store.MachineRecord) bool {
 	for _, m := range machines {
 		if len(m.Tasks) > 0 {
@@ -63,9 +71,9 @@
 	return false
 }
 
-// initialGrants gives each part what may be running on its machines, for each team. That may be
-// more than a team's limit, since the ledgers also name what has ended: the parts then
-// spend nothing before they have given that back.
+// initialGrants grants each shard what may be running on its machines, for each team. That may be more than a team's
+// limit, since the ledgers also name tasks that have ended: the shards then start nothing before they have returned
+// the excess.
 func initialGrants(machines map[string]store.MachineRecord, want *fleet.Sharding, resourcesOf ResourcesOf) store.QuotaGrantRecord {
 	rec := store.QuotaGrantRecord{Teams: make(map[string]map[string][2]float64)}
 	if want.IsSingle() {
@@ -80,7 +88,7 @@
 			}
 			t, known := resourcesOf(id.Job)
 			if !known {
-				continue // folded: proven to be nowhere
+				continue // compacted: proven to run nowhere
 			}
 			if rec.Teams[t.Team] == nil {
 				rec.Teams[t.Team] = make(map[string][2]float64)
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fixture is a state that is divided anew.
+// fixture is a state whose sharding is changed.
 type fixture struct {
 	state   store.ShardingState
 	jobs    map[string]*store.JobRecord
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// TestTraces plays the kept traces of states that are divided anew.
+// TestTraces plays the kept traces of states whose sharding is changed.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		b := &fixture{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
@@ -139,8 +139,8 @@
 	})
 }
 
-// FuzzShares: whatever the ledgers say, every task of a job is of exactly one part of the grouping,
-// and everyone says the same of it.
+// FuzzShares: whatever the ledgers say, every task of a job belongs to exactly one shard,
+// and every leader says the same of it.
 func FuzzShares(f *testing.F) {
 	f.Add([]byte{1, 2, 3}, []byte{4}, 9, uint8(1))
 	f.Fuzz(func(t *testing.T, placed, done []byte, tasks int, shape uint8) {
@@ -170,3 +170,34 @@
 		}
 	})
 }
+
+// TestAssignment: a record of this sharding says its ranges itself, with what belongs to no shard in the first; one of an
+// earlier sharding has ranges that follow from the ledgers.
+func TestAssignment(t *testing.T) {
+	sharding := fleet.ByZones(2, []string{"a", "b"})
+	e := store.MachineEntry("n-1", store.MachineRecord{Zone: "b", Tasks: map[string]uint64{"wk-1/1": 7}})
+	ledgers := store.ShardLedgers{Generation: 2, Previous: []store.Segment{{Version: 1, Record: store.SegmentRecord{Entries: map[string]wire.Raw{e.Key: e.Value}}}}}
+	a := NewAssignment(sharding, NewPrevious(sharding, ledgers))
+	job := func(generation uint64, ranges ...store.ShardRange) *store.LiveJob {
+		rec := store.JobRecord{Job: &wire.Job{ID: "wk-1", Shape: wire.Array, Zone: "a", Tasks: 4}, Tasks: 4, ShardingGeneration: generation, Ranges: ranges}
+		return &store.LiveJob{Record: rec, Batch: &store.Batch{Version: 5}}
+	}
+	for name, x := range map[string]struct {
+		job  *store.LiveJob
+		want []store.ShardRange
+	}{
+		"without ranges":                   {job(2), []store.ShardRange{{From: 0, To: 4, Shard: "a"}}},
+		"with a shard that does not exist": {job(2, store.ShardRange{From: 0, To: 2, Shard: "b"}, store.ShardRange{From: 2, To: 4, Shard: "z"}), []store.ShardRange{{From: 0, To: 2, Shard: "b"}, {From: 2, To: 4, Shard: "a"}}},
+		"of an earlier sharding":           {job(1, store.ShardRange{From: 0, To: 4, Shard: "z"}), []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}, {From: 2, To: 4, Shard: "a"}}},
+	} {
+		if got := a.Ranges(x.job); !slices.Equal(got, x.want) || a.Unassigned(x.job) != (x.job.Record.ShardingGeneration != 2) {
+			t.Errorf("%s: %v", name, got)
+		}
+		if written := x.job.Record.Ranges; len(written) > 1 && written[1].Shard != "z" {
+			t.Errorf("%s: the record was changed", name)
+		}
+	}
+	if a.Generation() != 2 {
+		t.Errorf("generation %d", a.Generation())
+	}
+}
