--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -20,7 +20,7 @@
 	minMissing = 2
 )
 
-// candidacy decides for which shards this controller stands: for none that a peer can lead better.
+// candidacy decides for which shards this controller campaigns: for none that a peer can lead better.
 type candidacy struct {
 	cfg         *config.Config
 	sharding    *fleet.Sharding
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -31,7 +31,7 @@
 // partitioned reports whether this controller has been without the state service for some time
 // while others may reach it. A controller that has heartbeats of less than a majority cannot know
 // that all share its outage, and is more likely cut off itself: if it called itself ready, its
-// users would stay and wait in vain.
+// users would stay and wait for nothing.
 func (h *storeHealth) partitioned(unreachableFor time.Duration) bool {
 	contact, failing := h.follow.LastContact()
 	if h.view.Loaded() && (!failing || time.Since(contact) < unreachableFor) {
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -7,7 +7,7 @@
 )
 
 // rebalanceAfter is how long no shard must have moved here, and how long a peer must have run,
-// before a shard moves to it: shards move one after the other, in quiet times.
+// before a shard moves to it: shards move one after the other, and not while anything else changes.
 const rebalanceAfter = 10 * time.Second
 
 // rebalance gives up one shard where a peer leads far fewer. Its duties end first: once a peer has
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -32,7 +32,7 @@
 // Client forwards requests to the peers that write for all, on one stream to each.
 type Client struct {
 	// OpenStream opens a stream to a peer.
-	OpenStream func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error)
+	OpenStream func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error)
 	// Writer names the peer that writes a job, empty where this controller does; avoid tells which
 	// peers not to take.
 	Writer func(job string, avoid func(name string) bool) string
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -58,7 +58,7 @@
 		wake: make(chan struct{}, 1), vacantSince: make(map[string]time.Time)}
 }
 
-// Standing is how this controller stands towards a shard at some time.
+// Standing is what this controller knows of its leadership of a shard at some time.
 type Standing struct {
 	Tenure  Tenure
 	Leading bool // it leads the shard, as far as it knows
@@ -68,7 +68,7 @@
 	LastRenewal time.Time
 }
 
-// Standing tells how this controller stands towards a shard.
+// Standing returns what this controller knows of its leadership of a shard.
 func (e *Elector) Standing(shard string, now time.Time) Standing {
 	e.mu.Lock()
 	defer e.mu.Unlock()
