--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -629,7 +629,7 @@
 		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
 		internal/quota.Propose
 		internal/reshard.Transaction
-		internal/snapshot.Import internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport
+		internal/snapshot.beginImport internal/snapshot.commit internal/snapshot.finishImport internal/snapshot.flush
 		internal/store.Txn internal/store.TxnBeforeSend internal/store.mark`)
 	var got []string
 	for _, dir := range []string{"internal", "cmd", "."} {
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -19,37 +19,71 @@
 	Txn(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
-// maxAttempts is how often a call that failed is made again, with a pause.
-const maxAttempts = 20
+const (
+	// maxAttempts is how often a call is made that was refused or had no answer.
+	maxAttempts = 20
+	// retryInterval is the mean pause between two attempts.
+	retryInterval = 500 * time.Millisecond
+	// maxExports is how often a state is read that changes faster than it is read.
+	maxExports = 4
+)
 
+// retry makes a call until it succeeds, or fails otherwise than by a refusal or without an answer.
 func retry(ctx context.Context, call func() error) error {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		err := call()
-		if err == nil || try == maxAttempts || ctx.Err() != nil || !errors.Is(err, store.ErrRefused) && !errors.Is(err, store.ErrUnknownOutcome) {
+		mayPass := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknownOutcome)
+		if !mayPass || attempt == maxAttempts || ctx.Err() != nil {
 			return err
 		}
-		store.Backoff(ctx, 500*time.Millisecond)
+		store.Backoff(ctx, retryInterval)
 	}
 }
 
-// Export reads the whole state as it is at one revision: all pages, and the changes
-// since the first. Progress is told after each page.
+// Export reads the whole state as it is at one revision: all pages, and the changes since the
+// first. After each page progress is called.
 func Export(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
-	for try := 0; ; try++ {
+	for attempt := 1; ; attempt++ {
 		items, revision, err := exportOnce(ctx, s, progress)
-		if errors.Is(err, store.ErrCompacted) && try < 3 {
-			continue // it has changed faster than it was read
+		if errors.Is(err, store.ErrCompacted) && attempt < maxExports {
+			continue // the service no longer knows the changes since the first page
 		}
 		return items, revision, err
 	}
 }
 
 func exportOnce(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
-	found := make(map[string]wire.KeyValue)
-	first := uint64(0)
+	found, first, err := readPages(ctx, s, progress)
+	if err != nil {
+		return nil, 0, err
+	}
+	var ch *wire.WatchResponse
+	err = retry(ctx, func() (err error) {
+		ch, err = s.Changes(ctx, store.CommonPrefix, first, 0)
+		return err
+	})
+	if err != nil {
+		return nil, 0, fmt.Errorf("reading the changes since revision %d: %w", first, err)
+	}
+	for _, e := range ch.Events {
+		if e.Delete != "" {
+			delete(found, e.Delete)
+		} else {
+			found[e.Put] = wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version}
+		}
+	}
+	return ownItems(found), ch.Revision, nil
+}
+
+// readPages reads all keys, and returns the revision of the first page.
+func readPages(ctx context.Context, s Service, progress func(keys int, at string)) (found map[string]wire.KeyValue, first uint64, err error) {
+	found = make(map[string]wire.KeyValue)
 	for after := ""; ; {
 		var page *wire.KeyValueList
-		err := retry(ctx, func() (err error) { page, err = s.List(ctx, store.CommonPrefix, after, 0); return err })
+		err := retry(ctx, func() (err error) {
+			page, err = s.List(ctx, store.CommonPrefix, after, 0)
+			return err
+		})
 		if err != nil {
 			return nil, 0, fmt.Errorf("reading the keys after %q: %w", after, err)
 		}
@@ -62,50 +96,29 @@
 		}
 		progress(len(found), after)
 		if !page.More || len(page.Items) == 0 {
-			break
+			return found, first, nil
 		}
 	}
-	var ch *wire.WatchResponse
-	err := retry(ctx, func() (err error) { ch, err = s.Changes(ctx, store.CommonPrefix, first, 0); return err })
-	if err != nil {
-		return nil, 0, fmt.Errorf("reading the changes since revision %d: %w", first, err)
-	}
-	for _, e := range ch.Events {
-		if e.Delete != "" {
-			delete(found, e.Delete)
-		} else {
-			found[e.Put] = wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version}
-		}
-	}
-	var items []wire.KeyValue
+}
+
+// ownItems lists amberdeal's keys in order, without those of others that begin alike.
+func ownItems(found map[string]wire.KeyValue) (items []wire.KeyValue) {
 	for _, it := range found {
-		if isOwnKey(it.Key) {
+		if strings.HasPrefix(it.Key, store.StatePrefix) || strings.HasPrefix(it.Key, store.ArchivePrefix) {
 			items = append(items, it)
 		}
 	}
 	slices.SortFunc(items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
-	return items, ch.Revision, nil
-}
-
-// isOwnKey leaves out the keys of others whose names begin alike.
-func isOwnKey(key string) bool {
-	return strings.HasPrefix(key, store.StatePrefix) || strings.HasPrefix(key, store.ArchivePrefix)
+	return items
 }
 
-// StateFormat gives the form that a state's marker names, 0 without one.
+// StateFormat returns the format that a state's marker names, 0 without one.
 func StateFormat(items []wire.KeyValue) int {
 	var rec store.FormatRecord
 	for _, it := range items {
 		if it.Key == store.FormatKey {
-			_ = wire.DecodeValue(it.Value, &rec)
+			_ = wire.DecodeValue(it.Value, &rec) // a damaged marker is no marker
 		}
 	}
 	return rec.Format
 }
-
-func firstKey(items []wire.KeyValue) string {
-	if len(items) == 0 {
-		return "none"
-	}
-	return items[0].Key
-}
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -1,10 +1,10 @@
-// Package snapshot takes the whole state out of the state service, at one
-// revision, into a file, and puts it back into an empty one.
+// Package snapshot exports the whole state of the state service, at one revision, to a file,
+// and imports it into an empty state service.
 //
-// A file begins with a line that names its format. The rest is a zstd stream of
-// frames, each a length, a CBOR value and its checksum: a header, the keys in
-// order, and a trailer that counts them. What is cut or changed anywhere is
-// refused, with the key after which it was found.
+// A file begins with a line that names its format. The rest is a zstd stream of frames, each
+// a length, a CBOR value and its checksum: a header, the keys in order, and a trailer that
+// counts them. A file that is cut or changed anywhere is refused, with the key after which
+// that was found.
 package snapshot
 
 import (
@@ -22,9 +22,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Format is the newest form of a file that is understood here.
+// Format is the newest format of a file that this version reads.
 const Format = 1
 
+// fileMagic begins the first line of a file.
 const fileMagic = "amberdeal-state "
 
 // What can be wrong with a file.
@@ -39,15 +40,15 @@
 
 // Header says what a file holds.
 type Header struct {
-	StateFormat int    `cbor:"state"` // the form of the state, 0 for none
+	StateFormat int    `cbor:"state"` // format of the state, 0 for format 1, which has no marker
 	Revision    uint64 `cbor:"revision"`
 	TakenAtUnix int64  `cbor:"taken"` // s since 1970
 }
 
-// TakenAt is when the state was taken.
+// TakenAt returns when the state was exported.
 func (h Header) TakenAt() time.Time { return time.Unix(h.TakenAtUnix, 0).UTC() }
 
-// frame is one value of a file; a trailer has no key and counts them.
+// frame is a key of a file. The trailer is a frame without a key that counts the others.
 type frame struct {
 	Key     string   `cbor:"k,omitempty"`
 	Value   wire.Raw `cbor:"v,omitempty"`
@@ -56,109 +57,146 @@
 	Sum     uint64   `cbor:"sum,omitempty"`
 }
 
-// maxFrame bounds a frame: far more than any value may take.
-const maxFrame = 1 << 20
+const (
+	// maxFrameBytes bounds a frame: far more than any value may take.
+	maxFrameBytes = 1 << 20
+	// checksumBytes is what the checksum after each frame takes.
+	checksumBytes = 8
+)
 
-// Write writes a state into a file.
+// Write writes a state to a file.
 func Write(w io.Writer, h Header, items []wire.KeyValue) error { return write(w, h, items, true) }
 
-func write(w io.Writer, h Header, items []wire.KeyValue, whole bool) error {
+// write writes a file, which is not whole without its trailer.
+func write(w io.Writer, h Header, items []wire.KeyValue, trailer bool) error {
 	if _, err := fmt.Fprintf(w, "%s%d\n", fileMagic, Format); err != nil {
-		return err
+		return fmt.Errorf("write the first line: %w", err)
 	}
 	z, err := zstd.NewWriter(w)
 	if err != nil {
-		return err
+		return fmt.Errorf("begin the compressed part: %w", err)
 	}
-	sum := xxhash.New()
-	put := func(v any) error {
-		body := wire.Encode(v)
-		out := binary.AppendUvarint(nil, uint64(len(body)))
-		out = append(out, body...)
-		out = binary.LittleEndian.AppendUint64(out, xxhash.Sum64(body))
-		_, _ = sum.Write(body)
-		_, err := z.Write(out)
-		return err
-	}
-	if err := put(h); err != nil {
-		return err
+	out := &frameWriter{w: z, sum: xxhash.New()}
+	if err := out.put(h); err != nil {
+		return fmt.Errorf("write the header: %w", err)
 	}
 	for _, it := range items {
-		if err := put(frame{Key: it.Key, Value: it.Value, Version: it.Version}); err != nil {
-			return err
+		if err := out.put(frame{Key: it.Key, Value: it.Value, Version: it.Version}); err != nil {
+			return fmt.Errorf("write %s: %w", it.Key, err)
 		}
 	}
-	if whole {
-		if err := put(frame{Count: len(items), Sum: sum.Sum64()}); err != nil {
-			return err
+	if trailer {
+		if err := out.put(frame{Count: len(items), Sum: out.sum.Sum64()}); err != nil {
+			return fmt.Errorf("write the trailer: %w", err)
 		}
 	}
-	return z.Close()
+	if err := z.Close(); err != nil {
+		return fmt.Errorf("end the compressed part: %w", err)
+	}
+	return nil
+}
+
+// frameWriter writes frames, and keeps the checksum of all of them.
+type frameWriter struct {
+	w   io.Writer
+	sum *xxhash.Digest
+}
+
+func (f *frameWriter) put(v any) error {
+	body := wire.Encode(v)
+	out := binary.AppendUvarint(nil, uint64(len(body)))
+	out = append(out, body...)
+	out = binary.LittleEndian.AppendUint64(out, xxhash.Sum64(body))
+	_, _ = f.sum.Write(body) // a hash does not fail
+	_, err := f.w.Write(out)
+	return err
 }
 
-// Read reads a file to its end. Nothing is given of one that is not whole. The
-// sum tells one file from another.
+// Read reads a file to its end; nothing is returned of one that is not whole. The sum tells
+// one file from another.
 func Read(r io.Reader) (h Header, items []wire.KeyValue, sum string, err error) {
 	in := bufio.NewReader(r)
-	line, err := in.ReadString('\n')
-	version, ours := strings.CutPrefix(strings.TrimSuffix(line, "\n"), fileMagic)
-	var format int
-	if _, serr := fmt.Sscan(version, &format); err != nil || !ours || serr != nil {
-		return h, nil, "", ErrNotExport
-	}
-	if format > Format {
-		return h, nil, "", fmt.Errorf("%w: format %d, at most %d is understood", ErrNewer, format, Format)
+	if err := readFirstLine(in); err != nil {
+		return h, nil, "", err
 	}
 	z, err := zstd.NewReader(in)
 	if err != nil {
-		return h, nil, "", err
+		return h, nil, "", fmt.Errorf("begin the compressed part: %w", err)
 	}
 	defer z.Close()
 	f := &frameReader{r: bufio.NewReader(z), sum: xxhash.New()}
 	if err := f.next(&h); err != nil {
 		return h, nil, "", fmt.Errorf("%w: in the header: %w", ErrDamaged, err)
 	}
+	items, trailer, err := f.items()
+	if err != nil {
+		return h, nil, "", err
+	}
+	return h, items, fmt.Sprintf("%016x", trailer.Sum), nil
+}
+
+// readFirstLine checks that the file is an export whose format this version reads.
+func readFirstLine(in *bufio.Reader) error {
+	line, err := in.ReadString('\n')
+	version, isExport := strings.CutPrefix(strings.TrimSuffix(line, "\n"), fileMagic)
+	if err != nil || !isExport {
+		return ErrNotExport
+	}
+	var format int
+	if _, err := fmt.Sscan(version, &format); err != nil {
+		return ErrNotExport
+	}
+	if format > Format {
+		return fmt.Errorf("%w: format %d, at most %d is understood", ErrNewer, format, Format)
+	}
+	return nil
+}
+
+// frameReader reads frames, and keeps the checksum of all of them.
+type frameReader struct {
+	r   *bufio.Reader
+	sum *xxhash.Digest
+}
+
+// items reads the keys and the trailer, after which nothing may follow.
+func (f *frameReader) items() (items []wire.KeyValue, trailer frame, err error) {
 	for last := "the header"; ; {
 		before := f.sum.Sum64()
 		var fr frame
 		if err := f.next(&fr); err != nil {
-			return h, nil, "", fmt.Errorf("%w: after %s (%d keys): %w", ErrDamaged, last, len(items), err)
+			return nil, fr, fmt.Errorf("%w: after %s (%d keys): %w", ErrDamaged, last, len(items), err)
+		}
+		if fr.Key != "" {
+			items = append(items, wire.KeyValue{Key: fr.Key, Value: fr.Value, Version: fr.Version})
+			last = fr.Key
+			continue
+		}
+		if fr.Count != len(items) || fr.Sum != before {
+			return nil, fr, fmt.Errorf("%w: %d keys, the trailer counts %d", ErrDamaged, len(items), fr.Count)
 		}
-		if fr.Key == "" {
-			if fr.Count != len(items) || fr.Sum != before {
-				return h, nil, "", fmt.Errorf("%w: %d keys, the trailer counts %d", ErrDamaged, len(items), fr.Count)
-			}
-			if n, err := io.Copy(io.Discard, f.r); err != nil || n > 0 {
-				return h, nil, "", fmt.Errorf("%w: something follows the trailer", ErrDamaged)
-			}
-			return h, items, fmt.Sprintf("%016x", fr.Sum), nil
+		if n, err := io.Copy(io.Discard, f.r); err != nil || n > 0 {
+			return nil, fr, fmt.Errorf("%w: something follows the trailer", ErrDamaged)
 		}
-		items = append(items, wire.KeyValue{Key: fr.Key, Value: fr.Value, Version: fr.Version})
-		last = fr.Key
+		return items, fr, nil
 	}
 }
 
-// frameReader reads frames and sums them up.
-type frameReader struct {
-	r   *bufio.Reader
-	sum *xxhash.Digest
-}
-
+// next reads a frame.
 func (f *frameReader) next(v any) error {
 	n, err := binary.ReadUvarint(f.r)
 	if err != nil {
 		return err
 	}
-	if n > maxFrame {
+	if n > maxFrameBytes {
 		return fmt.Errorf("a frame of %d bytes", n)
 	}
-	body := make([]byte, n+8)
+	body := make([]byte, n+checksumBytes)
 	if _, err := io.ReadFull(f.r, body); err != nil {
 		return err
 	}
 	if xxhash.Sum64(body[:n]) != binary.LittleEndian.Uint64(body[n:]) {
 		return errors.New("checksum")
 	}
-	_, _ = f.sum.Write(body[:n])
+	_, _ = f.sum.Write(body[:n]) // a hash does not fail
 	return wire.DecodeValue(body[:n], v)
 }
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -12,137 +12,182 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Errors of Restore.
+// What keeps a state from being imported.
 var (
 	// ErrNotEmpty means that the state service holds something already.
 	ErrNotEmpty = errors.New("the state service is not empty")
-	// ErrTooLarge means that a value does not fit the limits of the state service.
+	// ErrTooLarge means that a value exceeds the limits of the state service.
 	ErrTooLarge = errors.New("a value is larger than the state service takes")
 )
 
-// FencingTokenMargin is by how much an import raises the counter of terms: workers obey
-// the highest term that they have seen, which may have been given after the export.
-const FencingTokenMargin = 1_000_000
-
-// formatImporting is the form of a state that is being put in: no version works on it.
-const formatImporting = 1 << 30
+const (
+	// FencingTokenMargin is by how much an import raises the counter of fencing tokens:
+	// workers obey the highest token that they have seen, which may have been given after
+	// the export.
+	FencingTokenMargin = 1_000_000
+	// formatImporting is the format of a state while it is imported: no version works on it.
+	formatImporting = 1 << 30
+	// maxTxnBytes bounds the values of one write together.
+	maxTxnBytes = 40 << 10
+)
 
-// Limits is what the state service takes.
+// Limits are those of the state service.
 type Limits struct{ ValueBytes, TxnOps int }
 
-// Import puts a state into an empty state service. One that was broken off goes
-// on with the same file. Until it is through, every controller stands back.
+// Import puts a state into an empty state service, and returns the counter of fencing tokens
+// that it begins with. An import that was interrupted is continued with the same file, which
+// its sum identifies. Until it is complete no controller works on the state.
 func Import(ctx context.Context, s Service, items []wire.KeyValue, sum string, lim Limits, progress func(done, all int)) (token uint64, err error) {
 	present, marker, err := beginImport(ctx, s, sum)
 	if err != nil {
 		return 0, err
 	}
-	items = slices.Clone(items)
-	// In the order of their versions, each at a revision of its own: the newest
-	// slot of the ledger and the oldest home of a job count.
-	slices.SortStableFunc(items, func(a, b wire.KeyValue) int {
-		return cmp.Or(cmp.Compare(importOrder(a), importOrder(b)), strings.Compare(a.Key, b.Key))
-	})
-	var txn wire.Txn
-	bytes := 0
-	flush := func() error {
-		if len(txn.Then) == 0 {
-			return nil
-		}
-		// A copy that comes late finds the marker written over: its keys may be absent again by
-		// then, and a batch of jobs that were folded long ago must not come back.
-		txn.If = append(txn.If, marker)
-		err := commit(ctx, s, txn)
-		txn, bytes = wire.Txn{}, 0
-		return err
-	}
-	format := 0
+	w := &importer{service: s, limits: lim, present: present, marker: marker}
+	items = inImportOrder(items)
 	for i, it := range items {
-		if len(it.Value) > lim.ValueBytes {
-			return 0, fmt.Errorf("%w: %s takes %d bytes, %d are allowed", ErrTooLarge, it.Key, len(it.Value), lim.ValueBytes)
-		}
-		alone := true
-		var value any = it.Value
-		switch store.Kind(it.Key) {
-		case "part": // held by a lease of the other service
-			continue
-		case "format":
-			format = StateFormat([]wire.KeyValue{it})
-			continue
-		case "term":
-			if err := wire.DecodeValue(it.Value, &token); err != nil {
-				return 0, fmt.Errorf("%s: %w", it.Key, err)
-			}
-			continue
-		case "batch": // its revisions are those of the other service
-			var rec store.BatchRecord
-			if err := wire.DecodeValue(it.Value, &rec); err != nil {
-				return 0, fmt.Errorf("%s: %w", it.Key, err)
-			}
-			rec.Since = 0
-			value = rec
-		case "history", "recent", "gate", "types", "grouping", "grant", "tiers":
-			alone = false
-		}
-		if present[it.Key] {
-			continue
-		}
-		if alone || len(txn.Then) >= lim.TxnOps || bytes+len(it.Value) > 40<<10 {
-			if err := flush(); err != nil {
-				return 0, err
-			}
+		written, err := w.add(ctx, it)
+		if err != nil {
+			return 0, err
 		}
-		txn.If = append(txn.If, wire.Condition{Key: it.Key})
-		txn.Then = append(txn.Then, wire.Operation{Put: it.Key, Value: value})
-		bytes += len(it.Value)
-		if alone {
-			if err := flush(); err != nil {
-				return 0, err
-			}
+		if written {
+			progress(i+1, len(items))
 		}
-		progress(i+1, len(items))
 	}
-	if err := flush(); err != nil {
+	if err := w.flush(ctx); err != nil {
 		return 0, err
 	}
-	return token + FencingTokenMargin, finishImport(ctx, s, marker, format, token+FencingTokenMargin)
+	token = w.token + FencingTokenMargin
+	return token, finishImport(ctx, s, marker, w.format, token)
 }
 
-// importOrder orders what is put in: a batch that was written again is as old as its
-// first revision.
+// inImportOrder orders keys by their versions: the newest segment of a ledger counts, and the
+// oldest batch of a job, so that their order must be the same in the new state service.
+func inImportOrder(items []wire.KeyValue) []wire.KeyValue {
+	items = slices.Clone(items)
+	slices.SortStableFunc(items, func(a, b wire.KeyValue) int {
+		return cmp.Or(cmp.Compare(importOrder(a), importOrder(b)), strings.Compare(a.Key, b.Key))
+	})
+	return items
+}
+
+// importOrder returns the version that a key is ordered by: a batch that was written again is
+// as old as its first revision.
 func importOrder(it wire.KeyValue) uint64 {
 	var rec store.BatchRecord
-	if store.Kind(it.Key) == "batch" && wire.DecodeValue(it.Value, &rec) == nil && rec.Since > 0 {
+	if store.Kind(it.Key) == store.KindBatch && wire.DecodeValue(it.Value, &rec) == nil && rec.Since > 0 {
 		return rec.Since
 	}
 	return it.Version
 }
 
-// beginImport marks an empty state service, or finds what an import that was broken off
-// has left there. It gives the condition that the marker still stands.
+// importer writes keys in transactions. Those whose order counts get a revision of their own.
+type importer struct {
+	service Service
+	limits  Limits
+	present map[string]bool // keys that an interrupted import has written
+	marker  wire.Condition  // that the import has not ended
+
+	txn    wire.Txn // not written yet
+	bytes  int      // of its values
+	format int      // of the state, for the end of the import
+	token  uint64   // the counter of fencing tokens at the export
+}
+
+// add takes a key, and reports whether it belongs into the state now.
+func (w *importer) add(ctx context.Context, it wire.KeyValue) (written bool, err error) {
+	if len(it.Value) > w.limits.ValueBytes {
+		return false, fmt.Errorf("%w: %s takes %d bytes, %d are allowed", ErrTooLarge, it.Key, len(it.Value), w.limits.ValueBytes)
+	}
+	switch kind := store.Kind(it.Key); kind {
+	case store.KindLeader: // it is attached to a lease of the other state service
+		return false, nil
+	case store.KindFormat:
+		w.format = StateFormat([]wire.KeyValue{it})
+		return false, nil
+	case store.KindFencingToken:
+		if err := wire.DecodeValue(it.Value, &w.token); err != nil {
+			return false, fmt.Errorf("%s: %w", it.Key, err)
+		}
+		return false, nil
+	default:
+		value, err := importedValue(kind, it)
+		if err != nil || w.present[it.Key] {
+			return false, err
+		}
+		return true, w.put(ctx, it, value, orderCounts(kind))
+	}
+}
+
+// importedValue returns the value to write. A batch must not name a revision of the other
+// state service.
+func importedValue(kind string, it wire.KeyValue) (any, error) {
+	if kind != store.KindBatch {
+		return it.Value, nil
+	}
+	var rec store.BatchRecord
+	if err := wire.DecodeValue(it.Value, &rec); err != nil {
+		return nil, fmt.Errorf("%s: %w", it.Key, err)
+	}
+	rec.Since = 0
+	return rec, nil
+}
+
+// orderCounts reports whether the revisions of a kind's keys must be in the order of the export.
+func orderCounts(kind string) bool {
+	switch kind {
+	case store.KindArchive, store.KindRecent, store.KindSubmissionFence, store.KindMachineTypes,
+		store.KindSharding, store.KindQuotaGrant, store.KindTiers:
+		return false
+	}
+	return true
+}
+
+// put adds a key to the transaction, and writes it alone if its order counts.
+func (w *importer) put(ctx context.Context, it wire.KeyValue, value any, alone bool) error {
+	if alone || len(w.txn.Then) >= w.limits.TxnOps || w.bytes+len(it.Value) > maxTxnBytes {
+		if err := w.flush(ctx); err != nil {
+			return err
+		}
+	}
+	w.txn.If = append(w.txn.If, wire.Condition{Key: it.Key})
+	w.txn.Then = append(w.txn.Then, wire.Operation{Put: it.Key, Value: value})
+	w.bytes += len(it.Value)
+	if alone {
+		return w.flush(ctx)
+	}
+	return nil
+}
+
+// flush writes the transaction. A copy of it that arrives late finds another marker: its keys
+// may be absent again by then, and a batch of jobs that were compacted long ago must not
+// come back.
+func (w *importer) flush(ctx context.Context) error {
+	if len(w.txn.Then) == 0 {
+		return nil
+	}
+	w.txn.If = append(w.txn.If, w.marker)
+	err := commit(ctx, w.service, w.txn)
+	w.txn, w.bytes = wire.Txn{}, 0
+	return err
+}
+
+// beginImport marks an empty state service as being imported, or finds what an interrupted
+// import of the same file has left there. It returns the condition that the marker is unchanged.
 func beginImport(ctx context.Context, s Service, sum string) (present map[string]bool, marker wire.Condition, err error) {
 	for marked := false; ; marked = true {
 		items, _, err := Export(ctx, s, func(int, string) {})
 		if err != nil {
 			return nil, marker, err
 		}
-		present = make(map[string]bool)
-		var m store.FormatRecord
-		for _, it := range items {
-			present[it.Key] = true
-			if it.Key == store.FormatKey {
-				_ = wire.DecodeValue(it.Value, &m)
-				marker = wire.Condition{Key: it.Key, Version: it.Version}
-			}
-		}
+		found, unchanged := findMarker(items)
 		switch {
-		case len(items) > 0 && (m.Format != formatImporting || m.Import != sum), len(items) == 0 && marked:
+		case len(items) > 0 && (found.Format != formatImporting || found.Import != sum), len(items) == 0 && marked:
 			return nil, marker, fmt.Errorf("%w: it holds %d keys, the first is %s", ErrNotEmpty, len(items), firstKey(items))
 		case len(items) > 0:
-			return present, marker, nil
+			return keysOf(items), unchanged, nil
 		}
-		// A state of version 1 has no marker once it is in, but every state has a counter of
-		// terms from then on: a copy of this that comes late must not close a state in use.
+		// A state of format 1 has no marker once it is imported, but every state has a counter
+		// of fencing tokens from then on: a late copy of this must not close a state in use.
 		if err := commit(ctx, s, wire.Txn{If: []wire.Condition{{Key: store.FormatKey}, {Key: store.FencingTokenKey}},
 			Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: formatImporting, Import: sum}}}}); err != nil {
 			return nil, marker, err
@@ -150,25 +195,51 @@
 	}
 }
 
-// finishImport sets the counter of terms and opens the state to controllers, once: a copy that comes
-// after they have begun to claim would set the counter back, and terms, attempts and names of
-// rentals would come twice.
+// findMarker returns the format record of a state, and the condition that it is unchanged.
+func findMarker(items []wire.KeyValue) (rec store.FormatRecord, unchanged wire.Condition) {
+	for _, it := range items {
+		if it.Key == store.FormatKey {
+			_ = wire.DecodeValue(it.Value, &rec) // a damaged marker is none of an import
+			unchanged = wire.Condition{Key: it.Key, Version: it.Version}
+		}
+	}
+	return rec, unchanged
+}
+
+func keysOf(items []wire.KeyValue) map[string]bool {
+	keys := make(map[string]bool, len(items))
+	for _, it := range items {
+		keys[it.Key] = true
+	}
+	return keys
+}
+
+func firstKey(items []wire.KeyValue) string {
+	if len(items) == 0 {
+		return "none"
+	}
+	return items[0].Key
+}
+
+// finishImport sets the counter of fencing tokens and opens the state to controllers, once. A
+// copy that arrives after they have begun to elect leaders would set the counter back, and
+// tokens, attempts and names of scale-outs would be given twice.
 func finishImport(ctx context.Context, s Service, marker wire.Condition, format int, token uint64) error {
 	open := wire.Operation{Put: store.FormatKey, Value: store.FormatRecord{Format: format}}
-	if format == 0 { // of version 1, which had no marker
+	if format == 0 { // of format 1, which has no marker
 		open = wire.Operation{Delete: store.FormatKey}
 	}
 	return commit(ctx, s, wire.Txn{If: []wire.Condition{marker}, Then: []wire.Operation{{Put: store.FencingTokenKey, Value: token}, open}})
 }
 
-// commit makes a write. Nobody else writes, so that one without an answer can be made
-// again, and a conflict after that on a key that it changes means that it was taken.
+// commit makes a write. Nobody else writes, so that one without an answer can be made again;
+// a conflict after that, on a key that it changes, means that it was committed.
 func commit(ctx context.Context, s Service, txn wire.Txn) error {
 	unsure := false
 	return retry(ctx, func() error {
 		_, err := s.Txn(ctx, txn)
 		var conflict *store.ConflictError
-		if errors.As(err, &conflict) && unsure && slices.ContainsFunc(txn.Then, func(c wire.Operation) bool { return slices.Contains(conflict.Failed, c.Put+c.Delete) }) {
+		if unsure && errors.As(err, &conflict) && conflictsOn(conflict, txn.Then) {
 			return nil
 		}
 		unsure = unsure || errors.Is(err, store.ErrUnknownOutcome)
@@ -178,3 +249,10 @@
 		return nil
 	})
 }
+
+// conflictsOn reports whether a conflict is on a key of one of the operations.
+func conflictsOn(conflict *store.ConflictError, ops []wire.Operation) bool {
+	return slices.ContainsFunc(ops, func(op wire.Operation) bool {
+		return slices.Contains(conflict.Failed, op.Put+op.Delete)
+	})
+}
