--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -135,7 +135,7 @@
 		outcome = fleet.Executed
 	}
 	if err != nil || r.Machine != c.machine {
-		h.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "error", err)
+		h.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "err", err)
 		return
 	}
 	if answered = true; r.FencingToken <= h.lease.FencingToken {
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "asks", len(d.requests), "slots", len(d.Packed().Then))
+		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
 	}
 }
 
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -47,12 +47,12 @@
 // whatever made it up may make up more.
 func (h *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
 	if why := h.impossibleReason(r); why != "" {
-		h.rejected.Impossible++
+		h.display.rejected.Impossible++
 		h.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
 		return false
 	}
 	if !h.fleet.IsNewer(r) {
-		h.rejected.Stale++
+		h.display.rejected.Stale++
 		return true
 	}
 	h.noteReconnected(now, r.Machine)
@@ -83,5 +83,5 @@
 func (h *Leader) RejectedHeartbeats() RejectedHeartbeats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.rejected
+	return h.display.rejected
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,6 +1,7 @@
-// Package leader is the holder's loop: it collects what the workers and the
-// cloud report, decides, and writes each round as one fenced transaction.
-// Only after the store has taken a round are its launches said to anyone.
+// Package leader leads a shard of the fleet. In rounds, it squares what machines and the cloud report
+// with the jobs of the state service, lets the scheduler plan, and writes what follows as one
+// compare-and-swap that is fenced by the leader's token. A launch is sent to a machine only after the
+// round that plans it is committed, so that the next leader knows of it whatever happens to this one.
 package leader
 
 import (
@@ -25,58 +26,85 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Leader holds one part of the fleet under one term. Its methods are pure but
-// for the lock: times and events come in, commands and transactions go out.
-type Leader struct {
+// identity is what does not change while a leader leads.
+type identity struct {
 	cfg      *config.Config
 	lease    leadership.Tenure
 	log      *slog.Logger
 	jobIndex JobIndex
+	timeouts timeouts
+}
+
+// shardingState says which machines and tasks are this shard's, and how far the state of previous
+// shardings has been taken over.
+type shardingState struct {
+	sharding       *fleet.Sharding
+	assignment     *reshard.Assignment // of tasks to shards
+	migration      *ledgerMigration
+	clearedWritten uint64 // revision up to which the ledger says that nothing is left of ended jobs
+
+	peerShards  map[string]ShardStatus // of the other shards, as their leaders last told
+	ingestPeers int                    // controllers that forward heartbeats to this one
+}
+
+// handoverState is what the leader knows for giving tasks to other shards.
+type handoverState struct {
+	forecast    forecast
+	targets     *handover.Targets    // of tasks that find no capacity here
+	ledgerTasks handover.LedgerTasks // what the own ledger names
+}
+
+// machineHealth tells which machines are reachable, and keeps the calls that find out.
+type machineHealth struct {
+	monitor  *reachability.Monitor
+	detector *reachability.Detector
+	fencing  *reachability.Fencing
+}
+
+// Leader leads one shard of the fleet under one fencing token. It reads no clock and makes no calls
+// but in Run: times and events come in, commands and transactions go out. One lock guards all of its
+// state, and no concern below has one of its own.
+type Leader struct {
+	identity
 
 	mu sync.Mutex
 	jobTable
 	roundState
 	recoveryState
-	display          statusCache
-	rejected         RejectedHeartbeats
-	idle             idleTracker
-	loop             wakeups
+	shardingState
+	handoverState
+	machineHealth
 	fleet            *fleet.Fleet
 	types            []wire.MachineType
 	ledger           *store.Ledger
-	timeouts         timeouts
-	stalls           stall.Detector
-	sharding         *fleet.Sharding
-	peerShards       map[string]ShardStatus // of the parts that siblings hold, as last told
-	ingestPeers      int                    // siblings that pass reports on to here
-	forecast         forecast
-	targets          *handover.Targets    // of tasks that find no capacity here
-	ledgerTasks      handover.LedgerTasks // what the own ledger names
 	quota            *quota.Quota
-	clearedWritten   uint64              // up to which revision the ledger says that nothing is left of ended jobs
-	assignment       *reshard.Assignment // of tasks to shards
-	migration        *ledgerMigration
-	scaleOutRequests *autoscale.Scaler
-	monitor          *reachability.Monitor
-	detector         *reachability.Detector
-	fencing          *reachability.Fencing
+	preemptions      *tier.Preemptions
 	zones            *zone.Watch
 	recovery         *zonerecovery.Tracker
-	preemptions      *tier.Preemptions
+	scaleOutRequests *autoscale.Scaler
+	stalls           stall.Detector
+	idle             idleTracker
+	display          statusCache
+	loop             wakeups
 }
 
-// New gives the holder of a claim, from a snapshot and the part's ledgers, which are not
-// older.
+// New returns the leader that a lease makes, from a snapshot of the state and from the shard's
+// ledgers, which are not older than that.
 func New(cfg *config.Config, lease leadership.Tenure, snap store.Snapshot, ledgers store.ShardLedgers, types []wire.MachineType,
 	jobIndex JobIndex, now time.Time, log *slog.Logger) *Leader {
 	ledger, last := store.NewLedger(ledgers.Name, cfg.Store.ValueBytes, ledgers.Own)
 	h := &Leader{
-		cfg: cfg, lease: lease, log: log.With("part", lease.Shard, "term", lease.FencingToken), jobIndex: jobIndex,
-		fleet:  fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
-		ledger: ledger, timeouts: timeoutsOf(cfg), types: types,
-		jobTable: newJobTable(snap), roundState: newRoundState(last.Round, now), loop: newWakeups(),
-		scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS), stalls: stall.NewDetector(now),
-		sharding: cfg.Sharding(),
+		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: timeoutsOf(cfg),
+			log: log.With("shard", lease.Shard, "token", lease.FencingToken)},
+		jobTable:         newJobTable(snap),
+		roundState:       newRoundState(last.Round, now),
+		shardingState:    shardingState{sharding: cfg.Sharding()},
+		fleet:            fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
+		types:            types,
+		ledger:           ledger,
+		scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS),
+		stalls:           stall.NewDetector(now),
+		loop:             newWakeups(),
 	}
 	h.targets = handover.NewTargets(lease.Shard, h.sharding)
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
@@ -89,18 +117,36 @@
 	h.recoverZones(now, &last)
 	h.continueZoneRecoveries(now, &last)
 	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
-	for _, id := range sortedKeys(last.Machines) { // in order, each is added at the end
+	h.recoverMachines(now, &last)
+	h.recoverFinished(&last)
+	h.migrateFinished()
+	for id, l := range h.liveJobs {
+		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
+			h.jobState(id).coAllocation.Started = l.Record.CoAllocation
+		}
+	}
+	h.log.Info("state recovered", "machines", len(last.Machines), "requests", len(last.ScaleOuts), "ledger", ledger.String())
+	return h
+}
+
+// recoverMachines goes on from the machines and the scale-out requests that the ledger names.
+func (h *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
+	for _, id := range sortedKeys(last.Machines) { // in order, since each is added at the end
 		m := last.Machines[id]
-		if h.sharding.ShardOf(m.Zone, m.Type) == lease.Shard {
-			h.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, jobIndex))
+		if h.sharding.ShardOf(m.Zone, m.Type) == h.lease.Shard {
+			h.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, h.jobIndex))
 		}
 	}
 	for name, a := range last.ScaleOuts {
 		h.scaleOutRequests.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
 	}
+}
+
+// recoverFinished goes on from the tasks of live jobs that the ledger says have finished.
+func (h *Leader) recoverFinished(last *store.RecoveredState) {
 	for id, done := range last.FinishedTasks {
-		if snap.LiveJobs[id] == nil {
-			ledger.DiscardJob(id, wire.MaxTasks)
+		if h.liveJobs[id] == nil {
+			h.ledger.DiscardJob(id, wire.MaxTasks)
 			continue
 		}
 		j := h.jobState(id)
@@ -112,17 +158,9 @@
 			h.unstored.Add(id, h.lastRound) // the rest may have been given away since
 		}
 	}
-	h.migrateFinished()
-	for id, l := range h.liveJobs {
-		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here, nobody knows
-			h.jobState(id).coAllocation.Started = l.Record.CoAllocation
-		}
-	}
-	h.log.Info("recalled", "machines", len(last.Machines), "asks", len(last.ScaleOuts), "ledger", ledger.String())
-	return h
 }
 
-// FencingToken is the holder's term.
+// FencingToken returns the token under which this leader leads.
 func (h *Leader) FencingToken() uint64 { return h.lease.FencingToken }
 
 // Wake asks for a round soon.
@@ -130,7 +168,7 @@
 	h.loop.wakeRound()
 }
 
-// SetTypes takes in the cloud's machine types.
+// SetTypes replaces the machine types by those that the cloud lists now.
 func (h *Leader) SetTypes(t []wire.MachineType) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -120,7 +120,7 @@
 			}
 			return
 		default:
-			h.log.Info("round without an answer", "number", d.Number, "error", err)
+			h.log.Info("round without an answer", "number", d.Number, "err", err)
 			h.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
 			store.Backoff(ctx, 300*time.Millisecond)
 		}
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -17,7 +17,7 @@
 		if err == nil {
 			h.handleMachineList(requestedAt, time.Now(), list)
 		} else {
-			h.log.Debug("listing machines failed", "error", err)
+			h.log.Debug("listing machines failed", "err", err)
 		}
 		if time.Since(typesAt) > 30*time.Second {
 			if types, err := e.Cloud.MachineTypes(ctx); err == nil {
@@ -54,7 +54,7 @@
 // forgetMachine forgets a machine that is proven gone.
 func (h *Leader) forgetMachine(id, why string) {
 	if m := h.fleet.Machine(id); m != nil {
-		h.log.Info("machine gone", "machine", id, "why", why)
+		h.log.Info("machine gone", "machine", id, "reason", why)
 		if m.Recorded {
 			h.machinesToDrop[id] = true
 		}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -76,7 +76,7 @@
 	}
 	if p.Stop == nil || !p.Stop.JobFinished {
 		p.Stop = &fleet.StopOrder{Reason: "job is over", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(h.cfg.Workers.MaxCancelStaleness())}
-		h.log.Debug("stopping", "task", p.Task, "machine", p.Machine, "why", "job is over")
+		h.log.Debug("stopping", "task", p.Task, "machine", p.Machine, "reason", "job is over")
 	}
 	// A machine that can't be reached, or to which a launch may still be on its
 	// way, is released before the time is up. While the cloud does not take that, the
@@ -120,7 +120,7 @@
 		if q.Stop == nil && !h.fleet.Withdraw(q) {
 			q.Stop = &fleet.StopOrder{Grace: grace, Reason: why, Since: now}
 			h.countFailedAttempt(q)
-			h.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "why", why)
+			h.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "reason", why)
 		}
 	}
 }
@@ -190,5 +190,5 @@
 	}
 	m.Releasing = true
 	h.scaleOutRequests.Release(m.ID)
-	h.log.Info("releasing", "machine", m.ID, "why", why)
+	h.log.Info("releasing", "machine", m.ID, "reason", why)
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -32,6 +32,7 @@
 	statusAt time.Time
 	counts   map[string]TaskCount
 	countsAt time.Time
+	rejected RejectedHeartbeats
 }
 
 // Status gives the part's status, no older than the counts. Its maps are shared and
