--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -23,14 +23,14 @@
 var tinyLimits = Limits{ValueBytes: 1024, TxnOps: 4}
 
 // submitAndEnd submits jobs and ends most of them; what users were told is kept.
-func (w *harness) submitAndEnd(luck *rand.Rand, name string, ids []string) {
+func (w *harness) submitAndEnd(random *rand.Rand, name string, ids []string) {
 	for i := 0; i < len(ids); i += 3 {
 		w.must(w.submission(fmt.Sprintf("%s-%d", name, i), ids[i:min(i+3, len(ids))]...))
 	}
 	_ = w.Barrier(context.Background())
 	for _, id := range ids {
 		stage := wire.Done
-		switch luck.IntN(8) {
+		switch random.IntN(8) {
 		case 0:
 			continue // goes on
 		case 1, 2:
@@ -57,7 +57,7 @@
 	}
 }
 
-// compactAll folds until there is nothing to do or the folder crashes.
+// compactAll compacts until there is nothing to do or the compactor crashes.
 func (w *harness) compactAll() error {
 	for {
 		more, err := w.compactor.Step(context.Background())
@@ -70,24 +70,24 @@
 	}
 }
 
-// TestCompactorCrashAtEveryWrite ends the folder at each of its writes in turn, which is
-// then taken unheard, or arrives after the next folder has begun: no answer is
+// TestCompactorCrashAtEveryWrite ends the compactor at each of its writes in turn. The write
+// is then committed without an answer, or arrives after the next compactor has begun: no answer is
 // ever lost or changed, and in the end everything is where it belongs.
 func TestCompactorCrashAtEveryWrite(t *testing.T) {
 	for _, fate := range []string{"taken", "held"} {
 		for at := 0; ; at++ {
 			w := newHarness(t, tinyLimits)
 			w.compactor.MergeThreshold = 1
-			luck := rand.New(rand.NewPCG(uint64(at), 1))
+			random := rand.New(rand.NewPCG(uint64(at), 1))
 			w.writesUntilCrash, w.crashOutcome = at, fate
 			crashed := false
 			var late []wire.Txn
 			for i := range 12 {
 				var ids []string
 				for k := range 20 {
-					ids = append(ids, fmt.Sprintf("wk-%06d", (luck.IntN(4000)*12+i)*20+k))
+					ids = append(ids, fmt.Sprintf("wk-%06d", (random.IntN(4000)*12+i)*20+k))
 				}
-				w.submitAndEnd(luck, fmt.Sprintf("b-%d", i), ids)
+				w.submitAndEnd(random, fmt.Sprintf("b-%d", i), ids)
 				late = append(late, w.submission(fmt.Sprintf("late-%d", i), ids[0])) // a copy, on its way
 				if err := w.compactAll(); err != nil {
 					crashed = true
@@ -125,15 +125,15 @@
 
 func (w *harness) items() []wire.KeyValue { return w.store.Page(store.CommonPrefix, "", 0).Items }
 
-// TestArchiveOfManyJobs folds 40,000 jobs, their ids spread at random over ten times as
+// TestArchiveOfManyJobs compacts 40,000 jobs, their ids spread at random over ten times as
 // many and some of 12 digits: keys and the list of a start stay few, each job is
 // found by one look, and changes are counted.
 func TestArchiveOfManyJobs(t *testing.T) {
 	lim := Limits{ValueBytes: 8192, TxnOps: 20}
 	w := newHarness(t, lim)
-	luck := rand.New(rand.NewPCG(3, 3))
+	random := rand.New(rand.NewPCG(3, 3))
 	const jobs, each = 40_000, 16
-	ids := luck.Perm(jobs * 10)
+	ids := random.Perm(jobs * 10)
 	_, before, _ := w.store.Counts()
 	for i := 0; i < jobs; i += each {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
@@ -159,9 +159,9 @@
 		t.Fatal(err)
 	}
 	_, changes, keys := w.store.Counts()
-	folding := changes - before - jobs/each
-	if keys > jobs/100 || folding > jobs/8 {
-		t.Errorf("%d keys, %d changes of folding for %d jobs", keys, folding, jobs)
+	compaction := changes - before - jobs/each
+	if keys > jobs/100 || compaction > jobs/8 {
+		t.Errorf("%d keys, %d changes of compaction for %d jobs", keys, compaction, jobs)
 	}
 	w.start(lim)
 	if n := len(w.store.Page(store.StatePrefix, "", 0).Items); n > 20 {
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestJobCancelledDuringStaging: the holder tells which jobs may have a task somewhere, and just after that
-// another is launched and cancelled, by the time at which the folder looks what is over. Its task may
-// run: it is folded only once the holder was asked anew.
+// TestJobCancelledDuringStaging: the leader says which jobs may have a task somewhere, and just after that
+// another is launched and cancelled, before the compactor looks which jobs have ended. Its task may
+// run: it is compacted only after the leader was asked again.
 func TestJobCancelledDuringStaging(t *testing.T) {
 	w := newHarness(t, tinyLimits)
 	w.must(w.submission("a", "wk-1"))
@@ -220,13 +220,13 @@
 func TestOutageDuringCompaction(t *testing.T) {
 	w := newHarness(t, tinyLimits)
 	w.compactor.MergeThreshold = 1
-	luck := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	for i := range 40 {
 		var ids []string
 		for k := range 10 {
 			ids = append(ids, fmt.Sprintf("wk-%d", i*100+k))
 		}
-		w.submitAndEnd(luck, fmt.Sprintf("b-%d", i), ids)
+		w.submitAndEnd(random, fmt.Sprintf("b-%d", i), ids)
 		if i%3 == 0 {
 			w.refused = fmt.Errorf("%w: status 429", store.ErrRefused)
 			if err := w.compactAll(); !errors.Is(err, store.ErrRefused) {
@@ -239,9 +239,9 @@
 		t.Fatal(err)
 	}
 	w.check("in the end")
-	_, over, _, _ := w.view.Size()
-	if homes := w.view.EndedBatches(99, func(*store.Batch) bool { return true }); len(homes) > 0 {
-		t.Errorf("%d homes are left, %d jobs", len(homes), over)
+	_, ended, _, _ := w.view.Size()
+	if batches := w.view.EndedBatches(99, func(*store.Batch) bool { return true }); len(batches) > 0 {
+		t.Errorf("%d batches are left, %d jobs", len(batches), ended)
 	}
 }
 
@@ -346,7 +346,7 @@
 	return c.Lister.List(ctx, prefix, after, limit)
 }
 
-// TestColdReaderLimitsConcurrentReads: after a start, users ask about all jobs that are over at once.
+// TestColdReaderLimitsConcurrentReads: after a start, users ask about all ended jobs at once.
 // A few reads answer all of them, and never more than two at a time take the requests that the
 // barriers of all other questions need.
 func TestColdReaderLimitsConcurrentReads(t *testing.T) {
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -16,8 +16,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// harness is a state service and a controller that folds, driven step by step. It
-// implements what a Folder and a Reader need of a store.
+// harness is a state service and a controller that compacts, driven step by step. It
+// implements what a Compactor and a Reader need of a store.
 type harness struct {
 	t                testing.TB
 	store            *simulator.StateService
@@ -26,8 +26,8 @@
 	compactor        *Compactor
 	withTasks        map[string]bool
 	delayed          []wire.Txn // on their way, to be delivered late
-	crashOutcome     string     // of the next writes of the folder
-	writesUntilCrash int        // writes of the folder until it crashes, below 0 for none
+	crashOutcome     string     // of the next writes of the compactor
+	writesUntilCrash int        // writes of the compactor until it crashes, below 0 for none
 	refused          error      // what the state service answers, if it is set
 	elections        int
 	writes           []string
@@ -53,9 +53,9 @@
 	w.view.Archive = w.reader
 	page := w.store.Page(store.StatePrefix, "", 0)
 	w.view.Load(page.Items, page.Revision, &wire.WatchResponse{Revision: page.Revision})
-	part, _ := w.view.Leader("fleet")
+	leader, _ := w.view.Leader("fleet")
 	w.compactor = &Compactor{Store: w, View: w.view, Follower: w, Reader: w.reader, Limits: lim, Log: log,
-		Fence: wire.Condition{Key: store.LeaderKey("fleet"), Version: part.Version}, Interval: time.Microsecond, MergeThreshold: 4,
+		Fence: wire.Condition{Key: store.LeaderKey("fleet"), Version: leader.Version}, Interval: time.Microsecond, MergeThreshold: 4,
 		JobsWithTasks: func() (map[string]bool, bool) { return w.withTasks, true }, LeaseValid: func() bool { return true }}
 }
 
@@ -87,14 +87,14 @@
 	return w.store.Page(prefix, after, limit), nil
 }
 
-// Txn takes a write of the folder.
+// Txn takes a write of the compactor.
 func (w *harness) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
 	if w.refused != nil {
 		return 0, w.refused
 	}
 	w.writes = append(w.writes, describe(txn)...)
 	switch {
-	case w.writesUntilCrash == 0 && w.crashOutcome == "taken": // it is taken, and the folder never hears of it
+	case w.writesUntilCrash == 0 && w.crashOutcome == "taken": // it is committed, and the compactor gets no answer
 		w.writesUntilCrash = -1
 		w.store.Commit(txn)
 		return 0, errCrash
@@ -149,7 +149,7 @@
 	return out
 }
 
-// submission gives the transaction of a batch, with the gate as the view has it.
+// submission returns the transaction of a batch, on the submission fence that the view has.
 func (w *harness) submission(name string, ids ...string) wire.Txn {
 	rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 	for _, id := range ids {
@@ -179,7 +179,7 @@
 	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Change()}}
 }
 
-// ask tells what a user is answered about a job, as every controller finds it.
+// ask returns what a user is answered about a job, as every controller finds it.
 func (w *harness) ask(id string) string {
 	if rec, known := w.view.Job(id); known {
 		return string(rec.Stage)
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -27,7 +27,7 @@
 	switch words[0] {
 	case "submit":
 		txn = w.submission(words[1], words[2:]...)
-	case "odd": // a batch whose job is neither live nor over
+	case "odd": // a batch whose job is neither live nor ended
 		txn = wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}
 	case "own":
 		txn = w.standaloneJob(words[1], wire.Stage(words[2]))
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// compact has the folder do one thing. It may crash at a write of it, that is taken
-// all the same or is held up.
+// compact has the compactor make one step. It may crash at a write, which is committed all
+// the same or is delayed.
 func (w *harness) compact(what string, fate []string) []string {
 	w.writesUntilCrash = -1
 	if len(fate) > 0 { // such as "crash 1 taken": after one write
@@ -130,7 +130,7 @@
 	return out
 }
 
-// TestTraces plays the kept traces of folding.
+// TestTraces plays the kept traces of compaction.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newHarness(t, traceLimits).runStep })
 }
--- a/internal/jobblock/block_test.go
+++ b/internal/jobblock/block_test.go
@@ -21,12 +21,12 @@
 // TestBlockKeepsEveryAnswer packs ids of all kinds: with gaps, in any order,
 // with leading zeros, of 12 digits, and longer than any number.
 func TestBlockKeepsEveryAnswer(t *testing.T) {
-	luck := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	want := map[string]Entry{}
 	var entries []Entry
 	add := func(id string) {
 		if _, ok := want[id]; !ok {
-			e := Entry{id, stageOf(len(want)), luck.IntN(wire.MaxTasks + 1)}
+			e := Entry{id, stageOf(len(want)), random.IntN(wire.MaxTasks + 1)}
 			want[id] = e
 			entries = append(entries, e)
 		}
@@ -36,10 +36,10 @@
 		add(id[:min(len(id), 64)])
 	}
 	for range 3000 {
-		add(fmt.Sprintf("wk-%07d", luck.IntN(10_000_000)))
-		add(fmt.Sprintf("wk-%012d", luck.Int64N(1e12)))
+		add(fmt.Sprintf("wk-%07d", random.IntN(10_000_000)))
+		add(fmt.Sprintf("wk-%012d", random.Int64N(1e12)))
 	}
-	luck.Shuffle(len(entries), func(i, k int) { entries[i], entries[k] = entries[k], entries[i] })
+	random.Shuffle(len(entries), func(i, k int) { entries[i], entries[k] = entries[k], entries[i] })
 	sorted, differ := Sort(entries)
 	if len(differ) > 0 {
 		t.Fatalf("differ: %v", differ)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestSortKeepsTheFirstAnswer: a final answer never changes, and one that would
-// is told.
+// TestSortKeepsTheFirstAnswer: a final stage never changes, and one that would
+// is returned.
 func TestSortKeepsTheFirstAnswer(t *testing.T) {
 	got, differ := Sort([]Entry{{"wk-2", wire.Done, 4}, {"wk-1", wire.Cancelled, 1}, {"wk-2", wire.Cancelled, 4}, {"wk-1", wire.Cancelled, 1}})
 	if len(got) != 2 || got[1] != (Entry{"wk-2", wire.Done, 4}) || !slices.Equal(differ, []string{"wk-2"}) {
@@ -151,10 +151,10 @@
 
 // BenchmarkBlock times a look-up in a full block, decoded for it.
 func BenchmarkBlock(b *testing.B) {
-	luck := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	var entries []Entry
 	for i := range 4000 {
-		entries = append(entries, Entry{fmt.Sprintf("wk-%07d", i*10+luck.IntN(10)), stageOf(i), 1 + luck.IntN(30)})
+		entries = append(entries, Entry{fmt.Sprintf("wk-%07d", i*10+random.IntN(10)), stageOf(i), 1 + random.IntN(30)})
 	}
 	r := Pack("", entries)
 	for b.Loop() {
--- a/internal/jobblock/golden_test.go
+++ b/internal/jobblock/golden_test.go
@@ -15,7 +15,7 @@
 	goldentest.Check[Record](t, "record.cbor", encode, wire.DecodeValue)
 }
 
-// TestGoldenBlock: jobs that are over are packed as they were, ids of all lengths among
+// TestGoldenBlock: ended jobs are packed as they were, ids of all lengths among
 // them, and a block of then is unpacked to the same jobs.
 func TestGoldenBlock(t *testing.T) {
 	entries := []Entry{
--- a/internal/store/barrier.go
+++ b/internal/store/barrier.go
@@ -38,7 +38,7 @@
 	return q.pending
 }
 
-// take removes the pending barrier, if any, before it is sent: who asks from now on waits
+// take removes the pending barrier, if any, before it is sent: who asks after that waits
 // for the next one.
 func (q *barrierQueue) take() *barrier {
 	q.mu.Lock()
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -19,8 +19,8 @@
 	return nil, transport.ErrNotSent
 }
 
-// TestBackgroundWritesMakeProgress: rounds take every change that a holder has, without a pause. What can wait
-// still gets its turn, for an eighth of the share; and at once where there is room.
+// TestBackgroundWritesMakeProgress has rounds take every change that a leader may make, without a
+// pause. Background writes still get an eighth of them, and are made at once where there is room.
 func TestBackgroundWritesMakeProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient(unreachableNetwork{}, "", 1000, 12, EvenAllowance(3), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -28,7 +28,7 @@
 		time.Sleep(2 * time.Second)
 		begun := time.Now()
 		if _ = c.WaitForSpareWrites(t.Context(), 4); time.Since(begun) > 0 {
-			t.Errorf("it waited for %v though nobody else wants anything", time.Since(begun))
+			t.Errorf("a background write waited for %v beside no others", time.Since(begun))
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		go func() {
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -56,11 +56,11 @@
 		net, s := simulator.NewNetwork(), simulator.NewStateService(1, 0)
 		s.Limits.PageItems = 40
 		var mu sync.Mutex
-		luck := rand.New(rand.NewPCG(1, 1))
+		random := rand.New(rand.NewPCG(1, 1))
 		draw := func(n int) int {
 			mu.Lock()
 			defer mu.Unlock()
-			return luck.IntN(n)
+			return random.IntN(n)
 		}
 		net.SetStepDelay("10.2.0.1", func() time.Duration { return time.Duration(draw(1<<draw(9))) * time.Millisecond })
 		go func() { _ = net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.Serve()) }()
@@ -83,7 +83,7 @@
 				time.Sleep(time.Duration(draw(200)) * time.Millisecond)
 				put(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id(n): rec.End(wire.Cancelled, time.Now())}}})
 				ended.Store(int64(n))
-				if n > 3 { // an older one is folded
+				if n > 3 { // an older one is compacted
 					put(wire.Operation{Delete: BatchKey(fmt.Sprint(n - 3))},
 						wire.Operation{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{{ID: id(n - 3), Stage: wire.Cancelled, Tasks: 1}})})
 				}
@@ -126,7 +126,7 @@
 				for n := max(1, int(ended.Load())-8); n <= int(accepted.Load()); n++ {
 					rec, _ := v.Job(id(n))
 					if final[id(n)] && !rec.Stage.Final() {
-						t.Errorf("%s was over and is %q", id(n), rec.Stage)
+						t.Errorf("%s had ended and is %q", id(n), rec.Stage)
 					}
 					final[id(n)] = final[id(n)] || rec.Stage.Final()
 				}
@@ -134,7 +134,7 @@
 		})
 		group.Wait()
 		if crossed < 200 || f.LastLoad().FinishedAt.IsZero() {
-			t.Errorf("%d barriers were crossed, %d in vain", crossed, failed)
+			t.Errorf("%d barriers were crossed, %d failed", crossed, failed)
 		}
 		stop()
 		net.Close()
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// FuzzLedger reads slots of any content, as a new holder does, and writes a round into
+// FuzzLedger reads segments of any content, as a new leader does, and writes a round into
 // them: nothing of it may end the process, and what is packed fits.
 func FuzzLedger(f *testing.F) {
 	m := MachineEntry("n-1", MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Tasks: map[string]uint64{"wk-1/0": 3 << 24}})
@@ -19,14 +19,14 @@
 		[]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 3, Entries: map[string]wire.Raw{m.Key: {0xf6}, "x/y": {0x01}}})))
 	f.Add([]byte{0xa0}, []byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, one, two []byte) {
-		var slots []Segment
+		var segments []Segment
 		for i, raw := range [][]byte{one, two} {
 			var rec SegmentRecord
 			if wire.DecodeValue(raw, &rec) == nil {
-				slots = append(slots, Segment{i, uint64(i + 1), rec})
+				segments = append(segments, Segment{i, uint64(i + 1), rec})
 			}
 		}
-		l, left := NewLedger("a", 4096, slots)
+		l, left := NewLedger("a", 4096, segments)
 		for id := range left.Machines {
 			l.HasMachine(id)
 		}
@@ -36,7 +36,7 @@
 		}
 		packed, rest := l.Pack(SegmentRecord{FencingToken: 4, Round: left.Round + 1}, []Entry{e}, 2, true)
 		if len(rest) > 0 {
-			t.Errorf("%d bytes have no room, of which there are %d", e.Size, l.FreeBytes(2))
+			t.Errorf("%d bytes did not fit into %d free ones", e.Size, l.FreeBytes(2))
 		}
 		l.Commit(packed, 9)
 	})
--- a/internal/store/ledger_test.go
+++ b/internal/store/ledger_test.go
@@ -32,16 +32,16 @@
 }
 
 // TestLedgerKeepsNewestRecords writes thousands of rounds into a ledger and reads it again after
-// each hundred, as a new holder would: it must tell what was written last, no
+// each hundred, as a new leader would: it must tell what was written last, no
 // value may be larger than allowed, and the ledger may not grow without end.
 func TestLedgerKeepsNewestRecords(t *testing.T) {
 	for _, limit := range []int{1 << 10, 8 << 10, 16 << 10} {
-		luck := rand.New(rand.NewPCG(1, uint64(limit)))
+		random := rand.New(rand.NewPCG(1, uint64(limit)))
 		l, _ := NewLedger("p", limit, nil)
 		stored := map[string]Segment{}
 		want := map[string]MachineRecord{}
 		finished := NewTaskSet(5000)
-		zone, told := ZoneRecord{Number: 1 << 40, Since: 1780000000000, Outages: 99}, ZoneRecord{} // of a zone that is dark now and then
+		zone, written := ZoneRecord{Number: 1 << 40, Since: 1780000000000, Outages: 99}, ZoneRecord{} // of a zone with outages
 		revision := uint64(0)
 		changes, most := 0, 0
 		var sent [][]wire.Condition // of the rounds so far
@@ -50,8 +50,8 @@
 			revision++
 			var entries []Entry
 			room, seen := l.FreeBytes(3), map[string]bool{}
-			for range 1 + luck.IntN(12) {
-				id := fmt.Sprintf("n-%06d", luck.IntN(100))
+			for range 1 + random.IntN(12) {
+				id := fmt.Sprintf("n-%06d", random.IntN(100))
 				if round > rounds*3/4 { // the fleet has gone
 					id = fmt.Sprintf("n-%06d", round%100)
 				}
@@ -59,11 +59,11 @@
 					continue
 				}
 				rec := MachineRecord{Addr: "10.1.0.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
-				for range luck.IntN(5) {
-					rec.Tasks[fmt.Sprintf("wk-%06d/%d", luck.IntN(1e6), luck.IntN(100))] = 40<<24 + luck.Uint64N(1<<24)
+				for range random.IntN(5) {
+					rec.Tasks[fmt.Sprintf("wk-%06d/%d", random.IntN(1e6), random.IntN(100))] = 40<<24 + random.Uint64N(1<<24)
 				}
 				e := MachineEntry(id, rec)
-				if luck.IntN(3) == 0 || round > rounds*3/4 {
+				if random.IntN(3) == 0 || round > rounds*3/4 {
 					e = DropMachine(id)
 				}
 				if e.Size > room {
@@ -76,11 +76,11 @@
 					want[id] = rec
 				}
 			}
-			finished.Add(luck.IntN(4000))
+			finished.Add(random.IntN(4000))
 			if zone.Number++; round%5 == 0 && room > 200 {
 				zone.State = []string{"up", "in doubt", "dark", "back"}[round%4]
 				entries, room = append(entries, ZoneEntry("some-zone", zone)), room-ZoneEntry("some-zone", zone).Size
-				told = zone
+				written = zone
 			}
 			if e := ProgressEntry("wk-1", 0, finished); limit > 1<<10 && e.Size <= room {
 				entries = append(entries, e)
@@ -88,7 +88,7 @@
 			head := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
 			p, rest := l.Pack(head, entries, 3, true)
 			if len(rest) > 0 {
-				t.Fatalf("round %d: %d entries found no room", round, len(rest))
+				t.Fatalf("round %d: %d entries did not fit", round, len(rest))
 			}
 			for _, cond := range p.If {
 				if cond.Version != stored[cond.Key].Version {
@@ -107,7 +107,7 @@
 				stored[c.Put] = Segment{Version: revision, Record: rec, Number: p.segments[i]}
 			}
 			// No copy of an earlier round may be taken, however late: not even one
-			// that added a slot which has been given up since.
+			// that added a slot which has been removed since.
 			for _, conds := range sent {
 				if !slices.ContainsFunc(conds, func(c wire.Condition) bool { return stored[c.Key].Version != c.Version }) {
 					t.Fatalf("round %d: an earlier one would be taken: %+v", round, conds)
@@ -120,18 +120,18 @@
 			changes += len(p.Then)
 			l.Commit(p, revision)
 			if round%100 == 99 {
-				var slots []Segment
+				var segments []Segment
 				for _, s := range stored {
-					slots = append(slots, s)
+					segments = append(segments, s)
 				}
-				_, got := NewLedger("p", limit, slots)
+				_, got := NewLedger("p", limit, segments)
 				for id, rec := range want {
 					if !maps.Equal(got.Machines[id].Tasks, rec.Tasks) || got.Machines[id].Addr != rec.Addr {
 						t.Fatalf("round %d: %s reads as %+v, want %+v", round, id, got.Machines[id], rec)
 					}
 				}
-				if got.Zones["some-zone"] != told {
-					t.Fatalf("round %d: the zone reads as %+v, want %+v", round, got.Zones, told)
+				if got.Zones["some-zone"] != written {
+					t.Fatalf("round %d: the zone reads as %+v, want %+v", round, got.Zones, written)
 				}
 				if len(got.Machines) != len(want) || got.Round != uint64(round) {
 					t.Fatalf("round %d: %d machines for %d, round %d", round, len(got.Machines), len(want), got.Round)
@@ -139,7 +139,7 @@
 			}
 		}
 		if bound := 4 + 8*l.liveBytes/limit; len(stored) > bound || limit == 1<<10 && most < 3*len(stored) {
-			t.Errorf("values of %d bytes: %d slots of %d are left for %d bytes", limit, len(stored), most, l.liveBytes)
+			t.Errorf("values of %d bytes: %d segments of %d are left for %d bytes", limit, len(stored), most, l.liveBytes)
 		}
 		if limit > 1<<10 && changes > rounds*11/10 {
 			t.Errorf("values of %d bytes: %d changes for %d rounds", limit, changes, rounds)
@@ -147,14 +147,14 @@
 	}
 }
 
-// olderHead is what versions wrote as the head of a slot that had the teams' use in it.
+// olderHead is the header of a segment of older versions, with what each team uses.
 type olderHead struct {
 	SegmentRecord
 	Teams map[string][2]float64 `cbor:"teams,omitempty"`
 }
 
-// TestLedgerBesideOlderVersion: an older version reads our slots, ours reads its, and what is left free
-// in each is enough for the head that it writes when it takes over, with so many teams.
+// TestLedgerBesideOlderVersion: an older version reads this one's segments and the reverse, and what is
+// left free in each is enough for the header that the older one writes on a failover, with so many teams.
 func TestLedgerBesideOlderVersion(t *testing.T) {
 	for limit, teams := range map[int]int{8 << 10: 109, 16 << 10: 218} {
 		l, _ := NewLedger("p", limit, nil)
@@ -174,7 +174,7 @@
 			}
 			p, rest := l.Pack(SegmentRecord{FencingToken: 40, Round: uint64(round)}, entries, 2, true)
 			if len(rest) > 0 {
-				t.Fatalf("round %d: %d entries found no room", round, len(rest))
+				t.Fatalf("round %d: %d entries did not fit", round, len(rest))
 			}
 			l.Commit(p, uint64(round+1))
 		}
@@ -188,10 +188,10 @@
 				head.Entries[key] = e.Value
 			}
 			if size := jsonBytes(t, head); size > limit {
-				t.Errorf("values of %d bytes, %d teams: an older version's slot of %d bytes", limit, teams, size)
+				t.Errorf("values of %d bytes, %d teams: an older version's segment of %d bytes", limit, teams, size)
 			}
 			if rec := decodeSlot(t, head); len(rec.Entries) != len(head.Entries) || rec.Round != 401 {
-				t.Errorf("an older version's slot reads as %d entries of round %d", len(rec.Entries), rec.Round)
+				t.Errorf("an older version's segment reads as %d entries of round %d", len(rec.Entries), rec.Round)
 			}
 		}
 	}
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestViewAppliesOnce guards against answers that overtake each other: a late
-// watch must not bring back what a barrier has seen dropped, and a list that
+// watch must not bring back what a barrier has seen deleted, and a list that
 // is newer than its first page must not lose what the watch repeats.
 func TestViewAppliesOnce(t *testing.T) {
 	v := NewView(slog.Default())
@@ -36,7 +36,7 @@
 	v.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8), {Delete: LeaderKey("p"), Version: 9}}})
 	v.Apply(&wire.WatchResponse{Revision: 8, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8)}})
 	if _, held := v.Leader("p"); held {
-		t.Error("a dropped claim is back")
+		t.Error("a deleted leader record is back")
 	}
 	if v.Revision() != 9 {
 		t.Errorf("revision %d went back", v.Revision())
@@ -48,7 +48,7 @@
 }
 
 // TestLoadOvertakenByBarrier: a list that was begun before a barrier is taken in after it. What the
-// barrier has shown, and was told from memory since, stays.
+// barrier has shown, and users were told since, stays.
 func TestLoadOvertakenByBarrier(t *testing.T) {
 	v := NewView(slog.Default())
 	job := pending("wk-1")
@@ -73,7 +73,7 @@
 	return rec
 }
 
-// ended gives a batch in which some jobs are over.
+// ended returns a batch in which some jobs have ended.
 func ended(b BatchRecord, stage wire.Stage, ids ...string) BatchRecord {
 	out := BatchRecord{Jobs: map[string]JobRecord{}, Since: b.Since}
 	for id, rec := range b.Jobs {
@@ -101,7 +101,7 @@
 }
 
 // TestJobInSeveralBatches: a job may be in as many batches as it likes; the first revision
-// that holds it is its beginning and its home, however often that is written
+// that holds it is its beginning and its batch, however often that is written
 // again, and an end anywhere is its end.
 func TestJobInSeveralBatches(t *testing.T) {
 	v := NewView(slog.Default())
@@ -123,20 +123,20 @@
 	if l := v.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"].SinceRevision != 4 {
 		t.Errorf("live: %+v", l)
 	}
-	if over := endedBatchKeys(v); !slices.Equal(over, []string{"batch/z-1", "batch/c-1"}) {
-		t.Errorf("over: %v", over)
+	if ended := endedBatchKeys(v); !slices.Equal(ended, []string{"batch/z-1", "batch/c-1"}) {
+		t.Errorf("ended batches: %v", ended)
 	}
 	// A list brings the same, in the order of the keys.
 	w := NewView(slog.Default())
 	w.Load([]wire.KeyValue{item(BatchKey("b-1"), batch("wk-2", "wk-3"), 4), item(BatchKey("c-1"), batch("wk-2"), 7),
 		item(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 6)}, 7, &wire.WatchResponse{Revision: 7})
 	if l := w.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"] == nil || !slices.Equal(endedBatchKeys(w), endedBatchKeys(v)) {
-		t.Errorf("live by the list: %+v, over %v", l, endedBatchKeys(w))
+		t.Errorf("live by the list: %+v, ended batches %v", l, endedBatchKeys(w))
 	}
 }
 
-// TestCompactedJobStaysEnded: a job that was folded is known by its recent block, a batch that
-// still names it as live does not bring it back, and it is settled once no home
+// TestCompactedJobStaysEnded: a job that was compacted is known by its recent block, a batch that
+// still names it as live does not bring it back, and it is compacted once no batch
 // names it.
 func TestCompactedJobStaysEnded(t *testing.T) {
 	v := NewView(slog.Default())
@@ -147,20 +147,20 @@
 	recent := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Cancelled, Tasks: 1}})
 	at(v, 5, wire.Event{Delete: BatchKey("a")}, event(RecentKey(0), recent, 0))
 	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || v.Compacted("wk-1") {
-		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Compacted("wk-1"))
+		t.Errorf("wk-1: %+v, known %v, compacted %v", rec, known, v.Compacted("wk-1"))
 	}
 	at(v, 6, event(BatchKey("b"), ended(batch("wk-1", "wk-2"), wire.Done, "wk-2"), 0))
-	if over := endedBatchKeys(v); len(over) != 1 {
-		t.Errorf("over: %v", over)
+	if ended := endedBatchKeys(v); len(ended) != 1 {
+		t.Errorf("ended batches: %v", ended)
 	}
 	at(v, 7, wire.Event{Delete: BatchKey("b")})
 	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || !v.Compacted("wk-1") {
-		t.Errorf("wk-1: %+v, known %v, settled %v", rec, known, v.Compacted("wk-1"))
+		t.Errorf("wk-1: %+v, known %v, compacted %v", rec, known, v.Compacted("wk-1"))
 	}
 }
 
 // TestReadsFormatOne reads what version 1 left: a key for each job that was accepted
-// alone or is over, which goes before any batch that names it.
+// alone or has ended, which goes before any batch that names it.
 func TestReadsFormatOne(t *testing.T) {
 	rec := pending("wk-2")
 	v := NewView(slog.Default())
