--- a/internal/shard/assign.go
+++ b/internal/shard/assign.go
@@ -5,7 +5,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -93,18 +92,3 @@
 	}
 	return best, best != ""
 }
-
-// maxSpreadShards is the number of parts that a job's tasks are dealt out to at the most.
-const maxSpreadShards = 4
-
-func sortedByScore[T any](list []T, score func(T) float64) []T {
-	out := slices.Clone(list)
-	slices.SortStableFunc(out, func(a, b T) int { return cmp.Compare(score(b), score(a)) })
-	return out
-}
-
-func fractionOf(fraction float64, n int) int { return int(math.Round(fraction * float64(n))) }
-
-func tieBreak(id string, shard string) float64 {
-	return float64(xxhash.Sum64String(id+"\x00"+shard)%1000) / 1000
-}
