--- a/internal/shard/route.go
+++ b/internal/shard/route.go
@@ -11,38 +11,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Router says which parts the tasks of new jobs go to, by what the parts have last said
-// of themselves and by what it has sent there since.
+// Router says which shards the tasks of new jobs go to, by the shards' last statuses and by what it has sent there
+// since. It is safe for concurrent use.
 type Router struct {
 	Sharding *fleet.Sharding
-	// Statuses gives what the parts have last said.
+	// Statuses gives the last statuses of the shards.
 	Statuses func() map[string]leader.ShardStatus
 
 	mu     sync.Mutex
 	recent map[string]recentTasks
 }
 
-// recentTasks counts the tasks that were sent to a part and that its status may not show yet.
+// recentTasks counts the tasks that were sent to a shard and that its status may not show yet.
 type recentTasks struct {
 	at    time.Time
 	tasks map[string]int // by class
 }
 
-// statusLag is after how long a part's status shows what was sent to it: the write, a
-// round, and a beat.
+// statusLag is after how long a shard's status shows what was sent to it: the write, a round, and a heartbeat between
+// controllers.
 const statusLag = 2500 * time.Millisecond
 
-// candidate is a part as a place for a job.
+// candidate is a shard as a place for a job.
 type candidate struct {
 	shard    string
 	capacity scheduler.FreeCapacity
-	free     int
+	free     int // tasks of the job's class that it has capacity for, less those that were sent there lately
 	machines int
-	backlog  int
-	zones    int
+	backlog  int // tasks that found no capacity
+	zones    int // that belong to it alone, at least 1
 }
 
-// Route gives the shares of a new job.
+// Route gives the ranges of a new job, or nothing where there is one shard.
 func (r *Router) Route(now time.Time, j *wire.Job, types []wire.MachineType) []store.ShardRange {
 	if r.Sharding.IsSingle() {
 		return nil
@@ -62,7 +62,7 @@
 	return ranges
 }
 
-// candidates lists the parts that may have machines which a job allows, the best first.
+// candidates lists the shards that may have machines which a job allows, the best first.
 func (r *Router) candidates(now time.Time, j *wire.Job, types []wire.MachineType) []candidate {
 	statuses := r.Statuses()
 	var out []candidate
@@ -71,36 +71,43 @@
 			continue
 		}
 		s := statuses[shard]
-		l := candidate{shard: shard, capacity: s.Rooms[j.Class], machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
+		c := candidate{shard: shard, capacity: s.Rooms[j.Class], machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
 		if _, known := s.Rooms[j.Class]; !known {
-			l.capacity.Rent = true // nothing of the class has come yet, or the part is being rebuilt
+			c.capacity.Rent = true // no job of the class was submitted yet, or the shard has a new leader
 		}
-		l.free = l.capacity.Now
+		c.free = c.capacity.Now
 		if g := r.recent[shard]; now.Sub(g.at) < statusLag {
-			l.free -= g.tasks[j.Class]
+			c.free -= g.tasks[j.Class]
 		}
-		out = append(out, l)
+		out = append(out, c)
 	}
-	if len(out) == 0 { // it can never run, or the types have changed since
+	if len(out) == 0 { // no machine type fits, or the types have changed since submission
 		out = []candidate{{shard: r.Sharding.Shards()[0], zones: 1}}
 	}
-	return sortedByScore(out, func(l candidate) float64 { return l.score(j) })
+	return sortedByScore(out, func(c candidate) float64 { return c.score(j) })
 }
 
-// score says how good a place is for a job: where all of it has room, the more the better;
-// then where machines can be rented, the fewer there are the better; then where the least
-// waits.
-func (l candidate) score(j *wire.Job) float64 {
-	tie := tieBreak(j.ID, l.shard) / 1000
+// Scores of candidates are in three bands, whose distance is greater than what is added within one.
+const (
+	fitsScore     = 1e6 // all of the job has capacity
+	scaleOutScore = 1e3 // the shard can scale out
+)
+
+// score says how good a place is for a job: where all of it has capacity, the more the better; then where the shard can
+// scale out, the fewer machines there are the better; then where the least waits.
+func (c candidate) score(j *wire.Job) float64 {
+	tie := tieBreak(j.ID, c.shard) / 1000
+	load := 100 * float64(c.backlog) / float64(c.machines+10)
 	switch {
-	case l.free >= j.Tasks:
-		return 1e6 + float64(l.free) + tie
-	case l.capacity.Rent:
-		return 1e3 - float64(l.machines)/100 - 100*float64(l.backlog)/float64(l.machines+10) + tie
+	case c.free >= j.Tasks:
+		return fitsScore + float64(c.free) + tie
+	case c.capacity.Rent:
+		return scaleOutScore - float64(c.machines)/100 - load + tie
 	}
-	return -100*float64(l.backlog)/float64(l.machines+10) + float64(l.free)/1e3 + tie
+	return -load + float64(c.free)/1e3 + tie
 }
 
+// record notes that tasks of a class were sent to a shard.
 func (r *Router) record(now time.Time, shard, class string, n int) {
 	if r.recent == nil {
 		r.recent = make(map[string]recentTasks)
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fixture is what the kept traces are played on: parts a, b, c, each of a zone of its name.
+// fixture is what the kept traces are played on: shards a, b, c, each of a zone of its name.
 type fixture struct {
 	now         time.Time
 	controllers []Controller
@@ -74,7 +74,7 @@
 		others := slices.Delete(slices.Clone(b.controllers), i, i+1)
 		p, ok := Surplus(b.controllers[i], mine, others)
 		return []string{fmt.Sprintf("%q %v", p, ok)}
-	case "stands": // a part says how much room it has for class x
+	case "stands": // a shard says how much capacity it has for class x
 		b.statuses[w[1]] = leader.ShardStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
 			Rooms: map[string]scheduler.FreeCapacity{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
 	case "wait":
@@ -95,13 +95,13 @@
 	return nil
 }
 
-// TestTraces plays the kept traces of who should hold what, and of where jobs go.
+// TestTraces plays the kept traces of which controller should lead which shard, and of where jobs go.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newFixture().step })
 }
 
-// TestSharesCover: whatever the room, the shares of a job cover its tasks once, and no part
-// gets more of a job that must be spread than its zones may hold.
+// TestSharesCover: whatever the capacity, the ranges of a job cover its tasks once, and no shard gets more of a job that
+// must be spread than its zones may have.
 func TestSharesCover(t *testing.T) {
 	b := newFixture()
 	for i := range 3000 {
@@ -120,7 +120,7 @@
 			}
 		}
 		if at != j.Tasks {
-			t.Fatalf("%d of %d tasks have a part", at, j.Tasks)
+			t.Fatalf("%d of %d tasks have a shard", at, j.Tasks)
 		}
 		b.now = b.now.Add(time.Second)
 	}
