--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -77,13 +77,13 @@
 
 // stateSummary is what inspect and verify print.
 type stateSummary struct {
-	Revision uint64                        `json:"revision"`
-	Format   int                           `json:"format"`
-	Term     uint64                        `json:"term"`
-	Live     int                           `json:"live_jobs"`
-	Ended    int                           `json:"ended_jobs"`
-	Kinds    map[string]*archive.KindStats `json:"kinds"`
-	Problems []string                      `json:"problems"`
+	Revision     uint64                        `json:"revision"`
+	Format       int                           `json:"format"`
+	FencingToken uint64                        `json:"term"`
+	LiveJobs     int                           `json:"live_jobs"`
+	EndedJobs    int                           `json:"ended_jobs"`
+	Kinds        map[string]*archive.KindStats `json:"kinds"`
+	Problems     []string                      `json:"problems"`
 }
 
 func summarize(ctx context.Context, items []wire.KeyValue, revision uint64) stateSummary {
@@ -117,7 +117,7 @@
 	if s.JSON {
 		return a.json()
 	}
-	fmt.Printf("revision %d, format %d, term %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.Term, a.Live, a.Ended)
+	fmt.Printf("revision %d, format %d, term %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tkeys\tjobs\tbytes\tlargest\toldest revision\tnewest\t")
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
@@ -220,7 +220,7 @@
 		return fmt.Errorf("%d invariants do not hold at revision %d", len(a.Problems), a.Revision)
 	}
 	if !s.JSON {
-		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.Live, a.Ended)
+		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
 	}
 	return nil
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,7 +1,5 @@
-// Package dev runs a whole small world on loopback, for newcomers: three
-// controllers as real processes, with the state service, the cloud and its machines in this
-// one (package world). It needs no files, no root and nothing from outside, and leaves
-// nothing behind.
+// Package dev runs a small cluster on loopback for newcomers: three controllers as processes in an
+// emulated cluster.
 package dev
 
 import (
@@ -38,6 +36,7 @@
 	caller *transport.Caller
 }
 
+// operatorSettings is the operators' file of every controller.
 const operatorSettings = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
 
 // Start starts a cluster of three controllers on this machine.
@@ -64,10 +63,10 @@
 	return w, nil
 }
 
-// Addr is where users reach a controller.
+// Addr returns the address at which users reach a controller.
 func (w *Cluster) Addr(i int) string { return w.Public(i) }
 
-// Log is the file of a controller's log.
+// Log returns the path of a controller's log.
 func (w *Cluster) Log(i int) string { return w.procs.Log(i) }
 
 func name(i int) string { return fmt.Sprint("c-", i) }
@@ -101,11 +100,11 @@
 // Restart starts a controller that does not run.
 func (w *Cluster) Restart(i int) error { return w.procs.Start(i) }
 
-// Kill ends a controller with no signal that it could see.
+// Kill terminates a controller with SIGKILL.
 func (w *Cluster) Kill(i int) { w.procs.Kill(i) }
 
-// Leader tells which controller holds the fleet, and under which term.
-func (w *Cluster) Leader() (i int, term uint64, ok bool) {
+// Leader returns the leader of the fleet and its fencing token.
+func (w *Cluster) Leader() (i int, token uint64, ok bool) {
 	items := w.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return 0, 0, false
--- a/internal/emulator/machines.go
+++ b/internal/emulator/machines.go
@@ -18,7 +18,7 @@
 	c := w.Config
 	w.fixture = newTaskFixture(w)
 	w.fixture.SetQuietSince(w.startedAt)
-	yard := simulator.NewTaskRuntime(w.fixture, c.Workers.GangWait, c.Workers.GangPeer)
+	runtime := simulator.NewTaskRuntime(w.fixture, c.Workers.GangWait, c.Workers.GangPeer)
 	names := map[string]string{}
 	w.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
@@ -35,7 +35,7 @@
 			}
 			me := side{id, "machines", zone}
 			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
-				TakeDown: func() { w.freePort(addr) }, Controllers: names, Runtime: yard, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: w.replayer})
+				TakeDown: func() { w.freePort(addr) }, Controllers: names, Runtime: runtime, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: w.replayer})
 		}}
 }
 
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -45,14 +45,14 @@
 // settings returns the content of a controller's platform file.
 func (w *Cluster) settings(i int) map[string]any {
 	c := w.Config
-	siblings := []any{}
+	peers := []any{}
 	for k := range c.Controllers {
 		if k != i {
-			siblings = append(siblings, map[string]any{"host_name": w.controller(k).name, "location": w.zone(k), "peer_addr": w.addr(w.ports.between(i, k))})
+			peers = append(peers, map[string]any{"host_name": w.controller(k).name, "location": w.zone(k), "peer_addr": w.addr(w.ports.between(i, k))})
 		}
 	}
 	wk := c.Workers
-	return map[string]any{"host_name": w.controller(i).name, "location": w.zone(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": siblings,
+	return map[string]any{"host_name": w.controller(i).name, "location": w.zone(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": peers,
 		"endpoints": map[string]any{"cloud": w.addr(w.ports.cloud + i), "state": w.addr(w.ports.state + i)},
 		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
 			"workers": map[string]any{"report_s": wk.HeartbeatInterval.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -66,14 +66,14 @@
 // Sample is how a world stood at a second.
 type Sample struct {
 	Cell
-	T        float64 `json:"t_s" parquet:"t_s"`
-	Machines int     `json:"machines" parquet:"machines"`
-	Up       int     `json:"up" parquet:"up"`
-	Running  int     `json:"running" parquet:"tasks_running"`
-	Cost     float64 `json:"cost" parquet:"cost"`
-	Requests float64 `json:"requests_s" parquet:"state_requests_s"`
-	Changes  float64 `json:"changes_s" parquet:"state_changes_s"`
-	Term     uint64  `json:"term" parquet:"term"`
+	TimeS        float64 `json:"t_s" parquet:"t_s"`
+	Machines     int     `json:"machines" parquet:"machines"`
+	Up           int     `json:"up" parquet:"up"`
+	Running      int     `json:"running" parquet:"tasks_running"`
+	Cost         float64 `json:"cost" parquet:"cost"`
+	Requests     float64 `json:"requests_s" parquet:"state_requests_s"`
+	Changes      float64 `json:"changes_s" parquet:"state_changes_s"`
+	FencingToken uint64  `json:"term" parquet:"term"`
 }
 
 // ClassRow is what became of a class in a cell, in milliseconds.
@@ -387,7 +387,7 @@
 		}
 		s := w.Status()
 		if d := s.AgeS - last.AgeS; d > 0 {
-			o.Samples = append(o.Samples, Sample{Cell: o.Cell, T: s.AgeS, Machines: s.Machines, Up: s.Up, Running: s.RunningTasks, Cost: s.Cost, Term: s.FencingToken,
+			o.Samples = append(o.Samples, Sample{Cell: o.Cell, TimeS: s.AgeS, Machines: s.Machines, Up: s.Up, Running: s.RunningTasks, Cost: s.Cost, FencingToken: s.FencingToken,
 				Requests: float64(s.Requests-last.Requests) / d, Changes: float64(s.Changes-last.Changes) / d})
 		}
 		last = s
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -35,7 +35,7 @@
 	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.StagedFault{{Number: 1, Label: "outage", Since: 1, Until: 2}},
 		Result: &load.Result{Classes: map[string]*load.ClassResult{"tidy": {Jobs: 3, Accepted: 3, Done: 3, Accept: load.Times{Count: 3, P50: p50, P99: 2 * p50}}}}}
 	for i := range 4 {
-		o.Samples = append(o.Samples, Sample{Cell: c, T: float64(i), Up: i, Running: 2 * i, Changes: float64(i), Term: 1})
+		o.Samples = append(o.Samples, Sample{Cell: c, TimeS: float64(i), Up: i, Running: 2 * i, Changes: float64(i), FencingToken: 1})
 	}
 	return o
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -150,7 +150,7 @@
 		{"Cost so far", "price units", func(s Sample) float64 { return s.Cost }, nil},
 		{"Changes of the state service", "changes a second", func(s Sample) float64 { return s.Changes }, func(o *Outcome) float64 { return o.WriteRPS }},
 		{"Requests to the state service", "requests a second", func(s Sample) float64 { return s.Requests }, func(o *Outcome) float64 { return o.RPS }},
-		{"Term", "claims so far", func(s Sample) float64 { return float64(s.Term) }, nil},
+		{"Term", "claims so far", func(s Sample) float64 { return float64(s.FencingToken) }, nil},
 	} {
 		svg, err := lines(x.unit, g.Settings, by, x.of, x.limit)
 		if err != nil {
@@ -199,7 +199,7 @@
 	}
 	return append(out,
 		metric{"all: cost", func(o *Outcome) (float64, bool) { return last(o).Cost, true }},
-		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).Term), true }},
+		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).FencingToken), true }},
 		metric{"all: most changes a second", func(o *Outcome) (float64, bool) { return maximum(o, func(s Sample) float64 { return s.Changes }), true }})
 }
 
@@ -278,7 +278,7 @@
 	for k, o := range cells {
 		pts := make(plotter.XYs, len(o.Samples))
 		for n, x := range o.Samples {
-			pts[n] = plotter.XY{X: x.T, Y: of(x)}
+			pts[n] = plotter.XY{X: x.TimeS, Y: of(x)}
 		}
 		if len(pts) == 0 {
 			continue
@@ -300,7 +300,7 @@
 func limitLine(p *plot.Plot, o *Outcome, at float64) error {
 	end := 1.0
 	if n := len(o.Samples); n > 0 {
-		end = o.Samples[n-1].T
+		end = o.Samples[n-1].TimeS
 	}
 	l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: at}, {X: end, Y: at}})
 	if err != nil {
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -83,40 +83,40 @@
 	return h.last[job]
 }
 
-// phase is the part of its life cycle that a job has reached.
-type phase int
+// jobState is the part of its life cycle that a job has reached.
+type jobState int
 
 const (
-	absent phase = iota
-	live
-	done
-	cancelled
+	stateAbsent jobState = iota
+	stateLive
+	stateDone
+	stateCancelled
 )
 
 // jobModel is the sequential specification of a job for the linearizability check.
 var jobModel = porcupine.Model{
-	Init: func() any { return absent },
+	Init: func() any { return stateAbsent },
 	Step: func(state, input, output any) (bool, any) {
-		s, out := state.(phase), output.(answer)
+		s, out := state.(jobState), output.(answer)
 		next := s
-		if input == opSubmit && s == absent {
-			next = live
+		if input == opSubmit && s == stateAbsent {
+			next = stateLive
 		}
 		if !out.known {
-			if input == opAbort && s == live {
-				next = cancelled
+			if input == opAbort && s == stateLive {
+				next = stateCancelled
 			}
 			return true, next
 		}
 		switch {
 		case out.absent:
-			return s == absent && input != opSubmit, s
+			return s == stateAbsent && input != opSubmit, s
 		case out.stage == wire.Done: // it may have ended at any moment before
-			return next == live || next == done, done
+			return next == stateLive || next == stateDone, stateDone
 		case out.stage == wire.Cancelled:
-			return next == cancelled || next == live && input == opAbort, cancelled
+			return next == stateCancelled || next == stateLive && input == opAbort, stateCancelled
 		default:
-			return next == live && input != opAbort, next
+			return next == stateLive && input != opAbort, next
 		}
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " ", output) },
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -35,7 +35,7 @@
 	}
 	var group sync.WaitGroup
 	defer group.Wait()
-	for beat := 0; ctx.Err() == nil; beat++ {
+	for round := 0; ctx.Err() == nil; round++ {
 		call, cancel := context.WithTimeout(ctx, 5*time.Second)
 		resp, err := r.Caller.Call(call, r.JudgeAddr, "GET", emulator.PathUsers, nil)
 		cancel()
@@ -62,7 +62,7 @@
 			})
 		}
 		if o.MalformedRequests {
-			group.Go(func() { r.malformedRequests(ctx, beat) })
+			group.Go(func() { r.malformedRequests(ctx, round) })
 		}
 	}
 }
@@ -93,37 +93,37 @@
 
 // malformedRequests repeats submissions of known jobs, cancels a job that is done, and submits a
 // job without a required field and one that fits no machine.
-func (r *Runner) malformedRequests(ctx context.Context, beat int) {
+func (r *Runner) malformedRequests(ctx context.Context, round int) {
 	r.mu.Lock()
-	var live, over *trackedJob
+	var liveJob, endedJob *trackedJob
 	for id, f := range r.jobs { // in no order
 		if r.history.stage(id) == wire.Done {
-			over = f
+			endedJob = f
 		} else {
-			live = f
+			liveJob = f
 		}
 	}
 	r.malformed += 2
 	odd := r.malformed
 	r.instructionCounts.MalformedRequests += 2
-	for _, f := range []*trackedJob{live, over} {
+	for _, f := range []*trackedJob{liveJob, endedJob} {
 		if f != nil {
 			r.instructionCounts.MalformedRequests++
 		}
 	}
 	r.mu.Unlock()
-	if live != nil {
-		r.call(ctx, beat, live, opSubmit)
+	if liveJob != nil {
+		r.call(ctx, round, liveJob, opSubmit)
 	}
-	if over != nil {
-		r.call(ctx, beat, over, opAbort)
+	if endedJob != nil {
+		r.call(ctx, round, endedJob, opAbort)
 	}
 	fields := []string{"uid", "breed", "keeper", "shape", "rank", "cells", "vcpus", "accelerators", "mem_gb", "comb", "image_gb", "one_zone", "spread", "borrowed", "expect_s", "capping_s", "seal_s"}
 	for k, change := range []func(m map[string]any){
-		func(m map[string]any) { delete(m, fields[beat%len(fields)]) },
-		func(m map[string]any) { m[[]string{"vcpus", "mem_gb"}[beat%2]] = 1e8 },
+		func(m map[string]any) { delete(m, fields[round%len(fields)]) },
+		func(m map[string]any) { m[[]string{"vcpus", "mem_gb"}[round%2]] = 1e8 },
 	} {
-		j := r.Mix.Classes[beat%len(r.Mix.Classes)].Template
+		j := r.Mix.Classes[round%len(r.Mix.Classes)].Template
 		j.ID, j.Tasks = fmt.Sprintf("%s%s8%05d", wire.JobPrefix, r.Prefix, odd+k), 1
 		var m map[string]any
 		if wire.Decode(wire.Encode(j), &m) != nil {
@@ -132,7 +132,7 @@
 		change(m)
 		body := wire.Encode(m)
 		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.Addrs[(beat+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
+		resp, err := r.Caller.Call(call, r.Addrs[(round+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil {
 			r.recordObservation(emulator.Observation{Job: j.ID, Status: resp.Status, Body: body})
--- a/internal/load/linearizability.go
+++ b/internal/load/linearizability.go
@@ -90,20 +90,20 @@
 func essentialCalls(ops []porcupine.Operation) (out []porcupine.Operation) {
 	type kind struct {
 		op    opKind
-		phase phase
+		phase jobState
 		known bool
 	}
 	all := make(map[kind][]porcupine.Operation)
 	for _, o := range ops {
 		a := o.Output.(answer)
-		k := kind{o.Input.(opKind), live, a.known}
+		k := kind{o.Input.(opKind), stateLive, a.known}
 		switch {
 		case !a.known || a.absent:
-			k.phase = absent
+			k.phase = stateAbsent
 		case a.stage == wire.Done:
-			k.phase = done
+			k.phase = stateDone
 		case a.stage == wire.Cancelled:
-			k.phase = cancelled
+			k.phase = stateCancelled
 		}
 		all[k] = append(all[k], o)
 	}
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -26,7 +26,7 @@
 
 const digestFunction = repb.DigestFunction_SHA256
 
-// agents are real agents as processes, which run real actions from a real store of blobs.
+// agents are real agents as processes, which execute real actions from a real blob store.
 type agents struct {
 	program, dir string
 	cluster      *emulator.Cluster
@@ -39,9 +39,10 @@
 	done  atomic.Int64 // actions
 }
 
-// process is one that this program has started. It ends with it, by name of its id alone.
+// process is a process that this program has started. It is ended by its id.
 type process struct{ cmd *exec.Cmd }
 
+// start starts a process with its log in a file.
 func start(program, log string, args ...string) (*process, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -61,10 +62,10 @@
 	_ = p.cmd.Wait()
 }
 
-// agentType is the type of the machine of an agent that runs so many actions.
+// agentType is the machine type of an agent that runs that many actions at once.
 func agentType(actions int) string { return fmt.Sprintf("agent-%d", actions) }
 
-// machine starts the agent of a machine, nil for machines of other types.
+// machine starts the agent of a machine; it returns nil for machines of other types.
 func (a *agents) machine(id, addr, typ, zone string, spot bool) simulator.Machine {
 	var actions int
 	if _, err := fmt.Sscanf(typ, "agent-%d", &actions); err != nil {
@@ -84,7 +85,7 @@
 	return p
 }
 
-// settings writes an agent's file.
+// settings writes an agent's settings file.
 func (a *agents) settings(id, addr, typ, zone string, spot bool, actions int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = %d\ngpus = 0\nmemory_gb = %d\n", id, typ, zone, spot, addr, actions, 4*actions)
@@ -95,7 +96,7 @@
 	return text.String()
 }
 
-// startBlobs starts the store of blobs.
+// startBlobs starts the blob store.
 func (a *agents) startBlobs(ctx context.Context) (err error) {
 	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
 	for begun := time.Now(); err == nil && ctx.Err() == nil; {
@@ -111,7 +112,8 @@
 	return err
 }
 
-// run has each agent run as many actions at once as it has room for, until the context ends.
+// run has each agent execute as many actions at once as it has capacity for, until the context
+// ends.
 func (a *agents) run(ctx context.Context) error {
 	blobs, err := cas.Dial(a.cluster.Blobs(), "")
 	if err != nil {
@@ -146,8 +148,8 @@
 	return nil
 }
 
-// execute has an action executed on a machine of a type. Its mark tells it from all others, so that
-// no answer is there already.
+// execute has an action executed on a machine of a type. The mark makes the action unique, so that
+// no result is cached.
 func execute(ctx context.Context, blobs *cas.Client, front *reapi.Client, typ, mark string) error {
 	command := &repb.Command{Arguments: []string{"/bin/sh", "-c", fmt.Sprintf("sleep %g; echo %s > out", actionTime.Seconds(), mark)}, OutputPaths: []string{"out"},
 		EnvironmentVariables: []*repb.Command_EnvironmentVariable{{Name: "PATH", Value: "/usr/bin:/bin"}}}
@@ -168,7 +170,7 @@
 	return err
 }
 
-// usages reads what the agents have used so far, by machine type.
+// usages returns what the agents have used so far, by machine type.
 func (a *agents) usages() map[string]usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -181,7 +183,7 @@
 	return out
 }
 
-// stop ends the store of blobs; agents end with the cloud that has started them.
+// stop ends the blob store; agents end with the cloud that has started them.
 func (a *agents) stop() {
 	if a.blobs != nil {
 		a.blobs.Kill()
--- a/internal/scale/needs.go
+++ b/internal/scale/needs.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// What a step asks for, at the most, as first measured: memory of a real controller, an agent and
-// the store of blobs, and of a hollow worker and a running task in the process of the world.
+// What a step requires at most, as first measured: the memory of a real controller, an agent and
+// the blob store, and of an emulated worker and a running task in the emulator's process.
 const (
 	controllerBytes = 150 << 20
 	agentBytes      = 60 << 20
@@ -24,13 +24,13 @@
 // maxProcesses bounds the processes of a step.
 const maxProcesses = 300
 
-// Machine is what the machine has that a run may use.
+// Machine is what this machine has for a run.
 type Machine struct {
-	MemoryBytes uint64 // in all, of which half may be used
+	MemoryBytes uint64 // in total, of which half may be used
 	Sockets     uint64 // that this process may open
 }
 
-// ThisMachine reads what this machine has.
+// ThisMachine returns what this machine has.
 func ThisMachine() (Machine, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return Machine{MemoryBytes: kilobytes << 10, Sockets: limit.Cur}, nil
 }
 
-// Check names every step that asks for more than the machine has, with what it asks for.
+// Check reports every step that requires more than the machine has, with what it requires.
 func (p *Plan) Check(m Machine) error {
 	var faults []error
 	for _, step := range p.Steps() {
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -15,8 +15,8 @@
 // Role is a part of the system that is measured.
 type Role string
 
-// The roles. What a hollow worker or the state service takes of a processor is not that of a real
-// one, and is not told: for workers the agents stand.
+// The roles. CPU time of emulated workers and of the state service is not that of real ones and is
+// not reported: the agents represent workers.
 const (
 	Leader       Role = "controller that holds the fleet"
 	Follower     Role = "other controllers"
@@ -42,7 +42,7 @@
 	Changes     Measure = "changes/s"
 )
 
-// Row is one figure of a step, as it stands in the columnar file.
+// Row is one figure of a step, as in the columnar file.
 type Row struct {
 	Workers     float64 `json:"workers" parquet:"workers"`
 	Teams       float64 `json:"teams" parquet:"teams"`
@@ -54,34 +54,34 @@
 	Value       float64 `json:"value" parquet:"value"`
 }
 
-// Outcome is what came of a step.
+// Outcome is the result of a step.
 type Outcome struct {
 	Step          Point      `json:"step"`
 	Rows          []Row      `json:"rows"`
-	StartsReached float64    `json:"starts_reached"` // a second, while it was measured
+	StartsReached float64    `json:"starts_reached"` // per second, while it was measured
 	BytesPerStart float64    `json:"state_bytes_per_start"`
 	Up            int        `json:"workers_up"`
 	Running       int        `json:"tasks_running"` // when it was measured
-	Full          bool       `json:"full"`          // the fleet was as full as was asked for by then
+	Full          bool       `json:"full"`          // the fleet was as full as required by then
 	FillS         float64    `json:"fill_s"`
 	Accept        load.Times `json:"accept_ms"`
 	Start         load.Times `json:"start_ms"`
 	Urgent        load.Times `json:"urgent_start_ms"`
 	Refused       int        `json:"answers_503"`
 	Submitted     int        `json:"submitted"`
-	FailoverS     float64    `json:"takeover_claim_s"`  // from the kill to the next claim, 0 where none was seen
+	FailoverS     float64    `json:"takeover_claim_s"`  // from the kill to the next election, 0 if none was seen
 	FailoverStart load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
 	Actions       int        `json:"actions"`
 	Violations    []string   `json:"rules_broken"`
 }
 
-// add notes a figure of a role.
+// add records a figure of a role.
 func (o *Outcome) add(role Role, measure Measure, value float64) {
 	p := o.Step
 	o.Rows = append(o.Rows, Row{p[Workers], p[Teams], p[Controllers], p[Tasks], p[Starts], role, measure, value})
 }
 
-// value gives a figure of a role, if it was measured.
+// value returns a figure of a role, if it was measured.
 func (o *Outcome) value(role Role, measure Measure) (float64, bool) {
 	for _, r := range o.Rows {
 		if r.Role == role && r.Measure == measure {
@@ -91,7 +91,7 @@
 	return 0, false
 }
 
-// at gives where a step stands on an axis: starts are those that were reached.
+// at returns a step's position on an axis; for starts it is the rate that was reached.
 func (o *Outcome) at(axis Axis) float64 {
 	if axis == Starts {
 		return o.StartsReached
@@ -99,11 +99,12 @@
 	return o.Step[axis]
 }
 
+// outcomeFile returns the path of a step's outcome.
 func outcomeFile(dir string, step Point) string {
 	return filepath.Join(dir, fmt.Sprintf("step-%v.json", step))
 }
 
-// saveOutcome writes an outcome so that it is there whole or not at all.
+// saveOutcome writes an outcome atomically.
 func saveOutcome(dir string, o *Outcome) error {
 	text, err := json.Marshal(o)
 	if err != nil {
@@ -116,7 +117,7 @@
 	return os.Rename(path+".part", path)
 }
 
-// loadOutcome reads an outcome that an earlier run left, nil where there is none.
+// loadOutcome reads the outcome of an earlier run, nil if there is none.
 func loadOutcome(dir string, step Point) (*Outcome, error) {
 	text, err := os.ReadFile(outcomeFile(dir, step))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,7 +1,6 @@
-// Package scale measures what each part of the system costs as a site grows. It plays a world on
-// loopback in steps, along one axis at a time from a middle point: real controllers and a few real
-// agents among hollow workers that share a process. From what the steps took it predicts what a
-// larger site would take, by linear regression along each axis.
+// Package scale measures what each part of the system costs as a site grows. It emulates a cluster
+// on one machine at a series of sizes, with real controllers and a few real agents, fits how each
+// cost grows along each axis, and predicts it at a target size.
 package scale
 
 import (
@@ -17,7 +16,7 @@
 	"amberdeal.example/amberdeal/internal/config"
 )
 
-// Axis is what a site grows along.
+// Axis is a dimension along which a site grows.
 type Axis string
 
 // The axes.
@@ -29,7 +28,7 @@
 	Starts      Axis = "starts"
 )
 
-// Axes lists the axes in the order in which they are played.
+// Axes lists the axes in the order in which they are measured.
 var Axes = []Axis{Workers, Teams, Controllers, Tasks, Starts}
 
 // maxOf bounds the values of each axis.
@@ -38,7 +37,7 @@
 // Point is a size of a site.
 type Point map[Axis]float64
 
-// with gives the point with another value on one axis.
+// with returns the point with another value on one axis.
 func (p Point) with(axis Axis, value float64) Point {
 	out := make(Point, len(p))
 	for a, v := range p {
@@ -48,7 +47,7 @@
 	return out
 }
 
-// String names a point, also in files.
+// String names a point, also in file names.
 func (p Point) String() string {
 	var words []string
 	for _, a := range Axes {
@@ -57,18 +56,18 @@
 	return strings.Join(words, "_")
 }
 
-// Plan is what a scale run consists of.
+// Plan describes a scale run.
 type Plan struct {
 	Values                      map[Axis][]float64
 	Middle, Target              Point
 	Fill, Measure, FailoverTime time.Duration
-	Urgent                      float64 // jobs a second
+	Urgent                      float64 // jobs per second
 	Agents                      []int   // for each real agent, how many actions it runs at once
 	Seed                        uint64
 	State                       config.Store
 }
 
-// DefaultPlan is used for what a file leaves out.
+// DefaultPlan is used for what a file does not set.
 func DefaultPlan() *Plan {
 	middle := Point{Workers: 1500, Teams: 100, Controllers: 5, Tasks: 4, Starts: 200}
 	return &Plan{
@@ -79,7 +78,7 @@
 	}
 }
 
-// Steps lists the points to play: the middle, and those that differ from it along one axis.
+// Steps lists the points to measure: the middle, and those that differ from it along one axis.
 func (p *Plan) Steps() []Point {
 	steps := []Point{p.Middle}
 	for _, axis := range Axes {
@@ -92,14 +91,14 @@
 	return steps
 }
 
-// planReader reads a plan's file and gathers all that is wrong with it.
+// planReader parses a plan's file and collects all errors.
 type planReader struct{ faults []error }
 
 func (r *planReader) wrong(key *ini.Key, section, allowed string) {
 	r.faults = append(r.faults, fmt.Errorf("[%s] %s: %q: must be %s", section, key.Name(), key.Value(), allowed))
 }
 
-// Parse reads a plan's file and names all that is wrong with it.
+// Parse reads a plan's file and reports everything that is wrong with it.
 func Parse(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -128,7 +127,7 @@
 	return p, errors.Join(r.faults...)
 }
 
-// fields tells for each section how a key is taken.
+// fields returns the parser of each section's keys.
 func (p *Plan) fields(r *planReader) map[string]func(*ini.Key) {
 	return map[string]func(*ini.Key){
 		"axes": func(key *ini.Key) {
--- a/internal/scale/predict.go
+++ b/internal/scale/predict.go
@@ -6,25 +6,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is by how much a measure grows along an axis, with its standard error.
+// Slope is how much a measure grows along an axis, with its standard error.
 type Slope struct {
 	PerUnit, Error float64
 	Points         int
 }
 
-// slopeOf fits a line through values at places by least squares. The error of one through two
-// points is not known, and is NaN.
-func slopeOf(places, values []float64) Slope {
-	n := len(places)
+// slopeOf fits a line through values at positions by least squares. The error of a line through
+// two points is unknown, and is NaN.
+func slopeOf(positions, values []float64) Slope {
+	n := len(positions)
 	if n < 2 {
 		return Slope{PerUnit: math.NaN(), Error: math.NaN(), Points: n}
 	}
-	intercept, slope := stat.LinearRegression(places, values, nil, false)
+	intercept, slope := stat.LinearRegression(positions, values, nil, false)
 	if n == 2 {
 		return Slope{PerUnit: slope, Error: math.NaN(), Points: n}
 	}
-	residual, spread, mean := 0.0, 0.0, stat.Mean(places, nil)
-	for i, x := range places {
+	residual, spread, mean := 0.0, 0.0, stat.Mean(positions, nil)
+	for i, x := range positions {
 		off := values[i] - intercept - slope*x
 		residual += off * off
 		spread += (x - mean) * (x - mean)
@@ -32,14 +32,14 @@
 	return Slope{PerUnit: slope, Error: math.Sqrt(residual / float64(n-2) / spread), Points: n}
 }
 
-// Prediction is what a measure of a role should be at the target.
+// Prediction is the expected value of a role's measure at the target.
 type Prediction struct {
 	Role    Role
 	Measure Measure
 	Middle  float64
 	Slopes  map[Axis]Slope
 	Value   float64
-	Error   float64 // from those of the slopes; NaN where one of them is not known
+	Error   float64 // from those of the slopes; NaN if one of them is unknown
 }
 
 // Predict predicts every measure at a plan's target, from the step at its middle and the slopes
@@ -74,7 +74,8 @@
 	return out
 }
 
-// along gives the values of a measure at the steps that differ from the middle along one axis alone.
+// along returns the values of a measure at the steps that differ from the middle along one axis
+// only.
 func along(p *Plan, all []*Outcome, axis Axis, row Row) (places, values []float64) {
 	for _, o := range all {
 		if !onAxis(o.Step, p.Middle, axis) {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -11,10 +11,10 @@
 // usage is what a process has used so far.
 type usage struct {
 	processor time.Duration
-	memory    uint64 // resident bytes, the most there were
+	memory    uint64 // peak resident bytes
 }
 
-// clockTick is the unit of processor times in /proc.
+// clockTick is the unit of CPU times in /proc.
 const clockTick = 10 * time.Millisecond
 
 // usageOf reads what a process has used.
@@ -34,8 +34,8 @@
 	return usage{processor, peakMemory(string(status))}, nil
 }
 
-// processorTime sums user and system time of a line of /proc/PID/stat, whose second field is a name
-// in brackets that may hold anything.
+// processorTime returns the sum of user and system time of a line of /proc/PID/stat, whose second
+// field is a name in parentheses that may contain anything.
 func processorTime(stat string) (time.Duration, error) {
 	const user, system = 11, 12 // after the name
 	_, rest, found := strings.Cut(stat[max(0, strings.LastIndexByte(stat, ')')):], " ")
@@ -54,7 +54,7 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// peakMemory reads the most resident memory from /proc/PID/status, 0 where it is not told.
+// peakMemory reads the peak resident memory from /proc/PID/status, 0 if it is missing.
 func peakMemory(status string) uint64 {
 	for _, line := range strings.Split(status, "\n") {
 		if text, ok := strings.CutPrefix(line, "VmHWM:"); ok {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -14,7 +14,8 @@
 	Follower: {Processor: 0.18, Memory: 234},
 }
 
-// budgetOf gives the budget of a measure, if there is one. Agents share one whatever they run.
+// budgetOf returns the budget of a measure, if there is one. All agents have the same budget,
+// whatever they run.
 func budgetOf(role Role, measure Measure) (float64, bool) {
 	if strings.HasPrefix(string(role), string(Agent)) {
 		role = Agent
@@ -23,7 +24,7 @@
 	return budget, known
 }
 
-// Report writes the tables of a run in Markdown.
+// Report returns the tables of a run in Markdown.
 func Report(p *Plan, all []*Outcome) string {
 	var text strings.Builder
 	writeSteps(&text, all)
@@ -68,7 +69,7 @@
 	}
 }
 
-// short writes a number with some three digits.
+// short formats a number with about three digits.
 func short(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -6,18 +6,18 @@
 	"os"
 )
 
-// Runner plays a plan.
+// Runner runs a plan.
 type Runner struct {
 	Plan    *Plan
-	Out     string // where the files go
-	Program string // the path of amberdeal
-	Port    int    // the first of a world's ports
-	// Progress is told when a step is over, and whether an earlier run had played it.
+	Out     string // directory of the results
+	Program string // path of the amberdeal binary
+	Port    int    // first port of a cluster
+	// Progress is called when a step is over, with whether an earlier run had completed it.
 	Progress func(step Point, before bool)
 }
 
-// Run plays every step that was not played yet, and gives what came of all that are complete. Where
-// the context ends or a step fails, these are kept, and given with the error.
+// Run runs every step that is not complete yet, and returns the outcomes of all complete steps. If
+// the context ends or a step fails these are kept, and returned with the error.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
 		return nil, err
--- a/internal/scale/site.go
+++ b/internal/scale/site.go
@@ -21,7 +21,7 @@
 // zones of a site.
 var zones = []string{"z1", "z2", "z3", "z4", "z5"}
 
-// site is a step's world with all that runs in it.
+// site is a step's cluster with everything that runs in it.
 type site struct {
 	plan    *Plan
 	step    Point
@@ -34,7 +34,7 @@
 	stop    context.CancelFunc
 }
 
-// clusterOf gives the world of a step.
+// clusterOf returns the cluster of a step.
 func clusterOf(p *Plan, step Point) *emulator.Config {
 	slots := step[Tasks]
 	hollow := wire.MachineType{Name: emulatedType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
@@ -59,10 +59,10 @@
 	return c
 }
 
-// tuning is what the operators' file of every controller says.
+// tuning is the operators' file of every controller.
 const tuning = "[machines]\nidle = 10m\n"
 
-// openSite starts the world of a step and all that runs in it.
+// openSite starts the cluster of a step and everything that runs in it.
 func openSite(ctx context.Context, p *Plan, step Point, program string, port int) (s *site, err error) {
 	s = &site{plan: p, step: step, config: clusterOf(p, step)}
 	ctx, s.stop = context.WithCancel(ctx)
@@ -94,7 +94,7 @@
 	return s, s.startControllers(ctx, caller)
 }
 
-// buildTools is what a controller is told of build tools.
+// buildTools is a controller's configuration of the remote execution API.
 func (s *site) buildTools(i int) string {
 	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", s.cluster.Builds(i), s.cluster.Blobs(), teamName(0), actionTime)
 }
@@ -110,7 +110,7 @@
 	return emulator.Ready(ctx, caller, s.users.addrs)
 }
 
-// close ends all that runs in a site.
+// close ends everything that runs in a site.
 func (s *site) close() {
 	s.stop()
 	if s.procs != nil {
@@ -129,7 +129,7 @@
 
 var errNoLeader = errors.New("no controller holds the fleet")
 
-// leader names the controller that holds the fleet.
+// leader returns the name of the fleet's leader.
 func (s *site) leader() (string, error) {
 	items := s.cluster.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
@@ -142,12 +142,12 @@
 	return rec.Leader, nil
 }
 
-// reading is how a site stood at a moment.
+// reading is the state of a site at one time.
 type reading struct {
 	at       time.Time
 	status   emulator.Status
 	traffic  map[emulator.Direction]emulator.Flow
-	used     map[string]usage // of controllers, by name
+	used     map[string]usage // by controllers, by name
 	agents   map[string]usage // by machine type
 	startsAt int64
 }
--- a/internal/scale/step.go
+++ b/internal/scale/step.go
@@ -9,10 +9,11 @@
 	"amberdeal.example/amberdeal/internal/load"
 )
 
-// fullShare is the share of the fleet's room that runs when a step begins to be measured.
+// fullShare is the share of the fleet's capacity that is in use when the measurement of a step
+// starts.
 const fullShare = 0.9
 
-// runStep plays a step.
+// runStep runs and measures a step.
 func runStep(ctx context.Context, p *Plan, step Point, program string, port int) (*Outcome, error) {
 	s, err := openSite(ctx, p, step, program, port)
 	if err != nil {
@@ -32,12 +33,12 @@
 	before := s.read()
 	pause(ctx, p.Measure)
 	after := s.read()
-	holder, err := s.leader()
+	leader, err := s.leader()
 	if err != nil {
 		return nil, err
 	}
-	s.record(o, before, after, holder)
-	s.measureFailover(ctx, o, holder)
+	s.record(o, before, after, leader)
+	s.measureFailover(ctx, o, leader)
 	stop()
 	s.users.group.Wait()
 	s.recordUsers(o)
@@ -51,7 +52,7 @@
 	return o, ctx.Err()
 }
 
-// awaitFull waits until the fleet is up and full, or has had its time.
+// awaitFull waits until the fleet is up and full, or its time is over.
 func (s *site) awaitFull(ctx context.Context, o *Outcome) {
 	begun, enough := time.Now(), int(fullShare*float64(s.users.full()))
 	for ctx.Err() == nil && time.Since(begun) < s.plan.Fill && !o.Full {
@@ -61,21 +62,21 @@
 	o.FillS = time.Since(begun).Seconds()
 }
 
-// record notes what a site has used between two readings.
-func (s *site) record(o *Outcome, before, after reading, holder string) {
+// record records what a site has used between two readings.
+func (s *site) record(o *Outcome, before, after reading, leader string) {
 	span := after.at.Sub(before.at).Seconds()
 	o.Up, o.Running = after.status.Up, after.status.RunningTasks
 	starts := float64(after.startsAt - before.startsAt)
 	o.StartsReached = starts / span
 	flows := flowsBetween(before.traffic, after.traffic)
 	if starts > 0 {
-		o.BytesPerStart = float64(flows[emulator.Direction{From: holder, To: emulator.StateName}].Bytes) / starts
+		o.BytesPerStart = float64(flows[emulator.Direction{From: leader, To: emulator.StateName}].Bytes) / starts
 	}
 	others := 0.0
 	var other controllerUsage
 	for name, used := range after.used {
-		figures := controllerUsageOf(name, name == holder, used, before.used[name], flows, span)
-		if name == holder {
+		figures := controllerUsageOf(name, name == leader, used, before.used[name], flows, span)
+		if name == leader {
 			figures.record(o, Leader)
 			continue
 		}
@@ -98,13 +99,13 @@
 	s.recordLinks(o, flows, span)
 }
 
-// recordWorkers notes what a hollow worker sends and is sent.
+// recordWorkers records what an emulated worker sends and receives.
 func (s *site) recordWorkers(o *Outcome, flows map[emulator.Direction]emulator.Flow, span float64) {
 	workers := float64(max(1, o.Up-len(s.plan.Agents)))
 	recordFlows(o, Worker, toEnd(flows, emulator.Machines), fromEnd(flows, emulator.Machines), span*workers)
 }
 
-// recordLinks notes what goes between two controllers, in each direction.
+// recordLinks records the traffic between two controllers, in each direction.
 func (s *site) recordLinks(o *Outcome, flows map[emulator.Direction]emulator.Flow, span float64) {
 	var sum emulator.Flow
 	for way, f := range flows {
@@ -117,20 +118,21 @@
 	o.add(Link, MessagesOut, float64(sum.Messages)/span/(n*(n-1)))
 }
 
-// measureFailover kills the holder and notes what becomes of urgent work until another holds the fleet.
-func (s *site) measureFailover(ctx context.Context, o *Outcome, holder string) {
-	term, killed := s.cluster.Status().FencingToken, time.Now()
+// measureFailover kills the leader and records what happens to urgent work until the next
+// election.
+func (s *site) measureFailover(ctx context.Context, o *Outcome, leader string) {
+	token, killed := s.cluster.Status().FencingToken, time.Now()
 	s.users.markLeaderKilled(killed)
-	s.procs.Kill(controllerNumber(holder)) // for good
+	s.procs.Kill(controllerNumber(leader)) // for good
 	for ctx.Err() == nil && time.Since(killed) < s.plan.FailoverTime {
-		if o.FailoverS == 0 && s.cluster.Status().FencingToken > term {
+		if o.FailoverS == 0 && s.cluster.Status().FencingToken > token {
 			o.FailoverS = time.Since(killed).Seconds()
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
 }
 
-// recordUsers notes what users have seen, once all of them are gone.
+// recordUsers records what users have seen, once all of them have ended.
 func (s *site) recordUsers(o *Outcome) {
 	u := s.users
 	u.close(time.Now())
@@ -141,13 +143,13 @@
 	o.Violations = s.cluster.Status().Violations
 }
 
-// controllerUsage is what a controller takes.
+// controllerUsage is what a controller uses.
 type controllerUsage struct {
 	processor, memory float64
 	in, out           flowRate
 }
 
-// flowRate is a flow a second.
+// flowRate is a flow per second.
 type flowRate struct{ kilobytes, messages float64 }
 
 func (f flowRate) plus(other flowRate) flowRate {
@@ -158,8 +160,8 @@
 	return flowRate{float64(f.Bytes) / 1000 / span, float64(f.Messages) / span}
 }
 
-// controllerUsageOf gives what a controller has taken. Calls to machines are not known by name:
-// they are the holder's.
+// controllerUsageOf returns what a controller has used. Calls to machines are not known by the
+// caller's name; they are attributed to the leader.
 func controllerUsageOf(name string, holds bool, used, before usage, flows map[emulator.Direction]emulator.Flow, span float64) controllerUsage {
 	in, out := toEnd(flows, name), fromEnd(flows, name)
 	if holds {
@@ -172,7 +174,7 @@
 	return controllerUsage{c.processor + other.processor, max(c.memory, other.memory), c.in.plus(other.in), c.out.plus(other.out)}
 }
 
-// over gives the mean of so many, but for memory, which is the most.
+// over returns the mean of n controllers, except for memory, which is the maximum.
 func (c controllerUsage) over(n float64) controllerUsage {
 	return controllerUsage{c.processor / n, c.memory, flowRate{c.in.kilobytes / n, c.in.messages / n}, flowRate{c.out.kilobytes / n, c.out.messages / n}}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// markLeaderKilled says that the holder is being killed.
+// markLeaderKilled is called when the leader is killed.
 func (u *users) markLeaderKilled(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,7 +112,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%04d", i) }
 
-// full is how many tasks the fleet has room for.
+// full is how many tasks the fleet has capacity for.
 func (u *users) full() int { return int(u.step[Workers] * u.step[Tasks]) }
 
 // run is how long a task takes, so that as many start a second as are asked for.
--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -48,19 +48,19 @@
 
 // leaderAnswered is called when a worker has accepted an answer. The first answer of a new leader
 // triggers the replay of heartbeats from before its term.
-func (e *HeartbeatReplayer) leaderAnswered(at string, term uint64) {
+func (e *HeartbeatReplayer) leaderAnswered(at string, token uint64) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if term <= e.token {
+	if token <= e.token {
 		return
 	}
-	e.token = term
+	e.token = token
 	var rest []keptHeartbeat
 	for _, k := range e.kept {
-		if k.token >= term {
+		if k.token >= token {
 			rest = append(rest, k)
 			continue
 		}
@@ -94,14 +94,14 @@
 }
 
 // heartbeatSent is called with each heartbeat that a worker sends.
-func (e *HeartbeatReplayer) heartbeatSent(to string, body []byte, term uint64) {
+func (e *HeartbeatReplayer) heartbeatSent(to string, body []byte, token uint64) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.keepShare > 0 && e.Rand.Float64() < e.keepShare {
-		e.kept = append(e.kept, keptHeartbeat{body, term})
+		e.kept = append(e.kept, keptHeartbeat{body, token})
 		e.kept = e.kept[max(0, len(e.kept)-maxKept):]
 	}
 	if e.share <= 0 || e.Rand.Float64() >= e.share {
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// By the users' rules a job is forgotten when every question about it is in vain for
-// vainInTrouble while most others are answered; and, once all troubles are over, when none is
-// answered for vainInQuiet, whatever others get.
+// By the users' rules a job is forgotten if every poll of it remains unanswered for
+// unansweredLimit while most others are answered; and, once no fault is active, if none is
+// answered for quietUnansweredLimit, whatever others get.
 const (
 	unansweredLimit      = 90 * time.Second
 	quietUnansweredLimit = 75 * time.Second
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -137,20 +137,20 @@
 
 // RefuseInbound makes a host refuse new connections and closes those that it has accepted, or ends
 // that.
-func (n *Network) RefuseInbound(host string, full bool) {
+func (n *Network) RefuseInbound(host string, refuse bool) {
 	n.mu.Lock()
-	n.refuseInbound[host] = full
+	n.refuseInbound[host] = refuse
 	n.mu.Unlock()
-	n.closeConns(func(c *conn) bool { return full && c.to == host })
+	n.closeConns(func(c *conn) bool { return refuse && c.to == host })
 }
 
 // RefuseOutbound prevents a host from opening connections and closes those that it has opened, or
 // ends that.
-func (n *Network) RefuseOutbound(host string, mute bool) {
+func (n *Network) RefuseOutbound(host string, refuse bool) {
 	n.mu.Lock()
-	n.refuseOutbound[host] = mute
+	n.refuseOutbound[host] = refuse
 	n.mu.Unlock()
-	n.closeConns(func(c *conn) bool { return mute && c.from == host })
+	n.closeConns(func(c *conn) bool { return refuse && c.from == host })
 }
 
 // DropOneWay loses everything that one host sends to another, while the opposite direction works,
@@ -271,14 +271,14 @@
 // closeConns closes the selected connections, except for those that still have bytes to deliver.
 func (n *Network) closeConns(pick func(*conn) bool) {
 	n.mu.Lock()
-	var gone []*conn
+	var selected []*conn
 	for c := range n.conns {
 		if pick(c) && c.other.held == nil { // what is held there is yet to arrive
-			gone = append(gone, c)
+			selected = append(selected, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range gone {
+	for _, c := range selected {
 		_ = c.Close()
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -116,12 +116,12 @@
 	case !m.healthy && ok && (!m.ever || len(two) == 2 && two[0] && now.Sub(m.out) >= m.pause):
 		m.healthy, m.ever, m.probes = true, true, nil
 	}
-	var gone []*userConn
+	var closed []*userConn
 	if !m.healthy && now.Sub(m.out) >= resetAfter {
-		gone = slices.Collect(maps.Keys(m.conns))
+		closed = slices.Collect(maps.Keys(m.conns))
 	}
 	u.mu.Unlock()
-	for _, c := range gone {
+	for _, c := range closed {
 		_ = c.Close()
 	}
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -244,7 +244,7 @@
 		w.waitWhilePaused()
 		w.mu.Lock()
 		w.expireLease()
-		sent, session := time.Now(), w.incarnation
+		sent, incarnation := time.Now(), w.incarnation
 		body, node := wire.Encode(w.heartbeat()), w.controller
 		w.mu.Unlock()
 		ctx, cancel := context.WithTimeout(w.ctx, answerTimeout)
@@ -260,7 +260,7 @@
 		var a wire.HeartbeatResponse
 		switch {
 		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &a) == nil:
-			if a.FencingToken >= w.token && session == w.incarnation && w.ctx.Err() == nil {
+			if a.FencingToken >= w.token && incarnation == w.incarnation && w.ctx.Err() == nil {
 				w.adoptToken(a.FencingToken)
 				w.lastAnswered = sent
 				w.replayer.leaderAnswered(w.controllers[node], a.FencingToken)
@@ -285,9 +285,9 @@
 }
 
 // nextController selects the controller for the next heartbeat and returns the delay before it.
-func (w *Worker) nextController(holder string) time.Duration {
-	if w.controllers[holder] != "" && holder != w.controller {
-		w.controller = holder
+func (w *Worker) nextController(leader string) time.Duration {
+	if w.controllers[leader] != "" && leader != w.controller {
+		w.controller = leader
 		return 100 * time.Millisecond
 	}
 	names := slices.Sorted(maps.Keys(w.controllers))
@@ -303,9 +303,9 @@
 }
 
 // adoptToken records a higher fencing token and reports soon.
-func (w *Worker) adoptToken(term uint64) {
-	if term > w.token {
-		w.token = term
+func (w *Worker) adoptToken(token uint64) {
+	if token > w.token {
+		w.token = token
 		w.reportSoon()
 	}
 }
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -171,13 +171,13 @@
 // printFleet writes what is the same at every controller.
 func (v *View) printFleet(line func(string, ...any), s *Status) {
 	line("PART\tHOLDER\tTERM\t")
-	for _, part := range slices.Sorted(maps.Keys(s.Shards)) {
-		p := s.Shards[part]
-		line("%s\t%s\t%d\t", part, cmp.Or(p.Leader, "nobody"), p.FencingToken)
+	for _, shard := range slices.Sorted(maps.Keys(s.Shards)) {
+		p := s.Shards[shard]
+		line("%s\t%s\t%d\t", shard, cmp.Or(p.Leader, "nobody"), p.FencingToken)
 	}
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
-		for part, x := range v.Statuses[addr].Stalls {
-			line("\nNOTHING STARTS in %s for %v: %s (%s could)", part, time.Duration(x.DurationS)*time.Second, x.Cause, x.Job)
+		for shard, x := range v.Statuses[addr].Stalls {
+			line("\nNOTHING STARTS in %s for %v: %s (%s could)", shard, time.Duration(x.DurationS)*time.Second, x.Cause, x.Job)
 		}
 	}
 	line("\nCLASS\tPENDING\tRUNNING\tTASKS\tON MACHINES\tDONE\t")
