--- a/internal/controller/buildapi.go
+++ b/internal/controller/buildapi.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 
 	"golang.org/x/sync/errgroup"
@@ -11,18 +12,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// serveBuilds serves build tools. gRPC brings a server of its own: HTTP/2, which our
-// parser does not speak.
+// serveBuilds serves build tools. gRPC brings a server of its own, since httpwire does not speak
+// HTTP/2.
 func (c *Controller) serveBuilds(ctx context.Context) error {
 	set := c.cfg.Tuning.Reapi
 	blobs, err := cas.Dial(set.Store, "")
 	if err != nil {
-		return err
+		return fmt.Errorf("connect to the content-addressable store %s: %w", set.Store, err)
 	}
 	defer blobs.Close()
 	lis, err := net.Listen("tcp", set.Listen)
 	if err != nil {
-		return err
+		return fmt.Errorf("listen for build tools: %w", err)
 	}
 	front := &reapi.Server{Admission: c.admission, Store: blobs, Log: c.log, Count: c.statuses.taskCounts, Defaults: reapi.Defaults{Team: set.Team, Class: set.Class,
 		Priority: wire.Priority(set.Priority), CPUs: set.CPUs, GPUs: set.GPUs, MemoryGB: set.MemoryGB, Image: set.Image, Spot: set.Spot, Estimate: set.Estimate}}
