--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -19,8 +19,8 @@
 
 func (pipe) SetIdle(time.Duration) {}
 
-// TestOlderPeers: while one sibling that is alive does not take what is forwarded, nobody writes for
-// others; once all do, or it is not heard any more, some do.
+// TestOlderPeers: while one live peer takes nothing that is forwarded, no controller writes for others;
+// once all do, or no heartbeats of it come any more, some do.
 func TestOlderPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
@@ -30,9 +30,9 @@
 		}
 		c := New(simulator.NewNetwork().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
 		number := uint64(0)
-		hear := func(writes func(i int) bool, siblings ...int) writerChoice {
+		receive := func(writes func(i int) bool, peers ...int) writerChoice {
 			number++
-			for _, i := range siblings {
+			for _, i := range peers {
 				mine, its := net.Pipe()
 				go func() {
 					_ = gob.NewEncoder(its).Encode(peer.Heartbeat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
@@ -44,26 +44,26 @@
 			return c.writers.choose(time.Now())
 		}
 		all := []int{1, 2, 3, 4, 5, 6}
-		if got := hear(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
+		if got := receive(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
 			t.Errorf("beside an older version: %+v", got)
 		}
-		if got := hear(func(int) bool { return true }, all...); got.olderPeer || len(got.names) != 4 {
+		if got := receive(func(int) bool { return true }, all...); got.olderPeer || len(got.names) != 4 {
 			t.Errorf("once all take it: %+v", got)
 		}
-		if got := hear(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
+		if got := receive(func(i int) bool { return i != 3 }, all...); !got.olderPeer || got.names != nil {
 			t.Errorf("after one has gone back: %+v", got)
 		}
 		for range 4 {
-			hear(func(int) bool { return true }, 1, 2, 4, 5, 6)
+			receive(func(int) bool { return true }, 1, 2, 4, 5, 6)
 		}
 		if got := c.writers.choose(time.Now()); got.olderPeer || len(got.names) != 4 {
-			t.Errorf("once the older one is not heard: %+v", got)
+			t.Errorf("once no heartbeats of the older one come: %+v", got)
 		}
-		if got := hear(func(int) bool { return true }, 1, 2); len(got.names) != 4 {
+		if got := receive(func(int) bool { return true }, 1, 2); len(got.names) != 4 {
 			t.Errorf("a moment later: %+v", got)
 		}
 		time.Sleep(4 * time.Second)
-		if got := hear(func(int) bool { return true }, 1, 2); got.names != nil || got.olderPeer {
+		if got := receive(func(int) bool { return true }, 1, 2); got.names != nil || got.olderPeer {
 			t.Errorf("with no majority: %+v", got)
 		}
 	})
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -44,7 +44,7 @@
 	return rec, err
 }
 
-// fixture is a client and the server of a sibling.
+// fixture is a client and the server of a peer.
 type fixture struct {
 	*Client
 	writer *fakeAdmission
@@ -92,7 +92,7 @@
 	return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 1, Work: "do this"}
 }
 
-// TestAnswers: what a writer says is what whoever forwarded it hears, whatever it is.
+// TestAnswers: what a writer answers is what the controller that forwarded the request gets.
 func TestAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
@@ -127,7 +127,7 @@
 }
 
 // TestNotHandled: whatever keeps an answer away, the request is left to whoever forwarded it, soon, and
-// the sibling is left alone for a while.
+// the peer is avoided for a while.
 func TestNotHandled(t *testing.T) {
 	for name, x := range map[string]struct {
 		spoil func(b *fixture)
@@ -162,14 +162,14 @@
 					t.Errorf("told %v, %v after %v", told, err, took)
 				}
 				if job.Shape == "none" {
-					return // nothing is wrong with the sibling
+					return // nothing is wrong with the peer
 				}
 				if b.Counts().Unanswered != 1 || !b.recentlyFailed("c-1") {
 					t.Errorf("%+v, avoided: %v", b.Counts(), b.recentlyFailed("c-1"))
 				}
 				before := b.Counts().Forwarded
 				if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-3")); told || b.Counts().Forwarded != before {
-					t.Error("a sibling that did not answer is asked again at once")
+					t.Error("a peer that did not answer is asked again at once")
 				}
 				time.Sleep(avoidAfterFailure)
 				b.refuse = false
@@ -206,7 +206,7 @@
 			t.Error("told before the answer")
 		}
 		if b.recentlyFailed("c-1") || b.Counts().Unanswered > 0 {
-			t.Error("the sibling is blamed for a user who has gone")
+			t.Error("the peer is blamed for a user who has gone")
 		}
 		if rec, _, told, err := b.Submit(t.Context(), jobOf("wk-12345")); !told || err != nil || rec.Tasks != 8 {
 			t.Errorf("%+v, told %v, %v", rec, told, err)
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -19,16 +19,16 @@
 
 func (accepted) SetIdle(time.Duration) {}
 
-// pair gives an edge that passes reports to a hub over a real connection on loopback.
+// pair returns an uplink that forwards heartbeats to a receiver over a real connection on loopback.
 func pair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	hub := &Receiver{Decide: decide, Log: slog.New(slog.DiscardHandler),
+	receiver := &Receiver{Decide: decide, Log: slog.New(slog.DiscardHandler),
 		FencingCalls: func(int) []reachability.FencingCall { return nil }, FencingCallDone: func(string, *wire.Heartbeat) {}}
-	edge := &Uplink{Leader: func() string { return "c-0" }, Log: hub.Log,
+	uplink := &Uplink{Leader: func() string { return "c-0" }, Log: receiver.Log,
 		OpenStream: func(ctx context.Context, _, _ string) (net.Conn, *gob.Encoder, error) {
 			conn, err := net.Dial("tcp4", lis.Addr().String())
 			return conn, gob.NewEncoder(conn), err
@@ -41,24 +41,24 @@
 			}
 			go func() {
 				defer conn.Close()
-				hub.Serve(ctx, "c-1", accepted{conn}, gob.NewDecoder(conn))
+				receiver.Serve(ctx, "c-1", accepted{conn}, gob.NewDecoder(conn))
 			}()
 		}
 	}()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = edge.Run(ctx)
+		_ = uplink.Run(ctx)
 	}()
 	tb.Cleanup(func() {
 		stop()
 		lis.Close()
 		<-done
 	})
-	for edge.ForwardsTo() == "" {
+	for uplink.ForwardsTo() == "" {
 		time.Sleep(time.Millisecond)
 	}
-	return edge, hub
+	return uplink, receiver
 }
 
 // manyHeartbeats makes reports of machines with some tasks each.
@@ -78,7 +78,7 @@
 // BenchmarkForward passes reports of 3,000 machines, many at once, as a crowd of workers does:
 // one in eight has changed since its last.
 func BenchmarkForward(b *testing.B) {
-	edge, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	uplink, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
 	})
 	reports := manyHeartbeats(3000)
@@ -98,8 +98,8 @@
 	b.ResetTimer()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			if _, ok := edge.Forward(context.Background(), <-next); !ok {
-				b.Error("no way")
+			if _, ok := uplink.Forward(context.Background(), <-next); !ok {
+				b.Error("no stream")
 			}
 		}
 	})
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -20,13 +20,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// link is an edge and a hub in memory, on any clock.
+// link is an uplink and a receiver in memory, on any clock.
 type link struct {
 	*Uplink
 	receiver *Receiver
 	mu       sync.Mutex
 	leader   string
-	conn     net.Conn // the edge's end of the open stream
+	conn     net.Conn // the uplink's end of the open stream
 	opened   int
 }
 
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestSlowLeader: a holder that takes seconds for each batch answers late what it can, and
-// what its worker does not wait for any more is not passed on. The way to it stays open.
+// TestSlowLeader: a leader that takes seconds for each batch answers late what it can, and a heartbeat
+// whose worker waits no longer is not forwarded. The stream to it stays open.
 func TestSlowLeader(t *testing.T) {
 	calls := 0
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
@@ -160,8 +160,8 @@
 	})
 }
 
-// TestFencingCallsAreShared: what the holder asks a sibling to call is called, as many at once as
-// that one has room for, and what came of it is told; a call in vain too.
+// TestFencingCallsAreShared: the calls that the leader asks a peer for are made, as many at once as
+// the peer can make, and their outcomes are told; those of failed calls too.
 func TestFencingCallsAreShared(t *testing.T) {
 	var mu sync.Mutex
 	asked, told, open, most := 0, map[string]bool{}, 0, 0
@@ -211,8 +211,8 @@
 	})
 }
 
-// TestLeaderChanges: reports go to whoever holds the fleet, and nowhere while the way is
-// not open; after it broke, workers are not all sent to the holder at once.
+// TestLeaderChanges: heartbeats go to whoever leads, and nowhere while there is no stream; after one
+// broke, workers are not all sent to the leader at once.
 func TestLeaderChanges(t *testing.T) {
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
@@ -232,7 +232,7 @@
 		time.Sleep(2 * time.Second)
 		desk := &Gateway{Forwarder: l.Uplink, Leader: func(*wire.Heartbeat) string { return "c-2" }}
 		if to := desk.RedirectTarget(nil); to != "" {
-			t.Errorf("sent to %q right after the way broke", to)
+			t.Errorf("sent to %q right after the stream broke", to)
 		}
 		time.Sleep(10 * time.Second)
 		if to := desk.RedirectTarget(nil); to != "c-2" {
@@ -241,7 +241,7 @@
 	})
 }
 
-// TestHungLeader: one that takes nothing any more is left as soon as another holds the
+// TestHungLeader: a leader that takes nothing any more is left as soon as another leads the
 // fleet, and not when the stream has not moved for long.
 func TestHungLeader(t *testing.T) {
 	still := true
@@ -264,8 +264,8 @@
 	})
 }
 
-// TestTornStream: a stream that breaks with reports on their way leaves none of them
-// without an end, and the next one begins with whole reports.
+// TestTornStream: a stream that breaks with heartbeats on their way leaves none of them
+// without an outcome, and the next one begins with whole heartbeats.
 func TestTornStream(t *testing.T) {
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		time.Sleep(500 * time.Millisecond)
@@ -296,27 +296,27 @@
 // TestBalancer is a table of who takes whose reports.
 func TestBalancer(t *testing.T) {
 	for name, c := range map[string]struct {
-		holder, fresh bool
+		leader, fresh bool
 		mine          int
 		others        map[string]int
 		want          string
 	}{
-		"a holder with few keeps them":                    {holder: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
-		"a holder with many sends on, to the least":       {holder: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
-		"a holder without siblings keeps all":             {holder: true, fresh: true, mine: 5000, want: ""},
-		"nobody is sent where there is no room":           {holder: true, fresh: true, mine: 5000, others: map[string]int{"b": 2000, "c": 2500}, want: ""},
+		"a holder with few keeps them":                    {leader: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
+		"a holder with many sends on, to the least":       {leader: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
+		"a holder without siblings keeps all":             {leader: true, fresh: true, mine: 5000, want: ""},
+		"nobody is sent where there is no room":           {leader: true, fresh: true, mine: 5000, others: map[string]int{"b": 2000, "c": 2500}, want: ""},
 		"an edge with its share keeps it":                 {mine: 1000, others: map[string]int{"b": 900, "c": 950}, want: ""},
 		"an edge with far more sends on":                  {mine: 1500, others: map[string]int{"b": 100, "c": 900}, want: "b"},
 		"an edge that is full sends on to one that isn't": {fresh: true, mine: 2400, others: map[string]int{"b": 700, "c": 2100}, want: "b"},
 	} {
 		s := Balancer{LeaderKeeps: 200, Capacity: 2000}
-		if got := s.Target(time.Unix(1e9, 0), c.holder, c.fresh, c.mine, c.others); got != c.want {
+		if got := s.Target(time.Unix(1e9, 0), c.leader, c.fresh, c.mine, c.others); got != c.want {
 			t.Errorf("%s: %q, not %q", name, got, c.want)
 		}
 	}
 }
 
-// TestBalancerLevelsLoads sends thousands of machines away from a new holder, which all came to
+// TestBalancerLevelsLoads sends thousands of machines away from a new leader, which all came to
 // it at once: new connections at once and evenly, open ones within a while, none back.
 func TestBalancerLevelsLoads(t *testing.T) {
 	s, now := Balancer{LeaderKeeps: 200, Capacity: 3000}, time.Unix(1e9, 0)
@@ -335,7 +335,7 @@
 	}
 }
 
-// FuzzItems: whatever a sibling sends, the hub neither fails nor takes a report for another
+// FuzzItems: whatever a peer sends, the receiver neither fails nor takes a heartbeat for another
 // machine's.
 func FuzzItems(f *testing.F) {
 	f.Add("n-1", uint64(1), uint64(2), true, false, 0.0)
@@ -384,7 +384,7 @@
 
 // TestMissingBatchEndsStream: where a batch is lost on a stream that goes on, what the later ones
 // call the same as before would be taken for what was before that: an old list with a new
-// number, by which a holder believed running tasks to be gone. The stream ends instead.
+// number, by which a leader believed running tasks to be gone. The stream ends instead.
 func TestMissingBatchEndsStream(t *testing.T) {
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		if old := r.Seq <= 4; old != (len(r.Tasks) == 5) {
@@ -411,16 +411,16 @@
 		group.Wait()
 	}, func(l *link) {
 		open := l.Uplink.OpenStream
-		l.Uplink.OpenStream = func(ctx context.Context, sibling, kind string) (net.Conn, *gob.Encoder, error) {
-			conn, _, err := open(ctx, sibling, kind)
+		l.Uplink.OpenStream = func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error) {
+			conn, _, err := open(ctx, peer, kind)
 			c := &lossyConn{Conn: conn, lose: 13} // with the fifth report
 			return c, gob.NewEncoder(c), err
 		}
 	})
 }
 
-// TestFencingCallsOfALostStream: an edge that was given calls is gone, and back at once. They are made
-// by nobody, and the holder is told so.
+// TestFencingCallsOfALostStream: a peer that was given calls is gone, and back at once. They are made
+// by no one, and the leader is told so.
 func TestFencingCallsOfALostStream(t *testing.T) {
 	var mu sync.Mutex
 	given, vain := 0, map[string]bool{}
@@ -462,8 +462,8 @@
 	})
 }
 
-// TestEarlierStreamEnds: a process that began anew opens a stream while the one of its earlier
-// life is still there. That one ends, and what is sent there reaches nobody.
+// TestEarlierStreamEnds: a restarted process opens a stream while the one of its earlier
+// incarnation is still open. That one ends, and what is sent on it is dropped.
 func TestEarlierStreamEnds(t *testing.T) {
 	onLink(t, nil, func(ctx context.Context, l *link) {
 		l.mu.Lock()
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// TestTraces plays the kept traces of a claim.
+// TestTraces plays the kept traces of an election.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		zero := time.Unix(1e9, 0)
@@ -49,12 +49,12 @@
 				if old := c.Observe("fleet", rec, kv["holder"] != "", num("revision")); old != 0 {
 					return []string{fmt.Sprintf("end lease %d", old)}
 				}
-			case "leave": // give the part back
+			case "leave": // give the shard up
 				c.StepDown("fleet")
 			case "releases":
 				var out []string
-				for part, txn := range c.PendingReleases() {
-					out = append(out, fmt.Sprintf("drop %s if %s is at %d", part, txn.If[0].Key, txn.If[0].Version))
+				for shard, txn := range c.PendingReleases() {
+					out = append(out, fmt.Sprintf("drop %s if %s is at %d", shard, txn.If[0].Key, txn.If[0].Version))
 				}
 				return out
 			default:
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -27,7 +27,7 @@
 func (stream) SetIdle(time.Duration)        {}
 
 // FuzzHeartbeat receives what anything may have sent: it must not end the process, and no one
-// but a sibling is listened to.
+// but a peer is listened to.
 func FuzzHeartbeat(f *testing.F) {
 	for _, b := range []Heartbeat{
 		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.HeartbeatAges{"c-2": time.Second}},
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -13,8 +13,8 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// TestStreamOfSupersededIncarnation: a controller is back, and the stream that its earlier life opened
-// arrives after its first beat. It is not served, or it would end that of the present one.
+// TestStreamOfSupersededIncarnation: a controller is back, and the stream that its earlier incarnation
+// opened arrives after its first heartbeat. It is not served, or it would end that of the present one.
 func TestStreamOfSupersededIncarnation(t *testing.T) {
 	served := 0
 	m := &Mesh{Peers: map[string]string{"c-1": ""}, Log: slog.New(slog.DiscardHandler),
@@ -27,7 +27,7 @@
 	say(Heartbeat{From: "c-1", Begun: 200, Number: 1})
 	say(Heartbeat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
 	if served > 0 {
-		t.Error("the stream of the earlier life was served")
+		t.Error("the stream of the earlier incarnation was served")
 	}
 	say(Heartbeat{From: "c-1", Begun: 200, Number: 2, Stream: "reports"})
 	if served != 1 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkHeartbeat tells what a beat of a part's holder takes on the mesh, by the teams whose use it names.
+// BenchmarkHeartbeat tells what the heartbeat of a shard's leader takes on the wire, by the number of teams.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, teams := range []int{5, 100, 530, 2000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
--- a/internal/writers/writers_test.go
+++ b/internal/writers/writers_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestChoose: writers are of those that live, without the holder, and stay where others come and go.
+// TestChoose: writers are alive and not the leader, and stay the same where others come and go.
 func TestChoose(t *testing.T) {
 	p := PolicyFor(24, Auto)
 	all := names(24)
@@ -43,7 +43,7 @@
 		t.Errorf("%v, and in another order %v", writers, got)
 	}
 	if got := p.Choose(all, func(name string) bool { return name == writers[0] }); slices.Contains(got, writers[0]) || len(got) != 4 {
-		t.Errorf("the holder writes: %v", got)
+		t.Errorf("the leader writes: %v", got)
 	}
 	for _, gone := range all {
 		left := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return name == gone })
@@ -88,13 +88,13 @@
 }
 
 // TestSharesFit: whatever any controller believes of the others, no more is spent than there is while
-// a majority agrees, and others hear too few.
+// a majority agrees, and others get heartbeats of too few.
 func TestSharesFit(t *testing.T) {
 	for _, n := range []int{6, 9, 24} {
 		p := PolicyFor(n, Auto)
 		all := names(n)
 		writers := p.Choose(all, nobody)
-		for _, apart := range []int{0, 1, n/2 - 1} { // that hear nobody
+		for _, apart := range []int{0, 1, n/2 - 1} { // that get no heartbeats
 			changes, requests := 0.0, 0.0
 			for i, name := range all {
 				seen := writers
