--- a/internal/store/ledger_test.go
+++ b/internal/store/ledger_test.go
@@ -31,119 +31,178 @@
 	return len(text)
 }
 
+// ledgerRounds is how many rounds a ledgerTrial writes; in the last quarter all machines go.
+const ledgerRounds = 3200
+
+// ledgerTrial writes random rounds into a ledger, beside the segments that the state service
+// would hold after each.
+type ledgerTrial struct {
+	t        *testing.T
+	limit    int
+	random   *rand.Rand
+	ledger   *Ledger
+	revision uint64
+	stored   map[string]Segment
+	sent     [][]wire.Condition // of earlier rounds
+	changes  int
+	most     int // segments at a time
+
+	// What a new leader must read.
+	machines  map[string]MachineRecord
+	finished  *TaskSet
+	zone      ZoneRecord
+	wroteZone ZoneRecord
+}
+
+func newLedgerTrial(t *testing.T, limit int) *ledgerTrial {
+	l, _ := NewLedger("p", limit, nil)
+	return &ledgerTrial{
+		t:        t,
+		limit:    limit,
+		random:   rand.New(rand.NewPCG(1, uint64(limit))),
+		ledger:   l,
+		stored:   map[string]Segment{},
+		machines: map[string]MachineRecord{},
+		finished: NewTaskSet(5000),
+		zone:     ZoneRecord{Number: 1 << 40, Since: 1780000000000, Outages: 99},
+	}
+}
+
+// machineEntries draws changes of machines that fit into the free bytes, and returns what is left of these.
+func (x *ledgerTrial) machineEntries(round, free int) (entries []Entry, left int) {
+	seen := map[string]bool{}
+	for range 1 + x.random.IntN(12) {
+		id := fmt.Sprintf("n-%06d", x.random.IntN(100))
+		if round > ledgerRounds*3/4 { // the fleet has gone
+			id = fmt.Sprintf("n-%06d", round%100)
+		}
+		if seen[id] {
+			continue
+		}
+		rec := MachineRecord{Addr: "10.1.0.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
+		for range x.random.IntN(5) {
+			rec.Tasks[fmt.Sprintf("wk-%06d/%d", x.random.IntN(1e6), x.random.IntN(100))] = 40<<24 + x.random.Uint64N(1<<24)
+		}
+		e := MachineEntry(id, rec)
+		if x.random.IntN(3) == 0 || round > ledgerRounds*3/4 {
+			e = DropMachine(id)
+		}
+		if e.Size > free {
+			break
+		}
+		free -= e.Size
+		seen[id] = true
+		entries = append(entries, e)
+		if delete(x.machines, id); e.Value != nil {
+			x.machines[id] = rec
+		}
+	}
+	return entries, free
+}
+
+// entries draws what a round writes: machines, now and then the state of a zone with outages,
+// and the progress of a job.
+func (x *ledgerTrial) entries(round int) []Entry {
+	entries, free := x.machineEntries(round, x.ledger.FreeBytes(3))
+	x.finished.Add(x.random.IntN(4000))
+	if x.zone.Number++; round%5 == 0 && free > 200 {
+		x.zone.State = []string{"up", "in doubt", "dark", "back"}[round%4]
+		entries, free = append(entries, ZoneEntry("some-zone", x.zone)), free-ZoneEntry("some-zone", x.zone).Size
+		x.wroteZone = x.zone
+	}
+	if e := ProgressEntry("wk-1", 0, x.finished); x.limit > 1<<10 && e.Size <= free {
+		entries = append(entries, e)
+	}
+	return entries
+}
+
+// write packs and commits a round.
+func (x *ledgerTrial) write(round int) {
+	x.revision++
+	entries := x.entries(round)
+	head := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
+	p, rest := x.ledger.Pack(head, entries, 3, true)
+	if len(rest) > 0 {
+		x.t.Fatalf("round %d: %d entries did not fit", round, len(rest))
+	}
+	for _, cond := range p.If {
+		if cond.Version != x.stored[cond.Key].Version {
+			x.t.Fatalf("round %d: %+v, stored at %d", round, cond, x.stored[cond.Key].Version)
+		}
+	}
+	for i, c := range p.Then {
+		if c.Delete != "" {
+			delete(x.stored, c.Delete)
+			continue
+		}
+		if size := jsonBytes(x.t, c.Value); size > x.limit {
+			x.t.Fatalf("round %d: a value of %d bytes", round, size)
+		}
+		x.stored[c.Put] = Segment{Version: x.revision, Record: c.Value.(SegmentRecord), Number: p.segments[i]}
+	}
+	x.checkLateCopies(round)
+	if x.sent = append(x.sent, p.If); len(x.sent) > 300 {
+		x.sent = slices.Delete(x.sent, 100, 150)
+	}
+	x.most = max(x.most, len(x.stored))
+	x.changes += len(p.Then)
+	x.ledger.Commit(p, x.revision)
+}
+
+// checkLateCopies demands that no copy of an earlier round would be committed, however late:
+// not even of one that added a segment which has been removed since.
+func (x *ledgerTrial) checkLateCopies(round int) {
+	for _, conds := range x.sent {
+		if !slices.ContainsFunc(conds, func(c wire.Condition) bool { return x.stored[c.Key].Version != c.Version }) {
+			x.t.Fatalf("round %d: an earlier one would be committed: %+v", round, conds)
+		}
+	}
+}
+
+// checkRecovery reads the ledger as a new leader would.
+func (x *ledgerTrial) checkRecovery(round int) {
+	var segments []Segment
+	for _, s := range x.stored {
+		segments = append(segments, s)
+	}
+	_, got := NewLedger("p", x.limit, segments)
+	for id, rec := range x.machines {
+		if !maps.Equal(got.Machines[id].Tasks, rec.Tasks) || got.Machines[id].Addr != rec.Addr {
+			x.t.Fatalf("round %d: %s reads as %+v, want %+v", round, id, got.Machines[id], rec)
+		}
+	}
+	if got.Zones["some-zone"] != x.wroteZone {
+		x.t.Fatalf("round %d: the zone reads as %+v, want %+v", round, got.Zones, x.wroteZone)
+	}
+	if len(got.Machines) != len(x.machines) || got.Round != uint64(round) {
+		x.t.Fatalf("round %d: %d machines for %d, round %d", round, len(got.Machines), len(x.machines), got.Round)
+	}
+}
+
+// checkSize demands that the ledger has shrunk with the fleet, and that a round is mostly one change.
+func (x *ledgerTrial) checkSize() {
+	live := x.ledger.liveBytes
+	if bound := 4 + 8*live/x.limit; len(x.stored) > bound || x.limit == 1<<10 && x.most < 3*len(x.stored) {
+		x.t.Errorf("values of %d bytes: %d segments of %d are left for %d bytes", x.limit, len(x.stored), x.most, live)
+	}
+	if x.limit > 1<<10 && x.changes > ledgerRounds*11/10 {
+		x.t.Errorf("values of %d bytes: %d changes for %d rounds", x.limit, x.changes, ledgerRounds)
+	}
+}
+
 // TestLedgerKeepsNewestRecords writes thousands of rounds into a ledger and reads it again after
-// each hundred, as a new leader would: it must tell what was written last, no
+// each hundred, as a new leader would: it must return what was written last, no
 // value may be larger than allowed, and the ledger may not grow without end.
 func TestLedgerKeepsNewestRecords(t *testing.T) {
 	for _, limit := range []int{1 << 10, 8 << 10, 16 << 10} {
-		random := rand.New(rand.NewPCG(1, uint64(limit)))
-		l, _ := NewLedger("p", limit, nil)
-		stored := map[string]Segment{}
-		want := map[string]MachineRecord{}
-		finished := NewTaskSet(5000)
-		zone, written := ZoneRecord{Number: 1 << 40, Since: 1780000000000, Outages: 99}, ZoneRecord{} // of a zone with outages
-		revision := uint64(0)
-		changes, most := 0, 0
-		var sent [][]wire.Condition // of the rounds so far
-		const rounds = 3200
-		for round := range rounds {
-			revision++
-			var entries []Entry
-			room, seen := l.FreeBytes(3), map[string]bool{}
-			for range 1 + random.IntN(12) {
-				id := fmt.Sprintf("n-%06d", random.IntN(100))
-				if round > rounds*3/4 { // the fleet has gone
-					id = fmt.Sprintf("n-%06d", round%100)
-				}
-				if seen[id] {
-					continue
-				}
-				rec := MachineRecord{Addr: "10.1.0.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
-				for range random.IntN(5) {
-					rec.Tasks[fmt.Sprintf("wk-%06d/%d", random.IntN(1e6), random.IntN(100))] = 40<<24 + random.Uint64N(1<<24)
-				}
-				e := MachineEntry(id, rec)
-				if random.IntN(3) == 0 || round > rounds*3/4 {
-					e = DropMachine(id)
-				}
-				if e.Size > room {
-					break
-				}
-				room -= e.Size
-				seen[id] = true
-				entries = append(entries, e)
-				if delete(want, id); e.Value != nil {
-					want[id] = rec
-				}
-			}
-			finished.Add(random.IntN(4000))
-			if zone.Number++; round%5 == 0 && room > 200 {
-				zone.State = []string{"up", "in doubt", "dark", "back"}[round%4]
-				entries, room = append(entries, ZoneEntry("some-zone", zone)), room-ZoneEntry("some-zone", zone).Size
-				written = zone
-			}
-			if e := ProgressEntry("wk-1", 0, finished); limit > 1<<10 && e.Size <= room {
-				entries = append(entries, e)
-			}
-			head := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
-			p, rest := l.Pack(head, entries, 3, true)
-			if len(rest) > 0 {
-				t.Fatalf("round %d: %d entries did not fit", round, len(rest))
-			}
-			for _, cond := range p.If {
-				if cond.Version != stored[cond.Key].Version {
-					t.Fatalf("round %d: %+v, stored at %d", round, cond, stored[cond.Key].Version)
-				}
-			}
-			for i, c := range p.Then {
-				if c.Delete != "" {
-					delete(stored, c.Delete)
-					continue
-				}
-				if size := jsonBytes(t, c.Value); size > limit {
-					t.Fatalf("round %d: a value of %d bytes", round, size)
-				}
-				rec := c.Value.(SegmentRecord)
-				stored[c.Put] = Segment{Version: revision, Record: rec, Number: p.segments[i]}
-			}
-			// No copy of an earlier round may be taken, however late: not even one
-			// that added a slot which has been removed since.
-			for _, conds := range sent {
-				if !slices.ContainsFunc(conds, func(c wire.Condition) bool { return stored[c.Key].Version != c.Version }) {
-					t.Fatalf("round %d: an earlier one would be taken: %+v", round, conds)
-				}
-			}
-			if sent = append(sent, p.If); len(sent) > 300 {
-				sent = slices.Delete(sent, 100, 150)
-			}
-			most = max(most, len(stored))
-			changes += len(p.Then)
-			l.Commit(p, revision)
+		x := newLedgerTrial(t, limit)
+		for round := range ledgerRounds {
+			x.write(round)
 			if round%100 == 99 {
-				var segments []Segment
-				for _, s := range stored {
-					segments = append(segments, s)
-				}
-				_, got := NewLedger("p", limit, segments)
-				for id, rec := range want {
-					if !maps.Equal(got.Machines[id].Tasks, rec.Tasks) || got.Machines[id].Addr != rec.Addr {
-						t.Fatalf("round %d: %s reads as %+v, want %+v", round, id, got.Machines[id], rec)
-					}
-				}
-				if got.Zones["some-zone"] != written {
-					t.Fatalf("round %d: the zone reads as %+v, want %+v", round, got.Zones, written)
-				}
-				if len(got.Machines) != len(want) || got.Round != uint64(round) {
-					t.Fatalf("round %d: %d machines for %d, round %d", round, len(got.Machines), len(want), got.Round)
-				}
+				x.checkRecovery(round)
 			}
 		}
-		if bound := 4 + 8*l.liveBytes/limit; len(stored) > bound || limit == 1<<10 && most < 3*len(stored) {
-			t.Errorf("values of %d bytes: %d segments of %d are left for %d bytes", limit, len(stored), most, l.liveBytes)
-		}
-		if limit > 1<<10 && changes > rounds*11/10 {
-			t.Errorf("values of %d bytes: %d changes for %d rounds", limit, changes, rounds)
-		}
+		x.checkSize()
 	}
 }
 
