--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -84,11 +84,11 @@
 func (h *Leader) handOver(d *Draft, id string, l *store.LiveJob, target string, n int) bool {
 	j, gang := h.jobState(id), l.Record.Job.Shape == wire.Gang
 	inLedger := h.staleTasks(id)
-	nowhere := func(i int) bool {
+	inactive := func(i int) bool {
 		return !j.finished.Contains(i) && !inLedger[i] && h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}) == nil
 	}
 	ranges := h.assignment.Ranges(l)
-	next := handover.Move(ranges, l.Record.Tasks, h.lease.Shard, target, n, nowhere)
+	next := handover.Move(ranges, l.Record.Tasks, h.lease.Shard, target, n, inactive)
 	if len(next) > maxRangesPerJob || slices.Equal(next, ranges) || gang && len(next) != 1 {
 		return false
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -5,27 +5,8 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/reachability"
-	"amberdeal.example/amberdeal/internal/scheduler"
-	"amberdeal.example/amberdeal/internal/tier"
 )
 
-// ShardStatus is what the holder of a part tells its siblings of it, once a second. Rules
-// never rest on it: it says where work might find room, not whose it is.
-type ShardStatus struct {
-	Term     uint64
-	Counts   map[string]TaskCount
-	Rooms    map[string]scheduler.FreeCapacity // by class
-	Wants    map[string]scheduler.QuotaDemand  // by team: what its grant holds back
-	Used     map[string][2]float64             // CPUs and GPUs, by team
-	Stays    map[string]scheduler.Resources    // what services take of that, or are to, by team
-	Zones    map[string]reachability.ZoneHealth
-	Ready    []string // gangs for whose tasks here there is room, of which others have the rest
-	Tiers    map[string]tier.Status
-	Backlog  int // tasks that found no room
-	Machines int
-}
-
 // statusCache keeps what was last computed for display and for the peers.
 type statusCache struct {
 	status   ShardStatus
@@ -67,18 +48,6 @@
 	h.detector.SetPeers(peerZones(shards))
 }
 
-// peerZones adds up the health of zones as the leaders of other shards see it.
-func peerZones(shards map[string]ShardStatus) map[string]reachability.ZoneHealth {
-	zones := make(map[string]reachability.ZoneHealth)
-	for _, s := range shards {
-		for name, r := range s.Zones {
-			sum := zones[name]
-			zones[name] = reachability.ZoneHealth{Up: sum.Up + r.Up, Quiet: sum.Quiet + r.Quiet}
-		}
-	}
-	return zones
-}
-
 // Rebuilt reports whether all machines have been accounted for under this term.
 func (h *Leader) Rebuilt() bool {
 	h.mu.Lock()
