--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestReleasesBesideScaleOuts: a release and a list wait for no rental, however many want
-// to be sent.
+// TestReleasesBesideScaleOuts: a release and a list wait for no scale-out, however many want to be
+// sent.
 func TestReleasesBesideScaleOuts(t *testing.T) {
 	play(t, 1, func(ctx context.Context, c []*Client) {
 		var taken, refused atomic.Int64
@@ -74,7 +74,7 @@
 	})
 }
 
-// TestSeveralLeaders: the limit is for all controllers. Where five rent at once, few of
+// TestSeveralLeaders: the limit is for all controllers. Where five scale out at once, few of
 // their calls are refused, and what the cloud takes is used.
 func TestSeveralLeaders(t *testing.T) {
 	play(t, 5, func(ctx context.Context, c []*Client) {
--- a/internal/scheduler/first_replica_test.go
+++ b/internal/scheduler/first_replica_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestSpreadRules: a replica goes where its service has the fewest, where there is room; one at a
+// TestSpreadRules: a replica goes where its service has the fewest, where there is capacity; one at a
 // time is moved there while all are up and no production waits; and no more than may be lost are in one zone.
 func TestSpreadRules(t *testing.T) {
 	even, survive := &SpreadRule{Even: true}, &SpreadRule{Survive: 0.5}
@@ -57,7 +57,7 @@
 		rule         *SpreadRule
 		in           []string // zones of its replicas
 		waiting      []int
-		room         []string // zones with room
+		room         []string // zones with free capacity
 		moves        int
 		other        bool // production waits elsewhere
 		launch, stop int  // how many; launches go to zone b
@@ -67,7 +67,7 @@
 		{"no rule, no moves", nil, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, false, 0, 0, false},
 		{"a move", even, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
 		{"even already", even, []string{"a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 0, false},
-		{"no room there", even, []string{"a", "a", "a", "a"}, nil, []string{"a"}, 4, false, 0, 0, false},
+		{"no capacity there", even, []string{"a", "a", "a", "a"}, nil, []string{"a"}, 4, false, 0, 0, false},
 		{"a zone in doubt", even, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 0, false, 0, 0, true},
 		{"production waits", even, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, true, 0, 0, true},
 		{"one is away", even, []string{"a", "a", "a"}, []int{3}, []string{"b"}, 4, false, 1, 0, false},
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestHeadroom: gangs that must start sooner than a machine boots come at a
-// steady rate, so that room for them is rented before they come, and small work
+// steady rate, so that headroom for them is rented before they come, and small work
 // that may wait does not take it. A burst that is over counts for nothing.
 func TestHeadroom(t *testing.T) {
 	world := func(ages ...time.Duration) *Snapshot {
@@ -32,10 +32,10 @@
 		steady[i] *= time.Second
 	}
 	if plan := Schedule(world(steady...)); len(plan.Launches) != 0 || len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].Count < 1 {
-		t.Errorf("steady demand: launches %v, rents %v", plan.Launches, plan.ScaleOuts)
+		t.Errorf("steady demand: launches %v, scale-outs %v", plan.Launches, plan.ScaleOuts)
 	}
 	burst := []time.Duration{61 * time.Second, 62 * time.Second, 63 * time.Second, 64 * time.Second}
 	if plan := Schedule(world(burst...)); len(plan.Launches) != 1 || len(plan.ScaleOuts) != 0 {
-		t.Errorf("after a burst: launches %v, rents %v", plan.Launches, plan.ScaleOuts)
+		t.Errorf("after a burst: launches %v, scale-outs %v", plan.Launches, plan.ScaleOuts)
 	}
 }
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -11,9 +11,9 @@
 )
 
 // overloadedFleet is a full fleet for which the cloud has no more machines, to which more work comes
-// than it can do: arrays and small gangs that take each bit, services, and now and then a
-// gang for a good part of a zone. What is planned for it is forgotten from step to step, as
-// each new holder has.
+// than it can do: arrays and small gangs that take each bit, services, and now and then a gang for a
+// good part of a zone. Nothing of a plan is remembered from step to step, as with a new leader in
+// each.
 type overloadedFleet struct {
 	*rand.Rand
 	now      time.Duration
@@ -45,7 +45,7 @@
 	h.jobs = append(h.jobs, j)
 	h.left[j] = map[int]time.Duration{}
 	if p == wire.Production {
-		run *= 10 // and what it was told to be is unknown
+		run *= 10 // and it has no estimate
 		j.EstimateS = 0
 	}
 	for i := range tasks {
@@ -53,11 +53,11 @@
 	}
 }
 
-// step lets tasks run for a second, and has the rest decided.
+// step lets tasks run for a second, and schedules the rest.
 func (h *overloadedFleet) step(within time.Duration) {
 	h.now += time.Second
 	for _, m := range h.machines {
-		m.Usable, m.Free, m.usedByPlan, m.plannedFetches, m.stopping, m.loadByRank, m.reservedFor, m.taskEnds = true, Resources{16, 4, 64}, false, nil, Resources{}, [4]Resources{}, nil, nil
+		m.Usable, m.Free, m.machinePlan = true, Resources{16, 4, 64}, machinePlan{}
 		m.Tasks = slices.DeleteFunc(m.Tasks, func(t Task) bool {
 			if t.Stopping {
 				t.Job.Waiting = append(t.Job.Waiting, t.Index)
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestLargestGangStarts: under permanent overload by smaller work the largest gangs begin within
-// the bound, however often another holder takes over that knows nothing of what was held,
-// and for which all that runs has just begun. Without the bound they never do.
+// TestLargestGangStarts: under permanent overload by smaller work the largest gangs start within the
+// bound, however often another leader takes over that knows nothing of what was reserved, and for
+// which all that runs has just started. Without the bound they never do.
 func TestLargestGangStarts(t *testing.T) {
 	for seed := range uint64(3) {
 		h := newOverloadedFleet(seed, 36)
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestReservation: where a gang that has waited for long finds no room.
+// TestReservation: what a gang that has waited for long does where it finds no capacity.
 func TestReservation(t *testing.T) {
 	long := func(j *Job) *Job { j.Age = 2 * time.Minute; j.OneZone = true; return j }
 	run := func(j *Job, est float64) *Job { j.EstimateS = est; return j }
@@ -165,24 +165,24 @@
 		setup func() *Snapshot
 		want  []string // launches
 	}{
-		{"it keeps what is free in the zone where the rest comes soonest", func() *Snapshot {
+		{"it reserves what is free in the zone where the rest comes soonest", func() *Snapshot {
 			busy, soon, small := run(job("wk-1", wire.Array, wire.Normal, 4), 300), run(job("wk-2", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0, 1, 2, 3, 4)
 			return testSnapshot([]*Job{busy, soon, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "b", Task{Job: soon}), machine("n-4", "b"))
 		}, []string{"wk-4/0 n-2", "wk-4/1 n-2", "wk-4/2 n-2", "wk-4/3 n-2"}},
-		{"however long one has waited that finds no room at all", func() *Snapshot {
+		{"however long one has waited that finds no capacity at all", func() *Snapshot {
 			busy, soon, small := run(job("wk-1", wire.Array, wire.Normal, 4), 300), run(job("wk-2", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0, 1, 2, 3, 4)
 			never := long(job("wk-5", wire.Gang, wire.Normal, 4, 0, 1, 2, 3, 4, 5, 6, 7))
 			never.Age, never.Zone = 9*time.Minute, "c"
 			return testSnapshot([]*Job{busy, soon, small, never, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "b", Task{Job: soon}), machine("n-4", "b"))
 		}, []string{"wk-4/0 n-2", "wk-4/1 n-2", "wk-4/2 n-2", "wk-4/3 n-2"}},
-		{"services take other room while there is any", func() *Snapshot {
+		{"services take other capacity while there is any", func() *Snapshot {
 			busy, other, top := run(job("wk-1", wire.Array, wire.Normal, 4), 20), run(job("wk-2", wire.Service, wire.Production, 1), 300), job("wk-4", wire.Service, wire.Production, 1, 0)
 			return testSnapshot([]*Job{busy, other, top, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "a", Task{Job: other}))
 		}, []string{"wk-4/0 n-3"}},
-		{"the largest array goes before smaller work that has yet to miss its aim", func() *Snapshot {
+		{"the largest array goes before smaller work that has yet to miss its objective", func() *Snapshot {
 			large, small := job("wk-1", wire.Array, wire.Normal, 4, 0, 1), job("wk-2", wire.Array, wire.Normal, 4, 0)
 			large.Tasks, large.Age, small.Age, small.Class = 50, 130*time.Second, 50*time.Second, "small"
 			p := testSnapshot([]*Job{large, small}, machine("n-1", "a"))
@@ -195,7 +195,7 @@
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 4}
 			return p
 		}, nil},
-		{"unless services keep what it needs", func() *Snapshot {
+		{"unless services use what it needs", func() *Snapshot {
 			stays, small := job("wk-1", wire.Service, wire.Production, 4), job("wk-4", wire.Array, wire.Normal, 1, 0)
 			p := testSnapshot([]*Job{stays, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))}, machine("n-1", "a", Task{Job: stays}), machine("n-2", "a"), machine("n-3", "a"))
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 4}
@@ -208,12 +208,12 @@
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 8}
 			return p
 		}, nil},
-		{"what may run elsewhere starts nothing, and keeps what it had", func() *Snapshot {
+		{"what may run elsewhere starts nothing, and its reservation stays", func() *Snapshot {
 			busy, small, gang := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0), long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))
 			gang.MaybeRunning = true
 			return testSnapshot([]*Job{busy, small, gang}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"))
 		}, nil},
-		{"a zone that is dark is left", func() *Snapshot {
+		{"a zone that is unavailable is left", func() *Snapshot {
 			busy, small := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0)
 			dark := machine("n-1", "a")
 			dark.Usable = false
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -38,9 +38,8 @@
 		Unavailable: map[Offer]bool{}, Doubtful: map[Offer]bool{}, IdleTimeout: time.Minute, LaunchBudget: 500}
 }
 
-// TestNoPreemptionCycle guards against two jobs that take the same room from each other
-// for ever: guaranteed work goes before higher priority that only borrows, so
-// that one must not stop it either.
+// TestNoPreemptionCycle guards against two jobs that preempt each other for ever: guaranteed work goes
+// before higher priority that only borrows, so that this must not stop it either.
 func TestNoPreemptionCycle(t *testing.T) {
 	safe := job("wk-1", wire.Array, wire.Normal, 4)
 	safe.Team = "blue"
@@ -50,11 +49,11 @@
 		t.Errorf("stops guaranteed work: %+v", plan.Stops)
 	}
 	if len(plan.ScaleOuts) != 1 {
-		t.Errorf("rents %+v instead", plan.ScaleOuts)
+		t.Errorf("scale-outs %+v instead", plan.ScaleOuts)
 	}
 }
 
-// TestPreempt stops the least that makes room, and nothing of equal rank.
+// TestPreempt: the work that loses least is stopped, and nothing of equal rank.
 func TestPreempt(t *testing.T) {
 	low, equal, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Service, wire.Production, 1), job("wk-3", wire.Service, wire.Production, 2, 0)
 	a := machine("n-1", "a", Task{Job: equal}, Task{Job: equal, Index: 1}, Task{Job: equal, Index: 2}, Task{Job: equal, Index: 3})
@@ -65,8 +64,8 @@
 	}
 }
 
-// TestWholeGangIsCostly: a gang that has just got its room was the cheapest to stop, whole, for
-// a task of a service, again and again; a task of an array counted as much as all of it.
+// TestWholeGangIsCostly: a gang that has just started must not be the cheapest to stop, whole, for a
+// task of a service, again and again; a task of an array counts by itself.
 func TestWholeGangIsCostly(t *testing.T) {
 	array, gang, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Gang, wire.Normal, 4), job("wk-3", wire.Service, wire.Production, 1, 0)
 	array.Active, gang.Age, gang.CheckpointS, gang.SaveS = 25, 2*time.Minute, 30, 2 // its others are elsewhere
@@ -77,8 +76,7 @@
 	}
 }
 
-// TestSpread keeps half of a service's tasks, rounded up, to a zone; old
-// attempts count too.
+// TestSpread: at most half of a service's tasks, rounded up, are in one zone; old attempts count too.
 func TestSpread(t *testing.T) {
 	j := job("wk-1", wire.Service, wire.Production, 1, 1, 2, 3)
 	j.Spread = true
@@ -88,12 +86,12 @@
 	}
 	for _, r := range plan.ScaleOuts {
 		if r.Zone != "b" {
-			t.Errorf("rents in zone %s", r.Zone)
+			t.Errorf("scales out in zone %s", r.Zone)
 		}
 	}
 }
 
-// TestGangWhole places a gang in one zone or not at all.
+// TestGangWhole: a gang is placed in one zone or not at all.
 func TestGangWhole(t *testing.T) {
 	j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1)
 	j.Tasks, j.OneZone = 2, true
@@ -108,32 +106,32 @@
 	}
 }
 
-// TestLimit lets a team use no more than its limit, waiting tasks included.
+// TestLimit: a team uses no more than its limit, waiting tasks included.
 func TestLimit(t *testing.T) {
 	j := job("wk-1", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
 	p := testSnapshot([]*Job{j}, machine("n-1", "a"))
 	p.Teams["red"] = &Team{LimitGPUs: 3, UsedGPUs: 1}
 	if plan := Schedule(p); len(plan.Launches) != 2 || len(plan.ScaleOuts) != 0 {
-		t.Errorf("launches %d, rents %v", len(plan.Launches), plan.ScaleOuts)
+		t.Errorf("launches %d, scale-outs %v", len(plan.Launches), plan.ScaleOuts)
 	}
 }
 
-// TestBestFit prefers the machine that holds the image, then the roomiest.
+// TestBestFit: the machine that has the image is preferred, then the emptiest.
 func TestBestFit(t *testing.T) {
 	busy := job("wk-9", wire.Service, wire.Production, 1)
-	holder, roomy := machine("n-1", "a", Task{Job: busy}), machine("n-2", "a")
-	holder.Images = imageSet{"img": true}
-	if plan := Schedule(testSnapshot([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, holder, roomy)); plan.Launches[0].Machine != "n-1" {
+	withImage, empty := machine("n-1", "a", Task{Job: busy}), machine("n-2", "a")
+	withImage.Images = imageSet{"img": true}
+	if plan := Schedule(testSnapshot([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, withImage, empty)); plan.Launches[0].Machine != "n-1" {
 		t.Errorf("the image is on n-1: %+v", plan.Launches)
 	}
 	busy = job("wk-9", wire.Service, wire.Production, 1)
 	if plan := Schedule(testSnapshot([]*Job{busy, job("wk-1", wire.Array, wire.Normal, 1, 0)}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"))); plan.Launches[0].Machine != "n-2" {
-		t.Errorf("n-2 is the roomiest: %+v", plan.Launches)
+		t.Errorf("n-2 is the emptiest: %+v", plan.Launches)
 	}
 }
 
-// TestNearImage makes room for a replica where its image is, rather than have
-// it wait for a long fetch on an empty machine.
+// TestNearImage: lesser work is stopped for a replica where its image is, rather than have it wait
+// for a long fetch on an empty machine.
 func TestNearImage(t *testing.T) {
 	low, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Service, wire.Production, 1, 0)
 	top.ImageGB = 10
@@ -146,7 +144,7 @@
 	if len(plan.Launches) != 0 || len(plan.Stops) != 1 || plan.Stops[0].Machine != "n-1" {
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
 	}
-	// A short fetch is not worth anybody's work.
+	// A short fetch is not worth stopping any work.
 	top.ImageGB, top.InZone = 1, map[string]int{}
 	if plan := Schedule(testSnapshot([]*Job{low, top}, full(), machine("n-2", "a"))); len(plan.Launches) != 1 || len(plan.Stops) != 0 {
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
@@ -154,8 +152,8 @@
 }
 
 // TestGangStopsNothingNeedlessly: what a gang would have stopped while some of it waits for a boot
-// found its room again at once, and was stopped again, four times a second. It stops work only
-// where all of it then has room, and holds that.
+// would find its capacity again at once, and be stopped again, round after round. It stops work only
+// where all of it then has capacity, and reserves that.
 func TestGangStopsNothingNeedlessly(t *testing.T) {
 	low := func() *Job { return job("wk-1", wire.Array, wire.Normal, 2, 2) }
 	gang := func() *Job {
@@ -166,7 +164,7 @@
 	l, g := low(), gang()
 	plan := Schedule(testSnapshot([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1})))
 	if len(plan.Stops) != 0 || len(plan.ScaleOuts) == 0 {
-		t.Errorf("one machine is up: stops %+v, rents %+v", plan.Stops, plan.ScaleOuts)
+		t.Errorf("one machine is up: stops %+v, scale-outs %+v", plan.Stops, plan.ScaleOuts)
 	}
 	l, g = low(), gang()
 	plan = Schedule(testSnapshot([]*Job{l, g}, machine("n-1", "a", Task{Job: l}, Task{Job: l, Index: 1}), machine("n-2", "a")))
@@ -174,13 +172,13 @@
 		t.Errorf("two machines are up: stops %+v", plan.Stops)
 	}
 	for _, x := range plan.Launches {
-		t.Errorf("%s/%d takes the room that is held", x.Job.ID, x.TaskIndex)
+		t.Errorf("%s/%d takes the capacity that is reserved", x.Job.ID, x.TaskIndex)
 	}
 }
 
-// TestRequestedElsewhere: of an offer in doubt no more is wanted than can be asked, and the
-// rest of the next best, whatever tries were undone; but what has no other offer wants it
-// all the same, or the largest gangs would never be asked for.
+// TestRequestedElsewhere: of a doubtful offer no more is requested than can be asked for, and the rest
+// of the next best, whatever tries were undone; but what has no other offer requests it all the same,
+// or the largest gangs would never be asked for.
 func TestRequestedElsewhere(t *testing.T) {
 	seven := []int{0, 1, 2, 3, 4, 5, 6}
 	many := job("wk-1", wire.Array, wire.Normal, 4, seven...)
@@ -190,7 +188,7 @@
 	only.Zone = "a"
 	for _, c := range []struct {
 		jobs []*Job
-		zone string // in doubt
+		zone string // of the doubtful offer
 		most int
 		want []ScaleOut
 	}{
@@ -201,18 +199,18 @@
 		pic := testSnapshot(c.jobs)
 		pic.RequestLimit = map[Offer]int{{"g4", c.zone, false}: c.most}
 		if plan := Schedule(pic); !slices.Equal(plan.ScaleOuts, c.want) {
-			t.Errorf("%s rents %v, not %v", c.jobs[0].ID, plan.ScaleOuts, c.want)
+			t.Errorf("%s asks for %v, not %v", c.jobs[0].ID, plan.ScaleOuts, c.want)
 		}
 	}
 }
 
-// TestGrantAtItsLimit: of a gang that is co-allocated from several parts this one holds room for a single
-// task. Small tasks of its team come first and would take each bit of the limit as it comes
+// TestGrantAtItsLimit: of a gang that is co-allocated over several shards this one reserves capacity for
+// a single task. Small tasks of its team come first and would take each bit of the limit as it comes
 // free: once the gang has waited for long, they don't.
 func TestGrantAtItsLimit(t *testing.T) {
 	for n, waited := range []time.Duration{30 * time.Second, 2 * time.Minute, 2 * time.Minute} {
 		piece, small := job("wk-1", wire.Gang, wire.Normal, 2, 0), job("wk-2", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
-		piece.ReserveOnly, piece.RemoteTasks, piece.Age = n < 2, 1, waited // or all have said that they have room
+		piece.ReserveOnly, piece.RemoteTasks, piece.Age = n < 2, 1, waited // or all shards have said that they have capacity
 		p := testSnapshot([]*Job{small, piece}, machine("n-1", "a"))
 		p.Sharded, p.MaxGangWait, p.Teams["red"] = true, 4*time.Minute, &Team{LimitGPUs: 3, UsedGPUs: 2}
 		if plan := Schedule(p); len(plan.Launches) != map[bool]int{true: 1}[waited < time.Minute] {
@@ -221,18 +219,18 @@
 	}
 }
 
-// TestFreeCapacityOfClass: what a part tells of the room for a class does not go by a job that may not be
-// there, be it the newest.
+// TestFreeCapacityOfClass: what a shard reports of the free capacity for a class does not go by a job
+// that may not be there, be it the newest.
 func TestFreeCapacityOfClass(t *testing.T) {
 	free, bound := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Array, wire.Normal, 1)
 	free.Class, bound.Class, bound.Zone = "c", "c", "a"
 	p := testSnapshot([]*Job{free, bound}, machine("n-1", "b"))
 	p.Sharded = true
-	if room := Schedule(p).FreeCapacity["c"]; room.Now != 4 {
-		t.Errorf("there is room for %d", room.Now)
+	if free := Schedule(p).FreeCapacity["c"]; free.Now != 4 {
+		t.Errorf("there is capacity for %d", free.Now)
 	}
-	// An offer that had not all that it was asked for has room once it is not left alone any more, or a part
-	// without work of its own would never ask it again.
+	// An offer that could not give all that it was asked for counts again once it is not left alone any
+	// more, or a shard without work of its own would never ask for it again.
 	for _, left := range []bool{true, false} {
 		for _, zone := range []string{"a", "b"} {
 			for _, spot := range []bool{true, false} {
@@ -240,8 +238,8 @@
 				p.Doubtful[o], p.Unavailable[o] = true, left
 			}
 		}
-		if room := Schedule(p).FreeCapacity["c"]; room.Rent == left {
-			t.Errorf("left alone: %v, to be rented: %v", left, room.Rent)
+		if free := Schedule(p).FreeCapacity["c"]; free.Rent == left {
+			t.Errorf("left alone: %v, can be rented: %v", left, free.Rent)
 		}
 	}
 }
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -8,14 +8,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestStarvationGuard: each rule by which room is held from work that could use it, for as long as its
-// cause lasts. What has stood beside it for standMost takes a task's room, or a gang's, that has been free for
-// as long; not a second sooner, and none that has come free since.
+// TestStarvationGuard: each rule by which capacity is kept from work that could use it, for as long as
+// its cause lasts. What has waited beside it for starvationLimit takes the capacity for a task, or for a
+// whole gang, that has been idle for as long; not a second sooner, and none that has come free since.
 func TestStarvationGuard(t *testing.T) {
 	type scene struct {
-		job  *Job
-		pic  *Snapshot
-		room []*Machine // that is held from it
+		job      *Job
+		pic      *Snapshot
+		reserved []*Machine // with capacity that is kept from it
 	}
 	low := func(shape wire.Shape, gpus float64, waiting ...int) *Job {
 		j := job("wk-9", shape, wire.Normal, gpus, waiting...)
@@ -25,16 +25,16 @@
 	scenes := map[string]func() scene{
 		"headroom": func() scene {
 			var jobs []*Job
-			for i := range 6 * 4 { // a class that is to start sooner than a machine boots
-				hasty := job("s", wire.Service, wire.Production, 1)
-				hasty.Age, hasty.Active = time.Duration(i)*4*time.Second, 4
-				jobs = append(jobs, hasty)
+			for i := range 6 * 4 { // a class that must start sooner than a machine boots
+				urgent := job("s", wire.Service, wire.Production, 1)
+				urgent.Age, urgent.Active = time.Duration(i)*4*time.Second, 4
+				jobs = append(jobs, urgent)
 			}
 			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
 			pic := testSnapshot(append(jobs, j), m)
 			pic.Objectives = []Objective{{StartWithin, "s", 10 * time.Second}}
 			j.Zone = "a"
-			for _, spot := range []bool{false, true} { // there is no more in this zone, but in the other
+			for _, spot := range []bool{false, true} { // the cloud has no more in this zone, but in the other
 				pic.Unavailable[Offer{"g4", "a", spot}] = true
 			}
 			return scene{j, pic, []*Machine{m}}
@@ -49,7 +49,7 @@
 			j.AvoidMachines = map[string]bool{"n-1": true}
 			return scene{j, withoutCapacity(testSnapshot([]*Job{j}, m)), []*Machine{m}}
 		},
-		"a gang that gathers": func() scene {
+		"a gang that reserves": func() scene {
 			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), low(wire.Array, 1, 0, 1)
 			big.Tasks, big.OneZone, big.Age = 2, true, 2*time.Minute
 			long := job("wk-2", wire.Array, wire.Normal, 4)
@@ -69,7 +69,7 @@
 			pic.MaxGangWait, pic.Teams["red"] = 4*time.Minute, &Team{LimitGPUs: 8, UsedGPUs: 4}
 			return scene{j, pic, []*Machine{m}}
 		},
-		"a gang's room": func() scene {
+		"capacity for a gang": func() scene {
 			j, a, b := low(wire.Gang, 4, 0, 1), machine("n-1", "a"), machine("n-2", "b")
 			a.AddFetch("other", true)
 			return scene{j, testSnapshot([]*Job{j}, a, b), []*Machine{a, b}}
@@ -77,10 +77,10 @@
 	}
 	for name, make := range scenes {
 		t.Run(name, func(t *testing.T) {
-			launched := func(stood time.Duration, long bool) (on []string) {
+			launched := func(starvedFor time.Duration, idle bool) (on []string) {
 				s := make()
-				if s.job.StarvedFor = stood; long {
-					for _, m := range s.room {
+				if s.job.StarvedFor = starvedFor; idle {
+					for _, m := range s.reserved {
 						m.IdleCapacity = m.Free
 					}
 				}
@@ -97,15 +97,15 @@
 				n = len(want.job.Waiting)
 			}
 			if on := launched(starvationLimit-time.Second, true); len(on) > 0 {
-				t.Errorf("nothing is held: it is on %v at once", on)
+				t.Errorf("nothing is kept from it: it is on %v at once", on)
 			}
 			if on := launched(starvationLimit, false); len(on) > 0 {
-				t.Errorf("it takes room that has come free just now, on %v", on)
+				t.Errorf("it takes capacity that has come free just now, on %v", on)
 			}
 			if on := launched(starvationLimit, true); len(on) != n || slices.ContainsFunc(on, func(id string) bool {
-				return !slices.ContainsFunc(want.room, func(m *Machine) bool { return m.ID == id })
+				return !slices.ContainsFunc(want.reserved, func(m *Machine) bool { return m.ID == id })
 			}) {
-				t.Errorf("%d tasks are let in, on %v", len(on), on)
+				t.Errorf("%d tasks are admitted, on %v", len(on), on)
 			}
 		})
 	}
@@ -118,7 +118,8 @@
 	return p
 }
 
-// TestIdleCapacity: room counts from when it was last taken, and nothing is known of times in which nobody looked.
+// TestIdleCapacity: capacity is idle from when it was last used, and nothing counts as idle in times that
+// were not recorded.
 func TestIdleCapacity(t *testing.T) {
 	one, two := Resources{4, 1, 16}, Resources{8, 2, 32}
 	var s IdleCapacity
@@ -134,7 +135,7 @@
 		return out
 	}
 	note(10*time.Second, Resources{})
-	note(time.Second, two) // and it is taken again
+	note(time.Second, two) // and it is used again
 	note(20*time.Second, one)
 	if got := note(2*time.Minute, two); !got.Fits(two) || free-11*time.Second < starvationLimit || free-11*time.Second > starvationLimit+idleCapacityStep {
 		t.Errorf("%v is free, the first of it after %v", got, free)
--- a/internal/scheduler/tiers_test.go
+++ b/internal/scheduler/tier_shares_test.go
@@ -8,13 +8,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestTierShares: what else a plan does goes on where tiers are set. A replica is moved
-// without a claim; first replicas are those of the first tier, and leave alone what is kept; and
-// a gang that its tier's share has room for takes what it has gathered.
+// TestTierShares: what else a plan does goes on where tiers are set. A replica is moved without a
+// reclaim; first replicas are those of the first tier, and leave reclaimed capacity alone; and a gang
+// for which its tier's share has capacity takes what it has reserved.
 func TestTierShares(t *testing.T) {
-	plan := func(jobs []*Job, tiers []tier.Tier, claims []Reclaim, machines ...*Machine) Plan {
+	plan := func(jobs []*Job, tiers []tier.Tier, reclaims []Reclaim, machines ...*Machine) Plan {
 		pic := testSnapshot(jobs, machines...)
-		pic.Tiers, pic.Reclaims, pic.MaxMoves, pic.MaxGangWait = tier.New(tiers), claims, 4, time.Minute
+		pic.Tiers, pic.Reclaims, pic.MaxMoves, pic.MaxGangWait = tier.New(tiers), reclaims, 4, time.Minute
 		return Schedule(pic)
 	}
 	service := func(id string, active int, waiting ...int) *Job {
@@ -28,7 +28,7 @@
 	moved.SpreadRule, moved.Tasks = &SpreadRule{Even: true}, 2
 	run := func(i int) Task { return Task{Job: moved, Index: i, RunTime: time.Minute} }
 	if p := plan([]*Job{moved}, top, nil, machine("n-1", "a", run(0)), machine("n-2", "a", run(1)), machine("n-3", "b")); len(p.Stops) != 1 || len(p.Reclaims) != 0 {
-		t.Errorf("moves %+v, claims %+v", p.Stops, p.Reclaims)
+		t.Errorf("moves %+v, reclaims %+v", p.Stops, p.Reclaims)
 	}
 	first := []tier.Tier{{Name: "top", Order: 1, Classes: []string{"wk-1"}}}
 	if got, want := launchesOf(plan([]*Job{service("wk-2", 0, 0, 1), service("wk-1", 0, 0, 1)}, first, nil, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
