--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -15,7 +15,8 @@
 
 var traceLimits = Limits{ValueBytes: 8192, TxnOps: 12}
 
-// runStep plays a line of a trace.
+// runStep plays a line of a trace: a write of somebody, which is held where the line ends so,
+// or a step of the compactor or of the test itself.
 func (w *harness) runStep(line string) []string {
 	words, _ := simulator.Words(line)
 	w.writes = nil
@@ -23,63 +24,78 @@
 	if held {
 		words = words[:len(words)-1]
 	}
-	var txn wire.Txn
+	txn, isWrite := w.writeOf(words)
+	switch {
+	case !isWrite:
+		return w.ownStep(line, words)
+	case held:
+		w.delayed = append(w.delayed, txn)
+	default:
+		w.must(txn)
+		_ = w.Barrier(context.Background())
+	}
+	return nil
+}
+
+// writeOf returns the write that a line is about, if it is about one.
+func (w *harness) writeOf(words []string) (txn wire.Txn, isWrite bool) {
 	switch words[0] {
 	case "submit":
-		txn = w.submission(words[1], words[2:]...)
+		return w.submission(words[1], words[2:]...), true
 	case "odd": // a batch whose job is neither live nor ended
-		txn = wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}
+		return wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}, true
 	case "own":
-		txn = w.standaloneJob(words[1], wire.Stage(words[2]))
+		return w.standaloneJob(words[1], wire.Stage(words[2])), true
 	case "cancel":
-		txn = w.endJob(words[1], wire.Cancelled)
+		return w.endJob(words[1], wire.Cancelled), true
 	case "done":
-		txn = w.endJob(words[1], wire.Done)
+		return w.endJob(words[1], wire.Done), true
+	case "marked": // the state was in an older format until so long ago
+		ago, _ := time.ParseDuration(words[1])
+		return wire.Txn{Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: store.Format, Since: time.Now().Add(-ago).UnixMilli()}}}}, true
+	}
+	return wire.Txn{}, false
+}
+
+// ownStep makes a step that is no write of others.
+func (w *harness) ownStep(line string, words []string) []string {
+	switch words[0] {
 	case "ending": // jobs that may still have a task somewhere
 		clear(w.withTasks)
 		for _, id := range words[1:] {
 			w.withTasks[id] = true
 		}
-		return nil
 	case "settle", "merge":
 		return w.compact(words[0], words[1:])
-	case "deliver": // what was on its way arrives, again if the step says so
+	case "deliver": // what was under way arrives, again if the step says so
 		return w.deliver(words[1:])
-	case "claim": // another controller has taken the fleet; this one does not know
+	case "claim": // another controller leads the fleet now; this one does not know
 		w.must(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
-		return nil
-	case "marked": // the state was in an older form until so long ago
-		ago, _ := time.ParseDuration(words[1])
-		txn = wire.Txn{Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: store.Format, Since: time.Now().Add(-ago).UnixMilli()}}}}
 	case "start":
 		w.start(traceLimits)
-		return nil
 	case "spoil": // a record as a newer version might write it
 		rec := jobblock.Pack("", nil)
 		rec.Format++
 		w.must(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
 		_ = w.Barrier(context.Background())
-		return nil
 	case "ask":
 		return []string{w.ask(words[1])}
 	case "keys":
-		var out []string
-		for _, it := range w.store.Page(store.CommonPrefix, "", 0).Items {
-			out = append(out, short([]string{it.Key})[0])
-		}
-		return out
+		return w.keys()
 	default:
 		w.t.Fatalf("no such step: %s", line)
 	}
-	if held {
-		w.delayed = append(w.delayed, txn)
-		return nil
-	}
-	w.must(txn)
-	_ = w.Barrier(context.Background())
 	return nil
 }
 
+// keys lists all keys of the state service.
+func (w *harness) keys() (out []string) {
+	for _, it := range w.store.Page(store.CommonPrefix, "", 0).Items {
+		out = append(out, short([]string{it.Key})[0])
+	}
+	return out
+}
+
 // compact has the compactor make one step. It may crash at a write, which is committed all
 // the same or is delayed.
 func (w *harness) compact(what string, fate []string) []string {
--- a/internal/jobblock/block_test.go
+++ b/internal/jobblock/block_test.go
@@ -18,17 +18,16 @@
 	return wire.Done
 }
 
-// TestBlockKeepsEveryAnswer packs ids of all kinds: with gaps, in any order,
-// with leading zeros, of 12 digits, and longer than any number.
-func TestBlockKeepsEveryAnswer(t *testing.T) {
+// variedEntries returns jobs, by id and shuffled, whose ids are of all kinds: with gaps, in any
+// order, with leading zeros, of 12 digits, and longer than any number.
+func variedEntries() (byID map[string]Entry, shuffled []Entry) {
 	random := rand.New(rand.NewPCG(1, 1))
-	want := map[string]Entry{}
-	var entries []Entry
+	byID = map[string]Entry{}
 	add := func(id string) {
-		if _, ok := want[id]; !ok {
-			e := Entry{id, stageOf(len(want)), random.IntN(wire.MaxTasks + 1)}
-			want[id] = e
-			entries = append(entries, e)
+		if _, ok := byID[id]; !ok {
+			e := Entry{id, stageOf(len(byID)), random.IntN(wire.MaxTasks + 1)}
+			byID[id] = e
+			shuffled = append(shuffled, e)
 		}
 	}
 	for _, id := range []string{"wk-0", "wk-00", "wk-000412", "wk-412", "wk-0412", "wk-999999999999999999", "wk-1000000000000000000",
@@ -39,10 +38,16 @@
 		add(fmt.Sprintf("wk-%07d", random.IntN(10_000_000)))
 		add(fmt.Sprintf("wk-%012d", random.Int64N(1e12)))
 	}
-	random.Shuffle(len(entries), func(i, k int) { entries[i], entries[k] = entries[k], entries[i] })
-	sorted, differ := Sort(entries)
-	if len(differ) > 0 {
-		t.Fatalf("differ: %v", differ)
+	random.Shuffle(len(shuffled), func(i, k int) { shuffled[i], shuffled[k] = shuffled[k], shuffled[i] })
+	return byID, shuffled
+}
+
+// TestBlockKeepsEveryAnswer packs ids of all kinds, and finds each in the block that covers it.
+func TestBlockKeepsEveryAnswer(t *testing.T) {
+	want, shuffled := variedEntries()
+	sorted, conflicting := Sort(shuffled)
+	if len(conflicting) > 0 {
+		t.Fatalf("conflicting: %v", conflicting)
 	}
 	if !slices.IsSortedFunc(sorted, func(a, b Entry) int {
 		if SortKey(a.ID) < SortKey(b.ID) {
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -236,3 +236,15 @@
 	}
 	b.MergeBlock(0, "not base64!")
 }
+
+// TestTaskSetDifference: what finished since a set was stored, also past the end of the other.
+func TestTaskSetDifference(t *testing.T) {
+	a, b := NewTaskSet(0), NewTaskSet(64)
+	for _, i := range []int{0, 63, 64, 700} {
+		a.Add(i)
+	}
+	b.Add(63)
+	if got := a.Difference(b); !slices.Equal(got, []int{0, 64, 700}) || a.Count() != 4 || a.Add(64) {
+		t.Errorf("%v of %d", got, a.Count())
+	}
+}
