--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -13,16 +13,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Direct calls: how many at once, how long before the same stops are sent
-// again, and how long before a machine is again asked to take the term or to
-// be heard, which doubles with each call in vain.
 const (
-	maxOpenCalls       = 48
+	// maxOpenCalls bounds the direct calls that are open at once.
+	maxOpenCalls = 48
+	// firstTierCalls of them are kept for work of the first tier, where tiers are configured.
+	firstTierCalls = maxOpenCalls / 8
+	// stopResendInterval is the time before the same stops are sent again.
 	stopResendInterval = 3 * time.Second
+	// callInterval is the time after which calls are looked for without a wake-up.
+	callInterval = 300 * time.Millisecond
 )
 
-// callLoop sends stops and launches straight to the machines, and raises the
-// term at machines that have not been seen at it.
+// callLoop sends stops and launches straight to the machines, and the fencing token to machines that
+// have not been seen under it. Between rounds, it also keeps the placements compared with the jobs.
 func (h *Leader) callLoop(ctx context.Context, e Dependencies) error {
 	busy := make(chan struct{}, maxOpenCalls)
 	for ctx.Err() == nil {
@@ -36,7 +39,7 @@
 				h.callMachine(ctx, e, c)
 			}()
 		}
-		t := time.NewTimer(300 * time.Millisecond)
+		t := time.NewTimer(callInterval)
 		select {
 		case <-ctx.Done():
 		case <-h.loop.calls:
@@ -54,12 +57,12 @@
 	digest        string // the commands, for telling whether they are the same
 	commands      []wire.Command
 	launches      []*fleet.Placement
-	fencing       bool // only to be heard, or to raise the term
+	fencing       bool // without commands: for the token to be seen, and for the heartbeat in the answer
 }
 
-// dueCalls lists the direct calls to make now, at most so many: those with
-// commands go first, since many machines may be waiting for the term, and of
-// these the ones with the fewest tasks, where work can be placed soonest.
+// dueCalls returns the direct calls to make now, at most so many. Those with commands go first, since
+// many machines may be waiting for the fencing token, and of these the ones with the fewest tasks,
+// where work can be placed soonest.
 func (h *Leader) dueCalls(now time.Time, valid bool, limit int) []directCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,7 +71,7 @@
 	machines, urgent := h.machinesByUrgency()
 	for i, m := range machines {
 		if i == urgent && h.preemptions.Tiers().Configured() {
-			limit -= maxOpenCalls / 8 // which is the first tier's
+			limit -= firstTierCalls
 		}
 		if len(out) >= limit {
 			break
@@ -78,7 +81,7 @@
 			continue
 		}
 		c := directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
-		// Where calls are in vain while reports come, launches go by the answers.
+		// Where calls fail while heartbeats come, launches are sent in the answers to these.
 		reached := last.Failures < 2 || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
 		c.commands, c.launches = h.fleet.DirectCommands(m, valid && reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m))
 		if len(c.commands) > 0 {
@@ -107,6 +110,7 @@
 	return out
 }
 
+// callMachine makes a direct call, and applies its outcome.
 func (h *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
 	outcome, answered := fleet.Refused, false
 	defer func() {
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Reconcile compares the placements with the jobs while a round waits for the store, so that
+// Reconcile compares the placements with the jobs while a round waits for the state service, so that
 // what is cancelled is stopped however long that takes.
 func (h *Leader) Reconcile(now time.Time, snap store.Snapshot) {
 	h.mu.Lock()
@@ -21,6 +21,7 @@
 	}
 }
 
+// refresh applies what has happened up to a snapshot of the state.
 func (h *Leader) refresh(now time.Time, snap store.Snapshot) {
 	if !h.lastReconciled.IsZero() && now.Sub(h.lastReconciled) > reachability.PauseThreshold {
 		h.monitor.NotePause(now)
@@ -33,8 +34,8 @@
 	h.viewCurrentAt = snap.CurrentAt
 }
 
-// Decide makes the next round of a snapshot, or nil when there is nothing to
-// write. Stops take effect at once, since they need no fence.
+// Decide returns the next round for a snapshot of the state, or nil when there is nothing to write.
+// Stops take effect at once, since they need no fence.
 func (h *Leader) Decide(now time.Time, snap store.Snapshot) *Draft {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,39 +53,47 @@
 	h.storeProgress(d)
 	h.plan(now, d)
 	h.writeMigrated(d)
-	carried, disowns := h.migration.due(), h.releaseOwnership(d)
-	if d.Empty() && !carried && !disowns && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
-		return nil // what is only to be tidied up can wait for company
+	migrated, drops := h.migration.due(), h.releaseOwnership(d)
+	if d.Empty() && !migrated && !drops && now.Sub(h.lastDecided) < h.cfg.Tuning.RoundWindow {
+		return nil // what is only obsolete waits for a round that is written anyway
 	}
 	h.dropObsolete(d)
 	h.writeStalePreemptions(d)
-	clear := h.clearedRevision(snap.Revision)
-	if d.Empty() && !carried && !h.clearedDue(now, clear) {
+	cleared := h.clearedRevision(snap.Revision)
+	if d.Empty() && !migrated && !h.clearedDue(now, cleared) {
 		return nil
 	}
-	h.lastDecided, d.clearedRevision, d.migrated = now, clear, carried
-	head := store.SegmentRecord{FencingToken: h.lease.FencingToken, Round: d.Number, DrainedThrough: clear}
-	if carried || h.migration.recorded {
+	h.lastDecided, d.clearedRevision, d.migrated = now, cleared, migrated
+	if !h.pack(now, d) {
+		return nil
+	}
+	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version})
+	d.Seal()
+	return d
+}
+
+// pack divides the entries of a round among segments of the ledger. If they don't fit, the round is
+// discarded, and a smaller one is decided instead: a launch whose machine's record is left out must
+// never be sent, since the next leader would not know of it.
+func (h *Leader) pack(now time.Time, d *Draft) bool {
+	head := store.SegmentRecord{FencingToken: h.lease.FencingToken, Round: d.Number, DrainedThrough: d.clearedRevision}
+	if d.migrated || h.migration.recorded {
 		head.Migrated = h.assignment.Generation()
 	}
 	if left := d.Pack(h.ledger, head); left > 0 {
-		// A launch whose machine's record is left out must never be said: the next
-		// holder would not know of it. A smaller round is decided instead.
 		h.sizes.TooLarge()
 		if len(d.launches) > 0 {
 			h.stalls.Blocked(now, stall.CauseTooLarge, d.launches[0].Task.Job)
 		}
-		h.log.Error("round too large", "number", d.Number, "left", left, "squeeze", h.sizes.Halvings())
+		h.log.Error("round too large", "number", d.Number, "left", left, "halvings", h.sizes.Halvings())
 		h.discardDraft(d)
-		return nil
+		return false
 	}
 	h.sizes.Fitted()
-	d.Txn.If = append(d.Txn.If, wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version})
-	d.Seal()
-	return d
+	return true
 }
 
-// plan lets sched choose and turns its plan into the draft.
+// plan has the scheduler plan, and turns its plan into the draft.
 func (h *Leader) plan(now time.Time, d *Draft) {
 	snapshot := h.clusterSnapshot(now)
 	snapshot.LaunchBudget = h.cfg.Tuning.RoundTasks
@@ -98,7 +107,7 @@
 	h.noteStarts(now, d, &plan, startable, withheld)
 	h.updateForecast(&plan, snapshot.Teams)
 	h.noteFreeCapacity(now, &plan)
-	if h.preemptions.Tiers().Configured() { // and nothing is stopped for room before the round is taken
+	if h.preemptions.Tiers().Configured() { // then nothing is stopped for capacity before the round is committed
 		h.startPreemptions(now, d, plan.Reclaims)
 		h.preemptions.SetStatuses(plan.Tiers)
 	}
@@ -114,11 +123,11 @@
 	h.releaseUnusable(now)
 }
 
-// noteStarts takes in what a plan and its round start. Startable is a job that could be started
-// where nothing was for a while, kept is why launches that were planned are not in the round.
+// noteStarts tells the stall detector what a plan and its round start. Startable is a job that could be
+// started where nothing was for a while; withheld is why launches that were planned are not in the round.
 func (h *Leader) noteStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld stall.Cause) {
 	switch {
-	case len(d.launches) > 0: // the state service has yet to take them
+	case len(d.launches) > 0: // the state service has yet to commit them
 	case len(plan.Launches) > 0:
 		h.stalls.Blocked(now, withheld, plan.Launches[0].Job.ID)
 	case startable != nil:
@@ -129,6 +138,7 @@
 	h.logStall(now)
 }
 
+// sortedKeys returns the keys of a map in order.
 func sortedKeys[K interface{ ~string | ~int }, V any](m map[K]V) []K {
 	out := make([]K, 0, len(m))
 	for k := range m {
@@ -137,8 +147,3 @@
 	slices.Sort(out)
 	return out
 }
-
-// failedOn reports whether a conflict names a key.
-func failedOn(failed []string, key string) bool {
-	return slices.Contains(failed, key)
-}
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -17,22 +17,23 @@
 	Number uint64
 
 	clearedRevision uint64 // up to which it says that nothing is left of ended jobs
-	migrated        bool   // it says that nothing is left to take over
+	migrated        bool   // it says that all of previous shardings is taken over
 	launches        []*fleet.Placement
-	finished        map[string][]int             // tasks that it stores as done
+	finished        map[string][]int             // tasks that it stores as finished
 	done            []string                     // jobs that it stores as done
 	machines        map[string]bool              // whose records it writes
 	ledgerTasks     map[string]map[string]uint64 // and what these name
 	zones           []zone.Change                // that it decides
 	returns         map[string]*zonerecovery.Plan
 	requests        []string
-	dropped         []string // asks and machines whose records it drops
+	dropped         []string // scale-out requests and machines whose records it deletes
 	storesTypes     bool     // it stores the machine types
 	decidedAt       time.Time
-	expansions      map[string]*tier.Preemption  // that get more room, by job
-	stale           map[tier.ReservationKey]bool // records of room, and whether they are still out of date after it
+	expansions      map[string]*tier.Preemption  // that get more reservations, by job
+	stale           map[tier.ReservationKey]bool // records of reservations, and whether they are still out of date after it
 }
 
+// newDraft begins a round within the limits of the state service.
 func (h *Leader) newDraft() *Draft {
 	maxChanges := min(h.cfg.Store.TxnOps, store.LeaderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().MinWriteShare(), len(h.sharding.Shards())))
 	conditions := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
@@ -41,7 +42,7 @@
 		expansions: map[string]*tier.Preemption{}, stale: map[tier.ReservationKey]bool{}}
 }
 
-// Committed takes in that the store has taken a round.
+// Committed applies a round that was committed at a revision.
 func (h *Leader) Committed(d *Draft, revision uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// Discard takes a round back that the store will never take.
+// Discard takes back a round that will never be committed.
 func (h *Leader) Discard(d *Draft) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,6 +101,7 @@
 	h.discardDraft(d)
 }
 
+// discardDraft withdraws what was decided for a round.
 func (h *Leader) discardDraft(d *Draft) {
 	for _, p := range d.launches {
 		if h.fleet.Machine(p.Machine) != nil {
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"slices"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -13,31 +14,43 @@
 	"amberdeal.example/amberdeal/internal/worker"
 )
 
-// Dependencies is what a holder's duties reach the world by.
+// Dependencies are the clients by which a leader reaches the other systems.
 type Dependencies struct {
 	Store    *store.Client
 	View     *store.View
 	Follower *store.Follower
 	Cloud    *cloud.Client
 	Workers  *worker.Client
-	// LeaseValid says whether the claim surely lasts.
+	// LeaseValid reports whether the leader's lease is surely valid.
 	LeaseValid func() bool
-	// OnFenced is called when the store has refused a round because the claim
-	// is gone.
+	// OnFenced is called when the state service has refused a round because the shard has another
+	// leader.
 	OnFenced func()
 }
 
-// The time between two rounds: reports that come together share one write, and
-// deciding takes no more than a fraction of the processor however long it takes.
+// The time between two rounds. Heartbeats that come together share one write, and deciding takes no
+// more than a fraction of the processor however long it takes.
 const (
-	minRoundInterval   = 120 * time.Millisecond
-	restFactor         = 3                      // times what the decision took
-	maxShardedInterval = 400 * time.Millisecond // of several parts, that share the changes a second
+	minRoundInterval = 120 * time.Millisecond
+	// restFactor is how many times as long as the decision took the leader rests after it.
+	restFactor = 3
+	// maxShardedInterval bounds the minimum for several shards, which share the changes a second.
+	maxShardedInterval = 400 * time.Millisecond
 	maxRoundInterval   = time.Second
-	overloadedInterval = 3 * time.Second // where this process is late with all that it does
+	// overloadedInterval is the maximum where this process is late with all that it does.
+	overloadedInterval = 3 * time.Second
+	// minPause lets other goroutines run between two rounds, even where a round took all the time.
+	minPause = 10 * time.Millisecond
 )
 
-// Run does the holder's duties until the context ends.
+const (
+	// barrierRetry is the time between two attempts to read up to a write that was answered.
+	barrierRetry = 200 * time.Millisecond
+	// writeRetry is the time between two copies of a round that has no answer.
+	writeRetry = 300 * time.Millisecond
+)
+
+// Run does what a leader has to do until the context ends. It owns all goroutines that it starts.
 func (h *Leader) Run(ctx context.Context, e Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return h.roundLoop(ctx, e) })
@@ -52,6 +65,7 @@
 	return g.Wait()
 }
 
+// roundLoop decides and commits rounds, while the lease is valid.
 func (h *Leader) roundLoop(ctx context.Context, e Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
 	least := min(minRoundInterval*time.Duration(len(h.sharding.Shards())), maxShardedInterval)
@@ -67,7 +81,7 @@
 			}
 			h.loop.wakeCalls()
 		}
-		store.Backoff(ctx, max(gap-time.Since(begun), 10*time.Millisecond))
+		store.Backoff(ctx, max(gap-time.Since(begun), minPause))
 		t := time.NewTimer(h.cfg.Tuning.RoundWindow / 2)
 		select {
 		case <-ctx.Done():
@@ -88,9 +102,8 @@
 	return maxRoundInterval
 }
 
-// commitRound commits a round. As long as its fate is unknown the same transaction
-// is repeated: the condition on the slot that it writes lets only one copy
-// through, however late another is applied.
+// commitRound writes a round. As long as its outcome is unknown the same transaction is repeated: the
+// condition on the segment that it writes lets only one copy through, however late another is applied.
 func (h *Leader) commitRound(ctx context.Context, e Dependencies, d *Draft) {
 	for ctx.Err() == nil {
 		rev, err := e.Store.Txn(ctx, d.Txn)
@@ -101,35 +114,42 @@
 			e.View.ApplyOwnWrite(d.WrittenBatches(rev)...)
 			return
 		case errors.As(err, &conflict):
-			for e.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
-				if store.Backoff(ctx, 200*time.Millisecond); ctx.Err() != nil {
-					return
-				}
-			}
-			firstSlot := d.FirstSegment()
-			if last, version := e.View.Segment(firstSlot); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
-				h.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
-				h.Committed(d, version)                    // a copy without an answer was taken
-				return
-			}
-			h.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
-			h.roundUnwritten(time.Now(), d, stall.CauseRefused)
-			h.Discard(d)
-			if failedOn(conflict.Failed, store.LeaderKey(h.lease.Shard)) || failedOn(conflict.Failed, firstSlot) {
-				e.OnFenced()
-			}
+			h.handleConflict(ctx, e, d, conflict)
 			return
 		default:
 			h.log.Info("round without an answer", "number", d.Number, "err", err)
 			h.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
-			store.Backoff(ctx, 300*time.Millisecond)
+			store.Backoff(ctx, writeRetry)
 		}
 	}
 }
 
+// handleConflict finds out why a round was refused: because an earlier copy of it, which had no answer,
+// was committed, because something that it rests on has changed, or because there is another leader.
+func (h *Leader) handleConflict(ctx context.Context, e Dependencies, d *Draft, conflict *store.ConflictError) {
+	for e.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
+		if store.Backoff(ctx, barrierRetry); ctx.Err() != nil {
+			return
+		}
+	}
+	segment := d.FirstSegment()
+	if last, version := e.View.Segment(segment); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
+		h.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
+		h.Committed(d, version)
+		return
+	}
+	h.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
+	h.roundUnwritten(time.Now(), d, stall.CauseRefused)
+	h.Discard(d)
+	if slices.Contains(conflict.Failed, store.LeaderKey(h.lease.Shard)) || slices.Contains(conflict.Failed, segment) {
+		e.OnFenced()
+	}
+}
+
 // reconcileInterval is how old the comparison of placements with jobs may get.
 const reconcileInterval = time.Second
 
+// reconcileDue reports whether the placements are to be compared with the jobs though no round is decided.
 func (h *Leader) reconcileDue(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -8,7 +8,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// watchMachineList reads the list of machines and their types.
+const (
+	// minListInterval is the least time between two reads of the list.
+	minListInterval = 1500 * time.Millisecond
+	// machineTypesInterval is the time between two reads of the machine types, which hardly change.
+	machineTypesInterval = 30 * time.Second
+	// listShare is the part of the cloud's calls that reading the list may take, as a divisor.
+	listShare = 4
+)
+
+// watchMachineList reads the cloud's list of machines, and their types.
 func (h *Leader) watchMachineList(ctx context.Context, e Dependencies) error {
 	var typesAt time.Time
 	for ctx.Err() == nil {
@@ -19,19 +28,20 @@
 		} else {
 			h.log.Debug("listing machines failed", "err", err)
 		}
-		if time.Since(typesAt) > 30*time.Second {
+		if time.Since(typesAt) > machineTypesInterval {
 			if types, err := e.Cloud.MachineTypes(ctx); err == nil {
 				typesAt = time.Now()
 				h.SetTypes(types)
 			}
 		}
-		// A list of many pages takes a quarter of the calls at the most, for all parts.
+		// A list of many pages takes a quarter of the calls at most, for all shards together.
 		pages := float64((len(list)/wire.MaxListPage + 1) * len(h.sharding.Shards()))
-		store.Backoff(ctx, max(1500*time.Millisecond, wire.Seconds(pages*4/h.cfg.Cloud.RPS)))
+		store.Backoff(ctx, max(minListInterval, wire.Seconds(pages*listShare/h.cfg.Cloud.RPS)))
 	}
 	return nil
 }
 
+// handleMachineList applies a list that was requested at a time, as far as it is of this shard's machines.
 func (h *Leader) handleMachineList(requestedAt, now time.Time, list []wire.ListedMachine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,7 +61,7 @@
 	}
 }
 
-// forgetMachine forgets a machine that is proven gone.
+// forgetMachine forgets a machine that is proven gone, and has its record deleted.
 func (h *Leader) forgetMachine(id, why string) {
 	if m := h.fleet.Machine(id); m != nil {
 		h.log.Info("machine gone", "machine", id, "reason", why)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -9,13 +9,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reconcilePlacements compares the placements with the jobs of the snapshot: what is
-// over is stopped or withdrawn, what is stored is settled.
+const (
+	// jobStateRetention is how long a job that is over is remembered.
+	jobStateRetention = 10 * time.Minute
+	// checkpointMargin is what a task gets beside the time that saving takes.
+	checkpointMargin = 5 * time.Second
+	// cancelMargin is how long before a cancelled task must be gone its machine is given up, if it
+	// does not answer: the cloud needs some time.
+	cancelMargin = 15 * time.Second
+	// maxFetchWait bounds how long a fetch is waited for that may be all that a gang lacks.
+	maxFetchWait = 3 * time.Minute
+)
+
+// reconcilePlacements compares the placements with the live jobs: what is over is stopped or
+// withdrawn, and an end that is stored needs nothing more.
 func (h *Leader) reconcilePlacements(now time.Time) {
 	for _, m := range h.fleet.Machines() {
 		if now.Sub(m.LastHeartbeat) > h.timeouts.launchWithin || !h.fleet.ReceivesCommands(now, m) || m.DrainReason != "" || !m.TerminationTime.IsZero() || m.Releasing {
 			for _, p := range m.Placements() {
-				h.fleet.Withdraw(p) // planned where nothing is said any more
+				h.fleet.Withdraw(p) // planned on a machine that gets no more launches
 			}
 		}
 		for _, p := range m.Placements() {
@@ -25,7 +37,7 @@
 				continue
 			}
 			if p.Stop != nil && h.fleet.Withdraw(p) {
-				continue // told to stop while its launch was on its way, which was in vain
+				continue // it was told to stop while its launch was on its way, which did not arrive
 			}
 			j := h.jobState(p.Task.Job)
 			if !p.EndHandled && p.State == fleet.Ended && j.storedFinished.Contains(p.Task.Index) {
@@ -42,13 +54,13 @@
 		if h.liveJobs[id] != nil {
 			continue
 		}
-		if h.noteJobEnded(now, id, j); now.Sub(j.endedAt) > 10*time.Minute {
+		if h.noteJobEnded(now, id, j); now.Sub(j.endedAt) > jobStateRetention {
 			delete(h.jobStates, id)
 		}
 	}
 }
 
-// noteJobEnded notes when a job was done or cancelled.
+// noteJobEnded records when a job was done or cancelled, and forgets what only live jobs need.
 func (h *Leader) noteJobEnded(now time.Time, id string, j *jobState) {
 	if !j.endedAt.IsZero() {
 		return
@@ -63,7 +75,7 @@
 	h.assignment.Forget(id)
 }
 
-// reconcileEnded deals with a placement of a job that is done or cancelled.
+// reconcileEnded stops a placement of a job that is done or cancelled.
 func (h *Leader) reconcileEnded(now time.Time, m *fleet.Machine, p *fleet.Placement) {
 	if h.fleet.Withdraw(p) {
 		return
@@ -78,20 +90,20 @@
 		p.Stop = &fleet.StopOrder{Reason: "job is over", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(h.cfg.Workers.MaxCancelStaleness())}
 		h.log.Debug("stopping", "task", p.Task, "machine", p.Machine, "reason", "job is over")
 	}
-	// A machine that can't be reached, or to which a launch may still be on its
-	// way, is released before the time is up. While the cloud does not take that, the
-	// launch is kept from being executed by a lease that no answer renews (fleet.Lapses).
+	// A machine that can't be reached, or to which a launch may still be on its way, is released
+	// before the task must be gone. While the cloud does not confirm that, the launch is kept from
+	// being executed by a lease that no answer renews (Fleet.MustLapse).
 	switch age := now.Sub(j.endedAt); {
 	case p.CallPending() && age > h.cfg.Workers.MaxCancelStaleness()/2:
 		h.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
-	case age > h.cfg.Workers.Cancel-15*time.Second && now.Sub(m.LastHeartbeat) > h.timeouts.directLaunchWithin:
+	case age > h.cfg.Workers.Cancel-cancelMargin && now.Sub(m.LastHeartbeat) > h.timeouts.directLaunchWithin:
 		h.releaseMachine(m, "it may run a task of a cancelled job, and is silent")
 	}
 }
 
-// withdrawLaterAttempt takes a later attempt of a task back that is done after all, as an old report has told,
-// or has it stopped: its job may be called done before the attempt begins. The other tasks of
-// a gang are about to say that they are done.
+// withdrawLaterAttempt takes back, or stops, a later attempt of a task that has finished after all, as
+// a late heartbeat has told: its job may be stored as done before the attempt begins. The other tasks
+// of a gang are left alone, since they are about to finish.
 func (h *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
 	p := h.fleet.ActivePlacement(t)
 	for p != nil && h.fleet.Withdraw(p) {
@@ -102,11 +114,11 @@
 	}
 }
 
-// stopTask asks a task to end, with time to save; a gang is stopped as a whole.
+// stopTask stops a task, with time to save a checkpoint; a gang is stopped as a whole.
 func (h *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
 	var grace time.Duration
 	if job.CheckpointS > 0 {
-		grace = wire.Seconds(job.SaveS) + 5*time.Second
+		grace = wire.Seconds(job.SaveS) + checkpointMargin
 	}
 	all := []*fleet.Placement{p}
 	if job.Shape == wire.Gang {
@@ -125,7 +137,7 @@
 	}
 }
 
-// countFailedAttempt counts that a task is stopped before its image has come.
+// countFailedAttempt counts a task that is stopped before its image has come.
 func (h *Leader) countFailedAttempt(p *fleet.Placement) {
 	if p.State != fleet.Fetching {
 		return
@@ -145,7 +157,7 @@
 			continue
 		}
 		if !h.sharding.IsSingle() && !h.jobState(id).finished.Contains(0) && gangCompleted(l, h.assignment.Ranges(l)) {
-			h.markFinished(wire.TaskID{Job: id}, h.jobState(id)) // another part has seen it complete
+			h.markFinished(wire.TaskID{Job: id}, h.jobState(id)) // another shard has seen it finish
 		}
 		var left []*fleet.Placement
 		for i := range l.Record.Tasks {
@@ -164,17 +176,14 @@
 	}
 }
 
-// maxFetchWait is for how long a fetch is waited for that may be all that a gang lacks.
-const maxFetchWait = 3 * time.Minute
-
-// keepsFetching reports whether a task of a gang is left alone until it has its image. The others waited
-// for it in vain: were its fetch given up with them, the next attempt would wait in vain for the same.
+// keepsFetching reports whether a task of a gang is left alone until it has its image. The others have
+// timed out waiting for it: were its fetch stopped with them, the next attempt would time out as well.
 func (h *Leader) keepsFetching(now time.Time, p *fleet.Placement) bool {
 	return p.Reported && p.State == fleet.Fetching && h.jobState(p.Task.Job).timedOutAttempt == p.Attempt && now.Sub(p.PlacedAt) < maxFetchWait
 }
 
-// gangTasksHere tells how many tasks of a gang this part has: all, but of one that ran when the
-// state was divided anew.
+// gangTasksHere returns how many tasks of a gang this shard has: all, but for one that is split among
+// shards.
 func (h *Leader) gangTasksHere(l *store.LiveJob) int {
 	mine, elsewhere := h.ownRanges(l)
 	if elsewhere == 0 && len(mine) == 0 {
@@ -183,7 +192,7 @@
 	return handover.Count(mine)
 }
 
-// releaseMachine has a machine released, whatever is on it.
+// releaseMachine has a machine returned to the cloud, whatever is on it.
 func (h *Leader) releaseMachine(m *fleet.Machine, why string) {
 	if m.Releasing {
 		return
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// storeFinishedJobs writes that jobs are done, of which every task is.
+// storeFinishedJobs stores jobs as done of which every task has finished.
 func (h *Leader) storeFinishedJobs(now time.Time, d *Draft) {
 	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
 		j, l := h.jobStates[id], h.liveJobs[id]
@@ -21,7 +21,7 @@
 			h.unstored.Remove(id)
 			continue
 		}
-		if !all || len(tasks) > 0 && h.assignment.Unassigned(l) && !h.sharding.IsSingle() { // which must be in the ledger first
+		if !all || len(tasks) > 0 && h.assignment.Unassigned(l) && !h.sharding.IsSingle() { // these must be in the ledger first
 			continue
 		}
 		if r := d.Update(l); r != nil { // or the next round has room
@@ -33,8 +33,7 @@
 	}
 }
 
-// storeProgress writes the blocks of jobs in which tasks have finished, as far as
-// the round has room.
+// storeProgress writes the blocks of tasks in which some have finished, as far as the round has room.
 func (h *Leader) storeProgress(d *Draft) {
 	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
 		j, l := h.jobStates[id], h.liveJobs[id]
@@ -57,7 +56,8 @@
 	}
 }
 
-// dropObsolete drops what is of no more use, as far as the round has room.
+// dropObsolete deletes records that are of no more use, and stores new machine types, as far as the
+// round has room.
 func (h *Leader) dropObsolete(d *Draft) {
 	if h.typesChanged && d.ChangesLeft() > 0 {
 		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
@@ -75,8 +75,9 @@
 	}
 }
 
-// machineRecord is what the store keeps of a machine. What was seen ended there is not named, be its
-// launch loose: until a clear at a later term a copy does nothing, and then it is refused.
+// machineRecord returns the record of a machine. It does not name what was seen to have ended there,
+// even if a call with its launch is still open: a late copy of that does nothing until a command under
+// a later token clears the task, and is refused after that.
 func machineRecord(m *fleet.Machine) store.MachineRecord {
 	tasks := m.PossibleAttempts()
 	for _, p := range m.Placements() {
@@ -87,7 +88,7 @@
 	return store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation, Tasks: tasks}
 }
 
-// machineEntry gives the entry of a machine for a round.
+// machineEntry returns the entry of a machine for a round.
 func (h *Leader) machineEntry(d *Draft, id string) store.Entry {
 	r := machineRecord(h.fleet.Machine(id))
 	d.ledgerTasks[id] = r.Tasks
