--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -25,7 +25,7 @@
 	reader           *Reader
 	compactor        *Compactor
 	withTasks        map[string]bool
-	delayed          []wire.Txn // on their way, to be delivered late
+	delayed          []wire.Txn // under way, to be delivered late
 	crashOutcome     string     // of the next writes of the compactor
 	writesUntilCrash int        // writes of the compactor until it crashes, below 0 for none
 	refused          error      // what the state service answers, if it is set
@@ -43,7 +43,7 @@
 	return w
 }
 
-// start begins the controller anew: its view is read, and it claims the fleet.
+// start starts the controller again: its view is read, and it becomes the leader.
 func (w *harness) start(lim Limits) {
 	log := slog.New(slog.DiscardHandler)
 	w.elections++
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -68,7 +68,7 @@
 	return store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 }
 
-// sample is a state with a key of each kind. Slots and batches were written in
+// sample is a state with a key of each kind. Segments and batches were written in
 // another order than that of their names.
 func sample(t *testing.T) *fakeService {
 	s := newFakeService()
@@ -125,19 +125,19 @@
 	if _, err := Import(t.Context(), to, read, "another", lim, noImportProgress); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("another file on top of it: %v", err)
 	}
-	term, err := Import(t.Context(), to, read, sum, lim, noImportProgress)
-	if err != nil || term != 41+FencingTokenMargin {
-		t.Fatalf("term %d, %v", term, err)
+	token, err := Import(t.Context(), to, read, sum, lim, noImportProgress)
+	if err != nil || token != 41+FencingTokenMargin {
+		t.Fatalf("token %d, %v", token, err)
 	}
 	got := map[string]wire.KeyValue{}
 	for _, it := range to.Page(store.CommonPrefix, "", 0).Items {
 		got[it.Key] = it
 	}
-	if _, held := got[store.LeaderKey("fleet")]; held || len(got) != len(items)-1 {
-		t.Errorf("held %v, %d keys of %d", held, len(got), len(items))
+	if _, led := got[store.LeaderKey("fleet")]; led || len(got) != len(items)-1 {
+		t.Errorf("led %v, %d keys of %d", led, len(got), len(items))
 	}
 	if got[store.BatchKey("z")].Version >= got[store.BatchKey("a")].Version || got[store.SegmentKey("fleet", 1)].Version >= got[store.SegmentKey("fleet", 0)].Version {
-		t.Error("the order was lost: a job would have another home, an old slot would count")
+		t.Error("the order was lost: a job would have another batch, an old segment would count")
 	}
 	var rec store.BatchRecord
 	if err := wire.DecodeValue(got[store.BatchKey("z")].Value, &rec); err != nil || rec.Since != 0 {
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestExportIsConsistent changes keys between two pages: what is taken is the
-// state at one revision, not a mixture; a service that forgets meanwhile is read
+// TestExportIsConsistent changes keys between two pages: what is exported is the
+// state at one revision, not a mixture; a service that drops its history meanwhile is read
 // anew.
 func TestExportIsConsistent(t *testing.T) {
 	s := sample(t)
@@ -234,8 +234,8 @@
 }
 
 // TestLateImportWritesAreRejected: each write of an import is carried out once more when controllers have
-// worked on the state for a while: the counter of terms has risen, and what was put in is gone
-// again. None is taken; also not where a state of version 1 was put in, which has no marker.
+// worked on the state for a while: the counter of fencing tokens has risen, and what was put in is
+// deleted. None is committed; also not where a state of format 1 was imported, which has no marker.
 func TestLateImportWritesAreRejected(t *testing.T) {
 	for name, before := range map[string]func(s *fakeService){
 		"format 2": func(*fakeService) {},
@@ -250,13 +250,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			term, err := Import(t.Context(), to, items, "sum", Limits{ValueBytes: 8192, TxnOps: 12}, noImportProgress)
+			token, err := Import(t.Context(), to, items, "sum", Limits{ValueBytes: 8192, TxnOps: 12}, noImportProgress)
 			if err != nil {
 				t.Fatal(err)
 			}
-			to.put(t, store.FencingTokenKey, term+1)
+			to.put(t, store.FencingTokenKey, token+1)
 			for _, it := range to.Page(store.StatePrefix, "", 0).Items {
-				if kind := store.Kind(it.Key); kind == "batch" || kind == "ledger" {
+				if kind := store.Kind(it.Key); kind == store.KindBatch || kind == store.KindLedger {
 					to.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
 				}
 			}
--- a/internal/store/formatguard.go
+++ b/internal/store/formatguard.go
@@ -80,7 +80,7 @@
 	switch {
 	case reason == previous || reason == reasonNotLoaded:
 	case reason != "":
-		f.Log.Error("not serving", "why", reason)
+		f.Log.Error("not serving", "reason", reason)
 	case previous != reasonNotLoaded:
 		f.Log.Info("serving again", "format", Format)
 	}
