--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -96,8 +96,7 @@
 			return
 		}
 	}
-	h.attemptSequence++
-	if attempt := h.lease.FencingToken<<24 | h.attemptSequence; h.writeOrder(d, g.id, g.job, attempt) {
+	if attempt := h.nextAttempt(h.lease.FencingToken); h.writeOrder(d, g.id, g.job, attempt) {
 		h.log.Info("co-allocated gang started", "job", g.id, "attempt", attempt)
 	}
 }
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -68,7 +68,7 @@
 		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", r.FencingToken)
 	}
 	for _, t := range r.Tasks {
-		token, n := t.Attempt>>24, t.Attempt&(1<<24-1)
+		token, n := splitAttempt(t.Attempt)
 		if h.sharding.IsSingle() && token > h.lease.FencingToken || token == h.lease.FencingToken && n > h.attemptSequence {
 			return fmt.Sprintf("task %s of attempt %d, which was never given", t.ID, t.Attempt)
 		}
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -9,56 +9,40 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// launch places tasks as far as the round has room: a condition for each job,
-// and in the ledger each machine, whose record names what may be there. The
-// rest is decided again in the next round; a gang is never split. Kept says why the last one
-// that is left out is.
+// launchGroup is what is launched together or not at all: a task, or all tasks of a gang.
+type launchGroup struct {
+	launches []scheduler.Launch
+	bytes    int             // that its entries take in the ledger
+	machines map[string]bool // whose records the round does not write yet
+	full     bool            // a machine would have more tasks than its record should name
+}
+
+// nextGroup splits the first group off a list of launches.
+func nextGroup(launches []scheduler.Launch) (group, rest []scheduler.Launch) {
+	n := 1
+	for launches[0].Job.Shape == wire.Gang && n < len(launches) && launches[n].Job == launches[0].Job {
+		n++
+	}
+	return launches[:n], launches[n:]
+}
+
+// launch places tasks as far as the round has room: a condition for each job, and in the ledger each
+// machine, whose record names what may be there. The rest is decided again in the next round; a gang
+// is never split. It returns why the last group that is left out is.
 func (h *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
-	maxTasks := max(1, h.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // tasks of a machine, so that records divide well
+	var group []scheduler.Launch
 	for len(launches) > 0 {
-		n := 1
-		for launches[0].Job.Shape == wire.Gang && n < len(launches) && launches[n].Job == launches[0].Job {
-			n++
-		}
-		group := launches[:n]
-		launches = launches[n:]
-		id := group[0].Job.ID
-		size, full := n*store.MachineTaskBytes, false
-		fresh := make(map[string]bool)
-		for _, l := range group {
-			m := h.fleet.Machine(l.Machine)
-			if !d.machines[l.Machine] && !fresh[l.Machine] {
-				fresh[l.Machine] = true
-				size += store.MachineEntryBytes(m.ID, &store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone}) + m.CountPossible()*store.MachineTaskBytes
-			}
-			full = full || m.CountPossible()+n > maxTasks
-		}
+		group, launches = nextGroup(launches)
+		g := h.measure(d, group)
 		switch {
-		case full:
+		case g.full:
 			withheld = stall.CauseMachines
-			continue
-		case !d.Fits(size):
+		case !d.Fits(g.bytes):
 			withheld = stall.CauseLedger
-			continue
-		case !d.Guard(h.liveJobs[id]):
+		case !d.Guard(h.liveJobs[group[0].Job.ID]):
 			withheld = stall.CauseConditions
-			continue
-		}
-		d.Reserve(size)
-		for id := range fresh {
-			d.machines[id] = true
-		}
-		// Unique without storage; the tasks of a gang share one attempt.
-		h.attemptSequence++
-		attempt := h.lease.FencingToken<<24 | h.attemptSequence
-		if order := h.liveJobs[id].Record.CoAllocation; order >= store.CoAllocationFirstAttempt {
-			attempt = order
-		}
-		for _, l := range group {
-			p := h.fleet.Place(now, h.fleet.Machine(l.Machine), wire.TaskID{Job: l.Job.ID, Index: l.TaskIndex}, attempt)
-			d.launches = append(d.launches, p)
-			h.consumeReservation(d, p)
-			h.log.Debug("placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
+		default:
+			h.placeGroup(now, d, g)
 		}
 	}
 	for _, id := range sortedKeys(d.machines) {
@@ -66,3 +50,38 @@
 	}
 	return withheld
 }
+
+// measure finds out what room a group takes.
+func (h *Leader) measure(d *Draft, launches []scheduler.Launch) launchGroup {
+	maxTasks := max(1, h.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // of a machine, so that records divide well among segments
+	n := len(launches)
+	g := launchGroup{launches: launches, bytes: n * store.MachineTaskBytes, machines: make(map[string]bool)}
+	for _, l := range launches {
+		m := h.fleet.Machine(l.Machine)
+		if !d.machines[l.Machine] && !g.machines[l.Machine] {
+			g.machines[l.Machine] = true
+			g.bytes += store.MachineEntryBytes(m.ID, &store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone}) + m.CountPossible()*store.MachineTaskBytes
+		}
+		g.full = g.full || m.CountPossible()+n > maxTasks
+	}
+	return g
+}
+
+// placeGroup places a group for which there is room. Its tasks share one attempt, which is unique
+// without being stored: it is of this leader's token.
+func (h *Leader) placeGroup(now time.Time, d *Draft, g launchGroup) {
+	d.Reserve(g.bytes)
+	for id := range g.machines {
+		d.machines[id] = true
+	}
+	attempt := h.nextAttempt(h.lease.FencingToken)
+	if order := h.liveJobs[g.launches[0].Job.ID].Record.CoAllocation; order >= store.CoAllocationFirstAttempt {
+		attempt = order
+	}
+	for _, l := range g.launches {
+		p := h.fleet.Place(now, h.fleet.Machine(l.Machine), wire.TaskID{Job: l.Job.ID, Index: l.TaskIndex}, attempt)
+		d.launches = append(d.launches, p)
+		h.consumeReservation(d, p)
+		h.log.Debug("placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
+	}
+}
--- a/internal/leader/rounds.go
+++ b/internal/leader/rounds.go
@@ -23,6 +23,21 @@
 	return roundState{lastRound: last, lastDecided: now, unstored: commit.CompletionQueue{}, machinesToDrop: map[string]bool{}}
 }
 
+// attemptBits is how many bits of an attempt count the attempts under one fencing token, which is in
+// the bits above: so attempts of a later leader are always newer.
+const attemptBits = 24
+
+// nextAttempt returns an attempt that no leader has given before.
+func (r *roundState) nextAttempt(token uint64) uint64 {
+	r.attemptSequence++
+	return token<<attemptBits | r.attemptSequence
+}
+
+// splitAttempt returns the fencing token of an attempt, and its number under that.
+func splitAttempt(attempt uint64) (token, number uint64) {
+	return attempt >> attemptBits, attempt & (1<<attemptBits - 1)
+}
+
 // recoveryState says how much of the fleet is accounted for since the leader was elected.
 type recoveryState struct {
 	rebuilt          bool // every machine is
