--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -20,6 +20,9 @@
 	firstTierCalls = maxOpenCalls / 8
 	// stopResendInterval is the time before the same stops are sent again.
 	stopResendInterval = 3 * time.Second
+	// maxFailuresToLaunch is how many calls may fail in a row before launches wait for heartbeats: a
+	// single call may be lost.
+	maxFailuresToLaunch = 1
 	// callInterval is the time after which calls are looked for without a wake-up.
 	callInterval = 300 * time.Millisecond
 )
@@ -54,20 +57,38 @@
 type directCall struct {
 	machine, addr string
 	incarnation   uint64
-	digest        string // the commands, for telling whether they are the same
+	digest        string // of the commands, to tell whether they are the same as before
 	commands      []wire.Command
 	launches      []*fleet.Placement
 	fencing       bool // without commands: for the token to be seen, and for the heartbeat in the answer
 }
 
-// dueCalls returns the direct calls to make now, at most so many. Those with commands go first, since
-// many machines may be waiting for the fencing token, and of these the ones with the fewest tasks,
-// where work can be placed soonest.
-func (h *Leader) dueCalls(now time.Time, valid bool, limit int) []directCall {
+// dueCalls lists the direct calls to make now, at most limit. Calls with commands go before fencing
+// calls, since many machines may be waiting for the latter.
+func (h *Leader) dueCalls(now time.Time, leaseValid bool, limit int) []directCall {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []directCall
-	var due []*fleet.Machine
+	out, due, limit := h.commandCalls(now, leaseValid, limit)
+	due = h.fencingCallsWithin(now, due, limit-len(out))
+	for _, m := range due {
+		c := newDirectCall(m)
+		c.fencing = true
+		out = append(out, c)
+	}
+	h.fencing.Started(len(due))
+	for _, c := range out {
+		h.monitor.Calls.Start(now, c.machine, c.digest)
+	}
+	return out
+}
+
+func newDirectCall(m *fleet.Machine) directCall {
+	return directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
+}
+
+// commandCalls lists the calls with commands, and the machines without commands that are due for a fencing call. It
+// returns the limit less what is kept for the first tier.
+func (h *Leader) commandCalls(now time.Time, leaseValid bool, limit int) (out []directCall, due []*fleet.Machine, left int) {
 	machines, urgent := h.machinesByUrgency()
 	for i, m := range machines {
 		if i == urgent && h.preemptions.Tiers().Configured() {
@@ -80,37 +101,41 @@
 		if m.Addr == "" || m.Releasing || last.InFlight(now) {
 			continue
 		}
-		c := directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
-		// Where calls fail while heartbeats come, launches are sent in the answers to these.
-		reached := last.Failures < 2 || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
-		c.commands, c.launches = h.fleet.DirectCommands(m, valid && reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m))
-		if len(c.commands) > 0 {
-			if c.digest = fmt.Sprint(c.commands); len(c.launches) > 0 || c.digest != last.Digest || now.Sub(last.StartedAt) >= stopResendInterval {
-				out = append(out, c)
+		c := newDirectCall(m)
+		c.commands, c.launches = h.fleet.DirectCommands(m, leaseValid && h.mayLaunchByCall(now, m, last))
+		if len(c.commands) == 0 {
+			if h.fencing.Due(now, m) {
+				due = append(due, m)
 			}
 			continue
 		}
-		if h.fencing.Due(now, m) {
-			due = append(due, m)
+		if c.digest = fmt.Sprint(c.commands); len(c.launches) > 0 || c.digest != last.Digest || now.Sub(last.StartedAt) >= stopResendInterval {
+			out = append(out, c)
 		}
 	}
+	return out, due, limit
+}
+
+// mayLaunchByCall reports whether launches go to a machine by direct calls. Where calls fail while heartbeats
+// arrive, launches go by the answers to these.
+func (h *Leader) mayLaunchByCall(now time.Time, m *fleet.Machine, last reachability.Call) bool {
+	reached := last.Failures <= maxFailuresToLaunch || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
+	return reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m)
+}
+
+// fencingCallsWithin picks the machines to make fencing calls to, of those that are due: as many as the limit and
+// the throttle allow, first the ones with the fewest tasks, where work can be placed soonest. Probes
+// come on top.
+func (h *Leader) fencingCallsWithin(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
 	probes := h.fencing.Probes(now, len(due) > 0)
-	if left := max(0, min(limit-len(out), h.loop.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
+	if left := max(0, min(limit, h.loop.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
 		reachability.SortByLoad(due)
 		due = h.unreachableZonesLast(due)[:left]
 	}
-	due = append(due, probes...)
-	for _, m := range due {
-		out = append(out, directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation), fencing: true})
-	}
-	h.fencing.Started(len(due))
-	for _, c := range out {
-		h.monitor.Calls.Start(now, c.machine, c.digest)
-	}
-	return out
+	return append(due, probes...)
 }
 
-// callMachine makes a direct call, and applies its outcome.
+// callMachine makes a call and records its result.
 func (h *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
 	outcome, answered := fleet.Refused, false
 	defer func() {
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -78,11 +78,11 @@
 			h.machinesToDrop[id] = true
 		}
 	}
-	h.scaleOutRequests.Stored(d.requests)
+	h.scaler.Stored(d.requests)
 	h.zonesCommitted(d.zones)
 	h.zoneRecoveriesCommitted(d.returns)
 	for _, name := range d.dropped {
-		h.scaleOutRequests.Dropped(name)
+		h.scaler.Dropped(name)
 		if !d.machines[name] {
 			delete(h.machinesToDrop, name)
 			h.ledgerTasks.Update(name, nil)
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, name := range d.requests {
-		h.scaleOutRequests.Forget(name)
+		h.scaler.Forget(name)
 	}
 	h.typesChanged = h.typesChanged || d.storesTypes
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -74,18 +74,18 @@
 	shardingState
 	handoverState
 	machineHealth
-	fleet            *fleet.Fleet
-	types            []wire.MachineType
-	ledger           *store.Ledger
-	quota            *quota.Quota
-	preemptions      *tier.Preemptions
-	zones            *zone.Watch
-	recovery         *zonerecovery.Tracker
-	scaleOutRequests *autoscale.Scaler
-	stalls           stall.Detector
-	idle             idleTracker
-	display          statusCache
-	loop             wakeups
+	fleet       *fleet.Fleet
+	types       []wire.MachineType
+	ledger      *store.Ledger
+	quota       *quota.Quota
+	preemptions *tier.Preemptions
+	zones       *zone.Watch
+	recovery    *zonerecovery.Tracker
+	scaler      *autoscale.Scaler
+	stalls      stall.Detector
+	idle        idleTracker
+	display     statusCache
+	loop        wakeups
 }
 
 // New returns the leader that a lease makes, from a snapshot of the state and from the shard's
@@ -96,15 +96,15 @@
 	h := &Leader{
 		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: timeoutsOf(cfg),
 			log: log.With("shard", lease.Shard, "token", lease.FencingToken)},
-		jobTable:         newJobTable(snap),
-		roundState:       newRoundState(last.Round, now),
-		shardingState:    shardingState{sharding: cfg.Sharding()},
-		fleet:            fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
-		types:            types,
-		ledger:           ledger,
-		scaleOutRequests: autoscale.NewScaler(cfg.Cloud.RPS),
-		stalls:           stall.NewDetector(now),
-		loop:             newWakeups(),
+		jobTable:      newJobTable(snap),
+		roundState:    newRoundState(last.Round, now),
+		shardingState: shardingState{sharding: cfg.Sharding()},
+		fleet:         fleet.New(lease.FencingToken, now, cfg.Workers.Lease, maxAnswerTime(cfg), cfg.Cloud.ListLag),
+		types:         types,
+		ledger:        ledger,
+		scaler:        autoscale.NewScaler(cfg.Cloud.RPS),
+		stalls:        stall.NewDetector(now),
+		loop:          newWakeups(),
 	}
 	h.targets = handover.NewTargets(lease.Shard, h.sharding)
 	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
@@ -138,7 +138,7 @@
 		}
 	}
 	for name, a := range last.ScaleOuts {
-		h.scaleOutRequests.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
+		h.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
 	}
 }
 
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -56,7 +56,7 @@
 	}
 	for _, l := range mine {
 		if l.Stage == wire.MachineFailed {
-			h.scaleOutRequests.Release(l.ID) // it stays listed until it is deleted
+			h.scaler.Release(l.ID) // it stays listed until it is deleted
 		}
 	}
 }
@@ -72,5 +72,5 @@
 		h.fleet.RemoveMachine(id)
 		h.Wake()
 	}
-	h.scaleOutRequests.ForgetMachine(id)
+	h.scaler.ForgetMachine(id)
 }
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -16,19 +16,19 @@
 // of earlier shardings, round by round, and records in its own when it has; meanwhile jobs are written with ranges of
 // the new sharding. Once all shards have, and all jobs are, the earlier ledgers are dropped.
 type ledgerMigration struct {
-	previous         *reshard.Previous
-	machines         map[string]bool // whose records are yet to be written
-	scaleOutRequests map[string]bool
-	jobs             map[string]bool // of which finished tasks are yet to be written
-	zones            []string        // whose states are yet to be written
-	complete         bool            // nothing is left
-	recorded         bool            // and the shard's ledger says so
+	previous *reshard.Previous
+	machines map[string]bool // whose records are yet to be written
+	scaler   map[string]bool
+	jobs     map[string]bool // of which finished tasks are yet to be written
+	zones    []string        // whose states are yet to be written
+	complete bool            // nothing is left
+	recorded bool            // and the shard's ledger says so
 }
 
 // newLedgerMigration adds to what the shard's own ledger has recalled what earlier ones say of the machines that it
 // owns. Migrated says that its ledger already holds all of that.
 func newLedgerMigration(previous *reshard.Previous, migrated bool, recalled *store.RecoveredState, owns func(zone, machineType string) bool) *ledgerMigration {
-	m := &ledgerMigration{previous: previous, machines: make(map[string]bool), scaleOutRequests: make(map[string]bool), jobs: make(map[string]bool), recorded: migrated}
+	m := &ledgerMigration{previous: previous, machines: make(map[string]bool), scaler: make(map[string]bool), jobs: make(map[string]bool), recorded: migrated}
 	if migrated {
 		return m
 	}
@@ -39,7 +39,7 @@
 	}
 	for name, r := range previous.ScaleOuts {
 		if _, known := recalled.ScaleOuts[name]; !known && owns(r.Zone, r.Type) {
-			recalled.ScaleOuts[name], m.scaleOutRequests[name] = r, true
+			recalled.ScaleOuts[name], m.scaler[name] = r, true
 		}
 	}
 	return m
@@ -47,7 +47,7 @@
 
 // empty reports whether nothing is left to take over.
 func (m *ledgerMigration) empty() bool {
-	return len(m.machines)+len(m.scaleOutRequests)+len(m.jobs)+len(m.zones) == 0
+	return len(m.machines)+len(m.scaler)+len(m.jobs)+len(m.zones) == 0
 }
 
 // due reports whether a round is to be written that records that nothing is left to take over.
@@ -135,10 +135,10 @@
 }
 
 func (h *Leader) writeMigratedScaleOuts(d *Draft) {
-	for _, name := range sortedKeys(h.migration.scaleOutRequests) {
-		r := h.scaleOutRequests.Request(name)
+	for _, name := range sortedKeys(h.migration.scaler) {
+		r := h.scaler.Request(name)
 		if r == nil || h.ledger.HasScaleOut(name) {
-			delete(h.migration.scaleOutRequests, name)
+			delete(h.migration.scaler, name)
 		} else {
 			d.Add(store.ScaleOutEntry(name, scaleOutRecord(r.ScaleOut)))
 		}
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -215,8 +215,8 @@
 	types[0].Zones = []string{"a", "b"}
 	h := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		h.scaleOutRequests.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
-		h.scaleOutRequests.Complete(modelTime, "x", 0)
+		h.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
+		h.scaler.Complete(modelTime, "x", 0)
 	}
 	n.leaders[part] = &modelLeader{Leader: h}
 }
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -226,8 +226,8 @@
 		c.leader.fleet.ElectedAt = m.now.Add(-maxAnswerTime(cfg))
 	}
 	for _, spot := range []bool{false, true} { // no machines but these
-		c.leader.scaleOutRequests.Add(m.now, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: "a", Spot: spot}, Count: 1})
-		c.leader.scaleOutRequests.Complete(m.now, "x", 0)
+		c.leader.scaler.Add(m.now, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: "a", Spot: spot}, Count: 1})
+		c.leader.scaler.Complete(m.now, "x", 0)
 	}
 	if i == 1 {
 		m.reached["takeover"] = true
@@ -653,7 +653,7 @@
 			for k := range m.duplicateReports {
 				add("copy", k, i)
 			}
-			if len(c.leader.scaleOutRequests.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
+			if len(c.leader.scaler.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
 				add("release", i)
 			}
 			if c.draft == nil && c.claim.LeaseValid(m.now) {
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -77,7 +77,7 @@
 			j := h.jobStates[id]
 			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
 		}
-		put("%v", h.scaleOutRequests.Releasing())
+		put("%v", h.scaler.Releasing())
 		if c.draft != nil {
 			left(c.draft.Txn)
 		}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -198,6 +198,6 @@
 		return
 	}
 	m.Releasing = true
-	h.scaleOutRequests.Release(m.ID)
+	h.scaler.Release(m.ID)
 	h.log.Info("releasing", "machine", m.ID, "reason", why)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -68,7 +68,7 @@
 			d.dropped = append(d.dropped, id)
 		}
 	}
-	for _, name := range h.scaleOutRequests.Obsolete() {
+	for _, name := range h.scaler.Obsolete() {
 		if !h.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
 			d.dropped = append(d.dropped, name)
 		}
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -29,7 +29,7 @@
 
 // requestScaleOut adds the intents of scale-out requests that a plan wants to a round.
 func (h *Leader) requestScaleOut(now time.Time, d *Draft, wanted []scheduler.ScaleOut) {
-	for _, r := range h.scaleOutRequests.Admit(now, wanted) {
+	for _, r := range h.scaler.Admit(now, wanted) {
 		name := fmt.Sprintf("t%d-%d", h.lease.FencingToken, h.attemptSequence+1)
 		if !d.Add(store.ScaleOutEntry(name, scaleOutRecord(r))) {
 			if len(d.requests) == 0 && len(d.launches) == 0 {
@@ -38,7 +38,7 @@
 			break
 		}
 		h.attemptSequence++
-		h.scaleOutRequests.Add(now, name, r)
+		h.scaler.Add(now, name, r)
 		d.requests = append(d.requests, name)
 	}
 }
@@ -55,7 +55,7 @@
 			t := time.NewTimer(scaleOutPoll)
 			select {
 			case <-ctx.Done():
-			case <-h.scaleOutRequests.Woken():
+			case <-h.scaler.Woken():
 			case <-t.C:
 			}
 			t.Stop()
@@ -75,16 +75,16 @@
 func (h *Leader) nextScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.scaleOutRequests.Next(now)
+	return h.scaler.Next(now)
 }
 
 // takeScaleOut returns the request to send now, or nil, and records that it is being sent.
 func (h *Leader) takeScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.scaleOutRequests.Next(now)
+	r := h.scaler.Next(now)
 	if r != nil {
-		h.scaleOutRequests.MarkSent(now, r.Name)
+		h.scaler.MarkSent(now, r.Name)
 	}
 	return r
 }
@@ -100,24 +100,24 @@
 	h.log.Debug("scale-out request without an answer", "request", name, "err", err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.scaleOutRequests.MarkUnanswered(name)
+	h.scaler.MarkUnanswered(name)
 }
 
 // scaledOut records how many machines a request got.
 func (h *Leader) scaledOut(now time.Time, name string, names []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.scaleOutRequests.Request(name)
+	r := h.scaler.Request(name)
 	if r == nil {
 		return
 	}
 	for _, id := range names {
 		h.fleet.EnsureMachine(now, id, r.Type, r.Zone, r.Spot)
 	}
-	finished := h.scaleOutRequests.Complete(now, name, len(names))
+	finished := h.scaler.Complete(now, name, len(names))
 	h.log.Info("scale-out request answered", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(names), "unsent", len(finished)-1)
-	h.scaleOutRequests.Drop(finished)
-	h.scaleOutRequests.Wake()
+	h.scaler.Drop(finished)
+	h.scaler.Wake()
 	h.Wake()
 }
 
@@ -141,7 +141,7 @@
 func (h *Leader) pendingReleases() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	names := h.scaleOutRequests.Releasing()
+	names := h.scaler.Releasing()
 	return names[:min(len(names), wire.MaxRelease)]
 }
 
@@ -151,7 +151,7 @@
 	defer h.mu.Unlock()
 	for _, id := range names {
 		if m := h.fleet.Machine(id); m != nil {
-			h.scaleOutRequests.InstanceReturned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
+			h.scaler.InstanceReturned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 		h.fleet.MarkReleased(id)
 		h.forgetMachine(id, "released")
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -29,7 +29,7 @@
 	for _, o := range h.cfg.Objectives {
 		snapshot.Objectives = append(snapshot.Objectives, scheduler.Objective{Kind: o.Kind, Class: o.Class, Within: wire.Seconds(o.WithinS)})
 	}
-	h.scaleOutRequests.Annotate(now, snapshot)
+	h.scaler.Annotate(now, snapshot)
 	h.refuseClosedZones(now, snapshot)
 	rebuilding := h.noteRecovery(now)
 	h.reviewPreemptions(now, rebuilding)
@@ -81,7 +81,7 @@
 
 // addRequestedMachines adds the machines that were requested of the cloud and are not there yet.
 func (h *Leader) addRequestedMachines(now time.Time, snapshot *scheduler.Snapshot) {
-	for _, a := range h.scaleOutRequests.Pending() {
+	for _, a := range h.scaler.Pending() {
 		if !h.zones.Record(a.Zone).AcceptsScaleOut(now) {
 			continue // it is not known when it could be reached
 		}
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -316,7 +316,7 @@
 		b.leader.scaledOut(b.now, w[1], names)
 	case "asks":
 		var out []string
-		for _, a := range b.leader.scaleOutRequests.Pending() {
+		for _, a := range b.leader.scaler.Pending() {
 			out = append(out, fmt.Sprintf("%s for %d in %s", a.Name, a.Count, a.Zone))
 		}
 		return out
@@ -558,7 +558,7 @@
 		}
 		out = append(out, line)
 	}
-	for _, a := range h.scaleOutRequests.Pending() {
+	for _, a := range h.scaler.Pending() {
 		out = append(out, fmt.Sprintf("ask %s for %d in %s", a.Name, a.Count, a.Zone))
 	}
 	return out
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -193,7 +193,7 @@
 			}
 			for _, spot := range []bool{true, false} {
 				o := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
-				if !h.scaleOutRequests.Constrained(o) && scheduler.OfferAllowed(j, o) {
+				if !h.scaler.Constrained(o) && scheduler.OfferAllowed(j, o) {
 					return true
 				}
 			}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -74,7 +74,7 @@
 	for _, c := range changes {
 		h.log.Info("zone state changed", "zone", c.Zone, "state", string(c.Record.State), "previous", string(c.Previous), "number", c.Record.Number, "outages", c.Record.Outages, "evidence", c.Reason)
 		if c.Record.State == zone.Recovering { // refusals from before the outage no longer count
-			h.scaleOutRequests.ZoneRecovered(c.Zone)
+			h.scaler.ZoneRecovered(c.Zone)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 // mayProbeZone reports whether no request for a zone is open, and few of its new machines have yet to send
 // a heartbeat.
 func (h *Leader) mayProbeZone(name string) bool {
-	for _, a := range h.scaleOutRequests.Pending() {
+	for _, a := range h.scaler.Pending() {
 		if a.Zone == name {
 			return false
 		}
