--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -12,7 +12,7 @@
 
 // reachabilityTimeouts returns the timeouts of the package reachability.
 func reachabilityTimeouts(t timeouts, cfg *config.Config) reachability.Timeouts {
-	return reachability.Timeouts{Fresh: t.launchWithin, Suspect: t.suspectAfter, Unreachable: t.unreachableAfter, Lease: cfg.Workers.Lease}
+	return reachability.Timeouts{Fresh: t.launchWithin, Suspect: t.suspectAfter, Unreachable: t.unreachableAfter, Lease: cfg.Workers.Lease, RebuildWait: maxRebuildWait}
 }
 
 // releaseUnusable releases machines that are of no use: drained ones without tasks, ones that don't come
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -24,6 +24,7 @@
 	Suspect     time.Duration // from this age it is called directly
 	Unreachable time.Duration // from this age it may be evicted
 	Lease       time.Duration // of a worker: after it without an answer, its tasks have stopped
+	RebuildWait time.Duration // for which a new leader waits at most for the first heartbeat of a machine
 }
 
 const (
@@ -34,9 +35,6 @@
 	// pause found nobody to take them, and workers that tried other controllers need a few
 	// seconds to come back.
 	pauseGrace = 5 * time.Second
-	// rebuildWait is how long a new leader waits at most for machines that it has not heard from
-	// yet. It is long enough for two direct calls to each.
-	rebuildWait = 4 * time.Second
 	// certainFailures is how many calls in a row must fail before a machine that never sent a
 	// heartbeat to this leader counts as unreachable. A single call may be lost.
 	certainFailures = 2
@@ -102,7 +100,7 @@
 		return m.HeartbeatAge(now, x) > m.timeouts.Unreachable
 	}
 	since := now.Sub(m.fleet.ElectedAt)
-	if m.Calls.Last(x.ID).Failures >= certainFailures && since > min(rebuildWait, m.timeouts.Unreachable) {
+	if m.Calls.Last(x.ID).Failures >= certainFailures && since > min(m.timeouts.RebuildWait, m.timeouts.Unreachable) {
 		return true
 	}
 	return since > m.timeouts.Unreachable+m.timeouts.Lease
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-var testTimeouts = Timeouts{Fresh: 3 * time.Second, Suspect: 4 * time.Second, Unreachable: 8 * time.Second, Lease: 20 * time.Second}
+var testTimeouts = Timeouts{Fresh: 3 * time.Second, Suspect: 4 * time.Second, Unreachable: 8 * time.Second, Lease: 20 * time.Second, RebuildWait: 4 * time.Second}
 
 const testToken = 3
 
