--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -181,27 +181,27 @@
 
 // heartbeatFaults are the additional faults of TestLateHeartbeats.
 var heartbeatFaults = []fault{
-	{"some machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"some machines are deaf", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
-			if luck.IntN(3) == 0 {
+			if rng.IntN(3) == 0 {
 				deaf(d, m)
 			}
 		}
 	}},
-	{"a machine is deaf while the leader ends", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"a machine is deaf while the leader ends", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
-			deaf(d, all[luck.IntN(len(all))])
+			deaf(d, all[rng.IntN(len(all))])
 		}
 		if i := w.anyLeader(); i >= 0 {
-			time.AfterFunc(time.Duration(luck.IntN(6000))*time.Millisecond, func() { w.kill(i, 3*time.Second) })
+			time.AfterFunc(time.Duration(rng.IntN(6000))*time.Millisecond, func() { w.kill(i, 3*time.Second) })
 		}
 	}},
-	{"the leader ends twice", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"the leader ends twice", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 2 {
 			if i := w.anyLeader(); i >= 0 {
 				w.kill(i, 3*time.Second)
 			}
-			time.Sleep(time.Duration(500+luck.IntN(5000)) * time.Millisecond)
+			time.Sleep(time.Duration(500+rng.IntN(5000)) * time.Millisecond)
 		}
 	}},
 	{"the leader loses the state service and its siblings", func(w *simulation, _ *rand.Rand, d time.Duration) {
@@ -209,16 +209,16 @@
 			during(d, func(on bool) { w.cutOff(i, on) })
 		}
 	}},
-	{"a machine hangs and goes on", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"a machine hangs and goes on", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
-			all[luck.IntN(len(all))].Pause(time.Duration(2+luck.IntN(24)) * time.Second)
+			all[rng.IntN(len(all))].Pause(time.Duration(2+rng.IntN(24)) * time.Second)
 		}
 	}},
-	{"a machine is taken", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(luck.IntN(8)) }},
+	{"a machine is taken", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(rng.IntN(8)) }},
 	{"the cloud is in trouble", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		during(d, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}},
-	{"many reports come again", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"many reports come again", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		w.replayer.SetShare(0.5)
 		time.AfterFunc(d, func() { w.replayer.SetShare(0.1) })
 	}},
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -121,21 +121,21 @@
 			}
 		}
 	}},
-	{"has another process of its name", func(w *simulation, i int, luck *rand.Rand) { w.twin(i, 3*time.Second, finalHoldTime(luck)) }},
-	{"crashes, and the next one stands still at its claim", func(w *simulation, i int, luck *rand.Rand) {
+	{"has another process of its name", func(w *simulation, i int, rng *rand.Rand) { w.twin(i, 3*time.Second, finalHoldTime(rng)) }},
+	{"crashes, and the next one stands still at its claim", func(w *simulation, i int, rng *rand.Rand) {
 		term := w.token()
-		w.crash(i, restartDelay(luck), 0)
+		w.crash(i, restartDelay(rng), 0)
 		waitUntil(20*time.Second, func() bool { return w.token() > term })
 		for _, name := range w.leaders() {
-			w.net.Pause(w.ip(controllerNumber(name)), []time.Duration{time.Second, 5 * time.Second, 15 * time.Second, 21 * time.Second, 30 * time.Second}[luck.IntN(5)])
+			w.net.Pause(w.ip(controllerNumber(name)), []time.Duration{time.Second, 5 * time.Second, 15 * time.Second, 21 * time.Second, 30 * time.Second}[rng.IntN(5)])
 		}
 	}},
-	{"crashes, the next one does, and the first one leads again", func(w *simulation, i int, luck *rand.Rand) {
+	{"crashes, the next one does, and the first one leads again", func(w *simulation, i int, rng *rand.Rand) {
 		for range 2 {
 			term := w.token()
-			w.handOverAll(func(w *simulation, i int, luck *rand.Rand) { w.crash(i, restartDelay(luck), 0) }, luck)
+			w.handOverAll(func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }, rng)
 			waitUntil(20*time.Second, func() bool { return w.token() > term })
-			time.Sleep(time.Duration(luck.IntN(2500)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 		}
 	}},
 }, handovers...)
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -341,10 +341,10 @@
 		m.group.Go(func() { m.atJobEnds(d, 0, func(c *client) { c.readConcurrently(8) }) })
 	}},
 	{"requests are odd", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		luck := rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
+		rng := rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
 		m.group.Go(func() {
-			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Duration(200+luck.IntN(800)) * time.Millisecond) {
-				m.sendMalformed(luck)
+			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Duration(200+rng.IntN(800)) * time.Millisecond) {
+				m.sendMalformed(rng)
 			}
 		})
 	}},
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -126,83 +126,83 @@
 
 // restartFaults restart processes and machines before anybody can notice their absence.
 var restartFaults = []fault{
-	{"a controller crashes", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		w.crash(luck.IntN(w.count), restartDelay(luck), finalHoldTime(luck))
+	{"a controller crashes", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		w.crash(rng.IntN(w.count), restartDelay(rng), finalHoldTime(rng))
 	}},
-	{"a controller crashes five times in 2 s", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		i := luck.IntN(w.count)
+	{"a controller crashes five times in 2 s", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		i := rng.IntN(w.count)
 		for range 5 {
 			w.crash(i, 50*time.Millisecond, 0)
 			time.Sleep(400 * time.Millisecond)
 		}
 	}},
-	{"all controllers crash and are back in another order", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		late := finalHoldTime(luck)
-		for k, i := range luck.Perm(w.count) {
+	{"all controllers crash and are back in another order", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		late := finalHoldTime(rng)
+		for k, i := range rng.Perm(w.count) {
 			back := time.Duration(50+k*100) * time.Millisecond
 			go w.crash(i, back, late)
 		}
 		time.Sleep(time.Second)
 	}},
-	{"all controllers crash again and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"all controllers crash again and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 3 {
-			for _, i := range luck.Perm(w.count) {
-				w.crash(i, restartDelay(luck), 0)
+			for _, i := range rng.Perm(w.count) {
+				w.crash(i, restartDelay(rng), 0)
 			}
-			time.Sleep(time.Duration(200+luck.IntN(3000)) * time.Millisecond)
+			time.Sleep(time.Duration(200+rng.IntN(3000)) * time.Millisecond)
 		}
 	}},
-	{"two controllers swap their roles", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"two controllers swap their roles", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 2 {
 			for _, name := range w.leaders() {
-				w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
+				w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 			}
-			time.Sleep(time.Duration(500+luck.IntN(1500)) * time.Millisecond)
+			time.Sleep(time.Duration(500+rng.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"two processes of one name", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		w.twin(luck.IntN(w.count), time.Duration(50+luck.IntN(3000))*time.Millisecond, finalHoldTime(luck))
+	{"two processes of one name", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		w.twin(rng.IntN(w.count), time.Duration(50+rng.IntN(3000))*time.Millisecond, finalHoldTime(rng))
 	}},
-	{"whoever claims next crashes before the answer", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		w.crashAt("part/", restartDelay(luck))
-		w.crash(luck.IntN(w.count), restartDelay(luck), 0)
+	{"whoever claims next crashes before the answer", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		w.crashAt("part/", restartDelay(rng))
+		w.crash(rng.IntN(w.count), restartDelay(rng), 0)
 	}},
-	{"whoever writes a round next crashes before the answer", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		w.crashAt("ledger/", restartDelay(luck))
+	{"whoever writes a round next crashes before the answer", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		w.crashAt("ledger/", restartDelay(rng))
 	}},
-	{"a controller crashes while another is suspected", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		i := luck.IntN(w.count)
+	{"a controller crashes while another is suspected", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		i := rng.IntN(w.count)
 		w.net.Pause(w.ip(i), 4*time.Second)
-		time.Sleep(time.Duration(2000+luck.IntN(3000)) * time.Millisecond)
-		w.crash((i+luck.IntN(2))%w.count, restartDelay(luck), finalHoldTime(luck))
+		time.Sleep(time.Duration(2000+rng.IntN(3000)) * time.Millisecond)
+		w.crash((i+rng.IntN(2))%w.count, restartDelay(rng), finalHoldTime(rng))
 	}},
-	{"a controller crashes in a rebuild", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		w.crash(luck.IntN(w.count), restartDelay(luck), 0)
-		time.Sleep(time.Duration(luck.IntN(2500)) * time.Millisecond)
+	{"a controller crashes in a rebuild", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		w.crash(rng.IntN(w.count), restartDelay(rng), 0)
+		time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 		for _, name := range w.leaders() {
-			w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
+			w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 		}
 	}},
-	{"a controller crashes while the state service is out", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"a controller crashes while the state service is out", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		during(min(d, 8*time.Second), w.store.SetOutage)
-		time.Sleep(time.Duration(luck.IntN(3000)) * time.Millisecond)
-		w.crash(luck.IntN(w.count), restartDelay(luck), finalHoldTime(luck))
+		time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
+		w.crash(rng.IntN(w.count), restartDelay(rng), finalHoldTime(rng))
 	}},
-	{"a machine restarts", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.rebootFirst(luck, 1) }},
-	{"half of the machines restart", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.rebootFirst(luck, w.cloud.CountRunning()/2) }},
-	{"a machine restarts again and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"a machine restarts", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.rebootFirst(rng, 1) }},
+	{"half of the machines restart", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.rebootFirst(rng, w.cloud.CountRunning()/2) }},
+	{"a machine restarts again and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 4 {
-			w.rebootFirst(luck, 1)
-			time.Sleep(time.Duration(luck.IntN(1500)) * time.Millisecond)
+			w.rebootFirst(rng, 1)
+			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"the holder and machines restart", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"the holder and machines restart", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for _, name := range w.leaders() {
-			w.crash(int(name[2]-'0'), restartDelay(luck), finalHoldTime(luck))
+			w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 		}
-		w.rebootFirst(luck, 3)
+		w.rebootFirst(rng, 3)
 	}},
-	{"users ask again", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.repeatOldRequests(luck) }},
+	{"users ask again", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.repeatOldRequests(rng) }},
 }
 
 // rebootFirst restarts that many of the first machines.
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -151,29 +151,29 @@
 
 // livenessFaults are faults that may not affect polls which are sent after their end.
 var livenessFaults = []fault{
-	{"the holder dies while it folds, and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		for range 1 + luck.IntN(4) {
+	{"the holder dies while it folds, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		for range 1 + rng.IntN(4) {
 			for _, name := range w.leaders() {
-				w.kill(int(name[2]-'0'), time.Duration(50+luck.IntN(450))*time.Millisecond)
+				w.kill(int(name[2]-'0'), time.Duration(50+rng.IntN(450))*time.Millisecond)
 			}
-			time.Sleep(time.Duration(luck.IntN(3000)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 		}
 	}},
-	{"all die at once", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"all die at once", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for i := range 3 {
-			w.kill(i, time.Duration(50+luck.IntN(2000))*time.Millisecond)
+			w.kill(i, time.Duration(50+rng.IntN(2000))*time.Millisecond)
 		}
 	}},
-	{"two are away, and get their parts back", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		first := luck.IntN(3)
+	{"two are away, and get their parts back", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		first := rng.IntN(3)
 		w.kill(first, d)
 		w.kill((first+1)%3, d)
 	}},
 	{"the state service is out, and comes back with leases at full time", func(w *simulation, _ *rand.Rand, d time.Duration) { during(d, w.store.SetOutage) }},
-	{"the state service forgets its changes", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		for range 1 + luck.IntN(20) {
+	{"the state service forgets its changes", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		for range 1 + rng.IntN(20) {
 			w.store.DropHistory()
-			time.Sleep(time.Duration(luck.IntN(800)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 		}
 	}},
 	{"transactions get no answer", func(w *simulation, _ *rand.Rand, d time.Duration) {
@@ -190,13 +190,13 @@
 			})
 		})
 	}},
-	{"one does not hear the state service", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"one does not hear the state service", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) { w.net.DropOneWay("10.2.0.1", ip, on) })
 	}},
-	{"a controller stands still", func(w *simulation, luck *rand.Rand, d time.Duration) { w.net.Pause(w.ip(luck.IntN(3)), d) }},
-	{"a controller is cut off", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"a controller stands still", func(w *simulation, rng *rand.Rand, d time.Duration) { w.net.Pause(w.ip(rng.IntN(3)), d) }},
+	{"a controller is cut off", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) { w.net.SetDown(ip, on) })
 	}},
 }
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -17,7 +17,7 @@
 // fault is a fault that lasts for a while.
 type fault struct {
 	name  string
-	apply func(w *simulation, luck *rand.Rand, d time.Duration)
+	apply func(w *simulation, rng *rand.Rand, d time.Duration)
 }
 
 // during starts a fault and ends it after a while.
@@ -38,16 +38,16 @@
 // time-based rules: any time may pass between reading a clock, using its value and sending a
 // message.
 var stallFaults = []fault{
-	{"a controller stands still", func(w *simulation, luck *rand.Rand, d time.Duration) { w.net.Pause(w.ip(luck.IntN(3)), d) }},
+	{"a controller stands still", func(w *simulation, rng *rand.Rand, d time.Duration) { w.net.Pause(w.ip(rng.IntN(3)), d) }},
 	{"all controllers stand still", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		for i := range 3 {
 			w.net.Pause(w.ip(i), d)
 		}
 	}},
-	{"a controller is slow at each step", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		most, steps := 1+luck.IntN(1500), rand.New(rand.NewPCG(luck.Uint64(), 7))
+	{"a controller is slow at each step", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		most, steps := 1+rng.IntN(1500), rand.New(rand.NewPCG(rng.Uint64(), 7))
 		step := func() time.Duration { return time.Duration(w.draw(steps, most)) * time.Millisecond }
-		ip := w.ip(luck.IntN(3))
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) {
 			if !on {
 				step = nil
@@ -55,61 +55,61 @@
 			w.net.SetStepDelay(ip, step)
 		})
 	}},
-	{"machines hear a controller, which does not hear them", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"machines hear a controller, which does not hear them", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		for _, host := range w.everyMachine() {
 			during(d, func(on bool) { w.net.DropOneWay(host, ip, on) })
 		}
 	}},
-	{"a controller hears machines, which do not hear it", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"a controller hears machines, which do not hear it", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		for _, host := range w.everyMachine() {
 			during(d, func(on bool) { w.net.DropOneWay(ip, host, on) })
 		}
 	}},
-	{"no machine finds a socket, all can be called", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		first, n := luck.IntN(3), 1+luck.IntN(3)
+	{"no machine finds a socket, all can be called", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		first, n := rng.IntN(3), 1+rng.IntN(3)
 		for k := range n {
 			during(d, func(on bool) { w.net.RefuseInbound(w.ip((first+k)%3), on) })
 		}
 	}},
-	{"one machine's answers are lost", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"one machine's answers are lost", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
-			host := hosts[luck.IntN(len(hosts))]
+			host := hosts[rng.IntN(len(hosts))]
 			for i := range 3 {
 				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
 			}
 		}
 	}},
-	{"one machine can only be called", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"one machine can only be called", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
-			host := hosts[luck.IntN(len(hosts))]
+			host := hosts[rng.IntN(len(hosts))]
 			during(d, func(on bool) { w.net.RefuseOutbound(host, on) })
 		}
 	}},
-	{"a machine hangs", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"a machine hangs", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if hosts := w.everyMachine(); len(hosts) > 0 {
-			host := hosts[luck.IntN(len(hosts))]
+			host := hosts[rng.IntN(len(hosts))]
 			during(d, func(on bool) { w.net.SetDown(host, on) })
 		}
 	}},
-	{"the state service's answers to one are lost", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"the state service's answers to one are lost", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) { w.net.DropOneWay("10.2.0.1", ip, on) })
 	}},
-	{"one does not reach the state service", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"one does not reach the state service", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) { w.net.Partition(ip, "10.2.0.1", on) })
 	}},
-	{"controllers don't hear each other", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		a, b := luck.IntN(3), luck.IntN(3)
+	{"controllers don't hear each other", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		a, b := rng.IntN(3), rng.IntN(3)
 		during(d, func(on bool) { w.net.DropOneWay(w.ip(a), w.ip(b), on) })
 	}},
-	{"the cloud is not heard", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		ip := w.ip(luck.IntN(3))
+	{"the cloud is not heard", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) { w.net.DropOneWay("10.2.0.2", ip, on) })
 	}},
-	{"a controller is killed", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.kill(luck.IntN(3), 3*time.Second) }},
+	{"a controller is killed", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.kill(rng.IntN(3), 3*time.Second) }},
 	{"the state service is out", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		during(min(d, 30*time.Second), w.store.SetOutage)
 	}},
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -76,13 +76,13 @@
 // handover is how a controller loses the shards that it leads.
 type handover struct {
 	name  string
-	apply func(w *simulation, holder int, luck *rand.Rand)
+	apply func(w *simulation, holder int, rng *rand.Rand)
 }
 
 // handovers are by the end of the leader, on purpose, and by a partition.
 var handovers = []handover{
-	{"crashes and is back at once", func(w *simulation, i int, luck *rand.Rand) { w.crash(i, restartDelay(luck), 0) }},
-	{"crashes, its last words are held up", func(w *simulation, i int, luck *rand.Rand) { w.crash(i, restartDelay(luck), 20*time.Second) }},
+	{"crashes and is back at once", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }},
+	{"crashes, its last words are held up", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 20*time.Second) }},
 	{"crashes and is back later", func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 25*time.Second, 0) }},
 	{"ends as it is asked to", func(w *simulation, i int, _ *rand.Rand) { w.stopGracefully(i, time.Second) }},
 	{"is refused by the state service", func(w *simulation, i int, _ *rand.Rand) {
@@ -92,12 +92,12 @@
 		during(25*time.Second, func(on bool) { w.isolate(on, i) })
 	}},
 	{"stands still", func(w *simulation, i int, _ *rand.Rand) { w.net.Pause(w.ip(i), 15*time.Second) }},
-	{"crashes, and so does the next", func(w *simulation, i int, luck *rand.Rand) {
+	{"crashes, and so does the next", func(w *simulation, i int, rng *rand.Rand) {
 		term := w.token()
-		w.crash(i, restartDelay(luck), 0)
+		w.crash(i, restartDelay(rng), 0)
 		waitUntil(20*time.Second, func() bool { return w.token() > term })
-		time.Sleep(time.Duration(luck.IntN(3000)) * time.Millisecond)
-		w.handOverAll(func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 10*time.Second, 0) }, luck)
+		time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
+		w.handOverAll(func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 10*time.Second, 0) }, rng)
 	}},
 }
 
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -183,9 +183,9 @@
 		}
 	}, maxRestarts: -1},
 	{name: "the leader is slow at each step", inject: func(s *faultScene) {
-		i, luck := s.leaderIndex(), rand.New(rand.NewPCG(1, 9))
+		i, rng := s.leaderIndex(), rand.New(rand.NewPCG(1, 9))
 		during(30*time.Second, func(on bool) {
-			s.net.SetStepDelay(s.ip(i), map[bool]func() time.Duration{true: func() time.Duration { return time.Duration(s.draw(luck, 400)) * time.Millisecond }}[on])
+			s.net.SetStepDelay(s.ip(i), map[bool]func() time.Duration{true: func() time.Duration { return time.Duration(s.draw(rng, 400)) * time.Millisecond }}[on])
 		})
 	}, maxRestarts: -1},
 	{name: "the leader does not hear the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, false) }},
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -312,14 +312,14 @@
 }
 
 // allControllersRestart ends all controllers, of which one returns first.
-var allControllersRestart = fault{"all end, and one returns", func(w *simulation, luck *rand.Rand, d time.Duration) {
-	first := luck.IntN(w.count)
+var allControllersRestart = fault{"all end, and one returns", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	first := rng.IntN(w.count)
 	for i := range w.count {
 		if i != first {
 			w.kill(i, min(d, 20*time.Second))
 		}
 	}
-	w.crash(first, restartDelay(luck), finalHoldTime(luck))
+	w.crash(first, restartDelay(rng), finalHoldTime(rng))
 }}
 
 // stateAccessFaults are faults in addition to those of restarts: a controller is refused or cut
@@ -333,33 +333,33 @@
 		leader := max(0, w.anyLeader())
 		during(d, func(on bool) { w.isolate(on, leader) })
 	}},
-	{"the leader is cut off, and the next one crashes", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"the leader is cut off, and the next one crashes", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
 		during(d, func(on bool) { w.isolate(on, leader) })
 		for try := 0; try < 40 && (w.anyLeader() == leader || w.anyLeader() < 0); try++ {
 			time.Sleep(500 * time.Millisecond)
 		}
 		if next := w.anyLeader(); next >= 0 && next != leader {
-			w.crash(next, restartDelay(luck), finalHoldTime(luck))
+			w.crash(next, restartDelay(rng), finalHoldTime(rng))
 		}
 	}},
-	{"the leader is cut off, and all others crash", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"the leader is cut off, and all others crash", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
 		during(d, func(on bool) { w.isolate(on, leader) })
 		for i := range w.count {
 			if i != leader {
-				w.crash(i, restartDelay(luck), 0)
+				w.crash(i, restartDelay(rng), 0)
 			}
 		}
 	}},
 	allControllersRestart,
-	{"the leader's other process is cut off", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"the leader's other process is cut off", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
-		w.twin(leader, min(d, 20*time.Second), finalHoldTime(luck))
+		w.twin(leader, min(d, 20*time.Second), finalHoldTime(rng))
 		during(min(d, 25*time.Second), func(on bool) { w.isolate(on, leader) })
 	}},
-	{"the state service is slow, and takes some transactions late", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		slow := time.Duration(luck.IntN(1500)) * time.Millisecond
+	{"the state service is slow, and takes some transactions late", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		slow := time.Duration(rng.IntN(1500)) * time.Millisecond
 		during(d, func(on bool) {
 			w.store.Configure(func(s *simulator.StateService) {
 				if s.ResponseDelay, s.LossShare = nil, 0; on {
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -75,7 +75,7 @@
 type completionFault struct {
 	name         string
 	fate         simulator.Fate
-	apply        func(w *simulation, holder int, luck *rand.Rand)
+	apply        func(w *simulation, holder int, rng *rand.Rand)
 	losesMachine bool // a machine ends too, so that its work may have to be repeated
 }
 
@@ -86,20 +86,20 @@
 	{"the holder crashes, the write is taken", simulator.FateReplyLost, crashLeader, false},
 	{"the holder is cut off with its machines, the write comes late", simulator.FateDelayed, cutLeader, false},
 	{"the holder is cut off with its machines, the write is taken", simulator.FateReplyLost, cutLeader, false},
-	{"the holder crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, holder int, luck *rand.Rand) {
-		w.cloud.RemoveNth(luck.IntN(4))
-		crashLeader(w, holder, luck)
+	{"the holder crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
+		w.cloud.RemoveNth(rng.IntN(4))
+		crashLeader(w, holder, rng)
 	}, true},
-	{"the holder crashes while no machine hears the next one", simulator.FateDropped, func(w *simulation, holder int, luck *rand.Rand) {
+	{"the holder crashes while no machine hears the next one", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
 		w.deafenHosts(w.everyMachine(), 8*time.Second)
 		w.crash(holder, 9*time.Second, 0)
 	}, true},
-	{"another process of the holder's name begins", simulator.FateDropped, func(w *simulation, holder int, luck *rand.Rand) {
-		w.twin(holder, 6*time.Second, finalHoldTime(luck))
+	{"another process of the holder's name begins", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
+		w.twin(holder, 6*time.Second, finalHoldTime(rng))
 	}, false},
 	{"the holder is cut off with its machines, once it has its answer", simulator.FateAnswered, cutLeader, false},
-	{"the holder stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, holder int, luck *rand.Rand) {
-		w.net.Pause(w.ip(holder), time.Duration(5+luck.IntN(40))*time.Second)
+	{"the holder stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, holder int, rng *rand.Rand) {
+		w.net.Pause(w.ip(holder), time.Duration(5+rng.IntN(40))*time.Second)
 	}, true},
 }
 
@@ -256,40 +256,40 @@
 
 // completionDayFaults are additional faults for days of such jobs.
 var completionDayFaults = []fault{
-	{"machines are deaf", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"machines are deaf", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		hosts := w.everyMachine()
-		luck.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-		w.deafenHosts(hosts[:luck.IntN(len(hosts)+1)], d)
+		rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
+		w.deafenHosts(hosts[:rng.IntN(len(hosts)+1)], d)
 	}},
-	{"a holder is cut from the state service and the others", func(w *simulation, luck *rand.Rand, d time.Duration) {
+	{"a holder is cut from the state service and the others", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, name := range w.leaders() {
-			if luck.IntN(2) == 0 {
-				cutLeader(w, controllerNumber(name), luck)
+			if rng.IntN(2) == 0 {
+				cutLeader(w, controllerNumber(name), rng)
 			}
 		}
 	}},
-	{"holders crash", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.crashLeaders(luck) }},
-	{"holders crash, and again", func(w *simulation, luck *rand.Rand, _ time.Duration) {
-		for range 2 + luck.IntN(3) {
-			w.crashLeaders(luck)
-			time.Sleep(time.Duration(luck.IntN(1500)) * time.Millisecond)
+	{"holders crash", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.crashLeaders(rng) }},
+	{"holders crash, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		for range 2 + rng.IntN(3) {
+			w.crashLeaders(rng)
+			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"all controllers end, one returns", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		first := luck.IntN(w.count)
+	{"all controllers end, one returns", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		first := rng.IntN(w.count)
 		for i := range w.count {
 			if i == first {
-				w.kill(i, time.Duration(50+luck.IntN(950))*time.Millisecond)
+				w.kill(i, time.Duration(50+rng.IntN(950))*time.Millisecond)
 			} else {
 				w.kill(i, d)
 			}
 		}
 	}},
-	{"two processes of one name", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		w.twin(luck.IntN(w.count), d/4, finalHoldTime(luck))
+	{"two processes of one name", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		w.twin(rng.IntN(w.count), d/4, finalHoldTime(rng))
 	}},
-	{"writes come late", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		late, done := rand.New(rand.NewPCG(luck.Uint64(), 16)), make(chan struct{})
+	{"writes come late", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		late, done := rand.New(rand.NewPCG(rng.Uint64(), 16)), make(chan struct{})
 		time.AfterFunc(d, func() { close(done) })
 		w.store.Configure(func(s *simulator.StateService) {
 			s.FateOf = func(map[string]wire.Raw) simulator.Fate {
@@ -302,20 +302,20 @@
 			}
 		})
 	}},
-	{"a zone is cut off", func(w *simulation, luck *rand.Rand, d time.Duration) {
-		zone := []string{"a", "b"}[luck.IntN(2)]
+	{"a zone is cut off", func(w *simulation, rng *rand.Rand, d time.Duration) {
+		zone := []string{"a", "b"}[rng.IntN(2)]
 		during(d, func(on bool) { w.net.IsolateZone(zone, on) })
 	}},
-	{"a machine is taken", func(w *simulation, luck *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(luck.IntN(8)) }},
+	{"a machine is taken", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.cloud.RemoveNth(rng.IntN(8)) }},
 	{"the cloud takes nothing back", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		for i := range w.count {
 			during(d, func(on bool) { w.net.Partition(w.ip(i), cloudHost, on) })
 		}
 	}},
-	{"machines restart", func(w *simulation, luck *rand.Rand, _ time.Duration) {
+	{"machines restart", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
-			if luck.IntN(3) == 0 {
-				w.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
+			if rng.IntN(3) == 0 {
+				w.reboot(m.ID, simulator.HostOf(m.Addr), x, rng)
 			}
 		})
 	}},
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -113,91 +113,91 @@
 // zoneFault is a fault of zones, which is over when apply returns.
 type zoneFault struct {
 	name  string
-	apply func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration)
+	apply func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration)
 }
 
 // zoneFaults are the faults of zones.
 var zoneFaults = []zoneFault{
 	{"a zone is cut off", func(r *zoneSimulation, _ *rand.Rand, zone string, d time.Duration) { r.cutOffZones([]string{zone}, d) }},
-	{"a zone goes and comes every 10 s", func(r *zoneSimulation, luck *rand.Rand, zone string, _ time.Duration) {
-		for range 3 + luck.IntN(3) {
+	{"a zone goes and comes every 10 s", func(r *zoneSimulation, rng *rand.Rand, zone string, _ time.Duration) {
+		for range 3 + rng.IntN(3) {
 			r.cutOffZones([]string{zone}, 10*time.Second)
 			time.Sleep(10 * time.Second)
 		}
 	}},
-	{"two zones in turn", func(r *zoneSimulation, luck *rand.Rand, _ string, d time.Duration) {
-		for _, k := range luck.Perm(len(r.zones))[:2] {
+	{"two zones in turn", func(r *zoneSimulation, rng *rand.Rand, _ string, d time.Duration) {
+		for _, k := range rng.Perm(len(r.zones))[:2] {
 			r.cutOffZones([]string{r.zones[k]}, d/2)
-			time.Sleep(time.Duration(luck.IntN(5000)) * time.Millisecond)
+			time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
 		}
 	}},
-	{"two zones at once", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"two zones at once", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
-		time.Sleep(time.Duration(luck.IntN(5000)) * time.Millisecond)
-		r.cutOffZones([]string{r.zones[luck.IntN(len(r.zones))]}, d)
+		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
+		r.cutOffZones([]string{r.zones[rng.IntN(len(r.zones))]}, d)
 	}},
-	{"a zone fails again half way through its return", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"a zone fails again half way through its return", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.cutOffZones([]string{zone}, d)
-		time.Sleep(time.Duration(luck.IntN(30_000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(30_000)) * time.Millisecond)
 		r.cutOffZones([]string{zone}, d/2)
 	}},
-	{"machines of a zone come back restarted", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"machines of a zone come back restarted", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
-		time.Sleep(d - time.Duration(luck.IntN(4000))*time.Millisecond)
-		some := 1 + luck.IntN(3)
+		time.Sleep(d - time.Duration(rng.IntN(4000))*time.Millisecond)
+		some := 1 + rng.IntN(3)
 		r.eachInZone(zone, func(m wire.ListedMachine, x simulator.Machine) {
-			if luck.IntN(3) < some {
-				r.reboot(m.ID, simulator.HostOf(m.Addr), x, luck)
+			if rng.IntN(3) < some {
+				r.reboot(m.ID, simulator.HostOf(m.Addr), x, rng)
 			}
 		})
 		time.Sleep(5 * time.Second)
 	}},
-	{"machines of a zone die while it is cut off", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"machines of a zone die while it is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(d / 2)
 		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) {
-			if luck.IntN(2) == 0 {
+			if rng.IntN(2) == 0 {
 				r.cloud.Crash(m.ID)
 			}
 		})
 		time.Sleep(d - d/2)
 	}},
-	{"the cloud has nothing to give while a zone is cut off", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"the cloud has nothing to give while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.MissingCapacityShare = 1 })
 		r.cutOffZones([]string{zone}, d)
-		time.Sleep(time.Duration(luck.IntN(20_000)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(20_000)) * time.Millisecond)
 		r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.MissingCapacityShare = 0 })
 	}},
-	{"the state service is out in the middle", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"the state service is out in the middle", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() {
-			time.Sleep(time.Duration(luck.Int64N(int64(d))))
+			time.Sleep(time.Duration(rng.Int64N(int64(d))))
 			during(min(d, 20*time.Second), r.store.SetOutage)
 		})
 		r.cutOffZones([]string{zone}, d)
 	}},
-	{"holders crash while a zone is cut off, and when it returns", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"holders crash while a zone is cut off, and when it returns", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
-		time.Sleep(time.Duration(luck.Int64N(int64(d))))
-		r.crashLeaders(luck)
-		time.Sleep(time.Duration(luck.Int64N(int64(d))))
-		r.crashLeaders(luck)
+		time.Sleep(time.Duration(rng.Int64N(int64(d))))
+		r.crashLeaders(rng)
+		time.Sleep(time.Duration(rng.Int64N(int64(d))))
+		r.crashLeaders(rng)
 	}},
-	{"controllers crash again and again while a zone goes", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"controllers crash again and again while a zone goes", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		for end := time.Now().Add(d + 10*time.Second); time.Now().Before(end); {
-			r.crash(luck.IntN(r.count), restartDelay(luck), finalHoldTime(luck))
-			time.Sleep(time.Duration(500+luck.IntN(8000)) * time.Millisecond)
+			r.crash(rng.IntN(r.count), restartDelay(rng), finalHoldTime(rng))
+			time.Sleep(time.Duration(500+rng.IntN(8000)) * time.Millisecond)
 		}
 	}},
-	{"whoever writes a round crashes before the answer", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
+	{"whoever writes a round crashes before the answer", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		for range 3 {
-			time.Sleep(time.Duration(luck.Int64N(int64(d/2 + 1))))
-			r.crashAt("ledger/", restartDelay(luck))
+			time.Sleep(time.Duration(rng.Int64N(int64(d/2 + 1))))
+			r.crashAt("ledger/", restartDelay(rng))
 		}
 	}},
-	{"a zone is dark for one controller alone", func(r *zoneSimulation, luck *rand.Rand, zone string, d time.Duration) {
-		i := luck.IntN(r.count)
+	{"a zone is dark for one controller alone", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+		i := rng.IntN(r.count)
 		var hosts []string
 		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
 		for _, on := range []bool{true, false} {
