--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -21,8 +21,8 @@
 
 // unreturnableMachine are the reasons why a machine cannot be returned to the cloud for a while.
 var unreturnableMachine = []struct {
-	name string
-	cast func(w *simulation)
+	name  string
+	apply func(w *simulation)
 }{
 	{"the cloud is in trouble", func(w *simulation) {
 		during(2*time.Minute, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
@@ -47,13 +47,13 @@
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && k != n {
 				continue // the rest with the longer days
 			}
-			t.Run(fmt.Sprint(x.name, ", held ", held), func(t *testing.T) { delayLaunch(t, x.name, x.cast, held) })
+			t.Run(fmt.Sprint(x.name, ", held ", held), func(t *testing.T) { delayLaunch(t, x.name, x.apply, held) })
 		}
 	}
 }
 
 // delayLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
-func delayLaunch(t *testing.T, name string, cast func(w *simulation), held time.Duration) {
+func delayLaunch(t *testing.T, name string, apply func(w *simulation), held time.Duration) {
 	var hold atomic.Int64
 	var sent, came chan struct{}
 	var told time.Time
@@ -84,7 +84,7 @@
 			told = time.Now()
 			hold.Store(0)
 		}},
-		{0, name, cast},
+		{0, name, apply},
 		{0, "its launch comes", func(w *simulation) {
 			<-came
 			if late := time.Since(told); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
@@ -132,7 +132,7 @@
 	deafen := func() {
 		for i, m := range w.runningMachines() {
 			if i%2 == n%2 {
-				deafened = append(deafened, deaf(d, m)...)
+				deafened = append(deafened, loseInbound(d, m)...)
 			}
 		}
 	}
@@ -184,13 +184,13 @@
 	{"some machines are deaf", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
 			if rng.IntN(3) == 0 {
-				deaf(d, m)
+				loseInbound(d, m)
 			}
 		}
 	}},
 	{"a machine is deaf while the leader ends", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
-			deaf(d, all[rng.IntN(len(all))])
+			loseInbound(d, all[rng.IntN(len(all))])
 		}
 		if i := w.anyLeader(); i >= 0 {
 			time.AfterFunc(time.Duration(rng.IntN(6000))*time.Millisecond, func() { w.kill(i, 3*time.Second) })
@@ -284,7 +284,7 @@
 				job("wk-2", wire.Service, 4, 2, 24*time.Hour, 4*time.Minute)
 				time.Sleep(20 * time.Second)
 				all := w.runningMachines()
-				deaf(3*time.Minute, all[0]) // which is one that they are on
+				loseInbound(3*time.Minute, all[0]) // which is one that they are on
 				before := w.checker.Running("wk-2")
 				if ends {
 					w.kill(w.anyLeader(), 3*time.Second)
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -86,7 +86,7 @@
 type machineAnswer struct {
 	at            time.Time
 	machine, node string
-	term          uint64
+	token         uint64
 }
 
 // answerWatcher records the answers that machines receive, and where tasks are.
@@ -140,12 +140,12 @@
 
 // answersSince counts the answers under a token to some machines since a time, and names the
 // controllers that gave them.
-func (g *answerWatcher) answersSince(from time.Time, term uint64, machines map[string]bool) (n int, by map[string]int) {
+func (g *answerWatcher) answersSince(from time.Time, token uint64, machines map[string]bool) (n int, by map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	by = map[string]int{}
 	for _, a := range g.answers {
-		if machines[a.machine] && a.term == term && !a.at.Before(from) {
+		if machines[a.machine] && a.token == token && !a.at.Before(from) {
 			n++
 			by[a.node]++
 		}
@@ -228,7 +228,7 @@
 	for i := range g.nodes {
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
-	yard := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
+	runtime := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
 	held := func() time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -246,7 +246,7 @@
 				pull = 5 // so that of a gang over both zones some wait for the others
 			}
 			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tappedNetwork{w.net.Host(host), id, w.watcher},
-				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: yard, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: held, FetchFactor: pull})
+				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: held, FetchFactor: pull})
 			w.mu.Lock()
 			w.workers[id] = m
 			w.mu.Unlock()
@@ -311,7 +311,7 @@
 }
 
 // firstLeader returns the leader of the first shard and its fencing token.
-func (w *outageSimulation) firstLeader() (i int, term uint64) {
+func (w *outageSimulation) firstLeader() (i int, token uint64) {
 	items := w.store.Page(store.LeaderKey(""), "", 0).Items
 	if len(items) == 0 {
 		return -1, 0
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -77,8 +77,8 @@
 func (m *faultCombination) pickTarget() {
 	m.target = m.faultRNG.IntN(m.count)
 	if m.faultRNG.IntN(4) > 0 {
-		for _, part := range []string{"fleet", "a", "b"} {
-			if i := m.leaderOf(part); i >= 0 && (part != "a" || m.faultRNG.IntN(2) == 0) {
+		for _, shard := range []string{"fleet", "a", "b"} {
+			if i := m.leaderOf(shard); i >= 0 && (shard != "a" || m.faultRNG.IntN(2) == 0) {
 				m.target = i
 			}
 		}
@@ -227,7 +227,7 @@
 		time.AfterFunc(d, func() { m.replayer.SetShare(0) })
 	}},
 	{"machines are deaf", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		deaf(d, m.pickMachines()...)
+		loseInbound(d, m.pickMachines()...)
 	}},
 	{"machines are cut off", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
 		for _, x := range m.pickMachines() {
@@ -642,12 +642,12 @@
 }
 
 // playCaseRange plays cases as subtests.
-func playCaseRange(t *testing.T, from, to uint64, troubles func(number uint64) []*combinedFault) {
+func playCaseRange(t *testing.T, from, to uint64, faults func(number uint64) []*combinedFault) {
 	t.Run("cases", func(t *testing.T) {
 		for n := from; n < to; n++ {
 			t.Run(fmt.Sprint(n), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { playCombinedFaults(t, n, troubles(n)...) })
+				synctest.Test(t, func(t *testing.T) { playCombinedFaults(t, n, faults(n)...) })
 			})
 		}
 	})
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -587,13 +587,13 @@
 			_, _ = c.Txn(t.Context(), wire.Txn{If: []wire.Condition{{Key: store.SubmissionFenceKey}, {Key: key}}, Then: []wire.Operation{{Put: key, Value: store.BatchRecord{}}}})
 		}
 		time.Sleep(6 * time.Minute)
-		var term uint64
+		var token uint64
 		if page := to.Page(store.FencingTokenKey, "", 0); len(page.Items) == 1 {
-			_ = wire.DecodeValue(page.Items[0].Value, &term)
+			_ = wire.DecodeValue(page.Items[0].Value, &token)
 		}
 		back := slices.DeleteFunc(to.Page(store.BatchKey(""), "", 0).Items, func(it wire.KeyValue) bool { return strings.Contains(it.Key, "/new-") })
-		if status != 200 || len(batches) == 0 || len(back) > 0 || term != 1<<40 {
-			t.Errorf("%d of %d batches are back; the counter of terms is %d", len(back), len(batches), term)
+		if status != 200 || len(batches) == 0 || len(back) > 0 || token != 1<<40 {
+			t.Errorf("%d of %d batches are back; the counter of terms is %d", len(back), len(batches), token)
 		}
 		all := map[string]delayedTally{}
 		l.addTallies(all)
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -36,11 +36,11 @@
 	var once atomic.Bool
 	crash := func(key string) {
 		defer w.group.Done()
-		holders := w.leaders()
+		leaders := w.leaders()
 		for n := range w.count {
-			hit := len(holders) == 0
-			for part, name := range holders {
-				hit = hit || name == fmt.Sprint("c-", n) && strings.Contains(key, "/"+part)
+			hit := len(leaders) == 0
+			for shard, name := range leaders {
+				hit = hit || name == fmt.Sprint("c-", n) && strings.Contains(key, "/"+shard)
 			}
 			if hit {
 				w.crash(n, back, 0)
--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -62,8 +62,8 @@
 	for i := range w.count {
 		all = append(all, fmt.Sprint("c-", i))
 	}
-	holder := fmt.Sprint("c-", w.leaderOf("fleet"))
-	for _, name := range writers.PolicyFor(w.day.count, w.day.writers).Choose(all, func(name string) bool { return name == holder }) {
+	leader := fmt.Sprint("c-", w.leaderOf("fleet"))
+	for _, name := range writers.PolicyFor(w.day.count, w.day.writers).Choose(all, func(name string) bool { return name == leader }) {
 		out = append(out, controllerNumber(name))
 	}
 	return out
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -71,8 +71,8 @@
 					w.handOverAll(handovers[0].apply, rng)
 				}
 				w.finishQuietly(0, 12*time.Minute)
-				if term := w.token(); term < 3 {
-					t.Errorf("the leader has not changed twice: term %d", term)
+				if token := w.token(); token < 3 {
+					t.Errorf("the leader has not changed twice: term %d", token)
 				}
 			})
 		})
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -208,11 +208,11 @@
 
 // newMachineFaults are what happens to new machines when the leader ends.
 var newMachineFaults = []struct {
-	name string
-	cast func(w *simulation, m upMachine)
+	name  string
+	apply func(w *simulation, m upMachine)
 }{
 	{"live on", func(*simulation, upMachine) {}},
-	{"are deaf", func(_ *simulation, m upMachine) { deaf(15*sec, m) }},
+	{"are deaf", func(_ *simulation, m upMachine) { loseInbound(15*sec, m) }},
 	{"are cut off", func(w *simulation, m upMachine) {
 		during(17*sec, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
@@ -237,7 +237,7 @@
 				}
 				by, count, late := []string{"off", "zone"}[(n+f)%2], []int{3, 5}[(n+k)%2], (n+k+f)%3 == 0
 				t.Run(fmt.Sprint(at, " after a write that is ", []string{"answered", "taken", "late"}[f], ", new machines ", x.name, ", parts ", by, ", ", count, ", rentals late: ", late), func(t *testing.T) {
-					playNewMachineDay(t, uint64(300+20*n+4*k+f), at, x.cast, fate, by, count, late)
+					playNewMachineDay(t, uint64(300+20*n+4*k+f), at, x.apply, fate, by, count, late)
 				})
 			}
 		}
@@ -245,8 +245,8 @@
 }
 
 // playNewMachineDay simulates such a day.
-func playNewMachineDay(t *testing.T, seed uint64, at time.Duration, cast func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
-	d := &newMachineDay{seed: seed, endsAfter: at, cast: cast, fate: fate, lateRental: late}
+func playNewMachineDay(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
+	d := &newMachineDay{seed: seed, endsAfter: at, apply: apply, fate: fate, lateRental: late}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
 		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
@@ -260,7 +260,7 @@
 type newMachineDay struct {
 	seed       uint64
 	endsAfter  time.Duration
-	cast       func(*simulation, upMachine) // happens to every second machine
+	apply      func(*simulation, upMachine) // happens to every second machine
 	fate       simulator.Fate               // of the write
 	lateRental bool                         // rentals are carried out without an answer
 	boots      *bootObserver
@@ -279,12 +279,12 @@
 	known, over := map[string]string{}, false
 	w.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-			is, part := recordsLaunch(known, puts)
+			is, shard := recordsLaunch(known, puts)
 			if !is || over {
 				return simulator.FateAnswered
 			}
 			over = true
-			d.launched <- part
+			d.launched <- shard
 			return d.fate
 		}
 	})
@@ -297,9 +297,9 @@
 
 // endLeader waits for the launch, ends the leader, and checks that the service recovers.
 func (d *newMachineDay) endLeader(w *simulation) {
-	part := ""
+	shard := ""
 	select {
-	case part = <-d.launched:
+	case shard = <-d.launched:
 	case <-time.After(time.Minute):
 		w.t.Error("no launch was written")
 		return
@@ -315,10 +315,10 @@
 	d.boots.mu.Unlock()
 	for i, m := range w.runningMachines() {
 		if i%2 == 0 {
-			d.cast(w, m)
+			d.apply(w, m)
 		}
 	}
-	w.crash(max(w.leaderOf(part), w.anyLeader()), 300*time.Millisecond, 0)
+	w.crash(max(w.leaderOf(shard), w.anyLeader()), 300*time.Millisecond, 0)
 	time.Sleep(10 * sec)
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.RentDelay = 0 })
 	time.Sleep(45 * sec)
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -187,8 +187,8 @@
 // may delay what users wait for: the next leader starts once the lease has expired, and knows what
 // runs after rebuildWait.
 var overloadFaults = map[string]struct {
-	cast func(f *overload)
-	took time.Duration
+	apply func(f *overload)
+	took  time.Duration
 }{
 	"calm": {func(*overload) {}, 0},
 	"the leader changes twice": {func(f *overload) {
@@ -219,7 +219,7 @@
 	f.pollGroup.Go(f.sampleUsage)
 	token, begun := f.token(), time.Now()
 	_, changes, _ := f.store.Counts()
-	time.AfterFunc(time.Minute, func() { x.cast(f) })
+	time.AfterFunc(time.Minute, func() { x.apply(f) })
 	f.generate(time.Duration(minutes) * time.Minute)
 	_, after, _ := f.store.Counts()
 	spent := float64(after-changes) / time.Since(begun).Seconds()
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -21,9 +21,9 @@
 }
 
 // during starts a fault and ends it after a while.
-func during(d time.Duration, cast func(on bool)) {
-	cast(true)
-	time.AfterFunc(d, func() { cast(false) })
+func during(d time.Duration, apply func(on bool)) {
+	apply(true)
+	time.AfterFunc(d, func() { apply(false) })
 }
 
 // everyMachine returns the hosts of all machines that are up.
@@ -144,7 +144,7 @@
 // playStallSeed simulates a day with each controller's sharding by its name, and with the given
 // faults in addition to those that all days have. settle, if set, is called before its end.
 func playStallSeed(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
-	troubles := slices.Concat(stallFaults, more)
+	faults := slices.Concat(stallFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	keep := []int{0, 2, 200}[rng.IntN(3)]                 // reports go to the holder, or by the siblings
 	silence := []time.Duration{0, time.Hour}[rng.IntN(2)] // silent machines are released, or time alone proves
@@ -158,7 +158,7 @@
 	}()
 	time.Sleep(10 * time.Second)
 	for range 14 {
-		x := troubles[rng.IntN(len(troubles))]
+		x := faults[rng.IntN(len(faults))]
 		d := time.Duration(1+rng.IntN(60)) * time.Second
 		if os.Getenv("SIM_LOG") != "" {
 			fmt.Fprintln(os.Stderr, time.Now(), x.name, d)
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -67,12 +67,12 @@
 		names[fmt.Sprint("c-", i)] = c.addr(i + 1)
 	}
 	spec := wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1, BootS: 1, Zones: []string{"a", "b"}}
-	yard := simulator.NewTaskRuntime(c.checker, 20*time.Second, 3*time.Second)
+	runtime := simulator.NewTaskRuntime(c.checker, 20*time.Second, 3*time.Second)
 	c.cloud = &simulator.Cloud{Capacity: capacity, BootTime: 100 * time.Millisecond, ListLag: 200 * time.Millisecond, Subnet: c.subnet, Rand: rand.New(rand.NewPCG(1, 3)),
 		Types: []wire.MachineType{spec},
 		Start: func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: spec, Net: sockets, TakeDown: func() {}, Controllers: names,
-				Runtime: yard, Lease: 8 * time.Second, HeartbeatInterval: time.Second})
+				Runtime: runtime, Lease: 8 * time.Second, HeartbeatInterval: time.Second})
 		}}
 	go sockets.Listen(ctx, c.subnet+"200:2379", 1000, c.store.Serve())
 	go sockets.Listen(ctx, c.subnet+"201:8443", 100, c.cloud.Serve())
@@ -624,13 +624,13 @@
 	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
 	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
 	// A takeover: the holder ends, another has claimed.
-	holder, term := c.leader()
+	leader, token := c.leader()
 	begun = time.Now()
-	c.kill(holder)
-	c.waitFor("a takeover", func() bool { _, now := c.leader(); return now > term })
+	c.kill(leader)
+	c.waitFor("a takeover", func() bool { _, now := c.leader(); return now > token })
 	b.ReportMetric(time.Since(begun).Seconds()*1000, "takeover-ms")
-	c.start(holder)
-	c.waitFor("ready", func() bool { return c.ready(holder) })
+	c.start(leader)
+	c.waitFor("ready", func() bool { return c.ready(leader) })
 }
 
 // leader returns the leader of the fleet and its fencing token.
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -59,14 +59,14 @@
 
 // unreachableFaults are the ways in which a machine cannot be reached for a while.
 var unreachableFaults = []struct {
-	name string
-	cast func(w *simulation, m upMachine, d time.Duration)
+	name  string
+	apply func(w *simulation, m upMachine, d time.Duration)
 }{
 	{"cut off", func(w *simulation, m upMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
 	{"hanging", func(_ *simulation, m upMachine, d time.Duration) { m.Pause(d) }},
-	{"deaf", func(_ *simulation, m upMachine, d time.Duration) { deaf(d, m) }},
+	{"deaf", func(_ *simulation, m upMachine, d time.Duration) { loseInbound(d, m) }},
 	{"mute", func(w *simulation, m upMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 	}},
@@ -118,14 +118,14 @@
 }
 
 // handOverAll applies a handover to all leaders.
-func (w *simulation) handOverAll(cast func(w *simulation, holder int, rng *rand.Rand), rng *rand.Rand) {
-	holders := map[int]bool{}
+func (w *simulation) handOverAll(apply func(w *simulation, leader int, rng *rand.Rand), rng *rand.Rand) {
+	leaders := map[int]bool{}
 	for _, name := range w.leaders() {
-		holders[controllerNumber(name)] = true
+		leaders[controllerNumber(name)] = true
 	}
 	for i := range w.count {
-		if each := rand.New(rand.NewPCG(uint64(i), rng.Uint64())); holders[i] {
-			w.group.Go(func() { cast(w, i, each) })
+		if each := rand.New(rand.NewPCG(uint64(i), rng.Uint64())); leaders[i] {
+			w.group.Go(func() { apply(w, i, each) })
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	for _, m := range r.runningMachines() {
 		if has := slices.ContainsFunc(r.cancelled, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !r.c.oneMachineOnly) {
 			lost++
-			unreachableFaults[r.c.unreachableBy].cast(r.simulation, m, r.c.faultLength)
+			unreachableFaults[r.c.unreachableBy].apply(r.simulation, m, r.c.faultLength)
 		}
 	}
 	return lost
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -151,7 +151,7 @@
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: d.setUp, steps: []step{
 		{22 * sec, "a machine is deaf, until its lease is over", func(*simulation) {
 			d.expired = d.machinesInZoneA()[0].id
-			deaf(24*sec, d.machinesInZoneA()[0])
+			loseInbound(24*sec, d.machinesInZoneA()[0])
 		}},
 		{34 * sec, "a machine dies", func(w *simulation) { w.cloud.Crash(d.machinesInZoneA()[1].id) }},
 		{50 * sec, "the leader ends", func(w *simulation) { w.crash(d.leaderOfA(), 300*time.Millisecond, 0) }},
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -101,8 +101,8 @@
 			time.Sleep(40 * time.Second)
 			want := map[string]string{"off": "map[fleet]", "zone": "map[a b]"}[next]
 			held := map[string]bool{}
-			for part := range w.leaders() {
-				held[part] = true
+			for shard := range w.leaders() {
+				held[shard] = true
 			}
 			if got := strings.ReplaceAll(fmt.Sprint(held), ":true", ""); got != want {
 				t.Errorf("set to %s, %v are held, grouping %+v", next, got, w.storedSharding())
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -105,8 +105,8 @@
 }
 
 // leaderOf returns the leader of a shard according to the state service, -1 for none.
-func (w *simulation) leaderOf(part string) int {
-	if name := w.leaders()[part]; name != "" {
+func (w *simulation) leaderOf(shard string) int {
+	if name := w.leaders()[shard]; name != "" {
 		return controllerNumber(name)
 	}
 	return -1
@@ -114,8 +114,8 @@
 
 // anyLeader returns the leader of the fleet, or of some shard of a fleet that is divided.
 func (w *simulation) anyLeader() int {
-	for _, part := range []string{"fleet", "a", "b"} {
-		if i := w.leaderOf(part); i >= 0 {
+	for _, shard := range []string{"fleet", "a", "b"} {
+		if i := w.leaderOf(shard); i >= 0 {
 			return i
 		}
 	}
@@ -174,9 +174,9 @@
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = begin })
 }
 
-// deaf loses everything that is sent to machines for a while, and returns them. Their heartbeats
+// loseInbound loses everything that is sent to machines for a while, and returns them. Their heartbeats
 // still arrive.
-func deaf(d time.Duration, machines ...upMachine) []upMachine {
+func loseInbound(d time.Duration, machines ...upMachine) []upMachine {
 	for _, m := range machines {
 		during(d, m.DropInbound)
 	}
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -29,11 +29,11 @@
 }
 
 // token returns the fencing token of the shard that is listed last.
-func (w *simulation) token() (term uint64) {
+func (w *simulation) token() (token uint64) {
 	for _, it := range w.store.Page(store.FencingTokenKey, "", 0).Items {
-		_ = wire.DecodeValue(it.Value, &term)
+		_ = wire.DecodeValue(it.Value, &token)
 	}
-	return term
+	return token
 }
 
 // startService keeps six tasks running in both zones for a while.
@@ -188,9 +188,9 @@
 			w.net.Partition(w.ip(i), "10.2.0.1", true)
 		}
 		time.Sleep(25 * time.Second)
-		for part, name := range w.leaders() {
+		for shard, name := range w.leaders() {
 			if name != "c-2" {
-				t.Errorf("%s is held by %s, which the store does not hear", part, name)
+				t.Errorf("%s is held by %s, which the store does not hear", shard, name)
 			}
 		}
 		for _, i := range []int{0, 1} {
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -40,7 +40,7 @@
 
 // recordsCompletion reports whether a write is the first to record that a task has ended or a job
 // is done, and in which shard's ledger.
-func recordsCompletion(known map[string]string, puts map[string]wire.Raw) (is bool, part string) {
+func recordsCompletion(known map[string]string, puts map[string]wire.Raw) (is bool, shard string) {
 	for key, raw := range puts {
 		var batch store.BatchRecord
 		var slot store.SegmentRecord
@@ -60,15 +60,15 @@
 		if !ok || wire.DecodeValue(raw, &slot) != nil {
 			continue
 		}
-		part, _, _ = strings.Cut(rest, "/")
-		part, _, _ = strings.Cut(part, "@")
+		shard, _, _ = strings.Cut(rest, "/")
+		shard, _, _ = strings.Cut(shard, "@")
 		for entry, raw := range slot.Entries {
-			if strings.HasPrefix(entry, "p/") && known[part+entry] != string(raw) {
-				known[part+entry], is = string(raw), true
+			if strings.HasPrefix(entry, "p/") && known[shard+entry] != string(raw) {
+				known[shard+entry], is = string(raw), true
 			}
 		}
 	}
-	return is, part
+	return is, shard
 }
 
 // completionFault is what happens to the write of a completion and to the leader that writes it.
@@ -104,13 +104,13 @@
 }
 
 // cutLeader cuts a leader off for a while.
-func cutLeader(w *simulation, holder int, _ *rand.Rand) {
-	during(30*time.Second, func(on bool) { w.cutOff(holder, on) })
+func cutLeader(w *simulation, leader int, _ *rand.Rand) {
+	during(30*time.Second, func(on bool) { w.cutOff(leader, on) })
 }
 
 // crashLeader crashes a leader, which restarts soon.
-func crashLeader(w *simulation, holder int, rng *rand.Rand) {
-	w.crash(holder, restartDelay(rng), finalHoldTime(rng))
+func crashLeader(w *simulation, leader int, rng *rand.Rand) {
+	w.crash(leader, restartDelay(rng), finalHoldTime(rng))
 }
 
 // replayHeartbeats delivers copies of a share of the heartbeats from 2 s to well over a lease
@@ -158,7 +158,7 @@
 }
 
 // faultAtWrite injects a fault at the step-th write of a kind, and reports whether there was one.
-func faultAtWrite(t *testing.T, by string, x completionFault, step int, kind func(known map[string]string, puts map[string]wire.Raw) (is bool, part string)) (met bool) {
+func faultAtWrite(t *testing.T, by string, x completionFault, step int, kind func(known map[string]string, puts map[string]wire.Raw) (is bool, shard string)) (met bool) {
 	seed := uint64(step)
 	rng := rand.New(rand.NewPCG(seed, 14))
 	w := newSimulationOf(t, []int{3, 5}[step%2], seed, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
@@ -166,7 +166,7 @@
 	known, said := map[string]string{}, 0
 	w.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-			is, part := kind(known, puts)
+			is, shard := kind(known, puts)
 			if !is {
 				return simulator.FateAnswered
 			}
@@ -175,7 +175,7 @@
 			}
 			met = true
 			w.group.Go(func() {
-				if i := w.leaderOf(part); i >= 0 {
+				if i := w.leaderOf(shard); i >= 0 {
 					x.apply(w, i, rng)
 				}
 			})
@@ -201,14 +201,14 @@
 }
 
 // recordsLaunch reports whether a write is the first to name a task on a machine.
-func recordsLaunch(known map[string]string, puts map[string]wire.Raw) (is bool, part string) {
+func recordsLaunch(known map[string]string, puts map[string]wire.Raw) (is bool, shard string) {
 	for key, raw := range puts {
 		var slot store.SegmentRecord
 		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
 		if !ok || wire.DecodeValue(raw, &slot) != nil {
 			continue
 		}
-		part, _, _ = strings.Cut(rest, "/")
+		shard, _, _ = strings.Cut(rest, "/")
 		for entry, raw := range slot.Entries {
 			var m store.MachineRecord
 			if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &m) != nil {
@@ -221,7 +221,7 @@
 			}
 		}
 	}
-	return is, part
+	return is, shard
 }
 
 // TestPartitionAtEachLaunch injects a fault at the write of each launch: the next leader finds it
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -21,8 +21,8 @@
 
 // zoneLossKinds are how the machines of a zone are lost; gone says that the cloud ends them.
 var zoneLossKinds = []struct {
-	name string
-	cast func(w *simulation, lost []upMachine, d time.Duration)
+	name  string
+	apply func(w *simulation, lost []upMachine, d time.Duration)
 }{
 	{"die", func(w *simulation, lost []upMachine, _ time.Duration) {
 		for _, m := range lost {
@@ -48,7 +48,7 @@
 		zone := w.cloud.ZoneOf(lost[0].host + ":9000")
 		during(d, func(on bool) { w.net.IsolateZone(zone, on) })
 	}},
-	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { deaf(d, lost...) }},
+	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { loseInbound(d, lost...) }},
 }
 
 // zoneObserver records in which zones the tasks of jobs start.
@@ -106,7 +106,7 @@
 		before[id] = len(b.starts(id))
 	}
 	log("machines of", zone, x.name, "for", d)
-	x.cast(w, lost, d)
+	x.apply(w, lost, d)
 	time.Sleep(max(d, 10*time.Second))
 	w.finishQuietly(100*time.Second, 10*time.Minute)
 	for _, id := range free {
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -94,8 +94,8 @@
 
 // crashLeaders crashes all leaders.
 func (w *simulation) crashLeaders(rng *rand.Rand) {
-	for _, part := range slices.Sorted(maps.Keys(w.leaders())) {
-		if name := w.leaders()[part]; name != "" {
+	for _, shard := range slices.Sorted(maps.Keys(w.leaders())) {
+		if name := w.leaders()[shard]; name != "" {
 			w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 		}
 	}
@@ -331,7 +331,7 @@
 	known, said := map[string]string{}, ""
 	r.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-			is, part, what := recordsZoneChange(known, puts)
+			is, shard, what := recordsZoneChange(known, puts)
 			if !is {
 				return simulator.FateAnswered
 			}
@@ -341,7 +341,7 @@
 			met, said = true, said+" (crash)"
 			back, late := time.Duration(100+rng.IntN(401))*time.Millisecond, finalHoldTime(rng)
 			r.group.Go(func() {
-				if name := r.leaders()[part]; name != "" {
+				if name := r.leaders()[shard]; name != "" {
 					r.crash(int(name[2]-'0'), back, late)
 				}
 			})
