--- a/internal/handover/ranges.go
+++ b/internal/handover/ranges.go
@@ -55,23 +55,23 @@
 		runs := split(s, n, movable)
 		for i := range runs {
 			if runs[i].moves {
-				runs[i].share.Shard = to
-				n -= runs[i].share.To - runs[i].share.From
+				runs[i].tasks.Shard = to
+				n -= runs[i].tasks.To - runs[i].tasks.From
 			}
-			next = append(next, runs[i].share)
+			next = append(next, runs[i].tasks)
 		}
 	}
 	slices.Reverse(next)
 	return Merge(next)
 }
 
-// run is a part of a share whose tasks all move, or all stay.
+// run is a part of a range whose tasks all move, or all stay.
 type run struct {
-	share store.ShardRange
+	tasks store.ShardRange
 	moves bool
 }
 
-// split divides a share into runs, from its end on, of which up to n tasks move.
+// split divides a range into runs, from its end on, of which up to n tasks move.
 func split(s store.ShardRange, n int, movable func(index int) bool) (runs []run) {
 	for end := s.To; end > s.From; {
 		begin := end - 1
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	fence := wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version}
-	return h.quota.Propose(fence, h.allTeams(), h.teamUsage())
+	return h.quota.Propose(fence, quota.Teams(h.cfg.Teams, h.liveJobs), h.teamUsage())
 }
 
 // GrantsSettled takes in that a change of grants is over, whether it was taken or not, and the record as it
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -6,6 +6,7 @@
 
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/handover"
+	"amberdeal.example/amberdeal/internal/quota"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
@@ -57,7 +58,7 @@
 	if !h.sharding.IsSingle() {
 		used = h.teamUsage()
 	}
-	for _, t := range h.allTeams() {
+	for _, t := range quota.Teams(h.cfg.Teams, h.liveJobs) {
 		team := &scheduler.Team{GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs, LimitCPUs: t.CPUsMax, LimitGPUs: t.GPUsMax}
 		if !h.sharding.IsSingle() {
 			h.quota.Apply(now, t.Name, team, used[t.Name])
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -153,3 +154,22 @@
 		t.Errorf("only %d changes were taken", rec.Version)
 	}
 }
+
+// TestTeams: a team that has left the settings keeps a limit for its largest job while it has live ones, and the settings
+// are not changed.
+func TestTeams(t *testing.T) {
+	job := func(team string, shape wire.Shape, tasks int) *store.LiveJob {
+		return &store.LiveJob{Record: store.JobRecord{Job: &wire.Job{Team: team, Shape: shape, Tasks: tasks, CPUs: 2, GPUs: 1}}}
+	}
+	settings := make([]config.Team, 1, 8)
+	settings[0] = config.Team{Name: "red", GPUsMax: 32}
+	live := map[string]*store.LiveJob{"wk-1": job("red", wire.Gang, 99), "wk-2": job("gone", wire.Gang, 4), "wk-3": job("gone", wire.Array, 50), "wk-4": job("away", wire.Array, 50)}
+	got := Teams(settings, live)
+	want := []config.Team{{Name: "red", GPUsMax: 32}, {Name: "away", CPUsMax: 2, GPUsMax: 1}, {Name: "gone", CPUsMax: 8, GPUsMax: 4}}
+	if !slices.Equal(got, want) {
+		t.Errorf("%+v", got)
+	}
+	if settings[:2][1].Name != "" {
+		t.Errorf("the settings hold %+v", settings[:2][1])
+	}
+}
