--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -16,8 +16,8 @@
 	rejected RejectedHeartbeats
 }
 
-// Status gives the part's status, no older than the counts. Its maps are shared and
-// never changed.
+// Status returns the shard's status, no older than the task counts. Its maps are shared and never
+// changed.
 func (h *Leader) Status(now time.Time) ShardStatus {
 	counts := h.TaskCounts(now)
 	h.mu.Lock()
@@ -25,8 +25,17 @@
 	if h.display.status.Counts != nil && now.Sub(h.display.statusAt) < statusInterval {
 		return h.display.status
 	}
-	s := ShardStatus{Term: h.lease.FencingToken, Counts: counts, Wants: maps.Clone(h.quota.Forecast().Demands), Used: resourcePairs(h.teamUsage()), Stays: h.quota.Forecast().Services, Zones: h.monitor.ZoneHealth(now), Machines: len(h.fleet.Machines()), Ready: h.forecast.readyGangs}
-	s.Tiers = h.tierStatuses()
+	s := ShardStatus{
+		Term:     h.lease.FencingToken,
+		Counts:   counts,
+		Wants:    maps.Clone(h.quota.Forecast().Demands),
+		Used:     resourcePairs(h.teamUsage()),
+		Stays:    h.quota.Forecast().Services,
+		Zones:    h.monitor.ZoneHealth(now),
+		Machines: len(h.fleet.Machines()),
+		Ready:    h.forecast.readyGangs,
+		Tiers:    h.tierStatuses(),
+	}
 	if h.rebuiltReachable {
 		s.Rooms = h.forecast.freeCapacity
 	}
@@ -37,8 +46,8 @@
 	return s
 }
 
-// SetPeerShards takes in how the other parts stand, and how many siblings pass reports on to
-// this controller.
+// SetPeerShards records the statuses of the other shards, and how many peers forward heartbeats to this
+// controller.
 func (h *Leader) SetPeerShards(shards map[string]ShardStatus, ingestPeers int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +57,7 @@
 	h.detector.SetPeers(peerZones(shards))
 }
 
-// Rebuilt reports whether all machines have been accounted for under this term.
+// Rebuilt reports whether all machines have been accounted for under this token.
 func (h *Leader) Rebuilt() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -58,12 +67,11 @@
 // TaskCount is how many tasks of a job run and are done, for display.
 type TaskCount struct{ Running, Done int }
 
-// statusInterval is how old the counts may be: users expect no more of them than to
+// statusInterval is how old the counts and the status may be: users expect no more of them than to
 // follow within a few seconds.
 const statusInterval = time.Second
 
-// TaskCounts gives the counts of all live jobs that have any. The map is shared and
-// never changed.
+// TaskCounts returns the counts of all live jobs that have any. The map is shared and never changed.
 func (h *Leader) TaskCounts(now time.Time) map[string]TaskCount {
 	h.mu.Lock()
 	defer h.mu.Unlock()
