--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -646,17 +646,7 @@
 	m.uncancelledTasks, m.uncancelledKilled = len(rest), -w.watcher.goneCount(rest)
 	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
 	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancel - g.lease + time.Second) })
-	w.playOutage(w.ip(leader), true)
-	w.mu.Lock()
-	m.lastRenewalAfter = w.leaseRenewedAt[leader].Sub(refused)
-	w.mu.Unlock()
-	w.setReadsBlocked(leader, false)
-	if g.secondOutageAfter > 0 {
-		time.Sleep(g.secondOutageAfter)
-		w.store.RefuseCaller(w.ip(leader), true)
-		time.Sleep(time.Second)
-		w.playOutage(w.ip(leader), false)
-	}
+	m.lastRenewalAfter = w.playOutages(leader).Sub(refused)
 	m.uncancelledKilled += w.watcher.goneCount(rest)
 	time.Sleep(max(0, g.cancel+15*time.Second-time.Since(confirmed))) // delayed messages and images have arrived
 	from := confirmed
@@ -711,6 +701,23 @@
 	return confirmed
 }
 
+// playOutages stages the outages of the case, and returns when the leader's lease was last renewed
+// before the end of the first.
+func (w *outageSimulation) playOutages(leader int) (lastRenewal time.Time) {
+	w.playOutage(w.ip(leader), true)
+	w.mu.Lock()
+	lastRenewal = w.leaseRenewedAt[leader]
+	w.mu.Unlock()
+	w.setReadsBlocked(leader, false)
+	if after := w.outageCase.secondOutageAfter; after > 0 {
+		time.Sleep(after)
+		w.store.RefuseCaller(w.ip(leader), true)
+		time.Sleep(time.Second)
+		w.playOutage(w.ip(leader), false)
+	}
+	return lastRenewal
+}
+
 // finishCase ends all faults, cancels the remaining jobs, and checks the rules.
 func (w *outageSimulation) finishCase(leader int, others []int, rest []string, m *outageResult) {
 	w.partitionMachines(leader, others, false)
