--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment plays a matrix of worlds, loads, settings and seeds, each cell in a world of
-// its own with real controllers, and keeps what came of each: one file a cell, so that a
-// run that was broken off goes on where it stopped, two columnar files, and a report.
+// Package experiment runs a matrix of clusters, loads, settings and seeds, each cell in an
+// emulated cluster of its own with real controllers. It keeps the outcome of each cell in a file,
+// so that an interrupted run resumes where it stopped, and writes two columnar files and a report.
 package experiment
 
 import (
@@ -26,13 +26,12 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// Plan is what an experiment consists of. Files are named as in the experiment's file,
-// relative to it.
+// Plan describes an experiment. Files are named as in the experiment's file, relative to it.
 type Plan struct {
 	Dir      string // of the experiment's file
 	Worlds   []string
 	Mixes    []string
-	Settings []string // of operators; "none" for the defaults
+	Settings []string // operators' files; "none" for the defaults
 	Seeds    []uint64
 	Parallel int
 	Port     int
@@ -63,7 +62,7 @@
 	return fmt.Sprintf("%s, %s, %s, seed %d", c.World, c.Mix, c.Settings, c.Seed)
 }
 
-// Sample is how a world stood at a second.
+// Sample is the state of a cluster at one second.
 type Sample struct {
 	Cell
 	TimeS        float64 `json:"t_s" parquet:"t_s"`
@@ -76,7 +75,7 @@
 	FencingToken uint64  `json:"term" parquet:"term"`
 }
 
-// ClassRow is what became of a class in a cell, in milliseconds.
+// ClassRow is the result of a class of jobs in a cell, in milliseconds.
 type ClassRow struct {
 	Cell
 	Class     string `parquet:"class,dict"`
@@ -94,7 +93,7 @@
 	FinishP99 int64  `parquet:"finish_p99_ms"`
 }
 
-// Outcome is what came of a cell.
+// Outcome is the result of a cell.
 type Outcome struct {
 	Cell     Cell                   `json:"cell"`
 	Result   *load.Result           `json:"result"`
@@ -221,17 +220,18 @@
 	return out
 }
 
-// Runner plays a plan.
+// Runner runs a plan.
 type Runner struct {
 	Plan    *Plan
-	Out     string // where the files go
-	Program string // the path of amberdeal
+	Out     string // directory of the results
+	Program string // path of the amberdeal binary
 	Log     *slog.Logger
-	// Progress is told when a cell is over, of how many, and whether it had been played before.
+	// Progress is called when a cell is over, with how many of all are over, and whether it had been
+	// complete before.
 	Progress func(c Cell, over, all int, before bool)
 }
 
-// Run plays every cell that was not played yet, and gives what came of all.
+// Run runs every cell that is not complete yet, and returns the outcomes of all.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
 		return nil, err
@@ -300,7 +300,7 @@
 	return os.Rename(path+".part", path)
 }
 
-// Read gives the outcomes that are in a directory.
+// Read returns the outcomes of a directory.
 func Read(dir string) (out []*Outcome, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "cell-*.json"))
 	if err != nil || len(paths) == 0 {
@@ -374,7 +374,7 @@
 	return o, err
 }
 
-// sample notes each second how the world stands.
+// sample records the cluster's state each second.
 func (o *Outcome) sample(ctx context.Context, w *emulator.Cluster) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -81,8 +81,8 @@
 	SVG   template.HTML
 }
 
-// Report writes a page that needs nothing else, with tables and plots. against are outcomes of
-// another run, which are shown beside.
+// Report writes a self-contained page with tables and plots. against are outcomes of another run,
+// which are shown beside them.
 func Report(path string, all, against []*Outcome) error {
 	for _, o := range against {
 		o.Cell.Settings = "other run: " + o.Cell.Settings
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -1,7 +1,7 @@
-// Package load is open-loop load on a running service: jobs come when a described mix has them
-// come, however the service does, and are followed until they are over. Times count from when
-// a job was meant to be sent, so that a service which stands still doesn't hide behind
-// requests that were never made.
+// Package load generates open-loop load on a running service: jobs are submitted at the times that
+// a described mix gives them, however the service responds, and are followed until they are over.
+// Times count from when a job was due to be sent, so that a service that does not respond cannot
+// hide behind requests that were never made.
 package load
 
 import (
--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which machines hear nothing, direct calls are held up and old reports come after
+// Days on which machines receive nothing, direct calls are delayed and old heartbeats arrive after
 // newer ones, while the leader changes.
 
 // unreturnableMachine are the reasons why a machine cannot be returned to the cloud for a while.
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -59,7 +59,7 @@
 	"deaf",          // every second machine hears no controller, for a while
 	"crash",         // the siblings crash and are back in 0.1 s
 	"crash-leader",  // the holder does
-	"still",         // the holder stands still for a while, between a check and what it sends
+	"still",         // the leader is paused for a while, between a check and what it sends
 	"still-twice",   // and again, for longer
 	"slow",          // the holder is slow at each step
 	"cloud",         // the cloud answers nothing but 503
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -85,7 +85,7 @@
 	}
 	k := launchKey{task, attempt}
 	if !l.firstSent[k].IsZero() {
-		return // once decided, it is sent until the machine is heard
+		return // a launch is repeated until the next heartbeat of its machine
 	}
 	l.firstSent[k], l.newestSent[task] = now, now
 	told, ok := l.cancelled[task.Job]
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -1,4 +1,4 @@
-// Package top is what a controller tells of a running fleet at a glance, and how that is shown.
+// Package top defines what a controller reports about a running fleet, and prints it for people.
 package top
 
 import (
