--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -106,7 +106,7 @@
 		return false, nil
 	case store.KindFencingToken:
 		if err := wire.DecodeValue(it.Value, &w.token); err != nil {
-			return false, fmt.Errorf("%s: %w", it.Key, err)
+			return false, fmt.Errorf("decode %s: %w", it.Key, err)
 		}
 		return false, nil
 	default:
@@ -126,7 +126,7 @@
 	}
 	var rec store.BatchRecord
 	if err := wire.DecodeValue(it.Value, &rec); err != nil {
-		return nil, fmt.Errorf("%s: %w", it.Key, err)
+		return nil, fmt.Errorf("decode %s: %w", it.Key, err)
 	}
 	rec.Since = 0
 	return rec, nil
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -98,8 +98,8 @@
 func noImportProgress(int, int)    {}
 
 // TestExportAndImport takes a state out and puts it into an empty service: all of
-// it is there, in the same order, under a term above all that workers have seen,
-// and nobody holds it.
+// it is there, in the same order, under a fencing token above all that workers have seen,
+// and no shard has a leader.
 func TestExportAndImport(t *testing.T) {
 	from, to := sample(t), newFakeService()
 	items, revision, err := Export(t.Context(), from, noExportProgress)
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math"
 	"time"
 
@@ -86,7 +87,7 @@
 	for !c.hasSpareWrites(n, begun) {
 		sleep(ctx, spareCheckInterval)
 		if err := ctx.Err(); err != nil {
-			return err
+			return fmt.Errorf("wait for spare changes: %w", err)
 		}
 	}
 	return nil
