--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,8 +22,12 @@
 		t.Fatal(err)
 	}
 	for _, g := range strings.Split(string(text), "\n\n") {
-		if l := strings.Split(strings.Trim(g, "\n"), "\n"); len(l) == 4 { // or what the file says of itself
+		l := strings.Split(strings.Trim(g, "\n"), "\n")
+		switch {
+		case len(l) == 4:
 			out = append(out, guard{strings.TrimPrefix(l[0], "# "), l[1], strings.TrimPrefix(l[2], "- "), strings.TrimPrefix(l[3], "+ ")})
+		case strings.Contains(g, "\n- "): // a heading has no such line
+			t.Errorf("a guard of %d lines, of 4 demanded: %q", len(l), g)
 		}
 	}
 	return out
