--- a/amberdeal.go
+++ b/amberdeal.go
@@ -2,7 +2,7 @@
 // a controller from its settings, Run serves until the context ends.
 //
 // Each controller answers users and workers; one of them at a time holds the
-// fleet, through a lease on the state service and a term that only rises, and
+// fleet, through a lease on the state service and a fencing token that only rises, and
 // decides what runs where. See docs/design.md.
 package amberdeal
 
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -142,7 +142,7 @@
 
 // TestLateSubmissionAfterFold: a submission that had no answer is held up for
 // minutes. Its user has sent it to another controller, the job was cancelled and
-// folded away, so that its keys are absent again when the first copy arrives.
+// compacted away, so that its keys are absent again when the first copy arrives.
 func TestLateSubmissionAfterFold(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		s.Configure(func(s *simulator.StateService) {
@@ -249,7 +249,7 @@
 	})
 }
 
-// TestBacklogIsBounded: where folding falls behind, no more jobs are accepted, at
+// TestBacklogIsBounded: where compaction falls behind, no more jobs are accepted, at
 // once and with when to come back; all else is answered, and it recovers.
 func TestBacklogIsBounded(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
@@ -409,7 +409,7 @@
 }
 
 // TestAnotherBody: a submission that comes again with a body that would be refused is that of
-// the accepted job, be it accepted elsewhere just now or folded long ago, and so is a
+// the accepted job, be it accepted elsewhere just now or compacted long ago, and so is a
 // cancellation that comes again.
 func TestAnotherBody(t *testing.T) {
 	two(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
@@ -436,7 +436,7 @@
 }
 
 // TestDoubtHidesNoHistory: while a batch is there that nobody understands, jobs that were
-// folded before are still answered by a controller that has none of them in memory; what is not known
+// compacted before are still answered by a controller that has none of them in memory; what is not known
 // may be in that batch.
 func TestDoubtHidesNoHistory(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
@@ -476,7 +476,7 @@
 }
 
 // TestLateSubmissionBeforeGate: the same, while the gate has not moved: the late copy is taken, for
-// its key is absent again. What was folded goes before it: the job does not come back, is not
+// its key is absent again. What was compacted goes before it: the job does not come back, is not
 // answered otherwise, and goes into the history only once the gate has moved.
 func TestLateSubmissionBeforeGate(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
--- a/internal/ingest/frozen_test.go
+++ b/internal/ingest/frozen_test.go
@@ -1,6 +1,6 @@
 package ingest
 
-// The types of this file are copies of what an edge and a holder send each other, as it
+// The types of this file are copies of what an edge and a leader send each other, as it
 // was when the files in testdata/golden were written. They are never renamed along with the
 // types that they were copied from: their field names are what is on the wire.
 
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestDeltaCodecOmitsUnchanged: a report that says the same as the machine's last one is whole
-// again on the other side, after a change, an end, a new session and a new stream too.
+// again on the other side, after a change, an end, a new incarnation and a new stream too.
 func TestDeltaCodecOmitsUnchanged(t *testing.T) {
 	var got *wire.Heartbeat
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return worker.HeartbeatResult{Leader: "c-2"} }, func(ctx context.Context, l *link) {
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -188,7 +188,7 @@
 }
 
 // sizes runs a benchmark at several numbers of machines and of parts, to see how the cost
-// grows for one of the holders.
+// grows for one of the leaders.
 func sizes(b *testing.B, run func(b *testing.B, c *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
 		for _, parts := range []int{1, 3, 5} {
@@ -235,7 +235,7 @@
 	}
 }
 
-// BenchmarkTakeover reads the ledger of a full fleet, as a new holder does.
+// BenchmarkTakeover reads the ledger of a full fleet, as a new leader does.
 func BenchmarkTakeover(b *testing.B) { sizes(b, benchTakeover) }
 
 func benchTakeover(b *testing.B, c *largeFleet) {
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestHandedOverTaskIsNotInTwoLedgers: a task ran in part a, whose claim has the higher term, ended
+// TestHandedOverTaskIsNotInTwoLedgers: a task ran in part a, whose claim has the higher fencing token, ended
 // without being done, and was given to part b, which runs it with a lower attempt. Then the
 // state is divided anew, which goes by the attempts that the ledgers name: part a must
 // not take for its own, and start again, what runs in part b.
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestGangIsDoneInPieces: one of two parts has said that its tasks of a gang are done, and the
+// TestGangIsDoneInPieces: one of two shards has said that its tasks of a gang are done, and the
 // state becomes one part. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
 func TestGangIsDoneInPieces(t *testing.T) {
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -25,7 +25,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The model: two controllers, a fleet in two parts with a machine in each, one job, and a
+// The model: two controllers, a fleet in two shards with a machine in each, one job, and a
 // store whose every answer may be late or lost. Each step is one thing that happens
 // anywhere. The very state machines of the product take part; all orders of so many
 // steps are tried, and states that were met before are left alone. Time stands still:
@@ -137,7 +137,7 @@
 			m.workers[zone].runs[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
 		m.claim(m.controllers[i], zone)
-		m.report(m.controllers[i], m.workers[zone]) // raises the term there
+		m.report(m.controllers[i], m.workers[zone]) // raises the fencing token there
 		m.report(m.controllers[i], m.workers[zone])
 	}
 	return m
@@ -433,7 +433,7 @@
 		m.sync(n)
 		h.GrantsSettled(n.view.Snapshot().QuotaGrants)
 		h.grantChange = nil
-	case "lose": // the lease has run out; the holder does not know yet
+	case "lose": // the lease has run out; the leader does not know yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
 	case "die": // and its transactions are still on their way
 		if h.draft != nil {
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -17,8 +17,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The model with time: a fleet in one part, a controller that leads and one that may take
-// over, two machines, one job, and a state service that refuses one controller or all. Holder,
+// The model with time: a fleet in one shard, a controller that leads and one that may take
+// over, two machines, one job, and a state service that refuses one controller or all. Leader,
 // View, Claim and the worker's Core are the product's; what lies between them is up to
 // the search. Time goes in steps of a third of a lease, so that the bounds lie between steps,
 // and each statement has an age: a worker's lease, the controller's, what is surely
@@ -417,7 +417,7 @@
 			m.read(1)
 		}
 	}
-	for _, c := range m.nodes { // the duties of a holder go on whatever the store does
+	for _, c := range m.nodes { // the duties of a leader go on whatever the store does
 		if c.leader != nil && !c.dead {
 			c.leader.Reconcile(m.now, c.view.Snapshot())
 		}
@@ -478,7 +478,7 @@
 	return w.core.Heartbeat(), ok
 }
 
-// call makes a holder's direct calls; lost ones are on their way.
+// call makes a leader's direct calls; lost ones are on their way.
 func (m *timedModel) call(i int, lost bool) {
 	c := m.nodes[i]
 	for _, k := range c.leader.dueCalls(m.now, c.claim.LeaseValid(m.now), maxOpenCalls) {
@@ -513,7 +513,7 @@
 	}
 }
 
-// decide has a holder decide a round.
+// decide has a leader decide a round.
 func (m *timedModel) decide(i int) {
 	c := m.nodes[i]
 	c.draft = c.leader.Decide(m.now, c.view.Snapshot())
@@ -536,7 +536,7 @@
 	}
 }
 
-// commit has the service carry a holder's round out, as write does.
+// commit has the service carry a leader's round out, as write does.
 func (m *timedModel) commit(i int) {
 	c := m.nodes[i]
 	d := c.draft
--- a/internal/leader/round_size_test.go
+++ b/internal/leader/round_size_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestRoundFitsTheBurst: far more jobs have ended than a round has changes for, as after a change of
-// the leader in a flood of small jobs. A round takes no more of them than a holder's share of the changes
+// the leader in a flood of small jobs. A round takes no more of them than a leader's share of the changes
 // has for a second: what is more is refused by the service again and again, while the others spend their own.
 func TestRoundFitsTheBurst(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -24,7 +24,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// traceDriver is a holder with its view, driven by the steps of a trace.
+// traceDriver is a leader with its view, driven by the steps of a trace.
 type traceDriver struct {
 	t               *testing.T
 	now             time.Time
@@ -33,7 +33,7 @@
 	revision        uint64
 	draft           *Draft
 	open            []*fleet.Placement  // launched by direct calls that are not answered yet
-	previousSlot    store.SegmentRecord // what an earlier holder has left in the ledger
+	previousSlot    store.SegmentRecord // what an earlier leader has left in the ledger
 	slot            int                 // where
 	cfg             *config.Config
 	shard           string // that is claimed
@@ -129,7 +129,7 @@
 		r := l.Batch.Update()
 		r.EndJob(w[1], wire.Cancelled, b.now)
 		b.apply(r.Change())
-	case "fold": // the holder has moved jobs out of their homes
+	case "fold": // the leader has moved jobs out of their homes
 		b.compact(w[1:])
 	case "machine":
 		rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
@@ -139,7 +139,7 @@
 		b.addToPreviousSlot(store.MachineEntry(w[1], rec))
 	case "ask":
 		b.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
-	case "zone": // its state, as an earlier holder has left it
+	case "zone": // its state, as an earlier leader has left it
 		b.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Outages: num("falls", 1)}))
 	case "zones":
 		var out []string
@@ -148,7 +148,7 @@
 			out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
 		}
 		return out
-	case "return": // of a zone, as an earlier holder has left it
+	case "return": // of a zone, as an earlier leader has left it
 		b.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Work: float64(num("work", 0))}))
 	case "returns":
 		var out []string
@@ -190,7 +190,7 @@
 		b.previousSlot, b.slot = store.SegmentRecord{}, 0
 	case "small": // values may hold little more than they do
 		b.cfg.Store.ValueBytes = 500
-	case "carried": // another part has taken over what is of its machines
+	case "carried": // another shard has taken over what is of its machines
 		b.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], b.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: b.view.Sharding().Record.Generation}})
 	case "finished": // tasks of a job, as the ledger says
 		done := store.NewTaskSet(0)
@@ -211,12 +211,12 @@
 			r.SetCoAllocation(w[1], hi<<24|lo)
 		}
 		b.apply(r.Change())
-	case "gave": // another part has given what it had of a job to this one
+	case "gave": // another shard has given what it had of a job to this one
 		l, _ := b.view.Live(w[1])
 		r := l.Batch.Update()
 		r.AssignRanges(w[1], parseShares(b.t, w[2:]), b.view.Sharding().Record.Generation)
 		b.apply(r.Change())
-	case "done": // another part has finished all that it has of a job, of which the record says no more
+	case "done": // another shard has finished all that it has of a job, of which the record says no more
 		l, _ := b.view.Live(w[1])
 		r := l.Batch.Update()
 		r.MarkFinishedIn(w[1], store.LedgerName(w[2], b.view.Sharding().Record.Generation))
@@ -226,7 +226,7 @@
 		r := l.Batch.Update()
 		r.AssignRanges(w[1], parseShares(b.t, w[2:]), 0)
 		b.apply(r.Change())
-	case "others": // what another part has said of itself
+	case "others": // what another shard has said of itself
 		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
 			Zones: map[string]reachability.ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
 		if kv["ready"] != "" {
@@ -270,13 +270,13 @@
 		return b.report(w, kv["zone"], uint64(num("term", 0)), tasks)
 	case "round":
 		return b.round(w[1:])
-	case "raises": // calls that a sibling may make
+	case "raises": // calls that a peer may make
 		var out []string
 		for _, c := range b.leader.FencingCalls(b.now, num("most", 9)) {
 			out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
 		}
 		return out
-	case "raised": // by a sibling, in vain or with a report
+	case "raised": // by a peer, in vain or with a report
 		if slices.Contains(w, "vain") {
 			b.leader.FencingCallDone(b.now, w[1], nil)
 			break
@@ -336,7 +336,7 @@
 	case "released": // the cloud has acknowledged it
 		b.leader.fleet.MarkReleased(w[1])
 		b.leader.forgetMachine(w[1], "released")
-	case "ending": // jobs that must not be folded yet
+	case "ending": // jobs that must not be compacted yet
 		jobs, ok := b.leader.UnfinishedJobs()
 		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
 	case "calls": // to machines, one after the other, all of which have the same end
@@ -345,7 +345,7 @@
 		}
 	case "unreached": // whether hardly any call gets through to machines that are heard
 		return []string{fmt.Sprint(b.leader.CallsFailing(b.now))}
-	case "deaf": // how many machines the holder does not hear, by no fault of theirs
+	case "deaf": // how many machines the leader does not hear, by no fault of theirs
 		return []string{fmt.Sprint(b.leader.UnreachableMachines(b.now))}
 	case "show":
 		return b.show()
@@ -386,7 +386,7 @@
 	b.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
-// addToPreviousSlot puts an entry into the ledger, as an earlier holder did.
+// addToPreviousSlot puts an entry into the ledger, as an earlier leader did.
 func (b *traceDriver) addToPreviousSlot(e store.Entry) {
 	if b.previousSlot.Entries == nil {
 		b.previousSlot.Entries = map[string]wire.Raw{}
@@ -564,7 +564,7 @@
 	return out
 }
 
-// TestTraces plays the kept traces of the holder.
+// TestTraces plays the kept traces of the leader.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
@@ -656,7 +656,7 @@
 
 // TestNoLaunchWithoutRecord: records that do not divide well into the slots of a round
 // may leave one over. A launch whose machine's record is not in the transaction must not
-// be said: the next holder would not know of it. Smaller rounds are decided until all fit.
+// be said: the next leader would not know of it. Smaller rounds are decided until all fit.
 func TestNoLaunchWithoutRecord(t *testing.T) {
 	squeezed := 0
 	for tasks := 8; tasks <= 22; tasks++ {
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -115,7 +115,7 @@
 		for _, m := range w.runningMachines() {
 			during(50*time.Second, func(on bool) { w.net.Partition(w.ip(i), m.host, on) })
 		}
-		for k := range w.count { // nor by what its siblings pass on
+		for k := range w.count { // nor by what its peers pass on
 			if k != i {
 				during(50*time.Second, func(on bool) { w.net.DropOneWay(w.ip(i), w.ip(k), on) })
 			}
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -57,22 +57,22 @@
 	"both",          // two controllers are asked to cancel at once
 	"late",          // the transactions of cancellations have no answer, and are carried out a second later
 	"deaf",          // every second machine hears no controller, for a while
-	"crash",         // the siblings crash and are back in 0.1 s
-	"crash-leader",  // the holder does
+	"crash",         // the peers crash and are back in 0.1 s
+	"crash-leader",  // the leader does
 	"still",         // the leader is paused for a while, between a check and what it sends
 	"still-twice",   // and again, for longer
-	"slow",          // the holder is slow at each step
+	"slow",          // the leader is slow at each step
 	"cloud",         // the cloud answers nothing but 503
 	"loose",         // direct launches of these jobs are held up, and have no answer
 	"loose cloud",   // and machines can't be released
-	"passed",        // the holder reaches no machine but by the siblings
-	"blind",         // the renewals of the holder are answered, and none of its reads is
+	"passed",        // the leader reaches no machine but by the peers
+	"blind",         // the renewals of the leader are answered, and none of its reads is
 	"blind lagging", // these are, but late
 	"blind slow",
 	"blind deaf",
 	"blind asked",
-	"held",  // what the holder sends is held by the network, and delivered late
-	"apart", // the siblings reach neither the machines nor the holder
+	"held",  // what the leader sends is held by the network, and delivered late
+	"apart", // the peers reach neither the machines nor the leader
 	"apart slow",
 	"apart deaf",
 	"late both",
@@ -881,7 +881,7 @@
 			t.Errorf("no task that was %s was cancelled in any gap", state)
 		}
 	}
-	if missed*5 > played { // of those that are drawn, machines find the holder too late in some
+	if missed*5 > played { // of those that are drawn, machines find the leader too late in some
 		t.Errorf("%d of %d gaps did not come about", missed, played)
 	}
 }
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -576,7 +576,7 @@
 		if _, err := snapshot.Import(t.Context(), c, items, "sum", snapshot.Limits{ValueBytes: 8192, TxnOps: 12}, func(int, int) {}); err != nil {
 			t.Errorf("import: %v", err)
 		}
-		// What a holder does first: a term, and batches that go into the history.
+		// What a leader does first: a fencing token, and batches that go into the history.
 		status, _ := to.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1 << 40)}}})
 		batches := to.Page(store.BatchKey(""), "", 0).Items
 		for _, it := range batches {
@@ -859,7 +859,7 @@
 		}
 		kills := 0
 		var once sync.Mutex
-		l.released = func([]string) { // nobody remembers: the next holder goes on with the machine
+		l.released = func([]string) { // nobody remembers: the next leader goes on with the machine
 			once.Lock()
 			defer once.Unlock()
 			if h := w.leaders()["fleet"]; h != "" && kills < 12 && !l.releasedInUse() {
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -623,7 +623,7 @@
 	}
 	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
 	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
-	// A takeover: the holder ends, another has claimed.
+	// A takeover: the leader ends, another has claimed.
 	leader, token := c.leader()
 	begun = time.Now()
 	c.kill(leader)
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -271,7 +271,7 @@
 	rng := rand.New(rand.NewPCG(2, 2))
 	for k := 0; ; k++ {
 		// Each kill waits until the build has got on: a machine that was killed is given up only some
-		// 10 s into a term, so that kills by the clock alone can end every leader before that, for ever.
+		// 10 s into a fencing token, so that kills by the clock alone can end every leader before that, for ever.
 		for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || b.answered.Load() < int64(3*k); pause = 0 {
 			select {
 			case <-over:
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Jobs of two or three tasks that end far apart, while holders change.
+// Jobs of two or three tasks that end far apart, while leaders change.
 
 // submitStaggeredEnds submits jobs of few tasks that end one after the other: each needs more than
 // half of its team's quota, or is a gang, or has long and short tasks. It returns the number of
--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -47,7 +47,7 @@
 }
 
 // leaderAnswered is called when a worker has accepted an answer. The first answer of a new leader
-// triggers the replay of heartbeats from before its term.
+// triggers the replay of heartbeats from before its fencing token.
 func (e *HeartbeatReplayer) leaderAnswered(at string, token uint64) {
 	if e == nil {
 		return
