--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -206,8 +206,24 @@
 }
 
 // leaderOfA returns the leader of the shard with zone a.
-func (d *replayDay) leaderOfA() int {
-	return d.leaderOf(map[string]string{"off": "fleet", "zone": "a"}[d.sharding])
+func (d *replayDay) leaderOfA() int { return d.leaderOfZone("a") }
+
+// leaderOfZone returns the leader of the shard with a zone.
+func (d *replayDay) leaderOfZone(zone string) int {
+	return d.leaderOf(map[string]string{"off": "fleet", "zone": zone}[d.sharding])
+}
+
+// leaderToEnd returns the leader whose successor receives the recorded heartbeats: that of zone a,
+// or of zone b on a day on which all of them are of machines there, as nothing was started in zone
+// a after the first of them.
+func (d *replayDay) leaderToEnd() int {
+	inA := d.machinesInZoneA()
+	if slices.ContainsFunc(d.heartbeats, func(r wire.Heartbeat) bool {
+		return slices.ContainsFunc(inA, func(m upMachine) bool { return m.id == r.Machine })
+	}) {
+		return d.leaderOfA()
+	}
+	return d.leaderOfZone("b")
 }
 
 // replayAtElection ends the leader, cuts half of the machines off, and replays what was recorded
@@ -225,7 +241,7 @@
 		<-d.elected
 	}
 	d.previousToken = w.token()
-	if i := d.leaderOfA(); d.slowRestart {
+	if i := d.leaderToEnd(); d.slowRestart {
 		w.kill(i, 12*sec)
 	} else {
 		w.crash(i, 300*time.Millisecond, 0)
