--- a/internal/handover/coallocation.go
+++ b/internal/handover/coallocation.go
@@ -17,6 +17,10 @@
 const (
 	// ReservationTimeout bounds how long shards hold capacity for a gang before the co-allocation is aborted.
 	ReservationTimeout = 90 * time.Second
+	// exhaustedTimeout bounds it while a shard that holds none has no way to make any. What it was counted on for
+	// was an estimate, by tasks of another size or an offer that the cloud has refused since. It is longer than most
+	// preempted tasks take to save and end.
+	exhaustedTimeout = 20 * time.Second
 	// StartTimeout bounds how long a shard takes to start its tasks once all shards hold capacity.
 	StartTimeout = 10 * time.Second
 )
@@ -52,6 +56,34 @@
 	}
 }
 
+// ReservationExpired reports whether a co-allocation is to be aborted that has waited for so long for a shard which
+// holds no capacity for its tasks of a gang. Own is what the leader's own shard could take, by class.
+func (t *Targets) ReservationExpired(j *wire.Job, shard string, own map[string]scheduler.FreeCapacity, waited time.Duration) bool {
+	if waited <= exhaustedTimeout {
+		return false
+	}
+	capacity, known := t.capacityOf(shard, own)[j.Class]
+	exhausted := known && !canMakeCapacity(j, capacity)
+	return exhausted || waited > ReservationTimeout
+}
+
+// capacityOf gives what a shard could take, by class: nothing for one that has not told.
+func (t *Targets) capacityOf(shard string, own map[string]scheduler.FreeCapacity) map[string]scheduler.FreeCapacity {
+	if shard == t.shard {
+		return own
+	}
+	i := slices.IndexFunc(t.peers, func(p Peer) bool { return p.Shard == shard })
+	if i < 0 {
+		return nil
+	}
+	return t.peers[i].Capacity
+}
+
+// canMakeCapacity reports whether a shard may get capacity for tasks of a job, by preemption or by scaling out.
+func canMakeCapacity(j *wire.Job, capacity scheduler.FreeCapacity) bool {
+	return capacity.Rent || j.Priority == wire.Production && capacity.Below > 0
+}
+
 // Divide gives the ranges of a gang that no shard can take whole, over shards that together have capacity for
 // it, or nothing. Own is the capacity of this shard. After a while shards count that can scale out.
 func (t *Targets) Divide(now time.Time, j *scheduler.Job, own scheduler.FreeCapacity, types []wire.MachineType, waited time.Duration) (ranges []store.ShardRange) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -149,6 +149,41 @@
 	}
 }
 
+// TestReservationExpired: a co-allocation is not held for long by a shard that has no way to make capacity.
+func TestReservationExpired(t *testing.T) {
+	gang := &wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}
+	production := &wire.Job{ID: "wk-3", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1, Priority: wire.Production}
+	other := &wire.Job{ID: "wk-4", Class: "y", Shape: wire.Gang, Tasks: 8, CPUs: 1}
+	for _, x := range []struct {
+		name     string
+		job      *wire.Job
+		shard    string
+		capacity scheduler.FreeCapacity
+		waited   time.Duration
+		want     bool
+	}{
+		{"its capacity may be about to be free", gang, "a", scheduler.FreeCapacity{}, 20 * time.Second, false},
+		{"it can make none", gang, "a", scheduler.FreeCapacity{}, 21 * time.Second, true},
+		{"it has too little", gang, "a", scheduler.FreeCapacity{Now: 3}, 21 * time.Second, true},
+		{"it scales out", gang, "a", scheduler.FreeCapacity{Rent: true}, 89 * time.Second, false},
+		{"scaling out takes too long", gang, "a", scheduler.FreeCapacity{Rent: true}, 91 * time.Second, true},
+		{"it preempts", production, "a", scheduler.FreeCapacity{Below: 1}, 89 * time.Second, false},
+		{"preemption is for production work", gang, "a", scheduler.FreeCapacity{Below: 1}, 21 * time.Second, true},
+		{"the lead itself can make none", gang, "c", scheduler.FreeCapacity{}, 21 * time.Second, true},
+		{"the lead itself scales out", gang, "c", scheduler.FreeCapacity{Rent: true}, 89 * time.Second, false},
+		{"it has told nothing of the class", other, "a", scheduler.FreeCapacity{}, 89 * time.Second, false},
+		{"it has told nothing", gang, "d", scheduler.FreeCapacity{}, 89 * time.Second, false},
+		{"it has told nothing for too long", gang, "d", scheduler.FreeCapacity{}, 91 * time.Second, true},
+	} {
+		targets := NewTargets("c", sharding)
+		targets.SetPeers(peersWith(x.capacity, scheduler.FreeCapacity{}))
+		own := map[string]scheduler.FreeCapacity{"x": x.capacity}
+		if got := targets.ReservationExpired(x.job, x.shard, own, x.waited); got != x.want {
+			t.Errorf("%s: %v, want %v", x.name, got, x.want)
+		}
+	}
+}
+
 // TestCoAllocation: an attempt starts once here, and a new order is another co-allocation.
 func TestCoAllocation(t *testing.T) {
 	var c CoAllocation
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -90,7 +90,7 @@
 			ready = h.targets.HoldsGang(s.Shard, g.id)
 		}
 		if !s.Done && !ready {
-			if waited > handover.ReservationTimeout {
+			if h.targets.ReservationExpired(g.job.Record.Job, s.Shard, h.forecast.freeCapacity, waited) {
 				h.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
 			}
 			return
