--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -108,7 +108,7 @@
 func Parse(path string) (*Plan, error) {
 	file, err := ini.Load(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the experiment: %w", err)
 	}
 	p := &Plan{Dir: filepath.Dir(path), Settings: []string{"none"}, Seeds: []uint64{1}, Parallel: 1, Port: 12080, Wait: 2 * time.Minute}
 	var faults []error
@@ -172,7 +172,7 @@
 	for _, s := range p.Settings {
 		if s != "none" {
 			if _, err := os.Stat(filepath.Join(p.Dir, s)); err != nil {
-				faults = append(faults, err)
+				faults = append(faults, fmt.Errorf("reading the settings: %w", err))
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 	}
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the cluster: %w", err)
 	}
 	c, err := emulator.Parse(text)
 	if err != nil {
@@ -197,7 +197,7 @@
 func (p *Plan) mix(name string) (*load.Mix, error) {
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the load: %w", err)
 	}
 	m, err := load.ParseMix(text)
 	if err != nil {
@@ -234,7 +234,7 @@
 // Run runs every cell that is not complete yet, and returns the outcomes of all.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the directory of the results: %w", err)
 	}
 	cells := r.Plan.Cells()
 	out := make([]*Outcome, len(cells))
@@ -259,7 +259,7 @@
 					return fmt.Errorf("%v: %w", c, err)
 				}
 				if err := saveOutcome(path, o); err != nil {
-					return err
+					return fmt.Errorf("%v: %w", c, err)
 				}
 			}
 			mu.Lock()
@@ -279,12 +279,15 @@
 func readOutcome(path string) (*Outcome, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading an outcome: %w", err)
 	}
 	var o Outcome
-	if err := json.Unmarshal(text, &o); err != nil || o.Result == nil {
+	if err := json.Unmarshal(text, &o); err != nil {
 		return nil, fmt.Errorf("%s: not a cell's outcome: %w", path, err)
 	}
+	if o.Result == nil {
+		return nil, fmt.Errorf("%s: not a cell's outcome: no result", path)
+	}
 	return &o, nil
 }
 
@@ -292,12 +295,15 @@
 func saveOutcome(path string, o *Outcome) error {
 	text, err := json.Marshal(o)
 	if err != nil {
-		return err
+		return fmt.Errorf("encoding the outcome: %w", err)
 	}
 	if err := os.WriteFile(path+".part", text, 0o644); err != nil {
-		return err
+		return fmt.Errorf("saving the outcome: %w", err)
 	}
-	return os.Rename(path+".part", path)
+	if err := os.Rename(path+".part", path); err != nil {
+		return fmt.Errorf("saving the outcome: %w", err)
+	}
+	return nil
 }
 
 // Read returns the outcomes of a directory.
@@ -332,14 +338,14 @@
 	conf.Seed, mix.Seed = c.Seed, c.Seed
 	dir, err := os.MkdirTemp("", "amberdeal-experiment-*")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making a directory for the cluster: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	procs := emulator.Processes{Program: r.Program, Level: "error", Dir: dir}
 	if c.Settings != "none" {
 		tuning, err := os.ReadFile(filepath.Join(r.Plan.Dir, c.Settings))
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("reading the settings: %w", err)
 		}
 		procs.Tuning = string(tuning)
 	}
@@ -347,20 +353,20 @@
 	defer procs.Stop()
 	w, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Pause: procs.PauseNamed})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
 	defer w.Stop()
 	procs.Settings, procs.Metrics = w.Settings, w.Metrics
 	var addrs []string
 	for i := range conf.Controllers {
 		if err := procs.Start(i); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("starting controller %d: %w", i, err)
 		}
 		addrs = append(addrs, w.Public(i))
 	}
 	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
 	if err := emulator.Ready(ctx, caller, addrs); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("waiting for the controllers: %w", err)
 	}
 	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
 	sampling, end := context.WithCancel(ctx)
@@ -370,8 +376,11 @@
 	o.Result, err = load.Run(ctx, func(int, int, int) {})
 	end()
 	<-sampled
+	if err != nil {
+		return nil, fmt.Errorf("running the load: %w", err)
+	}
 	o.Faults = w.Status().Faults
-	return o, err
+	return o, nil
 }
 
 // sample records the cluster's state each second.
@@ -406,5 +415,9 @@
 				c.Accept.P50, c.Accept.P99, c.Start.P50, c.Start.P99, c.Finish.P50, c.Finish.P99})
 		}
 	}
-	return errors.Join(parquet.WriteFile(filepath.Join(dir, "samples.parquet"), samples), parquet.WriteFile(filepath.Join(dir, "classes.parquet"), classes))
+	err := errors.Join(parquet.WriteFile(filepath.Join(dir, "samples.parquet"), samples), parquet.WriteFile(filepath.Join(dir, "classes.parquet"), classes))
+	if err != nil {
+		return fmt.Errorf("writing the tables: %w", err)
+	}
+	return nil
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -82,3 +82,18 @@
 		}
 	}
 }
+
+// TestReadNamesTheFile: a file that holds no outcome of a cell is an error that names the file and why.
+func TestReadNamesTheFile(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "cell-x.json")
+	for text, want := range map[string]string{"{}": "no result", "{": "unexpected end of JSON input"} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := Read(dir)
+		if want = path + ": not a cell's outcome: " + want; err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", text, err, want)
+		}
+	}
+}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -101,21 +101,24 @@
 	for _, key := range keys {
 		g, err := newGroup(key, byKey[key])
 		if err != nil {
-			return err
+			return fmt.Errorf("%s: %w", key, err)
 		}
 		groups = append(groups, g)
 	}
 	var page bytes.Buffer
 	if err := pageTemplate.Execute(&page, groups); err != nil {
-		return err
+		return fmt.Errorf("rendering the report: %w", err)
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return err
+		return fmt.Errorf("making the directory of the report: %w", err)
 	}
 	if err := os.WriteFile(path+".part", page.Bytes(), 0o644); err != nil {
-		return err
+		return fmt.Errorf("writing the report: %w", err)
 	}
-	return os.Rename(path+".part", path)
+	if err := os.Rename(path+".part", path); err != nil {
+		return fmt.Errorf("writing the report: %w", err)
+	}
+	return nil
 }
 
 func newGroup(title string, all []*Outcome) (group, error) {
@@ -154,7 +157,7 @@
 	} {
 		svg, err := lines(x.unit, g.Settings, by, x.of, x.limit)
 		if err != nil {
-			return g, err
+			return g, fmt.Errorf("plotting %q: %w", x.title, err)
 		}
 		g.Plots = append(g.Plots, plotted{x.title, svg})
 	}
@@ -285,7 +288,7 @@
 		}
 		l, err := plotter.NewLine(pts)
 		if err != nil {
-			return err
+			return fmt.Errorf("line of %v: %w", o.Cell, err)
 		}
 		l.Color, l.Width = colour, vg.Points(1.2)
 		p.Add(l)
@@ -304,7 +307,7 @@
 	}
 	l, err := plotter.NewLine(plotter.XYs{{X: 0, Y: at}, {X: end, Y: at}})
 	if err != nil {
-		return err
+		return fmt.Errorf("line of the limit: %w", err)
 	}
 	l.Dashes, l.Color = []vg.Length{vg.Points(4), vg.Points(3)}, color.RGBA{0xb0, 0x20, 0x20, 0xff}
 	p.Add(l)
@@ -318,7 +321,7 @@
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
 	if _, err := c.WriteTo(&out); err != nil {
-		return "", err
+		return "", fmt.Errorf("writing SVG: %w", err)
 	}
 	text := out.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
@@ -333,7 +336,7 @@
 		until := max(f.Until, f.Since+0.5)
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.Since, Y: 0}, {X: until, Y: 0}, {X: until, Y: top * 1.05}, {X: f.Since, Y: top * 1.05}})
 		if err != nil {
-			return err
+			return fmt.Errorf("band of fault %d: %w", f.Number, err)
 		}
 		poly.Color, poly.LineStyle.Width = color.RGBA{0xe0, 0xe0, 0xe0, 0xff}, 0
 		name := f.Label
@@ -342,7 +345,7 @@
 		}
 		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.Since, Y: top * (0.98 - 0.08*float64(i%3))}}, Labels: []string{" " + name}})
 		if err != nil {
-			return err
+			return fmt.Errorf("label of fault %d: %w", f.Number, err)
 		}
 		p.Add(poly, labels)
 	}
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -46,14 +46,17 @@
 func start(program, log string, args ...string) (*process, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("opening the log of %s: %w", program, err)
 	}
 	defer f.Close()
 	cmd := exec.Command(program, args...)
 	cmd.Stderr, cmd.Stdout = f, io.Discard
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // Ctrl-C is this program's to deal with
-	return &process{cmd}, cmd.Start()
+	if err := cmd.Start(); err != nil {
+		return &process{cmd}, fmt.Errorf("starting %s: %w", program, err)
+	}
+	return &process{cmd}, nil
 }
 
 // Kill implements standin.Machine.
@@ -97,9 +100,13 @@
 }
 
 // startBlobs starts the blob store.
-func (a *agents) startBlobs(ctx context.Context) (err error) {
+func (a *agents) startBlobs(ctx context.Context) error {
+	var err error
 	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
-	for begun := time.Now(); err == nil && ctx.Err() == nil; {
+	if err != nil {
+		return fmt.Errorf("blob store: %w", err)
+	}
+	for begun := time.Now(); ctx.Err() == nil; {
 		conn, dialed := emulator.Dial(ctx, a.cluster.Blobs())
 		if dialed == nil {
 			return conn.Close()
@@ -109,7 +116,7 @@
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
-	return err
+	return nil
 }
 
 // run has each agent execute as many actions at once as it has capacity for, until the context
@@ -117,7 +124,7 @@
 func (a *agents) run(ctx context.Context) error {
 	blobs, err := cas.Dial(a.cluster.Blobs(), "")
 	if err != nil {
-		return err
+		return fmt.Errorf("dialing the blob store: %w", err)
 	}
 	defer blobs.Close()
 	var addrs []string
@@ -126,7 +133,7 @@
 	}
 	front, err := reapi.Dial(addrs, "")
 	if err != nil {
-		return err
+		return fmt.Errorf("dialing the controllers: %w", err)
 	}
 	defer front.Close()
 	var group sync.WaitGroup
@@ -155,19 +162,21 @@
 		EnvironmentVariables: []*repb.Command_EnvironmentVariable{{Name: "PATH", Value: "/usr/bin:/bin"}}}
 	root, err := blobs.PutMessage(ctx, digestFunction, &repb.Directory{})
 	if err != nil {
-		return err
+		return fmt.Errorf("storing the input directory: %w", err)
 	}
 	commandDigest, err := blobs.PutMessage(ctx, digestFunction, command)
 	if err != nil {
-		return err
+		return fmt.Errorf("storing the command: %w", err)
 	}
 	action, err := blobs.PutMessage(ctx, digestFunction, &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: root.Proto(),
 		Platform: &repb.Platform{Properties: []*repb.Platform_Property{{Name: "machine-type", Value: typ}}}})
 	if err != nil {
-		return err
+		return fmt.Errorf("storing the action: %w", err)
+	}
+	if _, err := front.Execute(ctx, action, false, nil); err != nil {
+		return fmt.Errorf("executing the action: %w", err)
 	}
-	_, err = front.Execute(ctx, action, false, nil)
-	return err
+	return nil
 }
 
 // usages returns what the agents have used so far, by machine type.
--- a/internal/scale/needs.go
+++ b/internal/scale/needs.go
@@ -34,15 +34,15 @@
 func ThisMachine() (Machine, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
-		return Machine{}, err
+		return Machine{}, fmt.Errorf("reading the machine's memory: %w", err)
 	}
 	var kilobytes uint64
 	if _, err := fmt.Fscanf(bytes.NewReader(text), "MemTotal: %d kB", &kilobytes); err != nil {
-		return Machine{}, fmt.Errorf("/proc/meminfo: %w", err)
+		return Machine{}, fmt.Errorf("parsing /proc/meminfo: %w", err)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return Machine{}, err
+		return Machine{}, fmt.Errorf("reading the limit of open files: %w", err)
 	}
 	return Machine{MemoryBytes: kilobytes << 10, Sockets: limit.Cur}, nil
 }
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -108,27 +108,34 @@
 func saveOutcome(dir string, o *Outcome) error {
 	text, err := json.Marshal(o)
 	if err != nil {
-		return err
+		return fmt.Errorf("encoding the outcome: %w", err)
 	}
 	path := outcomeFile(dir, o.Step)
 	if err := os.WriteFile(path+".part", text, 0o644); err != nil {
-		return err
+		return fmt.Errorf("saving the outcome: %w", err)
 	}
-	return os.Rename(path+".part", path)
+	if err := os.Rename(path+".part", path); err != nil {
+		return fmt.Errorf("saving the outcome: %w", err)
+	}
+	return nil
 }
 
 // loadOutcome reads the outcome of an earlier run, nil if there is none.
 func loadOutcome(dir string, step Point) (*Outcome, error) {
-	text, err := os.ReadFile(outcomeFile(dir, step))
+	path := outcomeFile(dir, step)
+	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading an earlier outcome: %w", err)
 	}
 	o := new(Outcome)
-	if err := json.Unmarshal(text, o); err != nil || len(o.Rows) == 0 {
-		return nil, fmt.Errorf("%s: not the outcome of a step: %w", outcomeFile(dir, step), err)
+	if err := json.Unmarshal(text, o); err != nil {
+		return nil, fmt.Errorf("%s: not the outcome of a step: %w", path, err)
+	}
+	if len(o.Rows) == 0 {
+		return nil, fmt.Errorf("%s: not the outcome of a step: no figures", path)
 	}
 	return o, nil
 }
@@ -139,5 +146,8 @@
 	for _, o := range all {
 		rows = append(rows, o.Rows...)
 	}
-	return parquet.WriteFile(filepath.Join(dir, "scale.parquet"), rows)
+	if err := parquet.WriteFile(filepath.Join(dir, "scale.parquet"), rows); err != nil {
+		return fmt.Errorf("writing the table of all steps: %w", err)
+	}
+	return nil
 }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -102,7 +102,7 @@
 func Parse(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("reading the plan: %w", err)
 	}
 	return parse(text)
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -21,15 +21,15 @@
 func usageOf(pid int) (usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return usage{}, err
+		return usage{}, fmt.Errorf("reading the CPU time of process %d: %w", pid, err)
 	}
 	processor, err := processorTime(string(stat))
 	if err != nil {
-		return usage{}, fmt.Errorf("process %d: %w", pid, err)
+		return usage{}, fmt.Errorf("reading the CPU time of process %d: %w", pid, err)
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return usage{}, err
+		return usage{}, fmt.Errorf("reading the memory of process %d: %w", pid, err)
 	}
 	return usage{processor, peakMemory(string(status))}, nil
 }
@@ -47,7 +47,7 @@
 	for _, i := range []int{user, system} {
 		n, err := strconv.Atoi(fields[i])
 		if err != nil {
-			return 0, err
+			return 0, fmt.Errorf("field %d after the name: %w", i, err)
 		}
 		ticks += n
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -20,7 +20,7 @@
 // the context ends or a step fails these are kept, and returned with the error.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the directory of the results: %w", err)
 	}
 	var all []*Outcome
 	for _, step := range r.Plan.Steps() {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -158,3 +158,22 @@
 		t.Errorf("%d rows of %d, %v", len(rows), len(o.Rows), err)
 	}
 }
+
+// TestLoadOutcomeNamesTheFile: a file that holds no outcome of a step is an error that names the file
+// and why; a missing one is none.
+func TestLoadOutcomeNamesTheFile(t *testing.T) {
+	dir, step := t.TempDir(), DefaultPlan().Middle
+	if o, err := loadOutcome(dir, step); o != nil || err != nil {
+		t.Errorf("a missing file: %+v, %v", o, err)
+	}
+	path := outcomeFile(dir, step)
+	for text, want := range map[string]string{"{}": "no figures", "{": "unexpected end of JSON input"} {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := loadOutcome(dir, step)
+		if want = path + ": not the outcome of a step: " + want; err == nil || err.Error() != want {
+			t.Errorf("%s: %v, want %s", text, err, want)
+		}
+	}
+}
--- a/internal/scale/site.go
+++ b/internal/scale/site.go
@@ -72,7 +72,7 @@
 		}
 	}()
 	if s.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making a directory for the cluster: %w", err)
 	}
 	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 2 * maxOpen, Dial: emulator.Dial}
 	s.users = newUsers(step, p.Seed, caller)
@@ -82,7 +82,7 @@
 	s.cluster, err = emulator.Start(ctx, s.config, emulator.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Pause: s.procs.PauseNamed,
 		Machine: s.agents.machine, OnTaskStart: s.users.started})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
 	s.users.cluster, s.agents.cluster = s.cluster, s.cluster
 	if len(p.Agents) > 0 {
@@ -103,11 +103,14 @@
 	s.procs.Settings, s.procs.Metrics = s.cluster.Settings, s.cluster.Metrics
 	for i := range s.config.Controllers {
 		if err := s.procs.Start(i); err != nil {
-			return err
+			return fmt.Errorf("starting controller %s: %w", controllerName(i), err)
 		}
 		s.users.addrs = append(s.users.addrs, s.cluster.Public(i))
 	}
-	return emulator.Ready(ctx, caller, s.users.addrs)
+	if err := emulator.Ready(ctx, caller, s.users.addrs); err != nil {
+		return fmt.Errorf("waiting for the controllers: %w", err)
+	}
+	return nil
 }
 
 // close ends everything that runs in a site.
@@ -137,7 +140,7 @@
 	}
 	var rec store.LeaderRecord
 	if err := wire.DecodeValue(items[0].Value, &rec); err != nil {
-		return "", err
+		return "", fmt.Errorf("decoding the leader record: %w", err)
 	}
 	return rec.Leader, nil
 }
