--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,7 +10,6 @@
 import (
 	"fmt"
 	"log/slog"
-	"maps"
 	"time"
 
 	"amberdeal.example/amberdeal/internal/config"
@@ -105,7 +104,7 @@
 
 // granted gives what a shard is granted of a team's limits.
 func (q *Quota) granted(team, shard string) scheduler.Resources {
-	return amountOf(q.record.Record.Teams[team][shard])
+	return resourcesOf(q.record.Record.Grant(team, shard))
 }
 
 // totalGranted sums what all shards are granted of a team's limits. What shards of an earlier sharding had
@@ -151,12 +150,8 @@
 // nothing changes. Fence is the condition that this shard is still led by the caller.
 func (q *Quota) Propose(fence wire.Condition, teams []config.Team, used map[string]scheduler.Resources) *Change {
 	current := q.record
-	next := store.QuotaGrantRecord{Teams: maps.Clone(current.Record.Teams)}
-	if next.Teams == nil {
-		next.Teams = make(map[string]map[string][2]float64)
-	}
+	changes := make(map[string]store.QuotaGrant)
 	lowered := make(map[string]scheduler.Resources)
-	changed := false
 	for i := range teams {
 		t := &teams[i]
 		grant := q.granted(t.Name, q.shard)
@@ -164,20 +159,19 @@
 		if desired == grant {
 			continue
 		}
-		changed = true
-		setGrant(next.Teams, t.Name, q.shard, desired)
+		changes[t.Name] = grantOf(desired)
 		if desired.CPUs < grant.CPUs || desired.GPUs < grant.GPUs {
 			lowered[t.Name] = desired
 		}
 		q.log.Debug("grant", "team", t.Name, "from", grant, "to", desired, "used", used[t.Name])
 	}
-	if !changed {
+	if len(changes) == 0 {
 		return nil
 	}
 	q.inFlight, q.pendingLower = true, lowered
 	return &Change{Txn: wire.Txn{
 		If:   []wire.Condition{fence, {Key: store.QuotaGrantKey, Version: current.Version}},
-		Then: []wire.Operation{{Put: store.QuotaGrantKey, Value: next}},
+		Then: []wire.Operation{{Put: store.QuotaGrantKey, Value: current.Record.WithGrants(q.shard, changes)}},
 	}}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -27,7 +27,8 @@
 }
 
 func record(version uint64, a, b float64) store.Versioned[store.QuotaGrantRecord] {
-	return store.Versioned[store.QuotaGrantRecord]{Version: version, Record: store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {"a": {0, a}, "b": {0, b}}}}}
+	rec := store.NewQuotaGrantRecord(map[string]map[string]store.QuotaGrant{"red": {"a": {GPUs: a}, "b": {GPUs: b}}})
+	return store.Versioned[store.QuotaGrantRecord]{Version: version, Record: rec}
 }
 
 func newQuota(rec store.Versioned[store.QuotaGrantRecord]) *Quota {
@@ -79,7 +80,7 @@
 		change := q.Propose(wire.Condition{Key: "fence"}, teams, map[string]scheduler.Resources{"red": gpus(x.used)})
 		got := -1.0
 		if change != nil {
-			got = change.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams["red"]["a"][1]
+			got = change.Txn.Then[0].Value.(store.QuotaGrantRecord).Grant("red", "a").GPUs
 			if len(change.Txn.If) != 2 || change.Txn.If[0].Key != "fence" || change.Txn.If[1] != (wire.Condition{Key: store.QuotaGrantKey, Version: 3}) {
 				t.Errorf("%s: on %v", x.name, change.Txn.If)
 			}
@@ -142,8 +143,8 @@
 			}
 			q.Settled(rec)
 			sum := 0.0
-			for _, grant := range rec.Record.Teams["red"] {
-				sum += grant[1]
+			for shard := range rec.Record.Teams["red"] {
+				sum += rec.Record.Grant("red", shard).GPUs
 			}
 			if sum > 32+negligible {
 				t.Fatalf("%v", rec.Record.Teams)
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -1,28 +1,18 @@
 package quota
 
 import (
-	"maps"
-
 	"amberdeal.example/amberdeal/internal/scheduler"
+	"amberdeal.example/amberdeal/internal/store"
 )
 
-// The grant record keeps CPUs and GPUs as a pair of numbers; these map it to the type that the code uses.
-
-func amountOf(pair [2]float64) scheduler.Resources {
-	return scheduler.Resources{CPUs: pair[0], GPUs: pair[1]}
+// resourcesOf maps a grant of the record to the type that plans are made with.
+func resourcesOf(g store.QuotaGrant) scheduler.Resources {
+	return scheduler.Resources{CPUs: g.CPUs, GPUs: g.GPUs}
 }
 
-func pairOf(a scheduler.Resources) [2]float64 { return [2]float64{a.CPUs, a.GPUs} }
-
-// setGrant changes what a shard is granted of a team's limits in a clone of the record's map, whose inner maps
-// are still those of the record.
-func setGrant(teams map[string]map[string][2]float64, team, shard string, grant scheduler.Resources) {
-	byShard := maps.Clone(teams[team])
-	if byShard == nil {
-		byShard = make(map[string][2]float64)
-	}
-	byShard[shard] = pairOf(grant)
-	teams[team] = byShard
+// grantOf maps resources to a grant of the record, which limits CPUs and GPUs only.
+func grantOf(r scheduler.Resources) store.QuotaGrant {
+	return store.QuotaGrant{CPUs: r.CPUs, GPUs: r.GPUs}
 }
 
 // lesser gives the lesser of two amounts of each kind.
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -75,9 +75,9 @@
 // limit, since the ledgers also name tasks that have ended: the shards then start nothing before they have returned
 // the excess.
 func initialGrants(machines map[string]store.MachineRecord, want *fleet.Sharding, resourcesOf ResourcesOf) store.QuotaGrantRecord {
-	rec := store.QuotaGrantRecord{Teams: make(map[string]map[string][2]float64)}
+	grants := make(map[string]map[string]store.QuotaGrant)
 	if want.IsSingle() {
-		return rec
+		return store.NewQuotaGrantRecord(grants)
 	}
 	for _, m := range machines {
 		shard := want.ShardOf(m.Zone, m.Type)
@@ -90,12 +90,12 @@
 			if !known {
 				continue // compacted: proven to run nowhere
 			}
-			if rec.Teams[t.Team] == nil {
-				rec.Teams[t.Team] = make(map[string][2]float64)
+			if grants[t.Team] == nil {
+				grants[t.Team] = make(map[string]store.QuotaGrant)
 			}
-			g := rec.Teams[t.Team][shard]
-			rec.Teams[t.Team][shard] = [2]float64{g[0] + t.CPUs, g[1] + t.GPUs}
+			granted := grants[t.Team][shard]
+			grants[t.Team][shard] = store.QuotaGrant{CPUs: granted.CPUs + t.CPUs, GPUs: granted.GPUs + t.GPUs}
 		}
 	}
-	return rec
+	return store.NewQuotaGrantRecord(grants)
 }
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -47,7 +47,7 @@
 	job := &wire.Job{ID: "wk-1", Tasks: 3, Team: "red", Shape: wire.Array}
 	for key, value := range map[string]any{
 		BatchKey("x"):      BatchRecord{Jobs: map[string]JobRecord{"wk-1": {Stage: wire.Pending, Tasks: 3, Job: job, Ranges: []ShardRange{{From: 0, To: 2, Shard: "a"}, {From: 2, To: 3, Shard: "b", Done: true}}}}},
-		QuotaGrantKey:      QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {"a": {1, 2}}}},
+		QuotaGrantKey:      NewQuotaGrantRecord(map[string]map[string]QuotaGrant{"red": {"a": {CPUs: 1, GPUs: 2}}}),
 		ShardingKey:        ShardingRecord{Text: "zones a,b in a,b"},
 		SegmentKey("a", 0): SegmentRecord{FencingToken: 1, DrainedThrough: 3},
 		LeaderKey("a"):     LeaderRecord{Leader: "c-0", FencingToken: 1, Lease: 2},
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -141,13 +141,6 @@
 	PreviousLedgers []string `cbor:"before,omitempty"`
 }
 
-// QuotaGrantRecord says what each shard may use of the quota of each team that has one: CPUs
-// and GPUs, by team and shard. Only a shard's leader changes the shard's own grants, under
-// its fence and on the version that it has seen; their sum never exceeds the quota.
-type QuotaGrantRecord struct {
-	Teams map[string]map[string][2]float64 `cbor:"teams"`
-}
-
 // TiersRecord is a digest of the configuration of the tiers of work. Becoming a leader is
 // conditional on it, so that no two leaders go by different ones.
 type TiersRecord struct {
