--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -82,9 +82,9 @@
 		for name, t := range status.Tiers {
 			tiers[name] = tiers[name].Add(t)
 		}
-		for name, used := range status.Used {
+		for name, used := range status.UsedByTeam() {
 			team := s.Teams[name]
-			team.CPUs, team.GPUs = team.CPUs+used[0], team.GPUs+used[1]
+			team.CPUs, team.GPUs = team.CPUs+used.CPUs, team.GPUs+used.GPUs
 			s.Teams[name] = team
 		}
 		for zone, z := range status.Zones {
--- a/internal/leader/shardstatus.go
+++ b/internal/leader/shardstatus.go
@@ -19,7 +19,7 @@
 	Counts   map[string]TaskCount
 	Rooms    map[string]scheduler.FreeCapacity  // by class
 	Wants    map[string]scheduler.QuotaDemand   // by team: work that its grant holds back
-	Used     map[string][2]float64              // by team: CPUs and GPUs
+	Used     map[string][2]float64              // by team: CPUs and GPUs; read by UsedByTeam
 	Stays    map[string]scheduler.Resources     // by team: what services use of that, or will use
 	Zones    map[string]reachability.ZoneHealth // health of the shard's machines by zone
 	Ready    []string                           // gangs over several shards for whose tasks here capacity is held
@@ -37,16 +37,21 @@
 	return out
 }
 
+// UsedByTeam gives what the tasks of each team use in the shard.
+func (s ShardStatus) UsedByTeam() map[string]scheduler.Resources {
+	out := make(map[string]scheduler.Resources, len(s.Used))
+	for team, pair := range s.Used {
+		out[team] = scheduler.Resources{CPUs: pair[0], GPUs: pair[1]}
+	}
+	return out
+}
+
 // quotaPeers gives what other shards say of their teams' quotas.
 func quotaPeers(shards map[string]ShardStatus) []quota.Peer {
 	out := make([]quota.Peer, 0, len(shards))
 	for _, name := range sortedKeys(shards) {
 		s := shards[name]
-		p := quota.Peer{Shard: name, Used: make(map[string]scheduler.Resources, len(s.Used)), Demands: s.Wants, Services: s.Stays}
-		for team, used := range s.Used {
-			p.Used[team] = scheduler.Resources{CPUs: used[0], GPUs: used[1]}
-		}
-		out = append(out, p)
+		out = append(out, quota.Peer{Shard: name, Used: s.UsedByTeam(), Demands: s.Wants, Services: s.Stays})
 	}
 	return out
 }
