--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -145,7 +145,7 @@
 // setUpAdmission makes what accepts and cancels jobs.
 func (c *Controller) setUpAdmission() {
 	cfg, s := c.cfg, &c.state
-	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.all}
+	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.forRouting}
 	c.admission = &admission.Service{Teams: cfg.Teams, View: s.view, Follow: s.follow, History: s.history, Log: c.log,
 		Intake:       admission.NewIntake(s.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
 		Canceller:    admission.NewCanceller(s.client, s.view, s.follow, cfg.Store.TxnOps),
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -7,6 +7,7 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/peer"
+	"amberdeal.example/amberdeal/internal/shard"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -75,6 +76,16 @@
 	return out
 }
 
+// forRouting returns what the router goes by of each shard.
+func (b *statusBoard) forRouting() map[string]shard.Status {
+	all := b.all()
+	out := make(map[string]shard.Status, len(all))
+	for name, s := range all {
+		out[name] = shard.Status{Capacity: s.Rooms, Machines: s.Machines, Backlog: s.Backlog}
+	}
+	return out
+}
+
 // taskCounts returns a job's counts for display, from the leaders wherever they are.
 func (b *statusBoard) taskCounts(job string) (sum leader.TaskCount) {
 	if !b.sharding.IsSingle() {
--- a/internal/shard/route.go
+++ b/internal/shard/route.go
@@ -5,18 +5,24 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
 
+// Status is what a router goes by of a shard.
+type Status struct {
+	Capacity map[string]scheduler.FreeCapacity // by class; of a class that is missing nothing is known
+	Machines int
+	Backlog  int // tasks that found no capacity
+}
+
 // Router says which shards the tasks of new jobs go to, by the shards' last statuses and by what it has sent there
 // since. It is safe for concurrent use.
 type Router struct {
 	Sharding *fleet.Sharding
-	// Statuses gives the last statuses of the shards.
-	Statuses func() map[string]leader.ShardStatus
+	// Statuses gives the last statuses of the shards, by name.
+	Statuses func() map[string]Status
 
 	mu     sync.Mutex
 	recent map[string]recentTasks
@@ -71,8 +77,9 @@
 			continue
 		}
 		s := statuses[shard]
-		c := candidate{shard: shard, capacity: s.Rooms[j.Class], machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
-		if _, known := s.Rooms[j.Class]; !known {
+		capacity, known := s.Capacity[j.Class]
+		c := candidate{shard: shard, capacity: capacity, machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
+		if !known {
 			c.capacity.Rent = true // no job of the class was submitted yet, or the shard has a new leader
 		}
 		c.free = c.capacity.Now
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"amberdeal.example/amberdeal/internal/fleet"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/wire"
@@ -20,20 +19,20 @@
 type fixture struct {
 	now         time.Time
 	controllers []Controller
-	statuses    map[string]leader.ShardStatus
+	statuses    map[string]Status
 	router      *Router
 	types       []wire.MachineType
 }
 
 func newFixture() *fixture {
-	b := &fixture{now: time.Unix(1e9, 0), statuses: map[string]leader.ShardStatus{}}
+	b := &fixture{now: time.Unix(1e9, 0), statuses: map[string]Status{}}
 	b.setSharding(3, "a", "b", "c")
 	b.types = []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"a", "b", "c"}}, {Name: "g8", CPUs: 32, GPUs: 8, MemoryGB: 128, Zones: []string{"c"}}}
 	return b
 }
 
 func (b *fixture) setSharding(n int, zones ...string) {
-	b.router = &Router{Sharding: fleet.ByZones(n, zones), Statuses: func() map[string]leader.ShardStatus { return b.statuses }}
+	b.router = &Router{Sharding: fleet.ByZones(n, zones), Statuses: func() map[string]Status { return b.statuses }}
 }
 
 func (b *fixture) shard(name string) Shard { return Shard{name, b.router.Sharding.ZonesOf(name)} }
@@ -75,8 +74,8 @@
 		p, ok := Surplus(b.controllers[i], mine, others)
 		return []string{fmt.Sprintf("%q %v", p, ok)}
 	case "stands": // a shard says how much capacity it has for class x
-		b.statuses[w[1]] = leader.ShardStatus{Term: 1, Machines: num("machines"), Backlog: num("backlog"),
-			Rooms: map[string]scheduler.FreeCapacity{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
+		b.statuses[w[1]] = Status{Machines: num("machines"), Backlog: num("backlog"),
+			Capacity: map[string]scheduler.FreeCapacity{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
 		b.now = b.now.Add(d)
@@ -106,7 +105,7 @@
 	b := newFixture()
 	for i := range 3000 {
 		for _, p := range []string{"a", "b", "c"} {
-			b.statuses[p] = leader.ShardStatus{Machines: i * 7 % 90, Backlog: i * 13 % 40, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
+			b.statuses[p] = Status{Machines: i * 7 % 90, Backlog: i * 13 % 40, Capacity: map[string]scheduler.FreeCapacity{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
 		}
 		j := &wire.Job{ID: fmt.Sprint("wk-", i), Class: "x", Shape: []wire.Shape{wire.Array, wire.Gang, wire.Service}[i%3], Tasks: 1 + i%200, CPUs: 1, GPUs: 1, MemoryGB: 1, Spread: i%5 == 0}
 		at, most := 0, map[string]int{}
