--- a/internal/controller/buildapi.go
+++ b/internal/controller/buildapi.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for build tools: %w", err)
 	}
-	front := &reapi.Server{Admission: c.admission, Store: blobs, Log: c.log, Count: c.statuses.taskCounts, Defaults: reapi.Defaults{Team: set.Team, Class: set.Class,
+	front := &reapi.Server{Admission: c.admission, Store: blobs, Log: c.log, RunningTasks: c.statuses.runningTasks, Defaults: reapi.Defaults{Team: set.Team, Class: set.Class,
 		Priority: wire.Priority(set.Priority), CPUs: set.CPUs, GPUs: set.GPUs, MemoryGB: set.MemoryGB, Image: set.Image, Spot: set.Spot, Estimate: set.Estimate}}
 	server := front.GRPC(set.Calls)
 	defer context.AfterFunc(ctx, server.Stop)()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,7 +97,7 @@
 	c.ingest = c.newIngestion()
 	c.setUpAdmission()
 	c.setUpForwarding()
-	c.users = &user.API{Admission: c.admission, Log: log, Count: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
+	c.users = &user.API{Admission: c.admission, Log: log, CountTasks: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
 	return c
 }
 
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -61,15 +61,16 @@
 func (c *Controller) classStatus() map[string]top.Class {
 	out := make(map[string]top.Class)
 	for id, job := range c.state.view.Snapshot().LiveJobs {
-		counts, class := c.statuses.taskCounts(id), out[job.Record.Job.Class]
-		if counts.Running > 0 {
+		class := out[job.Record.Job.Class]
+		running, done := c.statuses.taskCounts(id)
+		if running > 0 {
 			class.RunningJobs++
 		} else {
 			class.PendingJobs++
 		}
 		class.Tasks += job.Record.Tasks
-		class.RunningTasks += counts.Running
-		class.FinishedTasks += counts.Done
+		class.RunningTasks += running
+		class.FinishedTasks += done
 		out[job.Record.Job.Class] = class
 	}
 	return out
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -86,16 +86,29 @@
 	return out
 }
 
-// taskCounts returns a job's counts for display, from the leaders wherever they are.
-func (b *statusBoard) taskCounts(job string) (sum leader.TaskCount) {
-	if !b.sharding.IsSingle() {
-		for _, s := range b.all() {
-			n := s.Counts[job]
-			sum.Running += n.Running
-			sum.Done += n.Done
-		}
-		return sum
+// runningTasks returns how many of a job's tasks run, for display.
+func (b *statusBoard) runningTasks(job string) int {
+	running, _ := b.taskCounts(job)
+	return running
+}
+
+// taskCounts returns how many of a job's tasks run and are done, for display, from the leaders
+// wherever they are.
+func (b *statusBoard) taskCounts(job string) (running, done int) {
+	if b.sharding.IsSingle() {
+		n := b.fleetTaskCount(job)
+		return n.Running, n.Done
 	}
+	for _, s := range b.all() {
+		n := s.Counts[job]
+		running += n.Running
+		done += n.Done
+	}
+	return running, done
+}
+
+// fleetTaskCount returns a job's counts where the fleet is one shard.
+func (b *statusBoard) fleetTaskCount(job string) leader.TaskCount {
 	for _, s := range b.led.all() {
 		if n, ok := s.TaskCounts(time.Now())[job]; ok {
 			return n
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -66,7 +66,7 @@
 
 // stage returns the stage of an execution that is not over.
 func (s *Server) stage(op operation) repb.ExecutionStage_Value {
-	if s.Count(op.job).Running > 0 {
+	if s.RunningTasks(op.job) > 0 {
 		return repb.ExecutionStage_EXECUTING
 	}
 	return repb.ExecutionStage_QUEUED
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -20,7 +20,6 @@
 	"amberdeal.example/amberdeal/internal/action"
 	"amberdeal.example/amberdeal/internal/admission"
 	"amberdeal.example/amberdeal/internal/cas"
-	"amberdeal.example/amberdeal/internal/leader"
 )
 
 // Server implements the API on one controller.
@@ -32,8 +31,8 @@
 	Store     *cas.Client
 	Defaults  Defaults
 	Log       *slog.Logger
-	// Count returns how many tasks of a job run.
-	Count func(job string) leader.TaskCount
+	// RunningTasks returns how many tasks of a job run.
+	RunningTasks func(job string) int
 
 	watch watchers
 }
@@ -50,7 +49,7 @@
 
 // Run notifies the streams that follow executions until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	return s.watch.run(ctx, s.Admission.View, func(job string) int { return s.Count(job).Running })
+	return s.watch.run(ctx, s.Admission.View, s.RunningTasks)
 }
 
 // GetCapabilities implements the API.
--- a/internal/user/user.go
+++ b/internal/user/user.go
@@ -12,7 +12,6 @@
 
 	"amberdeal.example/amberdeal/internal/admission"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -31,8 +30,8 @@
 type API struct {
 	Admission *admission.Service
 	Log       *slog.Logger
-	// Count gives how many tasks of a job run and are done, for display.
-	Count func(job string) leader.TaskCount
+	// CountTasks gives how many tasks of a job run and are done, for display.
+	CountTasks func(job string) (running, done int)
 	// Ready reports whether users can be served here.
 	Ready func() bool
 	// StoreUnreachable reports that the state service has been out of reach here for a while, and
@@ -198,8 +197,8 @@
 	s := wire.JobStatus{ID: id, Stage: rec.Stage}
 	switch {
 	case !rec.Stage.Final():
-		count := a.Count(id)
-		s.Stage, s.Running, s.Done = wire.Pending, count.Running, count.Done
+		s.Stage = wire.Pending
+		s.Running, s.Done = a.CountTasks(id)
 		if s.Running > 0 {
 			s.Stage = wire.Running
 		}
--- a/internal/user/user_test.go
+++ b/internal/user/user_test.go
@@ -8,7 +8,6 @@
 
 	"amberdeal.example/amberdeal/internal/admission"
 	"amberdeal.example/amberdeal/internal/httpwire"
-	"amberdeal.example/amberdeal/internal/leader"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/wire"
 )
@@ -49,7 +48,7 @@
 // back and whether to another controller.
 func TestResponses(t *testing.T) {
 	ready := true
-	api := &API{Log: slog.New(slog.DiscardHandler), Ready: func() bool { return ready }, Count: func(string) leader.TaskCount { return leader.TaskCount{Running: 2, Done: 1} }}
+	api := &API{Log: slog.New(slog.DiscardHandler), Ready: func() bool { return ready }, CountTasks: func(string) (running, done int) { return 2, 1 }}
 	for _, c := range []struct {
 		err    error
 		ready  bool
