--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -121,6 +121,18 @@
 	}
 }
 
+// TestPartNamesInOrder: the faults of names are listed in one order, the zones' first, whenever they are asked for.
+func TestPartNamesInOrder(t *testing.T) {
+	c := &Config{Zones: []string{"a", "a"}, Tuning: Tuning{Shards: Shards{By: "type", Types: []string{"g 4", "g8", "g8"}}}}
+	const rule = ": must be another name of up to 60 bytes without spaces and slashes, since parts are called so"
+	want := `params.zones[1]: "a"` + rule + "\n" + `parts.types[0]: "g 4"` + rule + "\n" + `parts.types[2]: "g8"` + rule
+	for range 100 {
+		if err := c.checkShards(); err == nil || err.Error() != want {
+			t.Fatalf("%v\nnot %s", err, want)
+		}
+	}
+}
+
 // TestSpread: rules of spreading are checked against the platform's zones, and all that is
 // wrong is named at once.
 func TestSpread(t *testing.T) {
--- a/internal/config/shards.go
+++ b/internal/config/shards.go
@@ -43,13 +43,17 @@
 	if p.By == "" || p.By == "off" {
 		return errors.Join(f...)
 	}
-	for field, names := range map[string][]string{"params.zones": c.Zones, "parts.types": p.Types} {
-		for i, name := range names {
-			usable := name != "" && len(name) <= maxShardName && !strings.ContainsAny(name, " /\t\n")
-			unique := !slices.Contains(names[:i], name)
-			f.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
-				fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
-		}
-	}
+	f.checkShardNames("params.zones", c.Zones)
+	f.checkShardNames("parts.types", p.Types)
 	return errors.Join(f...)
 }
+
+// checkShardNames checks the names of a list that shards may be called by.
+func (f *faults) checkShardNames(field string, names []string) {
+	for i, name := range names {
+		usable := name != "" && len(name) <= maxShardName && !strings.ContainsAny(name, " /\t\n")
+		unique := !slices.Contains(names[:i], name)
+		f.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
+			fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
+	}
+}
