--- a/architecture_test.go
+++ b/architecture_test.go
@@ -8,21 +8,24 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// declarations holds what a tree of Go sources declares: directories with sources, and
-// "package.Name" or "package.Type.Member" for everything at package level, tests included.
+// declarations holds what a tree of Go sources declares: directories with sources, the sources
+// themselves, and "package.Name" or "package.Type.Member" for everything at package level, tests
+// included.
 type declarations struct {
 	dirs  map[string]bool
+	files map[string]bool // by path, and by name alone
 	names map[string]bool
 }
 
 // parseDeclarations reads all Go sources below the working directory.
 func parseDeclarations(t *testing.T) declarations {
 	t.Helper()
-	found := declarations{dirs: map[string]bool{}, names: map[string]bool{}}
+	found := declarations{dirs: map[string]bool{}, files: map[string]bool{}, names: map[string]bool{}}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -37,7 +40,10 @@
 		if err != nil {
 			return err
 		}
+		path = filepath.ToSlash(path)
 		found.dirs[filepath.ToSlash(filepath.Dir(path))] = true
+		found.files[path] = true
+		found.files[filepath.Base(path)] = true
 		found.add(file)
 		return nil
 	})
@@ -102,12 +108,14 @@
 
 var (
 	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
+	sourceFile    = regexp.MustCompile(`^[\w./-]+\.go$`)
 	packagePath   = regexp.MustCompile(`^internal/[a-z/]+$`)
 	qualifiedName = regexp.MustCompile(`^[a-z]+\.[A-Z]\w*(\.[A-Z]\w*)?$`)
+	settingOfName = regexp.MustCompile(`^(controllers\.NAME|cards\.ZONE)$`) // settings that are named after something
 	testName      = regexp.MustCompile(`^Test[A-Z]\w*$`)
 )
 
-// missingNames lists the packages and Go names in code spans of a page that are not declared.
+// missingNames lists the packages, Go files and Go names in code spans of a page that are not declared.
 func missingNames(page string, found declarations) []string {
 	tests := make(map[string]bool)
 	for name := range found.names {
@@ -118,8 +126,9 @@
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		code := span[1]
 		switch {
-		case packagePath.MatchString(code) && !found.dirs[code],
-			qualifiedName.MatchString(code) && !found.names[code],
+		case packagePath.MatchString(code) && !isDirectory(code),
+			sourceFile.MatchString(code) && !found.files[code],
+			qualifiedName.MatchString(code) && !settingOfName.MatchString(code) && !found.names[code],
 			testName.MatchString(code) && !tests[code]:
 			missing = append(missing, code)
 		}
@@ -127,19 +136,43 @@
 	return missing
 }
 
-// TestArchitecturePageNamesExist keeps the page that newcomers read in step with the code.
-func TestArchitecturePageNamesExist(t *testing.T) {
-	page, err := os.ReadFile("docs/architecture.md")
+func isDirectory(path string) bool {
+	info, err := os.Stat(path)
+	return err == nil && info.IsDir()
+}
+
+// historicPages tell of the past in the names of their time.
+var historicPages = []string{"docs/CAPACITY.md", "docs/hunted.md", "docs/performance.md"}
+
+// pages returns the README and the pages of the present.
+func pages(t *testing.T) []string {
+	t.Helper()
+	all, err := filepath.Glob("docs/*.md")
 	if err != nil {
 		t.Fatal(err)
 	}
+	return slices.DeleteFunc(append(all, "README.md"), func(page string) bool { return slices.Contains(historicPages, page) })
+}
+
+// TestNamesOnPagesExist keeps the pages that newcomers read in step with the code.
+func TestNamesOnPagesExist(t *testing.T) {
 	found := parseDeclarations(t)
-	for _, name := range missingNames(string(page), found) {
-		t.Errorf("docs/architecture.md names %s, which does not exist", name)
+	read := pages(t)
+	for _, page := range read {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range missingNames(string(text), found) {
+			t.Errorf("%s names %s, which does not exist", page, name)
+		}
+	}
+	if !slices.Contains(read, "docs/architecture.md") || !slices.Contains(read, "README.md") {
+		t.Errorf("the pages are %v", read)
 	}
-	planted := "`internal/nowhere` `store.Nothing` `leader.Leader.Nothing` `TestNothingAtAll`"
-	if missing := missingNames(planted, found); len(missing) != 4 {
-		t.Errorf("of four names that do not exist the check sees %v", missing)
+	planted := "`internal/nowhere` `store.Nothing` `leader.Leader.Nothing` `TestNothingAtAll` `internal/store/nothing.go` `nothing.go`"
+	if missing := missingNames(planted, found); len(missing) != 6 {
+		t.Errorf("of six names that do not exist the check sees %v", missing)
 	}
 }
 
