--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -308,36 +308,68 @@
 	return &other
 }
 
+// Bounds of one batch that ReadMany requests.
+const (
+	maxBatchBytes = 2 << 20
+	maxBatchBlobs = 1000
+)
+
 // ReadMany reads blobs of at most MaxBatchedBlob in batches, checks each and passes it to take.
 func (c *Client) ReadMany(ctx context.Context, digests []Digest, take func(Digest, []byte) error) error {
-	const maxBatchBytes, maxBatchBlobs = 2 << 20, 1000
 	for len(digests) > 0 {
-		req := &repb.BatchReadBlobsRequest{InstanceName: c.Instance, DigestFunction: digests[0].Function}
-		n, sum := 0, int64(0)
-		for n < len(digests) && n < maxBatchBlobs && (n == 0 || sum+digests[n].Size <= maxBatchBytes) {
-			sum += digests[n].Size
-			req.Digests = append(req.Digests, digests[n].Proto())
-			n++
-		}
-		if sum > maxBatchBytes {
-			return fmt.Errorf("%v: too large for a batch", digests[0])
+		batch, err := nextBatch(digests)
+		if err != nil {
+			return err
 		}
-		var resp *repb.BatchReadBlobsResponse
-		if err := Retry(ctx, func() (err error) { resp, err = c.blobs.BatchReadBlobs(ctx, req); return err }); err != nil {
+		if err := c.readBatch(ctx, batch, take); err != nil {
 			return err
 		}
-		for i, r := range resp.Responses {
-			if err := status.FromProto(r.Status).Err(); err != nil {
-				return fmt.Errorf("reading %v: %w", digests[i], err)
-			}
-			if Sum(digests[i].Function, r.Data) != digests[i] {
-				return fmt.Errorf("reading %v: %w", digests[i], ErrWrongContent)
-			}
-			if err := take(digests[i], r.Data); err != nil {
-				return err
-			}
+		digests = digests[len(batch):]
+	}
+	return nil
+}
+
+// nextBatch returns the first of some blobs, as many as one batch may hold.
+func nextBatch(digests []Digest) ([]Digest, error) {
+	count, size := 0, int64(0)
+	for count < len(digests) && count < maxBatchBlobs && (count == 0 || size+digests[count].Size <= maxBatchBytes) {
+		size += digests[count].Size
+		count++
+	}
+	if size > maxBatchBytes {
+		return nil, fmt.Errorf("%v: too large for a batch", digests[0])
+	}
+	return digests[:count], nil
+}
+
+// readBatch reads the blobs of one batch, checks each and passes it to take.
+func (c *Client) readBatch(ctx context.Context, batch []Digest, take func(Digest, []byte) error) error {
+	req := &repb.BatchReadBlobsRequest{InstanceName: c.Instance, DigestFunction: batch[0].Function}
+	for _, g := range batch {
+		req.Digests = append(req.Digests, g.Proto())
+	}
+	var resp *repb.BatchReadBlobsResponse
+	if err := Retry(ctx, func() (err error) { resp, err = c.blobs.BatchReadBlobs(ctx, req); return err }); err != nil {
+		return err
+	}
+	for i, r := range resp.Responses {
+		if err := checkResponse(batch[i], r); err != nil {
+			return fmt.Errorf("reading %v: %w", batch[i], err)
 		}
-		digests = digests[n:]
+		if err := take(batch[i], r.Data); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkResponse returns why a response of a batch does not hold the blob of a digest, if so.
+func checkResponse(g Digest, r *repb.BatchReadBlobsResponse_Response) error {
+	if err := status.FromProto(r.Status).Err(); err != nil {
+		return err
+	}
+	if Sum(g.Function, r.Data) != g {
+		return ErrWrongContent
 	}
 	return nil
 }
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -151,19 +151,13 @@
 	buf := make([]byte, 32<<10)
 	for {
 		l.mu.Lock()
-		changed, finished, over := g.changed, g.finished, g.superseded
+		changed, finished, superseded := g.changed, g.finished, g.superseded
 		l.mu.Unlock()
-		for {
-			n, err := f.Read(buf)
-			if _, werr := w.Write(buf[:n]); werr != nil {
-				return werr
-			}
-			if err != nil {
-				break
-			}
+		if err := copyAvailable(w, f, buf); err != nil {
+			return err
 		}
 		switch {
-		case over:
+		case superseded:
 			return status.Error(codes.Aborted, errSuperseded.Error())
 		case finished:
 			return nil
@@ -175,3 +169,17 @@
 		}
 	}
 }
+
+// copyAvailable copies what a file holds now, from where it was last read. An error is that of
+// the destination.
+func copyAvailable(w io.Writer, f *os.File, buf []byte) error {
+	for {
+		n, err := f.Read(buf)
+		if _, werr := w.Write(buf[:n]); werr != nil {
+			return werr
+		}
+		if err != nil {
+			return nil
+		}
+	}
+}
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -73,38 +73,56 @@
 // MissingOutput returns an output of a result that is not in the store, or nil. For output
 // directories that includes the files in them.
 func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
-	var lost *Digest
-	need := func(p *repb.Digest) bool {
-		if p == nil || lost != nil {
-			return lost == nil
-		}
-		g, err := ParseDigest(f, p)
-		if err != nil || !d.Has(g) {
-			lost = &g
-		}
-		return lost == nil
-	}
+	var single []*repb.Digest
 	for _, o := range r.OutputFiles {
-		need(o.Digest)
+		single = append(single, o.Digest)
+	}
+	single = append(single, r.StdoutDigest, r.StderrDigest)
+	if missing := d.firstMissing(f, single); missing != nil {
+		return missing
 	}
-	need(r.StdoutDigest)
-	need(r.StderrDigest)
 	for _, o := range r.OutputDirectories {
-		if !need(o.TreeDigest) || o.TreeDigest == nil {
-			continue
+		if missing := d.missingOfTree(f, o.TreeDigest); missing != nil {
+			return missing
 		}
-		g, _ := ParseDigest(f, o.TreeDigest)
-		raw, err := d.Get(g, maxTree)
-		var tree repb.Tree
-		if err != nil || proto.Unmarshal(raw, &tree) != nil {
-			lost = &g
+	}
+	return nil
+}
+
+// firstMissing returns the first of some blobs that is not in the store, or nil. The ones
+// before it count as used; a nil digest stands for no blob.
+func (d *Disk) firstMissing(f Function, digests []*repb.Digest) *Digest {
+	for _, p := range digests {
+		if p == nil {
 			continue
 		}
-		for _, dir := range append(tree.Children, tree.Root) {
-			for _, file := range dir.GetFiles() {
-				need(file.Digest)
-			}
+		if g, err := ParseDigest(f, p); err != nil || !d.Has(g) {
+			return &g
+		}
+	}
+	return nil
+}
+
+// missingOfTree returns the blob of an output directory, or a file in it, that is not in the
+// store, or nil. A tree that can't be read counts as missing.
+func (d *Disk) missingOfTree(f Function, p *repb.Digest) *Digest {
+	if p == nil {
+		return nil
+	}
+	g, err := ParseDigest(f, p)
+	if err != nil || !d.Has(g) {
+		return &g
+	}
+	raw, err := d.Get(g, maxTree)
+	var tree repb.Tree
+	if err != nil || proto.Unmarshal(raw, &tree) != nil {
+		return &g
+	}
+	var files []*repb.Digest
+	for _, dir := range append(tree.Children, tree.Root) {
+		for _, file := range dir.GetFiles() {
+			files = append(files, file.Digest)
 		}
 	}
-	return lost
+	return d.firstMissing(f, files)
 }
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -171,22 +171,32 @@
 		if dir == nil {
 			continue
 		}
-		for _, sub := range dir.Directories {
-			if g, err := ParseDigest(r.DigestFunction, sub.Digest); err == nil && !seen[g] {
-				seen[g] = true
-				queue = append(queue, g)
-			}
+		queue = append(queue, unseenSubdirectories(r.DigestFunction, dir, seen)...)
+		page.Directories = append(page.Directories, dir)
+		if len(page.Directories) < treePageSize {
+			continue
 		}
-		if page.Directories = append(page.Directories, dir); len(page.Directories) == treePageSize {
-			if err := out.Send(page); err != nil {
-				return err
-			}
-			page = &repb.GetTreeResponse{}
+		if err := out.Send(page); err != nil {
+			return err
 		}
+		page = &repb.GetTreeResponse{}
 	}
 	return out.Send(page)
 }
 
+// unseenSubdirectories returns the subdirectories of a directory that are not in seen yet, and
+// adds them to it. Malformed digests are left out.
+func unseenSubdirectories(f Function, dir *repb.Directory, seen map[Digest]bool) []Digest {
+	var unseen []Digest
+	for _, sub := range dir.Directories {
+		if g, err := ParseDigest(f, sub.Digest); err == nil && !seen[g] {
+			seen[g] = true
+			unseen = append(unseen, g)
+		}
+	}
+	return unseen
+}
+
 // directory reads a directory, or returns nil if it is missing. The files that it names count
 // as used.
 func (s *Server) directory(g Digest) *repb.Directory {
