--- a/internal/action/outputs.go
+++ b/internal/action/outputs.go
@@ -77,39 +77,58 @@
 	}
 	d := &repb.Directory{}
 	for _, e := range entries {
-		sub := filepath.Join(at, e.Name())
 		info, err := e.Info()
-		switch {
-		case err != nil:
+		if err != nil {
+			return nil, err
+		}
+		if err := o.directoryEntry(d, filepath.Join(at, e.Name()), info, tree); err != nil {
 			return nil, err
-		case info.Mode()&os.ModeSymlink != 0:
-			target, err := os.Readlink(sub)
-			if err != nil {
-				return nil, err
-			}
-			d.Symlinks = append(d.Symlinks, &repb.SymlinkNode{Name: e.Name(), Target: target})
-		case info.IsDir():
-			child, err := o.directory(sub, tree)
-			if err != nil {
-				return nil, err
-			}
-			raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(child)
-			if err != nil {
-				return nil, err
-			}
-			tree.Children = append(tree.Children, child)
-			d.Directories = append(d.Directories, &repb.DirectoryNode{Name: e.Name(), Digest: cas.Sum(o.function, raw).Proto()})
-		case info.Mode().IsRegular():
-			g, err := o.file(sub, info)
-			if err != nil {
-				return nil, err
-			}
-			d.Files = append(d.Files, &repb.FileNode{Name: e.Name(), Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
 		}
 	}
 	return d, nil
 }
 
+// directoryEntry adds a symlink, directory or file to the message of the directory that holds
+// it. What is none of these is left out.
+func (o *outputs) directoryEntry(parent *repb.Directory, at string, info os.FileInfo, tree *repb.Tree) error {
+	name := filepath.Base(at)
+	switch {
+	case info.Mode()&os.ModeSymlink != 0:
+		target, err := os.Readlink(at)
+		if err != nil {
+			return err
+		}
+		parent.Symlinks = append(parent.Symlinks, &repb.SymlinkNode{Name: name, Target: target})
+	case info.IsDir():
+		g, err := o.subdirectory(at, tree)
+		if err != nil {
+			return err
+		}
+		parent.Directories = append(parent.Directories, &repb.DirectoryNode{Name: name, Digest: g.Proto()})
+	case info.Mode().IsRegular():
+		g, err := o.file(at, info)
+		if err != nil {
+			return err
+		}
+		parent.Files = append(parent.Files, &repb.FileNode{Name: name, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
+	}
+	return nil
+}
+
+// subdirectory adds a directory to the children of a tree, and returns its digest.
+func (o *outputs) subdirectory(at string, tree *repb.Tree) (cas.Digest, error) {
+	child, err := o.directory(at, tree)
+	if err != nil {
+		return cas.Digest{}, err
+	}
+	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(child)
+	if err != nil {
+		return cas.Digest{}, err
+	}
+	tree.Children = append(tree.Children, child)
+	return cas.Sum(o.function, raw), nil
+}
+
 // upload stores all that the store does not have yet.
 func (o *outputs) upload(ctx context.Context, c *cas.Client) error {
 	var all []cas.Digest
