--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -35,17 +35,10 @@
 			return admissionStatus(err)
 		}
 		if rec.Stage.Final() {
-			resp, err := s.answer(ctx, op, rec, instance, cacheable)
-			if err != nil {
-				return err
-			}
-			return op.send(out, repb.ExecutionStage_COMPLETED, resp)
+			return s.sendAnswer(ctx, op, rec, instance, cacheable, out)
 		}
-		if stage := s.stage(op); stage != sent {
-			if err := op.send(out, stage, nil); err != nil {
-				return err
-			}
-			sent = stage
+		if sent, err = s.sendStage(op, sent, out); err != nil {
+			return err
 		}
 		if err := awaitChange(ctx, changed); err != nil {
 			return err
@@ -53,6 +46,25 @@
 	}
 }
 
+// sendAnswer sends the final answer of an execution that is over.
+func (s *Server) sendAnswer(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+	resp, err := s.answer(ctx, op, rec, instance, cacheable)
+	if err != nil {
+		return err
+	}
+	return op.send(out, repb.ExecutionStage_COMPLETED, resp)
+}
+
+// sendStage sends the stage of an execution that is not over, unless it is the one that was
+// sent last. It returns the stage that the client knows.
+func (s *Server) sendStage(op operation, last repb.ExecutionStage_Value, out grpc.ServerStreamingServer[longrunningpb.Operation]) (repb.ExecutionStage_Value, error) {
+	stage := s.stage(op)
+	if stage == last {
+		return last, nil
+	}
+	return stage, op.send(out, stage, nil)
+}
+
 // status returns the record of an execution's job. Once a stage has been sent the client is
 // not disconnected while the state can't be read: the job then counts as pending.
 func (s *Server) status(ctx context.Context, op operation, following bool) (store.JobRecord, error) {
