--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -59,10 +59,6 @@
 
 // control serves the control address.
 func (w *Cluster) control() transport.ServeConn {
-	answer := func(status int, v any) *httpwire.Response {
-		text, _ := json.Marshal(v)
-		return &httpwire.Response{Status: status, Body: text}
-	}
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
@@ -71,30 +67,51 @@
 		case r.Method == "GET" && r.Path == PathUsers:
 			return answer(200, w.users.instructions())
 		case r.Method == "POST" && r.Path == PathFaults:
-			var f Fault
-			if err := json.Unmarshal(r.Body, &f); err != nil {
-				return answer(400, Refusal{err.Error()})
-			}
-			s, err := w.Stage(f)
-			if err != nil {
-				return answer(422, Refusal{err.Error()})
-			}
-			return answer(200, s)
+			return w.postFault(r.Body)
 		case r.Method == "POST" && r.Path == PathJudge:
-			var told struct {
-				Told []Observation `cbor:"told"`
-			}
-			if err := wire.Decode(r.Body, &told); err != nil {
-				return answer(400, Refusal{err.Error()})
-			}
-			w.Observe(told.Told)
-			return answer(200, struct{}{})
+			return w.postObservations(r.Body)
 		case r.Method == "DELETE" && named:
-			if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
-				return answer(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
-			}
-			return answer(200, struct{}{})
+			return w.deleteFault(number)
 		}
 		return answer(404, Refusal{"no such path"})
 	})
 }
+
+// answer returns a response with a body of JSON.
+func answer(status int, v any) *httpwire.Response {
+	text, _ := json.Marshal(v)
+	return &httpwire.Response{Status: status, Body: text}
+}
+
+// postFault stages the fault that a request describes.
+func (w *Cluster) postFault(body []byte) *httpwire.Response {
+	var f Fault
+	if err := json.Unmarshal(body, &f); err != nil {
+		return answer(400, Refusal{err.Error()})
+	}
+	s, err := w.Stage(f)
+	if err != nil {
+		return answer(422, Refusal{err.Error()})
+	}
+	return answer(200, s)
+}
+
+// postObservations passes the observations of a request to the checkers.
+func (w *Cluster) postObservations(body []byte) *httpwire.Response {
+	var told struct {
+		Told []Observation `cbor:"told"`
+	}
+	if err := wire.Decode(body, &told); err != nil {
+		return answer(400, Refusal{err.Error()})
+	}
+	w.Observe(told.Told)
+	return answer(200, struct{}{})
+}
+
+// deleteFault lifts the fault with a number.
+func (w *Cluster) deleteFault(number string) *httpwire.Response {
+	if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
+		return answer(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
+	}
+	return answer(200, struct{}{})
+}
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -115,47 +115,62 @@
 	return []error{err}
 }
 
+// fieldErrors collects the errors in the fields of a fault.
+type fieldErrors []error
+
+// add records an error in a field; the message begins with the name of the field.
+func (e *fieldErrors) add(field, format string, args ...any) {
+	*e = append(*e, &fieldError{field, fmt.Errorf("%s: "+format, append([]any{field}, args...)...)})
+}
+
 // Check reports everything that is wrong with a fault in a cluster.
 func (f *Fault) Check(c *Config) error {
-	var out []error
-	wrong := func(field, format string, args ...any) {
-		out = append(out, &fieldError{field, fmt.Errorf("%s: "+format, append([]any{field}, args...)...)})
+	var wrong fieldErrors
+	if _, ok := kinds[f.Kind]; !ok {
+		wrong.add("kind", "%q: must be one of %s", f.Kind, strings.Join(Kinds(), ", "))
+		return errors.Join(wrong...)
+	}
+	f.checkFields(&wrong)
+	if f.Kind == "controller_cut" && !f.FromState && !f.FromPeers {
+		wrong.add("from_state", "missing: controller_cut needs from_state = yes, from_peers = yes, or both")
 	}
-	k, ok := kinds[f.Kind]
-	if !ok {
-		wrong("kind", "%q: must be one of %s", f.Kind, strings.Join(Kinds(), ", "))
-		return errors.Join(out...)
+	if f.Kind == "machine_hang" && f.For == 0 {
+		wrong.add("for", "missing: machine_hang needs it")
 	}
+	f.checkNames(c, &wrong)
+	return errors.Join(wrong...)
+}
+
+// checkFields checks that the fields are set which the kind requires, and no others than it allows.
+func (f *Fault) checkFields(wrong *fieldErrors) {
+	k := kinds[f.Kind]
 	set := map[string]bool{"from": f.From != "", "to": f.To != "", "mode": f.Mode != "", "one_way": f.OneWay, "delay": f.Delay > 0, "share": f.Share > 0,
 		"count": f.Count > 0, "zone": f.Zone != "", "notice": f.Notice > 0, "times": f.Times > 0, "who": f.Who != "",
 		"from_state": f.FromState, "from_peers": f.FromPeers, "at_once": f.AtOnce, "for_next": f.ForNext, "hang": f.Hang > 0}
 	for _, name := range sorted(set) {
 		needed := slices.Contains(k.needs, name)
 		if needed && !set[name] {
-			wrong(name, "missing: %s needs it", f.Kind)
+			wrong.add(name, "missing: %s needs it", f.Kind)
 		}
 		if set[name] && !needed && !slices.Contains(k.may, name) {
-			wrong(name, "means nothing to %s, which takes %s", f.Kind, f.takes())
+			wrong.add(name, "means nothing to %s, which takes %s", f.Kind, f.takes())
 		}
 	}
-	if f.Kind == "controller_cut" && !f.FromState && !f.FromPeers {
-		wrong("from_state", "missing: controller_cut needs from_state = yes, from_peers = yes, or both")
-	}
-	if f.Kind == "machine_hang" && f.For == 0 {
-		wrong("for", "missing: machine_hang needs it")
-	}
-	if set["zone"] && !slices.Contains(c.Zones, f.Zone) {
-		wrong("zone", "%q: must be one of %s", f.Zone, strings.Join(c.Zones, ", "))
+}
+
+// checkNames checks that the cluster has the zone, the controller and the endpoints that are named.
+func (f *Fault) checkNames(c *Config, wrong *fieldErrors) {
+	if f.Zone != "" && !slices.Contains(c.Zones, f.Zone) {
+		wrong.add("zone", "%q: must be one of %s", f.Zone, strings.Join(c.Zones, ", "))
 	}
-	if set["who"] && !slices.Contains(c.names(), f.Who) {
-		wrong("who", "%q: must be one of %s", f.Who, strings.Join(c.names(), ", "))
+	if f.Who != "" && !slices.Contains(c.names(), f.Who) {
+		wrong.add("who", "%q: must be one of %s", f.Who, strings.Join(c.names(), ", "))
 	}
 	for field, side := range map[string]string{"from": f.From, "to": f.To} {
 		if side != "" && !c.endpoint(side) {
-			wrong(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", side, strings.Join(c.names(), ", "))
+			wrong.add(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", side, strings.Join(c.names(), ", "))
 		}
 	}
-	return errors.Join(out...)
 }
 
 func sorted(set map[string]bool) (names []string) {
