--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -110,58 +110,79 @@
 	r.classes, r.jobs = make(map[string]*ClassResult), make(map[string]*trackedJob)
 	arrivals := r.Mix.Arrivals(r.Prefix)
 	r.history.begin()
-	judging, stop := context.WithCancel(context.WithoutCancel(ctx))
-	judged := make(chan struct{})
-	go func() { defer close(judged); r.sendObservations(judging) }()
-	acted := make(chan struct{})
-	go func() { defer close(acted); r.followInstructions(judging) }()
-	var group sync.WaitGroup
-	begun, late := time.Now(), 0
-	follow, cancel := context.WithCancel(ctx)
+	stopJudging := r.startJudging(ctx)
+	jobs, cancel := context.WithCancel(ctx)
 	defer cancel()
+	over, late := r.submitAll(jobs, arrivals, progress)
+	r.await(ctx, over, len(arrivals), progress)
+	cancel()
+	<-over
+	stopJudging()
+	return r.result(ctx, late)
+}
+
+// startJudging sends observations to the judging cluster, and follows its instructions, until
+// the function that it returns is called. That waits until the last ones are sent.
+func (r *Runner) startJudging(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	var group sync.WaitGroup
+	group.Go(func() { r.sendObservations(ctx) })
+	group.Go(func() { r.followInstructions(ctx) })
+	return func() {
+		cancel()
+		group.Wait()
+	}
+}
+
+// maxSendDelay is how much later than due a job may be sent without being counted as late.
+const maxSendDelay = 100 * time.Millisecond
+
+// submitAll starts a user for each job at its time, until the context ends. It returns a
+// channel that is closed when all users are done, and how many jobs were sent late.
+func (r *Runner) submitAll(ctx context.Context, arrivals []Arrival, progress func(sent, all, open int)) (over <-chan struct{}, late int) {
+	var users sync.WaitGroup
+	begun := time.Now()
 	for i, a := range arrivals {
 		at := begun.Add(a.At)
 		pause(ctx, time.Until(at))
 		if ctx.Err() != nil {
 			break
 		}
-		if time.Since(at) > 100*time.Millisecond {
+		if time.Since(at) > maxSendDelay {
 			late++
 		}
 		r.open.Add(1)
-		group.Add(1)
-		go func() {
-			defer group.Done()
+		users.Go(func() {
 			defer r.open.Add(-1)
-			r.job(follow, i, &a, at)
-		}()
+			r.job(ctx, i, &a, at)
+		})
 		progress(int(r.sent.Add(1)), len(arrivals), int(r.open.Load()))
 	}
-	over := make(chan struct{})
-	go func() { group.Wait(); close(over) }()
-	r.await(ctx, over, len(arrivals), progress)
-	cancel()
-	<-over
-	stop()
-	<-acted
-	<-judged
+	done := make(chan struct{})
+	go func() { users.Wait(); close(done) }()
+	return done, late
+}
+
+// result returns the result of a run whose jobs are over or given up. The error is that of the
+// judging cluster or of the context.
+func (r *Runner) result(ctx context.Context, late int) (*Result, error) {
 	res := &Result{Classes: r.classes, SentLate: late, Instructions: r.instructionCounts, Open: r.history.open(), Violations: r.history.violations()}
 	for _, c := range r.classes {
 		c.Accept, c.Start, c.Finish = TimesOf(c.accept), TimesOf(c.start), TimesOf(c.finish)
 	}
 	if r.JudgeAddr == "" {
 		res.Violations = append(res.Violations, r.liveness.Violations()...)
-	} else {
-		s, err := ClusterStatus(context.WithoutCancel(ctx), r.Caller, r.JudgeAddr)
-		if err != nil {
-			return res, err
-		}
-		res.Violations = append(res.Violations, s.Violations...)
+		return res, ctx.Err()
+	}
+	s, err := ClusterStatus(context.WithoutCancel(ctx), r.Caller, r.JudgeAddr)
+	if err != nil {
+		return res, err
 	}
+	res.Violations = append(res.Violations, s.Violations...)
 	return res, ctx.Err()
 }
 
-func (r *Runner) await(ctx context.Context, over chan struct{}, all int, progress func(sent, all, open int)) {
+func (r *Runner) await(ctx context.Context, over <-chan struct{}, all int, progress func(sent, all, open int)) {
 	until := time.After(r.DrainTimeout)
 	for {
 		select {
@@ -228,16 +249,9 @@
 
 // follow polls a job until it is over, and cancels it if that is due.
 func (r *Runner) follow(ctx context.Context, f *trackedJob, a *Arrival, meant time.Time) {
-	j, begun, started := a.Job, time.Now(), false
+	begun, started := time.Now(), false
 	for try := 0; ctx.Err() == nil; try++ {
-		wait := r.Mix.Poll
-		if !started {
-			wait = min(wait, time.Second)
-		}
-		if a.Cancel > 0 {
-			wait = min(wait, max(50*time.Millisecond, a.Cancel-time.Since(begun)))
-		}
-		pause(ctx, wait)
+		pause(ctx, r.pollInterval(a, begun, started))
 		op := opStatus
 		if f.toldToCancel.Load() || a.Cancel > 0 && time.Since(begun) >= a.Cancel {
 			op = opAbort
@@ -248,19 +262,46 @@
 		}
 		if !started && (s.Running > 0 || s.Done > 0 || s.Stage == wire.Done) {
 			started = true
-			r.note(j.Class, func(c *ClassResult) { record(c.start, meant) })
+			r.note(a.Job.Class, func(c *ClassResult) { record(c.start, meant) })
 		}
-		switch s.Stage {
-		case wire.Done:
-			r.note(j.Class, func(c *ClassResult) { c.Done++; record(c.finish, meant) })
-			return
-		case wire.Cancelled:
-			r.note(j.Class, func(c *ClassResult) { c.Cancelled++ })
+		if s.Stage.Final() {
+			r.noteEnd(a.Job.Class, s.Stage, meant)
 			return
 		}
 	}
 }
 
+// Bounds of the time between two polls of a job.
+const (
+	maxPollBeforeStart  = time.Second
+	minPollBeforeCancel = 50 * time.Millisecond
+)
+
+// pollInterval returns how long to wait until the next poll of a job that is followed since
+// begun. It is shorter while the start or the cancellation of the job is due.
+func (r *Runner) pollInterval(a *Arrival, begun time.Time, started bool) time.Duration {
+	wait := r.Mix.Poll
+	if !started {
+		wait = min(wait, maxPollBeforeStart)
+	}
+	if a.Cancel > 0 {
+		wait = min(wait, max(minPollBeforeCancel, a.Cancel-time.Since(begun)))
+	}
+	return wait
+}
+
+// noteEnd counts a job that is over.
+func (r *Runner) noteEnd(class string, stage wire.Stage, meant time.Time) {
+	r.note(class, func(c *ClassResult) {
+		if stage == wire.Cancelled {
+			c.Cancelled++
+			return
+		}
+		c.Done++
+		record(c.finish, meant)
+	})
+}
+
 // call makes a request to one of the controllers and records when it was made and answered.
 func (r *Runner) call(ctx context.Context, n int, f *trackedJob, op opKind) (status int, s wire.JobStatus) {
 	j, wait := f.job, 5*time.Second
