--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -23,6 +22,7 @@
 
 	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
+	"amberdeal.example/amberdeal/internal/outcomefile"
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
@@ -31,13 +31,16 @@
 	Dir      string // of the experiment's file
 	Worlds   []string
 	Mixes    []string
-	Settings []string // operators' files; "none" for the defaults
+	Settings []string // operators' files; noSettings for the defaults
 	Seeds    []uint64
 	Parallel int
 	Port     int
 	Wait     time.Duration
 }
 
+// noSettings stands in a plan and a cell for the defaults, without an operators' file.
+const noSettings = "none"
+
 // Cell is one run.
 type Cell struct {
 	World    string `json:"world" parquet:"world,dict"`
@@ -110,7 +113,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the experiment: %w", err)
 	}
-	p := &Plan{Dir: filepath.Dir(path), Settings: []string{"none"}, Seeds: []uint64{1}, Parallel: 1, Port: 12080, Wait: 2 * time.Minute}
+	p := &Plan{Dir: filepath.Dir(path), Settings: []string{noSettings}, Seeds: []uint64{1}, Parallel: 1, Port: 12080, Wait: 2 * time.Minute}
 	var faults []error
 	for _, sec := range file.Sections() {
 		for _, key := range sec.Keys() {
@@ -170,7 +173,7 @@
 		faults = append(faults, err)
 	}
 	for _, s := range p.Settings {
-		if s != "none" {
+		if s != noSettings {
 			if _, err := os.Stat(filepath.Join(p.Dir, s)); err != nil {
 				faults = append(faults, fmt.Errorf("reading the settings: %w", err))
 			}
@@ -258,7 +261,7 @@
 				if err != nil {
 					return fmt.Errorf("%v: %w", c, err)
 				}
-				if err := saveOutcome(path, o); err != nil {
+				if err := outcomefile.Save(path, o); err != nil {
 					return fmt.Errorf("%v: %w", c, err)
 				}
 			}
@@ -277,34 +280,18 @@
 }
 
 func readOutcome(path string) (*Outcome, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("reading an outcome: %w", err)
-	}
-	var o Outcome
-	if err := json.Unmarshal(text, &o); err != nil {
-		return nil, fmt.Errorf("%s: not a cell's outcome: %w", path, err)
+	o := new(Outcome)
+	if err := outcomefile.Load(path, outcomeKind, o); err != nil {
+		return nil, err
 	}
 	if o.Result == nil {
-		return nil, fmt.Errorf("%s: not a cell's outcome: no result", path)
+		return nil, fmt.Errorf("%s: not %s: no result", path, outcomeKind)
 	}
-	return &o, nil
+	return o, nil
 }
 
-// saveOutcome writes a file so that it is there whole or not at all.
-func saveOutcome(path string, o *Outcome) error {
-	text, err := json.Marshal(o)
-	if err != nil {
-		return fmt.Errorf("encoding the outcome: %w", err)
-	}
-	if err := os.WriteFile(path+".part", text, 0o644); err != nil {
-		return fmt.Errorf("saving the outcome: %w", err)
-	}
-	if err := os.Rename(path+".part", path); err != nil {
-		return fmt.Errorf("saving the outcome: %w", err)
-	}
-	return nil
-}
+// outcomeKind is what a file of an outcome holds, in errors.
+const outcomeKind = "a cell's outcome"
 
 // Read returns the outcomes of a directory.
 func Read(dir string) (out []*Outcome, err error) {
@@ -327,27 +314,18 @@
 func (r *Runner) runCell(ctx context.Context, c Cell, port int) (*Outcome, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	conf, err := r.Plan.world(c.World)
-	if err != nil {
-		return nil, err
-	}
-	mix, err := r.Plan.mix(c.Mix)
+	conf, mix, err := r.Plan.cellInput(c)
 	if err != nil {
 		return nil, err
 	}
-	conf.Seed, mix.Seed = c.Seed, c.Seed
 	dir, err := os.MkdirTemp("", "amberdeal-experiment-*")
 	if err != nil {
 		return nil, fmt.Errorf("making a directory for the cluster: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	procs := emulator.Processes{Program: r.Program, Level: "error", Dir: dir}
-	if c.Settings != "none" {
-		tuning, err := os.ReadFile(filepath.Join(r.Plan.Dir, c.Settings))
-		if err != nil {
-			return nil, fmt.Errorf("reading the settings: %w", err)
-		}
-		procs.Tuning = string(tuning)
+	if procs.Tuning, err = r.Plan.tuning(c.Settings); err != nil {
+		return nil, err
 	}
 	procs.Begin(ctx)
 	defer procs.Stop()
@@ -356,31 +334,77 @@
 		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
 	defer w.Stop()
+	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
+	addrs, err := startControllers(ctx, &procs, w, caller)
+	if err != nil {
+		return nil, err
+	}
+	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
+	runner := &load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: w.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
+	if err := o.measure(ctx, w, runner); err != nil {
+		return nil, err
+	}
+	return o, nil
+}
+
+// cellInput reads the cluster and the load of a cell, both with its seed.
+func (p *Plan) cellInput(c Cell) (*emulator.Config, *load.Mix, error) {
+	conf, err := p.world(c.World)
+	if err != nil {
+		return nil, nil, err
+	}
+	mix, err := p.mix(c.Mix)
+	if err != nil {
+		return nil, nil, err
+	}
+	conf.Seed, mix.Seed = c.Seed, c.Seed
+	return conf, mix, nil
+}
+
+// tuning returns the content of an operators' file, empty for the defaults.
+func (p *Plan) tuning(settings string) (string, error) {
+	if settings == noSettings {
+		return "", nil
+	}
+	text, err := os.ReadFile(filepath.Join(p.Dir, settings))
+	if err != nil {
+		return "", fmt.Errorf("reading the settings: %w", err)
+	}
+	return string(text), nil
+}
+
+// startControllers starts the controllers of a cluster, waits until they are ready and returns
+// their addresses.
+func startControllers(ctx context.Context, procs *emulator.Processes, w *emulator.Cluster, caller *transport.Caller) ([]string, error) {
 	procs.Settings, procs.Metrics = w.Settings, w.Metrics
 	var addrs []string
-	for i := range conf.Controllers {
+	for i := range w.Config.Controllers {
 		if err := procs.Start(i); err != nil {
 			return nil, fmt.Errorf("starting controller %d: %w", i, err)
 		}
 		addrs = append(addrs, w.Public(i))
 	}
-	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
 	if err := emulator.Ready(ctx, caller, addrs); err != nil {
 		return nil, fmt.Errorf("waiting for the controllers: %w", err)
 	}
-	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
+	return addrs, nil
+}
+
+// measure runs the load of a cell on a cluster, and records its result and the cluster's state
+// and faults meanwhile.
+func (o *Outcome) measure(ctx context.Context, w *emulator.Cluster, runner *load.Runner) error {
 	sampling, end := context.WithCancel(ctx)
 	sampled := make(chan struct{})
 	go func() { defer close(sampled); o.sample(sampling, w) }()
-	load := load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: w.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
-	o.Result, err = load.Run(ctx, func(int, int, int) {})
+	var err error
+	o.Result, err = runner.Run(ctx, func(int, int, int) {})
 	end()
 	<-sampled
 	if err != nil {
-		return nil, fmt.Errorf("running the load: %w", err)
+		return fmt.Errorf("running the load: %w", err)
 	}
 	o.Faults = w.Status().Faults
-	return o, nil
+	return nil
 }
 
 // sample records the cluster's state each second.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,6 +10,7 @@
 
 	"amberdeal.example/amberdeal/internal/emulator"
 	"amberdeal.example/amberdeal/internal/load"
+	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
 // TestPlan reads the experiment that is shipped, and names all that is wrong with one.
@@ -47,7 +48,7 @@
 	all := []*Outcome{outcome("none", 1, 10), outcome("none", 2, 20), outcome("quick.ini", 1, 7), outcome("quick.ini", 2, 16)}
 	all[3].Result.Violations = []string{"went_back: <wk-1>"}
 	for _, o := range all {
-		if err := saveOutcome(filepath.Join(dir, o.Cell.file()), o); err != nil {
+		if err := outcomefile.Save(filepath.Join(dir, o.Cell.file()), o); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -137,8 +137,8 @@
 			g.Broken = append(g.Broken, fmt.Sprintf("%v: %d jobs are not over", o.Cell, n))
 		}
 	}
-	if i := slices.Index(g.Settings, "none"); i > 0 { // the defaults are what others are compared to
-		g.Settings = slices.Insert(slices.Delete(g.Settings, i, i+1), 0, "none")
+	if i := slices.Index(g.Settings, noSettings); i > 0 { // the defaults are what others are compared to
+		g.Settings = slices.Insert(slices.Delete(g.Settings, i, i+1), 0, noSettings)
 	}
 	for _, f := range metricsOf(all) {
 		g.Rows = append(g.Rows, compare(f, g.Settings, by))
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -10,6 +9,7 @@
 	"github.com/parquet-go/parquet-go"
 
 	"amberdeal.example/amberdeal/internal/load"
+	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
 // Role is a part of the system that is measured.
@@ -104,38 +104,22 @@
 	return filepath.Join(dir, fmt.Sprintf("step-%v.json", step))
 }
 
-// saveOutcome writes an outcome atomically.
-func saveOutcome(dir string, o *Outcome) error {
-	text, err := json.Marshal(o)
-	if err != nil {
-		return fmt.Errorf("encoding the outcome: %w", err)
-	}
-	path := outcomeFile(dir, o.Step)
-	if err := os.WriteFile(path+".part", text, 0o644); err != nil {
-		return fmt.Errorf("saving the outcome: %w", err)
-	}
-	if err := os.Rename(path+".part", path); err != nil {
-		return fmt.Errorf("saving the outcome: %w", err)
-	}
-	return nil
-}
+// outcomeKind is what a file of an outcome holds, in errors.
+const outcomeKind = "the outcome of a step"
 
 // loadOutcome reads the outcome of an earlier run, nil if there is none.
 func loadOutcome(dir string, step Point) (*Outcome, error) {
 	path := outcomeFile(dir, step)
-	text, err := os.ReadFile(path)
+	o := new(Outcome)
+	err := outcomefile.Load(path, outcomeKind, o)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("reading an earlier outcome: %w", err)
-	}
-	o := new(Outcome)
-	if err := json.Unmarshal(text, o); err != nil {
-		return nil, fmt.Errorf("%s: not the outcome of a step: %w", path, err)
+		return nil, err
 	}
 	if len(o.Rows) == 0 {
-		return nil, fmt.Errorf("%s: not the outcome of a step: no figures", path)
+		return nil, fmt.Errorf("%s: not %s: no figures", path, outcomeKind)
 	}
 	return o, nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"os"
+
+	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
 // Runner runs a plan.
@@ -44,5 +46,5 @@
 	if o, err = runStep(ctx, r.Plan, step, r.Program, r.Port); err != nil {
 		return nil, false, err
 	}
-	return o, false, saveOutcome(r.Out, o)
+	return o, false, outcomefile.Save(outcomeFile(r.Out, step), o)
 }
