--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -36,35 +36,48 @@
 const epoch = 1_700_000_000
 
 func (f *filler) fill(v reflect.Value) {
-	if v.Type() == timeType {
+	switch {
+	case v.Type() == timeType:
 		f.n++
 		v.Set(reflect.ValueOf(time.Unix(epoch+f.n, f.n).UTC()))
-		return
-	}
-	if v.Type().String() == "cbor.RawMessage" {
+	case v.Type().String() == "cbor.RawMessage":
 		// An encoded value: a text of one letter.
 		f.n++
 		v.SetBytes([]byte{0x61, 'a' + byte(f.n%26)})
-		return
+	case v.Kind() == reflect.Bool:
+		v.SetBool(true)
+	case slices.Contains(compositeKinds, v.Kind()):
+		f.fillComposite(v)
+	default:
+		f.n++
+		setScalar(v, f.n)
 	}
+}
+
+// setScalar sets a number, a text or an interface to a value that is made from n.
+func setScalar(v reflect.Value, n int64) {
 	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		f.n++
-		v.SetInt(f.n)
+		v.SetInt(n)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		f.n++
-		v.SetUint(uint64(f.n))
+		v.SetUint(uint64(n))
 	case reflect.Float32, reflect.Float64:
-		f.n++
-		v.SetFloat(float64(f.n) + 0.5)
+		v.SetFloat(float64(n) + 0.5)
 	case reflect.String:
-		f.n++
-		v.SetString(fmt.Sprintf("s%d", f.n))
+		v.SetString(fmt.Sprintf("s%d", n))
 	case reflect.Interface:
-		f.n++
-		v.Set(reflect.ValueOf(fmt.Sprintf("i%d", f.n)))
+		v.Set(reflect.ValueOf(fmt.Sprintf("i%d", n)))
+	default:
+		panic(fmt.Sprintf("goldentest: a %s can't be filled", v.Type()))
+	}
+}
+
+// compositeKinds are the kinds of values that hold others, see fillComposite.
+var compositeKinds = []reflect.Kind{reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map, reflect.Struct}
+
+// fillComposite fills the values that a value of one of compositeKinds holds.
+func (f *filler) fillComposite(v reflect.Value) {
+	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
@@ -87,8 +100,6 @@
 				f.fill(v.Field(i))
 			}
 		}
-	default:
-		panic(fmt.Sprintf("goldentest: a %s can't be filled", v.Type()))
 	}
 }
 
@@ -146,43 +157,59 @@
 	return v.Kind().String() // an empty map, slice or pointer
 }
 
-func walk(v reflect.Value, path string, leaf func(path string, v reflect.Value)) {
+// visitor is called with each leaf of a value and the path to it.
+type visitor func(path string, leaf reflect.Value)
+
+// walk visits the leaves of a value in order: what holds no other value, or is empty.
+func walk(v reflect.Value, path string, visit visitor) {
 	if !v.IsValid() || v.Type() == timeType {
-		leaf(path, v)
+		visit(path, v)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
-			leaf(path, v)
+			visit(path, v)
 			return
 		}
-		walk(v.Elem(), path, leaf)
+		walk(v.Elem(), path, visit)
 	case reflect.Slice, reflect.Array:
-		if v.Len() == 0 {
-			leaf(path, v)
-		}
-		for i := range v.Len() {
-			walk(v.Index(i), fmt.Sprintf("%s[%d]", path, i), leaf)
-		}
+		walkSequence(v, path, visit)
 	case reflect.Map:
-		if v.Len() == 0 {
-			leaf(path, v)
-		}
-		keys := v.MapKeys()
-		slices.SortFunc(keys, func(a, b reflect.Value) int { return slices.Compare(leaves(a), leaves(b)) })
-		for _, key := range keys {
-			walk(key, path+".key", leaf)
-			walk(v.MapIndex(key), path+".value", leaf)
-		}
+		walkMap(v, path, visit)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if field := v.Type().Field(i); field.IsExported() {
-				walk(v.Field(i), path+"."+field.Name, leaf)
-			}
-		}
+		walkFields(v, path, visit)
 	default:
-		leaf(path, v)
+		visit(path, v)
+	}
+}
+
+func walkSequence(v reflect.Value, path string, visit visitor) {
+	if v.Len() == 0 {
+		visit(path, v)
+	}
+	for i := range v.Len() {
+		walk(v.Index(i), fmt.Sprintf("%s[%d]", path, i), visit)
+	}
+}
+
+func walkMap(v reflect.Value, path string, visit visitor) {
+	if v.Len() == 0 {
+		visit(path, v)
+	}
+	keys := v.MapKeys()
+	slices.SortFunc(keys, func(a, b reflect.Value) int { return slices.Compare(leaves(a), leaves(b)) })
+	for _, key := range keys {
+		walk(key, path+".key", visit)
+		walk(v.MapIndex(key), path+".value", visit)
+	}
+}
+
+func walkFields(v reflect.Value, path string, visit visitor) {
+	for i := range v.NumField() {
+		if field := v.Type().Field(i); field.IsExported() {
+			walk(v.Field(i), path+"."+field.Name, visit)
+		}
 	}
 }
 
