--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -54,10 +54,11 @@
 	if w.Kind != Kind {
 		return w, g, fmt.Errorf("the job's work is of kind %q: must be %s", w.Kind, Kind)
 	}
-	if g, err = cas.DigestFromString(w.Action); err == nil {
-		g.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
+	if g, err = cas.DigestFromString(w.Action); err != nil {
+		return w, g, fmt.Errorf("the job's action: %w", err)
 	}
-	return w, g, err
+	g.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
+	return w, g, nil
 }
 
 // LogNames returns the names of the logs of a job's stdout and stderr.
@@ -94,10 +95,13 @@
 	}
 	packed, err := anypb.New(resp)
 	if err != nil {
-		return err
+		return fmt.Errorf("encoding the answer of %s: %w", job, err)
 	}
 	r.ExecutionMetadata = &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{packed}}
-	return c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r)
+	if err := c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r); err != nil {
+		return fmt.Errorf("storing the answer of %s: %w", job, err)
+	}
+	return nil
 }
 
 // ErrNoAnswer means that the answer of an execution was evicted, or was never stored.
--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -15,6 +15,7 @@
 
 	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
 	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
 	"amberdeal.example/amberdeal/internal/cas"
@@ -99,6 +100,77 @@
 	}
 }
 
+// TestFaultMessages: the answer to a fault of the action is the message of the fault alone, without
+// what the machine attempted meanwhile.
+func TestFaultMessages(t *testing.T) {
+	b := newBench(t)
+	b.Limits = Limits{Inputs: 10, InputBytes: 1000, Outputs: 5, OutputBytes: 100_000}
+	for script, want := range map[string]string{
+		"mkdir out; for i in 1 2 3 4 5 6; do echo $i > out/$i; done": "the outputs are more than 5 files or 100000 bytes",
+		"yes":        "the command writes more than 100000 bytes to stdout or stderr",
+		"mkfifo out": `output "out": is neither a file, a directory nor a symlink`,
+	} {
+		if resp, err := b.run(t.Context(), script, "out"); err != nil || resp.Message != want || resp.Status.GetMessage() != want {
+			t.Errorf("%s: %v, %v, want %s", script, resp, err, want)
+		}
+	}
+	noArguments := b.putAction(&repb.Command{}, cas.Sum(sha, nil))
+	noInputs := b.putAction(&repb.Command{Arguments: []string{"true"}}, cas.Sum(sha, []byte("never stored")))
+	for i, c := range []struct {
+		action cas.Digest
+		want   string
+	}{
+		{noArguments, "the command has no arguments"},
+		{noInputs, "blobs are missing"},
+		{cas.Sum(sha, []byte("never stored")), "blobs are missing"},
+	} {
+		job := fmt.Sprintf("wk-fault-%d", i)
+		if err := b.Run(t.Context(), job, NewWork("", c.action), c.action); err != nil {
+			t.Fatal(err)
+		}
+		if resp, err := Answer(t.Context(), b.Store, job); err != nil || resp.Message != c.want {
+			t.Errorf("%v, %v, want %s", resp, err, c.want)
+		}
+	}
+}
+
+// putAction stores an action with a command and an input root.
+func (b *bench) putAction(command *repb.Command, root cas.Digest) cas.Digest {
+	b.t.Helper()
+	cg, err := b.Store.PutMessage(b.t.Context(), sha, command)
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	g, err := b.Store.PutMessage(b.t.Context(), sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: root.Proto()})
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	return g
+}
+
+// TestErrorsSayWhatWasAttempted: a failure of the store is an error that names the step, and keeps
+// its cause.
+func TestErrorsSayWhatWasAttempted(t *testing.T) {
+	b := newBench(t)
+	file := filepath.Join(t.TempDir(), "in")
+	if err := os.WriteFile(file, []byte("content"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	over, cancel := context.WithCancel(t.Context())
+	cancel()
+	_, err := Upload(over, b.Store, sha, filepath.Dir(file), []string{"in"})
+	if err == nil || !strings.HasPrefix(err.Error(), "finding which of 2 blobs are missing: ") || status.Code(err) != codes.Canceled {
+		t.Errorf("upload: %v", err)
+	}
+	err = PutAnswer(over, b.Store, "wk-1", &repb.ExecuteResponse{})
+	if err == nil || !strings.HasPrefix(err.Error(), "storing the answer of wk-1: writing the result of ") || status.Code(err) != codes.Canceled {
+		t.Errorf("answer: %v", err)
+	}
+	if _, _, err := ParseWork(`{"kind":"action","action":"x"}`); !errors.Is(err, cas.ErrBadDigest) || !strings.HasPrefix(err.Error(), "the job's action: ") {
+		t.Errorf("work: %v", err)
+	}
+}
+
 // TestExitCodes: what a command ends with is its answer, as a shell would have it.
 func TestExitCodes(t *testing.T) {
 	b := newBench(t)
--- a/internal/action/inputs.go
+++ b/internal/action/inputs.go
@@ -113,7 +113,7 @@
 	slices.SortFunc(small, func(a, b cas.Digest) int { return strings.Compare(a.Hash, b.Hash) })
 	lost, err := c.Missing(ctx, append(slices.Clone(small), large...))
 	if err != nil {
-		return err
+		return fmt.Errorf("finding which of %d blobs are missing: %w", len(in.files), err)
 	}
 	if len(lost) > 0 {
 		return missingBlobs(lost...)
--- a/internal/action/outputs.go
+++ b/internal/action/outputs.go
@@ -140,7 +140,7 @@
 	}
 	lost, err := c.Missing(ctx, all)
 	if err != nil {
-		return err
+		return fmt.Errorf("finding which of %d blobs are missing: %w", len(all), err)
 	}
 	for _, g := range lost {
 		if raw, ok := o.blobs[g]; ok {
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -53,7 +53,7 @@
 	}
 	dir, err := os.MkdirTemp(r.Dir, job+"-*")
 	if err != nil {
-		return err
+		return fmt.Errorf("making a directory for the action: %w", err)
 	}
 	defer removeAll(dir)
 	c := r.Store.ForInstance(w.Instance)
@@ -114,7 +114,7 @@
 	a.meta.InputFetchStartTimestamp = timestamppb.Now()
 	root, err := a.fetch(ctx)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("fetching the inputs: %w", err)
 	}
 	a.meta.InputFetchCompletedTimestamp = timestamppb.Now()
 	outs, err := a.outputPaths()
@@ -127,7 +127,7 @@
 	}
 	cwd = filepath.Join(root, cwd)
 	if err := os.MkdirAll(cwd, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the working directory: %w", err)
 	}
 	for _, p := range outs { // the API demands that the directories of outputs exist
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(cwd, p)), 0o755); err != nil {
@@ -138,15 +138,18 @@
 	code, late, err := a.execute(ctx, cwd)
 	a.meta.ExecutionCompletedTimestamp = timestamppb.Now()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("running the command: %w", err)
 	}
 	a.meta.OutputUploadStartTimestamp = timestamppb.Now()
 	result, err := a.collect(ctx, root, cwd, outs, code)
 	a.meta.OutputUploadCompletedTimestamp = timestamppb.Now()
-	if err == nil && late {
-		err = &actionError{code: codes.DeadlineExceeded, message: fmt.Sprintf("the command ran longer than its time limit, %v", a.action.Timeout.AsDuration())}
+	switch {
+	case err != nil:
+		return result, fmt.Errorf("storing the outputs: %w", err)
+	case late:
+		return result, &actionError{code: codes.DeadlineExceeded, message: fmt.Sprintf("the command ran longer than its time limit, %v", a.action.Timeout.AsDuration())}
 	}
-	return result, err
+	return result, nil
 }
 
 // fetch reads the action and its command, and writes its inputs below the root it returns.
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -140,7 +140,7 @@
 		}
 		g, err := cas.ParseDigest(f, o.Digest)
 		if err != nil {
-			return err
+			return fmt.Errorf("output %q: %w", o.Path, err)
 		}
 		in.dirs = append(in.dirs, path.Dir(p))
 		in.files[g] = append(in.files[g], node{path: p, executable: o.IsExecutable})
@@ -151,7 +151,7 @@
 			return err
 		}
 		if err := in.addTree(ctx, c, f, p, o.TreeDigest); err != nil {
-			return err
+			return fmt.Errorf("output directory %q: %w", o.Path, err)
 		}
 	}
 	for at := range in.files { // symlinks and read-only files would not be overwritten
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -166,7 +166,7 @@
 func (c *Client) PutMessage(ctx context.Context, f Function, m proto.Message) (Digest, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return Digest{}, err
+		return Digest{}, fmt.Errorf("encoding a %s: %w", m.ProtoReflect().Descriptor().Name(), err)
 	}
 	return c.Put(ctx, f, raw)
 }
@@ -268,10 +268,14 @@
 
 // PutResult stores the result of an action. Its outputs must be in the store.
 func (c *Client) PutResult(ctx context.Context, action Digest, r *repb.ActionResult) error {
-	return Retry(ctx, func() error {
+	err := Retry(ctx, func() error {
 		_, err := c.results.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), ActionResult: r, DigestFunction: action.Function})
 		return err
 	})
+	if err != nil {
+		return fmt.Errorf("writing the result of %v: %w", action, err)
+	}
+	return nil
 }
 
 // Tree returns all directories of an input tree by their digests. All that they name counts as
@@ -298,7 +302,10 @@
 		}
 		return err
 	})
-	return dirs, err
+	if err != nil {
+		return nil, fmt.Errorf("reading the input tree %v: %w", root, err)
+	}
+	return dirs, nil
 }
 
 // ForInstance returns a client for another instance on the same connection.
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -67,12 +67,12 @@
 	d := &Disk{dir: dir, limit: limit, retention: keep, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
 	for _, sub := range []string{"blobs", "uploads", "results"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("making the directory of %s: %w", sub, err)
 		}
 	}
 	var err error
 	if d.logs, err = newLogs(dir, keep); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the directory of logs: %w", err)
 	}
 	if err := d.load(); err != nil {
 		return nil, fmt.Errorf("reading %s: %w", dir, err)
--- a/internal/cas/logclient.go
+++ b/internal/cas/logclient.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 
 	bspb "google.golang.org/genproto/googleapis/bytestream"
@@ -22,7 +23,7 @@
 	out, err := c.stream.Write(ctx)
 	if err != nil {
 		stop()
-		return nil, err
+		return nil, fmt.Errorf("beginning log %s: %w", name, err)
 	}
 	return &Log{out: out, name: LogName(c.Instance, name), stop: stop}, nil
 }
@@ -54,8 +55,8 @@
 			_, err = w.Write(msg.Data)
 		}
 	}
-	if errors.Is(err, io.EOF) {
-		err = nil
+	if err != nil && !errors.Is(err, io.EOF) {
+		return n, fmt.Errorf("reading log %s: %w", resource, err)
 	}
-	return n, err
+	return n, nil
 }
