--- /dev/null
+++ b/internal/leader/gangs.go
@@ -0,0 +1,73 @@
+package leader
+
+import (
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/internal/handover"
+	"amberdeal.example/amberdeal/internal/store"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// The tasks of a gang run together or not at all.
+
+// maxFetchWait bounds how long a fetch is waited for that may be all that a gang lacks.
+const maxFetchWait = 3 * time.Minute
+
+// stopBrokenGangs stops what is left of a gang that has lost a task: a new attempt
+// needs all of the old one gone.
+func (h *Leader) stopBrokenGangs(now time.Time) {
+	for id, live := range h.liveJobs {
+		if live.Record.Job.Shape != wire.Gang || live.Record.Tasks < 2 {
+			continue
+		}
+		h.noteGangCompletedElsewhere(id, live)
+		if left := h.activePlacements(id, live.Record.Tasks); h.gangBroken(id, live, left) {
+			h.stopBrokenGang(now, left)
+		}
+	}
+}
+
+// noteGangCompletedElsewhere marks a gang as finished here that another shard has seen finish.
+func (h *Leader) noteGangCompletedElsewhere(id string, live *store.LiveJob) {
+	if h.sharding.IsSingle() {
+		return
+	}
+	j := h.jobState(id)
+	if !j.finished.Contains(0) && gangCompleted(live, h.assignment.Ranges(live)) {
+		h.markFinished(wire.TaskID{Job: id}, j)
+	}
+}
+
+// gangBroken reports whether some tasks of a gang that has not finished are active here, and others are not.
+func (h *Leader) gangBroken(id string, live *store.LiveJob, active []*fleet.Placement) bool {
+	if len(active) == 0 || len(active) == h.gangTasksHere(live) {
+		return false
+	}
+	return !h.jobState(id).finished.Contains(0)
+}
+
+// stopBrokenGang stops the tasks that are left of a gang.
+func (h *Leader) stopBrokenGang(now time.Time, left []*fleet.Placement) {
+	for _, p := range left {
+		if p.Stop == nil && !h.keepsFetching(now, p) && !h.fleet.Withdraw(p) {
+			p.Stop = &fleet.StopOrder{Reason: "gang is torn", Since: now}
+		}
+	}
+}
+
+// keepsFetching reports whether a task of a gang is left alone until it has its image. The others have
+// timed out waiting for it: were its fetch stopped with them, the next attempt would time out as well.
+func (h *Leader) keepsFetching(now time.Time, p *fleet.Placement) bool {
+	return p.Reported && p.State == fleet.Fetching && h.jobState(p.Task.Job).timedOutAttempt == p.Attempt && now.Sub(p.PlacedAt) < maxFetchWait
+}
+
+// gangTasksHere returns how many tasks of a gang this shard has: all, but for one that is split among
+// shards.
+func (h *Leader) gangTasksHere(live *store.LiveJob) int {
+	mine, elsewhere := h.ownRanges(live)
+	if elsewhere == 0 && len(mine) == 0 {
+		return live.Record.Tasks
+	}
+	return handover.Count(mine)
+}
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -8,6 +8,7 @@
 
 	"amberdeal.example/amberdeal/internal/autoscale"
 	"amberdeal.example/amberdeal/internal/cloud"
+	"amberdeal.example/amberdeal/internal/fleet"
 	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/stall"
 	"amberdeal.example/amberdeal/internal/store"
@@ -137,6 +138,16 @@
 	return nil
 }
 
+// releaseMachine has a machine returned to the cloud, whatever is on it.
+func (h *Leader) releaseMachine(m *fleet.Machine, why string) {
+	if m.Releasing {
+		return
+	}
+	m.Releasing = true
+	h.scaler.Release(m.ID)
+	h.log.Info("releasing", "machine", m.ID, "reason", why)
+}
+
 // pendingReleases lists machines to return, as many as one call takes.
 func (h *Leader) pendingReleases() []string {
 	h.mu.Lock()
--- /dev/null
+++ b/internal/leader/stop.go
@@ -0,0 +1,82 @@
+package leader
+
+import (
+	"time"
+
+	"amberdeal.example/amberdeal/internal/fleet"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// Stopping tasks whose jobs are live, and withdrawing what is planned for them.
+
+// checkpointMargin is what a task gets beside the time that saving takes.
+const checkpointMargin = 5 * time.Second
+
+// stopTask stops a task, with time to save a checkpoint; a gang is stopped as a whole.
+func (h *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
+	grace := stopGrace(job)
+	for _, q := range h.stoppedTogether(p, job) {
+		if q.Stop == nil && !h.fleet.Withdraw(q) {
+			q.Stop = &fleet.StopOrder{Grace: grace, Reason: why, Since: now}
+			h.countFailedAttempt(q)
+			h.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "reason", why)
+		}
+	}
+}
+
+// stopGrace returns the time that a task of a job gets to save a checkpoint.
+func stopGrace(job *wire.Job) time.Duration {
+	if job.CheckpointS <= 0 {
+		return 0
+	}
+	return wire.Seconds(job.SaveS) + checkpointMargin
+}
+
+// stoppedTogether returns a placement and, of a gang, those of all other tasks.
+func (h *Leader) stoppedTogether(p *fleet.Placement, job *wire.Job) []*fleet.Placement {
+	all := []*fleet.Placement{p}
+	if job.Shape != wire.Gang {
+		return all
+	}
+	for _, q := range h.activePlacements(job.ID, job.Tasks) {
+		if q != p {
+			all = append(all, q)
+		}
+	}
+	return all
+}
+
+// activePlacements returns the active placements of a job's first tasks, in the tasks' order.
+func (h *Leader) activePlacements(job string, tasks int) (active []*fleet.Placement) {
+	for i := range tasks {
+		if p := h.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}); p != nil {
+			active = append(active, p)
+		}
+	}
+	return active
+}
+
+// countFailedAttempt counts a task that is stopped before its image has come.
+func (h *Leader) countFailedAttempt(p *fleet.Placement) {
+	if p.State != fleet.Fetching {
+		return
+	}
+	j := h.jobState(p.Task.Job)
+	if j.failedAttempts == nil {
+		j.failedAttempts = make(map[int]int)
+	}
+	j.failedAttempts[p.Task.Index]++
+}
+
+// withdrawLaterAttempt takes back, or stops, a later attempt of a task that has finished after all, as
+// a late heartbeat has told: its job may be stored as done before the attempt begins. The other tasks
+// of a gang are left alone, since they are about to finish.
+func (h *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
+	p := h.fleet.ActivePlacement(t)
+	for p != nil && h.fleet.Withdraw(p) {
+		p = h.fleet.ActivePlacement(t)
+	}
+	if p != nil && p.Stop == nil && !gang {
+		p.Stop = &fleet.StopOrder{Reason: "its task is done", Since: p.PlacedAt}
+	}
+}
