--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -29,23 +29,23 @@
 
 // callLoop sends stops and launches straight to the machines, and the fencing token to machines that
 // have not been seen under it. Between rounds, it also keeps the placements compared with the jobs.
-func (h *Leader) callLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) callLoop(ctx context.Context, e Dependencies) error {
 	busy := make(chan struct{}, maxOpenCalls)
 	for ctx.Err() == nil {
-		if h.reconcileDue(time.Now()) {
-			h.Reconcile(time.Now(), e.View.Snapshot())
+		if l.reconcileDue(time.Now()) {
+			l.Reconcile(time.Now(), e.View.Snapshot())
 		}
-		for _, c := range h.dueCalls(time.Now(), e.LeaseValid(), maxOpenCalls-len(busy)) {
+		for _, c := range l.dueCalls(time.Now(), e.LeaseValid(), maxOpenCalls-len(busy)) {
 			busy <- struct{}{}
 			go func() {
 				defer func() { <-busy }()
-				h.callMachine(ctx, e, c)
+				l.callMachine(ctx, e, c)
 			}()
 		}
 		t := time.NewTimer(callInterval)
 		select {
 		case <-ctx.Done():
-		case <-h.loop.calls:
+		case <-l.loop.calls:
 		case <-t.C:
 		}
 		t.Stop()
@@ -65,19 +65,19 @@
 
 // dueCalls lists the direct calls to make now, at most limit. Calls with commands go before fencing
 // calls, since many machines may be waiting for the latter.
-func (h *Leader) dueCalls(now time.Time, leaseValid bool, limit int) []directCall {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out, due, limit := h.commandCalls(now, leaseValid, limit)
-	due = h.fencingCallsWithin(now, due, limit-len(out))
+func (l *Leader) dueCalls(now time.Time, leaseValid bool, limit int) []directCall {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out, due, limit := l.commandCalls(now, leaseValid, limit)
+	due = l.fencingCallsWithin(now, due, limit-len(out))
 	for _, m := range due {
 		c := newDirectCall(m)
 		c.fencing = true
 		out = append(out, c)
 	}
-	h.fencing.Started(len(due))
+	l.fencing.Started(len(due))
 	for _, c := range out {
-		h.monitor.Calls.Start(now, c.machine, c.digest)
+		l.monitor.Calls.Start(now, c.machine, c.digest)
 	}
 	return out
 }
@@ -88,23 +88,23 @@
 
 // commandCalls lists the calls with commands, and the machines without commands that are due for a fencing call. It
 // returns the limit less what is kept for the first tier.
-func (h *Leader) commandCalls(now time.Time, leaseValid bool, limit int) (out []directCall, due []*fleet.Machine, left int) {
-	machines, urgent := h.machinesByUrgency()
+func (l *Leader) commandCalls(now time.Time, leaseValid bool, limit int) (out []directCall, due []*fleet.Machine, left int) {
+	machines, urgent := l.machinesByUrgency()
 	for i, m := range machines {
-		if i == urgent && h.preemptions.Tiers().Configured() {
+		if i == urgent && l.preemptions.Tiers().Configured() {
 			limit -= firstTierCalls
 		}
 		if len(out) >= limit {
 			break
 		}
-		last := h.monitor.Calls.Last(m.ID)
+		last := l.monitor.Calls.Last(m.ID)
 		if m.Addr == "" || m.Releasing || last.InFlight(now) {
 			continue
 		}
 		c := newDirectCall(m)
-		c.commands, c.launches = h.fleet.DirectCommands(m, leaseValid && h.mayLaunchByCall(now, m, last))
+		c.commands, c.launches = l.fleet.DirectCommands(m, leaseValid && l.mayLaunchByCall(now, m, last))
 		if len(c.commands) == 0 {
-			if h.fencing.Due(now, m) {
+			if l.fencing.Due(now, m) {
 				due = append(due, m)
 			}
 			continue
@@ -118,44 +118,44 @@
 
 // mayLaunchByCall reports whether launches go to a machine by direct calls. Where calls fail while heartbeats
 // arrive, launches go by the answers to these.
-func (h *Leader) mayLaunchByCall(now time.Time, m *fleet.Machine, last reachability.Call) bool {
+func (l *Leader) mayLaunchByCall(now time.Time, m *fleet.Machine, last reachability.Call) bool {
 	reached := last.Failures <= maxFailuresToLaunch || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
-	return reached && now.Sub(m.LastHeartbeat) < h.timeouts.directLaunchWithin && h.fleet.ReceivesCommands(now, m)
+	return reached && now.Sub(m.LastHeartbeat) < l.timeouts.directLaunchWithin && l.fleet.ReceivesCommands(now, m)
 }
 
 // fencingCallsWithin picks the machines to make fencing calls to, of those that are due: as many as the limit and
 // the throttle allow, first the ones with the fewest tasks, where work can be placed soonest. Probes
 // come on top.
-func (h *Leader) fencingCallsWithin(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
-	probes := h.fencing.Probes(now, len(due) > 0)
-	if left := max(0, min(limit, h.loop.throttle.Window()-h.fencing.Open())-len(probes)); len(due) > left {
+func (l *Leader) fencingCallsWithin(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
+	probes := l.fencing.Probes(now, len(due) > 0)
+	if left := max(0, min(limit, l.loop.throttle.Window()-l.fencing.Open())-len(probes)); len(due) > left {
 		reachability.SortByLoad(due)
-		due = h.unreachableZonesLast(due)[:left]
+		due = l.unreachableZonesLast(due)[:left]
 	}
 	return append(due, probes...)
 }
 
 // callMachine makes a call and records its result.
-func (h *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
+func (l *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
 	outcome, answered := fleet.Refused, false
 	defer func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.fleet.CallFinished(c.launches, outcome)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.fleet.CallFinished(c.launches, outcome)
 		if c.fencing {
-			h.fencing.Finished()
+			l.fencing.Finished()
 		}
-		h.monitor.CallFinished(time.Now(), c.machine, answered)
+		l.monitor.CallFinished(time.Now(), c.machine, answered)
 	}()
 	if c.incarnation == 0 {
 		r, err := e.Workers.Inspect(ctx, c.addr)
 		if err != nil || r.Machine != c.machine {
 			return
 		}
-		h.HandleInspection(time.Now(), r)
+		l.HandleInspection(time.Now(), r)
 		c.incarnation = r.Incarnation
 	}
-	r, ok, err := e.Workers.Send(ctx, c.addr, wire.CommandRequest{FencingToken: h.lease.FencingToken, Incarnation: c.incarnation, Commands: c.commands})
+	r, ok, err := e.Workers.Send(ctx, c.addr, wire.CommandRequest{FencingToken: l.lease.FencingToken, Incarnation: c.incarnation, Commands: c.commands})
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
 	case err != nil || r.Machine != c.machine:
@@ -164,10 +164,10 @@
 		outcome = fleet.Executed
 	}
 	if err != nil || r.Machine != c.machine {
-		h.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "err", err)
+		l.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "err", err)
 		return
 	}
-	if answered = true; r.FencingToken <= h.lease.FencingToken {
-		h.HandleInspection(time.Now(), r)
+	if answered = true; r.FencingToken <= l.lease.FencingToken {
+		l.HandleInspection(time.Now(), r)
 	}
 }
--- a/internal/leader/cleared.go
+++ b/internal/leader/cleared.go
@@ -7,11 +7,11 @@
 )
 
 // noteLiveJobs records the revision at which the jobs of this shard were last seen live.
-func (h *Leader) noteLiveJobs(snap store.Snapshot) {
-	if h.sharding.IsSingle() {
+func (l *Leader) noteLiveJobs(snap store.Snapshot) {
+	if l.sharding.IsSingle() {
 		return
 	}
-	for id, j := range h.jobStates {
+	for id, j := range l.jobStates {
 		if snap.LiveJobs[id] != nil {
 			j.liveRevision = max(j.liveRevision, snap.Revision)
 		}
@@ -20,14 +20,14 @@
 
 // clearedRevision gives the revision up to which no task may be in this shard of any job that had ended by then.
 // The compaction of ended jobs of all shards depends on it.
-func (h *Leader) clearedRevision(revision uint64) uint64 {
-	if h.sharding.IsSingle() || !h.rebuiltReachable {
+func (l *Leader) clearedRevision(revision uint64) uint64 {
+	if l.sharding.IsSingle() || !l.rebuiltReachable {
 		return 0
 	}
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if h.liveJobs[p.Task.Job] == nil && !p.IsTombstone() {
-				revision = min(revision, h.jobState(p.Task.Job).liveRevision)
+			if l.liveJobs[p.Task.Job] == nil && !p.IsTombstone() {
+				revision = min(revision, l.jobState(p.Task.Job).liveRevision)
 			}
 		}
 	}
@@ -38,6 +38,6 @@
 const clearedInterval = 5 * time.Second
 
 // clearedDue reports whether a round is to be written only to record the cleared revision.
-func (h *Leader) clearedDue(now time.Time, cleared uint64) bool {
-	return cleared > h.clearedWritten && now.Sub(h.lastDecided) >= clearedInterval && h.jobIndex.Uncompacted()
+func (l *Leader) clearedDue(now time.Time, cleared uint64) bool {
+	return cleared > l.clearedWritten && now.Sub(l.lastDecided) >= clearedInterval && l.jobIndex.Uncompacted()
 }
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -76,8 +76,8 @@
 		report n-1 1/10 term=12
 		round`)
 	t.Log(strings.Join(out, "\n"))
-	if l, _ := b.view.Live("wk-1"); b.leader.assignment.Ranges(l)[0].Shard != "b" {
-		t.Errorf("its task, which runs in b, is taken for one of %s", b.leader.assignment.Ranges(l)[0].Shard)
+	if job, _ := b.view.Live("wk-1"); b.leader.assignment.Ranges(job)[0].Shard != "b" {
+		t.Errorf("its task, which runs in b, is taken for one of %s", b.leader.assignment.Ranges(job)[0].Shard)
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -34,82 +34,82 @@
 }
 
 // newDraft begins a round within the limits of the state service.
-func (h *Leader) newDraft() *Draft {
-	maxChanges := min(h.cfg.Store.TxnOps, store.LeaderBurst(h.cfg.Store.WriteRPS, h.cfg.Writers().MinWriteShare(), len(h.sharding.Shards())))
-	conditions := h.conflicts.Limit(4*h.cfg.Store.TxnOps - h.cfg.Store.TxnOps/2 - 3)
-	return &Draft{Builder: commit.NewBuilder(commit.Limits{Changes: maxChanges, Conditions: conditions}), Number: h.lastRound + 1,
+func (l *Leader) newDraft() *Draft {
+	maxChanges := min(l.cfg.Store.TxnOps, store.LeaderBurst(l.cfg.Store.WriteRPS, l.cfg.Writers().MinWriteShare(), len(l.sharding.Shards())))
+	conditions := l.conflicts.Limit(4*l.cfg.Store.TxnOps - l.cfg.Store.TxnOps/2 - 3)
+	return &Draft{Builder: commit.NewBuilder(commit.Limits{Changes: maxChanges, Conditions: conditions}), Number: l.lastRound + 1,
 		finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{},
 		expansions: map[string]*tier.Preemption{}, stale: map[tier.ReservationKey]bool{}}
 }
 
 // Committed applies a round that was committed at a revision.
-func (h *Leader) Committed(d *Draft, revision uint64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lastRound = d.Number
-	h.conflicts.Committed()
+func (l *Leader) Committed(d *Draft, revision uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastRound = d.Number
+	l.conflicts.Committed()
 	if len(d.launches) > 0 {
-		h.stalls.Launched(d.decidedAt)
+		l.stalls.Launched(d.decidedAt)
 	}
-	h.clearedWritten = max(h.clearedWritten, d.clearedRevision)
-	h.migration.recorded = h.migration.recorded || d.migrated
-	h.ledger.Commit(d.Packed(), revision)
-	h.preemptionsCommitted(d)
+	l.clearedWritten = max(l.clearedWritten, d.clearedRevision)
+	l.migration.recorded = l.migration.recorded || d.migrated
+	l.ledger.Commit(d.Packed(), revision)
+	l.preemptionsCommitted(d)
 	for _, p := range d.launches {
 		p.Committed = true
-		if j := h.jobStates[p.Task.Job]; j != nil {
+		if j := l.jobStates[p.Task.Job]; j != nil {
 			j.coAllocation.Committed(p.Attempt)
 		}
 	}
 	for id, tasks := range d.finished {
-		j := h.jobState(id)
+		j := l.jobState(id)
 		for _, i := range tasks {
 			j.storedFinished.Add(i)
 		}
 	}
 	for _, id := range d.done {
-		h.log.Info("job done", "job", id, "round", d.Number)
+		l.log.Info("job done", "job", id, "round", d.Number)
 	}
 	for id := range d.machines {
-		h.ledgerTasks.Update(id, d.ledgerTasks[id])
-		if m := h.fleet.Machine(id); m != nil {
+		l.ledgerTasks.Update(id, d.ledgerTasks[id])
+		if m := l.fleet.Machine(id); m != nil {
 			m.Recorded = true
 		} else {
-			h.machinesToDrop[id] = true
+			l.machinesToDrop[id] = true
 		}
 	}
-	h.scaler.Stored(d.requests)
-	h.zonesCommitted(d.zones)
-	h.zoneRecoveriesCommitted(d.returns)
+	l.scaler.Stored(d.requests)
+	l.zonesCommitted(d.zones)
+	l.zoneRecoveriesCommitted(d.returns)
 	for _, name := range d.dropped {
-		h.scaler.Dropped(name)
+		l.scaler.Dropped(name)
 		if !d.machines[name] {
-			delete(h.machinesToDrop, name)
-			h.ledgerTasks.Update(name, nil)
+			delete(l.machinesToDrop, name)
+			l.ledgerTasks.Update(name, nil)
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		h.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
+		l.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
 	}
 }
 
 // Discard takes back a round that will never be committed.
-func (h *Leader) Discard(d *Draft) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.conflicts.Refused(d.Guarded())
-	h.discardDraft(d)
+func (l *Leader) Discard(d *Draft) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conflicts.Refused(d.Guarded())
+	l.discardDraft(d)
 }
 
 // discardDraft withdraws what was decided for a round.
-func (h *Leader) discardDraft(d *Draft) {
+func (l *Leader) discardDraft(d *Draft) {
 	for _, p := range d.launches {
-		if h.fleet.Machine(p.Machine) != nil {
-			h.fleet.Withdraw(p)
+		if l.fleet.Machine(p.Machine) != nil {
+			l.fleet.Withdraw(p)
 		}
 	}
 	for _, name := range d.requests {
-		h.scaler.Forget(name)
+		l.scaler.Forget(name)
 	}
-	h.typesChanged = h.typesChanged || d.storesTypes
+	l.typesChanged = l.typesChanged || d.storesTypes
 }
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -8,24 +8,24 @@
 )
 
 // applyEvents reacts to what heartbeats and lease expiries have shown about placements.
-func (h *Leader) applyEvents(now time.Time, events []fleet.Event) {
+func (l *Leader) applyEvents(now time.Time, events []fleet.Event) {
 	for _, e := range events {
 		p := e.Placement
 		if e.Gone {
-			h.log.Info("task gone", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine)
+			l.log.Info("task gone", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine)
 		} else if p.State == fleet.Ended && !p.EndHandled {
-			h.taskEnded(now, p)
+			l.taskEnded(now, p)
 		} else if p.State == fleet.Running {
-			h.log.Debug("task running", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "after", now.Sub(p.PlacedAt))
+			l.log.Debug("task running", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "after", now.Sub(p.PlacedAt))
 		}
 		// What a heartbeat shows for the first time, of a job that is known to be over, is
 		// stopped by the answer to that heartbeat, which may be the last one for long.
-		if m := h.fleet.Machine(p.Machine); m != nil && !e.Gone && p.Active() && p.Stop == nil && h.liveJobs[p.Task.Job] == nil {
-			h.reconcileEnded(now, m, p)
+		if m := l.fleet.Machine(p.Machine); m != nil && !e.Gone && p.Active() && p.Stop == nil && l.liveJobs[p.Task.Job] == nil {
+			l.reconcileEnded(now, m, p)
 		}
 	}
-	if len(events) > 0 || !h.rebuilt {
-		h.Wake()
+	if len(events) > 0 || !l.rebuilt {
+		l.Wake()
 	}
 }
 
@@ -39,12 +39,12 @@
 )
 
 // taskEnded applies the end of a task for which nothing was done yet.
-func (h *Leader) taskEnded(now time.Time, p *fleet.Placement) {
-	j, m := h.jobState(p.Task.Job), h.fleet.Machine(p.Machine)
-	h.log.Debug("task ended", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "cause", p.Cause, "saved", p.Saved)
+func (l *Leader) taskEnded(now time.Time, p *fleet.Placement) {
+	j, m := l.jobState(p.Task.Job), l.fleet.Machine(p.Machine)
+	l.log.Debug("task ended", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "cause", p.Cause, "saved", p.Saved)
 	if p.Cause == wire.CauseDone {
 		clear(m.JobFailures)
-		h.markFinished(p.Task, j)
+		l.markFinished(p.Task, j)
 		return
 	}
 	p.EndHandled = true
@@ -52,32 +52,32 @@
 	case wire.CauseError:
 		// Evidence about the machine and about the job: different jobs that fail on one
 		// machine cordon it, a job that fails on several machines is delayed.
-		h.log.Info("task failed", "task", p.Task, "machine", p.Machine)
+		l.log.Info("task failed", "task", p.Task, "machine", p.Machine)
 		m.JobFailures[p.Task.Job]++
 		j.noteFailure(now, p.Machine)
 		if len(m.JobFailures) >= cordonAfterJobs && m.DrainReason == "" {
 			m.DrainReason = "different jobs fail on it"
-			h.log.Warn("machine cordoned", "machine", m.ID, "reason", m.DrainReason)
+			l.log.Warn("machine cordoned", "machine", m.ID, "reason", m.DrainReason)
 		}
 	case wire.CauseAlone:
 		j.timedOutAttempt = p.Attempt
 	case wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown:
-		h.log.Info("launch refused", "task", p.Task, "machine", p.Machine, "cause", p.Cause)
+		l.log.Info("launch refused", "task", p.Task, "machine", p.Machine, "cause", p.Cause)
 		j.notBefore = now.Add(refusedLaunchDelay)
 	}
 }
 
 // markFinished marks a task as finished; the tasks of a gang finish together.
-func (h *Leader) markFinished(t wire.TaskID, j *jobState) {
+func (l *Leader) markFinished(t wire.TaskID, j *jobState) {
 	j.finished.Add(t.Index)
-	l := h.liveJobs[t.Job]
-	gang := l != nil && l.Record.Job.Shape == wire.Gang
-	h.withdrawLaterAttempt(t, gang)
+	live := l.liveJobs[t.Job]
+	gang := live != nil && live.Record.Job.Shape == wire.Gang
+	l.withdrawLaterAttempt(t, gang)
 	if gang {
-		for i := range l.Record.Tasks {
+		for i := range live.Record.Tasks {
 			j.finished.Add(i)
-			h.withdrawLaterAttempt(wire.TaskID{Job: t.Job, Index: i}, true)
+			l.withdrawLaterAttempt(wire.TaskID{Job: t.Job, Index: i}, true)
 		}
 	}
-	h.unstored.Add(t.Job, h.lastRound)
+	l.unstored.Add(t.Job, l.lastRound)
 }
--- a/internal/leader/fencingcalls.go
+++ b/internal/leader/fencingcalls.go
@@ -9,34 +9,34 @@
 
 // FencingCalls returns at most limit calls for a peer to make: to all machines that are due while the fleet is
 // being rebuilt, and later to a few machines of suspected zones.
-func (h *Leader) FencingCalls(now time.Time, limit int) []reachability.FencingCall {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (l *Leader) FencingCalls(now time.Time, limit int) []reachability.FencingCall {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if limit <= 0 {
 		return nil
 	}
-	if !h.rebuilt {
-		return h.fencing.Rebuild(now, limit, h.zones.Unreachable)
+	if !l.rebuilt {
+		return l.fencing.Rebuild(now, limit, l.zones.Unreachable)
 	}
-	return h.fencing.Suspected(now, limit, h.zones.SuspectedZones())
+	return l.fencing.Suspected(now, limit, l.zones.SuspectedZones())
 }
 
 // FencingCallDone records the result of a call that a peer made: the machine's heartbeat, or nil for none.
-func (h *Leader) FencingCallDone(now time.Time, machine string, r *wire.Heartbeat) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.fencing.PeerFinished(machine, r != nil) {
+func (l *Leader) FencingCallDone(now time.Time, machine string, r *wire.Heartbeat) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.fencing.PeerFinished(machine, r != nil) {
 		return
 	}
-	if r != nil && r.Machine == machine && r.FencingToken <= h.lease.FencingToken {
-		h.observe(now, r, false)
+	if r != nil && r.Machine == machine && r.FencingToken <= l.lease.FencingToken {
+		l.observe(now, r, false)
 	}
 }
 
 // CallsFailing reports whether hardly any call from here reaches machines whose heartbeats peers forward: the
 // network between this controller and the machines is cut.
-func (h *Leader) CallsFailing(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.monitor.Calls.Failing(now)
+func (l *Leader) CallsFailing(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.monitor.Calls.Failing(now)
 }
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -13,8 +13,8 @@
 }
 
 // updateForecast takes in what a plan leaves.
-func (h *Leader) updateForecast(plan *scheduler.Plan, teams map[string]*scheduler.Team) {
-	h.forecast = forecast{plan.Unplaced, plan.FreeCapacity, plan.ReadyGangs}
+func (l *Leader) updateForecast(plan *scheduler.Plan, teams map[string]*scheduler.Team) {
+	l.forecast = forecast{plan.Unplaced, plan.FreeCapacity, plan.ReadyGangs}
 	projected := make(map[string]scheduler.Resources, len(teams))
 	for name, t := range teams {
 		// A team beyond its limit has capacity reserved that there is not, for a job that has waited for long.
@@ -22,11 +22,11 @@
 			projected[name] = scheduler.Resources{CPUs: t.UsedCPUs, GPUs: t.UsedGPUs}
 		}
 	}
-	h.quota.SetForecast(quota.Forecast{Demands: plan.QuotaDemands, Services: plan.ServiceUsage, Projected: projected})
-	for _, j := range h.jobStates {
+	l.quota.SetForecast(quota.Forecast{Demands: plan.QuotaDemands, Services: plan.ServiceUsage, Projected: projected})
+	for _, j := range l.jobStates {
 		j.coAllocation.Ready = false
 	}
 	for _, id := range plan.ReadyGangs {
-		h.jobState(id).coAllocation.Ready = true
+		l.jobState(id).coAllocation.Ready = true
 	}
 }
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -16,41 +16,41 @@
 
 // stopBrokenGangs stops what is left of a gang that has lost a task: a new attempt
 // needs all of the old one gone.
-func (h *Leader) stopBrokenGangs(now time.Time) {
-	for id, live := range h.liveJobs {
+func (l *Leader) stopBrokenGangs(now time.Time) {
+	for id, live := range l.liveJobs {
 		if live.Record.Job.Shape != wire.Gang || live.Record.Tasks < 2 {
 			continue
 		}
-		h.noteGangCompletedElsewhere(id, live)
-		if left := h.activePlacements(id, live.Record.Tasks); h.gangBroken(id, live, left) {
-			h.stopBrokenGang(now, left)
+		l.noteGangCompletedElsewhere(id, live)
+		if left := l.activePlacements(id, live.Record.Tasks); l.gangBroken(id, live, left) {
+			l.stopBrokenGang(now, left)
 		}
 	}
 }
 
 // noteGangCompletedElsewhere marks a gang as finished here that another shard has seen finish.
-func (h *Leader) noteGangCompletedElsewhere(id string, live *store.LiveJob) {
-	if h.sharding.IsSingle() {
+func (l *Leader) noteGangCompletedElsewhere(id string, live *store.LiveJob) {
+	if l.sharding.IsSingle() {
 		return
 	}
-	j := h.jobState(id)
-	if !j.finished.Contains(0) && gangCompleted(live, h.assignment.Ranges(live)) {
-		h.markFinished(wire.TaskID{Job: id}, j)
+	j := l.jobState(id)
+	if !j.finished.Contains(0) && gangCompleted(live, l.assignment.Ranges(live)) {
+		l.markFinished(wire.TaskID{Job: id}, j)
 	}
 }
 
 // gangBroken reports whether some tasks of a gang that has not finished are active here, and others are not.
-func (h *Leader) gangBroken(id string, live *store.LiveJob, active []*fleet.Placement) bool {
-	if len(active) == 0 || len(active) == h.gangTasksHere(live) {
+func (l *Leader) gangBroken(id string, live *store.LiveJob, active []*fleet.Placement) bool {
+	if len(active) == 0 || len(active) == l.gangTasksHere(live) {
 		return false
 	}
-	return !h.jobState(id).finished.Contains(0)
+	return !l.jobState(id).finished.Contains(0)
 }
 
 // stopBrokenGang stops the tasks that are left of a gang.
-func (h *Leader) stopBrokenGang(now time.Time, left []*fleet.Placement) {
+func (l *Leader) stopBrokenGang(now time.Time, left []*fleet.Placement) {
 	for _, p := range left {
-		if p.Stop == nil && !h.keepsFetching(now, p) && !h.fleet.Withdraw(p) {
+		if p.Stop == nil && !l.keepsFetching(now, p) && !l.fleet.Withdraw(p) {
 			p.Stop = &fleet.StopOrder{Reason: "gang is torn", Since: now}
 		}
 	}
@@ -58,14 +58,14 @@
 
 // keepsFetching reports whether a task of a gang is left alone until it has its image. The others have
 // timed out waiting for it: were its fetch stopped with them, the next attempt would time out as well.
-func (h *Leader) keepsFetching(now time.Time, p *fleet.Placement) bool {
-	return p.Reported && p.State == fleet.Fetching && h.jobState(p.Task.Job).timedOutAttempt == p.Attempt && now.Sub(p.PlacedAt) < maxFetchWait
+func (l *Leader) keepsFetching(now time.Time, p *fleet.Placement) bool {
+	return p.Reported && p.State == fleet.Fetching && l.jobState(p.Task.Job).timedOutAttempt == p.Attempt && now.Sub(p.PlacedAt) < maxFetchWait
 }
 
 // gangTasksHere returns how many tasks of a gang this shard has: all, but for one that is split among
 // shards.
-func (h *Leader) gangTasksHere(live *store.LiveJob) int {
-	mine, elsewhere := h.ownRanges(live)
+func (l *Leader) gangTasksHere(live *store.LiveJob) int {
+	mine, elsewhere := l.ownRanges(live)
 	if elsewhere == 0 && len(mine) == 0 {
 		return live.Record.Tasks
 	}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -11,22 +11,22 @@
 )
 
 // ProposeGrants proposes a change of what this shard may use of the teams' limits, or gives nil.
-func (h *Leader) ProposeGrants() *quota.Change {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.rebuiltReachable || !h.quota.Idle() {
+func (l *Leader) ProposeGrants() *quota.Change {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.rebuiltReachable || !l.quota.Idle() {
 		return nil
 	}
-	fence := wire.Condition{Key: store.LeaderKey(h.lease.Shard), Version: h.lease.Version}
-	return h.quota.Propose(fence, quota.Teams(h.cfg.Teams, h.liveJobs), h.teamUsage())
+	fence := wire.Condition{Key: store.LeaderKey(l.lease.Shard), Version: l.lease.Version}
+	return l.quota.Propose(fence, quota.Teams(l.cfg.Teams, l.liveJobs), l.teamUsage())
 }
 
 // GrantsSettled takes in that a change of grants is over, whether it was taken or not, and the record as it
 // is since then.
-func (h *Leader) GrantsSettled(rec store.Versioned[store.QuotaGrantRecord]) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.quota.Settled(rec)
+func (l *Leader) GrantsSettled(rec store.Versioned[store.QuotaGrantRecord]) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.quota.Settled(rec)
 }
 
 const (
@@ -36,15 +36,15 @@
 )
 
 // runGrants proposes changes of the shard's grants until the context ends.
-func (h *Leader) runGrants(ctx context.Context, e Dependencies) error {
+func (l *Leader) runGrants(ctx context.Context, e Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
 	for ctx.Err() == nil {
 		store.Backoff(ctx, grantInterval)
 		if !e.LeaseValid() {
 			continue
 		}
-		if change := h.ProposeGrants(); change != nil {
-			h.commitGrant(ctx, e, change)
+		if change := l.ProposeGrants(); change != nil {
+			l.commitGrant(ctx, e, change)
 		}
 	}
 	return nil
@@ -52,12 +52,12 @@
 
 // commitGrant writes a change of grants. Without an answer it is written again: its condition on the record
 // lets one copy at most be taken. What it returns is not used until the view shows how it ended.
-func (h *Leader) commitGrant(ctx context.Context, e Dependencies, change *quota.Change) {
+func (l *Leader) commitGrant(ctx context.Context, e Dependencies, change *quota.Change) {
 	for ctx.Err() == nil {
 		_, err := e.Store.Txn(ctx, change.Txn)
 		var conflict *store.ConflictError
 		if err == nil || errors.As(err, &conflict) {
-			h.awaitGrants(ctx, e)
+			l.awaitGrants(ctx, e)
 			return
 		}
 		store.Backoff(ctx, grantRetryInterval)
@@ -65,10 +65,10 @@
 }
 
 // awaitGrants waits until the view shows how a change of grants has ended.
-func (h *Leader) awaitGrants(ctx context.Context, e Dependencies) {
+func (l *Leader) awaitGrants(ctx context.Context, e Dependencies) {
 	for ctx.Err() == nil {
 		if e.Follower.Barrier(ctx) == nil {
-			h.GrantsSettled(e.View.Snapshot().QuotaGrants)
+			l.GrantsSettled(e.View.Snapshot().QuotaGrants)
 			return
 		}
 		store.Backoff(ctx, grantReadInterval)
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -20,10 +20,10 @@
 )
 
 // handOverUnplaced hands tasks for which the last plan found no capacity over to shards that have some.
-func (h *Leader) handOverUnplaced(now time.Time, d *Draft) {
-	unplaced := h.forecast.unplaced
-	h.forecast.unplaced = nil
-	if !h.targets.Any() || !h.rebuiltReachable {
+func (l *Leader) handOverUnplaced(now time.Time, d *Draft) {
+	unplaced := l.forecast.unplaced
+	l.forecast.unplaced = nil
+	if !l.targets.Any() || !l.rebuiltReachable {
 		return
 	}
 	handovers := 0
@@ -32,16 +32,16 @@
 			return
 		}
 		u := &unplaced[i]
-		l := h.liveJobs[u.Job.ID]
-		if l == nil {
+		live := l.liveJobs[u.Job.ID]
+		if live == nil {
 			continue // it has ended since
 		}
-		j := h.jobState(u.Job.ID)
+		j := l.jobState(u.Job.ID)
 		if j.waitingSince.IsZero() {
 			j.waitingSince = now
 		}
 		waited := now.Sub(j.waitingSince)
-		if waited >= handoverAfter && h.handOverJob(now, d, u, l, waited) {
+		if waited >= handoverAfter && l.handOverJob(now, d, u, live, waited) {
 			handovers++
 			j.waitingSince = time.Time{}
 		}
@@ -49,73 +49,73 @@
 }
 
 // handOverJob hands tasks of a job over to one shard, or divides a gang over several.
-func (h *Leader) handOverJob(now time.Time, d *Draft, u *scheduler.UnplacedJob, l *store.LiveJob, waited time.Duration) bool {
-	target, n := h.targets.Choose(now, u, h.assignment.Ranges(l), h.types, waited)
+func (l *Leader) handOverJob(now time.Time, d *Draft, u *scheduler.UnplacedJob, live *store.LiveJob, waited time.Duration) bool {
+	target, n := l.targets.Choose(now, u, l.assignment.Ranges(live), l.types, waited)
 	if target == "" || n <= 0 {
-		return h.coAllocate(now, d, u, l, waited)
+		return l.coAllocate(now, d, u, live, waited)
 	}
-	if !h.handOver(d, u.Job.ID, l, target, n) {
+	if !l.handOver(d, u.Job.ID, live, target, n) {
 		return false
 	}
-	h.targets.Record(now, target, u.Job.Class, n)
-	h.log.Info("tasks handed over to another shard", "job", u.Job.ID, "tasks", n, "to", target)
+	l.targets.Record(now, target, u.Job.Class, n)
+	l.log.Info("tasks handed over to another shard", "job", u.Job.ID, "tasks", n, "to", target)
 	return true
 }
 
 // freeElsewhere gives by class how many tasks another shard has capacity for. Until this shard knows what runs
 // on its own machines it leaves nothing to others.
-func (h *Leader) freeElsewhere(now time.Time) map[string]int {
-	if !h.rebuiltReachable {
+func (l *Leader) freeElsewhere(now time.Time) map[string]int {
+	if !l.rebuiltReachable {
 		return make(map[string]int)
 	}
-	return h.targets.FreeElsewhere(now)
+	return l.targets.FreeElsewhere(now)
 }
 
 // movableTasks gives how many tasks of a job another shard could take. A job in too many ranges already waits
 // for capacity here.
-func (h *Leader) movableTasks(l *store.LiveJob) int {
-	if len(h.assignment.Ranges(l)) >= maxRangesPerJob-1 {
+func (l *Leader) movableTasks(live *store.LiveJob) int {
+	if len(l.assignment.Ranges(live)) >= maxRangesPerJob-1 {
 		return 0
 	}
-	return h.targets.MovableTasks(l.Record.Job, h.types)
+	return l.targets.MovableTasks(live.Record.Job, l.types)
 }
 
 // handOver hands up to n tasks of a job over to another shard: the last ones that provably run nowhere.
-func (h *Leader) handOver(d *Draft, id string, l *store.LiveJob, target string, n int) bool {
-	j, gang := h.jobState(id), l.Record.Job.Shape == wire.Gang
-	inLedger := h.staleTasks(id)
+func (l *Leader) handOver(d *Draft, id string, live *store.LiveJob, target string, n int) bool {
+	j, gang := l.jobState(id), live.Record.Job.Shape == wire.Gang
+	inLedger := l.staleTasks(id)
 	inactive := func(i int) bool {
-		return !j.finished.Contains(i) && !inLedger[i] && h.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}) == nil
+		return !j.finished.Contains(i) && !inLedger[i] && l.fleet.ActivePlacement(wire.TaskID{Job: id, Index: i}) == nil
 	}
-	ranges := h.assignment.Ranges(l)
-	next := handover.Move(ranges, l.Record.Tasks, h.lease.Shard, target, n, inactive)
+	ranges := l.assignment.Ranges(live)
+	next := handover.Move(ranges, live.Record.Tasks, l.lease.Shard, target, n, inactive)
 	if len(next) > maxRangesPerJob || slices.Equal(next, ranges) || gang && len(next) != 1 {
 		return false
 	}
-	if l.Record.Job.OneZone && slices.ContainsFunc(next, func(s store.ShardRange) bool { return s.Shard != target && !s.Done }) {
+	if live.Record.Job.OneZone && slices.ContainsFunc(next, func(s store.ShardRange) bool { return s.Shard != target && !s.Done }) {
 		return false // no shard knows in which zones another has tasks of it
 	}
-	if !h.rewriteRanges(d, id, l, next) {
+	if !l.rewriteRanges(d, id, live, next) {
 		return false
 	}
-	h.unstored.Add(id, h.lastRound) // what is left here may all have finished
+	l.unstored.Add(id, l.lastRound) // what is left here may all have finished
 	return true
 }
 
 // staleTasks gives the tasks of a job that the ledger names and that are active nowhere. The records that name them
 // are written anew.
-func (h *Leader) staleTasks(job string) map[int]bool {
-	return h.ledgerTasks.Stale(job, func(t wire.TaskID) bool { return h.fleet.ActivePlacement(t) != nil })
+func (l *Leader) staleTasks(job string) map[int]bool {
+	return l.ledgerTasks.Stale(job, func(t wire.TaskID) bool { return l.fleet.ActivePlacement(t) != nil })
 }
 
 // releaseOwnership writes the records anew that name tasks which are to be handed over. It reports whether one is
 // to be dropped, for which the round need not wait for other changes.
-func (h *Leader) releaseOwnership(d *Draft) (drops bool) {
-	for _, id := range h.ledgerTasks.StaleMachines() {
-		switch m := h.fleet.Machine(id); {
+func (l *Leader) releaseOwnership(d *Draft) (drops bool) {
+	for _, id := range l.ledgerTasks.StaleMachines() {
+		switch m := l.fleet.Machine(id); {
 		case m == nil:
-			drops = drops || h.machinesToDrop[id]
-		case !d.machines[id] && d.Add(h.machineEntry(d, id)):
+			drops = drops || l.machinesToDrop[id]
+		case !d.machines[id] && d.Add(l.machineEntry(d, id)):
 			d.machines[id] = true
 		}
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -12,64 +12,64 @@
 // leader knew of every cancellation. A renewal says nothing of what is known: each answer extends
 // the leases of a machine's tasks, also those of a job that was cancelled without the knowledge of
 // a leader that is refused by the state service, or whose view is out of date.
-func (h *Leader) MayAnswer(now time.Time, valid bool, confirmed time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	linger := h.cfg.Workers.MaxCancelStaleness()
-	return (valid || now.Sub(confirmed) < linger) && now.Sub(h.viewCurrentAt) < linger
+func (l *Leader) MayAnswer(now time.Time, valid bool, confirmed time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	linger := l.cfg.Workers.MaxCancelStaleness()
+	return (valid || now.Sub(confirmed) < linger) && now.Sub(l.viewCurrentAt) < linger
 }
 
 // HandleHeartbeat applies a machine's heartbeat and returns the answer to it; ok is false where
 // there must be none. launch says whether the leader's lease is valid, so that the answer may carry
 // launches.
-func (h *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, launch bool) (a wire.HeartbeatResponse, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.observe(now, r, true) || h.fleet.MustLapse(now, r.Machine) {
+func (l *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, launch bool) (a wire.HeartbeatResponse, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.observe(now, r, true) || l.fleet.MustLapse(now, r.Machine) {
 		return a, false
 	}
-	cmds := h.fleet.HeartbeatCommands(now, r, launch)
+	cmds := l.fleet.HeartbeatCommands(now, r, launch)
 	for _, c := range cmds {
-		h.log.Debug("command", "verb", c.Verb, "task", c.Task, "attempt", c.Attempt, "machine", r.Machine)
+		l.log.Debug("command", "verb", c.Verb, "task", c.Task, "attempt", c.Attempt, "machine", r.Machine)
 	}
-	return wire.HeartbeatResponse{FencingToken: h.lease.FencingToken, Commands: cmds}, true
+	return wire.HeartbeatResponse{FencingToken: l.lease.FencingToken, Commands: cmds}, true
 }
 
 // HandleInspection applies a heartbeat that came in the answer to a direct call.
-func (h *Leader) HandleInspection(now time.Time, r *wire.Heartbeat) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.observe(now, r, false)
+func (l *Leader) HandleInspection(now time.Time, r *wire.Heartbeat) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.observe(now, r, false)
 }
 
 // observe applies a heartbeat, whichever way it came; own says whether the machine sent it by itself.
 // One that is older than what is known shows nothing. One that can't be true is not even answered:
 // whatever made it up may make up more.
-func (h *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
-	if why := h.impossibleReason(r); why != "" {
-		h.display.rejected.Impossible++
-		h.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
+func (l *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
+	if why := l.impossibleReason(r); why != "" {
+		l.display.rejected.Impossible++
+		l.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
 		return false
 	}
-	if !h.fleet.IsNewer(r) {
-		h.display.rejected.Stale++
+	if !l.fleet.IsNewer(r) {
+		l.display.rejected.Stale++
 		return true
 	}
-	h.noteReconnected(now, r.Machine)
-	h.noteZoneHeartbeat(now, r)
-	h.applyEvents(now, h.fleet.ApplyHeartbeat(now, r, own))
+	l.noteReconnected(now, r.Machine)
+	l.noteZoneHeartbeat(now, r)
+	l.applyEvents(now, l.fleet.ApplyHeartbeat(now, r, own))
 	return true
 }
 
 // impossibleReason says why a heartbeat can't be true, or returns "". Attempts are of fencing tokens up
 // to this one; with several shards, the leader of another one may have given a gang's attempt.
-func (h *Leader) impossibleReason(r *wire.Heartbeat) string {
-	if r.FencingToken > h.lease.FencingToken {
+func (l *Leader) impossibleReason(r *wire.Heartbeat) string {
+	if r.FencingToken > l.lease.FencingToken {
 		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", r.FencingToken)
 	}
 	for _, t := range r.Tasks {
 		token, n := splitAttempt(t.Attempt)
-		if h.sharding.IsSingle() && token > h.lease.FencingToken || token == h.lease.FencingToken && n > h.attemptSequence {
+		if l.sharding.IsSingle() && token > l.lease.FencingToken || token == l.lease.FencingToken && n > l.attemptSequence {
 			return fmt.Sprintf("task %s of attempt %d, which was never given", t.ID, t.Attempt)
 		}
 	}
@@ -80,8 +80,8 @@
 type RejectedHeartbeats struct{ Stale, Impossible uint64 }
 
 // RejectedHeartbeats returns how many heartbeats changed nothing.
-func (h *Leader) RejectedHeartbeats() RejectedHeartbeats {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.display.rejected
+func (l *Leader) RejectedHeartbeats() RejectedHeartbeats {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.display.rejected
 }
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -72,23 +72,23 @@
 // UnfinishedJobs returns the jobs of which a task is or may be on a machine, or whose end this
 // leader has not applied yet. It is not ok until all reachable machines are accounted for; what may
 // be on unreachable ones is known by their records.
-func (h *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (l *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	jobs = make(map[string]bool)
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
 			if !p.IsTombstone() {
 				jobs[p.Task.Job] = true
 			}
 		}
 	}
-	for id, j := range h.jobStates {
+	for id, j := range l.jobStates {
 		if j.endedAt.IsZero() {
 			jobs[id] = true
 		}
 	}
-	return jobs, h.rebuiltReachable
+	return jobs, l.rebuiltReachable
 }
 
 // jobTable is what the leader knows of the jobs: which are live, and what it remembers of each.
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -29,37 +29,37 @@
 // launch places tasks as far as the round has room: a condition for each job, and in the ledger each
 // machine, whose record names what may be there. The rest is decided again in the next round; a gang
 // is never split. It returns why the last group that is left out is.
-func (h *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
+func (l *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
 	var group []scheduler.Launch
 	for len(launches) > 0 {
 		group, launches = nextGroup(launches)
-		g := h.measure(d, group)
+		g := l.measure(d, group)
 		switch {
 		case g.full:
 			withheld = stall.CauseMachines
 		case !d.Fits(g.bytes):
 			withheld = stall.CauseLedger
-		case !d.Guard(h.liveJobs[group[0].Job.ID]):
+		case !d.Guard(l.liveJobs[group[0].Job.ID]):
 			withheld = stall.CauseConditions
 		default:
-			h.placeGroup(now, d, g)
+			l.placeGroup(now, d, g)
 		}
 	}
 	for _, id := range sortedKeys(d.machines) {
-		d.AddReserved(h.machineEntry(d, id))
+		d.AddReserved(l.machineEntry(d, id))
 	}
 	return withheld
 }
 
 // measure finds out what room a group takes.
-func (h *Leader) measure(d *Draft, launches []scheduler.Launch) launchGroup {
-	maxTasks := max(1, h.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // of a machine, so that records divide well among segments
+func (l *Leader) measure(d *Draft, launches []scheduler.Launch) launchGroup {
+	maxTasks := max(1, l.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // of a machine, so that records divide well among segments
 	n := len(launches)
 	g := launchGroup{launches: launches, bytes: n * store.MachineTaskBytes, machines: make(map[string]bool)}
-	for _, l := range launches {
-		m := h.fleet.Machine(l.Machine)
-		if !d.machines[l.Machine] && !g.machines[l.Machine] {
-			g.machines[l.Machine] = true
+	for _, launch := range launches {
+		m := l.fleet.Machine(launch.Machine)
+		if !d.machines[launch.Machine] && !g.machines[launch.Machine] {
+			g.machines[launch.Machine] = true
 			g.bytes += store.MachineEntryBytes(m.ID, &store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone}) + m.CountPossible()*store.MachineTaskBytes
 		}
 		g.full = g.full || m.CountPossible()+n > maxTasks
@@ -69,19 +69,19 @@
 
 // placeGroup places a group for which there is room. Its tasks share one attempt, which is unique
 // without being stored: it is of this leader's token.
-func (h *Leader) placeGroup(now time.Time, d *Draft, g launchGroup) {
+func (l *Leader) placeGroup(now time.Time, d *Draft, g launchGroup) {
 	d.Reserve(g.bytes)
 	for id := range g.machines {
 		d.machines[id] = true
 	}
-	attempt := h.nextAttempt(h.lease.FencingToken)
-	if order := h.liveJobs[g.launches[0].Job.ID].Record.CoAllocation; order >= store.CoAllocationFirstAttempt {
+	attempt := l.nextAttempt(l.lease.FencingToken)
+	if order := l.liveJobs[g.launches[0].Job.ID].Record.CoAllocation; order >= store.CoAllocationFirstAttempt {
 		attempt = order
 	}
-	for _, l := range g.launches {
-		p := h.fleet.Place(now, h.fleet.Machine(l.Machine), wire.TaskID{Job: l.Job.ID, Index: l.TaskIndex}, attempt)
+	for _, launch := range g.launches {
+		p := l.fleet.Place(now, l.fleet.Machine(launch.Machine), wire.TaskID{Job: launch.Job.ID, Index: launch.TaskIndex}, attempt)
 		d.launches = append(d.launches, p)
-		h.consumeReservation(d, p)
-		h.log.Debug("placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
+		l.consumeReservation(d, p)
+		l.log.Debug("placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -93,7 +93,7 @@
 func New(cfg *config.Config, lease leadership.Tenure, snap store.Snapshot, ledgers store.ShardLedgers, types []wire.MachineType,
 	jobIndex JobIndex, now time.Time, log *slog.Logger) *Leader {
 	ledger, last := store.NewLedger(ledgers.Name, cfg.Store.ValueBytes, ledgers.Own)
-	h := &Leader{
+	l := &Leader{
 		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: timeoutsOf(cfg),
 			log: log.With("shard", lease.Shard, "token", lease.FencingToken)},
 		jobTable:      newJobTable(snap),
@@ -106,71 +106,71 @@
 		stalls:        stall.NewDetector(now),
 		loop:          newWakeups(),
 	}
-	h.targets = handover.NewTargets(lease.Shard, h.sharding)
-	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
-	h.monitor = reachability.NewMonitor(h.fleet, reachabilityTimeouts(h.timeouts, cfg))
-	h.detector = reachability.NewDetector(h.monitor, h.zoneUnreachable)
-	h.fencing = reachability.NewFencing(h.monitor)
-	previous := reshard.NewPrevious(h.sharding, ledgers)
-	h.assignment = reshard.NewAssignment(h.sharding, previous)
-	h.startMigration(previous, ledgers.Migrated, &last)
-	h.recoverZones(now, &last)
-	h.continueZoneRecoveries(now, &last)
-	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
-	h.recoverMachines(now, &last)
-	h.recoverFinished(&last)
-	h.migrateFinished()
-	for id, l := range h.liveJobs {
-		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
-			h.jobState(id).coAllocation.Started = l.Record.CoAllocation
+	l.targets = handover.NewTargets(lease.Shard, l.sharding)
+	l.quota = quota.New(lease.Shard, l.sharding, cfg.Tuning.BeginWithin, l.log)
+	l.monitor = reachability.NewMonitor(l.fleet, reachabilityTimeouts(l.timeouts, cfg))
+	l.detector = reachability.NewDetector(l.monitor, l.zoneUnreachable)
+	l.fencing = reachability.NewFencing(l.monitor)
+	previous := reshard.NewPrevious(l.sharding, ledgers)
+	l.assignment = reshard.NewAssignment(l.sharding, previous)
+	l.startMigration(previous, ledgers.Migrated, &last)
+	l.recoverZones(now, &last)
+	l.continueZoneRecoveries(now, &last)
+	l.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(l.sharding.Shards()), l.sharding.KeepsZonesWhole()), last.Preemptions)
+	l.recoverMachines(now, &last)
+	l.recoverFinished(&last)
+	l.migrateFinished()
+	for id, live := range l.liveJobs {
+		if live.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
+			l.jobState(id).coAllocation.Started = live.Record.CoAllocation
 		}
 	}
-	h.log.Info("state recovered", "machines", len(last.Machines), "requests", len(last.ScaleOuts), "ledger", ledger.String())
-	return h
+	l.log.Info("state recovered", "machines", len(last.Machines), "requests", len(last.ScaleOuts), "ledger", ledger.String())
+	return l
 }
 
 // recoverMachines goes on from the machines and the scale-out requests that the ledger names.
-func (h *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
+func (l *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
 	for _, id := range sortedKeys(last.Machines) { // in order, since each is added at the end
 		m := last.Machines[id]
-		if h.sharding.ShardOf(m.Zone, m.Type) == h.lease.Shard {
-			h.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, h.jobIndex))
+		if l.sharding.ShardOf(m.Zone, m.Type) == l.lease.Shard {
+			l.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, l.jobIndex))
 		}
 	}
 	for name, a := range last.ScaleOuts {
-		h.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
+		l.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
 	}
 }
 
 // recoverFinished goes on from the tasks of live jobs that the ledger says have finished.
-func (h *Leader) recoverFinished(last *store.RecoveredState) {
+func (l *Leader) recoverFinished(last *store.RecoveredState) {
 	for id, done := range last.FinishedTasks {
-		if h.liveJobs[id] == nil {
-			h.ledger.DiscardJob(id, wire.MaxTasks)
+		if l.liveJobs[id] == nil {
+			l.ledger.DiscardJob(id, wire.MaxTasks)
 			continue
 		}
-		j := h.jobState(id)
+		j := l.jobState(id)
 		for _, i := range done.Difference(store.NewTaskSet(0)) {
 			j.finished.Add(i)
 			j.storedFinished.Add(i)
 		}
-		if !h.sharding.IsSingle() {
-			h.unstored.Add(id, h.lastRound) // the rest may have been given away since
+		if !l.sharding.IsSingle() {
+			l.unstored.Add(id, l.lastRound) // the rest may have been given away since
 		}
 	}
 }
 
 // FencingToken returns the token under which this leader leads.
-func (h *Leader) FencingToken() uint64 { return h.lease.FencingToken }
+func (l *Leader) FencingToken() uint64 { return l.lease.FencingToken }
 
 // Wake asks for a round soon.
-func (h *Leader) Wake() {
-	h.loop.wakeRound()
+func (l *Leader) Wake() {
+	l.loop.wakeRound()
 }
 
 // SetTypes replaces the machine types by those that the cloud lists now.
-func (h *Leader) SetTypes(t []wire.MachineType) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.types, h.typesChanged = t, true
+func (l *Leader) SetTypes(t []wire.MachineType) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.types, l.typesChanged = t, true
 }
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -51,41 +51,41 @@
 )
 
 // Run does what a leader has to do until the context ends. It owns all goroutines that it starts.
-func (h *Leader) Run(ctx context.Context, e Dependencies) error {
+func (l *Leader) Run(ctx context.Context, e Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return h.roundLoop(ctx, e) })
-	g.Go(func() error { return h.loop.throttle.Run(ctx) })
-	g.Go(func() error { return h.callLoop(ctx, e) })
-	g.Go(func() error { return h.watchMachineList(ctx, e) })
-	g.Go(func() error { return h.scaleOutLoop(ctx, e) })
-	g.Go(func() error { return h.scaleInLoop(ctx, e) })
-	if !h.sharding.IsSingle() {
-		g.Go(func() error { return h.runGrants(ctx, e) })
+	g.Go(func() error { return l.roundLoop(ctx, e) })
+	g.Go(func() error { return l.loop.throttle.Run(ctx) })
+	g.Go(func() error { return l.callLoop(ctx, e) })
+	g.Go(func() error { return l.watchMachineList(ctx, e) })
+	g.Go(func() error { return l.scaleOutLoop(ctx, e) })
+	g.Go(func() error { return l.scaleInLoop(ctx, e) })
+	if !l.sharding.IsSingle() {
+		g.Go(func() error { return l.runGrants(ctx, e) })
 	}
 	return g.Wait()
 }
 
 // roundLoop decides and commits rounds, while the lease is valid.
-func (h *Leader) roundLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) roundLoop(ctx context.Context, e Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
-	least := min(minRoundInterval*time.Duration(len(h.sharding.Shards())), maxShardedInterval)
+	least := min(minRoundInterval*time.Duration(len(l.sharding.Shards())), maxShardedInterval)
 	for ctx.Err() == nil {
 		begun := time.Now()
 		changed := e.View.Changed()
 		gap := least
 		if e.LeaseValid() {
-			d := h.Decide(begun, e.View.Snapshot())
-			gap = min(max(gap, restFactor*time.Since(begun)), h.maxRest())
+			d := l.Decide(begun, e.View.Snapshot())
+			gap = min(max(gap, restFactor*time.Since(begun)), l.maxRest())
 			if d != nil {
-				h.commitRound(ctx, e, d)
+				l.commitRound(ctx, e, d)
 			}
-			h.loop.wakeCalls()
+			l.loop.wakeCalls()
 		}
 		store.Backoff(ctx, max(gap-time.Since(begun), minPause))
-		t := time.NewTimer(h.cfg.Tuning.RoundWindow / 2)
+		t := time.NewTimer(l.cfg.Tuning.RoundWindow / 2)
 		select {
 		case <-ctx.Done():
-		case <-h.loop.round:
+		case <-l.loop.round:
 		case <-changed:
 		case <-t.C:
 		}
@@ -95,8 +95,8 @@
 }
 
 // maxRest bounds the rest between two rounds.
-func (h *Leader) maxRest() time.Duration {
-	if h.loop.throttle.Overloaded() {
+func (l *Leader) maxRest() time.Duration {
+	if l.loop.throttle.Overloaded() {
 		return overloadedInterval
 	}
 	return maxRoundInterval
@@ -104,21 +104,21 @@
 
 // commitRound writes a round. As long as its outcome is unknown the same transaction is repeated: the
 // condition on the segment that it writes lets only one copy through, however late another is applied.
-func (h *Leader) commitRound(ctx context.Context, e Dependencies, d *Draft) {
+func (l *Leader) commitRound(ctx context.Context, e Dependencies, d *Draft) {
 	for ctx.Err() == nil {
 		rev, err := e.Store.Txn(ctx, d.Txn)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			h.Committed(d, rev)
+			l.Committed(d, rev)
 			e.View.ApplyOwnWrite(d.WrittenBatches(rev)...)
 			return
 		case errors.As(err, &conflict):
-			h.handleConflict(ctx, e, d, conflict)
+			l.handleConflict(ctx, e, d, conflict)
 			return
 		default:
-			h.log.Info("round without an answer", "number", d.Number, "err", err)
-			h.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
+			l.log.Info("round without an answer", "number", d.Number, "err", err)
+			l.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
 			store.Backoff(ctx, writeRetry)
 		}
 	}
@@ -126,22 +126,22 @@
 
 // handleConflict finds out why a round was refused: because an earlier copy of it, which had no answer,
 // was committed, because something that it rests on has changed, or because there is another leader.
-func (h *Leader) handleConflict(ctx context.Context, e Dependencies, d *Draft, conflict *store.ConflictError) {
+func (l *Leader) handleConflict(ctx context.Context, e Dependencies, d *Draft, conflict *store.ConflictError) {
 	for e.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
 		if store.Backoff(ctx, barrierRetry); ctx.Err() != nil {
 			return
 		}
 	}
 	segment := d.FirstSegment()
-	if last, version := e.View.Segment(segment); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
-		h.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
-		h.Committed(d, version)
+	if last, version := e.View.Segment(segment); last.FencingToken == l.lease.FencingToken && last.Round == d.Number {
+		l.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
+		l.Committed(d, version)
 		return
 	}
-	h.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
-	h.roundUnwritten(time.Now(), d, stall.CauseRefused)
-	h.Discard(d)
-	if slices.Contains(conflict.Failed, store.LeaderKey(h.lease.Shard)) || slices.Contains(conflict.Failed, segment) {
+	l.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
+	l.roundUnwritten(time.Now(), d, stall.CauseRefused)
+	l.Discard(d)
+	if slices.Contains(conflict.Failed, store.LeaderKey(l.lease.Shard)) || slices.Contains(conflict.Failed, segment) {
 		e.OnFenced()
 	}
 }
@@ -150,8 +150,8 @@
 const reconcileInterval = time.Second
 
 // reconcileDue reports whether the placements are to be compared with the jobs though no round is decided.
-func (h *Leader) reconcileDue(now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return now.Sub(h.lastReconciled) > reconcileInterval
+func (l *Leader) reconcileDue(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return now.Sub(l.lastReconciled) > reconcileInterval
 }
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -18,59 +18,59 @@
 )
 
 // watchMachineList reads the cloud's list of machines, and their types.
-func (h *Leader) watchMachineList(ctx context.Context, e Dependencies) error {
+func (l *Leader) watchMachineList(ctx context.Context, e Dependencies) error {
 	var typesAt time.Time
 	for ctx.Err() == nil {
 		requestedAt := time.Now()
 		list, err := e.Cloud.List(ctx)
 		if err == nil {
-			h.handleMachineList(requestedAt, time.Now(), list)
+			l.handleMachineList(requestedAt, time.Now(), list)
 		} else {
-			h.log.Debug("listing machines failed", "err", err)
+			l.log.Debug("listing machines failed", "err", err)
 		}
 		if time.Since(typesAt) > machineTypesInterval {
 			if types, err := e.Cloud.MachineTypes(ctx); err == nil {
 				typesAt = time.Now()
-				h.SetTypes(types)
+				l.SetTypes(types)
 			}
 		}
 		// A list of many pages takes a quarter of the calls at most, for all shards together.
-		pages := float64((len(list)/wire.MaxListPage + 1) * len(h.sharding.Shards()))
-		store.Backoff(ctx, max(minListInterval, wire.Seconds(pages*listShare/h.cfg.Cloud.RPS)))
+		pages := float64((len(list)/wire.MaxListPage + 1) * len(l.sharding.Shards()))
+		store.Backoff(ctx, max(minListInterval, wire.Seconds(pages*listShare/l.cfg.Cloud.RPS)))
 	}
 	return nil
 }
 
 // handleMachineList applies a list that was requested at a time, as far as it is of this shard's machines.
-func (h *Leader) handleMachineList(requestedAt, now time.Time, list []wire.ListedMachine) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (l *Leader) handleMachineList(requestedAt, now time.Time, list []wire.ListedMachine) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	mine := list[:0:0]
-	for _, l := range list {
-		if h.sharding.ShardOf(l.Zone, l.Type) == h.lease.Shard {
-			mine = append(mine, l)
+	for _, listed := range list {
+		if l.sharding.ShardOf(listed.Zone, listed.Type) == l.lease.Shard {
+			mine = append(mine, listed)
 		}
 	}
-	for _, id := range h.fleet.ApplyCloudList(requestedAt, now, mine) {
-		h.forgetMachine(id, "the cloud no longer has it")
+	for _, id := range l.fleet.ApplyCloudList(requestedAt, now, mine) {
+		l.forgetMachine(id, "the cloud no longer has it")
 	}
-	for _, l := range mine {
-		if l.Stage == wire.MachineFailed {
-			h.scaler.Release(l.ID) // it stays listed until it is deleted
+	for _, listed := range mine {
+		if listed.Stage == wire.MachineFailed {
+			l.scaler.Release(listed.ID) // it stays listed until it is deleted
 		}
 	}
 }
 
 // forgetMachine forgets a machine that is proven gone, and has its record deleted.
-func (h *Leader) forgetMachine(id, why string) {
-	if m := h.fleet.Machine(id); m != nil {
-		h.log.Info("machine gone", "machine", id, "reason", why)
+func (l *Leader) forgetMachine(id, why string) {
+	if m := l.fleet.Machine(id); m != nil {
+		l.log.Info("machine gone", "machine", id, "reason", why)
 		if m.Recorded {
-			h.machinesToDrop[id] = true
+			l.machinesToDrop[id] = true
 		}
-		h.monitor.Calls.Forget(id)
-		h.fleet.RemoveMachine(id)
-		h.Wake()
+		l.monitor.Calls.Forget(id)
+		l.fleet.RemoveMachine(id)
+		l.Wake()
 	}
-	h.scaler.ForgetMachine(id)
+	l.scaler.ForgetMachine(id)
 }
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -54,102 +54,102 @@
 func (m *ledgerMigration) due() bool { return m.complete && !m.recorded }
 
 // startMigration continues with the shard's own ledger, and with what is yet to be taken over from earlier ones.
-func (h *Leader) startMigration(previous *reshard.Previous, migrated bool, recalled *store.RecoveredState) {
-	if !h.sharding.IsSingle() {
-		h.ledgerTasks = handover.NewLedgerTasks(recalled.Machines)
+func (l *Leader) startMigration(previous *reshard.Previous, migrated bool, recalled *store.RecoveredState) {
+	if !l.sharding.IsSingle() {
+		l.ledgerTasks = handover.NewLedgerTasks(recalled.Machines)
 	}
-	h.migration = newLedgerMigration(previous, migrated, recalled, func(zone, machineType string) bool {
-		return h.sharding.ShardOf(zone, machineType) == h.lease.Shard
+	l.migration = newLedgerMigration(previous, migrated, recalled, func(zone, machineType string) bool {
+		return l.sharding.ShardOf(zone, machineType) == l.lease.Shard
 	})
 }
 
 // migrateFinished takes over which tasks of live jobs have finished. What a job's record marks as done is in no
 // ledger, and stays in the record.
-func (h *Leader) migrateFinished() {
-	if h.assignment.Generation() == 0 {
+func (l *Leader) migrateFinished() {
+	if l.assignment.Generation() == 0 {
 		return
 	}
-	for _, id := range sortedKeys(h.liveJobs) {
-		l := h.liveJobs[id]
-		if finished := h.migration.previous.FinishedTasks[id]; !h.migration.recorded && finished != nil {
-			j := h.jobState(id)
+	for _, id := range sortedKeys(l.liveJobs) {
+		live := l.liveJobs[id]
+		if finished := l.migration.previous.FinishedTasks[id]; !l.migration.recorded && finished != nil {
+			j := l.jobState(id)
 			for _, i := range finished.Difference(store.NewTaskSet(0)) {
 				j.finished.Add(i)
 			}
-			h.migration.jobs[id] = true
-			h.unstored.Add(id, h.lastRound)
+			l.migration.jobs[id] = true
+			l.unstored.Add(id, l.lastRound)
 		}
-		if h.assignment.Unassigned(l) {
-			h.migrateDoneRanges(id, l)
+		if l.assignment.Unassigned(live) {
+			l.migrateDoneRanges(id, live)
 		}
 	}
 }
 
 // migrateDoneRanges takes over the tasks that a job's record of an earlier sharding marks as done.
-func (h *Leader) migrateDoneRanges(id string, l *store.LiveJob) {
-	for _, s := range l.Record.Ranges {
-		if !s.Done || !s.Within(l.Record.Tasks) {
+func (l *Leader) migrateDoneRanges(id string, live *store.LiveJob) {
+	for _, s := range live.Record.Ranges {
+		if !s.Done || !s.Within(live.Record.Tasks) {
 			continue
 		}
-		j := h.jobState(id)
+		j := l.jobState(id)
 		for i := s.From; i < s.To; i++ {
 			j.finished.Add(i)
 			j.storedFinished.Add(i)
 		}
-		h.unstored.Add(id, h.lastRound)
-		if gangCompleted(l, l.Record.Ranges) { // its tasks complete together
-			h.markFinished(wire.TaskID{Job: id, Index: s.From}, j)
+		l.unstored.Add(id, l.lastRound)
+		if gangCompleted(live, live.Record.Ranges) { // its tasks complete together
+			l.markFinished(wire.TaskID{Job: id, Index: s.From}, j)
 		}
 	}
 }
 
 // writeMigrated writes what is not yet in the shard's own ledger, as far as the round has capacity.
-func (h *Leader) writeMigrated(d *Draft) {
-	m := h.migration
+func (l *Leader) writeMigrated(d *Draft) {
+	m := l.migration
 	if m.complete {
 		return
 	}
-	h.writeMigratedMachines(d)
-	h.writeMigratedScaleOuts(d)
-	h.writeMigratedZones(d)
+	l.writeMigratedMachines(d)
+	l.writeMigratedScaleOuts(d)
+	l.writeMigratedZones(d)
 	for id := range m.jobs {
-		if j := h.jobStates[id]; h.liveJobs[id] == nil || j == nil || len(j.finished.Difference(j.storedFinished)) == 0 {
+		if j := l.jobStates[id]; l.liveJobs[id] == nil || j == nil || len(j.finished.Difference(j.storedFinished)) == 0 {
 			delete(m.jobs, id)
 		}
 	}
 	m.complete = m.empty()
-	if generation := h.assignment.Generation(); m.due() && generation > 0 {
-		h.log.Info("previous ledgers migrated", "generation", generation)
+	if generation := l.assignment.Generation(); m.due() && generation > 0 {
+		l.log.Info("previous ledgers migrated", "generation", generation)
 	}
 }
 
-func (h *Leader) writeMigratedMachines(d *Draft) {
-	for _, id := range sortedKeys(h.migration.machines) {
-		m := h.fleet.Machine(id)
-		if m == nil || h.ledger.HasMachine(id) {
-			delete(h.migration.machines, id)
-		} else if !d.machines[id] && d.Add(h.machineEntry(d, id)) {
+func (l *Leader) writeMigratedMachines(d *Draft) {
+	for _, id := range sortedKeys(l.migration.machines) {
+		m := l.fleet.Machine(id)
+		if m == nil || l.ledger.HasMachine(id) {
+			delete(l.migration.machines, id)
+		} else if !d.machines[id] && d.Add(l.machineEntry(d, id)) {
 			d.machines[id] = true
 		}
 	}
 }
 
-func (h *Leader) writeMigratedScaleOuts(d *Draft) {
-	for _, name := range sortedKeys(h.migration.scaler) {
-		r := h.scaler.Request(name)
-		if r == nil || h.ledger.HasScaleOut(name) {
-			delete(h.migration.scaler, name)
+func (l *Leader) writeMigratedScaleOuts(d *Draft) {
+	for _, name := range sortedKeys(l.migration.scaler) {
+		r := l.scaler.Request(name)
+		if r == nil || l.ledger.HasScaleOut(name) {
+			delete(l.migration.scaler, name)
 		} else {
 			d.Add(store.ScaleOutEntry(name, scaleOutRecord(r.ScaleOut)))
 		}
 	}
 }
 
-func (h *Leader) writeMigratedZones(d *Draft) {
-	h.migration.zones = slices.DeleteFunc(h.migration.zones, h.ledger.HasZone)
-	for _, name := range h.migration.zones {
+func (l *Leader) writeMigratedZones(d *Draft) {
+	l.migration.zones = slices.DeleteFunc(l.migration.zones, l.ledger.HasZone)
+	for _, name := range l.migration.zones {
 		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // else the round writes a newer state
-			d.Add(zoneEntry(name, h.zones.Record(name)))
+			d.Add(zoneEntry(name, l.zones.Record(name)))
 		}
 	}
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -213,17 +213,17 @@
 	m.sync(n)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	h := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	leader := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		h.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
-		h.scaler.Complete(modelTime, "x", 0)
+		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
+		leader.scaler.Complete(modelTime, "x", 0)
 	}
-	n.leaders[part] = &modelLeader{Leader: h}
+	n.leaders[part] = &modelLeader{Leader: leader}
 }
 
 // report has a machine report to a controller, and carries out the answer.
 func (m *model) report(n *modelController, w *modelWorker) {
-	h := n.leaders[w.zone]
+	leader := n.leaders[w.zone]
 	w.seq++
 	r := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 	for _, t := range sortedTasks(w.runs) {
@@ -235,7 +235,7 @@
 	for _, t := range sortedTasks(w.timedOut) {
 		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
 	}
-	a, _ := h.HandleHeartbeat(modelTime, r, true)
+	a, _ := leader.HandleHeartbeat(modelTime, r, true)
 	if a.FencingToken < w.token {
 		return
 	}
@@ -331,32 +331,32 @@
 			add("sync %d", i)
 		}
 		for _, part := range []string{"a", "b"} {
-			h, w := n.leaders[part], m.workers[part]
+			leader, w := n.leaders[part], m.workers[part]
 			_, held := m.keys[store.LeaderKey(part)]
-			if h == nil {
+			if leader == nil {
 				if s.failover && !held {
 					add("claim %d %s", i, part)
 				}
 				continue
 			}
-			if w.token <= h.FencingToken() {
+			if w.token <= leader.FencingToken() {
 				add("report %d %s", i, part)
 			}
 			switch {
-			case h.draft == nil:
+			case leader.draft == nil:
 				add("decide %d %s", i, part)
 			default:
 				add("commit %d %s", i, part)
 			}
 			if m.limit > 0 {
-				if h.grantChange == nil {
+				if leader.grantChange == nil {
 					add("regrant %d %s", i, part)
 				} else {
 					add("granted %d %s", i, part)
 				}
 			}
 			if s.failover {
-				if m.keys[store.LeaderKey(part)].version == h.lease.Version {
+				if m.keys[store.LeaderKey(part)].version == leader.lease.Version {
 					add("lose %d %s", i, part)
 				} else {
 					add("die %d %s", i, part)
@@ -386,14 +386,14 @@
 func (m *model) take(step string) {
 	f := strings.Fields(step)
 	var n *modelController
-	var h *modelLeader
+	var leader *modelLeader
 	i, part := 0, ""
 	if len(f) > 1 {
 		i, _ = strconv.Atoi(f[1])
 	}
 	if len(f) > 2 {
 		part, n = f[2], m.controllers[i]
-		h = n.leaders[part]
+		leader = n.leaders[part]
 	}
 	switch f[0] {
 	case "sync":
@@ -409,38 +409,38 @@
 			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
 		}
 		for _, o := range m.controllers {
-			if oh := o.leaders[other]; oh != nil {
-				status.Wants, status.Ready = oh.quota.Forecast().Demands, oh.forecast.readyGangs
+			if otherLeader := o.leaders[other]; otherLeader != nil {
+				status.Wants, status.Ready = otherLeader.quota.Forecast().Demands, otherLeader.forecast.readyGangs
 			}
 		}
-		h.SetPeerShards(map[string]ShardStatus{other: status}, 1)
-		h.draft = h.Decide(modelTime, n.view.Snapshot())
+		leader.SetPeerShards(map[string]ShardStatus{other: status}, 1)
+		leader.draft = leader.Decide(modelTime, n.view.Snapshot())
 	case "commit":
-		if m.conditionsHold(h.draft.Txn) {
-			rev := m.apply(h.draft.Txn.Then)
-			h.Committed(h.draft, rev)
-			n.view.ApplyOwnWrite(h.draft.WrittenBatches(rev)...)
+		if m.conditionsHold(leader.draft.Txn) {
+			rev := m.apply(leader.draft.Txn.Then)
+			leader.Committed(leader.draft, rev)
+			n.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
 		} else {
-			h.Discard(h.draft)
+			leader.Discard(leader.draft)
 		}
-		h.draft = nil
+		leader.draft = nil
 	case "regrant":
-		h.grantChange = h.ProposeGrants()
+		leader.grantChange = leader.ProposeGrants()
 	case "granted":
-		if m.conditionsHold(h.grantChange.Txn) {
-			m.apply(h.grantChange.Txn.Then)
+		if m.conditionsHold(leader.grantChange.Txn) {
+			m.apply(leader.grantChange.Txn.Then)
 		}
 		m.sync(n)
-		h.GrantsSettled(n.view.Snapshot().QuotaGrants)
-		h.grantChange = nil
+		leader.GrantsSettled(n.view.Snapshot().QuotaGrants)
+		leader.grantChange = nil
 	case "lose": // the lease has run out; the leader does not know yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
 	case "die": // and its transactions are still on their way
-		if h.draft != nil {
-			m.lateTxns = append(m.lateTxns, h.draft.Txn)
+		if leader.draft != nil {
+			m.lateTxns = append(m.lateTxns, leader.draft.Txn)
 		}
-		if h.grantChange != nil {
-			m.lateTxns = append(m.lateTxns, h.grantChange.Txn)
+		if leader.grantChange != nil {
+			m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
 		}
 		delete(n.leaders, part)
 	case "late":
@@ -472,8 +472,8 @@
 		delete(w.runs, id)
 	case "cancel":
 		m.cancelled = true
-		if l, ok := m.liveJob(); ok {
-			r := l.Batch.Update()
+		if job, ok := m.liveJob(); ok {
+			r := job.Batch.Update()
 			r.EndJob("wk-1", wire.Cancelled, modelTime)
 			m.apply([]wire.Operation{r.Change()})
 		}
@@ -522,22 +522,22 @@
 			}
 		}
 		for _, part := range slices.Sorted(maps.Keys(n.leaders)) {
-			h := n.leaders[part]
-			b := &traceDriver{leader: h.Leader}
-			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.quota.Forecast().Demands)
-			put("%v %v", h.quota, h.targets)
-			for _, id := range sortedKeys(h.jobStates) {
-				j := h.jobStates[id]
+			leader := n.leaders[part]
+			b := &traceDriver{leader: leader.Leader}
+			put("%s %d %v %v %v", part, leader.lease.FencingToken, b.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+			put("%v %v", leader.quota, leader.targets)
+			for _, id := range sortedKeys(leader.jobStates) {
+				j := leader.jobStates[id]
 				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.Started, j.coAllocation.Ready)
 			}
-			for _, s := range h.forecast.unplaced {
+			for _, s := range leader.forecast.unplaced {
 				put("short %d %d", s.Coming, s.Unserved)
 			}
-			if h.draft != nil {
-				txn(h.draft.Txn)
+			if leader.draft != nil {
+				txn(leader.draft.Txn)
 			}
-			if h.grantChange != nil {
-				txn(h.grantChange.Txn)
+			if leader.grantChange != nil {
+				txn(leader.grantChange.Txn)
 			}
 		}
 	}
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -333,7 +333,7 @@
 	if !m.done[agent.Key{Task: id, Attempt: c.Attempt}] {
 		return
 	}
-	if l, ok := m.liveJob(); !ok || l.Record.Stage.Final() {
+	if job, ok := m.liveJob(); !ok || job.Record.Stage.Final() {
 		return
 	}
 	v := store.NewView(slog.New(slog.DiscardHandler))
@@ -547,20 +547,20 @@
 		c.draft = nil
 		return
 	}
-	h := c.leader
+	leader := c.leader
 	c.draft = nil
 	m.read(i)
-	if last, version := c.view.Segment(d.FirstSegment()); last.FencingToken == h.lease.FencingToken && last.Round == d.Number {
-		h.Committed(d, version)
+	if last, version := c.view.Segment(d.FirstSegment()); last.FencingToken == leader.lease.FencingToken && last.Round == d.Number {
+		leader.Committed(d, version)
 		m.reached["a copy of a round was taken"] = true
 		return
 	}
-	h.Discard(d)
+	leader.Discard(d)
 }
 
 // cancel is the user's request at a controller that is served: it is told what the store says.
 func (m *timedModel) cancel(i int, hold bool) {
-	l, live := m.liveJob()
+	job, live := m.liveJob()
 	if !live {
 		m.read(i)
 		if rec, ok := m.nodes[i].view.Job(timedJob); ok && rec.Stage == wire.Cancelled {
@@ -569,13 +569,13 @@
 		return
 	}
 	if hold { // by what the controller has seen
-		if l, live = m.nodes[i].view.Live(timedJob); !live {
+		if job, live = m.nodes[i].view.Live(timedJob); !live {
 			return
 		}
 	}
-	r := l.Batch.Update()
+	r := job.Batch.Update()
 	r.EndJob(timedJob, wire.Cancelled, m.now)
-	txn := wire.Txn{If: []wire.Condition{{Key: l.Batch.Key, Version: l.Batch.Version}}, Then: []wire.Operation{r.Change()}}
+	txn := wire.Txn{If: []wire.Condition{{Key: job.Batch.Key, Version: job.Batch.Version}}, Then: []wire.Operation{r.Change()}}
 	if hold {
 		m.lateCommits = append(m.lateCommits, lateTxn{txn, "cancellation", i, 0, m.revision})
 		return
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -54,12 +54,12 @@
 		if c.pendingRead != nil {
 			put("reading %d %d", m.age(c.pendingRead.begun), len(c.pendingRead.changes.Events))
 		}
-		h := c.leader
-		if h == nil {
+		leader := c.leader
+		if leader == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", h.lastRound, h.rebuilt, h.rebuiltReachable, m.age(h.fleet.ElectedAt), m.age(h.viewCurrentAt), m.age(h.lastReconciled), m.age(h.monitor.PauseOver()), m.age(h.lastDecided), len(h.liveJobs))
-		for _, x := range h.fleet.Machines() {
+		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.age(leader.fleet.ElectedAt), m.age(leader.viewCurrentAt), m.age(leader.lastReconciled), m.age(leader.monitor.PauseOver()), m.age(leader.lastDecided), len(leader.liveJobs))
+		for _, x := range leader.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
 			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
 			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
@@ -70,14 +70,14 @@
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
 				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.age(p.PlacedAt))
 			}
-			last := h.monitor.Calls.Last(x.ID)
+			last := leader.monitor.Calls.Last(x.ID)
 			put("%d %v %d %s", m.age(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
-		for _, id := range sortedKeys(h.jobStates) {
-			j := h.jobStates[id]
+		for _, id := range sortedKeys(leader.jobStates) {
+			j := leader.jobStates[id]
 			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
 		}
-		put("%v", h.scaler.Releasing())
+		put("%v", leader.scaler.Releasing())
 		if c.draft != nil {
 			left(c.draft.Txn)
 		}
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -11,14 +11,14 @@
 
 // ownRanges gives the ranges of a job's tasks that this shard answers for and that have not all finished, and
 // how many tasks other shards have yet to finish.
-func (h *Leader) ownRanges(l *store.LiveJob) (own []store.ShardRange, elsewhere int) {
-	if h.sharding.IsSingle() {
-		return []store.ShardRange{{From: 0, To: l.Record.Tasks, Shard: h.lease.Shard}}, 0
+func (l *Leader) ownRanges(live *store.LiveJob) (own []store.ShardRange, elsewhere int) {
+	if l.sharding.IsSingle() {
+		return []store.ShardRange{{From: 0, To: live.Record.Tasks, Shard: l.lease.Shard}}, 0
 	}
-	for _, s := range h.assignment.Ranges(l) {
+	for _, s := range l.assignment.Ranges(live) {
 		switch {
-		case s.Done, !s.Within(l.Record.Tasks):
-		case s.Shard == h.lease.Shard:
+		case s.Done, !s.Within(live.Record.Tasks):
+		case s.Shard == l.lease.Shard:
 			own = append(own, s)
 		default:
 			elsewhere += s.To - s.From
@@ -28,11 +28,11 @@
 }
 
 // allFinished reports whether every task of a job that belongs to this shard has finished.
-func (h *Leader) allFinished(l *store.LiveJob, j *jobState) bool {
-	if h.sharding.IsSingle() {
-		return j.finished.Count() >= l.Record.Tasks
+func (l *Leader) allFinished(live *store.LiveJob, j *jobState) bool {
+	if l.sharding.IsSingle() {
+		return j.finished.Count() >= live.Record.Tasks
 	}
-	own, _ := h.ownRanges(l)
+	own, _ := l.ownRanges(live)
 	for _, s := range own {
 		for i := s.From; i < s.To; i++ {
 			if !j.finished.Contains(i) {
@@ -45,14 +45,14 @@
 
 // finishRanges marks the tasks of a job that belong to this shard as finished. The last shard to do so marks the job
 // as done: all others must say so in the very record that is written.
-func (h *Leader) finishRanges(r *store.BatchUpdate, id string, l *store.LiveJob, now time.Time) (done bool) {
-	if h.sharding.IsSingle() {
+func (l *Leader) finishRanges(r *store.BatchUpdate, id string, live *store.LiveJob, now time.Time) (done bool) {
+	if l.sharding.IsSingle() {
 		r.EndJob(id, wire.Done, now)
 		return true
 	}
-	ranges, last := slices.Clone(h.assignment.Ranges(l)), true
+	ranges, last := slices.Clone(l.assignment.Ranges(live)), true
 	for i := range ranges {
-		if ranges[i].Shard == h.lease.Shard {
+		if ranges[i].Shard == l.lease.Shard {
 			ranges[i].Done = true
 		}
 		last = last && ranges[i].Done
@@ -60,48 +60,48 @@
 	switch {
 	case last:
 		r.EndJob(id, wire.Done, now)
-	case h.assignment.Unassigned(l): // it may have too many ranges to be written
-		h.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(h.lease.Shard, h.assignment.Generation())), Batch: l.Batch, SinceRevision: l.SinceRevision}
+	case l.assignment.Unassigned(live): // it may have too many ranges to be written
+		l.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(l.lease.Shard, l.assignment.Generation())), Batch: live.Batch, SinceRevision: live.SinceRevision}
 	default:
-		h.updateRanges(r, id, l, ranges)
+		l.updateRanges(r, id, live, ranges)
 	}
 	return last
 }
 
 // updateRanges writes other ranges of a job, and goes by them from here on.
-func (h *Leader) updateRanges(r *store.BatchUpdate, id string, l *store.LiveJob, ranges []store.ShardRange) {
-	h.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, h.assignment.Generation()), Batch: l.Batch, SinceRevision: l.SinceRevision}
+func (l *Leader) updateRanges(r *store.BatchUpdate, id string, live *store.LiveJob, ranges []store.ShardRange) {
+	l.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, l.assignment.Generation()), Batch: live.Batch, SinceRevision: live.SinceRevision}
 }
 
 // rewriteRanges adds other ranges of a job to a round, if there is capacity for them in the round and in the
 // job's batch.
-func (h *Leader) rewriteRanges(d *Draft, id string, l *store.LiveJob, ranges []store.ShardRange) bool {
+func (l *Leader) rewriteRanges(d *Draft, id string, live *store.LiveJob, ranges []store.ShardRange) bool {
 	if _, ends := d.finished[id]; ends {
 		return false // the end that this round records goes first
 	}
-	for i := range h.staleTasks(id) {
-		if handover.ShardOf(ranges, i) != h.lease.Shard {
+	for i := range l.staleTasks(id) {
+		if handover.ShardOf(ranges, i) != l.lease.Shard {
 			return false // it may go once the ledger no longer names it
 		}
 	}
-	r := d.Pending(l)
+	r := d.Pending(live)
 	if r == nil {
-		r = l.Batch.Update()
+		r = live.Batch.Update()
 	}
-	if r.BytesWithRanges(id, ranges, h.assignment.Generation()) > h.cfg.Store.ValueBytes {
+	if r.BytesWithRanges(id, ranges, l.assignment.Generation()) > l.cfg.Store.ValueBytes {
 		return false
 	}
-	if r = d.Update(l); r == nil {
+	if r = d.Update(live); r == nil {
 		return false
 	}
-	h.updateRanges(r, id, l, ranges)
+	l.updateRanges(r, id, live, ranges)
 	return true
 }
 
 // hasActiveTask reports whether a task of a job may be on a machine of this shard.
-func (h *Leader) hasActiveTask(l *store.LiveJob) bool {
-	for i := range l.Record.Tasks {
-		if h.fleet.ActivePlacement(wire.TaskID{Job: l.Record.Job.ID, Index: i}) != nil {
+func (l *Leader) hasActiveTask(live *store.LiveJob) bool {
+	for i := range live.Record.Tasks {
+		if l.fleet.ActivePlacement(wire.TaskID{Job: live.Record.Job.ID, Index: i}) != nil {
 			return true
 		}
 	}
@@ -109,6 +109,6 @@
 }
 
 // gangCompleted reports whether another shard has seen a gang complete: its tasks do so together.
-func gangCompleted(l *store.LiveJob, ranges []store.ShardRange) bool {
-	return l.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Done })
+func gangCompleted(live *store.LiveJob, ranges []store.ShardRange) bool {
+	return live.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Done })
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -18,22 +18,22 @@
 // releaseUnusable releases machines that are of no use: drained ones without tasks, ones that don't come
 // up, unreachable ones, and ones that send heartbeats but take nothing. If too many are missing at
 // once, the leader itself is likely to be partitioned, and no unreachable machine is released.
-func (h *Leader) releaseUnusable(now time.Time) {
-	partitioned := h.detector.Partitioned(now)
-	onlyShardUnreachable := h.ingestPeers > 0 && h.detector.ShardAloneUnreachable(now)
-	oneWay := h.detector.OneWay(now)
-	for _, m := range h.fleet.Machines() {
+func (l *Leader) releaseUnusable(now time.Time) {
+	partitioned := l.detector.Partitioned(now)
+	onlyShardUnreachable := l.ingestPeers > 0 && l.detector.ShardAloneUnreachable(now)
+	oneWay := l.detector.OneWay(now)
+	for _, m := range l.fleet.Machines() {
 		busy := slices.ContainsFunc(m.Placements(), func(p *fleet.Placement) bool { return p.Active() && p.State != fleet.Planned })
 		switch {
 		case m.Up && !busy && (m.DrainReason != "" || !m.TerminationTime.IsZero()):
-			h.releaseMachine(m, "drained")
-		case h.bootFailed(now, m):
-			h.releaseMachine(m, "did not boot")
-		case !partitioned && h.presumedLost(now, m, onlyShardUnreachable) && !h.keepsLostMachine(now, m):
-			h.releaseMachine(m, "unreachable")
-			h.detector.NoteEviction(now, m.Zone)
+			l.releaseMachine(m, "drained")
+		case l.bootFailed(now, m):
+			l.releaseMachine(m, "did not boot")
+		case !partitioned && l.presumedLost(now, m, onlyShardUnreachable) && !l.keepsLostMachine(now, m):
+			l.releaseMachine(m, "unreachable")
+			l.detector.NoteEviction(now, m.Zone)
 		case oneWay[m] && !m.Releasing:
-			h.releaseMachine(m, "takes no commands")
+			l.releaseMachine(m, "takes no commands")
 		}
 	}
 }
@@ -46,24 +46,24 @@
 )
 
 // bootFailed reports whether a new machine should have sent a heartbeat long ago.
-func (h *Leader) bootFailed(now time.Time, m *fleet.Machine) bool {
-	boot := h.machineType(m.Type).BootS
+func (l *Leader) bootFailed(now time.Time, m *fleet.Machine) bool {
+	boot := l.machineType(m.Type).BootS
 	return !m.Up && !m.Recorded && boot > 0 && now.Sub(m.Since) > wire.Seconds(bootFactor*boot)+bootMargin
 }
 
 // presumedLost reports whether a machine is unreachable and presumed lost. Where this shard alone is unreachable, a
 // failed call is enough: the leader reaches none of its machines to compare with.
-func (h *Leader) presumedLost(now time.Time, m *fleet.Machine, shardUnreachable bool) bool {
-	if !m.Up && !m.Recorded || m.Releasing || !h.monitor.Unreachable(now, m) {
+func (l *Leader) presumedLost(now time.Time, m *fleet.Machine, shardUnreachable bool) bool {
+	if !m.Up && !m.Recorded || m.Releasing || !l.monitor.Unreachable(now, m) {
 		return false
 	}
-	return h.monitor.PresumedLost(now, m) || shardUnreachable && h.monitor.CallsFailed(m)
+	return l.monitor.PresumedLost(now, m) || shardUnreachable && l.monitor.CallsFailed(m)
 }
 
 // UnreachableMachines returns how many machines are unreachable for this leader by the fault of the network; it is 0
 // if few are missing.
-func (h *Leader) UnreachableMachines(now time.Time) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.detector.UnreachableMachines(now)
+func (l *Leader) UnreachableMachines(now time.Time) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.detector.UnreachableMachines(now)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -9,23 +9,23 @@
 )
 
 // storeFinishedJobs stores jobs as done of which every task has finished.
-func (h *Leader) storeFinishedJobs(now time.Time, d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
-		j, l := h.jobStates[id], h.liveJobs[id]
-		if l == nil || j == nil {
-			h.unstored.Remove(id)
+func (l *Leader) storeFinishedJobs(now time.Time, d *Draft) {
+	for _, id := range l.sortFirstTierFirst(l.unstored.OldestFirst()) {
+		j, live := l.jobStates[id], l.liveJobs[id]
+		if live == nil || j == nil {
+			l.unstored.Remove(id)
 			continue
 		}
-		tasks, all := j.finished.Difference(j.storedFinished), h.allFinished(l, j)
-		if len(tasks) == 0 && (!all || h.sharding.IsSingle()) {
-			h.unstored.Remove(id)
+		tasks, all := j.finished.Difference(j.storedFinished), l.allFinished(live, j)
+		if len(tasks) == 0 && (!all || l.sharding.IsSingle()) {
+			l.unstored.Remove(id)
 			continue
 		}
-		if !all || len(tasks) > 0 && h.assignment.Unassigned(l) && !h.sharding.IsSingle() { // these must be in the ledger first
+		if !all || len(tasks) > 0 && l.assignment.Unassigned(live) && !l.sharding.IsSingle() { // these must be in the ledger first
 			continue
 		}
-		if r := d.Update(l); r != nil { // or the next round has room
-			if h.finishRanges(r, id, l, now) {
+		if r := d.Update(live); r != nil { // or the next round has room
+			if l.finishRanges(r, id, live, now) {
 				d.done = append(d.done, id)
 			}
 			d.finished[id] = tasks
@@ -34,10 +34,10 @@
 }
 
 // storeProgress writes the blocks of tasks in which some have finished, as far as the round has room.
-func (h *Leader) storeProgress(d *Draft) {
-	for _, id := range h.sortFirstTierFirst(h.unstored.OldestFirst()) {
-		j, l := h.jobStates[id], h.liveJobs[id]
-		if d.finished[id] != nil || h.allFinished(l, j) && (h.sharding.IsSingle() || !h.assignment.Unassigned(l)) {
+func (l *Leader) storeProgress(d *Draft) {
+	for _, id := range l.sortFirstTierFirst(l.unstored.OldestFirst()) {
+		j, live := l.jobStates[id], l.liveJobs[id]
+		if d.finished[id] != nil || l.allFinished(live, j) && (l.sharding.IsSingle() || !l.assignment.Unassigned(live)) {
 			continue
 		}
 		last, fits := -1, false
@@ -58,18 +58,18 @@
 
 // dropObsolete deletes records that are of no more use, and stores new machine types, as far as the
 // round has room.
-func (h *Leader) dropObsolete(d *Draft) {
-	if h.typesChanged && d.ChangesLeft() > 0 {
-		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: h.types}})
-		h.typesChanged, d.storesTypes = false, true
+func (l *Leader) dropObsolete(d *Draft) {
+	if l.typesChanged && d.ChangesLeft() > 0 {
+		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: l.types}})
+		l.typesChanged, d.storesTypes = false, true
 	}
-	for _, id := range sortedKeys(h.machinesToDrop) {
-		if !h.ledger.HasMachine(id) || d.machines[id] || d.Add(store.DropMachine(id)) {
+	for _, id := range sortedKeys(l.machinesToDrop) {
+		if !l.ledger.HasMachine(id) || d.machines[id] || d.Add(store.DropMachine(id)) {
 			d.dropped = append(d.dropped, id)
 		}
 	}
-	for _, name := range h.scaler.Obsolete() {
-		if !h.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
+	for _, name := range l.scaler.Obsolete() {
+		if !l.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
 			d.dropped = append(d.dropped, name)
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 // machineEntry returns the entry of a machine for a round.
-func (h *Leader) machineEntry(d *Draft, id string) store.Entry {
-	r := machineRecord(h.fleet.Machine(id))
+func (l *Leader) machineEntry(d *Draft, id string) store.Entry {
+	r := machineRecord(l.fleet.Machine(id))
 	d.ledgerTasks[id] = r.Tasks
 	return store.MachineEntry(id, r)
 }
--- a/internal/leader/resharding.go
+++ b/internal/leader/resharding.go
@@ -17,45 +17,45 @@
 
 // assignRanges writes jobs whose records are of an earlier sharding with ranges of this one. Each batch is written by
 // the shard that leads the first of them, so that no two refuse each other's rounds.
-func (h *Leader) assignRanges(d *Draft) {
-	if h.sharding.IsSingle() || h.assignment.Generation() == 0 {
+func (l *Leader) assignRanges(d *Draft) {
+	if l.sharding.IsSingle() || l.assignment.Generation() == 0 {
 		return
 	}
 	before, unassigned := d.Updates(), make(map[string]bool)
-	for id, l := range h.liveJobs { // mostly none
-		if h.assignment.Unassigned(l) {
+	for id, live := range l.liveJobs { // mostly none
+		if l.assignment.Unassigned(live) {
 			unassigned[id] = true
 		} else {
-			h.assignment.Forget(id)
+			l.assignment.Forget(id)
 		}
 	}
 	for _, id := range sortedKeys(unassigned) {
-		l := h.liveJobs[id]
-		if d.Updates()-before >= maxAssignedBatches && d.Pending(l) == nil || !h.assigns(l) {
+		live := l.liveJobs[id]
+		if d.Updates()-before >= maxAssignedBatches && d.Pending(live) == nil || !l.assigns(live) {
 			continue
 		}
-		h.rewriteRanges(d, id, l, h.assignment.Ranges(l))
+		l.rewriteRanges(d, id, live, l.assignment.Ranges(live))
 	}
 }
 
 // assigns reports whether this shard assigns the jobs of a job's batch.
-func (h *Leader) assigns(l *store.LiveJob) bool {
-	for _, m := range l.Batch.Jobs {
-		if other := h.liveJobs[m.ID]; other != nil && h.assignment.Unassigned(other) && other.Batch == l.Batch {
-			lead, _ := reshard.LeadShard(h.assignment.Ranges(other))
-			return lead == h.lease.Shard
+func (l *Leader) assigns(live *store.LiveJob) bool {
+	for _, m := range live.Batch.Jobs {
+		if other := l.liveJobs[m.ID]; other != nil && l.assignment.Unassigned(other) && other.Batch == live.Batch {
+			lead, _ := reshard.LeadShard(l.assignment.Ranges(other))
+			return lead == l.lease.Shard
 		}
 	}
 	return false
 }
 
 // dropPreviousLedgers drops the ledgers of earlier shardings once none needs them. The leader of the first shard does it.
-func (h *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
+func (l *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
 	g := snap.Sharding
-	if len(g.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= dropChanges || !h.previousLedgersUnused(snap) {
+	if len(g.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= dropChanges || !l.previousLedgersUnused(snap) {
 		return
 	}
-	segments := h.jobIndex.PreviousLedgerSlots()
+	segments := l.jobIndex.PreviousLedgerSlots()
 	for _, key := range segments[:min(len(segments), maxDroppedSegments, d.ChangesLeft()-dropChanges)] {
 		d.AddChange(wire.Operation{Delete: key})
 	}
@@ -64,22 +64,22 @@
 	}
 	d.AddChangeIf(wire.Condition{Key: store.ShardingKey, Version: g.Version},
 		wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: g.Record.Text, Generation: g.Record.Generation}})
-	h.log.Info("previous ledgers dropped", "generation", h.assignment.Generation())
+	l.log.Info("previous ledgers dropped", "generation", l.assignment.Generation())
 }
 
 // previousLedgersUnused reports whether all shards have taken over what concerns their machines, every job that has not ended
 // says which shards its tasks belong to, and this is the first shard, which drops the ledgers.
-func (h *Leader) previousLedgersUnused(snap store.Snapshot) bool {
-	if snap.Sharding.Record.Generation != h.assignment.Generation() || h.lease.Shard != h.sharding.Shards()[0] || !h.migration.recorded {
+func (l *Leader) previousLedgersUnused(snap store.Snapshot) bool {
+	if snap.Sharding.Record.Generation != l.assignment.Generation() || l.lease.Shard != l.sharding.Shards()[0] || !l.migration.recorded {
 		return false
 	}
-	for _, shard := range h.sharding.Shards() {
-		if !h.jobIndex.Migrated(shard) {
+	for _, shard := range l.sharding.Shards() {
+		if !l.jobIndex.Migrated(shard) {
 			return false
 		}
 	}
-	for _, l := range snap.LiveJobs {
-		if h.assignment.Unassigned(l) && !h.sharding.IsSingle() {
+	for _, live := range snap.LiveJobs {
+		if l.assignment.Unassigned(live) && !l.sharding.IsSingle() {
 			return false
 		}
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -13,35 +13,35 @@
 )
 
 // clusterSnapshot builds what the scheduler decides on.
-func (h *Leader) clusterSnapshot(now time.Time) *scheduler.Snapshot {
+func (l *Leader) clusterSnapshot(now time.Time) *scheduler.Snapshot {
 	snapshot := &scheduler.Snapshot{
-		Types:        h.shardMachineTypes(),
-		Teams:        h.snapshotTeams(now),
+		Types:        l.shardMachineTypes(),
+		Teams:        l.snapshotTeams(now),
 		Unavailable:  map[scheduler.Offer]bool{},
 		Doubtful:     map[scheduler.Offer]bool{},
 		RequestLimit: map[scheduler.Offer]int{},
-		IdleTimeout:  h.cfg.Tuning.Idle,
-		MaxGangWait:  h.cfg.Tuning.BeginWithin,
-		Sharded:      !h.sharding.IsSingle(),
+		IdleTimeout:  l.cfg.Tuning.Idle,
+		MaxGangWait:  l.cfg.Tuning.BeginWithin,
+		Sharded:      !l.sharding.IsSingle(),
 	}
 	if snapshot.Sharded {
-		snapshot.RemoteCapacity = h.freeElsewhere(now)
+		snapshot.RemoteCapacity = l.freeElsewhere(now)
 	}
-	for _, o := range h.cfg.Objectives {
+	for _, o := range l.cfg.Objectives {
 		snapshot.Objectives = append(snapshot.Objectives, scheduler.Objective{Kind: o.Kind, Class: o.Class, Within: wire.Seconds(o.WithinS)})
 	}
-	h.scaler.Annotate(now, snapshot)
-	h.refuseClosedZones(now, snapshot)
-	rebuilding := h.noteRecovery(now)
-	h.reviewPreemptions(now, rebuilding)
-	snapshot.MaxMoves = h.allowedMoves()
-	jobs := h.snapshotJobs(now, rebuilding)
-	for _, m := range h.fleet.Machines() {
-		snapshot.Machines = append(snapshot.Machines, h.snapshotMachine(now, m, jobs, snapshot.Teams))
+	l.scaler.Annotate(now, snapshot)
+	l.refuseClosedZones(now, snapshot)
+	rebuilding := l.noteRecovery(now)
+	l.reviewPreemptions(now, rebuilding)
+	snapshot.MaxMoves = l.allowedMoves()
+	jobs := l.snapshotJobs(now, rebuilding)
+	for _, m := range l.fleet.Machines() {
+		snapshot.Machines = append(snapshot.Machines, l.snapshotMachine(now, m, jobs, snapshot.Teams))
 	}
-	h.noteWaiting(now, snapshot, jobs)
-	h.addRequestedMachines(now, snapshot)
-	if !h.rebuiltReachable || h.recovery.Refilling() {
+	l.noteWaiting(now, snapshot, jobs)
+	l.addRequestedMachines(now, snapshot)
+	if !l.rebuiltReachable || l.recovery.Refilling() {
 		snapshot.IdleTimeout = time.Hour // in effect, nothing is returned meanwhile
 	}
 	for _, id := range sortedKeys(jobs) {
@@ -52,16 +52,16 @@
 
 // snapshotTeams returns the teams with their guarantees and limits: in a sharded fleet, what this
 // shard is granted of the limits.
-func (h *Leader) snapshotTeams(now time.Time) map[string]*scheduler.Team {
+func (l *Leader) snapshotTeams(now time.Time) map[string]*scheduler.Team {
 	teams := make(map[string]*scheduler.Team)
 	var used map[string]scheduler.Resources
-	if !h.sharding.IsSingle() {
-		used = h.teamUsage()
+	if !l.sharding.IsSingle() {
+		used = l.teamUsage()
 	}
-	for _, t := range quota.Teams(h.cfg.Teams, h.liveJobs) {
+	for _, t := range quota.Teams(l.cfg.Teams, l.liveJobs) {
 		team := &scheduler.Team{GuaranteedCPUs: t.CPUs, GuaranteedGPUs: t.GPUs, LimitCPUs: t.CPUsMax, LimitGPUs: t.GPUsMax}
-		if !h.sharding.IsSingle() {
-			h.quota.Apply(now, t.Name, team, used[t.Name])
+		if !l.sharding.IsSingle() {
+			l.quota.Apply(now, t.Name, team, used[t.Name])
 		}
 		teams[t.Name] = team
 	}
@@ -70,44 +70,44 @@
 
 // noteRecovery records how much of the fleet is accounted for by now. It reports whether the leader
 // still waits for machines before it places what may be running on them.
-func (h *Leader) noteRecovery(now time.Time) (rebuilding bool) {
-	unproven := h.fleet.UnprovenMachines()
-	if len(unproven) == 0 && !h.rebuilt {
-		h.rebuilt = true
-		h.log.Info("rebuilt", "after", now.Sub(h.fleet.ElectedAt), "machines", len(h.fleet.Machines()))
+func (l *Leader) noteRecovery(now time.Time) (rebuilding bool) {
+	unproven := l.fleet.UnprovenMachines()
+	if len(unproven) == 0 && !l.rebuilt {
+		l.rebuilt = true
+		l.log.Info("rebuilt", "after", now.Sub(l.fleet.ElectedAt), "machines", len(l.fleet.Machines()))
 	}
-	h.noteResumed(now, unproven)
-	return len(unproven) > 0 && now.Sub(h.fleet.ElectedAt) < maxRebuildWait
+	l.noteResumed(now, unproven)
+	return len(unproven) > 0 && now.Sub(l.fleet.ElectedAt) < maxRebuildWait
 }
 
 // addRequestedMachines adds the machines that were requested of the cloud and are not there yet.
-func (h *Leader) addRequestedMachines(now time.Time, snapshot *scheduler.Snapshot) {
-	for _, a := range h.scaler.Pending() {
-		if !h.zones.Record(a.Zone).AcceptsScaleOut(now) {
+func (l *Leader) addRequestedMachines(now time.Time, snapshot *scheduler.Snapshot) {
+	for _, a := range l.scaler.Pending() {
+		if !l.zones.Record(a.Zone).AcceptsScaleOut(now) {
 			continue // it is not known when it could be reached
 		}
 		for range a.Count {
 			snapshot.Machines = append(snapshot.Machines, &scheduler.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot,
-				Booting: true, Free: capacityOf(h.machineType(a.Type))})
+				Booting: true, Free: capacityOf(l.machineType(a.Type))})
 		}
 	}
 }
 
 // noteWaiting records since when jobs have had no task placed though some could be, and what
 // capacity has been idle beside them. A job that can't be placed now waits for something else.
-func (h *Leader) noteWaiting(now time.Time, snapshot *scheduler.Snapshot, jobs map[string]*scheduler.Job) {
+func (l *Leader) noteWaiting(now time.Time, snapshot *scheduler.Snapshot, jobs map[string]*scheduler.Job) {
 	for id, j := range jobs {
-		state := h.jobStates[id]
+		state := l.jobStates[id]
 		switch starved := len(j.Waiting) > 0 && j.Active == 0; {
 		case !starved && state != nil:
 			state.starvedSince = time.Time{}
 		case starved && (state == nil || state.starvedSince.IsZero()):
-			h.jobState(id).starvedSince = now
+			l.jobState(id).starvedSince = now
 		case starved:
 			j.StarvedFor = now.Sub(state.starvedSince)
 		}
 	}
-	h.idle.note(now, snapshot.Machines)
+	l.idle.note(now, snapshot.Machines)
 }
 
 // idleTracker keeps for how long each machine has had which capacity idle: with it the scheduler
@@ -135,14 +135,14 @@
 }
 
 // shardMachineTypes returns the machine types with the zones in which they belong to this shard.
-func (h *Leader) shardMachineTypes() []wire.MachineType {
-	if h.sharding.IsSingle() {
-		return h.types
+func (l *Leader) shardMachineTypes() []wire.MachineType {
+	if l.sharding.IsSingle() {
+		return l.types
 	}
-	out := slices.Clone(h.types)
+	out := slices.Clone(l.types)
 	for i := range out {
 		t := &out[i]
-		t.Zones = slices.DeleteFunc(slices.Clone(t.Zones), func(zone string) bool { return h.sharding.ShardOf(zone, t.Name) != h.lease.Shard })
+		t.Zones = slices.DeleteFunc(slices.Clone(t.Zones), func(zone string) bool { return l.sharding.ShardOf(zone, t.Name) != l.lease.Shard })
 	}
 	return out
 }
@@ -158,29 +158,29 @@
 const maxRebuildWait = 4 * time.Second
 
 // snapshotJobs returns the live jobs with the tasks that may be placed.
-func (h *Leader) snapshotJobs(now time.Time, rebuilding bool) map[string]*scheduler.Job {
-	jobs := make(map[string]*scheduler.Job, len(h.liveJobs))
-	for id, l := range h.liveJobs {
-		jobs[id] = h.snapshotJob(now, id, l, rebuilding)
+func (l *Leader) snapshotJobs(now time.Time, rebuilding bool) map[string]*scheduler.Job {
+	jobs := make(map[string]*scheduler.Job, len(l.liveJobs))
+	for id, live := range l.liveJobs {
+		jobs[id] = l.snapshotJob(now, id, live, rebuilding)
 	}
 	return jobs
 }
 
 // snapshotJob returns a live job with those of its tasks that may be placed. While the fleet is being
 // rebuilt, only tasks of jobs that came after the leader was elected can't be running yet.
-func (h *Leader) snapshotJob(now time.Time, id string, l *store.LiveJob, rebuilding bool) *scheduler.Job {
-	since := time.UnixMilli(l.Record.Created)
-	j := &scheduler.Job{Job: l.Record.Job, Order: l.SinceRevision, InZone: map[string]int{}, SubmittedAt: since, Age: now.Sub(since)}
+func (l *Leader) snapshotJob(now time.Time, id string, live *store.LiveJob, rebuilding bool) *scheduler.Job {
+	since := time.UnixMilli(live.Record.Created)
+	j := &scheduler.Job{Job: live.Record.Job, Order: live.SinceRevision, InZone: map[string]int{}, SubmittedAt: since, Age: now.Sub(since)}
 	if j.Shape == wire.Service {
-		j.SpreadRule = h.cfg.Tuning.Spread[j.Class]
+		j.SpreadRule = l.cfg.Tuning.Spread[j.Class]
 	}
-	state := h.jobStates[id]
-	ranges, elsewhere := h.ownRanges(l)
+	state := l.jobStates[id]
+	ranges, elsewhere := l.ownRanges(live)
 	j.RemoteTasks, j.LocalTasks = elsewhere, handover.Count(ranges)
 	if state != nil && len(state.failedMachines) < delayAfterMachines { // else it fails everywhere: any machine will do, after the back-off
 		j.AvoidMachines = state.failedMachines
 	}
-	if rebuilding && l.SinceRevision <= h.lease.Revision {
+	if rebuilding && live.SinceRevision <= l.lease.Revision {
 		// What a gang had reserved is not for what comes now.
 		if j.MaybeRunning = j.Shape == wire.Gang && elsewhere == 0; !j.MaybeRunning {
 			return j
@@ -189,22 +189,22 @@
 	if state != nil && now.Before(state.notBefore) {
 		return j
 	}
-	if elsewhere > 0 && l.Record.Job.Shape == wire.Gang && !h.mayPlaceSplit(now, j, state, l.Record.CoAllocation) {
+	if elsewhere > 0 && live.Record.Job.Shape == wire.Gang && !l.mayPlaceSplit(now, j, state, live.Record.CoAllocation) {
 		return j // it runs in several shards, or is being returned to one
 	}
-	h.addWaiting(j, state, ranges)
-	if len(j.Waiting) > 0 && !h.sharding.IsSingle() && (elsewhere == 0 || j.Shape != wire.Gang) {
-		j.RemoteCapacity = h.movableTasks(l)
+	l.addWaiting(j, state, ranges)
+	if len(j.Waiting) > 0 && !l.sharding.IsSingle() && (elsewhere == 0 || j.Shape != wire.Gang) {
+		j.RemoteCapacity = l.movableTasks(live)
 	}
 	return j
 }
 
 // addWaiting adds the tasks within ranges that have not finished and are placed nowhere, as many as
 // a round may launch.
-func (h *Leader) addWaiting(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
+func (l *Leader) addWaiting(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
 	for _, s := range ranges {
-		for i := s.From; i < s.To && len(j.Waiting) < h.cfg.Tuning.RoundTasks; i++ {
-			if state != nil && state.finished.Contains(i) || h.fleet.ActivePlacement(wire.TaskID{Job: j.ID, Index: i}) != nil {
+		for i := s.From; i < s.To && len(j.Waiting) < l.cfg.Tuning.RoundTasks; i++ {
+			if state != nil && state.finished.Contains(i) || l.fleet.ActivePlacement(wire.TaskID{Job: j.ID, Index: i}) != nil {
 				continue
 			}
 			j.Waiting = append(j.Waiting, i)
@@ -214,23 +214,23 @@
 
 // snapshotMachine returns a machine with what is free on it and the tasks that may be there. What
 // these use counts for their teams.
-func (h *Leader) snapshotMachine(now time.Time, m *fleet.Machine, jobs map[string]*scheduler.Job, teams map[string]*scheduler.Team) *scheduler.Machine {
-	t := h.machineType(m.Type)
+func (l *Leader) snapshotMachine(now time.Time, m *fleet.Machine, jobs map[string]*scheduler.Job, teams map[string]*scheduler.Team) *scheduler.Machine {
+	t := l.machineType(m.Type)
 	s := &scheduler.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: capacityOf(t)}
 	serves := m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
-	fresh := m.Up && now.Sub(m.LastHeartbeat) < h.timeouts.launchWithin
-	serves = serves && h.fleet.ReceivesCommands(now, m) && !m.HeartbeatsLost(now, h.timeouts.missingHeartbeatAfter)
+	fresh := m.Up && now.Sub(m.LastHeartbeat) < l.timeouts.launchWithin
+	serves = serves && l.fleet.ReceivesCommands(now, m) && !m.HeartbeatsLost(now, l.timeouts.missingHeartbeatAfter)
 	s.Usable = serves && fresh && m.SeenAtToken
 	// One that has just come up is usable once it has reported under the leader's token: it is as
 	// good as booting, or another would be requested in its stead.
-	s.Booting = serves && !s.Usable && (fresh || !m.Up && !m.Recorded && h.zones.Record(m.Zone).AcceptsScaleOut(now))
+	s.Booting = serves && !s.Usable && (fresh || !m.Up && !m.Recorded && l.zones.Record(m.Zone).AcceptsScaleOut(now))
 	busy := false
 	for _, p := range m.Placements() {
 		if !p.Active() {
 			continue
 		}
 		busy = true
-		demand, known := h.taskDemand(p.Task.Job)
+		demand, known := l.taskDemand(p.Task.Job)
 		if !known { // what it takes is not known: nothing else may be placed beside it
 			s.Usable = false
 			continue
@@ -242,7 +242,7 @@
 			team.UsedGPUs += demand.GPUs
 		}
 		if j := jobs[p.Task.Job]; j != nil {
-			h.addTask(now, s, m, t.CacheGB, p, j)
+			l.addTask(now, s, m, t.CacheGB, p, j)
 		}
 	}
 	s.Images = m
@@ -254,7 +254,7 @@
 }
 
 // addTask adds a task of a live job to the machine that it is placed on.
-func (h *Leader) addTask(now time.Time, s *scheduler.Machine, m *fleet.Machine, cacheGB float64, p *fleet.Placement, j *scheduler.Job) {
+func (l *Leader) addTask(now time.Time, s *scheduler.Machine, m *fleet.Machine, cacheGB float64, p *fleet.Placement, j *scheduler.Job) {
 	m.UseImage(now, j.Image, j.ImageGB, cacheGB, p.HasImage())
 	if p.Stop == nil && m.LacksImage(j.Image) {
 		s.AddFetch(j.Image, j.Priority == wire.Production)
@@ -268,7 +268,7 @@
 	if !p.StartedAt.IsZero() {
 		t.RunTime = now.Sub(p.StartedAt)
 	}
-	if state := h.jobStates[p.Task.Job]; state != nil {
+	if state := l.jobStates[p.Task.Job]; state != nil {
 		t.FailedAttempts = state.failedAttempts[p.Task.Index]
 	}
 	s.Tasks = append(s.Tasks, t)
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -18,50 +18,50 @@
 
 // Status returns the shard's status, no older than the task counts. Its maps are shared and never
 // changed.
-func (h *Leader) Status(now time.Time) ShardStatus {
-	counts := h.TaskCounts(now)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.display.status.Counts != nil && now.Sub(h.display.statusAt) < statusInterval {
-		return h.display.status
+func (l *Leader) Status(now time.Time) ShardStatus {
+	counts := l.TaskCounts(now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.display.status.Counts != nil && now.Sub(l.display.statusAt) < statusInterval {
+		return l.display.status
 	}
 	s := ShardStatus{
-		Term:     h.lease.FencingToken,
+		Term:     l.lease.FencingToken,
 		Counts:   counts,
-		Wants:    maps.Clone(h.quota.Forecast().Demands),
-		Used:     resourcePairs(h.teamUsage()),
-		Stays:    h.quota.Forecast().Services,
-		Zones:    h.monitor.ZoneHealth(now),
-		Machines: len(h.fleet.Machines()),
-		Ready:    h.forecast.readyGangs,
-		Tiers:    h.tierStatuses(),
+		Wants:    maps.Clone(l.quota.Forecast().Demands),
+		Used:     resourcePairs(l.teamUsage()),
+		Stays:    l.quota.Forecast().Services,
+		Zones:    l.monitor.ZoneHealth(now),
+		Machines: len(l.fleet.Machines()),
+		Ready:    l.forecast.readyGangs,
+		Tiers:    l.tierStatuses(),
 	}
-	if h.rebuiltReachable {
-		s.Rooms = h.forecast.freeCapacity
+	if l.rebuiltReachable {
+		s.Rooms = l.forecast.freeCapacity
 	}
-	for _, short := range h.forecast.unplaced {
+	for _, short := range l.forecast.unplaced {
 		s.Backlog += short.Coming + short.Unserved
 	}
-	h.display.status, h.display.statusAt = s, now
+	l.display.status, l.display.statusAt = s, now
 	return s
 }
 
 // SetPeerShards records the statuses of the other shards, and how many peers forward heartbeats to this
 // controller.
-func (h *Leader) SetPeerShards(shards map[string]ShardStatus, ingestPeers int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.peerShards, h.ingestPeers = shards, ingestPeers
-	h.quota.SetPeers(quotaPeers(shards))
-	h.targets.SetPeers(handoverPeers(shards))
-	h.detector.SetPeers(peerZones(shards))
+func (l *Leader) SetPeerShards(shards map[string]ShardStatus, ingestPeers int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.peerShards, l.ingestPeers = shards, ingestPeers
+	l.quota.SetPeers(quotaPeers(shards))
+	l.targets.SetPeers(handoverPeers(shards))
+	l.detector.SetPeers(peerZones(shards))
 }
 
 // Rebuilt reports whether all machines have been accounted for under this token.
-func (h *Leader) Rebuilt() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.rebuilt
+func (l *Leader) Rebuilt() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rebuilt
 }
 
 // TaskCount is how many tasks of a job run and are done, for display.
@@ -72,27 +72,27 @@
 const statusInterval = time.Second
 
 // TaskCounts returns the counts of all live jobs that have any. The map is shared and never changed.
-func (h *Leader) TaskCounts(now time.Time) map[string]TaskCount {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.display.counts != nil && now.Sub(h.display.countsAt) < statusInterval {
-		return h.display.counts
+func (l *Leader) TaskCounts(now time.Time) map[string]TaskCount {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.display.counts != nil && now.Sub(l.display.countsAt) < statusInterval {
+		return l.display.counts
 	}
-	out := make(map[string]TaskCount, len(h.liveJobs))
-	for id, j := range h.jobStates {
-		if n := j.storedFinished.Count(); n > 0 && h.liveJobs[id] != nil {
+	out := make(map[string]TaskCount, len(l.liveJobs))
+	for id, j := range l.jobStates {
+		if n := j.storedFinished.Count(); n > 0 && l.liveJobs[id] != nil {
 			out[id] = TaskCount{Done: n}
 		}
 	}
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if (p.State == fleet.Running || p.State == fleet.Saving) && h.liveJobs[p.Task.Job] != nil {
+			if (p.State == fleet.Running || p.State == fleet.Saving) && l.liveJobs[p.Task.Job] != nil {
 				c := out[p.Task.Job]
 				c.Running++
 				out[p.Task.Job] = c
 			}
 		}
 	}
-	h.display.counts, h.display.countsAt = out, now
+	l.display.counts, l.display.countsAt = out, now
 	return out
 }
--- a/internal/leader/stop.go
+++ b/internal/leader/stop.go
@@ -13,13 +13,13 @@
 const checkpointMargin = 5 * time.Second
 
 // stopTask stops a task, with time to save a checkpoint; a gang is stopped as a whole.
-func (h *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
+func (l *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
 	grace := stopGrace(job)
-	for _, q := range h.stoppedTogether(p, job) {
-		if q.Stop == nil && !h.fleet.Withdraw(q) {
+	for _, q := range l.stoppedTogether(p, job) {
+		if q.Stop == nil && !l.fleet.Withdraw(q) {
 			q.Stop = &fleet.StopOrder{Grace: grace, Reason: why, Since: now}
-			h.countFailedAttempt(q)
-			h.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "reason", why)
+			l.countFailedAttempt(q)
+			l.log.Info("stopping", "task", q.Task, "attempt", q.Attempt, "machine", q.Machine, "reason", why)
 		}
 	}
 }
@@ -33,12 +33,12 @@
 }
 
 // stoppedTogether returns a placement and, of a gang, those of all other tasks.
-func (h *Leader) stoppedTogether(p *fleet.Placement, job *wire.Job) []*fleet.Placement {
+func (l *Leader) stoppedTogether(p *fleet.Placement, job *wire.Job) []*fleet.Placement {
 	all := []*fleet.Placement{p}
 	if job.Shape != wire.Gang {
 		return all
 	}
-	for _, q := range h.activePlacements(job.ID, job.Tasks) {
+	for _, q := range l.activePlacements(job.ID, job.Tasks) {
 		if q != p {
 			all = append(all, q)
 		}
@@ -47,9 +47,9 @@
 }
 
 // activePlacements returns the active placements of a job's first tasks, in the tasks' order.
-func (h *Leader) activePlacements(job string, tasks int) (active []*fleet.Placement) {
+func (l *Leader) activePlacements(job string, tasks int) (active []*fleet.Placement) {
 	for i := range tasks {
-		if p := h.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}); p != nil {
+		if p := l.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}); p != nil {
 			active = append(active, p)
 		}
 	}
@@ -57,11 +57,11 @@
 }
 
 // countFailedAttempt counts a task that is stopped before its image has come.
-func (h *Leader) countFailedAttempt(p *fleet.Placement) {
+func (l *Leader) countFailedAttempt(p *fleet.Placement) {
 	if p.State != fleet.Fetching {
 		return
 	}
-	j := h.jobState(p.Task.Job)
+	j := l.jobState(p.Task.Job)
 	if j.failedAttempts == nil {
 		j.failedAttempts = make(map[int]int)
 	}
@@ -71,10 +71,10 @@
 // withdrawLaterAttempt takes back, or stops, a later attempt of a task that has finished after all, as
 // a late heartbeat has told: its job may be stored as done before the attempt begins. The other tasks
 // of a gang are left alone, since they are about to finish.
-func (h *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
-	p := h.fleet.ActivePlacement(t)
-	for p != nil && h.fleet.Withdraw(p) {
-		p = h.fleet.ActivePlacement(t)
+func (l *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
+	p := l.fleet.ActivePlacement(t)
+	for p != nil && l.fleet.Withdraw(p) {
+		p = l.fleet.ActivePlacement(t)
 	}
 	if p != nil && p.Stop == nil && !gang {
 		p.Stop = &fleet.StopOrder{Reason: "its task is done", Since: p.PlacedAt}
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -125,8 +125,8 @@
 		}
 		b.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
 	case "cancel":
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
+		job, _ := b.view.Live(w[1])
+		r := job.Batch.Update()
 		r.EndJob(w[1], wire.Cancelled, b.now)
 		b.apply(r.Change())
 	case "fold": // the leader has moved jobs out of their homes
@@ -200,8 +200,8 @@
 		}
 		b.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
 	case "order": // what the part that leads a gang has written
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
+		job, _ := b.view.Live(w[1])
+		r := job.Batch.Update()
 		if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[w[2]] > 0 {
 			r.SetCoAllocation(w[1], orders[w[2]])
 		} else {
@@ -212,18 +212,18 @@
 		}
 		b.apply(r.Change())
 	case "gave": // another shard has given what it had of a job to this one
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
+		job, _ := b.view.Live(w[1])
+		r := job.Batch.Update()
 		r.AssignRanges(w[1], parseShares(b.t, w[2:]), b.view.Sharding().Record.Generation)
 		b.apply(r.Change())
 	case "done": // another shard has finished all that it has of a job, of which the record says no more
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
+		job, _ := b.view.Live(w[1])
+		r := job.Batch.Update()
 		r.MarkFinishedIn(w[1], store.LedgerName(w[2], b.view.Sharding().Record.Generation))
 		b.apply(r.Change())
 	case "shares": // of a job's tasks, as the record says
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
+		job, _ := b.view.Live(w[1])
+		r := job.Batch.Update()
 		r.AssignRanges(w[1], parseShares(b.t, w[2:]), 0)
 		b.apply(r.Change())
 	case "others": // what another shard has said of itself
@@ -534,13 +534,13 @@
 }
 
 func (b *traceDriver) show() []string {
-	h := b.leader
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	leader := b.leader
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
 	var out []string
-	for _, m := range h.fleet.Machines() {
+	for _, m := range leader.fleet.Machines() {
 		line := m.ID
-		if slices.Contains(h.fleet.UnprovenMachines(), m) {
+		if slices.Contains(leader.fleet.UnprovenMachines(), m) {
 			line += " unproven"
 		}
 		if m.Releasing {
@@ -558,7 +558,7 @@
 		}
 		out = append(out, line)
 	}
-	for _, a := range h.scaler.Pending() {
+	for _, a := range leader.scaler.Pending() {
 		out = append(out, fmt.Sprintf("ask %s for %d in %s", a.Name, a.Count, a.Zone))
 	}
 	return out
@@ -612,16 +612,16 @@
 	b := newTraceDriver(t)
 	b.step("job wk-1 sweep team=blue tasks=100000")
 	b.step("claim term=2")
-	h := b.leader
-	h.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
-	h.ledger, _ = store.NewLedger("fleet", 1024, nil)
-	j := h.jobState("wk-1")
+	leader := b.leader
+	leader.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
+	leader.ledger, _ = store.NewLedger("fleet", 1024, nil)
+	j := leader.jobState("wk-1")
 	for i := range 50_000 {
-		h.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
+		leader.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
 	}
 	for range 200 {
 		b.now = b.now.Add(time.Second)
-		d := h.Decide(b.now, b.view.Snapshot())
+		d := leader.Decide(b.now, b.view.Snapshot())
 		if d == nil {
 			break
 		}
@@ -674,11 +674,11 @@
 	b.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
 	b.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
 	b.step("claim term=2")
-	h := b.leader
-	h.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
-	h.ledger, _ = store.NewLedger("fleet", 4096, nil)
+	leader := b.leader
+	leader.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
+	leader.ledger, _ = store.NewLedger("fleet", 4096, nil)
 	n := float64(tasks + 1)
-	h.types = []wire.MachineType{{Name: "g4", CPUs: n, GPUs: n, MemoryGB: n, Price: 4, BootS: 30, Zones: []string{"a"}}}
+	leader.types = []wire.MachineType{{Name: "g4", CPUs: n, GPUs: n, MemoryGB: n, Price: 4, BootS: 30, Zones: []string{"a"}}}
 	for m := range machines {
 		report := ""
 		for i := range tasks {
@@ -688,10 +688,10 @@
 	}
 	launched := 0
 	for range 60 {
-		d := h.Decide(b.now, b.view.Snapshot())
+		d := leader.Decide(b.now, b.view.Snapshot())
 		b.now = b.now.Add(10 * time.Millisecond)
 		if d == nil {
-			squeezed += h.sizes.Halvings()
+			squeezed += leader.sizes.Halvings()
 			continue
 		}
 		written := map[string]bool{}
--- a/internal/leader/usage.go
+++ b/internal/leader/usage.go
@@ -7,8 +7,8 @@
 )
 
 // machineType returns a machine type by name; the zero type if the cloud does not list it.
-func (h *Leader) machineType(name string) wire.MachineType {
-	for _, t := range h.types {
+func (l *Leader) machineType(name string) wire.MachineType {
+	for _, t := range l.types {
 		if t.Name == name {
 			return t
 		}
@@ -17,11 +17,11 @@
 }
 
 // teamUsage sums what each team's tasks use, or may use while it is not proven that they are gone.
-func (h *Leader) teamUsage() map[string]scheduler.Resources {
+func (l *Leader) teamUsage() map[string]scheduler.Resources {
 	out := make(map[string]scheduler.Resources)
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
+			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
 				u := out[t.Team]
 				out[t.Team] = scheduler.Resources{CPUs: u.CPUs + t.CPUs, GPUs: u.GPUs + t.GPUs}
 			}
@@ -31,10 +31,10 @@
 }
 
 // taskDemand returns what a task of a job takes, even when the job is over.
-func (h *Leader) taskDemand(job string) (store.TaskDemand, bool) {
-	if l := h.liveJobs[job]; l != nil {
-		return l.Record.TaskDemand()
+func (l *Leader) taskDemand(job string) (store.TaskDemand, bool) {
+	if live := l.liveJobs[job]; live != nil {
+		return live.Record.TaskDemand()
 	}
-	rec, _ := h.jobIndex.Job(job)
+	rec, _ := l.jobIndex.Job(job)
 	return rec.TaskDemand()
 }
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -17,15 +17,15 @@
 
 // continueZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
 // it by the next round.
-func (h *Leader) continueZoneRecoveries(now time.Time, last *store.RecoveredState) {
-	h.recovery = zonerecovery.NewTracker()
+func (l *Leader) continueZoneRecoveries(now time.Time, last *store.RecoveredState) {
+	l.recovery = zonerecovery.NewTracker()
 	take := func(name string, r store.ZoneRecoveryRecord) {
-		h.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
-		h.log.Info("zone recovery continued", "zone", name, "step", r.Step, "number", r.Number)
+		l.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
+		l.log.Info("zone recovery continued", "zone", name, "step", r.Step, "number", r.Number)
 	}
-	if !h.migration.recorded {
-		for name, r := range h.migration.previous.ZoneRecoveries {
-			if h.ownsZone(name) {
+	if !l.migration.recorded {
+		for name, r := range l.migration.previous.ZoneRecoveries {
+			if l.ownsZone(name) {
 				take(name, r)
 			}
 		}
@@ -37,18 +37,18 @@
 
 // decideZoneRecoveries adds the next step of each zone's recovery to a round, by the stored records of the zones.
 // Several zones have a plan each, in the order of their names.
-func (h *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
-	records := h.zones.Records()
+func (l *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
+	records := l.zones.Records()
 	d.returns = make(map[string]*zonerecovery.Plan)
 	for _, name := range sortedKeys(records) {
-		p := h.recovery.Plan(name)
-		if p == nil && records[name].State != zone.Unreachable || !h.ownsZone(name) {
+		p := l.recovery.Plan(name)
+		if p == nil && records[name].State != zone.Unreachable || !l.ownsZone(name) {
 			continue
 		}
-		next := zonerecovery.Next(now, p, h.observeZone(name, records))
+		next := zonerecovery.Next(now, p, l.observeZone(name, records))
 		switch {
 		case next == nil && !d.Add(store.DropZoneRecovery(name)):
-		case next != nil && (next != p || !h.ledger.HasZoneRecovery(name)) && !d.Add(zoneRecoveryEntry(name, next)):
+		case next != nil && (next != p || !l.ledger.HasZoneRecovery(name)) && !d.Add(zoneRecoveryEntry(name, next)):
 		case next != p:
 			d.returns[name] = next
 		}
@@ -60,36 +60,36 @@
 }
 
 // zoneRecoveriesCommitted applies the steps of a round that the store has taken: only now do they count.
-func (h *Leader) zoneRecoveriesCommitted(returns map[string]*zonerecovery.Plan) {
+func (l *Leader) zoneRecoveriesCommitted(returns map[string]*zonerecovery.Plan) {
 	for _, name := range sortedKeys(returns) {
 		p := returns[name]
 		if p == nil {
-			h.log.Info("zone recovery finished", "zone", name)
+			l.log.Info("zone recovery finished", "zone", name)
 		} else {
-			h.log.Info("zone recovery step", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
+			l.log.Info("zone recovery step", "zone", name, "step", string(p.Step), "number", p.Number, "work", p.Work)
 		}
-		h.recovery.Commit(name, p)
+		l.recovery.Commit(name, p)
 	}
 }
 
 // observeZone collects what the next step of a zone's recovery is decided by.
-func (h *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
+func (l *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
 	r := records[name]
-	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: h.recovery.FreeCapacity.HasQueued, Unbalanced: h.recovery.Unbalanced, SettleTime: h.timeouts.unreachableAfter, IdleTimeout: h.cfg.Tuning.Idle}
+	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
 	for other, o := range records {
-		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && h.recovery.Before(other, name)
+		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && l.recovery.Before(other, name)
 	}
-	for _, t := range h.types {
+	for _, t := range l.types {
 		if slices.Contains(t.Zones, name) {
 			s.BootTime = max(s.BootTime, wire.Seconds(t.BootS))
 		}
 	}
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		if m.Zone != name {
 			continue
 		}
 		for _, p := range m.Placements() {
-			if t, ok := h.taskDemand(p.Task.Job); ok && p.Active() {
+			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
 				s.Work += t.GPUs + t.CPUs/16
 			}
 		}
@@ -103,72 +103,72 @@
 
 // allowedMoves returns how many replicas may be moved at once: none while a zone is suspected or unreachable,
 // or has not come to the spreading step of its recovery.
-func (h *Leader) allowedMoves() int {
-	for _, r := range h.zones.Records() {
+func (l *Leader) allowedMoves() int {
+	for _, r := range l.zones.Records() {
 		if r.State != zone.Up && r.State != zone.Recovering {
 			return 0
 		}
 	}
-	if !h.recovery.OnlySpreading() || !h.rebuiltReachable {
+	if !l.recovery.OnlySpreading() || !l.rebuiltReachable {
 		return 0
 	}
 	return maxMovingReplicas
 }
 
 // ZoneRecoveries describes how far the recovery of each zone has come.
-func (h *Leader) ZoneRecoveries() map[string]string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.recovery.Progress()
+func (l *Leader) ZoneRecoveries() map[string]string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.recovery.Progress()
 }
 
 // noteFreeCapacity records the capacity that a plan leaves for the work of unreachable machines. The work of machines
 // that are being released takes part of it.
-func (h *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
+func (l *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
 	missing := make(map[string]bool)
-	for name, r := range h.monitor.ZoneHealth(now) {
+	for name, r := range l.monitor.ZoneHealth(now) {
 		missing[name] = r.MostlyMissing()
 	}
-	h.zones.SetMissing(now, missing)
-	h.recovery.Unbalanced = plan.SpreadViolated
-	h.recovery.FreeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
-	for _, m := range h.fleet.Machines() {
+	l.zones.SetMissing(now, missing)
+	l.recovery.Unbalanced = plan.SpreadViolated
+	l.recovery.FreeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
+	for _, m := range l.fleet.Machines() {
 		if m.Releasing {
-			takes, _ := h.nonProductionDemand(m)
-			h.recovery.FreeCapacity.Reserve(takes)
-			h.recovery.FreeCapacity.ScaleOuts--
+			takes, _ := l.nonProductionDemand(m)
+			l.recovery.FreeCapacity.Reserve(takes)
+			l.recovery.FreeCapacity.ScaleOuts--
 		}
 	}
 }
 
 // keepsLostMachine reports whether a lost machine is retained because its zone is cut off or has just recovered.
-func (h *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
-	since, cutOff := h.zones.CutOff(now, m.Zone, h.timeouts.unreachableAfter)
+func (l *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
+	since, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter)
 	if !cutOff {
 		return false
 	}
-	demand, production := h.nonProductionDemand(m)
+	demand, production := l.nonProductionDemand(m)
 	gb := 0.0
 	for _, p := range m.Placements() {
-		if l := h.liveJobs[p.Task.Job]; l != nil {
-			gb += l.Record.Job.ImageGB
+		if live := l.liveJobs[p.Task.Job]; live != nil {
+			gb += live.Record.Job.ImageGB
 		}
 	}
-	return h.recovery.FreeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return h.canMoveElsewhere(now, m) },
-		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(h.machineType(m.Type), gb)})
+	return l.recovery.FreeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return l.canMoveElsewhere(now, m) },
+		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(l.machineType(m.Type), gb)})
 }
 
 // nonProductionDemand sums the demand of the tasks on a machine other than those of production, and reports whether
 // there are such.
-func (h *Leader) nonProductionDemand(m *fleet.Machine) (sum scheduler.Resources, production bool) {
+func (l *Leader) nonProductionDemand(m *fleet.Machine) (sum scheduler.Resources, production bool) {
 	for _, p := range m.Placements() {
-		l := h.liveJobs[p.Task.Job]
+		live := l.liveJobs[p.Task.Job]
 		switch {
-		case l == nil || !p.Active():
-		case l.Record.Job.Priority == wire.Production:
+		case live == nil || !p.Active():
+		case live.Record.Job.Priority == wire.Production:
 			production = true
 		default:
-			sum = sum.AddScaled(scheduler.ResourcesOf(l.Record.Job), 1)
+			sum = sum.AddScaled(scheduler.ResourcesOf(live.Record.Job), 1)
 		}
 	}
 	return sum, production
@@ -176,31 +176,31 @@
 
 // canMoveElsewhere reports whether machines in other zones can be requested for all tasks on a machine, by this
 // shard or another: the cloud did not refuse when it was last asked.
-func (h *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
+func (l *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
 	for _, p := range m.Placements() {
-		if l := h.liveJobs[p.Task.Job]; l != nil && p.Active() && !h.canScaleOutFor(now, l.Record.Job) {
+		if live := l.liveJobs[p.Task.Job]; live != nil && p.Active() && !l.canScaleOutFor(now, live.Record.Job) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Leader) canScaleOutFor(now time.Time, j *wire.Job) bool {
-	for _, t := range h.shardMachineTypes() {
+func (l *Leader) canScaleOutFor(now time.Time, j *wire.Job) bool {
+	for _, t := range l.shardMachineTypes() {
 		for _, zone := range t.Zones {
-			if !h.zones.Record(zone).AcceptsScaleOut(now) || !capacityOf(t).Fits(scheduler.ResourcesOf(j)) {
+			if !l.zones.Record(zone).AcceptsScaleOut(now) || !capacityOf(t).Fits(scheduler.ResourcesOf(j)) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
 				o := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
-				if !h.scaler.Constrained(o) && scheduler.OfferAllowed(j, o) {
+				if !l.scaler.Constrained(o) && scheduler.OfferAllowed(j, o) {
 					return true
 				}
 			}
 		}
 	}
-	for shard, o := range h.peerShards {
-		if free := o.Rooms[j.Class]; (free.Rent || free.Now > 0) && h.sharding.MayHost(shard, j, h.types) {
+	for shard, o := range l.peerShards {
+		if free := o.Rooms[j.Class]; (free.Rent || free.Now > 0) && l.sharding.MayHost(shard, j, l.types) {
 			return true
 		}
 	}
@@ -209,19 +209,19 @@
 
 // noteReconnected records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
 // the next one. The first such heartbeat from a zone that was cut off does so for all its machines.
-func (h *Leader) noteReconnected(now time.Time, machine string) {
-	m := h.fleet.Machine(machine)
-	if m == nil || !h.monitor.Unreachable(now, m) {
+func (l *Leader) noteReconnected(now time.Time, machine string) {
+	m := l.fleet.Machine(machine)
+	if m == nil || !l.monitor.Unreachable(now, m) {
 		return
 	}
-	h.monitor.Calls.ForgetFailures(m.ID)
-	if _, cutOff := h.zones.CutOff(now, m.Zone, h.timeouts.unreachableAfter); !cutOff || !h.zones.Wake(now, m.Zone, reachability.MaxFencingInterval) {
+	l.monitor.Calls.ForgetFailures(m.ID)
+	if _, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter); !cutOff || !l.zones.Wake(now, m.Zone, reachability.MaxFencingInterval) {
 		return
 	}
-	for _, o := range h.fleet.Machines() {
-		if o.Zone == m.Zone && h.monitor.Unreachable(now, o) {
-			h.monitor.Calls.ForgetFailures(o.ID)
+	for _, o := range l.fleet.Machines() {
+		if o.Zone == m.Zone && l.monitor.Unreachable(now, o) {
+			l.monitor.Calls.ForgetFailures(o.ID)
 		}
 	}
-	h.log.Info("heartbeats from zone again", "zone", m.Zone, "machine", machine)
+	l.log.Info("heartbeats from zone again", "zone", m.Zone, "machine", machine)
 }
