--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -37,20 +37,20 @@
 	tb.Helper()
 	cfg, shard := largeFleetConfig(machines, shards, teams)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	c := &largeFleet{cfg: cfg, shard: shard, view: store.NewView(log), now: time.Unix(1e9, 0)}
-	c.view.Load(nil, 0, &wire.WatchResponse{})
+	f := &largeFleet{cfg: cfg, shard: shard, view: store.NewView(log), now: time.Unix(1e9, 0)}
+	f.view.Load(nil, 0, &wire.WatchResponse{})
 	for range machines / 10 {
-		c.addJob(wire.Array, 25, teams)
-		c.addJob(wire.Service, 4, teams)
-		c.addJob(wire.Gang, 6, teams)
+		f.addJob(wire.Array, 25, teams)
+		f.addJob(wire.Service, 4, teams)
+		f.addJob(wire.Gang, 6, teams)
 	}
 	if teams > 0 && shards > 1 {
-		c.grantTeams()
+		f.grantTeams()
 	}
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.5, Price: 4, SpotPrice: 1, BootS: 30, Zones: cfg.Zones}}
-	c.Leader = New(cfg, leadership.Tenure{Shard: shard, FencingToken: 3, Version: c.revision}, c.view.Snapshot(), store.ShardLedgers{Name: shard, Migrated: true}, types, c.view, c.now, log)
-	c.addMachines(machines / shards)
-	return c
+	f.Leader = New(cfg, leadership.Tenure{Shard: shard, FencingToken: 3, Version: f.revision}, f.view.Snapshot(), store.ShardLedgers{Name: shard, Migrated: true}, types, f.view, f.now, log)
+	f.addMachines(machines / shards)
+	return f
 }
 
 // largeFleetConfig gives the settings of a fleet in so many shards, and the shard that is measured.
@@ -76,24 +76,24 @@
 }
 
 // put stores a value, as the watch would tell.
-func (c *largeFleet) put(key string, value any) {
-	c.revision++
-	c.view.Apply(&wire.WatchResponse{Revision: c.revision, Events: []wire.Event{{Put: key, Value: wire.Encode(value), Version: c.revision}}})
+func (f *largeFleet) put(key string, value any) {
+	f.revision++
+	f.view.Apply(&wire.WatchResponse{Revision: f.revision, Events: []wire.Event{{Put: key, Value: wire.Encode(value), Version: f.revision}}})
 }
 
 // addJob stores a job, of the next shard and the next team.
-func (c *largeFleet) addJob(shape wire.Shape, tasks, teams int) {
-	n, shards := c.jobCount, c.cfg.Sharding().Shards()
-	c.jobCount++
+func (f *largeFleet) addJob(shape wire.Shape, tasks, teams int) {
+	n, shards := f.jobCount, f.cfg.Sharding().Shards()
+	f.jobCount++
 	team := "blue"
 	if teams > 0 {
-		team = c.cfg.Teams[n%teams].Name
+		team = f.cfg.Teams[n%teams].Name
 	}
 	class := map[wire.Shape]string{wire.Array: "array", wire.Gang: "gang", wire.Service: "service"}[shape]
 	j := &wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: class,
 		Shape: shape, Team: team, Priority: wire.Normal, Tasks: tasks, CPUs: 3, GPUs: 1, MemoryGB: 12, Image: fmt.Sprintf("img-%d", n%12), ImageGB: 4,
 		EstimateS: 60, OneZone: shape == wire.Gang, Spread: shape == wire.Service}
-	rec := store.JobRecord{Stage: wire.Pending, Tasks: tasks, Job: j, Created: c.now.UnixMilli()}
+	rec := store.JobRecord{Stage: wire.Pending, Tasks: tasks, Job: j, Created: f.now.UnixMilli()}
 	if len(shards) > 1 {
 		first, second := shards[n%len(shards)], shards[(n+1)%len(shards)]
 		rec.Ranges = []store.ShardRange{{From: 0, To: tasks, Shard: first}}
@@ -101,57 +101,57 @@
 			rec.Ranges = []store.ShardRange{{From: 0, To: tasks / 2, Shard: first}, {From: tasks / 2, To: tasks, Shard: second}}
 		}
 	}
-	c.put(store.BatchKey(j.ID), store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}})
+	f.put(store.BatchKey(j.ID), store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}})
 }
 
 // grantTeams grants each shard its share of the teams' limits, and one more that it has to give back.
-func (c *largeFleet) grantTeams() {
-	shards := c.cfg.Sharding().Shards()
+func (f *largeFleet) grantTeams() {
+	shards := f.cfg.Sharding().Shards()
 	grants := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{}}
-	for _, t := range c.cfg.Teams {
+	for _, t := range f.cfg.Teams {
 		grants.Teams[t.Name] = map[string][2]float64{}
 		for _, name := range shards {
 			grants.Teams[t.Name][name] = [2]float64{0, t.GPUsMax/float64(len(shards)) + 1}
 		}
 	}
-	c.put(store.QuotaGrantKey, grants)
+	f.put(store.QuotaGrantKey, grants)
 }
 
 // addMachines has so many machines of the shard send their first heartbeat.
-func (c *largeFleet) addMachines(n int) {
-	zones := c.cfg.Zones
-	if len(c.cfg.Sharding().Shards()) > 1 {
-		zones = c.cfg.Sharding().ZonesOf(c.shard)
+func (f *largeFleet) addMachines(n int) {
+	zones := f.cfg.Zones
+	if len(f.cfg.Sharding().Shards()) > 1 {
+		zones = f.cfg.Sharding().ZonesOf(f.shard)
 	}
 	for i := range n {
-		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: zones[i%len(zones)], Incarnation: 1, Seq: 1, FencingToken: 3}
-		c.heartbeats = append(c.heartbeats, r)
-		c.HandleHeartbeat(c.now, r, true)
+		hb := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: zones[i%len(zones)], Incarnation: 1, Seq: 1, FencingToken: 3}
+		f.heartbeats = append(f.heartbeats, hb)
+		f.HandleHeartbeat(f.now, hb, true)
 	}
 }
 
 // runRound decides a round, commits it, and has the machines report its launches.
-func (c *largeFleet) runRound() (launched int) {
-	c.now = c.now.Add(time.Second)
-	d := c.Decide(c.now, c.view.Snapshot())
+func (f *largeFleet) runRound() (launched int) {
+	f.now = f.now.Add(time.Second)
+	d := f.Decide(f.now, f.view.Snapshot())
 	if d == nil {
 		return 0
 	}
-	c.revision++
-	c.Committed(d, c.revision)
+	f.revision++
+	f.Committed(d, f.revision)
 	for _, p := range d.launches {
 		var i int
 		fmt.Sscanf(p.Machine, "n-%d", &i)
-		c.heartbeats[i].Tasks = append(c.heartbeats[i].Tasks, wire.ReportedTask{Task: p.Task.String(), ID: p.Task, Attempt: p.Attempt, State: wire.TaskRunning})
+		f.heartbeats[i].Tasks = append(f.heartbeats[i].Tasks, wire.ReportedTask{Task: p.Task.String(), ID: p.Task, Attempt: p.Attempt, State: wire.TaskRunning})
 	}
-	c.heartbeatAll()
+	f.heartbeatAll()
 	return len(d.launches)
 }
 
-func (c *largeFleet) heartbeatAll() {
-	for _, r := range c.heartbeats {
-		r.Seq++
-		c.HandleHeartbeat(c.now, r, true)
+func (f *largeFleet) heartbeatAll() {
+	for _, hb := range f.heartbeats {
+		hb.Seq++
+		f.HandleHeartbeat(f.now, hb, true)
 	}
 }
 
@@ -159,16 +159,16 @@
 // state service takes a few dozen changes a second for all controllers. 2000
 // machines are filled, and then rounds touch machines all over the fleet.
 func TestRoundCost(t *testing.T) {
-	c := newLargeFleet(t, 2000, 1)
+	f := newLargeFleet(t, 2000, 1)
 	changes, bytes, rounds, launched := 0, 0, 0, 0
 	for rounds < 60 {
-		c.now = c.now.Add(time.Second)
-		d := c.Decide(c.now, c.view.Snapshot())
+		f.now = f.now.Add(time.Second)
+		d := f.Decide(f.now, f.view.Snapshot())
 		if d == nil {
 			break
 		}
 		rounds++
-		if n := len(d.Txn.Then); n > c.cfg.Store.TxnOps || len(d.Txn.If) > 4*c.cfg.Store.TxnOps {
+		if n := len(d.Txn.Then); n > f.cfg.Store.TxnOps || len(d.Txn.If) > 4*f.cfg.Store.TxnOps {
 			t.Fatalf("round %d: %d changes, %d conditions", rounds, n, len(d.Txn.If))
 		}
 		size := len(wire.Encode(d.Txn))
@@ -178,9 +178,9 @@
 		changes += len(d.Txn.Then)
 		bytes += size
 		launched += len(d.launches)
-		c.revision++
-		c.Committed(d, c.revision)
-		c.heartbeatAll()
+		f.revision++
+		f.Committed(d, f.revision)
+		f.heartbeatAll()
 	}
 	if launched < 4000 || changes > 5*rounds {
 		t.Errorf("%d rounds launch %d tasks with %d changes, %d bytes", rounds, launched, changes, bytes)
@@ -189,7 +189,7 @@
 
 // sizes runs a benchmark at several numbers of machines and of parts, to see how the cost
 // grows for one of the leaders.
-func sizes(b *testing.B, run func(b *testing.B, c *largeFleet)) {
+func sizes(b *testing.B, run func(b *testing.B, f *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
 		for _, parts := range []int{1, 3, 5} {
 			b.Run(fmt.Sprintf("%d/%d", n, parts), func(b *testing.B) { run(b, newLargeFleet(b, n, parts)) })
@@ -199,14 +199,14 @@
 
 func BenchmarkHeartbeat(b *testing.B) { sizes(b, benchHeartbeat) }
 
-func benchHeartbeat(b *testing.B, c *largeFleet) {
-	for c.runRound() > 0 {
+func benchHeartbeat(b *testing.B, f *largeFleet) {
+	for f.runRound() > 0 {
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		r := c.heartbeats[i%len(c.heartbeats)]
-		r.Seq++
-		c.HandleHeartbeat(c.now, r, true)
+		hb := f.heartbeats[i%len(f.heartbeats)]
+		hb.Seq++
+		f.HandleHeartbeat(f.now, hb, true)
 	}
 }
 
@@ -214,14 +214,14 @@
 // jobs wait.
 func BenchmarkDecide(b *testing.B) { sizes(b, benchDecide) }
 
-func benchDecide(b *testing.B, c *largeFleet) {
-	for c.runRound() > 0 {
+func benchDecide(b *testing.B, f *largeFleet) {
+	for f.runRound() > 0 {
 	}
 	for b.Loop() {
-		c.now = c.now.Add(time.Millisecond)
-		if d := c.Decide(c.now, c.view.Snapshot()); d != nil {
-			c.revision++
-			c.Committed(d, c.revision)
+		f.now = f.now.Add(time.Millisecond)
+		if d := f.Decide(f.now, f.view.Snapshot()); d != nil {
+			f.revision++
+			f.Committed(d, f.revision)
 		}
 	}
 }
@@ -238,19 +238,19 @@
 // BenchmarkTakeover reads the ledger of a full fleet, as a new leader does.
 func BenchmarkTakeover(b *testing.B) { sizes(b, benchTakeover) }
 
-func benchTakeover(b *testing.B, c *largeFleet) {
+func benchTakeover(b *testing.B, f *largeFleet) {
 	slots := map[string]store.Segment{}
 	for {
-		c.now = c.now.Add(time.Second)
-		d := c.Decide(c.now, c.view.Snapshot())
+		f.now = f.now.Add(time.Second)
+		d := f.Decide(f.now, f.view.Snapshot())
 		if d == nil || len(d.launches) == 0 {
 			break
 		}
-		c.revision++
+		f.revision++
 		for i, ch := range d.Packed().Then {
-			slots[ch.Put] = store.Segment{Number: i, Version: c.revision, Record: ch.Value.(store.SegmentRecord)}
+			slots[ch.Put] = store.Segment{Number: i, Version: f.revision, Record: ch.Value.(store.SegmentRecord)}
 		}
-		c.Committed(d, c.revision)
+		f.Committed(d, f.revision)
 	}
 	var list []store.Segment
 	for _, s := range slots {
@@ -258,6 +258,6 @@
 		list = append(list, s)
 	}
 	for b.Loop() {
-		New(c.cfg, c.lease, c.view.Snapshot(), store.ShardLedgers{Name: c.lease.Shard, Own: list, Migrated: true}, c.types, c.jobIndex, c.now, c.log)
+		New(f.cfg, f.lease, f.view.Snapshot(), store.ShardLedgers{Name: f.lease.Shard, Own: list, Migrated: true}, f.types, f.jobIndex, f.now, f.log)
 	}
 }
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -29,17 +29,17 @@
 
 // callLoop sends stops and launches straight to the machines, and the fencing token to machines that
 // have not been seen under it. Between rounds, it also keeps the placements compared with the jobs.
-func (l *Leader) callLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) callLoop(ctx context.Context, deps Dependencies) error {
 	busy := make(chan struct{}, maxOpenCalls)
 	for ctx.Err() == nil {
 		if l.reconcileDue(time.Now()) {
-			l.Reconcile(time.Now(), e.View.Snapshot())
+			l.Reconcile(time.Now(), deps.View.Snapshot())
 		}
-		for _, c := range l.dueCalls(time.Now(), e.LeaseValid(), maxOpenCalls-len(busy)) {
+		for _, c := range l.dueCalls(time.Now(), deps.LeaseValid(), maxOpenCalls-len(busy)) {
 			busy <- struct{}{}
 			go func() {
 				defer func() { <-busy }()
-				l.callMachine(ctx, e, c)
+				l.callMachine(ctx, deps, c)
 			}()
 		}
 		t := time.NewTimer(callInterval)
@@ -136,7 +136,7 @@
 }
 
 // callMachine makes a call and records its result.
-func (l *Leader) callMachine(ctx context.Context, e Dependencies, c directCall) {
+func (l *Leader) callMachine(ctx context.Context, deps Dependencies, c directCall) {
 	outcome, answered := fleet.Refused, false
 	defer func() {
 		l.mu.Lock()
@@ -148,26 +148,26 @@
 		l.monitor.CallFinished(time.Now(), c.machine, answered)
 	}()
 	if c.incarnation == 0 {
-		r, err := e.Workers.Inspect(ctx, c.addr)
-		if err != nil || r.Machine != c.machine {
+		hb, err := deps.Workers.Inspect(ctx, c.addr)
+		if err != nil || hb.Machine != c.machine {
 			return
 		}
-		l.HandleInspection(time.Now(), r)
-		c.incarnation = r.Incarnation
+		l.HandleInspection(time.Now(), hb)
+		c.incarnation = hb.Incarnation
 	}
-	r, ok, err := e.Workers.Send(ctx, c.addr, wire.CommandRequest{FencingToken: l.lease.FencingToken, Incarnation: c.incarnation, Commands: c.commands})
+	hb, ok, err := deps.Workers.Send(ctx, c.addr, wire.CommandRequest{FencingToken: l.lease.FencingToken, Incarnation: c.incarnation, Commands: c.commands})
 	switch {
 	case errors.Is(err, transport.ErrNotSent):
-	case err != nil || r.Machine != c.machine:
+	case err != nil || hb.Machine != c.machine:
 		outcome = fleet.Unanswered
 	case ok:
 		outcome = fleet.Executed
 	}
-	if err != nil || r.Machine != c.machine {
+	if err != nil || hb.Machine != c.machine {
 		l.log.Debug("direct call failed", "machine", c.machine, "launches", len(c.launches), "err", err)
 		return
 	}
-	if answered = true; r.FencingToken <= l.lease.FencingToken {
-		l.HandleInspection(time.Now(), r)
+	if answered = true; hb.FencingToken <= l.lease.FencingToken {
+		l.HandleInspection(time.Now(), hb)
 	}
 }
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -41,7 +41,7 @@
 
 // ownsUnfinished reports whether this shard has yet to finish some of the ranges.
 func (l *Leader) ownsUnfinished(ranges []store.ShardRange) bool {
-	return slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Shard == l.lease.Shard && !s.Done })
+	return slices.ContainsFunc(ranges, func(r store.ShardRange) bool { return r.Shard == l.lease.Shard && !r.Done })
 }
 
 // advanceSplitGangs takes each split gang a step further.
@@ -84,12 +84,12 @@
 // leadSplitGang starts a gang once all shards that have tasks of it hold capacity for them, and aborts it when
 // that takes too long.
 func (l *Leader) leadSplitGang(d *Draft, g *splitGang, waited time.Duration) {
-	for _, s := range g.ranges {
+	for _, r := range g.ranges {
 		ready := g.state.coAllocation.Ready
-		if s.Shard != l.lease.Shard {
-			ready = l.targets.HoldsGang(s.Shard, g.id)
+		if r.Shard != l.lease.Shard {
+			ready = l.targets.HoldsGang(r.Shard, g.id)
 		}
-		if !s.Done && !ready {
+		if !r.Done && !ready {
 			if waited > handover.ReservationTimeout {
 				l.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
 			}
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -23,10 +23,10 @@
 }
 
 func givenTask(t *testing.T, fate string) {
-	b := newTraceDriver(t)
+	driver := newTraceDriver(t)
 	play := func(lines string) (out []string) {
 		for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
-			out = append(out, b.step(strings.TrimSpace(line))...)
+			out = append(out, driver.step(strings.TrimSpace(line))...)
 		}
 		return out
 	}
@@ -60,9 +60,9 @@
 	if !slices.Contains(out, "put batch/wk-1 wk-1=pending 0-1/b") {
 		t.Fatalf("it was not given away")
 	}
-	b.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
+	driver.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
 		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Incarnation: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
-	b.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
+	driver.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
 	out = play(`
 		divided a b
 		claim term=12
@@ -76,8 +76,8 @@
 		report n-1 1/10 term=12
 		round`)
 	t.Log(strings.Join(out, "\n"))
-	if job, _ := b.view.Live("wk-1"); b.leader.assignment.Ranges(job)[0].Shard != "b" {
-		t.Errorf("its task, which runs in b, is taken for one of %s", b.leader.assignment.Ranges(job)[0].Shard)
+	if job, _ := driver.view.Live("wk-1"); driver.leader.assignment.Ranges(job)[0].Shard != "b" {
+		t.Errorf("its task, which runs in b, is taken for one of %s", driver.leader.assignment.Ranges(job)[0].Shard)
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
@@ -90,20 +90,20 @@
 // state becomes one part. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
 func TestGangIsDoneInPieces(t *testing.T) {
-	b := newTraceDriver(t)
-	b.step("job wk-1 gang team=blue tasks=3")
-	b.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
-	b.step("shares wk-1 0-2/a,done 2-3/b")
-	b.cfg.Tuning.Shards.By = "off"
-	state := b.view.ShardingState()
-	txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(string) (store.TaskDemand, bool) { return store.TaskDemand{}, false })
+	driver := newTraceDriver(t)
+	driver.step("job wk-1 gang team=blue tasks=3")
+	driver.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
+	driver.step("shares wk-1 0-2/a,done 2-3/b")
+	driver.cfg.Tuning.Shards.By = "off"
+	state := driver.view.ShardingState()
+	txn, err := reshard.Transaction(&state, driver.cfg.Sharding(), func(string) (store.TaskDemand, bool) { return store.TaskDemand{}, false })
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.apply(txn.Then...)
+	driver.apply(txn.Then...)
 	var out []string
 	for _, line := range []string{"claim term=5", "report n-1 1/1 term=1", "report n-1 1/2 term=5", "round", "report n-1 1/3 term=5", "round"} {
-		out = append(out, b.step(line)...)
+		out = append(out, driver.step(line)...)
 	}
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=done 0-2/a,done 2-3/b") && !slices.Contains(out, "put batch/wk-1 wk-1=done") {
--- a/internal/leader/fencingcalls.go
+++ b/internal/leader/fencingcalls.go
@@ -22,14 +22,14 @@
 }
 
 // FencingCallDone records the result of a call that a peer made: the machine's heartbeat, or nil for none.
-func (l *Leader) FencingCallDone(now time.Time, machine string, r *wire.Heartbeat) {
+func (l *Leader) FencingCallDone(now time.Time, machine string, hb *wire.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.fencing.PeerFinished(machine, r != nil) {
+	if !l.fencing.PeerFinished(machine, hb != nil) {
 		return
 	}
-	if r != nil && r.Machine == machine && r.FencingToken <= l.lease.FencingToken {
-		l.observe(now, r, false)
+	if hb != nil && hb.Machine == machine && hb.FencingToken <= l.lease.FencingToken {
+		l.observe(now, hb, false)
 	}
 }
 
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -36,15 +36,15 @@
 )
 
 // runGrants proposes changes of the shard's grants until the context ends.
-func (l *Leader) runGrants(ctx context.Context, e Dependencies) error {
+func (l *Leader) runGrants(ctx context.Context, deps Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
 	for ctx.Err() == nil {
 		store.Backoff(ctx, grantInterval)
-		if !e.LeaseValid() {
+		if !deps.LeaseValid() {
 			continue
 		}
 		if change := l.ProposeGrants(); change != nil {
-			l.commitGrant(ctx, e, change)
+			l.commitGrant(ctx, deps, change)
 		}
 	}
 	return nil
@@ -52,12 +52,12 @@
 
 // commitGrant writes a change of grants. Without an answer it is written again: its condition on the record
 // lets one copy at most be taken. What it returns is not used until the view shows how it ended.
-func (l *Leader) commitGrant(ctx context.Context, e Dependencies, change *quota.Change) {
+func (l *Leader) commitGrant(ctx context.Context, deps Dependencies, change *quota.Change) {
 	for ctx.Err() == nil {
-		_, err := e.Store.Txn(ctx, change.Txn)
+		_, err := deps.Store.Txn(ctx, change.Txn)
 		var conflict *store.ConflictError
 		if err == nil || errors.As(err, &conflict) {
-			l.awaitGrants(ctx, e)
+			l.awaitGrants(ctx, deps)
 			return
 		}
 		store.Backoff(ctx, grantRetryInterval)
@@ -65,10 +65,10 @@
 }
 
 // awaitGrants waits until the view shows how a change of grants has ended.
-func (l *Leader) awaitGrants(ctx context.Context, e Dependencies) {
+func (l *Leader) awaitGrants(ctx context.Context, deps Dependencies) {
 	for ctx.Err() == nil {
-		if e.Follower.Barrier(ctx) == nil {
-			l.GrantsSettled(e.View.Snapshot().QuotaGrants)
+		if deps.Follower.Barrier(ctx) == nil {
+			l.GrantsSettled(deps.View.Snapshot().QuotaGrants)
 			return
 		}
 		store.Backoff(ctx, grantReadInterval)
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -92,7 +92,7 @@
 	if len(next) > maxRangesPerJob || slices.Equal(next, ranges) || gang && len(next) != 1 {
 		return false
 	}
-	if live.Record.Job.OneZone && slices.ContainsFunc(next, func(s store.ShardRange) bool { return s.Shard != target && !s.Done }) {
+	if live.Record.Job.OneZone && slices.ContainsFunc(next, func(r store.ShardRange) bool { return r.Shard != target && !r.Done }) {
 		return false // no shard knows in which zones another has tasks of it
 	}
 	if !l.rewriteRanges(d, id, live, next) {
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -22,52 +22,52 @@
 // HandleHeartbeat applies a machine's heartbeat and returns the answer to it; ok is false where
 // there must be none. launch says whether the leader's lease is valid, so that the answer may carry
 // launches.
-func (l *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, launch bool) (a wire.HeartbeatResponse, ok bool) {
+func (l *Leader) HandleHeartbeat(now time.Time, hb *wire.Heartbeat, launch bool) (response wire.HeartbeatResponse, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.observe(now, r, true) || l.fleet.MustLapse(now, r.Machine) {
-		return a, false
+	if !l.observe(now, hb, true) || l.fleet.MustLapse(now, hb.Machine) {
+		return response, false
 	}
-	cmds := l.fleet.HeartbeatCommands(now, r, launch)
+	cmds := l.fleet.HeartbeatCommands(now, hb, launch)
 	for _, c := range cmds {
-		l.log.Debug("command", "verb", c.Verb, "task", c.Task, "attempt", c.Attempt, "machine", r.Machine)
+		l.log.Debug("command", "verb", c.Verb, "task", c.Task, "attempt", c.Attempt, "machine", hb.Machine)
 	}
 	return wire.HeartbeatResponse{FencingToken: l.lease.FencingToken, Commands: cmds}, true
 }
 
 // HandleInspection applies a heartbeat that came in the answer to a direct call.
-func (l *Leader) HandleInspection(now time.Time, r *wire.Heartbeat) {
+func (l *Leader) HandleInspection(now time.Time, hb *wire.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.observe(now, r, false)
+	l.observe(now, hb, false)
 }
 
 // observe applies a heartbeat, whichever way it came; own says whether the machine sent it by itself.
 // One that is older than what is known shows nothing. One that can't be true is not even answered:
 // whatever made it up may make up more.
-func (l *Leader) observe(now time.Time, r *wire.Heartbeat, own bool) (ok bool) {
-	if why := l.impossibleReason(r); why != "" {
+func (l *Leader) observe(now time.Time, hb *wire.Heartbeat, own bool) (ok bool) {
+	if why := l.impossibleReason(hb); why != "" {
 		l.display.rejected.Impossible++
-		l.log.Warn("impossible heartbeat", "machine", r.Machine, "incarnation", r.Incarnation, "number", r.Seq, "reason", why)
+		l.log.Warn("impossible heartbeat", "machine", hb.Machine, "incarnation", hb.Incarnation, "number", hb.Seq, "reason", why)
 		return false
 	}
-	if !l.fleet.IsNewer(r) {
+	if !l.fleet.IsNewer(hb) {
 		l.display.rejected.Stale++
 		return true
 	}
-	l.noteReconnected(now, r.Machine)
-	l.noteZoneHeartbeat(now, r)
-	l.applyEvents(now, l.fleet.ApplyHeartbeat(now, r, own))
+	l.noteReconnected(now, hb.Machine)
+	l.noteZoneHeartbeat(now, hb)
+	l.applyEvents(now, l.fleet.ApplyHeartbeat(now, hb, own))
 	return true
 }
 
 // impossibleReason says why a heartbeat can't be true, or returns "". Attempts are of fencing tokens up
 // to this one; with several shards, the leader of another one may have given a gang's attempt.
-func (l *Leader) impossibleReason(r *wire.Heartbeat) string {
-	if r.FencingToken > l.lease.FencingToken {
-		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", r.FencingToken)
+func (l *Leader) impossibleReason(hb *wire.Heartbeat) string {
+	if hb.FencingToken > l.lease.FencingToken {
+		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", hb.FencingToken)
 	}
-	for _, t := range r.Tasks {
+	for _, t := range hb.Tasks {
 		token, n := splitAttempt(t.Attempt)
 		if l.sharding.IsSingle() && token > l.lease.FencingToken || token == l.lease.FencingToken && n > l.attemptSequence {
 			return fmt.Sprintf("task %s of attempt %d, which was never given", t.ID, t.Attempt)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -137,8 +137,8 @@
 			l.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, l.jobIndex))
 		}
 	}
-	for name, a := range last.ScaleOuts {
-		l.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
+	for name, record := range last.ScaleOuts {
+		l.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, Count: record.Count})
 	}
 }
 
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -51,33 +51,33 @@
 )
 
 // Run does what a leader has to do until the context ends. It owns all goroutines that it starts.
-func (l *Leader) Run(ctx context.Context, e Dependencies) error {
+func (l *Leader) Run(ctx context.Context, deps Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return l.roundLoop(ctx, e) })
+	g.Go(func() error { return l.roundLoop(ctx, deps) })
 	g.Go(func() error { return l.loop.throttle.Run(ctx) })
-	g.Go(func() error { return l.callLoop(ctx, e) })
-	g.Go(func() error { return l.watchMachineList(ctx, e) })
-	g.Go(func() error { return l.scaleOutLoop(ctx, e) })
-	g.Go(func() error { return l.scaleInLoop(ctx, e) })
+	g.Go(func() error { return l.callLoop(ctx, deps) })
+	g.Go(func() error { return l.watchMachineList(ctx, deps) })
+	g.Go(func() error { return l.scaleOutLoop(ctx, deps) })
+	g.Go(func() error { return l.scaleInLoop(ctx, deps) })
 	if !l.sharding.IsSingle() {
-		g.Go(func() error { return l.runGrants(ctx, e) })
+		g.Go(func() error { return l.runGrants(ctx, deps) })
 	}
 	return g.Wait()
 }
 
 // roundLoop decides and commits rounds, while the lease is valid.
-func (l *Leader) roundLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) roundLoop(ctx context.Context, deps Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
 	least := min(minRoundInterval*time.Duration(len(l.sharding.Shards())), maxShardedInterval)
 	for ctx.Err() == nil {
 		begun := time.Now()
-		changed := e.View.Changed()
+		changed := deps.View.Changed()
 		gap := least
-		if e.LeaseValid() {
-			d := l.Decide(begun, e.View.Snapshot())
+		if deps.LeaseValid() {
+			d := l.Decide(begun, deps.View.Snapshot())
 			gap = min(max(gap, restFactor*time.Since(begun)), l.maxRest())
 			if d != nil {
-				l.commitRound(ctx, e, d)
+				l.commitRound(ctx, deps, d)
 			}
 			l.loop.wakeCalls()
 		}
@@ -104,17 +104,17 @@
 
 // commitRound writes a round. As long as its outcome is unknown the same transaction is repeated: the
 // condition on the segment that it writes lets only one copy through, however late another is applied.
-func (l *Leader) commitRound(ctx context.Context, e Dependencies, d *Draft) {
+func (l *Leader) commitRound(ctx context.Context, deps Dependencies, d *Draft) {
 	for ctx.Err() == nil {
-		rev, err := e.Store.Txn(ctx, d.Txn)
+		rev, err := deps.Store.Txn(ctx, d.Txn)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
 			l.Committed(d, rev)
-			e.View.ApplyOwnWrite(d.WrittenBatches(rev)...)
+			deps.View.ApplyOwnWrite(d.WrittenBatches(rev)...)
 			return
 		case errors.As(err, &conflict):
-			l.handleConflict(ctx, e, d, conflict)
+			l.handleConflict(ctx, deps, d, conflict)
 			return
 		default:
 			l.log.Info("round without an answer", "number", d.Number, "err", err)
@@ -126,15 +126,15 @@
 
 // handleConflict finds out why a round was refused: because an earlier copy of it, which had no answer,
 // was committed, because something that it rests on has changed, or because there is another leader.
-func (l *Leader) handleConflict(ctx context.Context, e Dependencies, d *Draft, conflict *store.ConflictError) {
-	for e.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
+func (l *Leader) handleConflict(ctx context.Context, deps Dependencies, d *Draft, conflict *store.ConflictError) {
+	for deps.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
 		if store.Backoff(ctx, barrierRetry); ctx.Err() != nil {
 			return
 		}
 	}
 	segment := d.FirstSegment()
-	if last, version := e.View.Segment(segment); last.FencingToken == l.lease.FencingToken && last.Round == d.Number {
-		l.Reconcile(time.Now(), e.View.Snapshot()) // what was cancelled since is not launched
+	if last, version := deps.View.Segment(segment); last.FencingToken == l.lease.FencingToken && last.Round == d.Number {
+		l.Reconcile(time.Now(), deps.View.Snapshot()) // what was cancelled since is not launched
 		l.Committed(d, version)
 		return
 	}
@@ -142,7 +142,7 @@
 	l.roundUnwritten(time.Now(), d, stall.CauseRefused)
 	l.Discard(d)
 	if slices.Contains(conflict.Failed, store.LeaderKey(l.lease.Shard)) || slices.Contains(conflict.Failed, segment) {
-		e.OnFenced()
+		deps.OnFenced()
 	}
 }
 
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -18,18 +18,18 @@
 )
 
 // watchMachineList reads the cloud's list of machines, and their types.
-func (l *Leader) watchMachineList(ctx context.Context, e Dependencies) error {
+func (l *Leader) watchMachineList(ctx context.Context, deps Dependencies) error {
 	var typesAt time.Time
 	for ctx.Err() == nil {
 		requestedAt := time.Now()
-		list, err := e.Cloud.List(ctx)
+		list, err := deps.Cloud.List(ctx)
 		if err == nil {
 			l.handleMachineList(requestedAt, time.Now(), list)
 		} else {
 			l.log.Debug("listing machines failed", "err", err)
 		}
 		if time.Since(typesAt) > machineTypesInterval {
-			if types, err := e.Cloud.MachineTypes(ctx); err == nil {
+			if types, err := deps.Cloud.MachineTypes(ctx); err == nil {
 				typesAt = time.Now()
 				l.SetTypes(types)
 			}
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -87,18 +87,18 @@
 
 // migrateDoneRanges takes over the tasks that a job's record of an earlier sharding marks as done.
 func (l *Leader) migrateDoneRanges(id string, live *store.LiveJob) {
-	for _, s := range live.Record.Ranges {
-		if !s.Done || !s.Within(live.Record.Tasks) {
+	for _, r := range live.Record.Ranges {
+		if !r.Done || !r.Within(live.Record.Tasks) {
 			continue
 		}
 		j := l.jobState(id)
-		for i := s.From; i < s.To; i++ {
+		for i := r.From; i < r.To; i++ {
 			j.finished.Add(i)
 			j.storedFinished.Add(i)
 		}
 		l.unstored.Add(id, l.lastRound)
 		if gangCompleted(live, live.Record.Ranges) { // its tasks complete together
-			l.markFinished(wire.TaskID{Job: id, Index: s.From}, j)
+			l.markFinished(wire.TaskID{Job: id, Index: r.From}, j)
 		}
 	}
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -124,9 +124,9 @@
 	m.gang = s.gang
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.shares}}}}})
 	for i := range m.controllers {
-		n := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
-		n.view.Load(nil, 0, &wire.WatchResponse{})
-		m.controllers[i] = n
+		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
+		controller.view.Load(nil, 0, &wire.WatchResponse{})
+		m.controllers[i] = controller
 	}
 	if s.reshard {
 		m.divide()
@@ -193,54 +193,54 @@
 	return true
 }
 
-func (m *model) sync(n *modelController) {
+func (m *model) sync(controller *modelController) {
 	var ch wire.WatchResponse
 	for _, e := range m.log {
-		if e.Version > n.seenRevision {
+		if e.Version > controller.seenRevision {
 			ch.Events = append(ch.Events, e)
 		}
 	}
-	ch.Revision, n.seenRevision = m.revision, m.revision
-	n.view.Apply(&ch)
+	ch.Revision, controller.seenRevision = m.revision, m.revision
+	controller.view.Apply(&ch)
 }
 
 var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(n *modelController, part string) {
-	m.sync(n)
-	term := n.view.FencingToken().Record + 1
-	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: term}, {Put: store.LeaderKey(part), Value: store.LeaderRecord{Leader: n.name, FencingToken: term}}})
-	m.sync(n)
+func (m *model) claim(controller *modelController, part string) {
+	m.sync(controller)
+	term := controller.view.FencingToken().Record + 1
+	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: term}, {Put: store.LeaderKey(part), Value: store.LeaderRecord{Leader: controller.name, FencingToken: term}}})
+	m.sync(controller)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	leader := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	leader := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(part), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
 		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
 		leader.scaler.Complete(modelTime, "x", 0)
 	}
-	n.leaders[part] = &modelLeader{Leader: leader}
+	controller.leaders[part] = &modelLeader{Leader: leader}
 }
 
 // report has a machine report to a controller, and carries out the answer.
-func (m *model) report(n *modelController, w *modelWorker) {
-	leader := n.leaders[w.zone]
+func (m *model) report(controller *modelController, w *modelWorker) {
+	leader := controller.leaders[w.zone]
 	w.seq++
-	r := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
+	hb := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 	for _, t := range sortedTasks(w.runs) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
 	}
 	for _, t := range sortedTasks(w.done) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
 	}
-	a, _ := leader.HandleHeartbeat(modelTime, r, true)
-	if a.FencingToken < w.token {
+	response, _ := leader.HandleHeartbeat(modelTime, hb, true)
+	if response.FencingToken < w.token {
 		return
 	}
-	w.token = a.FencingToken
-	for _, c := range a.Commands {
+	w.token = response.FencingToken
+	for _, c := range response.Commands {
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
@@ -262,11 +262,11 @@
 
 func (m *model) start(w *modelWorker, id wire.TaskID, attempt uint64) {
 	on := 0.0
-	for _, o := range m.workers {
-		if o.runs[id] != 0 {
+	for _, other := range m.workers {
+		if other.runs[id] != 0 {
 			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
-		on += float64(len(o.runs))
+		on += float64(len(other.runs))
 	}
 	w.runs[id] = attempt
 	if m.limit > 0 && on+1 > m.limit {
@@ -289,11 +289,11 @@
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) == nil {
 		rec := batch.Jobs["wk-1"]
 		at := 0
-		for _, s := range rec.Ranges {
-			if s.From != at || s.To <= s.From {
+		for _, r := range rec.Ranges {
+			if r.From != at || r.To <= r.From {
 				m.violate("shares: %v", rec.Ranges)
 			}
-			at = s.To
+			at = r.To
 		}
 		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
 			m.violate("shares: %v", rec.Ranges)
@@ -326,12 +326,12 @@
 func (m *model) steps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for i, n := range m.controllers {
-		if n.seenRevision < m.revision {
+	for i, controller := range m.controllers {
+		if controller.seenRevision < m.revision {
 			add("sync %d", i)
 		}
 		for _, part := range []string{"a", "b"} {
-			leader, w := n.leaders[part], m.workers[part]
+			leader, w := controller.leaders[part], m.workers[part]
 			_, held := m.keys[store.LeaderKey(part)]
 			if leader == nil {
 				if s.failover && !held {
@@ -385,41 +385,41 @@
 // take makes a step.
 func (m *model) take(step string) {
 	f := strings.Fields(step)
-	var n *modelController
+	var controller *modelController
 	var leader *modelLeader
 	i, part := 0, ""
 	if len(f) > 1 {
 		i, _ = strconv.Atoi(f[1])
 	}
 	if len(f) > 2 {
-		part, n = f[2], m.controllers[i]
-		leader = n.leaders[part]
+		part, controller = f[2], m.controllers[i]
+		leader = controller.leaders[part]
 	}
 	switch f[0] {
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
-		m.claim(n, part)
+		m.claim(controller, part)
 	case "report":
-		m.report(n, m.workers[part])
+		m.report(controller, m.workers[part])
 	case "decide":
 		other := map[string]string{"a": "b", "b": "a"}[part]
 		status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
 		if m.gang {
 			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
 		}
-		for _, o := range m.controllers {
-			if otherLeader := o.leaders[other]; otherLeader != nil {
+		for _, peer := range m.controllers {
+			if otherLeader := peer.leaders[other]; otherLeader != nil {
 				status.Wants, status.Ready = otherLeader.quota.Forecast().Demands, otherLeader.forecast.readyGangs
 			}
 		}
 		leader.SetPeerShards(map[string]ShardStatus{other: status}, 1)
-		leader.draft = leader.Decide(modelTime, n.view.Snapshot())
+		leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
 	case "commit":
 		if m.conditionsHold(leader.draft.Txn) {
 			rev := m.apply(leader.draft.Txn.Then)
 			leader.Committed(leader.draft, rev)
-			n.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
+			controller.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
 		} else {
 			leader.Discard(leader.draft)
 		}
@@ -430,8 +430,8 @@
 		if m.conditionsHold(leader.grantChange.Txn) {
 			m.apply(leader.grantChange.Txn.Then)
 		}
-		m.sync(n)
-		leader.GrantsSettled(n.view.Snapshot().QuotaGrants)
+		m.sync(controller)
+		leader.GrantsSettled(controller.view.Snapshot().QuotaGrants)
 		leader.grantChange = nil
 	case "lose": // the lease has run out; the leader does not know yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
@@ -442,7 +442,7 @@
 		if leader.grantChange != nil {
 			m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
 		}
-		delete(n.leaders, part)
+		delete(controller.leaders, part)
 	case "late":
 		t := m.lateTxns[i]
 		m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
@@ -487,8 +487,8 @@
 		return true
 	}
 	attempts, n := map[uint64]bool{}, 0
-	for _, o := range m.workers {
-		for _, a := range o.runs {
+	for _, other := range m.workers {
+		for _, a := range other.runs {
 			attempts[a] = true
 			n++
 		}
@@ -512,19 +512,19 @@
 		put("%s %x", key, []byte(m.keys[key].raw))
 	}
 	txn := func(t wire.Txn) { put("txn %x %v", wire.Encode(t.Then), m.conditionsHold(t)) }
-	for _, n := range m.controllers {
-		put("node %d", m.revision-n.seenRevision)
-		if n.seenRevision < m.revision {
+	for _, controller := range m.controllers {
+		put("node %d", m.revision-controller.seenRevision)
+		if controller.seenRevision < m.revision {
 			for _, e := range m.log {
-				if e.Version > n.seenRevision {
+				if e.Version > controller.seenRevision {
 					put("unseen %s%s %x", e.Put, e.Delete, []byte(e.Value))
 				}
 			}
 		}
-		for _, part := range slices.Sorted(maps.Keys(n.leaders)) {
-			leader := n.leaders[part]
-			b := &traceDriver{leader: leader.Leader}
-			put("%s %d %v %v %v", part, leader.lease.FencingToken, b.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+		for _, part := range slices.Sorted(maps.Keys(controller.leaders)) {
+			leader := controller.leaders[part]
+			driver := &traceDriver{leader: leader.Leader}
+			put("%s %d %v %v %v", part, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
 			put("%v %v", leader.quota, leader.targets)
 			for _, id := range sortedKeys(leader.jobStates) {
 				j := leader.jobStates[id]
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -143,9 +143,9 @@
 	j := &wire.Job{ID: timedJob, Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j}}}}})
 	for i := range m.nodes {
-		n := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
-		n.view.Load(nil, 0, &wire.WatchResponse{})
-		m.nodes[i] = &timedController{modelController: n, claim: leadership.New(n.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
+		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
+		controller.view.Load(nil, 0, &wire.WatchResponse{})
+		m.nodes[i] = &timedController{modelController: controller, claim: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
 		m.grant(i)
 		m.read(i)
 	}
@@ -259,11 +259,11 @@
 }
 
 // entitled says whether a controller answers a report, as package controller does.
-func (m *timedModel) entitled(i int, r *wire.Heartbeat) (valid, ok bool) {
+func (m *timedModel) entitled(i int, hb *wire.Heartbeat) (valid, ok bool) {
 	c := m.nodes[i]
 	held, is := c.claim.Tenure(timedPart)
 	valid = c.claim.LeaseValid(m.now)
-	if c.leader == nil || c.dead || !is || c.leader.lease.Version != held.Version || r.FencingToken > held.FencingToken {
+	if c.leader == nil || c.dead || !is || c.leader.lease.Version != held.Version || hb.FencingToken > held.FencingToken {
 		return valid, false
 	}
 	confirmed := c.claim.LastRenewal()
@@ -279,31 +279,31 @@
 }
 
 // handleHeartbeat has a controller take in a report and gives its answer.
-func (m *timedModel) handleHeartbeat(i int, r *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	valid, ok := m.entitled(i, r)
+func (m *timedModel) handleHeartbeat(i int, hb *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	valid, ok := m.entitled(i, hb)
 	if !ok {
 		return wire.HeartbeatResponse{}, false
 	}
-	if r.Tasks = slices.Clone(r.Tasks); m.plantedFault == "a clear before the end is stored" {
-		a, ok := m.nodes[i].leader.HandleHeartbeat(m.now, r, valid)
-		for _, p := range m.nodes[i].leader.fleet.Machine(r.Machine).Placements() {
+	if hb.Tasks = slices.Clone(hb.Tasks); m.plantedFault == "a clear before the end is stored" {
+		response, ok := m.nodes[i].leader.HandleHeartbeat(m.now, hb, valid)
+		for _, p := range m.nodes[i].leader.fleet.Machine(hb.Machine).Placements() {
 			if p.State == fleet.Ended {
 				p.EndHandled = true
 			}
 		}
-		return a, ok
+		return response, ok
 	}
-	return m.nodes[i].leader.HandleHeartbeat(m.now, r, valid)
+	return m.nodes[i].leader.HandleHeartbeat(m.now, hb, valid)
 }
 
 func (m *timedModel) report(id string, i int, arrives bool) {
 	w := m.machines[id]
 	m.expire(w, false)
-	r, sent := w.core.NextHeartbeat(), m.now
+	hb, sent := w.core.NextHeartbeat(), m.now
 	if id == "b" { // the other is well
-		m.duplicateReports = append(m.duplicateReports[max(0, len(m.duplicateReports)-2):], r)
+		m.duplicateReports = append(m.duplicateReports[max(0, len(m.duplicateReports)-2):], hb)
 	}
-	a, ok := m.handleHeartbeat(i, &r)
+	response, ok := m.handleHeartbeat(i, &hb)
 	if !ok {
 		return
 	}
@@ -315,11 +315,11 @@
 		return
 	}
 	term := w.core.Heartbeat().FencingToken
-	e := w.core.HandleAnswer(m.now, sent, w.incarnation, a)
-	if a.FencingToken >= term && sent.After(w.answered) {
+	e := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
+	if response.FencingToken >= term && sent.After(w.answered) {
 		w.answered = sent
 	}
-	for _, c := range a.Commands {
+	for _, c := range response.Commands {
 		if c.Verb == wire.Clear {
 			m.cleared(c)
 		}
@@ -357,13 +357,13 @@
 	}
 	for _, k := range e.Start {
 		on := 0
-		for _, o := range m.machines {
-			for r := range o.runs {
+		for _, other := range m.machines {
+			for r := range other.runs {
 				if r.Task == k.Task {
 					m.violate("ran_twice: %v starts on %s", k.Task, w.id)
 				}
 			}
-			on += len(o.runs)
+			on += len(other.runs)
 		}
 		if m.limit > 0 && float64(on+1) > m.limit {
 			m.violate("quota: %d tasks run", on+1)
@@ -495,12 +495,12 @@
 				outcome = fleet.Refused
 			}
 		default:
-			r, ok := m.do(id, d)
+			hb, ok := m.do(id, d)
 			if outcome = fleet.Refused; ok {
 				outcome = fleet.Executed
 			}
-			if heard = true; r.FencingToken <= c.leader.lease.FencingToken {
-				c.leader.HandleInspection(m.now, &r)
+			if heard = true; hb.FencingToken <= c.leader.lease.FencingToken {
+				c.leader.HandleInspection(m.now, &hb)
 			}
 		}
 		c.leader.mu.Lock()
@@ -642,8 +642,8 @@
 			add("answer", i)
 		}
 		for _, id := range []string{"a", "b"} {
-			if r := m.machines[id].core.Heartbeat(); !m.machines[id].gone {
-				if _, ok := m.entitled(i, &r); ok {
+			if hb := m.machines[id].core.Heartbeat(); !m.machines[id].gone {
+				if _, ok := m.entitled(i, &hb); ok {
 					add("report", id, i)
 					add("lose", id, i)
 				}
@@ -758,17 +758,17 @@
 		m.report(f[1], last, f[0] == "report")
 	case "copy":
 		k, _ := strconv.Atoi(f[1])
-		r := m.duplicateReports[k]
-		now := m.machines[strings.TrimPrefix(r.Machine, "n-")].core.Heartbeat()
-		if r.Incarnation < now.Incarnation {
+		hb := m.duplicateReports[k]
+		now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+		if hb.Incarnation < now.Incarnation {
 			m.reached["a copy from an earlier session"] = true
-		} else if r.Seq < now.Seq {
+		} else if hb.Seq < now.Seq {
 			m.reached["a copy of an older report"] = true
 		}
 		if m.plantedFault == "a report is taken though older" {
-			r.Incarnation, r.Seq, r.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
+			hb.Incarnation, hb.Seq, hb.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
 		}
-		m.handleHeartbeat(last, &r)
+		m.handleHeartbeat(last, &hb)
 	case "release":
 		m.release(last)
 	case "round": // decided and stored
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -61,9 +61,9 @@
 		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.age(leader.fleet.ElectedAt), m.age(leader.viewCurrentAt), m.age(leader.lastReconciled), m.age(leader.monitor.PauseOver()), m.age(leader.lastDecided), len(leader.liveJobs))
 		for _, x := range leader.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
-			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
+			hb := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
 			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
-				int(w.Incarnation)-int(x.Incarnation), int(w.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(w.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
+				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
 				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
@@ -91,13 +91,13 @@
 	}
 	for _, id := range []string{"a", "b"} {
 		w := m.machines[id]
-		r := w.core.Heartbeat()
-		put("%s %v %d %d %d %v", id, w.gone, r.Incarnation, r.FencingToken, m.age(w.answered), r.Tasks)
+		hb := w.core.Heartbeat()
+		put("%s %v %d %d %d %v", id, w.gone, hb.Incarnation, hb.FencingToken, m.age(w.answered), hb.Tasks)
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
-		for _, r := range m.duplicateReports {
-			now := m.machines[strings.TrimPrefix(r.Machine, "n-")].core.Heartbeat()
-			put("%s %d %d %d %v", r.Machine, now.Incarnation-r.Incarnation, int(now.Seq)-int(r.Seq), r.FencingToken, r.Tasks)
+		for _, hb := range m.duplicateReports {
+			now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+			put("%s %d %d %d %v", hb.Machine, now.Incarnation-hb.Incarnation, int(now.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
 		}
 	}
 	if !m.anyOrder {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -31,9 +31,9 @@
 	if live == nil {
 		return -1
 	}
-	shares, _ := l.ownRanges(live)
-	for _, s := range shares {
-		for i := s.From; i < s.To; i++ {
+	ranges, _ := l.ownRanges(live)
+	for _, r := range ranges {
+		for i := r.From; i < r.To; i++ {
 			if j := l.jobStates[job]; (j == nil || !j.finished.Contains(i)) && l.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}) == nil {
 				n++
 			}
@@ -113,8 +113,8 @@
 
 // preemptionFor returns the preemption for a job with the changes of a round.
 func (l *Leader) preemptionFor(d *Draft, job string) *tier.Preemption {
-	if c := d.expansions[job]; c != nil {
-		return c
+	if preemption := d.expansions[job]; preemption != nil {
+		return preemption
 	}
 	return l.preemptions.For(job)
 }
@@ -123,18 +123,18 @@
 // reservation would hold capacity for one task too many.
 func (l *Leader) consumeReservation(d *Draft, p *fleet.Placement) {
 	job := p.Task.Job
-	if c := l.preemptionFor(d, job); c.Reservation(p.Machine).Tasks > 0 {
-		d.expansions[job] = c.WithPlaced(p.Machine)
+	if preemption := l.preemptionFor(d, job); preemption.Reservation(p.Machine).Tasks > 0 {
+		d.expansions[job] = preemption.WithPlaced(p.Machine)
 		d.stale[tier.ReservationKey{Job: job, Machine: p.Machine}] = true
 	}
 }
 
 // startPreemptions adds the preemptions of a plan to a round, as far as they fit in.
 func (l *Leader) startPreemptions(now time.Time, d *Draft, all []scheduler.PlannedReclaim) {
-	for _, c := range all {
-		r := tier.Reservation{Machine: c.Machine, Tier: c.Tier, Level: c.Level, Tasks: c.Tasks, Deadline: now.Add(c.Within).UnixMilli()}
+	for _, reclaim := range all {
+		r := tier.Reservation{Machine: reclaim.Machine, Tier: reclaim.Tier, Level: reclaim.Level, Tasks: reclaim.Tasks, Deadline: now.Add(reclaim.Within).UnixMilli()}
 		r.Stops, r.Awaits = map[string]uint64{}, map[string]uint64{}
-		for _, s := range c.Stops {
+		for _, s := range reclaim.Stops {
 			p := l.fleet.ActivePlacement(wire.TaskID{Job: s.Job.ID, Index: s.TaskIndex})
 			switch {
 			case p == nil:
@@ -144,10 +144,10 @@
 				r.Stops[p.Task.String()] = p.Attempt
 			}
 		}
-		if next := l.preemptionFor(d, c.Job).Add(r); d.Add(store.PreemptionEntry(c.Job, next.Reservation(c.Machine))) {
-			d.expansions[c.Job] = next
-			d.stale[tier.ReservationKey{Job: c.Job, Machine: c.Machine}] = false
-			l.log.Info("preempting for a tier", "job", c.Job, "tier", c.Tier, "machine", c.Machine, "stops", len(r.Stops), "awaits", len(r.Awaits), "round", d.Number)
+		if next := l.preemptionFor(d, reclaim.Job).Add(r); d.Add(store.PreemptionEntry(reclaim.Job, next.Reservation(reclaim.Machine))) {
+			d.expansions[reclaim.Job] = next
+			d.stale[tier.ReservationKey{Job: reclaim.Job, Machine: reclaim.Machine}] = false
+			l.log.Info("preempting for a tier", "job", reclaim.Job, "tier", reclaim.Tier, "machine", reclaim.Machine, "stops", len(r.Stops), "awaits", len(r.Awaits), "round", d.Number)
 		}
 	}
 }
@@ -208,10 +208,10 @@
 // machinesByUrgency lists the machines to call, and how many of them are to launch or preempt for the first
 // tier: these come first, however many calls there are for other work.
 func (l *Leader) machinesByUrgency() (machines []*fleet.Machine, urgent int) {
-	makes := l.preemptions.FirstTierMachines()
+	firstTier := l.preemptions.FirstTierMachines()
 	var others []*fleet.Machine
 	for _, m := range l.fleet.Machines() {
-		if makes[m.ID] || slices.ContainsFunc(m.Placements(), func(p *fleet.Placement) bool { return p.State == fleet.Planned && l.tierRank(p.Task.Job) == 0 }) {
+		if firstTier[m.ID] || slices.ContainsFunc(m.Placements(), func(p *fleet.Placement) bool { return p.State == fleet.Planned && l.tierRank(p.Task.Job) == 0 }) {
 			machines = append(machines, m)
 		} else {
 			others = append(others, m)
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -15,8 +15,8 @@
 )
 
 // tier configures a tier; their order is that in which they are named.
-func (b *traceDriver) tier(name string, kv map[string]string) {
-	t := tier.Tier{Name: name, Order: len(b.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
+func (driver *traceDriver) tier(name string, kv map[string]string) {
+	t := tier.Tier{Name: name, Order: len(driver.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(kv["cards"], 64)
 	if kv["priority"] != "" {
 		t.Priorities = strings.Split(kv["priority"], ",")
@@ -27,19 +27,19 @@
 	if kv["lend"] != "" {
 		t.LendsTo = strings.Split(kv["lend"], ",")
 	}
-	b.cfg.Tuning.Tiers = append(b.cfg.Tuning.Tiers, t)
+	driver.cfg.Tuning.Tiers = append(driver.cfg.Tuning.Tiers, t)
 }
 
 // preemptionsNow describes what the leader preempts for tiers.
-func (b *traceDriver) preemptionsNow() []string {
+func (driver *traceDriver) preemptionsNow() []string {
 	out := []string{}
-	for _, job := range b.leader.preemptions.Jobs() {
-		for _, r := range b.leader.preemptions.For(job).Reservations {
+	for _, job := range driver.leader.preemptions.Jobs() {
+		for _, r := range driver.leader.preemptions.For(job).Reservations {
 			out = append(out, fmt.Sprintf("for %d of %s (%s) on %s in %v: stops %v, awaits %v", r.Tasks, job, r.Tier, r.Machine,
-				time.UnixMilli(r.Deadline).Sub(b.now), sortedKeys(r.Stops), sortedKeys(r.Awaits)))
+				time.UnixMilli(r.Deadline).Sub(driver.now), sortedKeys(r.Stops), sortedKeys(r.Awaits)))
 		}
 	}
-	for _, s := range b.leader.preemptions.Statuses() {
+	for _, s := range driver.leader.preemptions.Statuses() {
 		if s.Share > 0 {
 			out = append(out, fmt.Sprintf("%v of %v cards in use, %v lent, %d tasks wait", s.Cards, s.Share, s.Lent, s.Waiting))
 		}
@@ -61,8 +61,8 @@
 	pendingEnds []func()
 }
 
-func newWorkerModel(b *traceDriver, machines ...string) *workerModel {
-	w := &workerModel{traceDriver: b, tasksOn: map[string]map[string]wire.ReportedTask{}, stubborn: map[string]bool{}, stopped: map[string]bool{}}
+func newWorkerModel(driver *traceDriver, machines ...string) *workerModel {
+	w := &workerModel{traceDriver: driver, tasksOn: map[string]map[string]wire.ReportedTask{}, stubborn: map[string]bool{}, stopped: map[string]bool{}}
 	for _, m := range machines {
 		w.tasksOn[m] = map[string]wire.ReportedTask{}
 	}
@@ -83,12 +83,12 @@
 func (w *workerModel) heartbeat() {
 	for _, m := range sortedKeys(w.tasksOn) {
 		w.seq++
-		r := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.token}
+		hb := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 		for _, task := range sortedKeys(w.tasksOn[m]) {
-			r.Tasks = append(r.Tasks, w.tasksOn[m][task])
+			hb.Tasks = append(hb.Tasks, w.tasksOn[m][task])
 		}
-		a, _ := w.leader.HandleHeartbeat(w.now, r, true)
-		for _, c := range a.Commands {
+		response, _ := w.leader.HandleHeartbeat(w.now, hb, true)
+		for _, c := range response.Commands {
 			w.do(m, c)
 		}
 	}
@@ -182,13 +182,13 @@
 }
 
 // play takes the steps of a trace that play the workers.
-func (b *traceDriver) play(w []string) []string {
-	v := b.preemptionCheck
+func (driver *traceDriver) play(w []string) []string {
+	v := driver.preemptionCheck
 	switch w[0] {
 	case "workers":
-		b.preemptionCheck = newWorkerModel(b, w[1:]...)
-		b.preemptionCheck.token = 1
-		b.preemptionCheck.failover()
+		driver.preemptionCheck = newWorkerModel(driver, w[1:]...)
+		driver.preemptionCheck.token = 1
+		driver.preemptionCheck.failover()
 		return nil
 	case "stubborn":
 		v.stubborn[w[1]] = true
@@ -202,7 +202,7 @@
 		return nil
 	case "lose":
 		delete(v.tasksOn, w[1])
-		b.step("released " + w[1])
+		driver.step("released " + w[1])
 	case "crash":
 		v.second(w[1])
 	case "play":
@@ -250,53 +250,53 @@
 
 // lentOut returns a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
 func lentOut(t *testing.T) *workerModel {
-	b := newTraceDriver(t)
-	b.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
-	b.tier("batch", map[string]string{"priority": "normal"})
-	b.step("job wk-1 sweep team=blue tasks=12")
-	b.play([]string{"workers", "n-1", "n-2", "n-3"})
+	driver := newTraceDriver(t)
+	driver.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
+	driver.tier("batch", map[string]string{"priority": "normal"})
+	driver.step("job wk-1 sweep team=blue tasks=12")
+	driver.play([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
 		if s == 6 { // young tasks lose least and are preempted first, until a new leader no longer knows their age
-			for _, task := range sortedKeys(b.preemptionCheck.tasksOn["n-3"]) {
-				b.preemptionCheck.end("n-3", task, wire.CauseStopped)
+			for _, task := range sortedKeys(driver.preemptionCheck.tasksOn["n-3"]) {
+				driver.preemptionCheck.end("n-3", task, wire.CauseStopped)
 			}
 		}
-		b.preemptionCheck.second("")
+		driver.preemptionCheck.second("")
 	}
-	if b.preemptionCheck.running("wk-1") != 12 {
+	if driver.preemptionCheck.running("wk-1") != 12 {
 		t.Fatal("not all cards are lent")
 	}
-	b.step("job wk-2 service team=blue tasks=6 priority=high")
-	b.preemptionCheck.checkpointS = 4
-	return b.preemptionCheck
+	driver.step("job wk-2 service team=blue tasks=6 priority=high")
+	driver.preemptionCheck.checkpointS = 4
+	return driver.preemptionCheck
 }
 
 // TestFloodOfLesserWork: however much lesser work comes, the first tier's tasks run as soon
 // as if there were little. Machines and calls are full in both cases.
 func TestFloodOfLesserWork(t *testing.T) {
 	waits := func(flood int) (out []int) {
-		b := newTraceDriver(t)
-		b.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
-		b.tier("batch", map[string]string{})
+		driver := newTraceDriver(t)
+		driver.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
+		driver.tier("batch", map[string]string{})
 		var machines []string
 		for i := range 100 {
 			machines = append(machines, fmt.Sprintf("n-%03d", i))
 		}
-		b.step("job wk-0 sweep team=blue tasks=500")
-		b.play(append([]string{"workers"}, machines...))
+		driver.step("job wk-0 sweep team=blue tasks=500")
+		driver.play(append([]string{"workers"}, machines...))
 		since := map[string]int{}
 		for s := range 60 {
 			for i := range flood {
-				b.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=100", 1000+s*flood+i))
+				driver.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=100", 1000+s*flood+i))
 			}
 			if s > 10 && s%5 == 0 {
 				id := fmt.Sprintf("wk-9%05d", s)
-				b.step("job " + id + " service team=blue tasks=2 priority=production")
+				driver.step("job " + id + " service team=blue tasks=2 priority=production")
 				since[id] = s
 			}
-			b.preemptionCheck.second("")
+			driver.preemptionCheck.second("")
 			for _, id := range sortedKeys(since) {
-				if b.preemptionCheck.running(id) == 2 {
+				if driver.preemptionCheck.running(id) == 2 {
 					out = append(out, s-since[id])
 					delete(since, id)
 				}
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -15,13 +15,13 @@
 	if l.sharding.IsSingle() {
 		return []store.ShardRange{{From: 0, To: live.Record.Tasks, Shard: l.lease.Shard}}, 0
 	}
-	for _, s := range l.assignment.Ranges(live) {
+	for _, r := range l.assignment.Ranges(live) {
 		switch {
-		case s.Done, !s.Within(live.Record.Tasks):
-		case s.Shard == l.lease.Shard:
-			own = append(own, s)
+		case r.Done, !r.Within(live.Record.Tasks):
+		case r.Shard == l.lease.Shard:
+			own = append(own, r)
 		default:
-			elsewhere += s.To - s.From
+			elsewhere += r.To - r.From
 		}
 	}
 	return own, elsewhere
@@ -33,8 +33,8 @@
 		return j.finished.Count() >= live.Record.Tasks
 	}
 	own, _ := l.ownRanges(live)
-	for _, s := range own {
-		for i := s.From; i < s.To; i++ {
+	for _, r := range own {
+		for i := r.From; i < r.To; i++ {
 			if !j.finished.Contains(i) {
 				return false
 			}
@@ -110,5 +110,5 @@
 
 // gangCompleted reports whether another shard has seen a gang complete: its tasks do so together.
 func gangCompleted(live *store.LiveJob, ranges []store.ShardRange) bool {
-	return live.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(s store.ShardRange) bool { return s.Done })
+	return live.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(r store.ShardRange) bool { return r.Done })
 }
--- a/internal/leader/resharding.go
+++ b/internal/leader/resharding.go
@@ -51,8 +51,8 @@
 
 // dropPreviousLedgers drops the ledgers of earlier shardings once none needs them. The leader of the first shard does it.
 func (l *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
-	g := snap.Sharding
-	if len(g.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= dropChanges || !l.previousLedgersUnused(snap) {
+	sharding := snap.Sharding
+	if len(sharding.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= dropChanges || !l.previousLedgersUnused(snap) {
 		return
 	}
 	segments := l.jobIndex.PreviousLedgerSlots()
@@ -62,8 +62,8 @@
 	if len(segments) > 0 {
 		return
 	}
-	d.AddChangeIf(wire.Condition{Key: store.ShardingKey, Version: g.Version},
-		wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: g.Record.Text, Generation: g.Record.Generation}})
+	d.AddChangeIf(wire.Condition{Key: store.ShardingKey, Version: sharding.Version},
+		wire.Operation{Put: store.ShardingKey, Value: store.ShardingRecord{Text: sharding.Record.Text, Generation: sharding.Record.Generation}})
 	l.log.Info("previous ledgers dropped", "generation", l.assignment.Generation())
 }
 
--- a/internal/leader/round_size_test.go
+++ b/internal/leader/round_size_test.go
@@ -24,24 +24,24 @@
 		{4, 2, 4, "fleet"},
 	} {
 		t.Run(fmt.Sprint(c.rps, " of ", c.siblings+1, " in ", c.parts), func(t *testing.T) {
-			b := newTraceDriver(t)
-			b.cfg.Store.WriteRPS, b.cfg.Store.TxnOps = c.rps, 24
-			b.cfg.Peers = make([]config.Peer, c.siblings)
+			driver := newTraceDriver(t)
+			driver.cfg.Store.WriteRPS, driver.cfg.Store.TxnOps = c.rps, 24
+			driver.cfg.Peers = make([]config.Peer, c.siblings)
 			var tasks []string
 			for i := range 40 {
-				b.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=1 gpus=0.1", i))
+				driver.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=1 gpus=0.1", i))
 				tasks = append(tasks, fmt.Sprintf("wk-%d/0#1.%d ended done", i, i+1))
 			}
 			if c.parts != "fleet" {
-				b.step("parts " + c.parts)
+				driver.step("parts " + c.parts)
 			}
-			b.step("claim term=2")
-			b.step("report n-1 1/1 term=2: " + strings.Join(tasks, ", "))
-			b.step("round")
-			if b.draft == nil || len(b.draft.done) == 0 {
+			driver.step("claim term=2")
+			driver.step("report n-1 1/1 term=2: " + strings.Join(tasks, ", "))
+			driver.step("round")
+			if driver.draft == nil || len(driver.draft.done) == 0 {
 				t.Fatal("no job has ended in this round")
 			}
-			if n := len(b.draft.Txn.Then); n > c.most {
+			if n := len(driver.draft.Txn.Then); n > c.most {
 				t.Errorf("%d changes in a round, of which %d surely pass", n, c.most)
 			}
 		})
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -50,9 +50,9 @@
 
 // scaleOutLoop sends the requests whose intents are stored. Which one is next is decided when the cloud takes
 // the next call, not before: waiting for a turn may take seconds.
-func (l *Leader) scaleOutLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) scaleOutLoop(ctx context.Context, deps Dependencies) error {
 	for ctx.Err() == nil {
-		if l.nextScaleOut(time.Now()) == nil || !e.LeaseValid() {
+		if l.nextScaleOut(time.Now()) == nil || !deps.LeaseValid() {
 			t := time.NewTimer(scaleOutPoll)
 			select {
 			case <-ctx.Done():
@@ -62,11 +62,11 @@
 			t.Stop()
 			continue
 		}
-		if e.Cloud.WaitForScaleOut(ctx) != nil || !e.LeaseValid() {
+		if deps.Cloud.WaitForScaleOut(ctx) != nil || !deps.LeaseValid() {
 			continue
 		}
 		if r := l.takeScaleOut(time.Now()); r != nil {
-			go l.sendScaleOut(ctx, e, r.Name, r.ScaleOut)
+			go l.sendScaleOut(ctx, deps, r.Name, r.ScaleOut)
 		}
 	}
 	return nil
@@ -92,8 +92,8 @@
 
 // sendScaleOut sends a request. It is repeated until the cloud has decided; its name makes sure that it is
 // carried out only once.
-func (l *Leader) sendScaleOut(ctx context.Context, e Dependencies, name string, r scheduler.ScaleOut) {
-	names, err := e.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
+func (l *Leader) sendScaleOut(ctx context.Context, deps Dependencies, name string, r scheduler.ScaleOut) {
+	names, err := deps.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
 	if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 		l.scaledOut(time.Now(), name, names)
 		return
@@ -123,10 +123,10 @@
 }
 
 // scaleInLoop returns released machines to the cloud, and repeats that until the cloud has acknowledged it.
-func (l *Leader) scaleInLoop(ctx context.Context, e Dependencies) error {
+func (l *Leader) scaleInLoop(ctx context.Context, deps Dependencies) error {
 	for ctx.Err() == nil {
-		if names := l.pendingReleases(); len(names) > 0 && e.LeaseValid() {
-			if err := e.Cloud.Release(ctx, names); err == nil {
+		if names := l.pendingReleases(); len(names) > 0 && deps.LeaseValid() {
+			if err := deps.Cloud.Release(ctx, names); err == nil {
 				l.scaledIn(names)
 			} else {
 				l.log.Debug("scale-in without an answer", "machines", names, "err", err)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -82,13 +82,13 @@
 
 // addRequestedMachines adds the machines that were requested of the cloud and are not there yet.
 func (l *Leader) addRequestedMachines(now time.Time, snapshot *scheduler.Snapshot) {
-	for _, a := range l.scaler.Pending() {
-		if !l.zones.Record(a.Zone).AcceptsScaleOut(now) {
+	for _, request := range l.scaler.Pending() {
+		if !l.zones.Record(request.Zone).AcceptsScaleOut(now) {
 			continue // it is not known when it could be reached
 		}
-		for range a.Count {
-			snapshot.Machines = append(snapshot.Machines, &scheduler.Machine{Type: a.Type, Zone: a.Zone, Spot: a.Spot,
-				Booting: true, Free: capacityOf(l.machineType(a.Type))})
+		for range request.Count {
+			snapshot.Machines = append(snapshot.Machines, &scheduler.Machine{Type: request.Type, Zone: request.Zone, Spot: request.Spot,
+				Booting: true, Free: capacityOf(l.machineType(request.Type))})
 		}
 	}
 }
@@ -125,12 +125,12 @@
 		t.machines = make(map[string]*scheduler.IdleCapacity, len(machines))
 	}
 	for _, m := range machines {
-		s := t.machines[m.ID]
-		if s == nil {
-			s = new(scheduler.IdleCapacity)
-			t.machines[m.ID] = s
+		idle := t.machines[m.ID]
+		if idle == nil {
+			idle = new(scheduler.IdleCapacity)
+			t.machines[m.ID] = idle
 		}
-		m.IdleCapacity = s.Record(now, m.Free)
+		m.IdleCapacity = idle.Record(now, m.Free)
 	}
 }
 
@@ -202,8 +202,8 @@
 // addWaiting adds the tasks within ranges that have not finished and are placed nowhere, as many as
 // a round may launch.
 func (l *Leader) addWaiting(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
-	for _, s := range ranges {
-		for i := s.From; i < s.To && len(j.Waiting) < l.cfg.Tuning.RoundTasks; i++ {
+	for _, r := range ranges {
+		for i := r.From; i < r.To && len(j.Waiting) < l.cfg.Tuning.RoundTasks; i++ {
 			if state != nil && state.finished.Contains(i) || l.fleet.ActivePlacement(wire.TaskID{Job: j.ID, Index: i}) != nil {
 				continue
 			}
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -14,39 +14,39 @@
 func TestStallIsTold(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		plant func(c *largeFleet)
+		plant func(f *largeFleet)
 		cause stall.Cause
 	}{
 		{"all is well", func(*largeFleet) {}, ""},
-		{"the ledger has no room", func(c *largeFleet) { c.ledger, _ = store.NewLedger("fleet", 300, nil) }, stall.CauseLedger},
-		{"nor for rentals", func(c *largeFleet) {
-			c.ledger, _ = store.NewLedger("fleet", 300, nil)
-			c.heartbeats = nil // no machine sends heartbeats any more
+		{"the ledger has no room", func(f *largeFleet) { f.ledger, _ = store.NewLedger("fleet", 300, nil) }, stall.CauseLedger},
+		{"nor for rentals", func(f *largeFleet) {
+			f.ledger, _ = store.NewLedger("fleet", 300, nil)
+			f.heartbeats = nil // no machine sends heartbeats any more
 		}, stall.CauseScaleOut},
 		{"every round is refused", nil, stall.CauseRefused},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c := newLargeFleet(t, 60, 1)
-			c.cfg.Tuning.Idle = time.Hour
+			f := newLargeFleet(t, 60, 1)
+			f.cfg.Tuning.Idle = time.Hour
 			var logged strings.Builder
-			c.log = slog.New(slog.NewTextHandler(&logged, nil))
+			f.log = slog.New(slog.NewTextHandler(&logged, nil))
 			if x.plant != nil {
-				x.plant(c)
+				x.plant(f)
 			}
 			for range 50 {
 				if x.plant != nil {
-					c.runRound()
-					c.heartbeatAll()
+					f.runRound()
+					f.heartbeatAll()
 					continue
 				}
-				c.now = c.now.Add(time.Second)
-				if d := c.Decide(c.now, c.view.Snapshot()); d != nil {
-					c.roundUnwritten(c.now, d, stall.CauseRefused)
-					c.Discard(d)
+				f.now = f.now.Add(time.Second)
+				if d := f.Decide(f.now, f.view.Snapshot()); d != nil {
+					f.roundUnwritten(f.now, d, stall.CauseRefused)
+					f.Discard(d)
 				}
-				c.heartbeatAll()
+				f.heartbeatAll()
 			}
-			got, is := c.Stall(c.now)
+			got, is := f.Stall(f.now)
 			if is != (x.cause != "") || got.Cause != x.cause {
 				t.Fatalf("%+v, %v, not %q", got, is, x.cause)
 			}
@@ -61,17 +61,17 @@
 func TestNoStallWithoutRoom(t *testing.T) {
 	for name, teams := range map[string]int{"full": 0, "at the limits": 15} {
 		t.Run(name, func(t *testing.T) {
-			c := newLargeFleetOf(t, 60, 1, teams)
-			for i := range c.cfg.Teams {
+			f := newLargeFleetOf(t, 60, 1, teams)
+			for i := range f.cfg.Teams {
 				if teams > 0 {
-					c.cfg.Teams[i].GPUsMax = 6
+					f.cfg.Teams[i].GPUsMax = 6
 				}
 			}
 			for range 120 {
-				c.runRound()
-				c.heartbeatAll()
+				f.runRound()
+				f.heartbeatAll()
 			}
-			if got, is := c.Stall(c.now); is {
+			if got, is := f.Stall(f.now); is {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -39,8 +39,8 @@
 	if l.rebuiltReachable {
 		s.Rooms = l.forecast.freeCapacity
 	}
-	for _, short := range l.forecast.unplaced {
-		s.Backlog += short.Coming + short.Unserved
+	for _, unplaced := range l.forecast.unplaced {
+		s.Backlog += unplaced.Coming + unplaced.Unserved
 	}
 	l.display.status, l.display.statusAt = s, now
 	return s
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -43,9 +43,9 @@
 }
 
 func newTraceDriver(t *testing.T) *traceDriver {
-	b := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	b.view.Load(nil, 0, &wire.WatchResponse{})
-	return b
+	driver := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	driver.view.Load(nil, 0, &wire.WatchResponse{})
+	return driver
 }
 
 func traceConfig() *config.Config {
@@ -55,19 +55,19 @@
 }
 
 // apply puts changes into the view, as the watch would.
-func (b *traceDriver) apply(then ...wire.Operation) {
-	b.revision++
-	ch := &wire.WatchResponse{Revision: b.revision}
+func (driver *traceDriver) apply(then ...wire.Operation) {
+	driver.revision++
+	ch := &wire.WatchResponse{Revision: driver.revision}
 	for _, c := range then {
-		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: b.revision})
+		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: driver.revision})
 	}
-	b.view.Apply(ch)
+	driver.view.Apply(ch)
 }
 
 func attempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
 
 // parseTasks reads "wk-1/0#5.1 running" and the like, separated by commas.
-func (b *traceDriver) parseTasks(text string) []wire.ReportedTask {
+func (driver *traceDriver) parseTasks(text string) []wire.ReportedTask {
 	var out []wire.ReportedTask
 	for _, item := range strings.Split(text, ",") {
 		f := strings.Fields(item)
@@ -80,7 +80,7 @@
 		lo, _ := strconv.ParseUint(seq, 10, 64)
 		id, err := wire.ParseTaskID(name)
 		if err != nil {
-			b.t.Fatal(err)
+			driver.t.Fatal(err)
 		}
 		task := wire.ReportedTask{Task: name, ID: id, Attempt: hi<<24 | lo, State: wire.TaskState(f[1])}
 		if len(f) > 2 {
@@ -91,7 +91,7 @@
 	return out
 }
 
-func (b *traceDriver) step(line string) []string {
+func (driver *traceDriver) step(line string) []string {
 	step, tasks, _ := strings.Cut(line, ":")
 	w, kv := simulator.Words(step)
 	num := func(key string, otherwise int) int {
@@ -110,97 +110,97 @@
 		j.Spread, j.OneZone, j.EstimateS = kv["spread"] != "", kv["one_zone"] != "", float64(num("estimate", 0))
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: j.Tasks, Job: j}
 		if kv["age"] != "" {
-			rec.Created = b.now.Add(-time.Duration(num("age", 0)) * time.Second).UnixMilli()
+			rec.Created = driver.now.Add(-time.Duration(num("age", 0)) * time.Second).UnixMilli()
 		}
 		if kv["key"] == "own" { // as version 1 stored it
-			b.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
+			driver.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
 			break
 		}
-		b.apply(wire.Operation{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
+		driver.apply(wire.Operation{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
 	case "batch": // jobs accepted together, as one record
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for _, id := range w[2:] {
 			j := &wire.Job{ID: id, Class: "c", Shape: wire.Array, Team: "blue", Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: j}
 		}
-		b.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
+		driver.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
 	case "cancel":
-		job, _ := b.view.Live(w[1])
+		job, _ := driver.view.Live(w[1])
 		r := job.Batch.Update()
-		r.EndJob(w[1], wire.Cancelled, b.now)
-		b.apply(r.Change())
+		r.EndJob(w[1], wire.Cancelled, driver.now)
+		driver.apply(r.Change())
 	case "fold": // the leader has moved jobs out of their homes
-		b.compact(w[1:])
+		driver.compact(w[1:])
 	case "machine":
 		rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
-		for _, t := range b.parseTasks(strings.ReplaceAll(kv["holds"], ",", " running,") + " running") {
+		for _, t := range driver.parseTasks(strings.ReplaceAll(kv["holds"], ",", " running,") + " running") {
 			rec.Tasks[t.Task] = t.Attempt
 		}
-		b.addToPreviousSlot(store.MachineEntry(w[1], rec))
+		driver.addToPreviousSlot(store.MachineEntry(w[1], rec))
 	case "ask":
-		b.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
+		driver.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
 	case "zone": // its state, as an earlier leader has left it
-		b.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Outages: num("falls", 1)}))
+		driver.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: driver.now.UnixMilli(), Outages: num("falls", 1)}))
 	case "zones":
 		var out []string
-		for _, name := range sortedKeys(b.leader.ZoneRecords()) {
-			r := b.leader.ZoneRecords()[name]
+		for _, name := range sortedKeys(driver.leader.ZoneRecords()) {
+			r := driver.leader.ZoneRecords()[name]
 			out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
 		}
 		return out
 	case "return": // of a zone, as an earlier leader has left it
-		b.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Work: float64(num("work", 0))}))
+		driver.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: driver.now.UnixMilli(), Work: float64(num("work", 0))}))
 	case "returns":
 		var out []string
-		for _, name := range sortedKeys(b.leader.ZoneRecoveries()) {
-			out = append(out, name+": "+b.leader.ZoneRecoveries()[name])
+		for _, name := range sortedKeys(driver.leader.ZoneRecoveries()) {
+			out = append(out, name+": "+driver.leader.ZoneRecoveries()[name])
 		}
 		return out
 	case "sibling": // a controller in a zone, and how many machines of one it hears, and doesn't
-		if b.observers == nil {
-			b.observers = map[string]zone.Observer{}
+		if driver.observers == nil {
+			driver.observers = map[string]zone.Observer{}
 		}
-		b.observers[w[1]] = zone.Observer{Zone: w[2], Observations: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
-		b.cfg.Peers = make([]config.Peer, len(b.observers))
-		b.leader.SetObservers(b.observers)
+		driver.observers[w[1]] = zone.Observer{Zone: w[2], Observations: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
+		driver.cfg.Peers = make([]config.Peer, len(driver.observers))
+		driver.leader.SetObservers(driver.observers)
 	case "tier":
-		b.tier(w[1], kv)
+		driver.tier(w[1], kv)
 	case "workers", "play", "crash", "stubborn", "finish", "lose": // with workers that do as they are told
-		return b.play(w)
+		return driver.play(w)
 	case "claims": // what is being claimed back
-		return b.preemptionsNow()
+		return driver.preemptionsNow()
 	case "claim":
-		return b.claim(uint64(num("term", 1)))
+		return driver.claim(uint64(num("term", 1)))
 	case "parts": // the fleet is in parts by zone, of which the first is claimed here
-		b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
+		driver.cfg.Tuning.Shards.By, driver.cfg.Zones, driver.shard = "zone", w[1:], w[1]
 	case "divided": // anew, into parts by zone, of which the first is claimed here, or into one
-		b.cfg.Tuning.Shards.By, b.shard = "off", "fleet"
+		driver.cfg.Tuning.Shards.By, driver.shard = "off", "fleet"
 		if len(w) > 1 {
-			b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
+			driver.cfg.Tuning.Shards.By, driver.cfg.Zones, driver.shard = "zone", w[1:], w[1]
 		}
-		state := b.view.ShardingState()
-		txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
-			rec, _ := b.view.Job(job)
+		state := driver.view.ShardingState()
+		txn, err := reshard.Transaction(&state, driver.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
+			rec, _ := driver.view.Job(job)
 			return rec.TaskDemand()
 		})
 		if err != nil {
 			return []string{err.Error()}
 		}
-		b.apply(txn.Then...)
-		b.previousSlot, b.slot = store.SegmentRecord{}, 0
+		driver.apply(txn.Then...)
+		driver.previousSlot, driver.slot = store.SegmentRecord{}, 0
 	case "small": // values may hold little more than they do
-		b.cfg.Store.ValueBytes = 500
+		driver.cfg.Store.ValueBytes = 500
 	case "carried": // another shard has taken over what is of its machines
-		b.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], b.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: b.view.Sharding().Record.Generation}})
+		driver.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], driver.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: driver.view.Sharding().Record.Generation}})
 	case "finished": // tasks of a job, as the ledger says
 		done := store.NewTaskSet(0)
 		for _, text := range w[2:] {
 			n, _ := strconv.Atoi(text)
 			done.Add(n)
 		}
-		b.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
+		driver.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
 	case "order": // what the part that leads a gang has written
-		job, _ := b.view.Live(w[1])
+		job, _ := driver.view.Live(w[1])
 		r := job.Batch.Update()
 		if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[w[2]] > 0 {
 			r.SetCoAllocation(w[1], orders[w[2]])
@@ -210,22 +210,22 @@
 			lo, _ := strconv.ParseUint(seq, 10, 64)
 			r.SetCoAllocation(w[1], hi<<24|lo)
 		}
-		b.apply(r.Change())
+		driver.apply(r.Change())
 	case "gave": // another shard has given what it had of a job to this one
-		job, _ := b.view.Live(w[1])
+		job, _ := driver.view.Live(w[1])
 		r := job.Batch.Update()
-		r.AssignRanges(w[1], parseShares(b.t, w[2:]), b.view.Sharding().Record.Generation)
-		b.apply(r.Change())
+		r.AssignRanges(w[1], parseShares(driver.t, w[2:]), driver.view.Sharding().Record.Generation)
+		driver.apply(r.Change())
 	case "done": // another shard has finished all that it has of a job, of which the record says no more
-		job, _ := b.view.Live(w[1])
+		job, _ := driver.view.Live(w[1])
 		r := job.Batch.Update()
-		r.MarkFinishedIn(w[1], store.LedgerName(w[2], b.view.Sharding().Record.Generation))
-		b.apply(r.Change())
+		r.MarkFinishedIn(w[1], store.LedgerName(w[2], driver.view.Sharding().Record.Generation))
+		driver.apply(r.Change())
 	case "shares": // of a job's tasks, as the record says
-		job, _ := b.view.Live(w[1])
+		job, _ := driver.view.Live(w[1])
 		r := job.Batch.Update()
-		r.AssignRanges(w[1], parseShares(b.t, w[2:]), 0)
-		b.apply(r.Change())
+		r.AssignRanges(w[1], parseShares(driver.t, w[2:]), 0)
+		driver.apply(r.Change())
 	case "others": // what another shard has said of itself
 		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
 			Zones: map[string]reachability.ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
@@ -233,98 +233,98 @@
 			s.Ready = []string{kv["ready"]}
 		}
 		if n := num("want", 0); n > 0 {
-			s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
+			s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: num("rank", 1), Since: driver.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
 		}
 		s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(num("stays", 0))}}
-		b.leader.SetPeerShards(map[string]ShardStatus{w[1]: s}, 1)
+		driver.leader.SetPeerShards(map[string]ShardStatus{w[1]: s}, 1)
 	case "grants": // of the GPUs of the team red
 		rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
 		for part, text := range kv {
 			n, _ := strconv.Atoi(text)
 			rec.Teams["red"][part] = [2]float64{0, float64(n)}
 		}
-		b.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
+		driver.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
 	case "regrant":
-		rg := b.leader.ProposeGrants()
+		rg := driver.leader.ProposeGrants()
 		if rg == nil {
 			return []string{"nothing to change"}
 		}
-		b.grantChange = rg
-		out := []string{fmt.Sprintf("put grant %v", b.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
-		for _, c := range b.grantChange.Txn.If {
+		driver.grantChange = rg
+		out := []string{fmt.Sprintf("put grant %v", driver.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
+		for _, c := range driver.grantChange.Txn.If {
 			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 		}
 		return out
 	case "regranted": // taken or not, and seen
 		if w[1] == "taken" {
-			b.apply(b.grantChange.Txn.Then...)
+			driver.apply(driver.grantChange.Txn.Then...)
 		}
-		b.leader.GrantsSettled(b.view.Snapshot().QuotaGrants)
+		driver.leader.GrantsSettled(driver.view.Snapshot().QuotaGrants)
 	case "spends": // what the part may spend of the team red
-		pic := b.leader.clusterSnapshot(b.now)
+		pic := driver.leader.clusterSnapshot(driver.now)
 		return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].LimitGPUs, pic.Teams["red"].UsedGPUs, pic.Teams["red"].RemoteUsedGPUs)}
 	case "wait":
 		d, _ := time.ParseDuration(w[1])
-		b.now = b.now.Add(d)
+		driver.now = driver.now.Add(d)
 	case "report", "inspected":
-		return b.report(w, kv["zone"], uint64(num("term", 0)), tasks)
+		return driver.report(w, kv["zone"], uint64(num("term", 0)), tasks)
 	case "round":
-		return b.round(w[1:])
+		return driver.round(w[1:])
 	case "raises": // calls that a peer may make
 		var out []string
-		for _, c := range b.leader.FencingCalls(b.now, num("most", 9)) {
+		for _, c := range driver.leader.FencingCalls(driver.now, num("most", 9)) {
 			out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
 		}
 		return out
 	case "raised": // by a peer, in vain or with a report
 		if slices.Contains(w, "vain") {
-			b.leader.FencingCallDone(b.now, w[1], nil)
+			driver.leader.FencingCallDone(driver.now, w[1], nil)
 			break
 		}
 		session, seq, _ := strings.Cut(w[2], "/")
 		s, _ := strconv.ParseUint(session, 10, 64)
 		q, _ := strconv.ParseUint(seq, 10, 64)
-		b.leader.FencingCallDone(b.now, w[1], &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(num("term", 0)), Tasks: b.parseTasks(tasks)})
+		driver.leader.FencingCallDone(driver.now, w[1], &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(num("term", 0)), Tasks: driver.parseTasks(tasks)})
 	case "odd": // reports that changed nothing
-		odd := b.leader.RejectedHeartbeats()
+		odd := driver.leader.RejectedHeartbeats()
 		return []string{fmt.Sprintf("%d late, %d impossible", odd.Stale, odd.Impossible)}
 	case "seen": // the view holds all that is in the store by now
-		b.view.MarkCurrent(b.now)
+		driver.view.MarkCurrent(driver.now)
 	case "tend": // while a round waits for the store
-		b.leader.Reconcile(b.now, b.view.Snapshot())
+		driver.leader.Reconcile(driver.now, driver.view.Snapshot())
 	case "entitled": // the claim was renewed just now
-		return []string{fmt.Sprint(b.leader.MayAnswer(b.now, true, b.now))}
+		return []string{fmt.Sprint(driver.leader.MayAnswer(driver.now, true, driver.now))}
 	case "refused": // the round that had no answer will never be in the store
-		b.leader.Discard(b.draft)
+		driver.leader.Discard(driver.draft)
 	case "older": // what was left so far stands in a slot of its own
 		n, _ := strconv.Atoi(w[1])
-		b.previousSlot, b.slot = store.SegmentRecord{}, n
+		driver.previousSlot, driver.slot = store.SegmentRecord{}, n
 	case "drop":
-		b.addToPreviousSlot(store.DropMachine(w[1]))
+		driver.addToPreviousSlot(store.DropMachine(w[1]))
 	case "taken": // the round that had no answer turns out to be in the store
-		b.commit()
+		driver.commit()
 	case "direct":
-		return b.directCalls(w[1:])
+		return driver.directCalls(w[1:])
 	case "answered": // what became of the direct calls that were left open
-		b.leader.fleet.CallFinished(b.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
-		b.open = nil
+		driver.leader.fleet.CallFinished(driver.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
+		driver.open = nil
 	case "rented":
 		names := w[2:]
 		for i := range num("got", 0) {
 			names = append(names, fmt.Sprintf("%s-%02d", w[1], i))
 		}
-		b.leader.scaledOut(b.now, w[1], names)
+		driver.leader.scaledOut(driver.now, w[1], names)
 	case "asks":
 		var out []string
-		for _, a := range b.leader.scaler.Pending() {
-			out = append(out, fmt.Sprintf("%s for %d in %s", a.Name, a.Count, a.Zone))
+		for _, request := range driver.leader.scaler.Pending() {
+			out = append(out, fmt.Sprintf("%s for %d in %s", request.Name, request.Count, request.Zone))
 		}
 		return out
 	case "send": // the rentals that may be
 		var out []string
-		for i := 0; i < num("most", 99) && b.leader.nextScaleOut(b.now) != nil; i++ {
-			a := b.leader.takeScaleOut(b.now)
-			out = append(out, fmt.Sprintf("send %s for %d in %s", a.Name, a.Count, a.Zone))
+		for i := 0; i < num("most", 99) && driver.leader.nextScaleOut(driver.now) != nil; i++ {
+			request := driver.leader.takeScaleOut(driver.now)
+			out = append(out, fmt.Sprintf("send %s for %d in %s", request.Name, request.Count, request.Zone))
 		}
 		return out
 	case "listed":
@@ -332,25 +332,25 @@
 		for _, id := range w[1:] {
 			list = append(list, wire.ListedMachine{ID: id, Type: "g4", Zone: "a", Stage: wire.MachineRunning})
 		}
-		b.leader.handleMachineList(b.now, b.now, list)
+		driver.leader.handleMachineList(driver.now, driver.now, list)
 	case "released": // the cloud has acknowledged it
-		b.leader.fleet.MarkReleased(w[1])
-		b.leader.forgetMachine(w[1], "released")
+		driver.leader.fleet.MarkReleased(w[1])
+		driver.leader.forgetMachine(w[1], "released")
 	case "ending": // jobs that must not be compacted yet
-		jobs, ok := b.leader.UnfinishedJobs()
+		jobs, ok := driver.leader.UnfinishedJobs()
 		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
 	case "calls": // to machines, one after the other, all of which have the same end
 		for _, id := range w[2:] {
-			b.leader.monitor.NoteCallResult(b.now, id, w[1] == "answered")
+			driver.leader.monitor.NoteCallResult(driver.now, id, w[1] == "answered")
 		}
 	case "unreached": // whether hardly any call gets through to machines that are heard
-		return []string{fmt.Sprint(b.leader.CallsFailing(b.now))}
+		return []string{fmt.Sprint(driver.leader.CallsFailing(driver.now))}
 	case "deaf": // how many machines the leader does not hear, by no fault of theirs
-		return []string{fmt.Sprint(b.leader.UnreachableMachines(b.now))}
+		return []string{fmt.Sprint(driver.leader.UnreachableMachines(driver.now))}
 	case "show":
-		return b.show()
+		return driver.show()
 	default:
-		b.t.Fatalf("no such step: %s", line)
+		driver.t.Fatalf("no such step: %s", line)
 	}
 	return nil
 }
@@ -358,77 +358,77 @@
 // parseShares reads "0-2/a", "2-4/b,done" and the like.
 func parseShares(t *testing.T, words []string) (out []store.ShardRange) {
 	for _, w := range words {
-		var s store.ShardRange
+		var r store.ShardRange
 		runs, part, _ := strings.Cut(w, "/")
-		s.Shard, s.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
-		if _, err := fmt.Sscanf(runs, "%d-%d", &s.From, &s.To); err != nil {
+		r.Shard, r.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
+		if _, err := fmt.Sscanf(runs, "%d-%d", &r.From, &r.To); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, s)
+		out = append(out, r)
 	}
 	return out
 }
 
 // compact moves batches, all of whose jobs are over, into a recent block.
-func (b *traceDriver) compact(batches []string) {
+func (driver *traceDriver) compact(batches []string) {
 	var entries []jobblock.Entry
 	var then []wire.Operation
-	for _, h := range b.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
+	for _, h := range driver.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
 		for _, m := range h.Jobs {
 			entries = append(entries, jobblock.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
 		}
 		then = append(then, wire.Operation{Delete: h.Key})
 	}
 	if len(then) != len(batches) {
-		b.t.Fatalf("%d homes are over, not %v", len(then), batches)
+		driver.t.Fatalf("%d homes are over, not %v", len(then), batches)
 	}
 	entries, _ = jobblock.Sort(entries)
-	b.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
+	driver.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
 // addToPreviousSlot puts an entry into the ledger, as an earlier leader did.
-func (b *traceDriver) addToPreviousSlot(e store.Entry) {
-	if b.previousSlot.Entries == nil {
-		b.previousSlot.Entries = map[string]wire.Raw{}
+func (driver *traceDriver) addToPreviousSlot(e store.Entry) {
+	if driver.previousSlot.Entries == nil {
+		driver.previousSlot.Entries = map[string]wire.Raw{}
 	}
-	if b.previousSlot.Entries[e.Key] = e.Value; e.Value == nil {
-		b.previousSlot.Entries[e.Key] = wire.Raw{0xf6}
+	if driver.previousSlot.Entries[e.Key] = e.Value; e.Value == nil {
+		driver.previousSlot.Entries[e.Key] = wire.Raw{0xf6}
 	}
-	b.apply(wire.Operation{Put: store.SegmentKey(b.shard, b.slot), Value: b.previousSlot})
+	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.slot), Value: driver.previousSlot})
 }
 
-func (b *traceDriver) claim(term uint64) []string {
-	b.apply(wire.Operation{Put: store.LeaderKey(b.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: term}})
+func (driver *traceDriver) claim(term uint64) []string {
+	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: term}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
-	b.leader = New(b.cfg, leadership.Tenure{Shard: b.shard, FencingToken: term, Version: b.revision, Revision: b.revision}, b.view.Snapshot(),
-		b.view.ShardLedgers(b.shard), types, b.view, b.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	driver.leader = New(driver.cfg, leadership.Tenure{Shard: driver.shard, FencingToken: term, Version: driver.revision, Revision: driver.revision}, driver.view.Snapshot(),
+		driver.view.ShardLedgers(driver.shard), types, driver.view, driver.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return nil
 }
 
-func (b *traceDriver) report(w []string, zone string, term uint64, tasks string) []string {
+func (driver *traceDriver) report(w []string, zone string, term uint64, tasks string) []string {
 	session, seq, _ := strings.Cut(w[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
-	r := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: term, Tasks: b.parseTasks(tasks)}
-	if b.shard != "fleet" {
-		r.Zone = b.shard
+	hb := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: term, Tasks: driver.parseTasks(tasks)}
+	if driver.shard != "fleet" {
+		hb.Zone = driver.shard
 	}
-	if m := b.leader.fleet.Machine(w[1]); m != nil {
-		r.Zone = m.Zone
+	if m := driver.leader.fleet.Machine(w[1]); m != nil {
+		hb.Zone = m.Zone
 	}
 	if zone != "" {
-		r.Zone = zone
+		hb.Zone = zone
 	}
 	if w[0] == "inspected" {
-		b.leader.HandleInspection(b.now, r)
+		driver.leader.HandleInspection(driver.now, hb)
 		return nil
 	}
 	var out []string
-	a, ok := b.leader.HandleHeartbeat(b.now, r, !slices.Contains(w, "invalid"))
+	response, ok := driver.leader.HandleHeartbeat(driver.now, hb, !slices.Contains(w, "invalid"))
 	if !ok {
 		return []string{"no answer"}
 	}
-	for _, c := range a.Commands {
+	for _, c := range response.Commands {
 		out = append(out, fmt.Sprintf("%s %s%s", c.Verb, c.Task, attempt(c.Attempt)))
 	}
 	return out
@@ -436,9 +436,9 @@
 
 // directCalls makes the direct calls that are due; the step says what becomes of
 // them.
-func (b *traceDriver) directCalls(fate []string) []string {
+func (driver *traceDriver) directCalls(fate []string) []string {
 	var out []string
-	for _, c := range b.leader.dueCalls(b.now, true, maxOpenCalls) {
+	for _, c := range driver.leader.dueCalls(driver.now, true, maxOpenCalls) {
 		line := fmt.Sprintf("to %s, session %d:", c.machine, c.incarnation)
 		for _, cmd := range c.commands {
 			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, attempt(cmd.Attempt))
@@ -446,36 +446,36 @@
 		out = append(out, line)
 		switch fate[0] {
 		case "open":
-			b.open = append(b.open, c.launches...)
+			driver.open = append(driver.open, c.launches...)
 		case "executed":
-			b.leader.fleet.CallFinished(c.launches, fleet.Executed)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Executed)
 		case "refused":
-			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if fate[0] == "unreached" {
-			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if c.fencing {
-			b.leader.fencing.Finished()
+			driver.leader.fencing.Finished()
 		}
 		silent := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines behind the fate are silent
-		b.leader.monitor.CallFinished(b.now, c.machine, !silent)
+		driver.leader.monitor.CallFinished(driver.now, c.machine, !silent)
 	}
 	return out
 }
 
 // round decides one round. Its fate is to be taken, unless the step says that
 // it is refused or lost.
-func (b *traceDriver) round(fate []string) []string {
-	b.draft = b.leader.Decide(b.now, b.view.Snapshot())
-	if b.draft == nil {
+func (driver *traceDriver) round(fate []string) []string {
+	driver.draft = driver.leader.Decide(driver.now, driver.view.Snapshot())
+	if driver.draft == nil {
 		return []string{"nothing to write"}
 	}
 	var out []string
-	for _, p := range b.draft.launches {
+	for _, p := range driver.draft.launches {
 		out = append(out, fmt.Sprintf("launch %v%s on %s", p.Task, attempt(p.Attempt), p.Machine))
 	}
-	for _, c := range b.draft.Txn.Then {
+	for _, c := range driver.draft.Txn.Then {
 		switch {
 		case c.Delete != "":
 			out = append(out, "drop "+strings.TrimPrefix(c.Delete, store.StatePrefix))
@@ -498,15 +498,15 @@
 					if in := rec.Jobs[id].FinishedIn; len(in) > 0 {
 						line += " done in " + strings.Join(in, ",")
 					}
-					for _, s := range rec.Jobs[id].Ranges {
-						line += fmt.Sprintf(" %d-%d/%s", s.From, s.To, s.Shard)
-						if s.Done {
+					for _, r := range rec.Jobs[id].Ranges {
+						line += fmt.Sprintf(" %d-%d/%s", r.From, r.To, r.Shard)
+						if r.Done {
 							line += ",done"
 						}
 					}
 				}
 			case store.SegmentRecord:
-				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(b.leader.teamUsage()), strings.Join(rec.Describe(), " "))
+				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(driver.leader.teamUsage()), strings.Join(rec.Describe(), " "))
 				if rec.Migrated > 0 {
 					line += ", all taken over"
 				}
@@ -516,25 +516,25 @@
 			out = append(out, line)
 		}
 	}
-	for _, c := range b.draft.Txn.If {
+	for _, c := range driver.draft.Txn.If {
 		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 	}
 	switch {
 	case slices.Contains(fate, "refused"):
-		b.leader.Discard(b.draft)
+		driver.leader.Discard(driver.draft)
 	case !slices.Contains(fate, "lost"):
-		b.commit()
+		driver.commit()
 	}
 	return out
 }
 
-func (b *traceDriver) commit() {
-	b.apply(b.draft.Txn.Then...)
-	b.leader.Committed(b.draft, b.revision)
+func (driver *traceDriver) commit() {
+	driver.apply(driver.draft.Txn.Then...)
+	driver.leader.Committed(driver.draft, driver.revision)
 }
 
-func (b *traceDriver) show() []string {
-	leader := b.leader
+func (driver *traceDriver) show() []string {
+	leader := driver.leader
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
 	var out []string
@@ -558,8 +558,8 @@
 		}
 		out = append(out, line)
 	}
-	for _, a := range leader.scaler.Pending() {
-		out = append(out, fmt.Sprintf("ask %s for %d in %s", a.Name, a.Count, a.Zone))
+	for _, request := range leader.scaler.Pending() {
+		out = append(out, fmt.Sprintf("ask %s for %d in %s", request.Name, request.Count, request.Zone))
 	}
 	return out
 }
@@ -580,26 +580,26 @@
 		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && every < 20*time.Second {
 			t.Errorf("reports each %v: %+v", every, got)
 		}
-		b := newTraceDriver(t)
-		b.cfg.Workers.HeartbeatInterval = every
-		b.step("claim term=2")
-		b.step("report n-1 1/1 term=2")
-		b.now = b.now.Add(latest)
-		b.leader.Decide(b.now, b.view.Snapshot())
-		if pic := b.leader.clusterSnapshot(b.now); !pic.Machines[0].Usable || b.leader.fleet.Machine("n-1").Releasing {
+		driver := newTraceDriver(t)
+		driver.cfg.Workers.HeartbeatInterval = every
+		driver.step("claim term=2")
+		driver.step("report n-1 1/1 term=2")
+		driver.now = driver.now.Add(latest)
+		driver.leader.Decide(driver.now, driver.view.Snapshot())
+		if pic := driver.leader.clusterSnapshot(driver.now); !pic.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
 			t.Errorf("reports each %v: a machine is unfit between two of them", every)
 		}
-		for end := b.now.Add(got.unreachableAfter); b.now.Before(end); { // or it would seem to have stood still
-			b.now = b.now.Add(min(2*time.Second, end.Sub(b.now)))
-			b.leader.Decide(b.now, b.view.Snapshot())
+		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // or it would seem to have stood still
+			driver.now = driver.now.Add(min(2*time.Second, end.Sub(driver.now)))
+			driver.leader.Decide(driver.now, driver.view.Snapshot())
 		}
 		for _, other := range []string{"n-2", "n-3", "n-4"} {
-			b.step("report " + other + " 1/1 term=2")
+			driver.step("report " + other + " 1/1 term=2")
 		}
-		b.leader.monitor.CallFinished(b.now, "n-2", true)
-		b.leader.monitor.Calls.Start(b.now, "n-1", "")
-		b.leader.monitor.CallFinished(b.now, "n-1", false)
-		if b.leader.Decide(b.now, b.view.Snapshot()); !b.leader.fleet.Machine("n-1").Releasing {
+		driver.leader.monitor.CallFinished(driver.now, "n-2", true)
+		driver.leader.monitor.Calls.Start(driver.now, "n-1", "")
+		driver.leader.monitor.CallFinished(driver.now, "n-1", false)
+		if driver.leader.Decide(driver.now, driver.view.Snapshot()); !driver.leader.fleet.Machine("n-1").Releasing {
 			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.unreachableAfter)
 		}
 	}
@@ -609,10 +609,10 @@
 // and a transaction may hold next to nothing: no round goes over the limits, and
 // all of it is stored in the end.
 func TestSmallLimits(t *testing.T) {
-	b := newTraceDriver(t)
-	b.step("job wk-1 sweep team=blue tasks=100000")
-	b.step("claim term=2")
-	leader := b.leader
+	driver := newTraceDriver(t)
+	driver.step("job wk-1 sweep team=blue tasks=100000")
+	driver.step("claim term=2")
+	leader := driver.leader
 	leader.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
 	leader.ledger, _ = store.NewLedger("fleet", 1024, nil)
 	j := leader.jobState("wk-1")
@@ -620,8 +620,8 @@
 		leader.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
 	}
 	for range 200 {
-		b.now = b.now.Add(time.Second)
-		d := leader.Decide(b.now, b.view.Snapshot())
+		driver.now = driver.now.Add(time.Second)
+		d := leader.Decide(driver.now, driver.view.Snapshot())
 		if d == nil {
 			break
 		}
@@ -633,8 +633,8 @@
 				t.Fatalf("a value of %d bytes", size)
 			}
 		}
-		b.draft = d
-		b.commit()
+		driver.draft = d
+		driver.commit()
 	}
 	if n := j.storedFinished.Count(); n != 50_000 {
 		t.Errorf("%d of 50,000 finished tasks are stored", n)
@@ -644,12 +644,12 @@
 // TestSnapshotCountsCancelled guards the quota: a task of a cancelled job counts
 // until it is gone.
 func TestSnapshotCountsCancelled(t *testing.T) {
-	b := newTraceDriver(t)
+	driver := newTraceDriver(t)
 	for _, s := range []string{"job wk-1 sweep team=red tasks=1 gpus=4", "claim term=2", "report n-1 1/1 term=2: wk-1/0#1.1 running", "cancel wk-1"} {
-		b.step(s)
+		driver.step(s)
 	}
-	b.leader.Decide(b.now, b.view.Snapshot())
-	if pic := b.leader.clusterSnapshot(b.now); pic.Teams["red"].UsedGPUs != 4 {
+	driver.leader.Decide(driver.now, driver.view.Snapshot())
+	if pic := driver.leader.clusterSnapshot(driver.now); pic.Teams["red"].UsedGPUs != 4 {
 		t.Errorf("the cancelled task counts %v of 4 GPUs", pic.Teams["red"].UsedGPUs)
 	}
 }
@@ -669,12 +669,12 @@
 
 // crowdedRounds launches one more task on each of many machines that have some.
 func crowdedRounds(t *testing.T, tasks int) (squeezed int) {
-	b := newTraceDriver(t)
+	driver := newTraceDriver(t)
 	const machines = 120
-	b.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
-	b.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
-	b.step("claim term=2")
-	leader := b.leader
+	driver.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
+	driver.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
+	driver.step("claim term=2")
+	leader := driver.leader
 	leader.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
 	leader.ledger, _ = store.NewLedger("fleet", 4096, nil)
 	n := float64(tasks + 1)
@@ -684,12 +684,12 @@
 		for i := range tasks {
 			report += fmt.Sprintf("wk-1/%d#1.%d running,", tasks*m+i, tasks*m+i+1)
 		}
-		b.step(fmt.Sprintf("report n-%03d 1/1 term=2: %s", m, report))
+		driver.step(fmt.Sprintf("report n-%03d 1/1 term=2: %s", m, report))
 	}
 	launched := 0
 	for range 60 {
-		d := leader.Decide(b.now, b.view.Snapshot())
-		b.now = b.now.Add(10 * time.Millisecond)
+		d := leader.Decide(driver.now, driver.view.Snapshot())
+		driver.now = driver.now.Add(10 * time.Millisecond)
 		if d == nil {
 			squeezed += leader.sizes.Halvings()
 			continue
@@ -707,8 +707,8 @@
 				t.Errorf("%d tasks: %v is launched on %s, which is not recorded", tasks, p.Task, p.Machine)
 			}
 		}
-		b.draft = d
-		b.commit()
+		driver.draft = d
+		driver.commit()
 	}
 	if launched != machines {
 		t.Errorf("%d tasks: %d of %d launched", tasks, launched, machines)
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -75,13 +75,13 @@
 // observeZone collects what the next step of a zone's recovery is decided by.
 func (l *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
 	r := records[name]
-	s := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
+	observation := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
 	for other, o := range records {
-		s.OtherZoneBusy = s.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && l.recovery.Before(other, name)
+		observation.OtherZoneBusy = observation.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && l.recovery.Before(other, name)
 	}
 	for _, t := range l.types {
 		if slices.Contains(t.Zones, name) {
-			s.BootTime = max(s.BootTime, wire.Seconds(t.BootS))
+			observation.BootTime = max(observation.BootTime, wire.Seconds(t.BootS))
 		}
 	}
 	for _, m := range l.fleet.Machines() {
@@ -90,11 +90,11 @@
 		}
 		for _, p := range m.Placements() {
 			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
-				s.Work += t.GPUs + t.CPUs/16
+				observation.Work += t.GPUs + t.CPUs/16
 			}
 		}
 	}
-	return s
+	return observation
 }
 
 // maxMovingReplicas is how many replicas of services may be moved at once to spread them: each is missing until it
@@ -199,8 +199,8 @@
 			}
 		}
 	}
-	for shard, o := range l.peerShards {
-		if free := o.Rooms[j.Class]; (free.Rent || free.Now > 0) && l.sharding.MayHost(shard, j, l.types) {
+	for shard, status := range l.peerShards {
+		if free := status.Rooms[j.Class]; (free.Rent || free.Now > 0) && l.sharding.MayHost(shard, j, l.types) {
 			return true
 		}
 	}
@@ -218,9 +218,9 @@
 	if _, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter); !cutOff || !l.zones.Wake(now, m.Zone, reachability.MaxFencingInterval) {
 		return
 	}
-	for _, o := range l.fleet.Machines() {
-		if o.Zone == m.Zone && l.monitor.Unreachable(now, o) {
-			l.monitor.Calls.ForgetFailures(o.ID)
+	for _, other := range l.fleet.Machines() {
+		if other.Zone == m.Zone && l.monitor.Unreachable(now, other) {
+			l.monitor.Calls.ForgetFailures(other.ID)
 		}
 	}
 	l.log.Info("heartbeats from zone again", "zone", m.Zone, "machine", machine)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -15,10 +15,10 @@
 // machines are requested in a zone that is unreachable.
 
 // SetObservers records what peers whose heartbeats arrive observe of each zone's machines.
-func (l *Leader) SetObservers(w map[string]zone.Observer) {
+func (l *Leader) SetObservers(observers map[string]zone.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.zones.SetObservers(w)
+	l.zones.SetObservers(observers)
 }
 
 // ZoneRecords returns the stored record of each zone that was ever suspected.
@@ -81,9 +81,9 @@
 
 // noteZoneHeartbeat records a heartbeat from a zone. It shows that the zone can be reached even if its machine is
 // being released or is no longer known.
-func (l *Leader) noteZoneHeartbeat(now time.Time, r *wire.Heartbeat) {
-	m := l.fleet.Machine(r.Machine)
-	l.zones.NoteHeartbeat(now, r.Zone, m == nil || m.Releasing)
+func (l *Leader) noteZoneHeartbeat(now time.Time, hb *wire.Heartbeat) {
+	m := l.fleet.Machine(hb.Machine)
+	l.zones.NoteHeartbeat(now, hb.Zone, m == nil || m.Releasing)
 }
 
 // zoneEvidence combines what this leader observes of zones with what its peers do. What leaders of other
@@ -104,8 +104,8 @@
 	}
 	l.zones.AddOrphans(now, l.timeouts.suspectAfter, own.Observations)
 	if l.ingestPeers > 0 {
-		for _, o := range l.peerShards {
-			for name, r := range o.Zones {
+		for _, status := range l.peerShards {
+			for name, r := range status.Zones {
 				add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
 			}
 		}
@@ -166,8 +166,8 @@
 // mayProbeZone reports whether no request for a zone is open, and few of its new machines have yet to send
 // a heartbeat.
 func (l *Leader) mayProbeZone(name string) bool {
-	for _, a := range l.scaler.Pending() {
-		if a.Zone == name {
+	for _, request := range l.scaler.Pending() {
+		if request.Zone == name {
 			return false
 		}
 	}
