--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -616,66 +616,7 @@
 		add("refuse", 0)
 	}
 	for i, c := range m.nodes {
-		if c.dead {
-			continue
-		}
-		if m.served(i) {
-			if c.seenRevision < m.revision || c.view.CurrentAt().Before(m.now) {
-				add("sync", i)
-				if c.pendingRead == nil {
-					add("ask", i)
-				}
-			}
-			if _, held := c.view.Leader(timedPart); !held && c.leader == nil && c.claim.LeaseValid(m.now) && c.seenRevision == m.revision {
-				add("claim", i)
-				add("holdclaim", i)
-			}
-			if m.cancelAckedAt.IsZero() {
-				add("cancel", i)
-				add("holdcancel", i)
-			}
-		}
-		if !m.serviceDown && c.claim.LastRenewal().Before(m.now) { // renewals may succeed where reads are refused
-			add("renew", i)
-		}
-		if c.pendingRead != nil {
-			add("answer", i)
-		}
-		for _, id := range []string{"a", "b"} {
-			if hb := m.machines[id].core.Heartbeat(); !m.machines[id].gone {
-				if _, ok := m.entitled(i, &hb); ok {
-					add("report", id, i)
-					add("lose", id, i)
-				}
-			}
-		}
-		if c.leader != nil {
-			for k := range m.duplicateReports {
-				add("copy", k, i)
-			}
-			if len(c.leader.scaler.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
-				add("release", i)
-			}
-			if c.draft == nil && c.claim.LeaseValid(m.now) {
-				if m.served(i) {
-					add("round", i)
-				}
-				add("decide", i)
-			}
-			if c.draft != nil {
-				if m.served(i) {
-					add("commit", i)
-				}
-				if !m.serviceDown {
-					add("hold", i)
-				}
-			}
-			add("call", i)
-			add("losecall", i)
-			if i == 0 {
-				add("die", i)
-			}
-		}
+		m.controllerSteps(i, c, add)
 	}
 	if !m.serviceDown {
 		for k := range m.lateCommits {
@@ -696,18 +637,97 @@
 	return out
 }
 
-// take makes a step.
-func (m *timedModel) take(step string) {
-	f := strings.Fields(step)
+// controllerSteps adds what a controller can do next.
+func (m *timedModel) controllerSteps(i int, c *timedController, add func(kind string, args ...any)) {
+	if c.dead {
+		return
+	}
+	if m.served(i) {
+		m.servedSteps(i, c, add)
+	}
+	if !m.serviceDown && c.claim.LastRenewal().Before(m.now) { // renewals may succeed where reads are refused
+		add("renew", i)
+	}
+	if c.pendingRead != nil {
+		add("answer", i)
+	}
+	for _, id := range []string{"a", "b"} {
+		if hb := m.machines[id].core.Heartbeat(); !m.machines[id].gone {
+			if _, ok := m.entitled(i, &hb); ok {
+				add("report", id, i)
+				add("lose", id, i)
+			}
+		}
+	}
+	if c.leader != nil {
+		m.leaderSteps(i, c, add)
+	}
+}
+
+// servedSteps adds what a controller can do next that the state service serves.
+func (m *timedModel) servedSteps(i int, c *timedController, add func(kind string, args ...any)) {
+	if c.seenRevision < m.revision || c.view.CurrentAt().Before(m.now) {
+		add("sync", i)
+		if c.pendingRead == nil {
+			add("ask", i)
+		}
+	}
+	if _, held := c.view.Leader(timedPart); !held && c.leader == nil && c.claim.LeaseValid(m.now) && c.seenRevision == m.revision {
+		add("claim", i)
+		add("holdclaim", i)
+	}
+	if m.cancelAckedAt.IsZero() {
+		add("cancel", i)
+		add("holdcancel", i)
+	}
+}
+
+// leaderSteps adds what a controller that leads can do next.
+func (m *timedModel) leaderSteps(i int, c *timedController, add func(kind string, args ...any)) {
+	for k := range m.duplicateReports {
+		add("copy", k, i)
+	}
+	if len(c.leader.scaler.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
+		add("release", i)
+	}
+	if c.draft == nil && c.claim.LeaseValid(m.now) {
+		if m.served(i) {
+			add("round", i)
+		}
+		add("decide", i)
+	}
+	if c.draft != nil {
+		if m.served(i) {
+			add("commit", i)
+		}
+		if !m.serviceDown {
+			add("hold", i)
+		}
+	}
+	add("call", i)
+	add("losecall", i)
+	if i == 0 {
+		add("die", i)
+	}
+}
+
+// countStep counts a step against its budget.
+func (m *timedModel) countStep(step string) {
 	for k, b := range m.budgets {
 		if strings.HasPrefix(step, b.prefix) {
 			m.count[b.prefix]++
-			if m.rank = k; f[0] == "tick" {
+			if m.rank = k; step == "tick" {
 				m.rank = 0
 			}
-			break
+			return
 		}
 	}
+}
+
+// take makes a step.
+func (m *timedModel) take(step string) {
+	m.countStep(step)
+	f := strings.Fields(step)
 	last := 0
 	if len(f) > 1 {
 		last, _ = strconv.Atoi(f[len(f)-1])
@@ -719,12 +739,7 @@
 	case "down":
 		m.serviceDown = true
 	case "up":
-		m.serviceDown = false
-		for _, c := range m.nodes { // each lease has its full time again
-			if !c.leaseSince.IsZero() {
-				c.leaseSince = m.now
-			}
-		}
+		m.restoreService()
 	case "refuse":
 		c.refused = true
 	case "serve":
@@ -734,22 +749,9 @@
 	case "ask":
 		c.pendingRead = &pendingRead{m.now, m.changes(last)}
 	case "answer":
-		begun := c.pendingRead.begun
-		if m.plantedFault == "a read counts from its answer" {
-			begun = m.now
-		}
-		ch := c.pendingRead.changes
-		c.pendingRead = nil
-		m.takeIn(last, ch, begun)
+		m.answerRead(last)
 	case "renew":
-		if c.leaseSince.IsZero() {
-			c.claim.LeaseLost()
-			m.manage(last)
-			m.grant(last)
-			break
-		}
-		c.leaseSince = m.now
-		c.claim.LeaseRenewed(m.now)
+		m.renewLease(last)
 	case "claim", "holdclaim":
 		m.claimPart(last, f[0] == "holdclaim")
 	case "cancel", "holdcancel":
@@ -758,17 +760,7 @@
 		m.report(f[1], last, f[0] == "report")
 	case "copy":
 		k, _ := strconv.Atoi(f[1])
-		hb := m.duplicateReports[k]
-		now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
-		if hb.Incarnation < now.Incarnation {
-			m.reached["a copy from an earlier session"] = true
-		} else if hb.Seq < now.Seq {
-			m.reached["a copy of an older report"] = true
-		}
-		if m.plantedFault == "a report is taken though older" {
-			hb.Incarnation, hb.Seq, hb.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
-		}
-		m.handleHeartbeat(last, &hb)
+		m.replayHeartbeat(k, last)
 	case "release":
 		m.release(last)
 	case "round": // decided and stored
@@ -781,41 +773,20 @@
 	case "commit":
 		m.commit(last)
 	case "hold":
-		m.lateCommits = append(m.lateCommits, lateTxn{c.draft.Txn, "round", last, 0, m.revision})
+		m.holdRound(last)
 	case "call", "losecall":
 		m.call(last, f[0] == "losecall")
 	case "die": // what it was about to write may be on its way
 		if c.draft != nil {
-			m.lateCommits = append(m.lateCommits, lateTxn{c.draft.Txn, "round", last, 0, m.revision})
+			m.holdRound(last)
 		}
 		c.dead, c.leader, c.draft = true, nil, nil
 	case "late":
-		t := m.lateCommits[last]
-		m.lateCommits = slices.Delete(slices.Clone(m.lateCommits), last, last+1)
-		if m.revision > t.revision {
-			m.reached["a late "+t.kind+" after newer ones"] = true
-		}
-		if m.conditionsHold(t.Txn) && (t.lease == 0 || !m.nodes[t.node].leaseSince.IsZero() && m.nodes[t.node].leaseID == t.lease) {
-			m.apply(t.Then)
-			m.reached["a late "+t.kind+" is taken"] = true
-		}
+		m.deliverLateCommit(last)
 	case "arrive":
-		k := m.lateCalls[last]
-		m.lateCalls = slices.Delete(slices.Clone(m.lateCalls), last, last+1)
-		if !m.machines[k.machine].gone {
-			if _, ok := m.do(k.machine, k.direct); ok {
-				m.reached["a late call is carried out"] = true
-			} else {
-				m.reached["a late call is refused"] = true
-			}
-		}
+		m.deliverLateCall(last)
 	case "finish":
-		w := m.machines[f[1]]
-		for k := range w.runs {
-			w.core.MarkEnded(k, wire.CauseDone)
-			m.completed[k.Task], m.done[k] = true, true
-		}
-		clear(w.runs)
+		m.finishTasks(m.machines[f[1]])
 	case "expire":
 		m.expire(m.machines[f[1]], false)
 	default:
@@ -824,6 +795,97 @@
 	m.checkFinal()
 }
 
+// restoreService brings the state service back: each lease has its full time again.
+func (m *timedModel) restoreService() {
+	m.serviceDown = false
+	for _, c := range m.nodes {
+		if !c.leaseSince.IsZero() {
+			c.leaseSince = m.now
+		}
+	}
+}
+
+// answerRead has the answer to a controller's pending read arrive.
+func (m *timedModel) answerRead(i int) {
+	c := m.nodes[i]
+	begun := c.pendingRead.begun
+	if m.plantedFault == "a read counts from its answer" {
+		begun = m.now
+	}
+	ch := c.pendingRead.changes
+	c.pendingRead = nil
+	m.takeIn(i, ch, begun)
+}
+
+// renewLease has a controller renew its lease, or get another for one that has ended.
+func (m *timedModel) renewLease(i int) {
+	c := m.nodes[i]
+	if c.leaseSince.IsZero() {
+		c.claim.LeaseLost()
+		m.manage(i)
+		m.grant(i)
+		return
+	}
+	c.leaseSince = m.now
+	c.claim.LeaseRenewed(m.now)
+}
+
+// replayHeartbeat has the copy of a heartbeat arrive at a controller.
+func (m *timedModel) replayHeartbeat(k, i int) {
+	hb := m.duplicateReports[k]
+	now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+	if hb.Incarnation < now.Incarnation {
+		m.reached["a copy from an earlier session"] = true
+	} else if hb.Seq < now.Seq {
+		m.reached["a copy of an older report"] = true
+	}
+	if m.plantedFault == "a report is taken though older" {
+		hb.Incarnation, hb.Seq, hb.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
+	}
+	m.handleHeartbeat(i, &hb)
+}
+
+// holdRound has the transaction of a controller's round go on its way.
+func (m *timedModel) holdRound(i int) {
+	m.lateCommits = append(m.lateCommits, lateTxn{m.nodes[i].draft.Txn, "round", i, 0, m.revision})
+}
+
+// deliverLateCommit has a transaction that was on its way arrive.
+func (m *timedModel) deliverLateCommit(k int) {
+	t := m.lateCommits[k]
+	m.lateCommits = slices.Delete(slices.Clone(m.lateCommits), k, k+1)
+	if m.revision > t.revision {
+		m.reached["a late "+t.kind+" after newer ones"] = true
+	}
+	if m.conditionsHold(t.Txn) && (t.lease == 0 || !m.nodes[t.node].leaseSince.IsZero() && m.nodes[t.node].leaseID == t.lease) {
+		m.apply(t.Then)
+		m.reached["a late "+t.kind+" is taken"] = true
+	}
+}
+
+// deliverLateCall has a direct call that was on its way arrive.
+func (m *timedModel) deliverLateCall(k int) {
+	call := m.lateCalls[k]
+	m.lateCalls = slices.Delete(slices.Clone(m.lateCalls), k, k+1)
+	if m.machines[call.machine].gone {
+		return
+	}
+	if _, ok := m.do(call.machine, call.direct); ok {
+		m.reached["a late call is carried out"] = true
+	} else {
+		m.reached["a late call is refused"] = true
+	}
+}
+
+// finishTasks has all tasks of a machine complete.
+func (m *timedModel) finishTasks(w *timedWorker) {
+	for k := range w.runs {
+		w.core.MarkEnded(k, wire.CauseDone)
+		m.completed[k.Task], m.done[k] = true, true
+	}
+	clear(w.runs)
+}
+
 func without(list []wire.Condition, key string) []wire.Condition {
 	return slices.DeleteFunc(slices.Clone(list), func(c wire.Condition) bool { return c.Key == key })
 }
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -133,38 +133,46 @@
 	reached        map[string]bool
 }
 
+// timedFound is a state that a search has come to.
+type timedFound struct {
+	path, steps []string
+	sum         uint64
+	broken      string
+	met         map[string]bool
+}
+
+// expand takes each step that is possible in the states of a level, several states at once.
+func (s *timedScenario) expand(level []timedFound) [][]timedFound {
+	next := make([][]timedFound, len(level))
+	var group sync.WaitGroup
+	work := make(chan int)
+	for range runtime.GOMAXPROCS(0) {
+		group.Go(func() {
+			for i := range work {
+				for _, step := range level[i].steps {
+					m := timedAt(s, level[i].path)
+					m.take(step)
+					next[i] = append(next[i], timedFound{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
+				}
+			}
+		})
+	}
+	for i := range level {
+		work <- i
+	}
+	close(work)
+	group.Wait()
+	return next
+}
+
 // search tries all orders of what a scenario allows, breadth first.
 func (s *timedScenario) search(depth int) searchResult {
 	out := searchResult{reached: map[string]bool{}}
 	seen := map[uint64]bool{}
-	type found struct {
-		path, steps []string
-		sum         uint64
-		broken      string
-		met         map[string]bool
-	}
 	first := timedAt(s, nil)
-	level := []found{{steps: first.steps(first.budgets)}}
+	level := []timedFound{{steps: first.steps(first.budgets)}}
 	for range depth {
-		next := make([][]found, len(level))
-		var group sync.WaitGroup
-		work := make(chan int)
-		for range runtime.GOMAXPROCS(0) {
-			group.Go(func() {
-				for i := range work {
-					for _, step := range level[i].steps {
-						m := timedAt(s, level[i].path)
-						m.take(step)
-						next[i] = append(next[i], found{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
-					}
-				}
-			})
-		}
-		for i := range level {
-			work <- i
-		}
-		close(work)
-		group.Wait()
+		next := s.expand(level)
 		level = nil
 		for _, list := range next {
 			for _, f := range list {
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -15,9 +16,6 @@
 	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
-	"amberdeal.example/amberdeal/internal/reachability"
-	"amberdeal.example/amberdeal/internal/reshard"
-	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -40,11 +38,15 @@
 	grantChange     *quota.Change
 	observers       map[string]zone.Observer
 	preemptionCheck *workerModel
+	steps           map[string]func(traceStep) []string // by the first word
 }
 
 func newTraceDriver(t *testing.T) *traceDriver {
 	driver := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	driver.view.Load(nil, 0, &wire.WatchResponse{})
+	driver.steps = driver.stateSteps()
+	maps.Copy(driver.steps, driver.ledgerSteps())
+	maps.Copy(driver.steps, driver.leaderSteps())
 	return driver
 }
 
@@ -91,268 +93,36 @@
 	return out
 }
 
+// traceStep is a line of a trace: its words, its settings (key=value) and, behind a colon, tasks.
+type traceStep struct {
+	words    []string
+	settings map[string]string
+	tasks    string
+}
+
+func parseStep(line string) (step traceStep) {
+	head, tasks, _ := strings.Cut(line, ":")
+	step.words, step.settings = simulator.Words(head)
+	step.tasks = tasks
+	return step
+}
+
+// number returns a setting, or another number where it is not set.
+func (s traceStep) number(key string, otherwise int) int {
+	if n, err := strconv.Atoi(s.settings[key]); err == nil {
+		return n
+	}
+	return otherwise
+}
+
+// step takes a step of a trace and returns what comes of it.
 func (driver *traceDriver) step(line string) []string {
-	step, tasks, _ := strings.Cut(line, ":")
-	w, kv := simulator.Words(step)
-	num := func(key string, otherwise int) int {
-		if n, err := strconv.Atoi(kv[key]); err == nil {
-			return n
-		}
-		return otherwise
-	}
-	switch w[0] {
-	case "job":
-		j := &wire.Job{ID: w[1], Class: "c", Shape: wire.Shape(w[2]), Team: kv["team"], Priority: wire.Normal, Tasks: num("tasks", 1),
-			CPUs: 1, GPUs: float64(num("gpus", 1)), MemoryGB: 1, Image: "img", CheckpointS: float64(num("checkpoint", 0)), SaveS: 1, Zone: kv["zone"]}
-		if kv["priority"] != "" {
-			j.Priority = wire.Priority(kv["priority"])
-		}
-		j.Spread, j.OneZone, j.EstimateS = kv["spread"] != "", kv["one_zone"] != "", float64(num("estimate", 0))
-		rec := store.JobRecord{Stage: wire.Pending, Tasks: j.Tasks, Job: j}
-		if kv["age"] != "" {
-			rec.Created = driver.now.Add(-time.Duration(num("age", 0)) * time.Second).UnixMilli()
-		}
-		if kv["key"] == "own" { // as version 1 stored it
-			driver.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
-			break
-		}
-		driver.apply(wire.Operation{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
-	case "batch": // jobs accepted together, as one record
-		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
-		for _, id := range w[2:] {
-			j := &wire.Job{ID: id, Class: "c", Shape: wire.Array, Team: "blue", Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
-			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: j}
-		}
-		driver.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
-	case "cancel":
-		job, _ := driver.view.Live(w[1])
-		r := job.Batch.Update()
-		r.EndJob(w[1], wire.Cancelled, driver.now)
-		driver.apply(r.Change())
-	case "fold": // the leader has moved jobs out of their homes
-		driver.compact(w[1:])
-	case "machine":
-		rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
-		for _, t := range driver.parseTasks(strings.ReplaceAll(kv["holds"], ",", " running,") + " running") {
-			rec.Tasks[t.Task] = t.Attempt
-		}
-		driver.addToPreviousSlot(store.MachineEntry(w[1], rec))
-	case "ask":
-		driver.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
-	case "zone": // its state, as an earlier leader has left it
-		driver.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: driver.now.UnixMilli(), Outages: num("falls", 1)}))
-	case "zones":
-		var out []string
-		for _, name := range sortedKeys(driver.leader.ZoneRecords()) {
-			r := driver.leader.ZoneRecords()[name]
-			out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
-		}
-		return out
-	case "return": // of a zone, as an earlier leader has left it
-		driver.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: driver.now.UnixMilli(), Work: float64(num("work", 0))}))
-	case "returns":
-		var out []string
-		for _, name := range sortedKeys(driver.leader.ZoneRecoveries()) {
-			out = append(out, name+": "+driver.leader.ZoneRecoveries()[name])
-		}
-		return out
-	case "sibling": // a controller in a zone, and how many machines of one it hears, and doesn't
-		if driver.observers == nil {
-			driver.observers = map[string]zone.Observer{}
-		}
-		driver.observers[w[1]] = zone.Observer{Zone: w[2], Observations: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
-		driver.cfg.Peers = make([]config.Peer, len(driver.observers))
-		driver.leader.SetObservers(driver.observers)
-	case "tier":
-		driver.tier(w[1], kv)
-	case "workers", "play", "crash", "stubborn", "finish", "lose": // with workers that do as they are told
-		return driver.play(w)
-	case "claims": // what is being claimed back
-		return driver.preemptionsNow()
-	case "claim":
-		return driver.claim(uint64(num("term", 1)))
-	case "parts": // the fleet is in parts by zone, of which the first is claimed here
-		driver.cfg.Tuning.Shards.By, driver.cfg.Zones, driver.shard = "zone", w[1:], w[1]
-	case "divided": // anew, into parts by zone, of which the first is claimed here, or into one
-		driver.cfg.Tuning.Shards.By, driver.shard = "off", "fleet"
-		if len(w) > 1 {
-			driver.cfg.Tuning.Shards.By, driver.cfg.Zones, driver.shard = "zone", w[1:], w[1]
-		}
-		state := driver.view.ShardingState()
-		txn, err := reshard.Transaction(&state, driver.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
-			rec, _ := driver.view.Job(job)
-			return rec.TaskDemand()
-		})
-		if err != nil {
-			return []string{err.Error()}
-		}
-		driver.apply(txn.Then...)
-		driver.previousSlot, driver.slot = store.SegmentRecord{}, 0
-	case "small": // values may hold little more than they do
-		driver.cfg.Store.ValueBytes = 500
-	case "carried": // another shard has taken over what is of its machines
-		driver.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], driver.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: driver.view.Sharding().Record.Generation}})
-	case "finished": // tasks of a job, as the ledger says
-		done := store.NewTaskSet(0)
-		for _, text := range w[2:] {
-			n, _ := strconv.Atoi(text)
-			done.Add(n)
-		}
-		driver.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
-	case "order": // what the part that leads a gang has written
-		job, _ := driver.view.Live(w[1])
-		r := job.Batch.Update()
-		if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[w[2]] > 0 {
-			r.SetCoAllocation(w[1], orders[w[2]])
-		} else {
-			term, seq, _ := strings.Cut(strings.TrimPrefix(w[2], "#"), ".")
-			hi, _ := strconv.ParseUint(term, 10, 64)
-			lo, _ := strconv.ParseUint(seq, 10, 64)
-			r.SetCoAllocation(w[1], hi<<24|lo)
-		}
-		driver.apply(r.Change())
-	case "gave": // another shard has given what it had of a job to this one
-		job, _ := driver.view.Live(w[1])
-		r := job.Batch.Update()
-		r.AssignRanges(w[1], parseShares(driver.t, w[2:]), driver.view.Sharding().Record.Generation)
-		driver.apply(r.Change())
-	case "done": // another shard has finished all that it has of a job, of which the record says no more
-		job, _ := driver.view.Live(w[1])
-		r := job.Batch.Update()
-		r.MarkFinishedIn(w[1], store.LedgerName(w[2], driver.view.Sharding().Record.Generation))
-		driver.apply(r.Change())
-	case "shares": // of a job's tasks, as the record says
-		job, _ := driver.view.Live(w[1])
-		r := job.Batch.Update()
-		r.AssignRanges(w[1], parseShares(driver.t, w[2:]), 0)
-		driver.apply(r.Change())
-	case "others": // what another shard has said of itself
-		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
-			Zones: map[string]reachability.ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
-		if kv["ready"] != "" {
-			s.Ready = []string{kv["ready"]}
-		}
-		if n := num("want", 0); n > 0 {
-			s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: num("rank", 1), Since: driver.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
-		}
-		s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(num("stays", 0))}}
-		driver.leader.SetPeerShards(map[string]ShardStatus{w[1]: s}, 1)
-	case "grants": // of the GPUs of the team red
-		rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
-		for part, text := range kv {
-			n, _ := strconv.Atoi(text)
-			rec.Teams["red"][part] = [2]float64{0, float64(n)}
-		}
-		driver.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
-	case "regrant":
-		rg := driver.leader.ProposeGrants()
-		if rg == nil {
-			return []string{"nothing to change"}
-		}
-		driver.grantChange = rg
-		out := []string{fmt.Sprintf("put grant %v", driver.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
-		for _, c := range driver.grantChange.Txn.If {
-			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
-		}
-		return out
-	case "regranted": // taken or not, and seen
-		if w[1] == "taken" {
-			driver.apply(driver.grantChange.Txn.Then...)
-		}
-		driver.leader.GrantsSettled(driver.view.Snapshot().QuotaGrants)
-	case "spends": // what the part may spend of the team red
-		pic := driver.leader.clusterSnapshot(driver.now)
-		return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].LimitGPUs, pic.Teams["red"].UsedGPUs, pic.Teams["red"].RemoteUsedGPUs)}
-	case "wait":
-		d, _ := time.ParseDuration(w[1])
-		driver.now = driver.now.Add(d)
-	case "report", "inspected":
-		return driver.report(w, kv["zone"], uint64(num("term", 0)), tasks)
-	case "round":
-		return driver.round(w[1:])
-	case "raises": // calls that a peer may make
-		var out []string
-		for _, c := range driver.leader.FencingCalls(driver.now, num("most", 9)) {
-			out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
-		}
-		return out
-	case "raised": // by a peer, in vain or with a report
-		if slices.Contains(w, "vain") {
-			driver.leader.FencingCallDone(driver.now, w[1], nil)
-			break
-		}
-		session, seq, _ := strings.Cut(w[2], "/")
-		s, _ := strconv.ParseUint(session, 10, 64)
-		q, _ := strconv.ParseUint(seq, 10, 64)
-		driver.leader.FencingCallDone(driver.now, w[1], &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(num("term", 0)), Tasks: driver.parseTasks(tasks)})
-	case "odd": // reports that changed nothing
-		odd := driver.leader.RejectedHeartbeats()
-		return []string{fmt.Sprintf("%d late, %d impossible", odd.Stale, odd.Impossible)}
-	case "seen": // the view holds all that is in the store by now
-		driver.view.MarkCurrent(driver.now)
-	case "tend": // while a round waits for the store
-		driver.leader.Reconcile(driver.now, driver.view.Snapshot())
-	case "entitled": // the claim was renewed just now
-		return []string{fmt.Sprint(driver.leader.MayAnswer(driver.now, true, driver.now))}
-	case "refused": // the round that had no answer will never be in the store
-		driver.leader.Discard(driver.draft)
-	case "older": // what was left so far stands in a slot of its own
-		n, _ := strconv.Atoi(w[1])
-		driver.previousSlot, driver.slot = store.SegmentRecord{}, n
-	case "drop":
-		driver.addToPreviousSlot(store.DropMachine(w[1]))
-	case "taken": // the round that had no answer turns out to be in the store
-		driver.commit()
-	case "direct":
-		return driver.directCalls(w[1:])
-	case "answered": // what became of the direct calls that were left open
-		driver.leader.fleet.CallFinished(driver.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
-		driver.open = nil
-	case "rented":
-		names := w[2:]
-		for i := range num("got", 0) {
-			names = append(names, fmt.Sprintf("%s-%02d", w[1], i))
-		}
-		driver.leader.scaledOut(driver.now, w[1], names)
-	case "asks":
-		var out []string
-		for _, request := range driver.leader.scaler.Pending() {
-			out = append(out, fmt.Sprintf("%s for %d in %s", request.Name, request.Count, request.Zone))
-		}
-		return out
-	case "send": // the rentals that may be
-		var out []string
-		for i := 0; i < num("most", 99) && driver.leader.nextScaleOut(driver.now) != nil; i++ {
-			request := driver.leader.takeScaleOut(driver.now)
-			out = append(out, fmt.Sprintf("send %s for %d in %s", request.Name, request.Count, request.Zone))
-		}
-		return out
-	case "listed":
-		var list []wire.ListedMachine
-		for _, id := range w[1:] {
-			list = append(list, wire.ListedMachine{ID: id, Type: "g4", Zone: "a", Stage: wire.MachineRunning})
-		}
-		driver.leader.handleMachineList(driver.now, driver.now, list)
-	case "released": // the cloud has acknowledged it
-		driver.leader.fleet.MarkReleased(w[1])
-		driver.leader.forgetMachine(w[1], "released")
-	case "ending": // jobs that must not be compacted yet
-		jobs, ok := driver.leader.UnfinishedJobs()
-		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
-	case "calls": // to machines, one after the other, all of which have the same end
-		for _, id := range w[2:] {
-			driver.leader.monitor.NoteCallResult(driver.now, id, w[1] == "answered")
-		}
-	case "unreached": // whether hardly any call gets through to machines that are heard
-		return []string{fmt.Sprint(driver.leader.CallsFailing(driver.now))}
-	case "deaf": // how many machines the leader does not hear, by no fault of theirs
-		return []string{fmt.Sprint(driver.leader.UnreachableMachines(driver.now))}
-	case "show":
-		return driver.show()
-	default:
+	step := parseStep(line)
+	take := driver.steps[step.words[0]]
+	if take == nil {
 		driver.t.Fatalf("no such step: %s", line)
 	}
-	return nil
+	return take(step)
 }
 
 // parseShares reads "0-2/a", "2-4/b,done" and the like.
