--- a/internal/leader/backoff_test.go
+++ b/internal/leader/backoff_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestBackOffEnds: a job that has failed on many machines is tried again soon enough that nobody finds it
-// left waiting beside room.
+// left waiting beside free capacity.
 func TestBackOffEnds(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 sweep team=blue tasks=1 gpus=1")
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// sizes runs a benchmark at several numbers of machines and of parts, to see how the cost
+// sizes runs a benchmark at several numbers of machines and of shards, to see how the cost
 // grows for one of the leaders.
 func sizes(b *testing.B, run func(b *testing.B, f *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -157,7 +157,7 @@
 		}
 		for i := range g.job.Record.Tasks {
 			if p := l.fleet.ActivePlacement(wire.TaskID{Job: g.id, Index: i}); p != nil && p.Stop == nil {
-				l.stopTask(now, p, g.job.Record.Job, "the gang is called off")
+				l.stopTask(now, p, g.job.Record.Job, "the co-allocation was aborted")
 			}
 		}
 	}
--- a/internal/leader/commit/builder.go
+++ b/internal/leader/commit/builder.go
@@ -22,7 +22,7 @@
 
 // Builder builds the transaction of a round. Batches of jobs come first, then what is left is
 // reserved for the ledger, into which entries are added. Each method takes in what it is given
-// only if the round has room for it.
+// only if the round has capacity for it.
 type Builder struct {
 	Txn wire.Txn
 
@@ -63,7 +63,7 @@
 // Guarded returns how many batches the round is conditional on.
 func (b *Builder) Guarded() int { return len(b.guarded) }
 
-// Update returns the update of the batch of a job that the round writes; nil if there is no room.
+// Update returns the update of the batch of a job that the round writes; nil if there is no capacity.
 func (b *Builder) Update(l *store.LiveJob) *store.BatchUpdate {
 	if u := b.updates[l.Batch.Key]; u != nil {
 		return u
@@ -95,7 +95,7 @@
 	b.Txn.Then = append(b.Txn.Then, op)
 }
 
-// AddChangeIf adds a change and a condition for it. The caller has seen that there is room.
+// AddChangeIf adds a change and a condition for it. The caller has seen that there is capacity.
 func (b *Builder) AddChangeIf(c wire.Condition, op wire.Operation) {
 	b.changesLeft--
 	b.conditionsLeft--
@@ -130,7 +130,7 @@
 // Fits reports whether so many bytes are left for entries.
 func (b *Builder) Fits(size int) bool { return size <= b.entryBytes }
 
-// Reserve sets aside room for entries that are added by AddReserved, if it is there.
+// Reserve sets aside capacity for entries that are added by AddReserved, if it is there.
 func (b *Builder) Reserve(size int) bool {
 	if !b.Fits(size) {
 		return false
@@ -139,7 +139,7 @@
 	return true
 }
 
-// AddReserved adds an entry for which room was reserved.
+// AddReserved adds an entry for which capacity was reserved.
 func (b *Builder) AddReserved(e store.Entry) { b.entries = append(b.entries, e) }
 
 // Empty reports whether the round changes nothing yet.
--- a/internal/leader/commit/builder_test.go
+++ b/internal/leader/commit/builder_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("of %d bytes that are free, not so many are reserved", room)
 	}
 	if b.Add(store.DropMachine("a-machine-with-a-long-name")) {
-		t.Error("an entry is added without room for it")
+		t.Error("an entry is added without capacity for it")
 	}
 	b.AddReserved(store.DropMachine("n-1"))
 	if left := b.Pack(ledger, store.SegmentRecord{FencingToken: 1, Round: 1}); left != 0 {
--- a/internal/leader/commit/completions.go
+++ b/internal/leader/commit/completions.go
@@ -20,7 +20,7 @@
 // Remove takes a job out of the queue.
 func (u CompletionQueue) Remove(job string) { delete(u, job) }
 
-// OldestFirst lists the jobs in the order in which they are to be stored. A round has room for a
+// OldestFirst lists the jobs in the order in which they are to be stored. A round has capacity for a
 // bounded number of them, so that any other order could make some of them wait without end.
 func (u CompletionQueue) OldestFirst() []string {
 	return slices.SortedFunc(maps.Keys(u), func(a, b string) int {
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -10,10 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestHandedOverTaskIsNotInTwoLedgers: a task ran in part a, whose claim has the higher fencing token, ended
-// without being done, and was given to part b, which runs it with a lower attempt. Then the
-// state is divided anew, which goes by the attempts that the ledgers name: part a must
-// not take for its own, and start again, what runs in part b.
+// TestHandedOverTaskIsNotInTwoLedgers: a task ran in shard a, whose leader has the higher fencing token, ended
+// without being done, and was handed over to shard b, which runs it with a lower attempt. Then the
+// state is divided anew, which goes by the attempts that the ledgers name: shard a must
+// not take for its own, and start again, what runs in shard b.
 //
 // The call that launched it is answered, or may yet be carried out.
 func TestHandedOverTaskIsNotInTwoLedgers(t *testing.T) {
@@ -58,7 +58,7 @@
 		round`)
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=pending 0-1/b") {
-		t.Fatalf("it was not given away")
+		t.Fatalf("it was not handed over")
 	}
 	driver.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
 		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Incarnation: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
@@ -81,13 +81,13 @@
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
-			t.Errorf("%s while it runs in part b", line)
+			t.Errorf("%s while it runs in shard b", line)
 		}
 	}
 }
 
 // TestGangIsDoneInPieces: one of two shards has said that its tasks of a gang are done, and the
-// state becomes one part. The other task's machine is gone with what it knew: the gang is done
+// state becomes one shard. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
 func TestGangIsDoneInPieces(t *testing.T) {
 	driver := newTraceDriver(t)
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -20,7 +20,7 @@
 	coAllocation    handover.CoAllocation // of a gang
 	starvedSince    time.Time             // since when none of its tasks is placed though some could be
 	failedAttempts  map[int]int           // times that a task was stopped before its image had come
-	timedOutAttempt uint64                // the attempt of a gang of which a task waited for the others in vain
+	timedOutAttempt uint64                // the attempt of a gang of which a task timed out waiting for the others
 }
 
 const (
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -26,7 +26,7 @@
 	return launches[:n], launches[n:]
 }
 
-// launch places tasks as far as the round has room: a condition for each job, and in the ledger each
+// launch places tasks as far as the round has capacity: a condition for each job, and in the ledger each
 // machine, whose record names what may be there. The rest is decided again in the next round; a gang
 // is never split. It returns why the last group that is left out is.
 func (l *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
@@ -51,7 +51,7 @@
 	return withheld
 }
 
-// measure finds out what room a group takes.
+// measure finds out what capacity of the round a group takes.
 func (l *Leader) measure(d *Draft, launches []scheduler.Launch) launchGroup {
 	maxTasks := max(1, l.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // of a machine, so that records divide well among segments
 	n := len(launches)
@@ -67,7 +67,7 @@
 	return g
 }
 
-// placeGroup places a group for which there is room. Its tasks share one attempt, which is unique
+// placeGroup places a group for which the round has capacity. Its tasks share one attempt, which is unique
 // without being stored: it is of this leader's token.
 func (l *Leader) placeGroup(now time.Time, d *Draft, g launchGroup) {
 	d.Reserve(g.bytes)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader leads a shard of the fleet. In rounds, it squares what machines and the cloud report
-// with the jobs of the state service, lets the scheduler plan, and writes what follows as one
+// Package leader leads a shard of the fleet. In rounds, it reconciles heartbeats and the cloud's list with
+// the jobs of the state service, lets the scheduler plan, and writes what follows as one
 // compare-and-swap that is fenced by the leader's token. A launch is sent to a machine only after the
 // round that plans it is committed, so that the next leader knows of it whatever happens to this one.
 package leader
@@ -155,7 +155,7 @@
 			j.storedFinished.Add(i)
 		}
 		if !l.sharding.IsSingle() {
-			l.unstored.Add(id, l.lastRound) // the rest may have been given away since
+			l.unstored.Add(id, l.lastRound) // the rest may have been handed over since
 		}
 	}
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -59,7 +59,7 @@
 	name         string
 	view         *store.View
 	seenRevision uint64
-	leaders      map[string]*modelLeader // by part
+	leaders      map[string]*modelLeader // by shard
 }
 
 type modelLeader struct {
@@ -87,27 +87,27 @@
 	shares   []store.ShardRange
 	prefix   string // steps that are taken first
 	depth    int
-	failover bool // whether parts change hands
-	reshard  bool // whether the state was divided anew with a task of each part's machine running
+	failover bool // whether shards change leaders
+	reshard  bool // whether the state was divided anew with a task of each shard's machine running
 	gang     bool // whether the job is a gang
 	ended    bool // and that of the second has ended since its machine was recorded
 	cancel   bool // whether the user cancels
 }
 
 var scenarios = []scenario{
-	{name: "tasks that are given away", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
-	{name: "a part that changes hands", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "tasks that are handed over", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
+	{name: "a shard that changes leaders", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
 	{name: "a team's limit", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
-	{name: "a limit while parts change hands", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "a limit while shards change leaders", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
-	{name: "a state that was divided anew", reshard: true, tasks: 3, depth: 7, cancel: true},
-	{name: "a limit in a state that was divided anew", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
-	{name: "a limit that is granted twice in a state that was divided anew", reshard: true, ended: true, limit: 1, tasks: 3,
+	{name: "a state that was resharded", reshard: true, tasks: 3, depth: 7, cancel: true},
+	{name: "a limit in a state that was resharded", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
+	{name: "a limit that is granted twice in a state that was resharded", reshard: true, ended: true, limit: 1, tasks: 3,
 		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
 	{name: "a gang that is co-allocated", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
-	{name: "a gang whose parts change hands", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "a gang whose shards change leaders", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b; decide 0 a; commit 0 a; report 0 a; sync 1; decide 1 b; commit 1 b; report 1 b", depth: 6},
 	{name: "tasks that must be spread", spread: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
@@ -143,7 +143,7 @@
 	return m
 }
 
-// divide makes a state of one part, with a task on each machine, into one of two.
+// divide makes a state of one shard, with a task on each machine, into one of two.
 func (m *model) divide() {
 	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
@@ -221,7 +221,7 @@
 	controller.leaders[part] = &modelLeader{Leader: leader}
 }
 
-// report has a machine report to a controller, and carries out the answer.
+// report has a machine send a heartbeat to a controller, and carries out the answer.
 func (m *model) report(controller *modelController, w *modelWorker) {
 	leader := controller.leaders[w.zone]
 	w.seq++
@@ -291,12 +291,12 @@
 		at := 0
 		for _, r := range rec.Ranges {
 			if r.From != at || r.To <= r.From {
-				m.violate("shares: %v", rec.Ranges)
+				m.violate("ranges: %v", rec.Ranges)
 			}
 			at = r.To
 		}
 		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
-			m.violate("shares: %v", rec.Ranges)
+			m.violate("ranges: %v", rec.Ranges)
 		}
 		if rec.Stage == wire.Done {
 			for i := range m.tasks {
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -19,7 +19,7 @@
 
 // The model with time: a fleet in one shard, a controller that leads and one that may take
 // over, two machines, one job, and a state service that refuses one controller or all. Leader,
-// View, Claim and the worker's Core are the product's; what lies between them is up to
+// View, Election and the worker's Core are the product's; what lies between them is up to
 // the search. Time goes in steps of a third of a lease, so that the bounds lie between steps,
 // and each statement has an age: a worker's lease, the controller's, what is surely
 // known of cancellations, a confirmation.
@@ -108,7 +108,7 @@
 	mustReach      string // what must have come about somewhere
 	findsFaults    string // faults that are found if they are planted there
 	plantedFault   string // the one that is planted
-	steadyReporter string // a machine that reports at each moment, and to whom
+	steadyReporter string // a machine that sends a heartbeat at each moment, and to whom
 	anyOrder       bool   // within a moment steps come in any order, not only as they are listed
 }
 
@@ -183,8 +183,8 @@
 	return ch
 }
 
-// takeIn has a view take in an answer that was asked for at a time, and the claim what the
-// view says of the part.
+// takeIn has a view take in an answer that was asked for at a time, and the election what the
+// view says of the shard.
 func (m *timedModel) takeIn(i int, ch wire.WatchResponse, begun time.Time) {
 	c := m.nodes[i]
 	c.view.Apply(&ch)
@@ -197,7 +197,7 @@
 
 func (m *timedModel) read(i int) { m.takeIn(i, m.changes(i), m.now) }
 
-// manage begins and ends the duties for the part, as package controller does.
+// manage begins and ends the duties for the shard, as package controller does.
 func (m *timedModel) manage(i int) {
 	c := m.nodes[i]
 	held, is := c.claim.Tenure(timedPart)
@@ -239,7 +239,7 @@
 	}
 }
 
-// claimPart has a controller claim the part, or its claim go on its way.
+// claimPart has a controller campaign for the shard, or its transaction go on its way.
 func (m *timedModel) claimPart(i int, hold bool) {
 	c := m.nodes[i]
 	txn, term := c.claim.Campaign(timedPart, c.view.FencingToken())
@@ -258,7 +258,7 @@
 	m.manage(i)
 }
 
-// entitled says whether a controller answers a report, as package controller does.
+// entitled says whether a controller answers a heartbeat, as package controller does.
 func (m *timedModel) entitled(i int, hb *wire.Heartbeat) (valid, ok bool) {
 	c := m.nodes[i]
 	held, is := c.claim.Tenure(timedPart)
@@ -268,7 +268,7 @@
 	}
 	confirmed := c.claim.LastRenewal()
 	switch m.plantedFault {
-	case "answers by the claim alone":
+	case "answers by the lease alone":
 		return valid, valid || m.now.Sub(confirmed) < m.cfg.Workers.MaxCancelStaleness()
 	case "answers by the last renewal alone":
 		return valid, m.now.Sub(confirmed) < m.cfg.Workers.MaxCancelStaleness()
@@ -278,7 +278,7 @@
 	return valid, c.leader.MayAnswer(m.now, valid, confirmed)
 }
 
-// handleHeartbeat has a controller take in a report and gives its answer.
+// handleHeartbeat has a controller take in a heartbeat and gives its answer.
 func (m *timedModel) handleHeartbeat(i int, hb *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	valid, ok := m.entitled(i, hb)
 	if !ok {
@@ -311,7 +311,7 @@
 		m.reached["the old leader answers after a cancellation"] = true
 	}
 	if !arrives {
-		m.reached["deaf"] = true
+		m.reached["a lost answer"] = true
 		return
 	}
 	term := w.core.Heartbeat().FencingToken
@@ -384,7 +384,7 @@
 	e := w.core.Expire(m.now)
 	if w.core.Incarnation() != w.incarnation {
 		w.incarnation, w.answered = w.core.Incarnation(), m.now
-		m.reached["a later session"] = true
+		m.reached["a later incarnation"] = true
 	}
 	m.effects(w, e)
 }
@@ -525,7 +525,7 @@
 		for _, p := range c.draft.launches {
 			p.Committed = true
 		}
-	case "a round is not fenced by the part":
+	case "a round is not fenced by the leader record":
 		c.draft.Txn.If = without(c.draft.Txn.If, store.LeaderKey(timedPart))
 	case "a round is not bound to its ledger":
 		for _, t := range c.draft.Packed().Then {
@@ -835,11 +835,11 @@
 	hb := m.duplicateReports[k]
 	now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
 	if hb.Incarnation < now.Incarnation {
-		m.reached["a copy from an earlier session"] = true
+		m.reached["a copy from an earlier incarnation"] = true
 	} else if hb.Seq < now.Seq {
-		m.reached["a copy of an older report"] = true
+		m.reached["a copy of an older heartbeat"] = true
 	}
-	if m.plantedFault == "a report is taken though older" {
+	if m.plantedFault == "a heartbeat is applied though older" {
 		hb.Incarnation, hb.Seq, hb.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
 	}
 	m.handleHeartbeat(i, &hb)
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -39,7 +39,7 @@
 }
 
 // A machine has failed to boot after bootFactor times what its type takes, and bootMargin for the
-// cloud to begin: clouds are slow at times, and a machine that is returned early is paid for in vain.
+// cloud to begin: clouds are slow at times, and a machine that is returned early is paid for and never used.
 const (
 	bootFactor = 4
 	bootMargin = 20 * time.Second
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -61,7 +61,7 @@
 	}
 	terminating := !m.TerminationTime.IsZero()
 	if terminating && p.Active() && p.Stop == nil && live.Record.Job.CheckpointS > 0 {
-		l.stopTask(now, p, live.Record.Job, "the machine is being taken")
+		l.stopTask(now, p, live.Record.Job, "the cloud is terminating the machine")
 	}
 }
 
@@ -87,7 +87,7 @@
 	case p.CallPending() && age > l.cfg.Workers.MaxCancelStaleness()/2:
 		l.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
 	case age > l.cfg.Workers.Cancel-cancelMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
-		l.releaseMachine(m, "it may run a task of a cancelled job, and is silent")
+		l.releaseMachine(m, "it may run a task of a cancelled job, and is unreachable")
 	}
 }
 
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -24,7 +24,7 @@
 		if !all || len(tasks) > 0 && l.assignment.Unassigned(live) && !l.sharding.IsSingle() { // these must be in the ledger first
 			continue
 		}
-		if r := d.Update(live); r != nil { // or the next round has room
+		if r := d.Update(live); r != nil { // or the next round has capacity
 			if l.finishRanges(r, id, live, now) {
 				d.done = append(d.done, id)
 			}
@@ -33,7 +33,7 @@
 	}
 }
 
-// storeProgress writes the blocks of tasks in which some have finished, as far as the round has room.
+// storeProgress writes the blocks of tasks in which some have finished, as far as the round has capacity.
 func (l *Leader) storeProgress(d *Draft) {
 	for _, id := range l.sortFirstTierFirst(l.unstored.OldestFirst()) {
 		j, live := l.jobStates[id], l.liveJobs[id]
@@ -57,7 +57,7 @@
 }
 
 // dropObsolete deletes records that are of no more use, and stores new machine types, as far as the
-// round has room.
+// round has capacity.
 func (l *Leader) dropObsolete(d *Draft) {
 	if l.typesChanged && d.ChangesLeft() > 0 {
 		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: l.types}})
--- a/internal/leader/round_size_test.go
+++ b/internal/leader/round_size_test.go
@@ -20,7 +20,7 @@
 		{12.5, 2, 8, "fleet"}, // two thirds of it, of three controllers
 		{25, 2, 16, "fleet"},
 		{17.5, 4, 10, "fleet"},
-		{35, 4, 7, "a b c d"}, // a tenth, and half by parts
+		{35, 4, 7, "a b c d"}, // a tenth, and half by shards
 		{4, 2, 4, "fleet"},
 	} {
 		t.Run(fmt.Sprint(c.rps, " of ", c.siblings+1, " in ", c.parts), func(t *testing.T) {
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -150,7 +150,7 @@
 		then = append(then, wire.Operation{Delete: h.Key})
 	}
 	if len(then) != len(batches) {
-		driver.t.Fatalf("%d homes are over, not %v", len(then), batches)
+		driver.t.Fatalf("%d batches have ended, not %v", len(then), batches)
 	}
 	entries, _ = jobblock.Sort(entries)
 	driver.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
@@ -228,8 +228,8 @@
 		if c.fencing {
 			driver.leader.fencing.Finished()
 		}
-		silent := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines behind the fate are silent
-		driver.leader.monitor.CallFinished(driver.now, c.machine, !silent)
+		unreached := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines after the fate are unreachable
+		driver.leader.monitor.CallFinished(driver.now, c.machine, !unreached)
 	}
 	return out
 }
@@ -339,16 +339,16 @@
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
 
-// TestTimeoutsFollowHeartbeatInterval: what counts as silence depends on how often the
-// workers report. Fitted to reports each 3 s, it made a third of a fleet unfit
-// that reports each 8 s, and gave the rest up.
+// TestTimeoutsFollowHeartbeatInterval: when a machine counts as unreachable depends on how
+// often the workers send heartbeats. Fitted to an interval of 3 s, the timeouts made a third of a
+// fleet with an interval of 8 s unusable, and released the rest.
 func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
 		cfg.Workers.HeartbeatInterval = every
 		got, latest := timeoutsOf(cfg), every*5/4
 		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && every < 20*time.Second {
-			t.Errorf("reports each %v: %+v", every, got)
+			t.Errorf("heartbeats each %v: %+v", every, got)
 		}
 		driver := newTraceDriver(t)
 		driver.cfg.Workers.HeartbeatInterval = every
@@ -357,7 +357,7 @@
 		driver.now = driver.now.Add(latest)
 		driver.leader.Decide(driver.now, driver.view.Snapshot())
 		if pic := driver.leader.clusterSnapshot(driver.now); !pic.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("reports each %v: a machine is unfit between two of them", every)
+			t.Errorf("heartbeats each %v: a machine is not usable between two of them", every)
 		}
 		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // or it would seem to have stood still
 			driver.now = driver.now.Add(min(2*time.Second, end.Sub(driver.now)))
@@ -370,7 +370,7 @@
 		driver.leader.monitor.Calls.Start(driver.now, "n-1", "")
 		driver.leader.monitor.CallFinished(driver.now, "n-1", false)
 		if driver.leader.Decide(driver.now, driver.view.Snapshot()); !driver.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.unreachableAfter)
+			t.Errorf("heartbeats each %v: a machine that is unreachable for %v is kept", every, latest+got.unreachableAfter)
 		}
 	}
 }
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What becomes of the machines of a zone that is cut off, and how the zone comes back into use.
+// What becomes of the machines of a zone that is unreachable, and how the zone comes back into use.
 
 // continueZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
 // it by the next round.
@@ -141,7 +141,7 @@
 	}
 }
 
-// keepsLostMachine reports whether a lost machine is retained because its zone is cut off or has just recovered.
+// keepsLostMachine reports whether a lost machine is retained because its zone is unreachable or has just recovered.
 func (l *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
 	since, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter)
 	if !cutOff {
@@ -208,7 +208,7 @@
 }
 
 // noteReconnected records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
-// the next one. The first such heartbeat from a zone that was cut off does so for all its machines.
+// the next one. The first such heartbeat from a zone that was unreachable does so for all its machines.
 func (l *Leader) noteReconnected(now time.Time, machine string) {
 	m := l.fleet.Machine(machine)
 	if m == nil || !l.monitor.Unreachable(now, m) {
