--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -84,7 +84,7 @@
 	limit    float64
 	spread   bool
 	tasks    int
-	shares   []store.ShardRange
+	ranges   []store.ShardRange
 	prefix   string // steps that are taken first
 	depth    int
 	failover bool // whether shards change leaders
@@ -95,21 +95,21 @@
 }
 
 var scenarios = []scenario{
-	{name: "tasks that are handed over", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
-	{name: "a shard that changes leaders", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "tasks that are handed over", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
+	{name: "a shard that changes leaders", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
-	{name: "a team's limit", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
-	{name: "a limit while shards change leaders", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "a team's limit", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
+	{name: "a limit while shards change leaders", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
 	{name: "a state that was resharded", reshard: true, tasks: 3, depth: 7, cancel: true},
 	{name: "a limit in a state that was resharded", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
 	{name: "a limit that is granted twice in a state that was resharded", reshard: true, ended: true, limit: 1, tasks: 3,
 		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
-	{name: "a gang that is co-allocated", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
+	{name: "a gang that is co-allocated", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
-	{name: "a gang whose shards change leaders", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "a gang whose shards change leaders", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b; decide 0 a; commit 0 a; report 0 a; sync 1; decide 1 b; commit 1 b; report 1 b", depth: 6},
-	{name: "tasks that must be spread", spread: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "tasks that must be spread", spread: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
 }
 
@@ -122,7 +122,7 @@
 		j.Shape = wire.Gang
 	}
 	m.gang = s.gang
-	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.shares}}}}})
+	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.ranges}}}}})
 	for i := range m.controllers {
 		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
 		controller.view.Load(nil, 0, &wire.WatchResponse{})
@@ -206,19 +206,19 @@
 
 var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(controller *modelController, part string) {
+func (m *model) claim(controller *modelController, shard string) {
 	m.sync(controller)
-	term := controller.view.FencingToken().Record + 1
-	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: term}, {Put: store.LeaderKey(part), Value: store.LeaderRecord{Leader: controller.name, FencingToken: term}}})
+	token := controller.view.FencingToken().Record + 1
+	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: token}, {Put: store.LeaderKey(shard), Value: store.LeaderRecord{Leader: controller.name, FencingToken: token}}})
 	m.sync(controller)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	leader := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(part), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	leader := New(m.cfg, leadership.Tenure{Shard: shard, FencingToken: token, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(shard), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
+		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: shard, Spot: spot}, Count: 1})
 		leader.scaler.Complete(modelTime, "x", 0)
 	}
-	controller.leaders[part] = &modelLeader{Leader: leader}
+	controller.leaders[shard] = &modelLeader{Leader: leader}
 }
 
 // report has a machine send a heartbeat to a controller, and carries out the answer.
@@ -330,36 +330,36 @@
 		if controller.seenRevision < m.revision {
 			add("sync %d", i)
 		}
-		for _, part := range []string{"a", "b"} {
-			leader, w := controller.leaders[part], m.workers[part]
-			_, held := m.keys[store.LeaderKey(part)]
+		for _, shard := range []string{"a", "b"} {
+			leader, w := controller.leaders[shard], m.workers[shard]
+			_, held := m.keys[store.LeaderKey(shard)]
 			if leader == nil {
 				if s.failover && !held {
-					add("claim %d %s", i, part)
+					add("claim %d %s", i, shard)
 				}
 				continue
 			}
 			if w.token <= leader.FencingToken() {
-				add("report %d %s", i, part)
+				add("report %d %s", i, shard)
 			}
 			switch {
 			case leader.draft == nil:
-				add("decide %d %s", i, part)
+				add("decide %d %s", i, shard)
 			default:
-				add("commit %d %s", i, part)
+				add("commit %d %s", i, shard)
 			}
 			if m.limit > 0 {
 				if leader.grantChange == nil {
-					add("regrant %d %s", i, part)
+					add("regrant %d %s", i, shard)
 				} else {
-					add("granted %d %s", i, part)
+					add("granted %d %s", i, shard)
 				}
 			}
 			if s.failover {
-				if m.keys[store.LeaderKey(part)].version == leader.lease.Version {
-					add("lose %d %s", i, part)
+				if m.keys[store.LeaderKey(shard)].version == leader.lease.Version {
+					add("lose %d %s", i, shard)
 				} else {
-					add("die %d %s", i, part)
+					add("die %d %s", i, shard)
 				}
 			}
 		}
@@ -387,23 +387,23 @@
 	f := strings.Fields(step)
 	var controller *modelController
 	var leader *modelLeader
-	i, part := 0, ""
+	i, shard := 0, ""
 	if len(f) > 1 {
 		i, _ = strconv.Atoi(f[1])
 	}
 	if len(f) > 2 {
-		part, controller = f[2], m.controllers[i]
-		leader = controller.leaders[part]
+		shard, controller = f[2], m.controllers[i]
+		leader = controller.leaders[shard]
 	}
 	switch f[0] {
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
-		m.claim(controller, part)
+		m.claim(controller, shard)
 	case "report":
-		m.report(controller, m.workers[part])
+		m.report(controller, m.workers[shard])
 	case "decide":
-		other := map[string]string{"a": "b", "b": "a"}[part]
+		other := map[string]string{"a": "b", "b": "a"}[shard]
 		status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
 		if m.gang {
 			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
@@ -434,7 +434,7 @@
 		leader.GrantsSettled(controller.view.Snapshot().QuotaGrants)
 		leader.grantChange = nil
 	case "lose": // the lease has run out; the leader does not know yet
-		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
+		m.apply([]wire.Operation{{Delete: store.LeaderKey(shard)}})
 	case "die": // and its transactions are still on their way
 		if leader.draft != nil {
 			m.lateTxns = append(m.lateTxns, leader.draft.Txn)
@@ -442,7 +442,7 @@
 		if leader.grantChange != nil {
 			m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
 		}
-		delete(controller.leaders, part)
+		delete(controller.leaders, shard)
 	case "late":
 		t := m.lateTxns[i]
 		m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
@@ -450,7 +450,7 @@
 			m.apply(t.Then)
 		}
 	case "alone": // the gang was not complete in time, or has lost a task
-		w := m.workers[part]
+		w := m.workers[shard]
 		for id, n := range w.runs {
 			w.timedOut[id] = n
 		}
@@ -465,7 +465,7 @@
 			}
 			return
 		}
-		w := m.workers[part]
+		w := m.workers[shard]
 		id := sortedTasks(w.runs)[0]
 		w.done[id] = w.runs[id]
 		m.completed[id] = true
@@ -521,10 +521,10 @@
 				}
 			}
 		}
-		for _, part := range slices.Sorted(maps.Keys(controller.leaders)) {
-			leader := controller.leaders[part]
+		for _, shard := range slices.Sorted(maps.Keys(controller.leaders)) {
+			leader := controller.leaders[shard]
 			driver := &traceDriver{leader: leader.Leader}
-			put("%s %d %v %v %v", part, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
 			put("%v %v", leader.quota, leader.targets)
 			for _, id := range sortedKeys(leader.jobStates) {
 				j := leader.jobStates[id]
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -25,9 +25,9 @@
 // known of cancellations, a confirmation.
 
 const (
-	timedStep = 3 * time.Second
-	timedPart = "fleet"
-	timedJob  = "wk-1"
+	timedStep  = 3 * time.Second
+	timedShard = "fleet"
+	timedJob   = "wk-1"
 	// lateKill is for how long a worker may be late to look at its lease: until then its tasks
 	// are on the machine, though it neither says nor takes anything. Proofs by time leave a
 	// margin for it.
@@ -36,30 +36,30 @@
 
 // timedModel is one state, reached by its path.
 type timedModel struct {
-	*model           // the store and the views
-	now              time.Time
-	plantedFault     string
-	steadyReporter   string
-	budgets          []budget
-	count            map[string]int // steps that were taken of each
-	rank             int            // of the last step: within a moment they come in the order in which they are listed
-	anyOrder         bool           // or in any
-	grants           int
-	nodes            [2]*timedController
-	machines         map[string]*timedWorker
-	serviceDown      bool
-	lateCommits      []lateTxn
-	lateCalls        []lateCall
-	duplicateReports []wire.Heartbeat
-	cancelAckedAt    time.Time // when the user was told that the job is cancelled
-	finalStage       wire.Stage
-	done             map[agent.Key]bool // attempts that have completed
-	reached          map[string]bool
+	*model              // the store and the views
+	now                 time.Time
+	plantedFault        string
+	steadySender        string
+	budgets             []budget
+	count               map[string]int // steps that were taken of each
+	rank                int            // of the last step: within a moment they come in the order in which they are listed
+	anyOrder            bool           // or in any
+	grants              int
+	nodes               [2]*timedController
+	machines            map[string]*timedWorker
+	serviceDown         bool
+	lateCommits         []lateTxn
+	lateCalls           []lateCall
+	duplicateHeartbeats []wire.Heartbeat
+	cancelAckedAt       time.Time // when the user was told that the job is cancelled
+	finalStage          wire.Stage
+	done                map[agent.Key]bool // attempts that have completed
+	reached             map[string]bool
 }
 
 type timedController struct {
 	*modelController
-	claim       *leadership.Election
+	election    *leadership.Election
 	leader      *Leader
 	draft       *Draft
 	refused     bool
@@ -99,17 +99,17 @@
 
 // timedScenario is where a search begins and what may happen: of each kind of step so many.
 type timedScenario struct {
-	name           string
-	tasks          int
-	limit          float64
-	prefix         string
-	depth          int
-	limits         string // steps, by how they begin, and how many of each at most
-	mustReach      string // what must have come about somewhere
-	findsFaults    string // faults that are found if they are planted there
-	plantedFault   string // the one that is planted
-	steadyReporter string // a machine that sends a heartbeat at each moment, and to whom
-	anyOrder       bool   // within a moment steps come in any order, not only as they are listed
+	name         string
+	tasks        int
+	limit        float64
+	prefix       string
+	depth        int
+	limits       string // steps, by how they begin, and how many of each at most
+	mustReach    string // what must have come about somewhere
+	findsFaults  string // faults that are found if they are planted there
+	plantedFault string // the one that is planted
+	steadySender string // a machine that sends a heartbeat at each moment, and to whom
+	anyOrder     bool   // within a moment steps come in any order, not only as they are listed
 }
 
 // budget is how many steps that begin so may be taken.
@@ -139,24 +139,24 @@
 
 func newTimed(s *timedScenario) *timedModel {
 	m := &timedModel{model: &model{cfg: timedConfig(s.limit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, limit: s.limit, tasks: s.tasks},
-		now: modelTime, plantedFault: s.plantedFault, steadyReporter: s.steadyReporter, budgets: s.budget(), anyOrder: s.anyOrder, count: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, done: map[agent.Key]bool{}}
+		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.budget(), anyOrder: s.anyOrder, count: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, done: map[agent.Key]bool{}}
 	j := &wire.Job{ID: timedJob, Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j}}}}})
 	for i := range m.nodes {
 		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
 		controller.view.Load(nil, 0, &wire.WatchResponse{})
-		m.nodes[i] = &timedController{modelController: controller, claim: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
+		m.nodes[i] = &timedController{modelController: controller, election: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
 		m.grant(i)
 		m.read(i)
 	}
-	m.claimPart(0, false)
+	m.campaign(0, false)
 	for _, id := range []string{"a", "b"} {
 		m.machines[id] = &timedWorker{id: id, core: agent.NewCore(agent.Identity{Machine: "n-" + id, Addr: "10.1.0.1:9000", Type: "g1", Zone: "a"}, m.cfg.Workers.Lease, 1, m.now),
 			answered: m.now, incarnation: 1, runs: map[agent.Key]bool{}}
 		m.report(id, 0, true)
 		m.report(id, 0, true)
 	}
-	m.duplicateReports = nil
+	m.duplicateHeartbeats = nil
 	return m
 }
 
@@ -164,7 +164,7 @@
 	c := m.nodes[i]
 	c.leaseID, c.leaseSince = uint64(10+10*m.grants+i), m.now
 	m.grants++
-	c.claim.LeaseGranted(c.leaseID, m.now)
+	c.election.LeaseGranted(c.leaseID, m.now)
 }
 
 func (m *timedModel) served(i int) bool {
@@ -190,8 +190,8 @@
 	c.view.Apply(&ch)
 	c.seenRevision = max(c.seenRevision, ch.Revision)
 	c.view.MarkCurrent(begun)
-	rec, known := c.view.Leader(timedPart)
-	c.claim.Observe(timedPart, rec, known, c.view.Revision())
+	rec, known := c.view.Leader(timedShard)
+	c.election.Observe(timedShard, rec, known, c.view.Revision())
 	m.manage(i)
 }
 
@@ -200,7 +200,7 @@
 // manage begins and ends the duties for the shard, as package controller does.
 func (m *timedModel) manage(i int) {
 	c := m.nodes[i]
-	held, is := c.claim.Tenure(timedPart)
+	held, is := c.election.Tenure(timedShard)
 	if c.leader != nil && (!is || c.leader.lease.Version != held.Version) {
 		c.leader, c.draft = nil, nil
 	}
@@ -221,7 +221,7 @@
 		cfg.Workers.Cancel -= 5 * time.Second // what is answered stays the same
 	}
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a"}}}
-	c.leader = New(cfg, held, c.view.Snapshot(), c.view.ShardLedgers(timedPart), types, c.view, m.now, slog.New(slog.DiscardHandler))
+	c.leader = New(cfg, held, c.view.Snapshot(), c.view.ShardLedgers(timedShard), types, c.view, m.now, slog.New(slog.DiscardHandler))
 	if m.plantedFault == "proof 5 without the time that others answer" {
 		c.leader.fleet.ElectedAt = m.now.Add(-maxAnswerTime(cfg))
 	}
@@ -239,10 +239,10 @@
 	}
 }
 
-// claimPart has a controller campaign for the shard, or its transaction go on its way.
-func (m *timedModel) claimPart(i int, hold bool) {
+// campaign has a controller campaign for the shard, or its transaction go on its way.
+func (m *timedModel) campaign(i int, hold bool) {
 	c := m.nodes[i]
-	txn, term := c.claim.Campaign(timedPart, c.view.FencingToken())
+	txn, token := c.election.Campaign(timedShard, c.view.FencingToken())
 	for k := range txn.Then { // leases are the model's own
 		txn.Then[k].Lease = 0
 	}
@@ -252,7 +252,7 @@
 	}
 	if m.conditionsHold(txn) && !c.leaseSince.IsZero() {
 		rev := m.apply(txn.Then)
-		c.claim.Won(timedPart, term, rev)
+		c.election.Won(timedShard, token, rev)
 	}
 	m.read(i)
 	m.manage(i)
@@ -261,12 +261,12 @@
 // entitled says whether a controller answers a heartbeat, as package controller does.
 func (m *timedModel) entitled(i int, hb *wire.Heartbeat) (valid, ok bool) {
 	c := m.nodes[i]
-	held, is := c.claim.Tenure(timedPart)
-	valid = c.claim.LeaseValid(m.now)
+	held, is := c.election.Tenure(timedShard)
+	valid = c.election.LeaseValid(m.now)
 	if c.leader == nil || c.dead || !is || c.leader.lease.Version != held.Version || hb.FencingToken > held.FencingToken {
 		return valid, false
 	}
-	confirmed := c.claim.LastRenewal()
+	confirmed := c.election.LastRenewal()
 	switch m.plantedFault {
 	case "answers by the lease alone":
 		return valid, valid || m.now.Sub(confirmed) < m.cfg.Workers.MaxCancelStaleness()
@@ -301,7 +301,7 @@
 	m.expire(w, false)
 	hb, sent := w.core.NextHeartbeat(), m.now
 	if id == "b" { // the other is well
-		m.duplicateReports = append(m.duplicateReports[max(0, len(m.duplicateReports)-2):], hb)
+		m.duplicateHeartbeats = append(m.duplicateHeartbeats[max(0, len(m.duplicateHeartbeats)-2):], hb)
 	}
 	response, ok := m.handleHeartbeat(i, &hb)
 	if !ok {
@@ -314,9 +314,9 @@
 		m.reached["a lost answer"] = true
 		return
 	}
-	term := w.core.Heartbeat().FencingToken
+	token := w.core.Heartbeat().FencingToken
 	e := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
-	if response.FencingToken >= term && sent.After(w.answered) {
+	if response.FencingToken >= token && sent.After(w.answered) {
 		w.answered = sent
 	}
 	for _, c := range response.Commands {
@@ -342,7 +342,7 @@
 		items = append(items, wire.KeyValue{Key: key, Value: c.raw, Version: c.version})
 	}
 	v.Load(items, m.revision, &wire.WatchResponse{})
-	left := v.ShardLedgers(timedPart)
+	left := v.ShardLedgers(timedShard)
 	_, last := store.NewLedger(left.Name, m.cfg.Store.ValueBytes, left.Own)
 	if done := last.FinishedTasks[id.Job]; done == nil || !done.Contains(id.Index) {
 		m.violate("forgotten: the end of %s is cleared and not stored", c.Task)
@@ -405,14 +405,14 @@
 		if i == 0 && !m.serviceDown && !c.leaseSince.IsZero() && m.now.Sub(c.leaseSince) >= m.cfg.Tuning.Lease {
 			c.leaseSince = time.Time{}
 			var rec store.LeaderRecord
-			if p, ok := m.keys[store.LeaderKey(timedPart)]; ok && wire.DecodeValue(p.raw, &rec) == nil && rec.Lease == c.leaseID {
-				m.apply([]wire.Operation{{Delete: store.LeaderKey(timedPart)}})
+			if p, ok := m.keys[store.LeaderKey(timedShard)]; ok && wire.DecodeValue(p.raw, &rec) == nil && rec.Lease == c.leaseID {
+				m.apply([]wire.Operation{{Delete: store.LeaderKey(timedShard)}})
 			}
 		}
 	}
 	if c := m.nodes[1]; m.served(1) && !c.leaseSince.IsZero() { // it is well
 		c.leaseSince = m.now
-		c.claim.LeaseRenewed(m.now)
+		c.election.LeaseRenewed(m.now)
 		if c.leader != nil {
 			m.read(1)
 		}
@@ -422,7 +422,7 @@
 			c.leader.Reconcile(m.now, c.view.Snapshot())
 		}
 	}
-	if id, i, ok := strings.Cut(m.steadyReporter, " "); ok {
+	if id, i, ok := strings.Cut(m.steadySender, " "); ok {
 		k, _ := strconv.Atoi(i)
 		m.report(id, k, true)
 	}
@@ -449,7 +449,7 @@
 
 func (m *timedModel) release(i int) {
 	c := m.nodes[i]
-	if !c.claim.LeaseValid(m.now) {
+	if !c.election.LeaseValid(m.now) {
 		return
 	}
 	names := c.leader.pendingReleases()
@@ -481,7 +481,7 @@
 // call makes a leader's direct calls; lost ones are on their way.
 func (m *timedModel) call(i int, lost bool) {
 	c := m.nodes[i]
-	for _, k := range c.leader.dueCalls(m.now, c.claim.LeaseValid(m.now), maxOpenCalls) {
+	for _, k := range c.leader.dueCalls(m.now, c.election.LeaseValid(m.now), maxOpenCalls) {
 		id := strings.TrimPrefix(k.machine, "n-")
 		d := wire.CommandRequest{FencingToken: c.leader.lease.FencingToken, Incarnation: k.incarnation, Commands: k.commands}
 		outcome, heard := fleet.Unanswered, false
@@ -526,7 +526,7 @@
 			p.Committed = true
 		}
 	case "a round is not fenced by the leader record":
-		c.draft.Txn.If = without(c.draft.Txn.If, store.LeaderKey(timedPart))
+		c.draft.Txn.If = without(c.draft.Txn.If, store.LeaderKey(timedShard))
 	case "a round is not bound to its ledger":
 		for _, t := range c.draft.Packed().Then {
 			c.draft.Txn.If = without(c.draft.Txn.If, t.Put)
@@ -645,7 +645,7 @@
 	if m.served(i) {
 		m.servedSteps(i, c, add)
 	}
-	if !m.serviceDown && c.claim.LastRenewal().Before(m.now) { // renewals may succeed where reads are refused
+	if !m.serviceDown && c.election.LastRenewal().Before(m.now) { // renewals may succeed where reads are refused
 		add("renew", i)
 	}
 	if c.pendingRead != nil {
@@ -672,7 +672,7 @@
 			add("ask", i)
 		}
 	}
-	if _, held := c.view.Leader(timedPart); !held && c.leader == nil && c.claim.LeaseValid(m.now) && c.seenRevision == m.revision {
+	if _, held := c.view.Leader(timedShard); !held && c.leader == nil && c.election.LeaseValid(m.now) && c.seenRevision == m.revision {
 		add("claim", i)
 		add("holdclaim", i)
 	}
@@ -684,13 +684,13 @@
 
 // leaderSteps adds what a controller that leads can do next.
 func (m *timedModel) leaderSteps(i int, c *timedController, add func(kind string, args ...any)) {
-	for k := range m.duplicateReports {
+	for k := range m.duplicateHeartbeats {
 		add("copy", k, i)
 	}
-	if len(c.leader.scaler.Releasing()) > 0 && c.claim.LeaseValid(m.now) {
+	if len(c.leader.scaler.Releasing()) > 0 && c.election.LeaseValid(m.now) {
 		add("release", i)
 	}
-	if c.draft == nil && c.claim.LeaseValid(m.now) {
+	if c.draft == nil && c.election.LeaseValid(m.now) {
 		if m.served(i) {
 			add("round", i)
 		}
@@ -753,7 +753,7 @@
 	case "renew":
 		m.renewLease(last)
 	case "claim", "holdclaim":
-		m.claimPart(last, f[0] == "holdclaim")
+		m.campaign(last, f[0] == "holdclaim")
 	case "cancel", "holdcancel":
 		m.cancel(last, f[0] == "holdcancel")
 	case "report", "lose":
@@ -821,18 +821,18 @@
 func (m *timedModel) renewLease(i int) {
 	c := m.nodes[i]
 	if c.leaseSince.IsZero() {
-		c.claim.LeaseLost()
+		c.election.LeaseLost()
 		m.manage(i)
 		m.grant(i)
 		return
 	}
 	c.leaseSince = m.now
-	c.claim.LeaseRenewed(m.now)
+	c.election.LeaseRenewed(m.now)
 }
 
 // replayHeartbeat has the copy of a heartbeat arrive at a controller.
 func (m *timedModel) replayHeartbeat(k, i int) {
-	hb := m.duplicateReports[k]
+	hb := m.duplicateHeartbeats[k]
 	now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
 	if hb.Incarnation < now.Incarnation {
 		m.reached["a copy from an earlier incarnation"] = true
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -43,9 +43,9 @@
 	}
 	left := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
 	for _, c := range m.nodes {
-		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.claim.LastRenewal()), m.age(c.view.CurrentAt()))
-		held, _ := c.claim.Tenure(timedPart)
-		put("%d %d", c.claim.Lease(), held.FencingToken)
+		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.election.LastRenewal()), m.age(c.view.CurrentAt()))
+		held, _ := c.election.Tenure(timedShard)
+		put("%d %d", c.election.Lease(), held.FencingToken)
 		for _, e := range m.log {
 			if e.Version > c.seenRevision {
 				put("unseen %s%s %d", e.Put, e.Delete, m.revision-e.Version)
@@ -95,7 +95,7 @@
 		put("%s %v %d %d %d %v", id, w.gone, hb.Incarnation, hb.FencingToken, m.age(w.answered), hb.Tasks)
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
-		for _, hb := range m.duplicateReports {
+		for _, hb := range m.duplicateHeartbeats {
 			now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
 			put("%s %d %d %d %v", hb.Machine, now.Incarnation-hb.Incarnation, int(now.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
 		}
@@ -214,22 +214,22 @@
 		limits:      "renew 0:1; answer 0:1; report b 0:2; tick:9",
 		mustReach:   "the old leader answers after a cancellation; cancel_s has passed",
 		findsFaults: "a read counts from its answer"},
-	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadyReporter: "a 1",
+	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadySender: "a 1",
 		limits:      "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
 		mustReach:   "takeover with a task running; a lost answer",
 		findsFaults: "proof 5 without the time that others answer"},
 	{name: "a takeover and a cancellation", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; cancel 1", depth: 30,
 		limits:    "report b 0:1; report b 1:1; call 1:1; tick:10",
 		mustReach: "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
-	{name: "a machine that gets no answers", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+	{name: "a machine that gets no answers", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
 		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
 		mustReach:   "a lost answer",
 		findsFaults: "proof 3 without its margin"},
-	{name: "a team's limit and a machine that gets no answers", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+	{name: "a team's limit and a machine that gets no answers", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
 		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
 		mustReach:   "a lost answer",
 		findsFaults: "proof 3 without its margin"},
-	{name: "late copies of heartbeats", tasks: 1, prefix: timedPrefix, steadyReporter: "a 0", depth: 30,
+	{name: "late copies of heartbeats", tasks: 1, prefix: timedPrefix, steadySender: "a 0", depth: 30,
 		limits:      "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
 		mustReach:   "a copy of an older heartbeat",
 		findsFaults: "a heartbeat is applied though older"},
@@ -247,7 +247,7 @@
 		limits:      "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
 		mustReach:   "takeover; a late round after newer ones",
 		findsFaults: "a launch is said before its round is stored"},
-	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadyReporter: "a 0",
+	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadySender: "a 0",
 		limits:      "round 0:1; arrive:1; report a 0:1; tick:3",
 		mustReach:   "a late call is carried out",
 		findsFaults: "a call without an answer counts as refused"},
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -216,10 +216,10 @@
 	return out
 }
 
-// TestCrashInClaim has the leader crash, while a tier gets all its lent cards back, at every step of its
+// TestCrashInPreemption has the leader crash, while a tier gets all its lent cards back, at every step of its
 // decisions in turn, and the next one at every step after that: what is stopped is what the
 // first record names, and the tier has its cards within its bound.
-func TestCrashInClaim(t *testing.T) {
+func TestCrashInPreemption(t *testing.T) {
 	points := []string{"before", "unknown", "after", "half", "all"}
 	calm := lentOut(t)
 	for range 16 {
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -10,8 +10,8 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// TestStallIsTold plants faults under which nothing is launched, and has the leader report them.
-func TestStallIsTold(t *testing.T) {
+// TestStallIsReported plants faults under which nothing is launched, and has the leader report them.
+func TestStallIsReported(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		plant func(f *largeFleet)
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -131,11 +131,11 @@
 
 // proposeGrants proposes a change of the grants.
 func (driver *traceDriver) proposeGrants(_ traceStep) []string {
-	rg := driver.leader.ProposeGrants()
-	if rg == nil {
+	change := driver.leader.ProposeGrants()
+	if change == nil {
 		return []string{"nothing to change"}
 	}
-	driver.grantChange = rg
+	driver.grantChange = change
 	out := []string{fmt.Sprintf("put grant %v", driver.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
 	for _, c := range driver.grantChange.Txn.If {
 		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
@@ -154,8 +154,8 @@
 
 // showLimit tells what the shard may use of the limit of the team red.
 func (driver *traceDriver) showLimit(_ traceStep) []string {
-	pic := driver.leader.clusterSnapshot(driver.now)
-	return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].LimitGPUs, pic.Teams["red"].UsedGPUs, pic.Teams["red"].RemoteUsedGPUs)}
+	snapshot := driver.leader.clusterSnapshot(driver.now)
+	return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", snapshot.Teams["red"].LimitGPUs, snapshot.Teams["red"].UsedGPUs, snapshot.Teams["red"].RemoteUsedGPUs)}
 }
 
 // wait lets time pass.
--- a/internal/leader/trace_ledger_steps_test.go
+++ b/internal/leader/trace_ledger_steps_test.go
@@ -17,7 +17,7 @@
 		"zone":     driver.recordZone,
 		"return":   driver.recordZoneRecovery,
 		"finished": driver.recordFinished,
-		"older":    driver.nextPreviousSlot,
+		"older":    driver.nextPreviousSegment,
 		"drop":     driver.recordDrop,
 	}
 }
@@ -28,25 +28,25 @@
 	for _, t := range driver.parseTasks(strings.ReplaceAll(step.settings["holds"], ",", " running,") + " running") {
 		rec.Tasks[t.Task] = t.Attempt
 	}
-	driver.addToPreviousSlot(store.MachineEntry(step.words[1], rec))
+	driver.addToPreviousSegment(store.MachineEntry(step.words[1], rec))
 	return nil
 }
 
 // recordScaleOut records a scale-out request.
 func (driver *traceDriver) recordScaleOut(step traceStep) []string {
-	driver.addToPreviousSlot(store.ScaleOutEntry(step.words[1], store.ScaleOutRecord{Type: "g4", Zone: step.words[2], Count: step.number("count", 1)}))
+	driver.addToPreviousSegment(store.ScaleOutEntry(step.words[1], store.ScaleOutRecord{Type: "g4", Zone: step.words[2], Count: step.number("count", 1)}))
 	return nil
 }
 
 // recordZone records the state of a zone.
 func (driver *traceDriver) recordZone(step traceStep) []string {
-	driver.addToPreviousSlot(store.ZoneEntry(step.words[1], store.ZoneRecord{State: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Outages: step.number("falls", 1)}))
+	driver.addToPreviousSegment(store.ZoneEntry(step.words[1], store.ZoneRecord{State: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Outages: step.number("falls", 1)}))
 	return nil
 }
 
 // recordZoneRecovery records a step of the recovery of a zone.
 func (driver *traceDriver) recordZoneRecovery(step traceStep) []string {
-	driver.addToPreviousSlot(store.ZoneRecoveryEntry(step.words[1], store.ZoneRecoveryRecord{Step: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Work: float64(step.number("work", 0))}))
+	driver.addToPreviousSegment(store.ZoneRecoveryEntry(step.words[1], store.ZoneRecoveryRecord{Step: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Work: float64(step.number("work", 0))}))
 	return nil
 }
 
@@ -57,19 +57,19 @@
 		n, _ := strconv.Atoi(text)
 		done.Add(n)
 	}
-	driver.addToPreviousSlot(store.ProgressEntry(step.words[1], 0, done))
+	driver.addToPreviousSegment(store.ProgressEntry(step.words[1], 0, done))
 	return nil
 }
 
-// nextPreviousSlot goes on in another segment: what was left so far stands in one of its own.
-func (driver *traceDriver) nextPreviousSlot(step traceStep) []string {
+// nextPreviousSegment goes on in another segment: what was left so far stands in one of its own.
+func (driver *traceDriver) nextPreviousSegment(step traceStep) []string {
 	n, _ := strconv.Atoi(step.words[1])
-	driver.previousSlot, driver.slot = store.SegmentRecord{}, n
+	driver.previousSegment, driver.segment = store.SegmentRecord{}, n
 	return nil
 }
 
 // recordDrop records that a machine is dropped.
 func (driver *traceDriver) recordDrop(step traceStep) []string {
-	driver.addToPreviousSlot(store.DropMachine(step.words[1]))
+	driver.addToPreviousSegment(store.DropMachine(step.words[1]))
 	return nil
 }
--- a/internal/leader/trace_state_steps_test.go
+++ b/internal/leader/trace_state_steps_test.go
@@ -99,7 +99,7 @@
 		return []string{err.Error()}
 	}
 	driver.apply(txn.Then...)
-	driver.previousSlot, driver.slot = store.SegmentRecord{}, 0
+	driver.previousSegment, driver.segment = store.SegmentRecord{}, 0
 	return nil
 }
 
@@ -135,7 +135,7 @@
 func (driver *traceDriver) putGivenRanges(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
-	r.AssignRanges(step.words[1], parseShares(driver.t, step.words[2:]), driver.view.Sharding().Record.Generation)
+	r.AssignRanges(step.words[1], parseRanges(driver.t, step.words[2:]), driver.view.Sharding().Record.Generation)
 	driver.apply(r.Change())
 	return nil
 }
@@ -153,7 +153,7 @@
 func (driver *traceDriver) putRanges(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
-	r.AssignRanges(step.words[1], parseShares(driver.t, step.words[2:]), 0)
+	r.AssignRanges(step.words[1], parseRanges(driver.t, step.words[2:]), 0)
 	driver.apply(r.Change())
 	return nil
 }
@@ -161,9 +161,9 @@
 // putGrants stores the grants of the GPUs of the team red.
 func (driver *traceDriver) putGrants(step traceStep) []string {
 	rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
-	for part, text := range step.settings {
+	for shard, text := range step.settings {
 		n, _ := strconv.Atoi(text)
-		rec.Teams["red"][part] = [2]float64{0, float64(n)}
+		rec.Teams["red"][shard] = [2]float64{0, float64(n)}
 	}
 	driver.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
 	return nil
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -31,8 +31,8 @@
 	revision        uint64
 	draft           *Draft
 	open            []*fleet.Placement  // launched by direct calls that are not answered yet
-	previousSlot    store.SegmentRecord // what an earlier leader has left in the ledger
-	slot            int                 // where
+	previousSegment store.SegmentRecord // what an earlier leader has left in the ledger
+	segment         int                 // where
 	cfg             *config.Config
 	shard           string // that is claimed
 	grantChange     *quota.Change
@@ -125,12 +125,12 @@
 	return take(step)
 }
 
-// parseShares reads "0-2/a", "2-4/b,done" and the like.
-func parseShares(t *testing.T, words []string) (out []store.ShardRange) {
+// parseRanges reads "0-2/a", "2-4/b,done" and the like.
+func parseRanges(t *testing.T, words []string) (out []store.ShardRange) {
 	for _, w := range words {
 		var r store.ShardRange
-		runs, part, _ := strings.Cut(w, "/")
-		r.Shard, r.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
+		runs, shard, _ := strings.Cut(w, "/")
+		r.Shard, r.Done = strings.TrimSuffix(shard, ",done"), strings.HasSuffix(shard, ",done")
 		if _, err := fmt.Sscanf(runs, "%d-%d", &r.From, &r.To); err != nil {
 			t.Fatal(err)
 		}
@@ -156,30 +156,30 @@
 	driver.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
-// addToPreviousSlot puts an entry into the ledger, as an earlier leader did.
-func (driver *traceDriver) addToPreviousSlot(e store.Entry) {
-	if driver.previousSlot.Entries == nil {
-		driver.previousSlot.Entries = map[string]wire.Raw{}
+// addToPreviousSegment puts an entry into the ledger, as an earlier leader did.
+func (driver *traceDriver) addToPreviousSegment(e store.Entry) {
+	if driver.previousSegment.Entries == nil {
+		driver.previousSegment.Entries = map[string]wire.Raw{}
 	}
-	if driver.previousSlot.Entries[e.Key] = e.Value; e.Value == nil {
-		driver.previousSlot.Entries[e.Key] = wire.Raw{0xf6}
+	if driver.previousSegment.Entries[e.Key] = e.Value; e.Value == nil {
+		driver.previousSegment.Entries[e.Key] = wire.Raw{0xf6}
 	}
-	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.slot), Value: driver.previousSlot})
+	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.segment), Value: driver.previousSegment})
 }
 
-func (driver *traceDriver) claim(term uint64) []string {
-	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: term}})
+func (driver *traceDriver) claim(token uint64) []string {
+	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: token}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
-	driver.leader = New(driver.cfg, leadership.Tenure{Shard: driver.shard, FencingToken: term, Version: driver.revision, Revision: driver.revision}, driver.view.Snapshot(),
+	driver.leader = New(driver.cfg, leadership.Tenure{Shard: driver.shard, FencingToken: token, Version: driver.revision, Revision: driver.revision}, driver.view.Snapshot(),
 		driver.view.ShardLedgers(driver.shard), types, driver.view, driver.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return nil
 }
 
-func (driver *traceDriver) report(w []string, zone string, term uint64, tasks string) []string {
+func (driver *traceDriver) report(w []string, zone string, token uint64, tasks string) []string {
 	session, seq, _ := strings.Cut(w[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
-	hb := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: term, Tasks: driver.parseTasks(tasks)}
+	hb := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: token, Tasks: driver.parseTasks(tasks)}
 	if driver.shard != "fleet" {
 		hb.Zone = driver.shard
 	}
@@ -356,7 +356,7 @@
 		driver.step("report n-1 1/1 term=2")
 		driver.now = driver.now.Add(latest)
 		driver.leader.Decide(driver.now, driver.view.Snapshot())
-		if pic := driver.leader.clusterSnapshot(driver.now); !pic.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
+		if snapshot := driver.leader.clusterSnapshot(driver.now); !snapshot.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
 			t.Errorf("heartbeats each %v: a machine is not usable between two of them", every)
 		}
 		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // or it would seem to have stood still
@@ -419,8 +419,8 @@
 		driver.step(s)
 	}
 	driver.leader.Decide(driver.now, driver.view.Snapshot())
-	if pic := driver.leader.clusterSnapshot(driver.now); pic.Teams["red"].UsedGPUs != 4 {
-		t.Errorf("the cancelled task counts %v of 4 GPUs", pic.Teams["red"].UsedGPUs)
+	if snapshot := driver.leader.clusterSnapshot(driver.now); snapshot.Teams["red"].UsedGPUs != 4 {
+		t.Errorf("the cancelled task counts %v of 4 GPUs", snapshot.Teams["red"].UsedGPUs)
 	}
 }
 
@@ -428,17 +428,17 @@
 // may leave one over. A launch whose machine's record is not in the transaction must not
 // be said: the next leader would not know of it. Smaller rounds are decided until all fit.
 func TestNoLaunchWithoutRecord(t *testing.T) {
-	squeezed := 0
+	halvings := 0
 	for tasks := 8; tasks <= 22; tasks++ {
-		squeezed += crowdedRounds(t, tasks)
+		halvings += crowdedRounds(t, tasks)
 	}
-	if squeezed == 0 {
+	if halvings == 0 {
 		t.Error("no round was too large: the guard is not tried")
 	}
 }
 
 // crowdedRounds launches one more task on each of many machines that have some.
-func crowdedRounds(t *testing.T, tasks int) (squeezed int) {
+func crowdedRounds(t *testing.T, tasks int) (halvings int) {
 	driver := newTraceDriver(t)
 	const machines = 120
 	driver.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
@@ -461,7 +461,7 @@
 		d := leader.Decide(driver.now, driver.view.Snapshot())
 		driver.now = driver.now.Add(10 * time.Millisecond)
 		if d == nil {
-			squeezed += leader.sizes.Halvings()
+			halvings += leader.sizes.Halvings()
 			continue
 		}
 		written := map[string]bool{}
@@ -483,5 +483,5 @@
 	if launched != machines {
 		t.Errorf("%d tasks: %d of %d launched", tasks, launched, machines)
 	}
-	return squeezed
+	return halvings
 }
