--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -91,7 +91,9 @@
 	return jobs, l.rebuiltReachable
 }
 
-// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each.
+// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each. Each
+// refresh replaces the live jobs by those of its snapshot; a round that changes the record of one puts the
+// new record in its place. What is remembered is kept until reconciliation forgets it.
 type jobTable struct {
 	liveJobs      map[string]*store.LiveJob // of the last view
 	viewCurrentAt time.Time                 // every end of a job that was stored by then is applied
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,7 +26,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// identity is what does not change while a leader leads.
+// identity is what New sets and nothing changes while the leader leads, so that it is read without the
+// lock, too.
 type identity struct {
 	cfg      *config.Config
 	lease    leadership.Tenure
@@ -36,7 +37,8 @@
 }
 
 // shardingState says which machines and tasks are this shard's, and how far the state of previous
-// shardings has been taken over.
+// shardings has been taken over. New sets the sharding and what is assigned by it; the migration is
+// advanced by the rounds, and SetPeerShards replaces what is known of the peers.
 type shardingState struct {
 	sharding       *fleet.Sharding
 	assignment     *reshard.Assignment // of tasks to shards
@@ -47,14 +49,16 @@
 	ingestPeers int                    // controllers that forward heartbeats to this one
 }
 
-// handoverState is what the leader knows for giving tasks to other shards.
+// handoverState is what the leader knows for handing tasks over to other shards. Each plan replaces the
+// forecast, SetPeerShards what the targets offer, and each committed round what the ledger names.
 type handoverState struct {
 	forecast    forecast
 	targets     *handover.Targets    // of tasks that find no capacity here
 	ledgerTasks handover.LedgerTasks // what the own ledger names
 }
 
-// machineHealth tells which machines are reachable, and keeps the calls that find out.
+// machineHealth tells which machines are reachable, and keeps the calls that find out. It is fed by
+// heartbeats and by the results of calls; the release of unusable machines goes by it.
 type machineHealth struct {
 	monitor  *reachability.Monitor
 	detector *reachability.Detector
@@ -63,7 +67,10 @@
 
 // Leader leads one shard of the fleet under one fencing token. It reads no clock and makes no calls
 // but in Run: times and events come in, commands and transactions go out. One lock guards all of its
-// state, and no concern below has one of its own.
+// state that changes, and no concern below has one of its own.
+//
+// The groups of fields that are embedded are read by many concerns; the comment of each says what
+// changes it.
 type Leader struct {
 	identity
 
--- a/internal/leader/rounds.go
+++ b/internal/leader/rounds.go
@@ -6,7 +6,8 @@
 	"amberdeal.example/amberdeal/internal/leader/commit"
 )
 
-// roundState is what the leader keeps from one round to the next.
+// roundState is what the leader keeps from one round to the next. Deciding, committing and discarding a
+// round change it; ends of tasks and the cloud's lists add what the next one is to write.
 type roundState struct {
 	lastRound       uint64    // number of the last committed round
 	lastDecided     time.Time // when a round was last decided
@@ -38,7 +39,8 @@
 	return attempt >> attemptBits, attempt & (1<<attemptBits - 1)
 }
 
-// recoveryState says how much of the fleet is accounted for since the leader was elected.
+// recoveryState says how much of the fleet is accounted for since the leader was elected. Taking a snapshot
+// of the cluster sets it, and nothing takes it back.
 type recoveryState struct {
 	rebuilt          bool // every machine is
 	rebuiltReachable bool // every machine is but those that are unreachable
