--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -403,81 +403,120 @@
 	case "report":
 		m.report(controller, m.workers[shard])
 	case "decide":
-		other := map[string]string{"a": "b", "b": "a"}[shard]
-		status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
-		if m.gang {
-			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
-		}
-		for _, peer := range m.controllers {
-			if otherLeader := peer.leaders[other]; otherLeader != nil {
-				status.Wants, status.Ready = otherLeader.quota.Forecast().Demands, otherLeader.forecast.readyGangs
-			}
-		}
-		leader.SetPeerShards(map[string]ShardStatus{other: status}, 1)
-		leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
+		m.decide(controller, leader, shard)
 	case "commit":
-		if m.conditionsHold(leader.draft.Txn) {
-			rev := m.apply(leader.draft.Txn.Then)
-			leader.Committed(leader.draft, rev)
-			controller.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
-		} else {
-			leader.Discard(leader.draft)
-		}
-		leader.draft = nil
+		m.commit(controller, leader)
 	case "regrant":
 		leader.grantChange = leader.ProposeGrants()
 	case "granted":
-		if m.conditionsHold(leader.grantChange.Txn) {
-			m.apply(leader.grantChange.Txn.Then)
-		}
-		m.sync(controller)
-		leader.GrantsSettled(controller.view.Snapshot().QuotaGrants)
-		leader.grantChange = nil
+		m.settleGrants(controller, leader)
 	case "lose": // the lease has run out; the leader does not know yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(shard)}})
-	case "die": // and its transactions are still on their way
-		if leader.draft != nil {
-			m.lateTxns = append(m.lateTxns, leader.draft.Txn)
-		}
-		if leader.grantChange != nil {
-			m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
-		}
-		delete(controller.leaders, shard)
+	case "die":
+		m.endLeader(controller, shard)
 	case "late":
-		t := m.lateTxns[i]
-		m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
-		if m.conditionsHold(t) {
-			m.apply(t.Then)
-		}
-	case "alone": // the gang was not complete in time, or has lost a task
-		w := m.workers[shard]
-		for id, n := range w.runs {
-			w.timedOut[id] = n
-		}
-		clear(w.runs)
+		m.deliverLateTxn(i)
+	case "alone":
+		m.workers[shard].timeOut()
 	case "finish":
-		if m.gang { // its tasks complete together
-			for _, w := range m.workers {
-				for id, n := range w.runs {
-					w.done[id], m.completed[id] = n, true
-				}
-				clear(w.runs)
-			}
-			return
-		}
-		w := m.workers[shard]
-		id := sortedTasks(w.runs)[0]
-		w.done[id] = w.runs[id]
-		m.completed[id] = true
-		delete(w.runs, id)
+		m.finish(m.workers[shard])
 	case "cancel":
-		m.cancelled = true
-		if job, ok := m.liveJob(); ok {
-			r := job.Batch.Update()
-			r.EndJob("wk-1", wire.Cancelled, modelTime)
-			m.apply([]wire.Operation{r.Change()})
+		m.cancel()
+	}
+}
+
+// decide has a leader decide a round, with what the leader of the other shard says of itself.
+func (m *model) decide(controller *modelController, leader *modelLeader, shard string) {
+	other := map[string]string{"a": "b", "b": "a"}[shard]
+	status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
+	if m.gang {
+		status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
+	}
+	for _, peer := range m.controllers {
+		if otherLeader := peer.leaders[other]; otherLeader != nil {
+			status.Wants, status.Ready = otherLeader.quota.Forecast().Demands, otherLeader.forecast.readyGangs
 		}
 	}
+	leader.SetPeerShards(map[string]ShardStatus{other: status}, 1)
+	leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
+}
+
+// commit has the store take a leader's round, or refuse it.
+func (m *model) commit(controller *modelController, leader *modelLeader) {
+	if m.conditionsHold(leader.draft.Txn) {
+		rev := m.apply(leader.draft.Txn.Then)
+		leader.Committed(leader.draft, rev)
+		controller.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
+	} else {
+		leader.Discard(leader.draft)
+	}
+	leader.draft = nil
+}
+
+// settleGrants has the store take a leader's change of grants, or refuse it.
+func (m *model) settleGrants(controller *modelController, leader *modelLeader) {
+	if m.conditionsHold(leader.grantChange.Txn) {
+		m.apply(leader.grantChange.Txn.Then)
+	}
+	m.sync(controller)
+	leader.GrantsSettled(controller.view.Snapshot().QuotaGrants)
+	leader.grantChange = nil
+}
+
+// endLeader ends a leader whose transactions are still on their way.
+func (m *model) endLeader(controller *modelController, shard string) {
+	leader := controller.leaders[shard]
+	if leader.draft != nil {
+		m.lateTxns = append(m.lateTxns, leader.draft.Txn)
+	}
+	if leader.grantChange != nil {
+		m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
+	}
+	delete(controller.leaders, shard)
+}
+
+// deliverLateTxn has a transaction that was on its way arrive.
+func (m *model) deliverLateTxn(i int) {
+	t := m.lateTxns[i]
+	m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
+	if m.conditionsHold(t) {
+		m.apply(t.Then)
+	}
+}
+
+// timeOut ends what runs: the gang was not complete in time, or has lost a task.
+func (w *modelWorker) timeOut() {
+	for id, n := range w.runs {
+		w.timedOut[id] = n
+	}
+	clear(w.runs)
+}
+
+// finish has a task of a machine complete; the tasks of a gang complete together.
+func (m *model) finish(w *modelWorker) {
+	if m.gang {
+		for _, other := range m.workers {
+			for id, n := range other.runs {
+				other.done[id], m.completed[id] = n, true
+			}
+			clear(other.runs)
+		}
+		return
+	}
+	id := sortedTasks(w.runs)[0]
+	w.done[id] = w.runs[id]
+	m.completed[id] = true
+	delete(w.runs, id)
+}
+
+// cancel is the user's request.
+func (m *model) cancel() {
+	m.cancelled = true
+	if job, ok := m.liveJob(); ok {
+		r := job.Batch.Update()
+		r.EndJob("wk-1", wire.Cancelled, modelTime)
+		m.apply([]wire.Operation{r.Change()})
+	}
 }
 
 // whole reports whether what runs may complete: of a gang, all tasks run, with the same
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -246,45 +246,7 @@
 		out = append(out, fmt.Sprintf("launch %v%s on %s", p.Task, attempt(p.Attempt), p.Machine))
 	}
 	for _, c := range driver.draft.Txn.Then {
-		switch {
-		case c.Delete != "":
-			out = append(out, "drop "+strings.TrimPrefix(c.Delete, store.StatePrefix))
-		default:
-			line := "put " + strings.TrimPrefix(c.Put, store.StatePrefix)
-			switch rec := c.Value.(type) {
-			case store.JobRecord:
-				line += " " + string(rec.Stage)
-			case store.BatchRecord:
-				for _, id := range sortedKeys(rec.Jobs) {
-					line += " " + id + "=" + string(rec.Jobs[id].Stage)
-					switch m := rec.Jobs[id].CoAllocation; {
-					case m == store.CoAllocationRelease:
-						line += " called off"
-					case m == store.CoAllocationReserve:
-						line += " held"
-					case m > 0:
-						line += " start " + attempt(m)
-					}
-					if in := rec.Jobs[id].FinishedIn; len(in) > 0 {
-						line += " done in " + strings.Join(in, ",")
-					}
-					for _, r := range rec.Jobs[id].Ranges {
-						line += fmt.Sprintf(" %d-%d/%s", r.From, r.To, r.Shard)
-						if r.Done {
-							line += ",done"
-						}
-					}
-				}
-			case store.SegmentRecord:
-				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(driver.leader.teamUsage()), strings.Join(rec.Describe(), " "))
-				if rec.Migrated > 0 {
-					line += ", all taken over"
-				}
-			case store.ShardingRecord:
-				line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers)
-			}
-			out = append(out, line)
-		}
+		out = append(out, driver.describeChange(c))
 	}
 	for _, c := range driver.draft.Txn.If {
 		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
@@ -298,6 +260,53 @@
 	return out
 }
 
+// describeChange describes what a round changes in the store.
+func (driver *traceDriver) describeChange(c wire.Operation) string {
+	if c.Delete != "" {
+		return "drop " + strings.TrimPrefix(c.Delete, store.StatePrefix)
+	}
+	line := "put " + strings.TrimPrefix(c.Put, store.StatePrefix)
+	switch rec := c.Value.(type) {
+	case store.JobRecord:
+		line += " " + string(rec.Stage)
+	case store.BatchRecord:
+		for _, id := range sortedKeys(rec.Jobs) {
+			line += " " + id + "=" + describeJob(rec.Jobs[id])
+		}
+	case store.SegmentRecord:
+		line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(driver.leader.teamUsage()), strings.Join(rec.Describe(), " "))
+		if rec.Migrated > 0 {
+			line += ", all taken over"
+		}
+	case store.ShardingRecord:
+		line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers)
+	}
+	return line
+}
+
+// describeJob describes the record of a job.
+func describeJob(rec store.JobRecord) string {
+	text := string(rec.Stage)
+	switch order := rec.CoAllocation; {
+	case order == store.CoAllocationRelease:
+		text += " called off"
+	case order == store.CoAllocationReserve:
+		text += " held"
+	case order > 0:
+		text += " start " + attempt(order)
+	}
+	if len(rec.FinishedIn) > 0 {
+		text += " done in " + strings.Join(rec.FinishedIn, ",")
+	}
+	for _, r := range rec.Ranges {
+		text += fmt.Sprintf(" %d-%d/%s", r.From, r.To, r.Shard)
+		if r.Done {
+			text += ",done"
+		}
+	}
+	return text
+}
+
 func (driver *traceDriver) commit() {
 	driver.apply(driver.draft.Txn.Then...)
 	driver.leader.Committed(driver.draft, driver.revision)
