--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -10,10 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestHandedOverTaskIsNotInTwoLedgers: a task ran in part a, whose claim has the higher fencing token, ended
-// without being done, and was given to part b, which runs it with a lower attempt. Then the
-// state is divided anew, which goes by the attempts that the ledgers name: part a must
-// not take for its own, and start again, what runs in part b.
+// TestHandedOverTaskIsNotInTwoLedgers: a task ran in shard a, whose leader has the higher fencing token, ended
+// without being done, and was handed over to shard b, which runs it with a lower attempt. Then the
+// state is divided anew, which goes by the attempts that the ledgers name: shard a must
+// not take for its own, and start again, what runs in shard b.
 //
 // The call that launched it is answered, or may yet be carried out.
 func TestHandedOverTaskIsNotInTwoLedgers(t *testing.T) {
@@ -23,10 +23,10 @@
 }
 
 func givenTask(t *testing.T, fate string) {
-	b := newTraceDriver(t)
+	driver := newTraceDriver(t)
 	play := func(lines string) (out []string) {
 		for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
-			out = append(out, b.step(strings.TrimSpace(line))...)
+			out = append(out, driver.step(strings.TrimSpace(line))...)
 		}
 		return out
 	}
@@ -58,11 +58,11 @@
 		round`)
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=pending 0-1/b") {
-		t.Fatalf("it was not given away")
+		t.Fatalf("it was not handed over")
 	}
-	b.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
+	driver.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
 		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Incarnation: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
-	b.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
+	driver.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
 	out = play(`
 		divided a b
 		claim term=12
@@ -76,34 +76,34 @@
 		report n-1 1/10 term=12
 		round`)
 	t.Log(strings.Join(out, "\n"))
-	if l, _ := b.view.Live("wk-1"); b.leader.assignment.Ranges(l)[0].Shard != "b" {
-		t.Errorf("its task, which runs in b, is taken for one of %s", b.leader.assignment.Ranges(l)[0].Shard)
+	if job, _ := driver.view.Live("wk-1"); driver.leader.assignment.Ranges(job)[0].Shard != "b" {
+		t.Errorf("its task, which runs in b, is taken for one of %s", driver.leader.assignment.Ranges(job)[0].Shard)
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
-			t.Errorf("%s while it runs in part b", line)
+			t.Errorf("%s while it runs in shard b", line)
 		}
 	}
 }
 
 // TestGangIsDoneInPieces: one of two shards has said that its tasks of a gang are done, and the
-// state becomes one part. The other task's machine is gone with what it knew: the gang is done
+// state becomes one shard. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
 func TestGangIsDoneInPieces(t *testing.T) {
-	b := newTraceDriver(t)
-	b.step("job wk-1 gang team=blue tasks=3")
-	b.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
-	b.step("shares wk-1 0-2/a,done 2-3/b")
-	b.cfg.Tuning.Shards.By = "off"
-	state := b.view.ShardingState()
-	txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(string) (store.TaskDemand, bool) { return store.TaskDemand{}, false })
+	driver := newTraceDriver(t)
+	driver.step("job wk-1 gang team=blue tasks=3")
+	driver.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
+	driver.step("shares wk-1 0-2/a,done 2-3/b")
+	driver.cfg.Tuning.Shards.By = "off"
+	state := driver.view.ShardingState()
+	txn, err := reshard.Transaction(&state, driver.cfg.Sharding(), func(string) (store.TaskDemand, bool) { return store.TaskDemand{}, false })
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.apply(txn.Then...)
+	driver.apply(txn.Then...)
 	var out []string
 	for _, line := range []string{"claim term=5", "report n-1 1/1 term=1", "report n-1 1/2 term=5", "round", "report n-1 1/3 term=5", "round"} {
-		out = append(out, b.step(line)...)
+		out = append(out, driver.step(line)...)
 	}
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=done 0-2/a,done 2-3/b") && !slices.Contains(out, "put batch/wk-1 wk-1=done") {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -20,7 +20,7 @@
 	coAllocation    handover.CoAllocation // of a gang
 	starvedSince    time.Time             // since when none of its tasks is placed though some could be
 	failedAttempts  map[int]int           // times that a task was stopped before its image had come
-	timedOutAttempt uint64                // the attempt of a gang of which a task waited for the others in vain
+	timedOutAttempt uint64                // the attempt of a gang of which a task timed out waiting for the others
 }
 
 const (
@@ -72,26 +72,28 @@
 // UnfinishedJobs returns the jobs of which a task is or may be on a machine, or whose end this
 // leader has not applied yet. It is not ok until all reachable machines are accounted for; what may
 // be on unreachable ones is known by their records.
-func (h *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (l *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	jobs = make(map[string]bool)
-	for _, m := range h.fleet.Machines() {
+	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
 			if !p.IsTombstone() {
 				jobs[p.Task.Job] = true
 			}
 		}
 	}
-	for id, j := range h.jobStates {
+	for id, j := range l.jobStates {
 		if j.endedAt.IsZero() {
 			jobs[id] = true
 		}
 	}
-	return jobs, h.rebuiltReachable
+	return jobs, l.rebuiltReachable
 }
 
-// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each.
+// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each. Each
+// refresh replaces the live jobs by those of its snapshot; a round that changes the record of one puts the
+// new record in its place. What is remembered is kept until reconciliation forgets it.
 type jobTable struct {
 	liveJobs      map[string]*store.LiveJob // of the last view
 	viewCurrentAt time.Time                 // every end of a job that was stored by then is applied
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader leads a shard of the fleet. In rounds, it squares what machines and the cloud report
-// with the jobs of the state service, lets the scheduler plan, and writes what follows as one
+// Package leader leads a shard of the fleet. In rounds, it reconciles heartbeats and the cloud's list with
+// the jobs of the state service, lets the scheduler plan, and writes what follows as one
 // compare-and-swap that is fenced by the leader's token. A launch is sent to a machine only after the
 // round that plans it is committed, so that the next leader knows of it whatever happens to this one.
 package leader
@@ -26,7 +26,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// identity is what does not change while a leader leads.
+// identity is what New sets and nothing changes while the leader leads, so that it is read without the
+// lock, too.
 type identity struct {
 	cfg      *config.Config
 	lease    leadership.Tenure
@@ -36,7 +37,8 @@
 }
 
 // shardingState says which machines and tasks are this shard's, and how far the state of previous
-// shardings has been taken over.
+// shardings has been taken over. New sets the sharding and what is assigned by it; the migration is
+// advanced by the rounds, and SetPeerShards replaces what is known of the peers.
 type shardingState struct {
 	sharding       *fleet.Sharding
 	assignment     *reshard.Assignment // of tasks to shards
@@ -47,14 +49,16 @@
 	ingestPeers int                    // controllers that forward heartbeats to this one
 }
 
-// handoverState is what the leader knows for giving tasks to other shards.
+// handoverState is what the leader knows for handing tasks over to other shards. Each plan replaces the
+// forecast, SetPeerShards what the targets offer, and each committed round what the ledger names.
 type handoverState struct {
 	forecast    forecast
 	targets     *handover.Targets    // of tasks that find no capacity here
 	ledgerTasks handover.LedgerTasks // what the own ledger names
 }
 
-// machineHealth tells which machines are reachable, and keeps the calls that find out.
+// machineHealth tells which machines are reachable, and keeps the calls that find out. It is fed by
+// heartbeats and by the results of calls; the release of unusable machines goes by it.
 type machineHealth struct {
 	monitor  *reachability.Monitor
 	detector *reachability.Detector
@@ -63,7 +67,10 @@
 
 // Leader leads one shard of the fleet under one fencing token. It reads no clock and makes no calls
 // but in Run: times and events come in, commands and transactions go out. One lock guards all of its
-// state, and no concern below has one of its own.
+// state that changes, and no concern below has one of its own.
+//
+// The groups of fields that are embedded are read by many concerns; the comment of each says what
+// changes it.
 type Leader struct {
 	identity
 
@@ -93,7 +100,7 @@
 func New(cfg *config.Config, lease leadership.Tenure, snap store.Snapshot, ledgers store.ShardLedgers, types []wire.MachineType,
 	jobIndex JobIndex, now time.Time, log *slog.Logger) *Leader {
 	ledger, last := store.NewLedger(ledgers.Name, cfg.Store.ValueBytes, ledgers.Own)
-	h := &Leader{
+	l := &Leader{
 		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: timeoutsOf(cfg),
 			log: log.With("shard", lease.Shard, "token", lease.FencingToken)},
 		jobTable:      newJobTable(snap),
@@ -106,71 +113,71 @@
 		stalls:        stall.NewDetector(now),
 		loop:          newWakeups(),
 	}
-	h.targets = handover.NewTargets(lease.Shard, h.sharding)
-	h.quota = quota.New(lease.Shard, h.sharding, cfg.Tuning.BeginWithin, h.log)
-	h.monitor = reachability.NewMonitor(h.fleet, reachabilityTimeouts(h.timeouts, cfg))
-	h.detector = reachability.NewDetector(h.monitor, h.zoneUnreachable)
-	h.fencing = reachability.NewFencing(h.monitor)
-	previous := reshard.NewPrevious(h.sharding, ledgers)
-	h.assignment = reshard.NewAssignment(h.sharding, previous)
-	h.startMigration(previous, ledgers.Migrated, &last)
-	h.recoverZones(now, &last)
-	h.continueZoneRecoveries(now, &last)
-	h.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(h.sharding.Shards()), h.sharding.KeepsZonesWhole()), last.Preemptions)
-	h.recoverMachines(now, &last)
-	h.recoverFinished(&last)
-	h.migrateFinished()
-	for id, l := range h.liveJobs {
-		if l.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
-			h.jobState(id).coAllocation.Started = l.Record.CoAllocation
+	l.targets = handover.NewTargets(lease.Shard, l.sharding)
+	l.quota = quota.New(lease.Shard, l.sharding, cfg.Tuning.BeginWithin, l.log)
+	l.monitor = reachability.NewMonitor(l.fleet, reachabilityTimeouts(l.timeouts, cfg))
+	l.detector = reachability.NewDetector(l.monitor, l.zoneUnreachable)
+	l.fencing = reachability.NewFencing(l.monitor)
+	previous := reshard.NewPrevious(l.sharding, ledgers)
+	l.assignment = reshard.NewAssignment(l.sharding, previous)
+	l.startMigration(previous, ledgers.Migrated, &last)
+	l.recoverZones(now, &last)
+	l.continueZoneRecoveries(now, &last)
+	l.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(l.sharding.Shards()), l.sharding.KeepsZonesWhole()), last.Preemptions)
+	l.recoverMachines(now, &last)
+	l.recoverFinished(&last)
+	l.migrateFinished()
+	for id, live := range l.liveJobs {
+		if live.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
+			l.jobState(id).coAllocation.Started = live.Record.CoAllocation
 		}
 	}
-	h.log.Info("state recovered", "machines", len(last.Machines), "requests", len(last.ScaleOuts), "ledger", ledger.String())
-	return h
+	l.log.Info("state recovered", "machines", len(last.Machines), "requests", len(last.ScaleOuts), "ledger", ledger.String())
+	return l
 }
 
 // recoverMachines goes on from the machines and the scale-out requests that the ledger names.
-func (h *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
+func (l *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
 	for _, id := range sortedKeys(last.Machines) { // in order, since each is added at the end
 		m := last.Machines[id]
-		if h.sharding.ShardOf(m.Zone, m.Type) == h.lease.Shard {
-			h.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, h.jobIndex))
+		if l.sharding.ShardOf(m.Zone, m.Type) == l.lease.Shard {
+			l.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, l.jobIndex))
 		}
 	}
-	for name, a := range last.ScaleOuts {
-		h.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: a.Type, Zone: a.Zone, Spot: a.Spot}, Count: a.Count})
+	for name, record := range last.ScaleOuts {
+		l.scaler.Recover(name, scheduler.ScaleOut{Offer: scheduler.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, Count: record.Count})
 	}
 }
 
 // recoverFinished goes on from the tasks of live jobs that the ledger says have finished.
-func (h *Leader) recoverFinished(last *store.RecoveredState) {
+func (l *Leader) recoverFinished(last *store.RecoveredState) {
 	for id, done := range last.FinishedTasks {
-		if h.liveJobs[id] == nil {
-			h.ledger.DiscardJob(id, wire.MaxTasks)
+		if l.liveJobs[id] == nil {
+			l.ledger.DiscardJob(id, wire.MaxTasks)
 			continue
 		}
-		j := h.jobState(id)
+		j := l.jobState(id)
 		for _, i := range done.Difference(store.NewTaskSet(0)) {
 			j.finished.Add(i)
 			j.storedFinished.Add(i)
 		}
-		if !h.sharding.IsSingle() {
-			h.unstored.Add(id, h.lastRound) // the rest may have been given away since
+		if !l.sharding.IsSingle() {
+			l.unstored.Add(id, l.lastRound) // the rest may have been handed over since
 		}
 	}
 }
 
 // FencingToken returns the token under which this leader leads.
-func (h *Leader) FencingToken() uint64 { return h.lease.FencingToken }
+func (l *Leader) FencingToken() uint64 { return l.lease.FencingToken }
 
 // Wake asks for a round soon.
-func (h *Leader) Wake() {
-	h.loop.wakeRound()
+func (l *Leader) Wake() {
+	l.loop.wakeRound()
 }
 
 // SetTypes replaces the machine types by those that the cloud lists now.
-func (h *Leader) SetTypes(t []wire.MachineType) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.types, h.typesChanged = t, true
+func (l *Leader) SetTypes(t []wire.MachineType) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.types, l.typesChanged = t, true
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -59,7 +59,7 @@
 	name         string
 	view         *store.View
 	seenRevision uint64
-	leaders      map[string]*modelLeader // by part
+	leaders      map[string]*modelLeader // by shard
 }
 
 type modelLeader struct {
@@ -84,32 +84,32 @@
 	limit    float64
 	spread   bool
 	tasks    int
-	shares   []store.ShardRange
+	ranges   []store.ShardRange
 	prefix   string // steps that are taken first
 	depth    int
-	failover bool // whether parts change hands
-	reshard  bool // whether the state was divided anew with a task of each part's machine running
+	failover bool // whether shards change leaders
+	reshard  bool // whether the state was divided anew with a task of each shard's machine running
 	gang     bool // whether the job is a gang
 	ended    bool // and that of the second has ended since its machine was recorded
 	cancel   bool // whether the user cancels
 }
 
 var scenarios = []scenario{
-	{name: "tasks that are given away", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
-	{name: "a part that changes hands", tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "tasks that are handed over", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
+	{name: "a shard that changes leaders", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
-	{name: "a team's limit", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
-	{name: "a limit while parts change hands", limit: 1, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "a team's limit", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
+	{name: "a limit while shards change leaders", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
-	{name: "a state that was divided anew", reshard: true, tasks: 3, depth: 7, cancel: true},
-	{name: "a limit in a state that was divided anew", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
-	{name: "a limit that is granted twice in a state that was divided anew", reshard: true, ended: true, limit: 1, tasks: 3,
+	{name: "a state that was resharded", reshard: true, tasks: 3, depth: 7, cancel: true},
+	{name: "a limit in a state that was resharded", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
+	{name: "a limit that is granted twice in a state that was resharded", reshard: true, ended: true, limit: 1, tasks: 3,
 		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
-	{name: "a gang that is co-allocated", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
+	{name: "a gang that is co-allocated", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
-	{name: "a gang whose parts change hands", gang: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
+	{name: "a gang whose shards change leaders", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b; decide 0 a; commit 0 a; report 0 a; sync 1; decide 1 b; commit 1 b; report 1 b", depth: 6},
-	{name: "tasks that must be spread", spread: true, tasks: 2, shares: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "tasks that must be spread", spread: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
 }
 
@@ -122,11 +122,11 @@
 		j.Shape = wire.Gang
 	}
 	m.gang = s.gang
-	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.shares}}}}})
+	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j, Ranges: s.ranges}}}}})
 	for i := range m.controllers {
-		n := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
-		n.view.Load(nil, 0, &wire.WatchResponse{})
-		m.controllers[i] = n
+		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler)), leaders: map[string]*modelLeader{}}
+		controller.view.Load(nil, 0, &wire.WatchResponse{})
+		m.controllers[i] = controller
 	}
 	if s.reshard {
 		m.divide()
@@ -143,7 +143,7 @@
 	return m
 }
 
-// divide makes a state of one part, with a task on each machine, into one of two.
+// divide makes a state of one shard, with a task on each machine, into one of two.
 func (m *model) divide() {
 	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
@@ -193,54 +193,54 @@
 	return true
 }
 
-func (m *model) sync(n *modelController) {
+func (m *model) sync(controller *modelController) {
 	var ch wire.WatchResponse
 	for _, e := range m.log {
-		if e.Version > n.seenRevision {
+		if e.Version > controller.seenRevision {
 			ch.Events = append(ch.Events, e)
 		}
 	}
-	ch.Revision, n.seenRevision = m.revision, m.revision
-	n.view.Apply(&ch)
+	ch.Revision, controller.seenRevision = m.revision, m.revision
+	controller.view.Apply(&ch)
 }
 
 var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(n *modelController, part string) {
-	m.sync(n)
-	term := n.view.FencingToken().Record + 1
-	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: term}, {Put: store.LeaderKey(part), Value: store.LeaderRecord{Leader: n.name, FencingToken: term}}})
-	m.sync(n)
+func (m *model) claim(controller *modelController, shard string) {
+	m.sync(controller)
+	token := controller.view.FencingToken().Record + 1
+	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: token}, {Put: store.LeaderKey(shard), Value: store.LeaderRecord{Leader: controller.name, FencingToken: token}}})
+	m.sync(controller)
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
-	h := New(m.cfg, leadership.Tenure{Shard: part, FencingToken: term, Version: rev, Revision: rev}, n.view.Snapshot(), n.view.ShardLedgers(part), types, n.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	leader := New(m.cfg, leadership.Tenure{Shard: shard, FencingToken: token, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(shard), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, spot := range []bool{false, true} { // no machines but these
-		h.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: part, Spot: spot}, Count: 1})
-		h.scaler.Complete(modelTime, "x", 0)
+		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: shard, Spot: spot}, Count: 1})
+		leader.scaler.Complete(modelTime, "x", 0)
 	}
-	n.leaders[part] = &modelLeader{Leader: h}
+	controller.leaders[shard] = &modelLeader{Leader: leader}
 }
 
-// report has a machine report to a controller, and carries out the answer.
-func (m *model) report(n *modelController, w *modelWorker) {
-	h := n.leaders[w.zone]
+// report has a machine send a heartbeat to a controller, and carries out the answer.
+func (m *model) report(controller *modelController, w *modelWorker) {
+	leader := controller.leaders[w.zone]
 	w.seq++
-	r := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
+	hb := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
 	for _, t := range sortedTasks(w.runs) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
 	}
 	for _, t := range sortedTasks(w.done) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
 	}
-	a, _ := h.HandleHeartbeat(modelTime, r, true)
-	if a.FencingToken < w.token {
+	response, _ := leader.HandleHeartbeat(modelTime, hb, true)
+	if response.FencingToken < w.token {
 		return
 	}
-	w.token = a.FencingToken
-	for _, c := range a.Commands {
+	w.token = response.FencingToken
+	for _, c := range response.Commands {
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
@@ -262,11 +262,11 @@
 
 func (m *model) start(w *modelWorker, id wire.TaskID, attempt uint64) {
 	on := 0.0
-	for _, o := range m.workers {
-		if o.runs[id] != 0 {
+	for _, other := range m.workers {
+		if other.runs[id] != 0 {
 			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
-		on += float64(len(o.runs))
+		on += float64(len(other.runs))
 	}
 	w.runs[id] = attempt
 	if m.limit > 0 && on+1 > m.limit {
@@ -289,14 +289,14 @@
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) == nil {
 		rec := batch.Jobs["wk-1"]
 		at := 0
-		for _, s := range rec.Ranges {
-			if s.From != at || s.To <= s.From {
-				m.violate("shares: %v", rec.Ranges)
+		for _, r := range rec.Ranges {
+			if r.From != at || r.To <= r.From {
+				m.violate("ranges: %v", rec.Ranges)
 			}
-			at = s.To
+			at = r.To
 		}
 		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
-			m.violate("shares: %v", rec.Ranges)
+			m.violate("ranges: %v", rec.Ranges)
 		}
 		if rec.Stage == wire.Done {
 			for i := range m.tasks {
@@ -326,40 +326,40 @@
 func (m *model) steps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
-	for i, n := range m.controllers {
-		if n.seenRevision < m.revision {
+	for i, controller := range m.controllers {
+		if controller.seenRevision < m.revision {
 			add("sync %d", i)
 		}
-		for _, part := range []string{"a", "b"} {
-			h, w := n.leaders[part], m.workers[part]
-			_, held := m.keys[store.LeaderKey(part)]
-			if h == nil {
+		for _, shard := range []string{"a", "b"} {
+			leader, w := controller.leaders[shard], m.workers[shard]
+			_, held := m.keys[store.LeaderKey(shard)]
+			if leader == nil {
 				if s.failover && !held {
-					add("claim %d %s", i, part)
+					add("claim %d %s", i, shard)
 				}
 				continue
 			}
-			if w.token <= h.FencingToken() {
-				add("report %d %s", i, part)
+			if w.token <= leader.FencingToken() {
+				add("report %d %s", i, shard)
 			}
 			switch {
-			case h.draft == nil:
-				add("decide %d %s", i, part)
+			case leader.draft == nil:
+				add("decide %d %s", i, shard)
 			default:
-				add("commit %d %s", i, part)
+				add("commit %d %s", i, shard)
 			}
 			if m.limit > 0 {
-				if h.grantChange == nil {
-					add("regrant %d %s", i, part)
+				if leader.grantChange == nil {
+					add("regrant %d %s", i, shard)
 				} else {
-					add("granted %d %s", i, part)
+					add("granted %d %s", i, shard)
 				}
 			}
 			if s.failover {
-				if m.keys[store.LeaderKey(part)].version == h.lease.Version {
-					add("lose %d %s", i, part)
+				if m.keys[store.LeaderKey(shard)].version == leader.lease.Version {
+					add("lose %d %s", i, shard)
 				} else {
-					add("die %d %s", i, part)
+					add("die %d %s", i, shard)
 				}
 			}
 		}
@@ -385,99 +385,138 @@
 // take makes a step.
 func (m *model) take(step string) {
 	f := strings.Fields(step)
-	var n *modelController
-	var h *modelLeader
-	i, part := 0, ""
+	var controller *modelController
+	var leader *modelLeader
+	i, shard := 0, ""
 	if len(f) > 1 {
 		i, _ = strconv.Atoi(f[1])
 	}
 	if len(f) > 2 {
-		part, n = f[2], m.controllers[i]
-		h = n.leaders[part]
+		shard, controller = f[2], m.controllers[i]
+		leader = controller.leaders[shard]
 	}
 	switch f[0] {
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
-		m.claim(n, part)
+		m.claim(controller, shard)
 	case "report":
-		m.report(n, m.workers[part])
+		m.report(controller, m.workers[shard])
 	case "decide":
-		other := map[string]string{"a": "b", "b": "a"}[part]
-		status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
-		if m.gang {
-			status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
-		}
-		for _, o := range m.controllers {
-			if oh := o.leaders[other]; oh != nil {
-				status.Wants, status.Ready = oh.quota.Forecast().Demands, oh.forecast.readyGangs
-			}
-		}
-		h.SetPeerShards(map[string]ShardStatus{other: status}, 1)
-		h.draft = h.Decide(modelTime, n.view.Snapshot())
+		m.decide(controller, leader, shard)
 	case "commit":
-		if m.conditionsHold(h.draft.Txn) {
-			rev := m.apply(h.draft.Txn.Then)
-			h.Committed(h.draft, rev)
-			n.view.ApplyOwnWrite(h.draft.WrittenBatches(rev)...)
-		} else {
-			h.Discard(h.draft)
-		}
-		h.draft = nil
+		m.commit(controller, leader)
 	case "regrant":
-		h.grantChange = h.ProposeGrants()
+		leader.grantChange = leader.ProposeGrants()
 	case "granted":
-		if m.conditionsHold(h.grantChange.Txn) {
-			m.apply(h.grantChange.Txn.Then)
-		}
-		m.sync(n)
-		h.GrantsSettled(n.view.Snapshot().QuotaGrants)
-		h.grantChange = nil
+		m.settleGrants(controller, leader)
 	case "lose": // the lease has run out; the leader does not know yet
-		m.apply([]wire.Operation{{Delete: store.LeaderKey(part)}})
-	case "die": // and its transactions are still on their way
-		if h.draft != nil {
-			m.lateTxns = append(m.lateTxns, h.draft.Txn)
-		}
-		if h.grantChange != nil {
-			m.lateTxns = append(m.lateTxns, h.grantChange.Txn)
-		}
-		delete(n.leaders, part)
+		m.apply([]wire.Operation{{Delete: store.LeaderKey(shard)}})
+	case "die":
+		m.endLeader(controller, shard)
 	case "late":
-		t := m.lateTxns[i]
-		m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
-		if m.conditionsHold(t) {
-			m.apply(t.Then)
-		}
-	case "alone": // the gang was not complete in time, or has lost a task
-		w := m.workers[part]
-		for id, n := range w.runs {
-			w.timedOut[id] = n
-		}
-		clear(w.runs)
+		m.deliverLateTxn(i)
+	case "alone":
+		m.workers[shard].timeOut()
 	case "finish":
-		if m.gang { // its tasks complete together
-			for _, w := range m.workers {
-				for id, n := range w.runs {
-					w.done[id], m.completed[id] = n, true
-				}
-				clear(w.runs)
-			}
-			return
-		}
-		w := m.workers[part]
-		id := sortedTasks(w.runs)[0]
-		w.done[id] = w.runs[id]
-		m.completed[id] = true
-		delete(w.runs, id)
+		m.finish(m.workers[shard])
 	case "cancel":
-		m.cancelled = true
-		if l, ok := m.liveJob(); ok {
-			r := l.Batch.Update()
-			r.EndJob("wk-1", wire.Cancelled, modelTime)
-			m.apply([]wire.Operation{r.Change()})
+		m.cancel()
+	}
+}
+
+// decide has a leader decide a round, with what the leader of the other shard says of itself.
+func (m *model) decide(controller *modelController, leader *modelLeader, shard string) {
+	other := map[string]string{"a": "b", "b": "a"}[shard]
+	status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
+	if m.gang {
+		status.Rooms["c"] = scheduler.FreeCapacity{Now: 1}
+	}
+	for _, peer := range m.controllers {
+		if otherLeader := peer.leaders[other]; otherLeader != nil {
+			status.Wants, status.Ready = otherLeader.quota.Forecast().Demands, otherLeader.forecast.readyGangs
 		}
 	}
+	leader.SetPeerShards(map[string]ShardStatus{other: status}, 1)
+	leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
+}
+
+// commit has the store take a leader's round, or refuse it.
+func (m *model) commit(controller *modelController, leader *modelLeader) {
+	if m.conditionsHold(leader.draft.Txn) {
+		rev := m.apply(leader.draft.Txn.Then)
+		leader.Committed(leader.draft, rev)
+		controller.view.ApplyOwnWrite(leader.draft.WrittenBatches(rev)...)
+	} else {
+		leader.Discard(leader.draft)
+	}
+	leader.draft = nil
+}
+
+// settleGrants has the store take a leader's change of grants, or refuse it.
+func (m *model) settleGrants(controller *modelController, leader *modelLeader) {
+	if m.conditionsHold(leader.grantChange.Txn) {
+		m.apply(leader.grantChange.Txn.Then)
+	}
+	m.sync(controller)
+	leader.GrantsSettled(controller.view.Snapshot().QuotaGrants)
+	leader.grantChange = nil
+}
+
+// endLeader ends a leader whose transactions are still on their way.
+func (m *model) endLeader(controller *modelController, shard string) {
+	leader := controller.leaders[shard]
+	if leader.draft != nil {
+		m.lateTxns = append(m.lateTxns, leader.draft.Txn)
+	}
+	if leader.grantChange != nil {
+		m.lateTxns = append(m.lateTxns, leader.grantChange.Txn)
+	}
+	delete(controller.leaders, shard)
+}
+
+// deliverLateTxn has a transaction that was on its way arrive.
+func (m *model) deliverLateTxn(i int) {
+	t := m.lateTxns[i]
+	m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
+	if m.conditionsHold(t) {
+		m.apply(t.Then)
+	}
+}
+
+// timeOut ends what runs: the gang was not complete in time, or has lost a task.
+func (w *modelWorker) timeOut() {
+	for id, n := range w.runs {
+		w.timedOut[id] = n
+	}
+	clear(w.runs)
+}
+
+// finish has a task of a machine complete; the tasks of a gang complete together.
+func (m *model) finish(w *modelWorker) {
+	if m.gang {
+		for _, other := range m.workers {
+			for id, n := range other.runs {
+				other.done[id], m.completed[id] = n, true
+			}
+			clear(other.runs)
+		}
+		return
+	}
+	id := sortedTasks(w.runs)[0]
+	w.done[id] = w.runs[id]
+	m.completed[id] = true
+	delete(w.runs, id)
+}
+
+// cancel is the user's request.
+func (m *model) cancel() {
+	m.cancelled = true
+	if job, ok := m.liveJob(); ok {
+		r := job.Batch.Update()
+		r.EndJob("wk-1", wire.Cancelled, modelTime)
+		m.apply([]wire.Operation{r.Change()})
+	}
 }
 
 // whole reports whether what runs may complete: of a gang, all tasks run, with the same
@@ -487,8 +526,8 @@
 		return true
 	}
 	attempts, n := map[uint64]bool{}, 0
-	for _, o := range m.workers {
-		for _, a := range o.runs {
+	for _, other := range m.workers {
+		for _, a := range other.runs {
 			attempts[a] = true
 			n++
 		}
@@ -512,32 +551,32 @@
 		put("%s %x", key, []byte(m.keys[key].raw))
 	}
 	txn := func(t wire.Txn) { put("txn %x %v", wire.Encode(t.Then), m.conditionsHold(t)) }
-	for _, n := range m.controllers {
-		put("node %d", m.revision-n.seenRevision)
-		if n.seenRevision < m.revision {
+	for _, controller := range m.controllers {
+		put("node %d", m.revision-controller.seenRevision)
+		if controller.seenRevision < m.revision {
 			for _, e := range m.log {
-				if e.Version > n.seenRevision {
+				if e.Version > controller.seenRevision {
 					put("unseen %s%s %x", e.Put, e.Delete, []byte(e.Value))
 				}
 			}
 		}
-		for _, part := range slices.Sorted(maps.Keys(n.leaders)) {
-			h := n.leaders[part]
-			b := &traceDriver{leader: h.Leader}
-			put("%s %d %v %v %v", part, h.lease.FencingToken, b.show(), h.rebuilt, h.quota.Forecast().Demands)
-			put("%v %v", h.quota, h.targets)
-			for _, id := range sortedKeys(h.jobStates) {
-				j := h.jobStates[id]
+		for _, shard := range slices.Sorted(maps.Keys(controller.leaders)) {
+			leader := controller.leaders[shard]
+			driver := &traceDriver{leader: leader.Leader}
+			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+			put("%v %v", leader.quota, leader.targets)
+			for _, id := range sortedKeys(leader.jobStates) {
+				j := leader.jobStates[id]
 				put("%s %v %v %v %v %v", id, j.finished.Count(), j.storedFinished.Count(), j.endedAt, j.coAllocation.Started, j.coAllocation.Ready)
 			}
-			for _, s := range h.forecast.unplaced {
+			for _, s := range leader.forecast.unplaced {
 				put("short %d %d", s.Coming, s.Unserved)
 			}
-			if h.draft != nil {
-				txn(h.draft.Txn)
+			if leader.draft != nil {
+				txn(leader.draft.Txn)
 			}
-			if h.grantChange != nil {
-				txn(h.grantChange.Txn)
+			if leader.grantChange != nil {
+				txn(leader.grantChange.Txn)
 			}
 		}
 	}
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -43,9 +43,9 @@
 	}
 	left := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
 	for _, c := range m.nodes {
-		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.claim.LastRenewal()), m.age(c.view.CurrentAt()))
-		held, _ := c.claim.Tenure(timedPart)
-		put("%d %d", c.claim.Lease(), held.FencingToken)
+		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.election.LastRenewal()), m.age(c.view.CurrentAt()))
+		held, _ := c.election.Tenure(timedShard)
+		put("%d %d", c.election.Lease(), held.FencingToken)
 		for _, e := range m.log {
 			if e.Version > c.seenRevision {
 				put("unseen %s%s %d", e.Put, e.Delete, m.revision-e.Version)
@@ -54,30 +54,30 @@
 		if c.pendingRead != nil {
 			put("reading %d %d", m.age(c.pendingRead.begun), len(c.pendingRead.changes.Events))
 		}
-		h := c.leader
-		if h == nil {
+		leader := c.leader
+		if leader == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", h.lastRound, h.rebuilt, h.rebuiltReachable, m.age(h.fleet.ElectedAt), m.age(h.viewCurrentAt), m.age(h.lastReconciled), m.age(h.monitor.PauseOver()), m.age(h.lastDecided), len(h.liveJobs))
-		for _, x := range h.fleet.Machines() {
+		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.age(leader.fleet.ElectedAt), m.age(leader.viewCurrentAt), m.age(leader.lastReconciled), m.age(leader.monitor.PauseOver()), m.age(leader.lastDecided), len(leader.liveJobs))
+		for _, x := range leader.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
-			w := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
+			hb := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
 			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
-				int(w.Incarnation)-int(x.Incarnation), int(w.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(w.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
+				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
 				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
 				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.age(p.PlacedAt))
 			}
-			last := h.monitor.Calls.Last(x.ID)
+			last := leader.monitor.Calls.Last(x.ID)
 			put("%d %v %d %s", m.age(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
-		for _, id := range sortedKeys(h.jobStates) {
-			j := h.jobStates[id]
+		for _, id := range sortedKeys(leader.jobStates) {
+			j := leader.jobStates[id]
 			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
 		}
-		put("%v", h.scaler.Releasing())
+		put("%v", leader.scaler.Releasing())
 		if c.draft != nil {
 			left(c.draft.Txn)
 		}
@@ -91,13 +91,13 @@
 	}
 	for _, id := range []string{"a", "b"} {
 		w := m.machines[id]
-		r := w.core.Heartbeat()
-		put("%s %v %d %d %d %v", id, w.gone, r.Incarnation, r.FencingToken, m.age(w.answered), r.Tasks)
+		hb := w.core.Heartbeat()
+		put("%s %v %d %d %d %v", id, w.gone, hb.Incarnation, hb.FencingToken, m.age(w.answered), hb.Tasks)
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
-		for _, r := range m.duplicateReports {
-			now := m.machines[strings.TrimPrefix(r.Machine, "n-")].core.Heartbeat()
-			put("%s %d %d %d %v", r.Machine, now.Incarnation-r.Incarnation, int(now.Seq)-int(r.Seq), r.FencingToken, r.Tasks)
+		for _, hb := range m.duplicateHeartbeats {
+			now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+			put("%s %d %d %d %v", hb.Machine, now.Incarnation-hb.Incarnation, int(now.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
 		}
 	}
 	if !m.anyOrder {
@@ -133,38 +133,46 @@
 	reached        map[string]bool
 }
 
+// timedFound is a state that a search has come to.
+type timedFound struct {
+	path, steps []string
+	sum         uint64
+	broken      string
+	met         map[string]bool
+}
+
+// expand takes each step that is possible in the states of a level, several states at once.
+func (s *timedScenario) expand(level []timedFound) [][]timedFound {
+	next := make([][]timedFound, len(level))
+	var group sync.WaitGroup
+	work := make(chan int)
+	for range runtime.GOMAXPROCS(0) {
+		group.Go(func() {
+			for i := range work {
+				for _, step := range level[i].steps {
+					m := timedAt(s, level[i].path)
+					m.take(step)
+					next[i] = append(next[i], timedFound{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
+				}
+			}
+		})
+	}
+	for i := range level {
+		work <- i
+	}
+	close(work)
+	group.Wait()
+	return next
+}
+
 // search tries all orders of what a scenario allows, breadth first.
 func (s *timedScenario) search(depth int) searchResult {
 	out := searchResult{reached: map[string]bool{}}
 	seen := map[uint64]bool{}
-	type found struct {
-		path, steps []string
-		sum         uint64
-		broken      string
-		met         map[string]bool
-	}
 	first := timedAt(s, nil)
-	level := []found{{steps: first.steps(first.budgets)}}
+	level := []timedFound{{steps: first.steps(first.budgets)}}
 	for range depth {
-		next := make([][]found, len(level))
-		var group sync.WaitGroup
-		work := make(chan int)
-		for range runtime.GOMAXPROCS(0) {
-			group.Go(func() {
-				for i := range work {
-					for _, step := range level[i].steps {
-						m := timedAt(s, level[i].path)
-						m.take(step)
-						next[i] = append(next[i], found{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
-					}
-				}
-			})
-		}
-		for i := range level {
-			work <- i
-		}
-		close(work)
-		group.Wait()
+		next := s.expand(level)
 		level = nil
 		for _, list := range next {
 			for _, f := range list {
@@ -190,56 +198,56 @@
 
 const timedPrefix = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
 
-// idleMoment is a moment in which the leader renews, reads and hears one machine.
+// idleMoment is a moment in which the leader renews, reads and gets the heartbeat of one machine.
 const idleMoment = "; tick; renew 0; sync 0; report a 0"
 
 var timedScenarios = []timedScenario{
 	{name: "the leader alone is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1", depth: 30,
 		limits:      "renew 0:1; report b 0:2; tick:11",
 		mustReach:   "refused alone after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		findsFaults: "answers by the claim alone; answers by the last renewal alone"},
+		findsFaults: "answers by the lease alone; answers by the last renewal alone"},
 	{name: "all are refused after the leader alone", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1; tick; tick; renew 0; tick; down", depth: 30,
 		limits:      "up:1; renew 0:1; report b 0:2; tick:8",
 		mustReach:   "refused alone after a cancellation; down after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		findsFaults: "answers by the claim alone"},
+		findsFaults: "answers by the lease alone"},
 	{name: "a read that is answered late", tasks: 1, prefix: timedPrefix + "; ask 0; cancel 1; tick; tick", depth: 30,
 		limits:      "renew 0:1; answer 0:1; report b 0:2; tick:9",
 		mustReach:   "the old leader answers after a cancellation; cancel_s has passed",
 		findsFaults: "a read counts from its answer"},
-	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadyReporter: "a 1",
+	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadySender: "a 1",
 		limits:      "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
-		mustReach:   "takeover with a task running; deaf",
+		mustReach:   "takeover with a task running; a lost answer",
 		findsFaults: "proof 5 without the time that others answer"},
 	{name: "a takeover and a cancellation", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; cancel 1", depth: 30,
 		limits:    "report b 0:1; report b 1:1; call 1:1; tick:10",
 		mustReach: "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
-	{name: "a deaf machine", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+	{name: "a machine that gets no answers", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
 		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		mustReach:   "deaf",
+		mustReach:   "a lost answer",
 		findsFaults: "proof 3 without its margin"},
-	{name: "a team's limit and a deaf machine", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadyReporter: "a 0",
+	{name: "a team's limit and a machine that gets no answers", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
 		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		mustReach:   "deaf",
+		mustReach:   "a lost answer",
 		findsFaults: "proof 3 without its margin"},
-	{name: "late copies of reports", tasks: 1, prefix: timedPrefix, steadyReporter: "a 0", depth: 30,
+	{name: "late copies of heartbeats", tasks: 1, prefix: timedPrefix, steadySender: "a 0", depth: 30,
 		limits:      "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
-		mustReach:   "a copy of an older report",
-		findsFaults: "a report is taken though older"},
-	{name: "late copies from an earlier session", tasks: 1, prefix: timedPrefix + idleMoment + idleMoment + idleMoment + idleMoment + "; expire b; renew 0; sync 0", depth: 9,
+		mustReach:   "a copy of an older heartbeat",
+		findsFaults: "a heartbeat is applied though older"},
+	{name: "late copies from an earlier incarnation", tasks: 1, prefix: timedPrefix + idleMoment + idleMoment + idleMoment + idleMoment + "; expire b; renew 0; sync 0", depth: 9,
 		limits:    "report b 0:2; copy:1; round 0:1; report a 0:1; tick:1",
-		mustReach: "a copy from an earlier session; a later session"},
+		mustReach: "a copy from an earlier incarnation; a later incarnation"},
 	{name: "late rounds and cancellations", tasks: 1, prefix: timedPrefix + "; finish b; report b 0", depth: 9,
 		limits: "holdcancel 1:1; decide 0:1; hold 0:1; late:2; cancel 1:1; commit 0:1; sync 0:1", anyOrder: true,
 		mustReach:   "a late round after newer ones; a late round is taken; a late cancellation after newer ones; a late cancellation is taken; a copy of a round was taken",
 		findsFaults: "an end is not bound to the job's record"},
-	{name: "late rounds and claims of a takeover", tasks: 1, prefix: "decide 0; hold 0; refuse 0; tick; tick; tick; sync 1", depth: 9,
+	{name: "late rounds and campaigns of a takeover", tasks: 1, prefix: "decide 0; hold 0; refuse 0; tick; tick; tick; sync 1", depth: 9,
 		limits: "holdclaim 1:1; claim 1:1; late:2; sync 1:1; report a 1:2; report b 1:2; decide 1:1; commit 1:1; tick:1", anyOrder: true,
 		mustReach: "a late claim is taken; a late claim after newer ones; a late round after newer ones; takeover"},
 	{name: "a launch and the end of its leader", tasks: 1, prefix: "decide 0; report b 0; report b 0; die 0; tick; tick; tick; sync 1; claim 1; report a 1; report a 1", depth: 8,
 		limits:      "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
 		mustReach:   "takeover; a late round after newer ones",
 		findsFaults: "a launch is said before its round is stored"},
-	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadyReporter: "a 0",
+	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadySender: "a 0",
 		limits:      "round 0:1; arrive:1; report a 0:1; tick:3",
 		mustReach:   "a late call is carried out",
 		findsFaults: "a call without an answer counts as refused"},
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -15,9 +16,6 @@
 	"amberdeal.example/amberdeal/internal/jobblock"
 	"amberdeal.example/amberdeal/internal/leadership"
 	"amberdeal.example/amberdeal/internal/quota"
-	"amberdeal.example/amberdeal/internal/reachability"
-	"amberdeal.example/amberdeal/internal/reshard"
-	"amberdeal.example/amberdeal/internal/scheduler"
 	"amberdeal.example/amberdeal/internal/simulator"
 	"amberdeal.example/amberdeal/internal/store"
 	"amberdeal.example/amberdeal/internal/zone"
@@ -33,19 +31,23 @@
 	revision        uint64
 	draft           *Draft
 	open            []*fleet.Placement  // launched by direct calls that are not answered yet
-	previousSlot    store.SegmentRecord // what an earlier leader has left in the ledger
-	slot            int                 // where
+	previousSegment store.SegmentRecord // what an earlier leader has left in the ledger
+	segment         int                 // where
 	cfg             *config.Config
 	shard           string // that is claimed
 	grantChange     *quota.Change
 	observers       map[string]zone.Observer
 	preemptionCheck *workerModel
+	steps           map[string]func(traceStep) []string // by the first word
 }
 
 func newTraceDriver(t *testing.T) *traceDriver {
-	b := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
-	b.view.Load(nil, 0, &wire.WatchResponse{})
-	return b
+	driver := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	driver.view.Load(nil, 0, &wire.WatchResponse{})
+	driver.steps = driver.stateSteps()
+	maps.Copy(driver.steps, driver.ledgerSteps())
+	maps.Copy(driver.steps, driver.leaderSteps())
+	return driver
 }
 
 func traceConfig() *config.Config {
@@ -55,19 +57,19 @@
 }
 
 // apply puts changes into the view, as the watch would.
-func (b *traceDriver) apply(then ...wire.Operation) {
-	b.revision++
-	ch := &wire.WatchResponse{Revision: b.revision}
+func (driver *traceDriver) apply(then ...wire.Operation) {
+	driver.revision++
+	ch := &wire.WatchResponse{Revision: driver.revision}
 	for _, c := range then {
-		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: b.revision})
+		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: driver.revision})
 	}
-	b.view.Apply(ch)
+	driver.view.Apply(ch)
 }
 
 func attempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
 
 // parseTasks reads "wk-1/0#5.1 running" and the like, separated by commas.
-func (b *traceDriver) parseTasks(text string) []wire.ReportedTask {
+func (driver *traceDriver) parseTasks(text string) []wire.ReportedTask {
 	var out []wire.ReportedTask
 	for _, item := range strings.Split(text, ",") {
 		f := strings.Fields(item)
@@ -80,7 +82,7 @@
 		lo, _ := strconv.ParseUint(seq, 10, 64)
 		id, err := wire.ParseTaskID(name)
 		if err != nil {
-			b.t.Fatal(err)
+			driver.t.Fatal(err)
 		}
 		task := wire.ReportedTask{Task: name, ID: id, Attempt: hi<<24 | lo, State: wire.TaskState(f[1])}
 		if len(f) > 2 {
@@ -91,344 +93,112 @@
 	return out
 }
 
-func (b *traceDriver) step(line string) []string {
-	step, tasks, _ := strings.Cut(line, ":")
-	w, kv := simulator.Words(step)
-	num := func(key string, otherwise int) int {
-		if n, err := strconv.Atoi(kv[key]); err == nil {
-			return n
-		}
-		return otherwise
-	}
-	switch w[0] {
-	case "job":
-		j := &wire.Job{ID: w[1], Class: "c", Shape: wire.Shape(w[2]), Team: kv["team"], Priority: wire.Normal, Tasks: num("tasks", 1),
-			CPUs: 1, GPUs: float64(num("gpus", 1)), MemoryGB: 1, Image: "img", CheckpointS: float64(num("checkpoint", 0)), SaveS: 1, Zone: kv["zone"]}
-		if kv["priority"] != "" {
-			j.Priority = wire.Priority(kv["priority"])
-		}
-		j.Spread, j.OneZone, j.EstimateS = kv["spread"] != "", kv["one_zone"] != "", float64(num("estimate", 0))
-		rec := store.JobRecord{Stage: wire.Pending, Tasks: j.Tasks, Job: j}
-		if kv["age"] != "" {
-			rec.Created = b.now.Add(-time.Duration(num("age", 0)) * time.Second).UnixMilli()
-		}
-		if kv["key"] == "own" { // as version 1 stored it
-			b.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
-			break
-		}
-		b.apply(wire.Operation{Put: store.BatchKey(j.ID), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}}})
-	case "batch": // jobs accepted together, as one record
-		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
-		for _, id := range w[2:] {
-			j := &wire.Job{ID: id, Class: "c", Shape: wire.Array, Team: "blue", Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
-			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: j}
-		}
-		b.apply(wire.Operation{Put: store.BatchKey(w[1]), Value: rec})
-	case "cancel":
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
-		r.EndJob(w[1], wire.Cancelled, b.now)
-		b.apply(r.Change())
-	case "fold": // the leader has moved jobs out of their homes
-		b.compact(w[1:])
-	case "machine":
-		rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
-		for _, t := range b.parseTasks(strings.ReplaceAll(kv["holds"], ",", " running,") + " running") {
-			rec.Tasks[t.Task] = t.Attempt
-		}
-		b.addToPreviousSlot(store.MachineEntry(w[1], rec))
-	case "ask":
-		b.addToPreviousSlot(store.ScaleOutEntry(w[1], store.ScaleOutRecord{Type: "g4", Zone: w[2], Count: num("count", 1)}))
-	case "zone": // its state, as an earlier leader has left it
-		b.addToPreviousSlot(store.ZoneEntry(w[1], store.ZoneRecord{State: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Outages: num("falls", 1)}))
-	case "zones":
-		var out []string
-		for _, name := range sortedKeys(b.leader.ZoneRecords()) {
-			r := b.leader.ZoneRecords()[name]
-			out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
-		}
-		return out
-	case "return": // of a zone, as an earlier leader has left it
-		b.addToPreviousSlot(store.ZoneRecoveryEntry(w[1], store.ZoneRecoveryRecord{Step: w[2], Number: uint64(num("number", 1)), Since: b.now.UnixMilli(), Work: float64(num("work", 0))}))
-	case "returns":
-		var out []string
-		for _, name := range sortedKeys(b.leader.ZoneRecoveries()) {
-			out = append(out, name+": "+b.leader.ZoneRecoveries()[name])
-		}
-		return out
-	case "sibling": // a controller in a zone, and how many machines of one it hears, and doesn't
-		if b.observers == nil {
-			b.observers = map[string]zone.Observer{}
-		}
-		b.observers[w[1]] = zone.Observer{Zone: w[2], Observations: map[string]zone.Observation{kv["of"]: {Heard: num("hears", 0), Quiet: num("quiet", 0)}, "a": {Heard: 9}}}
-		b.cfg.Peers = make([]config.Peer, len(b.observers))
-		b.leader.SetObservers(b.observers)
-	case "tier":
-		b.tier(w[1], kv)
-	case "workers", "play", "crash", "stubborn", "finish", "lose": // with workers that do as they are told
-		return b.play(w)
-	case "claims": // what is being claimed back
-		return b.preemptionsNow()
-	case "claim":
-		return b.claim(uint64(num("term", 1)))
-	case "parts": // the fleet is in parts by zone, of which the first is claimed here
-		b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
-	case "divided": // anew, into parts by zone, of which the first is claimed here, or into one
-		b.cfg.Tuning.Shards.By, b.shard = "off", "fleet"
-		if len(w) > 1 {
-			b.cfg.Tuning.Shards.By, b.cfg.Zones, b.shard = "zone", w[1:], w[1]
-		}
-		state := b.view.ShardingState()
-		txn, err := reshard.Transaction(&state, b.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
-			rec, _ := b.view.Job(job)
-			return rec.TaskDemand()
-		})
-		if err != nil {
-			return []string{err.Error()}
-		}
-		b.apply(txn.Then...)
-		b.previousSlot, b.slot = store.SegmentRecord{}, 0
-	case "small": // values may hold little more than they do
-		b.cfg.Store.ValueBytes = 500
-	case "carried": // another shard has taken over what is of its machines
-		b.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(w[1], b.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: b.view.Sharding().Record.Generation}})
-	case "finished": // tasks of a job, as the ledger says
-		done := store.NewTaskSet(0)
-		for _, text := range w[2:] {
-			n, _ := strconv.Atoi(text)
-			done.Add(n)
-		}
-		b.addToPreviousSlot(store.ProgressEntry(w[1], 0, done))
-	case "order": // what the part that leads a gang has written
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
-		if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[w[2]] > 0 {
-			r.SetCoAllocation(w[1], orders[w[2]])
-		} else {
-			term, seq, _ := strings.Cut(strings.TrimPrefix(w[2], "#"), ".")
-			hi, _ := strconv.ParseUint(term, 10, 64)
-			lo, _ := strconv.ParseUint(seq, 10, 64)
-			r.SetCoAllocation(w[1], hi<<24|lo)
-		}
-		b.apply(r.Change())
-	case "gave": // another shard has given what it had of a job to this one
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
-		r.AssignRanges(w[1], parseShares(b.t, w[2:]), b.view.Sharding().Record.Generation)
-		b.apply(r.Change())
-	case "done": // another shard has finished all that it has of a job, of which the record says no more
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
-		r.MarkFinishedIn(w[1], store.LedgerName(w[2], b.view.Sharding().Record.Generation))
-		b.apply(r.Change())
-	case "shares": // of a job's tasks, as the record says
-		l, _ := b.view.Live(w[1])
-		r := l.Batch.Update()
-		r.AssignRanges(w[1], parseShares(b.t, w[2:]), 0)
-		b.apply(r.Change())
-	case "others": // what another shard has said of itself
-		s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: num("now", 0), Below: num("below", 0), Rent: kv["rent"] != ""}},
-			Zones: map[string]reachability.ZoneHealth{w[1]: {Up: num("up", 9), Quiet: num("quiet", 0)}}}
-		if kv["ready"] != "" {
-			s.Ready = []string{kv["ready"]}
-		}
-		if n := num("want", 0); n > 0 {
-			s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: num("rank", 1), Since: b.now.Add(-time.Duration(num("age", 0)) * time.Second)}}
-		}
-		s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(num("stays", 0))}}
-		b.leader.SetPeerShards(map[string]ShardStatus{w[1]: s}, 1)
-	case "grants": // of the GPUs of the team red
-		rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
-		for part, text := range kv {
-			n, _ := strconv.Atoi(text)
-			rec.Teams["red"][part] = [2]float64{0, float64(n)}
-		}
-		b.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
-	case "regrant":
-		rg := b.leader.ProposeGrants()
-		if rg == nil {
-			return []string{"nothing to change"}
-		}
-		b.grantChange = rg
-		out := []string{fmt.Sprintf("put grant %v", b.grantChange.Txn.Then[0].Value.(store.QuotaGrantRecord).Teams)}
-		for _, c := range b.grantChange.Txn.If {
-			out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
-		}
-		return out
-	case "regranted": // taken or not, and seen
-		if w[1] == "taken" {
-			b.apply(b.grantChange.Txn.Then...)
-		}
-		b.leader.GrantsSettled(b.view.Snapshot().QuotaGrants)
-	case "spends": // what the part may spend of the team red
-		pic := b.leader.clusterSnapshot(b.now)
-		return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", pic.Teams["red"].LimitGPUs, pic.Teams["red"].UsedGPUs, pic.Teams["red"].RemoteUsedGPUs)}
-	case "wait":
-		d, _ := time.ParseDuration(w[1])
-		b.now = b.now.Add(d)
-	case "report", "inspected":
-		return b.report(w, kv["zone"], uint64(num("term", 0)), tasks)
-	case "round":
-		return b.round(w[1:])
-	case "raises": // calls that a peer may make
-		var out []string
-		for _, c := range b.leader.FencingCalls(b.now, num("most", 9)) {
-			out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
-		}
-		return out
-	case "raised": // by a peer, in vain or with a report
-		if slices.Contains(w, "vain") {
-			b.leader.FencingCallDone(b.now, w[1], nil)
-			break
-		}
-		session, seq, _ := strings.Cut(w[2], "/")
-		s, _ := strconv.ParseUint(session, 10, 64)
-		q, _ := strconv.ParseUint(seq, 10, 64)
-		b.leader.FencingCallDone(b.now, w[1], &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(num("term", 0)), Tasks: b.parseTasks(tasks)})
-	case "odd": // reports that changed nothing
-		odd := b.leader.RejectedHeartbeats()
-		return []string{fmt.Sprintf("%d late, %d impossible", odd.Stale, odd.Impossible)}
-	case "seen": // the view holds all that is in the store by now
-		b.view.MarkCurrent(b.now)
-	case "tend": // while a round waits for the store
-		b.leader.Reconcile(b.now, b.view.Snapshot())
-	case "entitled": // the claim was renewed just now
-		return []string{fmt.Sprint(b.leader.MayAnswer(b.now, true, b.now))}
-	case "refused": // the round that had no answer will never be in the store
-		b.leader.Discard(b.draft)
-	case "older": // what was left so far stands in a slot of its own
-		n, _ := strconv.Atoi(w[1])
-		b.previousSlot, b.slot = store.SegmentRecord{}, n
-	case "drop":
-		b.addToPreviousSlot(store.DropMachine(w[1]))
-	case "taken": // the round that had no answer turns out to be in the store
-		b.commit()
-	case "direct":
-		return b.directCalls(w[1:])
-	case "answered": // what became of the direct calls that were left open
-		b.leader.fleet.CallFinished(b.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[w[1]])
-		b.open = nil
-	case "rented":
-		names := w[2:]
-		for i := range num("got", 0) {
-			names = append(names, fmt.Sprintf("%s-%02d", w[1], i))
-		}
-		b.leader.scaledOut(b.now, w[1], names)
-	case "asks":
-		var out []string
-		for _, a := range b.leader.scaler.Pending() {
-			out = append(out, fmt.Sprintf("%s for %d in %s", a.Name, a.Count, a.Zone))
-		}
-		return out
-	case "send": // the rentals that may be
-		var out []string
-		for i := 0; i < num("most", 99) && b.leader.nextScaleOut(b.now) != nil; i++ {
-			a := b.leader.takeScaleOut(b.now)
-			out = append(out, fmt.Sprintf("send %s for %d in %s", a.Name, a.Count, a.Zone))
-		}
-		return out
-	case "listed":
-		var list []wire.ListedMachine
-		for _, id := range w[1:] {
-			list = append(list, wire.ListedMachine{ID: id, Type: "g4", Zone: "a", Stage: wire.MachineRunning})
-		}
-		b.leader.handleMachineList(b.now, b.now, list)
-	case "released": // the cloud has acknowledged it
-		b.leader.fleet.MarkReleased(w[1])
-		b.leader.forgetMachine(w[1], "released")
-	case "ending": // jobs that must not be compacted yet
-		jobs, ok := b.leader.UnfinishedJobs()
-		return []string{fmt.Sprint(sortedKeys(jobs), ok)}
-	case "calls": // to machines, one after the other, all of which have the same end
-		for _, id := range w[2:] {
-			b.leader.monitor.NoteCallResult(b.now, id, w[1] == "answered")
-		}
-	case "unreached": // whether hardly any call gets through to machines that are heard
-		return []string{fmt.Sprint(b.leader.CallsFailing(b.now))}
-	case "deaf": // how many machines the leader does not hear, by no fault of theirs
-		return []string{fmt.Sprint(b.leader.UnreachableMachines(b.now))}
-	case "show":
-		return b.show()
-	default:
-		b.t.Fatalf("no such step: %s", line)
+// traceStep is a line of a trace: its words, its settings (key=value) and, behind a colon, tasks.
+type traceStep struct {
+	words    []string
+	settings map[string]string
+	tasks    string
+}
+
+func parseStep(line string) (step traceStep) {
+	head, tasks, _ := strings.Cut(line, ":")
+	step.words, step.settings = simulator.Words(head)
+	step.tasks = tasks
+	return step
+}
+
+// number returns a setting, or another number where it is not set.
+func (s traceStep) number(key string, otherwise int) int {
+	if n, err := strconv.Atoi(s.settings[key]); err == nil {
+		return n
 	}
-	return nil
+	return otherwise
+}
+
+// step takes a step of a trace and returns what comes of it.
+func (driver *traceDriver) step(line string) []string {
+	step := parseStep(line)
+	take := driver.steps[step.words[0]]
+	if take == nil {
+		driver.t.Fatalf("no such step: %s", line)
+	}
+	return take(step)
 }
 
-// parseShares reads "0-2/a", "2-4/b,done" and the like.
-func parseShares(t *testing.T, words []string) (out []store.ShardRange) {
+// parseRanges reads "0-2/a", "2-4/b,done" and the like.
+func parseRanges(t *testing.T, words []string) (out []store.ShardRange) {
 	for _, w := range words {
-		var s store.ShardRange
-		runs, part, _ := strings.Cut(w, "/")
-		s.Shard, s.Done = strings.TrimSuffix(part, ",done"), strings.HasSuffix(part, ",done")
-		if _, err := fmt.Sscanf(runs, "%d-%d", &s.From, &s.To); err != nil {
+		var r store.ShardRange
+		runs, shard, _ := strings.Cut(w, "/")
+		r.Shard, r.Done = strings.TrimSuffix(shard, ",done"), strings.HasSuffix(shard, ",done")
+		if _, err := fmt.Sscanf(runs, "%d-%d", &r.From, &r.To); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, s)
+		out = append(out, r)
 	}
 	return out
 }
 
 // compact moves batches, all of whose jobs are over, into a recent block.
-func (b *traceDriver) compact(batches []string) {
+func (driver *traceDriver) compact(batches []string) {
 	var entries []jobblock.Entry
 	var then []wire.Operation
-	for _, h := range b.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
+	for _, h := range driver.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
 		for _, m := range h.Jobs {
 			entries = append(entries, jobblock.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
 		}
 		then = append(then, wire.Operation{Delete: h.Key})
 	}
 	if len(then) != len(batches) {
-		b.t.Fatalf("%d homes are over, not %v", len(then), batches)
+		driver.t.Fatalf("%d batches have ended, not %v", len(then), batches)
 	}
 	entries, _ = jobblock.Sort(entries)
-	b.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
+	driver.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
-// addToPreviousSlot puts an entry into the ledger, as an earlier leader did.
-func (b *traceDriver) addToPreviousSlot(e store.Entry) {
-	if b.previousSlot.Entries == nil {
-		b.previousSlot.Entries = map[string]wire.Raw{}
+// addToPreviousSegment puts an entry into the ledger, as an earlier leader did.
+func (driver *traceDriver) addToPreviousSegment(e store.Entry) {
+	if driver.previousSegment.Entries == nil {
+		driver.previousSegment.Entries = map[string]wire.Raw{}
 	}
-	if b.previousSlot.Entries[e.Key] = e.Value; e.Value == nil {
-		b.previousSlot.Entries[e.Key] = wire.Raw{0xf6}
+	if driver.previousSegment.Entries[e.Key] = e.Value; e.Value == nil {
+		driver.previousSegment.Entries[e.Key] = wire.Raw{0xf6}
 	}
-	b.apply(wire.Operation{Put: store.SegmentKey(b.shard, b.slot), Value: b.previousSlot})
+	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.segment), Value: driver.previousSegment})
 }
 
-func (b *traceDriver) claim(term uint64) []string {
-	b.apply(wire.Operation{Put: store.LeaderKey(b.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: term}})
+func (driver *traceDriver) claim(token uint64) []string {
+	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: token}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
-	b.leader = New(b.cfg, leadership.Tenure{Shard: b.shard, FencingToken: term, Version: b.revision, Revision: b.revision}, b.view.Snapshot(),
-		b.view.ShardLedgers(b.shard), types, b.view, b.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	driver.leader = New(driver.cfg, leadership.Tenure{Shard: driver.shard, FencingToken: token, Version: driver.revision, Revision: driver.revision}, driver.view.Snapshot(),
+		driver.view.ShardLedgers(driver.shard), types, driver.view, driver.now, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return nil
 }
 
-func (b *traceDriver) report(w []string, zone string, term uint64, tasks string) []string {
+func (driver *traceDriver) report(w []string, zone string, token uint64, tasks string) []string {
 	session, seq, _ := strings.Cut(w[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
-	r := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: term, Tasks: b.parseTasks(tasks)}
-	if b.shard != "fleet" {
-		r.Zone = b.shard
+	hb := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: token, Tasks: driver.parseTasks(tasks)}
+	if driver.shard != "fleet" {
+		hb.Zone = driver.shard
 	}
-	if m := b.leader.fleet.Machine(w[1]); m != nil {
-		r.Zone = m.Zone
+	if m := driver.leader.fleet.Machine(w[1]); m != nil {
+		hb.Zone = m.Zone
 	}
 	if zone != "" {
-		r.Zone = zone
+		hb.Zone = zone
 	}
 	if w[0] == "inspected" {
-		b.leader.HandleInspection(b.now, r)
+		driver.leader.HandleInspection(driver.now, hb)
 		return nil
 	}
 	var out []string
-	a, ok := b.leader.HandleHeartbeat(b.now, r, !slices.Contains(w, "invalid"))
+	response, ok := driver.leader.HandleHeartbeat(driver.now, hb, !slices.Contains(w, "invalid"))
 	if !ok {
 		return []string{"no answer"}
 	}
-	for _, c := range a.Commands {
+	for _, c := range response.Commands {
 		out = append(out, fmt.Sprintf("%s %s%s", c.Verb, c.Task, attempt(c.Attempt)))
 	}
 	return out
@@ -436,9 +206,9 @@
 
 // directCalls makes the direct calls that are due; the step says what becomes of
 // them.
-func (b *traceDriver) directCalls(fate []string) []string {
+func (driver *traceDriver) directCalls(fate []string) []string {
 	var out []string
-	for _, c := range b.leader.dueCalls(b.now, true, maxOpenCalls) {
+	for _, c := range driver.leader.dueCalls(driver.now, true, maxOpenCalls) {
 		line := fmt.Sprintf("to %s, session %d:", c.machine, c.incarnation)
 		for _, cmd := range c.commands {
 			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, attempt(cmd.Attempt))
@@ -446,101 +216,110 @@
 		out = append(out, line)
 		switch fate[0] {
 		case "open":
-			b.open = append(b.open, c.launches...)
+			driver.open = append(driver.open, c.launches...)
 		case "executed":
-			b.leader.fleet.CallFinished(c.launches, fleet.Executed)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Executed)
 		case "refused":
-			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if fate[0] == "unreached" {
-			b.leader.fleet.CallFinished(c.launches, fleet.Refused)
+			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
 		}
 		if c.fencing {
-			b.leader.fencing.Finished()
+			driver.leader.fencing.Finished()
 		}
-		silent := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines behind the fate are silent
-		b.leader.monitor.CallFinished(b.now, c.machine, !silent)
+		unreached := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines after the fate are unreachable
+		driver.leader.monitor.CallFinished(driver.now, c.machine, !unreached)
 	}
 	return out
 }
 
 // round decides one round. Its fate is to be taken, unless the step says that
 // it is refused or lost.
-func (b *traceDriver) round(fate []string) []string {
-	b.draft = b.leader.Decide(b.now, b.view.Snapshot())
-	if b.draft == nil {
+func (driver *traceDriver) round(fate []string) []string {
+	driver.draft = driver.leader.Decide(driver.now, driver.view.Snapshot())
+	if driver.draft == nil {
 		return []string{"nothing to write"}
 	}
 	var out []string
-	for _, p := range b.draft.launches {
+	for _, p := range driver.draft.launches {
 		out = append(out, fmt.Sprintf("launch %v%s on %s", p.Task, attempt(p.Attempt), p.Machine))
 	}
-	for _, c := range b.draft.Txn.Then {
-		switch {
-		case c.Delete != "":
-			out = append(out, "drop "+strings.TrimPrefix(c.Delete, store.StatePrefix))
-		default:
-			line := "put " + strings.TrimPrefix(c.Put, store.StatePrefix)
-			switch rec := c.Value.(type) {
-			case store.JobRecord:
-				line += " " + string(rec.Stage)
-			case store.BatchRecord:
-				for _, id := range sortedKeys(rec.Jobs) {
-					line += " " + id + "=" + string(rec.Jobs[id].Stage)
-					switch m := rec.Jobs[id].CoAllocation; {
-					case m == store.CoAllocationRelease:
-						line += " called off"
-					case m == store.CoAllocationReserve:
-						line += " held"
-					case m > 0:
-						line += " start " + attempt(m)
-					}
-					if in := rec.Jobs[id].FinishedIn; len(in) > 0 {
-						line += " done in " + strings.Join(in, ",")
-					}
-					for _, s := range rec.Jobs[id].Ranges {
-						line += fmt.Sprintf(" %d-%d/%s", s.From, s.To, s.Shard)
-						if s.Done {
-							line += ",done"
-						}
-					}
-				}
-			case store.SegmentRecord:
-				line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(b.leader.teamUsage()), strings.Join(rec.Describe(), " "))
-				if rec.Migrated > 0 {
-					line += ", all taken over"
-				}
-			case store.ShardingRecord:
-				line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers)
-			}
-			out = append(out, line)
-		}
+	for _, c := range driver.draft.Txn.Then {
+		out = append(out, driver.describeChange(c))
 	}
-	for _, c := range b.draft.Txn.If {
+	for _, c := range driver.draft.Txn.If {
 		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 	}
 	switch {
 	case slices.Contains(fate, "refused"):
-		b.leader.Discard(b.draft)
+		driver.leader.Discard(driver.draft)
 	case !slices.Contains(fate, "lost"):
-		b.commit()
+		driver.commit()
 	}
 	return out
 }
 
-func (b *traceDriver) commit() {
-	b.apply(b.draft.Txn.Then...)
-	b.leader.Committed(b.draft, b.revision)
+// describeChange describes what a round changes in the store.
+func (driver *traceDriver) describeChange(c wire.Operation) string {
+	if c.Delete != "" {
+		return "drop " + strings.TrimPrefix(c.Delete, store.StatePrefix)
+	}
+	line := "put " + strings.TrimPrefix(c.Put, store.StatePrefix)
+	switch rec := c.Value.(type) {
+	case store.JobRecord:
+		line += " " + string(rec.Stage)
+	case store.BatchRecord:
+		for _, id := range sortedKeys(rec.Jobs) {
+			line += " " + id + "=" + describeJob(rec.Jobs[id])
+		}
+	case store.SegmentRecord:
+		line += fmt.Sprintf(" round %d, teams %v, holds %s", rec.Round, resourcePairs(driver.leader.teamUsage()), strings.Join(rec.Describe(), " "))
+		if rec.Migrated > 0 {
+			line += ", all taken over"
+		}
+	case store.ShardingRecord:
+		line += fmt.Sprintf(" %q, number %d, before %v", rec.Text, rec.Generation, rec.PreviousLedgers)
+	}
+	return line
+}
+
+// describeJob describes the record of a job.
+func describeJob(rec store.JobRecord) string {
+	text := string(rec.Stage)
+	switch order := rec.CoAllocation; {
+	case order == store.CoAllocationRelease:
+		text += " called off"
+	case order == store.CoAllocationReserve:
+		text += " held"
+	case order > 0:
+		text += " start " + attempt(order)
+	}
+	if len(rec.FinishedIn) > 0 {
+		text += " done in " + strings.Join(rec.FinishedIn, ",")
+	}
+	for _, r := range rec.Ranges {
+		text += fmt.Sprintf(" %d-%d/%s", r.From, r.To, r.Shard)
+		if r.Done {
+			text += ",done"
+		}
+	}
+	return text
+}
+
+func (driver *traceDriver) commit() {
+	driver.apply(driver.draft.Txn.Then...)
+	driver.leader.Committed(driver.draft, driver.revision)
 }
 
-func (b *traceDriver) show() []string {
-	h := b.leader
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (driver *traceDriver) show() []string {
+	leader := driver.leader
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
 	var out []string
-	for _, m := range h.fleet.Machines() {
+	for _, m := range leader.fleet.Machines() {
 		line := m.ID
-		if slices.Contains(h.fleet.UnprovenMachines(), m) {
+		if slices.Contains(leader.fleet.UnprovenMachines(), m) {
 			line += " unproven"
 		}
 		if m.Releasing {
@@ -558,8 +337,8 @@
 		}
 		out = append(out, line)
 	}
-	for _, a := range h.scaler.Pending() {
-		out = append(out, fmt.Sprintf("ask %s for %d in %s", a.Name, a.Count, a.Zone))
+	for _, request := range leader.scaler.Pending() {
+		out = append(out, fmt.Sprintf("ask %s for %d in %s", request.Name, request.Count, request.Zone))
 	}
 	return out
 }
@@ -569,38 +348,38 @@
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
 
-// TestTimeoutsFollowHeartbeatInterval: what counts as silence depends on how often the
-// workers report. Fitted to reports each 3 s, it made a third of a fleet unfit
-// that reports each 8 s, and gave the rest up.
+// TestTimeoutsFollowHeartbeatInterval: when a machine counts as unreachable depends on how
+// often the workers send heartbeats. Fitted to an interval of 3 s, the timeouts made a third of a
+// fleet with an interval of 8 s unusable, and released the rest.
 func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
 	for _, every := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
 		cfg.Workers.HeartbeatInterval = every
 		got, latest := timeoutsOf(cfg), every*5/4
 		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && every < 20*time.Second {
-			t.Errorf("reports each %v: %+v", every, got)
+			t.Errorf("heartbeats each %v: %+v", every, got)
 		}
-		b := newTraceDriver(t)
-		b.cfg.Workers.HeartbeatInterval = every
-		b.step("claim term=2")
-		b.step("report n-1 1/1 term=2")
-		b.now = b.now.Add(latest)
-		b.leader.Decide(b.now, b.view.Snapshot())
-		if pic := b.leader.clusterSnapshot(b.now); !pic.Machines[0].Usable || b.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("reports each %v: a machine is unfit between two of them", every)
+		driver := newTraceDriver(t)
+		driver.cfg.Workers.HeartbeatInterval = every
+		driver.step("claim term=2")
+		driver.step("report n-1 1/1 term=2")
+		driver.now = driver.now.Add(latest)
+		driver.leader.Decide(driver.now, driver.view.Snapshot())
+		if snapshot := driver.leader.clusterSnapshot(driver.now); !snapshot.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
+			t.Errorf("heartbeats each %v: a machine is not usable between two of them", every)
 		}
-		for end := b.now.Add(got.unreachableAfter); b.now.Before(end); { // or it would seem to have stood still
-			b.now = b.now.Add(min(2*time.Second, end.Sub(b.now)))
-			b.leader.Decide(b.now, b.view.Snapshot())
+		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // or it would seem to have stood still
+			driver.now = driver.now.Add(min(2*time.Second, end.Sub(driver.now)))
+			driver.leader.Decide(driver.now, driver.view.Snapshot())
 		}
 		for _, other := range []string{"n-2", "n-3", "n-4"} {
-			b.step("report " + other + " 1/1 term=2")
+			driver.step("report " + other + " 1/1 term=2")
 		}
-		b.leader.monitor.CallFinished(b.now, "n-2", true)
-		b.leader.monitor.Calls.Start(b.now, "n-1", "")
-		b.leader.monitor.CallFinished(b.now, "n-1", false)
-		if b.leader.Decide(b.now, b.view.Snapshot()); !b.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("reports each %v: a machine that is silent for %v is kept", every, latest+got.unreachableAfter)
+		driver.leader.monitor.CallFinished(driver.now, "n-2", true)
+		driver.leader.monitor.Calls.Start(driver.now, "n-1", "")
+		driver.leader.monitor.CallFinished(driver.now, "n-1", false)
+		if driver.leader.Decide(driver.now, driver.view.Snapshot()); !driver.leader.fleet.Machine("n-1").Releasing {
+			t.Errorf("heartbeats each %v: a machine that is unreachable for %v is kept", every, latest+got.unreachableAfter)
 		}
 	}
 }
@@ -609,19 +388,19 @@
 // and a transaction may hold next to nothing: no round goes over the limits, and
 // all of it is stored in the end.
 func TestSmallLimits(t *testing.T) {
-	b := newTraceDriver(t)
-	b.step("job wk-1 sweep team=blue tasks=100000")
-	b.step("claim term=2")
-	h := b.leader
-	h.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
-	h.ledger, _ = store.NewLedger("fleet", 1024, nil)
-	j := h.jobState("wk-1")
+	driver := newTraceDriver(t)
+	driver.step("job wk-1 sweep team=blue tasks=100000")
+	driver.step("claim term=2")
+	leader := driver.leader
+	leader.cfg.Store = config.Store{TxnOps: 4, ValueBytes: 1024}
+	leader.ledger, _ = store.NewLedger("fleet", 1024, nil)
+	j := leader.jobState("wk-1")
 	for i := range 50_000 {
-		h.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
+		leader.markFinished(wire.TaskID{Job: "wk-1", Index: 2 * i}, j)
 	}
 	for range 200 {
-		b.now = b.now.Add(time.Second)
-		d := h.Decide(b.now, b.view.Snapshot())
+		driver.now = driver.now.Add(time.Second)
+		d := leader.Decide(driver.now, driver.view.Snapshot())
 		if d == nil {
 			break
 		}
@@ -633,8 +412,8 @@
 				t.Fatalf("a value of %d bytes", size)
 			}
 		}
-		b.draft = d
-		b.commit()
+		driver.draft = d
+		driver.commit()
 	}
 	if n := j.storedFinished.Count(); n != 50_000 {
 		t.Errorf("%d of 50,000 finished tasks are stored", n)
@@ -644,13 +423,13 @@
 // TestSnapshotCountsCancelled guards the quota: a task of a cancelled job counts
 // until it is gone.
 func TestSnapshotCountsCancelled(t *testing.T) {
-	b := newTraceDriver(t)
+	driver := newTraceDriver(t)
 	for _, s := range []string{"job wk-1 sweep team=red tasks=1 gpus=4", "claim term=2", "report n-1 1/1 term=2: wk-1/0#1.1 running", "cancel wk-1"} {
-		b.step(s)
+		driver.step(s)
 	}
-	b.leader.Decide(b.now, b.view.Snapshot())
-	if pic := b.leader.clusterSnapshot(b.now); pic.Teams["red"].UsedGPUs != 4 {
-		t.Errorf("the cancelled task counts %v of 4 GPUs", pic.Teams["red"].UsedGPUs)
+	driver.leader.Decide(driver.now, driver.view.Snapshot())
+	if snapshot := driver.leader.clusterSnapshot(driver.now); snapshot.Teams["red"].UsedGPUs != 4 {
+		t.Errorf("the cancelled task counts %v of 4 GPUs", snapshot.Teams["red"].UsedGPUs)
 	}
 }
 
@@ -658,40 +437,40 @@
 // may leave one over. A launch whose machine's record is not in the transaction must not
 // be said: the next leader would not know of it. Smaller rounds are decided until all fit.
 func TestNoLaunchWithoutRecord(t *testing.T) {
-	squeezed := 0
+	halvings := 0
 	for tasks := 8; tasks <= 22; tasks++ {
-		squeezed += crowdedRounds(t, tasks)
+		halvings += crowdedRounds(t, tasks)
 	}
-	if squeezed == 0 {
+	if halvings == 0 {
 		t.Error("no round was too large: the guard is not tried")
 	}
 }
 
 // crowdedRounds launches one more task on each of many machines that have some.
-func crowdedRounds(t *testing.T, tasks int) (squeezed int) {
-	b := newTraceDriver(t)
+func crowdedRounds(t *testing.T, tasks int) (halvings int) {
+	driver := newTraceDriver(t)
 	const machines = 120
-	b.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
-	b.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
-	b.step("claim term=2")
-	h := b.leader
-	h.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
-	h.ledger, _ = store.NewLedger("fleet", 4096, nil)
+	driver.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
+	driver.step(fmt.Sprintf("job wk-2 sweep team=blue tasks=%d", machines))
+	driver.step("claim term=2")
+	leader := driver.leader
+	leader.cfg.Store = config.Store{TxnOps: 24, ValueBytes: 4096}
+	leader.ledger, _ = store.NewLedger("fleet", 4096, nil)
 	n := float64(tasks + 1)
-	h.types = []wire.MachineType{{Name: "g4", CPUs: n, GPUs: n, MemoryGB: n, Price: 4, BootS: 30, Zones: []string{"a"}}}
+	leader.types = []wire.MachineType{{Name: "g4", CPUs: n, GPUs: n, MemoryGB: n, Price: 4, BootS: 30, Zones: []string{"a"}}}
 	for m := range machines {
 		report := ""
 		for i := range tasks {
 			report += fmt.Sprintf("wk-1/%d#1.%d running,", tasks*m+i, tasks*m+i+1)
 		}
-		b.step(fmt.Sprintf("report n-%03d 1/1 term=2: %s", m, report))
+		driver.step(fmt.Sprintf("report n-%03d 1/1 term=2: %s", m, report))
 	}
 	launched := 0
 	for range 60 {
-		d := h.Decide(b.now, b.view.Snapshot())
-		b.now = b.now.Add(10 * time.Millisecond)
+		d := leader.Decide(driver.now, driver.view.Snapshot())
+		driver.now = driver.now.Add(10 * time.Millisecond)
 		if d == nil {
-			squeezed += h.sizes.Halvings()
+			halvings += leader.sizes.Halvings()
 			continue
 		}
 		written := map[string]bool{}
@@ -707,11 +486,11 @@
 				t.Errorf("%d tasks: %v is launched on %s, which is not recorded", tasks, p.Task, p.Machine)
 			}
 		}
-		b.draft = d
-		b.commit()
+		driver.draft = d
+		driver.commit()
 	}
 	if launched != machines {
 		t.Errorf("%d tasks: %d of %d launched", tasks, launched, machines)
 	}
-	return squeezed
+	return halvings
 }
