--- a/cmd/amberdeal-lab/main.go
+++ b/cmd/amberdeal-lab/main.go
@@ -1,5 +1,6 @@
-// Command amberdeal-lab compares settings of amberdeal in emulated worlds, and measures what it costs
-// as they grow. It is a program of its own, since what draws its plots and writes its tables would cost every controller memory.
+// Command amberdeal-lab compares settings of amberdeal in emulated clusters, and measures its costs as
+// they grow. It is a separate program because the libraries for plots and tables would cost every
+// controller memory.
 package main
 
 import (
@@ -24,17 +25,17 @@
 	exitSettings = 2
 )
 
-// settingsError is a fault of what was asked for.
+// settingsError is a fault of the settings or flags.
 type settingsError struct{ error }
 
 type cli struct {
-	Experiment experimentCmd `cmd:"" help:"Compare settings in worlds with faults, over seeds, and report."`
-	Scale      scaleCmd      `cmd:"" help:"Measure what each role costs as a site grows, and predict a larger one."`
+	Experiment experimentCmd `cmd:"" help:"Compare settings in emulated clusters with faults, over several seeds, and write a report."`
+	Scale      scaleCmd      `cmd:"" help:"Measure the cost of each role as a site grows, and predict that of a larger site."`
 }
 
 func main() {
 	var c cli
-	parser := kong.Must(&c, kong.Name("amberdeal-lab"), kong.UsageOnError(), kong.Description("Experiments with amberdeal in emulated worlds."))
+	parser := kong.Must(&c, kong.Name("amberdeal-lab"), kong.UsageOnError(), kong.Description("Experiments with amberdeal in emulated clusters."))
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		parser.Errorf("%s", err)
@@ -50,14 +51,14 @@
 }
 
 type experimentCmd struct {
-	File    string `arg:"" optional:"" help:"What is played (INI, as deploy/experiment/experiment.ini)."`
-	Out     string `required:"" placeholder:"DIR" help:"Where the outcomes, the columnar files and the report go. What is there was played already."`
-	Program string `placeholder:"FILE" help:"Path of amberdeal, whose controllers take part; by default beside this program."`
-	Against string `placeholder:"DIR" help:"Outcomes of another run, to be shown beside."`
+	File    string `arg:"" optional:"" help:"The experiment (INI, as deploy/experiment/experiment.ini); by default only the report is written."`
+	Out     string `required:"" placeholder:"DIR" help:"Directory of the outcomes, the columnar files and the report. Outcomes that exist are not run again."`
+	Program string `placeholder:"FILE" help:"Path of amberdeal, whose controllers are run; by default beside this program."`
+	Against string `placeholder:"DIR" help:"Outcomes of another run, to compare with."`
 }
 
-// Run plays an experiment, or goes on with one, and writes its report. Without a file it only
-// writes the report of what is there.
+// Run runs or resumes an experiment and writes its report. Without a file it only writes the report
+// of the outcomes that exist.
 func (e experimentCmd) Run() error {
 	var all, against []*experiment.Outcome
 	var err error
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// programAt gives the path of amberdeal: the one that is named, or that beside this program.
+// programAt returns the path of amberdeal: the named one, or the one beside this program.
 func programAt(named string) (string, error) {
 	if named == "" {
 		me, err := os.Executable()
--- a/cmd/amberdeal-lab/scale.go
+++ b/cmd/amberdeal-lab/scale.go
@@ -16,14 +16,14 @@
 )
 
 type scaleCmd struct {
-	File    string `arg:"" optional:"" help:"What is played (INI, as deploy/scale.ini); by default what that file says."`
-	Out     string `required:"" placeholder:"DIR" help:"Where the outcomes, the columnar file and the tables go. Steps that are there were played already."`
-	Program string `placeholder:"FILE" help:"Path of amberdeal, whose controllers and agents take part; by default beside this program."`
-	Port    int    `default:"8100" help:"The first of a world's ports on 127.0.0.1."`
+	File    string `arg:"" optional:"" help:"The steps (INI, as deploy/scale.ini); by default those of that file."`
+	Out     string `required:"" placeholder:"DIR" help:"Directory of the outcomes, the columnar file and the tables. Steps that exist are not run again."`
+	Program string `placeholder:"FILE" help:"Path of amberdeal, whose controllers and agents are run; by default beside this program."`
+	Port    int    `default:"8100" help:"The first of the cluster's ports on 127.0.0.1."`
 	JSON    bool   `name:"json" help:"Print the outcomes as JSON instead of tables."`
 }
 
-// Run plays a scale run, or goes on with one, and prints what came of it.
+// Run runs or resumes a scale run, and prints its outcomes.
 func (s scaleCmd) Run() error {
 	plan, err := s.plan()
 	if err != nil {
@@ -42,7 +42,7 @@
 	return errors.Join(err, s.report(plan, all), violations(all))
 }
 
-// plan reads what is to be played, and refuses what this machine has no room for.
+// plan reads the steps, and refuses those that this machine has no capacity for.
 func (s scaleCmd) plan() (*scale.Plan, error) {
 	plan := scale.DefaultPlan()
 	if s.File != "" {
@@ -61,7 +61,7 @@
 	return plan, nil
 }
 
-// report prints the outcomes, and leaves the tables beside them.
+// report prints the outcomes, and writes the tables beside them.
 func (s scaleCmd) report(plan *scale.Plan, all []*scale.Outcome) error {
 	tables := scale.Report(plan, all)
 	if err := os.WriteFile(filepath.Join(s.Out, "scale.md"), []byte(tables), 0o644); err != nil {
@@ -82,7 +82,7 @@
 // maxViolations bounds the broken rules that are named for each step; the outcomes hold all.
 const maxViolations = 10
 
-// violations is an error where a rule was broken in any step.
+// violations returns an error if a rule was broken in any step.
 func violations(all []*scale.Outcome) error {
 	var errs []error
 	for _, o := range all {
--- a/cmd/amberdeal/dev.go
+++ b/cmd/amberdeal/dev.go
@@ -10,13 +10,13 @@
 
 type devCmd struct {
 	Port  int    `default:"7080" help:"The first of some fifty ports on 127.0.0.1."`
-	Demo  bool   `help:"Show a job of each shape and the death of the holder, and end."`
+	Demo  bool   `help:"Run a job of each shape, kill the leader meanwhile, and exit."`
 	Level string `default:"info" enum:"error,warn,info,debug" help:"LOG_LEVEL of the controllers."`
 }
 
 const devNext = `
 Three controllers serve on %[1]s, %[2]s and %[3]s; the cloud has 8 machines.
-Logs are %[4]s and its siblings. In another terminal:
+Logs are in %[4]s and the files beside it. In another terminal:
 
   export AMBERDEAL_ADDR=%[1]s
   echo '{"uid":"wk-1","breed":"demo","keeper":"red","shape":"sweep","rank":"normal","cells":8,
@@ -28,10 +28,10 @@
   %[5]s fault stage controller_kill --control %[6]s --who c-0
   %[5]s load --mix deploy/load.ini --addr %[1]s,%[2]s,%[3]s --judge %[6]s
 
-Ctrl-C ends all of it, and leaves nothing.
+Ctrl-C stops everything and removes all files.
 `
 
-// Run runs the world until Ctrl-C, or plays the demo.
+// Run runs the cluster until Ctrl-C, or only for the demo.
 func (d devCmd) Run() error {
 	program, err := os.Executable()
 	if err != nil {
--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -15,9 +15,9 @@
 )
 
 type emulateCmd struct {
-	World       string `placeholder:"FILE" help:"What the world is like and what goes wrong in it (INI, as deploy/world.ini). Without it: a small one."`
-	Dir         string `placeholder:"DIR" help:"Where the settings of the controllers are written. Without it: a directory that goes at the end."`
-	Keep        bool   `help:"Keep the state service's content in --dir, and go on with what is there."`
+	World       string `placeholder:"FILE" help:"Size of the emulated cluster and its faults (INI, as deploy/world.ini); by default a small cluster."`
+	Dir         string `placeholder:"DIR" help:"Where the settings of the controllers are written; by default a temporary directory."`
+	Keep        bool   `help:"Keep the state service's content in --dir, and continue with content that is there."`
 	Port        int    `default:"7080" help:"The first of its ports on 127.0.0.1."`
 	Controllers bool   `help:"Start the controllers too, with logs in --dir."`
 	Settings    string `placeholder:"FILE.ini" help:"The operators' settings of these controllers."`
@@ -123,16 +123,16 @@
 }
 
 type faultCmd struct {
-	Stage  faultStageCmd  `cmd:"" help:"Have something go wrong now."`
-	Lift   faultLiftCmd   `cmd:"" help:"End a fault that is in force."`
-	Status faultStatusCmd `cmd:"" help:"Tell how the world stands, which faults were staged, and which rules were broken."`
+	Stage  faultStageCmd  `cmd:"" help:"Inject a fault now."`
+	Lift   faultLiftCmd   `cmd:"" help:"End an active fault."`
+	Status faultStatusCmd `cmd:"" help:"Print the status of the cluster, the injected faults and the violated rules."`
 }
 
 type control struct {
-	Control string `default:"127.0.0.1:7120" help:"Control address of the world."`
+	Control string `default:"127.0.0.1:7120" help:"Control address of the emulated cluster."`
 }
 
-// call speaks to the world and prints what it answers.
+// call sends a request to the emulated cluster and prints the answer.
 func (c control) call(method, path string, body []byte) error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -140,7 +140,7 @@
 	defer cancel()
 	resp, err := plainCaller().Call(ctx, c.Control, method, path, body)
 	if err != nil {
-		return fmt.Errorf("the world at %s: %w", c.Control, err)
+		return fmt.Errorf("the emulated cluster at %s: %w", c.Control, err)
 	}
 	if resp.Status != 200 {
 		var r emulator.Refusal
@@ -157,25 +157,25 @@
 
 type faultStageCmd struct {
 	control
-	Kind   string        `arg:"" help:"What goes wrong; docs/emulator.md has the kinds."`
-	For    time.Duration `help:"For how long; without it until it is lifted."`
-	From   string        `help:"Of a cut: state, cloud, controllers, machines, all, zone:NAME or a controller."`
-	To     string        `help:"The other side of it."`
-	Mode   string        `help:"What a cut does: hold, lose or reset."`
-	OneWay bool          `help:"A cut one way only."`
-	Delay  time.Duration `help:"By how much something is slow."`
-	Share  float64       `help:"Of the machines, the capacity or the transactions."`
-	Count  int           `help:"Of machines."`
-	Zone   string        `help:"Of machines."`
-	Notice time.Duration `help:"Before spot machines are taken."`
-	Times  float64       `help:"The usual boot time."`
-	Who    string        `help:"Which controller."`
-	Hang   time.Duration `help:"Of the machines of jobs that are cancelled."`
+	Kind   string        `arg:"" help:"Kind of the fault, as listed in docs/emulator.md."`
+	For    time.Duration `help:"Duration; by default until it is lifted."`
+	From   string        `help:"One side of a partition: state, cloud, controllers, machines, all, zone:NAME or a controller."`
+	To     string        `help:"The other side of the partition."`
+	Mode   string        `help:"What happens to connections across the partition: hold, lose or reset."`
+	OneWay bool          `help:"Partition one direction only."`
+	Delay  time.Duration `help:"Added delay."`
+	Share  float64       `help:"Fraction of the machines, the capacity, the transactions or the heartbeats."`
+	Count  int           `help:"Number of machines or jobs."`
+	Zone   string        `help:"Zone of the machines."`
+	Notice time.Duration `help:"Warning time before spot machines are preempted."`
+	Times  float64       `help:"Boot time as a multiple of the usual one."`
+	Who    string        `help:"Controller, by name."`
+	Hang   time.Duration `help:"How long the machines of cancelled jobs hang."`
 
-	FromState bool `help:"Cut it from the state service."`
-	FromPeers bool `help:"Cut it from the other controllers."`
-	AtOnce    bool `help:"Of transactions only the answer is lost."`
-	ForNext   bool `help:"Copies are kept for the next leader."`
+	FromState bool `help:"Partition the controller from the state service."`
+	FromPeers bool `help:"Partition the controller from its peers."`
+	AtOnce    bool `help:"Apply the transactions at once; only their answers are lost."`
+	ForNext   bool `help:"Keep the copies for the next leader."`
 }
 
 // Run stages a fault.
@@ -191,7 +191,7 @@
 
 type faultLiftCmd struct {
 	control
-	Number int `arg:"" help:"As stage and status tell."`
+	Number int `arg:"" help:"Number of the fault, as printed by stage and status."`
 }
 
 // Run lifts a fault.
@@ -201,19 +201,19 @@
 
 type faultStatusCmd struct{ control }
 
-// Run tells how the world stands.
+// Run prints the status of the cluster.
 func (f faultStatusCmd) Run() error { return f.call("GET", emulator.PathStatus, nil) }
 
 type loadCmd struct {
-	Mix    string        `required:"" placeholder:"FILE" help:"What jobs come and when (INI, as deploy/load.ini)."`
+	Mix    string        `required:"" placeholder:"FILE" help:"Which jobs are submitted and when (INI, as deploy/load.ini)."`
 	Addr   []string      `required:"" help:"Addresses of the controllers, separated by commas."`
-	Judge  string        `help:"Control address of the world that judges by what its machines see."`
-	Prefix string        `help:"First digits of the ids of the jobs; by default the time, so that two runs don't meet."`
-	Wait   time.Duration `default:"2m" help:"For jobs that are not over when the last has come."`
+	Judge  string        `help:"Control address of the emulated cluster, whose machines check which tasks run."`
+	Prefix string        `help:"First digits of the job ids; by default the time, so that two runs do not collide."`
+	Wait   time.Duration `default:"2m" help:"How long to wait for open jobs after the last submission."`
 	JSON   bool          `help:"Print the result as JSON."`
 }
 
-// Run puts load on a service. It fails where a rule was broken or a job is not over.
+// Run puts load on a service. It fails if a rule was broken or a job is not over.
 func (l loadCmd) Run() error {
 	text, err := os.ReadFile(l.Mix)
 	if err != nil {
--- a/cmd/amberdeal/main.go
+++ b/cmd/amberdeal/main.go
@@ -24,21 +24,21 @@
 )
 
 type cli struct {
-	Dev     devCmd     `cmd:"" help:"Run a whole small world on loopback, to try things: no files, no root."`
-	Emulate emulateCmd `cmd:"" help:"Run a state service, a cloud and machines on loopback, for controllers to work with."`
-	Fault   faultCmd   `cmd:"" help:"Stage faults in a world that emulate or dev runs."`
-	Load    loadCmd    `cmd:"" help:"Put open-loop load on a running service, and check what it answers."`
-	Serve   serveCmd   `cmd:"" help:"Run a controller until it is told to end."`
-	Check   checkCmd   `cmd:"" help:"Check settings, name every fault, and open nothing."`
-	Cas     casCmd     `cmd:"" help:"Keep blobs and the results of actions, for build tools and the machines that serve them."`
-	Agent   agentCmd   `cmd:"" help:"Work on a machine: report to the controllers and run the actions of build tools."`
-	Reapi   reapiCmd   `cmd:"" help:"Have commands executed through the Remote Execution API."`
-	Version versionCmd `cmd:"" help:"Say which version this is."`
+	Dev     devCmd     `cmd:"" help:"Run a small cluster on loopback to try things out: needs no files and no root."`
+	Emulate emulateCmd `cmd:"" help:"Emulate a state service, a cloud and machines on loopback, for controllers to run against."`
+	Fault   faultCmd   `cmd:"" help:"Inject faults into a cluster that emulate or dev runs."`
+	Load    loadCmd    `cmd:"" help:"Put open-loop load on a running service, and check its answers."`
+	Serve   serveCmd   `cmd:"" help:"Run a controller until SIGTERM or SIGINT."`
+	Check   checkCmd   `cmd:"" help:"Check settings and print every fault, without opening a connection."`
+	Cas     casCmd     `cmd:"" help:"Store blobs and action results for build tools and their workers."`
+	Agent   agentCmd   `cmd:"" help:"Run the agent of a machine: send heartbeats to the controllers and execute the actions of build tools."`
+	Reapi   reapiCmd   `cmd:"" help:"Execute commands through the Remote Execution API."`
+	Version versionCmd `cmd:"" help:"Print the version."`
 	Submit  submitCmd  `cmd:"" help:"Submit a job to a running service."`
-	Status  statusCmd  `cmd:"" help:"Ask a running service about a job."`
+	Status  statusCmd  `cmd:"" help:"Print the status of a job."`
 	Abort   abortCmd   `cmd:"" help:"Cancel a job."`
-	Top     topCmd     `cmd:"" help:"Show a running fleet at a glance, from the controllers' metrics addresses."`
-	State   stateCmd   `cmd:"" help:"Look at what is kept in the state service, export, verify and import it."`
+	Top     topCmd     `cmd:"" help:"Show the status of a running fleet, from the controllers' metrics addresses."`
+	State   stateCmd   `cmd:"" help:"Inspect, export, verify and import the content of the state service."`
 }
 
 func main() {
@@ -48,7 +48,7 @@
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		parser.Errorf("%s", err)
-		fmt.Fprintln(os.Stderr, "Run amberdeal --help for what it can do.")
+		fmt.Fprintln(os.Stderr, "Run amberdeal --help for usage.")
 		os.Exit(exitSettings)
 	}
 	if err := ctx.Run(); err != nil {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // a controller has a share of one core
+	runtime.GOMAXPROCS(1) // a controller is given part of one core
 	debug.SetMemoryLimit(cfg.Limits.RAMBytes * 6 / 10)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -26,10 +26,10 @@
 )
 
 type stateCmd struct {
-	Inspect stateInspect `cmd:"" help:"Say what is in the state service, by kind."`
+	Inspect stateInspect `cmd:"" help:"Print what is in the state service, by kind of key."`
 	Export  stateExport  `cmd:"" help:"Write the whole state, as it is at one revision, into a file."`
 	Verify  stateVerify  `cmd:"" help:"Check every invariant of the live state or of an export. Exits 1 if one does not hold."`
-	Import  stateImport  `cmd:"" help:"Put an export into an empty state service."`
+	Import  stateImport  `cmd:"" help:"Import an export into an empty state service."`
 }
 
 // liveState is a state service that a command works on.
@@ -117,7 +117,7 @@
 	if s.JSON {
 		return a.json()
 	}
-	fmt.Printf("revision %d, format %d, term %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
+	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tkeys\tjobs\tbytes\tlargest\toldest revision\tnewest\t")
 	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
@@ -227,10 +227,10 @@
 
 type stateImport struct {
 	liveState
-	File string `arg:"" help:"The export to put in."`
+	File string `arg:"" help:"The export to import."`
 }
 
-// Run verifies the file first; nothing of one that is not whole is put in.
+// Run verifies the file first; an incomplete or invalid one is not imported at all.
 func (s stateImport) Run() error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -246,11 +246,11 @@
 		return err
 	}
 	b := progressBar(len(items), "writing")
-	term, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
+	token, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
 	_ = b.Finish()
 	if err != nil {
-		return fmt.Errorf("%w (an import that was broken off goes on when it is run again with the same file)", err)
+		return fmt.Errorf("%w (run it again with the same file to resume the import)", err)
 	}
-	fmt.Printf("%d keys of %s are in, the next claim has a term above %d\n", len(items), h.TakenAt().Format(time.RFC3339), term)
+	fmt.Printf("%d keys of %s are imported, the next leader has a fencing token above %d\n", len(items), h.TakenAt().Format(time.RFC3339), token)
 	return nil
 }
--- a/cmd/amberdeal/top.go
+++ b/cmd/amberdeal/top.go
@@ -14,9 +14,9 @@
 )
 
 type topCmd struct {
-	Addr  []string      `required:"" help:"Where controllers serve metrics ([metrics] listen), separated by commas."`
-	Every time.Duration `default:"2s" help:"Between two looks, on a terminal."`
-	JSON  bool          `help:"Print one look as JSON."`
+	Addr  []string      `required:"" help:"Addresses at which controllers serve metrics ([metrics] listen), separated by commas."`
+	Every time.Duration `default:"2s" help:"Refresh interval, on a terminal."`
+	JSON  bool          `help:"Print one status as JSON."`
 }
 
 // Run shows a running fleet until Ctrl-C, or once where it does not write to a terminal.
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -14,10 +14,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// demoTime bounds a demo.
+// demoTime bounds the duration of a demo.
 const demoTime = 55 * time.Second
 
-// demoJobs are one of each shape.
+// demoJobs returns one job of each shape.
 func demoJobs() []*wire.Job {
 	job := func(id string, shape wire.Shape, tasks int, seconds float64) *wire.Job {
 		return &wire.Job{ID: wire.JobPrefix + id, Class: "demo", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 4,
@@ -37,7 +37,7 @@
 }
 
 // Demo submits a job of each shape, kills the leader while they run, and shows that each still
-// gets its answer, the same from every controller. An error says what did not happen.
+// gets its answer, the same from every controller. An error names what did not happen.
 func (w *Cluster) Demo(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTime)
 	defer cancel()
@@ -80,9 +80,9 @@
 		}
 		return true
 	}); err != nil {
-		return fmt.Errorf("not every job came to run: %w", err)
+		return fmt.Errorf("not every job started: %w", err)
 	}
-	d.say("all of them run")
+	d.say("all jobs are running")
 	return nil
 }
 
@@ -90,19 +90,19 @@
 func (d *demo) killLeader(ctx context.Context) (killed int, err error) {
 	killed, token, ok := d.Leader()
 	if !ok {
-		return 0, errors.New("nobody holds the fleet")
+		return 0, errors.New("the fleet has no leader")
 	}
 	d.Kill(killed)
-	d.say("killed %s, which held the fleet under term %d", name(killed), token)
+	d.say("killed %s, the leader of the fleet with fencing token %d", name(killed), token)
 	next := killed
 	if err := d.waitUntil(ctx, func() bool {
 		i, t, ok := d.Leader()
 		next = i
 		return ok && t > token
 	}); err != nil {
-		return 0, fmt.Errorf("nobody took the fleet over: %w", err)
+		return 0, fmt.Errorf("no other controller became the leader: %w", err)
 	}
-	d.say("%s holds it now", name(next))
+	d.say("%s is the leader now", name(next))
 	return killed, d.Restart(killed)
 }
 
@@ -125,7 +125,7 @@
 	return d.checkUnchanged(ctx)
 }
 
-// checkUnchanged verifies that every controller tells the same end of each job, and that no rule
+// checkUnchanged verifies that every controller reports the same final stage of each job, and that no rule
 // was violated.
 func (d *demo) checkUnchanged(ctx context.Context) error {
 	for _, j := range d.jobs {
@@ -135,7 +135,7 @@
 		}
 		for i := range Controllers {
 			if s := d.status(ctx, i, j.ID); s.Stage != want {
-				return fmt.Errorf("%s calls %s %s, not %s", d.Addr(i), j.ID, s.Stage, want)
+				return fmt.Errorf("%s reports %s as %s, not %s", d.Addr(i), j.ID, s.Stage, want)
 			}
 		}
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -17,17 +17,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Controllers is how many there are.
+// Controllers is the number of controllers in a cluster.
 const Controllers = 3
 
-// Options of a world.
+// Options configure a cluster.
 type Options struct {
 	Program string // the path of amberdeal
 	Port    int    // the first of its ports on 127.0.0.1
 	Level   string // LOG_LEVEL of the controllers
 }
 
-// Cluster is what runs.
+// Cluster is an emulated cluster and the processes of its controllers.
 type Cluster struct {
 	*emulator.Cluster
 	procs  emulator.Processes
@@ -36,7 +36,8 @@
 	caller *transport.Caller
 }
 
-// operatorSettings is the operators' file of every controller.
+// operatorSettings are the operators' settings of every controller, with short times: a demo shows a
+// failover within seconds.
 const operatorSettings = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
 
 // Start starts a cluster of three controllers on this machine.
