--- /dev/null
+++ b/internal/goldentest/flags.go
@@ -0,0 +1,38 @@
+package goldentest
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// Flags proves that a program's commands have the arguments and flags that they had, with the same
+// defaults: it compares the command line of grammar, a pointer to a struct as kong reads it, with
+// the golden file flags.txt. Help texts are not part of it.
+func Flags(t *testing.T, program string, grammar any) {
+	t.Helper()
+	parser, err := kong.New(grammar, kong.Name(program))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	describe(&out, parser.Model.Node, "")
+	Text(t, "flags.txt", out.String())
+}
+
+// describe writes a command and its subcommands, whose names follow the path.
+func describe(out *strings.Builder, n *kong.Node, path string) {
+	path += " " + n.Name
+	fmt.Fprintf(out, "%s\n", path[1:])
+	for _, a := range n.Positional {
+		fmt.Fprintf(out, "\t%s required=%v default=%q enum=%q\n", a.Summary(), a.Required, a.Default, a.Enum)
+	}
+	for _, f := range n.Flags {
+		fmt.Fprintf(out, "\t--%s short=%q kind=%s required=%v default=%q enum=%q env=%q\n", f.Name, f.Short, f.Target.Kind(), f.Required, f.Default, f.Enum, f.Envs)
+	}
+	for _, c := range n.Children {
+		describe(out, c, path)
+	}
+}
