--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -22,25 +22,38 @@
 
 func (pipe) SetIdle(time.Duration) {}
 
-// fakeAdmission is a service that says what it is told to.
+// answerFunc answers the request for a job.
+type answerFunc func(ctx context.Context, id string) (store.JobRecord, bool, error)
+
+// fakeAdmission answers with answer, and records the requests. A test may set another answer while
+// a request whose client has given up is still being served.
 type fakeAdmission struct {
 	mu     sync.Mutex
 	asked  []string
-	answer func(ctx context.Context, id string) (store.JobRecord, bool, error)
+	answer answerFunc
 }
 
-func (w *fakeAdmission) SubmitLocally(ctx context.Context, job *wire.Job) (store.JobRecord, bool, error) {
+// setAnswer sets how later requests are answered.
+func (w *fakeAdmission) setAnswer(answer answerFunc) {
 	w.mu.Lock()
-	w.asked = append(w.asked, "submit "+job.ID)
-	w.mu.Unlock()
-	return w.answer(ctx, job.ID)
+	defer w.mu.Unlock()
+	w.answer = answer
 }
 
-func (w *fakeAdmission) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
+// record records a request and returns the function that answers it.
+func (w *fakeAdmission) record(request string) answerFunc {
 	w.mu.Lock()
-	w.asked = append(w.asked, "cancel "+id)
-	w.mu.Unlock()
-	rec, _, err := w.answer(ctx, id)
+	defer w.mu.Unlock()
+	w.asked = append(w.asked, request)
+	return w.answer
+}
+
+func (w *fakeAdmission) SubmitLocally(ctx context.Context, job *wire.Job) (store.JobRecord, bool, error) {
+	return w.record("submit "+job.ID)(ctx, job.ID)
+}
+
+func (w *fakeAdmission) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
+	rec, _, err := w.record("cancel "+id)(ctx, id)
 	return rec, err
 }
 
@@ -97,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: jobOf("wk-1"), Ranges: []store.ShardRange{{From: 0, To: 3, Shard: "a"}}}
-		b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil }
+		b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil })
 		got, created, told, err := b.Submit(t.Context(), jobOf("wk-1"))
 		if !told || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Ranges) != 1 {
 			t.Errorf("%+v, created %v, told %v, %v", got, created, told, err)
@@ -109,16 +122,16 @@
 			t.Errorf("%v by %d streams", b.writer.asked, b.opened)
 		}
 		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrFull, admission.ErrTooLarge} {
-			b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
+			b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 				return store.JobRecord{}, false, fmt.Errorf("because: %w", want)
-			}
+			})
 			if _, _, told, err := b.Submit(t.Context(), jobOf("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
 				t.Errorf("%v arrives as %v, told %v", want, err, told)
 			}
 		}
-		b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
+		b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 			return store.JobRecord{}, false, &admission.UnrunnableError{Reason: "unknown team"}
-		}
+		})
 		var never *admission.UnrunnableError
 		if _, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || !errors.As(err, &never) || never.Reason != "unknown team" {
 			t.Errorf("%v, told %v", err, told)
@@ -134,19 +147,19 @@
 		most  time.Duration
 	}{
 		"no connection": {func(b *fixture) { b.refuse = true }, 0},
-		"no answer":     {func(b *fixture) { b.writer.answer = hang }, answerTimeout},
+		"no answer":     {func(b *fixture) { b.writer.setAnswer(hang) }, answerTimeout},
 		"the stream breaks": {func(b *fixture) {
-			b.writer.answer = func(ctx context.Context, id string) (store.JobRecord, bool, error) {
+			b.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
 				b.last.Close()
 				return hang(ctx, id)
-			}
+			})
 		}, 0},
-		"a word not understood": {func(b *fixture) { b.writer.answer = nil }, 0},
+		"a word not understood": {func(b *fixture) { b.writer.setAnswer(nil) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newFixture(t)
-				b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil }
+				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil })
 				if name != "no connection" { // a stream that was good before
 					if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-1")); !told {
 						t.Fatal("not told while all is well")
@@ -173,9 +186,9 @@
 				}
 				time.Sleep(avoidAfterFailure)
 				b.refuse = false
-				b.writer.answer = func(context.Context, string) (store.JobRecord, bool, error) {
+				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 					return store.JobRecord{Tasks: 9}, true, nil
-				}
+				})
 				if rec, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || err != nil || rec.Tasks != 9 {
 					t.Errorf("after a while: %+v, told %v, %v", rec, told, err)
 				}
@@ -194,12 +207,12 @@
 func TestLateAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
-		b.writer.answer = func(ctx context.Context, id string) (store.JobRecord, bool, error) {
+		b.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
 			if id == "wk-1" {
 				time.Sleep(2 * time.Second)
 			}
 			return store.JobRecord{Tasks: len(id)}, true, ctx.Err()
-		}
+		})
 		soon, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, _, told, _ := b.Submit(soon, jobOf("wk-1")); told {
@@ -219,7 +232,7 @@
 func TestBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
-		b.writer.answer = hang
+		b.writer.setAnswer(hang)
 		var group sync.WaitGroup
 		for i := range maxOutstanding + 50 {
 			group.Go(func() { _, _, _, _ = b.Submit(t.Context(), jobOf(fmt.Sprintf("wk-%06d", i))) })
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -281,16 +281,17 @@
 	}
 }
 
-// confirm cancels a job at some controllers, in turn, until that is confirmed.
-func (w *outageSimulation) confirm(id string, nodes ...int) {
+// confirm cancels a job at some controllers, in turn, until that is confirmed. If the answers to the
+// requests are lost, the user learns of the cancellation from the status of the job at the next one.
+func (w *outageSimulation) confirm(id string, answersLost bool, nodes ...int) {
 	path := wire.PathJobs + "/" + id
 	for try := 0; w.ctx.Err() == nil && try < 400; try++ {
 		status, s := 0, wire.JobStatus{}
 		at := nodes[try%len(nodes)]
-		if asks := w.outageCase.hasExtra("asked"); asks && try%2 == 1 {
+		if answersLost && try%2 == 1 {
 			status, s = w.ask(at, "GET", path, nil)
-		} else if status, s = w.ask(at, "POST", path+"/"+wire.CancelWord, []byte{}); asks {
-			continue // the answer is lost: what the abort came to is asked elsewhere
+		} else if status, s = w.ask(at, "POST", path+"/"+wire.CancelWord, []byte{}); answersLost {
+			continue
 		}
 		if status == 200 && s.Stage == wire.Cancelled {
 			w.checker.ObserveAnswer(id, status, s.Stage, true)
@@ -688,11 +689,12 @@
 // confirmAll cancels jobs through the other controllers, and returns when all were confirmed.
 func (w *outageSimulation) confirmAll(ids []string, others []int) (confirmed time.Time) {
 	var told sync.WaitGroup
+	answersLost := w.outageCase.hasExtra("asked")
 	for k, id := range ids {
 		a, b := others[k%len(others)], others[(k+1)%len(others)]
-		told.Go(func() { w.confirm(id, a, b) })
+		told.Go(func() { w.confirm(id, answersLost, a, b) })
 		if w.outageCase.hasExtra("both") {
-			told.Go(func() { w.confirm(id, b, a) })
+			told.Go(func() { w.confirm(id, answersLost, b, a) })
 		}
 	}
 	told.Wait()
@@ -726,9 +728,8 @@
 	m.lostLeases = w.lostLeases()
 	w.declareQuiet()
 	time.Sleep(10 * time.Second)
-	w.outageCase.extra = ""
 	for _, id := range rest {
-		w.confirm(id, 0, 1)
+		w.confirm(id, false, 0, 1)
 	}
 	w.finish(10 * time.Minute)
 	w.checkResults()
