--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -38,22 +38,22 @@
 
 // TestDelayedLaunchOfCancelledJob delays a direct launch while its job is cancelled before the
 // machine's next heartbeat, and while the machine cannot be returned because the cloud is
-// unavailable, or because the state service is out so that no term surely lasts. The launch
+// unavailable, or because the state service is out so that no leader surely remains. The launch
 // arrives when the job's tasks have to be gone: by then the machine was not answered any more and
 // runs a later incarnation.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
 	for n, x := range unreturnableMachine {
-		for k, held := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
+		for k, delay := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && k != n {
 				continue // the rest with the longer days
 			}
-			t.Run(fmt.Sprint(x.name, ", held ", held), func(t *testing.T) { delayLaunch(t, x.name, x.apply, held) })
+			t.Run(fmt.Sprint(x.name, ", delayed ", delay), func(t *testing.T) { delayLaunch(t, x.name, x.apply, delay) })
 		}
 	}
 }
 
 // delayLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
-func delayLaunch(t *testing.T, name string, apply func(w *simulation), held time.Duration) {
+func delayLaunch(t *testing.T, name string, apply func(w *simulation), delay time.Duration) {
 	var hold atomic.Int64
 	var sent, came chan struct{}
 	var told time.Time
@@ -72,8 +72,8 @@
 		})
 		w.startService("wk-1", 3*time.Minute)
 	}, steps: []step{
-		{40 * time.Second, "its launch is held up, and it is cancelled", func(w *simulation) { // every machine has sent a heartbeat
-			hold.Store(int64(held))
+		{40 * time.Second, "its launch is delayed, and it is cancelled", func(w *simulation) { // every machine has sent a heartbeat
+			hold.Store(int64(delay))
 			c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
 			c.untilAnswered(c.submit)
 			<-sent
@@ -159,7 +159,7 @@
 		}
 	}
 	if running < 15 || len(deafened) < 2 || w.token() == token || d > workerLease+5*time.Second && lost == 0 {
-		t.Errorf("%d tasks ran, %d machines were deaf, %d lost what they had, term %d after %d", running, len(deafened), lost, w.token(), token)
+		t.Errorf("%d tasks ran, %d machines received nothing, %d lost what they had, fencing token %d after %d", running, len(deafened), lost, w.token(), token)
 	}
 	w.finish(15 * time.Minute)
 	w.checkResults()
@@ -181,14 +181,14 @@
 
 // heartbeatFaults are the additional faults of TestLateHeartbeats.
 var heartbeatFaults = []fault{
-	{"some machines are deaf", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"some machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
 			if rng.IntN(3) == 0 {
 				loseInbound(d, m)
 			}
 		}
 	}},
-	{"a machine is deaf while the leader ends", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"a machine receives nothing while the leader ends", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
 			loseInbound(d, all[rng.IntN(len(all))])
 		}
@@ -204,7 +204,7 @@
 			time.Sleep(time.Duration(500+rng.IntN(5000)) * time.Millisecond)
 		}
 	}},
-	{"the leader loses the state service and its siblings", func(w *simulation, _ *rand.Rand, d time.Duration) {
+	{"the leader loses the state service and its peers", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		if i := w.anyLeader(); i >= 0 {
 			during(d, func(on bool) { w.cutOff(i, on) })
 		}
@@ -218,7 +218,7 @@
 	{"the cloud is in trouble", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		during(d, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}},
-	{"many reports come again", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"many heartbeats come again", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		w.replayer.SetShare(0.5)
 		time.AfterFunc(d, func() { w.replayer.SetShare(0.1) })
 	}},
@@ -256,7 +256,7 @@
 		time.Sleep(time.Minute)
 		w.replayer.SetShare(0)
 		if w.replayer.Delivered() < 5 {
-			t.Errorf("%d reports came again", w.replayer.Delivered())
+			t.Errorf("%d heartbeats came again", w.replayer.Delivered())
 		}
 		w.finish(20 * time.Minute)
 		w.checkResults()
@@ -273,9 +273,9 @@
 	for _, ends := range []bool{false, true} { // whether the leader does just then
 		t.Run(fmt.Sprint("the leader ends: ", ends), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const report = 6 * time.Second
-				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.Idle = report, time.Hour })
-				w.reconfigureMachines(report, nil)
+				const interval = 6 * time.Second
+				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.Idle = interval, time.Hour })
+				w.reconfigureMachines(interval, nil)
 				job := func(id string, shape wire.Shape, tasks int, gpus float64, run, until time.Duration) {
 					w.user(jobOf(id, shape, tasks, run, func(j *wire.Job) { j.Priority, j.GPUs = wire.Normal, gpus }), run, until)
 				}
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -111,7 +111,7 @@
 
 // handoverKinds are the ways in which work changes its leader, in addition to handovers.
 var handoverKinds = append([]handover{
-	{"is reached by no machine, and heard by no sibling", func(w *simulation, i int, _ *rand.Rand) {
+	{"is reached by no machine, and by no peer", func(w *simulation, i int, _ *rand.Rand) {
 		for _, m := range w.runningMachines() {
 			during(50*time.Second, func(on bool) { w.net.Partition(w.ip(i), m.host, on) })
 		}
@@ -123,18 +123,18 @@
 	}},
 	{"has another process of its name", func(w *simulation, i int, rng *rand.Rand) { w.twin(i, 3*time.Second, finalHoldTime(rng)) }},
 	{"crashes, and the next one stands still at its claim", func(w *simulation, i int, rng *rand.Rand) {
-		term := w.token()
+		token := w.token()
 		w.crash(i, restartDelay(rng), 0)
-		waitUntil(20*time.Second, func() bool { return w.token() > term })
+		waitUntil(20*time.Second, func() bool { return w.token() > token })
 		for _, name := range w.leaders() {
 			w.net.Pause(w.ip(controllerNumber(name)), []time.Duration{time.Second, 5 * time.Second, 15 * time.Second, 21 * time.Second, 30 * time.Second}[rng.IntN(5)])
 		}
 	}},
 	{"crashes, the next one does, and the first one leads again", func(w *simulation, i int, rng *rand.Rand) {
 		for range 2 {
-			term := w.token()
+			token := w.token()
 			w.handOverAll(func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }, rng)
-			waitUntil(20*time.Second, func() bool { return w.token() > term })
+			waitUntil(20*time.Second, func() bool { return w.token() > token })
 			time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 		}
 	}},
@@ -158,12 +158,12 @@
 }
 
 func (d cancelHandoverCase) String() string {
-	way := map[int]string{handoverByReshard: "state is divided anew", handoverByRelease: "part is given back"}[d.kind]
+	way := map[int]string{handoverByReshard: "state is resharded", handoverByRelease: "shard is released"}[d.kind]
 	if d.kind >= 0 {
 		way = "leader " + handoverKinds[d.kind].name
 	}
 	return fmt.Sprintf("%s, %d controllers, the %s, jobs are cancelled %v after that (after the claim: %v) at %s, %s", d.sharding, d.count, way, d.cancelAt, d.afterClaim,
-		[]string{"any", "the one that led", "another"}[d.controller], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are held up", "no launch"}[d.lastRound])
+		[]string{"any", "the one that led", "another"}[d.controller], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are delayed", "no launch"}[d.lastRound])
 }
 
 // The times of cancellations: since the start of the handover, which takes up to a lease of the
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -33,7 +33,7 @@
 type outageCase struct {
 	nodes             int
 	lease, cancel     time.Duration // of workers, and the bound for cancellations
-	sharding          string        // the fleet's parts
+	sharding          string        // of the fleet
 	directHeartbeats  int           // heartbeats that the leader receives itself; 0: all are relayed by peers
 	refusedFor        time.Duration // before the cancellations are requested; after it if negative
 	outage            time.Duration // after the confirmation
@@ -56,7 +56,7 @@
 	"asked",         // the abort's answer is lost; the user learns of it by asking another controller
 	"both",          // two controllers are asked to cancel at once
 	"late",          // the transactions of cancellations have no answer, and are carried out a second later
-	"deaf",          // every second machine hears no controller, for a while
+	"one-way",       // every second machine receives nothing from the controllers, for a while
 	"crash",         // the peers crash and are back in 0.1 s
 	"crash-leader",  // the leader does
 	"still",         // the leader is paused for a while, between a check and what it sends
@@ -69,12 +69,12 @@
 	"blind",         // the renewals of the leader are answered, and none of its reads is
 	"blind lagging", // these are, but late
 	"blind slow",
-	"blind deaf",
+	"blind one-way",
 	"blind asked",
-	"held",  // what the leader sends is held by the network, and delivered late
-	"apart", // the peers reach neither the machines nor the leader
+	"delayed", // what the leader sends is held by the network, and delivered late
+	"apart",   // the peers reach neither the machines nor the leader
 	"apart slow",
-	"apart deaf",
+	"apart one-way",
 	"late both",
 	"asked crash",
 	"cloud still",
@@ -537,7 +537,7 @@
 		for k := range 8 {
 			still(2500*time.Millisecond+time.Duration(k)*4*time.Second, 3800*time.Millisecond)
 		}
-	case g.hasExtra("held"):
+	case g.hasExtra("delayed"):
 		time.AfterFunc(2500*time.Millisecond, func() {
 			for i := range g.nodes {
 				w.net.Hold(w.ip(i), time.Duration(1+rng.IntN(12))*time.Second)
@@ -551,8 +551,8 @@
 	}
 }
 
-// deafenHalf loses everything that is sent to every second machine for a while.
-func (w *outageSimulation) deafenHalf(d time.Duration) {
+// dropInboundOfHalf drops everything that is sent to every second machine for a while.
+func (w *outageSimulation) dropInboundOfHalf(d time.Duration) {
 	for k, host := range w.everyMachine() {
 		for i := range w.outageCase.nodes {
 			if k%2 == 0 {
@@ -617,7 +617,7 @@
 	time.Sleep(25 * time.Second)
 	leader, token := w.firstLeader()
 	if leader < 0 || len(w.workers) == 0 {
-		t.Fatal("nobody holds the fleet, or there is no machine")
+		t.Fatal("the fleet has no leader or no machine")
 	}
 	var others []int
 	for i := range g.nodes {
@@ -631,8 +631,8 @@
 	w.mu.Lock()
 	w.callDelay, m.heldCalls = 0, w.heldCalls
 	w.mu.Unlock()
-	if g.hasExtra("deaf") {
-		w.deafenHalf(30 * time.Second)
+	if g.hasExtra("one-way") {
+		w.dropInboundOfHalf(30 * time.Second)
 	}
 	if g.hasExtra("late") {
 		w.delayNextCommit()
@@ -739,15 +739,15 @@
 func (g outageCase) unmetConditions(m outageResult) string {
 	switch {
 	case m.directAnswers+m.relayedAnswers == 0 && g.cancel-g.lease >= 10*time.Second:
-		return "the holder that was refused answered no machine with a cancelled task"
+		return "the refused leader answered no machine with a cancelled task"
 	case g.hasExtra("apart") && m.directAnswers == 0:
-		return "no answer came straight from the holder"
+		return "no answer came directly from the leader"
 	case g.hasExtra("passed") && m.relayedAnswers == 0:
-		return "no answer came by a sibling"
+		return "no answer was relayed by a peer"
 	case g.hasExtra("blind") && m.lastRenewalAfter < g.refusedFor+g.outage-4*time.Second:
-		return "the holder that read nothing did not renew its lease"
+		return "the leader whose reads were blocked did not renew its lease"
 	case g.hasExtra("loose") && m.heldCalls == 0:
-		return "no direct call was held up"
+		return "no direct call was delayed"
 	}
 	return ""
 }
@@ -824,7 +824,7 @@
 		{5, 20 * s, 45 * s, "zone", 0, 4 * s, 500 * ms, 48 * s, 0, 0, "asked"},
 		{3, 31 * s, 56 * s, "", 200, 0, 0, 60 * s, 0, 0, "both"},
 		{3, 36 * s, 61 * s, "zone", 200, s, 2 * s, 64 * s, 0, 0, "late"},
-		{3, 20 * s, 45 * s, "", 200, ms, 2 * s, 48 * s, 150 * ms, 300 * ms, "deaf"},
+		{3, 20 * s, 45 * s, "", 200, ms, 2 * s, 48 * s, 150 * ms, 300 * ms, "one-way"},
 		{3, 20 * s, 45 * s, "", 0, 2 * s, 2 * s, 48 * s, 350 * ms, 0, "crash"},
 		{3, 20 * s, 45 * s, "", 200, s, s, 48 * s, 0, 0, "crash-leader"},
 		{3, 20 * s, 45 * s, "", 200, 4 * s, 0, 48 * s, 0, 0, "still"},
@@ -832,7 +832,7 @@
 		{3, 20 * s, 45 * s, "", 200, s, 12 * s, 48 * s, 0, 0, "blind"},
 		{3, 31 * s, 56 * s, "zone", 0, 0, 12 * s, 58 * s, 0, 0, "blind asked"},
 		{3, 20 * s, 27 * s, "", 0, 0, 2600 * ms, 30 * s, 0, 0, "blind lagging"},
-		{3, 20 * s, 45 * s, "", 0, s, s, 48 * s, 0, 0, "held"},
+		{3, 20 * s, 45 * s, "", 0, s, s, 48 * s, 0, 0, "delayed"},
 		{3, 20 * s, 45 * s, "", 200, 12 * s, s, 48 * s, 0, 0, "apart"},
 		{3, 20 * s, 45 * s, "zone", 200, 6 * s, s, 48 * s, 0, 0, "apart slow"},
 		{3, 20 * s, 30 * s, "", 200, ms, 10 * ms, 33 * s, 0, 0, ""},
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -159,18 +159,18 @@
 			m.net.DropOneWay(ip, stateHost, on && both)
 		})
 	}},
-	{"a controller is cut from the state service and its siblings", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"a controller is cut from the state service and its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
 		during(d, func(on bool) { m.cutOff(i, on) })
 	}},
-	{"a controller is refused by the state service and cut from its siblings", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"a controller is refused by the state service and cut from its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
 		during(d, func(on bool) {
 			m.refuseByStore(i, on)
 			m.cutPeers(i, on)
 		})
 	}},
-	{"a controller is cut from its siblings", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"a controller is cut from its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
 		during(d, func(on bool) { m.cutPeers(i, on) })
 	}},
@@ -184,13 +184,13 @@
 			}
 		})
 	}},
-	{"what a controller sends is held up", 1 * sec, 40 * sec, func(m *faultCombination, d time.Duration) { m.net.Hold(m.targetIP(), d) }},
-	{"what controllers send to machines is held up", 1 * sec, 40 * sec, func(m *faultCombination, d time.Duration) {
+	{"what a controller sends is delayed", 1 * sec, 40 * sec, func(m *faultCombination, d time.Duration) { m.net.Hold(m.targetIP(), d) }},
+	{"what controllers send to machines is delayed", 1 * sec, 40 * sec, func(m *faultCombination, d time.Duration) {
 		for i := range m.count {
 			m.net.HoldTo(m.ip(i), func(peer string) bool { return strings.HasPrefix(peer, "10.1.") }, d)
 		}
 	}},
-	{"what the state service sends to a controller is held up", 1 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"what the state service sends to a controller is delayed", 1 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		ip, all := m.targetIP(), m.faultRNG.IntN(3) == 0
 		m.net.HoldTo(stateHost, func(peer string) bool { return all || peer == ip }, d)
 	}},
@@ -222,11 +222,11 @@
 			m.store.DropHistory()
 		}
 	}},
-	{"reports are late", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
+	{"heartbeats are late", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
 		m.replayer.SetShare([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
 		time.AfterFunc(d, func() { m.replayer.SetShare(0) })
 	}},
-	{"machines are deaf", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
+	{"machines receive nothing", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
 		loseInbound(d, m.pickMachines()...)
 	}},
 	{"machines are cut off", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
@@ -234,7 +234,7 @@
 			during(d, func(on bool) { m.net.SetDown(x.host, on) })
 		}
 	}},
-	{"what machines send is held up", 1 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
+	{"what machines send is delayed", 1 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
 		for _, x := range m.pickMachines() {
 			m.net.Hold(x.host, d)
 		}
@@ -259,7 +259,7 @@
 			m.cloud.Crash(x.id)
 		}
 	}},
-	{"a zone is dark", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"a zone is cut off", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		zone := []string{"a", "b"}[m.faultRNG.IntN(2)]
 		during(d, func(on bool) { m.net.IsolateZone(zone, on) })
 	}},
@@ -309,12 +309,12 @@
 			})
 		})
 	}},
-	{"reports are kept for the next leader", 40 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
+	{"heartbeats are kept for the next leader", 40 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		m.replayer.KeepForNextLeader([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
-		term, before := m.token(), m.replayer.DeliveredToNewLeader()
+		token, before := m.token(), m.replayer.DeliveredToNewLeader()
 		m.group.Go(func() {
 			end := time.Now().Add(d - 6*sec)
-			for at := time.Now().Add(d / 4); m.token() == term && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+			for at := time.Now().Add(d / 4); m.token() == token && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 				if time.Now().After(at) { // nothing else has ended the leader
 					at = end
 					m.crash(max(0, m.anyLeader()), 15*sec, 0)
@@ -483,7 +483,7 @@
 // faultCounts counts what took effect in all cases that were played, to verify that each fault
 // does something.
 var faultCounts struct {
-	played, putOff, putOffTaken, echoes, takeovers, cancelled, twoParts, taken, kept, atOnce, hung, atEnd, looks, odd, quick atomic.Int64
+	played, putOff, putOffTaken, replayed, takeovers, cancelled, twoShards, taken, kept, atOnce, hung, atEnd, looks, odd, quick atomic.Int64
 }
 
 // playCombinedFaults simulates a day on which faults overlap while jobs of every shape run, among
@@ -525,7 +525,7 @@
 		x.apply(m, d.lengths[k])
 	}
 	time.Sleep(time.Until(start.Add(over)))
-	log("quiet")
+	log("faults are over")
 	w.finishQuietly(100*sec, 10*time.Minute)
 	m.countEffects(token, d.sharding)
 }
@@ -564,7 +564,7 @@
 	for k, x := range d.faults {
 		text += fmt.Sprintf(" %v later %s for %v;", d.offsets[k], x.name, d.lengths[k])
 	}
-	return text + fmt.Sprintf(" parts %s, %d controllers, %d reports kept, silence %v", d.sharding, d.count, d.directHeartbeats, d.heartbeatTimeout)
+	return text + fmt.Sprintf(" shards by %s, %d controllers, %d direct heartbeats, heartbeat timeout %v", d.sharding, d.count, d.directHeartbeats, d.heartbeatTimeout)
 }
 
 // countEffects adds what took effect to faultCounts. token is that before the first fault.
@@ -573,14 +573,14 @@
 	late, taken := m.store.DelayedCounts()
 	faultCounts.putOff.Add(int64(late))
 	faultCounts.putOffTaken.Add(int64(taken))
-	faultCounts.echoes.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
+	faultCounts.replayed.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
 	faultCounts.kept.Add(m.replayedToNewLeader.Load())
 	faultCounts.takeovers.Add(int64(m.token() - token))
 	faultCounts.cancelled.Add(m.tasks.cancelled.Load())
 	faultCounts.looks.Add(m.tasks.polls.Load())
 	faultCounts.quick.Add(m.tasks.startsAtBoot.Load())
 	if sharding == "zone" {
-		faultCounts.twoParts.Add(1)
+		faultCounts.twoShards.Add(1)
 	}
 }
 
@@ -666,9 +666,9 @@
 	if n := uint64(faultCounts.played.Load()); n < uint64(len(combinedFaults)) || n < to-from {
 		return // some alone were asked for
 	}
-	for what, n := range map[string]*atomic.Int64{"writes put off": &faultCounts.putOff, "writes that were put off and taken": &faultCounts.putOffTaken, "reports again": &faultCounts.echoes,
-		"claims": &faultCounts.takeovers, "jobs cancelled": &faultCounts.cancelled, "days in two parts": &faultCounts.twoParts,
-		"writes taken without an answer": &faultCounts.taken, "reports kept for the next leader": &faultCounts.kept, "jobs cancelled at once": &faultCounts.atOnce,
+	for what, n := range map[string]*atomic.Int64{"writes put off": &faultCounts.putOff, "writes that were put off and taken": &faultCounts.putOffTaken, "replayed heartbeats": &faultCounts.replayed,
+		"claims": &faultCounts.takeovers, "jobs cancelled": &faultCounts.cancelled, "days in two shards": &faultCounts.twoShards,
+		"writes taken without an answer": &faultCounts.taken, "heartbeats kept for the next leader": &faultCounts.kept, "jobs cancelled at once": &faultCounts.atOnce,
 		"jobs cancelled while their machines hang": &faultCounts.hung, "jobs cancelled at their end": &faultCounts.atEnd, "close looks": &faultCounts.looks,
 		"odd requests answered": &faultCounts.odd, "tasks on machines that were up at once": &faultCounts.quick} {
 		if t.Logf("%d %s", n.Load(), what); n.Load() == 0 {
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -42,25 +42,25 @@
 var writeKinds = []writeKind{
 	{"new jobs", "batch=0 gate", "+batch"},
 	{"cancellations", "batch=v", "+batch"},
-	{"end of a regrouping", "part=v ledger grouping=v ?batch=v", "+grouping +ledger ?+batch ?+types"},
-	{"round that forgets ledgers", "part=v ledger ?batch=v", "-old:ledger +ledger ?+batch ?+types"},
-	{"round that drops a slot", "part=v ledger=v ?ledger=0 ?batch=v", "-ledger +ledger ?+batch ?+types"},
-	{"round that adds a slot", "part=v ledger=0 ?ledger=v ?batch=v", "+ledger ?+batch ?+types"},
+	{"end of a resharding", "part=v ledger grouping=v ?batch=v", "+grouping +ledger ?+batch ?+types"},
+	{"round that drops earlier ledgers", "part=v ledger ?batch=v", "-old:ledger +ledger ?+batch ?+types"},
+	{"round that drops a segment", "part=v ledger=v ?ledger=0 ?batch=v", "-ledger +ledger ?+batch ?+types"},
+	{"round that adds a segment", "part=v ledger=0 ?ledger=v ?batch=v", "+ledger ?+batch ?+types"},
 	{"round that writes jobs", "part=v ledger=v batch=v", "+batch +ledger ?+types"},
 	{"round that stores types", "part=v ledger=v ?batch=v", "+types +ledger"},
 	{"round", "part=v ledger=v ?batch=v", "+ledger"},
 	{"claim", "part=0 term grouping tiers", "+term +lease:part"},
-	{"part given back", "part=v", "-part"},
-	{"regrouping", "grouping term grant", "+grouping +term +format +grant"},
+	{"release of a shard", "part=v", "-part"},
+	{"resharding", "grouping term grant", "+grouping +term +format +grant"},
 	{"change of tiers", "tiers term part=0", "+tiers"},
 	{"grant", "part=v grant=v", "+grant"},
-	{"gate", "part=v gate", "+gate"},
-	{"settling", "part=v batch=v recent", "-batch +recent"},
+	{"advance of the submission fence", "part=v gate", "+gate"},
+	{"staging", "part=v batch=v recent", "-batch +recent"},
 	{"merging", "part=v history", "+history"},
 	{"clearing", "part=v recent=v", "+recent"},
-	{"mark of an import", "format=0 term=0", "+format"},
-	{"mark of the format", "format=0", "+format"},
-	{"opening of an import", "format=v", "+term +format"},
+	{"marker of an import", "format=0 term=0", "+format"},
+	{"marker of the format", "format=0", "+format"},
+	{"end of an import", "format=v", "+term +format"},
 	{"import", "format=v ?batch=0 ?ledger=0 ?history=0 ?recent=0 ?gate=0 ?types=0 ?grouping=0 ?grant=0 ?tiers=0",
 		"?+batch ?+ledger ?+history ?+recent ?+gate ?+types ?+grouping ?+grant ?+tiers"},
 }
@@ -438,7 +438,7 @@
 	d.someJobs(2)
 	d.roll(func(name string) { d.shardings[name] = "zone" })
 	d.someJobs(3)
-	for try := 0; try < 5 && l.countOf("part given back") == 0; try++ {
+	for try := 0; try < 5 && l.countOf("release of a shard") == 0; try++ {
 		for i := 1; i < w.count; i++ { // the one that is left takes all, and gives back
 			w.kill(i, 30*time.Second)
 		}
@@ -460,7 +460,7 @@
 	for begun := time.Now(); batches() > 0 && time.Since(begun) < 20*time.Minute; time.Sleep(5 * time.Second) {
 	}
 	if n := batches(); n > 0 {
-		t.Errorf("%d batches of jobs are never folded", n)
+		t.Errorf("%d batches of jobs are never compacted", n)
 	}
 	w.finish(20 * time.Minute)
 	w.checkResults()
@@ -542,7 +542,7 @@
 	}
 	for _, kind := range append(leaseKinds, kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
 		if all[kind] == (delayedTally{}) && os.Getenv("AMBERDEAL_LATEWRITE") == "" {
-			t.Errorf("no %q was carried out after a newer write of its controller: it was never held back, or the day has none", kind)
+			t.Errorf("no %q was carried out after a newer write of its controller: it was never delayed, or the day has none", kind)
 		}
 	}
 }
@@ -593,7 +593,7 @@
 		}
 		back := slices.DeleteFunc(to.Page(store.BatchKey(""), "", 0).Items, func(it wire.KeyValue) bool { return strings.Contains(it.Key, "/new-") })
 		if status != 200 || len(batches) == 0 || len(back) > 0 || token != 1<<40 {
-			t.Errorf("%d of %d batches are back; the counter of terms is %d", len(back), len(batches), token)
+			t.Errorf("%d of %d batches are back; the counter of fencing tokens is %d", len(back), len(batches), token)
 		}
 		all := map[string]delayedTally{}
 		l.addTallies(all)
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -196,7 +196,7 @@
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		}
 	}},
-	{"the holder and machines restart", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+	{"the leader and machines restart", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for _, name := range w.leaders() {
 			w.crash(int(name[2]-'0'), restartDelay(rng), finalHoldTime(rng))
 		}
@@ -285,7 +285,7 @@
 				time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 			}
 		}
-		anew := fault{"all controllers are set to another grouping and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		anew := fault{"all controllers are set to another sharding and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			roll(w, []string{"off", "zone"}[rng.IntN(2)], rng)
 			w.crashAt([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
 		}}
--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -71,15 +71,15 @@
 
 // forwardingFaults are what happens to a controller that writes, or to all.
 var forwardingFaults = map[string]func(w *forwardingRun, i int){
-	"calm":                               func(*forwardingRun, int) {},
-	"it ends and is back after 100 ms":   func(w *forwardingRun, i int) { w.crash(i, 100*time.Millisecond, 0) },
-	"it ends, its last words are held":   func(w *forwardingRun, i int) { w.crash(i, 15*time.Second, 10*time.Second) },
-	"it stands still":                    func(w *forwardingRun, i int) { w.net.Pause(w.ip(i), 8*time.Second) },
-	"it is refused by the state service": func(w *forwardingRun, i int) { during(15*time.Second, func(on bool) { w.refuseByStore(i, on) }) },
+	"calm":                                   func(*forwardingRun, int) {},
+	"it ends and is back after 100 ms":       func(w *forwardingRun, i int) { w.crash(i, 100*time.Millisecond, 0) },
+	"it ends, its last messages are delayed": func(w *forwardingRun, i int) { w.crash(i, 15*time.Second, 10*time.Second) },
+	"it stands still":                        func(w *forwardingRun, i int) { w.net.Pause(w.ip(i), 8*time.Second) },
+	"it is refused by the state service":     func(w *forwardingRun, i int) { during(15*time.Second, func(on bool) { w.refuseByStore(i, on) }) },
 	"it is cut from the state service": func(w *forwardingRun, i int) {
 		during(15*time.Second, func(on bool) { w.net.Partition(w.ip(i), stateHost, on) })
 	},
-	"it is cut from its siblings": func(w *forwardingRun, i int) {
+	"it is cut from its peers": func(w *forwardingRun, i int) {
 		during(15*time.Second, func(on bool) {
 			for k := range w.count {
 				if k != i {
@@ -191,7 +191,7 @@
 	fmt.Sscan(os.Getenv("AMBERDEAL_FORWARDED"), &times)
 	for i, x := range []struct{ count, set int }{{3, 1}, {5, 2}, {24, writers.Auto}} {
 		for k, trouble := range slices.Sorted(maps.Keys(forwardingFaults)) {
-			if times == 0 && x.count == 24 && k%3 != 0 && !strings.Contains(trouble, "siblings") {
+			if times == 0 && x.count == 24 && k%3 != 0 && !strings.Contains(trouble, "peers") {
 				continue
 			}
 			for seed := range max(1, times) {
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -67,7 +67,7 @@
 			if by == "off" && os.Getenv("AMBERDEAL_WAITING") == "" {
 				continue
 			}
-			t.Run(fmt.Sprint(name, ", parts ", by), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", shards by ", by), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { playWaiting(t, jobs, by) })
 			})
 		}
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -16,7 +16,7 @@
 	ends func(w *simulation, i int)
 }{
 	{"killed, back at once", func(w *simulation, i int) { w.crash(i, 100*time.Millisecond, 0) }},
-	{"killed, back after half a second, its last words are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
+	{"killed, back after half a second, its last messages are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
 	{"killed, back after 9 s", func(w *simulation, i int) { w.kill(i, 9*time.Second) }},
 	{"cut off from the state service and the others", func(w *simulation, i int) {
 		during(15*time.Second, func(on bool) { w.cutOff(i, on) })
@@ -34,7 +34,7 @@
 		by     string
 		outage time.Duration // 0 for none
 	}{{3, "off", 0}, {5, "off", 28 * time.Second}, {3, "zone", 50 * time.Second}, {5, "zone", 14 * time.Second}} {
-		t.Run(fmt.Sprint(c.count, " controllers, parts by ", c.by, ", an outage of ", c.outage), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.count, " controllers, shards by ", c.by, ", an outage of ", c.outage), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { playTenLeaders(t, n, c.count, c.by, c.outage) })
 		})
 	}
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -94,7 +94,7 @@
 			key, _ := w.batchOf("wk-1")
 			w.writeState(wire.Operation{Delete: key})
 		}},
-		"given to a part that nobody holds": {want: "wk-1 is called pending", before: func(w *simulation) {
+		"assigned to a shard without a leader": {want: "wk-1 is called pending", before: func(w *simulation) {
 			time.Sleep(10 * time.Second)
 			w.writeState(wire.Operation{Put: store.LeaderKey("b"), Value: store.LeaderRecord{Leader: "c-9", FencingToken: 99, Format: store.Format}})
 		}},
@@ -151,7 +151,7 @@
 
 // livenessFaults are faults that may not affect polls which are sent after their end.
 var livenessFaults = []fault{
-	{"the holder dies while it folds, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+	{"the leader dies while it compacts, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 1 + rng.IntN(4) {
 			for _, name := range w.leaders() {
 				w.kill(int(name[2]-'0'), time.Duration(50+rng.IntN(450))*time.Millisecond)
@@ -164,7 +164,7 @@
 			w.kill(i, time.Duration(50+rng.IntN(2000))*time.Millisecond)
 		}
 	}},
-	{"two are away, and get their parts back", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"two are away, and get their shards back", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		first := rng.IntN(3)
 		w.kill(first, d)
 		w.kill((first+1)%3, d)
@@ -222,7 +222,7 @@
 		if busy {
 			w.store.Configure(func(s *simulator.StateService) { s.Limits.RPS = 36 })
 		}
-		regroup := fault{"all are set to another grouping", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		reshard := fault{"all are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			to = map[string]string{"off": "zone", "zone": "off"}[to]
 			for i := range 3 {
 				set.Store(fmt.Sprint("c-", i), to)
@@ -238,7 +238,7 @@
 		}()
 		time.Sleep(15 * time.Second)
 		for range 8 {
-			x := append(livenessFaults, regroup)[rng.IntN(len(livenessFaults)+1)]
+			x := append(livenessFaults, reshard)[rng.IntN(len(livenessFaults)+1)]
 			x.apply(w, rng, time.Duration(1+rng.IntN(30))*time.Second)
 			time.Sleep(time.Duration(rng.IntN(9000)) * time.Millisecond)
 		}
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -383,7 +383,7 @@
 		l.listen(w.ctx, "c-0", "10.2.1.0")
 		time.Sleep(time.Minute)
 		if held := w.leaders(); len(held) != 5 || claims.Load() != 5 {
-			t.Errorf("after %d claims that were taken %v are held", claims.Load(), held)
+			t.Errorf("after %d committed claims the leaders are %v", claims.Load(), held)
 		}
 		w.finish(time.Minute)
 	})
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -72,7 +72,7 @@
 				}
 				w.finishQuietly(0, 12*time.Minute)
 				if token := w.token(); token < 3 {
-					t.Errorf("the leader has not changed twice: term %d", token)
+					t.Errorf("the leader has not changed twice: fencing token %d", token)
 				}
 			})
 		})
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -331,8 +331,8 @@
 		t.Errorf("%d batches at the most, %d left: more than %d", batches, kept, most)
 	case !full: // what is spent on one job is more than there is: compaction has its share, and goes on after
 		floor := s.limits.WriteRPS * (1/(2*float64(s.count)) + 0.5) / 8 * float64(minutes) * 60 / 2
-		if folded := n - batches; float64(folded) < floor {
-			t.Errorf("only %d of %d jobs were folded meanwhile, not %.0f", folded, n, floor)
+		if compacted := n - batches; float64(compacted) < floor {
+			t.Errorf("only %d of %d jobs were compacted meanwhile, not %.0f", compacted, n, floor)
 		}
 		if kept > batches*3/4 {
 			t.Errorf("%d of %d batches are left after 75 s", kept, batches)
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -146,10 +146,10 @@
 func playStallSeed(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
 	faults := slices.Concat(stallFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 6))
-	keep := []int{0, 2, 200}[rng.IntN(3)]                 // reports go to the leader, or by the peers
-	silence := []time.Duration{0, time.Hour}[rng.IntN(2)] // silent machines are released, or time alone proves
+	keep := []int{0, 2, 200}[rng.IntN(3)]                 // heartbeats go to the leader, or are relayed by the peers
+	timeout := []time.Duration{0, time.Hour}[rng.IntN(2)] // unreachable machines are released, or only time proves that their tasks ended
 	w := newSimulation(t, seed, 0.02*float64(rng.IntN(3)), func(c *config.Config) {
-		c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, silence, by(c.Name)
+		c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = keep, timeout, by(c.Name)
 	})
 	w.group.Add(1)
 	go func() {
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -144,13 +144,13 @@
 func (c *processCluster) configure(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
 		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
-	var siblings []any
+	var peers []any
 	for k := range 3 {
 		if k != i {
-			siblings = append(siblings, map[string]any{"host_name": fmt.Sprint("c-", k), "location": "a", "peer_addr": fmt.Sprintf("%s%d:8081", c.subnet, k+1)})
+			peers = append(peers, map[string]any{"host_name": fmt.Sprint("c-", k), "location": "a", "peer_addr": fmt.Sprintf("%s%d:8081", c.subnet, k+1)})
 		}
 	}
-	cfg["siblings"] = siblings
+	cfg["siblings"] = peers
 	cfg["params"] = map[string]any{"zones": []string{"a", "b"}, "teams": []any{map[string]any{"name": "red", "gpus_max": 12}, map[string]any{"name": "blue", "cpus": c.guaranteedCPUs}},
 		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.settings,
 		"cloud": map[string]any{"rps": 50, "list_lag_s": 0.2}, "limits": map[string]any{"ram_mb": 234, "fd_limit": 3000}}
@@ -588,7 +588,7 @@
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
 	rate := c.burst(int(changes), jobs, 96)
-	c.waitFor("folded", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
+	c.waitFor("compacted", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
 	_, after, keys := c.store.Counts()
 	b.ReportMetric(rate, "submissions/s")
 	b.ReportMetric(float64(after-changes)/jobs, "changes/job")
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -66,36 +66,36 @@
 		during(d, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
 	{"hanging", func(_ *simulation, m upMachine, d time.Duration) { m.Pause(d) }},
-	{"deaf", func(_ *simulation, m upMachine, d time.Duration) { loseInbound(d, m) }},
-	{"mute", func(w *simulation, m upMachine, d time.Duration) {
+	{"receiving nothing", func(_ *simulation, m upMachine, d time.Duration) { loseInbound(d, m) }},
+	{"sending nothing", func(w *simulation, m upMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 	}},
-	{"held up", func(w *simulation, m upMachine, d time.Duration) { w.net.Hold(m.host, d) }},
+	{"delayed", func(w *simulation, m upMachine, d time.Duration) { w.net.Hold(m.host, d) }},
 }
 
 // handover is how a controller loses the shards that it leads.
 type handover struct {
 	name  string
-	apply func(w *simulation, holder int, rng *rand.Rand)
+	apply func(w *simulation, leader int, rng *rand.Rand)
 }
 
 // handovers are by the end of the leader, on purpose, and by a partition.
 var handovers = []handover{
 	{"crashes and is back at once", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }},
-	{"crashes, its last words are held up", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 20*time.Second) }},
+	{"crashes, its last messages are delayed", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 20*time.Second) }},
 	{"crashes and is back later", func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 25*time.Second, 0) }},
 	{"ends as it is asked to", func(w *simulation, i int, _ *rand.Rand) { w.stopGracefully(i, time.Second) }},
 	{"is refused by the state service", func(w *simulation, i int, _ *rand.Rand) {
 		during(25*time.Second, func(on bool) { w.refuseByStore(i, on) })
 	}},
-	{"is cut from the state service and its siblings", func(w *simulation, i int, _ *rand.Rand) {
+	{"is cut from the state service and its peers", func(w *simulation, i int, _ *rand.Rand) {
 		during(25*time.Second, func(on bool) { w.isolate(on, i) })
 	}},
 	{"stands still", func(w *simulation, i int, _ *rand.Rand) { w.net.Pause(w.ip(i), 15*time.Second) }},
 	{"crashes, and so does the next", func(w *simulation, i int, rng *rand.Rand) {
-		term := w.token()
+		token := w.token()
 		w.crash(i, restartDelay(rng), 0)
-		waitUntil(20*time.Second, func() bool { return w.token() > term })
+		waitUntil(20*time.Second, func() bool { return w.token() > token })
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 		w.handOverAll(func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 10*time.Second, 0) }, rng)
 	}},
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -95,7 +95,7 @@
 			w.kill(0, time.Second)
 			time.Sleep(30 * time.Second)
 			if got := w.storedSharding(); got.Generation != before.Generation {
-				t.Errorf("grouped as %q while controllers are set otherwise", got.Text)
+				t.Errorf("resharded to %q while controllers are set otherwise", got.Text)
 			}
 			w.rollTo(next, 8*time.Second)
 			time.Sleep(40 * time.Second)
@@ -105,7 +105,7 @@
 				held[shard] = true
 			}
 			if got := strings.ReplaceAll(fmt.Sprint(held), ":true", ""); got != want {
-				t.Errorf("set to %s, %v are held, grouping %+v", next, got, w.storedSharding())
+				t.Errorf("set to %s, the leaders are %v, sharding %+v", next, got, w.storedSharding())
 			}
 			for range 3 {
 				w.submitArray(4, 8*time.Second)
@@ -130,7 +130,7 @@
 	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var set sync.Map // controllers start whenever they are back
 		by := func(name string) string { to, _ := set.LoadOrStore(name, ""); return to.(string) }
-		roll := fault{"controllers are set to another grouping", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		roll := fault{"controllers are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			to := []string{"off", "zone"}[rng.IntN(2)]
 			for i := range 3 {
 				if rng.IntN(8) > 0 { // or it is forgotten
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -62,7 +62,7 @@
 		if d.verify != nil {
 			d.verify(w)
 		}
-		log("quiet")
+		log("faults are over")
 		w.finishQuietly(d.quietTime, 10*time.Minute)
 	})
 }
@@ -169,8 +169,8 @@
 
 // reconfigureMachines sets the heartbeat interval and the delay of direct calls of the machines
 // that boot from now on.
-func (w *simulation) reconfigureMachines(report time.Duration, late func() time.Duration) {
-	begin := w.machine(report, late)
+func (w *simulation) reconfigureMachines(heartbeatInterval time.Duration, late func() time.Duration) {
+	begin := w.machine(heartbeatInterval, late)
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = begin })
 }
 
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -73,13 +73,13 @@
 		w.startService("wk-1", 5*time.Minute)
 		time.Sleep(40 * time.Second)
 		if h := w.leaders(); len(h) != 2 || h["a"] == h["b"] {
-			t.Errorf("held by %v", h)
+			t.Errorf("the leaders are %v", h)
 		}
 		w.kill(1, time.Minute)
 		w.kill(2, time.Minute)
 		time.Sleep(25 * time.Second)
 		if h := w.leaders(); h["a"] != "c-0" || h["b"] != "c-0" {
-			t.Errorf("one is left, the parts are held by %v", h)
+			t.Errorf("one is left, the leaders of the shards are %v", h)
 		}
 		before := w.token()
 		time.Sleep(35 * time.Second)
@@ -92,10 +92,10 @@
 		}
 		h := w.leaders()
 		if len(h) != 2 || h["a"] == h["b"] || w.token() != before+1 {
-			t.Errorf("after a minute the parts are held by %v, %d claims", h, w.token()-before)
+			t.Errorf("after a minute the leaders of the shards are %v, %d claims", h, w.token()-before)
 		}
 		if gap > 500*time.Millisecond {
-			t.Errorf("a part was free for %v", gap)
+			t.Errorf("a shard had no leader for %v", gap)
 		}
 		if w.checker.Started != 6 {
 			t.Errorf("%d starts of 6 tasks", w.checker.Started)
@@ -148,11 +148,11 @@
 		cut(true)
 		time.Sleep(20 * time.Second)
 		if h := w.leaders(); h["a"] == before || len(h) != 2 {
-			t.Errorf("held by %v", h)
+			t.Errorf("the leaders are %v", h)
 		}
 		time.Sleep(50 * time.Second)
 		if n := w.checker.Started; n <= 12 {
-			t.Errorf("%d starts: nothing of the dark zone runs elsewhere", n)
+			t.Errorf("%d starts: nothing of the unreachable zone runs elsewhere", n)
 		}
 		cut(false)
 		w.finish(10 * time.Minute)
@@ -178,7 +178,7 @@
 		}
 		time.Sleep(30 * time.Second)
 		if n := w.token() - before; n > 0 {
-			t.Errorf("%d claims while controllers don't hear each other", n)
+			t.Errorf("%d claims while controllers are partitioned from each other", n)
 		}
 		for i := range 3 {
 			w.net.Partition(w.ip(i), w.ip((i+1)%3), false)
@@ -190,7 +190,7 @@
 		time.Sleep(25 * time.Second)
 		for shard, name := range w.leaders() {
 			if name != "c-2" {
-				t.Errorf("%s is held by %s, which the store does not hear", shard, name)
+				t.Errorf("%s is led by %s, which is cut off from the store", shard, name)
 			}
 		}
 		for _, i := range []int{0, 1} {
@@ -220,7 +220,7 @@
 		time.Sleep(time.Minute)
 		before := w.token()
 		alive := int(w.leaders()["fleet"][2] - '0')
-		for i := range 3 { // its beats are lost, but jobs come, so that it writes
+		for i := range 3 { // its peer heartbeats are lost, but jobs come, so that it writes
 			if i != alive {
 				w.net.DropOneWay(w.ip(alive), w.ip(i), true)
 			}
@@ -231,7 +231,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		if n := w.token() - before; n > 0 {
-			t.Errorf("%d claims while the holder writes", n)
+			t.Errorf("%d claims while the leader writes", n)
 		}
 		for i := range 3 {
 			w.net.DropOneWay(w.ip(alive), w.ip(i), false)
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -122,7 +122,7 @@
 
 // machine returns a function that starts machines with this heartbeat interval and delay of direct
 // calls.
-func (w *simulation) machine(report time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
+func (w *simulation) machine(heartbeatInterval time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
 	names, runtime := map[string]string{}, simulator.NewTaskRuntime(cmp.Or[simulator.Fixture](w.fixture, w.tasks), 20*time.Second, 3*time.Second)
 	w.runtime = runtime
 	for i := range w.count {
@@ -133,7 +133,7 @@
 		w.net.SetZone(host, zone)
 		w.tasks.machineBooted(id)
 		return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
-			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: report, CallDelay: late, Replayer: w.replayer})
+			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: heartbeatInterval, CallDelay: late, Replayer: w.replayer})
 	}
 }
 
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -381,7 +381,7 @@
 		rng := rand.New(rand.NewPCG(seed, 13))
 		time.Sleep(5 * time.Second)
 		m := w.addUsers(seed, 16, 7*time.Second)
-		terms := w.token()
+		token := w.token()
 		for k := range 10 {
 			from := [][]fault{stateAccessFaults, restartFaults, stateAccessFaults, stallFaults}[k%4]
 			x, d := from[rng.IntN(len(from))], time.Duration(1+rng.IntN(60))*time.Second
@@ -393,8 +393,8 @@
 			time.Sleep(time.Duration(rng.IntN(12000)) * time.Millisecond)
 		}
 		time.Sleep(time.Minute) // the last of them is over
-		if w.token() <= terms {
-			t.Errorf("the fleet changed hands %d times", w.token()-terms)
+		if w.token() <= token {
+			t.Errorf("the fleet changed hands %d times", w.token()-token)
 		}
 		m.finish(5, 60)
 	})
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -75,31 +75,31 @@
 type completionFault struct {
 	name         string
 	fate         simulator.Fate
-	apply        func(w *simulation, holder int, rng *rand.Rand)
+	apply        func(w *simulation, leader int, rng *rand.Rand)
 	losesMachine bool // a machine ends too, so that its work may have to be repeated
 }
 
 // completionFaults are the faults that are injected at the write of a completion.
 var completionFaults = []completionFault{
-	{"the holder crashes, the write is lost", simulator.FateDropped, crashLeader, false},
-	{"the holder crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
-	{"the holder crashes, the write is taken", simulator.FateReplyLost, crashLeader, false},
-	{"the holder is cut off with its machines, the write comes late", simulator.FateDelayed, cutLeader, false},
-	{"the holder is cut off with its machines, the write is taken", simulator.FateReplyLost, cutLeader, false},
-	{"the holder crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
+	{"the leader crashes, the write is lost", simulator.FateDropped, crashLeader, false},
+	{"the leader crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
+	{"the leader crashes, the write is taken", simulator.FateReplyLost, crashLeader, false},
+	{"the leader is cut off with its machines, the write comes late", simulator.FateDelayed, cutLeader, false},
+	{"the leader is cut off with its machines, the write is taken", simulator.FateReplyLost, cutLeader, false},
+	{"the leader crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
 		w.cloud.RemoveNth(rng.IntN(4))
-		crashLeader(w, holder, rng)
+		crashLeader(w, leader, rng)
 	}, true},
-	{"the holder crashes while no machine hears the next one", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
+	{"the leader crashes while no machine can receive from the next one", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
 		w.deafenHosts(w.everyMachine(), 8*time.Second)
-		w.crash(holder, 9*time.Second, 0)
+		w.crash(leader, 9*time.Second, 0)
 	}, true},
-	{"another process of the holder's name begins", simulator.FateDropped, func(w *simulation, holder int, rng *rand.Rand) {
-		w.twin(holder, 6*time.Second, finalHoldTime(rng))
+	{"another process of the leader's name begins", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
+		w.twin(leader, 6*time.Second, finalHoldTime(rng))
 	}, false},
-	{"the holder is cut off with its machines, once it has its answer", simulator.FateAnswered, cutLeader, false},
-	{"the holder stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, holder int, rng *rand.Rand) {
-		w.net.Pause(w.ip(holder), time.Duration(5+rng.IntN(40))*time.Second)
+	{"the leader is cut off with its machines, once it has its answer", simulator.FateAnswered, cutLeader, false},
+	{"the leader stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, leader int, rng *rand.Rand) {
+		w.net.Pause(w.ip(leader), time.Duration(5+rng.IntN(40))*time.Second)
 	}, true},
 }
 
@@ -256,20 +256,20 @@
 
 // completionDayFaults are additional faults for days of such jobs.
 var completionDayFaults = []fault{
-	{"machines are deaf", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		hosts := w.everyMachine()
 		rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 		w.deafenHosts(hosts[:rng.IntN(len(hosts)+1)], d)
 	}},
-	{"a holder is cut from the state service and the others", func(w *simulation, rng *rand.Rand, d time.Duration) {
+	{"a leader is cut from the state service and the others", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, name := range w.leaders() {
 			if rng.IntN(2) == 0 {
 				cutLeader(w, controllerNumber(name), rng)
 			}
 		}
 	}},
-	{"holders crash", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.crashLeaders(rng) }},
-	{"holders crash, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+	{"leaders crash", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.crashLeaders(rng) }},
+	{"leaders crash, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 2 + rng.IntN(3) {
 			w.crashLeaders(rng)
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -82,7 +82,7 @@
 			w.kill(i, 5*time.Second)
 			time.Sleep(20 * time.Second)
 			if h := w.leaders(); h["fleet"] == "c-2" || len(h) != 1 {
-				t.Errorf("held by %v, of which c-2 is set otherwise", h)
+				t.Errorf("the leaders are %v, of which c-2 is set otherwise", h)
 			}
 		}
 		with = map[string]bool{} // all are set back, one after the other
@@ -98,7 +98,7 @@
 			digest = rec.Digest
 		}
 		if h := w.leaders(); len(h) != 1 || digest != "" {
-			t.Errorf("held by %v with tiers %q", h, digest)
+			t.Errorf("the leaders are %v with tiers %q", h, digest)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -182,7 +182,7 @@
 					}
 					count, by = 3+2*(i%2), []string{"off", "zone"}[i/2%2]
 				}
-				t.Run(fmt.Sprint(x.name, " for ", d, ", all ", all, ", ", count, " controllers, parts ", by, ", ", n/4), func(t *testing.T) {
+				t.Run(fmt.Sprint(x.name, " for ", d, ", all ", all, ", ", count, " controllers, shards ", by, ", ", n/4), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { moved += playZoneLossDay(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
 				})
 			}
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -175,7 +175,7 @@
 		})
 		r.cutOffZones([]string{zone}, d)
 	}},
-	{"holders crash while a zone is cut off, and when it returns", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+	{"leaders crash while a zone is cut off, and when it returns", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(time.Duration(rng.Int64N(int64(d))))
 		r.crashLeaders(rng)
@@ -196,7 +196,7 @@
 			r.crashAt("ledger/", restartDelay(rng))
 		}
 	}},
-	{"a zone is dark for one controller alone", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+	{"a zone is unreachable for one controller alone", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		i := rng.IntN(r.count)
 		var hosts []string
 		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
@@ -232,7 +232,7 @@
 		}
 		time.Sleep(time.Second) // all are back
 	}
-	anew := zoneFault{"regrouped while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+	anew := zoneFault{"resharded while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(time.Duration(rng.Int64N(int64(d + 10*time.Second))))
 		roll([]string{"off", "zone"}[rng.IntN(2)])
