--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -13,7 +13,7 @@
 	firstListing = 60 * time.Second
 )
 
-// ApplyCloudList takes in a complete list of the cloud that was asked for at a time, and names the
+// ApplyCloudList applies a complete list of the cloud that was asked for at a time, and names the
 // machines that it proves gone. A list may be old by twice the lag, so that a machine counts as
 // gone only if it was known to exist well before.
 func (f *Fleet) ApplyCloudList(asked, now time.Time, list []wire.ListedMachine) (gone []string) {
@@ -44,7 +44,7 @@
 	return gone
 }
 
-// knownToExist gives since when a machine must be in each list that is current.
+// knownToExist returns the time since which a machine must be in each current list.
 func (m *Machine) knownToExist() time.Time {
 	known := m.ListedAt
 	if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// HeartbeatCommands gives the commands for the response to a heartbeat that was just applied; with
+// HeartbeatCommands returns the commands for the response to a heartbeat that was just applied; with
 // launch, launches too: the leader's own lease surely lasts. The response counts as one that the
 // machine may have taken.
 func (f *Fleet) HeartbeatCommands(now time.Time, r *wire.Heartbeat, launch bool) []wire.Command {
@@ -41,9 +41,9 @@
 	return cmds
 }
 
-// DirectCommands gives the commands for a call to a machine: stops, which are harmless however late
+// DirectCommands returns the commands for a call to a machine: stops, which are harmless however late
 // they are executed, and, with launch, the launches that wait. Of these the call counts as pending
-// until CallFinished tells what became of it.
+// until CallFinished reports its outcome.
 func (f *Fleet) DirectCommands(m *Machine, launch bool) (cmds []wire.Command, launched []*Placement) {
 	// What is sent to an incarnation of which nothing has come is executed whenever that begins: no
 	// time proves it gone.
@@ -61,7 +61,7 @@
 	return cmds, launched
 }
 
-// CallOutcome is what became of a direct call.
+// CallOutcome is the outcome of a direct call.
 type CallOutcome int
 
 // The outcomes of a direct call.
@@ -71,7 +71,7 @@
 	Refused // it was not executed and never will be
 )
 
-// CallFinished takes in what became of a direct call that carried launches.
+// CallFinished applies the outcome of a direct call that carried launches.
 func (f *Fleet) CallFinished(launched []*Placement, o CallOutcome) {
 	if o == Unanswered {
 		return
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 	releasedMachines map[string]messageNumber // the same of those that the cloud has released
 }
 
-// New gives the empty fleet of a fencing token. predecessorGrace bounds for how long after the
+// New returns the empty fleet of a fencing token. predecessorGrace bounds for how long after the
 // election an earlier leader may have gone on responding to heartbeats.
 func New(token uint64, electedAt time.Time, workerLease, predecessorGrace, listLag time.Duration) *Fleet {
 	return &Fleet{
@@ -39,7 +39,7 @@
 	}
 }
 
-// EnsureMachine gives a machine that the cloud or a heartbeat names, and adds it if it is new. One
+// EnsureMachine returns a machine that the cloud or a heartbeat names, and adds it if it is new. One
 // that the state service did not record when the leader was elected was never launched on by an
 // earlier leader.
 func (f *Fleet) EnsureMachine(now time.Time, id, typ, zone string, spot bool) *Machine {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Machine gives a machine by its ID, or nil.
+// Machine returns a machine by its ID, or nil.
 func (f *Fleet) Machine(id string) *Machine { return f.machines[id] }
 
 // Machines lists all machines in order of their IDs. The list is the caller's to go through,
@@ -141,7 +141,7 @@
 	return true
 }
 
-// ActivePlacement gives the placement of a task that may hold resources, or nil when the task is
+// ActivePlacement returns the placement of a task that may hold resources, or nil when the task is
 // nowhere as far as this leader knows.
 func (f *Fleet) ActivePlacement(t wire.TaskID) *Placement {
 	var found *Placement
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -14,7 +14,7 @@
 }
 
 // IsNewer reports whether a heartbeat is newer than all that came of its machine, also of one that
-// is gone. A copy that comes late says nothing, not even of the machine's zone.
+// is gone. A late copy is evidence of nothing, not even of the machine's zone.
 func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
 	last, gone := f.releasedMachines[r.Machine]
 	if !gone {
@@ -60,7 +60,7 @@
 	return events
 }
 
-// enterIncarnation takes in that a machine's worker has begun anew (proof 2): it has forgotten all
+// enterIncarnation records that a machine's worker has begun a new incarnation (proof 2): it has forgotten all
 // tasks of earlier incarnations, and executes nothing that was sent to one.
 func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, own bool) (events []Event) {
 	if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
@@ -76,7 +76,7 @@
 	return events
 }
 
-// noteContact takes in what a heartbeat says of the machine itself.
+// noteContact applies what a heartbeat shows about the machine itself.
 func (f *Fleet) noteContact(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
 	if !m.incarnationSeen {
 		// An incarnation has a lease of its own that counts from its beginning, which may have been
@@ -142,7 +142,7 @@
 	return events
 }
 
-// applyTaskStatus takes in one listed task and reports whether its state has changed.
+// applyTaskStatus applies the status of one listed task and reports whether its state has changed.
 func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask) (p *Placement, changed bool) {
 	p = m.findPlacement(t.ID, t.Attempt)
 	if p == nil {
@@ -164,7 +164,7 @@
 	return p, changed
 }
 
-// stateOf gives the state of a placement by what its worker says. A state that this version does
+// stateOf returns the state of a placement from the status that its worker sent. A state that this version does
 // not know counts as running: the task is there.
 func stateOf(s wire.TaskState) State {
 	switch s {
--- a/internal/fleet/imagecache.go
+++ b/internal/fleet/imagecache.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// leastRecentlyUsed gives the image to evict first; of two used at the same time, the first by name.
+// leastRecentlyUsed returns the image to evict first; of two used at the same time, the first by name.
 func (c *imageCache) leastRecentlyUsed() string {
 	oldest := ""
 	for name, image := range c.images {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -54,7 +54,7 @@
 	m.evictUnfetched()
 }
 
-// lastMessage gives the number of the newest heartbeat.
+// lastMessage returns the number of the newest heartbeat.
 func (m *Machine) lastMessage() messageNumber { return messageNumber{m.Incarnation, m.lastSeq} }
 
 // launchable reports whether a machine may be launched on.
@@ -80,7 +80,7 @@
 	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// findPlacement gives the placement of an attempt, or nil.
+// findPlacement returns the placement of an attempt, or nil.
 func (m *Machine) findPlacement(task wire.TaskID, attempt uint64) *Placement {
 	for _, p := range m.placements {
 		if p.Attempt == attempt && p.Task == task {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -6,14 +6,14 @@
 // come from one lost response.
 const maxLostCommands = 2
 
-// commandLoss counts the signs that a machine takes nothing of what it is told, while its heartbeats
-// come. Nothing is launched on such a machine.
+// commandLoss counts the signs that a machine receives no commands although its heartbeats arrive.
+// Nothing is launched on such a machine.
 type commandLoss struct {
 	lostCommands      int       // signs in a row
 	lostCommandsSince time.Time // when the first of them was seen
 }
 
-// noteLostCommand notes a sign that something that the machine was told was lost.
+// noteLostCommand notes a sign that a command to the machine was lost.
 func (l *commandLoss) noteLostCommand(now time.Time) {
 	l.lostCommands++
 	if l.lostCommands == 1 {
@@ -21,12 +21,12 @@
 	}
 }
 
-// certain notes that commands are surely lost.
+// certain notes that commands are certainly lost.
 func (l *commandLoss) certain(now time.Time) {
 	l.lostCommands, l.lostCommandsSince = maxLostCommands, now
 }
 
-// ReceivesCommands reports whether a machine takes what it is told, as far as is known. A worker
+// ReceivesCommands reports whether a machine receives commands, as far as is known. A worker
 // that is still in the same incarnation after longer than that could last without a response does.
 func (f *Fleet) ReceivesCommands(now time.Time, m *Machine) bool {
 	return m.lostCommands < maxLostCommands || now.Sub(m.lostCommandsSince) > f.leaseExpiry()+proofMargin
--- a/internal/fleet/sharding.go
+++ b/internal/fleet/sharding.go
@@ -20,8 +20,8 @@
 // SingleShard is the sharding of a fleet that is a single shard.
 func SingleShard() *Sharding { return &Sharding{shards: []string{"fleet"}} }
 
-// ByZones gives so many shards, to which the zones are assigned in turn; with as many as there are
-// zones, each zone is a shard and gives it its name.
+// ByZones returns a sharding into n shards, to which the zones are assigned in turn. With as many
+// shards as zones, each zone is a shard, which has the zone's name.
 func ByZones(n int, zones []string) *Sharding {
 	zones = slices.Sorted(slices.Values(zones))
 	if n <= 1 {
@@ -105,6 +105,6 @@
 	return out
 }
 
-// String describes the sharding, for comparing with what the state service says; it is empty for a
+// String describes the sharding, for comparison with the state service's record; it is empty for a
 // single shard.
 func (s *Sharding) String() string { return s.description }
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -52,7 +52,7 @@
 	return true
 }
 
-// oneServiceOfEachClass gives the first job of each class of services; the list is never nil.
+// oneServiceOfEachClass returns the first job of each class of services; the list is never nil.
 func oneServiceOfEachClass(jobs []*Job) []*Job {
 	known := make(map[string]bool)
 	out := []*Job{}
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -23,7 +23,7 @@
 //     boots.
 //   - starvation.go admits what has waited too long beside idle capacity.
 //   - autoscale.go lists the scale-outs and scale-ins that follow.
-//   - shard.go tells the leaders of other shards what is free, wanted and unplaced here.
+//   - shard.go reports to the leaders of other shards what is free, wanted and unplaced here.
 //   - tier_reclaim.go turns stops into reclaims where tiers are set; spread.go rebalances
 //     services over zones.
 //
--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -23,7 +23,7 @@
 	cutoff float64 // the longest wait of interest, as far as there are enough better slots
 }
 
-// slotSlack and slotFactor tell how long a list may become, beside how many slots are wanted, before it is
+// slotSlack and slotFactor bound how long a list may become, beside how many slots are wanted, before it is
 // cut: sorting it at each slot would cost more than it saves.
 const (
 	slotFactor = 4
@@ -89,7 +89,7 @@
 	return slots
 }
 
-// addFuture adds the slots on a machine as its tasks end, as far as their estimates can tell. What
+// addFuture adds the slots on a machine as its tasks end, according to their estimates. What
 // is free already of a slot counts more than when the rest will be: else the slot would be given
 // up again for one that seems a little sooner.
 func (g gangSlots) addFuture(j *Job, need Resources, m *Machine) {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -106,7 +106,7 @@
 	return picks
 }
 
-// tryZone finds machines for all waiting tasks of a gang in one zone, and tells what those that would be
+// tryZone finds machines for all waiting tasks of a gang in one zone, and returns what those that would be
 // rented for it cost; on failure it leaves everything as it was.
 func (pl *planner) tryZone(j *Job, zone string, now bool) (picks []*Machine, price float64) {
 	if now {
@@ -161,7 +161,7 @@
 }
 
 // placeAll places each waiting task of the job on the machine that pick gives, or leaves
-// everything as it was and gives nil.
+// everything as it was and returns nil.
 func (s *search) placeAll(pick func() *Machine) (picks []*Machine) {
 	at := s.planner.savepoint()
 	for range s.job.Waiting {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -11,24 +11,24 @@
 )
 
 // A class whose jobs must start sooner than a machine boots needs capacity that is there before
-// they come. How much is told by how many came of late: what comes while a machine boots. That
+// they come. How much is derived from recent arrivals: as much as arrives while a machine boots. That
 // headroom is left alone by work that has no such objective, is not returned, and is rented where
 // it lacks, but only while the cloud has machines to give: in a full fleet, idle headroom serves nobody.
 
-// Arrivals are counted in several windows, of which the median tells what is to come, so that the
+// Arrivals are counted in several windows, of which the median is the forecast, so that the
 // jobs of a fleet's first minute, or of a burst that is over, count little.
 const (
 	arrivalWindows = 6
 	arrivalWindow  = 15 * time.Second
 )
 
-// arrivals is what has come of a class of late.
+// arrivals counts the recent arrivals of a class.
 type arrivals struct {
 	tasks  [arrivalWindows]float64 // in each window, the latest first
 	newest *Job                    // stands for those to come
 }
 
-// expected gives how many tasks come within a time.
+// expected returns how many tasks come within a time.
 func (a *arrivals) expected(within time.Duration) int {
 	sorted := a.tasks
 	slices.Sort(sorted[:])
@@ -83,10 +83,10 @@
 	}
 }
 
-// bootTime gives how long a machine for a job takes to boot, at least; 0 where none can be rented.
+// bootTime returns how long a machine for a job takes to boot, at least; 0 where none can be rented.
 func (pl *planner) bootTime(j *Job) time.Duration { return pl.bootTimeIn(j, "") }
 
-// bootTimeIn gives the same for one zone.
+// bootTimeIn returns the same for one zone.
 func (pl *planner) bootTimeIn(j *Job, zone string) time.Duration {
 	var least time.Duration
 	for i := range pl.Types {
@@ -140,7 +140,7 @@
 	}
 }
 
-// cheapestShare gives the price of a task's share of the cheapest machine for it.
+// cheapestShare returns the price of a task's share of the cheapest machine for it.
 func (pl *planner) cheapestShare(j *Job) float64 {
 	least := math.Inf(1)
 	for i := range pl.Types {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -71,7 +71,7 @@
 	StopOverdue    bool          // it has not stopped in time: its resources are not waited for
 }
 
-// remaining tells after how long a task should end, as far as its estimate can tell.
+// remaining returns the time until a task should end, according to its estimate.
 func (t Task) remaining() time.Duration {
 	switch {
 	case t.Stopping:
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Images tells which images a machine has or fetches.
+// Images reports which images a machine has or fetches.
 type Images interface {
 	// HasImage reports whether an image is on the machine or on its way there.
 	HasImage(image string) bool
@@ -52,10 +52,10 @@
 	return m.reservedFor != nil && m.reservedFor != j && m.reservedFor != j.remainder
 }
 
-// freeAfterStops gives what is free once all tasks that are being stopped have ended.
+// freeAfterStops returns what is free once all tasks that are being stopped have ended.
 func (m *Machine) freeAfterStops() Resources { return m.Free.AddScaled(m.stopping, 1) }
 
-// freeBelow gives what would be free without any task of a lesser rank.
+// freeBelow returns what would be free without any task of a lesser rank.
 func (m *Machine) freeBelow(rank int) Resources {
 	free := m.freeAfterStops()
 	for _, load := range m.loadByRank[:rank] {
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -84,7 +84,7 @@
 	missedAging = 4
 )
 
-// slackOf tells how long a job can still wait without missing the next objective that it can meet.
+// slackOf returns how long a job can still wait without missing the next objective that it can meet.
 func (pl *planner) slackOf(j *Job) time.Duration {
 	least, late := time.Duration(math.MaxInt64), time.Duration(0)
 	for _, o := range pl.Objectives {
@@ -107,7 +107,7 @@
 	return missedSlack - j.Age/missedAging // it has no objective
 }
 
-// timeNeeded gives how long a job that is launched now takes to meet an objective, and whether the objective
+// timeNeeded returns how long a job that is launched now takes to meet an objective, and whether the objective
 // is one of its own.
 func (pl *planner) timeNeeded(j *Job, o Objective) (need time.Duration, applies bool) {
 	switch {
@@ -146,7 +146,7 @@
 	)
 }
 
-// waitingShare gives the fraction of a service's replicas that wait; other jobs count as a whole.
+// waitingShare returns the fraction of a service's replicas that wait; other jobs count as a whole.
 func (j *Job) waitingShare() float64 {
 	if j.Shape != wire.Service {
 		return float64(min(1, len(j.Waiting)))
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -28,8 +28,8 @@
 }
 
 // maxSearchBudget bounds how many machines a plan examines closely, to stop lesser work or to
-// reserve capacity that is to come: enough for any fleet in a quiet minute. Jobs later in the
-// queue are looked at again in the next round.
+// reserve capacity that is to come: enough for any fleet under ordinary load. Jobs later in the
+// queue are considered again in the next round.
 const maxSearchBudget = 100_000
 
 // Schedule makes the plan for a snapshot. It changes the snapshot's machines, jobs and teams.
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -63,7 +63,7 @@
 	p.added = p.added[:n]
 }
 
-// offerIndex gives the number of an offer, a new one where it has none yet.
+// offerIndex returns the number of an offer, a new one where it has none yet.
 func (p *machinePool) offerIndex(o Offer) int {
 	i := slices.Index(p.offers, o)
 	if i < 0 {
@@ -73,7 +73,7 @@
 	return i
 }
 
-// typeOf gives the type of a machine, or nil if the cloud no longer offers it.
+// typeOf returns the type of a machine, or nil if the cloud no longer offers it.
 func (p *machinePool) typeOf(m *Machine) *wire.MachineType { return p.types[m.Type] }
 
 // countTasks sums what the machine's tasks use, and gives the least rank of those that are not
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -162,7 +162,7 @@
 	cpusPerGPU = 16
 )
 
-// weightOf gives how much of a machine a task is, in GPUs.
+// weightOf returns how much of a machine a task is, in GPUs.
 func weightOf(r Resources) float64 { return r.GPUs + r.CPUs/cpusPerGPU }
 
 // stopCost is what stopping a task loses, in seconds of GPUs. With a task of a gang all others go,
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// priceOf gives the price of a type of machine.
+// priceOf returns the price of a type of machine.
 func priceOf(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -25,13 +25,13 @@
 	minFleetForCrowding = 30
 )
 
-// machinePrice gives what a machine counts as, somewhat more in zones that have many.
+// machinePrice returns what a machine counts as, somewhat more in zones that have many.
 func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
 	total := len(pl.Machines) + len(pl.pool.added)
 	return priceOf(t, spot) * (1 + zoneCrowding*float64(pl.pool.inZone[zone])/float64(max(minFleetForCrowding, total)))
 }
 
-// shareCost gives what a task's share of a machine costs, with what others lose who need that
+// shareCost returns what a task's share of a machine costs, with what others lose who need that
 // type more; it is infinite where the task does not fit.
 func (pl *planner) shareCost(j *Job, t *wire.MachineType, spot bool) float64 {
 	full := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
--- a/internal/scheduler/reservation_turns.go
+++ b/internal/scheduler/reservation_turns.go
@@ -23,7 +23,7 @@
 	return pl.MaxGangWait > 0 && j.Age+pl.fetchTime(j) >= pl.MaxGangWait/reservationWaitDivisor
 }
 
-// assignReservationTurns gives a turn to the jobs that must not be passed over: the first to those
+// assignReservationTurns assigns turns to the jobs that must not be passed over: the first to those
 // that have waited for the most, which counts for each of their tasks, since a larger one is
 // passed over more often.
 func (pl *planner) assignReservationTurns() {
@@ -46,13 +46,13 @@
 }
 
 // waitsWhole reports whether all of a gang of several tasks waits, so that it may reserve. One
-// that could be co-allocated over several shards does not: those tell each other what is free.
+// that could be co-allocated over several shards does not: those exchange what is free.
 func (pl *planner) waitsWhole(j *Job) bool {
 	coAllocated := pl.Sharded && !j.OneZone && j.Zone == "" && j.RemoteTasks == 0
 	return !coAllocated && j.Active == 0 && len(j.Waiting)+j.RemoteTasks > 1
 }
 
-// reservableCapacity gives how much of the fleet may be reserved at once.
+// reservableCapacity returns how much of the fleet may be reserved at once.
 func (pl *planner) reservableCapacity() (sum Resources) {
 	for _, m := range pl.pool.usable {
 		if t := pl.pool.typeOf(m); t != nil {
@@ -70,7 +70,7 @@
 	})
 }
 
-// selectReservingGangs picks the gangs that reserve, and gives the last turn. Of a team whose
+// selectReservingGangs picks the gangs that reserve, and returns the last turn. Of a team whose
 // limit leaves nothing for its first gang, no other reserves: it could not start either.
 func (pl *planner) selectReservingGangs(waiting []*Job, limit Resources) (turn int) {
 	sortByWait(waiting)
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -12,10 +12,10 @@
 // Resources is what a task needs, or what a machine has, or has left.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// ResourcesOf gives what one task of a job needs.
+// ResourcesOf returns what one task of a job needs.
 func ResourcesOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// capacityOf gives what an empty machine of a type has.
+// capacityOf returns what an empty machine of a type has.
 func capacityOf(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
 // AddScaled adds other n times; a negative n subtracts.
@@ -23,7 +23,7 @@
 	return Resources{r.CPUs + n*other.CPUs, r.GPUs + n*other.GPUs, r.MemoryGB + n*other.MemoryGB}
 }
 
-// Scaled gives n times r.
+// Scaled returns n times r.
 func (r Resources) Scaled(n float64) Resources { return Resources{}.AddScaled(r, n) }
 
 // Fits reports whether need fits into r.
@@ -31,13 +31,13 @@
 	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// Slots gives how many times need fits into r; it is negative where r is.
+// Slots returns how many times need fits into r; it is negative where r is.
 func (r Resources) Slots(need Resources) int {
 	n := min(slots(r.CPUs, need.CPUs), slots(r.GPUs, need.GPUs), slots(r.MemoryGB, need.MemoryGB))
 	return int(min(n, wire.MaxTasks))
 }
 
-// slots gives how many times one kind of resource suffices: without limit if none is needed.
+// slots returns how many times one kind of resource suffices: without limit if none is needed.
 func slots(have, need float64) float64 {
 	if need > 0 {
 		return math.Floor(have/need + epsilon)
@@ -45,12 +45,12 @@
 	return math.Inf(1)
 }
 
-// shortfall gives the fraction of need that r lacks, of the resource that it lacks most.
+// shortfall returns the fraction of need that r lacks, of the resource that it lacks most.
 func (r Resources) shortfall(need Resources) float64 {
 	return min(1, max(0, lacking(r.CPUs, need.CPUs), lacking(r.GPUs, need.GPUs), lacking(r.MemoryGB, need.MemoryGB)))
 }
 
-// lacking gives the fraction of one kind of resource that is not there; it is negative where there is more than enough.
+// lacking returns the fraction of one kind of resource that is not there; it is negative where there is more than enough.
 func lacking(have, need float64) float64 {
 	if need > 0 {
 		return 1 - have/need
@@ -58,7 +58,7 @@
 	return 0
 }
 
-// min gives the lesser of each resource.
+// min returns the lesser of each resource.
 func (r Resources) min(other Resources) Resources {
 	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB)}
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ShardReport is what a plan has to say to the leaders of other shards. All but Unplaced and
+// ShardReport is what a plan reports to the leaders of other shards. All but Unplaced and
 // ReadyGangs is for all of a class or team.
 type ShardReport struct {
 	Unplaced     []UnplacedJob
@@ -43,8 +43,8 @@
 	Least      Resources // what any of it needs: a task, or a gang
 }
 
-// Compare orders demands, the one that goes first before others. An age would not do: what another
-// shard has told was so a while ago, and of two that are as old each would take its own for the older.
+// Compare orders demands, the one that goes first before others. It compares submission times, not ages: another
+// shard's report is a while old, so that of two equally old demands each shard would take its own for the older.
 func (d QuotaDemand) Compare(other QuotaDemand) int {
 	return cmp.Or(cmp.Compare(other.Rank, d.Rank), d.Since.Compare(other.Since))
 }
@@ -130,8 +130,8 @@
 	}
 }
 
-// moreTypical reports whether a job is to stand for its class rather than another. One that is
-// bound to a zone says nothing of the capacity that others of its class find.
+// moreTypical reports whether a job represents its class better than another. One that is
+// bound to a zone is no measure of the capacity that others of its class find.
 func moreTypical(j, known *Job) bool {
 	if bound, knownBound := j.Zone != "", known.Zone != ""; bound != knownBound {
 		return knownBound
@@ -139,7 +139,7 @@
 	return j.Order > known.Order
 }
 
-// freeCapacityFor gives how many more tasks like those of a job would find capacity.
+// freeCapacityFor returns how many more tasks like those of a job would find capacity.
 func (pl *planner) freeCapacityFor(j *Job) FreeCapacity {
 	need, rank := ResourcesOf(j.Job), j.Priority.Rank()
 	now := make(map[string]int) // by zone
--- a/internal/scheduler/soonest.go
+++ b/internal/scheduler/soonest.go
@@ -10,7 +10,7 @@
 )
 
 // soonestMachine finds where capacity will be soonest: where tasks are being stopped already, where
-// lesser work can be stopped, on a machine that boots, or on a new one. It gives nil if there is
+// lesser work can be stopped, on a machine that boots, or on a new one. It returns nil if there is
 // none, or if the task waits for capacity that turnover frees.
 func (s *search) soonestMachine() *Machine {
 	pl := s.planner
@@ -115,8 +115,8 @@
 	return best
 }
 
-// timeUntilFits tells after how long a machine should have so much capacity, as far as the
-// estimates of its tasks can tell.
+// timeUntilFits returns the time until a machine should have so much capacity, according to the
+// estimates of its tasks.
 func (m *Machine) timeUntilFits(need Resources) time.Duration {
 	tasks := slices.Clone(m.Tasks)
 	slices.SortStableFunc(tasks, func(a, b Task) int { return cmp.Compare(a.remaining(), b.remaining()) })
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -26,7 +26,7 @@
 	return max(1, int(math.Floor(float64(tasks)*(1-r.Survive)+epsilon)))
 }
 
-// imbalance tells how bad it is to have so many replicas in a zone: by what would not survive its
+// imbalance measures how bad it is to have so many replicas in a zone: by what would not survive its
 // loss first, then by evenness.
 type imbalance struct{ lost, uneven int }
 
@@ -34,7 +34,7 @@
 	return cmp.Or(cmp.Compare(i.lost, other.lost), cmp.Compare(i.uneven, other.uneven))
 }
 
-// imbalance gives how bad it is for a job to have so many replicas in one zone.
+// imbalance returns how bad it is for a job to have so many replicas in one zone.
 func (r *SpreadRule) imbalance(j *Job, replicas int) (i imbalance) {
 	if r.Survive > 0 {
 		i.lost = max(0, replicas-r.maxPerZone(j.Tasks))
--- a/internal/scheduler/startable.go
+++ b/internal/scheduler/startable.go
@@ -5,7 +5,7 @@
 // maxStartableChecks bounds how many machines FirstStartable examines.
 const maxStartableChecks = 200_000
 
-// FirstStartable gives a job of which a task, or the whole gang, has capacity on machines that are
+// FirstStartable returns a job of which a task, or the whole gang, has capacity on machines that are
 // up and within its team's limit, or nil. It does not know for what capacity is reserved: it is for
 // noticing that nothing is started at all. It must be called before Schedule, which changes the
 // snapshot.
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -26,7 +26,7 @@
 	least [idleCapacitySteps]Resources // in each step, the present one first
 }
 
-// Record takes in what is free now, and gives what has been free throughout starvationLimit. Steps
+// Record records what is free now, and returns what has been free throughout starvationLimit. Steps
 // in which nothing was recorded count as without free capacity.
 func (c *IdleCapacity) Record(now time.Time, free Resources) Resources {
 	step := now.UnixNano() / int64(idleCapacityStep)
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -11,7 +11,7 @@
 	GlobalLimitCPUs, GlobalLimitGPUs float64 // of all shards together
 }
 
-// maxMoreTasks gives how many more tasks the team could have in this shard if the whole limit were granted to it.
+// maxMoreTasks returns how many more tasks the team could have in this shard if the whole limit were granted to it.
 func (t *Team) maxMoreTasks(need Resources) int {
 	n := float64(wire.MaxTasks)
 	if t.GlobalLimitCPUs > 0 && need.CPUs > 0 {
--- a/internal/scheduler/tier_reclaim.go
+++ b/internal/scheduler/tier_reclaim.go
@@ -79,7 +79,7 @@
 	pl.plan.Stops = nil
 }
 
-// reclaimFor gives the plan's reclaim that a stop belongs to, a new one where there is none yet.
+// reclaimFor returns the plan's reclaim that a stop belongs to, a new one where there is none yet.
 func (pl *planner) reclaimFor(s Stop) *PlannedReclaim {
 	job := s.Beneficiary
 	i := slices.IndexFunc(pl.plan.Reclaims, func(r PlannedReclaim) bool { return r.Job == job.ID && r.Machine == s.Machine })
--- a/internal/scheduler/tier_shares.go
+++ b/internal/scheduler/tier_shares.go
@@ -48,7 +48,7 @@
 	w.machine.usedByPlan = true
 }
 
-// buildQueue gives the jobs in the order in which they are placed. A job of a tier that has some of
+// buildQueue returns the jobs in the order in which they are placed. A job of a tier that has some of
 // its share left is in it twice: for what the share has capacity for, and for the rest.
 func (pl *planner) buildQueue() []*Job {
 	if !pl.Tiers.Configured() {
@@ -179,7 +179,7 @@
 	}
 }
 
-// fitsShare gives for how many waiting tasks of a job its tier's share has capacity; all or none of
+// fitsShare returns for how many waiting tasks of a job its tier's share has capacity; all or none of
 // a gang.
 func (t *tiering) fitsShare(j *Job) int {
 	left := tier.Unused(t.shares[j.tier], t.use, j.tier, j.Zone)
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -10,7 +10,7 @@
 // capacity sooner and for nothing. Work without an objective that it would miss waits for that
 // capacity rather than have more machines rented.
 const (
-	// turnoverStep and turnoverSteps tell how finely and for how long ahead freed capacity is
+	// turnoverStep and turnoverSteps set how finely and for how long ahead freed capacity is
 	// counted, from the owners' estimates.
 	turnoverStep  = 10 * time.Second
 	turnoverSteps = 12
--- a/internal/scheduler/valuation.go
+++ b/internal/scheduler/valuation.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// valuation tells what capacity is worth to the work at hand. Counting each class by itself
+// valuation measures what capacity is worth to the work at hand. Counting each class by itself
 // shows what placing a task spoils: memory gone from beside idle GPUs, or a small machine that
 // only small work can use.
 type valuation []classProfile
@@ -49,7 +49,7 @@
 	return v
 }
 
-// cheapestShareOf gives the least price of a task's share of an on-demand machine.
+// cheapestShareOf returns the least price of a task's share of an on-demand machine.
 func cheapestShareOf(need Resources, types []wire.MachineType) float64 {
 	least := math.Inf(1)
 	for i := range types {
@@ -60,7 +60,7 @@
 	return least
 }
 
-// of gives what free capacity of a machine is worth.
+// of returns what free capacity of a machine is worth.
 func (v valuation) of(free Resources) float64 {
 	sum := 0.0
 	for _, k := range v {
@@ -69,7 +69,7 @@
 	return sum
 }
 
-// lost gives what placing a task takes from the worth of a machine's free capacity.
+// lost returns what placing a task takes from the worth of a machine's free capacity.
 func (v valuation) lost(m *Machine, need Resources) float64 {
 	return v.of(m.Free) - v.of(m.Free.AddScaled(need, -1))
 }
@@ -79,7 +79,7 @@
 // the machines that they begin on.
 const opportunityCostShare = 0.5
 
-// opportunityCost gives what another class of jobs would lose, at most, by having to take the
+// opportunityCost returns what another class of jobs would lose, at most, by having to take the
 // next best type if there were one machine less of type t.
 func (v valuation) opportunityCost(j *Job, t *wire.MachineType, spot bool, types []wire.MachineType) float64 {
 	most := 0.0
@@ -97,7 +97,7 @@
 	return most
 }
 
-// sharePrices gives the price of a task's share of a machine of type t, and of the cheapest other
+// sharePrices returns the price of a task's share of a machine of type t, and of the cheapest other
 // type that the class may use; infinite where it may use none.
 func (k *classProfile) sharePrices(t *wire.MachineType, types []wire.MachineType) (own, other float64) {
 	own, other = math.Inf(1), math.Inf(1)
