--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -28,7 +28,7 @@
 	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
 }
 
-// ask lists the keys of the state service by a controller's door, and tells the status, 0 for no
+// ask lists the keys of the state service through a controller's address, and returns the status, 0 for no
 // answer.
 func ask(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
 	t.Helper()
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestGoldenMessages: what an emulated world keeps and tells has the fields that it had.
+// TestGoldenMessages: what an emulated cluster stores and sends has the fields that it had.
 func TestGoldenMessages(t *testing.T) {
 	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -33,7 +33,7 @@
 type Client struct {
 	// OpenStream opens a stream to a peer.
 	OpenStream func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error)
-	// Writer names the peer that writes a job, empty where this controller does; avoid tells which
+	// Writer names the peer that writes a job, empty where this controller does; avoid reports which
 	// peers not to take.
 	Writer func(job string, avoid func(name string) bool) string
 	Log    *slog.Logger
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -13,7 +13,7 @@
 	goldentest.CheckGob[answer, frozenAnswer](t, "answer.gob")
 }
 
-// TestGoldenCodes: the numbers by which verbs and failures are told stay as they are.
+// TestGoldenCodes: the numbers that encode verbs and failures never change.
 func TestGoldenCodes(t *testing.T) {
 	verbs := []Verb{Submit, Cancel}
 	for i, v := range verbs {
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -63,7 +63,7 @@
 	failedNotUnderstood // the writer does not understand the request, so that the sender does it itself
 )
 
-// failures are the errors that are told apart, those that wrap another first.
+// failures are the errors that have a number of their own, those that wrap another first.
 var failures = []struct {
 	code failure
 	err  error
@@ -95,7 +95,7 @@
 	return out
 }
 
-// outcome returns what an answer says.
+// outcome decodes an answer.
 func (a *answer) outcome() (rec store.JobRecord, created bool, err error) {
 	switch a.Failure {
 	case none:
--- a/internal/ingest/balancer.go
+++ b/internal/ingest/balancer.go
@@ -32,7 +32,7 @@
 }
 
 // Target names the peer that should take the heartbeats of a machine which has just sent one here,
-// or none. local is how many machines report here, and peers how many report to each peer that
+// or none. local is how many machines send theirs here, and peers how many send them to each peer that
 // could take more. A machine on a new connection is sent away at once, others a few at a time.
 func (b *Balancer) Target(now time.Time, leader, newConnection bool, local int, peers map[string]int) string {
 	if b.limiter == nil {
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -61,7 +61,7 @@
 	return uplink, receiver
 }
 
-// manyHeartbeats makes reports of machines with some tasks each.
+// manyHeartbeats returns heartbeats of machines with some tasks each.
 func manyHeartbeats(n int) []*wire.Heartbeat {
 	out := make([]*wire.Heartbeat, n)
 	for i := range out {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// BenchmarkForward passes reports of 3,000 machines, many at once, as a crowd of workers does:
+// BenchmarkForward forwards heartbeats of 3,000 machines, many at once, as at a large site:
 // one in eight has changed since its last.
 func BenchmarkForward(b *testing.B) {
 	uplink, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
--- a/internal/ingest/codec.go
+++ b/internal/ingest/codec.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sameContent reports whether two heartbeats of a machine say the same but for their numbers.
+// sameContent reports whether two heartbeats of a machine are equal but for their numbers.
 func (it *item) sameContent(other *item) bool {
 	return it.Session == other.Session && it.Addr == other.Addr && it.Type == other.Type && it.Zone == other.Zone && it.Spot == other.Spot &&
 		!it.Noticed && !other.Noticed && slices.Equal(it.Tasks, other.Tasks)
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// peerLoadInterval is the time between two looks at the load of the peers.
+// peerLoadInterval is the time between two readings of the load of the peers.
 const peerLoadInterval = 300 * time.Millisecond
 
 // Gateway decides what becomes of the heartbeats that workers send to a controller: the leader
@@ -25,16 +25,16 @@
 	// Leader names the peer that leads the shard of a heartbeat's machine, by the state service;
 	// for nil the peer that leads the fleet, if that is one shard.
 	Leader func(r *wire.Heartbeat) string
-	// PeerLoads returns how many machines report to each peer that can take more of them. leader
-	// says that this controller leads the fleet. It is called a few times a second at most.
+	// PeerLoads returns how many machines send their heartbeats to each peer that can take more of
+	// them. leader is true if this controller leads the fleet. It is called a few times a second at most.
 	PeerLoads func(leader bool) map[string]int
 	// Leads reports whether this controller leads a shard.
 	Leads func() bool
-	// Sharded says that the fleet has several shards: the leader of one forwards the heartbeats of
+	// Sharded reports whether the fleet has several shards: then the leader of one forwards the heartbeats of
 	// others, and takes as many machines as its peers.
 	Sharded   bool
 	Forwarder Forwarder
-	// ReportingWindow is for how long after its heartbeat a machine counts as reporting here.
+	// ReportingWindow is for how long after a heartbeat the machine counts as sending them here.
 	ReportingWindow time.Duration
 
 	reporters reporters
@@ -143,7 +143,8 @@
 	return reporting + redirected
 }
 
-// Observations counts by zone the machines that report here, and those that are overdue.
+// Observations counts by zone the machines that send their heartbeats here, and those whose
+// heartbeats are overdue.
 func (g *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	return g.reporters.observations(now, overdue)
 }
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -62,7 +62,7 @@
 	l.leader = name
 }
 
-// onLink plays a story on a fake clock.
+// onLink runs a test with a link, on a fake clock.
 func onLink(t *testing.T, decide func(*wire.Heartbeat) worker.HeartbeatResult, play func(ctx context.Context, l *link), setup ...func(*link)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -93,7 +93,7 @@
 	})
 }
 
-// TestDeltaCodecOmitsUnchanged: a report that says the same as the machine's last one is whole
+// TestDeltaCodecOmitsUnchanged: a heartbeat that equals the machine's last one is whole
 // again on the other side, after a change, an end, a new incarnation and a new stream too.
 func TestDeltaCodecOmitsUnchanged(t *testing.T) {
 	var got *wire.Heartbeat
@@ -161,7 +161,7 @@
 }
 
 // TestFencingCallsAreShared: the calls that the leader asks a peer for are made, as many at once as
-// the peer can make, and their outcomes are told; those of failed calls too.
+// the peer can make, and the leader gets their outcomes, those of failed calls too.
 func TestFencingCallsAreShared(t *testing.T) {
 	var mu sync.Mutex
 	asked, told, open, most := 0, map[string]bool{}, 0, 0
@@ -264,9 +264,9 @@
 	})
 }
 
-// TestTornStream: a stream that breaks with heartbeats on their way leaves none of them
+// TestBrokenStream: a stream that breaks with heartbeats in flight leaves none of them
 // without an outcome, and the next one begins with whole heartbeats.
-func TestTornStream(t *testing.T) {
+func TestBrokenStream(t *testing.T) {
 	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		time.Sleep(500 * time.Millisecond)
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
@@ -293,7 +293,7 @@
 	})
 }
 
-// TestBalancer is a table of who takes whose reports.
+// TestBalancer is a table of which controller takes which heartbeats.
 func TestBalancer(t *testing.T) {
 	for name, c := range map[string]struct {
 		leader, fresh bool
@@ -303,7 +303,7 @@
 	}{
 		"a holder with few keeps them":                    {leader: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
 		"a holder with many sends on, to the least":       {leader: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
-		"a holder without siblings keeps all":             {leader: true, fresh: true, mine: 5000, want: ""},
+		"a leader without peers keeps all":                {leader: true, fresh: true, mine: 5000, want: ""},
 		"nobody is sent where there is no room":           {leader: true, fresh: true, mine: 5000, others: map[string]int{"b": 2000, "c": 2500}, want: ""},
 		"an edge with its share keeps it":                 {mine: 1000, others: map[string]int{"b": 900, "c": 950}, want: ""},
 		"an edge with far more sends on":                  {mine: 1500, others: map[string]int{"b": 100, "c": 900}, want: "b"},
@@ -322,7 +322,7 @@
 	s, now := Balancer{LeaderKeeps: 200, Capacity: 3000}, time.Unix(1e9, 0)
 	mine, others := 5000, map[string]int{"b": 0, "c": 0}
 	for range 60 {
-		for range mine / 8 { // those that report in this second
+		for range mine / 8 { // those that send a heartbeat in this second
 			now = now.Add(time.Second * 8 / time.Duration(mine))
 			if to := s.Target(now, true, false, mine, others); to != "" {
 				mine--
@@ -352,7 +352,7 @@
 	})
 }
 
-// BenchmarkBalancer is what each report to a crowded controller costs beside its answer.
+// BenchmarkBalancer measures the cost of each heartbeat to an overloaded controller beside its answer.
 func BenchmarkBalancer(b *testing.B) {
 	s, others := Balancer{LeaderKeeps: 200, Capacity: 3000}, map[string]int{}
 	for i := range 4 {
@@ -413,14 +413,14 @@
 		open := l.Uplink.OpenStream
 		l.Uplink.OpenStream = func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error) {
 			conn, _, err := open(ctx, peer, kind)
-			c := &lossyConn{Conn: conn, lose: 13} // with the fifth report
+			c := &lossyConn{Conn: conn, lose: 13} // with the fifth heartbeat
 			return c, gob.NewEncoder(c), err
 		}
 	})
 }
 
 // TestFencingCallsOfALostStream: a peer that was given calls is gone, and back at once. They are made
-// by no one, and the leader is told so.
+// by no one, and the leader learns that.
 func TestFencingCallsOfALostStream(t *testing.T) {
 	var mu sync.Mutex
 	given, vain := 0, map[string]bool{}
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -38,9 +38,9 @@
 	Tasks              []wire.ReportedTask
 }
 
-// reply is what the leader says to a batch: its answers, and the calls that it asks for.
+// reply is the leader's response to a batch: its answers, and the calls that it asks for.
 type reply struct {
-	Number  uint64 // of the batch; 0 from a version that does not say it
+	Number  uint64 // of the batch; 0 from a version that does not send it
 	Answers []answer
 	Calls   []reachability.FencingCall
 }
@@ -96,7 +96,7 @@
 	return a
 }
 
-// result returns what an answer says.
+// result decodes an answer.
 func (a *answer) result() worker.HeartbeatResult {
 	if !a.Entitled {
 		return worker.HeartbeatResult{Leader: a.Holder}
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -128,7 +128,7 @@
 	return answers, true
 }
 
-// takeOutcomes takes in what became of the fencing calls that a batch tells of.
+// takeOutcomes applies the outcomes of the fencing calls in a batch.
 func (h *Receiver) takeOutcomes(b *batch, outstandingCalls map[string]bool) {
 	for _, it := range b.Heard {
 		delete(outstandingCalls, it.Machine)
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// countInterval is how often the machines that report here are counted.
+	// countInterval is how often the machines that send their heartbeats here are counted.
 	countInterval = time.Second
 	// forgetAfter is after how long without a heartbeat a machine is forgotten.
 	forgetAfter = time.Minute
-	// overdueObservationAge is for how long an overdue machine tells something about its zone: by
-	// then it may send its heartbeats elsewhere.
+	// overdueObservationAge is for how long an overdue machine is evidence about its zone: after
+	// that it may be sending its heartbeats elsewhere.
 	overdueObservationAge = 15 * time.Second
 )
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// counts returns how many machines report here, as of the last second, and how many heartbeats
+// counts returns how many machines send their heartbeats here, as of the last second, and how many heartbeats
 // were redirected in the second before. A machine reports if its last heartbeat is within window.
 func (r *reporters) counts(window time.Duration) (reporting, redirected int) {
 	r.mu.Lock()
@@ -87,7 +87,7 @@
 	return r.count, r.redirectedLastSecond
 }
 
-// observations counts by zone the machines that report here, and those that are overdue. Machines
+// observations counts by zone the machines that send their heartbeats here, and those that are overdue. Machines
 // that were sent elsewhere are neither.
 func (r *reporters) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	r.mu.Lock()
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -41,7 +41,7 @@
 	failedCalls    []string // machines that have not answered since then
 	runningCalls   sync.WaitGroup
 
-	// proven says that the leader has answered a batch, so that it is worth waiting for.
+	// proven is set once the leader has answered a batch, so that it is worth waiting for.
 	proven bool
 }
 
@@ -231,7 +231,7 @@
 	return out
 }
 
-// abandon tells those who wait for answers that none will come.
+// abandon ends the wait for answers to heartbeats whose answers are lost.
 func (u *Uplink) abandon(heartbeats []*pendingHeartbeat) {
 	for _, p := range heartbeats {
 		close(p.answer)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -3,7 +3,7 @@
 // ideas of the SWIM family (suspicion before removal, evidence of several observers) over the
 // heartbeats that controllers send each other anyway.
 //
-// No safety rule rests on it. It says who should lead which shard, and when it is worth while to
+// No safety rule rests on it. It decides who should lead which shard, and when it is worth while to
 // revoke a dead leader's lease before it expires; the fence in the state service decides who leads.
 package membership
 
@@ -35,15 +35,15 @@
 	// SuspectAfter is after how long without a heartbeat a peer is suspected: two may be lost or late.
 	SuspectAfter = 2500 * time.Millisecond
 	// DeadAfter is for how long no controller may have got a heartbeat of a peer before it counts
-	// as dead. What others say of it is up to an interval old.
+	// as dead. What other controllers report about it is up to an interval old.
 	DeadAfter = 4 * time.Second
 )
 
-// HeartbeatAges says, by peer, how long ago a controller got its last heartbeat. It is part of a
+// HeartbeatAges maps each peer to how long ago a controller got its last heartbeat. It is part of a
 // gob message, which needs its form but not its name.
 type HeartbeatAges map[string]time.Duration
 
-// peerState is what the last heartbeat of a peer said.
+// peerState is the content of a peer's last heartbeat.
 type peerState struct {
 	lastHeartbeat  time.Time
 	storeReachable bool
@@ -65,7 +65,7 @@
 	return d
 }
 
-// RecordHeartbeat takes in a peer's heartbeat, and what it says of the other peers.
+// RecordHeartbeat records a peer's heartbeat, and the ages that it reports for the other peers.
 func (d *Detector) RecordHeartbeat(now time.Time, name string, storeReachable bool, reportedAges HeartbeatAges) {
 	if s := d.peers[name]; s != nil {
 		s.lastHeartbeat, s.storeReachable, s.reportedAges = now, storeReachable, reportedAges
--- a/internal/membership/incarnations.go
+++ b/internal/membership/incarnations.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Incarnations tells the heartbeats of a peer's present process from those of an earlier one, which
-// may arrive late: what an earlier incarnation said of itself and of others holds no longer. It is
+// Incarnations distinguishes the heartbeats of a peer's present process from those of an earlier one, which
+// may arrive late: what an earlier incarnation reported about itself and others is obsolete. It is
 // not safe for concurrent use.
 type Incarnations struct{ latest map[string]incarnation }
 
@@ -18,13 +18,13 @@
 
 // Superseded reports whether another incarnation has followed the one that started at startedAt. A
 // clock may have been set back between the two, so this holds only while heartbeats of the other
-// one come. An incarnation of a version that doesn't say when it started is never superseded.
+// one come. An incarnation of a version that doesn't send its start time is never superseded.
 func (n *Incarnations) Superseded(now time.Time, name string, startedAt int64) bool {
 	last := n.latest[name]
 	return startedAt != 0 && startedAt < last.startedAt && now.Sub(last.lastHeartbeat) < SuspectAfter
 }
 
-// Accept takes in a heartbeat, and reports whether it is news: not of an earlier incarnation, not a
+// Accept records a heartbeat, and reports whether it is news: not of an earlier incarnation, not a
 // copy, and not overtaken by a later one.
 func (n *Incarnations) Accept(now time.Time, name string, startedAt int64, sequence uint64) bool {
 	last, known := n.latest[name]
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -221,7 +221,7 @@
 }
 
 // ObserveAnswer is called with each answer to a user, whose request and answer are taken to have
-// no duration. cancelRequested says that this user has asked to cancel the job.
+// no duration. cancelRequested is true if this user has asked to cancel the job.
 func (c *Checker) ObserveAnswer(id string, status int, stage wire.Stage, asked bool) {
 	now := time.Now()
 	c.ObserveAnswerAt(id, status, stage, asked, now, now)
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -71,7 +71,7 @@
 	delete(f.jobs, job)
 }
 
-// ObserveAnswer handles any answer to a user. cancels says that the user has asked to cancel the
+// ObserveAnswer handles any answer to a user. cancels is true if the user has asked to cancel the
 // job, poll that the request was a poll.
 func (f *LivenessChecker) ObserveAnswer(now time.Time, job string, status int, stage wire.Stage, cancels, poll bool) {
 	switch {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -44,7 +44,7 @@
 	return c.Conn.Close()
 }
 
-// What the protocol says of users and of the balancer.
+// What the protocol specifies for users and the balancer.
 const (
 	pollEvery      = 5 * time.Second
 	pollTimeout    = 2 * time.Second
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -24,7 +24,7 @@
 // Client calls workers at their own addresses.
 type Client struct{ caller transport.Caller }
 
-// NewClient gives a client that keeps so many unused connections at most: those to thousands of
+// NewClient returns a client that keeps so many unused connections at most: those to thousands of
 // workers would take all sockets.
 func NewClient(net transport.Network, maxIdleConns int) *Client {
 	return &Client{transport.Caller{MaxBody: maxAnswer, MaxIdle: maxIdleConns, Dial: net.Dial}}
