--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -24,11 +24,11 @@
 // node is a service with all that it needs, and a state service.
 type node struct {
 	*Service
-	store  *simulator.StateService
-	folder *archive.Compactor
-	stall  func()                // its view follows no more, but for barriers
-	hold   func(d time.Duration) // what it sends leaves late
-	slow   *slowWrites
+	store     *simulator.StateService
+	compactor *archive.Compactor
+	stall     func()                // its view follows no more, but for barriers
+	hold      func(d time.Duration) // what it sends leaves late
+	slow      *slowWrites
 }
 
 // slowWrites has transactions that come on a connection be carried out later than they were sent.
@@ -75,9 +75,9 @@
 	go o.Intake.Run(ctx)
 	go o.Canceller.Run(ctx)
 	time.Sleep(time.Second)
-	part, _ := v.Leader("fleet")
-	o.folder = &archive.Compactor{Store: c, View: v, Follower: f, Reader: r, Log: log, Limits: archive.Limits{ValueBytes: 8192, TxnOps: 12},
-		Fence:         wire.Condition{Key: store.LeaderKey("fleet"), Version: part.Version},
+	leader, _ := v.Leader("fleet")
+	o.compactor = &archive.Compactor{Store: c, View: v, Follower: f, Reader: r, Log: log, Limits: archive.Limits{ValueBytes: 8192, TxnOps: 12},
+		Fence:         wire.Condition{Key: store.LeaderKey("fleet"), Version: leader.Version},
 		JobsWithTasks: func() (map[string]bool, bool) { return nil, true }, LeaseValid: func() bool { return true }, Interval: time.Second, MergeThreshold: 0}
 	return o
 }
@@ -125,18 +125,18 @@
 	}
 }
 
-// fold folds all that is over into the history.
-func (o *node) fold(t *testing.T) {
+// compact moves all ended jobs into the history.
+func (o *node) compact(t *testing.T) {
 	t.Helper()
 	_ = o.Follow.Barrier(t.Context())
 	for range 20 {
-		if _, err := o.folder.Step(t.Context()); err != nil {
+		if _, err := o.compactor.Step(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
 	}
 	if n := len(o.View.EndedBatches(9, func(*store.Batch) bool { return true })); n > 0 {
-		t.Fatalf("%d homes are not folded", n)
+		t.Fatalf("%d batches are not compacted", n)
 	}
 }
 
@@ -152,7 +152,7 @@
 		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
-		a.fold(t)
+		a.compact(t)
 		a.ask(t, "status", "wk-1", "withdrawn")
 		if n := s.ReleaseHeld(); n != 0 {
 			t.Errorf("%d late submissions were taken", n)
@@ -179,7 +179,7 @@
 		a.ask(t, "cancel", "wk-1", "withdrawn")
 		// b's submission was looked up long ago, and goes out only now.
 		gate := b.View.SubmissionFence().Version
-		a.fold(t)
+		a.compact(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: "wk-1", Tasks: 1}}
 		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errFenceMoved {
 			t.Errorf("the submission became %v", err)
@@ -265,7 +265,7 @@
 			t.Errorf("answered after %v", d)
 		}
 		a.ask(t, "status", "wk-7", "done")
-		a.fold(t)
+		a.compact(t)
 		a.ask(t, "submit", "wk-500", "pending")
 	})
 }
@@ -316,7 +316,7 @@
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		overtaken(t, a, b, func() { b.hold(800 * time.Millisecond) })
 		if n := len(s.Page(store.BatchKey(""), "", 0).Items); n != 2 {
-			t.Errorf("the job has %d homes", n)
+			t.Errorf("the job is in %d batches", n)
 		}
 		for _, o := range []*node{a, b} {
 			_ = o.Follow.Barrier(t.Context())
@@ -336,7 +336,7 @@
 }
 
 // TestOlderListAfterOwnWrite: a list that was begun before a cancellation is taken in after it was
-// told. What is asked next is read behind a barrier, and no launch finds the job's home as the list shows it.
+// told. What is asked next is read behind a barrier, and no launch finds the job's batch as the list shows it.
 func TestOlderListAfterOwnWrite(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.ask(t, "submit", "wk-1", "pending")
@@ -428,7 +428,7 @@
 		a.ask(t, "submit", "wk-1", string(wire.Pending))
 		again(wire.Pending)
 		a.ask(t, "cancel", "wk-1", string(wire.Cancelled))
-		a.fold(t)
+		a.compact(t)
 		time.Sleep(10 * time.Minute)
 		again(wire.Cancelled)
 		b.ask(t, "cancel", "wk-1", string(wire.Cancelled))
@@ -442,7 +442,7 @@
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.ask(t, "submit", "wk-1", "pending")
 		a.ask(t, "cancel", "wk-1", "withdrawn")
-		a.fold(t)
+		a.compact(t)
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("y"), Value: "garbled"}}})
 		time.Sleep(time.Second)
 		b.History.(*archive.Reader).Reset()
@@ -480,7 +480,7 @@
 // answered otherwise, and goes into the history only once the gate has moved.
 func TestLateSubmissionBeforeGate(t *testing.T) {
 	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		a.folder.MergeThreshold = 99
+		a.compactor.MergeThreshold = 99
 		s.Configure(func(s *simulator.StateService) {
 			s.HoldTxn = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
@@ -488,7 +488,7 @@
 		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
 		b.ask(t, "submit", "wk-1", "pending")
 		b.ask(t, "cancel", "wk-1", "withdrawn")
-		a.fold(t)
+		a.compact(t)
 		if n := s.ReleaseHeld(); n != 1 {
 			t.Errorf("%d late submissions were taken", n)
 		}
@@ -504,8 +504,8 @@
 			}
 		}
 		still()
-		a.folder.MergeThreshold = 0
-		a.fold(t)
+		a.compactor.MergeThreshold = 0
+		a.compact(t)
 		still()
 	})
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -28,13 +28,13 @@
 				d, _ := time.ParseDuration(w[1])
 				now = zero.Add(d)
 				return told(c.Expire(now))
-			case "answer": // to a report that was sent so long ago
+			case "answer": // to a heartbeat that was sent so long ago
 				ago, _ := time.ParseDuration(kv["sent"])
-				session := c.Incarnation()
+				incarnation := c.Incarnation()
 				if kv["session"] != "" {
-					session = num("session")
+					incarnation = num("session")
 				}
-				return told(c.HandleAnswer(now, now.Add(-ago), session, wire.HeartbeatResponse{FencingToken: num("term"), Commands: commands(w[1:])}))
+				return told(c.HandleAnswer(now, now.Add(-ago), incarnation, wire.HeartbeatResponse{FencingToken: num("term"), Commands: commands(w[1:])}))
 			case "do":
 				e, ok := c.HandleDirect(now, wire.CommandRequest{FencingToken: num("term"), Incarnation: num("session"), Commands: commands(w[1:])})
 				return append([]string{fmt.Sprintf("executed %v", ok)}, told(e)...)
--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -302,16 +302,16 @@
 		says string
 		item wire.KeyValue
 	}{
-		"a gap":                {"covered", block("0250", "03")},
-		"out of order":         {"does not cover", block("0250", "", entry("wk-99"))},
-		"no last block":        {"covered", wire.KeyValue{}},
-		"a newer block":        {"newer", put(store.ArchivePrefix+"0250", newer)},
-		"a damaged block":      {"damaged", put(store.ArchivePrefix+"0250", damaged)},
-		"a differing answer":   {"is called", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
-		"a job that came back": {"live", put(store.BatchKey("b"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-7": {Stage: wire.Pending, Job: &wire.Job{ID: "wk-7"}}}})},
-		"a term above":         {"term", put(store.LeaderKey("fleet"), store.LeaderRecord{FencingToken: 5, Format: 2})},
-		"an unknown key":       {"unknown", put(store.StatePrefix+"what/1", 1)},
-		"a newer state":        {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatSharded + 1})},
+		"a gap":                 {"covered", block("0250", "03")},
+		"out of order":          {"does not cover", block("0250", "", entry("wk-99"))},
+		"no last block":         {"covered", wire.KeyValue{}},
+		"a newer block":         {"newer", put(store.ArchivePrefix+"0250", newer)},
+		"a damaged block":       {"damaged", put(store.ArchivePrefix+"0250", damaged)},
+		"a differing answer":    {"is called", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
+		"a job that came back":  {"live", put(store.BatchKey("b"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-7": {Stage: wire.Pending, Job: &wire.Job{ID: "wk-7"}}}})},
+		"a fencing token above": {"term", put(store.LeaderKey("fleet"), store.LeaderRecord{FencingToken: 5, Format: 2})},
+		"an unknown key":        {"unknown", put(store.StatePrefix+"what/1", 1)},
+		"a newer state":         {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatSharded + 1})},
 	} {
 		items := map[string]wire.KeyValue{}
 		for _, it := range whole {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -95,13 +95,13 @@
 	}
 }
 
-// TestParts: how the fleet is divided is checked against the platform's zones, and faults
+// TestShards: how the fleet is divided is checked against the platform's zones, and faults
 // name the field, the value and what is allowed.
-func TestParts(t *testing.T) {
+func TestShards(t *testing.T) {
 	c := &Config{Zones: []string{"b", "a", "c"}}
-	for by, parts := range map[string]string{"off": "fleet", "zone": "a b c", "2": "part-0 part-1", "3": "a b c", "1": "fleet"} {
+	for by, shards := range map[string]string{"off": "fleet", "zone": "a b c", "2": "part-0 part-1", "3": "a b c", "1": "fleet"} {
 		c.Tuning.Shards.By = by
-		if err := c.checkShards(); err != nil || strings.Join(c.Sharding().Shards(), " ") != parts {
+		if err := c.checkShards(); err != nil || strings.Join(c.Sharding().Shards(), " ") != shards {
 			t.Errorf("%s: %v, %v", by, c.Sharding().Shards(), err)
 		}
 	}
--- a/internal/config/grants_test.go
+++ b/internal/config/grants_test.go
@@ -16,7 +16,7 @@
 }
 
 // TestGrantsFit: settings are refused, with all that matters named, under which the grants of all
-// teams to all parts could grow larger than one value.
+// teams to all shards could grow larger than one value.
 func TestGrantsFit(t *testing.T) {
 	c := &Config{Zones: []string{"a", "b", "c", "d", "e"}, Store: Store{ValueBytes: 16 << 10}, Tuning: DefaultTuning()}
 	for _, x := range []struct {
@@ -30,36 +30,36 @@
 		{"zone", manyTeams(2000, 0), ""}, // without limits nothing is granted
 		{"zone", manyTeams(530, 64), `parts.by: "zone" with 530 teams that have a limit: must be so that what is granted to each team in each of 5 parts fits into one value of the state service: it may take 84812 bytes, and params.state.value_kb allows 16384`},
 		{"2", manyTeams(530, 64), "in each of 2 parts"},
-		{"9", manyTeams(530, 64), ""}, // which checkParts names
+		{"9", manyTeams(530, 64), ""}, // which checkShards names
 	} {
 		c.Tuning.Shards.By, c.Teams = x.by, x.teams
 		err := c.checkGrants()
 		if (err == nil) != (x.fault == "") || err != nil && !strings.Contains(err.Error(), x.fault) {
-			t.Errorf("parts by %s, %d teams: %v, not %q", x.by, len(x.teams), err, x.fault)
+			t.Errorf("shards by %s, %d teams: %v, not %q", x.by, len(x.teams), err, x.fault)
 		}
 	}
 }
 
 // TestGrantBytes: no record of grants takes more than its bound.
 func TestGrantBytes(t *testing.T) {
-	parts := []string{"a", "part-\"1\""}
+	shards := []string{"a", "part-\"1\""}
 	c := &Config{Teams: append(manyTeams(30, 1e6), Team{Name: strings.Repeat("\u2028<é", 60), CPUsMax: 1, GPUsMax: 3})}
 	record := map[string]map[string]map[string][2]float64{"teams": {}}
 	for i, team := range c.Teams {
 		record["teams"][team.Name] = map[string][2]float64{}
-		for _, part := range parts {
+		for _, shard := range shards {
 			amounts := [2]float64{0, math.Nextafter(0.1, float64(i%2))}
 			if team.CPUsMax > 0 {
 				amounts[0] = 123456.78901234567
 			}
-			record["teams"][team.Name][part] = amounts
+			record["teams"][team.Name][shard] = amounts
 		}
 	}
 	text, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, bound := c.grantRecordBytes(parts); len(text) > bound {
+	if _, bound := c.grantRecordBytes(shards); len(text) > bound {
 		t.Errorf("%d bytes, more than the bound of %d", len(text), bound)
 	}
 }
--- a/internal/fleet/proofs_test.go
+++ b/internal/fleet/proofs_test.go
@@ -33,7 +33,7 @@
 		{"3: the lease ran out", true, func(f *Fleet) { f.ExpireLeases(begun.Add(lease + 2*proofMargin)) }, true},
 		{"the lease may not have run out", true, func(f *Fleet) { f.ExpireLeases(begun.Add(lease)) }, false},
 		{"4: the cloud no longer has it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
-		{"5: earlier leaders are silent, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(begun.Add(time.Minute + lease + 2*proofMargin)) }, true},
+		{"5: earlier leaders have stopped responding, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(begun.Add(time.Minute + lease + 2*proofMargin)) }, true},
 		{"an earlier leader may still respond", false, func(f *Fleet) { f.ExpireLeases(begun.Add(lease + 2*proofMargin)) }, false},
 	} {
 		f := New(5, begun, lease, time.Minute, 0)
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -301,8 +301,8 @@
 		others        map[string]int
 		want          string
 	}{
-		"a holder with few keeps them":                    {leader: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
-		"a holder with many sends on, to the least":       {leader: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
+		"a leader with few keeps them":                    {leader: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
+		"a leader with many sends on, to the least":       {leader: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
 		"a leader without peers keeps all":                {leader: true, fresh: true, mine: 5000, want: ""},
 		"nobody is sent where there is no room":           {leader: true, fresh: true, mine: 5000, others: map[string]int{"b": 2000, "c": 2500}, want: ""},
 		"an edge with its share keeps it":                 {mine: 1000, others: map[string]int{"b": 900, "c": 950}, want: ""},
@@ -340,12 +340,12 @@
 func FuzzItems(f *testing.F) {
 	f.Add("n-1", uint64(1), uint64(2), true, false, 0.0)
 	f.Add("n-2", uint64(0), uint64(0), false, true, 3.5)
-	f.Fuzz(func(t *testing.T, machine string, session, seq uint64, same, noticed bool, notice float64) {
+	f.Fuzz(func(t *testing.T, machine string, incarnation, seq uint64, same, noticed bool, notice float64) {
 		m, now := newDeltaCodec(), time.Unix(1e9, 0)
 		_, _ = m.expand(now, pack(manyHeartbeats(1)[0]))
-		it := item{Machine: machine, Session: session, Seq: seq, Same: same, Noticed: noticed, NoticeS: notice}
+		it := item{Machine: machine, Session: incarnation, Seq: seq, Same: same, Noticed: noticed, NoticeS: notice}
 		if whole, ok := m.expand(now, it); ok {
-			if r := whole.heartbeat(); r.Machine != machine || r.Incarnation != session || r.Seq != seq || same && len(r.Tasks) != 5 {
+			if r := whole.heartbeat(); r.Machine != machine || r.Incarnation != incarnation || r.Seq != seq || same && len(r.Tasks) != 5 {
 				t.Errorf("%+v became %+v", it, r)
 			}
 		}
--- a/internal/simulator/heartbeat_replayer_test.go
+++ b/internal/simulator/heartbeat_replayer_test.go
@@ -19,16 +19,16 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var mu sync.Mutex
 		var old int
-		term := uint64(1)
+		token := uint64(1)
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, serveHTTP(func(_, _ string, _ map[string]string, body []byte) (int, any) {
 			var r wire.Heartbeat
 			_ = wire.Decode(body, &r)
 			mu.Lock()
 			defer mu.Unlock()
-			if r.FencingToken == 1 && term == 2 {
+			if r.FencingToken == 1 && token == 2 {
 				old++
 			}
-			return 200, wire.HeartbeatResponse{FencingToken: term, Commands: []wire.Command{}}
+			return 200, wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 		}))
 		time.Sleep(time.Second)
 		echo := &HeartbeatReplayer{Dial: n.Host("10.4.0.1").Dial, Controllers: []string{"10.0.0.1:8080"}, MaxDelay: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
@@ -42,7 +42,7 @@
 			t.Error("they came while the same leader acted")
 		}
 		mu.Lock()
-		term = 2
+		token = 2
 		mu.Unlock()
 		time.Sleep(3 * time.Second)
 		mu.Lock()
--- a/internal/simulator/network_test.go
+++ b/internal/simulator/network_test.go
@@ -16,7 +16,7 @@
 func TestHeldMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		n, begun, heard := NewNetwork(), time.Now(), []string{}
+		n, begun, received := NewNetwork(), time.Now(), []string{}
 		go n.Host("10.0.0.2").Listen(t.Context(), "10.0.0.2:1", 0, func(_ context.Context, s transport.Stream) {
 			for b := make([]byte, 9); ; {
 				k, err := s.Read(b)
@@ -24,7 +24,7 @@
 					return
 				}
 				mu.Lock()
-				heard = append(heard, fmt.Sprint(string(b[:k]), " ", time.Since(begun)))
+				received = append(received, fmt.Sprint(string(b[:k]), " ", time.Since(begun)))
 				mu.Unlock()
 			}
 		})
@@ -49,8 +49,8 @@
 		time.Sleep(time.Minute)
 		mu.Lock()
 		defer mu.Unlock()
-		if got := fmt.Sprint(heard); got != "[one 0s two 3s two 9s]" {
-			t.Errorf("heard: %s", got)
+		if got := fmt.Sprint(received); got != "[one 0s two 3s two 9s]" {
+			t.Errorf("received: %s", got)
 		}
 		n.Close()
 	})
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -41,13 +41,13 @@
 		}
 		time.Sleep(15 * time.Second)
 		if got := a.take(); w.ExpiredLeases() > 0 || len(got["c-0"]) < 5 || len(got["c-1"]) > 0 {
-			t.Errorf("%d sessions lost, %v", w.ExpiredLeases(), got)
+			t.Errorf("%d incarnations ended, %v", w.ExpiredLeases(), got)
 		}
 		checkPartitioned(t, w, a, direct)
 		w.DropInbound(false)
 		time.Sleep(25 * time.Second)
 		if status, err := direct(); status != 409 || w.ExpiredLeases() > 2 { // the incarnation is another
-			t.Errorf("answered %d, %v, %d sessions lost", status, err, w.ExpiredLeases())
+			t.Errorf("answered %d, %v, %d incarnations ended", status, err, w.ExpiredLeases())
 		}
 		checkReplays(t, w, a, replayer)
 		stop()
@@ -67,12 +67,12 @@
 	time.Sleep(15 * time.Second)
 	got := a.take()
 	if w.ExpiredLeases() != 1 || len(got["c-0"]) < 2 || len(got["c-1"]) < 2 {
-		t.Errorf("%d sessions lost, %v", w.ExpiredLeases(), got)
+		t.Errorf("%d incarnations ended, %v", w.ExpiredLeases(), got)
 	}
 	for _, heartbeats := range got {
 		for _, r := range heartbeats {
 			if r.FencingToken != 1 {
-				t.Errorf("it has heard: %+v", r)
+				t.Errorf("it has received: %+v", r)
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
 		time.Sleep(5 * time.Second)
 		if got := a.take()["c-0"]; len(got) < 2 {
-			t.Errorf("%d reports", len(got))
+			t.Errorf("%d heartbeats", len(got))
 		}
 		w.BlockOutbound(true)
 		time.Sleep(15 * time.Second)
@@ -123,12 +123,12 @@
 		}
 		time.Sleep(6 * time.Second)
 		if got := a.take()["c-0"]; len(got) > 0 || w.ExpiredLeases() != 1 {
-			t.Errorf("%d reports came, %d sessions lost", len(got), w.ExpiredLeases())
+			t.Errorf("%d heartbeats came, %d incarnations ended", len(got), w.ExpiredLeases())
 		}
 		w.BlockOutbound(false)
 		time.Sleep(10 * time.Second)
 		if got := a.take()["c-0"]; len(got) < 2 {
-			t.Errorf("%d reports once it is not mute", len(got))
+			t.Errorf("%d heartbeats once its outbound traffic is not blocked", len(got))
 		}
 		w.Kill()
 		stop()
--- a/internal/top/top_test.go
+++ b/internal/top/top_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestPrint: what all know is taken from who has come furthest, what holders alone know from them,
+// TestPrint: what all controllers know is taken from the one with the highest revision, what leaders alone know from them,
 // rates are since the view before, and one that does not answer is named.
 func TestPrint(t *testing.T) {
 	at := time.Unix(1e9, 0)
