--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -30,7 +30,7 @@
 	slotSlack  = 64
 )
 
-// add takes in a slot, unless there are enough better ones. With all none is left out.
+// add adds a slot, unless there are enough better ones. With all none is left out.
 func (l *slotList) add(s slot, all bool) {
 	if s.wait >= l.cutoff {
 		return
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -160,7 +160,7 @@
 	})
 }
 
-// placeAll places each waiting task of the job on the machine that pick gives, or leaves
+// placeAll places each waiting task of the job on the machine that pick returns, or leaves
 // everything as it was and returns nil.
 func (s *search) placeAll(pick func() *Machine) (picks []*Machine) {
 	at := s.planner.savepoint()
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -104,7 +104,7 @@
 	return running
 }
 
-// rebalanceServices mends services that are not spread as their rules demand: one replica is
+// rebalanceServices repairs services that are not spread as their rules demand: one replica is
 // stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
 // a service at most, few in all, and none while production waits anywhere.
 func (pl *planner) rebalanceServices() {
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -15,12 +15,12 @@
 const (
 	// starvationLimit is for how long a job is passed over beside idle capacity, at most.
 	starvationLimit = 60 * time.Second
-	// idleCapacityStep is how finely idle capacity is remembered.
+	// idleCapacityStep is the resolution at which idle capacity is recorded.
 	idleCapacityStep  = 15 * time.Second
 	idleCapacitySteps = int(starvationLimit/idleCapacityStep) + 1
 )
 
-// IdleCapacity remembers what has been free on a machine of late. The zero value knows of nothing.
+// IdleCapacity records what has been free on a machine recently. The zero value has no record.
 type IdleCapacity struct {
 	step  int64                        // the present one, counted from 1970
 	least [idleCapacitySteps]Resources // in each step, the present one first
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -7,7 +7,7 @@
 	GuaranteedCPUs, GuaranteedGPUs   float64
 	LimitCPUs, LimitGPUs             float64 // of this shard
 	UsedCPUs, UsedGPUs               float64 // in this shard, with all that the plan has placed so far
-	RemoteUsedCPUs, RemoteUsedGPUs   float64 // in other shards, as they last told
+	RemoteUsedCPUs, RemoteUsedGPUs   float64 // in other shards, as they last reported
 	GlobalLimitCPUs, GlobalLimitGPUs float64 // of all shards together
 }
 
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// take uses up so much of what an offer frees within a number of steps, if it is enough, and gives
+// take uses up so much of what an offer frees within a number of steps, if it is enough, and returns
 // the step in which it is.
 func (t turnover) take(offer int, need Resources, steps int) (step int, ok bool) {
 	var sum Resources
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -36,7 +36,7 @@
 				_, _ = io.Copy(io.Discard, s)
 				return
 			}
-			if status == 0 { // swallowed: the caller gets no answer
+			if status == 0 { // the request is dropped: the caller gets no answer
 				return
 			}
 			resp := &httpwire.Response{Status: status, Body: encode(body)}
