--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -18,6 +18,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -847,10 +848,9 @@
 		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
 		l := &delayedCloud{simulation: w, requests: map[string]int{}, firstSent: map[string]time.Time{}, held: map[string]time.Time{}, abandoned: map[string]bool{},
 			rentedLate: map[string]bool{}, delayedCounts: map[string]int{}}
-		jobs := 0
+		var jobs atomic.Int64
 		array := func(run time.Duration) {
-			jobs++
-			w.user(&wire.Job{ID: fmt.Sprint("wk-", jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 10, CPUs: 2, GPUs: 1, MemoryGB: 8,
+			w.user(&wire.Job{ID: fmt.Sprint("wk-", jobs.Add(1)), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 10, CPUs: 2, GPUs: 1, MemoryGB: 8,
 				Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 		}
 		kills := 0
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -336,9 +336,10 @@
 	})
 	w.replayHeartbeats(seed, 0.05)
 	w.group.Go(func() {
+		jobs := rand.New(rand.NewPCG(seed, 18)) // a generator is not safe for concurrent use
 		for i := range 24 {
-			w.submitCompletionJob(rng, i)
-			time.Sleep(time.Duration(rng.IntN(7000)) * time.Millisecond)
+			w.submitCompletionJob(jobs, i)
+			time.Sleep(time.Duration(jobs.IntN(7000)) * time.Millisecond)
 		}
 	})
 	time.Sleep(15 * time.Second)
