--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,7 +97,7 @@
 	c.ingest = c.newIngestion()
 	c.setUpAdmission()
 	c.setUpForwarding()
-	c.users = &user.API{Admission: c.admission, Log: log, Count: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
+	c.users = &user.API{Admission: c.admission, Log: log, CountTasks: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
 	return c
 }
 
@@ -145,7 +145,7 @@
 // setUpAdmission makes what accepts and cancels jobs.
 func (c *Controller) setUpAdmission() {
 	cfg, s := c.cfg, &c.state
-	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.all}
+	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.forRouting}
 	c.admission = &admission.Service{Teams: cfg.Teams, View: s.view, Follow: s.follow, History: s.history, Log: c.log,
 		Intake:       admission.NewIntake(s.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
 		Canceller:    admission.NewCanceller(s.client, s.view, s.follow, cfg.Store.TxnOps),
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -10,6 +9,7 @@
 	"github.com/parquet-go/parquet-go"
 
 	"amberdeal.example/amberdeal/internal/load"
+	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
 // Role is a part of the system that is measured.
@@ -104,31 +104,22 @@
 	return filepath.Join(dir, fmt.Sprintf("step-%v.json", step))
 }
 
-// saveOutcome writes an outcome atomically.
-func saveOutcome(dir string, o *Outcome) error {
-	text, err := json.Marshal(o)
-	if err != nil {
-		return err
-	}
-	path := outcomeFile(dir, o.Step)
-	if err := os.WriteFile(path+".part", text, 0o644); err != nil {
-		return err
-	}
-	return os.Rename(path+".part", path)
-}
+// outcomeKind is what a file of an outcome holds, in errors.
+const outcomeKind = "the outcome of a step"
 
 // loadOutcome reads the outcome of an earlier run, nil if there is none.
 func loadOutcome(dir string, step Point) (*Outcome, error) {
-	text, err := os.ReadFile(outcomeFile(dir, step))
+	path := outcomeFile(dir, step)
+	o := new(Outcome)
+	err := outcomefile.Load(path, outcomeKind, o)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	o := new(Outcome)
-	if err := json.Unmarshal(text, o); err != nil || len(o.Rows) == 0 {
-		return nil, fmt.Errorf("%s: not the outcome of a step: %w", outcomeFile(dir, step), err)
+	if len(o.Rows) == 0 {
+		return nil, fmt.Errorf("%s: not %s: no figures", path, outcomeKind)
 	}
 	return o, nil
 }
@@ -139,5 +130,8 @@
 	for _, o := range all {
 		rows = append(rows, o.Rows...)
 	}
-	return parquet.WriteFile(filepath.Join(dir, "scale.parquet"), rows)
+	if err := parquet.WriteFile(filepath.Join(dir, "scale.parquet"), rows); err != nil {
+		return fmt.Errorf("writing the table of all steps: %w", err)
+	}
+	return nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"os"
+
+	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
 // Runner runs a plan.
@@ -20,7 +22,7 @@
 // the context ends or a step fails these are kept, and returned with the error.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("making the directory of the results: %w", err)
 	}
 	var all []*Outcome
 	for _, step := range r.Plan.Steps() {
@@ -44,5 +46,5 @@
 	if o, err = runStep(ctx, r.Plan, step, r.Program, r.Port); err != nil {
 		return nil, false, err
 	}
-	return o, false, saveOutcome(r.Out, o)
+	return o, false, outcomefile.Save(outcomeFile(r.Out, step), o)
 }
