--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -26,7 +26,7 @@
 	return max(1, int(math.Floor(float64(tasks)*(1-r.Survive)+epsilon)))
 }
 
-// imbalance tells how bad it is to have so many replicas in a zone: by what would not survive its
+// imbalance measures how bad it is to have so many replicas in a zone: by what would not survive its
 // loss first, then by evenness.
 type imbalance struct{ lost, uneven int }
 
@@ -34,7 +34,7 @@
 	return cmp.Or(cmp.Compare(i.lost, other.lost), cmp.Compare(i.uneven, other.uneven))
 }
 
-// imbalance gives how bad it is for a job to have so many replicas in one zone.
+// imbalance returns how bad it is for a job to have so many replicas in one zone.
 func (r *SpreadRule) imbalance(j *Job, replicas int) (i imbalance) {
 	if r.Survive > 0 {
 		i.lost = max(0, replicas-r.maxPerZone(j.Tasks))
@@ -104,7 +104,7 @@
 	return running
 }
 
-// rebalanceServices mends services that are not spread as their rules demand: one replica is
+// rebalanceServices repairs services that are not spread as their rules demand: one replica is
 // stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
 // a service at most, few in all, and none while production waits anywhere.
 func (pl *planner) rebalanceServices() {
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -7,11 +7,11 @@
 	GuaranteedCPUs, GuaranteedGPUs   float64
 	LimitCPUs, LimitGPUs             float64 // of this shard
 	UsedCPUs, UsedGPUs               float64 // in this shard, with all that the plan has placed so far
-	RemoteUsedCPUs, RemoteUsedGPUs   float64 // in other shards, as they last told
+	RemoteUsedCPUs, RemoteUsedGPUs   float64 // in other shards, as they last reported
 	GlobalLimitCPUs, GlobalLimitGPUs float64 // of all shards together
 }
 
-// maxMoreTasks gives how many more tasks the team could have in this shard if the whole limit were granted to it.
+// maxMoreTasks returns how many more tasks the team could have in this shard if the whole limit were granted to it.
 func (t *Team) maxMoreTasks(need Resources) int {
 	n := float64(wire.MaxTasks)
 	if t.GlobalLimitCPUs > 0 && need.CPUs > 0 {
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -10,7 +10,7 @@
 // capacity sooner and for nothing. Work without an objective that it would miss waits for that
 // capacity rather than have more machines rented.
 const (
-	// turnoverStep and turnoverSteps tell how finely and for how long ahead freed capacity is
+	// turnoverStep and turnoverSteps set how finely and for how long ahead freed capacity is
 	// counted, from the owners' estimates.
 	turnoverStep  = 10 * time.Second
 	turnoverSteps = 12
@@ -49,7 +49,7 @@
 	}
 }
 
-// take uses up so much of what an offer frees within a number of steps, if it is enough, and gives
+// take uses up so much of what an offer frees within a number of steps, if it is enough, and returns
 // the step in which it is.
 func (t turnover) take(offer int, need Resources, steps int) (step int, ok bool) {
 	var sum Resources
