--- a/internal/reshard/assignment.go
+++ b/internal/reshard/assignment.go
@@ -56,10 +56,15 @@
 	return out
 }
 
-// inferredRanges gives the ranges of a job whose record is of an earlier sharding.
+// inferredRanges gives the ranges of a job whose record is of an earlier sharding. What follows from a
+// record that says where tasks have finished is not kept: it may be the leader's own, of a round that
+// is refused, and the version of the batch does not tell it from the stored one.
 func (a *Assignment) inferredRanges(l *store.LiveJob) []store.ShardRange {
 	id := l.Record.Job.ID
-	if c, ok := a.inferred[id]; ok && c.version == l.Batch.Version && len(l.Record.FinishedIn) == 0 {
+	if len(l.Record.FinishedIn) > 0 {
+		return a.previous.Ranges(id, &l.Record)
+	}
+	if c, ok := a.inferred[id]; ok && c.version == l.Batch.Version {
 		return c.ranges
 	}
 	c := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -201,3 +201,27 @@
 		t.Errorf("generation %d", a.Generation())
 	}
 }
+
+// TestAssignmentAfterRefusedRound: what a leader has written of a job and the store has refused leaves no trace in the
+// job's ranges. A range that counted as done would never be written as such, and the job never end.
+func TestAssignmentAfterRefusedRound(t *testing.T) {
+	sharding := fleet.ByZones(2, []string{"a", "b"})
+	a := NewAssignment(sharding, NewPrevious(sharding, store.ShardLedgers{Generation: 2}))
+	stored := &store.LiveJob{Record: store.JobRecord{Job: &wire.Job{ID: "wk-1", Shape: wire.Array, Zone: "a", Tasks: 4}, Tasks: 4, ShardingGeneration: 1}, Batch: &store.Batch{Version: 5}}
+	drafted := *stored
+	drafted.Record.FinishedIn = []string{store.LedgerName("a", 2)}
+	for _, x := range []struct {
+		name string
+		job  *store.LiveJob
+		done bool
+	}{
+		{"as stored", stored, false},
+		{"in a round that is on its way", &drafted, true},
+		{"as stored, once the round was refused", stored, false},
+	} {
+		want := []store.ShardRange{{From: 0, To: 4, Shard: "a", Done: x.done}}
+		if got := a.Ranges(x.job); !slices.Equal(got, want) {
+			t.Errorf("%s: %v, want %v", x.name, got, want)
+		}
+	}
+}
