--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -66,19 +66,10 @@
 func (pl *planner) slotsByZone(j *Job) gangSlots {
 	slots, need := make(gangSlots), ResourcesOf(j.Job)
 	allowed := make([]bool, len(pl.pool.offers))
-	for i, o := range pl.pool.offers {
-		allowed[i] = allowsOffer(j, o)
-		t := pl.pool.types[o.Type]
-		if t == nil || !allowed[i] {
-			continue
-		}
-		for _, m := range pl.pool.booting[i] {
-			if m.ID == "" && pl.Doubtful[o] {
-				continue // what is asked for there will hardly come
-			}
-			for range min(m.Free.Slots(need), len(j.Waiting)) {
-				slots.add(j, m, t.BootS)
-			}
+	for i, offer := range pl.pool.offers {
+		allowed[i] = allowsOffer(j, offer)
+		if machineType := pl.pool.types[offer.Type]; machineType != nil && allowed[i] {
+			slots.addBooting(j, need, pl.pool.booting[i], machineType.BootS, pl.Doubtful[offer])
 		}
 	}
 	for _, m := range pl.pool.usable {
@@ -89,6 +80,19 @@
 	return slots
 }
 
+// addBooting adds the slots on the booting machines of one offer. Of a doubtful offer, machines that were only
+// requested are left out: they will hardly come.
+func (g gangSlots) addBooting(j *Job, need Resources, machines []*Machine, bootSeconds float64, doubtful bool) {
+	for _, m := range machines {
+		if m.ID == "" && doubtful {
+			continue
+		}
+		for range min(m.Free.Slots(need), len(j.Waiting)) {
+			g.add(j, m, bootSeconds)
+		}
+	}
+}
+
 // addFuture adds the slots on a machine as its tasks end, as far as their estimates can tell. What
 // is free already of a slot counts more than when the rest will be: else the slot would be given
 // up again for one that seems a little sooner.
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -81,10 +81,8 @@
 func (pl *planner) placeTogether(j *Job, now bool) []*Machine {
 	zones := pl.candidateZones(j)
 	if now && j.Spot { // spot machines of any zone before others of the first
-		for _, zone := range zones {
-			if picks := pl.placeNow(j, zone, true); picks != nil {
-				return picks
-			}
+		if picks := pl.placeOnSpotNow(j, zones); picks != nil {
+			return picks
 		}
 	}
 	best, least := "", math.Inf(1)
@@ -106,6 +104,17 @@
 	return picks
 }
 
+// placeOnSpotNow finds spot machines that have capacity now for all waiting tasks of a gang, in the
+// first zone possible; on failure it leaves everything as it was.
+func (pl *planner) placeOnSpotNow(j *Job, zones []string) []*Machine {
+	for _, zone := range zones {
+		if picks := pl.placeNow(j, zone, true); picks != nil {
+			return picks
+		}
+	}
+	return nil
+}
+
 // tryZone finds machines for all waiting tasks of a gang in one zone, and tells what those that would be
 // rented for it cost; on failure it leaves everything as it was.
 func (pl *planner) tryZone(j *Job, zone string, now bool) (picks []*Machine, price float64) {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -90,23 +90,34 @@
 func (pl *planner) bootTimeIn(j *Job, zone string) time.Duration {
 	var least time.Duration
 	for i := range pl.Types {
-		t := &pl.Types[i]
-		boot := wire.Seconds(t.BootS)
-		if least > 0 && boot >= least || !capacityOf(t).Fits(ResourcesOf(j.Job)) {
+		machineType := &pl.Types[i]
+		boot := wire.Seconds(machineType.BootS)
+		if least > 0 && boot >= least || !capacityOf(machineType).Fits(ResourcesOf(j.Job)) {
 			continue
 		}
-		for _, z := range t.Zones {
-			for _, spot := range []bool{true, false} {
-				o := Offer{t.Name, z, spot}
-				if (zone == "" || z == zone) && allowsOffer(j, o) && !pl.Unavailable[o] && !pl.Doubtful[o] {
-					least = boot
-				}
-			}
+		if pl.offeredIn(zone, j, machineType) {
+			least = boot
 		}
 	}
 	return least
 }
 
+// offeredIn reports whether a machine of a type can be rented for a job in a zone, or anywhere if none is named.
+func (pl *planner) offeredIn(zone string, j *Job, machineType *wire.MachineType) bool {
+	for _, offered := range machineType.Zones {
+		if zone != "" && offered != zone {
+			continue
+		}
+		for _, spot := range []bool{true, false} {
+			offer := Offer{machineType.Name, offered, spot}
+			if allowsOffer(j, offer) && !pl.Unavailable[offer] && !pl.Doubtful[offer] {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // maxHeadroomPriceRatio is by how much idle headroom may cost more than the cheapest capacity.
 const maxHeadroomPriceRatio = 1.5
 
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -65,32 +65,37 @@
 // cheapestOffer picks the cheapest offer for a task, counting the price of the share that the job
 // can fill; its cost is infinite where there is none.
 func (s *search) cheapestOffer() (best Offer, cost float64) {
-	pl := s.planner
 	choice := offerChoice{cost: math.Inf(1), price: math.Inf(1), exhausted: true}
-	for i := range pl.Types {
-		t := &pl.Types[i]
-		full := float64(capacityOf(t).Slots(s.need))
-		slots := min(full, float64(len(s.job.Waiting)))
-		if slots == 0 {
-			continue
-		}
-		for _, spot := range []bool{true, false} {
-			share := pl.shareCost(s.job, t, spot)
-			for _, zone := range t.Zones {
-				o := Offer{t.Name, zone, spot}
-				if !s.mayRequest(o) {
-					continue
-				}
-				price := share * pl.machinePrice(t, spot, zone) / pl.machinePrice(t, spot, "")
-				price += emptyShareCost * price * (full/slots - 1)
-				c := offerChoice{o, share, price, s.exhausted(o)}
-				if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
-					choice = c
-				}
+	types := s.planner.Types
+	for i := range types {
+		choice = s.cheapestOfType(&types[i], choice)
+	}
+	return choice.offer, choice.cost
+}
+
+// cheapestOfType picks the cheapest among the offers of a machine type, and keeps the choice where none is better.
+func (s *search) cheapestOfType(machineType *wire.MachineType, choice offerChoice) offerChoice {
+	full := float64(capacityOf(machineType).Slots(s.need))
+	slots := min(full, float64(len(s.job.Waiting)))
+	if slots == 0 {
+		return choice
+	}
+	for _, spot := range []bool{true, false} {
+		share := s.planner.shareCost(s.job, machineType, spot)
+		for _, zone := range machineType.Zones {
+			offer := Offer{machineType.Name, zone, spot}
+			if !s.mayRequest(offer) {
+				continue
+			}
+			price := share * s.planner.machinePrice(machineType, spot, zone) / s.planner.machinePrice(machineType, spot, "")
+			price += emptyShareCost * price * (full/slots - 1)
+			c := offerChoice{offer, share, price, s.exhausted(offer)}
+			if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
+				choice = c
 			}
 		}
 	}
-	return choice.offer, choice.cost
+	return choice
 }
 
 // mayRequest reports whether a machine of an offer may be asked for.
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -63,13 +63,18 @@
 			best[m.Zone] = candidate{Machine: m}
 		}
 	}
+	return s.bestSpread(best)
+}
+
+// bestSpread picks, of one candidate per zone, the machine that leaves the service most balanced.
+func (s *search) bestSpread(byZone map[string]candidate) *Machine {
 	pick := ""
-	for _, zone := range slices.Sorted(maps.Keys(best)) {
-		if pick == "" || s.spreadsBetter(best[zone].Machine, best[pick].Machine) {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		if pick == "" || s.spreadsBetter(byZone[zone].Machine, byZone[pick].Machine) {
 			pick = zone
 		}
 	}
-	return best[pick].Machine
+	return byZone[pick].Machine
 }
 
 // spreadsBetter reports whether a replica on a leaves its service more balanced than on b; of two
@@ -108,22 +113,12 @@
 // stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
 // a service at most, few in all, and none while production waits anywhere.
 func (pl *planner) rebalanceServices() {
-	var services []*Job
-	for _, j := range pl.Jobs {
-		if j.SpreadRule != nil {
-			services = append(services, j)
-		}
-	}
+	services := pl.servicesWithRule()
 	if len(services) == 0 || pl.Sharded {
 		return
 	}
 	running := pl.runningReplicas()
-	moves := pl.MaxMoves
-	for _, j := range services {
-		if len(running[j]) < j.Tasks {
-			moves-- // some replica of it is down already
-		}
-	}
+	moves := pl.MaxMoves - countDegraded(services, running)
 	for _, j := range services {
 		if len(running[j]) < j.Tasks || j.Shape != wire.Service {
 			continue
@@ -141,6 +136,26 @@
 	}
 }
 
+// servicesWithRule lists the jobs that have a spread rule.
+func (pl *planner) servicesWithRule() (services []*Job) {
+	for _, j := range pl.Jobs {
+		if j.SpreadRule != nil {
+			services = append(services, j)
+		}
+	}
+	return services
+}
+
+// countDegraded counts the services that have a replica down already.
+func countDegraded(services []*Job, running map[*Job][]replica) (degraded int) {
+	for _, j := range services {
+		if len(running[j]) < j.Tasks {
+			degraded++
+		}
+	}
+	return degraded
+}
+
 // betterZoneFor finds a replica of a service to move and the machine to move it to, or nil if that
 // would not make the service more balanced.
 func (pl *planner) betterZoneFor(j *Job, running []replica) (from replica, to *Machine) {
