--- a/internal/handover/ledgertasks.go
+++ b/internal/handover/ledgertasks.go
@@ -59,24 +59,36 @@
 	var out map[int]bool
 	for machine := range l.machinesOf[job] {
 		for name := range l.byMachine[machine] {
-			if !strings.HasPrefix(name, job+"/") {
-				continue
-			}
-			t, err := wire.ParseTaskID(name)
-			if err != nil || active(t) {
+			task, ok := parseTaskOf(job, name)
+			if !ok || active(task) {
 				continue
 			}
 			if out == nil {
 				out = make(map[int]bool)
 			}
-			if l.stale == nil {
-				l.stale = make(map[string]bool)
-			}
-			out[t.Index], l.stale[machine] = true, true
+			out[task.Index] = true
+			l.markStale(machine)
 		}
 	}
 	return out
 }
 
+// parseTaskOf parses the name of a task in a machine record; ok is false unless it is a task of the job.
+func parseTaskOf(job, name string) (task wire.TaskID, ok bool) {
+	if !strings.HasPrefix(name, job+"/") {
+		return wire.TaskID{}, false
+	}
+	task, err := wire.ParseTaskID(name)
+	return task, err == nil
+}
+
+// markStale marks a machine whose record is to be written anew.
+func (l *LedgerTasks) markStale(machine string) {
+	if l.stale == nil {
+		l.stale = make(map[string]bool)
+	}
+	l.stale[machine] = true
+}
+
 // StaleMachines lists the machines whose records are to be written anew.
 func (l *LedgerTasks) StaleMachines() []string { return slices.Sorted(maps.Keys(l.stale)) }
