--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -179,9 +179,14 @@
 			worst = x.Zone
 		}
 	}
-	if len(machines) == 0 {
+	if len(machines) == 0 || d.oneWayNetwork(byZone, worst) {
 		return nil
 	}
+	return machines
+}
+
+// oneWayNetwork reports whether so many machines outside the worst zone are one-way that a network has failed.
+func (d *Detector) oneWayNetwork(byZone map[string]int, worst string) bool {
 	up := make(map[string]int)
 	for _, x := range d.monitor.fleet.Machines() {
 		if x.Up {
@@ -194,12 +199,10 @@
 			expected, oneWay = expected+n, oneWay+byZone[zone]
 		}
 	}
-	if oneWay*partitionShare > expected {
-		return nil
-	}
-	return machines
+	return oneWay*partitionShare > expected
 }
 
+// oneWay reports whether a machine sends heartbeats, but receives no commands and answers no calls.
 func (d *Detector) oneWay(now time.Time, x *fleet.Machine) bool {
 	return !d.monitor.fleet.ReceivesCommands(now, x) && d.monitor.Calls.Last(x.ID).Failures >= certainFailures &&
 		d.monitor.HeartbeatAge(now, x) < d.monitor.timeouts.Unreachable
