--- a/internal/admission/submit.go
+++ b/internal/admission/submit.go
@@ -53,16 +53,8 @@
 		}
 		rec, created, err := s.accept(ctx, job, fence, read.begin)
 		switch {
-		case created && (err != nil || read.age() > slowWrite):
-			if err := s.Follow.Barrier(ctx); err != nil {
-				return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
-			}
-			return s.confirmWrite(ctx, job.ID, rec, err == nil)
 		case created:
-			if err := read.wait(ctx); err != nil {
-				return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
-			}
-			return s.confirmWrite(ctx, job.ID, rec, true)
+			return s.confirmAccepted(ctx, job.ID, rec, err, read)
 		case !errors.Is(err, errFenceMoved):
 			return rec, false, err
 		}
@@ -81,6 +73,21 @@
 	slowWrite = 300 * time.Millisecond
 )
 
+// confirmAccepted returns the record of a job that accept wrote, once the view shows what came before the
+// write. The read that was begun beside the write shows it, unless the write took long or failed with writeErr.
+func (s *Service) confirmAccepted(ctx context.Context, id string, rec store.JobRecord, writeErr error, read *barrierRead) (store.JobRecord, bool, error) {
+	if writeErr != nil || read.age() > slowWrite {
+		if err := s.Follow.Barrier(ctx); err != nil {
+			return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
+		}
+		return s.confirmWrite(ctx, id, rec, writeErr == nil)
+	}
+	if err := read.wait(ctx); err != nil {
+		return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
+	}
+	return s.confirmWrite(ctx, id, rec, true)
+}
+
 // confirmWrite returns the record of a job that was just written as mine. However old the view was in
 // which the job was not found, another controller may have accepted and ended it by then, and then
 // it has ended by its first batch, whatever was written here. acknowledged says that the write was
