--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -113,7 +113,8 @@
 func (f *Fleet) reconcileMissing(now time.Time, m *Machine, r *wire.Heartbeat, own bool) (events []Event) {
 	lost := false // a launch that a response carried
 	for _, p := range m.Placements() {
-		if p.State == Planned || p.listedIn(r) {
+		listed := func(t wire.ReportedTask) bool { return t.Attempt == p.Attempt && t.ID == p.Task }
+		if p.State == Planned || slices.ContainsFunc(r.Tasks, listed) {
 			continue
 		}
 		if p.State != Sent {
@@ -129,7 +130,9 @@
 			continue
 		}
 		lost = lost || p.sentInResponse
-		if f.revertToPlanned(m, p) {
+		p.State, p.sentInResponse = Planned, false
+		if p.Stop != nil && !p.callPending {
+			f.removePlacement(m, p)
 			events = append(events, Event{p, true})
 		}
 	}
@@ -139,21 +142,6 @@
 	return events
 }
 
-// listedIn reports whether a heartbeat lists the placement.
-func (p *Placement) listedIn(r *wire.Heartbeat) bool {
-	return slices.ContainsFunc(r.Tasks, func(t wire.ReportedTask) bool { return t.Attempt == p.Attempt && t.ID == p.Task })
-}
-
-// revertToPlanned takes back that a launch was sent, and removes the placement if it is to stop anyway.
-func (f *Fleet) revertToPlanned(m *Machine, p *Placement) (removed bool) {
-	p.State, p.sentInResponse = Planned, false
-	if p.Stop == nil || p.callPending {
-		return false
-	}
-	f.removePlacement(m, p)
-	return true
-}
-
 // applyTaskStatus takes in one listed task and reports whether its state has changed.
 func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask) (p *Placement, changed bool) {
 	p = m.findPlacement(t.ID, t.Attempt)
