--- /dev/null
+++ b/internal/simulator/checker_tasks.go
@@ -0,0 +1,143 @@
+package simulator
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// checkCancelled records a violation if a task still runs too long after its cancellation.
+func (c *Checker) checkCancelled(t wire.TaskID, where map[string]string) {
+	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.CancelWithin {
+		c.violate("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
+	}
+}
+
+// SetTaskRunTimes sets the run time of each task of a job that is yet to be submitted.
+func (c *Checker) SetTaskRunTimes(job string, run ...time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.taskRunTimes[job] = run
+}
+
+// TaskStarted implements Fixture: it checks a start against every rule and returns the task's run
+// time.
+func (c *Checker) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.submitted[t.Job]
+	if j == nil {
+		return 0, false
+	}
+	c.Started++
+	if len(c.placements[t]) > 0 {
+		c.violate("ran_twice", "%v starts on %s while it is on %v", t, machine, c.placements[t])
+	}
+	if c.placements[t] == nil {
+		c.placements[t] = map[string]string{}
+	}
+	c.placements[t][machine], c.startedAt[t] = zone, time.Now()
+	c.usedGPUs[j.Team] += j.GPUs
+	if limit := c.GPULimits[j.Team]; limit > 0 && c.usedGPUs[j.Team] > limit {
+		c.violate("quota", "team %s uses %v of %v", j.Team, c.usedGPUs[j.Team], limit)
+	}
+	if spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, typ) || j.Zone != "" && j.Zone != zone {
+		c.violate("wrong_place", "%v on %s %s in %s", t, typ, machine, zone)
+	}
+	c.checkZones(j, t)
+	c.Launches.TaskStarted(time.Now(), t)
+	if at, ok := c.cancelled[t.Job]; ok && time.Since(at) > c.CancelWithin {
+		c.violate("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
+	}
+	if c.finished[t] { // started again, it ends as soon as it has its image
+		return 10 * time.Millisecond, true
+	}
+	return c.runs(t), true
+}
+
+// runs returns a task's run time.
+func (c *Checker) runs(t wire.TaskID) time.Duration {
+	if each := c.taskRunTimes[t.Job]; len(each) > 0 {
+		return each[t.Index%len(each)]
+	}
+	return c.runTimes[t.Job]
+}
+
+// LongRunning returns up to n jobs whose tasks still have at least that long to run.
+func (c *Checker) LongRunning(n int, least time.Duration) (jobs, machines []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	left, on := map[string]time.Duration{}, map[string][]string{}
+	for t, where := range c.placements {
+		if len(where) > 0 && !c.lastStage[t.Job].Final() && !c.cancelRequested[t.Job] {
+			left[t.Job] = max(left[t.Job], c.runs(t)-time.Since(c.startedAt[t]))
+			on[t.Job] = slices.AppendSeq(on[t.Job], maps.Keys(where))
+		}
+	}
+	jobs = slices.SortedFunc(maps.Keys(left), func(a, b string) int { return cmp.Or(cmp.Compare(left[b], left[a]), cmp.Compare(a, b)) })
+	jobs = slices.DeleteFunc(jobs, func(id string) bool { return left[id] < least })
+	jobs = jobs[:min(n, len(jobs))]
+	for _, id := range jobs {
+		machines = append(machines, on[id]...)
+	}
+	slices.Sort(machines)
+	return jobs, slices.Compact(machines)
+}
+
+// Finished reports whether all tasks of a job have completed.
+func (c *Checker) Finished(job string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	j := c.submitted[job]
+	for i := 0; j != nil && i < j.Tasks; i++ {
+		if !c.finished[wire.TaskID{Job: job, Index: i}] {
+			return false
+		}
+	}
+	return j != nil
+}
+
+// checkZones verifies the zone constraints of a job's running tasks.
+func (c *Checker) checkZones(j *wire.Job, t wire.TaskID) {
+	in := map[string]int{}
+	for i := range j.Tasks {
+		for _, zone := range c.placements[wire.TaskID{Job: j.ID, Index: i}] {
+			in[zone]++
+		}
+	}
+	for _, n := range in {
+		if j.OneZone && len(in) > 1 || j.Spread && n > (j.Tasks+1)/2 {
+			c.violate("wrong_place", "%v: the job's tasks are in %v", t, in)
+			return
+		}
+	}
+}
+
+// TaskStopped implements Fixture.
+func (c *Checker) TaskStopped(t wire.TaskID, machine string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.placements[t][machine]; ok {
+		c.checkCancelled(t, c.placements[t])
+		if !c.finished[t] {
+			c.Stopped++
+		}
+		delete(c.placements[t], machine)
+		c.usedGPUs[c.submitted[t.Job].Team] -= c.submitted[t.Job].GPUs
+	}
+}
+
+// TaskCompleted implements Fixture.
+func (c *Checker) TaskCompleted(t wire.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.finished[t] = true
+	if j := c.submitted[t.Job]; j.Shape == wire.Gang { // they complete together
+		for i := range j.Tasks {
+			c.finished[wire.TaskID{Job: t.Job, Index: i}] = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/cloud_calls.go
@@ -0,0 +1,104 @@
+package simulator
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"amberdeal.example/amberdeal/internal/transport"
+	"amberdeal.example/amberdeal/wire"
+)
+
+// Serve implements the protocol of the cloud.
+func (c *Cloud) Serve() transport.ServeConn {
+	c.mu.Lock()
+	if c.machines == nil {
+		c.machines, c.idempotentAnswers = map[string]*instance{}, map[string][]string{}
+	}
+	c.mu.Unlock()
+	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if !c.allowRequest() {
+			return 429, nil
+		}
+		if c.Faults.Unavailable {
+			return 503, wire.Failure{Error: "trouble"}
+		}
+		switch {
+		case path == wire.PathTypes:
+			return 200, map[string]any{"frames": c.Types}
+		case path == wire.PathRelease:
+			return c.serveRelease(body)
+		case method == "POST":
+			return c.serveRent(body)
+		}
+		limit, _ := strconv.Atoi(q["limit"])
+		return 200, c.list(q["from"], limit)
+	})
+}
+
+// allowRequest applies the limit on requests. The lock is held.
+func (c *Cloud) allowRequest() bool {
+	if c.RPS <= 0 {
+		return true
+	}
+	if c.rps == nil {
+		c.rps = rate.NewLimiter(rate.Limit(c.RPS), max(1, int(2*c.RPS)))
+	}
+	return c.rps.AllowN(time.Now(), 1)
+}
+
+// serveRelease answers the request to delete machines. The lock is held.
+func (c *Cloud) serveRelease(body []byte) (int, any) {
+	var names wire.MachineNames
+	if err := wire.Decode(body, &names); err != nil || len(names.Machines) > wire.MaxRelease {
+		return 400, wire.Failure{Error: "hives: at most 100 names"}
+	}
+	for _, id := range names.Machines {
+		c.remove(id)
+	}
+	return 200, map[string]any{}
+}
+
+// serveRent answers the request to rent machines. The lock is held.
+func (c *Cloud) serveRent(body []byte) (int, any) {
+	var r wire.ScaleOutRequest
+	if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.typeOf(r.Type) == nil {
+		return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
+	}
+	if late := c.Faults.RentDelay; late > 0 {
+		time.AfterFunc(late, func() {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.rentMachines(r)
+		})
+		return 0, nil
+	}
+	return c.rentMachines(r)
+}
+
+// list returns a page of machines as they were at some time within twice the list lag, a different
+// one on each call.
+func (c *Cloud) list(after string, limit int) wire.MachineList {
+	at := time.Now().Add(-time.Duration(c.Rand.Int64N(int64(2*c.ListLag) + 1)))
+	out := wire.MachineList{Machines: []wire.ListedMachine{}}
+	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
+		m := c.machines[id]
+		if id <= after || !m.rentedAt.Before(at) || !m.deletedAt.IsZero() && !m.deletedAt.After(at) {
+			continue
+		}
+		if len(out.Machines) == min(cmp.Or(max(limit, 0), wire.MaxListPage), wire.MaxListPage) {
+			out.More = true
+			break
+		}
+		l := m.ListedMachine
+		l.AgeS = at.Sub(m.rentedAt).Seconds()
+		out.Machines = append(out.Machines, l)
+	}
+	return out
+}
--- /dev/null
+++ b/internal/simulator/cloud_machines.go
@@ -0,0 +1,164 @@
+package simulator
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"amberdeal.example/amberdeal/wire"
+)
+
+// instance is a rented machine.
+type instance struct {
+	wire.ListedMachine
+	worker      Machine
+	rentedAt    time.Time
+	deletedAt   time.Time
+	crashedAt   time.Time // when it stopped on its own
+	hourlyPrice float64
+}
+
+// freeCapacity returns how many more machines of an offer are available.
+func (c *Cloud) freeCapacity(o Offer) int {
+	all := c.Capacity
+	if c.CapacityByOffer != nil {
+		all = c.CapacityByOffer[o]
+	}
+	left := int(float64(all) * (1 - c.Faults.MissingCapacityShare))
+	for _, m := range c.machines {
+		if m.deletedAt.IsZero() && m.Zone == o.Zone && (c.CapacityByOffer == nil || m.Type == o.Type && m.Spot == o.Spot) {
+			left--
+		}
+	}
+	return left
+}
+
+// rentMachines handles a request to rent machines; a repeated request gets the same answer.
+func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
+	if names, again := c.idempotentAnswers[r.RequestID]; again {
+		return 200, wire.MachineNames{Machines: names}
+	}
+	names := []string{}
+	for left := c.freeCapacity(Offer{r.Type, r.Zone, r.Spot}); len(names) < r.Count && left > 0; left-- {
+		names = append(names, c.startMachine(r))
+	}
+	if len(names) == 0 {
+		return 503, wire.Failure{Error: "no capacity"}
+	}
+	c.idempotentAnswers[r.RequestID] = names
+	return 200, wire.MachineNames{Machines: names}
+}
+
+// startMachine rents one machine, which comes up after its boot time, or never.
+func (c *Cloud) startMachine(r wire.ScaleOutRequest) string {
+	c.next++
+	id, ip := fmt.Sprintf("n-%06d", c.next), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.next)
+	addr := Address(ip, 9000)
+	if c.AddrOf != nil {
+		addr = c.AddrOf(c.next)
+	}
+	t := c.typeOf(r.Type)
+	m := &instance{ListedMachine: wire.ListedMachine{ID: id, Addr: addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Stage: wire.MachineStarting}, rentedAt: time.Now(), hourlyPrice: t.Price}
+	if r.Spot {
+		m.hourlyPrice = t.SpotPrice
+	}
+	c.machines[id] = m
+	boot := time.Duration(float64(cmp.Or(c.BootTime, wire.Seconds(t.BootS))) * cmp.Or(c.Faults.BootFactor, 1))
+	if c.Faults.NeverBootShare > 0 && c.Rand.Float64() < c.Faults.NeverBootShare {
+		return id
+	}
+	time.AfterFunc(boot, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if m.deletedAt.IsZero() {
+			m.Stage = wire.MachineRunning
+			m.worker = c.Start(id, m.Addr, m.Type, m.Zone, m.Spot)
+		}
+	})
+	return id
+}
+
+// remove deletes a machine and ends what runs on it.
+func (c *Cloud) remove(id string) {
+	if m := c.machines[id]; m != nil && m.deletedAt.IsZero() {
+		m.deletedAt = time.Now()
+		c.pastCost += m.cost(m.deletedAt)
+		if m.worker != nil {
+			m.worker.Kill()
+		}
+	}
+}
+
+// cost returns what a machine has cost by a point in time; at least a minute is charged.
+func (m *instance) cost(by time.Time) float64 {
+	if !m.crashedAt.IsZero() {
+		by = m.crashedAt
+	}
+	return m.hourlyPrice * max(by.Sub(m.rentedAt), time.Minute).Hours()
+}
+
+// Cost returns what all machines have cost so far, and how many are rented.
+func (c *Cloud) Cost() (cost float64, machines int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cost = c.pastCost
+	for _, m := range c.machines {
+		if m.deletedAt.IsZero() {
+			cost += m.cost(time.Now())
+			machines++
+		}
+	}
+	return cost, machines
+}
+
+// EachRunning calls a function for each machine that is up, in order of their ids.
+func (c *Cloud) EachRunning(do func(m wire.ListedMachine, w Machine)) {
+	c.mu.Lock()
+	all := c.running()
+	c.mu.Unlock()
+	for _, m := range all {
+		do(m.ListedMachine, m.worker)
+	}
+}
+
+// ZoneOf returns the zone of the machine at an address.
+func (c *Cloud) ZoneOf(addr string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, m := range c.machines {
+		if m.Addr == addr {
+			return m.Zone
+		}
+	}
+	return ""
+}
+
+// AddrOfNth returns the address of the n-th running machine.
+func (c *Cloud) AddrOfNth(n int) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if w := c.running(); len(w) > 0 {
+		return w[n%len(w)].ListedMachine.Addr
+	}
+	return ""
+}
+
+// CountRunning returns how many machines are up.
+func (c *Cloud) CountRunning() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.running())
+}
+
+// running returns the machines that are up. The lock is held.
+func (c *Cloud) running() []*instance {
+	var out []*instance
+	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
+		if m := c.machines[id]; m.worker != nil && m.deletedAt.IsZero() && m.crashedAt.IsZero() {
+			out = append(out, m)
+		}
+	}
+	return out
+}
