--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -151,7 +151,7 @@
 	} else {
 		v.printFleet(line, s)
 	}
-	line("CONTROLLER\tNAME\tREADY\tUP\tREPORTS\tREQUESTS/S\tCHANGES/S\tREFUSED\tUNANSWERED\t")
+	line("CONTROLLER\tNAME\tREADY\tUP\tMACHINES\tREQUESTS/S\tCHANGES/S\tREFUSED\tUNANSWERED\t")
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
 		c, requests, changes := v.Statuses[addr], "-", "-"
 		if before != nil && before.Statuses[addr] != nil {
@@ -170,7 +170,7 @@
 
 // printFleet writes what is the same at every controller.
 func (v *View) printFleet(line func(string, ...any), s *Status) {
-	line("PART\tHOLDER\tTERM\t")
+	line("SHARD\tLEADER\tTOKEN\t")
 	for _, shard := range slices.Sorted(maps.Keys(s.Shards)) {
 		p := s.Shards[shard]
 		line("%s\t%s\t%d\t", shard, cmp.Or(p.Leader, "nobody"), p.FencingToken)
@@ -187,7 +187,7 @@
 	}
 	zones, teams, tiers := v.merged()
 	if len(tiers) > 0 {
-		line("\nTIER\tCARDS\tSHARE\tLENT\tTASKS WAITING\tCLAIMS BACK\t")
+		line("\nTIER\tCARDS\tSHARE\tLENT\tTASKS WAITING\tRECLAIMS\t")
 	}
 	for _, name := range slices.SortedFunc(maps.Keys(tiers), func(a, b string) int { return cmp.Or(cmp.Compare(tiers[a].Order, tiers[b].Order), cmp.Compare(a, b)) }) {
 		x := tiers[name]
