--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// listMargin is for the way of a list, beside the cloud's lag.
-	listMargin = 2 * time.Second
-	// firstListing is how long a rented machine may take until the cloud lists it.
-	firstListing = 60 * time.Second
+	// listDeliveryMargin is for the way of a list, beside the cloud's lag.
+	listDeliveryMargin = 2 * time.Second
+	// firstListingTimeout is how long a rented machine may take until the cloud lists it.
+	firstListingTimeout = 60 * time.Second
 )
 
 // ApplyCloudList applies a complete list of the cloud that was asked for at a time, and names the
@@ -24,7 +24,7 @@
 			gone = append(gone, l.ID)
 			continue
 		}
-		if _, known := f.goneMachines[l.ID]; known {
+		if _, known := f.removedMachines[l.ID]; known {
 			continue // the list is older than the proof
 		}
 		m := f.EnsureMachine(now, l.ID, l.Type, l.Zone, l.Spot)
@@ -35,23 +35,23 @@
 			m.ListedAt = now
 		}
 	}
-	stale := 2*f.listLag + listMargin
+	stale := 2*f.listLag + listDeliveryMargin
 	for _, m := range f.Machines() {
-		if !listed[m.ID] && asked.Sub(m.knownToExist()) > stale {
+		if !listed[m.ID] && asked.Sub(m.mustBeListedSince()) > stale {
 			gone = append(gone, m.ID)
 		}
 	}
 	return gone
 }
 
-// knownToExist returns the time since which a machine must be in each current list.
-func (m *Machine) knownToExist() time.Time {
+// mustBeListedSince returns the time since which a machine must be in each current list.
+func (m *Machine) mustBeListedSince() time.Time {
 	known := m.ListedAt
 	if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
 		known = m.UpSince
 	}
 	if known.IsZero() {
-		return m.Since.Add(firstListing) // rented or recorded, never listed
+		return m.Since.Add(firstListingTimeout) // rented or recorded, never listed
 	}
 	return known
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -15,8 +15,8 @@
 	if m == nil || m.isStale(now, r) {
 		return cmds
 	}
-	m.noteResponse(now)
-	if r.Incarnation != m.Incarnation || r.Seq < m.heartbeatSeq {
+	m.recordResponse(now)
+	if r.Incarnation != m.Incarnation || r.Seq < m.unsolicitedSeq {
 		return cmds
 	}
 	// For the response to a heartbeat that has come again, no worker waits; nor, mostly, for that to
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,8 +19,8 @@
 	machines         map[string]*Machine
 	sortedMachines   []*Machine // by ID; replaced when a machine goes
 	placementsByTask map[wire.TaskID][]*Placement
-	goneMachines     map[string]messageNumber // which a stale list may still show, with their last messages
-	releasedMachines map[string]messageNumber // the same of those that the cloud has released
+	removedMachines  map[string]heartbeatID // which a stale list may still show, with their last messages
+	releasedMachines map[string]heartbeatID // the same of those that the cloud has released
 }
 
 // New returns the empty fleet of a fencing token. predecessorGrace bounds for how long after the
@@ -34,8 +34,8 @@
 		listLag:          listLag,
 		machines:         make(map[string]*Machine),
 		placementsByTask: make(map[wire.TaskID][]*Placement),
-		goneMachines:     make(map[string]messageNumber),
-		releasedMachines: make(map[string]messageNumber),
+		removedMachines:  make(map[string]heartbeatID),
+		releasedMachines: make(map[string]heartbeatID),
 	}
 }
 
@@ -46,7 +46,7 @@
 	if m := f.machines[id]; m != nil {
 		return m
 	}
-	delete(f.goneMachines, id)
+	delete(f.removedMachines, id)
 	m := &Machine{
 		ID: id, Type: typ, Zone: zone, Spot: spot, Since: now, IdleSince: now, provenEmpty: true,
 		JobFailures: make(map[string]int), imageCache: imageCache{images: make(map[string]cachedImage)},
@@ -97,9 +97,9 @@
 // name later counts. After a network failure its heartbeats may still come.
 func (f *Fleet) MarkReleased(id string) {
 	if m := f.machines[id]; m != nil {
-		f.releasedMachines[id] = m.lastMessage()
+		f.releasedMachines[id] = m.lastHeartbeatID()
 	} else if !f.IsReleased(id) {
-		f.releasedMachines[id] = messageNumber{}
+		f.releasedMachines[id] = heartbeatID{}
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	delete(f.machines, id)
 	f.sortedMachines = slices.DeleteFunc(slices.Clone(f.sortedMachines), func(o *Machine) bool { return o == m })
-	f.goneMachines[id] = m.lastMessage()
+	f.removedMachines[id] = m.lastHeartbeatID()
 }
 
 // Place plans an attempt of a task on a machine. Nothing is sent to the machine before Committed is
@@ -154,7 +154,7 @@
 }
 
 func (f *Fleet) addPlacement(m *Machine, p *Placement) {
-	i, _ := slices.BinarySearchFunc(m.placements, p, byTask)
+	i, _ := slices.BinarySearchFunc(m.placements, p, compareByTask)
 	m.placements = slices.Insert(slices.Clone(m.placements), i, p)
 	f.placementsByTask[p.Task] = append(f.placementsByTask[p.Task], p)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -159,7 +159,7 @@
 
 // TestImageCache: a machine keeps the most recently used images that fit its cache: counting on one
 // that has been evicted would make a task wait for its fetch.
-func TestPossibleAttempts(t *testing.T) {
+func TestImageCache(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	m := New(1, now, time.Minute, 0, 0).EnsureMachine(now, "n-1", "g4", "a", false)
 	check := func(want ...string) {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -18,18 +18,18 @@
 func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
 	last, gone := f.releasedMachines[r.Machine]
 	if !gone {
-		last = f.goneMachines[r.Machine]
+		last = f.removedMachines[r.Machine]
 	}
 	if m := f.machines[r.Machine]; m != nil {
-		last = m.lastMessage()
+		last = m.lastHeartbeatID()
 	}
 	return last.before(r)
 }
 
-// messageNumber orders the messages of a machine.
-type messageNumber struct{ incarnation, seq uint64 }
+// heartbeatID orders the messages of a machine.
+type heartbeatID struct{ incarnation, seq uint64 }
 
-func (n messageNumber) before(r *wire.Heartbeat) bool {
+func (n heartbeatID) before(r *wire.Heartbeat) bool {
 	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
 }
 
@@ -46,7 +46,7 @@
 	if r.Incarnation > m.Incarnation {
 		events = f.enterIncarnation(now, m, r.Incarnation, own)
 	}
-	f.noteContact(now, m, r, own)
+	f.applyMachineStatus(now, m, r, own)
 	for _, t := range r.Tasks {
 		if e, changed := f.applyTaskStatus(now, m, t, known); changed {
 			events = append(events, e)
@@ -56,7 +56,7 @@
 		events = append(events, f.reconcileMissing(now, m, own)...)
 	}
 	if own {
-		m.heartbeatSeq, m.heartbeatAt = r.Seq, now
+		m.unsolicitedSeq, m.unsolicitedAt = r.Seq, now
 	}
 	return events
 }
@@ -65,7 +65,7 @@
 // tasks of earlier incarnations, and executes nothing that was sent to one.
 func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, own bool) (events []Event) {
 	if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
-		m.certain(now)
+		m.markCommandsLost(now)
 	}
 	for _, p := range m.Placements() {
 		if (p.State != Planned || p.callPending) && (m.SeenAtToken || !p.restored) {
@@ -77,13 +77,13 @@
 	return events
 }
 
-// noteContact applies what a heartbeat shows about the machine itself.
-func (f *Fleet) noteContact(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
+// applyMachineStatus applies what a heartbeat shows about the machine itself.
+func (f *Fleet) applyMachineStatus(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
 	if !m.incarnationSeen {
 		// An incarnation has a lease of its own that counts from its beginning, which may have been
 		// just now.
 		m.incarnationSeen = true
-		m.noteResponse(now)
+		m.recordResponse(now)
 	}
 	if own {
 		m.firstCallSinceHeartbeat = time.Time{}
@@ -92,11 +92,11 @@
 	}
 	switch {
 	case !own:
-		m.lostCommands = 0 // a call was answered
-	case r.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
-		m.noteLostCommand(now) // nor taken the token from the response to its last heartbeat
+		m.suspectedLosses = 0 // a call was answered
+	case r.FencingToken < f.FencingToken && m.unsolicitedSeq > 0:
+		m.recordLostCommand(now) // nor taken the token from the response to its last heartbeat
 	}
-	m.lastSeq = r.Seq
+	m.latestSeq = r.Seq
 	m.Addr, m.LastHeartbeat = r.Addr, now
 	if !m.Up {
 		m.Up, m.UpSince, m.IdleSince = true, now, now
@@ -105,8 +105,8 @@
 		m.TerminationTime = now.Add(wire.Seconds(*r.TerminationNoticeS))
 	}
 	if r.FencingToken == f.FencingToken && !m.SeenAtToken {
-		m.SeenAtToken, m.lostCommands = true, 0
-		m.noteResponse(now) // an earlier leader's response may have come until now
+		m.SeenAtToken, m.suspectedLosses = true, 0
+		m.recordResponse(now) // an earlier leader's response may have come until now
 	}
 }
 
@@ -115,7 +115,7 @@
 	lostLaunch := false // that a response carried
 	for _, p := range m.Placements() {
 		switch {
-		case p.State == Planned || p.lastListed == m.lastMessage():
+		case p.State == Planned || p.lastListed == m.lastHeartbeatID():
 		case p.State != Sent:
 			f.removePlacement(m, p)
 			if p.State != Ended {
@@ -125,20 +125,20 @@
 			// One heartbeat is in flight at a time, and the response to it is executed before the
 			// next is made, or never: the launch was lost.
 			lostLaunch = lostLaunch || p.sentInResponse
-			if f.takeBackLaunch(m, p) {
+			if f.revertLostLaunch(m, p) {
 				events = append(events, Event{Placement: p, Gone: true})
 			}
 		}
 	}
 	if lostLaunch {
-		m.noteLostCommand(now)
+		m.recordLostCommand(now)
 	}
 	return events
 }
 
-// takeBackLaunch notes that the response that carried a launch was lost. The launch may be sent again,
+// revertLostLaunch notes that the response that carried a launch was lost. The launch may be sent again,
 // unless it is to stop anyway: then its placement is removed.
-func (f *Fleet) takeBackLaunch(m *Machine, p *Placement) (removed bool) {
+func (f *Fleet) revertLostLaunch(m *Machine, p *Placement) (removed bool) {
 	p.State, p.sentInResponse = Planned, false
 	if p.Stop == nil || p.callPending {
 		return false
@@ -151,7 +151,7 @@
 // Where all is known that may be on the machine, an attempt that appears, or is active again after its
 // end, was started by a late copy of a call, of which more may come.
 func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, known bool) (e Event, changed bool) {
-	p, state := m.findPlacement(t.ID, t.Attempt), stateOf(t.State)
+	p, state := m.findPlacement(t.ID, t.Attempt), stateFromWire(t.State)
 	appears := p == nil
 	if appears {
 		p = &Placement{Task: t.ID, Attempt: t.Attempt, Machine: m.ID, PlacedAt: now, Committed: true}
@@ -162,11 +162,11 @@
 		p.sentByCall, p.endedAt = true, time.Time{}
 	}
 	if p.State == Sent {
-		m.lostCommands = 0
+		m.suspectedLosses = 0
 	}
 	changed = !p.Reported || p.State != state
 	p.Reported, p.State, p.Cause, p.Saved = true, state, t.Cause, t.Saved
-	p.lastListed = m.lastMessage()
+	p.lastListed = m.lastHeartbeatID()
 	if state == Running && p.StartedAt.IsZero() {
 		p.StartedAt = now
 	}
@@ -178,7 +178,7 @@
 
 // stateOf returns the state of a placement from the status that its worker sent. A state that this version does
 // not know counts as running: the task is there.
-func stateOf(s wire.TaskState) State {
+func stateFromWire(s wire.TaskState) State {
 	switch s {
 	case wire.TaskFetching:
 		return Fetching
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -18,8 +18,8 @@
 	return time.Duration(float64(f.workerLease)*(1+clockDrift)) + proofMargin
 }
 
-// noteResponse notes that the lease may count from as late as now.
-func (m *Machine) noteResponse(now time.Time) {
+// recordResponse notes that the lease may count from as late as now.
+func (m *Machine) recordResponse(now time.Time) {
 	if m.LastResponse.Before(now) {
 		m.LastResponse = now
 	}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -41,21 +41,21 @@
 type incarnationState struct {
 	Incarnation     uint64
 	incarnationSeen bool      // a heartbeat of it has come
-	lastSeq         uint64    // of its newest heartbeat
-	heartbeatSeq    uint64    // of its newest own heartbeat
-	heartbeatAt     time.Time // when that came
+	latestSeq       uint64    // of its newest heartbeat
+	unsolicitedSeq  uint64    // of its newest own heartbeat
+	unsolicitedAt   time.Time // when that came
 	launchSeq       uint64    // of its newest heartbeat of which the response carried launches
 }
 
 // beginIncarnation moves on to an incarnation of which nothing has come yet. The machine stays, and
 // so do its images, but for those that were only being fetched: nobody waits for them.
 func (m *Machine) beginIncarnation(incarnation uint64) {
-	m.incarnationState = incarnationState{Incarnation: incarnation, heartbeatAt: m.heartbeatAt}
+	m.incarnationState = incarnationState{Incarnation: incarnation, unsolicitedAt: m.unsolicitedAt}
 	m.evictUnfetched()
 }
 
-// lastMessage returns the number of the newest heartbeat.
-func (m *Machine) lastMessage() messageNumber { return messageNumber{m.Incarnation, m.lastSeq} }
+// lastHeartbeatID returns the number of the newest heartbeat.
+func (m *Machine) lastHeartbeatID() heartbeatID { return heartbeatID{m.Incarnation, m.latestSeq} }
 
 // launchable reports whether a machine may be launched on.
 func (m *Machine) launchable() bool {
@@ -69,14 +69,14 @@
 	if r.Incarnation != m.Incarnation {
 		return r.Incarnation < m.Incarnation
 	}
-	return r.Seq < m.heartbeatSeq || r.Seq == m.heartbeatSeq && now.Sub(m.heartbeatAt) > proofMargin
+	return r.Seq < m.unsolicitedSeq || r.Seq == m.unsolicitedSeq && now.Sub(m.unsolicitedAt) > proofMargin
 }
 
 // Placements lists what is or may be on the machine, sorted by task and attempt. The list is the
 // caller's to go through, whatever becomes of the placements meanwhile.
 func (m *Machine) Placements() []*Placement { return m.placements }
 
-func byTask(a, b *Placement) int {
+func compareByTask(a, b *Placement) int {
 	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 }
 
@@ -94,7 +94,7 @@
 func (m *Machine) PossibleAttempts() map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, p := range m.placements {
-		if p.mayBeThere() {
+		if p.mayBePresent() {
 			task := p.Task.String()
 			out[task] = max(out[task], p.Attempt)
 		}
@@ -105,7 +105,7 @@
 // CountPossible counts the attempts that are or may yet be on the machine.
 func (m *Machine) CountPossible() (n int) {
 	for _, p := range m.placements {
-		if p.mayBeThere() {
+		if p.mayBePresent() {
 			n++
 		}
 	}
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -32,9 +32,9 @@
 	Saved      bool
 	Stop       *StopOrder // nil unless it is to stop
 	PlacedAt   time.Time
-	StartedAt  time.Time     // when it was first seen running
-	Reported   bool          // a heartbeat has listed it
-	lastListed messageNumber // the newest heartbeat that listed it
+	StartedAt  time.Time   // when it was first seen running
+	Reported   bool        // a heartbeat has listed it
+	lastListed heartbeatID // the newest heartbeat that listed it
 
 	// sentInResponse: a response carried the launch, and no heartbeat has shown yet that it was not
 	// taken. A direct call that was refused beside it proves nothing.
@@ -72,8 +72,8 @@
 // CallPending reports whether a launch of the placement may still be on its way by a direct call.
 func (p *Placement) CallPending() bool { return p.callPending }
 
-// mayBeThere reports whether the attempt is or may yet be on its machine.
-func (p *Placement) mayBeThere() bool { return p.Active() || p.callPending }
+// mayBePresent reports whether the attempt is or may yet be on its machine.
+func (p *Placement) mayBePresent() bool { return p.Active() || p.callPending }
 
 const (
 	// duplicateCallWindow is for how long after the end of an attempt a copy of the answered call that
--- a/internal/reachability/calls.go
+++ b/internal/reachability/calls.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (l *CallLog) noteResult(now time.Time, answered bool) {
+func (l *CallLog) recordResult(now time.Time, answered bool) {
 	if l.results = append(l.results, callResult{now, answered}); len(l.results) > maxCallResults {
 		l.results = l.results[1:]
 	}
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -44,12 +44,12 @@
 
 // NoteEviction records that a machine was evicted because its heartbeats were missing.
 func (d *Detector) NoteEviction(now time.Time, zone string) {
-	d.evicted = slices.DeleteFunc(d.evicted, func(e eviction) bool { return !d.counts(now, e) })
+	d.evicted = slices.DeleteFunc(d.evicted, func(e eviction) bool { return !d.mayHoldLease(now, e) })
 	d.evicted = append(d.evicted, eviction{now, zone})
 }
 
 // counts reports whether tasks of an evicted machine may still be running.
-func (d *Detector) counts(now time.Time, e eviction) bool {
+func (d *Detector) mayHoldLease(now time.Time, e eviction) bool {
 	return now.Sub(e.at) <= d.monitor.timeouts.Lease
 }
 
@@ -58,7 +58,7 @@
 func (d *Detector) RecentEvictions(now time.Time) map[string]int {
 	out := make(map[string]int)
 	for _, e := range d.evicted {
-		if d.counts(now, e) {
+		if d.mayHoldLease(now, e) {
 			out[e.zone]++
 		}
 	}
@@ -146,13 +146,13 @@
 // ShardAloneUnreachable reports whether hardly any machine of this shard sends heartbeats while most of
 // other shards do: the zones of this shard are cut off, not this controller.
 func (d *Detector) ShardAloneUnreachable(now time.Time) bool {
-	own, others := total(d.monitor.ZoneHealth(now)), total(d.peers)
+	own, others := sumHealth(d.monitor.ZoneHealth(now)), sumHealth(d.peers)
 	ownMissing := own.Up >= MinMachinesToJudge && own.Quiet*10 >= own.Up*9
 	othersHealthy := others.Up >= MinMachinesToJudge && others.Quiet*partitionShare <= others.Up
 	return ownMissing && othersHealthy
 }
 
-func total(zones map[string]ZoneHealth) (t ZoneHealth) {
+func sumHealth(zones map[string]ZoneHealth) (t ZoneHealth) {
 	for _, h := range zones {
 		t.Up += h.Up
 		t.Quiet += h.Quiet
@@ -171,7 +171,7 @@
 	}
 	machines, byZone, worst := make(map[*fleet.Machine]bool), make(map[string]int), ""
 	for _, x := range d.monitor.fleet.UnprovenMachines() {
-		if !d.oneWay(now, x) {
+		if !d.isOneWay(now, x) {
 			continue
 		}
 		machines[x] = true
@@ -179,14 +179,14 @@
 			worst = x.Zone
 		}
 	}
-	if len(machines) == 0 || d.oneWayNetwork(byZone, worst) {
+	if len(machines) == 0 || d.isOneWayNetworkFault(byZone, worst) {
 		return nil
 	}
 	return machines
 }
 
-// oneWayNetwork reports whether so many machines outside the worst zone are one-way that a network has failed.
-func (d *Detector) oneWayNetwork(byZone map[string]int, worst string) bool {
+// isOneWayNetworkFault reports whether so many machines outside the worst zone are one-way that a network has failed.
+func (d *Detector) isOneWayNetworkFault(byZone map[string]int, worst string) bool {
 	up := make(map[string]int)
 	for _, x := range d.monitor.fleet.Machines() {
 		if x.Up {
@@ -203,7 +203,7 @@
 }
 
 // oneWay reports whether a machine sends heartbeats, but receives no commands and answers no calls.
-func (d *Detector) oneWay(now time.Time, x *fleet.Machine) bool {
-	return !d.monitor.fleet.ReceivesCommands(now, x) && d.monitor.Calls.Last(x.ID).Failures >= certainFailures &&
+func (d *Detector) isOneWay(now time.Time, x *fleet.Machine) bool {
+	return !d.monitor.fleet.ReceivesCommands(now, x) && d.monitor.Calls.Last(x.ID).Failures >= minConsecutiveFailures &&
 		d.monitor.HeartbeatAge(now, x) < d.monitor.timeouts.Unreachable
 }
--- a/internal/reachability/fencing.go
+++ b/internal/reachability/fencing.go
@@ -18,9 +18,9 @@
 	// scanInterval is the time between two scans of the fleet for machines that peers may call.
 	// Peers ask several times a second, and a scan of thousands of machines is not free.
 	scanInterval = 250 * time.Millisecond
-	// suspectedCalls is how many machines of a suspected zone each peer calls: two, so that one
+	// callsPerSuspectedZone is how many machines of a suspected zone each peer calls: two, so that one
 	// machine that is gone decides nothing.
-	suspectedCalls = 2
+	callsPerSuspectedZone = 2
 	// probeInterval is the time between two probes, which is shorter than answeredMaxAge.
 	probeInterval = 2 * time.Second
 	// maxProbes is how many machines are probed at once: enough that one loss decides nothing.
@@ -38,29 +38,29 @@
 
 // Fencing schedules the fencing calls to machines.
 type Fencing struct {
-	monitor *Monitor
-	open    int              // calls from here without a result
-	pending []*fleet.Machine // that peers may call
-	scanned time.Time        // when they were picked
+	monitor   *Monitor
+	openCalls int              // calls from here without a result
+	pending   []*fleet.Machine // that peers may call
+	scannedAt time.Time        // when they were picked
 }
 
 // NewFencing returns a schedule of calls to the machines of a monitor.
 func NewFencing(m *Monitor) *Fencing { return &Fencing{monitor: m} }
 
 // Open is how many calls from here have no result yet.
-func (f *Fencing) Open() int { return f.open }
+func (f *Fencing) Open() int { return f.openCalls }
 
 // Started records calls that are made from here.
-func (f *Fencing) Started(n int) { f.open += n }
+func (f *Fencing) Started(n int) { f.openCalls += n }
 
 // Finished records that a call from here has its result.
-func (f *Fencing) Finished() { f.open-- }
+func (f *Fencing) Finished() { f.openCalls-- }
 
 // Due reports whether a machine is to be called: it has not been seen at the leader's token, its
 // heartbeat is overdue, or it seems not to take what it is told.
 func (f *Fencing) Due(now time.Time, x *fleet.Machine) bool {
 	last := f.monitor.Calls.Last(x.ID)
-	if x.Addr == "" || !expected(x) || last.InFlight(now) {
+	if x.Addr == "" || !shouldSendHeartbeats(x) || last.InFlight(now) {
 		return false
 	}
 	if x.SeenAtToken && f.monitor.HeartbeatAge(now, x) < f.monitor.timeouts.Suspect && f.monitor.fleet.ReceivesCommands(now, x) {
@@ -108,8 +108,8 @@
 // most limit of them: a failover with thousands of machines takes as long as the calls do. Zones
 // for which skip is true are left out.
 func (f *Fencing) Rebuild(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
-	if now.Sub(f.scanned) > scanInterval {
-		f.scanned, f.pending = now, nil
+	if now.Sub(f.scannedAt) > scanInterval {
+		f.scannedAt, f.pending = now, nil
 		for _, x := range f.monitor.fleet.Machines() {
 			// The leader itself calls a machine that a peer could not reach: the link between
 			// those two says nothing of the machine.
@@ -119,26 +119,26 @@
 		}
 		SortByLoad(f.pending)
 	}
-	return f.take(now, limit, func(x *fleet.Machine) bool { return !x.SeenAtToken && f.Due(now, x) })
+	return f.startPendingCalls(now, limit, func(x *fleet.Machine) bool { return !x.SeenAtToken && f.Due(now, x) })
 }
 
 // Suspected returns calls that a peer can make to machines of suspected zones, for what their
 // results tell of the zones.
 func (f *Fencing) Suspected(now time.Time, limit int, zones []string) []FencingCall {
-	f.pending = f.inSuspectedZones(now, zones)
-	return f.take(now, limit, func(*fleet.Machine) bool { return true })
+	f.pending = f.pickInSuspectedZones(now, zones)
+	return f.startPendingCalls(now, limit, func(*fleet.Machine) bool { return true })
 }
 
-// inSuspectedZones picks missing machines of suspected zones, and one of another zone that is
+// pickInSuspectedZones picks missing machines of suspected zones, and one of another zone that is
 // connected: that a peer can't reach a zone counts only if it can reach others.
-func (f *Fencing) inSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
-	if now.Sub(f.scanned) < scanInterval || len(zones) == 0 {
+func (f *Fencing) pickInSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
+	if now.Sub(f.scannedAt) < scanInterval || len(zones) == 0 {
 		return nil
 	}
-	f.scanned = now
+	f.scannedAt = now
 	left := make(map[string]int, len(zones))
 	for _, zone := range zones {
-		left[zone] = suspectedCalls
+		left[zone] = callsPerSuspectedZone
 	}
 	var connected *fleet.Machine
 	for _, x := range f.monitor.fleet.Machines() {
@@ -160,7 +160,7 @@
 }
 
 // take starts pending calls, as far as they are still wanted.
-func (f *Fencing) take(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
+func (f *Fencing) startPendingCalls(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
 	var out []FencingCall
 	for len(f.pending) > 0 && len(out) < limit {
 		x := f.pending[0]
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -35,9 +35,9 @@
 	// pause found nobody to take them, and workers that tried other controllers need a few
 	// seconds to come back.
 	pauseGrace = 5 * time.Second
-	// certainFailures is how many calls in a row must fail before a machine that never sent a
+	// minConsecutiveFailures is how many calls in a row must fail before a machine that never sent a
 	// heartbeat to this leader counts as unreachable. A single call may be lost.
-	certainFailures = 2
+	minConsecutiveFailures = 2
 )
 
 // Monitor tells how recently a leader received a heartbeat of each machine, and what became of the
@@ -47,7 +47,7 @@
 
 	fleet     *fleet.Fleet
 	timeouts  Timeouts
-	pauseOver time.Time // when the leader last continued after a pause
+	resumedAt time.Time // when the leader last continued after a pause
 }
 
 // NewMonitor returns a monitor of the machines of a fleet.
@@ -56,18 +56,18 @@
 }
 
 // NotePause records that the leader has just continued after a pause.
-func (m *Monitor) NotePause(now time.Time) { m.pauseOver = now }
+func (m *Monitor) NotePause(now time.Time) { m.resumedAt = now }
 
 // PauseOver is when the leader last continued after a pause.
-func (m *Monitor) PauseOver() time.Time { return m.pauseOver }
+func (m *Monitor) PauseOver() time.Time { return m.resumedAt }
 
 // CannotJudge reports whether the leader was elected or paused so lately that a missing heartbeat
 // says nothing of a machine.
 func (m *Monitor) CannotJudge(now time.Time) bool {
-	return now.Sub(m.fleet.ElectedAt) < m.timeouts.Unreachable || m.afterPause(now)
+	return now.Sub(m.fleet.ElectedAt) < m.timeouts.Unreachable || m.resumedRecently(now)
 }
 
-func (m *Monitor) afterPause(now time.Time) bool { return now.Sub(m.pauseOver) < pauseGrace }
+func (m *Monitor) resumedRecently(now time.Time) bool { return now.Sub(m.resumedAt) < pauseGrace }
 
 // HeartbeatAge is the time since the last heartbeat of a machine, or since the leader was elected
 // if there was none under its token.
@@ -93,14 +93,14 @@
 // calling all of a large fleet takes a while: only failed calls, or the end of every lease, show
 // that such a machine is unreachable.
 func (m *Monitor) Unreachable(now time.Time, x *fleet.Machine) bool {
-	if m.afterPause(now) {
+	if m.resumedRecently(now) {
 		return false
 	}
 	if !x.LastHeartbeat.IsZero() {
 		return m.HeartbeatAge(now, x) > m.timeouts.Unreachable
 	}
 	since := now.Sub(m.fleet.ElectedAt)
-	if m.Calls.Last(x.ID).Failures >= certainFailures && since > min(m.timeouts.RebuildWait, m.timeouts.Unreachable) {
+	if m.Calls.Last(x.ID).Failures >= minConsecutiveFailures && since > min(m.timeouts.RebuildWait, m.timeouts.Unreachable) {
 		return true
 	}
 	return since > m.timeouts.Unreachable+m.timeouts.Lease
@@ -137,7 +137,7 @@
 	// This bound includes the age itself, unlike Fresh.
 	connected := !x.LastHeartbeat.IsZero() && m.HeartbeatAge(now, x) <= m.timeouts.Fresh && m.fleet.ReceivesCommands(now, x)
 	if answered || connected {
-		m.Calls.noteResult(now, answered)
+		m.Calls.recordResult(now, answered)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (m *Monitor) ZoneHealth(now time.Time) map[string]ZoneHealth {
 	out := make(map[string]ZoneHealth)
 	for _, x := range m.fleet.Machines() {
-		if !expected(x) {
+		if !shouldSendHeartbeats(x) {
 			continue
 		}
 		h := out[x.Zone]
@@ -166,4 +166,4 @@
 }
 
 // expected reports whether a machine should send heartbeats.
-func expected(x *fleet.Machine) bool { return (x.Up || x.Recorded) && !x.Releasing }
+func shouldSendHeartbeats(x *fleet.Machine) bool { return (x.Up || x.Recorded) && !x.Releasing }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -14,7 +14,7 @@
 const testToken = 3
 
 // scene is a fleet under a new leader, whose machines send heartbeats as told.
-type scene struct {
+type monitorFixture struct {
 	t       *testing.T
 	now     time.Time
 	fleet   *fleet.Fleet
@@ -22,26 +22,26 @@
 	seq     uint64
 }
 
-func newScene(t *testing.T) *scene {
+func newMonitorFixture(t *testing.T) *monitorFixture {
 	at := time.Unix(1e9, 0)
 	f := fleet.New(testToken, at, testTimeouts.Lease, 0, time.Minute)
-	return &scene{t: t, now: at, fleet: f, monitor: NewMonitor(f, testTimeouts)}
+	return &monitorFixture{t: t, now: at, fleet: f, monitor: NewMonitor(f, testTimeouts)}
 }
 
-func name(zone string, i int) string { return fmt.Sprintf("%s-%02d", zone, i) }
+func machineID(zone string, i int) string { return fmt.Sprintf("%s-%02d", zone, i) }
 
 // heartbeat has machines from up to (but not including) to of a zone send a heartbeat.
-func (s *scene) heartbeat(zone string, from, to int) {
+func (s *monitorFixture) heartbeat(zone string, from, to int) {
 	for i := from; i < to; i++ {
 		s.seq++
-		s.fleet.ApplyHeartbeat(s.now, &wire.Heartbeat{Machine: name(zone, i), Addr: "10.0.0.1:9000", Type: "g4", Zone: zone, Incarnation: 1, Seq: s.seq, FencingToken: testToken}, true)
+		s.fleet.ApplyHeartbeat(s.now, &wire.Heartbeat{Machine: machineID(zone, i), Addr: "10.0.0.1:9000", Type: "g4", Zone: zone, Incarnation: 1, Seq: s.seq, FencingToken: testToken}, true)
 	}
 }
 
-func (s *scene) wait(d time.Duration) { s.now = s.now.Add(d) }
+func (s *monitorFixture) wait(d time.Duration) { s.now = s.now.Add(d) }
 
 // detector returns one that knows some zones to be unreachable.
-func (s *scene) detector(unreachable ...string) *Detector {
+func (s *monitorFixture) detector(unreachable ...string) *Detector {
 	return NewDetector(s.monitor, func(zone string) bool {
 		for _, u := range unreachable {
 			if u == zone {
@@ -75,7 +75,7 @@
 		{name: "peers don't either", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(t)
+			s := newMonitorFixture(t)
 			for _, zone := range []string{"a", "b", "c"} {
 				s.heartbeat(zone, 0, 12)
 			}
@@ -107,7 +107,7 @@
 
 // TestEvictionsExpire: an evicted machine counts until its lease is over.
 func TestEvictionsExpire(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	d := s.detector()
 	d.NoteEviction(s.now, "a")
 	s.wait(testTimeouts.Lease)
@@ -124,7 +124,7 @@
 // TestUnreachable: a machine is unreachable after a timeout without heartbeats, but not just after
 // the leader paused; one that never sent any only when calls have failed, or all leases are over.
 func TestUnreachable(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 1)
 	s.fleet.RestoreMachine(s.now, "b-00", "10.0.0.2:9000", "g4", "b", false, 1, nil)
 	sent, never := s.fleet.Machine("a-00"), s.fleet.Machine("b-00")
@@ -136,7 +136,7 @@
 	if !s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
 		t.Error("after the timeout")
 	}
-	for range certainFailures {
+	for range minConsecutiveFailures {
 		s.monitor.Calls.Start(s.now, never.ID, "")
 		s.monitor.CallFinished(s.now, never.ID, false)
 	}
@@ -160,7 +160,7 @@
 
 // TestPresumedLost: a failed call tells that a machine is lost only if another was answered since.
 func TestPresumedLost(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 2)
 	s.wait(testTimeouts.Unreachable + time.Second)
 	lost := s.fleet.Machine("a-00")
@@ -189,7 +189,7 @@
 
 // TestFencingBackoff: calls that fail are repeated after a second, and then ever later.
 func TestFencingBackoff(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.2:9000", "g4", "a", false, 1, nil)
 	x := s.fleet.Machine("a-00")
@@ -214,11 +214,11 @@
 // TestRebuildCalls: peers get the machines that were not seen at the token, those with the fewest tasks first, and none
 // that a peer failed to reach.
 func TestRebuildCalls(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.1:9000", "g4", "a", false, 1, map[string]uint64{"wk-1/0": 1 << 24})
 	for i := 1; i < 4; i++ {
-		s.fleet.RestoreMachine(s.now, name("a", i), "10.0.0.1:9000", "g4", "a", false, 1, nil)
+		s.fleet.RestoreMachine(s.now, machineID("a", i), "10.0.0.1:9000", "g4", "a", false, 1, nil)
 	}
 	s.fleet.RestoreMachine(s.now, "b-00", "10.0.0.1:9000", "g4", "b", false, 1, nil)
 	s.heartbeat("a", 1, 2)
@@ -245,7 +245,7 @@
 
 // TestSuspectedZoneCalls: two missing machines of a suspected zone are called, and a connected one elsewhere.
 func TestSuspectedZoneCalls(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.heartbeat("a", 0, 5)
 	s.heartbeat("b", 0, 5)
@@ -265,7 +265,7 @@
 
 // TestCallsFailing: three of four recent calls must fail, of at least sixteen.
 func TestCallsFailing(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 1)
 	fail := func(n int, answered bool) {
 		for range n {
@@ -299,7 +299,7 @@
 
 // TestProbes: connected machines are probed while others are missing and no call was answered lately.
 func TestProbes(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.heartbeat("a", 0, 5)
 	if got := f.Probes(s.now, false); got != nil {
@@ -316,7 +316,7 @@
 
 // TestOneWay: machines that take nothing are returned once all leases of an earlier leader are over.
 func TestOneWay(t *testing.T) {
-	s := newScene(t)
+	s := newMonitorFixture(t)
 	if got := s.detector().OneWay(s.now); got != nil {
 		t.Error(got)
 	}
