--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -16,7 +16,7 @@
 // ApplyCloudList applies a complete list of the cloud that was asked for at a time, and names the
 // machines that it proves gone. A list may be old by twice the lag, so that a machine counts as
 // gone only if it was known to exist well before.
-func (f *Fleet) ApplyCloudList(asked, now time.Time, list []wire.ListedMachine) (gone []string) {
+func (f *Fleet) ApplyCloudList(requestedAt, now time.Time, list []wire.ListedMachine) (gone []string) {
 	listed := make(map[string]bool, len(list))
 	for _, l := range list {
 		listed[l.ID] = true
@@ -35,9 +35,9 @@
 			m.ListedAt = now
 		}
 	}
-	stale := 2*f.listLag + listDeliveryMargin
+	maxListAge := 2*f.listLag + listDeliveryMargin
 	for _, m := range f.Machines() {
-		if !listed[m.ID] && asked.Sub(m.mustBeListedSince()) > stale {
+		if !listed[m.ID] && requestedAt.Sub(m.mustBeListedSince()) > maxListAge {
 			gone = append(gone, m.ID)
 		}
 	}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,19 +9,19 @@
 // HeartbeatCommands returns the commands for the response to a heartbeat that was just applied; with
 // launch, launches too: the leader's own lease surely lasts. The response counts as one that the
 // machine may have taken.
-func (f *Fleet) HeartbeatCommands(now time.Time, r *wire.Heartbeat, launch bool) []wire.Command {
+func (f *Fleet) HeartbeatCommands(now time.Time, hb *wire.Heartbeat, launch bool) []wire.Command {
 	cmds := []wire.Command{}
-	m := f.machines[r.Machine]
-	if m == nil || m.isStale(now, r) {
+	m := f.machines[hb.Machine]
+	if m == nil || m.isStale(now, hb) {
 		return cmds
 	}
 	m.recordResponse(now)
-	if r.Incarnation != m.Incarnation || r.Seq < m.unsolicitedSeq {
+	if hb.Incarnation != m.Incarnation || hb.Seq < m.unsolicitedSeq {
 		return cmds
 	}
 	// For the response to a heartbeat that has come again, no worker waits; nor, mostly, for that to
 	// one from before the token, of a machine that was seen at it since.
-	launch = launch && m.launchable() && r.Seq > m.launchSeq && r.FencingToken == f.FencingToken && f.ReceivesCommands(now, m)
+	launch = launch && m.launchable() && hb.Seq > m.launchSeq && hb.FencingToken == f.FencingToken && f.ReceivesCommands(now, m)
 	for _, p := range m.Placements() {
 		switch {
 		case p.IsTombstone() && p.mayBeDuplicated(now):
@@ -32,7 +32,7 @@
 		case p.State == Planned && p.Committed && launch && (p.Stop == nil || p.callPending && !p.Stop.JobFinished):
 			// One that is to stop and may yet be launched by a call on its way can't be withdrawn: it
 			// is launched after all, and stopped when it shows.
-			p.State, p.sentInResponse, m.launchSeq = Sent, true, r.Seq
+			p.State, p.sentInResponse, m.launchSeq = Sent, true, hb.Seq
 			cmds = append(cmds, p.command(wire.Launch))
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -160,11 +160,11 @@
 }
 
 func (f *Fleet) removePlacement(m *Machine, p *Placement) {
-	same := func(q *Placement) bool { return q == p }
-	m.placements = slices.DeleteFunc(slices.Clone(m.placements), same)
-	rest := slices.DeleteFunc(slices.Clone(f.placementsByTask[p.Task]), same)
-	if len(rest) > 0 {
-		f.placementsByTask[p.Task] = rest
+	isPlacement := func(q *Placement) bool { return q == p }
+	m.placements = slices.DeleteFunc(slices.Clone(m.placements), isPlacement)
+	remaining := slices.DeleteFunc(slices.Clone(f.placementsByTask[p.Task]), isPlacement)
+	if len(remaining) > 0 {
+		f.placementsByTask[p.Task] = remaining
 	} else {
 		delete(f.placementsByTask, p.Task)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,11 +28,11 @@
 // returns the commands of the response.
 func (f *duplicateCallFixture) heartbeat(launch bool, tasks ...wire.ReportedTask) []wire.Command {
 	f.seq++
-	r := &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Seq: f.seq, FencingToken: 1, Tasks: tasks}
-	for _, e := range f.ApplyHeartbeat(f.now, r, true) {
+	hb := &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Seq: f.seq, FencingToken: 1, Tasks: tasks}
+	for _, e := range f.ApplyHeartbeat(f.now, hb, true) {
 		e.Placement.EndHandled = e.Placement.State == Ended
 	}
-	return f.HeartbeatCommands(f.now, r, launch)
+	return f.HeartbeatCommands(f.now, hb, launch)
 }
 
 // place plans an attempt that may be sent, and returns it as the worker lists it once it has ended.
@@ -129,8 +129,8 @@
 	apply := func(task wire.ReportedTask) Event {
 		t.Helper()
 		f.seq++
-		r := &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Seq: f.seq, FencingToken: 1, Tasks: []wire.ReportedTask{task}}
-		events := f.ApplyHeartbeat(f.now, r, true)
+		hb := &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Seq: f.seq, FencingToken: 1, Tasks: []wire.ReportedTask{task}}
+		events := f.ApplyHeartbeat(f.now, hb, true)
 		if len(events) != 1 {
 			t.Fatalf("events %+v, want one", events)
 		}
@@ -145,14 +145,14 @@
 	if e := apply(task); !e.Unlaunched {
 		t.Error("an attempt that is active again after its end counts as launched")
 	}
-	stranger := wire.ReportedTask{ID: wire.TaskID{Job: "wk-2"}, Attempt: 3, State: wire.TaskEnded, Cause: wire.CauseNoRoom}
+	unlaunched := wire.ReportedTask{ID: wire.TaskID{Job: "wk-2"}, Attempt: 3, State: wire.TaskEnded, Cause: wire.CauseNoRoom}
 	f.heartbeat(false)
-	e := apply(stranger)
+	e := apply(unlaunched)
 	if !e.Unlaunched {
 		t.Error("an attempt without a launch counts as launched")
 	}
 	e.Placement.EndHandled = true
-	if cmds := f.heartbeat(false, stranger); len(cmds) != 0 {
+	if cmds := f.heartbeat(false, unlaunched); len(cmds) != 0 {
 		t.Errorf("commands %+v, want none: more copies may come", cmds)
 	}
 }
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -15,56 +15,56 @@
 
 // IsNewer reports whether a heartbeat is newer than all that came of its machine, also of one that
 // is gone. A late copy is evidence of nothing, not even of the machine's zone.
-func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
-	last, gone := f.releasedMachines[r.Machine]
+func (f *Fleet) IsNewer(hb *wire.Heartbeat) bool {
+	last, gone := f.releasedMachines[hb.Machine]
 	if !gone {
-		last = f.removedMachines[r.Machine]
+		last = f.removedMachines[hb.Machine]
 	}
-	if m := f.machines[r.Machine]; m != nil {
+	if m := f.machines[hb.Machine]; m != nil {
 		last = m.lastHeartbeatID()
 	}
-	return last.before(r)
+	return last.before(hb)
 }
 
 // heartbeatID orders the messages of a machine.
 type heartbeatID struct{ incarnation, seq uint64 }
 
-func (n heartbeatID) before(r *wire.Heartbeat) bool {
-	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
+func (n heartbeatID) before(hb *wire.Heartbeat) bool {
+	return hb.Incarnation > n.incarnation || hb.Incarnation == n.incarnation && hb.Seq > n.seq
 }
 
 // ApplyHeartbeat takes in a worker's heartbeat, whichever way it came. A heartbeat proves that an
 // unseen launch was not taken only if the worker sent it by itself (own), and not as the answer to
 // a call: the response that carried the launch may be in flight beside any other.
-func (f *Fleet) ApplyHeartbeat(now time.Time, r *wire.Heartbeat, own bool) []Event {
-	if f.IsReleased(r.Machine) || !f.IsNewer(r) {
+func (f *Fleet) ApplyHeartbeat(now time.Time, hb *wire.Heartbeat, unsolicited bool) []Event {
+	if f.IsReleased(hb.Machine) || !f.IsNewer(hb) {
 		return nil // its list is as old as itself; what is gone since would be launched on
 	}
-	m := f.EnsureMachine(now, r.Machine, r.Type, r.Zone, r.Spot)
-	known := m.SeenAtToken // all that earlier leaders launched has been seen
+	m := f.EnsureMachine(now, hb.Machine, hb.Type, hb.Zone, hb.Spot)
+	allTasksKnown := m.SeenAtToken // all that earlier leaders launched has been seen
 	var events []Event
-	if r.Incarnation > m.Incarnation {
-		events = f.enterIncarnation(now, m, r.Incarnation, own)
+	if hb.Incarnation > m.Incarnation {
+		events = f.enterIncarnation(now, m, hb.Incarnation, unsolicited)
 	}
-	f.applyMachineStatus(now, m, r, own)
-	for _, t := range r.Tasks {
-		if e, changed := f.applyTaskStatus(now, m, t, known); changed {
+	f.applyMachineStatus(now, m, hb, unsolicited)
+	for _, t := range hb.Tasks {
+		if e, changed := f.applyTaskStatus(now, m, t, allTasksKnown); changed {
 			events = append(events, e)
 		}
 	}
-	if m.SeenAtToken && r.FencingToken >= f.FencingToken {
-		events = append(events, f.reconcileMissing(now, m, own)...)
+	if m.SeenAtToken && hb.FencingToken >= f.FencingToken {
+		events = append(events, f.reconcileMissing(now, m, unsolicited)...)
 	}
-	if own {
-		m.unsolicitedSeq, m.unsolicitedAt = r.Seq, now
+	if unsolicited {
+		m.unsolicitedSeq, m.unsolicitedAt = hb.Seq, now
 	}
 	return events
 }
 
 // enterIncarnation records that a machine's worker has begun a new incarnation (proof 2): it has forgotten all
 // tasks of earlier incarnations, and executes nothing that was sent to one.
-func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, own bool) (events []Event) {
-	if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
+func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, unsolicited bool) (events []Event) {
+	if unsolicited && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
 		m.markCommandsLost(now)
 	}
 	for _, p := range m.Placements() {
@@ -78,40 +78,40 @@
 }
 
 // applyMachineStatus applies what a heartbeat shows about the machine itself.
-func (f *Fleet) applyMachineStatus(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
+func (f *Fleet) applyMachineStatus(now time.Time, m *Machine, hb *wire.Heartbeat, unsolicited bool) {
 	if !m.incarnationSeen {
 		// An incarnation has a lease of its own that counts from its beginning, which may have been
 		// just now.
 		m.incarnationSeen = true
 		m.recordResponse(now)
 	}
-	if own {
+	if unsolicited {
 		m.firstCallSinceHeartbeat = time.Time{}
 	} else if m.firstCallSinceHeartbeat.IsZero() {
 		m.firstCallSinceHeartbeat = now
 	}
 	switch {
-	case !own:
+	case !unsolicited:
 		m.suspectedLosses = 0 // a call was answered
-	case r.FencingToken < f.FencingToken && m.unsolicitedSeq > 0:
+	case hb.FencingToken < f.FencingToken && m.unsolicitedSeq > 0:
 		m.recordLostCommand(now) // nor taken the token from the response to its last heartbeat
 	}
-	m.latestSeq = r.Seq
-	m.Addr, m.LastHeartbeat = r.Addr, now
+	m.latestSeq = hb.Seq
+	m.Addr, m.LastHeartbeat = hb.Addr, now
 	if !m.Up {
 		m.Up, m.UpSince, m.IdleSince = true, now, now
 	}
-	if r.TerminationNoticeS != nil {
-		m.TerminationTime = now.Add(wire.Seconds(*r.TerminationNoticeS))
+	if hb.TerminationNoticeS != nil {
+		m.TerminationTime = now.Add(wire.Seconds(*hb.TerminationNoticeS))
 	}
-	if r.FencingToken == f.FencingToken && !m.SeenAtToken {
+	if hb.FencingToken == f.FencingToken && !m.SeenAtToken {
 		m.SeenAtToken, m.suspectedLosses = true, 0
 		m.recordResponse(now) // an earlier leader's response may have come until now
 	}
 }
 
 // reconcileMissing deals with what a heartbeat at the own token does not list (proof 1).
-func (f *Fleet) reconcileMissing(now time.Time, m *Machine, own bool) (events []Event) {
+func (f *Fleet) reconcileMissing(now time.Time, m *Machine, unsolicited bool) (events []Event) {
 	lostLaunch := false // that a response carried
 	for _, p := range m.Placements() {
 		switch {
@@ -121,7 +121,7 @@
 			if p.State != Ended {
 				events = append(events, Event{Placement: p, Gone: true})
 			}
-		case own:
+		case unsolicited:
 			// One heartbeat is in flight at a time, and the response to it is executed before the
 			// next is made, or never: the launch was lost.
 			lostLaunch = lostLaunch || p.sentInResponse
@@ -150,7 +150,7 @@
 // applyTaskStatus applies the status of one listed task and reports whether its state has changed.
 // Where all is known that may be on the machine, an attempt that appears, or is active again after its
 // end, was started by a late copy of a call, of which more may come.
-func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, known bool) (e Event, changed bool) {
+func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, allTasksKnown bool) (e Event, changed bool) {
 	p, state := m.findPlacement(t.ID, t.Attempt), stateFromWire(t.State)
 	appears := p == nil
 	if appears {
@@ -158,7 +158,7 @@
 		f.addPlacement(m, p)
 	}
 	e.Placement = p
-	if e.Unlaunched = known && (appears || p.State == Ended && state != Ended); e.Unlaunched {
+	if e.Unlaunched = allTasksKnown && (appears || p.State == Ended && state != Ended); e.Unlaunched {
 		p.sentByCall, p.endedAt = true, time.Time{}
 	}
 	if p.State == Sent {
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -27,10 +27,10 @@
 
 // ExpireLeases applies the proofs that time gives, and returns what they show gone.
 func (f *Fleet) ExpireLeases(now time.Time) (events []Event) {
-	over := f.leaseExpiry()
+	expiry := f.leaseExpiry()
 	for _, m := range f.Machines() {
 		switch {
-		case m.SeenAtToken && now.Sub(m.LastResponse) > over:
+		case m.SeenAtToken && now.Sub(m.LastResponse) > expiry:
 			// Proof 3: every task of the incarnation is killed, and what was sent to it can't be
 			// executed in the next.
 			events = append(events, f.removeAll(m)...)
@@ -38,7 +38,7 @@
 				m.beginIncarnation(m.Incarnation + 1)
 			}
 			m.LastResponse = now
-		case !m.SeenAtToken && !m.provenEmpty && now.Sub(f.ElectedAt) > over+f.predecessorGrace && now.Sub(m.LastResponse) > over:
+		case !m.SeenAtToken && !m.provenEmpty && now.Sub(f.ElectedAt) > expiry+f.predecessorGrace && now.Sub(m.LastResponse) > expiry:
 			// Proof 5.
 			m.provenEmpty = true
 			events = append(events, f.removeAll(m)...)
@@ -60,8 +60,8 @@
 // executed there as long as the incarnation lasts, and each response would let that last beyond the
 // time within which the job's tasks must be gone. (The cloud may be out, or this leader not entitled
 // to release a machine.)
-func (f *Fleet) MustLapse(now time.Time, machine string) bool {
-	m := f.machines[machine]
+func (f *Fleet) MustLapse(now time.Time, machineID string) bool {
+	m := f.machines[machineID]
 	return m != nil && slices.ContainsFunc(m.placements, func(p *Placement) bool {
 		return p.callPending && p.State <= Sent && p.Stop != nil && p.Stop.JobFinished && !now.Before(p.Stop.RenewUntil)
 	})
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -65,11 +65,11 @@
 // isStale reports whether the worker waits for no response to a heartbeat any more: it has sent a
 // newer one, or is in a later incarnation, or sent this one too long ago. Such a response renews no
 // lease, and a proof by time does not wait for it.
-func (m *Machine) isStale(now time.Time, r *wire.Heartbeat) bool {
-	if r.Incarnation != m.Incarnation {
-		return r.Incarnation < m.Incarnation
+func (m *Machine) isStale(now time.Time, hb *wire.Heartbeat) bool {
+	if hb.Incarnation != m.Incarnation {
+		return hb.Incarnation < m.Incarnation
 	}
-	return r.Seq < m.unsolicitedSeq || r.Seq == m.unsolicitedSeq && now.Sub(m.unsolicitedAt) > proofMargin
+	return hb.Seq < m.unsolicitedSeq || hb.Seq == m.unsolicitedSeq && now.Sub(m.unsolicitedAt) > proofMargin
 }
 
 // Placements lists what is or may be on the machine, sorted by task and attempt. The list is the
--- a/internal/fleet/proofs_test.go
+++ b/internal/fleet/proofs_test.go
@@ -11,7 +11,7 @@
 // of the package's comment shows that it is not.
 func TestProofsOfAbsence(t *testing.T) {
 	const lease = 30 * time.Second
-	begun := time.Unix(1e9, 0)
+	start := time.Unix(1e9, 0)
 	task := wire.TaskID{Job: "wk-1"}
 	heartbeat := func(incarnation, seq, token uint64, tasks ...wire.ReportedTask) *wire.Heartbeat {
 		return &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: token, Tasks: tasks}
@@ -19,35 +19,35 @@
 	for _, c := range []struct {
 		name string
 		seen bool // the machine was seen at the token, and the attempt launched by a response
-		then func(f *Fleet)
+		apply func(f *Fleet)
 		gone bool
 	}{
 		{"nothing", true, func(f *Fleet) {}, false},
 		{"1: a newer heartbeat without it", true, func(f *Fleet) {
-			f.ApplyHeartbeat(begun, heartbeat(1, 2, 5, wire.ReportedTask{ID: task, Attempt: 7, State: wire.TaskRunning}), true)
-			f.ApplyHeartbeat(begun, heartbeat(1, 3, 5), true)
+			f.ApplyHeartbeat(start, heartbeat(1, 2, 5, wire.ReportedTask{ID: task, Attempt: 7, State: wire.TaskRunning}), true)
+			f.ApplyHeartbeat(start, heartbeat(1, 3, 5), true)
 		}, true},
-		{"a heartbeat at an older token", true, func(f *Fleet) { f.ApplyHeartbeat(begun, heartbeat(1, 2, 4), true) }, false},
-		{"an older heartbeat", true, func(f *Fleet) { f.ApplyHeartbeat(begun, heartbeat(1, 1, 5), true) }, false},
-		{"2: a later incarnation", true, func(f *Fleet) { f.ApplyHeartbeat(begun, heartbeat(2, 1, 5), true) }, true},
-		{"3: the lease ran out", true, func(f *Fleet) { f.ExpireLeases(begun.Add(lease + 2*proofMargin)) }, true},
-		{"the lease may not have run out", true, func(f *Fleet) { f.ExpireLeases(begun.Add(lease)) }, false},
+		{"a heartbeat at an older token", true, func(f *Fleet) { f.ApplyHeartbeat(start, heartbeat(1, 2, 4), true) }, false},
+		{"an older heartbeat", true, func(f *Fleet) { f.ApplyHeartbeat(start, heartbeat(1, 1, 5), true) }, false},
+		{"2: a later incarnation", true, func(f *Fleet) { f.ApplyHeartbeat(start, heartbeat(2, 1, 5), true) }, true},
+		{"3: the lease ran out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, true},
+		{"the lease may not have run out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease)) }, false},
 		{"4: the cloud no longer has it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
-		{"5: earlier leaders have stopped responding, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(begun.Add(time.Minute + lease + 2*proofMargin)) }, true},
-		{"an earlier leader may still respond", false, func(f *Fleet) { f.ExpireLeases(begun.Add(lease + 2*proofMargin)) }, false},
+		{"5: earlier leaders have stopped responding, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(start.Add(time.Minute + lease + 2*proofMargin)) }, true},
+		{"an earlier leader may still respond", false, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, false},
 	} {
-		f := New(5, begun, lease, time.Minute, 0)
+		f := New(5, start, lease, time.Minute, 0)
 		if c.seen {
-			f.ApplyHeartbeat(begun, heartbeat(1, 1, 5), true)
-			p := f.Place(begun, f.Machine("n-1"), task, 7)
+			f.ApplyHeartbeat(start, heartbeat(1, 1, 5), true)
+			p := f.Place(start, f.Machine("n-1"), task, 7)
 			p.Committed = true
-			if cmds := f.HeartbeatCommands(begun, heartbeat(1, 1, 5), true); len(cmds) != 1 || cmds[0].Verb != wire.Launch {
+			if cmds := f.HeartbeatCommands(start, heartbeat(1, 1, 5), true); len(cmds) != 1 || cmds[0].Verb != wire.Launch {
 				t.Fatalf("%s: commands %+v", c.name, cmds)
 			}
 		} else {
-			f.RestoreMachine(begun, "n-1", "addr", "g4", "a", false, 1, map[string]uint64{task.String(): 7})
+			f.RestoreMachine(start, "n-1", "addr", "g4", "a", false, 1, map[string]uint64{task.String(): 7})
 		}
-		c.then(f)
+		c.apply(f)
 		if gone := f.ActivePlacement(task) == nil; gone != c.gone {
 			t.Errorf("%s: gone: %v", c.name, gone)
 		}
@@ -57,20 +57,20 @@
 // TestCloudList: a machine is proven gone by a list that lacks it only once it must have been in
 // each list, and one that is gone does not come back by an older list.
 func TestCloudList(t *testing.T) {
-	begun := time.Unix(1e9, 0)
-	f := New(1, begun, time.Minute, 0, time.Second)
+	start := time.Unix(1e9, 0)
+	f := New(1, start, time.Minute, 0, time.Second)
 	list := []wire.ListedMachine{{ID: "n-1", Stage: wire.MachineRunning}, {ID: "n-2", Stage: wire.MachineFailed}}
-	if gone := f.ApplyCloudList(begun, begun, list); len(gone) != 1 || gone[0] != "n-2" {
+	if gone := f.ApplyCloudList(start, start, list); len(gone) != 1 || gone[0] != "n-2" {
 		t.Errorf("gone: %v", gone)
 	}
-	if gone := f.ApplyCloudList(begun.Add(4*time.Second), begun, nil); len(gone) != 0 {
+	if gone := f.ApplyCloudList(start.Add(4*time.Second), start, nil); len(gone) != 0 {
 		t.Errorf("gone at once: %v", gone)
 	}
-	if gone := f.ApplyCloudList(begun.Add(5*time.Second), begun, nil); len(gone) != 1 || gone[0] != "n-1" {
+	if gone := f.ApplyCloudList(start.Add(5*time.Second), start, nil); len(gone) != 1 || gone[0] != "n-1" {
 		t.Errorf("gone: %v", gone)
 	}
 	f.RemoveMachine("n-1")
-	f.ApplyCloudList(begun, begun, list)
+	f.ApplyCloudList(start, start, list)
 	if f.Machine("n-1") != nil {
 		t.Error("an old list has brought a machine back")
 	}
--- a/internal/reachability/calls.go
+++ b/internal/reachability/calls.go
@@ -46,17 +46,17 @@
 func newCallLog() *CallLog { return &CallLog{last: make(map[string]Call)} }
 
 // Last returns the last call to a machine, or the zero Call if there was none.
-func (l *CallLog) Last(machine string) Call { return l.last[machine] }
+func (l *CallLog) Last(machineID string) Call { return l.last[machineID] }
 
 // Start records that a call is being made.
-func (l *CallLog) Start(now time.Time, machine, digest string) {
-	last := l.last[machine]
-	l.last[machine] = Call{StartedAt: now, Digest: digest, Open: true, Failures: last.Failures, firstFailed: last.firstFailed}
+func (l *CallLog) Start(now time.Time, machineID, digest string) {
+	last := l.last[machineID]
+	l.last[machineID] = Call{StartedAt: now, Digest: digest, Open: true, Failures: last.Failures, firstFailed: last.firstFailed}
 }
 
 // finish records the result of a call from here.
-func (l *CallLog) finish(now time.Time, machine string, answered bool) {
-	last := l.last[machine]
+func (l *CallLog) finish(now time.Time, machineID string, answered bool) {
+	last := l.last[machineID]
 	last.Open = false
 	if last.Failures++; last.Failures == 1 {
 		last.firstFailed = last.StartedAt
@@ -64,13 +64,13 @@
 	if answered {
 		last.Failures, l.lastAnswered = 0, now
 	}
-	l.last[machine] = last
+	l.last[machineID] = last
 }
 
 // finishPeer records the result of a call that a peer made. It reports false if the machine has
 // been forgotten since.
-func (l *CallLog) finishPeer(machine string, answered bool) bool {
-	last, known := l.last[machine]
+func (l *CallLog) finishPeer(machineID string, answered bool) bool {
+	last, known := l.last[machineID]
 	if !known {
 		return false
 	}
@@ -78,18 +78,18 @@
 	if answered {
 		last.Failures = 0
 	}
-	l.last[machine] = last
+	l.last[machineID] = last
 	return true
 }
 
 // Forget drops what is known of calls to a machine that is gone.
-func (l *CallLog) Forget(machine string) { delete(l.last, machine) }
+func (l *CallLog) Forget(machineID string) { delete(l.last, machineID) }
 
 // ForgetFailures drops the failed calls to a machine that is connected again: they tell nothing of
 // the next call.
-func (l *CallLog) ForgetFailures(machine string) {
-	if c := l.last[machine]; !c.Open && c.Failures > 0 {
-		delete(l.last, machine)
+func (l *CallLog) ForgetFailures(machineID string) {
+	if c := l.last[machineID]; !c.Open && c.Failures > 0 {
+		delete(l.last, machineID)
 	}
 }
 
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -85,8 +85,8 @@
 		return 0
 	}
 	n := 0
-	for _, x := range d.monitor.fleet.Machines() {
-		if (x.Up || x.Recorded) && d.monitor.Unreachable(now, x) {
+	for _, machine := range d.monitor.fleet.Machines() {
+		if (machine.Up || machine.Recorded) && d.monitor.Unreachable(now, machine) {
 			n++
 		}
 	}
@@ -170,13 +170,13 @@
 		return nil
 	}
 	machines, byZone, worst := make(map[*fleet.Machine]bool), make(map[string]int), ""
-	for _, x := range d.monitor.fleet.UnprovenMachines() {
-		if !d.isOneWay(now, x) {
+	for _, machine := range d.monitor.fleet.UnprovenMachines() {
+		if !d.isOneWay(now, machine) {
 			continue
 		}
-		machines[x] = true
-		if byZone[x.Zone]++; worst == "" || byZone[x.Zone] > byZone[worst] {
-			worst = x.Zone
+		machines[machine] = true
+		if byZone[machine.Zone]++; worst == "" || byZone[machine.Zone] > byZone[worst] {
+			worst = machine.Zone
 		}
 	}
 	if len(machines) == 0 || d.isOneWayNetworkFault(byZone, worst) {
@@ -188,9 +188,9 @@
 // isOneWayNetworkFault reports whether so many machines outside the worst zone are one-way that a network has failed.
 func (d *Detector) isOneWayNetworkFault(byZone map[string]int, worst string) bool {
 	up := make(map[string]int)
-	for _, x := range d.monitor.fleet.Machines() {
-		if x.Up {
-			up[x.Zone]++
+	for _, machine := range d.monitor.fleet.Machines() {
+		if machine.Up {
+			up[machine.Zone]++
 		}
 	}
 	expected, oneWay := 0, 0
@@ -203,7 +203,7 @@
 }
 
 // oneWay reports whether a machine sends heartbeats, but receives no commands and answers no calls.
-func (d *Detector) isOneWay(now time.Time, x *fleet.Machine) bool {
-	return !d.monitor.fleet.ReceivesCommands(now, x) && d.monitor.Calls.Last(x.ID).Failures >= minConsecutiveFailures &&
-		d.monitor.HeartbeatAge(now, x) < d.monitor.timeouts.Unreachable
+func (d *Detector) isOneWay(now time.Time, machine *fleet.Machine) bool {
+	return !d.monitor.fleet.ReceivesCommands(now, machine) && d.monitor.Calls.Last(machine.ID).Failures >= minConsecutiveFailures &&
+		d.monitor.HeartbeatAge(now, machine) < d.monitor.timeouts.Unreachable
 }
--- a/internal/reachability/fencing.go
+++ b/internal/reachability/fencing.go
@@ -58,12 +58,12 @@
 
 // Due reports whether a machine is to be called: it has not been seen at the leader's token, its
 // heartbeat is overdue, or it seems not to take what it is told.
-func (f *Fencing) Due(now time.Time, x *fleet.Machine) bool {
-	last := f.monitor.Calls.Last(x.ID)
-	if x.Addr == "" || !shouldSendHeartbeats(x) || last.InFlight(now) {
+func (f *Fencing) Due(now time.Time, machine *fleet.Machine) bool {
+	last := f.monitor.Calls.Last(machine.ID)
+	if machine.Addr == "" || !shouldSendHeartbeats(machine) || last.InFlight(now) {
 		return false
 	}
-	if x.SeenAtToken && f.monitor.HeartbeatAge(now, x) < f.monitor.timeouts.Suspect && f.monitor.fleet.ReceivesCommands(now, x) {
+	if machine.SeenAtToken && f.monitor.HeartbeatAge(now, machine) < f.monitor.timeouts.Suspect && f.monitor.fleet.ReceivesCommands(now, machine) {
 		return false
 	}
 	return now.Sub(last.StartedAt) >= min(MaxFencingInterval, MinFencingInterval<<min(last.Failures, 4))
@@ -85,23 +85,23 @@
 		return nil
 	}
 	var out []*fleet.Machine
-	for _, x := range f.monitor.fleet.Machines() {
-		if !f.mayProbe(now, x) {
+	for _, machine := range f.monitor.fleet.Machines() {
+		if !f.mayProbe(now, machine) {
 			continue
 		}
-		if out = append(out, x); len(out) == maxProbes {
+		if out = append(out, machine); len(out) == maxProbes {
 			break
 		}
 	}
 	return out
 }
 
-func (f *Fencing) mayProbe(now time.Time, x *fleet.Machine) bool {
-	if !x.SeenAtToken || x.Addr == "" || x.Releasing {
+func (f *Fencing) mayProbe(now time.Time, machine *fleet.Machine) bool {
+	if !machine.SeenAtToken || machine.Addr == "" || machine.Releasing {
 		return false
 	}
-	last := f.monitor.Calls.Last(x.ID)
-	return !last.InFlight(now) && now.Sub(last.StartedAt) >= probeInterval && f.monitor.HeartbeatAge(now, x) < probeInterval
+	last := f.monitor.Calls.Last(machine.ID)
+	return !last.InFlight(now) && now.Sub(last.StartedAt) >= probeInterval && f.monitor.HeartbeatAge(now, machine) < probeInterval
 }
 
 // Rebuild returns calls that a peer can make while the leader rebuilds the state of its fleet, at
@@ -110,16 +110,16 @@
 func (f *Fencing) Rebuild(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
 	if now.Sub(f.scannedAt) > scanInterval {
 		f.scannedAt, f.pending = now, nil
-		for _, x := range f.monitor.fleet.Machines() {
+		for _, machine := range f.monitor.fleet.Machines() {
 			// The leader itself calls a machine that a peer could not reach: the link between
 			// those two says nothing of the machine.
-			if !x.SeenAtToken && !f.monitor.Calls.Last(x.ID).peerFailed && !skip(x.Zone) && f.Due(now, x) {
-				f.pending = append(f.pending, x)
+			if !machine.SeenAtToken && !f.monitor.Calls.Last(machine.ID).peerFailed && !skip(machine.Zone) && f.Due(now, machine) {
+				f.pending = append(f.pending, machine)
 			}
 		}
 		SortByLoad(f.pending)
 	}
-	return f.startPendingCalls(now, limit, func(x *fleet.Machine) bool { return !x.SeenAtToken && f.Due(now, x) })
+	return f.startPendingCalls(now, limit, func(machine *fleet.Machine) bool { return !machine.SeenAtToken && f.Due(now, machine) })
 }
 
 // Suspected returns calls that a peer can make to machines of suspected zones, for what their
@@ -141,16 +141,16 @@
 		left[zone] = callsPerSuspectedZone
 	}
 	var connected *fleet.Machine
-	for _, x := range f.monitor.fleet.Machines() {
-		last := f.monitor.Calls.Last(x.ID)
-		if x.Addr == "" || x.Releasing || last.InFlight(now) || now.Sub(last.StartedAt) < MinFencingInterval {
+	for _, machine := range f.monitor.fleet.Machines() {
+		last := f.monitor.Calls.Last(machine.ID)
+		if machine.Addr == "" || machine.Releasing || last.InFlight(now) || now.Sub(last.StartedAt) < MinFencingInterval {
 			continue
 		}
-		if _, suspected := left[x.Zone]; !suspected && connected == nil && f.monitor.Fresh(now, x) {
-			connected = x
-		} else if left[x.Zone] > 0 && f.monitor.Suspected(now, x) {
-			left[x.Zone]--
-			out = append(out, x)
+		if _, suspected := left[machine.Zone]; !suspected && connected == nil && f.monitor.Fresh(now, machine) {
+			connected = machine
+		} else if left[machine.Zone] > 0 && f.monitor.Suspected(now, machine) {
+			left[machine.Zone]--
+			out = append(out, machine)
 		}
 	}
 	if connected != nil && len(out) > 0 {
@@ -163,19 +163,19 @@
 func (f *Fencing) startPendingCalls(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
 	var out []FencingCall
 	for len(f.pending) > 0 && len(out) < limit {
-		x := f.pending[0]
+		machine := f.pending[0]
 		f.pending = f.pending[1:]
-		if !wanted(x) {
+		if !wanted(machine) {
 			continue
 		}
-		f.monitor.Calls.Start(now, x.ID, f.monitor.Calls.Last(x.ID).Digest)
-		out = append(out, FencingCall{x.ID, x.Addr, x.Zone, f.monitor.fleet.FencingToken, cmp.Or(x.Incarnation, x.RecordedIncarnation)})
+		f.monitor.Calls.Start(now, machine.ID, f.monitor.Calls.Last(machine.ID).Digest)
+		out = append(out, FencingCall{machine.ID, machine.Addr, machine.Zone, f.monitor.fleet.FencingToken, cmp.Or(machine.Incarnation, machine.RecordedIncarnation)})
 	}
 	return out
 }
 
 // PeerFinished records the result of a call that a peer made. It reports false if the machine is
 // gone since.
-func (f *Fencing) PeerFinished(machine string, answered bool) bool {
-	return f.monitor.Calls.finishPeer(machine, answered)
+func (f *Fencing) PeerFinished(machineID string, answered bool) bool {
+	return f.monitor.Calls.finishPeer(machineID, answered)
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -71,71 +71,71 @@
 
 // HeartbeatAge is the time since the last heartbeat of a machine, or since the leader was elected
 // if there was none under its token.
-func (m *Monitor) HeartbeatAge(now time.Time, x *fleet.Machine) time.Duration {
-	if x.LastHeartbeat.After(m.fleet.ElectedAt) {
-		return now.Sub(x.LastHeartbeat)
+func (m *Monitor) HeartbeatAge(now time.Time, machine *fleet.Machine) time.Duration {
+	if machine.LastHeartbeat.After(m.fleet.ElectedAt) {
+		return now.Sub(machine.LastHeartbeat)
 	}
 	return now.Sub(m.fleet.ElectedAt)
 }
 
 // Suspected reports whether a heartbeat of a machine is overdue.
-func (m *Monitor) Suspected(now time.Time, x *fleet.Machine) bool {
-	return m.HeartbeatAge(now, x) > m.timeouts.Suspect
+func (m *Monitor) Suspected(now time.Time, machine *fleet.Machine) bool {
+	return m.HeartbeatAge(now, machine) > m.timeouts.Suspect
 }
 
 // Fresh reports whether a machine's last heartbeat is not yet due to be followed by another.
-func (m *Monitor) Fresh(now time.Time, x *fleet.Machine) bool {
-	return m.HeartbeatAge(now, x) < m.timeouts.Fresh
+func (m *Monitor) Fresh(now time.Time, machine *fleet.Machine) bool {
+	return m.HeartbeatAge(now, machine) < m.timeouts.Fresh
 }
 
 // Unreachable reports whether heartbeats of a machine have been missing for too long. A machine
 // that never sent one under this leader's token may still be answered by the leader before, and
 // calling all of a large fleet takes a while: only failed calls, or the end of every lease, show
 // that such a machine is unreachable.
-func (m *Monitor) Unreachable(now time.Time, x *fleet.Machine) bool {
+func (m *Monitor) Unreachable(now time.Time, machine *fleet.Machine) bool {
 	if m.resumedRecently(now) {
 		return false
 	}
-	if !x.LastHeartbeat.IsZero() {
-		return m.HeartbeatAge(now, x) > m.timeouts.Unreachable
+	if !machine.LastHeartbeat.IsZero() {
+		return m.HeartbeatAge(now, machine) > m.timeouts.Unreachable
 	}
 	since := now.Sub(m.fleet.ElectedAt)
-	if m.Calls.Last(x.ID).Failures >= minConsecutiveFailures && since > min(m.timeouts.RebuildWait, m.timeouts.Unreachable) {
+	if m.Calls.Last(machine.ID).Failures >= minConsecutiveFailures && since > min(m.timeouts.RebuildWait, m.timeouts.Unreachable) {
 		return true
 	}
 	return since > m.timeouts.Unreachable+m.timeouts.Lease
 }
 
 // CallsFailed reports whether a call to a machine has failed since its last heartbeat.
-func (m *Monitor) CallsFailed(x *fleet.Machine) bool {
-	last := m.Calls.Last(x.ID)
-	return last.Failures > 0 && last.StartedAt.After(x.LastHeartbeat)
+func (m *Monitor) CallsFailed(machine *fleet.Machine) bool {
+	last := m.Calls.Last(machine.ID)
+	return last.Failures > 0 && last.StartedAt.After(machine.LastHeartbeat)
 }
 
 // PresumedLost reports whether an unreachable machine is likely to be lost: calls to it fail while
 // calls to others are answered, or its heartbeats have been missing for so long that its tasks
 // have stopped anyway. An answer counts only if it came after the first failed call: one from
 // just before the network failed says nothing of the machine.
-func (m *Monitor) PresumedLost(now time.Time, x *fleet.Machine) bool {
-	answered := now.Sub(m.Calls.lastAnswered) < answeredMaxAge && !m.Calls.lastAnswered.Before(m.Calls.Last(x.ID).firstFailed)
-	return m.CallsFailed(x) && answered || m.HeartbeatAge(now, x) > m.timeouts.Unreachable+m.timeouts.Lease
+func (m *Monitor) PresumedLost(now time.Time, machine *fleet.Machine) bool {
+	answered := now.Sub(m.Calls.lastAnswered) < answeredMaxAge && !m.Calls.lastAnswered.Before(m.Calls.Last(machine.ID).firstFailed)
+	return m.CallsFailed(machine) && answered || m.HeartbeatAge(now, machine) > m.timeouts.Unreachable+m.timeouts.Lease
 }
 
 // CallFinished records whether a call from here was answered.
-func (m *Monitor) CallFinished(now time.Time, machine string, answered bool) {
-	m.Calls.finish(now, machine, answered)
-	m.NoteCallResult(now, machine, answered)
+func (m *Monitor) CallFinished(now time.Time, machineID string, answered bool) {
+	m.Calls.finish(now, machineID, answered)
+	m.NoteCallResult(now, machineID, answered)
 }
 
 // NoteCallResult keeps the result of a call for CallsFailing. A failed call counts only if the
 // machine is connected otherwise and takes commands: the others tell nothing of the way from here.
-func (m *Monitor) NoteCallResult(now time.Time, machine string, answered bool) {
-	x := m.fleet.Machine(machine)
-	if x == nil {
+func (m *Monitor) NoteCallResult(now time.Time, machineID string, answered bool) {
+	machine := m.fleet.Machine(machineID)
+	if machine == nil {
 		return
 	}
 	// This bound includes the age itself, unlike Fresh.
-	connected := !x.LastHeartbeat.IsZero() && m.HeartbeatAge(now, x) <= m.timeouts.Fresh && m.fleet.ReceivesCommands(now, x)
+	connected := !machine.LastHeartbeat.IsZero() && m.HeartbeatAge(now, machine) <= m.timeouts.Fresh && m.fleet.ReceivesCommands(now, machine)
 	if answered || connected {
 		m.Calls.recordResult(now, answered)
 	}
@@ -151,19 +151,19 @@
 // ZoneHealth returns the health of each zone.
 func (m *Monitor) ZoneHealth(now time.Time) map[string]ZoneHealth {
 	out := make(map[string]ZoneHealth)
-	for _, x := range m.fleet.Machines() {
-		if !shouldSendHeartbeats(x) {
+	for _, machine := range m.fleet.Machines() {
+		if !shouldSendHeartbeats(machine) {
 			continue
 		}
-		h := out[x.Zone]
+		h := out[machine.Zone]
 		h.Up++
-		if m.Suspected(now, x) || m.Unreachable(now, x) {
+		if m.Suspected(now, machine) || m.Unreachable(now, machine) {
 			h.Quiet++
 		}
-		out[x.Zone] = h
+		out[machine.Zone] = h
 	}
 	return out
 }
 
 // expected reports whether a machine should send heartbeats.
-func shouldSendHeartbeats(x *fleet.Machine) bool { return (x.Up || x.Recorded) && !x.Releasing }
+func shouldSendHeartbeats(machine *fleet.Machine) bool { return (machine.Up || machine.Recorded) && !machine.Releasing }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -192,19 +192,19 @@
 	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.2:9000", "g4", "a", false, 1, nil)
-	x := s.fleet.Machine("a-00")
+	machine := s.fleet.Machine("a-00")
 	var gaps []time.Duration
 	for range 6 {
-		begun := s.now
-		for !f.Due(s.now, x) {
+		start := s.now
+		for !f.Due(s.now, machine) {
 			s.wait(time.Second)
 		}
-		gaps = append(gaps, s.now.Sub(begun))
-		s.monitor.Calls.Start(s.now, x.ID, "")
-		if f.Due(s.now.Add(callTimeout-1), x) {
+		gaps = append(gaps, s.now.Sub(start))
+		s.monitor.Calls.Start(s.now, machine.ID, "")
+		if f.Due(s.now.Add(callTimeout-1), machine) {
 			t.Error("called while a call is open")
 		}
-		s.monitor.CallFinished(s.now, x.ID, false)
+		s.monitor.CallFinished(s.now, machine.ID, false)
 	}
 	if got := fmt.Sprint(gaps); got != "[0s 2s 4s 8s 8s 8s]" {
 		t.Error(got)
