--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// listDeliveryMargin is for the way of a list, beside the cloud's lag.
+	// listDeliveryMargin allows for the delivery of a list, in addition to the cloud's lag.
 	listDeliveryMargin = 2 * time.Second
-	// firstListingTimeout is how long a rented machine may take until the cloud lists it.
+	// firstListingTimeout is how long the cloud may take to list a rented machine for the first time.
 	firstListingTimeout = 60 * time.Second
 )
 
-// ApplyCloudList applies a complete list of the cloud that was asked for at a time, and names the
-// machines that it proves gone. A list may be old by twice the lag, so that a machine counts as
-// gone only if it was known to exist well before.
+// ApplyCloudList applies a complete machine list of the cloud, requested at requestedAt, and returns the
+// IDs of the machines that it proves gone (proof 4). A list may be outdated by twice the lag, so a
+// missing machine counts as gone only if it must have been listed for longer than that.
 func (f *Fleet) ApplyCloudList(requestedAt, now time.Time, list []wire.ListedMachine) (gone []string) {
 	listed := make(map[string]bool, len(list))
 	for _, l := range list {
@@ -25,7 +25,7 @@
 			continue
 		}
 		if _, known := f.removedMachines[l.ID]; known {
-			continue // the list is older than the proof
+			continue // the list is older than the proof that the machine is gone
 		}
 		m := f.EnsureMachine(now, l.ID, l.Type, l.Zone, l.Spot)
 		if m.Addr == "" {
@@ -44,14 +44,14 @@
 	return gone
 }
 
-// mustBeListedSince returns the time since which a machine must be in each current list.
+// mustBeListedSince returns the time from which every up-to-date list must contain the machine.
 func (m *Machine) mustBeListedSince() time.Time {
 	known := m.ListedAt
 	if !m.LastHeartbeat.IsZero() && (known.IsZero() || m.UpSince.Before(known)) {
 		known = m.UpSince
 	}
 	if known.IsZero() {
-		return m.Since.Add(firstListingTimeout) // rented or recorded, never listed
+		return m.Since.Add(firstListingTimeout) // rented or recorded, but never listed
 	}
 	return known
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -6,9 +6,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// HeartbeatCommands returns the commands for the response to a heartbeat that was just applied; with
-// launch, launches too: the leader's own lease surely lasts. The response counts as one that the
-// machine may have taken.
+// HeartbeatCommands returns the commands for the response to a heartbeat that was just applied. They
+// include launches only if launch is set, which requires that the leader's own lease is certain to be
+// valid. The machine's lease counts as renewed, since the machine may receive the response.
 func (f *Fleet) HeartbeatCommands(now time.Time, hb *wire.Heartbeat, launch bool) []wire.Command {
 	cmds := []wire.Command{}
 	m := f.machines[hb.Machine]
@@ -19,8 +19,8 @@
 	if hb.Incarnation != m.Incarnation || hb.Seq < m.unsolicitedSeq {
 		return cmds
 	}
-	// For the response to a heartbeat that has come again, no worker waits; nor, mostly, for that to
-	// one from before the token, of a machine that was seen at it since.
+	// No worker waits for the response to a duplicate of a heartbeat. Usually none waits either for the
+	// response to a heartbeat at an older token if the machine has been seen at this one since.
 	launch = launch && m.launchable() && hb.Seq > m.launchSeq && hb.FencingToken == f.FencingToken && f.ReceivesCommands(now, m)
 	for _, p := range m.Placements() {
 		switch {
@@ -30,8 +30,8 @@
 		case p.Stop != nil && p.Reported && p.Active():
 			cmds = append(cmds, p.stopCommand())
 		case p.State == Planned && p.Committed && launch && (p.Stop == nil || p.callPending && !p.Stop.JobFinished):
-			// One that is to stop and may yet be launched by a call on its way can't be withdrawn: it
-			// is launched after all, and stopped when it shows.
+			// An attempt that is ordered to stop, but that a pending call may still launch, cannot be
+			// withdrawn. It is launched after all and stopped once the worker lists it.
 			p.State, p.sentInResponse, m.launchSeq = Sent, true, hb.Seq
 			cmds = append(cmds, p.command(wire.Launch))
 		}
@@ -39,12 +39,12 @@
 	return cmds
 }
 
-// DirectCommands returns the commands for a call to a machine: stops, which are harmless however late
-// they are executed, and, with launch, the launches that wait. Of these the call counts as pending
-// until CallFinished reports its outcome.
+// DirectCommands returns the commands for a direct call to a machine: stops, which are harmless however
+// late they are executed, and, if launch is set, the planned launches. The call counts as pending for
+// the launched placements until CallFinished applies its outcome.
 func (f *Fleet) DirectCommands(m *Machine, launch bool) (cmds []wire.Command, launched []*Placement) {
-	// What is sent to an incarnation of which nothing has come is executed whenever that begins: no
-	// time proves it gone.
+	// A launch that is sent to an incarnation from which nothing has been received is executed whenever
+	// that incarnation begins, so no lease expiry could prove it gone.
 	launch = launch && m.launchable() && m.incarnationSeen
 	sentByCall := m.countSentByCall()
 	for _, p := range m.Placements() {
@@ -66,7 +66,7 @@
 
 // The outcomes of a direct call.
 const (
-	Unanswered CallOutcome = iota // it may have been executed, or may still be
+	Unanswered CallOutcome = iota // it may have been executed or may still be
 	Executed
 	Refused // it was not executed and never will be
 )
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,23 +8,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fleet is what the leader of a shard knows of its machines under its fencing token.
+// Fleet holds what the leader of a shard has learned about its machines under its fencing token.
 type Fleet struct {
 	FencingToken     uint64
 	ElectedAt        time.Time
-	workerLease      time.Duration // after which a worker without a response kills its tasks
-	predecessorGrace time.Duration // how long an earlier leader responded after ElectedAt, at most
-	listLag          time.Duration // by how much the cloud's list may be old
+	workerLease      time.Duration // how long a worker keeps its tasks running without a response
+	predecessorGrace time.Duration // for how long after ElectedAt an earlier leader may have responded to heartbeats
+	listLag          time.Duration // by how much the cloud's machine list may lag
 
 	machines         map[string]*Machine
-	sortedMachines   []*Machine // by ID; replaced when a machine goes
+	sortedMachines   []*Machine // by ID; copied when an element is inserted or removed before the end
 	placementsByTask map[wire.TaskID][]*Placement
-	removedMachines  map[string]heartbeatID // which a stale list may still show, with their last messages
-	releasedMachines map[string]heartbeatID // the same of those that the cloud has released
+	removedMachines  map[string]heartbeatID // by ID; copied unless a machine is appended
+	releasedMachines map[string]heartbeatID // last heartbeats of machines that the cloud has released
 }
 
-// New returns the empty fleet of a fencing token. predecessorGrace bounds for how long after the
-// election an earlier leader may have gone on responding to heartbeats.
+// New returns an empty fleet for a fencing token. predecessorGrace bounds how long after the
+// election an earlier leader may have continued to respond to heartbeats.
 func New(token uint64, electedAt time.Time, workerLease, predecessorGrace, listLag time.Duration) *Fleet {
 	return &Fleet{
 		FencingToken:     token,
@@ -39,9 +39,9 @@
 	}
 }
 
-// EnsureMachine returns a machine that the cloud or a heartbeat names, and adds it if it is new. One
-// that the state service did not record when the leader was elected was never launched on by an
-// earlier leader.
+// EnsureMachine returns the machine with the given ID, which the cloud or a heartbeat has named, and
+// adds it if it is new. A new machine counts as empty: no earlier leader launched anything on a machine
+// that was not recorded in the state service when this leader was elected.
 func (f *Fleet) EnsureMachine(now time.Time, id, typ, zone string, spot bool) *Machine {
 	if m := f.machines[id]; m != nil {
 		return m
@@ -55,14 +55,14 @@
 	i, _ := slices.BinarySearchFunc(f.sortedMachines, id, func(m *Machine, id string) int { return cmp.Compare(m.ID, id) })
 	if i == len(f.sortedMachines) {
 		f.sortedMachines = append(f.sortedMachines, m)
-	} else { // a caller may be going through the list
+	} else { // a caller may be iterating over the list
 		f.sortedMachines = slices.Concat(f.sortedMachines[:i], []*Machine{m}, f.sortedMachines[i:])
 	}
 	return m
 }
 
-// RestoreMachine adds a machine that the state service recorded, with the tasks that earlier leaders
-// may have placed on it. They count as there until one of the proofs shows that they are not.
+// RestoreMachine adds a machine that is recorded in the state service, with the tasks that earlier
+// leaders may have placed on it. They count as present until one of the proofs of absence applies.
 func (f *Fleet) RestoreMachine(now time.Time, id, addr, typ, zone string, spot bool, incarnation uint64, tasks map[string]uint64) {
 	m := f.EnsureMachine(now, id, typ, zone, spot)
 	m.Addr, m.RecordedIncarnation, m.provenEmpty, m.Recorded = addr, incarnation, false, true
@@ -76,13 +76,13 @@
 // Machine returns a machine by its ID, or nil.
 func (f *Fleet) Machine(id string) *Machine { return f.machines[id] }
 
-// Machines lists all machines in order of their IDs. The list is the caller's to go through,
-// whatever becomes of the machines meanwhile.
+// Machines returns all machines in order of their IDs. The caller may iterate over the list while
+// machines are added and removed.
 func (f *Fleet) Machines() []*Machine {
 	return f.sortedMachines[:len(f.sortedMachines):len(f.sortedMachines)]
 }
 
-// UnprovenMachines lists the machines that may hold tasks of which this leader does not know.
+// UnprovenMachines returns the machines that may hold tasks unknown to this leader.
 func (f *Fleet) UnprovenMachines() []*Machine {
 	var out []*Machine
 	for _, m := range f.Machines() {
@@ -93,8 +93,8 @@
 	return out
 }
 
-// MarkReleased notes that the cloud has acknowledged a machine's release: nothing that comes in its
-// name later counts. After a network failure its heartbeats may still come.
+// MarkReleased records that the cloud has acknowledged a machine's release. Later heartbeats from the
+// machine, which may still arrive after a network failure, are ignored.
 func (f *Fleet) MarkReleased(id string) {
 	if m := f.machines[id]; m != nil {
 		f.releasedMachines[id] = m.lastHeartbeatID()
@@ -109,7 +109,7 @@
 	return ok
 }
 
-// RemoveMachine forgets a machine that is proven not to exist any more, and what was on it.
+// RemoveMachine removes a machine that is proven to no longer exist, with its placements.
 func (f *Fleet) RemoveMachine(id string) {
 	m := f.machines[id]
 	if m == nil {
@@ -123,16 +123,16 @@
 	f.removedMachines[id] = m.lastHeartbeatID()
 }
 
-// Place plans an attempt of a task on a machine. Nothing is sent to the machine before Committed is
-// set.
+// Place plans an attempt of a task on a machine. The launch is not sent before the placement's
+// Committed field is set.
 func (f *Fleet) Place(now time.Time, m *Machine, t wire.TaskID, attempt uint64) *Placement {
 	p := &Placement{Task: t, Attempt: attempt, Machine: m.ID, PlacedAt: now}
 	f.addPlacement(m, p)
 	return p
 }
 
-// Withdraw takes a planned placement back, and reports whether it could: what was sent can't be taken
-// back.
+// Withdraw removes a placement that is only planned and reports whether it did. A launch that was
+// sent, or that a pending call may still deliver, cannot be withdrawn.
 func (f *Fleet) Withdraw(p *Placement) bool {
 	if p.State != Planned || p.callPending {
 		return false
@@ -141,8 +141,8 @@
 	return true
 }
 
-// ActivePlacement returns the placement of a task that may hold resources, or nil when the task is
-// nowhere as far as this leader knows.
+// ActivePlacement returns the newest placement of a task that may hold resources, or nil if this
+// leader knows of none.
 func (f *Fleet) ActivePlacement(t wire.TaskID) *Placement {
 	var found *Placement
 	for _, p := range f.placementsByTask[t] {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// duplicateCallFixture is a leader with one machine, whose worker sends heartbeats.
+// duplicateCallFixture is the fleet of a leader with one machine, whose worker sends heartbeats.
 type duplicateCallFixture struct {
 	*Fleet
 	machine *Machine
@@ -24,7 +24,7 @@
 	return f
 }
 
-// heartbeat applies a heartbeat that lists some tasks, all ends of which are then dealt with, and
+// heartbeat applies a heartbeat that lists the given tasks, marks the ends of these as handled and
 // returns the commands of the response.
 func (f *duplicateCallFixture) heartbeat(launch bool, tasks ...wire.ReportedTask) []wire.Command {
 	f.seq++
@@ -35,14 +35,14 @@
 	return f.HeartbeatCommands(f.now, hb, launch)
 }
 
-// place plans an attempt that may be sent, and returns it as the worker lists it once it has ended.
+// place plans a committed attempt and returns it as the worker will list it once it has ended.
 func (f *duplicateCallFixture) place(job string, index int, cause wire.Cause) wire.ReportedTask {
 	p := f.Place(f.now, f.machine, wire.TaskID{Job: job, Index: index}, 7)
 	p.Committed = true
 	return wire.ReportedTask{ID: p.Task, Attempt: 7, State: wire.TaskEnded, Cause: cause}
 }
 
-// call sends what is planned by a direct call that is answered, and returns how many launches it carried.
+// call sends the planned launches by a direct call that is answered and returns how many it carried.
 func (f *duplicateCallFixture) call() int {
 	_, launched := f.DirectCommands(f.machine, true)
 	f.CallFinished(launched, Executed)
@@ -59,9 +59,9 @@
 	return n
 }
 
-// TestDuplicateCalls: an attempt that was launched by a direct call stays on its machine's list for a
-// while after its end, since a late copy of the call would start it again after a clear, also if it
-// is done. What was launched by a response is cleared at once.
+// TestDuplicateCalls checks that an attempt that was launched by a direct call stays on its machine's
+// list for duplicateCallWindow after its end, even if its task is done: a late duplicate of the call
+// would start a cleared attempt again. An attempt that was launched by a response is cleared at once.
 func TestDuplicateCalls(t *testing.T) {
 	f := newDuplicateCallFixture()
 	ended := []wire.ReportedTask{f.place("wk-1", 0, wire.CauseStopped), f.place("wk-1", 1, wire.CauseDone)}
@@ -82,14 +82,14 @@
 		t.Fatalf("commands %+v, want a launch", cmds)
 	}
 	if cmds := f.heartbeat(false, byResponse); len(cmds) != 1 || cmds[0].Verb != wire.Clear {
-		t.Errorf("commands %+v, want a clear of what a response launched", cmds)
+		t.Errorf("commands %+v, want a clear of the attempt that a response launched", cmds)
 	}
 }
 
-// TestTombstonesAreBounded: a machine's list names at most maxTombstones attempts that were launched by
-// direct calls, of which none is cleared before its time: what is launched beyond them goes by the
-// responses to heartbeats. A call without an answer counts among them as long as the incarnation
-// lasts.
+// TestTombstonesAreBounded checks that a machine's list holds at most maxTombstones attempts that were
+// launched by direct calls, and that none of them is cleared early. Further launches are sent in the
+// responses to heartbeats. An attempt whose call is unanswered counts towards the limit as long as the
+// incarnation lasts.
 func TestTombstonesAreBounded(t *testing.T) {
 	f := newDuplicateCallFixture()
 	var ended []wire.ReportedTask
@@ -102,10 +102,10 @@
 	}
 	f.CallFinished(unanswered[1:], Executed)
 	if cmds := f.heartbeat(true, ended[:maxTombstones]...); len(cmds) != 3 || countVerb(cmds, wire.Launch) != 3 {
-		t.Errorf("commands %+v, want a launch of each that is left", cmds)
+		t.Errorf("commands %+v, want a launch of each remaining attempt", cmds)
 	}
 	if cmds := f.heartbeat(true, ended...); len(cmds) != 3 || countVerb(cmds, wire.Clear) != 3 {
-		t.Errorf("commands %+v, want a clear of each that a response launched", cmds)
+		t.Errorf("commands %+v, want a clear of each attempt that a response launched", cmds)
 	}
 	ended = ended[:maxTombstones]
 	f.place("wk-2", 0, wire.CauseDone)
@@ -114,7 +114,7 @@
 	}
 	f.now = f.now.Add(duplicateCallWindow)
 	if cmds := f.heartbeat(false, ended...); countVerb(cmds, wire.Clear) != maxTombstones-1 {
-		t.Errorf("%d clears after the window, want all but the one without an answer", countVerb(cmds, wire.Clear))
+		t.Errorf("%d clears after the window, want all but the one whose call was not answered", countVerb(cmds, wire.Clear))
 	}
 	f.heartbeat(false, ended[:1]...)
 	if n := f.call(); n != 1 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestUnlaunchedAttempts: an attempt that a machine lists without a launch, or that is active again
-// after its end, is told apart, and remembered like one that was launched by a call.
+// TestUnlaunchedAttempts checks that an attempt that a machine lists without a launch, or that is active
+// again after its end, is marked as unlaunched and kept like one that was launched by a direct call.
 func TestUnlaunchedAttempts(t *testing.T) {
 	f := newDuplicateCallFixture()
 	apply := func(task wire.ReportedTask) Event {
@@ -153,12 +153,12 @@
 	}
 	e.Placement.EndHandled = true
 	if cmds := f.heartbeat(false, unlaunched); len(cmds) != 0 {
-		t.Errorf("commands %+v, want none: more copies may come", cmds)
+		t.Errorf("commands %+v, want none: more duplicates may arrive", cmds)
 	}
 }
 
-// TestImageCache: a machine keeps the most recently used images that fit its cache: counting on one
-// that has been evicted would make a task wait for its fetch.
+// TestImageCache checks that a machine is expected to hold the most recently used images that fit in its
+// cache. A task that is placed for an image that has been evicted would wait until it is fetched.
 func TestImageCache(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	m := New(1, now, time.Minute, 0, 0).EnsureMachine(now, "n-1", "g4", "a", false)
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -6,15 +6,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Event is something that a heartbeat or an expired lease has shown.
+// Event is a change of a placement that a heartbeat or an expired lease has revealed.
 type Event struct {
 	Placement  *Placement
-	Gone       bool // it is no longer there, and was not seen to end
-	Unlaunched bool // it is there, or there again, by no launch of this leader that was still on its way
+	Gone       bool // it is no longer on the machine, and its end was not seen
+	Unlaunched bool // it has appeared, or reappeared, although no launch by this leader was pending
 }
 
-// IsNewer reports whether a heartbeat is newer than all that came of its machine, also of one that
-// is gone. A late copy is evidence of nothing, not even of the machine's zone.
+// IsNewer reports whether a heartbeat is newer than all earlier ones from its machine, which may have
+// been removed since. A late duplicate proves nothing, not even that the machine's zone is reachable.
 func (f *Fleet) IsNewer(hb *wire.Heartbeat) bool {
 	last, gone := f.releasedMachines[hb.Machine]
 	if !gone {
@@ -26,22 +26,23 @@
 	return last.before(hb)
 }
 
-// heartbeatID orders the messages of a machine.
+// heartbeatID orders the heartbeats of a machine.
 type heartbeatID struct{ incarnation, seq uint64 }
 
 func (n heartbeatID) before(hb *wire.Heartbeat) bool {
 	return hb.Incarnation > n.incarnation || hb.Incarnation == n.incarnation && hb.Seq > n.seq
 }
 
-// ApplyHeartbeat takes in a worker's heartbeat, whichever way it came. A heartbeat proves that an
-// unseen launch was not taken only if the worker sent it by itself (own), and not as the answer to
-// a call: the response that carried the launch may be in flight beside any other.
+// ApplyHeartbeat applies a worker's heartbeat, whichever way it was received, and returns the changes
+// that it reveals. Only an unsolicited heartbeat, which the worker did not send in reply to a call,
+// proves that a launch was lost that it does not list: the response that carried the launch may still
+// be in flight when a call is answered.
 func (f *Fleet) ApplyHeartbeat(now time.Time, hb *wire.Heartbeat, unsolicited bool) []Event {
 	if f.IsReleased(hb.Machine) || !f.IsNewer(hb) {
-		return nil // its list is as old as itself; what is gone since would be launched on
+		return nil // its task list is outdated too, and a machine removed since would be launched on
 	}
 	m := f.EnsureMachine(now, hb.Machine, hb.Type, hb.Zone, hb.Spot)
-	allTasksKnown := m.SeenAtToken // all that earlier leaders launched has been seen
+	allTasksKnown := m.SeenAtToken // everything that earlier leaders launched has been listed
 	var events []Event
 	if hb.Incarnation > m.Incarnation {
 		events = f.enterIncarnation(now, m, hb.Incarnation, unsolicited)
@@ -61,10 +62,10 @@
 	return events
 }
 
-// enterIncarnation records that a machine's worker has begun a new incarnation (proof 2): it has forgotten all
-// tasks of earlier incarnations, and executes nothing that was sent to one.
+// enterIncarnation records that a machine's worker has begun a new incarnation (proof 2). The worker has
+// dropped all tasks of earlier incarnations and executes no commands that were sent to them.
 func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, unsolicited bool) (events []Event) {
-	if unsolicited && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
+	if unsolicited && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it did not receive that response
 		m.markCommandsLost(now)
 	}
 	for _, p := range m.Placements() {
@@ -77,11 +78,11 @@
 	return events
 }
 
-// applyMachineStatus applies what a heartbeat shows about the machine itself.
+// applyMachineStatus applies what a heartbeat shows about the machine itself, apart from its tasks.
 func (f *Fleet) applyMachineStatus(now time.Time, m *Machine, hb *wire.Heartbeat, unsolicited bool) {
 	if !m.incarnationSeen {
-		// An incarnation has a lease of its own that counts from its beginning, which may have been
-		// just now.
+		// Each incarnation has its own lease that counts from its beginning, which may be as late as
+		// now.
 		m.incarnationSeen = true
 		m.recordResponse(now)
 	}
@@ -92,9 +93,9 @@
 	}
 	switch {
 	case !unsolicited:
-		m.suspectedLosses = 0 // a call was answered
+		m.suspectedLosses = 0 // it has answered a call
 	case hb.FencingToken < f.FencingToken && m.unsolicitedSeq > 0:
-		m.recordLostCommand(now) // nor taken the token from the response to its last heartbeat
+		m.recordLostCommand(now) // it did not adopt the token from the response to its last heartbeat
 	}
 	m.latestSeq = hb.Seq
 	m.Addr, m.LastHeartbeat = hb.Addr, now
@@ -106,13 +107,14 @@
 	}
 	if hb.FencingToken == f.FencingToken && !m.SeenAtToken {
 		m.SeenAtToken, m.suspectedLosses = true, 0
-		m.recordResponse(now) // an earlier leader's response may have come until now
+		m.recordResponse(now) // it may have received responses of an earlier leader until now
 	}
 }
 
-// reconcileMissing deals with what a heartbeat at the own token does not list (proof 1).
+// reconcileMissing handles the placements that a heartbeat at the leader's own token does not list
+// (proof 1).
 func (f *Fleet) reconcileMissing(now time.Time, m *Machine, unsolicited bool) (events []Event) {
-	lostLaunch := false // that a response carried
+	lostLaunch := false // whether a response that carried a launch was lost
 	for _, p := range m.Placements() {
 		switch {
 		case p.State == Planned || p.lastListed == m.lastHeartbeatID():
@@ -122,8 +124,8 @@
 				events = append(events, Event{Placement: p, Gone: true})
 			}
 		case unsolicited:
-			// One heartbeat is in flight at a time, and the response to it is executed before the
-			// next is made, or never: the launch was lost.
+			// The worker has one heartbeat in flight at a time and executes the response to it before
+			// it creates the next one, or never. So the launch was lost.
 			lostLaunch = lostLaunch || p.sentInResponse
 			if f.revertLostLaunch(m, p) {
 				events = append(events, Event{Placement: p, Gone: true})
@@ -136,8 +138,9 @@
 	return events
 }
 
-// revertLostLaunch notes that the response that carried a launch was lost. The launch may be sent again,
-// unless it is to stop anyway: then its placement is removed.
+// revertLostLaunch handles the loss of the response that carried a launch. The placement is planned
+// again, so that the launch can be resent. If it has been ordered to stop and no call is pending, it is
+// removed instead.
 func (f *Fleet) revertLostLaunch(m *Machine, p *Placement) (removed bool) {
 	p.State, p.sentInResponse = Planned, false
 	if p.Stop == nil || p.callPending {
@@ -147,9 +150,9 @@
 	return true
 }
 
-// applyTaskStatus applies the status of one listed task and reports whether its state has changed.
-// Where all is known that may be on the machine, an attempt that appears, or is active again after its
-// end, was started by a late copy of a call, of which more may come.
+// applyTaskStatus applies the status of one listed task and reports whether its state has changed. If
+// all tasks that may be on the machine are known, an attempt that appears, or is active again after it
+// ended, was started by a late duplicate of a call, and more duplicates may follow.
 func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, allTasksKnown bool) (e Event, changed bool) {
 	p, state := m.findPlacement(t.ID, t.Attempt), stateFromWire(t.State)
 	appears := p == nil
@@ -176,8 +179,8 @@
 	return e, changed
 }
 
-// stateOf returns the state of a placement from the status that its worker sent. A state that this version does
-// not know counts as running: the task is there.
+// stateFromWire converts a task state that a worker reported to the state of a placement. A state unknown to
+// this version counts as running, since the task is on the machine.
 func stateFromWire(s wire.TaskState) State {
 	switch s {
 	case wire.TaskFetching:
--- a/internal/fleet/imagecache.go
+++ b/internal/fleet/imagecache.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// imageCache is which images a machine should hold. A machine caches the most recently used images,
-// as far as they fit its cache together.
+// imageCache tracks which images a machine should hold. A machine caches the most recently used images
+// that fit in its cache together.
 type imageCache struct {
 	images  map[string]cachedImage
 	totalGB float64
 }
 
-// cachedImage is an image that a machine should hold, or fetches.
+// cachedImage is an image that a machine should hold or is fetching.
 type cachedImage struct {
 	gb       float64
 	lastUsed time.Time
-	present  bool // it has come, as far as is known
+	present  bool // it has been fetched, as far as is known
 }
 
-// UseImage notes that a task on the machine uses an image, or waits for it.
+// UseImage records that a task on the machine uses an image or waits for it, and evicts the least
+// recently used images while the cache is over its size of cacheGB.
 func (c *imageCache) UseImage(now time.Time, image string, gb, cacheGB float64, present bool) {
 	known, ok := c.images[image]
 	if !ok {
@@ -32,7 +33,7 @@
 	}
 }
 
-// leastRecentlyUsed returns the image to evict first; of two used at the same time, the first by name.
+// leastRecentlyUsed returns the image to evict first. Ties are broken by name.
 func (c *imageCache) leastRecentlyUsed() string {
 	oldest := ""
 	for name, image := range c.images {
@@ -49,7 +50,7 @@
 	delete(c.images, image)
 }
 
-// evictUnfetched forgets the images that have not come yet.
+// evictUnfetched evicts the images that have not been fetched yet.
 func (c *imageCache) evictUnfetched() {
 	for name, image := range c.images {
 		if !image.present {
@@ -58,11 +59,11 @@
 	}
 }
 
-// HasImage reports whether the machine should hold an image, or fetches it.
+// HasImage reports whether the machine should hold an image or is fetching it.
 func (c *imageCache) HasImage(image string) bool {
 	_, ok := c.images[image]
 	return ok
 }
 
-// LacksImage reports whether an image that a task here needs has not come yet.
+// LacksImage reports whether an image that a task on the machine needs has not been fetched yet.
 func (c *imageCache) LacksImage(image string) bool { return !c.images[image].present }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -7,64 +7,64 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Machine is a machine that may be launched on, or may once have been.
+// Machine is a machine on which tasks may be launched, or may have been launched earlier.
 type Machine struct {
 	ID, Addr, Type, Zone string
 	Spot                 bool
-	Recorded             bool           // in the state service, so that it may be launched on
-	Since                time.Time      // when this leader came to know it
+	Recorded             bool           // in the state service, which is required before anything is launched on it
+	Since                time.Time      // when this leader learned of it
 	ListedAt             time.Time      // when the cloud first listed it
-	TerminationTime      time.Time      // when the cloud takes it away; zero without a notice
-	DrainReason          string         // why nothing is placed here any more; empty while it may be
-	Releasing            bool           // its release was asked for
-	JobFailures          map[string]int // failed attempts here, by job
-	IdleSince            time.Time      // since when it has had no task
+	TerminationTime      time.Time      // when the cloud terminates it; zero without a termination notice
+	DrainReason          string         // why nothing new is placed here; empty if placements are allowed
+	Releasing            bool           // its release has been requested
+	JobFailures          map[string]int // failed attempts on this machine, by job
+	IdleSince            time.Time      // since when it has had no tasks
 
-	Up          bool // a heartbeat has come
+	Up          bool // a heartbeat has been received
 	UpSince     time.Time
-	SeenAtToken bool // a heartbeat has come at the leader's own fencing token
-	provenEmpty bool // nothing from before the token is on it, though it was not seen at the token
+	SeenAtToken bool // a heartbeat at the leader's own fencing token has been received
+	provenEmpty bool // holds no tasks of earlier leaders, although it was not seen at the token
 
-	LastHeartbeat           time.Time // when the last new heartbeat came, also in answer to a call
-	LastResponse            time.Time // when the last response was sent that it may have taken
-	firstCallSinceHeartbeat time.Time // when a call was first answered since its last own heartbeat; zero for none
+	LastHeartbeat           time.Time // when the last new heartbeat was received, including in reply to a call
+	LastResponse            time.Time // when the last response that it may have received was sent
+	firstCallSinceHeartbeat time.Time // first answered call since its last unsolicited heartbeat; zero for none
 
-	RecordedIncarnation uint64 // the one that the state service names: a guess for the first call
+	RecordedIncarnation uint64 // from the state service: a guess that the first call uses
 	incarnationState
 	commandLoss
 	imageCache
 
-	placements []*Placement // sorted by task and attempt; replaced, never changed in place
+	placements []*Placement // sorted by task and attempt; copied on change, never changed in place
 }
 
-// incarnationState is what is known of the present incarnation of a machine's worker.
+// incarnationState holds what is known about the current incarnation of a machine's worker.
 type incarnationState struct {
 	Incarnation     uint64
-	incarnationSeen bool      // a heartbeat of it has come
-	latestSeq       uint64    // of its newest heartbeat
-	unsolicitedSeq  uint64    // of its newest own heartbeat
-	unsolicitedAt   time.Time // when that came
-	launchSeq       uint64    // of its newest heartbeat of which the response carried launches
+	incarnationSeen bool      // a heartbeat of this incarnation has been received
+	latestSeq       uint64    // sequence number of its newest heartbeat
+	unsolicitedSeq  uint64    // sequence number of its newest heartbeat that was not a reply to a call
+	unsolicitedAt   time.Time // when that heartbeat was received
+	launchSeq       uint64    // sequence number of its newest heartbeat whose response carried launches
 }
 
-// beginIncarnation moves on to an incarnation of which nothing has come yet. The machine stays, and
-// so do its images, but for those that were only being fetched: nobody waits for them.
+// beginIncarnation switches to a new incarnation from which nothing has been received yet. The machine
+// keeps its images, except for those still being fetched: no task waits for them any more.
 func (m *Machine) beginIncarnation(incarnation uint64) {
 	m.incarnationState = incarnationState{Incarnation: incarnation, unsolicitedAt: m.unsolicitedAt}
 	m.evictUnfetched()
 }
 
-// lastHeartbeatID returns the number of the newest heartbeat.
+// lastHeartbeatID returns the ID of the newest heartbeat.
 func (m *Machine) lastHeartbeatID() heartbeatID { return heartbeatID{m.Incarnation, m.latestSeq} }
 
-// launchable reports whether a machine may be launched on.
+// launchable reports whether tasks may be launched on the machine.
 func (m *Machine) launchable() bool {
 	return m.SeenAtToken && m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
 }
 
-// isStale reports whether the worker waits for no response to a heartbeat any more: it has sent a
-// newer one, or is in a later incarnation, or sent this one too long ago. Such a response renews no
-// lease, and a proof by time does not wait for it.
+// isStale reports whether the worker no longer waits for the response to a heartbeat: it has sent a
+// newer one, is in a later incarnation, or sent this one too long ago. A response to a stale heartbeat
+// does not renew the lease, so it does not delay a proof by lease expiry.
 func (m *Machine) isStale(now time.Time, hb *wire.Heartbeat) bool {
 	if hb.Incarnation != m.Incarnation {
 		return hb.Incarnation < m.Incarnation
@@ -72,8 +72,8 @@
 	return hb.Seq < m.unsolicitedSeq || hb.Seq == m.unsolicitedSeq && now.Sub(m.unsolicitedAt) > proofMargin
 }
 
-// Placements lists what is or may be on the machine, sorted by task and attempt. The list is the
-// caller's to go through, whatever becomes of the placements meanwhile.
+// Placements returns the attempts that are or may be on the machine, sorted by task and attempt. The
+// caller may iterate over the list while placements are added and removed.
 func (m *Machine) Placements() []*Placement { return m.placements }
 
 func compareByTask(a, b *Placement) int {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// PossibleAttempts names every attempt that is or may yet be on the machine, by its task.
+// PossibleAttempts returns, by task, the newest attempt that is or may still appear on the machine.
 func (m *Machine) PossibleAttempts() map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, p := range m.placements {
@@ -102,7 +102,7 @@
 	return out
 }
 
-// CountPossible counts the attempts that are or may yet be on the machine.
+// CountPossible counts the attempts that are or may still appear on the machine.
 func (m *Machine) CountPossible() (n int) {
 	for _, p := range m.placements {
 		if p.mayBePresent() {
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -6,14 +6,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// State is how far a placement has come.
+// State is the stage of a placement.
 type State int
 
 // The states of a placement, in the order in which they are reached.
 const (
-	Planned  State = iota // decided; nothing was sent to the machine
-	Sent                  // sent in a response or call that may or may not have been taken
-	Fetching              // from here on as the worker says
+	Planned  State = iota // decided, but not sent to the machine
+	Sent                  // sent in a response or call that the machine may or may not have received
+	Fetching              // this and all later states are reported by the worker
 	Waiting
 	Running
 	Saving
@@ -26,42 +26,42 @@
 	Attempt    uint64
 	Machine    string
 	State      State
-	Committed  bool // its round is in the state service, so that it may be sent
-	EndHandled bool // its end has been dealt with, so that it may be cleared
+	Committed  bool // its scheduling round is stored in the state service, so it may be sent
+	EndHandled bool // its end has been processed, so it may be cleared from the worker
 	Cause      wire.Cause
 	Saved      bool
-	Stop       *StopOrder // nil unless it is to stop
+	Stop       *StopOrder // nil unless it has been ordered to stop
 	PlacedAt   time.Time
 	StartedAt  time.Time   // when it was first seen running
 	Reported   bool        // a heartbeat has listed it
 	lastListed heartbeatID // the newest heartbeat that listed it
 
-	// sentInResponse: a response carried the launch, and no heartbeat has shown yet that it was not
-	// taken. A direct call that was refused beside it proves nothing.
+	// sentInResponse is set if a response carried the launch and no heartbeat has shown yet that the
+	// response was lost. A refused direct call for the same launch then proves nothing.
 	sentInResponse bool
-	// callPending: the launch was also sent by a direct call that was not answered. It may be
-	// executed as long as the incarnation lasts, so that the attempt is neither withdrawn nor cleared.
+	// callPending is set while a direct call that carried the launch is unanswered. The call may be
+	// executed as long as the incarnation lasts, so the attempt is neither withdrawn nor cleared.
 	callPending bool
-	// sentByCall: the launch was sent by a direct call, of which a copy may yet come. So it was, by
-	// whomever, if the attempt was listed without a launch.
+	// sentByCall is set if the launch was sent by a direct call, of which a duplicate may still
+	// arrive. It is also set if the worker listed the attempt although this leader did not launch it.
 	sentByCall bool
 	endedAt    time.Time // when it was first seen ended
-	// restored: the state service names it, from before the token. Its incarnation is not known, so
-	// that only a heartbeat at the token shows it gone.
+	// restored is set if an earlier leader recorded the attempt in the state service. Its incarnation
+	// is unknown, so among the heartbeats only one at the leader's own token can show it gone.
 	restored bool
 }
 
 // StopOrder is the order to stop a placement.
 type StopOrder struct {
-	Grace       time.Duration // that the task has for saving its progress
+	Grace       time.Duration // the time that the task has to save its progress
 	Reason      string
 	Since       time.Time
-	JobFinished bool      // its job is over: it must not be launched any more
-	RenewUntil  time.Time // while it may yet be launched, until when its machine's lease may be renewed
+	JobFinished bool      // its job has ended: the task must not be launched any more
+	RenewUntil  time.Time // until when its machine's lease may be renewed while a call may still launch it
 }
 
-// HasImage reports whether the placement's image has come to its machine: what an earlier leader
-// placed has mostly run for a while.
+// HasImage reports whether the placement's image is on its machine. For a restored placement that
+// has not been reported yet it assumes so, since most of these have been running for a while.
 func (p *Placement) HasImage() bool {
 	return p.State == Waiting || p.State == Running || p.State == Saving || p.restored && !p.Reported
 }
@@ -69,35 +69,36 @@
 // Active reports whether the placement may hold resources of its machine.
 func (p *Placement) Active() bool { return p.State != Ended }
 
-// CallPending reports whether a launch of the placement may still be on its way by a direct call.
+// CallPending reports whether an unanswered direct call may still launch the placement.
 func (p *Placement) CallPending() bool { return p.callPending }
 
-// mayBePresent reports whether the attempt is or may yet be on its machine.
+// mayBePresent reports whether the attempt is or may still appear on its machine.
 func (p *Placement) mayBePresent() bool { return p.Active() || p.callPending }
 
 const (
-	// duplicateCallWindow is for how long after the end of an attempt a copy of the answered call that
-	// launched it may yet come. The protocol gives late messages no bound ("minutes late") and knows no
-	// copies of what was delivered; only the fencing token and the incarnation end what a copy can do,
-	// and neither changes while a leader leads. The window is the smallest exception from that: the
-	// list must end, and a copy that comes later still starts its attempt again (docs/design.md).
+	// duplicateCallWindow is how long after the end of an attempt a duplicate of the answered call that
+	// launched it is expected to arrive. The protocol sets no bound on late messages ("minutes late")
+	// and does not mention duplicates of delivered ones. Only a new fencing token or incarnation
+	// invalidates a duplicate, and neither has to change while a leader leads. The window is the
+	// smallest exception to that rule: the list must not grow forever, but a duplicate that arrives even
+	// later still starts its attempt again (docs/design.md).
 	duplicateCallWindow = 3 * time.Minute
-	// maxTombstones bounds the attempts on a machine's list that were launched by direct calls, since
-	// the list goes into each of its heartbeats. Where it is full, launches go by the responses to
-	// heartbeats alone, which are never executed late.
+	// maxTombstones limits how many attempts that were launched by direct calls a machine's list may
+	// hold, since each of its heartbeats carries the list. Once the limit is reached, launches are sent
+	// only in responses to heartbeats, which are never executed late.
 	maxTombstones = 100
 )
 
-// mayBeDuplicated reports whether a late copy of the call that launched an ended attempt would start
-// it again once it was cleared: beside the task's next attempt, or, if the task is done, for its team,
-// for its cancelled job and on its machine for a moment. As long as the worker lists the attempt, a
-// copy does nothing.
+// mayBeDuplicated reports whether a late duplicate of the call that launched an ended attempt may still
+// arrive. Once the attempt is cleared, such a duplicate would start it again: next to the task's next
+// attempt or, if the task is done, briefly at the expense of its team, its cancelled job and its
+// machine. As long as the worker lists the attempt, a duplicate has no effect.
 func (p *Placement) mayBeDuplicated(now time.Time) bool {
 	return now.Sub(p.endedAt) < duplicateCallWindow
 }
 
-// IsTombstone reports whether nothing is left to do for an attempt but to remember it, for the sake
-// of late copies.
+// IsTombstone reports whether an attempt is kept only so that late duplicates of its launch have no
+// effect.
 func (p *Placement) IsTombstone() bool {
 	return p.State == Ended && p.EndHandled && p.sentByCall && !p.callPending
 }
--- a/internal/fleet/proofs_test.go
+++ b/internal/fleet/proofs_test.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestProofsOfAbsence: an attempt that was sent to a machine counts as there until one of the proofs
-// of the package's comment shows that it is not.
+// TestProofsOfAbsence checks that an attempt that was sent to a machine counts as present until one of
+// the proofs of absence in the package comment applies.
 func TestProofsOfAbsence(t *testing.T) {
 	const lease = 30 * time.Second
 	start := time.Unix(1e9, 0)
@@ -17,10 +17,10 @@
 		return &wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: token, Tasks: tasks}
 	}
 	for _, c := range []struct {
-		name string
-		seen bool // the machine was seen at the token, and the attempt launched by a response
+		name  string
+		seen  bool // the machine was seen at the token and the attempt was launched by a response
 		apply func(f *Fleet)
-		gone bool
+		gone  bool
 	}{
 		{"nothing", true, func(f *Fleet) {}, false},
 		{"1: a newer heartbeat without it", true, func(f *Fleet) {
@@ -32,7 +32,7 @@
 		{"2: a later incarnation", true, func(f *Fleet) { f.ApplyHeartbeat(start, heartbeat(2, 1, 5), true) }, true},
 		{"3: the lease ran out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, true},
 		{"the lease may not have run out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease)) }, false},
-		{"4: the cloud no longer has it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
+		{"4: the cloud no longer lists it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
 		{"5: earlier leaders have stopped responding, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(start.Add(time.Minute + lease + 2*proofMargin)) }, true},
 		{"an earlier leader may still respond", false, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, false},
 	} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestCloudList: a machine is proven gone by a list that lacks it only once it must have been in
-// each list, and one that is gone does not come back by an older list.
+// TestCloudList checks that a list proves a missing machine gone only once every up-to-date list must
+// contain it, and that an older list does not add a removed machine again.
 func TestCloudList(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	f := New(1, start, time.Minute, 0, time.Second)
@@ -64,7 +64,7 @@
 		t.Errorf("gone: %v", gone)
 	}
 	if gone := f.ApplyCloudList(start.Add(4*time.Second), start, nil); len(gone) != 0 {
-		t.Errorf("gone at once: %v", gone)
+		t.Errorf("gone too early: %v", gone)
 	}
 	if gone := f.ApplyCloudList(start.Add(5*time.Second), start, nil); len(gone) != 1 || gone[0] != "n-1" {
 		t.Errorf("gone: %v", gone)
@@ -72,6 +72,6 @@
 	f.RemoveMachine("n-1")
 	f.ApplyCloudList(start, start, list)
 	if f.Machine("n-1") != nil {
-		t.Error("an old list has brought a machine back")
+		t.Error("an old list has added a removed machine again")
 	}
 }
--- a/internal/fleet/sharding.go
+++ b/internal/fleet/sharding.go
@@ -8,20 +8,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Sharding divides a fleet into shards by the facts of its machines alone, so that every controller
-// names the same shard for a machine of which it knows nothing else.
+// Sharding divides a fleet into shards by the zones or the types of the machines alone, so that every
+// controller assigns a machine to the same shard without further knowledge of it.
 type Sharding struct {
 	description string
 	shards      []string
-	shardByZone map[string]string // where the zone decides
-	shardByType map[string]string // where the type decides
+	shardByZone map[string]string // set if the zone determines the shard
+	shardByType map[string]string // set if the machine type determines the shard
 }
 
-// SingleShard is the sharding of a fleet that is a single shard.
+// SingleShard returns the sharding of a fleet that is a single shard.
 func SingleShard() *Sharding { return &Sharding{shards: []string{"fleet"}} }
 
-// ByZones returns a sharding into n shards, to which the zones are assigned in turn. With as many
-// shards as zones, each zone is a shard, which has the zone's name.
+// ByZones returns a sharding into n shards, to which the sorted zones are assigned round-robin. With at
+// least as many shards as zones, each zone is a shard of the same name.
 func ByZones(n int, zones []string) *Sharding {
 	zones = slices.Sorted(slices.Values(zones))
 	if n <= 1 {
@@ -32,7 +32,7 @@
 		s.shards = append(s.shards, zones...)
 	} else {
 		for i := range n {
-			s.shards = append(s.shards, fmt.Sprintf("part-%d", i)) // the name in the state service
+			s.shards = append(s.shards, fmt.Sprintf("part-%d", i)) // the state service stores this name
 		}
 	}
 	for i, zone := range zones {
@@ -42,7 +42,8 @@
 	return s
 }
 
-// ByTypes makes each of the named types a shard; machines of other types are of the first.
+// ByTypes returns a sharding in which each given machine type is a shard. Machines of other types belong
+// to the first shard.
 func ByTypes(types []string) *Sharding {
 	types = slices.Compact(slices.Sorted(slices.Values(types)))
 	if len(types) <= 1 {
@@ -56,13 +57,14 @@
 	return s
 }
 
-// Shards names the shards in order.
+// Shards returns the names of the shards in order.
 func (s *Sharding) Shards() []string { return s.shards }
 
 // IsSingle reports whether the fleet is a single shard.
 func (s *Sharding) IsSingle() bool { return len(s.shards) == 1 }
 
-// ShardOf names the shard that a machine belongs to.
+// ShardOf returns the name of the shard that a machine belongs to. A machine whose zone and type are
+// both unassigned belongs to the first shard.
 func (s *Sharding) ShardOf(zone, machineType string) string {
 	if shard, ok := s.shardByZone[zone]; ok {
 		return shard
@@ -73,7 +75,7 @@
 	return s.shards[0]
 }
 
-// MayHost reports whether a shard may have machines that a job allows and fits on.
+// MayHost reports whether a shard may have machines that a job allows and that are large enough for it.
 func (s *Sharding) MayHost(shard string, j *wire.Job, types []wire.MachineType) bool {
 	for _, t := range types {
 		allowed := len(j.Types) == 0 || slices.Contains(j.Types, t.Name)
@@ -89,15 +91,16 @@
 	return false
 }
 
-// KeepsZonesWhole reports whether all machines of a zone are in the same shard, so that a leader
-// knows of everything that is in its zones.
+// KeepsZonesWhole reports whether all machines of a zone are in the same shard, so that a leader knows
+// all machines of its zones.
 func (s *Sharding) KeepsZonesWhole() bool { return s.shardByType == nil }
 
-// ZonesOf lists the zones that belong to a shard, where zones decide.
+// ZonesOf returns the zones that belong to a shard, in order. It returns none if the machine type
+// determines the shard.
 func (s *Sharding) ZonesOf(shard string) []string {
 	var out []string
-	for zone, of := range s.shardByZone {
-		if of == shard {
+	for zone, zoneShard := range s.shardByZone {
+		if zoneShard == shard {
 			out = append(out, zone)
 		}
 	}
@@ -105,6 +108,6 @@
 	return out
 }
 
-// String describes the sharding, for comparison with the state service's record; it is empty for a
-// single shard.
+// String describes the sharding, for comparison with the description recorded in the state service. It
+// is empty for a single shard.
 func (s *Sharding) String() string { return s.description }
--- a/internal/fleet/sharding_test.go
+++ b/internal/fleet/sharding_test.go
@@ -8,8 +8,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestSharding: zones are assigned in turn, each is a shard where there are as many, and a machine
-// of which nothing decides belongs to the first shard. The description is what the state service has.
+// TestSharding checks that zones are assigned to shards round-robin, that each zone is its own shard if
+// there are enough shards, and that a machine with an unassigned zone and type belongs to the first
+// shard. The state service stores the description.
 func TestSharding(t *testing.T) {
 	zones := []string{"c", "a", "b"}
 	for _, c := range []struct {
@@ -17,8 +18,8 @@
 		sharding    *Sharding
 		shards      []string
 		description string
-		of          string // shards of zones a, b, c and x with type g8
-		whole       bool   // zones are kept whole
+		shardsOf    string // shards of zones a, b, c and x with type g8
+		zonesWhole  bool   // zones are kept whole
 	}{
 		{"single", ByZones(1, zones), []string{"fleet"}, "", "[fleet fleet fleet fleet]", true},
 		{"two of three zones", ByZones(2, zones), []string{"part-0", "part-1"}, "zones a,b,c in part-0,part-1", "[part-0 part-1 part-0 part-0]", true},
@@ -27,12 +28,12 @@
 		{"a single type", ByTypes([]string{"g4"}), []string{"fleet"}, "", "[fleet fleet fleet fleet]", true},
 	} {
 		s := c.sharding
-		var of []string
+		var assigned []string
 		for _, zone := range []string{"a", "b", "c", "x"} {
-			of = append(of, s.ShardOf(zone, "g8"))
+			assigned = append(assigned, s.ShardOf(zone, "g8"))
 		}
-		if !slices.Equal(s.Shards(), c.shards) || s.String() != c.description || fmt.Sprint(of) != c.of || s.KeepsZonesWhole() != c.whole || s.IsSingle() != (len(c.shards) == 1) {
-			t.Errorf("%s: %v, %q, %v", c.name, s.Shards(), s, of)
+		if !slices.Equal(s.Shards(), c.shards) || s.String() != c.description || fmt.Sprint(assigned) != c.shardsOf || s.KeepsZonesWhole() != c.zonesWhole || s.IsSingle() != (len(c.shards) == 1) {
+			t.Errorf("%s: %v, %q, %v", c.name, s.Shards(), s, assigned)
 		}
 	}
 	two := ByZones(2, zones)
@@ -46,6 +47,6 @@
 		}
 	}
 	if two.MayHost("part-0", &wire.Job{GPUs: 8}, types) || two.MayHost("part-0", &wire.Job{Types: []string{"g8"}}, types) {
-		t.Error("a job is hosted on machines that are too small or not allowed")
+		t.Error("a shard may host a job for which its machines are too small or not allowed")
 	}
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -166,4 +166,6 @@
 }
 
 // expected reports whether a machine should send heartbeats.
-func shouldSendHeartbeats(machine *fleet.Machine) bool { return (machine.Up || machine.Recorded) && !machine.Releasing }
+func shouldSendHeartbeats(machine *fleet.Machine) bool {
+	return (machine.Up || machine.Recorded) && !machine.Releasing
+}
