--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -19,7 +19,7 @@
 	machines         map[string]*Machine
 	sortedMachines   []*Machine // by ID; copied when an element is inserted or removed before the end
 	placementsByTask map[wire.TaskID][]*Placement
-	removedMachines  map[string]heartbeatID // by ID; copied unless a machine is appended
+	removedMachines  map[string]heartbeatID // last heartbeats of removed machines, which a stale list may contain
 	releasedMachines map[string]heartbeatID // last heartbeats of machines that the cloud has released
 }
 
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// partitionShare is the part of machines (one in so many) that may be missing before the leader is
-	// assumed to be partitioned. Machines rarely fail together, networks often do.
+	// partitionShare is the denominator of the fraction of machines that may be missing before the leader
+	// is assumed to be partitioned. Machines rarely fail together, but network failures often affect many
+	// of them at once.
 	partitionShare = 3
-	// MinMachinesToJudge is how many machines must be concerned before a whole zone or shard is
-	// judged by them: fewer may fail by coincidence.
+	// MinMachinesToJudge is how many machines a zone or shard must have before it is judged as a whole:
+	// fewer may fail by coincidence.
 	MinMachinesToJudge = 4
 )
 
-// Detector decides whether missing heartbeats mean failed machines or a failed network.
-// A leader that misses heartbeats from more than a third of its machines, the worst zone aside, is
-// assumed to be partitioned itself, and must not evict anything.
+// Detector decides whether missing heartbeats mean failed machines or a failed network. A leader that
+// misses heartbeats from more than a third of its machines outside the worst zone is assumed to be
+// partitioned itself and must not evict anything.
 type Detector struct {
 	monitor         *Monitor
-	evicted         []eviction // machines that were lately evicted as unreachable
+	evicted         []eviction // machines that were recently evicted as unreachable
 	peers           map[string]ZoneHealth
-	zoneUnreachable func(zone string) bool // by the stored states of the zones
+	zoneUnreachable func(zone string) bool // according to the stored states of the zones
 }
 
 // eviction is a machine that was evicted because its heartbeats were missing.
@@ -33,13 +34,13 @@
 	zone string
 }
 
-// NewDetector returns a detector. zoneUnreachable tells which zones are known to be unreachable.
+// NewDetector returns a detector. zoneUnreachable reports whether a zone is known to be unreachable.
 func NewDetector(m *Monitor, zoneUnreachable func(zone string) bool) *Detector {
 	return &Detector{monitor: m, zoneUnreachable: zoneUnreachable}
 }
 
-// SetPeers records the health of zones as leaders of other shards see it. What the leader of a
-// single zone can't tell apart, all of them together can.
+// SetPeers records the health of zones as seen by the leaders of other shards. The leader of a single
+// zone cannot distinguish a failed zone from its own partition, but all leaders together can.
 func (d *Detector) SetPeers(zones map[string]ZoneHealth) { d.peers = zones }
 
 // NoteEviction records that a machine was evicted because its heartbeats were missing.
@@ -48,13 +49,13 @@
 	d.evicted = append(d.evicted, eviction{now, zone})
 }
 
-// counts reports whether tasks of an evicted machine may still be running.
+// mayHoldLease reports whether an evicted machine may still hold its lease and run its tasks.
 func (d *Detector) mayHoldLease(now time.Time, e eviction) bool {
 	return now.Sub(e.at) <= d.monitor.timeouts.Lease
 }
 
-// RecentEvictions counts by zone the machines that were evicted for missing heartbeats and whose
-// leases may not be over.
+// RecentEvictions counts by zone the machines that were evicted for missing heartbeats and may still
+// hold their leases.
 func (d *Detector) RecentEvictions(now time.Time) map[string]int {
 	out := make(map[string]int)
 	for _, e := range d.evicted {
@@ -65,21 +66,21 @@
 	return out
 }
 
-// Partitioned reports whether the leader, rather than its machines, is likely to be cut off.
+// Partitioned reports whether the leader itself, rather than its machines, is likely to be cut off.
 func (d *Detector) Partitioned(now time.Time) bool {
 	expected, missing := d.healthSummary(now)
 	return missing*partitionShare > expected
 }
 
-// PartitionedAlone is like Partitioned, but ignores what peers say of other shards.
+// PartitionedAlone is like Partitioned, but ignores what peers report about other shards.
 func (d *Detector) PartitionedAlone(now time.Time) bool {
 	alone := *d
 	alone.peers = nil
 	return alone.Partitioned(now)
 }
 
-// UnreachableMachines counts the machines that are unreachable by the fault of the network rather than their
-// own; it is 0 unless the leader seems to be partitioned.
+// UnreachableMachines counts the machines that are unreachable because of the network rather than their
+// own failure. It is 0 unless the leader seems to be partitioned.
 func (d *Detector) UnreachableMachines(now time.Time) int {
 	if !d.PartitionedAlone(now) {
 		return 0
@@ -93,9 +94,9 @@
 	return n
 }
 
-// healthSummary counts machines in all zones but the worst one and those known to be unavailable.
-// One zone that is cut off whole says nothing of the leader's own links, and its tasks are lost
-// anyway. The last zone is never left out.
+// healthSummary counts the machines in all zones except the worst one and those known to be
+// unreachable. One zone that is entirely cut off says nothing about the leader's own links, and its
+// tasks are lost anyway. The last remaining zone is always included.
 func (d *Detector) healthSummary(now time.Time) (expected, missing int) {
 	zones := d.zoneTotals(now)
 	names := slices.Sorted(maps.Keys(zones))
@@ -111,9 +112,9 @@
 	return expected, missing
 }
 
-// zoneTotals adds up the machines of this leader, those of its peers, and those that were lately evicted.
-// Evicted machines count as missing until their leases are over: when many disappear, it is
-// more likely that a network failed than that they all did, and their tasks go on meanwhile.
+// zoneTotals adds up the machines of this leader, those of its peers and those that were recently
+// evicted. Evicted machines count as missing until their leases expire: when many disappear, a network
+// failure is more likely than the failure of each of them, and their tasks continue to run meanwhile.
 func (d *Detector) zoneTotals(now time.Time) map[string]ZoneHealth {
 	totals := make(map[string]ZoneHealth)
 	add := func(zone string, up, quiet int) {
@@ -132,7 +133,7 @@
 	return totals
 }
 
-// worstZone returns the zone with the most missing machines, the first by name of several.
+// worstZone returns the zone with the most missing machines. Ties are broken by the order of names.
 func worstZone(zones map[string]ZoneHealth, names []string) string {
 	worst := ""
 	for _, name := range names {
@@ -143,8 +144,8 @@
 	return worst
 }
 
-// ShardAloneUnreachable reports whether hardly any machine of this shard sends heartbeats while most of
-// other shards do: the zones of this shard are cut off, not this controller.
+// ShardAloneUnreachable reports whether hardly any heartbeats of this shard's machines arrive while most
+// of those of other shards do: the zones of this shard are cut off, not this controller.
 func (d *Detector) ShardAloneUnreachable(now time.Time) bool {
 	own, others := sumHealth(d.monitor.ZoneHealth(now)), sumHealth(d.peers)
 	ownMissing := own.Up >= MinMachinesToJudge && own.Quiet*10 >= own.Up*9
@@ -152,6 +153,7 @@
 	return ownMissing && othersHealthy
 }
 
+// sumHealth adds up the health of all zones.
 func sumHealth(zones map[string]ZoneHealth) (t ZoneHealth) {
 	for _, h := range zones {
 		t.Up += h.Up
@@ -160,11 +162,11 @@
 	return t
 }
 
-// OneWay returns machines that send heartbeats and take nothing they are told, and on which an earlier
-// leader may have launched tasks: those are not proven gone for as long as the heartbeats are
-// answered, though the leases that the earlier leader gave are over. If more than a third of the
-// machines, the worst zone aside, are like that, a network has failed that will recover, and none
-// is returned.
+// OneWay returns the machines that send heartbeats but receive no commands, and on which an earlier
+// leader may have launched tasks. Although the leases that the earlier leader granted have expired,
+// these tasks are not proven gone as long as heartbeats are answered. If more than a third of the
+// machines outside the worst zone are affected, the cause is a network failure that will be repaired,
+// and none is returned.
 func (d *Detector) OneWay(now time.Time) map[*fleet.Machine]bool {
 	if now.Sub(d.monitor.fleet.ElectedAt) < d.monitor.timeouts.Unreachable+d.monitor.timeouts.Lease {
 		return nil
@@ -185,7 +187,8 @@
 	return machines
 }
 
-// isOneWayNetworkFault reports whether so many machines outside the worst zone are one-way that a network has failed.
+// isOneWayNetworkFault reports whether so many machines outside the worst zone are one-way that the network
+// must have failed. byZone counts the one-way machines.
 func (d *Detector) isOneWayNetworkFault(byZone map[string]int, worst string) bool {
 	up := make(map[string]int)
 	for _, machine := range d.monitor.fleet.Machines() {
@@ -202,7 +205,7 @@
 	return oneWay*partitionShare > expected
 }
 
-// oneWay reports whether a machine sends heartbeats, but receives no commands and answers no calls.
+// isOneWay reports whether a machine sends heartbeats, but receives no commands and answers no calls.
 func (d *Detector) isOneWay(now time.Time, machine *fleet.Machine) bool {
 	return !d.monitor.fleet.ReceivesCommands(now, machine) && d.monitor.Calls.Last(machine.ID).Failures >= minConsecutiveFailures &&
 		d.monitor.HeartbeatAge(now, machine) < d.monitor.timeouts.Unreachable
--- a/internal/reachability/fencing.go
+++ b/internal/reachability/fencing.go
@@ -9,55 +9,55 @@
 )
 
 const (
-	// MinFencingInterval is the time between two fencing calls to a machine. It doubles with
-	// each that fails, up to MaxFencingInterval, so that machines which are gone don't take the
+	// MinFencingInterval is the minimum time between two fencing calls to a machine. The interval doubles
+	// with each failed call, up to MaxFencingInterval, so that machines that are gone do not use up the
 	// calls that others need.
 	MinFencingInterval = time.Second
-	// MaxFencingInterval bounds the time between two fencing calls to a machine.
+	// MaxFencingInterval limits the interval to which failed fencing calls to a machine back off.
 	MaxFencingInterval = 8 * time.Second
-	// scanInterval is the time between two scans of the fleet for machines that peers may call.
-	// Peers ask several times a second, and a scan of thousands of machines is not free.
+	// scanInterval is the minimum time between two scans of the fleet for machines that peers may call.
+	// Peers ask several times a second, and scanning thousands of machines is expensive.
 	scanInterval = 250 * time.Millisecond
 	// callsPerSuspectedZone is how many machines of a suspected zone each peer calls: two, so that one
-	// machine that is gone decides nothing.
+	// failed machine alone does not decide the result.
 	callsPerSuspectedZone = 2
-	// probeInterval is the time between two probes, which is shorter than answeredMaxAge.
+	// probeInterval is the minimum time between two probes, which is shorter than answeredMaxAge.
 	probeInterval = 2 * time.Second
-	// maxProbes is how many machines are probed at once: enough that one loss decides nothing.
+	// maxProbes is how many machines are probed at once, so that one lost call does not decide the result.
 	maxProbes = 3
 )
 
-// FencingCall is a call to a machine that carries no commands: it brings the leader's fencing token
-// and fetches a heartbeat. Any controller can make it for the leader. Controllers send it to each
-// other: the names of its fields are part of the protocol.
+// FencingCall is a call to a machine that carries no commands: it delivers the leader's fencing token
+// and fetches a heartbeat. Any controller can make it on behalf of the leader. Controllers send
+// FencingCalls to each other, so the names of the fields are part of the protocol.
 type FencingCall struct {
 	Machine, Addr string
 	Zone          string
-	Term, Session uint64
+	Term, Session uint64 // the leader's fencing token and the incarnation of the machine's worker
 }
 
 // Fencing schedules the fencing calls to machines.
 type Fencing struct {
 	monitor   *Monitor
-	openCalls int              // calls from here without a result
-	pending   []*fleet.Machine // that peers may call
-	scannedAt time.Time        // when they were picked
+	openCalls int              // calls from this controller without a result
+	pending   []*fleet.Machine // machines that peers may call
+	scannedAt time.Time        // when these were selected
 }
 
-// NewFencing returns a schedule of calls to the machines of a monitor.
+// NewFencing returns a scheduler of fencing calls to the machines of a monitor.
 func NewFencing(m *Monitor) *Fencing { return &Fencing{monitor: m} }
 
-// Open is how many calls from here have no result yet.
+// Open returns how many calls from this controller have no result yet.
 func (f *Fencing) Open() int { return f.openCalls }
 
-// Started records calls that are made from here.
+// Started records that n calls from this controller have started.
 func (f *Fencing) Started(n int) { f.openCalls += n }
 
-// Finished records that a call from here has its result.
+// Finished records that a call from this controller has a result.
 func (f *Fencing) Finished() { f.openCalls-- }
 
-// Due reports whether a machine is to be called: it has not been seen at the leader's token, its
-// heartbeat is overdue, or it seems not to take what it is told.
+// Due reports whether a machine should be called now: it has not been seen at the leader's token, its
+// heartbeat is overdue, or it seems to receive no commands.
 func (f *Fencing) Due(now time.Time, machine *fleet.Machine) bool {
 	last := f.monitor.Calls.Last(machine.ID)
 	if machine.Addr == "" || !shouldSendHeartbeats(machine) || last.InFlight(now) {
@@ -69,17 +69,18 @@
 	return now.Sub(last.StartedAt) >= min(MaxFencingInterval, MinFencingInterval<<min(last.Failures, 4))
 }
 
-// SortByLoad puts the machines with the fewest tasks first, where work can be placed soonest.
+// SortByLoad sorts machines by their number of placements, fewest first, since tasks can be placed there
+// soonest.
 func SortByLoad(machines []*fleet.Machine) {
 	slices.SortStableFunc(machines, func(a, b *fleet.Machine) int {
 		return cmp.Compare(len(a.Placements()), len(b.Placements()))
 	})
 }
 
-// Probes picks machines that are certainly connected, to find out whether calls from here are
-// answered while other machines are missing. Heartbeats also come by way of peers: where the
-// network from here to the machines is cut, or a peer that received a quarter of the heartbeats
-// has failed, machines look lost which are not.
+// Probes selects machines that are certainly connected, to find out whether calls from this controller
+// are answered while other machines are missing. Heartbeats also arrive by way of peers: if the
+// network from this controller to the machines is cut, or if a peer that received a quarter of the
+// heartbeats has failed, healthy machines look lost.
 func (f *Fencing) Probes(now time.Time, someMissing bool) []*fleet.Machine {
 	if !someMissing || now.Sub(f.monitor.Calls.lastAnswered) < probeInterval {
 		return nil
@@ -104,15 +105,15 @@
 	return !last.InFlight(now) && now.Sub(last.StartedAt) >= probeInterval && f.monitor.HeartbeatAge(now, machine) < probeInterval
 }
 
-// Rebuild returns calls that a peer can make while the leader rebuilds the state of its fleet, at
-// most limit of them: a failover with thousands of machines takes as long as the calls do. Zones
-// for which skip is true are left out.
+// Rebuild returns at most limit calls that a peer can make while the leader rebuilds the state of its
+// fleet: a failover with thousands of machines takes as long as the calls to them. Zones for which skip
+// returns true are left out.
 func (f *Fencing) Rebuild(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
 	if now.Sub(f.scannedAt) > scanInterval {
 		f.scannedAt, f.pending = now, nil
 		for _, machine := range f.monitor.fleet.Machines() {
-			// The leader itself calls a machine that a peer could not reach: the link between
-			// those two says nothing of the machine.
+			// The leader itself calls a machine that a peer could not reach: the cause may be the
+			// link between the two rather than the machine.
 			if !machine.SeenAtToken && !f.monitor.Calls.Last(machine.ID).peerFailed && !skip(machine.Zone) && f.Due(now, machine) {
 				f.pending = append(f.pending, machine)
 			}
@@ -122,23 +123,23 @@
 	return f.startPendingCalls(now, limit, func(machine *fleet.Machine) bool { return !machine.SeenAtToken && f.Due(now, machine) })
 }
 
-// Suspected returns calls that a peer can make to machines of suspected zones, for what their
-// results tell of the zones.
+// Suspected returns calls that a peer can make to machines of suspected zones. Their results show
+// whether the zones are reachable.
 func (f *Fencing) Suspected(now time.Time, limit int, zones []string) []FencingCall {
 	f.pending = f.pickInSuspectedZones(now, zones)
 	return f.startPendingCalls(now, limit, func(*fleet.Machine) bool { return true })
 }
 
-// pickInSuspectedZones picks missing machines of suspected zones, and one of another zone that is
-// connected: that a peer can't reach a zone counts only if it can reach others.
+// pickInSuspectedZones selects missing machines of suspected zones and one connected machine of another
+// zone: a peer's failure to reach a zone counts only if it can reach others.
 func (f *Fencing) pickInSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
 	if now.Sub(f.scannedAt) < scanInterval || len(zones) == 0 {
 		return nil
 	}
 	f.scannedAt = now
-	left := make(map[string]int, len(zones))
+	remainingCalls := make(map[string]int, len(zones))
 	for _, zone := range zones {
-		left[zone] = callsPerSuspectedZone
+		remainingCalls[zone] = callsPerSuspectedZone
 	}
 	var connected *fleet.Machine
 	for _, machine := range f.monitor.fleet.Machines() {
@@ -146,10 +147,10 @@
 		if machine.Addr == "" || machine.Releasing || last.InFlight(now) || now.Sub(last.StartedAt) < MinFencingInterval {
 			continue
 		}
-		if _, suspected := left[machine.Zone]; !suspected && connected == nil && f.monitor.Fresh(now, machine) {
+		if _, suspected := remainingCalls[machine.Zone]; !suspected && connected == nil && f.monitor.Fresh(now, machine) {
 			connected = machine
-		} else if left[machine.Zone] > 0 && f.monitor.Suspected(now, machine) {
-			left[machine.Zone]--
+		} else if remainingCalls[machine.Zone] > 0 && f.monitor.Suspected(now, machine) {
+			remainingCalls[machine.Zone]--
 			out = append(out, machine)
 		}
 	}
@@ -159,7 +160,7 @@
 	return out
 }
 
-// take starts pending calls, as far as they are still wanted.
+// startPendingCalls starts up to limit calls to pending machines that are still wanted.
 func (f *Fencing) startPendingCalls(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
 	var out []FencingCall
 	for len(f.pending) > 0 && len(out) < limit {
@@ -174,8 +175,8 @@
 	return out
 }
 
-// PeerFinished records the result of a call that a peer made. It reports false if the machine is
-// gone since.
+// PeerFinished records the result of a call that a peer made. It returns false if the machine is gone
+// since.
 func (f *Fencing) PeerFinished(machineID string, answered bool) bool {
 	return f.monitor.Calls.finishPeer(machineID, answered)
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -1,14 +1,14 @@
-// Package reachability tells a shard's leader which machines it still receives heartbeats from,
-// which ones it should call to find out more, and whether missing heartbeats are the fault of the
-// machines or of the network between them and the leader.
+// Package reachability tells the leader of a shard which machines it still receives heartbeats from,
+// which machines to call to find out more, and whether missing heartbeats are due to the machines or to
+// the network between them and the leader.
 //
 // Monitor classifies single machines by the age of their last heartbeat and the results of direct
-// calls, Fencing schedules the calls that only bring a fencing token and fetch a heartbeat, and
-// Detector judges the fleet as a whole: when too many machines are missing at once, the leader
-// itself is likely to be partitioned and must not evict anything.
+// calls. Fencing schedules the calls that only deliver a fencing token and fetch a heartbeat. Detector
+// judges the fleet as a whole: when too many machines are missing at once, the leader itself is likely
+// to be partitioned and must not evict anything.
 //
-// Nothing here is safe for concurrent use; the leader calls it under its lock. Time is an
-// argument everywhere, so that every decision can be replayed.
+// Nothing in this package is safe for concurrent use; the leader calls it under its lock. The time is
+// always passed as an argument, so that every decision can be replayed.
 package reachability
 
 import (
@@ -17,37 +17,37 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 )
 
-// Timeouts are the ages of a heartbeat at which a machine is treated differently. They follow from
-// how often workers send heartbeats.
+// Timeouts are the heartbeat ages at which the treatment of a machine changes. They are derived from the
+// interval at which workers send heartbeats.
 type Timeouts struct {
 	Fresh       time.Duration // up to this age a machine is certainly connected
 	Suspect     time.Duration // from this age it is called directly
 	Unreachable time.Duration // from this age it may be evicted
-	Lease       time.Duration // of a worker: after it without an answer, its tasks have stopped
-	RebuildWait time.Duration // for which a new leader waits at most for the first heartbeat of a machine
+	Lease       time.Duration // of a worker: once it has received no response for so long, its tasks have stopped
+	RebuildWait time.Duration // how long a new leader waits at most for the first heartbeat of a machine
 }
 
 const (
-	// PauseThreshold is how long the leader may do nothing before it counts as paused. Rounds are
-	// at most three seconds apart, also where the process is overloaded.
+	// PauseThreshold is how long the leader may be inactive before it counts as having been paused.
+	// Scheduling rounds are at most 3 s apart, even if the process is overloaded.
 	PauseThreshold = 4 * time.Second
-	// pauseGrace is for how long after a pause no machine counts as unreachable: heartbeats of the
-	// pause found nobody to take them, and workers that tried other controllers need a few
-	// seconds to come back.
+	// pauseGrace is how long after a pause no machine counts as unreachable: heartbeats that were sent
+	// during the pause were not received, and workers that tried other controllers need a few seconds
+	// to return.
 	pauseGrace = 5 * time.Second
 	// minConsecutiveFailures is how many calls in a row must fail before a machine that never sent a
 	// heartbeat to this leader counts as unreachable. A single call may be lost.
 	minConsecutiveFailures = 2
 )
 
-// Monitor tells how recently a leader received a heartbeat of each machine, and what became of the
-// leader's calls to it.
+// Monitor tracks how recently a leader received a heartbeat from each machine, and the results of the
+// calls to it.
 type Monitor struct {
 	Calls *CallLog
 
 	fleet     *fleet.Fleet
 	timeouts  Timeouts
-	resumedAt time.Time // when the leader last continued after a pause
+	resumedAt time.Time // when the leader last resumed after a pause
 }
 
 // NewMonitor returns a monitor of the machines of a fleet.
@@ -55,22 +55,22 @@
 	return &Monitor{Calls: newCallLog(), fleet: f, timeouts: t}
 }
 
-// NotePause records that the leader has just continued after a pause.
+// NotePause records that the leader has just resumed after a pause.
 func (m *Monitor) NotePause(now time.Time) { m.resumedAt = now }
 
-// PauseOver is when the leader last continued after a pause.
+// PauseOver returns when the leader last resumed after a pause.
 func (m *Monitor) PauseOver() time.Time { return m.resumedAt }
 
-// CannotJudge reports whether the leader was elected or paused so lately that a missing heartbeat
-// says nothing of a machine.
+// CannotJudge reports whether the leader was elected or resumed after a pause so recently that a missing
+// heartbeat says nothing about a machine.
 func (m *Monitor) CannotJudge(now time.Time) bool {
 	return now.Sub(m.fleet.ElectedAt) < m.timeouts.Unreachable || m.resumedRecently(now)
 }
 
 func (m *Monitor) resumedRecently(now time.Time) bool { return now.Sub(m.resumedAt) < pauseGrace }
 
-// HeartbeatAge is the time since the last heartbeat of a machine, or since the leader was elected
-// if there was none under its token.
+// HeartbeatAge returns the time since the last heartbeat of a machine, or since the leader was elected
+// if none has been received since then.
 func (m *Monitor) HeartbeatAge(now time.Time, machine *fleet.Machine) time.Duration {
 	if machine.LastHeartbeat.After(m.fleet.ElectedAt) {
 		return now.Sub(machine.LastHeartbeat)
@@ -78,20 +78,20 @@
 	return now.Sub(m.fleet.ElectedAt)
 }
 
-// Suspected reports whether a heartbeat of a machine is overdue.
+// Suspected reports whether a machine's heartbeat is overdue.
 func (m *Monitor) Suspected(now time.Time, machine *fleet.Machine) bool {
 	return m.HeartbeatAge(now, machine) > m.timeouts.Suspect
 }
 
-// Fresh reports whether a machine's last heartbeat is not yet due to be followed by another.
+// Fresh reports whether a machine's last heartbeat is so recent that the next one is not due yet.
 func (m *Monitor) Fresh(now time.Time, machine *fleet.Machine) bool {
 	return m.HeartbeatAge(now, machine) < m.timeouts.Fresh
 }
 
-// Unreachable reports whether heartbeats of a machine have been missing for too long. A machine
-// that never sent one under this leader's token may still be answered by the leader before, and
-// calling all of a large fleet takes a while: only failed calls, or the end of every lease, show
-// that such a machine is unreachable.
+// Unreachable reports whether heartbeats of a machine have been missing for too long. A machine from
+// which this leader never received one may still be answered by the previous leader, and calling all
+// machines of a large fleet takes a while. Only failed calls, or the expiry of every lease, show that
+// such a machine is unreachable.
 func (m *Monitor) Unreachable(now time.Time, machine *fleet.Machine) bool {
 	if m.resumedRecently(now) {
 		return false
@@ -113,36 +113,38 @@
 }
 
 // PresumedLost reports whether an unreachable machine is likely to be lost: calls to it fail while
-// calls to others are answered, or its heartbeats have been missing for so long that its tasks
-// have stopped anyway. An answer counts only if it came after the first failed call: one from
-// just before the network failed says nothing of the machine.
+// calls to others are answered, or its heartbeats have been missing for so long that its tasks have
+// stopped anyway. An answer counts only if it was not received before the first failed call started: an
+// answer from just before a network failure says nothing about the machine.
 func (m *Monitor) PresumedLost(now time.Time, machine *fleet.Machine) bool {
 	answered := now.Sub(m.Calls.lastAnswered) < answeredMaxAge && !m.Calls.lastAnswered.Before(m.Calls.Last(machine.ID).firstFailed)
 	return m.CallsFailed(machine) && answered || m.HeartbeatAge(now, machine) > m.timeouts.Unreachable+m.timeouts.Lease
 }
 
-// CallFinished records whether a call from here was answered.
+// CallFinished records whether a call from this controller was answered.
 func (m *Monitor) CallFinished(now time.Time, machineID string, answered bool) {
 	m.Calls.finish(now, machineID, answered)
 	m.NoteCallResult(now, machineID, answered)
 }
 
-// NoteCallResult keeps the result of a call for CallsFailing. A failed call counts only if the
-// machine is connected otherwise and takes commands: the others tell nothing of the way from here.
+// NoteCallResult records the result of a call for CallLog.Failing. A failed call counts only if
+// heartbeats from the machine arrive and it receives commands: a failed call to any other machine says
+// nothing about the network between this controller and the machines.
 func (m *Monitor) NoteCallResult(now time.Time, machineID string, answered bool) {
 	machine := m.fleet.Machine(machineID)
 	if machine == nil {
 		return
 	}
-	// This bound includes the age itself, unlike Fresh.
+	// Unlike Fresh, this also accepts an age equal to the timeout.
 	connected := !machine.LastHeartbeat.IsZero() && m.HeartbeatAge(now, machine) <= m.timeouts.Fresh && m.fleet.ReceivesCommands(now, machine)
 	if answered || connected {
 		m.Calls.recordResult(now, answered)
 	}
 }
 
-// ZoneHealth counts the machines of a zone that should send heartbeats, and those whose heartbeats
-// are overdue. Controllers send it to each other: the names of its fields are part of the protocol.
+// ZoneHealth counts the machines of a zone that should send heartbeats (Up) and those of them whose
+// heartbeats are overdue (Quiet). Controllers send it to each other, so the names of its fields are part
+// of the protocol.
 type ZoneHealth struct{ Up, Quiet int }
 
 // MostlyMissing reports whether heartbeats of more than half of the machines are overdue.
@@ -165,7 +167,7 @@
 	return out
 }
 
-// expected reports whether a machine should send heartbeats.
+// shouldSendHeartbeats reports whether heartbeats are expected from a machine.
 func shouldSendHeartbeats(machine *fleet.Machine) bool {
 	return (machine.Up || machine.Recorded) && !machine.Releasing
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -13,7 +13,7 @@
 
 const testToken = 3
 
-// scene is a fleet under a new leader, whose machines send heartbeats as told.
+// monitorFixture is a fleet under a new leader, whose machines send heartbeats as the test requests.
 type monitorFixture struct {
 	t       *testing.T
 	now     time.Time
@@ -30,7 +30,7 @@
 
 func machineID(zone string, i int) string { return fmt.Sprintf("%s-%02d", zone, i) }
 
-// heartbeat has machines from up to (but not including) to of a zone send a heartbeat.
+// heartbeat applies one heartbeat of each machine of a zone from index from up to, but not including, to.
 func (s *monitorFixture) heartbeat(zone string, from, to int) {
 	for i := from; i < to; i++ {
 		s.seq++
@@ -40,7 +40,7 @@
 
 func (s *monitorFixture) wait(d time.Duration) { s.now = s.now.Add(d) }
 
-// detector returns one that knows some zones to be unreachable.
+// detector returns a detector for which the given zones are known to be unreachable.
 func (s *monitorFixture) detector(unreachable ...string) *Detector {
 	return NewDetector(s.monitor, func(zone string) bool {
 		for _, u := range unreachable {
@@ -52,13 +52,13 @@
 	})
 }
 
-// TestPartitioned: the worst zone and the unreachable ones are left out; peers and lately evicted
-// machines count.
+// TestPartitioned checks that the worst zone and the zones known to be unreachable are ignored, and that
+// the machines of peers and recently evicted machines count.
 func TestPartitioned(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		missing     map[string]int // of twelve machines in each of the zones a, b and c
-		evicted     int            // machines of c
+		missing     map[string]int // machines that miss heartbeats, of twelve in each of the zones a, b and c
+		evicted     int            // number of evicted machines of zone c
 		peers       map[string]ZoneHealth
 		unreachable []string
 		want        bool
@@ -66,13 +66,13 @@
 	}{
 		{name: "all are connected"},
 		{name: "one zone is missing", missing: map[string]int{"a": 12}},
-		{name: "two zones are", missing: map[string]int{"a": 12, "b": 12}, want: true, alone: true},
-		{name: "two, one of which is known to be unreachable", missing: map[string]int{"a": 12, "b": 12}, unreachable: []string{"b"}},
-		{name: "a third of the rest", missing: map[string]int{"a": 12, "b": 8}},
-		{name: "and one more", missing: map[string]int{"a": 12, "b": 9}, want: true, alone: true},
-		{name: "one more was evicted", missing: map[string]int{"a": 12, "b": 8}, evicted: 1, want: true, alone: true},
-		{name: "peers receive theirs", missing: map[string]int{"a": 12, "b": 12}, peers: map[string]ZoneHealth{"d": {Up: 24}}, alone: true},
-		{name: "peers don't either", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
+		{name: "two zones are missing", missing: map[string]int{"a": 12, "b": 12}, want: true, alone: true},
+		{name: "two zones are missing, one of which is known to be unreachable", missing: map[string]int{"a": 12, "b": 12}, unreachable: []string{"b"}},
+		{name: "a third of the machines outside the worst zone is missing", missing: map[string]int{"a": 12, "b": 8}},
+		{name: "more than a third is missing", missing: map[string]int{"a": 12, "b": 9}, want: true, alone: true},
+		{name: "more than a third is missing or evicted", missing: map[string]int{"a": 12, "b": 8}, evicted: 1, want: true, alone: true},
+		{name: "peers receive heartbeats", missing: map[string]int{"a": 12, "b": 12}, peers: map[string]ZoneHealth{"d": {Up: 24}}, alone: true},
+		{name: "peers miss heartbeats too", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newMonitorFixture(t)
@@ -99,13 +99,13 @@
 				want = c.missing["a"] + c.missing["b"]
 			}
 			if got := d.UnreachableMachines(s.now); got != want {
-				t.Errorf("%d machines are unreachable by the network's fault, not %d", got, want)
+				t.Errorf("%d machines are unreachable because of the network, want %d", got, want)
 			}
 		})
 	}
 }
 
-// TestEvictionsExpire: an evicted machine counts until its lease is over.
+// TestEvictionsExpire checks that an evicted machine counts until its lease has expired.
 func TestEvictionsExpire(t *testing.T) {
 	s := newMonitorFixture(t)
 	d := s.detector()
@@ -113,52 +113,54 @@
 	s.wait(testTimeouts.Lease)
 	d.NoteEviction(s.now, "a")
 	if n := d.RecentEvictions(s.now)["a"]; n != 2 {
-		t.Errorf("%d at the end of the lease", n)
+		t.Errorf("%d evictions count at the end of the lease, want 2", n)
 	}
 	s.wait(time.Nanosecond)
 	if n := d.RecentEvictions(s.now)["a"]; n != 1 {
-		t.Errorf("%d after it", n)
+		t.Errorf("%d evictions count after the lease, want 1", n)
 	}
 }
 
-// TestUnreachable: a machine is unreachable after a timeout without heartbeats, but not just after
-// the leader paused; one that never sent any only when calls have failed, or all leases are over.
+// TestUnreachable checks that a machine is unreachable after a timeout without heartbeats, but not just
+// after the leader paused. A machine that never sent a heartbeat is unreachable only once calls to it
+// have failed or all leases have expired.
 func TestUnreachable(t *testing.T) {
 	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 1)
 	s.fleet.RestoreMachine(s.now, "b-00", "10.0.0.2:9000", "g4", "b", false, 1, nil)
-	sent, never := s.fleet.Machine("a-00"), s.fleet.Machine("b-00")
+	seen, neverSeen := s.fleet.Machine("a-00"), s.fleet.Machine("b-00")
 	s.wait(testTimeouts.Unreachable)
-	if s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
+	if s.monitor.Unreachable(s.now, seen) || s.monitor.Unreachable(s.now, neverSeen) {
 		t.Error("unreachable at the timeout")
 	}
 	s.wait(time.Millisecond)
-	if !s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
-		t.Error("after the timeout")
+	if !s.monitor.Unreachable(s.now, seen) || s.monitor.Unreachable(s.now, neverSeen) {
+		t.Error("wrong result after the timeout")
 	}
 	for range minConsecutiveFailures {
-		s.monitor.Calls.Start(s.now, never.ID, "")
-		s.monitor.CallFinished(s.now, never.ID, false)
+		s.monitor.Calls.Start(s.now, neverSeen.ID, "")
+		s.monitor.CallFinished(s.now, neverSeen.ID, false)
 	}
-	if !s.monitor.Unreachable(s.now, never) {
-		t.Error("failed calls don't count")
+	if !s.monitor.Unreachable(s.now, neverSeen) {
+		t.Error("reachable after failed calls")
 	}
 	s.monitor.NotePause(s.now)
-	if s.monitor.Unreachable(s.now, sent) || s.monitor.Unreachable(s.now, never) {
+	if s.monitor.Unreachable(s.now, seen) || s.monitor.Unreachable(s.now, neverSeen) {
 		t.Error("unreachable just after a pause")
 	}
 	s.wait(pauseGrace)
-	if !s.monitor.Unreachable(s.now, sent) {
-		t.Error("the pause never ends")
+	if !s.monitor.Unreachable(s.now, seen) {
+		t.Error("still reachable after the grace period of the pause")
 	}
-	s.monitor.Calls.Forget(never.ID)
+	s.monitor.Calls.Forget(neverSeen.ID)
 	s.wait(testTimeouts.Lease)
-	if !s.monitor.Unreachable(s.now, never) {
-		t.Error("every lease is over")
+	if !s.monitor.Unreachable(s.now, neverSeen) {
+		t.Error("still reachable after every lease has expired")
 	}
 }
 
-// TestPresumedLost: a failed call tells that a machine is lost only if another was answered since.
+// TestPresumedLost checks that a failed call shows that a machine is lost only if a call to another
+// machine has been answered since.
 func TestPresumedLost(t *testing.T) {
 	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 2)
@@ -170,7 +172,7 @@
 	s.monitor.Calls.Start(s.now, lost.ID, "")
 	s.monitor.CallFinished(s.now, lost.ID, false)
 	if s.monitor.PresumedLost(s.now, lost) {
-		t.Error("by an answer from before the failed call")
+		t.Error("presumed lost because of an answer from before the failed call")
 	}
 	s.wait(time.Second)
 	s.monitor.CallFinished(s.now, "a-01", true)
@@ -179,40 +181,40 @@
 	}
 	s.wait(answeredMaxAge)
 	if s.monitor.PresumedLost(s.now, lost) {
-		t.Error("by an answer that is old")
+		t.Error("presumed lost because of an outdated answer")
 	}
 	s.wait(testTimeouts.Lease)
 	if !s.monitor.PresumedLost(s.now, lost) {
-		t.Error("its tasks have stopped by now")
+		t.Error("not presumed lost although its tasks have stopped by now")
 	}
 }
 
-// TestFencingBackoff: calls that fail are repeated after a second, and then ever later.
+// TestFencingBackoff checks that failed calls are repeated with delays that double up to MaxFencingInterval.
 func TestFencingBackoff(t *testing.T) {
 	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.2:9000", "g4", "a", false, 1, nil)
 	machine := s.fleet.Machine("a-00")
-	var gaps []time.Duration
+	var delays []time.Duration
 	for range 6 {
 		start := s.now
 		for !f.Due(s.now, machine) {
 			s.wait(time.Second)
 		}
-		gaps = append(gaps, s.now.Sub(start))
+		delays = append(delays, s.now.Sub(start))
 		s.monitor.Calls.Start(s.now, machine.ID, "")
 		if f.Due(s.now.Add(callTimeout-1), machine) {
 			t.Error("called while a call is open")
 		}
 		s.monitor.CallFinished(s.now, machine.ID, false)
 	}
-	if got := fmt.Sprint(gaps); got != "[0s 2s 4s 8s 8s 8s]" {
+	if got := fmt.Sprint(delays); got != "[0s 2s 4s 8s 8s 8s]" {
 		t.Error(got)
 	}
 }
 
-// TestRebuildCalls: peers get the machines that were not seen at the token, those with the fewest tasks first, and none
-// that a peer failed to reach.
+// TestRebuildCalls checks that peers are given the machines that were not seen at the leader's token,
+// those with the fewest tasks first, but no machine that a peer failed to reach.
 func TestRebuildCalls(t *testing.T) {
 	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
@@ -243,7 +245,8 @@
 	}
 }
 
-// TestSuspectedZoneCalls: two missing machines of a suspected zone are called, and a connected one elsewhere.
+// TestSuspectedZoneCalls checks that two missing machines of a suspected zone and a connected machine of
+// another zone are called.
 func TestSuspectedZoneCalls(t *testing.T) {
 	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
@@ -259,45 +262,47 @@
 		t.Error(got)
 	}
 	if got := f.Suspected(s.now, 9, []string{"a"}); got != nil {
-		t.Error("again at once", got)
+		t.Error("called again immediately:", got)
 	}
 }
 
-// TestCallsFailing: three of four recent calls must fail, of at least sixteen.
+// TestCallsFailing checks that calls count as failing if at least three of four recent calls failed, of
+// at least sixteen.
 func TestCallsFailing(t *testing.T) {
 	s := newMonitorFixture(t)
 	s.heartbeat("a", 0, 1)
-	fail := func(n int, answered bool) {
+	recordCalls := func(n int, answered bool) {
 		for range n {
 			s.monitor.NoteCallResult(s.now, "a-00", answered)
 		}
 	}
-	fail(minCallResults-1, false)
+	recordCalls(minCallResults-1, false)
 	if s.monitor.Calls.Failing(s.now) {
-		t.Error("by too few calls")
+		t.Error("failing after too few calls")
 	}
-	fail(1, false)
+	recordCalls(1, false)
 	if !s.monitor.Calls.Failing(s.now) {
-		t.Error("not by sixteen")
+		t.Error("not failing after sixteen failed calls")
 	}
-	fail(6, true)
+	recordCalls(6, true)
 	if s.monitor.Calls.Failing(s.now) {
-		t.Error("six of 22 were answered")
+		t.Error("failing although six of 22 calls were answered")
 	}
 	s.wait(callResultMaxAge)
 	s.heartbeat("a", 0, 1)
-	fail(1, false)
+	recordCalls(1, false)
 	if s.monitor.Calls.Failing(s.now) {
-		t.Error("by results that are old")
+		t.Error("failing because of outdated results")
 	}
 	s.wait(testTimeouts.Unreachable)
-	fail(minCallResults, false)
+	recordCalls(minCallResults, false)
 	if s.monitor.Calls.Failing(s.now) {
-		t.Error("by calls to a machine that sends no heartbeats")
+		t.Error("failing because of calls to a machine that sends no heartbeats")
 	}
 }
 
-// TestProbes: connected machines are probed while others are missing and no call was answered lately.
+// TestProbes checks that connected machines are probed while others are missing and no call has been
+// answered recently.
 func TestProbes(t *testing.T) {
 	s := newMonitorFixture(t)
 	f := NewFencing(s.monitor)
@@ -310,11 +315,12 @@
 	}
 	s.monitor.CallFinished(s.now, "a-04", true)
 	if got := f.Probes(s.now, true); got != nil {
-		t.Error("although calls are answered", got)
+		t.Error("probed although calls are answered:", got)
 	}
 }
 
-// TestOneWay: machines that take nothing are returned once all leases of an earlier leader are over.
+// TestOneWay checks that no machine is returned before all leases of an earlier leader have expired, or
+// if the machines receive commands.
 func TestOneWay(t *testing.T) {
 	s := newMonitorFixture(t)
 	if got := s.detector().OneWay(s.now); got != nil {
@@ -323,6 +329,6 @@
 	s.wait(testTimeouts.Unreachable + testTimeouts.Lease)
 	s.heartbeat("a", 0, 3)
 	if got := s.detector().OneWay(s.now); got != nil {
-		t.Error("of machines that take what they are told", got)
+		t.Error("returned machines that receive commands:", got)
 	}
 }
