--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -16,7 +16,7 @@
 		return cmds
 	}
 	m.recordResponse(now)
-	if hb.Incarnation != m.Incarnation || hb.Seq < m.unsolicitedSeq {
+	if hb.Incarnation != m.Incarnation || hb.Seq < m.heartbeatSeq {
 		return cmds
 	}
 	// No worker waits for the response to a duplicate of a heartbeat. Usually none waits either for the
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -57,7 +57,7 @@
 		events = append(events, f.reconcileMissing(now, m, unsolicited)...)
 	}
 	if unsolicited {
-		m.unsolicitedSeq, m.unsolicitedAt = hb.Seq, now
+		m.heartbeatSeq, m.heartbeatAt = hb.Seq, now
 	}
 	return events
 }
@@ -94,10 +94,10 @@
 	switch {
 	case !unsolicited:
 		m.suspectedLosses = 0 // it has answered a call
-	case hb.FencingToken < f.FencingToken && m.unsolicitedSeq > 0:
+	case hb.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
 		m.recordLostCommand(now) // it did not adopt the token from the response to its last heartbeat
 	}
-	m.latestSeq = hb.Seq
+	m.lastSeq = hb.Seq
 	m.Addr, m.LastHeartbeat = hb.Addr, now
 	if !m.Up {
 		m.Up, m.UpSince, m.IdleSince = true, now, now
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -15,10 +15,10 @@
 	f := New(1, now, 30*time.Second, 0, 0)
 	m := f.EnsureMachine(now, "n-1", "g4", "a", false)
 	f.ApplyHeartbeat(now, &wire.Heartbeat{Machine: "n-1", Incarnation: 1, Seq: 1, FencingToken: 1}, true)
-	m.UseImage(now, "fetched", 20, 50, true)
-	m.UseImage(now, "fetching", 20, 50, false)
+	m.UseImage(now, "came", 20, 50, true)
+	m.UseImage(now, "coming", 20, 50, false)
 	f.ApplyHeartbeat(now, &wire.Heartbeat{Machine: "n-1", Incarnation: 2, Seq: 1, FencingToken: 1}, true)
-	if !m.HasImage("fetched") || m.HasImage("fetching") || m.totalGB != 20 {
-		t.Errorf("fetched: %v, fetching: %v, %v GB", m.HasImage("fetched"), m.HasImage("fetching"), m.totalGB)
+	if !m.HasImage("came") || m.HasImage("coming") || m.totalGB != 20 {
+		t.Errorf("fetched: %v, fetching: %v, %v GB", m.HasImage("came"), m.HasImage("coming"), m.totalGB)
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -41,21 +41,21 @@
 type incarnationState struct {
 	Incarnation     uint64
 	incarnationSeen bool      // a heartbeat of this incarnation has been received
-	latestSeq       uint64    // sequence number of its newest heartbeat
-	unsolicitedSeq  uint64    // sequence number of its newest heartbeat that was not a reply to a call
-	unsolicitedAt   time.Time // when that heartbeat was received
+	lastSeq         uint64    // sequence number of its newest heartbeat
+	heartbeatSeq    uint64    // sequence number of its newest heartbeat that was not a reply to a call
+	heartbeatAt     time.Time // when that heartbeat was received
 	launchSeq       uint64    // sequence number of its newest heartbeat whose response carried launches
 }
 
 // beginIncarnation switches to a new incarnation from which nothing has been received yet. The machine
 // keeps its images, except for those still being fetched: no task waits for them any more.
 func (m *Machine) beginIncarnation(incarnation uint64) {
-	m.incarnationState = incarnationState{Incarnation: incarnation, unsolicitedAt: m.unsolicitedAt}
+	m.incarnationState = incarnationState{Incarnation: incarnation, heartbeatAt: m.heartbeatAt}
 	m.evictUnfetched()
 }
 
 // lastHeartbeatID returns the ID of the newest heartbeat.
-func (m *Machine) lastHeartbeatID() heartbeatID { return heartbeatID{m.Incarnation, m.latestSeq} }
+func (m *Machine) lastHeartbeatID() heartbeatID { return heartbeatID{m.Incarnation, m.lastSeq} }
 
 // launchable reports whether tasks may be launched on the machine.
 func (m *Machine) launchable() bool {
@@ -69,7 +69,7 @@
 	if hb.Incarnation != m.Incarnation {
 		return hb.Incarnation < m.Incarnation
 	}
-	return hb.Seq < m.unsolicitedSeq || hb.Seq == m.unsolicitedSeq && now.Sub(m.unsolicitedAt) > proofMargin
+	return hb.Seq < m.heartbeatSeq || hb.Seq == m.heartbeatSeq && now.Sub(m.heartbeatAt) > proofMargin
 }
 
 // Placements returns the attempts that are or may be on the machine, sorted by task and attempt. The
--- a/internal/fleet/proofs_test.go
+++ b/internal/fleet/proofs_test.go
@@ -32,7 +32,7 @@
 		{"2: a later incarnation", true, func(f *Fleet) { f.ApplyHeartbeat(start, heartbeat(2, 1, 5), true) }, true},
 		{"3: the lease ran out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, true},
 		{"the lease may not have run out", true, func(f *Fleet) { f.ExpireLeases(start.Add(lease)) }, false},
-		{"4: the cloud no longer lists it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
+		{"4: the cloud no longer has it", true, func(f *Fleet) { f.RemoveMachine("n-1") }, true},
 		{"5: earlier leaders have stopped responding, and the lease ran out", false, func(f *Fleet) { f.ExpireLeases(start.Add(time.Minute + lease + 2*proofMargin)) }, true},
 		{"an earlier leader may still respond", false, func(f *Fleet) { f.ExpireLeases(start.Add(lease + 2*proofMargin)) }, false},
 	} {
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -63,7 +63,7 @@
 			hidden := reflect.ValueOf(x).Elem()
 			hb := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
 			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
-				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("latestSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("unsolicitedSeq").Uint()), x.RecordedIncarnation,
+				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
 				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -66,13 +66,13 @@
 	}{
 		{name: "all are connected"},
 		{name: "one zone is missing", missing: map[string]int{"a": 12}},
-		{name: "two zones are missing", missing: map[string]int{"a": 12, "b": 12}, want: true, alone: true},
-		{name: "two zones are missing, one of which is known to be unreachable", missing: map[string]int{"a": 12, "b": 12}, unreachable: []string{"b"}},
-		{name: "a third of the machines outside the worst zone is missing", missing: map[string]int{"a": 12, "b": 8}},
-		{name: "more than a third is missing", missing: map[string]int{"a": 12, "b": 9}, want: true, alone: true},
-		{name: "more than a third is missing or evicted", missing: map[string]int{"a": 12, "b": 8}, evicted: 1, want: true, alone: true},
-		{name: "peers receive heartbeats", missing: map[string]int{"a": 12, "b": 12}, peers: map[string]ZoneHealth{"d": {Up: 24}}, alone: true},
-		{name: "peers miss heartbeats too", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
+		{name: "two zones are", missing: map[string]int{"a": 12, "b": 12}, want: true, alone: true},
+		{name: "two, one of which is known to be unreachable", missing: map[string]int{"a": 12, "b": 12}, unreachable: []string{"b"}},
+		{name: "a third of the rest", missing: map[string]int{"a": 12, "b": 8}},
+		{name: "and one more", missing: map[string]int{"a": 12, "b": 9}, want: true, alone: true},
+		{name: "one more was evicted", missing: map[string]int{"a": 12, "b": 8}, evicted: 1, want: true, alone: true},
+		{name: "peers receive theirs", missing: map[string]int{"a": 12, "b": 12}, peers: map[string]ZoneHealth{"d": {Up: 24}}, alone: true},
+		{name: "peers don't either", missing: map[string]int{"a": 12}, peers: map[string]ZoneHealth{"b": {Up: 12, Quiet: 11}, "c": {Up: 12, Quiet: 11}}, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newMonitorFixture(t)
