--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -34,12 +34,12 @@
 }
 
 // ApplyHeartbeat applies a worker's heartbeat, whichever way it was received, and returns the changes
-// that it reveals. Only an unsolicited heartbeat, which the worker did not send in reply to a call,
-// proves that a launch was lost that it does not list: the response that carried the launch may still
-// be in flight when a call is answered.
+// that it reveals. If a launch is not listed yet, only an unsolicited heartbeat proves that it was lost,
+// that is, one that the worker did not send in reply to a call: the response that carried the launch
+// may still be in flight when a call is answered.
 func (f *Fleet) ApplyHeartbeat(now time.Time, hb *wire.Heartbeat, unsolicited bool) []Event {
 	if f.IsReleased(hb.Machine) || !f.IsNewer(hb) {
-		return nil // its task list is outdated too, and a machine removed since would be launched on
+		return nil // its task list is outdated, and a machine that is gone since would be launched on
 	}
 	m := f.EnsureMachine(now, hb.Machine, hb.Type, hb.Zone, hb.Spot)
 	allTasksKnown := m.SeenAtToken // everything that earlier leaders launched has been listed
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -77,9 +77,9 @@
 
 const (
 	// duplicateCallWindow is how long after the end of an attempt a duplicate of the answered call that
-	// launched it is expected to arrive. The protocol sets no bound on late messages ("minutes late")
+	// launched it may still arrive. The protocol sets no bound on late messages ("minutes late")
 	// and does not mention duplicates of delivered ones. Only a new fencing token or incarnation
-	// invalidates a duplicate, and neither has to change while a leader leads. The window is the
+	// invalidates a duplicate, and neither changes while a leader leads. The window is the
 	// smallest exception to that rule: the list must not grow forever, but a duplicate that arrives even
 	// later still starts its attempt again (docs/design.md).
 	duplicateCallWindow = 3 * time.Minute
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -67,6 +67,7 @@
 	return now.Sub(m.fleet.ElectedAt) < m.timeouts.Unreachable || m.resumedRecently(now)
 }
 
+// resumedRecently reports whether the grace period after a pause is not over yet.
 func (m *Monitor) resumedRecently(now time.Time) bool { return now.Sub(m.resumedAt) < pauseGrace }
 
 // HeartbeatAge returns the time since the last heartbeat of a machine, or since the leader was elected
