--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -24,13 +24,13 @@
 
 // arrivals counts the recent arrivals of a class.
 type arrivals struct {
-	tasks  [arrivalWindows]float64 // in each window, the latest first
-	newest *Job                    // stands for those to come
+	tasksByWindow [arrivalWindows]float64 // in each window, the latest first
+	newestJob     *Job                    // stands for those to come
 }
 
 // expected returns how many tasks come within a time.
-func (a *arrivals) expected(within time.Duration) int {
-	sorted := a.tasks
+func (a *arrivals) expectedTasks(within time.Duration) int {
+	sorted := a.tasksByWindow
 	slices.Sort(sorted[:])
 	median := (sorted[arrivalWindows/2-1] + sorted[arrivalWindows/2]) / 2
 	return int(median * within.Seconds() / arrivalWindow.Seconds())
@@ -38,9 +38,9 @@
 
 // add counts a job that came so many windows ago.
 func (a *arrivals) add(j *Job, window, tasks int) {
-	a.tasks[window] += float64(tasks)
-	if a.newest == nil || j.Age < a.newest.Age {
-		a.newest = j
+	a.tasksByWindow[window] += float64(tasks)
+	if a.newestJob == nil || j.Age < a.newestJob.Age {
+		a.newestJob = j
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		a := byClass[class]
-		pl.holdHeadroom(a.newest, a.expected(pl.bootTime(a.newest)))
+		pl.reserveHeadroomForClass(a.newestJob, a.expectedTasks(pl.bootTime(a.newestJob)))
 	}
 }
 
@@ -95,15 +95,15 @@
 		if least > 0 && boot >= least || !capacityOf(machineType).Fits(ResourcesOf(j.Job)) {
 			continue
 		}
-		if pl.offeredIn(zone, j, machineType) {
+		if pl.rentableIn(zone, j, machineType) {
 			least = boot
 		}
 	}
 	return least
 }
 
-// offeredIn reports whether a machine of a type can be rented for a job in a zone, or anywhere if none is named.
-func (pl *planner) offeredIn(zone string, j *Job, machineType *wire.MachineType) bool {
+// rentableIn reports whether a machine of a type can be rented for a job in a zone, or anywhere if none is named.
+func (pl *planner) rentableIn(zone string, j *Job, machineType *wire.MachineType) bool {
 	for _, offered := range machineType.Zones {
 		if zone != "" && offered != zone {
 			continue
@@ -121,9 +121,9 @@
 // maxHeadroomPriceRatio is by how much idle headroom may cost more than the cheapest capacity.
 const maxHeadroomPriceRatio = 1.5
 
-// holdHeadroom occupies capacity for so many tasks like those of a job, zone by zone in turn:
+// reserveHeadroomForClass occupies capacity for so many tasks like those of a job, zone by zone in turn:
 // where it is free, or boots, and else on machines to be rented.
-func (pl *planner) holdHeadroom(like *Job, tasks int) {
+func (pl *planner) reserveHeadroomForClass(like *Job, tasks int) {
 	if tasks <= 0 {
 		return
 	}
@@ -131,12 +131,12 @@
 	*j.Job = *like.Job
 	j.Image, j.OneZone, j.Spread = "", false, false
 	s := pl.newSearch(j, j.InZone, "")
-	s.maxShareCost = maxHeadroomPriceRatio * pl.cheapestShare(j)
+	s.maxShareCost = maxHeadroomPriceRatio * pl.cheapestSharePrice(j)
 	s.scan()
 	for range tasks {
 		m := s.headroomMachine()
 		if m == nil {
-			m = s.upcomingMachine()
+			m = s.bootingOrNewMachine()
 		}
 		if m == nil {
 			return
@@ -151,8 +151,8 @@
 	}
 }
 
-// cheapestShare returns the price of a task's share of the cheapest machine for it.
-func (pl *planner) cheapestShare(j *Job) float64 {
+// cheapestSharePrice returns the price of a task's share of the cheapest machine for it.
+func (pl *planner) cheapestSharePrice(j *Job) float64 {
 	least := math.Inf(1)
 	for i := range pl.Types {
 		t := &pl.Types[i]
@@ -191,8 +191,8 @@
 	return best
 }
 
-// upcomingMachine finds capacity on a machine that boots, or on a new one.
-func (s *search) upcomingMachine() *Machine {
+// bootingOrNewMachine finds capacity on a machine that boots, or on a new one.
+func (s *search) bootingOrNewMachine() *Machine {
 	offer, cost := s.cheapestOffer()
 	m := s.bootingMachine(cost)
 	if m == nil && !math.IsInf(cost, 1) {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -55,8 +55,8 @@
 // freeAfterStops returns what is free once all tasks that are being stopped have ended.
 func (m *Machine) freeAfterStops() Resources { return m.Free.AddScaled(m.stopping, 1) }
 
-// freeBelow returns what would be free without any task of a lesser rank.
-func (m *Machine) freeBelow(rank int) Resources {
+// freeWithoutLowerRanks returns what would be free without any task of a lesser rank.
+func (m *Machine) freeWithoutLowerRanks(rank int) Resources {
 	free := m.freeAfterStops()
 	for _, load := range m.loadByRank[:rank] {
 		free = free.AddScaled(load, 1)
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -26,8 +26,8 @@
 	return tier.MayPreempt(&j.work, &victim.work, team != nil && team.exceedsGuarantee(victim.GPUs))
 }
 
-// canPreempt reports whether there is anything that a job might stop.
-func (pl *planner) canPreempt(j *Job) bool {
+// hasPreemptibleTasks reports whether there is anything that a job might stop.
+func (pl *planner) hasPreemptibleTasks(j *Job) bool {
 	if pl.lowestRank < j.Priority.Rank() {
 		return true
 	}
@@ -52,7 +52,7 @@
 // preempt stops the work that loses least on one machine, so that a task of the job fits there
 // once that has ended; nil means that there is none.
 func (pl *planner) preempt(j *Job, need Resources, ok func(*Machine) bool) *Machine {
-	if !pl.canPreempt(j) {
+	if !pl.hasPreemptibleTasks(j) {
 		return nil
 	}
 	best := pl.cheapestPreemption(j, need, ok)
@@ -63,7 +63,7 @@
 		pl.pool.stopping = append(pl.pool.stopping, best.machine)
 	}
 	for _, i := range best.victims {
-		pl.stop(j, best.machine, i)
+		pl.planStop(j, best.machine, i)
 	}
 	return best.machine
 }
@@ -79,16 +79,16 @@
 		rank = ranks
 	}
 	best := preemption{cost: math.Inf(1)}
-	fetch := pl.fetchTime(j).Seconds() * weightOf(need)
+	fetch := pl.fetchTime(j).Seconds() * gpuEquivalents(need)
 	for _, m := range pl.pool.usable {
-		if !m.freeBelow(rank).Fits(need) || !ok(m) {
+		if !m.freeWithoutLowerRanks(rank).Fits(need) || !ok(m) {
 			continue
 		}
 		pl.searchBudget--
 		if pl.searchBudget < 0 {
 			break
 		}
-		victims, cost := pl.victims(j, need, m)
+		victims, cost := pl.selectVictims(j, need, m)
 		if !m.hasImage(j.Image) { // the capacity is idle while the image comes
 			cost += fetch
 		}
@@ -104,7 +104,7 @@
 
 // victims picks the tasks to stop on a machine so that a task of the job fits, those first that
 // lose least; none if it can't fit.
-func (pl *planner) victims(j *Job, need Resources, m *Machine) (picked []int, cost float64) {
+func (pl *planner) selectVictims(j *Job, need Resources, m *Machine) (picked []int, cost float64) {
 	order := make([]int, 0, len(m.Tasks))
 	for i, t := range m.Tasks {
 		if !t.Stopping && pl.mayPreempt(j, t.Job) {
@@ -133,7 +133,7 @@
 }
 
 // stop plans to stop a task of a machine for a job.
-func (pl *planner) stop(j *Job, m *Machine, task int) {
+func (pl *planner) planStop(j *Job, m *Machine, task int) {
 	t := &m.Tasks[task]
 	pl.undo.record(m, task)
 	t.Stopping = true
@@ -162,8 +162,8 @@
 	cpusPerGPU = 16
 )
 
-// weightOf returns how much of a machine a task is, in GPUs.
-func weightOf(r Resources) float64 { return r.GPUs + r.CPUs/cpusPerGPU }
+// gpuEquivalents returns how much of a machine a task is, in GPUs.
+func gpuEquivalents(r Resources) float64 { return r.GPUs + r.CPUs/cpusPerGPU }
 
 // stopCost is what stopping a task loses, in seconds of GPUs. With a task of a gang all others go,
 // and the wait for capacity for all of them, which it has to go through again.
@@ -180,5 +180,5 @@
 		tasks = t.Job.Active
 		lost += max(0, (t.Job.Age - t.RunTime).Seconds())
 	}
-	return (lost + stopOverhead) * weightOf(ResourcesOf(t.Job.Job)) * float64(tasks)
+	return (lost + stopOverhead) * gpuEquivalents(ResourcesOf(t.Job.Job)) * float64(tasks)
 }
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -17,18 +17,18 @@
 }
 
 const (
-	// zoneCrowding is by how much a machine counts as dearer in a zone that has all machines, so
+	// zoneConcentrationSurcharge is by how much a machine counts as dearer in a zone that has all machines, so
 	// that the fleet spreads.
-	zoneCrowding = 0.3
-	// minFleetForCrowding is the least fleet of which a zone's share is reckoned: in a smaller one
+	zoneConcentrationSurcharge = 0.3
+	// minFleetForZoneShare is the least fleet of which a zone's share is reckoned: in a smaller one
 	// each machine would move the price too much.
-	minFleetForCrowding = 30
+	minFleetForZoneShare = 30
 )
 
 // machinePrice returns what a machine counts as, somewhat more in zones that have many.
 func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
 	total := len(pl.Machines) + len(pl.pool.added)
-	return priceOf(t, spot) * (1 + zoneCrowding*float64(pl.pool.inZone[zone])/float64(max(minFleetForCrowding, total)))
+	return priceOf(t, spot) * (1 + zoneConcentrationSurcharge*float64(pl.pool.inZone[zone])/float64(max(minFleetForZoneShare, total)))
 }
 
 // shareCost returns what a task's share of a machine costs, with what others lose who need that
@@ -58,9 +58,9 @@
 	return c.price < other.price
 }
 
-// emptyShareCost is which part counts of the share of a machine that the job leaves empty: it is
+// emptyShareWeight is which part counts of the share of a machine that the job leaves empty: it is
 // mostly of use to others.
-const emptyShareCost = 0.5
+const emptyShareWeight = 0.5
 
 // cheapestOffer picks the cheapest offer for a task, counting the price of the share that the job
 // can fill; its cost is infinite where there is none.
@@ -88,7 +88,7 @@
 				continue
 			}
 			price := share * s.planner.machinePrice(machineType, spot, zone) / s.planner.machinePrice(machineType, spot, "")
-			price += emptyShareCost * price * (full/slots - 1)
+			price += emptyShareWeight * price * (full/slots - 1)
 			c := offerChoice{offer, share, price, s.exhausted(offer)}
 			if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
 				choice = c
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -33,12 +33,12 @@
 
 // Slots returns how many times need fits into r; it is negative where r is.
 func (r Resources) Slots(need Resources) int {
-	n := min(slots(r.CPUs, need.CPUs), slots(r.GPUs, need.GPUs), slots(r.MemoryGB, need.MemoryGB))
+	n := min(slotsOfResource(r.CPUs, need.CPUs), slotsOfResource(r.GPUs, need.GPUs), slotsOfResource(r.MemoryGB, need.MemoryGB))
 	return int(min(n, wire.MaxTasks))
 }
 
 // slots returns how many times one kind of resource suffices: without limit if none is needed.
-func slots(have, need float64) float64 {
+func slotsOfResource(have, need float64) float64 {
 	if need > 0 {
 		return math.Floor(have/need + epsilon)
 	}
@@ -47,11 +47,11 @@
 
 // shortfall returns the fraction of need that r lacks, of the resource that it lacks most.
 func (r Resources) shortfall(need Resources) float64 {
-	return min(1, max(0, lacking(r.CPUs, need.CPUs), lacking(r.GPUs, need.GPUs), lacking(r.MemoryGB, need.MemoryGB)))
+	return min(1, max(0, missingFraction(r.CPUs, need.CPUs), missingFraction(r.GPUs, need.GPUs), missingFraction(r.MemoryGB, need.MemoryGB)))
 }
 
 // lacking returns the fraction of one kind of resource that is not there; it is negative where there is more than enough.
-func lacking(have, need float64) float64 {
+func missingFraction(have, need float64) float64 {
 	if need > 0 {
 		return 1 - have/need
 	}
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -150,7 +150,7 @@
 		}
 		slots := max(0, m.Free.Slots(need))
 		now[m.Zone] += slots
-		free.Below += max(0, m.freeBelow(rank).Slots(need)-slots)
+		free.Below += max(0, m.freeWithoutLowerRanks(rank).Slots(need)-slots)
 	}
 	for _, n := range now {
 		if j.OneZone {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -75,8 +75,8 @@
 			}
 		}
 	}
-	return !j.Spread || tasksByZone[zone] < maxPerZoneSpread(j)
+	return !j.Spread || tasksByZone[zone] < maxTasksPerZone(j)
 }
 
-// maxPerZoneSpread returns how many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
-func maxPerZoneSpread(j *Job) int { return (j.Tasks + 1) / 2 }
+// maxTasksPerZone returns how many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
+func maxTasksPerZone(j *Job) int { return (j.Tasks + 1) / 2 }
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -28,19 +28,19 @@
 
 // imbalance measures how bad it is to have so many replicas in a zone: by what would not survive its
 // loss first, then by evenness.
-type imbalance struct{ lost, uneven int }
+type imbalance struct{ excess, replicas int }
 
 func (i imbalance) compare(other imbalance) int {
-	return cmp.Or(cmp.Compare(i.lost, other.lost), cmp.Compare(i.uneven, other.uneven))
+	return cmp.Or(cmp.Compare(i.excess, other.excess), cmp.Compare(i.replicas, other.replicas))
 }
 
 // imbalance returns how bad it is for a job to have so many replicas in one zone.
 func (r *SpreadRule) imbalance(j *Job, replicas int) (i imbalance) {
 	if r.Survive > 0 {
-		i.lost = max(0, replicas-r.maxPerZone(j.Tasks))
+		i.excess = max(0, replicas-r.maxPerZone(j.Tasks))
 	}
 	if r.Even {
-		i.uneven = replicas
+		i.replicas = replicas
 	}
 	return i
 }
@@ -113,7 +113,7 @@
 // stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
 // a service at most, few in all, and none while production waits anywhere.
 func (pl *planner) rebalanceServices() {
-	services := pl.servicesWithRule()
+	services := pl.servicesWithSpreadRule()
 	if len(services) == 0 || pl.Sharded {
 		return
 	}
@@ -123,7 +123,7 @@
 		if len(running[j]) < j.Tasks || j.Shape != wire.Service {
 			continue
 		}
-		from, to := pl.betterZoneFor(j, running[j])
+		from, to := pl.findMove(j, running[j])
 		if to == nil {
 			continue
 		}
@@ -132,12 +132,12 @@
 			return
 		}
 		moves--
-		pl.move(j, from, to)
+		pl.planMove(j, from, to)
 	}
 }
 
-// servicesWithRule lists the jobs that have a spread rule.
-func (pl *planner) servicesWithRule() (services []*Job) {
+// servicesWithSpreadRule lists the jobs that have a spread rule.
+func (pl *planner) servicesWithSpreadRule() (services []*Job) {
 	for _, j := range pl.Jobs {
 		if j.SpreadRule != nil {
 			services = append(services, j)
@@ -156,9 +156,9 @@
 	return degraded
 }
 
-// betterZoneFor finds a replica of a service to move and the machine to move it to, or nil if that
+// findMove finds a replica of a service to move and the machine to move it to, or nil if that
 // would not make the service more balanced.
-func (pl *planner) betterZoneFor(j *Job, running []replica) (from replica, to *Machine) {
+func (pl *planner) findMove(j *Job, running []replica) (from replica, to *Machine) {
 	s := pl.newSearch(j, j.InZone, "")
 	s.scan()
 	to = s.bestFitEvenly()
@@ -180,7 +180,7 @@
 }
 
 // move plans to stop a replica, and reserves capacity for it elsewhere.
-func (pl *planner) move(j *Job, from replica, to *Machine) {
+func (pl *planner) planMove(j *Job, from replica, to *Machine) {
 	t := &from.machine.Tasks[from.index]
 	t.Stopping = true
 	pl.plan.Stops = append(pl.plan.Stops, Stop{Job: j, TaskIndex: t.Index, Machine: from.machine.ID, Reason: "its service is spread to " + to.Zone})
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -22,25 +22,25 @@
 
 // IdleCapacity records what has been free on a machine recently. The zero value has no record.
 type IdleCapacity struct {
-	step  int64                        // the present one, counted from 1970
-	least [idleCapacitySteps]Resources // in each step, the present one first
+	currentStep int64                        // the present one, counted from 1970
+	leastFree   [idleCapacitySteps]Resources // in each step, the present one first
 }
 
 // Record records what is free now, and returns what has been free throughout starvationLimit. Steps
 // in which nothing was recorded count as without free capacity.
 func (c *IdleCapacity) Record(now time.Time, free Resources) Resources {
 	step := now.UnixNano() / int64(idleCapacityStep)
-	if passed := step - c.step; passed > 0 {
+	if passed := step - c.currentStep; passed > 0 {
 		var next [idleCapacitySteps]Resources
 		if passed == 1 {
-			copy(next[1:], c.least[:])
+			copy(next[1:], c.leastFree[:])
 		}
 		next[0] = free
-		c.step, c.least = step, next
+		c.currentStep, c.leastFree = step, next
 	}
-	c.least[0] = c.least[0].min(free)
-	idle := c.least[0]
-	for _, least := range c.least[1:] {
+	c.leastFree[0] = c.leastFree[0].min(free)
+	idle := c.leastFree[0]
+	for _, least := range c.leastFree[1:] {
 		idle = idle.min(least)
 	}
 	return idle
@@ -48,19 +48,19 @@
 
 // starvationGuard launches starved jobs beside what the plan has launched already.
 type starvationGuard struct {
-	teams    map[string]Team      // their use without what the plan reserves
-	launched map[string]Resources // what the plan launches, by machine
-	begun    map[*Job]bool        // jobs of which the plan launches something
+	teams             map[string]Team      // their use without what the plan reserves
+	launchedByMachine map[string]Resources // what the plan launches, by machine
+	launchedJobs      map[*Job]bool        // jobs of which the plan launches something
 }
 
 // count counts a launch of the plan.
-func (g *starvationGuard) count(l Launch) {
+func (g *starvationGuard) countLaunch(l Launch) {
 	need := ResourcesOf(l.Job.Job)
-	g.launched[l.Machine] = g.launched[l.Machine].AddScaled(need, 1)
+	g.launchedByMachine[l.Machine] = g.launchedByMachine[l.Machine].AddScaled(need, 1)
 	team := g.teams[l.Job.Team]
 	team.consume(need)
 	g.teams[l.Job.Team] = team
-	g.begun[l.Job] = true
+	g.launchedJobs[l.Job] = true
 }
 
 // admitStarved launches what has waited beside idle capacity for too long, in the order of jobs.
@@ -78,27 +78,27 @@
 	if len(starved) == 0 {
 		return
 	}
-	guard := &starvationGuard{teams: teams, launched: make(map[string]Resources), begun: make(map[*Job]bool)}
+	guard := &starvationGuard{teams: teams, launchedByMachine: make(map[string]Resources), launchedJobs: make(map[*Job]bool)}
 	for _, l := range pl.plan.Launches {
-		guard.count(l)
+		guard.countLaunch(l)
 	}
 	for _, j := range starved {
-		pl.admit(j, guard)
+		pl.admitStarvedJob(j, guard)
 	}
 }
 
 // admit launches a task of a starved job, or the whole gang, if there is idle capacity for it.
-func (pl *planner) admit(j *Job, guard *starvationGuard) {
+func (pl *planner) admitStarvedJob(j *Job, guard *starvationGuard) {
 	tasks := 1
 	if j.Shape == wire.Gang {
 		tasks = len(j.Waiting)
 	}
 	team := guard.teams[j.Team]
-	if guard.begun[j] || tasks > pl.LaunchBudget || pl.Teams[j.Team] == nil || !team.allows(ResourcesOf(j.Job).Scaled(float64(tasks))) {
+	if guard.launchedJobs[j] || tasks > pl.LaunchBudget || pl.Teams[j.Team] == nil || !team.allows(ResourcesOf(j.Job).Scaled(float64(tasks))) {
 		return
 	}
 	for _, zone := range pl.candidateZones(j) {
-		picks := pl.placeStarved(j, zone, tasks, guard.launched)
+		picks := pl.placeStarved(j, zone, tasks, guard.launchedByMachine)
 		if picks == nil {
 			continue
 		}
@@ -106,7 +106,7 @@
 			l := Launch{j, j.Waiting[i], m.ID}
 			pl.plan.Launches = append(pl.plan.Launches, l)
 			m.usedByPlan = true
-			guard.count(l)
+			guard.countLaunch(l)
 		}
 		pl.LaunchBudget -= tasks
 		return
--- a/internal/scheduler/tier_reclaim.go
+++ b/internal/scheduler/tier_reclaim.go
@@ -32,7 +32,7 @@
 	}
 	all += stopped.Total[victim.tier]
 	here += stopped.Zones[victim.tier][m.Zone]
-	return tier.CanSpare(pl.tiering.shares[victim.tier], pl.tiering.use, victim.tier, m.Zone, all, here)
+	return tier.CanSpare(pl.tiering.shares[victim.tier], pl.tiering.usage, victim.tier, m.Zone, all, here)
 }
 
 // plannedStops counts what the plan's stops free. It is called before each stop, so that a try that
--- a/internal/scheduler/tier_shares.go
+++ b/internal/scheduler/tier_shares.go
@@ -13,12 +13,12 @@
 // tiering is what a plan goes by where operators have set tiers: work within its tier's share goes
 // before all that exceeds one, the first tier before everything.
 type tiering struct {
-	shares   []tier.Guarantee   // by tier
-	use      *tier.Usage        // of GPUs, with what the plan has placed
-	reclaims []withheldCapacity // what is being reclaimed for some job
-	unlent   []withheldCapacity // free capacity of shares that are not lent to the tier at hand
+	shares       []tier.Guarantee   // by tier
+	usage        *tier.Usage        // of GPUs, with what the plan has placed
+	reclaims     []withheldCapacity // what is being reclaimed for some job
+	unlentShares []withheldCapacity // free capacity of shares that are not lent to the tier at hand
 
-	current        *Job    // the job that is being placed
+	currentJob     *Job    // the job that is being placed
 	teamGPUsBefore float64 // what its team used before it
 
 	stopped       *tier.Usage       // what the plan's stops free
@@ -57,7 +57,7 @@
 	pl.countTierUse()
 	var queue []*Job
 	for i := range pl.Tiers.Tiers {
-		queue = append(queue, pl.withinShare(i)...)
+		queue = append(queue, pl.jobsWithinShare(i)...)
 	}
 	for _, j := range pl.Jobs {
 		if j.tier > 0 {
@@ -71,10 +71,10 @@
 	return queue
 }
 
-// withinShare lists the jobs of a tier for what its share has capacity for. All of the first tier
+// jobsWithinShare lists the jobs of a tier for what its share has capacity for. All of the first tier
 // counts as within its share.
-func (pl *planner) withinShare(i int) (jobs []*Job) {
-	if i > 0 && tier.Unused(pl.tiering.shares[i], pl.tiering.use, i, "") <= 0 {
+func (pl *planner) jobsWithinShare(i int) (jobs []*Job) {
+	if i > 0 && tier.Unused(pl.tiering.shares[i], pl.tiering.usage, i, "") <= 0 {
 		return nil
 	}
 	for _, j := range pl.Jobs {
@@ -95,7 +95,7 @@
 // countTierUse counts the GPUs that there are, and those that tiers use. What is being stopped no
 // longer counts.
 func (pl *planner) countTierUse() {
-	t := &tiering{use: pl.Tiers.NewUsage(), zoneByMachine: make(map[string]string)}
+	t := &tiering{usage: pl.Tiers.NewUsage(), zoneByMachine: make(map[string]string)}
 	pl.tiering = t
 	gpus, free := make(map[string]float64), 0.0 // gpus by zone
 	for _, m := range pl.Machines {
@@ -111,7 +111,7 @@
 		}
 		for _, task := range m.Tasks {
 			if !task.Stopping {
-				t.use.Add(task.Job.tier, m.Zone, task.Job.GPUs)
+				t.usage.Add(task.Job.tier, m.Zone, task.Job.GPUs)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 	t := pl.tiering
 	pl.plan.Tiers = make([]tier.Status, len(t.shares))
 	for i, share := range t.shares {
-		pl.plan.Tiers[i] = tier.Status{Cards: t.use.Total[i], Share: share.Total}
+		pl.plan.Tiers[i] = tier.Status{Cards: t.usage.Total[i], Share: share.Total}
 	}
 	tier.FillLent(pl.plan.Tiers, freeGPUs)
 	for _, j := range pl.Jobs {
@@ -158,7 +158,7 @@
 	if t == nil {
 		return
 	}
-	pl.chargeTier()
+	pl.chargeCurrentJob()
 	for i := range t.reclaims {
 		r := &t.reclaims[i]
 		r.setActive(r.Job != j.ID && r.Level <= j.queueLevel)
@@ -166,23 +166,23 @@
 			r.Level = math.MaxInt // from here on the job takes the capacity itself
 		}
 	}
-	if t.current == nil || t.current.tier != j.tier || t.current.queueLevel != j.queueLevel {
+	if t.currentJob == nil || t.currentJob.tier != j.tier || t.currentJob.queueLevel != j.queueLevel {
 		pl.withholdUnlentShares(j.tier)
 	}
 	if j.remainder != nil {
-		n := t.fitsShare(j)
+		n := t.countWithinShare(j)
 		j.Waiting, j.remainder.Waiting = j.Waiting[:n], j.Waiting[n:]
 	}
-	t.current, t.teamGPUsBefore = j, 0
+	t.currentJob, t.teamGPUsBefore = j, 0
 	if team := pl.Teams[j.Team]; team != nil {
 		t.teamGPUsBefore = team.UsedGPUs
 	}
 }
 
-// fitsShare returns for how many waiting tasks of a job its tier's share has capacity; all or none of
+// countWithinShare returns for how many waiting tasks of a job its tier's share has capacity; all or none of
 // a gang.
-func (t *tiering) fitsShare(j *Job) int {
-	left := tier.Unused(t.shares[j.tier], t.use, j.tier, j.Zone)
+func (t *tiering) countWithinShare(j *Job) int {
+	left := tier.Unused(t.shares[j.tier], t.usage, j.tier, j.Zone)
 	n := min(int((left+epsilon)/j.GPUs), len(j.Waiting))
 	if j.Shape == wire.Gang && n < len(j.Waiting) {
 		return 0
@@ -190,14 +190,14 @@
 	return n
 }
 
-// chargeTier counts what the last job has got, by what its team has used since.
-func (pl *planner) chargeTier() {
+// chargeCurrentJob counts what the last job has got, by what its team has used since.
+func (pl *planner) chargeCurrentJob() {
 	t := pl.tiering
-	if t.current == nil {
+	if t.currentJob == nil {
 		return
 	}
-	if team := pl.Teams[t.current.Team]; team != nil {
-		t.use.Total[t.current.tier] += team.UsedGPUs - t.teamGPUsBefore
+	if team := pl.Teams[t.currentJob.Team]; team != nil {
+		t.usage.Total[t.currentJob.tier] += team.UsedGPUs - t.teamGPUsBefore
 		t.teamGPUsBefore = team.UsedGPUs
 	}
 }
@@ -205,21 +205,21 @@
 // withholdUnlentShares withholds what tiers have free of their shares and don't lend to a tier.
 func (pl *planner) withholdUnlentShares(to int) {
 	t := pl.tiering
-	for i := range t.unlent {
-		t.unlent[i].setActive(false)
+	for i := range t.unlentShares {
+		t.unlentShares[i].setActive(false)
 	}
-	t.unlent = t.unlent[:0]
+	t.unlentShares = t.unlentShares[:0]
 	for i := range pl.Tiers.Tiers {
 		if i == to || pl.Tiers.Lends(i, to) {
 			continue
 		}
 		sum := 0.0
 		for _, zone := range slices.Sorted(maps.Keys(t.shares[i].Zones)) {
-			n := max(0, t.shares[i].Zones[zone]-t.use.Zones[i][zone])
+			n := max(0, t.shares[i].Zones[zone]-t.usage.Zones[i][zone])
 			pl.withholdGPUs(n, zone)
 			sum += n
 		}
-		pl.withholdGPUs(tier.Unused(t.shares[i], t.use, i, "")-sum, "")
+		pl.withholdGPUs(tier.Unused(t.shares[i], t.usage, i, "")-sum, "")
 	}
 }
 
@@ -235,7 +235,7 @@
 		gpus := min(n, m.Free.GPUs)
 		w := withheldCapacity{machine: m, amount: m.Free.Scaled(gpus / m.Free.GPUs)}
 		w.setActive(true)
-		pl.tiering.unlent = append(pl.tiering.unlent, w)
+		pl.tiering.unlentShares = append(pl.tiering.unlentShares, w)
 		n -= gpus
 		if n <= 0 {
 			return
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -51,7 +51,7 @@
 
 // take uses up so much of what an offer frees within a number of steps, if it is enough, and returns
 // the step in which it is.
-func (t turnover) take(offer int, need Resources, steps int) (step int, ok bool) {
+func (t turnover) consume(offer int, need Resources, steps int) (step int, ok bool) {
 	var sum Resources
 	for i := range steps {
 		sum = sum.AddScaled(t[offer][i], 1)
@@ -82,7 +82,7 @@
 		if !s.permitsOffer(o) || !zoneAllowed(j, s.tasksByZone, pl.pool.offers[o].Zone) {
 			continue
 		}
-		if step, ok := pl.turnover.take(o, s.need, steps); ok {
+		if step, ok := pl.turnover.consume(o, s.need, steps); ok {
 			pl.turnover.add(o, time.Duration(step)*turnoverStep+j.Estimate(), s.need, 1) // and is free again after
 			return true
 		}
--- a/internal/scheduler/valuation.go
+++ b/internal/scheduler/valuation.go
@@ -16,10 +16,10 @@
 // classProfile is what the tasks of a class need on average, how many there are, and what one is
 // worth: its share of the cheapest machine.
 type classProfile struct {
-	job   *Job // one of the class, for what it may use
-	need  Resources
-	tasks float64
-	worth float64
+	representative *Job // one of the class, for what it may use
+	averageNeed    Resources
+	tasks          float64
+	worth          float64
 }
 
 // newValuation profiles all classes of jobs that fit some type of machine.
@@ -28,11 +28,11 @@
 	for _, j := range jobs {
 		k := byClass[j.Class]
 		if k == nil {
-			k = &classProfile{job: j}
+			k = &classProfile{representative: j}
 			byClass[j.Class] = k
 		}
 		n := float64(len(j.Waiting) + j.Active)
-		k.need = k.need.AddScaled(ResourcesOf(j.Job), n)
+		k.averageNeed = k.averageNeed.AddScaled(ResourcesOf(j.Job), n)
 		k.tasks += n
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
@@ -40,8 +40,8 @@
 		if k.tasks == 0 {
 			continue
 		}
-		k.need = k.need.Scaled(1 / k.tasks)
-		k.worth = cheapestShareOf(k.need, types)
+		k.averageNeed = k.averageNeed.Scaled(1 / k.tasks)
+		k.worth = cheapestOnDemandSharePrice(k.averageNeed, types)
 		if !math.IsInf(k.worth, 1) {
 			v = append(v, *k)
 		}
@@ -49,8 +49,8 @@
 	return v
 }
 
-// cheapestShareOf returns the least price of a task's share of an on-demand machine.
-func cheapestShareOf(need Resources, types []wire.MachineType) float64 {
+// cheapestOnDemandSharePrice returns the least price of a task's share of an on-demand machine.
+func cheapestOnDemandSharePrice(need Resources, types []wire.MachineType) float64 {
 	least := math.Inf(1)
 	for i := range types {
 		if n := capacityOf(&types[i]).Slots(need); n > 0 {
@@ -61,17 +61,17 @@
 }
 
 // of returns what free capacity of a machine is worth.
-func (v valuation) of(free Resources) float64 {
+func (v valuation) worthOf(free Resources) float64 {
 	sum := 0.0
 	for _, k := range v {
-		sum += k.tasks * k.worth * float64(max(0, free.Slots(k.need)))
+		sum += k.tasks * k.worth * float64(max(0, free.Slots(k.averageNeed)))
 	}
 	return sum
 }
 
 // lost returns what placing a task takes from the worth of a machine's free capacity.
 func (v valuation) lost(m *Machine, need Resources) float64 {
-	return v.of(m.Free) - v.of(m.Free.AddScaled(need, -1))
+	return v.worthOf(m.Free) - v.worthOf(m.Free.AddScaled(need, -1))
 }
 
 // opportunityCostShare is the part of another class's loss that counts: how much the cloud has of
@@ -85,12 +85,12 @@
 	most := 0.0
 	for i := range v {
 		k := &v[i]
-		if k.job.Class == j.Class || spot != k.job.Spot {
+		if k.representative.Class == j.Class || spot != k.representative.Spot {
 			continue
 		}
 		own, other := k.sharePrices(t, types)
 		if own < other && !math.IsInf(other, 1) {
-			slots := float64(capacityOf(t).Slots(k.need))
+			slots := float64(capacityOf(t).Slots(k.averageNeed))
 			most = max(most, opportunityCostShare*(other-own)*slots)
 		}
 	}
@@ -103,10 +103,10 @@
 	own, other = math.Inf(1), math.Inf(1)
 	for i := range types {
 		u := &types[i]
-		if len(k.job.Types) > 0 && !slices.Contains(k.job.Types, u.Name) {
+		if len(k.representative.Types) > 0 && !slices.Contains(k.representative.Types, u.Name) {
 			continue
 		}
-		share := priceOf(u, k.job.Spot) / float64(capacityOf(u).Slots(k.need))
+		share := priceOf(u, k.representative.Spot) / float64(capacityOf(u).Slots(k.averageNeed))
 		if u.Name == t.Name {
 			own = share
 		} else {
