--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -6,25 +6,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// planScaleOut counts the machines that the plan would rent, by offer.
+// planScaleOut groups the machines that the plan would rent by offer, and adds a scale-out for each offer.
 func (pl *planner) planScaleOut() {
-	index := make(map[Offer]int)
+	indexByOffer := make(map[Offer]int)
 	for _, m := range pl.pool.added {
-		o := Offer{m.Type, m.Zone, m.Spot}
-		i, known := index[o]
+		offer := Offer{m.Type, m.Zone, m.Spot}
+		i, known := indexByOffer[offer]
 		if !known {
 			i = len(pl.plan.ScaleOuts)
-			index[o] = i
-			pl.plan.ScaleOuts = append(pl.plan.ScaleOuts, ScaleOut{Offer: o, QueuePosition: m.queuePosition})
+			indexByOffer[offer] = i
+			pl.plan.ScaleOuts = append(pl.plan.ScaleOuts, ScaleOut{Offer: offer, QueuePosition: m.queuePosition})
 		}
-		out := &pl.plan.ScaleOuts[i]
-		out.Count++
-		out.QueuePosition = min(out.QueuePosition, m.queuePosition)
+		scaleOut := &pl.plan.ScaleOuts[i]
+		scaleOut.Count++
+		scaleOut.QueuePosition = min(scaleOut.QueuePosition, m.queuePosition)
 	}
 }
 
-// planScaleIn returns machines that have been idle for long, but keeps capacity for the next
-// service that comes.
+// planScaleIn returns machines that have been idle for longer than IdleTimeout, unless the next
+// service to be submitted would then find no capacity.
 func (pl *planner) planScaleIn() {
 	for _, m := range pl.Machines {
 		idle := m.Usable && !m.usedByPlan && len(m.Tasks) == 0 && m.IdleFor > pl.IdleTimeout
@@ -35,8 +35,8 @@
 	}
 }
 
-// servicesStillFit reports whether every class of services still finds capacity for one more task
-// when a machine is gone.
+// servicesStillFit reports whether every class of services would still find capacity for one more
+// task if the machine were returned.
 func (pl *planner) servicesStillFit(without *Machine) bool {
 	if pl.serviceClasses == nil {
 		pl.serviceClasses = oneServiceOfEachClass(pl.Jobs)
@@ -55,12 +55,12 @@
 // oneServiceOfEachClass returns the first job of each class of services; the list is never nil.
 func oneServiceOfEachClass(jobs []*Job) []*Job {
 	known := make(map[string]bool)
-	out := []*Job{}
+	services := []*Job{}
 	for _, j := range jobs {
 		if j.Shape == wire.Service && !known[j.Class] {
 			known[j.Class] = true
-			out = append(out, j)
+			services = append(services, j)
 		}
 	}
-	return out
+	return services
 }
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -10,25 +10,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// A class whose jobs must start sooner than a machine boots needs capacity that is there before
-// they come. How much is derived from recent arrivals: as much as arrives while a machine boots. That
-// headroom is left alone by work that has no such objective, is not returned, and is rented where
-// it lacks, but only while the cloud has machines to give: in a full fleet, idle headroom serves nobody.
-
-// Arrivals are counted in several windows, of which the median is the forecast, so that the
-// jobs of a fleet's first minute, or of a burst that is over, count little.
+// A class whose jobs must start in less time than a machine takes to boot needs capacity before the
+// jobs are submitted. This headroom is sized from recent arrivals: as many tasks as arrive while a
+// machine boots. Work without such an objective does not use the headroom, scale-in does not return
+// it, and missing headroom is rented. All this applies only while the cloud has machines available: in
+// a full fleet, idle headroom would help nobody.
+
+// Arrivals are counted in several windows, and the forecast is their median, so that the jobs of a
+// cluster's first minute, or of a burst that is over, have little influence.
 const (
 	arrivalWindows = 6
 	arrivalWindow  = 15 * time.Second
 )
 
-// arrivals counts the recent arrivals of a class.
+// arrivals counts the recently submitted tasks of a class.
 type arrivals struct {
-	tasksByWindow [arrivalWindows]float64 // in each window, the latest first
-	newestJob     *Job                    // stands for those to come
+	tasksByWindow [arrivalWindows]float64 // tasks submitted in each window, the latest window first
+	newestJob     *Job                    // template for the jobs that are expected next
 }
 
-// expected returns how many tasks come within a time.
+// expectedTasks forecasts how many tasks will be submitted within a duration.
 func (a *arrivals) expectedTasks(within time.Duration) int {
 	sorted := a.tasksByWindow
 	slices.Sort(sorted[:])
@@ -36,7 +37,7 @@
 	return int(median * within.Seconds() / arrivalWindow.Seconds())
 }
 
-// add counts a job that came so many windows ago.
+// add counts the tasks of a job that was submitted in the given window; window 0 is the latest.
 func (a *arrivals) add(j *Job, window, tasks int) {
 	a.tasksByWindow[window] += float64(tasks)
 	if a.newestJob == nil || j.Age < a.newestJob.Age {
@@ -44,7 +45,7 @@
 	}
 }
 
-// sparesHeadroom reports whether a job must leave headroom alone.
+// sparesHeadroom reports whether a job must not use headroom.
 func (pl *planner) sparesHeadroom(j *Job) bool {
 	if j.Priority == wire.Production || j.reservationTurn > 0 && j.Shape != wire.Array {
 		return false
@@ -52,7 +53,8 @@
 	return !pl.needsHeadroom(j)
 }
 
-// needsHeadroom reports whether a job must start sooner than a machine for it boots.
+// needsHeadroom reports whether an objective requires a job to start sooner than a rented machine
+// would be ready: boot time with a margin of one half, and the image fetch.
 func (pl *planner) needsHeadroom(j *Job) bool {
 	boot := pl.bootTime(j)
 	return slices.ContainsFunc(pl.Objectives, func(o Objective) bool {
@@ -60,7 +62,7 @@
 	})
 }
 
-// reserveHeadroom reserves capacity for what is about to come.
+// reserveHeadroom reserves capacity for the tasks that are expected to be submitted while a machine boots.
 func (pl *planner) reserveHeadroom() {
 	byClass := make(map[string]*arrivals)
 	for _, j := range pl.Jobs {
@@ -83,33 +85,35 @@
 	}
 }
 
-// bootTime returns how long a machine for a job takes to boot, at least; 0 where none can be rented.
+// bootTime returns the shortest boot time of the machine types that can be rented for a job, or 0 if
+// none can be rented.
 func (pl *planner) bootTime(j *Job) time.Duration { return pl.bootTimeIn(j, "") }
 
-// bootTimeIn returns the same for one zone.
+// bootTimeIn is like bootTime for a single zone, or for any zone if zone is empty.
 func (pl *planner) bootTimeIn(j *Job, zone string) time.Duration {
-	var least time.Duration
+	var shortest time.Duration
 	for i := range pl.Types {
 		machineType := &pl.Types[i]
 		boot := wire.Seconds(machineType.BootS)
-		if least > 0 && boot >= least || !capacityOf(machineType).Fits(ResourcesOf(j.Job)) {
+		if shortest > 0 && boot >= shortest || !capacityOf(machineType).Fits(ResourcesOf(j.Job)) {
 			continue
 		}
 		if pl.rentableIn(zone, j, machineType) {
-			least = boot
+			shortest = boot
 		}
 	}
-	return least
+	return shortest
 }
 
-// rentableIn reports whether a machine of a type can be rented for a job in a zone, or anywhere if none is named.
+// rentableIn reports whether a machine of a type can be rented for a job in a zone, or in any zone if
+// zone is empty.
 func (pl *planner) rentableIn(zone string, j *Job, machineType *wire.MachineType) bool {
-	for _, offered := range machineType.Zones {
-		if zone != "" && offered != zone {
+	for _, offeredZone := range machineType.Zones {
+		if zone != "" && offeredZone != zone {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
-			offer := Offer{machineType.Name, offered, spot}
+			offer := Offer{machineType.Name, offeredZone, spot}
 			if allowsOffer(j, offer) && !pl.Unavailable[offer] && !pl.Doubtful[offer] {
 				return true
 			}
@@ -118,17 +122,17 @@
 	return false
 }
 
-// maxHeadroomPriceRatio is by how much idle headroom may cost more than the cheapest capacity.
+// maxHeadroomPriceRatio limits the price of headroom, as a multiple of the price of the cheapest capacity.
 const maxHeadroomPriceRatio = 1.5
 
-// reserveHeadroomForClass occupies capacity for so many tasks like those of a job, zone by zone in turn:
-// where it is free, or boots, and else on machines to be rented.
-func (pl *planner) reserveHeadroomForClass(like *Job, tasks int) {
+// reserveHeadroomForClass reserves capacity for a number of tasks like those of the template job,
+// alternating between zones. It uses free capacity first, then booting machines, then machines to rent.
+func (pl *planner) reserveHeadroomForClass(template *Job, tasks int) {
 	if tasks <= 0 {
 		return
 	}
 	j := &Job{Job: &wire.Job{}, InZone: map[string]int{}, Waiting: make([]int, tasks)}
-	*j.Job = *like.Job
+	*j.Job = *template.Job
 	j.Image, j.OneZone, j.Spread = "", false, false
 	s := pl.newSearch(j, j.InZone, "")
 	s.maxShareCost = maxHeadroomPriceRatio * pl.cheapestSharePrice(j)
@@ -145,34 +149,35 @@
 			if pl.headroomByClass == nil {
 				pl.headroomByClass = make(map[string]int)
 			}
-			pl.headroomByClass[like.Class]++
+			pl.headroomByClass[template.Class]++
 		}
 		s.place(m)
 	}
 }
 
-// cheapestSharePrice returns the price of a task's share of the cheapest machine for it.
+// cheapestSharePrice returns the lowest price of one task's share of a machine, over all offers that
+// the job may use; it is infinite if there are none.
 func (pl *planner) cheapestSharePrice(j *Job) float64 {
-	least := math.Inf(1)
+	cheapest := math.Inf(1)
 	for i := range pl.Types {
 		t := &pl.Types[i]
-		full := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
-		if full <= 0 {
+		slotsPerMachine := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
+		if slotsPerMachine <= 0 {
 			continue
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				if allowsOffer(j, Offer{t.Name, zone, spot}) {
-					least = min(least, priceOf(t, spot)/full)
+					cheapest = min(cheapest, priceOf(t, spot)/slotsPerMachine)
 				}
 			}
 		}
 	}
-	return least
+	return cheapest
 }
 
-// headroomMachine picks capacity in the zone in which the least headroom is, on the machine with
-// the least capacity to spare.
+// headroomMachine picks a machine with free capacity in the zone that has the least headroom so far;
+// among those, the machine with the fewest free GPUs.
 func (s *search) headroomMachine() *Machine {
 	var best *Machine
 	for _, m := range s.withoutImage {
@@ -183,7 +188,7 @@
 			best = m
 		}
 	}
-	for _, c := range s.withImage { // those that have some headroom already
+	for _, c := range s.withImage { // machines that already hold headroom
 		if best == nil || s.tasksByZone[c.Zone] <= s.tasksByZone[best.Zone] {
 			best = c.Machine
 		}
@@ -191,12 +196,13 @@
 	return best
 }
 
-// bootingOrNewMachine finds capacity on a machine that boots, or on a new one.
+// bootingOrNewMachine finds capacity on a booting machine, or else adds a machine to rent; nil if
+// neither is possible.
 func (s *search) bootingOrNewMachine() *Machine {
 	offer, cost := s.cheapestOffer()
 	m := s.bootingMachine(cost)
 	if m == nil && !math.IsInf(cost, 1) {
-		m = s.planner.pool.add(offer, len(s.planner.Jobs)) // for what is yet to come: behind all jobs
+		m = s.planner.pool.add(offer, len(s.planner.Jobs)) // headroom ranks behind all submitted jobs
 	}
 	return m
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -6,17 +6,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// machinePool holds the machines by what they are good for, those included that the plan would
-// rent. Offers are numbered, so that what is known of each is kept in slices.
+// machinePool indexes the machines by state and offer, including those that the plan would rent.
+// Offers are numbered, so that data per offer can be kept in slices.
 type machinePool struct {
 	types     map[string]*wire.MachineType
 	offers    []Offer
 	usable    []*Machine
-	stopping  []*Machine     // usable ones on which tasks are being stopped
-	booting   [][]*Machine   // by offer, added ones included
-	added     []*Machine     // that the plan would rent
-	requested map[Offer]int  // how many were added
-	inZone    map[string]int // how many there are, added ones included
+	stopping  []*Machine     // usable machines with stopping tasks
+	booting   [][]*Machine   // by offer index, including added machines
+	added     []*Machine     // machines that the plan would rent
+	requested map[Offer]int  // number of added machines
+	inZone    map[string]int // number of machines by zone, including added ones
 }
 
 func newMachinePool(types []wire.MachineType) machinePool {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// insert takes in a machine that is there.
+// insert adds an existing machine to the pool.
 func (p *machinePool) insert(m *Machine) {
 	m.offerIndex = p.offerIndex(Offer{m.Type, m.Zone, m.Spot})
 	p.inZone[m.Zone]++
@@ -42,7 +42,7 @@
 	}
 }
 
-// add takes in a machine that the plan would rent.
+// add creates a machine that the plan would rent, and adds it to the pool.
 func (p *machinePool) add(o Offer, queuePosition int) *Machine {
 	m := &Machine{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Booting: true, Free: capacityOf(p.types[o.Type])}
 	m.offerIndex, m.queuePosition = p.offerIndex(o), queuePosition
@@ -53,7 +53,7 @@
 	return m
 }
 
-// keepAdded takes back all added machines but the first n.
+// keepAdded removes all added machines except the first n.
 func (p *machinePool) keepAdded(n int) {
 	for _, m := range p.added[n:] {
 		p.inZone[m.Zone]--
@@ -63,7 +63,7 @@
 	p.added = p.added[:n]
 }
 
-// offerIndex returns the number of an offer, a new one where it has none yet.
+// offerIndex returns the index of an offer, and registers the offer if it is new.
 func (p *machinePool) offerIndex(o Offer) int {
 	i := slices.Index(p.offers, o)
 	if i < 0 {
@@ -76,8 +76,8 @@
 // typeOf returns the type of a machine, or nil if the cloud no longer offers it.
 func (p *machinePool) typeOf(m *Machine) *wire.MachineType { return p.types[m.Type] }
 
-// countTasks sums what the machine's tasks use, and gives the least rank of those that are not
-// being stopped yet.
+// countTasks sums the resources of the machine's tasks, and returns the lowest priority rank of those
+// that are not stopping.
 func (m *Machine) countTasks() (lowestRank int) {
 	lowestRank = ranks
 	for _, t := range m.Tasks {
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestMachinePool: machines are counted by zone and offer, and added ones can be taken back.
+// TestMachinePool checks that machines are counted by zone and offer, and that added ones can be removed.
 func TestMachinePool(t *testing.T) {
 	p := newMachinePool([]wire.MachineType{g4})
 	up, booting, down := machine("n-1", "a"), machine("n-2", "b"), machine("n-3", "a")
@@ -16,15 +16,15 @@
 		p.insert(m)
 	}
 	if len(p.usable) != 1 || p.inZone["a"] != 2 || len(p.booting[booting.offerIndex]) != 1 || up.offerIndex != down.offerIndex {
-		t.Errorf("%+v", p)
+		t.Errorf("pool %+v", p)
 	}
-	o := Offer{"g4", "b", false}
-	m := p.add(o, 3)
-	if m.Free != (Resources{16, 4, 64}) || m.offerIndex != booting.offerIndex || len(p.booting[m.offerIndex]) != 2 || p.requested[o] != 1 || p.inZone["b"] != 2 {
-		t.Errorf("%+v with %+v", p, m)
+	offer := Offer{"g4", "b", false}
+	m := p.add(offer, 3)
+	if m.Free != (Resources{16, 4, 64}) || m.offerIndex != booting.offerIndex || len(p.booting[m.offerIndex]) != 2 || p.requested[offer] != 1 || p.inZone["b"] != 2 {
+		t.Errorf("pool %+v after adding %+v", p, m)
 	}
 	p.keepAdded(0)
-	if len(p.added) != 0 || len(p.booting[booting.offerIndex]) != 1 || p.requested[o] != 0 || p.inZone["b"] != 1 {
-		t.Errorf("%+v", p)
+	if len(p.added) != 0 || len(p.booting[booting.offerIndex]) != 1 || p.requested[offer] != 0 || p.inZone["b"] != 1 {
+		t.Errorf("pool %+v", p)
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -9,9 +9,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// mayPreempt reports whether a job may stop another's task: one of lesser priority, or, for work
-// within its team's guarantee, one beyond that of its own team. What would get the capacity again
-// before the job does is left alone, or the two would preempt each other for ever.
+// mayPreempt reports whether a job may stop a task of the victim job. The victim must have a lower
+// priority; a job within its team's guarantee may also stop work that exceeds the guarantee of the
+// victim's team. A victim ahead of the job in the queue is never stopped: it would get the capacity
+// back first, and the two jobs would preempt each other forever.
 func (pl *planner) mayPreempt(j, victim *Job) bool {
 	if victim.queuePosition < j.queuePosition {
 		return false
@@ -26,7 +27,7 @@
 	return tier.MayPreempt(&j.work, &victim.work, team != nil && team.exceedsGuarantee(victim.GPUs))
 }
 
-// hasPreemptibleTasks reports whether there is anything that a job might stop.
+// hasPreemptibleTasks is a quick check that reports whether there may be tasks that a job may stop.
 func (pl *planner) hasPreemptibleTasks(j *Job) bool {
 	if pl.lowestRank < j.Priority.Rank() {
 		return true
@@ -42,20 +43,20 @@
 	return false
 }
 
-// preemption is tasks of one machine to stop.
+// preemption is a set of tasks to stop on one machine.
 type preemption struct {
 	machine *Machine
-	victims []int   // indices of its tasks
-	cost    float64 // what stopping them loses, see stopCost
+	victims []int   // indices in machine.Tasks
+	cost    float64 // loss caused by stopping them, see preemptionCost
 }
 
-// preempt stops the work that loses least on one machine, so that a task of the job fits there
-// once that has ended; nil means that there is none.
-func (pl *planner) preempt(j *Job, need Resources, ok func(*Machine) bool) *Machine {
+// preempt plans the cheapest preemption on one machine that makes room for a task of the job once
+// the stopped tasks have ended. It returns the machine, or nil if no preemption is possible.
+func (pl *planner) preempt(j *Job, need Resources, permitted func(*Machine) bool) *Machine {
 	if !pl.hasPreemptibleTasks(j) {
 		return nil
 	}
-	best := pl.cheapestPreemption(j, need, ok)
+	best := pl.cheapestPreemption(j, need, permitted)
 	if best.machine == nil {
 		return nil
 	}
@@ -68,20 +69,20 @@
 	return best.machine
 }
 
-// reservedPreemptionFactor is by how much more it costs to stop work where capacity is reserved
-// for another job: it takes that along.
+// reservedPreemptionFactor multiplies the cost of a preemption on a machine with capacity reserved
+// for another job, because the preemption takes that capacity too.
 const reservedPreemptionFactor = 4
 
-// cheapestPreemption finds the tasks to stop on one machine that lose least.
-func (pl *planner) cheapestPreemption(j *Job, need Resources, ok func(*Machine) bool) preemption {
+// cheapestPreemption finds the machine, and the tasks to stop on it, with the lowest preemption cost.
+func (pl *planner) cheapestPreemption(j *Job, need Resources, permitted func(*Machine) bool) preemption {
 	rank := j.Priority.Rank()
 	if j.guaranteed {
 		rank = ranks
 	}
 	best := preemption{cost: math.Inf(1)}
-	fetch := pl.fetchTime(j).Seconds() * gpuEquivalents(need)
+	fetchCost := pl.fetchTime(j).Seconds() * gpuEquivalents(need)
 	for _, m := range pl.pool.usable {
-		if !m.freeWithoutLowerRanks(rank).Fits(need) || !ok(m) {
+		if !m.freeWithoutLowerRanks(rank).Fits(need) || !permitted(m) {
 			continue
 		}
 		pl.searchBudget--
@@ -89,8 +90,8 @@
 			break
 		}
 		victims, cost := pl.selectVictims(j, need, m)
-		if !m.hasImage(j.Image) { // the capacity is idle while the image comes
-			cost += fetch
+		if !m.hasImage(j.Image) { // the capacity is idle during the image fetch
+			cost += fetchCost
 		}
 		if m.reservedForOther(j) {
 			cost *= reservedPreemptionFactor
@@ -102,8 +103,8 @@
 	return best
 }
 
-// victims picks the tasks to stop on a machine so that a task of the job fits, those first that
-// lose least; none if it can't fit.
+// selectVictims picks tasks to stop on a machine, the cheapest first, until a task of the job fits.
+// It returns nil if the task can't fit.
 func (pl *planner) selectVictims(j *Job, need Resources, m *Machine) (picked []int, cost float64) {
 	order := make([]int, 0, len(m.Tasks))
 	for i, t := range m.Tasks {
@@ -132,18 +133,19 @@
 	return picked, cost
 }
 
-// stop plans to stop a task of a machine for a job.
+// planStop adds a stop of a machine's task in favor of a job to the plan.
 func (pl *planner) planStop(j *Job, m *Machine, task int) {
 	t := &m.Tasks[task]
 	pl.undo.record(m, task)
 	t.Stopping = true
-	frees, rank := ResourcesOf(t.Job.Job), t.Job.Priority.Rank()
-	m.stopping = m.stopping.AddScaled(frees, 1)
-	m.loadByRank[rank] = m.loadByRank[rank].AddScaled(frees, -1)
+	freed, rank := ResourcesOf(t.Job.Job), t.Job.Priority.Rank()
+	m.stopping = m.stopping.AddScaled(freed, 1)
+	m.loadByRank[rank] = m.loadByRank[rank].AddScaled(freed, -1)
 	pl.plan.Stops = append(pl.plan.Stops, Stop{t.Job, t.Index, m.ID, "room for " + j.ID, j, pl.endsBeforeReclaim(j, *t)})
 }
 
-// preemptionCost is what stopping a task for a job loses: nothing where it ends in time by itself.
+// preemptionCost returns the loss caused by stopping a task for a job. It is 0 for a task that is
+// expected to complete before a reclaim would be due.
 func (pl *planner) preemptionCost(j *Job, t Task) float64 {
 	if pl.endsBeforeReclaim(j, t) {
 		return 0
@@ -152,21 +154,21 @@
 }
 
 const (
-	// failedAttemptCost is the loss, in seconds, for each time that a task was stopped before it
-	// ran: what waits for its image loses nothing else, and would be the cheapest to stop again and
-	// again.
+	// failedAttemptCost is the loss, in seconds, for each earlier attempt of a task that was stopped
+	// before it ran. A task that is fetching its image has nothing else to lose; without this cost it
+	// would be the cheapest to stop again and again.
 	failedAttemptCost = 60
-	// stopOverhead is the loss, in seconds, that each stop has at least.
+	// stopOverhead is the minimum loss, in seconds, of each stop.
 	stopOverhead = 5
-	// cpusPerGPU is how many CPUs count as much as a GPU.
+	// cpusPerGPU is the number of CPUs that weigh as much as one GPU.
 	cpusPerGPU = 16
 )
 
-// gpuEquivalents returns how much of a machine a task is, in GPUs.
+// gpuEquivalents returns the size of a task in GPUs, with its CPUs converted by cpusPerGPU.
 func gpuEquivalents(r Resources) float64 { return r.GPUs + r.CPUs/cpusPerGPU }
 
-// stopCost is what stopping a task loses, in seconds of GPUs. With a task of a gang all others go,
-// and the wait for capacity for all of them, which it has to go through again.
+// stopCost returns the loss caused by stopping a task, in GPU-seconds. Stopping a task of a gang stops
+// the whole gang, which must then wait for capacity for all its tasks again.
 func stopCost(t Task) float64 {
 	lost := t.RunTime.Seconds()
 	if t.Job.CheckpointS > 0 {
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// priceOf returns the price of a type of machine.
+// priceOf returns the spot or on-demand price of a machine type.
 func priceOf(t *wire.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -17,40 +17,40 @@
 }
 
 const (
-	// zoneConcentrationSurcharge is by how much a machine counts as dearer in a zone that has all machines, so
-	// that the fleet spreads.
+	// zoneConcentrationSurcharge is the relative surcharge on machines in a zone that holds the whole
+	// fleet. It grows in proportion to the zone's share of the machines, so that the fleet spreads over zones.
 	zoneConcentrationSurcharge = 0.3
-	// minFleetForZoneShare is the least fleet of which a zone's share is reckoned: in a smaller one
-	// each machine would move the price too much.
+	// minFleetForZoneShare is the smallest fleet size used to compute a zone's share: in a smaller
+	// fleet each machine would change the price too much.
 	minFleetForZoneShare = 30
 )
 
-// machinePrice returns what a machine counts as, somewhat more in zones that have many.
+// machinePrice returns the price of a machine, with a surcharge that grows with the zone's share of the fleet.
 func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
 	total := len(pl.Machines) + len(pl.pool.added)
 	return priceOf(t, spot) * (1 + zoneConcentrationSurcharge*float64(pl.pool.inZone[zone])/float64(max(minFleetForZoneShare, total)))
 }
 
-// shareCost returns what a task's share of a machine costs, with what others lose who need that
-// type more; it is infinite where the task does not fit.
+// shareCost returns the cost of a task's share of a machine, including the opportunity cost for classes
+// that need the machine type more; it is infinite if the task does not fit.
 func (pl *planner) shareCost(j *Job, t *wire.MachineType, spot bool) float64 {
-	full := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
-	if full == 0 {
+	slotsPerMachine := float64(capacityOf(t).Slots(ResourcesOf(j.Job)))
+	if slotsPerMachine == 0 {
 		return math.Inf(1)
 	}
-	return (priceOf(t, spot) + pl.valuation.opportunityCost(j, t, spot, pl.Types)) / full
+	return (priceOf(t, spot) + pl.valuation.opportunityCost(j, t, spot, pl.Types)) / slotsPerMachine
 }
 
-// offerChoice is an offer with what a task costs there.
+// offerChoice is an offer with the cost of placing a task on it.
 type offerChoice struct {
 	offer     Offer
 	cost      float64 // of the task's share of a machine, see shareCost
-	price     float64 // the same with the zone's price, and the part of the machine that stays empty
-	exhausted bool    // no more can be asked for now
+	price     float64 // cost adjusted for the zone's surcharge and for the part of the machine left empty
+	exhausted bool    // no more machines can be requested now
 }
 
-// betterThan reports whether an offer is to be preferred. One of which no more can be asked for
-// now is left to those who find no other.
+// betterThan reports whether an offer is preferred to another. An exhausted offer is chosen only if
+// there is no other.
 func (c offerChoice) betterThan(other offerChoice) bool {
 	if c.exhausted != other.exhausted {
 		return !c.exhausted
@@ -58,12 +58,12 @@
 	return c.price < other.price
 }
 
-// emptyShareWeight is which part counts of the share of a machine that the job leaves empty: it is
-// mostly of use to others.
+// emptyShareWeight is the fraction that counts of the price of the machine share that the job leaves
+// empty: other jobs can mostly use that share.
 const emptyShareWeight = 0.5
 
-// cheapestOffer picks the cheapest offer for a task, counting the price of the share that the job
-// can fill; its cost is infinite where there is none.
+// cheapestOffer picks the offer with the lowest price for a task, taking into account how much of a
+// machine the job can fill. The cost is infinite if there is no offer.
 func (s *search) cheapestOffer() (best Offer, cost float64) {
 	choice := offerChoice{cost: math.Inf(1), price: math.Inf(1), exhausted: true}
 	types := s.planner.Types
@@ -73,10 +73,10 @@
 	return choice.offer, choice.cost
 }
 
-// cheapestOfType picks the cheapest among the offers of a machine type, and keeps the choice where none is better.
+// cheapestOfType returns the best offer of a machine type, or the given choice if none is better.
 func (s *search) cheapestOfType(machineType *wire.MachineType, choice offerChoice) offerChoice {
-	full := float64(capacityOf(machineType).Slots(s.need))
-	slots := min(full, float64(len(s.job.Waiting)))
+	slotsPerMachine := float64(capacityOf(machineType).Slots(s.need))
+	slots := min(slotsPerMachine, float64(len(s.job.Waiting)))
 	if slots == 0 {
 		return choice
 	}
@@ -88,7 +88,7 @@
 				continue
 			}
 			price := share * s.planner.machinePrice(machineType, spot, zone) / s.planner.machinePrice(machineType, spot, "")
-			price += emptyShareWeight * price * (full/slots - 1)
+			price += emptyShareWeight * price * (slotsPerMachine/slots - 1)
 			c := offerChoice{offer, share, price, s.exhausted(offer)}
 			if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
 				choice = c
@@ -98,18 +98,18 @@
 	return choice
 }
 
-// mayRequest reports whether a machine of an offer may be asked for.
+// mayRequest reports whether the job may request a machine of an offer.
 func (s *search) mayRequest(o Offer) bool {
 	return !s.planner.Unavailable[o] && allowsOffer(s.job, o) && (s.zone == "" || s.zone == o.Zone) && zoneAllowed(s.job, s.tasksByZone, o.Zone)
 }
 
-// exhausted reports whether the plan asks for as many machines of an offer as can be asked for now.
+// exhausted reports whether the plan already requests as many machines of an offer as RequestLimit allows.
 func (s *search) exhausted(o Offer) bool {
 	limit, limited := s.planner.RequestLimit[o]
 	return limited && s.planner.pool.requested[o] >= limit
 }
 
-// priceOffers finds what a task costs on each offer that has come up since it was last called.
+// priceOffers computes the cost of a task on each offer that was registered in the pool since the last call.
 func (s *search) priceOffers() {
 	pool := &s.planner.pool
 	for o := len(s.costByOffer); o < len(pool.offers); o++ {
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -6,24 +6,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// epsilon absorbs the rounding of sums and differences wherever resources are compared.
+// epsilon is the tolerance for rounding errors when resources are compared.
 const epsilon = 1e-6
 
-// Resources is what a task needs, or what a machine has, or has left.
+// Resources are the resources that a task needs, or that a machine has in total or free.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// ResourcesOf returns what one task of a job needs.
+// ResourcesOf returns the resources that one task of a job needs.
 func ResourcesOf(j *wire.Job) Resources { return Resources{j.CPUs, j.GPUs, j.MemoryGB} }
 
-// capacityOf returns what an empty machine of a type has.
+// capacityOf returns the resources of an empty machine of a type.
 func capacityOf(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// AddScaled adds other n times; a negative n subtracts.
+// AddScaled returns r plus n times other; a negative n subtracts.
 func (r Resources) AddScaled(other Resources, n float64) Resources {
 	return Resources{r.CPUs + n*other.CPUs, r.GPUs + n*other.GPUs, r.MemoryGB + n*other.MemoryGB}
 }
 
-// Scaled returns n times r.
+// Scaled returns r multiplied by n.
 func (r Resources) Scaled(n float64) Resources { return Resources{}.AddScaled(r, n) }
 
 // Fits reports whether need fits into r.
@@ -31,13 +31,13 @@
 	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// Slots returns how many times need fits into r; it is negative where r is.
+// Slots returns how many times need fits into r. It is negative if a needed resource of r is negative.
 func (r Resources) Slots(need Resources) int {
 	n := min(slotsOfResource(r.CPUs, need.CPUs), slotsOfResource(r.GPUs, need.GPUs), slotsOfResource(r.MemoryGB, need.MemoryGB))
 	return int(min(n, wire.MaxTasks))
 }
 
-// slots returns how many times one kind of resource suffices: without limit if none is needed.
+// slotsOfResource returns how many times need fits into one kind of resource; it is infinite if none is needed.
 func slotsOfResource(have, need float64) float64 {
 	if need > 0 {
 		return math.Floor(have/need + epsilon)
@@ -45,12 +45,13 @@
 	return math.Inf(1)
 }
 
-// shortfall returns the fraction of need that r lacks, of the resource that it lacks most.
+// shortfall returns the fraction of need that r lacks, for the resource with the largest such fraction.
 func (r Resources) shortfall(need Resources) float64 {
 	return min(1, max(0, missingFraction(r.CPUs, need.CPUs), missingFraction(r.GPUs, need.GPUs), missingFraction(r.MemoryGB, need.MemoryGB)))
 }
 
-// lacking returns the fraction of one kind of resource that is not there; it is negative where there is more than enough.
+// missingFraction returns the fraction of need that is missing for one kind of resource; it is
+// negative if there is more than enough.
 func missingFraction(have, need float64) float64 {
 	if need > 0 {
 		return 1 - have/need
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// min returns the lesser of each resource.
+// min returns the minimum of each resource.
 func (r Resources) min(other Resources) Resources {
 	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB)}
 }
--- a/internal/scheduler/resources_test.go
+++ b/internal/scheduler/resources_test.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestResources: what fits is counted by the resource that runs out first, and rounding is forgiven.
+// TestResources checks that slots are counted by the scarcest resource, and that rounding errors are tolerated.
 func TestResources(t *testing.T) {
 	machine := Resources{CPUs: 16, GPUs: 4, MemoryGB: 64}
 	for _, c := range []struct {
@@ -23,19 +23,19 @@
 		{"nothing needed", Resources{}, wire.MaxTasks, 0},
 	} {
 		if got := machine.Slots(c.need); got != c.slots {
-			t.Errorf("%s: %d slots, not %d", c.name, got, c.slots)
+			t.Errorf("%s: %d slots, want %d", c.name, got, c.slots)
 		}
 		if got := machine.Fits(c.need); got != (c.slots > 0) {
-			t.Errorf("%s: fits: %v", c.name, got)
+			t.Errorf("%s: Fits returned %v", c.name, got)
 		}
 		if got := machine.shortfall(c.need); got > c.shortfall+epsilon || got < c.shortfall-epsilon {
-			t.Errorf("%s: %v lacks, not %v", c.name, got, c.shortfall)
+			t.Errorf("%s: shortfall %v, want %v", c.name, got, c.shortfall)
 		}
 	}
 	if got := machine.AddScaled(Resources{CPUs: 4, GPUs: 1, MemoryGB: 8}, -5); got != (Resources{-4, -1, 24}) || got.Slots(Resources{CPUs: 1}) >= 0 {
-		t.Errorf("%+v is left, with %d slots", got, got.Slots(Resources{CPUs: 1}))
+		t.Errorf("got %+v left, with %d slots", got, got.Slots(Resources{CPUs: 1}))
 	}
 	if got := machine.Scaled(0.5).min(Resources{10, 1, 99}); got != (Resources{8, 1, 32}) {
-		t.Errorf("the lesser of each is %+v", got)
+		t.Errorf("minimum of each resource: got %+v", got)
 	}
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -9,60 +9,61 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ShardReport is what a plan reports to the leaders of other shards. All but Unplaced and
-// ReadyGangs is for all of a class or team.
+// ShardReport is the part of a plan that is reported to the leaders of other shards. Unplaced and
+// ReadyGangs refer to single jobs; the other fields are aggregated by class or team.
 type ShardReport struct {
 	Unplaced     []UnplacedJob
-	ReadyGangs   []string                // gangs to reserve for which there is capacity, by their IDs
+	ReadyGangs   []string                // IDs of the ReserveOnly gangs for which there is capacity
 	FreeCapacity map[string]FreeCapacity // by class
 	QuotaDemands map[string]QuotaDemand  // by team
-	ServiceUsage map[string]Resources    // what services use or are to use, by team
+	ServiceUsage map[string]Resources    // resources that services use or will use, by team
 }
 
-// UnplacedJob is a job with tasks that found no capacity: some wait for what is on its way, for
-// others nothing is.
+// UnplacedJob is a job with tasks that found no capacity. Coming counts the tasks for which capacity
+// will become available, Unserved those for which none is expected.
 type UnplacedJob struct {
 	Job              *Job
 	Coming, Unserved int
 }
 
-// FreeCapacity is how many more tasks of a class a shard could take. It travels between
-// controllers by these field names.
+// FreeCapacity is the number of additional tasks of a class that a shard could take. The field names
+// are part of the protocol between controllers.
 type FreeCapacity struct {
-	Now   int  // on machines that have capacity now
-	Below int  // more on machines beside lesser work, which would be stopped
-	Rent  bool // machines for it can be rented
+	Now   int  // tasks that fit on machines with free capacity now
+	Below int  // further tasks that would fit if work of lower rank were stopped
+	Rent  bool // machines for the class can be rented
 }
 
-// QuotaDemand is work that a team's quota in this shard holds back: it would be launched if the
-// quota were larger. It travels between controllers by these field names.
+// QuotaDemand is the work of a team that would be launched if the team's quota in this shard were
+// larger. The field names are part of the protocol between controllers.
 type QuotaDemand struct {
 	CPUs, GPUs float64
-	Rank       int       // of the most urgent of it
-	Since      time.Time // when the oldest of that was submitted
-	Least      Resources // what any of it needs: a task, or a gang
+	Rank       int       // priority rank of the most urgent of this work
+	Since      time.Time // submission time of the oldest work of that rank
+	Least      Resources // smallest unit of the work: a task, or a whole gang
 }
 
-// Compare orders demands, the one that goes first before others. It compares submission times, not ages: another
-// shard's report is a while old, so that of two equally old demands each shard would take its own for the older.
+// Compare orders demands by precedence: by rank, then by submission time. It does not compare ages:
+// the reports of other shards arrive with a delay, so that of two equally old demands each shard would
+// consider its own to be the older.
 func (d QuotaDemand) Compare(other QuotaDemand) int {
 	return cmp.Or(cmp.Compare(other.Rank, d.Rank), d.Since.Compare(other.Since))
 }
 
-// IsPending reports whether anything is demanded now.
+// IsPending reports whether the demand is not empty.
 func (d QuotaDemand) IsPending() bool { return d.CPUs > 0 || d.GPUs > 0 }
 
-// WorthReserving reports whether work of other shards is to wait for a demand: it has waited for
-// long, and will fit into the limit once all has ended but services. This is what
-// worthReservingQuota is within a shard.
+// WorthReserving reports whether work of other shards must wait for a demand: the demand has waited
+// for long, and will fit into the limit once everything but services has ended. It is the counterpart
+// of worthReservingQuota for the work of several shards.
 func (d QuotaDemand) WorthReserving(waited, maxGangWait time.Duration, limit Team, services Resources) bool {
 	return maxGangWait > 0 && waited >= maxGangWait/reservationWaitDivisor && waited < 2*maxGangWait && limit.allows(services.AddScaled(d.Least, 1))
 }
 
-// reportQuotaDemand reports tasks that a team's quota in this shard holds back. For those for which
-// the limit of all shards together leaves nothing beside what is used here, nothing is demanded: a
-// shard that kept a rest of the limit for them would keep it from smaller work in others for
-// nothing. They wait all the same.
+// reportQuotaDemand reports tasks that wait because of a team's quota in this shard. It demands nothing
+// for tasks that would exceed the limit of all shards together, given what the team uses in this shard:
+// a shard that reserved the rest of the limit for them would needlessly keep it from smaller work in
+// other shards. These tasks still wait.
 func (pl *planner) reportQuotaDemand(j *Job, tasks int) {
 	if !pl.Sharded || tasks <= 0 {
 		return
@@ -91,7 +92,7 @@
 	pl.plan.QuotaDemands[j.Team] = d
 }
 
-// reportUnplaced reports tasks that found no capacity now.
+// reportUnplaced reports a job's tasks that found no capacity in this round.
 func (pl *planner) reportUnplaced(j *Job, coming, unserved int) {
 	if coming+unserved == 0 {
 		return
@@ -102,7 +103,8 @@
 	}
 }
 
-// useRemoteCapacity takes capacity of other shards for so many tasks of a job, if they have it.
+// useRemoteCapacity deducts capacity for a number of tasks of a job from the free capacity of other
+// shards. It returns false if they do not have enough.
 func (pl *planner) useRemoteCapacity(j *Job, tasks int) bool {
 	if j.Spread || j.OneZone && j.Shape != wire.Gang || min(j.RemoteCapacity, pl.RemoteCapacity[j.Class]) < tasks {
 		return false
@@ -111,14 +113,14 @@
 	return true
 }
 
-// reportFreeCapacity reports for each class how many more of its tasks would find capacity once
-// all that is planned has its own.
+// reportFreeCapacity reports for each class how many more tasks would find capacity in addition to
+// everything that is planned.
 func (pl *planner) reportFreeCapacity() {
 	if !pl.Sharded {
 		return
 	}
 	pl.plan.ServiceUsage = pl.usageOfServices()
-	typical := make(map[string]*Job) // by class: the newest job, of those that are bound to no zone where there are any
+	typical := make(map[string]*Job) // by class: the newest job, preferably one not bound to a zone
 	for _, j := range pl.Jobs {
 		if known := typical[j.Class]; known == nil || moreTypical(j, known) {
 			typical[j.Class] = j
@@ -130,8 +132,8 @@
 	}
 }
 
-// moreTypical reports whether a job represents its class better than another. One that is
-// bound to a zone is no measure of the capacity that others of its class find.
+// moreTypical reports whether a job represents its class better than the known one. The capacity that
+// a job bound to a zone finds says little about other jobs of its class.
 func moreTypical(j, known *Job) bool {
 	if bound, knownBound := j.Zone != "", known.Zone != ""; bound != knownBound {
 		return knownBound
@@ -139,20 +141,20 @@
 	return j.Order > known.Order
 }
 
-// freeCapacityFor returns how many more tasks like those of a job would find capacity.
+// freeCapacityFor returns the capacity for additional tasks like those of a job.
 func (pl *planner) freeCapacityFor(j *Job) FreeCapacity {
 	need, rank := ResourcesOf(j.Job), j.Priority.Rank()
-	now := make(map[string]int) // by zone
+	slotsByZone := make(map[string]int)
 	free := FreeCapacity{Now: pl.headroomByClass[j.Class], Rent: pl.canRent(j)}
 	for _, m := range pl.pool.usable {
 		if !m.Usable || !allowsOffer(j, pl.pool.offers[m.offerIndex]) {
 			continue
 		}
 		slots := max(0, m.Free.Slots(need))
-		now[m.Zone] += slots
+		slotsByZone[m.Zone] += slots
 		free.Below += max(0, m.freeWithoutLowerRanks(rank).Slots(need)-slots)
 	}
-	for _, n := range now {
+	for _, n := range slotsByZone {
 		if j.OneZone {
 			free.Now = max(free.Now, n)
 		} else {
@@ -162,8 +164,9 @@
 	return free
 }
 
-// canRent reports whether machines for a job can be rented. A doubtful offer that is not left alone
-// any more counts: nobody else would ever ask for it, and a gang that needs it would wait for ever.
+// canRent reports whether machines for a job can be rented. Doubtful offers that are no longer
+// unavailable count: otherwise nobody would ever request them again, and a gang that needs one would
+// wait forever.
 func (pl *planner) canRent(j *Job) bool {
 	for i := range pl.Types {
 		t := &pl.Types[i]
@@ -181,7 +184,7 @@
 	return false
 }
 
-// sumSpareCapacity sums what is left on machines that are up.
+// sumSpareCapacity sums the free resources of usable machines.
 func (pl *planner) sumSpareCapacity() {
 	for _, m := range pl.pool.usable {
 		if m.Usable {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Objective is a service-level objective of a class of jobs: that they start, or are finished,
-// within a time.
+// Objective is a service-level objective (SLO) of a class of jobs: to start, or to finish, within a
+// duration.
 type Objective struct {
 	Kind, Class string
 	Within      time.Duration
@@ -17,39 +17,39 @@
 
 // The kinds of objectives.
 const (
-	StartWithin     = "wait"      // after submission
-	FinishWithin    = "finished"  // after submission
-	GuaranteeWithin = "guarantee" // start of work within a team's guarantee, of any class
+	StartWithin     = "wait"      // time from submission to start
+	FinishWithin    = "finished"  // time from submission to completion
+	GuaranteeWithin = "guarantee" // time from submission to start, for jobs of any class within their team's guarantee
 )
 
-// Offer is a type of machine in a zone, on demand or spot.
+// Offer is a machine type in a zone, on demand or spot.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Snapshot is all that a plan depends on.
+// Snapshot is the complete input of a plan.
 type Snapshot struct {
 	Machines     []*Machine
 	Jobs         []*Job
 	Teams        map[string]*Team
 	Types        []wire.MachineType
 	Objectives   []Objective
-	Unavailable  map[Offer]bool // offers that the cloud refused a while ago: none is asked for
-	Doubtful     map[Offer]bool // offers that the cloud refused when they were last asked for
-	RequestLimit map[Offer]int  // of doubtful offers, how many machines may be asked for now: more are better asked for elsewhere
-	IdleTimeout  time.Duration  // after which an idle machine is returned
-	LaunchBudget int            // tasks that may be launched in this round
-	MaxMoves     int            // replicas that may be down at once for the sake of spreading
-	MaxGangWait  time.Duration  // how long even the largest gang should wait at most; 0 for any time
-	Tiers        *tier.Set      // nil stands for the order without settings
+	Unavailable  map[Offer]bool // offers in backoff after a refusal by the cloud: none is requested
+	Doubtful     map[Offer]bool // offers that the cloud refused at the latest request
+	RequestLimit map[Offer]int  // for doubtful offers: machines to request now; more are requested elsewhere
+	IdleTimeout  time.Duration  // idle time after which a machine is returned
+	LaunchBudget int            // maximum number of tasks to launch in this round
+	MaxMoves     int            // maximum number of replicas that may be down at once for rebalancing
+	MaxGangWait  time.Duration  // maximum time that even the largest gang should wait; 0 for no limit
+	Tiers        *tier.Set      // nil selects the default order
 	Reclaims     []Reclaim      // capacity that is being reclaimed
 
 	Sharded        bool           // the fleet is divided into several shards, of which this is one
-	RemoteCapacity map[string]int // tasks for which other shards have free capacity now, by class
+	RemoteCapacity map[string]int // number of tasks for which other shards have free capacity now, by class
 }
 
-// allowsOffer reports whether tasks of a job may ever be on machines of an offer.
+// allowsOffer reports whether tasks of a job may run on machines of an offer.
 func allowsOffer(j *Job, o Offer) bool {
 	switch {
 	case len(j.Types) > 0 && !slices.Contains(j.Types, o.Type):
@@ -62,11 +62,11 @@
 	return j.SpreadRule == nil || j.SpreadRule.permitsZone(o.Zone)
 }
 
-// OfferAllowed reports whether tasks of a job may ever be on machines of an offer.
+// OfferAllowed reports whether tasks of a job may run on machines of an offer.
 func OfferAllowed(j *wire.Job, o Offer) bool { return allowsOffer(&Job{Job: j}, o) }
 
-// zoneAllowed reports whether one more task of a job may be in a zone, given how many of its
-// tasks are in each zone, old attempts included.
+// zoneAllowed reports whether one more task of a job may be placed in a zone, given the number of its
+// tasks in each zone, including earlier attempts.
 func zoneAllowed(j *Job, tasksByZone map[string]int, zone string) bool {
 	if j.OneZone {
 		for z, n := range tasksByZone {
@@ -78,5 +78,5 @@
 	return !j.Spread || tasksByZone[zone] < maxTasksPerZone(j)
 }
 
-// maxTasksPerZone returns how many tasks of a job that is to be spread may be in one zone: half of them, rounded up.
+// maxTasksPerZone returns how many tasks of a spread job may be in one zone: half of them, rounded up.
 func maxTasksPerZone(j *Job) int { return (j.Tasks + 1) / 2 }
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -9,32 +9,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// SpreadRule is how the services of a class are spread over the zones, as their operators set it.
+// SpreadRule is the operator-defined rule for spreading the services of a class over zones.
 type SpreadRule struct {
-	Even    bool     // the counts of two zones differ by one at most, where there is capacity
-	Survive float64  // the share of the replicas that is to survive the loss of any one zone
-	Zones   []string // the only ones, or none for any
+	Even    bool     // replica counts of any two zones differ by at most one, capacity permitting
+	Survive float64  // fraction of the replicas that must survive the loss of any one zone
+	Zones   []string // the permitted zones; empty permits all
 }
 
 func (r *SpreadRule) permitsZone(zone string) bool {
 	return len(r.Zones) == 0 || slices.Contains(r.Zones, zone)
 }
 
-// maxPerZone is how many replicas of a service may be in one zone, so that enough survive the loss
-// of it: one at least.
+// maxPerZone returns how many replicas of a service may be in one zone so that enough survive the loss
+// of that zone. It is at least one.
 func (r *SpreadRule) maxPerZone(tasks int) int {
 	return max(1, int(math.Floor(float64(tasks)*(1-r.Survive)+epsilon)))
 }
 
-// imbalance measures how bad it is to have so many replicas in a zone: by what would not survive its
-// loss first, then by evenness.
+// imbalance rates a number of replicas in one zone: first by the replicas beyond what the survival rule
+// permits, then by evenness. Lower is better.
 type imbalance struct{ excess, replicas int }
 
 func (i imbalance) compare(other imbalance) int {
 	return cmp.Or(cmp.Compare(i.excess, other.excess), cmp.Compare(i.replicas, other.replicas))
 }
 
-// imbalance returns how bad it is for a job to have so many replicas in one zone.
+// imbalance rates having a number of replicas of a job in one zone.
 func (r *SpreadRule) imbalance(j *Job, replicas int) (i imbalance) {
 	if r.Survive > 0 {
 		i.excess = max(0, replicas-r.maxPerZone(j.Tasks))
@@ -45,8 +45,9 @@
 	return i
 }
 
-// bestFitEvenly picks the machine for a replica of a service with a rule: in the zone that has the
-// fewest of it, where there is capacity; there, one with the image before the emptiest.
+// bestFitEvenly picks the machine for a replica of a service with a spread rule. It picks the zone with
+// capacity that has the fewest replicas, and in that zone a machine that has the image, or else the
+// emptiest machine.
 func (s *search) bestFitEvenly() *Machine {
 	best := make(map[string]candidate) // by zone
 	for _, c := range s.withImage {
@@ -66,19 +67,19 @@
 	return s.bestSpread(best)
 }
 
-// bestSpread picks, of one candidate per zone, the machine that leaves the service most balanced.
+// bestSpread picks the machine that leaves the service most balanced from one candidate per zone.
 func (s *search) bestSpread(byZone map[string]candidate) *Machine {
-	pick := ""
+	bestZone := ""
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		if pick == "" || s.spreadsBetter(byZone[zone].Machine, byZone[pick].Machine) {
-			pick = zone
+		if bestZone == "" || s.spreadsBetter(byZone[zone].Machine, byZone[bestZone].Machine) {
+			bestZone = zone
 		}
 	}
-	return byZone[pick].Machine
+	return byZone[bestZone].Machine
 }
 
-// spreadsBetter reports whether a replica on a leaves its service more balanced than on b; of two
-// as good, the one with the image is better.
+// spreadsBetter reports whether a replica on a leaves its service more balanced than one on b. If both
+// are equal, a machine that has the image is better.
 func (s *search) spreadsBetter(a, b *Machine) bool {
 	after := func(m *Machine) imbalance { return s.job.SpreadRule.imbalance(s.job, s.tasksByZone[m.Zone]+1) }
 	fetches := func(m *Machine) int {
@@ -90,13 +91,13 @@
 	return cmp.Or(after(a).compare(after(b)), cmp.Compare(fetches(a), fetches(b))) < 0
 }
 
-// replica is a task of a service on a machine.
+// replica is a task of a service that runs on a machine.
 type replica struct {
 	machine *Machine
 	index   int // in machine.Tasks
 }
 
-// runningReplicas lists the replicas that run, of each service with a rule.
+// runningReplicas lists the running replicas of each service with a spread rule.
 func (pl *planner) runningReplicas() map[*Job][]replica {
 	running := make(map[*Job][]replica)
 	for _, m := range pl.Machines {
@@ -109,9 +110,10 @@
 	return running
 }
 
-// rebalanceServices repairs services that are not spread as their rules demand: one replica is
-// stopped, and starts where it is missing. It can't run twice, so that it is down meanwhile: one of
-// a service at most, few in all, and none while production waits anywhere.
+// rebalanceServices moves replicas of services that violate their spread rules: a replica is stopped
+// and started in another zone. A replica can't run twice, so it is down during the move. Therefore at
+// most one replica of a service and at most MaxMoves in total are down at once, and none is moved while
+// production jobs wait.
 func (pl *planner) rebalanceServices() {
 	services := pl.servicesWithSpreadRule()
 	if len(services) == 0 || pl.Sharded {
@@ -146,7 +148,7 @@
 	return services
 }
 
-// countDegraded counts the services that have a replica down already.
+// countDegraded counts the services that already have a replica down.
 func countDegraded(services []*Job, running map[*Job][]replica) (degraded int) {
 	for _, j := range services {
 		if len(running[j]) < j.Tasks {
@@ -156,8 +158,8 @@
 	return degraded
 }
 
-// findMove finds a replica of a service to move and the machine to move it to, or nil if that
-// would not make the service more balanced.
+// findMove finds a replica of a service to move and the machine to move it to. The machine is nil if no
+// move would make the service more balanced.
 func (pl *planner) findMove(j *Job, running []replica) (from replica, to *Machine) {
 	s := pl.newSearch(j, j.InZone, "")
 	s.scan()
@@ -179,7 +181,7 @@
 	return from, to
 }
 
-// move plans to stop a replica, and reserves capacity for it elsewhere.
+// planMove adds a stop of a replica to the plan, and reserves capacity for it on another machine.
 func (pl *planner) planMove(j *Job, from replica, to *Machine) {
 	t := &from.machine.Tasks[from.index]
 	t.Stopping = true
--- a/internal/scheduler/starvation.go
+++ b/internal/scheduler/starvation.go
@@ -6,28 +6,29 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The starvation guard. Capacity is reserved for what is to come: for gangs, as headroom, for the
-// first of a team that takes up its limit, beside images that come for production, away from
-// machines on which a job failed. Each of these rules may reserve it for as long as its cause lasts.
-// No job waits for as long as that: what has had no task anywhere for starvationLimit takes capacity
-// that has been idle for as long without a break, whatever it is reserved for. It takes no more than
-// a task, or a whole gang, so that what capacity is reserved for is put off by little.
+// The starvation guard bounds how long a job waits while capacity is idle. Several rules keep capacity
+// from a job: reservations for gangs, headroom, the rest of a team's limit that is kept for an
+// earlier job of the team, machines that fetch an image for production, and machines on which the job
+// failed. Each of them may apply for as long as its cause lasts. To bound the wait, a job that has had
+// no task anywhere for starvationLimit takes capacity that has been idle for as long without a break,
+// whatever it is reserved for. It takes no more than one task or one whole gang needs, so that the work
+// for which the capacity is reserved is delayed only a little.
 const (
-	// starvationLimit is for how long a job is passed over beside idle capacity, at most.
+	// starvationLimit is the longest time that a job waits while capacity for it is idle.
 	starvationLimit = 60 * time.Second
-	// idleCapacityStep is the resolution at which idle capacity is recorded.
+	// idleCapacityStep is the time resolution at which idle capacity is recorded.
 	idleCapacityStep  = 15 * time.Second
 	idleCapacitySteps = int(starvationLimit/idleCapacityStep) + 1
 )
 
-// IdleCapacity records what has been free on a machine recently. The zero value has no record.
+// IdleCapacity records the recent minimum of a machine's free resources. The zero value has no records.
 type IdleCapacity struct {
-	currentStep int64                        // the present one, counted from 1970
-	leastFree   [idleCapacitySteps]Resources // in each step, the present one first
+	currentStep int64                        // index of the current step, counted from the Unix epoch
+	leastFree   [idleCapacitySteps]Resources // minimum of the free resources in each step, the current step first
 }
 
-// Record records what is free now, and returns what has been free throughout starvationLimit. Steps
-// in which nothing was recorded count as without free capacity.
+// Record records the resources that are free now, and returns those that have been free throughout
+// starvationLimit. Steps without a record count as having no free resources.
 func (c *IdleCapacity) Record(now time.Time, free Resources) Resources {
 	step := now.UnixNano() / int64(idleCapacityStep)
 	if passed := step - c.currentStep; passed > 0 {
@@ -46,14 +47,14 @@
 	return idle
 }
 
-// starvationGuard launches starved jobs beside what the plan has launched already.
+// starvationGuard tracks the launches of the plan while starved jobs are admitted in addition.
 type starvationGuard struct {
-	teams             map[string]Team      // their use without what the plan reserves
-	launchedByMachine map[string]Resources // what the plan launches, by machine
-	launchedJobs      map[*Job]bool        // jobs of which the plan launches something
+	teams             map[string]Team      // quota usage without the plan's reservations
+	launchedByMachine map[string]Resources // resources of the plan's launches, by machine
+	launchedJobs      map[*Job]bool        // jobs with at least one launch in the plan
 }
 
-// count counts a launch of the plan.
+// countLaunch adds a launch of the plan to the tracked usage.
 func (g *starvationGuard) countLaunch(l Launch) {
 	need := ResourcesOf(l.Job.Job)
 	g.launchedByMachine[l.Machine] = g.launchedByMachine[l.Machine].AddScaled(need, 1)
@@ -63,8 +64,8 @@
 	g.launchedJobs[l.Job] = true
 }
 
-// admitStarved launches what has waited beside idle capacity for too long, in the order of jobs.
-// Where tiers are set nothing is admitted: capacity that a tier does not lend stays its own.
+// admitStarved launches starved jobs on idle capacity, in queue order. It does nothing where tiers are
+// set, because capacity that a tier does not lend must stay with that tier.
 func (pl *planner) admitStarved(teams map[string]Team) {
 	if pl.Tiers.Configured() {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// admit launches a task of a starved job, or the whole gang, if there is idle capacity for it.
+// admitStarvedJob launches one task of a starved job, or the whole gang, if there is idle capacity for it.
 func (pl *planner) admitStarvedJob(j *Job, guard *starvationGuard) {
 	tasks := 1
 	if j.Shape == wire.Gang {
@@ -113,18 +114,18 @@
 	}
 }
 
-// placeStarved picks machines for so many tasks of a starved job: those that have its image first.
-// Where something is being stopped, the capacity is left to what it is stopped for.
+// placeStarved picks machines for a number of tasks of a starved job, those with its image first. It
+// skips machines with stopping tasks: their capacity belongs to the job for which the tasks are stopped.
 func (pl *planner) placeStarved(j *Job, zone string, tasks int, launched map[string]Resources) (picks []*Machine) {
-	need, tasksByZone, own := ResourcesOf(j.Job), make(map[string]int), make(map[*Machine]int)
+	need, tasksByZone, tasksByMachine := ResourcesOf(j.Job), make(map[string]int), make(map[*Machine]int)
 	for _, withImage := range []bool{true, false} {
 		for _, m := range pl.pool.usable {
 			if m.hasImage(j.Image) != withImage || !m.Usable || m.stopping != (Resources{}) || !allowsOffer(j, pl.pool.offers[m.offerIndex]) || zone != "" && zone != m.Zone {
 				continue
 			}
-			for len(picks) < tasks && zoneAllowed(j, tasksByZone, m.Zone) && m.IdleCapacity.AddScaled(launched[m.ID], -1).AddScaled(need, -float64(own[m])).Fits(need) {
+			for len(picks) < tasks && zoneAllowed(j, tasksByZone, m.Zone) && m.IdleCapacity.AddScaled(launched[m.ID], -1).AddScaled(need, -float64(tasksByMachine[m])).Fits(need) {
 				tasksByZone[m.Zone]++
-				own[m]++
+				tasksByMachine[m]++
 				picks = append(picks, m)
 			}
 			if len(picks) == tasks {
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -8,74 +8,74 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestStarvationGuard: each rule by which capacity is kept from work that could use it, for as long as
-// its cause lasts. What has waited beside it for starvationLimit takes the capacity for a task, or for a
-// whole gang, that has been idle for as long; not a second sooner, and none that has come free since.
+// TestStarvationGuard covers each rule that keeps idle capacity from a job that could use it. A job that
+// has waited for starvationLimit must get capacity for one task, or for its whole gang: not a second
+// sooner, and only capacity that has been idle for as long.
 func TestStarvationGuard(t *testing.T) {
-	type scene struct {
+	type scenario struct {
 		job      *Job
-		pic      *Snapshot
-		reserved []*Machine // with capacity that is kept from it
+		snapshot *Snapshot
+		reserved []*Machine // machines whose capacity is kept from the job
 	}
-	low := func(shape wire.Shape, gpus float64, waiting ...int) *Job {
+	starvingJob := func(shape wire.Shape, gpus float64, waiting ...int) *Job {
 		j := job("wk-9", shape, wire.Normal, gpus, waiting...)
 		j.Tasks, j.Age = len(waiting), 80*time.Second
 		return j
 	}
-	scenes := map[string]func() scene{
-		"headroom": func() scene {
+	scenarios := map[string]func() scenario{
+		"headroom": func() scenario {
 			var jobs []*Job
-			for i := range 6 * 4 { // a class that must start sooner than a machine boots
+			for i := range 6 * 4 { // arrivals of a class that must start in less time than a machine boots
 				urgent := job("s", wire.Service, wire.Production, 1)
 				urgent.Age, urgent.Active = time.Duration(i)*4*time.Second, 4
 				jobs = append(jobs, urgent)
 			}
-			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
-			pic := testSnapshot(append(jobs, j), m)
-			pic.Objectives = []Objective{{StartWithin, "s", 10 * time.Second}}
+			j, m := starvingJob(wire.Array, 1, 0, 1), machine("n-1", "a")
+			snapshot := testSnapshot(append(jobs, j), m)
+			snapshot.Objectives = []Objective{{StartWithin, "s", 10 * time.Second}}
 			j.Zone = "a"
-			for _, spot := range []bool{false, true} { // the cloud has no more in this zone, but in the other
-				pic.Unavailable[Offer{"g4", "a", spot}] = true
+			for _, spot := range []bool{false, true} { // the cloud has machines in the other zone only
+				snapshot.Unavailable[Offer{"g4", "a", spot}] = true
 			}
-			return scene{j, pic, []*Machine{m}}
+			return scenario{j, snapshot, []*Machine{m}}
 		},
-		"an image that comes for production": func() scene {
-			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
+		"an image that comes for production": func() scenario {
+			j, m := starvingJob(wire.Array, 1, 0, 1), machine("n-1", "a")
 			m.AddFetch("other", true)
-			return scene{j, testSnapshot([]*Job{j}, m), []*Machine{m}}
+			return scenario{j, testSnapshot([]*Job{j}, m), []*Machine{m}}
 		},
-		"a machine on which the job failed": func() scene {
-			j, m := low(wire.Array, 1, 0, 1), machine("n-1", "a")
+		"a machine on which the job failed": func() scenario {
+			j, m := starvingJob(wire.Array, 1, 0, 1), machine("n-1", "a")
 			j.AvoidMachines = map[string]bool{"n-1": true}
-			return scene{j, withoutCapacity(testSnapshot([]*Job{j}, m)), []*Machine{m}}
+			return scenario{j, withoutCapacity(testSnapshot([]*Job{j}, m)), []*Machine{m}}
 		},
-		"a gang that reserves": func() scene {
-			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), low(wire.Array, 1, 0, 1)
+		"a gang that reserves": func() scenario {
+			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), starvingJob(wire.Array, 1, 0, 1)
 			big.Tasks, big.OneZone, big.Age = 2, true, 2*time.Minute
 			long := job("wk-2", wire.Array, wire.Normal, 4)
 			long.EstimateS = 3600
 			m := machine("n-1", "a")
-			pic := withoutCapacity(testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute})))
-			pic.MaxGangWait = 4 * time.Minute
-			return scene{j, pic, []*Machine{m}}
+			snapshot := withoutCapacity(testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute})))
+			snapshot.MaxGangWait = 4 * time.Minute
+			return scenario{j, snapshot, []*Machine{m}}
 		},
-		"the limit of a team, for a larger job": func() scene {
-			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), low(wire.Array, 1, 0, 1)
+		"the limit of a team, for a larger job": func() scenario {
+			big, j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1), starvingJob(wire.Array, 1, 0, 1)
 			big.Tasks, big.Age = 2, 2*time.Minute
 			long := job("wk-2", wire.Array, wire.Normal, 4)
 			long.EstimateS = 3600
 			m := machine("n-1", "a")
-			pic := testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute}), machine("n-3", "a"))
-			pic.MaxGangWait, pic.Teams["red"] = 4*time.Minute, &Team{LimitGPUs: 8, UsedGPUs: 4}
-			return scene{j, pic, []*Machine{m}}
+			snapshot := testSnapshot([]*Job{big, long, j}, m, machine("n-2", "a", Task{Job: long, RunTime: time.Minute}), machine("n-3", "a"))
+			snapshot.MaxGangWait, snapshot.Teams["red"] = 4*time.Minute, &Team{LimitGPUs: 8, UsedGPUs: 4}
+			return scenario{j, snapshot, []*Machine{m}}
 		},
-		"capacity for a gang": func() scene {
-			j, a, b := low(wire.Gang, 4, 0, 1), machine("n-1", "a"), machine("n-2", "b")
+		"capacity for a gang": func() scenario {
+			j, a, b := starvingJob(wire.Gang, 4, 0, 1), machine("n-1", "a"), machine("n-2", "b")
 			a.AddFetch("other", true)
-			return scene{j, testSnapshot([]*Job{j}, a, b), []*Machine{a, b}}
+			return scenario{j, testSnapshot([]*Job{j}, a, b), []*Machine{a, b}}
 		},
 	}
-	for name, make := range scenes {
+	for name, make := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			launched := func(starvedFor time.Duration, idle bool) (on []string) {
 				s := make()
@@ -84,7 +84,7 @@
 						m.IdleCapacity = m.Free
 					}
 				}
-				for _, l := range Schedule(s.pic).Launches {
+				for _, l := range Schedule(s.snapshot).Launches {
 					if l.Job == s.job {
 						on = append(on, l.Machine)
 					}
@@ -92,56 +92,57 @@
 				return on
 			}
 			want := make()
-			n := 1
+			wantTasks := 1
 			if want.job.Shape == wire.Gang {
-				n = len(want.job.Waiting)
+				wantTasks = len(want.job.Waiting)
 			}
 			if on := launched(starvationLimit-time.Second, true); len(on) > 0 {
-				t.Errorf("nothing is kept from it: it is on %v at once", on)
+				t.Errorf("launched on %v before starvationLimit has passed", on)
 			}
 			if on := launched(starvationLimit, false); len(on) > 0 {
-				t.Errorf("it takes capacity that has come free just now, on %v", on)
+				t.Errorf("launched on %v, on capacity that has only just become free", on)
 			}
-			if on := launched(starvationLimit, true); len(on) != n || slices.ContainsFunc(on, func(id string) bool {
+			if on := launched(starvationLimit, true); len(on) != wantTasks || slices.ContainsFunc(on, func(id string) bool {
 				return !slices.ContainsFunc(want.reserved, func(m *Machine) bool { return m.ID == id })
 			}) {
-				t.Errorf("%d tasks are admitted, on %v", len(on), on)
+				t.Errorf("%d tasks admitted, on %v", len(on), on)
 			}
 		})
 	}
 }
 
-func withoutCapacity(p *Snapshot) *Snapshot {
+// withoutCapacity marks all offers as unavailable.
+func withoutCapacity(snapshot *Snapshot) *Snapshot {
 	for _, zone := range g4.Zones {
-		p.Unavailable[Offer{"g4", zone, false}], p.Unavailable[Offer{"g4", zone, true}] = true, true
+		snapshot.Unavailable[Offer{"g4", zone, false}], snapshot.Unavailable[Offer{"g4", zone, true}] = true, true
 	}
-	return p
+	return snapshot
 }
 
-// TestIdleCapacity: capacity is idle from when it was last used, and nothing counts as idle in times that
-// were not recorded.
+// TestIdleCapacity checks that capacity counts as idle from the time when it was last used, and that
+// times without a record do not count as idle.
 func TestIdleCapacity(t *testing.T) {
 	one, two := Resources{4, 1, 16}, Resources{8, 2, 32}
-	var s IdleCapacity
-	now, free := time.Unix(0, 0), time.Duration(-1)
-	note := func(d time.Duration, a Resources) Resources {
-		var out Resources
+	var idle IdleCapacity
+	now, firstIdle := time.Unix(0, 0), time.Duration(-1)
+	recordFor := func(d time.Duration, free Resources) Resources {
+		var recorded Resources
 		for range d / time.Second {
 			now = now.Add(time.Second)
-			if out = s.Record(now, a); free < 0 && out.Fits(one) {
-				free = now.Sub(time.Unix(0, 0))
+			if recorded = idle.Record(now, free); firstIdle < 0 && recorded.Fits(one) {
+				firstIdle = now.Sub(time.Unix(0, 0))
 			}
 		}
-		return out
+		return recorded
 	}
-	note(10*time.Second, Resources{})
-	note(time.Second, two) // and it is used again
-	note(20*time.Second, one)
-	if got := note(2*time.Minute, two); !got.Fits(two) || free-11*time.Second < starvationLimit || free-11*time.Second > starvationLimit+idleCapacityStep {
-		t.Errorf("%v is free, the first of it after %v", got, free)
+	recordFor(10*time.Second, Resources{})
+	recordFor(time.Second, two) // free for a moment, then used again
+	recordFor(20*time.Second, one)
+	if got := recordFor(2*time.Minute, two); !got.Fits(two) || firstIdle-11*time.Second < starvationLimit || firstIdle-11*time.Second > starvationLimit+idleCapacityStep {
+		t.Errorf("%v is idle; the first part of it was reported after %v", got, firstIdle)
 	}
 	now = now.Add(2 * idleCapacityStep)
-	if got := s.Record(now, two); got.Fits(one) {
-		t.Errorf("%v counts though nobody looked", got)
+	if got := idle.Record(now, two); got.Fits(one) {
+		t.Errorf("%v counts as idle although the last steps have no records", got)
 	}
 }
--- a/internal/scheduler/tier_reclaim.go
+++ b/internal/scheduler/tier_reclaim.go
@@ -7,7 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// endsBeforeReclaim reports whether a task ends by itself before a reclaim for a job is due.
+// endsBeforeReclaim reports whether a task is expected to complete by itself before a reclaim for a
+// job is due.
 func (pl *planner) endsBeforeReclaim(j *Job, t Task) bool {
 	if pl.tiering == nil || t.Job.Shape != wire.Array || t.RunTime == 0 {
 		return false
@@ -15,15 +16,15 @@
 	return tier.EndsInTime(t.Job.Estimate()-t.RunTime, wire.Seconds(t.Job.SaveS), pl.Tiers.Tiers[j.tier].ReclaimWithin)
 }
 
-// mayTakeFromTier reports whether a task of a machine may be stopped for a job beside others that
-// were picked there: what its tier is guaranteed is left to it.
+// mayTakeFromTier reports whether a task of a machine may be stopped for a job in addition to the tasks
+// picked so far. The guaranteed share of the victim's tier is never reclaimed.
 func (pl *planner) mayTakeFromTier(j *Job, m *Machine, picked []int, task int) bool {
 	victim := m.Tasks[task].Job
 	if pl.tiering == nil || victim.tier == j.tier {
 		return true
 	}
 	stopped := pl.plannedStops()
-	all, here := stopGPUs(victim), victim.GPUs // that the tier would lose, in all and in the machine's zone
+	all, here := stopGPUs(victim), victim.GPUs // GPUs that the tier would lose, in total and in the machine's zone
 	for _, i := range picked {
 		if other := m.Tasks[i].Job; other.tier == victim.tier {
 			all += stopGPUs(other)
@@ -35,8 +36,8 @@
 	return tier.CanSpare(pl.tiering.shares[victim.tier], pl.tiering.usage, victim.tier, m.Zone, all, here)
 }
 
-// plannedStops counts what the plan's stops free. It is called before each stop, so that a try that
-// was undone shows by their number.
+// plannedStops returns the GPUs that the plan's stops free, by tier. The result is cached. It is called
+// before each stop, so that a change in the number of stops reveals a rolled-back attempt.
 func (pl *planner) plannedStops() *tier.Usage {
 	t := pl.tiering
 	if t.stopped == nil || t.countedStops != len(pl.plan.Stops) {
@@ -49,7 +50,7 @@
 	return t.stopped
 }
 
-// stopGPUs is how many GPUs are freed with a task of a job: a gang is stopped as a whole.
+// stopGPUs returns the number of GPUs that stopping a task of a job frees. A gang is stopped as a whole.
 func stopGPUs(j *Job) float64 {
 	if j.Shape == wire.Gang {
 		return j.GPUs * float64(max(1, j.Active))
@@ -57,8 +58,8 @@
 	return j.GPUs
 }
 
-// planReclaims turns the plan's stops into reclaims, by the job for which they are and by machine.
-// The tasks are stopped once the reclaims are stored.
+// planReclaims turns the plan's stops into reclaims, grouped by beneficiary and machine. The tasks are
+// stopped once the reclaims are stored.
 func (pl *planner) planReclaims() {
 	if pl.tiering == nil {
 		return
@@ -69,17 +70,17 @@
 	}
 	for i := range pl.plan.Reclaims {
 		r := &pl.plan.Reclaims[i]
-		var frees Resources
+		var freed Resources
 		for _, s := range r.Stops {
-			frees = frees.AddScaled(ResourcesOf(s.Job.Job), 1)
+			freed = freed.AddScaled(ResourcesOf(s.Job.Job), 1)
 		}
 		job := r.Stops[0].Beneficiary
-		r.Tasks = max(1, min(frees.Slots(ResourcesOf(job.Job)), len(job.Waiting)))
+		r.Tasks = max(1, min(freed.Slots(ResourcesOf(job.Job)), len(job.Waiting)))
 	}
 	pl.plan.Stops = nil
 }
 
-// reclaimFor returns the plan's reclaim that a stop belongs to, a new one where there is none yet.
+// reclaimFor returns the plan's reclaim to which a stop belongs, and adds a new one if there is none.
 func (pl *planner) reclaimFor(s Stop) *PlannedReclaim {
 	job := s.Beneficiary
 	i := slices.IndexFunc(pl.plan.Reclaims, func(r PlannedReclaim) bool { return r.Job == job.ID && r.Machine == s.Machine })
--- a/internal/scheduler/tier_shares.go
+++ b/internal/scheduler/tier_shares.go
@@ -10,31 +10,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tiering is what a plan goes by where operators have set tiers: work within its tier's share goes
-// before all that exceeds one, the first tier before everything.
+// tiering is the planner's state where operators have set tiers. Work within its tier's share goes
+// before all work that exceeds a share, and the first tier goes before everything else.
 type tiering struct {
 	shares       []tier.Guarantee   // by tier
-	usage        *tier.Usage        // of GPUs, with what the plan has placed
-	reclaims     []withheldCapacity // what is being reclaimed for some job
-	unlentShares []withheldCapacity // free capacity of shares that are not lent to the tier at hand
+	usage        *tier.Usage        // GPU usage, including what the plan has placed
+	reclaims     []withheldCapacity // capacity that is being reclaimed for a job
+	unlentShares []withheldCapacity // free capacity of shares that are not lent to the current job's tier
 
-	currentJob     *Job    // the job that is being placed
-	teamGPUsBefore float64 // what its team used before it
+	currentJob     *Job    // the job being placed
+	teamGPUsBefore float64 // GPU usage of the job's team before the job was placed
 
-	stopped       *tier.Usage       // what the plan's stops free
-	countedStops  int               // how many stops that counts
-	zoneByMachine map[string]string // of usable machines
+	stopped       *tier.Usage       // GPUs that the plan's stops free, see plannedStops
+	countedStops  int               // number of stops included in stopped
+	zoneByMachine map[string]string // zones of the usable machines, by machine ID
 }
 
-// withheldCapacity is capacity of a machine that is kept from some jobs.
+// withheldCapacity is capacity of a machine that is withheld from some jobs.
 type withheldCapacity struct {
 	Reclaim
 	machine *Machine
 	amount  Resources
-	active  bool // it is withheld now
+	active  bool // the capacity is withheld now
 }
 
-// setActive withholds the capacity, or gives it back.
+// setActive withholds the capacity from the machine's free resources, or restores it.
 func (w *withheldCapacity) setActive(active bool) {
 	if active == w.active {
 		return
@@ -48,8 +48,8 @@
 	w.machine.usedByPlan = true
 }
 
-// buildQueue returns the jobs in the order in which they are placed. A job of a tier that has some of
-// its share left is in it twice: for what the share has capacity for, and for the rest.
+// buildQueue returns the jobs in the order in which they are placed. A job of a tier with an unused part
+// of its share appears twice: for the tasks that fit into the share, and for the remaining tasks.
 func (pl *planner) buildQueue() []*Job {
 	if !pl.Tiers.Configured() {
 		return pl.Jobs
@@ -71,7 +71,7 @@
 	return queue
 }
 
-// jobsWithinShare lists the jobs of a tier for what its share has capacity for. All of the first tier
+// jobsWithinShare lists the jobs of a tier as far as they fit into its share. All work of the first tier
 // counts as within its share.
 func (pl *planner) jobsWithinShare(i int) (jobs []*Job) {
 	if i > 0 && tier.Unused(pl.tiering.shares[i], pl.tiering.usage, i, "") <= 0 {
@@ -92,18 +92,18 @@
 	return jobs
 }
 
-// countTierUse counts the GPUs that there are, and those that tiers use. What is being stopped no
-// longer counts.
+// countTierUse counts the GPUs of the fleet and the GPUs that each tier uses. Stopping tasks do not
+// count as usage.
 func (pl *planner) countTierUse() {
 	t := &tiering{usage: pl.Tiers.NewUsage(), zoneByMachine: make(map[string]string)}
 	pl.tiering = t
-	gpus, free := make(map[string]float64), 0.0 // gpus by zone
+	gpusByZone, free := make(map[string]float64), 0.0
 	for _, m := range pl.Machines {
 		if !m.Usable && len(m.Tasks) == 0 {
 			continue
 		}
 		if typ := pl.pool.typeOf(m); typ != nil {
-			gpus[m.Zone] += typ.GPUs
+			gpusByZone[m.Zone] += typ.GPUs
 		}
 		if m.Usable {
 			free += max(0, m.Free.GPUs)
@@ -115,12 +115,13 @@
 			}
 		}
 	}
-	t.shares = pl.Tiers.Guarantees(gpus)
+	t.shares = pl.Tiers.Guarantees(gpusByZone)
 	pl.reportTiers(free)
 	pl.loadReclaims()
 }
 
-// reportTiers reports what each tier uses, how much of its share others use, and what waits.
+// reportTiers reports for each tier its usage, how much of its share is lent to others, and the number
+// of waiting tasks.
 func (pl *planner) reportTiers(freeGPUs float64) {
 	t := pl.tiering
 	pl.plan.Tiers = make([]tier.Status, len(t.shares))
@@ -133,7 +134,7 @@
 	}
 }
 
-// loadReclaims finds the capacity that is being reclaimed.
+// loadReclaims looks up the machines and the capacity of the reclaims in progress.
 func (pl *planner) loadReclaims() {
 	machines := make(map[string]*Machine, len(pl.pool.usable))
 	for _, m := range pl.pool.usable {
@@ -151,8 +152,8 @@
 	}
 }
 
-// beginJob begins with a job, or, unless whole, with a first task of it: it sets what is withheld
-// from it, and for how much of it its tier's share has capacity.
+// beginJob prepares for placing a job, or only its first task if whole is false. It sets which capacity
+// is withheld from the job, and limits the job to the tasks that fit into its tier's share.
 func (pl *planner) beginJob(j *Job, whole bool) {
 	t := pl.tiering
 	if t == nil {
@@ -179,18 +180,19 @@
 	}
 }
 
-// countWithinShare returns for how many waiting tasks of a job its tier's share has capacity; all or none of
+// countWithinShare returns how many waiting tasks of a job fit into its tier's share; all or none for
 // a gang.
 func (t *tiering) countWithinShare(j *Job) int {
-	left := tier.Unused(t.shares[j.tier], t.usage, j.tier, j.Zone)
-	n := min(int((left+epsilon)/j.GPUs), len(j.Waiting))
+	unused := tier.Unused(t.shares[j.tier], t.usage, j.tier, j.Zone)
+	n := min(int((unused+epsilon)/j.GPUs), len(j.Waiting))
 	if j.Shape == wire.Gang && n < len(j.Waiting) {
 		return 0
 	}
 	return n
 }
 
-// chargeCurrentJob counts what the last job has got, by what its team has used since.
+// chargeCurrentJob adds the GPUs that the current job has been given to its tier's usage. They are the
+// increase in its team's usage.
 func (pl *planner) chargeCurrentJob() {
 	t := pl.tiering
 	if t.currentJob == nil {
@@ -202,7 +204,7 @@
 	}
 }
 
-// withholdUnlentShares withholds what tiers have free of their shares and don't lend to a tier.
+// withholdUnlentShares withholds the unused shares of the tiers that don't lend to the given tier.
 func (pl *planner) withholdUnlentShares(to int) {
 	t := pl.tiering
 	for i := range t.unlentShares {
@@ -223,7 +225,7 @@
 	}
 }
 
-// withholdGPUs withholds so many free GPUs of a zone, or of any, on the emptiest machines.
+// withholdGPUs withholds n free GPUs on the emptiest machines of a zone, or of any zone if zone is empty.
 func (pl *planner) withholdGPUs(n float64, zone string) {
 	if n <= 0 {
 		return
--- a/internal/scheduler/turnover.go
+++ b/internal/scheduler/turnover.go
@@ -6,25 +6,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// In a large fleet tasks end all the time, and what ends before a rented machine would be up frees
-// capacity sooner and for nothing. Work without an objective that it would miss waits for that
-// capacity rather than have more machines rented.
+// In a large fleet tasks end all the time, and those that end before a rented machine would be ready
+// free capacity sooner and at no cost. Work that would not miss an objective waits for that capacity,
+// so that fewer machines are rented.
 const (
-	// turnoverStep and turnoverSteps set how finely and for how long ahead freed capacity is
-	// counted, from the owners' estimates.
+	// turnoverStep and turnoverSteps are the time resolution and the number of steps of the forecast
+	// of freed capacity, which is based on the run time estimates of the jobs' owners.
 	turnoverStep  = 10 * time.Second
 	turnoverSteps = 12
-	// turnoverShare is the part of it that counts. Estimates are often wrong, which mostly evens
-	// out over many tasks; the rest is for that and for what does not divide.
+	// turnoverShare is the fraction of the freed capacity that is counted. Estimates are often wrong,
+	// which mostly evens out over many tasks; the remainder allows for that and for fragmentation.
 	turnoverShare = 0.6
-	// turnoverMargin is how long before its slack ends a job must get its capacity.
+	// turnoverMargin is how long before the end of its slack a job must get its capacity.
 	turnoverMargin = 30 * time.Second
 )
 
-// turnover is the capacity that tasks free when they end, by offer and step.
+// turnover is the capacity that tasks are expected to free when they end, by offer index and time step.
 type turnover [][turnoverSteps]Resources
 
-// countTurnover counts what the tasks of arrays will free. The capacity of a gang is the next gang's.
+// countTurnover counts the capacity that tasks of arrays will free. The capacity that a gang frees is
+// left to the next gang.
 func (pl *planner) countTurnover() {
 	for _, m := range pl.pool.usable {
 		for _, t := range m.Tasks {
@@ -32,25 +33,26 @@
 				continue
 			}
 			estimate := t.Job.Estimate()
-			after := max(estimate-t.RunTime, estimate/4) // one that runs for longer than estimated may go on
+			after := max(estimate-t.RunTime, estimate/4) // a task that has exceeded its estimate may run on
 			pl.turnover.add(m.offerIndex, after, ResourcesOf(t.Job.Job), turnoverShare)
 		}
 	}
 }
 
-// add counts a share of resources that come free after a time.
+// add counts a fraction of resources that become free after a duration.
 func (t *turnover) add(offer int, after time.Duration, r Resources, share float64) {
 	for len(*t) <= offer {
 		*t = append(*t, [turnoverSteps]Resources{})
 	}
 	if step := int(after / turnoverStep); step < turnoverSteps {
-		at := &(*t)[offer][step]
-		*at = at.AddScaled(r, share)
+		freed := &(*t)[offer][step]
+		*freed = freed.AddScaled(r, share)
 	}
 }
 
-// take uses up so much of what an offer frees within a number of steps, if it is enough, and returns
-// the step in which it is.
+// consume deducts need from the capacity that an offer frees within a number of steps, and returns the
+// step in which the accumulated capacity suffices. If it does not suffice, nothing is deducted and ok is
+// false.
 func (t turnover) consume(offer int, need Resources, steps int) (step int, ok bool) {
 	var sum Resources
 	for i := range steps {
@@ -58,7 +60,7 @@
 		if !sum.Fits(need) {
 			continue
 		}
-		// All up to here is used up but for the rest of the last step.
+		// All steps up to this one are used up, except for the remainder, which stays in this step.
 		clear(t[offer][:i])
 		t[offer][i] = sum.AddScaled(need, -1)
 		return i, true
@@ -66,8 +68,9 @@
 	return 0, false
 }
 
-// takeTurnover takes capacity for a task that comes free in time, if there is any: before a
-// machine would boot, or at the latest when the job must start to meet its objective.
+// takeTurnover claims capacity for a task that will become free in time, and reports whether there was
+// any. In time means before a rented machine would have booted or before the job must start to meet its
+// objective, whichever is later.
 func (s *search) takeTurnover() bool {
 	pl, j := s.planner, s.job
 	if j.Shape != wire.Array || j.Priority == wire.Production {
@@ -75,7 +78,7 @@
 	}
 	boot := pl.bootTime(j)
 	if j.Age > 2*boot {
-		return false // what it was to wait for went to others, or its work was stopped
+		return false // the capacity it waited for went to other jobs, or its tasks were stopped
 	}
 	steps := min(turnoverSteps, int(max(boot, j.timeLeft-turnoverMargin)/turnoverStep))
 	for o := range pl.turnover {
@@ -83,7 +86,7 @@
 			continue
 		}
 		if step, ok := pl.turnover.consume(o, s.need, steps); ok {
-			pl.turnover.add(o, time.Duration(step)*turnoverStep+j.Estimate(), s.need, 1) // and is free again after
+			pl.turnover.add(o, time.Duration(step)*turnoverStep+j.Estimate(), s.need, 1) // free again once this task has ended
 			return true
 		}
 	}
--- a/internal/scheduler/valuation.go
+++ b/internal/scheduler/valuation.go
@@ -8,106 +8,107 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// valuation measures what capacity is worth to the work at hand. Counting each class by itself
-// shows what placing a task spoils: memory gone from beside idle GPUs, or a small machine that
-// only small work can use.
+// valuation estimates the worth of free capacity to the current jobs. It counts each class separately,
+// so that the loss caused by placing a task shows: for example, memory taken from a machine with idle
+// GPUs, which then can't be used, or a small machine that only small tasks can use.
 type valuation []classProfile
 
-// classProfile is what the tasks of a class need on average, how many there are, and what one is
-// worth: its share of the cheapest machine.
+// classProfile describes a class of jobs: the average need of its tasks, their number, and the worth of
+// one task, which is the price of its share of the cheapest machine.
 type classProfile struct {
-	representative *Job // one of the class, for what it may use
+	representative *Job // first job of the class; determines which machine types the class may use
 	averageNeed    Resources
 	tasks          float64
 	worth          float64
 }
 
-// newValuation profiles all classes of jobs that fit some type of machine.
+// newValuation profiles all classes of jobs whose tasks fit on some machine type.
 func newValuation(jobs []*Job, types []wire.MachineType) (v valuation) {
 	byClass := make(map[string]*classProfile)
 	for _, j := range jobs {
-		k := byClass[j.Class]
-		if k == nil {
-			k = &classProfile{representative: j}
-			byClass[j.Class] = k
+		profile := byClass[j.Class]
+		if profile == nil {
+			profile = &classProfile{representative: j}
+			byClass[j.Class] = profile
 		}
-		n := float64(len(j.Waiting) + j.Active)
-		k.averageNeed = k.averageNeed.AddScaled(ResourcesOf(j.Job), n)
-		k.tasks += n
+		tasks := float64(len(j.Waiting) + j.Active)
+		profile.averageNeed = profile.averageNeed.AddScaled(ResourcesOf(j.Job), tasks)
+		profile.tasks += tasks
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
-		k := byClass[class]
-		if k.tasks == 0 {
+		profile := byClass[class]
+		if profile.tasks == 0 {
 			continue
 		}
-		k.averageNeed = k.averageNeed.Scaled(1 / k.tasks)
-		k.worth = cheapestOnDemandSharePrice(k.averageNeed, types)
-		if !math.IsInf(k.worth, 1) {
-			v = append(v, *k)
+		profile.averageNeed = profile.averageNeed.Scaled(1 / profile.tasks)
+		profile.worth = cheapestOnDemandSharePrice(profile.averageNeed, types)
+		if !math.IsInf(profile.worth, 1) {
+			v = append(v, *profile)
 		}
 	}
 	return v
 }
 
-// cheapestOnDemandSharePrice returns the least price of a task's share of an on-demand machine.
+// cheapestOnDemandSharePrice returns the lowest price of a task's share of an on-demand machine; it is
+// infinite if the task fits on no type.
 func cheapestOnDemandSharePrice(need Resources, types []wire.MachineType) float64 {
-	least := math.Inf(1)
+	cheapest := math.Inf(1)
 	for i := range types {
-		if n := capacityOf(&types[i]).Slots(need); n > 0 {
-			least = min(least, types[i].Price/float64(n))
+		if slots := capacityOf(&types[i]).Slots(need); slots > 0 {
+			cheapest = min(cheapest, types[i].Price/float64(slots))
 		}
 	}
-	return least
+	return cheapest
 }
 
-// of returns what free capacity of a machine is worth.
+// worthOf returns the worth of a machine's free capacity.
 func (v valuation) worthOf(free Resources) float64 {
 	sum := 0.0
-	for _, k := range v {
-		sum += k.tasks * k.worth * float64(max(0, free.Slots(k.averageNeed)))
+	for _, profile := range v {
+		sum += profile.tasks * profile.worth * float64(max(0, free.Slots(profile.averageNeed)))
 	}
 	return sum
 }
 
-// lost returns what placing a task takes from the worth of a machine's free capacity.
+// lost returns by how much placing a task reduces the worth of a machine's free capacity.
 func (v valuation) lost(m *Machine, need Resources) float64 {
 	return v.worthOf(m.Free) - v.worthOf(m.Free.AddScaled(need, -1))
 }
 
-// opportunityCostShare is the part of another class's loss that counts: how much the cloud has of
-// a type is not known before it has run out, and then it is too late, since services never leave
-// the machines that they begin on.
+// opportunityCostShare is the fraction of another class's loss that counts. How many machines of a type
+// the cloud has is not known until it runs out, and then it is too late, since services never leave the
+// machines that they start on.
 const opportunityCostShare = 0.5
 
-// opportunityCost returns what another class of jobs would lose, at most, by having to take the
-// next best type if there were one machine less of type t.
+// opportunityCost returns the largest loss of any other class of jobs if one machine of type t were
+// missing and the class had to use its next cheapest type.
 func (v valuation) opportunityCost(j *Job, t *wire.MachineType, spot bool, types []wire.MachineType) float64 {
-	most := 0.0
+	highest := 0.0
 	for i := range v {
-		k := &v[i]
-		if k.representative.Class == j.Class || spot != k.representative.Spot {
+		profile := &v[i]
+		if profile.representative.Class == j.Class || spot != profile.representative.Spot {
 			continue
 		}
-		own, other := k.sharePrices(t, types)
+		own, other := profile.sharePrices(t, types)
 		if own < other && !math.IsInf(other, 1) {
-			slots := float64(capacityOf(t).Slots(k.averageNeed))
-			most = max(most, opportunityCostShare*(other-own)*slots)
+			slots := float64(capacityOf(t).Slots(profile.averageNeed))
+			highest = max(highest, opportunityCostShare*(other-own)*slots)
 		}
 	}
-	return most
+	return highest
 }
 
-// sharePrices returns the price of a task's share of a machine of type t, and of the cheapest other
-// type that the class may use; infinite where it may use none.
-func (k *classProfile) sharePrices(t *wire.MachineType, types []wire.MachineType) (own, other float64) {
+// sharePrices returns the price of a task's share of a machine of type t, and of the cheapest other type
+// that the class may use. A price is infinite if the class may not use such a type.
+func (p *classProfile) sharePrices(t *wire.MachineType, types []wire.MachineType) (own, other float64) {
 	own, other = math.Inf(1), math.Inf(1)
 	for i := range types {
-		u := &types[i]
-		if len(k.representative.Types) > 0 && !slices.Contains(k.representative.Types, u.Name) {
+		machineType := &types[i]
+		if len(p.representative.Types) > 0 && !slices.Contains(p.representative.Types, machineType.Name) {
 			continue
 		}
-		share := priceOf(u, k.representative.Spot) / float64(capacityOf(u).Slots(k.averageNeed))
-		if u.Name == t.Name {
+		share := priceOf(machineType, p.representative.Spot) / float64(capacityOf(machineType).Slots(p.averageNeed))
+		if machineType.Name == t.Name {
 			own = share
 		} else {
 			other = min(other, share)
--- a/internal/scheduler/valuation_test.go
+++ b/internal/scheduler/valuation_test.go
@@ -6,25 +6,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestValuation: a small task beside idle GPUs spoils more of their worth than on a machine without,
-// and a type that another class needs costs what that class would lose.
+// TestValuation checks that a small task on a machine with idle GPUs costs more worth than on a machine
+// without GPUs, and that a machine type needed by another class has that class's loss as opportunity cost.
 func TestValuation(t *testing.T) {
 	large, small := job("wk-1", wire.Array, wire.Normal, 4, 0, 1), job("wk-2", wire.Array, wire.Normal, 0, 0, 1)
 	large.CPUs, large.MemoryGB = 16, 64
 	small.CPUs = 4
-	gpus := wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4}
-	dear := wire.MachineType{Name: "g4-large", CPUs: 32, GPUs: 4, MemoryGB: 64, Price: 10}
-	plain := wire.MachineType{Name: "c16", CPUs: 16, MemoryGB: 64, Price: 1}
-	types := []wire.MachineType{gpus, dear, plain}
+	gpuType := wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4}
+	expensiveType := wire.MachineType{Name: "g4-large", CPUs: 32, GPUs: 4, MemoryGB: 64, Price: 10}
+	cpuType := wire.MachineType{Name: "c16", CPUs: 16, MemoryGB: 64, Price: 1}
+	types := []wire.MachineType{gpuType, expensiveType, cpuType}
 	v := newValuation([]*Job{large, small}, types)
-	beside, apart := &Machine{Free: capacityOf(&gpus)}, &Machine{Free: capacityOf(&plain)}
-	if on, off := v.lost(beside, ResourcesOf(small.Job)), v.lost(apart, ResourcesOf(small.Job)); on <= off {
-		t.Errorf("beside GPUs %v is lost, apart %v", on, off)
+	gpuMachine, cpuMachine := &Machine{Free: capacityOf(&gpuType)}, &Machine{Free: capacityOf(&cpuType)}
+	if onGPUs, onCPUs := v.lost(gpuMachine, ResourcesOf(small.Job)), v.lost(cpuMachine, ResourcesOf(small.Job)); onGPUs <= onCPUs {
+		t.Errorf("lost worth %v on the GPU machine, %v on the CPU machine; want more on the GPU machine", onGPUs, onCPUs)
 	}
-	if cost := v.opportunityCost(small, &gpus, false, types); cost != opportunityCostShare*(10-4) {
-		t.Errorf("a machine with GPUs costs others %v", cost)
+	if cost := v.opportunityCost(small, &gpuType, false, types); cost != opportunityCostShare*(10-4) {
+		t.Errorf("opportunity cost of a GPU machine: got %v", cost)
 	}
-	if cost := v.opportunityCost(small, &plain, false, types); cost != 0 {
-		t.Errorf("a machine without costs others %v", cost)
+	if cost := v.opportunityCost(small, &cpuType, false, types); cost != 0 {
+		t.Errorf("opportunity cost of a CPU machine: got %v, want 0", cost)
 	}
 }
