--- a/internal/leader/commit/builder_test.go
+++ b/internal/leader/commit/builder_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// liveJobs returns so many jobs, each in a batch of its own.
+// liveJobs returns n live jobs, each in a batch of its own.
 func liveJobs(t *testing.T, n int) (out []*store.LiveJob) {
 	t.Helper()
 	view := store.NewView(slog.New(slog.DiscardHandler))
@@ -29,8 +29,8 @@
 	return out
 }
 
-// TestBuilderLimits: a round takes in no more conditions and changes than it may have, and a batch
-// counts once however many of its jobs are in the round.
+// TestBuilderLimits checks that a round stays within its limits of conditions and changes, and that a batch counts only
+// once, however often the round uses it.
 func TestBuilderLimits(t *testing.T) {
 	jobs := liveJobs(t, 4)
 	b := NewBuilder(Limits{Changes: 3, Conditions: 2})
@@ -41,40 +41,40 @@
 		t.Errorf("guards %d batches", b.Guarded())
 	}
 	if b.Guard(jobs[2]) || b.Update(jobs[2]) != nil {
-		t.Error("guards a third one")
+		t.Error("a third batch is guarded beyond the limit of conditions")
 	}
 	if b.Update(jobs[1]) == nil || b.ChangesLeft() != 1 {
 		t.Errorf("%d changes left", b.ChangesLeft())
 	}
 	if b = NewBuilder(Limits{Changes: 1, Conditions: 2}); b.Update(jobs[3]) != nil {
-		t.Error("the only change that is left is the ledger's")
+		t.Error("a batch takes the last change, which is reserved for the ledger")
 	}
 	if len(b.Txn.If) != 0 {
 		t.Errorf("conditional on %v", b.Txn.If)
 	}
 }
 
-// TestBuilderLedger: entries are taken in while bytes are left, and a sealed round writes its
-// batches first.
+// TestBuilderLedger checks that entries are added only while bytes are left, and that a sealed round writes its batches
+// before the ledger.
 func TestBuilderLedger(t *testing.T) {
 	ledger, _ := store.NewLedger("fleet", 4096, nil)
 	jobs := liveJobs(t, 1)
 	b := NewBuilder(Limits{Changes: 4, Conditions: 4})
 	if !b.Empty() {
-		t.Error("a new round changes something")
+		t.Error("a new builder is not empty")
 	}
 	b.Update(jobs[0]).EndJob("wk-0", wire.Done, time.UnixMilli(1))
 	var size SizeBackoff
 	b.OpenLedger(ledger, 1, 4096, &size)
-	room := 0
-	for b.Fits(room + 1) {
-		room++
+	freeBytes := 0
+	for b.Fits(freeBytes + 1) {
+		freeBytes++
 	}
-	if b.Reserve(room+1) || !b.Reserve(room-10) || b.Fits(11) || !b.Fits(10) {
-		t.Errorf("of %d bytes that are free, not so many are reserved", room)
+	if b.Reserve(freeBytes+1) || !b.Reserve(freeBytes-10) || b.Fits(11) || !b.Fits(10) {
+		t.Errorf("reservations do not match the %d free bytes", freeBytes)
 	}
 	if b.Add(store.DropMachine("a-machine-with-a-long-name")) {
-		t.Error("an entry is added without capacity for it")
+		t.Error("an entry is added that does not fit")
 	}
 	b.AddReserved(store.DropMachine("n-1"))
 	if left := b.Pack(ledger, store.SegmentRecord{FencingToken: 1, Round: 1}); left != 0 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestSizeBackoff: rounds that don't fit become smaller, down to a bound, and grow again.
+// TestSizeBackoff checks that the limit shrinks down to a bound while rounds don't fit, and grows again once they do.
 func TestSizeBackoff(t *testing.T) {
 	var s SizeBackoff
 	if s.Limit(1<<20) != 1<<20 {
--- a/internal/leader/commit/doc.go
+++ b/internal/leader/commit/doc.go
@@ -1,6 +1,6 @@
 // Package commit builds the transaction that a shard's leader writes in each round.
 //
-// All that a round changes is written by one compare-and-swap, which the state service takes whole
-// or refuses. The service bounds its changes, its conditions and its bytes, so that a round takes in
-// what it has capacity for, and the rest waits for the next one.
+// All changes of a round are written by one compare-and-swap transaction, which the state service either commits as a
+// whole or refuses. The service limits the changes, the conditions and the bytes of a transaction, so a round includes
+// only what fits and leaves the rest to the next round.
 package commit
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -459,7 +459,7 @@
 			clear(w.runs)
 		}
 	}
-	c.leader.scaledIn(names)
+	c.leader.completeScaleIn(names)
 }
 
 // do carries a direct call out at a worker.
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -12,21 +12,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Where tiers are configured, nothing is preempted before the store has taken the round that says for
-// whom. What the records name is stopped by any leader of the shard, and capacity that comes free
-// is reserved for its job until the job uses it or no longer needs it.
+// Preemption for tiers. An attempt is stopped only after the round with its reservation has been committed to the
+// store, so that any later leader of the shard can carry out the stops that the stored reservations name. Capacity that
+// is freed stays reserved for the job until the job uses it or no longer needs it.
 
-// reviewPreemptions drops reservations that are no longer needed, and stops what is due.
+// reviewPreemptions drops reservations that are no longer needed, and stops the attempts that are due.
 func (l *Leader) reviewPreemptions(now time.Time, rebuilding bool) {
 	f := tier.Facts{Now: now, MachineUsable: func(id string) bool { return l.machineUsable(now, id, rebuilding) }, MayOccupy: l.victimPresent,
-		WaitingTasks: func(job string) (int, bool) { return l.tasksWaiting(job), !rebuilding || l.liveJobs[job] == nil }}
+		WaitingTasks: func(job string) (int, bool) { return l.countWaitingTasks(job), !rebuilding || l.liveJobs[job] == nil }}
 	l.preemptions.Review(f, func(job, task string) { l.log.Warn("task does not stop", "task", task, "job", job) })
 	l.stopDueVictims(now)
 }
 
-// tasksWaiting counts the tasks of a job that are not placed and have not finished; it is -1 if the job
-// is over.
-func (l *Leader) tasksWaiting(job string) (n int) {
+// countWaitingTasks returns the number of this shard's tasks of a job that are neither placed nor finished, or -1 if
+// the job has ended.
+func (l *Leader) countWaitingTasks(job string) (n int) {
 	live := l.liveJobs[job]
 	if live == nil {
 		return -1
@@ -42,20 +42,20 @@
 	return n
 }
 
-// machineUsable reports whether a machine can run tasks. While the fleet is being rebuilt, its heartbeats may
-// not have come yet.
+// machineUsable reports whether a machine can run tasks. The age of its last heartbeat is not checked while the fleet
+// is being rebuilt, since the machine may not have sent a heartbeat to this leader yet.
 func (l *Leader) machineUsable(now time.Time, id string, rebuilding bool) bool {
 	m := l.fleet.Machine(id)
 	return m != nil && m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero() && (rebuilding || l.monitor.HeartbeatAge(now, m) < l.timeouts.unreachableAfter)
 }
 
-// victimPresent reports whether an attempt may still be on a machine. A later attempt of the same task does
-// not count: late copies of a stop name the attempt, too.
+// victimPresent reports whether an attempt may still be on a machine. A later attempt of the same task is ignored: a
+// stop command names the attempt, so a delayed copy of it can't stop a later one.
 func (l *Leader) victimPresent(task string, attempt uint64, machine string) bool {
 	return l.victimPlacement(tier.Victim{Task: task, Attempt: attempt, Machine: machine}) != nil
 }
 
-// victimPlacement returns the placement of an attempt that is to be stopped, or nil if it is gone.
+// victimPlacement returns the active placement of an attempt that is to be stopped, or nil if there is none.
 func (l *Leader) victimPlacement(v tier.Victim) *fleet.Placement {
 	if m := l.fleet.Machine(v.Machine); m != nil {
 		for _, p := range m.Placements() {
@@ -67,17 +67,17 @@
 	return nil
 }
 
-// stopDueVictims stops the attempts that stored reservations name, once they are due.
+// stopDueVictims stops the attempts in stored reservations whose stop is due.
 func (l *Leader) stopDueVictims(now time.Time) {
-	save := func(task string) time.Duration { return l.checkpointTime(tier.Victim{Task: task}.ID().Job) }
-	for _, s := range l.preemptions.DueStops(now, save) {
+	checkpointTime := func(task string) time.Duration { return l.checkpointTime(tier.Victim{Task: task}.ID().Job) }
+	for _, s := range l.preemptions.DueStops(now, checkpointTime) {
 		if p, live := l.victimPlacement(s.Victim), l.liveJobs[s.Victim.ID().Job]; p != nil && live != nil {
-			l.stopTask(now, p, live.Record.Job, "room for "+s.Job)
+			l.stopTask(now, p, live.Record.Job, "preempted for "+s.Job)
 		}
 	}
 }
 
-// checkpointTime is how long tasks of a job take to save their progress.
+// checkpointTime returns how long the tasks of a live job take to save a checkpoint, or 0 if the job is not live.
 func (l *Leader) checkpointTime(job string) time.Duration {
 	if live := l.liveJobs[job]; live != nil {
 		return wire.Seconds(live.Record.Job.SaveS)
@@ -85,17 +85,17 @@
 	return 0
 }
 
-// addPreemptions adds preemptions to a snapshot: the reserved capacity, and which tasks are leaving.
+// addPreemptions adds the reserved capacity to a snapshot, and marks the tasks that are being preempted.
 func (l *Leader) addPreemptions(snapshot *scheduler.Snapshot) {
 	if snapshot.Tiers = l.preemptions.Tiers(); !snapshot.Tiers.Configured() {
 		return
 	}
-	leaving := make(map[string]uint64)
+	awaited := make(map[string]uint64) // attempts by task
 	for _, job := range l.preemptions.Jobs() {
 		for _, r := range l.preemptions.For(job).Reservations {
 			snapshot.Reclaims = append(snapshot.Reclaims, scheduler.Reclaim{Job: job, Machine: r.Machine, Tasks: r.Tasks, Level: r.Level})
 			for task, attempt := range r.Awaits {
-				leaving[task] = attempt
+				awaited[task] = attempt
 			}
 		}
 	}
@@ -104,14 +104,14 @@
 			t := &m.Tasks[i]
 			id := wire.TaskID{Job: t.Job.ID, Index: t.Index}
 			if p := l.fleet.ActivePlacement(id); p != nil {
-				t.Stopping = t.Stopping || leaving[id.String()] == p.Attempt
+				t.Stopping = t.Stopping || awaited[id.String()] == p.Attempt
 				t.StopOverdue = l.preemptions.Overdue(id.String(), p.Attempt)
 			}
 		}
 	}
 }
 
-// preemptionFor returns the preemption for a job with the changes of a round.
+// preemptionFor returns the preemption for a job, including the changes of a round that is not committed yet.
 func (l *Leader) preemptionFor(d *Draft, job string) *tier.Preemption {
 	if preemption := d.expansions[job]; preemption != nil {
 		return preemption
@@ -119,8 +119,8 @@
 	return l.preemptions.For(job)
 }
 
-// consumeReservation records that a task is placed into capacity that was reserved for its job. Otherwise the
-// reservation would hold capacity for one task too many.
+// consumeReservation records that a task was placed into capacity that was reserved for its job. Otherwise the
+// reservation would keep holding capacity for that task.
 func (l *Leader) consumeReservation(d *Draft, p *fleet.Placement) {
 	job := p.Task.Job
 	if preemption := l.preemptionFor(d, job); preemption.Reservation(p.Machine).Tasks > 0 {
@@ -129,9 +129,9 @@
 	}
 }
 
-// startPreemptions adds the preemptions of a plan to a round, as far as they fit in.
-func (l *Leader) startPreemptions(now time.Time, d *Draft, all []scheduler.PlannedReclaim) {
-	for _, reclaim := range all {
+// startPreemptions adds the preemptions of a plan to a round, as many as fit.
+func (l *Leader) startPreemptions(now time.Time, d *Draft, reclaims []scheduler.PlannedReclaim) {
+	for _, reclaim := range reclaims {
 		r := tier.Reservation{Machine: reclaim.Machine, Tier: reclaim.Tier, Level: reclaim.Level, Tasks: reclaim.Tasks, Deadline: now.Add(reclaim.Within).UnixMilli()}
 		r.Stops, r.Awaits = map[string]uint64{}, map[string]uint64{}
 		for _, s := range reclaim.Stops {
@@ -152,7 +152,7 @@
 	}
 }
 
-// writeStalePreemptions adds the records of reservations that have changed to a round, as far as they fit in.
+// writeStalePreemptions adds the records of reservations that have changed to a round, as many as fit.
 func (l *Leader) writeStalePreemptions(d *Draft) {
 	l.preemptions.MarkStale(d.stale)
 	for _, key := range tier.SortedKeys(d.stale) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// preemptionsCommitted applies the preemptions of a round that the store has taken: from now on they are carried out.
+// preemptionsCommitted applies the preemptions of a committed round, and stops the attempts that are due.
 func (l *Leader) preemptionsCommitted(d *Draft) {
 	l.preemptions.Commit(d.expansions, d.stale)
 	if len(d.expansions) > 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-// tierStatuses returns how the tiers do, by name; nil where none are set.
+// tierStatuses returns the status of each tier by its name, or nil if no tiers are configured.
 func (l *Leader) tierStatuses() map[string]tier.Status {
 	statuses := l.preemptions.Statuses()
 	if len(statuses) == 0 {
@@ -191,13 +191,14 @@
 	return out
 }
 
-// sortFirstTierFirst puts jobs of the first tier before the others, since not all may fit into a round.
-func (l *Leader) sortFirstTierFirst(jobs []string) []string {
+// sortByTierRank sorts jobs of the first tier before all others, since a round may not have space for every job. It
+// keeps the order otherwise.
+func (l *Leader) sortByTierRank(jobs []string) []string {
 	slices.SortStableFunc(jobs, func(a, b string) int { return cmp.Compare(l.tierRank(a), l.tierRank(b)) })
 	return jobs
 }
 
-// tierRank is 0 for a job of the first tier.
+// tierRank returns 0 for a job of the first tier and 1 for any other.
 func (l *Leader) tierRank(job string) int {
 	if live := l.liveJobs[job]; live != nil && l.preemptions.Tiers().InFirst(live.Record.Job) {
 		return 0
@@ -205,8 +206,9 @@
 	return 1
 }
 
-// machinesByUrgency lists the machines to call, and how many of them are to launch or preempt for the first
-// tier: these come first, however many calls there are for other work.
+// machinesByUrgency returns all machines in the order in which to call them, and how many of them are urgent. The
+// urgent ones, which are to launch or preempt for the first tier, come first, so that calls for other work can't delay
+// them.
 func (l *Leader) machinesByUrgency() (machines []*fleet.Machine, urgent int) {
 	firstTier := l.preemptions.FirstTierMachines()
 	var others []*fleet.Machine
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ownRanges gives the ranges of a job's tasks that this shard answers for and that have not all finished, and
-// how many tasks other shards have yet to finish.
-func (l *Leader) ownRanges(live *store.LiveJob) (own []store.ShardRange, elsewhere int) {
+// ownRanges returns the unfinished ranges of a job's tasks that belong to this shard, and the number of tasks in
+// unfinished ranges of other shards.
+func (l *Leader) ownRanges(live *store.LiveJob) (own []store.ShardRange, remoteTasks int) {
 	if l.sharding.IsSingle() {
 		return []store.ShardRange{{From: 0, To: live.Record.Tasks, Shard: l.lease.Shard}}, 0
 	}
@@ -21,14 +21,14 @@
 		case r.Shard == l.lease.Shard:
 			own = append(own, r)
 		default:
-			elsewhere += r.To - r.From
+			remoteTasks += r.To - r.From
 		}
 	}
-	return own, elsewhere
+	return own, remoteTasks
 }
 
-// allFinished reports whether every task of a job that belongs to this shard has finished.
-func (l *Leader) allFinished(live *store.LiveJob, j *jobState) bool {
+// ownTasksFinished reports whether all tasks of a job that belong to this shard have finished.
+func (l *Leader) ownTasksFinished(live *store.LiveJob, j *jobState) bool {
 	if l.sharding.IsSingle() {
 		return j.finished.Count() >= live.Record.Tasks
 	}
@@ -43,8 +43,8 @@
 	return len(own) > 0
 }
 
-// finishRanges marks the tasks of a job that belong to this shard as finished. The last shard to do so marks the job
-// as done: all others must say so in the very record that is written.
+// finishRanges marks this shard's ranges of a job as finished. If the record that is written already marks the ranges
+// of all other shards as finished, it marks the job as done and returns true.
 func (l *Leader) finishRanges(r *store.BatchUpdate, id string, live *store.LiveJob, now time.Time) (done bool) {
 	if l.sharding.IsSingle() {
 		r.EndJob(id, wire.Done, now)
@@ -60,7 +60,7 @@
 	switch {
 	case last:
 		r.EndJob(id, wire.Done, now)
-	case l.assignment.Unassigned(live): // it may have too many ranges to be written
+	case l.assignment.Unassigned(live): // the record may have no space for all ranges of the job
 		l.liveJobs[id] = &store.LiveJob{Record: r.MarkFinishedIn(id, store.LedgerName(l.lease.Shard, l.assignment.Generation())), Batch: live.Batch, SinceRevision: live.SinceRevision}
 	default:
 		l.updateRanges(r, id, live, ranges)
@@ -68,20 +68,20 @@
 	return last
 }
 
-// updateRanges writes other ranges of a job, and goes by them from here on.
+// updateRanges writes new ranges of a job to an update of its batch, and replaces the live job accordingly.
 func (l *Leader) updateRanges(r *store.BatchUpdate, id string, live *store.LiveJob, ranges []store.ShardRange) {
 	l.liveJobs[id] = &store.LiveJob{Record: r.AssignRanges(id, ranges, l.assignment.Generation()), Batch: live.Batch, SinceRevision: live.SinceRevision}
 }
 
-// rewriteRanges adds other ranges of a job to a round, if there is capacity for them in the round and in the
-// job's batch.
+// rewriteRanges adds new ranges of a job to a round, and reports whether it did. They are left out if the round or the
+// job's batch has no space for them, or if a task that would move to another shard is still in this shard's ledger.
 func (l *Leader) rewriteRanges(d *Draft, id string, live *store.LiveJob, ranges []store.ShardRange) bool {
 	if _, ends := d.finished[id]; ends {
-		return false // the end that this round records goes first
+		return false // this round already records finished tasks of the job, which takes precedence
 	}
 	for i := range l.staleTasks(id) {
 		if handover.ShardOf(ranges, i) != l.lease.Shard {
-			return false // it may go once the ledger no longer names it
+			return false // the task can move only once this shard's ledger no longer names it
 		}
 	}
 	r := d.Pending(live)
@@ -98,7 +98,7 @@
 	return true
 }
 
-// hasActiveTask reports whether a task of a job may be on a machine of this shard.
+// hasActiveTask reports whether any task of a job may be on a machine of this shard.
 func (l *Leader) hasActiveTask(live *store.LiveJob) bool {
 	for i := range live.Record.Tasks {
 		if l.fleet.ActivePlacement(wire.TaskID{Job: live.Record.Job.ID, Index: i}) != nil {
@@ -108,7 +108,8 @@
 	return false
 }
 
-// gangCompleted reports whether another shard has seen a gang complete: its tasks do so together.
+// gangCompleted reports whether a job is a gang of which some shard has marked its tasks as finished. The tasks of a
+// gang finish together, so the others have finished as well.
 func gangCompleted(live *store.LiveJob, ranges []store.ShardRange) bool {
 	return live.Record.Job.Shape == wire.Gang && slices.ContainsFunc(ranges, func(r store.ShardRange) bool { return r.Done })
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -10,14 +10,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reachabilityTimeouts returns the timeouts of the package reachability.
+// reachabilityTimeouts returns the timeouts that package reachability uses.
 func reachabilityTimeouts(t timeouts, cfg *config.Config) reachability.Timeouts {
 	return reachability.Timeouts{Fresh: t.launchWithin, Suspect: t.suspectAfter, Unreachable: t.unreachableAfter, Lease: cfg.Workers.Lease, RebuildWait: maxRebuildWait}
 }
 
-// releaseUnusable releases machines that are of no use: drained ones without tasks, ones that don't come
-// up, unreachable ones, and ones that send heartbeats but take nothing. If too many are missing at
-// once, the leader itself is likely to be partitioned, and no unreachable machine is released.
+// releaseUnusable releases machines that can't be used: drained machines without tasks, machines that did not boot in
+// time, unreachable machines, and machines that send heartbeats but receive no commands. If too many machines are
+// missing at once, the leader itself is probably partitioned, and no unreachable machine is released.
 func (l *Leader) releaseUnusable(now time.Time) {
 	partitioned := l.detector.Partitioned(now)
 	onlyShardUnreachable := l.ingestPeers > 0 && l.detector.ShardAloneUnreachable(now)
@@ -27,9 +27,9 @@
 		switch {
 		case m.Up && !busy && (m.DrainReason != "" || !m.TerminationTime.IsZero()):
 			l.releaseMachine(m, "drained")
-		case l.bootFailed(now, m):
+		case l.bootTimedOut(now, m):
 			l.releaseMachine(m, "did not boot")
-		case !partitioned && l.presumedLost(now, m, onlyShardUnreachable) && !l.keepsLostMachine(now, m):
+		case !partitioned && l.presumedLost(now, m, onlyShardUnreachable) && !l.retainsLostMachine(now, m):
 			l.releaseMachine(m, "unreachable")
 			l.detector.NoteEviction(now, m.Zone)
 		case oneWay[m] && !m.Releasing:
@@ -38,21 +38,22 @@
 	}
 }
 
-// A machine has failed to boot after bootFactor times what its type takes, and bootMargin for the
-// cloud to begin: clouds are slow at times, and a machine that is returned early is paid for and never used.
+// A machine that has sent no heartbeat after bootTimeoutFactor times the boot time of its type plus bootTimeoutMargin
+// has failed to boot. The timeout is long because clouds are slow at times, and a machine that is released too early
+// has been paid for and was never used.
 const (
-	bootFactor = 4
-	bootMargin = 20 * time.Second
+	bootTimeoutFactor = 4
+	bootTimeoutMargin = 20 * time.Second // for the cloud to start the machine
 )
 
-// bootFailed reports whether a new machine should have sent a heartbeat long ago.
-func (l *Leader) bootFailed(now time.Time, m *fleet.Machine) bool {
+// bootTimedOut reports whether a new machine has sent no heartbeat within its boot timeout.
+func (l *Leader) bootTimedOut(now time.Time, m *fleet.Machine) bool {
 	boot := l.machineType(m.Type).BootS
-	return !m.Up && !m.Recorded && boot > 0 && now.Sub(m.Since) > wire.Seconds(bootFactor*boot)+bootMargin
+	return !m.Up && !m.Recorded && boot > 0 && now.Sub(m.Since) > wire.Seconds(bootTimeoutFactor*boot)+bootTimeoutMargin
 }
 
-// presumedLost reports whether a machine is unreachable and presumed lost. Where this shard alone is unreachable, a
-// failed call is enough: the leader reaches none of its machines to compare with.
+// presumedLost reports whether a machine is unreachable and presumed lost. If only this shard is unreachable, a failed
+// call is enough, because the leader reaches no other machine of the shard to compare with.
 func (l *Leader) presumedLost(now time.Time, m *fleet.Machine, shardUnreachable bool) bool {
 	if !m.Up && !m.Recorded || m.Releasing || !l.monitor.Unreachable(now, m) {
 		return false
@@ -60,8 +61,8 @@
 	return l.monitor.PresumedLost(now, m) || shardUnreachable && l.monitor.CallsFailed(m)
 }
 
-// UnreachableMachines returns how many machines are unreachable for this leader by the fault of the network; it is 0
-// if few are missing.
+// UnreachableMachines returns how many machines this leader can't reach because of a network fault. It is 0 if only few
+// machines are missing.
 func (l *Leader) UnreachableMachines(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -6,18 +6,18 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 )
 
-// Reconciliation compares the placements with the live jobs: what is over is stopped or withdrawn, and an
-// end that is stored needs nothing more.
+// Reconciliation compares the placements with the live jobs. Placements of jobs that have ended are stopped or
+// withdrawn, and placements whose end is stored need no further work.
 
 const (
-	// jobStateRetention is how long a job that is over is remembered.
+	// jobStateRetention is how long the state of a job is kept after the job has ended.
 	jobStateRetention = 10 * time.Minute
-	// cancelMargin is how long before a cancelled task must be gone its machine is given up, if it
-	// does not answer: the cloud needs some time.
-	cancelMargin = 15 * time.Second
+	// cancelReleaseMargin is how long before the deadline of a cancellation an unresponsive machine is released: the
+	// cloud takes some time to terminate it.
+	cancelReleaseMargin = 15 * time.Second
 )
 
-// reconcilePlacements brings the placements in line with the live jobs.
+// reconcilePlacements reconciles all placements with the live jobs.
 func (l *Leader) reconcilePlacements(now time.Time) {
 	for _, m := range l.fleet.Machines() {
 		if !l.acceptsLaunches(now, m) {
@@ -32,22 +32,22 @@
 	l.forgetEndedJobs(now)
 }
 
-// acceptsLaunches reports whether what is planned on a machine may still be launched there.
+// acceptsLaunches reports whether planned placements on a machine may still be launched there.
 func (l *Leader) acceptsLaunches(now time.Time, m *fleet.Machine) bool {
 	leaving := m.DrainReason != "" || !m.TerminationTime.IsZero() || m.Releasing
 	return !leaving && now.Sub(m.LastHeartbeat) <= l.timeouts.launchWithin && l.fleet.ReceivesCommands(now, m)
 }
 
-// withdrawPlanned withdraws all that is planned on a machine and was not sent.
+// withdrawPlanned withdraws the planned placements of a machine whose launches have not been sent.
 func (l *Leader) withdrawPlanned(m *fleet.Machine) {
 	for _, p := range m.Placements() {
 		l.fleet.Withdraw(p)
 	}
 }
 
-// withdrawEnded withdraws what is planned on a machine of jobs that are over by what is known now. All
-// placements are compared with the view once in a while only (reconcileInterval), and nothing may be
-// launched after a confirmed cancellation.
+// withdrawEnded withdraws the planned placements on a machine whose jobs have ended according to the current job index.
+// All placements are reconciled only every reconcileInterval, but nothing may be launched after a cancellation has
+// been confirmed.
 func (l *Leader) withdrawEnded(now time.Time, m *fleet.Machine) {
 	for _, p := range m.Placements() {
 		if p.State != fleet.Planned || !p.Committed {
@@ -59,7 +59,7 @@
 	}
 }
 
-// reconcilePlacement brings one placement in line with its job.
+// reconcilePlacement reconciles one placement with its job.
 func (l *Leader) reconcilePlacement(now time.Time, m *fleet.Machine, p *fleet.Placement) {
 	live := l.liveJobs[p.Task.Job]
 	if live == nil {
@@ -67,7 +67,7 @@
 		return
 	}
 	if p.Stop != nil && l.fleet.Withdraw(p) {
-		return // it was told to stop while its launch was on its way, which did not arrive
+		return // it was ordered to stop while its launch was in flight, and the launch did not arrive
 	}
 	j := l.jobState(p.Task.Job)
 	if !p.EndHandled && p.State == fleet.Ended && j.storedFinished.Contains(p.Task.Index) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// reconcileEnded stops a placement of a job that is done or cancelled.
+// reconcileEnded withdraws or stops a placement of a job that is done or cancelled.
 func (l *Leader) reconcileEnded(now time.Time, m *fleet.Machine, p *fleet.Placement) {
 	if l.fleet.Withdraw(p) {
 		return
@@ -91,20 +91,20 @@
 		return
 	}
 	if p.Stop == nil || !p.Stop.JobFinished {
-		l.orderStop(p, fleet.StopOrder{Reason: "job is over", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(l.cfg.Workers.MaxCancelStaleness())})
+		l.orderStop(p, fleet.StopOrder{Reason: "job has ended", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(l.cfg.Workers.MaxCancelStaleness())})
 	}
-	// A machine that can't be reached, or to which a launch may still be on its way, is released
-	// before the task must be gone. While the cloud does not confirm that, the launch is kept from
-	// being executed by a lease that no answer renews (Fleet.MustLapse).
+	// A machine that can't be reached, or to which a launch may still be in flight, is released before the deadline of
+	// the cancellation. Until the cloud confirms the release, no answer renews the lease of the worker, and without
+	// a lease it does not execute the launch (Fleet.MustLapse).
 	switch age := now.Sub(j.endedAt); {
 	case p.CallPending() && age > l.cfg.Workers.MaxCancelStaleness()/2:
-		l.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
-	case age > l.cfg.Workers.Cancel-cancelMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
-		l.releaseMachine(m, "it may run a task of a cancelled job, and is unreachable")
+		l.releaseMachine(m, "a launch of a cancelled task may still be in flight")
+	case age > l.cfg.Workers.Cancel-cancelReleaseMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
+		l.releaseMachine(m, "unreachable and may run a task of a cancelled job")
 	}
 }
 
-// forgetEndedJobs records which jobs are over, and forgets those that have been for long.
+// forgetEndedJobs records which jobs have ended, and deletes their states after jobStateRetention.
 func (l *Leader) forgetEndedJobs(now time.Time) {
 	for id, j := range l.jobStates {
 		if l.liveJobs[id] != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// noteJobEnded records when a job was done or cancelled, and forgets what only live jobs need.
+// noteJobEnded records when a job was done or cancelled, and drops what is kept for live jobs only.
 func (l *Leader) noteJobEnded(now time.Time, id string, j *jobState) {
 	if !j.endedAt.IsZero() {
 		return
@@ -125,7 +125,7 @@
 	j.endedAt = now
 	rec, ok := l.jobIndex.Job(id)
 	if at := time.UnixMilli(rec.Ended); ok && rec.Ended > 0 && at.Before(now) {
-		j.endedAt = at // its user was told then, by whichever controller
+		j.endedAt = at // when a controller confirmed the end to the user
 	}
 	l.ledger.DiscardJob(id, rec.Tasks)
 	l.unstored.Remove(id)
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -8,23 +8,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// storeFinishedJobs stores jobs as done of which every task has finished.
+// storeFinishedJobs adds the jobs of which all tasks of this shard have finished to a round, as many as fit.
 func (l *Leader) storeFinishedJobs(now time.Time, d *Draft) {
-	for _, id := range l.sortFirstTierFirst(l.unstored.OldestFirst()) {
+	for _, id := range l.sortByTierRank(l.unstored.OldestFirst()) {
 		j, live := l.jobStates[id], l.liveJobs[id]
 		if live == nil || j == nil {
 			l.unstored.Remove(id)
 			continue
 		}
-		tasks, all := j.finished.Difference(j.storedFinished), l.allFinished(live, j)
+		tasks, all := j.finished.Difference(j.storedFinished), l.ownTasksFinished(live, j)
 		if len(tasks) == 0 && (!all || l.sharding.IsSingle()) {
 			l.unstored.Remove(id)
 			continue
 		}
-		if !all || len(tasks) > 0 && l.assignment.Unassigned(live) && !l.sharding.IsSingle() { // these must be in the ledger first
+		if !all || len(tasks) > 0 && l.assignment.Unassigned(live) && !l.sharding.IsSingle() { // the finished tasks must be in the ledger first
 			continue
 		}
-		if r := d.Update(live); r != nil { // or the next round has capacity
+		if r := d.Update(live); r != nil { // else it is retried in the next round
 			if l.finishRanges(r, id, live, now) {
 				d.done = append(d.done, id)
 			}
@@ -33,18 +33,18 @@
 	}
 }
 
-// storeProgress writes the blocks of tasks in which some have finished, as far as the round has capacity.
+// storeProgress adds the blocks of tasks of which some have newly finished to a round, as many as fit.
 func (l *Leader) storeProgress(d *Draft) {
-	for _, id := range l.sortFirstTierFirst(l.unstored.OldestFirst()) {
+	for _, id := range l.sortByTierRank(l.unstored.OldestFirst()) {
 		j, live := l.jobStates[id], l.liveJobs[id]
-		if d.finished[id] != nil || l.allFinished(live, j) && (l.sharding.IsSingle() || !l.assignment.Unassigned(live)) {
+		if d.finished[id] != nil || l.ownTasksFinished(live, j) && (l.sharding.IsSingle() || !l.assignment.Unassigned(live)) {
 			continue
 		}
-		last, fits := -1, false
+		lastBlock, fits := -1, false
 		var stored []int
 		for _, i := range j.finished.Difference(j.storedFinished) {
-			if b := i / store.TasksPerBlock; b != last {
-				last, fits = b, d.Add(store.ProgressEntry(id, b, j.finished))
+			if block := i / store.TasksPerBlock; block != lastBlock {
+				lastBlock, fits = block, d.Add(store.ProgressEntry(id, block, j.finished))
 			}
 			if fits {
 				stored = append(stored, i)
@@ -56,8 +56,8 @@
 	}
 }
 
-// dropObsolete deletes records that are of no more use, and stores new machine types, as far as the
-// round has capacity.
+// dropObsolete stores changed machine types and deletes the records of machines and scale-out requests that are no
+// longer needed, as many as the round has space for.
 func (l *Leader) dropObsolete(d *Draft) {
 	if l.typesChanged && d.ChangesLeft() > 0 {
 		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: l.types}})
@@ -75,9 +75,9 @@
 	}
 }
 
-// machineRecord returns the record of a machine. It does not name what was seen to have ended there,
-// even if a call with its launch is still open: a late copy of that does nothing until a command under
-// a later token clears the task, and is refused after that.
+// machineRecord returns the record of a machine. It leaves out attempts that are known to have ended there, even if a
+// call with the launch is still pending: a delayed copy of the launch has no effect until a command with a later
+// fencing token clears the task, and is refused from then on.
 func machineRecord(m *fleet.Machine) store.MachineRecord {
 	tasks := m.PossibleAttempts()
 	for _, p := range m.Placements() {
@@ -88,7 +88,7 @@
 	return store.MachineRecord{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation, Tasks: tasks}
 }
 
-// machineEntry returns the entry of a machine for a round.
+// machineEntry returns the ledger entry of a machine, and records in the round which tasks it names.
 func (l *Leader) machineEntry(d *Draft, id string) store.Entry {
 	r := machineRecord(l.fleet.Machine(id))
 	d.ledgerTasks[id] = r.Tasks
--- a/internal/leader/resharding.go
+++ b/internal/leader/resharding.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// maxAssignedBatches bounds the batches that a round writes only to assign the ranges of their jobs.
+	// maxAssignedBatches bounds the batches that a round writes only to assign ranges to shards.
 	maxAssignedBatches = 2
-	// maxDroppedSegments bounds the segments of earlier ledgers that a round drops.
+	// maxDroppedSegments bounds the segments of previous ledgers that a round deletes.
 	maxDroppedSegments = 4
-	// dropChanges are the changes that a round must have left for dropping the last of them.
-	dropChanges = 2
+	// finalDropChanges is how many changes a round keeps free beside these deletions: deleting the last segment is
+	// followed by an update of the sharding record.
+	finalDropChanges = 2
 )
 
-// assignRanges writes jobs whose records are of an earlier sharding with ranges of this one. Each batch is written by
-// the shard that leads the first of them, so that no two refuse each other's rounds.
+// assignRanges adds ranges of the current sharding to the records of jobs that were written under a previous sharding.
+// Each batch is written by the lead shard of its first such job, so that the rounds of two shards don't conflict.
 func (l *Leader) assignRanges(d *Draft) {
 	if l.sharding.IsSingle() || l.assignment.Generation() == 0 {
 		return
 	}
 	before, unassigned := d.Updates(), make(map[string]bool)
-	for id, live := range l.liveJobs { // mostly none
+	for id, live := range l.liveJobs { // usually none is unassigned
 		if l.assignment.Unassigned(live) {
 			unassigned[id] = true
 		} else {
@@ -31,32 +32,33 @@
 	}
 	for _, id := range sortedKeys(unassigned) {
 		live := l.liveJobs[id]
-		if d.Updates()-before >= maxAssignedBatches && d.Pending(live) == nil || !l.assigns(live) {
+		if d.Updates()-before >= maxAssignedBatches && d.Pending(live) == nil || !l.assignsBatchOf(live) {
 			continue
 		}
 		l.rewriteRanges(d, id, live, l.assignment.Ranges(live))
 	}
 }
 
-// assigns reports whether this shard assigns the jobs of a job's batch.
-func (l *Leader) assigns(live *store.LiveJob) bool {
-	for _, m := range live.Batch.Jobs {
-		if other := l.liveJobs[m.ID]; other != nil && l.assignment.Unassigned(other) && other.Batch == live.Batch {
-			lead, _ := reshard.LeadShard(l.assignment.Ranges(other))
-			return lead == l.lease.Shard
+// assignsBatchOf reports whether this shard assigns ranges to the jobs in the batch of a job.
+func (l *Leader) assignsBatchOf(live *store.LiveJob) bool {
+	for _, member := range live.Batch.Jobs {
+		if other := l.liveJobs[member.ID]; other != nil && l.assignment.Unassigned(other) && other.Batch == live.Batch {
+			leadShard, _ := reshard.LeadShard(l.assignment.Ranges(other))
+			return leadShard == l.lease.Shard
 		}
 	}
 	return false
 }
 
-// dropPreviousLedgers drops the ledgers of earlier shardings once none needs them. The leader of the first shard does it.
+// dropPreviousLedgers deletes the ledgers of previous shardings once no shard needs them. Only the leader of the first
+// shard does so.
 func (l *Leader) dropPreviousLedgers(d *Draft, snap store.Snapshot) {
 	sharding := snap.Sharding
-	if len(sharding.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= dropChanges || !l.previousLedgersUnused(snap) {
+	if len(sharding.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= finalDropChanges || !l.previousLedgersUnused(snap) {
 		return
 	}
 	segments := l.jobIndex.PreviousLedgerSlots()
-	for _, key := range segments[:min(len(segments), maxDroppedSegments, d.ChangesLeft()-dropChanges)] {
+	for _, key := range segments[:min(len(segments), maxDroppedSegments, d.ChangesLeft()-finalDropChanges)] {
 		d.AddChange(wire.Operation{Delete: key})
 	}
 	if len(segments) > 0 {
@@ -67,8 +69,8 @@
 	l.log.Info("previous ledgers dropped", "generation", l.assignment.Generation())
 }
 
-// previousLedgersUnused reports whether all shards have taken over what concerns their machines, every job that has not ended
-// says which shards its tasks belong to, and this is the first shard, which drops the ledgers.
+// previousLedgersUnused reports whether this shard may delete the previous ledgers. It may if it is the first shard,
+// all shards have migrated the state of their machines, and the record of every live job assigns its tasks to shards.
 func (l *Leader) previousLedgersUnused(snap store.Snapshot) bool {
 	if snap.Sharding.Record.Generation != l.assignment.Generation() || l.lease.Shard != l.sharding.Shards()[0] || !l.migration.recorded {
 		return false
--- a/internal/leader/rounds.go
+++ b/internal/leader/rounds.go
@@ -6,42 +6,42 @@
 	"amberdeal.example/amberdeal/internal/leader/commit"
 )
 
-// roundState is what the leader keeps from one round to the next. Deciding, committing and discarding a
-// round change it; ends of tasks and the cloud's lists add what the next one is to write.
+// roundState is what the leader keeps from one round to the next. It changes when a round is decided, committed or
+// discarded. Finished tasks and machine lists of the cloud add to what the next round has to write.
 type roundState struct {
 	lastRound       uint64    // number of the last committed round
 	lastDecided     time.Time // when a round was last decided
-	lastReconciled  time.Time // when the placements were last compared with the jobs
-	attemptSequence uint64    // of attempts and scale-out requests under the fencing token
+	lastReconciled  time.Time // when the placements were last reconciled with the jobs
+	attemptSequence uint64    // last number given to an attempt or scale-out request under the fencing token
 	sizes           commit.SizeBackoff
 	conflicts       commit.ConflictBackoff
-	unstored        commit.CompletionQueue // jobs with tasks that have finished and are not stored as such
-	machinesToDrop  map[string]bool        // machines whose records are to be deleted
-	typesChanged    bool                   // the machine types are to be stored
+	unstored        commit.CompletionQueue // jobs with finished tasks that are not stored as finished yet
+	machinesToDrop  map[string]bool        // machines whose records have to be deleted
+	typesChanged    bool                   // the machine types have to be stored
 }
 
-func newRoundState(last uint64, now time.Time) roundState {
-	return roundState{lastRound: last, lastDecided: now, unstored: commit.CompletionQueue{}, machinesToDrop: map[string]bool{}}
+func newRoundState(lastRound uint64, now time.Time) roundState {
+	return roundState{lastRound: lastRound, lastDecided: now, unstored: commit.CompletionQueue{}, machinesToDrop: map[string]bool{}}
 }
 
-// attemptBits is how many bits of an attempt count the attempts under one fencing token, which is in
-// the bits above: so attempts of a later leader are always newer.
+// attemptBits is the number of low bits of an attempt that count the attempts under one fencing token. The token is in
+// the bits above, so that the attempts of a later leader are always greater.
 const attemptBits = 24
 
-// nextAttempt returns an attempt that no leader has given before.
+// nextAttempt returns an attempt that no leader has used before.
 func (r *roundState) nextAttempt(token uint64) uint64 {
 	r.attemptSequence++
 	return token<<attemptBits | r.attemptSequence
 }
 
-// splitAttempt returns the fencing token of an attempt, and its number under that.
+// splitAttempt returns the fencing token of an attempt, and its number under that token.
 func splitAttempt(attempt uint64) (token, number uint64) {
 	return attempt >> attemptBits, attempt & (1<<attemptBits - 1)
 }
 
-// recoveryState says how much of the fleet is accounted for since the leader was elected. Taking a snapshot
-// of the cluster sets it, and nothing takes it back.
+// recoveryState says how much of the fleet the leader has accounted for since its election. The fields are set when a
+// cluster snapshot is taken, and never reset.
 type recoveryState struct {
-	rebuilt          bool // every machine is
-	rebuiltReachable bool // every machine is but those that are unreachable
+	rebuilt          bool // all machines are accounted for
+	rebuiltReachable bool // all machines except unreachable ones are accounted for
 }
--- a/internal/leader/rounds_test.go
+++ b/internal/leader/rounds_test.go
@@ -43,19 +43,19 @@
 	var idle idleTracker
 	now := time.Unix(1e9, 0)
 	machines := []*scheduler.Machine{{ID: "n-1", Free: scheduler.Resources{CPUs: 4}}}
-	idle.note(now, machines)
+	idle.update(now, machines)
 	if machines[0].IdleCapacity == machines[0].Free {
 		t.Error("what was just seen free is idle")
 	}
 	for range 600 {
 		now = now.Add(time.Second)
-		idle.note(now, machines)
+		idle.update(now, machines)
 	}
 	if machines[0].IdleCapacity != machines[0].Free {
 		t.Errorf("of what is free for ten minutes %+v is idle", machines[0].IdleCapacity)
 	}
-	idle.note(now, []*scheduler.Machine{{ID: "n-2"}, {ID: "n-3"}, {ID: "n-4"}})
-	if idle.note(now, machines); len(idle.machines) != 1 {
+	idle.update(now, []*scheduler.Machine{{ID: "n-2"}, {ID: "n-3"}, {ID: "n-4"}})
+	if idle.update(now, machines); len(idle.machines) != 1 {
 		t.Errorf("%d machines are remembered", len(idle.machines))
 	}
 }
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -15,20 +15,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Scaling out and in. A round writes the intent of a scale-out request before the request is sent.
+// Scaling out and in. The intent of a scale-out request is stored by a round before the request is sent to the cloud.
 
 const (
-	// scaleOutPoll is how often requests are looked for that may be sent by the passage of time, such
-	// as one whose offer was left alone.
+	// scaleOutPoll is the interval at which to look for requests that have become due by the passage of time, such as
+	// one whose offer was backing off after a refusal.
 	scaleOutPoll = 300 * time.Millisecond
-	// scaleInPoll is the time between two calls that return machines: those that are released
-	// meanwhile share a call, of which the cloud takes few.
+	// scaleInPoll is the time between two calls that return machines. All machines that are released meanwhile share
+	// a call, because the cloud accepts only few calls.
 	scaleInPoll = 300 * time.Millisecond
-	// scaleInRetry is the time before a call without an answer is repeated.
+	// scaleInRetry is the time before an unanswered call is repeated.
 	scaleInRetry = time.Second
 )
 
-// requestScaleOut adds the intents of scale-out requests that a plan wants to a round.
+// requestScaleOut adds the intents of the scale-out requests of a plan to a round.
 func (l *Leader) requestScaleOut(now time.Time, d *Draft, wanted []scheduler.ScaleOut) {
 	for _, r := range l.scaler.Admit(now, wanted) {
 		name := fmt.Sprintf("t%d-%d", l.lease.FencingToken, l.attemptSequence+1)
@@ -48,18 +48,18 @@
 	return store.ScaleOutRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// scaleOutLoop sends the requests whose intents are stored. Which one is next is decided when the cloud takes
-// the next call, not before: waiting for a turn may take seconds.
+// scaleOutLoop sends the requests whose intents are stored. The next request is chosen only when the rate limit of the
+// cloud admits a call, because waiting for that may take seconds.
 func (l *Leader) scaleOutLoop(ctx context.Context, deps Dependencies) error {
 	for ctx.Err() == nil {
 		if l.nextScaleOut(time.Now()) == nil || !deps.LeaseValid() {
-			t := time.NewTimer(scaleOutPoll)
+			timer := time.NewTimer(scaleOutPoll)
 			select {
 			case <-ctx.Done():
 			case <-l.scaler.Woken():
-			case <-t.C:
+			case <-timer.C:
 			}
-			t.Stop()
+			timer.Stop()
 			continue
 		}
 		if deps.Cloud.WaitForScaleOut(ctx) != nil || !deps.LeaseValid() {
@@ -79,7 +79,7 @@
 	return l.scaler.Next(now)
 }
 
-// takeScaleOut returns the request to send now, or nil, and records that it is being sent.
+// takeScaleOut returns the request to send now and marks it as sent, or returns nil if there is none.
 func (l *Leader) takeScaleOut(now time.Time) *autoscale.ScaleOutRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,12 +90,12 @@
 	return r
 }
 
-// sendScaleOut sends a request. It is repeated until the cloud has decided; its name makes sure that it is
-// carried out only once.
+// sendScaleOut sends a request. A request without an answer is repeated until the cloud has decided; its name serves as
+// an idempotency key, so that the cloud carries it out only once.
 func (l *Leader) sendScaleOut(ctx context.Context, deps Dependencies, name string, r scheduler.ScaleOut) {
-	names, err := deps.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
+	machineIDs, err := deps.Cloud.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count})
 	if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-		l.scaledOut(time.Now(), name, names)
+		l.completeScaleOut(time.Now(), name, machineIDs)
 		return
 	}
 	l.log.Debug("scale-out request without an answer", "request", name, "err", err)
@@ -104,32 +104,32 @@
 	l.scaler.MarkUnanswered(name)
 }
 
-// scaledOut records how many machines a request got.
-func (l *Leader) scaledOut(now time.Time, name string, names []string) {
+// completeScaleOut records the machines that the cloud provided for a request.
+func (l *Leader) completeScaleOut(now time.Time, name string, machineIDs []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.scaler.Request(name)
 	if r == nil {
 		return
 	}
-	for _, id := range names {
+	for _, id := range machineIDs {
 		l.fleet.EnsureMachine(now, id, r.Type, r.Zone, r.Spot)
 	}
-	finished := l.scaler.Complete(now, name, len(names))
-	l.log.Info("scale-out request answered", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(names), "unsent", len(finished)-1)
+	finished := l.scaler.Complete(now, name, len(machineIDs))
+	l.log.Info("scale-out request answered", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(machineIDs), "unsent", len(finished)-1)
 	l.scaler.Drop(finished)
 	l.scaler.Wake()
 	l.Wake()
 }
 
-// scaleInLoop returns released machines to the cloud, and repeats that until the cloud has acknowledged it.
+// scaleInLoop returns released machines to the cloud, and repeats each call until the cloud has acknowledged it.
 func (l *Leader) scaleInLoop(ctx context.Context, deps Dependencies) error {
 	for ctx.Err() == nil {
-		if names := l.pendingReleases(); len(names) > 0 && deps.LeaseValid() {
-			if err := deps.Cloud.Release(ctx, names); err == nil {
-				l.scaledIn(names)
+		if machineIDs := l.pendingReleases(); len(machineIDs) > 0 && deps.LeaseValid() {
+			if err := deps.Cloud.Release(ctx, machineIDs); err == nil {
+				l.completeScaleIn(machineIDs)
 			} else {
-				l.log.Debug("scale-in without an answer", "machines", names, "err", err)
+				l.log.Debug("scale-in without an answer", "machines", machineIDs, "err", err)
 				store.Backoff(ctx, scaleInRetry)
 			}
 		}
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// releaseMachine has a machine returned to the cloud, whatever is on it.
+// releaseMachine marks a machine to be returned to the cloud, regardless of the tasks on it.
 func (l *Leader) releaseMachine(m *fleet.Machine, why string) {
 	if m.Releasing {
 		return
@@ -148,19 +148,19 @@
 	l.log.Info("releasing", "machine", m.ID, "reason", why)
 }
 
-// pendingReleases lists machines to return, as many as one call takes.
+// pendingReleases returns the machines to return to the cloud, at most as many as one call may name.
 func (l *Leader) pendingReleases() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	names := l.scaler.Releasing()
-	return names[:min(len(names), wire.MaxRelease)]
+	machineIDs := l.scaler.Releasing()
+	return machineIDs[:min(len(machineIDs), wire.MaxRelease)]
 }
 
-// scaledIn records that the cloud has taken machines back.
-func (l *Leader) scaledIn(names []string) {
+// completeScaleIn records that the cloud has acknowledged the release of machines.
+func (l *Leader) completeScaleIn(machineIDs []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, id := range names {
+	for _, id := range machineIDs {
 		if m := l.fleet.Machine(id); m != nil {
 			l.scaler.InstanceReturned(scheduler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
--- a/internal/leader/shardstatus.go
+++ b/internal/leader/shardstatus.go
@@ -8,27 +8,28 @@
 	"amberdeal.example/amberdeal/internal/tier"
 )
 
-// ShardStatus is what the leader of a shard tells its peers of the shard, once a second. No safety rule rests on it:
-// it says where work may find capacity, not which shard it belongs to.
+// ShardStatus is the status of a shard that its leader sends to the peers once a second. Safety doesn't depend on it:
+// it says where work may find capacity, not which shard the work belongs to.
 //
-// It goes over gob between controllers, which may be of different versions. Gob matches fields by their Go names: one that
-// is renamed is dropped by the other version without an error. So the names of these fields, and of those of the types
-// within, stay as they are; what they hold is mapped here, once, to the types that the code uses.
+// It is encoded with gob and exchanged between controllers, which may run different versions. Gob matches fields by
+// their Go names, and silently drops a field that the other version has under another name. Therefore the names of
+// these fields, and of the fields of the types that they hold, must not change. This file converts them to the types
+// that the rest of the code uses.
 type ShardStatus struct {
 	Term     uint64 // the leader's fencing token
 	Counts   map[string]TaskCount
-	Rooms    map[string]scheduler.FreeCapacity  // by class
-	Wants    map[string]scheduler.QuotaDemand   // by team: work that its grant holds back
-	Used     map[string][2]float64              // by team: CPUs and GPUs; read by UsedByTeam
-	Stays    map[string]scheduler.Resources     // by team: what services use of that, or will use
+	Rooms    map[string]scheduler.FreeCapacity  // by class: the shard's free capacity
+	Wants    map[string]scheduler.QuotaDemand   // by team: demand that the shard's quota grant does not allow
+	Used     map[string][2]float64              // by team: used CPUs and GPUs, see UsedByTeam
+	Stays    map[string]scheduler.Resources     // by team: the part of Used that services use or are going to use
 	Zones    map[string]reachability.ZoneHealth // health of the shard's machines by zone
-	Ready    []string                           // gangs over several shards for whose tasks here capacity is held
+	Ready    []string                           // gangs split over several shards, for whose local tasks capacity is reserved
 	Tiers    map[string]tier.Status
-	Backlog  int // tasks that found no capacity
+	Backlog  int // number of tasks that found no capacity
 	Machines int
 }
 
-// resourcePairs gives amounts of CPUs and GPUs as the pairs that a status holds.
+// resourcePairs converts resources to the pairs of CPUs and GPUs that a ShardStatus holds.
 func resourcePairs(byTeam map[string]scheduler.Resources) map[string][2]float64 {
 	out := make(map[string][2]float64, len(byTeam))
 	for team, r := range byTeam {
@@ -37,7 +38,7 @@
 	return out
 }
 
-// UsedByTeam gives what the tasks of each team use in the shard.
+// UsedByTeam returns the resources that the tasks of each team use in the shard.
 func (s ShardStatus) UsedByTeam() map[string]scheduler.Resources {
 	out := make(map[string]scheduler.Resources, len(s.Used))
 	for team, pair := range s.Used {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// quotaPeers gives what other shards say of their teams' quotas.
+// quotaPeers extracts what the quota needs to know of the other shards, sorted by their names.
 func quotaPeers(shards map[string]ShardStatus) []quota.Peer {
 	out := make([]quota.Peer, 0, len(shards))
 	for _, name := range sortedKeys(shards) {
@@ -56,7 +57,7 @@
 	return out
 }
 
-// handoverPeers gives what other shards say that they could take.
+// handoverPeers extracts the capacity that other shards offer for tasks of this one, sorted by their names.
 func handoverPeers(shards map[string]ShardStatus) []handover.Peer {
 	out := make([]handover.Peer, 0, len(shards))
 	for _, name := range sortedKeys(shards) {
@@ -66,13 +67,13 @@
 	return out
 }
 
-// peerZones adds up the health of zones as the leaders of other shards see it.
-func peerZones(shards map[string]ShardStatus) map[string]reachability.ZoneHealth {
+// peerZoneHealth sums the zone health that the leaders of the other shards report.
+func peerZoneHealth(shards map[string]ShardStatus) map[string]reachability.ZoneHealth {
 	zones := make(map[string]reachability.ZoneHealth)
 	for _, s := range shards {
-		for name, r := range s.Zones {
+		for name, health := range s.Zones {
 			sum := zones[name]
-			zones[name] = reachability.ZoneHealth{Up: sum.Up + r.Up, Quiet: sum.Quiet + r.Quiet}
+			zones[name] = reachability.ZoneHealth{Up: sum.Up + health.Up, Quiet: sum.Quiet + health.Quiet}
 		}
 	}
 	return zones
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// clusterSnapshot builds what the scheduler decides on.
+// clusterSnapshot builds the snapshot of the cluster that the scheduler plans on.
 func (l *Leader) clusterSnapshot(now time.Time) *scheduler.Snapshot {
 	snapshot := &scheduler.Snapshot{
 		Types:        l.shardMachineTypes(),
@@ -31,18 +31,18 @@
 		snapshot.Objectives = append(snapshot.Objectives, scheduler.Objective{Kind: o.Kind, Class: o.Class, Within: wire.Seconds(o.WithinS)})
 	}
 	l.scaler.Annotate(now, snapshot)
-	l.refuseClosedZones(now, snapshot)
-	rebuilding := l.noteRecovery(now)
+	l.markClosedZonesUnavailable(now, snapshot)
+	rebuilding := l.updateRecoveryState(now)
 	l.reviewPreemptions(now, rebuilding)
-	snapshot.MaxMoves = l.allowedMoves()
+	snapshot.MaxMoves = l.allowedReplicaMoves()
 	jobs := l.snapshotJobs(now, rebuilding)
 	for _, m := range l.fleet.Machines() {
 		snapshot.Machines = append(snapshot.Machines, l.snapshotMachine(now, m, jobs, snapshot.Teams))
 	}
-	l.noteWaiting(now, snapshot, jobs)
+	l.updateStarvation(now, snapshot, jobs)
 	l.addRequestedMachines(now, snapshot)
 	if !l.rebuiltReachable || l.recovery.Refilling() {
-		snapshot.IdleTimeout = time.Hour // in effect, nothing is returned meanwhile
+		snapshot.IdleTimeout = time.Hour // long enough that no idle machine is returned meanwhile
 	}
 	for _, id := range sortedKeys(jobs) {
 		snapshot.Jobs = append(snapshot.Jobs, jobs[id])
@@ -50,8 +50,8 @@
 	return snapshot
 }
 
-// snapshotTeams returns the teams with their guarantees and limits: in a sharded fleet, what this
-// shard is granted of the limits.
+// snapshotTeams returns the teams with their guarantees and limits. In a sharded fleet, the limits are the share that
+// is granted to this shard.
 func (l *Leader) snapshotTeams(now time.Time) map[string]*scheduler.Team {
 	teams := make(map[string]*scheduler.Team)
 	var used map[string]scheduler.Resources
@@ -68,23 +68,23 @@
 	return teams
 }
 
-// noteRecovery records how much of the fleet is accounted for by now. It reports whether the leader
-// still waits for machines before it places what may be running on them.
-func (l *Leader) noteRecovery(now time.Time) (rebuilding bool) {
+// updateRecoveryState records how much of the fleet is accounted for. It reports whether the leader is still waiting
+// for heartbeats before it places tasks that may already be running.
+func (l *Leader) updateRecoveryState(now time.Time) (rebuilding bool) {
 	unproven := l.fleet.UnprovenMachines()
 	if len(unproven) == 0 && !l.rebuilt {
 		l.rebuilt = true
 		l.log.Info("rebuilt", "after", now.Sub(l.fleet.ElectedAt), "machines", len(l.fleet.Machines()))
 	}
-	l.noteResumed(now, unproven)
+	l.updateRebuiltReachable(now, unproven)
 	return len(unproven) > 0 && now.Sub(l.fleet.ElectedAt) < maxRebuildWait
 }
 
-// addRequestedMachines adds the machines that were requested of the cloud and are not there yet.
+// addRequestedMachines adds the machines of pending scale-out requests as booting machines.
 func (l *Leader) addRequestedMachines(now time.Time, snapshot *scheduler.Snapshot) {
 	for _, request := range l.scaler.Pending() {
 		if !l.zones.Record(request.Zone).AcceptsScaleOut(now) {
-			continue // it is not known when it could be reached
+			continue // it is not known when the zone will be reachable
 		}
 		for range request.Count {
 			snapshot.Machines = append(snapshot.Machines, &scheduler.Machine{Type: request.Type, Zone: request.Zone, Spot: request.Spot,
@@ -93,9 +93,9 @@
 	}
 }
 
-// noteWaiting records since when jobs have had no task placed though some could be, and what
-// capacity has been idle beside them. A job that can't be placed now waits for something else.
-func (l *Leader) noteWaiting(now time.Time, snapshot *scheduler.Snapshot, jobs map[string]*scheduler.Job) {
+// updateStarvation records since when each job has had tasks to place but none placed, and which capacity has been
+// idle. A job without placeable tasks is not starved: it waits for something other than capacity.
+func (l *Leader) updateStarvation(now time.Time, snapshot *scheduler.Snapshot, jobs map[string]*scheduler.Job) {
 	for id, j := range jobs {
 		state := l.jobStates[id]
 		switch starved := len(j.Waiting) > 0 && j.Active == 0; {
@@ -107,19 +107,19 @@
 			j.StarvedFor = now.Sub(state.starvedSince)
 		}
 	}
-	l.idle.note(now, snapshot.Machines)
+	l.idle.update(now, snapshot.Machines)
 }
 
-// idleTracker keeps for how long each machine has had which capacity idle: with it the scheduler
-// finds jobs that starve beside capacity that never comes free at once.
+// idleTracker keeps a history of the free capacity of each machine. With it, the scheduler finds jobs that starve
+// beside idle capacity because never enough of it becomes free at the same time.
 type idleTracker struct {
 	machines map[string]*scheduler.IdleCapacity // by machine
 }
 
-// note records what is free on the machines now, and tells them how long it has been.
-func (t *idleTracker) note(now time.Time, machines []*scheduler.Machine) {
+// update records the capacity that is free on the machines now, and sets the capacity of each that has stayed idle.
+func (t *idleTracker) update(now time.Time, machines []*scheduler.Machine) {
 	if len(t.machines) > 2*len(machines) {
-		t.machines = nil // most of it is of machines that are gone
+		t.machines = nil // most entries belong to machines that are gone
 	}
 	if t.machines == nil {
 		t.machines = make(map[string]*scheduler.IdleCapacity, len(machines))
@@ -134,7 +134,7 @@
 	}
 }
 
-// shardMachineTypes returns the machine types with the zones in which they belong to this shard.
+// shardMachineTypes returns the machine types, restricted to the zones in which they belong to this shard.
 func (l *Leader) shardMachineTypes() []wire.MachineType {
 	if l.sharding.IsSingle() {
 		return l.types
@@ -147,17 +147,16 @@
 	return out
 }
 
-// capacityOf returns what a machine of a type has to give.
+// capacityOf returns the total resources of a machine of a type.
 func capacityOf(t wire.MachineType) scheduler.Resources {
 	return scheduler.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// maxRebuildWait is for how long a new leader waits for a heartbeat of every machine before it places
-// anything that may be running. After that, an unreachable machine still holds back the tasks that
-// its record names.
+// maxRebuildWait bounds how long a new leader waits for a heartbeat of every machine before it places tasks that may
+// already be running. After that, a task is still held back while the record of an unreachable machine names it.
 const maxRebuildWait = 4 * time.Second
 
-// snapshotJobs returns the live jobs with the tasks that may be placed.
+// snapshotJobs returns the live jobs with those of their tasks that may be placed.
 func (l *Leader) snapshotJobs(now time.Time, rebuilding bool) map[string]*scheduler.Job {
 	jobs := make(map[string]*scheduler.Job, len(l.liveJobs))
 	for id, live := range l.liveJobs {
@@ -166,8 +165,8 @@
 	return jobs
 }
 
-// snapshotJob returns a live job with those of its tasks that may be placed. While the fleet is being
-// rebuilt, only tasks of jobs that came after the leader was elected can't be running yet.
+// snapshotJob returns a live job with those of its tasks that may be placed. While the fleet is being rebuilt, only
+// tasks of jobs that were submitted after the leader was elected are known not to be running.
 func (l *Leader) snapshotJob(now time.Time, id string, live *store.LiveJob, rebuilding bool) *scheduler.Job {
 	since := time.UnixMilli(live.Record.Created)
 	j := &scheduler.Job{Job: live.Record.Job, Order: live.SinceRevision, InZone: map[string]int{}, SubmittedAt: since, Age: now.Sub(since)}
@@ -175,33 +174,33 @@
 		j.SpreadRule = l.cfg.Tuning.Spread[j.Class]
 	}
 	state := l.jobStates[id]
-	ranges, elsewhere := l.ownRanges(live)
-	j.RemoteTasks, j.LocalTasks = elsewhere, handover.Count(ranges)
-	if state != nil && len(state.failedMachines) < delayAfterMachines { // else it fails everywhere: any machine will do, after the back-off
+	ranges, remoteTasks := l.ownRanges(live)
+	j.RemoteTasks, j.LocalTasks = remoteTasks, handover.Count(ranges)
+	if state != nil && len(state.failedMachines) < delayAfterMachines { // else it fails on any machine: it is retried on all of them after a delay
 		j.AvoidMachines = state.failedMachines
 	}
 	if rebuilding && live.SinceRevision <= l.lease.Revision {
-		// What a gang had reserved is not for what comes now.
-		if j.MaybeRunning = j.Shape == wire.Gang && elsewhere == 0; !j.MaybeRunning {
+		// Capacity that a gang had reserved must not be used by jobs that are submitted now.
+		if j.MaybeRunning = j.Shape == wire.Gang && remoteTasks == 0; !j.MaybeRunning {
 			return j
 		}
 	}
 	if state != nil && now.Before(state.notBefore) {
 		return j
 	}
-	if elsewhere > 0 && live.Record.Job.Shape == wire.Gang && !l.mayPlaceSplit(now, j, state, live.Record.CoAllocation) {
-		return j // it runs in several shards, or is being returned to one
+	if remoteTasks > 0 && live.Record.Job.Shape == wire.Gang && !l.mayPlaceSplit(now, j, state, live.Record.CoAllocation) {
+		return j // the gang runs in several shards, or is being returned to one shard
 	}
-	l.addWaiting(j, state, ranges)
-	if len(j.Waiting) > 0 && !l.sharding.IsSingle() && (elsewhere == 0 || j.Shape != wire.Gang) {
+	l.addWaitingTasks(j, state, ranges)
+	if len(j.Waiting) > 0 && !l.sharding.IsSingle() && (remoteTasks == 0 || j.Shape != wire.Gang) {
 		j.RemoteCapacity = l.movableTasks(live)
 	}
 	return j
 }
 
-// addWaiting adds the tasks within ranges that have not finished and are placed nowhere, as many as
-// a round may launch.
-func (l *Leader) addWaiting(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
+// addWaitingTasks adds the tasks in ranges that have neither finished nor been placed, at most as many as a round may
+// launch.
+func (l *Leader) addWaitingTasks(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
 	for _, r := range ranges {
 		for i := r.From; i < r.To && len(j.Waiting) < l.cfg.Tuning.RoundTasks; i++ {
 			if state != nil && state.finished.Contains(i) || l.fleet.ActivePlacement(wire.TaskID{Job: j.ID, Index: i}) != nil {
@@ -212,18 +211,18 @@
 	}
 }
 
-// snapshotMachine returns a machine with what is free on it and the tasks that may be there. What
-// these use counts for their teams.
+// snapshotMachine returns a machine with its free resources and the tasks that may be on it, and adds the resources of
+// these tasks to the usage of their teams.
 func (l *Leader) snapshotMachine(now time.Time, m *fleet.Machine, jobs map[string]*scheduler.Job, teams map[string]*scheduler.Team) *scheduler.Machine {
 	t := l.machineType(m.Type)
 	s := &scheduler.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Free: capacityOf(t)}
-	serves := m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
+	acceptsTasks := m.DrainReason == "" && !m.Releasing && m.TerminationTime.IsZero()
 	fresh := m.Up && now.Sub(m.LastHeartbeat) < l.timeouts.launchWithin
-	serves = serves && l.fleet.ReceivesCommands(now, m) && !m.HeartbeatsLost(now, l.timeouts.missingHeartbeatAfter)
-	s.Usable = serves && fresh && m.SeenAtToken
-	// One that has just come up is usable once it has reported under the leader's token: it is as
-	// good as booting, or another would be requested in its stead.
-	s.Booting = serves && !s.Usable && (fresh || !m.Up && !m.Recorded && l.zones.Record(m.Zone).AcceptsScaleOut(now))
+	acceptsTasks = acceptsTasks && l.fleet.ReceivesCommands(now, m) && !m.HeartbeatsLost(now, l.timeouts.missingHeartbeatAfter)
+	s.Usable = acceptsTasks && fresh && m.SeenAtToken
+	// A machine that has just come up becomes usable once it has sent a heartbeat under the leader's token. Until then
+	// it counts as booting, or another machine would be requested in its place.
+	s.Booting = acceptsTasks && !s.Usable && (fresh || !m.Up && !m.Recorded && l.zones.Record(m.Zone).AcceptsScaleOut(now))
 	busy := false
 	for _, p := range m.Placements() {
 		if !p.Active() {
@@ -231,11 +230,11 @@
 		}
 		busy = true
 		demand, known := l.taskDemand(p.Task.Job)
-		if !known { // what it takes is not known: nothing else may be placed beside it
+		if !known { // the resources of the task are unknown, so nothing may be placed beside it
 			s.Usable = false
 			continue
 		}
-		// A task of a job that is over counts until it is gone.
+		// A task of a job that has ended counts until it is gone.
 		s.Free = s.Free.AddScaled(scheduler.Resources{CPUs: demand.CPUs, GPUs: demand.GPUs, MemoryGB: demand.MemoryGB}, -1)
 		if team := teams[demand.Team]; team != nil {
 			team.UsedCPUs += demand.CPUs
@@ -261,8 +260,9 @@
 	}
 	j.Active++
 	j.InZone[m.Zone]++
-	// A gang's next attempt needs all of this one gone. Of another job only that task has to go: its
-	// others would wait for it, for a lease if the machine is unreachable.
+	// The next attempt of a gang can start only once all tasks of this attempt are gone. A task of any other job does
+	// not hold up the other tasks of its job: they would have to wait for a lease to expire if its machine is
+	// unreachable.
 	j.Terminating = j.Terminating || p.Stop != nil && j.Shape == wire.Gang
 	t := scheduler.Task{Job: j, Index: p.Task.Index, Stopping: p.Stop != nil}
 	if !p.StartedAt.IsZero() {
--- a/internal/leader/stall.go
+++ b/internal/leader/stall.go
@@ -6,21 +6,22 @@
 	"amberdeal.example/amberdeal/internal/stall"
 )
 
-// Stall returns the stall that the leader is in, if it is in one.
+// Stall returns the current stall of the leader, if there is one.
 func (l *Leader) Stall(now time.Time) (stall.Stall, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stalls.Current(now)
 }
 
-// logStall logs a stall.
+// logStall logs the current stall when a log line is due.
 func (l *Leader) logStall(now time.Time) {
 	if s, stalled := l.stalls.ToLog(now); stalled {
 		l.log.Warn("nothing is launched although jobs wait and capacity is free", "duration", now.Sub(s.Since).Round(time.Second), "cause", s.Cause, "job", s.Job)
 	}
 }
 
-// roundUnwritten records that a round with launches was refused, or got no answer.
+// roundUnwritten records that the state service has refused or not answered a round. Only one with launches counts as
+// blocked.
 func (l *Leader) roundUnwritten(now time.Time, d *Draft, cause stall.Cause) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/internal/fleet"
 )
 
-// statusCache keeps what was last computed for display and for the peers.
+// statusCache holds the status and the task counts that were last computed for users and peers.
 type statusCache struct {
 	status   ShardStatus
 	statusAt time.Time
@@ -16,8 +16,8 @@
 	rejected RejectedHeartbeats
 }
 
-// Status returns the shard's status, no older than the task counts. Its maps are shared and never
-// changed.
+// Status returns the status of the shard, which may be up to statusInterval old. Its maps are shared and must not be
+// modified.
 func (l *Leader) Status(now time.Time) ShardStatus {
 	counts := l.TaskCounts(now)
 	l.mu.Lock()
@@ -46,7 +46,7 @@
 	return s
 }
 
-// SetPeerShards records the statuses of the other shards, and how many peers forward heartbeats to this
+// SetPeerShards records the statuses of the other shards, and the number of peers that forward heartbeats to this
 // controller.
 func (l *Leader) SetPeerShards(shards map[string]ShardStatus, ingestPeers int) {
 	l.mu.Lock()
@@ -54,24 +54,25 @@
 	l.peerShards, l.ingestPeers = shards, ingestPeers
 	l.quota.SetPeers(quotaPeers(shards))
 	l.targets.SetPeers(handoverPeers(shards))
-	l.detector.SetPeers(peerZones(shards))
+	l.detector.SetPeers(peerZoneHealth(shards))
 }
 
-// Rebuilt reports whether all machines have been accounted for under this token.
+// Rebuilt reports whether all machines have been accounted for under the fencing token of this leader.
 func (l *Leader) Rebuilt() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rebuilt
 }
 
-// TaskCount is how many tasks of a job run and are done, for display.
+// TaskCount is the number of running and of finished tasks of a job, for display.
 type TaskCount struct{ Running, Done int }
 
-// statusInterval is how old the counts and the status may be: users expect no more of them than to
-// follow within a few seconds.
+// statusInterval is the maximum age of the cached task counts and status. Users expect them to be only a few seconds
+// behind.
 const statusInterval = time.Second
 
-// TaskCounts returns the counts of all live jobs that have any. The map is shared and never changed.
+// TaskCounts returns the counts of all live jobs with running or finished tasks. The map is shared and must not be
+// modified.
 func (l *Leader) TaskCounts(now time.Time) map[string]TaskCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/stop.go
+++ b/internal/leader/stop.go
@@ -7,15 +7,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Stopping tasks whose jobs are live, and withdrawing what is planned for them.
+// Stopping tasks of live jobs, and withdrawing their planned placements.
 
-// checkpointMargin is what a task gets beside the time that saving takes.
+// checkpointMargin is the time that a stopped task gets in addition to its checkpoint time.
 const checkpointMargin = 5 * time.Second
 
-// stopTask stops a task, with time to save a checkpoint; a gang is stopped as a whole.
+// stopTask stops a task with a grace period for saving a checkpoint. A gang is stopped as a whole.
 func (l *Leader) stopTask(now time.Time, p *fleet.Placement, job *wire.Job, why string) {
 	grace := stopGrace(job)
-	for _, q := range l.stoppedTogether(p, job) {
+	for _, q := range l.placementsToStop(p, job) {
 		if q.Stop == nil && !l.fleet.Withdraw(q) {
 			l.orderStop(q, fleet.StopOrder{Grace: grace, Reason: why, Since: now})
 			l.countFailedAttempt(q)
@@ -23,8 +23,8 @@
 	}
 }
 
-// orderStop has a placement stopped by the next commands for its machine, and logs why. The end of a job,
-// which may have many tasks, is logged for the job.
+// orderStop marks a placement to be stopped by the next commands for its machine, and logs the reason. It logs at debug
+// level if the job has finished, since a job may have many tasks and its end is logged once for the job.
 func (l *Leader) orderStop(p *fleet.Placement, order fleet.StopOrder) {
 	p.Stop = &order
 	fields := []any{"task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "reason", order.Reason}
@@ -35,7 +35,7 @@
 	l.log.Info("stopping", fields...)
 }
 
-// stopGrace returns the time that a task of a job gets to save a checkpoint.
+// stopGrace returns the grace period in which a task of a job may save a checkpoint.
 func stopGrace(job *wire.Job) time.Duration {
 	if job.CheckpointS <= 0 {
 		return 0
@@ -43,21 +43,21 @@
 	return wire.Seconds(job.SaveS) + checkpointMargin
 }
 
-// stoppedTogether returns a placement and, of a gang, those of all other tasks.
-func (l *Leader) stoppedTogether(p *fleet.Placement, job *wire.Job) []*fleet.Placement {
-	all := []*fleet.Placement{p}
+// placementsToStop returns a placement and, if its job is a gang, the active placements of all other tasks.
+func (l *Leader) placementsToStop(p *fleet.Placement, job *wire.Job) []*fleet.Placement {
+	placements := []*fleet.Placement{p}
 	if job.Shape != wire.Gang {
-		return all
+		return placements
 	}
 	for _, q := range l.activePlacements(job.ID, job.Tasks) {
 		if q != p {
-			all = append(all, q)
+			placements = append(placements, q)
 		}
 	}
-	return all
+	return placements
 }
 
-// activePlacements returns the active placements of a job's first tasks, in the tasks' order.
+// activePlacements returns the active placements of the first tasks of a job, ordered by task index.
 func (l *Leader) activePlacements(job string, tasks int) (active []*fleet.Placement) {
 	for i := range tasks {
 		if p := l.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}); p != nil {
@@ -67,7 +67,7 @@
 	return active
 }
 
-// countFailedAttempt counts a task that is stopped before its image has come.
+// countFailedAttempt counts an attempt as failed if it is stopped while it is still fetching its image.
 func (l *Leader) countFailedAttempt(p *fleet.Placement) {
 	if p.State != fleet.Fetching {
 		return
@@ -79,9 +79,9 @@
 	j.failedAttempts[p.Task.Index]++
 }
 
-// withdrawLaterAttempt takes back, or stops, a later attempt of a task that has finished after all, as
-// a late heartbeat has told: its job may be stored as done before the attempt begins. The other tasks
-// of a gang are left alone, since they are about to finish.
+// withdrawLaterAttempt withdraws or stops a later attempt of a task after a late heartbeat has reported that the task
+// finished: the job may be stored as done before that attempt starts. An attempt of a gang is only withdrawn, not
+// stopped, since the other tasks of the gang are about to finish.
 func (l *Leader) withdrawLaterAttempt(t wire.TaskID, gang bool) {
 	p := l.fleet.ActivePlacement(t)
 	for p != nil && l.fleet.Withdraw(p) {
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -244,7 +244,7 @@
 	for i := range step.number("got", 0) {
 		names = append(names, fmt.Sprintf("%s-%02d", step.words[1], i))
 	}
-	driver.leader.scaledOut(driver.now, step.words[1], names)
+	driver.leader.completeScaleOut(driver.now, step.words[1], names)
 	return nil
 }
 
--- a/internal/leader/usage.go
+++ b/internal/leader/usage.go
@@ -6,7 +6,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// machineType returns a machine type by name; the zero type if the cloud does not list it.
+// machineType returns the machine type with a name, or the zero value if the cloud does not list it.
 func (l *Leader) machineType(name string) wire.MachineType {
 	for _, t := range l.types {
 		if t.Name == name {
@@ -16,21 +16,22 @@
 	return wire.MachineType{}
 }
 
-// teamUsage sums what each team's tasks use, or may use while it is not proven that they are gone.
+// teamUsage sums the CPUs and GPUs of the tasks of each team, including tasks that are not proven to be gone.
 func (l *Leader) teamUsage() map[string]scheduler.Resources {
 	out := make(map[string]scheduler.Resources)
 	for _, m := range l.fleet.Machines() {
 		for _, p := range m.Placements() {
-			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
-				u := out[t.Team]
-				out[t.Team] = scheduler.Resources{CPUs: u.CPUs + t.CPUs, GPUs: u.GPUs + t.GPUs}
+			if demand, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
+				used := out[demand.Team]
+				out[demand.Team] = scheduler.Resources{CPUs: used.CPUs + demand.CPUs, GPUs: used.GPUs + demand.GPUs}
 			}
 		}
 	}
 	return out
 }
 
-// taskDemand returns what a task of a job takes, even when the job is over.
+// taskDemand returns the resources that a task of a job needs, even if the job has ended. It returns false if they are
+// unknown.
 func (l *Leader) taskDemand(job string) (store.TaskDemand, bool) {
 	if live := l.liveJobs[job]; live != nil {
 		return live.Record.TaskDemand()
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -13,30 +13,30 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What becomes of the machines of a zone that is unreachable, and how the zone comes back into use.
+// Zone recovery: which machines of an unreachable zone are retained, and the steps by which the zone is used again.
 
-// continueZoneRecoveries continues with the recoveries in the ledger. Those of earlier shardings are written to
-// it by the next round.
+// continueZoneRecoveries continues the zone recoveries in the ledger. Recoveries from the ledgers of previous shardings
+// are written to this shard's ledger by the next round.
 func (l *Leader) continueZoneRecoveries(now time.Time, last *store.RecoveredState) {
 	l.recovery = zonerecovery.NewTracker()
-	take := func(name string, r store.ZoneRecoveryRecord) {
+	resume := func(name string, r store.ZoneRecoveryRecord) {
 		l.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
 		l.log.Info("zone recovery continued", "zone", name, "step", r.Step, "number", r.Number)
 	}
 	if !l.migration.recorded {
 		for name, r := range l.migration.previous.ZoneRecoveries {
 			if l.ownsZone(name) {
-				take(name, r)
+				resume(name, r)
 			}
 		}
 	}
 	for name, r := range last.ZoneRecoveries {
-		take(name, r)
+		resume(name, r)
 	}
 }
 
-// decideZoneRecoveries adds the next step of each zone's recovery to a round, by the stored records of the zones.
-// Several zones have a plan each, in the order of their names.
+// decideZoneRecoveries adds the next step of each zone's recovery to a round, based on the stored records of the zones.
+// Each zone has its own plan; the zones are handled in the order of their names.
 func (l *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
 	records := l.zones.Records()
 	d.returns = make(map[string]*zonerecovery.Plan)
@@ -59,10 +59,10 @@
 	return store.ZoneRecoveryEntry(name, store.ZoneRecoveryRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
 }
 
-// zoneRecoveriesCommitted applies the steps of a round that the store has taken: only now do they count.
-func (l *Leader) zoneRecoveriesCommitted(returns map[string]*zonerecovery.Plan) {
-	for _, name := range sortedKeys(returns) {
-		p := returns[name]
+// zoneRecoveriesCommitted applies the steps of a committed round. A step takes effect only once it is committed.
+func (l *Leader) zoneRecoveriesCommitted(plans map[string]*zonerecovery.Plan) {
+	for _, name := range sortedKeys(plans) {
+		p := plans[name]
 		if p == nil {
 			l.log.Info("zone recovery finished", "zone", name)
 		} else {
@@ -72,12 +72,12 @@
 	}
 }
 
-// observeZone collects what the next step of a zone's recovery is decided by.
+// observeZone collects the observations on which the next step of a zone's recovery depends.
 func (l *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
-	r := records[name]
-	observation := zonerecovery.Observation{Unreachable: r.State == zone.Unreachable, Number: r.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
-	for other, o := range records {
-		observation.OtherZoneBusy = observation.OtherZoneBusy || o.State == zone.Unreachable || o.State == zone.Suspected || other != name && l.recovery.Before(other, name)
+	record := records[name]
+	observation := zonerecovery.Observation{Unreachable: record.State == zone.Unreachable, Number: record.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
+	for other, otherRecord := range records {
+		observation.OtherZoneBusy = observation.OtherZoneBusy || otherRecord.State == zone.Unreachable || otherRecord.State == zone.Suspected || other != name && l.recovery.Before(other, name)
 	}
 	for _, t := range l.types {
 		if slices.Contains(t.Zones, name) {
@@ -89,21 +89,21 @@
 			continue
 		}
 		for _, p := range m.Placements() {
-			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
-				observation.Work += t.GPUs + t.CPUs/16
+			if demand, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
+				observation.Work += demand.GPUs + demand.CPUs/16
 			}
 		}
 	}
 	return observation
 }
 
-// maxMovingReplicas is how many replicas of services may be moved at once to spread them: each is missing until it
-// runs elsewhere.
+// maxMovingReplicas bounds how many replicas of services may be moved at once to spread them over the zones. A replica
+// that is being moved is missing until it runs elsewhere.
 const maxMovingReplicas = 4
 
-// allowedMoves returns how many replicas may be moved at once: none while a zone is suspected or unreachable,
-// or has not come to the spreading step of its recovery.
-func (l *Leader) allowedMoves() int {
+// allowedReplicaMoves returns how many replicas may be moved at once. It returns 0 while a zone is suspected or
+// unreachable, while a recovery has not reached its spreading step, and until all reachable machines are rebuilt.
+func (l *Leader) allowedReplicaMoves() int {
 	for _, r := range l.zones.Records() {
 		if r.State != zone.Up && r.State != zone.Recovering {
 			return 0
@@ -115,51 +115,52 @@
 	return maxMovingReplicas
 }
 
-// ZoneRecoveries describes how far the recovery of each zone has come.
+// ZoneRecoveries returns a description of the progress of each zone's recovery, by zone.
 func (l *Leader) ZoneRecoveries() map[string]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.recovery.Progress()
 }
 
-// noteFreeCapacity records the capacity that a plan leaves for the work of unreachable machines. The work of machines
-// that are being released takes part of it.
+// noteFreeCapacity records the capacity that a plan leaves free for the work of unreachable machines, less what the
+// work of machines that are being released needs. It also records which zones are mostly missing and whether services
+// are unbalanced.
 func (l *Leader) noteFreeCapacity(now time.Time, plan *scheduler.Plan) {
 	missing := make(map[string]bool)
-	for name, r := range l.monitor.ZoneHealth(now) {
-		missing[name] = r.MostlyMissing()
+	for name, health := range l.monitor.ZoneHealth(now) {
+		missing[name] = health.MostlyMissing()
 	}
 	l.zones.SetMissing(now, missing)
 	l.recovery.Unbalanced = plan.SpreadViolated
 	l.recovery.FreeCapacity = zonerecovery.FreeCapacity{HasQueued: plan.Backlogged, Free: plan.SpareCapacity, ScaleOuts: wire.MaxScaleOut}
 	for _, m := range l.fleet.Machines() {
 		if m.Releasing {
-			takes, _ := l.nonProductionDemand(m)
-			l.recovery.FreeCapacity.Reserve(takes)
+			demand, _ := l.nonProductionDemand(m)
+			l.recovery.FreeCapacity.Reserve(demand)
 			l.recovery.FreeCapacity.ScaleOuts--
 		}
 	}
 }
 
-// keepsLostMachine reports whether a lost machine is retained because its zone is unreachable or has just recovered.
-func (l *Leader) keepsLostMachine(now time.Time, m *fleet.Machine) bool {
+// retainsLostMachine reports whether a lost machine is retained because its zone is unreachable or has just recovered.
+func (l *Leader) retainsLostMachine(now time.Time, m *fleet.Machine) bool {
 	since, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter)
 	if !cutOff {
 		return false
 	}
 	demand, production := l.nonProductionDemand(m)
-	gb := 0.0
+	imageGB := 0.0
 	for _, p := range m.Placements() {
 		if live := l.liveJobs[p.Task.Job]; live != nil {
-			gb += live.Record.Job.ImageGB
+			imageGB += live.Record.Job.ImageGB
 		}
 	}
 	return l.recovery.FreeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return l.canMoveElsewhere(now, m) },
-		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(l.machineType(m.Type), gb)})
+		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(l.machineType(m.Type), imageGB)})
 }
 
-// nonProductionDemand sums the demand of the tasks on a machine other than those of production, and reports whether
-// there are such.
+// nonProductionDemand sums the demand of the tasks on a machine that don't have production priority, and reports
+// whether any task there has it.
 func (l *Leader) nonProductionDemand(m *fleet.Machine) (sum scheduler.Resources, production bool) {
 	for _, p := range m.Placements() {
 		live := l.liveJobs[p.Task.Job]
@@ -174,8 +175,8 @@
 	return sum, production
 }
 
-// canMoveElsewhere reports whether machines in other zones can be requested for all tasks on a machine, by this
-// shard or another: the cloud did not refuse when it was last asked.
+// canMoveElsewhere reports whether every task on a machine can run elsewhere: on a machine that this shard can request,
+// or in another shard. A machine counts as available if the cloud did not refuse the last such request.
 func (l *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
 	for _, p := range m.Placements() {
 		if live := l.liveJobs[p.Task.Job]; live != nil && p.Active() && !l.canScaleOutFor(now, live.Record.Job) {
@@ -185,6 +186,8 @@
 	return true
 }
 
+// canScaleOutFor reports whether this shard can request a machine for a task of a job in a zone that accepts scale-out,
+// or another shard has capacity for it.
 func (l *Leader) canScaleOutFor(now time.Time, j *wire.Job) bool {
 	for _, t := range l.shardMachineTypes() {
 		for _, zone := range t.Zones {
@@ -192,8 +195,8 @@
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				o := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
-				if !l.scaler.Constrained(o) && scheduler.OfferAllowed(j, o) {
+				offer := scheduler.Offer{Type: t.Name, Zone: zone, Spot: spot}
+				if !l.scaler.Constrained(offer) && scheduler.OfferAllowed(j, offer) {
 					return true
 				}
 			}
@@ -207,8 +210,9 @@
 	return false
 }
 
-// noteReconnected records a heartbeat of a machine that was unreachable: calls that failed meanwhile say nothing of
-// the next one. The first such heartbeat from a zone that was unreachable does so for all its machines.
+// noteReconnected handles a heartbeat from a machine that was unreachable. It forgets the calls to the machine that
+// failed meanwhile, since they don't predict the result of the next one. The first such heartbeat from a zone that was
+// cut off does the same for all unreachable machines of the zone.
 func (l *Leader) noteReconnected(now time.Time, machine string) {
 	m := l.fleet.Machine(machine)
 	if m == nil || !l.monitor.Unreachable(now, m) {
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -11,25 +11,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The state of this shard's zones: the evidence for it, its records in the shard's ledger, and which
-// machines are requested in a zone that is unreachable.
+// The state of this shard's zones: the evidence it is derived from, its records in the shard's ledger, and the machines
+// that are requested to probe an unreachable zone.
 
-// SetObservers records what peers whose heartbeats arrive observe of each zone's machines.
+// SetObservers records what the peers whose heartbeats arrive here observe of the machines in each zone.
 func (l *Leader) SetObservers(observers map[string]zone.Observer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.zones.SetObservers(observers)
 }
 
-// ZoneRecords returns the stored record of each zone that was ever suspected.
+// ZoneRecords returns the stored record of each zone that has ever been suspected.
 func (l *Leader) ZoneRecords() map[string]zone.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.zones.Records()
 }
 
-// recoverZones continues from the records in the ledger. Those of earlier shardings, which are newer
-// than the ledger's own, are yet to be written to it.
+// recoverZones restores the zone records in the ledger. Newer records from the ledgers of previous shardings replace
+// them and still have to be written to this shard's ledger.
 func (l *Leader) recoverZones(now time.Time, last *store.RecoveredState) {
 	if !l.migration.recorded {
 		for name, r := range l.migration.previous.Zones {
@@ -59,7 +59,7 @@
 	})
 }
 
-// decideZones adds the changes of zone states that are due to a round.
+// decideZones adds the zone state changes that are due to a round, as many as fit.
 func (l *Leader) decideZones(now time.Time, d *Draft) {
 	for _, c := range l.zones.Next(now, l.zoneEvidence(now)) {
 		if l.ownsZone(c.Zone) && d.Add(zoneEntry(c.Zone, c.Record)) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// zonesCommitted applies the changes of a round that the store has taken: only now do they count.
+// zonesCommitted applies the zone state changes of a committed round. A change takes effect only once it is committed.
 func (l *Leader) zonesCommitted(changes []zone.Change) {
 	l.zones.Commit(changes)
 	for _, c := range changes {
@@ -79,16 +79,15 @@
 	}
 }
 
-// noteZoneHeartbeat records a heartbeat from a zone. It shows that the zone can be reached even if its machine is
+// noteZoneHeartbeat records a heartbeat from a zone. It proves that the zone can be reached, even if the machine is
 // being released or is no longer known.
 func (l *Leader) noteZoneHeartbeat(now time.Time, hb *wire.Heartbeat) {
 	m := l.fleet.Machine(hb.Machine)
 	l.zones.NoteHeartbeat(now, hb.Zone, m == nil || m.Releasing)
 }
 
-// zoneEvidence combines what this leader observes of zones with what its peers do. What leaders of other
-// shards observe of their machines counts as observed here only if peers forward heartbeats to this
-// controller.
+// zoneEvidence combines the observations of this leader and of its peers about the zones. Observations that leaders of
+// other shards make of their machines count as this leader's own only if peers forward heartbeats to this controller.
 func (l *Leader) zoneEvidence(now time.Time) *zone.Evidence {
 	own := zone.Observer{Zone: l.cfg.Zone, Observations: map[string]zone.Observation{}}
 	add := func(name string, o zone.Observation) {
@@ -96,42 +95,43 @@
 		sum.Heard, sum.Quiet, sum.Lost = sum.Heard+o.Heard, sum.Quiet+o.Quiet, sum.Lost+o.Lost
 		own.Observations[name] = sum
 	}
-	for name, r := range l.monitor.ZoneHealth(now) {
-		add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
+	for name, health := range l.monitor.ZoneHealth(now) {
+		add(name, zone.Observation{Heard: health.Up - health.Quiet, Quiet: health.Quiet})
 	}
-	for name, n := range l.detector.RecentEvictions(now) {
-		add(name, zone.Observation{Lost: n})
+	for name, evicted := range l.detector.RecentEvictions(now) {
+		add(name, zone.Observation{Lost: evicted})
 	}
 	l.zones.AddOrphans(now, l.timeouts.suspectAfter, own.Observations)
 	if l.ingestPeers > 0 {
 		for _, status := range l.peerShards {
-			for name, r := range status.Zones {
-				add(name, zone.Observation{Heard: r.Up - r.Quiet, Quiet: r.Quiet})
+			for name, health := range status.Zones {
+				add(name, zone.Observation{Heard: health.Up - health.Quiet, Quiet: health.Quiet})
 			}
 		}
 	}
 	return l.zones.Evidence(own, l.monitor.CannotJudge(now), len(l.cfg.Peers)+1)
 }
 
-// zoneUnreachable reports whether a zone is unreachable by its record.
+// zoneUnreachable reports whether a zone is unreachable according to its record.
 func (l *Leader) zoneUnreachable(name string) bool { return l.zones.Unreachable(name) }
 
-// unreachableZonesLast puts machines of unreachable zones behind all others: calls there fail, and each takes a
-// while to do so.
+// unreachableZonesLast sorts the machines of unreachable zones behind all others, because calls to them take a while to
+// fail.
 func (l *Leader) unreachableZonesLast(machines []*fleet.Machine) []*fleet.Machine {
-	var out, last []*fleet.Machine
+	var reachable, unreachable []*fleet.Machine
 	for _, m := range machines {
 		if l.zones.Unreachable(m.Zone) {
-			last = append(last, m)
+			unreachable = append(unreachable, m)
 		} else {
-			out = append(out, m)
+			reachable = append(reachable, m)
 		}
 	}
-	return append(out, last...)
+	return append(reachable, unreachable...)
 }
 
-// refuseClosedZones keeps the scheduler from scaling out in zones that don't accept it. Probes are added later.
-func (l *Leader) refuseClosedZones(now time.Time, snapshot *scheduler.Snapshot) {
+// markClosedZonesUnavailable keeps the scheduler from scaling out in zones that don't accept it. Probes of such zones
+// are added to the plan later, see withZoneProbes.
+func (l *Leader) markClosedZonesUnavailable(now time.Time, snapshot *scheduler.Snapshot) {
 	for _, t := range l.types {
 		for _, name := range t.Zones {
 			if !l.zones.Record(name).AcceptsScaleOut(now) {
@@ -142,46 +142,46 @@
 	}
 }
 
-// maxZoneProbes is how many machines that have not sent a heartbeat yet a probed zone may have: a probe may
-// boot slowly, but if several don't come up, the zone does not work.
+// maxZoneProbes bounds how many machines without a first heartbeat a probed zone may have. A single probe may boot
+// slowly, but if several fail to come up, the zone is not working.
 const maxZoneProbes = 3
 
-// withZoneProbes adds to the scale-out of a plan one machine in each zone that is to be probed. Only what
-// the plan needs anyway is requested: without demand, it does not matter whether the zone works.
+// withZoneProbes returns the scale-out requests of a plan and one machine more in each zone whose probe is due. A probe
+// requests only what the plan needs anyway: without demand, it does not matter whether the zone works.
 func (l *Leader) withZoneProbes(now time.Time, snapshot *scheduler.Snapshot, plan *scheduler.Plan) []scheduler.ScaleOut {
 	requests := plan.ScaleOuts
 	for _, name := range sortedKeys(l.zones.Records()) {
 		if !l.zones.ProbeDue(now, name) || !l.ownsZone(name) || !l.mayProbeZone(name) {
 			continue
 		}
-		if o, ok := l.zoneProbeOffer(name, snapshot, plan); ok {
+		if offer, ok := l.zoneProbeOffer(name, snapshot, plan); ok {
 			l.zones.MarkProbed(now, name)
-			requests = append(requests, scheduler.ScaleOut{Offer: o, Count: 1})
-			l.log.Info("zone probed", "zone", name, "type", o.Type, "spot", o.Spot)
+			requests = append(requests, scheduler.ScaleOut{Offer: offer, Count: 1})
+			l.log.Info("zone probed", "zone", name, "type", offer.Type, "spot", offer.Spot)
 		}
 	}
 	return requests
 }
 
-// mayProbeZone reports whether no request for a zone is open, and few of its new machines have yet to send
-// a heartbeat.
+// mayProbeZone reports whether no scale-out request for a zone is pending, and fewer than maxZoneProbes of its machines
+// have yet to send their first heartbeat.
 func (l *Leader) mayProbeZone(name string) bool {
 	for _, request := range l.scaler.Pending() {
 		if request.Zone == name {
 			return false
 		}
 	}
-	coming := 0
+	booting := 0
 	for _, m := range l.fleet.Machines() {
 		if m.Zone == name && !m.Up && !m.Recorded && !m.Releasing {
-			coming++
+			booting++
 		}
 	}
-	return coming < maxZoneProbes
+	return booting < maxZoneProbes
 }
 
-// zoneProbeOffer picks what to request in a zone that is probed: the type of which most is requested
-// elsewhere, or one that fits the job with the most tasks that could not be placed.
+// zoneProbeOffer selects the offer to request as a probe of a zone: the machine type that the plan requests most of, or
+// else one that fits the job with the most unplaced tasks.
 func (l *Leader) zoneProbeOffer(name string, snapshot *scheduler.Snapshot, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	if best, ok = l.mostRequested(name, plan); ok {
 		return best, true
@@ -192,18 +192,18 @@
 	}
 	most := 0
 	for _, j := range snapshot.Jobs {
-		left := len(j.Waiting) - placed[j]
-		if left <= most || j.Zone != "" && j.Zone != name {
+		unplaced := len(j.Waiting) - placed[j]
+		if unplaced <= most || j.Zone != "" && j.Zone != name {
 			continue
 		}
-		if typ, found := l.typeFor(name, j); found {
-			best, most = scheduler.Offer{Type: typ, Zone: name, Spot: j.Spot}, left
+		if typ, found := l.fittingMachineType(name, j); found {
+			best, most = scheduler.Offer{Type: typ, Zone: name, Spot: j.Spot}, unplaced
 		}
 	}
 	return best, most > 0
 }
 
-// mostRequested returns the offer of a zone for the type of which a plan requests most elsewhere.
+// mostRequested returns the offer of a zone for the machine type of the largest request of a plan that the zone offers.
 func (l *Leader) mostRequested(name string, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	most := 0
 	for _, r := range plan.ScaleOuts {
@@ -214,8 +214,8 @@
 	return best, most > 0
 }
 
-// typeFor returns the first machine type of a zone that fits a job.
-func (l *Leader) typeFor(name string, j *scheduler.Job) (typ string, found bool) {
+// fittingMachineType returns the first machine type in a zone that fits a task of a job.
+func (l *Leader) fittingMachineType(name string, j *scheduler.Job) (typ string, found bool) {
 	for _, t := range l.types {
 		if l.offersType(name, t.Name) && (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && capacityOf(t).Fits(scheduler.ResourcesOf(j.Job)) {
 			return t.Name, true
@@ -229,10 +229,10 @@
 	return slices.Contains(l.machineType(typ).Zones, name) && l.sharding.ShardOf(name, typ) == l.lease.Shard
 }
 
-// noteResumed records that the leader has rebuilt the state of all reachable machines. What may run on an
-// unreachable machine is in its record, which was stored before any launch there, and holds back
-// just those tasks.
-func (l *Leader) noteResumed(now time.Time, unproven []*fleet.Machine) {
+// updateRebuiltReachable sets rebuiltReachable once the leader has rebuilt the state of all reachable machines. The
+// tasks that may run on an unreachable machine are in its record, which is stored before any launch there, and only
+// these tasks are held back.
+func (l *Leader) updateRebuiltReachable(now time.Time, unproven []*fleet.Machine) {
 	if l.rebuiltReachable || len(unproven) > 0 && now.Sub(l.fleet.ElectedAt) < maxRebuildWait {
 		return
 	}
