--- a/internal/leader/commit/builder.go
+++ b/internal/leader/commit/builder.go
@@ -32,7 +32,7 @@
 	orderedUpdates []*store.BatchUpdate          // the same updates, in the order in which they were begun
 	guarded        map[string]bool               // keys of the batches whose versions the round is conditional on
 
-	maxSegments    int // of the ledger that the round may write
+	maxSegments    int // segments of the ledger that the round may write
 	entryBytes     int // bytes left for ledger entries
 	txnBytes       int // bytes left in the transaction
 	changesLeft    int
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -72,7 +72,7 @@
 	checkpointTime := func(task string) time.Duration { return l.checkpointTime(tier.Victim{Task: task}.ID().Job) }
 	for _, s := range l.preemptions.DueStops(now, checkpointTime) {
 		if p, live := l.victimPlacement(s.Victim), l.liveJobs[s.Victim.ID().Job]; p != nil && live != nil {
-			l.stopTask(now, p, live.Record.Job, "preempted for "+s.Job)
+			l.stopTask(now, p, live.Record.Job, "room for "+s.Job)
 		}
 	}
 }
@@ -85,7 +85,8 @@
 	return 0
 }
 
-// addPreemptions adds the reserved capacity to a snapshot, and marks the tasks that are being preempted.
+// addPreemptions adds the reserved capacity to a snapshot, and marks the tasks whose end a reservation awaits and those
+// that have not stopped in time.
 func (l *Leader) addPreemptions(snapshot *scheduler.Snapshot) {
 	if snapshot.Tiers = l.preemptions.Tiers(); !snapshot.Tiers.Configured() {
 		return
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -91,16 +91,16 @@
 		return
 	}
 	if p.Stop == nil || !p.Stop.JobFinished {
-		l.orderStop(p, fleet.StopOrder{Reason: "job has ended", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(l.cfg.Workers.MaxCancelStaleness())})
+		l.orderStop(p, fleet.StopOrder{Reason: "job is over", Since: now, JobFinished: true, RenewUntil: j.endedAt.Add(l.cfg.Workers.MaxCancelStaleness())})
 	}
 	// A machine that can't be reached, or to which a launch may still be in flight, is released before the deadline of
 	// the cancellation. Until the cloud confirms the release, no answer renews the lease of the worker, and without
 	// a lease it does not execute the launch (Fleet.MustLapse).
 	switch age := now.Sub(j.endedAt); {
 	case p.CallPending() && age > l.cfg.Workers.MaxCancelStaleness()/2:
-		l.releaseMachine(m, "a launch of a cancelled task may still be in flight")
+		l.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
 	case age > l.cfg.Workers.Cancel-cancelReleaseMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
-		l.releaseMachine(m, "unreachable and may run a task of a cancelled job")
+		l.releaseMachine(m, "it may run a task of a cancelled job, and is unreachable")
 	}
 }
 
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -176,7 +176,7 @@
 	state := l.jobStates[id]
 	ranges, remoteTasks := l.ownRanges(live)
 	j.RemoteTasks, j.LocalTasks = remoteTasks, handover.Count(ranges)
-	if state != nil && len(state.failedMachines) < delayAfterMachines { // else it fails on any machine: it is retried on all of them after a delay
+	if state != nil && len(state.failedMachines) < delayAfterMachines { // else the job fails everywhere: it may use any machine, after a delay
 		j.AvoidMachines = state.failedMachines
 	}
 	if rebuilding && live.SinceRevision <= l.lease.Revision {
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -89,8 +89,8 @@
 			continue
 		}
 		for _, p := range m.Placements() {
-			if demand, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
-				observation.Work += demand.GPUs + demand.CPUs/16
+			if t, ok := l.taskDemand(p.Task.Job); ok && p.Active() {
+				observation.Work += t.GPUs + t.CPUs/16
 			}
 		}
 	}
@@ -175,8 +175,8 @@
 	return sum, production
 }
 
-// canMoveElsewhere reports whether every task on a machine can run elsewhere: on a machine that this shard can request,
-// or in another shard. A machine counts as available if the cloud did not refuse the last such request.
+// canMoveElsewhere reports whether every task on a machine can run elsewhere: on a machine in another zone that this
+// shard can request, or in another shard. A machine can be requested if the cloud did not refuse the last such request.
 func (l *Leader) canMoveElsewhere(now time.Time, m *fleet.Machine) bool {
 	for _, p := range m.Placements() {
 		if live := l.liveJobs[p.Task.Job]; live != nil && p.Active() && !l.canScaleOutFor(now, live.Record.Job) {
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -203,7 +203,8 @@
 	return best, most > 0
 }
 
-// mostRequested returns the offer of a zone for the machine type of the largest request of a plan that the zone offers.
+// mostRequested returns the offer in a zone for the machine type of the largest request of a plan, among the types that
+// the zone offers.
 func (l *Leader) mostRequested(name string, plan *scheduler.Plan) (best scheduler.Offer, ok bool) {
 	most := 0
 	for _, r := range plan.ScaleOuts {
