--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,31 +1,29 @@
-// Package scheduler decides what runs where. Schedule is a pure function from a snapshot of the
-// cluster to a plan of launches, stops, scale-outs and scale-ins: it does no I/O, reads no clock,
-// and goes through everything in a fixed order, so that equal snapshots give equal plans.
+// Package scheduler decides which machine runs which task. Schedule is a pure function from a snapshot of the
+// cluster to a plan of launches, stops, scale-outs and scale-ins: it does no I/O, does not read the clock, and
+// iterates in a fixed order, so that equal snapshots give equal plans.
 //
-// A plan is made in passes, each in a file of its own:
+// A plan is made in passes. The files of the package are:
 //
-//   - order.go sorts the jobs: by tier, priority and the time left until their objectives;
-//     where operators have set tiers, tier_shares.go turns that into a queue in which work
-//     within its tier's share goes before all that exceeds one.
-//   - reservation_turns.go and reservation.go co-allocate. A gang needs much capacity at once,
-//     and in a full fleet smaller work takes each bit as it comes free. A gang that has waited
-//     for long reserves instead: it goes before all others of its priority, picks the zone with
-//     the least to wait for, and reserves what is free there and the machines that will be free
-//     soonest. Nothing is remembered between rounds or leaders: what was reserved is still free,
-//     so the same reservation is found again.
-//   - first_replica.go launches one replica of each service before the second of any, which
-//     matters where much has to start at once, as after a zone has returned.
-//   - tasks.go and gang.go place each job's waiting tasks. search.go and bestfit.go pick the
-//     machine now (bin packing); soonest.go picks where capacity will be soonest: by deferring
-//     to a fetch, by stopping lesser work (preempt.go), on a booting machine, in capacity that
-//     turnover frees (turnover.go), or on a new machine (price.go, autoscale.go).
-//   - headroom.go keeps capacity free for classes whose jobs must start sooner than a machine
-//     boots.
-//   - starvation.go admits what has waited too long beside idle capacity.
-//   - autoscale.go lists the scale-outs and scale-ins that follow.
-//   - shard.go reports to the leaders of other shards what is free, wanted and unplaced here.
-//   - tier_reclaim.go turns stops into reclaims where tiers are set; spread.go rebalances
-//     services over zones.
+//   - order.go sorts the jobs by tier, priority and the time left to meet their objectives. Where operators have
+//     configured tiers, tier_shares.go turns this order into a queue in which work within its tier's share is
+//     placed before all work that exceeds a share.
+//   - reservation_turns.go and reservation.go reserve capacity for gangs. A gang needs much capacity at once, and
+//     in a full fleet smaller jobs take each piece of capacity as it is freed. A gang that has waited for a long
+//     time therefore goes before all other jobs of its priority, picks the zone with the least remaining wait, and
+//     reserves the free capacity there and the machines that will be free soonest. No state is kept between rounds
+//     or leaders: what was reserved is still free, so the next round finds the same reservation again.
+//   - first_replica.go launches one replica of each service before the second replica of any. This matters when
+//     much has to start at once, for example after a zone has recovered.
+//   - tasks.go and gang.go place the waiting tasks of each job. search.go and bestfit.go pick a machine that has
+//     capacity now (bin packing). soonest.go picks the machine that will have capacity soonest: one that is still
+//     fetching an image for production, one on which other work is preempted (preempt.go), a booting machine,
+//     capacity that ending tasks will free (turnover.go), or a new machine (price.go, autoscale.go).
+//   - headroom.go keeps capacity free for classes whose jobs must start sooner than a machine boots.
+//   - starvation.go admits jobs that have waited too long although there is idle capacity.
+//   - autoscale.go lists the resulting scale-outs and scale-ins.
+//   - shard.go reports this shard's free capacity, quota demand and unplaced jobs to the leaders of other shards.
+//   - tier_reclaim.go turns stops into reclaims where tiers are configured. spread.go rebalances services across
+//     zones.
 //
-// A try that fails is undone by the log of undo.go.
+// A placement attempt that fails is rolled back with the undo log in undo.go.
 package scheduler
--- a/internal/scheduler/fetch.go
+++ b/internal/scheduler/fetch.go
@@ -6,13 +6,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fetch is an image that is on its way to a machine.
+// Fetch is an image that a machine is fetching.
 type Fetch struct {
 	Image         string
-	ForProduction bool // production waits for it
+	ForProduction bool // a production task waits for the image
 }
 
-// AddFetch notes an image that is on its way to a machine.
+// AddFetch records that the machine is fetching an image, once per image.
 func (m *Machine) AddFetch(image string, forProduction bool) {
 	for i := range m.Fetches {
 		if m.Fetches[i].Image == image {
@@ -27,17 +27,17 @@
 	return slices.ContainsFunc(list, func(f Fetch) bool { return f.Image == image })
 }
 
-// fetchesNothing reports whether no image is on its way to a machine: a new one gets the
-// machine's whole fetch rate.
-func (m *Machine) fetchesNothing() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
+// hasNoFetches reports whether the machine fetches no image now and will fetch none for this plan, so that a
+// new fetch gets its whole bandwidth.
+func (m *Machine) hasNoFetches() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
 
-// isFetching reports whether an image is still on its way to a machine.
+// isFetching reports whether the machine is fetching an image, or will for this plan.
 func (m *Machine) isFetching(image string) bool {
 	return containsFetch(m.Fetches, image) || containsFetch(m.plannedFetches, image)
 }
 
-// defersFetch reports whether a machine is not to begin with the image of a job yet: all fetches
-// may share the machine's rate, and production waits for one that is under way.
+// defersFetch reports whether the machine must not start to fetch a job's image yet: fetches may share the machine's
+// bandwidth, and a production task waits for one that is in progress.
 func (m *Machine) defersFetch(j *Job) bool {
 	forProduction := func(f Fetch) bool { return f.ForProduction }
 	return j.Priority != wire.Production &&
--- a/internal/scheduler/first_replica.go
+++ b/internal/scheduler/first_replica.go
@@ -2,12 +2,12 @@
 
 import "amberdeal.example/amberdeal/wire"
 
-// launchFirstReplicas launches one replica of every service that has none, where there is
-// capacity, before the others of any. Where tiers are set, these are the services of the first one.
+// launchFirstReplicas launches one replica of each service that has none, where there is capacity, before the other
+// replicas of any service. It covers production services and, if tiers are configured, only those of the first tier.
 func (pl *planner) launchFirstReplicas() {
 	for _, j := range pl.Jobs {
 		if j.Priority != wire.Production || pl.tiering != nil && j.tier > 0 {
-			return // these come first in the order
+			return // pl.Jobs is sorted: no such job follows
 		}
 		if j.Shape != wire.Service || j.Active+j.RemoteTasks > 0 || len(j.Waiting) < 2 || pl.Teams[j.Team] == nil {
 			continue
--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -13,30 +13,30 @@
 // slot is capacity for one task on a machine, now or later.
 type slot struct {
 	*Machine
-	wait float64 // seconds until it is free, less where a part of it is free already
+	wait float64 // seconds until the capacity is free, reduced if part of it is free already
 }
 
-// slotList collects slots, of which only so many are needed in the end.
+// slotList collects slots and keeps at least the wanted number with the shortest waits.
 type slotList struct {
 	list   []slot
-	wanted int
-	cutoff float64 // the longest wait of interest, as far as there are enough better slots
+	wanted int     // number of slots needed
+	cutoff float64 // slots with this wait or a longer one are not needed
 }
 
-// slotSlack and slotFactor bound how long a list may become, beside how many slots are wanted, before it is
-// cut: sorting it at each slot would cost more than it saves.
+// slotListFactor and slotListMargin determine how long a list may become, given the number of slots wanted, before it
+// is sorted and truncated. Sorting it for each new slot would cost more than it saves.
 const (
-	slotFactor = 4
-	slotSlack  = 64
+	slotListFactor = 4
+	slotListMargin = 64
 )
 
-// add adds a slot, unless there are enough better ones. With all none is left out.
+// add adds a slot unless there are enough better ones. If all is set, the list is never truncated.
 func (l *slotList) add(s slot, all bool) {
 	if s.wait >= l.cutoff {
 		return
 	}
 	l.list = append(l.list, s)
-	if all || len(l.list) < slotFactor*l.wanted+slotSlack {
+	if all || len(l.list) < slotListFactor*l.wanted+slotListMargin {
 		return
 	}
 	l.sort()
@@ -48,7 +48,7 @@
 	slices.SortStableFunc(l.list, func(a, b slot) int { return cmp.Compare(a.wait, b.wait) })
 }
 
-// gangSlots is the slots for a gang, by zone where it must be in one, else all under the job's zone.
+// gangSlots holds the slots for a gang: by zone if it must be in a single zone, else all under the job's zone.
 type gangSlots map[string]*slotList
 
 func (g gangSlots) add(j *Job, m *Machine, wait float64) {
@@ -62,27 +62,27 @@
 	g[zone].add(slot{m, wait}, j.Spread)
 }
 
-// slotsByZone finds slots for a gang on machines that boot or are up.
+// slotsByZone finds slots for a gang on booting and running machines.
 func (pl *planner) slotsByZone(j *Job) gangSlots {
 	slots, need := make(gangSlots), ResourcesOf(j.Job)
 	allowed := make([]bool, len(pl.pool.offers))
 	for i, offer := range pl.pool.offers {
 		allowed[i] = allowsOffer(j, offer)
 		if machineType := pl.pool.types[offer.Type]; machineType != nil && allowed[i] {
-			slots.addBooting(j, need, pl.pool.booting[i], machineType.BootS, pl.Doubtful[offer])
+			slots.addBootingSlots(j, need, pl.pool.booting[i], machineType.BootS, pl.Doubtful[offer])
 		}
 	}
 	for _, m := range pl.pool.usable {
 		if allowed[m.offerIndex] && !j.AvoidMachines[m.ID] {
-			slots.addFuture(j, need, m)
+			slots.addFutureSlots(j, need, m)
 		}
 	}
 	return slots
 }
 
-// addBooting adds the slots on the booting machines of one offer. Of a doubtful offer, machines that were only
-// requested are left out: they will hardly come.
-func (g gangSlots) addBooting(j *Job, need Resources, machines []*Machine, bootSeconds float64, doubtful bool) {
+// addBootingSlots adds the slots on the booting machines of one offer. If the offer is doubtful, it skips machines that
+// are only requested, since the cloud is unlikely to supply them.
+func (g gangSlots) addBootingSlots(j *Job, need Resources, machines []*Machine, bootSeconds float64, doubtful bool) {
 	for _, m := range machines {
 		if m.ID == "" && doubtful {
 			continue
@@ -93,17 +93,17 @@
 	}
 }
 
-// addFuture adds the slots on a machine as its tasks end, according to their estimates. What
-// is free already of a slot counts more than when the rest will be: else the slot would be given
-// up again for one that seems a little sooner.
-func (g gangSlots) addFuture(j *Job, need Resources, m *Machine) {
+// addFutureSlots adds the slots that a running machine has now and as its tasks end, according to their estimates.
+// The wait for a slot of which a part is free already is multiplied by the square of the missing part: otherwise the
+// reservation would move to another slot that seems to be free a little sooner.
+func (g gangSlots) addFutureSlots(j *Job, need Resources, m *Machine) {
 	free, wanted := m.Free, len(j.Waiting)
 	n := min(max(0, free.Slots(need)), wanted)
 	for range n {
 		g.add(j, m, 0)
 	}
 	missing := free.AddScaled(need, -float64(n)).shortfall(need)
-	for _, e := range m.endsOfTasks() {
+	for _, e := range m.expectedTaskEnds() {
 		free = free.AddScaled(e.frees, 1)
 		for ; n < min(free.Slots(need), wanted); n++ {
 			g.add(j, m, e.after.Seconds()*missing*missing)
@@ -112,14 +112,15 @@
 	}
 }
 
-// taskEnd is when a task should end, and what it frees then.
+// taskEnd is the time until a task should end, with the resources that it frees then.
 type taskEnd struct {
 	frees Resources
 	after time.Duration
 }
 
-// endsOfTasks lists when the machine's tasks should end, the next first. Services do not end.
-func (m *Machine) endsOfTasks() []taskEnd {
+// expectedTaskEnds lists the expected ends of the machine's tasks, the earliest first. Services are included only
+// if they are being stopped, since they do not end by themselves.
+func (m *Machine) expectedTaskEnds() []taskEnd {
 	if m.taskEnds == nil {
 		m.taskEnds = make([]taskEnd, 0, len(m.Tasks))
 		for _, t := range m.Tasks {
@@ -132,8 +133,9 @@
 	return m.taskEnds
 }
 
-// pickLeastWait picks slots for a gang, the soonest first, but for those that take longer than a
-// boot where a machine can be rented. wait sums what there is to wait for.
+// pickLeastWait picks slots for a gang, the shortest wait first. Slots with a wait longer than boot, the boot time in
+// seconds of a machine that can be rented, are left out; a boot of 0 means that none can be rented. wait is the sum of
+// the waits of the picked slots.
 func pickLeastWait(j *Job, from *slotList, boot float64) (picks []slot, wait float64) {
 	from.sort()
 	tasksByZone := maps.Clone(j.InZone)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -18,13 +18,13 @@
 	case !team.allows(whole):
 		pl.reportQuotaDemand(j, n)
 		if j.reservationTurn > 0 {
-			team.consume(whole) // what is left is not for smaller work that is behind it
+			team.consume(whole) // smaller jobs of the team that come later must not use up the rest of its limit
 		}
 	case j.MaybeRunning:
 		for _, m := range j.reservedMachines {
 			pl.occupy(j, m)
 		}
-	case pl.LaunchBudget < n: // it is launched or reported in the next round
+	case pl.LaunchBudget < n: // the next round launches or reports the gang
 		if pl.reserveForGang(j) != nil {
 			team.consume(whole)
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// launchGang launches a gang if there is capacity for it now, or reports it as ready where other
-// shards have the rest of it.
+// launchGang launches a gang if there is capacity for it now. If other shards hold the rest of the gang, it reports
+// this shard's part as ready instead. It reports whether there was capacity.
 func (pl *planner) launchGang(j *Job) bool {
 	picks := pl.placeTogether(j, true)
 	if picks == nil {
@@ -65,8 +65,8 @@
 	return true
 }
 
-// reserveForGang reserves capacity for a gang on machines where something is being stopped, that
-// boot, or that are to be rented.
+// reserveForGang reserves capacity for a gang on machines where tasks are being stopped, on booting machines or on
+// machines to be rented. It returns nil on failure.
 func (pl *planner) reserveForGang(j *Job) []*Machine {
 	if len(j.reservedMachines) > 0 {
 		return pl.holdReservation(j)
@@ -74,13 +74,13 @@
 	return pl.placeTogether(j, false)
 }
 
-// placeTogether finds machines for all waiting tasks of a gang and occupies them, or leaves
-// everything as it was. With now it is capacity that is there; else the zone is taken in which
-// the least must be rented. (The cheapest zone is another one from round to round, and machines
-// would be rented for the gang in each.)
+// placeTogether finds machines for all waiting tasks of a gang and occupies them; on failure it changes nothing.
+// If now is set, it uses only capacity that is free now. Otherwise it picks the zone where the machines to rent cost
+// least in total, not the zone with the cheapest machines: that changes from round to round, and machines for the gang
+// would be rented in one zone after another.
 func (pl *planner) placeTogether(j *Job, now bool) []*Machine {
 	zones := pl.candidateZones(j)
-	if now && j.Spot { // spot machines of any zone before others of the first
+	if now && j.Spot { // spot machines in any zone before on-demand machines in the first zone
 		if picks := pl.placeOnSpotNow(j, zones); picks != nil {
 			return picks
 		}
@@ -88,7 +88,7 @@
 	best, least := "", math.Inf(1)
 	for _, zone := range zones {
 		at := pl.savepoint()
-		picks, price := pl.tryZone(j, zone, now)
+		picks, price := pl.placeInZone(j, zone, now)
 		if picks != nil && (price == 0 || len(zones) == 1) {
 			return picks
 		}
@@ -100,12 +100,12 @@
 	if math.IsInf(least, 1) {
 		return nil
 	}
-	picks, _ := pl.tryZone(j, best, now)
+	picks, _ := pl.placeInZone(j, best, now)
 	return picks
 }
 
-// placeOnSpotNow finds spot machines that have capacity now for all waiting tasks of a gang, in the
-// first zone possible; on failure it leaves everything as it was.
+// placeOnSpotNow finds spot machines that have capacity now for all waiting tasks of a gang, in the first of the zones
+// where there are enough; on failure it changes nothing.
 func (pl *planner) placeOnSpotNow(j *Job, zones []string) []*Machine {
 	for _, zone := range zones {
 		if picks := pl.placeNow(j, zone, true); picks != nil {
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// tryZone finds machines for all waiting tasks of a gang in one zone, and returns what those that would be
-// rented for it cost; on failure it leaves everything as it was.
-func (pl *planner) tryZone(j *Job, zone string, now bool) (picks []*Machine, price float64) {
+// placeInZone finds machines for all waiting tasks of a gang in one zone, and returns the total price of the machines
+// that would be rented for it; on failure it changes nothing.
+func (pl *planner) placeInZone(j *Job, zone string, now bool) (picks []*Machine, price float64) {
 	if now {
 		return pl.placeNow(j, zone, false), 0
 	}
@@ -128,8 +128,8 @@
 	}
 	at := pl.savepoint()
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
-	// For what waits for a boot anyway nothing is stopped meanwhile: the capacity would go to
-	// lesser work again, which would be stopped again, round after round.
+	// Do not preempt for a gang that must wait for a boot anyway: until then the freed capacity would go to
+	// preemptible work again, which would be stopped again, round after round.
 	s.noPreempt = len(j.Waiting) > 1
 	picks = s.placeAll(s.soonestMachine)
 	for _, m := range pl.pool.added[at.added:] {
@@ -138,8 +138,7 @@
 	return picks, price
 }
 
-// placeNow finds machines for all waiting tasks of a gang that have capacity now; on failure it
-// leaves everything as it was.
+// placeNow finds machines that have capacity now for all waiting tasks of a gang; on failure it changes nothing.
 func (pl *planner) placeNow(j *Job, zone string, spotOnly bool) []*Machine {
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
 	s.spotOnly = spotOnly
@@ -150,9 +149,9 @@
 	return s.placeAll(s.bestFit)
 }
 
-// placeOnRunning finds machines for all waiting tasks of a gang among those that are up. Lesser
-// work is stopped on them where need be, and what is free already is reserved until that is gone;
-// on failure it leaves everything as it was.
+// placeOnRunning finds machines for all waiting tasks of a gang among the running ones. It preempts other work if
+// necessary, and reserves the capacity that is already free until the preempted tasks have ended; on failure it
+// changes nothing.
 func (pl *planner) placeOnRunning(j *Job, zone string) []*Machine {
 	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
 	return s.placeAll(func() *Machine {
@@ -169,8 +168,8 @@
 	})
 }
 
-// placeAll places each waiting task of the job on the machine that pick returns, or leaves
-// everything as it was and returns nil.
+// placeAll places each waiting task of the job on the machine that pick returns. If pick finds none, it rolls back and
+// returns nil.
 func (s *search) placeAll(pick func() *Machine) (picks []*Machine) {
 	at := s.planner.savepoint()
 	for range s.job.Waiting {
@@ -185,7 +184,7 @@
 	return picks
 }
 
-// candidateZones lists the zones of which a gang must be in one.
+// candidateZones lists the zones to try for a gang, one at a time. An empty zone stands for any mix of zones.
 func (pl *planner) candidateZones(j *Job) []string {
 	if j.Zone == "" && j.OneZone && len(j.Waiting) > 1 {
 		return pl.zonesByPrice(j)
@@ -193,8 +192,8 @@
 	return []string{j.Zone}
 }
 
-// zonesByPrice lists all zones, the cheapest for a job first: the first that has capacity for a
-// gang gets it, and its machines are then reserved for that.
+// zonesByPrice lists all zones, the cheapest for the job first: a gang is placed in the first zone that has capacity
+// for it.
 func (pl *planner) zonesByPrice(j *Job) []string {
 	price := make(map[string]float64)
 	for i := range pl.Types {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,49 +8,49 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Job is an unfinished job, as the snapshot has it.
+// Job is an unfinished job in a snapshot.
 type Job struct {
 	*wire.Job
-	Age           time.Duration   // since its submission
-	SubmittedAt   time.Time       // the same as a time
-	Order         uint64          // of its submission among all jobs
-	Waiting       []int           // indices of the tasks that are nowhere and may be placed
-	InZone        map[string]int  // how many of its tasks are in each zone, old attempts included
-	Active        int             // tasks that are on machines
-	StarvedFor    time.Duration   // for how long it has had no task anywhere although some could have been placed
-	Terminating   bool            // a gang of which some tasks have yet to end
-	AvoidMachines map[string]bool // machines on which it failed
-	SpreadRule    *SpreadRule     // of a service; may be nil
+	Age           time.Duration   // since the job was submitted
+	SubmittedAt   time.Time       // when the job was submitted
+	Order         uint64          // position in the order in which all jobs were submitted
+	Waiting       []int           // indices of the tasks that are on no machine and may be placed
+	InZone        map[string]int  // number of its tasks by zone, earlier attempts that have yet to end included
+	Active        int             // number of tasks that are on machines
+	StarvedFor    time.Duration   // how long it has had no task on any machine although some could have been placed
+	Terminating   bool            // a gang with tasks that are being stopped and have yet to end
+	AvoidMachines map[string]bool // IDs of machines on which it failed
+	SpreadRule    *SpreadRule     // services only; may be nil
 
-	// These matter where the fleet is divided into several shards.
+	// The fields below matter if the fleet is divided into several shards.
 
-	LocalTasks     int  // tasks that belong to this shard
-	RemoteTasks    int  // tasks that other shards have yet to finish
-	RemoteCapacity int  // tasks for which another shard has free capacity that the job allows
-	ReserveOnly    bool // a gang whose other tasks are in other shards: capacity is reserved, nothing is started
-	MaybeRunning   bool // a gang that may be running somewhere: nothing is started, its reservation stays
+	LocalTasks     int  // number of tasks that belong to this shard
+	RemoteTasks    int  // number of tasks that other shards have yet to finish
+	RemoteCapacity int  // number of tasks for which another shard has free capacity that the job may use
+	ReserveOnly    bool // a gang whose other tasks are in other shards: reserve capacity, launch nothing
+	MaybeRunning   bool // a gang that may be running, as far as a new leader knows: launch nothing, keep its reservation
 
 	jobPlan
 }
 
-// jobPlan is what the planner keeps with a job while it makes a plan.
+// jobPlan is the planner's state of a job while it makes a plan.
 type jobPlan struct {
-	work          tier.Workload // what tiers go by
-	tier          int
-	guaranteed    bool // it is within its team's guarantee
-	queuePosition int  // in the order in which jobs are placed
-	queueLevel    int  // the level of the queue, where tiers are set
-	remainder     *Job // where this is the part of a job that its tier's share has capacity for: the job itself
-	launchedEarly int  // tasks of Waiting that were launched before the job's turn
+	work          tier.Workload // the properties that decide the job's tier
+	tier          int           // index of the job's tier
+	guaranteed    bool          // the job is within its team's guaranteed quota
+	queuePosition int           // index in the order in which jobs are placed
+	queueLevel    int           // level of the queue, if tiers are configured
+	remainder     *Job          // the original job, if this one is only the part of it that fits into its tier's share
+	launchedEarly int           // number of leading tasks of Waiting that launchFirstReplicas has launched
 
-	timeLeft      time.Duration // until it must start to meet its next objective
-	weightedSlack time.Duration // timeLeft, reduced for classes with few jobs
+	timeLeft      time.Duration // until the job must start to meet its next objective
+	weightedSlack time.Duration // timeLeft, scaled down for classes with few jobs
 
-	reservationTurn  int        // its turn among the jobs that must not be passed over; 0 for none
-	reservedMachines []*Machine // a machine for each waiting task, or less
+	reservationTurn  int        // order among the jobs that must not be passed over, from 1; 0 if it is none of them
+	reservedMachines []*Machine // one for each waiting task, or fewer if the rest can be rented sooner
 }
 
-// starved reports whether a job is to be admitted wherever there is idle capacity.
+// starved reports whether the job has waited so long that it is admitted wherever there is idle capacity.
 func (j *Job) starved() bool {
 	if j.StarvedFor < starvationLimit || len(j.Waiting) == 0 || j.Active+j.RemoteTasks > 0 {
 		return false
@@ -58,20 +58,20 @@
 	return !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
 }
 
-// minRemaining is the least time that a task is expected to run on: estimates are often too low.
+// minRemaining is the minimum time for which a task is expected to keep running, since estimates are often too low.
 const minRemaining = 5 * time.Second
 
 // Task is a task on a machine.
 type Task struct {
 	Job            *Job
-	Index          int
-	RunTime        time.Duration // since it was first seen running
-	Stopping       bool          // it is being stopped, or is awaited by a reclaim
-	FailedAttempts int           // times that it was stopped before its image had come
-	StopOverdue    bool          // it has not stopped in time: its resources are not waited for
+	Index          int           // index within the job
+	RunTime        time.Duration // since the task was first reported as running
+	Stopping       bool          // the task is being stopped, or a reclaim waits for it to end
+	FailedAttempts int           // number of attempts that were stopped before the image was fetched
+	StopOverdue    bool          // the task did not stop in time: do not wait for its resources
 }
 
-// remaining returns the time until a task should end, according to its estimate.
+// remaining returns the time until the task should end according to its estimate. Services never end.
 func (t Task) remaining() time.Duration {
 	switch {
 	case t.Stopping:
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -10,9 +10,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// sortJobs sorts the jobs by their tiers, which are without settings: production first, then what
-// a team is guaranteed, then by priority. Within a tier it goes by priority, then those that must
-// not be passed over go first, then by the time that is left to meet the objectives.
+// sortJobs sorts the jobs by tier. The default tiers, if none are configured, are production first, then work within
+// its team's guarantee, then the rest by priority. Within a tier jobs are sorted by priority, then jobs that must not
+// be passed over go first, then jobs with the least time left to meet their objectives.
 func (pl *planner) sortJobs() {
 	slices.SortFunc(pl.Jobs, func(a, b *Job) int { return cmp.Compare(a.Order, b.Order) })
 	pl.markGuaranteed()
@@ -27,7 +27,7 @@
 	}
 }
 
-// compareJobs compares two jobs by which one is placed first.
+// compareJobs compares two jobs by the order in which they are placed.
 func (pl *planner) compareJobs(a, b *Job) int {
 	return cmp.Or(
 		cmp.Compare(a.tier, b.tier),
@@ -39,7 +39,7 @@
 	)
 }
 
-// markGuaranteed marks the jobs that are within their teams' guarantees, in the order in which they were submitted.
+// markGuaranteed marks the jobs that are within their teams' guarantees, which are used up in submission order.
 func (pl *planner) markGuaranteed() {
 	demand := make(map[string]Resources) // by team
 	for _, j := range pl.Jobs {
@@ -55,13 +55,13 @@
 	}
 }
 
-// setSlack finds the tier of each job and how long it can wait. An objective counts by class,
-// however many jobs the class has: the jobs of a class with few jobs weigh more.
+// setSlack sets the tier of each job and how long the job can wait. Objectives are measured per class, however many
+// jobs a class has: therefore each job of a class with few jobs weighs more.
 func (pl *planner) setSlack() {
-	jobs, most := make(map[string]int), 1 // by class
+	jobsByClass, most := make(map[string]int), 1
 	for _, j := range pl.Jobs {
-		jobs[j.Class]++
-		most = max(most, jobs[j.Class])
+		jobsByClass[j.Class]++
+		most = max(most, jobsByClass[j.Class])
 		if j.Priority == wire.Production && len(j.Waiting) > 0 {
 			pl.productionWaits = true
 		}
@@ -70,18 +70,19 @@
 		j.work = tier.Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service, Guaranteed: j.guaranteed}
 		j.tier = pl.Tiers.IndexOf(j.work)
 		j.timeLeft = pl.slackOf(j)
-		j.weightedSlack = j.timeLeft * time.Duration(jobs[j.Class]) / time.Duration(most)
+		j.weightedSlack = j.timeLeft * time.Duration(jobsByClass[j.Class]) / time.Duration(most)
 	}
 }
 
 const (
-	// launchDelay is about how long a launch takes beside the fetch of the image.
+	// launchDelay is about how long a launch takes, not counting the image fetch.
 	launchDelay = 3 * time.Second
-	// missedSlack is the slack of a job that has just missed all its objectives: it makes room for
-	// those that can still meet theirs.
-	missedSlack = 45 * time.Second
-	// missedAging divides the time that a job is late: it comes closer to the front the longer it waits.
-	missedAging = 4
+	// missedObjectiveSlack is the slack of a job that has just missed all its objectives. It lets jobs go first
+	// that can still meet theirs.
+	missedObjectiveSlack = 45 * time.Second
+	// latenessDivisor divides the time by which a job is late. The result is subtracted from the job's slack, so that
+	// the job moves toward the front of the queue the longer it waits.
+	latenessDivisor = 4
 )
 
 // slackOf returns how long a job can still wait without missing the next objective that it can meet.
@@ -102,24 +103,24 @@
 	case least < math.MaxInt64:
 		return least
 	case late > 0:
-		return missedSlack - late/missedAging
+		return missedObjectiveSlack - late/latenessDivisor
 	}
-	return missedSlack - j.Age/missedAging // it has no objective
+	return missedObjectiveSlack - j.Age/latenessDivisor // the job has no objective
 }
 
 // timeNeeded returns how long a job that is launched now takes to meet an objective, and whether the objective
-// is one of its own.
+// applies to the job.
 func (pl *planner) timeNeeded(j *Job, o Objective) (need time.Duration, applies bool) {
 	switch {
 	case o.Kind == GuaranteeWithin && j.guaranteed, o.Kind == StartWithin && o.Class == j.Class:
 		return pl.fetchTime(j) + launchDelay, true
 	case o.Kind == FinishWithin && o.Class == j.Class:
-		return pl.fetchTime(j) + launchDelay + j.Estimate()*11/10, true // a tenth for what the estimate lacks
+		return pl.fetchTime(j) + launchDelay + j.Estimate()*11/10, true // a tenth is added, in case the estimate is too low
 	}
 	return 0, false
 }
 
-// fetchTime is how long a machine takes to fetch a job's image, at the rate of the slowest type.
+// fetchTime returns how long a machine takes to fetch a job's image, at the rate of the slowest machine type.
 func (pl *planner) fetchTime(j *Job) time.Duration {
 	var longest float64
 	for i := range pl.Types {
@@ -130,12 +131,12 @@
 	return wire.Seconds(longest)
 }
 
-// fetchTimeStep is the step in which fetch times are compared: it sets apart the fetch of weights,
-// which takes longer than a machine boots.
+// fetchTimeStep is the granularity at which fetch times are compared. It distinguishes images with model weights,
+// whose fetch takes longer than a machine boots.
 const fetchTimeStep = 30 * time.Second
 
-// compareProduction compares production jobs by how much of each waits, and then by how soon the
-// image could be there, as far as that differs by much.
+// compareProduction compares production jobs by the share of each that waits, largest first, and then by fetch time in
+// steps of fetchTimeStep, shortest first. It returns 0 unless both jobs are production jobs.
 func (pl *planner) compareProduction(a, b *Job) int {
 	if a.Priority != wire.Production || b.Priority != wire.Production {
 		return 0
@@ -146,7 +147,8 @@
 	)
 }
 
-// waitingShare returns the fraction of a service's replicas that wait; other jobs count as a whole.
+// waitingShare returns the fraction of a service's replicas that wait. For other jobs it is 1 if any task waits,
+// else 0.
 func (j *Job) waitingShare() float64 {
 	if j.Shape != wire.Service {
 		return float64(min(1, len(j.Waiting)))
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -6,9 +6,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// planner carries a plan in the making. A fleet has thousands of machines, and most jobs fit few
-// of them: what a job could use is looked up once and kept in a search, and a try that fails is
-// undone by what it changed.
+// planner holds the state of a plan while it is made. A fleet has thousands of machines, of which most jobs fit
+// only a few: the machines that a job can use are looked up once and kept in a search, and a failed attempt undoes
+// only its own changes instead of restoring a copy of the state.
 type planner struct {
 	*Snapshot
 	plan      Plan
@@ -16,25 +16,25 @@
 	valuation valuation
 	undo      undoLog
 	turnover  turnover
-	tiering   *tiering // nil where no tiers are set
+	tiering   *tiering // nil if no tiers are configured
 
-	searchBudget    int                  // machines that may still be examined closely
-	lowestRank      int                  // the least rank of a job with a task that could be stopped
-	productionWaits bool                 // some production job has waiting tasks
-	reservingGangs  []*Job               // that reserve machines, in their turn
-	headroomByClass map[string]int       // tasks for which headroom is reserved on machines that are up
-	serviceUsage    map[string]Resources // what services use, by team; nil until needed
-	serviceClasses  []*Job               // a job of each class of services; nil until needed
+	searchBudget    int                  // number of machines that may still be examined in detail
+	lowestRank      int                  // lowest priority rank of the jobs that have a task to preempt
+	productionWaits bool                 // at least one production job has waiting tasks
+	reservingGangs  []*Job               // gangs that reserve machines, by reservationTurn
+	headroomByClass map[string]int       // number of tasks for which headroom is reserved on running machines
+	serviceUsage    map[string]Resources // resources that services use, by team; nil until needed
+	serviceClasses  []*Job               // one job of each class of services; nil until needed
 }
 
-// maxSearchBudget bounds how many machines a plan examines closely, to stop lesser work or to
-// reserve capacity that is to come: enough for any fleet under ordinary load. Jobs later in the
-// queue are considered again in the next round.
+// maxSearchBudget bounds how many machines a plan examines in detail to preempt tasks or to reserve capacity that
+// will be free later. It is enough for any fleet under ordinary load. If it is used up, jobs later in the queue are
+// considered again in the next round.
 const maxSearchBudget = 100_000
 
-// Schedule makes the plan for a snapshot. It changes the snapshot's machines, jobs and teams.
+// Schedule makes a plan for a snapshot. It modifies the snapshot's machines, jobs and teams.
 func Schedule(s *Snapshot) Plan {
-	teams := make(map[string]Team, len(s.Teams)) // their use without what the plan reserves
+	teams := make(map[string]Team, len(s.Teams)) // copies, without what the plan reserves
 	for name, t := range s.Teams {
 		teams[name] = *t
 	}
@@ -65,8 +65,8 @@
 	return pl
 }
 
-// placeJobs places the jobs in the order of the queue, and reserves headroom before the first job
-// that must leave it alone.
+// placeJobs places the jobs in the order of the queue. It reserves headroom before it places the first job that
+// must not use it.
 func (pl *planner) placeJobs(queue []*Job) {
 	reserved := false
 	for _, j := range queue {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// reserveMachines picks the machines of all reservations before anything is placed, so that what
-// is placed before the gangs takes other capacity where there is any.
+// reserveMachines picks the machines of all reservations before any job is placed, so that jobs that are placed before
+// the gangs use other capacity if there is any.
 func (pl *planner) reserveMachines() {
 	at := pl.savepoint()
 	for _, j := range pl.reservingGangs {
@@ -22,8 +22,8 @@
 	pl.rollback(at)
 }
 
-// selectReservation picks the slots with the least to wait for, all in one zone where the gang
-// must be. What could surely be rented sooner is left out.
+// selectReservation picks the machines whose slots have the least total wait for a gang, all in one zone if the gang
+// requires it. Slots that take longer than a machine that can surely be rented are left out.
 func (pl *planner) selectReservation(j *Job) []*Machine {
 	slots := pl.slotsByZone(j)
 	var best []slot
@@ -33,7 +33,7 @@
 		picks, wait := pickLeastWait(j, slots[zone], boot)
 		missing := len(j.Waiting) - len(picks)
 		if missing > 0 && boot == 0 {
-			continue // they can't be rented
+			continue // the missing machines cannot be rented
 		}
 		wait += boot * float64(missing)
 		if wait < least {
@@ -47,8 +47,9 @@
 	return machines
 }
 
-// holdReservation occupies what is reserved for a gang that finds no capacity yet, and has the
-// rest rented where that can be; on failure it leaves everything as it was.
+// holdReservation finds capacity for a gang with a reservation that can't be launched yet: on running machines if
+// preempting other work is enough, else on the reserved machines, with the rest found by soonestMachine, which may rent
+// machines. On failure it changes nothing.
 func (pl *planner) holdReservation(j *Job) []*Machine {
 	for _, zone := range pl.candidateZones(j) {
 		if picks := pl.placeOnRunning(j, zone); picks != nil {
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -16,40 +16,40 @@
 // each.
 type overloadedFleet struct {
 	*rand.Rand
-	now      time.Duration
-	machines []*Machine
-	jobs     []*Job
-	left     map[*Job]map[int]time.Duration // until a task ends
-	waits    map[int][]time.Duration        // of gangs, by their size
-	idle     map[*Machine]*IdleCapacity
+	now              time.Duration
+	machines         []*Machine
+	jobs             []*Job
+	remainingRunTime map[*Job]map[int]time.Duration // until a task ends
+	waitTimes        map[int][]time.Duration        // of gangs, by their size
+	idleCapacity     map[*Machine]*IdleCapacity
 }
 
 // largestGang is how many tasks the largest gangs have: two thirds of a zone.
 const largestGang = 16
 
 func newOverloadedFleet(seed uint64, machines int) *overloadedFleet {
-	h := &overloadedFleet{Rand: rand.New(rand.NewPCG(seed, 1)), left: map[*Job]map[int]time.Duration{}, waits: map[int][]time.Duration{}, idle: map[*Machine]*IdleCapacity{}}
+	h := &overloadedFleet{Rand: rand.New(rand.NewPCG(seed, 1)), remainingRunTime: map[*Job]map[int]time.Duration{}, waitTimes: map[int][]time.Duration{}, idleCapacity: map[*Machine]*IdleCapacity{}}
 	for i := range machines {
 		h.machines = append(h.machines, &Machine{ID: fmt.Sprintf("n-%03d", i), Type: "g4", Zone: []string{"a", "b", "c"}[i%3]})
 	}
 	return h
 }
 
-func (h *overloadedFleet) arrive(class string, shape wire.Shape, p wire.Priority, tasks int, gpus float64, run time.Duration) {
-	j := job(fmt.Sprintf("wk-%06d", len(h.left)), shape, p, gpus)
-	j.Class, j.Tasks, j.Order, j.OneZone, j.EstimateS = class, tasks, uint64(len(h.left)), shape == wire.Gang, run.Seconds()*(0.5+h.Float64())
+func (h *overloadedFleet) submit(class string, shape wire.Shape, p wire.Priority, tasks int, gpus float64, run time.Duration) {
+	j := job(fmt.Sprintf("wk-%06d", len(h.remainingRunTime)), shape, p, gpus)
+	j.Class, j.Tasks, j.Order, j.OneZone, j.EstimateS = class, tasks, uint64(len(h.remainingRunTime)), shape == wire.Gang, run.Seconds()*(0.5+h.Float64())
 	j.CPUs, j.MemoryGB = 4*gpus, 16*gpus
 	for i := range tasks {
 		j.Waiting = append(j.Waiting, i)
 	}
 	h.jobs = append(h.jobs, j)
-	h.left[j] = map[int]time.Duration{}
+	h.remainingRunTime[j] = map[int]time.Duration{}
 	if p == wire.Production {
 		run *= 10 // and it has no estimate
 		j.EstimateS = 0
 	}
 	for i := range tasks {
-		h.left[j][i] = run
+		h.remainingRunTime[j][i] = run
 	}
 }
 
@@ -61,7 +61,7 @@
 		m.Tasks = slices.DeleteFunc(m.Tasks, func(t Task) bool {
 			if t.Stopping {
 				t.Job.Waiting = append(t.Job.Waiting, t.Index)
-			} else if h.left[t.Job][t.Index] -= time.Second; h.left[t.Job][t.Index] > 0 {
+			} else if h.remainingRunTime[t.Job][t.Index] -= time.Second; h.remainingRunTime[t.Job][t.Index] > 0 {
 				return false
 			}
 			t.Job.Active--
@@ -72,10 +72,10 @@
 			m.Tasks[i].RunTime += time.Second
 			m.Free = m.Free.AddScaled(ResourcesOf(t.Job.Job), -1)
 		}
-		if h.idle[m] == nil {
-			h.idle[m] = new(IdleCapacity)
+		if h.idleCapacity[m] == nil {
+			h.idleCapacity[m] = new(IdleCapacity)
 		}
-		m.IdleCapacity = h.idle[m].Record(time.Unix(0, int64(h.now)), m.Free)
+		m.IdleCapacity = h.idleCapacity[m].Record(time.Unix(0, int64(h.now)), m.Free)
 	}
 	h.jobs = slices.DeleteFunc(h.jobs, func(j *Job) bool { return len(j.Waiting)+j.Active == 0 })
 	jobs := slices.Clone(h.jobs)
@@ -97,7 +97,7 @@
 		MaxGangWait: within, IdleTimeout: time.Minute, LaunchBudget: 500})
 	for _, l := range plan.Launches {
 		if l.Job.Shape == wire.Gang && l.TaskIndex == l.Job.Waiting[0] {
-			h.waits[l.Job.Tasks] = append(h.waits[l.Job.Tasks], l.Job.Age)
+			h.waitTimes[l.Job.Tasks] = append(h.waitTimes[l.Job.Tasks], l.Job.Age)
 		}
 	}
 	for _, l := range plan.Launches {
@@ -116,24 +116,24 @@
 	}
 }
 
-// TestLargestGangStarts: under permanent overload by smaller work the largest gangs start within the
+// TestLargestGangStartsUnderOverload: under permanent overload by smaller work the largest gangs start within the
 // bound, however often another leader takes over that knows nothing of what was reserved, and for
 // which all that runs has just started. Without the bound they never do.
-func TestLargestGangStarts(t *testing.T) {
+func TestLargestGangStartsUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		h := newOverloadedFleet(seed, 36)
 		for h.now < 10*time.Minute {
 			if h.Float64() < 0.15 {
-				h.arrive("array", wire.Array, wire.Normal, 10+h.IntN(30), 1, time.Duration(30+h.IntN(60))*time.Second)
+				h.submit("array", wire.Array, wire.Normal, 10+h.IntN(30), 1, time.Duration(30+h.IntN(60))*time.Second)
 			}
 			if h.Float64() < 0.05 {
-				h.arrive("gang", wire.Gang, wire.Normal, 1+h.IntN(3), 2, time.Duration(60+h.IntN(90))*time.Second)
+				h.submit("gang", wire.Gang, wire.Normal, 1+h.IntN(3), 2, time.Duration(60+h.IntN(90))*time.Second)
 			}
 			if h.Float64() < 0.02 {
-				h.arrive("service", wire.Service, wire.Production, 3, 1, 10*time.Second)
+				h.submit("service", wire.Service, wire.Production, 3, 1, 10*time.Second)
 			}
 			if h.now%(2*time.Minute) == time.Minute {
-				h.arrive("gang", wire.Gang, wire.Normal, largestGang, 2, 90*time.Second)
+				h.submit("gang", wire.Gang, wire.Normal, largestGang, 2, 90*time.Second)
 			}
 			if h.now%(100*time.Second) == 0 {
 				for _, m := range h.machines {
@@ -144,7 +144,7 @@
 			}
 			h.step(4 * time.Minute)
 		}
-		if waits := h.waits[largestGang]; len(waits) < 3 || slices.Max(waits) > 4*time.Minute {
+		if waits := h.waitTimes[largestGang]; len(waits) < 3 || slices.Max(waits) > 4*time.Minute {
 			t.Errorf("seed %d: the largest begin after %v", seed, waits)
 		}
 		for _, j := range h.jobs {
--- a/internal/scheduler/reservation_turns.go
+++ b/internal/scheduler/reservation_turns.go
@@ -8,32 +8,31 @@
 )
 
 const (
-	// reservationWaitDivisor is the part of MaxGangWait after which a job reserves or goes first: a
-	// quarter, so that three quarters are left for capacity to come free.
+	// reservationWaitDivisor divides MaxGangWait to give the wait after which a job reserves capacity or goes first:
+	// a quarter, so that three quarters are left for capacity to be freed.
 	reservationWaitDivisor = 4
-	// maxReservedShare bounds the part of the fleet that is reserved together; one gang always is.
+	// maxReservedShare is the maximum share of the fleet that all reservations may take together. One gang may always
+	// reserve.
 	maxReservedShare = 0.25
-	// maxReservingGangs bounds how many gangs reserve at once, each of which costs a search.
+	// maxReservingGangs is the maximum number of gangs that reserve at once, since each costs a search.
 	maxReservingGangs = 8
 )
 
-// earnsReservation reports whether a job has waited for so long that it must not be passed over
-// any more.
-func (pl *planner) earnsReservation(j *Job) bool {
+// qualifiesForReservation reports whether a job has waited so long that it must no longer be passed over.
+func (pl *planner) qualifiesForReservation(j *Job) bool {
 	return pl.MaxGangWait > 0 && j.Age+pl.fetchTime(j) >= pl.MaxGangWait/reservationWaitDivisor
 }
 
-// assignReservationTurns assigns turns to the jobs that must not be passed over: the first to those
-// that have waited for the most, which counts for each of their tasks, since a larger one is
-// passed over more often.
+// assignReservationTurns orders the jobs that must not be passed over, by their wait multiplied by their number of
+// tasks, since a larger job is passed over more often. Gangs come before arrays.
 func (pl *planner) assignReservationTurns() {
 	var gangs, arrays []*Job
 	for _, j := range pl.Jobs {
 		switch {
 		case j.Priority == wire.Production || j.Terminating || len(j.Waiting) == 0:
-		case j.Shape == wire.Gang && pl.waitsWhole(j) && pl.earnsReservation(j):
+		case j.Shape == wire.Gang && pl.canReserve(j) && pl.qualifiesForReservation(j):
 			gangs = append(gangs, j)
-		case j.Shape == wire.Array && len(j.Waiting) > 1 && pl.earnsReservation(j):
+		case j.Shape == wire.Array && len(j.Waiting) > 1 && pl.qualifiesForReservation(j):
 			arrays = append(arrays, j)
 		}
 	}
@@ -45,14 +44,14 @@
 	pl.prioritizeArrays(arrays, limit, turn)
 }
 
-// waitsWhole reports whether all of a gang of several tasks waits, so that it may reserve. One
-// that could be co-allocated over several shards does not: those exchange what is free.
-func (pl *planner) waitsWhole(j *Job) bool {
+// canReserve reports whether a gang may reserve capacity: it has several tasks, all of which wait. A gang that could be
+// co-allocated across shards may not, since the shards report their free capacity to each other for that.
+func (pl *planner) canReserve(j *Job) bool {
 	coAllocated := pl.Sharded && !j.OneZone && j.Zone == "" && j.RemoteTasks == 0
 	return !coAllocated && j.Active == 0 && len(j.Waiting)+j.RemoteTasks > 1
 }
 
-// reservableCapacity returns how much of the fleet may be reserved at once.
+// reservableCapacity returns the capacity that may be reserved at once.
 func (pl *planner) reservableCapacity() (sum Resources) {
 	for _, m := range pl.pool.usable {
 		if t := pl.pool.typeOf(m); t != nil {
@@ -62,7 +61,7 @@
 	return sum
 }
 
-// sortByWait orders jobs by how long they have waited, which counts for each of their tasks.
+// sortByWait sorts jobs by their wait multiplied by their number of tasks, the largest product first.
 func sortByWait(jobs []*Job) {
 	weight := func(j *Job) float64 { return j.Age.Seconds() * float64(j.Tasks) }
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
@@ -70,17 +69,17 @@
 	})
 }
 
-// selectReservingGangs picks the gangs that reserve, and returns the last turn. Of a team whose
-// limit leaves nothing for its first gang, no other reserves: it could not start either.
+// selectReservingGangs picks the gangs that reserve machines, and returns the last turn that it assigned. If a team's
+// limit does not allow its first gang, no other gang of the team reserves: it could not start either.
 func (pl *planner) selectReservingGangs(waiting []*Job, limit Resources) (turn int) {
 	sortByWait(waiting)
-	// What has found no capacity for twice the bound may never find any, and must not keep others
-	// from reserving for as long as it waits.
+	// A gang that has found no capacity for twice MaxGangWait may never find any, and must not keep others from
+	// reserving for as long as it waits.
 	slices.SortStableFunc(waiting, func(a, b *Job) int {
 		return cmp.Compare(a.Age/(2*pl.MaxGangWait), b.Age/(2*pl.MaxGangWait))
 	})
 	var sum Resources
-	byTeam := make(map[string]Resources) // nothing for a team that is at its limit
+	byTeam := make(map[string]Resources) // what the team's gangs reserve; zero if its limit is reached
 	for _, j := range waiting {
 		team, whole := pl.Teams[j.Team], ResourcesOf(j.Job).Scaled(float64(len(j.Waiting)))
 		used, known := byTeam[j.Team]
@@ -89,7 +88,7 @@
 		}
 		if !team.allows(used.AddScaled(whole, 1)) {
 			byTeam[j.Team] = Resources{}
-			if pl.worthReservingQuota(j, whole) { // it goes first, but reserves no machines
+			if pl.worthReservingQuota(j, whole) { // the gang goes first, but reserves no machines
 				turn++
 				j.reservationTurn = turn
 			}
@@ -106,10 +105,9 @@
 	return turn
 }
 
-// prioritizeArrays has the largest arrays of each class that have waited for half the bound go
-// behind the gangs that reserve, and before all others: of what those leave, smaller work would
-// take each bit before the last tasks of a large array. They take capacity as it comes, and
-// reserve none.
+// prioritizeArrays assigns turns after the reserving gangs to the largest arrays of each class that have waited for
+// half of MaxGangWait. Otherwise smaller jobs would take each piece of capacity that the gangs leave before the last
+// tasks of a large array. Arrays take capacity as it is freed, and reserve none.
 func (pl *planner) prioritizeArrays(waiting []*Job, limit Resources, turn int) {
 	sortByWait(waiting)
 	largest := make(map[string]int) // tasks, by class
@@ -119,7 +117,7 @@
 	first, sum := turn, Resources{}
 	for _, j := range waiting {
 		if j.Age < pl.MaxGangWait/2 || j.Age >= pl.MaxGangWait || 2*j.Tasks < largest[j.Class] {
-			continue // of one that has missed the bound: smaller ones would starve for nothing
+			continue // a job past MaxGangWait has missed it already: smaller jobs would starve for nothing
 		}
 		sum = sum.AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)))
 		if turn > first && !limit.Fits(sum) {
@@ -130,11 +128,11 @@
 	}
 }
 
-// worthReservingQuota reports whether a team's limit will allow so much of a job that has waited
-// for long, so that smaller work of the team is to wait for it: not beside services, which do not
-// end, and not where more urgent work has taken it for twice the bound.
+// worthReservingQuota reports whether smaller jobs of a team must wait so that a job that has waited for a long time
+// gets the needed part of the team's limit. It is not worth it if the limit does not allow the job beside the team's
+// services, which do not end, or if the job has waited for twice MaxGangWait because more urgent work took the quota.
 func (pl *planner) worthReservingQuota(j *Job, need Resources) bool {
-	if !pl.earnsReservation(j) || j.Age >= 2*pl.MaxGangWait {
+	if !pl.qualifiesForReservation(j) || j.Age >= 2*pl.MaxGangWait {
 		return false
 	}
 	team := *pl.Teams[j.Team]
@@ -142,7 +140,7 @@
 	return team.allows(pl.usageOfServices()[j.Team].AddScaled(need, 1))
 }
 
-// usageOfServices sums what services use or are to use, by team.
+// usageOfServices sums the resources of running and waiting service replicas by team.
 func (pl *planner) usageOfServices() map[string]Resources {
 	if pl.serviceUsage == nil {
 		pl.serviceUsage = make(map[string]Resources)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestWholeGangIsCostly: a gang that has just started must not be the cheapest to stop, whole, for a
+// TestPreemptArrayTaskBeforeWholeGang: a gang that has just started must not be the cheapest to stop, whole, for a
 // task of a service, again and again; a task of an array counts by itself.
-func TestWholeGangIsCostly(t *testing.T) {
+func TestPreemptArrayTaskBeforeWholeGang(t *testing.T) {
 	array, gang, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Gang, wire.Normal, 4), job("wk-3", wire.Service, wire.Production, 1, 0)
 	array.Active, gang.Age, gang.CheckpointS, gang.SaveS = 25, 2*time.Minute, 30, 2 // its others are elsewhere
 	a := machine("n-1", "a", Task{Job: array, RunTime: time.Minute}, Task{Job: array, Index: 1, RunTime: time.Minute}, Task{Job: array, Index: 2, RunTime: time.Minute}, Task{Job: array, Index: 3, RunTime: time.Minute})
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSpread: at most half of a service's tasks, rounded up, are in one zone; old attempts count too.
-func TestSpread(t *testing.T) {
+// TestServiceZoneSpread: at most half of a service's tasks, rounded up, are in one zone; old attempts count too.
+func TestServiceZoneSpread(t *testing.T) {
 	j := job("wk-1", wire.Service, wire.Production, 1, 1, 2, 3)
 	j.Spread = true
 	plan := Schedule(testSnapshot([]*Job{j}, machine("n-1", "a", Task{Job: j, Stopping: true}), machine("n-2", "a")))
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestGangWhole: a gang is placed in one zone or not at all.
-func TestGangWhole(t *testing.T) {
+// TestGangIsAllOrNothing: a gang is placed in one zone or not at all.
+func TestGangIsAllOrNothing(t *testing.T) {
 	j := job("wk-1", wire.Gang, wire.Normal, 4, 0, 1)
 	j.Tasks, j.OneZone = 2, true
 	plan := Schedule(testSnapshot([]*Job{j}, machine("n-1", "a"), machine("n-2", "b")))
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestLimit: a team uses no more than its limit, waiting tasks included.
-func TestLimit(t *testing.T) {
+// TestTeamLimit: a team uses no more than its limit, waiting tasks included.
+func TestTeamLimit(t *testing.T) {
 	j := job("wk-1", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
 	p := testSnapshot([]*Job{j}, machine("n-1", "a"))
 	p.Teams["red"] = &Team{LimitGPUs: 3, UsedGPUs: 1}
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestNearImage: lesser work is stopped for a replica where its image is, rather than have it wait
+// TestPreemptNearImage: lesser work is stopped for a replica where its image is, rather than have it wait
 // for a long fetch on an empty machine.
-func TestNearImage(t *testing.T) {
+func TestPreemptNearImage(t *testing.T) {
 	low, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Service, wire.Production, 1, 0)
 	top.ImageGB = 10
 	full := func() *Machine {
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestRequestedElsewhere: of a doubtful offer no more is requested than can be asked for, and the rest
+// TestDoubtfulOfferRequestLimit: of a doubtful offer no more is requested than can be asked for, and the rest
 // of the next best, whatever tries were undone; but what has no other offer requests it all the same,
 // or the largest gangs would never be asked for.
-func TestRequestedElsewhere(t *testing.T) {
+func TestDoubtfulOfferRequestLimit(t *testing.T) {
 	seven := []int{0, 1, 2, 3, 4, 5, 6}
 	many := job("wk-1", wire.Array, wire.Normal, 4, seven...)
 	gang := job("wk-2", wire.Gang, wire.Normal, 4, seven...)
@@ -204,10 +204,10 @@
 	}
 }
 
-// TestGrantAtItsLimit: of a gang that is co-allocated over several shards this one reserves capacity for
+// TestCoAllocatedGangReservesQuota: of a gang that is co-allocated over several shards this one reserves capacity for
 // a single task. Small tasks of its team come first and would take each bit of the limit as it comes
 // free: once the gang has waited for long, they don't.
-func TestGrantAtItsLimit(t *testing.T) {
+func TestCoAllocatedGangReservesQuota(t *testing.T) {
 	for n, waited := range []time.Duration{30 * time.Second, 2 * time.Minute, 2 * time.Minute} {
 		piece, small := job("wk-1", wire.Gang, wire.Normal, 2, 0), job("wk-2", wire.Array, wire.Normal, 1, 0, 1, 2, 3)
 		piece.ReserveOnly, piece.RemoteTasks, piece.Age = n < 2, 1, waited // or all shards have said that they have capacity
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -6,31 +6,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// search looks for machines for the tasks of one job, or for one try of it in one zone. Free
-// capacity only shrinks meanwhile, so that what did not fit is not looked at again.
+// search looks for machines for the tasks of one job, or for one attempt to place it in one zone. Free capacity only
+// shrinks during a search, so that a machine on which a task did not fit is not examined again.
 type search struct {
 	planner      *planner
 	job          *Job
-	need         Resources      // of one task
-	tasksByZone  map[string]int // of the job, those included that the search has placed
+	need         Resources      // needs of one task
+	tasksByZone  map[string]int // number of the job's tasks by zone, including those that the search has placed
 	zone         string         // the only zone to search in, or empty
-	maxShareCost float64        // bound for the price of a task's share of a new machine; 0 for none
-	spotOnly     bool           // only spot machines that are up
-	noPreempt    bool           // nothing is stopped
+	maxShareCost float64        // maximum price of a task's share of a new machine; 0 for no limit
+	spotOnly     bool           // use only running spot machines
+	noPreempt    bool           // preempt no work
 
-	// Machines that are up and have capacity; set by scan.
+	// Running machines that have capacity; set by scan.
 	scanned      bool
-	withImage    []candidate // they have the image, or fetch it
+	withImage    []candidate // machines that have the image or are fetching it
 	withoutImage []*Machine
-	deferred     []*Machine // a fetch would slow down one for which production waits
+	deferred     []*Machine // machines on which a fetch would slow down one that a production task waits for
 
-	// By the number of an offer in machinePool.offers.
-	allowedOffers []bool    // offers that the job may use
-	costByOffer   []float64 // of a task's share; set by priceOffers
-	bootingCursor []int     // booting machines that did not fit
+	// Indexed by the position of an offer in machinePool.offers.
+	allowedOffers []bool    // whether the job may use the offer
+	costByOffer   []float64 // price of a task's share of a machine; set by priceOffers
+	bootingCursor []int     // number of leading booting machines on which a task did not fit
 
-	offersByCost     []int // allowed offers, the cheapest first
-	waitsForTurnover bool  // soonestMachine found capacity that comes free, on no machine in particular
+	offersByCost     []int // indices of the allowed offers, the cheapest first
+	waitsForTurnover bool  // soonestMachine found capacity that ending tasks will free, on no specific machine
 }
 
 func (pl *planner) newSearch(j *Job, tasksByZone map[string]int, zone string) *search {
@@ -42,25 +42,25 @@
 	return s
 }
 
-// allows reports whether the job may use an offer, in the zone that is searched.
+// allows reports whether the job may use an offer and the offer is in the searched zone.
 func (s *search) allows(o Offer) bool {
 	return allowsOffer(s.job, o) && (s.zone == "" || s.zone == o.Zone)
 }
 
-// permitsOffer reports whether the job may use an offer, by its number.
+// permitsOffer is allows for the offer at an index of machinePool.offers.
 func (s *search) permitsOffer(offer int) bool {
 	if offer < len(s.allowedOffers) {
 		return s.allowedOffers[offer]
 	}
-	return s.allows(s.planner.pool.offers[offer]) // it has come up since the search began
+	return s.allows(s.planner.pool.offers[offer]) // the offer was added after the search began
 }
 
-// permitsMachine reports whether one more task may be on a machine, capacity aside.
+// permitsMachine reports whether one more task may be placed on a machine, regardless of its capacity.
 func (s *search) permitsMachine(m *Machine) bool {
 	return s.permitsOffer(m.offerIndex) && !s.job.AvoidMachines[m.ID] && zoneAllowed(s.job, s.tasksByZone, m.Zone)
 }
 
-// scan finds the machines that are up and have capacity for a task.
+// scan finds the running machines that have capacity for a task.
 func (s *search) scan() {
 	s.scanned = true
 	s.priceOffers()
@@ -79,7 +79,7 @@
 	}
 }
 
-// countSlots counts how many tasks have capacity now; it may stop at enough.
+// countSlots counts the tasks for which there is capacity now. It may stop counting at enough.
 func (s *search) countSlots(enough int) int {
 	n := 0
 	for _, c := range s.withImage {
@@ -94,7 +94,7 @@
 	return n
 }
 
-// place occupies a machine for a task.
+// place occupies capacity on a machine for a task and updates the search.
 func (s *search) place(m *Machine) {
 	s.planner.occupy(s.job, m)
 	if s.job.Shape == wire.Array {
@@ -110,13 +110,14 @@
 	}
 }
 
-// updateCandidates takes in that a task was placed on a machine: it has the image now, and less capacity.
+// updateCandidates updates the lists of machines after a task was placed on m, which now has less capacity and will
+// have the image.
 func (s *search) updateCandidates(m *Machine) {
 	i := slices.IndexFunc(s.withImage, func(c candidate) bool { return c.Machine == m })
 	if i < 0 {
 		k := slices.Index(s.withoutImage, m)
 		if k < 0 {
-			return // it was no candidate
+			return // m was not a candidate
 		}
 		s.withoutImage = slices.Delete(s.withoutImage, k, k+1)
 		i = len(s.withImage)
--- a/internal/scheduler/soonest.go
+++ b/internal/scheduler/soonest.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// soonestMachine finds where capacity will be soonest: where tasks are being stopped already, where
-// lesser work can be stopped, on a machine that boots, or on a new one. It returns nil if there is
-// none, or if the task waits for capacity that turnover frees.
+// soonestMachine finds the machine that will have capacity soonest: one where only a fetch must be waited for, one
+// where tasks are already being stopped, one where work can be preempted, a booting machine, or a new one. It returns
+// nil if there is none, or if the task waits for capacity that ending tasks will free.
 func (s *search) soonestMachine() *Machine {
 	pl := s.planner
 	if m := s.deferredMachine(); m != nil {
@@ -26,8 +26,8 @@
 		}
 		s.noPreempt = true
 	}
-	// A machine that boots was rented for work of its price: what another one is cheaper for leaves
-	// it alone, or more would be rented for that work.
+	// A booting machine was rented for work for which it is the cheapest. A job for which a new machine of another
+	// offer is cheaper must not take it, or another machine would be rented for that work.
 	offer, cost := s.cheapestOffer()
 	if m := s.bootingMachine(cost); m != nil {
 		return m
@@ -42,7 +42,7 @@
 		}
 		return pl.soonestToFit(s.need, s.permitsMachine)
 	}
-	if s.job.Shape == wire.Gang && pl.Doubtful[offer] { // most likely the cloud has none: reserve here as well
+	if s.job.Shape == wire.Gang && pl.Doubtful[offer] { // the cloud most likely has no such machine: reserve on a running one instead
 		if m := pl.soonestToFit(s.need, s.permitsMachine); m != nil {
 			return m
 		}
@@ -50,8 +50,8 @@
 	return pl.pool.add(offer, s.job.queuePosition)
 }
 
-// deferredMachine finds capacity on a machine that fetches for production: the task waits for
-// that, and none is rented for it.
+// deferredMachine finds capacity on a machine that is fetching an image for production. The task waits until the fetch
+// is done, and no machine is rented for it.
 func (s *search) deferredMachine() *Machine {
 	for _, m := range s.deferred {
 		if m.Free.Fits(s.need) && s.permitsMachine(m) {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// stoppingMachine finds a machine that has capacity once what is being stopped has ended.
+// stoppingMachine finds a machine that will have capacity once the tasks that are being stopped have ended.
 func (pl *planner) stoppingMachine(need Resources, ok func(*Machine) bool) *Machine {
 	for _, m := range pl.pool.stopping {
 		if m.freeAfterStops().Fits(need) && ok(m) {
@@ -71,11 +71,11 @@
 	return nil
 }
 
-// bootingTolerance is by how much a booting machine may cost more than a new one.
+// bootingTolerance is the factor by which a booting machine may cost more than a new one.
 const bootingTolerance = 1.001
 
-// bootingMachine finds capacity on a machine that boots, the cheapest first, up to what a task's
-// share costs on one that would be rented.
+// bootingMachine finds capacity on a booting machine, the cheapest first. maxCost is the cost of a task's share of the
+// machine that would be rented otherwise.
 func (s *search) bootingMachine(maxCost float64) *Machine {
 	s.priceOffers()
 	for _, o := range s.offersByCost {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// soonestToFit finds the machine that will soonest have capacity for a task of a gang, as its other
-// tasks end; small tasks would take every gap before it.
+// soonestToFit finds the running machine that will have capacity for a task of a gang soonest, as the machine's tasks
+// end. Without a reservation there, smaller tasks would take each piece of capacity as it is freed.
 func (pl *planner) soonestToFit(need Resources, ok func(*Machine) bool) *Machine {
 	var best *Machine
 	soonest := time.Duration(math.MaxInt64)
@@ -115,8 +115,8 @@
 	return best
 }
 
-// timeUntilFits returns the time until a machine should have so much capacity, according to the
-// estimates of its tasks.
+// timeUntilFits returns the time until the machine should have the needed capacity, according to the estimates of its
+// tasks.
 func (m *Machine) timeUntilFits(need Resources) time.Duration {
 	tasks := slices.Clone(m.Tasks)
 	slices.SortStableFunc(tasks, func(a, b Task) int { return cmp.Compare(a.remaining(), b.remaining()) })
--- a/internal/scheduler/startable.go
+++ b/internal/scheduler/startable.go
@@ -5,10 +5,9 @@
 // maxStartableChecks bounds how many machines FirstStartable examines.
 const maxStartableChecks = 200_000
 
-// FirstStartable returns a job of which a task, or the whole gang, has capacity on machines that are
-// up and within its team's limit, or nil. It does not know for what capacity is reserved: it is for
-// noticing that nothing is started at all. It must be called before Schedule, which changes the
-// snapshot.
+// FirstStartable returns the first job for which a task, or the whole gang, would fit on the running machines and
+// within its team's limit, or nil. It ignores reservations: its purpose is to detect that nothing is launched at all.
+// It must be called before Schedule, which modifies the snapshot.
 func (s *Snapshot) FirstStartable() *Job {
 	budget := maxStartableChecks
 	for _, j := range s.Jobs {
@@ -26,7 +25,7 @@
 	return nil
 }
 
-// canStart reports whether there is capacity for a task of a job, or the whole gang.
+// canStart reports whether there is capacity for one task of a job, or for all waiting tasks of a gang.
 func (s *Snapshot) canStart(j *Job) bool {
 	team, need, wanted := s.Teams[j.Team], ResourcesOf(j.Job), 1
 	if j.Shape == wire.Gang {
@@ -35,7 +34,7 @@
 	if team == nil || !team.allows(need.Scaled(float64(wanted))) {
 		return false
 	}
-	slots, most := make(map[string]int), 0 // by zone where the job must be in one, else together
+	slots, most := make(map[string]int), 0 // by zone if the job must be in a single zone, else all under the empty key
 	for _, m := range s.Machines {
 		if !m.Usable || j.AvoidMachines[m.ID] || !allowsOffer(j, Offer{m.Type, m.Zone, m.Spot}) || !zoneAllowed(j, j.InZone, m.Zone) {
 			continue
--- a/internal/scheduler/tasks.go
+++ b/internal/scheduler/tasks.go
@@ -6,8 +6,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// placeTasks places the tasks of an array or a service one by one: launches them where there is
-// capacity now, and reserves capacity that is to come for the rest.
+// placeTasks places the tasks of an array or a service one by one: it launches tasks where there is capacity now, and
+// reserves future capacity for the rest.
 func (pl *planner) placeTasks(j *Job) {
 	team, need := pl.Teams[j.Team], ResourcesOf(j.Job)
 	if team == nil {
@@ -18,20 +18,21 @@
 	if len(waiting) > 0 && !team.allows(need) {
 		pl.reportQuotaDemand(j, len(waiting))
 		if pl.worthReservingQuota(j, need) {
-			team.consume(need) // its next task goes before smaller ones that are behind it
+			team.consume(need) // keep quota for its next task, ahead of smaller tasks of jobs that come later
 		}
 		return
 	}
 	launching := pl.LaunchBudget > 0
-	coming, unserved := s.reserveLater(waiting)
+	coming, unserved := s.reserveFutureCapacity(waiting)
 	if launching {
 		pl.reportUnplaced(j, coming, unserved)
 	}
 }
 
-// reserveLater reserves capacity that is to come for waiting tasks. It counts those for which some is
-// on its way, and those for which there is none.
-func (s *search) reserveLater(waiting []int) (coming, unserved int) {
+// reserveFutureCapacity reserves capacity that will be free later for waiting tasks. coming counts the tasks whose
+// capacity is on its way: in another shard, on a machine that is not up yet, or freed by ending tasks. unserved counts
+// the tasks for which there is none.
+func (s *search) reserveFutureCapacity(waiting []int) (coming, unserved int) {
 	pl, j := s.planner, s.job
 	team := pl.Teams[j.Team]
 	for k := range waiting {
@@ -39,7 +40,7 @@
 			pl.reportQuotaDemand(j, len(waiting)-k)
 			break
 		}
-		if pl.useRemoteCapacity(j, 1) { // it goes there, rather than have more rented here
+		if pl.useRemoteCapacity(j, 1) { // use another shard's capacity rather than rent more machines here
 			team.consume(s.need)
 			coming++
 			continue
@@ -60,11 +61,11 @@
 	return coming, unserved
 }
 
-// launchNow launches tasks where there is capacity now, in order, and gives back the rest.
+// launchNow launches tasks in order where there is capacity now, and returns the tasks that are left.
 func (s *search) launchNow(waiting []int) []int {
 	pl, j := s.planner, s.job
 	team := pl.Teams[j.Team]
-	fetching := false // no machine near the image could be had, so that the rest fetch it
+	fetching := false // no machine that has the image could be freed: the remaining tasks fetch it
 	for len(waiting) > 0 && pl.LaunchBudget > 0 && team.allows(s.need) {
 		m := s.bestFit()
 		if m == nil {
@@ -76,7 +77,7 @@
 			fetching = near == nil
 		}
 		if near != nil {
-			m = near // once what is stopped there has ended
+			m = near // a later round launches the task there, once the preempted tasks have ended
 		} else {
 			pl.plan.Launches = append(pl.plan.Launches, Launch{j, waiting[0], m.ID})
 			pl.LaunchBudget--
@@ -88,14 +89,15 @@
 	return waiting
 }
 
-// longFetch is a fetch that takes longer than lesser work takes to end.
-const longFetch = 6 * time.Second
+// longFetchThreshold is the fetch time from which preempting work where the image is already is faster, since
+// preempted tasks end sooner.
+const longFetchThreshold = 6 * time.Second
 
-// preemptNearImage makes room for a production task where its image is, rather than have it wait
-// for a long fetch beside others; nil means that it can't. Its replicas would be down for that
-// fetch, which is longer still when several images come to one machine at once.
+// preemptNearImage frees capacity for a production task on a machine that has its image, so that the task does not
+// wait for a long fetch, during which the replica would be down. The fetch takes even longer if a machine fetches
+// several images at once. It returns nil if there is no such machine.
 func (s *search) preemptNearImage() *Machine {
-	if s.job.Priority != wire.Production || s.planner.fetchTime(s.job) < longFetch || s.job.SpreadRule != nil {
+	if s.job.Priority != wire.Production || s.planner.fetchTime(s.job) < longFetchThreshold || s.job.SpreadRule != nil {
 		return nil
 	}
 	near := func(m *Machine) bool { return m.hasImage(s.job.Image) && s.permitsMachine(m) }
--- a/internal/scheduler/undo.go
+++ b/internal/scheduler/undo.go
@@ -2,32 +2,32 @@
 
 import "amberdeal.example/amberdeal/wire"
 
-// undoLog remembers the machines that the plan has changed, as they were before. It grows with
-// each change and is cleared with each job.
+// undoLog records the state of each machine before the plan changed it. It grows with each change and is cleared
+// before each job.
 type undoLog []undoEntry
 
-// undoEntry is a machine before a change.
+// undoEntry is the state of a machine before a change.
 type undoEntry struct {
 	machine        *Machine
 	free, stopping Resources
 	loadByRank     [ranks]Resources
 	usedByPlan     bool
 	plannedFetches int
-	task           int // that the change marks as stopping, or noTask
+	task           int // index of the task that the change marks as stopping, or noTask
 }
 
-// noTask stands for a change that marks no task as stopping.
+// noTask is the value of undoEntry.task for a change that marks no task as stopping.
 const noTask = -1
 
-// record remembers a machine before a change.
+// record saves the state of a machine before a change.
 func (l *undoLog) record(m *Machine, task int) {
 	*l = append(*l, undoEntry{m, m.Free, m.stopping, m.loadByRank, m.usedByPlan, len(m.plannedFetches), task})
 }
 
-// clear forgets all changes, but keeps the memory for the next ones.
+// clear drops all entries, but keeps the allocated memory for the next ones.
 func (l *undoLog) clear() { *l = (*l)[:0] }
 
-// rollback undoes all changes but the first n, the last one first.
+// rollback undoes all changes except the first n, in reverse order.
 func (l *undoLog) rollback(n int) {
 	for i := len(*l) - 1; i >= n; i-- {
 		(*l)[i].undo()
@@ -44,14 +44,14 @@
 	}
 }
 
-// savepoint is a state of the plan to come back to.
+// savepoint identifies a state of the plan to which it can be rolled back.
 type savepoint struct{ changes, added, stopping, stops int }
 
 func (pl *planner) savepoint() savepoint {
 	return savepoint{len(pl.undo), len(pl.pool.added), len(pl.pool.stopping), len(pl.plan.Stops)}
 }
 
-// rollback undoes all that was planned since a savepoint.
+// rollback undoes everything that was planned since a savepoint.
 func (pl *planner) rollback(to savepoint) {
 	pl.undo.rollback(to.changes)
 	pl.pool.keepAdded(to.added)
@@ -59,7 +59,8 @@
 	pl.plan.Stops = pl.plan.Stops[:to.stops]
 }
 
-// occupy takes what a task of a job needs from a machine.
+// occupy deducts the needs of one task of a job from a machine's free capacity. It also notes the image fetch that
+// the task causes.
 func (pl *planner) occupy(j *Job, m *Machine) {
 	pl.undo.record(m, noTask)
 	m.Free = m.Free.AddScaled(ResourcesOf(j.Job), -1)
