--- a/internal/scheduler/bestfit.go
+++ b/internal/scheduler/bestfit.go
@@ -67,7 +67,7 @@
 // costTolerance is the difference, as a fraction of their sum, up to which two costs count as equal.
 const costTolerance = 1e-6
 
-// differs reports whether two costs differ by more than rounding.
+// costsDiffer reports whether two costs differ by more than rounding errors.
 func costsDiffer(a, b float64) bool { return math.Abs(a-b) > costTolerance*(a+b) }
 
 // betterCandidate reports whether a is preferred to b.
--- a/internal/scheduler/first_replica_test.go
+++ b/internal/scheduler/first_replica_test.go
@@ -16,52 +16,54 @@
 	return out
 }
 
-// TestFirstReplicas: with room for three, each of two services gets one before either has a
-// second, and that goes to the one which is further below its replicas.
+// TestFirstReplicas checks that, with capacity for three replicas, each of two services without replicas gets one
+// before any service gets another. The third replica goes to a service with a larger share of its replicas waiting.
 func TestFirstReplicas(t *testing.T) {
-	few := job("wk-3", wire.Service, wire.Production, 4, 2, 3) // of four
+	few := job("wk-3", wire.Service, wire.Production, 4, 2, 3) // two of its four replicas wait
 	few.Active, few.InZone["b"] = 2, 2
 	jobs := []*Job{job("wk-1", wire.Service, wire.Production, 4, 0, 1, 2, 3), job("wk-2", wire.Service, wire.Production, 4, 0, 1, 2, 3), few}
 	got := launchesOf(Schedule(testSnapshot(jobs, machine("n-1", "a"), machine("n-2", "a"), machine("n-3", "a"))))
 	if want := "wk-1/0 on n-3, wk-2/0 on n-2, wk-1/1 on n-1, "; got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("launches %s, want %s", got, want)
 	}
 }
 
-// TestDeferredFetches: a lesser image is not begun where production waits for one, nor is a
-// machine rented for that; and production goes where nothing else is fetched.
+// TestDeferredFetches checks that a machine on which production waits for an image does not start to fetch another
+// image for other work, that no machine is rented for that work, and that production goes to a machine that fetches
+// nothing else.
 func TestDeferredFetches(t *testing.T) {
-	top, low := job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
+	production, low := job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 	low.Image = "other"
-	busy, calm := machine("n-1", "a"), machine("n-2", "a")
-	busy.AddFetch("third", false)
-	calm.Free.GPUs = 2
-	plan := Schedule(testSnapshot([]*Job{top, low}, busy, calm))
+	fetching, idle := machine("n-1", "a"), machine("n-2", "a")
+	fetching.AddFetch("third", false)
+	idle.Free.GPUs = 2
+	plan := Schedule(testSnapshot([]*Job{production, low}, fetching, idle))
 	if got, want := launchesOf(plan), "wk-1/0 on n-2, wk-2/0 on n-1, "; got != want {
-		t.Errorf("%s, not %s", got, want)
+		t.Errorf("launches %s, want %s", got, want)
 	}
-	top, low = job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
+	production, low = job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 	low.Image = "other"
-	plan = Schedule(testSnapshot([]*Job{top, low}, machine("n-1", "a")))
+	plan = Schedule(testSnapshot([]*Job{production, low}, machine("n-1", "a")))
 	if got, want := launchesOf(plan), "wk-1/0 on n-1, "; got != want || len(plan.ScaleOuts) > 0 {
-		t.Errorf("%s, not %s; rents %v", got, want, plan.ScaleOuts)
+		t.Errorf("launches %s, want %s; scale-outs %v, want none", got, want, plan.ScaleOuts)
 	}
 }
 
-// TestSpreadRules: a replica goes where its service has the fewest, where there is capacity; one at a
-// time is moved there while all are up and no production waits; and no more than may be lost are in one zone.
+// TestSpreadRules checks that a replica is placed in the zone with capacity where its service has the fewest replicas,
+// that replicas are moved there one at a time while all are running and no production job waits, and that no zone has
+// more replicas than may be lost at once.
 func TestSpreadRules(t *testing.T) {
 	even, survive := &SpreadRule{Even: true}, &SpreadRule{Survive: 0.5}
 	for _, c := range []struct {
 		name         string
 		rule         *SpreadRule
-		in           []string // zones of its replicas
+		in           []string // zones of the running replicas
 		waiting      []int
-		room         []string // zones with free capacity
-		moves        int
-		other        bool // production waits elsewhere
-		launch, stop int  // how many; launches go to zone b
-		uneven       bool
+		capacity     []string // zones with free capacity
+		maxMoves     int
+		otherWaits   bool // another production job waits
+		launch, stop int  // number of launches, all in zone b, and of stops
+		violated     bool // the plan reports a violated spread rule
 	}{
 		{"the fewest", even, []string{"a"}, []int{1}, []string{"a", "b"}, 4, false, 1, 0, false},
 		{"no rule, no moves", nil, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, false, 0, 0, false},
@@ -81,23 +83,23 @@
 		for i, zone := range c.in {
 			machines = append(machines, machine(fmt.Sprint("n-", i), zone, Task{Job: j, Index: i, RunTime: time.Minute}))
 		}
-		for _, zone := range c.room {
+		for _, zone := range c.capacity {
 			machines = append(machines, machine("n-"+zone, zone))
 		}
 		jobs := []*Job{j}
-		if c.other {
+		if c.otherWaits {
 			jobs = append(jobs, job("wk-2", wire.Service, wire.Production, 99, 0))
 		}
-		pic := testSnapshot(jobs, machines...)
-		pic.MaxMoves = c.moves
-		plan := Schedule(pic)
+		snapshot := testSnapshot(jobs, machines...)
+		snapshot.MaxMoves = c.maxMoves
+		plan := Schedule(snapshot)
 		for _, l := range plan.Launches {
 			if l.Machine != "n-b" {
-				t.Errorf("%s: launched on %s", c.name, l.Machine)
+				t.Errorf("%s: launched on %s, want n-b", c.name, l.Machine)
 			}
 		}
-		if len(plan.Launches) != c.launch || len(plan.Stops) != c.stop || plan.SpreadViolated != c.uneven {
-			t.Errorf("%s: %d launches, %+v, uneven: %v", c.name, len(plan.Launches), plan.Stops, plan.SpreadViolated)
+		if len(plan.Launches) != c.launch || len(plan.Stops) != c.stop || plan.SpreadViolated != c.violated {
+			t.Errorf("%s: unexpected plan: %d launches, stops %+v, spread violated: %v", c.name, len(plan.Launches), plan.Stops, plan.SpreadViolated)
 		}
 	}
 }
--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -133,14 +133,14 @@
 	return m.taskEnds
 }
 
-// pickLeastWait picks slots for a gang, the shortest wait first. Slots with a wait longer than boot, the boot time in
-// seconds of a machine that can be rented, are left out; a boot of 0 means that none can be rented. wait is the sum of
-// the waits of the picked slots.
-func pickLeastWait(j *Job, from *slotList, boot float64) (picks []slot, wait float64) {
-	from.sort()
+// pickLeastWait picks slots for a gang, the shortest wait first. Slots that take longer than bootSeconds, the boot time
+// of a machine that can be rented, are left out; 0 means that none can be rented. wait is the sum of the waits of the
+// picked slots.
+func pickLeastWait(j *Job, slots *slotList, bootSeconds float64) (picks []slot, wait float64) {
+	slots.sort()
 	tasksByZone := maps.Clone(j.InZone)
-	for _, s := range from.list {
-		if len(picks) == len(j.Waiting) || boot > 0 && s.wait > boot {
+	for _, s := range slots.list {
+		if len(picks) == len(j.Waiting) || bootSeconds > 0 && s.wait > bootSeconds {
 			break
 		}
 		if zoneAllowed(j, tasksByZone, s.Zone) {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -13,12 +13,12 @@
 	if team == nil || j.Active > 0 {
 		return
 	}
-	whole := ResourcesOf(j.Job).Scaled(float64(n))
+	totalNeed := ResourcesOf(j.Job).Scaled(float64(n))
 	switch {
-	case !team.allows(whole):
+	case !team.allows(totalNeed):
 		pl.reportQuotaDemand(j, n)
 		if j.reservationTurn > 0 {
-			team.consume(whole) // smaller jobs of the team that come later must not use up the rest of its limit
+			team.consume(totalNeed) // smaller jobs of the team that come later must not use up the rest of its limit
 		}
 	case j.MaybeRunning:
 		for _, m := range j.reservedMachines {
@@ -26,12 +26,12 @@
 		}
 	case pl.LaunchBudget < n: // the next round launches or reports the gang
 		if pl.reserveForGang(j) != nil {
-			team.consume(whole)
+			team.consume(totalNeed)
 		}
 	case pl.launchGang(j):
-		team.consume(whole)
+		team.consume(totalNeed)
 	case pl.useRemoteCapacity(j, n):
-		team.consume(whole)
+		team.consume(totalNeed)
 		pl.reportUnplaced(j, n, 0)
 	default:
 		picks := pl.reserveForGang(j)
@@ -39,7 +39,7 @@
 			pl.reportUnplaced(j, 0, n)
 			return
 		}
-		team.consume(whole)
+		team.consume(totalNeed)
 		if slices.ContainsFunc(picks, func(m *Machine) bool { return !m.Usable }) {
 			pl.reportUnplaced(j, n, 0)
 		}
@@ -193,23 +193,23 @@
 }
 
 // zonesByPrice lists all zones, the cheapest for the job first: a gang is placed in the first zone that has capacity
-// for it.
+// for it, and the machines of that zone are then reserved for the gang.
 func (pl *planner) zonesByPrice(j *Job) []string {
-	price := make(map[string]float64)
+	priceByZone := make(map[string]float64)
 	for i := range pl.Types {
 		t := &pl.Types[i]
 		for _, z := range t.Zones {
-			if _, known := price[z]; !known {
-				price[z] = math.Inf(1)
+			if _, known := priceByZone[z]; !known {
+				priceByZone[z] = math.Inf(1)
 			}
 			for _, spot := range []bool{false, true} {
 				if o := (Offer{t.Name, z, spot}); allowsOffer(j, o) && !pl.Unavailable[o] {
-					price[z] = min(price[z], pl.machinePrice(t, spot, z)/float64(capacityOf(t).Slots(ResourcesOf(j.Job))))
+					priceByZone[z] = min(priceByZone[z], pl.machinePrice(t, spot, z)/float64(capacityOf(t).Slots(ResourcesOf(j.Job))))
 				}
 			}
 		}
 	}
-	return slices.SortedFunc(maps.Keys(price), func(a, b string) int {
-		return cmp.Or(cmp.Compare(price[a], price[b]), cmp.Compare(a, b))
+	return slices.SortedFunc(maps.Keys(priceByZone), func(a, b string) int {
+		return cmp.Or(cmp.Compare(priceByZone[a], priceByZone[b]), cmp.Compare(a, b))
 	})
 }
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -58,10 +58,10 @@
 // setSlack sets the tier of each job and how long the job can wait. Objectives are measured per class, however many
 // jobs a class has: therefore each job of a class with few jobs weighs more.
 func (pl *planner) setSlack() {
-	jobsByClass, most := make(map[string]int), 1
+	jobsByClass, maxJobs := make(map[string]int), 1
 	for _, j := range pl.Jobs {
 		jobsByClass[j.Class]++
-		most = max(most, jobsByClass[j.Class])
+		maxJobs = max(maxJobs, jobsByClass[j.Class])
 		if j.Priority == wire.Production && len(j.Waiting) > 0 {
 			pl.productionWaits = true
 		}
@@ -70,7 +70,7 @@
 		j.work = tier.Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service, Guaranteed: j.guaranteed}
 		j.tier = pl.Tiers.IndexOf(j.work)
 		j.timeLeft = pl.slackOf(j)
-		j.weightedSlack = j.timeLeft * time.Duration(jobsByClass[j.Class]) / time.Duration(most)
+		j.weightedSlack = j.timeLeft * time.Duration(jobsByClass[j.Class]) / time.Duration(maxJobs)
 	}
 }
 
@@ -87,23 +87,23 @@
 
 // slackOf returns how long a job can still wait without missing the next objective that it can meet.
 func (pl *planner) slackOf(j *Job) time.Duration {
-	least, late := time.Duration(math.MaxInt64), time.Duration(0)
+	minSlack, maxLateness := time.Duration(math.MaxInt64), time.Duration(0)
 	for _, o := range pl.Objectives {
 		need, applies := pl.timeNeeded(j, o)
 		if !applies {
 			continue
 		}
 		if slack := o.Within - j.Age - need; slack >= 0 {
-			least = min(least, slack)
+			minSlack = min(minSlack, slack)
 		} else {
-			late = max(late, -slack)
+			maxLateness = max(maxLateness, -slack)
 		}
 	}
 	switch {
-	case least < math.MaxInt64:
-		return least
-	case late > 0:
-		return missedObjectiveSlack - late/latenessDivisor
+	case minSlack < math.MaxInt64:
+		return minSlack
+	case maxLateness > 0:
+		return missedObjectiveSlack - maxLateness/latenessDivisor
 	}
 	return missedObjectiveSlack - j.Age/latenessDivisor // the job has no objective
 }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -7,8 +7,8 @@
 )
 
 // planner holds the state of a plan while it is made. A fleet has thousands of machines, of which most jobs fit
-// only a few: the machines that a job can use are looked up once and kept in a search, and a failed attempt undoes
-// only its own changes instead of restoring a copy of the state.
+// only a few: the machines that a job can use are looked up once and kept in a search, and a failed attempt is undone
+// by reverting only its own changes.
 type planner struct {
 	*Snapshot
 	plan      Plan
@@ -19,7 +19,7 @@
 	tiering   *tiering // nil if no tiers are configured
 
 	searchBudget    int                  // number of machines that may still be examined in detail
-	lowestRank      int                  // lowest priority rank of the jobs that have a task to preempt
+	lowestRank      int                  // lowest priority rank of the jobs that have a task which could be preempted
 	productionWaits bool                 // at least one production job has waiting tasks
 	reservingGangs  []*Job               // gangs that reserve machines, by reservationTurn
 	headroomByClass map[string]int       // number of tasks for which headroom is reserved on running machines
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -29,13 +29,13 @@
 	var best []slot
 	least := math.Inf(1)
 	for _, zone := range slices.Sorted(maps.Keys(slots)) {
-		boot := pl.bootTimeIn(j, zone).Seconds()
-		picks, wait := pickLeastWait(j, slots[zone], boot)
+		bootSeconds := pl.bootTimeIn(j, zone).Seconds()
+		picks, wait := pickLeastWait(j, slots[zone], bootSeconds)
 		missing := len(j.Waiting) - len(picks)
-		if missing > 0 && boot == 0 {
+		if missing > 0 && bootSeconds == 0 {
 			continue // the missing machines cannot be rented
 		}
-		wait += boot * float64(missing)
+		wait += bootSeconds * float64(missing)
 		if wait < least {
 			best, least = picks, wait
 		}
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -10,58 +10,57 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// overloadedFleet is a full fleet for which the cloud has no more machines, to which more work comes
-// than it can do: arrays and small gangs that take each bit, services, and now and then a gang for a
-// good part of a zone. Nothing of a plan is remembered from step to step, as with a new leader in
-// each.
+// overloadedFleet is a full fleet that cannot scale out and gets more work than it can run: arrays and small gangs that
+// take each piece of free capacity, services, and from time to time a gang that needs a large part of a zone. No
+// planner state is kept between steps, as if a new leader was elected before each.
 type overloadedFleet struct {
 	*rand.Rand
 	now              time.Duration
 	machines         []*Machine
 	jobs             []*Job
-	remainingRunTime map[*Job]map[int]time.Duration // until a task ends
-	waitTimes        map[int][]time.Duration        // of gangs, by their size
+	remainingRunTime map[*Job]map[int]time.Duration // run time that each unfinished task has left, by task index
+	waitTimes        map[int][]time.Duration        // wait times of the launched gangs, by number of tasks
 	idleCapacity     map[*Machine]*IdleCapacity
 }
 
-// largestGang is how many tasks the largest gangs have: two thirds of a zone.
+// largestGang is the number of tasks of the largest gangs, which need two thirds of a zone.
 const largestGang = 16
 
 func newOverloadedFleet(seed uint64, machines int) *overloadedFleet {
-	h := &overloadedFleet{Rand: rand.New(rand.NewPCG(seed, 1)), remainingRunTime: map[*Job]map[int]time.Duration{}, waitTimes: map[int][]time.Duration{}, idleCapacity: map[*Machine]*IdleCapacity{}}
+	f := &overloadedFleet{Rand: rand.New(rand.NewPCG(seed, 1)), remainingRunTime: map[*Job]map[int]time.Duration{}, waitTimes: map[int][]time.Duration{}, idleCapacity: map[*Machine]*IdleCapacity{}}
 	for i := range machines {
-		h.machines = append(h.machines, &Machine{ID: fmt.Sprintf("n-%03d", i), Type: "g4", Zone: []string{"a", "b", "c"}[i%3]})
+		f.machines = append(f.machines, &Machine{ID: fmt.Sprintf("n-%03d", i), Type: "g4", Zone: []string{"a", "b", "c"}[i%3]})
 	}
-	return h
+	return f
 }
 
-func (h *overloadedFleet) submit(class string, shape wire.Shape, p wire.Priority, tasks int, gpus float64, run time.Duration) {
-	j := job(fmt.Sprintf("wk-%06d", len(h.remainingRunTime)), shape, p, gpus)
-	j.Class, j.Tasks, j.Order, j.OneZone, j.EstimateS = class, tasks, uint64(len(h.remainingRunTime)), shape == wire.Gang, run.Seconds()*(0.5+h.Float64())
+func (f *overloadedFleet) submit(class string, shape wire.Shape, p wire.Priority, tasks int, gpus float64, run time.Duration) {
+	j := job(fmt.Sprintf("wk-%06d", len(f.remainingRunTime)), shape, p, gpus)
+	j.Class, j.Tasks, j.Order, j.OneZone, j.EstimateS = class, tasks, uint64(len(f.remainingRunTime)), shape == wire.Gang, run.Seconds()*(0.5+f.Float64())
 	j.CPUs, j.MemoryGB = 4*gpus, 16*gpus
 	for i := range tasks {
 		j.Waiting = append(j.Waiting, i)
 	}
-	h.jobs = append(h.jobs, j)
-	h.remainingRunTime[j] = map[int]time.Duration{}
+	f.jobs = append(f.jobs, j)
+	f.remainingRunTime[j] = map[int]time.Duration{}
 	if p == wire.Production {
-		run *= 10 // and it has no estimate
+		run *= 10 // and the job has no estimate
 		j.EstimateS = 0
 	}
 	for i := range tasks {
-		h.remainingRunTime[j][i] = run
+		f.remainingRunTime[j][i] = run
 	}
 }
 
-// step lets tasks run for a second, and schedules the rest.
-func (h *overloadedFleet) step(within time.Duration) {
-	h.now += time.Second
-	for _, m := range h.machines {
+// step lets the running tasks run for a second, and schedules the waiting ones.
+func (f *overloadedFleet) step(maxGangWait time.Duration) {
+	f.now += time.Second
+	for _, m := range f.machines {
 		m.Usable, m.Free, m.machinePlan = true, Resources{16, 4, 64}, machinePlan{}
 		m.Tasks = slices.DeleteFunc(m.Tasks, func(t Task) bool {
 			if t.Stopping {
 				t.Job.Waiting = append(t.Job.Waiting, t.Index)
-			} else if h.remainingRunTime[t.Job][t.Index] -= time.Second; h.remainingRunTime[t.Job][t.Index] > 0 {
+			} else if f.remainingRunTime[t.Job][t.Index] -= time.Second; f.remainingRunTime[t.Job][t.Index] > 0 {
 				return false
 			}
 			t.Job.Active--
@@ -72,13 +71,13 @@
 			m.Tasks[i].RunTime += time.Second
 			m.Free = m.Free.AddScaled(ResourcesOf(t.Job.Job), -1)
 		}
-		if h.idleCapacity[m] == nil {
-			h.idleCapacity[m] = new(IdleCapacity)
+		if f.idleCapacity[m] == nil {
+			f.idleCapacity[m] = new(IdleCapacity)
 		}
-		m.IdleCapacity = h.idleCapacity[m].Record(time.Unix(0, int64(h.now)), m.Free)
+		m.IdleCapacity = f.idleCapacity[m].Record(time.Unix(0, int64(f.now)), m.Free)
 	}
-	h.jobs = slices.DeleteFunc(h.jobs, func(j *Job) bool { return len(j.Waiting)+j.Active == 0 })
-	jobs := slices.Clone(h.jobs)
+	f.jobs = slices.DeleteFunc(f.jobs, func(j *Job) bool { return len(j.Waiting)+j.Active == 0 })
+	jobs := slices.Clone(f.jobs)
 	for _, j := range jobs {
 		j.Age += time.Second
 		j.reservationTurn, j.reservedMachines = 0, nil
@@ -92,23 +91,23 @@
 	}
 	g := g4
 	g.Zones = []string{"a", "b", "c"}
-	plan := Schedule(&Snapshot{Machines: h.machines, Jobs: jobs, Teams: map[string]*Team{"red": {}}, Types: []wire.MachineType{g}, Unavailable: full, Doubtful: full,
+	plan := Schedule(&Snapshot{Machines: f.machines, Jobs: jobs, Teams: map[string]*Team{"red": {}}, Types: []wire.MachineType{g}, Unavailable: full, Doubtful: full,
 		Objectives:  []Objective{{StartWithin, "gang", time.Minute}, {StartWithin, "gang", 100 * time.Second}, {FinishWithin, "array", 3 * time.Minute}, {FinishWithin, "gang", 400 * time.Second}},
-		MaxGangWait: within, IdleTimeout: time.Minute, LaunchBudget: 500})
+		MaxGangWait: maxGangWait, IdleTimeout: time.Minute, LaunchBudget: 500})
 	for _, l := range plan.Launches {
 		if l.Job.Shape == wire.Gang && l.TaskIndex == l.Job.Waiting[0] {
-			h.waitTimes[l.Job.Tasks] = append(h.waitTimes[l.Job.Tasks], l.Job.Age)
+			f.waitTimes[l.Job.Tasks] = append(f.waitTimes[l.Job.Tasks], l.Job.Age)
 		}
 	}
 	for _, l := range plan.Launches {
-		m := h.machines[slices.IndexFunc(h.machines, func(m *Machine) bool { return m.ID == l.Machine })]
+		m := f.machines[slices.IndexFunc(f.machines, func(m *Machine) bool { return m.ID == l.Machine })]
 		m.Tasks = append(m.Tasks, Task{Job: l.Job, Index: l.TaskIndex})
 		l.Job.Active++
 		l.Job.InZone[m.Zone]++
 		l.Job.Waiting = slices.DeleteFunc(l.Job.Waiting, func(i int) bool { return i == l.TaskIndex })
 	}
-	for _, s := range plan.Stops { // gone by the next second
-		for _, m := range h.machines {
+	for _, s := range plan.Stops { // stopped tasks are gone in the next step
+		for _, m := range f.machines {
 			if i := slices.IndexFunc(m.Tasks, func(t Task) bool { return t.Job == s.Job && t.Index == s.TaskIndex }); i >= 0 {
 				m.Tasks[i].Stopping = true
 			}
@@ -116,46 +115,47 @@
 	}
 }
 
-// TestLargestGangStartsUnderOverload: under permanent overload by smaller work the largest gangs start within the
-// bound, however often another leader takes over that knows nothing of what was reserved, and for
-// which all that runs has just started. Without the bound they never do.
+// TestLargestGangStartsUnderOverload checks that the largest gangs start within MaxGangWait under permanent overload by
+// smaller jobs, although no reservation is remembered from step to step and the run times of all tasks are reset from
+// time to time, as after a change of leader. Without MaxGangWait these gangs never start.
 func TestLargestGangStartsUnderOverload(t *testing.T) {
 	for seed := range uint64(3) {
-		h := newOverloadedFleet(seed, 36)
-		for h.now < 10*time.Minute {
-			if h.Float64() < 0.15 {
-				h.submit("array", wire.Array, wire.Normal, 10+h.IntN(30), 1, time.Duration(30+h.IntN(60))*time.Second)
+		f := newOverloadedFleet(seed, 36)
+		for f.now < 10*time.Minute {
+			if f.Float64() < 0.15 {
+				f.submit("array", wire.Array, wire.Normal, 10+f.IntN(30), 1, time.Duration(30+f.IntN(60))*time.Second)
 			}
-			if h.Float64() < 0.05 {
-				h.submit("gang", wire.Gang, wire.Normal, 1+h.IntN(3), 2, time.Duration(60+h.IntN(90))*time.Second)
+			if f.Float64() < 0.05 {
+				f.submit("gang", wire.Gang, wire.Normal, 1+f.IntN(3), 2, time.Duration(60+f.IntN(90))*time.Second)
 			}
-			if h.Float64() < 0.02 {
-				h.submit("service", wire.Service, wire.Production, 3, 1, 10*time.Second)
+			if f.Float64() < 0.02 {
+				f.submit("service", wire.Service, wire.Production, 3, 1, 10*time.Second)
 			}
-			if h.now%(2*time.Minute) == time.Minute {
-				h.submit("gang", wire.Gang, wire.Normal, largestGang, 2, 90*time.Second)
+			if f.now%(2*time.Minute) == time.Minute {
+				f.submit("gang", wire.Gang, wire.Normal, largestGang, 2, 90*time.Second)
 			}
-			if h.now%(100*time.Second) == 0 {
-				for _, m := range h.machines {
+			if f.now%(100*time.Second) == 0 {
+				for _, m := range f.machines {
 					for i := range m.Tasks {
 						m.Tasks[i].RunTime = 0
 					}
 				}
 			}
-			h.step(4 * time.Minute)
+			f.step(4 * time.Minute)
 		}
-		if waits := h.waitTimes[largestGang]; len(waits) < 3 || slices.Max(waits) > 4*time.Minute {
-			t.Errorf("seed %d: the largest begin after %v", seed, waits)
+		if waits := f.waitTimes[largestGang]; len(waits) < 3 || slices.Max(waits) > 4*time.Minute {
+			t.Errorf("seed %d: the largest gangs start after %v, want at least 3 gangs and no wait over 4m", seed, waits)
 		}
-		for _, j := range h.jobs {
+		for _, j := range f.jobs {
 			if j.Tasks == largestGang && len(j.Waiting) > 0 && j.Shape == wire.Gang && j.Age > 4*time.Minute {
-				t.Errorf("seed %d: %s waits for %v", seed, j.ID, j.Age)
+				t.Errorf("seed %d: %s still waits after %v, want a start within 4m", seed, j.ID, j.Age)
 			}
 		}
 	}
 }
 
-// TestReservation: what a gang that has waited for long does where it finds no capacity.
+// TestReservation checks what jobs that have waited for a long time reserve if they find no capacity, and which of the
+// other jobs start meanwhile.
 func TestReservation(t *testing.T) {
 	long := func(j *Job) *Job { j.Age = 2 * time.Minute; j.OneZone = true; return j }
 	run := func(j *Job, est float64) *Job { j.EstimateS = est; return j }
@@ -163,7 +163,7 @@
 	tests := []struct {
 		name  string
 		setup func() *Snapshot
-		want  []string // launches
+		want  []string // expected launches
 	}{
 		{"it reserves what is free in the zone where the rest comes soonest", func() *Snapshot {
 			busy, soon, small := run(job("wk-1", wire.Array, wire.Normal, 4), 300), run(job("wk-2", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0, 1, 2, 3, 4)
@@ -215,9 +215,9 @@
 		}, nil},
 		{"a zone that is unavailable is left", func() *Snapshot {
 			busy, small := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0)
-			dark := machine("n-1", "a")
-			dark.Usable = false
-			return testSnapshot([]*Job{busy, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))}, dark, machine("n-2", "a"), machine("n-3", "b", Task{Job: busy}), machine("n-4", "b"))
+			unusable := machine("n-1", "a")
+			unusable.Usable = false
+			return testSnapshot([]*Job{busy, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))}, unusable, machine("n-2", "a"), machine("n-3", "b", Task{Job: busy}), machine("n-4", "b"))
 		}, []string{"wk-4/0 n-2"}},
 	}
 	for _, test := range tests {
--- a/internal/scheduler/reservation_turns.go
+++ b/internal/scheduler/reservation_turns.go
@@ -79,25 +79,25 @@
 		return cmp.Compare(a.Age/(2*pl.MaxGangWait), b.Age/(2*pl.MaxGangWait))
 	})
 	var sum Resources
-	byTeam := make(map[string]Resources) // what the team's gangs reserve; zero if its limit is reached
+	reservedByTeam := make(map[string]Resources) // what the team's gangs reserve; zero if its limit is reached
 	for _, j := range waiting {
-		team, whole := pl.Teams[j.Team], ResourcesOf(j.Job).Scaled(float64(len(j.Waiting)))
-		used, known := byTeam[j.Team]
+		team, totalNeed := pl.Teams[j.Team], ResourcesOf(j.Job).Scaled(float64(len(j.Waiting)))
+		used, known := reservedByTeam[j.Team]
 		if team == nil || known && used == (Resources{}) {
 			continue
 		}
-		if !team.allows(used.AddScaled(whole, 1)) {
-			byTeam[j.Team] = Resources{}
-			if pl.worthReservingQuota(j, whole) { // the gang goes first, but reserves no machines
+		if !team.allows(used.AddScaled(totalNeed, 1)) {
+			reservedByTeam[j.Team] = Resources{}
+			if pl.worthReservingQuota(j, totalNeed) { // the gang goes first, but reserves no machines
 				turn++
 				j.reservationTurn = turn
 			}
 			continue
 		}
-		if n := len(pl.reservingGangs); n > 0 && !limit.Fits(sum.AddScaled(whole, 1)) || n == maxReservingGangs {
+		if n := len(pl.reservingGangs); n > 0 && !limit.Fits(sum.AddScaled(totalNeed, 1)) || n == maxReservingGangs {
 			return turn
 		}
-		byTeam[j.Team], sum = used.AddScaled(whole, 1), sum.AddScaled(whole, 1)
+		reservedByTeam[j.Team], sum = used.AddScaled(totalNeed, 1), sum.AddScaled(totalNeed, 1)
 		pl.reservingGangs = append(pl.reservingGangs, j)
 		turn++
 		j.reservationTurn = turn
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -115,11 +115,11 @@
 func (s *search) updateCandidates(m *Machine) {
 	i := slices.IndexFunc(s.withImage, func(c candidate) bool { return c.Machine == m })
 	if i < 0 {
-		k := slices.Index(s.withoutImage, m)
-		if k < 0 {
+		at := slices.Index(s.withoutImage, m)
+		if at < 0 {
 			return // m was not a candidate
 		}
-		s.withoutImage = slices.Delete(s.withoutImage, k, k+1)
+		s.withoutImage = slices.Delete(s.withoutImage, at, at+1)
 		i = len(s.withImage)
 		s.withImage = append(s.withImage, candidate{Machine: m, cost: s.costByOffer[m.offerIndex]})
 	}
--- a/internal/scheduler/soonest.go
+++ b/internal/scheduler/soonest.go
@@ -42,7 +42,7 @@
 		}
 		return pl.soonestToFit(s.need, s.permitsMachine)
 	}
-	if s.job.Shape == wire.Gang && pl.Doubtful[offer] { // the cloud most likely has no such machine: reserve on a running one instead
+	if s.job.Shape == wire.Gang && pl.Doubtful[offer] { // the cloud most likely has none: reserve on a running machine
 		if m := pl.soonestToFit(s.need, s.permitsMachine); m != nil {
 			return m
 		}
--- a/internal/scheduler/tasks.go
+++ b/internal/scheduler/tasks.go
@@ -71,13 +71,13 @@
 		if m == nil {
 			break
 		}
-		var near *Machine
+		var preempted *Machine
 		if !fetching && !m.hasImage(j.Image) {
-			near = s.preemptNearImage()
-			fetching = near == nil
+			preempted = s.preemptNearImage()
+			fetching = preempted == nil
 		}
-		if near != nil {
-			m = near // a later round launches the task there, once the preempted tasks have ended
+		if preempted != nil {
+			m = preempted // a later round launches the task there, once the preempted tasks have ended
 		} else {
 			pl.plan.Launches = append(pl.plan.Launches, Launch{j, waiting[0], m.ID})
 			pl.LaunchBudget--
@@ -100,9 +100,9 @@
 	if s.job.Priority != wire.Production || s.planner.fetchTime(s.job) < longFetchThreshold || s.job.SpreadRule != nil {
 		return nil
 	}
-	near := func(m *Machine) bool { return m.hasImage(s.job.Image) && s.permitsMachine(m) }
-	if m := s.planner.stoppingMachine(s.need, near); m != nil {
+	permitted := func(m *Machine) bool { return m.hasImage(s.job.Image) && s.permitsMachine(m) }
+	if m := s.planner.stoppingMachine(s.need, permitted); m != nil {
 		return m
 	}
-	return s.planner.preempt(s.job, s.need, near)
+	return s.planner.preempt(s.job, s.need, permitted)
 }
--- a/internal/scheduler/undo_test.go
+++ b/internal/scheduler/undo_test.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestRollback: a try that is undone leaves machines, pool and plan as they were, and what was
-// planned before it.
+// TestRollback checks that rolling back a placement attempt restores machines, pool and plan, and keeps what was
+// planned before the savepoint.
 func TestRollback(t *testing.T) {
 	low := job("wk-1", wire.Array, wire.Low, 4)
 	top := job("wk-2", wire.Array, wire.High, 4, 0, 1, 2)
@@ -23,15 +23,15 @@
 	pl.pool.add(Offer{"g4", "a", false}, 0) // so that the maps have their entries
 	before, at := state(), pl.savepoint()
 	if pl.preempt(top, ResourcesOf(top.Job), func(*Machine) bool { return true }) != busy {
-		t.Fatal("nothing was preempted")
+		t.Fatal("preempt did not pick the busy machine")
 	}
 	pl.occupy(top, busy)
 	pl.pool.add(Offer{"g4", "a", false}, 1)
 	if before == state() {
-		t.Fatal("the try changed nothing")
+		t.Fatal("the placement attempt changed nothing")
 	}
 	pl.rollback(at)
 	if after := state(); before != after {
-		t.Errorf("%s, not %s", after, before)
+		t.Errorf("state after the rollback is %s, want %s", after, before)
 	}
 }
