--- a/internal/scheduler/bestfit.go
+++ b/internal/scheduler/bestfit.go
@@ -93,7 +93,7 @@
 	return fullerMachine(j, a.Machine, b.Machine)
 }
 
-// fuller reports whether a is preferred to b when the emptier machine is to stay free: spot machines first if
+// fullerMachine reports whether a is preferred to b when the emptier machine is to stay free: spot machines first if
 // the job may use them, then the machine with less free capacity.
 func fullerMachine(j *Job, a, b *Machine) bool {
 	if j.Spot && a.Spot != b.Spot {
--- a/internal/scheduler/fetch.go
+++ b/internal/scheduler/fetch.go
@@ -28,7 +28,7 @@
 }
 
 // hasNoFetches reports whether the machine fetches no image now and will fetch none for this plan, so that a
-// new fetch gets its whole bandwidth.
+// new fetch gets the machine's whole bandwidth.
 func (m *Machine) hasNoFetches() bool { return len(m.Fetches)+len(m.plannedFetches) == 0 }
 
 // isFetching reports whether the machine is fetching an image, or will for this plan.
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -115,7 +115,7 @@
 	case o.Kind == GuaranteeWithin && j.guaranteed, o.Kind == StartWithin && o.Class == j.Class:
 		return pl.fetchTime(j) + launchDelay, true
 	case o.Kind == FinishWithin && o.Class == j.Class:
-		return pl.fetchTime(j) + launchDelay + j.Estimate()*11/10, true // a tenth is added, in case the estimate is too low
+		return pl.fetchTime(j) + launchDelay + j.Estimate()*11/10, true // a tenth more, as estimates may be too low
 	}
 	return 0, false
 }
