--- a/internal/leader/backoff_test.go
+++ b/internal/leader/backoff_test.go
@@ -18,7 +18,7 @@
 	for i := range 9 {
 		id := fmt.Sprintf("n-%d", i+1)
 		driver.step("report " + id + " 1/1 term=1:")
-		driver.leader.taskEnded(driver.now, &fleet.Placement{Task: wire.TaskID{Job: "wk-1"}, Attempt: 1<<24 | uint64(i+1), Machine: id, State: fleet.Ended, Cause: wire.CauseError})
+		driver.leader.handleTaskEnd(driver.now, &fleet.Placement{Task: wire.TaskID{Job: "wk-1"}, Attempt: 1<<24 | uint64(i+1), Machine: id, State: fleet.Ended, Cause: wire.CauseError})
 	}
 	if wait := driver.leader.jobState("wk-1").notBefore.Sub(driver.now); wait < 10*time.Second || wait > 45*time.Second {
 		t.Errorf("the next try is in %v", wait)
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// maxOpenCalls bounds the direct calls that are open at once.
+	// maxOpenCalls is the maximum number of concurrent direct calls.
 	maxOpenCalls = 48
-	// firstTierCalls of them are kept for work of the first tier, where tiers are configured.
+	// firstTierCalls of them are reserved for work of the first tier if tiers are configured.
 	firstTierCalls = maxOpenCalls / 8
-	// stopResendInterval is the time before the same stops are sent again.
+	// stopResendInterval is the time before the same stop commands are sent again.
 	stopResendInterval = 3 * time.Second
-	// maxFailuresToLaunch is how many calls may fail in a row before launches wait for heartbeats: a
-	// single call may be lost.
+	// maxFailuresToLaunch is the number of consecutive failed calls up to which launches still go by direct
+	// call. Beyond it, they wait for the next heartbeat. A single call may be lost.
 	maxFailuresToLaunch = 1
-	// callInterval is the time after which calls are looked for without a wake-up.
+	// callInterval is the interval at which due calls are checked for without a wake-up.
 	callInterval = 300 * time.Millisecond
 )
 
-// callLoop sends stops and launches straight to the machines, and the fencing token to machines that
-// have not been seen under it. Between rounds, it also keeps the placements compared with the jobs.
+// callLoop sends stops and launches directly to the machines, and the fencing token to machines that have not
+// reported under it yet. Between rounds, it also compares the placements with the jobs.
 func (l *Leader) callLoop(ctx context.Context, deps Dependencies) error {
-	busy := make(chan struct{}, maxOpenCalls)
+	slots := make(chan struct{}, maxOpenCalls)
 	for ctx.Err() == nil {
 		if l.reconcileDue(time.Now()) {
 			l.Reconcile(time.Now(), deps.View.Snapshot())
 		}
-		for _, c := range l.dueCalls(time.Now(), deps.LeaseValid(), maxOpenCalls-len(busy)) {
-			busy <- struct{}{}
+		for _, c := range l.dueCalls(time.Now(), deps.LeaseValid(), maxOpenCalls-len(slots)) {
+			slots <- struct{}{}
 			go func() {
-				defer func() { <-busy }()
+				defer func() { <-slots }()
 				l.callMachine(ctx, deps, c)
 			}()
 		}
@@ -53,23 +53,23 @@
 	return nil
 }
 
-// directCall is a direct call to a machine.
+// directCall is a call from the leader to a machine, outside heartbeat responses.
 type directCall struct {
 	machine, addr string
 	incarnation   uint64
-	digest        string // of the commands, to tell whether they are the same as before
+	digest        string // identifies the commands, to detect that they are unchanged
 	commands      []wire.Command
 	launches      []*fleet.Placement
-	fencing       bool // without commands: for the token to be seen, and for the heartbeat in the answer
+	fencing       bool // carries no commands: announces the token and gets a heartbeat in the answer
 }
 
-// dueCalls lists the direct calls to make now, at most limit. Calls with commands go before fencing
-// calls, since many machines may be waiting for the latter.
+// dueCalls returns the direct calls to make now, at most limit. Calls with commands go before fencing calls,
+// because a large number of machines may be waiting for the latter.
 func (l *Leader) dueCalls(now time.Time, leaseValid bool, limit int) []directCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out, due, limit := l.commandCalls(now, leaseValid, limit)
-	due = l.fencingCallsWithin(now, due, limit-len(out))
+	due = l.selectFencingCalls(now, due, limit-len(out))
 	for _, m := range due {
 		c := newDirectCall(m)
 		c.fencing = true
@@ -86,8 +86,8 @@
 	return directCall{machine: m.ID, addr: m.Addr, incarnation: cmp.Or(m.Incarnation, m.RecordedIncarnation)}
 }
 
-// commandCalls lists the calls with commands, and the machines without commands that are due for a fencing call. It
-// returns the limit less what is kept for the first tier.
+// commandCalls returns the calls with commands, the machines without commands that are due for a fencing call, and
+// the limit less the calls reserved for the first tier.
 func (l *Leader) commandCalls(now time.Time, leaseValid bool, limit int) (out []directCall, due []*fleet.Machine, left int) {
 	machines, urgent := l.machinesByUrgency()
 	for i, m := range machines {
@@ -117,17 +117,16 @@
 	return out, due, limit
 }
 
-// mayLaunchByCall reports whether launches go to a machine by direct calls. Where calls fail while heartbeats
-// arrive, launches go by the answers to these.
+// mayLaunchByCall reports whether launches go to a machine by direct call. If calls fail while heartbeats
+// arrive, launches go in the heartbeat responses instead.
 func (l *Leader) mayLaunchByCall(now time.Time, m *fleet.Machine, last reachability.Call) bool {
 	reached := last.Failures <= maxFailuresToLaunch || now.Sub(last.StartedAt) >= reachability.MaxFencingInterval
 	return reached && now.Sub(m.LastHeartbeat) < l.timeouts.directLaunchWithin && l.fleet.ReceivesCommands(now, m)
 }
 
-// fencingCallsWithin picks the machines to make fencing calls to, of those that are due: as many as the limit and
-// the throttle allow, first the ones with the fewest tasks, where work can be placed soonest. Probes
-// come on top.
-func (l *Leader) fencingCallsWithin(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
+// selectFencingCalls selects which due machines get a fencing call: as many as the limit and the throttle allow,
+// those with the fewest tasks first, because work can be placed there soonest. Probes are added to these.
+func (l *Leader) selectFencingCalls(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
 	probes := l.fencing.Probes(now, len(due) > 0)
 	if left := max(0, min(limit, l.loop.throttle.Window()-l.fencing.Open())-len(probes)); len(due) > left {
 		reachability.SortByLoad(due)
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -11,19 +11,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// splitGang is a gang of which this shard has some tasks and other shards have the rest.
+// splitGang is a gang whose tasks are divided among this shard and others.
 type splitGang struct {
-	id     string
-	job    *store.LiveJob
-	state  *jobState
-	ranges []store.ShardRange
-	lead   string // the shard that leads it
+	id        string
+	job       *store.LiveJob
+	state     *jobState
+	ranges    []store.ShardRange
+	leadShard string // the shard that coordinates its start
 }
 
-// splitGangs lists the gangs that are split over this shard and others, by id.
+// splitGangs returns the gangs that are split among this shard and others, sorted by job ID.
 func (l *Leader) splitGangs() (gangs []splitGang) {
 	split := make(map[string][]store.ShardRange)
-	for id, live := range l.liveJobs { // mostly none
+	for id, live := range l.liveJobs { // usually there are no split gangs
 		if live.Record.Job.Shape != wire.Gang {
 			continue
 		}
@@ -39,12 +39,12 @@
 	return gangs
 }
 
-// ownsUnfinished reports whether this shard has yet to finish some of the ranges.
+// ownsUnfinished reports whether this shard owns a range that is not done.
 func (l *Leader) ownsUnfinished(ranges []store.ShardRange) bool {
 	return slices.ContainsFunc(ranges, func(r store.ShardRange) bool { return r.Shard == l.lease.Shard && !r.Done })
 }
 
-// advanceSplitGangs takes each split gang a step further.
+// advanceSplitGangs advances the co-allocation of each split gang by one step.
 func (l *Leader) advanceSplitGangs(now time.Time, d *Draft) {
 	if l.sharding.IsSingle() || !l.rebuiltReachable {
 		return
@@ -60,30 +60,30 @@
 	waited := g.state.coAllocation.Age(now)
 	switch {
 	case order == store.CoAllocationReserve:
-		if g.lead == l.lease.Shard {
-			l.leadSplitGang(d, g, waited)
+		if g.leadShard == l.lease.Shard {
+			l.coordinateSplitGang(d, g, waited)
 		}
 		return
 	case g.state.coAllocation.MayStart():
 		if waited < handover.StartTimeout {
 			return
 		}
-		g.state.coAllocation.Started = order // there is no capacity for it here any more
+		g.state.coAllocation.Started = order // there is no longer capacity for it here
 		l.log.Info("co-allocated gang not started in time", "job", g.id, "attempt", order)
 	}
 	if l.hasActiveTask(g.job) {
 		return
 	}
-	if g.lead != l.lease.Shard {
-		l.returnToLead(d, g)
+	if g.leadShard != l.lease.Shard {
+		l.returnToLeadShard(d, g)
 	} else if order >= store.CoAllocationFirstAttempt {
-		l.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
+		l.writeCoAllocationOrder(d, g.id, g.job, store.CoAllocationRelease)
 	}
 }
 
-// leadSplitGang starts a gang once all shards that have tasks of it hold capacity for them, and aborts it when
-// that takes too long.
-func (l *Leader) leadSplitGang(d *Draft, g *splitGang, waited time.Duration) {
+// coordinateSplitGang starts a gang once all shards that own tasks of it hold capacity for them, and aborts the
+// co-allocation if that takes too long.
+func (l *Leader) coordinateSplitGang(d *Draft, g *splitGang, waited time.Duration) {
 	for _, r := range g.ranges {
 		ready := g.state.coAllocation.Ready
 		if r.Shard != l.lease.Shard {
@@ -91,19 +91,19 @@
 		}
 		if !r.Done && !ready {
 			if l.targets.ReservationExpired(g.job.Record.Job, r.Shard, l.forecast.freeCapacity, waited) {
-				l.writeOrder(d, g.id, g.job, store.CoAllocationRelease)
+				l.writeCoAllocationOrder(d, g.id, g.job, store.CoAllocationRelease)
 			}
 			return
 		}
 	}
-	if attempt := l.nextAttempt(l.lease.FencingToken); l.writeOrder(d, g.id, g.job, attempt) {
+	if attempt := l.nextAttempt(l.lease.FencingToken); l.writeCoAllocationOrder(d, g.id, g.job, attempt) {
 		l.log.Info("co-allocated gang started", "job", g.id, "attempt", attempt)
 	}
 }
 
-// writeOrder writes into a gang's record what the shards that have tasks of it are to do: hold capacity, release it,
-// or start an attempt.
-func (l *Leader) writeOrder(d *Draft, id string, live *store.LiveJob, order uint64) bool {
+// writeCoAllocationOrder writes to a gang's record what the shards that own tasks of it must do: reserve capacity,
+// release it, or start an attempt.
+func (l *Leader) writeCoAllocationOrder(d *Draft, id string, live *store.LiveJob, order uint64) bool {
 	if _, ends := d.finished[id]; ends {
 		return false
 	}
@@ -118,35 +118,35 @@
 	return true
 }
 
-// returnToLead hands the tasks that this shard has of a gang over to the shard that leads it, once none of them is
-// active here: a gang can only be started whole.
-func (l *Leader) returnToLead(d *Draft, g *splitGang) {
+// returnToLeadShard hands this shard's tasks of a gang over to the gang's lead shard. The caller makes sure that none
+// of them is active here: a gang can only be started as a whole.
+func (l *Leader) returnToLeadShard(d *Draft, g *splitGang) {
 	next := slices.Clone(g.ranges)
 	for i := range next {
 		if next[i].Shard == l.lease.Shard {
-			next[i].Shard = g.lead
+			next[i].Shard = g.leadShard
 		}
 	}
 	if next = handover.Merge(next); !l.rewriteRanges(d, g.id, g.job, next) {
 		return
 	}
-	l.log.Info("rest of a gang returned to its lead", "job", g.id, "to", g.lead)
+	l.log.Info("rest of a gang returned to its lead", "job", g.id, "to", g.leadShard)
 	if _, shards := reshard.LeadShard(next); shards > 1 && g.job.Record.CoAllocation != 0 {
-		l.writeOrder(d, g.id, l.liveJobs[g.id], store.CoAllocationRelease) // the others need not wait for these
+		l.writeCoAllocationOrder(d, g.id, l.liveJobs[g.id], store.CoAllocationRelease) // others need not wait for these
 	}
 }
 
-// coAllocate divides a gang over shards that together have capacity for it, or may get some by scaling out.
+// coAllocate divides a gang among shards that together have capacity for it or can get it by scaling out.
 func (l *Leader) coAllocate(now time.Time, d *Draft, u *scheduler.UnplacedJob, live *store.LiveJob, waited time.Duration) bool {
 	ranges := l.targets.Divide(now, u.Job, l.forecast.freeCapacity[u.Job.Class], l.types, waited)
 	if ranges == nil || !l.rewriteRanges(d, u.Job.ID, live, ranges) {
 		return false
 	}
 	l.log.Info("gang co-allocated", "job", u.Job.ID, "ranges", ranges)
-	return l.writeOrder(d, u.Job.ID, l.liveJobs[u.Job.ID], store.CoAllocationReserve)
+	return l.writeCoAllocationOrder(d, u.Job.ID, l.liveJobs[u.Job.ID], store.CoAllocationReserve)
 }
 
-// stopAborted stops the tasks here of gangs whose co-allocation was aborted.
+// stopAborted stops this shard's tasks of gangs whose co-allocation was aborted.
 func (l *Leader) stopAborted(now time.Time) {
 	if l.sharding.IsSingle() {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// mayPlaceSplit reports whether the tasks here of a split gang may be placed: while its capacity is reserved, or until
-// its attempt was started here. While it is reserved, they are placed but not launched.
+// mayPlaceSplit reports whether this shard's tasks of a split gang may be placed: while capacity is being reserved,
+// or until the gang's attempt has been started here. While reserving, the tasks are placed but not launched.
 func (l *Leader) mayPlaceSplit(now time.Time, j *scheduler.Job, state *jobState, order uint64) bool {
 	if state == nil {
 		return false
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -11,8 +11,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Reconcile compares the placements with the jobs while a round waits for the state service, so that
-// what is cancelled is stopped however long that takes.
+// Reconcile compares the placements with the jobs while a round waits for the state service, so that tasks of
+// cancelled jobs are stopped however long the round takes.
 func (l *Leader) Reconcile(now time.Time, snap store.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,21 +21,21 @@
 	}
 }
 
-// refresh applies what has happened up to a snapshot of the state.
+// refresh applies a snapshot of the state and the lease expiries up to now, and reconciles the placements.
 func (l *Leader) refresh(now time.Time, snap store.Snapshot) {
 	if !l.lastReconciled.IsZero() && now.Sub(l.lastReconciled) > reachability.PauseThreshold {
 		l.monitor.NotePause(now)
 	}
 	l.liveJobs, l.lastReconciled = snap.LiveJobs, now
 	l.quota.Observe(snap.QuotaGrants)
-	l.noteLiveJobs(snap)
+	l.recordLiveRevisions(snap)
 	l.applyEvents(now, l.fleet.ExpireLeases(now))
 	l.reconcilePlacements(now)
 	l.viewCurrentAt = snap.CurrentAt
 }
 
-// Decide returns the next round for a snapshot of the state, or nil when there is nothing to write.
-// Stops take effect at once, since they need no fence.
+// Decide returns the next round for a snapshot of the state, or nil if there is nothing to write. Stops take
+// effect immediately, because they need no fencing.
 func (l *Leader) Decide(now time.Time, snap store.Snapshot) *Draft {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,17 +53,17 @@
 	l.storeProgress(d)
 	l.plan(now, d)
 	l.writeMigrated(d)
-	migrated, drops := l.migration.due(), l.releaseOwnership(d)
+	migrated, drops := l.migration.due(), l.rewriteStaleRecords(d)
 	if d.Empty() && !migrated && !drops && now.Sub(l.lastDecided) < l.cfg.Tuning.RoundWindow {
-		return nil // what is only obsolete waits for a round that is written anyway
+		return nil // dropping obsolete records alone does not justify a round
 	}
 	l.dropObsolete(d)
 	l.writeStalePreemptions(d)
-	cleared := l.clearedRevision(snap.Revision)
-	if d.Empty() && !migrated && !l.clearedDue(now, cleared) {
+	drained := l.drainedRevision(snap.Revision)
+	if d.Empty() && !migrated && !l.drainedRoundDue(now, drained) {
 		return nil
 	}
-	l.lastDecided, d.clearedRevision, d.migrated = now, cleared, migrated
+	l.lastDecided, d.drainedRevision, d.migrated = now, drained, migrated
 	if !l.pack(now, d) {
 		return nil
 	}
@@ -72,11 +72,11 @@
 	return d
 }
 
-// pack divides the entries of a round among segments of the ledger. If they don't fit, the round is
-// discarded, and a smaller one is decided instead: a launch whose machine's record is left out must
-// never be sent, since the next leader would not know of it.
+// pack divides the entries of a round among segments of the ledger. If they don't fit, it discards the round,
+// and a smaller one is decided next: a launch must never be sent if its machine's record is left out, because
+// the next leader would not know of it.
 func (l *Leader) pack(now time.Time, d *Draft) bool {
-	head := store.SegmentRecord{FencingToken: l.lease.FencingToken, Round: d.Number, DrainedThrough: d.clearedRevision}
+	head := store.SegmentRecord{FencingToken: l.lease.FencingToken, Round: d.Number, DrainedThrough: d.drainedRevision}
 	if d.migrated || l.migration.recorded {
 		head.Migrated = l.assignment.Generation()
 	}
@@ -93,7 +93,7 @@
 	return true
 }
 
-// plan has the scheduler plan, and turns its plan into the draft.
+// plan runs the scheduler and applies its plan to the draft.
 func (l *Leader) plan(now time.Time, d *Draft) {
 	snapshot := l.clusterSnapshot(now)
 	snapshot.LaunchBudget = l.cfg.Tuning.RoundTasks
@@ -104,10 +104,10 @@
 	}
 	plan := scheduler.Schedule(snapshot)
 	withheld := l.launch(now, d, plan.Launches)
-	l.noteStarts(now, d, &plan, startable, withheld)
+	l.reportStarts(now, d, &plan, startable, withheld)
 	l.updateForecast(&plan, snapshot.Teams)
 	l.noteFreeCapacity(now, &plan)
-	if l.preemptions.Tiers().Configured() { // then nothing is stopped for capacity before the round is committed
+	if l.preemptions.Tiers().Configured() { // then preempted tasks are stopped only after the round is committed
 		l.startPreemptions(now, d, plan.Reclaims)
 		l.preemptions.SetStatuses(plan.Tiers)
 	}
@@ -123,11 +123,12 @@
 	l.releaseUnusable(now)
 }
 
-// noteStarts tells the stall detector what a plan and its round start. Startable is a job that could be
-// started where nothing was for a while; withheld is why launches that were planned are not in the round.
-func (l *Leader) noteStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld stall.Cause) {
+// reportStarts tells the stall detector whether a plan and its round start anything. startable is a job that
+// could be started although nothing has been started for a while; withheld is why planned launches are not
+// in the round.
+func (l *Leader) reportStarts(now time.Time, d *Draft, plan *scheduler.Plan, startable *scheduler.Job, withheld stall.Cause) {
 	switch {
-	case len(d.launches) > 0: // the state service has yet to commit them
+	case len(d.launches) > 0: // the state service still has to commit them
 	case len(plan.Launches) > 0:
 		l.stalls.Blocked(now, withheld, plan.Launches[0].Job.ID)
 	case startable != nil:
@@ -138,7 +139,7 @@
 	l.logStall(now)
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K interface{ ~string | ~int }, V any](m map[K]V) []K {
 	out := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -11,29 +11,29 @@
 	"amberdeal.example/amberdeal/internal/zonerecovery"
 )
 
-// Draft is a round that was decided and is yet to be written.
+// Draft is a round that was decided but not yet committed.
 type Draft struct {
 	*commit.Builder
 	Number uint64
 
-	clearedRevision uint64 // up to which it says that nothing is left of ended jobs
-	migrated        bool   // it says that all of previous shardings is taken over
+	drainedRevision uint64 // revision up to which it records the shard as drained of ended jobs
+	migrated        bool   // it records that the migration from previous shardings is complete
 	launches        []*fleet.Placement
-	finished        map[string][]int             // tasks that it stores as finished
+	finished        map[string][]int             // tasks that it stores as finished, by job
 	done            []string                     // jobs that it stores as done
-	machines        map[string]bool              // whose records it writes
-	ledgerTasks     map[string]map[string]uint64 // and what these name
-	zones           []zone.Change                // that it decides
+	machines        map[string]bool              // machines whose records it writes
+	ledgerTasks     map[string]map[string]uint64 // tasks that these records name, by machine
+	zones           []zone.Change                // changes of zone states
 	returns         map[string]*zonerecovery.Plan
 	requests        []string
 	dropped         []string // scale-out requests and machines whose records it deletes
 	storesTypes     bool     // it stores the machine types
 	decidedAt       time.Time
-	expansions      map[string]*tier.Preemption  // that get more reservations, by job
-	stale           map[tier.ReservationKey]bool // records of reservations, and whether they are still out of date after it
+	expansions      map[string]*tier.Preemption  // preemptions that get more reservations, by job
+	stale           map[tier.ReservationKey]bool // reservation records; true if still outdated after this round
 }
 
-// newDraft begins a round within the limits of the state service.
+// newDraft returns an empty round that is limited to what the state service accepts.
 func (l *Leader) newDraft() *Draft {
 	maxChanges := min(l.cfg.Store.TxnOps, store.LeaderBurst(l.cfg.Store.WriteRPS, l.cfg.Writers().MinWriteShare(), len(l.sharding.Shards())))
 	conditions := l.conflicts.Limit(4*l.cfg.Store.TxnOps - l.cfg.Store.TxnOps/2 - 3)
@@ -42,7 +42,7 @@
 		expansions: map[string]*tier.Preemption{}, stale: map[tier.ReservationKey]bool{}}
 }
 
-// Committed applies a round that was committed at a revision.
+// Committed applies the effects of a round that was committed at the given revision.
 func (l *Leader) Committed(d *Draft, revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +51,7 @@
 	if len(d.launches) > 0 {
 		l.stalls.Launched(d.decidedAt)
 	}
-	l.clearedWritten = max(l.clearedWritten, d.clearedRevision)
+	l.drainedWritten = max(l.drainedWritten, d.drainedRevision)
 	l.migration.recorded = l.migration.recorded || d.migrated
 	l.ledger.Commit(d.Packed(), revision)
 	l.preemptionsCommitted(d)
@@ -89,11 +89,11 @@
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		l.log.Debug("round", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
+		l.log.Debug("round committed", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
 	}
 }
 
-// Discard takes back a round that will never be committed.
+// Discard reverts a round that will never be committed.
 func (l *Leader) Discard(d *Draft) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	l.discardDraft(d)
 }
 
-// discardDraft withdraws what was decided for a round.
+// discardDraft withdraws the launches and scale-out requests of a round.
 func (l *Leader) discardDraft(d *Draft) {
 	for _, p := range d.launches {
 		if l.fleet.Machine(p.Machine) != nil {
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// applyEvents reacts to what heartbeats and lease expiries have shown about placements.
+// applyEvents handles changes of placements that heartbeats and lease expiries have revealed.
 func (l *Leader) applyEvents(now time.Time, events []fleet.Event) {
 	for _, e := range events {
 		p := e.Placement
@@ -17,12 +17,12 @@
 		if e.Gone {
 			l.log.Info("task gone", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine)
 		} else if p.State == fleet.Ended && !p.EndHandled {
-			l.taskEnded(now, p)
+			l.handleTaskEnd(now, p)
 		} else if p.State == fleet.Running {
 			l.log.Debug("task running", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "after", now.Sub(p.PlacedAt))
 		}
-		// What a heartbeat shows for the first time, of a job that is known to be over, is
-		// stopped by the answer to that heartbeat, which may be the last one for long.
+		// If a heartbeat reveals a task of an ended job, the response to that same heartbeat stops it,
+		// because the next heartbeat may be a long time away.
 		if m := l.fleet.Machine(p.Machine); m != nil && !e.Gone && p.Active() && p.Stop == nil && l.liveJobs[p.Task.Job] == nil {
 			l.reconcileEnded(now, m, p)
 		}
@@ -33,16 +33,16 @@
 }
 
 const (
-	// cordonAfterJobs is how many different jobs fail on a machine before it is cordoned: one may
-	// be at fault itself.
+	// cordonAfterJobs is how many different jobs must fail on a machine before it is cordoned: with a single
+	// one, the job itself may be at fault.
 	cordonAfterJobs = 2
-	// refusedLaunchDelay is how long a job waits after a machine has refused a launch of it, which
-	// is about as long as the heartbeat takes that shows what else is there.
+	// refusedLaunchDelay is how long a job waits after a machine has refused to launch it: about the time until
+	// a heartbeat shows what else is on the machine.
 	refusedLaunchDelay = time.Second
 )
 
-// taskEnded applies the end of a task for which nothing was done yet.
-func (l *Leader) taskEnded(now time.Time, p *fleet.Placement) {
+// handleTaskEnd handles the end of a task that has not been handled yet.
+func (l *Leader) handleTaskEnd(now time.Time, p *fleet.Placement) {
 	j, m := l.jobState(p.Task.Job), l.fleet.Machine(p.Machine)
 	l.log.Debug("task ended", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "cause", p.Cause, "saved", p.Saved)
 	if p.Cause == wire.CauseDone {
@@ -53,11 +53,11 @@
 	p.EndHandled = true
 	switch p.Cause {
 	case wire.CauseError:
-		// Evidence about the machine and about the job: different jobs that fail on one
-		// machine cordon it, a job that fails on several machines is delayed.
+		// The failure may be due to the machine or to the job: a machine on which different jobs fail is
+		// cordoned, and a job that fails on several machines is delayed.
 		l.log.Info("task failed", "task", p.Task, "machine", p.Machine)
 		m.JobFailures[p.Task.Job]++
-		j.noteFailure(now, p.Machine)
+		j.recordFailure(now, p.Machine)
 		if len(m.JobFailures) >= cordonAfterJobs && m.DrainReason == "" {
 			m.DrainReason = "different jobs fail on it"
 			l.log.Warn("machine cordoned", "machine", m.ID, "reason", m.DrainReason)
@@ -70,7 +70,7 @@
 	}
 }
 
-// markFinished marks a task as finished; the tasks of a gang finish together.
+// markFinished marks a task as finished; for a gang, it marks all tasks, because they finish together.
 func (l *Leader) markFinished(t wire.TaskID, j *jobState) {
 	j.finished.Add(t.Index)
 	live := l.liveJobs[t.Job]
--- a/internal/leader/fencingcalls.go
+++ b/internal/leader/fencingcalls.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// FencingCalls returns at most limit calls for a peer to make: to all machines that are due while the fleet is
-// being rebuilt, and later to a few machines of suspected zones.
+// FencingCalls returns at most limit fencing calls for a peer to make: to all machines that are due while the fleet
+// is being rebuilt, and afterwards to a few machines in zones that are suspected to be unreachable.
 func (l *Leader) FencingCalls(now time.Time, limit int) []reachability.FencingCall {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// CallsFailing reports whether hardly any call from here reaches machines whose heartbeats peers forward: the
-// network between this controller and the machines is cut.
+// CallsFailing reports whether almost all calls from this controller fail to reach machines whose heartbeats peers
+// still forward, which means that the network between this controller and the machines is partitioned.
 func (l *Leader) CallsFailing(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/forecast.go
+++ b/internal/leader/forecast.go
@@ -5,19 +5,19 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// forecast is what the last plan leaves to other shards.
+// forecast holds what the last plan left unplaced or unused, for use by other shards.
 type forecast struct {
 	unplaced     []scheduler.UnplacedJob
-	freeCapacity map[string]scheduler.FreeCapacity // by class
-	readyGangs   []string                          // gangs over several shards for whose tasks here there is capacity
+	freeCapacity map[string]scheduler.FreeCapacity // by job class
+	readyGangs   []string                          // gangs split among shards for whose tasks this shard has capacity
 }
 
-// updateForecast takes in what a plan leaves.
+// updateForecast updates the forecast from a plan.
 func (l *Leader) updateForecast(plan *scheduler.Plan, teams map[string]*scheduler.Team) {
 	l.forecast = forecast{plan.Unplaced, plan.FreeCapacity, plan.ReadyGangs}
 	projected := make(map[string]scheduler.Resources, len(teams))
 	for name, t := range teams {
-		// A team beyond its limit has capacity reserved that there is not, for a job that has waited for long.
+		// A team beyond its limit has more capacity reserved than it may use, for a job that has waited for a long time.
 		if t.WithinLimit() {
 			projected[name] = scheduler.Resources{CPUs: t.UsedCPUs, GPUs: t.UsedGPUs}
 		}
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ProposeGrants proposes a change of what this shard may use of the teams' limits, or gives nil.
+// ProposeGrants returns a change of this shard's share of the teams' limits, or nil if there is none to propose.
 func (l *Leader) ProposeGrants() *quota.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,8 +21,8 @@
 	return l.quota.Propose(fence, quota.Teams(l.cfg.Teams, l.liveJobs), l.teamUsage())
 }
 
-// GrantsSettled takes in that a change of grants is over, whether it was taken or not, and the record as it
-// is since then.
+// GrantsSettled records that a change of grants has completed, whether it was committed or refused, and applies the
+// grant record as it is now.
 func (l *Leader) GrantsSettled(rec store.Versioned[store.QuotaGrantRecord]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,9 +30,9 @@
 }
 
 const (
-	grantInterval      = 600 * time.Millisecond // between two changes of grants
-	grantRetryInterval = 300 * time.Millisecond // before a change without an answer is written again
-	grantReadInterval  = 200 * time.Millisecond // before the view is asked again how one has ended
+	grantInterval      = 600 * time.Millisecond // between two proposals
+	grantRetryInterval = 300 * time.Millisecond // before a change without an answer is resent
+	grantReadInterval  = 200 * time.Millisecond // before the outcome is read again
 )
 
 // runGrants proposes changes of the shard's grants until the context ends.
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// commitGrant writes a change of grants. Without an answer it is written again: its condition on the record
-// lets one copy at most be taken. What it returns is not used until the view shows how it ended.
+// commitGrant writes a change of grants, and resends it while there is no answer: its condition on the grant record
+// lets at most one copy succeed. The answer itself is not used; the outcome is read from the view.
 func (l *Leader) commitGrant(ctx context.Context, deps Dependencies, change *quota.Change) {
 	for ctx.Err() == nil {
 		_, err := deps.Store.Txn(ctx, change.Txn)
@@ -64,7 +64,7 @@
 	}
 }
 
-// awaitGrants waits until the view shows how a change of grants has ended.
+// awaitGrants waits until the view shows the outcome of a change of grants, and applies it.
 func (l *Leader) awaitGrants(ctx context.Context, deps Dependencies) {
 	for ctx.Err() == nil {
 		if deps.Follower.Barrier(ctx) == nil {
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -10,16 +10,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// handoverAfter is how long tasks find no capacity here before they go to a shard that has some, so that what the next
-// rounds free is used here. It is a variable for the model, in which time does not pass.
+// handoverAfter is how long tasks must wait without capacity here before they are handed over to a shard that has some,
+// so that capacity which the next rounds free here is used first. It is a variable because time does not pass in the
+// model tests, which set it.
 var handoverAfter = 500 * time.Millisecond
 
 const (
-	maxHandoversPerRound = 3  // jobs of which a round hands tasks over, so that the shards' statuses can follow
-	maxRangesPerJob      = 24 // which bounds the size of a job's record
+	maxHandoversPerRound = 3  // jobs whose tasks a round hands over at most, so that the shards' statuses keep up
+	maxRangesPerJob      = 24 // bounds the size of a job's record
 )
 
-// handOverUnplaced hands tasks for which the last plan found no capacity over to shards that have some.
+// handOverUnplaced hands over tasks for which the last plan found no capacity to shards that have some.
 func (l *Leader) handOverUnplaced(now time.Time, d *Draft) {
 	unplaced := l.forecast.unplaced
 	l.forecast.unplaced = nil
@@ -34,7 +35,7 @@
 		u := &unplaced[i]
 		live := l.liveJobs[u.Job.ID]
 		if live == nil {
-			continue // it has ended since
+			continue // the job has ended in the meantime
 		}
 		j := l.jobState(u.Job.ID)
 		if j.waitingSince.IsZero() {
@@ -48,7 +49,7 @@
 	}
 }
 
-// handOverJob hands tasks of a job over to one shard, or divides a gang over several.
+// handOverJob hands tasks of a job over to one shard, or divides a gang among several. It reports whether it did.
 func (l *Leader) handOverJob(now time.Time, d *Draft, u *scheduler.UnplacedJob, live *store.LiveJob, waited time.Duration) bool {
 	target, n := l.targets.Choose(now, u, l.assignment.Ranges(live), l.types, waited)
 	if target == "" || n <= 0 {
@@ -62,8 +63,8 @@
 	return true
 }
 
-// freeElsewhere gives by class how many tasks another shard has capacity for. Until this shard knows what runs
-// on its own machines it leaves nothing to others.
+// freeElsewhere returns how many tasks of each job class another shard has capacity for. It returns none until this
+// shard knows what runs on its own machines, because it hands nothing over before that.
 func (l *Leader) freeElsewhere(now time.Time) map[string]int {
 	if !l.rebuiltReachable {
 		return make(map[string]int)
@@ -71,8 +72,8 @@
 	return l.targets.FreeElsewhere(now)
 }
 
-// movableTasks gives how many tasks of a job another shard could take. A job in too many ranges already waits
-// for capacity here.
+// movableTasks returns how many tasks of a job another shard could take. It returns 0 for a job that is already divided
+// into too many ranges: such a job waits for capacity here.
 func (l *Leader) movableTasks(live *store.LiveJob) int {
 	if len(l.assignment.Ranges(live)) >= maxRangesPerJob-1 {
 		return 0
@@ -80,7 +81,7 @@
 	return l.targets.MovableTasks(live.Record.Job, l.types)
 }
 
-// handOver hands up to n tasks of a job over to another shard: the last ones that provably run nowhere.
+// handOver hands up to n tasks of a job over to another shard: the last ones that are proven not to run anywhere.
 func (l *Leader) handOver(d *Draft, id string, live *store.LiveJob, target string, n int) bool {
 	j, gang := l.jobState(id), live.Record.Job.Shape == wire.Gang
 	inLedger := l.staleTasks(id)
@@ -93,24 +94,24 @@
 		return false
 	}
 	if live.Record.Job.OneZone && slices.ContainsFunc(next, func(r store.ShardRange) bool { return r.Shard != target && !r.Done }) {
-		return false // no shard knows in which zones another has tasks of it
+		return false // a shard does not know in which zones other shards run tasks of the job
 	}
 	if !l.rewriteRanges(d, id, live, next) {
 		return false
 	}
-	l.unstored.Add(id, l.lastRound) // what is left here may all have finished
+	l.unstored.Add(id, l.lastRound) // all tasks that remain here may have finished
 	return true
 }
 
-// staleTasks gives the tasks of a job that the ledger names and that are active nowhere. The records that name them
-// are written anew.
+// staleTasks returns the tasks of a job that the ledger names but that are not active. The records that name them are
+// rewritten (see rewriteStaleRecords).
 func (l *Leader) staleTasks(job string) map[int]bool {
 	return l.ledgerTasks.Stale(job, func(t wire.TaskID) bool { return l.fleet.ActivePlacement(t) != nil })
 }
 
-// releaseOwnership writes the records anew that name tasks which are to be handed over. It reports whether one is
-// to be dropped, for which the round need not wait for other changes.
-func (l *Leader) releaseOwnership(d *Draft) (drops bool) {
+// rewriteStaleRecords rewrites the machine records that name tasks which are to be handed over. It reports whether the
+// record of a removed machine must be deleted, which justifies a round without other changes.
+func (l *Leader) rewriteStaleRecords(d *Draft) (drops bool) {
 	for _, id := range l.ledgerTasks.StaleMachines() {
 		switch m := l.fleet.Machine(id); {
 		case m == nil:
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -7,21 +7,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// MayAnswer reports whether heartbeats may be answered: while the leader's lease is valid or for
-// a while after its last confirmed renewal, and for a while after the last time at which this
-// leader knew of every cancellation. A renewal says nothing of what is known: each answer extends
-// the leases of a machine's tasks, also those of a job that was cancelled without the knowledge of
-// a leader that is refused by the state service, or whose view is out of date.
+// MayAnswer reports whether heartbeats may be answered. There are two conditions, each with the tolerance
+// MaxCancelStaleness: the leader's lease is valid or was last confirmed within it, and the leader's view was
+// current within it, so that no older cancellation is unknown here. A lease renewal alone is not enough: each
+// answer extends the leases of all of a machine's tasks, including those of a job whose cancellation is unknown to
+// a leader that the state service refuses or whose view is out of date.
 func (l *Leader) MayAnswer(now time.Time, valid bool, confirmed time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	linger := l.cfg.Workers.MaxCancelStaleness()
-	return (valid || now.Sub(confirmed) < linger) && now.Sub(l.viewCurrentAt) < linger
+	maxStaleness := l.cfg.Workers.MaxCancelStaleness()
+	return (valid || now.Sub(confirmed) < maxStaleness) && now.Sub(l.viewCurrentAt) < maxStaleness
 }
 
-// HandleHeartbeat applies a machine's heartbeat and returns the answer to it; ok is false where
-// there must be none. launch says whether the leader's lease is valid, so that the answer may carry
-// launches.
+// HandleHeartbeat applies a machine's heartbeat and returns the response to it. ok is false if the heartbeat must
+// not be answered. launch says whether the response may carry launches, because the leader's lease is valid.
 func (l *Leader) HandleHeartbeat(now time.Time, hb *wire.Heartbeat, launch bool) (response wire.HeartbeatResponse, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,28 +35,28 @@
 	return wire.HeartbeatResponse{FencingToken: l.lease.FencingToken, Commands: cmds}, true
 }
 
-// logCommands logs the commands that a machine is sent, and the way they take: a heartbeat response is
-// executed in time or never, a direct call may be executed late.
+// logCommands logs the commands that are sent to a machine and how they are sent: those in a heartbeat response are
+// executed in time or never, those in a direct call may be executed late.
 func (l *Leader) logCommands(machine, by string, commands []wire.Command) {
 	for _, c := range commands {
 		l.log.Debug("command", "verb", c.Verb, "task", c.Task, "attempt", c.Attempt, "machine", machine, "by", by)
 	}
 }
 
-// HandleInspection applies a heartbeat that came in the answer to a direct call.
+// HandleInspection applies a heartbeat that was received in the answer to a direct call.
 func (l *Leader) HandleInspection(now time.Time, hb *wire.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.observe(now, hb, false)
 }
 
-// observe applies a heartbeat, whichever way it came; own says whether the machine sent it by itself.
-// One that is older than what is known shows nothing. One that can't be true is not even answered:
-// whatever made it up may make up more.
+// observe applies a heartbeat; own says whether the machine sent it on its own rather than in answer to a call. A
+// stale heartbeat changes nothing but may be answered. An impossible one must not even be answered, because its sender
+// can't be trusted, so observe returns false for it.
 func (l *Leader) observe(now time.Time, hb *wire.Heartbeat, own bool) (ok bool) {
-	if why := l.impossibleReason(hb); why != "" {
+	if reason := l.impossibleReason(hb); reason != "" {
 		l.display.rejected.Impossible++
-		l.log.Warn("impossible heartbeat", "machine", hb.Machine, "incarnation", hb.Incarnation, "number", hb.Seq, "reason", why)
+		l.log.Warn("impossible heartbeat", "machine", hb.Machine, "incarnation", hb.Incarnation, "number", hb.Seq, "reason", reason)
 		return false
 	}
 	if !l.fleet.IsNewer(hb) {
@@ -70,8 +69,8 @@
 	return true
 }
 
-// impossibleReason says why a heartbeat can't be true, or returns "". Attempts are of fencing tokens up
-// to this one; with several shards, the leader of another one may have given a gang's attempt.
+// impossibleReason returns why a heartbeat can't be true, or "". The fencing token in an attempt is at most the leader's
+// own. With several shards it may be newer, because the leader of another shard may have issued a gang's attempt.
 func (l *Leader) impossibleReason(hb *wire.Heartbeat) string {
 	if hb.FencingToken > l.lease.FencingToken {
 		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", hb.FencingToken)
@@ -85,10 +84,10 @@
 	return ""
 }
 
-// RejectedHeartbeats counts heartbeats that changed nothing.
+// RejectedHeartbeats counts the heartbeats that were ignored because they were stale or impossible.
 type RejectedHeartbeats struct{ Stale, Impossible uint64 }
 
-// RejectedHeartbeats returns how many heartbeats changed nothing.
+// RejectedHeartbeats returns how many heartbeats were ignored.
 func (l *Leader) RejectedHeartbeats() RejectedHeartbeats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -8,58 +8,57 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// jobState is what the leader remembers of a job beside its placements.
+// jobState is what the leader remembers about a job besides its placements.
 type jobState struct {
-	failedMachines  map[string]bool       // machines on which it failed
-	notBefore       time.Time             // when it may be placed again
+	failedMachines  map[string]bool       // machines on which the job failed
+	notBefore       time.Time             // earliest time of the next placement
 	finished        *store.TaskSet        // tasks that were reported as finished
-	storedFinished  *store.TaskSet        // and are stored as such
-	endedAt         time.Time             // when it was cancelled or done
-	liveRevision    uint64                // the last revision at which it was seen live
-	waitingSince    time.Time             // when tasks of it first waited here
-	coAllocation    handover.CoAllocation // of a gang
-	starvedSince    time.Time             // since when none of its tasks is placed though some could be
-	failedAttempts  map[int]int           // times that a task was stopped before its image had come
-	timedOutAttempt uint64                // the attempt of a gang of which a task timed out waiting for the others
+	storedFinished  *store.TaskSet        // those of them that are stored as finished
+	endedAt         time.Time             // when the job was cancelled or done
+	liveRevision    uint64                // last revision at which the job was seen live
+	waitingSince    time.Time             // since when tasks of the job have found no capacity here
+	coAllocation    handover.CoAllocation // for a gang that is split among shards
+	starvedSince    time.Time             // since when no task of the job is placed although some could be
+	failedAttempts  map[int]int           // by task: how often it was stopped before its image was fetched
+	timedOutAttempt uint64                // gang attempt in which a task timed out waiting for the others
 }
 
 const (
-	// delayAfterMachines is on how many machines a job fails before its next attempt is delayed:
-	// until then a machine may be at fault.
+	// delayAfterMachines is the number of machines on which a job must fail before its next attempt is delayed:
+	// with fewer, the machines may be at fault.
 	delayAfterMachines = 3
-	// maxJobBackoff bounds how long a job that fails again and again waits for its next attempt: it
-	// must not be left waiting while there are machines on which it may succeed.
+	// maxJobBackoff bounds the delay before the next attempt of a job that fails repeatedly: the job must not
+	// wait long while there are machines on which it may succeed.
 	maxJobBackoff = 45 * time.Second
-	// maxJobBackoffShift bounds the doublings, so that they don't overflow.
+	// maxJobBackoffShift bounds the number of doublings to prevent an overflow.
 	maxJobBackoffShift = 7
 )
 
-// noteFailure records that the job has failed on a machine. Each machine more doubles the delay.
-func (j *jobState) noteFailure(now time.Time, machine string) {
+// recordFailure records that the job failed on a machine. Each additional machine doubles the delay.
+func (j *jobState) recordFailure(now time.Time, machine string) {
 	j.failedMachines[machine] = true
 	if n := len(j.failedMachines); n >= delayAfterMachines {
 		j.notBefore = now.Add(min(maxJobBackoff, time.Second<<min(n, maxJobBackoffShift)))
 	}
 }
 
-// JobIndex answers questions about all jobs, also those that are over.
+// JobIndex answers questions about all jobs, including those that have ended.
 type JobIndex interface {
 	// Job returns the record of a job, if it is known.
 	Job(id string) (store.JobRecord, bool)
-	// Compacted reports whether no task of a job can be anywhere any more.
+	// Compacted reports whether a job was compacted, which proves that no task of it is left anywhere.
 	Compacted(id string) bool
-	// Uncompacted reports whether jobs are over that may be compacted.
+	// Uncompacted reports whether there are ended jobs that are yet to be compacted.
 	Uncompacted() bool
 	// Migrated reports whether a shard no longer needs the ledgers of previous shardings.
 	Migrated(shard string) bool
-	// PreviousLedgerSlots returns the keys of the segments of these ledgers.
+	// PreviousLedgerSlots returns the keys of the segments of the ledgers of previous shardings.
 	PreviousLedgerSlots() []string
 }
 
-// unsettled leaves out the tasks of jobs that were compacted: an earlier leader had
-// proof that they are gone, whatever a machine's record, which is not rewritten for
-// that, still says.
-func unsettled(tasks map[string]uint64, jobIndex JobIndex) map[string]uint64 {
+// uncompactedTasks returns the tasks of a machine's record without those of compacted jobs. An earlier leader had proof
+// that these are gone; the record may still name them, because compaction does not rewrite it.
+func uncompactedTasks(tasks map[string]uint64, jobIndex JobIndex) map[string]uint64 {
 	out := make(map[string]uint64, len(tasks))
 	for name, attempt := range tasks {
 		if t, err := wire.ParseTaskID(name); err == nil && !jobIndex.Compacted(t.Job) {
@@ -69,9 +68,9 @@
 	return out
 }
 
-// UnfinishedJobs returns the jobs of which a task is or may be on a machine, or whose end this
-// leader has not applied yet. It is not ok until all reachable machines are accounted for; what may
-// be on unreachable ones is known by their records.
+// UnfinishedJobs returns the jobs that have or may have a task on a machine, and those whose end this leader has not
+// applied yet. ok is false until all reachable machines are accounted for; what may be on unreachable machines is known
+// from their records.
 func (l *Leader) UnfinishedJobs() (jobs map[string]bool, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,12 +90,12 @@
 	return jobs, l.rebuiltReachable
 }
 
-// jobTable is what the leader knows of the jobs: which are live, and what it remembers of each. Each
-// refresh replaces the live jobs by those of its snapshot; a round that changes the record of one puts the
-// new record in its place. What is remembered is kept until reconciliation forgets it.
+// jobTable holds the live jobs and what the leader remembers about each job. Each refresh replaces the live jobs
+// with those of its snapshot, and a round that changes a job's record replaces that job. Job states are kept until
+// reconciliation removes them.
 type jobTable struct {
-	liveJobs      map[string]*store.LiveJob // of the last view
-	viewCurrentAt time.Time                 // every end of a job that was stored by then is applied
+	liveJobs      map[string]*store.LiveJob // by job ID, as of the last refresh
+	viewCurrentAt time.Time                 // every job end that was stored by then has been applied
 	jobStates     map[string]*jobState
 }
 
@@ -104,7 +103,7 @@
 	return jobTable{liveJobs: snap.LiveJobs, viewCurrentAt: snap.CurrentAt, jobStates: map[string]*jobState{}}
 }
 
-// jobState returns what is remembered of a job, beginning anew for one that is not known.
+// jobState returns the state of a job, and creates it for an unknown job.
 func (t *jobTable) jobState(job string) *jobState {
 	j := t.jobStates[job]
 	if j == nil {
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -9,15 +9,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// launchGroup is what is launched together or not at all: a task, or all tasks of a gang.
+// launchGroup is a set of launches that are made together or not at all: a single task, or all tasks of a gang.
 type launchGroup struct {
 	launches []scheduler.Launch
-	bytes    int             // that its entries take in the ledger
-	machines map[string]bool // whose records the round does not write yet
-	full     bool            // a machine would have more tasks than its record should name
+	bytes    int             // space that its entries take in the ledger
+	machines map[string]bool // machines whose records the round does not write yet
+	full     bool            // a machine would get more tasks than its record may name
 }
 
-// nextGroup splits the first group off a list of launches.
+// nextGroup splits a non-empty list of launches into its first group and the rest.
 func nextGroup(launches []scheduler.Launch) (group, rest []scheduler.Launch) {
 	n := 1
 	for launches[0].Job.Shape == wire.Gang && n < len(launches) && launches[n].Job == launches[0].Job {
@@ -26,14 +26,14 @@
 	return launches[:n], launches[n:]
 }
 
-// launch places tasks as far as the round has capacity: a condition for each job, and in the ledger each
-// machine, whose record names what may be there. The rest is decided again in the next round; a gang
-// is never split. It returns why the last group that is left out is.
+// launch places tasks as far as the round has capacity. Each job takes a condition of the transaction, and each machine
+// takes space in the ledger for its record, which names the tasks that may be there. Launches that don't fit are decided
+// again in the next round; a gang is never split. launch returns why the last omitted group was left out.
 func (l *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
 	var group []scheduler.Launch
 	for len(launches) > 0 {
 		group, launches = nextGroup(launches)
-		g := l.measure(d, group)
+		g := l.measureGroup(d, group)
 		switch {
 		case g.full:
 			withheld = stall.CauseMachines
@@ -51,9 +51,9 @@
 	return withheld
 }
 
-// measure finds out what capacity of the round a group takes.
-func (l *Leader) measure(d *Draft, launches []scheduler.Launch) launchGroup {
-	maxTasks := max(1, l.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // of a machine, so that records divide well among segments
+// measureGroup returns a group of launches with the capacity of the round that it takes.
+func (l *Leader) measureGroup(d *Draft, launches []scheduler.Launch) launchGroup {
+	maxTasks := max(1, l.cfg.Store.ValueBytes/4/store.MachineTaskBytes) // per machine, so that records fit segments well
 	n := len(launches)
 	g := launchGroup{launches: launches, bytes: n * store.MachineTaskBytes, machines: make(map[string]bool)}
 	for _, launch := range launches {
@@ -67,8 +67,8 @@
 	return g
 }
 
-// placeGroup places a group for which the round has capacity. Its tasks share one attempt, which is unique
-// without being stored: it is of this leader's token.
+// placeGroup places a group for which the round has capacity. Its tasks share one attempt. The attempt need not be
+// stored to be unique, because it contains this leader's fencing token.
 func (l *Leader) placeGroup(now time.Time, d *Draft, g launchGroup) {
 	d.Reserve(g.bytes)
 	for id := range g.machines {
@@ -82,6 +82,6 @@
 		p := l.fleet.Place(now, l.fleet.Machine(launch.Machine), wire.TaskID{Job: launch.Job.ID, Index: launch.TaskIndex}, attempt)
 		d.launches = append(d.launches, p)
 		l.consumeReservation(d, p)
-		l.log.Debug("placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
+		l.log.Debug("task placed", "task", p.Task, "attempt", p.Attempt, "machine", p.Machine, "round", d.Number)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,8 @@
-// Package leader leads a shard of the fleet. In rounds, it reconciles heartbeats and the cloud's list with
-// the jobs of the state service, lets the scheduler plan, and writes what follows as one
-// compare-and-swap that is fenced by the leader's token. A launch is sent to a machine only after the
-// round that plans it is committed, so that the next leader knows of it whatever happens to this one.
+// Package leader implements the leader of one shard of the fleet. It works in rounds. Each round reconciles
+// the heartbeats and the cloud's machine list with the jobs in the state service, runs the scheduler, and
+// writes the resulting changes as one compare-and-swap transaction, fenced by the leader's token. A launch is
+// sent to a machine only after the round that plans it is committed, so that the next leader knows of it
+// even if this one fails.
 package leader
 
 import (
@@ -26,8 +27,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// identity is what New sets and nothing changes while the leader leads, so that it is read without the
-// lock, too.
+// identity holds the fields that New sets and that never change afterwards. They may be read without the lock.
 type identity struct {
 	cfg      *config.Config
 	lease    leadership.Tenure
@@ -36,41 +36,40 @@
 	timeouts timeouts
 }
 
-// shardingState says which machines and tasks are this shard's, and how far the state of previous
-// shardings has been taken over. New sets the sharding and what is assigned by it; the migration is
-// advanced by the rounds, and SetPeerShards replaces what is known of the peers.
+// shardingState records which machines and tasks belong to this shard, and how much of the state of previous
+// shardings has been migrated. New sets the sharding and the assignment, the rounds advance the migration,
+// and SetPeerShards replaces what is known of the peers.
 type shardingState struct {
 	sharding       *fleet.Sharding
-	assignment     *reshard.Assignment // of tasks to shards
+	assignment     *reshard.Assignment // assigns tasks to shards
 	migration      *ledgerMigration
-	clearedWritten uint64 // revision up to which the ledger says that nothing is left of ended jobs
+	drainedWritten uint64 // drained revision in the committed ledger (see drainedRevision)
 
-	peerShards  map[string]ShardStatus // of the other shards, as their leaders last told
-	ingestPeers int                    // controllers that forward heartbeats to this one
+	peerShards  map[string]ShardStatus // other shards by name, as last reported by their leaders
+	ingestPeers int                    // number of controllers that forward heartbeats to this one
 }
 
-// handoverState is what the leader knows for handing tasks over to other shards. Each plan replaces the
-// forecast, SetPeerShards what the targets offer, and each committed round what the ledger names.
+// handoverState is what the leader needs to hand tasks over to other shards. Each plan replaces the
+// forecast, SetPeerShards replaces what the targets offer, and each committed round updates ledgerTasks.
 type handoverState struct {
 	forecast    forecast
-	targets     *handover.Targets    // of tasks that find no capacity here
-	ledgerTasks handover.LedgerTasks // what the own ledger names
+	targets     *handover.Targets    // shards that may take tasks without capacity here
+	ledgerTasks handover.LedgerTasks // tasks named by this shard's ledger
 }
 
-// machineHealth tells which machines are reachable, and keeps the calls that find out. It is fed by
-// heartbeats and by the results of calls; the release of unusable machines goes by it.
+// machineHealth tracks which machines are reachable and the calls that probe them. Heartbeats and call
+// results update it. It decides which unusable machines are released.
 type machineHealth struct {
 	monitor  *reachability.Monitor
 	detector *reachability.Detector
 	fencing  *reachability.Fencing
 }
 
-// Leader leads one shard of the fleet under one fencing token. It reads no clock and makes no calls
-// but in Run: times and events come in, commands and transactions go out. One lock guards all of its
-// state that changes, and no concern below has one of its own.
+// Leader leads one shard of the fleet under one fencing token. Only Run reads the clock and makes calls;
+// all other methods take times and events as arguments, and return commands and transactions. One lock
+// guards all of its mutable state; the components below have no locks of their own.
 //
-// The groups of fields that are embedded are read by many concerns; the comment of each says what
-// changes it.
+// The embedded structs are read by many components; the comment on each says what changes it.
 type Leader struct {
 	identity
 
@@ -95,8 +94,8 @@
 	loop        wakeups
 }
 
-// New returns the leader that a lease makes, from a snapshot of the state and from the shard's
-// ledgers, which are not older than that.
+// New returns the leader for an acquired lease. It recovers from a snapshot of the state and from the shard's
+// ledgers, which are at least as recent as the snapshot.
 func New(cfg *config.Config, lease leadership.Tenure, snap store.Snapshot, ledgers store.ShardLedgers, types []wire.MachineType,
 	jobIndex JobIndex, now time.Time, log *slog.Logger) *Leader {
 	ledger, last := store.NewLedger(ledgers.Name, cfg.Store.ValueBytes, ledgers.Own)
@@ -128,7 +127,7 @@
 	l.recoverFinished(&last)
 	l.migrateFinished()
 	for id, live := range l.liveJobs {
-		if live.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is not known
+		if live.Record.CoAllocation >= store.CoAllocationFirstAttempt { // whether it was started here is unknown
 			l.jobState(id).coAllocation.Started = live.Record.CoAllocation
 		}
 	}
@@ -136,12 +135,12 @@
 	return l
 }
 
-// recoverMachines goes on from the machines and the scale-out requests that the ledger names.
+// recoverMachines restores the machines and the scale-out requests that the ledger names.
 func (l *Leader) recoverMachines(now time.Time, last *store.RecoveredState) {
-	for _, id := range sortedKeys(last.Machines) { // in order, since each is added at the end
+	for _, id := range sortedKeys(last.Machines) { // sorted, so that the fleet appends each to its sorted list
 		m := last.Machines[id]
 		if l.sharding.ShardOf(m.Zone, m.Type) == l.lease.Shard {
-			l.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, unsettled(m.Tasks, l.jobIndex))
+			l.fleet.RestoreMachine(now, id, m.Addr, m.Type, m.Zone, m.Spot, m.Incarnation, uncompactedTasks(m.Tasks, l.jobIndex))
 		}
 	}
 	for name, record := range last.ScaleOuts {
@@ -149,7 +148,7 @@
 	}
 }
 
-// recoverFinished goes on from the tasks of live jobs that the ledger says have finished.
+// recoverFinished restores the finished tasks of live jobs from the ledger, and discards those of other jobs.
 func (l *Leader) recoverFinished(last *store.RecoveredState) {
 	for id, done := range last.FinishedTasks {
 		if l.liveJobs[id] == nil {
@@ -162,20 +161,20 @@
 			j.storedFinished.Add(i)
 		}
 		if !l.sharding.IsSingle() {
-			l.unstored.Add(id, l.lastRound) // the rest may have been handed over since
+			l.unstored.Add(id, l.lastRound) // the other tasks may have been handed over since
 		}
 	}
 }
 
-// FencingToken returns the token under which this leader leads.
+// FencingToken returns this leader's fencing token.
 func (l *Leader) FencingToken() uint64 { return l.lease.FencingToken }
 
-// Wake asks for a round soon.
+// Wake requests that the next round be decided soon.
 func (l *Leader) Wake() {
 	l.loop.wakeRound()
 }
 
-// SetTypes replaces the machine types by those that the cloud lists now.
+// SetTypes replaces the machine types with those that the cloud lists now.
 func (l *Leader) SetTypes(t []wire.MachineType) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -14,43 +14,43 @@
 	"amberdeal.example/amberdeal/internal/worker"
 )
 
-// Dependencies are the clients by which a leader reaches the other systems.
+// Dependencies are the clients and callbacks that a leader uses to reach other systems.
 type Dependencies struct {
 	Store    *store.Client
 	View     *store.View
 	Follower *store.Follower
 	Cloud    *cloud.Client
 	Workers  *worker.Client
-	// LeaseValid reports whether the leader's lease is surely valid.
+	// LeaseValid reports whether the leader's lease is certain to be valid.
 	LeaseValid func() bool
-	// OnFenced is called when the state service has refused a round because the shard has another
-	// leader.
+	// OnFenced is called when the state service refuses a round because the shard has another leader.
 	OnFenced func()
 }
 
-// The time between two rounds. Heartbeats that come together share one write, and deciding takes no
-// more than a fraction of the processor however long it takes.
+// Limits on the interval between two rounds. The interval lets heartbeats that arrive close together share
+// one write, and limits deciding to a fraction of the CPU time however long one decision takes.
 const (
 	minRoundInterval = 120 * time.Millisecond
-	// restFactor is how many times as long as the decision took the leader rests after it.
-	restFactor = 3
-	// maxShardedInterval bounds the minimum for several shards, which share the changes a second.
+	// intervalFactor is the minimum interval between rounds as a multiple of the time that the decision took.
+	intervalFactor = 3
+	// maxShardedInterval caps minRoundInterval times the number of shards. The minimum grows with the number
+	// of shards because they share the state service's limit of changes per second.
 	maxShardedInterval = 400 * time.Millisecond
 	maxRoundInterval   = time.Second
-	// overloadedInterval is the maximum where this process is late with all that it does.
+	// overloadedInterval replaces maxRoundInterval while this process is overloaded.
 	overloadedInterval = 3 * time.Second
-	// minPause lets other goroutines run between two rounds, even where a round took all the time.
+	// minPause lets other goroutines run between two rounds, even if a round used up the whole interval.
 	minPause = 10 * time.Millisecond
 )
 
 const (
-	// barrierRetry is the time between two attempts to read up to a write that was answered.
+	// barrierRetry is the time between two attempts to read the state up to a write that was answered.
 	barrierRetry = 200 * time.Millisecond
-	// writeRetry is the time between two copies of a round that has no answer.
+	// writeRetry is the time before a round without an answer is sent again.
 	writeRetry = 300 * time.Millisecond
 )
 
-// Run does what a leader has to do until the context ends. It owns all goroutines that it starts.
+// Run runs the leader's loops until the context ends, and waits for all goroutines that it starts.
 func (l *Leader) Run(ctx context.Context, deps Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return l.roundLoop(ctx, deps) })
@@ -65,23 +65,23 @@
 	return g.Wait()
 }
 
-// roundLoop decides and commits rounds, while the lease is valid.
+// roundLoop decides and commits rounds while the lease is valid.
 func (l *Leader) roundLoop(ctx context.Context, deps Dependencies) error {
 	ctx = store.WithPurpose(ctx, store.PurposeRounds)
-	least := min(minRoundInterval*time.Duration(len(l.sharding.Shards())), maxShardedInterval)
+	minInterval := min(minRoundInterval*time.Duration(len(l.sharding.Shards())), maxShardedInterval)
 	for ctx.Err() == nil {
-		begun := time.Now()
+		startedAt := time.Now()
 		changed := deps.View.Changed()
-		gap := least
+		interval := minInterval
 		if deps.LeaseValid() {
-			d := l.Decide(begun, deps.View.Snapshot())
-			gap = min(max(gap, restFactor*time.Since(begun)), l.maxRest())
+			d := l.Decide(startedAt, deps.View.Snapshot())
+			interval = min(max(interval, intervalFactor*time.Since(startedAt)), l.maxInterval())
 			if d != nil {
 				l.commitRound(ctx, deps, d)
 			}
 			l.loop.wakeCalls()
 		}
-		store.Backoff(ctx, max(gap-time.Since(begun), minPause))
+		store.Backoff(ctx, max(interval-time.Since(startedAt), minPause))
 		t := time.NewTimer(l.cfg.Tuning.RoundWindow / 2)
 		select {
 		case <-ctx.Done():
@@ -94,16 +94,16 @@
 	return nil
 }
 
-// maxRest bounds the rest between two rounds.
-func (l *Leader) maxRest() time.Duration {
+// maxInterval returns the upper bound of the interval between two rounds.
+func (l *Leader) maxInterval() time.Duration {
 	if l.loop.throttle.Overloaded() {
 		return overloadedInterval
 	}
 	return maxRoundInterval
 }
 
-// commitRound writes a round. As long as its outcome is unknown the same transaction is repeated: the
-// condition on the segment that it writes lets only one copy through, however late another is applied.
+// commitRound writes a round. While the outcome is unknown, it resends the same transaction: the condition on
+// the ledger segment that it writes lets only one copy succeed, however late another one is applied.
 func (l *Leader) commitRound(ctx context.Context, deps Dependencies, d *Draft) {
 	for ctx.Err() == nil {
 		rev, err := deps.Store.Txn(ctx, d.Txn)
@@ -124,17 +124,17 @@
 	}
 }
 
-// handleConflict finds out why a round was refused: because an earlier copy of it, which had no answer,
-// was committed, because something that it rests on has changed, or because there is another leader.
+// handleConflict determines why a round was refused: an earlier copy without an answer was committed, a
+// precondition has changed, or there is another leader.
 func (l *Leader) handleConflict(ctx context.Context, deps Dependencies, d *Draft, conflict *store.ConflictError) {
-	for deps.Follower.Barrier(ctx) != nil { // the write has its answer, and is not made again for it
+	for deps.Follower.Barrier(ctx) != nil { // the write was answered: only the read is retried
 		if store.Backoff(ctx, barrierRetry); ctx.Err() != nil {
 			return
 		}
 	}
 	segment := d.FirstSegment()
 	if last, version := deps.View.Segment(segment); last.FencingToken == l.lease.FencingToken && last.Round == d.Number {
-		l.Reconcile(time.Now(), deps.View.Snapshot()) // what was cancelled since is not launched
+		l.Reconcile(time.Now(), deps.View.Snapshot()) // what was cancelled in the meantime is not launched
 		l.Committed(d, version)
 		return
 	}
@@ -146,10 +146,10 @@
 	}
 }
 
-// reconcileInterval is how old the comparison of placements with jobs may get.
+// reconcileInterval is the maximum age of the last comparison of placements with jobs.
 const reconcileInterval = time.Second
 
-// reconcileDue reports whether the placements are to be compared with the jobs though no round is decided.
+// reconcileDue reports whether placements must be compared with jobs without waiting for the next round.
 func (l *Leader) reconcileDue(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/machinelist.go
+++ b/internal/leader/machinelist.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// minListInterval is the least time between two reads of the list.
+	// minListInterval is the minimum time between two reads of the machine list.
 	minListInterval = 1500 * time.Millisecond
-	// machineTypesInterval is the time between two reads of the machine types, which hardly change.
+	// machineTypesInterval is the minimum time between two reads of the machine types, which rarely change.
 	machineTypesInterval = 30 * time.Second
-	// listShare is the part of the cloud's calls that reading the list may take, as a divisor.
-	listShare = 4
+	// listRateDivisor divides the cloud's call rate limit to give the share for reading the machine list.
+	listRateDivisor = 4
 )
 
-// watchMachineList reads the cloud's list of machines, and their types.
+// watchMachineList periodically reads the cloud's machine list and the machine types until the context ends.
 func (l *Leader) watchMachineList(ctx context.Context, deps Dependencies) error {
 	var typesAt time.Time
 	for ctx.Err() == nil {
@@ -34,14 +34,14 @@
 				l.SetTypes(types)
 			}
 		}
-		// A list of many pages takes a quarter of the calls at most, for all shards together.
+		// For all shards together, reading a long list takes at most a quarter of the cloud's call rate.
 		pages := float64((len(list)/wire.MaxListPage + 1) * len(l.sharding.Shards()))
-		store.Backoff(ctx, max(minListInterval, wire.Seconds(pages*listShare/l.cfg.Cloud.RPS)))
+		store.Backoff(ctx, max(minListInterval, wire.Seconds(pages*listRateDivisor/l.cfg.Cloud.RPS)))
 	}
 	return nil
 }
 
-// handleMachineList applies a list that was requested at a time, as far as it is of this shard's machines.
+// handleMachineList applies this shard's machines in a list that was requested at requestedAt and received at now.
 func (l *Leader) handleMachineList(requestedAt, now time.Time, list []wire.ListedMachine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,15 +56,15 @@
 	}
 	for _, listed := range mine {
 		if listed.Stage == wire.MachineFailed {
-			l.scaler.Release(listed.ID) // it stays listed until it is deleted
+			l.scaler.Release(listed.ID) // a failed machine stays listed until it is deleted
 		}
 	}
 }
 
-// forgetMachine forgets a machine that is proven gone, and has its record deleted.
-func (l *Leader) forgetMachine(id, why string) {
+// forgetMachine removes a machine that is proven gone, and schedules the deletion of its record.
+func (l *Leader) forgetMachine(id, reason string) {
 	if m := l.fleet.Machine(id); m != nil {
-		l.log.Info("machine gone", "machine", id, "reason", why)
+		l.log.Info("machine gone", "machine", id, "reason", reason)
 		if m.Recorded {
 			l.machinesToDrop[id] = true
 		}
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -10,61 +10,61 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ledgerMigration is what a shard has yet to take over into its own ledger.
+// ledgerMigration tracks what a shard still has to copy into its own ledger from the ledgers of earlier shardings.
 //
-// After a resharding each shard begins with an empty ledger. It takes what concerns its machines over from those
-// of earlier shardings, round by round, and records in its own when it has; meanwhile jobs are written with ranges of
-// the new sharding. Once all shards have, and all jobs are, the earlier ledgers are dropped.
+// After a resharding, each shard starts with an empty ledger. Over several rounds, it copies what concerns its machines
+// from the earlier ledgers, and then records in its own ledger that it is done. Meanwhile, the jobs' records are
+// rewritten with ranges of the new sharding. Once all shards and all jobs are migrated, the earlier ledgers are dropped.
 type ledgerMigration struct {
 	previous *reshard.Previous
-	machines map[string]bool // whose records are yet to be written
-	scaler   map[string]bool
-	jobs     map[string]bool // of which finished tasks are yet to be written
-	zones    []string        // whose states are yet to be written
-	complete bool            // nothing is left
-	recorded bool            // and the shard's ledger says so
+	machines map[string]bool // machines whose records are yet to be written
+	scaler   map[string]bool // scale-out requests that are yet to be written
+	jobs     map[string]bool // jobs whose finished tasks are yet to be written
+	zones    []string        // zones whose states are yet to be written
+	complete bool            // nothing is left to migrate
+	recorded bool            // the shard's ledger records that nothing is left
 }
 
-// newLedgerMigration adds to what the shard's own ledger has recalled what earlier ones say of the machines that it
-// owns. Migrated says that its ledger already holds all of that.
-func newLedgerMigration(previous *reshard.Previous, migrated bool, recalled *store.RecoveredState, owns func(zone, machineType string) bool) *ledgerMigration {
+// newLedgerMigration adds the machines and scale-out requests that the earlier ledgers name, and that the shard owns,
+// to what was recovered from its own ledger. migrated says that its own ledger already holds all of them.
+func newLedgerMigration(previous *reshard.Previous, migrated bool, recovered *store.RecoveredState, owns func(zone, machineType string) bool) *ledgerMigration {
 	m := &ledgerMigration{previous: previous, machines: make(map[string]bool), scaler: make(map[string]bool), jobs: make(map[string]bool), recorded: migrated}
 	if migrated {
 		return m
 	}
 	for id, r := range previous.Machines {
-		if _, newer := recalled.Machines[id]; !newer && owns(r.Zone, r.Type) {
-			recalled.Machines[id], m.machines[id] = r, true
+		if _, newer := recovered.Machines[id]; !newer && owns(r.Zone, r.Type) {
+			recovered.Machines[id], m.machines[id] = r, true
 		}
 	}
 	for name, r := range previous.ScaleOuts {
-		if _, known := recalled.ScaleOuts[name]; !known && owns(r.Zone, r.Type) {
-			recalled.ScaleOuts[name], m.scaler[name] = r, true
+		if _, known := recovered.ScaleOuts[name]; !known && owns(r.Zone, r.Type) {
+			recovered.ScaleOuts[name], m.scaler[name] = r, true
 		}
 	}
 	return m
 }
 
-// empty reports whether nothing is left to take over.
+// empty reports whether nothing is left to migrate.
 func (m *ledgerMigration) empty() bool {
 	return len(m.machines)+len(m.scaler)+len(m.jobs)+len(m.zones) == 0
 }
 
-// due reports whether a round is to be written that records that nothing is left to take over.
+// due reports whether a round must be written to record that the migration is complete.
 func (m *ledgerMigration) due() bool { return m.complete && !m.recorded }
 
-// startMigration continues with the shard's own ledger, and with what is yet to be taken over from earlier ones.
-func (l *Leader) startMigration(previous *reshard.Previous, migrated bool, recalled *store.RecoveredState) {
+// startMigration sets up ledgerTasks and the migration from what the shard's own and the earlier ledgers say.
+func (l *Leader) startMigration(previous *reshard.Previous, migrated bool, recovered *store.RecoveredState) {
 	if !l.sharding.IsSingle() {
-		l.ledgerTasks = handover.NewLedgerTasks(recalled.Machines)
+		l.ledgerTasks = handover.NewLedgerTasks(recovered.Machines)
 	}
-	l.migration = newLedgerMigration(previous, migrated, recalled, func(zone, machineType string) bool {
+	l.migration = newLedgerMigration(previous, migrated, recovered, func(zone, machineType string) bool {
 		return l.sharding.ShardOf(zone, machineType) == l.lease.Shard
 	})
 }
 
-// migrateFinished takes over which tasks of live jobs have finished. What a job's record marks as done is in no
-// ledger, and stays in the record.
+// migrateFinished migrates the finished tasks of live jobs. Ranges that a job's record marks as done are not in any
+// ledger; they stay in the record.
 func (l *Leader) migrateFinished() {
 	if l.assignment.Generation() == 0 {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// migrateDoneRanges takes over the tasks that a job's record of an earlier sharding marks as done.
+// migrateDoneRanges marks the tasks as finished that a job's record of an earlier sharding marks as done.
 func (l *Leader) migrateDoneRanges(id string, live *store.LiveJob) {
 	for _, r := range live.Record.Ranges {
 		if !r.Done || !r.Within(live.Record.Tasks) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// writeMigrated writes what is not yet in the shard's own ledger, as far as the round has capacity.
+// writeMigrated adds to a round what is not yet in the shard's own ledger, as far as the round has capacity.
 func (l *Leader) writeMigrated(d *Draft) {
 	m := l.migration
 	if m.complete {
@@ -148,7 +148,7 @@
 func (l *Leader) writeMigratedZones(d *Draft) {
 	l.migration.zones = slices.DeleteFunc(l.migration.zones, l.ledger.HasZone)
 	for _, name := range l.migration.zones {
-		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // else the round writes a newer state
+		if !slices.ContainsFunc(d.zones, func(c zone.Change) bool { return c.Zone == name }) { // else the round has a newer state
 			d.Add(zoneEntry(name, l.zones.Record(name)))
 		}
 	}
