--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -51,7 +51,8 @@
 }
 
 // commitGrant writes a change of grants, and resends it while there is no answer: its condition on the grant record
-// lets at most one copy succeed. The answer itself is not used; the outcome is read from the view.
+// lets at most one copy succeed. Until the view shows the outcome, this shard does not use the quota that the change
+// returns.
 func (l *Leader) commitGrant(ctx context.Context, deps Dependencies, change *quota.Change) {
 	for ctx.Err() == nil {
 		_, err := deps.Store.Txn(ctx, change.Txn)
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -16,11 +16,11 @@
 var handoverAfter = 500 * time.Millisecond
 
 const (
-	maxHandoversPerRound = 3  // jobs whose tasks a round hands over at most, so that the shards' statuses keep up
+	maxHandoversPerRound = 3  // jobs per round, so that the shards' statuses can keep up
 	maxRangesPerJob      = 24 // bounds the size of a job's record
 )
 
-// handOverUnplaced hands over tasks for which the last plan found no capacity to shards that have some.
+// handOverUnplaced hands tasks for which the last plan found no capacity over to shards that have some.
 func (l *Leader) handOverUnplaced(now time.Time, d *Draft) {
 	unplaced := l.forecast.unplaced
 	l.forecast.unplaced = nil
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -7,11 +7,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// MayAnswer reports whether heartbeats may be answered. There are two conditions, each with the tolerance
-// MaxCancelStaleness: the leader's lease is valid or was last confirmed within it, and the leader's view was
-// current within it, so that no older cancellation is unknown here. A lease renewal alone is not enough: each
-// answer extends the leases of all of a machine's tasks, including those of a job whose cancellation is unknown to
-// a leader that the state service refuses or whose view is out of date.
+// MayAnswer reports whether heartbeats may be answered. The leader's lease must be valid, or last confirmed less than
+// MaxCancelStaleness ago. In addition, the leader must have known of every cancellation at a time less than
+// MaxCancelStaleness ago. A lease renewal does not show that: each answer extends the leases of a machine's tasks,
+// including those of a job whose cancellation is unknown to a leader that the state service refuses, or whose view is
+// out of date.
 func (l *Leader) MayAnswer(now time.Time, valid bool, confirmed time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -20,7 +20,7 @@
 }
 
 // HandleHeartbeat applies a machine's heartbeat and returns the response to it. ok is false if the heartbeat must
-// not be answered. launch says whether the response may carry launches, because the leader's lease is valid.
+// not be answered. launch says whether the leader's lease is valid, so that the response may carry launches.
 func (l *Leader) HandleHeartbeat(now time.Time, hb *wire.Heartbeat, launch bool) (response wire.HeartbeatResponse, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,8 +69,9 @@
 	return true
 }
 
-// impossibleReason returns why a heartbeat can't be true, or "". The fencing token in an attempt is at most the leader's
-// own. With several shards it may be newer, because the leader of another shard may have issued a gang's attempt.
+// impossibleReason returns why a heartbeat can't be true, or "". The fencing token in an attempt is at most the
+// leader's own. With several shards it may be newer, because the leader of another shard may have issued a gang's
+// attempt.
 func (l *Leader) impossibleReason(hb *wire.Heartbeat) string {
 	if hb.FencingToken > l.lease.FencingToken {
 		return fmt.Sprintf("fencing token %d, which is newer than the leader's own", hb.FencingToken)
--- a/internal/leader/launch.go
+++ b/internal/leader/launch.go
@@ -27,8 +27,8 @@
 }
 
 // launch places tasks as far as the round has capacity. Each job takes a condition of the transaction, and each machine
-// takes space in the ledger for its record, which names the tasks that may be there. Launches that don't fit are decided
-// again in the next round; a gang is never split. launch returns why the last omitted group was left out.
+// takes space in the ledger for its record, which names the tasks that may be there. Launches that don't fit are
+// decided again in the next round; a gang is never split. launch returns why the last omitted group was left out.
 func (l *Leader) launch(now time.Time, d *Draft, launches []scheduler.Launch) (withheld stall.Cause) {
 	var group []scheduler.Launch
 	for len(launches) > 0 {
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -14,7 +14,8 @@
 //
 // After a resharding, each shard starts with an empty ledger. Over several rounds, it copies what concerns its machines
 // from the earlier ledgers, and then records in its own ledger that it is done. Meanwhile, the jobs' records are
-// rewritten with ranges of the new sharding. Once all shards and all jobs are migrated, the earlier ledgers are dropped.
+// rewritten with ranges of the new sharding. Once all shards and all jobs are migrated, the earlier ledgers are
+// dropped.
 type ledgerMigration struct {
 	previous *reshard.Previous
 	machines map[string]bool // machines whose records are yet to be written
