--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Batch is a key that holds jobs: those that were accepted together or, in format 1, a
-// single one. The version of the key orders launch, cancellation and end of all of them.
-// A Batch is never changed; its next value is another one.
+// Batch is the value of a key that holds jobs: those that were accepted together or, in format 1,
+// a single job. The version of the key orders the launch, cancellation and end of all of them.
+// A Batch is immutable: an update creates a new one.
 type Batch struct {
 	Key           string
 	Version       uint64
-	SinceRevision uint64 // the first revision that held it
+	SinceRevision uint64 // the revision at which the batch was created
 	Jobs          []BatchJob
-	standalone    bool // a single job of format 1
+	standalone    bool // holds a single job of format 1
 }
 
 // BatchJob is a job of a batch.
@@ -22,10 +22,10 @@
 	Record JobRecord
 }
 
-// batchOverheadBytes bounds what a batch takes beside its jobs.
+// batchOverheadBytes is an upper bound of the stored size of a batch without its jobs.
 const batchOverheadBytes = 100
 
-// newBatch returns the batch that a record of a version holds.
+// newBatch returns the batch for a record that was read at the given version of its key.
 func newBatch(key string, version uint64, rec BatchRecord) *Batch {
 	since := version
 	if rec.Since > 0 {
@@ -34,12 +34,12 @@
 	return &Batch{key, version, since, sortedJobs(rec.Jobs), false}
 }
 
-// standaloneBatch returns the batch of a single job of format 1.
+// standaloneBatch returns the batch that holds a single job of format 1.
 func standaloneBatch(key string, version uint64, id string, rec JobRecord) *Batch {
 	return &Batch{key, version, version, []BatchJob{{id, rec}}, true}
 }
 
-// sortedJobs lists the jobs of a batch in order.
+// sortedJobs lists the jobs of a batch in the order of their IDs.
 func sortedJobs(jobs map[string]JobRecord) []BatchJob {
 	out := make([]BatchJob, 0, len(jobs))
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// job returns the record of a job that the batch holds.
+// job returns the record of a job, or an empty record if the batch doesn't hold the job.
 func (b *Batch) job(id string) *JobRecord {
 	for i := range b.Jobs {
 		if b.Jobs[i].ID == id {
@@ -58,7 +58,7 @@
 	return &JobRecord{}
 }
 
-// Bytes bounds what the batch takes in the state service.
+// Bytes returns an upper bound of the batch's stored size as the state service counts it.
 func (b *Batch) Bytes() int {
 	n := batchOverheadBytes
 	for i := range b.Jobs {
@@ -67,5 +67,5 @@
 	return n
 }
 
-// Update begins the next value of the batch.
+// Update starts an update of the batch.
 func (b *Batch) Update() *BatchUpdate { return &BatchUpdate{b, slices.Clone(b.Jobs)} }
--- a/internal/store/batchupdate_test.go
+++ b/internal/store/batchupdate_test.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestBatchUpdate changes jobs of a batch: the batch itself stays as it is, the write is on
-// its version, and the committed one has the changes.
+// TestBatchUpdate checks that an update leaves the batch itself unchanged, that its write is
+// conditional on the batch's version, and that the committed batch has the changes.
 func TestBatchUpdate(t *testing.T) {
 	b := newBatch(BatchKey("x"), 7, batch("wk-1", "wk-2"))
 	u := b.Update()
@@ -17,22 +17,22 @@
 	u.MarkFinishedIn("wk-2", "a")
 	u.SetCoAllocation("wk-2", CoAllocationReserve)
 	if rec := u.AssignRanges("wk-2", ranges, 3); len(rec.FinishedIn) != 0 || rec.CoAllocation != 0 || rec.ShardingGeneration != 3 {
-		t.Errorf("other ranges keep what was of the ones before: %+v", rec)
+		t.Errorf("AssignRanges kept fields that refer to the previous ranges: %+v", rec)
 	}
 	if rec := u.EndJob("wk-3", wire.Done, time.Unix(1e9, 0)); rec.Stage != "" {
-		t.Errorf("a job that the batch does not hold: %+v", rec)
+		t.Errorf("EndJob of a job that the batch does not hold returned %+v", rec)
 	}
 	if b.job("wk-1").Stage != wire.Pending || len(b.job("wk-2").Ranges) != 0 {
-		t.Errorf("the batch was changed: %+v", b.Jobs)
+		t.Errorf("the update changed the batch itself: %+v", b.Jobs)
 	}
 	if c := u.Condition(); !u.IsFor(b) || c.Key != b.Key || c.Version != 7 {
-		t.Errorf("condition %+v", c)
+		t.Errorf("condition %+v, want version 7 of the batch's key", c)
 	}
 	put, ok := u.Change().Value.(BatchRecord)
 	if !ok || put.Since != 7 || put.Jobs["wk-1"].Stage != wire.Cancelled || len(put.Jobs["wk-2"].Ranges) != 1 {
-		t.Errorf("the write: %+v", put)
+		t.Errorf("unexpected value to write: %+v", put)
 	}
 	if next := u.Committed(9); next.Version != 9 || next.SinceRevision != 7 || next.job("wk-1").Stage != wire.Cancelled {
-		t.Errorf("the next value: %+v", next)
+		t.Errorf("unexpected committed batch: %+v", next)
 	}
 }
--- a/internal/store/formatguard.go
+++ b/internal/store/formatguard.go
@@ -9,21 +9,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// FormatGuard decides whether this version may work on the state, and marks the state with
-// its format. It may not on a state that a newer version has written, and not beside a
-// controller of an older version, which would not understand what this one writes.
+// FormatGuard decides whether this version of the software may work on the state, and writes the
+// format marker. This version must not work on a state that a newer version has written, nor
+// alongside a controller of an older version, which could not decode what this version writes.
 type FormatGuard struct {
 	Client   *Client
 	View     *View
 	Follower *Follower
 	Log      *slog.Logger
-	// OlderController names a controller of an older version that is running, or is empty.
+	// OlderController returns the name of a running controller of an older version, or "".
 	OlderController func() string
-	// Shards lists the shards whose leaders' versions are checked.
+	// Shards lists the shards whose leaders are checked for an older version.
 	Shards []string
 
-	// GracePeriod is how long a state that was never marked is left alone, so that
-	// controllers of an older version, if there are any, can be found.
+	// GracePeriod is how long to wait before marking a non-empty state that has no marker, so
+	// that running controllers of an older version can be detected first.
 	GracePeriod time.Duration
 
 	mu        sync.Mutex
@@ -32,24 +32,24 @@
 	startedAt time.Time
 }
 
-// reasonNotLoaded is given until the view is loaded, for a moment at every start.
+// reasonNotLoaded is the reason until the view is loaded, which happens briefly at every start.
 const reasonNotLoaded = "the state is not read yet"
 
 const (
-	// formatCheckInterval is how often the format is checked where nothing changes.
+	// formatCheckInterval is the interval between checks while the state does not change.
 	formatCheckInterval = time.Second
-	// formatChangeDelay is the mean pause between two checks while the state changes.
+	// formatChangeDelay is the mean delay between checks while the state changes.
 	formatChangeDelay = 500 * time.Millisecond
 )
 
-// Writable reports whether this controller may write, and if not why.
+// Writable reports whether this controller may write to the state and, if not, the reason.
 func (f *FormatGuard) Writable() (bool, string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.writable, f.reason
 }
 
-// Run checks the format of the state again and again until the context ends.
+// Run checks the format of the state repeatedly until the context is cancelled.
 func (f *FormatGuard) Run(ctx context.Context) error {
 	ctx = WithPurpose(ctx, PurposeLeadership)
 	f.startedAt = time.Now()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// setReason takes the result of a check, and logs it when it differs from the one before.
+// setReason stores the result of a check, and logs it if it differs from the previous result.
 func (f *FormatGuard) setReason(reason string) {
 	f.mu.Lock()
 	previous := f.reason
@@ -86,10 +86,10 @@
 	}
 }
 
-// check returns why this controller may not work on the state, or nothing. It marks a
-// state that is not marked yet.
+// check returns the reason why this controller may not work on the state, or "". It marks a state
+// that has no marker yet.
 func (f *FormatGuard) check(ctx context.Context) string {
-	if reason := f.obstacle(); reason != "" {
+	if reason := f.blockingReason(); reason != "" {
 		return reason
 	}
 	if f.View.Format().Format >= Format {
@@ -101,8 +101,9 @@
 	return f.mark(ctx)
 }
 
-// obstacle returns what keeps this version from working on the state at all, or nothing.
-func (f *FormatGuard) obstacle() string {
+// blockingReason returns the reason why this version must not work on the state, or "". Unlike check,
+// it ignores a missing marker.
+func (f *FormatGuard) blockingReason() string {
 	switch {
 	case !f.View.Loaded():
 		return reasonNotLoaded
@@ -122,8 +123,8 @@
 	return ""
 }
 
-// mark writes this version's format into a state that has none. Of several controllers
-// that try one succeeds, and the read barrier shows its mark to the others.
+// mark writes the format marker to a state that has none, and returns the reason if that fails. If
+// several controllers try at once, one succeeds, and the others see its marker after the read barrier.
 func (f *FormatGuard) mark(ctx context.Context) string {
 	rec := FormatRecord{Format: Format}
 	if !f.View.Empty() {
@@ -134,7 +135,7 @@
 		return "the form of the state can't be marked"
 	}
 	if err != nil {
-		f.Log.Debug("another controller has marked the state", "err", err)
+		f.Log.Debug("another controller has written the format marker", "err", err)
 	}
 	return ""
 }
--- a/internal/store/jobindex.go
+++ b/internal/store/jobindex.go
@@ -15,30 +15,30 @@
 // LiveJob is a job that is neither done nor cancelled.
 type LiveJob struct {
 	Record        JobRecord
-	Batch         *Batch // the batch that orders its launch, cancellation and end
-	SinceRevision uint64 // the first revision at which any batch held it
+	Batch         *Batch // the batch whose version orders its launch, cancellation and end
+	SinceRevision uint64 // the revision at which a batch first held it
 }
 
-// RecentBlock is a block of ended jobs on their way into the archive.
+// RecentBlock is a block of ended jobs that are not archived yet.
 type RecentBlock struct {
 	Index   int
 	Version uint64
-	Block   *jobblock.Block // nil where the record is unreadable
+	Block   *jobblock.Block // nil if the record can't be decoded
 	Bytes   int
 }
 
-// jobIndex finds jobs by id in all batches and recent blocks, and batches all of whose jobs
-// have ended. It has no lock of its own; its View's guards it.
+// jobIndex finds jobs by ID in all batches and recent blocks, and finds the batches whose jobs have
+// all ended. It has no lock of its own; the lock of its View protects it.
 //
-// A job may be in several batches, because a submission without an answer is sent again to
-// another controller. The first revision that holds it is its beginning, and an end in any
-// of them is its end.
+// A job may be in several batches, because a client that gets no response retries the submission
+// at another controller. The job begins at the first revision at which a batch holds it, and has
+// ended if it has ended in any batch.
 type jobIndex struct {
 	batches      map[string]*Batch     // by key
 	batchesOf    map[string][]*Batch   // by job id
 	live         map[string]*LiveJob   // by job id
-	ended        map[string]*JobRecord // jobs that have ended and that a batch still holds
-	endedBatches *btree.BTreeG[*Batch] // batches whose jobs have all ended, the oldest first
+	ended        map[string]*JobRecord // jobs that have ended but are still in a batch, by job id
+	endedBatches *btree.BTreeG[*Batch] // batches whose jobs have all ended, oldest first
 	recentBlocks map[int]RecentBlock
 }
 
@@ -55,11 +55,11 @@
 	}
 }
 
-// putBatch takes a batch's newest value.
+// putBatch adds or replaces a batch.
 func (x *jobIndex) putBatch(b *Batch) {
 	old := x.batches[b.Key]
 	if old != nil && old.Version >= b.Version {
-		return // it was taken ahead of the watch
+		return // the value was applied before the watch delivered it
 	}
 	x.batches[b.Key] = b
 	if old != nil {
@@ -68,14 +68,14 @@
 	for _, job := range b.Jobs {
 		x.batchesOf[job.ID] = append(x.batchesOf[job.ID], b)
 	}
-	x.refresh(b)
+	x.refreshJobs(b)
 	if old != nil {
-		x.refresh(old)
+		x.refreshJobs(old)
 	}
 	x.refreshEnded(b)
 }
 
-// removeBatch takes the deletion of a batch.
+// removeBatch removes a deleted batch.
 func (x *jobIndex) removeBatch(key string) {
 	b := x.batches[key]
 	if b == nil {
@@ -83,10 +83,10 @@
 	}
 	delete(x.batches, key)
 	x.detach(b)
-	x.refresh(b)
+	x.refreshJobs(b)
 }
 
-// detach removes a batch from the jobs that it held.
+// detach removes a batch from the index entries of its jobs.
 func (x *jobIndex) detach(b *Batch) {
 	x.endedBatches.Delete(b)
 	for _, job := range b.Jobs {
@@ -97,9 +97,9 @@
 	}
 }
 
-// refresh recomputes the state of all jobs of a batch, and whether the other batches that
-// hold them have ended by it.
-func (x *jobIndex) refresh(b *Batch) {
+// refreshJobs recomputes the state of all jobs of a batch, and whether the other batches that hold
+// these jobs still have live ones.
+func (x *jobIndex) refreshJobs(b *Batch) {
 	for _, job := range b.Jobs {
 		x.refreshJob(job.ID)
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-// refreshEnded records whether every job of a batch has ended.
+// refreshEnded updates whether a batch is among those whose jobs have all ended.
 func (x *jobIndex) refreshEnded(b *Batch) {
 	for _, job := range b.Jobs {
 		if x.live[job.ID] != nil {
@@ -131,17 +131,17 @@
 	if len(batches) == 0 {
 		return
 	}
-	if end := x.endOf(id, batches); end != nil {
+	if end := x.endRecord(id, batches); end != nil {
 		x.ended[id] = end
 		return
 	}
-	batch := owner(batches)
+	batch := owningBatch(batches)
 	x.live[id] = &LiveJob{*batch.job(id), batch, firstRevision(batches)}
 }
 
-// endOf returns the record of a job's end, or nil for a live job. An end in a recent block
-// was there before any in a batch: one that comes later changes nothing.
-func (x *jobIndex) endOf(id string, batches []*Batch) (end *JobRecord) {
+// endRecord returns the record of an ended job, or nil for a live job. An end in a recent block
+// takes precedence: it was recorded first, and an end that a batch records later changes nothing.
+func (x *jobIndex) endRecord(id string, batches []*Batch) (end *JobRecord) {
 	if e, compacted := x.recentEntry(id); compacted {
 		return &JobRecord{Stage: e.Stage, Tasks: e.Tasks}
 	}
@@ -153,9 +153,9 @@
 	return end
 }
 
-// owner returns the batch that orders a job's changes: the oldest one, where a key of the
-// job's own goes before any batch, as it did in format 1.
-func owner(batches []*Batch) *Batch {
+// owningBatch returns the batch whose version orders a job's changes: the oldest one, except that a
+// job's own key of format 1 takes precedence over any batch, as it did in that format.
+func owningBatch(batches []*Batch) *Batch {
 	first := batches[0]
 	for _, b := range batches[1:] {
 		if b.standalone != first.standalone {
@@ -171,8 +171,8 @@
 	return first
 }
 
-// firstRevision returns the first revision at which one of the batches was there; 0, of a
-// batch that never was at any, is not one.
+// firstRevision returns the lowest revision at which one of the batches was created. Revision 0,
+// which a batch that was never committed has, is ignored.
 func firstRevision(batches []*Batch) uint64 {
 	first := uint64(0)
 	for _, b := range batches {
@@ -183,7 +183,7 @@
 	return first
 }
 
-// recentEntry looks a job up in the recent blocks.
+// recentEntry looks up a job in the recent blocks.
 func (x *jobIndex) recentEntry(id string) (jobblock.Entry, bool) {
 	for _, r := range x.recentBlocks {
 		if r.Block == nil {
@@ -196,7 +196,8 @@
 	return jobblock.Entry{}, false
 }
 
-// putRecentBlock takes a recent block's newest value. A batch may still call its jobs live.
+// putRecentBlock adds or replaces a recent block. Its jobs may still be live according to a batch, so
+// their state is recomputed.
 func (x *jobIndex) putRecentBlock(r RecentBlock) {
 	x.recentBlocks[r.Index] = r
 	if r.Block == nil {
@@ -210,7 +211,8 @@
 	}
 }
 
-// job looks up the record of a job, of which an ended one has only its stage and size.
+// job looks up the record of a job. The record of a compacted job has only the stage and the number
+// of tasks.
 func (x *jobIndex) job(id string) (rec JobRecord, known bool) {
 	if l, ok := x.live[id]; ok {
 		return l.Record, true
@@ -224,8 +226,8 @@
 	return JobRecord{}, false
 }
 
-// selectEnded lists, the oldest first, at most limit batches whose jobs have all ended and
-// that are accepted.
+// selectEnded lists, oldest first, at most limit batches whose jobs have all ended and for which
+// accept returns true.
 func (x *jobIndex) selectEnded(limit int, accept func(*Batch) bool) (out []*Batch) {
 	x.endedBatches.Scan(func(b *Batch) bool {
 		if accept(b) {
@@ -236,7 +238,7 @@
 	return out
 }
 
-// sortedRecentBlocks lists the recent blocks by their index.
+// sortedRecentBlocks lists the recent blocks in the order of their indexes.
 func (x *jobIndex) sortedRecentBlocks() []RecentBlock {
 	return slices.SortedFunc(maps.Values(x.recentBlocks), func(a, b RecentBlock) int { return a.Index - b.Index })
 }
@@ -251,8 +253,8 @@
 	return n
 }
 
-// oldestEnd returns when the first job ended of the oldest batch that waits for compaction,
-// or zero where none waits or its jobs do not say when they ended.
+// oldestEnd returns the earliest end time of the jobs in the oldest batch that waits for compaction.
+// It returns the zero time if no batch waits or none of the batch's jobs has an end time.
 func (x *jobIndex) oldestEnd() time.Time {
 	b, ok := x.endedBatches.Min()
 	if !ok {
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// The prefixes of all keys.
+// Prefixes of the keys in the state service.
 const (
-	// CommonPrefix begins every key, so that one watch follows them all.
+	// CommonPrefix is the prefix of every key, so that a single watch covers all of them.
 	CommonPrefix = "amberdeal"
-	// StatePrefix begins every key but those of the archive: a controller that starts
-	// lists only these.
+	// StatePrefix is the prefix of every key outside the archive. A controller lists only
+	// these keys when it starts.
 	StatePrefix = CommonPrefix + "/"
-	// ArchivePrefix begins the keys of the archive's blocks, which keep ended jobs for good.
+	// ArchivePrefix is the prefix of the archive's blocks, which keep ended jobs permanently.
 	ArchivePrefix = CommonPrefix + "-history/"
 )
 
-// The prefixes of kinds of which there are several keys.
+// Prefixes of the kinds that have any number of keys.
 const (
 	jobPrefix    = StatePrefix + "job/"
 	batchPrefix  = StatePrefix + "batch/"
@@ -25,26 +25,26 @@
 	recentPrefix = StatePrefix + "recent/"
 )
 
-// The keys of which there is only one.
+// Keys of the kinds that have a single key.
 const (
 	// FencingTokenKey holds the fleet-wide counter of fencing tokens.
 	FencingTokenKey = StatePrefix + "term"
-	// MachineTypesKey holds the machine types last seen.
+	// MachineTypesKey holds the machine types that the cloud last offered.
 	MachineTypesKey = StatePrefix + "types"
-	// SubmissionFenceKey is a condition of every submission: once it has advanced, no
-	// submission that was sent before is accepted any more.
+	// SubmissionFenceKey is a condition of every submission: once it has advanced,
+	// submissions sent before that are rejected.
 	SubmissionFenceKey = StatePrefix + "gate"
-	// ShardingKey holds how the fleet is divided into shards; without it there is one.
+	// ShardingKey holds how the fleet is divided into shards. If it is absent, there is a single shard.
 	ShardingKey = StatePrefix + "grouping"
-	// QuotaGrantKey holds what each shard may use of the teams' quotas.
+	// QuotaGrantKey holds the part of each team's quota that each shard may use.
 	QuotaGrantKey = StatePrefix + "grant"
-	// TiersKey holds how the tiers of work are configured; without it they are the default.
+	// TiersKey holds a digest of the tier configuration. If it is absent, the default tiers apply.
 	TiersKey = StatePrefix + "tiers"
-	// FormatKey holds the format of the state.
+	// FormatKey holds the version of the storage format.
 	FormatKey = StatePrefix + "format"
 )
 
-// The kinds of keys, as Kind returns them.
+// Kinds of keys, as returned by Kind.
 const (
 	KindJob             = "job"
 	KindBatch           = "batch"
@@ -61,7 +61,7 @@
 	KindFormat          = "format"
 )
 
-// Kind returns the kind of a key.
+// Kind returns the kind of a key: the first path element after StatePrefix, or KindArchive.
 func Kind(key string) string {
 	if strings.HasPrefix(key, ArchivePrefix) {
 		return KindArchive
@@ -70,23 +70,25 @@
 	return kind
 }
 
-// JobKey is the key of a single job in format 1.
+// JobKey returns the key of a single job in format 1.
 func JobKey(id string) string { return jobPrefix + id }
 
-// BatchKey is the key of jobs that were accepted together, until all of them have ended.
-// The version of this key orders launch, cancellation and end of each of its jobs.
+// BatchKey returns the key of a batch, which holds jobs that were accepted together until all
+// of them have ended. The version of this key orders the launch, cancellation and end of each
+// of its jobs.
 func BatchKey(name string) string { return batchPrefix + name }
 
-// RecentKey is the key of a block of ended jobs on their way into the archive.
+// RecentKey returns the key of a block of ended jobs that are not archived yet.
 func RecentKey(index int) string { return recentPrefix + strconv.Itoa(index) }
 
-// SegmentKey is the key of a segment of a ledger.
+// SegmentKey returns the key of a segment of a ledger.
 func SegmentKey(ledger string, segment int) string {
 	return ledgerPrefix + ledger + "/" + strconv.Itoa(segment)
 }
 
-// LedgerName names the ledger of a shard in a generation of the sharding. Each generation
-// has ledgers of its own, so that no leader mistakes another shard's for its own.
+// LedgerName returns the name of a shard's ledger in a generation of the sharding. Each
+// generation has its own ledgers, so that a leader never takes the ledger of an earlier
+// generation's shard of the same name for its own.
 func LedgerName(shard string, generation uint64) string {
 	if generation == 0 {
 		return shard
@@ -94,5 +96,5 @@
 	return shard + "@" + strconv.FormatUint(generation, 10)
 }
 
-// LeaderKey is the key of the record of a shard's leader.
+// LeaderKey returns the key of a shard's leader record.
 func LeaderKey(shard string) string { return leaderPrefix + shard }
--- a/internal/store/keys_test.go
+++ b/internal/store/keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestKind: each key has the kind of its prefix, and a key of others has none of amberdeal's.
+// TestKind checks that Kind recognizes the key of every kind.
 func TestKind(t *testing.T) {
 	for key, want := range map[string]string{
 		JobKey("wk-1"):         KindJob,
@@ -20,12 +20,12 @@
 		FormatKey:              KindFormat,
 	} {
 		if got := Kind(key); got != want {
-			t.Errorf("%s is of kind %q, want %q", key, got, want)
+			t.Errorf("Kind(%q) = %q, want %q", key, got, want)
 		}
 	}
 }
 
-// TestSplitKey: a key is split after its kind, whatever its name holds.
+// TestSplitKey checks that a key is split after its kind, whatever characters its name contains.
 func TestSplitKey(t *testing.T) {
 	for _, c := range []struct{ key, kind, name string }{
 		{BatchKey("b/1"), batchPrefix, "b/1"},
@@ -36,15 +36,15 @@
 		{"", "", ""},
 	} {
 		if kind, name := splitKey(c.key); kind != c.kind || name != c.name {
-			t.Errorf("%q: %q and %q", c.key, kind, name)
+			t.Errorf("splitKey(%q) = %q, %q", c.key, kind, name)
 		}
 	}
 }
 
-// TestLedgerNames: each generation of the sharding has ledgers of its own, the first those of
-// versions without shards.
+// TestLedgerNames checks that each generation of the sharding has its own ledger names, and that
+// generation 0 uses the names that versions without shards used.
 func TestLedgerNames(t *testing.T) {
 	if a, b := LedgerName("fleet", 0), LedgerName("fleet", 2); a != "fleet" || b != "fleet@2" {
-		t.Errorf("%q, %q", a, b)
+		t.Errorf("ledger names %q and %q, want \"fleet\" and \"fleet@2\"", a, b)
 	}
 }
--- a/internal/store/ledger_test.go
+++ b/internal/store/ledger_test.go
@@ -14,7 +14,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// jsonBytes is the size of a value as the state service counts it.
+// jsonBytes returns the size of a value as the state service counts it: the length of its JSON form.
 func jsonBytes(t *testing.T, v any) int {
 	var plain any
 	mode, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
@@ -31,32 +31,32 @@
 	return len(text)
 }
 
-// ledgerRounds is how many rounds a ledgerTrial writes; in the last quarter all machines go.
+// ledgerRounds is how many rounds a ledgerSimulation writes. In the last quarter all machines are removed.
 const ledgerRounds = 3200
 
-// ledgerTrial writes random rounds into a ledger, beside the segments that the state service
-// would hold after each.
-type ledgerTrial struct {
-	t        *testing.T
-	limit    int
-	random   *rand.Rand
-	ledger   *Ledger
-	revision uint64
-	stored   map[string]Segment
-	sent     [][]wire.Condition // of earlier rounds
-	changes  int
-	most     int // segments at a time
+// ledgerSimulation writes random rounds into a ledger and keeps the segments that the state
+// service would hold after each round.
+type ledgerSimulation struct {
+	t              *testing.T
+	limit          int
+	random         *rand.Rand
+	ledger         *Ledger
+	revision       uint64
+	stored         map[string]Segment
+	sentConditions [][]wire.Condition // conditions of earlier rounds
+	operations     int
+	maxSegments    int // most segments stored at the same time
 
-	// What a new leader must read.
-	machines  map[string]MachineRecord
-	finished  *TaskSet
-	zone      ZoneRecord
-	wroteZone ZoneRecord
+	// Records that a new leader must recover.
+	machines    map[string]MachineRecord
+	finished    *TaskSet
+	zone        ZoneRecord
+	writtenZone ZoneRecord
 }
 
-func newLedgerTrial(t *testing.T, limit int) *ledgerTrial {
+func newLedgerSimulation(t *testing.T, limit int) *ledgerSimulation {
 	l, _ := NewLedger("p", limit, nil)
-	return &ledgerTrial{
+	return &ledgerSimulation{
 		t:        t,
 		limit:    limit,
 		random:   rand.New(rand.NewPCG(1, uint64(limit))),
@@ -68,12 +68,12 @@
 	}
 }
 
-// machineEntries draws changes of machines that fit into the free bytes, and returns what is left of these.
-func (x *ledgerTrial) machineEntries(round, free int) (entries []Entry, left int) {
+// machineEntries returns random machine entries that fit into the free bytes, and how many bytes are left.
+func (x *ledgerSimulation) machineEntries(round, free int) (entries []Entry, left int) {
 	seen := map[string]bool{}
 	for range 1 + x.random.IntN(12) {
 		id := fmt.Sprintf("n-%06d", x.random.IntN(100))
-		if round > ledgerRounds*3/4 { // the fleet has gone
+		if round > ledgerRounds*3/4 { // all machines are being removed
 			id = fmt.Sprintf("n-%06d", round%100)
 		}
 		if seen[id] {
@@ -100,15 +100,15 @@
 	return entries, free
 }
 
-// entries draws what a round writes: machines, now and then the state of a zone with outages,
-// and the progress of a job.
-func (x *ledgerTrial) entries(round int) []Entry {
+// entries returns the random entries of a round: machines, in every fifth round the state of a zone
+// with outages, and the progress of a job.
+func (x *ledgerSimulation) entries(round int) []Entry {
 	entries, free := x.machineEntries(round, x.ledger.FreeBytes(3))
 	x.finished.Add(x.random.IntN(4000))
 	if x.zone.Number++; round%5 == 0 && free > 200 {
 		x.zone.State = []string{"up", "in doubt", "dark", "back"}[round%4]
 		entries, free = append(entries, ZoneEntry("some-zone", x.zone)), free-ZoneEntry("some-zone", x.zone).Size
-		x.wroteZone = x.zone
+		x.writtenZone = x.zone
 	}
 	if e := ProgressEntry("wk-1", 0, x.finished); x.limit > 1<<10 && e.Size <= free {
 		entries = append(entries, e)
@@ -116,18 +116,18 @@
 	return entries
 }
 
-// write packs and commits a round.
-func (x *ledgerTrial) write(round int) {
+// write packs and commits a round, and checks its conditions and the size of each value.
+func (x *ledgerSimulation) write(round int) {
 	x.revision++
 	entries := x.entries(round)
-	head := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
-	p, rest := x.ledger.Pack(head, entries, 3, true)
+	header := SegmentRecord{FencingToken: 40, Round: uint64(round), DrainedThrough: 1 << 40, Migrated: 1 << 30}
+	p, rest := x.ledger.Pack(header, entries, 3, true)
 	if len(rest) > 0 {
-		x.t.Fatalf("round %d: %d entries did not fit", round, len(rest))
+		x.t.Fatalf("round %d: %d entries did not fit into the segments", round, len(rest))
 	}
 	for _, cond := range p.If {
 		if cond.Version != x.stored[cond.Key].Version {
-			x.t.Fatalf("round %d: %+v, stored at %d", round, cond, x.stored[cond.Key].Version)
+			x.t.Fatalf("round %d: condition %+v, but the stored version is %d", round, cond, x.stored[cond.Key].Version)
 		}
 	}
 	for i, c := range p.Then {
@@ -136,31 +136,31 @@
 			continue
 		}
 		if size := jsonBytes(x.t, c.Value); size > x.limit {
-			x.t.Fatalf("round %d: a value of %d bytes", round, size)
+			x.t.Fatalf("round %d: value of %d bytes exceeds the limit", round, size)
 		}
 		x.stored[c.Put] = Segment{Version: x.revision, Record: c.Value.(SegmentRecord), Number: p.segments[i]}
 	}
-	x.checkLateCopies(round)
-	if x.sent = append(x.sent, p.If); len(x.sent) > 300 {
-		x.sent = slices.Delete(x.sent, 100, 150)
+	x.checkDelayedCopiesRejected(round)
+	if x.sentConditions = append(x.sentConditions, p.If); len(x.sentConditions) > 300 {
+		x.sentConditions = slices.Delete(x.sentConditions, 100, 150)
 	}
-	x.most = max(x.most, len(x.stored))
-	x.changes += len(p.Then)
+	x.maxSegments = max(x.maxSegments, len(x.stored))
+	x.operations += len(p.Then)
 	x.ledger.Commit(p, x.revision)
 }
 
-// checkLateCopies demands that no copy of an earlier round would be committed, however late:
-// not even of one that added a segment which has been removed since.
-func (x *ledgerTrial) checkLateCopies(round int) {
-	for _, conds := range x.sent {
+// checkDelayedCopiesRejected checks that no copy of an earlier round would still be committed,
+// however late it arrives, not even if that round added a segment that has been removed since.
+func (x *ledgerSimulation) checkDelayedCopiesRejected(round int) {
+	for _, conds := range x.sentConditions {
 		if !slices.ContainsFunc(conds, func(c wire.Condition) bool { return x.stored[c.Key].Version != c.Version }) {
-			x.t.Fatalf("round %d: an earlier one would be committed: %+v", round, conds)
+			x.t.Fatalf("round %d: a delayed copy of an earlier round would be committed: %+v", round, conds)
 		}
 	}
 }
 
-// checkRecovery reads the ledger as a new leader would.
-func (x *ledgerTrial) checkRecovery(round int) {
+// checkRecovery checks that a new leader would recover the records that were written last.
+func (x *ledgerSimulation) checkRecovery(round int) {
 	var segments []Segment
 	for _, s := range x.stored {
 		segments = append(segments, s)
@@ -168,34 +168,34 @@
 	_, got := NewLedger("p", x.limit, segments)
 	for id, rec := range x.machines {
 		if !maps.Equal(got.Machines[id].Tasks, rec.Tasks) || got.Machines[id].Addr != rec.Addr {
-			x.t.Fatalf("round %d: %s reads as %+v, want %+v", round, id, got.Machines[id], rec)
+			x.t.Fatalf("round %d: machine %s recovered as %+v, want %+v", round, id, got.Machines[id], rec)
 		}
 	}
-	if got.Zones["some-zone"] != x.wroteZone {
-		x.t.Fatalf("round %d: the zone reads as %+v, want %+v", round, got.Zones, x.wroteZone)
+	if got.Zones["some-zone"] != x.writtenZone {
+		x.t.Fatalf("round %d: zones recovered as %+v, want %+v", round, got.Zones, x.writtenZone)
 	}
 	if len(got.Machines) != len(x.machines) || got.Round != uint64(round) {
-		x.t.Fatalf("round %d: %d machines for %d, round %d", round, len(got.Machines), len(x.machines), got.Round)
+		x.t.Fatalf("round %d: recovered %d machines, want %d; recovered round %d", round, len(got.Machines), len(x.machines), got.Round)
 	}
 }
 
-// checkSize demands that the ledger has shrunk with the fleet, and that a round is mostly one change.
-func (x *ledgerTrial) checkSize() {
+// checkSize checks that the ledger has shrunk with the fleet, and that most rounds are a single operation.
+func (x *ledgerSimulation) checkSize() {
 	live := x.ledger.liveBytes
-	if bound := 4 + 8*live/x.limit; len(x.stored) > bound || x.limit == 1<<10 && x.most < 3*len(x.stored) {
-		x.t.Errorf("values of %d bytes: %d segments of %d are left for %d bytes", x.limit, len(x.stored), x.most, live)
+	if bound := 4 + 8*live/x.limit; len(x.stored) > bound || x.limit == 1<<10 && x.maxSegments < 3*len(x.stored) {
+		x.t.Errorf("limit of %d bytes: %d of at most %d segments remain for %d live bytes", x.limit, len(x.stored), x.maxSegments, live)
 	}
-	if x.limit > 1<<10 && x.changes > ledgerRounds*11/10 {
-		x.t.Errorf("values of %d bytes: %d changes for %d rounds", x.limit, x.changes, ledgerRounds)
+	if x.limit > 1<<10 && x.operations > ledgerRounds*11/10 {
+		x.t.Errorf("limit of %d bytes: %d operations for %d rounds", x.limit, x.operations, ledgerRounds)
 	}
 }
 
-// TestLedgerKeepsNewestRecords writes thousands of rounds into a ledger and reads it again after
-// each hundred, as a new leader would: it must return what was written last, no
-// value may be larger than allowed, and the ledger may not grow without end.
+// TestLedgerKeepsNewestRecords writes thousands of rounds into a ledger and recovers it after every
+// hundredth, as a new leader would. Recovery must return the newest records, no value may
+// exceed the size limit, and the ledger must not grow without bound.
 func TestLedgerKeepsNewestRecords(t *testing.T) {
 	for _, limit := range []int{1 << 10, 8 << 10, 16 << 10} {
-		x := newLedgerTrial(t, limit)
+		x := newLedgerSimulation(t, limit)
 		for round := range ledgerRounds {
 			x.write(round)
 			if round%100 == 99 {
@@ -206,19 +206,20 @@
 	}
 }
 
-// olderHead is the header of a segment of older versions, with what each team uses.
-type olderHead struct {
+// olderSegmentRecord is a segment as older versions write it, with the usage of each team.
+type olderSegmentRecord struct {
 	SegmentRecord
 	Teams map[string][2]float64 `cbor:"teams,omitempty"`
 }
 
-// TestLedgerBesideOlderVersion: an older version reads this one's segments and the reverse, and what is
-// left free in each is enough for the header that the older one writes on a failover, with so many teams.
-func TestLedgerBesideOlderVersion(t *testing.T) {
+// TestLedgerCompatibleWithOlderVersion checks that this version reads segments of an older one, and that the
+// free space in each segment suffices for the header that an older version writes on a failover, which
+// includes the usage of each team, for the given number of teams.
+func TestLedgerCompatibleWithOlderVersion(t *testing.T) {
 	for limit, teams := range map[int]int{8 << 10: 109, 16 << 10: 218} {
 		l, _ := NewLedger("p", limit, nil)
-		for round := range 400 { // machines with as much as there may be on them
-			room := l.FreeBytes(2)
+		for round := range 400 { // machines with many tasks and the longest names
+			free := l.FreeBytes(2)
 			var entries []Entry
 			for i := 0; ; i++ {
 				rec := MachineRecord{Addr: "10.1.200.232:9000", Type: "some-type", Zone: "some-zone", Incarnation: 3, Tasks: map[string]uint64{}}
@@ -226,37 +227,37 @@
 					rec.Tasks[fmt.Sprintf("wk-%06d/%d", 700_000+8*round+k, 90_000+i)] = 40<<24 + 1<<23 + uint64(k)
 				}
 				e := MachineEntry(fmt.Sprintf("n-%06d", (round*31+i)%200), rec)
-				if room -= e.Size; room < 0 {
+				if free -= e.Size; free < 0 {
 					break
 				}
 				entries = append(entries, e)
 			}
 			p, rest := l.Pack(SegmentRecord{FencingToken: 40, Round: uint64(round)}, entries, 2, true)
 			if len(rest) > 0 {
-				t.Fatalf("round %d: %d entries did not fit", round, len(rest))
+				t.Fatalf("round %d: %d entries did not fit into the segments", round, len(rest))
 			}
 			l.Commit(p, uint64(round+1))
 		}
-		used := make(map[string][2]float64)
+		usage := make(map[string][2]float64)
 		for i := range teams {
-			used[fmt.Sprintf("team-of-%03d", i)] = [2]float64{1234.5, 640}
+			usage[fmt.Sprintf("team-of-%03d", i)] = [2]float64{1234.5, 640}
 		}
 		for _, number := range l.writeOrder {
-			head := olderHead{SegmentRecord{FencingToken: 41, Round: 401, DrainedThrough: 1 << 40, Entries: map[string]wire.Raw{}}, used}
+			segment := olderSegmentRecord{SegmentRecord{FencingToken: 41, Round: 401, DrainedThrough: 1 << 40, Entries: map[string]wire.Raw{}}, usage}
 			for key, e := range l.segments[number].entries {
-				head.Entries[key] = e.Value
+				segment.Entries[key] = e.Value
 			}
-			if size := jsonBytes(t, head); size > limit {
-				t.Errorf("values of %d bytes, %d teams: an older version's segment of %d bytes", limit, teams, size)
+			if size := jsonBytes(t, segment); size > limit {
+				t.Errorf("limit of %d bytes, %d teams: segment of an older version has %d bytes", limit, teams, size)
 			}
-			if rec := decodeSlot(t, head); len(rec.Entries) != len(head.Entries) || rec.Round != 401 {
-				t.Errorf("an older version's segment reads as %d entries of round %d", len(rec.Entries), rec.Round)
+			if rec := decodeSegmentRecord(t, segment); len(rec.Entries) != len(segment.Entries) || rec.Round != 401 {
+				t.Errorf("segment of an older version decoded to %d entries of round %d", len(rec.Entries), rec.Round)
 			}
 		}
 	}
 }
 
-func decodeSlot(t *testing.T, v any) (rec SegmentRecord) {
+func decodeSegmentRecord(t *testing.T, v any) (rec SegmentRecord) {
 	if err := wire.DecodeValue(wire.Encode(v), &rec); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/pack.go
+++ b/internal/store/pack.go
@@ -5,31 +5,34 @@
 )
 
 const (
-	// fillDivisor is by which part of its capacity a ledger is filled before segments are
-	// added: at a third, a record is rarely written again before it is out of date.
+	// fillDivisor limits the live bytes of a ledger to a third of its capacity before a segment
+	// is added. At a third, most entries are outdated by the time their segment is rewritten,
+	// so that few are copied.
 	fillDivisor = 3
-	// reservedDivisor is the part of a segment that is left free for the header of older
-	// versions.
+	// reservedDivisor reserves 1/32 of a segment for the larger header of older versions;
+	// see headerBytes.
 	reservedDivisor = 32
-	// minFragmentationBytes is what may remain unused in a segment because entries do not
-	// divide: an eighth of it and, in a small one, the entry of a machine with some tasks.
+	// minFragmentationBytes is the least space per segment that FreeBytes does not count,
+	// because entries can't be split across segments. FreeBytes leaves out an eighth of each
+	// segment, but in small segments at least this size, that of a machine's entry with some tasks.
 	minFragmentationBytes = 256
 )
 
-// segmentCursor goes through the segments of a ledger in the order in which rounds write them.
+// segmentCursor iterates over the segments of a ledger in the order in which rounds write them.
 type segmentCursor struct {
 	ledger    *Ledger
-	remaining []int        // numbers of the segments that are yet to come
-	total     int          // of segments, with those that are added
-	added     map[int]bool // numbers of those that are added
+	remaining []int        // numbers of the existing segments that were not returned yet
+	total     int          // number of segments, including added ones
+	added     map[int]bool // numbers of the added segments
 }
 
 func (l *Ledger) cursor() *segmentCursor {
 	return &segmentCursor{l, l.writeOrder, len(l.writeOrder), map[int]bool{}}
 }
 
-// next returns the segment to write next: a new one while the ledger is more than a third
-// full, so that it takes long until a segment is written again, and else the oldest.
+// next returns the segment to write next: a new one if the live bytes exceed a third of the
+// ledger's capacity, so that segments are rewritten less often, and otherwise the least recently
+// written one.
 func (c *segmentCursor) next(liveBytes int) (number int, added bool) {
 	if len(c.remaining) > 0 && liveBytes <= c.total*c.ledger.segmentLimit/fillDivisor {
 		number, c.remaining = c.remaining[0], c.remaining[1:]
@@ -43,12 +46,13 @@
 	return number, true
 }
 
-// headerBytes bounds what a segment takes beside its entries. Part of it is left free:
-// versions before this one also write there what each team uses, which nobody reads, and one
-// that takes a shard over must not exceed the limit of a value with the entries that it keeps.
+// headerBytes returns the space of a segment that is not available to entries. Part of it stays
+// unused: older versions also write the usage of each team to the header, which nobody reads. When
+// such a version takes over a shard, its header and the entries that it keeps must not exceed the
+// size limit of a value.
 func (l *Ledger) headerBytes() int { return segmentOverheadBytes + l.segmentLimit/reservedDivisor }
 
-// FreeBytes returns how many bytes of entries are sure to fit into a number of segments.
+// FreeBytes returns how many bytes of entries are guaranteed to fit into the next segments to write.
 func (l *Ledger) FreeBytes(segments int) int {
 	cursor, sum := l.cursor(), 0
 	for range segments {
@@ -62,25 +66,26 @@
 	return sum
 }
 
-// PackedWrite is a write to the ledger that is not committed yet.
+// PackedWrite is a write to the ledger that has not been committed yet.
 type PackedWrite struct {
 	If       []wire.Condition
 	Then     []wire.Operation
-	segments []int     // numbers of those that are written
-	entries  [][]Entry // of each of them
-	removed  int       // number of a segment that is deleted, 0 for none
+	segments []int     // numbers of the segments to write
+	entries  [][]Entry // entries of each of these segments
+	removed  int       // number of the segment to delete, 0 for none
 }
 
-// Pack puts entries into at most maxSegments segments. Entries that did not fit are
-// returned, which does not happen to entries of no more than FreeBytes. Where mayRemove is
-// set and the ledger is much larger than it need be, a segment is deleted with the write.
+// Pack puts entries into at most maxSegments segments and returns those that did not fit.
+// Entries of at most FreeBytes always fit. If mayRemove is set and the ledger has far more
+// segments than it needs, the write also deletes a segment.
 //
-// A segment that was deleted is absent again, as a round demands that adds it. Such a round
-// is therefore also conditional on the segment that was written last before it. That one is
-// older, so that it is written again, or deleted, before the added one can be deleted, and a
-// late copy of the round is refused.
-func (l *Ledger) Pack(head SegmentRecord, entries []Entry, maxSegments int, mayRemove bool) (PackedWrite, []Entry) {
-	p := newPacker(l, head, entries)
+// A round that adds a segment is conditional on the absence of its key. That condition alone
+// doesn't reject a delayed copy of the round that arrives after the added segment was deleted
+// again. Such a round is therefore also conditional on the version of the segment that was written
+// last before it. That segment is older than the added one, so it is rewritten or deleted before
+// the added one can be deleted, and the delayed copy is rejected.
+func (l *Ledger) Pack(header SegmentRecord, entries []Entry, maxSegments int, mayRemove bool) (PackedWrite, []Entry) {
+	p := newPacker(l, header, entries)
 	p.packSegment(true, mayRemove)
 	for i := 1; len(p.entries) > 0 && i < maxSegments; i++ {
 		p.packSegment(false, false)
@@ -93,19 +98,19 @@
 type packer struct {
 	ledger    *Ledger
 	cursor    *segmentCursor
-	head      SegmentRecord
-	entries   []Entry         // that are yet to be put
-	replaced  map[string]bool // keys of all new entries: earlier values need not be kept
-	newBytes  int             // of all new entries
-	liveBytes int             // of the ledger, with the new entries so far
+	header    SegmentRecord
+	entries   []Entry         // new entries that are not placed yet
+	replaced  map[string]bool // keys of all new entries, whose earlier values are dropped
+	newBytes  int             // total size of all new entries
+	liveBytes int             // live bytes of the ledger, including the new entries placed so far
 	write     PackedWrite
 }
 
-func newPacker(l *Ledger, head SegmentRecord, entries []Entry) *packer {
+func newPacker(l *Ledger, header SegmentRecord, entries []Entry) *packer {
 	p := &packer{
 		ledger:    l,
 		cursor:    l.cursor(),
-		head:      head,
+		header:    header,
 		entries:   entries,
 		replaced:  make(map[string]bool, len(entries)),
 		liveBytes: l.liveBytes,
@@ -117,13 +122,14 @@
 	return p
 }
 
-// segmentContent is what is put into a segment.
+// segmentContent collects the entries of a segment that is being written.
 type segmentContent struct {
 	entries []Entry
 	size    int
 }
 
-// packSegment writes one segment: what it holds that is still needed, and new entries.
+// packSegment adds the write of one segment, with the entries in it that are still needed and as
+// many new entries as fit.
 func (p *packer) packSegment(first, mayRemove bool) {
 	l := p.ledger
 	number, added := p.cursor.next(p.liveBytes)
@@ -143,7 +149,7 @@
 	p.writeSegment(number, version, content.entries)
 }
 
-// keep takes the entries of a segment that the new ones do not replace.
+// keep copies the entries of a segment that no new entry replaces.
 func (p *packer) keep(number int, content *segmentContent) {
 	for key, e := range p.ledger.segments[number].entries {
 		if !p.replaced[key] {
@@ -153,20 +159,22 @@
 	}
 }
 
-// removeOldest moves the entries of the oldest segment into the one that is written, where
-// the ledger is too large and a quarter of the segment stays free.
+// removeOldest moves the entries of the oldest remaining segment into the one being written, and
+// schedules the oldest for deletion. It does so only if the ledger has too many segments and a
+// quarter of the segment being written stays free.
 func (p *packer) removeOldest(content *segmentContent) {
 	l := p.ledger
-	old := l.removable(p.cursor.remaining)
-	if old == 0 || content.size+l.segments[old].bytes+p.newBytes > l.segmentLimit*3/4 {
+	oldest := l.removable(p.cursor.remaining)
+	if oldest == 0 || content.size+l.segments[oldest].bytes+p.newBytes > l.segmentLimit*3/4 {
 		return
 	}
-	p.keep(old, content)
+	p.keep(oldest, content)
 	p.cursor.remaining = p.cursor.remaining[1:]
-	p.write.removed = old
+	p.write.removed = oldest
 }
 
-// requireLastWritten makes a round that adds a segment conditional on the one written before.
+// requireLastWritten makes a round that adds a segment conditional on the version of the segment that
+// was written last; see Pack.
 func (p *packer) requireLastWritten() {
 	l := p.ledger
 	if len(l.writeOrder) == 0 {
@@ -176,7 +184,7 @@
 	p.write.If = append(p.write.If, wire.Condition{Key: SegmentKey(l.name, last), Version: l.segments[last].version})
 }
 
-// putNew puts as many of the new entries as fit.
+// putNew adds as many of the new entries as fit.
 func (p *packer) putNew(content *segmentContent) {
 	for len(p.entries) > 0 && content.size+p.entries[0].Size <= p.ledger.segmentLimit {
 		e := p.entries[0]
@@ -187,9 +195,10 @@
 	}
 }
 
-// writeSegment adds the operation that writes a segment, on the version that it has.
+// writeSegment adds the operation that writes a segment, on condition that the segment still has the
+// given version.
 func (p *packer) writeSegment(number int, version uint64, entries []Entry) {
-	rec := p.head
+	rec := p.header
 	rec.Entries = make(map[string]wire.Raw)
 	for _, e := range entries {
 		rec.Entries[e.Key] = e.Value
@@ -204,7 +213,7 @@
 	p.write.entries = append(p.write.entries, entries)
 }
 
-// deleteRemoved adds the operation that deletes the segment whose entries were moved.
+// deleteRemoved adds the operation that deletes the segment whose entries removeOldest moved.
 func (p *packer) deleteRemoved() {
 	number := p.write.removed
 	if number == 0 {
@@ -215,9 +224,9 @@
 	p.write.Then = append(p.write.Then, wire.Operation{Delete: key})
 }
 
-// removable returns the segment that is the oldest but for the one that is being written, if
-// there are far more than needed, or 0. The first segment always stays: no older one could
-// guard against its being added again by a late copy.
+// removable returns the first segment in order if the ledger has far more segments than it needs,
+// or else 0. Segment 0 is never removed: no older segment could protect against its being added
+// again by a delayed copy of a round.
 func (l *Ledger) removable(order []int) int {
 	needed := fillDivisor*l.liveBytes/l.segmentLimit + 1
 	if len(order) == 0 || len(l.writeOrder) <= 2*needed+2 {
--- a/internal/store/preemption.go
+++ b/internal/store/preemption.go
@@ -8,18 +8,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// A preemption has a record for each machine on which it reserves capacity. It is written
-// before any task is told to stop, so that the next leader goes on with it.
+// A preemption has one record for each machine on which it reserves capacity. The records are
+// written before any task is told to stop, so that the next leader can continue the preemption.
 
-// PreemptionEntry returns the entry of the capacity that a preemption for a job reserves on
+// PreemptionEntry returns the entry of the capacity that a preemption on behalf of a job reserves on
 // one machine.
 func PreemptionEntry(job string, r tier.Reservation) Entry {
 	return Entry{preemptionKey(job, r.Machine), wire.Encode(r), entryOverheadBytes + len(job) + len(r.Machine) + r.SizeBound()}
 }
 
-// DropPreemption returns the entry that deletes a PreemptionEntry.
+// DropPreemption returns the tombstone of a PreemptionEntry.
 func DropPreemption(job, machine string) Entry {
-	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 2*nullBytes}
+	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 2*tombstoneValueBytes}
 }
 
 // HasPreemption reports whether the ledger holds a reservation for a job on a machine.
@@ -29,7 +29,7 @@
 
 func preemptionKey(job, machine string) string { return preemptionPrefix + job + "/" + machine }
 
-// applyPreemption takes a reservation, whose name is of the job and the machine.
+// applyPreemption applies a reservation, whose name consists of the job and the machine.
 func (rec *RecoveredState) applyPreemption(name, key string, raw wire.Raw) Entry {
 	job, machine, _ := strings.Cut(name, "/")
 	p := rec.Preemptions[job]
--- a/internal/store/quotagrants.go
+++ b/internal/store/quotagrants.go
@@ -2,22 +2,23 @@
 
 import "maps"
 
-// QuotaGrantRecord says what each shard may use of the quota of each team that has one. Only a
-// shard's leader changes the shard's own grants, under its fence and on the version that it has
-// seen; their sum never exceeds the quota.
+// QuotaGrantRecord holds the part of each team's quota that each shard may use, for teams that have
+// a quota. A shard's grants are changed only by the shard's leader, in a fenced write that is
+// conditional on the version that the leader has read. The sum of a team's grants never exceeds
+// its quota.
 type QuotaGrantRecord struct {
-	// Teams is the stored form: CPUs and GPUs as a list of two numbers, by team and shard. The
-	// methods of this file map it to QuotaGrant.
+	// Teams is the stored form: a list of the CPUs and GPUs, by team and shard. The methods in
+	// this file convert it to and from QuotaGrant.
 	Teams map[string]map[string][2]float64 `cbor:"teams"`
 }
 
-// QuotaGrant is what a shard may use of a team's quota.
+// QuotaGrant is the part of a team's quota that a shard may use.
 type QuotaGrant struct{ CPUs, GPUs float64 }
 
-// stored returns the grant as the record holds it.
+// stored returns the stored form of the grant.
 func (g QuotaGrant) stored() [2]float64 { return [2]float64{g.CPUs, g.GPUs} }
 
-// NewQuotaGrantRecord returns the record of grants by team and shard.
+// NewQuotaGrantRecord returns a record of the grants, given by team and shard.
 func NewQuotaGrantRecord(grants map[string]map[string]QuotaGrant) QuotaGrantRecord {
 	teams := make(map[string]map[string][2]float64, len(grants))
 	for team, byShard := range grants {
@@ -29,14 +30,14 @@
 	return QuotaGrantRecord{Teams: teams}
 }
 
-// Grant returns what a shard may use of a team's quota, nothing if the record does not say.
+// Grant returns the part of a team's quota that a shard may use. It is zero if the record has no grant.
 func (r QuotaGrantRecord) Grant(team, shard string) QuotaGrant {
 	stored := r.Teams[team][shard]
 	return QuotaGrant{CPUs: stored[0], GPUs: stored[1]}
 }
 
-// WithGrants returns a copy of the record in which a shard's grants, given by team, are changed.
-// The record itself, which others may read, is not changed.
+// WithGrants returns a copy of the record in which some of a shard's grants, given by team, are
+// replaced. The record itself is not modified, because other goroutines may be reading it.
 func (r QuotaGrantRecord) WithGrants(shard string, changes map[string]QuotaGrant) QuotaGrantRecord {
 	teams := make(map[string]map[string][2]float64, len(r.Teams))
 	maps.Copy(teams, r.Teams)
--- a/internal/store/quotagrants_test.go
+++ b/internal/store/quotagrants_test.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestQuotaGrants: a grant is stored as a list of CPUs and GPUs, is read as it was given, and a changed
-// copy leaves the record as it is.
+// TestQuotaGrants checks that a grant is stored as a list of CPUs and GPUs and is read back unchanged, and
+// that WithGrants leaves the original record unmodified.
 func TestQuotaGrants(t *testing.T) {
 	rec := NewQuotaGrantRecord(map[string]map[string]QuotaGrant{"red": {"a": {CPUs: 1, GPUs: 2}, "b": {GPUs: 3}}})
 	want := wire.Encode(map[string]any{"teams": map[string]any{"red": map[string]any{"a": []float64{1, 2}, "b": []float64{0, 3}}}})
--- a/internal/store/recovered.go
+++ b/internal/store/recovered.go
@@ -10,9 +10,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// RecoveredState is what a new leader reads from a ledger.
+// RecoveredState is the state that a new leader recovers from a ledger.
 type RecoveredState struct {
-	Round          uint64 // the last one that was written
+	Round          uint64 // the last round that was written
 	Machines       map[string]MachineRecord
 	ScaleOuts      map[string]ScaleOutRecord
 	FinishedTasks  map[string]*TaskSet // by job
@@ -32,7 +32,7 @@
 	}
 }
 
-// RecoverSegments reads ledgers that nobody writes any more.
+// RecoverSegments recovers the state from the segments of ledgers that are no longer written.
 func RecoverSegments(segments []Segment) RecoveredState {
 	rec := newRecoveredState()
 	for _, s := range sortedByAge(segments) {
@@ -44,8 +44,8 @@
 	return rec
 }
 
-// sortedByAge orders segments by when they were written, so that the newest value of an
-// entry is applied last.
+// sortedByAge returns the segments from the oldest to the most recently written, so that the newest
+// value of an entry is applied last.
 func sortedByAge(segments []Segment) []Segment {
 	segments = slices.Clone(segments)
 	slices.SortFunc(segments, func(a, b Segment) int {
@@ -54,8 +54,9 @@
 	return segments
 }
 
-// entryKinds says how the entries of each kind are recovered. Each function gets the name
-// after the prefix, the whole key and the value, and returns the entry to keep in the ledger.
+// entryKinds maps each key prefix to the function that recovers the entries of that kind. The
+// function gets the name after the prefix, the whole key and the value, and returns the entry to
+// keep in the ledger.
 var entryKinds = []struct {
 	prefix string
 	apply  func(rec *RecoveredState, name, key string, raw wire.Raw) Entry
@@ -68,7 +69,8 @@
 	{progressPrefix, (*RecoveredState).applyProgress},
 }
 
-// apply takes an entry. One that can't be decoded counts as deleted.
+// apply applies an entry and returns the entry to keep in the ledger. An entry that can't be decoded
+// is treated as a tombstone.
 func (rec *RecoveredState) apply(key string, raw wire.Raw) Entry {
 	for _, kind := range entryKinds {
 		if name, ok := strings.CutPrefix(key, kind.prefix); ok {
@@ -78,7 +80,7 @@
 	return Entry{Key: key}
 }
 
-// decodeEntry decodes an entry's value; ok is false for one that was deleted or is damaged.
+// decodeEntry decodes an entry's value. It returns false for a tombstone or a damaged value.
 func decodeEntry[T any](raw wire.Raw) (v T, ok bool) {
 	if len(raw) == 0 || raw[0] == cborNull {
 		return v, false
@@ -109,8 +111,8 @@
 	return ScaleOutEntry(name, r)
 }
 
-// applyZone takes the state of a zone. The ledgers of two shards of an earlier sharding may
-// both have one: the later one counts. A zone's state is never deleted.
+// applyZone applies the state of a zone. The ledgers of two shards of an earlier sharding may both
+// have a record of the zone; the one with the greater number is used. A zone's state is never deleted.
 func (rec *RecoveredState) applyZone(zone, key string, raw wire.Raw) Entry {
 	r, ok := decodeEntry[ZoneRecord](raw)
 	if !ok {
@@ -132,8 +134,8 @@
 	return ZoneRecoveryEntry(zone, r)
 }
 
-// applyProgress adds finished tasks of a job; a task that has finished stays finished, so
-// that the blocks of several segments are merged.
+// applyProgress adds finished tasks of a job. Blocks of several segments are merged, because a
+// finished task stays finished.
 func (rec *RecoveredState) applyProgress(name, key string, raw wire.Raw) Entry {
 	job, number, _ := strings.Cut(name, "/")
 	block, err := strconv.Atoi(number)
--- a/internal/store/recovered_test.go
+++ b/internal/store/recovered_test.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// segmentOf returns a segment with entries.
-func segmentOf(number int, version uint64, entries ...Entry) Segment {
+// newSegment returns a segment that holds the entries.
+func newSegment(number int, version uint64, entries ...Entry) Segment {
 	s := Segment{Number: number, Version: version, Record: SegmentRecord{Round: version, Entries: map[string]wire.Raw{}}}
 	for _, e := range entries {
 		s.Record.Entries[e.Key] = e.Value
@@ -19,18 +19,18 @@
 	return s
 }
 
-// TestRecoveryTakesTheNewest recovers from two segments, in any order, of which the newer one
-// deletes, replaces and adds.
-func TestRecoveryTakesTheNewest(t *testing.T) {
+// TestRecoveryAppliesNewestEntries recovers from two segments, given in either order. The newer one deletes
+// and replaces records of the older one and adds finished tasks.
+func TestRecoveryAppliesNewestEntries(t *testing.T) {
 	early, late := NewTaskSet(0), NewTaskSet(0)
 	early.Add(1)
 	late.Add(1030)
-	older := segmentOf(1, 3,
+	older := newSegment(1, 3,
 		MachineEntry("n-1", MachineRecord{Addr: "a:1"}), MachineEntry("n-2", MachineRecord{Addr: "b:1"}),
 		ScaleOutEntry("s-1", ScaleOutRecord{Count: 2}), ZoneRecoveryEntry("za", ZoneRecoveryRecord{Step: "retain"}),
 		ProgressEntry("wk-1", 0, early), ZoneEntry("za", ZoneRecord{State: "up", Number: 4}),
 		PreemptionEntry("wk-9", tier.Reservation{Machine: "n-1", Tasks: 1}), PreemptionEntry("wk-9", tier.Reservation{Machine: "n-2", Tasks: 1}))
-	newer := segmentOf(0, 5,
+	newer := newSegment(0, 5,
 		DropMachine("n-1"), MachineEntry("n-2", MachineRecord{Addr: "b:2"}), DropScaleOut("s-1"), DropZoneRecovery("za"),
 		ProgressEntry("wk-1", 1, late), ZoneEntry("za", ZoneRecord{State: "down", Number: 3}),
 		DropPreemption("wk-9", "n-1"), PreemptionEntry("wk-9", tier.Reservation{Machine: "n-2", Tasks: 7}))
@@ -45,7 +45,7 @@
 		if f := got.FinishedTasks["wk-1"]; f == nil || f.Count() != 2 || !f.Contains(1) || !f.Contains(1030) {
 			t.Errorf("finished: %+v", f)
 		}
-		if got.Zones["za"].State != "up" { // the one with the greater number
+		if got.Zones["za"].State != "up" { // the record with the greater number
 			t.Errorf("zones: %+v", got.Zones)
 		}
 		if p := got.Preemptions["wk-9"]; len(p.Reservations) != 1 || p.Reservations[0].Machine != "n-2" || p.Reservations[0].Tasks != 7 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestUnreadableEntriesCountAsDeleted: an entry of another kind, or one that is damaged, is
-// neither recovered nor kept.
+// TestUnreadableEntriesCountAsDeleted checks that an entry of an unknown kind and an entry that can't be
+// decoded are neither recovered nor kept in the ledger.
 func TestUnreadableEntriesCountAsDeleted(t *testing.T) {
 	rec := newRecoveredState()
 	for key, raw := range map[string]wire.Raw{
--- a/internal/store/segments.go
+++ b/internal/store/segments.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ledgerSegments are the segments of all ledgers, by key. They are kept encoded, because
-// only a new leader reads them.
+// ledgerSegments holds the segments of all ledgers, by key. They stay encoded, because only a
+// new leader reads them.
 type ledgerSegments map[string]Versioned[wire.Raw]
 
 // ledgerOf returns the name of the ledger that a segment's key belongs to.
@@ -17,8 +17,8 @@
 	return name
 }
 
-// ledgers lists the names of all ledgers that have a segment, in order.
-func (s ledgerSegments) ledgers() (names []string) {
+// ledgerNames lists, in order, the names of all ledgers that have a segment.
+func (s ledgerSegments) ledgerNames() (names []string) {
 	for key := range s {
 		if name := ledgerOf(key); !slices.Contains(names, name) {
 			names = append(names, name)
@@ -28,8 +28,8 @@
 	return names
 }
 
-// newest returns the segment of a ledger that was written last; its version is 0 where
-// there is none.
+// newest returns the most recently written segment of a ledger. Its version is 0 if the ledger
+// has no segment.
 func (s ledgerSegments) newest(ledger string) (newest Versioned[wire.Raw]) {
 	for key, raw := range s {
 		if strings.HasPrefix(key, ledgerPrefix+ledger+"/") && raw.Version > newest.Version {
@@ -39,8 +39,8 @@
 	return newest
 }
 
-// newestRecord decodes the segment that was written last; one that can't be decoded counts
-// as empty.
+// newestRecord decodes the most recently written segment of a ledger. A segment that can't be
+// decoded is treated as empty.
 func (s ledgerSegments) newestRecord(ledger string) (rec SegmentRecord) {
 	newest := s.newest(ledger)
 	if newest.Version == 0 || wire.DecodeValue(newest.Record, &rec) != nil {
--- a/internal/store/shardledgers.go
+++ b/internal/store/shardledgers.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// ShardLedgers are the ledgers that a new leader of a shard reads: the shard's own, and
-// those of earlier shardings.
+// ShardLedgers are the ledgers that a new leader of a shard reads: the shard's own ledger and
+// those of earlier generations of the sharding.
 type ShardLedgers struct {
-	Name       string // of the shard's own ledger
-	Generation uint64 // of the sharding
+	Name       string // name of the shard's own ledger
+	Generation uint64 // generation of the sharding
 	Own        []Segment
 	Previous   []Segment
-	// Migrated says that the own ledger has taken over everything that the shard needs of
-	// the previous ones, but for the ownership of tasks.
+	// Migrated reports whether everything that the shard needs from the previous ledgers,
+	// except the ownership of tasks, has been copied to its own ledger.
 	Migrated bool
 }
 
-// ShardingState is what a new sharding is computed from: the sharding so far, all ledgers,
+// ShardingState is the input for computing a new sharding: the current sharding, all ledgers,
 // and which shards have a leader.
 type ShardingState struct {
 	Sharding     Versioned[ShardingRecord]
@@ -32,8 +32,8 @@
 	Unreadable   []string  // keys of records that could not be decoded
 }
 
-// ShardLedgers reads the ledgers of a shard; a segment that can't be decoded is logged and
-// counts as empty.
+// ShardLedgers decodes the ledgers that a new leader of a shard reads. A segment that can't be
+// decoded is logged and treated as empty.
 func (v *View) ShardLedgers(shard string) ShardLedgers {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -50,8 +50,8 @@
 // segmentsOf decodes all segments of a ledger.
 func (v *View) segmentsOf(ledger string) (out []Segment) {
 	for key, raw := range v.segments {
-		number, mine := strings.CutPrefix(key, ledgerPrefix+ledger+"/")
-		if n, err := strconv.Atoi(number); mine && err == nil && n >= 0 {
+		number, inLedger := strings.CutPrefix(key, ledgerPrefix+ledger+"/")
+		if n, err := strconv.Atoi(number); inLedger && err == nil && n >= 0 {
 			rec, _ := decodeRecord[SegmentRecord](&v.unreadable, key, raw.Record)
 			out = append(out, Segment{n, raw.Version, rec})
 		}
@@ -59,19 +59,21 @@
 	return out
 }
 
-// ownLedger names the ledger of a shard in the present sharding.
+// ownLedger returns the name of a shard's ledger in the current generation of the sharding.
 func (v *View) ownLedger(shard string) string {
 	return LedgerName(shard, v.fleet.sharding.Record.Generation)
 }
 
-// Migrated reports whether a shard's ledger has taken over what those of earlier shardings say.
+// Migrated reports whether a shard has completed the migration from the ledgers of earlier
+// generations to its own; see SegmentRecord.Migrated.
 func (v *View) Migrated(shard string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.segments.newestRecord(v.ownLedger(shard)).Migrated == v.fleet.sharding.Record.Generation
 }
 
-// PreviousLedgerSlots lists the keys of the segments of earlier shardings' ledgers, in order.
+// PreviousLedgerSlots lists, in order, the keys of the segments that belong to ledgers of earlier
+// generations of the sharding.
 func (v *View) PreviousLedgerSlots() (out []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -84,14 +86,14 @@
 	return out
 }
 
-// LedShards lists the shards that have a leader, and reports whether there is any ledger.
-func (v *View) LedShards() (shards []string, used bool) {
+// LedShards lists the shards that have a leader, and reports whether any ledger exists.
+func (v *View) LedShards() (shards []string, hasLedger bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.fleet.ledShards(), len(v.segments) > 0
+	return v.fleet.shardsWithLeader(), len(v.segments) > 0
 }
 
-// ShardingState returns what a new sharding is computed from; it decodes every ledger.
+// ShardingState returns the input for computing a new sharding. It decodes every ledger.
 func (v *View) ShardingState() ShardingState {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -100,17 +102,17 @@
 		FencingToken: v.fleet.fencingToken,
 		QuotaGrants:  v.fleet.quotaGrants,
 		Format:       v.fleet.format,
-		LedgerNames:  v.segments.ledgers(),
-		LedShards:    v.fleet.ledShards(),
+		LedgerNames:  v.segments.ledgerNames(),
+		LedShards:    v.fleet.shardsWithLeader(),
 	}
 	for _, name := range s.LedgerNames {
 		s.Segments = append(s.Segments, v.segmentsOf(name)...)
 	}
-	s.Unreadable = v.unreadable.keys() // after all segments were decoded
+	s.Unreadable = v.unreadable.keys() // complete only after all segments have been decoded
 	return s
 }
 
-// Segment reads one segment by its key; its version is 0 where there is none.
+// Segment decodes the segment with the given key. It returns version 0 if the key is absent.
 func (v *View) Segment(key string) (SegmentRecord, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -129,14 +131,13 @@
 	return v.segments.newest(v.ownLedger(shard)).Version
 }
 
-// DrainedThrough returns the revision for which a shard's ledger says that no task is left
-// in the shard of any job that had ended by then. Once said it stays true, because ended
-// jobs are never started again.
+// DrainedThrough returns the revision up to which a shard is drained: it has no task left of any
+// job that had ended by then. This stays true, because ended jobs are never started again.
 func (v *View) DrainedThrough(shard string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.segments.newestRecord(v.ownLedger(shard)).DrainedThrough
 }
 
-// ledShards lists the shards that have a leader, in order.
-func (r *fleetRecords) ledShards() []string { return slices.Sorted(maps.Keys(r.leaders)) }
+// shardsWithLeader lists the shards that have a leader, in order.
+func (r *fleetRecords) shardsWithLeader() []string { return slices.Sorted(maps.Keys(r.leaders)) }
--- a/internal/store/taskset.go
+++ b/internal/store/taskset.go
@@ -8,8 +8,8 @@
 const (
 	wordBits = 64
 	byteBits = 8
-	// TasksPerBlock is how many tasks share a progress record: few enough that their bits
-	// fit a segment of the smallest value that the settings allow (1 KiB).
+	// TasksPerBlock is the number of tasks in a progress record. A block of this size fits into
+	// a segment of the smallest size that the settings allow (1 KiB).
 	TasksPerBlock = 1024
 )
 
@@ -20,7 +20,7 @@
 	count int
 }
 
-// NewTaskSet returns an empty set with space for n tasks; it grows as need be.
+// NewTaskSet returns an empty set with space for n tasks. The set grows as needed.
 func NewTaskSet(n int) *TaskSet {
 	return &TaskSet{words: make([]uint64, (n+wordBits-1)/wordBits)}
 }
@@ -30,7 +30,7 @@
 	return i/wordBits < len(s.words) && s.words[i/wordBits]>>(i%wordBits)&1 == 1
 }
 
-// Add adds task i and reports whether that is new.
+// Add adds task i and reports whether it was not in the set before.
 func (s *TaskSet) Add(i int) bool {
 	if i/wordBits >= len(s.words) {
 		s.words = append(s.words, make([]uint64, i/wordBits+1-len(s.words))...)
@@ -46,7 +46,7 @@
 // Count returns the number of tasks in the set.
 func (s *TaskSet) Count() int { return s.count }
 
-// Difference lists the tasks that are in s and not in other, in order.
+// Difference lists, in order, the tasks that are in s but not in other.
 func (s *TaskSet) Difference(other *TaskSet) []int {
 	var out []int
 	for i, w := range s.words {
@@ -72,8 +72,8 @@
 	return base64.RawStdEncoding.EncodeToString(out)
 }
 
-// MergeBlock adds the tasks of the stored form of the n-th block. One that is damaged adds
-// nothing: its tasks run again.
+// MergeBlock adds the tasks of the n-th block, given in its stored form. A block that can't be decoded
+// adds nothing, so its tasks run again.
 func (s *TaskSet) MergeBlock(n int, text string) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil || len(raw) > TasksPerBlock/byteBits {
--- a/internal/store/unreadable.go
+++ b/internal/store/unreadable.go
@@ -8,14 +8,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// unreadableRecords remembers the keys whose values could not be decoded: they are damaged,
-// or a newer version wrote them. It has no lock of its own; its View's guards it.
+// unreadableRecords holds the keys whose values could not be decoded, because they are damaged or
+// were written by a newer version. It has no lock of its own; the lock of its View protects it.
 type unreadableRecords struct {
 	log  *slog.Logger
 	errs map[string]error // by key
 }
 
-// decodeRecord decodes a value; one that can't be decoded is logged and remembered.
+// decodeRecord decodes the value of a key. On failure, it logs the error and adds the key to u; on
+// success, it removes the key from u.
 func decodeRecord[T any](u *unreadableRecords, key string, raw wire.Raw) (T, bool) {
 	var rec T
 	if err := wire.DecodeValue(raw, &rec); err != nil {
@@ -31,10 +32,11 @@
 	u.errs[key] = err
 }
 
-// keys lists the keys in order.
+// keys lists the keys of the unreadable records in order.
 func (u *unreadableRecords) keys() []string { return slices.Sorted(maps.Keys(u.errs)) }
 
-// mayHold returns the first unreadable record that may hold a job.
+// mayHold returns the key and the error of the first unreadable record that may hold the job. The key is
+// empty if there is none.
 func (u *unreadableRecords) mayHold(job string) (key string, err error) {
 	if len(u.errs) == 0 {
 		return "", nil
