--- a/internal/store/barrier.go
+++ b/internal/store/barrier.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// barrierQueue collects the callers that wait for the same read barrier: one read serves
-// all that asked before it was sent.
+// barrierQueue collects the callers that wait for the same read barrier: a single read serves
+// every caller that joined before the read was sent.
 type barrierQueue struct {
 	wake chan struct{} // holds a token while a barrier is pending
 
 	mu      sync.Mutex
-	pending *barrier // not sent yet
+	pending *barrier // next barrier, whose read has not been sent; nil if nobody waits for one
 }
 
-// barrier is one read that brings the view up to date.
+// barrier is a single read that brings the view up to date, shared by its waiters.
 type barrier struct {
 	done chan struct{} // closed once err is set
 	err  error
@@ -24,7 +24,7 @@
 
 func newBarrierQueue() *barrierQueue { return &barrierQueue{wake: make(chan struct{}, 1)} }
 
-// join returns the barrier that is sent next.
+// join returns the pending barrier, creating it and waking RunBarriers if there is none.
 func (q *barrierQueue) join() *barrier {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -38,8 +38,8 @@
 	return q.pending
 }
 
-// take removes the pending barrier, if any, before it is sent: who asks after that waits
-// for the next one.
+// take removes and returns the pending barrier, or nil, just before its read is sent. Callers
+// that join later wait for the next barrier.
 func (q *barrierQueue) take() *barrier {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -48,7 +48,7 @@
 	return b
 }
 
-// wait returns once the barrier is through, or the context has ended.
+// wait blocks until the barrier has completed or the context is done.
 func (b *barrier) wait(ctx context.Context) error {
 	select {
 	case <-b.done:
@@ -58,7 +58,7 @@
 	}
 }
 
-// RunBarriers makes the barriers that are asked for, one at a time, until the context ends.
+// RunBarriers executes requested barriers, one at a time, until the context is done.
 func (f *Follower) RunBarriers(ctx context.Context) error {
 	for {
 		select {
@@ -70,36 +70,36 @@
 		if b == nil {
 			continue
 		}
-		begun := time.Now()
+		start := time.Now()
 		b.err = f.catchUp(ctx)
 		close(b.done)
-		if gap := f.client.MinInterval(followShare) - time.Since(begun); gap > 0 {
+		if gap := f.client.MinRequestInterval(followerRequestShare) - time.Since(start); gap > 0 {
 			sleep(ctx, gap)
 		}
 	}
 }
 
-// catchUp reads all changes since the view's revision.
+// catchUp reads all changes since the view's revision and applies them to the view.
 func (f *Follower) catchUp(ctx context.Context) error {
 	if !f.view.Loaded() {
 		return fmt.Errorf("read barrier before the view was loaded: %w", ErrRefused)
 	}
-	begun := time.Now()
-	ch, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), 0)
+	start := time.Now()
+	changes, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), 0)
 	f.recordContact(err)
 	if err != nil {
 		return fmt.Errorf("read barrier: %w", err)
 	}
-	f.view.Apply(ch)
-	f.view.MarkCurrent(begun)
+	f.view.Apply(changes)
+	f.view.MarkCurrent(start)
 	return nil
 }
 
-// Barrier returns once the view holds everything that was in the state service when
-// Barrier was called. All callers that wait share one read.
+// Barrier blocks until the view includes every change that was committed in the state service
+// before the call. Concurrent callers share one read.
 func (f *Follower) Barrier(ctx context.Context) error { return f.RequestBarrier()(ctx) }
 
-// RequestBarrier starts a barrier and returns the function that waits for it.
+// RequestBarrier requests a barrier without blocking and returns a function that waits for it.
 func (f *Follower) RequestBarrier() (wait func(ctx context.Context) error) {
 	return f.barriers.join().wait
 }
--- a/internal/store/callstats.go
+++ b/internal/store/callstats.go
@@ -6,12 +6,14 @@
 	"sync"
 )
 
-// CallStats counts what the state service was asked for.
+// CallStats counts the calls made to the state service. Changes counts the operations of
+// transactions, Refused the calls that the service rejected as overloaded or unavailable,
+// Unanswered the calls without a response, and Bytes the sizes of request and response bodies.
 type CallStats struct {
 	Requests, Changes, Refused, Unanswered, Bytes uint64
 }
 
-// The purposes by which calls are counted; they are labels of the metrics.
+// Purposes by which calls are counted. The values are metric labels.
 const (
 	PurposeLeadership    = "claim"
 	PurposeRounds        = "round"
@@ -23,11 +25,12 @@
 
 type purposeKey struct{}
 
-// WithPurpose marks the calls under a context by what they are made for.
+// WithPurpose returns a context whose calls are counted under purpose.
 func WithPurpose(ctx context.Context, purpose string) context.Context {
 	return context.WithValue(ctx, purposeKey{}, purpose)
 }
 
+// purposeOf returns the purpose set by WithPurpose, PurposeReads by default.
 func purposeOf(ctx context.Context) string {
 	if p, ok := ctx.Value(purposeKey{}).(string); ok {
 		return p
@@ -35,13 +38,13 @@
 	return PurposeReads
 }
 
-// callCounters keeps CallStats by purpose.
+// callCounters accumulates CallStats by purpose.
 type callCounters struct {
 	mu        sync.Mutex
 	byPurpose map[string]CallStats
 }
 
-// add updates the counts of a purpose.
+// add applies update to the counts of a purpose.
 func (s *callCounters) add(purpose string, update func(*CallStats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,14 +56,14 @@
 	s.byPurpose[purpose] = n
 }
 
-// CallStatsByPurpose returns the counts by purpose.
+// CallStatsByPurpose returns a copy of the call counts, keyed by purpose.
 func (c *Client) CallStatsByPurpose() map[string]CallStats {
 	c.calls.mu.Lock()
 	defer c.calls.mu.Unlock()
 	return maps.Clone(c.calls.byPurpose)
 }
 
-// CallStats returns the counts of all purposes together.
+// CallStats returns the call counts summed over all purposes.
 func (c *Client) CallStats() CallStats {
 	var sum CallStats
 	for _, s := range c.CallStatsByPurpose() {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -5,25 +5,26 @@
 	"fmt"
 )
 
-// What can become of a call that did not succeed.
+// Outcomes of a failed call.
 var (
 	// ErrRefused means that the call was not executed and never will be.
 	ErrRefused = errors.New("state service refused the call")
 	// ErrUnknownOutcome means that there was no usable response: the call may have been
-	// executed, or may still be.
+	// executed, or may still be executed later.
 	ErrUnknownOutcome = errors.New("state service gave no answer")
-	// ErrLeaseNotFound means that the lease has expired or was revoked. Its text is also
-	// what the state service says.
+	// ErrLeaseNotFound means that the lease has expired or was revoked. The text is the
+	// same as in the state service's responses, by which txnOutcome recognizes the error.
 	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted means that a watch begins before the oldest revision that the service
-	// keeps, or would be too large to read: the keys have to be listed again.
+	// ErrCompacted means that the requested changes start before the oldest revision that
+	// the service keeps, or are too large for one response: the keys have to be listed again.
 	ErrCompacted = errors.New("revision too old")
 )
 
-// errMalformed marks a refusal that is a fault of this program: it is logged.
-var errMalformed = errors.New("malformed transaction")
+// errMalformedTxn marks a refusal caused by a bug in this program; such refusals are logged.
+var errMalformedTxn = errors.New("malformed transaction")
 
-// ConflictError names the keys whose versions were not those that a transaction demanded.
+// ConflictError reports a transaction that was not committed because the versions of the keys
+// in Failed did not meet its conditions.
 type ConflictError struct{ Failed []string }
 
 // Error implements error.
--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// minWatchInterval is the least time between two watches: each counts as a request, and
-	// one brings all changes since the last.
+	// minWatchInterval is the minimum mean time between the starts of two watches. Each watch
+	// counts as a request, and returns all changes since the previous one.
 	minWatchInterval = 150 * time.Millisecond
-	// followShare is the fraction of a controller's requests that watches may use, and that
-	// barriers may use: with a small allowance a third is left for everything else.
-	followShare = 1. / 3
-	// maxWatchTimeout bounds a watch: the view is known to be current as of when the last
-	// watch that was answered began, so that a long one makes it look stale.
+	// followerRequestShare is the fraction of a controller's request allowance that watches may
+	// use, and that barriers may use as well. With a small allowance, this leaves a third for
+	// everything else.
+	followerRequestShare = 1. / 3
+	// maxWatchTimeout is the longest timeout of a watch. The view is only known to be current as
+	// of the start of the last watch that was answered, so that a long watch makes it look stale.
 	maxWatchTimeout = 4 * time.Second
-	// watchesPerStaleness is how many watches fit into the staleness that a reader allows,
-	// so that one that is lost does not exceed it.
+	// watchesPerStaleness is how many watches fit into the maximum staleness that a reader
+	// accepts, so that one lost watch does not exceed it.
 	watchesPerStaleness = 3
-	// loadRetryInterval and watchRetryInterval are the mean pauses after a failed call.
+	// loadRetryInterval and watchRetryInterval are the mean delays before a failed load or watch
+	// is retried.
 	loadRetryInterval  = 300 * time.Millisecond
 	watchRetryInterval = 400 * time.Millisecond
 )
 
-// WatchTimeoutFor returns the bound of a watch where the view may be no older than maxStaleness.
+// WatchTimeoutFor returns the watch timeout to use if the view may be no older than maxStaleness.
 func WatchTimeoutFor(maxStaleness time.Duration) time.Duration {
 	return min(maxWatchTimeout, maxStaleness/watchesPerStaleness)
 }
 
-// Follower keeps a View up to date with the state service, and makes read barriers.
-// Whoever creates it runs Run and RunBarriers, each in a goroutine.
+// Follower keeps a View up to date with the state service and executes read barriers. Its creator
+// must call Run and RunBarriers, each in its own goroutine.
 type Follower struct {
-	// WatchTimeout bounds a watch.
+	// WatchTimeout is how long a watch waits for changes.
 	WatchTimeout time.Duration
 
 	client   *Client
@@ -51,7 +53,7 @@
 	lastLoad    LoadStats
 }
 
-// LoadStats describes the last time that the view was read as a whole.
+// LoadStats describes a full load of the view.
 type LoadStats struct {
 	FinishedAt     time.Time
 	Duration       time.Duration
@@ -59,21 +61,21 @@
 	Bytes          int
 }
 
-// LastLoad returns the statistics of the last load of the view.
+// LastLoad returns the statistics of the last completed load, or a zero value before the first.
 func (f *Follower) LastLoad() LoadStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastLoad
 }
 
-// NewFollower returns a follower that reads through a client into a view.
+// NewFollower returns a Follower that reads through client c into view v.
 func NewFollower(c *Client, v *View, log *slog.Logger) *Follower {
 	return &Follower{WatchTimeout: maxWatchTimeout, client: c, view: v, log: log, barriers: newBarrierQueue()}
 }
 
-// recordContact remembers when the state service last answered, and when it last did not.
-// ErrCompacted counts as a failure although it is an answer: a controller that cannot list
-// the keys again must not look as if it was served.
+// recordContact records the time of a successful call (nil err) or of a failed one. ErrCompacted
+// counts as a failure although the service responded: a controller that cannot list the keys
+// again must not appear to be in contact with the service.
 func (f *Follower) recordContact(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,19 +86,20 @@
 	}
 }
 
-// LastContact tells when the state service last answered, and whether a later call failed.
+// LastContact returns the time of the last successful call, and whether a later call failed.
 func (f *Follower) LastContact() (at time.Time, failing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lastSuccess, f.lastFailure.After(f.lastSuccess)
 }
 
-// Run loads the view and watches the changes until the context ends.
+// Run loads the view and applies changes to it until the context is done. It reloads the view when
+// changes were missed.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := f.load(ctx); err != nil {
 			f.recordContact(err)
-			f.log.Debug("loading the view failed", "err", err)
+			f.log.Debug("failed to load the view", "err", err)
 			Backoff(ctx, loadRetryInterval)
 			continue
 		}
@@ -105,62 +108,63 @@
 	return nil
 }
 
-// load reads all keys but the archive, and what has changed meanwhile.
+// load reads all keys except the archive's, then the changes that were committed meanwhile.
 func (f *Follower) load(ctx context.Context) error {
-	begun := time.Now()
-	items, first, pages, err := f.list(ctx)
+	start := time.Now()
+	items, listRevision, pages, err := f.list(ctx)
 	if err != nil {
 		return err
 	}
-	changes := &wire.WatchResponse{Revision: first}
-	if pages > 1 { // the pages are of different revisions
-		if changes, err = f.client.Changes(ctx, CommonPrefix, first, 0); err != nil {
-			return fmt.Errorf("read changes since revision %d: %w", first, err)
+	changes := &wire.WatchResponse{Revision: listRevision}
+	if pages > 1 { // the pages may be from different revisions
+		if changes, err = f.client.Changes(ctx, CommonPrefix, listRevision, 0); err != nil {
+			return fmt.Errorf("read changes since revision %d: %w", listRevision, err)
 		}
 	}
 	f.recordContact(nil)
-	f.view.Load(items, first, changes)
-	f.view.MarkCurrent(begun)
-	l := LoadStats{FinishedAt: time.Now(), Duration: time.Since(begun), Keys: len(items), Requests: pages + min(pages-1, 1)}
-	for _, it := range items {
-		l.Bytes += len(it.Key) + len(it.Value)
+	f.view.Load(items, listRevision, changes)
+	f.view.MarkCurrent(start)
+	stats := LoadStats{FinishedAt: time.Now(), Duration: time.Since(start), Keys: len(items), Requests: pages + min(pages-1, 1)}
+	for _, item := range items {
+		stats.Bytes += len(item.Key) + len(item.Value)
 	}
 	f.mu.Lock()
-	f.lastLoad = l
+	f.lastLoad = stats
 	f.mu.Unlock()
-	f.log.Info("view loaded", "keys", l.Keys, "bytes", l.Bytes, "requests", l.Requests, "after", l.Duration, "revision", f.view.Revision())
+	f.log.Info("view loaded", "keys", stats.Keys, "bytes", stats.Bytes, "requests", stats.Requests, "after", stats.Duration, "revision", f.view.Revision())
 	return nil
 }
 
-// list reads all keys but the archive, page by page, and returns the revision of the first page.
-func (f *Follower) list(ctx context.Context) (items []wire.KeyValue, first uint64, pages int, err error) {
+// list reads all keys except the archive's, page by page. It returns their values, the revision of
+// the first page, and the number of pages.
+func (f *Follower) list(ctx context.Context) (items []wire.KeyValue, revision uint64, pages int, err error) {
 	for after := ""; ; {
 		page, err := f.client.List(ctx, StatePrefix, after, 0)
 		if err != nil {
 			return nil, 0, pages, fmt.Errorf("list keys after %q: %w", after, err)
 		}
 		if pages++; pages == 1 {
-			first = page.Revision
+			revision = page.Revision
 		}
 		items = append(items, page.Items...)
 		if !page.More || len(page.Items) == 0 {
-			return items, first, pages, nil
+			return items, revision, pages, nil
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
 }
 
-// watch applies changes until the keys must be listed again.
+// watch applies changes to the view until the keys have to be listed again or the context is done.
 func (f *Follower) watch(ctx context.Context) {
 	for ctx.Err() == nil {
-		begun := time.Now()
-		ch, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), f.WatchTimeout)
+		start := time.Now()
+		changes, err := f.client.Changes(ctx, CommonPrefix, f.view.Revision(), f.WatchTimeout)
 		f.recordContact(err)
 		switch {
 		case err == nil:
-			f.view.Apply(ch)
-			f.view.MarkCurrent(begun)
-			if gap := max(minWatchInterval, f.client.MinInterval(followShare)) - time.Since(begun); gap > 0 {
+			f.view.Apply(changes)
+			f.view.MarkCurrent(start)
+			if gap := max(minWatchInterval, f.client.MinRequestInterval(followerRequestShare)) - time.Since(start); gap > 0 {
 				Backoff(ctx, gap)
 			}
 		case errors.Is(err, ErrCompacted):
--- a/internal/store/follower_test.go
+++ b/internal/store/follower_test.go
@@ -17,8 +17,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// followTrial is a state service on a simulated network, and a follower of it.
-type followTrial struct {
+// followerHarness runs a state service on a simulated network and a Follower that reads from it.
+type followerHarness struct {
 	t        *testing.T
 	net      *simulator.Network
 	service  *simulator.StateService
@@ -27,164 +27,167 @@
 	stop     context.CancelFunc
 }
 
-func newFollowTrial(t *testing.T) *followTrial {
-	return &followTrial{t: t, net: simulator.NewNetwork(), service: simulator.NewStateService(1, 0)}
+func newFollowerHarness(t *testing.T) *followerHarness {
+	return &followerHarness{t: t, net: simulator.NewNetwork(), service: simulator.NewStateService(1, 0)}
 }
 
-// start starts the service and the follower.
-func (x *followTrial) start() {
-	ctx, stop := context.WithCancel(x.t.Context())
-	x.stop = stop
-	go func() { _ = x.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, x.service.Serve()) }()
+// start starts the state service and the follower.
+func (h *followerHarness) start() {
+	ctx, stop := context.WithCancel(h.t.Context())
+	h.stop = stop
+	go func() { _ = h.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, h.service.Serve()) }()
 	log := slog.New(slog.DiscardHandler)
-	x.view = NewView(log)
-	x.follower = NewFollower(NewClient(x.net.Host("10.0.0.1"), "10.2.0.1:2379", 100, 100, EvenAllowance(1), log), x.view, log)
-	go x.follower.Run(ctx)
-	go x.follower.RunBarriers(ctx)
+	h.view = NewView(log)
+	h.follower = NewFollower(NewClient(h.net.Host("10.0.0.1"), "10.2.0.1:2379", 100, 100, EvenAllowance(1), log), h.view, log)
+	go h.follower.Run(ctx)
+	go h.follower.RunBarriers(ctx)
 }
 
-// end lets all goroutines end.
-func (x *followTrial) end() {
-	x.stop()
-	x.net.Close()
+// shutdown stops the service and the follower, and waits until all goroutines have ended.
+func (h *followerHarness) shutdown() {
+	h.stop()
+	h.net.Close()
 	time.Sleep(time.Minute)
 }
 
-// commit makes changes without conditions.
-func (x *followTrial) commit(ops ...wire.Operation) { x.service.Commit(wire.Txn{Then: ops}) }
+// commit commits operations without conditions.
+func (h *followerHarness) commit(ops ...wire.Operation) { h.service.Commit(wire.Txn{Then: ops}) }
 
-// TestFollowerReloadsWhenChangesAreTooLarge: a follower that was partitioned for long would get
-// more changes than a response may hold, each time again; it lists the keys instead.
+// TestFollowerReloadsWhenChangesAreTooLarge guards against a follower that never recovers from a long
+// partition: the changes that it missed exceed the maximum response size on every retry, so that it
+// has to list the keys instead.
 func TestFollowerReloadsWhenChangesAreTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := newFollowTrial(t)
-		x.start()
+		h := newFollowerHarness(t)
+		h.start()
 		time.Sleep(time.Second)
-		x.net.Partition("10.0.0.1", "10.2.0.1", true)
+		h.net.Partition("10.0.0.1", "10.2.0.1", true)
 		large := strings.Repeat("x", 16<<10)
 		for range 1000 {
-			x.commit(wire.Operation{Put: StatePrefix + "other/x", Value: large})
+			h.commit(wire.Operation{Put: StatePrefix + "other/x", Value: large})
 		}
-		x.net.Partition("10.0.0.1", "10.2.0.1", false)
+		h.net.Partition("10.0.0.1", "10.2.0.1", false)
 		time.Sleep(30 * time.Second)
-		if err := x.follower.Barrier(t.Context()); err != nil {
+		if err := h.follower.Barrier(t.Context()); err != nil {
 			t.Error(err)
 		}
-		x.end()
+		h.shutdown()
 	})
 }
 
-// barrierTrial has jobs that are accepted, cancelled and compacted, while barriers are crossed.
-type barrierTrial struct {
-	*followTrial
-	accepted, ended atomic.Int64 // number of the last job that was
+// barrierHarness accepts, cancels and compacts jobs while callers wait for read barriers.
+type barrierHarness struct {
+	*followerHarness
+	accepted, ended atomic.Int64 // number of the last job accepted or ended
 
-	mu              sync.Mutex
-	random          *rand.Rand
-	crossed, failed int // barriers
+	mu                sync.Mutex
+	random            *rand.Rand
+	completed, failed int // numbers of barriers
 }
 
-// barrierJobs is how many jobs a barrierTrial has.
-const barrierJobs = 200
+// barrierTestJobs is the number of jobs that a barrierHarness accepts.
+const barrierTestJobs = 200
 
-func (x *barrierTrial) draw(n int) int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.random.IntN(n)
+// randomInt returns a random number in [0, n).
+func (h *barrierHarness) randomInt(n int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.random.IntN(n)
 }
 
-func trialJob[N int | int64](n N) string { return fmt.Sprintf("wk-%d", n) }
+func jobIDFor[N int | int64](n N) string { return fmt.Sprintf("wk-%d", n) }
 
-// writeJobs accepts and cancels one job after the other; the service drops its history of
-// changes now and then.
-func (x *barrierTrial) writeJobs() {
-	for n := 1; n <= barrierJobs; n++ {
-		id, key := trialJob(n), BatchKey(fmt.Sprint(n))
+// writeJobs accepts and cancels one job after the other. Every 25 jobs, the service drops its history
+// of changes.
+func (h *barrierHarness) writeJobs() {
+	for n := 1; n <= barrierTestJobs; n++ {
+		id, key := jobIDFor(n), BatchKey(fmt.Sprint(n))
 		rec := JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
-		x.commit(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id: rec}}})
-		x.accepted.Store(int64(n))
-		time.Sleep(time.Duration(x.draw(200)) * time.Millisecond)
-		x.commit(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id: rec.End(wire.Cancelled, time.Now())}}})
-		x.ended.Store(int64(n))
-		if n > 3 { // an older one is compacted
-			end := jobblock.Entry{ID: trialJob(n - 3), Stage: wire.Cancelled, Tasks: 1}
-			x.commit(wire.Operation{Delete: BatchKey(fmt.Sprint(n - 3))},
-				wire.Operation{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{end})})
+		h.commit(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id: rec}}})
+		h.accepted.Store(int64(n))
+		time.Sleep(time.Duration(h.randomInt(200)) * time.Millisecond)
+		h.commit(wire.Operation{Put: key, Value: BatchRecord{Jobs: map[string]JobRecord{id: rec.End(wire.Cancelled, time.Now())}}})
+		h.ended.Store(int64(n))
+		if n > 3 { // compact an older job
+			entry := jobblock.Entry{ID: jobIDFor(n - 3), Stage: wire.Cancelled, Tasks: 1}
+			h.commit(wire.Operation{Delete: BatchKey(fmt.Sprint(n - 3))},
+				wire.Operation{Put: RecentKey(n - 3), Value: jobblock.Pack("", []jobblock.Entry{entry})})
 		}
 		if n%25 == 0 {
-			x.service.DropHistory()
+			h.service.DropHistory()
 		}
 	}
 }
 
-// crossBarriers asks for barriers, and compares the view with what was there before each.
-func (x *barrierTrial) crossBarriers() {
-	for x.ended.Load() < barrierJobs {
-		time.Sleep(time.Duration(x.draw(1500)) * time.Millisecond)
-		accepted, ended, revision := x.accepted.Load(), x.ended.Load(), x.service.Page(StatePrefix, "", 1).Revision
-		if !x.countBarrier(x.follower.Barrier(x.t.Context())) {
+// checkBarriers requests barriers and checks that, after each, the view includes everything that was
+// committed before the request.
+func (h *barrierHarness) checkBarriers() {
+	for h.ended.Load() < barrierTestJobs {
+		time.Sleep(time.Duration(h.randomInt(1500)) * time.Millisecond)
+		accepted, ended, revision := h.accepted.Load(), h.ended.Load(), h.service.Page(StatePrefix, "", 1).Revision
+		if !h.countBarrier(h.follower.Barrier(h.t.Context())) {
 			continue
 		}
-		if x.view.Revision() < revision {
-			x.t.Errorf("a barrier asked for at revision %d is crossed at %d", revision, x.view.Revision())
+		if h.view.Revision() < revision {
+			h.t.Errorf("a barrier requested at revision %d completed with the view at revision %d", revision, h.view.Revision())
 		}
-		if _, known := x.view.Job(trialJob(accepted)); accepted > 0 && !known {
-			x.t.Errorf("%s was accepted and is not known", trialJob(accepted))
+		if _, known := h.view.Job(jobIDFor(accepted)); accepted > 0 && !known {
+			h.t.Errorf("job %s was accepted but is not known", jobIDFor(accepted))
 		}
-		if rec, _ := x.view.Job(trialJob(ended)); ended > 0 && rec.Stage != wire.Cancelled {
-			x.t.Errorf("%s was cancelled and is %q", trialJob(ended), rec.Stage)
+		if rec, _ := h.view.Job(jobIDFor(ended)); ended > 0 && rec.Stage != wire.Cancelled {
+			h.t.Errorf("job %s was cancelled but is %q", jobIDFor(ended), rec.Stage)
 		}
 	}
 }
 
-// countBarrier counts a barrier, and reports whether it was crossed.
-func (x *barrierTrial) countBarrier(err error) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// countBarrier counts a barrier by its result, and reports whether it succeeded.
+func (h *barrierHarness) countBarrier(err error) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if err != nil {
-		x.failed++
+		h.failed++
 		return false
 	}
-	x.crossed++
+	h.completed++
 	return true
 }
 
-// watchStages demands that no job that has ended is ever live again in the view.
-func (x *barrierTrial) watchStages() {
+// checkStagesNeverRegress checks that no ended job ever becomes live again in the view.
+func (h *barrierHarness) checkStagesNeverRegress() {
 	final := make(map[string]bool)
-	for x.ended.Load() < barrierJobs {
+	for h.ended.Load() < barrierTestJobs {
 		time.Sleep(5 * time.Millisecond)
-		for n := max(1, int(x.ended.Load())-8); n <= int(x.accepted.Load()); n++ {
-			id := trialJob(n)
-			rec, _ := x.view.Job(id)
+		for n := max(1, int(h.ended.Load())-8); n <= int(h.accepted.Load()); n++ {
+			id := jobIDFor(n)
+			rec, _ := h.view.Job(id)
 			if final[id] && !rec.Stage.Final() {
-				x.t.Errorf("%s had ended and is %q", id, rec.Stage)
+				h.t.Errorf("job %s had ended but is %q", id, rec.Stage)
 			}
 			final[id] = final[id] || rec.Stage.Final()
 		}
 	}
 }
 
-// TestBarrierHoldsWhenResponsesOvertake: responses to watches, barriers and lists take differently
-// long, so that they overtake each other, and the service drops its history of changes now and then.
-// What was in it when a barrier was asked for is in the view once it is crossed, also where several
-// callers share it, and no job's stage ever goes back.
-func TestBarrierHoldsWhenResponsesOvertake(t *testing.T) {
+// TestBarrierWithReorderedResponses delays the responses to watches, barriers and lists randomly, so
+// that they overtake each other, while the service drops its history of changes now and then. Once a
+// barrier completes, the view must include everything that was committed when it was requested, also
+// if several callers share the barrier, and no job's stage may ever go back.
+func TestBarrierWithReorderedResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &barrierTrial{followTrial: newFollowTrial(t), random: rand.New(rand.NewPCG(1, 1))}
-		x.service.Limits.PageItems = 40
-		x.net.SetStepDelay("10.2.0.1", func() time.Duration { return time.Duration(x.draw(1<<x.draw(9))) * time.Millisecond })
-		x.start()
+		h := &barrierHarness{followerHarness: newFollowerHarness(t), random: rand.New(rand.NewPCG(1, 1))}
+		h.service.Limits.PageItems = 40
+		h.net.SetStepDelay("10.2.0.1", func() time.Duration { return time.Duration(h.randomInt(1<<h.randomInt(9))) * time.Millisecond })
+		h.start()
 		var group sync.WaitGroup
-		group.Go(x.writeJobs)
+		group.Go(h.writeJobs)
 		for range 30 {
-			group.Go(x.crossBarriers)
+			group.Go(h.checkBarriers)
 		}
-		group.Go(x.watchStages)
+		group.Go(h.checkStagesNeverRegress)
 		group.Wait()
-		if x.crossed < 200 || x.follower.LastLoad().FinishedAt.IsZero() {
-			t.Errorf("%d barriers were crossed, %d failed", x.crossed, x.failed)
+		if h.completed < 200 || h.follower.LastLoad().FinishedAt.IsZero() {
+			t.Errorf("%d barriers completed, %d failed", h.completed, h.failed)
 		}
-		x.end()
+		h.shutdown()
 	})
 }
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -7,42 +7,43 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// FuzzLedger reads segments of any content, as a new leader does, and writes a round into
-// them: nothing of it may end the process, and what is packed fits.
+// FuzzLedger reads segments with arbitrary content, as a new leader does, and writes a round into
+// them. Nothing may panic, and an entry must fit if there was enough free space for it.
 func FuzzLedger(f *testing.F) {
-	m := MachineEntry("n-1", MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Tasks: map[string]uint64{"wk-1/0": 3 << 24}})
-	a := ScaleOutEntry("t1-1", ScaleOutRecord{Type: "g4", Zone: "a", Count: 3})
+	machine := MachineEntry("n-1", MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Tasks: map[string]uint64{"wk-1/0": 3 << 24}})
+	scaleOut := ScaleOutEntry("t1-1", ScaleOutRecord{Type: "g4", Zone: "a", Count: 3})
 	done := NewTaskSet(0)
 	done.Add(1025)
-	p := ProgressEntry("wk-1", 1, done)
-	f.Add([]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 2, DrainedThrough: 7, Entries: map[string]wire.Raw{m.Key: m.Value, a.Key: a.Value, p.Key: p.Value}})),
-		[]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 3, Entries: map[string]wire.Raw{m.Key: {0xf6}, "x/y": {0x01}}})))
+	progress := ProgressEntry("wk-1", 1, done)
+	f.Add([]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 2, DrainedThrough: 7, Entries: map[string]wire.Raw{machine.Key: machine.Value, scaleOut.Key: scaleOut.Value, progress.Key: progress.Value}})),
+		[]byte(wire.Encode(SegmentRecord{FencingToken: 3, Round: 3, Entries: map[string]wire.Raw{machine.Key: {0xf6}, "x/y": {0x01}}})))
 	f.Add([]byte{0xa0}, []byte{0xbf, 0xff})
-	f.Fuzz(func(t *testing.T, one, two []byte) {
+	f.Fuzz(func(t *testing.T, first, second []byte) {
 		var segments []Segment
-		for i, raw := range [][]byte{one, two} {
+		for i, raw := range [][]byte{first, second} {
 			var rec SegmentRecord
 			if wire.DecodeValue(raw, &rec) == nil {
 				segments = append(segments, Segment{i, uint64(i + 1), rec})
 			}
 		}
-		l, left := NewLedger("a", 4096, segments)
-		for id := range left.Machines {
-			l.HasMachine(id)
+		ledger, recovered := NewLedger("a", 4096, segments)
+		for id := range recovered.Machines {
+			ledger.HasMachine(id)
 		}
-		e := MachineEntry("n-2", MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "a"})
-		if l.FreeBytes(2) < e.Size {
+		entry := MachineEntry("n-2", MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "a"})
+		if ledger.FreeBytes(2) < entry.Size {
 			return
 		}
-		packed, rest := l.Pack(SegmentRecord{FencingToken: 4, Round: left.Round + 1}, []Entry{e}, 2, true)
+		packed, rest := ledger.Pack(SegmentRecord{FencingToken: 4, Round: recovered.Round + 1}, []Entry{entry}, 2, true)
 		if len(rest) > 0 {
-			t.Errorf("%d bytes did not fit into %d free ones", e.Size, l.FreeBytes(2))
+			t.Errorf("an entry of %d bytes did not fit into %d free bytes", entry.Size, ledger.FreeBytes(2))
 		}
-		l.Commit(packed, 9)
+		ledger.Commit(packed, 9)
 	})
 }
 
-// FuzzView takes in records of any kind and content.
+// FuzzView applies records of any kind with arbitrary content to a view. Nothing may panic, and no job
+// may stay live once its key is deleted.
 func FuzzView(f *testing.F) {
 	job := &wire.Job{ID: "wk-1", Tasks: 3, Team: "red", Shape: wire.Array}
 	for key, value := range map[string]any{
@@ -70,7 +71,7 @@
 		}
 		v.Apply(&wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: key, Version: 3}}})
 		if n := len(v.Snapshot().LiveJobs); n > 0 {
-			t.Errorf("%d jobs live on without a key", n)
+			t.Errorf("%d jobs are still live although their key was deleted", n)
 		}
 	})
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -14,31 +14,33 @@
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
 
-// TestGoldenRecords: each record of the state service is stored as it was.
+// TestGoldenRecords checks that the encoding of each record in the state service is unchanged.
 func TestGoldenRecords(t *testing.T) {
-	check[JobRecord](t, "job.cbor")
-	check[BatchRecord](t, "batch.cbor")
-	check[FormatRecord](t, "format.cbor")
-	check[SubmissionFenceRecord](t, "gate.cbor")
-	check[LeaderRecord](t, "part.cbor")
-	check[ShardingRecord](t, "grouping.cbor")
-	check[QuotaGrantRecord](t, "grant.cbor")
-	check[TiersRecord](t, "tiers.cbor")
-	check[MachineTypesRecord](t, "types.cbor")
-	check[SegmentRecord](t, "slot.cbor")
-	check[MachineRecord](t, "machine.cbor")
-	check[ScaleOutRecord](t, "ask.cbor")
-	check[ZoneRecord](t, "zone.cbor")
-	check[ZoneRecoveryRecord](t, "return.cbor")
-	check[tier.Reservation](t, "claim.cbor")
+	checkGolden[JobRecord](t, "job.cbor")
+	checkGolden[BatchRecord](t, "batch.cbor")
+	checkGolden[FormatRecord](t, "format.cbor")
+	checkGolden[SubmissionFenceRecord](t, "gate.cbor")
+	checkGolden[LeaderRecord](t, "part.cbor")
+	checkGolden[ShardingRecord](t, "grouping.cbor")
+	checkGolden[QuotaGrantRecord](t, "grant.cbor")
+	checkGolden[TiersRecord](t, "tiers.cbor")
+	checkGolden[MachineTypesRecord](t, "types.cbor")
+	checkGolden[SegmentRecord](t, "slot.cbor")
+	checkGolden[MachineRecord](t, "machine.cbor")
+	checkGolden[ScaleOutRecord](t, "ask.cbor")
+	checkGolden[ZoneRecord](t, "zone.cbor")
+	checkGolden[ZoneRecoveryRecord](t, "return.cbor")
+	checkGolden[tier.Reservation](t, "claim.cbor")
 }
 
-func check[T any](t *testing.T, name string) {
+// checkGolden compares the encoding of a record type with a golden file.
+func checkGolden[T any](t *testing.T, name string) {
 	t.Helper()
 	goldentest.Check[T](t, name, encode, wire.DecodeValue)
 }
 
-// TestGoldenKeys: the keys of the state service are what they were.
+// TestGoldenKeys checks that the keys in the state service, the format numbers, the co-allocation
+// constants and the purposes of calls are unchanged.
 func TestGoldenKeys(t *testing.T) {
 	goldentest.Text(t, "keys.txt", strings.Join([]string{
 		CommonPrefix, StatePrefix, ArchivePrefix, fmt.Sprint(Format, FormatSharded),
@@ -50,8 +52,7 @@
 	}, "\n")+"\n")
 }
 
-// TestGoldenEntries: the entries of a ledger are stored under the keys that they had, with
-// the values that they had, and count for as many bytes.
+// TestGoldenEntries checks that the keys, values and accounted sizes of ledger entries are unchanged.
 func TestGoldenEntries(t *testing.T) {
 	done := NewTaskSet(3000)
 	for _, n := range []int{0, 1, 2, 70, 2999} {
@@ -71,15 +72,15 @@
 	goldentest.Text(t, "entries.txt", out.String())
 }
 
-// TestGoldenHome: a batch of which a job has ended is written again as it was.
-func TestGoldenHome(t *testing.T) {
+// TestGoldenBatchUpdate checks that the encoding of a batch's rewrite after a job has ended is unchanged.
+func TestGoldenBatchUpdate(t *testing.T) {
 	rec := goldentest.Filled[JobRecord](t)
 	rec.Stage = wire.Pending
-	h := Batch{Key: BatchKey("b-1"), Version: 9, SinceRevision: 4, Jobs: sortedJobs(map[string]JobRecord{"j-1": rec, "j-2": rec})}
-	r := h.Update()
-	r.EndJob("j-1", wire.Done, time.UnixMilli(1_700_000_000_123))
-	r.MarkFinishedIn("j-2", "a@2")
-	change, err := encode(r.Change())
+	batch := Batch{Key: BatchKey("b-1"), Version: 9, SinceRevision: 4, Jobs: sortedJobs(map[string]JobRecord{"j-1": rec, "j-2": rec})}
+	update := batch.Update()
+	update.EndJob("j-1", wire.Done, time.UnixMilli(1_700_000_000_123))
+	update.MarkFinishedIn("j-2", "a@2")
+	change, err := encode(update.Change())
 	if err := errors.Join(err); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -12,49 +12,49 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Versioned is a record with the version of its key; version 0 means that the key is absent.
+// Versioned is a record with the version of its key; version 0 means that the key does not exist.
 type Versioned[T any] struct {
 	Record  T
 	Version uint64
 }
 
-// Snapshot is a copy of what a leader's decisions are based on. Its maps belong to the
-// caller; what they point to is never changed.
+// Snapshot is a copy of the state on which a leader bases its decisions. The caller owns its maps;
+// the values that they point to are immutable.
 type Snapshot struct {
 	Revision    uint64
-	CurrentAt   time.Time // all changes that were committed by then are in it
+	CurrentAt   time.Time // the snapshot includes all changes that were committed by then
 	LiveJobs    map[string]*LiveJob
 	QuotaGrants Versioned[QuotaGrantRecord]
 	Sharding    Versioned[ShardingRecord]
 }
 
-// ArchiveObserver follows the blocks of the archive, which a View does not keep.
+// ArchiveObserver is notified of changes to the blocks of the archive, which a View does not store.
 type ArchiveObserver interface {
-	// BlockChanged gives a block's new value.
+	// BlockChanged is called with the new value of a block.
 	BlockChanged(key string, raw wire.Raw, version uint64)
-	// Reset says that changes may have been missed.
+	// Reset is called when changes may have been missed.
 	Reset()
 }
 
-// View is the content of the state service as last seen, but for the archive. It makes no
-// calls: lists and changes come in, in any order, and each is applied once.
+// View is an in-memory copy of the state service's content, except the archive. It makes no calls:
+// its user passes in lists and changes, in any order, and each change is applied once.
 type View struct {
 	log *slog.Logger
-	// Archive follows the archive's blocks, if it is set before the first load.
+	// Archive observes the archive's blocks. It may be nil, and must be set before the first load.
 	Archive ArchiveObserver
 
 	mu         sync.Mutex
 	loaded     bool
 	currentAt  time.Time
 	revision   uint64
-	changed    chan struct{} // closed at the next change
+	changed    chan struct{} // closed and replaced at each change
 	jobs       jobIndex
 	segments   ledgerSegments
 	fleet      fleetRecords
 	unreadable unreadableRecords
 }
 
-// fleetRecords are the records of which there is one for the fleet, or one for each shard.
+// fleetRecords holds the records of which there is one for the fleet, or one for each shard.
 type fleetRecords struct {
 	leaders         map[string]Versioned[LeaderRecord] // by shard
 	fencingToken    Versioned[uint64]
@@ -66,14 +66,14 @@
 	machineTypes    []wire.MachineType
 }
 
-// NewView returns an empty view that is not loaded.
+// NewView returns an empty view that has not been loaded.
 func NewView(log *slog.Logger) *View {
 	v := &View{log: log, changed: make(chan struct{})}
 	v.reset()
 	return v
 }
 
-// reset forgets everything but the machine types, which outlive a state that is loaded again.
+// reset discards everything except the machine types, which are retained across reloads.
 func (v *View) reset() {
 	v.jobs = newJobIndex()
 	v.segments = make(ledgerSegments)
@@ -85,18 +85,19 @@
 	}
 }
 
-// Load replaces the content by a list that began at a revision, and the changes that came
-// while it was read. Both are taken at once: pages of different revisions must not be seen
-// without the changes between them, or a job may seem to begin in its second batch.
+// Load replaces the content with a list whose first page is of the given revision, and applies the
+// changes since then, which were committed while the list was read. Both become visible at once:
+// the pages alone are of different revisions, so that a job's second batch could appear to be its
+// first.
 func (v *View) Load(items []wire.KeyValue, revision uint64, since *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.loaded && max(revision, since.Revision) < v.revision {
-		return // a barrier was faster, and its callers have seen more
+		return // a barrier that overtook the list has already shown a later revision to its callers
 	}
 	v.reset()
-	for _, it := range items {
-		v.put(it)
+	for _, kv := range items {
+		v.put(kv)
 	}
 	v.revision = revision
 	v.apply(since)
@@ -104,36 +105,37 @@
 	v.notify()
 }
 
-// Apply takes the changes of a watch. Revisions that were seen are skipped, because a late
-// response must not bring back a key that was deleted since.
-func (v *View) Apply(ch *wire.WatchResponse) {
+// Apply applies the changes of a watch. It skips revisions that were applied before, because a late
+// response must not restore a key that has been deleted since.
+func (v *View) Apply(changes *wire.WatchResponse) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.loaded {
 		return
 	}
-	v.apply(ch)
-	if len(ch.Events) > 0 {
+	v.apply(changes)
+	if len(changes.Events) > 0 {
 		v.notify()
 	}
 }
 
-func (v *View) apply(ch *wire.WatchResponse) {
+// apply is Apply without locking and notification.
+func (v *View) apply(changes *wire.WatchResponse) {
 	seen := v.revision
-	for _, e := range ch.Events {
+	for _, event := range changes.Events {
 		switch {
-		case e.Version <= seen:
-		case e.Delete != "":
-			v.remove(e.Delete)
+		case event.Version <= seen:
+		case event.Delete != "":
+			v.remove(event.Delete)
 		default:
-			v.put(wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version})
+			v.put(wire.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version})
 		}
 	}
-	v.revision = max(seen, ch.Revision)
+	v.revision = max(seen, changes.Revision)
 }
 
-// ApplyOwnWrite takes batches that this controller has written, ahead of the watch: its next
-// write must not be refused because of its own last one.
+// ApplyOwnWrite applies batches that this controller has written without waiting for the watch, so
+// that the controller's next write does not conflict with its own previous one.
 func (v *View) ApplyOwnWrite(batches ...*Batch) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -144,8 +146,8 @@
 	}
 }
 
-// MarkCurrent says that the response to a request made at a time was applied: all changes
-// that were committed by then are in the view.
+// MarkCurrent records that the response to a request made at requestedAt has been applied, so that
+// the view includes all changes that were committed by then.
 func (v *View) MarkCurrent(requestedAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -154,13 +156,15 @@
 	}
 }
 
-// CurrentAt returns the time by which all committed changes are in the view.
+// CurrentAt returns the latest time for which the view is known to include all changes that were
+// committed by then.
 func (v *View) CurrentAt() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.currentAt
 }
 
+// notify wakes all receivers of the channel returned by Changed.
 func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
@@ -173,8 +177,8 @@
 	return v.changed
 }
 
-// splitKey returns the prefix of a key's kind, and the name after it, or the whole key for
-// one of which there is only one.
+// splitKey splits a key into the prefix of its kind and the name after it. A key without a name,
+// which is the only one of its kind, is returned whole as kind.
 func splitKey(key string) (kind, name string) {
 	start := min(len(key), len(StatePrefix))
 	i := strings.IndexByte(key[start:], '/')
@@ -185,86 +189,87 @@
 	return key[:end], key[end:]
 }
 
-// put takes the newest value of a key.
-func (v *View) put(it wire.KeyValue) {
-	kind, name := splitKey(it.Key)
+// put stores the newest value of a key.
+func (v *View) put(kv wire.KeyValue) {
+	kind, name := splitKey(kv.Key)
 	switch kind {
 	case jobPrefix:
-		if rec, ok := decodeRecord[JobRecord](&v.unreadable, it.Key, it.Value); ok {
-			v.jobs.putBatch(standaloneBatch(it.Key, it.Version, name, rec))
+		if rec, ok := decodeRecord[JobRecord](&v.unreadable, kv.Key, kv.Value); ok {
+			v.jobs.putBatch(standaloneBatch(kv.Key, kv.Version, name, rec))
 		}
 	case batchPrefix:
-		if rec, ok := decodeRecord[BatchRecord](&v.unreadable, it.Key, it.Value); ok {
-			v.jobs.putBatch(newBatch(it.Key, it.Version, rec))
+		if rec, ok := decodeRecord[BatchRecord](&v.unreadable, kv.Key, kv.Value); ok {
+			v.jobs.putBatch(newBatch(kv.Key, kv.Version, rec))
 		}
 	case recentPrefix:
-		v.putRecentBlock(it, name)
+		v.putRecentBlock(kv, name)
 	case ledgerPrefix:
-		v.segments[it.Key] = Versioned[wire.Raw]{it.Value, it.Version}
+		v.segments[kv.Key] = Versioned[wire.Raw]{kv.Value, kv.Version}
 	case leaderPrefix:
-		if rec, ok := decodeRecord[LeaderRecord](&v.unreadable, it.Key, it.Value); ok {
-			v.fleet.leaders[name] = Versioned[LeaderRecord]{rec, it.Version}
+		if rec, ok := decodeRecord[LeaderRecord](&v.unreadable, kv.Key, kv.Value); ok {
+			v.fleet.leaders[name] = Versioned[LeaderRecord]{rec, kv.Version}
 		}
 	default:
-		v.putFleetRecord(it)
+		v.putFleetRecord(kv)
 	}
 }
 
-// putFleetRecord takes the newest value of a key of which there is only one, or of the archive.
-func (v *View) putFleetRecord(it wire.KeyValue) {
-	switch it.Key {
+// putFleetRecord stores the newest value of a key that is the only one of its kind, and passes the
+// blocks of the archive to its observer.
+func (v *View) putFleetRecord(kv wire.KeyValue) {
+	switch kv.Key {
 	case FencingTokenKey:
-		putVersioned(v, &v.fleet.fencingToken, it)
+		putVersioned(v, &v.fleet.fencingToken, kv)
 	case SubmissionFenceKey:
-		putVersioned(v, &v.fleet.submissionFence, it)
+		putVersioned(v, &v.fleet.submissionFence, kv)
 	case ShardingKey:
-		putVersioned(v, &v.fleet.sharding, it)
+		putVersioned(v, &v.fleet.sharding, kv)
 	case QuotaGrantKey:
-		putVersioned(v, &v.fleet.quotaGrants, it)
+		putVersioned(v, &v.fleet.quotaGrants, kv)
 	case TiersKey:
-		putVersioned(v, &v.fleet.tiers, it)
+		putVersioned(v, &v.fleet.tiers, kv)
 	case MachineTypesKey:
-		if rec, ok := decodeRecord[MachineTypesRecord](&v.unreadable, it.Key, it.Value); ok {
+		if rec, ok := decodeRecord[MachineTypesRecord](&v.unreadable, kv.Key, kv.Value); ok {
 			v.fleet.machineTypes = rec.Types
 		}
 	case FormatKey:
-		if rec, ok := decodeRecord[FormatRecord](&v.unreadable, it.Key, it.Value); ok {
+		if rec, ok := decodeRecord[FormatRecord](&v.unreadable, kv.Key, kv.Value); ok {
 			v.fleet.format = rec
 		}
 	default:
-		if strings.HasPrefix(it.Key, ArchivePrefix) && v.Archive != nil {
-			v.Archive.BlockChanged(it.Key, it.Value, it.Version)
+		if strings.HasPrefix(kv.Key, ArchivePrefix) && v.Archive != nil {
+			v.Archive.BlockChanged(kv.Key, kv.Value, kv.Version)
 		}
 	}
 }
 
-// putVersioned decodes a record in place; one that can't be decoded changes nothing.
-func putVersioned[T any](v *View, record *Versioned[T], it wire.KeyValue) {
-	if rec, ok := decodeRecord[T](&v.unreadable, it.Key, it.Value); ok {
-		*record = Versioned[T]{rec, it.Version}
+// putVersioned decodes a value into record, which stays unchanged if the value can't be decoded.
+func putVersioned[T any](v *View, record *Versioned[T], kv wire.KeyValue) {
+	if rec, ok := decodeRecord[T](&v.unreadable, kv.Key, kv.Value); ok {
+		*record = Versioned[T]{rec, kv.Version}
 	}
 }
 
-// putRecentBlock takes the newest value of a recent block. One that can't be decoded is kept
-// without its jobs, so that nobody writes over it.
-func (v *View) putRecentBlock(it wire.KeyValue, name string) {
+// putRecentBlock stores the newest value of a recent block. A block that can't be decoded is kept
+// without its jobs, so that it is not overwritten.
+func (v *View) putRecentBlock(kv wire.KeyValue, name string) {
 	index, err := strconv.Atoi(name)
 	if err != nil || index < 0 {
-		v.unreadable.mark(it.Key, fmt.Errorf("%q is not the number of a recent block", name))
+		v.unreadable.mark(kv.Key, fmt.Errorf("%q is not the number of a recent block", name))
 		return
 	}
-	r := RecentBlock{Index: index, Version: it.Version}
-	if rec, ok := decodeRecord[jobblock.Record](&v.unreadable, it.Key, it.Value); ok {
-		if r.Block, err = rec.Unpack(); err != nil {
-			v.unreadable.mark(it.Key, err)
+	block := RecentBlock{Index: index, Version: kv.Version}
+	if rec, ok := decodeRecord[jobblock.Record](&v.unreadable, kv.Key, kv.Value); ok {
+		if block.Block, err = rec.Unpack(); err != nil {
+			v.unreadable.mark(kv.Key, err)
 		}
-		r.Bytes = rec.Bytes()
+		block.Bytes = rec.Bytes()
 	}
-	v.jobs.putRecentBlock(r)
+	v.jobs.putRecentBlock(block)
 }
 
-// remove takes the deletion of a key. Only batches, segments and leaders are deleted while
-// controllers run; records of other kinds are kept until the next load.
+// remove applies the deletion of a key. Only batches, segments and leaders are deleted while
+// controllers run; records of other kinds stay in the view until the next load.
 func (v *View) remove(key string) {
 	delete(v.unreadable.errs, key)
 	switch {
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -12,44 +12,46 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// item returns a listed key with an encoded value.
 func item(key string, v any, version uint64) wire.KeyValue {
 	return wire.KeyValue{Key: key, Value: wire.Encode(v), Version: version}
 }
 
+// event returns a watch event that sets a key to an encoded value.
 func event(key string, v any, version uint64) wire.Event {
 	return wire.Event{Put: key, Value: wire.Encode(v), Version: version}
 }
 
-// TestViewAppliesOnce guards against answers that overtake each other: a late
-// watch must not bring back what a barrier has seen deleted, and a list that
-// is newer than its first page must not lose what the watch repeats.
-func TestViewAppliesOnce(t *testing.T) {
+// TestViewAppliesEachRevisionOnce guards against responses that overtake each other: a late watch
+// response must not restore a key whose deletion a barrier has shown, and values of a list that are
+// newer than its first page must survive when the watch repeats the changes.
+func TestViewAppliesEachRevisionOnce(t *testing.T) {
 	v := NewView(slog.Default())
 	job := JobRecord{Stage: wire.Pending, Tasks: 3, Job: &wire.Job{ID: "wk-1", Tasks: 3}}
 	done := job.End(wire.Done, time.Unix(1e9, 0))
 	v.Load([]wire.KeyValue{item(JobKey("wk-1"), job, 4), item(JobKey("wk-2"), done, 7)}, 5, &wire.WatchResponse{Revision: 5})
-	// The watch begins at the first page's revision and repeats the rest.
+	// The watch starts at the revision of the first page and repeats the changes since then.
 	v.Apply(&wire.WatchResponse{Revision: 7, Events: []wire.Event{event(JobKey("wk-2"), job, 6), event(JobKey("wk-2"), done, 7)}})
 	if _, known := v.Job("wk-1"); !known {
 		t.Error("wk-1 is not known")
 	}
 	v.Apply(&wire.WatchResponse{Revision: 9, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8), {Delete: LeaderKey("p"), Version: 9}}})
 	v.Apply(&wire.WatchResponse{Revision: 8, Events: []wire.Event{event(LeaderKey("p"), LeaderRecord{}, 8)}})
-	if _, held := v.Leader("p"); held {
-		t.Error("a deleted leader record is back")
+	if _, found := v.Leader("p"); found {
+		t.Error("a deleted leader record was restored")
 	}
 	if v.Revision() != 9 {
-		t.Errorf("revision %d went back", v.Revision())
+		t.Errorf("revision went back to %d", v.Revision())
 	}
 	rec, known := v.Job("wk-2")
-	if _, takes := rec.TaskDemand(); !known || rec.Stage != wire.Done || !takes {
+	if _, ok := rec.TaskDemand(); !known || rec.Stage != wire.Done || !ok {
 		t.Errorf("wk-2: %+v, known %v", rec, known)
 	}
 }
 
-// TestLoadOvertakenByBarrier: a list that was begun before a barrier is taken in after it. What the
-// barrier has shown, and users were told since, stays.
-func TestLoadOvertakenByBarrier(t *testing.T) {
+// TestViewIgnoresLoadOlderThanBarrier guards against a list that was started before a barrier but is
+// loaded after it. It must not undo what the barrier has shown, which users may have been told.
+func TestViewIgnoresLoadOlderThanBarrier(t *testing.T) {
 	v := NewView(slog.Default())
 	job := pending("wk-1")
 	older := []wire.KeyValue{item(JobKey("wk-1"), job, 4)}
@@ -57,14 +59,16 @@
 	v.Apply(&wire.WatchResponse{Revision: 8, Events: []wire.Event{event(JobKey("wk-1"), job.End(wire.Cancelled, time.Unix(1e9, 0)), 8)}})
 	v.Load(older, 5, &wire.WatchResponse{Revision: 7})
 	if rec, _ := v.Job("wk-1"); rec.Stage != wire.Cancelled || v.Revision() != 8 {
-		t.Errorf("at revision %d it is %s", v.Revision(), rec.Stage)
+		t.Errorf("at revision %d, wk-1 is %s", v.Revision(), rec.Stage)
 	}
 }
 
+// pending returns the record of a pending job.
 func pending(id string) JobRecord {
 	return JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 }
 
+// batch returns a batch of pending jobs.
 func batch(ids ...string) BatchRecord {
 	rec := BatchRecord{Jobs: map[string]JobRecord{}}
 	for _, id := range ids {
@@ -73,7 +77,7 @@
 	return rec
 }
 
-// ended returns a batch in which some jobs have ended.
+// ended returns a copy of a batch in which the jobs with the given ids have ended.
 func ended(b BatchRecord, stage wire.Stage, ids ...string) BatchRecord {
 	out := BatchRecord{Jobs: map[string]JobRecord{}, Since: b.Since}
 	for id, rec := range b.Jobs {
@@ -86,39 +90,41 @@
 	return out
 }
 
-func at(v *View, revision uint64, events ...wire.Event) {
+// applyAt applies events to a view as the changes of a single revision.
+func applyAt(v *View, revision uint64, events ...wire.Event) {
 	for i := range events {
 		events[i].Version = revision
 	}
 	v.Apply(&wire.WatchResponse{Revision: revision, Events: events})
 }
 
+// endedBatchKeys returns the keys of all batches whose jobs have ended, without StatePrefix.
 func endedBatchKeys(v *View) (keys []string) {
-	for _, h := range v.EndedBatches(99, func(*Batch) bool { return true }) {
-		keys = append(keys, strings.TrimPrefix(h.Key, StatePrefix))
+	for _, b := range v.EndedBatches(99, func(*Batch) bool { return true }) {
+		keys = append(keys, strings.TrimPrefix(b.Key, StatePrefix))
 	}
 	return keys
 }
 
-// TestJobInSeveralBatches: a job may be in as many batches as it likes; the first revision
-// that holds it is its beginning and its batch, however often that is written
-// again, and an end anywhere is its end.
+// TestJobInSeveralBatches checks that a job may be in any number of batches: the batch that contained
+// it at the earliest revision owns it, however often that batch is rewritten, and once the job has
+// ended in any batch, it has ended.
 func TestJobInSeveralBatches(t *testing.T) {
 	v := NewView(slog.Default())
 	v.Load(nil, 1, &wire.WatchResponse{})
-	at(v, 2, event(BatchKey("z-1"), batch("wk-1", "wk-2"), 0))
-	at(v, 4, event(BatchKey("b-1"), batch("wk-2", "wk-3"), 0))
+	applyAt(v, 2, event(BatchKey("z-1"), batch("wk-1", "wk-2"), 0))
+	applyAt(v, 4, event(BatchKey("b-1"), batch("wk-2", "wk-3"), 0))
 	one := batch("wk-1", "wk-2")
 	one.Since = 2
 	one = ended(one, wire.Cancelled, "wk-1")
-	at(v, 5, event(BatchKey("z-1"), one, 0)) // written again, it is still the older
+	applyAt(v, 5, event(BatchKey("z-1"), one, 0)) // although rewritten, it is still the oldest batch
 	if l, _ := v.Live("wk-2"); l == nil || l.Batch.Key != BatchKey("z-1") || l.Batch.Version != 5 || l.SinceRevision != 2 {
 		t.Fatalf("wk-2: %+v", l)
 	}
-	at(v, 6, event(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 0))
-	at(v, 7, event(BatchKey("c-1"), batch("wk-2"), 0)) // a late copy
+	applyAt(v, 6, event(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 0))
+	applyAt(v, 7, event(BatchKey("c-1"), batch("wk-2"), 0)) // a late duplicate of the job
 	if rec, _ := v.Job("wk-2"); rec.Stage != wire.Done {
-		t.Errorf("a late batch brought a job back: %+v", rec)
+		t.Errorf("a late batch revived an ended job: %+v", rec)
 	}
 	if l := v.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"].SinceRevision != 4 {
 		t.Errorf("live: %+v", l)
@@ -126,42 +132,42 @@
 	if ended := endedBatchKeys(v); !slices.Equal(ended, []string{"batch/z-1", "batch/c-1"}) {
 		t.Errorf("ended batches: %v", ended)
 	}
-	// A list brings the same, in the order of the keys.
+	// Loading the same batches from a list, which is sorted by key, gives the same result.
 	w := NewView(slog.Default())
 	w.Load([]wire.KeyValue{item(BatchKey("b-1"), batch("wk-2", "wk-3"), 4), item(BatchKey("c-1"), batch("wk-2"), 7),
 		item(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 6)}, 7, &wire.WatchResponse{Revision: 7})
 	if l := w.Snapshot().LiveJobs; len(l) != 1 || l["wk-3"] == nil || !slices.Equal(endedBatchKeys(w), endedBatchKeys(v)) {
-		t.Errorf("live by the list: %+v, ended batches %v", l, endedBatchKeys(w))
+		t.Errorf("live after loading the list: %+v, ended batches %v", l, endedBatchKeys(w))
 	}
 }
 
-// TestCompactedJobStaysEnded: a job that was compacted is known by its recent block, a batch that
-// still names it as live does not bring it back, and it is compacted once no batch
-// names it.
+// TestCompactedJobStaysEnded checks that a job that was compacted is known from its recent block, that
+// a batch that still contains it as live does not revive it, and that Compacted reports it only once
+// no batch contains it.
 func TestCompactedJobStaysEnded(t *testing.T) {
 	v := NewView(slog.Default())
 	v.Load(nil, 1, &wire.WatchResponse{})
-	at(v, 2, event(BatchKey("a"), batch("wk-1"), 0))
-	at(v, 3, event(BatchKey("b"), batch("wk-1", "wk-2"), 0))
-	at(v, 4, event(BatchKey("a"), ended(batch("wk-1"), wire.Cancelled, "wk-1"), 0))
+	applyAt(v, 2, event(BatchKey("a"), batch("wk-1"), 0))
+	applyAt(v, 3, event(BatchKey("b"), batch("wk-1", "wk-2"), 0))
+	applyAt(v, 4, event(BatchKey("a"), ended(batch("wk-1"), wire.Cancelled, "wk-1"), 0))
 	recent := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Cancelled, Tasks: 1}})
-	at(v, 5, wire.Event{Delete: BatchKey("a")}, event(RecentKey(0), recent, 0))
+	applyAt(v, 5, wire.Event{Delete: BatchKey("a")}, event(RecentKey(0), recent, 0))
 	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || v.Compacted("wk-1") {
 		t.Errorf("wk-1: %+v, known %v, compacted %v", rec, known, v.Compacted("wk-1"))
 	}
-	at(v, 6, event(BatchKey("b"), ended(batch("wk-1", "wk-2"), wire.Done, "wk-2"), 0))
+	applyAt(v, 6, event(BatchKey("b"), ended(batch("wk-1", "wk-2"), wire.Done, "wk-2"), 0))
 	if ended := endedBatchKeys(v); len(ended) != 1 {
 		t.Errorf("ended batches: %v", ended)
 	}
-	at(v, 7, wire.Event{Delete: BatchKey("b")})
+	applyAt(v, 7, wire.Event{Delete: BatchKey("b")})
 	if rec, known := v.Job("wk-1"); !known || rec.Stage != wire.Cancelled || !v.Compacted("wk-1") {
 		t.Errorf("wk-1: %+v, known %v, compacted %v", rec, known, v.Compacted("wk-1"))
 	}
 }
 
-// TestReadsFormatOne reads what version 1 left: a key for each job that was accepted
-// alone or has ended, which goes before any batch that names it.
-func TestReadsFormatOne(t *testing.T) {
+// TestViewReadsFormat1 loads the state that version 1 wrote: a key of its own for each job that was
+// accepted alone or has ended. This key takes precedence over any batch that contains the job.
+func TestViewReadsFormat1(t *testing.T) {
 	rec := pending("wk-2")
 	v := NewView(slog.Default())
 	v.Load([]wire.KeyValue{item(BatchKey("a-1"), batch("wk-1", "wk-2"), 2), item(JobKey("wk-2"), rec.End(wire.Cancelled, time.Unix(1e9, 0)), 3),
@@ -173,50 +179,52 @@
 		t.Errorf("wk-2: %+v", rec)
 	}
 	l, _ := v.Live("wk-3")
-	r := l.Batch.Update()
-	r.EndJob("wk-3", wire.Done, time.Unix(1e9, 0))
-	c := r.Change()
-	if put, ok := c.Value.(JobRecord); !ok || c.Put != JobKey("wk-3") || put.Stage != wire.Done {
-		t.Errorf("the end of wk-3: %+v", c)
+	update := l.Batch.Update()
+	update.EndJob("wk-3", wire.Done, time.Unix(1e9, 0))
+	change := update.Change()
+	if put, ok := change.Value.(JobRecord); !ok || change.Put != JobKey("wk-3") || put.Stage != wire.Done {
+		t.Errorf("the change that ends wk-3: %+v", change)
 	}
 }
 
-// TestLoadIsConsistent: pages are read one after the other. What is in them is
-// seen together with what came meanwhile, or not at all: from the pages alone a
-// job may seem to begin in its second batch.
+// TestLoadIsConsistent guards against showing the pages of a list, which are read one after the other,
+// without the changes that were committed meanwhile: from the pages alone, a job's second batch may
+// appear to be its first.
 func TestLoadIsConsistent(t *testing.T) {
 	v := NewView(slog.Default())
-	// The first page was read before a/1 was there, the second after.
+	// The first page was read before batch a was written, the second one after.
 	v.Load([]wire.KeyValue{item(BatchKey("z"), batch("wk-1"), 7)}, 5, &wire.WatchResponse{Revision: 8, Events: []wire.Event{
 		event(BatchKey("a"), batch("wk-1"), 6), event(BatchKey("z"), batch("wk-1"), 7)}})
 	if l, _ := v.Live("wk-1"); l == nil || l.Batch.Key != BatchKey("a") || v.Revision() != 8 {
-		t.Errorf("wk-1: %+v at %d", l, v.Revision())
+		t.Errorf("wk-1: %+v at revision %d", l, v.Revision())
 	}
 }
 
-// TestUnreadableRecordLeavesJobsUncertain: as long as a batch or a recent block is not
-// understood, nobody can say that a job is not known; others are as before.
-func TestUnreadableRecordLeavesJobsUncertain(t *testing.T) {
+// TestUnreadableRecordMayHoldAnyJob checks that, as long as a batch or a recent block can't be decoded,
+// a job that isn't found may be in it and is not reported as unknown. Jobs in other records are not
+// affected.
+func TestUnreadableRecordMayHoldAnyJob(t *testing.T) {
 	v := NewView(slog.New(slog.DiscardHandler))
 	newer := jobblock.Pack("", nil)
 	newer.Format++
 	v.Load([]wire.KeyValue{item(BatchKey("a"), batch("wk-1"), 2), item(RecentKey(0), newer, 3), item(JobKey("wk-9"), "?", 4)}, 5, &wire.WatchResponse{})
 	if key, err := v.UnreadableRecordFor("wk-2"); key != RecentKey(0) || !errors.Is(err, jobblock.ErrNewer) || v.Compacted("wk-2") {
-		t.Errorf("doubt %q, %v", key, err)
+		t.Errorf("unreadable record for wk-2: %q, %v", key, err)
 	}
 	if _, known := v.Job("wk-1"); !known || len(v.UnreadableRecords()) != 2 {
-		t.Errorf("known %v, broken %v", known, v.UnreadableRecords())
+		t.Errorf("wk-1 known: %v, unreadable records: %v", known, v.UnreadableRecords())
 	}
-	at(v, 6, event(RecentKey(0), jobblock.Pack("", nil), 0))
+	applyAt(v, 6, event(RecentKey(0), jobblock.Pack("", nil), 0))
 	if key, _ := v.UnreadableRecordFor("wk-2"); key != "" {
-		t.Errorf("doubt %q", key)
+		t.Errorf("unreadable record for wk-2: %q", key)
 	}
 	if key, _ := v.UnreadableRecordFor("wk-9"); key != JobKey("wk-9") {
-		t.Errorf("doubt %q", key)
+		t.Errorf("unreadable record for wk-9: %q", key)
 	}
 }
 
-// TestTaskSet: the text form of a block gives the same tasks back.
+// TestTaskSet checks that the text encoding of a block decodes to the same tasks, and that invalid text
+// does not panic.
 func TestTaskSet(t *testing.T) {
 	a, b := NewTaskSet(3*TasksPerBlock), NewTaskSet(3*TasksPerBlock)
 	for i := 0; i < 3*TasksPerBlock; i += 7 {
@@ -224,20 +232,21 @@
 	}
 	for n := range 3 {
 		if text := a.EncodeBlock(n); len(text) > 1000 {
-			t.Errorf("block %d takes %d bytes", n, len(text))
+			t.Errorf("block %d is encoded in %d bytes", n, len(text))
 		} else {
 			b.MergeBlock(n, text)
 		}
 	}
 	for i := range 3 * TasksPerBlock {
 		if a.Contains(i) != b.Contains(i) {
-			t.Fatalf("task %d", i)
+			t.Fatalf("task %d differs after decoding", i)
 		}
 	}
 	b.MergeBlock(0, "not base64!")
 }
 
-// TestTaskSetDifference: what finished since a set was stored, also past the end of the other.
+// TestTaskSetDifference checks that Difference returns the tasks that have finished since a set was
+// stored, including those beyond the end of the stored set.
 func TestTaskSetDifference(t *testing.T) {
 	a, b := NewTaskSet(0), NewTaskSet(64)
 	for _, i := range []int{0, 63, 64, 700} {
@@ -245,6 +254,6 @@
 	}
 	b.Add(63)
 	if got := a.Difference(b); !slices.Equal(got, []int{0, 64, 700}) || a.Count() != 4 || a.Add(64) {
-		t.Errorf("%v of %d", got, a.Count())
+		t.Errorf("difference %v, count %d", got, a.Count())
 	}
 }
