--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -41,7 +41,8 @@
 		for range 10 {
 			_ = c.WaitForSpareWrites(ctx, 4)
 		}
-		if took := time.Since(start); took < 39*time.Second || took > 42*time.Second { // 4 changes at a time, 1 per second, plus the poll interval
+		// Each write of 4 changes takes 4 s at 1 change per second, plus up to one poll interval.
+		if took := time.Since(start); took < 39*time.Second || took > 42*time.Second {
 			t.Errorf("40 background changes took %v", took)
 		}
 		stop()
