--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -39,7 +39,7 @@
 // Follower keeps a View up to date with the state service and executes read barriers. Its creator
 // must call Run and RunBarriers, each in its own goroutine.
 type Follower struct {
-	// WatchTimeout is how long a watch waits for changes.
+	// WatchTimeout is the longest time that a watch waits for changes.
 	WatchTimeout time.Duration
 
 	client   *Client
