--- a/internal/store/follower.go
+++ b/internal/store/follower.go
@@ -93,8 +93,8 @@
 	return f.lastSuccess, f.lastFailure.After(f.lastSuccess)
 }
 
-// Run loads the view and applies changes to it until the context is done. It reloads the view when
-// changes were missed.
+// Run loads the view and applies changes to it until the context is done. When a watch
+// fails with ErrCompacted, it loads the view again.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := f.load(ctx); err != nil {
