--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -24,7 +24,7 @@
 )
 
 // errBroken means that a stream ended before the request was answered.
-var errBroken = errors.New("stream to the writer ended")
+var errStreamEnded = errors.New("stream to the writer ended")
 
 // errBusy means that too many requests wait for one peer's answers.
 var errBusy = errors.New("too many forwarded requests wait")
@@ -129,7 +129,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.done:
-		return nil, errBroken
+		return nil, errStreamEnded
 	case a := <-wait.answer:
 		return a, nil
 	}
@@ -140,7 +140,7 @@
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
-		return nil, errBroken
+		return nil, errStreamEnded
 	}
 	c.counts.Forwarded++
 	if c.streams == nil {
@@ -157,7 +157,7 @@
 	case <-s.opened:
 		return s, nil
 	case <-s.done:
-		return nil, errBroken
+		return nil, errStreamEnded
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -18,9 +18,9 @@
 )
 
 // pipe is one end of a connection as a listener has it.
-type pipe struct{ net.Conn }
+type pipeStream struct{ net.Conn }
 
-func (pipe) SetIdle(time.Duration) {}
+func (pipeStream) SetIdle(time.Duration) {}
 
 // answerFunc answers the request for a job.
 type answerFunc func(ctx context.Context, id string) (store.JobRecord, bool, error)
@@ -28,9 +28,9 @@
 // fakeAdmission answers with answer, and records the requests. A test may set another answer while
 // a request whose client has given up is still being served.
 type fakeAdmission struct {
-	mu     sync.Mutex
-	asked  []string
-	answer answerFunc
+	mu       sync.Mutex
+	requests []string
+	answer   answerFunc
 }
 
 // setAnswer sets how later requests are answered.
@@ -44,7 +44,7 @@
 func (w *fakeAdmission) record(request string) answerFunc {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked = append(w.asked, request)
+	w.requests = append(w.requests, request)
 	return w.answer
 }
 
@@ -60,10 +60,10 @@
 // fixture is a client and the server of a peer.
 type fixture struct {
 	*Client
-	writer *fakeAdmission
-	opened int
-	refuse bool     // connections
-	last   net.Conn // the writer's end of the newest one
+	writer            *fakeAdmission
+	opened            int
+	refuseConnections bool     // connections
+	writerConn        net.Conn // the writer's end of the newest one
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -78,14 +78,14 @@
 		return "c-1"
 	}, OpenStream: func(context.Context, string, string) (net.Conn, *gob.Encoder, error) {
 		b.opened++
-		if b.refuse {
+		if b.refuseConnections {
 			return nil, nil, errors.New("refused")
 		}
 		mine, its := net.Pipe()
-		b.last = its
+		b.writerConn = its
 		go func() {
 			defer its.Close()
-			server.Serve(ctx, "c-0", pipe{its}, gob.NewDecoder(its))
+			server.Serve(ctx, "c-0", pipeStream{its}, gob.NewDecoder(its))
 		}()
 		return mine, gob.NewEncoder(mine), nil
 	}}
@@ -94,38 +94,38 @@
 	t.Cleanup(func() {
 		stop()
 		<-ran
-		if b.last != nil {
-			b.last.Close()
+		if b.writerConn != nil {
+			b.writerConn.Close()
 		}
 	})
 	return b
 }
 
-func jobOf(id string) *wire.Job {
+func newJob(id string) *wire.Job {
 	return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 1, Work: "do this"}
 }
 
-// TestAnswers: what a writer answers is what the controller that forwarded the request gets.
-func TestAnswers(t *testing.T) {
+// TestAnswersReachSender: what a writer answers is what the controller that forwarded the request gets.
+func TestAnswersReachSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
-		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: jobOf("wk-1"), Ranges: []store.ShardRange{{From: 0, To: 3, Shard: "a"}}}
+		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: newJob("wk-1"), Ranges: []store.ShardRange{{From: 0, To: 3, Shard: "a"}}}
 		b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil })
-		got, created, told, err := b.Submit(t.Context(), jobOf("wk-1"))
+		got, created, told, err := b.Submit(t.Context(), newJob("wk-1"))
 		if !told || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Ranges) != 1 {
 			t.Errorf("%+v, created %v, told %v, %v", got, created, told, err)
 		}
 		if got, told, err := b.Cancel(t.Context(), "wk-2"); !told || err != nil || got.Tasks != 3 {
 			t.Errorf("%+v, told %v, %v", got, told, err)
 		}
-		if fmt.Sprint(b.writer.asked) != "[submit wk-1 cancel wk-2]" || b.opened != 1 {
-			t.Errorf("%v by %d streams", b.writer.asked, b.opened)
+		if fmt.Sprint(b.writer.requests) != "[submit wk-1 cancel wk-2]" || b.opened != 1 {
+			t.Errorf("%v by %d streams", b.writer.requests, b.opened)
 		}
 		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrFull, admission.ErrTooLarge} {
 			b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 				return store.JobRecord{}, false, fmt.Errorf("because: %w", want)
 			})
-			if _, _, told, err := b.Submit(t.Context(), jobOf("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
+			if _, _, told, err := b.Submit(t.Context(), newJob("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
 				t.Errorf("%v arrives as %v, told %v", want, err, told)
 			}
 		}
@@ -133,7 +133,7 @@
 			return store.JobRecord{}, false, &admission.UnrunnableError{Reason: "unknown team"}
 		})
 		var never *admission.UnrunnableError
-		if _, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || !errors.As(err, &never) || never.Reason != "unknown team" {
+		if _, _, told, err := b.Submit(t.Context(), newJob("wk-4")); !told || !errors.As(err, &never) || never.Reason != "unknown team" {
 			t.Errorf("%v, told %v", err, told)
 		}
 	})
@@ -146,11 +146,11 @@
 		spoil func(b *fixture)
 		most  time.Duration
 	}{
-		"no connection": {func(b *fixture) { b.refuse = true }, 0},
+		"no connection": {func(b *fixture) { b.refuseConnections = true }, 0},
 		"no answer":     {func(b *fixture) { b.writer.setAnswer(hang) }, answerTimeout},
 		"the stream breaks": {func(b *fixture) {
 			b.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
-				b.last.Close()
+				b.writerConn.Close()
 				return hang(ctx, id)
 			})
 		}, 0},
@@ -161,12 +161,12 @@
 				b := newFixture(t)
 				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil })
 				if name != "no connection" { // a stream that was good before
-					if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-1")); !told {
+					if _, _, told, _ := b.Submit(t.Context(), newJob("wk-1")); !told {
 						t.Fatal("not told while all is well")
 					}
 				}
 				x.spoil(b)
-				job, begun := jobOf("wk-2"), time.Now()
+				job, begun := newJob("wk-2"), time.Now()
 				if b.writer.answer == nil {
 					job.Shape = "none"
 				}
@@ -181,15 +181,15 @@
 					t.Errorf("%+v, avoided: %v", b.Counts(), b.recentlyFailed("c-1"))
 				}
 				before := b.Counts().Forwarded
-				if _, _, told, _ := b.Submit(t.Context(), jobOf("wk-3")); told || b.Counts().Forwarded != before {
+				if _, _, told, _ := b.Submit(t.Context(), newJob("wk-3")); told || b.Counts().Forwarded != before {
 					t.Error("a peer that did not answer is asked again at once")
 				}
 				time.Sleep(avoidAfterFailure)
-				b.refuse = false
+				b.refuseConnections = false
 				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 					return store.JobRecord{Tasks: 9}, true, nil
 				})
-				if rec, _, told, err := b.Submit(t.Context(), jobOf("wk-4")); !told || err != nil || rec.Tasks != 9 {
+				if rec, _, told, err := b.Submit(t.Context(), newJob("wk-4")); !told || err != nil || rec.Tasks != 9 {
 					t.Errorf("after a while: %+v, told %v, %v", rec, told, err)
 				}
 			})
@@ -215,31 +215,31 @@
 		})
 		soon, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, _, told, _ := b.Submit(soon, jobOf("wk-1")); told {
+		if _, _, told, _ := b.Submit(soon, newJob("wk-1")); told {
 			t.Error("told before the answer")
 		}
 		if b.recentlyFailed("c-1") || b.Counts().Unanswered > 0 {
 			t.Error("the peer is blamed for a user who has gone")
 		}
-		if rec, _, told, err := b.Submit(t.Context(), jobOf("wk-12345")); !told || err != nil || rec.Tasks != 8 {
+		if rec, _, told, err := b.Submit(t.Context(), newJob("wk-12345")); !told || err != nil || rec.Tasks != 8 {
 			t.Errorf("%+v, told %v, %v", rec, told, err)
 		}
 		time.Sleep(serveTimeout) // the late one ends
 	})
 }
 
-// TestBounded: a writer that does not keep up is not sent more and more.
-func TestBounded(t *testing.T) {
+// TestOutstandingRequestsBounded: a writer that does not keep up is not sent more and more.
+func TestOutstandingRequestsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFixture(t)
 		b.writer.setAnswer(hang)
 		var group sync.WaitGroup
 		for i := range maxOutstanding + 50 {
-			group.Go(func() { _, _, _, _ = b.Submit(t.Context(), jobOf(fmt.Sprintf("wk-%06d", i))) })
+			group.Go(func() { _, _, _, _ = b.Submit(t.Context(), newJob(fmt.Sprintf("wk-%06d", i))) })
 		}
 		synctest.Wait()
 		b.writer.mu.Lock()
-		asked := len(b.writer.asked)
+		asked := len(b.writer.requests)
 		b.writer.mu.Unlock()
 		if asked > maxOutstanding || b.Counts().Unanswered < 50 || b.recentlyFailed("c-1") {
 			t.Errorf("%d are asked at once, %+v, avoided: %v", asked, b.Counts(), b.recentlyFailed("c-1"))
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -21,7 +21,7 @@
 			t.Errorf("verb %d is sent as %d", i+1, v)
 		}
 	}
-	codes := []failure{none, failedRetryLater, failedCompactionBehind, failedHistoryUnavailable, failedUnknownJob, failedFull, failedTooLarge, failedUnrunnable, failedNotUnderstood}
+	codes := []failure{noFailure, failedRetryLater, failedCompactionBehind, failedHistoryUnavailable, failedUnknownJob, failedFull, failedTooLarge, failedUnrunnable, failedNotUnderstood}
 	for i, c := range codes {
 		if int(c) != i {
 			t.Errorf("failure %d is sent as %d", i, c)
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestGoldenKind: the stream is called what it was.
-func TestGoldenKind(t *testing.T) {
+// TestGoldenStreamKind: the stream is called what it was.
+func TestGoldenStreamKind(t *testing.T) {
 	goldentest.Text(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -52,7 +52,7 @@
 type failure int
 
 const (
-	none failure = iota
+	noFailure failure = iota
 	failedRetryLater
 	failedCompactionBehind
 	failedHistoryUnavailable
@@ -98,7 +98,7 @@
 // outcome decodes an answer.
 func (a *answer) outcome() (rec store.JobRecord, created bool, err error) {
 	switch a.Failure {
-	case none:
+	case noFailure:
 		if err := wire.DecodeValue(a.Record, &rec); err != nil {
 			return rec, false, fmt.Errorf("%w: decode a peer's answer: %w", admission.ErrRetryLater, err)
 		}
--- a/internal/ingest/balancer.go
+++ b/internal/ingest/balancer.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// rebalanceTime is how long it takes at least to send all surplus machines elsewhere, so that
+	// minRebalanceDuration is how long it takes at least to send all surplus machines elsewhere, so that
 	// they don't move all at once.
-	rebalanceTime = 15 * time.Second
+	minRebalanceDuration = 15 * time.Second
 	// rebalanceBurst is how many may move at once.
 	rebalanceBurst = 10
-	// peerLoadLag is how old the peers' counts of machines may be.
-	peerLoadLag = 2 * time.Second
+	// peerLoadMaxAge is how old the peers' counts of machines may be.
+	peerLoadMaxAge = 2 * time.Second
 	// slack is by how many machines two controllers may differ, beside a quarter.
-	slack = 50
+	rebalanceSlack = 50
 )
 
 // Balancer decides which controller takes a machine's heartbeats. It does no I/O; its only state
@@ -38,7 +38,7 @@
 	if b.limiter == nil {
 		b.limiter = rate.NewLimiter(0, rebalanceBurst)
 	}
-	if now.Sub(b.recentlySentSince) >= peerLoadLag {
+	if now.Sub(b.recentlySentSince) >= peerLoadMaxAge {
 		b.recentlySentSince, b.recentlySent = now, make(map[string]int)
 	}
 	best, least, sum := "", 0, local
@@ -51,12 +51,12 @@
 	}
 	most := b.LeaderKeeps
 	if !leader {
-		most = max(b.LeaderKeeps, sum/(len(peers)+1)*5/4+slack)
+		most = max(b.LeaderKeeps, sum/(len(peers)+1)*5/4+rebalanceSlack)
 	}
-	if best == "" || local <= most || !leader && least+slack > local {
+	if best == "" || local <= most || !leader && least+rebalanceSlack > local {
 		return ""
 	}
-	b.limiter.SetLimitAt(now, rate.Limit(float64(local)/rebalanceTime.Seconds()+1))
+	b.limiter.SetLimitAt(now, rate.Limit(float64(local)/minRebalanceDuration.Seconds()+1))
 	if !newConnection && !b.limiter.AllowN(now, 1) {
 		return ""
 	}
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -15,12 +15,12 @@
 )
 
 // accepted is an accepted connection of the library, as a Stream.
-type accepted struct{ net.Conn }
+type streamConn struct{ net.Conn }
 
-func (accepted) SetIdle(time.Duration) {}
+func (streamConn) SetIdle(time.Duration) {}
 
 // pair returns an uplink that forwards heartbeats to a receiver over a real connection on loopback.
-func pair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
+func newLoopbackPair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -41,7 +41,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				receiver.Serve(ctx, "c-1", accepted{conn}, gob.NewDecoder(conn))
+				receiver.Serve(ctx, "c-1", streamConn{conn}, gob.NewDecoder(conn))
 			}()
 		}
 	}()
@@ -61,8 +61,8 @@
 	return uplink, receiver
 }
 
-// manyHeartbeats returns heartbeats of machines with some tasks each.
-func manyHeartbeats(n int) []*wire.Heartbeat {
+// newHeartbeats returns heartbeats of machines with some tasks each.
+func newHeartbeats(n int) []*wire.Heartbeat {
 	out := make([]*wire.Heartbeat, n)
 	for i := range out {
 		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
@@ -78,10 +78,10 @@
 // BenchmarkForward forwards heartbeats of 3,000 machines, many at once, as at a large site:
 // one in eight has changed since its last.
 func BenchmarkForward(b *testing.B) {
-	uplink, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	uplink, _ := newLoopbackPair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
 	})
-	reports := manyHeartbeats(3000)
+	reports := newHeartbeats(3000)
 	b.SetParallelism(200)
 	next := make(chan *wire.Heartbeat, 1000)
 	go func() {
--- a/internal/ingest/codec.go
+++ b/internal/ingest/codec.go
@@ -11,45 +11,45 @@
 		!it.Noticed && !other.Noticed && slices.Equal(it.Tasks, other.Tasks)
 }
 
-// memoryAge is after how long without a heartbeat the sender forgets a machine.
-const memoryAge = 2 * time.Minute
+// deltaBaseTTL is after how long without a heartbeat the sender forgets a machine.
+const deltaBaseTTL = 2 * time.Minute
 
 // deltaCodec leaves out of a stream what a machine's heartbeat repeats. Both ends keep the last
 // whole heartbeat of each machine, by the same heartbeats in the same order.
 type deltaCodec struct {
-	last      map[string]*lastHeartbeatItem
+	bases     map[string]*deltaBase
 	lastSweep time.Time
 }
 
-// lastHeartbeatItem is the last whole heartbeat of a machine.
-type lastHeartbeatItem struct {
+// deltaBase is the last whole heartbeat of a machine.
+type deltaBase struct {
 	item
 	at time.Time
 }
 
-func newDeltaCodec() *deltaCodec { return &deltaCodec{last: make(map[string]*lastHeartbeatItem)} }
+func newDeltaCodec() *deltaCodec { return &deltaCodec{bases: make(map[string]*deltaBase)} }
 
 // compress leaves out of a heartbeat what the receiver knows. The receiver remembers for twice as
 // long as the sender, so that it never lacks what the sender relies on.
 func (d *deltaCodec) compress(now time.Time, it item) item {
-	d.sweep(now, memoryAge)
-	old := d.last[it.Machine]
-	if old != nil && now.Sub(old.at) < memoryAge && it.sameContent(&old.item) {
+	d.sweep(now, deltaBaseTTL)
+	old := d.bases[it.Machine]
+	if old != nil && now.Sub(old.at) < deltaBaseTTL && it.sameContent(&old.item) {
 		old.at = now
 		return item{Machine: it.Machine, Session: it.Session, Seq: it.Seq, Term: it.Term, Same: true}
 	}
-	d.last[it.Machine] = &lastHeartbeatItem{it, now}
+	d.bases[it.Machine] = &deltaBase{it, now}
 	return it
 }
 
 // expand puts back what compress left out; it fails where the machine is not known.
 func (d *deltaCodec) expand(now time.Time, it item) (item, bool) {
-	d.sweep(now, 2*memoryAge)
+	d.sweep(now, 2*deltaBaseTTL)
 	if !it.Same {
-		d.last[it.Machine] = &lastHeartbeatItem{it, now}
+		d.bases[it.Machine] = &deltaBase{it, now}
 		return it, true
 	}
-	old := d.last[it.Machine]
+	old := d.bases[it.Machine]
 	if old == nil || old.Session != it.Session {
 		return it, false
 	}
@@ -65,9 +65,9 @@
 		return
 	}
 	d.lastSweep = now
-	for id, r := range d.last {
+	for id, r := range d.bases {
 		if now.Sub(r.at) > age {
-			delete(d.last, id)
+			delete(d.bases, id)
 		}
 	}
 }
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -37,7 +37,7 @@
 	// ReportingWindow is for how long after a heartbeat the machine counts as sending them here.
 	ReportingWindow time.Duration
 
-	reporters reporters
+	reportingMachines reportingMachines
 
 	mu          sync.Mutex // of what follows
 	Balancer    Balancer
@@ -56,7 +56,7 @@
 // HandleHeartbeat decides what becomes of a heartbeat.
 func (g *Gateway) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) worker.HeartbeatResult {
 	now := time.Now()
-	g.reporters.record(now, r.Machine, r.Zone)
+	g.reportingMachines.record(now, r.Machine, r.Zone)
 	if v, ok := g.AnswerAsLeader(now, r); ok {
 		if len(v.Response.Commands) > 0 { // a command must not wait for another heartbeat
 			return v
@@ -106,7 +106,7 @@
 	} else {
 		to = g.RedirectTarget(nil)
 	}
-	g.reporters.recordRedirect()
+	g.reportingMachines.recordRedirect()
 	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Leader: to}), Close: true})
 }
 
@@ -124,7 +124,7 @@
 	}
 	to := g.Balancer.Target(now, leader, newConnection, local, g.peerLoads)
 	if to != "" {
-		g.reporters.forget(machine)
+		g.reportingMachines.forget(machine)
 		g.rebalanced++
 	}
 	return to
@@ -132,21 +132,21 @@
 
 // Reporting counts the machines whose heartbeats are taken here, as of the last second.
 func (g *Gateway) Reporting() int {
-	reporting, _ := g.reporters.counts(g.ReportingWindow)
+	reporting, _ := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting
 }
 
 // Offered counts the machines that send their heartbeats here, as of the last second, with those
 // that were redirected: they come again each second.
 func (g *Gateway) Offered() int {
-	reporting, redirected := g.reporters.counts(g.ReportingWindow)
+	reporting, redirected := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting + redirected
 }
 
 // Observations counts by zone the machines that send their heartbeats here, and those whose
 // heartbeats are overdue.
 func (g *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
-	return g.reporters.observations(now, overdue)
+	return g.reportingMachines.observations(now, overdue)
 }
 
 // Rebalanced returns how many times a machine was sent to a peer with more free capacity.
--- a/internal/ingest/golden_test.go
+++ b/internal/ingest/golden_test.go
@@ -13,7 +13,7 @@
 	goldentest.CheckGob[reply, frozenReply](t, "reply.gob")
 }
 
-// TestGoldenKind: the stream is called what it was.
-func TestGoldenKind(t *testing.T) {
+// TestGoldenStreamKind: the stream is called what it was.
+func TestGoldenStreamKind(t *testing.T) {
 	goldentest.Text(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -41,7 +41,7 @@
 		a, b := net.Pipe()
 		go func() {
 			defer b.Close()
-			l.receiver.Serve(ctx, "c-1", accepted{b}, gob.NewDecoder(b))
+			l.receiver.Serve(ctx, "c-1", streamConn{b}, gob.NewDecoder(b))
 		}()
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -62,8 +62,8 @@
 	l.leader = name
 }
 
-// onLink runs a test with a link, on a fake clock.
-func onLink(t *testing.T, decide func(*wire.Heartbeat) worker.HeartbeatResult, play func(ctx context.Context, l *link), setup ...func(*link)) {
+// runWithLink runs a test with a link, on a fake clock.
+func runWithLink(t *testing.T, decide func(*wire.Heartbeat) worker.HeartbeatResult, play func(ctx context.Context, l *link), setup ...func(*link)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		l := newLink(ctx, decide, setup)
@@ -80,10 +80,10 @@
 	zero, nine := 0.0, 9.5
 	answer := worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{
 		{Verb: wire.Stop, Task: "wk-1/0", Attempt: 3, GraceS: &zero}, {Verb: wire.Stop, Task: "wk-1/1", Attempt: 3, GraceS: &nine}, {Verb: wire.Launch, Task: "wk-2/0", Attempt: 4}}}}
-	report := manyHeartbeats(1)[0]
+	report := newHeartbeats(1)[0]
 	report.Seq, report.Spot, report.TerminationNoticeS = 12, true, &zero
 	var got *wire.Heartbeat
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return answer }, func(ctx context.Context, l *link) {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return answer }, func(ctx context.Context, l *link) {
 		if v, ok := l.Forward(ctx, report); !ok || !reflect.DeepEqual(v, answer) {
 			t.Errorf("the answer became %+v, %v", v.Response, ok)
 		}
@@ -97,11 +97,11 @@
 // again on the other side, after a change, an end, a new incarnation and a new stream too.
 func TestDeltaCodecOmitsUnchanged(t *testing.T) {
 	var got *wire.Heartbeat
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return worker.HeartbeatResult{Leader: "c-2"} }, func(ctx context.Context, l *link) {
-		r := manyHeartbeats(1)[0]
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return worker.HeartbeatResult{Leader: "c-2"} }, func(ctx context.Context, l *link) {
+		r := newHeartbeats(1)[0]
 		for seq, change := range []func(){
 			func() {}, func() {}, func() { r.FencingToken = 4 }, func() { r.Tasks = r.Tasks[1:] }, func() {}, func() { r.Tasks = nil }, func() {},
-			func() { r.Incarnation, r.Tasks = 2, manyHeartbeats(1)[0].Tasks[:2] }, func() {}, func() { l.conn.Close(); time.Sleep(2 * time.Second) }, func() {},
+			func() { r.Incarnation, r.Tasks = 2, newHeartbeats(1)[0].Tasks[:2] }, func() {}, func() { l.conn.Close(); time.Sleep(2 * time.Second) }, func() {},
 			func() { time.Sleep(5 * time.Minute) }, func() {},
 		} {
 			change()
@@ -123,7 +123,7 @@
 // whose worker waits no longer is not forwarded. The stream to it stays open.
 func TestSlowLeader(t *testing.T) {
 	calls := 0
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		if calls++; calls <= 5 {
 			time.Sleep(2 * time.Second)
 		}
@@ -132,7 +132,7 @@
 		var group sync.WaitGroup
 		var mu sync.Mutex
 		answered := 0
-		for i, r := range manyHeartbeats(8) {
+		for i, r := range newHeartbeats(8) {
 			time.Sleep(time.Duration(i%3) * 400 * time.Millisecond)
 			group.Add(1)
 			go func() {
@@ -154,18 +154,18 @@
 			t.Errorf("%d of 8 were answered in time", answered)
 		}
 		time.Sleep(20 * time.Second)
-		if v, ok := l.Forward(ctx, manyHeartbeats(1)[0]); !ok || v.Response == nil || l.opened != 1 {
+		if v, ok := l.Forward(ctx, newHeartbeats(1)[0]); !ok || v.Response == nil || l.opened != 1 {
 			t.Errorf("later: %+v, %v, opened %d times", v, ok, l.opened)
 		}
 	})
 }
 
-// TestFencingCallsAreShared: the calls that the leader asks a peer for are made, as many at once as
+// TestFencingCallsDelegated: the calls that the leader asks a peer for are made, as many at once as
 // the peer can make, and the leader gets their outcomes, those of failed calls too.
-func TestFencingCallsAreShared(t *testing.T) {
+func TestFencingCallsDelegated(t *testing.T) {
 	var mu sync.Mutex
 	asked, told, open, most := 0, map[string]bool{}, 0, 0
-	onLink(t, nil, func(_ context.Context, _ *link) {
+	runWithLink(t, nil, func(_ context.Context, _ *link) {
 		time.Sleep(20 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
@@ -204,7 +204,7 @@
 			if open--; c.Machine == "n-007" {
 				return nil
 			}
-			r := manyHeartbeats(1)[0]
+			r := newHeartbeats(1)[0]
 			r.Machine = c.Machine
 			return r
 		}
@@ -214,7 +214,7 @@
 // TestLeaderChanges: heartbeats go to whoever leads, and nowhere while there is no stream; after one
 // broke, workers are not all sent to the leader at once.
 func TestLeaderChanges(t *testing.T) {
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
 	}, func(ctx context.Context, l *link) {
 		if l.ForwardsTo() != "c-0" {
@@ -226,7 +226,7 @@
 			t.Errorf("passes to %q, opened %d times", l.ForwardsTo(), l.opened)
 		}
 		l.setLeader("")
-		if _, ok := l.Forward(ctx, manyHeartbeats(1)[0]); ok {
+		if _, ok := l.Forward(ctx, newHeartbeats(1)[0]); ok {
 			t.Error("a report was passed to nobody")
 		}
 		time.Sleep(2 * time.Second)
@@ -245,14 +245,14 @@
 // fleet, and not when the stream has not moved for long.
 func TestHungLeader(t *testing.T) {
 	still := true
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		if still {
 			still = false
 			time.Sleep(time.Minute)
 		}
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
 	}, func(ctx context.Context, l *link) {
-		for _, r := range manyHeartbeats(20) {
+		for _, r := range newHeartbeats(20) {
 			go l.Forward(ctx, r)
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -267,12 +267,12 @@
 // TestBrokenStream: a stream that breaks with heartbeats in flight leaves none of them
 // without an outcome, and the next one begins with whole heartbeats.
 func TestBrokenStream(t *testing.T) {
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		time.Sleep(500 * time.Millisecond)
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
 	}, func(ctx context.Context, l *link) {
 		var group sync.WaitGroup
-		for _, r := range manyHeartbeats(300) {
+		for _, r := range newHeartbeats(300) {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -285,7 +285,7 @@
 		l.mu.Unlock()
 		group.Wait()
 		time.Sleep(3 * time.Second)
-		r := manyHeartbeats(1)[0]
+		r := newHeartbeats(1)[0]
 		r.Seq = 9
 		if v, ok := l.Forward(ctx, r); !ok || v.Response == nil {
 			t.Errorf("after the tear: %+v, %v", v, ok)
@@ -342,7 +342,7 @@
 	f.Add("n-2", uint64(0), uint64(0), false, true, 3.5)
 	f.Fuzz(func(t *testing.T, machine string, incarnation, seq uint64, same, noticed bool, notice float64) {
 		m, now := newDeltaCodec(), time.Unix(1e9, 0)
-		_, _ = m.expand(now, pack(manyHeartbeats(1)[0]))
+		_, _ = m.expand(now, newItem(newHeartbeats(1)[0]))
 		it := item{Machine: machine, Session: incarnation, Seq: seq, Same: same, Noticed: noticed, NoticeS: notice}
 		if whole, ok := m.expand(now, it); ok {
 			if r := whole.heartbeat(); r.Machine != machine || r.Incarnation != incarnation || r.Seq != seq || same && len(r.Tasks) != 5 {
@@ -366,15 +366,15 @@
 // lossyConn is a connection on which one write is lost while it seems sent.
 type lossyConn struct {
 	net.Conn
-	mu     sync.Mutex
-	writes int
-	lose   int
+	mu        sync.Mutex
+	writes    int
+	dropWrite int
 }
 
 func (c *lossyConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.writes++
-	lost := c.writes == c.lose
+	lost := c.writes == c.dropWrite
 	c.mu.Unlock()
 	if lost {
 		return len(b), nil
@@ -386,7 +386,7 @@
 // call the same as before would be taken for what was before that: an old list with a new
 // number, by which a leader believed running tasks to be gone. The stream ends instead.
 func TestMissingBatchEndsStream(t *testing.T) {
-	onLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		if old := r.Seq <= 4; old != (len(r.Tasks) == 5) {
 			t.Errorf("report %d came with %d tasks", r.Seq, len(r.Tasks))
 		}
@@ -394,7 +394,7 @@
 	}, func(ctx context.Context, l *link) {
 		var group sync.WaitGroup
 		for seq := range 12 {
-			r := manyHeartbeats(1)[0]
+			r := newHeartbeats(1)[0]
 			r.Seq = uint64(seq + 1)
 			if seq >= 4 {
 				r.Tasks = r.Tasks[:2] // in the batch that is lost
@@ -413,18 +413,18 @@
 		open := l.Uplink.OpenStream
 		l.Uplink.OpenStream = func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error) {
 			conn, _, err := open(ctx, peer, kind)
-			c := &lossyConn{Conn: conn, lose: 13} // with the fifth heartbeat
+			c := &lossyConn{Conn: conn, dropWrite: 13} // with the fifth heartbeat
 			return c, gob.NewEncoder(c), err
 		}
 	})
 }
 
-// TestFencingCallsOfALostStream: a peer that was given calls is gone, and back at once. They are made
+// TestFencingCallsFailWithStream: a peer that was given calls is gone, and back at once. They are made
 // by no one, and the leader learns that.
-func TestFencingCallsOfALostStream(t *testing.T) {
+func TestFencingCallsFailWithStream(t *testing.T) {
 	var mu sync.Mutex
 	given, vain := 0, map[string]bool{}
-	onLink(t, nil, func(_ context.Context, l *link) {
+	runWithLink(t, nil, func(_ context.Context, l *link) {
 		time.Sleep(time.Second)
 		mu.Lock()
 		if given != 8 || len(vain) > 0 {
@@ -465,7 +465,7 @@
 // TestEarlierStreamEnds: a restarted process opens a stream while the one of its earlier
 // incarnation is still open. That one ends, and what is sent on it is dropped.
 func TestEarlierStreamEnds(t *testing.T) {
-	onLink(t, nil, func(ctx context.Context, l *link) {
+	runWithLink(t, nil, func(ctx context.Context, l *link) {
 		l.mu.Lock()
 		old := l.conn
 		l.mu.Unlock()
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -63,7 +63,7 @@
 }
 
 // pack returns a heartbeat as it is sent, whole.
-func pack(r *wire.Heartbeat) item {
+func newItem(r *wire.Heartbeat) item {
 	it := item{Machine: r.Machine, Session: r.Incarnation, Seq: r.Seq, Term: r.FencingToken, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Tasks: r.Tasks}
 	if r.TerminationNoticeS != nil {
 		it.Noticed, it.NoticeS = true, *r.TerminationNoticeS
@@ -80,8 +80,8 @@
 	return r
 }
 
-// packAnswer returns an answer as it is sent.
-func packAnswer(v worker.HeartbeatResult) answer {
+// newAnswer returns an answer as it is sent.
+func newAnswer(v worker.HeartbeatResult) answer {
 	if v.Response == nil {
 		return answer{Holder: v.Leader}
 	}
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// noteBatch notes that a peer forwards heartbeats.
-func (h *Receiver) noteBatch(now time.Time, from string) {
+// recordBatch notes that a peer forwards heartbeats.
+func (h *Receiver) recordBatch(now time.Time, from string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.lastBatch == nil {
@@ -97,12 +97,12 @@
 			return
 		}
 		now := time.Now()
-		h.noteBatch(now, from)
+		h.recordBatch(now, from)
 		answers, ok := h.answerAll(now, from, b.Items, codec)
 		if !ok {
 			return
 		}
-		h.takeOutcomes(&b, outstandingCalls)
+		h.applyCallOutcomes(&b, outstandingCalls)
 		calls := h.FencingCalls(min(b.Room, maxCalls))
 		for _, call := range calls {
 			outstandingCalls[call.Machine] = true
@@ -123,13 +123,13 @@
 			h.Log.Warn("heartbeat delta without its base", "peer", from, "machine", it.Machine)
 			return nil, false
 		}
-		answers = append(answers, packAnswer(h.Decide(whole.heartbeat())))
+		answers = append(answers, newAnswer(h.Decide(whole.heartbeat())))
 	}
 	return answers, true
 }
 
-// takeOutcomes applies the outcomes of the fencing calls in a batch.
-func (h *Receiver) takeOutcomes(b *batch, outstandingCalls map[string]bool) {
+// applyCallOutcomes applies the outcomes of the fencing calls in a batch.
+func (h *Receiver) applyCallOutcomes(b *batch, outstandingCalls map[string]bool) {
 	for _, it := range b.Heard {
 		delete(outstandingCalls, it.Machine)
 		h.FencingCallDone(it.Machine, it.heartbeat())
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -18,7 +18,7 @@
 )
 
 // reporters are the machines that send their heartbeats to this controller.
-type reporters struct {
+type reportingMachines struct {
 	mu        sync.Mutex
 	last      map[string]lastHeartbeat // by machine
 	count     int                      // of them within the window, when they were last counted
@@ -36,7 +36,7 @@
 }
 
 // record notes a heartbeat.
-func (r *reporters) record(now time.Time, machine, zone string) {
+func (r *reportingMachines) record(now time.Time, machine, zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.last == nil {
@@ -52,14 +52,14 @@
 }
 
 // recordRedirect notes a heartbeat that was redirected unread.
-func (r *reporters) recordRedirect() {
+func (r *reportingMachines) recordRedirect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.redirected++
 }
 
 // forget forgets a machine that was sent elsewhere.
-func (r *reporters) forget(machine string) {
+func (r *reportingMachines) forget(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.last[machine]; known {
@@ -70,7 +70,7 @@
 
 // counts returns how many machines send their heartbeats here, as of the last second, and how many heartbeats
 // were redirected in the second before. A machine reports if its last heartbeat is within window.
-func (r *reporters) counts(window time.Duration) (reporting, redirected int) {
+func (r *reportingMachines) counts(window time.Duration) (reporting, redirected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.countedAt) >= countInterval {
@@ -89,7 +89,7 @@
 
 // observations counts by zone the machines that send their heartbeats here, and those that are overdue. Machines
 // that were sent elsewhere are neither.
-func (r *reporters) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
+func (r *reportingMachines) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]zone.Observation)
--- a/internal/ingest/reporting_test.go
+++ b/internal/ingest/reporting_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestReporters: machines count while their last heartbeat is within the window, not once they were
+// TestReportingMachines: machines count while their last heartbeat is within the window, not once they were
 // sent elsewhere; redirected heartbeats count for the second after theirs; overdue machines are
 // observed for a while.
-func TestReporters(t *testing.T) {
+func TestReportingMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var r reporters
+		var r reportingMachines
 		window := 10 * time.Second
 		expect := func(what string, reporting, redirected int) {
 			t.Helper()
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -36,13 +36,13 @@
 	wake     chan struct{}            // the sender has something to send
 	inFlight chan []*pendingHeartbeat // batches without a reply
 
-	openCalls      int      // fencing calls being made for the leader
+	activeCalls    int      // fencing calls being made for the leader
 	callHeartbeats []item   // that calls have brought since the last batch
 	failedCalls    []string // machines that have not answered since then
 	runningCalls   sync.WaitGroup
 
 	// proven is set once the leader has answered a batch, so that it is worth waiting for.
-	proven bool
+	established bool
 }
 
 // pendingHeartbeat is a heartbeat whose worker waits.
@@ -114,7 +114,7 @@
 		b := u.newBatch(s)
 		b.Number = number
 		for _, p := range heartbeats {
-			b.Items = append(b.Items, codec.compress(now, pack(p.heartbeat)))
+			b.Items = append(b.Items, codec.compress(now, newItem(p.heartbeat)))
 		}
 		select {
 		case s.inFlight <- heartbeats:
@@ -173,8 +173,8 @@
 // startCalls makes the fencing calls that a reply asks for.
 func (u *Uplink) startCalls(ctx context.Context, s *stream, calls []reachability.FencingCall) {
 	u.mu.Lock()
-	s.proven = true
-	s.openCalls += len(calls)
+	s.established = true
+	s.activeCalls += len(calls)
 	u.mu.Unlock()
 	for _, c := range calls {
 		s.runningCalls.Add(1)
@@ -188,9 +188,9 @@
 	r := u.FencingCall(ctx, c)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	s.openCalls--
+	s.activeCalls--
 	if r != nil && r.Machine == c.Machine {
-		s.callHeartbeats = append(s.callHeartbeats, pack(r))
+		s.callHeartbeats = append(s.callHeartbeats, newItem(r))
 	} else {
 		s.failedCalls = append(s.failedCalls, c.Machine)
 	}
@@ -204,7 +204,7 @@
 	b := batch{Heard: s.callHeartbeats, Vain: s.failedCalls}
 	s.callHeartbeats, s.failedCalls = nil, nil
 	if u.FencingCall != nil {
-		b.Room = max(0, u.Throttle.Window()-s.openCalls)
+		b.Room = max(0, u.Throttle.Window()-s.activeCalls)
 	}
 	return b
 }
@@ -246,7 +246,7 @@
 	u.mu.Lock()
 	if u.stream == s {
 		u.stream = nil
-		if s.proven {
+		if s.established {
 			u.brokenAt = time.Now()
 		}
 	}
--- a/internal/ingest/uplink.go
+++ b/internal/ingest/uplink.go
@@ -59,7 +59,7 @@
 func (u *Uplink) ForwardsTo() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.stream != nil && u.stream.proven {
+	if u.stream != nil && u.stream.established {
 		return u.stream.leader
 	}
 	return ""
@@ -78,7 +78,7 @@
 func (u *Uplink) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
 	u.mu.Lock()
 	s := u.stream
-	if s == nil || !s.proven || s.leader != u.Leader() {
+	if s == nil || !s.established || s.leader != u.Leader() {
 		u.mu.Unlock()
 		return worker.HeartbeatResult{}, false
 	}
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -17,14 +17,14 @@
 )
 
 // stream is a connection that brings some bytes and ends.
-type stream struct {
+type testStream struct {
 	net.Conn
 	io.Reader
 }
 
-func (s stream) Read(b []byte) (int, error) { return s.Reader.Read(b) }
-func (stream) Close() error                 { return nil }
-func (stream) SetIdle(time.Duration)        {}
+func (s testStream) Read(b []byte) (int, error) { return s.Reader.Read(b) }
+func (testStream) Close() error                 { return nil }
+func (testStream) SetIdle(time.Duration)        {}
 
 // FuzzHeartbeat receives what anything may have sent: it must not end the process, and no one
 // but a peer is listened to.
@@ -45,6 +45,6 @@
 				t.Errorf("%q was listened to", s.Name)
 			}
 		}}
-		m.Receive(t.Context(), stream{Reader: bytes.NewReader(text)})
+		m.Receive(t.Context(), testStream{Reader: bytes.NewReader(text)})
 	})
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -6,8 +6,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenBeat: another version reads every field of what this one sends, and this
+// TestGoldenHeartbeat: another version reads every field of what this one sends, and this
 // one every field of what another has sent. See frozen_test.go.
-func TestGoldenBeat(t *testing.T) {
+func TestGoldenHeartbeat(t *testing.T) {
 	goldentest.CheckGob[Heartbeat, frozenBeat](t, "beat.gob")
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -35,12 +35,12 @@
 	OnHeartbeat func(Status)             // is called with each heartbeat that is news; nil for nothing
 
 	mu           sync.Mutex
-	last         map[string]received
+	lastStatus   map[string]receivedStatus
 	incarnations membership.Incarnations
 }
 
 // received is the last heartbeat of a peer.
-type received struct {
+type receivedStatus struct {
 	status Status
 	at     time.Time
 }
@@ -50,7 +50,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]Status)
-	for name, r := range m.last {
+	for name, r := range m.lastStatus {
 		if time.Since(r.at) <= age {
 			out[name] = r.status
 		}
@@ -112,9 +112,9 @@
 	if !m.incarnations.Accept(time.Now(), s.Name, s.Incarnation, s.Sequence) {
 		return false
 	}
-	if m.last == nil {
-		m.last = make(map[string]received)
+	if m.lastStatus == nil {
+		m.lastStatus = make(map[string]receivedStatus)
 	}
-	m.last[s.Name] = received{s, time.Now()}
+	m.lastStatus[s.Name] = receivedStatus{s, time.Now()}
 	return true
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -22,7 +22,7 @@
 	say := func(b Heartbeat) {
 		var buf bytes.Buffer
 		_ = gob.NewEncoder(&buf).Encode(b)
-		m.Receive(t.Context(), stream{Reader: &buf})
+		m.Receive(t.Context(), testStream{Reader: &buf})
 	}
 	say(Heartbeat{From: "c-1", Begun: 200, Number: 1})
 	say(Heartbeat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
