--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -13,42 +13,42 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Bounds of forwarding. What is left of a user's patience after answerTimeout is for doing the
-// request here.
+// Limits of forwarding. The time that a user still waits after answerTimeout is left for handling the
+// request on this controller.
 const (
-	dialTimeout       = 500 * time.Millisecond  // for a stream to be opened
-	sendTimeout       = 300 * time.Millisecond  // for a request to be taken by the network
-	answerTimeout     = 2500 * time.Millisecond // for its answer
-	avoidAfterFailure = 3 * time.Second         // for which a peer that did not answer is avoided
-	maxOutstanding    = 300                     // requests to one peer without an answer
+	dialTimeout       = 500 * time.Millisecond  // for opening a stream
+	sendTimeout       = 300 * time.Millisecond  // for writing a request to the connection
+	answerTimeout     = 2500 * time.Millisecond // for its answer, including the time for opening a stream and sending
+	avoidAfterFailure = 3 * time.Second         // for which a peer is avoided after it did not answer
+	maxOutstanding    = 300                     // requests to one peer that wait for an answer
 )
 
-// errBroken means that a stream ended before the request was answered.
+// errStreamEnded is returned if a stream ends before a request is answered.
 var errStreamEnded = errors.New("stream to the writer ended")
 
-// errBusy means that too many requests wait for one peer's answers.
-var errBusy = errors.New("too many forwarded requests wait")
+// errBusy is returned if maxOutstanding requests to a peer already wait for answers.
+var errBusy = errors.New("too many forwarded requests outstanding")
 
-// Client forwards requests to the peers that write for all, on one stream to each.
+// Client forwards requests to the peers that write jobs, on one stream to each.
 type Client struct {
 	// OpenStream opens a stream to a peer.
 	OpenStream func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error)
-	// Writer names the peer that writes a job, empty where this controller does; avoid reports which
-	// peers not to take.
+	// Writer returns the name of the peer that writes a job, or an empty string if this controller does.
+	// avoid reports whether a peer should not be chosen.
 	Writer func(job string, avoid func(name string) bool) string
 	Log    *slog.Logger
 
 	mu       sync.Mutex
 	streams  map[string]*stream
-	failedAt map[string]time.Time // by peer, when it last did not answer
+	failedAt map[string]time.Time // when each peer last failed to answer
 	counts   Counts
 	closed   bool
 }
 
-// Counts are the requests that were forwarded, and those of them without an outcome.
+// Counts counts the forwarded requests and those of them without a known outcome.
 type Counts struct {
-	Forwarded  uint64 // requests
-	Unanswered uint64 // of them, those whose outcome was not told in time
+	Forwarded  uint64
+	Unanswered uint64 // forwarded requests whose outcome did not arrive in time
 }
 
 // Counts returns the counts so far.
@@ -58,29 +58,29 @@
 	return c.counts
 }
 
-// Submit has the writer of a job accept it. handled is false where it is to be done here: no peer
-// writes the job, or the outcome is not known.
+// Submit forwards a job to its writer. If handled is false, the caller must submit the job on this
+// controller: no peer writes it, the writer does not understand the request, or the outcome is unknown.
 func (c *Client) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, handled bool, err error) {
 	return c.forward(ctx, request{Verb: Submit, ID: job.ID, Job: wire.Encode(job)})
 }
 
-// Cancel has the writer of a job cancel it; handled is as for Submit.
+// Cancel forwards a cancellation to the writer of the job. handled has the same meaning as for Submit.
 func (c *Client) Cancel(ctx context.Context, id string) (rec store.JobRecord, handled bool, err error) {
 	rec, _, handled, err = c.forward(ctx, request{Verb: Cancel, ID: id})
 	return rec, handled, err
 }
 
-// forward sends a request to the job's writer and waits for the outcome.
+// forward sends a request to the writer of its job and waits for the outcome.
 func (c *Client) forward(ctx context.Context, r request) (rec store.JobRecord, created, handled bool, err error) {
 	to := c.Writer(r.ID, c.recentlyFailed)
 	if to == "" || ctx.Err() != nil {
 		return rec, false, false, nil
 	}
-	wait, cancel := context.WithTimeout(ctx, answerTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	a, err := c.roundTrip(wait, to, r)
+	a, err := c.roundTrip(waitCtx, to, r)
 	if err != nil {
-		if ctx.Err() == nil { // else the user has gone
+		if ctx.Err() == nil { // otherwise the user has disconnected, and the peer is not at fault
 			c.recordFailure(to, r.ID, err)
 		}
 		return rec, false, false, nil
@@ -92,21 +92,22 @@
 	return rec, created, true, err
 }
 
-// recentlyFailed reports whether a peer did not answer a short while ago.
+// recentlyFailed reports whether a peer has failed to answer within the last avoidAfterFailure.
 func (c *Client) recentlyFailed(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.failedAt[name]) < avoidAfterFailure
 }
 
-// recordFailure notes that a peer did not answer, so that it is avoided for a while.
+// recordFailure counts a request without an answer, and has the peer avoided for avoidAfterFailure
+// unless it is only busy.
 func (c *Client) recordFailure(to, job string, err error) {
 	c.Log.Debug("forwarding failed", "job", job, "peer", to, "err", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Unanswered++
 	if errors.Is(err, errBusy) {
-		return // the peer answers as fast as it can
+		return // the peer is overloaded, not unreachable
 	}
 	if c.failedAt == nil {
 		c.failedAt = make(map[string]time.Time)
@@ -120,22 +121,22 @@
 	if err != nil {
 		return nil, err
 	}
-	wait, err := s.send(r)
+	pending, err := s.send(r)
 	if err != nil {
 		return nil, err
 	}
-	defer s.forget(wait)
+	defer s.forget(pending)
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-s.done:
 		return nil, errStreamEnded
-	case a := <-wait.answer:
+	case a := <-pending.answer:
 		return a, nil
 	}
 }
 
-// streamTo returns the stream to a peer, and opens it if there is none.
+// streamTo returns an open stream to a peer, and opens one if necessary.
 func (c *Client) streamTo(ctx context.Context, to string) (*stream, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -150,7 +151,7 @@
 	if s == nil || s.ended() {
 		s = newStream()
 		c.streams[to] = s
-		go c.runStream(context.WithoutCancel(ctx), to, s) // it serves later requests too
+		go c.runStream(context.WithoutCancel(ctx), to, s) // the stream outlives this request
 	}
 	c.mu.Unlock()
 	select {
@@ -163,11 +164,11 @@
 	}
 }
 
-// runStream opens a stream and takes its answers until it ends. Run ends it at the latest.
+// runStream opens a stream and delivers its answers until it ends. Run closes it on shutdown.
 func (c *Client) runStream(ctx context.Context, to string, s *stream) {
 	defer s.end()
-	dial, cancel := context.WithTimeout(ctx, dialTimeout)
-	conn, enc, err := c.OpenStream(dial, to, StreamKind)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, enc, err := c.OpenStream(dialCtx, to, StreamKind)
 	cancel()
 	if err != nil {
 		c.Log.Debug("connecting to a writer failed", "peer", to, "err", err)
@@ -193,7 +194,7 @@
 	}
 }
 
-// Run waits until the context ends, and then ends all streams; nothing is forwarded after that.
+// Run waits until the context ends, and then closes all streams. Nothing is forwarded afterwards.
 func (c *Client) Run(ctx context.Context) error {
 	<-ctx.Done()
 	c.mu.Lock()
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -17,16 +17,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// pipe is one end of a connection as a listener has it.
+// pipeStream is the accepting end of an in-memory connection.
 type pipeStream struct{ net.Conn }
 
 func (pipeStream) SetIdle(time.Duration) {}
 
-// answerFunc answers the request for a job.
+// answerFunc answers a request for the job with the given ID.
 type answerFunc func(ctx context.Context, id string) (store.JobRecord, bool, error)
 
-// fakeAdmission answers with answer, and records the requests. A test may set another answer while
-// a request whose client has given up is still being served.
+// fakeAdmission records requests and answers them with answer. A test may replace answer while a
+// request whose client has given up is still being served.
 type fakeAdmission struct {
 	mu       sync.Mutex
 	requests []string
@@ -57,140 +57,141 @@
 	return rec, err
 }
 
-// fixture is a client and the server of a peer.
+// fixture is a client and the server of a peer, connected in memory.
 type fixture struct {
 	*Client
 	writer            *fakeAdmission
 	opened            int
-	refuseConnections bool     // connections
-	writerConn        net.Conn // the writer's end of the newest one
+	refuseConnections bool     // OpenStream fails
+	writerConn        net.Conn // the writer's end of the latest connection
 }
 
 func newFixture(t *testing.T) *fixture {
 	log := slog.New(slog.DiscardHandler)
-	b := &fixture{writer: &fakeAdmission{}}
+	f := &fixture{writer: &fakeAdmission{}}
 	ctx, stop := context.WithCancel(t.Context())
-	server := &Server{Admission: b.writer, Log: log}
-	b.Client = &Client{Log: log, Writer: func(_ string, avoid func(string) bool) string {
+	server := &Server{Admission: f.writer, Log: log}
+	f.Client = &Client{Log: log, Writer: func(_ string, avoid func(string) bool) string {
 		if avoid("c-1") {
 			return ""
 		}
 		return "c-1"
 	}, OpenStream: func(context.Context, string, string) (net.Conn, *gob.Encoder, error) {
-		b.opened++
-		if b.refuseConnections {
+		f.opened++
+		if f.refuseConnections {
 			return nil, nil, errors.New("refused")
 		}
-		mine, its := net.Pipe()
-		b.writerConn = its
+		clientConn, serverConn := net.Pipe()
+		f.writerConn = serverConn
 		go func() {
-			defer its.Close()
-			server.Serve(ctx, "c-0", pipeStream{its}, gob.NewDecoder(its))
+			defer serverConn.Close()
+			server.Serve(ctx, "c-0", pipeStream{serverConn}, gob.NewDecoder(serverConn))
 		}()
-		return mine, gob.NewEncoder(mine), nil
+		return clientConn, gob.NewEncoder(clientConn), nil
 	}}
-	ran := make(chan struct{})
-	go func() { defer close(ran); _ = b.Run(ctx) }()
+	done := make(chan struct{})
+	go func() { defer close(done); _ = f.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		<-ran
-		if b.writerConn != nil {
-			b.writerConn.Close()
+		<-done
+		if f.writerConn != nil {
+			f.writerConn.Close()
 		}
 	})
-	return b
+	return f
 }
 
 func newJob(id string) *wire.Job {
 	return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "img", EstimateS: 1, Work: "do this"}
 }
 
-// TestAnswersReachSender: what a writer answers is what the controller that forwarded the request gets.
+// TestAnswersReachSender checks that records and errors of the writer reach the forwarding controller
+// unchanged, on a single stream.
 func TestAnswersReachSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t)
+		f := newFixture(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 3, Created: 77, Job: newJob("wk-1"), Ranges: []store.ShardRange{{From: 0, To: 3, Shard: "a"}}}
-		b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil })
-		got, created, told, err := b.Submit(t.Context(), newJob("wk-1"))
-		if !told || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Ranges) != 1 {
-			t.Errorf("%+v, created %v, told %v, %v", got, created, told, err)
+		f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return rec, true, nil })
+		got, created, handled, err := f.Submit(t.Context(), newJob("wk-1"))
+		if !handled || !created || err != nil || got.Created != 77 || got.Job.Work != "do this" || len(got.Ranges) != 1 {
+			t.Errorf("%+v, created %v, handled %v, %v", got, created, handled, err)
 		}
-		if got, told, err := b.Cancel(t.Context(), "wk-2"); !told || err != nil || got.Tasks != 3 {
-			t.Errorf("%+v, told %v, %v", got, told, err)
+		if got, handled, err := f.Cancel(t.Context(), "wk-2"); !handled || err != nil || got.Tasks != 3 {
+			t.Errorf("%+v, handled %v, %v", got, handled, err)
 		}
-		if fmt.Sprint(b.writer.requests) != "[submit wk-1 cancel wk-2]" || b.opened != 1 {
-			t.Errorf("%v by %d streams", b.writer.requests, b.opened)
+		if fmt.Sprint(f.writer.requests) != "[submit wk-1 cancel wk-2]" || f.opened != 1 {
+			t.Errorf("%v on %d streams", f.writer.requests, f.opened)
 		}
 		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrFull, admission.ErrTooLarge} {
-			b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
-				return store.JobRecord{}, false, fmt.Errorf("because: %w", want)
+			f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
+				return store.JobRecord{}, false, fmt.Errorf("cause: %w", want)
 			})
-			if _, _, told, err := b.Submit(t.Context(), newJob("wk-3")); !told || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
-				t.Errorf("%v arrives as %v, told %v", want, err, told)
+			if _, _, handled, err := f.Submit(t.Context(), newJob("wk-3")); !handled || !errors.Is(err, want) || errors.Is(err, admission.ErrRetryLater) != errors.Is(want, admission.ErrRetryLater) {
+				t.Errorf("%v arrives as %v, handled %v", want, err, handled)
 			}
 		}
-		b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
+		f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 			return store.JobRecord{}, false, &admission.UnrunnableError{Reason: "unknown team"}
 		})
-		var never *admission.UnrunnableError
-		if _, _, told, err := b.Submit(t.Context(), newJob("wk-4")); !told || !errors.As(err, &never) || never.Reason != "unknown team" {
-			t.Errorf("%v, told %v", err, told)
+		var unrunnable *admission.UnrunnableError
+		if _, _, handled, err := f.Submit(t.Context(), newJob("wk-4")); !handled || !errors.As(err, &unrunnable) || unrunnable.Reason != "unknown team" {
+			t.Errorf("%v, handled %v", err, handled)
 		}
 	})
 }
 
-// TestNotHandled: whatever keeps an answer away, the request is left to whoever forwarded it, soon, and
-// the peer is avoided for a while.
+// TestNotHandled checks that a request without an answer is returned to the sender as not handled within
+// a bounded time, whatever the cause, and that the peer is then avoided for avoidAfterFailure.
 func TestNotHandled(t *testing.T) {
-	for name, x := range map[string]struct {
-		spoil func(b *fixture)
-		most  time.Duration
+	for name, test := range map[string]struct {
+		injectFault func(f *fixture)
+		maxWait     time.Duration
 	}{
-		"no connection": {func(b *fixture) { b.refuseConnections = true }, 0},
-		"no answer":     {func(b *fixture) { b.writer.setAnswer(hang) }, answerTimeout},
-		"the stream breaks": {func(b *fixture) {
-			b.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
-				b.writerConn.Close()
+		"no connection": {func(f *fixture) { f.refuseConnections = true }, 0},
+		"no answer":     {func(f *fixture) { f.writer.setAnswer(hang) }, answerTimeout},
+		"the stream breaks": {func(f *fixture) {
+			f.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
+				f.writerConn.Close()
 				return hang(ctx, id)
 			})
 		}, 0},
-		"a word not understood": {func(b *fixture) { b.writer.setAnswer(nil) }, 0},
+		"request not understood": {func(f *fixture) { f.writer.setAnswer(nil) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newFixture(t)
-				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil })
-				if name != "no connection" { // a stream that was good before
-					if _, _, told, _ := b.Submit(t.Context(), newJob("wk-1")); !told {
-						t.Fatal("not told while all is well")
+				f := newFixture(t)
+				f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) { return store.JobRecord{}, true, nil })
+				if name != "no connection" { // the stream works before the fault
+					if _, _, handled, _ := f.Submit(t.Context(), newJob("wk-1")); !handled {
+						t.Fatal("not handled without a fault")
 					}
 				}
-				x.spoil(b)
-				job, begun := newJob("wk-2"), time.Now()
-				if b.writer.answer == nil {
+				test.injectFault(f)
+				job, start := newJob("wk-2"), time.Now()
+				if f.writer.answer == nil {
 					job.Shape = "none"
 				}
-				_, _, told, err := b.Submit(t.Context(), job)
-				if took := time.Since(begun); told || err != nil || took > x.most {
-					t.Errorf("told %v, %v after %v", told, err, took)
+				_, _, handled, err := f.Submit(t.Context(), job)
+				if took := time.Since(start); handled || err != nil || took > test.maxWait {
+					t.Errorf("handled %v, %v after %v", handled, err, took)
 				}
 				if job.Shape == "none" {
-					return // nothing is wrong with the peer
+					return // the peer is not at fault
 				}
-				if b.Counts().Unanswered != 1 || !b.recentlyFailed("c-1") {
-					t.Errorf("%+v, avoided: %v", b.Counts(), b.recentlyFailed("c-1"))
+				if f.Counts().Unanswered != 1 || !f.recentlyFailed("c-1") {
+					t.Errorf("%+v, avoided: %v", f.Counts(), f.recentlyFailed("c-1"))
 				}
-				before := b.Counts().Forwarded
-				if _, _, told, _ := b.Submit(t.Context(), newJob("wk-3")); told || b.Counts().Forwarded != before {
-					t.Error("a peer that did not answer is asked again at once")
+				before := f.Counts().Forwarded
+				if _, _, handled, _ := f.Submit(t.Context(), newJob("wk-3")); handled || f.Counts().Forwarded != before {
+					t.Error("the peer that did not answer was asked again at once")
 				}
 				time.Sleep(avoidAfterFailure)
-				b.refuseConnections = false
-				b.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
+				f.refuseConnections = false
+				f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 					return store.JobRecord{Tasks: 9}, true, nil
 				})
-				if rec, _, told, err := b.Submit(t.Context(), newJob("wk-4")); !told || err != nil || rec.Tasks != 9 {
-					t.Errorf("after a while: %+v, told %v, %v", rec, told, err)
+				if rec, _, handled, err := f.Submit(t.Context(), newJob("wk-4")); !handled || err != nil || rec.Tasks != 9 {
+					t.Errorf("after avoidAfterFailure: %+v, handled %v, %v", rec, handled, err)
 				}
 			})
 		})
@@ -202,47 +203,48 @@
 	return store.JobRecord{}, false, ctx.Err()
 }
 
-// TestLateAnswer: the answer to a request that nobody waits for any more is not taken for that to
-// another, and what is over in between is not done.
+// TestLateAnswer checks that an answer that arrives after its request was abandoned is not delivered to
+// a later request, and that a user who disconnects does not cause the peer to be avoided.
 func TestLateAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t)
-		b.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
+		f := newFixture(t)
+		f.writer.setAnswer(func(ctx context.Context, id string) (store.JobRecord, bool, error) {
 			if id == "wk-1" {
 				time.Sleep(2 * time.Second)
 			}
 			return store.JobRecord{Tasks: len(id)}, true, ctx.Err()
 		})
-		soon, cancel := context.WithTimeout(t.Context(), time.Second)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, _, told, _ := b.Submit(soon, newJob("wk-1")); told {
-			t.Error("told before the answer")
+		if _, _, handled, _ := f.Submit(shortCtx, newJob("wk-1")); handled {
+			t.Error("handled before the answer arrived")
 		}
-		if b.recentlyFailed("c-1") || b.Counts().Unanswered > 0 {
-			t.Error("the peer is blamed for a user who has gone")
+		if f.recentlyFailed("c-1") || f.Counts().Unanswered > 0 {
+			t.Error("the peer counts as failed because the user disconnected")
 		}
-		if rec, _, told, err := b.Submit(t.Context(), newJob("wk-12345")); !told || err != nil || rec.Tasks != 8 {
-			t.Errorf("%+v, told %v, %v", rec, told, err)
+		if rec, _, handled, err := f.Submit(t.Context(), newJob("wk-12345")); !handled || err != nil || rec.Tasks != 8 {
+			t.Errorf("%+v, handled %v, %v", rec, handled, err)
 		}
-		time.Sleep(serveTimeout) // the late one ends
+		time.Sleep(serveTimeout) // until the server has handled the abandoned request
 	})
 }
 
-// TestOutstandingRequestsBounded: a writer that does not keep up is not sent more and more.
+// TestOutstandingRequestsBounded checks that a slow writer is sent at most maxOutstanding requests at
+// once, and that it is not avoided when further requests are rejected locally.
 func TestOutstandingRequestsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newFixture(t)
-		b.writer.setAnswer(hang)
+		f := newFixture(t)
+		f.writer.setAnswer(hang)
 		var group sync.WaitGroup
 		for i := range maxOutstanding + 50 {
-			group.Go(func() { _, _, _, _ = b.Submit(t.Context(), newJob(fmt.Sprintf("wk-%06d", i))) })
+			group.Go(func() { _, _, _, _ = f.Submit(t.Context(), newJob(fmt.Sprintf("wk-%06d", i))) })
 		}
 		synctest.Wait()
-		b.writer.mu.Lock()
-		asked := len(b.writer.requests)
-		b.writer.mu.Unlock()
-		if asked > maxOutstanding || b.Counts().Unanswered < 50 || b.recentlyFailed("c-1") {
-			t.Errorf("%d are asked at once, %+v, avoided: %v", asked, b.Counts(), b.recentlyFailed("c-1"))
+		f.writer.mu.Lock()
+		requests := len(f.writer.requests)
+		f.writer.mu.Unlock()
+		if requests > maxOutstanding || f.Counts().Unanswered < 50 || f.recentlyFailed("c-1") {
+			t.Errorf("%d requests outstanding at once, %+v, avoided: %v", requests, f.Counts(), f.recentlyFailed("c-1"))
 		}
 		group.Wait()
 	})
--- a/internal/forward/frozen_test.go
+++ b/internal/forward/frozen_test.go
@@ -1,8 +1,8 @@
 package forward
 
-// The types of this file are copies of what controllers forward to each other, as it was
-// when the files in testdata/golden were written. They are never renamed along with the
-// types that they were copied from: their field names are what is on the wire.
+// The types in this file are copies of the messages that controllers forward to each other, as they
+// were when the files in testdata/golden were written. Do not rename them along with the types that
+// they were copied from: gob puts their field names on the wire.
 
 type frozenRequest struct {
 	Number uint64
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -1,11 +1,11 @@
-// Package forward passes users' submissions and cancellations on to the controller that writes them,
-// and the answers back. A controller opens one stream to each writer that it needs.
+// Package forward forwards users' submissions and cancellations to the controller that writes the job,
+// and returns its answers. A controller opens one stream to each writer that it needs.
 //
-// To users it makes no difference which controller they ask. A writer does for a peer what it does
-// for a user of its own, and answers only once the write is known to be committed and a read that
-// was begun after the request has come back. An answer that is lost on the way leaves an unknown
-// outcome: the job may have been accepted, or may yet be. The controller that forwarded it then
-// serves the user itself, which begins with a read.
+// Users may send a request to any controller. A writer handles a forwarded request like one from a
+// user of its own: it answers only after the write is known to be committed and a read that was
+// started after the request has returned. If an answer is lost, the outcome is unknown: the job may
+// have been accepted already, or may still be accepted. The controller that forwarded the request
+// then serves the user itself, which starts with a read.
 package forward
 
 import (
@@ -17,10 +17,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// StreamKind names a stream of forwarded requests among those of package peer.
+// StreamKind is the kind of a stream of forwarded requests, as package peer distinguishes them.
 const StreamKind = "writes"
 
-// Verb is what a user wants.
+// Verb is the operation that a request asks for.
 type Verb int
 
 // The verbs.
@@ -29,9 +29,9 @@
 	Cancel
 )
 
-// request is what a user wants of a job. gob matches its fields, and those of answer, by their Go
-// names: they never change, or older versions would lose them. The job is encoded as users send it,
-// since gob leaves out what is zero also behind a pointer.
+// request is a forwarded operation on a job. gob matches its fields, and those of answer, by their Go
+// names, which must never change: other versions would lose the values. The job is encoded as in
+// users' requests, because gob omits zero values even behind a pointer.
 type request struct {
 	Number uint64
 	Verb   Verb
@@ -39,16 +39,16 @@
 	Job    []byte
 }
 
-// answer is what became of a request.
+// answer is the result of a request.
 type answer struct {
 	Number  uint64
-	Record  []byte // of the job, as it is stored
+	Record  []byte // the job's record, encoded as in the state service
 	Created bool
 	Failure failure
 	Why     string
 }
 
-// failure is an error of package admission as it is sent. The numbers never change.
+// failure encodes an error of package admission. The numbers must never change.
 type failure int
 
 const (
@@ -60,10 +60,10 @@
 	failedFull
 	failedTooLarge
 	failedUnrunnable
-	failedNotUnderstood // the writer does not understand the request, so that the sender does it itself
+	failedNotUnderstood // the writer does not understand the request; the sender handles it itself
 )
 
-// failures are the errors that have a number of their own, those that wrap another first.
+// failures lists the errors that have a code of their own. An error that wraps another comes before it.
 var failures = []struct {
 	code failure
 	err  error
@@ -75,15 +75,15 @@
 	{failedTooLarge, admission.ErrTooLarge},
 }
 
-// newAnswer returns the answer to a request.
+// newAnswer encodes the result of a request.
 func newAnswer(number uint64, rec store.JobRecord, created bool, err error) answer {
 	if err == nil {
 		return answer{Number: number, Record: wire.Encode(rec), Created: created}
 	}
 	out := answer{Number: number, Failure: failedRetryLater, Why: err.Error()}
-	var never *admission.UnrunnableError
-	if errors.As(err, &never) {
-		out.Failure, out.Why = failedUnrunnable, never.Reason
+	var unrunnable *admission.UnrunnableError
+	if errors.As(err, &unrunnable) {
+		out.Failure, out.Why = failedUnrunnable, unrunnable.Reason
 		return out
 	}
 	for _, f := range failures {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// outcome decodes an answer.
+// outcome decodes the result of a request.
 func (a *answer) outcome() (rec store.JobRecord, created bool, err error) {
 	switch a.Failure {
 	case noFailure:
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -12,63 +12,64 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Admission is where jobs are accepted and cancelled here, without forwarding them once more.
+// Admission accepts and cancels jobs on this controller, without forwarding them again.
 type Admission interface {
 	SubmitLocally(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error)
 	CancelLocally(ctx context.Context, id string) (store.JobRecord, error)
 }
 
-// Server does what peers forward.
+// Server handles the requests that peers forward.
 type Server struct {
 	Admission Admission
 	Log       *slog.Logger
 }
 
 const (
-	// idleTimeout is after how long without a request a stream is closed; the peer opens another.
+	// idleTimeout is the time without a request after which a stream is closed; the peer opens a new
+	// one when it needs it.
 	idleTimeout = 2 * time.Minute
-	// serveTimeout bounds what is done for a request: a little longer than its sender waits, which
-	// then does it itself.
+	// serveTimeout limits the handling of a request. It is slightly longer than the time for which the
+	// sender waits before it handles the request itself.
 	serveTimeout = answerTimeout + 500*time.Millisecond
 )
 
-// Serve answers the requests of one stream until it ends. The sender of a request that is not
-// answered by then no longer waits.
+// Serve answers the requests on one stream until the stream ends. The sender no longer waits for
+// answers that are outstanding then.
 func (s *Server) Serve(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder) {
 	ctx, cancel := context.WithCancel(ctx)
-	var open sync.WaitGroup
-	defer open.Wait()
-	defer c.Close() // before the wait: a peer that takes nothing more must not hold up the answers
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer c.Close() // runs before the wait, so that a peer that stops reading can't block sendAll
 	defer cancel()
 	c.SetIdle(idleTimeout)
-	out := make(chan answer, maxOutstanding)
+	answers := make(chan answer, maxOutstanding)
 	reply := func(a answer) {
 		select {
-		case out <- a:
+		case answers <- a:
 		case <-ctx.Done():
 		}
 	}
-	open.Go(func() { sendAll(ctx, c, out) })
-	room := make(chan struct{}, maxOutstanding)
+	running.Go(func() { sendAll(ctx, c, answers) })
+	slots := make(chan struct{}, maxOutstanding)
 	for {
 		var r request
 		if err := dec.Decode(&r); err != nil {
 			return
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			reply(answer{Number: r.Number, Failure: failedFull})
 			continue
 		}
-		open.Go(func() {
-			defer func() { <-room }()
+		running.Go(func() {
+			defer func() { <-slots }()
 			reply(s.handle(ctx, from, &r))
 		})
 	}
 }
 
-// handle does what one request asks for.
+// handle executes one request and returns its answer.
 func (s *Server) handle(ctx context.Context, from string, r *request) answer {
 	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
@@ -89,15 +90,15 @@
 	return answer{Number: r.Number, Failure: failedNotUnderstood}
 }
 
-// sendAll sends answers on a stream, one at a time, until the context ends. Where that fails it
-// closes the stream, so that those who wait do their requests themselves.
-func sendAll(ctx context.Context, c transport.Stream, out <-chan answer) {
+// sendAll sends answers on a stream, one at a time, until the context ends. If sending fails, it closes
+// the stream, so that the peer handles the requests that wait for answers itself.
+func sendAll(ctx context.Context, c transport.Stream, answers <-chan answer) {
 	enc := gob.NewEncoder(c)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case a := <-out:
+		case a := <-answers:
 			if err := enc.Encode(a); err != nil {
 				c.Close()
 				return
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// stream is a connection to a peer, on which several requests may wait for their answers.
+// stream is a connection to a peer on which several requests may be outstanding.
 type stream struct {
-	opened, done chan struct{} // closed once it is open, and once it has ended
+	opened, done chan struct{} // closed when the stream has been opened, and when it has ended
 	conn         net.Conn
 	out          chan request
 
@@ -18,7 +18,7 @@
 	pending    map[uint64]*pendingRequest
 }
 
-// pendingRequest is a request that is not answered yet.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	number uint64
 	answer chan *answer
@@ -38,10 +38,11 @@
 	}
 }
 
-// end ends the stream for all that wait on it.
+// end marks the stream as ended, which wakes all goroutines that wait on it.
 func (s *stream) end() { close(s.done) }
 
-// send queues a request to be sent, and numbers it.
+// send assigns the next number to a request and queues it for sending. It returns errBusy if too many
+// requests are outstanding.
 func (s *stream) send(r request) (*pendingRequest, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,12 +56,13 @@
 		return nil, errBusy
 	}
 	s.lastNumber = r.Number
-	w := &pendingRequest{r.Number, make(chan *answer, 1)}
-	s.pending[w.number] = w
-	return w, nil
+	p := &pendingRequest{r.Number, make(chan *answer, 1)}
+	s.pending[p.number] = p
+	return p, nil
 }
 
-// sendAll sends the queued requests until the stream ends. A peer that takes nothing more ends it.
+// sendAll sends the queued requests until the stream ends. It closes the connection if the peer does
+// not take a request within sendTimeout.
 func (s *stream) sendAll(enc *gob.Encoder) {
 	for {
 		select {
@@ -69,26 +71,26 @@
 		case r := <-s.out:
 			_ = s.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 			if err := enc.Encode(r); err != nil {
-				s.conn.Close() // part of a request can't be followed by another
+				s.conn.Close() // a partly sent request can't be followed by another
 				return
 			}
 		}
 	}
 }
 
-// forget stops waiting for an answer.
-func (s *stream) forget(w *pendingRequest) {
+// forget drops a pending request; an answer that arrives later is ignored.
+func (s *stream) forget(p *pendingRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.pending, w.number)
+	delete(s.pending, p.number)
 }
 
-// deliver hands an answer to the request that waits for it; without one it is dropped.
+// deliver passes an answer to the request that waits for it, and drops it if there is none.
 func (s *stream) deliver(a *answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w := s.pending[a.Number]; w != nil {
+	if p := s.pending[a.Number]; p != nil {
 		delete(s.pending, a.Number)
-		w.answer <- a
+		p.answer <- a
 	}
 }
--- a/internal/ingest/balancer.go
+++ b/internal/ingest/balancer.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// minRebalanceDuration is how long it takes at least to send all surplus machines elsewhere, so that
-	// they don't move all at once.
+	// minRebalanceDuration is the minimum time over which all surplus machines are moved to peers,
+	// so that they don't move all at once.
 	minRebalanceDuration = 15 * time.Second
-	// rebalanceBurst is how many may move at once.
+	// rebalanceBurst is the number of machines that may move at once.
 	rebalanceBurst = 10
-	// peerLoadMaxAge is how old the peers' counts of machines may be.
+	// peerLoadMaxAge is the maximum age of the peers' machine counts.
 	peerLoadMaxAge = 2 * time.Second
-	// slack is by how many machines two controllers may differ, beside a quarter.
+	// slack is the tolerated difference in machines between two controllers, in addition to a
+	// quarter of the average.
 	rebalanceSlack = 50
 )
 
-// Balancer decides which controller takes a machine's heartbeats. It does no I/O; its only state
-// is which machines it has sent elsewhere lately.
+// Balancer decides which controller receives a machine's heartbeats. It performs no I/O. Its only state
+// is a rate limiter and the number of machines that it recently sent to each peer.
 type Balancer struct {
-	// LeaderKeeps is the number of machines up to which a leader takes heartbeats itself.
+	// LeaderKeeps is the number of machines up to which a leader receives heartbeats itself.
 	LeaderKeeps int
-	// Capacity is the number of machines that one controller may take.
+	// Capacity is the maximum number of machines that send their heartbeats to one controller.
 	Capacity int
 
 	limiter           *rate.Limiter
-	recentlySent      map[string]int // by peer, whose counts may not show them yet
+	recentlySent      map[string]int // machines by peer, which the peer's count may not include yet
 	recentlySentSince time.Time
 }
 
-// Target names the peer that should take the heartbeats of a machine which has just sent one here,
-// or none. local is how many machines send theirs here, and peers how many send them to each peer that
-// could take more. A machine on a new connection is sent away at once, others a few at a time.
+// Target returns the peer that should receive the heartbeats of a machine that has just sent one to this
+// controller, or an empty string if the machine should stay. local is the number of machines that send
+// their heartbeats to this controller, and peers the number for each peer that can take more. The rate
+// limit applies only to machines on open connections; those on new connections move at once.
 func (b *Balancer) Target(now time.Time, leader, newConnection bool, local int, peers map[string]int) string {
 	if b.limiter == nil {
 		b.limiter = rate.NewLimiter(0, rebalanceBurst)
@@ -41,25 +43,25 @@
 	if now.Sub(b.recentlySentSince) >= peerLoadMaxAge {
 		b.recentlySentSince, b.recentlySent = now, make(map[string]int)
 	}
-	best, least, sum := "", 0, local
+	target, targetLoad, total := "", 0, local
 	for name, n := range peers {
 		n += b.recentlySent[name]
-		sum += n
-		if n < b.Capacity && (best == "" || n < least || n == least && name < best) {
-			best, least = name, n
+		total += n
+		if n < b.Capacity && (target == "" || n < targetLoad || n == targetLoad && name < target) {
+			target, targetLoad = name, n
 		}
 	}
-	most := b.LeaderKeeps
+	maxLocal := b.LeaderKeeps
 	if !leader {
-		most = max(b.LeaderKeeps, sum/(len(peers)+1)*5/4+rebalanceSlack)
+		maxLocal = max(b.LeaderKeeps, total/(len(peers)+1)*5/4+rebalanceSlack)
 	}
-	if best == "" || local <= most || !leader && least+rebalanceSlack > local {
+	if target == "" || local <= maxLocal || !leader && targetLoad+rebalanceSlack > local {
 		return ""
 	}
 	b.limiter.SetLimitAt(now, rate.Limit(float64(local)/minRebalanceDuration.Seconds()+1))
 	if !newConnection && !b.limiter.AllowN(now, 1) {
 		return ""
 	}
-	b.recentlySent[best]++
-	return best
+	b.recentlySent[target]++
+	return target
 }
--- a/internal/ingest/frozen_test.go
+++ b/internal/ingest/frozen_test.go
@@ -1,8 +1,8 @@
 package ingest
 
-// The types of this file are copies of what an edge and a leader send each other, as it
-// was when the files in testdata/golden were written. They are never renamed along with the
-// types that they were copied from: their field names are what is on the wire.
+// The types in this file are copies of the messages between a forwarding controller and a leader, as
+// they were when the files in testdata/golden were written. Do not rename them along with the types that
+// they were copied from: gob puts their field names on the wire.
 
 type frozenBatch struct {
 	Number uint64
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -12,106 +12,107 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// peerLoadInterval is the time between two readings of the load of the peers.
+// peerLoadInterval is the minimum interval between calls of PeerLoads.
 const peerLoadInterval = 300 * time.Millisecond
 
-// Gateway decides what becomes of the heartbeats that workers send to a controller: the leader
-// answers them, another controller forwards them, and either sends machines to a peer with more
-// free capacity.
+// Gateway handles the heartbeats that workers send to a controller. The leader of their shard answers
+// them, and other controllers forward them. Either may send machines to a peer with more free capacity.
 type Gateway struct {
-	// AnswerAsLeader answers a heartbeat as the leader of the machine's shard; ok is false where
-	// this controller may not.
-	AnswerAsLeader func(now time.Time, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool)
-	// Leader names the peer that leads the shard of a heartbeat's machine, by the state service;
-	// for nil the peer that leads the fleet, if that is one shard.
-	Leader func(r *wire.Heartbeat) string
-	// PeerLoads returns how many machines send their heartbeats to each peer that can take more of
-	// them. leader is true if this controller leads the fleet. It is called a few times a second at most.
+	// AnswerAsLeader answers a heartbeat as the leader of the machine's shard; ok is false if this
+	// controller is not entitled to.
+	AnswerAsLeader func(now time.Time, heartbeat *wire.Heartbeat) (result worker.HeartbeatResult, ok bool)
+	// Leader returns the peer that leads the shard of a heartbeat's machine, according to the state
+	// service. For a nil heartbeat it returns the peer that leads the fleet, if that is a single shard.
+	Leader func(heartbeat *wire.Heartbeat) string
+	// PeerLoads returns the number of machines that send their heartbeats to each peer that can take
+	// more. leader is true if this controller leads the fleet. It is called at most a few times a second.
 	PeerLoads func(leader bool) map[string]int
 	// Leads reports whether this controller leads a shard.
 	Leads func() bool
-	// Sharded reports whether the fleet has several shards: then the leader of one forwards the heartbeats of
-	// others, and takes as many machines as its peers.
+	// Sharded is true if the fleet has several shards. The leader of one shard then forwards the heartbeats
+	// of others, and receives those of as many machines as its peers.
 	Sharded   bool
 	Forwarder Forwarder
-	// ReportingWindow is for how long after a heartbeat the machine counts as sending them here.
+	// ReportingWindow is the time after a heartbeat for which its machine counts as reporting to this
+	// controller.
 	ReportingWindow time.Duration
 
 	reportingMachines reportingMachines
 
-	mu          sync.Mutex // of what follows
+	mu          sync.Mutex // guards the fields below
 	Balancer    Balancer
 	rebalanced  uint64
 	peerLoads   map[string]int
 	peerLoadsAt time.Time
 }
 
-// Forwarder forwards heartbeats, over one uplink or several.
+// Forwarder forwards heartbeats to leaders. Uplink and Uplinks implement it.
 type Forwarder interface {
 	ForwardsTo() string
 	Reconnecting() bool
-	Forward(ctx context.Context, r *wire.Heartbeat) (worker.HeartbeatResult, bool)
+	Forward(ctx context.Context, heartbeat *wire.Heartbeat) (worker.HeartbeatResult, bool)
 }
 
-// HandleHeartbeat decides what becomes of a heartbeat.
-func (g *Gateway) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) worker.HeartbeatResult {
+// HandleHeartbeat answers, forwards or redirects a heartbeat.
+func (g *Gateway) HandleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) worker.HeartbeatResult {
 	now := time.Now()
-	g.reportingMachines.record(now, r.Machine, r.Zone)
-	if v, ok := g.AnswerAsLeader(now, r); ok {
-		if len(v.Response.Commands) > 0 { // a command must not wait for another heartbeat
-			return v
+	g.reportingMachines.record(now, heartbeat.Machine, heartbeat.Zone)
+	if result, ok := g.AnswerAsLeader(now, heartbeat); ok {
+		if len(result.Response.Commands) > 0 { // commands must not wait for the next heartbeat
+			return result
 		}
-		if to := g.rebalanceTarget(now, r.Machine, !g.Sharded, false); to != "" {
-			return worker.HeartbeatResult{Leader: to}
+		if target := g.rebalanceTarget(now, heartbeat.Machine, !g.Sharded, false); target != "" {
+			return worker.HeartbeatResult{Leader: target}
 		}
-		return v
+		return result
 	}
 	if g.Forwarder.ForwardsTo() == "" {
-		return worker.HeartbeatResult{Leader: g.RedirectTarget(r)}
+		return worker.HeartbeatResult{Leader: g.RedirectTarget(heartbeat)}
 	}
-	if to := g.rebalanceTarget(now, r.Machine, false, false); to != "" {
-		return worker.HeartbeatResult{Leader: to}
+	if target := g.rebalanceTarget(now, heartbeat.Machine, false, false); target != "" {
+		return worker.HeartbeatResult{Leader: target}
 	}
-	if v, ok := g.Forwarder.Forward(ctx, r); ok {
-		return v
+	if result, ok := g.Forwarder.Forward(ctx, heartbeat); ok {
+		return result
 	}
-	return worker.HeartbeatResult{Leader: g.RedirectTarget(r)}
+	return worker.HeartbeatResult{Leader: g.RedirectTarget(heartbeat)}
 }
 
-// RedirectTarget names the controller to which a worker is sent where its heartbeat can't be
-// forwarded: the leader, unless the stream to it was open a moment ago. Then the leader is gone or
-// overloaded, and all workers at once would overload it for good; they find another controller.
-func (g *Gateway) RedirectTarget(r *wire.Heartbeat) string {
+// RedirectTarget returns the controller that a worker is redirected to if its heartbeat can't be
+// forwarded. This is the leader, unless the stream to it broke recently or the leader is new. In that
+// case the leader may be gone or overloaded, and all workers at once would overload it permanently, so
+// RedirectTarget returns an empty string and the workers find another controller.
+func (g *Gateway) RedirectTarget(heartbeat *wire.Heartbeat) string {
 	if g.Forwarder.Reconnecting() {
 		return ""
 	}
-	return g.Leader(r)
+	return g.Leader(heartbeat)
 }
 
 var heartbeatRequestLine = []byte("POST " + wire.PathHeartbeat + " ")
 
-// RedirectUnread answers a heartbeat that is to go elsewhere without reading it, given the first
-// bytes of the request. While there is no leader, or no stream to it, every worker comes again
-// each second, all of them at once; and when there is a new leader, all of them go there. It
-// returns nil where the heartbeat is to be read.
+// RedirectUnread returns a redirect response for a heartbeat, based on only the first bytes of the
+// request, or nil if the heartbeat must be read. It saves reading the heartbeats of workers that all
+// retry every second while there is no leader or no stream to it, and that all move to a new leader at
+// once.
 func (g *Gateway) RedirectUnread(first []byte) []byte {
 	if !bytes.HasPrefix(first, heartbeatRequestLine) {
 		return nil
 	}
-	to, leads := "", g.Leads()
+	target, leads := "", g.Leads()
 	if leads || g.Forwarder.ForwardsTo() != "" {
-		if to = g.rebalanceTarget(time.Now(), "", leads && !g.Sharded, true); to == "" {
+		if target = g.rebalanceTarget(time.Now(), "", leads && !g.Sharded, true); target == "" {
 			return nil
 		}
 	} else {
-		to = g.RedirectTarget(nil)
+		target = g.RedirectTarget(nil)
 	}
 	g.reportingMachines.recordRedirect()
-	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Leader: to}), Close: true})
+	return httpwire.AppendResponse(nil, &httpwire.Response{Status: 421, Body: wire.Encode(wire.Redirect{Leader: target}), Close: true})
 }
 
-// rebalanceTarget names the peer that a machine's heartbeats should go to from now on, or none. On
-// a new connection it is not known yet which machine that is.
+// rebalanceTarget returns the peer that should receive a machine's heartbeats from now on, or an empty
+// string. machine is empty on a new connection, where it is not known yet.
 func (g *Gateway) rebalanceTarget(now time.Time, machine string, leader, newConnection bool) string {
 	local := g.Reporting()
 	if local <= g.Balancer.LeaderKeeps {
@@ -122,34 +123,35 @@
 	if now.Sub(g.peerLoadsAt) >= peerLoadInterval {
 		g.peerLoadsAt, g.peerLoads = now, g.PeerLoads(leader)
 	}
-	to := g.Balancer.Target(now, leader, newConnection, local, g.peerLoads)
-	if to != "" {
+	target := g.Balancer.Target(now, leader, newConnection, local, g.peerLoads)
+	if target != "" {
 		g.reportingMachines.forget(machine)
 		g.rebalanced++
 	}
-	return to
+	return target
 }
 
-// Reporting counts the machines whose heartbeats are taken here, as of the last second.
+// Reporting returns the number of machines that report to this controller. It is updated once a second.
 func (g *Gateway) Reporting() int {
 	reporting, _ := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting
 }
 
-// Offered counts the machines that send their heartbeats here, as of the last second, with those
-// that were redirected: they come again each second.
+// Offered returns the number of machines that report to this controller plus those whose heartbeats were
+// redirected. Redirected machines retry every second, so the redirects of one second count them. It is
+// updated once a second.
 func (g *Gateway) Offered() int {
 	reporting, redirected := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting + redirected
 }
 
-// Observations counts by zone the machines that send their heartbeats here, and those whose
+// Observations counts, for each zone, the machines that report to this controller and those whose
 // heartbeats are overdue.
 func (g *Gateway) Observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	return g.reportingMachines.observations(now, overdue)
 }
 
-// Rebalanced returns how many times a machine was sent to a peer with more free capacity.
+// Rebalanced returns the number of times that a machine was sent to a peer with more free capacity.
 func (g *Gateway) Rebalanced() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/ingest/golden_test.go
+++ b/internal/ingest/golden_test.go
@@ -6,14 +6,14 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenMessages: another version reads every field of what this one sends, and this
-// one every field of what another has sent. See frozen_test.go.
+// TestGoldenMessages checks that other versions can read every field of the messages that this version
+// sends, and that this version can read every field of theirs. See frozen_test.go.
 func TestGoldenMessages(t *testing.T) {
 	goldentest.CheckGob[batch, frozenBatch](t, "batch.gob")
 	goldentest.CheckGob[reply, frozenReply](t, "reply.gob")
 }
 
-// TestGoldenStreamKind: the stream is called what it was.
+// TestGoldenStreamKind checks that the name of the stream kind never changes.
 func TestGoldenStreamKind(t *testing.T) {
 	goldentest.Text(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -1,10 +1,11 @@
-// Package membership detects failures among controllers, from what each of them receives: a
-// controller that one peer gets no heartbeats of may only be cut off from that one. It follows the
-// ideas of the SWIM family (suspicion before removal, evidence of several observers) over the
-// heartbeats that controllers send each other anyway.
+// Package membership detects failed controllers. It combines the observations of several
+// controllers, because a controller whose heartbeats one peer misses may only be partitioned from
+// that peer. It applies the ideas of the SWIM protocol family (suspicion before removal, evidence
+// from several observers) to the heartbeats that controllers exchange anyway.
 //
-// No safety rule rests on it. It decides who should lead which shard, and when it is worth while to
-// revoke a dead leader's lease before it expires; the fence in the state service decides who leads.
+// No safety property depends on it. It is used to choose which controller should lead each shard,
+// and when to revoke a dead leader's lease before it expires. The fencing token in the state
+// service determines who actually leads.
 package membership
 
 import (
@@ -13,50 +14,51 @@
 	"time"
 )
 
-// State is what this controller believes of a peer.
+// State is the state of a peer as this controller sees it.
 type State int
 
-// The states of a peer, the worse the higher.
+// The states of a peer, from best to worst.
 const (
 	Alive            State = iota
-	StoreUnreachable       // it is alive, but the state service does not answer it
-	Suspected              // no heartbeat of it has come here for a while
-	Dead                   // no controller gets heartbeats of it, as a majority agrees
+	StoreUnreachable       // alive, but gets no answers from the state service
+	Suspected              // this controller has received no heartbeat from it recently
+	Dead                   // a majority of the controllers receive no heartbeats from it
 )
 
-// String returns the state in words.
+// String returns a readable name of the state.
 func (s State) String() string {
 	return [...]string{"alive", "refused by the store", "suspected", "dead"}[s]
 }
 
 const (
-	// HeartbeatInterval is the time between two heartbeats of a controller.
+	// HeartbeatInterval is the interval at which a controller sends heartbeats to its peers.
 	HeartbeatInterval = time.Second
-	// SuspectAfter is after how long without a heartbeat a peer is suspected: two may be lost or late.
+	// SuspectAfter is the time without a heartbeat after which a peer is suspected. It tolerates two
+	// lost or late heartbeats.
 	SuspectAfter = 2500 * time.Millisecond
-	// DeadAfter is for how long no controller may have got a heartbeat of a peer before it counts
-	// as dead. What other controllers report about it is up to an interval old.
+	// DeadAfter is the time without a heartbeat to any controller after which a peer counts as dead.
+	// The ages that other controllers report are up to one HeartbeatInterval old.
 	DeadAfter = 4 * time.Second
 )
 
-// HeartbeatAges maps each peer to how long ago a controller got its last heartbeat. It is part of a
-// gob message, which needs its form but not its name.
+// HeartbeatAges maps each peer to the time since a controller received its last heartbeat. It is
+// part of a gob message: its underlying type must not change, its name may.
 type HeartbeatAges map[string]time.Duration
 
-// peerState is the content of a peer's last heartbeat.
+// peerState is what a peer's last heartbeat reported, and when it arrived.
 type peerState struct {
 	lastHeartbeat  time.Time
 	storeReachable bool
 	reportedAges   HeartbeatAges
 }
 
-// Detector is what one controller knows of its peers. It does no I/O: times and heartbeats are
-// passed in. It is not safe for concurrent use.
+// Detector tracks the state of one controller's peers. It performs no I/O: the caller passes in
+// times and heartbeats. It is not safe for concurrent use.
 type Detector struct {
 	peers map[string]*peerState
 }
 
-// New returns the detector for peers, none of which has sent a heartbeat yet.
+// New returns a detector for the named peers, none of which has sent a heartbeat yet.
 func New(names []string) *Detector {
 	d := &Detector{peers: make(map[string]*peerState)}
 	for _, name := range names {
@@ -65,35 +67,36 @@
 	return d
 }
 
-// RecordHeartbeat records a peer's heartbeat, and the ages that it reports for the other peers.
+// RecordHeartbeat records a heartbeat from a peer and the heartbeat ages that it reports for other
+// controllers. Heartbeats from unknown names are ignored.
 func (d *Detector) RecordHeartbeat(now time.Time, name string, storeReachable bool, reportedAges HeartbeatAges) {
-	if s := d.peers[name]; s != nil {
-		s.lastHeartbeat, s.storeReachable, s.reportedAges = now, storeReachable, reportedAges
+	if peer := d.peers[name]; peer != nil {
+		peer.lastHeartbeat, peer.storeReachable, peer.reportedAges = now, storeReachable, reportedAges
 	}
 }
 
-// HeartbeatAges returns how old each peer's last heartbeat is, to be sent in this controller's own.
-// A peer that has never sent one is left out.
+// HeartbeatAges returns the age of each peer's last heartbeat, for inclusion in this controller's own
+// heartbeats. Peers that have never sent one are omitted.
 func (d *Detector) HeartbeatAges(now time.Time) HeartbeatAges {
-	out := make(HeartbeatAges, len(d.peers))
-	for name, s := range d.peers {
-		if !s.lastHeartbeat.IsZero() {
-			out[name] = now.Sub(s.lastHeartbeat)
+	ages := make(HeartbeatAges, len(d.peers))
+	for name, peer := range d.peers {
+		if !peer.lastHeartbeat.IsZero() {
+			ages[name] = now.Sub(peer.lastHeartbeat)
 		}
 	}
-	return out
+	return ages
 }
 
-// State returns the state of a peer. One that has never sent a heartbeat is suspected: it may not
-// have started.
+// State returns the state of a peer. A peer that has never sent a heartbeat is Suspected rather than
+// Dead, because it may not have started yet.
 func (d *Detector) State(now time.Time, name string) State {
-	s := d.peers[name]
+	peer := d.peers[name]
 	switch {
-	case s == nil || s.lastHeartbeat.IsZero():
+	case peer == nil || peer.lastHeartbeat.IsZero():
 		return Suspected
-	case now.Sub(s.lastHeartbeat) < SuspectAfter && s.storeReachable:
+	case now.Sub(peer.lastHeartbeat) < SuspectAfter && peer.storeReachable:
 		return Alive
-	case now.Sub(s.lastHeartbeat) < SuspectAfter:
+	case now.Sub(peer.lastHeartbeat) < SuspectAfter:
 		return StoreUnreachable
 	case d.confirmedDead(now, name):
 		return Dead
@@ -101,29 +104,29 @@
 	return Suspected
 }
 
-// confirmedDead reports whether a majority, of this controller and all peers that it gets
-// heartbeats of, get none of a peer. A controller that reaches no majority may be cut off itself,
-// and confirms nothing.
+// confirmedDead reports whether this controller and all peers that it receives heartbeats from are a
+// majority of the controllers, and none of them has received a heartbeat from the named peer for
+// DeadAfter. A controller without a majority may itself be partitioned, and confirms nothing.
 func (d *Detector) confirmedDead(now time.Time, name string) bool {
 	if now.Sub(d.peers[name].lastHeartbeat) < DeadAfter {
 		return false
 	}
 	observers := 0
-	for other, s := range d.peers {
-		if other == name || now.Sub(s.lastHeartbeat) >= SuspectAfter || s.lastHeartbeat.IsZero() {
+	for other, peer := range d.peers {
+		if other == name || now.Sub(peer.lastHeartbeat) >= SuspectAfter || peer.lastHeartbeat.IsZero() {
 			continue
 		}
-		age, known := s.reportedAges[name]
-		if !known || age+now.Sub(s.lastHeartbeat) < DeadAfter {
+		age, known := peer.reportedAges[name]
+		if !known || age+now.Sub(peer.lastHeartbeat) < DeadAfter {
 			return false
 		}
 		observers++
 	}
-	return observers > 0 && (observers+1)*2 > len(d.peers)+1 // with this controller, more than half of all
+	return observers > 0 && (observers+1)*2 > len(d.peers)+1 // counting this controller, more than half of all controllers
 }
 
-// FirstAlive reports whether a controller comes first, by name, among those that are alive: of
-// several that see the same, one acts at once and the others only if that fails.
+// FirstAlive reports whether self sorts first by name among the controllers that are alive. Of
+// several controllers with the same view, one can then act at once, and the others only if it fails.
 func (d *Detector) FirstAlive(now time.Time, self string) bool {
 	for name := range d.peers {
 		if strings.Compare(name, self) < 0 && d.State(now, name) == Alive {
@@ -133,14 +136,14 @@
 	return true
 }
 
-// Alive names the peers that are alive and that the state service answers, in order.
+// Alive returns the sorted names of the peers in state Alive.
 func (d *Detector) Alive(now time.Time) []string {
-	var out []string
+	var names []string
 	for name := range d.peers {
 		if d.State(now, name) == Alive {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -10,89 +10,91 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// cluster is some controllers, each with a detector of the others, and the links that are cut.
+// cluster simulates controllers, each with a detector for the others, and partitions between them.
 type cluster struct {
 	now              time.Time
 	names            []string
 	detectors        map[string]*Detector
 	cut              map[[2]string]bool // from, to
 	down             map[string]bool
-	storeUnreachable map[string]bool // the state service does not answer them
-	incarnations     Incarnations    // as one of the controllers tells them apart
+	storeUnreachable map[string]bool // controllers that get no answers from the state service
+	incarnations     Incarnations    // of the heartbeats that one controller receives
 }
 
 func newCluster(n int) *cluster {
-	w := &cluster{now: time.Unix(1e9, 0), detectors: map[string]*Detector{}, cut: map[[2]string]bool{}, down: map[string]bool{}, storeUnreachable: map[string]bool{}}
+	c := &cluster{now: time.Unix(1e9, 0), detectors: map[string]*Detector{}, cut: map[[2]string]bool{}, down: map[string]bool{}, storeUnreachable: map[string]bool{}}
 	for i := range n {
-		w.names = append(w.names, fmt.Sprintf("c-%d", i))
+		c.names = append(c.names, fmt.Sprintf("c-%d", i))
 	}
-	for _, name := range w.names {
-		w.detectors[name] = New(slices.DeleteFunc(slices.Clone(w.names), func(o string) bool { return o == name }))
+	for _, name := range c.names {
+		c.detectors[name] = New(slices.DeleteFunc(slices.Clone(c.names), func(o string) bool { return o == name }))
 	}
-	return w
+	return c
 }
 
-// heartbeatRound lets a second pass in which every controller sends its heartbeats.
-func (w *cluster) heartbeatRound() {
-	w.now = w.now.Add(HeartbeatInterval)
-	for _, from := range w.names {
-		for _, to := range w.names {
-			if from != to && !w.down[from] && !w.down[to] && !w.cut[[2]string{from, to}] {
-				w.detectors[to].RecordHeartbeat(w.now, from, !w.storeUnreachable[from], w.detectors[from].HeartbeatAges(w.now))
+// heartbeatRound advances the clock by HeartbeatInterval and has every controller that is up send its
+// heartbeats.
+func (c *cluster) heartbeatRound() {
+	c.now = c.now.Add(HeartbeatInterval)
+	for _, from := range c.names {
+		for _, to := range c.names {
+			if from != to && !c.down[from] && !c.down[to] && !c.cut[[2]string{from, to}] {
+				c.detectors[to].RecordHeartbeat(c.now, from, !c.storeUnreachable[from], c.detectors[from].HeartbeatAges(c.now))
 			}
 		}
 	}
 }
 
-func (w *cluster) step(line string) []string {
-	f, kv := simulator.Words(line)
-	switch f[0] {
+// step executes one line of a trace and returns the output that the trace expects.
+func (c *cluster) step(line string) []string {
+	fields, options := simulator.Words(line)
+	switch fields[0] {
 	case "controllers":
-		n, _ := strconv.Atoi(f[1])
-		*w = *newCluster(n)
+		n, _ := strconv.Atoi(fields[1])
+		*c = *newCluster(n)
 	case "beats":
-		n, _ := strconv.Atoi(f[1])
+		n, _ := strconv.Atoi(fields[1])
 		for range n {
-			w.heartbeatRound()
+			c.heartbeatRound()
 		}
 	case "down", "up":
-		w.down[f[1]] = f[0] == "down"
+		c.down[fields[1]] = fields[0] == "down"
 	case "refused", "served":
-		w.storeUnreachable[f[1]] = f[0] == "refused"
-	case "cut", "heal": // between a controller and others, or all
-		others := f[2:]
+		c.storeUnreachable[fields[1]] = fields[0] == "refused"
+	case "cut", "heal": // the links between one controller and the named ones, or all others
+		others := fields[2:]
 		if len(others) == 0 {
-			others = w.names
+			others = c.names
 		}
 		for _, o := range others {
-			if kv["way"] != "in" {
-				w.cut[[2]string{f[1], o}] = f[0] == "cut"
+			if options["way"] != "in" {
+				c.cut[[2]string{fields[1], o}] = fields[0] == "cut"
 			}
-			if kv["way"] != "out" {
-				w.cut[[2]string{o, f[1]}] = f[0] == "cut"
+			if options["way"] != "out" {
+				c.cut[[2]string{o, fields[1]}] = fields[0] == "cut"
 			}
 		}
 	case "wait":
-		d, _ := time.ParseDuration(f[1])
-		w.now = w.now.Add(d)
-	case "hear": // a heartbeat of a controller, of an incarnation that started at a time by its own clock
-		begun, _ := strconv.ParseInt(kv["begun"], 10, 64)
-		number, _ := strconv.ParseUint(kv["number"], 10, 64)
-		if w.incarnations.Accept(w.now, f[1], begun, number) {
+		d, _ := time.ParseDuration(fields[1])
+		c.now = c.now.Add(d)
+	case "hear": // a heartbeat arrives; begun is its sender's start time by the sender's clock
+		begun, _ := strconv.ParseInt(options["begun"], 10, 64)
+		number, _ := strconv.ParseUint(options["number"], 10, 64)
+		if c.incarnations.Accept(c.now, fields[1], begun, number) {
 			return []string{"news"}
 		}
 		return []string{"old"}
-	case "what": // each thinks of one
+	case "what": // the state of one controller as each other one sees it
 		var out []string
-		for _, name := range w.names {
-			if name != f[1] && !w.down[name] {
-				out = append(out, fmt.Sprintf("%s: %v", name, w.detectors[name].State(w.now, f[1])))
+		for _, name := range c.names {
+			if name != fields[1] && !c.down[name] {
+				out = append(out, fmt.Sprintf("%s: %v", name, c.detectors[name].State(c.now, fields[1])))
 			}
 		}
 		return out
 	case "first":
-		for _, name := range w.names {
-			if !w.down[name] && w.detectors[name].FirstAlive(w.now, name) {
+		for _, name := range c.names {
+			if !c.down[name] && c.detectors[name].FirstAlive(c.now, name) {
 				return []string{name}
 			}
 		}
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// TestTraces plays the kept traces of what each controller believes of the others.
+// TestTraces replays the recorded traces of how controllers see each other's state.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newCluster(3).step })
 }
--- a/internal/peer/frozen_test.go
+++ b/internal/peer/frozen_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// The types of this file are copies of what controllers send each other, as it was when
-// testdata/golden/beat.gob was written. They are never renamed along with the types that
-// they were copied from: their field names are what is on the wire.
+// The types in this file are copies of the messages between controllers as they were when
+// testdata/golden/beat.gob was written. Do not rename them along with the types that they
+// were copied from: gob puts their field names on the wire.
 
 type frozenBeat struct {
 	From    string
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// stream is a connection that brings some bytes and ends.
+// testStream is a connection that delivers the bytes of a reader and then ends.
 type testStream struct {
 	net.Conn
 	io.Reader
@@ -26,25 +26,25 @@
 func (testStream) Close() error                 { return nil }
 func (testStream) SetIdle(time.Duration)        {}
 
-// FuzzHeartbeat receives what anything may have sent: it must not end the process, and no one
-// but a peer is listened to.
+// FuzzHeartbeat checks that arbitrary input does not crash the process, and that heartbeats are
+// accepted only from configured peers.
 func FuzzHeartbeat(f *testing.F) {
-	for _, b := range []Heartbeat{
+	for _, heartbeat := range []Heartbeat{
 		{From: "c-1", StoreOK: true, Heard: 3, Says: membership.HeartbeatAges{"c-2": time.Second}},
 		{From: "c-1", Parts: map[string]leader.ShardStatus{"a": {Term: 3, Rooms: map[string]scheduler.FreeCapacity{"x": {Now: 2}}, Zones: map[string]reachability.ZoneHealth{"a": {Up: 3}}}}},
 		{From: "c-2", Sights: map[string]zone.Observation{"a": {Heard: 3, Vain: 1}}},
 		{From: "stranger"},
 	} {
 		var buf bytes.Buffer
-		_ = gob.NewEncoder(&buf).Encode(b)
+		_ = gob.NewEncoder(&buf).Encode(heartbeat)
 		f.Add(buf.Bytes())
 	}
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m := &Mesh{Peers: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), OnHeartbeat: func(s Status) {
+	f.Fuzz(func(t *testing.T, data []byte) {
+		mesh := &Mesh{Peers: map[string]string{"c-1": "", "c-2": ""}, Log: slog.New(slog.DiscardHandler), OnHeartbeat: func(s Status) {
 			if s.Name != "c-1" && s.Name != "c-2" {
-				t.Errorf("%q was listened to", s.Name)
+				t.Errorf("a heartbeat from %q was accepted", s.Name)
 			}
 		}}
-		m.Receive(t.Context(), testStream{Reader: bytes.NewReader(text)})
+		mesh.Receive(t.Context(), testStream{Reader: bytes.NewReader(data)})
 	})
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -6,8 +6,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenHeartbeat: another version reads every field of what this one sends, and this
-// one every field of what another has sent. See frozen_test.go.
+// TestGoldenHeartbeat checks that other versions can read every field of a heartbeat that this version
+// sends, and that this version can read every field of theirs. See frozen_test.go.
 func TestGoldenHeartbeat(t *testing.T) {
 	goldentest.CheckGob[Heartbeat, frozenBeat](t, "beat.gob")
 }
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -8,13 +8,13 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// Heartbeat is a Status as it is sent, once every Interval. It is only used at the ends of a
-// connection.
+// Heartbeat is the wire format of Status, which is sent once every Interval. It is used only for
+// encoding and decoding.
 //
-// gob matches fields by their Go names and drops what it doesn't know without an error: a field
-// that is renamed here, or in a type that it holds, is lost between two versions. So these names
-// never change; good names are in Status. New fields may be added: an older version ignores them,
-// and leaves them zero in what it sends.
+// gob matches fields by their Go names and drops unknown ones without an error. If a field is renamed
+// here, or in a type that Heartbeat contains, its value is lost between versions, so these names must
+// never change; Status has readable names. New fields may be added: older versions ignore them, and
+// leave them zero in what they send.
 type Heartbeat struct {
 	From    string
 	StoreOK bool
@@ -33,10 +33,10 @@
 	Number  uint64
 	Sights  map[string]zone.Observation
 	Writes  bool
-	Stream  string // in the first message of a connection: the kind of stream that follows; empty for heartbeats
+	Stream  string // in the first message on a connection: the kind of stream that follows; empty for heartbeats
 }
 
-// heartbeat returns a status as it is sent.
+// heartbeat converts a status to its wire format.
 func (s *Status) heartbeat() Heartbeat {
 	return Heartbeat{
 		From:    s.Name,
@@ -59,7 +59,7 @@
 	}
 }
 
-// status returns what a heartbeat says.
+// status converts a heartbeat from its wire format.
 func (h *Heartbeat) status() Status {
 	return Status{
 		Name:             h.From,
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -7,12 +7,12 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestHeartbeatMapping: each field of a status is sent, and each field of a heartbeat is read.
+// TestHeartbeatMapping checks that the conversion to Heartbeat and back covers every field of both types.
 func TestHeartbeatMapping(t *testing.T) {
 	s := goldentest.Filled[Status](t)
-	s.Uptime = 7000000000 // it is sent in whole seconds
+	s.Uptime = 7000000000 // sent in whole seconds
 	h := s.heartbeat()
-	h.Stream = "kind" // is the connection's alone
+	h.Stream = "kind" // set by OpenStream, not part of a status
 	if zeros := goldentest.Zeros(h); len(zeros) > 0 {
 		t.Errorf("not sent: %v", zeros)
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,6 +1,6 @@
-// Package peer is what controllers tell each other: a heartbeat a second with their health, their
-// load and counts for display, and streams of other kinds on the same port. No safety rule rests
-// on it: every heartbeat may be lost, late, or of a process that has gone.
+// Package peer implements the connections between controllers: a heartbeat every second with the
+// sender's health, load, and counts for display, and streams of other kinds on the same port. No
+// safety property depends on it: any heartbeat may be lost, late, or from a process that has ended.
 package peer
 
 import (
@@ -18,34 +18,34 @@
 const (
 	// Interval is the time between two heartbeats.
 	Interval = membership.HeartbeatInterval
-	// receiveTimeout is after how long without a heartbeat its connection is closed.
+	// receiveTimeout is the time without a heartbeat after which a connection is closed.
 	receiveTimeout = 10 * time.Second
 )
 
-// StreamHandler serves a connection that a peer has opened for something else than heartbeats.
+// StreamHandler serves a connection that a peer has opened for something other than heartbeats.
 type StreamHandler func(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder)
 
-// Mesh exchanges heartbeats with every peer and keeps the last one of each.
+// Mesh exchanges heartbeats with all peers and keeps the latest status of each.
 type Mesh struct {
-	Peers       map[string]string // name to address
-	Local       func() Status     // of this controller
+	Peers       map[string]string // addresses by name
+	Local       func() Status     // returns the status of this controller
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
 	Log         *slog.Logger
-	Handlers    map[string]StreamHandler // by kind of stream
-	OnHeartbeat func(Status)             // is called with each heartbeat that is news; nil for nothing
+	Handlers    map[string]StreamHandler // by stream kind
+	OnHeartbeat func(Status)             // called for each new heartbeat, but not for duplicate or obsolete ones; may be nil
 
 	mu           sync.Mutex
 	lastStatus   map[string]receivedStatus
 	incarnations membership.Incarnations
 }
 
-// received is the last heartbeat of a peer.
+// receivedStatus is a peer's status and the time when it was received.
 type receivedStatus struct {
 	status Status
 	at     time.Time
 }
 
-// Latest returns the peers' last heartbeats that are no older than age.
+// Latest returns the latest status of each peer, omitting those older than age.
 func (m *Mesh) Latest(age time.Duration) map[string]Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,8 +58,8 @@
 	return out
 }
 
-// PeerWithOlderFormat names a peer whose last heartbeat within age says that it writes an older
-// format of the state, or nothing.
+// PeerWithOlderFormat returns the name of a peer that writes an older format of the state than format,
+// according to heartbeats no older than age. It returns an empty string if there is none.
 func (m *Mesh) PeerWithOlderFormat(age time.Duration, format int) string {
 	for name, s := range m.Latest(age) {
 		if s.Format < format {
@@ -69,7 +69,7 @@
 	return ""
 }
 
-// Receive serves a connection that a peer has opened: its heartbeats, or a stream of another kind.
+// Receive serves a connection that a peer has opened, for heartbeats or for a stream of another kind.
 func (m *Mesh) Receive(ctx context.Context, c transport.Stream) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
@@ -94,8 +94,8 @@
 	}
 }
 
-// handleStream serves a stream, unless it was opened by an earlier incarnation of the peer: it
-// would end the stream of the present one.
+// handleStream serves a stream unless an earlier incarnation of the peer opened it: serving that one
+// would end the stream of the current incarnation.
 func (m *Mesh) handleStream(ctx context.Context, first *Heartbeat, c transport.Stream, dec *gob.Decoder) {
 	m.mu.Lock()
 	superseded := m.incarnations.Superseded(time.Now(), first.From, first.Begun)
@@ -105,7 +105,7 @@
 	}
 }
 
-// accept keeps a heartbeat, and reports whether it is news.
+// accept stores the status of a new heartbeat, and reports whether the heartbeat was new.
 func (m *Mesh) accept(s Status) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -13,29 +13,29 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// TestStreamOfSupersededIncarnation: a controller is back, and the stream that its earlier incarnation
-// opened arrives after its first heartbeat. It is not served, or it would end that of the present one.
+// TestStreamOfSupersededIncarnation checks that a stream opened by an earlier incarnation of a peer is
+// not served if it arrives after a heartbeat of the current one: it would end the current stream.
 func TestStreamOfSupersededIncarnation(t *testing.T) {
 	served := 0
-	m := &Mesh{Peers: map[string]string{"c-1": ""}, Log: slog.New(slog.DiscardHandler),
+	mesh := &Mesh{Peers: map[string]string{"c-1": ""}, Log: slog.New(slog.DiscardHandler),
 		Handlers: map[string]StreamHandler{"reports": func(context.Context, string, transport.Stream, *gob.Decoder) { served++ }}}
-	say := func(b Heartbeat) {
+	receive := func(heartbeat Heartbeat) {
 		var buf bytes.Buffer
-		_ = gob.NewEncoder(&buf).Encode(b)
-		m.Receive(t.Context(), testStream{Reader: &buf})
+		_ = gob.NewEncoder(&buf).Encode(heartbeat)
+		mesh.Receive(t.Context(), testStream{Reader: &buf})
 	}
-	say(Heartbeat{From: "c-1", Begun: 200, Number: 1})
-	say(Heartbeat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
+	receive(Heartbeat{From: "c-1", Begun: 200, Number: 1})
+	receive(Heartbeat{From: "c-1", Begun: 100, Number: 9, Stream: "reports"})
 	if served > 0 {
 		t.Error("the stream of the earlier incarnation was served")
 	}
-	say(Heartbeat{From: "c-1", Begun: 200, Number: 2, Stream: "reports"})
+	receive(Heartbeat{From: "c-1", Begun: 200, Number: 2, Stream: "reports"})
 	if served != 1 {
-		t.Error("that of the present one was not")
+		t.Error("the stream of the current incarnation was not served")
 	}
 }
 
-// BenchmarkHeartbeat tells what the heartbeat of a shard's leader takes on the wire, by the number of teams.
+// BenchmarkHeartbeat measures the encoded size of a shard leader's heartbeat by the number of teams.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, teams := range []int{5, 100, 530, 2000} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) {
@@ -48,7 +48,7 @@
 			heartbeat := Heartbeat{From: "c-1", StoreOK: true, Term: 9, Parts: map[string]leader.ShardStatus{"a": status}}
 			var out bytes.Buffer
 			enc := gob.NewEncoder(&out)
-			if err := enc.Encode(heartbeat); err != nil { // the first tells the types too
+			if err := enc.Encode(heartbeat); err != nil { // the first message also carries the type definitions
 				b.Fatal(err)
 			}
 			out.Reset()
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -12,11 +12,11 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	sendTimeout = 3 * time.Second // for the network to take one message
+	sendTimeout = 3 * time.Second // for writing one message to the connection
 )
 
-// SendHeartbeats sends heartbeats to one peer until the context ends, and connects again whenever
-// that fails.
+// SendHeartbeats sends heartbeats to one peer until the context ends, and reconnects after each
+// failure.
 func (m *Mesh) SendHeartbeats(ctx context.Context, addr string) error {
 	for ctx.Err() == nil {
 		if err := m.sendUntilError(ctx, addr); err != nil && ctx.Err() == nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// sendUntilError sends heartbeats on one connection.
+// sendUntilError sends heartbeats on one connection until it fails or the context ends.
 func (m *Mesh) sendUntilError(ctx context.Context, addr string) error {
 	dial, cancel := context.WithTimeout(ctx, dialTimeout)
 	conn, err := m.Dial(dial, addr)
@@ -52,9 +52,9 @@
 	}
 }
 
-// OpenStream opens a connection to a peer for another kind of stream. Its first message is a
-// heartbeat that names the kind, and leaves out what only heartbeats are for. The caller closes
-// the connection.
+// OpenStream opens a connection to a peer for a stream of the given kind. The first message is a
+// heartbeat that names the kind and omits the counts, shards and observations, which only regular
+// heartbeats need. The caller must close the connection.
 func (m *Mesh) OpenStream(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error) {
 	addr, known := m.Peers[peer]
 	if !known {
@@ -75,7 +75,7 @@
 	return conn, enc, nil
 }
 
-// send sends one message, and fails where the network doesn't take it in time.
+// send writes one message, and fails if that takes longer than sendTimeout.
 func send(conn net.Conn, enc *gob.Encoder, h Heartbeat) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if err := enc.Encode(h); err != nil {
