--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -14,12 +14,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// accepted is an accepted connection of the library, as a Stream.
+// accepted adapts an accepted net.Conn to transport.Stream.
 type streamConn struct{ net.Conn }
 
 func (streamConn) SetIdle(time.Duration) {}
 
-// pair returns an uplink that forwards heartbeats to a receiver over a real connection on loopback.
+// pair returns an uplink that forwards heartbeats to a receiver over a loopback connection.
 func newLoopbackPair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	return uplink, receiver
 }
 
-// newHeartbeats returns heartbeats of machines with some tasks each.
+// newHeartbeats returns heartbeats of n machines with five tasks each.
 func newHeartbeats(n int) []*wire.Heartbeat {
 	out := make([]*wire.Heartbeat, n)
 	for i := range out {
@@ -75,18 +75,18 @@
 	return out
 }
 
-// BenchmarkForward forwards heartbeats of 3,000 machines, many at once, as at a large site:
-// one in eight has changed since its last.
+// BenchmarkForward measures concurrent forwarding of heartbeats from 3,000 machines, as in a large
+// deployment. One in eight heartbeats differs from the machine's previous one.
 func BenchmarkForward(b *testing.B) {
 	uplink, _ := newLoopbackPair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
 	})
-	reports := newHeartbeats(3000)
+	heartbeats := newHeartbeats(3000)
 	b.SetParallelism(200)
 	next := make(chan *wire.Heartbeat, 1000)
 	go func() {
 		for i := 0; ; i++ {
-			r := *reports[i%len(reports)]
+			r := *heartbeats[i%len(heartbeats)]
 			r.Seq = uint64(i)
 			if i%8 == 0 {
 				r.Tasks = append([]wire.ReportedTask(nil), r.Tasks...)
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -6,31 +6,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// StreamKind names a stream of heartbeats among those of package peer.
+// StreamKind is the kind of a stream of forwarded heartbeats, as package peer distinguishes them.
 const StreamKind = "reports"
 
-// The messages of a stream. gob matches fields by their Go names and drops what it doesn't know
-// without an error: a field that is renamed here, or in a type that a message holds, is lost
-// between two versions. So these names never change; the functions below map them to the types
-// that the code uses.
+// The types below are the messages of a stream. gob matches fields by their Go names and drops unknown
+// ones without an error: if a field is renamed here, or in a type that a message contains, its value is
+// lost between versions. These names must therefore never change. The functions below convert the
+// messages to and from the types that the rest of the code uses.
 
-// batch is what a forwarding controller sends: heartbeats, which are answered in the same order,
-// and what became of the fencing calls that it made for the leader.
+// batch is a message from a forwarding controller: heartbeats, which are answered in the same order, and
+// the outcomes of fencing calls that it made for the leader.
 type batch struct {
-	Number uint64 // on its stream, from 1: a gap shows that something between the two ends lost one
+	Number uint64 // on its stream, from 1; a gap means that a batch was lost on the way
 	Items  []item
-	Heard  []item   // heartbeats that fencing calls brought
+	Heard  []item   // heartbeats that machines returned to fencing calls
 	Vain   []string // machines that did not answer a fencing call
-	Room   int      // further calls that the sender can make
+	Room   int      // number of further fencing calls that the sender can make
 }
 
-// item is a heartbeat: whole, or with the content of the machine's last one on this stream and
-// new numbers. gob leaves out what is zero, also behind a pointer, so that an optional value
-// travels as a value and a flag.
+// item is a heartbeat. It is either complete, or a delta that carries only new numbers and repeats the
+// content of the machine's previous heartbeat on this stream. gob omits zero values even behind a
+// pointer, so an optional value is sent as a value and a flag.
 type item struct {
 	Machine            string
 	Session, Seq, Term uint64
-	Same               bool // as the last one, but for the numbers
+	Same               bool // the content is that of the previous heartbeat; only Seq and Term are new
 	Addr, Type, Zone   string
 	Spot               bool
 	Noticed            bool
@@ -38,22 +38,22 @@
 	Tasks              []wire.ReportedTask
 }
 
-// reply is the leader's response to a batch: its answers, and the calls that it asks for.
+// reply is the leader's response to a batch: its answers, and the fencing calls that it requests.
 type reply struct {
 	Number  uint64 // of the batch; 0 from a version that does not send it
 	Answers []answer
 	Calls   []reachability.FencingCall
 }
 
-// answer is a worker.HeartbeatResult.
+// answer is the wire format of a worker.HeartbeatResult.
 type answer struct {
-	Entitled bool   // the sender leads the machine's shard
-	Holder   string // who leads it instead, if that is known
+	Entitled bool   // the sender of the reply leads the machine's shard
+	Holder   string // the controller that leads it otherwise, if known
 	Term     uint64
 	Commands []command
 }
 
-// command is a wire.Command.
+// command is the wire format of a wire.Command.
 type command struct {
 	Verb    wire.Verb
 	Task    string
@@ -62,51 +62,51 @@
 	GraceS  float64
 }
 
-// pack returns a heartbeat as it is sent, whole.
-func newItem(r *wire.Heartbeat) item {
-	it := item{Machine: r.Machine, Session: r.Incarnation, Seq: r.Seq, Term: r.FencingToken, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Tasks: r.Tasks}
-	if r.TerminationNoticeS != nil {
-		it.Noticed, it.NoticeS = true, *r.TerminationNoticeS
+// newItem converts a heartbeat to a complete item.
+func newItem(heartbeat *wire.Heartbeat) item {
+	it := item{Machine: heartbeat.Machine, Session: heartbeat.Incarnation, Seq: heartbeat.Seq, Term: heartbeat.FencingToken, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot, Tasks: heartbeat.Tasks}
+	if heartbeat.TerminationNoticeS != nil {
+		it.Noticed, it.NoticeS = true, *heartbeat.TerminationNoticeS
 	}
 	return it
 }
 
-// heartbeat returns the heartbeat of an item that is whole.
+// heartbeat converts a complete item to a heartbeat.
 func (it *item) heartbeat() *wire.Heartbeat {
-	r := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
+	heartbeat := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
 	if it.Noticed {
-		r.TerminationNoticeS = &it.NoticeS
+		heartbeat.TerminationNoticeS = &it.NoticeS
 	}
-	return r
+	return heartbeat
 }
 
 // newAnswer returns an answer as it is sent.
-func newAnswer(v worker.HeartbeatResult) answer {
-	if v.Response == nil {
-		return answer{Holder: v.Leader}
+func newAnswer(result worker.HeartbeatResult) answer {
+	if result.Response == nil {
+		return answer{Holder: result.Leader}
 	}
-	a := answer{Entitled: true, Term: v.Response.FencingToken}
-	for _, c := range v.Response.Commands {
-		p := command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
+	a := answer{Entitled: true, Term: result.Response.FencingToken}
+	for _, c := range result.Response.Commands {
+		packed := command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
 		if c.GraceS != nil {
-			p.Graced, p.GraceS = true, *c.GraceS
+			packed.Graced, packed.GraceS = true, *c.GraceS
 		}
-		a.Commands = append(a.Commands, p)
+		a.Commands = append(a.Commands, packed)
 	}
 	return a
 }
 
-// result decodes an answer.
+// result converts an answer from its wire format.
 func (a *answer) result() worker.HeartbeatResult {
 	if !a.Entitled {
 		return worker.HeartbeatResult{Leader: a.Holder}
 	}
-	out := wire.HeartbeatResponse{FencingToken: a.Term, Commands: make([]wire.Command, len(a.Commands))}
+	response := wire.HeartbeatResponse{FencingToken: a.Term, Commands: make([]wire.Command, len(a.Commands))}
 	for i, c := range a.Commands {
-		out.Commands[i] = wire.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
+		response.Commands[i] = wire.Command{Verb: c.Verb, Task: c.Task, Attempt: c.Attempt}
 		if c.Graced {
-			out.Commands[i].GraceS = &a.Commands[i].GraceS
+			response.Commands[i].GraceS = &a.Commands[i].GraceS
 		}
 	}
-	return worker.HeartbeatResult{Response: &out}
+	return worker.HeartbeatResult{Response: &response}
 }
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -13,31 +13,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// maxCalls bounds the fencing calls that one reply asks for.
+// maxCalls is the maximum number of fencing calls that one reply requests.
 const maxCalls = 32
 
-// Receiver is the leader's end of the streams.
+// Receiver is the leader's end of the streams that peers forward heartbeats on.
 type Receiver struct {
 	// Decide answers a heartbeat that a peer has forwarded.
 	Decide func(*wire.Heartbeat) worker.HeartbeatResult
-	// FencingCalls returns fencing calls for a peer to make, limit at most.
+	// FencingCalls returns at most limit fencing calls for a peer to make.
 	FencingCalls func(limit int) []reachability.FencingCall
-	// FencingCallDone takes in the outcome of one: the machine's heartbeat, or nil where it did
-	// not answer.
-	FencingCallDone func(machine string, r *wire.Heartbeat)
+	// FencingCallDone processes the outcome of a fencing call: the machine's heartbeat, or nil if the
+	// machine did not answer.
+	FencingCallDone func(machine string, heartbeat *wire.Heartbeat)
 	Log             *slog.Logger
 
 	mu        sync.Mutex
-	lastBatch map[string]time.Time        // when each peer's last batch came
-	streams   map[string]transport.Stream // that each peer opened last
+	lastBatch map[string]time.Time        // when each peer's last batch arrived
+	streams   map[string]transport.Stream // the latest one of each peer
 }
 
-// ForwardingPeers names the peers whose last batch is no older than age.
-func (h *Receiver) ForwardingPeers(age time.Duration) map[string]bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// ForwardingPeers returns the names of the peers whose last batch is no older than age.
+func (r *Receiver) ForwardingPeers(age time.Duration) map[string]bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	out := make(map[string]bool)
-	for name, at := range h.lastBatch {
+	for name, at := range r.lastBatch {
 		if time.Since(at) <= age {
 			out[name] = true
 		}
@@ -45,65 +45,66 @@
 	return out
 }
 
-// registerStream closes the stream that a peer had before: what still arrives there is from before
-// a break, or of an earlier incarnation, and no call that it is given would be made.
-func (h *Receiver) registerStream(from string, c transport.Stream) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.streams == nil {
-		h.streams = make(map[string]transport.Stream)
+// registerStream records a peer's new stream and closes its previous one. What still arrives on the
+// previous stream was sent before a disconnection or by an earlier incarnation, and fencing calls sent on
+// it would not be made.
+func (r *Receiver) registerStream(from string, c transport.Stream) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.streams == nil {
+		r.streams = make(map[string]transport.Stream)
 	}
-	if old := h.streams[from]; old != nil {
+	if old := r.streams[from]; old != nil {
 		old.Close()
 	}
-	h.streams[from] = c
+	r.streams[from] = c
 }
 
-// unregisterStream forgets a stream. Calls without an outcome that it was given count as failed,
-// so that this controller makes them itself rather than wait for them.
-func (h *Receiver) unregisterStream(from string, c transport.Stream, outstandingCalls map[string]bool) {
-	h.mu.Lock()
-	if h.streams[from] == c {
-		delete(h.streams, from)
+// unregisterStream removes a stream. Fencing calls that were sent on it and have no outcome count as
+// failed, so that this controller makes them itself instead of waiting for them.
+func (r *Receiver) unregisterStream(from string, c transport.Stream, outstandingCalls map[string]bool) {
+	r.mu.Lock()
+	if r.streams[from] == c {
+		delete(r.streams, from)
 	}
-	h.mu.Unlock()
+	r.mu.Unlock()
 	for machine := range outstandingCalls {
-		h.FencingCallDone(machine, nil)
+		r.FencingCallDone(machine, nil)
 	}
 }
 
 // recordBatch notes that a peer forwards heartbeats.
-func (h *Receiver) recordBatch(now time.Time, from string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.lastBatch == nil {
-		h.lastBatch = make(map[string]time.Time)
+func (r *Receiver) recordBatch(now time.Time, from string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.lastBatch == nil {
+		r.lastBatch = make(map[string]time.Time)
 	}
-	h.lastBatch[from] = now
+	r.lastBatch[from] = now
 }
 
-// Serve answers the batches of one stream until it ends.
-func (h *Receiver) Serve(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder) {
+// Serve answers the batches on one stream until the stream ends.
+func (r *Receiver) Serve(ctx context.Context, from string, c transport.Stream, dec *gob.Decoder) {
 	enc, codec, outstandingCalls := gob.NewEncoder(c), newDeltaCodec(), make(map[string]bool)
-	h.registerStream(from, c)
-	defer h.unregisterStream(from, c, outstandingCalls)
+	r.registerStream(from, c)
+	defer r.unregisterStream(from, c, outstandingCalls)
 	for number := uint64(1); ctx.Err() == nil; number++ {
 		var b batch
 		if err := dec.Decode(&b); err != nil {
 			return
 		}
 		if b.Number != 0 && b.Number != number {
-			h.Log.Warn("heartbeat batch missing", "peer", from, "number", b.Number, "expected", number)
+			r.Log.Warn("heartbeat batch missing", "peer", from, "number", b.Number, "expected", number)
 			return
 		}
 		now := time.Now()
-		h.recordBatch(now, from)
-		answers, ok := h.answerAll(now, from, b.Items, codec)
+		r.recordBatch(now, from)
+		answers, ok := r.answerAll(now, from, b.Items, codec)
 		if !ok {
 			return
 		}
-		h.applyCallOutcomes(&b, outstandingCalls)
-		calls := h.FencingCalls(min(b.Room, maxCalls))
+		r.applyCallOutcomes(&b, outstandingCalls)
+		calls := r.FencingCalls(min(b.Room, maxCalls))
 		for _, call := range calls {
 			outstandingCalls[call.Machine] = true
 		}
@@ -113,29 +114,29 @@
 	}
 }
 
-// answerAll answers the heartbeats of a batch in their order. ok is false where one can't be
-// restored, which ends the stream: the next one begins with whole heartbeats.
-func (h *Receiver) answerAll(now time.Time, from string, items []item, codec *deltaCodec) (answers []answer, ok bool) {
+// answerAll answers the heartbeats of a batch in order. ok is false if a delta can't be expanded. The
+// caller then ends the stream, and the next stream begins with complete heartbeats.
+func (r *Receiver) answerAll(now time.Time, from string, items []item, codec *deltaCodec) (answers []answer, ok bool) {
 	answers = make([]answer, 0, len(items))
 	for _, it := range items {
-		whole, known := codec.expand(now, it)
+		full, known := codec.expand(now, it)
 		if !known {
-			h.Log.Warn("heartbeat delta without its base", "peer", from, "machine", it.Machine)
+			r.Log.Warn("heartbeat delta without its base", "peer", from, "machine", it.Machine)
 			return nil, false
 		}
-		answers = append(answers, newAnswer(h.Decide(whole.heartbeat())))
+		answers = append(answers, newAnswer(r.Decide(full.heartbeat())))
 	}
 	return answers, true
 }
 
-// applyCallOutcomes applies the outcomes of the fencing calls in a batch.
-func (h *Receiver) applyCallOutcomes(b *batch, outstandingCalls map[string]bool) {
+// applyCallOutcomes processes the outcomes of fencing calls that a batch carries.
+func (r *Receiver) applyCallOutcomes(b *batch, outstandingCalls map[string]bool) {
 	for _, it := range b.Heard {
 		delete(outstandingCalls, it.Machine)
-		h.FencingCallDone(it.Machine, it.heartbeat())
+		r.FencingCallDone(it.Machine, it.heartbeat())
 	}
 	for _, machine := range b.Vain {
 		delete(outstandingCalls, machine)
-		h.FencingCallDone(machine, nil)
+		r.FencingCallDone(machine, nil)
 	}
 }
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// countInterval is how often the machines that send their heartbeats here are counted.
+	// countInterval is the interval at which the machines that report to this controller are counted.
 	countInterval = time.Second
-	// forgetAfter is after how long without a heartbeat a machine is forgotten.
+	// forgetAfter is the time without a heartbeat after which a machine is forgotten.
 	forgetAfter = time.Minute
-	// overdueObservationAge is for how long an overdue machine is evidence about its zone: after
-	// that it may be sending its heartbeats elsewhere.
+	// overdueObservationAge is the time for which an overdue machine counts as evidence about its zone.
+	// After that, it may be sending its heartbeats to another controller.
 	overdueObservationAge = 15 * time.Second
 )
 
-// reporters are the machines that send their heartbeats to this controller.
+// reportingMachines tracks the machines that send their heartbeats to this controller.
 type reportingMachines struct {
 	mu        sync.Mutex
 	last      map[string]lastHeartbeat // by machine
-	count     int                      // of them within the window, when they were last counted
+	count     int                      // machines within the window at countedAt, updated for additions and removals since
 	countedAt time.Time
-	// redirected counts the heartbeats redirected unread since countedAt, and
-	// redirectedLastSecond those in the second before.
+	// redirected is the number of heartbeats that were redirected unread since countedAt, and
+	// redirectedLastSecond the number in the counting interval before it.
 	redirected           int
 	redirectedLastSecond int
 }
 
-// lastHeartbeat is when a machine last sent a heartbeat here, and its zone.
+// lastHeartbeat is the time and the zone of a machine's last heartbeat.
 type lastHeartbeat struct {
 	at   time.Time
 	zone string
 }
 
-// record notes a heartbeat.
+// record records a heartbeat of a machine.
 func (r *reportingMachines) record(now time.Time, machine, zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,19 +46,19 @@
 	if !known {
 		r.count++
 	} else if previous.zone == zone {
-		zone = previous.zone // keeps one copy of the text, not one for each heartbeat
+		zone = previous.zone // keep the existing string, so that memory holds one copy and not one per heartbeat
 	}
 	r.last[machine] = lastHeartbeat{now, zone}
 }
 
-// recordRedirect notes a heartbeat that was redirected unread.
+// recordRedirect counts a heartbeat that was redirected unread.
 func (r *reportingMachines) recordRedirect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.redirected++
 }
 
-// forget forgets a machine that was sent elsewhere.
+// forget removes a machine that was sent to another controller.
 func (r *reportingMachines) forget(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,15 +68,16 @@
 	}
 }
 
-// counts returns how many machines send their heartbeats here, as of the last second, and how many heartbeats
-// were redirected in the second before. A machine reports if its last heartbeat is within window.
+// counts returns the number of machines that report to this controller, and the number of heartbeats that
+// were redirected in the last counting interval. A machine reports if its last heartbeat is within
+// window. Both numbers are updated once every countInterval.
 func (r *reportingMachines) counts(window time.Duration) (reporting, redirected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.countedAt) >= countInterval {
 		r.countedAt, r.count, r.redirectedLastSecond, r.redirected = now, 0, r.redirected, 0
-		for id, l := range r.last {
-			switch age := now.Sub(l.at); {
+		for id, last := range r.last {
+			switch age := now.Sub(last.at); {
 			case age > forgetAfter:
 				delete(r.last, id)
 			case age < window:
@@ -87,23 +88,23 @@
 	return r.count, r.redirectedLastSecond
 }
 
-// observations counts by zone the machines that send their heartbeats here, and those that are overdue. Machines
-// that were sent elsewhere are neither.
+// observations counts, for each zone, the machines that report to this controller and those whose
+// heartbeats are overdue. Machines that were sent to another controller count as neither.
 func (r *reportingMachines) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]zone.Observation)
-	for _, l := range r.last {
-		seen := out[l.zone]
-		switch age := now.Sub(l.at); {
+	observations := make(map[string]zone.Observation)
+	for _, last := range r.last {
+		observation := observations[last.zone]
+		switch age := now.Sub(last.at); {
 		case age <= overdue:
-			seen.Heard++
+			observation.Heard++
 		case age < overdue+overdueObservationAge:
-			seen.Quiet++
+			observation.Quiet++
 		default:
 			continue
 		}
-		out[l.zone] = seen
+		observations[last.zone] = observation
 	}
-	return out
+	return observations
 }
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -17,44 +17,47 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Bounds of a stream.
+// Limits of a stream.
 const (
 	maxBatch            = 256                    // heartbeats in a batch
-	batchInterval       = 25 * time.Millisecond  // between two batches, so that more heartbeats share one
-	keepAliveInterval   = time.Second            // after which an empty batch shows that the sender is alive
-	maxInFlight         = 4                      // batches without a reply
+	batchInterval       = 25 * time.Millisecond  // minimum time between two batches, so that more heartbeats share one
+	keepAliveInterval   = time.Second            // after which an empty batch is sent to show that the sender is alive
+	maxInFlight         = 4                      // batches that wait for a reply
 	stallTimeout        = 8 * time.Second        // after which a stream that makes no progress is closed
-	leaderCheckInterval = 200 * time.Millisecond // between two looks at who leads
+	leaderCheckInterval = 200 * time.Millisecond // between two checks of which controller leads
 	dialTimeout         = 2 * time.Second
 )
 
-// stream is an open connection to a leader. What is not a channel is guarded by the uplink's lock.
+// stream is an open connection to a leader. The fields that change, except for channels and runningCalls,
+// are guarded by the uplink's mutex.
 type stream struct {
 	leader   string
 	conn     net.Conn
 	queue    []*pendingHeartbeat
-	wake     chan struct{}            // the sender has something to send
-	inFlight chan []*pendingHeartbeat // batches without a reply
+	wake     chan struct{}            // signals that there is something to send
+	inFlight chan []*pendingHeartbeat // batches that wait for a reply
 
-	activeCalls    int      // fencing calls being made for the leader
-	callHeartbeats []item   // that calls have brought since the last batch
-	failedCalls    []string // machines that have not answered since then
+	activeCalls    int      // number of fencing calls in progress for the leader
+	callHeartbeats []item   // returned to fencing calls since the last batch
+	failedCalls    []string // machines that did not answer a fencing call since the last batch
 	runningCalls   sync.WaitGroup
 
-	// proven is set once the leader has answered a batch, so that it is worth waiting for.
+	// established is set once the leader has replied to a batch. Until then, no heartbeats are queued on
+	// the stream.
 	established bool
 }
 
-// pendingHeartbeat is a heartbeat whose worker waits.
+// pendingHeartbeat is a heartbeat whose worker waits for an answer.
 type pendingHeartbeat struct {
 	heartbeat *wire.Heartbeat
 	since     time.Time
-	answer    chan worker.HeartbeatResult // closed without an answer where none came in time
+	answer    chan worker.HeartbeatResult // closed without a value if no answer arrives in time
 }
 
 var (
-	// errLeaderChanged means that another controller leads now.
-	errLeaderChanged = errors.New("another controller leads")
+	// errLeaderChanged is returned if a stream ends because another controller leads now.
+	errLeaderChanged = errors.New("another controller leads now")
+	// errReplyMismatch is returned if a reply does not belong to the oldest outstanding batch.
 	errReplyMismatch = errors.New("the reply does not answer each heartbeat of the batch")
 )
 
@@ -65,10 +68,10 @@
 	}
 }
 
-// runStream opens a stream to a leader and forwards heartbeats on it until it breaks.
+// runStream opens a stream to a leader and forwards heartbeats on it until it fails or the leader changes.
 func (u *Uplink) runStream(ctx context.Context, leader string) error {
-	dial, cancel := context.WithTimeout(ctx, dialTimeout)
-	conn, enc, err := u.OpenStream(dial, leader, StreamKind)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	conn, enc, err := u.OpenStream(dialCtx, leader, StreamKind)
 	cancel()
 	if err != nil {
 		return fmt.Errorf("open a heartbeat stream: %w", err)
@@ -88,8 +91,8 @@
 	return g.Wait()
 }
 
-// watchLeader ends a stream as soon as another controller leads, also while the former leader
-// hangs and takes nothing.
+// watchLeader ends a stream as soon as another controller leads, even if the former leader hangs and
+// reads nothing.
 func (u *Uplink) watchLeader(ctx context.Context, s *stream) error {
 	tick := time.NewTicker(leaderCheckInterval)
 	defer tick.Stop()
@@ -105,8 +108,8 @@
 	}
 }
 
-// sendBatches sends batches, several of them before the first is answered: a leader that is busy
-// answers late, but no fewer in all.
+// sendBatches sends batches, up to maxInFlight of them before the first is answered. The replies of a busy
+// leader are then delayed, but its throughput does not drop.
 func (u *Uplink) sendBatches(ctx context.Context, s *stream, enc *gob.Encoder) error {
 	codec := newDeltaCodec()
 	for number := uint64(1); ctx.Err() == nil; number++ {
@@ -138,7 +141,7 @@
 	return nil
 }
 
-// receiveReplies hands out the answers, which come in the order of the batches.
+// receiveReplies delivers the answers, which arrive in the order of the batches.
 func (u *Uplink) receiveReplies(ctx context.Context, s *stream, dec *gob.Decoder) error {
 	for number := uint64(1); ; number++ {
 		select {
@@ -159,7 +162,7 @@
 	}
 }
 
-// readReply reads the reply to a batch.
+// readReply reads the reply to the batch with the given number and number of heartbeats.
 func readReply(dec *gob.Decoder, number uint64, heartbeats int) (r reply, err error) {
 	if err := dec.Decode(&r); err != nil {
 		return r, fmt.Errorf("read a reply: %w", err)
@@ -170,7 +173,7 @@
 	return r, nil
 }
 
-// startCalls makes the fencing calls that a reply asks for.
+// startCalls marks the stream as established and starts the fencing calls that a reply requests.
 func (u *Uplink) startCalls(ctx context.Context, s *stream, calls []reachability.FencingCall) {
 	u.mu.Lock()
 	s.established = true
@@ -182,22 +185,23 @@
 	}
 }
 
-// makeFencingCall makes a call for the leader and keeps its outcome for the next batch.
+// makeFencingCall makes a fencing call for the leader and keeps its outcome for the next batch.
 func (u *Uplink) makeFencingCall(ctx context.Context, s *stream, c reachability.FencingCall) {
 	defer s.runningCalls.Done()
-	r := u.FencingCall(ctx, c)
+	heartbeat := u.FencingCall(ctx, c)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	s.activeCalls--
-	if r != nil && r.Machine == c.Machine {
-		s.callHeartbeats = append(s.callHeartbeats, newItem(r))
+	if heartbeat != nil && heartbeat.Machine == c.Machine {
+		s.callHeartbeats = append(s.callHeartbeats, newItem(heartbeat))
 	} else {
 		s.failedCalls = append(s.failedCalls, c.Machine)
 	}
 	s.wakeSender()
 }
 
-// newBatch begins a batch with the outcomes of calls, and how many more can be made.
+// newBatch returns a batch with the outcomes of fencing calls and the number of further calls that can be
+// made, but without heartbeats.
 func (u *Uplink) newBatch(s *stream) batch {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -209,8 +213,8 @@
 	return b
 }
 
-// nextHeartbeats takes the heartbeats to forward next. It drops those that have waited so long
-// that their workers don't wait any longer.
+// nextHeartbeats removes the next heartbeats to forward from the queue. It drops those that have waited
+// for answerTimeout, because their workers will not wait for an answer any longer.
 func (u *Uplink) nextHeartbeats(s *stream) []*pendingHeartbeat {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -231,7 +235,7 @@
 	return out
 }
 
-// abandon ends the wait for answers to heartbeats whose answers are lost.
+// abandon ends the wait for heartbeats that will not be answered, and counts them as unanswered.
 func (u *Uplink) abandon(heartbeats []*pendingHeartbeat) {
 	for _, p := range heartbeats {
 		close(p.answer)
@@ -241,7 +245,7 @@
 	u.mu.Unlock()
 }
 
-// closeStream forgets a stream, and abandons what waits on it.
+// closeStream removes a stream from the uplink and abandons the heartbeats that wait on it.
 func (u *Uplink) closeStream(s *stream) {
 	u.mu.Lock()
 	if u.stream == s {
@@ -250,10 +254,10 @@
 			u.brokenAt = time.Now()
 		}
 	}
-	rest := s.queue
+	queued := s.queue
 	s.queue = nil
 	u.mu.Unlock()
-	u.abandon(rest)
+	u.abandon(queued)
 	for len(s.inFlight) > 0 {
 		u.abandon(<-s.inFlight)
 	}
--- a/internal/ingest/uplinks.go
+++ b/internal/ingest/uplinks.go
@@ -10,30 +10,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Uplinks are a controller's uplinks, one to each peer: where the fleet has several shards, any of
-// them may lead some.
+// Uplinks is the set of a controller's uplinks, one to each peer. It is used if the fleet has several
+// shards, because any peer may then lead some of them.
 type Uplinks struct {
 	ByPeer map[string]*Uplink
-	// Leader names the peer that leads the shard of a heartbeat's machine, empty for none.
-	Leader func(r *wire.Heartbeat) string
+	// Leader returns the peer that leads the shard of a heartbeat's machine, or an empty string.
+	Leader func(heartbeat *wire.Heartbeat) string
 }
 
-// ConnectedLeaders names the peers that heartbeats can be forwarded to, in order.
+// ConnectedLeaders returns the sorted names of the peers that heartbeats can be forwarded to.
 func (u *Uplinks) ConnectedLeaders() []string {
-	var out []string
-	for name, e := range u.ByPeer {
-		if e.ForwardsTo() != "" {
-			out = append(out, name)
+	var names []string
+	for name, uplink := range u.ByPeer {
+		if uplink.ForwardsTo() != "" {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// ForwardsTo names the first of the peers that heartbeats can be forwarded to, empty for none.
+// ForwardsTo returns the first by name of the peers that heartbeats can be forwarded to, or an empty
+// string.
 func (u *Uplinks) ForwardsTo() (first string) {
-	for name, e := range u.ByPeer { // called for each heartbeat
-		if (first == "" || name < first) && e.ForwardsTo() != "" {
+	for name, uplink := range u.ByPeer { // no sorted slice is built, because this runs for each heartbeat
+		if (first == "" || name < first) && uplink.ForwardsTo() != "" {
 			first = name
 		}
 	}
@@ -41,38 +42,38 @@
 }
 
 // Forward forwards a heartbeat to the leader of its machine's shard, as Uplink.Forward does.
-func (u *Uplinks) Forward(ctx context.Context, r *wire.Heartbeat) (v worker.HeartbeatResult, ok bool) {
-	if e := u.ByPeer[u.Leader(r)]; e != nil {
-		return e.Forward(ctx, r)
+func (u *Uplinks) Forward(ctx context.Context, heartbeat *wire.Heartbeat) (result worker.HeartbeatResult, ok bool) {
+	if uplink := u.ByPeer[u.Leader(heartbeat)]; uplink != nil {
+		return uplink.Forward(ctx, heartbeat)
 	}
 	return worker.HeartbeatResult{}, false
 }
 
 // Reconnecting reports whether a stream to a leader is expected to open soon.
 func (u *Uplinks) Reconnecting() bool {
-	for _, e := range u.ByPeer {
-		if e.Reconnecting() {
+	for _, uplink := range u.ByPeer {
+		if uplink.Reconnecting() {
 			return true
 		}
 	}
 	return false
 }
 
-// Counts sums the counts of all uplinks.
+// Counts returns the sum of the counts of all uplinks.
 func (u *Uplinks) Counts() (sum Counts) {
-	for _, e := range u.ByPeer {
-		c := e.Counts()
-		sum.Forwarded += c.Forwarded
-		sum.Unanswered += c.Unanswered
+	for _, uplink := range u.ByPeer {
+		counts := uplink.Counts()
+		sum.Forwarded += counts.Forwarded
+		sum.Unanswered += counts.Unanswered
 	}
 	return sum
 }
 
-// Run keeps the streams open until the context ends.
+// Run runs all uplinks until the context ends.
 func (u *Uplinks) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, e := range u.ByPeer {
-		g.Go(func() error { return e.Run(ctx) })
+	for _, uplink := range u.ByPeer {
+		g.Go(func() error { return uplink.Run(ctx) })
 	}
 	return g.Wait()
 }
