--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -155,7 +155,7 @@
 				return hang(ctx, id)
 			})
 		}, 0},
-		"request not understood": {func(f *fixture) { f.writer.setAnswer(nil) }, 0},
+		"a word not understood": {func(f *fixture) { f.writer.setAnswer(nil) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -14,12 +14,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// accepted adapts an accepted net.Conn to transport.Stream.
+// streamConn adapts an accepted net.Conn to transport.Stream.
 type streamConn struct{ net.Conn }
 
 func (streamConn) SetIdle(time.Duration) {}
 
-// pair returns an uplink that forwards heartbeats to a receiver over a loopback connection.
+// newLoopbackPair returns an uplink that forwards heartbeats to a receiver over a loopback connection.
 func newLoopbackPair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -63,22 +63,22 @@
 
 // newHeartbeats returns heartbeats of n machines with five tasks each.
 func newHeartbeats(n int) []*wire.Heartbeat {
-	out := make([]*wire.Heartbeat, n)
-	for i := range out {
-		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
+	heartbeats := make([]*wire.Heartbeat, n)
+	for i := range heartbeats {
+		heartbeat := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
 		for k := range 5 {
 			id := wire.TaskID{Job: fmt.Sprintf("wk-%06d", i), Index: k}
-			r.Tasks = append(r.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: 3 << 24, State: wire.TaskRunning})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: 3 << 24, State: wire.TaskRunning})
 		}
-		out[i] = r
+		heartbeats[i] = heartbeat
 	}
-	return out
+	return heartbeats
 }
 
 // BenchmarkForward measures concurrent forwarding of heartbeats from 3,000 machines, as in a large
 // deployment. One in eight heartbeats differs from the machine's previous one.
 func BenchmarkForward(b *testing.B) {
-	uplink, _ := newLoopbackPair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	uplink, _ := newLoopbackPair(b, func(heartbeat *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
 	})
 	heartbeats := newHeartbeats(3000)
@@ -86,13 +86,13 @@
 	next := make(chan *wire.Heartbeat, 1000)
 	go func() {
 		for i := 0; ; i++ {
-			r := *heartbeats[i%len(heartbeats)]
-			r.Seq = uint64(i)
+			heartbeat := *heartbeats[i%len(heartbeats)]
+			heartbeat.Seq = uint64(i)
 			if i%8 == 0 {
-				r.Tasks = append([]wire.ReportedTask(nil), r.Tasks...)
-				r.Tasks[0].Attempt = uint64(i)
+				heartbeat.Tasks = append([]wire.ReportedTask(nil), heartbeat.Tasks...)
+				heartbeat.Tasks[0].Attempt = uint64(i)
 			}
-			next <- &r
+			next <- &heartbeat
 		}
 	}()
 	b.ResetTimer()
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -20,14 +20,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// link is an uplink and a receiver in memory, on any clock.
+// link connects an uplink to a receiver in memory.
 type link struct {
 	*Uplink
 	receiver *Receiver
 	mu       sync.Mutex
 	leader   string
-	conn     net.Conn // the uplink's end of the open stream
-	opened   int
+	conn     net.Conn // the uplink's end of the latest stream
+	opened   int      // number of streams opened
 }
 
 func newLink(ctx context.Context, decide func(*wire.Heartbeat) worker.HeartbeatResult, setup []func(*link)) *link {
@@ -62,39 +62,39 @@
 	l.leader = name
 }
 
-// runWithLink runs a test with a link, on a fake clock.
-func runWithLink(t *testing.T, decide func(*wire.Heartbeat) worker.HeartbeatResult, play func(ctx context.Context, l *link), setup ...func(*link)) {
+// runWithLink runs a test with a link on a fake clock. setup changes the link before its uplink starts.
+func runWithLink(t *testing.T, decide func(*wire.Heartbeat) worker.HeartbeatResult, run func(ctx context.Context, l *link), setup ...func(*link)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		l := newLink(ctx, decide, setup)
 		time.Sleep(time.Second)
-		play(ctx, l)
+		run(ctx, l)
 		stop()
 		time.Sleep(10 * time.Minute)
 	})
 }
 
-// TestForwardingIsLossless: what is zero must not become absent. A stop with no grace
-// and a machine that is taken at once were both lost by the encoding between processes.
+// TestForwardingIsLossless checks that forwarding preserves optional values that are zero. gob once
+// dropped both a stop command's grace period of zero and a termination notice of zero.
 func TestForwardingIsLossless(t *testing.T) {
 	zero, nine := 0.0, 9.5
 	answer := worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{
 		{Verb: wire.Stop, Task: "wk-1/0", Attempt: 3, GraceS: &zero}, {Verb: wire.Stop, Task: "wk-1/1", Attempt: 3, GraceS: &nine}, {Verb: wire.Launch, Task: "wk-2/0", Attempt: 4}}}}
-	report := newHeartbeats(1)[0]
-	report.Seq, report.Spot, report.TerminationNoticeS = 12, true, &zero
+	heartbeat := newHeartbeats(1)[0]
+	heartbeat.Seq, heartbeat.Spot, heartbeat.TerminationNoticeS = 12, true, &zero
 	var got *wire.Heartbeat
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return answer }, func(ctx context.Context, l *link) {
-		if v, ok := l.Forward(ctx, report); !ok || !reflect.DeepEqual(v, answer) {
-			t.Errorf("the answer became %+v, %v", v.Response, ok)
+		if v, ok := l.Forward(ctx, heartbeat); !ok || !reflect.DeepEqual(v, answer) {
+			t.Errorf("the answer arrived as %+v, %v", v.Response, ok)
 		}
-		if !reflect.DeepEqual(got, report) {
-			t.Errorf("the report became %+v", got)
+		if !reflect.DeepEqual(got, heartbeat) {
+			t.Errorf("the heartbeat arrived as %+v", got)
 		}
 	})
 }
 
-// TestDeltaCodecOmitsUnchanged: a heartbeat that equals the machine's last one is whole
-// again on the other side, after a change, an end, a new incarnation and a new stream too.
+// TestDeltaCodecOmitsUnchanged checks that the receiver restores a heartbeat that repeats the machine's
+// previous one, also after changed or ended tasks, a new incarnation, a new stream and a long pause.
 func TestDeltaCodecOmitsUnchanged(t *testing.T) {
 	var got *wire.Heartbeat
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult { got = r; return worker.HeartbeatResult{Leader: "c-2"} }, func(ctx context.Context, l *link) {
@@ -113,14 +113,15 @@
 				got.Tasks = r.Tasks
 			}
 			if !reflect.DeepEqual(got, r) {
-				t.Errorf("step %d: %+v became %+v", seq, r, got)
+				t.Errorf("step %d: %+v arrived as %+v", seq, r, got)
 			}
 		}
 	})
 }
 
-// TestSlowLeader: a leader that takes seconds for each batch answers late what it can, and a heartbeat
-// whose worker waits no longer is not forwarded. The stream to it stays open.
+// TestSlowLeader checks that a leader that needs seconds for each batch still answers some heartbeats in
+// time, that no caller waits longer than its worker does, and that the stream stays open. Heartbeats whose
+// workers have stopped waiting are not forwarded.
 func TestSlowLeader(t *testing.T) {
 	calls := 0
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
@@ -137,9 +138,9 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				begun := time.Now()
+				start := time.Now()
 				v, ok := l.Forward(ctx, r)
-				if took := time.Since(begun); !ok || took > 4*time.Second {
+				if took := time.Since(start); !ok || took > 4*time.Second {
 					t.Errorf("%s waited for %v, %v", r.Machine, took, ok)
 				}
 				mu.Lock()
@@ -151,7 +152,7 @@
 		}
 		group.Wait()
 		if answered == 0 || answered == 8 {
-			t.Errorf("%d of 8 were answered in time", answered)
+			t.Errorf("%d of 8 heartbeats answered in time", answered)
 		}
 		time.Sleep(20 * time.Second)
 		if v, ok := l.Forward(ctx, newHeartbeats(1)[0]); !ok || v.Response == nil || l.opened != 1 {
@@ -160,22 +161,22 @@
 	})
 }
 
-// TestFencingCallsDelegated: the calls that the leader asks a peer for are made, as many at once as
-// the peer can make, and the leader gets their outcomes, those of failed calls too.
+// TestFencingCallsDelegated checks that a peer makes the fencing calls that the leader requests, at most
+// as many at once as its throttle allows, and that the leader receives their outcomes, including failures.
 func TestFencingCallsDelegated(t *testing.T) {
 	var mu sync.Mutex
-	asked, told, open, most := 0, map[string]bool{}, 0, 0
+	requested, outcomes, open, maxOpen := 0, map[string]bool{}, 0, 0
 	runWithLink(t, nil, func(_ context.Context, _ *link) {
 		time.Sleep(20 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		for machine, ok := range told {
+		for machine, ok := range outcomes {
 			if ok == (machine == "n-007") {
 				t.Errorf("%s: %v", machine, ok)
 			}
 		}
-		if len(told) != 100 || most > throttle.MaxWindow {
-			t.Errorf("%d of 100 were called, %d at once", len(told), most)
+		if len(outcomes) != 100 || maxOpen > throttle.MaxWindow {
+			t.Errorf("%d of 100 machines called, at most %d at once", len(outcomes), maxOpen)
 		}
 	}, func(l *link) {
 		l.Throttle = throttle.New()
@@ -183,20 +184,20 @@
 			mu.Lock()
 			defer mu.Unlock()
 			var out []reachability.FencingCall
-			for ; asked < 100 && len(out) < n; asked++ {
-				out = append(out, reachability.FencingCall{Machine: fmt.Sprintf("n-%03d", asked), Term: 3, Session: 1})
+			for ; requested < 100 && len(out) < n; requested++ {
+				out = append(out, reachability.FencingCall{Machine: fmt.Sprintf("n-%03d", requested), Term: 3, Session: 1})
 			}
 			return out
 		}
 		l.receiver.FencingCallDone = func(machine string, r *wire.Heartbeat) {
 			mu.Lock()
 			defer mu.Unlock()
-			told[machine] = r != nil && r.FencingToken == 3 && len(r.Tasks) == 5
+			outcomes[machine] = r != nil && r.FencingToken == 3 && len(r.Tasks) == 5
 		}
 		l.Uplink.FencingCall = func(_ context.Context, c reachability.FencingCall) *wire.Heartbeat {
 			mu.Lock()
 			open++
-			most = max(most, open)
+			maxOpen = max(maxOpen, open)
 			mu.Unlock()
 			time.Sleep(200 * time.Millisecond)
 			mu.Lock()
@@ -211,43 +212,44 @@
 	})
 }
 
-// TestLeaderChanges: heartbeats go to whoever leads, and nowhere while there is no stream; after one
-// broke, workers are not all sent to the leader at once.
+// TestLeaderChanges checks that heartbeats go to the current leader and to no controller while there is no
+// stream, and that workers are not redirected to the leader right after a stream broke: all at once would
+// overload it.
 func TestLeaderChanges(t *testing.T) {
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
 	}, func(ctx context.Context, l *link) {
 		if l.ForwardsTo() != "c-0" {
-			t.Errorf("passes to %q", l.ForwardsTo())
+			t.Errorf("forwards to %q", l.ForwardsTo())
 		}
 		l.setLeader("c-2")
 		time.Sleep(3 * time.Second)
 		if l.ForwardsTo() != "c-2" || l.opened != 2 {
-			t.Errorf("passes to %q, opened %d times", l.ForwardsTo(), l.opened)
+			t.Errorf("forwards to %q, opened %d times", l.ForwardsTo(), l.opened)
 		}
 		l.setLeader("")
 		if _, ok := l.Forward(ctx, newHeartbeats(1)[0]); ok {
-			t.Error("a report was passed to nobody")
+			t.Error("a heartbeat was forwarded without a leader")
 		}
 		time.Sleep(2 * time.Second)
-		desk := &Gateway{Forwarder: l.Uplink, Leader: func(*wire.Heartbeat) string { return "c-2" }}
-		if to := desk.RedirectTarget(nil); to != "" {
-			t.Errorf("sent to %q right after the stream broke", to)
+		gateway := &Gateway{Forwarder: l.Uplink, Leader: func(*wire.Heartbeat) string { return "c-2" }}
+		if to := gateway.RedirectTarget(nil); to != "" {
+			t.Errorf("redirected to %q right after the stream broke", to)
 		}
 		time.Sleep(10 * time.Second)
-		if to := desk.RedirectTarget(nil); to != "c-2" {
-			t.Errorf("sent to %q long after", to)
+		if to := gateway.RedirectTarget(nil); to != "c-2" {
+			t.Errorf("redirected to %q long after the stream broke", to)
 		}
 	})
 }
 
-// TestHungLeader: a leader that takes nothing any more is left as soon as another leads the
-// fleet, and not when the stream has not moved for long.
+// TestHungLeader checks that the uplink leaves a leader that stops reading as soon as another controller
+// leads the fleet, instead of after stallTimeout.
 func TestHungLeader(t *testing.T) {
-	still := true
+	hung := true
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
-		if still {
-			still = false
+		if hung {
+			hung = false
 			time.Sleep(time.Minute)
 		}
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 1}}
@@ -259,13 +261,13 @@
 		l.setLeader("c-2")
 		time.Sleep(time.Second)
 		if l.ForwardsTo() != "c-2" {
-			t.Errorf("a second after the fleet changed hands reports go to %q", l.ForwardsTo())
+			t.Errorf("one second after the leader changed, heartbeats go to %q", l.ForwardsTo())
 		}
 	})
 }
 
-// TestBrokenStream: a stream that breaks with heartbeats in flight leaves none of them
-// without an outcome, and the next one begins with whole heartbeats.
+// TestBrokenStream checks that every heartbeat in flight on a stream that breaks gets an outcome, and that
+// the next stream begins with complete heartbeats.
 func TestBrokenStream(t *testing.T) {
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		time.Sleep(500 * time.Millisecond)
@@ -288,82 +290,83 @@
 		r := newHeartbeats(1)[0]
 		r.Seq = 9
 		if v, ok := l.Forward(ctx, r); !ok || v.Response == nil {
-			t.Errorf("after the tear: %+v, %v", v, ok)
+			t.Errorf("after the stream broke: %+v, %v", v, ok)
 		}
 	})
 }
 
-// TestBalancer is a table of which controller takes which heartbeats.
+// TestBalancer checks which controller receives a machine's heartbeats. In the names of the cases, an edge
+// is a controller that forwards heartbeats.
 func TestBalancer(t *testing.T) {
 	for name, c := range map[string]struct {
-		leader, fresh bool
-		mine          int
-		others        map[string]int
-		want          string
+		leader, newConnection bool
+		local                 int
+		peers                 map[string]int
+		want                  string
 	}{
-		"a leader with few keeps them":                    {leader: true, mine: 100, others: map[string]int{"b": 0}, want: ""},
-		"a leader with many sends on, to the least":       {leader: true, mine: 300, others: map[string]int{"b": 500, "c": 400}, want: "c"},
-		"a leader without peers keeps all":                {leader: true, fresh: true, mine: 5000, want: ""},
-		"nobody is sent where there is no room":           {leader: true, fresh: true, mine: 5000, others: map[string]int{"b": 2000, "c": 2500}, want: ""},
-		"an edge with its share keeps it":                 {mine: 1000, others: map[string]int{"b": 900, "c": 950}, want: ""},
-		"an edge with far more sends on":                  {mine: 1500, others: map[string]int{"b": 100, "c": 900}, want: "b"},
-		"an edge that is full sends on to one that isn't": {fresh: true, mine: 2400, others: map[string]int{"b": 700, "c": 2100}, want: "b"},
+		"a leader with few keeps them":                    {leader: true, local: 100, peers: map[string]int{"b": 0}, want: ""},
+		"a leader with many sends on, to the least":       {leader: true, local: 300, peers: map[string]int{"b": 500, "c": 400}, want: "c"},
+		"a leader without peers keeps all":                {leader: true, newConnection: true, local: 5000, want: ""},
+		"nobody is sent where there is no room":           {leader: true, newConnection: true, local: 5000, peers: map[string]int{"b": 2000, "c": 2500}, want: ""},
+		"an edge with its share keeps it":                 {local: 1000, peers: map[string]int{"b": 900, "c": 950}, want: ""},
+		"an edge with far more sends on":                  {local: 1500, peers: map[string]int{"b": 100, "c": 900}, want: "b"},
+		"an edge that is full sends on to one that isn't": {newConnection: true, local: 2400, peers: map[string]int{"b": 700, "c": 2100}, want: "b"},
 	} {
-		s := Balancer{LeaderKeeps: 200, Capacity: 2000}
-		if got := s.Target(time.Unix(1e9, 0), c.leader, c.fresh, c.mine, c.others); got != c.want {
-			t.Errorf("%s: %q, not %q", name, got, c.want)
+		balancer := Balancer{LeaderKeeps: 200, Capacity: 2000}
+		if got := balancer.Target(time.Unix(1e9, 0), c.leader, c.newConnection, c.local, c.peers); got != c.want {
+			t.Errorf("%s: got %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-// TestBalancerLevelsLoads sends thousands of machines away from a new leader, which all came to
-// it at once: new connections at once and evenly, open ones within a while, none back.
+// TestBalancerLevelsLoads checks that a new leader that received thousands of machines at once moves those
+// on open connections to its peers evenly and within a minute.
 func TestBalancerLevelsLoads(t *testing.T) {
-	s, now := Balancer{LeaderKeeps: 200, Capacity: 3000}, time.Unix(1e9, 0)
-	mine, others := 5000, map[string]int{"b": 0, "c": 0}
+	balancer, now := Balancer{LeaderKeeps: 200, Capacity: 3000}, time.Unix(1e9, 0)
+	local, peers := 5000, map[string]int{"b": 0, "c": 0}
 	for range 60 {
-		for range mine / 8 { // those that send a heartbeat in this second
-			now = now.Add(time.Second * 8 / time.Duration(mine))
-			if to := s.Target(now, true, false, mine, others); to != "" {
-				mine--
-				others[to]++
+		for range local / 8 { // machines send a heartbeat every 8 s
+			now = now.Add(time.Second * 8 / time.Duration(local))
+			if to := balancer.Target(now, true, false, local, peers); to != "" {
+				local--
+				peers[to]++
 			}
 		}
 	}
-	if mine > 250 || others["b"]-others["c"] > 20 || others["c"]-others["b"] > 20 {
-		t.Errorf("after a minute: %d here, %v there", mine, others)
+	if local > 250 || peers["b"]-peers["c"] > 20 || peers["c"]-peers["b"] > 20 {
+		t.Errorf("after a minute: %d local, %v at the peers", local, peers)
 	}
 }
 
-// FuzzItems: whatever a peer sends, the receiver neither fails nor takes a heartbeat for another
-// machine's.
+// FuzzItems checks that the receiver neither panics on arbitrary items nor attributes a heartbeat to
+// another machine.
 func FuzzItems(f *testing.F) {
 	f.Add("n-1", uint64(1), uint64(2), true, false, 0.0)
 	f.Add("n-2", uint64(0), uint64(0), false, true, 3.5)
 	f.Fuzz(func(t *testing.T, machine string, incarnation, seq uint64, same, noticed bool, notice float64) {
-		m, now := newDeltaCodec(), time.Unix(1e9, 0)
-		_, _ = m.expand(now, newItem(newHeartbeats(1)[0]))
+		codec, now := newDeltaCodec(), time.Unix(1e9, 0)
+		_, _ = codec.expand(now, newItem(newHeartbeats(1)[0]))
 		it := item{Machine: machine, Session: incarnation, Seq: seq, Same: same, Noticed: noticed, NoticeS: notice}
-		if whole, ok := m.expand(now, it); ok {
+		if whole, ok := codec.expand(now, it); ok {
 			if r := whole.heartbeat(); r.Machine != machine || r.Incarnation != incarnation || r.Seq != seq || same && len(r.Tasks) != 5 {
-				t.Errorf("%+v became %+v", it, r)
+				t.Errorf("%+v was expanded to %+v", it, r)
 			}
 		}
 	})
 }
 
-// BenchmarkBalancer measures the cost of each heartbeat to an overloaded controller beside its answer.
+// BenchmarkBalancer measures the balancing cost of each heartbeat to an overloaded controller.
 func BenchmarkBalancer(b *testing.B) {
-	s, others := Balancer{LeaderKeeps: 200, Capacity: 3000}, map[string]int{}
+	balancer, peers := Balancer{LeaderKeeps: 200, Capacity: 3000}, map[string]int{}
 	for i := range 4 {
-		others[fmt.Sprint("c-", i)] = i
+		peers[fmt.Sprint("c-", i)] = i
 	}
 	for b.Loop() {
-		s.Target(time.Unix(1e9, 0), true, false, 3000, others)
+		balancer.Target(time.Unix(1e9, 0), true, false, 3000, peers)
 	}
 }
 
-// lossyConn is a connection on which one write is lost while it seems sent.
+// lossyConn is a connection that silently drops one write.
 type lossyConn struct {
 	net.Conn
 	mu        sync.Mutex
@@ -382,13 +385,13 @@
 	return c.Conn.Write(b)
 }
 
-// TestMissingBatchEndsStream: where a batch is lost on a stream that goes on, what the later ones
-// call the same as before would be taken for what was before that: an old list with a new
-// number, by which a leader believed running tasks to be gone. The stream ends instead.
+// TestMissingBatchEndsStream checks that a stream ends if one of its batches is lost. Otherwise later
+// deltas would be expanded from an outdated base: an old task list with a new sequence number, which made
+// a leader treat running tasks as gone.
 func TestMissingBatchEndsStream(t *testing.T) {
 	runWithLink(t, func(r *wire.Heartbeat) worker.HeartbeatResult {
 		if old := r.Seq <= 4; old != (len(r.Tasks) == 5) {
-			t.Errorf("report %d came with %d tasks", r.Seq, len(r.Tasks))
+			t.Errorf("heartbeat %d arrived with %d tasks", r.Seq, len(r.Tasks))
 		}
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: r.Seq}}
 	}, func(ctx context.Context, l *link) {
@@ -397,13 +400,13 @@
 			r := newHeartbeats(1)[0]
 			r.Seq = uint64(seq + 1)
 			if seq >= 4 {
-				r.Tasks = r.Tasks[:2] // in the batch that is lost
+				r.Tasks = r.Tasks[:2] // this change is in the lost batch
 			}
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				if v, ok := l.Forward(ctx, r); ok && v.Response != nil && v.Response.FencingToken != r.Seq {
-					t.Errorf("report %d was answered as %d", r.Seq, v.Response.FencingToken)
+					t.Errorf("heartbeat %d got the answer to %d", r.Seq, v.Response.FencingToken)
 				}
 			}()
 			time.Sleep(300 * time.Millisecond)
@@ -413,22 +416,22 @@
 		open := l.Uplink.OpenStream
 		l.Uplink.OpenStream = func(ctx context.Context, peer, kind string) (net.Conn, *gob.Encoder, error) {
 			conn, _, err := open(ctx, peer, kind)
-			c := &lossyConn{Conn: conn, dropWrite: 13} // with the fifth heartbeat
+			c := &lossyConn{Conn: conn, dropWrite: 13} // the batch with the fifth heartbeat
 			return c, gob.NewEncoder(c), err
 		}
 	})
 }
 
-// TestFencingCallsFailWithStream: a peer that was given calls is gone, and back at once. They are made
-// by no one, and the leader learns that.
+// TestFencingCallsFailWithStream checks that the leader learns that fencing calls given to a peer were
+// not made if the peer disconnects and reconnects at once.
 func TestFencingCallsFailWithStream(t *testing.T) {
 	var mu sync.Mutex
-	given, vain := 0, map[string]bool{}
+	given, failed := 0, map[string]bool{}
 	runWithLink(t, nil, func(_ context.Context, l *link) {
 		time.Sleep(time.Second)
 		mu.Lock()
-		if given != 8 || len(vain) > 0 {
-			t.Errorf("%d calls were given, in vain: %v", given, vain)
+		if given != 8 || len(failed) > 0 {
+			t.Errorf("%d calls given, outcomes: %v", given, failed)
 		}
 		mu.Unlock()
 		l.mu.Lock()
@@ -437,8 +440,8 @@
 		time.Sleep(time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		if len(vain) != 8 {
-			t.Errorf("known to be made by nobody: %v", vain)
+		if len(failed) != 8 {
+			t.Errorf("calls known to have failed: %v", failed)
 		}
 	}, func(l *link) {
 		l.Throttle = throttle.New()
@@ -453,7 +456,7 @@
 		l.receiver.FencingCallDone = func(machine string, r *wire.Heartbeat) {
 			mu.Lock()
 			defer mu.Unlock()
-			vain[machine] = r == nil
+			failed[machine] = r == nil
 		}
 		l.Uplink.FencingCall = func(ctx context.Context, _ reachability.FencingCall) *wire.Heartbeat {
 			<-ctx.Done()
@@ -462,8 +465,8 @@
 	})
 }
 
-// TestEarlierStreamEnds: a restarted process opens a stream while the one of its earlier
-// incarnation is still open. That one ends, and what is sent on it is dropped.
+// TestEarlierStreamEnds checks that a stream of a peer's earlier incarnation ends when the restarted
+// process opens a new one, and that nothing more is accepted on the earlier stream.
 func TestEarlierStreamEnds(t *testing.T) {
 	runWithLink(t, nil, func(ctx context.Context, l *link) {
 		l.mu.Lock()
--- a/internal/ingest/message.go
+++ b/internal/ingest/message.go
@@ -73,14 +73,14 @@
 
 // heartbeat converts a complete item to a heartbeat.
 func (it *item) heartbeat() *wire.Heartbeat {
-	heartbeat := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
+	result := &wire.Heartbeat{Machine: it.Machine, Incarnation: it.Session, Seq: it.Seq, FencingToken: it.Term, Addr: it.Addr, Type: it.Type, Zone: it.Zone, Spot: it.Spot, Tasks: it.Tasks}
 	if it.Noticed {
-		heartbeat.TerminationNoticeS = &it.NoticeS
+		result.TerminationNoticeS = &it.NoticeS
 	}
-	return heartbeat
+	return result
 }
 
-// newAnswer returns an answer as it is sent.
+// newAnswer converts a result to its wire format.
 func newAnswer(result worker.HeartbeatResult) answer {
 	if result.Response == nil {
 		return answer{Holder: result.Leader}
--- a/internal/ingest/receiver.go
+++ b/internal/ingest/receiver.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordBatch notes that a peer forwards heartbeats.
+// recordBatch records the time of a peer's last batch.
 func (r *Receiver) recordBatch(now time.Time, from string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -21,7 +21,7 @@
 type reportingMachines struct {
 	mu        sync.Mutex
 	last      map[string]lastHeartbeat // by machine
-	count     int                      // machines within the window at countedAt, updated for additions and removals since
+	count     int                      // reporting at countedAt, adjusted for changes since
 	countedAt time.Time
 	// redirected is the number of heartbeats that were redirected unread since countedAt, and
 	// redirectedLastSecond the number in the counting interval before it.
@@ -93,9 +93,9 @@
 func (r *reportingMachines) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	observations := make(map[string]zone.Observation)
+	byZone := make(map[string]zone.Observation)
 	for _, last := range r.last {
-		observation := observations[last.zone]
+		observation := byZone[last.zone]
 		switch age := now.Sub(last.at); {
 		case age <= overdue:
 			observation.Heard++
@@ -104,7 +104,7 @@
 		default:
 			continue
 		}
-		observations[last.zone] = observation
+		byZone[last.zone] = observation
 	}
-	return observations
+	return byZone
 }
--- a/internal/ingest/reporting_test.go
+++ b/internal/ingest/reporting_test.go
@@ -19,22 +19,22 @@
 				t.Errorf("%s: %d reporting and %d redirected, want %d and %d", what, gotReporting, gotRedirected, reporting, redirected)
 			}
 		}
-		expect("initially", 0, 0)
+		expect("at first", 0, 0)
 		for _, machine := range []string{"n-1", "n-2", "n-3", "n-1"} {
 			machines.record(time.Now(), machine, "a")
 		}
 		machines.recordRedirect()
-		expect("after heartbeats of three machines", 3, 0)
+		expect("at once", 3, 0)
 		machines.forget("n-3")
 		machines.forget("n-9")
-		expect("after one was sent to another controller", 2, 0)
+		expect("without one", 2, 0)
 		time.Sleep(time.Second)
 		expect("a second later", 2, 1)
 		time.Sleep(time.Second)
 		expect("two seconds later", 2, 0)
 		machines.record(time.Now(), "n-1", "b")
 		time.Sleep(9 * time.Second)
-		expect("when one is outside the window", 1, 0)
+		expect("once one is out of the window", 1, 0)
 		observations := machines.observations(time.Now(), window)
 		if a, b := observations["a"], observations["b"]; a.Heard != 0 || a.Quiet != 1 || b.Heard != 1 || b.Quiet != 0 {
 			t.Errorf("observed %+v", observations)
--- a/internal/ingest/stream.go
+++ b/internal/ingest/stream.go
@@ -51,7 +51,7 @@
 type pendingHeartbeat struct {
 	heartbeat *wire.Heartbeat
 	since     time.Time
-	answer    chan worker.HeartbeatResult // closed without a value if no answer arrives in time
+	answer    chan worker.HeartbeatResult // closed without a value if there will be no answer
 }
 
 var (
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -122,7 +122,7 @@
 		}
 		observers++
 	}
-	return observers > 0 && (observers+1)*2 > len(d.peers)+1 // counting this controller, more than half of all controllers
+	return observers > 0 && (observers+1)*2 > len(d.peers)+1 // more than half, including this controller
 }
 
 // FirstAlive reports whether self sorts first by name among the controllers that are alive. Of
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -32,7 +32,7 @@
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
 	Log         *slog.Logger
 	Handlers    map[string]StreamHandler // by stream kind
-	OnHeartbeat func(Status)             // called for each new heartbeat, but not for duplicate or obsolete ones; may be nil
+	OnHeartbeat func(Status)             // called for each heartbeat that is not duplicate or obsolete; may be nil
 
 	mu           sync.Mutex
 	lastStatus   map[string]receivedStatus
