--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -51,7 +51,7 @@
 	Unanswered uint64 // forwarded requests whose outcome did not arrive in time
 }
 
-// Counts returns the counts so far.
+// Counts returns the current counts.
 func (c *Client) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/ingest/balancer.go
+++ b/internal/ingest/balancer.go
@@ -14,8 +14,8 @@
 	rebalanceBurst = 10
 	// peerLoadMaxAge is the maximum age of the peers' machine counts.
 	peerLoadMaxAge = 2 * time.Second
-	// slack is the tolerated difference in machines between two controllers, in addition to a
-	// quarter of the average.
+	// rebalanceSlack is the number of machines by which the loads of two controllers may differ, in
+	// addition to a quarter of the average.
 	rebalanceSlack = 50
 )
 
--- a/internal/ingest/codec.go
+++ b/internal/ingest/codec.go
@@ -15,9 +15,9 @@
 // deltaBaseTTL is the time without a heartbeat after which the sender drops a machine's base.
 const deltaBaseTTL = 2 * time.Minute
 
-// deltaCodec omits content from a stream that repeats a machine's previous heartbeat. Both ends keep the
-// last full heartbeat of each machine, and agree on it because they process the same heartbeats in the
-// same order.
+// deltaCodec omits from the heartbeats on a stream the content that each machine's previous heartbeat
+// already had. Both ends keep the last full heartbeat of each machine, and agree on it because they
+// process the same heartbeats in the same order.
 type deltaCodec struct {
 	bases     map[string]*deltaBase
 	lastSweep time.Time
--- a/internal/ingest/ingest_test.go
+++ b/internal/ingest/ingest_test.go
@@ -347,8 +347,8 @@
 		codec, now := newDeltaCodec(), time.Unix(1e9, 0)
 		_, _ = codec.expand(now, newItem(newHeartbeats(1)[0]))
 		it := item{Machine: machine, Session: incarnation, Seq: seq, Same: same, Noticed: noticed, NoticeS: notice}
-		if whole, ok := codec.expand(now, it); ok {
-			if r := whole.heartbeat(); r.Machine != machine || r.Incarnation != incarnation || r.Seq != seq || same && len(r.Tasks) != 5 {
+		if full, ok := codec.expand(now, it); ok {
+			if r := full.heartbeat(); r.Machine != machine || r.Incarnation != incarnation || r.Seq != seq || same && len(r.Tasks) != 5 {
 				t.Errorf("%+v was expanded to %+v", it, r)
 			}
 		}
@@ -431,7 +431,7 @@
 		time.Sleep(time.Second)
 		mu.Lock()
 		if given != 8 || len(failed) > 0 {
-			t.Errorf("%d calls given, outcomes: %v", given, failed)
+			t.Errorf("%d calls given, failed: %v", given, failed)
 		}
 		mu.Unlock()
 		l.mu.Lock()
--- a/internal/ingest/uplink.go
+++ b/internal/ingest/uplink.go
@@ -48,7 +48,7 @@
 // Counts holds the numbers of forwarded heartbeats and of those that got no answer.
 type Counts struct{ Forwarded, Unanswered uint64 }
 
-// Counts returns the counts since the process started.
+// Counts returns the current counts.
 func (u *Uplink) Counts() Counts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
