--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -14,13 +14,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// accepted is an accepted connection of the library, as a Stream.
-type accepted struct{ net.Conn }
+// streamConn adapts an accepted net.Conn to transport.Stream.
+type streamConn struct{ net.Conn }
 
-func (accepted) SetIdle(time.Duration) {}
+func (streamConn) SetIdle(time.Duration) {}
 
-// pair returns an uplink that forwards heartbeats to a receiver over a real connection on loopback.
-func pair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
+// newLoopbackPair returns an uplink that forwards heartbeats to a receiver over a loopback connection.
+func newLoopbackPair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -41,7 +41,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				receiver.Serve(ctx, "c-1", accepted{conn}, gob.NewDecoder(conn))
+				receiver.Serve(ctx, "c-1", streamConn{conn}, gob.NewDecoder(conn))
 			}()
 		}
 	}()
@@ -61,38 +61,38 @@
 	return uplink, receiver
 }
 
-// manyHeartbeats returns heartbeats of machines with some tasks each.
-func manyHeartbeats(n int) []*wire.Heartbeat {
-	out := make([]*wire.Heartbeat, n)
-	for i := range out {
-		r := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
+// newHeartbeats returns heartbeats of n machines with five tasks each.
+func newHeartbeats(n int) []*wire.Heartbeat {
+	heartbeats := make([]*wire.Heartbeat, n)
+	for i := range heartbeats {
+		heartbeat := &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, FencingToken: 3}
 		for k := range 5 {
 			id := wire.TaskID{Job: fmt.Sprintf("wk-%06d", i), Index: k}
-			r.Tasks = append(r.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: 3 << 24, State: wire.TaskRunning})
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: 3 << 24, State: wire.TaskRunning})
 		}
-		out[i] = r
+		heartbeats[i] = heartbeat
 	}
-	return out
+	return heartbeats
 }
 
-// BenchmarkForward forwards heartbeats of 3,000 machines, many at once, as at a large site:
-// one in eight has changed since its last.
+// BenchmarkForward measures concurrent forwarding of heartbeats from 3,000 machines, as in a large
+// deployment. One in eight heartbeats differs from the machine's previous one.
 func BenchmarkForward(b *testing.B) {
-	uplink, _ := pair(b, func(r *wire.Heartbeat) worker.HeartbeatResult {
+	uplink, _ := newLoopbackPair(b, func(heartbeat *wire.Heartbeat) worker.HeartbeatResult {
 		return worker.HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 3}}
 	})
-	reports := manyHeartbeats(3000)
+	heartbeats := newHeartbeats(3000)
 	b.SetParallelism(200)
 	next := make(chan *wire.Heartbeat, 1000)
 	go func() {
 		for i := 0; ; i++ {
-			r := *reports[i%len(reports)]
-			r.Seq = uint64(i)
+			heartbeat := *heartbeats[i%len(heartbeats)]
+			heartbeat.Seq = uint64(i)
 			if i%8 == 0 {
-				r.Tasks = append([]wire.ReportedTask(nil), r.Tasks...)
-				r.Tasks[0].Attempt = uint64(i)
+				heartbeat.Tasks = append([]wire.ReportedTask(nil), heartbeat.Tasks...)
+				heartbeat.Tasks[0].Attempt = uint64(i)
 			}
-			next <- &r
+			next <- &heartbeat
 		}
 	}()
 	b.ResetTimer()
--- a/internal/ingest/reporting.go
+++ b/internal/ingest/reporting.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// countInterval is how often the machines that send their heartbeats here are counted.
+	// countInterval is the interval at which the machines that report to this controller are counted.
 	countInterval = time.Second
-	// forgetAfter is after how long without a heartbeat a machine is forgotten.
+	// forgetAfter is the time without a heartbeat after which a machine is forgotten.
 	forgetAfter = time.Minute
-	// overdueObservationAge is for how long an overdue machine is evidence about its zone: after
-	// that it may be sending its heartbeats elsewhere.
+	// overdueObservationAge is the time for which an overdue machine counts as evidence about its zone.
+	// After that, it may be sending its heartbeats to another controller.
 	overdueObservationAge = 15 * time.Second
 )
 
-// reporters are the machines that send their heartbeats to this controller.
-type reporters struct {
+// reportingMachines tracks the machines that send their heartbeats to this controller.
+type reportingMachines struct {
 	mu        sync.Mutex
 	last      map[string]lastHeartbeat // by machine
-	count     int                      // of them within the window, when they were last counted
+	count     int                      // reporting at countedAt, adjusted for changes since
 	countedAt time.Time
-	// redirected counts the heartbeats redirected unread since countedAt, and
-	// redirectedLastSecond those in the second before.
+	// redirected is the number of heartbeats that were redirected unread since countedAt, and
+	// redirectedLastSecond the number in the counting interval before it.
 	redirected           int
 	redirectedLastSecond int
 }
 
-// lastHeartbeat is when a machine last sent a heartbeat here, and its zone.
+// lastHeartbeat is the time and the zone of a machine's last heartbeat.
 type lastHeartbeat struct {
 	at   time.Time
 	zone string
 }
 
-// record notes a heartbeat.
-func (r *reporters) record(now time.Time, machine, zone string) {
+// record records a heartbeat of a machine.
+func (r *reportingMachines) record(now time.Time, machine, zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.last == nil {
@@ -46,20 +46,20 @@
 	if !known {
 		r.count++
 	} else if previous.zone == zone {
-		zone = previous.zone // keeps one copy of the text, not one for each heartbeat
+		zone = previous.zone // keep the existing string, so that memory holds one copy and not one per heartbeat
 	}
 	r.last[machine] = lastHeartbeat{now, zone}
 }
 
-// recordRedirect notes a heartbeat that was redirected unread.
-func (r *reporters) recordRedirect() {
+// recordRedirect counts a heartbeat that was redirected unread.
+func (r *reportingMachines) recordRedirect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.redirected++
 }
 
-// forget forgets a machine that was sent elsewhere.
-func (r *reporters) forget(machine string) {
+// forget removes a machine that was sent to another controller.
+func (r *reportingMachines) forget(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.last[machine]; known {
@@ -68,15 +68,16 @@
 	}
 }
 
-// counts returns how many machines send their heartbeats here, as of the last second, and how many heartbeats
-// were redirected in the second before. A machine reports if its last heartbeat is within window.
-func (r *reporters) counts(window time.Duration) (reporting, redirected int) {
+// counts returns the number of machines that report to this controller, and the number of heartbeats that
+// were redirected in the last counting interval. A machine reports if its last heartbeat is within
+// window. Both numbers are updated once every countInterval.
+func (r *reportingMachines) counts(window time.Duration) (reporting, redirected int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now := time.Now(); now.Sub(r.countedAt) >= countInterval {
 		r.countedAt, r.count, r.redirectedLastSecond, r.redirected = now, 0, r.redirected, 0
-		for id, l := range r.last {
-			switch age := now.Sub(l.at); {
+		for id, last := range r.last {
+			switch age := now.Sub(last.at); {
 			case age > forgetAfter:
 				delete(r.last, id)
 			case age < window:
@@ -87,23 +88,23 @@
 	return r.count, r.redirectedLastSecond
 }
 
-// observations counts by zone the machines that send their heartbeats here, and those that are overdue. Machines
-// that were sent elsewhere are neither.
-func (r *reporters) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
+// observations counts, for each zone, the machines that report to this controller and those whose
+// heartbeats are overdue. Machines that were sent to another controller count as neither.
+func (r *reportingMachines) observations(now time.Time, overdue time.Duration) map[string]zone.Observation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make(map[string]zone.Observation)
-	for _, l := range r.last {
-		seen := out[l.zone]
-		switch age := now.Sub(l.at); {
+	byZone := make(map[string]zone.Observation)
+	for _, last := range r.last {
+		observation := byZone[last.zone]
+		switch age := now.Sub(last.at); {
 		case age <= overdue:
-			seen.Heard++
+			observation.Heard++
 		case age < overdue+overdueObservationAge:
-			seen.Quiet++
+			observation.Quiet++
 		default:
 			continue
 		}
-		out[l.zone] = seen
+		byZone[last.zone] = observation
 	}
-	return out
+	return byZone
 }
