--- a/internal/admission/barrier.go
+++ b/internal/admission/barrier.go
@@ -8,34 +8,34 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// barrierRead is a read that is begun as a job is sent to the state service. It shows what happened
-// to the job on other controllers before that.
+// barrierRead is a read barrier that is requested when a job is sent to the state service. Once it has
+// completed, the view shows what other controllers had done with the job before that.
 type barrierRead struct {
 	follow *store.Follower
 
-	mu    sync.Mutex
-	begun time.Time
-	done  func(ctx context.Context) error
+	mu           sync.Mutex
+	startedAt    time.Time
+	awaitBarrier func(ctx context.Context) error
 }
 
-// begin begins the read.
-func (r *barrierRead) begin() {
+// start requests the barrier, in place of any earlier one.
+func (r *barrierRead) start() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begun, r.done = time.Now(), r.follow.RequestBarrier()
+	r.startedAt, r.awaitBarrier = time.Now(), r.follow.RequestBarrier()
 }
 
-// age returns how long ago it was begun.
+// age returns the time since the barrier was requested.
 func (r *barrierRead) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.begun)
+	return time.Since(r.startedAt)
 }
 
-// wait waits until what was read is in the view.
+// wait blocks until the view holds what the barrier has read.
 func (r *barrierRead) wait(ctx context.Context) error {
 	r.mu.Lock()
-	done := r.done
+	awaitBarrier := r.awaitBarrier
 	r.mu.Unlock()
-	return done(ctx)
+	return awaitBarrier(ctx)
 }
--- a/internal/admission/cancel.go
+++ b/internal/admission/cancel.go
@@ -7,12 +7,13 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// cancelAttempts bounds how often a cancellation is tried while the job's record changes.
-const cancelAttempts = 8
+// maxCancelAttempts bounds the attempts to cancel a job whose record changes concurrently.
+const maxCancelAttempts = 8
 
-// Cancel marks a job as cancelled, if it has not ended, and returns its record.
+// Cancel marks a job as cancelled unless it has ended already, and returns its record. Another controller
+// may write the cancellation.
 func (s *Service) Cancel(ctx context.Context, id string) (store.JobRecord, error) {
-	ctx, cancel := context.WithTimeout(ctx, writePatience)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, final := s.finalRecord(id); !final && s.Forwarder != nil {
 		if rec, handled, err := s.Forwarder.Cancel(ctx, id); handled {
@@ -22,9 +23,9 @@
 	return s.CancelLocally(ctx, id)
 }
 
-// CancelLocally is Cancel without forwarding.
+// CancelLocally is like Cancel, but never forwards the request.
 func (s *Service) CancelLocally(ctx context.Context, id string) (store.JobRecord, error) {
-	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeCancellations), writePatience)
+	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeCancellations), writeTimeout)
 	defer cancel()
 	if rec, ok := s.finalRecord(id); ok {
 		return rec, nil
@@ -34,7 +35,7 @@
 			return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
-	for range cancelAttempts {
+	for range maxCancelAttempts {
 		rec, known, err := s.Find(ctx, id)
 		switch {
 		case err != nil:
@@ -46,14 +47,14 @@
 		case !s.Writable(), ctx.Err() != nil:
 			return rec, ErrRetryLater
 		}
-		end, err := s.Canceller.Cancel(ctx, id)
+		cancelled, err := s.Canceller.Cancel(ctx, id)
 		switch {
 		case err != nil:
 			return rec, fmt.Errorf("%w: %w", ErrRetryLater, err)
-		case end != nil:
+		case cancelled != nil:
 			s.Log.Info("job cancelled", "job", id)
 			s.OnChange()
-			return *end, nil
+			return *cancelled, nil
 		}
 	}
 	return store.JobRecord{}, ErrRetryLater
--- a/internal/admission/canceller.go
+++ b/internal/admission/canceller.go
@@ -10,13 +10,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Canceller writes cancellations. Those that wait already go into one transaction, and those of jobs
-// that were accepted together into one change.
+// Canceller writes cancellations to the state service. All that are queued go into one transaction, and
+// those of jobs in the same batch record into one change of that record.
 type Canceller struct {
 	Client *store.Client
 	View   *store.View
 	Follow *store.Follower
-	// MaxOps bounds the changes of a transaction.
+	// MaxOps bounds the changes in one transaction.
 	MaxOps int
 
 	mu    sync.Mutex
@@ -24,34 +24,34 @@
 	wake  chan struct{}
 }
 
-// pendingCancel is a cancellation that waits.
+// pendingCancel is a cancellation that waits to be written.
 type pendingCancel struct {
 	job  string
 	ctx  context.Context
 	done chan cancelResult
 }
 
-// cancelResult is the outcome of a cancellation: the job's last record or an error. With neither the
-// job must be looked up again.
+// cancelResult is the outcome of a cancellation: the job's final record or an error. If both are nil, the
+// caller must look the job up again.
 type cancelResult struct {
 	record *store.JobRecord
 	err    error
 }
 
-// maxCancelTxnBytes bounds the values of a transaction, in bytes.
+// maxCancelTxnBytes bounds the total size of the values in one transaction.
 const maxCancelTxnBytes = 48 << 10
 
-// NewCanceller returns a canceller, whose Run does the writing.
+// NewCanceller returns a Canceller. It writes nothing until Run is called.
 func NewCanceller(c *store.Client, v *store.View, f *store.Follower, maxOps int) *Canceller {
 	return &Canceller{Client: c, View: v, Follow: f, MaxOps: maxOps, wake: make(chan struct{}, 1)}
 }
 
-// Cancel waits until a live job is marked as cancelled, and returns its record. It returns nil where
-// the job has changed meanwhile and must be looked up again.
+// Cancel blocks until a live job is marked as cancelled, and returns its record. It returns nil if the
+// job has changed meanwhile, so that the caller must look it up again.
 func (c *Canceller) Cancel(ctx context.Context, id string) (*store.JobRecord, error) {
 	e := &pendingCancel{id, ctx, make(chan cancelResult, 1)}
 	c.mu.Lock()
-	full := len(c.queue) >= maxQueue
+	full := len(c.queue) >= defaultMaxQueue
 	if !full {
 		c.queue = append(c.queue, e)
 	}
@@ -67,11 +67,11 @@
 	case r := <-e.done:
 		return r.record, r.err
 	case <-ctx.Done():
-		return nil, ctx.Err() // it may still be written
+		return nil, ctx.Err() // the cancellation may still be written
 	}
 }
 
-// Run writes what waits until the context ends.
+// Run writes queued cancellations until the context ends.
 func (c *Canceller) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeCancellations)
 	for {
@@ -87,15 +87,15 @@
 	}
 }
 
-// cancelBatch is what one transaction cancels.
+// cancelBatch holds the cancellations of one transaction, and the updates of batch records that it writes.
 type cancelBatch struct {
-	entries  []*pendingCancel
-	records  []store.JobRecord
-	rewrites []*store.BatchUpdate
+	entries []*pendingCancel
+	records []store.JobRecord
+	updates []*store.BatchUpdate
 }
 
-// nextBatch takes the cancellations that can be written together. A job that is no longer live is
-// sent back to be looked up again.
+// nextBatch dequeues the cancellations that can be written together. The callers of jobs that are no longer
+// live get an empty result, and look the job up again.
 func (c *Canceller) nextBatch() cancelBatch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,7 +121,7 @@
 		default:
 			r = l.Batch.Update()
 			byBatch[l.Batch.Key] = r
-			g.rewrites = append(g.rewrites, r)
+			g.updates = append(g.updates, r)
 			bytes += size
 		}
 		g.entries = append(g.entries, e)
@@ -131,11 +131,11 @@
 	return g
 }
 
-// commit writes a batch of cancellations. A write without an answer is sent again, since the
-// conditions let one copy at most be applied.
+// commit writes a batch of cancellations. A write that gets no response is sent again: its conditions allow
+// at most one copy to be applied.
 func (c *Canceller) commit(ctx context.Context, g cancelBatch) {
 	var txn wire.Txn
-	for _, r := range g.rewrites {
+	for _, r := range g.updates {
 		txn.If, txn.Then = append(txn.If, r.Condition()), append(txn.Then, r.Change())
 	}
 	send := func(ctx context.Context) (uint64, error) { return c.Client.Txn(ctx, txn) }
@@ -143,29 +143,29 @@
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		for _, r := range g.rewrites {
+		for _, r := range g.updates {
 			c.View.ApplyOwnWrite(r.Committed(revision))
 		}
 		for i, e := range g.entries {
 			e.done <- cancelResult{record: &g.records[i]}
 		}
 		return
-	case errors.As(err, &conflict): // the jobs have changed, and are looked up again in a newer view
-		wait, cancel := context.WithTimeout(ctx, writePatience)
+	case errors.As(err, &conflict): // the jobs have changed: callers look them up again in a newer view
+		wait, cancel := context.WithTimeout(ctx, writeTimeout)
 		err = c.Follow.Barrier(wait)
 		cancel()
 	}
 	g.finish(err)
 }
 
-// finish gives all that wait the same outcome.
+// finish gives the same result to all callers in the batch. With a nil error they look their jobs up again.
 func (g *cancelBatch) finish(err error) {
 	for _, e := range g.entries {
 		e.done <- cancelResult{err: err}
 	}
 }
 
-// hasWaiters reports whether any user still waits.
+// hasWaiters reports whether any caller in the batch still waits.
 func (g *cancelBatch) hasWaiters() bool {
 	for _, e := range g.entries {
 		if e.ctx.Err() == nil {
--- a/internal/admission/feasibility.go
+++ b/internal/admission/feasibility.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// unrunnableReason says why a job can never run, or nothing. The texts reach users.
+// unrunnableReason returns why a job can never run, or an empty string if it may run. The texts reach users.
 func (s *Service) unrunnableReason(j *wire.Job, types []wire.MachineType) string {
 	team := s.team(j.Team)
 	if team == nil {
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// team returns the settings of a team, nil where there are none.
+// team returns the settings of a team, or nil if it has none.
 func (s *Service) team(name string) (team *config.Team) {
 	for i := range s.Teams {
 		if s.Teams[i].Name == name {
@@ -38,12 +38,12 @@
 	return team
 }
 
-// exceedsLimit reports whether a job needs more at once than its team may ever use. An array can
-// run one task at a time, other jobs need all their tasks.
+// exceedsLimit reports whether a job needs more resources at once than its team may ever use. An array can
+// run one task at a time; any other job needs all its tasks at once.
 func exceedsLimit(j *wire.Job, team *config.Team) bool {
-	n := 1.0
+	concurrentTasks := 1.0
 	if j.Shape != wire.Array {
-		n = float64(j.Tasks)
+		concurrentTasks = float64(j.Tasks)
 	}
 	limit := scheduler.Resources{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	if team.CPUsMax > 0 {
@@ -52,10 +52,10 @@
 	if team.GPUsMax > 0 {
 		limit.GPUs = team.GPUsMax
 	}
-	return !limit.Fits(scheduler.Resources{}.AddScaled(scheduler.ResourcesOf(j), n))
+	return !limit.Fits(scheduler.Resources{}.AddScaled(scheduler.ResourcesOf(j), concurrentTasks))
 }
 
-// feasibleZones returns the zones in which a task of a job may run on some machine type.
+// feasibleZones returns the zones where some machine type that the job allows is large enough for one of its tasks.
 func feasibleZones(j *wire.Job, types []wire.MachineType) map[string]bool {
 	zones := make(map[string]bool)
 	for _, t := range types {
--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -11,57 +11,57 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Intake writes new jobs. The state service limits the changes a second, so that jobs which wait
-// already go into one record together. No job waits for others longer than the write ahead of it
-// takes.
+// Intake writes new jobs to the state service. Because the state service limits the changes per second, all
+// queued jobs that fit are written together, in one batch record. A job is never held back to fill a batch:
+// it only waits for the writes ahead of it.
 type Intake struct {
 	Client *store.Client
 	Name   string // unique to this incarnation of the controller
-	// MaxBytes bounds a value of the state service.
+	// MaxBytes bounds the size of a batch record.
 	MaxBytes int
-	// MaxQueue bounds the jobs that wait.
+	// MaxQueue bounds the number of queued jobs.
 	MaxQueue int
-	// Prioritized reports whether a job goes before others that wait; nil for none.
+	// Prioritized reports whether a job is queued ahead of the others. If nil, no job is.
 	Prioritized func(j *wire.Job) bool
 
 	mu      sync.Mutex
 	queue   []*submission
 	wake    chan struct{}
-	batches int // that were written
+	batches int // number of batches written, for unique keys
 }
 
 // submission is a job that waits to be written.
 type submission struct {
 	job    string
 	record store.JobRecord
-	fence  uint64 // the version of the submission fence when the job was not found
+	fence  uint64 // version of the submission fence, read before the job was looked up and not found
 	size   int
-	ctx    context.Context // of its user
+	ctx    context.Context // of the caller
 	done   chan error
 
 	prioritized bool
-	onSend      func() // is called each time before it is sent; nil for nothing
+	onSend      func() // called before each attempt to send the job; may be nil
 }
 
 const (
-	// maxQueue bounds the jobs that wait where each controller writes by itself. Users give up on a
-	// job that is not answered soon, so that more jobs would only be written in vain.
-	maxQueue = 400
-	// maxBatch bounds the bytes of a batch, which is written again when one of its jobs ends, beside
-	// a slot of the ledger in the same transaction.
-	maxBatch = 16 << 10
-	// batchOverhead is what a batch takes beside its jobs, in bytes.
-	batchOverhead = 100
+	// defaultMaxQueue bounds the queue when each controller writes its own jobs. Users give up on a request
+	// that gets no response soon, so a longer queue would only write jobs that nobody waits for.
+	defaultMaxQueue = 400
+	// maxBatchBytes bounds a batch record. The record is rewritten whenever one of its jobs ends, and has to
+	// fit into one transaction together with a ledger segment.
+	maxBatchBytes = 16 << 10
+	// batchOverheadBytes is the size of a batch record apart from its jobs.
+	batchOverheadBytes = 100
 )
 
-// NewIntake returns an intake, whose Run does the writing.
+// NewIntake returns an Intake. It writes nothing until Run is called.
 func NewIntake(c *store.Client, name string, maxBytes int) *Intake {
-	return &Intake{Client: c, Name: name, MaxBytes: min(maxBytes, maxBatch), MaxQueue: maxQueue, wake: make(chan struct{}, 1)}
+	return &Intake{Client: c, Name: name, MaxBytes: min(maxBytes, maxBatchBytes), MaxQueue: defaultMaxQueue, wake: make(chan struct{}, 1)}
 }
 
-// Add waits until a job is written, or it is known that it won't be. fence is the version that the
-// submission fence had before the job was looked up and not found. onSend is called each time
-// before the job is sent to the state service.
+// Add queues a job and blocks until it is written or known not to be written. fence is the version that the
+// submission fence had before the job was looked up and not found. onSend, which may be nil, is called before
+// each attempt to send the job to the state service.
 func (in *Intake) Add(ctx context.Context, id string, rec store.JobRecord, fence uint64, onSend func()) error {
 	e := &submission{
 		job:         id,
@@ -73,7 +73,7 @@
 		prioritized: in.Prioritized != nil && in.Prioritized(rec.Job),
 		onSend:      onSend,
 	}
-	if e.size > in.MaxBytes-batchOverhead {
+	if e.size > in.MaxBytes-batchOverheadBytes {
 		return ErrTooLarge
 	}
 	in.mu.Lock()
@@ -90,12 +90,12 @@
 	case err := <-e.done:
 		return err
 	case <-ctx.Done():
-		return ctx.Err() // it may still be written
+		return ctx.Err() // the job may still be written
 	}
 }
 
-// enqueue queues a job if there is room: behind those of the first tier, and one of these
-// before all others. However many of the others wait, they never have it sent away.
+// enqueue queues a job and reports whether there was room for it. Prioritized jobs go ahead of all others. If
+// the queue is full, a prioritized job displaces the last job that isn't, so other jobs never crowd it out.
 func (in *Intake) enqueue(e *submission) bool {
 	at := len(in.queue)
 	if e.prioritized {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// Reroute sends back what waits and is not being written, so that it can be forwarded.
+// Reroute fails all queued jobs that are not being written with errRerouted, so that they can be forwarded.
 func (in *Intake) Reroute() {
 	in.mu.Lock()
 	waiting := in.queue
@@ -124,7 +124,7 @@
 	finish(waiting, errRerouted)
 }
 
-// Run writes what waits until the context ends.
+// Run writes queued jobs until the context ends.
 func (in *Intake) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeSubmissions)
 	for {
@@ -141,13 +141,13 @@
 	}
 }
 
-// nextBatch takes the next jobs to write together. A job whose user has gone is dropped, and a second
-// copy of the same job waits for the next batch.
+// nextBatch dequeues the jobs to write together next, which all have the same fence. A job whose caller has
+// gone is dropped. A second submission of the same job stays queued for a later batch.
 func (in *Intake) nextBatch() []*submission {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	var group, rest []*submission
-	bytes, seen := batchOverhead, make(map[string]bool)
+	bytes, seen := batchOverheadBytes, make(map[string]bool)
 	for _, e := range in.queue {
 		switch {
 		case e.ctx.Err() != nil:
@@ -163,8 +163,8 @@
 	return group
 }
 
-// commit writes a batch. A write without an answer is sent again: its key is its own, so that one
-// copy at most is applied, and none once the submission fence has moved.
+// commit writes a batch. A write that gets no response is sent again: its key is unique and must be absent, so
+// at most one copy is applied, and none once the submission fence has advanced.
 func (in *Intake) commit(ctx context.Context, group []*submission) {
 	in.batches++
 	key := store.BatchKey(fmt.Sprintf("%s-%d", in.Name, in.batches))
@@ -182,15 +182,15 @@
 	_, err := commitUntilAnswered(ctx, send, func() bool { return hasWaiters(group) })
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		err = errFenceMoved
+		err = errFenceAdvanced
 		if slices.Contains(conflict.Failed, key) {
-			err = errCopyTaken
+			err = errEarlierCopyApplied
 		}
 	}
 	finish(group, err)
 }
 
-// notifySending tells those who wait that their jobs are being sent.
+// notifySending calls the onSend callbacks of a batch.
 func notifySending(group []*submission) {
 	for _, e := range group {
 		if e.onSend != nil {
@@ -199,14 +199,14 @@
 	}
 }
 
-// finish tells those who wait what became of their jobs.
+// finish gives the same result to the callers of all given jobs.
 func finish(group []*submission, err error) {
 	for _, e := range group {
 		e.done <- err
 	}
 }
 
-// hasWaiters reports whether the user of any job of a batch still waits.
+// hasWaiters reports whether the caller of any job in a batch still waits.
 func hasWaiters(group []*submission) bool {
 	for _, e := range group {
 		if e.ctx.Err() == nil {
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -9,12 +9,12 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// TestCommitUntilAnswered: a write is sent again only while its outcome is unknown and a user waits.
+// TestCommitUntilAnswered checks that a write is sent again only while its outcome is unknown and a caller waits.
 func TestCommitUntilAnswered(t *testing.T) {
 	other := errors.New("another error")
 	for name, x := range map[string]struct {
 		answers []error
-		waiters int // sendings after which no user waits
+		waiters int // number of sends after which no caller waits any more
 		sent    int
 		want    error
 	}{
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -21,33 +21,33 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// node is a service with all that it needs, and a state service.
+// node is the admission service of one controller with its dependencies, and the state service it uses.
 type node struct {
 	*Service
-	store     *simulator.StateService
-	compactor *archive.Compactor
-	stall     func()                // its view follows no more, but for barriers
-	hold      func(d time.Duration) // what it sends leaves late
-	slow      *slowWrites
+	store         *simulator.StateService
+	compactor     *archive.Compactor
+	stopFollowing func()                // stops updating the view, except by read barriers
+	delayOutgoing func(d time.Duration) // delays everything that the controller sends
+	delayedWrites *delayedWrites
 }
 
-// slowWrites has transactions that come on a connection be carried out later than they were sent.
-type slowWrites struct{ delay atomic.Int64 }
+// delayedWrites delays the transactions that arrive on a connection before the state service executes them.
+type delayedWrites struct{ delay atomic.Int64 }
 
-// serve passes what comes on.
-func (s *slowWrites) serve(to transport.ServeConn) transport.ServeConn {
-	return func(ctx context.Context, c transport.Stream) { to(ctx, &slowStream{c, s}) }
+// serve returns a server of connections that passes them on to another one, with the delay.
+func (s *delayedWrites) serve(to transport.ServeConn) transport.ServeConn {
+	return func(ctx context.Context, c transport.Stream) { to(ctx, &delayedStream{c, s}) }
 }
 
-type slowStream struct {
+type delayedStream struct {
 	transport.Stream
-	of *slowWrites
+	writes *delayedWrites
 }
 
-func (c *slowStream) Read(p []byte) (int, error) {
+func (c *delayedStream) Read(p []byte) (int, error) {
 	n, err := c.Stream.Read(p)
 	if bytes.HasPrefix(p[:n], []byte("POST "+wire.PathTxn)) {
-		time.Sleep(time.Duration(c.of.delay.Load()))
+		time.Sleep(time.Duration(c.writes.delay.Load()))
 	}
 	return n, err
 }
@@ -55,7 +55,7 @@
 func newNode(t *testing.T, ctx context.Context, net *simulator.Network, s *simulator.StateService, name string, port int) *node {
 	log := slog.New(slog.DiscardHandler)
 	host := net.Host(name)
-	slow, addr := &slowWrites{}, simulator.Address("10.2.0.1", port)
+	slow, addr := &delayedWrites{}, simulator.Address("10.2.0.1", port)
 	go net.Host("10.2.0.1").Listen(ctx, addr, 0, slow.serve(s.Serve()))
 	synctest.Wait()
 	c := store.NewClient(host, addr, 1000, 1000, store.EvenAllowance(1), log)
@@ -63,13 +63,13 @@
 	r := archive.NewReader(c, 64, log)
 	v.Archive = r
 	f := store.NewFollower(c, v, log)
-	o := &node{store: s, slow: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
+	o := &node{store: s, delayedWrites: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
 		History: r, Log: log, MaxBacklog: 100, MachineTypes: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "g", CPUs: 8, GPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}
 		},
 		Writable: func() bool { return true }, OnChange: func() {}}}
 	follow, stall := context.WithCancel(ctx)
-	o.stall, o.hold = stall, func(d time.Duration) { net.Hold(name, d) }
+	o.stopFollowing, o.delayOutgoing = stall, func(d time.Duration) { net.Hold(name, d) }
 	go f.Run(follow)
 	go f.RunBarriers(ctx)
 	go o.Intake.Run(ctx)
@@ -82,14 +82,14 @@
 	return o
 }
 
-// two plays a story with the doors of two controllers.
-func two(t *testing.T, play func(t *testing.T, s *simulator.StateService, a, b *node)) {
+// withTwoControllers runs a test on two controllers that share a state service.
+func withTwoControllers(t *testing.T, run func(t *testing.T, s *simulator.StateService, a, b *node)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		net, s := simulator.NewNetwork(), simulator.NewStateService(1, 0)
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "a", FencingToken: 1}}}})
 		a, b := newNode(t, ctx, net, s, "10.0.0.1", 2379), newNode(t, ctx, net, s, "10.0.0.2", 2380)
-		play(t, s, a, b)
+		run(t, s, a, b)
 		stop()
 		net.Close()
 		time.Sleep(time.Minute)
@@ -100,7 +100,9 @@
 	return &wire.Job{ID: id, Class: "c", Team: "red", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 }
 
-func (o *node) ask(t *testing.T, method, id, want string) {
+// expectStage calls a method for a job, and checks the stage that it returns: "unknown" stands for ErrUnknownJob,
+// "later" for any other error.
+func (o *node) expectStage(t *testing.T, method, id, want string) {
 	t.Helper()
 	ctx := t.Context()
 	var rec store.JobRecord
@@ -125,7 +127,7 @@
 	}
 }
 
-// compact moves all ended jobs into the history.
+// compact moves all ended jobs into the archive.
 func (o *node) compact(t *testing.T) {
 	t.Helper()
 	_ = o.Follow.Barrier(t.Context())
@@ -140,61 +142,61 @@
 	}
 }
 
-// TestLateSubmissionAfterFold: a submission that had no answer is held up for
-// minutes. Its user has sent it to another controller, the job was cancelled and
-// compacted away, so that its keys are absent again when the first copy arrives.
-func TestLateSubmissionAfterFold(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+// TestLateSubmissionAfterCompaction checks that a delayed copy of a submission does not accept a job again. The
+// first copy gets no response and is held up. The user submits the job to another controller, where it is
+// cancelled and compacted, so that its keys are absent again when the first copy arrives.
+func TestLateSubmissionAfterCompaction(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		s.Configure(func(s *simulator.StateService) {
 			s.HoldTxn = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
-		a.ask(t, "submit", "wk-1", "later")
+		a.expectStage(t, "submit", "wk-1", "later")
 		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
-		b.ask(t, "submit", "wk-1", "pending")
-		b.ask(t, "cancel", "wk-1", "withdrawn")
+		b.expectStage(t, "submit", "wk-1", "pending")
+		b.expectStage(t, "cancel", "wk-1", "withdrawn")
 		a.compact(t)
-		a.ask(t, "status", "wk-1", "withdrawn")
+		a.expectStage(t, "status", "wk-1", "withdrawn")
 		if n := s.ReleaseHeld(); n != 0 {
-			t.Errorf("%d late submissions were taken", n)
+			t.Errorf("%d late submissions were applied", n)
 		}
 		for _, o := range []*node{a, b} {
-			o.ask(t, "status", "wk-1", "withdrawn")
-			o.ask(t, "submit", "wk-1", "withdrawn") // months later
-			o.ask(t, "cancel", "wk-1", "withdrawn")
+			o.expectStage(t, "status", "wk-1", "withdrawn")
+			o.expectStage(t, "submit", "wk-1", "withdrawn") // months later
+			o.expectStage(t, "cancel", "wk-1", "withdrawn")
 			if _, live := o.View.Live("wk-1"); live {
-				t.Error("the job is back")
+				t.Error("the job is live again")
 			}
-			o.ask(t, "status", "wk-2", "unknown")
-			o.ask(t, "cancel", "wk-2", "unknown")
+			o.expectStage(t, "status", "wk-2", "unknown")
+			o.expectStage(t, "cancel", "wk-2", "unknown")
 		}
 	})
 }
 
-// TestGateMovesWhileLookedUp: between the look for a job and its write the gate
-// moves; the job is looked up again instead of being accepted a second time.
-func TestGateMovesWhileLookedUp(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		a.ask(t, "submit", "wk-1", "pending")
-		b.ask(t, "submit", "wk-9", "pending")
-		a.ask(t, "cancel", "wk-1", "withdrawn")
-		// b's submission was looked up long ago, and goes out only now.
-		gate := b.View.SubmissionFence().Version
+// TestFenceAdvancesDuringLookup checks that a job is looked up again instead of being accepted a second time if
+// the submission fence advances between its lookup and its write.
+func TestFenceAdvancesDuringLookup(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		a.expectStage(t, "submit", "wk-1", "pending")
+		b.expectStage(t, "submit", "wk-9", "pending")
+		a.expectStage(t, "cancel", "wk-1", "withdrawn")
+		// b has looked up its submission before the fence advances, and writes it only afterwards.
+		fence := b.View.SubmissionFence().Version
 		a.compact(t)
 		rec := store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: "wk-1", Tasks: 1}}
-		if err := b.Intake.Add(t.Context(), "wk-1", rec, gate, nil); err != errFenceMoved {
-			t.Errorf("the submission became %v", err)
+		if err := b.Intake.Add(t.Context(), "wk-1", rec, fence, nil); err != errFenceAdvanced {
+			t.Errorf("the submission returned %v, want errFenceAdvanced", err)
 		}
-		b.ask(t, "submit", "wk-1", "withdrawn")
-		b.ask(t, "status", "wk-9", "pending")
+		b.expectStage(t, "submit", "wk-1", "withdrawn")
+		b.expectStage(t, "status", "wk-9", "pending")
 	})
 }
 
-func slow() time.Duration { return 50 * time.Millisecond }
+func responseDelay() time.Duration { return 50 * time.Millisecond }
 
-// TestCancelsShareChanges: cancellations that wait together are one change for
-// jobs that were accepted together, each answered for itself.
-func TestCancelsShareChanges(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+// TestConcurrentCancelsShareChanges checks that queued cancellations of jobs in one batch are written as one
+// change, and that each caller still gets its own result.
+func TestConcurrentCancelsShareChanges(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 20 {
 			id := fmt.Sprintf("wk-%02d", i)
@@ -202,12 +204,12 @@
 		}
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = slow }) // in which the others come
+		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = responseDelay }) // while the others are queued
 		_, before, _ := s.Counts()
 		done := make(chan bool)
 		for i := range 20 {
 			go func() {
-				a.ask(t, "cancel", fmt.Sprintf("wk-%02d", i), "withdrawn")
+				a.expectStage(t, "cancel", fmt.Sprintf("wk-%02d", i), "withdrawn")
 				done <- true
 			}()
 		}
@@ -217,25 +219,25 @@
 		if _, n, _ := s.Counts(); n-before > 2 {
 			t.Errorf("%d changes for 20 cancellations", n-before)
 		}
-		b.ask(t, "cancel", "wk-07", "withdrawn")
+		b.expectStage(t, "cancel", "wk-07", "withdrawn")
 	})
 }
 
-// TestCancelsRace: two controllers cancel jobs of one batch at the same time;
-// whoever is refused makes it again.
-func TestCancelsRace(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+// TestConflictingCancelsAreRetried checks that both cancellations succeed if two controllers cancel jobs of one
+// batch at the same time: the one whose write conflicts is retried.
+func TestConflictingCancelsAreRetried(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for _, id := range []string{"wk-1", "wk-2"} {
 			rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 		}
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = slow })
+		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = responseDelay })
 		done := make(chan bool)
 		for i, o := range []*node{a, b} {
 			go func() {
-				o.ask(t, "cancel", fmt.Sprintf("wk-%d", i+1), "withdrawn")
+				o.expectStage(t, "cancel", fmt.Sprintf("wk-%d", i+1), "withdrawn")
 				done <- true
 			}()
 		}
@@ -243,127 +245,130 @@
 		<-done
 		s.Configure(func(s *simulator.StateService) { s.ResponseDelay = nil })
 		for _, o := range []*node{a, b} {
-			o.ask(t, "status", "wk-1", "withdrawn")
-			o.ask(t, "status", "wk-2", "withdrawn")
+			o.expectStage(t, "status", "wk-1", "withdrawn")
+			o.expectStage(t, "status", "wk-2", "withdrawn")
 		}
 	})
 }
 
-// TestBacklogIsBounded: where compaction falls behind, no more jobs are accepted, at
-// once and with when to come back; all else is answered, and it recovers.
+// TestBacklogIsBounded checks that submissions are rejected at once as retryable while compaction is behind, that
+// other requests are still served, and that submissions are accepted again afterwards.
 func TestBacklogIsBounded(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 		for i := range 120 {
 			rec.Jobs[fmt.Sprintf("wk-%d", i)] = store.JobRecord{Stage: wire.Done, Tasks: 1, Ended: 1}
 		}
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("x"), Value: rec}}})
 		time.Sleep(time.Second)
-		begun := time.Now()
-		a.ask(t, "submit", "wk-500", "later")
-		if d := time.Since(begun); d > 100*time.Millisecond {
-			t.Errorf("answered after %v", d)
+		started := time.Now()
+		a.expectStage(t, "submit", "wk-500", "later")
+		if d := time.Since(started); d > 100*time.Millisecond {
+			t.Errorf("the submission was rejected only after %v", d)
 		}
-		a.ask(t, "status", "wk-7", "done")
+		a.expectStage(t, "status", "wk-7", "done")
 		a.compact(t)
-		a.ask(t, "submit", "wk-500", "pending")
+		a.expectStage(t, "submit", "wk-500", "pending")
 	})
 }
 
-// TestSubmissionToStaleView: a controller that stood still does not know yet of a job that
-// another has accepted and cancelled meanwhile. Sent to it again, the job must not be
-// accepted anew and called pending.
+// TestSubmissionToStaleView checks that a controller whose view is stale does not accept a job again, and report
+// it as pending, that another controller has accepted and cancelled meanwhile.
 func TestSubmissionToStaleView(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		b.stall()
-		a.ask(t, "submit", "wk-1", "pending")
-		a.ask(t, "cancel", "wk-1", "withdrawn")
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		b.stopFollowing()
+		a.expectStage(t, "submit", "wk-1", "pending")
+		a.expectStage(t, "cancel", "wk-1", "withdrawn")
 		time.Sleep(3 * time.Second)
-		b.ask(t, "submit", "wk-1", "withdrawn")
+		b.expectStage(t, "submit", "wk-1", "withdrawn")
 	})
 }
 
-// TestRepeatAtOnce: the same within a moment, while the view is as fresh as it mostly is.
-func TestRepeatAtOnce(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		b.stall() // as between two of its watches
+// TestResubmissionToSlightlyStaleView checks the same for a resubmission that follows at once, when the view is
+// only as stale as in normal operation.
+func TestResubmissionToSlightlyStaleView(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		b.stopFollowing() // as between two watch requests
 		_ = b.Follow.Barrier(t.Context())
-		a.ask(t, "submit", "wk-1", "pending")
-		a.ask(t, "cancel", "wk-1", "withdrawn")
-		b.ask(t, "submit", "wk-1", "withdrawn")
+		a.expectStage(t, "submit", "wk-1", "pending")
+		a.expectStage(t, "cancel", "wk-1", "withdrawn")
+		b.expectStage(t, "submit", "wk-1", "withdrawn")
 	})
 }
 
-// overtaken has a job be submitted at b, which is late, and meanwhile be accepted and cancelled at a.
-func overtaken(t *testing.T, a, b *node, late func()) {
+// submitOvertaken submits a job to b, whose write is delayed by delayWrite, while a accepts and cancels the same
+// job. The submission to b must report the job as cancelled.
+func submitOvertaken(t *testing.T, a, b *node, delayWrite func()) {
 	_ = b.Follow.Barrier(t.Context())
-	b.stall()
-	late()
-	told := make(chan bool)
+	b.stopFollowing()
+	delayWrite()
+	submitted := make(chan bool)
 	go func() {
-		b.ask(t, "submit", "wk-1", "withdrawn")
-		close(told)
+		b.expectStage(t, "submit", "wk-1", "withdrawn")
+		close(submitted)
 	}()
 	time.Sleep(100 * time.Millisecond)
-	a.ask(t, "submit", "wk-1", "pending")
-	a.ask(t, "cancel", "wk-1", "withdrawn")
-	<-told
+	a.expectStage(t, "submit", "wk-1", "pending")
+	a.expectStage(t, "cancel", "wk-1", "withdrawn")
+	<-submitted
 }
 
-// TestRepeatOvertakenWhileWritten: a submission is looked up before another controller accepts the
-// job, and leaves only after that one has told that it is cancelled.
-func TestRepeatOvertakenWhileWritten(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		overtaken(t, a, b, func() { b.hold(800 * time.Millisecond) })
+// TestResubmissionOvertakenBeforeSend checks that a cancelled job does not become live again if a submission looks
+// it up before another controller accepts it, and is sent only after that controller has reported the
+// cancellation.
+func TestResubmissionOvertakenBeforeSend(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		submitOvertaken(t, a, b, func() { b.delayOutgoing(800 * time.Millisecond) })
 		if n := len(s.Page(store.BatchKey(""), "", 0).Items); n != 2 {
 			t.Errorf("the job is in %d batches", n)
 		}
 		for _, o := range []*node{a, b} {
 			_ = o.Follow.Barrier(t.Context())
 			if _, live := o.View.Live("wk-1"); live {
-				t.Error("the job is back")
+				t.Error("the job is live again")
 			}
 		}
 	})
 }
 
-// TestOvertakenOnItsWay: the same, and the submission leaves at once, with a read beside it, but is
-// carried out late: what the read has brought is older than what the other controller has told.
-func TestOvertakenOnItsWay(t *testing.T) {
-	two(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
-		overtaken(t, a, b, func() { b.slow.delay.Store(int64(800 * time.Millisecond)) })
+// TestResubmissionOvertakenInTransit checks the same for a submission that is sent at once but executed late: the
+// read barrier that runs beside it shows a state older than what the other controller has reported.
+func TestResubmissionOvertakenInTransit(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
+		submitOvertaken(t, a, b, func() { b.delayedWrites.delay.Store(int64(800 * time.Millisecond)) })
 	})
 }
 
-// TestOlderListAfterOwnWrite: a list that was begun before a cancellation is taken in after it was
-// told. What is asked next is read behind a barrier, and no launch finds the job's batch as the list shows it.
+// TestOlderListAfterOwnWrite checks that requests still report a cancellation if a list that was read before it is
+// loaded into the view after it was reported: they read behind a barrier. A launch that is based on the list fails,
+// since the state service has a later version of the job's batch.
 func TestOlderListAfterOwnWrite(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		a.ask(t, "submit", "wk-1", "pending")
-		a.ask(t, "submit", "wk-2", "pending")
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		a.expectStage(t, "submit", "wk-1", "pending")
+		a.expectStage(t, "submit", "wk-2", "pending")
 		_ = a.Follow.Barrier(t.Context())
-		a.stall()
-		time.Sleep(5 * time.Second) // its last watch is over
+		a.stopFollowing()
+		time.Sleep(5 * time.Second) // the last watch request has ended
 		list := s.Page(store.StatePrefix, "", 0)
-		for i, how := range []string{"status", "submit", "cancel"} {
+		for i, method := range []string{"status", "submit", "cancel"} {
 			if i == 0 {
-				a.ask(t, "cancel", "wk-1", "withdrawn")
+				a.expectStage(t, "cancel", "wk-1", "withdrawn")
 			}
 			a.View.Load(list.Items, list.Revision, &wire.WatchResponse{Revision: list.Revision})
 			if _, live := a.View.Live("wk-1"); i == 0 && !live {
-				t.Error("the list was not taken in")
+				t.Error("the view did not load the list")
 			}
-			a.ask(t, how, "wk-1", "withdrawn")
+			a.expectStage(t, method, "wk-1", "withdrawn")
 		}
-		b.ask(t, "status", "wk-1", "withdrawn")
-		b.ask(t, "status", "wk-2", "pending")
+		b.expectStage(t, "status", "wk-1", "withdrawn")
+		b.expectStage(t, "status", "wk-2", "pending")
 	})
 }
 
-// TestNeverRuns: a job is refused for ever where no task of it, or of a gang or service not all of them,
-// could ever run, and no other is.
-func TestNeverRuns(t *testing.T) {
-	d := &Service{Teams: []config.Team{{Name: "red"}, {Name: "blue", CPUsMax: 12, GPUsMax: 0.3}, {Name: "green", GPUsMax: 4}}}
+// TestUnrunnableReason checks that a job is rejected permanently if no task of it could ever run, or not all
+// tasks of a gang or service, and that any other job is accepted.
+func TestUnrunnableReason(t *testing.T) {
+	service := &Service{Teams: []config.Team{{Name: "red"}, {Name: "blue", CPUsMax: 12, GPUsMax: 0.3}, {Name: "green", GPUsMax: 4}}}
 	types := []wire.MachineType{{Name: "small", CPUs: 4, GPUs: 2, MemoryGB: 16, Zones: []string{"a", "b"}}, {Name: "large", CPUs: 8, MemoryGB: 64, Zones: []string{"b"}},
 		{Name: "nowhere", CPUs: 64, GPUs: 8, MemoryGB: 512}}
 	const limit, size, zone = "over the team's limit", "no allowed machine type is large enough", "all its tasks would have to be in one zone, which may hold half of them"
@@ -402,60 +407,60 @@
 	} {
 		j := job("wk-1")
 		x.change(j)
-		if why := d.unrunnableReason(j, types); why != x.why {
+		if why := service.unrunnableReason(j, types); why != x.why {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
 }
 
-// TestAnotherBody: a submission that comes again with a body that would be refused is that of
-// the accepted job, be it accepted elsewhere just now or compacted long ago, and so is a
-// cancellation that comes again.
-func TestAnotherBody(t *testing.T) {
-	two(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
-		large, foreign := job("wk-1"), job("wk-1")
-		large.Image, foreign.Team = strings.Repeat("x", 9000), "blue"
-		again := func(want wire.Stage) {
+// TestResubmissionWithInvalidBody checks that a resubmission whose body would be rejected returns the job that was
+// accepted under its ID, whether another controller has just accepted it or it was compacted long ago.
+// A repeated cancellation returns that job too.
+func TestResubmissionWithInvalidBody(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, _ *simulator.StateService, a, b *node) {
+		tooLarge, unknownTeam := job("wk-1"), job("wk-1")
+		tooLarge.Image, unknownTeam.Team = strings.Repeat("x", 9000), "blue"
+		resubmit := func(want wire.Stage) {
 			t.Helper()
-			for _, j := range []*wire.Job{large, foreign} {
+			for _, j := range []*wire.Job{tooLarge, unknownTeam} {
 				if rec, created, err := b.Submit(t.Context(), j); err != nil || created || rec.Stage != want {
-					t.Errorf("again: %s, %v, %v", rec.Stage, created, err)
+					t.Errorf("resubmission: %s, created %v, error %v", rec.Stage, created, err)
 				}
 			}
 		}
-		b.stall()
+		b.stopFollowing()
 		_ = b.Follow.Barrier(t.Context())
-		a.ask(t, "submit", "wk-1", string(wire.Pending))
-		again(wire.Pending)
-		a.ask(t, "cancel", "wk-1", string(wire.Cancelled))
+		a.expectStage(t, "submit", "wk-1", string(wire.Pending))
+		resubmit(wire.Pending)
+		a.expectStage(t, "cancel", "wk-1", string(wire.Cancelled))
 		a.compact(t)
 		time.Sleep(10 * time.Minute)
-		again(wire.Cancelled)
-		b.ask(t, "cancel", "wk-1", string(wire.Cancelled))
+		resubmit(wire.Cancelled)
+		b.expectStage(t, "cancel", "wk-1", string(wire.Cancelled))
 	})
 }
 
-// TestDoubtHidesNoHistory: while a batch is there that nobody understands, jobs that were
-// compacted before are still answered by a controller that has none of them in memory; what is not known
-// may be in that batch.
-func TestDoubtHidesNoHistory(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
-		a.ask(t, "submit", "wk-1", "pending")
-		a.ask(t, "cancel", "wk-1", "withdrawn")
+// TestUnreadableBatchLeavesArchiveReadable checks that jobs in the archive are still found while a batch exists that
+// no controller can read, even by a controller that has none of them in memory. A request for an unknown job
+// is retryable, since that batch may hold the job.
+func TestUnreadableBatchLeavesArchiveReadable(t *testing.T) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+		a.expectStage(t, "submit", "wk-1", "pending")
+		a.expectStage(t, "cancel", "wk-1", "withdrawn")
 		a.compact(t)
 		s.Commit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey("y"), Value: "garbled"}}})
 		time.Sleep(time.Second)
 		b.History.(*archive.Reader).Reset()
-		b.ask(t, "status", "wk-1", "withdrawn")
-		b.ask(t, "status", "wk-2", "later")
+		b.expectStage(t, "status", "wk-1", "withdrawn")
+		b.expectStage(t, "status", "wk-2", "later")
 	})
 }
 
-// TestFirstTierIsAdmitted: however many submissions wait, one of the first tier goes before
-// them, and the last of them comes back later.
-func TestFirstTierIsAdmitted(t *testing.T) {
-	in := &Intake{MaxQueue: maxQueue}
-	entries := make([]*submission, maxQueue)
+// TestPrioritizedSubmissionsAreAdmitted checks that a prioritized submission goes ahead of a full queue, whose last
+// submission fails with ErrFull.
+func TestPrioritizedSubmissionsAreAdmitted(t *testing.T) {
+	in := &Intake{MaxQueue: defaultMaxQueue}
+	entries := make([]*submission, defaultMaxQueue)
 	for i := range entries {
 		entries[i] = &submission{job: fmt.Sprint(i), done: make(chan error, 1)}
 		if !in.enqueue(entries[i]) {
@@ -463,55 +468,55 @@
 		}
 	}
 	if in.enqueue(&submission{job: "one more"}) {
-		t.Error("more than may wait are admitted")
+		t.Error("a full queue admits another submission")
 	}
 	for i := range 2 {
 		if !in.enqueue(&submission{job: fmt.Sprint("top-", i), prioritized: true}) {
-			t.Error("the first tier is sent away")
+			t.Error("a prioritized submission is not admitted")
 		}
 	}
-	if in.queue[0].job != "top-0" || in.queue[1].job != "top-1" || in.queue[2] != entries[0] || len(in.queue) != maxQueue || <-entries[maxQueue-1].done != ErrFull {
+	if in.queue[0].job != "top-0" || in.queue[1].job != "top-1" || in.queue[2] != entries[0] || len(in.queue) != defaultMaxQueue || <-entries[defaultMaxQueue-1].done != ErrFull {
 		t.Errorf("the queue begins with %v, %v, %v of %d", in.queue[0].job, in.queue[1].job, in.queue[2].job, len(in.queue))
 	}
 }
 
-// TestLateSubmissionBeforeGate: the same, while the gate has not moved: the late copy is taken, for
-// its key is absent again. What was compacted goes before it: the job does not come back, is not
-// answered otherwise, and goes into the history only once the gate has moved.
+// TestLateSubmissionBeforeGate is like TestLateSubmissionAfterCompaction, but the submission fence has not advanced:
+// the late copy is applied, since its key is absent again. The compacted record takes precedence: the job does
+// not become live again, its reported stage does not change, and it goes into the archive only once the fence
+// has advanced.
 func TestLateSubmissionBeforeGate(t *testing.T) {
-	two(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
+	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.compactor.MergeThreshold = 99
 		s.Configure(func(s *simulator.StateService) {
 			s.HoldTxn = func(puts []string) bool { return len(puts) > 0 && strings.Contains(puts[0], "/batch/10.0.0.1") }
 		})
-		a.ask(t, "submit", "wk-1", "later")
+		a.expectStage(t, "submit", "wk-1", "later")
 		s.Configure(func(s *simulator.StateService) { s.HoldTxn = nil })
-		b.ask(t, "submit", "wk-1", "pending")
-		b.ask(t, "cancel", "wk-1", "withdrawn")
+		b.expectStage(t, "submit", "wk-1", "pending")
+		b.expectStage(t, "cancel", "wk-1", "withdrawn")
 		a.compact(t)
 		if n := s.ReleaseHeld(); n != 1 {
-			t.Errorf("%d late submissions were taken", n)
+			t.Errorf("%d late submissions were applied", n)
 		}
 		time.Sleep(time.Second)
-		still := func() {
+		expectCancelled := func() {
 			t.Helper()
 			for _, o := range []*node{a, b} {
-				o.ask(t, "status", "wk-1", "withdrawn")
-				o.ask(t, "submit", "wk-1", "withdrawn")
+				o.expectStage(t, "status", "wk-1", "withdrawn")
+				o.expectStage(t, "submit", "wk-1", "withdrawn")
 				if _, live := o.View.Live("wk-1"); live {
-					t.Error("the job is back")
+					t.Error("the job is live again")
 				}
 			}
 		}
-		still()
+		expectCancelled()
 		a.compactor.MergeThreshold = 0
 		a.compact(t)
-		still()
+		expectCancelled()
 	})
 }
 
-// TestReroute: what waits when another controller is to write it is sent back, what is being written
-// is not.
+// TestReroute checks that Reroute fails the queued jobs with errRerouted, but not those that are being written.
 func TestReroute(t *testing.T) {
 	in := NewIntake(nil, "c-0-1", 8192)
 	results := make(chan error, 3)
@@ -532,13 +537,13 @@
 	in.queue = append(in.queue, &submission{job: "wk-9", ctx: t.Context(), done: results})
 	in.Reroute()
 	if err := <-results; !errors.Is(err, errRerouted) {
-		t.Errorf("what waited is told %v", err)
+		t.Errorf("a queued submission returned %v, want errRerouted", err)
 	}
 	finish(writing, nil)
 	if err := <-results; err != nil {
-		t.Errorf("what was being written is told %v", err)
+		t.Errorf("the submission that was being written returned %v", err)
 	}
 	if len(in.queue) > 0 {
-		t.Errorf("%d still wait", len(in.queue))
+		t.Errorf("%d submissions are still queued", len(in.queue))
 	}
 }
--- a/internal/admission/submit.go
+++ b/internal/admission/submit.go
@@ -10,10 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Submit accepts a job, and returns once it is in the state service. created is false where the job
-// was submitted before; it is then as the record says.
+// Submit accepts a job, and returns once the state service has stored it. created is false if the job was
+// submitted before; rec is then its present record. Another controller may write the job.
 func (s *Service) Submit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, writePatience)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if rec, created, handled, err := s.forwardSubmit(ctx, job); handled {
 		return rec, created, err
@@ -28,7 +28,8 @@
 	return s.SubmitLocally(ctx, job)
 }
 
-// forwardSubmit has another controller accept a job, if one writes it and it is not known to have ended.
+// forwardSubmit forwards a submission to the controller that writes it, unless there is none or the job is
+// known to have ended.
 func (s *Service) forwardSubmit(ctx context.Context, job *wire.Job) (rec store.JobRecord, created, handled bool, err error) {
 	if _, final := s.finalRecord(job.ID); final || s.Forwarder == nil {
 		return rec, false, false, nil
@@ -36,26 +37,27 @@
 	return s.Forwarder.Submit(ctx, job)
 }
 
-// SubmitLocally is Submit without forwarding. A job whose forwarding failed is looked up first like
-// any other: it may have been accepted, or may yet be, and then it is in two batches.
+// SubmitLocally is like Submit, but never forwards the job. A job that could not be forwarded is looked up
+// first like any other: the other controller may have accepted it, or may still accept it, in which case the
+// job is in two batches.
 func (s *Service) SubmitLocally(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
-	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeSubmissions), writePatience)
+	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeSubmissions), writeTimeout)
 	defer cancel()
-	read := &barrierRead{follow: s.Follow} // runs beside the write, which takes as long
-	for range submitAttempts {
-		// The fence is read first: once the job was not found, only a submission that is applied
-		// before the fence moves can be its first.
+	read := &barrierRead{follow: s.Follow} // runs concurrently with the write, and takes about as long
+	for range maxSubmitAttempts {
+		// The fence is read before the lookup: if the job is not found, only a submission that is applied
+		// before the fence advances can be its first.
 		fence := s.View.SubmissionFence().Version
 		if _, known, err := s.Find(ctx, job.ID); err != nil {
 			return rec, false, err
 		} else if known {
 			return s.describeResubmission(ctx, job.ID)
 		}
-		rec, created, err := s.accept(ctx, job, fence, read.begin)
+		rec, created, err := s.accept(ctx, job, fence, read.start)
 		switch {
 		case created:
 			return s.confirmAccepted(ctx, job.ID, rec, err, read)
-		case !errors.Is(err, errFenceMoved):
+		case !errors.Is(err, errFenceAdvanced):
 			return rec, false, err
 		}
 		if err := s.Follow.Barrier(ctx); err != nil {
@@ -66,17 +68,19 @@
 }
 
 const (
-	// submitAttempts bounds how often a submission is tried while the submission fence moves.
-	submitAttempts = 4
-	// slowWrite is how long a write may take beside the read that was begun before it. The read does
-	// not show what happened to the job on other controllers meanwhile.
-	slowWrite = 300 * time.Millisecond
+	// maxSubmitAttempts bounds the attempts to write a submission while the submission fence advances.
+	maxSubmitAttempts = 4
+	// slowWriteThreshold is the longest time for which a write may rely on the read barrier that was
+	// requested when it was sent. The barrier does not show what other controllers did with the job
+	// afterwards.
+	slowWriteThreshold = 300 * time.Millisecond
 )
 
-// confirmAccepted returns the record of a job that accept wrote, once the view shows what came before the
-// write. The read that was begun beside the write shows it, unless the write took long or failed with writeErr.
+// confirmAccepted returns the record of a job that accept wrote, once the view shows what happened before the
+// write. The concurrent read barrier ensures this, unless the write took long or returned writeErr: then
+// another barrier is needed.
 func (s *Service) confirmAccepted(ctx context.Context, id string, rec store.JobRecord, writeErr error, read *barrierRead) (store.JobRecord, bool, error) {
-	if writeErr != nil || read.age() > slowWrite {
+	if writeErr != nil || read.age() > slowWriteThreshold {
 		if err := s.Follow.Barrier(ctx); err != nil {
 			return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
@@ -88,17 +92,16 @@
 	return s.confirmWrite(ctx, id, rec, true)
 }
 
-// confirmWrite returns the record of a job that was just written as mine. However old the view was in
-// which the job was not found, another controller may have accepted and ended it by then, and then
-// it has ended by its first batch, whatever was written here. acknowledged says that the write was
-// answered.
+// confirmWrite returns the record of a job that was just written as mine. The view in which the job was not
+// found may have been stale: if another controller had already accepted and ended the job, its first batch
+// decides that it has ended, whatever was written here. acknowledged says whether the write succeeded.
 func (s *Service) confirmWrite(ctx context.Context, id string, mine store.JobRecord, acknowledged bool) (store.JobRecord, bool, error) {
 	rec, known, err := s.Find(ctx, id)
 	switch {
 	case err == nil && !known && acknowledged:
-		return mine, true, nil // the read was before the write
+		return mine, true, nil // the view does not show the write yet
 	case err == nil && !known:
-		err = ErrRetryLater // it was not written: another process had used the same key
+		err = ErrRetryLater // the job was not written: another process had used the same key
 	}
 	created := rec.Job != nil && rec.Created == mine.Created && rec.Job.Work == mine.Job.Work
 	return rec, err == nil && created, err
@@ -113,18 +116,18 @@
 	return rec, false, err
 }
 
-// accept writes a job that was not found, or refuses it. Where created comes with an error, that is
-// errCopyTaken.
+// accept writes a job that was not found, or rejects it. If created is true, the error is nil or
+// errEarlierCopyApplied.
 func (s *Service) accept(ctx context.Context, job *wire.Job, fence uint64, onSend func()) (rec store.JobRecord, created bool, err error) {
 	types := s.MachineTypes()
-	if types == nil || !s.Writable() || ctx.Err() != nil { // a job whose user has gone takes no place in the queue
+	if types == nil || !s.Writable() || ctx.Err() != nil { // a job whose caller has gone is not queued
 		return rec, false, ErrRetryLater
 	}
 	if _, ended, _, _ := s.View.Size(); ended > s.MaxBacklog {
 		return rec, false, ErrCompactionBehind
 	}
 	if why := s.unrunnableReason(job, types); why != "" {
-		return s.refuse(ctx, job.ID, &UnrunnableError{why})
+		return s.reject(ctx, job.ID, &UnrunnableError{why})
 	}
 	rec = store.JobRecord{Stage: wire.Pending, Tasks: job.Tasks, Created: time.Now().UnixMilli(), Job: job}
 	if s.Route != nil {
@@ -133,8 +136,8 @@
 	err = s.Intake.Add(ctx, job.ID, rec, fence, onSend)
 	switch {
 	case errors.Is(err, ErrTooLarge):
-		return s.refuse(ctx, job.ID, err)
-	case err != nil && !errors.Is(err, errCopyTaken):
+		return s.reject(ctx, job.ID, err)
+	case err != nil && !errors.Is(err, errEarlierCopyApplied):
 		return rec, false, err
 	}
 	s.Log.Info("job accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
@@ -142,9 +145,9 @@
 	return rec, true, err
 }
 
-// refuse refuses a job for ever, unless it was accepted before, perhaps on another controller just
-// now, and is sent again with another description.
-func (s *Service) refuse(ctx context.Context, id string, why error) (rec store.JobRecord, created bool, err error) {
+// reject rejects a job permanently, for the reason why, unless a job of that ID was accepted before, perhaps
+// on another controller a moment ago: then this is a resubmission with another description.
+func (s *Service) reject(ctx context.Context, id string, why error) (rec store.JobRecord, created bool, err error) {
 	if err := s.Follow.Barrier(ctx); err != nil {
 		return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,7 @@
 	types    = []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"a", "b", "c"}}}
 )
 
-func text(ranges []store.ShardRange) (out string) {
+func formatRanges(ranges []store.ShardRange) (out string) {
 	for _, s := range ranges {
 		out += fmt.Sprintf("%d-%d/%s ", s.From, s.To, s.Shard)
 	}
@@ -39,8 +39,8 @@
 		{99, -1, "0-4/c 4-6/b 6-10/c "},
 	} {
 		got := Move(ranges, 10, "a", "c", x.n, func(i int) bool { return i != x.stays })
-		if text(got) != x.want || Count(got) != 10 {
-			t.Errorf("%d tasks without %d: %s, want %s", x.n, x.stays, text(got), x.want)
+		if formatRanges(got) != x.want || Count(got) != 10 {
+			t.Errorf("%d tasks without %d: %s, want %s", x.n, x.stays, formatRanges(got), x.want)
 		}
 		for i := range 10 {
 			if got, was := ShardOf(got, i), ShardOf(ranges, i); got != was && (was != "a" || i == x.stays) {
@@ -56,8 +56,8 @@
 // TestMerge: only ranges that follow each other in one shard are joined.
 func TestMerge(t *testing.T) {
 	got := Merge([]store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 3, Shard: "a"}, {From: 3, To: 4, Shard: "a", Done: true}, {From: 4, To: 5, Shard: "b"}})
-	if text(got) != "0-3/a 3-4/a 4-5/b " || ShardOf(got, 5) != "" {
-		t.Error(text(got))
+	if formatRanges(got) != "0-3/a 3-4/a 4-5/b " || ShardOf(got, 5) != "" {
+		t.Error(formatRanges(got))
 	}
 }
 
@@ -87,7 +87,7 @@
 	return []Peer{{Shard: "a", Capacity: map[string]scheduler.FreeCapacity{"x": a}}, {Shard: "b", Capacity: map[string]scheduler.FreeCapacity{"x": b}}}
 }
 
-func unplaced(j *wire.Job) *scheduler.UnplacedJob {
+func unplacedJob(j *wire.Job) *scheduler.UnplacedJob {
 	s := &scheduler.Job{Job: j, LocalTasks: j.Tasks}
 	for i := range j.Tasks {
 		s.Waiting = append(s.Waiting, i)
@@ -120,7 +120,7 @@
 	} {
 		targets := NewTargets("c", sharding)
 		targets.SetPeers(peersWith(x.a, x.b))
-		shard, n := targets.Choose(start, unplaced(x.job), nil, types, x.waited)
+		shard, n := targets.Choose(start, unplacedJob(x.job), nil, types, x.waited)
 		if got := fmt.Sprint(shard, " ", n); got != x.want {
 			t.Errorf("%s: %q, want %q", x.name, got, x.want)
 		}
@@ -128,24 +128,24 @@
 	targets := NewTargets("c", sharding)
 	targets.SetPeers(peersWith(scheduler.FreeCapacity{Now: 2}, scheduler.FreeCapacity{Now: 3}))
 	targets.Record(start, "b", "x", 2)
-	if shard, n := targets.Choose(start.Add(time.Second), unplaced(array), nil, types, time.Second); shard != "a" || n != 2 {
+	if shard, n := targets.Choose(start.Add(time.Second), unplacedJob(array), nil, types, time.Second); shard != "a" || n != 2 {
 		t.Errorf("after two tasks went to b: %s %d", shard, n)
 	}
-	if shard, n := targets.Choose(start.Add(3*time.Second), unplaced(array), nil, types, time.Second); shard != "b" || n != 3 {
+	if shard, n := targets.Choose(start.Add(3*time.Second), unplacedJob(array), nil, types, time.Second); shard != "b" || n != 3 {
 		t.Errorf("once the status of b shows them: %s %d", shard, n)
 	}
 }
 
 // TestDivide: a gang that is whole nowhere is divided over this shard and those with the most capacity, or not at all.
 func TestDivide(t *testing.T) {
-	gang := unplaced(&wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}).Job
+	gang := unplacedJob(&wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}).Job
 	targets := NewTargets("c", sharding)
 	targets.SetPeers(peersWith(scheduler.FreeCapacity{Now: 2}, scheduler.FreeCapacity{Now: 4}))
-	if got := text(targets.Divide(start, gang, scheduler.FreeCapacity{Now: 3}, types, time.Second)); got != "0-3/c 3-7/b 7-8/a " {
+	if got := formatRanges(targets.Divide(start, gang, scheduler.FreeCapacity{Now: 3}, types, time.Second)); got != "0-3/c 3-7/b 7-8/a " {
 		t.Error(got)
 	}
 	if got := targets.Divide(start, gang, scheduler.FreeCapacity{Now: 1}, types, time.Second); got != nil {
-		t.Errorf("%s, which is more than there is", text(got))
+		t.Errorf("%s, which is more than there is", formatRanges(got))
 	}
 }
 
--- a/internal/handover/recent.go
+++ b/internal/handover/recent.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// visibleAfter is after how long a shard's status shows the tasks that were handed over to it.
-const visibleAfter = 2 * time.Second
+// statusLag is after how long a shard's status shows the tasks that were handed over to it.
+const statusLag = 2 * time.Second
 
 // recent counts the tasks that were lately handed over to each shard and that its status may not show yet.
 type recent map[string]recentTasks
@@ -17,7 +17,7 @@
 // count gives the tasks of a class that were lately handed over to a shard.
 func (r recent) count(now time.Time, shard, class string) int {
 	t := r[shard]
-	if now.Sub(t.at) > visibleAfter {
+	if now.Sub(t.at) > statusLag {
 		return 0
 	}
 	return t.byClass[class]
@@ -26,7 +26,7 @@
 // record notes that tasks of a class are handed over to a shard.
 func (r recent) record(now time.Time, shard, class string, n int) {
 	t := r[shard]
-	if t.byClass == nil || now.Sub(t.at) > visibleAfter {
+	if t.byClass == nil || now.Sub(t.at) > statusLag {
 		t = recentTasks{byClass: make(map[string]int)}
 	}
 	t.at = now
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -21,7 +21,7 @@
 
 // negligible is an amount that no task fits into, where a limit of 0 stands for none, and the tolerance
 // for sums of floating-point numbers.
-const negligible = 1e-9
+const tolerance = 1e-9
 
 // A shard asks for more than it needs, so that it need not ask again at once.
 const (
@@ -85,16 +85,16 @@
 		returns = true
 	}
 	if returns {
-		grant = lesser(grant, used)
+		grant = minResources(grant, used)
 	}
 	if lower, ok := q.pendingLower[team]; ok {
-		grant = lesser(grant, lower)
+		grant = minResources(grant, lower)
 	}
 	if t.LimitCPUs > 0 {
-		t.LimitCPUs = max(min(grant.CPUs, t.LimitCPUs), negligible)
+		t.LimitCPUs = max(min(grant.CPUs, t.LimitCPUs), tolerance)
 	}
 	if t.LimitGPUs > 0 {
-		t.LimitGPUs = max(min(grant.GPUs, t.LimitGPUs), negligible)
+		t.LimitGPUs = max(min(grant.GPUs, t.LimitGPUs), tolerance)
 	}
 	for i := range q.peers {
 		t.RemoteUsedCPUs += q.peers[i].Used[team].CPUs
@@ -120,7 +120,7 @@
 // be running, also for tasks that have ended.
 func (q *Quota) overGranted(team string, limit *scheduler.Team) bool {
 	sum := q.totalGranted(team)
-	return limit.LimitCPUs > 0 && sum.CPUs > limit.LimitCPUs+negligible || limit.LimitGPUs > 0 && sum.GPUs > limit.LimitGPUs+negligible
+	return limit.LimitCPUs > 0 && sum.CPUs > limit.LimitCPUs+tolerance || limit.LimitGPUs > 0 && sum.GPUs > limit.LimitGPUs+tolerance
 }
 
 // yieldsFreed reports whether what becomes free here of a team's limit is left to another shard whose work
@@ -186,37 +186,37 @@
 	own := q.forecast.Demands[t.Name]
 	waits := own.IsPending()
 	peer, asked, first := q.mostUrgentPeer(t.Name)
-	r := rule{waits: waits, yields: asked && (!waits || first)}
+	r := grantRule{hasPending: waits, yields: asked && (!waits || first)}
 	total, projected := q.totalGranted(t.Name), q.forecast.Projected[t.Name]
 	return scheduler.Resources{
-		CPUs: r.next(amounts{t.CPUsMax, total.CPUs, grant.CPUs, used.CPUs, projected.CPUs, own.CPUs, peer.CPUs}),
-		GPUs: r.next(amounts{t.GPUsMax, total.GPUs, grant.GPUs, used.GPUs, projected.GPUs, own.GPUs, peer.GPUs}),
+		CPUs: r.nextGrant(grantInputs{t.CPUsMax, total.CPUs, grant.CPUs, used.CPUs, projected.CPUs, own.CPUs, peer.CPUs}),
+		GPUs: r.nextGrant(grantInputs{t.GPUsMax, total.GPUs, grant.GPUs, used.GPUs, projected.GPUs, own.GPUs, peer.GPUs}),
 	}
 }
 
 // rule says how a shard's grant of one kind of resource changes.
-type rule struct {
-	waits  bool // work of this shard waits for a larger grant
-	yields bool // work of another shard goes first
+type grantRule struct {
+	hasPending bool // work of this shard waits for a larger grant
+	yields     bool // work of another shard goes first
 }
 
 // amounts are what a grant of one kind of resource depends on.
-type amounts struct {
+type grantInputs struct {
 	limit, granted         float64 // of all shards
 	own, used, projected   float64 // this shard's grant, what it uses, and will with all that is placed
 	ownDemand, peersDemand float64 // what waits here, and in the shard whose work is the most urgent
 }
 
 // next gives the grant that this shard should have.
-func (r rule) next(a amounts) float64 {
+func (r grantRule) nextGrant(a grantInputs) float64 {
 	left := max(0, a.limit-a.granted)
 	switch {
 	case a.limit == 0:
-	case a.granted > a.limit+negligible:
+	case a.granted > a.limit+tolerance:
 		return min(a.own, a.used)
 	case r.yields && a.peersDemand > left: // what is free goes to the others, but for what only waits for its machine
 		return min(a.own, max(a.used, a.projected))
-	case r.waits && a.ownDemand > 0 && left > 0:
+	case r.hasPending && a.ownDemand > 0 && left > 0:
 		return a.own + min(left, max(a.ownDemand*headroom, a.limit*minLimitShare))
 	}
 	return a.own
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -22,11 +22,11 @@
 
 func gpus(n float64) scheduler.Resources { return scheduler.Resources{GPUs: n} }
 
-func demand(n float64, since time.Time) map[string]scheduler.QuotaDemand {
+func redDemand(n float64, since time.Time) map[string]scheduler.QuotaDemand {
 	return map[string]scheduler.QuotaDemand{"red": {GPUs: n, Least: gpus(1), Since: since}}
 }
 
-func record(version uint64, a, b float64) store.Versioned[store.QuotaGrantRecord] {
+func grantRecord(version uint64, a, b float64) store.Versioned[store.QuotaGrantRecord] {
 	rec := store.NewQuotaGrantRecord(map[string]map[string]store.QuotaGrant{"red": {"a": {GPUs: a}, "b": {GPUs: b}}})
 	return store.Versioned[store.QuotaGrantRecord]{Version: version, Record: rec}
 }
@@ -38,7 +38,7 @@
 }
 
 // limit gives what the shard may use of red's GPUs.
-func limit(q *Quota, used float64) float64 {
+func redGPULimit(q *Quota, used float64) float64 {
 	t := &scheduler.Team{LimitGPUs: 32}
 	q.Apply(start, "red", t, gpus(used))
 	return t.LimitGPUs
@@ -64,17 +64,17 @@
 		{"both wait, the other for longer", 12, 20, 5, 4, 4, true, 5},
 		{"more is granted than there is", 30, 20, 25, 4, 0, false, 25},
 	} {
-		q := newQuota(record(3, x.a, x.b))
+		q := newQuota(grantRecord(3, x.a, x.b))
 		f := Forecast{}
 		if x.own > 0 {
-			f.Demands = demand(x.own, start)
+			f.Demands = redDemand(x.own, start)
 		}
 		if x.theirs > 0 {
 			since := start.Add(time.Second)
 			if x.peerFirst {
 				since = start.Add(-time.Second)
 			}
-			q.SetPeers([]Peer{{Shard: "b", Demands: demand(x.theirs, since)}})
+			q.SetPeers([]Peer{{Shard: "b", Demands: redDemand(x.theirs, since)}})
 		}
 		q.SetForecast(f)
 		change := q.Propose(wire.Condition{Key: "fence"}, teams, map[string]scheduler.Resources{"red": gpus(x.used)})
@@ -91,35 +91,35 @@
 	}
 }
 
-// TestLoweredIsNotUsed: what a change returns is not used from the moment it is proposed until it is over, and no other
+// TestReturnedGrantIsNotUsed: what a change returns is not used from the moment it is proposed until it is over, and no other
 // change is proposed meanwhile.
-func TestLoweredIsNotUsed(t *testing.T) {
-	q := newQuota(record(3, 12, 20))
-	if q.Idle() || limit(q, 5) != 12 {
-		t.Errorf("before a plan: %v, %v", q.Idle(), limit(q, 5))
+func TestReturnedGrantIsNotUsed(t *testing.T) {
+	q := newQuota(grantRecord(3, 12, 20))
+	if q.Idle() || redGPULimit(q, 5) != 12 {
+		t.Errorf("before a plan: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
 	q.SetForecast(Forecast{})
-	q.SetPeers([]Peer{{Shard: "b", Used: map[string]scheduler.Resources{"red": gpus(20)}, Demands: demand(4, start)}})
+	q.SetPeers([]Peer{{Shard: "b", Used: map[string]scheduler.Resources{"red": gpus(20)}, Demands: redDemand(4, start)}})
 	if !q.Idle() || q.Propose(wire.Condition{}, teams, map[string]scheduler.Resources{"red": gpus(5)}) == nil {
 		t.Fatal("nothing is returned")
 	}
-	if q.Idle() || limit(q, 5) != 5 {
-		t.Errorf("while the change is in flight: %v, %v", q.Idle(), limit(q, 5))
+	if q.Idle() || redGPULimit(q, 5) != 5 {
+		t.Errorf("while the change is in flight: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
-	q.Settled(record(2, 1, 1)) // which is older than what was read
-	if !q.Idle() || limit(q, 5) != 12 {
-		t.Errorf("after it was refused: %v, %v", q.Idle(), limit(q, 5))
+	q.Settled(grantRecord(2, 1, 1)) // which is older than what was read
+	if !q.Idle() || redGPULimit(q, 5) != 12 {
+		t.Errorf("after it was refused: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
-	q.Settled(record(4, 5, 20))
+	q.Settled(grantRecord(4, 5, 20))
 	team := &scheduler.Team{LimitGPUs: 32}
 	if q.Apply(start, "red", team, gpus(5)); team.LimitGPUs != 5 || team.GlobalLimitGPUs != 32 || team.RemoteUsedGPUs != 20 || team.LimitCPUs != 0 {
 		t.Errorf("after it was taken: %+v", team)
 	}
 }
 
-// TestLimitHolds: whatever shards demand and in whichever order their changes are taken, the grants never sum up to more
+// TestGrantsNeverExceedLimit: whatever shards demand and in whichever order their changes are taken, the grants never sum up to more
 // than the limit.
-func TestLimitHolds(t *testing.T) {
+func TestGrantsNeverExceedLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	rec := store.Versioned[store.QuotaGrantRecord]{Version: 1}
 	quotas := map[string]*Quota{}
@@ -131,9 +131,9 @@
 			if random.IntN(3) == 0 {
 				q.Observe(rec) // or it goes by an older one
 			}
-			q.SetForecast(Forecast{Demands: demand(float64(random.IntN(12)), start.Add(time.Duration(random.IntN(9))*time.Second))})
+			q.SetForecast(Forecast{Demands: redDemand(float64(random.IntN(12)), start.Add(time.Duration(random.IntN(9))*time.Second))})
 			other := map[string]string{"a": "b", "b": "a"}[shard]
-			q.SetPeers([]Peer{{Shard: other, Demands: demand(float64(random.IntN(12)), start)}})
+			q.SetPeers([]Peer{{Shard: other, Demands: redDemand(float64(random.IntN(12)), start)}})
 			change := q.Propose(wire.Condition{}, teams, map[string]scheduler.Resources{"red": gpus(float64(random.IntN(20)))})
 			if change == nil {
 				continue
@@ -146,7 +146,7 @@
 			for shard := range rec.Record.Teams["red"] {
 				sum += rec.Record.Grant("red", shard).GPUs
 			}
-			if sum > 32+negligible {
+			if sum > 32+tolerance {
 				t.Fatalf("%v", rec.Record.Teams)
 			}
 		}
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -16,6 +16,6 @@
 }
 
 // lesser gives the lesser of two amounts of each kind.
-func lesser(a, b scheduler.Resources) scheduler.Resources {
+func minResources(a, b scheduler.Resources) scheduler.Resources {
 	return scheduler.Resources{CPUs: min(a.CPUs, b.CPUs), GPUs: min(a.GPUs, b.GPUs)}
 }
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -21,7 +21,7 @@
 	version uint64
 }
 
-func (b *fixture) leave(ledger string, e store.Entry) {
+func (b *fixture) addLedgerEntry(ledger string, e store.Entry) {
 	if b.entries[ledger] == nil {
 		b.entries[ledger] = map[string]wire.Raw{}
 		b.state.LedgerNames = append(b.state.LedgerNames, ledger)
@@ -44,7 +44,7 @@
 	return fleet.SingleShard()
 }
 
-func attempt(text string) uint64 {
+func parseAttempt(text string) uint64 {
 	term, seq, _ := strings.Cut(text, ".")
 	hi, _ := strconv.ParseUint(term, 10, 64)
 	lo, _ := strconv.ParseUint(seq, 10, 64)
@@ -72,16 +72,16 @@
 		rec := store.MachineRecord{Type: "g4", Zone: w[2], Tasks: map[string]uint64{}}
 		for _, text := range strings.Split(kv["holds"], ",") {
 			task, n, _ := strings.Cut(text, "#")
-			rec.Tasks[task] = attempt(n)
+			rec.Tasks[task] = parseAttempt(n)
 		}
-		b.leave(kv["ledger"], store.MachineEntry(w[1], rec))
+		b.addLedgerEntry(kv["ledger"], store.MachineEntry(w[1], rec))
 	case "finished": // wk-1 2 3 ledger=fleet
 		done := store.NewTaskSet(0)
 		for _, text := range w[2:] {
 			n, _ := strconv.Atoi(text)
 			done.Add(n)
 		}
-		b.leave(kv["ledger"], store.ProgressEntry(w[1], 0, done))
+		b.addLedgerEntry(kv["ledger"], store.ProgressEntry(w[1], 0, done))
 	case "held":
 		b.state.LedShards = w[1:]
 	case "broken":
@@ -139,9 +139,9 @@
 	})
 }
 
-// FuzzShares: whatever the ledgers say, every task of a job belongs to exactly one shard,
+// FuzzRanges: whatever the ledgers say, every task of a job belongs to exactly one shard,
 // and every leader says the same of it.
-func FuzzShares(f *testing.F) {
+func FuzzRanges(f *testing.F) {
 	f.Add([]byte{1, 2, 3}, []byte{4}, 9, uint8(1))
 	f.Fuzz(func(t *testing.T, placed, done []byte, tasks int, shape uint8) {
 		tasks = 1 + (tasks&0x7fffffff)%300
--- a/internal/shard/assign.go
+++ b/internal/shard/assign.go
@@ -40,7 +40,7 @@
 			if out[s.Name] != "" {
 				continue
 			}
-			if best := pick(s, load, most, near); best >= 0 {
+			if best := bestController(s, load, most, near); best >= 0 {
 				load[best].Leads++
 				out[s.Name] = load[best].Name
 			}
@@ -51,7 +51,7 @@
 
 // pick gives the index of the best controller for a shard among those that lead fewer than most, or -1. Near leaves out
 // those that are not in a zone of the shard.
-func pick(s Shard, controllers []Controller, most int, near bool) int {
+func bestController(s Shard, controllers []Controller, most int, near bool) int {
 	best := -1
 	for i, c := range controllers {
 		if c.Leads >= most || near && !slices.Contains(s.Zones, c.Zone) {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -99,9 +99,9 @@
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newFixture().step })
 }
 
-// TestSharesCover: whatever the capacity, the ranges of a job cover its tasks once, and no shard gets more of a job that
+// TestRangesCoverJob: whatever the capacity, the ranges of a job cover its tasks once, and no shard gets more of a job that
 // must be spread than its zones may have.
-func TestSharesCover(t *testing.T) {
+func TestRangesCoverJob(t *testing.T) {
 	b := newFixture()
 	for i := range 3000 {
 		for _, p := range []string{"a", "b", "c"} {
