--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// TestMove: the last tasks that are movable go, the others and all that is of other shards stay.
+// TestMove checks that the last movable tasks of a shard move, and that all other tasks stay.
 func TestMove(t *testing.T) {
 	ranges := []store.ShardRange{{From: 0, To: 4, Shard: "a"}, {From: 4, To: 6, Shard: "b"}, {From: 6, To: 10, Shard: "a"}}
 	for _, x := range []struct {
@@ -44,16 +44,16 @@
 		}
 		for i := range 10 {
 			if got, was := ShardOf(got, i), ShardOf(ranges, i); got != was && (was != "a" || i == x.stays) {
-				t.Errorf("task %d of %s has gone to %s", i, was, got)
+				t.Errorf("task %d of %s was moved to %s", i, was, got)
 			}
 		}
 	}
 	if done := []store.ShardRange{{From: 0, To: 4, Shard: "a", Done: true}}; !slices.Equal(Move(done, 4, "a", "c", 4, func(int) bool { return true }), done) {
-		t.Error("tasks have gone that were finished")
+		t.Error("finished tasks were moved")
 	}
 }
 
-// TestMerge: only ranges that follow each other in one shard are joined.
+// TestMerge checks that only adjacent ranges of the same shard that are equally done are joined.
 func TestMerge(t *testing.T) {
 	got := Merge([]store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 3, Shard: "a"}, {From: 3, To: 4, Shard: "a", Done: true}, {From: 4, To: 5, Shard: "b"}})
 	if formatRanges(got) != "0-3/a 3-4/a 4-5/b " || ShardOf(got, 5) != "" {
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestLedgerTasks: a record that names a task which is active nowhere is to be written anew, until it is.
+// TestLedgerTasks checks that the record of a machine is stale if it names a task that is active nowhere, until the
+// record is rewritten.
 func TestLedgerTasks(t *testing.T) {
 	l := NewLedgerTasks(map[string]store.MachineRecord{"n-1": {Tasks: map[string]uint64{"wk-1/0": 7, "wk-1/1": 7}}, "n-2": {Tasks: map[string]uint64{"wk-2/0": 8}}})
 	active := func(id wire.TaskID) bool { return id.Index == 1 }
@@ -70,13 +71,13 @@
 	}
 	l.Update("n-1", map[string]uint64{"wk-1/1": 7})
 	if got := l.Stale("wk-1", active); len(got) != 0 || len(l.StaleMachines()) != 0 {
-		t.Errorf("%v on %v, after it was written", got, l.StaleMachines())
+		t.Errorf("%v on %v after the record was rewritten", got, l.StaleMachines())
 	}
 	l.Update("n-2", nil)
 	if got := l.Stale("wk-2", active); len(got) != 0 {
-		t.Errorf("%v of a record that was dropped", got)
+		t.Errorf("%v of a deleted record", got)
 	}
-	var none LedgerTasks // a fleet in one shard
+	var none LedgerTasks // as in a fleet that is a single shard
 	none.Update("n-1", map[string]uint64{"wk-1/0": 7})
 	if got := none.Stale("wk-1", active); len(got) != 0 {
 		t.Errorf("%v of no ledger", got)
@@ -95,8 +96,8 @@
 	return &scheduler.UnplacedJob{Job: s, Unserved: j.Tasks}
 }
 
-// TestChoose: tasks go to the shard with the most capacity that its status does not yet lack; a gang
-// whole or not at all; and after a while to one that can scale out.
+// TestChoose checks that tasks go to the shard with the most capacity, less the tasks that its status does not show
+// yet, that a gang goes whole or not at all, and that tasks which have waited go to a shard that can scale out.
 func TestChoose(t *testing.T) {
 	array := &wire.Job{ID: "wk-1", Class: "x", Shape: wire.Array, Tasks: 8, CPUs: 1}
 	gang := &wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestDivide: a gang that is whole nowhere is divided over this shard and those with the most capacity, or not at all.
+// TestDivide checks that a gang which no shard can take whole is divided between this shard and those with the most
+// capacity, or not at all if their capacity is not enough.
 func TestDivide(t *testing.T) {
 	gang := unplacedJob(&wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}).Job
 	targets := NewTargets("c", sharding)
@@ -145,11 +147,11 @@
 		t.Error(got)
 	}
 	if got := targets.Divide(start, gang, scheduler.FreeCapacity{Now: 1}, types, time.Second); got != nil {
-		t.Errorf("%s, which is more than there is", formatRanges(got))
+		t.Errorf("%s, which exceeds the capacity", formatRanges(got))
 	}
 }
 
-// TestReservationExpired: a co-allocation is not held for long by a shard that has no way to make capacity.
+// TestReservationExpired checks that a shard which has no way to make capacity does not delay a co-allocation for long.
 func TestReservationExpired(t *testing.T) {
 	gang := &wire.Job{ID: "wk-2", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1}
 	production := &wire.Job{ID: "wk-3", Class: "x", Shape: wire.Gang, Tasks: 8, CPUs: 1, Priority: wire.Production}
@@ -184,11 +186,12 @@
 	}
 }
 
-// TestCoAllocation: an attempt starts once here, and a new order is another co-allocation.
+// TestCoAllocation checks that a shard starts each attempt only once, and that a changed order resets the rest of the
+// state.
 func TestCoAllocation(t *testing.T) {
 	var c CoAllocation
 	if c.Observe(start, store.CoAllocationReserve); c.MayStart() {
-		t.Error("it starts while capacity is held")
+		t.Error("it may start while capacity is being reserved")
 	}
 	attempt := store.CoAllocationFirstAttempt + 1
 	c.Observe(start.Add(time.Second), attempt)
@@ -197,11 +200,11 @@
 		t.Errorf("%+v", c)
 	}
 	if c.Committed(attempt - 1); !c.MayStart() {
-		t.Error("another attempt was started")
+		t.Error("another attempt counts as started")
 	}
 	c.Committed(attempt)
 	c.Observe(start.Add(4*time.Second), store.CoAllocationRelease)
 	if c.Observe(start.Add(5*time.Second), attempt); c.MayStart() {
-		t.Error("it starts twice")
+		t.Error("the same attempt may start twice")
 	}
 }
--- a/internal/handover/ledgertasks.go
+++ b/internal/handover/ledgertasks.go
@@ -9,18 +9,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// LedgerTasks is what the shard's own ledger names: the tasks that may be on each machine.
+// LedgerTasks holds the tasks that the shard's own ledger names: those that may be on each machine.
 //
-// When the state is resharded, the attempt tells where a task is that the ledgers of several shards name, and the
-// shard that had the task first may have the later fencing token. So a ledger must no longer name a task
-// that is handed over. The zero value keeps nothing, for a fleet in one shard.
+// If the ledgers of several shards name the same task when the state is resharded, the highest attempt decides where
+// the task is. Attempts follow fencing tokens, and the shard that had the task first may have the higher token.
+// A ledger must therefore no longer name a task when it is handed over. The zero value keeps no tasks, for a
+// fleet that is a single shard.
 type LedgerTasks struct {
-	byMachine  map[string]map[string]uint64 // attempts by machine and task
-	machinesOf map[string]map[string]bool   // machines by job
-	stale      map[string]bool              // machines whose record names a task that is to be handed over
+	byMachine  map[string]map[string]uint64 // attempts, by machine and task
+	machinesOf map[string]map[string]bool   // sets of machines, by job
+	stale      map[string]bool              // machines whose records must be rewritten before a task is handed over
 }
 
-// NewLedgerTasks returns what the machine records of a ledger name.
+// NewLedgerTasks returns the tasks that the machine records of a ledger name.
 func NewLedgerTasks(machines map[string]store.MachineRecord) LedgerTasks {
 	l := LedgerTasks{byMachine: make(map[string]map[string]uint64, len(machines)), machinesOf: make(map[string]map[string]bool)}
 	for id, m := range machines {
@@ -29,7 +30,7 @@
 	return l
 }
 
-// Update takes in the tasks that the ledger names on a machine from now on.
+// Update replaces the tasks of a machine after its record in the ledger was written.
 func (l *LedgerTasks) Update(machine string, tasks map[string]uint64) {
 	delete(l.stale, machine)
 	if l.byMachine == nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// Stale gives the tasks of a job that the ledger names and that are active nowhere, and marks the machines whose
-// records name them to be written anew.
+// Stale returns the set of tasks of a job that the ledger names although they are active nowhere, and marks the
+// machines whose records name them as stale.
 func (l *LedgerTasks) Stale(job string, active func(wire.TaskID) bool) map[int]bool {
 	var out map[int]bool
 	for machine := range l.machinesOf[job] {
@@ -73,7 +74,7 @@
 	return out
 }
 
-// parseTaskOf parses the name of a task in a machine record; ok is false unless it is a task of the job.
+// parseTaskOf parses the name of a task in a machine record. ok is false unless the task belongs to the job.
 func parseTaskOf(job, name string) (task wire.TaskID, ok bool) {
 	if !strings.HasPrefix(name, job+"/") {
 		return wire.TaskID{}, false
@@ -82,7 +83,7 @@
 	return task, err == nil
 }
 
-// markStale marks a machine whose record is to be written anew.
+// markStale marks a machine whose record must be rewritten.
 func (l *LedgerTasks) markStale(machine string) {
 	if l.stale == nil {
 		l.stale = make(map[string]bool)
@@ -90,5 +91,5 @@
 	l.stale[machine] = true
 }
 
-// StaleMachines lists the machines whose records are to be written anew.
+// StaleMachines lists the machines whose records must be rewritten, sorted by name.
 func (l *LedgerTasks) StaleMachines() []string { return slices.Sorted(maps.Keys(l.stale)) }
--- a/internal/handover/ranges.go
+++ b/internal/handover/ranges.go
@@ -1,9 +1,9 @@
 // Package handover moves work between the shards of a fleet.
 //
-// Each task of a job belongs to one shard at a time, by the ranges in the job's record. A leader starts only tasks
+// Each task of a job belongs to one shard at a time, as the ranges in the job's record say. A leader starts only tasks
 // of its own shard, in rounds that are conditional on that record, and hands tasks over only once it has proof
-// that they run nowhere: so no two leaders ever start the same task. What a shard says of its free capacity
-// decides where tasks go; no safety rule rests on it. The package does no I/O.
+// that they run nowhere. So no two leaders ever start the same task. The free capacity that shards report decides
+// where tasks go, but safety does not depend on it. The package does no I/O.
 package handover
 
 import (
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Count gives the number of tasks in ranges.
+// Count returns the number of tasks in ranges.
 func Count(ranges []store.ShardRange) (n int) {
 	for _, s := range ranges {
 		n += s.To - s.From
@@ -20,7 +20,7 @@
 	return n
 }
 
-// ShardOf gives the shard that a task belongs to, or nothing.
+// ShardOf returns the shard that a task belongs to, or an empty string if no range contains it.
 func ShardOf(ranges []store.ShardRange, index int) string {
 	for _, s := range ranges {
 		if s.From <= index && index < s.To {
@@ -30,7 +30,7 @@
 	return ""
 }
 
-// Merge joins ranges that follow each other in one shard.
+// Merge joins adjacent ranges of the same shard that are equally done.
 func Merge(ranges []store.ShardRange) []store.ShardRange {
 	out := ranges[:0:0]
 	for _, s := range ranges {
@@ -43,10 +43,10 @@
 	return out
 }
 
-// Move gives the ranges of a job of so many tasks after the last n tasks of one shard that are movable have
-// gone to another.
+// Move returns the ranges of a job with the given number of tasks after its last n movable tasks in one shard, or all
+// if there are fewer, have been moved to another shard.
 func Move(ranges []store.ShardRange, tasks int, from, to string, n int, movable func(index int) bool) []store.ShardRange {
-	var next []store.ShardRange // from the last one to the first
+	var next []store.ShardRange // in reverse order
 	for _, s := range slices.Backward(ranges) {
 		if s.Shard != from || s.Done || !s.Within(tasks) {
 			next = append(next, s)
@@ -65,13 +65,13 @@
 	return Merge(next)
 }
 
-// run is a part of a range whose tasks all move, or all stay.
+// run is a part of a range whose tasks either all move or all stay.
 type run struct {
 	tasks store.ShardRange
 	moves bool
 }
 
-// split divides a range into runs, from its end on, of which up to n tasks move.
+// split divides a range into runs, the last one first, in which up to n tasks move.
 func split(s store.ShardRange, n int, movable func(index int) bool) (runs []run) {
 	for end := s.To; end > s.From; {
 		begin := end - 1
--- a/internal/handover/targets.go
+++ b/internal/handover/targets.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// scaleOutAfter is how long tasks wait for capacity before they go to a shard that has none either, but may
-	// get some: by scaling out or by preemption.
+	// scaleOutAfter is how long tasks wait for free capacity before they go to a shard that can make capacity,
+	// by scaling out or by preemption.
 	scaleOutAfter = 4 * time.Second
-	// minScaleOutTasks is how many tasks at least go to a shard that can scale out.
+	// minScaleOutTasks is the minimum number of tasks that a shard which can scale out gets, if that many found
+	// no capacity.
 	minScaleOutTasks = 4
 )
 
-// Peer is what another shard says that it could take.
+// Peer is another shard with the capacity that it has reported.
 type Peer struct {
 	Shard      string
 	Capacity   map[string]scheduler.FreeCapacity // by class
-	ReadyGangs []string                          // gangs over several shards for whose tasks there it holds capacity
+	ReadyGangs []string                          // co-allocated gangs for whose tasks in that shard it has reserved capacity
 }
 
 // Targets chooses the shards that tasks are handed over to. It is not safe for concurrent use.
 type Targets struct {
 	shard    string
 	sharding *fleet.Sharding
-	peers    []Peer // by name of the shard
+	peers    []Peer // sorted by shard
 	recent   recent
 }
 
-// NewTargets returns the targets of a shard's tasks.
+// NewTargets returns the targets for tasks that a shard hands over.
 func NewTargets(shard string, sharding *fleet.Sharding) *Targets {
 	return &Targets{shard: shard, sharding: sharding, recent: make(recent)}
 }
 
-// SetPeers takes in what the other shards could take, sorted by name.
+// SetPeers sets what the other shards have reported. The peers must be sorted by shard.
 func (t *Targets) SetPeers(peers []Peer) { t.peers = peers }
 
-// String lists what was handed over lately, for tests.
+// String lists the tasks that were handed over recently, for tests.
 func (t *Targets) String() string { return fmt.Sprint(map[string]recentTasks(t.recent)) }
 
-// Any reports whether there is another shard that tasks could go to.
+// Any reports whether there is any other shard to hand tasks over to.
 func (t *Targets) Any() bool { return len(t.peers) > 0 }
 
-// Record notes that tasks of a class are handed over to a shard.
+// Record counts n tasks of a class that are handed over to a shard.
 func (t *Targets) Record(now time.Time, shard, class string, n int) {
 	t.recent.record(now, shard, class, n)
 }
 
-// HoldsGang reports whether another shard holds capacity for its tasks of a gang.
+// HoldsGang reports whether another shard has reserved capacity for its tasks of a gang.
 func (t *Targets) HoldsGang(shard, gang string) bool {
 	i := slices.IndexFunc(t.peers, func(p Peer) bool { return p.Shard == shard })
 	return i >= 0 && slices.Contains(t.peers[i].ReadyGangs, gang)
 }
 
-// FreeElsewhere gives by class how many tasks another shard has capacity for now, in one shard together.
+// FreeElsewhere returns by class the largest number of tasks that any one other shard has free capacity for now.
 func (t *Targets) FreeElsewhere(now time.Time) map[string]int {
 	out := make(map[string]int)
 	for _, p := range t.peers {
@@ -70,7 +71,8 @@
 	return out
 }
 
-// MovableTasks gives how many tasks of a job another shard could take that may have machines for it.
+// MovableTasks returns the largest number of tasks of a job that any one other shard has free capacity for, among those
+// that may have machines for the job.
 func (t *Targets) MovableTasks(j *wire.Job, types []wire.MachineType) (most int) {
 	for _, p := range t.peers {
 		if n := p.Capacity[j.Class].Now; n > most && t.sharding.MayHost(p.Shard, j, types) {
@@ -80,8 +82,9 @@
 	return most
 }
 
-// Choose picks the shard that has the most capacity for the tasks of a job that found none here, and how many
-// it should get. Waited is for how long they have found none, ranges are those of the job.
+// Choose picks the shard with the most capacity for the tasks of a job that found none in this shard, and the number of
+// tasks that it should get: 0 if no shard can take any. ranges are those of the job; waited is how long its tasks
+// have found no capacity.
 func (t *Targets) Choose(now time.Time, u *scheduler.UnplacedJob, ranges []store.ShardRange, types []wire.MachineType, waited time.Duration) (shard string, tasks int) {
 	j := u.Job
 	whole := j.Shape == wire.Gang || j.OneZone
@@ -105,24 +108,26 @@
 	return shard, tasks
 }
 
-// freeFor gives how many tasks a shard may get, of which some were handed over to it already: what it has capacity for
-// now, or after a while, where nothing is booting here or could be scaled out, what it can make capacity for.
-func (t *Targets) freeFor(u *scheduler.UnplacedJob, capacity scheduler.FreeCapacity, handed int, waited time.Duration) int {
-	free := capacity.Now - handed
+// freeFor returns the number of tasks that a shard may get in addition to those that were recently handed over to it.
+// That is the number it has free capacity for. If it has none, it is the number it can make capacity for, once the
+// tasks have waited for scaleOutAfter and this shard neither has machines booting for them nor can scale out.
+func (t *Targets) freeFor(u *scheduler.UnplacedJob, capacity scheduler.FreeCapacity, handedOver int, waited time.Duration) int {
+	free := capacity.Now - handedOver
 	if free > 0 || u.Unserved == 0 || waited < scaleOutAfter {
 		return free
 	}
 	switch {
 	case u.Job.Priority == wire.Production && capacity.Below > 0:
-		return min(capacity.Below, u.Unserved) - handed
+		return min(capacity.Below, u.Unserved) - handedOver
 	case capacity.Rent:
-		return min(max(minScaleOutTasks, len(u.Job.Waiting)), u.Unserved) - handed
+		return min(max(minScaleOutTasks, len(u.Job.Waiting)), u.Unserved) - handedOver
 	}
 	return free
 }
 
-// spreadLimit bounds the tasks of a job that a shard may have, by the half of them that may be in one
-// zone. Where the shards are by machine type, none knows all that is in a zone.
+// spreadLimit bounds the tasks of a job that a shard may have. Of a job that must be spread, half the tasks may be in
+// each of the shard's zones, and none in a shard that is defined by machine type: no such shard knows all tasks
+// in a zone.
 func (t *Targets) spreadLimit(j *scheduler.Job, shard string) int {
 	switch {
 	case !j.Spread:
@@ -133,7 +138,7 @@
 	return (j.Tasks + 1) / 2 * max(1, len(t.sharding.ZonesOf(shard)))
 }
 
-// spreadCapacity bounds the tasks of a job that a shard may get beside those that it has.
+// spreadCapacity bounds the tasks of a job that a shard may get in addition to those that it has.
 func (t *Targets) spreadCapacity(j *scheduler.Job, ranges []store.ShardRange, shard string) int {
 	most := t.spreadLimit(j, shard)
 	if !j.Spread || most == 0 {
--- a/internal/quota/peers.go
+++ b/internal/quota/peers.go
@@ -6,26 +6,26 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// Peer is what another shard says of its use of the teams' limits, by team.
+// Peer is another shard with the use of quotas that it has reported, by team.
 type Peer struct {
 	Shard    string
 	Used     map[string]scheduler.Resources
-	Demands  map[string]scheduler.QuotaDemand
-	Services map[string]scheduler.Resources
+	Demands  map[string]scheduler.QuotaDemand // work that waits for a larger grant
+	Services map[string]scheduler.Resources   // usage of services, present and planned
 }
 
-// SetPeers takes in what the other shards say, sorted by name.
+// SetPeers sets what the other shards have reported. The peers must be sorted by shard.
 func (q *Quota) SetPeers(peers []Peer) { q.peers = peers }
 
-// mostUrgentPeer gives the most urgent demand of the other shards for a team's limits, and whether it goes
-// before this shard's own. Of two that are as urgent, that of the shard with the lesser name does.
-func (q *Quota) mostUrgentPeer(team string) (most scheduler.QuotaDemand, asked, first bool) {
+// mostUrgentPeer returns the most urgent demand of the other shards for a team's limits, and whether it takes
+// precedence over this shard's own. Of two equally urgent demands, that of the shard whose name sorts first does.
+func (q *Quota) mostUrgentPeer(team string) (most scheduler.QuotaDemand, found, first bool) {
 	from := ""
 	for i := range q.peers {
 		p := &q.peers[i]
-		if d := p.Demands[team]; d.IsPending() && (!asked || d.Compare(most) < 0) {
-			most, from, asked = d, p.Shard, true
+		if d := p.Demands[team]; d.IsPending() && (!found || d.Compare(most) < 0) {
+			most, from, found = d, p.Shard, true
 		}
 	}
-	return most, asked, asked && cmp.Or(most.Compare(q.forecast.Demands[team]), cmp.Compare(from, q.shard)) < 0
+	return most, found, found && cmp.Or(most.Compare(q.forecast.Demands[team]), cmp.Compare(from, q.shard)) < 0
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -37,19 +37,19 @@
 	return q
 }
 
-// limit gives what the shard may use of red's GPUs.
+// redGPULimit returns how many of red's GPUs the shard may use.
 func redGPULimit(q *Quota, used float64) float64 {
 	t := &scheduler.Team{LimitGPUs: 32}
 	q.Apply(start, "red", t, gpus(used))
 	return t.LimitGPUs
 }
 
-// TestPropose: a grant grows where work waits for it, up to what is left, and is lowered to what is used
-// where other work goes first or more is granted than there is.
+// TestPropose checks that a grant grows where work waits for it, up to what is left of the limit, and shrinks to what
+// is used where another shard's work takes precedence or the grants exceed the limit.
 func TestPropose(t *testing.T) {
 	for _, x := range []struct {
 		name                    string
-		a, b, used, own, theirs float64
+		a, b, used, own, theirs float64 // grants of a and b, usage of a, pending demands of a and b
 		peerFirst               bool
 		want                    float64 // -1: no change
 	}{
@@ -82,7 +82,7 @@
 		if change != nil {
 			got = change.Txn.Then[0].Value.(store.QuotaGrantRecord).Grant("red", "a").GPUs
 			if len(change.Txn.If) != 2 || change.Txn.If[0].Key != "fence" || change.Txn.If[1] != (wire.Condition{Key: store.QuotaGrantKey, Version: 3}) {
-				t.Errorf("%s: on %v", x.name, change.Txn.If)
+				t.Errorf("%s: conditions %v", x.name, change.Txn.If)
 			}
 		}
 		if got != x.want {
@@ -91,12 +91,12 @@
 	}
 }
 
-// TestReturnedGrantIsNotUsed: what a change returns is not used from the moment it is proposed until it is over, and no other
-// change is proposed meanwhile.
+// TestReturnedGrantIsNotUsed checks that what a change returns is not used while the change is in flight, and that no
+// other change may be proposed meanwhile.
 func TestReturnedGrantIsNotUsed(t *testing.T) {
 	q := newQuota(grantRecord(3, 12, 20))
 	if q.Idle() || redGPULimit(q, 5) != 12 {
-		t.Errorf("before a plan: %v, %v", q.Idle(), redGPULimit(q, 5))
+		t.Errorf("before the first plan: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
 	q.SetForecast(Forecast{})
 	q.SetPeers([]Peer{{Shard: "b", Used: map[string]scheduler.Resources{"red": gpus(20)}, Demands: redDemand(4, start)}})
@@ -106,19 +106,19 @@
 	if q.Idle() || redGPULimit(q, 5) != 5 {
 		t.Errorf("while the change is in flight: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
-	q.Settled(grantRecord(2, 1, 1)) // which is older than what was read
+	q.Settled(grantRecord(2, 1, 1)) // an older version than was read before
 	if !q.Idle() || redGPULimit(q, 5) != 12 {
-		t.Errorf("after it was refused: %v, %v", q.Idle(), redGPULimit(q, 5))
+		t.Errorf("after the change was rejected: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
 	q.Settled(grantRecord(4, 5, 20))
 	team := &scheduler.Team{LimitGPUs: 32}
 	if q.Apply(start, "red", team, gpus(5)); team.LimitGPUs != 5 || team.GlobalLimitGPUs != 32 || team.RemoteUsedGPUs != 20 || team.LimitCPUs != 0 {
-		t.Errorf("after it was taken: %+v", team)
+		t.Errorf("after the change was committed: %+v", team)
 	}
 }
 
-// TestGrantsNeverExceedLimit: whatever shards demand and in whichever order their changes are taken, the grants never sum up to more
-// than the limit.
+// TestGrantsNeverExceedLimit checks that the sum of the grants never exceeds the limit, whatever the shards demand and
+// in whichever order their changes are committed.
 func TestGrantsNeverExceedLimit(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	rec := store.Versioned[store.QuotaGrantRecord]{Version: 1}
@@ -129,7 +129,7 @@
 	for range 3000 {
 		for shard, q := range quotas {
 			if random.IntN(3) == 0 {
-				q.Observe(rec) // or it goes by an older one
+				q.Observe(rec) // otherwise it uses an older record
 			}
 			q.SetForecast(Forecast{Demands: redDemand(float64(random.IntN(12)), start.Add(time.Duration(random.IntN(9))*time.Second))})
 			other := map[string]string{"a": "b", "b": "a"}[shard]
@@ -146,18 +146,18 @@
 			for shard := range rec.Record.Teams["red"] {
 				sum += rec.Record.Grant("red", shard).GPUs
 			}
-			if sum > 32+tolerance {
+			if sum > 32+epsilon {
 				t.Fatalf("%v", rec.Record.Teams)
 			}
 		}
 	}
 	if rec.Version < 100 {
-		t.Errorf("only %d changes were taken", rec.Version)
+		t.Errorf("only %d changes were committed", rec.Version)
 	}
 }
 
-// TestTeams: a team that has left the settings keeps a limit for its largest job while it has live ones, and the settings
-// are not changed.
+// TestTeams checks that a team removed from the settings keeps a limit that fits its largest job while it has live
+// jobs, and that the settings are not modified.
 func TestTeams(t *testing.T) {
 	job := func(team string, shape wire.Shape, tasks int) *store.LiveJob {
 		return &store.LiveJob{Record: store.JobRecord{Job: &wire.Job{Team: team, Shape: shape, Tasks: tasks, CPUs: 2, GPUs: 1}}}
--- a/internal/reshard/assignment.go
+++ b/internal/reshard/assignment.go
@@ -7,35 +7,36 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Assignment says which shard answers for each task of a job in the present sharding. It is not safe for
-// concurrent use.
+// Assignment determines which shard owns each task of a job in the present sharding. It is not safe for concurrent
+// use.
 type Assignment struct {
 	sharding *fleet.Sharding
 	previous *Previous
-	inferred map[string]inferredRanges // by job whose record is of an earlier sharding
+	inferred map[string]inferredRanges // by job, for jobs whose records are of an earlier sharding
 }
 
-// inferredRanges follow from the previous ledgers for a batch of jobs at a version.
+// inferredRanges are the ranges of a job that follow from the previous ledgers, at a version of its batch record.
 type inferredRanges struct {
 	version uint64
 	ranges  []store.ShardRange
 }
 
-// NewAssignment returns the assignment of a sharding that may have divided a state anew.
+// NewAssignment returns the assignment of a sharding, given the ledgers of earlier ones.
 func NewAssignment(sharding *fleet.Sharding, previous *Previous) *Assignment {
 	return &Assignment{sharding: sharding, previous: previous, inferred: make(map[string]inferredRanges)}
 }
 
-// Generation gives the number of the present sharding, 0 for the first.
+// Generation returns the generation of the present sharding, which is 0 for the first one.
 func (a *Assignment) Generation() uint64 { return a.previous.generation }
 
-// Unassigned reports whether a job's record does not say which shards its tasks belong to in this sharding.
+// Unassigned reports whether a job's record is of an earlier sharding, so that it does not say which shards of the
+// present one its tasks belong to.
 func (a *Assignment) Unassigned(l *store.LiveJob) bool {
 	return l.Record.ShardingGeneration != a.previous.generation
 }
 
-// Ranges gives all ranges of a job. Where its record is of an earlier sharding, they follow from the ledgers
-// of that. What was left to a shard that no longer exists belongs to the first.
+// Ranges returns all ranges of a job. If its record is of an earlier sharding, they are inferred from the previous
+// ledgers. Ranges of a shard that no longer exists belong to the first shard.
 func (a *Assignment) Ranges(l *store.LiveJob) []store.ShardRange {
 	if a.Unassigned(l) {
 		return a.inferredRanges(l)
@@ -56,21 +57,21 @@
 	return out
 }
 
-// inferredRanges gives the ranges of a job whose record is of an earlier sharding. What follows from a
-// record that says where tasks have finished is not kept: it may be the leader's own, of a round that
-// is refused, and the version of the batch does not tell it from the stored one.
+// inferredRanges returns the ranges of a job whose record is of an earlier sharding. The result is not cached if the
+// record lists shards that have finished: it may be the leader's own draft in a round that is rejected later, and
+// the batch version does not distinguish the draft from the stored record.
 func (a *Assignment) inferredRanges(l *store.LiveJob) []store.ShardRange {
 	id := l.Record.Job.ID
 	if len(l.Record.FinishedIn) > 0 {
 		return a.previous.Ranges(id, &l.Record)
 	}
-	if c, ok := a.inferred[id]; ok && c.version == l.Batch.Version {
-		return c.ranges
+	if cached, ok := a.inferred[id]; ok && cached.version == l.Batch.Version {
+		return cached.ranges
 	}
-	c := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
-	a.inferred[id] = c
-	return c.ranges
+	inferred := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
+	a.inferred[id] = inferred
+	return inferred.ranges
 }
 
-// Forget drops what was inferred of a job that is over or whose record says its ranges now.
+// Forget drops the cached ranges of a job that has ended or whose record now holds its ranges.
 func (a *Assignment) Forget(job string) { delete(a.inferred, job) }
--- a/internal/reshard/previous.go
+++ b/internal/reshard/previous.go
@@ -10,8 +10,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Previous is what the ledgers of earlier shardings say. They are never written again, so that every leader of every
-// shard, whenever it is elected, says the same of which shard a task belongs to.
+// Previous is the content of the ledgers of earlier shardings. They are never written again, so that the leaders of all
+// shards, whenever they are elected, agree on which shard owns a task.
 type Previous struct {
 	Machines       map[string]store.MachineRecord
 	ScaleOuts      map[string]store.ScaleOutRecord
@@ -24,21 +24,21 @@
 	lastPlaced map[string]map[int]placement // by job and task
 }
 
-// placement is where a task was placed last, according to the ledgers.
+// placement is the last placement of a task, according to the ledgers.
 type placement struct {
 	shard   string
 	attempt uint64
 }
 
-// NewPrevious reads the ledgers of earlier shardings.
+// NewPrevious decodes the ledgers of earlier shardings. sharding is the present one.
 func NewPrevious(sharding *fleet.Sharding, l store.ShardLedgers) *Previous {
-	recalled := store.RecoverSegments(l.Previous)
+	recovered := store.RecoverSegments(l.Previous)
 	p := &Previous{
-		Machines: recalled.Machines, ScaleOuts: recalled.ScaleOuts, FinishedTasks: recalled.FinishedTasks,
-		Zones: recalled.Zones, ZoneRecoveries: recalled.ZoneRecoveries,
+		Machines: recovered.Machines, ScaleOuts: recovered.ScaleOuts, FinishedTasks: recovered.FinishedTasks,
+		Zones: recovered.Zones, ZoneRecoveries: recovered.ZoneRecoveries,
 		sharding: sharding, generation: l.Generation, lastPlaced: make(map[string]map[int]placement),
 	}
-	for _, m := range recalled.Machines {
+	for _, m := range recovered.Machines {
 		shard := sharding.ShardOf(m.Zone, m.Type)
 		for name, attempt := range m.Tasks {
 			id, err := wire.ParseTaskID(name)
@@ -48,7 +48,7 @@
 			if p.lastPlaced[id.Job] == nil {
 				p.lastPlaced[id.Job] = make(map[int]placement)
 			}
-			// An attempt is made only once all before it are proven to run nowhere.
+			// A task gets a new attempt only once all its earlier ones are proven to run nowhere.
 			if attempt >= p.lastPlaced[id.Job][id.Index].attempt {
 				p.lastPlaced[id.Job][id.Index] = placement{shard, attempt}
 			}
@@ -57,9 +57,9 @@
 	return p
 }
 
-// Ranges says which shard answers for each task of a job whose record is of an earlier sharding: the shard of the
-// machine that the task may be on; for a task that is on none, a shard that follows from the job alone, since a job that is
-// submitted late is not in the ledgers, and these are dropped some day. A gang that is on machines of several
+// Ranges returns the task ranges of a job whose record is of an earlier sharding. A task belongs to the shard of the
+// machine that it may be on. A task that is on no machine belongs to a shard that depends on the job alone, because
+// the ledgers don't contain jobs that were submitted late, and are dropped eventually. A gang on machines of several
 // shards belongs to all of them until it has ended or is in one shard again.
 func (p *Previous) Ranges(id string, rec *store.JobRecord) []store.ShardRange {
 	placed := p.lastPlaced[id]
@@ -84,8 +84,9 @@
 	return p.markDone(r.out, rec)
 }
 
-// latestShard gives the shard of a job that must be in one zone: that of its latest attempt. No shard knows where another's
-// tasks are; when that attempt was made, all tasks in other zones had been proven to be gone.
+// latestShard returns the shard of the latest attempt of a job that must be in one zone, or the given shard if there is no
+// attempt. The whole job belongs to that shard, because no shard knows where the tasks of another one are. When that
+// attempt was made, all tasks in other zones were proven to be gone.
 func latestShard(placed map[int]placement, order []int, shard string) string {
 	last := uint64(0)
 	for _, i := range order {
@@ -96,7 +97,7 @@
 	return shard
 }
 
-// defaultShard gives the shard of tasks that are on no machine, by the job alone.
+// defaultShard returns the shard of tasks that are on no machine. It depends on the job alone.
 func (p *Previous) defaultShard(id string, rec *store.JobRecord) string {
 	if rec.Job != nil && rec.Job.Zone != "" && p.sharding.KeepsZonesWhole() {
 		return p.sharding.ShardOf(rec.Job.Zone, "")
@@ -107,7 +108,7 @@
 	return shards[int(sum.Sum32()%uint32(len(shards)))]
 }
 
-// markDone marks the ranges that shards of this sharding have finished, and keeps what was marked before.
+// markDone marks the ranges that shards of this sharding have finished, and those that the record already marks as done.
 func (p *Previous) markDone(ranges []store.ShardRange, rec *store.JobRecord) []store.ShardRange {
 	for i, s := range ranges {
 		ranges[i].Done = slices.Contains(rec.FinishedIn, store.LedgerName(s.Shard, p.generation))
@@ -120,7 +121,7 @@
 	return ranges
 }
 
-// markRange marks the tasks from one up to and without another as done, and splits ranges where needed.
+// markRange marks the tasks in [from, to) as done, and splits ranges where needed.
 func markRange(ranges []store.ShardRange, from, to int) (out []store.ShardRange) {
 	for _, s := range ranges {
 		a, b := min(max(s.From, from), s.To), max(min(s.To, to), s.From)
@@ -140,7 +141,7 @@
 	return out
 }
 
-// rangeBuilder joins tasks that follow each other in one shard into ranges.
+// rangeBuilder joins consecutive tasks of the same shard into ranges.
 type rangeBuilder struct {
 	out      []store.ShardRange
 	next     int // the first task that has no shard yet
@@ -148,8 +149,8 @@
 	fallback string // the shard of tasks that are on no machine
 }
 
-// fillTo assigns the tasks up to a given one, which are on no machine: those that have finished to the shard of the task
-// before them, others to the fallback.
+// fillTo assigns the tasks before to, which are on no machine: finished ones to the shard of the task before them, others
+// to the fallback shard.
 func (r *rangeBuilder) fillTo(to int) {
 	for from := r.next; from < to; from = r.next {
 		end := from + 1
@@ -165,7 +166,7 @@
 	}
 }
 
-// add assigns the tasks up to a given one to a shard.
+// add assigns the tasks before to that have no shard yet to the given shard.
 func (r *rangeBuilder) add(to int, shard string) {
 	if n := len(r.out); n > 0 && r.out[n-1].Shard == shard {
 		r.out[n-1].To = to
@@ -175,8 +176,8 @@
 	r.next = to
 }
 
-// LeadShard gives the number of shards that answer for tasks that are not done, and the first of them, which leads: it
-// co-allocates a gang that is split over several.
+// LeadShard returns the lead shard of a job, and the number of shards that own tasks which are not done. The lead is the
+// first of these shards: it co-allocates a gang that is split between several.
 func LeadShard(ranges []store.ShardRange) (lead string, shards int) {
 	var seen []string
 	for _, s := range ranges {
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -1,8 +1,8 @@
 // Package reshard changes the sharding of a fleet while jobs run.
 //
-// One transaction records the new sharding, once no shard has a leader; the ledgers as they are then are never
-// written again. They still say what may run on which machine, and so which shard each task belongs to until its job's
-// record says that itself. The package does no I/O.
+// Once no shard has a leader, one transaction records the new sharding. The ledgers of the old one are never written
+// again. They still say which tasks may run on which machine, and thereby which shard owns each task, until the
+// records of the jobs say so themselves. The package does no I/O.
 package reshard
 
 import (
@@ -15,36 +15,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Errors of Transaction: why the sharding can't be changed now.
+// Errors of Transaction, which say why the sharding can't be changed now.
 var (
 	// ErrLed means that a shard has a leader.
 	ErrLed = errors.New("parts are held")
-	// ErrUnreadable means that a record was not understood: its content would be lost.
+	// ErrUnreadable means that a record could not be decoded: resharding would lose its content.
 	ErrUnreadable = errors.New("records are not understood")
-	// ErrByType means that a state in use can't be sharded by machine type: a job that is spread over zones would be
-	// in several shards, of which none knows all of its zones.
+	// ErrByType means that a state in use can't be sharded by machine type: a job that is spread over zones would
+	// belong to several shards, none of which knows all its zones.
 	ErrByType = errors.New("it is in use, and a state in use is not divided by type")
 )
 
-// ResourcesOf gives what each task of a job needs, also of one that has ended, and whether that is known.
+// ResourcesOf returns the resources that each task of a job needs, even if the job has ended, and whether they are
+// known.
 type ResourcesOf func(job string) (store.TaskDemand, bool)
 
-// Transaction gives the transaction that changes the sharding of a state. It is conditional on the counter of fencing
-// tokens: no leader was elected since the state was read, so that the ledgers which it shows are complete, since the
-// rounds of every earlier leader are conditional on a record that is gone. It moves the counter, so that an
-// election that was prepared before fails, also one by a version that knows nothing of shards.
+// Transaction returns the transaction that changes the sharding of a state. It is conditional on the counter of fencing
+// tokens, which shows that no leader was elected since the state was read. The ledgers that were read are therefore
+// complete: the rounds of every earlier leader are conditional on a record that no longer exists. The transaction
+// increments the counter, so that an election that was prepared before it fails, even by a software version without
+// support for shards.
 func Transaction(s *store.ShardingState, want *fleet.Sharding, resourcesOf ResourcesOf) (wire.Txn, error) {
-	recalled := store.RecoverSegments(s.Segments)
+	recovered := store.RecoverSegments(s.Segments)
 	switch {
 	case len(s.LedShards) > 0:
 		return wire.Txn{}, fmt.Errorf("%w: %s", ErrLed, strings.Join(s.LedShards, ", "))
 	case len(s.Unreadable) > 0:
 		return wire.Txn{}, fmt.Errorf("%w: %s", ErrUnreadable, strings.Join(s.Unreadable, ", "))
-	case !want.KeepsZonesWhole() && inUse(recalled.Machines):
+	case !want.KeepsZonesWhole() && inUse(recovered.Machines):
 		return wire.Txn{}, ErrByType
 	}
 	format := s.Format
-	format.Format = store.FormatSharded // other versions read no ledgers but those of the first sharding
+	format.Format = store.FormatSharded // versions without this format read only the ledgers of the first sharding
 	rec := store.ShardingRecord{Text: want.String(), Generation: s.Sharding.Record.Generation + 1, PreviousLedgers: s.LedgerNames}
 	return wire.Txn{
 		If: []wire.Condition{
@@ -56,7 +58,7 @@
 			{Put: store.ShardingKey, Value: rec},
 			{Put: store.FencingTokenKey, Value: s.FencingToken.Record + 1},
 			{Put: store.FormatKey, Value: format},
-			{Put: store.QuotaGrantKey, Value: initialGrants(recalled.Machines, want, resourcesOf)},
+			{Put: store.QuotaGrantKey, Value: initialGrants(recovered.Machines, want, resourcesOf)},
 		},
 	}, nil
 }
@@ -71,9 +73,9 @@
 	return false
 }
 
-// initialGrants grants each shard what may be running on its machines, for each team. That may be more than a team's
-// limit, since the ledgers also name tasks that have ended: the shards then start nothing before they have returned
-// the excess.
+// initialGrants grants each shard, for each team, the resources of all tasks that may be running on its machines. Their
+// sum may exceed a team's limit, since the ledgers also name tasks that have ended. The shards then start nothing
+// before they have returned the excess.
 func initialGrants(machines map[string]store.MachineRecord, want *fleet.Sharding, resourcesOf ResourcesOf) store.QuotaGrantRecord {
 	grants := make(map[string]map[string]store.QuotaGrant)
 	if want.IsSingle() {
@@ -88,7 +90,7 @@
 			}
 			t, known := resourcesOf(id.Job)
 			if !known {
-				continue // compacted: proven to run nowhere
+				continue // the job was compacted, so its tasks are proven to run nowhere
 			}
 			if grants[t.Team] == nil {
 				grants[t.Team] = make(map[string]store.QuotaGrant)
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fixture is a state whose sharding is changed.
+// fixture is a state whose sharding the trace steps change.
 type fixture struct {
 	state   store.ShardingState
 	jobs    map[string]*store.JobRecord
@@ -58,11 +58,11 @@
 		tasks, _ := strconv.Atoi(kv["tasks"])
 		rec := &store.JobRecord{Tasks: tasks, Job: &wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Team: "red", Tasks: tasks, CPUs: 2, GPUs: 1, Zone: kv["zone"], OneZone: kv["one_zone"] != ""}}
 		for _, s := range strings.Fields(strings.ReplaceAll(kv["done"], ",", " ")) {
-			share := store.ShardRange{Shard: "old", Done: true}
-			if _, err := fmt.Sscanf(s, "%d-%d", &share.From, &share.To); err != nil {
+			done := store.ShardRange{Shard: "old", Done: true}
+			if _, err := fmt.Sscanf(s, "%d-%d", &done.From, &done.To); err != nil {
 				t.Fatal(err)
 			}
-			rec.Ranges = append(rec.Ranges, share)
+			rec.Ranges = append(rec.Ranges, done)
 		}
 		if in := kv["done_in"]; in != "" {
 			rec.FinishedIn = strings.Split(in, ",")
@@ -114,23 +114,23 @@
 	case "shares": // wk-1 to=zone:a,b
 		p := NewPrevious(parseSharding(kv["to"]), store.ShardLedgers{Generation: 1, Previous: b.state.Segments})
 		line := ""
-		shares := p.Ranges(w[1], b.jobs[w[1]])
-		for _, s := range shares {
+		ranges := p.Ranges(w[1], b.jobs[w[1]])
+		for _, s := range ranges {
 			line += fmt.Sprintf("%d-%d/%s", s.From, s.To, s.Shard)
 			if s.Done {
 				line += ",done"
 			}
 			line += " "
 		}
-		lead, parts := LeadShard(shares)
-		return []string{fmt.Sprintf("%sled by %q, %d parts", line, lead, parts)}
+		lead, shards := LeadShard(ranges)
+		return []string{fmt.Sprintf("%sled by %q, %d parts", line, lead, shards)}
 	default:
 		t.Fatalf("no such step: %s", line)
 	}
 	return nil
 }
 
-// TestTraces plays the kept traces of states whose sharding is changed.
+// TestTraces replays the traces in testdata, which change the sharding of a state.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		b := &fixture{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
@@ -139,8 +139,8 @@
 	})
 }
 
-// FuzzRanges: whatever the ledgers say, every task of a job belongs to exactly one shard,
-// and every leader says the same of it.
+// FuzzRanges checks that every task of a job belongs to exactly one shard, whatever the ledgers contain, and that all
+// leaders compute the same ranges.
 func FuzzRanges(f *testing.F) {
 	f.Add([]byte{1, 2, 3}, []byte{4}, 9, uint8(1))
 	f.Fuzz(func(t *testing.T, placed, done []byte, tasks int, shape uint8) {
@@ -155,24 +155,24 @@
 		for i, x := range done {
 			rec.Ranges = append(rec.Ranges, store.ShardRange{From: int(x) - 2, To: int(x) + i%5, Shard: "old", Done: i%2 == 0})
 		}
-		left := store.ShardLedgers{Generation: 2, Previous: []store.Segment{{Version: 1, Record: store.SegmentRecord{Entries: entries}}}}
-		group := fleet.ByZones(3, []string{"a", "b", "c"})
-		shares := NewPrevious(group, left).Ranges("wk-1", rec)
+		ledgers := store.ShardLedgers{Generation: 2, Previous: []store.Segment{{Version: 1, Record: store.SegmentRecord{Entries: entries}}}}
+		sharding := fleet.ByZones(3, []string{"a", "b", "c"})
+		ranges := NewPrevious(sharding, ledgers).Ranges("wk-1", rec)
 		at := 0
-		for _, s := range shares {
-			if s.From != at || s.To <= s.From || !slices.Contains(group.Shards(), s.Shard) {
-				t.Fatalf("%v", shares)
+		for _, s := range ranges {
+			if s.From != at || s.To <= s.From || !slices.Contains(sharding.Shards(), s.Shard) {
+				t.Fatalf("%v", ranges)
 			}
 			at = s.To
 		}
-		if at != tasks || !slices.Equal(shares, NewPrevious(group, left).Ranges("wk-1", rec)) {
-			t.Errorf("%d tasks: %v", tasks, shares)
+		if at != tasks || !slices.Equal(ranges, NewPrevious(sharding, ledgers).Ranges("wk-1", rec)) {
+			t.Errorf("%d tasks: %v", tasks, ranges)
 		}
 	})
 }
 
-// TestAssignment: a record of this sharding says its ranges itself, with what belongs to no shard in the first; one of an
-// earlier sharding has ranges that follow from the ledgers.
+// TestAssignment checks that a record of the present sharding provides its own ranges, with those of unknown shards in
+// the first shard, and that the ranges for a record of an earlier sharding are inferred from the ledgers.
 func TestAssignment(t *testing.T) {
 	sharding := fleet.ByZones(2, []string{"a", "b"})
 	e := store.MachineEntry("n-1", store.MachineRecord{Zone: "b", Tasks: map[string]uint64{"wk-1/1": 7}})
@@ -202,8 +202,9 @@
 	}
 }
 
-// TestAssignmentAfterRefusedRound: what a leader has written of a job and the store has refused leaves no trace in the
-// job's ranges. A range that counted as done would never be written as such, and the job never end.
+// TestAssignmentAfterRefusedRound checks that a job record which a leader has drafted, but the state service has
+// rejected, does not affect the job's ranges. Otherwise a range would count as done without ever being written as
+// done, and the job would never end.
 func TestAssignmentAfterRefusedRound(t *testing.T) {
 	sharding := fleet.ByZones(2, []string{"a", "b"})
 	a := NewAssignment(sharding, NewPrevious(sharding, store.ShardLedgers{Generation: 2}))
