--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -55,22 +55,22 @@
 func newNode(t *testing.T, ctx context.Context, net *simulator.Network, s *simulator.StateService, name string, port int) *node {
 	log := slog.New(slog.DiscardHandler)
 	host := net.Host(name)
-	slow, addr := &delayedWrites{}, simulator.Address("10.2.0.1", port)
-	go net.Host("10.2.0.1").Listen(ctx, addr, 0, slow.serve(s.Serve()))
+	delayed, addr := &delayedWrites{}, simulator.Address("10.2.0.1", port)
+	go net.Host("10.2.0.1").Listen(ctx, addr, 0, delayed.serve(s.Serve()))
 	synctest.Wait()
 	c := store.NewClient(host, addr, 1000, 1000, store.EvenAllowance(1), log)
 	v := store.NewView(log)
 	r := archive.NewReader(c, 64, log)
 	v.Archive = r
 	f := store.NewFollower(c, v, log)
-	o := &node{store: s, delayedWrites: slow, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
+	o := &node{store: s, delayedWrites: delayed, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
 		History: r, Log: log, MaxBacklog: 100, MachineTypes: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "g", CPUs: 8, GPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}
 		},
 		Writable: func() bool { return true }, OnChange: func() {}}}
-	follow, stall := context.WithCancel(ctx)
-	o.stopFollowing, o.delayOutgoing = stall, func(d time.Duration) { net.Hold(name, d) }
-	go f.Run(follow)
+	followCtx, cancelFollow := context.WithCancel(ctx)
+	o.stopFollowing, o.delayOutgoing = cancelFollow, func(d time.Duration) { net.Hold(name, d) }
+	go f.Run(followCtx)
 	go f.RunBarriers(ctx)
 	go o.Intake.Run(ctx)
 	go o.Canceller.Run(ctx)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -29,7 +29,7 @@
 	minLimitShare = 1.0 / 32 // minimum increase of a grant, as a fraction of the team's limit
 )
 
-// Forecast is the use of quotas that the last plan of a shard expects, by team.
+// Forecast is the demand for quota and its usage that the last plan of a shard expects, by team.
 type Forecast struct {
 	Demands   map[string]scheduler.QuotaDemand // work that waits for a larger grant
 	Services  map[string]scheduler.Resources   // usage of services, present and planned
@@ -40,7 +40,7 @@
 type Quota struct {
 	shard       string
 	sharding    *fleet.Sharding
-	beginWithin time.Duration // time within which work should begin after its submission
+	maxGangWait time.Duration // time within which even the largest gangs should start, if they fit
 	log         *slog.Logger
 
 	record       store.Versioned[store.QuotaGrantRecord]
@@ -53,8 +53,8 @@
 }
 
 // New returns the quota of a shard. It has no grants until a record is observed.
-func New(shard string, sharding *fleet.Sharding, beginWithin time.Duration, log *slog.Logger) *Quota {
-	return &Quota{shard: shard, sharding: sharding, beginWithin: beginWithin, log: log}
+func New(shard string, sharding *fleet.Sharding, maxGangWait time.Duration, log *slog.Logger) *Quota {
+	return &Quota{shard: shard, sharding: sharding, maxGangWait: maxGangWait, log: log}
 }
 
 // Observe sets the grant record to one that was read, unless a later version is known.
@@ -134,7 +134,7 @@
 	for i := range q.peers {
 		services = services.AddScaled(q.peers[i].Services[team], 1)
 	}
-	return demand.WorthReserving(now.Sub(demand.Since), q.beginWithin, limit, services)
+	return demand.WorthReserving(now.Sub(demand.Since), q.maxGangWait, limit, services)
 }
 
 // Change is a proposed change of this shard's grants.
--- a/internal/reshard/assignment.go
+++ b/internal/reshard/assignment.go
@@ -68,9 +68,9 @@
 	if cached, ok := a.inferred[id]; ok && cached.version == l.Batch.Version {
 		return cached.ranges
 	}
-	inferred := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
-	a.inferred[id] = inferred
-	return inferred.ranges
+	computed := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
+	a.inferred[id] = computed
+	return computed.ranges
 }
 
 // Forget drops the cached ranges of a job that has ended or whose record now holds its ranges.
--- a/internal/reshard/previous.go
+++ b/internal/reshard/previous.go
@@ -84,9 +84,9 @@
 	return p.markDone(r.out, rec)
 }
 
-// latestShard returns the shard of the latest attempt of a job that must be in one zone, or the given shard if there is no
-// attempt. The whole job belongs to that shard, because no shard knows where the tasks of another one are. When that
-// attempt was made, all tasks in other zones were proven to be gone.
+// latestShard returns the shard of the latest attempt of a job that must be in one zone, or the given shard if there
+// is no attempt. The whole job belongs to that shard, because no shard knows where the tasks of another one are. When
+// that attempt was made, all tasks in other zones were proven to be gone.
 func latestShard(placed map[int]placement, order []int, shard string) string {
 	last := uint64(0)
 	for _, i := range order {
@@ -108,7 +108,8 @@
 	return shards[int(sum.Sum32()%uint32(len(shards)))]
 }
 
-// markDone marks the ranges that shards of this sharding have finished, and those that the record already marks as done.
+// markDone marks the ranges that shards of this sharding have finished, and those that the record already marks as
+// done.
 func (p *Previous) markDone(ranges []store.ShardRange, rec *store.JobRecord) []store.ShardRange {
 	for i, s := range ranges {
 		ranges[i].Done = slices.Contains(rec.FinishedIn, store.LedgerName(s.Shard, p.generation))
@@ -149,8 +150,8 @@
 	fallback string // the shard of tasks that are on no machine
 }
 
-// fillTo assigns the tasks before to, which are on no machine: finished ones to the shard of the task before them, others
-// to the fallback shard.
+// fillTo assigns the tasks before to, which are on no machine: finished ones to the shard of the task before them,
+// others to the fallback shard.
 func (r *rangeBuilder) fillTo(to int) {
 	for from := r.next; from < to; from = r.next {
 		end := from + 1
@@ -176,8 +177,8 @@
 	r.next = to
 }
 
-// LeadShard returns the lead shard of a job, and the number of shards that own tasks which are not done. The lead is the
-// first of these shards: it co-allocates a gang that is split between several.
+// LeadShard returns the lead shard of a job, and the number of shards that own tasks which are not done. The lead is
+// the first of these shards: it co-allocates a gang that is split between several.
 func LeadShard(ranges []store.ShardRange) (lead string, shards int) {
 	var seen []string
 	for _, s := range ranges {
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -58,11 +58,11 @@
 		tasks, _ := strconv.Atoi(kv["tasks"])
 		rec := &store.JobRecord{Tasks: tasks, Job: &wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Team: "red", Tasks: tasks, CPUs: 2, GPUs: 1, Zone: kv["zone"], OneZone: kv["one_zone"] != ""}}
 		for _, s := range strings.Fields(strings.ReplaceAll(kv["done"], ",", " ")) {
-			done := store.ShardRange{Shard: "old", Done: true}
-			if _, err := fmt.Sscanf(s, "%d-%d", &done.From, &done.To); err != nil {
+			doneRange := store.ShardRange{Shard: "old", Done: true}
+			if _, err := fmt.Sscanf(s, "%d-%d", &doneRange.From, &doneRange.To); err != nil {
 				t.Fatal(err)
 			}
-			rec.Ranges = append(rec.Ranges, done)
+			rec.Ranges = append(rec.Ranges, doneRange)
 		}
 		if in := kv["done_in"]; in != "" {
 			rec.FinishedIn = strings.Split(in, ",")
--- a/internal/shard/route.go
+++ b/internal/shard/route.go
@@ -10,45 +10,45 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Status is what a router goes by of a shard.
+// Status is the status of a shard as far as routing depends on it.
 type Status struct {
-	Capacity map[string]scheduler.FreeCapacity // by class; of a class that is missing nothing is known
+	Capacity map[string]scheduler.FreeCapacity // by class; nothing is known of a class that is missing
 	Machines int
-	Backlog  int // tasks that found no capacity
+	Backlog  int // number of tasks that found no capacity
 }
 
-// Router says which shards the tasks of new jobs go to, by the shards' last statuses and by what it has sent there
-// since. It is safe for concurrent use.
+// Router decides which shards the tasks of new jobs go to, based on the last statuses of the shards and on the tasks
+// that it has sent them since. It is safe for concurrent use.
 type Router struct {
 	Sharding *fleet.Sharding
-	// Statuses gives the last statuses of the shards, by name.
+	// Statuses returns the last statuses of the shards, by shard name.
 	Statuses func() map[string]Status
 
 	mu     sync.Mutex
 	recent map[string]recentTasks
 }
 
-// recentTasks counts the tasks that were sent to a shard and that its status may not show yet.
+// recentTasks counts the tasks that were recently sent to a shard, which its status may not show yet.
 type recentTasks struct {
-	at    time.Time
+	at    time.Time      // when the last of them was sent
 	tasks map[string]int // by class
 }
 
-// statusLag is after how long a shard's status shows what was sent to it: the write, a round, and a heartbeat between
-// controllers.
+// statusLag is the time after which a shard's status shows the tasks that were sent to it. It covers the write, a
+// scheduling round and a heartbeat between controllers.
 const statusLag = 2500 * time.Millisecond
 
-// candidate is a shard as a place for a job.
+// candidate is a shard that a job may be placed in.
 type candidate struct {
 	shard    string
 	capacity scheduler.FreeCapacity
-	free     int // tasks of the job's class that it has capacity for, less those that were sent there lately
+	free     int // tasks of the job's class that it has capacity for, less those that were recently sent to it
 	machines int
-	backlog  int // tasks that found no capacity
-	zones    int // that belong to it alone, at least 1
+	backlog  int // number of tasks that found no capacity
+	zones    int // number of zones that belong to it alone, at least 1
 }
 
-// Route gives the ranges of a new job, or nothing where there is one shard.
+// Route returns the task ranges of a new job, or nil if the fleet is a single shard.
 func (r *Router) Route(now time.Time, j *wire.Job, types []wire.MachineType) []store.ShardRange {
 	if r.Sharding.IsSingle() {
 		return nil
@@ -68,7 +68,7 @@
 	return ranges
 }
 
-// candidates lists the shards that may have machines which a job allows, the best first.
+// candidates lists the shards that may have machines for a job, the best first. There is always at least one.
 func (r *Router) candidates(now time.Time, j *wire.Job, types []wire.MachineType) []candidate {
 	statuses := r.Statuses()
 	var out []candidate
@@ -80,11 +80,11 @@
 		capacity, known := s.Capacity[j.Class]
 		c := candidate{shard: shard, capacity: capacity, machines: s.Machines, backlog: s.Backlog, zones: max(1, len(r.Sharding.ZonesOf(shard)))}
 		if !known {
-			c.capacity.Rent = true // no job of the class was submitted yet, or the shard has a new leader
+			c.capacity.Rent = true // no job of the class has been submitted yet, or the shard has a new leader
 		}
 		c.free = c.capacity.Now
-		if g := r.recent[shard]; now.Sub(g.at) < statusLag {
-			c.free -= g.tasks[j.Class]
+		if sent := r.recent[shard]; now.Sub(sent.at) < statusLag {
+			c.free -= sent.tasks[j.Class]
 		}
 		out = append(out, c)
 	}
@@ -94,14 +94,15 @@
 	return sortedByScore(out, func(c candidate) float64 { return c.score(j) })
 }
 
-// Scores of candidates are in three bands, whose distance is greater than what is added within one.
+// Scores of candidates are in three bands, which are further apart than scores within a band are.
 const (
-	fitsScore     = 1e6 // all of the job has capacity
+	fitsScore     = 1e6 // the shard has capacity for all tasks of the job
 	scaleOutScore = 1e3 // the shard can scale out
 )
 
-// score says how good a place is for a job: where all of it has capacity, the more the better; then where the shard can
-// scale out, the fewer machines there are the better; then where the least waits.
+// score rates a shard for a job. Shards with capacity for the whole job come first, those with the most capacity ahead.
+// Then come shards that can scale out, those with the fewest machines ahead; then the others, those with the smallest
+// backlog ahead.
 func (c candidate) score(j *wire.Job) float64 {
 	tie := tieBreak(j.ID, c.shard) / 1000
 	load := 100 * float64(c.backlog) / float64(c.machines+10)
@@ -114,16 +115,16 @@
 	return -load + float64(c.free)/1e3 + tie
 }
 
-// record notes that tasks of a class were sent to a shard.
+// record counts n tasks of a class that were sent to a shard.
 func (r *Router) record(now time.Time, shard, class string, n int) {
 	if r.recent == nil {
 		r.recent = make(map[string]recentTasks)
 	}
-	g := r.recent[shard]
-	if g.tasks == nil || now.Sub(g.at) > statusLag {
-		g = recentTasks{tasks: make(map[string]int)}
+	sent := r.recent[shard]
+	if sent.tasks == nil || now.Sub(sent.at) > statusLag {
+		sent = recentTasks{tasks: make(map[string]int)}
 	}
-	g.at = now
-	g.tasks[class] += n
-	r.recent[shard] = g
+	sent.at = now
+	sent.tasks[class] += n
+	r.recent[shard] = sent
 }
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -15,7 +15,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fixture is what the kept traces are played on: shards a, b, c, each of a zone of its name.
+// fixture is the state that the trace steps act on. At first there are the shards a, b and c, each with a zone of the
+// same name.
 type fixture struct {
 	now         time.Time
 	controllers []Controller
@@ -73,7 +74,7 @@
 		others := slices.Delete(slices.Clone(b.controllers), i, i+1)
 		p, ok := Surplus(b.controllers[i], mine, others)
 		return []string{fmt.Sprintf("%q %v", p, ok)}
-	case "stands": // a shard says how much capacity it has for class x
+	case "stands": // a shard reports its capacity for class x
 		b.statuses[w[1]] = Status{Machines: num("machines"), Backlog: num("backlog"),
 			Capacity: map[string]scheduler.FreeCapacity{"x": {Now: num("now"), Rent: kv["rent"] != ""}}}
 	case "wait":
@@ -94,13 +95,14 @@
 	return nil
 }
 
-// TestTraces plays the kept traces of which controller should lead which shard, and of where jobs go.
+// TestTraces replays the traces in testdata, which show the controllers that should lead shards and the shards that
+// jobs go to.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newFixture().step })
 }
 
-// TestRangesCoverJob: whatever the capacity, the ranges of a job cover its tasks once, and no shard gets more of a job that
-// must be spread than its zones may have.
+// TestRangesCoverJob checks that the ranges of a job cover each of its tasks once, whatever the capacity, and that no
+// shard gets more tasks of a job that must be spread than its zones may have.
 func TestRangesCoverJob(t *testing.T) {
 	b := newFixture()
 	for i := range 3000 {
@@ -108,18 +110,18 @@
 			b.statuses[p] = Status{Machines: i * 7 % 90, Backlog: i * 13 % 40, Capacity: map[string]scheduler.FreeCapacity{"x": {Now: i * 31 % 120, Rent: i%2 == 0}}}
 		}
 		j := &wire.Job{ID: fmt.Sprint("wk-", i), Class: "x", Shape: []wire.Shape{wire.Array, wire.Gang, wire.Service}[i%3], Tasks: 1 + i%200, CPUs: 1, GPUs: 1, MemoryGB: 1, Spread: i%5 == 0}
-		at, most := 0, map[string]int{}
+		next, tasksIn := 0, map[string]int{}
 		for _, s := range b.router.Route(b.now, j, b.types) {
-			if s.From != at || s.To <= s.From {
+			if s.From != next || s.To <= s.From {
 				t.Fatalf("job %+v: %+v", j, s)
 			}
-			at = s.To
-			if most[s.Shard] += s.To - s.From; j.Spread && j.Shape != wire.Gang && j.Tasks > 1 && most[s.Shard] > (j.Tasks+1)/2 {
-				t.Errorf("%d of %d tasks that must be spread go to %s", most[s.Shard], j.Tasks, s.Shard)
+			next = s.To
+			if tasksIn[s.Shard] += s.To - s.From; j.Spread && j.Shape != wire.Gang && j.Tasks > 1 && tasksIn[s.Shard] > (j.Tasks+1)/2 {
+				t.Errorf("%d of %d tasks that must be spread go to %s", tasksIn[s.Shard], j.Tasks, s.Shard)
 			}
 		}
-		if at != j.Tasks {
-			t.Fatalf("%d of %d tasks have a shard", at, j.Tasks)
+		if next != j.Tasks {
+			t.Fatalf("%d of %d tasks have a shard", next, j.Tasks)
 		}
 		b.now = b.now.Add(time.Second)
 	}
