--- a/internal/reshard/assignment.go
+++ b/internal/reshard/assignment.go
@@ -65,12 +65,12 @@
 	if len(l.Record.FinishedIn) > 0 {
 		return a.previous.Ranges(id, &l.Record)
 	}
-	if cached, ok := a.inferred[id]; ok && cached.version == l.Batch.Version {
-		return cached.ranges
+	if entry, ok := a.inferred[id]; ok && entry.version == l.Batch.Version {
+		return entry.ranges
 	}
-	computed := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
-	a.inferred[id] = computed
-	return computed.ranges
+	entry := inferredRanges{l.Batch.Version, a.previous.Ranges(id, &l.Record)}
+	a.inferred[id] = entry
+	return entry.ranges
 }
 
 // Forget drops the cached ranges of a job that has ended or whose record now holds its ranges.
