--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -6,8 +6,8 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// startupGrace is how long a controller that has just started may take to get heartbeats of its peers.
-const startupGrace = 3 * time.Second
+// startupGracePeriod is how long a controller that has just started may take to get heartbeats of its peers.
+const startupGracePeriod = 3 * time.Second
 
 // allocateStoreBudget sets this controller's share of the limits of the state service, by the
 // shards that are led and by who writes.
@@ -28,7 +28,7 @@
 		Leading:    ledShare,
 		HasLeader:  anyLed,
 	}
-	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGrace {
+	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGracePeriod {
 		allowed.Requests, allowed.Acceptance = policy.EvenShare(), policy.EvenShare()
 	}
 	c.state.client.Allow(allowed)
--- a/internal/controller/buildapi.go
+++ b/internal/controller/buildapi.go
@@ -12,9 +12,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// serveBuilds serves build tools. gRPC brings a server of its own, since httpwire does not speak
+// serveBuildAPI serves build tools. gRPC brings a server of its own, since httpwire does not speak
 // HTTP/2.
-func (c *Controller) serveBuilds(ctx context.Context) error {
+func (c *Controller) serveBuildAPI(ctx context.Context) error {
 	set := c.cfg.Tuning.Reapi
 	blobs, err := cas.Dial(set.Store, "")
 	if err != nil {
--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -17,7 +17,7 @@
 	// reach, or that leads fewer shards.
 	preferredLeaderDelay = 4 * time.Second
 	// minMissing is how many machines must be missing before this controller doubts its own links.
-	minMissing = 2
+	minMissingMachines = 2
 )
 
 // candidacy decides for which shards this controller campaigns: for none that a peer can lead better.
@@ -62,13 +62,13 @@
 func (a *candidacy) partitioned(s *ledShard) (reason string) {
 	now := time.Now()
 	missing, uncallable := s.UnreachableMachines(now), s.CallsFailing(now)
-	if missing < minMissing && !uncallable {
+	if missing < minMissingMachines && !uncallable {
 		return ""
 	}
 	for name, b := range a.mesh.Latest(peerHealthMaxAge) {
 		// A machine is not missing for want of a link where the peer forwards its heartbeats here.
 		forwards := b.ForwardsTo == a.cfg.Name || slices.Contains(b.ConnectedLeaders, a.cfg.Name)
-		cutOff := missing >= minMissing && !forwards && b.OfferedMachines >= (missing+1)/2
+		cutOff := missing >= minMissingMachines && !forwards && b.OfferedMachines >= (missing+1)/2
 		if b.StoreReachable && (cutOff || uncallable && b.OfferedMachines > 2*a.offered()) {
 			a.mu.Lock()
 			a.partitionedAt = now
@@ -103,9 +103,9 @@
 	if a.sharding.IsSingle() || vacant >= preferredLeaderDelay {
 		return true
 	}
-	candidates := append(a.candidates(), a.self())
+	candidates := append(a.peerCandidates(), a.self())
 	if time.Since(a.startedAt) < preferredLeaderDelay {
-		candidates = a.addStarting(candidates)
+		candidates = a.addStartingPeers(candidates)
 	}
 	var vacantShards []shard.Shard
 	for _, s := range a.sharding.Shards() {
@@ -116,8 +116,8 @@
 	return shard.Assign(vacantShards, candidates, len(a.sharding.Shards()))[name] == a.cfg.Name
 }
 
-// addStarting adds the peers without a heartbeat, which may just have been started too.
-func (a *candidacy) addStarting(candidates []shard.Controller) []shard.Controller {
+// addStartingPeers adds the peers without a heartbeat, which may just have been started too.
+func (a *candidacy) addStartingPeers(candidates []shard.Controller) []shard.Controller {
 	seen := make(map[string]bool)
 	for _, c := range candidates {
 		seen[c.Name] = true
@@ -131,7 +131,7 @@
 }
 
 // candidates lists the live peers, which could lead shards.
-func (a *candidacy) candidates() (out []shard.Controller) {
+func (a *candidacy) peerCandidates() (out []shard.Controller) {
 	alive := a.peers.alive(time.Now())
 	for _, p := range a.cfg.Peers {
 		if slices.Contains(alive, p.Name) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,7 +65,7 @@
 	candidacy *candidacy
 	failover  *failover
 	led       *shardRegistry
-	statuses  *statusBoard
+	statuses  *statusCollector
 	ingest    ingestion
 
 	admission *admission.Service
@@ -97,7 +97,7 @@
 	c.ingest = c.newIngestion()
 	c.setUpAdmission()
 	c.setUpForwarding()
-	c.users = &user.API{Admission: c.admission, Log: log, CountTasks: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeOutOfReach}
+	c.users = &user.API{Admission: c.admission, Log: log, CountTasks: c.statuses.taskCounts, Ready: c.ready, StoreUnreachable: c.storeUnreachable}
 	return c
 }
 
@@ -123,7 +123,7 @@
 	c.tracker = &peerTracker{detector: membership.New(slices.Collect(maps.Keys(addrs)))}
 	c.mesh = &peer.Mesh{Peers: addrs, Local: c.localStatus, Dial: c.net.Dial, Log: c.log, OnHeartbeat: c.tracker.record}
 	c.health = &storeHealth{view: c.state.view, follow: c.state.follow, mesh: c.mesh, peers: len(c.cfg.Peers), startedAt: c.startedAt}
-	c.statuses = &statusBoard{sharding: c.sharding, mesh: c.mesh, led: c.led}
+	c.statuses = &statusCollector{sharding: c.sharding, mesh: c.mesh, led: c.led}
 	c.writers = &writerChooser{self: c.cfg.Name, policy: c.cfg.Writers(), mesh: c.mesh, peers: c.tracker, health: c.health, leads: c.leads,
 		reroute: func() { c.admission.Intake.Reroute() }}
 }
@@ -165,7 +165,7 @@
 	run(c.admission.Intake.Run)
 	run(c.admission.Canceller.Run)
 	if c.cfg.Tuning.Reapi.Listen != "" {
-		run(c.serveBuilds)
+		run(c.serveBuildAPI)
 	}
 	if c.cfg.Tuning.Metrics != "" {
 		run(c.serveOperators)
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -15,8 +15,8 @@
 	ledgerIdleTime = 4 * time.Second
 	// maxViewAge is how old the view may be that shows that.
 	maxViewAge = 1500 * time.Millisecond
-	// firstActsAlone is for how long the first of the controllers that see the same acts alone.
-	firstActsAlone = 2 * time.Second
+	// firstControllerHeadStart is for how long the first of the controllers that see the same acts alone.
+	firstControllerHeadStart = 2 * time.Second
 )
 
 // failover revokes the leases of dead leaders before they expire, so that their shards can be won
@@ -69,7 +69,7 @@
 		if f.deadSince[lease].IsZero() {
 			f.deadSince[lease] = now
 		}
-		if f.peers.firstAlive(now, f.self) || now.Sub(f.deadSince[lease]) > firstActsAlone {
+		if f.peers.firstAlive(now, f.self) || now.Sub(f.deadSince[lease]) > firstControllerHeadStart {
 			err := f.client.RevokeLease(ctx, lease)
 			f.log.Warn("revoked the lease of a dead leader", "leader", leader, "lease", lease, "err", err)
 		}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -60,5 +60,5 @@
 	return !c.health.partitioned(notReadyAfter)
 }
 
-// storeOutOfReach reports whether a question that the state service must answer is not worth a try.
-func (c *Controller) storeOutOfReach() bool { return c.health.partitioned(refuseReadsAfter) }
+// storeUnreachable reports whether a question that the state service must answer is not worth a try.
+func (c *Controller) storeUnreachable() bool { return c.health.partitioned(refuseReadsAfter) }
--- a/internal/controller/ingest.go
+++ b/internal/controller/ingest.go
@@ -23,23 +23,23 @@
 	uplinks  *ingest.Uplinks   // forward them to the leaders among the peers
 	receiver *ingest.Receiver  // answers those that peers forward
 	throttle *throttle.Limiter // of fencing calls made for peers
-	calls    *callLog
+	calls    *fencingCallLog
 }
 
-// callLog records the fencing calls that are made for peers.
-type callLog struct {
+// fencingCallLog records the fencing calls that are made for peers.
+type fencingCallLog struct {
 	mu  sync.Mutex
 	log zone.CallLog
 }
 
-func (l *callLog) record(zone string, answered bool) {
+func (l *fencingCallLog) record(zone string, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log.Record(time.Now(), zone, answered)
 }
 
 // addTo adds the calls to what is known of each zone.
-func (l *callLog) addTo(now time.Time, observations map[string]zone.Observation) {
+func (l *fencingCallLog) addTo(now time.Time, observations map[string]zone.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log.AddTo(now, observations)
@@ -47,7 +47,7 @@
 
 // newIngestion sets up the parts of ingestion. The mesh must exist.
 func (c *Controller) newIngestion() ingestion {
-	in := ingestion{throttle: throttle.New(), calls: &callLog{}}
+	in := ingestion{throttle: throttle.New(), calls: &fencingCallLog{}}
 	in.receiver = &ingest.Receiver{Log: c.log, Decide: c.decideForwarded, FencingCalls: c.fencingCalls, FencingCallDone: c.fencingCallDone}
 	in.uplinks = &ingest.Uplinks{ByPeer: make(map[string]*ingest.Uplink), Leader: c.leaderFor}
 	for _, p := range c.cfg.Peers {
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -15,7 +15,7 @@
 
 // manageShards starts a leader for each shard that was won and ends it when its leadership is lost.
 func (c *Controller) manageShards(ctx context.Context) error {
-	defer c.stopLeadingAll()
+	defer c.stopLeadingAllShards()
 	for ctx.Err() == nil {
 		c.allocateStoreBudget()
 		for _, name := range c.sharding.Shards() {
@@ -104,7 +104,7 @@
 	<-s.done
 }
 
-func (c *Controller) stopLeadingAll() {
+func (c *Controller) stopLeadingAllShards() {
 	for _, name := range c.sharding.Shards() {
 		if s := c.led.get(name); s != nil {
 			c.stopLeading(s)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -21,9 +21,9 @@
 
 // peerTracker detects failures among the peers and numbers the heartbeats to them.
 type peerTracker struct {
-	mu       sync.Mutex
-	detector *membership.Detector
-	sent     uint64 // heartbeats
+	mu             sync.Mutex
+	detector       *membership.Detector
+	heartbeatsSent uint64 // heartbeats
 }
 
 // record takes in a peer's heartbeat.
@@ -34,11 +34,11 @@
 }
 
 // next returns the number of the next heartbeat, and what it says about the peers.
-func (t *peerTracker) next() (number uint64, ages membership.HeartbeatAges) {
+func (t *peerTracker) nextHeartbeat() (number uint64, ages membership.HeartbeatAges) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sent++
-	return t.sent, t.detector.HeartbeatAges(time.Now())
+	t.heartbeatsSent++
+	return t.heartbeatsSent, t.detector.HeartbeatAges(time.Now())
 }
 
 // alive lists the live peers that reach the state service, in order.
@@ -78,7 +78,7 @@
 		OfferedMachines: c.ingest.gateway.Offered(),
 		ForwardsTo:      c.ingest.uplinks.ForwardsTo(),
 	}
-	b.Sequence, b.HeartbeatAges = c.tracker.next()
+	b.Sequence, b.HeartbeatAges = c.tracker.nextHeartbeat()
 	b.Observations = c.observations()
 	if !single {
 		b.ConnectedLeaders, b.Shards = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -18,7 +18,7 @@
 	}
 	var peers []shard.Controller
 	latest := c.mesh.Latest(heartbeatMaxAge)
-	for _, p := range c.candidacy.candidates() {
+	for _, p := range c.candidacy.peerCandidates() {
 		if latest[p.Name].Uptime >= rebalanceAfter {
 			peers = append(peers, p)
 		}
--- a/internal/controller/shards.go
+++ b/internal/controller/shards.go
@@ -20,9 +20,9 @@
 	taskCountMaxAge = 6 * time.Second
 )
 
-// statusBoard collects what the leaders say of their shards, from here and from the heartbeats of
+// statusCollector collects what the leaders say of their shards, from here and from the heartbeats of
 // the peers. Where the fleet is one shard, only its counts of tasks travel in heartbeats.
-type statusBoard struct {
+type statusCollector struct {
 	sharding *fleet.Sharding
 	mesh     *peer.Mesh
 	led      *shardRegistry
@@ -33,7 +33,7 @@
 }
 
 // all returns the last status of each shard. The map is shared and must not be changed.
-func (b *statusBoard) all() map[string]leader.ShardStatus {
+func (b *statusCollector) all() map[string]leader.ShardStatus {
 	b.mu.Lock()
 	cached, collected := b.cached, b.collected
 	b.mu.Unlock()
@@ -47,7 +47,7 @@
 	return cached
 }
 
-func (b *statusBoard) collect() map[string]leader.ShardStatus {
+func (b *statusCollector) collect() map[string]leader.ShardStatus {
 	out := make(map[string]leader.ShardStatus)
 	for _, hb := range b.mesh.Latest(2 * heartbeatMaxAge) {
 		for name, status := range hb.Shards {
@@ -65,7 +65,7 @@
 
 // known returns the status of each shard of which something is known: of all where there are
 // several, else that of the fleet if it is led here.
-func (b *statusBoard) known() map[string]leader.ShardStatus {
+func (b *statusCollector) known() map[string]leader.ShardStatus {
 	if !b.sharding.IsSingle() {
 		return b.all()
 	}
@@ -77,7 +77,7 @@
 }
 
 // forRouting returns what the router goes by of each shard.
-func (b *statusBoard) forRouting() map[string]shard.Status {
+func (b *statusCollector) forRouting() map[string]shard.Status {
 	all := b.all()
 	out := make(map[string]shard.Status, len(all))
 	for name, s := range all {
@@ -87,14 +87,14 @@
 }
 
 // runningTasks returns how many of a job's tasks run, for display.
-func (b *statusBoard) runningTasks(job string) int {
+func (b *statusCollector) runningTasks(job string) int {
 	running, _ := b.taskCounts(job)
 	return running
 }
 
 // taskCounts returns how many of a job's tasks run and are done, for display, from the leaders
 // wherever they are.
-func (b *statusBoard) taskCounts(job string) (running, done int) {
+func (b *statusCollector) taskCounts(job string) (running, done int) {
 	if b.sharding.IsSingle() {
 		n := b.fleetTaskCount(job)
 		return n.Running, n.Done
@@ -108,7 +108,7 @@
 }
 
 // fleetTaskCount returns a job's counts where the fleet is one shard.
-func (b *statusBoard) fleetTaskCount(job string) leader.TaskCount {
+func (b *statusCollector) fleetTaskCount(job string) leader.TaskCount {
 	for _, s := range b.led.all() {
 		if n, ok := s.TaskCounts(time.Now())[job]; ok {
 			return n
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -28,7 +28,7 @@
 	Name string        // of this controller
 	TTL  time.Duration // of its lease
 	// Every is the time between two renewals.
-	Every time.Duration
+	RenewInterval time.Duration
 
 	lease       uint64
 	lastRenewal time.Time // when the last renewal that succeeded was sent
@@ -38,7 +38,7 @@
 
 // New returns an election without a lease.
 func New(name string, ttl, every time.Duration) *Election {
-	return &Election{Name: name, TTL: ttl, Every: every, tenures: make(map[string]Tenure), resigned: make(map[string]Tenure)}
+	return &Election{Name: name, TTL: ttl, RenewInterval: every, tenures: make(map[string]Tenure), resigned: make(map[string]Tenure)}
 }
 
 // Lease returns the current lease, 0 for none.
@@ -75,7 +75,7 @@
 func (e *Election) LastRenewal() time.Time { return e.lastRenewal }
 
 // NextRenewal returns when the next renewal is due.
-func (e *Election) NextRenewal() time.Time { return e.lastRenewal.Add(e.Every) }
+func (e *Election) NextRenewal() time.Time { return e.lastRenewal.Add(e.RenewInterval) }
 
 // Tenure returns this controller's tenure of a shard, if it leads it.
 func (e *Election) Tenure(shard string) (Tenure, bool) {
--- a/internal/leadership/settings.go
+++ b/internal/leadership/settings.go
@@ -28,7 +28,7 @@
 	State    State
 	Log      *slog.Logger
 
-	sharding, tiers refusalLog
+	sharding, tiers mismatchLog
 }
 
 // errSettingsUnknown means that a peer has not said yet which settings it has.
@@ -146,12 +146,12 @@
 	return nil
 }
 
-// refusalLog logs why this controller does not campaign, once for each reason.
-type refusalLog struct{ last string }
+// mismatchLog logs why this controller does not campaign, once for each reason.
+type mismatchLog struct{ last string }
 
-func (r *refusalLog) clear() { r.last = "" }
+func (r *mismatchLog) clear() { r.last = "" }
 
-func (r *refusalLog) report(ctx context.Context, log *slog.Logger, err error, attrs ...any) {
+func (r *mismatchLog) report(ctx context.Context, log *slog.Logger, err error, attrs ...any) {
 	if err.Error() == r.last {
 		return
 	}
--- a/internal/leadership/settings_test.go
+++ b/internal/leadership/settings_test.go
@@ -14,10 +14,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestLateTiersChangeIsRefused: a change of the tiers gets no answer and is applied late. By then the
+// TestDelayedTiersChangeIsRejected: a change of the tiers gets no answer and is applied late. By then the
 // settings are as before, other controllers have resharded the fleet and led its shards, and no shard
 // that the change knows of is led. It is refused: two leaders would go by different tiers.
-func TestLateTiersChangeIsRefused(t *testing.T) {
+func TestDelayedTiersChangeIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		net, s, log := simulator.NewNetwork(), simulator.NewStateService(1, 0), slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/transport/caller.go
+++ b/internal/transport/caller.go
@@ -18,8 +18,8 @@
 	maxIdlePerAddr = 4
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 15 * time.Second
-	// sweepInterval is the least time between two searches for expired idle connections.
-	sweepInterval = idleTimeout / 4
+	// expiryCheckInterval is the least time between two searches for expired idle connections.
+	expiryCheckInterval = idleTimeout / 4
 	// responseBufferBytes is the size of the buffer that responses are parsed from.
 	responseBufferBytes = 4 << 10
 )
@@ -31,10 +31,10 @@
 	MaxIdle int   // idle connections that are kept in all; 0 means no bound
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu        sync.Mutex
-	idle      map[string][]*clientConn
-	idleCount int // over all addresses
-	lastSweep time.Time
+	mu              sync.Mutex
+	idle            map[string][]*clientConn
+	idleCount       int // over all addresses
+	lastExpiryCheck time.Time
 }
 
 // ErrNotSent means that no connection could be opened, so that the request was certainly
@@ -131,15 +131,15 @@
 		c.idle[addr] = append(c.idle[addr], conn)
 		c.idleCount++
 	}
-	if time.Since(c.lastSweep) > sweepInterval {
-		c.sweep()
+	if time.Since(c.lastExpiryCheck) > expiryCheckInterval {
+		c.closeExpired()
 	}
 }
 
 // sweep closes connections that have been idle for too long: with thousands of addresses
 // they would otherwise use up all sockets. The lock is held.
-func (c *Caller) sweep() {
-	c.lastSweep = time.Now()
+func (c *Caller) closeExpired() {
+	c.lastExpiryCheck = time.Now()
 	for addr, conns := range c.idle {
 		rest := slices.DeleteFunc(conns, func(o *clientConn) bool {
 			old := time.Since(o.idleSince) > idleTimeout
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,11 +9,11 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxPending bounds the bytes received on a connection that its goroutine has not read yet.
-const maxPending = 128 << 10
+// maxPendingBytes bounds the bytes received on a connection that its goroutine has not read yet.
+const maxPendingBytes = 128 << 10
 
-// maxUnread bounds the bytes written to a connection that its peer has not taken yet.
-const maxUnread = 256 << 10
+// maxOutboundBytes bounds the bytes written to a connection that its peer has not taken yet.
+const maxOutboundBytes = 256 << 10
 
 // Conn is an accepted connection. gnet's event loop feeds it, and the goroutine that serves
 // it reads and writes it.
@@ -75,16 +75,16 @@
 	if closed {
 		return 0, io.ErrClosedPipe
 	}
-	if err := c.conn.AsyncWrite(append([]byte(nil), p...), closeUnread); err != nil {
+	if err := c.conn.AsyncWrite(append([]byte(nil), p...), closeIfResponsesUnread); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// closeUnread closes a connection whose peer keeps sending requests without reading the
+// closeIfResponsesUnread closes a connection whose peer keeps sending requests without reading the
 // responses, which would pile up in memory. The event loop calls it after each write.
-func closeUnread(c gnet.Conn, err error) error {
-	if err == nil && c.OutboundBuffered() > maxUnread {
+func closeIfResponsesUnread(c gnet.Conn, err error) error {
+	if err == nil && c.OutboundBuffered() > maxOutboundBytes {
 		return c.Close()
 	}
 	return nil
@@ -106,7 +106,7 @@
 func (c *Conn) feed(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.pending)+len(b) > maxPending {
+	if len(c.pending)+len(b) > maxPendingBytes {
 		return false
 	}
 	c.pending = append(c.pending, b...)
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -12,8 +12,8 @@
 // requestTimeout bounds how long one request may take to arrive completely.
 const requestTimeout = 10 * time.Second
 
-// headBufferBytes is the size of the buffer that requests are parsed from.
-const headBufferBytes = 4 << 10
+// requestBufferBytes is the size of the buffer that requests are parsed from.
+const requestBufferBytes = 4 << 10
 
 // Handler answers one request.
 type Handler func(ctx context.Context, r *httpwire.Request) *httpwire.Response
@@ -26,7 +26,7 @@
 		c.SetIdle(idle)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		defer stop()
-		r := bufio.NewReaderSize(c, headBufferBytes)
+		r := bufio.NewReaderSize(c, requestBufferBytes)
 		for {
 			if _, err := r.Peek(1); err != nil {
 				return
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -49,7 +49,7 @@
 
 // ListenRejecting implements RejectingNetwork.
 func (n Sockets) ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, reject Rejecter) error {
-	s := &server{addr: addr, conns: int64(conns), serve: serve, reject: reject, log: n.Log}
+	s := &server{addr: addr, maxConns: int64(conns), serve: serve, reject: reject, log: n.Log}
 	return s.run(ctx)
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -29,16 +29,16 @@
 // server implements gnet's callbacks for one listening address.
 type server struct {
 	gnet.BuiltinEventEngine
-	addr   string
-	conns  int64
-	serve  ServeConn
-	reject Rejecter
-	log    *slog.Logger
+	addr     string
+	maxConns int64
+	serve    ServeConn
+	reject   Rejecter
+	log      *slog.Logger
 
 	// gnet's callbacks take no context; this is the one that run was called with.
 	ctx     context.Context
 	engine  gnet.Engine
-	booted  atomic.Bool
+	started atomic.Bool
 	open    atomic.Int64
 	serving sync.WaitGroup
 	// Used on the event loop only: connections refused since the last warning.
@@ -64,7 +64,7 @@
 		return fmt.Errorf("listen on %s: %w", s.addr, err)
 	case <-ctx.Done():
 	}
-	if s.booted.Load() {
+	if s.started.Load() {
 		stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		_ = s.engine.Stop(stop)
@@ -76,16 +76,16 @@
 // OnBoot is called by gnet.
 func (s *server) OnBoot(e gnet.Engine) gnet.Action {
 	s.engine = e
-	s.booted.Store(true)
+	s.started.Store(true)
 	return gnet.None
 }
 
 // OnOpen is called by gnet for each new connection.
 func (s *server) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
-	if s.open.Add(1) > s.conns {
+	if s.open.Add(1) > s.maxConns {
 		s.refused++
 		if now := time.Now(); now.Sub(s.lastWarning) > refusalLogInterval {
-			s.log.Warn("connections refused: too many are open", "addr", s.addr, "limit", s.conns, "refused", s.refused)
+			s.log.Warn("connections refused: too many are open", "addr", s.addr, "limit", s.maxConns, "refused", s.refused)
 			s.lastWarning, s.refused = now, 0
 		}
 		return nil, gnet.Close
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -76,9 +76,9 @@
 	return l.Addr().String()
 }
 
-// TestSockets serves real connections: requests one after the other, two at
+// TestRealConnections serves real connections: requests one after the other, two at
 // once in one packet, a malformed one, and the end of the context.
-func TestSockets(t *testing.T) {
+func TestRealConnections(t *testing.T) {
 	addr := freeAddr(t)
 	ctx, stop := context.WithCancel(t.Context())
 	network, done := Sockets{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, make(chan error, 1)
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestThreads: a thousand peers that never answer and a thousand that never ask cost
+// TestHangingPeersUseFewThreads: a thousand peers that never answer and a thousand that never ask cost
 // goroutines, and hardly a thread: a process may have 2,000 of them at the most.
-func TestThreads(t *testing.T) {
+func TestHangingPeersUseFewThreads(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
 	var hanging atomic.Int64
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestTurnedAway: peers that are turned away by their first bytes get their answer and are
+// TestRejectedConnections: peers that are turned away by their first bytes get their answer and are
 // closed, whoever else is connected; others are served.
-func TestTurnedAway(t *testing.T) {
+func TestRejectedConnections(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
 	done := make(chan error, 1)
--- a/internal/user/user.go
+++ b/internal/user/user.go
@@ -21,9 +21,9 @@
 
 // When a user is to come back.
 const (
-	retryLater  = time.Second     // to this controller or another
-	retryFull   = 2 * time.Second // once some jobs are over
-	retryBehind = 5 * time.Second // once compaction has caught up
+	defaultRetryDelay    = time.Second     // to this controller or another
+	fullRetryDelay       = 2 * time.Second // once some jobs are over
+	compactionRetryDelay = 5 * time.Second // once compaction has caught up
 )
 
 // API answers users' requests.
@@ -42,14 +42,14 @@
 // Handle answers one request of a user or of the load balancer.
 func (a *API) Handle(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 	if req.Path == wire.PathReady {
-		return a.ready(req)
+		return a.readiness(req)
 	}
 	rest, ok := strings.CutPrefix(req.Path, wire.PathJobs)
 	switch {
 	case !ok, rest != "" && rest[0] != '/':
-		return failure(http.StatusNotFound, "no such path")
+		return errorResponse(http.StatusNotFound, "no such path")
 	case rest == "" && req.Method != http.MethodPost:
-		return failure(http.StatusMethodNotAllowed, "use POST")
+		return errorResponse(http.StatusMethodNotAllowed, "use POST")
 	}
 	ctx, cancel := a.withoutStoreIfUnreachable(ctx)
 	defer cancel()
@@ -61,12 +61,12 @@
 }
 
 // ready answers the load balancer.
-func (a *API) ready(req *httpwire.Request) *httpwire.Response {
+func (a *API) readiness(req *httpwire.Request) *httpwire.Response {
 	if req.Method != http.MethodGet {
-		return failure(http.StatusMethodNotAllowed, "use GET")
+		return errorResponse(http.StatusMethodNotAllowed, "use GET")
 	}
 	if !a.Ready() {
-		return unavailable()
+		return unavailableResponse()
 	}
 	return &httpwire.Response{Status: http.StatusOK}
 }
@@ -74,7 +74,7 @@
 // handleJob answers a request for one job. more tells that its path goes on after the ID, with word.
 func (a *API) handleJob(ctx context.Context, method, id, word string, more bool) *httpwire.Response {
 	if more && word != wire.CancelWord && word != wire.WorkWord {
-		return failure(http.StatusNotFound, "no such path")
+		return errorResponse(http.StatusNotFound, "no such path")
 	}
 	want := http.MethodGet
 	if word == wire.CancelWord {
@@ -82,13 +82,13 @@
 	}
 	switch {
 	case method != want:
-		return failure(http.StatusMethodNotAllowed, "wrong method")
+		return errorResponse(http.StatusMethodNotAllowed, "wrong method")
 	case !wire.ValidJobID(id):
-		return failure(http.StatusNotFound, "no such job")
+		return errorResponse(http.StatusNotFound, "no such job")
 	case word == wire.CancelWord:
 		return a.cancel(ctx, id)
 	case word == wire.WorkWord:
-		return a.work(ctx, id)
+		return a.jobDescription(ctx, id)
 	}
 	return a.status(ctx, id)
 }
@@ -136,7 +136,7 @@
 			return a.respond(http.StatusOK, id, rec, err)
 		}
 	}
-	return failure(http.StatusBadRequest, cause.Error())
+	return errorResponse(http.StatusBadRequest, cause.Error())
 }
 
 // cancel cancels a job.
@@ -147,7 +147,7 @@
 
 // work tells a machine what the tasks of an unfinished job do: the whole description. Of a job that
 // is over it is gone.
-func (a *API) work(ctx context.Context, id string) *httpwire.Response {
+func (a *API) jobDescription(ctx context.Context, id string) *httpwire.Response {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	rec, err := a.Admission.Status(ctx, id)
@@ -155,7 +155,7 @@
 	case err != nil:
 		return a.respond(http.StatusOK, id, rec, err)
 	case rec.Job == nil:
-		return failure(http.StatusGone, "the job is over")
+		return errorResponse(http.StatusGone, "the job is over")
 	}
 	return &httpwire.Response{Status: http.StatusOK, Body: wire.Encode(rec.Job)}
 }
@@ -167,9 +167,9 @@
 	case err == nil:
 		return a.statusResponse(code, id, rec)
 	case errors.Is(err, admission.ErrUnknownJob):
-		return failure(http.StatusNotFound, err.Error())
+		return errorResponse(http.StatusNotFound, err.Error())
 	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrTooLarge):
-		return failure(http.StatusUnprocessableEntity, err.Error())
+		return errorResponse(http.StatusUnprocessableEntity, err.Error())
 	}
 	a.Log.Info("request not served", "job", id, "err", err)
 	return a.retryResponse(err)
@@ -177,13 +177,13 @@
 
 // retryResponse tells a user to come back, to this controller or to another.
 func (a *API) retryResponse(err error) *httpwire.Response {
-	resp := unavailable()
+	resp := unavailableResponse()
 	switch {
 	case errors.Is(err, admission.ErrFull):
-		resp = failure(http.StatusTooManyRequests, err.Error())
-		resp.RetryAfter = retryFull
+		resp = errorResponse(http.StatusTooManyRequests, err.Error())
+		resp.RetryAfter = fullRetryDelay
 	case errors.Is(err, admission.ErrCompactionBehind):
-		resp.RetryAfter = retryBehind
+		resp.RetryAfter = compactionRetryDelay
 	case errors.Is(err, admission.ErrHistoryUnavailable):
 		resp.Close = true // the connection would keep its user here, query after query
 	case !a.Ready():
@@ -209,13 +209,13 @@
 }
 
 // unavailable answers that the request can't be served now, and when to come back.
-func unavailable() *httpwire.Response {
-	resp := failure(http.StatusServiceUnavailable, admission.ErrRetryLater.Error())
-	resp.RetryAfter = retryLater
+func unavailableResponse() *httpwire.Response {
+	resp := errorResponse(http.StatusServiceUnavailable, admission.ErrRetryLater.Error())
+	resp.RetryAfter = defaultRetryDelay
 	return resp
 }
 
 // failure answers why a request is not served.
-func failure(status int, why string) *httpwire.Response {
+func errorResponse(status int, why string) *httpwire.Response {
 	return &httpwire.Response{Status: status, Body: wire.Encode(wire.Failure{Error: why})}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -18,7 +18,7 @@
 	// callTimeout bounds a direct call: a worker on the same network answers in milliseconds.
 	callTimeout = 2 * time.Second
 	// maxAnswer bounds the answer to a call, a heartbeat with all tasks of a machine.
-	maxAnswer = 1 << 20
+	maxResponseBytes = 1 << 20
 )
 
 // Client calls workers at their own addresses.
@@ -27,7 +27,7 @@
 // NewClient returns a client that keeps so many unused connections at most: those to thousands of
 // workers would take all sockets.
 func NewClient(net transport.Network, maxIdleConns int) *Client {
-	return &Client{transport.Caller{MaxBody: maxAnswer, MaxIdle: maxIdleConns, Dial: net.Dial}}
+	return &Client{transport.Caller{MaxBody: maxResponseBytes, MaxIdle: maxIdleConns, Dial: net.Dial}}
 }
 
 func (c *Client) call(ctx context.Context, addr, method, path string, body []byte) (*wire.Heartbeat, int, error) {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -16,12 +16,12 @@
 const addr = "10.4.0.1:9000"
 
 // agent is a worker in an incarnation, that takes commands for that one only.
-type agent struct {
+type fakeWorker struct {
 	incarnation, token uint64
 	calls              []string
 }
 
-func (a *agent) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
+func (a *fakeWorker) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
 	a.calls = append(a.calls, req.Path)
 	status := 200
 	if req.Path == wire.PathCommands {
@@ -52,7 +52,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(context.Background())
 			net := simulator.NewNetwork()
-			a := &agent{incarnation: 3, token: 4}
+			a := &fakeWorker{incarnation: 3, token: 4}
 			go net.Host("10.4.0.1").Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, a.serve))
 			synctest.Wait()
 			h := NewClient(net.Host("10.0.0.1"), 4).Fence(ctx, addr, 5, c.guess)
--- a/internal/writers/writers.go
+++ b/internal/writers/writers.go
@@ -16,10 +16,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A site with more controllers than fewControllers has defaultWriters of them write.
+// A site with more controllers than forwardingThreshold has defaultWriters of them write.
 const (
-	fewControllers = 5
-	defaultWriters = 4
+	forwardingThreshold = 5
+	defaultWriters      = 4
 )
 
 // nonWriterReserve is the share of the changes for acceptance that is left to controllers which don't
@@ -45,7 +45,7 @@
 // for all: Auto, or 0 for each by itself.
 func PolicyFor(controllers, set int) Policy {
 	switch {
-	case set == Auto && controllers > fewControllers:
+	case set == Auto && controllers > forwardingThreshold:
 		return Policy{controllers, defaultWriters}
 	case set == Auto, set >= controllers:
 		return Policy{controllers, 0}
--- a/internal/writers/writers_test.go
+++ b/internal/writers/writers_test.go
@@ -14,7 +14,7 @@
 	return out
 }
 
-func nobody(string) bool { return false }
+func none(string) bool { return false }
 
 // TestPolicy: small sites write as they always did, each controller by itself.
 func TestPolicy(t *testing.T) {
@@ -24,7 +24,7 @@
 		}
 	}
 	p := PolicyFor(5, Auto)
-	if p.Choose(names(5), nobody) != nil || p.WriteShare(nil, "c-1") != 0.2 || p.MinWriteShare() != 0.2 || p.RequestShare(nil, "c-1", 1) != 0.2 {
+	if p.Choose(names(5), none) != nil || p.WriteShare(nil, "c-1") != 0.2 || p.MinWriteShare() != 0.2 || p.RequestShare(nil, "c-1", 1) != 0.2 {
 		t.Error("five controllers don't share evenly")
 	}
 }
@@ -33,13 +33,13 @@
 func TestChoose(t *testing.T) {
 	p := PolicyFor(24, Auto)
 	all := names(24)
-	writers := p.Choose(all, nobody)
+	writers := p.Choose(all, none)
 	if len(writers) != 4 {
 		t.Fatalf("%v write", writers)
 	}
 	reversed := slices.Clone(all)
 	slices.Reverse(reversed)
-	if got := p.Choose(reversed, nobody); !slices.Equal(got, writers) {
+	if got := p.Choose(reversed, none); !slices.Equal(got, writers) {
 		t.Errorf("%v, and in another order %v", writers, got)
 	}
 	if got := p.Choose(all, func(name string) bool { return name == writers[0] }); slices.Contains(got, writers[0]) || len(got) != 4 {
@@ -48,7 +48,7 @@
 	for _, gone := range all {
 		left := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return name == gone })
 		kept := 0
-		for _, name := range p.Choose(left, nobody) {
+		for _, name := range p.Choose(left, none) {
 			if slices.Contains(writers, name) {
 				kept++
 			}
@@ -57,10 +57,10 @@
 			t.Errorf("without %s only %d writers stay", gone, kept)
 		}
 	}
-	if got := p.Choose(all[:12], nobody); got != nil {
+	if got := p.Choose(all[:12], none); got != nil {
 		t.Errorf("half of the controllers choose %v", got)
 	}
-	if got := p.Choose(all[:13], nobody); len(got) != 4 {
+	if got := p.Choose(all[:13], none); len(got) != 4 {
 		t.Errorf("a majority chooses %v", got)
 	}
 }
@@ -70,7 +70,7 @@
 	writers, count := names(4), map[string]int{}
 	for i := range 4000 {
 		key := fmt.Sprintf("wk-%06d", i)
-		first := WriterOf(writers, key, nobody)
+		first := WriterOf(writers, key, none)
 		count[first]++
 		other := WriterOf(writers, key, func(name string) bool { return name == "c-2" })
 		if other == "c-2" || first != "c-2" && other != first {
@@ -82,18 +82,18 @@
 			t.Errorf("%s writes %d of 4000", name, n)
 		}
 	}
-	if got := WriterOf(nil, "wk-1", nobody); got != "" {
+	if got := WriterOf(nil, "wk-1", none); got != "" {
 		t.Errorf("without writers %q writes", got)
 	}
 }
 
-// TestSharesFit: whatever any controller believes of the others, no more is spent than there is while
+// TestSharesStayWithinLimits: whatever any controller believes of the others, no more is spent than there is while
 // a majority agrees, and others get heartbeats of too few.
-func TestSharesFit(t *testing.T) {
+func TestSharesStayWithinLimits(t *testing.T) {
 	for _, n := range []int{6, 9, 24} {
 		p := PolicyFor(n, Auto)
 		all := names(n)
-		writers := p.Choose(all, nobody)
+		writers := p.Choose(all, none)
 		for _, apart := range []int{0, 1, n/2 - 1} { // that get no heartbeats
 			changes, requests := 0.0, 0.0
 			for i, name := range all {
