--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -6,11 +6,11 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// startupGracePeriod is how long a controller that has just started may take to get heartbeats of its peers.
+// startupGracePeriod is how long a controller that has just started may take to receive heartbeats from its peers.
 const startupGracePeriod = 3 * time.Second
 
-// allocateStoreBudget sets this controller's share of the limits of the state service, by the
-// shards that are led and by who writes.
+// allocateStoreBudget sets this controller's share of the state service's rate limits, depending on
+// which shards have a leader and which controllers write.
 func (c *Controller) allocateStoreBudget() {
 	anyLed, ledShare := false, 0.0
 	for _, shard := range c.sharding.Shards() {
--- a/internal/controller/buildapi.go
+++ b/internal/controller/buildapi.go
@@ -12,26 +12,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// serveBuildAPI serves build tools. gRPC brings a server of its own, since httpwire does not speak
-// HTTP/2.
+// serveBuildAPI serves the remote execution API to build tools. It runs a separate gRPC server, since
+// httpwire does not support HTTP/2.
 func (c *Controller) serveBuildAPI(ctx context.Context) error {
-	set := c.cfg.Tuning.Reapi
-	blobs, err := cas.Dial(set.Store, "")
+	settings := c.cfg.Tuning.Reapi
+	casClient, err := cas.Dial(settings.Store, "")
 	if err != nil {
-		return fmt.Errorf("connect to the content-addressable store %s: %w", set.Store, err)
+		return fmt.Errorf("connect to the content-addressable store %s: %w", settings.Store, err)
 	}
-	defer blobs.Close()
-	lis, err := net.Listen("tcp", set.Listen)
+	defer casClient.Close()
+	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for build tools: %w", err)
 	}
-	front := &reapi.Server{Admission: c.admission, Store: blobs, Log: c.log, RunningTasks: c.statuses.runningTasks, Defaults: reapi.Defaults{Team: set.Team, Class: set.Class,
-		Priority: wire.Priority(set.Priority), CPUs: set.CPUs, GPUs: set.GPUs, MemoryGB: set.MemoryGB, Image: set.Image, Spot: set.Spot, Estimate: set.Estimate}}
-	server := front.GRPC(set.Calls)
+	api := &reapi.Server{Admission: c.admission, Store: casClient, Log: c.log, RunningTasks: c.statuses.runningTasks, Defaults: reapi.Defaults{Team: settings.Team, Class: settings.Class,
+		Priority: wire.Priority(settings.Priority), CPUs: settings.CPUs, GPUs: settings.GPUs, MemoryGB: settings.MemoryGB, Image: settings.Image, Spot: settings.Spot, Estimate: settings.Estimate}}
+	server := api.GRPC(settings.Calls)
 	defer context.AfterFunc(ctx, server.Stop)()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return front.Run(ctx) })
-	g.Go(func() error { return server.Serve(lis) })
-	c.log.Info("serving build tools", "addr", lis.Addr(), "cas", set.Store)
+	g.Go(func() error { return api.Run(ctx) })
+	g.Go(func() error { return server.Serve(listener) })
+	c.log.Info("serving build tools", "addr", listener.Addr(), "cas", settings.Store)
 	return g.Wait()
 }
--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// preferredLeaderDelay is for how long a vacant shard is left to a peer that more workers
-	// reach, or that leads fewer shards.
+	// preferredLeaderDelay is how long a vacant shard is left to a peer that more workers reach or
+	// that leads fewer shards.
 	preferredLeaderDelay = 4 * time.Second
-	// minMissing is how many machines must be missing before this controller doubts its own links.
+	// minMissingMachines is how many machines must be missing before this controller suspects its own network
+	// links.
 	minMissingMachines = 2
 )
 
-// candidacy decides for which shards this controller campaigns: for none that a peer can lead better.
+// candidacy decides which shards this controller campaigns for. It leaves a shard to a peer that can lead it better.
 type candidacy struct {
 	cfg         *config.Config
 	sharding    *fleet.Sharding
@@ -29,64 +30,65 @@
 	mesh        *peer.Mesh
 	peers       *peerTracker
 	startedAt   time.Time
-	offered     func() int  // machines that send their heartbeats here
-	operational func() bool // this controller can lead at all
+	offered     func() int  // number of machines that send their heartbeats to this controller
+	operational func() bool // whether this controller is able to lead any shard
 
 	mu            sync.Mutex
-	partitionedAt time.Time // when this controller last resigned because workers didn't reach it
+	partitionedAt time.Time // when this controller last resigned because workers could not reach it
 }
 
-// canLead reports whether this controller should campaign for a shard that has been vacant for
-// some time. One that workers don't reach leaves it to one that they do.
-func (a *candidacy) canLead(vacant time.Duration) bool {
-	if !a.operational() {
+// canLead reports whether this controller may campaign for a shard that has been vacant for the
+// given time. A controller that workers cannot reach leaves the shard to one that they can.
+func (c *candidacy) canLead(vacant time.Duration) bool {
+	if !c.operational() {
 		return false
 	}
-	local := a.offered()
-	a.mu.Lock()
-	if time.Since(a.partitionedAt) < 2*a.cfg.Workers.HeartbeatInterval {
-		local = 0 // those heartbeats came before it resigned
+	local := c.offered()
+	c.mu.Lock()
+	if time.Since(c.partitionedAt) < 2*c.cfg.Workers.HeartbeatInterval {
+		local = 0 // these machines sent their heartbeats before this controller resigned
 	}
-	a.mu.Unlock()
-	for _, b := range a.mesh.Latest(peerHealthMaxAge) {
-		if b.StoreReachable && b.OfferedMachines > 2*local+2 && vacant < preferredLeaderDelay {
+	c.mu.Unlock()
+	for _, status := range c.mesh.Latest(peerHealthMaxAge) {
+		if status.StoreReachable && status.OfferedMachines > 2*local+2 && vacant < preferredLeaderDelay {
 			return false
 		}
 	}
 	return true
 }
 
-// partitioned says why this controller should resign, or nothing. It should where many machines
-// are missing here that send heartbeats to a peer which could lead, or where heartbeats only
-// come by way of peers and calls to the machines fail: its links to the workers are down.
-func (a *candidacy) partitioned(s *ledShard) (reason string) {
+// partitioned returns the reason why this controller should resign, or "" if it should not. Its links
+// to the workers are down if many machines that it misses send heartbeats to a peer that could
+// lead, or if heartbeats arrive only through peers and calls to the machines fail.
+func (c *candidacy) partitioned(led *ledShard) (reason string) {
 	now := time.Now()
-	missing, uncallable := s.UnreachableMachines(now), s.CallsFailing(now)
+	missing, uncallable := led.UnreachableMachines(now), led.CallsFailing(now)
 	if missing < minMissingMachines && !uncallable {
 		return ""
 	}
-	for name, b := range a.mesh.Latest(peerHealthMaxAge) {
-		// A machine is not missing for want of a link where the peer forwards its heartbeats here.
-		forwards := b.ForwardsTo == a.cfg.Name || slices.Contains(b.ConnectedLeaders, a.cfg.Name)
-		cutOff := missing >= minMissingMachines && !forwards && b.OfferedMachines >= (missing+1)/2
-		if b.StoreReachable && (cutOff || uncallable && b.OfferedMachines > 2*a.offered()) {
-			a.mu.Lock()
-			a.partitionedAt = now
-			a.mu.Unlock()
+	for name, status := range c.mesh.Latest(peerHealthMaxAge) {
+		// If the peer forwards heartbeats to this controller, a broken link does not explain a missing machine.
+		forwards := status.ForwardsTo == c.cfg.Name || slices.Contains(status.ConnectedLeaders, c.cfg.Name)
+		cutOff := missing >= minMissingMachines && !forwards && status.OfferedMachines >= (missing+1)/2
+		if status.StoreReachable && (cutOff || uncallable && status.OfferedMachines > 2*c.offered()) {
+			c.mu.Lock()
+			c.partitionedAt = now
+			c.mu.Unlock()
 			return "workers reach " + name + ", not this controller"
 		}
 	}
 	return ""
 }
 
-// settingsMismatch names a peer with other settings of shards or tiers (known), or one that may be
-// alive and has not sent a heartbeat yet.
-func (a *candidacy) settingsMismatch() (name string, known bool) {
-	latest := a.mesh.Latest(heartbeatMaxAge)
-	for _, p := range a.cfg.Peers {
-		b, alive := latest[p.Name]
-		differs := alive && (b.Sharding != a.sharding.String() || b.TiersDigest != a.tiersDigest)
-		mayBeStarting := !alive && time.Since(a.startedAt) < preferredLeaderDelay
+// settingsMismatch returns the name of a peer whose sharding or tier settings differ (known is true),
+// or of one that may be alive but has not sent a heartbeat yet (known is false). The name is empty if
+// there is no such peer.
+func (c *candidacy) settingsMismatch() (name string, known bool) {
+	latest := c.mesh.Latest(heartbeatMaxAge)
+	for _, p := range c.cfg.Peers {
+		status, alive := latest[p.Name]
+		differs := alive && (status.Sharding != c.sharding.String() || status.TiersDigest != c.tiersDigest)
+		mayBeStarting := !alive && time.Since(c.startedAt) < preferredLeaderDelay
 		if differs || mayBeStarting {
 			return p.Name, alive
 		}
@@ -94,63 +96,63 @@
 	return "", true
 }
 
-// shouldCampaign reports whether this controller is to campaign for a shard that has been vacant
-// for some time. Controllers that know the same of each other assign the shards alike.
-func (a *candidacy) shouldCampaign(name string, vacant time.Duration) bool {
-	if !a.canLead(vacant) {
+// shouldCampaign reports whether this controller should campaign for a shard that has been vacant
+// for the given time. Controllers with the same view of each other compute the same assignment.
+func (c *candidacy) shouldCampaign(name string, vacant time.Duration) bool {
+	if !c.canLead(vacant) {
 		return false
 	}
-	if a.sharding.IsSingle() || vacant >= preferredLeaderDelay {
+	if c.sharding.IsSingle() || vacant >= preferredLeaderDelay {
 		return true
 	}
-	candidates := append(a.peerCandidates(), a.self())
-	if time.Since(a.startedAt) < preferredLeaderDelay {
-		candidates = a.addStartingPeers(candidates)
+	candidates := append(c.peerCandidates(), c.self())
+	if time.Since(c.startedAt) < preferredLeaderDelay {
+		candidates = c.addStartingPeers(candidates)
 	}
 	var vacantShards []shard.Shard
-	for _, s := range a.sharding.Shards() {
-		if _, led := a.view.Leader(s); !led {
-			vacantShards = append(vacantShards, shard.Shard{Name: s, Zones: a.sharding.ZonesOf(s)})
+	for _, s := range c.sharding.Shards() {
+		if _, led := c.view.Leader(s); !led {
+			vacantShards = append(vacantShards, shard.Shard{Name: s, Zones: c.sharding.ZonesOf(s)})
 		}
 	}
-	return shard.Assign(vacantShards, candidates, len(a.sharding.Shards()))[name] == a.cfg.Name
+	return shard.Assign(vacantShards, candidates, len(c.sharding.Shards()))[name] == c.cfg.Name
 }
 
-// addStartingPeers adds the peers without a heartbeat, which may just have been started too.
-func (a *candidacy) addStartingPeers(candidates []shard.Controller) []shard.Controller {
+// addStartingPeers adds the peers that have not sent a heartbeat: they may have just started too.
+func (c *candidacy) addStartingPeers(candidates []shard.Controller) []shard.Controller {
 	seen := make(map[string]bool)
-	for _, c := range candidates {
-		seen[c.Name] = true
+	for _, candidate := range candidates {
+		seen[candidate.Name] = true
 	}
-	for _, p := range a.cfg.Peers {
+	for _, p := range c.cfg.Peers {
 		if !seen[p.Name] {
-			candidates = append(candidates, a.candidate(p.Name, p.Zone))
+			candidates = append(candidates, c.candidate(p.Name, p.Zone))
 		}
 	}
 	return candidates
 }
 
-// candidates lists the live peers, which could lead shards.
-func (a *candidacy) peerCandidates() (out []shard.Controller) {
-	alive := a.peers.alive(time.Now())
-	for _, p := range a.cfg.Peers {
+// peerCandidates returns the live peers, each of which could lead shards.
+func (c *candidacy) peerCandidates() (out []shard.Controller) {
+	alive := c.peers.alive(time.Now())
+	for _, p := range c.cfg.Peers {
 		if slices.Contains(alive, p.Name) {
-			out = append(out, a.candidate(p.Name, p.Zone))
+			out = append(out, c.candidate(p.Name, p.Zone))
 		}
 	}
 	return out
 }
 
-func (a *candidacy) self() shard.Controller { return a.candidate(a.cfg.Name, a.cfg.Zone) }
+func (c *candidacy) self() shard.Controller { return c.candidate(c.cfg.Name, c.cfg.Zone) }
 
-func (a *candidacy) candidate(name, zone string) shard.Controller {
-	return shard.Controller{Name: name, Zone: zone, Leads: a.shardsLedBy(name)}
+func (c *candidacy) candidate(name, zone string) shard.Controller {
+	return shard.Controller{Name: name, Zone: zone, Leads: c.shardsLedBy(name)}
 }
 
-// shardsLedBy counts the shards that a controller leads, by the state service.
-func (a *candidacy) shardsLedBy(name string) (n int) {
-	for _, s := range a.sharding.Shards() {
-		if rec, led := a.view.Leader(s); led && rec.Record.Leader == name {
+// shardsLedBy returns the number of shards that a controller leads according to the state service.
+func (c *candidacy) shardsLedBy(name string) (n int) {
+	for _, s := range c.sharding.Shards() {
+		if rec, led := c.view.Leader(s); led && rec.Record.Leader == name {
 			n++
 		}
 	}
--- a/internal/controller/candidacy_test.go
+++ b/internal/controller/candidacy_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// newTestController makes the first of three controllers, which runs nothing.
+// newTestController returns the first of three controllers, without running it.
 func newTestController() *Controller {
 	cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
 		Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{Files: 500}, Tuning: config.DefaultTuning(),
@@ -22,17 +22,18 @@
 	return New(simulator.NewNetwork().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
 }
 
-// receive has a controller receive a heartbeat.
+// receive delivers a peer's heartbeat to a controller.
 func receive(t *testing.T, c *Controller, h peer.Heartbeat) {
-	mine, its := net.Pipe()
+	local, remote := net.Pipe()
 	go func() {
-		_ = gob.NewEncoder(its).Encode(h)
-		its.Close()
+		_ = gob.NewEncoder(remote).Encode(h)
+		remote.Close()
 	}()
-	c.mesh.Receive(t.Context(), pipe{mine})
+	c.mesh.Receive(t.Context(), pipe{local})
 }
 
-// TestSettingsMismatch: a peer with other settings is named, and so is one that may just be starting.
+// TestSettingsMismatch checks that settingsMismatch names a peer whose settings differ, and also one that may still be
+// starting.
 func TestSettingsMismatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController()
@@ -56,8 +57,8 @@
 	})
 }
 
-// TestCanLead: a controller that few machines reach leaves a vacant shard for a while to a peer that
-// more of them reach, and reaches the state service.
+// TestCanLead checks that a controller that few machines reach leaves a vacant shard for a while to a peer that reaches
+// the state service and that more machines reach.
 func TestCanLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController()
@@ -91,7 +92,7 @@
 	})
 }
 
-// TestShardRegistry: a shard is led from the time it is added until it is removed.
+// TestShardRegistry checks that a shard counts as led from the time it is added until it is removed.
 func TestShardRegistry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newShardRegistry()
--- a/internal/controller/compaction.go
+++ b/internal/controller/compaction.go
@@ -6,7 +6,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// newCompactor returns the compactor of ended jobs that runs beside a leader, under its fence.
+// newCompactor returns the compactor of ended jobs that runs alongside a leader. Its writes are conditional on the
+// leader's record.
 func (c *Controller) newCompactor(s *ledShard, leaseValid func() bool) *archive.Compactor {
 	settings, view := c.cfg.Tuning.History, c.state.view
 	compactor := &archive.Compactor{
@@ -20,13 +21,13 @@
 	}
 	if !c.sharding.IsSingle() {
 		compactor.DrainedThrough = func() uint64 {
-			least := view.Revision()
+			oldest := view.Revision()
 			for _, name := range c.sharding.Shards() {
 				if name != s.tenure.Shard {
-					least = min(least, view.DrainedThrough(name))
+					oldest = min(oldest, view.DrainedThrough(name))
 				}
 			}
-			return least
+			return oldest
 		}
 	}
 	return compactor
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller is one controller process: it answers users, takes workers' heartbeats, takes
-// part in the elections, and leads the shards that it has won. What each of these does is in the
-// packages below; this one wires them together, and starts and ends the duties of a leader.
+// Package controller implements one controller process: it answers users, receives workers'
+// heartbeats, takes part in leader elections, and leads the shards that it has won. The logic of each
+// is in the packages that it imports; this package wires them together, and starts and stops the
+// leaders of shards.
 package controller
 
 import (
@@ -32,24 +33,24 @@
 )
 
 const (
-	// cloudRequestShare is the share of the cloud's request limit that a controller uses; the rest
+	// cloudRequestShare is the fraction of the cloud's request limit that a controller uses; the rest
 	// is headroom.
 	cloudRequestShare = 0.85
-	// maxPeerConns and maxOperatorConns bound the connections of peers, and of metrics and status.
+	// maxPeerConns and maxOperatorConns limit the connections of peers, and of clients that read metrics and status.
 	maxPeerConns     = 64
 	maxOperatorConns = 16
-	// httpIdleTimeout is for how long a connection of HTTP may be idle.
+	// httpIdleTimeout is how long an HTTP connection may be idle.
 	httpIdleTimeout = 90 * time.Second
 )
 
-// Controller is one controller.
+// Controller is one controller process.
 type Controller struct {
 	cfg         *config.Config
 	log         *slog.Logger
 	net         transport.Network
 	startedAt   time.Time
 	sharding    *fleet.Sharding
-	tiersDigest string        // identifies the settings of the tiers of work
+	tiersDigest string        // identifies the tier settings
 	changed     chan struct{} // wakes manageShards
 
 	state   storeState
@@ -75,7 +76,7 @@
 	users     *user.API
 }
 
-// storeState is the state service as this controller reaches it.
+// storeState holds the client of the state service and the components that read through it.
 type storeState struct {
 	client  *store.Client
 	view    *store.View
@@ -84,7 +85,7 @@
 	history *archive.Reader
 }
 
-// New makes a controller on a network; it opens nothing yet.
+// New returns a controller on the given network. It opens no connections until Run is called.
 func New(network transport.Network, cfg *config.Config, log *slog.Logger) *Controller {
 	c := &Controller{cfg: cfg, log: log, net: network, startedAt: time.Now(), sharding: cfg.Sharding(), tiersDigest: cfg.Tiers().Digest(),
 		changed: make(chan struct{}, 1), led: newShardRegistry()}
@@ -101,20 +102,20 @@
 	return c
 }
 
-// openState makes the client of the state service and what reads through it.
+// openState creates the client of the state service and the components that read through it.
 func (c *Controller) openState() {
-	cfg, s := c.cfg, &c.state
-	s.client = store.NewClient(c.net, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+1), c.log)
-	s.view = store.NewView(c.log)
-	s.history = archive.NewReader(s.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, c.log)
-	s.view.Archive = s.history
-	s.follow = store.NewFollower(s.client, s.view, c.log)
-	s.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
-	s.format = &store.FormatGuard{Client: s.client, View: s.view, Follower: s.follow, Log: c.log, Shards: c.sharding.Shards(), GracePeriod: heartbeatMaxAge,
+	cfg, state := c.cfg, &c.state
+	state.client = store.NewClient(c.net, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+1), c.log)
+	state.view = store.NewView(c.log)
+	state.history = archive.NewReader(state.client, cfg.Tuning.History.CacheMB<<20/cfg.Store.ValueBytes, c.log)
+	state.view.Archive = state.history
+	state.follow = store.NewFollower(state.client, state.view, c.log)
+	state.follow.WatchTimeout = store.WatchTimeoutFor(cfg.Workers.MaxCancelStaleness())
+	state.format = &store.FormatGuard{Client: state.client, View: state.view, Follower: state.follow, Log: c.log, Shards: c.sharding.Shards(), GracePeriod: heartbeatMaxAge,
 		OlderController: func() string { return c.mesh.PeerWithOlderFormat(heartbeatMaxAge, store.Format) }}
 }
 
-// setUpPeers makes the links to the peers, and what is judged by their heartbeats.
+// setUpPeers creates the mesh to the peers and the components that rely on their heartbeats.
 func (c *Controller) setUpPeers() {
 	addrs := make(map[string]string, len(c.cfg.Peers))
 	for _, p := range c.cfg.Peers {
@@ -128,7 +129,8 @@
 		reroute: func() { c.admission.Intake.Reroute() }}
 }
 
-// setUpElections makes what campaigns for shards, and what ends the leases of dead leaders.
+// setUpElections creates the elector, which campaigns for shards, and the failover, which revokes the leases of dead
+// leaders.
 func (c *Controller) setUpElections() {
 	cfg := c.cfg
 	c.candidacy = &candidacy{cfg: cfg, sharding: c.sharding, tiersDigest: c.tiersDigest, view: c.state.view, mesh: c.mesh, peers: c.tracker, startedAt: c.startedAt,
@@ -142,13 +144,13 @@
 		ledgerWrites: make(map[string]ledgerWrite), deadSince: make(map[uint64]time.Time)}
 }
 
-// setUpAdmission makes what accepts and cancels jobs.
+// setUpAdmission creates the service that accepts and cancels jobs, and the router that assigns jobs to shards.
 func (c *Controller) setUpAdmission() {
-	cfg, s := c.cfg, &c.state
+	cfg, state := c.cfg, &c.state
 	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.forRouting}
-	c.admission = &admission.Service{Teams: cfg.Teams, View: s.view, Follow: s.follow, History: s.history, Log: c.log,
-		Intake:       admission.NewIntake(s.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
-		Canceller:    admission.NewCanceller(s.client, s.view, s.follow, cfg.Store.TxnOps),
+	c.admission = &admission.Service{Teams: cfg.Teams, View: state.view, Follow: state.follow, History: state.history, Log: c.log,
+		Intake:       admission.NewIntake(state.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
+		Canceller:    admission.NewCanceller(state.client, state.view, state.follow, cfg.Store.TxnOps),
 		MachineTypes: c.types.get, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.Backlog, OnChange: c.wake}
 	c.admission.Intake.Prioritized = cfg.Tiers().InFirst
 }
@@ -184,18 +186,18 @@
 	return g.Wait()
 }
 
-// servePublic serves users and workers. Heartbeats that can only be redirected are, before they
-// are read.
+// servePublic serves users and workers. Where the network supports it, heartbeats that can only be
+// redirected are answered before they are read.
 func (c *Controller) servePublic(ctx context.Context) error {
-	conns := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4} // the rest is for peers, the state service and calls
+	conns := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4} // the rest is for peers, the state service and outgoing calls
 	serve := conns.Serve(transport.HTTP(wire.MaxBody, httpIdleTimeout, c.publicHandler(conns)))
-	if n, ok := c.net.(transport.RejectingNetwork); ok {
-		return n.ListenRejecting(ctx, c.cfg.PublicAddr, conns.Max, serve, c.ingest.gateway.RedirectUnread)
+	if rejecting, ok := c.net.(transport.RejectingNetwork); ok {
+		return rejecting.ListenRejecting(ctx, c.cfg.PublicAddr, conns.Max, serve, c.ingest.gateway.RedirectUnread)
 	}
 	return c.net.Listen(ctx, c.cfg.PublicAddr, conns.Max, serve)
 }
 
-// publicHandler answers users and workers.
+// publicHandler returns the handler of requests from users and workers.
 func (c *Controller) publicHandler(conns *transport.ConnLimit) transport.Handler {
 	heartbeats := worker.Handler(c.ingest.gateway.HandleHeartbeat, c.log)
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
@@ -204,8 +206,8 @@
 			resp.Close = resp.Close || conns.Full()
 			return resp
 		}
-		// A worker that must connect again costs more than one that stays connected, but one that
-		// finds no socket costs most.
+		// A worker that has to reconnect costs more than one that stays connected, but one that
+		// gets no connection at all costs most.
 		resp := heartbeats(ctx, r)
 		resp.Close = resp.Close || conns.Scarce()
 		return resp
@@ -222,7 +224,7 @@
 	return c.net.Listen(ctx, c.cfg.Tuning.Metrics, maxOperatorConns, transport.HTTP(wire.MaxBody, httpIdleTimeout, c.operatorHandler()))
 }
 
-// wake has the shards looked at soon.
+// wake makes manageShards check the shards without waiting for its next interval.
 func (c *Controller) wake() {
 	select {
 	case c.changed <- struct{}{}:
@@ -230,7 +232,7 @@
 	}
 }
 
-// writable reports whether this version may write the state.
+// writable reports whether this version of the software may write the state.
 func (c *Controller) writable() bool {
 	writable, _ := c.state.format.Writable()
 	return writable
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// failoverCheckInterval is the time between two looks at the leaders.
+	// failoverCheckInterval is the time between two checks of all leaders.
 	failoverCheckInterval = 500 * time.Millisecond
-	// ledgerIdleTime is for how long a dead leader must not have written its shards' ledgers.
+	// ledgerIdleTime is how long a dead leader must not have written the ledgers of its shards.
 	ledgerIdleTime = 4 * time.Second
-	// maxViewAge is how old the view may be that shows that.
+	// maxViewAge is how old the view that shows these ledgers may be.
 	maxViewAge = 1500 * time.Millisecond
-	// firstControllerHeadStart is for how long the first of the controllers that see the same acts alone.
+	// firstControllerHeadStart is how long only the first live controller revokes a lease, before the others do so too.
 	firstControllerHeadStart = 2 * time.Second
 )
 
 // failover revokes the leases of dead leaders before they expire, so that their shards can be won
-// sooner. Nothing rests on it: if such a leader is alive after all, its next renewal or round is
-// refused, as if its lease had expired. Only the goroutine of run uses its state.
+// sooner. Safety does not depend on it: if such a leader is alive after all, its next renewal or round
+// is rejected as if its lease had expired. Only the goroutine of run uses its mutable state.
 type failover struct {
 	self   string // this controller's name
 	shards []string
@@ -32,16 +32,16 @@
 	log    *slog.Logger
 
 	ledgerWrites map[string]ledgerWrite // by shard
-	deadSince    map[uint64]time.Time   // leases of dead leaders
+	deadSince    map[uint64]time.Time   // by lease: when its leader was first found dead
 }
 
-// ledgerWrite is when a shard's ledger was last seen to have changed.
+// ledgerWrite is the last observed change of a shard's ledger.
 type ledgerWrite struct {
 	revision uint64
 	at       time.Time
 }
 
-// run revokes leases of dead leaders until the context ends.
+// run revokes the leases of dead leaders until the context ends.
 func (f *failover) run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeLeadership)
 	for ctx.Err() == nil {
@@ -51,13 +51,13 @@
 	return nil
 }
 
-// step looks at all leaders once.
+// step checks all leaders once.
 func (f *failover) step(ctx context.Context, now time.Time) {
 	for _, shard := range f.shards {
-		f.ledgerIdle(now, shard) // notes its writes also while no leader is in doubt
+		f.ledgerIdle(now, shard) // records ledger writes even while no leader is suspected
 	}
 	if f.anyLeaderDead(now) && now.Sub(f.view.CurrentAt()) > maxViewAge && f.follow.Barrier(ctx) != nil {
-		return // what the leader has written lately is not known
+		return // the leader's latest writes are unknown
 	}
 	leases := f.deadLeases(now)
 	for lease := range f.deadSince {
@@ -76,7 +76,7 @@
 	}
 }
 
-// leaderDead reports whether a shard's leader is dead, as the peers agree.
+// leaderDead reports whether the leader in a shard's record is a peer that the controllers agree is dead.
 func (f *failover) leaderDead(now time.Time, rec store.LeaderRecord) bool {
 	return rec.Leader != f.self && f.peers.dead(now, rec.Leader)
 }
@@ -90,17 +90,17 @@
 	return false
 }
 
-// deadLeases names, by lease, the leaders that are dead and have written nothing for a while.
+// deadLeases returns, by lease, the leaders that are dead and have written no ledger for ledgerIdleTime.
 func (f *failover) deadLeases(now time.Time) map[uint64]string {
 	out := make(map[uint64]string)
 	if !f.view.Loaded() || now.Sub(f.view.CurrentAt()) > maxViewAge {
 		return out
 	}
-	idle := make(map[string]bool) // leaders none of whose shards was written
+	idle := make(map[string]bool) // whether none of a leader's ledgers was written
 	for _, shard := range f.shards {
 		if rec, led := f.view.Leader(shard); led {
-			was, known := idle[rec.Record.Leader]
-			idle[rec.Record.Leader] = f.ledgerIdle(now, shard) && (was || !known)
+			othersIdle, known := idle[rec.Record.Leader]
+			idle[rec.Record.Leader] = f.ledgerIdle(now, shard) && (othersIdle || !known)
 		}
 	}
 	for _, shard := range f.shards {
@@ -112,8 +112,8 @@
 	return out
 }
 
-// ledgerIdle reports whether a shard was neither won nor its ledger written for a while, as far as
-// the view shows.
+// ledgerIdle reports whether, according to the view, a shard was neither won nor its ledger written for
+// ledgerIdleTime.
 func (f *failover) ledgerIdle(now time.Time, shard string) bool {
 	rec, _ := f.view.Leader(shard)
 	revision := max(rec.Version, f.view.LedgerRevision(shard))
--- a/internal/controller/ingest.go
+++ b/internal/controller/ingest.go
@@ -14,19 +14,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// forwardingMaxAge is how old the last batch of a peer may be that forwards heartbeats here.
+// forwardingMaxAge is how old a peer's last batch of forwarded heartbeats may be for the peer to count as forwarding.
 const forwardingMaxAge = 2 * time.Second
 
-// ingestion is how workers' heartbeats reach their leaders, whichever controller takes them.
+// ingestion passes workers' heartbeats to the leaders of their shards, whichever controller receives them.
 type ingestion struct {
-	gateway  *ingest.Gateway   // takes heartbeats
-	uplinks  *ingest.Uplinks   // forward them to the leaders among the peers
-	receiver *ingest.Receiver  // answers those that peers forward
-	throttle *throttle.Limiter // of fencing calls made for peers
+	gateway  *ingest.Gateway   // receives heartbeats
+	uplinks  *ingest.Uplinks   // forward heartbeats to peers that lead
+	receiver *ingest.Receiver  // answers heartbeats that peers forward
+	throttle *throttle.Limiter // limits the fencing calls made on behalf of peers
 	calls    *fencingCallLog
 }
 
-// fencingCallLog records the fencing calls that are made for peers.
+// fencingCallLog records the fencing calls that are made on behalf of peers.
 type fencingCallLog struct {
 	mu  sync.Mutex
 	log zone.CallLog
@@ -38,14 +38,14 @@
 	l.log.Record(time.Now(), zone, answered)
 }
 
-// addTo adds the calls to what is known of each zone.
+// addTo adds the recorded calls to the observations of each zone.
 func (l *fencingCallLog) addTo(now time.Time, observations map[string]zone.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.log.AddTo(now, observations)
 }
 
-// newIngestion sets up the parts of ingestion. The mesh must exist.
+// newIngestion creates the components of ingestion. The mesh must exist already.
 func (c *Controller) newIngestion() ingestion {
 	in := ingestion{throttle: throttle.New(), calls: &fencingCallLog{}}
 	in.receiver = &ingest.Receiver{Log: c.log, Decide: c.decideForwarded, FencingCalls: c.fencingCalls, FencingCallDone: c.fencingCallDone}
@@ -59,9 +59,9 @@
 				return ""
 			},
 			FencingCall: func(ctx context.Context, call reachability.FencingCall) *wire.Heartbeat {
-				r := c.workers.Fence(ctx, call.Addr, call.Term, call.Session)
-				in.calls.record(call.Zone, r != nil)
-				return r
+				heartbeat := c.workers.Fence(ctx, call.Addr, call.Term, call.Session)
+				in.calls.record(call.Zone, heartbeat != nil)
+				return heartbeat
 			}}
 	}
 	in.gateway = &ingest.Gateway{
@@ -79,14 +79,14 @@
 }
 
 // decideForwarded answers a heartbeat that a peer has forwarded.
-func (c *Controller) decideForwarded(r *wire.Heartbeat) worker.HeartbeatResult {
-	if v, ok := c.answerHeartbeat(time.Now(), r); ok {
-		return v
+func (c *Controller) decideForwarded(heartbeat *wire.Heartbeat) worker.HeartbeatResult {
+	if result, ok := c.answerHeartbeat(time.Now(), heartbeat); ok {
+		return result
 	}
-	return worker.HeartbeatResult{Leader: c.leaderFor(r)}
+	return worker.HeartbeatResult{Leader: c.leaderFor(heartbeat)}
 }
 
-// fencingCalls returns calls that a peer is to make for the leaders here, limit at most.
+// fencingCalls returns at most limit fencing calls that a peer should make for the shards led by this controller.
 func (c *Controller) fencingCalls(limit int) (out []reachability.FencingCall) {
 	for _, s := range c.led.all() {
 		out = append(out, s.FencingCalls(time.Now(), limit-len(out))...)
@@ -94,33 +94,34 @@
 	return out
 }
 
-// fencingCallDone tells the leaders here what a peer's call to a machine brought.
-func (c *Controller) fencingCallDone(machine string, r *wire.Heartbeat) {
+// fencingCallDone passes the result of a peer's fencing call to the leaders on this controller.
+func (c *Controller) fencingCallDone(machine string, heartbeat *wire.Heartbeat) {
 	for _, s := range c.led.all() {
-		s.FencingCallDone(time.Now(), machine, r)
+		s.FencingCallDone(time.Now(), machine, heartbeat)
 	}
 }
 
-// peerLoads counts the machines that send their heartbeats to each peer that could take more of
-// them: one that forwards to this leader, or to the same leader as this controller does.
-func (c *Controller) peerLoads(leader bool) map[string]int {
-	out, forwardsTo := make(map[string]int), c.ingest.uplinks.ForwardsTo()
+// peerLoads returns how many machines send their heartbeats to each peer that could take on more. With
+// several shards these are the peers that lead a shard or are connected to a leader. With one shard they
+// are the peers that forward to this controller if it is the leader, or else to the same leader as it does.
+func (c *Controller) peerLoads(leading bool) map[string]int {
+	loads, forwardsTo := make(map[string]int), c.ingest.uplinks.ForwardsTo()
 	forwarding := c.ingest.receiver.ForwardingPeers(forwardingMaxAge)
-	for name, b := range c.mesh.Latest(peerHealthMaxAge) {
+	for name, status := range c.mesh.Latest(peerHealthMaxAge) {
 		if !c.sharding.IsSingle() {
-			if b.StoreReachable && (len(b.Shards) > 0 || len(b.ConnectedLeaders) > 0) {
-				out[name] = b.OfferedMachines
+			if status.StoreReachable && (len(status.Shards) > 0 || len(status.ConnectedLeaders) > 0) {
+				loads[name] = status.OfferedMachines
 			}
 			continue
 		}
-		if leader && forwarding[name] || !leader && b.ForwardsTo == forwardsTo {
-			out[name] = b.OfferedMachines
+		if leading && forwarding[name] || !leading && status.ForwardsTo == forwardsTo {
+			loads[name] = status.OfferedMachines
 		}
 	}
-	return out
+	return loads
 }
 
-// leaderOf names the peer that leads a shard, if one does.
+// leaderOf returns the name of the peer that leads a shard, or "" if none does.
 func (c *Controller) leaderOf(shard string) string {
 	if rec, led := c.state.view.Leader(shard); led && rec.Record.Leader != c.cfg.Name {
 		return rec.Record.Leader
@@ -128,19 +129,19 @@
 	return ""
 }
 
-// leaderFor names the peer that leads the shard of a heartbeat's machine, if one does. Without a
-// heartbeat it is the leader of the fleet, if that is one shard.
-func (c *Controller) leaderFor(r *wire.Heartbeat) string {
+// leaderFor returns the name of the peer that leads the shard of a heartbeat's machine, or "" if none
+// does. For a nil heartbeat it returns the leader of the fleet, provided that the fleet is one shard.
+func (c *Controller) leaderFor(heartbeat *wire.Heartbeat) string {
 	switch {
-	case r != nil:
-		return c.leaderOf(c.sharding.ShardOf(r.Zone, r.Type))
+	case heartbeat != nil:
+		return c.leaderOf(c.sharding.ShardOf(heartbeat.Zone, heartbeat.Type))
 	case c.sharding.IsSingle():
 		return c.leaderOf(c.sharding.Shards()[0])
 	}
 	return ""
 }
 
-// leads reports whether a controller leads a shard.
+// leads reports whether the named controller leads any shard.
 func (c *Controller) leads(name string) bool {
 	for _, shard := range c.sharding.Shards() {
 		if rec, led := c.state.view.Leader(shard); led && rec.Record.Leader == name {
@@ -150,20 +151,20 @@
 	return false
 }
 
-// answerHeartbeat answers a heartbeat where this controller leads the machine's shard. A leader
-// that can't renew its lease goes on answering, without launches, but no longer than a cancelled
-// task may run.
-func (c *Controller) answerHeartbeat(now time.Time, r *wire.Heartbeat) (worker.HeartbeatResult, bool) {
-	shard := c.sharding.ShardOf(r.Zone, r.Type)
+// answerHeartbeat answers a heartbeat if this controller leads the machine's shard. A leader that
+// cannot renew its lease keeps answering, without launching tasks, but no longer than a cancelled
+// task may keep running.
+func (c *Controller) answerHeartbeat(now time.Time, heartbeat *wire.Heartbeat) (worker.HeartbeatResult, bool) {
+	shard := c.sharding.ShardOf(heartbeat.Zone, heartbeat.Type)
 	standing := c.elector.Standing(shard, now)
 	s := c.led.get(shard)
 	current := s != nil && standing.Leading && s.tenure.Version == standing.Tenure.Version
-	if !current || r.FencingToken > standing.Tenure.FencingToken || !s.MayAnswer(now, standing.LeaseValid, standing.LastRenewal) {
+	if !current || heartbeat.FencingToken > standing.Tenure.FencingToken || !s.MayAnswer(now, standing.LeaseValid, standing.LastRenewal) {
 		return worker.HeartbeatResult{}, false
 	}
-	a, ok := s.HandleHeartbeat(now, r, standing.LeaseValid)
+	response, ok := s.HandleHeartbeat(now, heartbeat, standing.LeaseValid)
 	if !ok {
 		return worker.HeartbeatResult{}, false
 	}
-	return worker.HeartbeatResult{Response: &a}, true
+	return worker.HeartbeatResult{Response: &response}, true
 }
--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -10,10 +10,10 @@
 	"amberdeal.example/amberdeal/internal/leadership"
 )
 
-// manageInterval is how often the shards are looked at where nothing changes.
+// manageInterval is how often manageShards checks the shards if no change wakes it earlier.
 const manageInterval = time.Second
 
-// manageShards starts a leader for each shard that was won and ends it when its leadership is lost.
+// manageShards starts a leader for each shard that was won and stops it when its leadership is lost.
 func (c *Controller) manageShards(ctx context.Context) error {
 	defer c.stopLeadingAllShards()
 	for ctx.Err() == nil {
@@ -26,18 +26,18 @@
 			c.shareStatuses()
 			c.rebalance()
 		}
-		t := time.NewTimer(manageInterval)
+		timer := time.NewTimer(manageInterval)
 		select {
 		case <-ctx.Done():
 		case <-c.changed:
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 	return nil
 }
 
-// manageShard starts or ends the duties for one shard, as the election went.
+// manageShard starts or stops the leader of one shard according to the outcome of the election.
 func (c *Controller) manageShard(ctx context.Context, name string) {
 	standing := c.elector.Standing(name, time.Now())
 	s := c.led.get(name)
@@ -52,19 +52,19 @@
 		return
 	}
 	if !standing.Leading || c.state.view.Revision() < standing.Tenure.Revision && c.state.follow.Barrier(ctx) != nil {
-		return // the leader starts from a view that shows its own election
+		return // a leader must start from a view that includes its own election
 	}
 	c.startLeading(ctx, standing.Tenure)
 }
 
-// resignIfPartitioned resigns where workers reach a peer rather than the leader of a shard here.
+// resignIfPartitioned gives up this controller's leadership if workers reach a peer but not this controller.
 func (c *Controller) resignIfPartitioned(ctx context.Context, s *ledShard) {
 	if reason := c.candidacy.partitioned(s); reason != "" {
 		c.elector.Resign(ctx, reason)
 	}
 }
 
-// startLeading starts the duties for a shard that was won.
+// startLeading starts the leader of a shard that was won.
 func (c *Controller) startLeading(ctx context.Context, tenure leadership.Tenure) {
 	now, shard := time.Now(), tenure.Shard
 	s := &ledShard{
@@ -72,32 +72,32 @@
 		tenure: tenure,
 		done:   make(chan struct{}),
 	}
-	duties, stop := context.WithCancel(ctx)
+	leaderCtx, stop := context.WithCancel(ctx)
 	s.stop = stop
 	leaseValid := func() bool {
 		standing := c.elector.Standing(shard, time.Now())
 		return standing.Leading && standing.LeaseValid
 	}
-	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // one leader compacts, for all shards
+	if c.cfg.Tuning.History.Compact && shard == c.sharding.Shards()[0] { // the leader of the first shard compacts for all shards
 		s.compactor = c.newCompactor(s, leaseValid)
 	}
 	c.led.add(now, s)
 	c.log.Info("leading", "shard", shard, "token", tenure.FencingToken)
 	go func() {
 		defer close(s.done)
-		g, duties := errgroup.WithContext(duties)
+		g, groupCtx := errgroup.WithContext(leaderCtx)
 		g.Go(func() error {
-			return s.Run(duties, leader.Dependencies{Store: c.state.client, View: c.state.view, Follower: c.state.follow, Cloud: c.cloud, Workers: c.workers,
+			return s.Run(groupCtx, leader.Dependencies{Store: c.state.client, View: c.state.view, Follower: c.state.follow, Cloud: c.cloud, Workers: c.workers,
 				LeaseValid: leaseValid, OnFenced: c.wake})
 		})
 		if s.compactor != nil {
-			g.Go(func() error { return s.compactor.Run(duties) })
+			g.Go(func() error { return s.compactor.Run(groupCtx) })
 		}
 		_ = g.Wait()
 	}()
 }
 
-// stopLeading ends the duties for a shard, and waits until they have ended.
+// stopLeading stops the leader of a shard and waits until its goroutines have returned.
 func (c *Controller) stopLeading(s *ledShard) {
 	s.stop()
 	c.led.remove(s.tenure.Shard)
--- a/internal/controller/machinetypes.go
+++ b/internal/controller/machinetypes.go
@@ -11,11 +11,12 @@
 )
 
 const (
-	machineTypesInterval   = 2 * time.Minute        // between two readings of the machine types
-	machineTypesRetryDelay = 300 * time.Millisecond // after one that failed
+	machineTypesInterval   = 2 * time.Minute        // between two reads of the machine types
+	machineTypesRetryDelay = 300 * time.Millisecond // after a read that failed
 )
 
-// machineTypes knows the machine types: from the cloud or, while that is out, from the state service.
+// machineTypes caches the machine types from the cloud. Until the cloud has answered once, it falls back to those that
+// the state service holds.
 type machineTypes struct {
 	cloud    *cloud.Client
 	view     *store.View
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// get returns the machine types, nil while they are not known.
+// get returns the machine types, or nil while they are unknown.
 func (m *machineTypes) get() []wire.MachineType {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -9,10 +9,10 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// readMetrics collects what the metrics tell.
+// readMetrics collects the values that the metrics expose.
 func (c *Controller) readMetrics() metrics.Reading {
 	view := c.state.view
-	r := metrics.Reading{
+	reading := metrics.Reading{
 		Started:           c.startedAt,
 		LastList:          c.state.follow.LastLoad(),
 		StoreCalls:        c.state.client.CallStatsByPurpose(),
@@ -25,37 +25,37 @@
 		ReportingMachines: c.ingest.gateway.Reporting(),
 		ForwardingPeers:   len(c.ingest.receiver.ForwardingPeers(forwardingMaxAge)),
 	}
-	r.LiveJobs, r.EndedJobs, r.Batches, r.RecentJobs = view.Size()
+	reading.LiveJobs, reading.EndedJobs, reading.Batches, reading.RecentJobs = view.Size()
 	heartbeats, requests := c.ingest.uplinks.Counts(), c.forwarder.Counts()
-	r.HeartbeatsForwarded, r.HeartbeatsUnanswered = heartbeats.Forwarded, heartbeats.Unanswered
-	r.RequestsForwarded, r.ForwardsUnanswered = requests.Forwarded, requests.Unanswered
-	for _, s := range c.led.all() { // a leader that decides holds its own lock for long, so no other may be held here
-		addShardMetrics(&r, s)
+	reading.HeartbeatsForwarded, reading.HeartbeatsUnanswered = heartbeats.Forwarded, heartbeats.Unanswered
+	reading.RequestsForwarded, reading.ForwardsUnanswered = requests.Forwarded, requests.Unanswered
+	for _, s := range c.led.all() { // a leader holds its lock for long while it makes decisions, so hold no other lock here
+		addShardMetrics(&reading, s)
 	}
-	return r
+	return reading
 }
 
-// addShardMetrics adds what one shard that is led here tells.
-func addShardMetrics(r *metrics.Reading, s *ledShard) {
-	r.Shards++
-	r.FencingToken = max(r.FencingToken, s.FencingToken())
+// addShardMetrics adds the metrics of one shard that this controller leads.
+func addShardMetrics(reading *metrics.Reading, s *ledShard) {
+	reading.Shards++
+	reading.FencingToken = max(reading.FencingToken, s.FencingToken())
 	if stall, stalled := s.Stall(time.Now()); stalled {
-		r.StalledFor = max(r.StalledFor, time.Since(stall.Since))
+		reading.StalledFor = max(reading.StalledFor, time.Since(stall.Since))
 	}
 	rejected := s.RejectedHeartbeats()
-	r.LateHeartbeats += rejected.Stale
-	r.ImpossibleHeartbeats += rejected.Impossible
-	if r.Zones == nil {
-		r.Zones = make(map[string]zone.Record)
+	reading.LateHeartbeats += rejected.Stale
+	reading.ImpossibleHeartbeats += rejected.Impossible
+	if reading.Zones == nil {
+		reading.Zones = make(map[string]zone.Record)
 	}
-	maps.Copy(r.Zones, s.ZoneRecords())
+	maps.Copy(reading.Zones, s.ZoneRecords())
 	for name, status := range s.Status(time.Now()).Tiers {
-		if r.Tiers == nil {
-			r.Tiers = make(map[string]tier.Status)
+		if reading.Tiers == nil {
+			reading.Tiers = make(map[string]tier.Status)
 		}
-		r.Tiers[name] = r.Tiers[name].Add(status)
+		reading.Tiers[name] = reading.Tiers[name].Add(status)
 	}
 	if s.compactor != nil {
-		r.Compaction = s.compactor.Stats()
+		reading.Compaction = s.compactor.Stats()
 	}
 }
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// operatorHandler serves the metrics, and the status of the fleet in JSON.
+// operatorHandler returns the handler of metrics and of the fleet's status in JSON.
 func (c *Controller) operatorHandler() transport.Handler {
 	scrape := metrics.Handler(c.readMetrics)
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
@@ -27,7 +27,7 @@
 	}
 }
 
-// operatorStatus is the fleet at a glance, as far as this controller knows it.
+// operatorStatus returns a summary of the fleet as far as this controller knows it.
 func (c *Controller) operatorStatus() top.Status {
 	s := top.Status{
 		Name:              c.cfg.Name,
@@ -57,7 +57,7 @@
 	return s
 }
 
-// classStatus counts the live jobs and their tasks by class.
+// classStatus returns the numbers of live jobs and their tasks by class.
 func (c *Controller) classStatus() map[string]top.Class {
 	out := make(map[string]top.Class)
 	for id, job := range c.state.view.Snapshot().LiveJobs {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// addShardStatuses adds what the leaders of all shards tell of teams, zones and tiers.
+// addShardStatuses adds the teams, zones and tiers as reported by the leaders of all shards.
 func (c *Controller) addShardStatuses(s *top.Status) {
 	tiers := make(map[string]tier.Status)
 	for _, status := range c.statuses.known() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// addLeaderStatus adds what only the leader of a shard knows, where that is here.
+// addLeaderStatus adds the status that only the leader of a shard knows, for a shard that this controller leads.
 func addLeaderStatus(s *top.Status, led *ledShard) {
 	if stall, stalled := led.Stall(time.Now()); stalled {
 		if s.Stalls == nil {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -14,26 +14,26 @@
 const (
 	// heartbeatMaxAge is how old the last heartbeat of a live peer may be.
 	heartbeatMaxAge = 3 * peer.Interval
-	// storeContactMaxAge is for how long a controller that has lost the state service still tells
-	// its peers that the service answers.
+	// storeContactMaxAge is how long a controller that has lost contact with the state service still
+	// reports it to its peers as reachable.
 	storeContactMaxAge = 15 * time.Second
 )
 
-// peerTracker detects failures among the peers and numbers the heartbeats to them.
+// peerTracker detects failures of peers, and numbers the heartbeats that this controller sends to them.
 type peerTracker struct {
 	mu             sync.Mutex
 	detector       *membership.Detector
-	heartbeatsSent uint64 // heartbeats
+	heartbeatsSent uint64
 }
 
-// record takes in a peer's heartbeat.
-func (t *peerTracker) record(s peer.Status) {
+// record processes a peer's heartbeat.
+func (t *peerTracker) record(status peer.Status) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.detector.RecordHeartbeat(time.Now(), s.Name, s.StoreReachable, s.HeartbeatAges)
+	t.detector.RecordHeartbeat(time.Now(), status.Name, status.StoreReachable, status.HeartbeatAges)
 }
 
-// next returns the number of the next heartbeat, and what it says about the peers.
+// nextHeartbeat returns the sequence number of the next heartbeat and the heartbeat ages that it reports.
 func (t *peerTracker) nextHeartbeat() (number uint64, ages membership.HeartbeatAges) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,32 +41,32 @@
 	return t.heartbeatsSent, t.detector.HeartbeatAges(time.Now())
 }
 
-// alive lists the live peers that reach the state service, in order.
+// alive returns the live peers that reach the state service, in order.
 func (t *peerTracker) alive(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.detector.Alive(now)
 }
 
-// firstAlive reports whether a controller comes first among those that are alive.
+// firstAlive reports whether the named controller is the first of the live ones.
 func (t *peerTracker) firstAlive(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.detector.FirstAlive(now, name)
 }
 
-// dead reports whether the peers agree that one of them is dead.
+// dead reports whether the controllers agree that a peer is dead.
 func (t *peerTracker) dead(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.detector.State(now, name) == membership.Dead
 }
 
-// localStatus is what this controller tells its peers.
+// localStatus returns the status that this controller sends to its peers.
 func (c *Controller) localStatus() peer.Status {
 	contact, failing := c.state.follow.LastContact()
 	single := c.sharding.IsSingle()
-	b := peer.Status{
+	status := peer.Status{
 		Name:            c.cfg.Name,
 		Incarnation:     c.startedAt.UnixNano(),
 		Uptime:          time.Since(c.startedAt),
@@ -78,37 +78,37 @@
 		OfferedMachines: c.ingest.gateway.Offered(),
 		ForwardsTo:      c.ingest.uplinks.ForwardsTo(),
 	}
-	b.Sequence, b.HeartbeatAges = c.tracker.nextHeartbeat()
-	b.Observations = c.observations()
+	status.Sequence, status.HeartbeatAges = c.tracker.nextHeartbeat()
+	status.Observations = c.observations()
 	if !single {
-		b.ConnectedLeaders, b.Shards = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
+		status.ConnectedLeaders, status.Shards = c.ingest.uplinks.ConnectedLeaders(), make(map[string]leader.ShardStatus)
 	}
 	for _, s := range c.led.all() {
-		b.FencingToken = max(b.FencingToken, s.FencingToken())
+		status.FencingToken = max(status.FencingToken, s.FencingToken())
 		if single {
-			b.TaskCounts = s.TaskCounts(time.Now())
+			status.TaskCounts = s.TaskCounts(time.Now())
 		} else {
-			b.Shards[s.tenure.Shard] = s.Status(time.Now())
+			status.Shards[s.tenure.Shard] = s.Status(time.Now())
 		}
 	}
-	return b
+	return status
 }
 
-// observations counts what this controller by itself knows of the machines of each zone.
+// observations returns this controller's own observations of the machines in each zone.
 func (c *Controller) observations() map[string]zone.Observation {
 	now := time.Now()
-	// A heartbeat that is late by two fifths of the interval is overdue.
+	// A heartbeat is overdue once it is late by two fifths of the interval.
 	out := c.ingest.gateway.Observations(now, c.cfg.Workers.HeartbeatInterval*7/5)
 	c.ingest.calls.addTo(now, out)
 	return out
 }
 
-// shareObservations gives the leaders here what the peers know of the machines of each zone.
+// shareObservations passes the peers' observations of the machines in each zone to the leaders on this controller.
 func (c *Controller) shareObservations() {
 	observers, latest := make(map[string]zone.Observer), c.mesh.Latest(heartbeatMaxAge)
 	for _, p := range c.cfg.Peers {
-		if b, alive := latest[p.Name]; alive {
-			observers[p.Name] = zone.Observer{Zone: p.Zone, Observations: b.Observations}
+		if status, alive := latest[p.Name]; alive {
+			observers[p.Name] = zone.Observer{Zone: p.Zone, Observations: status.Observations}
 		}
 	}
 	for _, s := range c.led.all() {
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -6,12 +6,13 @@
 	"amberdeal.example/amberdeal/internal/shard"
 )
 
-// rebalanceAfter is how long no shard must have moved here, and how long a peer must have run,
-// before a shard moves to it: shards move one after the other, and not while anything else changes.
+// rebalanceAfter is how long this controller must not have won, lost or given up a shard, and how long a peer
+// must have been running, before this controller gives up a shard to it. Shards thus move one at a time,
+// and not while anything else changes.
 const rebalanceAfter = 10 * time.Second
 
-// rebalance gives up one shard where a peer leads far fewer. Its duties end first: once a peer has
-// won it, nothing may be said of it here any more.
+// rebalance gives up one shard if a peer leads far fewer. It stops the shard's leader first, since this
+// controller must not answer for the shard once a peer has won it.
 func (c *Controller) rebalance() {
 	if c.led.unchangedFor(time.Now()) < rebalanceAfter {
 		return
--- a/internal/controller/registry.go
+++ b/internal/controller/registry.go
@@ -12,13 +12,13 @@
 	"amberdeal.example/amberdeal/internal/leadership"
 )
 
-// ledShard is a shard that this controller leads, with the means to end its duties.
+// ledShard is a shard that this controller leads, together with what stops its leader.
 type ledShard struct {
 	*leader.Leader
-	compactor *archive.Compactor // nil where the leader of another shard compacts
+	compactor *archive.Compactor // nil if the leader of another shard compacts
 	tenure    leadership.Tenure
 	stop      context.CancelFunc
-	done      chan struct{} // closed once the duties have ended
+	done      chan struct{} // closed once the leader's goroutines have returned
 }
 
 // shardRegistry holds the shards that this controller leads.
@@ -30,14 +30,14 @@
 
 func newShardRegistry() *shardRegistry { return &shardRegistry{byName: make(map[string]*ledShard)} }
 
-// get returns a shard, nil where it is not led here.
+// get returns a shard, or nil if this controller does not lead it.
 func (r *shardRegistry) get(shard string) *ledShard {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byName[shard]
 }
 
-// all lists the shards that are led here.
+// all returns the shards that this controller leads, in no particular order.
 func (r *shardRegistry) all() []*ledShard {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.changedAt = time.Now()
 }
 
-// unchangedFor returns for how long no shard was won, lost or given up here.
+// unchangedFor returns the time since this controller last won, lost or gave up a shard.
 func (r *shardRegistry) unchangedFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controller/writers.go
+++ b/internal/controller/writers.go
@@ -10,17 +10,17 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// writerChoiceInterval is the time between two choices of who writes.
+// writerChoiceInterval is the time between two choices of the writers.
 const writerChoiceInterval = 250 * time.Millisecond
 
-// writerChoice is who writes what users submit and cancel, as last chosen.
+// writerChoice is the last choice of the controllers that write users' submissions and cancellations.
 type writerChoice struct {
 	names     []string
-	olderPeer bool // a live peer of an older version takes nothing that is forwarded, so that nobody forwards yet
+	olderPeer bool // a live peer of an older version accepts no forwarded requests, so that no controller forwards yet
 	at        time.Time
 }
 
-// writerChooser chooses the controllers that write for all.
+// writerChooser chooses the controllers that write on behalf of all.
 type writerChooser struct {
 	self   string // this controller's name
 	policy writers.Policy
@@ -28,15 +28,15 @@
 	peers  *peerTracker
 	health *storeHealth
 	leads  func(name string) bool
-	// reroute sends back what waits here to be written, so that it can be forwarded.
+	// reroute returns the requests that are queued for writing on this controller, so that they can be forwarded.
 	reroute func()
 
 	mu   sync.Mutex
 	last writerChoice
 }
 
-// choose returns the writers, none where each controller writes by itself or where too few peers
-// are alive.
+// choose returns the writers. There are none if each controller writes for itself or if too few
+// peers are alive.
 func (w *writerChooser) choose(now time.Time) writerChoice {
 	if !w.policy.Forwards() {
 		return writerChoice{}
@@ -59,12 +59,12 @@
 	w.last = next
 	w.mu.Unlock()
 	if last.names == nil && next.names != nil && !slices.Contains(next.names, w.self) {
-		w.reroute() // this controller's share of the changes is about to fall
+		w.reroute() // this controller's share of the write limit is about to drop
 	}
 	return next
 }
 
-// writerOf names the peer that writes a job, none where this controller does.
+// writerOf returns the name of the peer that writes a job, or "" if this controller does.
 func (w *writerChooser) writerOf(job string, avoid func(name string) bool) string {
 	name := writers.WriterOf(w.choose(time.Now()).names, job, avoid)
 	if name == w.self {
@@ -73,7 +73,7 @@
 	return name
 }
 
-// setUpForwarding sets up how submissions and cancellations reach those who write them.
+// setUpForwarding sets up the forwarding of submissions and cancellations to the controllers that write them.
 func (c *Controller) setUpForwarding() {
 	server := &forward.Server{Admission: c.admission, Log: c.log}
 	c.mesh.Handlers[forward.StreamKind] = server.Serve
--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -14,13 +14,13 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// pipe is one end of a connection as a listener has it.
+// pipe is the accepted end of an in-memory connection.
 type pipe struct{ net.Conn }
 
 func (pipe) SetIdle(time.Duration) {}
 
-// TestOlderPeers: while one live peer takes nothing that is forwarded, no controller writes for others;
-// once all do, or no heartbeats of it come any more, some do.
+// TestOlderPeers checks that no controller writes for others while a live peer accepts no forwarded requests, and that
+// some do once all peers accept them or that peer no longer sends heartbeats.
 func TestOlderPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
@@ -33,12 +33,12 @@
 		receive := func(writes func(i int) bool, peers ...int) writerChoice {
 			number++
 			for _, i := range peers {
-				mine, its := net.Pipe()
+				local, remote := net.Pipe()
 				go func() {
-					_ = gob.NewEncoder(its).Encode(peer.Heartbeat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
-					its.Close()
+					_ = gob.NewEncoder(remote).Encode(peer.Heartbeat{From: fmt.Sprint("c-", i), StoreOK: true, Writes: writes(i), Begun: 1, Number: number})
+					remote.Close()
 				}()
-				c.mesh.Receive(t.Context(), pipe{mine})
+				c.mesh.Receive(t.Context(), pipe{local})
 			}
 			time.Sleep(time.Second)
 			return c.writers.choose(time.Now())
