--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -9,8 +9,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// campaign compares a shard's record with what this controller believes, and tries to win a
-// vacant shard where the settings match the state.
+// campaign compares a shard's record with the local election state, and tries to win the shard if it
+// is vacant and the settings match the state.
 func (e *Elector) campaign(ctx context.Context, shard string, settingsMatch bool, conditions []wire.Condition) {
 	if !e.state.View.Loaded() {
 		return
@@ -32,18 +32,18 @@
 	}
 }
 
-// observation is what a look at a shard's record has shown.
+// observation is the outcome of comparing a shard's record with the local election state.
 type observation struct {
-	staleLease uint64 // of an earlier incarnation of this controller that leads the shard
+	staleLease uint64 // lease of an earlier incarnation of this controller that still leads the shard, 0 for none
 	vacant     bool
 	leaseValid bool
 
-	txn   wire.Txn // wins the shard, unless something has changed since
-	token uint64   // that it takes
+	txn   wire.Txn // wins the shard unless something has changed since
+	token uint64   // the fencing token that the transaction takes
 }
 
-// observe takes in a shard's record. The revision is read before the record, so that the record
-// is at least as new.
+// observe compares a shard's record with the local election state. It reads the revision before the
+// record, so that the record is at least as new.
 func (e *Elector) observe(shard string, conditions []wire.Condition) (seen observation) {
 	view := e.state.View
 	revision := view.Revision()
@@ -62,11 +62,11 @@
 	return seen
 }
 
-// revokeStaleLease ends the lease of an earlier incarnation of this controller, whose shards
-// would otherwise stay without a leader until it expires.
+// revokeStaleLease revokes the lease of an earlier incarnation of this controller, whose shards would
+// otherwise have no working leader until it expires.
 func (e *Elector) revokeStaleLease(ctx context.Context, shard string, lease uint64) {
 	e.log.Info("revoking the lease of an earlier incarnation", "lease", lease, "shard", shard)
-	_ = e.state.Client.RevokeLease(ctx, lease) // the next look repeats it
+	_ = e.state.Client.RevokeLease(ctx, lease) // the next step retries it
 	_ = e.state.Follow.Barrier(ctx)
 }
 
@@ -87,5 +87,5 @@
 		e.log.Info("no answer to a leadership claim", "shard", shard, "token", seen.token, "err", err)
 		store.Backoff(ctx, campaignRetryDelay)
 	}
-	_ = e.state.Follow.Barrier(ctx) // the view must show the outcome before the next look
+	_ = e.state.Follow.Barrier(ctx) // the view must include the outcome before the next step
 }
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// maxClockDrift is by how much the monotonic clocks of two machines may differ, as a fraction.
+	// maxClockDrift is the fraction by which the rate of a machine's monotonic clock may be off.
 	maxClockDrift = 0.0005
-	// leaseMargin is how long before its computed end a lease no longer counts as valid.
+	// leaseMargin is how long before its computed expiry a lease stops counting as valid.
 	leaseMargin = 200 * time.Millisecond
 )
 
-// Tenure is the leadership of one shard, from the transaction that won it.
+// Tenure is one period of leadership of a shard. It starts with the transaction that won the shard.
 type Tenure struct {
 	Shard        string
 	FencingToken uint64
-	Version      uint64 // of the shard's leader record: every write of the leader is conditional on it
-	Revision     uint64 // of the state in which it was won: no job that is newer can be running yet
+	Version      uint64 // version of the shard's leader record; every write of the leader is conditional on it
+	Revision     uint64 // revision of the state at which the shard was won; newer jobs cannot be running yet
 }
 
-// Election is the state of one controller's lease and of the shards that it leads under it. It
-// does no I/O: times and answers are passed in.
+// Election is the state of one controller's lease and of the shards that the controller leads under
+// it. It does no I/O: times and responses are passed in.
 type Election struct {
-	Name string        // of this controller
-	TTL  time.Duration // of its lease
-	// Every is the time between two renewals.
+	Name string        // name of this controller
+	TTL  time.Duration // time to live of its lease
+	// RenewInterval is the time between two renewals.
 	RenewInterval time.Duration
 
 	lease       uint64
-	lastRenewal time.Time // when the last renewal that succeeded was sent
+	lastRenewal time.Time // when the last successful renewal was sent
 	tenures     map[string]Tenure
-	resigned    map[string]Tenure // shards that were given up, until the state shows it
+	resigned    map[string]Tenure // shards that were given up, until the state reflects it
 }
 
 // New returns an election without a lease.
@@ -44,48 +44,48 @@
 // Lease returns the current lease, 0 for none.
 func (e *Election) Lease() uint64 { return e.lease }
 
-// LeaseGranted records a new lease, which was requested at sent.
+// LeaseGranted records a new lease that was requested at the time sent.
 func (e *Election) LeaseGranted(lease uint64, sent time.Time) {
 	e.lease, e.lastRenewal = lease, sent
 	clear(e.tenures)
 	clear(e.resigned)
 }
 
-// LeaseRenewed records a renewal, which was requested at sent.
+// LeaseRenewed records a renewal that was requested at the time sent.
 func (e *Election) LeaseRenewed(sent time.Time) {
 	if sent.After(e.lastRenewal) {
 		e.lastRenewal = sent
 	}
 }
 
-// LeaseLost records that the lease has ended, and every tenure with it.
+// LeaseLost records that the lease has ended, which ends every tenure.
 func (e *Election) LeaseLost() {
 	e.lease = 0
 	clear(e.tenures)
 }
 
-// LeaseValid reports whether the lease cannot have expired yet. It counts from before the
-// renewal was sent, and allows for the drift of both clocks.
+// LeaseValid reports whether the lease cannot have expired yet. It counts from before the last renewal
+// was sent, and allows for the drift of this machine's clock and of the state service's.
 func (e *Election) LeaseValid(now time.Time) bool {
 	safeFor := e.TTL - time.Duration(float64(e.TTL)*2*maxClockDrift) - leaseMargin
 	return e.lease != 0 && now.Sub(e.lastRenewal) < safeFor
 }
 
-// LastRenewal returns when the last renewal that succeeded was sent.
+// LastRenewal returns when the last successful renewal was sent.
 func (e *Election) LastRenewal() time.Time { return e.lastRenewal }
 
 // NextRenewal returns when the next renewal is due.
 func (e *Election) NextRenewal() time.Time { return e.lastRenewal.Add(e.RenewInterval) }
 
-// Tenure returns this controller's tenure of a shard, if it leads it.
+// Tenure returns this controller's tenure of a shard, and whether it leads the shard.
 func (e *Election) Tenure(shard string) (Tenure, bool) {
 	tenure, leading := e.tenures[shard]
 	return tenure, leading
 }
 
-// StepDown gives up a shard. From now on this controller does not lead it, whatever the shard's
-// record says: what it knew of the machines is dropped with its duties, so that only a tenure
-// that was won anew may act on them.
+// StepDown gives up a shard. From now on this controller does not lead it, even if the shard's record
+// still says so: its knowledge of the machines is dropped with the shard's leader, so that only a
+// newly won tenure may act on them.
 func (e *Election) StepDown(shard string) {
 	if tenure, leading := e.tenures[shard]; leading {
 		e.resigned[shard] = tenure
@@ -93,8 +93,8 @@
 	}
 }
 
-// PendingReleases returns, by shard, the transactions that still have to free shards which were
-// given up.
+// PendingReleases returns, by shard, the transactions that delete the leader records of shards that
+// were given up, as long as the state does not reflect that.
 func (e *Election) PendingReleases() map[string]wire.Txn {
 	txns := make(map[string]wire.Txn, len(e.resigned))
 	for shard, tenure := range e.resigned {
@@ -107,9 +107,9 @@
 	return txns
 }
 
-// Campaign returns the transaction that wins a shard, and the fencing token that it takes. It is
-// conditional on the shard being free, on the counter of tokens being as it was read, and on
-// conditions.
+// Campaign returns the transaction that wins a shard, and the fencing token that it takes. The
+// transaction requires that the shard is vacant, that the token counter has not changed since it was
+// read, and that the given conditions hold.
 func (e *Election) Campaign(shard string, counter store.Versioned[uint64], conditions ...wire.Condition) (wire.Txn, uint64) {
 	token := counter.Record + 1
 	leader := store.LeaderRecord{Leader: e.Name, FencingToken: token, Lease: e.lease, Format: store.Format}
@@ -122,15 +122,14 @@
 	}, token
 }
 
-// Won records that a campaign was committed at a revision.
+// Won records that a campaign's transaction was committed at a revision.
 func (e *Election) Won(shard string, token, revision uint64) {
 	e.tenures[shard] = Tenure{Shard: shard, FencingToken: token, Version: revision, Revision: revision}
 }
 
-// Observe compares a shard's record, as of a revision, with what this controller believes. A
-// campaign that was applied although its answer was lost is found here, and so is a tenure that
-// has ended. It returns the lease of an earlier incarnation of this controller that still leads
-// the shard, which must be revoked at once, or 0.
+// Observe updates the election from a shard's record as of a revision. It detects a campaign that was
+// committed although its response was lost, and a tenure that has ended. It returns the lease of an
+// earlier incarnation of this controller that still leads the shard and must be revoked at once, or 0.
 func (e *Election) Observe(shard string, rec store.Versioned[store.LeaderRecord], known bool, revision uint64) (staleLease uint64) {
 	mine := known && rec.Record.Leader == e.Name
 	tenure, leading := e.tenures[shard]
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -13,30 +13,30 @@
 const (
 	// minStepInterval bounds how often the elector acts while a renewal is overdue.
 	minStepInterval = 100 * time.Millisecond
-	// vacancyPollInterval is how often a vacant shard is looked at: whether this controller
-	// should campaign for it also depends on what does not show in the state.
+	// vacancyPollInterval is how often a vacant shard is checked: whether this controller should
+	// campaign for it also depends on conditions that are not part of the state.
 	vacancyPollInterval = 300 * time.Millisecond
-	// grantRetryDelay is the pause after a lease was not granted.
+	// grantRetryDelay is the delay after a failed request for a lease.
 	grantRetryDelay = 400 * time.Millisecond
-	// renewRetryDelay is the pause after a renewal without an answer.
+	// renewRetryDelay is the delay after a renewal without a response.
 	renewRetryDelay = 300 * time.Millisecond
-	// campaignRetryDelay is the pause after a campaign without an answer.
+	// campaignRetryDelay is the delay after a campaign without a response.
 	campaignRetryDelay = 200 * time.Millisecond
-	// revokeTimeout bounds the last call of a controller that shuts down.
+	// revokeTimeout limits how long revoking the lease at shutdown may take.
 	revokeTimeout = time.Second
 )
 
-// State is the state service as one controller reaches it.
+// State gives access to the state service.
 type State struct {
 	Client *store.Client
 	View   *store.View
 	Follow *store.Follower
 }
 
-// Elector runs an Election: it renews the lease and campaigns for every vacant shard.
+// Elector runs an Election against the state service: it keeps the lease renewed and campaigns for vacant shards.
 type Elector struct {
-	// ShouldCampaign reports whether this controller is to campaign for a shard that has been
-	// vacant for some time.
+	// ShouldCampaign reports whether this controller should campaign for a shard that has been
+	// vacant for the given time.
 	ShouldCampaign func(shard string, vacant time.Duration) bool
 	// OnChange is called when a shard may have been won or lost.
 	OnChange func()
@@ -45,7 +45,7 @@
 	state State
 	log   *slog.Logger
 	wake  chan struct{}
-	// vacantSince says since when a shard has had no leader. Only Run's goroutine uses it.
+	// vacantSince holds, by shard, since when it has had no leader. Only Run's goroutine uses it.
 	vacantSince map[string]time.Time
 
 	mu       sync.Mutex
@@ -58,17 +58,17 @@
 		wake: make(chan struct{}, 1), vacantSince: make(map[string]time.Time)}
 }
 
-// Standing is what this controller knows of its leadership of a shard at some time.
+// Standing describes this controller's leadership of a shard at a given time.
 type Standing struct {
 	Tenure  Tenure
-	Leading bool // it leads the shard, as far as it knows
-	// LeaseValid says that its lease cannot have expired.
+	Leading bool // whether it leads the shard, as far as it knows
+	// LeaseValid tells that its lease cannot have expired.
 	LeaseValid bool
-	// LastRenewal is when the last renewal that succeeded was sent.
+	// LastRenewal is when the last successful renewal was sent.
 	LastRenewal time.Time
 }
 
-// Standing returns what this controller knows of its leadership of a shard.
+// Standing returns this controller's standing for a shard, as far as this controller knows.
 func (e *Elector) Standing(shard string, now time.Time) Standing {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,34 +76,34 @@
 	return Standing{Tenure: tenure, Leading: leading, LeaseValid: e.election.LeaseValid(now), LastRenewal: e.election.LastRenewal()}
 }
 
-// Run takes part in the elections until the context ends. Then it revokes the lease, so that a
-// peer can take over at once.
+// Run takes part in the elections until the context ends. It then revokes the lease, so that a peer
+// can take over at once.
 func (e *Elector) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeLeadership)
 	for ctx.Err() == nil {
 		e.step(ctx)
-		t := time.NewTimer(e.untilNextStep())
+		timer := time.NewTimer(e.untilNextStep())
 		select {
 		case <-ctx.Done():
 		case <-e.state.View.Changed():
 		case <-e.wake:
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 	lease := e.election.Lease()
 	if lease == 0 {
 		return nil
 	}
-	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
-	if err := e.state.Client.RevokeLease(end, lease); err != nil {
+	if err := e.state.Client.RevokeLease(revokeCtx, lease); err != nil {
 		return fmt.Errorf("revoke the lease at shutdown: %w", err)
 	}
 	return nil
 }
 
-// untilNextStep returns how long to wait where nothing changes.
+// untilNextStep returns how long to wait for the next step if nothing changes earlier.
 func (e *Elector) untilNextStep() time.Duration {
 	e.mu.Lock()
 	wait := time.Until(e.election.NextRenewal())
@@ -114,21 +114,21 @@
 	return max(wait, minStepInterval)
 }
 
-// step does what is due: the lease first, then shards to give up, then campaigns.
+// step obtains or renews the lease, then releases shards that were given up, then campaigns.
 func (e *Elector) step(ctx context.Context) {
 	if !e.obtainLease(ctx) || !e.ensureLease(ctx) {
 		return
 	}
 	e.releaseShards(ctx)
-	unchanged, match := e.gate.Conditions(ctx)
-	// Campaigns that get no answer, one after the other, take longer than a lease lasts: every
-	// shard that was won would be lost with it, and won again, without end.
+	conditions, match := e.gate.Conditions(ctx)
+	// Several campaigns in a row without a response take longer than the TTL of the lease. Unless the
+	// lease is renewed in between, every shard that was won is lost with it and won again, endlessly.
 	for shards := e.gate.Sharding.Shards(); len(shards) > 0 && e.ensureLease(ctx); shards = shards[1:] {
-		e.campaign(ctx, shards[0], match, unchanged)
+		e.campaign(ctx, shards[0], match, conditions)
 	}
 }
 
-// Resign revokes the lease, because another controller can lead better.
+// Resign revokes the lease and with it gives up all shards, because another controller can lead better.
 func (e *Elector) Resign(ctx context.Context, reason string) {
 	e.mu.Lock()
 	lease := e.election.Lease()
@@ -137,11 +137,11 @@
 	e.log.Warn("leadership resigned", "lease", lease, "reason", reason)
 	e.OnChange()
 	if lease != 0 {
-		_ = e.state.Client.RevokeLease(ctx, lease) // or it expires
+		_ = e.state.Client.RevokeLease(ctx, lease) // on failure the lease expires
 	}
 }
 
-// StepDown gives up one shard, once its duties have ended here. The tenure is over from now on.
+// StepDown gives up one shard. The caller must have stopped the shard's leader. The tenure ends immediately.
 func (e *Elector) StepDown(shard string) {
 	e.mu.Lock()
 	e.election.StepDown(shard)
@@ -152,7 +152,8 @@
 	}
 }
 
-// releaseShards frees the shards that were given up, and repeats that until the state shows it.
+// releaseShards deletes the leader records of shards that were given up. Every step repeats this until the state
+// reflects it.
 func (e *Elector) releaseShards(ctx context.Context) {
 	e.mu.Lock()
 	releases := e.election.PendingReleases()
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// obtainLease requests a lease where there is none, and reports whether there is one.
+// obtainLease requests a lease if there is none, and reports whether there is one now.
 func (e *Elector) obtainLease(ctx context.Context) bool {
 	now := time.Now()
 	e.mu.Lock()
@@ -28,7 +28,7 @@
 	return true
 }
 
-// ensureLease renews the lease where that is due, and reports whether there still is one.
+// ensureLease renews the lease if a renewal is due. It reports whether there is a lease and no due renewal has failed.
 func (e *Elector) ensureLease(ctx context.Context) bool {
 	now := time.Now()
 	e.mu.Lock()
@@ -37,7 +37,7 @@
 	return lease != 0 && (now.Before(due) || e.renew(ctx, lease, now, valid))
 }
 
-// renew renews the lease at a time when it was valid or not, and reports whether that succeeded.
+// renew renews the lease and reports whether that succeeded. wasValid tells whether the lease was still valid at now.
 func (e *Elector) renew(ctx context.Context, lease uint64, now time.Time, wasValid bool) bool {
 	err := e.state.Client.RenewLease(ctx, lease)
 	switch {
--- a/internal/leadership/settings.go
+++ b/internal/leadership/settings.go
@@ -14,16 +14,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// SettingsGate lets a controller campaign only while the state is divided into shards, and its
-// tiers of work are set, as in the controller's settings. Two controllers with different sharding
-// would both answer for one machine; with different tiers, one leader would take what another
-// guarantees. Once no shard is led and all live controllers have the same settings, the gate
-// changes the state to them.
+// SettingsGate lets a controller campaign only while the sharding and the tiers in the state are those
+// of the controller's settings. Two controllers with different sharding would both answer for the same
+// machine; with different tiers, one leader would take capacity that another guarantees. Once no
+// shard is led and all live controllers have the same settings, the gate applies these to the state.
 type SettingsGate struct {
 	Sharding    *fleet.Sharding
-	TiersDigest string // identifies the settings of the tiers of work
-	// Mismatch names a peer that is alive and has other settings (known), or one that may be
-	// alive and has not sent a heartbeat yet. It is empty where there is neither.
+	TiersDigest string // identifies the tier settings
+	// Mismatch returns the name of a live peer whose settings differ (known is true), or of one that
+	// may be alive but has not sent a heartbeat yet (known is false). The name is empty if there is
+	// no such peer.
 	Mismatch func() (peer string, known bool)
 	State    State
 	Log      *slog.Logger
@@ -31,19 +31,19 @@
 	sharding, tiers mismatchLog
 }
 
-// errSettingsUnknown means that a peer has not said yet which settings it has.
+// errSettingsUnknown means that a peer has not reported its settings yet.
 var errSettingsUnknown = errors.New("has not sent a heartbeat yet")
 
-// Conditions returns the conditions under which the state still has this controller's settings,
-// and whether it has them now.
+// Conditions returns the conditions that the sharding and tier records are unchanged, and whether both
+// match this controller's settings.
 func (g *SettingsGate) Conditions(ctx context.Context) (unchanged []wire.Condition, match bool) {
 	sharding, shardingMatches := g.shardingCondition(ctx)
 	tiers, tiersMatch := g.tiersCondition(ctx)
 	return []wire.Condition{sharding, tiers}, shardingMatches && tiersMatch
 }
 
-// shardingCondition returns the condition that the sharding is unchanged, and whether it is that
-// of the settings. Where it isn't, the state is resharded if that is possible.
+// shardingCondition returns the condition that the sharding is unchanged, and whether it matches the
+// settings. If it does not, it reshards the state if that is possible.
 func (g *SettingsGate) shardingCondition(ctx context.Context) (wire.Condition, bool) {
 	view := g.State.View
 	if !view.Loaded() {
@@ -65,8 +65,8 @@
 	return cond, false
 }
 
-// tiersCondition returns the condition that the tiers of work are unchanged, and whether they are
-// those of the settings. Where they aren't, they are written if that is possible.
+// tiersCondition returns the condition that the tiers are unchanged, and whether they match the
+// settings. If they do not, it writes those of the settings if that is possible.
 func (g *SettingsGate) tiersCondition(ctx context.Context) (wire.Condition, bool) {
 	view := g.State.View
 	rec, counter := view.Tiers(), view.FencingToken()
@@ -82,8 +82,9 @@
 	return cond, false
 }
 
-// checkChangeable says why the state can't take over the settings yet: a shard is led, or a peer
-// that is alive has other settings. Before anything was launched no peer need be asked.
+// checkChangeable returns an error if the settings cannot be applied to the state yet, because a shard
+// is led or because the settings of a live peer differ or are unknown. Peers do not matter as long as
+// nothing was ever launched.
 func (g *SettingsGate) checkChangeable() error {
 	led, used := g.State.View.LedShards()
 	switch peer, known := g.Mismatch(); {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// reshard divides the state as in the settings, or says why that can't be done.
+// reshard applies the sharding of the settings to the state, or returns why that is not possible.
 func (g *SettingsGate) reshard(ctx context.Context) error {
 	if err := g.checkChangeable(); err != nil {
 		return err
@@ -116,19 +117,19 @@
 		return rec.TaskDemand()
 	})
 	if err != nil {
-		return fmt.Errorf("divide the state anew: %w", err)
+		return fmt.Errorf("reshard the state: %w", err)
 	}
 	_, err = g.State.Client.Txn(ctx, txn)
 	g.Log.Info("state resharded", "before", describeSharding(state.Sharding.Record.Text), "after", describeSharding(g.Sharding.String()),
 		"generation", state.Sharding.Record.Generation+1, "ledgers", state.LedgerNames, "err", err)
-	_ = g.State.Follow.Barrier(ctx) // the next look must see it
+	_ = g.State.Follow.Barrier(ctx) // the next step must see it
 	return nil
 }
 
-// writeTiers writes the tiers of the settings, or says why that can't be done. That no shard is
-// led is a condition which comes true again and again, and covers only the shards of this
-// sharding. So the counter of fencing tokens, read before any peer was asked, makes sure that a
-// delayed copy of the transaction is refused once a shard has been won.
+// writeTiers writes the tiers of the settings, or returns why that is not possible. The condition that
+// no shard is led can become true again later, and covers only the shards of this sharding. The
+// transaction is therefore also conditional on the fencing token counter, read before the peers'
+// settings were checked, so that a delayed copy is rejected once any shard has been won.
 func (g *SettingsGate) writeTiers(ctx context.Context, cond wire.Condition, counter store.Versioned[uint64]) error {
 	if err := g.checkChangeable(); err != nil {
 		return err
@@ -142,11 +143,11 @@
 	}
 	_, err := g.State.Client.Txn(ctx, txn)
 	g.Log.Info("tiers changed", "before", describeTiers(g.State.View.Tiers().Record.Digest), "after", describeTiers(g.TiersDigest), "err", err)
-	_ = g.State.Follow.Barrier(ctx) // the next look must see it
+	_ = g.State.Follow.Barrier(ctx) // the next step must see it
 	return nil
 }
 
-// mismatchLog logs why this controller does not campaign, once for each reason.
+// mismatchLog logs why this controller does not campaign. It does not repeat a reason until the reason changes.
 type mismatchLog struct{ last string }
 
 func (r *mismatchLog) clear() { r.last = "" }
--- a/internal/transport/caller.go
+++ b/internal/transport/caller.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// maxIdlePerAddr bounds the idle connections to one address that are kept for reuse.
+	// maxIdlePerAddr limits the idle connections to one address that are kept for reuse.
 	maxIdlePerAddr = 4
 	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 15 * time.Second
-	// expiryCheckInterval is the least time between two searches for expired idle connections.
+	// expiryCheckInterval is the minimum time between two searches for expired idle connections.
 	expiryCheckInterval = idleTimeout / 4
 	// responseBufferBytes is the size of the buffer that responses are parsed from.
 	responseBufferBytes = 4 << 10
 )
 
-// Caller makes HTTP calls and reuses connections. Every call ends with its context, so
-// that an unresponsive peer delays nobody but its own callers.
+// Caller is an HTTP client that reuses connections. Every call ends with its context, so
+// that an unresponsive peer delays only calls to itself.
 type Caller struct {
-	MaxBody int64 // of a response's body, in bytes
-	MaxIdle int   // idle connections that are kept in all; 0 means no bound
+	MaxBody int64 // maximum size of a response body in bytes
+	MaxIdle int   // maximum number of idle connections to all addresses; 0 means no limit
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu              sync.Mutex
 	idle            map[string][]*clientConn
-	idleCount       int // over all addresses
+	idleCount       int // number of idle connections to all addresses
 	lastExpiryCheck time.Time
 }
 
-// ErrNotSent means that no connection could be opened, so that the request was certainly
-// not sent.
+// ErrNotSent means that no connection could be opened and the request was certainly not
+// sent.
 var ErrNotSent = errors.New("not sent")
 
 // clientConn is an outgoing connection.
@@ -48,8 +48,8 @@
 	idleSince time.Time
 }
 
-// Call sends a request and waits for its response until the context ends. With any error
-// but ErrNotSent, the peer may or may not have executed the request.
+// Call sends a request and waits for the response until the context ends. After any error
+// other than ErrNotSent, the peer may or may not have executed the request.
 func (c *Caller) Call(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	conn, reused, err := c.getConn(ctx, addr)
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	resp, err := c.exchange(ctx, conn, addr, method, target, body)
 	if err != nil && reused && method == "GET" && ctx.Err() == nil {
-		// The peer may have closed the idle connection meanwhile. A read is idempotent.
+		// The peer may have closed the idle connection in the meantime. A GET is idempotent and can be repeated.
 		if conn, err = c.dial(ctx, addr); err == nil {
 			resp, err = c.exchange(ctx, conn, addr, method, target, body)
 		}
@@ -65,8 +65,8 @@
 	return resp, err
 }
 
-// exchange sends a request on a connection and reads the response. The connection is kept
-// for reuse or closed.
+// exchange sends a request on a connection and reads the response. It then keeps the
+// connection for reuse or closes it.
 func (c *Caller) exchange(ctx context.Context, conn *clientConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	if d, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(d)
@@ -90,7 +90,7 @@
 	return resp, nil
 }
 
-// getConn returns an idle connection to an address, or opens one. It reports which it was.
+// getConn returns an idle connection to an address, or opens one. It reports whether the connection is reused.
 func (c *Caller) getConn(ctx context.Context, addr string) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle[addr]); n > 0; n-- {
@@ -116,7 +116,7 @@
 	return &clientConn{Conn: conn, r: bufio.NewReaderSize(conn, responseBufferBytes)}, nil
 }
 
-// putConn keeps a connection for reuse, or closes it where enough are idle already.
+// putConn keeps a connection for reuse, or closes it if enough connections are idle already.
 func (c *Caller) putConn(addr string, conn *clientConn) {
 	_ = conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -136,20 +136,20 @@
 	}
 }
 
-// sweep closes connections that have been idle for too long: with thousands of addresses
-// they would otherwise use up all sockets. The lock is held.
+// closeExpired closes connections that have been idle for too long. With thousands of addresses
+// they would otherwise use up all sockets. The caller must hold the lock.
 func (c *Caller) closeExpired() {
 	c.lastExpiryCheck = time.Now()
 	for addr, conns := range c.idle {
-		rest := slices.DeleteFunc(conns, func(o *clientConn) bool {
-			old := time.Since(o.idleSince) > idleTimeout
-			if old {
-				o.Close()
+		kept := slices.DeleteFunc(conns, func(conn *clientConn) bool {
+			expired := time.Since(conn.idleSince) > idleTimeout
+			if expired {
+				conn.Close()
 				c.idleCount--
 			}
-			return old
+			return expired
 		})
-		if c.idle[addr] = rest; len(rest) == 0 {
+		if c.idle[addr] = kept; len(kept) == 0 {
 			delete(c.idle, addr)
 		}
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,33 +9,33 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxPendingBytes bounds the bytes received on a connection that its goroutine has not read yet.
+// maxPendingBytes limits the bytes received on a connection that its goroutine has not read yet.
 const maxPendingBytes = 128 << 10
 
-// maxOutboundBytes bounds the bytes written to a connection that its peer has not taken yet.
+// maxOutboundBytes limits the bytes written to a connection that have not been sent to its peer yet.
 const maxOutboundBytes = 256 << 10
 
-// Conn is an accepted connection. gnet's event loop feeds it, and the goroutine that serves
-// it reads and writes it.
+// Conn is an accepted connection. gnet's event loop passes received bytes to it, and the goroutine
+// that serves the connection reads from it and writes to it.
 type Conn struct {
 	conn gnet.Conn
-	wake chan struct{} // has room for one signal to a waiting Read
-	idle time.Duration // bounds each Read; 0 means no bound
+	wake chan struct{} // holds at most one signal for a waiting Read
+	idle time.Duration // timeout of each Read; 0 means no timeout
 
-	firstByteTimer *time.Timer // closes a connection on which nothing ever arrived
-	serving        bool        // its goroutine has been started; used on the event loop only
+	firstByteTimer *time.Timer // closes the connection if nothing arrives on it
+	serving        bool        // whether its goroutine has been started; used on the event loop only
 
 	mu      sync.Mutex
-	pending []byte // received and not read yet
+	pending []byte // received but not read yet
 	closed  bool
 }
 
-// SetIdle bounds each Read from now on; 0 means no bound.
+// SetIdle sets the timeout of each further Read; 0 means no timeout.
 func (c *Conn) SetIdle(d time.Duration) { c.idle = d }
 
-// Read waits for bytes from the peer. What a peer has sent before it closed the connection
-// is discarded: nobody waits for the response any more, and under heavy load most late
-// requests are of this kind.
+// Read waits for bytes from the peer. Once the peer has closed the connection, unread bytes are
+// discarded: the peer no longer waits for a response, and under heavy load most late requests are
+// of this kind.
 func (c *Conn) Read(p []byte) (int, error) {
 	var expired <-chan time.Time
 	for {
@@ -55,9 +55,9 @@
 			return 0, io.EOF
 		}
 		if expired == nil && c.idle > 0 {
-			t := time.NewTimer(c.idle)
-			defer t.Stop()
-			expired = t.C
+			timer := time.NewTimer(c.idle)
+			defer timer.Stop()
+			expired = timer.C
 		}
 		select {
 		case <-c.wake:
@@ -82,7 +82,7 @@
 }
 
 // closeIfResponsesUnread closes a connection whose peer keeps sending requests without reading the
-// responses, which would pile up in memory. The event loop calls it after each write.
+// responses, which would accumulate in memory. The event loop calls it after each write.
 func closeIfResponsesUnread(c gnet.Conn, err error) error {
 	if err == nil && c.OutboundBuffered() > maxOutboundBytes {
 		return c.Close()
@@ -101,8 +101,8 @@
 	}
 }
 
-// feed takes bytes from the event loop. It returns false if the peer sends faster than
-// its requests are read.
+// feed appends bytes that the event loop received. It returns false if the peer sends faster than its
+// requests are read.
 func (c *Conn) feed(b []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/connlimit.go
+++ b/internal/transport/connlimit.go
@@ -5,15 +5,15 @@
 	"sync/atomic"
 )
 
-// ConnLimit counts a listener's open connections against their limit, so that clients which
-// can reconnect may be asked to close theirs before no connection is left for others.
+// ConnLimit counts a listener's open connections against a limit, so that clients that can
+// reconnect can be told to close theirs before the limit is reached and locks out others.
 type ConnLimit struct {
-	Max int // open connections
+	Max int // maximum number of open connections
 
 	open atomic.Int64
 }
 
-// Serve wraps serve so that its open connections are counted.
+// Serve wraps serve so that each connection counts as open while it is served.
 func (l *ConnLimit) Serve(serve ServeConn) ServeConn {
 	return func(ctx context.Context, c Stream) {
 		l.open.Add(1)
@@ -25,10 +25,10 @@
 // Open returns the number of open connections.
 func (l *ConnLimit) Open() int { return int(l.open.Load()) }
 
-// Scarce reports whether less than a third of the connections is free.
+// Scarce reports whether less than a third of the connections are free.
 func (l *ConnLimit) Scarce() bool { return l.Open()*3 > l.Max*2 }
 
-// Full reports whether less than a tenth of the connections is free. Every client that can
+// Full reports whether less than a tenth of the connections are free. Every client that can
 // reconnect, machine or user, must then close its connection: connections kept open for
 // occasional use would otherwise lock out all other clients permanently.
 func (l *ConnLimit) Full() bool { return l.Open()*10 > l.Max*9 }
--- a/internal/transport/connlimit_test.go
+++ b/internal/transport/connlimit_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestConnLimit: connections count while they are served, and become scarce, and then full,
-// before the limit is reached.
+// TestConnLimit checks that connections count while they are served, and that the limit is reported as scarce and
+// then as full before it is reached.
 func TestConnLimit(t *testing.T) {
 	l := &ConnLimit{Max: 30}
 	var nested func(n int)
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -9,21 +9,21 @@
 	"amberdeal.example/amberdeal/internal/httpwire"
 )
 
-// requestTimeout bounds how long one request may take to arrive completely.
+// requestTimeout limits how long one request may take to arrive completely.
 const requestTimeout = 10 * time.Second
 
 // requestBufferBytes is the size of the buffer that requests are parsed from.
 const requestBufferBytes = 4 << 10
 
-// Handler answers one request.
+// Handler handles one request and returns its response.
 type Handler func(ctx context.Context, r *httpwire.Request) *httpwire.Response
 
-// HTTP serves the requests of a connection one after the other, each with a body of at
-// most limit bytes. It closes a connection whose peer is idle for longer than idle, or
-// takes longer than requestTimeout to send one request.
-func HTTP(limit int64, idle time.Duration, h Handler) ServeConn {
+// HTTP returns a ServeConn that serves the requests of a connection one after the other, each
+// with a body of at most maxBody bytes. It closes a connection whose peer is idle for longer than
+// maxIdleTime, or takes longer than requestTimeout to send one request.
+func HTTP(maxBody int64, maxIdleTime time.Duration, handle Handler) ServeConn {
 	return func(ctx context.Context, c Stream) {
-		c.SetIdle(idle)
+		c.SetIdle(maxIdleTime)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		defer stop()
 		r := bufio.NewReaderSize(c, requestBufferBytes)
@@ -31,18 +31,18 @@
 			if _, err := r.Peek(1); err != nil {
 				return
 			}
-			slow := time.AfterFunc(requestTimeout, func() { c.Close() })
-			req, err := httpwire.ReadRequest(r, limit)
-			slow.Stop()
-			var fault *httpwire.Error
+			requestTimer := time.AfterFunc(requestTimeout, func() { c.Close() })
+			req, err := httpwire.ReadRequest(r, maxBody)
+			requestTimer.Stop()
+			var httpErr *httpwire.Error
 			switch {
-			case errors.As(err, &fault):
-				_, _ = c.Write(httpwire.AppendResponse(nil, &httpwire.Response{Status: fault.Status, Close: true}))
+			case errors.As(err, &httpErr):
+				_, _ = c.Write(httpwire.AppendResponse(nil, &httpwire.Response{Status: httpErr.Status, Close: true}))
 				return
 			case err != nil:
 				return
 			}
-			resp := h(ctx, req)
+			resp := handle(ctx, req)
 			resp.Close = resp.Close || req.Close
 			if _, err := c.Write(httpwire.AppendResponse(nil, resp)); err != nil || resp.Close {
 				return
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -1,7 +1,7 @@
 // Package transport accepts and opens connections. Listeners run on gnet's event
 // loop with one goroutine for each connection that is served; outgoing calls have
 // deadlines and reuse connections. Every buffer and every wait is bounded, so that
-// no peer can hold memory, a goroutine or a socket for ever.
+// no peer can occupy memory, a goroutine or a socket indefinitely.
 package transport
 
 import (
@@ -15,20 +15,20 @@
 // Stream is an accepted connection as its ServeConn function sees it.
 type Stream interface {
 	io.ReadWriteCloser
-	// SetIdle bounds each Read from now on; 0 means no bound.
+	// SetIdle sets the timeout of each further Read; 0 means no timeout.
 	SetIdle(time.Duration)
 }
 
-// ServeConn serves one accepted connection, in a goroutine of its own. The connection is
-// closed when it returns.
+// ServeConn serves one accepted connection in its own goroutine. The connection is closed
+// when it returns.
 type ServeConn func(ctx context.Context, c Stream)
 
-// Network is how a controller reaches the world; a test may bring its own.
+// Network listens for connections and opens them. Tests provide simulated implementations.
 type Network interface {
-	// Listen serves an address until the context ends, with at most conns
+	// Listen serves an address until the context ends, with at most maxConns
 	// connections open at once.
-	Listen(ctx context.Context, addr string, conns int, serve ServeConn) error
-	// Dial opens a connection out.
+	Listen(ctx context.Context, addr string, maxConns int, serve ServeConn) error
+	// Dial opens a connection to an address.
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
@@ -36,31 +36,31 @@
 // the standard library's dialer for outgoing ones.
 type Sockets struct{ Log *slog.Logger }
 
-// Dial opens a connection out.
+// Dial opens a connection to an address.
 func (Sockets) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
-// Listen serves an address on an event loop of its own.
-func (n Sockets) Listen(ctx context.Context, addr string, conns int, serve ServeConn) error {
-	return n.ListenRejecting(ctx, addr, conns, serve, nil)
+// Listen serves an address on its own event loop.
+func (n Sockets) Listen(ctx context.Context, addr string, maxConns int, serve ServeConn) error {
+	return n.ListenRejecting(ctx, addr, maxConns, serve, nil)
 }
 
 // ListenRejecting implements RejectingNetwork.
-func (n Sockets) ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, reject Rejecter) error {
-	s := &server{addr: addr, maxConns: int64(conns), serve: serve, reject: reject, log: n.Log}
+func (n Sockets) ListenRejecting(ctx context.Context, addr string, maxConns int, serve ServeConn, reject Rejecter) error {
+	s := &server{addr: addr, maxConns: int64(maxConns), serve: serve, reject: reject, log: n.Log}
 	return s.run(ctx)
 }
 
-// Rejecter looks at the first bytes of a connection and returns the response with which it is
-// rejected, or nil if it is to be served. It is called on the event loop and must not block.
+// Rejecter inspects the first bytes of a connection and returns the response with which to reject
+// the connection, or nil to serve it. It is called on the event loop and must not block.
 type Rejecter func(first []byte) []byte
 
-// RejectingNetwork is a Network that can reject connections by their first bytes. That costs a
-// fraction of serving them, so that a crowd of clients which must retry, here or elsewhere,
-// does not starve those that can be served.
+// RejectingNetwork is implemented by a Network that can reject connections by their first bytes. That
+// costs a fraction of serving them, so that a large number of clients that must retry, at this
+// controller or another, does not starve those that can be served.
 type RejectingNetwork interface {
-	// ListenRejecting is Listen, with each connection first shown to reject.
-	ListenRejecting(ctx context.Context, addr string, conns int, serve ServeConn, turn Rejecter) error
+	// ListenRejecting is like Listen, but calls reject for each connection first.
+	ListenRejecting(ctx context.Context, addr string, maxConns int, serve ServeConn, reject Rejecter) error
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// firstByteTimeout bounds how long a new connection may stay without a byte.
+	// firstByteTimeout limits how long a new connection may stay open before its first byte arrives.
 	firstByteTimeout = 30 * time.Second
-	// refusalLogInterval is the time between two log lines about refused connections: a
-	// line for each would cost more than the refusal.
+	// refusalLogInterval is the minimum time between two log lines about refused connections:
+	// a line for each would cost more than the refusal.
 	refusalLogInterval = 10 * time.Second
-	// stopTimeout bounds how long gnet may take to stop its event loop.
+	// stopTimeout limits how long gnet may take to stop its event loop.
 	stopTimeout = 2 * time.Second
 
 	readBufferBytes  = 16 << 10
@@ -35,19 +35,19 @@
 	reject   Rejecter
 	log      *slog.Logger
 
-	// gnet's callbacks take no context; this is the one that run was called with.
+	// ctx is the context of run: gnet's callbacks take none.
 	ctx     context.Context
 	engine  gnet.Engine
 	started atomic.Bool
 	open    atomic.Int64
 	serving sync.WaitGroup
-	// Used on the event loop only: connections refused since the last warning.
+	// refused counts the connections refused since lastWarning. Both are used on the event loop only.
 	refused     int
 	lastWarning time.Time
 }
 
-// run serves the address until the context ends, and returns once all connections are
-// done.
+// run serves the address until the context ends, and returns once no connection is served
+// any more.
 func (s *server) run(ctx context.Context) error {
 	s.ctx = ctx
 	done := make(chan error, 1)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// OnBoot is called by gnet.
+// OnBoot is called by gnet once the listener is open.
 func (s *server) OnBoot(e gnet.Engine) gnet.Action {
 	s.engine = e
 	s.started.Store(true)
@@ -96,7 +96,7 @@
 	return nil, gnet.None
 }
 
-// startServing starts the goroutine of a connection.
+// startServing starts the goroutine that serves a connection.
 func (s *server) startServing(c *Conn) {
 	c.serving = true
 	s.serving.Add(1)
@@ -107,7 +107,7 @@
 	}()
 }
 
-// OnClose is called by gnet when a connection is gone.
+// OnClose is called by gnet when a connection is closed.
 func (s *server) OnClose(g gnet.Conn, _ error) gnet.Action {
 	s.open.Add(-1)
 	if c, ok := g.Context().(*Conn); ok {
@@ -126,8 +126,8 @@
 	b, _ := g.Next(-1)
 	if !c.serving {
 		c.firstByteTimer.Stop()
-		if answer := s.rejection(b); answer != nil {
-			_, _ = g.Write(answer)
+		if response := s.rejection(b); response != nil {
+			_, _ = g.Write(response)
 			return gnet.Close
 		}
 		s.startServing(c)
@@ -146,11 +146,11 @@
 	return s.reject(first)
 }
 
-// gnetLogger passes gnet's own messages to the log, at debug level unless they are fatal.
+// gnetLogger writes gnet's own messages to the log: warnings and errors at debug level, fatal errors at error level.
 type gnetLogger struct{ log *slog.Logger }
 
-func (q gnetLogger) Debugf(string, ...any)     {}
-func (q gnetLogger) Infof(string, ...any)      {}
-func (q gnetLogger) Warnf(f string, a ...any)  { q.log.Debug("gnet", "warn", f, "args", a) }
-func (q gnetLogger) Errorf(f string, a ...any) { q.log.Debug("gnet", "error", f, "args", a) }
-func (q gnetLogger) Fatalf(f string, a ...any) { q.log.Error("gnet", "fatal", f, "args", a) }
+func (l gnetLogger) Debugf(string, ...any)     {}
+func (l gnetLogger) Infof(string, ...any)      {}
+func (l gnetLogger) Warnf(f string, a ...any)  { l.log.Debug("gnet", "warn", f, "args", a) }
+func (l gnetLogger) Errorf(f string, a ...any) { l.log.Debug("gnet", "error", f, "args", a) }
+func (l gnetLogger) Fatalf(f string, a ...any) { l.log.Error("gnet", "fatal", f, "args", a) }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -17,7 +17,7 @@
 	"amberdeal.example/amberdeal/internal/httpwire"
 )
 
-// pipe is an accepted connection for tests.
+// pipe is an in-memory Stream for tests.
 type pipe struct {
 	net.Conn
 	idle time.Duration
@@ -34,31 +34,31 @@
 	return &httpwire.Response{Status: 200, Body: []byte(r.Path)}
 }
 
-// TestSlowPeers: a peer that sends a byte now and then, or nothing at all, is
-// closed within bounds; it can't hold a connection for ever.
+// TestSlowPeers checks that the connection of a peer that sends a byte now and then, or nothing
+// at all, is closed after a limited time instead of staying open indefinitely.
 func TestSlowPeers(t *testing.T) {
 	for name, every := range map[string]time.Duration{"slow": time.Second, "silent": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a, b := net.Pipe()
-				over := make(chan time.Duration, 1)
-				begun := time.Now()
+				client, server := net.Pipe()
+				closedAfter := make(chan time.Duration, 1)
+				start := time.Now()
 				go func() {
-					HTTP(1024, 30*time.Second, echo)(t.Context(), &pipe{Conn: b})
-					b.Close()
-					over <- time.Since(begun)
+					HTTP(1024, 30*time.Second, echo)(t.Context(), &pipe{Conn: server})
+					server.Close()
+					closedAfter <- time.Since(start)
 				}()
 				go func() {
-					defer a.Close()
-					for time.Since(begun) < 2*time.Minute {
+					defer client.Close()
+					for time.Since(start) < 2*time.Minute {
 						time.Sleep(every)
-						if _, err := a.Write([]byte("G")); err != nil {
+						if _, err := client.Write([]byte("G")); err != nil {
 							return
 						}
 					}
 				}()
-				if took := <-over; took > 31*time.Second {
-					t.Errorf("open for %v", took)
+				if elapsed := <-closedAfter; elapsed > 31*time.Second {
+					t.Errorf("open for %v", elapsed)
 				}
 				time.Sleep(2 * time.Hour)
 			})
@@ -66,7 +66,7 @@
 	}
 }
 
-// freeAddr gives an address on loopback that nobody listens on.
+// freeAddr returns a loopback address that nothing listens on.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -76,20 +76,20 @@
 	return l.Addr().String()
 }
 
-// TestRealConnections serves real connections: requests one after the other, two at
-// once in one packet, a malformed one, and the end of the context.
+// TestRealConnections serves TCP connections: requests one after the other, two requests in one
+// packet, one whose body is too large, and the end of the context.
 func TestRealConnections(t *testing.T) {
 	addr := freeAddr(t)
 	ctx, stop := context.WithCancel(t.Context())
 	network, done := Sockets{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, make(chan error, 1)
 	go func() { done <- network.Listen(ctx, addr, 10, HTTP(64, time.Minute, echo)) }()
 	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
-	call, cancel := context.WithTimeout(ctx, 10*time.Second)
+	callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, path := range []string{"/a", "/b"} {
-		resp, err := caller.Call(call, addr, "GET", path, nil)
-		for err != nil && call.Err() == nil { // until the listener is there
-			resp, err = caller.Call(call, addr, "GET", path, nil)
+		resp, err := caller.Call(callCtx, addr, "GET", path, nil)
+		for err != nil && callCtx.Err() == nil { // until the listener is open
+			resp, err = caller.Call(callCtx, addr, "GET", path, nil)
 		}
 		if err != nil || string(resp.Body) != path {
 			t.Fatalf("%s: %v, %v", path, resp, err)
@@ -99,7 +99,7 @@
 		"GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n": 2,
 		"GET /a HTTP/1.1\r\nConnection: close\r\n\r\n":                        1,
 	} {
-		conn, err := network.Dial(call, addr)
+		conn, err := network.Dial(callCtx, addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 			t.Errorf("%q: %d answers in %q", text, n, got)
 		}
 	}
-	conn, err := network.Dial(call, addr)
+	conn, err := network.Dial(callCtx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestHangingPeersUseFewThreads: a thousand peers that never answer and a thousand that never ask cost
-// goroutines, and hardly a thread: a process may have 2,000 of them at the most.
+// TestHangingPeersUseFewThreads checks that a thousand calls that wait for a response and a thousand connections whose
+// handler does not return use goroutines but hardly any threads: a process may have at most 2,000 threads.
 func TestHangingPeersUseFewThreads(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
@@ -137,19 +137,19 @@
 			return &httpwire.Response{Status: 503}
 		}))
 	}()
-	call, cancel := context.WithTimeout(ctx, time.Minute)
+	callCtx, cancel := context.WithTimeout(ctx, time.Minute)
 	caller := &Caller{MaxBody: 64, Dial: network.Dial}
 	var group sync.WaitGroup
 	for range 1000 {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			for call.Err() == nil { // until the listener is there
-				_, _ = caller.Call(call, addr, "GET", "/", nil)
+			for callCtx.Err() == nil { // until the listener is open
+				_, _ = caller.Call(callCtx, addr, "GET", "/", nil)
 			}
 		}()
 	}
-	for hanging.Load() < 1000 && call.Err() == nil {
+	for hanging.Load() < 1000 && callCtx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	if n := pprof.Lookup("threadcreate").Count(); n > 200 || hanging.Load() < 1000 {
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestRejectedConnections: peers that are turned away by their first bytes get their answer and are
-// closed, whoever else is connected; others are served.
+// TestRejectedConnections checks that connections that are rejected by their first bytes get the response and are
+// closed, and that the others are served.
 func TestRejectedConnections(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
@@ -178,7 +178,7 @@
 		})
 	}()
 	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
-	call, cancel := context.WithTimeout(ctx, 10*time.Second)
+	callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, c := range []struct {
 		method, path string
@@ -188,9 +188,9 @@
 		if c.want == 200 {
 			fresh = caller
 		}
-		resp, err := fresh.Call(call, addr, c.method, c.path, nil)
-		for err != nil && call.Err() == nil { // until the listener is there
-			resp, err = fresh.Call(call, addr, c.method, c.path, nil)
+		resp, err := fresh.Call(callCtx, addr, c.method, c.path, nil)
+		for err != nil && callCtx.Err() == nil { // until the listener is open
+			resp, err = fresh.Call(callCtx, addr, c.method, c.path, nil)
 		}
 		if err != nil || resp.Status != c.want || resp.Close != (c.want == 421) {
 			t.Errorf("%s: %+v, %v", c.path, resp, err)
--- a/internal/user/user.go
+++ b/internal/user/user.go
@@ -1,5 +1,5 @@
-// Package user serves the users: submissions, status queries and cancellations over HTTP, on every
-// controller, whichever leads a shard.
+// Package user implements the HTTP API for users: submissions, status queries and cancellations. Every
+// controller serves it, whichever controllers lead the shards.
 package user
 
 import (
@@ -16,30 +16,30 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// statusTimeout bounds how long the answer to a status query may take: a user waits 2 s for it.
+// statusTimeout limits how long the response to a status query may take: a user waits 2 s for it.
 const statusTimeout = 1700 * time.Millisecond
 
-// When a user is to come back.
+// How long a user should wait before retrying.
 const (
-	defaultRetryDelay    = time.Second     // to this controller or another
-	fullRetryDelay       = 2 * time.Second // once some jobs are over
-	compactionRetryDelay = 5 * time.Second // once compaction has caught up
+	defaultRetryDelay    = time.Second     // at this controller or another
+	fullRetryDelay       = 2 * time.Second // some jobs should have ended by then
+	compactionRetryDelay = 5 * time.Second // compaction should have caught up by then
 )
 
-// API answers users' requests.
+// API handles users' requests.
 type API struct {
 	Admission *admission.Service
 	Log       *slog.Logger
-	// CountTasks gives how many tasks of a job run and are done, for display.
+	// CountTasks returns how many tasks of a job are running and done, for display.
 	CountTasks func(job string) (running, done int)
-	// Ready reports whether users can be served here.
+	// Ready reports whether this controller can serve users.
 	Ready func() bool
-	// StoreUnreachable reports that the state service has been out of reach here for a while, and
-	// that other controllers may reach it.
+	// StoreUnreachable reports whether this controller has been unable to reach the state service for a
+	// while, and other controllers may reach it.
 	StoreUnreachable func() bool
 }
 
-// Handle answers one request of a user or of the load balancer.
+// Handle handles one request from a user or from the load balancer.
 func (a *API) Handle(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 	if req.Path == wire.PathReady {
 		return a.readiness(req)
@@ -56,11 +56,11 @@
 	if rest == "" {
 		return a.submit(ctx, req.Body)
 	}
-	id, word, more := strings.Cut(rest[1:], "/")
-	return a.handleJob(ctx, req.Method, id, word, more)
+	id, action, hasAction := strings.Cut(rest[1:], "/")
+	return a.handleJob(ctx, req.Method, id, action, hasAction)
 }
 
-// ready answers the load balancer.
+// readiness answers the health check of the load balancer.
 func (a *API) readiness(req *httpwire.Request) *httpwire.Response {
 	if req.Method != http.MethodGet {
 		return errorResponse(http.StatusMethodNotAllowed, "use GET")
@@ -71,13 +71,13 @@
 	return &httpwire.Response{Status: http.StatusOK}
 }
 
-// handleJob answers a request for one job. more tells that its path goes on after the ID, with word.
-func (a *API) handleJob(ctx context.Context, method, id, word string, more bool) *httpwire.Response {
-	if more && word != wire.CancelWord && word != wire.WorkWord {
+// handleJob handles a request for one job. hasAction tells that its path continues after the ID, with action.
+func (a *API) handleJob(ctx context.Context, method, id, action string, hasAction bool) *httpwire.Response {
+	if hasAction && action != wire.CancelWord && action != wire.WorkWord {
 		return errorResponse(http.StatusNotFound, "no such path")
 	}
 	want := http.MethodGet
-	if word == wire.CancelWord {
+	if action == wire.CancelWord {
 		want = http.MethodPost
 	}
 	switch {
@@ -85,17 +85,17 @@
 		return errorResponse(http.StatusMethodNotAllowed, "wrong method")
 	case !wire.ValidJobID(id):
 		return errorResponse(http.StatusNotFound, "no such job")
-	case word == wire.CancelWord:
+	case action == wire.CancelWord:
 		return a.cancel(ctx, id)
-	case word == wire.WorkWord:
+	case action == wire.WorkWord:
 		return a.jobDescription(ctx, id)
 	}
 	return a.status(ctx, id)
 }
 
-// withoutStoreIfUnreachable cancels the context at once while the state service is out of reach: what
-// memory tells for good is still answered, and for the rest the user asks another controller the
-// sooner.
+// withoutStoreIfUnreachable returns a context that is already cancelled while the state service is
+// unreachable. Requests that need only final data in memory are still answered; for all others the user
+// gets to retry at another controller sooner.
 func (a *API) withoutStoreIfUnreachable(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	if a.StoreUnreachable() {
@@ -104,7 +104,7 @@
 	return ctx, cancel
 }
 
-// status answers a status query.
+// status handles a status query.
 func (a *API) status(ctx context.Context, id string) *httpwire.Response {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -112,7 +112,7 @@
 	return a.respond(http.StatusOK, id, rec, err)
 }
 
-// submit accepts a job.
+// submit handles the submission of a job.
 func (a *API) submit(ctx context.Context, body []byte) *httpwire.Response {
 	job, err := wire.DecodeJob(body)
 	if err != nil {
@@ -126,8 +126,8 @@
 	return a.respond(code, job.ID, rec, err)
 }
 
-// rejectMalformed refuses a submission that is malformed, unless it names a job that was accepted:
-// whatever else such a repetition says, the job is known.
+// rejectMalformed rejects a malformed submission, unless it names a job that was accepted before: whatever
+// else such a repeated submission contains, it is answered with the job's status.
 func (a *API) rejectMalformed(ctx context.Context, body []byte, cause error) *httpwire.Response {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout) // the state service may not answer at all
 	defer cancel()
@@ -139,14 +139,14 @@
 	return errorResponse(http.StatusBadRequest, cause.Error())
 }
 
-// cancel cancels a job.
+// cancel handles the cancellation of a job.
 func (a *API) cancel(ctx context.Context, id string) *httpwire.Response {
 	rec, err := a.Admission.Cancel(ctx, id)
 	return a.respond(http.StatusOK, id, rec, err)
 }
 
-// work tells a machine what the tasks of an unfinished job do: the whole description. Of a job that
-// is over it is gone.
+// jobDescription answers a machine with the full description of an unfinished job, which tells what its
+// tasks do. The description of an ended job is no longer available.
 func (a *API) jobDescription(ctx context.Context, id string) *httpwire.Response {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -160,7 +160,7 @@
 	return &httpwire.Response{Status: http.StatusOK, Body: wire.Encode(rec.Job)}
 }
 
-// respond answers a user by what became of a call of the admission service.
+// respond returns the response for the result of a call to the admission service.
 func (a *API) respond(code int, id string, rec store.JobRecord, err error) *httpwire.Response {
 	var unrunnable *admission.UnrunnableError
 	switch {
@@ -175,7 +175,7 @@
 	return a.retryResponse(err)
 }
 
-// retryResponse tells a user to come back, to this controller or to another.
+// retryResponse returns a response that tells a user to retry, at this controller or at another.
 func (a *API) retryResponse(err error) *httpwire.Response {
 	resp := unavailableResponse()
 	switch {
@@ -185,14 +185,14 @@
 	case errors.Is(err, admission.ErrCompactionBehind):
 		resp.RetryAfter = compactionRetryDelay
 	case errors.Is(err, admission.ErrHistoryUnavailable):
-		resp.Close = true // the connection would keep its user here, query after query
+		resp.Close = true // a connection that stays open would keep the user at this controller for every further query
 	case !a.Ready():
-		resp.Close = true // likewise; the load balancer brings the user to another controller
+		resp.Close = true // likewise; the load balancer routes the user to another controller
 	}
 	return resp
 }
 
-// statusResponse gives the status of a job.
+// statusResponse returns the response with the status of a job.
 func (a *API) statusResponse(code int, id string, rec store.JobRecord) *httpwire.Response {
 	s := wire.JobStatus{ID: id, Stage: rec.Stage}
 	switch {
@@ -208,14 +208,14 @@
 	return &httpwire.Response{Status: code, Body: wire.Encode(s)}
 }
 
-// unavailable answers that the request can't be served now, and when to come back.
+// unavailableResponse returns a response that the request cannot be served now, with the time to wait before a retry.
 func unavailableResponse() *httpwire.Response {
 	resp := errorResponse(http.StatusServiceUnavailable, admission.ErrRetryLater.Error())
 	resp.RetryAfter = defaultRetryDelay
 	return resp
 }
 
-// failure answers why a request is not served.
-func errorResponse(status int, why string) *httpwire.Response {
-	return &httpwire.Response{Status: status, Body: wire.Encode(wire.Failure{Error: why})}
+// errorResponse returns a response with the reason why a request is not served.
+func errorResponse(status int, reason string) *httpwire.Response {
+	return &httpwire.Response{Status: status, Body: wire.Encode(wire.Failure{Error: reason})}
 }
--- a/internal/user/user_test.go
+++ b/internal/user/user_test.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestPaths: what is no request of the users' interface is refused before anything is asked of the
-// admission service, and the load balancer learns whether users can be served.
+// TestPaths checks that a request with a path or method that the API does not have is rejected without a call to the
+// admission service, and that the load balancer learns whether users can be served.
 func TestPaths(t *testing.T) {
 	ready := true
 	api := &API{Log: slog.New(slog.DiscardHandler), Ready: func() bool { return ready }, StoreUnreachable: func() bool { return false }}
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestResponses: each outcome of the admission service has its status, and tells the user when to come
-// back and whether to another controller.
+// TestResponses checks the status code for each result of the admission service, when the user should retry, and whether
+// the connection is closed so that the retry may reach another controller.
 func TestResponses(t *testing.T) {
 	ready := true
 	api := &API{Log: slog.New(slog.DiscardHandler), Ready: func() bool { return ready }, CountTasks: func(string) (running, done int) { return 2, 1 }}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is the controllers' side of the workers' interface: it answers heartbeats, and calls
-// workers directly.
+// Package worker implements the controllers' side of the protocol with workers: it answers heartbeats and
+// calls workers directly.
 package worker
 
 import (
@@ -15,17 +15,17 @@
 )
 
 const (
-	// callTimeout bounds a direct call: a worker on the same network answers in milliseconds.
+	// callTimeout limits a direct call: a worker on the same network responds within milliseconds.
 	callTimeout = 2 * time.Second
-	// maxAnswer bounds the answer to a call, a heartbeat with all tasks of a machine.
+	// maxAnswer limits the response to a call, which is a heartbeat with all tasks of a machine.
 	maxResponseBytes = 1 << 20
 )
 
 // Client calls workers at their own addresses.
 type Client struct{ caller transport.Caller }
 
-// NewClient returns a client that keeps so many unused connections at most: those to thousands of
-// workers would take all sockets.
+// NewClient returns a client that keeps at most maxIdleConns idle connections. Without a limit, those to
+// thousands of workers would use up all sockets.
 func NewClient(net transport.Network, maxIdleConns int) *Client {
 	return &Client{transport.Caller{MaxBody: maxResponseBytes, MaxIdle: maxIdleConns, Dial: net.Dial}}
 }
@@ -47,24 +47,24 @@
 	return h, resp.Status, nil
 }
 
-// Send sends commands. The heartbeat that comes back is as of after the commands, or, with ok false,
-// as of their refusal.
+// Send sends commands to a worker. It returns the worker's heartbeat after it has accepted the commands (ok is
+// true) or refused them (ok is false).
 func (c *Client) Send(ctx context.Context, addr string, req wire.CommandRequest) (h *wire.Heartbeat, ok bool, err error) {
 	if req.Commands == nil {
-		req.Commands = []wire.Command{} // the wire has a list, also of none
+		req.Commands = []wire.Command{} // encode an empty list rather than null
 	}
 	h, status, err := c.call(ctx, addr, http.MethodPost, wire.PathCommands, wire.Encode(req))
 	return h, status == http.StatusOK, err
 }
 
-// Inspect asks a worker for its heartbeat.
+// Inspect requests a worker's heartbeat.
 func (c *Client) Inspect(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	h, _, err := c.call(ctx, addr, http.MethodGet, wire.PathStatus, nil)
 	return h, err
 }
 
-// Fence raises the fencing token at a worker, in whatever incarnation it is, and brings its
-// heartbeat; nil for no answer. An incarnation of 0 is not known.
+// Fence raises the fencing token of a worker, whatever its current incarnation, and returns the worker's
+// heartbeat, or nil if the worker does not respond. An incarnation of 0 means that it is unknown.
 func (c *Client) Fence(ctx context.Context, addr string, token, incarnation uint64) *wire.Heartbeat {
 	if incarnation == 0 {
 		h, err := c.Inspect(ctx, addr)
@@ -74,7 +74,7 @@
 		incarnation = h.Incarnation
 	}
 	h, ok, err := c.Send(ctx, addr, wire.CommandRequest{FencingToken: token, Incarnation: incarnation})
-	if err == nil && !ok && h.FencingToken < token && h.Incarnation != incarnation { // the guess was wrong
+	if err == nil && !ok && h.FencingToken < token && h.Incarnation != incarnation { // the given incarnation was wrong
 		h, _, err = c.Send(ctx, addr, wire.CommandRequest{FencingToken: token, Incarnation: h.Incarnation})
 	}
 	if err != nil {
@@ -83,13 +83,13 @@
 	return h
 }
 
-// HeartbeatResult is what becomes of a heartbeat: a response, or another controller.
+// HeartbeatResult is the result of handling a heartbeat: a response, or a redirect to another controller.
 type HeartbeatResult struct {
 	Response *wire.HeartbeatResponse
-	Leader   string // the controller to send it to instead; may be empty
+	Leader   string // the controller to redirect the worker to; may be empty
 }
 
-// Handler answers heartbeats by what handle makes of them.
+// Handler returns an HTTP handler that passes heartbeats to handle and encodes its results.
 func Handler(handle func(context.Context, *wire.Heartbeat) HeartbeatResult, log *slog.Logger) transport.Handler {
 	return func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		if req.Method != http.MethodPost {
--- a/internal/writers/writers.go
+++ b/internal/writers/writers.go
@@ -1,12 +1,12 @@
-// Package writers chooses which controllers write what users wait for. The state service takes few
-// changes a second from all controllers together. If many controllers shared these evenly, each
-// would wait a second and more for every write, however little there is to write, and write many
-// small batches. So at a large site a few controllers write for all, and the others forward
-// submissions and cancellations to them.
+// Package writers chooses which controllers write the submissions and cancellations of users. The state
+// service limits the changes per second of all controllers together. If many controllers shared this
+// limit evenly, each would wait a second or more for every write, even under little load, and would
+// write many small batches. At a large site a few controllers therefore write for all, and the others
+// forward submissions and cancellations to them.
 //
-// It does no I/O, and no safety rule rests on it: controllers that choose differently, or write what
-// they could have forwarded, only use more of the limits. The shares are such that the limits hold
-// also for a controller that gets no heartbeats and writes by itself.
+// The package does no I/O, and safety does not depend on it: controllers that choose different writers,
+// or write requests that they could have forwarded, only use more of the limits. The shares are such
+// that the limits hold even if a controller receives no heartbeats and writes for itself.
 package writers
 
 import (
@@ -16,49 +16,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A site with more controllers than forwardingThreshold has defaultWriters of them write.
+// At a site with more than forwardingThreshold controllers, defaultWriters of them write for all.
 const (
 	forwardingThreshold = 5
 	defaultWriters      = 4
 )
 
-// nonWriterReserve is the share of the changes for acceptance that is left to controllers which don't
-// write for others: each may be cut off from its peers and have to write by itself.
+// nonWriterReserve is the fraction of the limit on changes for accepting jobs that is left to the controllers
+// that do not write for others: each may be partitioned from its peers and have to write for itself.
 const nonWriterReserve = 0.15
 
-// The requests a second are shared by weight. Every controller has a weight of 1.
+// The limit on requests per second is shared by weight. The weight of a controller is 1 plus the following.
 const (
-	writerRequests = 2 // more, for writing for others
-	leaderRequests = 3 // more, for leading the fleet; a share of it for some of the shards
+	writerRequests = 2 // for writing on behalf of others
+	leaderRequests = 3 // for leading the whole fleet; proportionally less for leading some of the shards
 )
 
-// Policy is how many of a site's controllers write.
+// Policy determines how many of a site's controllers write, and their shares of the limits.
 type Policy struct {
 	Controllers int
-	MaxWriters  int // controllers that write for all; 0 where each writes by itself
+	MaxWriters  int // number of controllers that write for all; 0 if each writes for itself
 }
 
-// Auto has PolicyFor choose by the number of controllers.
+// Auto makes PolicyFor choose the number of writers by the number of controllers.
 const Auto = -1
 
-// PolicyFor returns the policy of a site with some number of controllers, of which set are to write
-// for all: Auto, or 0 for each by itself.
-func PolicyFor(controllers, set int) Policy {
+// PolicyFor returns the policy of a site with the given number of controllers. configured is the number of
+// controllers that write for all, 0 if each writes for itself, or Auto.
+func PolicyFor(controllers, configured int) Policy {
 	switch {
-	case set == Auto && controllers > forwardingThreshold:
+	case configured == Auto && controllers > forwardingThreshold:
 		return Policy{controllers, defaultWriters}
-	case set == Auto, set >= controllers:
+	case configured == Auto, configured >= controllers:
 		return Policy{controllers, 0}
 	}
-	return Policy{controllers, set}
+	return Policy{controllers, configured}
 }
 
-// Forwards reports whether there are controllers that write for others.
+// Forwards reports whether some controllers write for all, and the others forward to them.
 func (p Policy) Forwards() bool { return p.MaxWriters > 0 }
 
-// Choose names the writers, of the controllers that are alive. Leaders have enough to do and are left
-// out where there are others. Where no majority of all controllers is alive as seen from here, there
-// are none: a controller that sees so few may be cut off.
+// Choose returns the names of the writers among the live controllers. Leaders already have a high load and
+// are chosen only if there are too few others. If the caller sees no majority of all controllers alive,
+// it may be partitioned, and there are no writers.
 func (p Policy) Choose(alive []string, leads func(name string) bool) []string {
 	if !p.Forwards() || 2*len(alive) <= p.Controllers {
 		return nil
@@ -73,8 +73,8 @@
 	return ranked[:min(p.MaxWriters, len(ranked))]
 }
 
-// WriterOf names the writer of a key by rendezvous hashing, so that a writer that comes or goes moves
-// few other keys. It names none where all of them are to be avoided.
+// WriterOf returns the name of the writer of a key by rendezvous hashing, so that adding or removing a writer
+// moves few other keys. It returns "" if all writers are to be avoided.
 func WriterOf(writers []string, key string, avoid func(name string) bool) string {
 	best, weight := "", uint64(0)
 	for _, name := range writers {
@@ -88,7 +88,7 @@
 	return best
 }
 
-// WriteShare returns a controller's share of the changes that are there for acceptance.
+// WriteShare returns a controller's share of the limit on changes for accepting jobs.
 func (p Policy) WriteShare(writers []string, self string) float64 {
 	switch {
 	case !p.Forwards():
@@ -99,12 +99,12 @@
 	return p.MinWriteShare()
 }
 
-// EvenShare is the share of both changes and requests of a controller that has just started and knows
-// of no peer, or that runs beside an older version which forwards nothing and shares evenly. If all
-// start at once their shares sum to the whole; one that starts alone takes what the others leave.
+// EvenShare returns the share of both limits for a controller that has just started and knows of no peer, or
+// that runs alongside an older version, which forwards nothing and shares evenly. If all controllers start
+// at once, their shares add up to the whole; one that starts alone uses what the others leave.
 func (p Policy) EvenShare() float64 { return 1 / float64(p.Controllers) }
 
-// MinWriteShare returns the least share of those changes that any controller has.
+// MinWriteShare returns the smallest share of the limit on these changes that any controller has.
 func (p Policy) MinWriteShare() float64 {
 	if !p.Forwards() {
 		return 1 / float64(p.Controllers)
@@ -112,15 +112,15 @@
 	return nonWriterReserve / float64(p.Controllers-1)
 }
 
-// RequestShare returns a controller's share of the requests, where it leads a share of the fleet
-// from 0 to 1.
+// RequestShare returns a controller's share of the limit on requests. ledShare is the fraction of the
+// fleet's shards that it leads, from 0 to 1.
 func (p Policy) RequestShare(writers []string, self string, ledShare float64) float64 {
 	if !p.Forwards() {
 		return 1 / float64(p.Controllers)
 	}
-	mine := 1 + leaderRequests*ledShare
+	weight := 1 + leaderRequests*ledShare
 	if slices.Contains(writers, self) {
-		mine += writerRequests
+		weight += writerRequests
 	}
-	return mine / float64(p.Controllers+p.MaxWriters*writerRequests+leaderRequests)
+	return weight / float64(p.Controllers+p.MaxWriters*writerRequests+leaderRequests)
 }
--- a/internal/writers/writers_test.go
+++ b/internal/writers/writers_test.go
@@ -16,11 +16,11 @@
 
 func none(string) bool { return false }
 
-// TestPolicy: small sites write as they always did, each controller by itself.
+// TestPolicy checks that at small sites each controller writes for itself, with even shares.
 func TestPolicy(t *testing.T) {
-	for _, x := range []struct{ controllers, set, most int }{{1, Auto, 0}, {3, Auto, 0}, {5, Auto, 0}, {6, Auto, 4}, {24, Auto, 4}, {24, 0, 0}, {5, 2, 2}, {3, 3, 0}, {3, 9, 0}} {
-		if p := PolicyFor(x.controllers, x.set); p.MaxWriters != x.most {
-			t.Errorf("%d controllers, set to %d: %d write, not %d", x.controllers, x.set, p.MaxWriters, x.most)
+	for _, x := range []struct{ controllers, configured, want int }{{1, Auto, 0}, {3, Auto, 0}, {5, Auto, 0}, {6, Auto, 4}, {24, Auto, 4}, {24, 0, 0}, {5, 2, 2}, {3, 3, 0}, {3, 9, 0}} {
+		if p := PolicyFor(x.controllers, x.configured); p.MaxWriters != x.want {
+			t.Errorf("%d controllers, set to %d: %d write, not %d", x.controllers, x.configured, p.MaxWriters, x.want)
 		}
 	}
 	p := PolicyFor(5, Auto)
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestChoose: writers are alive and not the leader, and stay the same where others come and go.
+// TestChoose checks that the writers are live controllers other than the leader, and that they mostly stay the same when
+// other controllers come and go.
 func TestChoose(t *testing.T) {
 	p := PolicyFor(24, Auto)
 	all := names(24)
@@ -65,7 +66,7 @@
 	}
 }
 
-// TestWriterOf: keys are spread over the writers, and those of one that is avoided move alone.
+// TestWriterOf checks that keys are spread evenly over the writers, and that avoiding a writer moves only its own keys.
 func TestWriterOf(t *testing.T) {
 	writers, count := names(4), map[string]int{}
 	for i := range 4000 {
@@ -87,25 +88,25 @@
 	}
 }
 
-// TestSharesStayWithinLimits: whatever any controller believes of the others, no more is spent than there is while
-// a majority agrees, and others get heartbeats of too few.
+// TestSharesStayWithinLimits checks that the shares add up to no more than the limits if a majority chooses the same
+// writers while the other controllers receive heartbeats from too few and choose none.
 func TestSharesStayWithinLimits(t *testing.T) {
 	for _, n := range []int{6, 9, 24} {
 		p := PolicyFor(n, Auto)
 		all := names(n)
 		writers := p.Choose(all, none)
-		for _, apart := range []int{0, 1, n/2 - 1} { // that get no heartbeats
+		for _, partitioned := range []int{0, 1, n/2 - 1} { // controllers that receive no heartbeats
 			changes, requests := 0.0, 0.0
 			for i, name := range all {
-				seen := writers
-				if !slices.Contains(writers, name) && i >= n-apart {
-					seen = nil
+				known := writers
+				if !slices.Contains(writers, name) && i >= n-partitioned {
+					known = nil
 				}
-				changes += p.WriteShare(seen, name)
-				requests += p.RequestShare(seen, name, map[bool]float64{true: 1}[i == 0])
+				changes += p.WriteShare(known, name)
+				requests += p.RequestShare(known, name, map[bool]float64{true: 1}[i == 0])
 			}
-			if changes > 1+1e-9 || requests > 1+1e-9 || apart == 0 && math.Abs(requests-1) > 1e-9 {
-				t.Errorf("%d controllers, %d of them apart: %v of the changes, %v of the requests", n, apart, changes, requests)
+			if changes > 1+1e-9 || requests > 1+1e-9 || partitioned == 0 && math.Abs(requests-1) > 1e-9 {
+				t.Errorf("%d controllers, %d of them apart: %v of the changes, %v of the requests", n, partitioned, changes, requests)
 			}
 		}
 		if p.WriteShare(writers, writers[0]) <= 2*p.MinWriteShare() {
