--- a/internal/controller/leading.go
+++ b/internal/controller/leading.go
@@ -85,13 +85,13 @@
 	c.log.Info("leading", "shard", shard, "token", tenure.FencingToken)
 	go func() {
 		defer close(s.done)
-		g, groupCtx := errgroup.WithContext(leaderCtx)
+		g, leaderCtx := errgroup.WithContext(leaderCtx)
 		g.Go(func() error {
-			return s.Run(groupCtx, leader.Dependencies{Store: c.state.client, View: c.state.view, Follower: c.state.follow, Cloud: c.cloud, Workers: c.workers,
+			return s.Run(leaderCtx, leader.Dependencies{Store: c.state.client, View: c.state.view, Follower: c.state.follow, Cloud: c.cloud, Workers: c.workers,
 				LeaseValid: leaseValid, OnFenced: c.wake})
 		})
 		if s.compactor != nil {
-			g.Go(func() error { return s.compactor.Run(groupCtx) })
+			g.Go(func() error { return s.compactor.Run(leaderCtx) })
 		}
 		_ = g.Wait()
 	}()
--- a/internal/leadership/election.go
+++ b/internal/leadership/election.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxClockDrift is the fraction by which the rate of a machine's monotonic clock may be off.
+	// maxClockDrift is the fraction by which the monotonic clocks of two machines may run apart.
 	maxClockDrift = 0.0005
 	// leaseMargin is how long before its computed expiry a lease stops counting as valid.
 	leaseMargin = 200 * time.Millisecond
--- a/internal/leadership/settings_test.go
+++ b/internal/leadership/settings_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestDelayedTiersChangeIsRejected delays a transaction that changes the tiers. Before it is applied the settings have
-// been changed back, and other controllers have resharded the fleet and led shards that the transaction has no condition
-// on. It must be rejected, or two leaders would use different tiers.
+// been changed back, and other controllers have resharded the fleet and led shards that the transaction has no
+// condition on. It must be rejected, or two leaders would use different tiers.
 func TestDelayedTiersChangeIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -30,8 +30,8 @@
 		go gate.State.Follow.Run(ctx)
 		go gate.State.Follow.RunBarriers(ctx)
 		time.Sleep(time.Second)
-		service.Configure(func(s *simulator.StateService) {
-			s.HoldTxn = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
+		service.Configure(func(service *simulator.StateService) {
+			service.HoldTxn = func(puts []string) bool { return len(puts) == 1 && puts[0] == store.TiersKey }
 		})
 		if _, matches := gate.tiersCondition(ctx); matches {
 			t.Error("the state does not follow the settings yet")
--- a/internal/user/user_test.go
+++ b/internal/user/user_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestResponses checks the status code for each result of the admission service, when the user should retry, and whether
-// the connection is closed so that the retry may reach another controller.
+// TestResponses checks the status code for each result of the admission service, when the user should retry, and
+// whether the connection is closed so that the retry may reach another controller.
 func TestResponses(t *testing.T) {
 	ready := true
 	api := &API{Log: slog.New(slog.DiscardHandler), Ready: func() bool { return ready }, CountTasks: func(string) (running, done int) { return 2, 1 }}
--- a/internal/writers/writers_test.go
+++ b/internal/writers/writers_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestChoose checks that the writers are live controllers other than the leader, and that they mostly stay the same when
-// other controllers come and go.
+// TestChoose checks that the writers are live controllers other than the leader, and that they mostly stay the same
+// when other controllers come and go.
 func TestChoose(t *testing.T) {
 	p := PolicyFor(24, Auto)
 	all := names(24)
