--- a/internal/controller/candidacy.go
+++ b/internal/controller/candidacy.go
@@ -58,8 +58,8 @@
 }
 
 // partitioned returns the reason why this controller should resign, or "" if it should not. Its links
-// to the workers are down if many machines that it misses send heartbeats to a peer that could
-// lead, or if heartbeats arrive only through peers and calls to the machines fail.
+// to the workers are down if many of the machines whose heartbeats are missing here send them to a peer
+// that could lead, or if heartbeats arrive only through peers and calls to the machines fail.
 func (c *candidacy) partitioned(led *ledShard) (reason string) {
 	now := time.Now()
 	missing, uncallable := led.UnreachableMachines(now), led.CallsFailing(now)
