--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -17,7 +17,7 @@
 const (
 	// callTimeout limits a direct call: a worker on the same network responds within milliseconds.
 	callTimeout = 2 * time.Second
-	// maxAnswer limits the response to a call, which is a heartbeat with all tasks of a machine.
+	// maxResponseBytes limits the response to a call, which is a heartbeat with all tasks of a machine.
 	maxResponseBytes = 1 << 20
 )
 
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -15,7 +15,7 @@
 
 const addr = "10.4.0.1:9000"
 
-// agent is a worker that accepts commands only for its own incarnation.
+// fakeWorker is a worker that accepts commands only for its own incarnation.
 type fakeWorker struct {
 	incarnation, token uint64
 	calls              []string
