--- a/internal/archive/block.go
+++ b/internal/archive/block.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// lastBlock is the key of the block that no other follows: it sorts after every id.
-const lastBlock = "~"
+// lastBlockKey is the key of the block that no other follows: it sorts after every id.
+const lastBlockKey = "~"
 
 // Block is a block of the archive as it is stored, without its jobs being decoded.
 type Block struct {
--- a/internal/archive/cache.go
+++ b/internal/archive/cache.go
@@ -50,8 +50,8 @@
 	c.resets++
 }
 
-// change takes a block's new value.
-func (c *blockCache) change(it wire.KeyValue) {
+// applyChange takes a block's new value.
+func (c *blockCache) applyChange(it wire.KeyValue) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastChange = max(c.lastChange, it.Version)
@@ -92,9 +92,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.empty {
-		return &Block{To: lastBlock}, true
+		return &Block{To: lastBlockKey}, true
 	}
-	b := c.following(key)
+	b := c.firstEndingAfter(key)
 	if b == nil || !b.covers(key) {
 		return nil, false
 	}
@@ -103,8 +103,8 @@
 	return b, true
 }
 
-// following returns the first cached block that ends after a key.
-func (c *blockCache) following(key string) (b *Block) {
+// firstEndingAfter returns the first cached block that ends after a key.
+func (c *blockCache) firstEndingAfter(key string) (b *Block) {
 	c.blocks.Ascend(key, func(to string, at *Block) bool {
 		if to == key {
 			return true // it ends there, and the next one begins with the key
@@ -132,7 +132,7 @@
 	fresh := c.resets == resets && page.Revision >= c.lastChange
 	if len(page.Items) == 0 {
 		c.empty = fresh
-		return &Block{To: lastBlock}, nil
+		return &Block{To: lastBlockKey}, nil
 	}
 	for i, it := range page.Items {
 		var b *Block
--- a/internal/archive/compactor.go
+++ b/internal/archive/compactor.go
@@ -101,25 +101,25 @@
 	return more, nil
 }
 
-// upgradeQuietPeriod is how long after an upgrade nothing goes into the archive: a submission
+// upgradeGracePeriod is how long after an upgrade nothing goes into the archive: a submission
 // that an older version has sent does not respect the submission fence, and may arrive
 // minutes late.
-const upgradeQuietPeriod = 15 * time.Minute
+const upgradeGracePeriod = 15 * time.Minute
 
 // safeToArchive reports whether every record that may hold a live job is readable: an
 // unreadable batch may hold a job that would otherwise go into the archive.
 func (c *Compactor) safeToArchive() bool {
 	key, _ := c.View.UnreadableRecordFor("")
 	since := c.View.Format().Since
-	return key == "" && (since == 0 || time.Since(time.UnixMilli(since)) > upgradeQuietPeriod)
+	return key == "" && (since == 0 || time.Since(time.UnixMilli(since)) > upgradeGracePeriod)
 }
 
-// minOps is what every write must be able to do: put a block and delete a batch.
-const minOps = 2
+// minTxnOps is what every write must be able to do: put a block and delete a batch.
+const minTxnOps = 2
 
 // writeLimits are the limits of one write, which has only as many changes as others do not notice.
 func (c *Compactor) writeLimits() Limits {
-	return Limits{ValueBytes: c.Limits.ValueBytes, TxnOps: max(minOps, min(c.Limits.TxnOps, c.Store.WriteBurst()/2))}
+	return Limits{ValueBytes: c.Limits.ValueBytes, TxnOps: max(minTxnOps, min(c.Limits.TxnOps, c.Store.WriteBurst()/2))}
 }
 
 // stage moves the jobs of ended batches into a recent block.
@@ -129,7 +129,7 @@
 	if !c.worthStaging(maxBatches) {
 		return false, nil
 	}
-	batches, ok := c.quietBatches(maxBatches)
+	batches, ok := c.drainedBatches(maxBatches)
 	if !ok {
 		return false, nil
 	}
@@ -156,14 +156,14 @@
 	return waiting > 0 && (waiting >= maxBatches || now.Sub(c.waitingSince) >= c.MaxWait)
 }
 
-// quietBatches returns ended batches of which no task can be anywhere; ok is false while
+// drainedBatches returns ended batches of which no task can be anywhere; ok is false while
 // that is not known.
 //
 // The view's revision is read before the leader is asked for the jobs that may have tasks:
 // a job that has ended by that revision was launched before the question, if ever, so that
 // the answer names it. For one that ends later the question could come too early, between
 // its launch and its cancellation.
-func (c *Compactor) quietBatches(maxBatches int) (batches []*store.Batch, ok bool) {
+func (c *Compactor) drainedBatches(maxBatches int) (batches []*store.Batch, ok bool) {
 	drainedThrough := c.View.Revision()
 	withTasks, ok := c.JobsWithTasks()
 	if !ok {
--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -25,7 +25,7 @@
 // submitAndEnd submits jobs and ends most of them; what users were told is kept.
 func (w *harness) submitAndEnd(random *rand.Rand, name string, ids []string) {
 	for i := 0; i < len(ids); i += 3 {
-		w.must(w.submission(fmt.Sprintf("%s-%d", name, i), ids[i:min(i+3, len(ids))]...))
+		w.mustCommit(w.submission(fmt.Sprintf("%s-%d", name, i), ids[i:min(i+3, len(ids))]...))
 	}
 	_ = w.Barrier(context.Background())
 	for _, id := range ids {
@@ -36,22 +36,22 @@
 		case 1, 2:
 			stage = wire.Cancelled
 		}
-		w.must(w.endJob(id, stage))
+		w.mustCommit(w.endJob(id, stage))
 		_ = w.Barrier(context.Background())
-		w.reported[id] = stage
+		w.reportedStages[id] = stage
 	}
 }
 
-// check asks about every job whose end its user was told.
-func (w *harness) check(when string) {
+// checkAnswers asks about every job whose end its user was told.
+func (w *harness) checkAnswers(when string) {
 	w.t.Helper()
-	for id, stage := range w.reported {
-		if got := w.ask(id); got != string(stage) {
+	for id, stage := range w.reportedStages {
+		if got := w.lookUp(id); got != string(stage) {
 			w.t.Fatalf("%s: %s was %s, is called %s", when, id, stage, got)
 		}
 	}
 	for _, id := range []string{"wk-x", "wk-0", "wk-99999999999"} {
-		if got := w.ask(id); w.reported[id] == "" && got != "not known" {
+		if got := w.lookUp(id); w.reportedStages[id] == "" && got != "not known" {
 			w.t.Fatalf("%s: %s, which nobody submitted, is called %s", when, id, got)
 		}
 	}
@@ -91,10 +91,10 @@
 				late = append(late, w.submission(fmt.Sprintf("late-%d", i), ids[0])) // a copy, on its way
 				if err := w.compactAll(); err != nil {
 					crashed = true
-					w.check(fmt.Sprintf("crash at write %d, %s", at, fate))
+					w.checkAnswers(fmt.Sprintf("crash at write %d, %s", at, fate))
 					w.start(tinyLimits)
 					w.compactor.MergeThreshold = 1
-					w.check("after the restart")
+					w.checkAnswers("after the restart")
 				}
 				if i == 9 {
 					w.deliver(nil)
@@ -107,9 +107,9 @@
 					t.Fatal(err)
 				}
 			}
-			w.check("in the end")
+			w.checkAnswers("in the end")
 			w.start(tinyLimits)
-			w.check("read anew")
+			w.checkAnswers("read anew")
 			if problems := Verify(context.Background(), w.items()).Problems; len(problems) > 0 {
 				t.Fatalf("crash at write %d, %s: %v", at, fate, problems)
 			}
@@ -144,9 +144,9 @@
 			}
 			stage := []wire.Stage{wire.Done, wire.Cancelled}[k%2]
 			rec.Jobs[id] = store.JobRecord{Stage: stage, Tasks: 1 + k, Ended: 1}
-			w.reported[id] = stage
+			w.reportedStages[id] = stage
 		}
-		w.must(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
+		w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
 		if i%(each*64) == 0 {
 			_ = w.Barrier(t.Context())
 			if err := w.compactAll(); err != nil {
@@ -168,11 +168,11 @@
 		t.Errorf("a start reads %d keys", n)
 	}
 	asked := 0
-	for id, stage := range w.reported {
+	for id, stage := range w.reportedStages {
 		if asked++; asked > 2000 {
 			break
 		}
-		if got := w.ask(id); got != string(stage) {
+		if got := w.lookUp(id); got != string(stage) {
 			t.Fatalf("%s was %s, is called %s", id, stage, got)
 		}
 	}
@@ -189,10 +189,10 @@
 // run: it is compacted only after the leader was asked again.
 func TestJobCancelledDuringStaging(t *testing.T) {
 	w := newHarness(t, tinyLimits)
-	w.must(w.submission("a", "wk-1"))
-	w.must(w.submission("b", "wk-2"))
+	w.mustCommit(w.submission("a", "wk-1"))
+	w.mustCommit(w.submission("b", "wk-2"))
 	_ = w.Barrier(t.Context())
-	w.must(w.endJob("wk-1", wire.Done))
+	w.mustCommit(w.endJob("wk-1", wire.Done))
 	_ = w.Barrier(t.Context())
 	asked := 0
 	w.compactor.JobsWithTasks = func() (map[string]bool, bool) {
@@ -200,7 +200,7 @@
 			return map[string]bool{"wk-2": true}, true
 		}
 		defer func() {
-			w.must(w.endJob("wk-2", wire.Cancelled))
+			w.mustCommit(w.endJob("wk-2", wire.Cancelled))
 			_ = w.Barrier(t.Context())
 		}()
 		return nil, true
@@ -228,41 +228,41 @@
 		}
 		w.submitAndEnd(random, fmt.Sprintf("b-%d", i), ids)
 		if i%3 == 0 {
-			w.refused = fmt.Errorf("%w: status 429", store.ErrRefused)
+			w.storeError = fmt.Errorf("%w: status 429", store.ErrRefused)
 			if err := w.compactAll(); !errors.Is(err, store.ErrRefused) {
 				t.Fatalf("a refusal became %v", err)
 			}
-			w.refused = nil
+			w.storeError = nil
 		}
 	}
 	if err := w.compactAll(); err != nil {
 		t.Fatal(err)
 	}
-	w.check("in the end")
+	w.checkAnswers("in the end")
 	_, ended, _, _ := w.view.Size()
 	if batches := w.view.EndedBatches(99, func(*store.Batch) bool { return true }); len(batches) > 0 {
 		t.Errorf("%d batches are left, %d jobs", len(batches), ended)
 	}
 }
 
-// TestReaderKeepsNothingStale: a block that was read before a change of it that is
+// TestReaderDoesNotCacheStaleBlocks: a block that was read before a change of it that is
 // known already, or before changes were missed, answers once and is not kept.
-func TestReaderKeepsNothingStale(t *testing.T) {
+func TestReaderDoesNotCacheStaleBlocks(t *testing.T) {
 	old := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}})
 	newer := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
-	key := store.ArchivePrefix + lastBlock
+	key := store.ArchivePrefix + lastBlockKey
 	for _, meanwhile := range []func(r *Reader){
 		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9) },
-		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.cache.recency.Remove(lastBlock) }, // and fell out of the cache
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.cache.recency.Remove(lastBlockKey) }, // and fell out of the cache
 		func(r *Reader) { r.Reset() },
 	} {
 		slow := &hookedLister{page: &wire.KeyValueList{Revision: 5, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(old), Version: 4}}}}
 		r := NewReader(slow, 8, slog.New(slog.DiscardHandler))
-		slow.before = func() { meanwhile(r) }
+		slow.beforeReply = func() { meanwhile(r) }
 		if _, known, err := r.Find(t.Context(), "wk-1"); !known || err != nil {
 			t.Errorf("wk-1: %v, %v", known, err)
 		}
-		slow.before = func() {}
+		slow.beforeReply = func() {}
 		slow.page = &wire.KeyValueList{Revision: 9, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(newer), Version: 9}}}
 		if _, known, err := r.Find(t.Context(), "wk-2"); !known || err != nil {
 			t.Errorf("wk-2 is not found in what was read before it came: %v, %v", known, err)
@@ -271,13 +271,13 @@
 }
 
 type hookedLister struct {
-	page   *wire.KeyValueList
-	before func()
+	page        *wire.KeyValueList
+	beforeReply func()
 }
 
 func (s *hookedLister) List(context.Context, string, string, int) (*wire.KeyValueList, error) {
 	page := s.page
-	s.before() // while the answer is on its way
+	s.beforeReply() // while the answer is on its way
 	return page, nil
 }
 
@@ -291,7 +291,7 @@
 		return wire.KeyValue{Key: key, Value: wire.Encode(v), Version: 3}
 	}
 	whole := []wire.KeyValue{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.FencingTokenKey, uint64(4)),
-		block("0250", "", entry("wk-7")), block(lastBlock, "0250", entry("wk-60"))}
+		block("0250", "", entry("wk-7")), block(lastBlockKey, "0250", entry("wk-60"))}
 	if r := Verify(t.Context(), whole); len(r.Problems) > 0 {
 		t.Fatalf("the state is whole: %v", r.Problems)
 	}
@@ -318,7 +318,7 @@
 			items[it.Key] = it
 		}
 		if c.item.Key == "" {
-			delete(items, store.ArchivePrefix+lastBlock)
+			delete(items, store.ArchivePrefix+lastBlockKey)
 		} else {
 			items[c.item.Key] = c.item
 		}
@@ -335,13 +335,13 @@
 // countingLister counts the reads that are made, and how many at the same time.
 type countingLister struct {
 	Lister
-	all, now, most atomic.Int64
+	total, current, peak atomic.Int64
 }
 
 func (c *countingLister) List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
-	c.all.Add(1)
-	c.most.Store(max(c.most.Load(), c.now.Add(1)))
-	defer c.now.Add(-1)
+	c.total.Add(1)
+	c.peak.Store(max(c.peak.Load(), c.current.Add(1)))
+	defer c.current.Add(-1)
 	time.Sleep(40 * time.Millisecond)
 	return c.Lister.List(ctx, prefix, after, limit)
 }
@@ -359,9 +359,9 @@
 			for k := range 10 {
 				id := fmt.Sprintf("wk-%06d", ids[i*10+k])
 				rec.Jobs[id] = store.JobRecord{Stage: wire.Done, Tasks: 1 + k, Ended: 1}
-				w.reported[id] = wire.Done
+				w.reportedStages[id] = wire.Done
 			}
-			w.must(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
+			w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
 			_ = w.Barrier(t.Context())
 			if err := w.compactAll(); err != nil {
 				t.Fatal(err)
@@ -370,7 +370,7 @@
 		list := &countingLister{Lister: w}
 		r := NewReader(list, 1000, slog.New(slog.DiscardHandler))
 		var group sync.WaitGroup
-		for id, stage := range w.reported {
+		for id, stage := range w.reportedStages {
 			if _, known := w.view.Job(id); known {
 				continue
 			}
@@ -383,8 +383,8 @@
 			})
 		}
 		group.Wait()
-		if blocks := int64(len(w.store.Page(store.ArchivePrefix, store.ArchivePrefix, 1000).Items)); blocks < 8 || list.all.Load() > blocks || list.most.Load() > maxConcurrentReads {
-			t.Errorf("%d reads of %d blocks, %d at the same time", list.all.Load(), blocks, list.most.Load())
+		if blocks := int64(len(w.store.Page(store.ArchivePrefix, store.ArchivePrefix, 1000).Items)); blocks < 8 || list.total.Load() > blocks || list.peak.Load() > maxConcurrentReads {
+			t.Errorf("%d reads of %d blocks, %d at the same time", list.total.Load(), blocks, list.peak.Load())
 		}
 	})
 }
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -24,20 +24,20 @@
 	view             *store.View
 	reader           *Reader
 	compactor        *Compactor
-	withTasks        map[string]bool
+	jobsWithTasks    map[string]bool
 	delayed          []wire.Txn // under way, to be delivered late
 	crashOutcome     string     // of the next writes of the compactor
 	writesUntilCrash int        // writes of the compactor until it crashes, below 0 for none
-	refused          error      // what the state service answers, if it is set
+	storeError       error      // what the state service answers, if it is set
 	elections        int
-	writes           []string
-	reported         map[string]wire.Stage
+	writeLog         []string
+	reportedStages   map[string]wire.Stage
 }
 
 var errCrash = errors.New("crashed")
 
 func newHarness(t testing.TB, lim Limits) *harness {
-	w := &harness{t: t, store: simulator.NewStateService(1, 0), withTasks: map[string]bool{}, writesUntilCrash: -1, reported: map[string]wire.Stage{}}
+	w := &harness{t: t, store: simulator.NewStateService(1, 0), jobsWithTasks: map[string]bool{}, writesUntilCrash: -1, reportedStages: map[string]wire.Stage{}}
 	w.store.Limits = simulator.StateLimits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
 	w.start(lim)
 	return w
@@ -47,7 +47,7 @@
 func (w *harness) start(lim Limits) {
 	log := slog.New(slog.DiscardHandler)
 	w.elections++
-	w.must(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "me", FencingToken: uint64(w.elections), Format: store.Format}}}})
+	w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "me", FencingToken: uint64(w.elections), Format: store.Format}}}})
 	w.reader = NewReader(w, 64, log)
 	w.view = store.NewView(log)
 	w.view.Archive = w.reader
@@ -56,10 +56,10 @@
 	leader, _ := w.view.Leader("fleet")
 	w.compactor = &Compactor{Store: w, View: w.view, Follower: w, Reader: w.reader, Limits: lim, Log: log,
 		Fence: wire.Condition{Key: store.LeaderKey("fleet"), Version: leader.Version}, Interval: time.Microsecond, MergeThreshold: 4,
-		JobsWithTasks: func() (map[string]bool, bool) { return w.withTasks, true }, LeaseValid: func() bool { return true }}
+		JobsWithTasks: func() (map[string]bool, bool) { return w.jobsWithTasks, true }, LeaseValid: func() bool { return true }}
 }
 
-func (w *harness) must(txn wire.Txn) uint64 {
+func (w *harness) mustCommit(txn wire.Txn) uint64 {
 	status, res := w.store.Commit(txn)
 	if status != 200 {
 		w.t.Fatalf("%d, failed %v", status, res.Failed)
@@ -81,18 +81,18 @@
 func (w *harness) WriteBurst() int                               { return 2 * w.compactor.Limits.TxnOps }
 
 func (w *harness) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
-	if w.refused != nil {
-		return nil, w.refused
+	if w.storeError != nil {
+		return nil, w.storeError
 	}
 	return w.store.Page(prefix, after, limit), nil
 }
 
 // Txn takes a write of the compactor.
 func (w *harness) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
-	if w.refused != nil {
-		return 0, w.refused
+	if w.storeError != nil {
+		return 0, w.storeError
 	}
-	w.writes = append(w.writes, describe(txn)...)
+	w.writeLog = append(w.writeLog, describeTxn(txn)...)
 	switch {
 	case w.writesUntilCrash == 0 && w.crashOutcome == "taken": // it is committed, and the compactor gets no answer
 		w.writesUntilCrash = -1
@@ -114,14 +114,14 @@
 	case 200:
 		return res.Revision, nil
 	case 409:
-		w.writes = append(w.writes, "refused on "+strings.Join(short(res.Failed), ", "))
+		w.writeLog = append(w.writeLog, "refused on "+strings.Join(shortKeys(res.Failed), ", "))
 		return 0, &store.ConflictError{Failed: res.Failed}
 	}
-	w.t.Fatalf("status %d for %v", status, describe(txn))
+	w.t.Fatalf("status %d for %v", status, describeTxn(txn))
 	return 0, nil
 }
 
-func short(keys []string) (out []string) {
+func shortKeys(keys []string) (out []string) {
 	for _, k := range keys {
 		out = append(out, strings.TrimPrefix(strings.TrimPrefix(k, store.StatePrefix), store.CommonPrefix+"-"))
 	}
@@ -129,20 +129,20 @@
 	return out
 }
 
-func describe(txn wire.Txn) (out []string) {
+func describeTxn(txn wire.Txn) (out []string) {
 	for _, c := range txn.Then {
 		switch rec := c.Value.(type) {
 		case jobblock.Record:
-			line := fmt.Sprintf("put %s with %d jobs", short([]string{c.Put})[0], rec.Count)
+			line := fmt.Sprintf("put %s with %d jobs", shortKeys([]string{c.Put})[0], rec.Count)
 			if rec.From != "" {
 				line += " from " + rec.From
 			}
 			out = append(out, line)
 		default:
 			if c.Delete != "" {
-				out = append(out, "drop "+short([]string{c.Delete})[0])
+				out = append(out, "drop "+shortKeys([]string{c.Delete})[0])
 			} else {
-				out = append(out, "put "+short([]string{c.Put})[0])
+				out = append(out, "put "+shortKeys([]string{c.Put})[0])
 			}
 		}
 	}
@@ -179,8 +179,8 @@
 	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Change()}}
 }
 
-// ask returns what a user is answered about a job, as every controller finds it.
-func (w *harness) ask(id string) string {
+// lookUp returns what a user is answered about a job, as every controller finds it.
+func (w *harness) lookUp(id string) string {
 	if rec, known := w.view.Job(id); known {
 		return string(rec.Stage)
 	}
@@ -190,7 +190,7 @@
 	case err != nil:
 		return "come back: " + strings.TrimPrefix(err.Error(), store.CommonPrefix+"-")
 	case !known && doubt != "":
-		return "come back: " + short([]string{doubt})[0]
+		return "come back: " + shortKeys([]string{doubt})[0]
 	case !known:
 		return "not known"
 	}
--- a/internal/archive/idset.go
+++ b/internal/archive/idset.go
@@ -11,8 +11,8 @@
 
 // idSet is a set of very many job ids: numbers, in a compressed bitmap for each length.
 type idSet struct {
-	numbers map[int]*roaring64.Bitmap // by number of digits
-	texts   map[string]bool           // ids that do not fit a number of 64 bits
+	numbers    map[int]*roaring64.Bitmap // by number of digits
+	nonNumeric map[string]bool           // ids that do not fit a number of 64 bits
 }
 
 func newIDSet() idSet { return idSet{map[int]*roaring64.Bitmap{}, map[string]bool{}} }
@@ -22,8 +22,8 @@
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
-		known := s.texts[id]
-		s.texts[id] = true
+		known := s.nonNumeric[id]
+		s.nonNumeric[id] = true
 		return !known
 	}
 	set := s.numbers[len(digits)]
--- a/internal/archive/merge.go
+++ b/internal/archive/merge.go
@@ -19,7 +19,7 @@
 			return true, c.advanceSubmissionFence(ctx, fence)
 		}
 	}
-	entries, keep := c.archivable(blocks)
+	entries, keep := c.archivableEntries(blocks)
 	blocked, err := c.archiveEntries(ctx, entries)
 	if err != nil {
 		return false, err
@@ -34,13 +34,13 @@
 	for _, id := range blocked {
 		keep[id] = true
 	}
-	return true, c.clearRecent(ctx, blocks, keep)
+	return true, c.clearRecentBlocks(ctx, blocks, keep)
 }
 
-// archivable returns, in order, the jobs of recent blocks that may go into the archive, and
+// archivableEntries returns, in order, the jobs of recent blocks that may go into the archive, and
 // those that must be kept because a batch still holds them: the recent block may be the only
 // record of their end.
-func (c *Compactor) archivable(blocks []store.RecentBlock) (entries []jobblock.Entry, keep map[string]bool) {
+func (c *Compactor) archivableEntries(blocks []store.RecentBlock) (entries []jobblock.Entry, keep map[string]bool) {
 	keep = make(map[string]bool)
 	for _, r := range blocks {
 		for _, e := range r.Block.Entries() {
@@ -98,7 +98,7 @@
 	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrUnknownOutcome), err != nil && ctx.Err() != nil:
 		return 0, err
 	case err != nil:
-		w.block(entries[:1], err)
+		w.markBlocked(entries[:1], err)
 		return 1, nil
 	}
 	plan, unreadable := planMerge(b, entries, w.limits)
@@ -113,19 +113,19 @@
 	}
 	w.pending = append(w.pending, plan.blocks...)
 	if unreadable != nil {
-		w.block(entries[:plan.taken], unreadable)
+		w.markBlocked(entries[:plan.covered], unreadable)
 	}
-	return plan.taken, nil
+	return plan.covered, nil
 }
 
 // fits reports whether blocks may go into the write with the pending ones.
 func (w *blockWriter) fits(blocks []*Block) bool {
 	return len(w.pending) == 0 ||
-		len(w.pending)+len(blocks) <= w.limits.TxnOps && encodedBytes(w.pending)+encodedBytes(blocks) <= txnBytes
+		len(w.pending)+len(blocks) <= w.limits.TxnOps && encodedBytes(w.pending)+encodedBytes(blocks) <= maxTxnBytes
 }
 
-// block notes entries that wait because their block can't be read.
-func (w *blockWriter) block(entries []jobblock.Entry, err error) {
+// markBlocked notes entries that wait because their block can't be read.
+func (w *blockWriter) markBlocked(entries []jobblock.Entry, err error) {
 	w.compactor.Log.Error("archive block can't be read, jobs wait for it", "jobs", len(entries), "err", err)
 	for _, e := range entries {
 		w.blocked = append(w.blocked, e.ID)
@@ -145,15 +145,15 @@
 	return err
 }
 
-// clearRecent empties recent blocks whose jobs are in the archive, but for those to keep.
-func (c *Compactor) clearRecent(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
+// clearRecentBlocks empties recent blocks whose jobs are in the archive, but for those to keep.
+func (c *Compactor) clearRecentBlocks(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
 	for len(blocks) > 0 {
-		n := min(len(blocks), c.writeLimits().TxnOps, max(1, txnBytes/c.Limits.ValueBytes))
+		n := min(len(blocks), c.writeLimits().TxnOps, max(1, maxTxnBytes/c.Limits.ValueBytes))
 		var txn wire.Txn
 		for _, r := range blocks[:n] {
 			key := store.RecentKey(r.Index)
 			txn.If = append(txn.If, wire.Condition{Key: key, Version: r.Version})
-			txn.Then = append(txn.Then, wire.Operation{Put: key, Value: jobblock.Pack("", kept(r.Block, keep))})
+			txn.Then = append(txn.Then, wire.Operation{Put: key, Value: jobblock.Pack("", keptEntries(r.Block, keep))})
 		}
 		if _, err := c.commit(ctx, txn); err != nil {
 			return err
@@ -163,8 +163,8 @@
 	return c.Follower.Barrier(ctx)
 }
 
-// kept returns the entries of a block that are to be kept.
-func kept(block *jobblock.Block, keep map[string]bool) (entries []jobblock.Entry) {
+// keptEntries returns the entries of a block that are to be kept.
+func keptEntries(block *jobblock.Block, keep map[string]bool) (entries []jobblock.Entry) {
 	for _, e := range block.Entries() {
 		if keep[e.ID] {
 			entries = append(entries, e)
--- a/internal/archive/plan.go
+++ b/internal/archive/plan.go
@@ -13,8 +13,8 @@
 	ValueBytes, TxnOps int
 }
 
-// txnBytes bounds the values of one write together.
-const txnBytes = 48 << 10
+// maxTxnBytes bounds the values of one write together.
+const maxTxnBytes = 48 << 10
 
 // stageSize is how much a write moves into a recent block.
 type stageSize struct{ jobs, batches int }
@@ -23,7 +23,7 @@
 // of the block, and the deletion of each batch whose jobs are in it, of as many as fit.
 // Blocks that can't be read are left alone.
 func planStage(batches []*store.Batch, lookup func(id string) (store.JobRecord, bool), recents []store.RecentBlock, lim Limits) (txn wire.Txn, size stageSize) {
-	target := openRecentBlock(recents, lim)
+	target := selectRecentBlock(recents, lim)
 	var record jobblock.Record
 	for _, b := range batches {
 		entries, ended := endedEntries(b, lookup)
@@ -32,7 +32,7 @@
 		}
 		next, _ := jobblock.Sort(append(slices.Clone(target.entries), entries...))
 		r := jobblock.Pack("", next)
-		if size.batches > 0 && (!r.Fits(lim.ValueBytes) || len(txn.Then)+minOps > lim.TxnOps) {
+		if size.batches > 0 && (!r.Fits(lim.ValueBytes) || len(txn.Then)+minTxnOps > lim.TxnOps) {
 			break
 		}
 		target.entries, record = next, r
@@ -61,15 +61,15 @@
 	return entries, ended
 }
 
-// recentTarget is the recent block that jobs are moved into.
-type recentTarget struct {
+// stagingTarget is the recent block that jobs are moved into.
+type stagingTarget struct {
 	index   int
 	version uint64
 	entries []jobblock.Entry
 }
 
-// openRecentBlock picks the fullest recent block that has room for more, or else a new one.
-func openRecentBlock(recents []store.RecentBlock, lim Limits) recentTarget {
+// selectRecentBlock picks the fullest recent block that has room for more, or else a new one.
+func selectRecentBlock(recents []store.RecentBlock, lim Limits) stagingTarget {
 	best := store.RecentBlock{Index: -1}
 	used := make(map[int]bool)
 	for _, r := range recents {
@@ -82,13 +82,13 @@
 		}
 	}
 	if best.Index >= 0 {
-		return recentTarget{best.Index, best.Version, best.Block.Entries()}
+		return stagingTarget{best.Index, best.Version, best.Block.Entries()}
 	}
 	index := 0
 	for used[index] {
 		index++
 	}
-	return recentTarget{index: index}
+	return stagingTarget{index: index}
 }
 
 // isFull reports whether a recent block takes no more: an eighth is left for a large batch.
@@ -118,7 +118,7 @@
 // mergePlan is what takes the place of one block of the archive.
 type mergePlan struct {
 	blocks      []*Block
-	taken       int      // entries that the block covers
+	covered     int      // entries that the block covers
 	conflicting []string // jobs whose final stage would change
 }
 
@@ -126,14 +126,14 @@
 // block that can't be read says only how many entries it covers.
 func planMerge(b *Block, entries []jobblock.Entry, lim Limits) (mergePlan, error) {
 	var plan mergePlan
-	for plan.taken < len(entries) && b.covers(jobblock.SortKey(entries[plan.taken].ID)) {
-		plan.taken++
+	for plan.covered < len(entries) && b.covers(jobblock.SortKey(entries[plan.covered].ID)) {
+		plan.covered++
 	}
 	old, err := b.unpack()
 	if err != nil {
 		return plan, err
 	}
-	all, conflicting := jobblock.Sort(append(old.Entries(), entries[:plan.taken]...))
+	all, conflicting := jobblock.Sort(append(old.Entries(), entries[:plan.covered]...))
 	plan.conflicting = conflicting
 	records := jobblock.Split(b.From, all, lim.ValueBytes)
 	for i, r := range records {
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -54,7 +54,7 @@
 
 // BlockChanged implements store.ArchiveObserver.
 func (r *Reader) BlockChanged(key string, raw wire.Raw, version uint64) {
-	r.cache.change(wire.KeyValue{Key: key, Value: raw, Version: version})
+	r.cache.applyChange(wire.KeyValue{Key: key, Value: raw, Version: version})
 }
 
 // Stats returns the counts of the cache.
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -19,26 +19,26 @@
 // or a step of the compactor or of the test itself.
 func (w *harness) runStep(line string) []string {
 	words, _ := simulator.Words(line)
-	w.writes = nil
+	w.writeLog = nil
 	held := words[len(words)-1] == "held"
 	if held {
 		words = words[:len(words)-1]
 	}
-	txn, isWrite := w.writeOf(words)
+	txn, isWrite := w.parseWrite(words)
 	switch {
 	case !isWrite:
-		return w.ownStep(line, words)
+		return w.runHarnessStep(line, words)
 	case held:
 		w.delayed = append(w.delayed, txn)
 	default:
-		w.must(txn)
+		w.mustCommit(txn)
 		_ = w.Barrier(context.Background())
 	}
 	return nil
 }
 
-// writeOf returns the write that a line is about, if it is about one.
-func (w *harness) writeOf(words []string) (txn wire.Txn, isWrite bool) {
+// parseWrite returns the write that a line is about, if it is about one.
+func (w *harness) parseWrite(words []string) (txn wire.Txn, isWrite bool) {
 	switch words[0] {
 	case "submit":
 		return w.submission(words[1], words[2:]...), true
@@ -57,29 +57,29 @@
 	return wire.Txn{}, false
 }
 
-// ownStep makes a step that is no write of others.
-func (w *harness) ownStep(line string, words []string) []string {
+// runHarnessStep makes a step that is no write of others.
+func (w *harness) runHarnessStep(line string, words []string) []string {
 	switch words[0] {
 	case "ending": // jobs that may still have a task somewhere
-		clear(w.withTasks)
+		clear(w.jobsWithTasks)
 		for _, id := range words[1:] {
-			w.withTasks[id] = true
+			w.jobsWithTasks[id] = true
 		}
 	case "settle", "merge":
 		return w.compact(words[0], words[1:])
 	case "deliver": // what was under way arrives, again if the step says so
 		return w.deliver(words[1:])
 	case "claim": // another controller leads the fleet now; this one does not know
-		w.must(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
+		w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
 	case "start":
 		w.start(traceLimits)
 	case "spoil": // a record as a newer version might write it
 		rec := jobblock.Pack("", nil)
 		rec.Format++
-		w.must(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
+		w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
 		_ = w.Barrier(context.Background())
 	case "ask":
-		return []string{w.ask(words[1])}
+		return []string{w.lookUp(words[1])}
 	case "keys":
 		return w.keys()
 	default:
@@ -91,7 +91,7 @@
 // keys lists all keys of the state service.
 func (w *harness) keys() (out []string) {
 	for _, it := range w.store.Page(store.CommonPrefix, "", 0).Items {
-		out = append(out, short([]string{it.Key})[0])
+		out = append(out, shortKeys([]string{it.Key})[0])
 	}
 	return out
 }
@@ -120,23 +120,23 @@
 		}
 	}
 	if err != nil && !errors.Is(err, errStale) {
-		w.writes = append(w.writes, err.Error())
+		w.writeLog = append(w.writeLog, err.Error())
 	}
 	if err == nil {
 		_ = w.Barrier(ctx)
 	}
-	return w.writes
+	return w.writeLog
 }
 
 func (w *harness) deliver(words []string) []string {
 	var out []string
 	for _, txn := range w.delayed {
 		status, res := w.store.Commit(txn)
-		line := strings.Join(describe(txn), ", ")
+		line := strings.Join(describeTxn(txn), ", ")
 		if status == 200 {
 			out = append(out, line+": taken")
 		} else {
-			out = append(out, line+": refused on "+strings.Join(short(res.Failed), ", "))
+			out = append(out, line+": refused on "+strings.Join(shortKeys(res.Failed), ", "))
 		}
 	}
 	if len(words) == 0 {
--- a/internal/archive/verify.go
+++ b/internal/archive/verify.go
@@ -42,11 +42,11 @@
 // verifier reads all keys once, in order.
 type verifier struct {
 	Report
-	ended  idSet
-	stages map[string]wire.Stage // of jobs that have ended, outside of the archive
-	live   map[string]string     // keys of batches that call a job live, by its id
-	next   string                // the first key that no block has covered yet
-	blocks int                   // of the archive
+	ended          idSet
+	stages         map[string]wire.Stage // of jobs that have ended, outside of the archive
+	live           map[string]string     // keys of batches that call a job live, by its id
+	firstUncovered string                // the first key that no block has covered yet
+	archiveBlocks  int                   // of the archive
 }
 
 // Verify reads a whole state and checks every invariant that docs/archive.md names.
@@ -55,7 +55,7 @@
 	v.Kinds = map[string]*KindStats{}
 	for _, it := range archiveLast(items) {
 		if ctx.Err() != nil {
-			v.report("", "broken off: %v", ctx.Err())
+			v.addProblem("", "broken off: %v", ctx.Err())
 			break
 		}
 		v.checkItem(it)
@@ -81,8 +81,8 @@
 	return items
 }
 
-// report adds a problem, of a key if it is one.
-func (v *verifier) report(key, format string, args ...any) {
+// addProblem adds a problem, of a key if it is one.
+func (v *verifier) addProblem(key, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if key != "" {
 		text = key + ": " + text
@@ -95,7 +95,7 @@
 // decode reads a record; one that can't be decoded is a problem.
 func decode[T any](v *verifier, it wire.KeyValue) (rec T, ok bool) {
 	if err := wire.DecodeValue(it.Value, &rec); err != nil {
-		v.report(it.Key, "record not understood: %v", err)
+		v.addProblem(it.Key, "record not understood: %v", err)
 		return rec, false
 	}
 	return rec, true
@@ -106,8 +106,8 @@
 
 // finish checks what shows only at the end.
 func (v *verifier) finish() {
-	if v.blocks > 0 && v.next != lastBlock {
-		v.report(store.ArchivePrefix+lastBlock, "what comes from %q on is covered by no block", v.next)
+	if v.archiveBlocks > 0 && v.firstUncovered != lastBlockKey {
+		v.addProblem(store.ArchivePrefix+lastBlockKey, "what comes from %q on is covered by no block", v.firstUncovered)
 	}
 	for id := range v.live {
 		if v.stages[id] == "" {
--- a/internal/archive/verify_ended.go
+++ b/internal/archive/verify_ended.go
@@ -12,7 +12,7 @@
 // recordEnd takes a final stage: it must be the same everywhere.
 func (v *verifier) recordEnd(key, id string, stage wire.Stage) {
 	if before, ok := v.stages[id]; ok && before != stage {
-		v.report(key, "job %s was %s, is called %s", id, before, stage)
+		v.addProblem(key, "job %s was %s, is called %s", id, before, stage)
 		return
 	}
 	v.stages[id] = stage
@@ -46,14 +46,14 @@
 	}
 	k.Jobs += rec.Count
 	to := strings.TrimPrefix(it.Key, store.ArchivePrefix)
-	v.blocks++
-	if rec.From != v.next {
-		v.report(it.Key, "begins at %q: what comes from %q on is covered by no block, or by two", rec.From, v.next)
+	v.archiveBlocks++
+	if rec.From != v.firstUncovered {
+		v.addProblem(it.Key, "begins at %q: what comes from %q on is covered by no block, or by two", rec.From, v.firstUncovered)
 	}
-	v.next = to
+	v.firstUncovered = to
 	for e := range v.orderedEntries(it.Key, rec) {
 		if at := jobblock.SortKey(e.ID); at < rec.From || at >= to {
-			v.report(it.Key, "holds job %s, which it does not cover", e.ID)
+			v.addProblem(it.Key, "holds job %s, which it does not cover", e.ID)
 		}
 		v.checkArchivedJob(it.Key, e)
 	}
@@ -64,14 +64,14 @@
 	return func(yield func(jobblock.Entry) bool) {
 		blk, err := rec.Unpack()
 		if err != nil {
-			v.report(key, "%v", err)
+			v.addProblem(key, "%v", err)
 			return
 		}
 		before := ""
 		for _, e := range blk.Entries() {
 			at := jobblock.SortKey(e.ID)
 			if at <= before {
-				v.report(key, "job %s is out of order", e.ID)
+				v.addProblem(key, "job %s is out of order", e.ID)
 			}
 			before = at
 			if !yield(e) {
@@ -85,10 +85,10 @@
 func (v *verifier) checkArchivedJob(key string, e jobblock.Entry) {
 	stage, ended := v.stages[e.ID]
 	if batch, live := v.live[e.ID]; live && stage == "" {
-		v.report(key, "job %s is over, and live in %s", e.ID, batch)
+		v.addProblem(key, "job %s is over, and live in %s", e.ID, batch)
 	}
 	if ended && stage != e.Stage {
-		v.report(key, "job %s was %s, is called %s", e.ID, stage, e.Stage)
+		v.addProblem(key, "job %s was %s, is called %s", e.ID, stage, e.Stage)
 	}
 	v.countEnded(e.ID)
 }
--- a/internal/archive/verify_live.go
+++ b/internal/archive/verify_live.go
@@ -35,7 +35,7 @@
 	k.add(it)
 	check := kindChecks[kind]
 	if check == nil {
-		v.report(it.Key, "of an unknown kind")
+		v.addProblem(it.Key, "of an unknown kind")
 		return
 	}
 	check(v, it, k)
@@ -73,7 +73,7 @@
 		return
 	}
 	if token < v.FencingToken {
-		v.report(it.Key, "the counter of terms is %d, a part is held with term %d", token, v.FencingToken)
+		v.addProblem(it.Key, "the counter of terms is %d, a part is held with term %d", token, v.FencingToken)
 	}
 	v.FencingToken = max(v.FencingToken, token)
 }
@@ -86,9 +86,9 @@
 	v.Format = rec.Format
 	switch {
 	case rec.Import != "":
-		v.report(it.Key, "an import was not finished")
+		v.addProblem(it.Key, "an import was not finished")
 	case rec.Format > store.FormatSharded:
-		v.report(it.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
+		v.addProblem(it.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
 	}
 }
 
@@ -96,11 +96,11 @@
 func (v *verifier) checkBatchJob(key, id string, job store.JobRecord) {
 	switch {
 	case !wire.ValidJobID(id):
-		v.report(key, "%q is not the id of a job", id)
+		v.addProblem(key, "%q is not the id of a job", id)
 	case job.Stage.Final():
 		v.recordEnd(key, id, job.Stage)
 	case job.Job == nil:
-		v.report(key, "job %s is %q and has no description", id, job.Stage)
+		v.addProblem(key, "job %s is %q and has no description", id, job.Stage)
 	default:
 		v.live[id] = key
 	}
--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -61,24 +61,24 @@
 
 // idGroup is a run of ids of one length. Ids that fit a number are kept as one.
 type idGroup struct {
-	width int      // digits of each id
-	first int      // position of its first id in the block
-	ids   []uint64 // of up to maxNumericDigits digits
-	texts []string // longer ones
+	width   int      // digits of each id
+	first   int      // position of its first id in the block
+	numbers []uint64 // of up to maxNumericDigits digits
+	longIDs []string // longer ones
 }
 
-func (g *idGroup) len() int { return len(g.ids) + len(g.texts) }
+func (g *idGroup) len() int { return len(g.numbers) + len(g.longIDs) }
 
 // find returns the position of an id in the group.
 func (g *idGroup) find(digits string) (position int, found bool) {
 	if g.width > maxNumericDigits {
-		return slices.BinarySearch(g.texts, digits)
+		return slices.BinarySearch(g.longIDs, digits)
 	}
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		return 0, false
 	}
-	return slices.BinarySearch(g.ids, n)
+	return slices.BinarySearch(g.numbers, n)
 }
 
 // outcome is the number of a job's tasks, with a lowest bit that says whether it was cancelled.
@@ -87,8 +87,8 @@
 // maxOutcome is the largest one that a job can have.
 const maxOutcome = wire.MaxTasks<<1 | 1
 
-// encodedOutcome is the outcome of a job as it is written.
-func encodedOutcome(e Entry) uint64 {
+// encodeOutcome is the outcome of a job as it is written.
+func encodeOutcome(e Entry) uint64 {
 	o := uint64(e.Tasks) << 1
 	if e.Stage == wire.Cancelled {
 		o |= 1
@@ -127,10 +127,10 @@
 func (b *Block) Entries() []Entry {
 	out := make([]Entry, 0, b.Len())
 	for _, g := range b.groups {
-		for _, n := range g.ids {
+		for _, n := range g.numbers {
 			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+zeroPad(n, g.width)))
 		}
-		for _, text := range g.texts {
+		for _, text := range g.longIDs {
 			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+text))
 		}
 	}
--- a/internal/jobblock/block_test.go
+++ b/internal/jobblock/block_test.go
@@ -42,8 +42,8 @@
 	return byID, shuffled
 }
 
-// TestBlockKeepsEveryAnswer packs ids of all kinds, and finds each in the block that covers it.
-func TestBlockKeepsEveryAnswer(t *testing.T) {
+// TestBlockRoundTrip packs ids of all kinds, and finds each in the block that covers it.
+func TestBlockRoundTrip(t *testing.T) {
 	want, shuffled := variedEntries()
 	sorted, conflicting := Sort(shuffled)
 	if len(conflicting) > 0 {
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestSortKeepsTheFirstAnswer: a final stage never changes, and one that would
+// TestSortKeepsFirstStage: a final stage never changes, and one that would
 // is returned.
-func TestSortKeepsTheFirstAnswer(t *testing.T) {
+func TestSortKeepsFirstStage(t *testing.T) {
 	got, differ := Sort([]Entry{{"wk-2", wire.Done, 4}, {"wk-1", wire.Cancelled, 1}, {"wk-2", wire.Cancelled, 4}, {"wk-1", wire.Cancelled, 1}})
 	if len(got) != 2 || got[1] != (Entry{"wk-2", wire.Done, 4}) || !slices.Equal(differ, []string{"wk-2"}) {
 		t.Errorf("%v, differ %v", got, differ)
--- a/internal/jobblock/codec.go
+++ b/internal/jobblock/codec.go
@@ -24,7 +24,7 @@
 	}
 	raw = binary.AppendUvarint(raw, 0) // no more groups
 	for _, e := range entries {
-		raw = binary.AppendUvarint(raw, encodedOutcome(e))
+		raw = binary.AppendUvarint(raw, encodeOutcome(e))
 	}
 	return raw
 }
@@ -50,23 +50,23 @@
 // decoder reads what encodeEntries wrote. It remembers whether anything was wrong, so that callers
 // check once.
 type decoder struct {
-	buf []byte
-	bad bool
+	buf    []byte
+	failed bool
 }
 
-func (d *decoder) uvarint() uint64 {
+func (d *decoder) readUvarint() uint64 {
 	n, size := binary.Uvarint(d.buf)
 	if size <= 0 {
-		d.bad, d.buf = true, nil
+		d.failed, d.buf = true, nil
 		return 0
 	}
 	d.buf = d.buf[size:]
 	return n
 }
 
-func (d *decoder) text(n int) string {
+func (d *decoder) readString(n int) string {
 	if n < 0 || n > len(d.buf) {
-		d.bad, d.buf = true, nil
+		d.failed, d.buf = true, nil
 		return ""
 	}
 	s := string(d.buf[:n])
@@ -74,38 +74,38 @@
 	return s
 }
 
-// group reads a group whose first id has a position; more is false where there is none.
-func (d *decoder) group(first int) (g idGroup, more bool) {
-	width := int(d.uvarint())
-	if width == 0 || d.bad {
+// readGroup reads a group whose first id has a position; more is false where there is none.
+func (d *decoder) readGroup(first int) (g idGroup, more bool) {
+	width := int(d.readUvarint())
+	if width == 0 || d.failed {
 		return idGroup{}, false
 	}
-	n := d.uvarint()
+	n := d.readUvarint()
 	// Each id takes a byte at least: a damaged size must not allocate more.
 	if n > uint64(len(d.buf)) || width > wire.MaxDigits {
-		d.bad = true
+		d.failed = true
 		return idGroup{}, false
 	}
 	g = idGroup{width: width, first: first}
 	if width > maxNumericDigits {
 		for range n {
-			g.texts = append(g.texts, d.text(width))
+			g.longIDs = append(g.longIDs, d.readString(width))
 		}
 		return g, true
 	}
-	g.ids = make([]uint64, n)
+	g.numbers = make([]uint64, n)
 	last := uint64(0)
-	for i := range g.ids {
-		last += d.uvarint()
-		g.ids[i] = last
+	for i := range g.numbers {
+		last += d.readUvarint()
+		g.numbers[i] = last
 	}
 	return g, true
 }
 
 // readGroups reads all groups of a block, and returns the number of their ids.
 func (b *Block) readGroups(in *decoder) (count int) {
-	for !in.bad {
-		g, more := in.group(count)
+	for !in.failed {
+		g, more := in.readGroup(count)
 		if !more {
 			break
 		}
--- a/internal/jobblock/record.go
+++ b/internal/jobblock/record.go
@@ -93,14 +93,14 @@
 	in := &decoder{buf: raw}
 	b := &Block{From: r.From}
 	count := b.readGroups(in)
-	if in.bad || count != r.Count {
+	if in.failed || count != r.Count {
 		return nil, fmt.Errorf("%w: %d ids, recorded %d", ErrDamaged, count, r.Count)
 	}
 	b.outcomes = make([]outcome, count)
 	for i := range b.outcomes {
-		b.outcomes[i] = outcome(min(in.uvarint(), maxOutcome))
+		b.outcomes[i] = outcome(min(in.readUvarint(), maxOutcome))
 	}
-	if in.bad || len(in.buf) > 0 {
+	if in.failed || len(in.buf) > 0 {
 		return nil, fmt.Errorf("%w: it is cut, or goes on", ErrDamaged)
 	}
 	return b, nil
--- a/internal/outcomefile/outcomefile_test.go
+++ b/internal/outcomefile/outcomefile_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestLoadSaysWhatIsWrong: a missing file is fs.ErrNotExist; a malformed one is named with its kind.
-func TestLoadSaysWhatIsWrong(t *testing.T) {
+// TestLoadErrors: a missing file is fs.ErrNotExist; a malformed one is named with its kind.
+func TestLoadErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "point.json")
 	if err := Load(path, "a point", new(point)); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("a missing file: %v", err)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSaveSaysWhatFailed: a value that has no JSON, and a directory that is missing.
-func TestSaveSaysWhatFailed(t *testing.T) {
+// TestSaveErrors: a value that has no JSON, and a directory that is missing.
+func TestSaveErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none", "point.json")
 	want := "encoding the outcome: json: unsupported type: chan int"
 	if err := Save(path, make(chan int)); err == nil || err.Error() != want {
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -24,8 +24,8 @@
 	maxAttempts = 20
 	// retryInterval is the mean pause between two attempts.
 	retryInterval = 500 * time.Millisecond
-	// maxExports is how often a state is read that changes faster than it is read.
-	maxExports = 4
+	// maxExportAttempts is how often a state is read that changes faster than it is read.
+	maxExportAttempts = 4
 )
 
 // retry makes a call until it succeeds, or fails otherwise than by a refusal or without an answer.
@@ -45,7 +45,7 @@
 func Export(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
 	for attempt := 1; ; attempt++ {
 		items, revision, err := exportOnce(ctx, s, progress)
-		if errors.Is(err, store.ErrCompacted) && attempt < maxExports {
+		if errors.Is(err, store.ErrCompacted) && attempt < maxExportAttempts {
 			continue // the service no longer knows the changes since the first page
 		}
 		return items, revision, err
@@ -72,7 +72,7 @@
 			found[e.Put] = wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version}
 		}
 	}
-	return ownItems(found), ch.Revision, nil
+	return sortedOwnItems(found), ch.Revision, nil
 }
 
 // readPages reads all keys, and returns the revision of the first page.
@@ -101,8 +101,8 @@
 	}
 }
 
-// ownItems lists amberdeal's keys in order, without those of others that begin alike.
-func ownItems(found map[string]wire.KeyValue) (items []wire.KeyValue) {
+// sortedOwnItems lists amberdeal's keys in order, without those of others that begin alike.
+func sortedOwnItems(found map[string]wire.KeyValue) (items []wire.KeyValue) {
 	for _, it := range found {
 		if strings.HasPrefix(it.Key, store.StatePrefix) || strings.HasPrefix(it.Key, store.ArchivePrefix) {
 			items = append(items, it)
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -43,7 +43,7 @@
 		return 0, err
 	}
 	w := &importer{service: s, limits: lim, present: present, marker: marker}
-	items = inImportOrder(items)
+	items = sortForImport(items)
 	for i, it := range items {
 		written, err := w.add(ctx, it)
 		if err != nil {
@@ -60,19 +60,19 @@
 	return token, finishImport(ctx, s, marker, w.format, token)
 }
 
-// inImportOrder orders keys by their versions: the newest segment of a ledger counts, and the
+// sortForImport orders keys by their versions: the newest segment of a ledger counts, and the
 // oldest batch of a job, so that their order must be the same in the new state service.
-func inImportOrder(items []wire.KeyValue) []wire.KeyValue {
+func sortForImport(items []wire.KeyValue) []wire.KeyValue {
 	items = slices.Clone(items)
 	slices.SortStableFunc(items, func(a, b wire.KeyValue) int {
-		return cmp.Or(cmp.Compare(importOrder(a), importOrder(b)), strings.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(importRevision(a), importRevision(b)), strings.Compare(a.Key, b.Key))
 	})
 	return items
 }
 
-// importOrder returns the version that a key is ordered by: a batch that was written again is
+// importRevision returns the version that a key is ordered by: a batch that was written again is
 // as old as its first revision.
-func importOrder(it wire.KeyValue) uint64 {
+func importRevision(it wire.KeyValue) uint64 {
 	var rec store.BatchRecord
 	if store.Kind(it.Key) == store.KindBatch && wire.DecodeValue(it.Value, &rec) == nil && rec.Since > 0 {
 		return rec.Since
@@ -114,7 +114,7 @@
 		if err != nil || w.present[it.Key] {
 			return false, err
 		}
-		return true, w.put(ctx, it, value, orderCounts(kind))
+		return true, w.put(ctx, it, value, revisionOrderMatters(kind))
 	}
 }
 
@@ -132,8 +132,8 @@
 	return rec, nil
 }
 
-// orderCounts reports whether the revisions of a kind's keys must be in the order of the export.
-func orderCounts(kind string) bool {
+// revisionOrderMatters reports whether the revisions of a kind's keys must be in the order of the export.
+func revisionOrderMatters(kind string) bool {
 	switch kind {
 	case store.KindArchive, store.KindRecent, store.KindSubmissionFence, store.KindMachineTypes,
 		store.KindSharding, store.KindQuotaGrant, store.KindTiers:
@@ -179,12 +179,12 @@
 		if err != nil {
 			return nil, marker, err
 		}
-		found, unchanged := findMarker(items)
+		found, unchanged := findFormatMarker(items)
 		switch {
 		case len(items) > 0 && (found.Format != formatImporting || found.Import != sum), len(items) == 0 && marked:
 			return nil, marker, fmt.Errorf("%w: it holds %d keys, the first is %s", ErrNotEmpty, len(items), firstKey(items))
 		case len(items) > 0:
-			return keysOf(items), unchanged, nil
+			return keySet(items), unchanged, nil
 		}
 		// A state of format 1 has no marker once it is imported, but every state has a counter
 		// of fencing tokens from then on: a late copy of this must not close a state in use.
@@ -195,8 +195,8 @@
 	}
 }
 
-// findMarker returns the format record of a state, and the condition that it is unchanged.
-func findMarker(items []wire.KeyValue) (rec store.FormatRecord, unchanged wire.Condition) {
+// findFormatMarker returns the format record of a state, and the condition that it is unchanged.
+func findFormatMarker(items []wire.KeyValue) (rec store.FormatRecord, unchanged wire.Condition) {
 	for _, it := range items {
 		if it.Key == store.FormatKey {
 			_ = wire.DecodeValue(it.Value, &rec) // a damaged marker is none of an import
@@ -206,7 +206,7 @@
 	return rec, unchanged
 }
 
-func keysOf(items []wire.KeyValue) map[string]bool {
+func keySet(items []wire.KeyValue) map[string]bool {
 	keys := make(map[string]bool, len(items))
 	for _, it := range items {
 		keys[it.Key] = true
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,7 +21,7 @@
 	afterPage func() // called after each page
 }
 
-var errBroken = errors.New("broken off")
+var errInterrupted = errors.New("broken off")
 
 func (s *fakeService) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	page := s.Page(prefix, after, limit)
@@ -41,7 +41,7 @@
 
 func (s *fakeService) Txn(_ context.Context, t wire.Txn) (uint64, error) {
 	if s.failAt--; s.failAt == 0 {
-		return 0, errBroken
+		return 0, errInterrupted
 	}
 	status, res := s.Commit(t)
 	switch status {
@@ -68,9 +68,9 @@
 	return store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 }
 
-// sample is a state with a key of each kind. Segments and batches were written in
+// newSampleState is a state with a key of each kind. Segments and batches were written in
 // another order than that of their names.
-func sample(t *testing.T) *fakeService {
+func newSampleState(t *testing.T) *fakeService {
 	s := newFakeService()
 	s.put(t, store.FormatKey, store.FormatRecord{Format: store.Format})
 	s.put(t, store.FencingTokenKey, uint64(41))
@@ -101,7 +101,7 @@
 // it is there, in the same order, under a fencing token above all that workers have seen,
 // and no shard has a leader.
 func TestExportAndImport(t *testing.T) {
-	from, to := sample(t), newFakeService()
+	from, to := newSampleState(t), newFakeService()
 	items, revision, err := Export(t.Context(), from, noExportProgress)
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 	}
 	lim := Limits{ValueBytes: 8192, TxnOps: 12}
 	to.failAt = 5
-	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, errBroken) {
+	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, errInterrupted) {
 		t.Fatalf("broken off: %v", err)
 	}
 	if f := StateFormat(to.Page(store.StatePrefix, "", 0).Items); f <= store.Format {
@@ -152,7 +152,7 @@
 // state at one revision, not a mixture; a service that drops its history meanwhile is read
 // anew.
 func TestExportIsConsistent(t *testing.T) {
-	s := sample(t)
+	s := newSampleState(t)
 	s.Limits.PageItems = 9
 	n := 0
 	s.afterPage = func() {
@@ -178,7 +178,7 @@
 // TestDamagedFileIsRejected cuts and changes an export at every byte: none is read,
 // and the error names the key before.
 func TestDamagedFileIsRejected(t *testing.T) {
-	items := sample(t).Page(store.CommonPrefix, "", 0).Items
+	items := newSampleState(t).Page(store.CommonPrefix, "", 0).Items
 	var file bytes.Buffer
 	if err := Write(&file, Header{StateFormat: store.Format}, items); err != nil {
 		t.Fatal(err)
@@ -205,14 +205,14 @@
 		t.Errorf("another file: %v", err)
 	}
 	// Inside of the compression too: a frame that is left out, and one that is changed.
-	err := cutInside(t, items)
+	err := readWithoutTrailer(t, items)
 	if !errors.Is(err, ErrDamaged) || !bytes.Contains([]byte(err.Error()), []byte(items[3].Key)) {
 		t.Errorf("a file without its end: %v", err)
 	}
 }
 
-// cutInside writes four keys as if more followed, and reads that.
-func cutInside(t *testing.T, items []wire.KeyValue) error {
+// readWithoutTrailer writes four keys as if more followed, and reads that.
+func readWithoutTrailer(t *testing.T, items []wire.KeyValue) error {
 	t.Helper()
 	var file bytes.Buffer
 	if err := write(&file, Header{}, items[:4], false); err != nil {
@@ -244,7 +244,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			from, to := sample(t), &recordingService{fakeService: newFakeService()}
+			from, to := newSampleState(t), &recordingService{fakeService: newFakeService()}
 			before(from)
 			items, _, err := Export(t.Context(), from, noExportProgress)
 			if err != nil {
