--- a/internal/archive/cache.go
+++ b/internal/archive/cache.go
@@ -13,34 +13,36 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// CacheStats counts how often a block was looked for, and read for that.
+// CacheStats counts the hits of the block cache, the reads from the state service, the cached
+// blocks, and the failures to decode a block.
 type CacheStats struct{ Hits, Reads, Cached, Unreadable uint64 }
 
-// blockCache holds the blocks that were used last, and follows their changes.
+// blockCache is an LRU cache of archive blocks that is kept current by watch events and by the
+// controller's own writes.
 type blockCache struct {
 	log *slog.Logger
 
 	mu         sync.Mutex
-	blocks     btree.Map[string, *Block] // by To
-	recency    *lru.LRU[string, bool]    // of the keys of blocks
-	empty      bool                      // the archive has no block at all
-	lastChange uint64                    // revision of the last known change of any block
-	resets     int
+	blocks     btree.Map[string, *Block] // by To, their exclusive upper bound
+	recency    *lru.LRU[string, bool]    // of the keys in blocks
+	empty      bool                      // the archive is known to have no blocks
+	lastChange uint64                    // revision of the latest known change to any block
+	resets     int                       // number of calls to reset, to detect a reset during a read
 	stats      CacheStats
 }
 
-// newBlockCache returns a cache of at most size blocks.
+// newBlockCache returns a cache that holds at most size blocks, but at least one.
 func newBlockCache(size int, log *slog.Logger) *blockCache {
 	c := &blockCache{log: log}
 	recency, err := lru.NewLRU(max(1, size), func(to string, _ bool) { c.blocks.Delete(to) })
 	if err != nil {
-		panic(err) // only a size below 1 is refused
+		panic(err) // NewLRU fails only for a size below 1
 	}
 	c.recency = recency
 	return c
 }
 
-// reset empties the cache, because changes may have been missed.
+// reset empties the cache after watch events may have been missed.
 func (c *blockCache) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,44 +52,46 @@
 	c.resets++
 }
 
-// applyChange takes a block's new value.
-func (c *blockCache) applyChange(it wire.KeyValue) {
+// applyChange stores the new value of a block from a watch event.
+func (c *blockCache) applyChange(item wire.KeyValue) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastChange = max(c.lastChange, it.Version)
-	_, _ = c.insert(it) // one that can't be decoded is logged and counted
+	c.lastChange = max(c.lastChange, item.Version)
+	_, _ = c.insert(item) // insert logs and counts a value that can't be decoded
 }
 
-// insert takes a block's value unless a newer one is known.
-func (c *blockCache) insert(it wire.KeyValue) (*Block, error) {
+// insert decodes and caches the value of a block, unless the cache already has the same or a newer
+// version. It returns the cached block. The caller must hold mu.
+func (c *blockCache) insert(item wire.KeyValue) (*Block, error) {
 	c.empty = false
-	to := strings.TrimPrefix(it.Key, store.ArchivePrefix)
-	if old, ok := c.blocks.Get(to); ok && old.Version >= it.Version {
+	to := strings.TrimPrefix(item.Key, store.ArchivePrefix)
+	if old, ok := c.blocks.Get(to); ok && old.Version >= item.Version {
 		return old, nil
 	}
-	b, err := decodeBlock(it)
+	b, err := decodeBlock(item)
 	if err != nil {
 		c.recency.Remove(to)
 		c.stats.Unreadable++
-		c.log.Error("record not understood", "key", it.Key, "err", err)
-		return nil, fmt.Errorf("%s: %w", it.Key, err)
+		c.log.Error("record not understood", "key", item.Key, "err", err)
+		return nil, fmt.Errorf("%s: %w", item.Key, err)
 	}
 	c.blocks.Set(to, b)
 	c.recency.Add(to, true)
 	return b, nil
 }
 
-// decodeBlock reads a block's record, but not its jobs.
-func decodeBlock(it wire.KeyValue) (*Block, error) {
-	b := &Block{To: strings.TrimPrefix(it.Key, store.ArchivePrefix), Version: it.Version}
-	if err := wire.DecodeValue(it.Value, &b.Record); err != nil {
+// decodeBlock decodes the record of a block, but not its jobs.
+func decodeBlock(item wire.KeyValue) (*Block, error) {
+	b := &Block{To: strings.TrimPrefix(item.Key, store.ArchivePrefix), Version: item.Version}
+	if err := wire.DecodeValue(item.Value, &b.Record); err != nil {
 		return nil, err
 	}
 	b.From = b.Record.From
 	return b, nil
 }
 
-// find returns the cached block that covers a key.
+// find returns the cached block that covers a sort key. If the archive is known to be empty, it
+// returns an unwritten block that covers every key.
 func (c *blockCache) find(key string) (*Block, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,11 +107,12 @@
 	return b, true
 }
 
-// firstEndingAfter returns the first cached block that ends after a key.
+// firstEndingAfter returns the first cached block whose upper bound is greater than key, or nil.
+// The caller must hold mu.
 func (c *blockCache) firstEndingAfter(key string) (b *Block) {
 	c.blocks.Ascend(key, func(to string, at *Block) bool {
 		if to == key {
-			return true // it ends there, and the next one begins with the key
+			return true // To is exclusive: the following block begins at key
 		}
 		b = at
 		return false
@@ -115,8 +120,8 @@
 	return b
 }
 
-// beginRead counts a read, and returns what insertPage must be given to tell whether changes
-// were missed since.
+// beginRead counts a read and returns the current number of resets. The caller passes it to
+// insertPage, which uses it to detect a reset during the read.
 func (c *blockCache) beginRead() (resets int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +129,9 @@
 	return c.resets
 }
 
-// insertPage takes a page of blocks that was read, and returns the first of them. A page that
-// is older than a known change, or from before a reset, is used for this answer only.
+// insertPage caches a page of blocks and returns the first of them. A page that is older than the
+// latest known change, or whose read began before a reset, may be stale: it only serves the current
+// request and is not cached.
 func (c *blockCache) insertPage(page *wire.KeyValueList, resets int) (first *Block, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,17 +140,17 @@
 		c.empty = fresh
 		return &Block{To: lastBlockKey}, nil
 	}
-	for i, it := range page.Items {
+	for i, item := range page.Items {
 		var b *Block
 		var itemErr error
 		if fresh {
-			b, itemErr = c.insert(it)
+			b, itemErr = c.insert(item)
 		} else {
-			b, itemErr = decodeBlock(it)
+			b, itemErr = decodeBlock(item)
 		}
 		if i == 0 {
 			if itemErr != nil {
-				return nil, fmt.Errorf("%s: %w", it.Key, itemErr)
+				return nil, fmt.Errorf("%s: %w", item.Key, itemErr)
 			}
 			first = b
 		}
@@ -152,7 +158,8 @@
 	return first, nil
 }
 
-// applyOwnWrite takes blocks that this controller has written, ahead of the watch.
+// applyOwnWrite caches blocks that this controller has written at a revision, without waiting for
+// their watch events.
 func (c *blockCache) applyOwnWrite(blocks []*Block, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,14 +176,14 @@
 	}
 }
 
-// countUnreadable counts a block whose jobs can't be decoded.
+// countUnreadable counts a lookup that failed because the jobs of a block can't be decoded.
 func (c *blockCache) countUnreadable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Unreadable++
 }
 
-// snapshotStats returns the counts.
+// snapshotStats returns a copy of the current statistics.
 func (c *blockCache) snapshotStats() CacheStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/archive/compactor.go
+++ b/internal/archive/compactor.go
@@ -12,19 +12,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Store takes the writes of a Compactor.
+// Store is the state service as a Compactor uses it.
 type Store interface {
 	Txn(ctx context.Context, t wire.Txn) (uint64, error)
-	// WaitForSpareWrites waits until n changes may be made without taking them from others.
+	// WaitForSpareWrites waits, for a bounded time, until n changes leave part of the rate limit to
+	// other writes.
 	WaitForSpareWrites(ctx context.Context, n int) error
+	// WriteBurst returns the number of changes that the rate limit admits at once.
 	WriteBurst() int
 }
 
-// Compactor moves ended jobs out of their batches, first into recent blocks and from there
-// into the archive. It works in the background for the leader of a shard, and each of its
-// writes is conditional on the leader's record. Each write is complete in itself: wherever
-// the work is interrupted, every job is in one place, or in two that agree, and the work
-// starts again from what is there.
+// Compactor moves ended jobs from their batches into recent blocks, and from there into the
+// archive. It runs in the background of a shard's leader, and each of its writes is conditional on
+// the leader record. Each write leaves a consistent state: if compaction is interrupted at any
+// point, every job is stored once, or twice with the same final stage, and the next run continues
+// from the stored state.
 type Compactor struct {
 	Store    Store
 	View     *store.View
@@ -34,33 +36,37 @@
 	Reader *Reader
 	Limits Limits
 	Log    *slog.Logger
-	// Fence is the condition that the controller still leads the shard.
+	// Fence is the condition, added to each write, that the controller still leads the shard.
 	Fence wire.Condition
-	// JobsWithTasks returns the jobs that may still have a task somewhere, if that is known.
+	// JobsWithTasks returns the jobs that may still have a task on some machine; ok is false while
+	// that is not known.
 	JobsWithTasks func() (jobs map[string]bool, ok bool)
-	// DrainedThrough returns a revision such that no other shard has a task left of any job
-	// that had ended by then; nil where there is no other shard.
+	// DrainedThrough returns a revision such that no other shard still has a task of any job that
+	// had ended by that revision. It is nil if there is only one shard.
 	DrainedThrough func() uint64
-	// LeaseValid reports whether the leader's lease is surely valid.
+	// LeaseValid reports whether the leader's lease is certain to be valid still.
 	LeaseValid func() bool
-	// Interval is the time between two checks whether there is anything to do.
+	// Interval is the time between two checks for compaction work, and the pause after a failed
+	// step.
 	Interval time.Duration
-	// MaxWait is how long a few batches wait for others to be staged with them.
+	// MaxWait is how long ended batches that do not fill a write wait for more batches before they
+	// are staged.
 	MaxWait time.Duration
-	// MergeThreshold is how many recent blocks are filled before they are merged into the
-	// archive: each of its blocks is then written once for many jobs.
+	// MergeThreshold is how many recent blocks must be full before they are merged into the
+	// archive. A higher value amortizes the write of each archive block over more jobs.
 	MergeThreshold int
 
-	waitingSince time.Time // since when ended batches wait
+	waitingSince time.Time // start of the wait for enough ended batches to fill a write
 
 	mu    sync.Mutex
 	stats CompactorStats
 }
 
-// errStale means that what a write was planned on has changed: it is planned again.
-var errStale = errors.New("planned on what has changed")
+// errStale means that the state or the leadership has changed since a write was planned. The step
+// is planned again.
+var errStale = errors.New("state changed since the write was planned")
 
-// Run compacts until the context ends.
+// Run compacts until ctx is done.
 func (c *Compactor) Run(ctx context.Context) error {
 	ctx = store.WithPurpose(ctx, store.PurposeCompaction)
 	for ctx.Err() == nil {
@@ -78,8 +84,8 @@
 	return nil
 }
 
-// Step makes one step: it merges the recent blocks if enough of them are full, or stages
-// some batches. It reports whether there is more to do.
+// Step merges the recent blocks into the archive if enough of them are full, and otherwise stages
+// some ended batches. It reports whether there may be more to do.
 func (c *Compactor) Step(ctx context.Context) (more bool, err error) {
 	if !c.LeaseValid() {
 		return false, nil
@@ -101,31 +107,35 @@
 	return more, nil
 }
 
-// upgradeGracePeriod is how long after an upgrade nothing goes into the archive: a submission
-// that an older version has sent does not respect the submission fence, and may arrive
-// minutes late.
+// upgradeGracePeriod is how long after an upgrade no jobs are merged into the archive: a submission
+// that an older version sent is not conditional on the submission fence, and may arrive minutes
+// late.
 const upgradeGracePeriod = 15 * time.Minute
 
-// safeToArchive reports whether every record that may hold a live job is readable: an
-// unreadable batch may hold a job that would otherwise go into the archive.
+// safeToArchive reports whether every record that may hold a live job is readable and the upgrade
+// grace period is over. An unreadable batch may hold a job that would otherwise be merged into the
+// archive.
 func (c *Compactor) safeToArchive() bool {
 	key, _ := c.View.UnreadableRecordFor("")
 	since := c.View.Format().Since
 	return key == "" && (since == 0 || time.Since(time.UnixMilli(since)) > upgradeGracePeriod)
 }
 
-// minTxnOps is what every write must be able to do: put a block and delete a batch.
+// minTxnOps is the smallest useful limit for the operations of a transaction: put a block and
+// delete a batch.
 const minTxnOps = 2
 
-// writeLimits are the limits of one write, which has only as many changes as others do not notice.
+// writeLimits returns the limits of one write. It has at most half a write burst of operations, but
+// at least minTxnOps, so that compaction hardly delays other writes.
 func (c *Compactor) writeLimits() Limits {
 	return Limits{ValueBytes: c.Limits.ValueBytes, TxnOps: max(minTxnOps, min(c.Limits.TxnOps, c.Store.WriteBurst()/2))}
 }
 
-// stage moves the jobs of ended batches into a recent block.
+// stage moves the jobs of ended batches into a recent block. It reports whether there may be more
+// batches to stage.
 func (c *Compactor) stage(ctx context.Context) (more bool, err error) {
-	lim := c.writeLimits()
-	maxBatches := lim.TxnOps - 1 // and one change for the recent block
+	limits := c.writeLimits()
+	maxBatches := limits.TxnOps - 1 // the remaining operation puts the recent block
 	if !c.worthStaging(maxBatches) {
 		return false, nil
 	}
@@ -133,9 +143,9 @@
 	if !ok {
 		return false, nil
 	}
-	txn, size := planStage(batches, c.View.Job, c.View.RecentBlocks(), lim)
+	txn, size := planStage(batches, c.View.Job, c.View.RecentBlocks(), limits)
 	if size.batches == 0 {
-		return false, nil // tasks of the jobs may still be running
+		return false, nil // the jobs may still have running tasks
 	}
 	if _, err := c.commit(ctx, txn); err != nil {
 		return false, err
@@ -146,7 +156,8 @@
 	return len(batches) == maxBatches, c.Follower.Barrier(ctx)
 }
 
-// worthStaging reports whether enough batches have ended for a write, or some long ago.
+// worthStaging reports whether there are enough ended batches to fill a write, or some have waited
+// for MaxWait.
 func (c *Compactor) worthStaging(maxBatches int) bool {
 	waiting := len(c.View.EndedBatches(maxBatches, func(*store.Batch) bool { return true }))
 	now := time.Now()
@@ -156,13 +167,13 @@
 	return waiting > 0 && (waiting >= maxBatches || now.Sub(c.waitingSince) >= c.MaxWait)
 }
 
-// drainedBatches returns ended batches of which no task can be anywhere; ok is false while
-// that is not known.
+// drainedBatches returns ended batches whose jobs can no longer have a task on any machine; ok is
+// false while that is not known.
 //
-// The view's revision is read before the leader is asked for the jobs that may have tasks:
-// a job that has ended by that revision was launched before the question, if ever, so that
-// the answer names it. For one that ends later the question could come too early, between
-// its launch and its cancellation.
+// The revision of the view is read before JobsWithTasks is called. A job that had ended by that
+// revision was launched before the call, if at all, so the result includes it while it may have
+// tasks. A job that ends later may be launched and cancelled after the call, so its batch is left
+// for a later step.
 func (c *Compactor) drainedBatches(maxBatches int) (batches []*store.Batch, ok bool) {
 	drainedThrough := c.View.Revision()
 	withTasks, ok := c.JobsWithTasks()
@@ -185,8 +196,9 @@
 	}), true
 }
 
-// commit makes a write under the fence. One without an answer is sent again: its conditions
-// let at most one copy be applied.
+// commit sends a transaction that is conditional on the fence, and returns the revision of the
+// commit. A transaction without a response is sent again: its conditions allow at most one copy to
+// be committed.
 func (c *Compactor) commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	txn.If = append(txn.If, c.Fence)
 	for {
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -16,8 +16,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// harness is a state service and a controller that compacts, driven step by step. It
-// implements what a Compactor and a Reader need of a store.
+// harness is a state service and a controller with a Compactor and a Reader, driven step by step.
+// It implements the Store, the Follower and the Lister that they use.
 type harness struct {
 	t                testing.TB
 	store            *simulator.StateService
@@ -25,10 +25,10 @@
 	reader           *Reader
 	compactor        *Compactor
 	jobsWithTasks    map[string]bool
-	delayed          []wire.Txn // under way, to be delivered late
-	crashOutcome     string     // of the next writes of the compactor
-	writesUntilCrash int        // writes of the compactor until it crashes, below 0 for none
-	storeError       error      // what the state service answers, if it is set
+	delayed          []wire.Txn // in flight, to be delivered late
+	crashOutcome     string     // of the write at which it crashes: "taken", "lost", or else delayed
+	writesUntilCrash int        // writes that succeed before the compactor crashes; negative for no crash
+	storeError       error      // if set, the response to all requests
 	elections        int
 	writeLog         []string
 	reportedStages   map[string]wire.Stage
@@ -36,91 +36,92 @@
 
 var errCrash = errors.New("crashed")
 
-func newHarness(t testing.TB, lim Limits) *harness {
-	w := &harness{t: t, store: simulator.NewStateService(1, 0), jobsWithTasks: map[string]bool{}, writesUntilCrash: -1, reportedStages: map[string]wire.Stage{}}
-	w.store.Limits = simulator.StateLimits{ValueBytes: lim.ValueBytes, TxnOps: lim.TxnOps}
-	w.start(lim)
-	return w
+func newHarness(t testing.TB, limits Limits) *harness {
+	h := &harness{t: t, store: simulator.NewStateService(1, 0), jobsWithTasks: map[string]bool{}, writesUntilCrash: -1, reportedStages: map[string]wire.Stage{}}
+	h.store.Limits = simulator.StateLimits{ValueBytes: limits.ValueBytes, TxnOps: limits.TxnOps}
+	h.start(limits)
+	return h
 }
 
-// start starts the controller again: its view is read, and it becomes the leader.
-func (w *harness) start(lim Limits) {
+// start restarts the controller: it becomes the leader and loads its view.
+func (h *harness) start(limits Limits) {
 	log := slog.New(slog.DiscardHandler)
-	w.elections++
-	w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "me", FencingToken: uint64(w.elections), Format: store.Format}}}})
-	w.reader = NewReader(w, 64, log)
-	w.view = store.NewView(log)
-	w.view.Archive = w.reader
-	page := w.store.Page(store.StatePrefix, "", 0)
-	w.view.Load(page.Items, page.Revision, &wire.WatchResponse{Revision: page.Revision})
-	leader, _ := w.view.Leader("fleet")
-	w.compactor = &Compactor{Store: w, View: w.view, Follower: w, Reader: w.reader, Limits: lim, Log: log,
+	h.elections++
+	h.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "me", FencingToken: uint64(h.elections), Format: store.Format}}}})
+	h.reader = NewReader(h, 64, log)
+	h.view = store.NewView(log)
+	h.view.Archive = h.reader
+	page := h.store.Page(store.StatePrefix, "", 0)
+	h.view.Load(page.Items, page.Revision, &wire.WatchResponse{Revision: page.Revision})
+	leader, _ := h.view.Leader("fleet")
+	h.compactor = &Compactor{Store: h, View: h.view, Follower: h, Reader: h.reader, Limits: limits, Log: log,
 		Fence: wire.Condition{Key: store.LeaderKey("fleet"), Version: leader.Version}, Interval: time.Microsecond, MergeThreshold: 4,
-		JobsWithTasks: func() (map[string]bool, bool) { return w.jobsWithTasks, true }, LeaseValid: func() bool { return true }}
+		JobsWithTasks: func() (map[string]bool, bool) { return h.jobsWithTasks, true }, LeaseValid: func() bool { return true }}
 }
 
-func (w *harness) mustCommit(txn wire.Txn) uint64 {
-	status, res := w.store.Commit(txn)
+func (h *harness) mustCommit(txn wire.Txn) uint64 {
+	status, res := h.store.Commit(txn)
 	if status != 200 {
-		w.t.Fatalf("%d, failed %v", status, res.Failed)
+		h.t.Fatalf("status %d, failed conditions %v", status, res.Failed)
 	}
 	return res.Revision
 }
 
-// Barrier brings the view up to date.
-func (w *harness) Barrier(context.Context) error {
-	ch, ok := w.store.Since(store.CommonPrefix, w.view.Revision())
+// Barrier applies all changes of the state service to the view.
+func (h *harness) Barrier(context.Context) error {
+	ch, ok := h.store.Since(store.CommonPrefix, h.view.Revision())
 	if !ok {
-		w.t.Fatal("a watch is too old")
+		h.t.Fatal("the changes since the revision of the view are gone")
 	}
-	w.view.Apply(ch)
+	h.view.Apply(ch)
 	return nil
 }
 
-func (w *harness) WaitForSpareWrites(context.Context, int) error { return nil }
-func (w *harness) WriteBurst() int                               { return 2 * w.compactor.Limits.TxnOps }
+func (h *harness) WaitForSpareWrites(context.Context, int) error { return nil }
+func (h *harness) WriteBurst() int                               { return 2 * h.compactor.Limits.TxnOps }
 
-func (w *harness) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
-	if w.storeError != nil {
-		return nil, w.storeError
+func (h *harness) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
+	if h.storeError != nil {
+		return nil, h.storeError
 	}
-	return w.store.Page(prefix, after, limit), nil
+	return h.store.Page(prefix, after, limit), nil
 }
 
-// Txn takes a write of the compactor.
-func (w *harness) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
-	if w.storeError != nil {
-		return 0, w.storeError
+// Txn commits a transaction of the compactor, or lets the compactor crash at it.
+func (h *harness) Txn(_ context.Context, txn wire.Txn) (uint64, error) {
+	if h.storeError != nil {
+		return 0, h.storeError
 	}
-	w.writeLog = append(w.writeLog, describeTxn(txn)...)
+	h.writeLog = append(h.writeLog, describeTxn(txn)...)
 	switch {
-	case w.writesUntilCrash == 0 && w.crashOutcome == "taken": // it is committed, and the compactor gets no answer
-		w.writesUntilCrash = -1
-		w.store.Commit(txn)
+	case h.writesUntilCrash == 0 && h.crashOutcome == "taken": // committed, but the compactor crashes before the response
+		h.writesUntilCrash = -1
+		h.store.Commit(txn)
 		return 0, errCrash
-	case w.writesUntilCrash == 0 && w.crashOutcome == "lost": // no answer, and it is sent again
-		w.writesUntilCrash = -1
-		w.delayed = append(w.delayed, txn)
+	case h.writesUntilCrash == 0 && h.crashOutcome == "lost": // delayed; the compactor sends it again
+		h.writesUntilCrash = -1
+		h.delayed = append(h.delayed, txn)
 		return 0, store.ErrUnknownOutcome
-	case w.writesUntilCrash == 0:
-		w.writesUntilCrash = -1
-		w.delayed = append(w.delayed, txn)
+	case h.writesUntilCrash == 0: // delayed, and the compactor crashes
+		h.writesUntilCrash = -1
+		h.delayed = append(h.delayed, txn)
 		return 0, errCrash
-	case w.writesUntilCrash > 0:
-		w.writesUntilCrash--
+	case h.writesUntilCrash > 0:
+		h.writesUntilCrash--
 	}
-	status, res := w.store.Commit(txn)
+	status, res := h.store.Commit(txn)
 	switch status {
 	case 200:
 		return res.Revision, nil
 	case 409:
-		w.writeLog = append(w.writeLog, "refused on "+strings.Join(shortKeys(res.Failed), ", "))
+		h.writeLog = append(h.writeLog, "refused on "+strings.Join(shortKeys(res.Failed), ", "))
 		return 0, &store.ConflictError{Failed: res.Failed}
 	}
-	w.t.Fatalf("status %d for %v", status, describeTxn(txn))
+	h.t.Fatalf("status %d for %v", status, describeTxn(txn))
 	return 0, nil
 }
 
+// shortKeys returns the sorted keys without their common prefixes.
 func shortKeys(keys []string) (out []string) {
 	for _, k := range keys {
 		out = append(out, strings.TrimPrefix(strings.TrimPrefix(k, store.StatePrefix), store.CommonPrefix+"-"))
@@ -129,6 +130,7 @@
 	return out
 }
 
+// describeTxn returns a line of a trace for each operation of a transaction.
 func describeTxn(txn wire.Txn) (out []string) {
 	for _, c := range txn.Then {
 		switch rec := c.Value.(type) {
@@ -149,18 +151,19 @@
 	return out
 }
 
-// submission returns the transaction of a batch, on the submission fence that the view has.
-func (w *harness) submission(name string, ids ...string) wire.Txn {
+// submission returns the transaction that submits a batch, conditional on the submission fence in
+// the view.
+func (h *harness) submission(name string, ids ...string) wire.Txn {
 	rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
 	for _, id := range ids {
 		rec.Jobs[id] = store.JobRecord{Stage: wire.Pending, Tasks: 2, Job: &wire.Job{ID: id, Tasks: 2, Team: "red"}}
 	}
-	return wire.Txn{If: []wire.Condition{{Key: store.BatchKey(name)}, {Key: store.SubmissionFenceKey, Version: w.view.SubmissionFence().Version}},
+	return wire.Txn{If: []wire.Condition{{Key: store.BatchKey(name)}, {Key: store.SubmissionFenceKey, Version: h.view.SubmissionFence().Version}},
 		Then: []wire.Operation{{Put: store.BatchKey(name), Value: rec}}}
 }
 
-// standaloneJob gives a job a key of its own, as version 1 did.
-func (w *harness) standaloneJob(id string, stage wire.Stage) wire.Txn {
+// standaloneJob returns the transaction that stores a job under a key of its own, as version 1 did.
+func (h *harness) standaloneJob(id string, stage wire.Stage) wire.Txn {
 	rec := store.JobRecord{Stage: wire.Pending, Tasks: 2, Job: &wire.Job{ID: id, Tasks: 2, Team: "red"}}
 	if stage.Final() {
 		rec = rec.End(stage, time.Unix(1e9, 0))
@@ -168,24 +171,25 @@
 	return wire.Txn{Then: []wire.Operation{{Put: store.JobKey(id), Value: rec}}}
 }
 
-// endJob gives the transaction that ends a live job.
-func (w *harness) endJob(id string, stage wire.Stage) wire.Txn {
-	l, ok := w.view.Live(id)
+// endJob returns the transaction that ends a live job.
+func (h *harness) endJob(id string, stage wire.Stage) wire.Txn {
+	l, ok := h.view.Live(id)
 	if !ok {
-		w.t.Fatalf("%s is not live", id)
+		h.t.Fatalf("%s is not live", id)
 	}
 	r := l.Batch.Update()
 	r.EndJob(id, stage, time.Unix(1e9, 0))
 	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Change()}}
 }
 
-// lookUp returns what a user is answered about a job, as every controller finds it.
-func (w *harness) lookUp(id string) string {
-	if rec, known := w.view.Job(id); known {
+// lookUp returns the response of a controller to a user's query for a job, in the words of the
+// traces.
+func (h *harness) lookUp(id string) string {
+	if rec, known := h.view.Job(id); known {
 		return string(rec.Stage)
 	}
-	doubt, _ := w.view.UnreadableRecordFor(id)
-	e, known, err := w.reader.Find(context.Background(), id)
+	doubt, _ := h.view.UnreadableRecordFor(id)
+	e, known, err := h.reader.Find(context.Background(), id)
 	switch {
 	case err != nil:
 		return "come back: " + strings.TrimPrefix(err.Error(), store.CommonPrefix+"-")
--- a/internal/archive/idset.go
+++ b/internal/archive/idset.go
@@ -9,10 +9,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// idSet is a set of very many job ids: numbers, in a compressed bitmap for each length.
+// idSet is a memory-efficient set of job ids. The numbers of the ids are kept in one compressed
+// bitmap for each number of digits, because ids with different numbers of leading zeros are
+// different.
 type idSet struct {
 	numbers    map[int]*roaring64.Bitmap // by number of digits
-	nonNumeric map[string]bool           // ids that do not fit a number of 64 bits
+	nonNumeric map[string]bool           // ids whose number does not fit in 64 bits
 }
 
 func newIDSet() idSet { return idSet{map[int]*roaring64.Bitmap{}, map[string]bool{}} }
--- a/internal/archive/merge.go
+++ b/internal/archive/merge.go
@@ -9,9 +9,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// merge moves the jobs of recent blocks into the archive. The submission fence advances
-// first: a submission of one of them that is still under way was sent before that, so that
-// it is refused from then on, or was accepted and is in the view.
+// merge moves the jobs of recent blocks into the archive. It first advances the submission fence: a
+// submission of one of these jobs that is still in flight was sent before that, so either the state
+// service rejects it from then on, or it was accepted and is in the view. merge reports whether it
+// changed anything.
 func (c *Compactor) merge(ctx context.Context, blocks []store.RecentBlock) (more bool, err error) {
 	fence := c.View.SubmissionFence()
 	for _, r := range blocks {
@@ -37,9 +38,9 @@
 	return true, c.clearRecentBlocks(ctx, blocks, keep)
 }
 
-// archivableEntries returns, in order, the jobs of recent blocks that may go into the archive, and
-// those that must be kept because a batch still holds them: the recent block may be the only
-// record of their end.
+// archivableEntries returns the sorted jobs of recent blocks that may be merged into the archive.
+// keep has the ids of the others, which must stay because a batch still holds them: the recent
+// block may be the only record that they have ended.
 func (c *Compactor) archivableEntries(blocks []store.RecentBlock) (entries []jobblock.Entry, keep map[string]bool) {
 	keep = make(map[string]bool)
 	for _, r := range blocks {
@@ -55,7 +56,8 @@
 	return entries, keep
 }
 
-// advanceSubmissionFence refuses all submissions that are under way.
+// advanceSubmissionFence increments the generation of the submission fence, so that the state
+// service rejects all submissions in flight.
 func (c *Compactor) advanceSubmissionFence(ctx context.Context, fence store.Versioned[store.SubmissionFenceRecord]) error {
 	next := store.SubmissionFenceRecord{Generation: fence.Record.Generation + 1}
 	_, err := c.commit(ctx, wire.Txn{
@@ -66,33 +68,35 @@
 		return err
 	}
 	c.updateStats(func(s *CompactorStats) { s.FenceAdvances++ })
-	return c.Follower.Barrier(ctx) // what was accepted before is in the view after this
+	return c.Follower.Barrier(ctx) // brings every submission that was accepted before into the view
 }
 
-// archiveEntries puts sorted entries into the blocks of the archive, and returns the ids of
-// those whose block can't be read; nothing is written over such a block.
+// archiveEntries merges sorted entries into the blocks of the archive. It returns the ids of
+// entries whose block can't be read; such a block is not overwritten.
 func (c *Compactor) archiveEntries(ctx context.Context, entries []jobblock.Entry) (blocked []string, err error) {
 	w := blockWriter{compactor: c, limits: c.writeLimits()}
 	for len(entries) > 0 {
-		taken, err := w.add(ctx, entries)
+		consumed, err := w.add(ctx, entries)
 		if err != nil {
 			return nil, err
 		}
-		entries = entries[taken:]
+		entries = entries[consumed:]
 	}
 	return w.blocked, w.flush(ctx)
 }
 
-// blockWriter collects blocks of the archive until a write is full.
+// blockWriter collects changed archive blocks and writes them in transactions that are as large as
+// the limits allow.
 type blockWriter struct {
 	compactor *Compactor
 	limits    Limits
-	pending   []*Block // merged, not written yet
+	pending   []*Block // merged but not yet written
 	blocked   []string // ids of entries whose block can't be read
 }
 
-// add merges as many of the entries as the block of the first one covers, and returns their number.
-func (w *blockWriter) add(ctx context.Context, entries []jobblock.Entry) (taken int, err error) {
+// add merges the leading entries that belong to one block, the block that covers the first of them,
+// and returns their number.
+func (w *blockWriter) add(ctx context.Context, entries []jobblock.Entry) (consumed int, err error) {
 	b, err := w.compactor.Reader.blockFor(ctx, jobblock.SortKey(entries[0].ID))
 	switch {
 	case errors.Is(err, store.ErrRefused), errors.Is(err, store.ErrUnknownOutcome), err != nil && ctx.Err() != nil:
@@ -118,13 +122,13 @@
 	return plan.covered, nil
 }
 
-// fits reports whether blocks may go into the write with the pending ones.
+// fits reports whether blocks can be written in the same transaction as the pending ones.
 func (w *blockWriter) fits(blocks []*Block) bool {
 	return len(w.pending) == 0 ||
 		len(w.pending)+len(blocks) <= w.limits.TxnOps && encodedBytes(w.pending)+encodedBytes(blocks) <= maxTxnBytes
 }
 
-// markBlocked notes entries that wait because their block can't be read.
+// markBlocked records entries that can't be archived because their block can't be read.
 func (w *blockWriter) markBlocked(entries []jobblock.Entry, err error) {
 	w.compactor.Log.Error("archive block can't be read, jobs wait for it", "jobs", len(entries), "err", err)
 	for _, e := range entries {
@@ -132,7 +136,7 @@
 	}
 }
 
-// flush writes the pending blocks.
+// flush writes the pending blocks in one transaction.
 func (w *blockWriter) flush(ctx context.Context) error {
 	if len(w.pending) == 0 {
 		return nil
@@ -145,7 +149,8 @@
 	return err
 }
 
-// clearRecentBlocks empties recent blocks whose jobs are in the archive, but for those to keep.
+// clearRecentBlocks removes from the recent blocks all jobs except those in keep; the others are in
+// the archive.
 func (c *Compactor) clearRecentBlocks(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
 	for len(blocks) > 0 {
 		n := min(len(blocks), c.writeLimits().TxnOps, max(1, maxTxnBytes/c.Limits.ValueBytes))
@@ -163,7 +168,7 @@
 	return c.Follower.Barrier(ctx)
 }
 
-// keptEntries returns the entries of a block that are to be kept.
+// keptEntries returns the entries of a block whose ids are in keep.
 func keptEntries(block *jobblock.Block, keep map[string]bool) (entries []jobblock.Entry) {
 	for _, e := range block.Entries() {
 		if keep[e.ID] {
--- a/internal/archive/plan.go
+++ b/internal/archive/plan.go
@@ -8,31 +8,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Limits bounds one write of a Compactor.
+// Limits bounds the bytes of a value and the operations of a transaction that a Compactor writes.
 type Limits struct {
 	ValueBytes, TxnOps int
 }
 
-// maxTxnBytes bounds the values of one write together.
+// maxTxnBytes bounds the total size of the values in one transaction.
 const maxTxnBytes = 48 << 10
 
-// stageSize is how much a write moves into a recent block.
+// stageSize is the number of jobs and batches that a transaction moves into a recent block.
 type stageSize struct{ jobs, batches int }
 
-// planStage returns the write that moves jobs of ended batches into a recent block: the put
-// of the block, and the deletion of each batch whose jobs are in it, of as many as fit.
-// Blocks that can't be read are left alone.
-func planStage(batches []*store.Batch, lookup func(id string) (store.JobRecord, bool), recents []store.RecentBlock, lim Limits) (txn wire.Txn, size stageSize) {
-	target := selectRecentBlock(recents, lim)
+// planStage returns the transaction that moves the jobs of as many ended batches as fit into a
+// recent block: it puts the block and deletes these batches. It does not change recent blocks that
+// can't be read.
+func planStage(batches []*store.Batch, lookup func(id string) (store.JobRecord, bool), recentBlocks []store.RecentBlock, limits Limits) (txn wire.Txn, size stageSize) {
+	target := selectRecentBlock(recentBlocks, limits)
 	var record jobblock.Record
 	for _, b := range batches {
 		entries, ended := endedEntries(b, lookup)
 		if !ended {
-			continue // a record that makes no sense stays, and must not hold up the others
+			continue // an inconsistent record stays, and must not block the other batches
 		}
 		next, _ := jobblock.Sort(append(slices.Clone(target.entries), entries...))
 		r := jobblock.Pack("", next)
-		if size.batches > 0 && (!r.Fits(lim.ValueBytes) || len(txn.Then)+minTxnOps > lim.TxnOps) {
+		if size.batches > 0 && (!r.Fits(limits.ValueBytes) || len(txn.Then)+minTxnOps > limits.TxnOps) {
 			break
 		}
 		target.entries, record = next, r
@@ -50,7 +50,7 @@
 	return txn, size
 }
 
-// endedEntries returns the jobs of a batch, and whether all of them have ended.
+// endedEntries returns the jobs of a batch as entries, and whether all of them have ended.
 func endedEntries(b *store.Batch, lookup func(id string) (store.JobRecord, bool)) (entries []jobblock.Entry, ended bool) {
 	ended = true
 	for _, job := range b.Jobs {
@@ -61,20 +61,21 @@
 	return entries, ended
 }
 
-// stagingTarget is the recent block that jobs are moved into.
+// stagingTarget is the recent block that jobs are moved into, with its current entries.
 type stagingTarget struct {
 	index   int
 	version uint64
 	entries []jobblock.Entry
 }
 
-// selectRecentBlock picks the fullest recent block that has room for more, or else a new one.
-func selectRecentBlock(recents []store.RecentBlock, lim Limits) stagingTarget {
+// selectRecentBlock returns the largest recent block that is readable and not full, or a new one
+// with the lowest unused index.
+func selectRecentBlock(recentBlocks []store.RecentBlock, limits Limits) stagingTarget {
 	best := store.RecentBlock{Index: -1}
 	used := make(map[int]bool)
-	for _, r := range recents {
+	for _, r := range recentBlocks {
 		used[r.Index] = true
-		if r.Block == nil || isFull(r, lim) {
+		if r.Block == nil || isFull(r, limits) {
 			continue
 		}
 		if best.Index < 0 || r.Bytes > best.Bytes {
@@ -91,21 +92,23 @@
 	return stagingTarget{index: index}
 }
 
-// isFull reports whether a recent block takes no more: an eighth is left for a large batch.
-func isFull(r store.RecentBlock, lim Limits) bool {
-	return r.Bytes > lim.ValueBytes*7/8 || r.Block.Len() > jobblock.MaxJobs*7/8
+// isFull reports whether a recent block takes no more jobs. The last eighth is reserved so that a
+// large batch still fits.
+func isFull(r store.RecentBlock, limits Limits) bool {
+	return r.Bytes > limits.ValueBytes*7/8 || r.Block.Len() > jobblock.MaxJobs*7/8
 }
 
-// mergeCandidates lists the recent blocks to merge, once as many as the threshold are full.
-func mergeCandidates(recents []store.RecentBlock, lim Limits, threshold int) []store.RecentBlock {
+// mergeCandidates returns the readable, non-empty recent blocks if at least threshold of them are
+// full, and nil otherwise.
+func mergeCandidates(recentBlocks []store.RecentBlock, limits Limits, threshold int) []store.RecentBlock {
 	var out []store.RecentBlock
 	full := 0
-	for _, r := range recents {
+	for _, r := range recentBlocks {
 		if r.Block == nil || r.Block.Len() == 0 {
 			continue
 		}
 		out = append(out, r)
-		if isFull(r, lim) {
+		if isFull(r, limits) {
 			full++
 		}
 	}
@@ -115,16 +118,17 @@
 	return out
 }
 
-// mergePlan is what takes the place of one block of the archive.
+// mergePlan describes the blocks that replace one block of the archive.
 type mergePlan struct {
 	blocks      []*Block
-	covered     int      // entries that the block covers
-	conflicting []string // jobs whose final stage would change
+	covered     int      // number of entries that the replaced block covers
+	conflicting []string // ids of jobs whose final stage would change
 }
 
-// planMerge adds sorted entries to the block that covers the first of them. The plan of a
-// block that can't be read says only how many entries it covers.
-func planMerge(b *Block, entries []jobblock.Entry, lim Limits) (mergePlan, error) {
+// planMerge adds the leading entries that block b covers to it, and splits it as the limits
+// require. The entries must be sorted, and b must cover the first of them. If b can't be read, the
+// plan only has the number of covered entries.
+func planMerge(b *Block, entries []jobblock.Entry, limits Limits) (mergePlan, error) {
 	var plan mergePlan
 	for plan.covered < len(entries) && b.covers(jobblock.SortKey(entries[plan.covered].ID)) {
 		plan.covered++
@@ -135,7 +139,7 @@
 	}
 	all, conflicting := jobblock.Sort(append(old.Entries(), entries[:plan.covered]...))
 	plan.conflicting = conflicting
-	records := jobblock.Split(b.From, all, lim.ValueBytes)
+	records := jobblock.Split(b.From, all, limits.ValueBytes)
 	for i, r := range records {
 		part := &Block{To: b.To, From: r.From, Record: r}
 		if i+1 < len(records) {
@@ -148,7 +152,8 @@
 	return plan, nil
 }
 
-// mergeTxn returns the transaction that puts blocks.
+// mergeTxn returns the transaction that puts the blocks, each on the condition that it is
+// unchanged.
 func mergeTxn(blocks []*Block) (txn wire.Txn) {
 	for _, b := range blocks {
 		key := store.ArchivePrefix + b.To
@@ -158,10 +163,10 @@
 	return txn
 }
 
-// blockOverheadBytes bounds what a block takes in a transaction beside its record.
+// blockOverheadBytes is an upper bound for the bytes of a block in a transaction beyond its record.
 const blockOverheadBytes = 60
 
-// encodedBytes bounds what blocks take in a transaction.
+// encodedBytes returns an upper bound for the bytes of the blocks in a transaction.
 func encodedBytes(blocks []*Block) int {
 	n := 0
 	for _, b := range blocks {
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -15,123 +15,124 @@
 
 var traceLimits = Limits{ValueBytes: 8192, TxnOps: 12}
 
-// runStep plays a line of a trace: a write of somebody, which is held where the line ends so,
-// or a step of the compactor or of the test itself.
-func (w *harness) runStep(line string) []string {
+// runStep executes a line of a trace: a write by another client, which is delayed if the line ends
+// with "held", or a step of the compactor or the harness.
+func (h *harness) runStep(line string) []string {
 	words, _ := simulator.Words(line)
-	w.writeLog = nil
+	h.writeLog = nil
 	held := words[len(words)-1] == "held"
 	if held {
 		words = words[:len(words)-1]
 	}
-	txn, isWrite := w.parseWrite(words)
+	txn, isWrite := h.parseWrite(words)
 	switch {
 	case !isWrite:
-		return w.runHarnessStep(line, words)
+		return h.runHarnessStep(line, words)
 	case held:
-		w.delayed = append(w.delayed, txn)
+		h.delayed = append(h.delayed, txn)
 	default:
-		w.mustCommit(txn)
-		_ = w.Barrier(context.Background())
+		h.mustCommit(txn)
+		_ = h.Barrier(context.Background())
 	}
 	return nil
 }
 
-// parseWrite returns the write that a line is about, if it is about one.
-func (w *harness) parseWrite(words []string) (txn wire.Txn, isWrite bool) {
+// parseWrite returns the transaction of a line that is a write by another client.
+func (h *harness) parseWrite(words []string) (txn wire.Txn, isWrite bool) {
 	switch words[0] {
 	case "submit":
-		return w.submission(words[1], words[2:]...), true
-	case "odd": // a batch whose job is neither live nor ended
+		return h.submission(words[1], words[2:]...), true
+	case "odd": // a batch with an inconsistent record: its job is neither live nor ended
 		return wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(words[1]), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{words[2]: {}}}}}}, true
 	case "own":
-		return w.standaloneJob(words[1], wire.Stage(words[2])), true
+		return h.standaloneJob(words[1], wire.Stage(words[2])), true
 	case "cancel":
-		return w.endJob(words[1], wire.Cancelled), true
+		return h.endJob(words[1], wire.Cancelled), true
 	case "done":
-		return w.endJob(words[1], wire.Done), true
-	case "marked": // the state was in an older format until so long ago
+		return h.endJob(words[1], wire.Done), true
+	case "marked": // the state was upgraded from an older format so long ago
 		ago, _ := time.ParseDuration(words[1])
 		return wire.Txn{Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: store.Format, Since: time.Now().Add(-ago).UnixMilli()}}}}, true
 	}
 	return wire.Txn{}, false
 }
 
-// runHarnessStep makes a step that is no write of others.
-func (w *harness) runHarnessStep(line string, words []string) []string {
+// runHarnessStep executes a line that is not a write by another client, and returns its output.
+func (h *harness) runHarnessStep(line string, words []string) []string {
 	switch words[0] {
-	case "ending": // jobs that may still have a task somewhere
-		clear(w.jobsWithTasks)
+	case "ending": // jobs that may still have a task on some machine
+		clear(h.jobsWithTasks)
 		for _, id := range words[1:] {
-			w.jobsWithTasks[id] = true
+			h.jobsWithTasks[id] = true
 		}
 	case "settle", "merge":
-		return w.compact(words[0], words[1:])
-	case "deliver": // what was under way arrives, again if the step says so
-		return w.deliver(words[1:])
-	case "claim": // another controller leads the fleet now; this one does not know
-		w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
+		return h.compact(words[0], words[1:])
+	case "deliver": // delayed writes arrive; with an argument, they are kept to arrive again
+		return h.deliver(words[1:])
+	case "claim": // another controller becomes the leader, unknown to this one
+		h.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.LeaderKey("fleet"), Value: store.LeaderRecord{Leader: "other", FencingToken: 9, Format: store.Format}}}})
 	case "start":
-		w.start(traceLimits)
-	case "spoil": // a record as a newer version might write it
+		h.start(traceLimits)
+	case "spoil": // a record in the format of a newer version
 		rec := jobblock.Pack("", nil)
 		rec.Format++
-		w.mustCommit(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
-		_ = w.Barrier(context.Background())
+		h.mustCommit(wire.Txn{Then: []wire.Operation{{Put: words[1], Value: rec}}})
+		_ = h.Barrier(context.Background())
 	case "ask":
-		return []string{w.lookUp(words[1])}
+		return []string{h.lookUp(words[1])}
 	case "keys":
-		return w.keys()
+		return h.keys()
 	default:
-		w.t.Fatalf("no such step: %s", line)
+		h.t.Fatalf("no such step: %s", line)
 	}
 	return nil
 }
 
-// keys lists all keys of the state service.
-func (w *harness) keys() (out []string) {
-	for _, it := range w.store.Page(store.CommonPrefix, "", 0).Items {
-		out = append(out, shortKeys([]string{it.Key})[0])
+// keys returns all keys of the state service.
+func (h *harness) keys() (out []string) {
+	for _, item := range h.store.Page(store.CommonPrefix, "", 0).Items {
+		out = append(out, shortKeys([]string{item.Key})[0])
 	}
 	return out
 }
 
-// compact has the compactor make one step. It may crash at a write, which is committed all
-// the same or is delayed.
-func (w *harness) compact(what string, fate []string) []string {
-	w.writesUntilCrash = -1
-	if len(fate) > 0 { // such as "crash 1 taken": after one write
-		w.writesUntilCrash, w.crashOutcome = int(fate[1][0]-'0'), ""
+// compact runs one step of the compactor. The compactor may crash at a write, which is then
+// committed or delayed.
+func (h *harness) compact(what string, fate []string) []string {
+	h.writesUntilCrash = -1
+	if len(fate) > 0 { // for example "crash 1 taken": crash at the second write, which is committed
+		h.writesUntilCrash, h.crashOutcome = int(fate[1][0]-'0'), ""
 		if len(fate) > 2 {
-			w.crashOutcome = fate[2]
+			h.crashOutcome = fate[2]
 		}
 	}
 	ctx := context.Background()
 	var err error
 	if what == "settle" {
-		_, err = w.compactor.stage(ctx)
+		_, err = h.compactor.stage(ctx)
 	} else {
 		for more := true; more && err == nil; {
-			blocks := mergeCandidates(w.view.RecentBlocks(), w.compactor.Limits, 0)
-			if len(blocks) == 0 || !w.compactor.safeToArchive() {
+			blocks := mergeCandidates(h.view.RecentBlocks(), h.compactor.Limits, 0)
+			if len(blocks) == 0 || !h.compactor.safeToArchive() {
 				break
 			}
-			more, err = w.compactor.merge(ctx, blocks)
+			more, err = h.compactor.merge(ctx, blocks)
 		}
 	}
 	if err != nil && !errors.Is(err, errStale) {
-		w.writeLog = append(w.writeLog, err.Error())
+		h.writeLog = append(h.writeLog, err.Error())
 	}
 	if err == nil {
-		_ = w.Barrier(ctx)
+		_ = h.Barrier(ctx)
 	}
-	return w.writeLog
+	return h.writeLog
 }
 
-func (w *harness) deliver(words []string) []string {
+// deliver commits the delayed writes. They are kept for another delivery if words is not empty.
+func (h *harness) deliver(words []string) []string {
 	var out []string
-	for _, txn := range w.delayed {
-		status, res := w.store.Commit(txn)
+	for _, txn := range h.delayed {
+		status, res := h.store.Commit(txn)
 		line := strings.Join(describeTxn(txn), ", ")
 		if status == 200 {
 			out = append(out, line+": taken")
@@ -140,13 +141,13 @@
 		}
 	}
 	if len(words) == 0 {
-		w.delayed = nil
+		h.delayed = nil
 	}
-	_ = w.Barrier(context.Background())
+	_ = h.Barrier(context.Background())
 	return out
 }
 
-// TestTraces plays the kept traces of compaction.
+// TestTraces replays the recorded compaction traces in testdata.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newHarness(t, traceLimits).runStep })
 }
--- a/internal/archive/verify.go
+++ b/internal/archive/verify.go
@@ -10,62 +10,63 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Report says what is in the state service, and what is wrong with it.
+// Report summarizes the content of the state service and lists its inconsistencies.
 type Report struct {
 	Format       int
-	FencingToken uint64
+	FencingToken uint64 // the highest of the counter and the tokens of the leaders
 	Kinds        map[string]*KindStats
-	Live         int
+	Live         int // different jobs that have not ended
 	Ended        int // different jobs that have ended
 	Problems     []string
 }
 
-// KindStats counts the keys of a kind. Its fields are printed as JSON by their names.
+// KindStats has the statistics of the keys of one kind. Its fields are encoded as JSON under their
+// Go names.
 type KindStats struct {
 	Keys, Jobs, Bytes int
-	Largest           int
+	Largest           int    // bytes of the largest key with its value
 	Oldest, Newest    uint64 // versions
 }
 
-// add counts a key.
-func (k *KindStats) add(it wire.KeyValue) {
-	size := len(it.Key) + len(it.Value)
+// add counts a key and its value.
+func (k *KindStats) add(item wire.KeyValue) {
+	size := len(item.Key) + len(item.Value)
 	k.Keys++
 	k.Bytes += size
 	k.Largest = max(k.Largest, size)
-	k.Oldest, k.Newest = min(k.Oldest, it.Version), max(k.Newest, it.Version)
+	k.Oldest, k.Newest = min(k.Oldest, item.Version), max(k.Newest, item.Version)
 }
 
-// maxProblems bounds the problems of a report.
+// maxProblems bounds the problems that a report lists.
 const maxProblems = 100
 
-// verifier reads all keys once, in order.
+// verifier checks all keys in one pass, those of the archive last.
 type verifier struct {
 	Report
 	ended          idSet
-	stages         map[string]wire.Stage // of jobs that have ended, outside of the archive
-	live           map[string]string     // keys of batches that call a job live, by its id
-	firstUncovered string                // the first key that no block has covered yet
-	archiveBlocks  int                   // of the archive
+	stages         map[string]wire.Stage // final stages of the ended jobs outside the archive, by id
+	live           map[string]string     // key of a batch or job record in which a job has not ended, by id
+	firstUncovered string                // first sort key that no archive block so far covers
+	archiveBlocks  int                   // number of archive blocks so far
 }
 
-// Verify reads a whole state and checks every invariant that docs/archive.md names.
+// Verify checks a whole state against the invariants in docs/archive.md.
 func Verify(ctx context.Context, items []wire.KeyValue) Report {
 	v := &verifier{stages: map[string]wire.Stage{}, live: map[string]string{}, ended: newIDSet()}
 	v.Kinds = map[string]*KindStats{}
-	for _, it := range archiveLast(items) {
+	for _, item := range archiveLast(items) {
 		if ctx.Err() != nil {
-			v.addProblem("", "broken off: %v", ctx.Err())
+			v.addProblem("", "verification interrupted: %v", ctx.Err())
 			break
 		}
-		v.checkItem(it)
+		v.checkItem(item)
 	}
 	v.finish()
 	return v.Report
 }
 
-// archiveLast orders keys with those of the archive last, so that its blocks can be compared
-// with everything else.
+// archiveLast returns the items sorted by key, with the archive after all other keys, so that its
+// blocks can be checked against everything else.
 func archiveLast(items []wire.KeyValue) []wire.KeyValue {
 	items = slices.Clone(items)
 	slices.SortFunc(items, func(a, b wire.KeyValue) int {
@@ -81,7 +82,8 @@
 	return items
 }
 
-// addProblem adds a problem, of a key if it is one.
+// addProblem adds a problem to the report. An empty key means that the problem does not concern a
+// single key.
 func (v *verifier) addProblem(key, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if key != "" {
@@ -92,22 +94,22 @@
 	}
 }
 
-// decode reads a record; one that can't be decoded is a problem.
-func decode[T any](v *verifier, it wire.KeyValue) (rec T, ok bool) {
-	if err := wire.DecodeValue(it.Value, &rec); err != nil {
-		v.addProblem(it.Key, "record not understood: %v", err)
+// decode decodes a record and reports a problem if that fails.
+func decode[T any](v *verifier, item wire.KeyValue) (rec T, ok bool) {
+	if err := wire.DecodeValue(item.Value, &rec); err != nil {
+		v.addProblem(item.Key, "record not understood: %v", err)
 		return rec, false
 	}
 	return rec, true
 }
 
 // checkDecodes only checks that a record can be decoded.
-func checkDecodes[T any](v *verifier, it wire.KeyValue, _ *KindStats) { _, _ = decode[T](v, it) }
+func checkDecodes[T any](v *verifier, item wire.KeyValue, _ *KindStats) { _, _ = decode[T](v, item) }
 
-// finish checks what shows only at the end.
+// finish makes the checks and counts that need all keys.
 func (v *verifier) finish() {
 	if v.archiveBlocks > 0 && v.firstUncovered != lastBlockKey {
-		v.addProblem(store.ArchivePrefix+lastBlockKey, "what comes from %q on is covered by no block", v.firstUncovered)
+		v.addProblem(store.ArchivePrefix+lastBlockKey, "the keys from %q on are covered by no block", v.firstUncovered)
 	}
 	for id := range v.live {
 		if v.stages[id] == "" {
--- a/internal/archive/verify_live.go
+++ b/internal/archive/verify_live.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// kindChecks says how the keys of each kind are checked.
-var kindChecks = map[string]func(v *verifier, it wire.KeyValue, k *KindStats){
+// kindChecks has the check for the keys of each kind.
+var kindChecks = map[string]func(v *verifier, item wire.KeyValue, k *KindStats){
 	store.KindBatch:           (*verifier).checkBatch,
 	store.KindJob:             (*verifier).checkStandaloneJob,
 	store.KindRecent:          (*verifier).checkRecentBlock,
@@ -24,83 +24,83 @@
 	store.KindMachineTypes:    func(*verifier, wire.KeyValue, *KindStats) {},
 }
 
-// checkItem counts and checks a key.
-func (v *verifier) checkItem(it wire.KeyValue) {
-	kind := store.Kind(it.Key)
+// checkItem counts a key under its kind and runs the check for that kind.
+func (v *verifier) checkItem(item wire.KeyValue) {
+	kind := store.Kind(item.Key)
 	k := v.Kinds[kind]
 	if k == nil {
-		k = &KindStats{Oldest: it.Version}
+		k = &KindStats{Oldest: item.Version}
 		v.Kinds[kind] = k
 	}
-	k.add(it)
+	k.add(item)
 	check := kindChecks[kind]
 	if check == nil {
-		v.addProblem(it.Key, "of an unknown kind")
+		v.addProblem(item.Key, "key of an unknown kind")
 		return
 	}
-	check(v, it, k)
+	check(v, item, k)
 }
 
-func (v *verifier) checkBatch(it wire.KeyValue, k *KindStats) {
-	rec, ok := decode[store.BatchRecord](v, it)
+func (v *verifier) checkBatch(item wire.KeyValue, k *KindStats) {
+	rec, ok := decode[store.BatchRecord](v, item)
 	if !ok {
 		return
 	}
 	k.Jobs += len(rec.Jobs)
 	for id, job := range rec.Jobs {
-		v.checkBatchJob(it.Key, id, job)
+		v.checkBatchJob(item.Key, id, job)
 	}
 }
 
-func (v *verifier) checkStandaloneJob(it wire.KeyValue, k *KindStats) {
-	if rec, ok := decode[store.JobRecord](v, it); ok {
+func (v *verifier) checkStandaloneJob(item wire.KeyValue, k *KindStats) {
+	if rec, ok := decode[store.JobRecord](v, item); ok {
 		k.Jobs++
-		v.checkBatchJob(it.Key, strings.TrimPrefix(it.Key, store.JobKey("")), rec)
+		v.checkBatchJob(item.Key, strings.TrimPrefix(item.Key, store.JobKey("")), rec)
 	}
 }
 
-func (v *verifier) checkLeader(it wire.KeyValue, _ *KindStats) {
-	if rec, ok := decode[store.LeaderRecord](v, it); ok {
+func (v *verifier) checkLeader(item wire.KeyValue, _ *KindStats) {
+	if rec, ok := decode[store.LeaderRecord](v, item); ok {
 		v.FencingToken = max(v.FencingToken, rec.FencingToken)
 	}
 }
 
-// checkFencingToken checks the counter of fencing tokens. It comes after the leaders' records
-// in the order of keys, and must not be lower than any of their tokens.
-func (v *verifier) checkFencingToken(it wire.KeyValue, _ *KindStats) {
-	token, ok := decode[uint64](v, it)
+// checkFencingToken checks that the fencing token counter is not lower than the token of any
+// leader. Its key sorts after those of the leader records, so these have been checked before.
+func (v *verifier) checkFencingToken(item wire.KeyValue, _ *KindStats) {
+	token, ok := decode[uint64](v, item)
 	if !ok {
 		return
 	}
 	if token < v.FencingToken {
-		v.addProblem(it.Key, "the counter of terms is %d, a part is held with term %d", token, v.FencingToken)
+		v.addProblem(item.Key, "the fencing token counter is %d, but a shard is led with token %d", token, v.FencingToken)
 	}
 	v.FencingToken = max(v.FencingToken, token)
 }
 
-func (v *verifier) checkFormat(it wire.KeyValue, _ *KindStats) {
-	rec, ok := decode[store.FormatRecord](v, it)
+func (v *verifier) checkFormat(item wire.KeyValue, _ *KindStats) {
+	rec, ok := decode[store.FormatRecord](v, item)
 	if !ok {
 		return
 	}
 	v.Format = rec.Format
 	switch {
 	case rec.Import != "":
-		v.addProblem(it.Key, "an import was not finished")
+		v.addProblem(item.Key, "an import has not completed")
 	case rec.Format > store.FormatSharded:
-		v.addProblem(it.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
+		v.addProblem(item.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
 	}
 }
 
-// checkBatchJob takes what a batch says of a job.
+// checkBatchJob checks the record of a job in a batch or under its own key.
 func (v *verifier) checkBatchJob(key, id string, job store.JobRecord) {
 	switch {
 	case !wire.ValidJobID(id):
-		v.addProblem(key, "%q is not the id of a job", id)
+		v.addProblem(key, "%q is not a valid job id", id)
 	case job.Stage.Final():
 		v.recordEnd(key, id, job.Stage)
 	case job.Job == nil:
-		v.addProblem(key, "job %s is %q and has no description", id, job.Stage)
+		v.addProblem(key, "job %s is in stage %q, but has no description", id, job.Stage)
 	default:
 		v.live[id] = key
 	}
--- a/internal/jobblock/codec.go
+++ b/internal/jobblock/codec.go
@@ -103,9 +103,9 @@
 }
 
 // readGroups reads all groups of a block, and returns the number of their ids.
-func (b *Block) readGroups(in *decoder) (count int) {
-	for !in.failed {
-		g, more := in.readGroup(count)
+func (b *Block) readGroups(dec *decoder) (count int) {
+	for !dec.failed {
+		g, more := dec.readGroup(count)
 		if !more {
 			break
 		}
--- a/internal/jobblock/record.go
+++ b/internal/jobblock/record.go
@@ -90,17 +90,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	in := &decoder{buf: raw}
+	dec := &decoder{buf: raw}
 	b := &Block{From: r.From}
-	count := b.readGroups(in)
-	if in.failed || count != r.Count {
+	count := b.readGroups(dec)
+	if dec.failed || count != r.Count {
 		return nil, fmt.Errorf("%w: %d ids, recorded %d", ErrDamaged, count, r.Count)
 	}
 	b.outcomes = make([]outcome, count)
 	for i := range b.outcomes {
-		b.outcomes[i] = outcome(min(in.readUvarint(), maxOutcome))
+		b.outcomes[i] = outcome(min(dec.readUvarint(), maxOutcome))
 	}
-	if in.failed || len(in.buf) > 0 {
+	if dec.failed || len(dec.buf) > 0 {
 		return nil, fmt.Errorf("%w: it is cut, or goes on", ErrDamaged)
 	}
 	return b, nil
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -32,8 +32,8 @@
 func retry(ctx context.Context, call func() error) error {
 	for attempt := 1; ; attempt++ {
 		err := call()
-		mayPass := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknownOutcome)
-		if !mayPass || attempt == maxAttempts || ctx.Err() != nil {
+		transient := errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnknownOutcome)
+		if !transient || attempt == maxAttempts || ctx.Err() != nil {
 			return err
 		}
 		store.Backoff(ctx, retryInterval)
@@ -57,22 +57,22 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var ch *wire.WatchResponse
+	var changes *wire.WatchResponse
 	err = retry(ctx, func() (err error) {
-		ch, err = s.Changes(ctx, store.CommonPrefix, first, 0)
+		changes, err = s.Changes(ctx, store.CommonPrefix, first, 0)
 		return err
 	})
 	if err != nil {
 		return nil, 0, fmt.Errorf("reading the changes since revision %d: %w", first, err)
 	}
-	for _, e := range ch.Events {
+	for _, e := range changes.Events {
 		if e.Delete != "" {
 			delete(found, e.Delete)
 		} else {
 			found[e.Put] = wire.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version}
 		}
 	}
-	return sortedOwnItems(found), ch.Revision, nil
+	return sortedOwnItems(found), changes.Revision, nil
 }
 
 // readPages reads all keys, and returns the revision of the first page.
@@ -90,9 +90,9 @@
 		if first == 0 {
 			first = page.Revision
 		}
-		for _, it := range page.Items {
-			found[it.Key] = it
-			after = it.Key
+		for _, item := range page.Items {
+			found[item.Key] = item
+			after = item.Key
 		}
 		progress(len(found), after)
 		if !page.More || len(page.Items) == 0 {
@@ -103,9 +103,9 @@
 
 // sortedOwnItems lists amberdeal's keys in order, without those of others that begin alike.
 func sortedOwnItems(found map[string]wire.KeyValue) (items []wire.KeyValue) {
-	for _, it := range found {
-		if strings.HasPrefix(it.Key, store.StatePrefix) || strings.HasPrefix(it.Key, store.ArchivePrefix) {
-			items = append(items, it)
+	for _, item := range found {
+		if strings.HasPrefix(item.Key, store.StatePrefix) || strings.HasPrefix(item.Key, store.ArchivePrefix) {
+			items = append(items, item)
 		}
 	}
 	slices.SortFunc(items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
@@ -115,9 +115,9 @@
 // StateFormat returns the format that a state's marker names, 0 without one.
 func StateFormat(items []wire.KeyValue) int {
 	var rec store.FormatRecord
-	for _, it := range items {
-		if it.Key == store.FormatKey {
-			_ = wire.DecodeValue(it.Value, &rec) // a damaged marker is no marker
+	for _, item := range items {
+		if item.Key == store.FormatKey {
+			_ = wire.DecodeValue(item.Value, &rec) // a damaged marker is no marker
 		}
 	}
 	return rec.Format
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -80,9 +80,9 @@
 	if err := out.put(h); err != nil {
 		return fmt.Errorf("write the header: %w", err)
 	}
-	for _, it := range items {
-		if err := out.put(frame{Key: it.Key, Value: it.Value, Version: it.Version}); err != nil {
-			return fmt.Errorf("write %s: %w", it.Key, err)
+	for _, item := range items {
+		if err := out.put(frame{Key: item.Key, Value: item.Value, Version: item.Version}); err != nil {
+			return fmt.Errorf("write %s: %w", item.Key, err)
 		}
 	}
 	if trailer {
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -37,15 +37,15 @@
 // Import puts a state into an empty state service, and returns the counter of fencing tokens
 // that it begins with. An import that was interrupted is continued with the same file, which
 // its sum identifies. Until it is complete no controller works on the state.
-func Import(ctx context.Context, s Service, items []wire.KeyValue, sum string, lim Limits, progress func(done, all int)) (token uint64, err error) {
+func Import(ctx context.Context, s Service, items []wire.KeyValue, sum string, limits Limits, progress func(done, all int)) (token uint64, err error) {
 	present, marker, err := beginImport(ctx, s, sum)
 	if err != nil {
 		return 0, err
 	}
-	w := &importer{service: s, limits: lim, present: present, marker: marker}
+	imp := &importer{service: s, limits: limits, present: present, marker: marker}
 	items = sortForImport(items)
-	for i, it := range items {
-		written, err := w.add(ctx, it)
+	for i, item := range items {
+		written, err := imp.add(ctx, item)
 		if err != nil {
 			return 0, err
 		}
@@ -53,11 +53,11 @@
 			progress(i+1, len(items))
 		}
 	}
-	if err := w.flush(ctx); err != nil {
+	if err := imp.flush(ctx); err != nil {
 		return 0, err
 	}
-	token = w.token + FencingTokenMargin
-	return token, finishImport(ctx, s, marker, w.format, token)
+	token = imp.token + FencingTokenMargin
+	return token, finishImport(ctx, s, marker, imp.format, token)
 }
 
 // sortForImport orders keys by their versions: the newest segment of a ledger counts, and the
@@ -72,12 +72,12 @@
 
 // importRevision returns the version that a key is ordered by: a batch that was written again is
 // as old as its first revision.
-func importRevision(it wire.KeyValue) uint64 {
+func importRevision(item wire.KeyValue) uint64 {
 	var rec store.BatchRecord
-	if store.Kind(it.Key) == store.KindBatch && wire.DecodeValue(it.Value, &rec) == nil && rec.Since > 0 {
+	if store.Kind(item.Key) == store.KindBatch && wire.DecodeValue(item.Value, &rec) == nil && rec.Since > 0 {
 		return rec.Since
 	}
-	return it.Version
+	return item.Version
 }
 
 // importer writes keys in transactions. Those whose order counts get a revision of their own.
@@ -94,39 +94,39 @@
 }
 
 // add takes a key, and reports whether it belongs into the state now.
-func (w *importer) add(ctx context.Context, it wire.KeyValue) (written bool, err error) {
-	if len(it.Value) > w.limits.ValueBytes {
-		return false, fmt.Errorf("%w: %s takes %d bytes, %d are allowed", ErrTooLarge, it.Key, len(it.Value), w.limits.ValueBytes)
+func (imp *importer) add(ctx context.Context, item wire.KeyValue) (written bool, err error) {
+	if len(item.Value) > imp.limits.ValueBytes {
+		return false, fmt.Errorf("%w: %s takes %d bytes, %d are allowed", ErrTooLarge, item.Key, len(item.Value), imp.limits.ValueBytes)
 	}
-	switch kind := store.Kind(it.Key); kind {
+	switch kind := store.Kind(item.Key); kind {
 	case store.KindLeader: // it is attached to a lease of the other state service
 		return false, nil
 	case store.KindFormat:
-		w.format = StateFormat([]wire.KeyValue{it})
+		imp.format = StateFormat([]wire.KeyValue{item})
 		return false, nil
 	case store.KindFencingToken:
-		if err := wire.DecodeValue(it.Value, &w.token); err != nil {
-			return false, fmt.Errorf("decode %s: %w", it.Key, err)
+		if err := wire.DecodeValue(item.Value, &imp.token); err != nil {
+			return false, fmt.Errorf("decode %s: %w", item.Key, err)
 		}
 		return false, nil
 	default:
-		value, err := importedValue(kind, it)
-		if err != nil || w.present[it.Key] {
+		value, err := importedValue(kind, item)
+		if err != nil || imp.present[item.Key] {
 			return false, err
 		}
-		return true, w.put(ctx, it, value, revisionOrderMatters(kind))
+		return true, imp.put(ctx, item, value, revisionOrderMatters(kind))
 	}
 }
 
 // importedValue returns the value to write. A batch must not name a revision of the other
 // state service.
-func importedValue(kind string, it wire.KeyValue) (any, error) {
+func importedValue(kind string, item wire.KeyValue) (any, error) {
 	if kind != store.KindBatch {
-		return it.Value, nil
+		return item.Value, nil
 	}
 	var rec store.BatchRecord
-	if err := wire.DecodeValue(it.Value, &rec); err != nil {
-		return nil, fmt.Errorf("decode %s: %w", it.Key, err)
+	if err := wire.DecodeValue(item.Value, &rec); err != nil {
+		return nil, fmt.Errorf("decode %s: %w", item.Key, err)
 	}
 	rec.Since = 0
 	return rec, nil
@@ -143,17 +143,17 @@
 }
 
 // put adds a key to the transaction, and writes it alone if its order counts.
-func (w *importer) put(ctx context.Context, it wire.KeyValue, value any, alone bool) error {
-	if alone || len(w.txn.Then) >= w.limits.TxnOps || w.bytes+len(it.Value) > maxTxnBytes {
-		if err := w.flush(ctx); err != nil {
+func (imp *importer) put(ctx context.Context, item wire.KeyValue, value any, alone bool) error {
+	if alone || len(imp.txn.Then) >= imp.limits.TxnOps || imp.bytes+len(item.Value) > maxTxnBytes {
+		if err := imp.flush(ctx); err != nil {
 			return err
 		}
 	}
-	w.txn.If = append(w.txn.If, wire.Condition{Key: it.Key})
-	w.txn.Then = append(w.txn.Then, wire.Operation{Put: it.Key, Value: value})
-	w.bytes += len(it.Value)
+	imp.txn.If = append(imp.txn.If, wire.Condition{Key: item.Key})
+	imp.txn.Then = append(imp.txn.Then, wire.Operation{Put: item.Key, Value: value})
+	imp.bytes += len(item.Value)
 	if alone {
-		return w.flush(ctx)
+		return imp.flush(ctx)
 	}
 	return nil
 }
@@ -161,13 +161,13 @@
 // flush writes the transaction. A copy of it that arrives late finds another marker: its keys
 // may be absent again by then, and a batch of jobs that were compacted long ago must not
 // come back.
-func (w *importer) flush(ctx context.Context) error {
-	if len(w.txn.Then) == 0 {
+func (imp *importer) flush(ctx context.Context) error {
+	if len(imp.txn.Then) == 0 {
 		return nil
 	}
-	w.txn.If = append(w.txn.If, w.marker)
-	err := commit(ctx, w.service, w.txn)
-	w.txn, w.bytes = wire.Txn{}, 0
+	imp.txn.If = append(imp.txn.If, imp.marker)
+	err := commit(ctx, imp.service, imp.txn)
+	imp.txn, imp.bytes = wire.Txn{}, 0
 	return err
 }
 
@@ -197,10 +197,10 @@
 
 // findFormatMarker returns the format record of a state, and the condition that it is unchanged.
 func findFormatMarker(items []wire.KeyValue) (rec store.FormatRecord, unchanged wire.Condition) {
-	for _, it := range items {
-		if it.Key == store.FormatKey {
-			_ = wire.DecodeValue(it.Value, &rec) // a damaged marker is none of an import
-			unchanged = wire.Condition{Key: it.Key, Version: it.Version}
+	for _, item := range items {
+		if item.Key == store.FormatKey {
+			_ = wire.DecodeValue(item.Value, &rec) // a damaged marker is none of an import
+			unchanged = wire.Condition{Key: item.Key, Version: item.Version}
 		}
 	}
 	return rec, unchanged
@@ -208,8 +208,8 @@
 
 func keySet(items []wire.KeyValue) map[string]bool {
 	keys := make(map[string]bool, len(items))
-	for _, it := range items {
-		keys[it.Key] = true
+	for _, item := range items {
+		keys[item.Key] = true
 	}
 	return keys
 }
@@ -235,14 +235,14 @@
 // commit makes a write. Nobody else writes, so that one without an answer can be made again;
 // a conflict after that, on a key that it changes, means that it was committed.
 func commit(ctx context.Context, s Service, txn wire.Txn) error {
-	unsure := false
+	outcomeUnknown := false
 	return retry(ctx, func() error {
 		_, err := s.Txn(ctx, txn)
 		var conflict *store.ConflictError
-		if unsure && errors.As(err, &conflict) && conflictsOn(conflict, txn.Then) {
+		if outcomeUnknown && errors.As(err, &conflict) && conflictsOn(conflict, txn.Then) {
 			return nil
 		}
-		unsure = unsure || errors.Is(err, store.ErrUnknownOutcome)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, store.ErrUnknownOutcome)
 		if err != nil {
 			return fmt.Errorf("writing %s: %w", txn.Then[0].Put, err)
 		}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -114,24 +114,24 @@
 	if err != nil || h.StateFormat != store.Format || h.Revision != revision || len(read) != len(items) {
 		t.Fatalf("%+v, %d of %d keys, %v", h, len(read), len(items), err)
 	}
-	lim := Limits{ValueBytes: 8192, TxnOps: 12}
+	limits := Limits{ValueBytes: 8192, TxnOps: 12}
 	to.failAt = 5
-	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, errInterrupted) {
+	if _, err := Import(t.Context(), to, read, sum, limits, noImportProgress); !errors.Is(err, errInterrupted) {
 		t.Fatalf("broken off: %v", err)
 	}
 	if f := StateFormat(to.Page(store.StatePrefix, "", 0).Items); f <= store.Format {
 		t.Errorf("a half import has format %d: a controller would work on it", f)
 	}
-	if _, err := Import(t.Context(), to, read, "another", lim, noImportProgress); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Import(t.Context(), to, read, "another", limits, noImportProgress); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("another file on top of it: %v", err)
 	}
-	token, err := Import(t.Context(), to, read, sum, lim, noImportProgress)
+	token, err := Import(t.Context(), to, read, sum, limits, noImportProgress)
 	if err != nil || token != 41+FencingTokenMargin {
 		t.Fatalf("token %d, %v", token, err)
 	}
 	got := map[string]wire.KeyValue{}
-	for _, it := range to.Page(store.CommonPrefix, "", 0).Items {
-		got[it.Key] = it
+	for _, item := range to.Page(store.CommonPrefix, "", 0).Items {
+		got[item.Key] = item
 	}
 	if _, led := got[store.LeaderKey("fleet")]; led || len(got) != len(items)-1 {
 		t.Errorf("led %v, %d keys of %d", led, len(got), len(items))
@@ -143,7 +143,7 @@
 	if err := wire.DecodeValue(got[store.BatchKey("z")].Value, &rec); err != nil || rec.Since != 0 {
 		t.Errorf("a batch is there since revision %d of another service", rec.Since)
 	}
-	if _, err := Import(t.Context(), to, read, sum, lim, noImportProgress); !errors.Is(err, ErrNotEmpty) {
+	if _, err := Import(t.Context(), to, read, sum, limits, noImportProgress); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("a second import: %v", err)
 	}
 }
@@ -255,9 +255,9 @@
 				t.Fatal(err)
 			}
 			to.put(t, store.FencingTokenKey, token+1)
-			for _, it := range to.Page(store.StatePrefix, "", 0).Items {
-				if kind := store.Kind(it.Key); kind == store.KindBatch || kind == store.KindLedger {
-					to.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
+			for _, item := range to.Page(store.StatePrefix, "", 0).Items {
+				if kind := store.Kind(item.Key); kind == store.KindBatch || kind == store.KindLedger {
+					to.Commit(wire.Txn{Then: []wire.Operation{{Delete: item.Key}}})
 				}
 			}
 			for _, txn := range to.sent {
