--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -1,10 +1,10 @@
-// Package jobblock encodes ended jobs compactly, to be kept for good: a block holds ids in
-// order, each with its final stage and size.
+// Package jobblock encodes ended jobs compactly for permanent storage. A block holds job ids in
+// order, each with its final stage and number of tasks.
 //
-// A block is stored as text in one value of the state service. Ids are written as
-// differences, and sizes with the stage as their lowest bit; all of it is deflated and has a
-// checksum. It takes two to three bytes per job. The blocks of the archive divide all ids
-// among them, in the order of SortKey.
+// A block is stored as text in one value of the state service. Ids are delta-encoded, and the
+// lowest bit of an encoded number of tasks is the stage. The encoding is compressed with DEFLATE
+// and has a checksum. It takes two to three bytes per job. The blocks of the archive partition the
+// range of all ids in the order of SortKey.
 package jobblock
 
 import (
@@ -24,16 +24,16 @@
 	Tasks int
 }
 
-// SortKey orders ids by length, then by number. It is text, so that the order of keys in the
-// state service is the same.
+// SortKey returns a string whose lexical order sorts ids by length, then by number. The state
+// service sorts keys in the same order.
 func SortKey(id string) string {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	return fmt.Sprintf("%02d%s", len(digits), digits)
 }
 
-// Sort orders entries and removes repeated ones, in place. Of two that differ the first is
-// kept, and the id of the other is returned as conflicting: a final stage that changed is a
-// fault that must be reported.
+// Sort sorts entries by id and removes duplicate ids, in place. The first entry of an id is kept.
+// If a later one has another final stage, its id is returned as conflicting: a final stage that has
+// changed is a fault that must be reported.
 func Sort(entries []Entry) (sorted []Entry, conflicting []string) {
 	slices.SortStableFunc(entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(len(a.ID), len(b.ID)), cmp.Compare(a.ID, b.ID))
@@ -52,19 +52,20 @@
 	return sorted, conflicting
 }
 
-// Block is a decoded record.
+// Block is a decoded Record.
 type Block struct {
-	From     string // the first key that the block covers
+	From     string // first sort key that the block covers
 	groups   []idGroup
-	outcomes []outcome // by position
+	outcomes []outcome // by position of the job in the block
 }
 
-// idGroup is a run of ids of one length. Ids that fit a number are kept as one.
+// idGroup is a run of ids of the same length. Ids of up to maxNumericDigits digits are kept as
+// numbers.
 type idGroup struct {
-	width   int      // digits of each id
-	first   int      // position of its first id in the block
-	numbers []uint64 // of up to maxNumericDigits digits
-	longIDs []string // longer ones
+	width   int      // number of digits of each id
+	first   int      // position of the first id in the block
+	numbers []uint64 // ids of up to maxNumericDigits digits
+	longIDs []string // digits of longer ids
 }
 
 func (g *idGroup) len() int { return len(g.numbers) + len(g.longIDs) }
@@ -81,13 +82,14 @@
 	return slices.BinarySearch(g.numbers, n)
 }
 
-// outcome is the number of a job's tasks, with a lowest bit that says whether it was cancelled.
+// outcome is the number of tasks of a job, shifted left by one bit; the lowest bit is set if the
+// job was cancelled.
 type outcome uint32
 
-// maxOutcome is the largest one that a job can have.
+// maxOutcome is the largest outcome that a job can have.
 const maxOutcome = wire.MaxTasks<<1 | 1
 
-// encodeOutcome is the outcome of a job as it is written.
+// encodeOutcome returns the outcome of a job as a number to be encoded.
 func encodeOutcome(e Entry) uint64 {
 	o := uint64(e.Tasks) << 1
 	if e.Stage == wire.Cancelled {
@@ -96,7 +98,7 @@
 	return o
 }
 
-// entry returns the job of an id with this outcome.
+// entry returns the entry of the job that has the id and this outcome.
 func (o outcome) entry(id string) Entry {
 	e := Entry{id, wire.Done, int(o >> 1)}
 	if o&1 == 1 {
@@ -108,7 +110,7 @@
 // Len returns the number of jobs in the block.
 func (b *Block) Len() int { return len(b.outcomes) }
 
-// Find looks up an id.
+// Find looks up a job by its id.
 func (b *Block) Find(id string) (Entry, bool) {
 	digits := strings.TrimPrefix(id, wire.JobPrefix)
 	for i := range b.groups {
@@ -123,7 +125,7 @@
 	return Entry{}, false
 }
 
-// Entries lists all jobs in order.
+// Entries returns all jobs in the order of their ids.
 func (b *Block) Entries() []Entry {
 	out := make([]Entry, 0, b.Len())
 	for _, g := range b.groups {
@@ -137,6 +139,7 @@
 	return out
 }
 
+// zeroPad formats n with leading zeros to the given number of digits.
 func zeroPad(n uint64, width int) string {
 	s := strconv.FormatUint(n, 10)
 	return strings.Repeat("0", max(0, width-len(s))) + s
--- a/internal/jobblock/block_test.go
+++ b/internal/jobblock/block_test.go
@@ -18,8 +18,8 @@
 	return wire.Done
 }
 
-// variedEntries returns jobs, by id and shuffled, whose ids are of all kinds: with gaps, in any
-// order, with leading zeros, of 12 digits, and longer than any number.
+// variedEntries returns jobs, by id and shuffled. Their ids have gaps, leading zeros, 12 digits, or
+// more digits than fit in a number.
 func variedEntries() (byID map[string]Entry, shuffled []Entry) {
 	random := rand.New(rand.NewPCG(1, 1))
 	byID = map[string]Entry{}
@@ -42,7 +42,8 @@
 	return byID, shuffled
 }
 
-// TestBlockRoundTrip packs ids of all kinds, and finds each in the block that covers it.
+// TestBlockRoundTrip packs ids of all kinds into several blocks. Each job must be found unchanged
+// in the block that covers its id.
 func TestBlockRoundTrip(t *testing.T) {
 	want, shuffled := variedEntries()
 	sorted, conflicting := Sort(shuffled)
@@ -55,13 +56,13 @@
 		}
 		return 1
 	}) {
-		t.Fatal("the order is not that of the keys")
+		t.Fatal("Sort does not follow the order of SortKey")
 	}
 	found := 0
 	records := Split("", sorted, 8192)
 	for i, r := range records {
 		if r.Bytes() > 8192 {
-			t.Errorf("block %d takes %d bytes", i, r.Bytes())
+			t.Errorf("block %d takes %d bytes, more than the limit", i, r.Bytes())
 		}
 		b, err := r.Unpack()
 		if err != nil {
@@ -69,27 +70,27 @@
 		}
 		for _, e := range b.Entries() {
 			if want[e.ID] != e {
-				t.Errorf("%s became %+v", e.ID, e)
+				t.Errorf("job %s was unpacked as %+v", e.ID, e)
 			}
 			if SortKey(e.ID) < r.From || i+1 < len(records) && SortKey(e.ID) >= records[i+1].From {
-				t.Errorf("%s is in a block that does not cover it", e.ID)
+				t.Errorf("job %s is in a block that does not cover it", e.ID)
 			}
 			if got, ok := b.Find(e.ID); !ok || got != e {
-				t.Errorf("%s is not found", e.ID)
+				t.Errorf("job %s is not found or differs", e.ID)
 			}
 			found++
 		}
 		if _, ok := b.Find("wk-5555555555555"); ok {
-			t.Error("an id that nobody submitted is found")
+			t.Error("an id that was not packed is found")
 		}
 	}
 	if found != len(want) || len(records) < 2 {
-		t.Errorf("%d of %d jobs in %d blocks", found, len(want), len(records))
+		t.Errorf("found %d of %d jobs in %d blocks", found, len(want), len(records))
 	}
 }
 
-// TestBlockSizeIsBounded: ids in steps pack into next to nothing; a block still
-// holds no more than can be looked through.
+// TestBlockSizeIsBounded packs ids at regular intervals, which compress to hardly any bytes. The
+// number of jobs in a block must still be bounded, because a lookup decodes all of them.
 func TestBlockSizeIsBounded(t *testing.T) {
 	var entries []Entry
 	for i := range 3 * MaxJobs {
@@ -102,16 +103,17 @@
 	}
 }
 
-// TestSortKeepsFirstStage: a final stage never changes, and one that would
-// is returned.
+// TestSortKeepsFirstStage checks that Sort keeps the first entry of an id, and reports the id if a
+// later entry has another final stage.
 func TestSortKeepsFirstStage(t *testing.T) {
-	got, differ := Sort([]Entry{{"wk-2", wire.Done, 4}, {"wk-1", wire.Cancelled, 1}, {"wk-2", wire.Cancelled, 4}, {"wk-1", wire.Cancelled, 1}})
-	if len(got) != 2 || got[1] != (Entry{"wk-2", wire.Done, 4}) || !slices.Equal(differ, []string{"wk-2"}) {
-		t.Errorf("%v, differ %v", got, differ)
+	got, conflicting := Sort([]Entry{{"wk-2", wire.Done, 4}, {"wk-1", wire.Cancelled, 1}, {"wk-2", wire.Cancelled, 4}, {"wk-1", wire.Cancelled, 1}})
+	if len(got) != 2 || got[1] != (Entry{"wk-2", wire.Done, 4}) || !slices.Equal(conflicting, []string{"wk-2"}) {
+		t.Errorf("sorted %v, conflicting %v", got, conflicting)
 	}
 }
 
-// TestDamageIsDetected cuts and changes a block: none is read as something else.
+// TestDamageIsDetected truncates a block and flips a bit at every position, and changes its count
+// and its format. No damaged block may be unpacked to another number of jobs.
 func TestDamageIsDetected(t *testing.T) {
 	r := Pack("", []Entry{{"wk-1", wire.Done, 4}, {"wk-7", wire.Cancelled, 2}})
 	newer := r
@@ -120,16 +122,16 @@
 		t.Errorf("a newer block: %v", err)
 	}
 	for i := range r.Data {
-		cut, other := r, r
-		cut.Data = r.Data[:i]
-		if _, err := cut.Unpack(); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut at %d: %v", i, err)
+		truncated, flipped := r, r
+		truncated.Data = r.Data[:i]
+		if _, err := truncated.Unpack(); !errors.Is(err, ErrDamaged) {
+			t.Fatalf("truncated to %d bytes: %v", i, err)
 		}
 		b := []byte(r.Data)
 		b[i] ^= 1
-		other.Data = string(b)
-		if blk, err := other.Unpack(); err == nil && blk.Len() != 2 {
-			t.Fatalf("changed at %d: read as %d jobs", i, blk.Len())
+		flipped.Data = string(b)
+		if blk, err := flipped.Unpack(); err == nil && blk.Len() != 2 {
+			t.Fatalf("bit flipped at %d: unpacked %d jobs", i, blk.Len())
 		}
 	}
 	count := r
@@ -139,14 +141,14 @@
 	}
 }
 
-// FuzzUnpack: whatever a record holds, it is read or refused.
+// FuzzUnpack checks that any data is either decoded or rejected with an error.
 func FuzzUnpack(f *testing.F) {
 	r := Pack("", []Entry{{"wk-1", wire.Done, 4}, {"wk-000000000000000000007", wire.Cancelled, 2}})
 	packed, _ := base64.RawURLEncoding.DecodeString(r.Data)
 	f.Add(string(packed), 2)
 	f.Fuzz(func(t *testing.T, data string, count int) {
 		rec := Record{Format: 1, Count: count, Data: data}
-		if b, err := rec.decode([]byte(data)); err == nil { // as if the checksum held
+		if b, err := rec.decode([]byte(data)); err == nil { // as if the checksum were correct
 			for _, e := range b.Entries() {
 				_, _ = b.Find(e.ID)
 			}
@@ -154,7 +156,7 @@
 	})
 }
 
-// BenchmarkBlock times a look-up in a full block, decoded for it.
+// BenchmarkBlock measures a lookup in a full block, including its decoding.
 func BenchmarkBlock(b *testing.B) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var entries []Entry
--- a/internal/jobblock/codec.go
+++ b/internal/jobblock/codec.go
@@ -7,11 +7,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// maxNumericDigits is how many digits surely fit a number of 64 bits.
+// maxNumericDigits is the number of decimal digits that always fit in 64 bits.
 const maxNumericDigits = 18
 
-// encodeEntries writes sorted entries: groups of ids of one length, each with its width, its size
-// and the ids; a width of 0; and the outcomes of all jobs.
+// encodeEntries encodes sorted entries: the groups of ids of the same length, each as its width,
+// its number of ids and the ids; a width of 0 that ends the groups; and the outcomes of all jobs.
 func encodeEntries(entries []Entry) []byte {
 	var raw []byte
 	for i := 0; i < len(entries); {
@@ -22,14 +22,15 @@
 		raw = encodeGroup(raw, width-len(wire.JobPrefix), entries[i:n])
 		i = n
 	}
-	raw = binary.AppendUvarint(raw, 0) // no more groups
+	raw = binary.AppendUvarint(raw, 0) // end of the groups
 	for _, e := range entries {
 		raw = binary.AppendUvarint(raw, encodeOutcome(e))
 	}
 	return raw
 }
 
-// encodeGroup writes ids of one length, numbers as the differences between them.
+// encodeGroup appends a group of ids of the same length. Ids of up to maxNumericDigits digits are
+// delta-encoded, longer ones are appended as text.
 func encodeGroup(raw []byte, width int, entries []Entry) []byte {
 	raw = binary.AppendUvarint(raw, uint64(width))
 	raw = binary.AppendUvarint(raw, uint64(len(entries)))
@@ -40,15 +41,15 @@
 			raw = append(raw, digits...)
 			continue
 		}
-		n, _ := strconv.ParseUint(digits, 10, 64) // an accepted id has only digits
+		n, _ := strconv.ParseUint(digits, 10, 64) // a valid id has only digits after its prefix
 		raw = binary.AppendUvarint(raw, n-previous)
 		previous = n
 	}
 	return raw
 }
 
-// decoder reads what encodeEntries wrote. It remembers whether anything was wrong, so that callers
-// check once.
+// decoder decodes the output of encodeEntries. It records whether any read has failed, so that
+// callers check for errors once.
 type decoder struct {
 	buf    []byte
 	failed bool
@@ -64,6 +65,7 @@
 	return n
 }
 
+// readString reads a string of n bytes.
 func (d *decoder) readString(n int) string {
 	if n < 0 || n > len(d.buf) {
 		d.failed, d.buf = true, nil
@@ -74,14 +76,16 @@
 	return s
 }
 
-// readGroup reads a group whose first id has a position; more is false where there is none.
+// readGroup reads a group whose first id has the position first in the block; more is false at the
+// end of the groups and after a failure.
 func (d *decoder) readGroup(first int) (g idGroup, more bool) {
 	width := int(d.readUvarint())
 	if width == 0 || d.failed {
 		return idGroup{}, false
 	}
 	n := d.readUvarint()
-	// Each id takes a byte at least: a damaged size must not allocate more.
+	// Each id takes at least one byte. Checking this keeps a damaged count from causing a large
+	// allocation.
 	if n > uint64(len(d.buf)) || width > wire.MaxDigits {
 		d.failed = true
 		return idGroup{}, false
@@ -94,15 +98,15 @@
 		return g, true
 	}
 	g.numbers = make([]uint64, n)
-	last := uint64(0)
+	previous := uint64(0)
 	for i := range g.numbers {
-		last += d.readUvarint()
-		g.numbers[i] = last
+		previous += d.readUvarint()
+		g.numbers[i] = previous
 	}
 	return g, true
 }
 
-// readGroups reads all groups of a block, and returns the number of their ids.
+// readGroups reads all groups of a block and returns the number of their ids.
 func (b *Block) readGroups(dec *decoder) (count int) {
 	for !dec.failed {
 		g, more := dec.readGroup(count)
--- a/internal/jobblock/deflate.go
+++ b/internal/jobblock/deflate.go
@@ -10,21 +10,21 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// deflaters and inflaters are expensive to create, and reused by one caller at a time.
-// (The library's zstd passes its coders over channels of its own, which tests on a fake
-// clock cannot share.)
+// deflaters and inflaters are pools, because compressors and decompressors are expensive to create.
+// The zstd of the library is not an option: it passes its coders over its own channels, which tests
+// on a fake clock (synctest) can't share.
 var (
 	deflaters = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(nil, flate.BestCompression)
 		if err != nil {
-			panic(err) // the level is a valid one
+			panic(err) // NewWriter fails only for an invalid level
 		}
 		return w
 	}}
 	inflaters = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// deflate compresses a block.
+// deflate compresses an encoded block.
 func deflate(raw []byte) []byte {
 	w := deflaters.Get().(*flate.Writer)
 	defer deflaters.Put(w)
@@ -37,10 +37,10 @@
 	return out.Bytes()
 }
 
-// maxUnpackedBytes bounds what a block may unpack to: far more than MaxJobs jobs take.
+// maxUnpackedBytes bounds the decompressed size of a block. It is far more than MaxJobs jobs take.
 const maxUnpackedBytes = 4 << 20
 
-// inflate decompresses a block. It refuses one that unpacks to more than maxUnpackedBytes.
+// inflate decompresses a block. It fails if the result is larger than maxUnpackedBytes.
 func inflate(packed []byte) ([]byte, error) {
 	r := inflaters.Get().(io.ReadCloser)
 	defer inflaters.Put(r)
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("inflate: %w", err)
 	}
 	if len(raw) > maxUnpackedBytes {
-		return nil, errors.New("inflate: too large")
+		return nil, errors.New("inflate: decompressed block is too large")
 	}
 	return raw, nil
 }
--- a/internal/jobblock/golden_test.go
+++ b/internal/jobblock/golden_test.go
@@ -10,13 +10,13 @@
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
 
-// TestGoldenRecord: a block is stored under the names that it had.
+// TestGoldenRecord checks that the stored names of the fields of a record have not changed.
 func TestGoldenRecord(t *testing.T) {
 	goldentest.Check[Record](t, "record.cbor", encode, wire.DecodeValue)
 }
 
-// TestGoldenBlock: ended jobs are packed as they were, ids of all lengths among
-// them, and a block of then is unpacked to the same jobs.
+// TestGoldenBlock checks that packing jobs with ids of various lengths still gives the same bytes
+// as the golden file, and that the golden file is unpacked to the same jobs.
 func TestGoldenBlock(t *testing.T) {
 	entries := []Entry{
 		{wire.JobPrefix + "7", wire.Done, 1},
@@ -29,15 +29,15 @@
 	from := SortKey(entries[0].ID)
 	rec := Pack(from, entries)
 	goldentest.File(t, "block.cbor", wire.Encode(rec))
-	var back Record
-	if err := wire.DecodeValue(goldentest.Read(t, "block.cbor", wire.Encode(rec)), &back); err != nil {
+	var golden Record
+	if err := wire.DecodeValue(goldentest.Read(t, "block.cbor", wire.Encode(rec)), &golden); err != nil {
 		t.Fatal(err)
 	}
-	b, err := back.Unpack()
+	b, err := golden.Unpack()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := b.Entries(); b.From != from || !reflect.DeepEqual(got, entries) {
-		t.Errorf("from %q: %v, not %v", b.From, got, entries)
+		t.Errorf("unpacked from %q: %v, want %v", b.From, got, entries)
 	}
 }
--- a/internal/jobblock/record.go
+++ b/internal/jobblock/record.go
@@ -8,41 +8,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Format is the newest format of a block that this version reads.
+// Format is the format of the blocks that this version writes, and the newest one that it reads.
 const Format = 1
 
-// What can be wrong with a block.
+// Errors of Record.Unpack.
 var (
-	// ErrNewer means that a later version of amberdeal wrote it.
+	// ErrNewer means that a newer version of amberdeal wrote the block.
 	ErrNewer = errors.New("written by a newer version")
-	// ErrDamaged means that it is not what was written.
+	// ErrDamaged means that the block differs from what was written.
 	ErrDamaged = errors.New("damaged")
 )
 
-// Record is a block as it is stored.
+// Record is the stored form of a block.
 type Record struct {
 	Format   int    `cbor:"format"`
-	From     string `cbor:"from,omitempty"` // the first key that the block covers
+	From     string `cbor:"from,omitempty"` // first sort key that the block covers
 	Count    int    `cbor:"count"`
-	Checksum string `cbor:"sum"` // xxhash64 of the packed bytes, in hex
-	Data     string `cbor:"data"`
+	Checksum string `cbor:"sum"`  // hexadecimal xxhash64 of the compressed bytes
+	Data     string `cbor:"data"` // compressed bytes in unpadded URL-safe base64
 }
 
 const (
-	// recordOverheadBytes bounds what a record takes beside From and Data.
+	// recordOverheadBytes is an upper bound for the encoded size of a record without From and Data.
 	recordOverheadBytes = 90
-	// MaxJobs bounds the jobs of a block: ids may be so regular that very many take hardly
-	// any bytes, and a look-up decodes all of them.
+	// MaxJobs bounds the jobs of a block. Regular ids compress so well that the limit in bytes
+	// would admit very many, and a lookup decodes all of them.
 	MaxJobs = 8192
 )
 
-// Bytes bounds what a record takes as the state service counts it.
+// Bytes returns an upper bound for the size of a record as the state service counts it.
 func (r *Record) Bytes() int { return recordOverheadBytes + len(r.From) + len(r.Data) }
 
-// Fits reports whether a record may be a value of at most limit bytes.
+// Fits reports whether a record fits in a value of limit bytes and has at most MaxJobs jobs.
 func (r *Record) Fits(limit int) bool { return r.Bytes() <= limit && r.Count <= MaxJobs }
 
-// Pack encodes a block of sorted entries that covers the keys from the given one on.
+// Pack encodes sorted entries as a block that covers the sort keys from the given one on.
 func Pack(from string, entries []Entry) Record {
 	packed := deflate(encodeEntries(entries))
 	return Record{
@@ -56,9 +56,9 @@
 
 func checksum(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
 
-// Split packs sorted entries into blocks that fit the limit, with room to grow in each. They
-// cover all keys from the given one on: each begins at its own From, and ends where the next
-// one begins.
+// Split packs sorted entries into blocks that fit the limit. Entries that don't fit in one block
+// are halved, which leaves room to grow in each block. Together the blocks cover all sort keys from
+// the given one on: each begins at its From and ends where the next one begins.
 func Split(from string, entries []Entry, limit int) []Record {
 	if r := Pack(from, entries); r.Fits(limit) || len(entries) < 2 {
 		return []Record{r}
@@ -68,8 +68,7 @@
 	return append(left, Split(SortKey(entries[half].ID), entries[half:], limit)...)
 }
 
-// Unpack decodes a record, and checks that all of it is as it was written. The error is an
-// ErrNewer or an ErrDamaged.
+// Unpack decodes a record and verifies that it is intact. The error wraps ErrNewer or ErrDamaged.
 func (r *Record) Unpack() (*Block, error) {
 	if r.Format > Format {
 		return nil, fmt.Errorf("%w: format %d, at most %d is understood", ErrNewer, r.Format, Format)
@@ -84,7 +83,7 @@
 	return r.decode(packed)
 }
 
-// decode reads the packed bytes of the record, whose checksum was compared.
+// decode decodes the compressed bytes of the record after their checksum has been verified.
 func (r *Record) decode(packed []byte) (*Block, error) {
 	raw, err := inflate(packed)
 	if err != nil {
@@ -101,7 +100,7 @@
 		b.outcomes[i] = outcome(min(dec.readUvarint(), maxOutcome))
 	}
 	if dec.failed || len(dec.buf) > 0 {
-		return nil, fmt.Errorf("%w: it is cut, or goes on", ErrDamaged)
+		return nil, fmt.Errorf("%w: data is truncated or follows the last job", ErrDamaged)
 	}
 	return b, nil
 }
--- a/internal/outcomefile/outcomefile.go
+++ b/internal/outcomefile/outcomefile.go
@@ -1,5 +1,5 @@
-// Package outcomefile keeps the outcomes of measurements in files of JSON, one file for each cell of
-// an experiment and for each step of a scale run, so that an interrupted run can be resumed.
+// Package outcomefile stores the outcomes of measurements in JSON files, one for each cell of an
+// experiment and for each step of a scale run, so that an interrupted run can be resumed.
 package outcomefile
 
 import (
@@ -8,10 +8,11 @@
 	"os"
 )
 
-// partSuffix is added to the name of a file while it is written.
+// partSuffix is the suffix of a file while it is being written.
 const partSuffix = ".part"
 
-// Save writes an outcome to a file, so that the file is there whole or not at all.
+// Save writes an outcome to a temporary file and renames it, so that an interrupted call never
+// leaves an incomplete file at path.
 func Save(path string, outcome any) error {
 	text, err := json.Marshal(outcome)
 	if err != nil {
@@ -26,8 +27,8 @@
 	return nil
 }
 
-// Load reads an outcome from a file that Save has written. The error for a file of another
-// content says that it is not of the kind that is given, such as "the outcome of a step".
+// Load reads an outcome from a file that Save has written. kind describes the expected content in
+// the error for a file that can't be decoded, for example "the outcome of a step".
 func Load(path, kind string, outcome any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/outcomefile/outcomefile_test.go
+++ b/internal/outcomefile/outcomefile_test.go
@@ -12,7 +12,8 @@
 	X int `json:"x"`
 }
 
-// TestSaveAndLoad: what was saved is loaded again, and replaces what was there; no other file is left.
+// TestSaveAndLoad checks that a saved outcome is loaded unchanged, that it replaces an earlier one,
+// and that no temporary file is left.
 func TestSaveAndLoad(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "point.json")
@@ -26,15 +27,16 @@
 		}
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 1 {
-		t.Errorf("%v are left, %v", entries, err)
+		t.Errorf("files in the directory: %v, %v; want one", entries, err)
 	}
 }
 
-// TestLoadErrors: a missing file is fs.ErrNotExist; a malformed one is named with its kind.
+// TestLoadErrors checks that the error for a missing file is fs.ErrNotExist, and that the one for a
+// malformed file has its path and the expected kind.
 func TestLoadErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "point.json")
 	if err := Load(path, "a point", new(point)); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: %v, want fs.ErrNotExist", err)
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -45,7 +47,7 @@
 	}
 }
 
-// TestSaveErrors: a value that has no JSON, and a directory that is missing.
+// TestSaveErrors saves a value that can't be encoded as JSON, and saves into a missing directory.
 func TestSaveErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none", "point.json")
 	want := "encoding the outcome: json: unsupported type: chan int"
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -12,7 +12,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Service reads and writes the state service.
+// Service is a client of the state service.
 type Service interface {
 	List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error)
 	Changes(ctx context.Context, prefix string, from uint64, wait time.Duration) (*wire.WatchResponse, error)
@@ -20,15 +20,17 @@
 }
 
 const (
-	// maxAttempts is how often a call is made that was refused or had no answer.
+	// maxAttempts bounds the attempts of a call that is refused or gets no response.
 	maxAttempts = 20
-	// retryInterval is the mean pause between two attempts.
+	// retryInterval is the mean delay between two attempts.
 	retryInterval = 500 * time.Millisecond
-	// maxExportAttempts is how often a state is read that changes faster than it is read.
+	// maxExportAttempts bounds how often a state is read that changes so fast that the service
+	// drops the changes since the first page before the last page is read.
 	maxExportAttempts = 4
 )
 
-// retry makes a call until it succeeds, or fails otherwise than by a refusal or without an answer.
+// retry repeats a call that is refused or gets no response, up to maxAttempts times. Other errors
+// are returned at once.
 func retry(ctx context.Context, call func() error) error {
 	for attempt := 1; ; attempt++ {
 		err := call()
@@ -40,18 +42,19 @@
 	}
 }
 
-// Export reads the whole state as it is at one revision: all pages, and the changes since the
-// first. After each page progress is called.
+// Export reads the whole state at one revision: it reads all pages and then applies the changes
+// since the revision of the first page. It calls progress after each page.
 func Export(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
 	for attempt := 1; ; attempt++ {
 		items, revision, err := exportOnce(ctx, s, progress)
 		if errors.Is(err, store.ErrCompacted) && attempt < maxExportAttempts {
-			continue // the service no longer knows the changes since the first page
+			continue // the service no longer has the changes since the first page
 		}
 		return items, revision, err
 	}
 }
 
+// exportOnce makes one attempt of an export.
 func exportOnce(ctx context.Context, s Service, progress func(keys int, at string)) ([]wire.KeyValue, uint64, error) {
 	found, first, err := readPages(ctx, s, progress)
 	if err != nil {
@@ -75,7 +78,7 @@
 	return sortedOwnItems(found), changes.Revision, nil
 }
 
-// readPages reads all keys, and returns the revision of the first page.
+// readPages reads all pages of keys. It returns the keys and the revision of the first page.
 func readPages(ctx context.Context, s Service, progress func(keys int, at string)) (found map[string]wire.KeyValue, first uint64, err error) {
 	found = make(map[string]wire.KeyValue)
 	for after := ""; ; {
@@ -101,7 +104,8 @@
 	}
 }
 
-// sortedOwnItems lists amberdeal's keys in order, without those of others that begin alike.
+// sortedOwnItems returns the sorted keys of amberdeal, without keys of other applications that
+// share the common prefix.
 func sortedOwnItems(found map[string]wire.KeyValue) (items []wire.KeyValue) {
 	for _, item := range found {
 		if strings.HasPrefix(item.Key, store.StatePrefix) || strings.HasPrefix(item.Key, store.ArchivePrefix) {
@@ -112,12 +116,12 @@
 	return items
 }
 
-// StateFormat returns the format that a state's marker names, 0 without one.
+// StateFormat returns the format in the format record of a state, or 0 if there is no such record.
 func StateFormat(items []wire.KeyValue) int {
 	var rec store.FormatRecord
 	for _, item := range items {
 		if item.Key == store.FormatKey {
-			_ = wire.DecodeValue(item.Value, &rec) // a damaged marker is no marker
+			_ = wire.DecodeValue(item.Value, &rec) // a damaged format record counts as absent
 		}
 	}
 	return rec.Format
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -1,10 +1,10 @@
-// Package snapshot exports the whole state of the state service, at one revision, to a file,
-// and imports it into an empty state service.
+// Package snapshot exports the whole state of the state service, at one revision, to a file, and
+// imports such a file into an empty state service.
 //
-// A file begins with a line that names its format. The rest is a zstd stream of frames, each
-// a length, a CBOR value and its checksum: a header, the keys in order, and a trailer that
-// counts them. A file that is cut or changed anywhere is refused, with the key after which
-// that was found.
+// The first line of a file has the format of the file. The rest is a zstd stream of frames: a
+// header, the keys in order, and a trailer that counts them. Each frame is a length, a CBOR value
+// and the checksum of the value. A truncated or damaged file is rejected; the error has the last
+// key before the damage.
 package snapshot
 
 import (
@@ -22,33 +22,34 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Format is the newest format of a file that this version reads.
+// Format is the format of the files that this version writes, and the newest one that it reads.
 const Format = 1
 
 // fileMagic begins the first line of a file.
 const fileMagic = "amberdeal-state "
 
-// What can be wrong with a file.
+// Errors of Read.
 var (
-	// ErrNotExport means that it is not an export.
-	ErrNotExport = errors.New("not an export of amberdeal")
-	// ErrNewer means that a later version wrote it.
+	// ErrNotExport means that the file is not an export.
+	ErrNotExport = errors.New("not an amberdeal state export")
+	// ErrNewer means that a newer version of amberdeal wrote the file.
 	ErrNewer = errors.New("exported by a newer version")
-	// ErrDamaged means that it is not what was written.
-	ErrDamaged = errors.New("damaged or cut")
+	// ErrDamaged means that the file differs from what was written.
+	ErrDamaged = errors.New("damaged or truncated")
 )
 
-// Header says what a file holds.
+// Header describes the content of a file.
 type Header struct {
-	StateFormat int    `cbor:"state"` // format of the state, 0 for format 1, which has no marker
-	Revision    uint64 `cbor:"revision"`
-	TakenAtUnix int64  `cbor:"taken"` // s since 1970
+	StateFormat int    `cbor:"state"`    // format of the state; 0 for format 1, which has no format record
+	Revision    uint64 `cbor:"revision"` // revision of the state service at the export
+	TakenAtUnix int64  `cbor:"taken"`    // time of the export in seconds since 1970
 }
 
-// TakenAt returns when the state was exported.
+// TakenAt returns the time of the export.
 func (h Header) TakenAt() time.Time { return time.Unix(h.TakenAtUnix, 0).UTC() }
 
-// frame is a key of a file. The trailer is a frame without a key that counts the others.
+// frame is a key with its value and version, or the trailer. The trailer has no key, but the number
+// of keys and the checksum of the header and all keys.
 type frame struct {
 	Key     string   `cbor:"k,omitempty"`
 	Value   wire.Raw `cbor:"v,omitempty"`
@@ -58,23 +59,23 @@
 }
 
 const (
-	// maxFrameBytes bounds a frame: far more than any value may take.
+	// maxFrameBytes bounds the size of a frame. It is far more than the largest value may take.
 	maxFrameBytes = 1 << 20
-	// checksumBytes is what the checksum after each frame takes.
+	// checksumBytes is the size of the checksum after each frame.
 	checksumBytes = 8
 )
 
-// Write writes a state to a file.
+// Write writes the items of a state as an export file.
 func Write(w io.Writer, h Header, items []wire.KeyValue) error { return write(w, h, items, true) }
 
-// write writes a file, which is not whole without its trailer.
+// write writes an export file. Tests omit the trailer to write an incomplete file.
 func write(w io.Writer, h Header, items []wire.KeyValue, trailer bool) error {
 	if _, err := fmt.Fprintf(w, "%s%d\n", fileMagic, Format); err != nil {
-		return fmt.Errorf("write the first line: %w", err)
+		return fmt.Errorf("write the format line: %w", err)
 	}
 	z, err := zstd.NewWriter(w)
 	if err != nil {
-		return fmt.Errorf("begin the compressed part: %w", err)
+		return fmt.Errorf("create the zstd writer: %w", err)
 	}
 	out := &frameWriter{w: z, sum: xxhash.New()}
 	if err := out.put(h); err != nil {
@@ -91,12 +92,12 @@
 		}
 	}
 	if err := z.Close(); err != nil {
-		return fmt.Errorf("end the compressed part: %w", err)
+		return fmt.Errorf("close the zstd stream: %w", err)
 	}
 	return nil
 }
 
-// frameWriter writes frames, and keeps the checksum of all of them.
+// frameWriter writes frames and maintains a checksum of all their values.
 type frameWriter struct {
 	w   io.Writer
 	sum *xxhash.Digest
@@ -107,13 +108,13 @@
 	out := binary.AppendUvarint(nil, uint64(len(body)))
 	out = append(out, body...)
 	out = binary.LittleEndian.AppendUint64(out, xxhash.Sum64(body))
-	_, _ = f.sum.Write(body) // a hash does not fail
+	_, _ = f.sum.Write(body) // writing to a hash never fails
 	_, err := f.w.Write(out)
 	return err
 }
 
-// Read reads a file to its end; nothing is returned of one that is not whole. The sum tells
-// one file from another.
+// Read reads an export file to its end. It returns no items if the file is incomplete. The returned
+// sum identifies the content of the file.
 func Read(r io.Reader) (h Header, items []wire.KeyValue, sum string, err error) {
 	in := bufio.NewReader(r)
 	if err := readFirstLine(in); err != nil {
@@ -121,7 +122,7 @@
 	}
 	z, err := zstd.NewReader(in)
 	if err != nil {
-		return h, nil, "", fmt.Errorf("begin the compressed part: %w", err)
+		return h, nil, "", fmt.Errorf("create the zstd reader: %w", err)
 	}
 	defer z.Close()
 	f := &frameReader{r: bufio.NewReader(z), sum: xxhash.New()}
@@ -135,7 +136,7 @@
 	return h, items, fmt.Sprintf("%016x", trailer.Sum), nil
 }
 
-// readFirstLine checks that the file is an export whose format this version reads.
+// readFirstLine checks that the file is an export in a format that this version reads.
 func readFirstLine(in *bufio.Reader) error {
 	line, err := in.ReadString('\n')
 	version, isExport := strings.CutPrefix(strings.TrimSuffix(line, "\n"), fileMagic)
@@ -152,13 +153,13 @@
 	return nil
 }
 
-// frameReader reads frames, and keeps the checksum of all of them.
+// frameReader reads frames and maintains a checksum of all their values.
 type frameReader struct {
 	r   *bufio.Reader
 	sum *xxhash.Digest
 }
 
-// items reads the keys and the trailer, after which nothing may follow.
+// items reads the keys and the trailer, and checks that no data follows the trailer.
 func (f *frameReader) items() (items []wire.KeyValue, trailer frame, err error) {
 	for last := "the header"; ; {
 		before := f.sum.Sum64()
@@ -175,28 +176,28 @@
 			return nil, fr, fmt.Errorf("%w: %d keys, the trailer counts %d", ErrDamaged, len(items), fr.Count)
 		}
 		if n, err := io.Copy(io.Discard, f.r); err != nil || n > 0 {
-			return nil, fr, fmt.Errorf("%w: something follows the trailer", ErrDamaged)
+			return nil, fr, fmt.Errorf("%w: data follows the trailer", ErrDamaged)
 		}
 		return items, fr, nil
 	}
 }
 
-// next reads a frame.
+// next reads a frame, verifies its checksum and decodes its value into v.
 func (f *frameReader) next(v any) error {
 	n, err := binary.ReadUvarint(f.r)
 	if err != nil {
 		return err
 	}
 	if n > maxFrameBytes {
-		return fmt.Errorf("a frame of %d bytes", n)
+		return fmt.Errorf("frame of %d bytes is too large", n)
 	}
 	body := make([]byte, n+checksumBytes)
 	if _, err := io.ReadFull(f.r, body); err != nil {
 		return err
 	}
 	if xxhash.Sum64(body[:n]) != binary.LittleEndian.Uint64(body[n:]) {
-		return errors.New("checksum")
+		return errors.New("checksum mismatch")
 	}
-	_, _ = f.sum.Write(body[:n]) // a hash does not fail
+	_, _ = f.sum.Write(body[:n]) // writing to a hash never fails
 	return wire.DecodeValue(body[:n], v)
 }
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -12,31 +12,33 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What keeps a state from being imported.
+// Errors of Import.
 var (
-	// ErrNotEmpty means that the state service holds something already.
+	// ErrNotEmpty means that the state service already has keys that are not from an interrupted
+	// import of the same file.
 	ErrNotEmpty = errors.New("the state service is not empty")
 	// ErrTooLarge means that a value exceeds the limits of the state service.
-	ErrTooLarge = errors.New("a value is larger than the state service takes")
+	ErrTooLarge = errors.New("a value exceeds the limit of the state service")
 )
 
 const (
-	// FencingTokenMargin is by how much an import raises the counter of fencing tokens:
-	// workers obey the highest token that they have seen, which may have been given after
-	// the export.
+	// FencingTokenMargin is how far an import raises the fencing token counter. Workers only obey
+	// the highest token that they have seen, which may have been issued after the export.
 	FencingTokenMargin = 1_000_000
-	// formatImporting is the format of a state while it is imported: no version works on it.
+	// formatImporting is the format of a state during an import. It is newer than any that a
+	// controller accepts, so that no controller works on the state.
 	formatImporting = 1 << 30
-	// maxTxnBytes bounds the values of one write together.
+	// maxTxnBytes bounds the total size of the values in one transaction.
 	maxTxnBytes = 40 << 10
 )
 
-// Limits are those of the state service.
+// Limits are the limits of the state service for the bytes of a value and the operations of a
+// transaction.
 type Limits struct{ ValueBytes, TxnOps int }
 
-// Import puts a state into an empty state service, and returns the counter of fencing tokens
-// that it begins with. An import that was interrupted is continued with the same file, which
-// its sum identifies. Until it is complete no controller works on the state.
+// Import writes a state to an empty state service. It returns the value that it sets the fencing
+// token counter to. A second call with the same file, which is identified by its sum, continues an
+// interrupted import. No controller works on the state until the import is complete.
 func Import(ctx context.Context, s Service, items []wire.KeyValue, sum string, limits Limits, progress func(done, all int)) (token uint64, err error) {
 	present, marker, err := beginImport(ctx, s, sum)
 	if err != nil {
@@ -60,8 +62,9 @@
 	return token, finishImport(ctx, s, marker, imp.format, token)
 }
 
-// sortForImport orders keys by their versions: the newest segment of a ledger counts, and the
-// oldest batch of a job, so that their order must be the same in the new state service.
+// sortForImport returns the items sorted by their versions. The newest segment of a ledger and the
+// oldest batch of a job take precedence, so the new state service must commit them in the same
+// order.
 func sortForImport(items []wire.KeyValue) []wire.KeyValue {
 	items = slices.Clone(items)
 	slices.SortStableFunc(items, func(a, b wire.KeyValue) int {
@@ -70,8 +73,8 @@
 	return items
 }
 
-// importRevision returns the version that a key is ordered by: a batch that was written again is
-// as old as its first revision.
+// importRevision returns the revision by which an item is sorted: for a batch that was updated, the
+// revision of its first write, otherwise the version of the key.
 func importRevision(item wire.KeyValue) uint64 {
 	var rec store.BatchRecord
 	if store.Kind(item.Key) == store.KindBatch && wire.DecodeValue(item.Value, &rec) == nil && rec.Since > 0 {
@@ -80,26 +83,29 @@
 	return item.Version
 }
 
-// importer writes keys in transactions. Those whose order counts get a revision of their own.
+// importer writes keys in transactions. Keys whose revision order matters are written one per
+// transaction.
 type importer struct {
 	service Service
 	limits  Limits
-	present map[string]bool // keys that an interrupted import has written
-	marker  wire.Condition  // that the import has not ended
+	present map[string]bool // keys that an interrupted import has already written
+	marker  wire.Condition  // condition that the import marker is unchanged
 
-	txn    wire.Txn // not written yet
-	bytes  int      // of its values
-	format int      // of the state, for the end of the import
-	token  uint64   // the counter of fencing tokens at the export
+	txn    wire.Txn // collected operations, not yet written
+	bytes  int      // total size of the values in txn
+	format int      // format of the state, written at the end of the import
+	token  uint64   // fencing token counter at the export
 }
 
-// add takes a key, and reports whether it belongs into the state now.
+// add adds a key to the import. It reports whether the key has to be written now: leader records
+// and keys that are present already are skipped, and format and fencing token are written at the
+// end.
 func (imp *importer) add(ctx context.Context, item wire.KeyValue) (written bool, err error) {
 	if len(item.Value) > imp.limits.ValueBytes {
-		return false, fmt.Errorf("%w: %s takes %d bytes, %d are allowed", ErrTooLarge, item.Key, len(item.Value), imp.limits.ValueBytes)
+		return false, fmt.Errorf("%w: %s has %d bytes, the limit is %d", ErrTooLarge, item.Key, len(item.Value), imp.limits.ValueBytes)
 	}
 	switch kind := store.Kind(item.Key); kind {
-	case store.KindLeader: // it is attached to a lease of the other state service
+	case store.KindLeader: // it is attached to a lease of the old state service
 		return false, nil
 	case store.KindFormat:
 		imp.format = StateFormat([]wire.KeyValue{item})
@@ -118,8 +124,8 @@
 	}
 }
 
-// importedValue returns the value to write. A batch must not name a revision of the other
-// state service.
+// importedValue returns the value to write for a key. In a batch, it clears the revision of the
+// first write, which refers to the old state service.
 func importedValue(kind string, item wire.KeyValue) (any, error) {
 	if kind != store.KindBatch {
 		return item.Value, nil
@@ -132,7 +138,8 @@
 	return rec, nil
 }
 
-// revisionOrderMatters reports whether the revisions of a kind's keys must be in the order of the export.
+// revisionOrderMatters reports whether the keys of a kind must be committed in the order of their
+// revisions at the export.
 func revisionOrderMatters(kind string) bool {
 	switch kind {
 	case store.KindArchive, store.KindRecent, store.KindSubmissionFence, store.KindMachineTypes,
@@ -142,7 +149,8 @@
 	return true
 }
 
-// put adds a key to the transaction, and writes it alone if its order counts.
+// put adds a key to the transaction, and flushes before if it would exceed the limits. If alone is
+// set, the key gets a transaction of its own.
 func (imp *importer) put(ctx context.Context, item wire.KeyValue, value any, alone bool) error {
 	if alone || len(imp.txn.Then) >= imp.limits.TxnOps || imp.bytes+len(item.Value) > maxTxnBytes {
 		if err := imp.flush(ctx); err != nil {
@@ -158,9 +166,10 @@
 	return nil
 }
 
-// flush writes the transaction. A copy of it that arrives late finds another marker: its keys
-// may be absent again by then, and a batch of jobs that were compacted long ago must not
-// come back.
+// flush writes the transaction, on the condition that the import marker is unchanged. A late copy
+// of it fails on that condition. The absence of the keys alone would not reject the copy: they may
+// have been deleted again by then, and a batch whose jobs were compacted long ago must not
+// reappear.
 func (imp *importer) flush(ctx context.Context) error {
 	if len(imp.txn.Then) == 0 {
 		return nil
@@ -171,8 +180,9 @@
 	return err
 }
 
-// beginImport marks an empty state service as being imported, or finds what an interrupted
-// import of the same file has left there. It returns the condition that the marker is unchanged.
+// beginImport writes the import marker, a format record, to an empty state service, or finds the
+// marker and the keys that an interrupted import of the same file has written. It returns these
+// keys and the condition that the marker is unchanged.
 func beginImport(ctx context.Context, s Service, sum string) (present map[string]bool, marker wire.Condition, err error) {
 	for marked := false; ; marked = true {
 		items, _, err := Export(ctx, s, func(int, string) {})
@@ -186,8 +196,9 @@
 		case len(items) > 0:
 			return keySet(items), unchanged, nil
 		}
-		// A state of format 1 has no marker once it is imported, but every state has a counter
-		// of fencing tokens from then on: a late copy of this must not close a state in use.
+		// The condition on the fencing token counter keeps a late copy of this write from marking a
+		// state in use as being imported: a state of format 1 has no format record after the
+		// import, but every imported state has the counter.
 		if err := commit(ctx, s, wire.Txn{If: []wire.Condition{{Key: store.FormatKey}, {Key: store.FencingTokenKey}},
 			Then: []wire.Operation{{Put: store.FormatKey, Value: store.FormatRecord{Format: formatImporting, Import: sum}}}}); err != nil {
 			return nil, marker, err
@@ -195,17 +206,18 @@
 	}
 }
 
-// findFormatMarker returns the format record of a state, and the condition that it is unchanged.
+// findFormatMarker returns the format record of a state and the condition that it is unchanged.
 func findFormatMarker(items []wire.KeyValue) (rec store.FormatRecord, unchanged wire.Condition) {
 	for _, item := range items {
 		if item.Key == store.FormatKey {
-			_ = wire.DecodeValue(item.Value, &rec) // a damaged marker is none of an import
+			_ = wire.DecodeValue(item.Value, &rec) // a damaged format record is not an import marker
 			unchanged = wire.Condition{Key: item.Key, Version: item.Version}
 		}
 	}
 	return rec, unchanged
 }
 
+// keySet returns the set of the keys of items.
 func keySet(items []wire.KeyValue) map[string]bool {
 	keys := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -214,6 +226,7 @@
 	return keys
 }
 
+// firstKey returns the key of the first item, for an error message.
 func firstKey(items []wire.KeyValue) string {
 	if len(items) == 0 {
 		return "none"
@@ -221,19 +234,21 @@
 	return items[0].Key
 }
 
-// finishImport sets the counter of fencing tokens and opens the state to controllers, once. A
-// copy that arrives after they have begun to elect leaders would set the counter back, and
-// tokens, attempts and names of scale-outs would be given twice.
+// finishImport sets the fencing token counter and replaces the import marker, so that controllers
+// work on the state. The condition on the marker lets this happen only once: a late copy that is
+// committed after controllers have elected leaders would reset the counter, so that fencing tokens,
+// attempts and names of scale-outs would be issued twice.
 func finishImport(ctx context.Context, s Service, marker wire.Condition, format int, token uint64) error {
-	open := wire.Operation{Put: store.FormatKey, Value: store.FormatRecord{Format: format}}
-	if format == 0 { // of format 1, which has no marker
-		open = wire.Operation{Delete: store.FormatKey}
+	setFormat := wire.Operation{Put: store.FormatKey, Value: store.FormatRecord{Format: format}}
+	if format == 0 { // format 1 has no format record
+		setFormat = wire.Operation{Delete: store.FormatKey}
 	}
-	return commit(ctx, s, wire.Txn{If: []wire.Condition{marker}, Then: []wire.Operation{{Put: store.FencingTokenKey, Value: token}, open}})
+	return commit(ctx, s, wire.Txn{If: []wire.Condition{marker}, Then: []wire.Operation{{Put: store.FencingTokenKey, Value: token}, setFormat}})
 }
 
-// commit makes a write. Nobody else writes, so that one without an answer can be made again;
-// a conflict after that, on a key that it changes, means that it was committed.
+// commit sends a transaction until its result is known. There is no other writer during an import,
+// so a transaction without a response can be sent again. If the second one conflicts on a key that
+// it changes, the first one was committed.
 func commit(ctx context.Context, s Service, txn wire.Txn) error {
 	outcomeUnknown := false
 	return retry(ctx, func() error {
@@ -250,7 +265,7 @@
 	})
 }
 
-// conflictsOn reports whether a conflict is on a key of one of the operations.
+// conflictsOn reports whether a conflict concerns a key that one of the operations changes.
 func conflictsOn(conflict *store.ConflictError, ops []wire.Operation) bool {
 	return slices.ContainsFunc(ops, func(op wire.Operation) bool {
 		return slices.Contains(conflict.Failed, op.Put+op.Delete)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,14 +14,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fakeService is a state service that may fail at its n-th write.
+// fakeService is a simulated state service that may fail at one of its writes.
 type fakeService struct {
 	*simulator.StateService
-	failAt    int
+	failAt    int    // number of the write that fails, counted from 1; 0 for none
 	afterPage func() // called after each page
 }
 
-var errInterrupted = errors.New("broken off")
+var errInterrupted = errors.New("interrupted")
 
 func (s *fakeService) List(_ context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	page := s.Page(prefix, after, limit)
@@ -64,12 +64,13 @@
 	}
 }
 
+// pending returns the record of a pending job.
 func pending(id string) store.JobRecord {
 	return store.JobRecord{Stage: wire.Pending, Tasks: 1, Job: &wire.Job{ID: id, Tasks: 1}}
 }
 
-// newSampleState is a state with a key of each kind. Segments and batches were written in
-// another order than that of their names.
+// newSampleState returns a state service with many kinds of keys. Segments and batches were not
+// written in the order of their names.
 func newSampleState(t *testing.T) *fakeService {
 	s := newFakeService()
 	s.put(t, store.FormatKey, store.FormatRecord{Format: store.Format})
@@ -78,7 +79,7 @@
 	s.put(t, store.BatchKey("a"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1"), "wk-2": pending("wk-2")}})
 	s.put(t, store.SegmentKey("fleet", 1), store.SegmentRecord{FencingToken: 40, Round: 1, Entries: map[string]wire.Raw{}})
 	s.put(t, store.SegmentKey("fleet", 0), store.SegmentRecord{FencingToken: 41, Round: 2, Entries: map[string]wire.Raw{}})
-	s.put(t, store.BatchKey("z"), store.BatchRecord{Since: 3, Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1")}}) // written again
+	s.put(t, store.BatchKey("z"), store.BatchRecord{Since: 3, Jobs: map[string]store.JobRecord{"wk-1": pending("wk-1")}}) // updated
 	s.put(t, store.LeaderKey("fleet"), store.LeaderRecord{Leader: "c-0", FencingToken: 41, Format: store.Format})
 	s.put(t, store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-8", Stage: wire.Done, Tasks: 1}}))
 	for i := range 40 {
@@ -97,9 +98,9 @@
 func noExportProgress(int, string) {}
 func noImportProgress(int, int)    {}
 
-// TestExportAndImport takes a state out and puts it into an empty service: all of
-// it is there, in the same order, under a fencing token above all that workers have seen,
-// and no shard has a leader.
+// TestExportAndImport exports a state and imports it into an empty service, with an interruption.
+// All keys except the leader record must be present, in the same order, with a fencing token
+// counter above all tokens that workers may have seen.
 func TestExportAndImport(t *testing.T) {
 	from, to := newSampleState(t), newFakeService()
 	items, revision, err := Export(t.Context(), from, noExportProgress)
@@ -117,13 +118,13 @@
 	limits := Limits{ValueBytes: 8192, TxnOps: 12}
 	to.failAt = 5
 	if _, err := Import(t.Context(), to, read, sum, limits, noImportProgress); !errors.Is(err, errInterrupted) {
-		t.Fatalf("broken off: %v", err)
+		t.Fatalf("interrupted import: %v", err)
 	}
 	if f := StateFormat(to.Page(store.StatePrefix, "", 0).Items); f <= store.Format {
-		t.Errorf("a half import has format %d: a controller would work on it", f)
+		t.Errorf("an incomplete import has format %d: a controller would work on it", f)
 	}
 	if _, err := Import(t.Context(), to, read, "another", limits, noImportProgress); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("another file on top of it: %v", err)
+		t.Errorf("import of another file after the interruption: %v", err)
 	}
 	token, err := Import(t.Context(), to, read, sum, limits, noImportProgress)
 	if err != nil || token != 41+FencingTokenMargin {
@@ -134,23 +135,23 @@
 		got[item.Key] = item
 	}
 	if _, led := got[store.LeaderKey("fleet")]; led || len(got) != len(items)-1 {
-		t.Errorf("led %v, %d keys of %d", led, len(got), len(items))
+		t.Errorf("leader record present: %v; %d keys imported of %d", led, len(got), len(items))
 	}
 	if got[store.BatchKey("z")].Version >= got[store.BatchKey("a")].Version || got[store.SegmentKey("fleet", 1)].Version >= got[store.SegmentKey("fleet", 0)].Version {
-		t.Error("the order was lost: a job would have another batch, an old segment would count")
+		t.Error("the revision order was lost: another batch of a job or an old segment would take precedence")
 	}
 	var rec store.BatchRecord
 	if err := wire.DecodeValue(got[store.BatchKey("z")].Value, &rec); err != nil || rec.Since != 0 {
-		t.Errorf("a batch is there since revision %d of another service", rec.Since)
+		t.Errorf("a batch refers to revision %d of the old service", rec.Since)
 	}
 	if _, err := Import(t.Context(), to, read, sum, limits, noImportProgress); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("a second import: %v", err)
+		t.Errorf("import into a service that is not empty: %v", err)
 	}
 }
 
-// TestExportIsConsistent changes keys between two pages: what is exported is the
-// state at one revision, not a mixture; a service that drops its history meanwhile is read
-// anew.
+// TestExportIsConsistent changes keys between two pages, and lets the service drop its history of
+// changes once. The export must be the state at one revision, and must start again when the history
+// is gone.
 func TestExportIsConsistent(t *testing.T) {
 	s := newSampleState(t)
 	s.Limits.PageItems = 9
@@ -175,8 +176,9 @@
 	}
 }
 
-// TestDamagedFileIsRejected cuts and changes an export at every byte: none is read,
-// and the error names the key before.
+// TestDamagedFileIsRejected truncates an export and changes a byte of it at every position. No
+// truncated file may be read, and no changed one to another state. The error for a file without a
+// trailer has the last key.
 func TestDamagedFileIsRejected(t *testing.T) {
 	items := newSampleState(t).Page(store.CommonPrefix, "", 0).Items
 	var file bytes.Buffer
@@ -186,32 +188,33 @@
 	whole := file.Bytes()
 	for i := range whole {
 		if _, _, _, err := Read(bytes.NewReader(whole[:i])); err == nil {
-			t.Fatalf("cut at %d: read", i)
+			t.Fatalf("a file truncated to %d bytes was read", i)
 		}
 		changed := bytes.Clone(whole)
 		changed[i] ^= 0x55
 		if h, got, _, err := Read(bytes.NewReader(changed)); err == nil {
 			for k := range got {
 				if got[k].Key != items[k].Key || !bytes.Equal(got[k].Value, items[k].Value) || h.StateFormat != store.Format {
-					t.Fatalf("changed at %d: read as something else", i)
+					t.Fatalf("byte changed at %d: read as another state", i)
 				}
 			}
 		}
 	}
 	if _, _, _, err := Read(bytes.NewReader([]byte("amberdeal-state 2\n"))); !errors.Is(err, ErrNewer) {
-		t.Errorf("a newer file: %v", err)
+		t.Errorf("file in a newer format: %v", err)
 	}
 	if _, _, _, err := Read(bytes.NewReader([]byte("something\n"))); !errors.Is(err, ErrNotExport) {
-		t.Errorf("another file: %v", err)
+		t.Errorf("file that is not an export: %v", err)
 	}
-	// Inside of the compression too: a frame that is left out, and one that is changed.
+	// A file whose compressed stream is valid, but has no trailer.
 	err := readWithoutTrailer(t, items)
 	if !errors.Is(err, ErrDamaged) || !bytes.Contains([]byte(err.Error()), []byte(items[3].Key)) {
-		t.Errorf("a file without its end: %v", err)
+		t.Errorf("file without a trailer: %v", err)
 	}
 }
 
-// readWithoutTrailer writes four keys as if more followed, and reads that.
+// readWithoutTrailer writes the first four keys without a trailer, and returns the error of reading
+// them.
 func readWithoutTrailer(t *testing.T, items []wire.KeyValue) error {
 	t.Helper()
 	var file bytes.Buffer
@@ -222,7 +225,7 @@
 	return err
 }
 
-// recordingService remembers every transaction that an import makes.
+// recordingService records every transaction of an import.
 type recordingService struct {
 	*fakeService
 	sent []wire.Txn
@@ -233,9 +236,10 @@
 	return k.fakeService.Txn(ctx, t)
 }
 
-// TestLateImportWritesAreRejected: each write of an import is carried out once more when controllers have
-// worked on the state for a while: the counter of fencing tokens has risen, and what was put in is
-// deleted. None is committed; also not where a state of format 1 was imported, which has no marker.
+// TestLateImportWritesAreRejected repeats each write of an import after controllers have worked on
+// the state: the fencing token counter has increased, and imported batches and segments are
+// deleted. None of the late writes may be committed, also for a state of format 1, which has no
+// format record.
 func TestLateImportWritesAreRejected(t *testing.T) {
 	for name, before := range map[string]func(s *fakeService){
 		"format 2": func(*fakeService) {},
@@ -262,7 +266,7 @@
 			}
 			for _, txn := range to.sent {
 				if status, _ := to.Commit(txn); status != 409 {
-					t.Errorf("a late copy of the write of %s: %d", txn.Then[0].Put, status)
+					t.Errorf("late copy of the write of %s: status %d", txn.Then[0].Put, status)
 				}
 			}
 		})
