--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -312,9 +312,9 @@
 		"no last block":         {"covered", wire.KeyValue{}},
 		"a newer block":         {"newer", put(store.ArchivePrefix+"0250", newer)},
 		"a damaged block":       {"damaged", put(store.ArchivePrefix+"0250", damaged)},
-		"a differing answer":    {"in another record", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
+		"a differing answer":    {"is called", put(store.RecentKey(0), jobblock.Pack("", []jobblock.Entry{{ID: "wk-7", Stage: wire.Cancelled, Tasks: 1}}))},
 		"a job that came back":  {"live", put(store.BatchKey("b"), store.BatchRecord{Jobs: map[string]store.JobRecord{"wk-7": {Stage: wire.Pending, Job: &wire.Job{ID: "wk-7"}}}})},
-		"a fencing token above": {"fencing token counter", put(store.LeaderKey("fleet"), store.LeaderRecord{FencingToken: 5, Format: 2})},
+		"a fencing token above": {"term", put(store.LeaderKey("fleet"), store.LeaderRecord{FencingToken: 5, Format: 2})},
 		"an unknown key":        {"unknown", put(store.StatePrefix+"what/1", 1)},
 		"a newer state":         {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatSharded + 1})},
 	} {
--- a/internal/archive/verify.go
+++ b/internal/archive/verify.go
@@ -56,7 +56,7 @@
 	v.Kinds = map[string]*KindStats{}
 	for _, item := range archiveLast(items) {
 		if ctx.Err() != nil {
-			v.addProblem("", "verification interrupted: %v", ctx.Err())
+			v.addProblem("", "broken off: %v", ctx.Err())
 			break
 		}
 		v.checkItem(item)
@@ -109,7 +109,7 @@
 // finish makes the checks and counts that need all keys.
 func (v *verifier) finish() {
 	if v.archiveBlocks > 0 && v.firstUncovered != lastBlockKey {
-		v.addProblem(store.ArchivePrefix+lastBlockKey, "the keys from %q on are covered by no block", v.firstUncovered)
+		v.addProblem(store.ArchivePrefix+lastBlockKey, "what comes from %q on is covered by no block", v.firstUncovered)
 	}
 	for id := range v.live {
 		if v.stages[id] == "" {
--- a/internal/archive/verify_ended.go
+++ b/internal/archive/verify_ended.go
@@ -13,7 +13,7 @@
 // different one.
 func (v *verifier) recordEnd(key, id string, stage wire.Stage) {
 	if before, ok := v.stages[id]; ok && before != stage {
-		v.addProblem(key, "job %s is %s in another record, %s here", id, before, stage)
+		v.addProblem(key, "job %s was %s, is called %s", id, before, stage)
 		return
 	}
 	v.stages[id] = stage
@@ -49,7 +49,7 @@
 	to := strings.TrimPrefix(item.Key, store.ArchivePrefix)
 	v.archiveBlocks++
 	if rec.From != v.firstUncovered {
-		v.addProblem(item.Key, "begins at %q, but the blocks before it end at %q: some keys are covered by no block or by two", rec.From, v.firstUncovered)
+		v.addProblem(item.Key, "begins at %q: what comes from %q on is covered by no block, or by two", rec.From, v.firstUncovered)
 	}
 	v.firstUncovered = to
 	for e := range v.orderedEntries(item.Key, rec) {
@@ -86,10 +86,10 @@
 func (v *verifier) checkArchivedJob(key string, e jobblock.Entry) {
 	stage, ended := v.stages[e.ID]
 	if batch, live := v.live[e.ID]; live && stage == "" {
-		v.addProblem(key, "job %s has ended, but is live in %s", e.ID, batch)
+		v.addProblem(key, "job %s is over, and live in %s", e.ID, batch)
 	}
 	if ended && stage != e.Stage {
-		v.addProblem(key, "job %s is %s in another record, %s here", e.ID, stage, e.Stage)
+		v.addProblem(key, "job %s was %s, is called %s", e.ID, stage, e.Stage)
 	}
 	v.countEnded(e.ID)
 }
--- a/internal/archive/verify_live.go
+++ b/internal/archive/verify_live.go
@@ -35,7 +35,7 @@
 	k.add(item)
 	check := kindChecks[kind]
 	if check == nil {
-		v.addProblem(item.Key, "key of an unknown kind")
+		v.addProblem(item.Key, "of an unknown kind")
 		return
 	}
 	check(v, item, k)
@@ -73,7 +73,7 @@
 		return
 	}
 	if token < v.FencingToken {
-		v.addProblem(item.Key, "the fencing token counter is %d, but a shard is led with token %d", token, v.FencingToken)
+		v.addProblem(item.Key, "the counter of terms is %d, a part is held with term %d", token, v.FencingToken)
 	}
 	v.FencingToken = max(v.FencingToken, token)
 }
@@ -86,7 +86,7 @@
 	v.Format = rec.Format
 	switch {
 	case rec.Import != "":
-		v.addProblem(item.Key, "an import has not completed")
+		v.addProblem(item.Key, "an import was not finished")
 	case rec.Format > store.FormatSharded:
 		v.addProblem(item.Key, "written by a newer version: format %d, at most %d is understood", rec.Format, store.FormatSharded)
 	}
@@ -96,11 +96,11 @@
 func (v *verifier) checkBatchJob(key, id string, job store.JobRecord) {
 	switch {
 	case !wire.ValidJobID(id):
-		v.addProblem(key, "%q is not a valid job id", id)
+		v.addProblem(key, "%q is not the id of a job", id)
 	case job.Stage.Final():
 		v.recordEnd(key, id, job.Stage)
 	case job.Job == nil:
-		v.addProblem(key, "job %s is in stage %q, but has no description", id, job.Stage)
+		v.addProblem(key, "job %s is %q and has no description", id, job.Stage)
 	default:
 		v.live[id] = key
 	}
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -619,7 +619,7 @@
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
 		internal/admission.commit
-		internal/archive.advanceSubmissionFence internal/archive.clearRecentBlocks internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
+		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
 		internal/controller.step
 		internal/leader.Decide internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
 		internal/leader/commit.AddChange internal/leader/commit.AddChangeIf internal/leader/commit.Empty internal/leader/commit.Guard internal/leader/commit.OpenLedger internal/leader/commit.Seal
