--- a/internal/archive/compactor_test.go
+++ b/internal/archive/compactor_test.go
@@ -77,12 +77,12 @@
 // stage is lost or changed, also when late copies of submissions arrive, and in the end Verify
 // finds no problem.
 func TestCompactorCrashAtEveryWrite(t *testing.T) {
-	for _, fate := range []string{"taken", "held"} {
-		for at := 0; ; at++ {
+	for _, outcome := range []string{"taken", "held"} {
+		for crashAt := 0; ; crashAt++ {
 			h := newHarness(t, tinyLimits)
 			h.compactor.MergeThreshold = 1
-			random := rand.New(rand.NewPCG(uint64(at), 1))
-			h.writesUntilCrash, h.crashOutcome = at, fate
+			random := rand.New(rand.NewPCG(uint64(crashAt), 1))
+			h.writesUntilCrash, h.crashOutcome = crashAt, outcome
 			crashed := false
 			var late []wire.Txn
 			for i := range 12 {
@@ -94,7 +94,7 @@
 				late = append(late, h.submission(fmt.Sprintf("late-%d", i), ids[0])) // a copy that is still in flight
 				if err := h.compactAll(); err != nil {
 					crashed = true
-					h.checkAnswers(fmt.Sprintf("crash at write %d, %s", at, fate))
+					h.checkAnswers(fmt.Sprintf("crash at write %d, %s", crashAt, outcome))
 					h.start(tinyLimits)
 					h.compactor.MergeThreshold = 1
 					h.checkAnswers("after the restart")
@@ -114,11 +114,11 @@
 			h.start(tinyLimits)
 			h.checkAnswers("read anew")
 			if problems := Verify(context.Background(), h.items()).Problems; len(problems) > 0 {
-				t.Fatalf("crash at write %d, %s: %v", at, fate, problems)
+				t.Fatalf("crash at write %d, %s: %v", crashAt, outcome, problems)
 			}
 			if !crashed {
-				if at < 20 {
-					t.Fatalf("the compactor made only %d writes", at)
+				if crashAt < 20 {
+					t.Fatalf("the compactor made only %d writes", crashAt)
 				}
 				break
 			}
@@ -135,12 +135,12 @@
 	limits := Limits{ValueBytes: 8192, TxnOps: 20}
 	h := newHarness(t, limits)
 	random := rand.New(rand.NewPCG(3, 3))
-	const jobs, each = 40_000, 16
+	const jobs, batchSize = 40_000, 16
 	ids := random.Perm(jobs * 10)
-	_, before, _ := h.store.Counts()
-	for i := 0; i < jobs; i += each {
+	_, changesBefore, _ := h.store.Counts()
+	for i := 0; i < jobs; i += batchSize {
 		rec := store.BatchRecord{Jobs: map[string]store.JobRecord{}}
-		for k := range each {
+		for k := range batchSize {
 			id := fmt.Sprintf("wk-%06d", ids[i+k])
 			if k == 0 {
 				id = fmt.Sprintf("wk-%012d", ids[i]*1_000_003)
@@ -150,7 +150,7 @@
 			h.reportedStages[id] = stage
 		}
 		h.mustCommit(wire.Txn{Then: []wire.Operation{{Put: store.BatchKey(fmt.Sprint(i)), Value: rec}}})
-		if i%(each*64) == 0 {
+		if i%(batchSize*64) == 0 {
 			_ = h.Barrier(t.Context())
 			if err := h.compactAll(); err != nil {
 				t.Fatal(err)
@@ -162,9 +162,9 @@
 		t.Fatal(err)
 	}
 	_, changes, keys := h.store.Counts()
-	compaction := changes - before - jobs/each
-	if keys > jobs/100 || compaction > jobs/8 {
-		t.Errorf("%d keys and %d compaction changes for %d jobs", keys, compaction, jobs)
+	compactionChanges := changes - changesBefore - jobs/batchSize
+	if keys > jobs/100 || compactionChanges > jobs/8 {
+		t.Errorf("%d keys and %d compaction changes for %d jobs", keys, compactionChanges, jobs)
 	}
 	h.start(limits)
 	if n := len(h.store.Page(store.StatePrefix, "", 0).Items); n > 20 {
@@ -253,21 +253,21 @@
 // the next one must read it again.
 func TestReaderDoesNotCacheStaleBlocks(t *testing.T) {
 	old := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}})
-	newer := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
+	updated := jobblock.Pack("", []jobblock.Entry{{ID: "wk-1", Stage: wire.Done, Tasks: 1}, {ID: "wk-2", Stage: wire.Done, Tasks: 1}})
 	key := store.ArchivePrefix + lastBlockKey
-	for _, meanwhile := range []func(r *Reader){
-		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9) },
-		func(r *Reader) { r.BlockChanged(key, wire.Encode(newer), 9); r.cache.recency.Remove(lastBlockKey) }, // and is evicted
+	for _, duringRead := range []func(r *Reader){
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(updated), 9) },
+		func(r *Reader) { r.BlockChanged(key, wire.Encode(updated), 9); r.cache.recency.Remove(lastBlockKey) }, // and is evicted
 		func(r *Reader) { r.Reset() },
 	} {
-		slow := &hookedLister{page: &wire.KeyValueList{Revision: 5, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(old), Version: 4}}}}
-		r := NewReader(slow, 8, slog.New(slog.DiscardHandler))
-		slow.beforeReply = func() { meanwhile(r) }
+		lister := &hookedLister{page: &wire.KeyValueList{Revision: 5, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(old), Version: 4}}}}
+		r := NewReader(lister, 8, slog.New(slog.DiscardHandler))
+		lister.beforeReply = func() { duringRead(r) }
 		if _, known, err := r.Find(t.Context(), "wk-1"); !known || err != nil {
 			t.Errorf("wk-1: %v, %v", known, err)
 		}
-		slow.beforeReply = func() {}
-		slow.page = &wire.KeyValueList{Revision: 9, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(newer), Version: 9}}}
+		lister.beforeReply = func() {}
+		lister.page = &wire.KeyValueList{Revision: 9, Items: []wire.KeyValue{{Key: key, Value: wire.Encode(updated), Version: 9}}}
 		if _, known, err := r.Find(t.Context(), "wk-2"); !known || err != nil {
 			t.Errorf("wk-2 is not found, the stale block was cached: %v, %v", known, err)
 		}
@@ -295,16 +295,16 @@
 	put := func(key string, v any) wire.KeyValue {
 		return wire.KeyValue{Key: key, Value: wire.Encode(v), Version: 3}
 	}
-	whole := []wire.KeyValue{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.FencingTokenKey, uint64(4)),
+	consistent := []wire.KeyValue{put(store.FormatKey, store.FormatRecord{Format: store.Format}), put(store.FencingTokenKey, uint64(4)),
 		block("0250", "", entry("wk-7")), block(lastBlockKey, "0250", entry("wk-60"))}
-	if r := Verify(t.Context(), whole); len(r.Problems) > 0 {
+	if r := Verify(t.Context(), consistent); len(r.Problems) > 0 {
 		t.Fatalf("problems in a consistent state: %v", r.Problems)
 	}
 	newer, damaged := jobblock.Pack("", nil), jobblock.Pack("", []jobblock.Entry{entry("wk-1")})
 	newer.Format++
 	damaged.Checksum = "0"
-	for name, c := range map[string]struct {
-		says string
+	for name, test := range map[string]struct {
+		want string
 		item wire.KeyValue
 	}{
 		"a gap":                 {"covered", block("0250", "03")},
@@ -319,19 +319,19 @@
 		"a newer state":         {"newer", put(store.FormatKey, store.FormatRecord{Format: store.FormatSharded + 1})},
 	} {
 		items := map[string]wire.KeyValue{}
-		for _, item := range whole {
+		for _, item := range consistent {
 			items[item.Key] = item
 		}
-		if c.item.Key == "" {
+		if test.item.Key == "" {
 			delete(items, store.ArchivePrefix+lastBlockKey)
 		} else {
-			items[c.item.Key] = c.item
+			items[test.item.Key] = test.item
 		}
 		var list []wire.KeyValue
 		for _, item := range items {
 			list = append(list, item)
 		}
-		if got := strings.Join(Verify(t.Context(), list).Problems, "\n"); !strings.Contains(got, c.says) {
+		if got := strings.Join(Verify(t.Context(), list).Problems, "\n"); !strings.Contains(got, test.want) {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
@@ -372,8 +372,8 @@
 				t.Fatal(err)
 			}
 		}
-		list := &countingLister{Lister: h}
-		r := NewReader(list, 1000, slog.New(slog.DiscardHandler))
+		lister := &countingLister{Lister: h}
+		r := NewReader(lister, 1000, slog.New(slog.DiscardHandler))
 		var group sync.WaitGroup
 		for id, stage := range h.reportedStages {
 			if _, known := h.view.Job(id); known {
@@ -388,8 +388,8 @@
 			})
 		}
 		group.Wait()
-		if blocks := int64(len(h.store.Page(store.ArchivePrefix, store.ArchivePrefix, 1000).Items)); blocks < 8 || list.total.Load() > blocks || list.peak.Load() > maxConcurrentReads {
-			t.Errorf("%d reads of %d blocks, at most %d concurrent", list.total.Load(), blocks, list.peak.Load())
+		if blocks := int64(len(h.store.Page(store.ArchivePrefix, store.ArchivePrefix, 1000).Items)); blocks < 8 || lister.total.Load() > blocks || lister.peak.Load() > maxConcurrentReads {
+			t.Errorf("%d reads of %d blocks, at most %d concurrent", lister.total.Load(), blocks, lister.peak.Load())
 		}
 	})
 }
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -69,11 +69,11 @@
 
 // Barrier applies all changes of the state service to the view.
 func (h *harness) Barrier(context.Context) error {
-	ch, ok := h.store.Since(store.CommonPrefix, h.view.Revision())
+	changes, ok := h.store.Since(store.CommonPrefix, h.view.Revision())
 	if !ok {
 		h.t.Fatal("the changes since the revision of the view are gone")
 	}
-	h.view.Apply(ch)
+	h.view.Apply(changes)
 	return nil
 }
 
@@ -188,13 +188,13 @@
 	if rec, known := h.view.Job(id); known {
 		return string(rec.Stage)
 	}
-	doubt, _ := h.view.UnreadableRecordFor(id)
+	unreadable, _ := h.view.UnreadableRecordFor(id)
 	e, known, err := h.reader.Find(context.Background(), id)
 	switch {
 	case err != nil:
 		return "come back: " + strings.TrimPrefix(err.Error(), store.CommonPrefix+"-")
-	case !known && doubt != "":
-		return "come back: " + shortKeys([]string{doubt})[0]
+	case !known && unreadable != "":
+		return "come back: " + shortKeys([]string{unreadable})[0]
 	case !known:
 		return "not known"
 	}
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -98,17 +98,17 @@
 
 // compact runs one step of the compactor. The compactor may crash at a write, which is then
 // committed or delayed.
-func (h *harness) compact(what string, fate []string) []string {
+func (h *harness) compact(operation string, crash []string) []string {
 	h.writesUntilCrash = -1
-	if len(fate) > 0 { // for example "crash 1 taken": crash at the second write, which is committed
-		h.writesUntilCrash, h.crashOutcome = int(fate[1][0]-'0'), ""
-		if len(fate) > 2 {
-			h.crashOutcome = fate[2]
+	if len(crash) > 0 { // for example "crash 1 taken": crash at the second write, which is committed
+		h.writesUntilCrash, h.crashOutcome = int(crash[1][0]-'0'), ""
+		if len(crash) > 2 {
+			h.crashOutcome = crash[2]
 		}
 	}
 	ctx := context.Background()
 	var err error
-	if what == "settle" {
+	if operation == "settle" {
 		_, err = h.compactor.stage(ctx)
 	} else {
 		for more := true; more && err == nil; {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -185,12 +185,12 @@
 	if err := Write(&file, Header{StateFormat: store.Format}, items); err != nil {
 		t.Fatal(err)
 	}
-	whole := file.Bytes()
-	for i := range whole {
-		if _, _, _, err := Read(bytes.NewReader(whole[:i])); err == nil {
+	complete := file.Bytes()
+	for i := range complete {
+		if _, _, _, err := Read(bytes.NewReader(complete[:i])); err == nil {
 			t.Fatalf("a file truncated to %d bytes was read", i)
 		}
-		changed := bytes.Clone(whole)
+		changed := bytes.Clone(complete)
 		changed[i] ^= 0x55
 		if h, got, _, err := Read(bytes.NewReader(changed)); err == nil {
 			for k := range got {
@@ -231,9 +231,9 @@
 	sent []wire.Txn
 }
 
-func (k *recordingService) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
-	k.sent = append(k.sent, t)
-	return k.fakeService.Txn(ctx, t)
+func (r *recordingService) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
+	r.sent = append(r.sent, t)
+	return r.fakeService.Txn(ctx, t)
 }
 
 // TestLateImportWritesAreRejected repeats each write of an import after controllers have worked on
@@ -241,7 +241,7 @@
 // deleted. None of the late writes may be committed, also for a state of format 1, which has no
 // format record.
 func TestLateImportWritesAreRejected(t *testing.T) {
-	for name, before := range map[string]func(s *fakeService){
+	for name, prepare := range map[string]func(s *fakeService){
 		"format 2": func(*fakeService) {},
 		"format 1": func(s *fakeService) {
 			s.Commit(wire.Txn{Then: []wire.Operation{{Delete: store.FormatKey}}})
@@ -249,7 +249,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newSampleState(t), &recordingService{fakeService: newFakeService()}
-			before(from)
+			prepare(from)
 			items, _, err := Export(t.Context(), from, noExportProgress)
 			if err != nil {
 				t.Fatal(err)
