--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -246,9 +246,9 @@
 	return commit(ctx, s, wire.Txn{If: []wire.Condition{marker}, Then: []wire.Operation{{Put: store.FencingTokenKey, Value: token}, setFormat}})
 }
 
-// commit sends a transaction until its result is known. There is no other writer during an import,
-// so a transaction without a response can be sent again. If the second one conflicts on a key that
-// it changes, the first one was committed.
+// commit sends a transaction, with retries. There is no other writer during an import, so a
+// transaction without a response can be sent again. If it then conflicts on a key that it changes,
+// an earlier attempt was committed.
 func commit(ctx context.Context, s Service, txn wire.Txn) error {
 	outcomeUnknown := false
 	return retry(ctx, func() error {
