--- a/architecture_test.go
+++ b/architecture_test.go
@@ -111,7 +111,7 @@
 	sourceFile    = regexp.MustCompile(`^[\w./-]+\.go$`)
 	packagePath   = regexp.MustCompile(`^internal/[a-z/]+$`)
 	qualifiedName = regexp.MustCompile(`^[a-z]+\.[A-Z]\w*(\.[A-Z]\w*)?$`)
-	settingOfName = regexp.MustCompile(`^(controllers\.NAME|cards\.ZONE)$`) // settings that are named after something
+	namedSetting  = regexp.MustCompile(`^(controllers\.NAME|cards\.ZONE)$`) // settings that are named after something
 	testName      = regexp.MustCompile(`^Test[A-Z]\w*$`)
 )
 
@@ -128,7 +128,7 @@
 		switch {
 		case packagePath.MatchString(code) && !isDirectory(code),
 			sourceFile.MatchString(code) && !found.files[code],
-			qualifiedName.MatchString(code) && !settingOfName.MatchString(code) && !found.names[code],
+			qualifiedName.MatchString(code) && !namedSetting.MatchString(code) && !found.names[code],
 			testName.MatchString(code) && !tests[code]:
 			missing = append(missing, code)
 		}
@@ -141,23 +141,23 @@
 	return err == nil && info.IsDir()
 }
 
-// historicPages tell of the past in the names of their time.
-var historicPages = []string{"docs/CAPACITY.md", "docs/hunted.md", "docs/performance.md"}
+// historicalPages tell of the past in the names of their time.
+var historicalPages = []string{"docs/CAPACITY.md", "docs/hunted.md", "docs/performance.md"}
 
-// pages returns the README and the pages of the present.
-func pages(t *testing.T) []string {
+// currentPages returns the README and the pages of the present.
+func currentPages(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("docs/*.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return slices.DeleteFunc(append(all, "README.md"), func(page string) bool { return slices.Contains(historicPages, page) })
+	return slices.DeleteFunc(append(all, "README.md"), func(page string) bool { return slices.Contains(historicalPages, page) })
 }
 
 // TestNamesOnPagesExist keeps the pages that newcomers read in step with the code.
 func TestNamesOnPagesExist(t *testing.T) {
 	found := parseDeclarations(t)
-	read := pages(t)
+	read := currentPages(t)
 	for _, page := range read {
 		text, err := os.ReadFile(page)
 		if err != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,8 +21,8 @@
 const (
 	// callTimeout bounds a call, once its turn has come.
 	callTimeout = 4 * time.Second
-	// maxAnswer bounds the answer to a call, a page of machines.
-	maxAnswer = 4 << 20
+	// maxResponseBytes bounds the answer to a call, a page of machines.
+	maxResponseBytes = 4 << 20
 )
 
 // Client calls the cloud within its share of the rate limit.
@@ -45,7 +45,7 @@
 	}
 	return &Client{
 		addr:            addr,
-		caller:          &transport.Caller{MaxBody: maxAnswer, Dial: net.Dial},
+		caller:          &transport.Caller{MaxBody: maxResponseBytes, Dial: net.Dial},
 		maxRate:         maxRate,
 		limiter:         limiter(maxRate),
 		scaleOutLimiter: limiter(maxRate * scaleOutShare),
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -16,8 +16,8 @@
 
 const addr = "10.2.0.2:8443"
 
-// play runs against a cloud that is full and takes 6 calls a second.
-func play(t *testing.T, clients int, do func(ctx context.Context, c []*Client)) {
+// runWithFullCloud runs against a cloud that is full and takes 6 calls a second.
+func runWithFullCloud(t *testing.T, clients int, do func(ctx context.Context, c []*Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		net := simulator.NewNetwork()
@@ -35,9 +35,9 @@
 	})
 }
 
-// scaleOuts keeps asking for machines that there are none of, as fast as it may, and counts
+// scaleOutContinuously keeps asking for machines that there are none of, as fast as it may, and counts
 // the calls that the cloud took and those that it did not.
-func scaleOuts(ctx context.Context, c *Client, taken, refused *atomic.Int64) {
+func scaleOutContinuously(ctx context.Context, c *Client, taken, refused *atomic.Int64) {
 	for c.WaitForScaleOut(ctx) == nil {
 		go func() {
 			if _, err := c.ScaleOut(ctx, wire.ScaleOutRequest{RequestID: "r", Type: "g4", Zone: "a", Count: 50}); errors.Is(err, ErrNoCapacity) {
@@ -49,13 +49,13 @@
 	}
 }
 
-// TestReleasesBesideScaleOuts: a release and a list wait for no scale-out, however many want to be
+// TestReleasesNotDelayedByScaleOuts: a release and a list wait for no scale-out, however many want to be
 // sent.
-func TestReleasesBesideScaleOuts(t *testing.T) {
-	play(t, 1, func(ctx context.Context, c []*Client) {
+func TestReleasesNotDelayedByScaleOuts(t *testing.T) {
+	runWithFullCloud(t, 1, func(ctx context.Context, c []*Client) {
 		var taken, refused atomic.Int64
 		for range 20 {
-			go scaleOuts(ctx, c[0], &taken, &refused)
+			go scaleOutContinuously(ctx, c[0], &taken, &refused)
 		}
 		time.Sleep(10 * time.Second)
 		for range 20 {
@@ -74,13 +74,13 @@
 	})
 }
 
-// TestSeveralLeaders: the limit is for all controllers. Where five scale out at once, few of
+// TestLeadersShareRateLimit: the limit is for all controllers. Where five scale out at once, few of
 // their calls are refused, and what the cloud takes is used.
-func TestSeveralLeaders(t *testing.T) {
-	play(t, 5, func(ctx context.Context, c []*Client) {
+func TestLeadersShareRateLimit(t *testing.T) {
+	runWithFullCloud(t, 5, func(ctx context.Context, c []*Client) {
 		var taken, refused atomic.Int64
 		for _, one := range c {
-			go scaleOuts(ctx, one, &taken, &refused)
+			go scaleOutContinuously(ctx, one, &taken, &refused)
 		}
 		time.Sleep(2 * time.Minute)
 		if n, in := taken.Load(), refused.Load(); in*5 > n || n < 120*3 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestCancellationsFit: for each pair of times that is let in, what is left after the last
+// TestMaxCancelStaleness: for each pair of times that is let in, what is left after the last
 // answer, a worker's lease and the drift of both clocks lies within the time for a
 // cancellation, and a controller whose view is a watch old still answers. Others are refused by name.
-func TestCancellationsFit(t *testing.T) {
+func TestMaxCancelStaleness(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.json")
 	if err != nil {
 		t.Fatal(err)
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestPartNamesInOrder: the faults of names are listed in one order, the zones' first, whenever they are asked for.
-func TestPartNamesInOrder(t *testing.T) {
+// TestShardNameErrorsInOrder: the faults of names are listed in one order, the zones' first, whenever they are asked for.
+func TestShardNameErrorsInOrder(t *testing.T) {
 	c := &Config{Zones: []string{"a", "a"}, Tuning: Tuning{Shards: Shards{By: "type", Types: []string{"g 4", "g8", "g8"}}}}
 	const rule = ": must be another name of up to 60 bytes without spaces and slashes, since parts are called so"
 	want := `params.zones[1]: "a"` + rule + "\n" + `parts.types[0]: "g 4"` + rule + "\n" + `parts.types[2]: "g8"` + rule
--- a/internal/config/grants.go
+++ b/internal/config/grants.go
@@ -10,10 +10,10 @@
 // state service counts them: around all teams, for each team, for each shard of a team, and for
 // each of the two amounts, of which one without a limit is written as 0.
 const (
-	grantsBytes     = 12
-	grantTeamBytes  = 4
-	grantShardBytes = 5
-	grantBytes      = 20
+	grantRecordBaseBytes = 12
+	grantBytesPerTeam    = 4
+	grantBytesPerShard   = 5
+	grantBytesPerAmount  = 20
 )
 
 // checkGrants rejects settings under which that record could exceed the size of a value. It
@@ -26,40 +26,40 @@
 	if len(shards) < 2 || c.Store.ValueBytes == 0 {
 		return nil
 	}
-	teams, bytes := c.grantRecordBytes(shards)
-	var f faults
+	teams, bytes := c.maxGrantRecordBytes(shards)
+	var f validationErrors
 	f.check(bytes <= c.Store.ValueBytes, "parts.by", fmt.Sprintf("%q with %d teams that have a limit", c.Tuning.Shards.By, teams),
 		fmt.Sprintf("so that what is granted to each team in each of %d parts fits into one value of the state service: it may take %d bytes, and params.state.value_kb allows %d",
 			len(shards), bytes, c.Store.ValueBytes))
 	return errors.Join(f...)
 }
 
-// grantRecordBytes bounds the record of grants, and counts the teams that it may name.
-func (c *Config) grantRecordBytes(shards []string) (teams, bytes int) {
-	bytes = grantsBytes
+// maxGrantRecordBytes bounds the record of grants, and counts the teams that it may name.
+func (c *Config) maxGrantRecordBytes(shards []string) (teams, bytes int) {
+	bytes = grantRecordBaseBytes
 	for _, t := range c.Teams {
 		if t.CPUsMax == 0 && t.GPUsMax == 0 {
 			continue
 		}
 		teams++
-		bytes += jsonBytes(t.Name) + grantTeamBytes
+		bytes += jsonStringBytes(t.Name) + grantBytesPerTeam
 		for _, shard := range shards {
-			bytes += jsonBytes(shard) + grantShardBytes + amountBytes(t.CPUsMax) + amountBytes(t.GPUsMax)
+			bytes += jsonStringBytes(shard) + grantBytesPerShard + maxAmountBytes(t.CPUsMax) + maxAmountBytes(t.GPUsMax)
 		}
 	}
 	return teams, bytes
 }
 
-// amountBytes bounds one amount of a grant.
-func amountBytes(limit float64) int {
+// maxAmountBytes bounds one amount of a grant.
+func maxAmountBytes(limit float64) int {
 	if limit == 0 {
 		return len("0")
 	}
-	return grantBytes
+	return grantBytesPerAmount
 }
 
-// jsonBytes is the size of a text with its quotes.
-func jsonBytes(text string) int {
+// jsonStringBytes is the size of a text with its quotes.
+func jsonStringBytes(text string) int {
 	quoted, err := json.Marshal(text)
 	if err != nil {
 		return len(text) + 2
--- a/internal/config/grants_test.go
+++ b/internal/config/grants_test.go
@@ -8,29 +8,29 @@
 	"testing"
 )
 
-func manyTeams(n int, limit float64) (teams []Team) {
+func newTeams(n int, limit float64) (teams []Team) {
 	for i := range n {
 		teams = append(teams, Team{Name: fmt.Sprintf("team-%04d", i), GPUsMax: limit})
 	}
 	return teams
 }
 
-// TestGrantsFit: settings are refused, with all that matters named, under which the grants of all
+// TestCheckGrants: settings are refused, with all that matters named, under which the grants of all
 // teams to all shards could grow larger than one value.
-func TestGrantsFit(t *testing.T) {
+func TestCheckGrants(t *testing.T) {
 	c := &Config{Zones: []string{"a", "b", "c", "d", "e"}, Store: Store{ValueBytes: 16 << 10}, Tuning: DefaultTuning()}
 	for _, x := range []struct {
 		by    string
 		teams []Team
 		fault string
 	}{
-		{"off", manyTeams(2000, 64), ""},
-		{"1", manyTeams(2000, 64), ""},
-		{"zone", manyTeams(5, 64), ""},
-		{"zone", manyTeams(2000, 0), ""}, // without limits nothing is granted
-		{"zone", manyTeams(530, 64), `parts.by: "zone" with 530 teams that have a limit: must be so that what is granted to each team in each of 5 parts fits into one value of the state service: it may take 84812 bytes, and params.state.value_kb allows 16384`},
-		{"2", manyTeams(530, 64), "in each of 2 parts"},
-		{"9", manyTeams(530, 64), ""}, // which checkShards names
+		{"off", newTeams(2000, 64), ""},
+		{"1", newTeams(2000, 64), ""},
+		{"zone", newTeams(5, 64), ""},
+		{"zone", newTeams(2000, 0), ""}, // without limits nothing is granted
+		{"zone", newTeams(530, 64), `parts.by: "zone" with 530 teams that have a limit: must be so that what is granted to each team in each of 5 parts fits into one value of the state service: it may take 84812 bytes, and params.state.value_kb allows 16384`},
+		{"2", newTeams(530, 64), "in each of 2 parts"},
+		{"9", newTeams(530, 64), ""}, // which checkShards names
 	} {
 		c.Tuning.Shards.By, c.Teams = x.by, x.teams
 		err := c.checkGrants()
@@ -40,10 +40,10 @@
 	}
 }
 
-// TestGrantBytes: no record of grants takes more than its bound.
-func TestGrantBytes(t *testing.T) {
+// TestMaxGrantRecordBytes: no record of grants takes more than its bound.
+func TestMaxGrantRecordBytes(t *testing.T) {
 	shards := []string{"a", "part-\"1\""}
-	c := &Config{Teams: append(manyTeams(30, 1e6), Team{Name: strings.Repeat("\u2028<é", 60), CPUsMax: 1, GPUsMax: 3})}
+	c := &Config{Teams: append(newTeams(30, 1e6), Team{Name: strings.Repeat("\u2028<é", 60), CPUsMax: 1, GPUsMax: 3})}
 	record := map[string]map[string]map[string][2]float64{"teams": {}}
 	for i, team := range c.Teams {
 		record["teams"][team.Name] = map[string][2]float64{}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, bound := c.grantRecordBytes(shards); len(text) > bound {
+	if _, bound := c.maxGrantRecordBytes(shards); len(text) > bound {
 		t.Errorf("%d bytes, more than the bound of %d", len(text), bound)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -54,7 +54,7 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return nil, fmt.Errorf("not a valid settings file: %w", err)
 	}
-	var f faults
+	var f validationErrors
 	p.checkAddresses(&f)
 	p.checkTeams(&f)
 	p.checkWorkers(&f)
@@ -81,24 +81,24 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // checkAddresses checks the names and addresses of controllers and services.
-func (p *platformFile) checkAddresses(f *faults) {
+func (p *platformFile) checkAddresses(f *validationErrors) {
 	f.check(p.Name != "", "host_name", `""`, "the name of this controller")
-	f.addr("public_addr", p.PublicAddr)
-	f.addr("mesh_addr", p.PeerAddr)
+	f.checkAddr("public_addr", p.PublicAddr)
+	f.checkAddr("mesh_addr", p.PeerAddr)
 	f.check(p.PublicAddr != p.PeerAddr, "mesh_addr", p.PeerAddr, "another address than public_addr")
-	f.addr("endpoints.cloud", p.Endpoints.Cloud)
-	f.addr("endpoints.state", p.Endpoints.State)
+	f.checkAddr("endpoints.cloud", p.Endpoints.Cloud)
+	f.checkAddr("endpoints.state", p.Endpoints.State)
 	names := []string{p.Name}
 	for i, s := range p.Peers {
 		f.check(s.Name != "" && !slices.Contains(names, s.Name), fmt.Sprintf("siblings[%d].host_name", i),
 			fmt.Sprintf("%q", s.Name), "a name that no other controller has")
 		names = append(names, s.Name)
-		f.addr(fmt.Sprintf("siblings[%d].peer_addr", i), s.Addr)
+		f.checkAddr(fmt.Sprintf("siblings[%d].peer_addr", i), s.Addr)
 	}
 }
 
 // checkTeams checks the zones, and each team's guarantee against its limit.
-func (p *platformFile) checkTeams(f *faults) {
+func (p *platformFile) checkTeams(f *validationErrors) {
 	f.check(len(p.Params.Zones) > 0, "params.zones", "none", "at least one zone")
 	f.check(len(p.Params.Teams) > 0, "params.teams", "none", "at least one team")
 	for i, t := range p.Params.Teams {
@@ -111,24 +111,24 @@
 }
 
 // checkWorkers checks the timing of the workers' protocol.
-func (p *platformFile) checkWorkers(f *faults) {
+func (p *platformFile) checkWorkers(f *validationErrors) {
 	w := p.Params.Workers
-	f.positive("params.workers.report_s", w.ReportS)
+	f.checkPositive("params.workers.report_s", w.ReportS)
 	f.check(w.LeaseS > w.ReportS, "params.workers.lease_s", w.LeaseS, "more than report_s")
-	f.positive("params.workers.gang_wait_s", w.GangWaitS)
-	f.positive("params.workers.gang_peer_s", w.GangPeerS)
+	f.checkPositive("params.workers.gang_wait_s", w.GangWaitS)
+	f.checkPositive("params.workers.gang_peer_s", w.GangPeerS)
 	f.check(w.CancelS >= w.LeaseS+MinCancelMargin.Seconds(), "params.workers.cancel_s", w.CancelS,
 		fmt.Sprintf("lease_s and %v s more, or an answer could keep a cancelled task for longer", MinCancelMargin.Seconds()))
 }
 
 // checkLimits checks the limits of the state service, of the cloud and of this process.
-func (p *platformFile) checkLimits(f *faults) {
+func (p *platformFile) checkLimits(f *validationErrors) {
 	s := p.Params.State
-	f.positive("params.state.rps", s.RPS)
-	f.positive("params.state.write_rps", s.WriteRPS)
+	f.checkPositive("params.state.rps", s.RPS)
+	f.checkPositive("params.state.write_rps", s.WriteRPS)
 	f.check(s.ValueKB >= 1, "params.state.value_kb", s.ValueKB, "1 or more")
 	f.check(s.TxnOps >= 4, "params.state.txn_ops", s.TxnOps, "4 or more")
-	f.positive("params.cloud.rps", p.Params.Cloud.RPS)
+	f.checkPositive("params.cloud.rps", p.Params.Cloud.RPS)
 	f.check(p.Params.Cloud.ListLagS >= 0, "params.cloud.list_lag_s", p.Params.Cloud.ListLagS, "0 or more")
 	f.check(p.Params.Limits.RAMMB >= 32, "params.limits.ram_mb", p.Params.Limits.RAMMB, "32 or more")
 	f.check(p.Params.Limits.Files >= 64, "params.limits.fd_limit", p.Params.Limits.Files, "64 or more")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	var f faults
+	var f validationErrors
 	setters := t.setters()
 	for _, sec := range file.Sections() {
 		if class, ok := strings.CutPrefix(sec.Name(), spreadSection); ok {
@@ -36,15 +36,15 @@
 			t.readTier(&f, sec)
 			continue
 		}
-		setAll(&f, setters, sec)
+		applySection(&f, setters, sec)
 	}
 	f.check(t.Reapi.Listen == "" || t.Reapi.Store != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
 	f.check(t.Renew*2 <= t.Lease, "claim.renew", t.Renew, "at most half of claim.lease")
 	return errors.Join(f...)
 }
 
-// setAll applies the keys of a section.
-func setAll(f *faults, setters map[string]setter, sec *ini.Section) {
+// applySection applies the keys of a section.
+func applySection(f *validationErrors, setters map[string]setter, sec *ini.Section) {
 	for _, key := range sec.Keys() {
 		name := sec.Name() + "." + key.Name()
 		set := setters[name]
@@ -97,10 +97,10 @@
 }
 
 // setter reads the value of one key, and adds to the faults if it is not allowed.
-type setter func(f *faults, name string, key *ini.Key)
+type setter func(f *validationErrors, name string, key *ini.Key)
 
 func duration(d *time.Duration) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		v, err := time.ParseDuration(key.Value())
 		f.check(err == nil && v >= minDuration && v <= maxDuration, name, key.Value(), "a duration from 100ms to 10m")
 		*d = v
@@ -108,7 +108,7 @@
 }
 
 func count(n *int, least, most int) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		v, err := key.Int()
 		f.check(err == nil && v >= least && v <= most, name, key.Value(), fmt.Sprintf("a count from %d to %d", least, most))
 		*n = v
@@ -116,7 +116,7 @@
 }
 
 func flag(b *bool) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		v, err := key.Bool()
 		f.check(err == nil, name, key.Value(), "on or off")
 		*b = v
@@ -124,7 +124,7 @@
 }
 
 func number(n *float64) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		v, err := key.Float64()
 		f.check(err == nil && v >= 0 && v <= maxNumber, name, key.Value(), "a number from 0 to 1e6")
 		*n = v
@@ -132,15 +132,15 @@
 }
 
 func address(addr *string) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		*addr = key.Value()
-		f.addr(name, *addr)
+		f.checkAddr(name, *addr)
 	}
 }
 
 // text reads one of the allowed words; without any, all text is allowed but the empty one.
 func text(to *string, allowed ...string) setter {
-	return func(f *faults, name string, key *ini.Key) {
+	return func(f *validationErrors, name string, key *ini.Key) {
 		*to = key.Value()
 		f.check(*to != "" && (allowed == nil || slices.Contains(allowed, *to)), name, fmt.Sprintf("%q", *to), cmp.Or(strings.Join(allowed, ", "), "some text"))
 	}
@@ -148,5 +148,5 @@
 
 // list reads names that are separated by commas.
 func list(names *[]string) setter {
-	return func(_ *faults, _ string, key *ini.Key) { *names = key.Strings(",") }
+	return func(_ *validationErrors, _ string, key *ini.Key) { *names = key.Strings(",") }
 }
--- a/internal/config/shards.go
+++ b/internal/config/shards.go
@@ -25,12 +25,12 @@
 	}
 }
 
-// maxShardName bounds the names of zones and machine types that are shards, in bytes.
-const maxShardName = 60
+// maxShardNameBytes bounds the names of zones and machine types that are shards, in bytes.
+const maxShardNameBytes = 60
 
 // checkShards checks the division into shards against the zones of the platform's file.
 func (c *Config) checkShards() error {
-	var f faults
+	var f validationErrors
 	p := c.Tuning.Shards
 	n, err := strconv.Atoi(p.By)
 	switch {
@@ -49,9 +49,9 @@
 }
 
 // checkShardNames checks the names of a list that shards may be called by.
-func (f *faults) checkShardNames(field string, names []string) {
+func (f *validationErrors) checkShardNames(field string, names []string) {
 	for i, name := range names {
-		usable := name != "" && len(name) <= maxShardName && !strings.ContainsAny(name, " /\t\n")
+		usable := name != "" && len(name) <= maxShardNameBytes && !strings.ContainsAny(name, " /\t\n")
 		unique := !slices.Contains(names[:i], name)
 		f.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
 			fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -16,7 +16,7 @@
 
 // readSpreadRule reads the section that says how the services of a class are spread over the
 // zones.
-func (t *Tuning) readSpreadRule(f *faults, class string, sec *ini.Section) {
+func (t *Tuning) readSpreadRule(f *validationErrors, class string, sec *ini.Section) {
 	var r scheduler.SpreadRule
 	for _, key := range sec.Keys() {
 		name, err := sec.Name()+"."+key.Name(), error(nil)
@@ -42,7 +42,7 @@
 
 // checkSpread checks the spread rules against the zones of the platform's file.
 func (c *Config) checkSpread() error {
-	var f faults
+	var f validationErrors
 	for class, r := range c.Tuning.Spread {
 		at := spreadSection + class
 		for _, zone := range r.Zones {
--- a/internal/config/tiers.go
+++ b/internal/config/tiers.go
@@ -20,17 +20,17 @@
 // Tiers returns the tiers of work, in their order.
 func (c *Config) Tiers() *tier.Set { return tier.New(c.Tuning.Tiers) }
 
-// maxTierName bounds the name of a tier, in bytes.
-const maxTierName = 40
+// maxTierNameBytes bounds the name of a tier, in bytes.
+const maxTierNameBytes = 40
 
 // reservedTierNames have a meaning of their own in lists of tiers.
 var reservedTierNames = []string{"all", "none", "rest"}
 
 // readTier reads a section that sets a tier.
-func (t *Tuning) readTier(f *faults, sec *ini.Section) {
+func (t *Tuning) readTier(f *validationErrors, sec *ini.Section) {
 	name := strings.TrimSpace(strings.TrimPrefix(sec.Name(), tierSection))
 	at := "[" + sec.Name() + "]"
-	usable := name != "" && len(name) <= maxTierName && !strings.ContainsAny(name, " ,\t") && !slices.Contains(reservedTierNames, name)
+	usable := name != "" && len(name) <= maxTierNameBytes && !strings.ContainsAny(name, " ,\t") && !slices.Contains(reservedTierNames, name)
 	unique := !slices.ContainsFunc(t.Tiers, func(o tier.Tier) bool { return o.Name == name })
 	f.check(usable && unique, at, fmt.Sprintf("%q", name),
 		"another name of up to 40 bytes without spaces and commas, but for all, none and rest")
@@ -43,7 +43,7 @@
 }
 
 // readTierKey reads one key of a tier's section; field is its name in messages.
-func readTierKey(f *faults, out *tier.Tier, field string, key *ini.Key) {
+func readTierKey(f *validationErrors, out *tier.Tier, field string, key *ini.Key) {
 	value := key.Value()
 	if zone, ok := strings.CutPrefix(key.Name(), "cards."); ok {
 		if out.Zones == nil {
@@ -74,14 +74,14 @@
 		f.check(err == nil && v >= 10*time.Second && v <= maxDuration, field, value, "a duration from 10s to 10m")
 		out.ReclaimWithin = v
 	case "lend":
-		out.LendsTo = parseLend(out.LendsTo, key)
+		out.LendsTo = parseLendsTo(out.LendsTo, key)
 	default:
 		f.check(false, field, value, "one of order, priority, class, team, in_team, cards, cards.ZONE, within, lend")
 	}
 }
 
-// parseLend reads to which tiers idle cards are lent: before means all, as without the key.
-func parseLend(before []string, key *ini.Key) []string {
+// parseLendsTo reads to which tiers idle cards are lent: before means all, as without the key.
+func parseLendsTo(before []string, key *ini.Key) []string {
 	switch key.Value() {
 	case "all":
 		return before
@@ -92,7 +92,7 @@
 }
 
 // parseShare reads a number of cards, or a part of those that there are.
-func parseShare(f *faults, field, value string) tier.Share {
+func parseShare(f *validationErrors, field, value string) tier.Share {
 	text, part := strings.CutSuffix(value, "%")
 	n, err := strconv.ParseFloat(text, 64)
 	f.check(err == nil && n >= 0 && (n <= 100 || !part && n <= 1e6), field, value, "a number of cards from 0 to 1e6, or a share such as 20%")
@@ -104,7 +104,7 @@
 
 // checkTiers checks the tiers against each other and against the platform's file.
 func (c *Config) checkTiers() error {
-	var f faults
+	var f validationErrors
 	var names, teams []string
 	for _, t := range c.Tuning.Tiers {
 		names = append(names, t.Name)
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -10,8 +10,8 @@
 	"testing/iotest"
 )
 
-// requests shows what is taken and what is refused, and with which status.
-var requests = []struct {
+// requestTests shows what is taken and what is refused, and with which status.
+var requestTests = []struct {
 	name, text string
 	status     int // 0: taken
 	body       string
@@ -38,7 +38,7 @@
 }
 
 func TestReadRequest(t *testing.T) {
-	for _, c := range requests {
+	for _, c := range requestTests {
 		// Whether it comes at once or byte by byte makes no difference.
 		for _, r := range []io.Reader{strings.NewReader(c.text), iotest.OneByteReader(strings.NewReader(c.text))} {
 			req, err := ReadRequest(bufio.NewReaderSize(r, 16), 64)
@@ -69,7 +69,7 @@
 
 // FuzzRead feeds both parsers; whatever comes, they stay within their bounds.
 func FuzzRead(f *testing.F) {
-	for _, c := range requests {
+	for _, c := range requestTests {
 		f.Add([]byte(c.text))
 	}
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -109,8 +109,8 @@
 	return best
 }
 
-// merged combines what only leaders know.
-func (v *View) merged() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
+// mergeStatuses combines what only leaders know.
+func (v *View) mergeStatuses() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
 	zones, teams, tiers = map[string]Zone{}, map[string]Team{}, map[string]Tier{}
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
 		s := v.Statuses[addr]
@@ -133,8 +133,8 @@
 	return zones, teams, tiers
 }
 
-// rate returns the change of a count per second since an earlier view.
-func rate(now, before uint64, d time.Duration) string {
+// ratePerSecond returns the change of a count per second since an earlier view.
+func ratePerSecond(now, before uint64, d time.Duration) string {
 	if d <= 0 || now < before {
 		return "-"
 	}
@@ -156,8 +156,8 @@
 		c, requests, changes := v.Statuses[addr], "-", "-"
 		if before != nil && before.Statuses[addr] != nil {
 			d := v.At.Sub(before.At)
-			requests = rate(c.Budget.Requests, before.Statuses[addr].Budget.Requests, d)
-			changes = rate(c.Budget.Changes, before.Statuses[addr].Budget.Changes, d)
+			requests = ratePerSecond(c.Budget.Requests, before.Statuses[addr].Budget.Requests, d)
+			changes = ratePerSecond(c.Budget.Changes, before.Statuses[addr].Budget.Changes, d)
 		}
 		line("%s\t%s\t%v\t%v\t%d\t%s of %.0f\t%s of %.0f\t%d\t%d\t", addr, c.Name, c.Ready, time.Duration(c.UpS)*time.Second, c.ReportingMachines,
 			requests, c.Budget.RPS, changes, c.Budget.WriteRPS, c.Budget.Refused, c.Budget.Unanswered)
@@ -185,7 +185,7 @@
 		c := s.Classes[name]
 		line("%s\t%d\t%d\t%d\t%d\t%d\t", name, c.PendingJobs, c.RunningJobs, c.Tasks, c.RunningTasks, c.FinishedTasks)
 	}
-	zones, teams, tiers := v.merged()
+	zones, teams, tiers := v.mergeStatuses()
 	if len(tiers) > 0 {
 		line("\nTIER\tCARDS\tSHARE\tLENT\tTASKS WAITING\tRECLAIMS\t")
 	}
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// knownRed runs the reader of the list of known failures on a list.
-func knownRed(t *testing.T, verb, list string) (output string, ok bool) {
+// runKnownRed runs the reader of the list of known failures on a list.
+func runKnownRed(t *testing.T, verb, list string) (output string, ok bool) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(path, []byte(list), 0o644); err != nil {
@@ -44,7 +44,7 @@
 			faults: []string{"the number of its issue is missing", "the cause is missing"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, ok := knownRed(t, "check", c.list)
+			out, ok := runKnownRed(t, "check", c.list)
 			if ok != (len(c.faults) == 0) || strings.Count(out, "\n") != len(c.faults) {
 				t.Errorf("ok %v, want %d faults:\n%s", ok, len(c.faults), out)
 			}
@@ -55,7 +55,7 @@
 			}
 		})
 	}
-	names, _ := knownRed(t, "names", completeEntry+completeEntry)
+	names, _ := runKnownRed(t, "names", completeEntry+completeEntry)
 	if want := strings.Repeat("TestKnownRedList/a_subtest,_1\n", 2); names != want {
 		t.Errorf("names %q, want %q", names, want)
 	}
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// testSystems are packages whose logs no operator of the service reads.
-var testSystems = []string{
+// testPackages are packages whose logs no operator of the service reads.
+var testPackages = []string{
 	"internal/simulator", "internal/emulator", "internal/dev", "internal/load",
 	"internal/experiment", "internal/scale", "internal/simtest", "internal/goldentest",
 }
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && slices.Contains(testSystems, filepath.ToSlash(path)) {
+		if d.IsDir() && slices.Contains(testPackages, filepath.ToSlash(path)) {
 			return fs.SkipDir
 		}
 		if d.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
--- a/wire/check.go
+++ b/wire/check.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// maxText bounds a text field, in bytes.
-	maxText = 200
-	// maxAmount bounds a decimal number: sums of a great many of them stay exact enough.
+	// maxTextBytes is the maximum length of a text field.
+	maxTextBytes = 200
+	// maxAmount is the largest decimal number accepted. Sums of very many such numbers stay sufficiently exact.
 	maxAmount = 1e9
 )
 
-// checkText reports whether a text field is there, not empty, and not too long.
+// checkText returns an error if a text field is missing, empty or too long.
 func checkText(field string, v *string) error {
-	if v == nil || *v == "" || len(*v) > maxText {
-		return fmt.Errorf("field %s: must be text of 1 to %d bytes", field, maxText)
+	if v == nil || *v == "" || len(*v) > maxTextBytes {
+		return fmt.Errorf("field %s: must be text of 1 to %d bytes", field, maxTextBytes)
 	}
 	return nil
 }
 
-// checkAmount reports whether a decimal number is there and can be reckoned with.
+// checkAmount returns an error if a decimal number is missing, not finite, negative or larger than maxAmount.
 func checkAmount(field string, v *float64) error {
 	switch {
 	case v == nil:
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// checkPresent reports whether a flag is there.
+// checkPresent returns an error if a Boolean field is missing.
 func checkPresent(field string, v *bool) error {
 	if v == nil {
 		return fmt.Errorf("field %s: missing", field)
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Paths of the cloud's interface.
+// Paths of the cloud API.
 const (
 	PathTypes   = "/machine_types"
 	PathRentals = "/rentals"
 	PathRelease = "/rentals/release"
 )
 
-// Limits of the cloud's interface.
+// Limits of the cloud API.
 const (
-	MaxScaleOut = 50
-	MaxRelease  = 100
-	MaxListPage = 500
+	MaxScaleOut = 50  // machines in a scale-out request
+	MaxRelease  = 100 // machines in a release request
+	MaxListPage = 500 // machines in a page of the machine list
 )
 
-// MinimumCharge is the time that a machine is charged for at least, once it is returned.
+// MinimumCharge is the minimum time that is billed for a machine when it is released.
 const MinimumCharge = 60 * time.Second
 
-// MachineType is a kind of machine that the cloud rents out.
+// MachineType describes a type of machine that the cloud rents out.
 type MachineType struct {
 	Name      string   `cbor:"label"`
 	CPUs      float64  `cbor:"vcpus"`
 	GPUs      float64  `cbor:"accelerators"`
 	MemoryGB  float64  `cbor:"mem_gb"`
-	CacheGB   float64  `cbor:"local_gb"`
+	CacheGB   float64  `cbor:"local_gb"` // local disk for cached images
 	FetchGBps float64  `cbor:"fetch_gb_per_s"`
 	Price     float64  `cbor:"price"`
 	SpotPrice float64  `cbor:"spot_price"`
-	BootS     float64  `cbor:"boot_s"`
+	BootS     float64  `cbor:"boot_s"` // seconds that a machine takes to boot
 	Zones     []string `cbor:"apiaries"`
 }
 
-// DecodeTypes reads the list of machine types.
+// DecodeTypes decodes and validates the list of machine types.
 func DecodeTypes(body []byte) ([]MachineType, error) {
 	var m struct {
 		Types []MachineType `cbor:"frames"`
@@ -61,7 +61,7 @@
 	return m.Types, nil
 }
 
-// ScaleOutRequest asks the cloud for machines; a RequestID is never used for another request.
+// ScaleOutRequest asks the cloud for machines. A RequestID must never be reused for a different request.
 type ScaleOutRequest struct {
 	RequestID string `cbor:"ask"`
 	Type      string `cbor:"frame"`
@@ -70,12 +70,12 @@
 	Count     int    `cbor:"how_many"`
 }
 
-// MachineNames is a list of machines, in answers and in releases.
+// MachineNames lists machines by ID, in the response to a scale-out request and in a release request.
 type MachineNames struct {
 	Machines []string `cbor:"hives"`
 }
 
-// MachineStage is the state of a machine, as the cloud sees it.
+// MachineStage is the state of a rented machine as the cloud reports it.
 type MachineStage string
 
 // The stages of a rented machine.
@@ -85,7 +85,7 @@
 	MachineFailed   MachineStage = "failed"
 )
 
-// ListedMachine is one machine in the cloud's list.
+// ListedMachine is one machine in the cloud's list of rented machines.
 type ListedMachine struct {
 	ID    string       `cbor:"uid"`
 	Addr  string       `cbor:"endpoint"`
@@ -93,16 +93,17 @@
 	Zone  string       `cbor:"apiary"`
 	Spot  bool         `cbor:"borrowed"`
 	Stage MachineStage `cbor:"stage"`
-	AgeS  float64      `cbor:"held_s"`
+	AgeS  float64      `cbor:"held_s"` // seconds since the machine was rented
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is one page of the cloud's list of rented machines.
 type MachineList struct {
 	Machines []ListedMachine `cbor:"hives"`
-	More     bool            `cbor:"more"`
+	More     bool            `cbor:"more"` // whether another page follows
 }
 
-// MachineListPath is the path of the page that begins after a machine.
+// MachineListPath returns the path of the page of the machine list that starts after the given machine ID.
+// An empty ID requests the first page.
 func MachineListPath(after string) string {
 	p := PathRentals + "?limit=" + strconv.Itoa(MaxListPage)
 	if after != "" {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -8,43 +8,44 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-func check[T any](t *testing.T, name string) {
+// checkEncoding compares the CBOR encoding of a T with a golden file, and decodes that file again.
+func checkEncoding[T any](t *testing.T, name string) {
 	t.Helper()
 	goldentest.Check[T](t, name, func(v any) ([]byte, error) { return Encode(v), nil }, DecodeValue)
 }
 
-// TestGoldenMessages: each message of the interfaces is sent as it was.
+// TestGoldenMessages checks that the encoding of each message has not changed.
 func TestGoldenMessages(t *testing.T) {
-	check[MachineType](t, "machine-type.cbor")
-	check[ScaleOutRequest](t, "rental.cbor")
-	check[MachineNames](t, "machine-names.cbor")
-	check[ListedMachine](t, "listed-machine.cbor")
-	check[MachineList](t, "machine-list.cbor")
-	check[KeyValue](t, "item.cbor")
-	check[KeyValueList](t, "item-list.cbor")
-	check[Condition](t, "condition.cbor")
-	check[Operation](t, "change.cbor")
-	check[Txn](t, "txn.cbor")
-	check[TxnResult](t, "txn-result.cbor")
-	check[Event](t, "event.cbor")
-	check[WatchResponse](t, "changes.cbor")
-	check[LeaseGrantRequest](t, "lease-grant.cbor")
-	check[LeaseGrantResponse](t, "lease-id.cbor")
-	check[Job](t, "job.cbor")
-	check[submission](t, "submission.cbor")
-	check[JobStatus](t, "job-status.cbor")
-	check[Failure](t, "failure.cbor")
-	check[ReportedTask](t, "reported-task.cbor")
-	check[Heartbeat](t, "report.cbor")
-	check[Command](t, "command.cbor")
-	check[HeartbeatResponse](t, "answer.cbor")
-	check[Redirect](t, "redirect.cbor")
-	check[CommandRequest](t, "direct.cbor")
+	checkEncoding[MachineType](t, "machine-type.cbor")
+	checkEncoding[ScaleOutRequest](t, "rental.cbor")
+	checkEncoding[MachineNames](t, "machine-names.cbor")
+	checkEncoding[ListedMachine](t, "listed-machine.cbor")
+	checkEncoding[MachineList](t, "machine-list.cbor")
+	checkEncoding[KeyValue](t, "item.cbor")
+	checkEncoding[KeyValueList](t, "item-list.cbor")
+	checkEncoding[Condition](t, "condition.cbor")
+	checkEncoding[Operation](t, "change.cbor")
+	checkEncoding[Txn](t, "txn.cbor")
+	checkEncoding[TxnResult](t, "txn-result.cbor")
+	checkEncoding[Event](t, "event.cbor")
+	checkEncoding[WatchResponse](t, "changes.cbor")
+	checkEncoding[LeaseGrantRequest](t, "lease-grant.cbor")
+	checkEncoding[LeaseGrantResponse](t, "lease-id.cbor")
+	checkEncoding[Job](t, "job.cbor")
+	checkEncoding[submission](t, "submission.cbor")
+	checkEncoding[JobStatus](t, "job-status.cbor")
+	checkEncoding[Failure](t, "failure.cbor")
+	checkEncoding[ReportedTask](t, "reported-task.cbor")
+	checkEncoding[Heartbeat](t, "report.cbor")
+	checkEncoding[Command](t, "command.cbor")
+	checkEncoding[HeartbeatResponse](t, "answer.cbor")
+	checkEncoding[Redirect](t, "redirect.cbor")
+	checkEncoding[CommandRequest](t, "direct.cbor")
 }
 
-// TestGoldenWords: the paths and words of the interfaces are what they were.
-func TestGoldenWords(t *testing.T) {
-	words := []string{
+// TestGoldenPathsAndValues checks that the paths and enumerated values of the protocols have not changed.
+func TestGoldenPathsAndValues(t *testing.T) {
+	values := []string{
 		PathJobs, PathReady, CancelWord, WorkWord, PathKeys, PathTxn, PathLeases, PathWatch, RenewWord,
 		PathTypes, PathRentals, PathRelease, PathHeartbeat, PathCommands, PathStatus,
 		KeyPath("a/b"), KeysPath("a/", "a/b", 7), WatchPath("a/", 9, 2*time.Second), LeasePath(5), RenewPath(5), MachineListPath("m 1"),
@@ -55,5 +56,5 @@
 		string(TaskFetching), string(TaskWaiting), string(TaskRunning), string(TaskSaving), string(TaskEnded),
 		string(CauseDone), string(CauseStopped), string(CausePeers), string(CauseAlone), string(CauseError), string(CauseNoRoom), string(CauseBusy), string(CauseUnknown),
 	}
-	goldentest.Text(t, "words.txt", strings.Join(words, "\n")+"\n")
+	goldentest.Text(t, "words.txt", strings.Join(values, "\n")+"\n")
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Shape tells how the tasks of a job belong together.
+// Shape is how the tasks of a job depend on each other.
 type Shape string
 
 // The shapes of jobs.
 const (
-	Array   Shape = "sweep"
-	Gang    Shape = "gang"
-	Service Shape = "service"
+	Array   Shape = "sweep"   // independent tasks
+	Gang    Shape = "gang"    // tasks that run at the same time or not at all
+	Service Shape = "service" // replicas that run until the job is cancelled
 )
 
-// Priority orders jobs; see Rank.
+// Priority is the priority of a job. Rank orders the priorities.
 type Priority string
 
 // The priorities, highest first.
@@ -23,7 +23,7 @@
 	Low        Priority = "low"
 )
 
-// Rank gives the priority as a number, larger first; -1 is none.
+// Rank returns the priority as a number, where a higher number goes first, or -1 for an unknown priority.
 func (p Priority) Rank() int {
 	switch p {
 	case Production:
@@ -38,7 +38,7 @@
 	return -1
 }
 
-// Stage is the state of a job as its user sees it.
+// Stage is the state of a job as reported to its user.
 type Stage string
 
 // The stages of a job.
@@ -49,13 +49,13 @@
 	Cancelled Stage = "withdrawn"
 )
 
-// Final reports whether the stage never changes again.
+// Final reports whether a job in this stage never changes its stage again.
 func (s Stage) Final() bool { return s == Done || s == Cancelled }
 
-// MaxTasks is the most tasks that a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Job is the description of a job, valid once DecodeJob has returned it.
+// Job describes a job. The jobs that DecodeJob returns are valid.
 type Job struct {
 	ID          string   `cbor:"uid"`
 	Class       string   `cbor:"breed"`
@@ -63,41 +63,41 @@
 	Shape       Shape    `cbor:"shape"`
 	Priority    Priority `cbor:"rank"`
 	Tasks       int      `cbor:"cells"`
-	CPUs        float64  `cbor:"vcpus"`
-	GPUs        float64  `cbor:"accelerators"`
-	MemoryGB    float64  `cbor:"mem_gb"`
+	CPUs        float64  `cbor:"vcpus"`        // for each task
+	GPUs        float64  `cbor:"accelerators"` // for each task
+	MemoryGB    float64  `cbor:"mem_gb"`       // for each task
 	Image       string   `cbor:"comb"`
 	ImageGB     float64  `cbor:"image_gb"`
-	Types       []string `cbor:"frames,omitempty"`
-	Zone        string   `cbor:"apiary,omitempty"`
-	OneZone     bool     `cbor:"one_zone"`
+	Types       []string `cbor:"frames,omitempty"` // allowed machine types; empty means any
+	Zone        string   `cbor:"apiary,omitempty"` // required zone; empty means any
+	OneZone     bool     `cbor:"one_zone"`         // whether all tasks must run in the same zone
 	Spread      bool     `cbor:"spread"`
-	Spot        bool     `cbor:"borrowed"`
-	EstimateS   float64  `cbor:"expect_s"`
-	CheckpointS float64  `cbor:"capping_s"`
-	SaveS       float64  `cbor:"seal_s"`
+	Spot        bool     `cbor:"borrowed"`  // whether spot machines are allowed
+	EstimateS   float64  `cbor:"expect_s"`  // expected run time of a task
+	CheckpointS float64  `cbor:"capping_s"` // interval between checkpoints; 0 means that a task saves nothing
+	SaveS       float64  `cbor:"seal_s"`    // time that a task needs to save its progress
 	DeadlineS   float64  `cbor:"due_s,omitempty"`
-	// Work says what each task does, in the form that the kind of agent on its machine understands.
-	// The controllers store it and hand it to machines, and never interpret it.
+	// Work describes what each task runs, in a format that depends on the agent on the machine.
+	// Controllers store it and pass it to machines, but never interpret it.
 	Work string `cbor:"work,omitempty"`
 }
 
-// MaxWork bounds the text of Work.
+// MaxWork is the maximum length of Job.Work in bytes.
 const MaxWork = 4096
 
-// Estimate is the owner's guess of a task's run time.
+// Estimate returns the run time that the user expects of a task.
 func (j *Job) Estimate() time.Duration { return Seconds(j.EstimateS) }
 
-// Seconds turns a duration of the wire into the library's type.
+// Seconds converts a number of seconds, as used on the wire, to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// JobPrefix begins every job id.
+// JobPrefix is the prefix of every job ID.
 const JobPrefix = "wk-"
 
-// MaxDigits is how many digits may follow it.
+// MaxDigits is the maximum number of digits after JobPrefix.
 const MaxDigits = 64 - len(JobPrefix)
 
-// ValidJobID reports whether id has the form that job ids always have.
+// ValidJobID reports whether id is a well-formed job ID: JobPrefix followed by decimal digits.
 func ValidJobID(id string) bool {
 	if len(id) <= len(JobPrefix) || len(id) > len(JobPrefix)+MaxDigits || id[:len(JobPrefix)] != JobPrefix {
 		return false
--- a/wire/store.go
+++ b/wire/store.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Paths of the state service.
+// Paths of the state service. RenewWord is the last segment of the path that renews a lease.
 const (
 	PathKeys   = "/keys"
 	PathTxn    = "/multi"
@@ -15,10 +15,10 @@
 	RenewWord  = "touch"
 )
 
-// MaxItems is how many keys a page may have.
+// MaxItems is the maximum number of keys in a page.
 const MaxItems = 1000
 
-// KeyValue is a key of the state service with its value and version.
+// KeyValue is a key of the state service with its value, its version and the lease that it is attached to.
 type KeyValue struct {
 	Key     string `cbor:"path"`
 	Value   Raw    `cbor:"data"`
@@ -26,20 +26,20 @@
 	Lease   uint64 `cbor:"tenure"`
 }
 
-// KeyValueList is a page of keys.
+// KeyValueList is a page of keys, read at a revision of the state service.
 type KeyValueList struct {
 	Items    []KeyValue `cbor:"items"`
 	More     bool       `cbor:"more"`
 	Revision uint64     `cbor:"era"`
 }
 
-// Condition demands that a key has a version; 0 means that it does not exist.
+// Condition requires that a key has the given version; version 0 requires that the key does not exist.
 type Condition struct {
 	Key     string `cbor:"path"`
 	Version uint64 `cbor:"mark"`
 }
 
-// Operation is one put or delete of a transaction.
+// Operation is a put or a delete in a transaction: either Put or Delete names the key.
 type Operation struct {
 	Put    string `cbor:"put,omitempty"`
 	Value  any    `cbor:"data,omitempty"`
@@ -47,19 +47,19 @@
 	Delete string `cbor:"drop,omitempty"`
 }
 
-// Txn is a conditional transaction.
+// Txn is a transaction that is applied only if all its conditions hold.
 type Txn struct {
 	If   []Condition `cbor:"when"`
 	Then []Operation `cbor:"then"`
 }
 
-// TxnResult is the answer to a transaction.
+// TxnResult is the response to a transaction.
 type TxnResult struct {
-	Failed   []string `cbor:"failed"`
+	Failed   []string `cbor:"failed"` // keys whose conditions did not hold
 	Revision uint64   `cbor:"era"`
 }
 
-// Event is one change in the log of the state service.
+// Event is a put or a delete in the change log of the state service.
 type Event struct {
 	Put     string `cbor:"put"`
 	Value   Raw    `cbor:"data"`
@@ -67,26 +67,27 @@
 	Version uint64 `cbor:"mark"`
 }
 
-// WatchResponse is the answer to a watch.
+// WatchResponse is the response to a watch request.
 type WatchResponse struct {
 	Revision uint64  `cbor:"era"`
 	Events   []Event `cbor:"log"`
 }
 
-// LeaseGrantRequest asks for a lease.
+// LeaseGrantRequest requests a lease.
 type LeaseGrantRequest struct {
 	TTLms int64 `cbor:"ttl_ms"`
 }
 
-// LeaseGrantResponse answers a grant.
+// LeaseGrantResponse is the response to a LeaseGrantRequest.
 type LeaseGrantResponse struct {
 	Lease uint64 `cbor:"tenure"`
 }
 
-// KeyPath is the path of one key.
+// KeyPath returns the path of a key.
 func KeyPath(key string) string { return PathKeys + "/" + key }
 
-// KeysPath is the path of a page of keys.
+// KeysPath returns the path of a page of at most limit keys with a prefix. The page starts after the given key
+// if it is not empty.
 func KeysPath(prefix, after string, limit int) string {
 	p := PathKeys + "?prefix=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(limit)
 	if after != "" {
@@ -95,14 +96,15 @@
 	return p
 }
 
-// WatchPath is the path of a watch.
+// WatchPath returns the path of a watch for events under a prefix, after a revision. The state service
+// holds the request open for up to the given time.
 func WatchPath(prefix string, from uint64, wait time.Duration) string {
 	return PathWatch + "?prefix=" + url.QueryEscape(prefix) + "&from=" + strconv.FormatUint(from, 10) +
 		"&block_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 }
 
-// LeasePath is the path of a lease, for ending it.
+// LeasePath returns the path of a lease, which is used to revoke it.
 func LeasePath(id uint64) string { return PathLeases + "/" + strconv.FormatUint(id, 10) }
 
-// RenewPath is the path that renews a lease.
+// RenewPath returns the path that renews a lease.
 func RenewPath(id uint64) string { return LeasePath(id) + "/" + RenewWord }
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// submission mirrors Job with pointers, so that a missing field shows.
+// submission has the fields of Job as pointers, so that missing fields can be detected.
 type submission struct {
 	ID          *string   `cbor:"uid"`
 	Class       *string   `cbor:"breed"`
@@ -30,8 +30,9 @@
 	Work        *string   `cbor:"work"`
 }
 
-// SubmittedID gives the ID in a submission of which the rest may not be understood, or nothing: it
-// looks at one field after the other, as far as they can be read.
+// SubmittedID returns the job ID in a submission that may be invalid or incomplete otherwise, or an
+// empty string if there is no valid ID. It decodes field by field until it finds the ID or a field
+// that is malformed.
 func SubmittedID(body []byte) string {
 	rest := mapBody(body)
 	for len(rest) > 0 {
@@ -50,7 +51,7 @@
 	return ""
 }
 
-// idField gives the ID that a field of a submission holds, if it is the one with a valid ID.
+// idField returns the job ID in a field of a submission; ok is false if it is another field or the ID is invalid.
 func idField(key, value Raw) (id string, ok bool) {
 	var name string
 	if DecodeValue(key, &name) != nil || name != "uid" || DecodeValue(value, &id) != nil {
@@ -59,50 +60,50 @@
 	return id, ValidJobID(id)
 }
 
-// DecodeJob reads and checks a submission. The error names all fields that are missing or invalid.
+// DecodeJob decodes and validates a submission. The error names all fields that are missing or invalid.
 func DecodeJob(body []byte) (*Job, error) {
 	var s submission
 	if err := Decode(body, &s); err != nil {
 		return nil, err
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	return s.job(), nil
+	return s.toJob(), nil
 }
 
-// maxTypes bounds how many types of machines a submission may name.
-const maxTypes = 64
+// maxMachineTypes is the maximum number of machine types that a submission may name.
+const maxMachineTypes = 64
 
-// check finds all faults of a submission.
-func (s *submission) check() error {
+// validate returns an error that joins all validation errors of a submission.
+func (s *submission) validate() error {
 	errs := []error{
 		checkText("uid", s.ID), checkText("breed", s.Class), checkText("keeper", s.Team), checkText("comb", s.Image),
 		checkAmount("vcpus", s.CPUs), checkAmount("accelerators", s.GPUs), checkAmount("mem_gb", s.MemoryGB), checkAmount("image_gb", s.ImageGB),
 		checkAmount("expect_s", s.EstimateS), checkAmount("capping_s", s.CheckpointS), checkAmount("seal_s", s.SaveS),
 		checkPresent("one_zone", s.OneZone), checkPresent("spread", s.Spread), checkPresent("borrowed", s.Spot),
 	}
-	fault := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
+	invalid := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if s.ID != nil && !ValidJobID(*s.ID) {
-		fault("field uid: %.40q is not wk- and digits", *s.ID)
+		invalid("field uid: %.40q is not wk- and digits", *s.ID)
 	}
 	if s.Shape == nil || *s.Shape != Array && *s.Shape != Gang && *s.Shape != Service {
-		fault("field shape: must be sweep, gang or service")
+		invalid("field shape: must be sweep, gang or service")
 	}
 	if s.Priority == nil || s.Priority.Rank() < 0 {
-		fault("field rank: must be production, high, normal or low")
+		invalid("field rank: must be production, high, normal or low")
 	}
 	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasks {
-		fault("field cells: must be a count from 1 to %d", MaxTasks)
+		invalid("field cells: must be a count from 1 to %d", MaxTasks)
 	}
 	if s.DeadlineS != nil {
 		errs = append(errs, checkAmount("due_s", s.DeadlineS))
 	}
 	if s.Work != nil && len(*s.Work) > MaxWork {
-		fault("field work: more than %d bytes", MaxWork)
+		invalid("field work: more than %d bytes", MaxWork)
 	}
-	if s.Types != nil && (len(*s.Types) == 0 || len(*s.Types) > maxTypes) {
-		fault("field frames: must be null, for any, or name 1 to %d types", maxTypes)
+	if s.Types != nil && (len(*s.Types) == 0 || len(*s.Types) > maxMachineTypes) {
+		invalid("field frames: must be null, for any, or name 1 to %d types", maxMachineTypes)
 	}
 	if s.Zone != nil {
 		errs = append(errs, checkText("apiary", s.Zone))
@@ -110,8 +111,8 @@
 	return errors.Join(errs...)
 }
 
-// job gives the job of a submission without faults.
-func (s *submission) job() *Job {
+// toJob converts a valid submission to a Job.
+func (s *submission) toJob() *Job {
 	return &Job{
 		ID: *s.ID, Class: *s.Class, Team: *s.Team, Shape: *s.Shape, Priority: *s.Priority, Tasks: int(*s.Tasks),
 		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB,
@@ -121,7 +122,7 @@
 	}
 }
 
-// orZero gives what p points at, or nothing.
+// orZero returns what p points to, or the zero value if p is nil.
 func orZero[T any](p *T) (v T) {
 	if p != nil {
 		v = *p
--- a/wire/task.go
+++ b/wire/task.go
@@ -6,48 +6,49 @@
 	"strings"
 )
 
-// TaskState is the state of a task, as its worker sees it.
+// TaskState is the state of a task as reported by its worker.
 type TaskState string
 
 // The states of a task on its machine.
 const (
-	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "waiting"
+	TaskFetching TaskState = "fetching" // the worker fetches the image or the inputs
+	TaskWaiting  TaskState = "waiting"  // for the other tasks of the gang
 	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "saving"
+	TaskSaving   TaskState = "saving" // a stopped task saves its progress
 	TaskEnded    TaskState = "ended"
 )
 
-// Cause is why a task ended.
+// Cause is the reason why a task ended.
 type Cause string
 
-// The causes of an end.
+// The causes of a task's end.
 const (
 	CauseDone    Cause = "done"
-	CauseStopped Cause = "halted"
-	CausePeers   Cause = "mates_gone"
-	CauseAlone   Cause = "alone"
+	CauseStopped Cause = "halted"     // by a command
+	CausePeers   Cause = "mates_gone" // other tasks of the gang were lost
+	CauseAlone   Cause = "alone"      // the other tasks of the gang did not start in time
 	CauseError   Cause = "error"
-	CauseNoRoom  Cause = "no_room"
-	CauseBusy    Cause = "busy"
-	CauseUnknown Cause = "unknown"
+	CauseNoRoom  Cause = "no_room" // not launched: the machine has too little free capacity
+	CauseBusy    Cause = "busy"    // not launched: another attempt of the task runs on the machine
+	CauseUnknown Cause = "unknown" // not launched: the job is not known
 )
 
-// TaskID names a task of a job. It also travels between controllers by its Go field names.
+// TaskID identifies a task of a job. Controllers also send it to each other with encoding/gob, which matches
+// fields by their Go names.
 type TaskID struct {
 	Job   string
 	Index int
 }
 
-// String gives the form used on the wire, job/index.
+// String returns the form used on the wire, job/index.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads the form used on the wire.
+// ParseTaskID parses the form used on the wire, job/index.
 func ParseTaskID(s string) (TaskID, error) {
-	job, idx, ok := strings.Cut(s, "/")
-	n, err := strconv.Atoi(idx)
-	if !ok || err != nil || n < 0 || n >= MaxTasks || !ValidJobID(job) || strconv.Itoa(n) != idx {
+	job, indexText, ok := strings.Cut(s, "/")
+	index, err := strconv.Atoi(indexText)
+	if !ok || err != nil || index < 0 || index >= MaxTasks || !ValidJobID(job) || strconv.Itoa(index) != indexText {
 		return TaskID{}, fmt.Errorf("%.60q is not a task", s)
 	}
-	return TaskID{job, n}, nil
+	return TaskID{job, index}, nil
 }
--- a/wire/user.go
+++ b/wire/user.go
@@ -1,6 +1,7 @@
 package wire
 
-// Paths of the users' interface.
+// Paths of the user API. CancelWord and WorkWord are segments that follow the path of a job: they cancel it and
+// read its Work.
 const (
 	PathJobs   = "/v2/runs"
 	PathReady  = "/ready"
@@ -8,15 +9,15 @@
 	WorkWord   = "work"
 )
 
-// JobStatus answers a user.
+// JobStatus is the response to a user's request about a job.
 type JobStatus struct {
 	ID      string `cbor:"uid"`
 	Stage   Stage  `cbor:"stage"`
-	Done    int    `cbor:"done"`
-	Running int    `cbor:"running"`
+	Done    int    `cbor:"done"`    // number of tasks
+	Running int    `cbor:"running"` // number of tasks
 }
 
-// Failure says why a request was not served.
+// Failure is the body of a response to a request that was not served, with the reason.
 type Failure struct {
 	Error string `cbor:"error"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// TestDecodeJob names, for each fault of a submission, the field at fault.
+// TestDecodeJob checks that invalid values are rejected in each field of a submission, and that the error names
+// the field that is missing.
 func TestDecodeJob(t *testing.T) {
-	good := func() map[string]any {
+	validJob := func() map[string]any {
 		return map[string]any{"uid": "wk-000412", "breed": "train", "keeper": "vision", "shape": "gang", "rank": "high", "cells": 16,
 			"vcpus": 8.0, "accelerators": 1, "mem_gb": 64.0, "comb": "img-07", "image_gb": 6.2, "frames": []string{"g8"}, "apiary": nil,
 			"one_zone": true, "spread": false, "borrowed": true, "expect_s": 240.0, "capping_s": 30.0, "seal_s": 4.0, "due_s": nil}
 	}
-	if j, err := DecodeJob(Encode(good())); err != nil || j.Tasks != 16 || j.GPUs != 1 || j.Zone != "" {
-		t.Fatalf("a good job: %+v, %v", j, err)
+	if j, err := DecodeJob(Encode(validJob())); err != nil || j.Tasks != 16 || j.GPUs != 1 || j.Zone != "" {
+		t.Fatalf("a valid job: %+v, %v", j, err)
 	}
 	amounts := []any{nil, "1", -1.0, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, uint64(math.MaxUint64), true, []float64{1}, map[string]any{}}
 	flags := []any{nil, 0, 1, "true", 1.0, []bool{true}}
@@ -30,21 +31,21 @@
 		"one_zone": flags, "spread": flags, "borrowed": flags,
 	} {
 		for _, value := range values {
-			m := good()
+			m := validJob()
 			m[field] = value
 			if _, err := DecodeJob(Encode(m)); err == nil {
 				t.Errorf("%s = %v was accepted", field, value)
 			}
 		}
 	}
-	for field := range good() {
-		m := good()
+	for field := range validJob() {
+		m := validJob()
 		delete(m, field)
 		_, err := DecodeJob(Encode(m))
 		optional := field == "frames" || field == "apiary" || field == "due_s"
-		m[strings.ToUpper(field)] = good()[field] // which is another
+		m[strings.ToUpper(field)] = validJob()[field] // an unknown field, since names are case-sensitive
 		if _, err := DecodeJob(Encode(m)); (err == nil) != optional {
-			t.Errorf("with %s in capitals: %v", field, err)
+			t.Errorf("with the name %s in upper case: %v", field, err)
 		}
 		if (err == nil) != optional {
 			t.Errorf("without %s: %v", field, err)
@@ -60,15 +61,15 @@
 	}
 }
 
-// TestNamesOfFields: a field of nearly the same name is another, which a receiver doesn't know.
-func TestNamesOfFields(t *testing.T) {
+// TestFieldNamesAreCaseSensitive checks that a field whose name differs only in case is ignored as unknown.
+func TestFieldNamesAreCaseSensitive(t *testing.T) {
 	var s JobStatus
 	if err := Decode(Encode(map[string]any{"uid": "wk-1", "Stage": "done"}), &s); err != nil || s.ID != "wk-1" || s.Stage != "" {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
 
-// TestSubmittedID: whatever else a submission says, or leaves off, which job it is of is found in it.
+// TestSubmittedID checks that the job ID of a submission is found even if the rest is invalid or incomplete.
 func TestSubmittedID(t *testing.T) {
 	id := Encode(map[string]any{"uid": "wk-1"})
 	whole := Encode(map[string]any{"uid": "wk-1", "cells": -1, "breed": []any{nil, math.NaN()}, "a": map[string]any{"uid": "wk-2"}})
@@ -76,7 +77,7 @@
 	for i := range 300 {
 		large[strings.Repeat("x", i+1)] = i
 	}
-	for name, x := range map[string]struct {
+	for name, c := range map[string]struct {
 		body []byte
 		id   string
 	}{
@@ -97,13 +98,13 @@
 		"empty":           {nil, ""},
 		"a head only":     {[]byte{0xbb, 0}, ""},
 	} {
-		if got := SubmittedID(x.body); got != x.id {
+		if got := SubmittedID(c.body); got != c.id {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
 }
 
-// FuzzDecode feeds every decoder of outside input.
+// FuzzDecode checks that the decoders of external input never panic, and that what they accept is valid.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(map[string]any{"hive": "n-1", "flight": 1, "cells": []any{map[string]any{"cell": "wk-1/0", "try": 2, "stage": "running"}}}))
 	f.Add(Encode(map[string]any{"uid": "wk-1"}))
