--- a/amberdeal.go
+++ b/amberdeal.go
@@ -1,9 +1,9 @@
-// Package amberdeal is a cluster scheduler that programs can embed: New makes
-// a controller from its settings, Run serves until the context ends.
+// Package amberdeal is a cluster scheduler that programs can embed: New creates a controller from
+// its settings, and Run serves until the context is cancelled.
 //
-// Each controller answers users and workers; one of them at a time holds the
-// fleet, through a lease on the state service and a fencing token that only rises, and
-// decides what runs where. See docs/design.md.
+// Each controller serves users and workers. One controller at a time leads the fleet and decides
+// which task runs on which machine. The leader is elected through a lease in the state service and
+// identified by a fencing token that only increases. See docs/design.md.
 package amberdeal
 
 import (
@@ -15,19 +15,19 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// Config is what a controller is told; Load reads and checks it.
+// Config holds the settings of a controller. Load reads and validates them.
 type Config = config.Config
 
-// Load reads the platform's file and, where named, the operators' INI file.
-func Load(path, settings string) (*Config, error) { return config.Load(path, settings) }
+// Load reads the platform's settings file at path and, unless settingsPath is empty, the operators' INI file.
+func Load(path, settingsPath string) (*Config, error) { return config.Load(path, settingsPath) }
 
 // Service is one controller.
 type Service struct{ controller *controller.Controller }
 
-// New makes a controller; it opens nothing yet.
+// New creates a controller. It opens no files or connections yet.
 func New(cfg *Config, log *slog.Logger) *Service {
 	return &Service{controller.New(transport.Sockets{Log: log}, cfg, log)}
 }
 
-// Run serves until the context ends.
+// Run serves until the context is cancelled.
 func (s *Service) Run(ctx context.Context) error { return s.controller.Run(ctx) }
--- a/architecture_test.go
+++ b/architecture_test.go
@@ -13,16 +13,15 @@
 	"testing"
 )
 
-// declarations holds what a tree of Go sources declares: directories with sources, the sources
-// themselves, and "package.Name" or "package.Type.Member" for everything at package level, tests
-// included.
+// declarations holds the directories with Go sources, the source files, and the package-level declarations of a
+// source tree, tests included. Declarations are named "package.Name" or "package.Type.Member".
 type declarations struct {
 	dirs  map[string]bool
-	files map[string]bool // by path, and by name alone
+	files map[string]bool // by path and by base name
 	names map[string]bool
 }
 
-// parseDeclarations reads all Go sources below the working directory.
+// parseDeclarations parses all Go sources below the working directory.
 func parseDeclarations(t *testing.T) declarations {
 	t.Helper()
 	found := declarations{dirs: map[string]bool{}, files: map[string]bool{}, names: map[string]bool{}}
@@ -68,6 +67,7 @@
 	}
 }
 
+// addSpec records the variables, constants or type that a specification declares, and the fields of a struct type.
 func (f declarations) addSpec(pkg string, spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
@@ -88,7 +88,7 @@
 	}
 }
 
-// receiverPrefix gives "Type." for a method and nothing for a function.
+// receiverPrefix returns "Type." for a method and an empty string for a function.
 func receiverPrefix(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
@@ -111,11 +111,11 @@
 	sourceFile    = regexp.MustCompile(`^[\w./-]+\.go$`)
 	packagePath   = regexp.MustCompile(`^internal/[a-z/]+$`)
 	qualifiedName = regexp.MustCompile(`^[a-z]+\.[A-Z]\w*(\.[A-Z]\w*)?$`)
-	namedSetting  = regexp.MustCompile(`^(controllers\.NAME|cards\.ZONE)$`) // settings that are named after something
+	namedSetting  = regexp.MustCompile(`^(controllers\.NAME|cards\.ZONE)$`) // keys of settings that contain a name
 	testName      = regexp.MustCompile(`^Test[A-Z]\w*$`)
 )
 
-// missingNames lists the packages, Go files and Go names in code spans of a page that are not declared.
+// missingNames returns the packages, Go files and Go names in the code spans of a page that do not exist.
 func missingNames(page string, found declarations) []string {
 	tests := make(map[string]bool)
 	for name := range found.names {
@@ -141,10 +141,10 @@
 	return err == nil && info.IsDir()
 }
 
-// historicalPages tell of the past in the names of their time.
+// historicalPages describe earlier versions and use the names of these.
 var historicalPages = []string{"docs/CAPACITY.md", "docs/hunted.md", "docs/performance.md"}
 
-// currentPages returns the README and the pages of the present.
+// currentPages returns the README and all pages that describe the current version.
 func currentPages(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("docs/*.md")
@@ -154,11 +154,11 @@
 	return slices.DeleteFunc(append(all, "README.md"), func(page string) bool { return slices.Contains(historicalPages, page) })
 }
 
-// TestNamesOnPagesExist keeps the pages that newcomers read in step with the code.
+// TestNamesOnPagesExist checks that the names of code in the documentation exist.
 func TestNamesOnPagesExist(t *testing.T) {
 	found := parseDeclarations(t)
-	read := currentPages(t)
-	for _, page := range read {
+	checked := currentPages(t)
+	for _, page := range checked {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
@@ -167,16 +167,16 @@
 			t.Errorf("%s names %s, which does not exist", page, name)
 		}
 	}
-	if !slices.Contains(read, "docs/architecture.md") || !slices.Contains(read, "README.md") {
-		t.Errorf("the pages are %v", read)
+	if !slices.Contains(checked, "docs/architecture.md") || !slices.Contains(checked, "README.md") {
+		t.Errorf("the architecture page or the README is not among the pages checked: %v", checked)
 	}
-	planted := "`internal/nowhere` `store.Nothing` `leader.Leader.Nothing` `TestNothingAtAll` `internal/store/nothing.go` `nothing.go`"
-	if missing := missingNames(planted, found); len(missing) != 6 {
-		t.Errorf("of six names that do not exist the check sees %v", missing)
+	unknownNames := "`internal/nowhere` `store.Nothing` `leader.Leader.Nothing` `TestNothingAtAll` `internal/store/nothing.go` `nothing.go`"
+	if missing := missingNames(unknownNames, found); len(missing) != 6 {
+		t.Errorf("of six names that do not exist, only these are reported as missing: %v", missing)
 	}
 }
 
-// TestArchitecturePageListsAllPackages demands a line for each package that is not a helper of tests.
+// TestArchitecturePageListsAllPackages checks that the architecture page names every package below internal.
 func TestArchitecturePageListsAllPackages(t *testing.T) {
 	page, err := os.ReadFile("docs/architecture.md")
 	if err != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud calls the cloud that rents out machines. All calls of a client keep to its share of
-// the cloud's rate limit, and slow down when the cloud refuses some.
+// Package cloud is a client of the API of the cloud that rents out machines. A client keeps all its
+// calls within its share of the cloud's rate limit, and slows down when the cloud rejects calls.
 package cloud
 
 import (
@@ -15,13 +15,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ErrNoCapacity means that the cloud has no such machine to give.
+// ErrNoCapacity means that the cloud has no free machine of the requested type and zone. Its text is also
+// the reason in the cloud's response.
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
-	// callTimeout bounds a call, once its turn has come.
+	// callTimeout bounds a call, not counting the time that it waits for the rate limiter.
 	callTimeout = 4 * time.Second
-	// maxResponseBytes bounds the answer to a call, a page of machines.
+	// maxResponseBytes bounds the response to a call; the largest is a page of the machine list.
 	maxResponseBytes = 4 << 20
 )
 
@@ -29,47 +30,49 @@
 type Client struct {
 	addr            string
 	caller          *transport.Caller
-	maxRate         float64       // calls a second
-	limiter         *rate.Limiter // of all calls
-	scaleOutLimiter *rate.Limiter // of those that ask for machines
+	maxRate         float64       // calls per second
+	limiter         *rate.Limiter // for all calls
+	scaleOutLimiter *rate.Limiter // for scale-out requests, which also count towards limiter
 }
 
-// scaleOutShare is the part of the calls that may ask for machines: in shortage they would take all
-// of them, and the list would be old and machines be paid for that were given up.
+// scaleOutShare is the share of the calls that may be scale-out requests. During a shortage of machines these
+// would otherwise use up the rate limit: the machine list would become stale, and machines that are no longer
+// needed would be released late and cost money in the meantime.
 const scaleOutShare = 0.6
 
-// New gives a client that keeps to a limit of so many calls a second.
-func New(net transport.Network, addr string, maxRate float64) *Client {
+// New returns a client that makes at most maxRate calls per second to the cloud at addr.
+func New(network transport.Network, addr string, maxRate float64) *Client {
 	limiter := func(perSecond float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 	}
 	return &Client{
 		addr:            addr,
-		caller:          &transport.Caller{MaxBody: maxResponseBytes, Dial: net.Dial},
+		caller:          &transport.Caller{MaxBody: maxResponseBytes, Dial: network.Dial},
 		maxRate:         maxRate,
 		limiter:         limiter(maxRate),
 		scaleOutLimiter: limiter(maxRate * scaleOutShare),
 	}
 }
 
-// The limit is the cloud's, for all controllers. Where several lead shards and call at once, it
-// refuses some calls: each controller then halves its rate, and raises it bit by bit.
+// The cloud's rate limit applies to all controllers together. If several of them lead shards and call at the
+// same time, the cloud rejects some calls. Each controller then halves its rate at every rejected call and raises
+// it gradually with every accepted one.
 const (
-	minRateShare = 0.125 // of maxRate
-	rateIncrease = 0.02  // of maxRate, for each call that is taken
+	minRateShare = 0.125 // of maxRate, the lowest rate
+	rateIncrease = 0.02  // of maxRate, for each accepted call
 )
 
-// adjustRate takes in whether the cloud took a call.
-func (c *Client) adjustRate(taken bool) {
+// adjustRate raises or lowers the rate of calls, depending on whether the cloud accepted the last one.
+func (c *Client) adjustRate(accepted bool) {
 	perSecond := min(c.maxRate, float64(c.limiter.Limit())+c.maxRate*rateIncrease)
-	if !taken {
+	if !accepted {
 		perSecond = max(c.maxRate*minRateShare, perSecond/2)
 	}
 	c.limiter.SetLimit(rate.Limit(perSecond))
 	c.scaleOutLimiter.SetLimit(rate.Limit(perSecond * scaleOutShare))
 }
 
-// call waits for its turn and sends a request.
+// call waits for the rate limiter and sends a request.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return nil, err
@@ -77,7 +80,7 @@
 	return c.send(ctx, method, path, body)
 }
 
-// send sends a request at once.
+// send sends a request without waiting for the rate limiter.
 func (c *Client) send(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -89,14 +92,14 @@
 	if resp.Status == http.StatusOK {
 		return resp.Body, nil
 	}
-	var f wire.Failure
-	if err := wire.Decode(resp.Body, &f); err == nil && resp.Status == http.StatusServiceUnavailable && f.Error == ErrNoCapacity.Error() {
+	var failure wire.Failure
+	if err := wire.Decode(resp.Body, &failure); err == nil && resp.Status == http.StatusServiceUnavailable && failure.Error == ErrNoCapacity.Error() {
 		return nil, ErrNoCapacity
 	}
-	return nil, fmt.Errorf("status %d %s", resp.Status, f.Error)
+	return nil, fmt.Errorf("status %d %s", resp.Status, failure.Error)
 }
 
-// MachineTypes reads the machine types with their current prices.
+// MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	body, err := c.call(ctx, http.MethodGet, wire.PathTypes, nil)
 	if err != nil {
@@ -109,7 +112,8 @@
 	return types, nil
 }
 
-// WaitForScaleOut waits until ScaleOut may be called. What to ask for is best chosen only then.
+// WaitForScaleOut waits until the rate limit allows one call of ScaleOut. Callers should decide only
+// afterwards which machines to request, so that the decision is up to date.
 func (c *Client) WaitForScaleOut(ctx context.Context) error {
 	if err := c.scaleOutLimiter.Wait(ctx); err != nil {
 		return fmt.Errorf("wait to scale out: %w", err)
@@ -120,7 +124,8 @@
 	return nil
 }
 
-// ScaleOut asks for machines and gives their IDs. Its turn must have come, see WaitForScaleOut.
+// ScaleOut requests machines and returns their IDs. It must be called after WaitForScaleOut, since it does not
+// wait for the rate limiter itself.
 func (c *Client) ScaleOut(ctx context.Context, req wire.ScaleOutRequest) ([]string, error) {
 	body, err := c.send(ctx, http.MethodPost, wire.PathRentals, wire.Encode(req))
 	if err != nil {
@@ -133,7 +138,7 @@
 	return names.Machines, nil
 }
 
-// Release returns machines. Once it has succeeded they are gone, with everything on them.
+// Release returns machines to the cloud. If it succeeds, the machines and everything on them are gone.
 func (c *Client) Release(ctx context.Context, ids []string) error {
 	if _, err := c.call(ctx, http.MethodPost, wire.PathRelease, wire.Encode(wire.MachineNames{Machines: ids})); err != nil {
 		return fmt.Errorf("release %d machines: %w", len(ids), err)
@@ -141,7 +146,7 @@
 	return nil
 }
 
-// List reads the whole list of machines, page by page.
+// List returns the complete list of rented machines, which it reads page by page.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	after := ""
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads and validates the two settings files: the platform's (JSON, unknown
-// fields are ignored, since later versions of the platform may add some) and the operators'
-// own (INI, unknown keys are refused, since they are misspelt). Every fault found in a file
-// is reported at once.
+// Package config reads and validates the two settings files. The platform's file is JSON; unknown
+// fields are ignored, since later versions of the platform may add some. The operators' file is
+// INI; unknown keys are rejected, since they are probably misspelt. All errors found in a file are
+// reported together.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// Config holds all settings of a controller.
+// Config holds all settings of a controller, of both files.
 type Config struct {
 	Name, Zone           string
 	PublicAddr, PeerAddr string
@@ -36,8 +36,8 @@
 	Addr string `json:"peer_addr"`
 }
 
-// Team is a team with its guarantee (CPUs, GPUs) and its limit (CPUsMax, GPUsMax); a limit of
-// 0 means none.
+// Team is a team with its guaranteed resources (CPUs, GPUs) and its limits (CPUsMax, GPUsMax). A
+// limit of 0 means none.
 type Team struct {
 	Name    string  `json:"name"`
 	CPUs    float64 `json:"cpus"`
@@ -46,7 +46,7 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective of the users.
+// Objective is a service-level objective (SLO) of the users.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -54,63 +54,64 @@
 	Share   float64 `json:"share"`
 }
 
-// Workers holds the timing of the workers' protocol.
+// Workers holds the timing of the worker protocol.
 type Workers struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // that a controller's answer extends; tasks end when it expires
-	GangWait          time.Duration // for which a gang's task waits for the others
-	GangPeer          time.Duration // after which a gang's task ends that has lost the others
-	Cancel            time.Duration // in which a confirmed cancellation must have taken effect
+	Lease             time.Duration // of a worker; responses to its heartbeats renew it, and its tasks end when it expires
+	GangWait          time.Duration // for which a task of a gang waits for the others to start
+	GangPeer          time.Duration // after which a task of a gang that has lost the others ends
+	Cancel            time.Duration // within which a confirmed cancellation must take effect
 }
 
-// MinCancelMargin is the least time between the expiry of a worker's lease and the time by
-// which a cancellation must have taken effect.
+// MinCancelMargin is the minimum difference between Workers.Cancel and Workers.Lease, the time from
+// the expiry of a worker's lease to the time by which a cancellation must have taken effect.
 const MinCancelMargin = 4 * time.Second
 
-// MaxCancelStaleness is how old a controller's knowledge of cancellations may be when it
-// answers a worker. The answer extends the lease of the worker's tasks. A cancellation that
-// was confirmed just after that knowledge was read must still take effect in time, so that
-// only the difference between Cancel and Lease is left, less the drift of two clocks over
-// the whole time and a margin for timers that fire late.
+// MaxCancelStaleness is the maximum age of a controller's information about cancellations when it
+// responds to a worker. The response renews the lease of the worker's tasks. A cancellation that
+// was confirmed just after the information was read must still take effect within Cancel. This
+// leaves the difference between Cancel and Lease, minus the drift between two clocks over the
+// whole time and a margin for timers that fire late.
 func (w Workers) MaxCancelStaleness() time.Duration {
-	margin := w.Cancel - w.Lease
-	late := min(maxTimerDelay, margin/4)
+	difference := w.Cancel - w.Lease
+	timerDelay := min(maxTimerDelay, difference/4)
 	drift := w.Cancel / clockDriftDivisor
-	return max(0, margin-late-drift)
+	return max(0, difference-timerDelay-drift)
 }
 
-// Bounds of what makes a worker's timer fire later than the controllers expect.
+// Bounds of the effects that make a worker's timer fire later than the controllers expect.
 const (
 	maxTimerDelay     = 5 * time.Second
-	clockDriftDivisor = 1000 // two clocks differ by at most a thousandth of the time that passes
+	clockDriftDivisor = 1000 // two clocks drift apart by at most a thousandth of the elapsed time
 )
 
-// Store holds the limits of the state service.
+// Store holds the limits of the state service: requests and writes per second, bytes per value, and operations
+// per transaction.
 type Store struct {
 	RPS, WriteRPS float64
 	ValueBytes    int
 	TxnOps        int
 }
 
-// Cloud holds the limits of the cloud.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
-	RPS     float64
-	ListLag time.Duration
+	RPS     float64       // calls per second
+	ListLag time.Duration // by which machine lists may be out of date
 }
 
-// Limits bounds the resources of this process.
+// Limits holds the resource limits of this process.
 type Limits struct {
 	RAMBytes int64
-	Files    int
+	Files    int // open file descriptors
 }
 
-// Writers returns the policy of which controllers write users' submissions.
+// Writers returns the policy that determines which controllers write users' submissions.
 func (c *Config) Writers() writers.Policy {
 	return writers.PolicyFor(len(c.Peers)+1, c.Tuning.Writers)
 }
 
-// HeartbeatTimeout is the time without a heartbeat after which a machine counts as failed:
-// somewhat more than the longest time between two heartbeats.
+// HeartbeatTimeout returns the time without a heartbeat after which a machine counts as failed. It
+// is somewhat longer than the longest interval between two heartbeats.
 func (c *Config) HeartbeatTimeout() time.Duration {
 	if c.Tuning.HeartbeatTimeout > 0 {
 		return c.Tuning.HeartbeatTimeout
@@ -118,27 +119,27 @@
 	return c.Workers.HeartbeatInterval*5/4 + heartbeatGrace
 }
 
-// heartbeatGrace is how long a heartbeat may take to arrive beyond the longest interval, which
-// is a quarter more than HeartbeatInterval.
+// heartbeatGrace is the extra time for a heartbeat to arrive after the longest interval, which is a
+// quarter longer than HeartbeatInterval.
 const heartbeatGrace = 3250 * time.Millisecond
 
-// Load reads the platform's file and, if it is named, the operators' file. The error joins
-// every fault found.
-func Load(path, settings string) (*Config, error) {
-	b, err := os.ReadFile(path)
+// Load reads the platform's file at path and, if settingsPath is not empty, the operators' file at
+// settingsPath. The error joins all errors found.
+func Load(path, settingsPath string) (*Config, error) {
+	platformText, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	c, err := Parse(b)
+	c, err := Parse(platformText)
 	if c == nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if settings != "" {
-		text, rerr := os.ReadFile(settings)
-		if rerr == nil {
-			rerr = errors.Join(c.Tuning.parse(text), c.checkShards(), c.checkGrants(), c.checkSpread(), c.checkTiers())
+	if settingsPath != "" {
+		text, settingsErr := os.ReadFile(settingsPath)
+		if settingsErr == nil {
+			settingsErr = errors.Join(c.Tuning.parse(text), c.checkShards(), c.checkGrants(), c.checkSpread(), c.checkTiers())
 		}
-		err = errors.Join(err, rerr)
+		err = errors.Join(err, settingsErr)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestParse reads a whole file, and then one in which almost everything is
-// wrong: every fault must be named.
+// TestParse checks that a complete file is parsed, and that for a file in which almost all fields are
+// invalid, the error names each of them.
 func TestParse(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.json")
 	if err != nil {
@@ -25,7 +25,7 @@
 	}
 	large := strings.NewReplacer(`"value_kb": 8`, `"value_kb": 64`, `"write_rps": 30`, `"write_rps": 6`).Replace(string(good))
 	if c, err := Parse([]byte(large)); err != nil || c.Store.ValueBytes != maxValueBytes || c.Store.TxnOps != 6 {
-		t.Errorf("a round would not fit a transaction: %+v, %v", c.Store, err)
+		t.Errorf("the limits do not fit a transaction: %+v, %v", c.Store, err)
 	}
 	bad, err := os.ReadFile("testdata/bad.json")
 	if err != nil {
@@ -42,26 +42,27 @@
 		}
 	}
 	if _, err := Parse([]byte("{")); err == nil {
-		t.Error("half a file was accepted")
+		t.Error("a truncated file was accepted")
 	}
 }
 
-// TestMaxCancelStaleness: for each pair of times that is let in, what is left after the last
-// answer, a worker's lease and the drift of both clocks lies within the time for a
-// cancellation, and a controller whose view is a watch old still answers. Others are refused by name.
+// TestMaxCancelStaleness checks, for each accepted pair of a worker's lease and a cancellation time, that the
+// last task of a cancelled job ends in time: the lease may be renewed until the maximum staleness, both clocks
+// may drift, and timers may fire late. A controller whose view is as old as one watch request must still be
+// allowed to respond. Pairs that leave too little time must be rejected with the name of the setting.
 func TestMaxCancelStaleness(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for lease := 4 * time.Second; lease < 10*time.Minute; lease += (lease/3 + time.Second).Truncate(time.Second) {
-		for _, room := range []time.Duration{-time.Second, 0, time.Second, 3900 * time.Millisecond, MinCancelMargin, 5 * time.Second, 7 * time.Second, 12 * time.Second, 25 * time.Second, time.Minute} {
+		for _, margin := range []time.Duration{-time.Second, 0, time.Second, 3900 * time.Millisecond, MinCancelMargin, 5 * time.Second, 7 * time.Second, 12 * time.Second, 25 * time.Second, time.Minute} {
 			text := strings.Replace(string(good), `"lease_s": 30`, fmt.Sprintf(`"lease_s": %v`, lease.Seconds()), 1)
-			text = strings.Replace(text, `"cancel_s": 60`, fmt.Sprintf(`"cancel_s": %v`, (lease+room).Seconds()), 1)
+			text = strings.Replace(text, `"cancel_s": 60`, fmt.Sprintf(`"cancel_s": %v`, (lease+margin).Seconds()), 1)
 			c, err := Parse([]byte(text))
-			if room < MinCancelMargin {
+			if margin < MinCancelMargin {
 				if err == nil || !strings.Contains(err.Error(), "params.workers.cancel_s:") {
-					t.Errorf("lease %v, cancel %v: %v", lease, lease+room, err)
+					t.Errorf("lease %v, cancel %v: %v", lease, lease+margin, err)
 				}
 				continue
 			}
@@ -69,22 +70,22 @@
 				t.Fatal(err)
 			}
 			const drift = 0.0005
-			linger := c.Workers.MaxCancelStaleness()
-			last := time.Duration(float64(linger+lease) * (1 + drift) / (1 - drift))
-			if last+500*time.Millisecond > c.Workers.Cancel || linger < 2*time.Second {
-				t.Errorf("lease %v, cancel %v: answers for %v, the last task gone after %v", lease, c.Workers.Cancel, linger, last)
+			staleness := c.Workers.MaxCancelStaleness()
+			lastEnd := time.Duration(float64(staleness+lease) * (1 + drift) / (1 - drift))
+			if lastEnd+500*time.Millisecond > c.Workers.Cancel || staleness < 2*time.Second {
+				t.Errorf("lease %v, cancel %v: leases are renewed for %v, the last task ends after %v", lease, c.Workers.Cancel, staleness, lastEnd)
 			}
 		}
 	}
 }
 
-// TestTuning: the operators' file is read, and its unknown keys are refused.
+// TestTuning checks that the operators' file is parsed, and that invalid values and unknown keys are rejected.
 func TestTuning(t *testing.T) {
-	tune := DefaultTuning()
-	if err := tune.parse([]byte("[claim]\nlease = 8s\nrenew = 2s\n[round]\ntasks = 100\n")); err != nil || tune.Lease != 8*time.Second || tune.RoundTasks != 100 {
-		t.Errorf("%+v, %v", tune, err)
+	tuning := DefaultTuning()
+	if err := tuning.parse([]byte("[claim]\nlease = 8s\nrenew = 2s\n[round]\ntasks = 100\n")); err != nil || tuning.Lease != 8*time.Second || tuning.RoundTasks != 100 {
+		t.Errorf("%+v, %v", tuning, err)
 	}
-	err := tune.parse([]byte("[claim]\nlease = long\nrenew = 9s\n[rounds]\ntasks = 1\n"))
+	err := tuning.parse([]byte("[claim]\nlease = long\nrenew = 9s\n[rounds]\ntasks = 1\n"))
 	if err == nil {
 		t.Fatal("accepted")
 	}
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestShards: how the fleet is divided is checked against the platform's zones, and faults
-// name the field, the value and what is allowed.
+// TestShards checks that the settings of shards are validated against the platform's zones, and that errors
+// name the field, the value and the allowed values.
 func TestShards(t *testing.T) {
 	c := &Config{Zones: []string{"b", "a", "c"}}
 	for by, shards := range map[string]string{"off": "fleet", "zone": "a b c", "2": "part-0 part-1", "3": "a b c", "1": "fleet"} {
@@ -105,15 +106,15 @@
 			t.Errorf("%s: %v, %v", by, c.Sharding().Shards(), err)
 		}
 	}
-	for by, fault := range map[string]string{"4": "parts.by: \"4\": must be off, zone, type, or a number from 1 to 3", "0": "parts.by", "rack": "parts.by", "type": "parts.types"} {
+	for by, wantErr := range map[string]string{"4": "parts.by: \"4\": must be off, zone, type, or a number from 1 to 3", "0": "parts.by", "rack": "parts.by", "type": "parts.types"} {
 		c.Tuning.Shards.By = by
-		if err := c.checkShards(); err == nil || !strings.Contains(err.Error(), fault) {
+		if err := c.checkShards(); err == nil || !strings.Contains(err.Error(), wantErr) {
 			t.Errorf("%s: %v", by, err)
 		}
 	}
 	c.Tuning.Shards = Shards{By: "type", Types: []string{"g8", "g4", "g8"}}
 	if err := c.checkShards(); err == nil || !strings.Contains(err.Error(), "parts.types[2]: \"g8\"") {
-		t.Errorf("a type that is named twice: %v", err)
+		t.Errorf("with a duplicate machine type: %v", err)
 	}
 	c.Tuning.Shards.Types = []string{"g8", "g4"}
 	if g := c.Sharding(); c.checkShards() != nil || g.ShardOf("a", "g8") != "g8" || g.ShardOf("a", "new") != "g4" || g.KeepsZonesWhole() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// TestShardNameErrorsInOrder: the faults of names are listed in one order, the zones' first, whenever they are asked for.
+// TestShardNameErrorsInOrder checks that errors about the names of shards always have the same order, with zones first.
 func TestShardNameErrorsInOrder(t *testing.T) {
 	c := &Config{Zones: []string{"a", "a"}, Tuning: Tuning{Shards: Shards{By: "type", Types: []string{"g 4", "g8", "g8"}}}}
 	const rule = ": must be another name of up to 60 bytes without spaces and slashes, since parts are called so"
@@ -133,8 +134,8 @@
 	}
 }
 
-// TestSpread: rules of spreading are checked against the platform's zones, and all that is
-// wrong is named at once.
+// TestSpread checks that spread rules are parsed and validated against the platform's zones, and that all errors are
+// reported together.
 func TestSpread(t *testing.T) {
 	c := &Config{Zones: []string{"a", "b", "c"}, Tuning: DefaultTuning()}
 	err := errors.Join(c.Tuning.parse([]byte("[spread web]\neven = yes\nsurvive = 0.5\n[spread talk]\nsurvive = 0.66\nzones = a, b, c\n")), c.checkSpread())
@@ -143,16 +144,16 @@
 	}
 	c.Tuning = DefaultTuning()
 	err = errors.Join(c.Tuning.parse([]byte("[spread web]\neven = perhaps\nzones = a, d\nsurvive = 0.66\n[spread talk]\nsurvive = 2\nroom = a\n")), c.checkSpread())
-	for _, fault := range []string{"spread web.even: perhaps: must be yes or no", "spread web.zones: \"d\": must be of a, b, c", "spread web.survive: 0.66: must be at most 0.5, with 2 zones",
+	for _, wantErr := range []string{"spread web.even: perhaps: must be yes or no", "spread web.zones: \"d\": must be of a, b, c", "spread web.survive: 0.66: must be at most 0.5, with 2 zones",
 		"spread talk.survive: 2", "spread talk.room: a: must be one of even, survive, zones"} {
-		if err == nil || !strings.Contains(err.Error(), fault) {
-			t.Errorf("not named: %s, but\n%v", fault, err)
+		if err == nil || !strings.Contains(err.Error(), wantErr) {
+			t.Errorf("the error does not contain %s:\n%v", wantErr, err)
 		}
 	}
 }
 
-// TestTiers: sections that set tiers are read, and everything that is wrong with them is
-// named at once, with the field, the value and what is allowed.
+// TestTiers checks that sections that define tiers are parsed, and that all errors in them are reported
+// together, with the field, the value and the allowed values.
 func TestTiers(t *testing.T) {
 	c := &Config{Zones: []string{"a", "b"}, Teams: []Team{{Name: "red"}, {Name: "blue"}}, Tuning: DefaultTuning()}
 	if err := c.Tuning.parse([]byte("[tier live]\norder = 1\npriority = production, high\ncards = 40%\ncards.a = 8\nwithin = 20s\nlend = batch\n[tier batch]\norder = 2\nteam = blue\n")); err != nil || c.checkTiers() != nil {
@@ -164,10 +165,10 @@
 	}
 	other := Config{Tuning: DefaultTuning()}
 	if _ = other.Tuning.parse([]byte("[tier batch]\nteam = blue\norder = 2\n[tier live]\npriority = high, production\norder = 1\nwithin = 20s\ncards.a = 8\ncards = 40%\nlend = batch\n")); other.Tiers().Digest() != set.Digest() {
-		t.Error("the same tiers, written in another order, have another digest")
+		t.Error("the digest depends on the order in which tiers and keys are written")
 	}
 	if (&Config{}).Tiers().Digest() != "" {
-		t.Error("no tiers have a digest")
+		t.Error("the digest of the default tiers is not empty")
 	}
 	shipped := &Config{Tuning: DefaultTuning()}
 	if text, err := os.ReadFile("../../deploy/tiers.ini"); err != nil || shipped.Tuning.parse(text) != nil || shipped.checkTiers() != nil || len(shipped.Tuning.Tiers) != 4 {
@@ -179,10 +180,10 @@
 		t.Fatal("accepted")
 	}
 	text := err.Error() + "\n" + bad.checkTiers().Error()
-	for _, fault := range []string{"[tier rest]: \"rest\"", "[tier rest].order: -1: must be a count", "[tier rest].cards: many: must be a number of cards", "[tier x].order: none", "[tier x].priority: \"top\"",
+	for _, wantErr := range []string{"[tier rest]: \"rest\"", "[tier rest].order: -1: must be a count", "[tier rest].cards: many: must be a number of cards", "[tier x].order: none", "[tier x].priority: \"top\"",
 		"[tier x].team: \"green\": must be one of red, blue", "[tier x].cards.c: \"c\": must be one of a, b", "[tier x].within: 1s", "[tier x].lend: \"all\"", "[tier x].share: 1", "[tier ...].cards: 130%"} {
-		if !strings.Contains(text, fault) {
-			t.Errorf("not named: %s in\n%s", fault, text)
+		if !strings.Contains(text, wantErr) {
+			t.Errorf("the error does not contain %s:\n%s", wantErr, text)
 		}
 	}
 }
--- a/internal/config/faults.go
+++ b/internal/config/faults.go
@@ -6,23 +6,23 @@
 	"net/netip"
 )
 
-// validationErrors collects everything that is wrong with a file.
+// validationErrors collects all errors found in a settings file.
 type validationErrors []error
 
-// check adds a fault unless ok holds: the value of a field, and what it must be.
-func (f *validationErrors) check(ok bool, field string, value any, allowed string) {
+// check adds an error unless ok is true. The error names the field, its value and the allowed values.
+func (errs *validationErrors) check(ok bool, field string, value any, allowed string) {
 	if !ok {
-		*f = append(*f, fmt.Errorf("%s: %v: must be %s", field, value, allowed))
+		*errs = append(*errs, fmt.Errorf("%s: %v: must be %s", field, value, allowed))
 	}
 }
 
-// checkAddr checks a network address.
-func (f *validationErrors) checkAddr(field, value string) {
+// checkAddr requires an IP address with a port.
+func (errs *validationErrors) checkAddr(field, value string) {
 	_, err := netip.ParseAddrPort(value)
-	f.check(err == nil, field, fmt.Sprintf("%q", value), "an IP address and a port, such as 10.0.0.1:8080")
+	errs.check(err == nil, field, fmt.Sprintf("%q", value), "an IP address and a port, such as 10.0.0.1:8080")
 }
 
-// checkPositive checks a finite number above 0.
-func (f *validationErrors) checkPositive(field string, value float64) {
-	f.check(value > 0 && !math.IsInf(value, 0), field, value, "a number above 0")
+// checkPositive requires a finite number above 0.
+func (errs *validationErrors) checkPositive(field string, value float64) {
+	errs.check(value > 0 && !math.IsInf(value, 0), field, value, "a number above 0")
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenPlatformFile: the platform's file has the fields that it had.
+// TestGoldenPlatformFile checks that the fields of the platform's file and their meaning have not changed.
 func TestGoldenPlatformFile(t *testing.T) {
 	goldentest.Check[platformFile](t, "platform.json", json.Marshal, json.Unmarshal)
 	text, err := os.ReadFile("testdata/good.json")
@@ -25,8 +25,8 @@
 	goldentest.Text(t, "parsed.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
 }
 
-// TestGoldenSettings: the operators' file has the keys that it had, and they mean what they
-// meant: testdata/all.ini sets each of them.
+// TestGoldenSettings checks that the keys of the operators' file, their defaults and their meaning have not
+// changed. testdata/all.ini sets all keys.
 func TestGoldenSettings(t *testing.T) {
 	keys := slices.Sorted(maps.Keys(new(Tuning).setters()))
 	goldentest.Text(t, "keys.txt", strings.Join(keys, "\n")+"\n")
--- a/internal/config/grants_test.go
+++ b/internal/config/grants_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// newTeams returns n teams with a limit of GPUs each.
 func newTeams(n int, limit float64) (teams []Team) {
 	for i := range n {
 		teams = append(teams, Team{Name: fmt.Sprintf("team-%04d", i), GPUsMax: limit})
@@ -15,8 +16,8 @@
 	return teams
 }
 
-// TestCheckGrants: settings are refused, with all that matters named, under which the grants of all
-// teams to all shards could grow larger than one value.
+// TestCheckGrants checks that settings are rejected with which the grants of all teams in all shards could
+// exceed the size of a value, and that the error names the numbers of teams, shards and bytes.
 func TestCheckGrants(t *testing.T) {
 	c := &Config{Zones: []string{"a", "b", "c", "d", "e"}, Store: Store{ValueBytes: 16 << 10}, Tuning: DefaultTuning()}
 	for _, x := range []struct {
@@ -30,7 +31,7 @@
 		{"zone", newTeams(2000, 0), ""}, // without limits nothing is granted
 		{"zone", newTeams(530, 64), `parts.by: "zone" with 530 teams that have a limit: must be so that what is granted to each team in each of 5 parts fits into one value of the state service: it may take 84812 bytes, and params.state.value_kb allows 16384`},
 		{"2", newTeams(530, 64), "in each of 2 parts"},
-		{"9", newTeams(530, 64), ""}, // which checkShards names
+		{"9", newTeams(530, 64), ""}, // checkShards reports this error
 	} {
 		c.Tuning.Shards.By, c.Teams = x.by, x.teams
 		err := c.checkGrants()
@@ -40,7 +41,7 @@
 	}
 }
 
-// TestMaxGrantRecordBytes: no record of grants takes more than its bound.
+// TestMaxGrantRecordBytes checks that a grant record with the longest amounts and names stays within its bound.
 func TestMaxGrantRecordBytes(t *testing.T) {
 	shards := []string{"a", "part-\"1\""}
 	c := &Config{Teams: append(newTeams(30, 1e6), Team{Name: strings.Repeat("\u2028<é", 60), CPUsMax: 1, GPUsMax: 3})}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// platformFile is the form of the platform's file.
+// platformFile is the format of the platform's file.
 type platformFile struct {
 	Name       string `json:"host_name"`
 	Zone       string `json:"location"`
@@ -47,89 +47,89 @@
 	} `json:"params"`
 }
 
-// Parse reads the platform's file. If it has faults, both what was read and the error are
-// returned, unless the file is not JSON.
+// Parse parses and validates the platform's file. If settings are invalid, it returns both the
+// Config and an error that joins all errors found. If the file is not valid JSON, the Config is nil.
 func Parse(text []byte) (*Config, error) {
-	var p platformFile
-	if err := json.Unmarshal(text, &p); err != nil {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("not a valid settings file: %w", err)
 	}
-	var f validationErrors
-	p.checkAddresses(&f)
-	p.checkTeams(&f)
-	p.checkWorkers(&f)
-	p.checkLimits(&f)
-	w, s := p.Params.Workers, p.Params.State
+	var errs validationErrors
+	file.checkAddresses(&errs)
+	file.checkTeams(&errs)
+	file.checkWorkers(&errs)
+	file.checkLimits(&errs)
+	workers, state := file.Params.Workers, file.Params.State
 	return &Config{
-		Name: p.Name, Zone: p.Zone, PublicAddr: p.PublicAddr, PeerAddr: p.PeerAddr, Peers: p.Peers,
-		CloudAddr: p.Endpoints.Cloud, StoreAddr: p.Endpoints.State,
-		Zones: p.Params.Zones, Teams: p.Params.Teams, Objectives: p.Params.Objectives,
-		Workers: Workers{seconds(w.ReportS), seconds(w.LeaseS), seconds(w.GangWaitS), seconds(w.GangPeerS), seconds(w.CancelS)},
-		// A transaction with more changes than are allowed in a second would never be
-		// accepted, nor one of several values that each take more than half of its bytes.
-		Store:  Store{s.RPS, s.WriteRPS, min(int(s.ValueKB*1024), maxValueBytes), min(s.TxnOps, max(2, int(s.WriteRPS)))},
-		Cloud:  Cloud{p.Params.Cloud.RPS, seconds(p.Params.Cloud.ListLagS)},
-		Limits: Limits{int64(p.Params.Limits.RAMMB * (1 << 20)), p.Params.Limits.Files},
+		Name: file.Name, Zone: file.Zone, PublicAddr: file.PublicAddr, PeerAddr: file.PeerAddr, Peers: file.Peers,
+		CloudAddr: file.Endpoints.Cloud, StoreAddr: file.Endpoints.State,
+		Zones: file.Params.Zones, Teams: file.Params.Teams, Objectives: file.Params.Objectives,
+		Workers: Workers{seconds(workers.ReportS), seconds(workers.LeaseS), seconds(workers.GangWaitS), seconds(workers.GangPeerS), seconds(workers.CancelS)},
+		// The state service would never accept a transaction with more changes than it allows
+		// per second, nor one with several values that each take more than half of its bytes.
+		Store:  Store{state.RPS, state.WriteRPS, min(int(state.ValueKB*1024), maxValueBytes), min(state.TxnOps, max(2, int(state.WriteRPS)))},
+		Cloud:  Cloud{file.Params.Cloud.RPS, seconds(file.Params.Cloud.ListLagS)},
+		Limits: Limits{int64(file.Params.Limits.RAMMB * (1 << 20)), file.Params.Limits.Files},
 		Tuning: DefaultTuning(),
-	}, errors.Join(f...)
+	}, errors.Join(errs...)
 }
 
-// maxValueBytes bounds the values that are written, even if the state service allows more.
+// maxValueBytes is the maximum size of the values that controllers write, even if the state service allows more.
 const maxValueBytes = 32 << 10
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // checkAddresses checks the names and addresses of controllers and services.
-func (p *platformFile) checkAddresses(f *validationErrors) {
-	f.check(p.Name != "", "host_name", `""`, "the name of this controller")
-	f.checkAddr("public_addr", p.PublicAddr)
-	f.checkAddr("mesh_addr", p.PeerAddr)
-	f.check(p.PublicAddr != p.PeerAddr, "mesh_addr", p.PeerAddr, "another address than public_addr")
-	f.checkAddr("endpoints.cloud", p.Endpoints.Cloud)
-	f.checkAddr("endpoints.state", p.Endpoints.State)
+func (p *platformFile) checkAddresses(errs *validationErrors) {
+	errs.check(p.Name != "", "host_name", `""`, "the name of this controller")
+	errs.checkAddr("public_addr", p.PublicAddr)
+	errs.checkAddr("mesh_addr", p.PeerAddr)
+	errs.check(p.PublicAddr != p.PeerAddr, "mesh_addr", p.PeerAddr, "another address than public_addr")
+	errs.checkAddr("endpoints.cloud", p.Endpoints.Cloud)
+	errs.checkAddr("endpoints.state", p.Endpoints.State)
 	names := []string{p.Name}
-	for i, s := range p.Peers {
-		f.check(s.Name != "" && !slices.Contains(names, s.Name), fmt.Sprintf("siblings[%d].host_name", i),
-			fmt.Sprintf("%q", s.Name), "a name that no other controller has")
-		names = append(names, s.Name)
-		f.checkAddr(fmt.Sprintf("siblings[%d].peer_addr", i), s.Addr)
+	for i, peer := range p.Peers {
+		errs.check(peer.Name != "" && !slices.Contains(names, peer.Name), fmt.Sprintf("siblings[%d].host_name", i),
+			fmt.Sprintf("%q", peer.Name), "a name that no other controller has")
+		names = append(names, peer.Name)
+		errs.checkAddr(fmt.Sprintf("siblings[%d].peer_addr", i), peer.Addr)
 	}
 }
 
-// checkTeams checks the zones, and each team's guarantee against its limit.
-func (p *platformFile) checkTeams(f *validationErrors) {
-	f.check(len(p.Params.Zones) > 0, "params.zones", "none", "at least one zone")
-	f.check(len(p.Params.Teams) > 0, "params.teams", "none", "at least one team")
+// checkTeams checks that there are zones and teams, and that no team's guarantee exceeds its limit.
+func (p *platformFile) checkTeams(errs *validationErrors) {
+	errs.check(len(p.Params.Zones) > 0, "params.zones", "none", "at least one zone")
+	errs.check(len(p.Params.Teams) > 0, "params.teams", "none", "at least one team")
 	for i, t := range p.Params.Teams {
-		at := fmt.Sprintf("params.teams[%d]", i)
-		f.check(t.Name != "", at+".name", `""`, "the team's name")
-		f.check(t.CPUs >= 0 && t.GPUs >= 0 && t.CPUsMax >= 0 && t.GPUsMax >= 0, at, t, "amounts of 0 or more")
-		f.check(t.CPUsMax == 0 || t.CPUs <= t.CPUsMax, at+".cpus", t.CPUs, "no more than cpus_max")
-		f.check(t.GPUsMax == 0 || t.GPUs <= t.GPUsMax, at+".gpus", t.GPUs, "no more than gpus_max")
+		field := fmt.Sprintf("params.teams[%d]", i)
+		errs.check(t.Name != "", field+".name", `""`, "the team's name")
+		errs.check(t.CPUs >= 0 && t.GPUs >= 0 && t.CPUsMax >= 0 && t.GPUsMax >= 0, field, t, "amounts of 0 or more")
+		errs.check(t.CPUsMax == 0 || t.CPUs <= t.CPUsMax, field+".cpus", t.CPUs, "no more than cpus_max")
+		errs.check(t.GPUsMax == 0 || t.GPUs <= t.GPUsMax, field+".gpus", t.GPUs, "no more than gpus_max")
 	}
 }
 
-// checkWorkers checks the timing of the workers' protocol.
-func (p *platformFile) checkWorkers(f *validationErrors) {
+// checkWorkers checks the timing of the worker protocol.
+func (p *platformFile) checkWorkers(errs *validationErrors) {
 	w := p.Params.Workers
-	f.checkPositive("params.workers.report_s", w.ReportS)
-	f.check(w.LeaseS > w.ReportS, "params.workers.lease_s", w.LeaseS, "more than report_s")
-	f.checkPositive("params.workers.gang_wait_s", w.GangWaitS)
-	f.checkPositive("params.workers.gang_peer_s", w.GangPeerS)
-	f.check(w.CancelS >= w.LeaseS+MinCancelMargin.Seconds(), "params.workers.cancel_s", w.CancelS,
+	errs.checkPositive("params.workers.report_s", w.ReportS)
+	errs.check(w.LeaseS > w.ReportS, "params.workers.lease_s", w.LeaseS, "more than report_s")
+	errs.checkPositive("params.workers.gang_wait_s", w.GangWaitS)
+	errs.checkPositive("params.workers.gang_peer_s", w.GangPeerS)
+	errs.check(w.CancelS >= w.LeaseS+MinCancelMargin.Seconds(), "params.workers.cancel_s", w.CancelS,
 		fmt.Sprintf("lease_s and %v s more, or an answer could keep a cancelled task for longer", MinCancelMargin.Seconds()))
 }
 
-// checkLimits checks the limits of the state service, of the cloud and of this process.
-func (p *platformFile) checkLimits(f *validationErrors) {
+// checkLimits checks the limits of the state service, the cloud and this process.
+func (p *platformFile) checkLimits(errs *validationErrors) {
 	s := p.Params.State
-	f.checkPositive("params.state.rps", s.RPS)
-	f.checkPositive("params.state.write_rps", s.WriteRPS)
-	f.check(s.ValueKB >= 1, "params.state.value_kb", s.ValueKB, "1 or more")
-	f.check(s.TxnOps >= 4, "params.state.txn_ops", s.TxnOps, "4 or more")
-	f.checkPositive("params.cloud.rps", p.Params.Cloud.RPS)
-	f.check(p.Params.Cloud.ListLagS >= 0, "params.cloud.list_lag_s", p.Params.Cloud.ListLagS, "0 or more")
-	f.check(p.Params.Limits.RAMMB >= 32, "params.limits.ram_mb", p.Params.Limits.RAMMB, "32 or more")
-	f.check(p.Params.Limits.Files >= 64, "params.limits.fd_limit", p.Params.Limits.Files, "64 or more")
+	errs.checkPositive("params.state.rps", s.RPS)
+	errs.checkPositive("params.state.write_rps", s.WriteRPS)
+	errs.check(s.ValueKB >= 1, "params.state.value_kb", s.ValueKB, "1 or more")
+	errs.check(s.TxnOps >= 4, "params.state.txn_ops", s.TxnOps, "4 or more")
+	errs.checkPositive("params.cloud.rps", p.Params.Cloud.RPS)
+	errs.check(p.Params.Cloud.ListLagS >= 0, "params.cloud.list_lag_s", p.Params.Cloud.ListLagS, "0 or more")
+	errs.check(p.Params.Limits.RAMMB >= 32, "params.limits.ram_mb", p.Params.Limits.RAMMB, "32 or more")
+	errs.check(p.Params.Limits.Files >= 64, "params.limits.fd_limit", p.Params.Limits.Files, "64 or more")
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,51 +12,51 @@
 	"gopkg.in/ini.v1"
 )
 
-// Bounds of the settings of one kind, wherever there is no special one.
+// Bounds of durations and numbers in the operators' file, unless a key has bounds of its own.
 const (
 	minDuration = 100 * time.Millisecond
 	maxDuration = 10 * time.Minute
 	maxNumber   = 1e6
 )
 
-// parse reads the operators' file into t. The error joins every fault found.
+// parse reads the operators' file into t. The error joins all errors found.
 func (t *Tuning) parse(text []byte) error {
 	file, err := ini.Load(text)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	var f validationErrors
+	var errs validationErrors
 	setters := t.setters()
-	for _, sec := range file.Sections() {
-		if class, ok := strings.CutPrefix(sec.Name(), spreadSection); ok {
-			t.readSpreadRule(&f, strings.TrimSpace(class), sec)
+	for _, section := range file.Sections() {
+		if class, ok := strings.CutPrefix(section.Name(), spreadSection); ok {
+			t.readSpreadRule(&errs, strings.TrimSpace(class), section)
 			continue
 		}
-		if strings.HasPrefix(sec.Name(), tierSection) {
-			t.readTier(&f, sec)
+		if strings.HasPrefix(section.Name(), tierSection) {
+			t.readTier(&errs, section)
 			continue
 		}
-		applySection(&f, setters, sec)
+		applySection(&errs, setters, section)
 	}
-	f.check(t.Reapi.Listen == "" || t.Reapi.Store != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
-	f.check(t.Renew*2 <= t.Lease, "claim.renew", t.Renew, "at most half of claim.lease")
-	return errors.Join(f...)
+	errs.check(t.Reapi.Listen == "" || t.Reapi.Store != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
+	errs.check(t.Renew*2 <= t.Lease, "claim.renew", t.Renew, "at most half of claim.lease")
+	return errors.Join(errs...)
 }
 
-// applySection applies the keys of a section.
-func applySection(f *validationErrors, setters map[string]setter, sec *ini.Section) {
-	for _, key := range sec.Keys() {
-		name := sec.Name() + "." + key.Name()
+// applySection applies the keys of a section. A key without a setter is an error.
+func applySection(errs *validationErrors, setters map[string]setter, section *ini.Section) {
+	for _, key := range section.Keys() {
+		name := section.Name() + "." + key.Name()
 		set := setters[name]
 		if set == nil {
-			f.check(false, name, key.Value(), "one of "+strings.Join(slices.Sorted(maps.Keys(setters)), ", "))
+			errs.check(false, name, key.Value(), "one of "+strings.Join(slices.Sorted(maps.Keys(setters)), ", "))
 			continue
 		}
-		set(f, name, key)
+		set(errs, name, key)
 	}
 }
 
-// setters returns, by its name, how each key of the operators' file is read.
+// setters returns the setter of each key of the operators' file, by section and key.
 func (t *Tuning) setters() map[string]setter {
 	return map[string]setter{
 		"parts.by":    text(&t.Shards.By),
@@ -96,57 +96,62 @@
 	}
 }
 
-// setter reads the value of one key, and adds to the faults if it is not allowed.
-type setter func(f *validationErrors, name string, key *ini.Key)
+// setter parses and stores the value of a key, and adds an error if the value is not allowed.
+type setter func(errs *validationErrors, name string, key *ini.Key)
 
+// duration returns a setter for a duration from minDuration to maxDuration.
 func duration(d *time.Duration) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
+	return func(errs *validationErrors, name string, key *ini.Key) {
 		v, err := time.ParseDuration(key.Value())
-		f.check(err == nil && v >= minDuration && v <= maxDuration, name, key.Value(), "a duration from 100ms to 10m")
+		errs.check(err == nil && v >= minDuration && v <= maxDuration, name, key.Value(), "a duration from 100ms to 10m")
 		*d = v
 	}
 }
 
-func count(n *int, least, most int) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
+// count returns a setter for an integer from lowest to highest.
+func count(n *int, lowest, highest int) setter {
+	return func(errs *validationErrors, name string, key *ini.Key) {
 		v, err := key.Int()
-		f.check(err == nil && v >= least && v <= most, name, key.Value(), fmt.Sprintf("a count from %d to %d", least, most))
+		errs.check(err == nil && v >= lowest && v <= highest, name, key.Value(), fmt.Sprintf("a count from %d to %d", lowest, highest))
 		*n = v
 	}
 }
 
+// flag returns a setter for a Boolean value.
 func flag(b *bool) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
+	return func(errs *validationErrors, name string, key *ini.Key) {
 		v, err := key.Bool()
-		f.check(err == nil, name, key.Value(), "on or off")
+		errs.check(err == nil, name, key.Value(), "on or off")
 		*b = v
 	}
 }
 
+// number returns a setter for a decimal number from 0 to maxNumber.
 func number(n *float64) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
+	return func(errs *validationErrors, name string, key *ini.Key) {
 		v, err := key.Float64()
-		f.check(err == nil && v >= 0 && v <= maxNumber, name, key.Value(), "a number from 0 to 1e6")
+		errs.check(err == nil && v >= 0 && v <= maxNumber, name, key.Value(), "a number from 0 to 1e6")
 		*n = v
 	}
 }
 
+// address returns a setter for an IP address with a port.
 func address(addr *string) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
+	return func(errs *validationErrors, name string, key *ini.Key) {
 		*addr = key.Value()
-		f.checkAddr(name, *addr)
+		errs.checkAddr(name, *addr)
 	}
 }
 
-// text reads one of the allowed words; without any, all text is allowed but the empty one.
-func text(to *string, allowed ...string) setter {
-	return func(f *validationErrors, name string, key *ini.Key) {
-		*to = key.Value()
-		f.check(*to != "" && (allowed == nil || slices.Contains(allowed, *to)), name, fmt.Sprintf("%q", *to), cmp.Or(strings.Join(allowed, ", "), "some text"))
+// text returns a setter for one of the allowed texts. If none are given, any text but an empty one is allowed.
+func text(target *string, allowed ...string) setter {
+	return func(errs *validationErrors, name string, key *ini.Key) {
+		*target = key.Value()
+		errs.check(*target != "" && (allowed == nil || slices.Contains(allowed, *target)), name, fmt.Sprintf("%q", *target), cmp.Or(strings.Join(allowed, ", "), "some text"))
 	}
 }
 
-// list reads names that are separated by commas.
+// list returns a setter for names that are separated by commas.
 func list(names *[]string) setter {
 	return func(_ *validationErrors, _ string, key *ini.Key) { *names = key.Strings(",") }
 }
--- a/internal/config/shards.go
+++ b/internal/config/shards.go
@@ -25,35 +25,35 @@
 	}
 }
 
-// maxShardNameBytes bounds the names of zones and machine types that are shards, in bytes.
+// maxShardNameBytes is the maximum length of the name of a zone or machine type that is a shard.
 const maxShardNameBytes = 60
 
-// checkShards checks the division into shards against the zones of the platform's file.
+// checkShards checks the settings of shards against the zones of the platform's file.
 func (c *Config) checkShards() error {
-	var f validationErrors
-	p := c.Tuning.Shards
-	n, err := strconv.Atoi(p.By)
+	var errs validationErrors
+	shards := c.Tuning.Shards
+	n, err := strconv.Atoi(shards.By)
 	switch {
-	case p.By == "", p.By == "off", p.By == "zone", p.By == "type" && len(p.Types) > 0:
-	case p.By == "type":
-		f.check(false, "parts.types", `""`, "the machine types that are parts, separated by commas")
+	case shards.By == "", shards.By == "off", shards.By == "zone", shards.By == "type" && len(shards.Types) > 0:
+	case shards.By == "type":
+		errs.check(false, "parts.types", `""`, "the machine types that are parts, separated by commas")
 	default:
-		f.check(err == nil && n >= 1 && n <= len(c.Zones), "parts.by", fmt.Sprintf("%q", p.By), fmt.Sprintf("off, zone, type, or a number from 1 to %d, that of the zones", len(c.Zones)))
+		errs.check(err == nil && n >= 1 && n <= len(c.Zones), "parts.by", fmt.Sprintf("%q", shards.By), fmt.Sprintf("off, zone, type, or a number from 1 to %d, that of the zones", len(c.Zones)))
 	}
-	if p.By == "" || p.By == "off" {
-		return errors.Join(f...)
+	if shards.By == "" || shards.By == "off" {
+		return errors.Join(errs...)
 	}
-	f.checkShardNames("params.zones", c.Zones)
-	f.checkShardNames("parts.types", p.Types)
-	return errors.Join(f...)
+	errs.checkShardNames("params.zones", c.Zones)
+	errs.checkShardNames("parts.types", shards.Types)
+	return errors.Join(errs...)
 }
 
-// checkShardNames checks the names of a list that shards may be called by.
-func (f *validationErrors) checkShardNames(field string, names []string) {
+// checkShardNames checks that the names of a list are unique and can be used as names of shards.
+func (errs *validationErrors) checkShardNames(field string, names []string) {
 	for i, name := range names {
 		usable := name != "" && len(name) <= maxShardNameBytes && !strings.ContainsAny(name, " /\t\n")
 		unique := !slices.Contains(names[:i], name)
-		f.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
+		errs.check(usable && unique, fmt.Sprintf("%s[%d]", field, i),
 			fmt.Sprintf("%q", name), "another name of up to 60 bytes without spaces and slashes, since parts are called so")
 	}
 }
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -11,50 +11,49 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// spreadSection begins the names of the sections that say how services are spread.
+// spreadSection is the prefix of the names of sections that hold the spread rule of a class.
 const spreadSection = "spread "
 
-// readSpreadRule reads the section that says how the services of a class are spread over the
-// zones.
-func (t *Tuning) readSpreadRule(f *validationErrors, class string, sec *ini.Section) {
-	var r scheduler.SpreadRule
-	for _, key := range sec.Keys() {
-		name, err := sec.Name()+"."+key.Name(), error(nil)
+// readSpreadRule reads a section with the rule by which the services of a class are spread over the zones.
+func (t *Tuning) readSpreadRule(errs *validationErrors, class string, section *ini.Section) {
+	var rule scheduler.SpreadRule
+	for _, key := range section.Keys() {
+		name, err := section.Name()+"."+key.Name(), error(nil)
 		switch key.Name() {
 		case "even":
-			r.Even, err = key.Bool()
-			f.check(err == nil, name, key.Value(), "yes or no")
+			rule.Even, err = key.Bool()
+			errs.check(err == nil, name, key.Value(), "yes or no")
 		case "survive":
-			r.Survive, err = key.Float64()
-			f.check(err == nil && r.Survive >= 0 && r.Survive < 1, name, key.Value(), "a share from 0 to below 1")
+			rule.Survive, err = key.Float64()
+			errs.check(err == nil && rule.Survive >= 0 && rule.Survive < 1, name, key.Value(), "a share from 0 to below 1")
 		case "zones":
-			r.Zones = key.Strings(",")
+			rule.Zones = key.Strings(",")
 		default:
-			f.check(false, name, key.Value(), "one of even, survive, zones")
+			errs.check(false, name, key.Value(), "one of even, survive, zones")
 		}
 	}
-	f.check(class != "", sec.Name(), "", "named after a class of jobs")
+	errs.check(class != "", section.Name(), "", "named after a class of jobs")
 	if t.Spread == nil {
 		t.Spread = make(map[string]*scheduler.SpreadRule)
 	}
-	t.Spread[class] = &r
+	t.Spread[class] = &rule
 }
 
 // checkSpread checks the spread rules against the zones of the platform's file.
 func (c *Config) checkSpread() error {
-	var f validationErrors
-	for class, r := range c.Tuning.Spread {
-		at := spreadSection + class
-		for _, zone := range r.Zones {
-			f.check(slices.Contains(c.Zones, zone), at+".zones", fmt.Sprintf("%q", zone), "of "+strings.Join(c.Zones, ", "))
+	var errs validationErrors
+	for class, rule := range c.Tuning.Spread {
+		field := spreadSection + class
+		for _, zone := range rule.Zones {
+			errs.check(slices.Contains(c.Zones, zone), field+".zones", fmt.Sprintf("%q", zone), "of "+strings.Join(c.Zones, ", "))
 		}
-		zones := len(r.Zones)
+		zones := len(rule.Zones)
 		if zones == 0 {
 			zones = len(c.Zones)
 		}
-		most := 1 - 1/float64(zones)
-		f.check(r.Survive <= most+1e-9, at+".survive", r.Survive, fmt.Sprintf("at most %.3g, with %d zones", most, zones))
+		maxShare := 1 - 1/float64(zones)
+		errs.check(rule.Survive <= maxShare+1e-9, field+".survive", rule.Survive, fmt.Sprintf("at most %.3g, with %d zones", maxShare, zones))
 	}
-	slices.SortFunc(f, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
-	return errors.Join(f...)
+	slices.SortFunc(errs, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
+	return errors.Join(errs...)
 }
--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -8,35 +8,37 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// Tuning holds what the operators' file sets.
+// Tuning holds the settings of the operators' file.
 type Tuning struct {
 	Lease            time.Duration // of a shard's leader in the state service
-	Renew            time.Duration // interval between two renewals of that lease
-	RoundTasks       int           // launches that one round may decide
+	Renew            time.Duration // interval between renewals of that lease
+	RoundTasks       int           // maximum number of launches in one scheduling round
 	RoundWindow      time.Duration
 	Idle             time.Duration // after which an idle machine is released
-	BeginWithin      time.Duration // in which even the largest gangs should start, where they fit
+	BeginWithin      time.Duration // within which even the largest gangs should start, if the fleet has capacity for them
 	HeartbeatTimeout time.Duration // after which a machine counts as failed; 0 derives it from the heartbeat interval
 	History          History
-	DirectHeartbeats int // machines up to which the leader takes all heartbeats itself
+	DirectHeartbeats int // number of machines up to which the leader receives all heartbeats directly
 	Shards           Shards
-	Writers          int                              // controllers that write submissions for all; writers.Auto derives it from their number, 0 means that each writes its own
-	Spread           map[string]*scheduler.SpreadRule // of services, by class
-	Tiers            []tier.Tier                      // of work; empty means the default order
-	Metrics          string                           // address that metrics are served on, if any
-	Reapi            Reapi
+	// Writers is the number of controllers that write the submissions of all. writers.Auto derives it from the number
+	// of controllers; 0 means that each controller writes its own.
+	Writers int
+	Spread  map[string]*scheduler.SpreadRule // for services, by class
+	Tiers   []tier.Tier                      // empty means the default order of priorities
+	Metrics string                           // address that the metrics are served on; empty means none
+	Reapi   Reapi
 }
 
-// Shards says how the fleet is divided among leaders; by default it is one shard.
+// Shards determines how the fleet is divided into shards, which each have a leader. By default it is one shard.
 type Shards struct {
 	By    string   // off, zone, type, or a number of shards to which the zones are assigned
-	Types []string // the machine types that are shards, where it is divided by type
+	Types []string // machine types that are shards, if By is type
 }
 
-// Reapi holds the settings of the interface for build tools. It is off without an address.
+// Reapi holds the settings of the Remote Execution API for build tools. It is off if Listen is empty.
 type Reapi struct {
-	Listen, Store string // addresses of the service, and of amberdeal cas
-	Calls         int    // open calls and streams
+	Listen, Store string // addresses of the service, and of the content-addressable storage (amberdeal cas)
+	Calls         int    // maximum number of open calls and streams
 	Team, Class   string
 	Priority      string
 	Image         string
@@ -46,17 +48,17 @@
 	Estimate      time.Duration
 }
 
-// History holds the settings of how ended jobs are archived.
+// History holds the settings for archiving ended jobs.
 type History struct {
 	Compact bool          // whether ended jobs are moved from their keys into blocks
-	Every   time.Duration // interval between two searches for ended jobs
-	Wait    time.Duration // how long a few ended jobs wait to be compacted with others
-	MergeAt int           // full recent blocks that are merged into the archive together
-	CacheMB int           // of decoded blocks in memory
-	Backlog int           // ended jobs that are not compacted yet, beyond which no more jobs are accepted
+	Every   time.Duration // interval between searches for ended jobs
+	Wait    time.Duration // maximum time that a few ended jobs wait to be compacted together with others
+	MergeAt int           // number of full recent blocks that are merged into the archive together
+	CacheMB int           // size of the cache of decoded blocks
+	Backlog int           // number of ended jobs waiting for compaction above which no more jobs are accepted
 }
 
-// DefaultTuning returns the values of all settings that the operators' file leaves out.
+// DefaultTuning returns the defaults of all settings of the operators' file.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Lease: 9 * time.Second, Renew: 3 * time.Second,
--- a/internal/httpwire/body.go
+++ b/internal/httpwire/body.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// readBody reads what the head announced, at most limit bytes.
+// readBody reads the body that the headers announce. A body of more than limit bytes is an error.
 func readBody(r *bufio.Reader, h head, limit int64) ([]byte, error) {
 	if h.chunked {
 		return readChunks(r, limit)
@@ -18,14 +18,14 @@
 	if h.length <= 0 {
 		return nil, nil
 	}
-	b := make([]byte, h.length)
-	if _, err := io.ReadFull(r, b); err != nil {
+	body := make([]byte, h.length)
+	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return body, nil
 }
 
-// readChunks reads a chunked body of at most limit bytes, and drops its trailers.
+// readChunks reads a chunked body and discards its trailers. A body of more than limit bytes is an error.
 func readChunks(r *bufio.Reader, limit int64) ([]byte, error) {
 	var out []byte
 	for {
@@ -42,24 +42,24 @@
 			}
 			return out, nil
 		}
-		at := len(out)
+		start := len(out)
 		out = append(out, make([]byte, n)...)
-		if _, err := io.ReadFull(r, out[at:]); err != nil {
+		if _, err := io.ReadFull(r, out[start:]); err != nil {
 			return nil, err
 		}
-		if s, err := readLine(r); err != nil || s != "" {
+		if line, err := readLine(r); err != nil || line != "" {
 			return nil, errorf(400, "chunk without its end")
 		}
 	}
 }
 
-// readChunkSize reads the line before a chunk. Chunk extensions are ignored.
+// readChunkSize reads the line with the size of the next chunk. Chunk extensions are ignored.
 func readChunkSize(r *bufio.Reader) (int64, error) {
-	s, err := readLine(r)
+	line, err := readLine(r)
 	if err != nil {
 		return 0, err
 	}
-	size, _, _ := strings.Cut(s, ";")
+	size, _, _ := strings.Cut(line, ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 	if err != nil {
 		return 0, errorf(400, "bad chunk size")
@@ -67,11 +67,11 @@
 	return int64(n), nil
 }
 
-// skipTrailers reads up to the empty line that ends a chunked body.
+// skipTrailers reads up to and including the empty line that ends a chunked body.
 func skipTrailers(r *bufio.Reader) error {
 	for n := 0; ; n++ {
-		s, err := readLine(r)
-		if err != nil || s == "" {
+		line, err := readLine(r)
+		if err != nil || line == "" {
 			return err
 		}
 		if n == maxHeaders {
--- a/internal/httpwire/header.go
+++ b/internal/httpwire/header.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// readLine reads a line that ends with CRLF or LF.
+// readLine reads a line that ends with CRLF or LF and returns it without the line ending. The error is io.EOF if
+// the input ends before the line, and io.ErrUnexpectedEOF if it ends within the line.
 func readLine(r *bufio.Reader) (string, error) {
 	var out []byte
 	for {
@@ -28,37 +29,37 @@
 			return "", err
 		}
 	}
-	s := strings.TrimSuffix(strings.TrimSuffix(string(out), "\n"), "\r")
-	if strings.ContainsAny(s, "\r\x00") {
+	line := strings.TrimSuffix(strings.TrimSuffix(string(out), "\n"), "\r")
+	if strings.ContainsAny(line, "\r\x00") {
 		return "", errorf(400, "control character in the head")
 	}
-	return s, nil
+	return line, nil
 }
 
-// head holds what a message's headers say about the rest of it.
+// head holds the headers of a message that tell how to read and handle the message.
 type head struct {
-	length     int64 // of the body; -1 if it is not given
+	length     int64 // Content-Length; -1 if it is missing
 	chunked    bool
 	close      bool
-	expect     bool
+	expect     bool // whether there is an Expect header
 	retryAfter time.Duration
 }
 
-// readHeaders reads headers up to the empty line that ends them.
+// readHeaders reads headers up to and including the empty line that ends them.
 func readHeaders(r *bufio.Reader) (head, error) {
 	h := head{length: -1}
 	for n := 0; ; n++ {
-		s, err := readLine(r)
+		line, err := readLine(r)
 		if err != nil {
 			return h, err
 		}
-		if s == "" {
+		if line == "" {
 			break
 		}
 		if n == maxHeaders {
 			return h, errorf(431, "too many headers")
 		}
-		name, value, ok := strings.Cut(s, ":")
+		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
 			return h, errorf(400, "malformed header")
 		}
@@ -72,7 +73,7 @@
 	return h, nil
 }
 
-// set takes in one header; its name is in lower case.
+// set applies a header; name is in lower case. Headers without a meaning for this package are ignored.
 func (h *head) set(name, value string) error {
 	switch name {
 	case "content-length":
@@ -87,16 +88,16 @@
 		}
 		h.chunked = true
 	case "connection":
-		for _, word := range strings.Split(value, ",") {
-			if strings.EqualFold(strings.TrimSpace(word), "close") {
+		for _, option := range strings.Split(value, ",") {
+			if strings.EqualFold(strings.TrimSpace(option), "close") {
 				h.close = true
 			}
 		}
 	case "expect":
 		h.expect = true
 	case "retry-after":
-		if s, err := strconv.ParseUint(value, 10, 16); err == nil {
-			h.retryAfter = time.Duration(s) * time.Second
+		if seconds, err := strconv.ParseUint(value, 10, 16); err == nil {
+			h.retryAfter = time.Duration(seconds) * time.Second
 		}
 	}
 	return nil
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,23 +1,23 @@
-// Package httpwire parses and writes HTTP/1.1 requests and responses. Heads and bodies
-// are bounded, and a message that two parsers could understand differently is rejected,
-// so that no proxy in between can be made to see other requests than this package does.
+// Package httpwire parses and writes HTTP/1.1 requests and responses. The sizes of headers and
+// bodies are limited. A message that two parsers could interpret differently is rejected, which
+// prevents request smuggling through proxies.
 package httpwire
 
 import "fmt"
 
-// Bounds of a message's head.
+// Limits of the start line and the headers of a message.
 const (
-	maxLine    = 8 << 10 // bytes of a line
-	maxHeaders = 64      // also of a chunked body's trailers
+	maxLine    = 8 << 10 // bytes per line
+	maxHeaders = 64      // also limits the trailers of a chunked body
 )
 
-// Error is a malformed or oversized message, with the status to answer it with.
+// Error reports a malformed or oversized message, with the HTTP status for the response to it.
 type Error struct {
 	Status int
 	Reason string
 }
 
-// Error returns the reason.
+// Error implements the error interface.
 func (e *Error) Error() string { return e.Reason }
 
 func errorf(status int, format string, args ...any) error {
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -10,10 +10,10 @@
 	"testing/iotest"
 )
 
-// requestTests shows what is taken and what is refused, and with which status.
+// requestTests are requests with their expected body, or with the status that they are rejected with.
 var requestTests = []struct {
 	name, text string
-	status     int // 0: taken
+	status     int // 0 if the request is accepted
 	body       string
 }{
 	{"plain", "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", 0, ""},
@@ -37,23 +37,24 @@
 	{"expectation", "POST /x HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", 417, ""},
 }
 
+// TestReadRequest checks which requests are accepted and with which status the others are rejected.
 func TestReadRequest(t *testing.T) {
 	for _, c := range requestTests {
-		// Whether it comes at once or byte by byte makes no difference.
+		// The result must not depend on how the input is split into reads.
 		for _, r := range []io.Reader{strings.NewReader(c.text), iotest.OneByteReader(strings.NewReader(c.text))} {
 			req, err := ReadRequest(bufio.NewReaderSize(r, 16), 64)
-			var fault *Error
+			var parseErr *Error
 			switch {
 			case c.status == 0 && (err != nil || string(req.Body) != c.body):
 				t.Errorf("%s: %v, %v", c.name, req, err)
-			case c.status != 0 && (!errors.As(err, &fault) || fault.Status != c.status):
+			case c.status != 0 && (!errors.As(err, &parseErr) || parseErr.Status != c.status):
 				t.Errorf("%s: %v, want status %d", c.name, err, c.status)
 			}
 		}
 	}
 }
 
-// TestRoundTrip: what is written is read back, by both sides.
+// TestRoundTrip checks that requests and responses are parsed as they were written.
 func TestRoundTrip(t *testing.T) {
 	text := AppendRequest(nil, "10.0.0.1:80", "POST", "/hello?a=b", []byte("body"))
 	req, err := ReadRequest(bufio.NewReader(bytes.NewReader(text)), 64)
@@ -67,7 +68,7 @@
 	}
 }
 
-// FuzzRead feeds both parsers; whatever comes, they stay within their bounds.
+// FuzzRead checks that both parsers keep to their limits with any input.
 func FuzzRead(f *testing.F) {
 	for _, c := range requestTests {
 		f.Add([]byte(c.text))
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// Response is a response that has been read or is to be written.
+// Response is a response that has been read completely or is to be written. Close tells whether the connection is
+// to be closed after it.
 type Response struct {
 	Status      int
 	Body        []byte
@@ -19,14 +20,14 @@
 	Close       bool
 }
 
-// ReadResponse reads one response with a body of at most limit bytes. The error is an
-// *Error if the response is malformed or too large.
+// ReadResponse reads a response with a body of at most limit bytes. The error is an *Error if
+// the response is malformed or too large.
 func ReadResponse(r *bufio.Reader, limit int64) (*Response, error) {
-	s, err := readLine(r)
+	line, err := readLine(r)
 	if err != nil {
 		return nil, err
 	}
-	proto, rest, _ := strings.Cut(s, " ")
+	proto, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || !strings.HasPrefix(proto, "HTTP/1.") || status < 200 || status > 599 {
@@ -40,7 +41,7 @@
 	if status == 204 || status == 304 {
 		return resp, nil
 	}
-	if !h.chunked && h.length < 0 { // the body ends where the peer closes the connection
+	if !h.chunked && h.length < 0 { // the body extends to the end of the connection
 		resp.Close = true
 		resp.Body, err = io.ReadAll(io.LimitReader(r, limit+1))
 		if err == nil && int64(len(resp.Body)) > limit {
@@ -52,7 +53,7 @@
 	return resp, err
 }
 
-// reasonPhrases of the statuses that are sent.
+// reasonPhrases holds the reason phrases of the statuses that this project sends.
 var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
 	409: "Conflict", 410: "Gone", 413: "Content Too Large", 417: "Expectation Failed", 421: "Misdirected Request", 422: "Unprocessable Content",
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -13,11 +13,11 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// TestGoldenMetrics: a scrape gives the metrics that it gave, under the same names, of the
-// same kinds, with the same labels and values. Those of the Go runtime are the library's.
+// TestGoldenMetrics checks that the names, types, labels and values of all metrics have not changed. It ignores
+// the metrics of the Go runtime, which the Prometheus library defines.
 func TestGoldenMetrics(t *testing.T) {
 	r := goldentest.Filled[Reading](t)
-	// Named, since what Filled gives follows the order of the fields, which means nothing here.
+	// Set by name, since the values that Filled sets depend on the order of the fields, which does not matter here.
 	r.Compaction = archive.CompactorStats{Staged: 26, Merged: 27, Writes: 28, FenceAdvances: 29, Refused: 30, Blocked: 31, Conflicting: 32}
 	if zeros := goldentest.Zeros(r); len(zeros) > 0 {
 		t.Fatalf("these fields are zero: %v", zeros)
@@ -34,7 +34,7 @@
 			continue
 		}
 		if name, _, _ := strings.Cut(line, " "); strings.HasSuffix(name, "fold_lag_seconds") || strings.HasSuffix(name, "snapshot_age_seconds") {
-			line = name // its value is an age
+			line = name // the value is an age, which depends on the current time
 		}
 		lines = append(lines, line)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics exposes a controller's metrics in the text format of Prometheus. It keeps
-// no counters of its own: a scrape takes a Reading of what the other packages count.
+// Package metrics exposes a controller's metrics in the text format of Prometheus. It keeps no
+// counters of its own: each scrape takes a Reading of the counters and states of other packages.
 package metrics
 
 import (
@@ -19,57 +19,58 @@
 	"amberdeal.example/amberdeal/internal/zone"
 )
 
-// Path is the path that is scraped.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Reading holds everything that a scrape shows of a controller, read at one moment.
+// Reading holds the values of all metrics of a controller, read for one scrape.
 type Reading struct {
 	Started  time.Time
-	LastList store.LoadStats // of the last full read of the state
-	Revision uint64          // of the state service that the view has reached
+	LastList store.LoadStats // of the last complete load of the state
+	Revision uint64          // of the state service, up to which the local view of the state is current
 
-	FencingToken uint64 // highest of the shards led here, 0 for none
-	Shards       int    // led here
+	FencingToken uint64 // highest of the shards that this controller leads, 0 for none
+	Shards       int    // number of shards that this controller leads
 
 	LiveJobs          int
-	EndedJobs         int // that still have a key
-	Batches           int
-	RecentJobs        int // in recent blocks
-	OldestEnd         time.Time
+	EndedJobs         int       // that are not compacted yet
+	Batches           int       // keys that hold jobs
+	RecentJobs        int       // ended jobs in recent blocks, not yet merged into the archive
+	OldestEnd         time.Time // when the oldest job that waits for compaction ended; zero if there is none
 	UnreadableRecords int
 
-	StoreCalls map[string]store.CallStats // by purpose
+	StoreCalls map[string]store.CallStats // by purpose of the call
 	BlockCache archive.CacheStats
 	Compaction archive.CompactorStats
 
-	ReportingMachines    int // whose heartbeats arrive at this controller
-	ForwardingPeers      int // that forward heartbeats to this leader
+	ReportingMachines    int // machines whose heartbeats arrive at this controller
+	ForwardingPeers      int // peers that forward heartbeats to this leader
 	HeartbeatsForwarded  uint64
 	HeartbeatsUnanswered uint64 // forwarded, but not answered by the leader in time
-	MachinesMoved        uint64
-	LateHeartbeats       uint64 // to the leaders here, older than what they knew
-	ImpossibleHeartbeats uint64 // to the leaders here, contradicting what they knew
+	MachinesMoved        uint64 // redirected to a peer with more free connections
+	LateHeartbeats       uint64 // to leaders in this controller, older than their state
+	ImpossibleHeartbeats uint64 // to leaders in this controller, contradicting their state
 
 	RequestsForwarded  uint64
-	ForwardsUnanswered uint64 // forwarded requests whose outcome is not known
+	ForwardsUnanswered uint64 // forwarded requests whose result is unknown
 
-	CallWindow int           // deferrable calls that may be open at once
-	StalledFor time.Duration // for which nothing was started here although there was work and room
+	CallWindow int           // maximum number of deferrable calls that may be open at the same time
+	StalledFor time.Duration // for which a leader here has started no tasks despite pending tasks and free capacity
 
-	Zones map[string]zone.Record // that were ever suspected, from the leader's records
-	Tiers map[string]tier.Status // of the shards led here
+	Zones map[string]zone.Record // zones that were ever suspected to be unreachable, from the leader's records
+	Tiers map[string]tier.Status // in the shards that this controller leads
 }
 
-// metric is a metric without labels and how it is taken from a Reading.
+// metric is a metric without labels, with a function that reads its value from a Reading.
 type metric struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
 	read func(*Reading) float64
 }
 
-// namePrefix begins the name of every metric.
+// namePrefix is the prefix of the names of all metrics.
 const namePrefix = "amberdeal_"
 
+// newMetric returns a metric without labels; name lacks the namePrefix.
 func newMetric(kind prometheus.ValueType, name, help string, read func(*Reading) float64) metric {
 	return metric{prometheus.NewDesc(namePrefix+name, help, nil, nil), kind, read}
 }
@@ -79,6 +80,7 @@
 	counter = prometheus.CounterValue
 )
 
+// controllerMetrics are the metrics without labels.
 var controllerMetrics = []metric{
 	newMetric(gauge, "jobs_live", "Jobs that are neither done nor cancelled.", func(r *Reading) float64 { return float64(r.LiveJobs) }),
 	newMetric(gauge, "jobs_over_unfolded", "Ended jobs that have not been compacted yet.", func(r *Reading) float64 { return float64(r.EndedJobs) }),
@@ -131,7 +133,7 @@
 	newMetric(counter, "history_unreadable_total", "Look-ups in the archive that met a block that can't be read.", func(r *Reading) float64 { return float64(r.BlockCache.Unreadable) }),
 }
 
-// storeMetrics have a label for the purpose of the calls.
+// storeMetrics are the metrics of the calls to the state service, labelled with the purpose of the calls.
 var storeMetrics = []struct {
 	desc *prometheus.Desc
 	read func(store.CallStats) uint64
@@ -143,7 +145,7 @@
 	{newPurposeDesc("store_bytes_total", "Bytes of requests to the state service and their responses."), func(s store.CallStats) uint64 { return s.Bytes }},
 }
 
-// tierMetrics have a label for the name of the tier.
+// tierMetrics are the metrics of priority tiers, labelled with the name of the tier.
 var tierMetrics = []struct {
 	desc *prometheus.Desc
 	read func(tier.Status) float64
@@ -163,7 +165,7 @@
 	return prometheus.NewDesc(namePrefix+name, help, []string{"purpose"}, nil)
 }
 
-// Zones have a label for their name, a value for their state and a count of its changes.
+// The metrics of zones, labelled with the name of the zone. zoneStates are the values of zoneState.
 var (
 	zoneState   = newZoneDesc("zone_state", "Recorded state of a zone: 0 up, 1 suspected, 2 unreachable, 3 recovering.")
 	zoneChanges = newZoneDesc("zone_changes_total", "Changes of a zone's recorded state, by any leader.")
@@ -174,47 +176,47 @@
 	return prometheus.NewDesc(namePrefix+name, help, []string{"zone"}, nil)
 }
 
-// collector hands the metrics of a Reading to the Prometheus library.
+// collector is a prometheus.Collector for the values of a Reading, which the function takes.
 type collector func() Reading
 
 // Describe implements prometheus.Collector.
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, f := range controllerMetrics {
-		ch <- f.desc
+	for _, m := range controllerMetrics {
+		ch <- m.desc
 	}
-	for _, f := range storeMetrics {
-		ch <- f.desc
+	for _, m := range storeMetrics {
+		ch <- m.desc
 	}
 	ch <- zoneState
 	ch <- zoneChanges
-	for _, f := range tierMetrics {
-		ch <- f.desc
+	for _, m := range tierMetrics {
+		ch <- m.desc
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
-	r := c()
-	for _, f := range controllerMetrics {
-		ch <- prometheus.MustNewConstMetric(f.desc, f.kind, f.read(&r))
+	reading := c()
+	for _, m := range controllerMetrics {
+		ch <- prometheus.MustNewConstMetric(m.desc, m.kind, m.read(&reading))
 	}
-	for name, z := range r.Zones {
+	for name, z := range reading.Zones {
 		ch <- prometheus.MustNewConstMetric(zoneState, gauge, zoneStates[z.State], name)
 		ch <- prometheus.MustNewConstMetric(zoneChanges, counter, float64(z.Number), name)
 	}
-	for purpose, stats := range r.StoreCalls {
-		for _, f := range storeMetrics {
-			ch <- prometheus.MustNewConstMetric(f.desc, counter, float64(f.read(stats)), purpose)
+	for purpose, stats := range reading.StoreCalls {
+		for _, m := range storeMetrics {
+			ch <- prometheus.MustNewConstMetric(m.desc, counter, float64(m.read(stats)), purpose)
 		}
 	}
-	for name, s := range r.Tiers {
-		for _, f := range tierMetrics {
-			ch <- prometheus.MustNewConstMetric(f.desc, gauge, f.read(s), name)
+	for name, s := range reading.Tiers {
+		for _, m := range tierMetrics {
+			ch <- prometheus.MustNewConstMetric(m.desc, gauge, m.read(s), name)
 		}
 	}
 }
 
-// Handler returns the handler that answers a scrape with what read returns.
+// Handler returns the handler that responds to a scrape with the metrics of the Reading that read returns.
 func Handler(read func() Reading) transport.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector(read), collectors.NewGoCollector())
@@ -227,8 +229,8 @@
 			return &httpwire.Response{Status: 500, ContentType: "text/plain", Body: []byte(err.Error())}
 		}
 		var out bytes.Buffer
-		for _, f := range families {
-			if _, err := expfmt.MetricFamilyToText(&out, f); err != nil {
+		for _, family := range families {
+			if _, err := expfmt.MetricFamilyToText(&out, family); err != nil {
 				return &httpwire.Response{Status: 500, ContentType: "text/plain", Body: []byte(err.Error())}
 			}
 		}
--- a/internal/top/golden_test.go
+++ b/internal/top/golden_test.go
@@ -7,8 +7,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenStatus: the JSON of /status and of a view of several controllers has the
-// fields that it had.
+// TestGoldenStatus checks that the JSON of /status and of a view of several controllers has not
+// changed.
 func TestGoldenStatus(t *testing.T) {
 	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[View](t, "view.json", json.Marshal, json.Unmarshal)
--- a/internal/top/top.go
+++ b/internal/top/top.go
@@ -1,4 +1,5 @@
-// Package top defines what a controller reports about a running fleet, and prints it for people.
+// Package top defines the status that a controller reports about the running fleet, and prints the statuses of
+// several controllers as tables.
 package top
 
 import (
@@ -11,10 +12,10 @@
 	"time"
 )
 
-// Path is the path of a controller's status, beside its metrics.
+// Path is the HTTP path of a controller's status. It is served on the address of the metrics.
 const Path = "/status"
 
-// Status is what one controller knows.
+// Status is the state of the fleet as one controller knows it.
 type Status struct {
 	Name              string           `json:"name"`
 	Ready             bool             `json:"ready"`
@@ -23,20 +24,20 @@
 	Shards            map[string]Shard `json:"parts"`
 	Classes           map[string]Class `json:"classes"`
 	Teams             map[string]Team  `json:"teams"`
-	Zones             map[string]Zone  `json:"zones"` // of the shards that it knows
+	Zones             map[string]Zone  `json:"zones"` // of the shards whose status the controller knows
 	Tiers             map[string]Tier  `json:"tiers,omitempty"`
-	Stalls            map[string]Stall `json:"stalls,omitempty"` // of the shards that it leads, by shard
+	Stalls            map[string]Stall `json:"stalls,omitempty"` // of the shards that the controller leads, by shard
 	Budget            Budget           `json:"state_service"`
 	Revision          uint64           `json:"revision"`
 }
 
-// Shard names the leader of a shard and its fencing token.
+// Shard holds the leader of a shard and the leader's fencing token.
 type Shard struct {
 	Leader       string `json:"holder"`
 	FencingToken uint64 `json:"term"`
 }
 
-// Class counts the jobs of a class that are not over, and their tasks.
+// Class counts the jobs of a class that have not ended, and their tasks.
 type Class struct {
 	PendingJobs   int `json:"jobs_pending"`
 	RunningJobs   int `json:"jobs_running"`
@@ -45,7 +46,7 @@
 	FinishedTasks int `json:"tasks_done"`
 }
 
-// Team is a team's use, guarantee and limit; 0 stands for none.
+// Team holds a team's usage, guarantee and limit. A guarantee or limit of 0 means none.
 type Team struct {
 	CPUs    float64 `json:"cpus"`
 	CPUsMin float64 `json:"cpus_guaranteed"`
@@ -55,30 +56,30 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Tier is a priority tier's use of GPUs against its share.
+// Tier compares a priority tier's usage of GPUs with its guaranteed share.
 type Tier struct {
 	Order    int     `json:"order"`
 	GPUs     float64 `json:"cards"`
 	Share    float64 `json:"share"`
-	Lent     float64 `json:"lent"`
-	Waiting  int     `json:"tasks_waiting"`
-	Reclaims int     `json:"claims_back"`
+	Lent     float64 `json:"lent"`          // GPUs of the share that other tiers use
+	Waiting  int     `json:"tasks_waiting"` // tasks that are not placed
+	Reclaims int     `json:"claims_back"`   // jobs for which lent GPUs are being reclaimed
 }
 
-// Zone counts a zone's machines whose heartbeats are expected, and those whose heartbeats are
-// overdue.
+// Zone counts the machines of a zone whose heartbeats are expected, and those of them whose heartbeats
+// are overdue.
 type Zone struct {
 	Machines int `json:"machines"`
 	Overdue  int `json:"overdue"`
 
-	Recovery string `json:"return,omitempty"` // step of the zone's recovery
+	Recovery string `json:"return,omitempty"` // current step of the zone's recovery, if it recovers
 }
 
-// Stall reports that a shard's leader starts nothing although there is work and capacity for it.
+// Stall reports that a shard's leader starts no tasks although there are pending tasks and free capacity for them.
 type Stall struct {
 	DurationS int    `json:"for_s"`
 	Cause     string `json:"cause"`
-	Job       string `json:"job"` // one that could start
+	Job       string `json:"job"` // a job that could start
 }
 
 // Budget counts the controller's requests to the state service since it started.
@@ -91,14 +92,14 @@
 	Unanswered uint64  `json:"unanswered"`
 }
 
-// View is the status of several controllers at one time.
+// View holds the statuses of several controllers, read at the same time.
 type View struct {
 	At          time.Time          `json:"at"`
 	Statuses    map[string]*Status `json:"controllers"` // by address
-	Unreachable map[string]string  `json:"unanswered"`  // reasons, by address
+	Unreachable map[string]string  `json:"unanswered"`  // errors, by address
 }
 
-// newest returns the status with the highest revision; what all controllers know is taken from it.
+// newest returns the status with the highest revision. Information that every controller has is taken from it.
 func (v *View) newest() *Status {
 	var best *Status
 	for _, s := range v.Statuses {
@@ -109,7 +110,8 @@
 	return best
 }
 
-// mergeStatuses combines what only leaders know.
+// mergeStatuses combines what comes from the leaders of shards and may not have reached every controller. Of several
+// entries for the same zone, team or tier it takes the largest.
 func (v *View) mergeStatuses() (zones map[string]Zone, teams map[string]Team, tiers map[string]Tier) {
 	zones, teams, tiers = map[string]Zone{}, map[string]Team{}, map[string]Tier{}
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
@@ -133,7 +135,7 @@
 	return zones, teams, tiers
 }
 
-// ratePerSecond returns the change of a count per second since an earlier view.
+// ratePerSecond formats the increase of a counter per second over the duration d.
 func ratePerSecond(now, before uint64, d time.Duration) string {
 	if d <= 0 || now < before {
 		return "-"
@@ -141,10 +143,10 @@
 	return fmt.Sprintf("%.1f", float64(now-before)/d.Seconds())
 }
 
-// Print writes a view in readable form; rates are relative to the previous view, if there is one.
-func (v *View) Print(out io.Writer, before *View) {
-	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
-	line := func(format string, args ...any) { fmt.Fprintf(t, format+"\n", args...) }
+// Print writes the view as tables. Rates are relative to the previous view; without one they are left out.
+func (v *View) Print(out io.Writer, previous *View) {
+	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	line := func(format string, args ...any) { fmt.Fprintf(table, format+"\n", args...) }
 	s := v.newest()
 	if s == nil {
 		line("no controller answers")
@@ -154,26 +156,26 @@
 	line("CONTROLLER\tNAME\tREADY\tUP\tMACHINES\tREQUESTS/S\tCHANGES/S\tREFUSED\tUNANSWERED\t")
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
 		c, requests, changes := v.Statuses[addr], "-", "-"
-		if before != nil && before.Statuses[addr] != nil {
-			d := v.At.Sub(before.At)
-			requests = ratePerSecond(c.Budget.Requests, before.Statuses[addr].Budget.Requests, d)
-			changes = ratePerSecond(c.Budget.Changes, before.Statuses[addr].Budget.Changes, d)
+		if previous != nil && previous.Statuses[addr] != nil {
+			d := v.At.Sub(previous.At)
+			requests = ratePerSecond(c.Budget.Requests, previous.Statuses[addr].Budget.Requests, d)
+			changes = ratePerSecond(c.Budget.Changes, previous.Statuses[addr].Budget.Changes, d)
 		}
 		line("%s\t%s\t%v\t%v\t%d\t%s of %.0f\t%s of %.0f\t%d\t%d\t", addr, c.Name, c.Ready, time.Duration(c.UpS)*time.Second, c.ReportingMachines,
 			requests, c.Budget.RPS, changes, c.Budget.WriteRPS, c.Budget.Refused, c.Budget.Unanswered)
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 	for _, addr := range slices.Sorted(maps.Keys(v.Unreachable)) {
 		fmt.Fprintf(out, "%s  %s\n", addr, v.Unreachable[addr])
 	}
 }
 
-// printFleet writes what is the same at every controller.
+// printFleet writes the tables about the fleet as a whole; s is the newest status.
 func (v *View) printFleet(line func(string, ...any), s *Status) {
 	line("SHARD\tLEADER\tTOKEN\t")
 	for _, shard := range slices.Sorted(maps.Keys(s.Shards)) {
-		p := s.Shards[shard]
-		line("%s\t%s\t%d\t", shard, cmp.Or(p.Leader, "nobody"), p.FencingToken)
+		state := s.Shards[shard]
+		line("%s\t%s\t%d\t", shard, cmp.Or(state.Leader, "nobody"), state.FencingToken)
 	}
 	for _, addr := range slices.Sorted(maps.Keys(v.Statuses)) {
 		for shard, x := range v.Statuses[addr].Stalls {
@@ -194,7 +196,7 @@
 		line("%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t", name, x.GPUs, x.Share, x.Lent, x.Waiting, x.Reclaims)
 	}
 	line("\nTEAM\tGPUS\tGUARANTEED\tLIMIT\tCPUS\tGUARANTEED\tLIMIT\t")
-	none := func(x float64) string {
+	orNone := func(x float64) string {
 		if x == 0 {
 			return "-"
 		}
@@ -202,7 +204,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
 		x := teams[name]
-		line("%s\t%.0f\t%s\t%s\t%.0f\t%s\t%s\t", name, x.GPUs, none(x.GPUsMin), none(x.GPUsMax), x.CPUs, none(x.CPUsMin), none(x.CPUsMax))
+		line("%s\t%.0f\t%s\t%s\t%.0f\t%s\t%s\t", name, x.GPUs, orNone(x.GPUsMin), orNone(x.GPUsMax), x.CPUs, orNone(x.CPUsMin), orNone(x.CPUsMax))
 	}
 	line("\nZONE\tMACHINES\tOVERDUE\t")
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
--- a/internal/top/top_test.go
+++ b/internal/top/top_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPrint: what all controllers know is taken from the one with the highest revision, what leaders alone know from them,
-// rates are since the view before, and one that does not answer is named.
+// TestPrint checks that information of all controllers is taken from the one with the highest revision, information of
+// leaders is merged, rates are relative to the previous view, and controllers that do not respond are listed.
 func TestPrint(t *testing.T) {
 	at := time.Unix(1e9, 0)
 	view := func(at time.Time, changes uint64) *View {
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -13,16 +13,16 @@
 	"testing"
 )
 
-// testPackages are packages whose logs no operator of the service reads.
+// testPackages are packages for tests and experiments. Operators don't see their logs.
 var testPackages = []string{
 	"internal/simulator", "internal/emulator", "internal/dev", "internal/load",
 	"internal/experiment", "internal/scale", "internal/simtest", "internal/goldentest",
 }
 
-// logLevels are the methods of slog.Logger whose messages operators read.
+// logLevels are the methods of slog.Logger whose messages must be documented for operators.
 var logLevels = []string{"Info", "Warn", "Error"}
 
-// logMessages gives the constant messages that a file logs at info or above.
+// logMessages returns the constant messages that a file logs at level info or above.
 func logMessages(file *ast.File) (messages []string) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
@@ -53,7 +53,7 @@
 	return messages
 }
 
-// isLogger reports whether an expression is named like the loggers of this project.
+// isLogger reports whether an expression has a name that this project gives to loggers.
 func isLogger(x ast.Expr) bool {
 	switch e := x.(type) {
 	case *ast.Ident:
@@ -64,7 +64,8 @@
 	return false
 }
 
-// productLogMessages gives each message of the product's packages with a file that logs it.
+// productLogMessages returns the log messages of all packages below internal except testPackages, each with a file
+// that logs it.
 func productLogMessages(t *testing.T) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
@@ -93,8 +94,8 @@
 	return found
 }
 
-// TestLogMessagesAreDocumented demands a line of the table in docs/operations.md for each message at
-// info or above, and that each line of the table is a message.
+// TestLogMessagesAreDocumented checks that the table in docs/operations.md lists exactly the messages that are logged
+// at level info or above.
 func TestLogMessagesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("docs/operations.md")
 	if err != nil {
@@ -104,7 +105,7 @@
 	table, _, _ = strings.Cut(table, "\n## ")
 	logged := productLogMessages(t)
 	if len(logged) < 30 {
-		t.Errorf("only %d messages were found", len(logged))
+		t.Errorf("only %d log messages were found in the sources", len(logged))
 	}
 	for message, file := range logged {
 		if !strings.Contains(table, "\n| `"+message+"` |") {
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -20,7 +20,7 @@
 	State   TaskState `cbor:"stage"`
 	Cause   Cause     `cbor:"cause,omitempty"`
 	Saved   bool      `cbor:"stored,omitempty"` // whether the task has saved its progress
-	ID      TaskID    `cbor:"-"` // Task in parsed form
+	ID      TaskID    `cbor:"-"`                // Task in parsed form
 }
 
 // Heartbeat is a worker's report about its machine and all tasks on it.
@@ -33,7 +33,7 @@
 	Incarnation        uint64         `cbor:"flight"`
 	Seq                uint64         `cbor:"tally"` // sequence number of the heartbeat
 	FencingToken       uint64         `cbor:"crown"`
-	TerminationNoticeS *float64       `cbor:"notice_s"` // seconds until the cloud terminates the machine; nil without a notice
+	TerminationNoticeS *float64       `cbor:"notice_s"` // seconds until the machine is terminated; nil without a notice
 	Tasks              []ReportedTask `cbor:"cells"`
 }
 
@@ -80,7 +80,7 @@
 	Verb    Verb     `cbor:"verb"`
 	Task    string   `cbor:"cell"`
 	Attempt uint64   `cbor:"try"`
-	GraceS  *float64 `cbor:"grace_s,omitempty"` // seconds that a task has to save its progress before it is stopped
+	GraceS  *float64 `cbor:"grace_s,omitempty"` // seconds in which the task may save its progress
 }
 
 // HeartbeatResponse is the response to a heartbeat.
