--- a/internal/config/tuning.go
+++ b/internal/config/tuning.go
@@ -13,7 +13,7 @@
 	Lease            time.Duration // of a shard's leader in the state service
 	Renew            time.Duration // interval between renewals of that lease
 	RoundTasks       int           // maximum number of launches in one scheduling round
-	RoundWindow      time.Duration
+	RoundWindow      time.Duration // maximum delay of changes that are not urgent, such as the removal of obsolete records
 	Idle             time.Duration // after which an idle machine is released
 	BeginWithin      time.Duration // within which even the largest gangs should start, if the fleet has capacity for them
 	HeartbeatTimeout time.Duration // after which a machine counts as failed; 0 derives it from the heartbeat interval
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,5 +1,5 @@
 // Package wire defines the CBOR messages that amberdeal exchanges with users, workers, the cloud and
-// the state service. No other package defines names on the wire. The cbor tags and the paths are part
+// the state service. No other package defines names of these protocols. The cbor tags and the paths are part
 // of the protocols and must never change. Go names may change, except those of the fields of TaskID and
 // ReportedTask: controllers also send these types to each other with encoding/gob, which matches fields
 // by their Go names.
