--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -25,7 +25,7 @@
 				for _, word := range w[1:] {
 					count, of, _ := strings.Cut(word, ":")
 					c, _ := strconv.Atoi(count)
-					rents = append(rents, scheduler.ScaleOut{Offer: parse(of), Count: c, QueuePosition: num(of)})
+					rents = append(rents, scheduler.ScaleOut{Offer: parseOffer(of), Count: c, QueuePosition: num(of)})
 				}
 				for _, r := range b.Admit(now, rents) {
 					n++
@@ -34,10 +34,10 @@
 					if kv["stored"] != "later" {
 						b.MarkStored(name)
 					}
-					out = append(out, fmt.Sprintf("%s for %d of %s", name, r.Count, show(r.Offer)))
+					out = append(out, fmt.Sprintf("%s for %d of %s", name, r.Count, formatOffer(r.Offer)))
 				}
 			case "left":
-				b.Recover(w[1], scheduler.ScaleOut{Offer: parse(w[2]), Count: num("count")})
+				b.Recover(w[1], scheduler.ScaleOut{Offer: parseOffer(w[2]), Count: num("count")})
 			case "stored":
 				if !b.MarkStored(w[1]) {
 					out = append(out, "drop "+w[1])
@@ -45,7 +45,7 @@
 			case "send": // all that may be sent now, or so many
 				for a := b.Next(now); a != nil && (kv["most"] == "" || len(out) < num("most")); a = b.Next(now) {
 					b.MarkSent(now, a.Name)
-					out = append(out, fmt.Sprintf("send %s for %d of %s", a.Name, a.Count, show(a.Offer)))
+					out = append(out, fmt.Sprintf("send %s for %d of %s", a.Name, a.Count, formatOffer(a.Offer)))
 				}
 			case "got":
 				got, _ := strconv.Atoi(w[2])
@@ -55,15 +55,15 @@
 			case "unanswered":
 				b.MarkUnanswered(w[1])
 			case "returned":
-				b.InstanceReturned(parse(w[1]))
+				b.InstanceReturned(parseOffer(w[1]))
 			case "back":
 				b.ZoneRecovered(w[1])
 			case "wait":
 				d, _ := time.ParseDuration(w[1])
 				now = now.Add(d)
 			case "offer":
-				o := b.stateOf(parse(w[1]))
-				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", b.callWindow(now, parse(w[1])), o.constrained, o.refusalsInARow, b.backingOff(now, parse(w[1]))))
+				o := b.stateOf(parseOffer(w[1]))
+				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", b.callWindow(now, parseOffer(w[1])), o.constrained, o.consecutiveRefusals, b.backingOff(now, parseOffer(w[1]))))
 			default:
 				t.Fatalf("no such step: %s", line)
 			}
@@ -72,13 +72,13 @@
 	})
 }
 
-func parse(text string) scheduler.Offer {
+func parseOffer(text string) scheduler.Offer {
 	text, spot := strings.CutSuffix(text, "/spot")
 	typ, zone, _ := strings.Cut(text, "@")
 	return scheduler.Offer{Type: typ, Zone: zone, Spot: spot}
 }
 
-func show(o scheduler.Offer) string {
+func formatOffer(o scheduler.Offer) string {
 	if o.Spot {
 		return o.Type + "@" + o.Zone + "/spot"
 	}
@@ -89,17 +89,17 @@
 // take a fifth of a second, and as many a second are made as scale-out requests may take.
 type cloudModel struct {
 	*testing.T
-	log      *RequestLog
-	rand     *rand.Rand
-	now      time.Time
-	offers   []scheduler.Offer
-	capacity map[scheduler.Offer]int
-	open     []openCall
-	wanted   int
-	names    int
-	tokens   float64
-
-	calls, refused, got int
+	log          *RequestLog
+	rand         *rand.Rand
+	now          time.Time
+	offers       []scheduler.Offer
+	capacity     map[scheduler.Offer]int
+	open         []openCall
+	wanted       int
+	requestCount int
+	tokens       float64
+
+	calls, refused, acquired int
 }
 
 type openCall struct {
@@ -137,7 +137,7 @@
 			s.open = s.open[1:]
 			n := min(a.Count, s.capacity[a.Offer])
 			s.capacity[a.Offer] -= n
-			s.got += n
+			s.acquired += n
 			s.wanted -= n
 			if n == 0 {
 				s.refused++
@@ -166,19 +166,19 @@
 		}
 	}
 	for _, r := range s.log.Admit(s.now, rents) {
-		s.names++
-		name := fmt.Sprintf("m%05d", s.names)
+		s.requestCount++
+		name := fmt.Sprintf("m%05d", s.requestCount)
 		s.log.Add(s.now, name, r)
 		s.log.MarkStored(name)
 	}
 }
 
 // until runs until so many machines were had, and tells how long that took.
-func (s *cloudModel) until(got int, most time.Duration) time.Duration {
+func (s *cloudModel) runUntil(got int, most time.Duration) time.Duration {
 	begun := s.now
-	for s.got < got {
+	for s.acquired < got {
 		if s.now.Sub(begun) > most {
-			s.Errorf("%d of %d machines after %v", s.got, got, most)
+			s.Errorf("%d of %d machines after %v", s.acquired, got, most)
 			return most
 		}
 		s.run(50 * time.Millisecond)
@@ -205,7 +205,7 @@
 		s.capacity[o] = 300
 	}
 	s.wanted = 2000
-	took := s.until(900, 15*time.Second)
+	took := s.runUntil(900, 15*time.Second)
 	t.Logf("half full: 900 machines after %v by %d calls, %d refused", took, s.calls, s.refused)
 	if s.calls > 45 {
 		t.Errorf("half full: %d calls for 900 machines", s.calls)
@@ -213,21 +213,21 @@
 
 	// Nothing says that there is room again.
 	s.run(2 * time.Minute)
-	calls, got := s.calls, s.got
+	calls, got := s.calls, s.acquired
 	s.capacity[s.offers[4]] = 240
-	took = s.until(got+240, minBackoffLimit+6*time.Second)
+	took = s.runUntil(got+240, minBackoffLimit+6*time.Second)
 	t.Logf("room again, unsaid: 240 machines after %v by %d calls", took, s.calls-calls)
 
 	for _, what := range []string{"a zone is back", "machines are returned"} {
 		s.run(2*time.Minute + 3*time.Second)
-		calls, got = s.calls, s.got
+		calls, got = s.calls, s.acquired
 		s.capacity[s.offers[4]] = 240
 		if what == "a zone is back" {
 			s.log.ZoneRecovered("b")
 		} else {
 			s.log.InstanceReturned(s.offers[4])
 		}
-		took = s.until(got+240, 10*time.Second)
+		took = s.runUntil(got+240, 10*time.Second)
 		t.Logf("room again, %s: 240 machines after %v by %d calls", what, took, s.calls-calls)
 	}
 }
--- a/internal/autoscale/backoff.go
+++ b/internal/autoscale/backoff.go
@@ -9,12 +9,12 @@
 
 // offerState is what is known of an offer's capacity.
 type offerState struct {
-	window         int  // calls that may be open at once
-	constrained    bool // it did not have all that was last requested
-	refusalsInARow int
-	refusedAt      time.Time // the last of them; zero once it no longer matters
-	answeredAt     time.Time
-	capacityHint   bool // it should have capacity again
+	window              int  // calls that may be open at once
+	constrained         bool // it did not have all that was last requested
+	consecutiveRefusals int
+	refusedAt           time.Time // the last of them; zero once it no longer matters
+	answeredAt          time.Time
+	capacityHint        bool // it should have capacity again
 }
 
 // InstanceReturned records that a machine was returned: its offer should have capacity again.
@@ -29,7 +29,7 @@
 func (l *RequestLog) ZoneRecovered(zone string) {
 	for of, o := range l.offers {
 		if of.Zone == zone && o.constrained {
-			o.refusalsInARow, o.refusedAt = 0, time.Time{}
+			o.consecutiveRefusals, o.refusedAt = 0, time.Time{}
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		}
 	}
 	limit := max(minBackoffLimit, min(maxBackoffLimit, wire.Seconds(float64(probeCallShare*constrained)/max(l.callsPerSecond, 0.1))))
-	wait := min(limit, initialBackoff<<min(o.refusalsInARow-1, 8))
+	wait := min(limit, initialBackoff<<min(o.consecutiveRefusals-1, 8))
 	if o.capacityHint {
 		return wait / hintSpeedup
 	}
--- a/internal/autoscale/calls.go
+++ b/internal/autoscale/calls.go
@@ -69,8 +69,8 @@
 	case got >= a.Count:
 		*o = offerState{window: min(2*window, maxOpenCalls), answeredAt: now}
 	default:
-		if o.refusalsInARow++; got > 0 {
-			o.refusalsInARow = 1
+		if o.consecutiveRefusals++; got > 0 {
+			o.consecutiveRefusals = 1
 		}
 		o.window, o.constrained, o.refusedAt, o.capacityHint = 1, true, now, false
 		for _, other := range l.Pending() {
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -6,7 +6,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenDigest: the digest of the configured tiers, which is a condition of every lease, is what it was.
+// TestGoldenDigest checks that the digest of the configured tiers does not change between versions: every lease is
+// conditional on it.
 func TestGoldenDigest(t *testing.T) {
 	goldentest.Text(t, "digest.txt", New([]Tier{goldentest.Filled[Tier](t)}).Digest()+"\n"+New(nil).Digest()+"\n")
 }
--- a/internal/tier/guarantee.go
+++ b/internal/tier/guarantee.go
@@ -5,44 +5,44 @@
 	"slices"
 )
 
-// Guarantee is the number of cards that a tier's guarantee comes to.
+// Guarantee is the number of cards (GPUs) that a tier is guaranteed, in total and by zone.
 type Guarantee struct {
 	Total float64
 	Zones map[string]float64
 }
 
-// Guarantees returns what each tier is guaranteed with the given cards in each zone. If not all guarantees
-// can be met, the last tiers in the order get less first; tiers of the same order share in
-// proportion to what they are guaranteed. A guarantee in a zone is part of the tier's total.
+// Guarantees returns what each tier is guaranteed, given the number of cards in each zone. If not all guarantees
+// can be met, the tiers that come last in the order are reduced first; tiers of the same order are reduced in
+// proportion to their guarantees. A guarantee in a zone is part of the tier's total.
 func (s *Set) Guarantees(cards map[string]float64) []Guarantee {
 	out := make([]Guarantee, len(s.Tiers))
-	left := remaining{zones: maps.Clone(cards)}
+	unassigned := remaining{zones: maps.Clone(cards)}
 	for _, n := range cards {
-		left.total += n
+		unassigned.total += n
 	}
-	all := left.total
+	totalCards := unassigned.total
 	for i := 0; i < len(s.Tiers); {
-		n := i + 1
-		for n < len(s.Tiers) && s.Tiers[n].Order == s.Tiers[i].Order {
-			n++
+		end := i + 1
+		for end < len(s.Tiers) && s.Tiers[end].Order == s.Tiers[i].Order {
+			end++
 		}
-		group := s.Tiers[i:n]
+		group := s.Tiers[i:end]
 		if slices.ContainsFunc(group, func(t Tier) bool { return t.hasGuarantee() }) {
-			left.grantZones(group, cards, out[i:n])
-			left.grantTotals(group, all, out[i:n])
+			unassigned.grantZones(group, cards, out[i:end])
+			unassigned.grantTotals(group, totalCards, out[i:end])
 		}
-		i = n
+		i = end
 	}
 	return out
 }
 
-// remaining is the cards that are not guaranteed to any tier yet.
+// remaining counts the cards that are not assigned to any tier's guarantee yet.
 type remaining struct {
 	zones map[string]float64
 	total float64
 }
 
-// grantZones meets the guarantees of tiers of one order in each zone, as far as the cards last.
+// grantZones assigns cards to the guarantees in each zone for tiers of the same order, as far as cards remain.
 func (r *remaining) grantZones(group []Tier, cards map[string]float64, out []Guarantee) {
 	for _, zone := range slices.Sorted(maps.Keys(cards)) {
 		wants := make([]float64, len(group))
@@ -64,19 +64,20 @@
 	}
 }
 
-// grantTotals meets what the zones leave of the total guarantees of tiers of one order.
-func (r *remaining) grantTotals(group []Tier, all float64, out []Guarantee) {
-	more := make([]float64, len(group))
+// grantTotals assigns cards to the total guarantees of tiers of the same order, less what grantZones has already
+// assigned to them.
+func (r *remaining) grantTotals(group []Tier, totalCards float64, out []Guarantee) {
+	wants := make([]float64, len(group))
 	for k := range group {
-		more[k] = max(0, group[k].Share.Of(all)-out[k].Total)
+		wants[k] = max(0, group[k].Share.Of(totalCards)-out[k].Total)
 	}
-	for k, got := range scaleToFit(more, r.total) {
+	for k, got := range scaleToFit(wants, r.total) {
 		out[k].Total += got
 		r.total -= got
 	}
 }
 
-// scaleToFit divides what is available in proportion to what is wanted.
+// scaleToFit returns the wanted amounts, scaled down in proportion if their sum exceeds what is available.
 func scaleToFit(wants []float64, available float64) []float64 {
 	sum := 0.0
 	for _, w := range wants {
@@ -92,13 +93,13 @@
 	return out
 }
 
-// Usage is the cards that each tier uses, in total and by zone.
+// Usage counts the cards that each tier uses, in total and by zone. Tiers are given by index.
 type Usage struct {
 	Total []float64
 	Zones []map[string]float64
 }
 
-// NewUsage returns a count for all tiers of the set with nothing used.
+// NewUsage returns a Usage for the tiers of the set, with no cards in use.
 func (s *Set) NewUsage() *Usage {
 	u := &Usage{Total: make([]float64, len(s.Tiers)), Zones: make([]map[string]float64, len(s.Tiers))}
 	for i := range u.Zones {
@@ -107,60 +108,60 @@
 	return u
 }
 
-// Add adds cards that a tier uses.
+// Add records that a tier uses more cards in a zone.
 func (u *Usage) Add(tier int, zone string, cards float64) {
 	u.Total[tier] += cards
 	u.Zones[tier][zone] += cards
 }
 
-// epsilon is the largest difference that is a rounding error: sums of fractions of cards are inexact.
+// epsilon is the largest difference that counts as a rounding error: sums of fractions of cards are inexact.
 const epsilon = 1e-6
 
-// Unused returns how many cards of its guarantee a tier does not use, for work that is bound to a
-// zone, or to none for "".
-func Unused(held Guarantee, u *Usage, tier int, zone string) float64 {
-	most := held.Total - u.Total[tier]
-	for z, n := range held.Zones {
+// Unused returns how many cards of its guarantee a tier does not use. The count is for work that must run in the
+// given zone, or for work that can run in any zone if zone is "".
+func Unused(guarantee Guarantee, u *Usage, tier int, zone string) float64 {
+	unused := guarantee.Total - u.Total[tier]
+	for z, n := range guarantee.Zones {
 		if zone == "" || zone == z {
-			most = max(most, n-u.Zones[tier][z])
+			unused = max(unused, n-u.Zones[tier][z])
 		}
 	}
-	return max(0, most)
+	return max(0, unused)
 }
 
-// CanSpare reports whether a tier keeps its guarantee without so many cards in total and in a zone:
-// only what exceeds the guarantee is ever taken from it.
-func CanSpare(held Guarantee, u *Usage, tier int, zone string, all, here float64) bool {
-	return u.Total[tier]-all >= held.Total-epsilon && u.Zones[tier][zone]-here >= held.Zones[zone]-epsilon
+// CanSpare reports whether a tier still has its guarantee after it loses total cards overall, of which inZone are in
+// the given zone. Preemption takes only what a tier uses beyond its guarantee.
+func CanSpare(guarantee Guarantee, u *Usage, tier int, zone string, total, inZone float64) bool {
+	return u.Total[tier]-total >= guarantee.Total-epsilon && u.Zones[tier][zone]-inZone >= guarantee.Zones[zone]-epsilon
 }
 
-// Status compares what a tier uses with its share. Controllers send it to each other: the names of its
+// Status compares the cards that a tier uses with its share. Controllers send it to each other, so the names of its
 // fields are part of the protocol.
 type Status struct {
-	Cards   float64 // in use
-	Share   float64 // guaranteed
-	Lent    float64 // of the share, in use by others
-	Waiting int     // tasks
-	Claims  int     // jobs for which others are being preempted
+	Cards   float64 // cards in use
+	Share   float64 // cards guaranteed
+	Lent    float64 // cards of the share that other tiers use
+	Waiting int     // waiting tasks
+	Claims  int     // jobs for which tasks are being preempted
 }
 
-// Add adds the status of the tier in another shard.
-func (s Status) Add(o Status) Status {
-	return Status{s.Cards + o.Cards, s.Share + o.Share, s.Lent + o.Lent, s.Waiting + o.Waiting, s.Claims + o.Claims}
+// Add returns the sum of the status and that of the same tier in another shard.
+func (s Status) Add(other Status) Status {
+	return Status{s.Cards + other.Cards, s.Share + other.Share, s.Lent + other.Lent, s.Waiting + other.Waiting, s.Claims + other.Claims}
 }
 
-// FillLent fills in what each tier lends: the part of its share that it does not use and that is not free
-// either.
-func FillLent(all []Status, free float64) {
+// FillLent sets the Lent field of each status. A tier lends the part of its share that it does not use, less that
+// tier's proportional part of the free cards.
+func FillLent(statuses []Status, free float64) {
 	unused := 0.0
-	for _, s := range all {
+	for _, s := range statuses {
 		unused += max(0, s.Share-s.Cards)
 	}
 	if unused == 0 {
 		return
 	}
-	part := max(0, unused-free) / unused
-	for i := range all {
-		all[i].Lent = max(0, all[i].Share-all[i].Cards) * part
+	lentFraction := max(0, unused-free) / unused
+	for i := range statuses {
+		statuses[i].Lent = max(0, statuses[i].Share-statuses[i].Cards) * lentFraction
 	}
 }
--- a/internal/tier/preemption.go
+++ b/internal/tier/preemption.go
@@ -9,107 +9,109 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Preemption is what is preempted for the tasks of one job. Each of its reservations is a record of the
-// round that decides it, and only once the store has taken the round is anything stopped. The next
-// leader continues with it: it stops what the reservations name, and nothing else for the tasks
-// that they cover.
+// Preemption describes what is preempted for the tasks of one job. Each of its reservations is written as a record in
+// the scheduling round that decides it, and no attempt is stopped before the store has committed the round. After a
+// failover the next leader continues from these records: it stops the attempts that the reservations name, and no
+// others for the tasks that they cover.
 type Preemption struct{ Reservations []Reservation }
 
-// Reservation is the capacity that is being freed on one machine. It is stored as an array: the order of its
-// fields is part of the format.
+// Reservation is capacity that is being freed on one machine. It is stored as an array, so the order of its fields is
+// part of the format.
 type Reservation struct {
 	_        struct{} `cbor:",toarray"`
 	Machine  string
-	Tier     string            // that gets the capacity back
-	Level    int               // work of this queue level and behind may not use it
-	Tasks    int               // of the job that fit in
-	Deadline int64             // when all named attempts are to be gone, in Unix milliseconds
+	Tier     string            // the tier that gets the capacity back
+	Level    int               // work at this queue level or after it must not use the capacity
+	Tasks    int               // number of the job's tasks that fit into the capacity
+	Deadline int64             // when all attempts in Stops and Awaits must have ended, in Unix milliseconds
 	Stops    map[string]uint64 // attempts that are stopped at once, by task
-	Awaits   map[string]uint64 // attempts that should end in time, and are stopped only if they don't
+	Awaits   map[string]uint64 // attempts expected to end in time and stopped only if they do not, by task
 }
 
 const (
-	// DefaultReclaimWithin bounds how long getting back lent cards may take where nothing is configured: a
-	// stop, the saving of progress and a launch.
+	// DefaultReclaimWithin bounds the time to reclaim lent cards unless a tier configures another bound. The time
+	// covers stopping a task, saving its progress and launching another one.
 	DefaultReclaimWithin = 30 * time.Second
-	// stopLead is how long before the deadline attempts that should have ended are stopped after all: a
-	// stop reaches its machine within a heartbeat, and the launch after it needs as long.
+	// stopLead is how long before the deadline an awaited attempt that has not ended is stopped, not counting the time
+	// to save its progress. A stop takes up to one heartbeat to reach the machine, and so does the launch that follows.
 	stopLead = 8 * time.Second
-	// reservationGrace is how long after the deadline freed capacity still waits for its task: a few rounds.
+	// reservationGrace is how long freed capacity stays reserved after the deadline: a few scheduling rounds.
 	reservationGrace = 5 * time.Second
 )
 
-// EndsInTime reports whether a task is left to end by itself: by its owner's estimate it does before the
-// deadline, and if it does not, there is time to save its progress. left is the rest of the
-// estimate; a task that has exceeded it is never waited for.
+// EndsInTime reports whether a task may run to its end rather than be stopped at once: by its owner's estimate it ends
+// early enough that there would still be time to save its progress before the deadline. remaining is the rest of the
+// estimate; a task that has exceeded its estimate is never waited for.
 func EndsInTime(remaining, checkpoint, within time.Duration) bool {
 	return remaining > 0 && remaining+checkpoint+stopLead <= within
 }
 
-// Facts is what a preemption is reviewed by.
+// Facts is the state of the cluster by which a preemption is reviewed.
 type Facts struct {
 	Now           time.Time
-	WaitingTasks  func(job string) (tasks int, known bool)               // waiting tasks of a job, -1 if it is over
+	WaitingTasks  func(job string) (tasks int, known bool)               // waiting tasks of a job, -1 if it has ended
 	MachineUsable func(machine string) bool                              // whether a machine can run tasks
-	MayOccupy     func(task string, attempt uint64, machine string) bool // whether an attempt may still be there
+	MayOccupy     func(task string, attempt uint64, machine string) bool // whether an attempt may still run on it
 }
 
-// Review returns what is still needed of a preemption, and the attempts that have not stopped in time. A
-// reservation is dropped if its job is over or has its tasks elsewhere, if its machine is gone, or
-// if an attempt that was to stop is still there after the deadline.
-func (c *Preemption) Review(job string, f Facts) (next *Preemption, stuck map[string]uint64) {
+// Review returns the part of a preemption that is still needed, and the attempts that have not stopped in time. A
+// reservation is dropped if its job has ended or its tasks were placed elsewhere, if its machine is not usable, if one
+// of its attempts may still run after the deadline, or if the freed capacity was not used within reservationGrace.
+func (p *Preemption) Review(job string, f Facts) (next *Preemption, stuck map[string]uint64) {
 	waiting, known := f.WaitingTasks(job)
 	if !known {
-		return c, nil
+		return p, nil
 	}
-	candidates, stuck := c.candidates(f)
+	candidates, stuck := p.candidates(f)
 	next = &Preemption{}
-	for _, x := range candidates {
+	for _, c := range candidates {
 		if waiting <= 0 {
 			break
 		}
-		x.Tasks = min(x.Tasks, waiting)
-		waiting -= x.Tasks
-		next.Reservations = append(next.Reservations, x.Reservation)
+		c.Tasks = min(c.Tasks, waiting)
+		waiting -= c.Tasks
+		next.Reservations = append(next.Reservations, c.Reservation)
 	}
 	slices.SortStableFunc(next.Reservations, func(a, b Reservation) int { return cmp.Compare(a.Machine, b.Machine) })
 	return next, stuck
 }
 
-// candidate is a reservation that may be kept.
+// candidate is a reservation that Review may keep.
 type candidate struct {
 	Reservation
-	waits, told int // 1 while an attempt is still there, and if any was told to stop
+	occupied, stopping int // 1 while an attempt is still there, and if any was told to stop
 }
 
-// candidates lists the reservations that can still be used, in the order in which they are kept, and the
-// attempts that have not stopped in time. Free capacity is kept first, and reservations for which
-// nothing was stopped yet are dropped first.
-func (c *Preemption) candidates(f Facts) (out []candidate, stuck map[string]uint64) {
-	for _, r := range c.Reservations {
-		late := f.Now.UnixMilli() - r.Deadline
-		there := r.occupants(f)
+// candidates lists the reservations that can still be used, in the order in which they are kept, and the attempts that
+// have not stopped in time. Reservations whose capacity is already free come first, and among the rest those for which
+// attempts are being stopped come before those that only await attempts.
+func (p *Preemption) candidates(f Facts) (out []candidate, stuck map[string]uint64) {
+	for _, r := range p.Reservations {
+		lateMillis := f.Now.UnixMilli() - r.Deadline
+		occupants := r.occupants(f)
 		switch {
 		case !f.MachineUsable(r.Machine):
-		case len(there) > 0 && late > 0:
+		case len(occupants) > 0 && lateMillis > 0:
 			if stuck == nil {
 				stuck = make(map[string]uint64)
 			}
-			maps.Copy(stuck, there)
-		case late > reservationGrace.Milliseconds():
+			maps.Copy(stuck, occupants)
+		case lateMillis > reservationGrace.Milliseconds():
 		default:
-			out = append(out, candidate{r, min(1, len(there)), min(1, len(r.Stops))})
+			out = append(out, candidate{r, min(1, len(occupants)), min(1, len(r.Stops))})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.waits, b.waits), cmp.Compare(b.told, a.told)) })
+	slices.SortStableFunc(out, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.occupied, b.occupied), cmp.Compare(b.stopping, a.stopping))
+	})
 	return out, stuck
 }
 
-// occupants returns the attempts that a reservation waits for.
+// occupants returns the attempts that may still occupy the reserved capacity.
 func (r *Reservation) occupants(f Facts) map[string]uint64 {
 	out := make(map[string]uint64)
-	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
-		for task, attempt := range named {
+	for _, attempts := range []map[string]uint64{r.Stops, r.Awaits} {
+		for task, attempt := range attempts {
 			if f.MayOccupy(task, attempt, r.Machine) {
 				out[task] = attempt
 			}
@@ -118,10 +120,10 @@
 	return out
 }
 
-// Add returns the preemption with more reservations.
-func (c *Preemption) Add(rooms ...Reservation) *Preemption {
-	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
-	for _, r := range rooms {
+// Add returns a copy of the preemption with more reservations. Reservations on the same machine are merged.
+func (p *Preemption) Add(reservations ...Reservation) *Preemption {
+	next := &Preemption{Reservations: slices.Clone(p.Reservations)}
+	for _, r := range reservations {
 		i := slices.IndexFunc(next.Reservations, func(o Reservation) bool { return o.Machine == r.Machine })
 		if i < 0 {
 			next.Reservations = append(next.Reservations, r)
@@ -136,9 +138,9 @@
 	return next
 }
 
-// WithPlaced returns the preemption after a task of the job was placed into its reservation on a machine.
-func (c *Preemption) WithPlaced(machine string) *Preemption {
-	next := &Preemption{Reservations: slices.Clone(c.Reservations)}
+// WithPlaced returns a copy of the preemption after a task of the job used its reservation on a machine.
+func (p *Preemption) WithPlaced(machine string) *Preemption {
+	next := &Preemption{Reservations: slices.Clone(p.Reservations)}
 	for i := range next.Reservations {
 		if r := &next.Reservations[i]; r.Machine == machine {
 			if r.Tasks--; r.Tasks == 0 {
@@ -159,16 +161,16 @@
 	return out
 }
 
-// DueVictims lists the attempts that are to be stopped by now, by task. save is how long a task takes to save
-// its progress.
-func (c *Preemption) DueVictims(now time.Time, save func(task string) time.Duration) []Victim {
+// DueVictims lists the attempts that must be stopped now, sorted by task. checkpoint returns how long a task takes to
+// save its progress.
+func (p *Preemption) DueVictims(now time.Time, checkpoint func(task string) time.Duration) []Victim {
 	var out []Victim
-	for _, r := range c.Reservations {
+	for _, r := range p.Reservations {
 		for task, attempt := range r.Stops {
 			out = append(out, Victim{task, attempt, r.Machine})
 		}
 		for task, attempt := range r.Awaits {
-			if time.UnixMilli(r.Deadline).Sub(now) <= stopLead+save(task) {
+			if time.UnixMilli(r.Deadline).Sub(now) <= stopLead+checkpoint(task) {
 				out = append(out, Victim{task, attempt, r.Machine})
 			}
 		}
@@ -177,33 +179,33 @@
 	return out
 }
 
-// Victim is an attempt that is preempted.
+// Victim is an attempt that is preempted, and the machine it runs on.
 type Victim struct {
 	Task    string
 	Attempt uint64
 	Machine string
 }
 
-// ID returns the task of a victim.
+// ID returns the task ID of a victim.
 func (v Victim) ID() wire.TaskID {
 	id, _ := wire.ParseTaskID(v.Task)
 	return id
 }
 
-// SizeBound bounds the size of a reservation as a record.
+// SizeBound returns an upper bound on the size of the reservation's record, in bytes.
 func (r *Reservation) SizeBound() int {
 	n := len(r.Machine) + len(r.Tier) + 40
-	for _, named := range []map[string]uint64{r.Stops, r.Awaits} {
-		for task := range named {
+	for _, attempts := range []map[string]uint64{r.Stops, r.Awaits} {
+		for task := range attempts {
 			n += len(task) + 12
 		}
 	}
 	return n
 }
 
-// Reservation returns the reservation on a machine, an empty one if there is none.
-func (c *Preemption) Reservation(machine string) Reservation {
-	for _, r := range c.Reservations {
+// Reservation returns the reservation on a machine, or an empty one if there is none.
+func (p *Preemption) Reservation(machine string) Reservation {
+	for _, r := range p.Reservations {
 		if r.Machine == machine {
 			return r
 		}
--- a/internal/tier/preemptions.go
+++ b/internal/tier/preemptions.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// ReservationKey names the stored record of a reservation.
+// ReservationKey identifies the stored record of a reservation.
 type ReservationKey struct{ Job, Machine string }
 
-// Preemptions holds what a leader preempts for jobs of tiers: the stored reservations as far as they
-// are still needed, and which records no longer match them. It is not safe for concurrent use.
+// Preemptions holds a leader's preemptions by job: the stored reservations that are still needed, and the keys of the
+// records that no longer match them. It is not safe for concurrent use.
 type Preemptions struct {
 	tiers    *Set
 	byJob    map[string]*Preemption
-	stale    map[ReservationKey]bool // records to write anew, or to drop
+	stale    map[ReservationKey]bool // records to rewrite or delete
 	overdue  map[string]uint64       // attempts that have not stopped in time, by task
-	statuses []Status                // by the last plan
+	statuses []Status                // as of the last plan
 }
 
-// NewPreemptions continues with the preemptions that the store holds. Where no tiers are set any
-// more, their records are dropped.
+// NewPreemptions returns the preemptions that the store holds. If no tiers are configured any longer, it drops all of
+// them and marks their records as stale.
 func NewPreemptions(tiers *Set, stored map[string]*Preemption) *Preemptions {
 	p := &Preemptions{tiers: tiers, byJob: stored, stale: make(map[ReservationKey]bool), overdue: make(map[string]uint64)}
 	if tiers.Configured() {
@@ -39,10 +39,10 @@
 // Tiers returns the tiers of the leader's shard.
 func (p *Preemptions) Tiers() *Set { return p.tiers }
 
-// Jobs lists the jobs for which something is preempted, in order.
+// Jobs lists the jobs for which something is preempted, sorted.
 func (p *Preemptions) Jobs() []string { return slices.Sorted(maps.Keys(p.byJob)) }
 
-// For returns the preemption for a job, an empty one where there is none.
+// For returns the preemption for a job, or an empty one if there is none.
 func (p *Preemptions) For(job string) *Preemption {
 	if c := p.byJob[job]; c != nil {
 		return c
@@ -50,12 +50,12 @@
 	return &Preemption{}
 }
 
-// Overdue reports whether an attempt of a task was to stop and has not in time.
+// Overdue reports whether an attempt of a task has not stopped by its deadline.
 func (p *Preemptions) Overdue(task string, attempt uint64) bool { return p.overdue[task] == attempt }
 
-// Review drops the reservations that are no longer needed. It calls report for each task that has not
-// stopped in time. Records that say more than is left can wait for a round that has space: a
-// leader that recovers one finds it of no use as well.
+// Review drops the reservations that are no longer needed, and calls report for each task that has not stopped in
+// time. Stale records need not be rewritten at once and can wait for a round that has space: a leader that recovers
+// one drops it in its own review.
 func (p *Preemptions) Review(f Facts, report func(job, task string)) {
 	for _, job := range p.Jobs() {
 		c := p.byJob[job]
@@ -74,14 +74,14 @@
 	}
 }
 
-// Commit records the preemptions of a round that the store has taken, and for each record of which
-// the round decided whether it is still stale.
+// Commit applies a round that the store has committed: the preemptions that it changed, and for each record that it
+// decided on whether the record is still stale.
 func (p *Preemptions) Commit(changed map[string]*Preemption, stale map[ReservationKey]bool) {
 	for job, c := range changed {
 		p.set(job, c)
 	}
-	for key, still := range stale {
-		if still {
+	for key, isStale := range stale {
+		if isStale {
 			p.stale[key] = true
 		} else {
 			delete(p.stale, key)
@@ -95,7 +95,7 @@
 	}
 }
 
-// MarkStale adds the stale records to those of a round, but for the ones that it has decided on.
+// MarkStale marks the stale records in a round, except for those that the round has already decided on.
 func (p *Preemptions) MarkStale(round map[ReservationKey]bool) {
 	for key := range p.stale {
 		if _, decided := round[key]; !decided {
@@ -104,21 +104,20 @@
 	}
 }
 
-// SortedKeys returns the keys of records in order.
+// SortedKeys returns the keys of records, sorted by job and machine.
 func SortedKeys(records map[ReservationKey]bool) []ReservationKey {
 	return slices.SortedFunc(maps.Keys(records), func(a, b ReservationKey) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Machine, b.Machine))
 	})
 }
 
-// Stop is an attempt that is to be stopped for a job.
+// Stop is an attempt that must be stopped to free capacity for a job.
 type Stop struct {
 	Job    string
 	Victim Victim
 }
 
-// DueStops lists the attempts that are to be stopped by now. checkpoint tells how long a task takes
-// to save its progress.
+// DueStops lists the attempts that must be stopped now. checkpoint returns how long a task takes to save its progress.
 func (p *Preemptions) DueStops(now time.Time, checkpoint func(task string) time.Duration) []Stop {
 	var out []Stop
 	for _, job := range p.Jobs() {
@@ -129,7 +128,8 @@
 	return out
 }
 
-// FirstTierMachines names the machines on which something is preempted for the first tier.
+// FirstTierMachines returns the machines on which something is preempted. The value is true if any of that is for the
+// first tier.
 func (p *Preemptions) FirstTierMachines() map[string]bool {
 	out := make(map[string]bool)
 	for _, c := range p.byJob {
@@ -140,7 +140,7 @@
 	return out
 }
 
-// SetStatuses records how the tiers do by a plan, and adds the preemptions of each.
+// SetStatuses records the status of each tier after a plan, and adds the number of jobs with preemptions to each.
 func (p *Preemptions) SetStatuses(statuses []Status) {
 	p.statuses = statuses
 	for _, c := range p.byJob {
@@ -148,5 +148,6 @@
 	}
 }
 
-// Statuses returns how the tiers do, in their order; nil where none are set.
+// Statuses returns the status of each tier, in the order of the tiers. It is nil if no tiers are configured, and
+// before the first plan.
 func (p *Preemptions) Statuses() []Status { return p.statuses }
--- a/internal/tier/preemptions_test.go
+++ b/internal/tier/preemptions_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// stored returns what the store holds for two jobs, of the first and the second tier.
-func stored() map[string]*Preemption {
-	until := time.Unix(1e9, 0).Add(30 * time.Second).UnixMilli()
+// storedPreemptions returns the preemptions that the store holds for two jobs, one of each of the first two tiers.
+func storedPreemptions() map[string]*Preemption {
+	deadline := time.Unix(1e9, 0).Add(30 * time.Second).UnixMilli()
 	return map[string]*Preemption{
-		"wk-1": {Reservations: []Reservation{{Machine: "n-1", Tier: "live", Tasks: 1, Deadline: until, Stops: map[string]uint64{"wk-7/0": 3}}}},
-		"wk-2": {Reservations: []Reservation{{Machine: "n-2", Tier: "batch", Level: 1, Tasks: 2, Deadline: until, Stops: map[string]uint64{"wk-8/0": 4}}}},
+		"wk-1": {Reservations: []Reservation{{Machine: "n-1", Tier: "live", Tasks: 1, Deadline: deadline, Stops: map[string]uint64{"wk-7/0": 3}}}},
+		"wk-2": {Reservations: []Reservation{{Machine: "n-2", Tier: "batch", Level: 1, Tasks: 2, Deadline: deadline, Stops: map[string]uint64{"wk-8/0": 4}}}},
 	}
 }
 
 var testTiers = New([]Tier{{Name: "live", Order: 1, Share: Share{Cards: 4}}, {Name: "batch", Order: 2}})
 
-// TestPreemptionsWithoutTiers: where tiers are no longer configured, every record is dropped.
+// TestPreemptionsWithoutTiers checks that every record is dropped if tiers are no longer configured.
 func TestPreemptionsWithoutTiers(t *testing.T) {
-	p := NewPreemptions(Default(), stored())
+	p := NewPreemptions(Default(), storedPreemptions())
 	round := map[ReservationKey]bool{{"wk-2", "n-2"}: false}
 	p.MarkStale(round)
 	if got := fmt.Sprint(p.Jobs(), SortedKeys(round), round[ReservationKey{"wk-1", "n-1"}], round[ReservationKey{"wk-2", "n-2"}]); got != "[] [{wk-1 n-1} {wk-2 n-2}] true false" {
@@ -27,10 +27,10 @@
 	}
 }
 
-// TestPreemptionsReview: what is no longer needed is dropped and its record is stale until a round has
-// written it; what has not stopped in time is reported.
+// TestPreemptionsReview checks that reservations that are no longer needed are dropped, that their records are stale
+// until a round has written them, and that tasks that have not stopped in time are reported.
 func TestPreemptionsReview(t *testing.T) {
-	p := NewPreemptions(testTiers, stored())
+	p := NewPreemptions(testTiers, storedPreemptions())
 	now := time.Unix(1e9, 0)
 	facts := func(waiting int) Facts {
 		return Facts{Now: now, WaitingTasks: func(string) (int, bool) { return waiting, true }, MachineUsable: func(string) bool { return true },
--- a/internal/tier/tier.go
+++ b/internal/tier/tier.go
@@ -1,7 +1,7 @@
-// Package tier orders work by tiers that operators configure: which work goes first, how many GPUs
-// each tier is guaranteed, which of them are lent to others while the tier does not need them, and
-// which tasks are preempted to get them back. It does no I/O: snapshots and times are arguments,
-// and preemptions are records that the leader writes in a round before anything is stopped.
+// Package tier orders work by the tiers that operators configure: which work is served first, how many GPUs each tier
+// is guaranteed, which of them are lent to other tiers while the tier does not need them, and which tasks are
+// preempted to reclaim them. It does no I/O: snapshots and times are arguments, and preemptions are records that the
+// leader writes in a scheduling round before anything is stopped.
 package tier
 
 import (
@@ -19,18 +19,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Share is what a tier is guaranteed: a number of cards (GPUs), or a fraction of those that exist.
+// Share is the guarantee of a tier as configured: a number of cards (GPUs), or a fraction of those that exist.
 type Share struct{ Cards, Fraction float64 }
 
-// Of returns the guaranteed number of a total.
+// Of returns the number of cards guaranteed out of the given number.
 func (s Share) Of(cards float64) float64 {
 	if s.Fraction > 0 {
-		return math.Floor(s.Fraction*cards + 1e-6) // or 30% of 10 might be 2
+		return math.Floor(s.Fraction*cards + 1e-6) // 30% of 10 might be 2 otherwise
 	}
 	return s.Cards
 }
 
-// String returns the share as it is written in the settings.
+// String returns the share in the notation of the settings file.
 func (s Share) String() string {
 	if s.Fraction > 0 {
 		return strconv.FormatFloat(s.Fraction*100, 'g', -1, 64) + "%"
@@ -38,28 +38,28 @@
 	return strconv.FormatFloat(s.Cards, 'g', -1, 64)
 }
 
-// Tier is a tier of work. An empty list of priorities, classes or teams admits all.
+// Tier is the configuration of one tier. An empty list of priorities, classes or teams admits all.
 type Tier struct {
 	Name          string
-	Order         int // the lowest goes first
+	Order         int // tiers with a lower order are served first
 	Priorities    []string
 	Classes       []string
 	Teams         []string
-	InTeam        bool             // it admits only work within its team's guarantee
-	Share         Share            // of all cards
-	Zones         map[string]Share // of the cards of each zone
-	ReclaimWithin time.Duration    // bound on how long getting back lent cards may take
-	LendsTo       []string         // tiers that may use what is free of the share; nil stands for all
+	InTeam        bool             // whether only work within its team's guarantee is admitted
+	Share         Share            // guarantee out of all cards
+	Zones         map[string]Share // guarantee out of the cards of each zone
+	ReclaimWithin time.Duration    // upper bound on the time to reclaim lent cards
+	LendsTo       []string         // tiers that may use the unused part of the share; nil means all tiers
 }
 
 // hasGuarantee reports whether the tier has any guarantee.
 func (t *Tier) hasGuarantee() bool { return t.Share != (Share{}) || len(t.Zones) > 0 }
 
-// lendsToTier reports whether another tier may use what is free of the share.
+// lendsToTier reports whether another tier may use the unused part of the share.
 func (t *Tier) lendsToTier(to string) bool { return t.LendsTo == nil || slices.Contains(t.LendsTo, to) }
 
-// canonical describes a tier in full, in the same way for any order of its lists. Digests are made of it:
-// two versions of the program must agree on it.
+// canonical returns a full description of the tier that does not depend on the order of its lists. Digests are
+// computed from it, so all versions of the program must produce the same text.
 func (t *Tier) canonical() string {
 	list := func(names []string) string { return strings.Join(slices.Sorted(slices.Values(names)), ",") }
 	zones := make([]string, 0, len(t.Zones))
@@ -70,12 +70,12 @@
 		list(t.Classes), list(t.Teams), t.InTeam, t.Share, strings.Join(zones, ","), t.ReclaimWithin, list(t.LendsTo), t.LendsTo == nil)
 }
 
-// Workload is the attributes of a job that decide its tier.
+// Workload holds the attributes of a job that decide its tier.
 type Workload struct {
 	Priority    wire.Priority
 	Class, Team string
 	Service     bool
-	Guaranteed  bool // within its team's guarantee
+	Guaranteed  bool // whether the job is within its team's guarantee
 }
 
 func (t *Tier) matches(w Workload) bool {
@@ -83,18 +83,17 @@
 	return in(t.Priorities, string(w.Priority)) && in(t.Classes, w.Class) && in(t.Teams, w.Team) && (!t.InTeam || w.Guaranteed)
 }
 
-// Set is all tiers in their order, the first one being served first. The last tier holds the work that no
-// other admits.
+// Set is all tiers in the order in which they are served. The last tier holds the work that no other tier admits.
 type Set struct {
 	Tiers      []Tier
 	configured bool
 }
 
-// restName names the tier of work that no other admits. Cards may be lent to it, as to any.
-const restName = "rest"
+// catchAllName is the name of the tier for work that no other tier admits. Cards may be lent to it as to any other.
+const catchAllName = "rest"
 
-// Default returns the tiers without settings: production, work within its team's guarantee, and then
-// by priority.
+// Default returns the tiers that apply if none are configured: production work, then work within its team's guarantee,
+// then other work by priority.
 func Default() *Set {
 	of := func(p wire.Priority) Tier { return Tier{Name: string(p), Priorities: []string{string(p)}} }
 	return newSet([]Tier{of(wire.Production), {Name: "guaranteed", InTeam: true}, of(wire.High), of(wire.Normal), of(wire.Low)})
@@ -113,25 +112,25 @@
 }
 
 func newSet(tiers []Tier) *Set {
-	return &Set{Tiers: append(tiers, Tier{Name: restName, Order: math.MaxInt})}
+	return &Set{Tiers: append(tiers, Tier{Name: catchAllName, Order: math.MaxInt})}
 }
 
 // Configured reports whether tiers are configured.
 func (s *Set) Configured() bool { return s != nil && s.configured }
 
-// IndexOf returns the index of the first tier that admits a job.
+// IndexOf returns the index of the first tier that admits the workload.
 func (s *Set) IndexOf(w Workload) int {
 	return slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.matches(w) })
 }
 
-// InFirst reports whether a job is of the first tier, leaving its team's guarantee aside.
+// InFirst reports whether a job belongs to the first tier, without regard to its team's guarantee.
 func (s *Set) InFirst(j *wire.Job) bool {
 	return s.IndexOf(Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service}) == 0
 }
 
-// PerShard returns the tiers for each of several shards of the fleet: numbers of cards are divided
-// evenly, those of a zone only if it belongs to several shards. Fractions are of a shard's own
-// cards, so that their sum is never exceeded.
+// PerShard returns the tiers as they apply to each of the given number of shards of the fleet. Numbers of cards are
+// divided evenly; those of a zone are divided only if zones span shards (zoned is false). Fractions apply to the
+// shard's own cards, so their sum over all shards never exceeds the configured fraction.
 func (s *Set) PerShard(shards int, zoned bool) *Set {
 	out := &Set{slices.Clone(s.Tiers), s.configured}
 	for i := range out.Tiers {
@@ -148,10 +147,10 @@
 	return out
 }
 
-// Lends reports whether a tier lends what is free of its share to another, both given by index.
+// Lends reports whether a tier lends the unused part of its share to another. Both are given by index.
 func (s *Set) Lends(from, to int) bool { return s.Tiers[from].lendsToTier(s.Tiers[to].Name) }
 
-// IndexOfName returns the index of a tier by its name, that of the last one if the name is unknown.
+// IndexOfName returns the index of the tier with the given name, or of the last tier if the name is unknown.
 func (s *Set) IndexOfName(name string) int {
 	if i := slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.Name == name }); i >= 0 {
 		return i
@@ -159,7 +158,7 @@
 	return len(s.Tiers) - 1
 }
 
-// Digest identifies the configuration of the tiers; it is empty for the default.
+// Digest identifies the configuration of the tiers. It is empty if none are configured.
 func (s *Set) Digest() string {
 	if !s.Configured() {
 		return ""
@@ -171,9 +170,9 @@
 	return hex.EncodeToString(h.Sum(nil)[:8])
 }
 
-// MayPreempt reports whether the protocol allows a job to be preempted for another: it is of lower
-// priority, or beyond its own team's guarantee while the other is within that of its team. Tiers
-// never allow more.
+// MayPreempt reports whether the protocol allows the victim to be preempted: it has lower priority, or it is beyond
+// its team's guarantee while the preempting job is within the guarantee of another team. A service is preempted only
+// by priority. Tiers never allow more.
 func MayPreempt(by, victim *Workload, beyondQuota bool) bool {
 	return victim.Priority.Rank() < by.Priority.Rank() || by.Guaranteed && victim.Team != by.Team && !victim.Service && beyondQuota
 }
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -13,18 +13,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// traceModel is what the kept traces are played on.
+// traceModel executes the steps of the traces in testdata.
 type traceModel struct {
-	t     *testing.T
-	now   time.Time
-	tiers []Tier
-	claim *Preemption
-	on    map[string]string // machine of each attempt that is still there
-	dead  map[string]bool
+	t              *testing.T
+	now            time.Time
+	tiers          []Tier
+	preemption     *Preemption
+	attemptMachine map[string]string // the machine of each running attempt, by task
+	unusable       map[string]bool
 }
 
-func (b *traceModel) step(line string) []string {
-	w, kv := simulator.Words(line)
+func (m *traceModel) step(line string) []string {
+	words, kv := simulator.Words(line)
 	num := func(key string) float64 {
 		n, _ := strconv.ParseFloat(kv[key], 64)
 		return n
@@ -36,9 +36,9 @@
 		}
 		return Share{Cards: n}
 	}
-	switch w[0] {
+	switch words[0] {
 	case "tier":
-		t := Tier{Name: w[1], Order: int(num("order")), Share: share(kv["cards"]), Zones: map[string]Share{}}
+		t := Tier{Name: words[1], Order: int(num("order")), Share: share(kv["cards"]), Zones: map[string]Share{}}
 		for _, zone := range []string{"a", "b"} {
 			if kv[zone] != "" {
 				t.Zones[zone] = share(kv[zone])
@@ -51,45 +51,45 @@
 			t.Classes = strings.Split(kv["class"], ",")
 		}
 		t.InTeam = kv["in_team"] != ""
-		b.tiers = append(b.tiers, t)
-	case "work": // which tier has it
-		s := New(b.tiers)
+		m.tiers = append(m.tiers, t)
+	case "work": // the tier that admits such work
+		s := New(m.tiers)
 		return []string{s.Tiers[s.IndexOf(Workload{Priority: wire.Priority(kv["priority"]), Class: kv["class"], Guaranteed: kv["in_team"] != ""})].Name}
-	case "fit": // with so many cards in each zone
+	case "fit": // the guarantees, given the number of cards in each zone
 		cards := make(map[string]float64)
 		for zone := range kv {
 			cards[zone] = num(zone)
 		}
-		s, out := New(b.tiers), []string{}
+		s, out := New(m.tiers), []string{}
 		for i, h := range s.Guarantees(cards) {
-			if len(b.tiers) > 0 && s.Tiers[i].Name != restName {
+			if len(m.tiers) > 0 && s.Tiers[i].Name != catchAllName {
 				out = append(out, fmt.Sprintf("%s holds %.4g, by zone %v", s.Tiers[i].Name, h.Total, h.Zones))
 			}
 		}
 		return out
-	case "claim": // room for a job on a machine: who is stopped, and who is waited for
-		r := Reservation{Machine: w[1], Tier: "live", Tasks: int(num("tasks")), Deadline: b.now.Add(30 * time.Second).UnixMilli(), Stops: map[string]uint64{}, Awaits: map[string]uint64{}}
-		for key, named := range map[string]map[string]uint64{"stops": r.Stops, "awaits": r.Awaits} {
+	case "claim": // reserve capacity on a machine: which tasks are stopped, and which are awaited
+		r := Reservation{Machine: words[1], Tier: "live", Tasks: int(num("tasks")), Deadline: m.now.Add(30 * time.Second).UnixMilli(), Stops: map[string]uint64{}, Awaits: map[string]uint64{}}
+		for key, attempts := range map[string]map[string]uint64{"stops": r.Stops, "awaits": r.Awaits} {
 			for _, task := range strings.FieldsFunc(kv[key], func(r rune) bool { return r == ',' }) {
-				named[task], b.on[task] = 1, w[1]
+				attempts[task], m.attemptMachine[task] = 1, words[1]
 			}
 		}
-		b.claim = b.claim.Add(r)
-	case "left": // these attempts are gone
-		for _, task := range w[1:] {
-			delete(b.on, task)
+		m.preemption = m.preemption.Add(r)
+	case "left": // the attempts of these tasks have ended
+		for _, task := range words[1:] {
+			delete(m.attemptMachine, task)
 		}
 	case "gone":
-		b.dead[w[1]] = true
+		m.unusable[words[1]] = true
 	case "placed":
-		b.claim = b.claim.WithPlaced(w[1])
+		m.preemption = m.preemption.WithPlaced(words[1])
 	case "wait":
-		d, _ := time.ParseDuration(w[1])
-		b.now = b.now.Add(d)
-	case "review": // with so many tasks waiting, -1 where the job is over
-		next, stuck := b.claim.Review("wk-9", Facts{Now: b.now, WaitingTasks: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
-			MachineUsable: func(m string) bool { return !b.dead[m] }, MayOccupy: func(task string, _ uint64, m string) bool { return b.on[task] == m }})
-		b.claim = next
+		d, _ := time.ParseDuration(words[1])
+		m.now = m.now.Add(d)
+	case "review": // with the given number of waiting tasks, -1 if the job has ended
+		next, stuck := m.preemption.Review("wk-9", Facts{Now: m.now, WaitingTasks: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
+			MachineUsable: func(machine string) bool { return !m.unusable[machine] }, MayOccupy: func(task string, _ uint64, machine string) bool { return m.attemptMachine[task] == machine }})
+		m.preemption = next
 		var out []string
 		for _, r := range next.Reservations {
 			out = append(out, fmt.Sprintf("room for %d on %s", r.Tasks, r.Machine))
@@ -97,8 +97,8 @@
 		for _, task := range slices.Sorted(maps.Keys(stuck)) {
 			out = append(out, task+" does not stop")
 		}
-		for _, v := range next.DueVictims(b.now, func(string) time.Duration { return time.Second }) {
-			if b.on[v.Task] != "" {
+		for _, v := range next.DueVictims(m.now, func(string) time.Duration { return time.Second }) {
+			if m.attemptMachine[v.Task] != "" {
 				out = append(out, "stop "+v.Task)
 			}
 		}
@@ -107,34 +107,34 @@
 		}
 		return out
 	default:
-		b.t.Fatalf("no such step: %s", line)
+		m.t.Fatalf("unknown step: %s", line)
 	}
 	return nil
 }
 
-// TestTraces plays the kept traces.
+// TestTraces replays the traces in testdata.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
-		return (&traceModel{t: t, now: time.Unix(1e9, 0), claim: &Preemption{}, on: map[string]string{}, dead: map[string]bool{}}).step
+		return (&traceModel{t: t, now: time.Unix(1e9, 0), preemption: &Preemption{}, attemptMachine: map[string]string{}, unusable: map[string]bool{}}).step
 	})
 }
 
-// TestFitNeverTooMuch: whatever is configured, the guarantees never exceed the cards that exist, in total
-// and in each zone, and a tier never gets less because of one that is served after it.
-func TestFitNeverTooMuch(t *testing.T) {
+// TestGuaranteesNeverExceedCards checks that for any configuration the guarantees never exceed the existing cards, in
+// total and in each zone, and that a tier never gets less because of a tier that is served after it.
+func TestGuaranteesNeverExceedCards(t *testing.T) {
 	for i := range 4000 {
 		n := func(k, most int) float64 { return float64((i*7919 + k*104729 + i/7*k) % most) }
 		tiers := []Tier{{Name: "x", Order: 1, Share: Share{Cards: n(1, 40)}, Zones: map[string]Share{"a": {Cards: n(2, 20)}}},
 			{Name: "y", Order: 1 + i%2, Share: Share{Fraction: n(3, 60) / 100}, Zones: map[string]Share{"a": {Fraction: n(4, 80) / 100}, "b": {Cards: n(5, 30)}}}}
 		cards := map[string]float64{"a": n(6, 40), "b": n(7, 40)}
-		held := New(tiers).Guarantees(cards)
+		guarantees := New(tiers).Guarantees(cards)
 		alone := New(tiers[:1]).Guarantees(cards)
-		if held[0].Total+held[1].Total > cards["a"]+cards["b"]+epsilon || i%2 == 1 && held[0].Total < alone[0].Total-epsilon {
-			t.Fatalf("%v: %+v, alone %+v", cards, held, alone[0])
+		if guarantees[0].Total+guarantees[1].Total > cards["a"]+cards["b"]+epsilon || i%2 == 1 && guarantees[0].Total < alone[0].Total-epsilon {
+			t.Fatalf("%v: %+v, alone %+v", cards, guarantees, alone[0])
 		}
 		for z, c := range cards {
-			if held[0].Zones[z]+held[1].Zones[z] > c+epsilon {
-				t.Fatalf("%v: %+v", cards, held)
+			if guarantees[0].Zones[z]+guarantees[1].Zones[z] > c+epsilon {
+				t.Fatalf("%v: %+v", cards, guarantees)
 			}
 		}
 	}
--- a/internal/zone/calllog.go
+++ b/internal/zone/calllog.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CallLog keeps the recent results of a controller's calls to machines, for what they tell of zones.
+// CallLog keeps the recent results of a controller's calls to machines, as evidence of whether zones can be reached.
 // The zero value is empty.
 type CallLog struct {
 	results []callResult
@@ -15,31 +15,31 @@
 }
 
 const (
-	// callMaxAge is how long a result counts: about two rounds of calls.
+	// callMaxAge is how long a result is taken into account: about two rounds of calls.
 	callMaxAge = 5 * time.Second
-	// maxCallResults bounds the results that are kept.
+	// maxCallResults bounds the number of results that are kept. Beyond it, the older half is dropped.
 	maxCallResults = 256
 )
 
-// Record keeps the result of a call.
+// Record adds the result of a call to a machine in a zone.
 func (c *CallLog) Record(now time.Time, zone string, ok bool) {
 	if c.results = append(c.results, callResult{now, zone, ok}); len(c.results) > maxCallResults {
 		c.results = append(c.results[:0], c.results[maxCallResults/2:]...)
 	}
 }
 
-// AddTo adds the results to the observations of each zone.
+// AddTo adds the recent results to the observations of each zone.
 func (c *CallLog) AddTo(now time.Time, observations map[string]Observation) {
-	for _, m := range c.results {
-		if now.Sub(m.at) >= callMaxAge {
+	for _, result := range c.results {
+		if now.Sub(result.at) >= callMaxAge {
 			continue
 		}
-		s := observations[m.zone]
-		if m.ok {
-			s.Answered++
+		observation := observations[result.zone]
+		if result.ok {
+			observation.Answered++
 		} else {
-			s.Vain++
+			observation.Vain++
 		}
-		observations[m.zone] = s
+		observations[result.zone] = observation
 	}
 }
--- a/internal/zone/evidence.go
+++ b/internal/zone/evidence.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Evidence is what a leader judges zones by.
+// Evidence holds the observations from which a leader determines the states of zones.
 type Evidence struct {
-	Own           Observer             // what it observes, heartbeats that peers forward included
-	LastHeartbeat map[string]time.Time // the last heartbeat from each zone
-	CannotJudge   bool                 // it paused or was elected just now: missing heartbeats say nothing
-	Peers         map[string]Observer  // peers whose heartbeats arrive
+	Own           Observer             // the leader's observations, including heartbeats that peers forward
+	LastHeartbeat map[string]time.Time // the time of the last heartbeat from each zone
+	CannotJudge   bool                 // the leader has just paused or been elected: missing heartbeats prove nothing
+	Peers         map[string]Observer  // the peers from which heartbeats arrive
 	Controllers   int                  // the number of controllers
 }
 
-// canJudge reports whether the leader's own observations say anything of a zone: another zone is
-// healthy, which is not only the one that the leader runs in. A leader that is connected to no
-// other zone may be cut off together with its own, unless most controllers are connected as well.
+// canJudge reports whether the leader's own observations are evidence about a zone. For that, another zone must be
+// healthy. If the only such zone is the leader's own, heartbeats from a quorum of controllers must arrive as well: a
+// leader that is connected to no other zone may be partitioned together with its own zone.
 func (e *Evidence) canJudge(zone string) bool {
 	if e.CannotJudge {
 		return false
 	}
 	quorum := (len(e.Peers)+1)*2 > e.Controllers
-	for name, s := range e.Own.Observations {
-		if name != zone && s.healthy() && (name != e.Own.Zone || quorum) {
+	for name, observation := range e.Own.Observations {
+		if name != zone && observation.healthy() && (name != e.Own.Zone || quorum) {
 			return true
 		}
 	}
 	return false
 }
 
-// votes counts the controllers outside a zone: all of them, those that say it is reachable and
-// those that say it is unreachable. The leader is one of them if it runs outside the zone.
+// votes counts the controllers outside a zone: all of them, those that find it reachable and those that find it
+// unreachable. The leader is included if it runs outside the zone.
 func (e *Evidence) votes(zone string) (outside, reachable, unreachable int) {
-	for _, w := range e.Peers {
-		if w.Zone == zone {
-			continue // a zone that is cut off still reaches itself
+	for _, peer := range e.Peers {
+		if peer.Zone == zone {
+			continue // controllers in a partitioned zone still reach its machines
 		}
 		outside++
-		switch w.verdictOn(zone) {
-		case saysReachable:
+		switch peer.verdictOn(zone) {
+		case verdictReachable:
 			reachable++
-		case saysUnreachable:
+		case verdictUnreachable:
 			unreachable++
 		}
 	}
@@ -56,17 +56,17 @@
 	return outside, reachable, unreachable
 }
 
-// majorityUnreachable reports whether most of the controllers outside a zone that can judge find it unreachable, and
-// at least two where there are two outside.
+// majorityUnreachable reports whether most of the controllers that run outside a zone and can judge it find it
+// unreachable. If two or more controllers run outside, at least two must do so.
 func (e *Evidence) majorityUnreachable(zone string) bool {
 	outside, reachable, unreachable := e.votes(zone)
 	return unreachable > reachable && unreachable >= min(2, outside)
 }
 
-// recovered reports whether machines of an unreachable zone send heartbeats again: to the leader, after
-// the outage began, from more than the few machines that made no difference then, and to a leader
-// that runs outside the zone or can judge it; or to two other controllers while no majority
-// finds the zone unreachable.
+// recovered reports whether machines of an unreachable zone send heartbeats again. One of two conditions must hold:
+//   - The leader has received heartbeats since the outage began, from at least one machine in ten (fewer do not keep a
+//     zone from being unreachable), and the leader runs outside the zone or can judge it.
+//   - At least two controllers outside the zone find it reachable, and no majority finds it unreachable.
 func (e *Evidence) recovered(zone string, r Record) bool {
 	own := e.Own.Observations[zone]
 	if own.Heard > 0 && e.LastHeartbeat[zone].After(r.Since) && own.Heard*9 >= own.Quiet && (e.Own.Zone != zone || e.canJudge(zone)) {
@@ -76,10 +76,10 @@
 	return reachable >= 2 && !e.majorityUnreachable(zone)
 }
 
-// summary describes the evidence, for logs.
+// summary describes the evidence about a zone for the log.
 func (e *Evidence) summary(zone string) string {
 	own := e.Own.Observations[zone]
-	outside, hear, none := e.votes(zone)
+	outside, reachable, unreachable := e.votes(zone)
 	return fmt.Sprintf("here %d heard, %d quiet, %d given up; of %d controllers outside %d hear it and %d don't",
-		own.Heard, own.Quiet, own.Lost, outside, hear, none)
+		own.Heard, own.Quiet, own.Lost, outside, reachable, unreachable)
 }
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenStates: the states of a zone are stored in the words that they had.
+// TestGoldenStates checks that the stored texts of the zone states do not change between versions.
 func TestGoldenStates(t *testing.T) {
 	words := []string{string(Up), string(Suspected), string(Unreachable), string(Recovering)}
 	goldentest.Text(t, "states.txt", strings.Join(words, "\n")+"\n")
--- a/internal/zone/observation.go
+++ b/internal/zone/observation.go
@@ -1,65 +1,65 @@
 package zone
 
-// Observation counts what a controller observes of a zone's machines. Controllers send it to each
-// other: the names of its fields are part of the protocol.
+// Observation counts what a controller observes of a zone's machines. Controllers send it to each other, so the names
+// of its fields are part of the protocol.
 type Observation struct {
-	Heard, Quiet   int // machines whose last heartbeat is recent, and overdue
-	Lost           int // machines that were lately evicted because their heartbeats were missing
-	Answered, Vain int // recent calls from this controller that were answered, and that failed
+	Heard, Quiet   int // machines whose last heartbeat is recent, and machines whose heartbeat is overdue
+	Lost           int // machines that were recently evicted because their heartbeats were missing
+	Answered, Vain int // recent calls from this controller to machines that were answered, and that failed
 }
 
-// minMissing is how many machines must be missing before a zone is suspected: fewer may fail by coincidence.
+// minMissing is how many machines must be missing before a zone is suspected. Fewer may fail by coincidence.
 const minMissing = 4
 
-// unreachable reports whether nine of ten machines are missing, and enough of them to judge by.
-func (s Observation) unreachable() bool {
-	missing := s.Quiet + s.Lost
-	return missing >= minMissing && missing*10 >= (s.Heard+missing)*9
+// unreachable reports whether at least nine of ten machines are missing, and at least minMissing of them.
+func (o Observation) unreachable() bool {
+	missing := o.Quiet + o.Lost
+	return missing >= minMissing && missing*10 >= (o.Heard+missing)*9
 }
 
 // mostlyMissing reports whether more than half of the machines are missing.
-func (s Observation) mostlyMissing() bool { return (s.Quiet+s.Lost)*2 > s.Heard+s.Quiet+s.Lost }
+func (o Observation) mostlyMissing() bool { return (o.Quiet+o.Lost)*2 > o.Heard+o.Quiet+o.Lost }
 
-// healthy reports whether at most a third of the machines is missing.
-func (s Observation) healthy() bool {
-	missing := s.Quiet + s.Lost
-	return s.Heard > 0 && missing*3 <= s.Heard+missing
+// healthy reports whether some machine sends heartbeats and at most a third of the machines are missing.
+func (o Observation) healthy() bool {
+	missing := o.Quiet + o.Lost
+	return o.Heard > 0 && missing*3 <= o.Heard+missing
 }
 
-// Observer is a controller and what it observes.
+// Observer is a controller and its observations of each zone.
 type Observer struct {
-	Zone         string // in which it runs
+	Zone         string // the zone in which the controller runs
 	Observations map[string]Observation
 }
 
-// verdict is what the observations of a controller say of a zone.
+// verdict is a controller's judgement of whether a zone is reachable.
 type verdict int
 
 const (
-	undecided verdict = iota
-	saysReachable
-	saysUnreachable
+	verdictUndecided verdict = iota
+	verdictReachable
+	verdictUnreachable
 )
 
-// verdictOn gives the verdict of a peer outside a zone. It is undecided if the peer receives hardly any
-// heartbeats from elsewhere and none of its calls there is answered: all heartbeats may go to other
-// controllers, or the peer may be partitioned.
-func (w Observer) verdictOn(zone string) verdict {
-	s, reachesElsewhere := w.Observations[zone], false
-	hearsElsewhere := false
-	for name, o := range w.Observations {
+// verdictOn returns the verdict of a controller that runs outside a zone. It is undecided if the controller receives
+// hardly any heartbeats from other zones and no machine there answers its calls: all heartbeats may go to other
+// controllers, or the controller may be partitioned.
+func (o Observer) verdictOn(zone string) verdict {
+	observation, callsAnsweredElsewhere := o.Observations[zone], false
+	heartbeatsElsewhere := false
+	for name, other := range o.Observations {
 		if name != zone {
-			hearsElsewhere = hearsElsewhere || o.healthy()
-			reachesElsewhere = reachesElsewhere || o.Answered > 0
+			heartbeatsElsewhere = heartbeatsElsewhere || other.healthy()
+			callsAnsweredElsewhere = callsAnsweredElsewhere || other.Answered > 0
 		}
 	}
 	switch {
-	case !hearsElsewhere && !reachesElsewhere:
-		return undecided
-	case s.Answered > 0 || s.Heard > 0 && s.Heard >= s.Quiet:
-		return saysReachable
-	case s.Quiet >= 2 || s.Vain >= 2 && reachesElsewhere: // failed calls count only if others are answered
-		return saysUnreachable
+	case !heartbeatsElsewhere && !callsAnsweredElsewhere:
+		return verdictUndecided
+	case observation.Answered > 0 || observation.Heard > 0 && observation.Heard >= observation.Quiet:
+		return verdictReachable
+	case observation.Quiet >= 2 || observation.Vain >= 2 && callsAnsweredElsewhere: // failed calls count only if others are answered
+		return verdictUnreachable
 	}
-	return undecided
+	return verdictUndecided
 }
--- a/internal/zone/probe.go
+++ b/internal/zone/probe.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// A zone in which no machines are requested is probed: a single machine is requested, and the next one
-// after an interval that doubles. A cloud and a network that work again are found so without
-// waiting for the heartbeats of machines from before the outage.
+// A zone that does not accept scale-out is probed: a single machine is requested there, and another one after an
+// interval that doubles each time. This way the recovery of the cloud and the network is noticed without waiting for
+// heartbeats of machines from before the outage.
 const (
-	initialProbeInterval = 4 * time.Second  // shorter than a machine takes to boot, which is what a probe waits for
-	maxProbeInterval     = 30 * time.Second // a bound on how long a zone that works again goes unnoticed
+	initialProbeInterval = 4 * time.Second  // shorter than the boot time of a machine, for which a probe waits
+	maxProbeInterval     = 30 * time.Second // bounds how long the recovery of a zone goes unnoticed
 )
 
-// probe counts the probes of a zone.
+// probe holds the time of the last probe of a zone and the number of its probes.
 type probe struct {
 	lastAt time.Time
 	count  int
 }
 
-// ProbeDue reports whether a machine is to be requested in a zone that does not accept scale-out.
-func (z *Tracker) ProbeDue(now time.Time, zone string) bool {
-	r, p := z.Record(zone), z.probes[zone]
+// ProbeDue reports whether it is time to request a machine in a zone that does not accept scale-out.
+func (t *Tracker) ProbeDue(now time.Time, zone string) bool {
+	r, p := t.Record(zone), t.probes[zone]
 	if r.AcceptsScaleOut(now) {
 		return false
 	}
@@ -29,7 +29,7 @@
 	return now.Sub(since) >= min(maxProbeInterval, initialProbeInterval<<min(p.count, 8))
 }
 
-// MarkProbed records that a zone is being probed.
-func (z *Tracker) MarkProbed(now time.Time, zone string) {
-	z.probes[zone] = probe{now, z.probes[zone].count + 1}
+// MarkProbed records a probe of a zone.
+func (t *Tracker) MarkProbed(now time.Time, zone string) {
+	t.probes[zone] = probe{now, t.probes[zone].count + 1}
 }
--- a/internal/zone/tracker.go
+++ b/internal/zone/tracker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Change is the next record of a zone, which counts once the store has taken it.
+// Change is a new record of a zone. It takes effect once the store has committed it.
 type Change struct {
 	Zone     string
 	Record   Record
@@ -13,46 +13,46 @@
 	Reason   string
 }
 
-// Tracker holds the record of each zone that has one; any other zone is up.
+// Tracker holds the records of zones. A zone without a record is up.
 type Tracker struct {
 	records map[string]Record
 	probes  map[string]probe
 }
 
-// New begins with the records that the store holds. A time in the future, which a leader with another
-// clock wrote, counts as now.
+// New returns a tracker with the records that the store holds. A time in the future, written by a leader whose clock is
+// ahead, is replaced by now.
 func New(now time.Time, records map[string]Record) *Tracker {
-	z := &Tracker{records: make(map[string]Record), probes: make(map[string]probe)}
+	t := &Tracker{records: make(map[string]Record), probes: make(map[string]probe)}
 	for name, r := range records {
 		if r.Since.After(now) {
 			r.Since = now
 		}
-		z.records[name] = r
+		t.records[name] = r
 	}
-	return z
+	return t
 }
 
 // Record returns the record of a zone.
-func (z *Tracker) Record(zone string) Record {
-	if r, ok := z.records[zone]; ok {
+func (t *Tracker) Record(zone string) Record {
+	if r, ok := t.records[zone]; ok {
 		return r
 	}
 	return Record{State: Up}
 }
 
-// Records returns every record. The map is the caller's.
-func (z *Tracker) Records() map[string]Record {
-	out := make(map[string]Record, len(z.records))
-	for name, r := range z.records {
+// Records returns a copy of all records by zone.
+func (t *Tracker) Records() map[string]Record {
+	out := make(map[string]Record, len(t.records))
+	for name, r := range t.records {
 		out[name] = r
 	}
 	return out
 }
 
-// Next returns the changes that are due by the evidence, without making them.
-func (z *Tracker) Next(now time.Time, e *Evidence) []Change {
+// Next returns the changes that follow from the evidence, sorted by zone, without applying them.
+func (t *Tracker) Next(now time.Time, e *Evidence) []Change {
 	names := make(map[string]bool)
-	for name := range z.records {
+	for name := range t.records {
 		names[name] = true
 	}
 	for name := range e.Own.Observations {
@@ -60,7 +60,7 @@
 	}
 	var out []Change
 	for name := range names {
-		r := z.Record(name)
+		r := t.Record(name)
 		to := r.next(now, name, e)
 		if to == r.State {
 			continue
@@ -83,7 +83,7 @@
 	return out
 }
 
-// next returns the state that follows.
+// next returns the state that follows from the evidence.
 func (r Record) next(now time.Time, zone string, e *Evidence) State {
 	if r.State == Unreachable {
 		if e.recovered(zone, r) {
@@ -97,10 +97,10 @@
 		return Unreachable
 	case r.State != Suspected && e.canJudge(zone) && own.unreachable():
 		return Suspected
-	case !e.canJudge(zone) || own.mostlyMissing(): // a suspicion ends only by evidence against it
+	case !e.canJudge(zone) || own.mostlyMissing(): // there is no evidence that the zone is reachable: the state stays
 	case r.State == Suspected:
 		if r.Outages > 0 {
-			return Recovering // whose stable period begins again
+			return Recovering // the stable period starts again
 		}
 		return Up
 	case r.State == Recovering && now.Sub(r.Since) >= r.StablePeriod():
@@ -109,12 +109,12 @@
 	return r.State
 }
 
-// Commit applies changes that the store has taken.
-func (z *Tracker) Commit(changes []Change) {
+// Commit applies changes that the store has committed.
+func (t *Tracker) Commit(changes []Change) {
 	for _, c := range changes {
-		z.records[c.Zone] = c.Record
-		if c.Record.Outages <= 1 { // repeated outages don't bring probes forward
-			delete(z.probes, c.Zone)
+		t.records[c.Zone] = c.Record
+		if c.Record.Outages <= 1 { // after repeated outages the probe interval is not reset
+			delete(t.probes, c.Zone)
 		}
 	}
 }
--- a/internal/zone/watch.go
+++ b/internal/zone/watch.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Watch is what a leader knows of zones: the tracked records, and the evidence by which they change.
-// It is not safe for concurrent use.
+// Watch holds what a leader knows about zones: their records, and the evidence by which they change. It is not safe for
+// concurrent use.
 type Watch struct {
 	*Tracker
 	observers     map[string]Observer
-	lastHeartbeat map[string]time.Time // of any machine of a zone
-	lastOrphan    map[string]time.Time // of one that the fleet no longer has
-	missingSince  map[string]time.Time // zones of which hardly a machine sends heartbeats here
-	wokenAt       map[string]time.Time // see Wake
+	lastHeartbeat map[string]time.Time // last heartbeat of any machine, by zone
+	lastOrphan    map[string]time.Time // last heartbeat of a machine that was released or is unknown, by zone
+	missingSince  map[string]time.Time // since when hardly any heartbeats from a zone reach this leader
+	lastRecall    map[string]time.Time // when Wake last returned true, by zone
 }
 
-// NewWatch begins with the records that the store holds.
+// NewWatch returns a Watch with the records that the store holds.
 func NewWatch(now time.Time, records map[string]Record) *Watch {
 	return &Watch{Tracker: New(now, records), lastHeartbeat: make(map[string]time.Time), lastOrphan: make(map[string]time.Time),
-		missingSince: make(map[string]time.Time), wokenAt: make(map[string]time.Time)}
+		missingSince: make(map[string]time.Time), lastRecall: make(map[string]time.Time)}
 }
 
-// SetObservers records what the peers from which heartbeats arrive observe.
+// SetObservers sets the observations of the peers from which heartbeats arrive.
 func (w *Watch) SetObservers(o map[string]Observer) { w.observers = o }
 
-// NoteHeartbeat records a heartbeat from a zone. An orphan, which is of a machine that was released
-// or is unknown, shows as well that the zone can be reached.
+// NoteHeartbeat records a heartbeat from a zone. An orphan is a machine that was released or is unknown: its heartbeat
+// also shows that the zone can be reached.
 func (w *Watch) NoteHeartbeat(now time.Time, zone string, orphan bool) {
 	w.lastHeartbeat[zone] = now
 	if orphan {
@@ -31,27 +31,27 @@
 	}
 }
 
-// AddOrphans adds to observations one connected machine for each zone of which an orphan sent a
-// heartbeat lately.
-func (w *Watch) AddOrphans(now time.Time, maxAge time.Duration, to map[string]Observation) {
+// AddOrphans counts one more machine with a recent heartbeat in each zone from which an orphan sent a heartbeat less
+// than maxAge ago.
+func (w *Watch) AddOrphans(now time.Time, maxAge time.Duration, observations map[string]Observation) {
 	for name, at := range w.lastOrphan {
 		if now.Sub(at) < maxAge {
-			o := to[name]
+			o := observations[name]
 			o.Heard++
-			to[name] = o
+			observations[name] = o
 		}
 	}
 }
 
-// Evidence combines what the leader observes with what its peers do.
+// Evidence combines the leader's observations with those of its peers.
 func (w *Watch) Evidence(own Observer, cannotJudge bool, controllers int) *Evidence {
 	return &Evidence{Own: own, LastHeartbeat: w.lastHeartbeat, CannotJudge: cannotJudge, Peers: w.observers, Controllers: controllers}
 }
 
-// Unreachable reports whether a zone is unreachable by its record.
+// Unreachable reports whether a zone is unreachable according to its record.
 func (w *Watch) Unreachable(zone string) bool { return w.Record(zone).State == Unreachable }
 
-// SuspectedZones lists the zones that are suspected.
+// SuspectedZones lists the zones that are suspected according to their records.
 func (w *Watch) SuspectedZones() []string {
 	var out []string
 	for name, r := range w.records {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// SetMissing records of which zones hardly a machine sends heartbeats to this leader.
+// SetMissing records the zones from which hardly any machine sends heartbeats to this leader.
 func (w *Watch) SetMissing(now time.Time, zones map[string]bool) {
 	for name := range w.missingSince {
 		if !zones[name] {
@@ -76,10 +76,10 @@
 	}
 }
 
-// CutOff tells since when a zone is cut off, if it is or may be, or was until just now: it takes
-// the settling time after a zone is back until all of its machines have sent a heartbeat or could
-// not be called. What this leader alone misses is enough to treat a zone as cut off before
-// several controllers have judged it, or where they can't.
+// CutOff reports whether a zone is, may be or was until recently cut off, and since when. A recovering zone counts as
+// cut off for the settling time, in which each of its machines either sends a heartbeat or turns out not to answer
+// calls. Heartbeats that are missing at this leader alone are enough to treat a zone as cut off before several
+// controllers have judged it, or where they cannot.
 func (w *Watch) CutOff(now time.Time, zone string, settling time.Duration) (since time.Time, cutOff bool) {
 	switch r := w.Record(zone); {
 	case r.State == Unreachable, r.State == Suspected:
@@ -91,12 +91,12 @@
 	return since, cutOff
 }
 
-// Wake reports whether all missing machines of a zone are to be called anew because one of them has
-// sent a heartbeat again. It does so once in an interval.
+// Wake reports whether all missing machines of a zone should be called again now that one of them has sent a heartbeat.
+// It returns true, and records that, at most once per interval.
 func (w *Watch) Wake(now time.Time, zone string, interval time.Duration) bool {
-	if now.Sub(w.wokenAt[zone]) < interval {
+	if now.Sub(w.lastRecall[zone]) < interval {
 		return false
 	}
-	w.wokenAt[zone] = now
+	w.lastRecall[zone] = now
 	return true
 }
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -11,13 +11,13 @@
 )
 
 // recoveries is a leader's plans, driven by the steps of a trace.
-type recoveries struct {
+type recoveryModel struct {
 	now      time.Time
 	plans    map[string]*Plan
 	observed map[string]Observation
 }
 
-func (r *recoveries) step(line string) []string {
+func (r *recoveryModel) step(line string) []string {
 	w, kv := simulator.Words(line)
 	switch w[0] {
 	case "see": // b dark work=100 waits
@@ -60,6 +60,6 @@
 // TestRecoveryTraces plays the kept traces of returns.
 func TestRecoveryTraces(t *testing.T) {
 	simulator.Traces(t, func(*testing.T) func(string) []string {
-		return (&recoveries{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Observation{}}).step
+		return (&recoveryModel{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Observation{}}).step
 	})
 }
--- a/internal/zonerecovery/retain_test.go
+++ b/internal/zonerecovery/retain_test.go
@@ -8,9 +8,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestKeeps gives up what finds room elsewhere, up to that room, and keeps the rest for as
+// TestRetention gives up what finds room elsewhere, up to that room, and keeps the rest for as
 // long as another machine would cost.
-func TestKeeps(t *testing.T) {
+func TestRetention(t *testing.T) {
 	work := scheduler.Resources{CPUs: 8, GPUs: 4, MemoryGB: 32}
 	yes, no := func() bool { return true }, func() bool { return false }
 	const soon, late = 20 * time.Second, 2 * time.Minute
