--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,12 +1,12 @@
-// Package stall notices that a leader launches nothing although jobs wait and there is capacity for
-// them. Such a leader looks healthy from outside: it holds its lease, answers heartbeats and
-// decides rounds. The detector is told what each round did and why, and reports a stall only
-// after it has lasted, so that a single refused round is no alarm.
+// Package stall detects that a leader launches nothing although jobs wait and there is capacity for them. Such a leader
+// looks healthy from outside: it holds its lease, answers heartbeats and decides rounds. The leader tells the detector
+// the outcome of each round and its cause. A stall is reported only after it has lasted for some time, so that a single
+// refused round raises no alarm.
 package stall
 
 import "time"
 
-// Cause says why a leader launches nothing. Its text is shown to operators and kept in logs.
+// Cause is the reason why a leader launches nothing. Its text is shown to operators and written to logs.
 type Cause string
 
 // The causes of a stall.
@@ -21,40 +21,40 @@
 	CauseUnanswered Cause = "the state service does not answer"
 )
 
-// Stall is a period in which a leader could launch something and does not.
+// Stall is a period in which a leader could launch a task but does not.
 type Stall struct {
 	Since time.Time
 	Cause Cause
-	Job   string // one that could be launched; empty if the cause concerns no single job
+	Job   string // a job that could be launched; empty if the cause does not concern a single job
 }
 
 const (
-	// reportAfter is how long a stall lasts before it is reported, and the time between two log
-	// lines about it. A busy fleet may rightly go without launches for some seconds.
+	// reportAfter is how long a stall lasts before it is reported, and the interval between log messages about it. In a
+	// busy fleet it is normal that nothing is launched for some seconds.
 	reportAfter = 30 * time.Second
-	// checkAfter is how long nothing has been launched before the detector asks whether anything
-	// could be. The question costs the scheduler a search, so it is not put in every round.
+	// checkAfter is how long nothing must have been launched before the leader checks whether anything could be. The
+	// check costs the scheduler a search, so it is not made in every round.
 	checkAfter = 15 * time.Second
-	// forgetAfter is how long nothing could be launched before an earlier stall is over. Machines
-	// on which nothing is launched are returned and others requested, which takes less.
+	// forgetAfter is how long there must have been nothing to launch, or no capacity, before an earlier stall is over. In
+	// a stall, unused machines are released and others requested; the gap in capacity while they boot is shorter.
 	forgetAfter = 2 * time.Minute
 )
 
-// Detector notices stalls. Any launch ends a stall, and so does a long time without work or without
-// capacity for it. It is not safe for concurrent use.
+// Detector detects stalls. Any launch ends a stall, and so does a long period without work or without capacity for it.
+// It is not safe for concurrent use.
 type Detector struct {
-	lastProgress time.Time // when something was launched last, or nothing could be
-	stalledSince time.Time // when something could be launched first and was not; zero without a stall
-	lastBlocked  time.Time // when that was last so
+	lastProgress time.Time // when something was last launched, or nothing could be launched
+	stalledSince time.Time // when Blocked was first called in this stall; zero without a stall
+	lastBlocked  time.Time // when Blocked was last called
 	cause        Cause
 	job          string
 	loggedAt     time.Time
 }
 
-// NewDetector returns a detector of a leader that begins now.
+// NewDetector returns a detector for a leader that starts now.
 func NewDetector(now time.Time) Detector { return Detector{lastProgress: now} }
 
-// CheckDue reports whether it is time to find out whether anything could be launched.
+// CheckDue reports whether it is time to check whether anything could be launched.
 func (d *Detector) CheckDue(now time.Time) bool { return now.Sub(d.lastProgress) >= checkAfter }
 
 // Launched records that something was launched.
@@ -67,8 +67,8 @@
 	}
 }
 
-// Blocked records that nothing was launched although a job could have been. Of several causes at
-// the same time the first counts.
+// Blocked records that nothing was launched although a job could have been. If it is called several times with the same
+// time, the first cause is kept.
 func (d *Detector) Blocked(now time.Time, cause Cause, job string) {
 	if now.Equal(d.lastBlocked) {
 		return
@@ -90,8 +90,8 @@
 	return Stall{Since: d.stalledSince, Cause: d.cause, Job: d.job}, true
 }
 
-// ToLog returns the stall if it is to be logged now. Each is logged again at intervals for as long
-// as it lasts.
+// ToLog returns the current stall if it should be logged now. A stall is logged again every reportAfter for as long as
+// it lasts.
 func (d *Detector) ToLog(now time.Time) (Stall, bool) {
 	s, stalled := d.Current(now)
 	if !stalled || now.Sub(d.loggedAt) < reportAfter {
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,6 +1,6 @@
-// Package throttle bounds the work that can wait by how late the process runs. On a busy processor,
-// such work must give way to the answers that renew leases, whatever the size of the machine: the
-// limiter measures how late timers fire and needs no configuration.
+// Package throttle limits the concurrency of deferrable work while the process is starved of CPU time. On a busy
+// processor such work must yield to the responses that renew leases. The limiter measures how late timers fire, so it
+// works on machines of any size without configuration.
 package throttle
 
 import (
@@ -10,59 +10,59 @@
 )
 
 const (
-	// sampleInterval is the time between two samples: short against the seconds of a lease.
+	// sampleInterval is the time between two samples. It is short compared to a lease, which lasts seconds.
 	sampleInterval = 100 * time.Millisecond
-	// lateThreshold is by how much a timer must be late to count. Garbage collection and other processes
-	// delay timers by less even on a machine that is not overloaded.
+	// lateThreshold is the delay above which a timer counts as late. Garbage collection and other processes cause
+	// shorter delays even on a machine that is not overloaded.
 	lateThreshold = 60 * time.Millisecond
-	// MinWindow is the smallest window: work that can wait is slowed down, but never stops.
+	// MinWindow is the smallest window: deferrable work is slowed down, but never stopped.
 	MinWindow = 2
-	// MaxWindow is the widest window, which is also how many direct calls a leader makes at once.
+	// MaxWindow is the largest window. It is also the number of direct calls that a leader makes concurrently.
 	MaxWindow = 48
 )
 
-// Limiter is a window of operations that may be in progress at once. It halves with each timer that
-// is late, and grows slowly while timers are on time. It is safe for concurrent use.
+// Limiter bounds the number of concurrent operations by a window. The window is halved by each timer that is late and
+// grows slowly while timers are on time. A Limiter is safe for concurrent use.
 type Limiter struct {
 	mu     sync.Mutex
 	window int
 }
 
-// New returns a limiter with half of the widest window.
+// New returns a limiter whose window is half of MaxWindow.
 func New() *Limiter { return &Limiter{window: MaxWindow / 2} }
 
-// Window is how many operations may be in progress.
-func (p *Limiter) Window() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.window
+// Window returns how many operations may be in progress.
+func (l *Limiter) Window() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.window
 }
 
-// Overloaded reports whether timers have been late for a while.
-func (p *Limiter) Overloaded() bool { return p.Window() <= 2*MinWindow }
+// Overloaded reports whether the window is nearly at its minimum, since several timers were late.
+func (l *Limiter) Overloaded() bool { return l.Window() <= 2*MinWindow }
 
-// Observe adjusts the window by how late a timer was.
-func (p *Limiter) Observe(lateBy time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// Observe adjusts the window according to the delay of a timer.
+func (l *Limiter) Observe(lateBy time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if lateBy > lateThreshold {
-		p.window = max(MinWindow, p.window/2)
+		l.window = max(MinWindow, l.window/2)
 	} else {
-		p.window = min(MaxWindow, p.window+2)
+		l.window = min(MaxWindow, l.window+2)
 	}
 }
 
-// Run samples until the context ends.
-func (p *Limiter) Run(ctx context.Context) error {
+// Run observes timer delays until the context is done.
+func (l *Limiter) Run(ctx context.Context) error {
 	for {
-		begun := time.Now()
-		t := time.NewTimer(sampleInterval)
+		start := time.Now()
+		timer := time.NewTimer(sampleInterval)
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return nil
-		case <-t.C:
+		case <-timer.C:
 		}
-		p.Observe(time.Since(begun) - sampleInterval)
+		l.Observe(time.Since(start) - sampleInterval)
 	}
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// TestLimiter gives way at once to a process that is late, and comes back slowly.
+// TestLimiter checks that the window shrinks at once when timers are late, and grows back slowly.
 func TestLimiter(t *testing.T) {
-	p := New()
+	l := New()
 	for range 20 {
-		p.Observe(0)
+		l.Observe(0)
 	}
-	if p.Window() != MaxWindow || p.Overloaded() {
-		t.Errorf("in time: %d", p.Window())
+	if l.Window() != MaxWindow || l.Overloaded() {
+		t.Errorf("timers on time: window %d", l.Window())
 	}
 	for range 4 {
-		p.Observe(time.Second)
+		l.Observe(time.Second)
 	}
-	if !p.Overloaded() {
-		t.Errorf("after four late timers: %d", p.Window())
+	if !l.Overloaded() {
+		t.Errorf("not overloaded after four late timers: window %d", l.Window())
 	}
 	for range 9 {
-		p.Observe(time.Second)
+		l.Observe(time.Second)
 	}
-	if p.Window() != MinWindow {
-		t.Errorf("it stops whole: %d", p.Window())
+	if l.Window() != MinWindow {
+		t.Errorf("window %d after thirteen late timers, want MinWindow", l.Window())
 	}
-	p.Observe(time.Millisecond)
-	if p.Window() > MaxWindow/4 {
-		t.Errorf("back at once: %d", p.Window())
+	l.Observe(time.Millisecond)
+	if l.Window() > MaxWindow/4 {
+		t.Errorf("window %d after one timer on time: it grows too fast", l.Window())
 	}
 }
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -17,7 +17,7 @@
 // The states of a zone.
 const (
 	Up          State = "up"
-	Suspected   State = "in doubt" // the leader receives hardly any heartbeats from it; no action is taken yet
+	Suspected   State = "in doubt" // the leader receives hardly any heartbeats from it; nothing changes yet
 	Unreachable State = "dark"     // most other controllers receive none either; only probes are requested there
 	Recovering  State = "back"     // its machines send heartbeats again; it is not yet up
 )
--- a/internal/zonerecovery/golden_test.go
+++ b/internal/zonerecovery/golden_test.go
@@ -7,7 +7,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenSteps: the steps of a zone's return are stored in the words that they had.
+// TestGoldenSteps checks that the stored texts of the recovery steps do not change between versions.
 func TestGoldenSteps(t *testing.T) {
 	words := []string{string(StepRetain), string(StepRefill), string(StepRefilled), string(StepSpread)}
 	goldentest.Text(t, "steps.txt", strings.Join(words, "\n")+"\n")
--- a/internal/zonerecovery/plan.go
+++ b/internal/zonerecovery/plan.go
@@ -5,93 +5,93 @@
 	"time"
 )
 
-// Step is how far the recovery of a zone has come. Its text is stored.
+// Step is a step of the recovery of a zone. Its text is part of the stored format.
 type Step string
 
-// The steps of a recovery, in order. After the last one there is no plan.
+// The steps of a recovery, in order. After the last one the plan is deleted.
 const (
-	StepRetain   Step = "kept"   // the zone is cut off: machines whose work would not run sooner elsewhere are retained
-	StepRefill   Step = "fill"   // it can be reached, and work returns: nothing requested elsewhere is given back yet
-	StepRefilled Step = "home"   // it runs as much work as before: what is idle elsewhere is given back
+	StepRetain   Step = "kept"   // the zone is cut off; machines are retained if their work would not run sooner elsewhere
+	StepRefill   Step = "fill"   // the zone can be reached and work returns; machines requested elsewhere are not released yet
+	StepRefilled Step = "home"   // it runs about as much work as before; idle machines elsewhere are released
 	StepSpread   Step = "spread" // services are spread over the zones again
 )
 
-// Plan is the recovery of a zone as the store holds it. The next leader continues with its step. What
-// a step does follows from observations alone, so that nothing is done twice after a failover.
+// Plan is the stored state of the recovery of a zone. The next leader continues with its step. The actions of a step
+// depend on observations alone, so nothing is done twice after a failover.
 type Plan struct {
 	Step   Step
-	Number uint64 // of the zone's record with which it began
-	Since  time.Time
-	Work   float64 // that ran there when the zone was cut off, in GPUs
+	Number uint64    // number of the zone's record when the recovery began
+	Since  time.Time // when the step began
+	Work   float64   // work that ran in the zone when it was cut off, in GPUs
 }
 
-// Observation is what the next step is decided by.
+// Observation holds what the leader observes of a zone. It determines the next step.
 type Observation struct {
 	Unreachable   bool
-	Number        uint64  // of the zone's record
-	Work          float64 // that runs there, or may run, in GPUs
+	Number        uint64  // number of the zone's record
+	Work          float64 // work that runs in the zone or may run there, in GPUs
 	HasQueued     bool    // some work could not be placed
-	OtherZoneBusy bool    // another zone is cut off, suspected, or further behind with its recovery
-	Unbalanced    bool    // services are to be moved
+	OtherZoneBusy bool    // another zone is unreachable or suspected, or its recovery takes precedence
+	Unbalanced    bool    // services need to be moved to spread them over the zones
 
-	SettleTime  time.Duration // until all machines of a zone have sent a heartbeat
-	BootTime    time.Duration // that machines there take to boot
-	IdleTimeout time.Duration // after which an idle machine is given back
+	SettleTime  time.Duration // time in which all machines of a zone send a heartbeat
+	BootTime    time.Duration // boot time of machines in the zone
+	IdleTimeout time.Duration // time after which an idle machine is released
 }
 
-// refilledShare is the part of its former work with which a zone counts as refilled. It is less than all,
-// since tasks end meanwhile and others begin elsewhere.
+// refilledShare is the fraction of its former work at which a zone counts as refilled. It is less than 1, since some
+// tasks end in the meantime and others start elsewhere.
 const refilledShare = 0.95
 
-// maxSpreadTime bounds the last step: services that could not be spread by then stay where they are.
+// maxSpreadTime bounds the last step. Services that could not be spread by then stay where they are.
 const maxSpreadTime = 5 * time.Minute
 
-// Next returns the plan that follows, or nil for none. A zone that is cut off again starts over from
-// any step, with the work that was to return to it.
-func Next(now time.Time, p *Plan, s Observation) *Plan {
-	to := func(step Step) *Plan { return &Plan{step, p.Number, now, p.Work} }
+// Next returns the next plan for a zone: p itself if nothing changes, or nil if there is none. If the zone is cut off
+// again, its recovery starts over from any step, and work that had not returned yet still counts.
+func Next(now time.Time, p *Plan, o Observation) *Plan {
+	nextStep := func(step Step) *Plan { return &Plan{step, p.Number, now, p.Work} }
 	switch {
-	case p == nil && s.Unreachable:
-		return &Plan{StepRetain, s.Number, now, s.Work}
+	case p == nil && o.Unreachable:
+		return &Plan{StepRetain, o.Number, now, o.Work}
 	case p == nil:
 		return nil
-	case s.Unreachable && s.Number > p.Number && p.Step != StepRetain:
-		work := s.Work
+	case o.Unreachable && o.Number > p.Number && p.Step != StepRetain:
+		work := o.Work
 		if p.Step == StepRefill {
 			work = max(work, p.Work)
 		}
-		return &Plan{StepRetain, s.Number, now, work}
-	case s.Unreachable:
+		return &Plan{StepRetain, o.Number, now, work}
+	case o.Unreachable:
 		return p
 	}
 	switch since := now.Sub(p.Since); p.Step {
 	case StepRetain:
-		return to(StepRefill)
+		return nextStep(StepRefill)
 	case StepRefill:
-		full := s.Work >= refilledShare*p.Work || !s.HasQueued
-		// Work that has not returned after twice the boot time will not.
-		if since >= s.SettleTime && full || since >= s.SettleTime+2*s.BootTime {
-			return to(StepRefilled)
+		refilled := o.Work >= refilledShare*p.Work || !o.HasQueued
+		// Work that has not returned after twice the boot time is not expected to return.
+		if since >= o.SettleTime && refilled || since >= o.SettleTime+2*o.BootTime {
+			return nextStep(StepRefilled)
 		}
 	case StepRefilled:
 		switch {
-		case since < 2*s.IdleTimeout:
-		case s.Unbalanced && !s.OtherZoneBusy:
-			return to(StepSpread)
-		case !s.Unbalanced:
+		case since < 2*o.IdleTimeout:
+		case o.Unbalanced && !o.OtherZoneBusy:
+			return nextStep(StepSpread)
+		case !o.Unbalanced:
 			return nil
 		}
 	case StepSpread:
-		if !s.Unbalanced || s.OtherZoneBusy || since >= maxSpreadTime {
+		if !o.Unbalanced || o.OtherZoneBusy || since >= maxSpreadTime {
 			return nil
 		}
 	default:
-		return nil // a step of another version
+		return nil // a step of another version of the program
 	}
 	return p
 }
 
-// String describes a plan for people.
+// String describes the plan for operators.
 func (p *Plan) String() string {
 	return fmt.Sprintf("%s, %.0f GPUs were at work", p.Step, p.Work)
 }
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// recoveries is a leader's plans, driven by the steps of a trace.
+// recoveryModel holds a leader's plans and observations, and executes the steps of a trace.
 type recoveryModel struct {
 	now      time.Time
 	plans    map[string]*Plan
@@ -18,18 +18,18 @@
 }
 
 func (r *recoveryModel) step(line string) []string {
-	w, kv := simulator.Words(line)
-	switch w[0] {
-	case "see": // b dark work=100 waits
+	words, kv := simulator.Words(line)
+	switch words[0] {
+	case "see": // sets the observation of a zone, for example: see b dark work=100 waits
 		n, _ := strconv.ParseUint(kv["number"], 10, 64)
 		work, _ := strconv.ParseFloat(kv["work"], 64)
-		has := func(word string) bool { return slices.Contains(w[2:], word) }
-		r.observed[w[1]] = Observation{Unreachable: has("dark"), Number: n, Work: work, HasQueued: has("waits"), OtherZoneBusy: has("busy"), Unbalanced: has("uneven"),
+		has := func(word string) bool { return slices.Contains(words[2:], word) }
+		r.observed[words[1]] = Observation{Unreachable: has("dark"), Number: n, Work: work, HasQueued: has("waits"), OtherZoneBusy: has("busy"), Unbalanced: has("uneven"),
 			SettleTime: 8 * time.Second, BootTime: 40 * time.Second, IdleTimeout: 25 * time.Second}
 	case "wait":
-		d, _ := time.ParseDuration(w[1])
+		d, _ := time.ParseDuration(words[1])
 		r.now = r.now.Add(d)
-	case "takeover": // all that is left is what was written
+	case "takeover": // a new leader has only the stored plans
 		for name, p := range r.plans {
 			q := *p
 			r.plans[name] = &q
@@ -57,7 +57,7 @@
 	return out
 }
 
-// TestRecoveryTraces plays the kept traces of returns.
+// TestRecoveryTraces replays the traces of zone recoveries in testdata.
 func TestRecoveryTraces(t *testing.T) {
 	simulator.Traces(t, func(*testing.T) func(string) []string {
 		return (&recoveryModel{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Observation{}}).step
--- a/internal/zonerecovery/retain_test.go
+++ b/internal/zonerecovery/retain_test.go
@@ -8,17 +8,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestRetention gives up what finds room elsewhere, up to that room, and keeps the rest for as
-// long as another machine would cost.
+// TestRetention checks that a lost machine is released only as long as there is capacity for its work elsewhere, and
+// that it is retained otherwise for as long as a replacement would cost.
 func TestRetention(t *testing.T) {
 	work := scheduler.Resources{CPUs: 8, GPUs: 4, MemoryGB: 32}
 	yes, no := func() bool { return true }, func() bool { return false }
 	const soon, late = 20 * time.Second, 2 * time.Minute
 	for _, c := range []struct {
-		name string
-		room FreeCapacity
-		lost LostMachine
-		n    int // of three such machines that are kept
+		name     string
+		capacity FreeCapacity
+		lost     LostMachine
+		retained int // how many of three such machines are retained
 	}{
 		{"production runs on", FreeCapacity{Free: work, ScaleOuts: 3}, LostMachine{HasProduction: true, Demand: work, CanScaleOut: yes, CutOffFor: soon}, 3},
 		{"a full fleet", FreeCapacity{HasQueued: true, Free: work, ScaleOuts: 3}, LostMachine{Demand: work, CanScaleOut: yes, CutOffFor: soon}, 3},
@@ -29,14 +29,14 @@
 		{"away for too long", FreeCapacity{HasQueued: true}, LostMachine{Demand: work, CutOffFor: late}, 0},
 	} {
 		c.lost.ReplacementTime = ReplacementTime(wire.MachineType{BootS: 30, FetchGBps: 0.5}, 10) // 30 + 20 + 60 s
-		kept := 0
+		got := 0
 		for range 3 {
-			if c.room.Keeps(c.lost) {
-				kept++
+			if c.capacity.Keeps(c.lost) {
+				got++
 			}
 		}
-		if kept != c.n {
-			t.Errorf("%s: %d of three are kept, not %d", c.name, kept, c.n)
+		if got != c.retained {
+			t.Errorf("%s: %d of three machines are retained, want %d", c.name, got, c.retained)
 		}
 	}
 }
--- a/internal/zonerecovery/tracker_test.go
+++ b/internal/zonerecovery/tracker_test.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// TestTracker: what several recoveries together allow, and a time of a clock that is ahead.
+// TestTracker checks which steps concurrent recoveries allow each other, and that a stored time in the future is
+// replaced by now.
 func TestTracker(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	r := NewTracker()
-	if !r.OnlySpreading() || r.Refilling() || r.Plan("a") != nil {
-		t.Error("without plans")
+	tracker := NewTracker()
+	if !tracker.OnlySpreading() || tracker.Refilling() || tracker.Plan("a") != nil {
+		t.Error("wrong state without plans")
 	}
-	r.Recover(now, "a", Plan{Step: StepRefill, Since: now.Add(time.Hour)})
-	if !r.Plan("a").Since.Equal(now) {
-		t.Error("a time in the future counts")
+	tracker.Recover(now, "a", Plan{Step: StepRefill, Since: now.Add(time.Hour)})
+	if !tracker.Plan("a").Since.Equal(now) {
+		t.Error("a time in the future is not replaced by now")
 	}
-	r.Commit("b", &Plan{Step: StepSpread, Since: now})
-	if r.OnlySpreading() || !r.Refilling() || !r.Before("a", "b") || r.Before("b", "a") {
-		t.Error("a refills while b spreads")
+	tracker.Commit("b", &Plan{Step: StepSpread, Since: now})
+	if tracker.OnlySpreading() || !tracker.Refilling() || !tracker.Before("a", "b") || tracker.Before("b", "a") {
+		t.Error("wrong state while zone a refills and zone b spreads")
 	}
-	r.Commit("a", &Plan{Step: StepSpread, Since: now})
-	if !r.OnlySpreading() || r.Refilling() || !r.Before("a", "b") || r.Before("b", "a") {
-		t.Error("both spread, a first")
+	tracker.Commit("a", &Plan{Step: StepSpread, Since: now})
+	if !tracker.OnlySpreading() || tracker.Refilling() || !tracker.Before("a", "b") || tracker.Before("b", "a") {
+		t.Error("wrong state while both zones spread: a comes first")
 	}
-	r.Commit("a", nil)
-	if got := r.Progress(); len(got) != 1 || got["b"] == "" {
+	tracker.Commit("a", nil)
+	if got := tracker.Progress(); len(got) != 1 || got["b"] == "" {
 		t.Error(got)
 	}
 }
