--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -12,60 +12,60 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// TestTraces plays the kept traces of the book. An offer reads g4@a, or g4@a/spot.
+// TestTraces replays the traces in testdata on a RequestLog. Offers are written as g4@a or g4@a/spot.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
-		b, now, n := New(10), time.Unix(1e9, 0), 0
+		log, now, n := New(10), time.Unix(1e9, 0), 0
 		return func(line string) (out []string) {
-			w, kv := simulator.Words(line)
+			words, kv := simulator.Words(line)
 			num := func(key string) int { n, _ := strconv.Atoi(kv[key]); return n }
-			switch w[0] {
-			case "want": // as a plan does, with intents that are stored at once, or not
-				var rents []scheduler.ScaleOut
-				for _, word := range w[1:] {
-					count, of, _ := strings.Cut(word, ":")
+			switch words[0] {
+			case "want": // the scale-outs of a plan; their records are stored at once unless stored=later
+				var wanted []scheduler.ScaleOut
+				for _, word := range words[1:] {
+					count, offer, _ := strings.Cut(word, ":")
 					c, _ := strconv.Atoi(count)
-					rents = append(rents, scheduler.ScaleOut{Offer: parseOffer(of), Count: c, QueuePosition: num(of)})
+					wanted = append(wanted, scheduler.ScaleOut{Offer: parseOffer(offer), Count: c, QueuePosition: num(offer)})
 				}
-				for _, r := range b.Admit(now, rents) {
+				for _, r := range log.Admit(now, wanted) {
 					n++
 					name := fmt.Sprintf("r%d", n)
-					b.Add(now, name, r)
+					log.Add(now, name, r)
 					if kv["stored"] != "later" {
-						b.MarkStored(name)
+						log.MarkStored(name)
 					}
 					out = append(out, fmt.Sprintf("%s for %d of %s", name, r.Count, formatOffer(r.Offer)))
 				}
 			case "left":
-				b.Recover(w[1], scheduler.ScaleOut{Offer: parseOffer(w[2]), Count: num("count")})
+				log.Recover(words[1], scheduler.ScaleOut{Offer: parseOffer(words[2]), Count: num("count")})
 			case "stored":
-				if !b.MarkStored(w[1]) {
-					out = append(out, "drop "+w[1])
+				if !log.MarkStored(words[1]) {
+					out = append(out, "drop "+words[1])
 				}
-			case "send": // all that may be sent now, or so many
-				for a := b.Next(now); a != nil && (kv["most"] == "" || len(out) < num("most")); a = b.Next(now) {
-					b.MarkSent(now, a.Name)
-					out = append(out, fmt.Sprintf("send %s for %d of %s", a.Name, a.Count, formatOffer(a.Offer)))
+			case "send": // all requests that may be sent now, or at most the given number
+				for request := log.Next(now); request != nil && (kv["most"] == "" || len(out) < num("most")); request = log.Next(now) {
+					log.MarkSent(now, request.Name)
+					out = append(out, fmt.Sprintf("send %s for %d of %s", request.Name, request.Count, formatOffer(request.Offer)))
 				}
 			case "got":
-				got, _ := strconv.Atoi(w[2])
-				for _, name := range b.Complete(now, w[1], got) {
+				got, _ := strconv.Atoi(words[2])
+				for _, name := range log.Complete(now, words[1], got) {
 					out = append(out, "drop "+name)
 				}
 			case "unanswered":
-				b.MarkUnanswered(w[1])
+				log.MarkUnanswered(words[1])
 			case "returned":
-				b.InstanceReturned(parseOffer(w[1]))
+				log.InstanceReturned(parseOffer(words[1]))
 			case "back":
-				b.ZoneRecovered(w[1])
+				log.ZoneRecovered(words[1])
 			case "wait":
-				d, _ := time.ParseDuration(w[1])
+				d, _ := time.ParseDuration(words[1])
 				now = now.Add(d)
 			case "offer":
-				o := b.stateOf(parseOffer(w[1]))
-				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", b.callWindow(now, parseOffer(w[1])), o.constrained, o.consecutiveRefusals, b.backingOff(now, parseOffer(w[1]))))
+				state := log.stateOf(parseOffer(words[1]))
+				out = append(out, fmt.Sprintf("calls %d, doubted %v, refused in a row %d, left alone %v", log.callWindow(now, parseOffer(words[1])), state.constrained, state.consecutiveRefusals, log.backingOff(now, parseOffer(words[1]))))
 			default:
-				t.Fatalf("no such step: %s", line)
+				t.Fatalf("unknown step: %s", line)
 			}
 			return out
 		}
@@ -74,8 +74,8 @@
 
 func parseOffer(text string) scheduler.Offer {
 	text, spot := strings.CutSuffix(text, "/spot")
-	typ, zone, _ := strings.Cut(text, "@")
-	return scheduler.Offer{Type: typ, Zone: zone, Spot: spot}
+	machineType, zone, _ := strings.Cut(text, "@")
+	return scheduler.Offer{Type: machineType, Zone: zone, Spot: spot}
 }
 
 func formatOffer(o scheduler.Offer) string {
@@ -85,8 +85,8 @@
 	return o.Type + "@" + o.Zone
 }
 
-// cloudModel is a cloud with a few offers, from which more is wanted than it has. Calls
-// take a fifth of a second, and as many a second are made as scale-out requests may take.
+// cloudModel models a cloud with a few offers, from which more machines are wanted than it has. Calls take 200 ms, and
+// half of the call rate is available to scale-out requests.
 type cloudModel struct {
 	*testing.T
 	log          *RequestLog
@@ -117,8 +117,8 @@
 	return s
 }
 
-// run plays a while, with a plan each 300 ms: it takes the first offer that isn't left
-// alone, as far as that can be asked, and then the next.
+// run simulates the given time, with a plan every 300 ms. A plan takes as many machines as can be requested from the
+// first offer that is not in backoff, and then goes on to the next offer.
 func (s *cloudModel) run(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
@@ -148,24 +148,24 @@
 }
 
 func (s *cloudModel) plan() {
-	pic := &scheduler.Snapshot{Unavailable: map[scheduler.Offer]bool{}, Doubtful: map[scheduler.Offer]bool{}, RequestLimit: map[scheduler.Offer]int{}}
-	s.log.Annotate(s.now, pic)
+	snapshot := &scheduler.Snapshot{Unavailable: map[scheduler.Offer]bool{}, Doubtful: map[scheduler.Offer]bool{}, RequestLimit: map[scheduler.Offer]int{}}
+	s.log.Annotate(s.now, snapshot)
 	left := s.wanted
 	for _, a := range s.log.Pending() {
 		left -= a.Count
 	}
-	var rents []scheduler.ScaleOut
+	var wanted []scheduler.ScaleOut
 	for _, o := range s.offers {
 		n := max(0, left)
-		if most, limited := pic.RequestLimit[o]; limited {
+		if most, limited := snapshot.RequestLimit[o]; limited {
 			n = min(n, most)
 		}
-		if n > 0 && !pic.Unavailable[o] {
-			rents = append(rents, scheduler.ScaleOut{Offer: o, Count: n})
+		if n > 0 && !snapshot.Unavailable[o] {
+			wanted = append(wanted, scheduler.ScaleOut{Offer: o, Count: n})
 			left -= n
 		}
 	}
-	for _, r := range s.log.Admit(s.now, rents) {
+	for _, r := range s.log.Admit(s.now, wanted) {
 		s.requestCount++
 		name := fmt.Sprintf("m%05d", s.requestCount)
 		s.log.Add(s.now, name, r)
@@ -173,31 +173,32 @@
 	}
 }
 
-// until runs until so many machines were had, and tells how long that took.
-func (s *cloudModel) runUntil(got int, most time.Duration) time.Duration {
-	begun := s.now
-	for s.acquired < got {
-		if s.now.Sub(begun) > most {
-			s.Errorf("%d of %d machines after %v", s.acquired, got, most)
-			return most
+// runUntil runs the model until the given number of machines were acquired, and returns how long that took. It fails
+// the test if that takes longer than timeout.
+func (s *cloudModel) runUntil(target int, timeout time.Duration) time.Duration {
+	start := s.now
+	for s.acquired < target {
+		if s.now.Sub(start) > timeout {
+			s.Errorf("%d of %d machines after %v", s.acquired, target, timeout)
+			return timeout
 		}
 		s.run(50 * time.Millisecond)
 	}
-	return s.now.Sub(begun)
+	return s.now.Sub(start)
 }
 
-// TestShortage: in a cloud that has nothing, few calls ask for that, however much is
-// wanted; one that is half full gives what it has at once, and room that comes is found
-// soon, most of all where something says so.
+// TestShortage checks how many calls are made if more machines are wanted than the cloud has. If the cloud has none,
+// the number of calls stays small however much is wanted. If half of the offers have capacity, it is all acquired at
+// once. Capacity that becomes available later is found soon, and sooner if there is a hint of it.
 func TestShortage(t *testing.T) {
 	for _, offers := range []int{6, 24, 60} {
 		s := newCloudModel(t, offers)
 		s.wanted = 5000
 		s.run(2 * time.Minute)
-		if most := 25 * (offers + 10); s.calls > min(most, 2*60*modelRPS/2) || s.calls != s.refused {
-			t.Errorf("%d offers, all full: %d calls in 2 minutes, %d refused", offers, s.calls, s.refused)
+		if maxCalls := 25 * (offers + 10); s.calls > min(maxCalls, 2*60*modelRPS/2) || s.calls != s.refused {
+			t.Errorf("%d offers without capacity: %d calls in 2 minutes, %d refused", offers, s.calls, s.refused)
 		}
-		t.Logf("%d offers, all full: %d calls in 2 minutes", offers, s.calls)
+		t.Logf("%d offers without capacity: %d calls in 2 minutes", offers, s.calls)
 	}
 
 	s := newCloudModel(t, 6)
@@ -206,28 +207,28 @@
 	}
 	s.wanted = 2000
 	took := s.runUntil(900, 15*time.Second)
-	t.Logf("half full: 900 machines after %v by %d calls, %d refused", took, s.calls, s.refused)
+	t.Logf("half of the offers with capacity: 900 machines after %v by %d calls, %d refused", took, s.calls, s.refused)
 	if s.calls > 45 {
-		t.Errorf("half full: %d calls for 900 machines", s.calls)
+		t.Errorf("half of the offers with capacity: %d calls for 900 machines", s.calls)
 	}
 
-	// Nothing says that there is room again.
+	// Nothing indicates that there is capacity again.
 	s.run(2 * time.Minute)
-	calls, got := s.calls, s.acquired
+	calls, acquired := s.calls, s.acquired
 	s.capacity[s.offers[4]] = 240
-	took = s.runUntil(got+240, minBackoffLimit+6*time.Second)
-	t.Logf("room again, unsaid: 240 machines after %v by %d calls", took, s.calls-calls)
+	took = s.runUntil(acquired+240, minBackoffLimit+6*time.Second)
+	t.Logf("new capacity without a hint: 240 machines after %v by %d calls", took, s.calls-calls)
 
-	for _, what := range []string{"a zone is back", "machines are returned"} {
+	for _, hint := range []string{"a zone is back", "machines are returned"} {
 		s.run(2*time.Minute + 3*time.Second)
-		calls, got = s.calls, s.acquired
+		calls, acquired = s.calls, s.acquired
 		s.capacity[s.offers[4]] = 240
-		if what == "a zone is back" {
+		if hint == "a zone is back" {
 			s.log.ZoneRecovered("b")
 		} else {
 			s.log.InstanceReturned(s.offers[4])
 		}
-		took = s.runUntil(got+240, 10*time.Second)
-		t.Logf("room again, %s: 240 machines after %v by %d calls", what, took, s.calls-calls)
+		took = s.runUntil(acquired+240, 10*time.Second)
+		t.Logf("new capacity after a hint (%s): 240 machines after %v by %d calls", hint, took, s.calls-calls)
 	}
 }
--- a/internal/autoscale/backoff.go
+++ b/internal/autoscale/backoff.go
@@ -7,57 +7,57 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// offerState is what is known of an offer's capacity.
+// offerState is what is known about the capacity of an offer.
 type offerState struct {
-	window              int  // calls that may be open at once
-	constrained         bool // it did not have all that was last requested
+	window              int  // how many calls may be open at once
+	constrained         bool // the offer had fewer machines than were last requested
 	consecutiveRefusals int
-	refusedAt           time.Time // the last of them; zero once it no longer matters
+	refusedAt           time.Time // time of the last refusal; zero if none is relevant
 	answeredAt          time.Time
-	capacityHint        bool // it should have capacity again
+	capacityHint        bool // the offer should have capacity again
 }
 
-// InstanceReturned records that a machine was returned: its offer should have capacity again.
-func (l *RequestLog) InstanceReturned(r scheduler.Offer) {
-	if o := l.offers[r]; o != nil {
+// InstanceReturned records that a machine was returned to the cloud, so its offer should have capacity again.
+func (l *RequestLog) InstanceReturned(offer scheduler.Offer) {
+	if o := l.offers[offer]; o != nil {
 		o.capacityHint = true
 	}
 }
 
-// ZoneRecovered records that a zone can be reached again. Machines that were returned there meanwhile may be
-// available: each of its offers is asked again with one call.
+// ZoneRecovered records that a zone can be reached again. Machines that were returned there in the meantime may be
+// available, so the backoff of its offers ends and each is tried with one call.
 func (l *RequestLog) ZoneRecovered(zone string) {
-	for of, o := range l.offers {
-		if of.Zone == zone && o.constrained {
+	for offer, o := range l.offers {
+		if offer.Zone == zone && o.constrained {
 			o.consecutiveRefusals, o.refusedAt = 0, time.Time{}
 		}
 	}
 }
 
-// Constrained reports whether an offer did not have all that was last requested of it.
-func (l *RequestLog) Constrained(r scheduler.Offer) bool {
-	o := l.offers[r]
+// Constrained reports whether an offer had fewer machines than were last requested.
+func (l *RequestLog) Constrained(offer scheduler.Offer) bool {
+	o := l.offers[offer]
 	return o != nil && o.constrained
 }
 
-// stateOf returns what is known of an offer.
-func (l *RequestLog) stateOf(r scheduler.Offer) *offerState {
-	o := l.offers[r]
+// stateOf returns the state of an offer, which it creates if needed.
+func (l *RequestLog) stateOf(offer scheduler.Offer) *offerState {
+	o := l.offers[offer]
 	if o == nil {
 		o = &offerState{window: 1}
-		l.offers[r] = o
+		l.offers[offer] = o
 	}
 	return o
 }
 
-// backingOff reports whether an offer is left alone after a refusal.
-func (l *RequestLog) backingOff(now time.Time, r scheduler.Offer) bool {
-	o := l.offers[r]
+// backingOff reports whether an offer must not be called yet after a refusal.
+func (l *RequestLog) backingOff(now time.Time, offer scheduler.Offer) bool {
+	o := l.offers[offer]
 	return o != nil && !o.refusedAt.IsZero() && now.Sub(o.refusedAt) < l.backoff(o)
 }
 
-// backoff is for how long an offer is left alone. It grows with the number of offers that have refused, so
-// that asking all of them takes a small part of the calls.
+// backoff returns how long an offer is not called after a refusal. Its limit grows with the number of constrained
+// offers, so that calls to all of them take only a small share of the call rate.
 func (l *RequestLog) backoff(o *offerState) time.Duration {
 	constrained := 0
 	for _, other := range l.offers {
--- a/internal/autoscale/requestlog.go
+++ b/internal/autoscale/requestlog.go
@@ -10,25 +10,25 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// RequestLog holds the open requests and what is known of the offers. It is not safe for concurrent use.
+// RequestLog holds the open requests and the state of the offers. It is not safe for concurrent use.
 type RequestLog struct {
-	callsPerSecond float64 // that the cloud takes
+	callsPerSecond float64 // call rate that the cloud accepts
 	requests       map[string]*ScaleOutRequest
 	offers         map[scheduler.Offer]*offerState
 }
 
-// New returns an empty log for a cloud that takes so many calls a second.
+// New returns an empty log for a cloud that accepts the given number of calls per second.
 func New(callsPerSecond float64) *RequestLog {
 	return &RequestLog{callsPerSecond: callsPerSecond, requests: map[string]*ScaleOutRequest{}, offers: map[scheduler.Offer]*offerState{}}
 }
 
-// Recover adds the intent of an earlier leader. It may have been sent or not: the cloud gives the same
-// answer to the same name.
+// Recover adds a stored request of an earlier leader. It can be sent whether or not that leader sent it: the cloud
+// gives the same response to the same name.
 func (l *RequestLog) Recover(name string, r scheduler.ScaleOut) {
 	l.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, stored: true}
 }
 
-// Pending lists the requests that the cloud has not decided yet, by name.
+// Pending lists the requests that the cloud has not decided yet, sorted by name.
 func (l *RequestLog) Pending() []*ScaleOutRequest {
 	out := make([]*ScaleOutRequest, 0, len(l.requests))
 	for _, name := range slices.Sorted(maps.Keys(l.requests)) {
@@ -37,16 +37,16 @@
 	return out
 }
 
-// Request returns a request that is not decided yet, or nil.
+// Request returns the request with the given name if it is not decided yet, or nil.
 func (l *RequestLog) Request(name string) *ScaleOutRequest { return l.requests[name] }
 
-// Admit returns the requests to make now of what a plan wants, the most urgent first. While a request
-// for an offer is open, only requests of the maximum size are added, as the window of the offer
-// allows: the remaining demand collects for the next request.
-func (l *RequestLog) Admit(now time.Time, rents []scheduler.ScaleOut) (out []scheduler.ScaleOut) {
-	rents = slices.Clone(rents)
-	slices.SortStableFunc(rents, func(a, b scheduler.ScaleOut) int { return cmp.Compare(a.QueuePosition, b.QueuePosition) })
-	for _, r := range rents {
+// Admit returns the requests to make now for the scale-outs that a plan wants, the most urgent first. While a request
+// for an offer is open, only requests of the maximum size are added, up to the call window of the offer: smaller
+// demand is combined into a later request.
+func (l *RequestLog) Admit(now time.Time, wanted []scheduler.ScaleOut) (out []scheduler.ScaleOut) {
+	wanted = slices.Clone(wanted)
+	slices.SortStableFunc(wanted, func(a, b scheduler.ScaleOut) int { return cmp.Compare(a.QueuePosition, b.QueuePosition) })
+	for _, r := range wanted {
 		if l.backingOff(now, r.Offer) {
 			continue
 		}
@@ -61,39 +61,39 @@
 	return out
 }
 
-// Add adds a request whose intent is being written to the store.
+// Add adds a request whose record is being written to the store.
 func (l *RequestLog) Add(now time.Time, name string, r scheduler.ScaleOut) {
 	l.requests[name] = &ScaleOutRequest{ScaleOut: r, Name: name, addedAt: now}
 }
 
-// MarkStored records that the store has an intent. It reports false if the request is of no more use, and
-// its record can be dropped.
+// MarkStored records that the store has committed the record of a request. It returns false if the request has been
+// dropped meanwhile, so that its record can be deleted.
 func (l *RequestLog) MarkStored(name string) bool {
-	a := l.requests[name]
-	if a != nil {
-		a.stored = true
+	request := l.requests[name]
+	if request != nil {
+		request.stored = true
 	}
-	return a != nil
+	return request != nil
 }
 
-// Forget removes a request whose intent will never be in the store.
+// Forget removes a request whose record was not and will not be written to the store.
 func (l *RequestLog) Forget(name string) { delete(l.requests, name) }
 
-// Annotate marks in a snapshot which offers are left alone, and which may be short of machines. Of the
-// latter no more is planned than can be requested at once, so that the rest is requested elsewhere.
-func (l *RequestLog) Annotate(now time.Time, pic *scheduler.Snapshot) {
-	for of, o := range l.offers {
-		if o.constrained {
-			pic.Doubtful[of], pic.Unavailable[of] = true, l.backingOff(now, of)
-			pic.RequestLimit[of] = max(0, l.callWindow(now, of)-l.pendingFor(of)) * wire.MaxScaleOut
+// Annotate marks in a snapshot the constrained offers: which of them are in backoff, and how many machines can be
+// requested from each at once. No more than that is planned for them, so that the rest is requested elsewhere.
+func (l *RequestLog) Annotate(now time.Time, snapshot *scheduler.Snapshot) {
+	for offer, state := range l.offers {
+		if state.constrained {
+			snapshot.Doubtful[offer], snapshot.Unavailable[offer] = true, l.backingOff(now, offer)
+			snapshot.RequestLimit[offer] = max(0, l.callWindow(now, offer)-l.pendingFor(offer)) * wire.MaxScaleOut
 		}
 	}
 }
 
-// pendingFor is how many requests for an offer are not decided yet.
-func (l *RequestLog) pendingFor(r scheduler.Offer) (n int) {
-	for _, a := range l.requests {
-		if a.Offer == r {
+// pendingFor returns the number of requests for an offer that are not decided yet.
+func (l *RequestLog) pendingFor(offer scheduler.Offer) (n int) {
+	for _, request := range l.requests {
+		if request.Offer == offer {
 			n++
 		}
 	}
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Scaler is what a leader has under way with the cloud: open scale-out requests, records of finished
-// ones that are to be dropped from the store, and machines that are to be returned.
+// Scaler holds what a leader still has to do with the cloud: open scale-out requests, records of finished requests to
+// delete from the store, and machines to return.
 type Scaler struct {
 	*RequestLog
 	wake      chan struct{}
-	obsolete  map[string]bool // requests whose records are to be dropped
-	releasing map[string]bool // machines that the cloud has not taken back yet
+	obsolete  map[string]bool // requests whose records are to be deleted from the store
+	releasing map[string]bool // machines that are to be returned and are not known to be gone yet
 }
 
-// NewScaler returns a scaler for a cloud that takes so many calls a second.
+// NewScaler returns a scaler for a cloud that accepts the given number of calls per second.
 func NewScaler(callsPerSecond float64) *Scaler {
 	return &Scaler{RequestLog: New(callsPerSecond), wake: make(chan struct{}, 1), obsolete: make(map[string]bool), releasing: make(map[string]bool)}
 }
 
-// Wake has whoever sends requests look for the next one now.
+// Wake signals the sender of requests to look for the next one now. It never blocks.
 func (s *Scaler) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -27,11 +27,11 @@
 	}
 }
 
-// Woken delivers a value after each Wake.
+// Woken returns the channel that receives a value after Wake. Several pending wake-ups are combined into one.
 func (s *Scaler) Woken() <-chan struct{} { return s.wake }
 
-// Stored records that the store has the intents of requests. Those that are of no more use by now
-// are never sent.
+// Stored records that the store has committed the records of requests. Requests that have been dropped meanwhile are
+// not sent, and their records are marked for deletion.
 func (s *Scaler) Stored(names []string) {
 	for _, name := range names {
 		if !s.MarkStored(name) {
@@ -43,24 +43,24 @@
 	}
 }
 
-// Drop has the records of requests that are over dropped from the store.
+// Drop marks the records of finished requests for deletion from the store.
 func (s *Scaler) Drop(names []string) {
 	for _, name := range names {
 		s.obsolete[name] = true
 	}
 }
 
-// Obsolete lists the requests whose records are to be dropped from the store, in order.
+// Obsolete lists the requests whose records are to be deleted from the store, sorted.
 func (s *Scaler) Obsolete() []string { return slices.Sorted(maps.Keys(s.obsolete)) }
 
-// Dropped records that the record of a request has been dropped.
+// Dropped records that the record of a request has been deleted from the store.
 func (s *Scaler) Dropped(name string) { delete(s.obsolete, name) }
 
-// Release has a machine returned to the cloud.
+// Release marks a machine to be returned to the cloud.
 func (s *Scaler) Release(machine string) { s.releasing[machine] = true }
 
-// Releasing lists the machines that are to be returned to the cloud, in order.
+// Releasing lists the machines that are to be returned to the cloud, sorted.
 func (s *Scaler) Releasing() []string { return slices.Sorted(maps.Keys(s.releasing)) }
 
-// ForgetMachine records that a machine is gone.
+// ForgetMachine records that a machine no longer exists, so it need not be returned.
 func (s *Scaler) ForgetMachine(machine string) { delete(s.releasing, machine) }
--- a/internal/autoscale/scaler_test.go
+++ b/internal/autoscale/scaler_test.go
@@ -8,14 +8,14 @@
 	"amberdeal.example/amberdeal/internal/scheduler"
 )
 
-// TestScaler: a request that is of no more use by the time its intent is stored is dropped, and a machine is
-// returned until it is gone.
+// TestScaler checks that the record of a request that was dropped before it was stored is marked for deletion, and
+// that a machine stays in the list of machines to return until it is gone.
 func TestScaler(t *testing.T) {
 	s := NewScaler(10)
 	s.Stored(nil)
 	select {
 	case <-s.Woken():
-		t.Error("woken by nothing")
+		t.Error("woken although no request was stored")
 	default:
 	}
 	s.Add(time.Unix(1e9, 0), "x", scheduler.ScaleOut{Count: 1})
--- a/internal/tier/guarantee.go
+++ b/internal/tier/guarantee.go
@@ -22,16 +22,16 @@
 	}
 	totalCards := unassigned.total
 	for i := 0; i < len(s.Tiers); {
-		end := i + 1
-		for end < len(s.Tiers) && s.Tiers[end].Order == s.Tiers[i].Order {
-			end++
+		n := i + 1
+		for n < len(s.Tiers) && s.Tiers[n].Order == s.Tiers[i].Order {
+			n++
 		}
-		group := s.Tiers[i:end]
+		group := s.Tiers[i:n]
 		if slices.ContainsFunc(group, func(t Tier) bool { return t.hasGuarantee() }) {
-			unassigned.grantZones(group, cards, out[i:end])
-			unassigned.grantTotals(group, totalCards, out[i:end])
+			unassigned.grantZones(group, cards, out[i:n])
+			unassigned.grantTotals(group, totalCards, out[i:n])
 		}
-		i = end
+		i = n
 	}
 	return out
 }
--- a/internal/zone/observation.go
+++ b/internal/zone/observation.go
@@ -58,7 +58,8 @@
 		return verdictUndecided
 	case observation.Answered > 0 || observation.Heard > 0 && observation.Heard >= observation.Quiet:
 		return verdictReachable
-	case observation.Quiet >= 2 || observation.Vain >= 2 && callsAnsweredElsewhere: // failed calls count only if others are answered
+	case observation.Quiet >= 2 || observation.Vain >= 2 && callsAnsweredElsewhere:
+		// Failed calls count only if calls to other zones are answered.
 		return verdictUnreachable
 	}
 	return verdictUndecided
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -27,7 +27,7 @@
 	State   State
 	Number  uint64    // number of changes so far; it never decreases
 	Since   time.Time // time of the last change, by the clock of the leader that decided it
-	Outages int       // how often the zone became unreachable; reset after it was up for outageMemory
+	Outages int       // how often the zone became unreachable; reset to 0 after it was up for outageMemory
 }
 
 // A recovering zone is up after a stable period. The period doubles with each outage, so that work does not return each
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -75,8 +75,8 @@
 			continue
 		}
 		observer := Observer{m.zoneOf[c], m.observations(c)}
-		for zone, machines := range m.machines {
-			if m.tracker.Record(zone).State == Suspected && machines > 0 { // controllers call machines in this zone and in others
+		for zone, at := range m.machines {
+			if m.tracker.Record(zone).State == Suspected && at > 0 { // controllers call machines in all zones then
 				m.callMachines(c, observer.Observations)
 			}
 		}
--- a/internal/zonerecovery/plan.go
+++ b/internal/zonerecovery/plan.go
@@ -11,7 +11,7 @@
 // The steps of a recovery, in order. After the last one the plan is deleted.
 const (
 	StepRetain   Step = "kept"   // the zone is cut off; machines are retained if their work would not run sooner elsewhere
-	StepRefill   Step = "fill"   // the zone can be reached and work returns; machines requested elsewhere are not released yet
+	StepRefill   Step = "fill"   // the zone is reachable and work returns; machines requested elsewhere are kept
 	StepRefilled Step = "home"   // it runs about as much work as before; idle machines elsewhere are released
 	StepSpread   Step = "spread" // services are spread over the zones again
 )
--- a/internal/zonerecovery/retain.go
+++ b/internal/zonerecovery/retain.go
@@ -1,5 +1,5 @@
-// Package zonerecovery plans how a zone that was cut off comes back into use: which of its machines are retained while it
-// is cut off, and in which steps work returns to it. It does no I/O: times and observations are arguments.
+// Package zonerecovery plans how a zone that was cut off comes back into use: which of its machines are retained while
+// it is cut off, and in which steps work returns to it. It does no I/O: times and observations are arguments.
 package zonerecovery
 
 import (
@@ -28,12 +28,12 @@
 // Keeps reports whether a lost machine is retained until its zone recovers. If not, Keeps reserves capacity for the
 // machine's work.
 //
-// Releasing the machine is the fastest way to prove that its tasks no longer run. That helps the tasks only if they can
-// be placed elsewhere sooner: in a full fleet they wait all the same, and the machine is missing when the zone recovers.
-// Production tasks are left running where they are: the zone may recover before their leases expire, and if it does
-// not, the expiry proves that they no longer run. It is unknown when a zone will recover, so a machine is retained only
-// until its idle time has cost as much as a replacement. At worst that is twice the cost of the best decision in
-// hindsight.
+// Releasing the machine is the fastest way to prove that its tasks no longer run. That helps the tasks only if they
+// can be placed elsewhere sooner: in a full fleet they wait all the same, and the machine is missing when the zone
+// recovers. Production tasks are left running where they are: the zone may recover before their leases expire, and if
+// it does not, the expiry proves that they no longer run. It is unknown when a zone will recover, so a machine is
+// retained only until its idle time has cost as much as a replacement. At worst that is twice the cost of the best
+// decision in hindsight.
 func (f *FreeCapacity) Keeps(m LostMachine) bool {
 	switch {
 	case m.CutOffFor >= m.ReplacementTime:
--- a/internal/zonerecovery/tracker.go
+++ b/internal/zonerecovery/tracker.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Tracker holds the plans of the zones that are recovering, and the capacity that the last scheduling round left for the
-// work of machines that are cut off.
+// Tracker holds the plans of the zones that are recovering, and the capacity that the last scheduling round left for
+// the work of machines that are cut off.
 type Tracker struct {
 	FreeCapacity FreeCapacity
 	Unbalanced   bool // services need to be moved, according to the last plan of the scheduler
@@ -52,8 +52,8 @@
 	return true
 }
 
-// Refilling reports whether work is still returning to some zone. Until then, machines that were requested elsewhere for
-// it are not released.
+// Refilling reports whether work is still returning to some zone. Until then, machines that were requested elsewhere
+// for it are not released.
 func (t *Tracker) Refilling() bool {
 	for _, p := range t.plans {
 		if p.Step == StepRefill {
