--- a/internal/zone/watch.go
+++ b/internal/zone/watch.go
@@ -10,13 +10,13 @@
 	lastHeartbeat map[string]time.Time // last heartbeat of any machine, by zone
 	lastOrphan    map[string]time.Time // last heartbeat of a machine that was released or is unknown, by zone
 	missingSince  map[string]time.Time // since when hardly any heartbeats from a zone reach this leader
-	lastRecall    map[string]time.Time // when Wake last returned true, by zone
+	lastRetry     map[string]time.Time // when Wake last returned true, by zone
 }
 
 // NewWatch returns a Watch with the records that the store holds.
 func NewWatch(now time.Time, records map[string]Record) *Watch {
 	return &Watch{Tracker: New(now, records), lastHeartbeat: make(map[string]time.Time), lastOrphan: make(map[string]time.Time),
-		missingSince: make(map[string]time.Time), lastRecall: make(map[string]time.Time)}
+		missingSince: make(map[string]time.Time), lastRetry: make(map[string]time.Time)}
 }
 
 // SetObservers sets the observations of the peers from which heartbeats arrive.
@@ -94,9 +94,9 @@
 // Wake reports whether all missing machines of a zone should be called again now that one of them has sent a heartbeat.
 // It returns true, and records that, at most once per interval.
 func (w *Watch) Wake(now time.Time, zone string, interval time.Duration) bool {
-	if now.Sub(w.lastRecall[zone]) < interval {
+	if now.Sub(w.lastRetry[zone]) < interval {
 		return false
 	}
-	w.lastRecall[zone] = now
+	w.lastRetry[zone] = now
 	return true
 }
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -37,12 +37,12 @@
 	}
 	var out []string
 	for _, name := range []string{"a", "b"} {
-		s, known := r.observed[name]
+		observation, known := r.observed[name]
 		if !known {
 			continue
 		}
 		p := r.plans[name]
-		next := Next(r.now, p, s)
+		next := Next(r.now, p, observation)
 		if next == p {
 			continue
 		}
