--- a/internal/autoscale/autoscale.go
+++ b/internal/autoscale/autoscale.go
@@ -30,7 +30,7 @@
 	probeCallShare = 8
 	// hintSpeedup divides the backoff of an offer that should have capacity again.
 	hintSpeedup = 4
-	// resendAfter is how long after it was sent a request without a response is sent again, under the same name.
+	// resendAfter is the time after which a request without a response is sent again, under the same name.
 	resendAfter = time.Second
 	// starvationAge is how long a request must have waited to be sent before more urgent ones.
 	starvationAge = 2 * time.Second
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -30,8 +30,8 @@
 // Woken returns the channel that receives a value after Wake. Several pending wake-ups are combined into one.
 func (s *Scaler) Woken() <-chan struct{} { return s.wake }
 
-// Stored records that the store has committed the records of requests. Requests that have been dropped meanwhile are
-// not sent, and their records are marked for deletion.
+// Stored notes that the store has committed the records of requests. Requests that have been dropped meanwhile
+// are not sent, and their records are marked for deletion.
 func (s *Scaler) Stored(names []string) {
 	for _, name := range names {
 		if !s.MarkStored(name) {
--- a/internal/tier/preemption.go
+++ b/internal/tier/preemption.go
@@ -79,7 +79,7 @@
 // candidate is a reservation that Review may keep.
 type candidate struct {
 	Reservation
-	occupied, stopping int // 1 while an attempt is still there, and if any was told to stop
+	occupied, stopping int // 1 if the capacity is still occupied, and if attempts are being stopped
 }
 
 // candidates lists the reservations that can still be used, in the order in which they are kept, and the attempts that
--- a/internal/tier/preemptions.go
+++ b/internal/tier/preemptions.go
@@ -27,8 +27,8 @@
 	if tiers.Configured() {
 		return p
 	}
-	for job, c := range stored {
-		for _, r := range c.Reservations {
+	for job, preemption := range stored {
+		for _, r := range preemption.Reservations {
 			p.stale[ReservationKey{job, r.Machine}] = true
 		}
 	}
@@ -44,8 +44,8 @@
 
 // For returns the preemption for a job, or an empty one if there is none.
 func (p *Preemptions) For(job string) *Preemption {
-	if c := p.byJob[job]; c != nil {
-		return c
+	if preemption := p.byJob[job]; preemption != nil {
+		return preemption
 	}
 	return &Preemption{}
 }
@@ -58,13 +58,13 @@
 // one drops it in its own review.
 func (p *Preemptions) Review(f Facts, report func(job, task string)) {
 	for _, job := range p.Jobs() {
-		c := p.byJob[job]
-		next, overdue := c.Review(job, f)
+		preemption := p.byJob[job]
+		next, overdue := preemption.Review(job, f)
 		for task, attempt := range overdue {
 			p.overdue[task] = attempt
 			report(job, task)
 		}
-		for _, r := range c.Reservations {
+		for _, r := range preemption.Reservations {
 			i := slices.IndexFunc(next.Reservations, func(o Reservation) bool { return o.Machine == r.Machine })
 			if i < 0 || next.Reservations[i].Tasks != r.Tasks {
 				p.stale[ReservationKey{job, r.Machine}] = true
@@ -77,8 +77,8 @@
 // Commit applies a round that the store has committed: the preemptions that it changed, and for each record that it
 // decided on whether the record is still stale.
 func (p *Preemptions) Commit(changed map[string]*Preemption, stale map[ReservationKey]bool) {
-	for job, c := range changed {
-		p.set(job, c)
+	for job, preemption := range changed {
+		p.set(job, preemption)
 	}
 	for key, isStale := range stale {
 		if isStale {
@@ -89,8 +89,8 @@
 	}
 }
 
-func (p *Preemptions) set(job string, c *Preemption) {
-	if p.byJob[job] = c; len(c.Reservations) == 0 {
+func (p *Preemptions) set(job string, preemption *Preemption) {
+	if p.byJob[job] = preemption; len(preemption.Reservations) == 0 {
 		delete(p.byJob, job)
 	}
 }
@@ -132,8 +132,8 @@
 // first tier.
 func (p *Preemptions) FirstTierMachines() map[string]bool {
 	out := make(map[string]bool)
-	for _, c := range p.byJob {
-		for _, r := range c.Reservations {
+	for _, preemption := range p.byJob {
+		for _, r := range preemption.Reservations {
 			out[r.Machine] = out[r.Machine] || r.Level == 0
 		}
 	}
@@ -143,8 +143,8 @@
 // SetStatuses records the status of each tier after a plan, and adds the number of jobs with preemptions to each.
 func (p *Preemptions) SetStatuses(statuses []Status) {
 	p.statuses = statuses
-	for _, c := range p.byJob {
-		p.statuses[p.tiers.IndexOfName(c.Reservations[0].Tier)].Claims++
+	for _, preemption := range p.byJob {
+		p.statuses[p.tiers.IndexOfName(preemption.Reservations[0].Tier)].Claims++
 	}
 }
 
--- a/internal/zonerecovery/retain.go
+++ b/internal/zonerecovery/retain.go
@@ -25,7 +25,7 @@
 	ScaleOuts int // machines that may be requested at once to replace lost ones
 }
 
-// Keeps reports whether a lost machine is retained until its zone recovers. If not, Keeps reserves capacity for the
+// Keeps reports whether a lost machine is retained until its zone recovers. If not, it reserves capacity for the
 // machine's work.
 //
 // Releasing the machine is the fastest way to prove that its tasks no longer run. That helps the tasks only if they
