--- a/internal/leader/backoff_test.go
+++ b/internal/leader/backoff_test.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestBackOffEnds: a job that has failed on many machines is tried again soon enough that nobody finds it
+// TestBackoffIsBounded: a job that has failed on many machines is tried again soon enough that nobody finds it
 // left waiting beside free capacity.
-func TestBackOffEnds(t *testing.T) {
+func TestBackoffIsBounded(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 sweep team=blue tasks=1 gpus=1")
 	driver.step("claim term=1")
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// sizes runs a benchmark at several numbers of machines and of shards, to see how the cost
+// benchmarkSizes runs a benchmark at several numbers of machines and of shards, to see how the cost
 // grows for one of the leaders.
-func sizes(b *testing.B, run func(b *testing.B, f *largeFleet)) {
+func benchmarkSizes(b *testing.B, run func(b *testing.B, f *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
 		for _, parts := range []int{1, 3, 5} {
 			b.Run(fmt.Sprintf("%d/%d", n, parts), func(b *testing.B) { run(b, newLargeFleet(b, n, parts)) })
@@ -197,7 +197,7 @@
 	}
 }
 
-func BenchmarkHeartbeat(b *testing.B) { sizes(b, benchHeartbeat) }
+func BenchmarkHeartbeat(b *testing.B) { benchmarkSizes(b, benchHeartbeat) }
 
 func benchHeartbeat(b *testing.B, f *largeFleet) {
 	for f.runRound() > 0 {
@@ -218,15 +218,15 @@
 			f := newLargeFleet(b, 2000, 1)
 			for f.runRound() > 0 {
 			}
-			f.listEnded(n)
+			f.reportEndedAttempts(n)
 			benchHeartbeat(b, f)
 			b.ReportMetric(float64(len(wire.Encode(f.heartbeats[0]))), "B/heartbeat")
 		})
 	}
 }
 
-// listEnded has each machine list so many attempts of jobs that are over.
-func (f *largeFleet) listEnded(n int) {
+// reportEndedAttempts has each machine list so many attempts of jobs that are over.
+func (f *largeFleet) reportEndedAttempts(n int) {
 	const earlier = 2 << 24 // attempts of an earlier token
 	for _, hb := range f.heartbeats {
 		for i := range n {
@@ -240,7 +240,7 @@
 
 // BenchmarkDecide decides while nothing can be placed: the fleet is full and
 // jobs wait.
-func BenchmarkDecide(b *testing.B) { sizes(b, benchDecide) }
+func BenchmarkDecide(b *testing.B) { benchmarkSizes(b, benchDecide) }
 
 func benchDecide(b *testing.B, f *largeFleet) {
 	for f.runRound() > 0 {
@@ -264,7 +264,7 @@
 }
 
 // BenchmarkTakeover reads the ledger of a full fleet, as a new leader does.
-func BenchmarkTakeover(b *testing.B) { sizes(b, benchTakeover) }
+func BenchmarkTakeover(b *testing.B) { benchmarkSizes(b, benchTakeover) }
 
 func benchTakeover(b *testing.B, f *largeFleet) {
 	slots := map[string]store.Segment{}
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -18,11 +18,11 @@
 // The call that launched it is answered, or may yet be carried out.
 func TestHandedOverTaskIsNotInTwoLedgers(t *testing.T) {
 	for _, fate := range []string{"executed", "open"} {
-		t.Run(fate, func(t *testing.T) { givenTask(t, fate) })
+		t.Run(fate, func(t *testing.T) { testHandedOverTask(t, fate) })
 	}
 }
 
-func givenTask(t *testing.T, fate string) {
+func testHandedOverTask(t *testing.T, fate string) {
 	driver := newTraceDriver(t)
 	play := func(lines string) (out []string) {
 		for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
@@ -86,10 +86,10 @@
 	}
 }
 
-// TestGangIsDoneInPieces: one of two shards has said that its tasks of a gang are done, and the
+// TestGangFinishedAcrossShards: one of two shards has said that its tasks of a gang are done, and the
 // state becomes one shard. The other task's machine is gone with what it knew: the gang is done
 // all the same, since its tasks complete together, and nothing of it is started.
-func TestGangIsDoneInPieces(t *testing.T) {
+func TestGangFinishedAcrossShards(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 gang team=blue tasks=3")
 	driver.step("machine n-1 a holds=wk-1/0#1.1,wk-1/1#1.1")
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -40,9 +40,9 @@
 	controllers [2]*modelController
 	workers     map[string]*modelWorker // by zone
 	lateTxns    []wire.Txn              // transactions whose sender is gone
-	limit       float64                 // of the team, 0 for none
+	teamLimit   float64                 // of the team, 0 for none
 	gang        bool
-	granted     float64 // that is granted, where the state began with more than the limit
+	grantBound  float64 // that is granted, where the state began with more than the limit
 	spread      bool
 	tasks       int
 	cancelled   bool
@@ -69,41 +69,41 @@
 }
 
 type modelWorker struct {
-	zone  string
-	token uint64
-	seq   uint64
-	runs  map[wire.TaskID]uint64
-	done  map[wire.TaskID]uint64
+	zone     string
+	token    uint64
+	seq      uint64
+	running  map[wire.TaskID]uint64
+	finished map[wire.TaskID]uint64
 	// timedOut are tasks of a gang that ended for want of the others.
 	timedOut map[wire.TaskID]uint64
 }
 
 // scenario is where a search begins.
 type scenario struct {
-	name     string
-	limit    float64
-	spread   bool
-	tasks    int
-	ranges   []store.ShardRange
-	prefix   string // steps that are taken first
-	depth    int
-	failover bool // whether shards change leaders
-	reshard  bool // whether the state was divided anew with a task of each shard's machine running
-	gang     bool // whether the job is a gang
-	ended    bool // and that of the second has ended since its machine was recorded
-	cancel   bool // whether the user cancels
+	name        string
+	teamLimit   float64
+	spread      bool
+	tasks       int
+	ranges      []store.ShardRange
+	prefix      string // steps that are taken first
+	depth       int
+	failover    bool // whether shards change leaders
+	reshard     bool // whether the state was divided anew with a task of each shard's machine running
+	gang        bool // whether the job is a gang
+	secondEnded bool // and that of the second has ended since its machine was recorded
+	cancel      bool // whether the user cancels
 }
 
 var scenarios = []scenario{
 	{name: "tasks that are handed over", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
 	{name: "a shard that changes leaders", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
-	{name: "a team's limit", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
-	{name: "a limit while shards change leaders", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "a team's limit", teamLimit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
+	{name: "a limit while shards change leaders", teamLimit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
 	{name: "a state that was resharded", reshard: true, tasks: 3, depth: 7, cancel: true},
-	{name: "a limit in a state that was resharded", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
-	{name: "a limit that is granted twice in a state that was resharded", reshard: true, ended: true, limit: 1, tasks: 3,
+	{name: "a limit in a state that was resharded", reshard: true, teamLimit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
+	{name: "a limit that is granted twice in a state that was resharded", reshard: true, secondEnded: true, teamLimit: 1, tasks: 3,
 		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
 	{name: "a gang that is co-allocated", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
@@ -114,9 +114,9 @@
 }
 
 func newModel(s *scenario) *model {
-	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, limit: s.limit, spread: s.spread, tasks: s.tasks}
+	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, teamLimit: s.teamLimit, spread: s.spread, tasks: s.tasks}
 	m.cfg.Tuning.Shards.By, m.cfg.Zones = "zone", []string{"a", "b"}
-	m.cfg.Teams = []config.Team{{Name: "red", GPUs: s.limit, GPUsMax: s.limit}}
+	m.cfg.Teams = []config.Team{{Name: "red", GPUs: s.teamLimit, GPUsMax: s.teamLimit}}
 	j := &wire.Job{ID: "wk-1", Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", Spread: s.spread}
 	if s.gang {
 		j.Shape = wire.Gang
@@ -129,22 +129,22 @@
 		m.controllers[i] = controller
 	}
 	if s.reshard {
-		m.divide()
+		m.reshard()
 	}
 	for i, zone := range []string{"a", "b"} {
-		m.workers[zone] = &modelWorker{zone: zone, runs: map[wire.TaskID]uint64{}, done: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
-		if s.reshard && (i == 0 || !s.ended) {
-			m.workers[zone].runs[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
+		m.workers[zone] = &modelWorker{zone: zone, running: map[wire.TaskID]uint64{}, finished: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
+		if s.reshard && (i == 0 || !s.secondEnded) {
+			m.workers[zone].running[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
-		m.claim(m.controllers[i], zone)
-		m.report(m.controllers[i], m.workers[zone]) // raises the fencing token there
-		m.report(m.controllers[i], m.workers[zone])
+		m.electLeader(m.controllers[i], zone)
+		m.sendHeartbeat(m.controllers[i], m.workers[zone]) // raises the fencing token there
+		m.sendHeartbeat(m.controllers[i], m.workers[zone])
 	}
 	return m
 }
 
-// divide makes a state of one shard, with a task on each machine, into one of two.
-func (m *model) divide() {
+// reshard makes a state of one shard, with a task on each machine, into one of two.
+func (m *model) reshard() {
 	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
 		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Incarnation: 1,
@@ -161,8 +161,8 @@
 	if err != nil {
 		panic(err)
 	}
-	if m.granted = m.limit; m.limit > 0 {
-		m.granted = max(m.limit, 2)
+	if m.grantBound = m.teamLimit; m.teamLimit > 0 {
+		m.grantBound = max(m.teamLimit, 2)
 	}
 	m.apply(txn.Then)
 }
@@ -206,7 +206,7 @@
 
 var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(controller *modelController, shard string) {
+func (m *model) electLeader(controller *modelController, shard string) {
 	m.sync(controller)
 	token := controller.view.FencingToken().Record + 1
 	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: token}, {Put: store.LeaderKey(shard), Value: store.LeaderRecord{Leader: controller.name, FencingToken: token}}})
@@ -221,16 +221,16 @@
 	controller.leaders[shard] = &modelLeader{Leader: leader}
 }
 
-// report has a machine send a heartbeat to a controller, and carries out the answer.
-func (m *model) report(controller *modelController, w *modelWorker) {
+// sendHeartbeat has a machine send a heartbeat to a controller, and carries out the answer.
+func (m *model) sendHeartbeat(controller *modelController, w *modelWorker) {
 	leader := controller.leaders[w.zone]
 	w.seq++
 	hb := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
-	for _, t := range sortedTasks(w.runs) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
+	for _, t := range sortedTasks(w.running) {
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.running[t], State: wire.TaskRunning})
 	}
-	for _, t := range sortedTasks(w.done) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
+	for _, t := range sortedTasks(w.finished) {
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.finished[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
 		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
@@ -244,14 +244,14 @@
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
-			if w.runs[id] == 0 && w.done[id] == 0 && w.timedOut[id] != c.Attempt {
+			if w.running[id] == 0 && w.finished[id] == 0 && w.timedOut[id] != c.Attempt {
 				m.start(w, id, c.Attempt)
 			}
 		case wire.Stop:
-			delete(w.runs, id)
+			delete(w.running, id)
 		case wire.Clear:
-			if w.done[id] == c.Attempt {
-				delete(w.done, id)
+			if w.finished[id] == c.Attempt {
+				delete(w.finished, id)
 			}
 			if w.timedOut[id] == c.Attempt {
 				delete(w.timedOut, id)
@@ -263,17 +263,17 @@
 func (m *model) start(w *modelWorker, id wire.TaskID, attempt uint64) {
 	on := 0.0
 	for _, other := range m.workers {
-		if other.runs[id] != 0 {
+		if other.running[id] != 0 {
 			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
-		on += float64(len(other.runs))
+		on += float64(len(other.running))
 	}
-	w.runs[id] = attempt
-	if m.limit > 0 && on+1 > m.limit {
+	w.running[id] = attempt
+	if m.teamLimit > 0 && on+1 > m.teamLimit {
 		m.violate("quota: %v tasks run", on+1)
 	}
-	if m.spread && len(w.runs) > (m.tasks+1)/2 {
-		m.violate("wrong_place: %d tasks in %s", len(w.runs), w.zone)
+	if m.spread && len(w.running) > (m.tasks+1)/2 {
+		m.violate("wrong_place: %d tasks in %s", len(w.running), w.zone)
 	}
 }
 
@@ -312,7 +312,7 @@
 		for _, g := range grants.Teams["red"] {
 			sum += g[1]
 		}
-		if m.granted = min(max(m.granted, m.limit), max(sum, m.limit)); m.limit > 0 && sum > m.granted+1e-6 { // it never rises above
+		if m.grantBound = min(max(m.grantBound, m.teamLimit), max(sum, m.teamLimit)); m.teamLimit > 0 && sum > m.grantBound+1e-6 { // it never rises above
 			m.violate("grants: %v", grants.Teams)
 		}
 	}
@@ -322,8 +322,8 @@
 	return slices.SortedFunc(maps.Keys(tasks), func(a, b wire.TaskID) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// steps lists what can happen next.
-func (m *model) steps(s *scenario) []string {
+// possibleSteps lists what can happen next.
+func (m *model) possibleSteps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for i, controller := range m.controllers {
@@ -348,7 +348,7 @@
 			default:
 				add("commit %d %s", i, shard)
 			}
-			if m.limit > 0 {
+			if m.teamLimit > 0 {
 				if leader.grantChange == nil {
 					add("regrant %d %s", i, shard)
 				} else {
@@ -369,8 +369,8 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		switch w := m.workers[zone]; {
-		case len(w.runs) == 0:
-		case m.whole():
+		case len(w.running) == 0:
+		case m.canFinish():
 			add("finish 0 %s", zone)
 		default:
 			add("alone 0 %s", zone)
@@ -382,8 +382,8 @@
 	return out
 }
 
-// take makes a step.
-func (m *model) take(step string) {
+// takeStep makes a step.
+func (m *model) takeStep(step string) {
 	f := strings.Fields(step)
 	var controller *modelController
 	var leader *modelLeader
@@ -399,9 +399,9 @@
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
-		m.claim(controller, shard)
+		m.electLeader(controller, shard)
 	case "report":
-		m.report(controller, m.workers[shard])
+		m.sendHeartbeat(controller, m.workers[shard])
 	case "decide":
 		m.decide(controller, leader, shard)
 	case "commit":
@@ -486,27 +486,27 @@
 
 // timeOut ends what runs: the gang was not complete in time, or has lost a task.
 func (w *modelWorker) timeOut() {
-	for id, n := range w.runs {
+	for id, n := range w.running {
 		w.timedOut[id] = n
 	}
-	clear(w.runs)
+	clear(w.running)
 }
 
 // finish has a task of a machine complete; the tasks of a gang complete together.
 func (m *model) finish(w *modelWorker) {
 	if m.gang {
 		for _, other := range m.workers {
-			for id, n := range other.runs {
-				other.done[id], m.completed[id] = n, true
+			for id, n := range other.running {
+				other.finished[id], m.completed[id] = n, true
 			}
-			clear(other.runs)
+			clear(other.running)
 		}
 		return
 	}
-	id := sortedTasks(w.runs)[0]
-	w.done[id] = w.runs[id]
+	id := sortedTasks(w.running)[0]
+	w.finished[id] = w.running[id]
 	m.completed[id] = true
-	delete(w.runs, id)
+	delete(w.running, id)
 }
 
 // cancel is the user's request.
@@ -519,15 +519,15 @@
 	}
 }
 
-// whole reports whether what runs may complete: of a gang, all tasks run, with the same
+// canFinish reports whether what runs may complete: of a gang, all tasks run, with the same
 // attempt.
-func (m *model) whole() bool {
+func (m *model) canFinish() bool {
 	if !m.gang {
 		return true
 	}
 	attempts, n := map[uint64]bool{}, 0
 	for _, other := range m.workers {
-		for _, a := range other.runs {
+		for _, a := range other.running {
 			attempts[a] = true
 			n++
 		}
@@ -563,7 +563,7 @@
 		for _, shard := range slices.Sorted(maps.Keys(controller.leaders)) {
 			leader := controller.leaders[shard]
 			driver := &traceDriver{leader: leader.Leader}
-			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.describePlacements(), leader.rebuilt, leader.quota.Forecast().Demands)
 			put("%v %v", leader.quota, leader.targets)
 			for _, id := range sortedKeys(leader.jobStates) {
 				j := leader.jobStates[id]
@@ -585,22 +585,22 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		w := m.workers[zone]
-		put("%s %d %v %v %v", zone, w.token, w.runs, w.done, w.timedOut)
+		put("%s %d %v %v %v", zone, w.token, w.running, w.finished, w.timedOut)
 	}
 	put("%v", m.cancelled)
 	return d.Sum64()
 }
 
-// modelAt plays a path from the beginning.
-func modelAt(s *scenario, path []string) *model {
+// replayPath plays a path from the beginning.
+func replayPath(s *scenario, path []string) *model {
 	m := newModel(s)
 	for _, step := range strings.Split(s.prefix, "; ") {
 		if step != "" {
-			m.take(step)
+			m.takeStep(step)
 		}
 	}
 	for _, step := range path {
-		m.take(step)
+		m.takeStep(step)
 	}
 	return m
 }
@@ -624,9 +624,9 @@
 			go func() {
 				defer group.Done()
 				for i := range work {
-					for _, step := range modelAt(s, level[i]).steps(s) {
+					for _, step := range replayPath(s, level[i]).possibleSteps(s) {
 						p := append(slices.Clone(level[i]), step)
-						m := modelAt(s, p)
+						m := replayPath(s, p)
 						next[i] = append(next[i], found{p, m.fingerprint(), m.violation})
 					}
 				}
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -28,10 +28,10 @@
 	timedStep  = 3 * time.Second
 	timedShard = "fleet"
 	timedJob   = "wk-1"
-	// lateKill is for how long a worker may be late to look at its lease: until then its tasks
+	// maxExpiryDelay is for how long a worker may be late to look at its lease: until then its tasks
 	// are on the machine, though it neither says nor takes anything. Proofs by time leave a
 	// margin for it.
-	lateKill = 4 * time.Second
+	maxExpiryDelay = 4 * time.Second
 )
 
 // timedModel is one state, reached by its path.
@@ -41,10 +41,10 @@
 	plantedFault        string
 	steadySender        string
 	budgets             []budget
-	count               map[string]int // steps that were taken of each
-	rank                int            // of the last step: within a moment they come in the order in which they are listed
+	stepCounts          map[string]int // steps that were taken of each
+	lastRank            int            // of the last step: within a moment they come in the order in which they are listed
 	anyOrder            bool           // or in any
-	grants              int
+	leaseGrants         int
 	nodes               [2]*timedController
 	machines            map[string]*timedWorker
 	serviceDown         bool
@@ -52,64 +52,64 @@
 	lateCalls           []lateCall
 	duplicateHeartbeats []wire.Heartbeat
 	cancelAckedAt       time.Time // when the user was told that the job is cancelled
-	finalStage          wire.Stage
-	done                map[agent.Key]bool // attempts that have completed
+	firstFinalStage     wire.Stage
+	finishedAttempts    map[agent.Key]bool // attempts that have completed
 	reached             map[string]bool
 }
 
 type timedController struct {
 	*modelController
-	election    *leadership.Election
-	leader      *Leader
-	draft       *Draft
-	refused     bool
-	dead        bool
-	leaseSince  time.Time // when the service counts its lease from; zero: it has ended
-	leaseID     uint64    // of the lease
-	pendingRead *pendingRead
+	election       *leadership.Election
+	leader         *Leader
+	draft          *Draft
+	refused        bool
+	dead           bool
+	leaseRenewedAt time.Time // when the service counts its lease from; zero: it has ended
+	leaseID        uint64    // of the lease
+	pendingRead    *pendingRead
 }
 
 // pendingRead is an answer of the service that is on its way.
 type pendingRead struct {
-	begun   time.Time
-	changes wire.WatchResponse
+	startedAt time.Time
+	changes   wire.WatchResponse
 }
 
 type timedWorker struct {
-	id          string
-	core        *agent.Core
-	answered    time.Time // as the core counts it
-	incarnation uint64
-	runs        map[agent.Key]bool
-	gone        bool
+	id             string
+	core           *agent.Core
+	lastAnsweredAt time.Time // as the core counts it
+	incarnation    uint64
+	running        map[agent.Key]bool
+	released       bool
 }
 
 type lateTxn struct {
 	wire.Txn
 	kind     string
 	node     int
-	lease    uint64
+	leaseID  uint64
 	revision uint64
 }
 
 type lateCall struct {
 	machine string
-	direct  wire.CommandRequest
+	request wire.CommandRequest
 }
 
 // timedScenario is where a search begins and what may happen: of each kind of step so many.
 type timedScenario struct {
-	name         string
-	tasks        int
-	limit        float64
-	prefix       string
-	depth        int
-	limits       string // steps, by how they begin, and how many of each at most
-	mustReach    string // what must have come about somewhere
-	findsFaults  string // faults that are found if they are planted there
-	plantedFault string // the one that is planted
-	steadySender string // a machine that sends a heartbeat at each moment, and to whom
-	anyOrder     bool   // within a moment steps come in any order, not only as they are listed
+	name          string
+	tasks         int
+	teamLimit     float64
+	prefix        string
+	depth         int
+	stepLimits    string // steps, by how they begin, and how many of each at most
+	mustReach     string // what must have come about somewhere
+	detectsFaults string // faults that are found if they are planted there
+	plantedFault  string // the one that is planted
+	steadySender  string // a machine that sends a heartbeat at each moment, and to whom
+	anyOrder      bool   // within a moment steps come in any order, not only as they are listed
 }
 
 // budget is how many steps that begin so may be taken.
@@ -118,8 +118,8 @@
 	limit  int
 }
 
-func (s *timedScenario) budget() (out []budget) {
-	for _, f := range strings.Split(s.limits, "; ") {
+func (s *timedScenario) parseBudgets() (out []budget) {
+	for _, f := range strings.Split(s.stepLimits, "; ") {
 		begins, n, _ := strings.Cut(f, ":")
 		most, _ := strconv.Atoi(n)
 		out = append(out, budget{begins, most})
@@ -137,42 +137,42 @@
 	return cfg
 }
 
-func newTimed(s *timedScenario) *timedModel {
-	m := &timedModel{model: &model{cfg: timedConfig(s.limit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, limit: s.limit, tasks: s.tasks},
-		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.budget(), anyOrder: s.anyOrder, count: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, done: map[agent.Key]bool{}}
+func newTimedModel(s *timedScenario) *timedModel {
+	m := &timedModel{model: &model{cfg: timedConfig(s.teamLimit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, teamLimit: s.teamLimit, tasks: s.tasks},
+		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.parseBudgets(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.Key]bool{}}
 	j := &wire.Job{ID: timedJob, Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j}}}}})
 	for i := range m.nodes {
 		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
 		controller.view.Load(nil, 0, &wire.WatchResponse{})
 		m.nodes[i] = &timedController{modelController: controller, election: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
-		m.grant(i)
-		m.read(i)
+		m.grantLease(i)
+		m.readStore(i)
 	}
 	m.campaign(0, false)
 	for _, id := range []string{"a", "b"} {
 		m.machines[id] = &timedWorker{id: id, core: agent.NewCore(agent.Identity{Machine: "n-" + id, Addr: "10.1.0.1:9000", Type: "g1", Zone: "a"}, m.cfg.Workers.Lease, 1, m.now),
-			answered: m.now, incarnation: 1, runs: map[agent.Key]bool{}}
-		m.report(id, 0, true)
-		m.report(id, 0, true)
+			lastAnsweredAt: m.now, incarnation: 1, running: map[agent.Key]bool{}}
+		m.sendHeartbeat(id, 0, true)
+		m.sendHeartbeat(id, 0, true)
 	}
 	m.duplicateHeartbeats = nil
 	return m
 }
 
-func (m *timedModel) grant(i int) {
+func (m *timedModel) grantLease(i int) {
 	c := m.nodes[i]
-	c.leaseID, c.leaseSince = uint64(10+10*m.grants+i), m.now
-	m.grants++
+	c.leaseID, c.leaseRenewedAt = uint64(10+10*m.leaseGrants+i), m.now
+	m.leaseGrants++
 	c.election.LeaseGranted(c.leaseID, m.now)
 }
 
-func (m *timedModel) served(i int) bool {
+func (m *timedModel) isServed(i int) bool {
 	return !m.serviceDown && !m.nodes[i].refused && !m.nodes[i].dead
 }
 
-// changes lists what a controller has not seen, as a watch would.
-func (m *timedModel) changes(i int) wire.WatchResponse {
+// unseenChanges lists what a controller has not seen, as a watch would.
+func (m *timedModel) unseenChanges(i int) wire.WatchResponse {
 	var ch wire.WatchResponse
 	for _, e := range m.log {
 		if e.Version > m.nodes[i].seenRevision {
@@ -183,22 +183,22 @@
 	return ch
 }
 
-// takeIn has a view take in an answer that was asked for at a time, and the election what the
+// applyRead has a view take in an answer that was asked for at a time, and the election what the
 // view says of the shard.
-func (m *timedModel) takeIn(i int, ch wire.WatchResponse, begun time.Time) {
+func (m *timedModel) applyRead(i int, ch wire.WatchResponse, begun time.Time) {
 	c := m.nodes[i]
 	c.view.Apply(&ch)
 	c.seenRevision = max(c.seenRevision, ch.Revision)
 	c.view.MarkCurrent(begun)
 	rec, known := c.view.Leader(timedShard)
 	c.election.Observe(timedShard, rec, known, c.view.Revision())
-	m.manage(i)
+	m.manageLeadership(i)
 }
 
-func (m *timedModel) read(i int) { m.takeIn(i, m.changes(i), m.now) }
+func (m *timedModel) readStore(i int) { m.applyRead(i, m.unseenChanges(i), m.now) }
 
-// manage begins and ends the duties for the shard, as package controller does.
-func (m *timedModel) manage(i int) {
+// manageLeadership begins and ends the duties for the shard, as package controller does.
+func (m *timedModel) manageLeadership(i int) {
 	c := m.nodes[i]
 	held, is := c.election.Tenure(timedShard)
 	if c.leader != nil && (!is || c.leader.lease.Version != held.Version) {
@@ -208,15 +208,15 @@
 		return
 	}
 	if c.view.Revision() < held.Revision {
-		if !m.served(i) {
+		if !m.isServed(i) {
 			return
 		}
-		m.read(i)
+		m.readStore(i)
 		return
 	}
 	cfg := m.cfg
 	if m.plantedFault == "proof 3 without its margin" {
-		cfg = timedConfig(m.limit)
+		cfg = timedConfig(m.teamLimit)
 		cfg.Workers.Lease -= 5 * time.Second
 		cfg.Workers.Cancel -= 5 * time.Second // what is answered stays the same
 	}
@@ -232,7 +232,7 @@
 	if i == 1 {
 		m.reached["takeover"] = true
 		for _, w := range m.machines {
-			if len(w.runs) > 0 {
+			if len(w.running) > 0 {
 				m.reached["takeover with a task running"] = true
 			}
 		}
@@ -250,16 +250,16 @@
 		m.lateCommits = append(m.lateCommits, lateTxn{txn, "claim", i, c.leaseID, m.revision})
 		return
 	}
-	if m.conditionsHold(txn) && !c.leaseSince.IsZero() {
+	if m.conditionsHold(txn) && !c.leaseRenewedAt.IsZero() {
 		rev := m.apply(txn.Then)
 		c.election.Won(timedShard, token, rev)
 	}
-	m.read(i)
-	m.manage(i)
+	m.readStore(i)
+	m.manageLeadership(i)
 }
 
-// entitled says whether a controller answers a heartbeat, as package controller does.
-func (m *timedModel) entitled(i int, hb *wire.Heartbeat) (valid, ok bool) {
+// mayAnswer says whether a controller answers a heartbeat, as package controller does.
+func (m *timedModel) mayAnswer(i int, hb *wire.Heartbeat) (valid, ok bool) {
 	c := m.nodes[i]
 	held, is := c.election.Tenure(timedShard)
 	valid = c.election.LeaseValid(m.now)
@@ -280,7 +280,7 @@
 
 // handleHeartbeat has a controller take in a heartbeat and gives its answer.
 func (m *timedModel) handleHeartbeat(i int, hb *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	valid, ok := m.entitled(i, hb)
+	valid, ok := m.mayAnswer(i, hb)
 	if !ok {
 		return wire.HeartbeatResponse{}, false
 	}
@@ -296,9 +296,9 @@
 	return m.nodes[i].leader.HandleHeartbeat(m.now, hb, valid)
 }
 
-func (m *timedModel) report(id string, i int, arrives bool) {
+func (m *timedModel) sendHeartbeat(id string, i int, arrives bool) {
 	w := m.machines[id]
-	m.expire(w, false)
+	m.expireLease(w, false)
 	hb, sent := w.core.NextHeartbeat(), m.now
 	if id == "b" { // the other is well
 		m.duplicateHeartbeats = append(m.duplicateHeartbeats[max(0, len(m.duplicateHeartbeats)-2):], hb)
@@ -307,7 +307,7 @@
 	if !ok {
 		return
 	}
-	if !m.cancelAckedAt.IsZero() && i == 0 && len(w.runs) > 0 {
+	if !m.cancelAckedAt.IsZero() && i == 0 && len(w.running) > 0 {
 		m.reached["the old leader answers after a cancellation"] = true
 	}
 	if !arrives {
@@ -316,21 +316,21 @@
 	}
 	token := w.core.Heartbeat().FencingToken
 	e := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
-	if response.FencingToken >= token && sent.After(w.answered) {
-		w.answered = sent
+	if response.FencingToken >= token && sent.After(w.lastAnsweredAt) {
+		w.lastAnsweredAt = sent
 	}
 	for _, c := range response.Commands {
 		if c.Verb == wire.Clear {
-			m.cleared(c)
+			m.checkCleared(c)
 		}
 	}
-	m.effects(w, e)
+	m.applyEffects(w, e)
 }
 
-// cleared checks that what a machine is to forget is in the store.
-func (m *timedModel) cleared(c wire.Command) {
+// checkCleared checks that what a machine is to forget is in the store.
+func (m *timedModel) checkCleared(c wire.Command) {
 	id, _ := wire.ParseTaskID(c.Task)
-	if !m.done[agent.Key{Task: id, Attempt: c.Attempt}] {
+	if !m.finishedAttempts[agent.Key{Task: id, Attempt: c.Attempt}] {
 		return
 	}
 	if job, ok := m.liveJob(); !ok || job.Record.Stage.Final() {
@@ -349,44 +349,44 @@
 	}
 }
 
-// effects carries out what a worker is to do, at once.
-func (m *timedModel) effects(w *timedWorker, e agent.Effects) {
+// applyEffects carries out what a worker is to do, at once.
+func (m *timedModel) applyEffects(w *timedWorker, e agent.Effects) {
 	for _, k := range e.Kill {
-		delete(w.runs, k)
+		delete(w.running, k)
 		w.core.MarkEnded(k, wire.CauseStopped)
 	}
 	for _, k := range e.Start {
 		on := 0
 		for _, other := range m.machines {
-			for r := range other.runs {
+			for r := range other.running {
 				if r.Task == k.Task {
 					m.violate("ran_twice: %v starts on %s", k.Task, w.id)
 				}
 			}
-			on += len(other.runs)
+			on += len(other.running)
 		}
-		if m.limit > 0 && float64(on+1) > m.limit {
+		if m.teamLimit > 0 && float64(on+1) > m.teamLimit {
 			m.violate("quota: %d tasks run", on+1)
 		}
 		if !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) > m.cfg.Workers.Cancel {
 			m.violate("ran_cancelled: %v starts %v after", k.Task, m.now.Sub(m.cancelAckedAt))
 		}
-		w.runs[k] = true
+		w.running[k] = true
 		w.core.MarkRunning(k)
 	}
 }
 
-// expire has a worker look at its lease: it must whenever it does anything, and in time.
-func (m *timedModel) expire(w *timedWorker, must bool) {
-	if must && m.now.Sub(w.answered) <= m.cfg.Workers.Lease+lateKill {
+// expireLease has a worker look at its lease: it must whenever it does anything, and in time.
+func (m *timedModel) expireLease(w *timedWorker, must bool) {
+	if must && m.now.Sub(w.lastAnsweredAt) <= m.cfg.Workers.Lease+maxExpiryDelay {
 		return
 	}
 	e := w.core.Expire(m.now)
 	if w.core.Incarnation() != w.incarnation {
-		w.incarnation, w.answered = w.core.Incarnation(), m.now
+		w.incarnation, w.lastAnsweredAt = w.core.Incarnation(), m.now
 		m.reached["a later incarnation"] = true
 	}
-	m.effects(w, e)
+	m.applyEffects(w, e)
 }
 
 // tick lets time pass.
@@ -394,27 +394,27 @@
 	for i, c := range m.nodes {
 		// The cloud is never so late that a machine outlives what it is released for.
 		if c.leader != nil && !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) >= m.cfg.Workers.Cancel-3*timedStep {
-			m.release(i)
+			m.releaseMachines(i)
 		}
 	}
 	m.now = m.now.Add(timedStep)
 	for _, id := range []string{"a", "b"} {
-		m.expire(m.machines[id], true)
+		m.expireLease(m.machines[id], true)
 	}
 	for i, c := range m.nodes {
-		if i == 0 && !m.serviceDown && !c.leaseSince.IsZero() && m.now.Sub(c.leaseSince) >= m.cfg.Tuning.Lease {
-			c.leaseSince = time.Time{}
+		if i == 0 && !m.serviceDown && !c.leaseRenewedAt.IsZero() && m.now.Sub(c.leaseRenewedAt) >= m.cfg.Tuning.Lease {
+			c.leaseRenewedAt = time.Time{}
 			var rec store.LeaderRecord
 			if p, ok := m.keys[store.LeaderKey(timedShard)]; ok && wire.DecodeValue(p.raw, &rec) == nil && rec.Lease == c.leaseID {
 				m.apply([]wire.Operation{{Delete: store.LeaderKey(timedShard)}})
 			}
 		}
 	}
-	if c := m.nodes[1]; m.served(1) && !c.leaseSince.IsZero() { // it is well
-		c.leaseSince = m.now
+	if c := m.nodes[1]; m.isServed(1) && !c.leaseRenewedAt.IsZero() { // it is well
+		c.leaseRenewedAt = m.now
 		c.election.LeaseRenewed(m.now)
 		if c.leader != nil {
-			m.read(1)
+			m.readStore(1)
 		}
 	}
 	for _, c := range m.nodes { // the duties of a leader go on whatever the store does
@@ -424,7 +424,7 @@
 	}
 	if id, i, ok := strings.Cut(m.steadySender, " "); ok {
 		k, _ := strconv.Atoi(i)
-		m.report(id, k, true)
+		m.sendHeartbeat(id, k, true)
 	}
 	m.checkCancelled()
 	if !m.cancelAckedAt.IsZero() && m.serviceDown {
@@ -441,13 +441,13 @@
 	}
 	m.reached["cancel_s has passed"] = true
 	for _, w := range m.machines {
-		for k := range w.runs {
+		for k := range w.running {
 			m.violate("ran_cancelled: %v is on %s %v after", k.Task, w.id, m.now.Sub(m.cancelAckedAt))
 		}
 	}
 }
 
-func (m *timedModel) release(i int) {
+func (m *timedModel) releaseMachines(i int) {
 	c := m.nodes[i]
 	if !c.election.LeaseValid(m.now) {
 		return
@@ -455,38 +455,38 @@
 	names := c.leader.pendingReleases()
 	for _, name := range names {
 		if w := m.machines[strings.TrimPrefix(name, "n-")]; w != nil {
-			w.gone = true
-			clear(w.runs)
+			w.released = true
+			clear(w.running)
 		}
 	}
 	c.leader.scaledIn(names)
 }
 
-// do carries a direct call out at a worker.
-func (m *timedModel) do(id string, d wire.CommandRequest) (wire.Heartbeat, bool) {
+// executeDirectCall carries a direct call out at a worker.
+func (m *timedModel) executeDirectCall(id string, d wire.CommandRequest) (wire.Heartbeat, bool) {
 	w := m.machines[id]
-	m.expire(w, false)
+	m.expireLease(w, false)
 	e, ok := w.core.HandleDirect(m.now, d)
 	if ok {
 		for _, c := range d.Commands {
 			if c.Verb == wire.Clear {
-				m.cleared(c)
+				m.checkCleared(c)
 			}
 		}
-		m.effects(w, e)
+		m.applyEffects(w, e)
 	}
 	return w.core.Heartbeat(), ok
 }
 
-// call makes a leader's direct calls; lost ones are on their way.
-func (m *timedModel) call(i int, lost bool) {
+// makeDirectCalls makes a leader's direct calls; lost ones are on their way.
+func (m *timedModel) makeDirectCalls(i int, lost bool) {
 	c := m.nodes[i]
 	for _, k := range c.leader.dueCalls(m.now, c.election.LeaseValid(m.now), maxOpenCalls) {
 		id := strings.TrimPrefix(k.machine, "n-")
 		d := wire.CommandRequest{FencingToken: c.leader.lease.FencingToken, Incarnation: k.incarnation, Commands: k.commands}
 		outcome, heard := fleet.Unanswered, false
 		switch {
-		case m.machines[id].gone:
+		case m.machines[id].released:
 		case lost:
 			if len(d.Commands) > 0 && len(m.lateCalls) < 2 {
 				m.lateCalls = append(m.lateCalls, lateCall{id, d})
@@ -495,7 +495,7 @@
 				outcome = fleet.Refused
 			}
 		default:
-			hb, ok := m.do(id, d)
+			hb, ok := m.executeDirectCall(id, d)
 			if outcome = fleet.Refused; ok {
 				outcome = fleet.Executed
 			}
@@ -526,13 +526,13 @@
 			p.Committed = true
 		}
 	case "a round is not fenced by the leader record":
-		c.draft.Txn.If = without(c.draft.Txn.If, store.LeaderKey(timedShard))
+		c.draft.Txn.If = withoutCondition(c.draft.Txn.If, store.LeaderKey(timedShard))
 	case "a round is not bound to its ledger":
 		for _, t := range c.draft.Packed().Then {
-			c.draft.Txn.If = without(c.draft.Txn.If, t.Put)
+			c.draft.Txn.If = withoutCondition(c.draft.Txn.If, t.Put)
 		}
 	case "an end is not bound to the job's record":
-		c.draft.Txn.If = without(c.draft.Txn.If, store.BatchKey("x"))
+		c.draft.Txn.If = withoutCondition(c.draft.Txn.If, store.BatchKey("x"))
 	}
 }
 
@@ -549,7 +549,7 @@
 	}
 	leader := c.leader
 	c.draft = nil
-	m.read(i)
+	m.readStore(i)
 	if last, version := c.view.Segment(d.FirstSegment()); last.FencingToken == leader.lease.FencingToken && last.Round == d.Number {
 		leader.Committed(d, version)
 		m.reached["a copy of a round was taken"] = true
@@ -562,7 +562,7 @@
 func (m *timedModel) cancel(i int, hold bool) {
 	job, live := m.liveJob()
 	if !live {
-		m.read(i)
+		m.readStore(i)
 		if rec, ok := m.nodes[i].view.Job(timedJob); ok && rec.Stage == wire.Cancelled {
 			m.acknowledgeCancel()
 		}
@@ -590,14 +590,14 @@
 	}
 }
 
-// steps lists what can happen next.
-func (m *timedModel) steps(may []budget) []string {
+// possibleSteps lists what can happen next.
+func (m *timedModel) possibleSteps(may []budget) []string {
 	var out []string
 	add := func(kind string, args ...any) {
 		step := strings.TrimSpace(kind + " " + fmt.Sprintln(args...))
 		for k, b := range may {
 			if strings.HasPrefix(step, b.prefix) {
-				if m.count[b.prefix] < b.limit && (k >= m.rank || m.anyOrder) {
+				if m.stepCounts[b.prefix] < b.limit && (k >= m.lastRank || m.anyOrder) {
 					out = append(out, step)
 				}
 				return
@@ -627,10 +627,10 @@
 		add("arrive", k)
 	}
 	for _, id := range []string{"a", "b"} {
-		if len(m.machines[id].runs) > 0 {
+		if len(m.machines[id].running) > 0 {
 			add("finish", id)
 		}
-		if w := m.machines[id]; !w.gone && m.now.Sub(w.answered) > m.cfg.Workers.Lease {
+		if w := m.machines[id]; !w.released && m.now.Sub(w.lastAnsweredAt) > m.cfg.Workers.Lease {
 			add("expire", id)
 		}
 	}
@@ -642,7 +642,7 @@
 	if c.dead {
 		return
 	}
-	if m.served(i) {
+	if m.isServed(i) {
 		m.servedSteps(i, c, add)
 	}
 	if !m.serviceDown && c.election.LastRenewal().Before(m.now) { // renewals may succeed where reads are refused
@@ -652,8 +652,8 @@
 		add("answer", i)
 	}
 	for _, id := range []string{"a", "b"} {
-		if hb := m.machines[id].core.Heartbeat(); !m.machines[id].gone {
-			if _, ok := m.entitled(i, &hb); ok {
+		if hb := m.machines[id].core.Heartbeat(); !m.machines[id].released {
+			if _, ok := m.mayAnswer(i, &hb); ok {
 				add("report", id, i)
 				add("lose", id, i)
 			}
@@ -691,13 +691,13 @@
 		add("release", i)
 	}
 	if c.draft == nil && c.election.LeaseValid(m.now) {
-		if m.served(i) {
+		if m.isServed(i) {
 			add("round", i)
 		}
 		add("decide", i)
 	}
 	if c.draft != nil {
-		if m.served(i) {
+		if m.isServed(i) {
 			add("commit", i)
 		}
 		if !m.serviceDown {
@@ -715,17 +715,17 @@
 func (m *timedModel) countStep(step string) {
 	for k, b := range m.budgets {
 		if strings.HasPrefix(step, b.prefix) {
-			m.count[b.prefix]++
-			if m.rank = k; step == "tick" {
-				m.rank = 0
+			m.stepCounts[b.prefix]++
+			if m.lastRank = k; step == "tick" {
+				m.lastRank = 0
 			}
 			return
 		}
 	}
 }
 
-// take makes a step.
-func (m *timedModel) take(step string) {
+// takeStep makes a step.
+func (m *timedModel) takeStep(step string) {
 	m.countStep(step)
 	f := strings.Fields(step)
 	last := 0
@@ -745,9 +745,9 @@
 	case "serve":
 		c.refused = false
 	case "sync":
-		m.read(last)
+		m.readStore(last)
 	case "ask":
-		c.pendingRead = &pendingRead{m.now, m.changes(last)}
+		c.pendingRead = &pendingRead{m.now, m.unseenChanges(last)}
 	case "answer":
 		m.answerRead(last)
 	case "renew":
@@ -757,12 +757,12 @@
 	case "cancel", "holdcancel":
 		m.cancel(last, f[0] == "holdcancel")
 	case "report", "lose":
-		m.report(f[1], last, f[0] == "report")
+		m.sendHeartbeat(f[1], last, f[0] == "report")
 	case "copy":
 		k, _ := strconv.Atoi(f[1])
 		m.replayHeartbeat(k, last)
 	case "release":
-		m.release(last)
+		m.releaseMachines(last)
 	case "round": // decided and stored
 		m.decide(last)
 		if c.draft != nil {
@@ -775,7 +775,7 @@
 	case "hold":
 		m.holdRound(last)
 	case "call", "losecall":
-		m.call(last, f[0] == "losecall")
+		m.makeDirectCalls(last, f[0] == "losecall")
 	case "die": // what it was about to write may be on its way
 		if c.draft != nil {
 			m.holdRound(last)
@@ -788,7 +788,7 @@
 	case "finish":
 		m.finishTasks(m.machines[f[1]])
 	case "expire":
-		m.expire(m.machines[f[1]], false)
+		m.expireLease(m.machines[f[1]], false)
 	default:
 		panic("no such step: " + step)
 	}
@@ -799,8 +799,8 @@
 func (m *timedModel) restoreService() {
 	m.serviceDown = false
 	for _, c := range m.nodes {
-		if !c.leaseSince.IsZero() {
-			c.leaseSince = m.now
+		if !c.leaseRenewedAt.IsZero() {
+			c.leaseRenewedAt = m.now
 		}
 	}
 }
@@ -808,25 +808,25 @@
 // answerRead has the answer to a controller's pending read arrive.
 func (m *timedModel) answerRead(i int) {
 	c := m.nodes[i]
-	begun := c.pendingRead.begun
+	begun := c.pendingRead.startedAt
 	if m.plantedFault == "a read counts from its answer" {
 		begun = m.now
 	}
 	ch := c.pendingRead.changes
 	c.pendingRead = nil
-	m.takeIn(i, ch, begun)
+	m.applyRead(i, ch, begun)
 }
 
 // renewLease has a controller renew its lease, or get another for one that has ended.
 func (m *timedModel) renewLease(i int) {
 	c := m.nodes[i]
-	if c.leaseSince.IsZero() {
+	if c.leaseRenewedAt.IsZero() {
 		c.election.LeaseLost()
-		m.manage(i)
-		m.grant(i)
+		m.manageLeadership(i)
+		m.grantLease(i)
 		return
 	}
-	c.leaseSince = m.now
+	c.leaseRenewedAt = m.now
 	c.election.LeaseRenewed(m.now)
 }
 
@@ -857,7 +857,7 @@
 	if m.revision > t.revision {
 		m.reached["a late "+t.kind+" after newer ones"] = true
 	}
-	if m.conditionsHold(t.Txn) && (t.lease == 0 || !m.nodes[t.node].leaseSince.IsZero() && m.nodes[t.node].leaseID == t.lease) {
+	if m.conditionsHold(t.Txn) && (t.leaseID == 0 || !m.nodes[t.node].leaseRenewedAt.IsZero() && m.nodes[t.node].leaseID == t.leaseID) {
 		m.apply(t.Then)
 		m.reached["a late "+t.kind+" is taken"] = true
 	}
@@ -867,10 +867,10 @@
 func (m *timedModel) deliverLateCall(k int) {
 	call := m.lateCalls[k]
 	m.lateCalls = slices.Delete(slices.Clone(m.lateCalls), k, k+1)
-	if m.machines[call.machine].gone {
+	if m.machines[call.machine].released {
 		return
 	}
-	if _, ok := m.do(call.machine, call.direct); ok {
+	if _, ok := m.executeDirectCall(call.machine, call.request); ok {
 		m.reached["a late call is carried out"] = true
 	} else {
 		m.reached["a late call is refused"] = true
@@ -879,14 +879,14 @@
 
 // finishTasks has all tasks of a machine complete.
 func (m *timedModel) finishTasks(w *timedWorker) {
-	for k := range w.runs {
+	for k := range w.running {
 		w.core.MarkEnded(k, wire.CauseDone)
-		m.completed[k.Task], m.done[k] = true, true
+		m.completed[k.Task], m.finishedAttempts[k] = true, true
 	}
-	clear(w.runs)
+	clear(w.running)
 }
 
-func without(list []wire.Condition, key string) []wire.Condition {
+func withoutCondition(list []wire.Condition, key string) []wire.Condition {
 	return slices.DeleteFunc(slices.Clone(list), func(c wire.Condition) bool { return c.Key == key })
 }
 
@@ -897,10 +897,10 @@
 		return
 	}
 	stage := batch.Jobs[timedJob].Stage
-	if m.finalStage != "" && stage != m.finalStage {
-		m.violate("went_back: %s is %s", m.finalStage, stage)
+	if m.firstFinalStage != "" && stage != m.firstFinalStage {
+		m.violate("went_back: %s is %s", m.firstFinalStage, stage)
 	}
 	if stage.Final() {
-		m.finalStage = stage
+		m.firstFinalStage = stage
 	}
 }
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -19,8 +19,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// age is what tells moments apart: none matters any more after so long.
-func (m *timedModel) age(t time.Time) int {
+// ageSeconds is what tells moments apart: none matters any more after so long.
+func (m *timedModel) ageSeconds(t time.Time) int {
 	if t.IsZero() {
 		return -1
 	}
@@ -43,7 +43,7 @@
 	}
 	left := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
 	for _, c := range m.nodes {
-		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.age(c.leaseSince), m.age(c.election.LastRenewal()), m.age(c.view.CurrentAt()))
+		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.ageSeconds(c.leaseRenewedAt), m.ageSeconds(c.election.LastRenewal()), m.ageSeconds(c.view.CurrentAt()))
 		held, _ := c.election.Tenure(timedShard)
 		put("%d %d", c.election.Lease(), held.FencingToken)
 		for _, e := range m.log {
@@ -52,30 +52,30 @@
 			}
 		}
 		if c.pendingRead != nil {
-			put("reading %d %d", m.age(c.pendingRead.begun), len(c.pendingRead.changes.Events))
+			put("reading %d %d", m.ageSeconds(c.pendingRead.startedAt), len(c.pendingRead.changes.Events))
 		}
 		leader := c.leader
 		if leader == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.age(leader.fleet.ElectedAt), m.age(leader.viewCurrentAt), m.age(leader.lastReconciled), m.age(leader.monitor.PauseOver()), m.age(leader.lastDecided), len(leader.liveJobs))
+		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.ageSeconds(leader.fleet.ElectedAt), m.ageSeconds(leader.viewCurrentAt), m.ageSeconds(leader.lastReconciled), m.ageSeconds(leader.monitor.PauseOver()), m.ageSeconds(leader.lastDecided), len(leader.liveJobs))
 		for _, x := range leader.fleet.Machines() {
 			hidden := reflect.ValueOf(x).Elem()
 			hb := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
-			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.age(x.LastHeartbeat), m.age(x.LastResponse),
+			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.ageSeconds(x.LastHeartbeat), m.ageSeconds(x.LastResponse),
 				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
 				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
 			for _, p := range x.Placements() {
 				v := reflect.ValueOf(p).Elem()
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
-				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.age(p.PlacedAt))
+				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.ageSeconds(p.PlacedAt))
 			}
 			last := leader.monitor.Calls.Last(x.ID)
-			put("%d %v %d %s", m.age(last.StartedAt), last.Open, last.Failures, last.Digest)
+			put("%d %v %d %s", m.ageSeconds(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
 		for _, id := range sortedKeys(leader.jobStates) {
 			j := leader.jobStates[id]
-			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.age(j.endedAt))
+			put("%s %d %d %d", id, j.finished.Count(), j.storedFinished.Count(), m.ageSeconds(j.endedAt))
 		}
 		put("%v", leader.scaler.Releasing())
 		if c.draft != nil {
@@ -83,16 +83,16 @@
 		}
 	}
 	for _, t := range m.lateCommits {
-		put("%s %d %d", t.kind, t.node, t.lease)
+		put("%s %d %d", t.kind, t.node, t.leaseID)
 		left(t.Txn)
 	}
 	for _, k := range m.lateCalls {
-		put("%s %d %d %v", k.machine, k.direct.FencingToken, k.direct.Incarnation, k.direct.Commands)
+		put("%s %d %d %v", k.machine, k.request.FencingToken, k.request.Incarnation, k.request.Commands)
 	}
 	for _, id := range []string{"a", "b"} {
 		w := m.machines[id]
 		hb := w.core.Heartbeat()
-		put("%s %v %d %d %d %v", id, w.gone, hb.Incarnation, hb.FencingToken, m.age(w.answered), hb.Tasks)
+		put("%s %v %d %d %d %v", id, w.released, hb.Incarnation, hb.FencingToken, m.ageSeconds(w.lastAnsweredAt), hb.Tasks)
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
 		for _, hb := range m.duplicateHeartbeats {
@@ -101,58 +101,58 @@
 		}
 	}
 	if !m.anyOrder {
-		put("%d", m.rank)
+		put("%d", m.lastRank)
 	}
-	put("%v %d %v", m.serviceDown, m.age(m.cancelAckedAt), m.completed)
+	put("%v %d %v", m.serviceDown, m.ageSeconds(m.cancelAckedAt), m.completed)
 	for _, b := range m.budgets {
-		put("%d", m.count[b.prefix])
+		put("%d", m.stepCounts[b.prefix])
 	}
 	return d.Sum64()
 }
 
-func timedAt(s *timedScenario, path []string) *timedModel {
-	m := newTimed(s)
+func replayTimedPath(s *timedScenario, path []string) *timedModel {
+	m := newTimedModel(s)
 	for _, step := range strings.Split(s.prefix, "; ") {
 		if step != "" {
-			m.take(step)
+			m.takeStep(step)
 		}
 	}
-	m.rank = 0
-	clear(m.count)
+	m.lastRank = 0
+	clear(m.stepCounts)
 	for _, step := range path {
-		m.take(step)
+		m.takeStep(step)
 	}
 	return m
 }
 
 // searchResult is what a search has found.
 type searchResult struct {
-	states, orders int
-	path           []string
-	violation      string
-	reached        map[string]bool
+	states, transitions int
+	path                []string
+	violation           string
+	reached             map[string]bool
 }
 
-// timedFound is a state that a search has come to.
-type timedFound struct {
+// timedSearchState is a state that a search has come to.
+type timedSearchState struct {
 	path, steps []string
-	sum         uint64
-	broken      string
-	met         map[string]bool
+	fingerprint uint64
+	violation   string
+	reached     map[string]bool
 }
 
 // expand takes each step that is possible in the states of a level, several states at once.
-func (s *timedScenario) expand(level []timedFound) [][]timedFound {
-	next := make([][]timedFound, len(level))
+func (s *timedScenario) expand(level []timedSearchState) [][]timedSearchState {
+	next := make([][]timedSearchState, len(level))
 	var group sync.WaitGroup
 	work := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for i := range work {
 				for _, step := range level[i].steps {
-					m := timedAt(s, level[i].path)
-					m.take(step)
-					next[i] = append(next[i], timedFound{append(slices.Clone(level[i].path), step), m.steps(m.budgets), m.fingerprint(), m.violation, m.reached})
+					m := replayTimedPath(s, level[i].path)
+					m.takeStep(step)
+					next[i] = append(next[i], timedSearchState{append(slices.Clone(level[i].path), step), m.possibleSteps(m.budgets), m.fingerprint(), m.violation, m.reached})
 				}
 			}
 		})
@@ -169,21 +169,21 @@
 func (s *timedScenario) search(depth int) searchResult {
 	out := searchResult{reached: map[string]bool{}}
 	seen := map[uint64]bool{}
-	first := timedAt(s, nil)
-	level := []timedFound{{steps: first.steps(first.budgets)}}
+	first := replayTimedPath(s, nil)
+	level := []timedSearchState{{steps: first.possibleSteps(first.budgets)}}
 	for range depth {
 		next := s.expand(level)
 		level = nil
 		for _, list := range next {
 			for _, f := range list {
-				out.orders++
-				maps.Copy(out.reached, f.met)
-				if f.broken != "" {
-					out.states, out.path, out.violation = len(seen), f.path, f.broken
+				out.transitions++
+				maps.Copy(out.reached, f.reached)
+				if f.violation != "" {
+					out.states, out.path, out.violation = len(seen), f.path, f.violation
 					return out
 				}
-				if !seen[f.sum] {
-					seen[f.sum] = true
+				if !seen[f.fingerprint] {
+					seen[f.fingerprint] = true
 					level = append(level, f)
 				}
 			}
@@ -198,68 +198,68 @@
 
 const timedPrefix = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
 
-// idleMoment is a moment in which the leader renews, reads and gets the heartbeat of one machine.
-const idleMoment = "; tick; renew 0; sync 0; report a 0"
+// idleTick is a moment in which the leader renews, reads and gets the heartbeat of one machine.
+const idleTick = "; tick; renew 0; sync 0; report a 0"
 
 var timedScenarios = []timedScenario{
 	{name: "the leader alone is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1", depth: 30,
-		limits:      "renew 0:1; report b 0:2; tick:11",
-		mustReach:   "refused alone after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		findsFaults: "answers by the lease alone; answers by the last renewal alone"},
+		stepLimits:    "renew 0:1; report b 0:2; tick:11",
+		mustReach:     "refused alone after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
+		detectsFaults: "answers by the lease alone; answers by the last renewal alone"},
 	{name: "all are refused after the leader alone", tasks: 1, prefix: timedPrefix + "; refuse 0; cancel 1; tick; tick; renew 0; tick; down", depth: 30,
-		limits:      "up:1; renew 0:1; report b 0:2; tick:8",
-		mustReach:   "refused alone after a cancellation; down after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
-		findsFaults: "answers by the lease alone; answers by the knowledge alone"},
+		stepLimits:    "up:1; renew 0:1; report b 0:2; tick:8",
+		mustReach:     "refused alone after a cancellation; down after a cancellation; the old leader answers after a cancellation; cancel_s has passed",
+		detectsFaults: "answers by the lease alone; answers by the knowledge alone"},
 	{name: "a read that is answered late", tasks: 1, prefix: timedPrefix + "; ask 0; cancel 1; tick; tick", depth: 30,
-		limits:      "renew 0:1; answer 0:1; report b 0:2; tick:9",
-		mustReach:   "the old leader answers after a cancellation; cancel_s has passed",
-		findsFaults: "a read counts from its answer"},
+		stepLimits:    "renew 0:1; answer 0:1; report b 0:2; tick:9",
+		mustReach:     "the old leader answers after a cancellation; cancel_s has passed",
+		detectsFaults: "a read counts from its answer"},
 	{name: "a takeover from a leader that is refused", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; report a 1; report a 1", depth: 30, steadySender: "a 1",
-		limits:      "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
-		mustReach:   "takeover with a task running; a lost answer",
-		findsFaults: "proof 5 without the time that others answer"},
+		stepLimits:    "report b 0:1; lose b 1:1; round 1:1; report a 1:1; tick:9",
+		mustReach:     "takeover with a task running; a lost answer",
+		detectsFaults: "proof 5 without the time that others answer"},
 	{name: "a takeover and a cancellation", tasks: 1, prefix: timedPrefix + "; refuse 0; tick; tick; tick; report b 0; sync 1; claim 1; cancel 1", depth: 30,
-		limits:    "report b 0:1; report b 1:1; call 1:1; tick:10",
-		mustReach: "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
-	{name: "a machine that gets no answers", tasks: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
-		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		mustReach:   "a lost answer",
-		findsFaults: "proof 3 without its margin"},
-	{name: "a team's limit and a machine that gets no answers", tasks: 2, limit: 1, prefix: timedPrefix + idleMoment, depth: 30, steadySender: "a 0",
-		limits:      "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
-		mustReach:   "a lost answer",
-		findsFaults: "proof 3 without its margin"},
+		stepLimits: "report b 0:1; report b 1:1; call 1:1; tick:10",
+		mustReach:  "takeover with a task running; the old leader answers after a cancellation; cancel_s has passed"},
+	{name: "a machine that gets no answers", tasks: 1, prefix: timedPrefix + idleTick, depth: 30, steadySender: "a 0",
+		stepLimits:    "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
+		mustReach:     "a lost answer",
+		detectsFaults: "proof 3 without its margin"},
+	{name: "a team's limit and a machine that gets no answers", tasks: 2, teamLimit: 1, prefix: timedPrefix + idleTick, depth: 30, steadySender: "a 0",
+		stepLimits:    "renew 0:1; lose b 0:1; round 0:1; report a 0:1; tick:4",
+		mustReach:     "a lost answer",
+		detectsFaults: "proof 3 without its margin"},
 	{name: "late copies of heartbeats", tasks: 1, prefix: timedPrefix, steadySender: "a 0", depth: 30,
-		limits:      "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
-		mustReach:   "a copy of an older heartbeat",
-		findsFaults: "a heartbeat is applied though older"},
-	{name: "late copies from an earlier incarnation", tasks: 1, prefix: timedPrefix + idleMoment + idleMoment + idleMoment + idleMoment + "; expire b; renew 0; sync 0", depth: 9,
-		limits:    "report b 0:2; copy:1; round 0:1; report a 0:1; tick:1",
-		mustReach: "a copy from an earlier incarnation; a later incarnation"},
+		stepLimits:    "copy:1; renew 0:1; round 0:1; report b 0:1; report a 0:1; tick:3",
+		mustReach:     "a copy of an older heartbeat",
+		detectsFaults: "a heartbeat is applied though older"},
+	{name: "late copies from an earlier incarnation", tasks: 1, prefix: timedPrefix + idleTick + idleTick + idleTick + idleTick + "; expire b; renew 0; sync 0", depth: 9,
+		stepLimits: "report b 0:2; copy:1; round 0:1; report a 0:1; tick:1",
+		mustReach:  "a copy from an earlier incarnation; a later incarnation"},
 	{name: "late rounds and cancellations", tasks: 1, prefix: timedPrefix + "; finish b; report b 0", depth: 9,
-		limits: "holdcancel 1:1; decide 0:1; hold 0:1; late:2; cancel 1:1; commit 0:1; sync 0:1", anyOrder: true,
-		mustReach:   "a late round after newer ones; a late round is taken; a late cancellation after newer ones; a late cancellation is taken; a copy of a round was taken",
-		findsFaults: "an end is not bound to the job's record"},
+		stepLimits: "holdcancel 1:1; decide 0:1; hold 0:1; late:2; cancel 1:1; commit 0:1; sync 0:1", anyOrder: true,
+		mustReach:     "a late round after newer ones; a late round is taken; a late cancellation after newer ones; a late cancellation is taken; a copy of a round was taken",
+		detectsFaults: "an end is not bound to the job's record"},
 	{name: "late rounds and campaigns of a takeover", tasks: 1, prefix: "decide 0; hold 0; refuse 0; tick; tick; tick; sync 1", depth: 9,
-		limits: "holdclaim 1:1; claim 1:1; late:2; sync 1:1; report a 1:2; report b 1:2; decide 1:1; commit 1:1; tick:1", anyOrder: true,
+		stepLimits: "holdclaim 1:1; claim 1:1; late:2; sync 1:1; report a 1:2; report b 1:2; decide 1:1; commit 1:1; tick:1", anyOrder: true,
 		mustReach: "a late claim is taken; a late claim after newer ones; a late round after newer ones; takeover"},
 	{name: "a launch and the end of its leader", tasks: 1, prefix: "decide 0; report b 0; report b 0; die 0; tick; tick; tick; sync 1; claim 1; report a 1; report a 1", depth: 8,
-		limits:      "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
-		mustReach:   "takeover; a late round after newer ones",
-		findsFaults: "a launch is said before its round is stored"},
+		stepLimits:    "late:1; round 1:1; report b 1:2; report a 1:1; tick:2",
+		mustReach:     "takeover; a late round after newer ones",
+		detectsFaults: "a launch is said before its round is stored"},
 	{name: "a call that is held up", tasks: 1, prefix: "decide 0; commit 0; losecall 0; tick; renew 0; sync 0", depth: 12, steadySender: "a 0",
-		limits:      "round 0:1; arrive:1; report a 0:1; tick:3",
-		mustReach:   "a late call is carried out",
-		findsFaults: "a call without an answer counts as refused"},
+		stepLimits:    "round 0:1; arrive:1; report a 0:1; tick:3",
+		mustReach:     "a late call is carried out",
+		detectsFaults: "a call without an answer counts as refused"},
 	{name: "a call that is held up and a cancellation", tasks: 1, prefix: "decide 0; commit 0; losecall 0; refuse 0; cancel 1", depth: 30,
-		limits:    "arrive:1; renew 0:1; report b 0:2; tick:10",
-		mustReach: "a late call is carried out; the old leader answers after a cancellation; cancel_s has passed"},
+		stepLimits: "arrive:1; renew 0:1; report b 0:2; tick:10",
+		mustReach:  "a late call is carried out; the old leader answers after a cancellation; cancel_s has passed"},
 	{name: "an end that is not stored yet", tasks: 1, prefix: timedPrefix + "; finish b", depth: 10,
-		limits: "report b 0:3; decide 0:1; commit 0:1; hold 0:1; late:1; refuse:1; tick:2", anyOrder: true,
-		findsFaults: "a clear before the end is stored"},
+		stepLimits: "report b 0:3; decide 0:1; commit 0:1; hold 0:1; late:1; refuse:1; tick:2", anyOrder: true,
+		detectsFaults: "a clear before the end is stored"},
 }
 
-func (s *timedScenario) run(t *testing.T) {
+func (s *timedScenario) runScenario(t *testing.T) {
 	begun := time.Now()
 	r := s.search(s.depth)
 	if r.violation != "" {
@@ -270,20 +270,20 @@
 			t.Errorf("it never came about: %s", what)
 		}
 	}
-	t.Logf("%d orders, %d states, %v; met %v", r.orders, r.states, time.Since(begun).Round(time.Millisecond), slices.Sorted(maps.Keys(r.reached)))
+	t.Logf("%d orders, %d states, %v; met %v", r.transitions, r.states, time.Since(begun).Round(time.Millisecond), slices.Sorted(maps.Keys(r.reached)))
 }
 
-// timedWide makes the search wider: AMBERDEAL_TIMED=N adds N to what each kind of step may
+// widenScenario makes the search wider: AMBERDEAL_TIMED=N adds N to what each kind of step may
 // be taken, and lets those of a moment come in any order.
-func timedWide(s timedScenario) *timedScenario {
+func widenScenario(s timedScenario) *timedScenario {
 	more, _ := strconv.Atoi(os.Getenv("AMBERDEAL_TIMED"))
 	if more > 0 {
 		s.anyOrder, s.depth = true, s.depth+5*more
 		var may []string
-		for _, b := range s.budget() {
+		for _, b := range s.parseBudgets() {
 			may = append(may, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
 		}
-		s.limits = strings.Join(may, "; ")
+		s.stepLimits = strings.Join(may, "; ")
 	}
 	return &s
 }
@@ -291,14 +291,14 @@
 // TestModelTime searches each scenario.
 func TestModelTime(t *testing.T) {
 	for _, s := range timedScenarios {
-		t.Run(s.name, func(t *testing.T) { timedWide(s).run(t) })
+		t.Run(s.name, func(t *testing.T) { widenScenario(s).runScenario(t) })
 	}
 }
 
 // TestModelTimeFinds plants a fault into a scenario, and demands that the search finds it.
 func TestModelTimeFinds(t *testing.T) {
 	for _, s := range timedScenarios {
-		for _, plant := range strings.Split(s.findsFaults, "; ") {
+		for _, plant := range strings.Split(s.detectsFaults, "; ") {
 			if plant == "" {
 				continue
 			}
@@ -306,9 +306,9 @@
 				s.plantedFault = plant
 				r := s.search(s.depth)
 				if r.violation == "" {
-					t.Errorf("not found in %d orders", r.orders)
+					t.Errorf("not found in %d orders", r.transitions)
 				}
-				t.Logf("%d orders: %s, by %s", r.orders, r.violation, strings.Join(r.path, "; "))
+				t.Logf("%d orders: %s, by %s", r.transitions, r.violation, strings.Join(r.path, "; "))
 			})
 		}
 	}
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -14,8 +14,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tier configures a tier; their order is that in which they are named.
-func (driver *traceDriver) tier(name string, kv map[string]string) {
+// configureTier configures a tier; their order is that in which they are named.
+func (driver *traceDriver) configureTier(name string, kv map[string]string) {
 	t := tier.Tier{Name: name, Order: len(driver.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(kv["cards"], 64)
 	if kv["priority"] != "" {
@@ -30,8 +30,8 @@
 	driver.cfg.Tuning.Tiers = append(driver.cfg.Tuning.Tiers, t)
 }
 
-// preemptionsNow describes what the leader preempts for tiers.
-func (driver *traceDriver) preemptionsNow() []string {
+// describePreemptions describes what the leader preempts for tiers.
+func (driver *traceDriver) describePreemptions() []string {
 	out := []string{}
 	for _, job := range driver.leader.preemptions.Jobs() {
 		for _, r := range driver.leader.preemptions.For(job).Reservations {
@@ -53,8 +53,8 @@
 	token       uint64
 	seq         uint64
 	tasksOn     map[string]map[string]wire.ReportedTask // by machine and task
-	stubborn    map[string]bool                         // tasks that don't stop
-	stopped     map[string]bool                         // attempts that were told to
+	ignoresStop map[string]bool                         // tasks that don't stop
+	stopsSent   map[string]bool                         // attempts that were told to
 	lateStops   []func()                                // copies of stops that come again
 	events      []string
 	checkpointS int // seconds that a task takes to stop
@@ -62,7 +62,7 @@
 }
 
 func newWorkerModel(driver *traceDriver, machines ...string) *workerModel {
-	w := &workerModel{traceDriver: driver, tasksOn: map[string]map[string]wire.ReportedTask{}, stubborn: map[string]bool{}, stopped: map[string]bool{}}
+	w := &workerModel{traceDriver: driver, tasksOn: map[string]map[string]wire.ReportedTask{}, ignoresStop: map[string]bool{}, stopsSent: map[string]bool{}}
 	for _, m := range machines {
 		w.tasksOn[m] = map[string]wire.ReportedTask{}
 	}
@@ -72,15 +72,15 @@
 // failover elects a new leader, and late copies of all earlier stops arrive.
 func (w *workerModel) failover() {
 	w.token++
-	w.traceDriver.claim(w.token)
+	w.traceDriver.electLeader(w.token)
 	for _, again := range w.lateStops {
 		again()
 	}
-	w.heartbeat()
+	w.sendHeartbeats()
 }
 
-// heartbeat has all machines send a heartbeat and carries out the answers.
-func (w *workerModel) heartbeat() {
+// sendHeartbeats has all machines send a heartbeat and carries out the answers.
+func (w *workerModel) sendHeartbeats() {
 	for _, m := range sortedKeys(w.tasksOn) {
 		w.seq++
 		hb := &wire.Heartbeat{Machine: m, Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: 1, Seq: w.seq, FencingToken: w.token}
@@ -89,13 +89,13 @@
 		}
 		response, _ := w.leader.HandleHeartbeat(w.now, hb, true)
 		for _, c := range response.Commands {
-			w.do(m, c)
+			w.execute(m, c)
 		}
 	}
 }
 
-// do carries out a command on a machine.
-func (w *workerModel) do(m string, c wire.Command) {
+// execute carries out a command on a machine.
+func (w *workerModel) execute(m string, c wire.Command) {
 	t, there := w.tasksOn[m][c.Task]
 	there = there && t.Attempt == c.Attempt
 	switch {
@@ -104,36 +104,36 @@
 		w.tasksOn[m][c.Task] = wire.ReportedTask{Task: c.Task, ID: id, Attempt: c.Attempt, State: wire.TaskRunning}
 		w.events = append(w.events, fmt.Sprintf("%s runs on %s", c.Task, m))
 	case c.Verb == wire.Stop && there:
-		name := fmt.Sprintf("%s%s", c.Task, attempt(c.Attempt))
-		if !w.stopped[name] {
-			w.stopped[name] = true
+		name := fmt.Sprintf("%s%s", c.Task, formatAttempt(c.Attempt))
+		if !w.stopsSent[name] {
+			w.stopsSent[name] = true
 			w.events = append(w.events, fmt.Sprintf("%s on %s is told to stop", c.Task, m))
 		}
-		w.lateStops = append(w.lateStops, func() { w.do(m, c) })
-		if t.State == wire.TaskRunning && !w.stubborn[c.Task] {
+		w.lateStops = append(w.lateStops, func() { w.execute(m, c) })
+		if t.State == wire.TaskRunning && !w.ignoresStop[c.Task] {
 			if w.checkpointS == 0 {
-				w.end(m, c.Task, wire.CauseStopped)
+				w.endTask(m, c.Task, wire.CauseStopped)
 				break
 			}
 			t.State = wire.TaskSaving
 			w.tasksOn[m][c.Task] = t
-			w.pendingEnds = append(w.pendingEnds, func() { w.end(m, c.Task, wire.CauseStopped) })
+			w.pendingEnds = append(w.pendingEnds, func() { w.endTask(m, c.Task, wire.CauseStopped) })
 		}
 	case c.Verb == wire.Clear && there:
 		delete(w.tasksOn[m], c.Task)
 	}
 }
 
-// end has a task end.
-func (w *workerModel) end(m, task string, cause wire.Cause) {
+// endTask has a task end.
+func (w *workerModel) endTask(m, task string, cause wire.Cause) {
 	t := w.tasksOn[m][task]
 	t.State, t.Cause = wire.TaskEnded, cause
 	w.tasksOn[m][task] = t
 }
 
-// second plays one second, in which the leader may crash at a point of its decision. How many stops
+// advanceSecond plays one second, in which the leader may crash at a point of its decision. How many stops
 // have been said by then is up to the point.
-func (w *workerModel) second(crash string) {
+func (w *workerModel) advanceSecond(crash string) {
 	w.now = w.now.Add(time.Second)
 	if w.checkpointS > 0 && w.now.Unix()%int64(w.checkpointS) == 0 {
 		for _, end := range w.pendingEnds {
@@ -141,7 +141,7 @@
 		}
 		w.pendingEnds = nil
 	}
-	w.heartbeat()
+	w.sendHeartbeats()
 	d := w.leader.Decide(w.now, w.view.Snapshot())
 	w.draft = d
 	if d != nil && crash != "before" {
@@ -154,7 +154,7 @@
 		for i, c := range calls {
 			for k, cmd := range c.commands {
 				if crash != "half" || i < len(calls)/2 || k < len(c.commands)/2 {
-					w.do(c.machine, cmd)
+					w.execute(c.machine, cmd)
 				}
 			}
 			w.leader.fleet.CallFinished(c.launches, fleet.Executed)
@@ -169,8 +169,8 @@
 	}
 }
 
-// running counts the tasks of a job that run.
-func (w *workerModel) running(job string) (n int) {
+// runningTasks counts the tasks of a job that run.
+func (w *workerModel) runningTasks(job string) (n int) {
 	for _, m := range w.tasksOn {
 		for task, t := range m {
 			if strings.HasPrefix(task, job+"/") && t.State == wire.TaskRunning {
@@ -181,22 +181,22 @@
 	return n
 }
 
-// play takes the steps of a trace that play the workers.
-func (driver *traceDriver) play(w []string) []string {
-	v := driver.preemptionCheck
+// workerStep takes the steps of a trace that play the workers.
+func (driver *traceDriver) workerStep(w []string) []string {
+	v := driver.workers
 	switch w[0] {
 	case "workers":
-		driver.preemptionCheck = newWorkerModel(driver, w[1:]...)
-		driver.preemptionCheck.token = 1
-		driver.preemptionCheck.failover()
+		driver.workers = newWorkerModel(driver, w[1:]...)
+		driver.workers.token = 1
+		driver.workers.failover()
 		return nil
 	case "stubborn":
-		v.stubborn[w[1]] = true
+		v.ignoresStop[w[1]] = true
 		return nil
 	case "finish":
 		for m := range v.tasksOn {
 			if _, ok := v.tasksOn[m][w[1]]; ok {
-				v.end(m, w[1], wire.CauseDone)
+				v.endTask(m, w[1], wire.CauseDone)
 			}
 		}
 		return nil
@@ -204,11 +204,11 @@
 		delete(v.tasksOn, w[1])
 		driver.step("released " + w[1])
 	case "crash":
-		v.second(w[1])
+		v.advanceSecond(w[1])
 	case "play":
 		n, _ := strconv.Atoi(w[1])
 		for range n {
-			v.second("")
+			v.advanceSecond("")
 		}
 	}
 	out := v.events
@@ -221,15 +221,15 @@
 // first record names, and the tier has its cards within its bound.
 func TestCrashInPreemption(t *testing.T) {
 	points := []string{"before", "unknown", "after", "half", "all"}
-	calm := lentOut(t)
+	calm := newFullyLentFleet(t)
 	for range 16 {
-		calm.second("")
+		calm.advanceSecond("")
 	}
 	for first := range 4 {
 		for _, p := range points {
 			for second := range 4 {
 				for _, q := range points {
-					w := lentOut(t)
+					w := newFullyLentFleet(t)
 					for s := range 16 {
 						crash := ""
 						if s == first {
@@ -237,10 +237,10 @@
 						} else if s == first+1+second {
 							crash = q
 						}
-						w.second(crash)
+						w.advanceSecond(crash)
 					}
-					if n, left := w.running("wk-2"), w.running("wk-1"); n != 6 || len(w.stopped) != 6 || left != 6 || (first > 0 || p != "before") && !maps.Equal(w.stopped, calm.stopped) {
-						t.Errorf("crash %s at %d and %s %d later: %d of 6 run, %d of 6 are left, stopped: %v", p, first, q, second+1, n, left, slices.Sorted(maps.Keys(w.stopped)))
+					if n, left := w.runningTasks("wk-2"), w.runningTasks("wk-1"); n != 6 || len(w.stopsSent) != 6 || left != 6 || (first > 0 || p != "before") && !maps.Equal(w.stopsSent, calm.stopsSent) {
+						t.Errorf("crash %s at %d and %s %d later: %d of 6 run, %d of 6 are left, stopped: %v", p, first, q, second+1, n, left, slices.Sorted(maps.Keys(w.stopsSent)))
 					}
 				}
 			}
@@ -248,42 +248,42 @@
 	}
 }
 
-// lentOut returns a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
-func lentOut(t *testing.T) *workerModel {
+// newFullyLentFleet returns a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
+func newFullyLentFleet(t *testing.T) *workerModel {
 	driver := newTraceDriver(t)
-	driver.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
-	driver.tier("batch", map[string]string{"priority": "normal"})
+	driver.configureTier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
+	driver.configureTier("batch", map[string]string{"priority": "normal"})
 	driver.step("job wk-1 sweep team=blue tasks=12")
-	driver.play([]string{"workers", "n-1", "n-2", "n-3"})
+	driver.workerStep([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
 		if s == 6 { // young tasks lose least and are preempted first, until a new leader no longer knows their age
-			for _, task := range sortedKeys(driver.preemptionCheck.tasksOn["n-3"]) {
-				driver.preemptionCheck.end("n-3", task, wire.CauseStopped)
+			for _, task := range sortedKeys(driver.workers.tasksOn["n-3"]) {
+				driver.workers.endTask("n-3", task, wire.CauseStopped)
 			}
 		}
-		driver.preemptionCheck.second("")
+		driver.workers.advanceSecond("")
 	}
-	if driver.preemptionCheck.running("wk-1") != 12 {
+	if driver.workers.runningTasks("wk-1") != 12 {
 		t.Fatal("not all cards are lent")
 	}
 	driver.step("job wk-2 service team=blue tasks=6 priority=high")
-	driver.preemptionCheck.checkpointS = 4
-	return driver.preemptionCheck
+	driver.workers.checkpointS = 4
+	return driver.workers
 }
 
-// TestFloodOfLesserWork: however much lesser work comes, the first tier's tasks run as soon
+// TestTierWaitUnaffectedByLowPriorityFlood: however much lesser work comes, the first tier's tasks run as soon
 // as if there were little. Machines and calls are full in both cases.
-func TestFloodOfLesserWork(t *testing.T) {
+func TestTierWaitUnaffectedByLowPriorityFlood(t *testing.T) {
 	waits := func(flood int) (out []int) {
 		driver := newTraceDriver(t)
-		driver.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
-		driver.tier("batch", map[string]string{})
+		driver.configureTier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
+		driver.configureTier("batch", map[string]string{})
 		var machines []string
 		for i := range 100 {
 			machines = append(machines, fmt.Sprintf("n-%03d", i))
 		}
 		driver.step("job wk-0 sweep team=blue tasks=500")
-		driver.play(append([]string{"workers"}, machines...))
+		driver.workerStep(append([]string{"workers"}, machines...))
 		since := map[string]int{}
 		for s := range 60 {
 			for i := range flood {
@@ -294,9 +294,9 @@
 				driver.step("job " + id + " service team=blue tasks=2 priority=production")
 				since[id] = s
 			}
-			driver.preemptionCheck.second("")
+			driver.workers.advanceSecond("")
 			for _, id := range sortedKeys(since) {
-				if driver.preemptionCheck.running(id) == 2 {
+				if driver.workers.runningTasks(id) == 2 {
 					out = append(out, s-since[id])
 					delete(since, id)
 				}
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -25,12 +25,12 @@
 		"returns":   driver.showZoneRecoveries,
 		"sibling":   driver.addObserver,
 		"tier":      driver.addTier,
-		"workers":   driver.playWorkers,
-		"play":      driver.playWorkers,
-		"crash":     driver.playWorkers,
-		"stubborn":  driver.playWorkers,
-		"finish":    driver.playWorkers,
-		"lose":      driver.playWorkers,
+		"workers":   driver.simulateWorkers,
+		"play":      driver.simulateWorkers,
+		"crash":     driver.simulateWorkers,
+		"stubborn":  driver.simulateWorkers,
+		"finish":    driver.simulateWorkers,
+		"lose":      driver.simulateWorkers,
 		"claims":    driver.showPreemptions,
 		"claim":     driver.elect,
 		"others":    driver.setPeerShard,
@@ -87,7 +87,7 @@
 	if driver.observers == nil {
 		driver.observers = map[string]zone.Observer{}
 	}
-	driver.observers[step.words[1]] = zone.Observer{Zone: step.words[2], Observations: map[string]zone.Observation{step.settings["of"]: {Heard: step.number("hears", 0), Quiet: step.number("quiet", 0)}, "a": {Heard: 9}}}
+	driver.observers[step.words[1]] = zone.Observer{Zone: step.words[2], Observations: map[string]zone.Observation{step.settings["of"]: {Heard: step.intSetting("hears", 0), Quiet: step.intSetting("quiet", 0)}, "a": {Heard: 9}}}
 	driver.cfg.Peers = make([]config.Peer, len(driver.observers))
 	driver.leader.SetObservers(driver.observers)
 	return nil
@@ -95,36 +95,36 @@
 
 // addTier configures a tier.
 func (driver *traceDriver) addTier(step traceStep) []string {
-	driver.tier(step.words[1], step.settings)
+	driver.configureTier(step.words[1], step.settings)
 	return nil
 }
 
-// playWorkers plays workers that do as they are told.
-func (driver *traceDriver) playWorkers(step traceStep) []string {
-	return driver.play(step.words)
+// simulateWorkers plays workers that do as they are told.
+func (driver *traceDriver) simulateWorkers(step traceStep) []string {
+	return driver.workerStep(step.words)
 }
 
 // showPreemptions tells what is preempted for tiers.
 func (driver *traceDriver) showPreemptions(_ traceStep) []string {
-	return driver.preemptionsNow()
+	return driver.describePreemptions()
 }
 
 // elect has the leader elected.
 func (driver *traceDriver) elect(step traceStep) []string {
-	return driver.claim(uint64(step.number("term", 1)))
+	return driver.electLeader(uint64(step.intSetting("term", 1)))
 }
 
 // setPeerShard takes in what another shard has said of itself.
 func (driver *traceDriver) setPeerShard(step traceStep) []string {
-	s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: step.number("now", 0), Below: step.number("below", 0), Rent: step.settings["rent"] != ""}},
-		Zones: map[string]reachability.ZoneHealth{step.words[1]: {Up: step.number("up", 9), Quiet: step.number("quiet", 0)}}}
+	s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: step.intSetting("now", 0), Below: step.intSetting("below", 0), Rent: step.settings["rent"] != ""}},
+		Zones: map[string]reachability.ZoneHealth{step.words[1]: {Up: step.intSetting("up", 9), Quiet: step.intSetting("quiet", 0)}}}
 	if step.settings["ready"] != "" {
 		s.Ready = []string{step.settings["ready"]}
 	}
-	if n := step.number("want", 0); n > 0 {
-		s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: step.number("rank", 1), Since: driver.now.Add(-time.Duration(step.number("age", 0)) * time.Second)}}
+	if n := step.intSetting("want", 0); n > 0 {
+		s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: step.intSetting("rank", 1), Since: driver.now.Add(-time.Duration(step.intSetting("age", 0)) * time.Second)}}
 	}
-	s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(step.number("stays", 0))}}
+	s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(step.intSetting("stays", 0))}}
 	driver.leader.SetPeerShards(map[string]ShardStatus{step.words[1]: s}, 1)
 	return nil
 }
@@ -167,18 +167,18 @@
 
 // sendHeartbeat has a machine send a heartbeat, or answer an inspection.
 func (driver *traceDriver) sendHeartbeat(step traceStep) []string {
-	return driver.report(step.words, step.settings["zone"], uint64(step.number("term", 0)), step.tasks)
+	return driver.deliverHeartbeat(step.words, step.settings["zone"], uint64(step.intSetting("term", 0)), step.tasks)
 }
 
 // decideRound decides a round.
 func (driver *traceDriver) decideRound(step traceStep) []string {
-	return driver.round(step.words[1:])
+	return driver.runRound(step.words[1:])
 }
 
 // showFencingCalls tells the calls that a peer may make.
 func (driver *traceDriver) showFencingCalls(step traceStep) []string {
 	var out []string
-	for _, c := range driver.leader.FencingCalls(driver.now, step.number("most", 9)) {
+	for _, c := range driver.leader.FencingCalls(driver.now, step.intSetting("most", 9)) {
 		out = append(out, fmt.Sprintf("call %s, term %d, session %d", c.Machine, c.Term, c.Session))
 	}
 	return out
@@ -193,7 +193,7 @@
 	session, seq, _ := strings.Cut(step.words[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
-	driver.leader.FencingCallDone(driver.now, step.words[1], &wire.Heartbeat{Machine: step.words[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(step.number("term", 0)), Tasks: driver.parseTasks(step.tasks)})
+	driver.leader.FencingCallDone(driver.now, step.words[1], &wire.Heartbeat{Machine: step.words[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(step.intSetting("term", 0)), Tasks: driver.parseTasks(step.tasks)})
 	return nil
 }
 
@@ -233,15 +233,15 @@
 
 // finishOpenCalls says what became of the direct calls that were left open.
 func (driver *traceDriver) finishOpenCalls(step traceStep) []string {
-	driver.leader.fleet.CallFinished(driver.open, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[step.words[1]])
-	driver.open = nil
+	driver.leader.fleet.CallFinished(driver.openLaunches, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[step.words[1]])
+	driver.openLaunches = nil
 	return nil
 }
 
 // finishScaleOut answers a scale-out request.
 func (driver *traceDriver) finishScaleOut(step traceStep) []string {
 	names := step.words[2:]
-	for i := range step.number("got", 0) {
+	for i := range step.intSetting("got", 0) {
 		names = append(names, fmt.Sprintf("%s-%02d", step.words[1], i))
 	}
 	driver.leader.scaledOut(driver.now, step.words[1], names)
@@ -260,7 +260,7 @@
 // sendScaleOuts sends the scale-out requests that may be sent.
 func (driver *traceDriver) sendScaleOuts(step traceStep) []string {
 	var out []string
-	for i := 0; i < step.number("most", 99) && driver.leader.nextScaleOut(driver.now) != nil; i++ {
+	for i := 0; i < step.intSetting("most", 99) && driver.leader.nextScaleOut(driver.now) != nil; i++ {
 		request := driver.leader.takeScaleOut(driver.now)
 		out = append(out, fmt.Sprintf("send %s for %d in %s", request.Name, request.Count, request.Zone))
 	}
@@ -310,5 +310,5 @@
 
 // showPlacements tells the machines and the placements.
 func (driver *traceDriver) showPlacements(_ traceStep) []string {
-	return driver.show()
+	return driver.describePlacements()
 }
--- a/internal/leader/trace_ledger_steps_test.go
+++ b/internal/leader/trace_ledger_steps_test.go
@@ -34,19 +34,19 @@
 
 // recordScaleOut records a scale-out request.
 func (driver *traceDriver) recordScaleOut(step traceStep) []string {
-	driver.addToPreviousSegment(store.ScaleOutEntry(step.words[1], store.ScaleOutRecord{Type: "g4", Zone: step.words[2], Count: step.number("count", 1)}))
+	driver.addToPreviousSegment(store.ScaleOutEntry(step.words[1], store.ScaleOutRecord{Type: "g4", Zone: step.words[2], Count: step.intSetting("count", 1)}))
 	return nil
 }
 
 // recordZone records the state of a zone.
 func (driver *traceDriver) recordZone(step traceStep) []string {
-	driver.addToPreviousSegment(store.ZoneEntry(step.words[1], store.ZoneRecord{State: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Outages: step.number("falls", 1)}))
+	driver.addToPreviousSegment(store.ZoneEntry(step.words[1], store.ZoneRecord{State: step.words[2], Number: uint64(step.intSetting("number", 1)), Since: driver.now.UnixMilli(), Outages: step.intSetting("falls", 1)}))
 	return nil
 }
 
 // recordZoneRecovery records a step of the recovery of a zone.
 func (driver *traceDriver) recordZoneRecovery(step traceStep) []string {
-	driver.addToPreviousSegment(store.ZoneRecoveryEntry(step.words[1], store.ZoneRecoveryRecord{Step: step.words[2], Number: uint64(step.number("number", 1)), Since: driver.now.UnixMilli(), Work: float64(step.number("work", 0))}))
+	driver.addToPreviousSegment(store.ZoneRecoveryEntry(step.words[1], store.ZoneRecoveryRecord{Step: step.words[2], Number: uint64(step.intSetting("number", 1)), Since: driver.now.UnixMilli(), Work: float64(step.intSetting("work", 0))}))
 	return nil
 }
 
@@ -64,7 +64,7 @@
 // nextPreviousSegment goes on in another segment: what was left so far stands in one of its own.
 func (driver *traceDriver) nextPreviousSegment(step traceStep) []string {
 	n, _ := strconv.Atoi(step.words[1])
-	driver.previousSegment, driver.segment = store.SegmentRecord{}, n
+	driver.previousSegment, driver.segmentNumber = store.SegmentRecord{}, n
 	return nil
 }
 
--- a/internal/leader/trace_state_steps_test.go
+++ b/internal/leader/trace_state_steps_test.go
@@ -23,8 +23,8 @@
 		"divided": driver.reshard,
 		"small":   driver.limitValues,
 		"carried": driver.putMigrated,
-		"order":   driver.putOrder,
-		"gave":    driver.putGivenRanges,
+		"order":   driver.putCoAllocation,
+		"gave":    driver.putHandedOverRanges,
 		"done":    driver.putFinishedIn,
 		"shares":  driver.putRanges,
 		"grants":  driver.putGrants,
@@ -34,15 +34,15 @@
 
 // putJob stores a job; with key=own as version 1 stored it.
 func (driver *traceDriver) putJob(step traceStep) []string {
-	j := &wire.Job{ID: step.words[1], Class: "c", Shape: wire.Shape(step.words[2]), Team: step.settings["team"], Priority: wire.Normal, Tasks: step.number("tasks", 1),
-		CPUs: 1, GPUs: float64(step.number("gpus", 1)), MemoryGB: 1, Image: "img", CheckpointS: float64(step.number("checkpoint", 0)), SaveS: 1, Zone: step.settings["zone"]}
+	j := &wire.Job{ID: step.words[1], Class: "c", Shape: wire.Shape(step.words[2]), Team: step.settings["team"], Priority: wire.Normal, Tasks: step.intSetting("tasks", 1),
+		CPUs: 1, GPUs: float64(step.intSetting("gpus", 1)), MemoryGB: 1, Image: "img", CheckpointS: float64(step.intSetting("checkpoint", 0)), SaveS: 1, Zone: step.settings["zone"]}
 	if step.settings["priority"] != "" {
 		j.Priority = wire.Priority(step.settings["priority"])
 	}
-	j.Spread, j.OneZone, j.EstimateS = step.settings["spread"] != "", step.settings["one_zone"] != "", float64(step.number("estimate", 0))
+	j.Spread, j.OneZone, j.EstimateS = step.settings["spread"] != "", step.settings["one_zone"] != "", float64(step.intSetting("estimate", 0))
 	rec := store.JobRecord{Stage: wire.Pending, Tasks: j.Tasks, Job: j}
 	if step.settings["age"] != "" {
-		rec.Created = driver.now.Add(-time.Duration(step.number("age", 0)) * time.Second).UnixMilli()
+		rec.Created = driver.now.Add(-time.Duration(step.intSetting("age", 0)) * time.Second).UnixMilli()
 	}
 	if step.settings["key"] == "own" { // as version 1 stored it
 		driver.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
@@ -99,7 +99,7 @@
 		return []string{err.Error()}
 	}
 	driver.apply(txn.Then...)
-	driver.previousSegment, driver.segment = store.SegmentRecord{}, 0
+	driver.previousSegment, driver.segmentNumber = store.SegmentRecord{}, 0
 	return nil
 }
 
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// putOrder stores what the shard that leads a gang has written.
-func (driver *traceDriver) putOrder(step traceStep) []string {
+// putCoAllocation stores what the shard that leads a gang has written.
+func (driver *traceDriver) putCoAllocation(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
 	if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[step.words[2]] > 0 {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// putGivenRanges stores that another shard has given what it had of a job to this one.
-func (driver *traceDriver) putGivenRanges(step traceStep) []string {
+// putHandedOverRanges stores that another shard has given what it had of a job to this one.
+func (driver *traceDriver) putHandedOverRanges(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
 	r.AssignRanges(step.words[1], parseRanges(driver.t, step.words[2:]), driver.view.Sharding().Record.Generation)
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -30,14 +30,14 @@
 	leader          *Leader
 	revision        uint64
 	draft           *Draft
-	open            []*fleet.Placement  // launched by direct calls that are not answered yet
+	openLaunches    []*fleet.Placement  // launched by direct calls that are not answered yet
 	previousSegment store.SegmentRecord // what an earlier leader has left in the ledger
-	segment         int                 // where
+	segmentNumber   int                 // where
 	cfg             *config.Config
 	shard           string // that is claimed
 	grantChange     *quota.Change
 	observers       map[string]zone.Observer
-	preemptionCheck *workerModel
+	workers         *workerModel
 	steps           map[string]func(traceStep) []string // by the first word
 }
 
@@ -66,7 +66,7 @@
 	driver.view.Apply(ch)
 }
 
-func attempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
+func formatAttempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
 
 // parseTasks reads "wk-1/0#5.1 running" and the like, separated by commas.
 func (driver *traceDriver) parseTasks(text string) []wire.ReportedTask {
@@ -107,8 +107,8 @@
 	return step
 }
 
-// number returns a setting, or another number where it is not set.
-func (s traceStep) number(key string, otherwise int) int {
+// intSetting returns a setting, or another number where it is not set.
+func (s traceStep) intSetting(key string, otherwise int) int {
 	if n, err := strconv.Atoi(s.settings[key]); err == nil {
 		return n
 	}
@@ -164,10 +164,10 @@
 	if driver.previousSegment.Entries[e.Key] = e.Value; e.Value == nil {
 		driver.previousSegment.Entries[e.Key] = wire.Raw{0xf6}
 	}
-	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.segment), Value: driver.previousSegment})
+	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.segmentNumber), Value: driver.previousSegment})
 }
 
-func (driver *traceDriver) claim(token uint64) []string {
+func (driver *traceDriver) electLeader(token uint64) []string {
 	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: token}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
 	driver.leader = New(driver.cfg, leadership.Tenure{Shard: driver.shard, FencingToken: token, Version: driver.revision, Revision: driver.revision}, driver.view.Snapshot(),
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func (driver *traceDriver) report(w []string, zone string, token uint64, tasks string) []string {
+func (driver *traceDriver) deliverHeartbeat(w []string, zone string, token uint64, tasks string) []string {
 	session, seq, _ := strings.Cut(w[2], "/")
 	s, _ := strconv.ParseUint(session, 10, 64)
 	q, _ := strconv.ParseUint(seq, 10, 64)
@@ -199,7 +199,7 @@
 		return []string{"no answer"}
 	}
 	for _, c := range response.Commands {
-		out = append(out, fmt.Sprintf("%s %s%s", c.Verb, c.Task, attempt(c.Attempt)))
+		out = append(out, fmt.Sprintf("%s %s%s", c.Verb, c.Task, formatAttempt(c.Attempt)))
 	}
 	return out
 }
@@ -211,12 +211,12 @@
 	for _, c := range driver.leader.dueCalls(driver.now, true, maxOpenCalls) {
 		line := fmt.Sprintf("to %s, session %d:", c.machine, c.incarnation)
 		for _, cmd := range c.commands {
-			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, attempt(cmd.Attempt))
+			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, formatAttempt(cmd.Attempt))
 		}
 		out = append(out, line)
 		switch fate[0] {
 		case "open":
-			driver.open = append(driver.open, c.launches...)
+			driver.openLaunches = append(driver.openLaunches, c.launches...)
 		case "executed":
 			driver.leader.fleet.CallFinished(c.launches, fleet.Executed)
 		case "refused":
@@ -234,16 +234,16 @@
 	return out
 }
 
-// round decides one round. Its fate is to be taken, unless the step says that
+// runRound decides one round. Its fate is to be taken, unless the step says that
 // it is refused or lost.
-func (driver *traceDriver) round(fate []string) []string {
+func (driver *traceDriver) runRound(fate []string) []string {
 	driver.draft = driver.leader.Decide(driver.now, driver.view.Snapshot())
 	if driver.draft == nil {
 		return []string{"nothing to write"}
 	}
 	var out []string
 	for _, p := range driver.draft.launches {
-		out = append(out, fmt.Sprintf("launch %v%s on %s", p.Task, attempt(p.Attempt), p.Machine))
+		out = append(out, fmt.Sprintf("launch %v%s on %s", p.Task, formatAttempt(p.Attempt), p.Machine))
 	}
 	for _, c := range driver.draft.Txn.Then {
 		out = append(out, driver.describeChange(c))
@@ -293,7 +293,7 @@
 	case order == store.CoAllocationReserve:
 		text += " held"
 	case order > 0:
-		text += " start " + attempt(order)
+		text += " start " + formatAttempt(order)
 	}
 	if len(rec.FinishedIn) > 0 {
 		text += " done in " + strings.Join(rec.FinishedIn, ",")
@@ -312,7 +312,7 @@
 	driver.leader.Committed(driver.draft, driver.revision)
 }
 
-func (driver *traceDriver) show() []string {
+func (driver *traceDriver) describePlacements() []string {
 	leader := driver.leader
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
@@ -326,7 +326,7 @@
 			line += " releasing"
 		}
 		for _, p := range m.Placements() {
-			line += fmt.Sprintf(" %v%s=%s", p.Task, attempt(p.Attempt),
+			line += fmt.Sprintf(" %v%s=%s", p.Task, formatAttempt(p.Attempt),
 				[]string{"planned", "sent", "fetching", "waiting", "running", "saving", "ended"}[p.State])
 			if p.CallPending() {
 				line += "(loose)"
@@ -433,21 +433,21 @@
 	}
 }
 
-// TestNoLaunchWithoutRecord: records that do not divide well into the slots of a round
+// TestNoLaunchWithoutMachineRecord: records that do not divide well into the slots of a round
 // may leave one over. A launch whose machine's record is not in the transaction must not
 // be said: the next leader would not know of it. Smaller rounds are decided until all fit.
-func TestNoLaunchWithoutRecord(t *testing.T) {
+func TestNoLaunchWithoutMachineRecord(t *testing.T) {
 	halvings := 0
 	for tasks := 8; tasks <= 22; tasks++ {
-		halvings += crowdedRounds(t, tasks)
+		halvings += runCrowdedRounds(t, tasks)
 	}
 	if halvings == 0 {
 		t.Error("no round was too large: the guard is not tried")
 	}
 }
 
-// crowdedRounds launches one more task on each of many machines that have some.
-func crowdedRounds(t *testing.T, tasks int) (halvings int) {
+// runCrowdedRounds launches one more task on each of many machines that have some.
+func runCrowdedRounds(t *testing.T, tasks int) (halvings int) {
 	driver := newTraceDriver(t)
 	const machines = 120
 	driver.step(fmt.Sprintf("job wk-1 sweep team=blue tasks=%d", machines*tasks))
