--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -25,13 +25,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The model: two controllers, a fleet in two shards with a machine in each, one job, and a
-// store whose every answer may be late or lost. Each step is one thing that happens
-// anywhere. The very state machines of the product take part; all orders of so many
-// steps are tried, and states that were met before are left alone. Time stands still:
-// what time proves is played in the days on the fake clock.
+// This file model-checks the leader: two controllers, a fleet in two shards with one machine each, one job, and a
+// store whose every answer may be late or lost. A step is a single event at one participant. The model runs the
+// product's own state machines, tries every order of a given number of steps, and does not explore a state twice. The
+// clock stands still: rules that depend on time are tested by the simulated days on the fake clock.
 
-// model is one state, reached by its path.
+// model is one state of the system, reached by a path of steps.
 type model struct {
 	cfg         *config.Config
 	keys        map[string]storedValue
@@ -39,10 +38,10 @@
 	log         []wire.Event
 	controllers [2]*modelController
 	workers     map[string]*modelWorker // by zone
-	lateTxns    []wire.Txn              // transactions whose sender is gone
-	teamLimit   float64                 // of the team, 0 for none
+	lateTxns    []wire.Txn              // in flight while their sender is gone
+	teamLimit   float64                 // GPU limit of the team, 0 for none
 	gang        bool
-	grantBound  float64 // that is granted, where the state began with more than the limit
+	grantBound  float64 // upper bound of the sum of grants, which may begin above the limit
 	spread      bool
 	tasks       int
 	cancelled   bool
@@ -74,24 +73,24 @@
 	seq      uint64
 	running  map[wire.TaskID]uint64
 	finished map[wire.TaskID]uint64
-	// timedOut are tasks of a gang that ended for want of the others.
+	// timedOut holds tasks of a gang that ended because the other tasks were missing.
 	timedOut map[wire.TaskID]uint64
 }
 
-// scenario is where a search begins.
+// scenario is the initial state of a search and the events that may happen in it.
 type scenario struct {
 	name        string
 	teamLimit   float64
 	spread      bool
 	tasks       int
 	ranges      []store.ShardRange
-	prefix      string // steps that are taken first
+	prefix      string // steps that are taken before the search begins
 	depth       int
 	failover    bool // whether shards change leaders
-	reshard     bool // whether the state was divided anew with a task of each shard's machine running
+	reshard     bool // whether the state was resharded while each shard's machine ran a task
 	gang        bool // whether the job is a gang
-	secondEnded bool // and that of the second has ended since its machine was recorded
-	cancel      bool // whether the user cancels
+	secondEnded bool // with reshard: whether the second machine's task has ended since its record was written
+	cancel      bool // whether the user may cancel the job
 }
 
 var scenarios = []scenario{
@@ -137,21 +136,21 @@
 			m.workers[zone].running[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
 		m.electLeader(m.controllers[i], zone)
-		m.sendHeartbeat(m.controllers[i], m.workers[zone]) // raises the fencing token there
+		m.sendHeartbeat(m.controllers[i], m.workers[zone]) // raises the machine's fencing token
 		m.sendHeartbeat(m.controllers[i], m.workers[zone])
 	}
 	return m
 }
 
-// reshard makes a state of one shard, with a task on each machine, into one of two.
+// reshard begins with a state of one shard that has a task on each machine, and splits it into two shards.
 func (m *model) reshard() {
-	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
+	segment := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
 		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Incarnation: 1,
 			Tasks: map[string]uint64{wire.TaskID{Job: "wk-1", Index: i}.String(): uint64(i + 1)}})
-		slot.Entries[e.Key] = e.Value
+		segment.Entries[e.Key] = e.Value
 	}
-	m.apply([]wire.Operation{{Put: store.SegmentKey("fleet", 0), Value: slot}})
+	m.apply([]wire.Operation{{Put: store.SegmentKey("fleet", 0), Value: segment}})
 	m.sync(m.controllers[0])
 	state := m.controllers[0].view.ShardingState()
 	txn, err := reshard.Transaction(&state, m.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
@@ -167,7 +166,7 @@
 	m.apply(txn.Then)
 }
 
-// apply changes the store.
+// apply applies operations to the store and returns the new revision.
 func (m *model) apply(then []wire.Operation) uint64 {
 	m.revision++
 	for _, c := range then {
@@ -184,6 +183,7 @@
 	return m.revision
 }
 
+// conditionsHold reports whether a transaction's conditions hold in the store.
 func (m *model) conditionsHold(t wire.Txn) bool {
 	for _, c := range t.If {
 		if m.keys[c.Key].version != c.Version {
@@ -193,19 +193,22 @@
 	return true
 }
 
+// sync brings a controller's view up to date with the store.
 func (m *model) sync(controller *modelController) {
-	var ch wire.WatchResponse
+	var response wire.WatchResponse
 	for _, e := range m.log {
 		if e.Version > controller.seenRevision {
-			ch.Events = append(ch.Events, e)
+			response.Events = append(response.Events, e)
 		}
 	}
-	ch.Revision, controller.seenRevision = m.revision, m.revision
-	controller.view.Apply(&ch)
+	response.Revision, controller.seenRevision = m.revision, m.revision
+	controller.view.Apply(&response)
 }
 
+// modelTime is the time at which the model's clock stands.
 var modelTime = time.Unix(1e9, 0)
 
+// electLeader has a controller win a shard and start its leader.
 func (m *model) electLeader(controller *modelController, shard string) {
 	m.sync(controller)
 	token := controller.view.FencingToken().Record + 1
@@ -214,14 +217,14 @@
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
 	leader := New(m.cfg, leadership.Tenure{Shard: shard, FencingToken: token, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(shard), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for _, spot := range []bool{false, true} { // no machines but these
+	for _, spot := range []bool{false, true} { // no more machines can be had
 		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: shard, Spot: spot}, Count: 1})
 		leader.scaler.Complete(modelTime, "x", 0)
 	}
 	controller.leaders[shard] = &modelLeader{Leader: leader}
 }
 
-// sendHeartbeat has a machine send a heartbeat to a controller, and carries out the answer.
+// sendHeartbeat sends a worker's heartbeat to a controller and carries out the response.
 func (m *model) sendHeartbeat(controller *modelController, w *modelWorker) {
 	leader := controller.leaders[w.zone]
 	w.seq++
@@ -260,42 +263,44 @@
 	}
 }
 
+// start starts a task on a worker and checks that it may run there.
 func (m *model) start(w *modelWorker, id wire.TaskID, attempt uint64) {
-	on := 0.0
+	running := 0.0
 	for _, other := range m.workers {
 		if other.running[id] != 0 {
 			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
-		on += float64(len(other.running))
+		running += float64(len(other.running))
 	}
 	w.running[id] = attempt
-	if m.teamLimit > 0 && on+1 > m.teamLimit {
-		m.violate("quota: %v tasks run", on+1)
+	if m.teamLimit > 0 && running+1 > m.teamLimit {
+		m.violate("quota: %v tasks run", running+1)
 	}
 	if m.spread && len(w.running) > (m.tasks+1)/2 {
 		m.violate("wrong_place: %d tasks in %s", len(w.running), w.zone)
 	}
 }
 
+// violate records the first violation of a rule.
 func (m *model) violate(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// checkStore checks what must hold of the records at any time.
+// checkStore checks the invariants of the stored records.
 func (m *model) checkStore() {
 	var batch store.BatchRecord
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) == nil {
 		rec := batch.Jobs["wk-1"]
-		at := 0
+		next := 0
 		for _, r := range rec.Ranges {
-			if r.From != at || r.To <= r.From {
+			if r.From != next || r.To <= r.From {
 				m.violate("ranges: %v", rec.Ranges)
 			}
-			at = r.To
+			next = r.To
 		}
-		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
+		if !rec.Stage.Final() && next != m.tasks && len(rec.Ranges) > 0 {
 			m.violate("ranges: %v", rec.Ranges)
 		}
 		if rec.Stage == wire.Done {
@@ -312,17 +317,18 @@
 		for _, g := range grants.Teams["red"] {
 			sum += g[1]
 		}
-		if m.grantBound = min(max(m.grantBound, m.teamLimit), max(sum, m.teamLimit)); m.teamLimit > 0 && sum > m.grantBound+1e-6 { // it never rises above
+		if m.grantBound = min(max(m.grantBound, m.teamLimit), max(sum, m.teamLimit)); m.teamLimit > 0 && sum > m.grantBound+1e-6 { // the bound never rises again
 			m.violate("grants: %v", grants.Teams)
 		}
 	}
 }
 
+// sortedTasks returns the tasks in the order of their names.
 func sortedTasks(tasks map[wire.TaskID]uint64) []wire.TaskID {
 	return slices.SortedFunc(maps.Keys(tasks), func(a, b wire.TaskID) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// possibleSteps lists what can happen next.
+// possibleSteps lists the steps that can be taken next.
 func (m *model) possibleSteps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
@@ -382,20 +388,20 @@
 	return out
 }
 
-// takeStep makes a step.
+// takeStep takes a step.
 func (m *model) takeStep(step string) {
-	f := strings.Fields(step)
+	words := strings.Fields(step)
 	var controller *modelController
 	var leader *modelLeader
 	i, shard := 0, ""
-	if len(f) > 1 {
-		i, _ = strconv.Atoi(f[1])
+	if len(words) > 1 {
+		i, _ = strconv.Atoi(words[1])
 	}
-	if len(f) > 2 {
-		shard, controller = f[2], m.controllers[i]
+	if len(words) > 2 {
+		shard, controller = words[2], m.controllers[i]
 		leader = controller.leaders[shard]
 	}
-	switch f[0] {
+	switch words[0] {
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
@@ -410,7 +416,7 @@
 		leader.grantChange = leader.ProposeGrants()
 	case "granted":
 		m.settleGrants(controller, leader)
-	case "lose": // the lease has run out; the leader does not know yet
+	case "lose": // the lease has expired, and the leader does not know it yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(shard)}})
 	case "die":
 		m.endLeader(controller, shard)
@@ -425,7 +431,7 @@
 	}
 }
 
-// decide has a leader decide a round, with what the leader of the other shard says of itself.
+// decide has a leader decide a round, knowing the current status of the other shard's leader.
 func (m *model) decide(controller *modelController, leader *modelLeader, shard string) {
 	other := map[string]string{"a": "b", "b": "a"}[shard]
 	status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
@@ -441,7 +447,7 @@
 	leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
 }
 
-// commit has the store take a leader's round, or refuse it.
+// commit sends a leader's round to the store, which applies or rejects it.
 func (m *model) commit(controller *modelController, leader *modelLeader) {
 	if m.conditionsHold(leader.draft.Txn) {
 		rev := m.apply(leader.draft.Txn.Then)
@@ -453,7 +459,7 @@
 	leader.draft = nil
 }
 
-// settleGrants has the store take a leader's change of grants, or refuse it.
+// settleGrants sends a leader's change of grants to the store, which applies or rejects it.
 func (m *model) settleGrants(controller *modelController, leader *modelLeader) {
 	if m.conditionsHold(leader.grantChange.Txn) {
 		m.apply(leader.grantChange.Txn.Then)
@@ -463,7 +469,7 @@
 	leader.grantChange = nil
 }
 
-// endLeader ends a leader whose transactions are still on their way.
+// endLeader ends a leader; its open transactions stay in flight.
 func (m *model) endLeader(controller *modelController, shard string) {
 	leader := controller.leaders[shard]
 	if leader.draft != nil {
@@ -475,29 +481,29 @@
 	delete(controller.leaders, shard)
 }
 
-// deliverLateTxn has a transaction that was on its way arrive.
+// deliverLateTxn delivers a transaction that was in flight.
 func (m *model) deliverLateTxn(i int) {
-	t := m.lateTxns[i]
+	txn := m.lateTxns[i]
 	m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
-	if m.conditionsHold(t) {
-		m.apply(t.Then)
+	if m.conditionsHold(txn) {
+		m.apply(txn.Then)
 	}
 }
 
-// timeOut ends what runs: the gang was not complete in time, or has lost a task.
+// timeOut ends the worker's running tasks: their gang was not complete in time, or has lost a task.
 func (w *modelWorker) timeOut() {
-	for id, n := range w.running {
-		w.timedOut[id] = n
+	for id, attempt := range w.running {
+		w.timedOut[id] = attempt
 	}
 	clear(w.running)
 }
 
-// finish has a task of a machine complete; the tasks of a gang complete together.
+// finish completes a task of a worker; the tasks of a gang complete together.
 func (m *model) finish(w *modelWorker) {
 	if m.gang {
 		for _, other := range m.workers {
-			for id, n := range other.running {
-				other.finished[id], m.completed[id] = n, true
+			for id, attempt := range other.running {
+				other.finished[id], m.completed[id] = attempt, true
 			}
 			clear(other.running)
 		}
@@ -509,7 +515,7 @@
 	delete(w.running, id)
 }
 
-// cancel is the user's request.
+// cancel stores the user's cancellation of the job.
 func (m *model) cancel() {
 	m.cancelled = true
 	if job, ok := m.liveJob(); ok {
@@ -519,23 +525,23 @@
 	}
 }
 
-// canFinish reports whether what runs may complete: of a gang, all tasks run, with the same
+// canFinish reports whether running tasks can complete. Those of a gang can only when all of them run under the same
 // attempt.
 func (m *model) canFinish() bool {
 	if !m.gang {
 		return true
 	}
-	attempts, n := map[uint64]bool{}, 0
+	attempts, running := map[uint64]bool{}, 0
 	for _, other := range m.workers {
 		for _, a := range other.running {
 			attempts[a] = true
-			n++
+			running++
 		}
 	}
-	return n == m.tasks && len(attempts) == 1
+	return running == m.tasks && len(attempts) == 1
 }
 
-// liveJob looks the job up in the store itself.
+// liveJob looks up the job in the store itself, not in a controller's view.
 func (m *model) liveJob() (*store.LiveJob, bool) {
 	v := store.NewView(slog.New(slog.DiscardHandler))
 	c := m.keys[store.BatchKey("x")]
@@ -543,7 +549,7 @@
 	return v.Live("wk-1")
 }
 
-// fingerprint tells states apart.
+// fingerprint returns a hash by which states are told apart.
 func (m *model) fingerprint() uint64 {
 	d := xxhash.New()
 	put := func(format string, args ...any) { fmt.Fprintf(d, format+"\n", args...) }
@@ -591,7 +597,7 @@
 	return d.Sum64()
 }
 
-// replayPath plays a path from the beginning.
+// replayPath returns the state that a path leads to from the start of a scenario.
 func replayPath(s *scenario, path []string) *model {
 	m := newModel(s)
 	for _, step := range strings.Split(s.prefix, "; ") {
@@ -605,18 +611,18 @@
 	return m
 }
 
-// search tries all orders of steps up to a depth, breadth first, and gives the shortest
-// path that breaks a rule.
-func search(s *scenario, depth int) (states int, path []string, broken string) {
-	seen := map[uint64]bool{}
+// search tries all orders of steps up to a depth, breadth first, and returns the shortest path that breaks a rule
+// and the violation.
+func search(s *scenario, depth int) (states int, path []string, violation string) {
+	visited := map[uint64]bool{}
 	level := [][]string{nil}
 	for range depth {
-		type found struct {
-			path   []string
-			sum    uint64
-			broken string
+		type successor struct {
+			path        []string
+			fingerprint uint64
+			violation   string
 		}
-		next := make([][]found, len(level))
+		next := make([][]successor, len(level))
 		var group sync.WaitGroup
 		work := make(chan int)
 		for range runtime.GOMAXPROCS(0) {
@@ -625,9 +631,9 @@
 				defer group.Done()
 				for i := range work {
 					for _, step := range replayPath(s, level[i]).possibleSteps(s) {
-						p := append(slices.Clone(level[i]), step)
-						m := replayPath(s, p)
-						next[i] = append(next[i], found{p, m.fingerprint(), m.violation})
+						path := append(slices.Clone(level[i]), step)
+						m := replayPath(s, path)
+						next[i] = append(next[i], successor{path, m.fingerprint(), m.violation})
 					}
 				}
 			}()
@@ -638,22 +644,22 @@
 		close(work)
 		group.Wait()
 		level = nil
-		for _, list := range next {
-			for _, f := range list {
-				if f.broken != "" {
-					return len(seen), f.path, f.broken
+		for _, successors := range next {
+			for _, state := range successors {
+				if state.violation != "" {
+					return len(visited), state.path, state.violation
 				}
-				if !seen[f.sum] {
-					seen[f.sum] = true
-					level = append(level, f.path)
+				if !visited[state.fingerprint] {
+					visited[state.fingerprint] = true
+					level = append(level, state.path)
 				}
 			}
 		}
 	}
-	return len(seen), nil, ""
+	return len(visited), nil, ""
 }
 
-// TestModel searches each scenario. AMBERDEAL_DEPTH adds steps.
+// TestModel searches each scenario for a path that breaks a rule. AMBERDEAL_DEPTH=N searches N steps deeper.
 func TestModel(t *testing.T) {
 	defer func(d time.Duration) { handoverAfter = d }(handoverAfter)
 	handoverAfter = 0
@@ -661,9 +667,9 @@
 	for i := range scenarios {
 		s := &scenarios[i]
 		t.Run(s.name, func(t *testing.T) {
-			states, path, broken := search(s, s.depth+more)
-			if broken != "" {
-				t.Errorf("%s, by %s", broken, strings.Join(path, "; "))
+			states, path, violation := search(s, s.depth+more)
+			if violation != "" {
+				t.Errorf("%s, by %s", violation, strings.Join(path, "; "))
 			}
 			t.Logf("%d steps, %d states", s.depth+more, states)
 		})
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -17,33 +17,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The model with time: a fleet in one shard, a controller that leads and one that may take
-// over, two machines, one job, and a state service that refuses one controller or all. Leader,
-// View, Election and the worker's Core are the product's; what lies between them is up to
-// the search. Time goes in steps of a third of a lease, so that the bounds lie between steps,
-// and each statement has an age: a worker's lease, the controller's, what is surely
-// known of cancellations, a confirmation.
+// This file extends the model by time: a fleet in one shard, a controller that leads and one that may take over, two
+// machines, one job, and a state service that may refuse one controller or all. Leader, View, Election and the worker's
+// Core are the product's own; the search decides what happens between them. Time advances by a third of a lease at once,
+// so that bounds fall between steps, and whatever expires has an age: a worker's lease, a controller's lease, its
+// knowledge of cancellations, its last confirmed renewal.
 
 const (
 	timedStep  = 3 * time.Second
 	timedShard = "fleet"
 	timedJob   = "wk-1"
-	// maxExpiryDelay is for how long a worker may be late to look at its lease: until then its tasks
-	// are on the machine, though it neither says nor takes anything. Proofs by time leave a
-	// margin for it.
+	// maxExpiryDelay is how late a worker may notice that its lease has expired. Until then its tasks stay on the
+	// machine, although the worker neither sends nor accepts anything. Proofs by time leave a margin for this.
 	maxExpiryDelay = 4 * time.Second
 )
 
-// timedModel is one state, reached by its path.
+// timedModel is one state of the system with time, reached by a path of steps.
 type timedModel struct {
 	*model              // the store and the views
 	now                 time.Time
 	plantedFault        string
 	steadySender        string
 	budgets             []budget
-	stepCounts          map[string]int // steps that were taken of each
-	lastRank            int            // of the last step: within a moment they come in the order in which they are listed
-	anyOrder            bool           // or in any
+	stepCounts          map[string]int // steps taken, by the prefix of their budget
+	lastRank            int            // index of the last step's budget; between ticks, steps come in the order of budgets
+	anyOrder            bool           // lets steps between two ticks come in any order instead
 	leaseGrants         int
 	nodes               [2]*timedController
 	machines            map[string]*timedWorker
@@ -51,9 +49,9 @@
 	lateCommits         []lateTxn
 	lateCalls           []lateCall
 	duplicateHeartbeats []wire.Heartbeat
-	cancelAckedAt       time.Time // when the user was told that the job is cancelled
+	cancelAckedAt       time.Time // when the cancellation was confirmed to the user
 	firstFinalStage     wire.Stage
-	finishedAttempts    map[agent.Key]bool // attempts that have completed
+	finishedAttempts    map[agent.Key]bool // attempts that completed
 	reached             map[string]bool
 }
 
@@ -64,12 +62,12 @@
 	draft          *Draft
 	refused        bool
 	dead           bool
-	leaseRenewedAt time.Time // when the service counts its lease from; zero: it has ended
-	leaseID        uint64    // of the lease
+	leaseRenewedAt time.Time // when the service last granted or renewed its lease; zero if the lease has ended
+	leaseID        uint64
 	pendingRead    *pendingRead
 }
 
-// pendingRead is an answer of the service that is on its way.
+// pendingRead is a read whose answer by the state service is in flight.
 type pendingRead struct {
 	startedAt time.Time
 	changes   wire.WatchResponse
@@ -78,12 +76,13 @@
 type timedWorker struct {
 	id             string
 	core           *agent.Core
-	lastAnsweredAt time.Time // as the core counts it
+	lastAnsweredAt time.Time // when the last heartbeat that was answered was sent, as the core counts it
 	incarnation    uint64
 	running        map[agent.Key]bool
 	released       bool
 }
 
+// lateTxn is a transaction that is in flight.
 type lateTxn struct {
 	wire.Txn
 	kind     string
@@ -92,37 +91,39 @@
 	revision uint64
 }
 
+// lateCall is a direct call that is in flight.
 type lateCall struct {
 	machine string
 	request wire.CommandRequest
 }
 
-// timedScenario is where a search begins and what may happen: of each kind of step so many.
+// timedScenario is the initial state of a search, and how many steps of each kind may be taken.
 type timedScenario struct {
 	name          string
 	tasks         int
 	teamLimit     float64
 	prefix        string
 	depth         int
-	stepLimits    string // steps, by how they begin, and how many of each at most
-	mustReach     string // what must have come about somewhere
-	detectsFaults string // faults that are found if they are planted there
-	plantedFault  string // the one that is planted
-	steadySender  string // a machine that sends a heartbeat at each moment, and to whom
-	anyOrder      bool   // within a moment steps come in any order, not only as they are listed
+	stepLimits    string // prefixes of steps, each with the number of its steps that may be taken
+	mustReach     string // situations that the search must reach
+	detectsFaults string // faults that the search must find when they are planted
+	plantedFault  string // the fault that is planted, if any
+	steadySender  string // a machine that sends a heartbeat at each tick, and the number of the controller that receives it
+	anyOrder      bool   // whether steps between two ticks come in any order, not only in that of stepLimits
 }
 
-// budget is how many steps that begin so may be taken.
+// budget limits how many steps with a prefix may be taken.
 type budget struct {
 	prefix string
 	limit  int
 }
 
+// parseBudgets reads stepLimits.
 func (s *timedScenario) parseBudgets() (out []budget) {
-	for _, f := range strings.Split(s.stepLimits, "; ") {
-		begins, n, _ := strings.Cut(f, ":")
-		most, _ := strconv.Atoi(n)
-		out = append(out, budget{begins, most})
+	for _, item := range strings.Split(s.stepLimits, "; ") {
+		prefix, number, _ := strings.Cut(item, ":")
+		limit, _ := strconv.Atoi(number)
+		out = append(out, budget{prefix, limit})
 	}
 	return out
 }
@@ -160,6 +161,7 @@
 	return m
 }
 
+// grantLease has the state service grant a controller a new lease.
 func (m *timedModel) grantLease(i int) {
 	c := m.nodes[i]
 	c.leaseID, c.leaseRenewedAt = uint64(10+10*m.leaseGrants+i), m.now
@@ -167,47 +169,49 @@
 	c.election.LeaseGranted(c.leaseID, m.now)
 }
 
+// isServed reports whether the state service answers a controller.
 func (m *timedModel) isServed(i int) bool {
 	return !m.serviceDown && !m.nodes[i].refused && !m.nodes[i].dead
 }
 
-// unseenChanges lists what a controller has not seen, as a watch would.
+// unseenChanges returns the changes that a controller has not seen, as a watch would.
 func (m *timedModel) unseenChanges(i int) wire.WatchResponse {
-	var ch wire.WatchResponse
+	var response wire.WatchResponse
 	for _, e := range m.log {
 		if e.Version > m.nodes[i].seenRevision {
-			ch.Events = append(ch.Events, e)
+			response.Events = append(response.Events, e)
 		}
 	}
-	ch.Revision = m.revision
-	return ch
+	response.Revision = m.revision
+	return response
 }
 
-// applyRead has a view take in an answer that was asked for at a time, and the election what the
-// view says of the shard.
-func (m *timedModel) applyRead(i int, ch wire.WatchResponse, begun time.Time) {
+// applyRead applies the answer to a read that began at a given time: to the view, and to the election what the view
+// holds about the shard's leader.
+func (m *timedModel) applyRead(i int, response wire.WatchResponse, startedAt time.Time) {
 	c := m.nodes[i]
-	c.view.Apply(&ch)
-	c.seenRevision = max(c.seenRevision, ch.Revision)
-	c.view.MarkCurrent(begun)
+	c.view.Apply(&response)
+	c.seenRevision = max(c.seenRevision, response.Revision)
+	c.view.MarkCurrent(startedAt)
 	rec, known := c.view.Leader(timedShard)
 	c.election.Observe(timedShard, rec, known, c.view.Revision())
 	m.manageLeadership(i)
 }
 
+// readStore has a controller read the store and get the answer at once.
 func (m *timedModel) readStore(i int) { m.applyRead(i, m.unseenChanges(i), m.now) }
 
-// manageLeadership begins and ends the duties for the shard, as package controller does.
+// manageLeadership starts and ends a controller's leader of the shard, as package controller does.
 func (m *timedModel) manageLeadership(i int) {
 	c := m.nodes[i]
-	held, is := c.election.Tenure(timedShard)
-	if c.leader != nil && (!is || c.leader.lease.Version != held.Version) {
+	tenure, leads := c.election.Tenure(timedShard)
+	if c.leader != nil && (!leads || c.leader.lease.Version != tenure.Version) {
 		c.leader, c.draft = nil, nil
 	}
-	if c.leader != nil || !is || c.dead {
+	if c.leader != nil || !leads || c.dead {
 		return
 	}
-	if c.view.Revision() < held.Revision {
+	if c.view.Revision() < tenure.Revision {
 		if !m.isServed(i) {
 			return
 		}
@@ -218,14 +222,14 @@
 	if m.plantedFault == "proof 3 without its margin" {
 		cfg = timedConfig(m.teamLimit)
 		cfg.Workers.Lease -= 5 * time.Second
-		cfg.Workers.Cancel -= 5 * time.Second // what is answered stays the same
+		cfg.Workers.Cancel -= 5 * time.Second // keeps the time for which heartbeats are answered
 	}
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a"}}}
-	c.leader = New(cfg, held, c.view.Snapshot(), c.view.ShardLedgers(timedShard), types, c.view, m.now, slog.New(slog.DiscardHandler))
+	c.leader = New(cfg, tenure, c.view.Snapshot(), c.view.ShardLedgers(timedShard), types, c.view, m.now, slog.New(slog.DiscardHandler))
 	if m.plantedFault == "proof 5 without the time that others answer" {
 		c.leader.fleet.ElectedAt = m.now.Add(-maxAnswerTime(cfg))
 	}
-	for _, spot := range []bool{false, true} { // no machines but these
+	for _, spot := range []bool{false, true} { // no more machines can be had
 		c.leader.scaler.Add(m.now, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: "a", Spot: spot}, Count: 1})
 		c.leader.scaler.Complete(m.now, "x", 0)
 	}
@@ -239,11 +243,11 @@
 	}
 }
 
-// campaign has a controller campaign for the shard, or its transaction go on its way.
+// campaign has a controller campaign for the shard; with hold, its transaction stays in flight.
 func (m *timedModel) campaign(i int, hold bool) {
 	c := m.nodes[i]
 	txn, token := c.election.Campaign(timedShard, c.view.FencingToken())
-	for k := range txn.Then { // leases are the model's own
+	for k := range txn.Then { // the model keeps the leases itself
 		txn.Then[k].Lease = 0
 	}
 	if hold {
@@ -258,12 +262,13 @@
 	m.manageLeadership(i)
 }
 
-// mayAnswer says whether a controller answers a heartbeat, as package controller does.
+// mayAnswer reports whether a controller's lease is valid and whether it answers a heartbeat, as package controller
+// does.
 func (m *timedModel) mayAnswer(i int, hb *wire.Heartbeat) (valid, ok bool) {
 	c := m.nodes[i]
-	held, is := c.election.Tenure(timedShard)
+	tenure, leads := c.election.Tenure(timedShard)
 	valid = c.election.LeaseValid(m.now)
-	if c.leader == nil || c.dead || !is || c.leader.lease.Version != held.Version || hb.FencingToken > held.FencingToken {
+	if c.leader == nil || c.dead || !leads || c.leader.lease.Version != tenure.Version || hb.FencingToken > tenure.FencingToken {
 		return valid, false
 	}
 	confirmed := c.election.LastRenewal()
@@ -278,7 +283,7 @@
 	return valid, c.leader.MayAnswer(m.now, valid, confirmed)
 }
 
-// handleHeartbeat has a controller take in a heartbeat and gives its answer.
+// handleHeartbeat has a controller handle a heartbeat and returns its response, if it gives one.
 func (m *timedModel) handleHeartbeat(i int, hb *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	valid, ok := m.mayAnswer(i, hb)
 	if !ok {
@@ -296,11 +301,12 @@
 	return m.nodes[i].leader.HandleHeartbeat(m.now, hb, valid)
 }
 
+// sendHeartbeat sends a machine's heartbeat to a controller; the response arrives or is lost.
 func (m *timedModel) sendHeartbeat(id string, i int, arrives bool) {
 	w := m.machines[id]
 	m.expireLease(w, false)
 	hb, sent := w.core.NextHeartbeat(), m.now
-	if id == "b" { // the other is well
+	if id == "b" { // heartbeats of machine a are never duplicated
 		m.duplicateHeartbeats = append(m.duplicateHeartbeats[max(0, len(m.duplicateHeartbeats)-2):], hb)
 	}
 	response, ok := m.handleHeartbeat(i, &hb)
@@ -315,7 +321,7 @@
 		return
 	}
 	token := w.core.Heartbeat().FencingToken
-	e := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
+	effects := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
 	if response.FencingToken >= token && sent.After(w.lastAnsweredAt) {
 		w.lastAnsweredAt = sent
 	}
@@ -324,10 +330,10 @@
 			m.checkCleared(c)
 		}
 	}
-	m.applyEffects(w, e)
+	m.applyEffects(w, effects)
 }
 
-// checkCleared checks that what a machine is to forget is in the store.
+// checkCleared checks that the end of an attempt is in the store before a machine is told to forget it.
 func (m *timedModel) checkCleared(c wire.Command) {
 	id, _ := wire.ParseTaskID(c.Task)
 	if !m.finishedAttempts[agent.Key{Task: id, Attempt: c.Attempt}] {
@@ -342,31 +348,31 @@
 		items = append(items, wire.KeyValue{Key: key, Value: c.raw, Version: c.version})
 	}
 	v.Load(items, m.revision, &wire.WatchResponse{})
-	left := v.ShardLedgers(timedShard)
-	_, last := store.NewLedger(left.Name, m.cfg.Store.ValueBytes, left.Own)
-	if done := last.FinishedTasks[id.Job]; done == nil || !done.Contains(id.Index) {
+	ledgers := v.ShardLedgers(timedShard)
+	_, last := store.NewLedger(ledgers.Name, m.cfg.Store.ValueBytes, ledgers.Own)
+	if finished := last.FinishedTasks[id.Job]; finished == nil || !finished.Contains(id.Index) {
 		m.violate("forgotten: the end of %s is cleared and not stored", c.Task)
 	}
 }
 
-// applyEffects carries out what a worker is to do, at once.
+// applyEffects carries out a worker's effects at once, and checks that what it starts may run.
 func (m *timedModel) applyEffects(w *timedWorker, e agent.Effects) {
 	for _, k := range e.Kill {
 		delete(w.running, k)
 		w.core.MarkEnded(k, wire.CauseStopped)
 	}
 	for _, k := range e.Start {
-		on := 0
+		running := 0
 		for _, other := range m.machines {
 			for r := range other.running {
 				if r.Task == k.Task {
 					m.violate("ran_twice: %v starts on %s", k.Task, w.id)
 				}
 			}
-			on += len(other.running)
+			running += len(other.running)
 		}
-		if m.teamLimit > 0 && float64(on+1) > m.teamLimit {
-			m.violate("quota: %d tasks run", on+1)
+		if m.teamLimit > 0 && float64(running+1) > m.teamLimit {
+			m.violate("quota: %d tasks run", running+1)
 		}
 		if !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) > m.cfg.Workers.Cancel {
 			m.violate("ran_cancelled: %v starts %v after", k.Task, m.now.Sub(m.cancelAckedAt))
@@ -376,23 +382,25 @@
 	}
 }
 
-// expireLease has a worker look at its lease: it must whenever it does anything, and in time.
+// expireLease has a worker check its lease, which it does before every action. With must it only does if it can't be
+// any later: maxExpiryDelay after the lease has expired.
 func (m *timedModel) expireLease(w *timedWorker, must bool) {
 	if must && m.now.Sub(w.lastAnsweredAt) <= m.cfg.Workers.Lease+maxExpiryDelay {
 		return
 	}
-	e := w.core.Expire(m.now)
+	effects := w.core.Expire(m.now)
 	if w.core.Incarnation() != w.incarnation {
 		w.incarnation, w.lastAnsweredAt = w.core.Incarnation(), m.now
 		m.reached["a later incarnation"] = true
 	}
-	m.applyEffects(w, e)
+	m.applyEffects(w, effects)
 }
 
-// tick lets time pass.
+// tick advances the clock by timedStep and does what follows from time alone: leases expire, controller 1 renews its
+// lease, and leaders reconcile.
 func (m *timedModel) tick() {
 	for i, c := range m.nodes {
-		// The cloud is never so late that a machine outlives what it is released for.
+		// The cloud is never so late that a machine still exists when a confirmed cancellation reaches its bound.
 		if c.leader != nil && !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) >= m.cfg.Workers.Cancel-3*timedStep {
 			m.releaseMachines(i)
 		}
@@ -410,21 +418,21 @@
 			}
 		}
 	}
-	if c := m.nodes[1]; m.isServed(1) && !c.leaseRenewedAt.IsZero() { // it is well
+	if c := m.nodes[1]; m.isServed(1) && !c.leaseRenewedAt.IsZero() { // controller 1 works without faults of its own
 		c.leaseRenewedAt = m.now
 		c.election.LeaseRenewed(m.now)
 		if c.leader != nil {
 			m.readStore(1)
 		}
 	}
-	for _, c := range m.nodes { // the duties of a leader go on whatever the store does
+	for _, c := range m.nodes { // a leader reconciles even while the store does not answer
 		if c.leader != nil && !c.dead {
 			c.leader.Reconcile(m.now, c.view.Snapshot())
 		}
 	}
-	if id, i, ok := strings.Cut(m.steadySender, " "); ok {
-		k, _ := strconv.Atoi(i)
-		m.sendHeartbeat(id, k, true)
+	if id, number, ok := strings.Cut(m.steadySender, " "); ok {
+		i, _ := strconv.Atoi(number)
+		m.sendHeartbeat(id, i, true)
 	}
 	m.checkCancelled()
 	if !m.cancelAckedAt.IsZero() && m.serviceDown {
@@ -435,6 +443,7 @@
 	}
 }
 
+// checkCancelled checks that no task runs when the bound on a confirmed cancellation has passed.
 func (m *timedModel) checkCancelled() {
 	if m.cancelAckedAt.IsZero() || m.now.Sub(m.cancelAckedAt) <= m.cfg.Workers.Cancel {
 		return
@@ -447,6 +456,7 @@
 	}
 }
 
+// releaseMachines has the cloud release the machines that a leader wants to release.
 func (m *timedModel) releaseMachines(i int) {
 	c := m.nodes[i]
 	if !c.election.LeaseValid(m.now) {
@@ -462,58 +472,58 @@
 	c.leader.scaledIn(names)
 }
 
-// executeDirectCall carries a direct call out at a worker.
-func (m *timedModel) executeDirectCall(id string, d wire.CommandRequest) (wire.Heartbeat, bool) {
+// executeDirectCall has a worker execute or refuse a direct call, and returns its heartbeat.
+func (m *timedModel) executeDirectCall(id string, request wire.CommandRequest) (wire.Heartbeat, bool) {
 	w := m.machines[id]
 	m.expireLease(w, false)
-	e, ok := w.core.HandleDirect(m.now, d)
+	effects, ok := w.core.HandleDirect(m.now, request)
 	if ok {
-		for _, c := range d.Commands {
+		for _, c := range request.Commands {
 			if c.Verb == wire.Clear {
 				m.checkCleared(c)
 			}
 		}
-		m.applyEffects(w, e)
+		m.applyEffects(w, effects)
 	}
 	return w.core.Heartbeat(), ok
 }
 
-// makeDirectCalls makes a leader's direct calls; lost ones are on their way.
+// makeDirectCalls makes the direct calls of a leader that are due. Lost calls get no answer and stay in flight.
 func (m *timedModel) makeDirectCalls(i int, lost bool) {
 	c := m.nodes[i]
-	for _, k := range c.leader.dueCalls(m.now, c.election.LeaseValid(m.now), maxOpenCalls) {
-		id := strings.TrimPrefix(k.machine, "n-")
-		d := wire.CommandRequest{FencingToken: c.leader.lease.FencingToken, Incarnation: k.incarnation, Commands: k.commands}
-		outcome, heard := fleet.Unanswered, false
+	for _, call := range c.leader.dueCalls(m.now, c.election.LeaseValid(m.now), maxOpenCalls) {
+		id := strings.TrimPrefix(call.machine, "n-")
+		request := wire.CommandRequest{FencingToken: c.leader.lease.FencingToken, Incarnation: call.incarnation, Commands: call.commands}
+		outcome, answered := fleet.Unanswered, false
 		switch {
 		case m.machines[id].released:
 		case lost:
-			if len(d.Commands) > 0 && len(m.lateCalls) < 2 {
-				m.lateCalls = append(m.lateCalls, lateCall{id, d})
+			if len(request.Commands) > 0 && len(m.lateCalls) < 2 {
+				m.lateCalls = append(m.lateCalls, lateCall{id, request})
 			}
 			if m.plantedFault == "a call without an answer counts as refused" {
 				outcome = fleet.Refused
 			}
 		default:
-			hb, ok := m.executeDirectCall(id, d)
+			hb, ok := m.executeDirectCall(id, request)
 			if outcome = fleet.Refused; ok {
 				outcome = fleet.Executed
 			}
-			if heard = true; hb.FencingToken <= c.leader.lease.FencingToken {
+			if answered = true; hb.FencingToken <= c.leader.lease.FencingToken {
 				c.leader.HandleInspection(m.now, &hb)
 			}
 		}
 		c.leader.mu.Lock()
-		c.leader.fleet.CallFinished(k.launches, outcome)
-		if k.fencing {
+		c.leader.fleet.CallFinished(call.launches, outcome)
+		if call.fencing {
 			c.leader.fencing.Finished()
 		}
-		c.leader.monitor.CallFinished(m.now, k.machine, heard)
+		c.leader.monitor.CallFinished(m.now, call.machine, answered)
 		c.leader.mu.Unlock()
 	}
 }
 
-// decide has a leader decide a round.
+// decide has a leader decide a round, and plants the scenario's fault in it.
 func (m *timedModel) decide(i int) {
 	c := m.nodes[i]
 	c.draft = c.leader.Decide(m.now, c.view.Snapshot())
@@ -536,7 +546,7 @@
 	}
 }
 
-// commit has the service carry a leader's round out, as write does.
+// commit sends a leader's round to the state service and handles the result, as Leader.write does.
 func (m *timedModel) commit(i int) {
 	c := m.nodes[i]
 	d := c.draft
@@ -558,7 +568,8 @@
 	leader.Discard(d)
 }
 
-// cancel is the user's request at a controller that is served: it is told what the store says.
+// cancel cancels the job by a user's request to a controller that is served; the user gets the result as stored. With
+// hold, the transaction stays in flight.
 func (m *timedModel) cancel(i int, hold bool) {
 	job, live := m.liveJob()
 	if !live {
@@ -568,7 +579,7 @@
 		}
 		return
 	}
-	if hold { // by what the controller has seen
+	if hold { // the transaction is built from the controller's view, which may be out of date
 		if job, live = m.nodes[i].view.Live(timedJob); !live {
 			return
 		}
@@ -584,18 +595,19 @@
 	m.acknowledgeCancel()
 }
 
+// acknowledgeCancel confirms the cancellation to the user.
 func (m *timedModel) acknowledgeCancel() {
 	if m.cancelAckedAt.IsZero() {
 		m.cancelAckedAt = m.now
 	}
 }
 
-// possibleSteps lists what can happen next.
-func (m *timedModel) possibleSteps(may []budget) []string {
+// possibleSteps lists the steps that can be taken next within the budgets.
+func (m *timedModel) possibleSteps(budgets []budget) []string {
 	var out []string
 	add := func(kind string, args ...any) {
 		step := strings.TrimSpace(kind + " " + fmt.Sprintln(args...))
-		for k, b := range may {
+		for k, b := range budgets {
 			if strings.HasPrefix(step, b.prefix) {
 				if m.stepCounts[b.prefix] < b.limit && (k >= m.lastRank || m.anyOrder) {
 					out = append(out, step)
@@ -637,7 +649,7 @@
 	return out
 }
 
-// controllerSteps adds what a controller can do next.
+// controllerSteps adds the steps that a controller can take next.
 func (m *timedModel) controllerSteps(i int, c *timedController, add func(kind string, args ...any)) {
 	if c.dead {
 		return
@@ -664,7 +676,7 @@
 	}
 }
 
-// servedSteps adds what a controller can do next that the state service serves.
+// servedSteps adds the steps that a controller can take next because the state service serves it.
 func (m *timedModel) servedSteps(i int, c *timedController, add func(kind string, args ...any)) {
 	if c.seenRevision < m.revision || c.view.CurrentAt().Before(m.now) {
 		add("sync", i)
@@ -682,7 +694,7 @@
 	}
 }
 
-// leaderSteps adds what a controller that leads can do next.
+// leaderSteps adds the steps that a controller can take next because it leads.
 func (m *timedModel) leaderSteps(i int, c *timedController, add func(kind string, args ...any)) {
 	for k := range m.duplicateHeartbeats {
 		add("copy", k, i)
@@ -724,16 +736,16 @@
 	}
 }
 
-// takeStep makes a step.
+// takeStep takes a step and checks the job's stage.
 func (m *timedModel) takeStep(step string) {
 	m.countStep(step)
-	f := strings.Fields(step)
-	last := 0
-	if len(f) > 1 {
-		last, _ = strconv.Atoi(f[len(f)-1])
+	words := strings.Fields(step)
+	last := 0 // the last word, in most steps the number of the controller
+	if len(words) > 1 {
+		last, _ = strconv.Atoi(words[len(words)-1])
 	}
 	c := m.nodes[min(last, 1)]
-	switch f[0] {
+	switch words[0] {
 	case "tick":
 		m.tick()
 	case "down":
@@ -753,13 +765,13 @@
 	case "renew":
 		m.renewLease(last)
 	case "claim", "holdclaim":
-		m.campaign(last, f[0] == "holdclaim")
+		m.campaign(last, words[0] == "holdclaim")
 	case "cancel", "holdcancel":
-		m.cancel(last, f[0] == "holdcancel")
+		m.cancel(last, words[0] == "holdcancel")
 	case "report", "lose":
-		m.sendHeartbeat(f[1], last, f[0] == "report")
+		m.sendHeartbeat(words[1], last, words[0] == "report")
 	case "copy":
-		k, _ := strconv.Atoi(f[1])
+		k, _ := strconv.Atoi(words[1])
 		m.replayHeartbeat(k, last)
 	case "release":
 		m.releaseMachines(last)
@@ -775,8 +787,8 @@
 	case "hold":
 		m.holdRound(last)
 	case "call", "losecall":
-		m.makeDirectCalls(last, f[0] == "losecall")
-	case "die": // what it was about to write may be on its way
+		m.makeDirectCalls(last, words[0] == "losecall")
+	case "die": // a round that it has decided may be in flight
 		if c.draft != nil {
 			m.holdRound(last)
 		}
@@ -786,16 +798,16 @@
 	case "arrive":
 		m.deliverLateCall(last)
 	case "finish":
-		m.finishTasks(m.machines[f[1]])
+		m.finishTasks(m.machines[words[1]])
 	case "expire":
-		m.expireLease(m.machines[f[1]], false)
+		m.expireLease(m.machines[words[1]], false)
 	default:
-		panic("no such step: " + step)
+		panic("unknown step: " + step)
 	}
 	m.checkFinal()
 }
 
-// restoreService brings the state service back: each lease has its full time again.
+// restoreService ends an outage of the state service, after which each lease has its full duration again.
 func (m *timedModel) restoreService() {
 	m.serviceDown = false
 	for _, c := range m.nodes {
@@ -805,19 +817,19 @@
 	}
 }
 
-// answerRead has the answer to a controller's pending read arrive.
+// answerRead delivers the answer to a controller's pending read.
 func (m *timedModel) answerRead(i int) {
 	c := m.nodes[i]
-	begun := c.pendingRead.startedAt
+	startedAt := c.pendingRead.startedAt
 	if m.plantedFault == "a read counts from its answer" {
-		begun = m.now
+		startedAt = m.now
 	}
-	ch := c.pendingRead.changes
+	changes := c.pendingRead.changes
 	c.pendingRead = nil
-	m.applyRead(i, ch, begun)
+	m.applyRead(i, changes, startedAt)
 }
 
-// renewLease has a controller renew its lease, or get another for one that has ended.
+// renewLease has a controller renew its lease, or get a new one if it has ended.
 func (m *timedModel) renewLease(i int) {
 	c := m.nodes[i]
 	if c.leaseRenewedAt.IsZero() {
@@ -830,40 +842,41 @@
 	c.election.LeaseRenewed(m.now)
 }
 
-// replayHeartbeat has the copy of a heartbeat arrive at a controller.
+// replayHeartbeat delivers a late copy of a heartbeat to a controller.
 func (m *timedModel) replayHeartbeat(k, i int) {
 	hb := m.duplicateHeartbeats[k]
-	now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
-	if hb.Incarnation < now.Incarnation {
+	latest := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+	if hb.Incarnation < latest.Incarnation {
 		m.reached["a copy from an earlier incarnation"] = true
-	} else if hb.Seq < now.Seq {
+	} else if hb.Seq < latest.Seq {
 		m.reached["a copy of an older heartbeat"] = true
 	}
 	if m.plantedFault == "a heartbeat is applied though older" {
-		hb.Incarnation, hb.Seq, hb.FencingToken = now.Incarnation, now.Seq+1, now.FencingToken
+		hb.Incarnation, hb.Seq, hb.FencingToken = latest.Incarnation, latest.Seq+1, latest.FencingToken
 	}
 	m.handleHeartbeat(i, &hb)
 }
 
-// holdRound has the transaction of a controller's round go on its way.
+// holdRound leaves the transaction of a controller's round in flight.
 func (m *timedModel) holdRound(i int) {
 	m.lateCommits = append(m.lateCommits, lateTxn{m.nodes[i].draft.Txn, "round", i, 0, m.revision})
 }
 
-// deliverLateCommit has a transaction that was on its way arrive.
+// deliverLateCommit delivers a transaction that was in flight. One that is bound to a lease is only applied while the
+// lease lasts.
 func (m *timedModel) deliverLateCommit(k int) {
-	t := m.lateCommits[k]
+	txn := m.lateCommits[k]
 	m.lateCommits = slices.Delete(slices.Clone(m.lateCommits), k, k+1)
-	if m.revision > t.revision {
-		m.reached["a late "+t.kind+" after newer ones"] = true
+	if m.revision > txn.revision {
+		m.reached["a late "+txn.kind+" after newer ones"] = true
 	}
-	if m.conditionsHold(t.Txn) && (t.leaseID == 0 || !m.nodes[t.node].leaseRenewedAt.IsZero() && m.nodes[t.node].leaseID == t.leaseID) {
-		m.apply(t.Then)
-		m.reached["a late "+t.kind+" is taken"] = true
+	if m.conditionsHold(txn.Txn) && (txn.leaseID == 0 || !m.nodes[txn.node].leaseRenewedAt.IsZero() && m.nodes[txn.node].leaseID == txn.leaseID) {
+		m.apply(txn.Then)
+		m.reached["a late "+txn.kind+" is taken"] = true
 	}
 }
 
-// deliverLateCall has a direct call that was on its way arrive.
+// deliverLateCall delivers a direct call that was in flight.
 func (m *timedModel) deliverLateCall(k int) {
 	call := m.lateCalls[k]
 	m.lateCalls = slices.Delete(slices.Clone(m.lateCalls), k, k+1)
@@ -877,7 +890,7 @@
 	}
 }
 
-// finishTasks has all tasks of a machine complete.
+// finishTasks completes all tasks of a machine.
 func (m *timedModel) finishTasks(w *timedWorker) {
 	for k := range w.running {
 		w.core.MarkEnded(k, wire.CauseDone)
@@ -886,11 +899,12 @@
 	clear(w.running)
 }
 
+// withoutCondition returns the conditions but for those on a key.
 func withoutCondition(list []wire.Condition, key string) []wire.Condition {
 	return slices.DeleteFunc(slices.Clone(list), func(c wire.Condition) bool { return c.Key == key })
 }
 
-// checkFinal checks that what was said of a job's end stays.
+// checkFinal checks that the job's final stage never changes.
 func (m *timedModel) checkFinal() {
 	var batch store.BatchRecord
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) != nil {
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -19,7 +19,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ageSeconds is what tells moments apart: none matters any more after so long.
+// ageSeconds returns how many seconds ago a time was, or -1 for the zero time. Ages above 90 s, which make no difference
+// any more, count as 90 s.
 func (m *timedModel) ageSeconds(t time.Time) int {
 	if t.IsZero() {
 		return -1
@@ -27,7 +28,7 @@
 	return int(min(m.now.Sub(t), 90*time.Second) / time.Second)
 }
 
-// fingerprint tells states apart, by the ages of what they rest on.
+// fingerprint returns a hash by which states are told apart. It uses ages in place of times.
 func (m *timedModel) fingerprint() uint64 {
 	d := xxhash.New()
 	put := func(format string, args ...any) { fmt.Fprintf(d, format+"\n", args...) }
@@ -41,11 +42,11 @@
 		}
 		put("%s %x", key, []byte(m.keys[key].raw))
 	}
-	left := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
+	putTxn := func(txn wire.Txn) { put("txn %v", m.conditionsHold(txn)); put("%x", wire.Encode(txn.Then)) }
 	for _, c := range m.nodes {
 		put("%v %v %d %d %d %d", c.refused, c.dead, c.leaseID, m.ageSeconds(c.leaseRenewedAt), m.ageSeconds(c.election.LastRenewal()), m.ageSeconds(c.view.CurrentAt()))
-		held, _ := c.election.Tenure(timedShard)
-		put("%d %d", c.election.Lease(), held.FencingToken)
+		tenure, _ := c.election.Tenure(timedShard)
+		put("%d %d", c.election.Lease(), tenure.FencingToken)
 		for _, e := range m.log {
 			if e.Version > c.seenRevision {
 				put("unseen %s%s %d", e.Put, e.Delete, m.revision-e.Version)
@@ -59,18 +60,18 @@
 			continue
 		}
 		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.ageSeconds(leader.fleet.ElectedAt), m.ageSeconds(leader.viewCurrentAt), m.ageSeconds(leader.lastReconciled), m.ageSeconds(leader.monitor.PauseOver()), m.ageSeconds(leader.lastDecided), len(leader.liveJobs))
-		for _, x := range leader.fleet.Machines() {
-			hidden := reflect.ValueOf(x).Elem()
-			hb := m.machines[strings.TrimPrefix(x.ID, "n-")].core.Heartbeat()
-			put("%s %v %v %v %d %d %d %d %d %d %v %v", x.ID, x.Up, x.SeenAtToken, x.Releasing, m.ageSeconds(x.LastHeartbeat), m.ageSeconds(x.LastResponse),
-				int(hb.Incarnation)-int(x.Incarnation), int(hb.Seq)-int(hidden.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(hidden.FieldByName("heartbeatSeq").Uint()), x.RecordedIncarnation,
-				hidden.FieldByName("incarnationSeen").Bool(), hidden.FieldByName("provenEmpty").Bool())
-			for _, p := range x.Placements() {
-				v := reflect.ValueOf(p).Elem()
+		for _, machine := range leader.fleet.Machines() {
+			unexported := reflect.ValueOf(machine).Elem()
+			hb := m.machines[strings.TrimPrefix(machine.ID, "n-")].core.Heartbeat()
+			put("%s %v %v %v %d %d %d %d %d %d %v %v", machine.ID, machine.Up, machine.SeenAtToken, machine.Releasing, m.ageSeconds(machine.LastHeartbeat), m.ageSeconds(machine.LastResponse),
+				int(hb.Incarnation)-int(machine.Incarnation), int(hb.Seq)-int(unexported.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(unexported.FieldByName("heartbeatSeq").Uint()), machine.RecordedIncarnation,
+				unexported.FieldByName("incarnationSeen").Bool(), unexported.FieldByName("provenEmpty").Bool())
+			for _, p := range machine.Placements() {
+				unexported := reflect.ValueOf(p).Elem()
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
-				put("%v %v %v %v", v.FieldByName("sentInResponse").Bool(), v.FieldByName("sentByCall").Bool(), v.FieldByName("restored").Bool(), m.ageSeconds(p.PlacedAt))
+				put("%v %v %v %v", unexported.FieldByName("sentInResponse").Bool(), unexported.FieldByName("sentByCall").Bool(), unexported.FieldByName("restored").Bool(), m.ageSeconds(p.PlacedAt))
 			}
-			last := leader.monitor.Calls.Last(x.ID)
+			last := leader.monitor.Calls.Last(machine.ID)
 			put("%d %v %d %s", m.ageSeconds(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
 		for _, id := range sortedKeys(leader.jobStates) {
@@ -79,15 +80,15 @@
 		}
 		put("%v", leader.scaler.Releasing())
 		if c.draft != nil {
-			left(c.draft.Txn)
+			putTxn(c.draft.Txn)
 		}
 	}
 	for _, t := range m.lateCommits {
 		put("%s %d %d", t.kind, t.node, t.leaseID)
-		left(t.Txn)
+		putTxn(t.Txn)
 	}
-	for _, k := range m.lateCalls {
-		put("%s %d %d %v", k.machine, k.request.FencingToken, k.request.Incarnation, k.request.Commands)
+	for _, call := range m.lateCalls {
+		put("%s %d %d %v", call.machine, call.request.FencingToken, call.request.Incarnation, call.request.Commands)
 	}
 	for _, id := range []string{"a", "b"} {
 		w := m.machines[id]
@@ -96,8 +97,8 @@
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
 		for _, hb := range m.duplicateHeartbeats {
-			now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
-			put("%s %d %d %d %v", hb.Machine, now.Incarnation-hb.Incarnation, int(now.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
+			latest := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+			put("%s %d %d %d %v", hb.Machine, latest.Incarnation-hb.Incarnation, int(latest.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
 		}
 	}
 	if !m.anyOrder {
@@ -110,6 +111,8 @@
 	return d.Sum64()
 }
 
+// replayTimedPath returns the state that a path leads to from the start of a scenario. The scenario's prefix does not
+// count against the budgets.
 func replayTimedPath(s *timedScenario, path []string) *timedModel {
 	m := newTimedModel(s)
 	for _, step := range strings.Split(s.prefix, "; ") {
@@ -125,7 +128,7 @@
 	return m
 }
 
-// searchResult is what a search has found.
+// searchResult is the result of a search.
 type searchResult struct {
 	states, transitions int
 	path                []string
@@ -133,7 +136,7 @@
 	reached             map[string]bool
 }
 
-// timedSearchState is a state that a search has come to.
+// timedSearchState is a state that a search has reached, with the steps that are possible in it.
 type timedSearchState struct {
 	path, steps []string
 	fingerprint uint64
@@ -141,7 +144,7 @@
 	reached     map[string]bool
 }
 
-// expand takes each step that is possible in the states of a level, several states at once.
+// expand takes each possible step from each state of a level. States are expanded concurrently.
 func (s *timedScenario) expand(level []timedSearchState) [][]timedSearchState {
 	next := make([][]timedSearchState, len(level))
 	var group sync.WaitGroup
@@ -165,26 +168,26 @@
 	return next
 }
 
-// search tries all orders of what a scenario allows, breadth first.
+// search tries all orders of the steps that a scenario allows, breadth first, until one breaks a rule.
 func (s *timedScenario) search(depth int) searchResult {
-	out := searchResult{reached: map[string]bool{}}
-	seen := map[uint64]bool{}
+	result := searchResult{reached: map[string]bool{}}
+	visited := map[uint64]bool{}
 	first := replayTimedPath(s, nil)
 	level := []timedSearchState{{steps: first.possibleSteps(first.budgets)}}
 	for range depth {
 		next := s.expand(level)
 		level = nil
-		for _, list := range next {
-			for _, f := range list {
-				out.transitions++
-				maps.Copy(out.reached, f.reached)
-				if f.violation != "" {
-					out.states, out.path, out.violation = len(seen), f.path, f.violation
-					return out
+		for _, successors := range next {
+			for _, state := range successors {
+				result.transitions++
+				maps.Copy(result.reached, state.reached)
+				if state.violation != "" {
+					result.states, result.path, result.violation = len(visited), state.path, state.violation
+					return result
 				}
-				if !seen[f.fingerprint] {
-					seen[f.fingerprint] = true
-					level = append(level, f)
+				if !visited[state.fingerprint] {
+					visited[state.fingerprint] = true
+					level = append(level, state)
 				}
 			}
 		}
@@ -192,13 +195,14 @@
 			break
 		}
 	}
-	out.states = len(seen)
-	return out
+	result.states = len(visited)
+	return result
 }
 
+// timedPrefix stores a launch by the leader and has both machines report it.
 const timedPrefix = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
 
-// idleTick is a moment in which the leader renews, reads and gets the heartbeat of one machine.
+// idleTick is a tick after which the leader renews its lease, reads and receives the heartbeat of one machine.
 const idleTick = "; tick; renew 0; sync 0; report a 0"
 
 var timedScenarios = []timedScenario{
@@ -259,56 +263,57 @@
 		detectsFaults: "a clear before the end is stored"},
 }
 
+// runScenario searches a scenario. No rule may break, and each situation in mustReach must be reached.
 func (s *timedScenario) runScenario(t *testing.T) {
-	begun := time.Now()
+	startedAt := time.Now()
 	r := s.search(s.depth)
 	if r.violation != "" {
 		t.Errorf("%s, by %s", r.violation, strings.Join(r.path, "; "))
 	}
-	for _, what := range strings.Split(s.mustReach, "; ") {
-		if what != "" && !r.reached[what] {
-			t.Errorf("it never came about: %s", what)
+	for _, situation := range strings.Split(s.mustReach, "; ") {
+		if situation != "" && !r.reached[situation] {
+			t.Errorf("never reached: %s", situation)
 		}
 	}
-	t.Logf("%d orders, %d states, %v; met %v", r.transitions, r.states, time.Since(begun).Round(time.Millisecond), slices.Sorted(maps.Keys(r.reached)))
+	t.Logf("%d transitions, %d states, %v; reached %v", r.transitions, r.states, time.Since(startedAt).Round(time.Millisecond), slices.Sorted(maps.Keys(r.reached)))
 }
 
-// widenScenario makes the search wider: AMBERDEAL_TIMED=N adds N to what each kind of step may
-// be taken, and lets those of a moment come in any order.
+// widenScenario widens a search: AMBERDEAL_TIMED=N allows N more steps of each kind, and lets steps between two ticks
+// come in any order.
 func widenScenario(s timedScenario) *timedScenario {
 	more, _ := strconv.Atoi(os.Getenv("AMBERDEAL_TIMED"))
 	if more > 0 {
 		s.anyOrder, s.depth = true, s.depth+5*more
-		var may []string
+		var limits []string
 		for _, b := range s.parseBudgets() {
-			may = append(may, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
+			limits = append(limits, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
 		}
-		s.stepLimits = strings.Join(may, "; ")
+		s.stepLimits = strings.Join(limits, "; ")
 	}
 	return &s
 }
 
-// TestModelTime searches each scenario.
+// TestModelTime searches each scenario for a path that breaks a rule.
 func TestModelTime(t *testing.T) {
 	for _, s := range timedScenarios {
 		t.Run(s.name, func(t *testing.T) { widenScenario(s).runScenario(t) })
 	}
 }
 
-// TestModelTimeFinds plants a fault into a scenario, and demands that the search finds it.
+// TestModelTimeFinds plants faults into the scenarios, and requires that the search finds each.
 func TestModelTimeFinds(t *testing.T) {
 	for _, s := range timedScenarios {
-		for _, plant := range strings.Split(s.detectsFaults, "; ") {
-			if plant == "" {
+		for _, fault := range strings.Split(s.detectsFaults, "; ") {
+			if fault == "" {
 				continue
 			}
-			t.Run(plant+" in "+s.name, func(t *testing.T) {
-				s.plantedFault = plant
+			t.Run(fault+" in "+s.name, func(t *testing.T) {
+				s.plantedFault = fault
 				r := s.search(s.depth)
 				if r.violation == "" {
-					t.Errorf("not found in %d orders", r.transitions)
+					t.Errorf("not found in %d transitions", r.transitions)
 				}
-				t.Logf("%d orders: %s, by %s", r.transitions, r.violation, strings.Join(r.path, "; "))
+				t.Logf("%d transitions: %s, by %s", r.transitions, r.violation, strings.Join(r.path, "; "))
 			})
 		}
 	}
