--- a/internal/leader/backoff_test.go
+++ b/internal/leader/backoff_test.go
@@ -9,8 +9,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestBackoffIsBounded: a job that has failed on many machines is tried again soon enough that nobody finds it
-// left waiting beside free capacity.
+// TestBackoffIsBounded checks that the retry delay of a job that failed on many machines stays short. Otherwise the job
+// would seem to be stuck while capacity is free.
 func TestBackoffIsBounded(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 sweep team=blue tasks=1 gpus=1")
@@ -21,6 +21,6 @@
 		driver.leader.taskEnded(driver.now, &fleet.Placement{Task: wire.TaskID{Job: "wk-1"}, Attempt: 1<<24 | uint64(i+1), Machine: id, State: fleet.Ended, Cause: wire.CauseError})
 	}
 	if wait := driver.leader.jobState("wk-1").notBefore.Sub(driver.now); wait < 10*time.Second || wait > 45*time.Second {
-		t.Errorf("the next try is in %v", wait)
+		t.Errorf("the next retry is in %v, want 10s to 45s", wait)
 	}
 }
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -13,8 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// largeFleet is a leader with a large fleet: machines with some tasks each, and jobs that
-// wait.
+// largeFleet is the leader of a large fleet: machines with some tasks each, and jobs that wait.
 type largeFleet struct {
 	*Leader
 	cfg        *config.Config
@@ -26,13 +25,13 @@
 	jobCount   int
 }
 
-// newLargeFleet gives the leader of one of so many shards of a fleet.
+// newLargeFleet returns the leader of one shard of a fleet with a number of machines and shards.
 func newLargeFleet(tb testing.TB, machines, shards int) *largeFleet {
 	return newLargeFleetOf(tb, machines, shards, 0)
 }
 
-// newLargeFleetOf gives the same with so many teams, each with an equal share of half of the fleet
-// guaranteed and three times that as its limit; 0 stands for the one team of the traces.
+// newLargeFleetOf is newLargeFleet with a number of teams. Half of the fleet is guaranteed to the teams in equal shares,
+// and each team's limit is three times its share. With 0 teams, the fleet has the teams of traceConfig.
 func newLargeFleetOf(tb testing.TB, machines, shards, teams int) *largeFleet {
 	tb.Helper()
 	cfg, shard := largeFleetConfig(machines, shards, teams)
@@ -53,7 +52,7 @@
 	return f
 }
 
-// largeFleetConfig gives the settings of a fleet in so many shards, and the shard that is measured.
+// largeFleetConfig returns the configuration of a fleet, and the shard that is measured.
 func largeFleetConfig(machines, shards, teams int) (cfg *config.Config, shard string) {
 	cfg, shard = traceConfig(), "fleet"
 	if teams > 0 {
@@ -75,13 +74,13 @@
 	return cfg, shard
 }
 
-// put stores a value, as the watch would tell.
+// put puts a value into the view, as the watch would.
 func (f *largeFleet) put(key string, value any) {
 	f.revision++
 	f.view.Apply(&wire.WatchResponse{Revision: f.revision, Events: []wire.Event{{Put: key, Value: wire.Encode(value), Version: f.revision}}})
 }
 
-// addJob stores a job, of the next shard and the next team.
+// addJob stores a job. Shards and teams take turns.
 func (f *largeFleet) addJob(shape wire.Shape, tasks, teams int) {
 	n, shards := f.jobCount, f.cfg.Sharding().Shards()
 	f.jobCount++
@@ -104,7 +103,7 @@
 	f.put(store.BatchKey(j.ID), store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: rec}})
 }
 
-// grantTeams grants each shard its share of the teams' limits, and one more that it has to give back.
+// grantTeams grants each shard its share of the teams' limits, and one GPU more, which it has to give back.
 func (f *largeFleet) grantTeams() {
 	shards := f.cfg.Sharding().Shards()
 	grants := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{}}
@@ -117,7 +116,7 @@
 	f.put(store.QuotaGrantKey, grants)
 }
 
-// addMachines has so many machines of the shard send their first heartbeat.
+// addMachines adds n machines to the shard by their first heartbeats.
 func (f *largeFleet) addMachines(n int) {
 	zones := f.cfg.Zones
 	if len(f.cfg.Sharding().Shards()) > 1 {
@@ -148,6 +147,7 @@
 	return len(d.launches)
 }
 
+// heartbeatAll has each machine send its next heartbeat.
 func (f *largeFleet) heartbeatAll() {
 	for _, hb := range f.heartbeats {
 		hb.Seq++
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestRoundCost counts what rounds cost in changes and bytes at full size: the
-// state service takes a few dozen changes a second for all controllers. 2000
-// machines are filled, and then rounds touch machines all over the fleet.
+// TestRoundCost checks how many changes and bytes rounds write in a large fleet, since the state service accepts only a
+// few dozen changes a second from all controllers together. Rounds first fill 2000 machines, and then touch machines all
+// over the fleet.
 func TestRoundCost(t *testing.T) {
 	f := newLargeFleet(t, 2000, 1)
 	changes, bytes, rounds, launched := 0, 0, 0, 0
@@ -183,20 +183,20 @@
 		f.heartbeatAll()
 	}
 	if launched < 4000 || changes > 5*rounds {
-		t.Errorf("%d rounds launch %d tasks with %d changes, %d bytes", rounds, launched, changes, bytes)
+		t.Errorf("%d rounds launched %d tasks with %d changes, %d bytes", rounds, launched, changes, bytes)
 	}
 }
 
-// benchmarkSizes runs a benchmark at several numbers of machines and of shards, to see how the cost
-// grows for one of the leaders.
+// benchmarkSizes runs a benchmark at several numbers of machines and shards, to show how the cost of one leader grows.
 func benchmarkSizes(b *testing.B, run func(b *testing.B, f *largeFleet)) {
 	for _, n := range []int{2000, 5000, 10_000} {
-		for _, parts := range []int{1, 3, 5} {
-			b.Run(fmt.Sprintf("%d/%d", n, parts), func(b *testing.B) { run(b, newLargeFleet(b, n, parts)) })
+		for _, shards := range []int{1, 3, 5} {
+			b.Run(fmt.Sprintf("%d/%d", n, shards), func(b *testing.B) { run(b, newLargeFleet(b, n, shards)) })
 		}
 	}
 }
 
+// BenchmarkHeartbeat handles heartbeats of a full fleet.
 func BenchmarkHeartbeat(b *testing.B) { benchmarkSizes(b, benchHeartbeat) }
 
 func benchHeartbeat(b *testing.B, f *largeFleet) {
@@ -210,8 +210,8 @@
 	}
 }
 
-// BenchmarkTombstones handles heartbeats that list attempts which have ended and are remembered for the
-// sake of late copies, beside running tasks.
+// BenchmarkTombstones handles heartbeats that list, beside running tasks, ended attempts, which workers remember to
+// recognize late copies of commands.
 func BenchmarkTombstones(b *testing.B) {
 	for _, n := range []int{0, 4, 20, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -225,21 +225,20 @@
 	}
 }
 
-// reportEndedAttempts has each machine list so many attempts of jobs that are over.
+// reportEndedAttempts has each machine report n ended attempts of jobs that are over.
 func (f *largeFleet) reportEndedAttempts(n int) {
-	const earlier = 2 << 24 // attempts of an earlier token
+	const firstAttempt = 2 << 24 // of an earlier fencing token
 	for _, hb := range f.heartbeats {
 		for i := range n {
 			id := wire.TaskID{Job: fmt.Sprintf("wk-9%05d", i)}
-			hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: earlier + uint64(i), State: wire.TaskEnded, Cause: wire.CauseDone})
+			hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: id.String(), ID: id, Attempt: firstAttempt + uint64(i), State: wire.TaskEnded, Cause: wire.CauseDone})
 		}
 	}
 	f.heartbeatAll()
 	f.Reconcile(f.now, f.view.Snapshot())
 }
 
-// BenchmarkDecide decides while nothing can be placed: the fleet is full and
-// jobs wait.
+// BenchmarkDecide decides rounds in which nothing can be placed: the fleet is full and jobs wait.
 func BenchmarkDecide(b *testing.B) { benchmarkSizes(b, benchDecide) }
 
 func benchDecide(b *testing.B, f *largeFleet) {
@@ -254,20 +253,20 @@
 	}
 }
 
-// BenchmarkTeams decides with more and more teams at 4,900 machines.
+// BenchmarkTeams decides rounds for growing numbers of teams with 4,900 machines.
 func BenchmarkTeams(b *testing.B) {
-	for _, parts := range []int{1, 5} {
+	for _, shards := range []int{1, 5} {
 		for _, teams := range []int{5, 100, 530, 2000} {
-			b.Run(fmt.Sprintf("%d/%d", teams, parts), func(b *testing.B) { benchDecide(b, newLargeFleetOf(b, 4900, parts, teams)) })
+			b.Run(fmt.Sprintf("%d/%d", teams, shards), func(b *testing.B) { benchDecide(b, newLargeFleetOf(b, 4900, shards, teams)) })
 		}
 	}
 }
 
-// BenchmarkTakeover reads the ledger of a full fleet, as a new leader does.
+// BenchmarkTakeover starts a leader from the ledger of a full fleet.
 func BenchmarkTakeover(b *testing.B) { benchmarkSizes(b, benchTakeover) }
 
 func benchTakeover(b *testing.B, f *largeFleet) {
-	slots := map[string]store.Segment{}
+	segments := map[string]store.Segment{}
 	for {
 		f.now = f.now.Add(time.Second)
 		d := f.Decide(f.now, f.view.Snapshot())
@@ -275,13 +274,13 @@
 			break
 		}
 		f.revision++
-		for i, ch := range d.Packed().Then {
-			slots[ch.Put] = store.Segment{Number: i, Version: f.revision, Record: ch.Value.(store.SegmentRecord)}
+		for i, operation := range d.Packed().Then {
+			segments[operation.Put] = store.Segment{Number: i, Version: f.revision, Record: operation.Value.(store.SegmentRecord)}
 		}
 		f.Committed(d, f.revision)
 	}
 	var list []store.Segment
-	for _, s := range slots {
+	for _, s := range segments {
 		s.Number = len(list)
 		list = append(list, s)
 	}
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -10,40 +10,39 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestHandedOverTaskIsNotInTwoLedgers: a task ran in shard a, whose leader has the higher fencing token, ended
-// without being done, and was handed over to shard b, which runs it with a lower attempt. Then the
-// state is divided anew, which goes by the attempts that the ledgers name: shard a must
-// not take for its own, and start again, what runs in shard b.
+// TestHandedOverTaskIsNotInTwoLedgers guards against a task that runs twice after resharding. The task failed in shard
+// a, whose leader has the higher fencing token, and was handed over to shard b, which runs it with a lower attempt.
+// Resharding assigns tasks by the attempts in the ledgers: shard a must not claim the task and start it again.
 //
-// The call that launched it is answered, or may yet be carried out.
+// The call that launched it in shard a was executed, or has no answer yet and may still be executed.
 func TestHandedOverTaskIsNotInTwoLedgers(t *testing.T) {
-	for _, fate := range []string{"executed", "open"} {
-		t.Run(fate, func(t *testing.T) { testHandedOverTask(t, fate) })
+	for _, callOutcome := range []string{"executed", "open"} {
+		t.Run(callOutcome, func(t *testing.T) { testHandedOverTask(t, callOutcome) })
 	}
 }
 
-func testHandedOverTask(t *testing.T, fate string) {
+func testHandedOverTask(t *testing.T, callOutcome string) {
 	driver := newTraceDriver(t)
-	play := func(lines string) (out []string) {
+	runSteps := func(lines string) (out []string) {
 		for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
 			out = append(out, driver.step(strings.TrimSpace(line))...)
 		}
 		return out
 	}
-	out := play(`
+	out := runSteps(`
 		parts a b
 		job wk-1 sweep team=blue tasks=1 gpus=4
 		claim term=9
 		report n-1 1/1 term=9
 		others b now=3
 		round
-		direct ` + fate + `
+		direct ` + callOutcome + `
 		report n-1 1/2 term=9: wk-1/0#9.1 running`)
 	if !slices.Contains(out, "launch wk-1/0#9.1 on n-1") {
 		t.Fatal(out)
 	}
-	// It fails, the machine is avoided, and there is no other.
-	out = play(`
+	// The task fails. Its machine is avoided, and the shard has no other.
+	out = runSteps(`
 		wait 1s
 		report n-1 1/3 term=9: wk-1/0#9.1 ended error
 		round
@@ -58,12 +57,12 @@
 		round`)
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=pending 0-1/b") {
-		t.Fatalf("it was not handed over")
+		t.Fatalf("the task was not handed over")
 	}
 	driver.apply(wire.Operation{Put: store.SegmentKey("b", 0), Value: store.SegmentRecord{FencingToken: 5, Entries: map[string]wire.Raw{
 		"m/n-2": wire.Encode(store.MachineRecord{Addr: "10.1.0.2:9000", Type: "g4", Zone: "b", Incarnation: 1, Tasks: map[string]uint64{"wk-1/0": 5<<24 | 1}})}}})
 	driver.apply(wire.Operation{Delete: store.LeaderKey("a")}, wire.Operation{Delete: store.LeaderKey("b")})
-	out = play(`
+	out = runSteps(`
 		divided a b
 		claim term=12
 		report n-1 1/8 term=12
@@ -77,18 +76,18 @@
 		round`)
 	t.Log(strings.Join(out, "\n"))
 	if job, _ := driver.view.Live("wk-1"); driver.leader.assignment.Ranges(job)[0].Shard != "b" {
-		t.Errorf("its task, which runs in b, is taken for one of %s", driver.leader.assignment.Ranges(job)[0].Shard)
+		t.Errorf("the task runs in shard b, but is assigned to shard %s", driver.leader.assignment.Ranges(job)[0].Shard)
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch wk-1/0") {
-			t.Errorf("%s while it runs in shard b", line)
+			t.Errorf("%s while the task runs in shard b", line)
 		}
 	}
 }
 
-// TestGangFinishedAcrossShards: one of two shards has said that its tasks of a gang are done, and the
-// state becomes one shard. The other task's machine is gone with what it knew: the gang is done
-// all the same, since its tasks complete together, and nothing of it is started.
+// TestGangFinishedAcrossShards guards against restarting a finished gang. One of two shards has recorded its tasks of
+// the gang as done, and then the state is resharded into one shard. The machine of the remaining task is gone, so nothing
+// reports that task as done. The tasks of a gang complete together: the gang is done, and none of its tasks is started.
 func TestGangFinishedAcrossShards(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 gang team=blue tasks=3")
@@ -107,11 +106,11 @@
 	}
 	t.Log(strings.Join(out, "\n"))
 	if !slices.Contains(out, "put batch/wk-1 wk-1=done 0-2/a,done 2-3/b") && !slices.Contains(out, "put batch/wk-1 wk-1=done") {
-		t.Error("it is not called done")
+		t.Error("the gang is not recorded as done")
 	}
 	for _, line := range out {
 		if strings.HasPrefix(line, "launch") {
-			t.Errorf("%s, which is done", line)
+			t.Errorf("%s of a gang that is done", line)
 		}
 	}
 }
--- a/internal/leader/launch_test.go
+++ b/internal/leader/launch_test.go
@@ -8,9 +8,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestNoLaunchAfterCancellation: once the view knows that a job is cancelled, no launch of it leaves. What
-// happened before: placements are compared with the view once a second, and what was planned between
-// two comparisons was launched up to a second after the cancellation had been confirmed.
+// TestNoLaunchAfterCancellation checks that no launch of a job is sent once the view holds its cancellation. Placements
+// are compared with the view once a second, and tasks that were planned between two comparisons used to be launched up
+// to a second after the cancellation had been confirmed.
 func TestNoLaunchAfterCancellation(t *testing.T) {
 	f := newLargeFleet(t, 10, 1)
 	f.now = f.now.Add(time.Second)
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -546,7 +546,7 @@
 	}
 }
 
-// commit sends a leader's round to the state service and handles the result, as Leader.write does.
+// commit sends a leader's round to the state service and handles the result, as the leader's round loop does.
 func (m *timedModel) commit(i int) {
 	c := m.nodes[i]
 	d := c.draft
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -14,23 +14,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// configureTier configures a tier; their order is that in which they are named.
-func (driver *traceDriver) configureTier(name string, kv map[string]string) {
+// configureTier appends a tier to the configuration. Tiers are ordered as they are configured.
+func (driver *traceDriver) configureTier(name string, settings map[string]string) {
 	t := tier.Tier{Name: name, Order: len(driver.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
-	t.Share.Cards, _ = strconv.ParseFloat(kv["cards"], 64)
-	if kv["priority"] != "" {
-		t.Priorities = strings.Split(kv["priority"], ",")
+	t.Share.Cards, _ = strconv.ParseFloat(settings["cards"], 64)
+	if settings["priority"] != "" {
+		t.Priorities = strings.Split(settings["priority"], ",")
 	}
-	if kv["within"] != "" {
-		t.ReclaimWithin, _ = time.ParseDuration(kv["within"])
+	if settings["within"] != "" {
+		t.ReclaimWithin, _ = time.ParseDuration(settings["within"])
 	}
-	if kv["lend"] != "" {
-		t.LendsTo = strings.Split(kv["lend"], ",")
+	if settings["lend"] != "" {
+		t.LendsTo = strings.Split(settings["lend"], ",")
 	}
 	driver.cfg.Tuning.Tiers = append(driver.cfg.Tuning.Tiers, t)
 }
 
-// describePreemptions describes what the leader preempts for tiers.
+// describePreemptions describes the leader's preemptions for tiers, and the use of the tiers' shares.
 func (driver *traceDriver) describePreemptions() []string {
 	out := []string{}
 	for _, job := range driver.leader.preemptions.Jobs() {
@@ -47,18 +47,18 @@
 	return slices.Clip(out)
 }
 
-// workerModel plays the workers of a few machines, second by second.
+// workerModel simulates the workers of a few machines in steps of one second.
 type workerModel struct {
 	*traceDriver
 	token       uint64
 	seq         uint64
 	tasksOn     map[string]map[string]wire.ReportedTask // by machine and task
-	ignoresStop map[string]bool                         // tasks that don't stop
-	stopsSent   map[string]bool                         // attempts that were told to
-	lateStops   []func()                                // copies of stops that come again
+	ignoresStop map[string]bool                         // tasks that do not stop when told to
+	stopsSent   map[string]bool                         // attempts that were told to stop
+	lateStops   []func()                                // deliver late copies of stops
 	events      []string
-	checkpointS int // seconds that a task takes to stop
-	pendingEnds []func()
+	checkpointS int      // seconds between checkpoints, at which stopped tasks end; 0: they end at once
+	pendingEnds []func() // end tasks that are saving
 }
 
 func newWorkerModel(driver *traceDriver, machines ...string) *workerModel {
@@ -69,17 +69,17 @@
 	return w
 }
 
-// failover elects a new leader, and late copies of all earlier stops arrive.
+// failover elects a new leader and delivers late copies of all earlier stops.
 func (w *workerModel) failover() {
 	w.token++
 	w.traceDriver.electLeader(w.token)
-	for _, again := range w.lateStops {
-		again()
+	for _, deliver := range w.lateStops {
+		deliver()
 	}
 	w.sendHeartbeats()
 }
 
-// sendHeartbeats has all machines send a heartbeat and carries out the answers.
+// sendHeartbeats sends a heartbeat of each machine and executes the commands in the responses.
 func (w *workerModel) sendHeartbeats() {
 	for _, m := range sortedKeys(w.tasksOn) {
 		w.seq++
@@ -94,45 +94,46 @@
 	}
 }
 
-// execute carries out a command on a machine.
-func (w *workerModel) execute(m string, c wire.Command) {
-	t, there := w.tasksOn[m][c.Task]
-	there = there && t.Attempt == c.Attempt
+// execute executes a command on a machine.
+func (w *workerModel) execute(machine string, c wire.Command) {
+	t, found := w.tasksOn[machine][c.Task]
+	found = found && t.Attempt == c.Attempt
 	switch {
-	case c.Verb == wire.Launch && !there:
+	case c.Verb == wire.Launch && !found:
 		id, _ := wire.ParseTaskID(c.Task)
-		w.tasksOn[m][c.Task] = wire.ReportedTask{Task: c.Task, ID: id, Attempt: c.Attempt, State: wire.TaskRunning}
-		w.events = append(w.events, fmt.Sprintf("%s runs on %s", c.Task, m))
-	case c.Verb == wire.Stop && there:
+		w.tasksOn[machine][c.Task] = wire.ReportedTask{Task: c.Task, ID: id, Attempt: c.Attempt, State: wire.TaskRunning}
+		w.events = append(w.events, fmt.Sprintf("%s runs on %s", c.Task, machine))
+	case c.Verb == wire.Stop && found:
 		name := fmt.Sprintf("%s%s", c.Task, formatAttempt(c.Attempt))
 		if !w.stopsSent[name] {
 			w.stopsSent[name] = true
-			w.events = append(w.events, fmt.Sprintf("%s on %s is told to stop", c.Task, m))
+			w.events = append(w.events, fmt.Sprintf("%s on %s is told to stop", c.Task, machine))
 		}
-		w.lateStops = append(w.lateStops, func() { w.execute(m, c) })
+		w.lateStops = append(w.lateStops, func() { w.execute(machine, c) })
 		if t.State == wire.TaskRunning && !w.ignoresStop[c.Task] {
 			if w.checkpointS == 0 {
-				w.endTask(m, c.Task, wire.CauseStopped)
+				w.endTask(machine, c.Task, wire.CauseStopped)
 				break
 			}
 			t.State = wire.TaskSaving
-			w.tasksOn[m][c.Task] = t
-			w.pendingEnds = append(w.pendingEnds, func() { w.endTask(m, c.Task, wire.CauseStopped) })
+			w.tasksOn[machine][c.Task] = t
+			w.pendingEnds = append(w.pendingEnds, func() { w.endTask(machine, c.Task, wire.CauseStopped) })
 		}
-	case c.Verb == wire.Clear && there:
-		delete(w.tasksOn[m], c.Task)
+	case c.Verb == wire.Clear && found:
+		delete(w.tasksOn[machine], c.Task)
 	}
 }
 
-// endTask has a task end.
-func (w *workerModel) endTask(m, task string, cause wire.Cause) {
-	t := w.tasksOn[m][task]
+// endTask ends a task on a machine.
+func (w *workerModel) endTask(machine, task string, cause wire.Cause) {
+	t := w.tasksOn[machine][task]
 	t.State, t.Cause = wire.TaskEnded, cause
-	w.tasksOn[m][task] = t
+	w.tasksOn[machine][task] = t
 }
 
-// advanceSecond plays one second, in which the leader may crash at a point of its decision. How many stops
-// have been said by then is up to the point.
+// advanceSecond simulates one second. The leader may crash in it: before its round is stored ("before"), when the store
+// has applied the round without an answer ("unknown"), after the answer ("after"), or when half or all of the direct
+// calls have been executed ("half", "all"). The point decides how many stops have been sent by then.
 func (w *workerModel) advanceSecond(crash string) {
 	w.now = w.now.Add(time.Second)
 	if w.checkpointS > 0 && w.now.Unix()%int64(w.checkpointS) == 0 {
@@ -151,17 +152,17 @@
 		}
 	}
 	if calls := w.leader.dueCalls(w.now, true, maxOpenCalls); crash == "" || crash == "half" || crash == "all" {
-		for i, c := range calls {
-			for k, cmd := range c.commands {
-				if crash != "half" || i < len(calls)/2 || k < len(c.commands)/2 {
-					w.execute(c.machine, cmd)
+		for i, call := range calls {
+			for k, command := range call.commands {
+				if crash != "half" || i < len(calls)/2 || k < len(call.commands)/2 {
+					w.execute(call.machine, command)
 				}
 			}
-			w.leader.fleet.CallFinished(c.launches, fleet.Executed)
-			if c.fencing {
+			w.leader.fleet.CallFinished(call.launches, fleet.Executed)
+			if call.fencing {
 				w.leader.fencing.Finished()
 			}
-			w.leader.monitor.CallFinished(w.now, c.machine, true)
+			w.leader.monitor.CallFinished(w.now, call.machine, true)
 		}
 	}
 	if crash != "" {
@@ -169,7 +170,7 @@
 	}
 }
 
-// runningTasks counts the tasks of a job that run.
+// runningTasks counts the running tasks of a job.
 func (w *workerModel) runningTasks(job string) (n int) {
 	for _, m := range w.tasksOn {
 		for task, t := range m {
@@ -181,66 +182,66 @@
 	return n
 }
 
-// workerStep takes the steps of a trace that play the workers.
-func (driver *traceDriver) workerStep(w []string) []string {
-	v := driver.workers
-	switch w[0] {
+// workerStep takes a step of a trace that simulates workers, and returns what they have done since the last such step.
+func (driver *traceDriver) workerStep(words []string) []string {
+	workers := driver.workers
+	switch words[0] {
 	case "workers":
-		driver.workers = newWorkerModel(driver, w[1:]...)
+		driver.workers = newWorkerModel(driver, words[1:]...)
 		driver.workers.token = 1
 		driver.workers.failover()
 		return nil
 	case "stubborn":
-		v.ignoresStop[w[1]] = true
+		workers.ignoresStop[words[1]] = true
 		return nil
 	case "finish":
-		for m := range v.tasksOn {
-			if _, ok := v.tasksOn[m][w[1]]; ok {
-				v.endTask(m, w[1], wire.CauseDone)
+		for machine := range workers.tasksOn {
+			if _, ok := workers.tasksOn[machine][words[1]]; ok {
+				workers.endTask(machine, words[1], wire.CauseDone)
 			}
 		}
 		return nil
 	case "lose":
-		delete(v.tasksOn, w[1])
-		driver.step("released " + w[1])
+		delete(workers.tasksOn, words[1])
+		driver.step("released " + words[1])
 	case "crash":
-		v.advanceSecond(w[1])
+		workers.advanceSecond(words[1])
 	case "play":
-		n, _ := strconv.Atoi(w[1])
-		for range n {
-			v.advanceSecond("")
+		seconds, _ := strconv.Atoi(words[1])
+		for range seconds {
+			workers.advanceSecond("")
 		}
 	}
-	out := v.events
-	v.events = nil
+	out := workers.events
+	workers.events = nil
 	return out
 }
 
-// TestCrashInPreemption has the leader crash, while a tier gets all its lent cards back, at every step of its
-// decisions in turn, and the next one at every step after that: what is stopped is what the
-// first record names, and the tier has its cards within its bound.
+// TestCrashInPreemption crashes the leader at each point of its decisions while a tier reclaims all cards that it has
+// lent, and then crashes the next leader at each point of later decisions. Only the attempts that the first record of the
+// preemption names may be stopped, and the tier must have its cards within its bound.
 func TestCrashInPreemption(t *testing.T) {
 	points := []string{"before", "unknown", "after", "half", "all"}
-	calm := newFullyLentFleet(t)
+	undisturbed := newFullyLentFleet(t)
 	for range 16 {
-		calm.advanceSecond("")
+		undisturbed.advanceSecond("")
 	}
 	for first := range 4 {
-		for _, p := range points {
+		for _, firstPoint := range points {
 			for second := range 4 {
-				for _, q := range points {
+				for _, secondPoint := range points {
 					w := newFullyLentFleet(t)
 					for s := range 16 {
 						crash := ""
 						if s == first {
-							crash = p
+							crash = firstPoint
 						} else if s == first+1+second {
-							crash = q
+							crash = secondPoint
 						}
 						w.advanceSecond(crash)
 					}
-					if n, left := w.runningTasks("wk-2"), w.runningTasks("wk-1"); n != 6 || len(w.stopsSent) != 6 || left != 6 || (first > 0 || p != "before") && !maps.Equal(w.stopsSent, calm.stopsSent) {
-						t.Errorf("crash %s at %d and %s %d later: %d of 6 run, %d of 6 are left, stopped: %v", p, first, q, second+1, n, left, slices.Sorted(maps.Keys(w.stopsSent)))
+					if started, left := w.runningTasks("wk-2"), w.runningTasks("wk-1"); started != 6 || len(w.stopsSent) != 6 || left != 6 || (first > 0 || firstPoint != "before") && !maps.Equal(w.stopsSent, undisturbed.stopsSent) {
+						t.Errorf("crash %s at %d and %s %d later: %d of 6 run, %d of 6 are left, stopped: %v", firstPoint, first, secondPoint, second+1, started, left, slices.Sorted(maps.Keys(w.stopsSent)))
 					}
 				}
 			}
@@ -248,7 +249,7 @@
 	}
 }
 
-// newFullyLentFleet returns a fleet of twelve cards, of which a tier is guaranteed half and has lent all.
+// newFullyLentFleet returns a fleet of twelve cards. A tier is guaranteed half of them and has lent all of these.
 func newFullyLentFleet(t *testing.T) *workerModel {
 	driver := newTraceDriver(t)
 	driver.configureTier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
@@ -256,7 +257,7 @@
 	driver.step("job wk-1 sweep team=blue tasks=12")
 	driver.workerStep([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
-		if s == 6 { // young tasks lose least and are preempted first, until a new leader no longer knows their age
+		if s == 6 { // new tasks lose least and are preempted first, until a new leader no longer knows their age
 			for _, task := range sortedKeys(driver.workers.tasksOn["n-3"]) {
 				driver.workers.endTask("n-3", task, wire.CauseStopped)
 			}
@@ -271,8 +272,8 @@
 	return driver.workers
 }
 
-// TestTierWaitUnaffectedByLowPriorityFlood: however much lesser work comes, the first tier's tasks run as soon
-// as if there were little. Machines and calls are full in both cases.
+// TestTierWaitUnaffectedByLowPriorityFlood checks that the first tier's tasks start equally soon with and without a flood
+// of work of lower priority. Machines and direct calls are used to capacity in both cases.
 func TestTierWaitUnaffectedByLowPriorityFlood(t *testing.T) {
 	waits := func(flood int) (out []int) {
 		driver := newTraceDriver(t)
@@ -284,7 +285,7 @@
 		}
 		driver.step("job wk-0 sweep team=blue tasks=500")
 		driver.workerStep(append([]string{"workers"}, machines...))
-		since := map[string]int{}
+		submittedAt := map[string]int{}
 		for s := range 60 {
 			for i := range flood {
 				driver.step(fmt.Sprintf("job wk-%d sweep team=blue tasks=100", 1000+s*flood+i))
@@ -292,20 +293,20 @@
 			if s > 10 && s%5 == 0 {
 				id := fmt.Sprintf("wk-9%05d", s)
 				driver.step("job " + id + " service team=blue tasks=2 priority=production")
-				since[id] = s
+				submittedAt[id] = s
 			}
 			driver.workers.advanceSecond("")
-			for _, id := range sortedKeys(since) {
+			for _, id := range sortedKeys(submittedAt) {
 				if driver.workers.runningTasks(id) == 2 {
-					out = append(out, s-since[id])
-					delete(since, id)
+					out = append(out, s-submittedAt[id])
+					delete(submittedAt, id)
 				}
 			}
 		}
 		return out
 	}
-	calm, flooded := waits(0), waits(9) // 54,000 tasks in a minute
-	if len(calm) < 8 || !slices.Equal(calm, flooded) {
-		t.Errorf("seconds that the first tier waits: %v, under the flood %v", calm, flooded)
+	baseline, flooded := waits(0), waits(9) // 54,000 tasks in a minute
+	if len(baseline) < 8 || !slices.Equal(baseline, flooded) {
+		t.Errorf("the first tier waits %v seconds without the flood, %v with it", baseline, flooded)
 	}
 }
--- a/internal/leader/rounds_test.go
+++ b/internal/leader/rounds_test.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestAttempts: attempts of a later leader are newer, and each tells whose it is.
+// TestAttempts checks that attempts grow from leader to leader, and that each holds its leader's fencing token.
 func TestAttempts(t *testing.T) {
 	r := newRoundState(0, time.Unix(1e9, 0))
 	first, second := r.nextAttempt(7), r.nextAttempt(7)
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestLaunchGroups: the tasks of a gang are one group, those of other jobs are each their own.
+// TestLaunchGroups checks that the launches of a gang form one group, and that each launch of another job is its own.
 func TestLaunchGroups(t *testing.T) {
 	gang := &scheduler.Job{Job: &wire.Job{ID: "wk-1", Shape: wire.Gang}}
 	other := &scheduler.Job{Job: &wire.Job{ID: "wk-2", Shape: wire.Gang}}
@@ -30,7 +30,7 @@
 	var group []scheduler.Launch
 	for _, want := range []int{2, 1, 1, 1} {
 		if group, rest = nextGroup(rest); len(group) != want {
-			t.Errorf("a group of %d launches, not %d", len(group), want)
+			t.Errorf("a group of %d launches, want %d", len(group), want)
 		}
 	}
 	if len(rest) > 0 {
@@ -38,21 +38,22 @@
 	}
 }
 
-// TestIdleTracker: what is free on a machine for long is idle, and machines that are gone are forgotten.
+// TestIdleTracker checks that capacity counts as idle after it has been free for a while, and that machines that are
+// gone are forgotten.
 func TestIdleTracker(t *testing.T) {
 	var idle idleTracker
 	now := time.Unix(1e9, 0)
 	machines := []*scheduler.Machine{{ID: "n-1", Free: scheduler.Resources{CPUs: 4}}}
 	idle.note(now, machines)
 	if machines[0].IdleCapacity == machines[0].Free {
-		t.Error("what was just seen free is idle")
+		t.Error("capacity counts as idle when it was just seen to be free")
 	}
 	for range 600 {
 		now = now.Add(time.Second)
 		idle.note(now, machines)
 	}
 	if machines[0].IdleCapacity != machines[0].Free {
-		t.Errorf("of what is free for ten minutes %+v is idle", machines[0].IdleCapacity)
+		t.Errorf("%+v counts as idle of the capacity that has been free for ten minutes", machines[0].IdleCapacity)
 	}
 	idle.note(now, []*scheduler.Machine{{ID: "n-2"}, {ID: "n-3"}, {ID: "n-4"}})
 	if idle.note(now, machines); len(idle.machines) != 1 {
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -10,31 +10,32 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// TestStallIsReported plants faults under which nothing is launched, and has the leader report them.
+// TestStallIsReported injects faults under which nothing is launched, and checks that the leader reports a stall with
+// its cause.
 func TestStallIsReported(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		plant func(f *largeFleet)
-		cause stall.Cause
+	for _, test := range []struct {
+		name   string
+		inject func(f *largeFleet) // nil: every round is refused
+		cause  stall.Cause
 	}{
 		{"all is well", func(*largeFleet) {}, ""},
 		{"the ledger has no room", func(f *largeFleet) { f.ledger, _ = store.NewLedger("fleet", 300, nil) }, stall.CauseLedger},
 		{"nor for rentals", func(f *largeFleet) {
 			f.ledger, _ = store.NewLedger("fleet", 300, nil)
-			f.heartbeats = nil // no machine sends heartbeats any more
+			f.heartbeats = nil // no machine sends heartbeats anymore
 		}, stall.CauseScaleOut},
 		{"every round is refused", nil, stall.CauseRefused},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newLargeFleet(t, 60, 1)
 			f.cfg.Tuning.Idle = time.Hour
 			var logged strings.Builder
 			f.log = slog.New(slog.NewTextHandler(&logged, nil))
-			if x.plant != nil {
-				x.plant(f)
+			if test.inject != nil {
+				test.inject(f)
 			}
 			for range 50 {
-				if x.plant != nil {
+				if test.inject != nil {
 					f.runRound()
 					f.heartbeatAll()
 					continue
@@ -46,18 +47,18 @@
 				}
 				f.heartbeatAll()
 			}
-			got, is := f.Stall(f.now)
-			if is != (x.cause != "") || got.Cause != x.cause {
-				t.Fatalf("%+v, %v, not %q", got, is, x.cause)
+			got, stalled := f.Stall(f.now)
+			if stalled != (test.cause != "") || got.Cause != test.cause {
+				t.Fatalf("got %+v, stalled %v, want cause %q", got, stalled, test.cause)
 			}
-			if said := logged.String(); is && (!strings.Contains(said, string(x.cause)) || !strings.Contains(said, "job=")) {
-				t.Errorf("the log says %q", said)
+			if text := logged.String(); stalled && (!strings.Contains(text, string(test.cause)) || !strings.Contains(text, "job=")) {
+				t.Errorf("the log lacks the cause or the job: %q", text)
 			}
 		})
 	}
 }
 
-// TestNoStallWithoutRoom: a fleet that is full, and one whose teams are at their limits, is no stall.
+// TestNoStallWithoutRoom checks that no stall is reported for a fleet that is full or whose teams are at their limits.
 func TestNoStallWithoutRoom(t *testing.T) {
 	for name, teams := range map[string]int{"full": 0, "at the limits": 15} {
 		t.Run(name, func(t *testing.T) {
@@ -71,8 +72,8 @@
 				f.runRound()
 				f.heartbeatAll()
 			}
-			if got, is := f.Stall(f.now); is {
-				t.Errorf("%+v", got)
+			if got, stalled := f.Stall(f.now); stalled {
+				t.Errorf("unexpected stall: %+v", got)
 			}
 		})
 	}
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -16,7 +16,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The steps of a trace in which the leader takes part.
+// This file holds the steps of a trace in which the leader takes part.
 
 // leaderSteps returns the steps in which the leader takes part, by their first word.
 func (driver *traceDriver) leaderSteps() map[string]func(traceStep) []string {
@@ -63,17 +63,17 @@
 	}
 }
 
-// showZones tells the states of the zones.
+// showZones returns the states of the zones.
 func (driver *traceDriver) showZones(_ traceStep) []string {
 	var out []string
 	for _, name := range sortedKeys(driver.leader.ZoneRecords()) {
-		r := driver.leader.ZoneRecords()[name]
-		out = append(out, fmt.Sprintf("%s is %s, number %d", name, r.State, r.Number))
+		record := driver.leader.ZoneRecords()[name]
+		out = append(out, fmt.Sprintf("%s is %s, number %d", name, record.State, record.Number))
 	}
 	return out
 }
 
-// showZoneRecoveries tells how far the recovery of each zone has come.
+// showZoneRecoveries returns the progress of the recovery of each zone.
 func (driver *traceDriver) showZoneRecoveries(_ traceStep) []string {
 	var out []string
 	for _, name := range sortedKeys(driver.leader.ZoneRecoveries()) {
@@ -82,7 +82,8 @@
 	return out
 }
 
-// addObserver adds a controller in a zone, and how many machines of one it observes to be up and how many to be missing.
+// addObserver adds a controller in a zone, with the numbers of machines of a zone that it observes to be up and to be
+// missing.
 func (driver *traceDriver) addObserver(step traceStep) []string {
 	if driver.observers == nil {
 		driver.observers = map[string]zone.Observer{}
@@ -99,37 +100,37 @@
 	return nil
 }
 
-// simulateWorkers plays workers that do as they are told.
+// simulateWorkers takes a step of the simulated workers.
 func (driver *traceDriver) simulateWorkers(step traceStep) []string {
 	return driver.workerStep(step.words)
 }
 
-// showPreemptions tells what is preempted for tiers.
+// showPreemptions returns the preemptions for tiers.
 func (driver *traceDriver) showPreemptions(_ traceStep) []string {
 	return driver.describePreemptions()
 }
 
-// elect has the leader elected.
+// elect elects a leader.
 func (driver *traceDriver) elect(step traceStep) []string {
 	return driver.electLeader(uint64(step.intSetting("term", 1)))
 }
 
-// setPeerShard takes in what another shard has said of itself.
+// setPeerShard sets the status that the leader of another shard has published.
 func (driver *traceDriver) setPeerShard(step traceStep) []string {
-	s := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: step.intSetting("now", 0), Below: step.intSetting("below", 0), Rent: step.settings["rent"] != ""}},
+	status := ShardStatus{Term: 99, Rooms: map[string]scheduler.FreeCapacity{"c": {Now: step.intSetting("now", 0), Below: step.intSetting("below", 0), Rent: step.settings["rent"] != ""}},
 		Zones: map[string]reachability.ZoneHealth{step.words[1]: {Up: step.intSetting("up", 9), Quiet: step.intSetting("quiet", 0)}}}
 	if step.settings["ready"] != "" {
-		s.Ready = []string{step.settings["ready"]}
+		status.Ready = []string{step.settings["ready"]}
 	}
-	if n := step.intSetting("want", 0); n > 0 {
-		s.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(n), Least: scheduler.Resources{GPUs: float64(n)}, Rank: step.intSetting("rank", 1), Since: driver.now.Add(-time.Duration(step.intSetting("age", 0)) * time.Second)}}
+	if gpus := step.intSetting("want", 0); gpus > 0 {
+		status.Wants = map[string]scheduler.QuotaDemand{"red": {GPUs: float64(gpus), Least: scheduler.Resources{GPUs: float64(gpus)}, Rank: step.intSetting("rank", 1), Since: driver.now.Add(-time.Duration(step.intSetting("age", 0)) * time.Second)}}
 	}
-	s.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(step.intSetting("stays", 0))}}
-	driver.leader.SetPeerShards(map[string]ShardStatus{step.words[1]: s}, 1)
+	status.Stays = map[string]scheduler.Resources{"red": {GPUs: float64(step.intSetting("stays", 0))}}
+	driver.leader.SetPeerShards(map[string]ShardStatus{step.words[1]: status}, 1)
 	return nil
 }
 
-// proposeGrants proposes a change of the grants.
+// proposeGrants proposes a change of the quota grants.
 func (driver *traceDriver) proposeGrants(_ traceStep) []string {
 	change := driver.leader.ProposeGrants()
 	if change == nil {
@@ -143,7 +144,7 @@
 	return out
 }
 
-// settleGrants settles the proposed change of the grants, which was taken or not.
+// settleGrants settles the proposed change of the grants, which the store has applied or rejected.
 func (driver *traceDriver) settleGrants(step traceStep) []string {
 	if step.words[1] == "taken" {
 		driver.apply(driver.grantChange.Txn.Then...)
@@ -152,20 +153,20 @@
 	return nil
 }
 
-// showLimit tells what the shard may use of the limit of the team red.
+// showLimit returns how much of the limit of the team red the shard may use.
 func (driver *traceDriver) showLimit(_ traceStep) []string {
 	snapshot := driver.leader.clusterSnapshot(driver.now)
 	return []string{fmt.Sprintf("%.0f of GPUs, %v used, %v elsewhere", snapshot.Teams["red"].LimitGPUs, snapshot.Teams["red"].UsedGPUs, snapshot.Teams["red"].RemoteUsedGPUs)}
 }
 
-// wait lets time pass.
+// wait advances the clock.
 func (driver *traceDriver) wait(step traceStep) []string {
 	d, _ := time.ParseDuration(step.words[1])
 	driver.now = driver.now.Add(d)
 	return nil
 }
 
-// sendHeartbeat has a machine send a heartbeat, or answer an inspection.
+// sendHeartbeat sends a machine's heartbeat, or its answer to an inspection.
 func (driver *traceDriver) sendHeartbeat(step traceStep) []string {
 	return driver.deliverHeartbeat(step.words, step.settings["zone"], uint64(step.intSetting("term", 0)), step.tasks)
 }
@@ -175,7 +176,7 @@
 	return driver.runRound(step.words[1:])
 }
 
-// showFencingCalls tells the calls that a peer may make.
+// showFencingCalls returns the fencing calls that a peer may make.
 func (driver *traceDriver) showFencingCalls(step traceStep) []string {
 	var out []string
 	for _, c := range driver.leader.FencingCalls(driver.now, step.intSetting("most", 9)) {
@@ -184,43 +185,43 @@
 	return out
 }
 
-// finishFencingCall takes in a call that a peer has made, in vain or with a heartbeat.
+// finishFencingCall reports the result of a peer's fencing call: the machine's heartbeat, or no answer.
 func (driver *traceDriver) finishFencingCall(step traceStep) []string {
 	if slices.Contains(step.words, "vain") {
 		driver.leader.FencingCallDone(driver.now, step.words[1], nil)
 		return nil
 	}
-	session, seq, _ := strings.Cut(step.words[2], "/")
-	s, _ := strconv.ParseUint(session, 10, 64)
-	q, _ := strconv.ParseUint(seq, 10, 64)
-	driver.leader.FencingCallDone(driver.now, step.words[1], &wire.Heartbeat{Machine: step.words[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: uint64(step.intSetting("term", 0)), Tasks: driver.parseTasks(step.tasks)})
+	incarnationText, seqText, _ := strings.Cut(step.words[2], "/")
+	incarnation, _ := strconv.ParseUint(incarnationText, 10, 64)
+	seq, _ := strconv.ParseUint(seqText, 10, 64)
+	driver.leader.FencingCallDone(driver.now, step.words[1], &wire.Heartbeat{Machine: step.words[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: uint64(step.intSetting("term", 0)), Tasks: driver.parseTasks(step.tasks)})
 	return nil
 }
 
-// showRejected tells how many heartbeats changed nothing.
+// showRejected returns how many heartbeats changed nothing, by reason.
 func (driver *traceDriver) showRejected(_ traceStep) []string {
-	odd := driver.leader.RejectedHeartbeats()
-	return []string{fmt.Sprintf("%d late, %d impossible", odd.Stale, odd.Impossible)}
+	rejected := driver.leader.RejectedHeartbeats()
+	return []string{fmt.Sprintf("%d late, %d impossible", rejected.Stale, rejected.Impossible)}
 }
 
-// reconcile compares the placements with the jobs while a round waits for the store.
+// reconcile compares the placements with the jobs, as the leader does while a round waits for the store.
 func (driver *traceDriver) reconcile(_ traceStep) []string {
 	driver.leader.Reconcile(driver.now, driver.view.Snapshot())
 	return nil
 }
 
-// showMayAnswer tells whether heartbeats may be answered when the lease was renewed just now.
+// showMayAnswer returns whether heartbeats may be answered by a leader whose lease was renewed just now.
 func (driver *traceDriver) showMayAnswer(_ traceStep) []string {
 	return []string{fmt.Sprint(driver.leader.MayAnswer(driver.now, true, driver.now))}
 }
 
-// discardRound discards the round that had no answer: it will never be in the store.
+// discardRound discards a round that had no answer and will never be in the store.
 func (driver *traceDriver) discardRound(_ traceStep) []string {
 	driver.leader.Discard(driver.draft)
 	return nil
 }
 
-// commitRound commits the round that had no answer: it turns out to be in the store.
+// commitRound commits a round that had no answer and turns out to be in the store.
 func (driver *traceDriver) commitRound(_ traceStep) []string {
 	driver.commit()
 	return nil
@@ -231,14 +232,14 @@
 	return driver.directCalls(step.words[1:])
 }
 
-// finishOpenCalls says what became of the direct calls that were left open.
+// finishOpenCalls gives the open direct calls their outcome.
 func (driver *traceDriver) finishOpenCalls(step traceStep) []string {
 	driver.leader.fleet.CallFinished(driver.openLaunches, map[string]fleet.CallOutcome{"refused": fleet.Refused, "executed": fleet.Executed}[step.words[1]])
 	driver.openLaunches = nil
 	return nil
 }
 
-// finishScaleOut answers a scale-out request.
+// finishScaleOut answers a scale-out request with the names of the new machines.
 func (driver *traceDriver) finishScaleOut(step traceStep) []string {
 	names := step.words[2:]
 	for i := range step.intSetting("got", 0) {
@@ -248,7 +249,7 @@
 	return nil
 }
 
-// showScaleOuts tells the scale-out requests that are pending.
+// showScaleOuts returns the pending scale-out requests.
 func (driver *traceDriver) showScaleOuts(_ traceStep) []string {
 	var out []string
 	for _, request := range driver.leader.scaler.Pending() {
@@ -267,7 +268,7 @@
 	return out
 }
 
-// listMachines takes in a list of machines by the cloud.
+// listMachines has the leader handle a list of machines from the cloud.
 func (driver *traceDriver) listMachines(step traceStep) []string {
 	var list []wire.ListedMachine
 	for _, id := range step.words[1:] {
@@ -277,20 +278,20 @@
 	return nil
 }
 
-// acknowledgeRelease takes in that the cloud has acknowledged the release of a machine.
+// acknowledgeRelease has the leader handle the cloud's confirmation that a machine is released.
 func (driver *traceDriver) acknowledgeRelease(step traceStep) []string {
 	driver.leader.fleet.MarkReleased(step.words[1])
 	driver.leader.forgetMachine(step.words[1], "released")
 	return nil
 }
 
-// showUnfinished tells the jobs that must not be compacted yet.
+// showUnfinished returns the jobs that must not be compacted yet.
 func (driver *traceDriver) showUnfinished(_ traceStep) []string {
 	jobs, ok := driver.leader.UnfinishedJobs()
 	return []string{fmt.Sprint(sortedKeys(jobs), ok)}
 }
 
-// noteCallResults notes calls to machines, one after the other, all of which have the same end.
+// noteCallResults records calls to machines, one after the other, with the same result for all.
 func (driver *traceDriver) noteCallResults(step traceStep) []string {
 	for _, id := range step.words[2:] {
 		driver.leader.monitor.NoteCallResult(driver.now, id, step.words[1] == "answered")
@@ -298,17 +299,17 @@
 	return nil
 }
 
-// showCallsFailing tells whether hardly any call gets through to machines that send heartbeats.
+// showCallsFailing returns whether hardly any call reaches machines that send heartbeats.
 func (driver *traceDriver) showCallsFailing(_ traceStep) []string {
 	return []string{fmt.Sprint(driver.leader.CallsFailing(driver.now))}
 }
 
-// showUnreachable tells how many machines are unreachable for the leader, by no fault of theirs.
+// showUnreachable returns how many machines the leader can't reach because of the network rather than the machines.
 func (driver *traceDriver) showUnreachable(_ traceStep) []string {
 	return []string{fmt.Sprint(driver.leader.UnreachableMachines(driver.now))}
 }
 
-// showPlacements tells the machines and the placements.
+// showPlacements returns the machines, their placements and the pending scale-out requests.
 func (driver *traceDriver) showPlacements(_ traceStep) []string {
 	return driver.describePlacements()
 }
--- a/internal/leader/trace_ledger_steps_test.go
+++ b/internal/leader/trace_ledger_steps_test.go
@@ -7,9 +7,9 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// The steps of a trace that write into the ledger what an earlier leader has left there.
+// This file holds the steps of a trace that write into the ledger what an earlier leader left there.
 
-// ledgerSteps returns the steps that write into the ledger what an earlier leader has left, by their first word.
+// ledgerSteps returns the steps that write what an earlier leader left in the ledger, by their first word.
 func (driver *traceDriver) ledgerSteps() map[string]func(traceStep) []string {
 	return map[string]func(traceStep) []string{
 		"machine":  driver.recordMachine,
@@ -22,13 +22,13 @@
 	}
 }
 
-// recordMachine records a machine.
+// recordMachine records a machine with the tasks that it holds.
 func (driver *traceDriver) recordMachine(step traceStep) []string {
-	rec := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: step.words[2], Tasks: map[string]uint64{}}
+	record := store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g4", Zone: step.words[2], Tasks: map[string]uint64{}}
 	for _, t := range driver.parseTasks(strings.ReplaceAll(step.settings["holds"], ",", " running,") + " running") {
-		rec.Tasks[t.Task] = t.Attempt
+		record.Tasks[t.Task] = t.Attempt
 	}
-	driver.addToPreviousSegment(store.MachineEntry(step.words[1], rec))
+	driver.addToPreviousSegment(store.MachineEntry(step.words[1], record))
 	return nil
 }
 
@@ -52,19 +52,19 @@
 
 // recordFinished records tasks of a job as finished.
 func (driver *traceDriver) recordFinished(step traceStep) []string {
-	done := store.NewTaskSet(0)
-	for _, text := range step.words[2:] {
-		n, _ := strconv.Atoi(text)
-		done.Add(n)
+	finished := store.NewTaskSet(0)
+	for _, word := range step.words[2:] {
+		index, _ := strconv.Atoi(word)
+		finished.Add(index)
 	}
-	driver.addToPreviousSegment(store.ProgressEntry(step.words[1], 0, done))
+	driver.addToPreviousSegment(store.ProgressEntry(step.words[1], 0, finished))
 	return nil
 }
 
-// nextPreviousSegment goes on in another segment: what was left so far stands in one of its own.
+// nextPreviousSegment begins another segment with a given number; later steps write into it.
 func (driver *traceDriver) nextPreviousSegment(step traceStep) []string {
-	n, _ := strconv.Atoi(step.words[1])
-	driver.previousSegment, driver.segmentNumber = store.SegmentRecord{}, n
+	number, _ := strconv.Atoi(step.words[1])
+	driver.previousSegment, driver.segmentNumber = store.SegmentRecord{}, number
 	return nil
 }
 
--- a/internal/leader/trace_state_steps_test.go
+++ b/internal/leader/trace_state_steps_test.go
@@ -10,9 +10,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The steps of a trace that change what is in the state service.
+// This file holds the steps of a trace that change the state in the state service.
 
-// stateSteps returns the steps that change what is in the state service, by their first word.
+// stateSteps returns the steps that change the state in the state service, by their first word.
 func (driver *traceDriver) stateSteps() map[string]func(traceStep) []string {
 	return map[string]func(traceStep) []string{
 		"job":     driver.putJob,
@@ -32,7 +32,7 @@
 	}
 }
 
-// putJob stores a job; with key=own as version 1 stored it.
+// putJob stores a job. With key=own it has a key of its own, as version 1 stored it.
 func (driver *traceDriver) putJob(step traceStep) []string {
 	j := &wire.Job{ID: step.words[1], Class: "c", Shape: wire.Shape(step.words[2]), Team: step.settings["team"], Priority: wire.Normal, Tasks: step.intSetting("tasks", 1),
 		CPUs: 1, GPUs: float64(step.intSetting("gpus", 1)), MemoryGB: 1, Image: "img", CheckpointS: float64(step.intSetting("checkpoint", 0)), SaveS: 1, Zone: step.settings["zone"]}
@@ -44,7 +44,7 @@
 	if step.settings["age"] != "" {
 		rec.Created = driver.now.Add(-time.Duration(step.intSetting("age", 0)) * time.Second).UnixMilli()
 	}
-	if step.settings["key"] == "own" { // as version 1 stored it
+	if step.settings["key"] == "own" { // the format of version 1
 		driver.apply(wire.Operation{Put: store.JobKey(j.ID), Value: rec})
 		return nil
 	}
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// compactBatches moves jobs out of their batches, as the leader of the compaction does.
+// compactBatches moves jobs out of their batches, as compaction does.
 func (driver *traceDriver) compactBatches(step traceStep) []string {
 	driver.compact(step.words[1:])
 	return nil
 }
 
-// shardByZone shards the fleet by zone; the first shard is claimed here.
+// shardByZone shards the fleet by zone. The leader is to lead the first shard.
 func (driver *traceDriver) shardByZone(step traceStep) []string {
 	driver.cfg.Tuning.Shards.By, driver.cfg.Zones, driver.shard = "zone", step.words[1:], step.words[1]
 	return nil
 }
 
-// reshard divides the state anew: into shards by zone, of which the first is claimed here, or into one.
+// reshard reshards the state: into shards by zone, of which the leader is to lead the first, or into a single one.
 func (driver *traceDriver) reshard(step traceStep) []string {
 	driver.cfg.Tuning.Shards.By, driver.shard = "off", "fleet"
 	if len(step.words) > 1 {
@@ -103,35 +103,35 @@
 	return nil
 }
 
-// limitValues sets a limit for values at which they hold little more than they do.
+// limitValues limits the size of values to little more than what they hold already.
 func (driver *traceDriver) limitValues(_ traceStep) []string {
 	driver.cfg.Store.ValueBytes = 500
 	return nil
 }
 
-// putMigrated stores that another shard has taken over what is of its machines.
+// putMigrated records that another shard has migrated the previous ledgers' records of its machines.
 func (driver *traceDriver) putMigrated(step traceStep) []string {
 	driver.apply(wire.Operation{Put: store.SegmentKey(store.LedgerName(step.words[1], driver.view.Sharding().Record.Generation), 0), Value: store.SegmentRecord{Migrated: driver.view.Sharding().Record.Generation}})
 	return nil
 }
 
-// putCoAllocation stores what the shard that leads a gang has written.
+// putCoAllocation stores a co-allocation order by the shard that leads a gang: off, hold, or the attempt to start.
 func (driver *traceDriver) putCoAllocation(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
 	if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[step.words[2]] > 0 {
 		r.SetCoAllocation(step.words[1], orders[step.words[2]])
 	} else {
-		term, seq, _ := strings.Cut(strings.TrimPrefix(step.words[2], "#"), ".")
-		hi, _ := strconv.ParseUint(term, 10, 64)
-		lo, _ := strconv.ParseUint(seq, 10, 64)
-		r.SetCoAllocation(step.words[1], hi<<24|lo)
+		tokenText, numberText, _ := strings.Cut(strings.TrimPrefix(step.words[2], "#"), ".")
+		token, _ := strconv.ParseUint(tokenText, 10, 64)
+		number, _ := strconv.ParseUint(numberText, 10, 64)
+		r.SetCoAllocation(step.words[1], token<<24|number)
 	}
 	driver.apply(r.Change())
 	return nil
 }
 
-// putHandedOverRanges stores that another shard has given what it had of a job to this one.
+// putHandedOverRanges stores the ranges of a job after another shard has handed over its tasks to this one.
 func (driver *traceDriver) putHandedOverRanges(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// putFinishedIn stores that another shard has finished all that it has of a job, of which the record says no more.
+// putFinishedIn records that another shard has finished all of its tasks of a job, without listing these tasks.
 func (driver *traceDriver) putFinishedIn(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// putRanges stores the ranges of a job.
+// putRanges stores the ranges of a job, without a generation of the sharding.
 func (driver *traceDriver) putRanges(step traceStep) []string {
 	job, _ := driver.view.Live(step.words[1])
 	r := job.Batch.Update()
@@ -158,18 +158,18 @@
 	return nil
 }
 
-// putGrants stores the grants of the GPUs of the team red.
+// putGrants stores the shards' grants of GPUs of the team red.
 func (driver *traceDriver) putGrants(step traceStep) []string {
 	rec := store.QuotaGrantRecord{Teams: map[string]map[string][2]float64{"red": {}}}
 	for shard, text := range step.settings {
-		n, _ := strconv.Atoi(text)
-		rec.Teams["red"][shard] = [2]float64{0, float64(n)}
+		gpus, _ := strconv.Atoi(text)
+		rec.Teams["red"][shard] = [2]float64{0, float64(gpus)}
 	}
 	driver.apply(wire.Operation{Put: store.QuotaGrantKey, Value: rec})
 	return nil
 }
 
-// markViewCurrent has the view hold all that is in the store by now.
+// markViewCurrent marks the view as up to date with the store.
 func (driver *traceDriver) markViewCurrent(_ traceStep) []string {
 	driver.view.MarkCurrent(driver.now)
 	return nil
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -30,15 +30,15 @@
 	leader          *Leader
 	revision        uint64
 	draft           *Draft
-	openLaunches    []*fleet.Placement  // launched by direct calls that are not answered yet
-	previousSegment store.SegmentRecord // what an earlier leader has left in the ledger
-	segmentNumber   int                 // where
+	openLaunches    []*fleet.Placement  // launches by direct calls that have no answer yet
+	previousSegment store.SegmentRecord // the ledger segment that an earlier leader left
+	segmentNumber   int                 // of previousSegment
 	cfg             *config.Config
-	shard           string // that is claimed
+	shard           string // the shard that the leader leads
 	grantChange     *quota.Change
 	observers       map[string]zone.Observer
 	workers         *workerModel
-	steps           map[string]func(traceStep) []string // by the first word
+	steps           map[string]func(traceStep) []string // by their first word
 }
 
 func newTraceDriver(t *testing.T) *traceDriver {
@@ -56,44 +56,45 @@
 		Store:   config.Store{TxnOps: 12, ValueBytes: 8192}, Cloud: config.Cloud{ListLag: 3 * time.Second}, Tuning: config.DefaultTuning()}
 }
 
-// apply puts changes into the view, as the watch would.
+// apply applies operations to the view, as the watch would.
 func (driver *traceDriver) apply(then ...wire.Operation) {
 	driver.revision++
-	ch := &wire.WatchResponse{Revision: driver.revision}
+	response := &wire.WatchResponse{Revision: driver.revision}
 	for _, c := range then {
-		ch.Events = append(ch.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: driver.revision})
+		response.Events = append(response.Events, wire.Event{Put: c.Put, Value: wire.Encode(c.Value), Delete: c.Delete, Version: driver.revision})
 	}
-	driver.view.Apply(ch)
+	driver.view.Apply(response)
 }
 
+// formatAttempt formats an attempt as #TOKEN.NUMBER.
 func formatAttempt(n uint64) string { return fmt.Sprintf("#%d.%d", n>>24, n&(1<<24-1)) }
 
-// parseTasks reads "wk-1/0#5.1 running" and the like, separated by commas.
+// parseTasks parses tasks such as "wk-1/0#5.1 running", separated by commas.
 func (driver *traceDriver) parseTasks(text string) []wire.ReportedTask {
 	var out []wire.ReportedTask
 	for _, item := range strings.Split(text, ",") {
-		f := strings.Fields(item)
-		if len(f) < 2 {
+		words := strings.Fields(item)
+		if len(words) < 2 {
 			continue
 		}
-		name, num, _ := strings.Cut(f[0], "#")
-		term, seq, _ := strings.Cut(num, ".")
-		hi, _ := strconv.ParseUint(term, 10, 64)
-		lo, _ := strconv.ParseUint(seq, 10, 64)
+		name, attempt, _ := strings.Cut(words[0], "#")
+		tokenText, numberText, _ := strings.Cut(attempt, ".")
+		token, _ := strconv.ParseUint(tokenText, 10, 64)
+		number, _ := strconv.ParseUint(numberText, 10, 64)
 		id, err := wire.ParseTaskID(name)
 		if err != nil {
 			driver.t.Fatal(err)
 		}
-		task := wire.ReportedTask{Task: name, ID: id, Attempt: hi<<24 | lo, State: wire.TaskState(f[1])}
-		if len(f) > 2 {
-			task.State, task.Cause = wire.TaskEnded, wire.Cause(f[2])
+		task := wire.ReportedTask{Task: name, ID: id, Attempt: token<<24 | number, State: wire.TaskState(words[1])}
+		if len(words) > 2 {
+			task.State, task.Cause = wire.TaskEnded, wire.Cause(words[2])
 		}
 		out = append(out, task)
 	}
 	return out
 }
 
-// traceStep is a line of a trace: its words, its settings (key=value) and, behind a colon, tasks.
+// traceStep is a step of a trace: its words, its settings (key=value) and, after a colon, tasks.
 type traceStep struct {
 	words    []string
 	settings map[string]string
@@ -107,31 +108,31 @@
 	return step
 }
 
-// intSetting returns a setting, or another number where it is not set.
-func (s traceStep) intSetting(key string, otherwise int) int {
+// intSetting returns a setting as an integer, or a default if it is not set.
+func (s traceStep) intSetting(key string, defaultValue int) int {
 	if n, err := strconv.Atoi(s.settings[key]); err == nil {
 		return n
 	}
-	return otherwise
+	return defaultValue
 }
 
-// step takes a step of a trace and returns what comes of it.
+// step takes a step of a trace and returns its output.
 func (driver *traceDriver) step(line string) []string {
 	step := parseStep(line)
-	take := driver.steps[step.words[0]]
-	if take == nil {
-		driver.t.Fatalf("no such step: %s", line)
+	run := driver.steps[step.words[0]]
+	if run == nil {
+		driver.t.Fatalf("unknown step: %s", line)
 	}
-	return take(step)
+	return run(step)
 }
 
-// parseRanges reads "0-2/a", "2-4/b,done" and the like.
+// parseRanges parses ranges such as "0-2/a" and "2-4/b,done".
 func parseRanges(t *testing.T, words []string) (out []store.ShardRange) {
-	for _, w := range words {
+	for _, word := range words {
 		var r store.ShardRange
-		runs, shard, _ := strings.Cut(w, "/")
+		indexes, shard, _ := strings.Cut(word, "/")
 		r.Shard, r.Done = strings.TrimSuffix(shard, ",done"), strings.HasSuffix(shard, ",done")
-		if _, err := fmt.Sscanf(runs, "%d-%d", &r.From, &r.To); err != nil {
+		if _, err := fmt.Sscanf(indexes, "%d-%d", &r.From, &r.To); err != nil {
 			t.Fatal(err)
 		}
 		out = append(out, r)
@@ -139,34 +140,35 @@
 	return out
 }
 
-// compact moves batches, all of whose jobs are over, into a recent block.
+// compact moves batches whose jobs have all ended into a block of recent jobs.
 func (driver *traceDriver) compact(batches []string) {
 	var entries []jobblock.Entry
 	var then []wire.Operation
-	for _, h := range driver.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
-		for _, m := range h.Jobs {
-			entries = append(entries, jobblock.Entry{ID: m.ID, Stage: m.Record.Stage, Tasks: m.Record.Tasks})
+	for _, batch := range driver.view.EndedBatches(99, func(*store.Batch) bool { return true }) {
+		for _, job := range batch.Jobs {
+			entries = append(entries, jobblock.Entry{ID: job.ID, Stage: job.Record.Stage, Tasks: job.Record.Tasks})
 		}
-		then = append(then, wire.Operation{Delete: h.Key})
+		then = append(then, wire.Operation{Delete: batch.Key})
 	}
 	if len(then) != len(batches) {
-		driver.t.Fatalf("%d batches have ended, not %v", len(then), batches)
+		driver.t.Fatalf("%d batches have ended, want %v", len(then), batches)
 	}
 	entries, _ = jobblock.Sort(entries)
 	driver.apply(append(then, wire.Operation{Put: store.RecentKey(0), Value: jobblock.Pack("", entries)})...)
 }
 
-// addToPreviousSegment puts an entry into the ledger, as an earlier leader did.
+// addToPreviousSegment writes an entry into the ledger as an earlier leader would have.
 func (driver *traceDriver) addToPreviousSegment(e store.Entry) {
 	if driver.previousSegment.Entries == nil {
 		driver.previousSegment.Entries = map[string]wire.Raw{}
 	}
 	if driver.previousSegment.Entries[e.Key] = e.Value; e.Value == nil {
-		driver.previousSegment.Entries[e.Key] = wire.Raw{0xf6}
+		driver.previousSegment.Entries[e.Key] = wire.Raw{0xf6} // null
 	}
 	driver.apply(wire.Operation{Put: store.SegmentKey(driver.shard, driver.segmentNumber), Value: driver.previousSegment})
 }
 
+// electLeader starts a leader with a fencing token.
 func (driver *traceDriver) electLeader(token uint64) []string {
 	driver.apply(wire.Operation{Put: store.LeaderKey(driver.shard), Value: store.LeaderRecord{Leader: "me", FencingToken: token}})
 	types := []wire.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a", "b"}}}
@@ -175,26 +177,28 @@
 	return nil
 }
 
-func (driver *traceDriver) deliverHeartbeat(w []string, zone string, token uint64, tasks string) []string {
-	session, seq, _ := strings.Cut(w[2], "/")
-	s, _ := strconv.ParseUint(session, 10, 64)
-	q, _ := strconv.ParseUint(seq, 10, 64)
-	hb := &wire.Heartbeat{Machine: w[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: s, Seq: q, FencingToken: token, Tasks: driver.parseTasks(tasks)}
+// deliverHeartbeat delivers a heartbeat to the leader, or the answer to an inspection, and returns the commands in the
+// response.
+func (driver *traceDriver) deliverHeartbeat(words []string, zone string, token uint64, tasks string) []string {
+	incarnationText, seqText, _ := strings.Cut(words[2], "/")
+	incarnation, _ := strconv.ParseUint(incarnationText, 10, 64)
+	seq, _ := strconv.ParseUint(seqText, 10, 64)
+	hb := &wire.Heartbeat{Machine: words[1], Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Incarnation: incarnation, Seq: seq, FencingToken: token, Tasks: driver.parseTasks(tasks)}
 	if driver.shard != "fleet" {
 		hb.Zone = driver.shard
 	}
-	if m := driver.leader.fleet.Machine(w[1]); m != nil {
+	if m := driver.leader.fleet.Machine(words[1]); m != nil {
 		hb.Zone = m.Zone
 	}
 	if zone != "" {
 		hb.Zone = zone
 	}
-	if w[0] == "inspected" {
+	if words[0] == "inspected" {
 		driver.leader.HandleInspection(driver.now, hb)
 		return nil
 	}
 	var out []string
-	response, ok := driver.leader.HandleHeartbeat(driver.now, hb, !slices.Contains(w, "invalid"))
+	response, ok := driver.leader.HandleHeartbeat(driver.now, hb, !slices.Contains(words, "invalid"))
 	if !ok {
 		return []string{"no answer"}
 	}
@@ -204,39 +208,38 @@
 	return out
 }
 
-// directCalls makes the direct calls that are due; the step says what becomes of
-// them.
-func (driver *traceDriver) directCalls(fate []string) []string {
+// directCalls makes the direct calls that are due. The first word is their outcome; the others name machines that the
+// calls do not reach.
+func (driver *traceDriver) directCalls(words []string) []string {
 	var out []string
-	for _, c := range driver.leader.dueCalls(driver.now, true, maxOpenCalls) {
-		line := fmt.Sprintf("to %s, session %d:", c.machine, c.incarnation)
-		for _, cmd := range c.commands {
-			line += fmt.Sprintf(" %s %s%s", cmd.Verb, cmd.Task, formatAttempt(cmd.Attempt))
+	for _, call := range driver.leader.dueCalls(driver.now, true, maxOpenCalls) {
+		line := fmt.Sprintf("to %s, session %d:", call.machine, call.incarnation)
+		for _, command := range call.commands {
+			line += fmt.Sprintf(" %s %s%s", command.Verb, command.Task, formatAttempt(command.Attempt))
 		}
 		out = append(out, line)
-		switch fate[0] {
+		switch words[0] {
 		case "open":
-			driver.openLaunches = append(driver.openLaunches, c.launches...)
+			driver.openLaunches = append(driver.openLaunches, call.launches...)
 		case "executed":
-			driver.leader.fleet.CallFinished(c.launches, fleet.Executed)
+			driver.leader.fleet.CallFinished(call.launches, fleet.Executed)
 		case "refused":
-			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
+			driver.leader.fleet.CallFinished(call.launches, fleet.Refused)
 		}
-		if fate[0] == "unreached" {
-			driver.leader.fleet.CallFinished(c.launches, fleet.Refused)
+		if words[0] == "unreached" {
+			driver.leader.fleet.CallFinished(call.launches, fleet.Refused)
 		}
-		if c.fencing {
+		if call.fencing {
 			driver.leader.fencing.Finished()
 		}
-		unreached := fate[0] == "unreached" || slices.Contains(fate[1:], c.machine) // the machines after the fate are unreachable
-		driver.leader.monitor.CallFinished(driver.now, c.machine, !unreached)
+		unreached := words[0] == "unreached" || slices.Contains(words[1:], call.machine)
+		driver.leader.monitor.CallFinished(driver.now, call.machine, !unreached)
 	}
 	return out
 }
 
-// runRound decides one round. Its fate is to be taken, unless the step says that
-// it is refused or lost.
-func (driver *traceDriver) runRound(fate []string) []string {
+// runRound decides one round and describes it. The round is committed unless the words say that it is refused or lost.
+func (driver *traceDriver) runRound(words []string) []string {
 	driver.draft = driver.leader.Decide(driver.now, driver.view.Snapshot())
 	if driver.draft == nil {
 		return []string{"nothing to write"}
@@ -252,15 +255,15 @@
 		out = append(out, fmt.Sprintf("if %s is at %d", strings.TrimPrefix(c.Key, store.StatePrefix), c.Version))
 	}
 	switch {
-	case slices.Contains(fate, "refused"):
+	case slices.Contains(words, "refused"):
 		driver.leader.Discard(driver.draft)
-	case !slices.Contains(fate, "lost"):
+	case !slices.Contains(words, "lost"):
 		driver.commit()
 	}
 	return out
 }
 
-// describeChange describes what a round changes in the store.
+// describeChange describes an operation of a round.
 func (driver *traceDriver) describeChange(c wire.Operation) string {
 	if c.Delete != "" {
 		return "drop " + strings.TrimPrefix(c.Delete, store.StatePrefix)
@@ -284,7 +287,7 @@
 	return line
 }
 
-// describeJob describes the record of a job.
+// describeJob describes a job's record.
 func describeJob(rec store.JobRecord) string {
 	text := string(rec.Stage)
 	switch order := rec.CoAllocation; {
@@ -307,11 +310,13 @@
 	return text
 }
 
+// commit commits the current round.
 func (driver *traceDriver) commit() {
 	driver.apply(driver.draft.Txn.Then...)
 	driver.leader.Committed(driver.draft, driver.revision)
 }
 
+// describePlacements describes the machines with their placements, and the pending scale-out requests.
 func (driver *traceDriver) describePlacements() []string {
 	leader := driver.leader
 	leader.mu.Lock()
@@ -343,32 +348,32 @@
 	return out
 }
 
-// TestTraces plays the kept traces of the leader.
+// TestTraces replays the leader's traces in testdata and compares their output.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
 
-// TestTimeoutsFollowHeartbeatInterval: when a machine counts as unreachable depends on how
-// often the workers send heartbeats. Fitted to an interval of 3 s, the timeouts made a third of a
-// fleet with an interval of 8 s unusable, and released the rest.
+// TestTimeoutsFollowHeartbeatInterval checks that the timeouts after which a machine counts as unusable or unreachable
+// scale with the workers' heartbeat interval. When they were fixed to suit an interval of 3 s, a third of a fleet with an
+// interval of 8 s was unusable, and the rest was released.
 func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
-	for _, every := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
+	for _, interval := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
-		cfg.Workers.HeartbeatInterval = every
-		got, latest := timeoutsOf(cfg), every*5/4
-		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && every < 20*time.Second {
-			t.Errorf("heartbeats each %v: %+v", every, got)
+		cfg.Workers.HeartbeatInterval = interval
+		got, latest := timeoutsOf(cfg), interval*5/4
+		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && interval < 20*time.Second {
+			t.Errorf("heartbeats every %v: %+v", interval, got)
 		}
 		driver := newTraceDriver(t)
-		driver.cfg.Workers.HeartbeatInterval = every
+		driver.cfg.Workers.HeartbeatInterval = interval
 		driver.step("claim term=2")
 		driver.step("report n-1 1/1 term=2")
 		driver.now = driver.now.Add(latest)
 		driver.leader.Decide(driver.now, driver.view.Snapshot())
 		if snapshot := driver.leader.clusterSnapshot(driver.now); !snapshot.Machines[0].Usable || driver.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("heartbeats each %v: a machine is not usable between two of them", every)
+			t.Errorf("heartbeats every %v: a machine is not usable between two of them", interval)
 		}
-		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // or it would seem to have stood still
+		for end := driver.now.Add(got.unreachableAfter); driver.now.Before(end); { // in small steps, or the leader would count as paused
 			driver.now = driver.now.Add(min(2*time.Second, end.Sub(driver.now)))
 			driver.leader.Decide(driver.now, driver.view.Snapshot())
 		}
@@ -379,14 +384,13 @@
 		driver.leader.monitor.Calls.Start(driver.now, "n-1", "")
 		driver.leader.monitor.CallFinished(driver.now, "n-1", false)
 		if driver.leader.Decide(driver.now, driver.view.Snapshot()); !driver.leader.fleet.Machine("n-1").Releasing {
-			t.Errorf("heartbeats each %v: a machine that is unreachable for %v is kept", every, latest+got.unreachableAfter)
+			t.Errorf("heartbeats every %v: a machine that is unreachable for %v is kept", interval, latest+got.unreachableAfter)
 		}
 	}
 }
 
-// TestSmallLimits stores the progress of a job of 100,000 tasks where a value
-// and a transaction may hold next to nothing: no round goes over the limits, and
-// all of it is stored in the end.
+// TestSmallLimits stores the progress of a job of 100,000 tasks under very small limits on values and transactions. No
+// round may exceed the limits, and all progress must be stored in the end.
 func TestSmallLimits(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 sweep team=blue tasks=100000")
@@ -405,7 +409,7 @@
 			break
 		}
 		if len(d.Txn.Then) > 4 || len(d.Txn.If) > 16 {
-			t.Fatalf("%d changes, %d conditions", len(d.Txn.Then), len(d.Txn.If))
+			t.Fatalf("a round with %d changes and %d conditions", len(d.Txn.Then), len(d.Txn.If))
 		}
 		for _, c := range d.Txn.Then {
 			if size := len(wire.Encode(c.Value)); size > 1024 {
@@ -420,8 +424,7 @@
 	}
 }
 
-// TestSnapshotCountsCancelled guards the quota: a task of a cancelled job counts
-// until it is gone.
+// TestSnapshotCountsCancelled checks that a task of a cancelled job counts against its team's quota until it is gone.
 func TestSnapshotCountsCancelled(t *testing.T) {
 	driver := newTraceDriver(t)
 	for _, s := range []string{"job wk-1 sweep team=red tasks=1 gpus=4", "claim term=2", "report n-1 1/1 term=2: wk-1/0#1.1 running", "cancel wk-1"} {
@@ -433,20 +436,21 @@
 	}
 }
 
-// TestNoLaunchWithoutMachineRecord: records that do not divide well into the slots of a round
-// may leave one over. A launch whose machine's record is not in the transaction must not
-// be said: the next leader would not know of it. Smaller rounds are decided until all fit.
+// TestNoLaunchWithoutMachineRecord checks that no launch is sent whose machine's record is not in the round's
+// transaction, since the next leader would not know of it. Records that do not pack well into the segments of a round may
+// leave one over; smaller rounds are then decided until all records fit.
 func TestNoLaunchWithoutMachineRecord(t *testing.T) {
 	halvings := 0
 	for tasks := 8; tasks <= 22; tasks++ {
 		halvings += runCrowdedRounds(t, tasks)
 	}
 	if halvings == 0 {
-		t.Error("no round was too large: the guard is not tried")
+		t.Error("no round was too large, so the check has tested nothing")
 	}
 }
 
-// runCrowdedRounds launches one more task on each of many machines that have some.
+// runCrowdedRounds launches one more task on each of many machines that run a number of tasks already, and returns how
+// often a round was halved.
 func runCrowdedRounds(t *testing.T, tasks int) (halvings int) {
 	driver := newTraceDriver(t)
 	const machines = 120
@@ -475,15 +479,15 @@
 		}
 		written := map[string]bool{}
 		for _, c := range d.Txn.Then {
-			if slot, ok := c.Value.(store.SegmentRecord); ok {
-				for key := range slot.Entries {
+			if segment, ok := c.Value.(store.SegmentRecord); ok {
+				for key := range segment.Entries {
 					written[key] = true
 				}
 			}
 		}
 		for _, p := range d.launches {
 			if launched++; !written["m/"+p.Machine] {
-				t.Errorf("%d tasks: %v is launched on %s, which is not recorded", tasks, p.Task, p.Machine)
+				t.Errorf("%d tasks: %v is launched on %s, whose record is not written", tasks, p.Task, p.Machine)
 			}
 		}
 		driver.draft = d
