--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -30,8 +30,8 @@
 	return newLargeFleetOf(tb, machines, shards, 0)
 }
 
-// newLargeFleetOf is newLargeFleet with a number of teams. Half of the fleet is guaranteed to the teams in equal shares,
-// and each team's limit is three times its share. With 0 teams, the fleet has the teams of traceConfig.
+// newLargeFleetOf is newLargeFleet with a number of teams. Half of the fleet is guaranteed to the teams in equal
+// shares, and each team's limit is three times its share. With 0 teams, the fleet has the teams of traceConfig.
 func newLargeFleetOf(tb testing.TB, machines, shards, teams int) *largeFleet {
 	tb.Helper()
 	cfg, shard := largeFleetConfig(machines, shards, teams)
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestRoundCost checks how many changes and bytes rounds write in a large fleet, since the state service accepts only a
-// few dozen changes a second from all controllers together. Rounds first fill 2000 machines, and then touch machines all
-// over the fleet.
+// TestRoundCost checks how many changes and bytes rounds write in a large fleet, since the state service accepts only
+// a few dozen changes a second from all controllers together. Rounds first fill 2000 machines, and then touch machines
+// all over the fleet.
 func TestRoundCost(t *testing.T) {
 	f := newLargeFleet(t, 2000, 1)
 	changes, bytes, rounds, launched := 0, 0, 0, 0
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -86,8 +86,9 @@
 }
 
 // TestGangFinishedAcrossShards guards against restarting a finished gang. One of two shards has recorded its tasks of
-// the gang as done, and then the state is resharded into one shard. The machine of the remaining task is gone, so nothing
-// reports that task as done. The tasks of a gang complete together: the gang is done, and none of its tasks is started.
+// the gang as done, and then the state is resharded into one shard. The machine of the remaining task is gone, so
+// nothing reports that task as done. The tasks of a gang complete together: the gang is done, and none of its tasks is
+// started.
 func TestGangFinishedAcrossShards(t *testing.T) {
 	driver := newTraceDriver(t)
 	driver.step("job wk-1 gang team=blue tasks=3")
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -68,11 +68,11 @@
 }
 
 type modelWorker struct {
-	zone     string
-	token    uint64
-	seq      uint64
-	running  map[wire.TaskID]uint64
-	finished map[wire.TaskID]uint64
+	zone          string
+	token         uint64
+	seq           uint64
+	running       map[wire.TaskID]uint64
+	finishedTasks map[wire.TaskID]uint64
 	// timedOut holds tasks of a gang that ended because the other tasks were missing.
 	timedOut map[wire.TaskID]uint64
 }
@@ -128,10 +128,10 @@
 		m.controllers[i] = controller
 	}
 	if s.reshard {
-		m.reshard()
+		m.reshardState()
 	}
 	for i, zone := range []string{"a", "b"} {
-		m.workers[zone] = &modelWorker{zone: zone, running: map[wire.TaskID]uint64{}, finished: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
+		m.workers[zone] = &modelWorker{zone: zone, running: map[wire.TaskID]uint64{}, finishedTasks: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
 		if s.reshard && (i == 0 || !s.secondEnded) {
 			m.workers[zone].running[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
@@ -142,8 +142,8 @@
 	return m
 }
 
-// reshard begins with a state of one shard that has a task on each machine, and splits it into two shards.
-func (m *model) reshard() {
+// reshardState begins with a state of one shard that has a task on each machine, and splits it into two shards.
+func (m *model) reshardState() {
 	segment := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
 		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Incarnation: 1,
@@ -232,8 +232,8 @@
 	for _, t := range sortedTasks(w.running) {
 		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.running[t], State: wire.TaskRunning})
 	}
-	for _, t := range sortedTasks(w.finished) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.finished[t], State: wire.TaskEnded, Cause: wire.CauseDone})
+	for _, t := range sortedTasks(w.finishedTasks) {
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.finishedTasks[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
 		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
@@ -247,14 +247,14 @@
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
-			if w.running[id] == 0 && w.finished[id] == 0 && w.timedOut[id] != c.Attempt {
+			if w.running[id] == 0 && w.finishedTasks[id] == 0 && w.timedOut[id] != c.Attempt {
 				m.start(w, id, c.Attempt)
 			}
 		case wire.Stop:
 			delete(w.running, id)
 		case wire.Clear:
-			if w.finished[id] == c.Attempt {
-				delete(w.finished, id)
+			if w.finishedTasks[id] == c.Attempt {
+				delete(w.finishedTasks, id)
 			}
 			if w.timedOut[id] == c.Attempt {
 				delete(w.timedOut, id)
@@ -503,14 +503,14 @@
 	if m.gang {
 		for _, other := range m.workers {
 			for id, attempt := range other.running {
-				other.finished[id], m.completed[id] = attempt, true
+				other.finishedTasks[id], m.completed[id] = attempt, true
 			}
 			clear(other.running)
 		}
 		return
 	}
 	id := sortedTasks(w.running)[0]
-	w.finished[id] = w.running[id]
+	w.finishedTasks[id] = w.running[id]
 	m.completed[id] = true
 	delete(w.running, id)
 }
@@ -591,7 +591,7 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		w := m.workers[zone]
-		put("%s %d %v %v %v", zone, w.token, w.running, w.finished, w.timedOut)
+		put("%s %d %v %v %v", zone, w.token, w.running, w.finishedTasks, w.timedOut)
 	}
 	put("%v", m.cancelled)
 	return d.Sum64()
@@ -613,14 +613,14 @@
 
 // search tries all orders of steps up to a depth, breadth first, and returns the shortest path that breaks a rule
 // and the violation.
-func search(s *scenario, depth int) (states int, path []string, violation string) {
+func search(s *scenario, depth int) (states int, path []string, brokenRule string) {
 	visited := map[uint64]bool{}
 	level := [][]string{nil}
 	for range depth {
 		type successor struct {
-			path        []string
-			fingerprint uint64
-			violation   string
+			path       []string
+			hash       uint64
+			brokenRule string
 		}
 		next := make([][]successor, len(level))
 		var group sync.WaitGroup
@@ -631,9 +631,9 @@
 				defer group.Done()
 				for i := range work {
 					for _, step := range replayPath(s, level[i]).possibleSteps(s) {
-						path := append(slices.Clone(level[i]), step)
-						m := replayPath(s, path)
-						next[i] = append(next[i], successor{path, m.fingerprint(), m.violation})
+						extended := append(slices.Clone(level[i]), step)
+						m := replayPath(s, extended)
+						next[i] = append(next[i], successor{extended, m.fingerprint(), m.violation})
 					}
 				}
 			}()
@@ -646,11 +646,11 @@
 		level = nil
 		for _, successors := range next {
 			for _, state := range successors {
-				if state.violation != "" {
-					return len(visited), state.path, state.violation
+				if state.brokenRule != "" {
+					return len(visited), state.path, state.brokenRule
 				}
-				if !visited[state.fingerprint] {
-					visited[state.fingerprint] = true
+				if !visited[state.hash] {
+					visited[state.hash] = true
 					level = append(level, state.path)
 				}
 			}
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -18,10 +18,10 @@
 )
 
 // This file extends the model by time: a fleet in one shard, a controller that leads and one that may take over, two
-// machines, one job, and a state service that may refuse one controller or all. Leader, View, Election and the worker's
-// Core are the product's own; the search decides what happens between them. Time advances by a third of a lease at once,
-// so that bounds fall between steps, and whatever expires has an age: a worker's lease, a controller's lease, its
-// knowledge of cancellations, its last confirmed renewal.
+// machines, one job, and a state service that may refuse one controller or all. Leader, View, Election and the
+// worker's Core are the product's own; the search decides what happens between them. Time advances by a third of a
+// lease at once, so that bounds fall between steps, and whatever expires has an age: a worker's lease, a controller's
+// lease, its knowledge of cancellations, its last confirmed renewal.
 
 const (
 	timedStep  = 3 * time.Second
@@ -85,10 +85,10 @@
 // lateTxn is a transaction that is in flight.
 type lateTxn struct {
 	wire.Txn
-	kind     string
-	node     int
-	leaseID  uint64
-	revision uint64
+	kind          string
+	node          int
+	requiredLease uint64
+	revision      uint64
 }
 
 // lateCall is a direct call that is in flight.
@@ -118,8 +118,8 @@
 	limit  int
 }
 
-// parseBudgets reads stepLimits.
-func (s *timedScenario) parseBudgets() (out []budget) {
+// budget reads stepLimits.
+func (s *timedScenario) budget() (out []budget) {
 	for _, item := range strings.Split(s.stepLimits, "; ") {
 		prefix, number, _ := strings.Cut(item, ":")
 		limit, _ := strconv.Atoi(number)
@@ -140,7 +140,7 @@
 
 func newTimedModel(s *timedScenario) *timedModel {
 	m := &timedModel{model: &model{cfg: timedConfig(s.teamLimit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, teamLimit: s.teamLimit, tasks: s.tasks},
-		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.parseBudgets(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.Key]bool{}}
+		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.budget(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.Key]bool{}}
 	j := &wire.Job{ID: timedJob, Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j}}}}})
 	for i := range m.nodes {
@@ -430,9 +430,9 @@
 			c.leader.Reconcile(m.now, c.view.Snapshot())
 		}
 	}
-	if id, number, ok := strings.Cut(m.steadySender, " "); ok {
-		i, _ := strconv.Atoi(number)
-		m.sendHeartbeat(id, i, true)
+	if id, i, ok := strings.Cut(m.steadySender, " "); ok {
+		controller, _ := strconv.Atoi(i)
+		m.sendHeartbeat(id, controller, true)
 	}
 	m.checkCancelled()
 	if !m.cancelAckedAt.IsZero() && m.serviceDown {
@@ -870,7 +870,7 @@
 	if m.revision > txn.revision {
 		m.reached["a late "+txn.kind+" after newer ones"] = true
 	}
-	if m.conditionsHold(txn.Txn) && (txn.leaseID == 0 || !m.nodes[txn.node].leaseRenewedAt.IsZero() && m.nodes[txn.node].leaseID == txn.leaseID) {
+	if m.conditionsHold(txn.Txn) && (txn.requiredLease == 0 || !m.nodes[txn.node].leaseRenewedAt.IsZero() && m.nodes[txn.node].leaseID == txn.requiredLease) {
 		m.apply(txn.Then)
 		m.reached["a late "+txn.kind+" is taken"] = true
 	}
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -19,8 +19,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ageSeconds returns how many seconds ago a time was, or -1 for the zero time. Ages above 90 s, which make no difference
-// any more, count as 90 s.
+// ageSeconds returns how many seconds ago a time was, or -1 for the zero time. Ages above 90 s, which make no
+// difference any more, count as 90 s.
 func (m *timedModel) ageSeconds(t time.Time) int {
 	if t.IsZero() {
 		return -1
@@ -60,18 +60,18 @@
 			continue
 		}
 		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.ageSeconds(leader.fleet.ElectedAt), m.ageSeconds(leader.viewCurrentAt), m.ageSeconds(leader.lastReconciled), m.ageSeconds(leader.monitor.PauseOver()), m.ageSeconds(leader.lastDecided), len(leader.liveJobs))
-		for _, machine := range leader.fleet.Machines() {
-			unexported := reflect.ValueOf(machine).Elem()
-			hb := m.machines[strings.TrimPrefix(machine.ID, "n-")].core.Heartbeat()
-			put("%s %v %v %v %d %d %d %d %d %d %v %v", machine.ID, machine.Up, machine.SeenAtToken, machine.Releasing, m.ageSeconds(machine.LastHeartbeat), m.ageSeconds(machine.LastResponse),
-				int(hb.Incarnation)-int(machine.Incarnation), int(hb.Seq)-int(unexported.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(unexported.FieldByName("heartbeatSeq").Uint()), machine.RecordedIncarnation,
-				unexported.FieldByName("incarnationSeen").Bool(), unexported.FieldByName("provenEmpty").Bool())
-			for _, p := range machine.Placements() {
-				unexported := reflect.ValueOf(p).Elem()
+		for _, fleetMachine := range leader.fleet.Machines() {
+			machineFields := reflect.ValueOf(fleetMachine).Elem()
+			hb := m.machines[strings.TrimPrefix(fleetMachine.ID, "n-")].core.Heartbeat()
+			put("%s %v %v %v %d %d %d %d %d %d %v %v", fleetMachine.ID, fleetMachine.Up, fleetMachine.SeenAtToken, fleetMachine.Releasing, m.ageSeconds(fleetMachine.LastHeartbeat), m.ageSeconds(fleetMachine.LastResponse),
+				int(hb.Incarnation)-int(fleetMachine.Incarnation), int(hb.Seq)-int(machineFields.FieldByName("lastSeq").Uint()), int(hb.Seq)-int(machineFields.FieldByName("heartbeatSeq").Uint()), fleetMachine.RecordedIncarnation,
+				machineFields.FieldByName("incarnationSeen").Bool(), machineFields.FieldByName("provenEmpty").Bool())
+			for _, p := range fleetMachine.Placements() {
+				placementFields := reflect.ValueOf(p).Elem()
 				put("%v %d %d %v %v %v %v %v %v", p.Task, p.Attempt, p.State, p.Committed, p.EndHandled, p.Reported, p.Stop, p.CallPending(), p.Cause)
-				put("%v %v %v %v", unexported.FieldByName("sentInResponse").Bool(), unexported.FieldByName("sentByCall").Bool(), unexported.FieldByName("restored").Bool(), m.ageSeconds(p.PlacedAt))
+				put("%v %v %v %v", placementFields.FieldByName("sentInResponse").Bool(), placementFields.FieldByName("sentByCall").Bool(), placementFields.FieldByName("restored").Bool(), m.ageSeconds(p.PlacedAt))
 			}
-			last := leader.monitor.Calls.Last(machine.ID)
+			last := leader.monitor.Calls.Last(fleetMachine.ID)
 			put("%d %v %d %s", m.ageSeconds(last.StartedAt), last.Open, last.Failures, last.Digest)
 		}
 		for _, id := range sortedKeys(leader.jobStates) {
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, t := range m.lateCommits {
-		put("%s %d %d", t.kind, t.node, t.leaseID)
+		put("%s %d %d", t.kind, t.node, t.requiredLease)
 		putTxn(t.Txn)
 	}
 	for _, call := range m.lateCalls {
@@ -97,8 +97,8 @@
 	}
 	if slices.ContainsFunc(m.budgets, func(b budget) bool { return strings.HasPrefix(b.prefix, "copy") }) {
 		for _, hb := range m.duplicateHeartbeats {
-			latest := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
-			put("%s %d %d %d %v", hb.Machine, latest.Incarnation-hb.Incarnation, int(latest.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
+			now := m.machines[strings.TrimPrefix(hb.Machine, "n-")].core.Heartbeat()
+			put("%s %d %d %d %v", hb.Machine, now.Incarnation-hb.Incarnation, int(now.Seq)-int(hb.Seq), hb.FencingToken, hb.Tasks)
 		}
 	}
 	if !m.anyOrder {
@@ -138,10 +138,10 @@
 
 // timedSearchState is a state that a search has reached, with the steps that are possible in it.
 type timedSearchState struct {
-	path, steps []string
-	fingerprint uint64
-	violation   string
-	reached     map[string]bool
+	path, possibleSteps []string
+	fingerprint         uint64
+	brokenRule          string
+	reachedSituations   map[string]bool
 }
 
 // expand takes each possible step from each state of a level. States are expanded concurrently.
@@ -152,7 +152,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for i := range work {
-				for _, step := range level[i].steps {
+				for _, step := range level[i].possibleSteps {
 					m := replayTimedPath(s, level[i].path)
 					m.takeStep(step)
 					next[i] = append(next[i], timedSearchState{append(slices.Clone(level[i].path), step), m.possibleSteps(m.budgets), m.fingerprint(), m.violation, m.reached})
@@ -173,16 +173,16 @@
 	result := searchResult{reached: map[string]bool{}}
 	visited := map[uint64]bool{}
 	first := replayTimedPath(s, nil)
-	level := []timedSearchState{{steps: first.possibleSteps(first.budgets)}}
+	level := []timedSearchState{{possibleSteps: first.possibleSteps(first.budgets)}}
 	for range depth {
 		next := s.expand(level)
 		level = nil
 		for _, successors := range next {
 			for _, state := range successors {
 				result.transitions++
-				maps.Copy(result.reached, state.reached)
-				if state.violation != "" {
-					result.states, result.path, result.violation = len(visited), state.path, state.violation
+				maps.Copy(result.reached, state.reachedSituations)
+				if state.brokenRule != "" {
+					result.states, result.path, result.violation = len(visited), state.path, state.brokenRule
 					return result
 				}
 				if !visited[state.fingerprint] {
@@ -285,7 +285,7 @@
 	if more > 0 {
 		s.anyOrder, s.depth = true, s.depth+5*more
 		var limits []string
-		for _, b := range s.parseBudgets() {
+		for _, b := range s.budget() {
 			limits = append(limits, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
 		}
 		s.stepLimits = strings.Join(limits, "; ")
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -14,8 +14,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// configureTier appends a tier to the configuration. Tiers are ordered as they are configured.
-func (driver *traceDriver) configureTier(name string, settings map[string]string) {
+// tier appends a tier to the configuration. Tiers are ordered as they are configured.
+func (driver *traceDriver) tier(name string, settings map[string]string) {
 	t := tier.Tier{Name: name, Order: len(driver.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(settings["cards"], 64)
 	if settings["priority"] != "" {
@@ -218,8 +218,8 @@
 }
 
 // TestCrashInPreemption crashes the leader at each point of its decisions while a tier reclaims all cards that it has
-// lent, and then crashes the next leader at each point of later decisions. Only the attempts that the first record of the
-// preemption names may be stopped, and the tier must have its cards within its bound.
+// lent, and then crashes the next leader at each point of later decisions. Only the attempts that the first record of
+// the preemption names may be stopped, and the tier must have its cards within its bound.
 func TestCrashInPreemption(t *testing.T) {
 	points := []string{"before", "unknown", "after", "half", "all"}
 	undisturbed := newFullyLentFleet(t)
@@ -252,8 +252,8 @@
 // newFullyLentFleet returns a fleet of twelve cards. A tier is guaranteed half of them and has lent all of these.
 func newFullyLentFleet(t *testing.T) *workerModel {
 	driver := newTraceDriver(t)
-	driver.configureTier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
-	driver.configureTier("batch", map[string]string{"priority": "normal"})
+	driver.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
+	driver.tier("batch", map[string]string{"priority": "normal"})
 	driver.step("job wk-1 sweep team=blue tasks=12")
 	driver.workerStep([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
@@ -272,13 +272,13 @@
 	return driver.workers
 }
 
-// TestTierWaitUnaffectedByLowPriorityFlood checks that the first tier's tasks start equally soon with and without a flood
-// of work of lower priority. Machines and direct calls are used to capacity in both cases.
+// TestTierWaitUnaffectedByLowPriorityFlood checks that the first tier's tasks start equally soon with and without a
+// flood of work of lower priority. Machines and direct calls are used to capacity in both cases.
 func TestTierWaitUnaffectedByLowPriorityFlood(t *testing.T) {
 	waits := func(flood int) (out []int) {
 		driver := newTraceDriver(t)
-		driver.configureTier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
-		driver.configureTier("batch", map[string]string{})
+		driver.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
+		driver.tier("batch", map[string]string{})
 		var machines []string
 		for i := range 100 {
 			machines = append(machines, fmt.Sprintf("n-%03d", i))
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -96,7 +96,7 @@
 
 // addTier configures a tier.
 func (driver *traceDriver) addTier(step traceStep) []string {
-	driver.configureTier(step.words[1], step.settings)
+	driver.tier(step.words[1], step.settings)
 	return nil
 }
 
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -354,8 +354,8 @@
 }
 
 // TestTimeoutsFollowHeartbeatInterval checks that the timeouts after which a machine counts as unusable or unreachable
-// scale with the workers' heartbeat interval. When they were fixed to suit an interval of 3 s, a third of a fleet with an
-// interval of 8 s was unusable, and the rest was released.
+// scale with the workers' heartbeat interval. When they were fixed to suit an interval of 3 s, a third of a fleet with
+// an interval of 8 s was unusable, and the rest was released.
 func TestTimeoutsFollowHeartbeatInterval(t *testing.T) {
 	for _, interval := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
@@ -437,8 +437,8 @@
 }
 
 // TestNoLaunchWithoutMachineRecord checks that no launch is sent whose machine's record is not in the round's
-// transaction, since the next leader would not know of it. Records that do not pack well into the segments of a round may
-// leave one over; smaller rounds are then decided until all records fit.
+// transaction, since the next leader would not know of it. Records that do not pack well into the segments of a round
+// may leave one over; smaller rounds are then decided until all records fit.
 func TestNoLaunchWithoutMachineRecord(t *testing.T) {
 	halvings := 0
 	for tasks := 8; tasks <= 22; tasks++ {
