--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -49,11 +49,13 @@
 	violation   string
 }
 
+// storedValue is a value in the store and the revision that wrote it.
 type storedValue struct {
 	raw     wire.Raw
 	version uint64
 }
 
+// modelController is a controller with its view, and the leaders that it runs.
 type modelController struct {
 	name         string
 	view         *store.View
@@ -61,12 +63,14 @@
 	leaders      map[string]*modelLeader // by shard
 }
 
+// modelLeader is a leader with its open round and its open change of grants.
 type modelLeader struct {
 	*Leader
 	draft       *Draft
 	grantChange *quota.Change
 }
 
+// modelWorker is the worker of a machine, with the attempts of its tasks.
 type modelWorker struct {
 	zone          string
 	token         uint64
@@ -112,6 +116,7 @@
 		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
 }
 
+// newModel returns the initial state of a scenario, before the steps of its prefix.
 func newModel(s *scenario) *model {
 	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, teamLimit: s.teamLimit, spread: s.spread, tasks: s.tasks}
 	m.cfg.Tuning.Shards.By, m.cfg.Zones = "zone", []string{"a", "b"}
@@ -205,7 +210,7 @@
 	controller.view.Apply(&response)
 }
 
-// modelTime is the time at which the model's clock stands.
+// modelTime is the fixed time of the model, and the time at which the model with time starts.
 var modelTime = time.Unix(1e9, 0)
 
 // electLeader has a controller win a shard and start its leader.
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -55,6 +55,7 @@
 	reached             map[string]bool
 }
 
+// timedController is a controller with its lease and, while it leads, its leader.
 type timedController struct {
 	*modelController
 	election       *leadership.Election
@@ -62,7 +63,7 @@
 	draft          *Draft
 	refused        bool
 	dead           bool
-	leaseRenewedAt time.Time // when the service last granted or renewed its lease; zero if the lease has ended
+	leaseRenewedAt time.Time // when the lease's current duration began, as the service counts it; zero if the lease has ended
 	leaseID        uint64
 	pendingRead    *pendingRead
 }
@@ -73,6 +74,7 @@
 	changes   wire.WatchResponse
 }
 
+// timedWorker is the worker of a machine.
 type timedWorker struct {
 	id             string
 	core           *agent.Core
@@ -128,6 +130,7 @@
 	return out
 }
 
+// timedConfig returns the configuration of the model with time.
 func timedConfig(limit float64) *config.Config {
 	cfg := traceConfig()
 	cfg.Workers.Lease, cfg.Workers.Cancel = 9*time.Second, 27*time.Second
@@ -138,6 +141,8 @@
 	return cfg
 }
 
+// newTimedModel returns the initial state of a scenario, before the steps of its prefix: controller 0 leads, and both
+// machines have sent heartbeats to it.
 func newTimedModel(s *timedScenario) *timedModel {
 	m := &timedModel{model: &model{cfg: timedConfig(s.teamLimit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, teamLimit: s.teamLimit, tasks: s.tasks},
 		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.budget(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.Key]bool{}}
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -199,7 +199,7 @@
 	return result
 }
 
-// timedPrefix stores a launch by the leader and has both machines report it.
+// timedPrefix commits the leader's first round and has both machines send two heartbeats.
 const timedPrefix = "decide 0; commit 0; report a 0; report b 0; report a 0; report b 0"
 
 // idleTick is a tick after which the leader renews its lease, reads and receives the heartbeat of one machine.
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -61,6 +61,7 @@
 	pendingEnds []func() // end tasks that are saving
 }
 
+// newWorkerModel returns the workers of machines without tasks.
 func newWorkerModel(driver *traceDriver, machines ...string) *workerModel {
 	w := &workerModel{traceDriver: driver, tasksOn: map[string]map[string]wire.ReportedTask{}, ignoresStop: map[string]bool{}, stopsSent: map[string]bool{}}
 	for _, m := range machines {
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -41,6 +41,7 @@
 	steps           map[string]func(traceStep) []string // by their first word
 }
 
+// newTraceDriver returns a driver with an empty view and no leader yet.
 func newTraceDriver(t *testing.T) *traceDriver {
 	driver := &traceDriver{t: t, cfg: traceConfig(), shard: "fleet", now: time.Unix(1e9, 0), view: store.NewView(slog.New(slog.NewTextHandler(io.Discard, nil)))}
 	driver.view.Load(nil, 0, &wire.WatchResponse{})
@@ -50,6 +51,7 @@
 	return driver
 }
 
+// traceConfig returns the configuration under which traces are played.
 func traceConfig() *config.Config {
 	return &config.Config{Teams: []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue"}},
 		Workers: config.Workers{HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 60 * time.Second},
@@ -101,6 +103,7 @@
 	tasks    string
 }
 
+// parseStep parses a line of a trace.
 func parseStep(line string) (step traceStep) {
 	head, tasks, _ := strings.Cut(line, ":")
 	step.words, step.settings = simulator.Words(head)
