--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -25,13 +25,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The model: two controllers, a fleet in two shards with a machine in each, one job, and a
-// store whose every answer may be late or lost. Each step is one thing that happens
-// anywhere. The very state machines of the product take part; all orders of so many
-// steps are tried, and states that were met before are left alone. Time stands still:
-// what time proves is played in the days on the fake clock.
+// This file model-checks the leader: two controllers, a fleet in two shards with one machine each, one job, and a
+// store whose every answer may be late or lost. A step is a single event at one participant. The model runs the
+// product's own state machines, tries every order of a given number of steps, and does not explore a state twice. The
+// clock stands still: rules that depend on time are tested by the simulated days on the fake clock.
 
-// model is one state, reached by its path.
+// model is one state of the system, reached by a path of steps.
 type model struct {
 	cfg         *config.Config
 	keys        map[string]storedValue
@@ -39,10 +38,10 @@
 	log         []wire.Event
 	controllers [2]*modelController
 	workers     map[string]*modelWorker // by zone
-	lateTxns    []wire.Txn              // transactions whose sender is gone
-	limit       float64                 // of the team, 0 for none
+	lateTxns    []wire.Txn              // in flight while their sender is gone
+	teamLimit   float64                 // GPU limit of the team, 0 for none
 	gang        bool
-	granted     float64 // that is granted, where the state began with more than the limit
+	grantBound  float64 // upper bound of the sum of grants, which may begin above the limit
 	spread      bool
 	tasks       int
 	cancelled   bool
@@ -50,11 +49,13 @@
 	violation   string
 }
 
+// storedValue is a value in the store and the revision that wrote it.
 type storedValue struct {
 	raw     wire.Raw
 	version uint64
 }
 
+// modelController is a controller with its view, and the leaders that it runs.
 type modelController struct {
 	name         string
 	view         *store.View
@@ -62,48 +63,50 @@
 	leaders      map[string]*modelLeader // by shard
 }
 
+// modelLeader is a leader with its open round and its open change of grants.
 type modelLeader struct {
 	*Leader
 	draft       *Draft
 	grantChange *quota.Change
 }
 
+// modelWorker is the worker of a machine, with the attempts of its tasks.
 type modelWorker struct {
-	zone  string
-	token uint64
-	seq   uint64
-	runs  map[wire.TaskID]uint64
-	done  map[wire.TaskID]uint64
-	// timedOut are tasks of a gang that ended for want of the others.
+	zone          string
+	token         uint64
+	seq           uint64
+	running       map[wire.TaskID]uint64
+	finishedTasks map[wire.TaskID]uint64
+	// timedOut holds tasks of a gang that ended because the other tasks were missing.
 	timedOut map[wire.TaskID]uint64
 }
 
-// scenario is where a search begins.
+// scenario is the initial state of a search and the events that may happen in it.
 type scenario struct {
-	name     string
-	limit    float64
-	spread   bool
-	tasks    int
-	ranges   []store.ShardRange
-	prefix   string // steps that are taken first
-	depth    int
-	failover bool // whether shards change leaders
-	reshard  bool // whether the state was divided anew with a task of each shard's machine running
-	gang     bool // whether the job is a gang
-	ended    bool // and that of the second has ended since its machine was recorded
-	cancel   bool // whether the user cancels
+	name        string
+	teamLimit   float64
+	spread      bool
+	tasks       int
+	ranges      []store.ShardRange
+	prefix      string // steps that are taken before the search begins
+	depth       int
+	failover    bool // whether shards change leaders
+	reshard     bool // whether the state was resharded while each shard's machine ran a task
+	gang        bool // whether the job is a gang
+	secondEnded bool // with reshard: whether the second machine's task has ended since its record was written
+	cancel      bool // whether the user may cancel the job
 }
 
 var scenarios = []scenario{
 	{name: "tasks that are handed over", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, depth: 10, cancel: true},
 	{name: "a shard that changes leaders", tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, failover: true,
 		prefix: "decide 0 a; commit 0 a; report 0 a; report 0 a; decide 0 a", depth: 5},
-	{name: "a team's limit", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
-	{name: "a limit while shards change leaders", limit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
+	{name: "a team's limit", teamLimit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, depth: 12},
+	{name: "a limit while shards change leaders", teamLimit: 1, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 1, Shard: "a"}, {From: 1, To: 2, Shard: "b"}}, failover: true,
 		prefix: "decide 0 a; regrant 0 a; granted 0 a; decide 0 a; commit 0 a; decide 1 b", depth: 5},
 	{name: "a state that was resharded", reshard: true, tasks: 3, depth: 7, cancel: true},
-	{name: "a limit in a state that was resharded", reshard: true, limit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
-	{name: "a limit that is granted twice in a state that was resharded", reshard: true, ended: true, limit: 1, tasks: 3,
+	{name: "a limit in a state that was resharded", reshard: true, teamLimit: 2, tasks: 4, failover: true, prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 5},
+	{name: "a limit that is granted twice in a state that was resharded", reshard: true, secondEnded: true, teamLimit: 1, tasks: 3,
 		prefix: "report 0 a; report 0 a; report 1 b; report 1 b", depth: 8},
 	{name: "a gang that is co-allocated", gang: true, tasks: 2, ranges: []store.ShardRange{{From: 0, To: 2, Shard: "a"}}, cancel: true,
 		prefix: "decide 0 a; decide 0 a; commit 0 a; sync 1; decide 1 b", depth: 8},
@@ -113,10 +116,11 @@
 		prefix: "decide 0 a; commit 0 a; report 0 a", depth: 5},
 }
 
+// newModel returns the initial state of a scenario, before the steps of its prefix.
 func newModel(s *scenario) *model {
-	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, limit: s.limit, spread: s.spread, tasks: s.tasks}
+	m := &model{cfg: traceConfig(), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, workers: map[string]*modelWorker{}, teamLimit: s.teamLimit, spread: s.spread, tasks: s.tasks}
 	m.cfg.Tuning.Shards.By, m.cfg.Zones = "zone", []string{"a", "b"}
-	m.cfg.Teams = []config.Team{{Name: "red", GPUs: s.limit, GPUsMax: s.limit}}
+	m.cfg.Teams = []config.Team{{Name: "red", GPUs: s.teamLimit, GPUsMax: s.teamLimit}}
 	j := &wire.Job{ID: "wk-1", Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img", Spread: s.spread}
 	if s.gang {
 		j.Shape = wire.Gang
@@ -129,29 +133,29 @@
 		m.controllers[i] = controller
 	}
 	if s.reshard {
-		m.divide()
+		m.reshardState()
 	}
 	for i, zone := range []string{"a", "b"} {
-		m.workers[zone] = &modelWorker{zone: zone, runs: map[wire.TaskID]uint64{}, done: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
-		if s.reshard && (i == 0 || !s.ended) {
-			m.workers[zone].runs[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
+		m.workers[zone] = &modelWorker{zone: zone, running: map[wire.TaskID]uint64{}, finishedTasks: map[wire.TaskID]uint64{}, timedOut: map[wire.TaskID]uint64{}}
+		if s.reshard && (i == 0 || !s.secondEnded) {
+			m.workers[zone].running[wire.TaskID{Job: "wk-1", Index: i}] = uint64(i + 1)
 		}
-		m.claim(m.controllers[i], zone)
-		m.report(m.controllers[i], m.workers[zone]) // raises the fencing token there
-		m.report(m.controllers[i], m.workers[zone])
+		m.electLeader(m.controllers[i], zone)
+		m.sendHeartbeat(m.controllers[i], m.workers[zone]) // raises the machine's fencing token
+		m.sendHeartbeat(m.controllers[i], m.workers[zone])
 	}
 	return m
 }
 
-// divide makes a state of one shard, with a task on each machine, into one of two.
-func (m *model) divide() {
-	slot := store.SegmentRecord{Entries: map[string]wire.Raw{}}
+// reshardState begins with a state of one shard that has a task on each machine, and splits it into two shards.
+func (m *model) reshardState() {
+	segment := store.SegmentRecord{Entries: map[string]wire.Raw{}}
 	for i, zone := range []string{"a", "b"} {
 		e := store.MachineEntry("n-"+zone, store.MachineRecord{Addr: "10.1.0.1:9000", Type: "g1", Zone: zone, Incarnation: 1,
 			Tasks: map[string]uint64{wire.TaskID{Job: "wk-1", Index: i}.String(): uint64(i + 1)}})
-		slot.Entries[e.Key] = e.Value
+		segment.Entries[e.Key] = e.Value
 	}
-	m.apply([]wire.Operation{{Put: store.SegmentKey("fleet", 0), Value: slot}})
+	m.apply([]wire.Operation{{Put: store.SegmentKey("fleet", 0), Value: segment}})
 	m.sync(m.controllers[0])
 	state := m.controllers[0].view.ShardingState()
 	txn, err := reshard.Transaction(&state, m.cfg.Sharding(), func(job string) (store.TaskDemand, bool) {
@@ -161,13 +165,13 @@
 	if err != nil {
 		panic(err)
 	}
-	if m.granted = m.limit; m.limit > 0 {
-		m.granted = max(m.limit, 2)
+	if m.grantBound = m.teamLimit; m.teamLimit > 0 {
+		m.grantBound = max(m.teamLimit, 2)
 	}
 	m.apply(txn.Then)
 }
 
-// apply changes the store.
+// apply applies operations to the store and returns the new revision.
 func (m *model) apply(then []wire.Operation) uint64 {
 	m.revision++
 	for _, c := range then {
@@ -184,6 +188,7 @@
 	return m.revision
 }
 
+// conditionsHold reports whether a transaction's conditions hold in the store.
 func (m *model) conditionsHold(t wire.Txn) bool {
 	for _, c := range t.If {
 		if m.keys[c.Key].version != c.Version {
@@ -193,20 +198,23 @@
 	return true
 }
 
+// sync brings a controller's view up to date with the store.
 func (m *model) sync(controller *modelController) {
-	var ch wire.WatchResponse
+	var response wire.WatchResponse
 	for _, e := range m.log {
 		if e.Version > controller.seenRevision {
-			ch.Events = append(ch.Events, e)
+			response.Events = append(response.Events, e)
 		}
 	}
-	ch.Revision, controller.seenRevision = m.revision, m.revision
-	controller.view.Apply(&ch)
+	response.Revision, controller.seenRevision = m.revision, m.revision
+	controller.view.Apply(&response)
 }
 
+// modelTime is the fixed time of the model, and the time at which the model with time starts.
 var modelTime = time.Unix(1e9, 0)
 
-func (m *model) claim(controller *modelController, shard string) {
+// electLeader has a controller win a shard and start its leader.
+func (m *model) electLeader(controller *modelController, shard string) {
 	m.sync(controller)
 	token := controller.view.FencingToken().Record + 1
 	rev := m.apply([]wire.Operation{{Put: store.FencingTokenKey, Value: token}, {Put: store.LeaderKey(shard), Value: store.LeaderRecord{Leader: controller.name, FencingToken: token}}})
@@ -214,23 +222,23 @@
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30}}
 	types[0].Zones = []string{"a", "b"}
 	leader := New(m.cfg, leadership.Tenure{Shard: shard, FencingToken: token, Version: rev, Revision: rev}, controller.view.Snapshot(), controller.view.ShardLedgers(shard), types, controller.view, modelTime, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for _, spot := range []bool{false, true} { // no machines but these
+	for _, spot := range []bool{false, true} { // no more machines can be had
 		leader.scaler.Add(modelTime, "x", scheduler.ScaleOut{Offer: scheduler.Offer{Type: "g1", Zone: shard, Spot: spot}, Count: 1})
 		leader.scaler.Complete(modelTime, "x", 0)
 	}
 	controller.leaders[shard] = &modelLeader{Leader: leader}
 }
 
-// report has a machine send a heartbeat to a controller, and carries out the answer.
-func (m *model) report(controller *modelController, w *modelWorker) {
+// sendHeartbeat sends a worker's heartbeat to a controller and carries out the response.
+func (m *model) sendHeartbeat(controller *modelController, w *modelWorker) {
 	leader := controller.leaders[w.zone]
 	w.seq++
 	hb := &wire.Heartbeat{Machine: "n-" + w.zone, Addr: "10.1.0.1:9000", Type: "g1", Zone: w.zone, Incarnation: 1, Seq: w.seq, FencingToken: w.token}
-	for _, t := range sortedTasks(w.runs) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.runs[t], State: wire.TaskRunning})
+	for _, t := range sortedTasks(w.running) {
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.running[t], State: wire.TaskRunning})
 	}
-	for _, t := range sortedTasks(w.done) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.done[t], State: wire.TaskEnded, Cause: wire.CauseDone})
+	for _, t := range sortedTasks(w.finishedTasks) {
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.finishedTasks[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
 		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
@@ -244,14 +252,14 @@
 		id, _ := wire.ParseTaskID(c.Task)
 		switch c.Verb {
 		case wire.Launch:
-			if w.runs[id] == 0 && w.done[id] == 0 && w.timedOut[id] != c.Attempt {
+			if w.running[id] == 0 && w.finishedTasks[id] == 0 && w.timedOut[id] != c.Attempt {
 				m.start(w, id, c.Attempt)
 			}
 		case wire.Stop:
-			delete(w.runs, id)
+			delete(w.running, id)
 		case wire.Clear:
-			if w.done[id] == c.Attempt {
-				delete(w.done, id)
+			if w.finishedTasks[id] == c.Attempt {
+				delete(w.finishedTasks, id)
 			}
 			if w.timedOut[id] == c.Attempt {
 				delete(w.timedOut, id)
@@ -260,42 +268,44 @@
 	}
 }
 
+// start starts a task on a worker and checks that it may run there.
 func (m *model) start(w *modelWorker, id wire.TaskID, attempt uint64) {
-	on := 0.0
+	running := 0.0
 	for _, other := range m.workers {
-		if other.runs[id] != 0 {
+		if other.running[id] != 0 {
 			m.violate("ran_twice: %v starts in %s", id, w.zone)
 		}
-		on += float64(len(other.runs))
+		running += float64(len(other.running))
 	}
-	w.runs[id] = attempt
-	if m.limit > 0 && on+1 > m.limit {
-		m.violate("quota: %v tasks run", on+1)
+	w.running[id] = attempt
+	if m.teamLimit > 0 && running+1 > m.teamLimit {
+		m.violate("quota: %v tasks run", running+1)
 	}
-	if m.spread && len(w.runs) > (m.tasks+1)/2 {
-		m.violate("wrong_place: %d tasks in %s", len(w.runs), w.zone)
+	if m.spread && len(w.running) > (m.tasks+1)/2 {
+		m.violate("wrong_place: %d tasks in %s", len(w.running), w.zone)
 	}
 }
 
+// violate records the first violation of a rule.
 func (m *model) violate(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// checkStore checks what must hold of the records at any time.
+// checkStore checks the invariants of the stored records.
 func (m *model) checkStore() {
 	var batch store.BatchRecord
 	if wire.DecodeValue(m.keys[store.BatchKey("x")].raw, &batch) == nil {
 		rec := batch.Jobs["wk-1"]
-		at := 0
+		next := 0
 		for _, r := range rec.Ranges {
-			if r.From != at || r.To <= r.From {
+			if r.From != next || r.To <= r.From {
 				m.violate("ranges: %v", rec.Ranges)
 			}
-			at = r.To
+			next = r.To
 		}
-		if !rec.Stage.Final() && at != m.tasks && len(rec.Ranges) > 0 {
+		if !rec.Stage.Final() && next != m.tasks && len(rec.Ranges) > 0 {
 			m.violate("ranges: %v", rec.Ranges)
 		}
 		if rec.Stage == wire.Done {
@@ -312,18 +322,19 @@
 		for _, g := range grants.Teams["red"] {
 			sum += g[1]
 		}
-		if m.granted = min(max(m.granted, m.limit), max(sum, m.limit)); m.limit > 0 && sum > m.granted+1e-6 { // it never rises above
+		if m.grantBound = min(max(m.grantBound, m.teamLimit), max(sum, m.teamLimit)); m.teamLimit > 0 && sum > m.grantBound+1e-6 { // the bound never rises again
 			m.violate("grants: %v", grants.Teams)
 		}
 	}
 }
 
+// sortedTasks returns the tasks in the order of their names.
 func sortedTasks(tasks map[wire.TaskID]uint64) []wire.TaskID {
 	return slices.SortedFunc(maps.Keys(tasks), func(a, b wire.TaskID) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// steps lists what can happen next.
-func (m *model) steps(s *scenario) []string {
+// possibleSteps lists the steps that can be taken next.
+func (m *model) possibleSteps(s *scenario) []string {
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	for i, controller := range m.controllers {
@@ -348,7 +359,7 @@
 			default:
 				add("commit %d %s", i, shard)
 			}
-			if m.limit > 0 {
+			if m.teamLimit > 0 {
 				if leader.grantChange == nil {
 					add("regrant %d %s", i, shard)
 				} else {
@@ -369,8 +380,8 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		switch w := m.workers[zone]; {
-		case len(w.runs) == 0:
-		case m.whole():
+		case len(w.running) == 0:
+		case m.canFinish():
 			add("finish 0 %s", zone)
 		default:
 			add("alone 0 %s", zone)
@@ -382,26 +393,26 @@
 	return out
 }
 
-// take makes a step.
-func (m *model) take(step string) {
-	f := strings.Fields(step)
+// takeStep takes a step.
+func (m *model) takeStep(step string) {
+	words := strings.Fields(step)
 	var controller *modelController
 	var leader *modelLeader
 	i, shard := 0, ""
-	if len(f) > 1 {
-		i, _ = strconv.Atoi(f[1])
+	if len(words) > 1 {
+		i, _ = strconv.Atoi(words[1])
 	}
-	if len(f) > 2 {
-		shard, controller = f[2], m.controllers[i]
+	if len(words) > 2 {
+		shard, controller = words[2], m.controllers[i]
 		leader = controller.leaders[shard]
 	}
-	switch f[0] {
+	switch words[0] {
 	case "sync":
 		m.sync(m.controllers[i])
 	case "claim":
-		m.claim(controller, shard)
+		m.electLeader(controller, shard)
 	case "report":
-		m.report(controller, m.workers[shard])
+		m.sendHeartbeat(controller, m.workers[shard])
 	case "decide":
 		m.decide(controller, leader, shard)
 	case "commit":
@@ -410,7 +421,7 @@
 		leader.grantChange = leader.ProposeGrants()
 	case "granted":
 		m.settleGrants(controller, leader)
-	case "lose": // the lease has run out; the leader does not know yet
+	case "lose": // the lease has expired, and the leader does not know it yet
 		m.apply([]wire.Operation{{Delete: store.LeaderKey(shard)}})
 	case "die":
 		m.endLeader(controller, shard)
@@ -425,7 +436,7 @@
 	}
 }
 
-// decide has a leader decide a round, with what the leader of the other shard says of itself.
+// decide has a leader decide a round, knowing the current status of the other shard's leader.
 func (m *model) decide(controller *modelController, leader *modelLeader, shard string) {
 	other := map[string]string{"a": "b", "b": "a"}[shard]
 	status := ShardStatus{Rooms: map[string]scheduler.FreeCapacity{"c": {Now: 9}}}
@@ -441,7 +452,7 @@
 	leader.draft = leader.Decide(modelTime, controller.view.Snapshot())
 }
 
-// commit has the store take a leader's round, or refuse it.
+// commit sends a leader's round to the store, which applies or rejects it.
 func (m *model) commit(controller *modelController, leader *modelLeader) {
 	if m.conditionsHold(leader.draft.Txn) {
 		rev := m.apply(leader.draft.Txn.Then)
@@ -453,7 +464,7 @@
 	leader.draft = nil
 }
 
-// settleGrants has the store take a leader's change of grants, or refuse it.
+// settleGrants sends a leader's change of grants to the store, which applies or rejects it.
 func (m *model) settleGrants(controller *modelController, leader *modelLeader) {
 	if m.conditionsHold(leader.grantChange.Txn) {
 		m.apply(leader.grantChange.Txn.Then)
@@ -463,7 +474,7 @@
 	leader.grantChange = nil
 }
 
-// endLeader ends a leader whose transactions are still on their way.
+// endLeader ends a leader; its open transactions stay in flight.
 func (m *model) endLeader(controller *modelController, shard string) {
 	leader := controller.leaders[shard]
 	if leader.draft != nil {
@@ -475,41 +486,41 @@
 	delete(controller.leaders, shard)
 }
 
-// deliverLateTxn has a transaction that was on its way arrive.
+// deliverLateTxn delivers a transaction that was in flight.
 func (m *model) deliverLateTxn(i int) {
-	t := m.lateTxns[i]
+	txn := m.lateTxns[i]
 	m.lateTxns = slices.Delete(m.lateTxns, i, i+1)
-	if m.conditionsHold(t) {
-		m.apply(t.Then)
+	if m.conditionsHold(txn) {
+		m.apply(txn.Then)
 	}
 }
 
-// timeOut ends what runs: the gang was not complete in time, or has lost a task.
+// timeOut ends the worker's running tasks: their gang was not complete in time, or has lost a task.
 func (w *modelWorker) timeOut() {
-	for id, n := range w.runs {
-		w.timedOut[id] = n
+	for id, attempt := range w.running {
+		w.timedOut[id] = attempt
 	}
-	clear(w.runs)
+	clear(w.running)
 }
 
-// finish has a task of a machine complete; the tasks of a gang complete together.
+// finish completes a task of a worker; the tasks of a gang complete together.
 func (m *model) finish(w *modelWorker) {
 	if m.gang {
 		for _, other := range m.workers {
-			for id, n := range other.runs {
-				other.done[id], m.completed[id] = n, true
+			for id, attempt := range other.running {
+				other.finishedTasks[id], m.completed[id] = attempt, true
 			}
-			clear(other.runs)
+			clear(other.running)
 		}
 		return
 	}
-	id := sortedTasks(w.runs)[0]
-	w.done[id] = w.runs[id]
+	id := sortedTasks(w.running)[0]
+	w.finishedTasks[id] = w.running[id]
 	m.completed[id] = true
-	delete(w.runs, id)
+	delete(w.running, id)
 }
 
-// cancel is the user's request.
+// cancel stores the user's cancellation of the job.
 func (m *model) cancel() {
 	m.cancelled = true
 	if job, ok := m.liveJob(); ok {
@@ -519,23 +530,23 @@
 	}
 }
 
-// whole reports whether what runs may complete: of a gang, all tasks run, with the same
+// canFinish reports whether running tasks can complete. Those of a gang can only when all of them run under the same
 // attempt.
-func (m *model) whole() bool {
+func (m *model) canFinish() bool {
 	if !m.gang {
 		return true
 	}
-	attempts, n := map[uint64]bool{}, 0
+	attempts, running := map[uint64]bool{}, 0
 	for _, other := range m.workers {
-		for _, a := range other.runs {
+		for _, a := range other.running {
 			attempts[a] = true
-			n++
+			running++
 		}
 	}
-	return n == m.tasks && len(attempts) == 1
+	return running == m.tasks && len(attempts) == 1
 }
 
-// liveJob looks the job up in the store itself.
+// liveJob looks up the job in the store itself, not in a controller's view.
 func (m *model) liveJob() (*store.LiveJob, bool) {
 	v := store.NewView(slog.New(slog.DiscardHandler))
 	c := m.keys[store.BatchKey("x")]
@@ -543,7 +554,7 @@
 	return v.Live("wk-1")
 }
 
-// fingerprint tells states apart.
+// fingerprint returns a hash by which states are told apart.
 func (m *model) fingerprint() uint64 {
 	d := xxhash.New()
 	put := func(format string, args ...any) { fmt.Fprintf(d, format+"\n", args...) }
@@ -563,7 +574,7 @@
 		for _, shard := range slices.Sorted(maps.Keys(controller.leaders)) {
 			leader := controller.leaders[shard]
 			driver := &traceDriver{leader: leader.Leader}
-			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.show(), leader.rebuilt, leader.quota.Forecast().Demands)
+			put("%s %d %v %v %v", shard, leader.lease.FencingToken, driver.describePlacements(), leader.rebuilt, leader.quota.Forecast().Demands)
 			put("%v %v", leader.quota, leader.targets)
 			for _, id := range sortedKeys(leader.jobStates) {
 				j := leader.jobStates[id]
@@ -585,38 +596,38 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		w := m.workers[zone]
-		put("%s %d %v %v %v", zone, w.token, w.runs, w.done, w.timedOut)
+		put("%s %d %v %v %v", zone, w.token, w.running, w.finishedTasks, w.timedOut)
 	}
 	put("%v", m.cancelled)
 	return d.Sum64()
 }
 
-// modelAt plays a path from the beginning.
-func modelAt(s *scenario, path []string) *model {
+// replayPath returns the state that a path leads to from the start of a scenario.
+func replayPath(s *scenario, path []string) *model {
 	m := newModel(s)
 	for _, step := range strings.Split(s.prefix, "; ") {
 		if step != "" {
-			m.take(step)
+			m.takeStep(step)
 		}
 	}
 	for _, step := range path {
-		m.take(step)
+		m.takeStep(step)
 	}
 	return m
 }
 
-// search tries all orders of steps up to a depth, breadth first, and gives the shortest
-// path that breaks a rule.
-func search(s *scenario, depth int) (states int, path []string, broken string) {
-	seen := map[uint64]bool{}
+// search tries all orders of steps up to a depth, breadth first, and returns the shortest path that breaks a rule
+// and the violation.
+func search(s *scenario, depth int) (states int, path []string, brokenRule string) {
+	visited := map[uint64]bool{}
 	level := [][]string{nil}
 	for range depth {
-		type found struct {
-			path   []string
-			sum    uint64
-			broken string
+		type successor struct {
+			path       []string
+			hash       uint64
+			brokenRule string
 		}
-		next := make([][]found, len(level))
+		next := make([][]successor, len(level))
 		var group sync.WaitGroup
 		work := make(chan int)
 		for range runtime.GOMAXPROCS(0) {
@@ -624,10 +635,10 @@
 			go func() {
 				defer group.Done()
 				for i := range work {
-					for _, step := range modelAt(s, level[i]).steps(s) {
-						p := append(slices.Clone(level[i]), step)
-						m := modelAt(s, p)
-						next[i] = append(next[i], found{p, m.fingerprint(), m.violation})
+					for _, step := range replayPath(s, level[i]).possibleSteps(s) {
+						extended := append(slices.Clone(level[i]), step)
+						m := replayPath(s, extended)
+						next[i] = append(next[i], successor{extended, m.fingerprint(), m.violation})
 					}
 				}
 			}()
@@ -638,22 +649,22 @@
 		close(work)
 		group.Wait()
 		level = nil
-		for _, list := range next {
-			for _, f := range list {
-				if f.broken != "" {
-					return len(seen), f.path, f.broken
+		for _, successors := range next {
+			for _, state := range successors {
+				if state.brokenRule != "" {
+					return len(visited), state.path, state.brokenRule
 				}
-				if !seen[f.sum] {
-					seen[f.sum] = true
-					level = append(level, f.path)
+				if !visited[state.hash] {
+					visited[state.hash] = true
+					level = append(level, state.path)
 				}
 			}
 		}
 	}
-	return len(seen), nil, ""
+	return len(visited), nil, ""
 }
 
-// TestModel searches each scenario. AMBERDEAL_DEPTH adds steps.
+// TestModel searches each scenario for a path that breaks a rule. AMBERDEAL_DEPTH=N searches N steps deeper.
 func TestModel(t *testing.T) {
 	defer func(d time.Duration) { handoverAfter = d }(handoverAfter)
 	handoverAfter = 0
@@ -661,9 +672,9 @@
 	for i := range scenarios {
 		s := &scenarios[i]
 		t.Run(s.name, func(t *testing.T) {
-			states, path, broken := search(s, s.depth+more)
-			if broken != "" {
-				t.Errorf("%s, by %s", broken, strings.Join(path, "; "))
+			states, path, violation := search(s, s.depth+more)
+			if violation != "" {
+				t.Errorf("%s, by %s", violation, strings.Join(path, "; "))
 			}
 			t.Logf("%d steps, %d states", s.depth+more, states)
 		})
