--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -6,66 +6,67 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Event is something that a heartbeat or an expired lease has shown.
+// Event is a change of a placement that a heartbeat or an expired lease has revealed.
 type Event struct {
 	Placement  *Placement
-	Gone       bool // it is no longer there, and was not seen to end
-	Unlaunched bool // it is there, or there again, by no launch of this leader that was still on its way
+	Gone       bool // it is no longer on the machine, and its end was not seen
+	Unlaunched bool // it has appeared, or reappeared, although no launch by this leader was pending
 }
 
-// IsNewer reports whether a heartbeat is newer than all that came of its machine, also of one that
-// is gone. A late copy is evidence of nothing, not even of the machine's zone.
-func (f *Fleet) IsNewer(r *wire.Heartbeat) bool {
-	last, gone := f.releasedMachines[r.Machine]
+// IsNewer reports whether a heartbeat is newer than all earlier ones from its machine, which may have
+// been removed since. A late duplicate proves nothing, not even that the machine's zone is reachable.
+func (f *Fleet) IsNewer(hb *wire.Heartbeat) bool {
+	last, gone := f.releasedMachines[hb.Machine]
 	if !gone {
-		last = f.goneMachines[r.Machine]
+		last = f.removedMachines[hb.Machine]
 	}
-	if m := f.machines[r.Machine]; m != nil {
-		last = m.lastMessage()
+	if m := f.machines[hb.Machine]; m != nil {
+		last = m.lastHeartbeatID()
 	}
-	return last.before(r)
+	return last.before(hb)
 }
 
-// messageNumber orders the messages of a machine.
-type messageNumber struct{ incarnation, seq uint64 }
+// heartbeatID orders the heartbeats of a machine.
+type heartbeatID struct{ incarnation, seq uint64 }
 
-func (n messageNumber) before(r *wire.Heartbeat) bool {
-	return r.Incarnation > n.incarnation || r.Incarnation == n.incarnation && r.Seq > n.seq
+func (n heartbeatID) before(hb *wire.Heartbeat) bool {
+	return hb.Incarnation > n.incarnation || hb.Incarnation == n.incarnation && hb.Seq > n.seq
 }
 
-// ApplyHeartbeat takes in a worker's heartbeat, whichever way it came. A heartbeat proves that an
-// unseen launch was not taken only if the worker sent it by itself (own), and not as the answer to
-// a call: the response that carried the launch may be in flight beside any other.
-func (f *Fleet) ApplyHeartbeat(now time.Time, r *wire.Heartbeat, own bool) []Event {
-	if f.IsReleased(r.Machine) || !f.IsNewer(r) {
-		return nil // its list is as old as itself; what is gone since would be launched on
-	}
-	m := f.EnsureMachine(now, r.Machine, r.Type, r.Zone, r.Spot)
-	known := m.SeenAtToken // all that earlier leaders launched has been seen
+// ApplyHeartbeat applies a worker's heartbeat, whichever way it was received, and returns the changes
+// that it reveals. If a launch is not listed yet, only an unsolicited heartbeat proves that it was lost,
+// that is, one that the worker did not send in reply to a call: the response that carried the launch
+// may still be in flight when a call is answered.
+func (f *Fleet) ApplyHeartbeat(now time.Time, hb *wire.Heartbeat, unsolicited bool) []Event {
+	if f.IsReleased(hb.Machine) || !f.IsNewer(hb) {
+		return nil // its task list is outdated, and a machine that is gone since would be launched on
+	}
+	m := f.EnsureMachine(now, hb.Machine, hb.Type, hb.Zone, hb.Spot)
+	allTasksKnown := m.SeenAtToken // everything that earlier leaders launched has been listed
 	var events []Event
-	if r.Incarnation > m.Incarnation {
-		events = f.enterIncarnation(now, m, r.Incarnation, own)
+	if hb.Incarnation > m.Incarnation {
+		events = f.enterIncarnation(now, m, hb.Incarnation, unsolicited)
 	}
-	f.noteContact(now, m, r, own)
-	for _, t := range r.Tasks {
-		if e, changed := f.applyTaskStatus(now, m, t, known); changed {
+	f.applyMachineStatus(now, m, hb, unsolicited)
+	for _, t := range hb.Tasks {
+		if e, changed := f.applyTaskStatus(now, m, t, allTasksKnown); changed {
 			events = append(events, e)
 		}
 	}
-	if m.SeenAtToken && r.FencingToken >= f.FencingToken {
-		events = append(events, f.reconcileMissing(now, m, own)...)
+	if m.SeenAtToken && hb.FencingToken >= f.FencingToken {
+		events = append(events, f.reconcileMissing(now, m, unsolicited)...)
 	}
-	if own {
-		m.heartbeatSeq, m.heartbeatAt = r.Seq, now
+	if unsolicited {
+		m.heartbeatSeq, m.heartbeatAt = hb.Seq, now
 	}
 	return events
 }
 
-// enterIncarnation records that a machine's worker has begun a new incarnation (proof 2): it has forgotten all
-// tasks of earlier incarnations, and executes nothing that was sent to one.
-func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, own bool) (events []Event) {
-	if own && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it has not taken that response
-		m.certain(now)
+// enterIncarnation records that a machine's worker has begun a new incarnation (proof 2). The worker has
+// dropped all tasks of earlier incarnations and executes no commands that were sent to them.
+func (f *Fleet) enterIncarnation(now time.Time, m *Machine, incarnation uint64, unsolicited bool) (events []Event) {
+	if unsolicited && m.incarnationSeen && now.Sub(m.LastResponse) < f.workerLease { // it did not receive that response
+		m.markCommandsLost(now)
 	}
 	for _, p := range m.Placements() {
 		if (p.State != Planned || p.callPending) && (m.SeenAtToken || !p.restored) {
@@ -77,68 +78,70 @@
 	return events
 }
 
-// noteContact applies what a heartbeat shows about the machine itself.
-func (f *Fleet) noteContact(now time.Time, m *Machine, r *wire.Heartbeat, own bool) {
+// applyMachineStatus applies what a heartbeat shows about the machine itself, apart from its tasks.
+func (f *Fleet) applyMachineStatus(now time.Time, m *Machine, hb *wire.Heartbeat, unsolicited bool) {
 	if !m.incarnationSeen {
-		// An incarnation has a lease of its own that counts from its beginning, which may have been
-		// just now.
+		// Each incarnation has its own lease that counts from its beginning, which may be as late as
+		// now.
 		m.incarnationSeen = true
-		m.noteResponse(now)
+		m.recordResponse(now)
 	}
-	if own {
+	if unsolicited {
 		m.firstCallSinceHeartbeat = time.Time{}
 	} else if m.firstCallSinceHeartbeat.IsZero() {
 		m.firstCallSinceHeartbeat = now
 	}
 	switch {
-	case !own:
-		m.lostCommands = 0 // a call was answered
-	case r.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
-		m.noteLostCommand(now) // nor taken the token from the response to its last heartbeat
+	case !unsolicited:
+		m.suspectedLosses = 0 // it has answered a call
+	case hb.FencingToken < f.FencingToken && m.heartbeatSeq > 0:
+		m.recordLostCommand(now) // it did not adopt the token from the response to its last heartbeat
 	}
-	m.lastSeq = r.Seq
-	m.Addr, m.LastHeartbeat = r.Addr, now
+	m.lastSeq = hb.Seq
+	m.Addr, m.LastHeartbeat = hb.Addr, now
 	if !m.Up {
 		m.Up, m.UpSince, m.IdleSince = true, now, now
 	}
-	if r.TerminationNoticeS != nil {
-		m.TerminationTime = now.Add(wire.Seconds(*r.TerminationNoticeS))
+	if hb.TerminationNoticeS != nil {
+		m.TerminationTime = now.Add(wire.Seconds(*hb.TerminationNoticeS))
 	}
-	if r.FencingToken == f.FencingToken && !m.SeenAtToken {
-		m.SeenAtToken, m.lostCommands = true, 0
-		m.noteResponse(now) // an earlier leader's response may have come until now
+	if hb.FencingToken == f.FencingToken && !m.SeenAtToken {
+		m.SeenAtToken, m.suspectedLosses = true, 0
+		m.recordResponse(now) // it may have received responses of an earlier leader until now
 	}
 }
 
-// reconcileMissing deals with what a heartbeat at the own token does not list (proof 1).
-func (f *Fleet) reconcileMissing(now time.Time, m *Machine, own bool) (events []Event) {
-	lostLaunch := false // that a response carried
+// reconcileMissing handles the placements that a heartbeat at the leader's own token does not list
+// (proof 1).
+func (f *Fleet) reconcileMissing(now time.Time, m *Machine, unsolicited bool) (events []Event) {
+	lostLaunch := false // whether a response that carried a launch was lost
 	for _, p := range m.Placements() {
 		switch {
-		case p.State == Planned || p.lastListed == m.lastMessage():
+		case p.State == Planned || p.lastListed == m.lastHeartbeatID():
 		case p.State != Sent:
 			f.removePlacement(m, p)
 			if p.State != Ended {
 				events = append(events, Event{Placement: p, Gone: true})
 			}
-		case own:
-			// One heartbeat is in flight at a time, and the response to it is executed before the
-			// next is made, or never: the launch was lost.
+		case unsolicited:
+			// The worker has one heartbeat in flight at a time and executes the response to it before
+			// it creates the next one, or never. So the launch was lost.
 			lostLaunch = lostLaunch || p.sentInResponse
-			if f.takeBackLaunch(m, p) {
+			if f.revertLostLaunch(m, p) {
 				events = append(events, Event{Placement: p, Gone: true})
 			}
 		}
 	}
 	if lostLaunch {
-		m.noteLostCommand(now)
+		m.recordLostCommand(now)
 	}
 	return events
 }
 
-// takeBackLaunch notes that the response that carried a launch was lost. The launch may be sent again,
-// unless it is to stop anyway: then its placement is removed.
-func (f *Fleet) takeBackLaunch(m *Machine, p *Placement) (removed bool) {
+// revertLostLaunch handles the loss of the response that carried a launch. The placement is planned
+// again, so that the launch can be resent. If it has been ordered to stop and no call is pending, it is
+// removed instead.
+func (f *Fleet) revertLostLaunch(m *Machine, p *Placement) (removed bool) {
 	p.State, p.sentInResponse = Planned, false
 	if p.Stop == nil || p.callPending {
 		return false
@@ -147,26 +150,26 @@
 	return true
 }
 
-// applyTaskStatus applies the status of one listed task and reports whether its state has changed.
-// Where all is known that may be on the machine, an attempt that appears, or is active again after its
-// end, was started by a late copy of a call, of which more may come.
-func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, known bool) (e Event, changed bool) {
-	p, state := m.findPlacement(t.ID, t.Attempt), stateOf(t.State)
+// applyTaskStatus applies the status of one listed task and reports whether its state has changed. If
+// all tasks that may be on the machine are known, an attempt that appears, or is active again after it
+// ended, was started by a late duplicate of a call, and more duplicates may follow.
+func (f *Fleet) applyTaskStatus(now time.Time, m *Machine, t wire.ReportedTask, allTasksKnown bool) (e Event, changed bool) {
+	p, state := m.findPlacement(t.ID, t.Attempt), stateFromWire(t.State)
 	appears := p == nil
 	if appears {
 		p = &Placement{Task: t.ID, Attempt: t.Attempt, Machine: m.ID, PlacedAt: now, Committed: true}
 		f.addPlacement(m, p)
 	}
 	e.Placement = p
-	if e.Unlaunched = known && (appears || p.State == Ended && state != Ended); e.Unlaunched {
+	if e.Unlaunched = allTasksKnown && (appears || p.State == Ended && state != Ended); e.Unlaunched {
 		p.sentByCall, p.endedAt = true, time.Time{}
 	}
 	if p.State == Sent {
-		m.lostCommands = 0
+		m.suspectedLosses = 0
 	}
 	changed = !p.Reported || p.State != state
 	p.Reported, p.State, p.Cause, p.Saved = true, state, t.Cause, t.Saved
-	p.lastListed = m.lastMessage()
+	p.lastListed = m.lastHeartbeatID()
 	if state == Running && p.StartedAt.IsZero() {
 		p.StartedAt = now
 	}
@@ -176,9 +179,9 @@
 	return e, changed
 }
 
-// stateOf returns the state of a placement from the status that its worker sent. A state that this version does
-// not know counts as running: the task is there.
-func stateOf(s wire.TaskState) State {
+// stateFromWire converts a task state that a worker reported to the state of a placement. A state unknown to
+// this version counts as running, since the task is on the machine.
+func stateFromWire(s wire.TaskState) State {
 	switch s {
 	case wire.TaskFetching:
 		return Fetching
--- a/internal/fleet/incarnation_test.go
+++ b/internal/fleet/incarnation_test.go
@@ -7,8 +7,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestImagesOutliveIncarnations: a worker whose lease has run out forgets its tasks, but its machine
-// keeps what it has fetched, except for what was still on its way.
+// TestImagesOutliveIncarnations checks that a machine keeps the images that it has fetched when its
+// worker drops its tasks and begins a new incarnation after its lease expired, but not the images that
+// were still being fetched.
 func TestImagesOutliveIncarnations(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	f := New(1, now, 30*time.Second, 0, 0)
@@ -18,6 +19,6 @@
 	m.UseImage(now, "coming", 20, 50, false)
 	f.ApplyHeartbeat(now, &wire.Heartbeat{Machine: "n-1", Incarnation: 2, Seq: 1, FencingToken: 1}, true)
 	if !m.HasImage("came") || m.HasImage("coming") || m.totalGB != 20 {
-		t.Errorf("came: %v, coming: %v, %v GB", m.HasImage("came"), m.HasImage("coming"), m.totalGB)
+		t.Errorf("fetched: %v, fetching: %v, %v GB", m.HasImage("came"), m.HasImage("coming"), m.totalGB)
 	}
 }
