--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -11,9 +11,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestCheckerFindsInjectedViolations has a host that is no controller start a task of a job whose
-// user was told that it is cancelled, and registers a job that no controller knows beside machines
-// with free capacity. The checkers have to find both violations and no other.
+// TestCheckerFindsInjectedViolations injects two violations: a host that is not a controller starts
+// a task of a job whose user was told that it is cancelled, and the checker is told of an accepted
+// job that no controller knows while machines have free capacity. The checkers have to report both
+// and nothing else.
 func TestCheckerFindsInjectedViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 51, 0, nil)
@@ -22,7 +23,7 @@
 			5*time.Minute, 20*time.Second)
 		time.Sleep(40 * time.Second)
 		if w.checker.Stage("wk-2") != wire.Cancelled {
-			t.Fatal("not cancelled")
+			t.Fatal("wk-2 was not cancelled")
 		}
 		w.declareQuiet()
 		time.Sleep(3 * time.Second)
@@ -39,10 +40,10 @@
 		w.finish(5 * time.Minute)
 		broken := w.checker.Violations()
 		if all := strings.Join(broken, "\n"); len(broken) != 2 || !strings.Contains(all, "launched_cancelled: wk-2/1#99 by 10.5.0.1") || !strings.Contains(all, "left_waiting: wk-3") {
-			t.Errorf("%s", all)
+			t.Errorf("reported violations:\n%s", all)
 		}
 		if starts, launches := w.checker.Launches.AfterCancellation(); len(starts) != 1 || len(launches) != 1 {
-			t.Errorf("%v, %v", starts, launches)
+			t.Errorf("after the cancellation: starts %v, launches %v; want one of each", starts, launches)
 		}
 	})
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// repositoryRoot is the way from this package's directory, in which its tests run, to the module's.
+// repositoryRoot is the path of the module's root, relative to this package's directory, in which its tests run.
 const repositoryRoot = "../.."
 
-// guard is a line of the sources, with and without the guard.
+// guard is a safety check in the sources: part of a line with the check, and the same without it.
 type guard struct{ name, file, with, without string }
 
-// guards reads testdata/guards.txt.
+// guards returns the guards that testdata/guards.txt lists.
 func guards(t *testing.T) (out []guard) {
 	text, err := os.ReadFile("testdata/guards.txt")
 	if err != nil {
@@ -26,26 +26,26 @@
 		switch {
 		case len(l) == 4:
 			out = append(out, guard{strings.TrimPrefix(l[0], "# "), l[1], strings.TrimPrefix(l[2], "- "), strings.TrimPrefix(l[3], "+ ")})
-		case strings.Contains(g, "\n- "): // a heading has no such line
-			t.Errorf("a guard of %d lines, of 4 demanded: %q", len(l), g)
+		case strings.Contains(g, "\n- "): // headings have no such line
+			t.Errorf("guard entry has %d lines, want 4: %q", len(l), g)
 		}
 	}
 	return out
 }
 
-// TestGuardsApply checks that each guard still names exactly one place of its file.
+// TestGuardsApply checks that the text of each guard occurs exactly once in its file.
 func TestGuardsApply(t *testing.T) {
 	for _, g := range guards(t) {
 		b, err := os.ReadFile(filepath.Join(repositoryRoot, g.file))
 		if n := strings.Count(string(b), g.with); err != nil || n != 1 {
-			t.Errorf("%s: %s has %d of %q, %v", g.name, g.file, n, g.with, err)
+			t.Errorf("%s: %s contains %q %d times, want once (read error: %v)", g.name, g.file, g.with, n, err)
 		}
 	}
 }
 
 // TestGuardsAreNeeded removes each guard of testdata/guards.txt from a copy of the sources, and
-// requires that a kept trace, the model or a simulation fails. It takes minutes, and runs with
-// AMBERDEAL_GUARDS=1 only.
+// requires that a recorded trace, the model or a simulation then fails. It takes minutes, and runs
+// only with AMBERDEAL_GUARDS=1.
 func TestGuardsAreNeeded(t *testing.T) {
 	if os.Getenv("AMBERDEAL_GUARDS") == "" {
 		t.Skip("AMBERDEAL_GUARDS is not set")
@@ -84,11 +84,11 @@
 					if strings.Contains(string(out), "build failed") {
 						t.Fatalf("%s", out)
 					}
-					fmt.Printf("%s: seen by %v\n", g.name, args)
+					fmt.Printf("%s: detected by %v\n", g.name, args)
 					return
 				}
 			}
-			t.Error("nothing sees that it is gone")
+			t.Error("no test fails without this guard")
 		})
 	}
 }
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -36,59 +36,60 @@
 	cloud   *simulator.Cloud
 	checker *simulator.Checker
 	tasks   *taskObserver
-	fixture simulator.Fixture // of the machines, if it is not tasks
+	fixture simulator.Fixture // receives the machines' task events; tasks if nil
 	rng     *rand.Rand
 	nodes   []*node
 	group   sync.WaitGroup
 	ctx     context.Context
 	stop    context.CancelFunc
-	// changeSettings changes the settings of the controllers, for example to remove a guard.
+	// changeSettings, if set, modifies each controller's settings, for example to disable a guard.
 	changeSettings func(*config.Config)
 	rngMu          sync.Mutex
-	// polling polls all accepted jobs, in addition to the users who submitted them.
+	// polling holds the users who poll all accepted jobs, in addition to the users who submitted them.
 	polling    *simulator.Users
-	dial       func(ctx context.Context, addr string) (net.Conn, error) // by which users reach controllers, if it is set
+	dial       func(ctx context.Context, addr string) (net.Conn, error) // overrides how polling users connect to controllers, if set
 	pollGroup  sync.WaitGroup
 	replayer   *simulator.HeartbeatReplayer
-	quietSince time.Time              // since when no fault is active; zero until declareQuiet
-	runtime    *simulator.TaskRuntime // that all machines share
+	quietSince time.Time              // when the last fault ended; zero until declareQuiet
+	runtime    *simulator.TaskRuntime // shared by all machines
 }
 
-// node is a controller.
+// node is a simulated controller host, which outlives the incarnations of its process.
 type node struct {
 	ip   string
-	host simulator.Host // of its present incarnation
+	host simulator.Host // of the current incarnation
 	stop context.CancelFunc
 	done chan struct{}
-	down atomic.Bool
+	down atomic.Bool // while the process is killed and not yet restarted
 }
 
-// workerLease is how long a worker's lease lasts.
+// workerLease is the duration of a worker's lease.
 const workerLease = 20 * time.Second
 
-// g4 is the machine type of the cloud.
+// g4 is the only machine type of the simulated cloud.
 var g4 = wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a", "b"}}
 
-// newSimulation starts a simulation of three controllers.
-func newSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
-	return newSimulationOf(t, 3, seed, lossy, tamper)
+// newSimulation starts a simulation of three controllers. See newSimulationOf for the parameters.
+func newSimulation(t *testing.T, seed uint64, lossShare float64, changeSettings func(*config.Config)) *simulation {
+	return newSimulationOf(t, 3, seed, lossShare, changeSettings)
 }
 
-// newSimulationOf starts a simulation. A share lossy of transactions gets no answer, and a share
-// of direct calls to machines is delayed.
-func newSimulationOf(t *testing.T, count int, seed uint64, lossy float64, tamper func(*config.Config)) *simulation {
-	w := &simulation{t: t, count: count, net: simulator.NewNetwork(), store: simulator.NewStateService(seed, lossy), rng: rand.New(rand.NewPCG(seed, 2)), changeSettings: tamper}
-	late := rand.New(rand.NewPCG(seed, 5))
+// newSimulationOf starts a simulation of count controllers. lossShare is the share of transactions
+// that get no response, and also the share of direct calls to machines that are delayed.
+// changeSettings, if not nil, modifies each controller's settings.
+func newSimulationOf(t *testing.T, count int, seed uint64, lossShare float64, changeSettings func(*config.Config)) *simulation {
+	w := &simulation{t: t, count: count, net: simulator.NewNetwork(), store: simulator.NewStateService(seed, lossShare), rng: rand.New(rand.NewPCG(seed, 2)), changeSettings: changeSettings}
+	delayRNG := rand.New(rand.NewPCG(seed, 5))
 	var mu sync.Mutex
-	heldUp := func() time.Duration {
+	callDelay := func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		if late.Float64() >= lossy {
+		if delayRNG.Float64() >= lossShare {
 			return 0
 		}
-		return time.Duration(late.IntN(40000)+1) * time.Millisecond
+		return time.Duration(delayRNG.IntN(40000)+1) * time.Millisecond
 	}
-	w.store.Limits = simulator.StateLimits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that paging is tried
+	w.store.Limits = simulator.StateLimits{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12, PageItems: 7} // small pages, so that lists need several
 	w.checker = simulator.NewChecker(45*time.Second, map[string]float64{"red": 6})
 	w.tasks = newTaskObserver(w.checker)
 	w.ctx, w.stop = context.WithCancel(t.Context())
@@ -102,7 +103,7 @@
 	typ := g4
 	typ.Zones = w.settings(0).Zones
 	w.cloud = &simulator.Cloud{Capacity: 4, ListLag: 2 * time.Second, BootTime: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
-		Types: []wire.MachineType{typ}, Start: w.machine(2*time.Second, heldUp)}
+		Types: []wire.MachineType{typ}, Start: w.machine(2*time.Second, callDelay)}
 	go w.net.Host("10.2.0.1").Listen(w.ctx, "10.2.0.1:2379", 0, w.store.Serve())
 	go w.net.Host("10.2.0.2").Listen(w.ctx, "10.2.0.2:8443", 0, w.cloud.Serve())
 	for i := range count {
@@ -120,9 +121,9 @@
 	return w
 }
 
-// machine returns a function that starts machines with this heartbeat interval and delay of direct
-// calls.
-func (w *simulation) machine(heartbeatInterval time.Duration, late func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
+// machine returns a function that starts machines with the given heartbeat interval and delay of
+// direct calls.
+func (w *simulation) machine(heartbeatInterval time.Duration, callDelay func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
 	names, runtime := map[string]string{}, simulator.NewTaskRuntime(cmp.Or[simulator.Fixture](w.fixture, w.tasks), 20*time.Second, 3*time.Second)
 	w.runtime = runtime
 	for i := range w.count {
@@ -133,21 +134,21 @@
 		w.net.SetZone(host, zone)
 		w.tasks.machineBooted(id)
 		return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
-			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: heartbeatInterval, CallDelay: late, Replayer: w.replayer})
+			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: heartbeatInterval, CallDelay: callDelay, Replayer: w.replayer})
 	}
 }
 
-// draw returns a random number of a source that several hosts share.
+// draw returns a random number below n from a source that several goroutines share.
 func (w *simulation) draw(source *rand.Rand, n int) int {
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
 	return source.IntN(n)
 }
 
-// ip returns the address of a controller.
+// ip returns the IP address of controller i.
 func (w *simulation) ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-// settings returns the settings of a controller.
+// settings returns the settings of controller i.
 func (w *simulation) settings(i int) *config.Config {
 	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), PeerAddr: simulator.Address(w.ip(i), 8081),
 		CloudAddr: "10.2.0.2:8443", StoreAddr: "10.2.0.1:2379", Zones: []string{"a", "b"},
@@ -155,7 +156,7 @@
 		Workers: config.Workers{HeartbeatInterval: 2 * time.Second, Lease: workerLease, GangWait: 20 * time.Second, GangPeer: 3 * time.Second, Cancel: 45 * time.Second},
 		Store:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12}, Cloud: config.Cloud{RPS: 10, ListLag: 2 * time.Second},
 		Limits: config.Limits{RAMBytes: 200 << 20, Files: 500}, Tuning: config.DefaultTuning()}
-	c.Tuning.History = config.History{Compact: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // merged at once
+	c.Tuning.History = config.History{Compact: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // blocks are merged at once
 	for k := range w.count {
 		if k != i {
 			c.Peers = append(c.Peers, config.Peer{Name: fmt.Sprintf("c-%d", k), Addr: simulator.Address(w.ip(k), 8081)})
@@ -167,7 +168,7 @@
 	return c
 }
 
-// start starts a controller.
+// start starts a new incarnation of controller i.
 func (w *simulation) start(i int) {
 	n := w.nodes[i]
 	ctx, stop := context.WithCancel(w.ctx)
@@ -185,17 +186,17 @@
 	}()
 }
 
-// kill takes a controller off the network, ends it, and starts it again later.
-func (w *simulation) kill(i int, back time.Duration) {
+// kill disconnects a controller from the network, ends its process, and restarts it after a delay.
+func (w *simulation) kill(i int, restartAfter time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
-		return // it was killed just now, and is yet to come back
+		return // already killed and not yet restarted
 	}
 	w.net.SetDown(n.ip, true)
 	n.stop()
 	<-n.done
 	w.group.Add(1)
-	time.AfterFunc(back, func() {
+	time.AfterFunc(restartAfter, func() {
 		defer w.group.Done()
 		w.net.SetDown(n.ip, false)
 		w.start(i)
@@ -203,30 +204,31 @@
 	})
 }
 
-// crash ends a controller's process and starts it again after a moment. Its host refuses
-// connections in between, and what it sent last may be delayed.
-func (w *simulation) crash(i int, back, held time.Duration) {
+// crash ends a controller's process and restarts it after a delay. Meanwhile its host refuses
+// connections. The network delays the last messages of the process by hold, unless that is 0.
+func (w *simulation) crash(i int, restartAfter, hold time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
 		return
 	}
-	w.endIncarnation(n, held)
+	w.endIncarnation(n, hold)
 	w.group.Add(1)
-	time.AfterFunc(back, func() {
+	time.AfterFunc(restartAfter, func() {
 		defer w.group.Done()
 		w.start(i)
 		n.down.Store(false)
 	})
 }
 
-// finalHold is how long before its end the network starts to hold what a process sends.
+// finalHold is how long before the end of a process the network starts to hold its messages.
 const finalHold = 200 * time.Millisecond
 
-// endIncarnation ends the present process of a controller.
-func (w *simulation) endIncarnation(n *node, held time.Duration) {
-	if held > 0 {
-		w.net.Hold(n.ip, held)
-		time.Sleep(min(held, finalHold))
+// endIncarnation ends the current process of a controller. The network delays its last messages by
+// hold, unless that is 0.
+func (w *simulation) endIncarnation(n *node, hold time.Duration) {
+	if hold > 0 {
+		w.net.Hold(n.ip, hold)
+		time.Sleep(min(hold, finalHold))
 	}
 	n.host.End()
 	n.stop()
@@ -238,7 +240,7 @@
 	}()
 }
 
-// pollers returns the users who poll jobs through a load balancer.
+// pollers returns the users who poll jobs through a load balancer, and starts them on the first call.
 func (w *simulation) pollers() *simulator.Users {
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
@@ -255,26 +257,27 @@
 	return w.polling
 }
 
-// pollUntilOver has one of them poll a job until the day ends.
+// pollUntilOver has one of the polling users poll a job until the simulation ends.
 func (w *simulation) pollUntilOver(id string) {
 	users := w.pollers()
 	w.pollGroup.Go(func() { users.Follow(w.ctx, id) })
 }
 
-// declareQuiet tells the checkers that no fault is active any more.
+// declareQuiet tells the checkers that no fault is active from now on.
 func (w *simulation) declareQuiet() {
 	w.quietSince = time.Now()
 	w.checker.SetQuietSince(w.quietSince)
 }
 
-// user submits a job, polls it until it is over, and may cancel it.
+// user starts a user who submits a job and polls it until its state is final. The user cancels the
+// job after cancelAfter, unless that is 0. run is the run time of each task.
 func (w *simulation) user(j *wire.Job, run, cancelAfter time.Duration) {
 	w.checker.Submitted(j, run)
 	w.group.Add(1)
 	go func() {
 		defer w.group.Done()
 		caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.1").Dial}
-		ask := func(method, path string, body []byte, asked bool) int {
+		ask := func(method, path string, body []byte, cancelRequested bool) int {
 			for try := 0; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 				resp, err := caller.Call(ctx, simulator.Address(w.ip((len(j.ID)+try)%3), 8080), method, path, body)
@@ -282,7 +285,7 @@
 				if err == nil && resp.Status != 503 {
 					var s wire.JobStatus
 					_ = wire.Decode(resp.Body, &s)
-					w.checker.ObserveAnswer(j.ID, resp.Status, s.Stage, asked)
+					w.checker.ObserveAnswer(j.ID, resp.Status, s.Stage, cancelRequested)
 					return resp.Status
 				}
 				time.Sleep(time.Second)
@@ -291,25 +294,25 @@
 		}
 		path := wire.PathJobs + "/" + j.ID
 		if status := ask("POST", wire.PathJobs, wire.Encode(j), false); status != 201 && status != 200 && w.ctx.Err() == nil {
-			w.t.Errorf("%s was answered %d", j.ID, status)
+			w.t.Errorf("submission of %s was answered %d", j.ID, status)
 			return
 		}
 		w.pollUntilOver(j.ID)
-		begun, asked := time.Now(), false
+		begun, cancelRequested := time.Now(), false
 		for w.ctx.Err() == nil && !w.checker.Stage(j.ID).Final() {
 			time.Sleep(3 * time.Second)
 			if cancelAfter > 0 && time.Since(begun) > cancelAfter {
-				asked = true
+				cancelRequested = true
 				ask("POST", path+"/"+wire.CancelWord, []byte{}, true)
 				continue
 			}
-			ask("GET", path, nil, asked)
+			ask("GET", path, nil, cancelRequested)
 		}
-		ask("POST", wire.PathJobs, wire.Encode(j), asked) // a late retry finds the final state
+		ask("POST", wire.PathJobs, wire.Encode(j), cancelRequested) // a late retry gets the final state
 	}()
 }
 
-// submit submits jobs of every shape, enough for the team red to reach its limit.
+// submit submits n jobs of every shape, enough for the team red to reach its limit.
 func (w *simulation) submit(seed uint64, n int) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for i := range n {
@@ -321,7 +324,7 @@
 			j.Shape, j.Tasks = wire.Array, 3+rng.IntN(4)
 		case 2:
 			j.Shape, j.Tasks, j.OneZone, j.CheckpointS, j.SaveS = wire.Gang, 2, true, 5, 1
-			if i%8 == 6 { // over two zones, so that no part can take it whole
+			if i%8 == 6 { // over two zones, so that no shard can place all of it
 				j.OneZone, j.Spread = false, true
 			}
 		case 3:
@@ -336,9 +339,9 @@
 	}
 }
 
-// finish waits for the users, for some time, and ends the simulation.
-func (w *simulation) finish(patience time.Duration) {
-	if w.quietSince.IsZero() { // what a day has begun lasts for a minute at the most
+// finish waits until the users have finished, for at most timeout, and ends the simulation.
+func (w *simulation) finish(timeout time.Duration) {
+	if w.quietSince.IsZero() { // faults that are still active last for a minute at most
 		w.checker.SetQuietSince(time.Now().Add(65 * time.Second))
 	}
 	over := make(chan struct{})
@@ -348,12 +351,12 @@
 	}()
 	select {
 	case <-over:
-	case <-time.After(patience):
-		w.t.Errorf("jobs are not over after %v: %v", patience, w.checker.OpenJobs())
+	case <-time.After(timeout):
+		w.t.Errorf("jobs without a final state after %v: %v", timeout, w.checker.OpenJobs())
 	}
 	w.end()
 	<-over
-	time.Sleep(time.Minute) // late timers of the stand-ins run out
+	time.Sleep(time.Minute) // the remaining timers of the simulated services expire
 }
 
 // end stops the simulation.
@@ -367,8 +370,9 @@
 	w.pollGroup.Wait()
 }
 
-// TestRulesHoldThroughFaults simulates days with random crashes, partitions, lost answers and an
-// outage of the state service.
+// TestRulesHoldThroughFaults runs simulations with random crashes, partitions, lost responses and
+// outages of the state service, and checks the rules of the protocol. AMBERDEAL_SEEDS sets their
+// number.
 func TestRulesHoldThroughFaults(t *testing.T) {
 	seeds := uint64(3)
 	if text := os.Getenv("AMBERDEAL_SEEDS"); text != "" {
@@ -412,14 +416,14 @@
 				w.finishDay(10 * time.Minute)
 				a := w.account()
 				if a.Kinds["history"] == nil || a.Kinds["history"].Jobs < 10 {
-					t.Errorf("hardly a job is in the history: %+v", a)
+					t.Errorf("fewer than 10 jobs are in the history: %+v", a)
 				}
 			})
 		})
 	}
 }
 
-// account returns the archive's account of the state.
+// account reads the whole state and returns the archive's report about it.
 func (w *simulation) account() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
@@ -432,9 +436,9 @@
 	}
 }
 
-// TestCompactionFallsBehind gives the state service so few changes that compaction, which has the
-// lowest priority, gets none while jobs arrive: nothing may be lost, and it has to catch up
-// afterwards.
+// TestCompactionFallsBehind limits the state service to so few changes per second that compaction,
+// which has the lowest priority, gets none while jobs arrive. No job may be lost, and compaction has
+// to catch up afterwards.
 func TestCompactionFallsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 11, 0, func(c *config.Config) { c.Store.WriteRPS, c.Store.TxnOps = 4, 4 })
@@ -449,10 +453,10 @@
 		time.Sleep(10 * time.Minute)
 		after := w.account()
 		if k := after.Kinds["batch"]; k != nil && k.Keys > 0 || after.Ended != 120 {
-			t.Errorf("%+v left, %d ended", k, after.Ended)
+			t.Errorf("batches left: %+v; %d jobs ended, want 120", k, after.Ended)
 		}
 		if behind.Kinds["batch"].Keys < 10 {
-			t.Errorf("it was never behind: %+v", behind.Kinds["batch"])
+			t.Errorf("compaction never fell behind: %+v", behind.Kinds["batch"])
 		}
 		w.finish(5 * time.Minute)
 		for _, b := range append(w.checker.Violations(), after.Problems...) {
@@ -461,9 +465,9 @@
 	})
 }
 
-// TestStoreDropsWatchHistory: the state service drops its retained changes again and again, also
-// in the middle of a list, while jobs arrive, end and are compacted. Every view has to be read
-// anew, and no answer may be lost.
+// TestStoreDropsWatchHistory has the state service drop its retained changes again and again, also
+// while a list is being read, as jobs arrive, end and are compacted. Controllers have to reread
+// their views of the state, and no job's answer may be lost.
 func TestStoreDropsWatchHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 12, 0.02, nil)
@@ -488,13 +492,13 @@
 	})
 }
 
-// TestCheckerFindsRemovedGuard removes the wait for the workers' leases: the checker has to see
-// tasks run twice, otherwise the tests above prove nothing.
+// TestCheckerFindsRemovedGuard disables the wait for the expiry of workers' leases. The checker has
+// to see tasks run twice; otherwise the tests above prove nothing.
 func TestCheckerFindsRemovedGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 7, 0, func(c *config.Config) {
-			c.Workers.Lease = 100 * time.Millisecond // what proofs by time rest on
-			c.Tuning.HeartbeatTimeout = time.Hour    // and no release to prove absence instead
+			c.Workers.Lease = 100 * time.Millisecond // from which controllers conclude that a task has ended
+			c.Tuning.HeartbeatTimeout = time.Hour    // so that no release of the machine proves it instead
 		})
 		for i := range 3 {
 			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
@@ -502,19 +506,19 @@
 		}
 		time.Sleep(30 * time.Second)
 		host := strings.Split(w.cloud.AddrOfNth(0), ":")[0]
-		w.net.SetDown(host, true) // its tasks run on, for as long as its lease lasts
+		w.net.SetDown(host, true) // its tasks keep running until its lease expires
 		time.Sleep(18 * time.Second)
 		w.net.SetDown(host, false)
 		w.finish(10 * time.Minute)
 		if broken := strings.Join(w.checker.Violations(), "\n"); !strings.Contains(broken, "ran_twice") {
-			t.Errorf("the checker saw nothing of it: %q", broken)
+			t.Errorf("the checker did not report ran_twice: %q", broken)
 		}
 	})
 }
 
-// TestBurstSharesWrites submits a burst of jobs at once. The state service takes few changes, so
-// that submissions which wait together have to become one record, and all are accepted long before
-// a change for each would be.
+// TestBurstSharesWrites submits a burst of jobs at once to a state service that allows few changes
+// per second. Submissions that wait together have to be written as one record, so that all are
+// accepted much sooner than with one change per job.
 func TestBurstSharesWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 3, 0, func(c *config.Config) { c.Store.WriteRPS = 6 })
@@ -525,14 +529,14 @@
 			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
 				CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		}
-		time.Sleep(8 * time.Second) // rounds are among the changes
+		time.Sleep(8 * time.Second) // the changes include those of scheduling rounds
 		if _, n, _ := w.store.Counts(); n-before > jobs/2 {
-			t.Errorf("%d changes for %d jobs", n-before, jobs)
+			t.Errorf("%d changes for %d jobs, want at most half as many", n-before, jobs)
 		}
 		time.Sleep(12 * time.Second)
 		for i := range jobs {
 			if id := fmt.Sprintf("wk-%d", i); w.checker.Stage(id) == "" {
-				t.Errorf("%s has no answer after 20 s", id)
+				t.Errorf("submission of %s has no response after 20 s", id)
 			}
 		}
 		w.finish(15 * time.Minute)
@@ -542,9 +546,9 @@
 	})
 }
 
-// TestPartitionedLeaderResigns cuts each controller off from the workers in turn, for longer than
-// their lease: a leader has to hand over to a controller that the workers reach, and no task may
-// be lost.
+// TestPartitionedLeaderResigns partitions each controller from the workers in turn, for longer than
+// their lease. The leader has to hand over to a controller that the workers can reach, and no task
+// may be lost.
 func TestPartitionedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 9, 0, nil)
@@ -562,7 +566,7 @@
 			time.Sleep(15 * time.Second)
 		}
 		if w.checker.Started != 6 {
-			t.Errorf("%d starts of 6 tasks: some were lost", w.checker.Started)
+			t.Errorf("%d starts of 6 tasks, want one each", w.checker.Started)
 		}
 		w.finish(10 * time.Minute)
 		for _, b := range w.checker.Violations() {
@@ -571,10 +575,10 @@
 	})
 }
 
-// TestEachMachineReachesAController has far more machines than all controllers have sockets for,
-// and one controller that crashes. A connection whose request is answered has to make room for the
-// next, a crowded controller has to redirect to one that has more room, and no worker's lease may
-// expire.
+// TestEachMachineReachesAController runs far more machines than all controllers together have
+// sockets for, and crashes one controller. A controller short of sockets has to close connections
+// once their request is answered and redirect machines to a controller with more free sockets, and
+// no worker's lease may expire.
 func TestEachMachineReachesAController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 21, 0, func(c *config.Config) {
@@ -594,13 +598,13 @@
 		time.Sleep(time.Minute)
 		w.kill(1, 3*time.Second)
 		time.Sleep(time.Minute)
-		lost := 0
+		expired := 0
 		for _, m := range workers {
-			lost += m.ExpiredLeases()
+			expired += m.ExpiredLeases()
 			m.Kill()
 		}
-		if lost > 0 {
-			t.Errorf("%d leases ran out", lost)
+		if expired > 0 {
+			t.Errorf("%d leases expired", expired)
 		}
 		w.finish(time.Minute)
 	})
