--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -25,19 +25,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// processCluster is three controllers as real processes on loopback, with a simulated state
-// service, cloud and machines on real sockets in this process.
+// processCluster is a cluster of three controllers that are real processes on loopback. The state
+// service, the cloud and the machines are simulated in the test's process, on real sockets.
 type processCluster struct {
 	t              testing.TB
 	ctx            context.Context
 	dir            string
-	subnet         string // such as 127.45.0.
+	subnet         string // such as "127.45.0."
 	binary         string
 	store          *simulator.StateService
 	cloud          *simulator.Cloud
 	checker        *simulator.Checker
 	caller         *transport.Caller
-	settings       map[string]any // params.state
+	settings       map[string]any // params.state of the platform file
 	state          string         // address of the state service
 	guaranteedCPUs float64        // CPUs that the team blue is guaranteed
 	mu             sync.Mutex
@@ -46,9 +46,12 @@
 	agents         []*agentMachine
 }
 
+// sockets is the loopback network of the test's process.
 var sockets = transport.Sockets{Log: slog.New(slog.DiscardHandler)}
 
-// newProcessCluster builds the program and starts the cluster. Everything ends with the test.
+// newProcessCluster builds the program and starts the simulated services, but no controller. The test's
+// cleanup ends everything. state is params.state of the platform files, ini the settings file, and
+// capacity that of the cloud in machines.
 func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), settings: state,
@@ -76,7 +79,7 @@
 		}}
 	go sockets.Listen(ctx, c.subnet+"200:2379", 1000, c.store.Serve())
 	go sockets.Listen(ctx, c.subnet+"201:8443", 100, c.cloud.Serve())
-	c.waitFor("stand-ins", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
+	c.waitFor("simulated services", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
 	for i := range 3 { // each with its own address for metrics
 		text := ini + fmt.Sprintf("[metrics]\nlisten = %s%d:9464\n", c.subnet, i+1)
 		if err := os.WriteFile(c.ini(i), []byte(text), 0o644); err != nil {
@@ -94,10 +97,11 @@
 	return c
 }
 
-// addr returns the public address of a host: controllers are 1 to 3, machines count from 1 too, on
-// another port.
+// addr returns the public address of a controller, whose host is 1 to 3. Machines also count from 1,
+// but listen on another port.
 func (c *processCluster) addr(host int) string { return fmt.Sprintf("%s%d:8080", c.subnet, host) }
 
+// reachable reports whether an address accepts connections.
 func (c *processCluster) reachable(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err == nil {
@@ -106,17 +110,18 @@
 	return err == nil
 }
 
-// waitFor waits until a condition holds, for a minute at most.
+// waitFor waits until a condition holds, and fails the test after a minute.
 func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > time.Minute {
 			c.logs()
-			c.t.Fatalf("%s: not within a minute", what)
+			c.t.Fatalf("timed out after a minute waiting for: %s", what)
 		}
 	}
 }
 
+// ini returns the path of a controller's settings file.
 func (c *processCluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
 
 // metric returns the sum of a metric over all controllers.
@@ -140,7 +145,7 @@
 	return sum
 }
 
-// configure writes the platform file of a controller and returns its path.
+// configure writes the platform file of controller i and returns its path.
 func (c *processCluster) configure(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
 		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
@@ -165,7 +170,7 @@
 	return path
 }
 
-// start starts a controller.
+// start starts the process of controller i.
 func (c *processCluster) start(i int) {
 	path := c.configure(i)
 	log, err := os.OpenFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -183,7 +188,7 @@
 	c.mu.Unlock()
 }
 
-// kill ends a controller with SIGKILL.
+// kill ends the process of controller i with SIGKILL, if it runs.
 func (c *processCluster) kill(i int) {
 	c.mu.Lock()
 	cmd := c.procs[i]
@@ -195,6 +200,7 @@
 	}
 }
 
+// ready reports whether controller i reports that it is ready.
 func (c *processCluster) ready(i int) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
@@ -202,7 +208,7 @@
 	return err == nil && resp.Status == 200
 }
 
-// ask sends a request to the controllers in turn until one decides.
+// ask sends a request to the controllers in turn until one answers with a status other than 429 and 503.
 func (c *processCluster) ask(first int, method, path string, body []byte) (status int, stage wire.Stage) {
 	for try := 0; c.ctx.Err() == nil; try++ {
 		ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
@@ -218,17 +224,20 @@
 	return 0, ""
 }
 
+// jobPath returns the URL path of a job.
 func jobPath(id string) string { return wire.PathJobs + "/" + id }
 
-// playJob submits a job, waits until it is done or cancels it, and checks that its final answer
-// stays the same.
+// playJob submits job number n, which is a third of the time cancelled, and polls it until its state
+// is final. The checker compares all answers.
 func (c *processCluster) playJob(id string, n int) {
 	j := &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + n%3,
 		CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 1, Spot: true}
 	c.checker.Submitted(j, 50*time.Millisecond)
-	tell := func(asked bool, status int, stage wire.Stage) { c.checker.ObserveAnswer(id, status, stage, asked) }
+	observe := func(cancelRequested bool, status int, stage wire.Stage) {
+		c.checker.ObserveAnswer(id, status, stage, cancelRequested)
+	}
 	status, stage := c.ask(n, "POST", wire.PathJobs, wire.Encode(j))
-	tell(false, status, stage)
+	observe(false, status, stage)
 	cancelled := n%3 == 0
 	for !c.checker.Stage(id).Final() && c.ctx.Err() == nil {
 		if cancelled {
@@ -237,13 +246,14 @@
 			time.Sleep(50 * time.Millisecond)
 			status, stage = c.ask(n+1, "GET", jobPath(id), nil)
 		}
-		tell(cancelled, status, stage)
+		observe(cancelled, status, stage)
 	}
 }
 
 // TestKillsLoseNoAnswer kills controllers at random times while jobs are submitted, cancelled,
-// done and compacted, with values so small that blocks fill and split all the time. No final
-// answer may be lost, changed or invented. AMBERDEAL_KILLS sets the number of kills; CI runs few.
+// completed and compacted. The size limit of values is so small that blocks fill and split all the
+// time. No final answer may be lost, changed or invented. AMBERDEAL_KILLS sets the number of kills;
+// the default is small.
 func TestKillsLoseNoAnswer(t *testing.T) {
 	kills := 5
 	if text := os.Getenv("AMBERDEAL_KILLS"); text != "" {
@@ -265,12 +275,12 @@
 	close(over)
 	users.Wait()
 	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
-		t.Errorf("the metrics tell of %v keys", n)
+		t.Errorf("unexpected metrics: view_keys is %v; want it and the changes for submissions above 0, and no records that are not understood or differing answers", n)
 	}
 	users.askAll()
 	c.migrateState()
 	users.askAll()
-	c.playJob("wk-10000001", 1) // the machines obey the new leader
+	c.playJob("wk-10000001", 1) // the machines have to follow the new leader
 	for _, b := range c.checker.Violations() {
 		t.Error(b)
 	}
@@ -285,16 +295,16 @@
 	}
 }
 
-// killUsers are users who submit jobs while controllers are killed.
+// killUsers is a group of users who submit jobs while controllers are killed.
 type killUsers struct {
 	sync.WaitGroup
 	c   *processCluster
 	mu  sync.Mutex
 	rng *rand.Rand
-	ids []string // of the jobs that were played
+	ids []string // of the jobs that have ended
 }
 
-// startKillUsers starts twelve users, who end when over is closed.
+// startKillUsers starts twelve users, who stop when over is closed.
 func (c *processCluster) startKillUsers(over <-chan struct{}) *killUsers {
 	u := &killUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
 	numbers := u.rng.Perm(10_000_000)
@@ -313,7 +323,7 @@
 	return u
 }
 
-// play plays a job, and asks about one of long ago and one that nobody submitted.
+// play runs a job, and polls an earlier job and one that was never submitted.
 func (u *killUsers) play(id string, n int) {
 	u.c.playJob(id, n)
 	u.mu.Lock()
@@ -323,11 +333,11 @@
 	status, stage := u.c.ask(n, "GET", jobPath(old), nil)
 	u.c.checker.ObserveAnswer(old, status, stage, u.c.checker.Stage(old) == wire.Cancelled)
 	if status, _ := u.c.ask(n, "GET", jobPath(fmt.Sprintf("wk-%09d", n)), nil); status != 404 && u.c.ctx.Err() == nil {
-		u.c.t.Errorf("a job that nobody submitted is answered %d", status)
+		u.c.t.Errorf("poll of a job that was never submitted is answered %d, want 404", status)
 	}
 }
 
-// askAll asks about all jobs again.
+// askAll polls all jobs again.
 func (u *killUsers) askAll() {
 	for _, id := range u.ids {
 		status, stage := u.c.ask(1, "GET", jobPath(id), nil)
@@ -335,15 +345,16 @@
 	}
 }
 
-// killAtWork kills controllers one after the other, each once the others have written something.
+// killAtWork kills and restarts random controllers one after the other, each after some more changes of
+// the state.
 func (c *processCluster) killAtWork(kills int) {
-	fate := rand.New(rand.NewPCG(1, 10))
+	rng := rand.New(rand.NewPCG(1, 10))
 	for k := range kills {
 		_, before, _ := c.store.Counts()
-		c.waitFor("work", func() bool { _, now, _ := c.store.Counts(); return now-before > 40+k*17%90 })
-		i := fate.IntN(3)
+		c.waitFor("changes of the state", func() bool { _, now, _ := c.store.Counts(); return now-before > 40+k*17%90 })
+		i := rng.IntN(3)
 		c.kill(i)
-		if fate.IntN(3) == 0 {
+		if rng.IntN(3) == 0 {
 			c.kill((i + 1) % 3)
 			c.start((i + 1) % 3)
 		}
@@ -352,10 +363,10 @@
 	}
 }
 
-// TestRestartsUnderLoad kills controllers again and again, one or all at once, restarts them after
-// 100 ms, and restarts machines, while jobs arrive. Each job is polled until its end; what was
-// answered has to hold, and none may remain without an answer for long. It runs with
-// AMBERDEAL_RETURNS only, which sets the number of kills.
+// TestRestartsUnderLoad repeatedly kills one or more controllers, restarts them after 100 ms, and
+// restarts machines, while jobs arrive. Each job is polled until its state is final. No answer may
+// contradict an earlier one, and every job has to end. It runs only with AMBERDEAL_RETURNS, which
+// sets the number of kills.
 func TestRestartsUnderLoad(t *testing.T) {
 	kills, err := strconv.Atoi(os.Getenv("AMBERDEAL_RETURNS"))
 	if err != nil {
@@ -380,7 +391,7 @@
 				}
 				id, begun := fmt.Sprintf("wk-%07d", n*7919%10_000_000), time.Now()
 				c.playJob(id, n)
-				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // once more
+				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // the answer has to stay the same
 				c.checker.ObserveAnswer(id, status, stage, n%3 == 0)
 				mu.Lock()
 				jobs, longest = jobs+1, max(longest, time.Since(begun))
@@ -397,7 +408,7 @@
 		t.Error(b)
 	}
 	if open := c.checker.OpenJobs(); len(open) > 0 {
-		t.Errorf("without an end: %v", open)
+		t.Errorf("jobs without a final state: %v", open)
 	}
 	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
 	if t.Failed() {
@@ -405,31 +416,31 @@
 	}
 }
 
-// restartAtRandom kills one or more controllers at random times, restarts them after 100 ms, and
+// restartAtRandom kills one to three controllers at random times, restarts them after 100 ms, and
 // reboots some machines.
 func (c *processCluster) restartAtRandom(kills int) {
-	fate := rand.New(rand.NewPCG(2, 10))
+	rng := rand.New(rand.NewPCG(2, 10))
 	for range kills {
-		time.Sleep(time.Duration(fate.IntN(2000)) * time.Millisecond)
-		order := fate.Perm(3)[:[]int{1, 1, 1, 2, 3}[fate.IntN(5)]]
+		time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
+		order := rng.Perm(3)[:[]int{1, 1, 1, 2, 3}[rng.IntN(5)]]
 		for _, i := range order {
 			c.kill(i)
 		}
 		time.Sleep(100 * time.Millisecond)
-		fate.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
+		rng.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 		for _, i := range order {
 			c.start(i)
 		}
 		c.cloud.EachRunning(func(_ wire.ListedMachine, m simulator.Machine) {
-			if fate.IntN(40) == 0 {
+			if rng.IntN(40) == 0 {
 				m.(simulator.Rebooter).Reboot(100*time.Millisecond, false)
 			}
 		})
 	}
 }
 
-// migrateState exports the state, ends all controllers, and starts them on another state service
-// into which the export was imported.
+// migrateState ends all controllers, exports the state, imports it into another state service, and
+// restarts the controllers there.
 func (c *processCluster) migrateState() {
 	c.t.Helper()
 	run := func(args ...string) string {
@@ -452,10 +463,10 @@
 	c.store.Limits = limits
 	c.state = c.subnet + "202:2379"
 	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
-	c.waitFor("another state service", func() bool { return c.reachable(c.state) })
+	c.waitFor("the new state service", func() bool { return c.reachable(c.state) })
 	run("import", "--config", c.configure(0), file)
 	if again := run("inspect", "--config", config, "--json"); !strings.Contains(inspected, "live jobs") || !strings.Contains(again, `"problems": []`) {
-		c.t.Errorf("inspected before:\n%s\nafter:\n%s", inspected, again)
+		c.t.Errorf("inspection before the export:\n%s\nafter the import:\n%s", inspected, again)
 	}
 	for i := range c.procs {
 		c.start(i)
@@ -463,7 +474,7 @@
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
-// account returns the archive's account of the state.
+// account reads the whole state and returns the archive's report about it.
 func (c *processCluster) account() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
@@ -476,7 +487,7 @@
 	}
 }
 
-// logs prints the end of each controller's log.
+// logs writes statistics of the state and the end of each controller's log to the test's log.
 func (c *processCluster) logs() {
 	for kind, k := range c.account().Kinds {
 		c.t.Logf("%s: %+v", kind, *k)
@@ -487,8 +498,8 @@
 	}
 }
 
-// seedEndedJobs writes that many ended jobs into the state as compaction would have left them:
-// random ids over ten times as many, blocks that are two thirds full.
+// seedEndedJobs writes n ended jobs to the state in the form that compaction leaves, and returns their
+// IDs: random ones among ten times as many, in blocks that are two thirds full.
 func (c *processCluster) seedEndedJobs(n int) (ids []string) {
 	limit := c.settings["value_kb"].(int) << 10
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -517,7 +528,7 @@
 	return ids
 }
 
-// memory returns a figure of a process's memory in MB.
+// memory returns a memory figure of controller i in MB; name is a field of /proc/PID/status.
 func (c *processCluster) memory(i int, name string) float64 {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.procs[i].Process.Pid))
 	if err != nil {
@@ -534,7 +545,7 @@
 	return 0
 }
 
-// burst submits and cancels jobs from many users at once, and returns the submissions per second.
+// burst submits jobs from many concurrent users, then cancels them, and returns the submissions per second.
 func (c *processCluster) burst(first, jobs, users int) float64 {
 	var group sync.WaitGroup
 	each := func(f func(id string, n int)) {
@@ -553,19 +564,19 @@
 	each(func(id string, n int) {
 		j := &wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1}
 		if status, _ := c.ask(n, "POST", wire.PathJobs, wire.Encode(j)); status != 201 && status != 200 {
-			c.t.Errorf("%s: %d", id, status)
+			c.t.Errorf("submission of %s was answered %d", id, status)
 		}
 	})
 	took := time.Since(begun)
 	each(func(id string, n int) {
 		if status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}); status != 200 || stage != wire.Cancelled {
-			c.t.Errorf("%s: %d %s", id, status, stage)
+			c.t.Errorf("cancellation of %s was answered %d, stage %s", id, status, stage)
 		}
 	})
 	return float64(jobs) / took.Seconds()
 }
 
-// BenchmarkEndedJobs measures three real processes with increasing numbers of ended jobs: the
+// BenchmarkEndedJobs measures three real controllers with increasing numbers of ended jobs: the
 // times of a restart and a failover, the cost of a job, and the memory.
 func BenchmarkEndedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
@@ -584,17 +595,18 @@
 	}
 }
 
+// measure takes all measurements of BenchmarkEndedJobs once. ids are the jobs of seedEndedJobs.
 func (c *processCluster) measure(b *testing.B, ids []string) {
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
 	rate := c.burst(int(changes), jobs, 96)
-	c.waitFor("compacted", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
+	c.waitFor("compaction", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
 	_, after, keys := c.store.Counts()
 	b.ReportMetric(rate, "submissions/s")
 	b.ReportMetric(float64(after-changes)/jobs, "changes/job")
 	b.ReportMetric(float64(keys)/float64(len(ids)+jobs)*100, "keys/100jobs")
-	// All end, one comes back alone: requests from its start until it answers about
-	// a job of long ago.
+	// Restart: all controllers end and one starts alone. Measures from its start until it answers
+	// about an old job.
 	for i := range c.procs {
 		c.kill(i)
 	}
@@ -603,7 +615,7 @@
 	c.start(0)
 	c.waitFor("ready", func() bool { return c.ready(0) })
 	if status, stage := c.ask(0, "GET", jobPath(ids[len(ids)/2]), nil); status != 200 || !stage.Final() {
-		b.Errorf("%d %s", status, stage)
+		b.Errorf("poll of an old job was answered %d, stage %s", status, stage)
 	}
 	took := time.Since(begun)
 	requests, _, _ := c.store.Counts()
@@ -618,12 +630,12 @@
 	c.start(1)
 	c.start(2)
 	c.waitFor("ready", func() bool { return c.ready(1) && c.ready(2) })
-	for i := range 200 { // look at history all over
+	for i := range 200 { // read from the whole history
 		c.ask(i, "GET", jobPath(ids[i*len(ids)/200]), nil)
 	}
 	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
 	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
-	// A takeover: the leader ends, another has claimed.
+	// Failover: measures from the end of the leader until another controller has claimed leadership.
 	leader, token := c.leader()
 	begun = time.Now()
 	c.kill(leader)
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -27,7 +27,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// agentMachine is a rented machine with an agent as a real process.
+// agentMachine is a rented machine whose agent is a real process.
 type agentMachine struct {
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -44,7 +44,7 @@
 	}
 }
 
-// background starts the program with its log in a file.
+// background starts the program with the given arguments and appends its log to a file.
 func (c *processCluster) background(log string, args ...string) *exec.Cmd {
 	f, err := os.OpenFile(filepath.Join(c.dir, log+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -61,13 +61,16 @@
 	return cmd
 }
 
+// casAddr returns the address of the content-addressable store (CAS).
 func (c *processCluster) casAddr() string { return c.subnet + "210:8980" }
 
+// startBlobs starts the CAS as a real process.
 func (c *processCluster) startBlobs() {
 	c.blobs = c.background("cas", "cas", "--dir", filepath.Join(c.dir, "blobs"), "--listen", c.casAddr())
-	c.waitFor("the store of blobs", func() bool { return c.reachable(c.casAddr()) })
+	c.waitFor("the CAS", func() bool { return c.reachable(c.casAddr()) })
 }
 
+// killBlobs ends the CAS with SIGKILL, if it runs.
 func (c *processCluster) killBlobs() {
 	if c.blobs != nil {
 		_ = c.blobs.Process.Kill()
@@ -76,7 +79,7 @@
 	}
 }
 
-// agent starts an agent on a rented machine.
+// agent starts the agent of a rented machine.
 func (c *processCluster) agent(id, addr, typ, zone string, spot bool) simulator.Machine {
 	ini := fmt.Sprintf("[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = 16\ngpus = 4\nmemory_gb = 64\n[workers]\nreport = 1s\nlease = 8s\n[actions]\ncas = %s\ndir = %s\n[controllers]\n",
 		id, typ, zone, spot, addr, c.casAddr(), filepath.Join(c.dir, id))
@@ -96,11 +99,11 @@
 	return m
 }
 
-// newBuildCluster starts a cluster that serves the remote execution API, with agents as real
-// processes and that many CPUs guaranteed to the team blue.
-func newBuildCluster(t testing.TB, capacity int, promised float64) *processCluster {
+// newBuildCluster starts a cluster that serves the remote execution API and whose agents are real
+// processes. guaranteedCPUs is the number of CPUs that the team blue is guaranteed.
+func newBuildCluster(t testing.TB, capacity int, guaranteedCPUs float64) *processCluster {
 	c := newProcessCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 8, "txn_ops": 20}, "[claim]\nlease = 2s\nrenew = 500ms\n[machines]\nidle = 60s\n", capacity)
-	c.cloud.Start, c.guaranteedCPUs = c.agent, promised
+	c.cloud.Start, c.guaranteedCPUs = c.agent, guaranteedCPUs
 	for i := range 3 {
 		text, err := os.ReadFile(c.ini(i))
 		if err != nil {
@@ -119,34 +122,38 @@
 	return c
 }
 
+// front returns the address at which controller i serves the remote execution API.
 func (c *processCluster) front(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
 
-// buildTool imitates a build tool.
+// buildTool is a client of the remote execution API, as build tools are.
 type buildTool struct {
 	c     *processCluster
 	blobs *cas.Client
 	exec  *reapi.Client
 }
 
+// tool returns a build tool that uses an instance name of the remote execution API.
 func (c *processCluster) tool(instance string) *buildTool {
 	blobs, err := cas.Dial(c.casAddr(), instance)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	front, err := reapi.Dial([]string{c.front(0), c.front(1), c.front(2)}, instance)
+	executor, err := reapi.Dial([]string{c.front(0), c.front(1), c.front(2)}, instance)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.t.Cleanup(func() { blobs.Close(); front.Close() })
-	return &buildTool{c, blobs, front}
+	c.t.Cleanup(func() { blobs.Close(); executor.Close() })
+	return &buildTool{c, blobs, executor}
 }
 
+// sha is the digest function of all blobs.
 const sha = repb.DigestFunction_SHA256
 
-// upload uploads an action that runs a shell script.
+// upload uploads an action that runs a shell script, with its input files by name. change, if not nil,
+// modifies the action and its command.
 func (b *buildTool) upload(ctx context.Context, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (cas.Digest, error) {
 	root := &repb.Directory{}
-	for _, name := range slices.Sorted(maps.Keys(inputs)) { // in order, as the API demands
+	for _, name := range slices.Sorted(maps.Keys(inputs)) { // sorted, as the API requires
 		content := inputs[name]
 		g, err := b.blobs.Put(ctx, sha, []byte(content))
 		if err != nil {
@@ -172,7 +179,8 @@
 	return b.blobs.PutMessage(ctx, sha, a)
 }
 
-// run executes a script, starting with some controller, and returns its result and output.
+// run executes a script, trying controller number from first, and returns the response and the content
+// of the output file.
 func (b *buildTool) run(ctx context.Context, from int, script string, inputs map[string]string, change func(*repb.Action, *repb.Command)) (*repb.ExecuteResponse, string, error) {
 	g, err := b.upload(ctx, script, inputs, change)
 	if err != nil {
@@ -190,16 +198,17 @@
 	return resp, string(text), err
 }
 
+// property returns a change for upload that adds a platform property to the action.
 func property(name, value string) func(*repb.Action, *repb.Command) {
 	return func(a *repb.Action, _ *repb.Command) {
 		a.Platform.Properties = append(a.Platform.Properties, &repb.Platform_Property{Name: name, Value: value})
 	}
 }
 
-// TestBuild executes a graph of actions against three controllers, a blob store and agents, all of
-// them real processes that are killed at random. Each action has to get its result, the same from
-// every controller, and a second build may execute nothing. AMBERDEAL_ACTIONS sets their number;
-// CI runs few.
+// TestBuild executes a graph of actions on three controllers, a CAS and agents, all of them real
+// processes that are killed at random. Each action has to get its result, the same from every
+// controller, and a second build may not execute anything. AMBERDEAL_ACTIONS sets the number of
+// actions; the default is small.
 func TestBuild(t *testing.T) {
 	actions := 36
 	if text := os.Getenv("AMBERDEAL_ACTIONS"); text != "" {
@@ -219,11 +228,11 @@
 	second := b.build(ctx)
 	again, _ := os.ReadFile(b.runs)
 	if len(again) != len(executed) {
-		t.Errorf("the second build executed %d bytes' worth of actions", len(again)-len(executed))
+		t.Errorf("the second build executed actions: its log of executions grew by %d bytes", len(again)-len(executed))
 	}
 	for i := range first {
 		if first[i] != second[i] {
-			t.Errorf("action %d has two answers", i)
+			t.Errorf("action %d has different outputs in the two builds", i)
 		}
 	}
 	t.Logf("%d actions, %d executions", actions, bytes.Count(executed, []byte("\n")))
@@ -232,12 +241,12 @@
 	}
 }
 
-// graphBuild is a build of actions in layers, each of which depends on three of the previous layer.
+// graphBuild is a build of actions in layers. Each action depends on three actions of the previous layer.
 type graphBuild struct {
 	*buildTool
 	actions  int
-	runs     string // a file that grows with each execution
-	answered atomic.Int64
+	runs     string // file to which each execution appends a line
+	answered atomic.Int64 // actions with a result
 }
 
 // build executes all actions and returns their outputs.
@@ -248,7 +257,7 @@
 		var group sync.WaitGroup
 		for i := first; i < min(first+layer, b.actions); i++ {
 			inputs := map[string]string{"source": fmt.Sprint("source ", i)}
-			for k := 1; k <= 3 && first > 0; k++ { // what it depends on
+			for k := 1; k <= 3 && first > 0; k++ { // the outputs that the action depends on
 				inputs[fmt.Sprint("dep", k)] = outs[first-layer+(i*k)%layer]
 			}
 			group.Go(func() {
@@ -270,8 +279,9 @@
 func (c *processCluster) killDuring(b *graphBuild, over <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for k := 0; ; k++ {
-		// Each kill waits until the build has got on: a machine that was killed is given up only some
-		// 10 s into a fencing token, so that kills by the clock alone can end every leader before that, for ever.
+		// Each kill waits until the build has made progress. A leader gives up a killed machine only about
+		// 10 s after its election, so that kills at fixed intervals alone could end every leader before that,
+		// and the build would never finish.
 		for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || b.answered.Load() < int64(3*k); pause = 0 {
 			select {
 			case <-over:
@@ -301,7 +311,7 @@
 	}
 }
 
-// TestBuildCases tests the difficult cases of single actions against real processes.
+// TestBuildCases tests edge cases of single actions against real processes.
 func TestBuildCases(t *testing.T) {
 	c := newBuildCluster(t, 2, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
@@ -327,32 +337,32 @@
 		t.Run(x.name, func(t *testing.T) { x.test(ctx, t) })
 	}
 	if n := b.count("escaped"); n != 0 {
-		t.Error("what the command over its time limit had started went on")
+		t.Error("a process that the command had started survived the command's time limit")
 	}
 	if t.Failed() {
 		c.logs()
 	}
 }
 
-// buildCases is the cluster of TestBuildCases with the tools of two teams.
+// buildCases holds the cluster of TestBuildCases and the build tools of two teams.
 type buildCases struct {
 	c         *processCluster
 	red, blue *buildTool
-	runs      string // a file to which commands append
+	runs      string // file to which commands append
 }
 
-// count returns how many lines of runs are equal to a word.
-func (b *buildCases) count(what string) int {
+// count returns how many lines of the file runs are equal to a word.
+func (b *buildCases) count(word string) int {
 	text, _ := os.ReadFile(b.runs)
-	return strings.Count(string(text), what+"\n")
+	return strings.Count(string(text), word+"\n")
 }
 
-// exitCode: an exit code is a result, and is not cached.
+// exitCode checks that a non-zero exit code is a result, and that it is not cached.
 func (b *buildCases) exitCode(ctx context.Context, t *testing.T) {
 	for n := 1; n <= 2; n++ {
 		resp, _, err := b.red.run(ctx, 0, fmt.Sprintf("echo fails >> %s; echo why >&2; exit 7", b.runs), nil, nil)
 		if err != nil || resp.Status.GetCode() != 0 || resp.Result.GetExitCode() != 7 || resp.CachedResult || b.count("fails") != n {
-			t.Fatalf("%v, %v, executed %d times", resp, err, b.count("fails"))
+			t.Fatalf("response %v, error %v, executed %d times", resp, err, b.count("fails"))
 		}
 		g, _ := cas.ParseDigest(sha, resp.Result.StderrDigest)
 		if text, err := b.red.blobs.Get(ctx, g); err != nil || string(text) != "why\n" {
@@ -361,7 +371,8 @@
 	}
 }
 
-// sharedAction: two teams ask for the same action at once: one execution, one result for both.
+// sharedAction checks that two teams who request the same action at once share one execution and its
+// result.
 func (b *buildCases) sharedAction(ctx context.Context, t *testing.T) {
 	script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", b.runs)
 	var outs [2]string
@@ -379,16 +390,16 @@
 	}
 	group.Wait()
 	if outs[0] != outs[1] || outs[0] == "" || b.count("shared") != 1 {
-		t.Errorf("%q, executed %d times", outs, b.count("shared"))
+		t.Errorf("outputs %q, executed %d times", outs, b.count("shared"))
 	}
-	for i, tool := range []*buildTool{b.red, b.blue} { // and both have it cached
+	for i, tool := range []*buildTool{b.red, b.blue} { // the result is cached for both
 		if resp, out, err := tool.run(ctx, i, script, nil, nil); err != nil || !resp.CachedResult || out != outs[0] {
 			t.Errorf("%v, %v", resp, err)
 		}
 	}
 }
 
-// cachingFlags: do_not_cache and skip_cache_lookup cause executions.
+// cachingFlags checks that do_not_cache and skip_cache_lookup cause new executions.
 func (b *buildCases) cachingFlags(ctx context.Context, t *testing.T) {
 	script := fmt.Sprintf("echo anew >> %s", b.runs)
 	for range 2 {
@@ -406,11 +417,12 @@
 		}
 	}
 	if resp, err := b.red.exec.Execute(ctx, g, false, nil); err != nil || !resp.CachedResult || b.count("anew") != 4 {
-		t.Errorf("%v, %v, executed %d times", resp, err, b.count("anew"))
+		t.Errorf("response %v, error %v, executed %d times", resp, err, b.count("anew"))
 	}
 }
 
-// timeLimit: a time limit ends a command and everything that it has started.
+// timeLimit checks that a time limit ends a command. TestBuildCases checks later that it also ends the
+// processes that the command has started.
 func (b *buildCases) timeLimit(ctx context.Context, t *testing.T) {
 	resp, _, err := b.red.run(ctx, 2, fmt.Sprintf("(sleep 3; echo escaped >> %s) & sleep 30", b.runs), nil, func(a *repb.Action, _ *repb.Command) { a.Timeout = durationpb.New(500 * time.Millisecond) })
 	if err != nil || resp.Status.GetCode() != int32(codes.DeadlineExceeded) {
@@ -418,7 +430,7 @@
 	}
 }
 
-// environment: a command has the declared environment only.
+// environment checks that a command gets only the declared environment variables.
 func (b *buildCases) environment(ctx context.Context, t *testing.T) {
 	_, out, err := b.red.run(ctx, 0, "env | grep -v ^PWD= | grep -v ^_= | grep -v ^SHLVL= > out", nil, nil)
 	if err != nil || strings.TrimSpace(out) != "PATH=/usr/bin:/bin" {
@@ -426,7 +438,8 @@
 	}
 }
 
-// unknownProperty: an unknown property, or a property with an invalid value, is named in the error, and an unknown team too.
+// unknownProperty checks that errors name an unknown property, an invalid value of a property, and an
+// unknown team.
 func (b *buildCases) unknownProperty(ctx context.Context, t *testing.T) {
 	_, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
 		property("gpu-brand", "x")(a, cmd)
@@ -440,7 +453,7 @@
 	}
 }
 
-// missingBlob: a missing blob is named in the result.
+// missingBlob checks that the response names a missing blob.
 func (b *buildCases) missingBlob(ctx context.Context, t *testing.T) {
 	for what, change := range map[string]func(*repb.Directory){
 		"file": func(d *repb.Directory) {
@@ -456,18 +469,18 @@
 		}
 	}
 	if _, err := b.red.exec.Execute(ctx, cas.Sum(sha, []byte("no action")), false, nil); err == nil || !strings.Contains(err.Error(), "missing") {
-		t.Errorf("the action itself: %v", err)
+		t.Errorf("error for a missing action: %v", err)
 	}
 }
 
-// treeOutsideRoot: an input tree or an output path that leads out of its root is refused.
+// treeOutsideRoot checks that input trees and output paths that lead out of their root are refused.
 func (b *buildCases) treeOutsideRoot(ctx context.Context, t *testing.T) {
-	there, err := b.red.blobs.Put(ctx, sha, []byte("x"))
+	digest, err := b.red.blobs.Put(ctx, sha, []byte("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"..", "a/b", "/etc/passwd", "", "."} {
-		resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: there.Proto()}} })
+		resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: digest.Proto()}} })
 		if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
 			t.Errorf("%q: %v, %v", name, resp, err)
 		}
@@ -482,36 +495,37 @@
 	}
 }
 
-// leaveHalfway: a client that leaves during an execution finds it at another controller.
+// leaveHalfway checks that a client which disconnects during an execution gets its result from another
+// controller, without a second execution.
 func (b *buildCases) leaveHalfway(ctx context.Context, t *testing.T) {
 	g, err := b.red.upload(ctx, fmt.Sprintf("echo left >> %s; sleep 1; echo x > out", b.runs), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave, gone := context.WithCancel(ctx)
-	_, err = b.red.exec.StartingAt(0).Execute(leave, g, false, func(m *repb.ExecuteOperationMetadata) {
+	firstCall, disconnect := context.WithCancel(ctx)
+	_, err = b.red.exec.StartingAt(0).Execute(firstCall, g, false, func(m *repb.ExecuteOperationMetadata) {
 		if m.Stage == repb.ExecutionStage_EXECUTING {
-			gone()
+			disconnect()
 		}
 	})
-	gone()
+	disconnect()
 	if err == nil {
-		t.Log("it was over before it was left")
+		t.Log("the action completed before the client disconnected")
 	}
-	b.c.kill(0) // and the controller that held the stream ends
+	b.c.kill(0) // the controller that served the stream ends as well
 	b.c.start(0)
 	if resp, err := b.red.exec.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || b.count("left") != 1 {
-		t.Errorf("%v, %v, executed %d times", resp, err, b.count("left"))
+		t.Errorf("response %v, error %v, executed %d times", resp, err, b.count("left"))
 	}
 }
 
-// priorities: an action with a high priority runs before those of a heavy build.
+// priorities checks that an action of high priority does not wait for all actions of a large build.
 func (b *buildCases) priorities(ctx context.Context, t *testing.T) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	through := 0
-	const heavy = 60
-	for i := range heavy {
+	completed := 0
+	const buildSize = 60
+	for i := range buildSize {
 		group.Add(1)
 		go func() {
 			defer group.Done()
@@ -519,11 +533,11 @@
 				t.Error(err)
 			}
 			mu.Lock()
-			through++
+			completed++
 			mu.Unlock()
 		}()
 	}
-	b.c.waitFor("the build", func() bool { mu.Lock(); defer mu.Unlock(); return through > 0 })
+	b.c.waitFor("the first action of the build", func() bool { mu.Lock(); defer mu.Unlock(); return completed > 0 })
 	if _, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
 		property("priority", string(wire.Production))(a, cmd)
 		property("cpus", "4")(a, cmd)
@@ -531,16 +545,16 @@
 		t.Error(err)
 	}
 	mu.Lock()
-	before := through
+	before := completed
 	mu.Unlock()
-	if before > heavy*3/4 {
-		t.Errorf("%d of %d actions of the build went before the alert", before, heavy)
+	if before > buildSize*3/4 {
+		t.Errorf("%d of %d actions of the build completed before the high-priority action", before, buildSize)
 	}
-	t.Logf("%d of %d actions were through when the alert was", before, heavy)
+	t.Logf("%d of %d actions of the build had completed when the high-priority action had", before, buildSize)
 	group.Wait()
 }
 
-// liveOutput: the output of a command can be followed while it runs.
+// liveOutput checks that clients can follow a command's output while it runs.
 func (b *buildCases) liveOutput(ctx context.Context, t *testing.T) {
 	g, err := b.red.upload(ctx, "echo early; sleep 2; echo late", nil, nil)
 	if err != nil {
@@ -548,14 +562,14 @@
 	}
 	var live syncBuffer
 	var watch sync.WaitGroup
-	over := false
+	completed := false
 	_, err = b.red.exec.Execute(ctx, g, false, func(m *repb.ExecuteOperationMetadata) {
 		if m.Stage == repb.ExecutionStage_COMPLETED {
-			over = true
+			completed = true
 		}
 		if m.StdoutStreamName != "" && live.String() == "" {
 			watch.Go(func() {
-				for ctx.Err() == nil { // it begins with the first that is written
+				for ctx.Err() == nil { // the log exists once the command has written something
 					if n, err := b.red.blobs.FollowLog(ctx, m.StdoutStreamName, &live); err == nil && n > 0 {
 						return
 					}
@@ -563,8 +577,8 @@
 				}
 			})
 			b.c.waitFor("the first line", func() bool { return strings.HasPrefix(live.String(), "early\n") })
-			if over || strings.Contains(live.String(), "late") {
-				t.Error("it was shown when it was over")
+			if completed || strings.Contains(live.String(), "late") {
+				t.Error("the output was shown only after the command had ended")
 			}
 		}
 	})
@@ -574,7 +588,7 @@
 	}
 }
 
-// commandLine: the command line tools run an action and get its output.
+// commandLine checks that the command line tools run an action and get its output.
 func (b *buildCases) commandLine(ctx context.Context, t *testing.T) {
 	dir := t.TempDir()
 	_ = os.WriteFile(filepath.Join(dir, "in.txt"), []byte("hello\n"), 0o644)
@@ -595,25 +609,27 @@
 	}
 }
 
-// syncBuffer is a buffer for concurrent use.
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
+// String implements fmt.Stringer.
 func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
-// tree executes an action with a modified input root.
+// tree executes an action whose input root is filled by change.
 func (b *buildTool) tree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	change(root)
@@ -632,23 +648,22 @@
 	return b.exec.Execute(ctx, g, false, nil)
 }
 
-// BenchmarkActions executes actions through Execute, with and without cached results, on one
-// cluster.
+// BenchmarkActions measures the rate of actions through Execute, with and without cached results.
 func BenchmarkActions(b *testing.B) {
 	c := newBuildCluster(b, 3, 0)
 	t := c.tool("blue")
 	run := func(b *testing.B, name func(i int) string) {
 		var group sync.WaitGroup
-		room := make(chan struct{}, 32)
+		slots := make(chan struct{}, 32)
 		for i := 0; b.Loop(); i++ {
-			room <- struct{}{}
+			slots <- struct{}{}
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				if _, _, err := t.run(b.Context(), i, ": "+name(i), nil, property("cpus", "0.5")); err != nil {
 					b.Error(err)
 				}
-				<-room
+				<-slots
 			}()
 		}
 		group.Wait()
@@ -658,8 +673,8 @@
 	b.Run("cached", func(b *testing.B) { run(b, func(int) string { return "known" }) })
 }
 
-// BenchmarkStreams holds streams open at one controller for an action that waits for a machine
-// that never comes, and reports the memory of each.
+// BenchmarkStreams keeps streams open at one controller for an action that waits for a machine in a
+// cloud without machines, and reports the controller's memory per stream.
 func BenchmarkStreams(b *testing.B) {
 	c := newBuildCluster(b, 0, 0)
 	t := c.tool("blue")
@@ -673,7 +688,7 @@
 		ctx, stop := context.WithCancel(b.Context())
 		var open, over sync.WaitGroup
 		for range streams {
-			front, err := reapi.Dial([]string{c.front(0)}, "blue") // a connection of its own for each
+			executor, err := reapi.Dial([]string{c.front(0)}, "blue") // each stream has its own connection
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -681,9 +696,9 @@
 			over.Add(1)
 			go func() {
 				defer over.Done()
-				defer front.Close()
+				defer executor.Close()
 				var once sync.Once
-				_, _ = front.Execute(ctx, g, false, func(*repb.ExecuteOperationMetadata) { once.Do(open.Done) })
+				_, _ = executor.Execute(ctx, g, false, func(*repb.ExecuteOperationMetadata) { once.Do(open.Done) })
 			}()
 		}
 		open.Wait()
@@ -693,17 +708,18 @@
 	}
 }
 
-// BenchmarkTwoTeams has two teams build at once, one of which asks for three times as much, on a
-// cluster that is too small for either. It reports how much longer the small build takes than
-// alone, with half of the cluster guaranteed to its team and without a guarantee.
+// BenchmarkTwoTeams has two teams build at once on a cluster that is too small for either build. One
+// build is three times as large as the other. The benchmark reports by what factor the small build
+// takes longer than alone, with half of the cluster guaranteed to its team and without a guarantee.
 func BenchmarkTwoTeams(b *testing.B) {
-	for _, promised := range []float64{0, 16} {
-		b.Run(fmt.Sprint(promised, " CPUs guaranteed"), func(b *testing.B) { benchmarkTwoTeams(b, promised) })
+	for _, guaranteedCPUs := range []float64{0, 16} {
+		b.Run(fmt.Sprint(guaranteedCPUs, " CPUs guaranteed"), func(b *testing.B) { benchmarkTwoTeams(b, guaranteedCPUs) })
 	}
 }
 
-func benchmarkTwoTeams(b *testing.B, promised float64) {
-	c := newBuildCluster(b, 1, promised)
+// benchmarkTwoTeams runs BenchmarkTwoTeams with the given number of CPUs guaranteed to the small build's team.
+func benchmarkTwoTeams(b *testing.B, guaranteedCPUs float64) {
+	c := newBuildCluster(b, 1, guaranteedCPUs)
 	build := func(instance string, actions int, salt any) time.Duration {
 		t := c.tool(instance)
 		begun := time.Now()
@@ -726,8 +742,8 @@
 		large := make(chan time.Duration)
 		go func() { large <- build("red", 72, time.Now().UnixNano()) }()
 		time.Sleep(300 * time.Millisecond)
-		beside := build("blue", 24, time.Now().UnixNano())
-		b.ReportMetric(beside.Seconds()/alone.Seconds(), "beside/alone")
+		concurrent := build("blue", 24, time.Now().UnixNano())
+		b.ReportMetric(concurrent.Seconds()/alone.Seconds(), "beside/alone")
 		b.ReportMetric((<-large).Seconds()/alone.Seconds(), "large/alone")
 	}
 }
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -22,30 +22,31 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What days on which troubles meet are told with.
+// This file has the parts that scripted simulations share: scripts, faults, and users who submit,
+// poll and cancel jobs.
 
-// stateHost and cloudHost are the hosts of the state service and the cloud.
+// stateHost and cloudHost are the IP addresses of the state service and the cloud.
 const stateHost, cloudHost = "10.2.0.1", "10.2.0.2"
 
-// script is a day with faults at fixed times: its setup, its steps, and what has to have happened.
+// script describes a simulation with faults at fixed times.
 type script struct {
 	seed      uint64
-	count     int                  // of controllers, 3 if it is 0
+	count     int                  // number of controllers, 3 if it is less
 	settings  func(*config.Config) // changes the controllers' settings, if set
-	setUp     func(w *simulation)  // users and jobs
+	setUp     func(w *simulation)  // starts users and their jobs, if set
 	steps     []step
-	verify    func(w *simulation) // reports by t what did not happen
-	quietTime time.Duration       // after the last step, before all that is left has to end
+	verify    func(w *simulation) // reports a test failure if an expected event did not happen
+	quietTime time.Duration       // without faults after the last step, before the remaining jobs have to end
 }
 
-// step happens that long after the start of the day, or when the previous step is over.
+// step is an action at a fixed time of a script. It is applied later if the previous step ends later.
 type step struct {
-	at    time.Duration
+	at    time.Duration // since the start of the simulation
 	label string
 	apply func(w *simulation)
 }
 
-// run simulates the day and checks it.
+// run runs the simulation and checks it.
 func (d script) run(t *testing.T) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -67,85 +68,86 @@
 	})
 }
 
-// finishQuietly declares that no fault is active, waits until all jobs are over, and checks the
-// day.
-func (w *simulation) finishQuietly(quiet, patience time.Duration) {
+// finishQuietly declares that no fault is active, lets the simulation run for the quiet time, waits
+// until all jobs have ended, for at most timeout, and checks the simulation.
+func (w *simulation) finishQuietly(quiet, timeout time.Duration) {
 	w.t.Helper()
 	w.declareQuiet()
 	time.Sleep(quiet)
-	w.finishDay(patience)
+	w.finishDay(timeout)
 }
 
-// finishDay waits until all jobs are over, and checks that no rule was violated. A day on which no
-// task was started proves nothing, and fails.
-func (w *simulation) finishDay(patience time.Duration) {
+// finishDay waits until all jobs have ended, for at most timeout, and checks that no rule was
+// violated. A simulation in which no task was started proves nothing, and fails.
+func (w *simulation) finishDay(timeout time.Duration) {
 	w.t.Helper()
-	w.finish(patience)
+	w.finish(timeout)
 	w.checkResults()
 	if w.checker.Started == 0 {
 		w.t.Error("no task was started")
 	}
 }
 
-// playFaults injects n faults one after the other, each for the time that is drawn with it, with a
-// random pause of less than maxPause after each.
+// playFaults injects n faults in sequence, each for the duration that draw returns with it, and
+// waits a random time of less than maxPause after each.
 func (w *simulation) playFaults(rng *rand.Rand, n int, maxPause time.Duration, draw func(k int) (fault, time.Duration)) {
 	for k := range n {
-		x, d := draw(k)
-		log(x.name, d)
-		x.apply(w, rng, d)
+		injected, d := draw(k)
+		log(injected.name, d)
+		injected.apply(w, rng, d)
 		time.Sleep(time.Duration(rng.IntN(int(maxPause/time.Millisecond))) * time.Millisecond)
 	}
 }
 
-// drawFault draws one of several faults, and how many seconds it lasts: from 1 to maxSeconds.
+// drawFault selects a random fault and its duration, from 1 to maxSeconds seconds.
 func drawFault(rng *rand.Rand, faults []fault, maxSeconds int) (fault, time.Duration) {
 	return faults[rng.IntN(len(faults))], time.Duration(1+rng.IntN(maxSeconds)) * time.Second
 }
 
-// heartbeatTuning holds settings that no rule depends on, so that each day draws its own. With the
-// long timeout machines without heartbeats are not released: only time proves that their tasks ended.
+// heartbeatTuning holds settings that no rule of the protocol depends on, so that each simulation
+// selects them at random. With the long timeout, machines without heartbeats are not released: only
+// the expiry of their leases proves that their tasks have ended.
 type heartbeatTuning struct {
-	direct  int           // machines up to which a leader receives all heartbeats itself
+	direct  int           // largest number of machines whose heartbeats a leader receives all itself
 	timeout time.Duration // after which a machine without heartbeats counts as failed; 0 for the default
 }
 
-// drawHeartbeatTuning draws the settings of a day.
+// drawHeartbeatTuning selects the settings of a simulation at random.
 func drawHeartbeatTuning(rng *rand.Rand) heartbeatTuning {
 	direct := []int{0, 2, 200}[rng.IntN(3)]
 	return heartbeatTuning{direct, []time.Duration{0, time.Hour}[rng.IntN(2)]}
 }
 
-// apply sets them, and the sharding, in a controller's settings.
+// apply writes the tuning and the sharding to a controller's settings.
 func (h heartbeatTuning) apply(c *config.Config, sharding string) {
 	c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = h.direct, h.timeout, sharding
 }
 
-// newProxiedSimulation starts a simulation in which each controller reaches the state service by
-// an address of its own, so that one controller alone can be refused.
-func newProxiedSimulation(t *testing.T, count int, seed uint64, set func(*config.Config)) *simulation {
-	door := func(i int) string { return simulator.Address(stateHost, 2400+i) }
+// newProxiedSimulation starts a simulation in which each controller reaches the state service at an
+// address of its own, so that the state service can refuse single controllers.
+func newProxiedSimulation(t *testing.T, count int, seed uint64, changeSettings func(*config.Config)) *simulation {
+	storeAddr := func(i int) string { return simulator.Address(stateHost, 2400+i) }
 	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
-		if c.StoreAddr = door(controllerNumber(c.Name)); set != nil {
-			set(c)
+		if c.StoreAddr = storeAddr(controllerNumber(c.Name)); changeSettings != nil {
+			changeSettings(c)
 		}
 	})
 	for i := range count {
-		go w.net.Host(stateHost).Listen(w.ctx, door(i), 0, w.store.ServeCaller(fmt.Sprint("c-", i)))
+		go w.net.Host(stateHost).Listen(w.ctx, storeAddr(i), 0, w.store.ServeCaller(fmt.Sprint("c-", i)))
 	}
 	return w
 }
 
-// refuseByStore has the state service refuse one controller, or serve it again.
+// refuseByStore has the state service refuse the requests of one controller, or serve it again.
 func (w *simulation) refuseByStore(i int, on bool) { w.store.RefuseCaller(fmt.Sprint("c-", i), on) }
 
-// controllerNumber returns the number of the controller with this name.
+// controllerNumber returns the number in a controller's name, such as 2 for "c-2".
 func controllerNumber(name string) int {
 	n, _ := strconv.Atoi(name[2:])
 	return n
 }
 
-// leaderOf returns the leader of a shard according to the state service, -1 for none.
+// leaderOf returns the number of a shard's leader according to the state service, or -1.
 func (w *simulation) leaderOf(shard string) int {
 	if name := w.leaders()[shard]; name != "" {
 		return controllerNumber(name)
@@ -153,7 +155,7 @@
 	return -1
 }
 
-// anyLeader returns the leader of the fleet, or of some shard of a fleet that is divided.
+// anyLeader returns the number of the fleet's leader, or of the leader of some shard, or -1.
 func (w *simulation) anyLeader() int {
 	for _, shard := range []string{"fleet", "a", "b"} {
 		if i := w.leaderOf(shard); i >= 0 {
@@ -163,44 +165,44 @@
 	return -1
 }
 
-// partition separates some controllers from hosts and from the other controllers, by the given
-// function.
-func (w *simulation) partition(how func(a, b string, on bool), on bool, hosts []string, cut ...int) {
+// partition calls setFault for each pair of one of the given controllers and either one of the hosts
+// or one of the other controllers.
+func (w *simulation) partition(setFault func(a, b string, on bool), on bool, hosts []string, controllers ...int) {
 	for k := range w.count {
-		if !slices.Contains(cut, k) {
+		if !slices.Contains(controllers, k) {
 			hosts = append(slices.Clip(hosts), w.ip(k))
 		}
 	}
-	for _, i := range cut {
+	for _, i := range controllers {
 		for _, host := range hosts {
-			how(w.ip(i), host, on)
+			setFault(w.ip(i), host, on)
 		}
 	}
 }
 
-// cutOff separates a controller from the state service and its peers. Machines and users still
+// cutOff partitions a controller from the state service and its peers. Machines and users still
 // reach it.
 func (w *simulation) cutOff(i int, on bool) { w.partition(w.net.Partition, on, []string{stateHost}, i) }
 
-// cutPeers separates a controller from its peers alone.
+// cutPeers partitions a controller from its peers only.
 func (w *simulation) cutPeers(i int, on bool) { w.partition(w.net.Partition, on, nil, i) }
 
-// isolate loses everything between some controllers on one side and the state service and the
-// other controllers on the other, also on open connections.
-func (w *simulation) isolate(on bool, cut ...int) {
+// isolate drops all traffic between the given controllers and both the state service and the other
+// controllers, also on open connections.
+func (w *simulation) isolate(on bool, controllers ...int) {
 	w.partition(func(a, b string, on bool) {
 		w.net.DropOneWay(a, b, on)
 		w.net.DropOneWay(b, a, on)
-	}, on, []string{stateHost}, cut...)
+	}, on, []string{stateHost}, controllers...)
 }
 
-// upMachine is a machine that is up.
+// upMachine is a machine that is running.
 type upMachine struct {
 	*simulator.Worker
 	id, host string
 }
 
-// runningMachines returns the machines that are up.
+// runningMachines returns all machines that are running.
 func (w *simulation) runningMachines() (out []upMachine) {
 	w.cloud.EachRunning(func(l wire.ListedMachine, m simulator.Machine) {
 		out = append(out, upMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
@@ -208,15 +210,15 @@
 	return out
 }
 
-// reconfigureMachines sets the heartbeat interval and the delay of direct calls of the machines
+// reconfigureMachines sets the heartbeat interval, and the delay of direct calls, of the machines
 // that boot from now on.
-func (w *simulation) reconfigureMachines(heartbeatInterval time.Duration, late func() time.Duration) {
-	begin := w.machine(heartbeatInterval, late)
-	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = begin })
+func (w *simulation) reconfigureMachines(heartbeatInterval time.Duration, callDelay func() time.Duration) {
+	startMachine := w.machine(heartbeatInterval, callDelay)
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = startMachine })
 }
 
-// loseInbound loses everything that is sent to machines for a while, and returns them. Their heartbeats
-// still arrive.
+// loseInbound drops all traffic to the given machines for the duration d, and returns the machines.
+// Their heartbeats still arrive.
 func loseInbound(d time.Duration, machines ...upMachine) []upMachine {
 	for _, m := range machines {
 		during(d, m.DropInbound)
@@ -224,8 +226,8 @@
 	return machines
 }
 
-// deafenHosts loses everything that controllers send to hosts for a while: new connections fail,
-// and what the hosts send on open ones still arrives.
+// deafenHosts drops all traffic from controllers to the given hosts for the duration d. New
+// connections fail, but messages from the hosts on open connections still arrive.
 func (w *simulation) deafenHosts(hosts []string, d time.Duration) {
 	for _, host := range hosts {
 		for i := range w.count {
@@ -235,54 +237,55 @@
 }
 
 // request sends one request to a controller, as a user does.
-func (w *simulation) request(i int, patience time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
+func (w *simulation) request(i int, timeout time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
-	ctx, cancel := context.WithTimeout(w.ctx, patience)
+	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
 	return caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
 }
 
-// forever is the run time of services.
+// forever is the run time of services: longer than any simulation.
 const forever = 24 * time.Hour
 
-// jobOf returns a job of the team blue, each of whose tasks takes a quarter of a machine.
+// jobOf returns a job of the team blue. Each of its tasks uses one GPU, a quarter of a machine's.
 func jobOf(id string, shape wire.Shape, tasks int, run time.Duration, change ...func(*wire.Job)) *wire.Job {
 	j := &wire.Job{ID: id, Class: "c", Team: "blue", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}
 	if shape == wire.Service {
 		j.Priority, j.EstimateS = wire.Production, 0
 	}
-	for _, set := range change {
-		set(j)
+	for _, apply := range change {
+		apply(j)
 	}
 	return j
 }
 
-// red, spread, oneZone and saves are changes for jobOf.
+// red, spread, oneZone and saves are changes for jobOf: the team red, tasks spread over zones, all
+// tasks in one zone, and checkpoints every 5 s that take 1 s to save.
 func red(j *wire.Job)     { j.Team = "red" }
 func spread(j *wire.Job)  { j.Spread = true }
 func oneZone(j *wire.Job) { j.OneZone = true }
 func saves(j *wire.Job)   { j.CheckpointS, j.SaveS = 5, 1 }
 
 // log prints a message if SIM_LOG is set.
-func log(what ...any) {
+func log(values ...any) {
 	if os.Getenv("SIM_LOG") != "" {
-		fmt.Fprintln(os.Stderr, append([]any{time.Now().Format("15:04:05.000"), "====="}, what...)...)
+		fmt.Fprintln(os.Stderr, append([]any{time.Now().Format("15:04:05.000"), "====="}, values...)...)
 	}
 }
 
-// taskObserver passes task events to the checker and keeps when and where tasks ran, for faults
-// that depend on it.
+// taskObserver passes task events to the checker. It records when and where tasks ran, for faults
+// that depend on that.
 type taskObserver struct {
 	*simulator.Checker
 	mu                   sync.Mutex
-	instantBootUntil     time.Time                 // until when machines boot at once
-	bootedAt             map[string]time.Time      // of the machines that booted at once
-	lastMachine          map[wire.TaskID]string    // the machine that each task was on last
+	instantBootUntil     time.Time                 // machines that start before this boot at once
+	bootedAt             map[string]time.Time      // when machines started that boot at once
+	lastMachine          map[wire.TaskID]string    // the last machine of each task
 	taskEnds             map[wire.TaskID]time.Time // when each task ends, or has ended
-	starts, stops        map[wire.TaskID]int       // how often each task has started and has left its machine
-	concurrentReadsUntil time.Time                 // until when users read concurrently
+	starts, stops        map[wire.TaskID]int       // how often each task has started and has stopped
+	concurrentReadsUntil time.Time                 // users read concurrently before this
 
-	cancelled, polls, startsAtBoot atomic.Int64 // jobs, questions, and tasks on machines that have just come up
+	cancelled, polls, startsAtBoot atomic.Int64 // counts of cancelled jobs, concurrent requests, and task starts on just booted machines
 }
 
 // newTaskObserver returns an observer that reports to a checker.
@@ -299,14 +302,14 @@
 	}
 }
 
-// setInstantBoot has machines boot at once for a while.
+// setInstantBoot has the machines that start within the duration d boot at once.
 func (f *taskObserver) setInstantBoot(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instantBootUntil = time.Now().Add(d)
 }
 
-// setConcurrentReads has users read concurrently for a while.
+// setConcurrentReads has users read concurrently for the duration d.
 func (f *taskObserver) setConcurrentReads(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -320,7 +323,7 @@
 	defer f.mu.Unlock()
 	f.starts[t]++
 	f.lastMachine[t], f.taskEnds[t] = machine, time.Now().Add(run)
-	if time.Since(f.bootedAt[machine]) < 4*time.Second { // it had to fetch
+	if time.Since(f.bootedAt[machine]) < 4*time.Second { // a machine that has just booted has to fetch the image first
 		f.startsAtBoot.Add(1)
 	}
 	return run, ok
@@ -342,7 +345,8 @@
 	f.taskEnds[t] = time.Now()
 }
 
-// jobEnd returns when the last task of a job ends or has ended, if all tasks have started.
+// jobEnd returns when the last task of a job will end or has ended. ok is false until all tasks have
+// started.
 func (f *taskObserver) jobEnd(j *wire.Job) (last time.Time, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -358,21 +362,21 @@
 	return last, true
 }
 
-// startsOf returns how often a task was started.
+// startsOf returns how often a task has started.
 func (f *taskObserver) startsOf(t wire.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts[t]
 }
 
-// hasEnded reports whether a task was started and has left its machine.
+// hasEnded reports whether a task has started, and has stopped as often as it started.
 func (f *taskObserver) hasEnded(t wire.TaskID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts[t] > 0 && f.stops[t] == f.starts[t]
 }
 
-// ranOn reports whether a task of a job was on a machine last.
+// ranOn reports whether a machine is the last machine of some task of a job.
 func (f *taskObserver) ranOn(machine string, j *wire.Job) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -384,38 +388,38 @@
 	return false
 }
 
-// client is the user of one job, or several users who make requests about it at once. The answers
-// are checked.
+// client is the user of one job, or several users who make concurrent requests about it. It checks
+// the responses.
 type client struct {
 	*simulation
 	job             *wire.Job
-	maxRunTime      time.Duration // of any of its tasks
-	rng             *rand.Rand    // of its own, since others draw at the same time
+	maxRunTime      time.Duration // longest run time of its tasks
+	rng             *rand.Rand    // not shared with other clients, which draw from theirs concurrently
 	cancelRequested atomic.Bool
-	unanswered      *atomic.Int64 // counts requests without an answer, if set
-	progress        atomic.Int32  // what was answered: 0 nothing, 1 accepted, 2 over
+	unanswered      *atomic.Int64 // counts requests without a usable response, if set
+	progress        atomic.Int32  // best answer so far: 0 none, 1 accepted, 2 a final state
 }
 
-// client returns the user of a job whose tasks have these run times in turn.
+// client returns the user of a job. The given run times apply to the job's tasks in order.
 func (w *simulation) client(j *wire.Job, rng *rand.Rand, runs ...time.Duration) *client {
 	w.checker.Submitted(j, runs[0])
 	w.checker.SetTaskRunTimes(j.ID, runs...)
 	return &client{simulation: w, job: j, maxRunTime: slices.Max(runs), rng: rng}
 }
 
-// rngOf returns a random source that depends on a seed and a job only.
+// rngOf returns a random source that depends only on a seed and a job ID.
 func rngOf(seed uint64, job string) *rand.Rand {
 	h := fnv.New64()
 	_, _ = h.Write([]byte(job))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// ask sends a request to one controller, checks the answer and returns its status, 0 for none. An
-// answer may be older than one that was given while the request was under way, but not older than
-// one that was given before.
-func (c *client) ask(i int, patience time.Duration, method, path string, body []byte) int {
+// ask sends a request to one controller, checks the response and returns its status, or 0 if there
+// was no usable response. The answer may be older than one that was received while the request was
+// in flight, but not older than one that was received before it was sent.
+func (c *client) ask(i int, timeout time.Duration, method, path string, body []byte) int {
 	before, id := c.checker.Stage(c.job.ID), c.job.ID
-	resp, err := c.request(i, patience, method, path, body)
+	resp, err := c.request(i, timeout, method, path, body)
 	if err != nil || c.ctx.Err() != nil || resp.Status == 429 || resp.Status >= 500 {
 		if c.unanswered != nil {
 			c.unanswered.Add(1)
@@ -428,12 +432,12 @@
 		return resp.Status
 	}
 	if c.checker.ObserveAnswer(id, resp.Status, s.Stage, c.cancelRequested.Load()); resp.Status >= 400 {
-		c.t.Errorf("%s, which was %s, is answered %d at %d", id, before, resp.Status, i)
+		c.t.Errorf("controller %d answered %d about %s, whose stage was %q", i, resp.Status, id, before)
 		return resp.Status
 	}
-	if is := map[bool]int32{false: 1, true: 2}[s.Stage.Final()]; c.progress.Swap(is) < is && c.readsConcurrently() {
+	if now := map[bool]int32{false: 1, true: 2}[s.Stage.Final()]; c.progress.Swap(now) < now && c.readsConcurrently() {
 		c.group.Go(func() {
-			if c.readConcurrently(2); is == 1 && c.draw(c.rng, 6) == 0 {
+			if c.readConcurrently(2); now == 1 && c.draw(c.rng, 6) == 0 {
 				c.untilAnswered(c.cancel)
 			}
 		})
@@ -441,20 +445,20 @@
 	return resp.Status
 }
 
-// readsConcurrently reports whether users read concurrently at present.
+// readsConcurrently reports whether users currently read concurrently.
 func (w *simulation) readsConcurrently() bool {
 	w.tasks.mu.Lock()
 	defer w.tasks.mu.Unlock()
 	return time.Now().Before(w.tasks.concurrentReadsUntil)
 }
 
-// readConcurrently asks all controllers about the job within milliseconds, some of them by
-// submitting it again, that many times.
+// readConcurrently asks all controllers about the job within a few milliseconds, some of them by
+// submitting it again, and repeats that the given number of times.
 func (c *client) readConcurrently(times int) {
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for range times {
 		for i := range c.count {
-			all.Go(func() {
+			requests.Go(func() {
 				time.Sleep(time.Duration(c.draw(c.rng, 5000)) * time.Microsecond)
 				if c.tasks.polls.Add(1); c.draw(c.rng, 3) == 0 {
 					c.submit(i)
@@ -465,9 +469,10 @@
 		}
 		time.Sleep(time.Duration(c.draw(c.rng, 200)) * time.Millisecond)
 	}
-	all.Wait()
+	requests.Wait()
 }
 
+// path returns the URL path of the job.
 func (c *client) path() string { return wire.PathJobs + "/" + c.job.ID }
 
 // submit submits the job to one controller.
@@ -484,24 +489,24 @@
 	return c.ask(i, 5*time.Second, "POST", c.path()+"/"+wire.CancelWord, []byte{})
 }
 
-// body returns the submission, as it was or with a different content under the same id.
+// body returns the submission, either unchanged or with different content under the same ID.
 func (c *client) body() []byte {
-	other := *c.job
+	submission := *c.job
 	switch c.draw(c.rng, 6) {
 	case 0:
-		other.Tasks, other.Team, other.CPUs = 90, "nobody", 1000
+		submission.Tasks, submission.Team, submission.CPUs = 90, "nobody", 1000
 	case 1:
-		other.Image = strings.Repeat("large", 3000)
+		submission.Image = strings.Repeat("large", 3000)
 	case 2:
-		other.Shape = "none"
+		submission.Shape = "none"
 	}
-	return wire.Encode(&other)
+	return wire.Encode(&submission)
 }
 
-// anyController returns a controller, as a load balancer selects it.
+// anyController selects a random controller, as a load balancer does.
 func (c *client) anyController() int { return c.draw(c.rng, c.count) }
 
-// untilAnswered repeats a request to any controller until one answers.
+// untilAnswered sends a request to random controllers until one answers, and returns the status.
 func (c *client) untilAnswered(ask func(i int) int) int {
 	for c.ctx.Err() == nil {
 		if status := ask(c.anyController()); status > 0 {
@@ -512,15 +517,16 @@
 	return 0
 }
 
-// submitter starts a user who submits a job some time after the start of the day, polls it, and
-// may cancel it at another time unless that is 0, each at a controller that the load balancer
-// selects. When the job is over it asks all controllers.
+// submitter starts a user who submits a job at the time submit and polls it. The user cancels it at
+// the time cancel, unless that is 0. Both times count from this call. Each request goes to a random
+// controller. After the job has ended the user polls and submits it again, and checks that its final
+// state stays the same.
 func (w *simulation) submitter(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
 	c, start := w.client(j, rngOf(seed, j.ID), runs...), time.Now()
 	w.group.Go(func() {
 		time.Sleep(submit)
 		if status := c.untilAnswered(c.submit); status != 200 && status != 201 && w.ctx.Err() == nil {
-			w.t.Errorf("%s was answered %d", j.ID, status)
+			w.t.Errorf("submission of %s was answered %d", j.ID, status)
 			return
 		}
 		w.pollUntilOver(j.ID)
@@ -535,11 +541,11 @@
 			time.Sleep(2*time.Second + time.Duration(c.draw(c.rng, 2000))*time.Millisecond)
 			c.poll(c.anyController())
 		}
-		for range 8 { // what was told stays so, whoever is asked
+		for range 8 { // every controller has to return the same final state
 			time.Sleep(time.Duration(c.draw(c.rng, 8000)) * time.Millisecond)
 			c.poll(c.anyController())
 		}
-		if c.untilAnswered(c.submit); c.cancelRequested.Load() { // a late retry finds the final state
+		if c.untilAnswered(c.submit); c.cancelRequested.Load() { // a late retry gets the final state
 			c.untilAnswered(c.cancel)
 		}
 	})
