--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -18,26 +18,26 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// Days on which a few controllers write what users wait for, for all.
+// The tests of this file run clusters in which a few controllers write submissions and cancellations,
+// and the others forward theirs to them.
 
-// forwardingCase is the number of controllers, how many of them write submissions for all, and
-// what happens to those that do.
+// forwardingCase is a case of TestForwarding.
 type forwardingCase struct {
-	count, writers int
-	fault          string
+	count, writers int    // number of controllers, and of those that write for all
+	fault          string // key of forwardingFaults
 }
 
-// forwardingRun is a simulated day that keeps which controllers have written batches of new jobs.
+// forwardingRun is a simulation that counts the batches of new jobs that each controller writes.
 type forwardingRun struct {
 	*concurrentReads
 	day forwardingCase
 
-	firstWriters []int // those that write when the fault begins
+	firstWriters []int // the controllers that write when the fault begins
 	mu           sync.Mutex
-	batches      map[string]int // since then, by controller
+	batches      map[string]int // number of batches since the fault began, by controller
 }
 
-// newForwardingRun starts a day.
+// newForwardingRun starts the simulation of a case.
 func newForwardingRun(t *testing.T, d forwardingCase, seed uint64) *forwardingRun {
 	w := &forwardingRun{day: d, batches: map[string]int{}}
 	w.concurrentReads = newConcurrentReads(t, readCase{count: d.count, sharding: "off", writers: d.writers}, seed)
@@ -45,7 +45,8 @@
 	return w
 }
 
-// noteCommit counts the batches by writer.
+// noteCommit counts the batches among the keys that a transaction has put, by the controller that
+// wrote them.
 func (w *forwardingRun) noteCommit(puts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// writers lists the controllers that write while all are up.
+// writers returns the numbers of the controllers that write for all while every controller is up.
 func (w *forwardingRun) writers() (out []int) {
 	var all []string
 	for i := range w.count {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// forwardingFaults are what happens to a controller that writes, or to all.
+// forwardingFaults lists faults of controller i, which writes for all, or of the whole cluster, by name.
 var forwardingFaults = map[string]func(w *forwardingRun, i int){
 	"calm":                                   func(*forwardingRun, int) {},
 	"it ends and is back after 100 ms":       func(w *forwardingRun, i int) { w.crash(i, 100*time.Millisecond, 0) },
@@ -125,22 +126,22 @@
 	},
 }
 
-// run has jobs submitted at some controllers, cancelled at others, and polled and resubmitted at
-// all, during a fault, and checks the answers for linearizability.
+// run injects the fault while users submit jobs at some controllers, cancel them at others, and poll
+// and resubmit them at all, and checks the answers for linearizability.
 func (w *forwardingRun) run() {
 	time.Sleep(8 * time.Second)
-	w.runJob(999, 0, 100*time.Second, forever) // it keeps a machine there
+	w.runJob(999, 0, 100*time.Second, forever) // keeps a machine rented
 	time.Sleep(12 * time.Second)
 	w.firstWriters = w.writers()
 	if len(w.firstWriters) == 0 {
-		w.t.Fatal("nobody writes for others")
+		w.t.Fatal("no controller writes for the others")
 	}
 	w.mu.Lock()
 	clear(w.batches)
 	w.mu.Unlock()
-	trouble, jobs := w.day.fault, 24
-	forwardingFaults[trouble](w, w.firstWriters[0])
-	if strings.Contains(trouble, "ten times") {
+	faultName, jobs := w.day.fault, 24
+	forwardingFaults[faultName](w, w.firstWriters[0])
+	if strings.Contains(faultName, "ten times") {
 		jobs = 110
 	}
 	for n := range jobs {
@@ -157,7 +158,8 @@
 	}
 }
 
-// runJobAtSome runs a job about which only some controllers are asked.
+// runJobAtSome runs a job. In clusters of more than five controllers, users send their requests about
+// it to only three of them.
 func (w *forwardingRun) runJobAtSome(n int, cancel time.Duration) {
 	all := w.count
 	if all > 5 {
@@ -168,8 +170,8 @@
 	w.runJob(n, n%all, cancel, 3*time.Second)
 }
 
-// run simulates the day. Without a fault only the designated controllers may write batches of new
-// jobs.
+// run runs the simulation of the case. Without a fault, only the designated controllers may write
+// batches of new jobs.
 func (d forwardingCase) run(t *testing.T, seed uint64) {
 	w := newForwardingRun(t, d, seed)
 	w.run()
@@ -178,26 +180,26 @@
 	}
 	for name, n := range w.batches {
 		if !slices.Contains(w.firstWriters, controllerNumber(name)) {
-			t.Errorf("%s, which does not write for others, has written %d batches: %v", name, n, w.batches)
+			t.Errorf("%s, which is not a designated writer, has written %d batches: %v", name, n, w.batches)
 		}
 	}
 }
 
-// TestForwarding simulates such days: answers about a job have to agree whichever controller gives
-// them, and everything that was accepted has to end. AMBERDEAL_FORWARDED plays all faults with 24
-// controllers too, that many times.
+// TestForwarding runs every forwarding fault. All controllers have to give consistent answers about a
+// job, and every accepted job has to end. With 24 controllers, a plain run covers only some faults.
+// AMBERDEAL_FORWARDED runs all cases that many times.
 func TestForwarding(t *testing.T) {
 	times := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FORWARDED"), &times)
 	for i, x := range []struct{ count, set int }{{3, 1}, {5, 2}, {24, writers.Auto}} {
-		for k, trouble := range slices.Sorted(maps.Keys(forwardingFaults)) {
-			if times == 0 && x.count == 24 && k%3 != 0 && !strings.Contains(trouble, "peers") {
+		for k, faultName := range slices.Sorted(maps.Keys(forwardingFaults)) {
+			if times == 0 && x.count == 24 && k%3 != 0 && !strings.Contains(faultName, "peers") {
 				continue
 			}
 			for seed := range max(1, times) {
-				t.Run(fmt.Sprintf("%d controllers, %s, seed %d", x.count, trouble, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d controllers, %s, seed %d", x.count, faultName, seed), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						forwardingCase{x.count, x.set, trouble}.run(t, uint64(100*seed+10*i+k))
+						forwardingCase{x.count, x.set, faultName}.run(t, uint64(100*seed+10*i+k))
 					})
 				})
 			}
@@ -205,8 +207,8 @@
 	}
 }
 
-// TestAcceptLatencyOfManyControllers checks that with 24 controllers users wait for the acceptance
-// of a job no longer than with five.
+// TestAcceptLatencyOfManyControllers checks that users do not wait longer for the acceptance of a job
+// with 24 controllers than with five: at most 1% of jobs may take longer than a second.
 func TestAcceptLatencyOfManyControllers(t *testing.T) {
 	for _, count := range []int{5, 24} {
 		t.Run(fmt.Sprint(count, " controllers"), func(t *testing.T) {
@@ -226,7 +228,7 @@
 				}
 				t.Logf("%d of %d jobs were accepted after more than a second", late, n)
 				if late*100 > n {
-					t.Errorf("%d of %d jobs were accepted after more than a second", late, n)
+					t.Errorf("%d of %d jobs were accepted after more than a second, want at most 1%%", late, n)
 				}
 				f.checkResults()
 			})
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -38,7 +38,7 @@
 	for _, g := range guards(t) {
 		b, err := os.ReadFile(filepath.Join(repositoryRoot, g.file))
 		if n := strings.Count(string(b), g.with); err != nil || n != 1 {
-			t.Errorf("%s: %s contains %q %d times, want once (read error: %v)", g.name, g.file, g.with, n, err)
+			t.Errorf("%s: %s contains %d occurrences of %q, want 1; read error: %v", g.name, g.file, n, g.with, err)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 					if strings.Contains(string(out), "build failed") {
 						t.Fatalf("%s", out)
 					}
-					fmt.Printf("%s: detected by %v\n", g.name, args)
+					fmt.Printf("%s: seen by %v\n", g.name, args)
 					return
 				}
 			}
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// waitingJob is a job of a waiting case.
+// waitingJob is one of the jobs of a waiting case.
 type waitingJob struct {
 	shape    wire.Shape
 	team     string
@@ -19,13 +19,14 @@
 	tasks    int
 	gpus     float64
 	run      time.Duration
-	change   func(*wire.Job)
+	change   func(*wire.Job) // changes further fields, if set
 }
 
-// untilCancelled is the run time of jobs that only end when they are cancelled.
+// untilCancelled is the run time of jobs that end only when they are cancelled, after 4 minutes.
 const untilCancelled = 10 * time.Minute
 
-// waitingCases are jobs in the order of their submission. The last one can start.
+// waitingCases lists jobs in the order of their submission, by what keeps an earlier job from starting.
+// There is capacity and quota for the last job.
 var waitingCases = map[string][]waitingJob{
 	"a task of its team needs more than the limit leaves": {
 		{wire.Array, "red", wire.High, 2, 4, 4 * time.Minute, nil},
@@ -58,9 +59,9 @@
 		{wire.Array, "blue", wire.Low, 2, 1, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }}},
 }
 
-// TestNoJobWaitsBesideIdleCapacity: without any fault, work that cannot start yet is ahead of a
-// job for which there is capacity and quota: that job has to start. AMBERDEAL_WAITING plays it
-// with one shard too.
+// TestNoJobWaitsBesideIdleCapacity checks that jobs which cannot start yet do not block a later job
+// for which there is capacity and quota. No faults are injected. AMBERDEAL_WAITING runs the cases with
+// a single shard too.
 func TestNoJobWaitsBesideIdleCapacity(t *testing.T) {
 	for name, jobs := range waitingCases {
 		for _, by := range []string{"zone", "off"} {
@@ -74,7 +75,8 @@
 	}
 }
 
-// playWaiting submits jobs in their order; none may wait beside capacity for it.
+// playWaiting submits the jobs in order. The checker reports jobs that wait although there is capacity
+// for them.
 func playWaiting(t *testing.T, jobs []waitingJob, by string) {
 	w := newSimulation(t, 71, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 	time.Sleep(8 * time.Second)
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -10,7 +10,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// leaderEnds are the ways in which a leader ends.
+// leaderEnds lists the ways in which a leader fails.
 var leaderEnds = []struct {
 	name string
 	ends func(w *simulation, i int)
@@ -24,10 +24,10 @@
 	{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
 }
 
-// TestTenLeaders ends the leader every ten seconds, ten times in two minutes, in various ways; in
-// the middle the state service is out for a while, so that nobody can succeed some of them. Users
-// cancel around each end. All rules have to hold, what is not cancelled has to continue, and
-// afterwards nothing may wait.
+// TestTenLeaders makes the leader fail ten times within two minutes, in various ways. In some cases
+// the state service has an outage in the meantime, during which no controller can become leader. Users
+// cancel jobs around each failure. All rules have to hold, jobs that are not cancelled have to
+// continue, and afterwards no job may be left waiting.
 func TestTenLeaders(t *testing.T) {
 	for n, c := range []struct {
 		count  int
@@ -40,22 +40,21 @@
 	}
 }
 
-// leaderEndInterval is the time between two ends of a leader, and firstLeaderEnd that before the
-// first. The outage begins outageAfter the latter.
 const (
-	leaderEndInterval = 11 * time.Second
-	firstLeaderEnd    = 26 * time.Second
-	outageAfter       = 33 * time.Second
+	leaderEndInterval = 11 * time.Second // between two failures of a leader
+	firstLeaderEnd    = 26 * time.Second // from the first submissions to the first failure
+	outageAfter       = 33 * time.Second // from the first failure to the outage
 )
 
-// playTenLeaders ends ten leaders in turn, beside an outage unless its length is 0.
+// playTenLeaders runs the simulation of a case of TestTenLeaders, its number n, with an outage of the
+// state service unless its duration is 0.
 func playTenLeaders(t *testing.T, n, count int, by string, outage time.Duration) {
 	seed := uint64(300 + n)
 	w := newProxiedSimulation(t, count, seed, func(s *config.Config) { s.Tuning.Shards.By = by })
 	w.replayHeartbeats(seed, 0.05)
 	w.submitAroundLeaderEnds(seed)
 	time.Sleep(firstLeaderEnd)
-	start, token, ended, inOutage := time.Now(), w.token(), 0, 0
+	start, token, failures, inOutage := time.Now(), w.token(), 0, 0
 	if outage > 0 {
 		time.AfterFunc(outageAfter, func() { during(outage, w.store.SetOutage) })
 	}
@@ -63,10 +62,10 @@
 		for w.anyLeader() < 0 || w.nodes[w.anyLeader()].down.Load() {
 			time.Sleep(50 * time.Millisecond)
 		}
-		way := leaderEnds[(k+n)%len(leaderEnds)]
-		log(way.name)
-		way.ends(w, w.anyLeader())
-		ended++
+		failure := leaderEnds[(k+n)%len(leaderEnds)]
+		log(failure.name)
+		failure.ends(w, w.anyLeader())
+		failures++
 		if outage > 0 && time.Since(start) > outageAfter && time.Since(start) < outageAfter+outage {
 			inOutage++
 		}
@@ -76,15 +75,15 @@
 	time.Sleep(15 * time.Second)
 	changes := w.token() - token
 	report := t.Logf
-	if changes < 5 || ended < 10 || took > 2*time.Minute || outage > 0 && inOutage == 0 {
+	if changes < 5 || failures < 10 || took > 2*time.Minute || outage > 0 && inOutage == 0 {
 		report = t.Errorf
 	}
-	report("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", ended, took, inOutage, changes)
+	report("%d ended in %v, %d of them in the outage, and the fleet changed hands %d times", failures, took, inOutage, changes)
 	w.finishQuietly(90*time.Second, 10*time.Minute)
 }
 
-// submitAroundLeaderEnds submits jobs of every shape, of which every second one is cancelled around
-// the end of a leader.
+// submitAroundLeaderEnds starts users who submit jobs of every shape. Every second one of the twenty
+// short jobs is cancelled around the failure of a leader.
 func (w *simulation) submitAroundLeaderEnds(seed uint64) {
 	w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
 	w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -20,7 +20,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// batchOf returns the record that a job was accepted with.
+// batchOf returns the batch record that holds an accepted job, and its key.
 func (w *simulation) batchOf(job string) (key string, rec store.BatchRecord) {
 	for _, it := range w.store.Page(store.BatchKey(""), "", 0).Items {
 		var rec store.BatchRecord
@@ -28,57 +28,60 @@
 			return it.Key, rec
 		}
 	}
-	w.t.Fatalf("no batch holds %s", job)
+	w.t.Fatalf("no batch contains %s", job)
 	return "", rec
 }
 
 // writeState writes to the state service, bypassing the controllers.
-func (w *simulation) writeState(c wire.Operation) {
-	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Operation{c}}); status != 200 {
-		w.t.Fatalf("%+v was answered %d", c, status)
+func (w *simulation) writeState(op wire.Operation) {
+	if status, _ := w.store.Commit(wire.Txn{Then: []wire.Operation{op}}); status != 200 {
+		w.t.Fatalf("%+v was answered %d", op, status)
 	}
 }
 
-// overriddenConn is a connection on which requests about one job get a fixed answer, or none if
-// that is empty.
+// overriddenConn is a connection that does not send requests that begin with line. It responds to
+// them with answer itself, or not at all if answer is empty.
 type overriddenConn struct {
 	net.Conn
 	line, answer []byte
-	matched      bool
+	matched      bool // whether the last request began with line
 }
 
-func (a *overriddenConn) Write(p []byte) (int, error) {
-	if a.matched = bytes.HasPrefix(p, a.line); a.matched {
+// Write implements net.Conn.
+func (c *overriddenConn) Write(p []byte) (int, error) {
+	if c.matched = bytes.HasPrefix(p, c.line); c.matched {
 		return len(p), nil
 	}
-	return a.Conn.Write(p)
+	return c.Conn.Write(p)
 }
 
-func (a *overriddenConn) Read(p []byte) (int, error) {
-	if a.matched && len(a.answer) > 0 {
-		a.matched = false
-		return copy(p, a.answer), nil
+// Read implements net.Conn.
+func (c *overriddenConn) Read(p []byte) (int, error) {
+	if c.matched && len(c.answer) > 0 {
+		c.matched = false
+		return copy(p, c.answer), nil
 	}
-	return a.Conn.Read(p)
+	return c.Conn.Read(p)
 }
 
-// overrideAnswers overrides the answers about a job, at one controller or at each.
-func (w *simulation) overrideAnswers(job, at string, answer []byte) {
+// overrideAnswers replaces the answers to polls of a job, at the controller with the given address, or
+// at every controller if that is empty.
+func (w *simulation) overrideAnswers(job, controller string, answer []byte) {
 	w.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := w.net.Host("10.3.0.2").Dial(ctx, addr)
-		if err != nil || at != "" && at != addr {
+		if err != nil || controller != "" && controller != addr {
 			return conn, err
 		}
 		return &overriddenConn{Conn: conn, line: []byte("GET " + wire.PathJobs + "/" + job + " "), answer: answer}, nil
 	}
 	w.pollers()
-	time.Sleep(10 * time.Second) // all are healthy
+	time.Sleep(10 * time.Second) // until all controllers are ready
 }
 
-// TestLivenessCheckerFindsForgottenJobs stages the loss of one job by the users' rules; the
-// checker has to report it and no other.
+// TestLivenessCheckerFindsForgottenJobs makes one job violate the liveness rules, in various ways. The
+// checker has to report this job and no other.
 func TestLivenessCheckerFindsForgottenJobs(t *testing.T) {
-	for name, plant := range map[string]struct {
+	for name, violation := range map[string]struct {
 		before, after func(w *simulation)
 		want          string
 	}{
@@ -86,7 +89,7 @@
 		"a batch that no reader can decode": {want: "no question about wk-1 is answered", after: func(w *simulation) {
 			key, _ := w.batchOf("wk-1")
 			w.writeState(wire.Operation{Put: key, Value: "garbled"})
-			for i := range 3 { // whoever has read it before goes on with that
+			for i := range 3 { // restart all, since a controller that has read the batch keeps its contents
 				w.kill(i, time.Second)
 			}
 		}},
@@ -108,22 +111,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newSimulation(t, 51, 0, func(c *config.Config) { c.Tuning.Shards.By = "zone" })
 				w.checker.Liveness.MaxPending = 90 * time.Second
-				if plant.before != nil {
-					plant.before(w)
+				if violation.before != nil {
+					violation.before(w)
 				}
 				for i := range 4 {
 					w.user(&wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1,
 						MemoryGB: 8, Zone: []string{"a", "b"}[max(0, 1-i)], Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
 					time.Sleep(2 * time.Second)
 				}
-				if plant.after != nil {
-					plant.after(w)
+				if violation.after != nil {
+					violation.after(w)
 				}
 				w.declareQuiet()
 				time.Sleep(3 * time.Minute)
 				broken := w.checker.Liveness.Violations()
-				if plant.want == "" && len(broken) > 0 || plant.want != "" && (len(broken) != 1 || !strings.Contains(broken[0], plant.want)) {
-					t.Errorf("seen: %q", broken)
+				if violation.want == "" && len(broken) > 0 || violation.want != "" && (len(broken) != 1 || !strings.Contains(broken[0], violation.want)) {
+					t.Errorf("reported violations: %q", broken)
 				}
 				w.end()
 				w.group.Wait()
@@ -133,9 +136,9 @@
 	}
 }
 
-// addPollingCrowd has users poll random jobs at an interval until the day ends. They keep their
-// connections open.
-func (w *simulation) addPollingCrowd(rng *rand.Rand, users int, every time.Duration) {
+// addPollingCrowd starts users who poll random jobs, at this interval on average, until the simulation
+// ends. They keep their connections open.
+func (w *simulation) addPollingCrowd(rng *rand.Rand, users int, interval time.Duration) {
 	for n := range users {
 		w.pollGroup.Go(func() {
 			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
@@ -143,13 +146,13 @@
 				ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
 				_, _ = caller.Call(ctx, simulator.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(rng, 1e6)), nil)
 				cancel()
-				time.Sleep(every/2 + time.Duration(w.draw(rng, int(every))))
+				time.Sleep(interval/2 + time.Duration(w.draw(rng, int(interval))))
 			}
 		})
 	}
 }
 
-// livenessFaults are faults that may not affect polls which are sent after their end.
+// livenessFaults lists faults that may not affect polls after their end.
 var livenessFaults = []fault{
 	{"the leader dies while it compacts, and again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		for range 1 + rng.IntN(4) {
@@ -201,30 +204,30 @@
 	}},
 }
 
-// TestNoJobIsForgotten simulates days on which jobs end and are compacted at once while leaders
-// end, shards and the sharding change, and the state service fails. No poll may remain unanswered
-// for long once the faults are over, whatever a crowd polls meanwhile. AMBERDEAL_QUIETS sets the
-// number of days, AMBERDEAL_QUIET plays one.
+// TestNoJobIsForgotten runs simulations in which jobs are compacted as soon as they end, while leaders
+// end, the sharding changes and its shards change leaders, and the state service fails. Once the
+// faults are over, no poll may remain unanswered for long, although many other users poll as well.
+// AMBERDEAL_QUIETS sets the number of simulations, AMBERDEAL_QUIET selects a single one.
 func TestNoJobIsForgotten(t *testing.T) {
 	playSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		to := []string{"off", "zone"}[rng.IntN(2)]
-		settings := shardingSettings{initial: to}
-		busy := rng.IntN(2) == 0 // the state service takes few requests
+		sharding := []string{"off", "zone"}[rng.IntN(2)]
+		settings := shardingSettings{initial: sharding}
+		lowRPS := rng.IntN(2) == 0 // the state service allows few requests per second
 		w := newSimulation(t, seed, 0, func(c *config.Config) {
 			c.Tuning.Shards.By = settings.of(c.Name)
 			c.Tuning.History.Every, c.Tuning.History.Wait = 200*time.Millisecond, 500*time.Millisecond
-			if busy {
+			if lowRPS {
 				c.Store.RPS = 36
 			}
 		})
-		if busy {
+		if lowRPS {
 			w.store.Configure(func(s *simulator.StateService) { s.Limits.RPS = 36 })
 		}
 		reshard := fault{"all are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
-			to = map[string]string{"off": "zone", "zone": "off"}[to]
+			sharding = map[string]string{"off": "zone", "zone": "off"}[sharding]
 			for i := range 3 {
-				settings.set(i, to)
+				settings.set(i, sharding)
 				w.kill(i, time.Duration(50+rng.IntN(450))*time.Millisecond)
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 			}
@@ -234,7 +237,7 @@
 		time.Sleep(15 * time.Second)
 		faults := slices.Concat(livenessFaults, []fault{reshard})
 		w.playFaults(rng, 8, 9*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 30) })
-		time.Sleep(32 * time.Second) // the last of them is over
+		time.Sleep(32 * time.Second) // until the last fault is over; each lasts 30 s at most
 		w.declareQuiet()
 		time.Sleep(3 * time.Minute)
 		w.finish(20 * time.Minute)
@@ -242,8 +245,8 @@
 	})
 }
 
-// TestIdleConnectionsBlockNobody has more users than all controllers have sockets for poll seldom
-// and keep their connections. Another user's job has to be accepted and to remain known.
+// TestIdleConnectionsBlockNobody runs more users than all controllers have sockets for. They poll
+// rarely and keep their connections open. Another user's job still has to be accepted and answered.
 func TestIdleConnectionsBlockNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -14,9 +14,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days with hundreds of teams, on which controllers fail.
+// The tests of this file run clusters with hundreds of teams while controllers fail.
 
-// teamNames returns that many names of that many bytes.
+// teamNames returns n names of length bytes each.
 func teamNames(n, length int) (names []string) {
 	for i := range n {
 		number := fmt.Sprintf("%04d", i)
@@ -26,7 +26,7 @@
 }
 
 // newTeamSimulation starts a simulation in which each team may use one GPU.
-func newTeamSimulation(t *testing.T, names []string, set func(*config.Config)) *simulation {
+func newTeamSimulation(t *testing.T, names []string, changeSettings func(*config.Config)) *simulation {
 	limits := make(map[string]float64)
 	var teams []config.Team
 	for _, name := range names {
@@ -34,22 +34,22 @@
 		teams = append(teams, config.Team{Name: name, GPUsMax: 1})
 	}
 	w := newProxiedSimulation(t, 3, 1, func(c *config.Config) {
-		if c.Teams = teams; set != nil {
-			set(c)
+		if c.Teams = teams; changeSettings != nil {
+			changeSettings(c)
 		}
 	})
 	w.checker.GPULimits = limits
 	return w
 }
 
-// teamJob returns a job of a team with more tasks than its quota allows at once.
+// teamJob returns a job of a team. A team's quota allows only one of its tasks to run at a time.
 func teamJob(i int, team string, tasks int, run time.Duration) *wire.Job {
 	return jobOf(fmt.Sprintf("wk-%06d", i), wire.Array, tasks, run, func(j *wire.Job) { j.Team, j.CPUs, j.MemoryGB = team, 1, 4 })
 }
 
-// TestManyTeams: with hundreds of teams, all of which have more work than their quotas allow,
-// every job has to be done although the leader changes twice, and no quota may be exceeded. Half
-// of the leaders end while all teams are at their quotas.
+// TestManyTeams runs hundreds of teams, all of which have more work than their quotas allow. Every
+// job has to be completed although the leader changes twice, and no quota may be exceeded. Half of
+// the leaders end while all teams are at their quotas.
 func TestManyTeams(t *testing.T) {
 	for _, x := range []struct {
 		teams, length, active int
@@ -72,22 +72,22 @@
 				}
 				w.finishQuietly(0, 12*time.Minute)
 				if token := w.token(); token < 3 {
-					t.Errorf("the leader has not changed twice: fencing token %d", token)
+					t.Errorf("fencing token is %d, want at least 3: the leader has not changed twice", token)
 				}
 			})
 		})
 	}
 }
 
-// TestTeamLeavesTheSettings removes a team from the settings, at each controller as it is
-// restarted, while a job of it runs and another waits. Both have to run to their ends within the
-// team's previous quota; later submissions for it have to be refused.
+// TestTeamLeavesTheSettings removes a team from the settings of each controller as it restarts, while
+// one job of the team runs and another waits. Both have to be completed within the team's previous
+// quota, and later submissions for the team have to be refused.
 func TestTeamLeavesTheSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var left atomic.Bool
+		var removed atomic.Bool
 		names := teamNames(3, 8)
 		w := newTeamSimulation(t, names, func(c *config.Config) {
-			if left.Load() {
+			if removed.Load() {
 				c.Teams = c.Teams[1:]
 			}
 		})
@@ -97,27 +97,28 @@
 		w.submitter(1, waiting, time.Second, 0, run)
 		w.submitter(1, teamJob(3, names[1], 4, run), 0, 0, run)
 		if !waitUntil(40*time.Second, func() bool { return w.checker.Running(running.ID)+w.checker.Running(waiting.ID) > 0 }) {
-			t.Error("no job of the team has begun")
+			t.Error("no job of the team has started within 40 s")
 		}
-		left.Store(true)
+		removed.Store(true)
 		for i := range w.count {
 			w.crash(i, time.Second, 0)
 			time.Sleep(12 * time.Second)
 		}
 		late := w.client(teamJob(4, names[0], 1, run), rngOf(1, "late"), run)
 		if status := late.refused(); status != 422 {
-			t.Errorf("a job of a team that has left is answered %d", status)
+			t.Errorf("submission for a removed team is answered %d, want 422", status)
 		}
 		w.finishQuietly(0, 5*time.Minute)
 		for _, j := range []*wire.Job{running, waiting} {
 			if stage := w.checker.Stage(j.ID); stage != wire.Done {
-				t.Errorf("%s is %s", j.ID, stage)
+				t.Errorf("%s is %s, want it done", j.ID, stage)
 			}
 		}
 	})
 }
 
-// refused submits a job that has to be refused, and returns the status.
+// refused submits a job until a controller decides, and returns the status of its answer. The answer
+// is not passed to the checker.
 func (c *client) refused() (status int) {
 	for c.ctx.Err() == nil {
 		resp, err := c.request(c.anyController(), 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -79,7 +79,7 @@
 		}}
 	go sockets.Listen(ctx, c.subnet+"200:2379", 1000, c.store.Serve())
 	go sockets.Listen(ctx, c.subnet+"201:8443", 100, c.cloud.Serve())
-	c.waitFor("simulated services", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
+	c.waitFor("stand-ins", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
 	for i := range 3 { // each with its own address for metrics
 		text := ini + fmt.Sprintf("[metrics]\nlisten = %s%d:9464\n", c.subnet, i+1)
 		if err := os.WriteFile(c.ini(i), []byte(text), 0o644); err != nil {
@@ -351,7 +351,7 @@
 	rng := rand.New(rand.NewPCG(1, 10))
 	for k := range kills {
 		_, before, _ := c.store.Counts()
-		c.waitFor("changes of the state", func() bool { _, now, _ := c.store.Counts(); return now-before > 40+k*17%90 })
+		c.waitFor("work", func() bool { _, now, _ := c.store.Counts(); return now-before > 40+k*17%90 })
 		i := rng.IntN(3)
 		c.kill(i)
 		if rng.IntN(3) == 0 {
@@ -463,7 +463,7 @@
 	c.store.Limits = limits
 	c.state = c.subnet + "202:2379"
 	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
-	c.waitFor("the new state service", func() bool { return c.reachable(c.state) })
+	c.waitFor("another state service", func() bool { return c.reachable(c.state) })
 	run("import", "--config", c.configure(0), file)
 	if again := run("inspect", "--config", config, "--json"); !strings.Contains(inspected, "live jobs") || !strings.Contains(again, `"problems": []`) {
 		c.t.Errorf("inspection before the export:\n%s\nafter the import:\n%s", inspected, again)
@@ -600,7 +600,7 @@
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
 	rate := c.burst(int(changes), jobs, 96)
-	c.waitFor("compaction", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
+	c.waitFor("compacted", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
 	_, after, keys := c.store.Counts()
 	b.ReportMetric(rate, "submissions/s")
 	b.ReportMetric(float64(after-changes)/jobs, "changes/job")
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -67,7 +67,7 @@
 // startBlobs starts the CAS as a real process.
 func (c *processCluster) startBlobs() {
 	c.blobs = c.background("cas", "cas", "--dir", filepath.Join(c.dir, "blobs"), "--listen", c.casAddr())
-	c.waitFor("the CAS", func() bool { return c.reachable(c.casAddr()) })
+	c.waitFor("the store of blobs", func() bool { return c.reachable(c.casAddr()) })
 }
 
 // killBlobs ends the CAS with SIGKILL, if it runs.
@@ -245,7 +245,7 @@
 type graphBuild struct {
 	*buildTool
 	actions  int
-	runs     string // file to which each execution appends a line
+	runs     string       // file to which each execution appends a line
 	answered atomic.Int64 // actions with a result
 }
 
@@ -537,7 +537,7 @@
 			mu.Unlock()
 		}()
 	}
-	b.c.waitFor("the first action of the build", func() bool { mu.Lock(); defer mu.Unlock(); return completed > 0 })
+	b.c.waitFor("the build", func() bool { mu.Lock(); defer mu.Unlock(); return completed > 0 })
 	if _, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
 		property("priority", string(wire.Production))(a, cmd)
 		property("cpus", "4")(a, cmd)
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -432,7 +432,7 @@
 		return resp.Status
 	}
 	if c.checker.ObserveAnswer(id, resp.Status, s.Stage, c.cancelRequested.Load()); resp.Status >= 400 {
-		c.t.Errorf("controller %d answered %d about %s, whose stage was %q", i, resp.Status, id, before)
+		c.t.Errorf("%s in stage %q is answered %d by controller %d", id, before, resp.Status, i)
 		return resp.Status
 	}
 	if now := map[bool]int32{false: 1, true: 2}[s.Stage.Final()]; c.progress.Swap(now) < now && c.readsConcurrently() {
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -15,13 +15,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// singleFault is a fault that is injected 25 s into a day with jobs of every shape: a service over
-// both zones, a gang with checkpoints, arrays, spot work, and some that are cancelled.
+// singleFault is a fault that is injected 25 s into a simulation with jobs of every shape: a service
+// in both zones, a gang with checkpoints, arrays, spot jobs, and jobs that are cancelled.
 type singleFault struct {
 	name   string
 	inject func(w *faultScene)
-	// maxRestarts bounds how many tasks that ran when the fault came may be started again, -1 for any
-	// number: it is what users notice of the fault.
+	// maxRestarts is how many of the tasks that run when the fault begins may be started again, the
+	// effect of the fault that users notice. -1 means any number.
 	maxRestarts int
 	settings    func(*config.Config)
 }
@@ -29,7 +29,7 @@
 // faultScene is the simulation of a single fault.
 type faultScene struct{ *simulation }
 
-// leaderIndex returns the number of the leader.
+// leaderIndex returns the number of a leader, 0 if there is none.
 func (s *faultScene) leaderIndex() int {
 	for _, name := range s.leaders() {
 		return int(name[2] - '0')
@@ -37,13 +37,13 @@
 	return 0
 }
 
-// eachMachine calls a function for each machine that is up.
+// eachMachine calls a function for each running machine.
 func (s *faultScene) eachMachine(do func(m wire.ListedMachine, w simulator.Machine)) {
 	s.cloud.EachRunning(do)
 }
 
-// cutMachines separates a controller from all machines, including those that do not exist yet, in
-// one or both directions.
+// cutMachines drops the traffic between a controller and all machines, including those that do not
+// exist yet, for the duration d: in drops that to the controller, out that to the machines.
 func (s *faultScene) cutMachines(i int, d time.Duration, in, out bool) {
 	for n := range 60 {
 		host := fmt.Sprintf("10.1.0.%d", n+1)
@@ -58,7 +58,8 @@
 	}
 }
 
-// cutOffZone cuts a zone's machines off from everything, together with the given controllers.
+// cutOffZone partitions a zone's machines, together with the first of the given controllers, from all
+// other hosts for the duration d.
 func (s *faultScene) cutOffZone(zone string, d time.Duration, controllers ...int) {
 	var inside []string
 	outside := []string{"10.2.0.1", "10.2.0.2", "10.3.0.1"}
@@ -85,7 +86,7 @@
 	})
 }
 
-// firstMachines calls a function for the first machines that are up.
+// firstMachines calls a function for the first n running machines, or spot machines only if spot is set.
 func (s *faultScene) firstMachines(n int, spot bool, do func(id string, w simulator.Machine)) {
 	s.eachMachine(func(m wire.ListedMachine, w simulator.Machine) {
 		if n > 0 && (!spot || m.Spot) {
@@ -95,31 +96,31 @@
 	})
 }
 
-// pauseFirst pauses the first machines.
+// pauseFirst pauses the first n machines for the duration d.
 func (s *faultScene) pauseFirst(n int, d time.Duration) {
 	s.firstMachines(n, false, func(_ string, w simulator.Machine) { w.(simulator.Pauser).Pause(d) })
 }
 
-// setCloudFaults injects faults of the cloud for a while.
+// setCloudFaults injects faults of the cloud for the duration d.
 func (s *faultScene) setCloudFaults(d time.Duration, change func(f *simulator.CloudFaults)) {
 	s.cloud.SetFaults(change)
 	time.AfterFunc(d, func() { s.cloud.SetFaults(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 }
 
-// loseReplies loses the answers to a share of transactions for a while.
+// loseReplies drops the responses to a share of transactions for the duration d.
 func (s *faultScene) loseReplies(share float64, d time.Duration) {
 	s.store.Configure(func(st *simulator.StateService) { st.LossShare = share })
 	time.AfterFunc(d, func() { s.store.Configure(func(st *simulator.StateService) { st.LossShare = 0 }) })
 }
 
-// killAll kills all controllers, which restart later.
-func (s *faultScene) killAll(back time.Duration) {
+// killAll kills all controllers, and restarts them after a delay.
+func (s *faultScene) killAll(restartAfter time.Duration) {
 	for i := range 3 {
-		s.kill(i, back)
+		s.kill(i, restartAfter)
 	}
 }
 
-// singleFaults are all single faults. docs/emulator.md has a table of them.
+// singleFaults lists all single faults. The table in docs/emulator.md has a row for each.
 var singleFaults = []singleFault{
 	{name: "nothing goes wrong", inject: func(*faultScene) {}},
 	{name: "the state service is out for 12 s", inject: func(s *faultScene) { during(12*time.Second, s.store.SetOutage) }},
@@ -250,22 +251,22 @@
 	{name: "a room of its own shard is cut off", settings: shardByZone, inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
 }
 
-// shardByZone makes each zone a shard.
+// shardByZone sets the sharding to one shard per zone.
 func shardByZone(c *config.Config) { c.Tuning.Shards.By = "zone" }
 
-// TestSingleFaults injects each fault alone: no rule may be violated, every job has to end, and
-// running tasks have to continue where they can.
+// TestSingleFaults injects each fault in a simulation of its own. No rule may be violated, every job
+// has to end, and running tasks have to continue where they can.
 func TestSingleFaults(t *testing.T) {
 	for i := range singleFaults {
-		x := &singleFaults[i]
-		t.Run(x.name, func(t *testing.T) {
+		injected := &singleFaults[i]
+		t.Run(injected.name, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { x.run(t, uint64(i)) })
+			synctest.Test(t, func(t *testing.T) { injected.run(t, uint64(i)) })
 		})
 	}
 }
 
-// run simulates the day.
+// run runs the simulation with the fault.
 func (x *singleFault) run(t *testing.T, seed uint64) {
 	s := &faultScene{newSimulation(t, 100+seed, 0, x.settings)}
 	s.startService("wk-1", 2*time.Minute)
@@ -284,12 +285,12 @@
 	}
 	s.finish(15 * time.Minute)
 	s.checkResults()
-	if again := s.checker.Started - before - 9; x.maxRestarts >= 0 && again > x.maxRestarts {
-		t.Errorf("%d tasks were started again", again)
+	if restarts := s.checker.Started - before - 9; x.maxRestarts >= 0 && restarts > x.maxRestarts {
+		t.Errorf("%d tasks were restarted, which is more than the fault allows", restarts)
 	}
 }
 
-// TestSingleFaultsAreDocumented checks that the table in docs/emulator.md names every fault.
+// TestSingleFaultsAreDocumented checks that the table in docs/emulator.md lists every fault.
 func TestSingleFaultsAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/emulator.md"))
 	if err != nil {
@@ -297,7 +298,7 @@
 	}
 	for _, x := range singleFaults {
 		if !strings.Contains(string(text), "| "+x.name+" |") {
-			t.Errorf("docs/emulator.md does not tell of %q", x.name)
+			t.Errorf("the table in docs/emulator.md does not list %q", x.name)
 		}
 	}
 }
