--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -30,41 +30,41 @@
 // forwardingRun is a simulation that counts the batches of new jobs that each controller writes.
 type forwardingRun struct {
 	*concurrentReads
-	day forwardingCase
+	testCase forwardingCase
 
-	firstWriters []int // the controllers that write when the fault begins
-	mu           sync.Mutex
-	batches      map[string]int // number of batches since the fault began, by controller
+	initialWriters  []int // the controllers that write when the fault begins
+	mu              sync.Mutex
+	batchesByWriter map[string]int // number of batches since the fault began, by controller
 }
 
 // newForwardingRun starts the simulation of a case.
 func newForwardingRun(t *testing.T, d forwardingCase, seed uint64) *forwardingRun {
-	w := &forwardingRun{day: d, batches: map[string]int{}}
+	w := &forwardingRun{testCase: d, batchesByWriter: map[string]int{}}
 	w.concurrentReads = newConcurrentReads(t, readCase{count: d.count, sharding: "off", writers: d.writers}, seed)
-	w.store.Configure(func(s *simulator.StateService) { s.OnCommit = w.noteCommit })
+	w.store.Configure(func(s *simulator.StateService) { s.OnCommit = w.countBatches })
 	return w
 }
 
-// noteCommit counts the batches among the keys that a transaction has put, by the controller that
+// countBatches counts the batches among the keys that a transaction has put, by the controller that
 // wrote them.
-func (w *forwardingRun) noteCommit(puts []string) {
+func (w *forwardingRun) countBatches(puts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, key := range puts {
 		if name, is := strings.CutPrefix(key, store.BatchKey("")); is {
-			w.batches[name[:strings.LastIndex(name[:strings.LastIndex(name, "-")], "-")]]++
+			w.batchesByWriter[name[:strings.LastIndex(name[:strings.LastIndex(name, "-")], "-")]]++
 		}
 	}
 }
 
-// writers returns the numbers of the controllers that write for all while every controller is up.
-func (w *forwardingRun) writers() (out []int) {
+// designatedWriters returns the numbers of the controllers that write for all while every controller is up.
+func (w *forwardingRun) designatedWriters() (out []int) {
 	var all []string
 	for i := range w.count {
 		all = append(all, fmt.Sprint("c-", i))
 	}
 	leader := fmt.Sprint("c-", w.leaderOf("fleet"))
-	for _, name := range writers.PolicyFor(w.day.count, w.day.writers).Choose(all, func(name string) bool { return name == leader }) {
+	for _, name := range writers.PolicyFor(w.testCase.count, w.testCase.writers).Choose(all, func(name string) bool { return name == leader }) {
 		out = append(out, controllerNumber(name))
 	}
 	return out
@@ -103,7 +103,7 @@
 	"it changes ten times in two minutes": func(w *forwardingRun, _ int) {
 		w.group.Go(func() {
 			for range 10 {
-				if now := w.writers(); len(now) > 0 {
+				if now := w.designatedWriters(); len(now) > 0 {
 					w.crash(now[0], 4*time.Second, 0)
 				}
 				time.Sleep(12 * time.Second)
@@ -132,15 +132,15 @@
 	time.Sleep(8 * time.Second)
 	w.runJob(999, 0, 100*time.Second, forever) // keeps a machine rented
 	time.Sleep(12 * time.Second)
-	w.firstWriters = w.writers()
-	if len(w.firstWriters) == 0 {
+	w.initialWriters = w.designatedWriters()
+	if len(w.initialWriters) == 0 {
 		w.t.Fatal("no controller writes for the others")
 	}
 	w.mu.Lock()
-	clear(w.batches)
+	clear(w.batchesByWriter)
 	w.mu.Unlock()
-	faultName, jobs := w.day.fault, 24
-	forwardingFaults[faultName](w, w.firstWriters[0])
+	faultName, jobs := w.testCase.fault, 24
+	forwardingFaults[faultName](w, w.initialWriters[0])
 	if strings.Contains(faultName, "ten times") {
 		jobs = 110
 	}
@@ -149,7 +149,7 @@
 		if n%3 != 2 {
 			cancel = cancelDelays[n%len(cancelDelays)] * time.Millisecond
 		}
-		w.runJobAtSome(n, cancel)
+		w.runJobAtSubset(n, cancel)
 		time.Sleep(time.Duration(300+w.draw(w.rng, 900)) * time.Millisecond)
 	}
 	w.finishQuietly(0, 5*time.Minute)
@@ -158,9 +158,9 @@
 	}
 }
 
-// runJobAtSome runs a job. In clusters of more than five controllers, users send their requests about
+// runJobAtSubset runs a job. In clusters of more than five controllers, users send their requests about
 // it to only three of them.
-func (w *forwardingRun) runJobAtSome(n int, cancel time.Duration) {
+func (w *forwardingRun) runJobAtSubset(n int, cancel time.Duration) {
 	all := w.count
 	if all > 5 {
 		first := w.draw(w.rng, all-3)
@@ -178,9 +178,9 @@
 	if t.Failed() || d.fault != "calm" {
 		return
 	}
-	for name, n := range w.batches {
-		if !slices.Contains(w.firstWriters, controllerNumber(name)) {
-			t.Errorf("%s, which is not a designated writer, has written %d batches: %v", name, n, w.batches)
+	for name, n := range w.batchesByWriter {
+		if !slices.Contains(w.initialWriters, controllerNumber(name)) {
+			t.Errorf("%s, which is not a designated writer, has written %d batches: %v", name, n, w.batchesByWriter)
 		}
 	}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -13,7 +13,7 @@
 const repositoryRoot = "../.."
 
 // guard is a safety check in the sources: part of a line with the check, and the same without it.
-type guard struct{ name, file, with, without string }
+type guard struct{ name, file, original, mutated string }
 
 // guards returns the guards that testdata/guards.txt lists.
 func guards(t *testing.T) (out []guard) {
@@ -37,8 +37,8 @@
 func TestGuardsApply(t *testing.T) {
 	for _, g := range guards(t) {
 		b, err := os.ReadFile(filepath.Join(repositoryRoot, g.file))
-		if n := strings.Count(string(b), g.with); err != nil || n != 1 {
-			t.Errorf("%s: %s contains %d occurrences of %q, want 1; read error: %v", g.name, g.file, n, g.with, err)
+		if n := strings.Count(string(b), g.original); err != nil || n != 1 {
+			t.Errorf("%s: %s contains %d occurrences of %q, want 1; read error: %v", g.name, g.file, n, g.original, err)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 					t.Fatal(err)
 				}
 				if s == g.file {
-					b = []byte(strings.Replace(string(b), g.with, g.without, 1))
+					b = []byte(strings.Replace(string(b), g.original, g.mutated, 1))
 				}
 				if err := os.WriteFile(filepath.Join(dir, s), b, 0o644); err != nil {
 					t.Fatal(err)
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -11,8 +11,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// waitingJob is one of the jobs of a waiting case.
-type waitingJob struct {
+// queuedJob is one of the jobs of a case in blockedQueueCases.
+type queuedJob struct {
 	shape    wire.Shape
 	team     string
 	priority wire.Priority
@@ -25,9 +25,9 @@
 // untilCancelled is the run time of jobs that end only when they are cancelled, after 4 minutes.
 const untilCancelled = 10 * time.Minute
 
-// waitingCases lists jobs in the order of their submission, by what keeps an earlier job from starting.
+// blockedQueueCases lists jobs in the order of their submission, by what keeps an earlier job from starting.
 // There is capacity and quota for the last job.
-var waitingCases = map[string][]waitingJob{
+var blockedQueueCases = map[string][]queuedJob{
 	"a task of its team needs more than the limit leaves": {
 		{wire.Array, "red", wire.High, 2, 4, 4 * time.Minute, nil},
 		{wire.Service, "blue", wire.Production, 3, 1, untilCancelled, nil},
@@ -63,21 +63,21 @@
 // for which there is capacity and quota. No faults are injected. AMBERDEAL_WAITING runs the cases with
 // a single shard too.
 func TestNoJobWaitsBesideIdleCapacity(t *testing.T) {
-	for name, jobs := range waitingCases {
+	for name, jobs := range blockedQueueCases {
 		for _, by := range []string{"zone", "off"} {
 			if by == "off" && os.Getenv("AMBERDEAL_WAITING") == "" {
 				continue
 			}
 			t.Run(fmt.Sprint(name, ", shards by ", by), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playWaiting(t, jobs, by) })
+				synctest.Test(t, func(t *testing.T) { runBlockedQueue(t, jobs, by) })
 			})
 		}
 	}
 }
 
-// playWaiting submits the jobs in order. The checker reports jobs that wait although there is capacity
+// runBlockedQueue submits the jobs in order. The checker reports jobs that wait although there is capacity
 // for them.
-func playWaiting(t *testing.T, jobs []waitingJob, by string) {
+func runBlockedQueue(t *testing.T, jobs []queuedJob, by string) {
 	w := newSimulation(t, 71, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 	time.Sleep(8 * time.Second)
 	for i, c := range jobs {
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -10,10 +10,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// leaderEnds lists the ways in which a leader fails.
-var leaderEnds = []struct {
+// leaderFailures lists the ways in which a leader fails.
+var leaderFailures = []struct {
 	name string
-	ends func(w *simulation, i int)
+	fail func(w *simulation, i int) // makes leader i fail
 }{
 	{"killed, back at once", func(w *simulation, i int) { w.crash(i, 100*time.Millisecond, 0) }},
 	{"killed, back after half a second, its last messages are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
@@ -24,52 +24,52 @@
 	{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
 }
 
-// TestTenLeaders makes the leader fail ten times within two minutes, in various ways. In some cases
+// TestTenLeaderFailures makes the leader fail ten times within two minutes, in various ways. In some cases
 // the state service has an outage in the meantime, during which no controller can become leader. Users
 // cancel jobs around each failure. All rules have to hold, jobs that are not cancelled have to
 // continue, and afterwards no job may be left waiting.
-func TestTenLeaders(t *testing.T) {
+func TestTenLeaderFailures(t *testing.T) {
 	for n, c := range []struct {
 		count  int
 		by     string
 		outage time.Duration // 0 for none
 	}{{3, "off", 0}, {5, "off", 28 * time.Second}, {3, "zone", 50 * time.Second}, {5, "zone", 14 * time.Second}} {
 		t.Run(fmt.Sprint(c.count, " controllers, shards by ", c.by, ", an outage of ", c.outage), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playTenLeaders(t, n, c.count, c.by, c.outage) })
+			synctest.Test(t, func(t *testing.T) { runTenLeaderFailures(t, n, c.count, c.by, c.outage) })
 		})
 	}
 }
 
 const (
-	leaderEndInterval = 11 * time.Second // between two failures of a leader
-	firstLeaderEnd    = 26 * time.Second // from the first submissions to the first failure
-	outageAfter       = 33 * time.Second // from the first failure to the outage
+	leaderFailureInterval = 11 * time.Second // between two failures of a leader
+	firstLeaderFailure    = 26 * time.Second // from the first submissions to the first failure
+	outageDelay           = 33 * time.Second // from the first failure to the outage
 )
 
-// playTenLeaders runs the simulation of a case of TestTenLeaders, its number n, with an outage of the
+// runTenLeaderFailures runs the simulation of a case of TestTenLeaderFailures, its number n, with an outage of the
 // state service unless its duration is 0.
-func playTenLeaders(t *testing.T, n, count int, by string, outage time.Duration) {
+func runTenLeaderFailures(t *testing.T, n, count int, by string, outage time.Duration) {
 	seed := uint64(300 + n)
 	w := newProxiedSimulation(t, count, seed, func(s *config.Config) { s.Tuning.Shards.By = by })
 	w.replayHeartbeats(seed, 0.05)
-	w.submitAroundLeaderEnds(seed)
-	time.Sleep(firstLeaderEnd)
+	w.submitAroundLeaderFailures(seed)
+	time.Sleep(firstLeaderFailure)
 	start, token, failures, inOutage := time.Now(), w.token(), 0, 0
 	if outage > 0 {
-		time.AfterFunc(outageAfter, func() { during(outage, w.store.SetOutage) })
+		time.AfterFunc(outageDelay, func() { during(outage, w.store.SetOutage) })
 	}
 	for k := range 10 {
 		for w.anyLeader() < 0 || w.nodes[w.anyLeader()].down.Load() {
 			time.Sleep(50 * time.Millisecond)
 		}
-		failure := leaderEnds[(k+n)%len(leaderEnds)]
+		failure := leaderFailures[(k+n)%len(leaderFailures)]
 		log(failure.name)
-		failure.ends(w, w.anyLeader())
+		failure.fail(w, w.anyLeader())
 		failures++
-		if outage > 0 && time.Since(start) > outageAfter && time.Since(start) < outageAfter+outage {
+		if outage > 0 && time.Since(start) > outageDelay && time.Since(start) < outageDelay+outage {
 			inOutage++
 		}
-		time.Sleep(time.Until(start.Add(time.Duration(k+1) * leaderEndInterval)))
+		time.Sleep(time.Until(start.Add(time.Duration(k+1) * leaderFailureInterval)))
 	}
 	took := time.Since(start)
 	time.Sleep(15 * time.Second)
@@ -82,16 +82,16 @@
 	w.finishQuietly(90*time.Second, 10*time.Minute)
 }
 
-// submitAroundLeaderEnds starts users who submit jobs of every shape. Every second one of the twenty
+// submitAroundLeaderFailures starts users who submit jobs of every shape. Every second one of the twenty
 // short jobs is cancelled around the failure of a leader.
-func (w *simulation) submitAroundLeaderEnds(seed uint64) {
+func (w *simulation) submitAroundLeaderFailures(seed uint64) {
 	w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
 	w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
 	w.submitter(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, red), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
 	for k := range 20 {
-		at, cancel := firstLeaderEnd+time.Duration(k)*leaderEndInterval/2, time.Duration(0)
+		at, cancel := firstLeaderFailure+time.Duration(k)*leaderFailureInterval/2, time.Duration(0)
 		if k%2 == 1 {
-			cancel = firstLeaderEnd + time.Duration(k/2+1)*leaderEndInterval + time.Duration(k-10)*200*time.Millisecond
+			cancel = firstLeaderFailure + time.Duration(k/2+1)*leaderFailureInterval + time.Duration(k-10)*200*time.Millisecond
 		}
 		w.submitter(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
 	}
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -39,17 +39,17 @@
 	}
 }
 
-// overriddenConn is a connection that does not send requests that begin with line. It responds to
-// them with answer itself, or not at all if answer is empty.
+// overriddenConn is a connection that does not send requests which begin with requestPrefix. Reads
+// return response instead, or block like the connection if response is empty.
 type overriddenConn struct {
 	net.Conn
-	line, answer []byte
-	matched      bool // whether the last request began with line
+	requestPrefix, response []byte
+	matched                 bool // whether the last request began with requestPrefix
 }
 
 // Write implements net.Conn.
 func (c *overriddenConn) Write(p []byte) (int, error) {
-	if c.matched = bytes.HasPrefix(p, c.line); c.matched {
+	if c.matched = bytes.HasPrefix(p, c.requestPrefix); c.matched {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -57,22 +57,22 @@
 
 // Read implements net.Conn.
 func (c *overriddenConn) Read(p []byte) (int, error) {
-	if c.matched && len(c.answer) > 0 {
+	if c.matched && len(c.response) > 0 {
 		c.matched = false
-		return copy(p, c.answer), nil
+		return copy(p, c.response), nil
 	}
 	return c.Conn.Read(p)
 }
 
-// overrideAnswers replaces the answers to polls of a job, at the controller with the given address, or
+// overrideResponses replaces the responses to polls of a job, at the controller with the given address, or
 // at every controller if that is empty.
-func (w *simulation) overrideAnswers(job, controller string, answer []byte) {
+func (w *simulation) overrideResponses(job, controller string, response []byte) {
 	w.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := w.net.Host("10.3.0.2").Dial(ctx, addr)
 		if err != nil || controller != "" && controller != addr {
 			return conn, err
 		}
-		return &overriddenConn{Conn: conn, line: []byte("GET " + wire.PathJobs + "/" + job + " "), answer: answer}, nil
+		return &overriddenConn{Conn: conn, requestPrefix: []byte("GET " + wire.PathJobs + "/" + job + " "), response: response}, nil
 	}
 	w.pollers()
 	time.Sleep(10 * time.Second) // until all controllers are ready
@@ -102,9 +102,9 @@
 			w.writeState(wire.Operation{Put: store.LeaderKey("b"), Value: store.LeaderRecord{Leader: "c-9", FencingToken: 99, Format: store.Format}})
 		}},
 		"not answered by the controller that its user has come to": {want: "no question about wk-1 is answered",
-			before: func(w *simulation) { w.overrideAnswers("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
+			before: func(w *simulation) { w.overrideResponses("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
 		"shed again and again": {want: "no question about wk-1 is answered", before: func(w *simulation) {
-			w.overrideAnswers("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
+			w.overrideResponses("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -136,9 +136,9 @@
 	}
 }
 
-// addPollingCrowd starts users who poll random jobs, at this interval on average, until the simulation
+// addPollingUsers starts users who poll random jobs, at this interval on average, until the simulation
 // ends. They keep their connections open.
-func (w *simulation) addPollingCrowd(rng *rand.Rand, users int, interval time.Duration) {
+func (w *simulation) addPollingUsers(rng *rand.Rand, users int, interval time.Duration) {
 	for n := range users {
 		w.pollGroup.Go(func() {
 			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
@@ -232,7 +232,7 @@
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 			}
 		}}
-		w.addPollingCrowd(rand.New(rand.NewPCG(seed, 10)), 30, 3*time.Second)
+		w.addPollingUsers(rand.New(rand.NewPCG(seed, 10)), 30, 3*time.Second)
 		w.group.Go(func() { w.submit(seed, 30) })
 		time.Sleep(15 * time.Second)
 		faults := slices.Concat(livenessFaults, []fault{reshard})
@@ -251,7 +251,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
 		time.Sleep(10 * time.Second)
-		w.addPollingCrowd(rand.New(rand.NewPCG(1, 1)), 300, 5*time.Second)
+		w.addPollingUsers(rand.New(rand.NewPCG(1, 1)), 300, 5*time.Second)
 		time.Sleep(20 * time.Second)
 		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1, MemoryGB: 8,
 			Image: "img", ImageGB: 1, EstimateS: 200}, 200*time.Second, 0)
--- a/internal/simtest/malformed_requests_test.go
+++ b/internal/simtest/malformed_requests_test.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// malformedBodies returns submissions of a job that controllers may never accept, by their defect.
-func malformedBodies(id string) map[string][]byte {
+// malformedSubmissions returns submissions of a job that controllers may never accept, by their defect.
+func malformedSubmissions(id string) map[string][]byte {
 	bodyWith := func(field string, value any) []byte {
 		var m map[string]any
 		_ = wire.Decode(wire.Encode(jobOf(id, wire.Array, 2, time.Minute)), &m)
@@ -37,13 +37,13 @@
 // not be lost, whatever answers its repeated submissions get.
 func TestMalformedRequests(t *testing.T) {
 	for seed, count := range []int{3, 5} {
-		synctest.Test(t, func(t *testing.T) { playMalformedDay(t, uint64(seed), count) })
+		synctest.Test(t, func(t *testing.T) { runMalformedRequests(t, uint64(seed), count) })
 	}
 }
 
-// playMalformedDay runs one simulation of TestMalformedRequests with the given number of controllers.
-func playMalformedDay(t *testing.T, seed uint64, count int) {
-	w := &malformedDay{simulation: newProxiedSimulation(t, count, seed, nil), answers: map[int]int{}}
+// runMalformedRequests runs one simulation of TestMalformedRequests with the given number of controllers.
+func runMalformedRequests(t *testing.T, seed uint64, count int) {
+	w := &malformedSimulation{simulation: newProxiedSimulation(t, count, seed, nil), answers: map[int]int{}}
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
 	for i := range count { // wait until it listens
 		for err := net.ErrClosed; err != nil; time.Sleep(time.Millisecond) {
@@ -51,7 +51,7 @@
 		}
 	}
 	for round := range 6 { // before controllers have read the state, and while they know no machine types
-		w.sendAll(round)
+		w.submitMalformed(round)
 	}
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = false })
 	time.Sleep(10 * time.Second)
@@ -60,14 +60,14 @@
 	if status := early.untilAnswered(early.submit); status != 201 {
 		t.Errorf("submission of wk-1 was answered %d, want 201", status)
 	}
-	w.sendAll(10)
+	w.submitMalformed(10)
 	time.Sleep(10 * time.Second)
 	other := w.cloud.Types[0]
 	other.Name = "g5"
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Types = []wire.MachineType{other} })
 	for round := range 16 { // each controller learns of the change within two minutes
-		w.sendAll(20 + round)
-		w.repeatEarly(early)
+		w.submitMalformed(20 + round)
+		w.resubmitAccepted(early)
 		time.Sleep(9 * time.Second)
 	}
 	removedType := w.client(jobOf("wk-2", wire.Array, 1, time.Minute, g4Only), rngOf(seed, "wk-2"), time.Minute)
@@ -84,17 +84,17 @@
 	}
 }
 
-// malformedDay is a simulation that counts the answers to malformed submissions.
-type malformedDay struct {
+// malformedSimulation is a simulation that counts the answers to malformed submissions.
+type malformedSimulation struct {
 	*simulation
 	mu      sync.Mutex
 	answers map[int]int // by status
 }
 
-// sendAll sends each malformed submission to one of the controllers, and checks that none is accepted.
-func (w *malformedDay) sendAll(round int) {
+// submitMalformed sends each malformed submission to one of the controllers, and checks that none is accepted.
+func (w *malformedSimulation) submitMalformed(round int) {
 	n := 0
-	for defect, body := range malformedBodies(fmt.Sprint("wk-9", round)) {
+	for defect, body := range malformedSubmissions(fmt.Sprint("wk-9", round)) {
 		n++
 		i := (n + round) % w.count
 		w.group.Go(func() {
@@ -116,14 +116,14 @@
 	}
 }
 
-// repeatEarly repeats the submission of an accepted job at every controller, unchanged and malformed.
+// resubmitAccepted repeats the submission of an accepted job at every controller, unchanged and malformed.
 // No controller may answer such a repeat as malformed.
-func (w *malformedDay) repeatEarly(early *client) {
+func (w *malformedSimulation) resubmitAccepted(early *client) {
 	for i := range w.count {
 		if status := early.submit(i); status != 200 && status != 0 {
 			w.t.Errorf("repeated submission is answered %d at controller %d, want 200", status, i)
 		}
-		for _, body := range malformedBodies("wk-1") {
+		for _, body := range malformedSubmissions("wk-1") {
 			if resp, err := w.request(i, 5*time.Second, "POST", wire.PathJobs, body); err == nil && wire.SubmittedID(body) != "" && (resp.Status == 400 || resp.Status == 422) {
 				w.t.Errorf("malformed repeat of an accepted job is answered %d at controller %d", resp.Status, i)
 			}
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -105,7 +105,7 @@
 			time.Sleep(12 * time.Second)
 		}
 		late := w.client(teamJob(4, names[0], 1, run), rngOf(1, "late"), run)
-		if status := late.refused(); status != 422 {
+		if status := late.submitUntilDecided(); status != 422 {
 			t.Errorf("submission for a removed team is answered %d, want 422", status)
 		}
 		w.finishQuietly(0, 5*time.Minute)
@@ -117,9 +117,9 @@
 	})
 }
 
-// refused submits a job until a controller decides, and returns the status of its answer. The answer
+// submitUntilDecided submits a job until a controller decides, and returns the status of its answer. The answer
 // is not passed to the checker.
-func (c *client) refused() (status int) {
+func (c *client) submitUntilDecided() (status int) {
 	for c.ctx.Err() == nil {
 		resp, err := c.request(c.anyController(), 5*time.Second, "POST", wire.PathJobs, wire.Encode(c.job))
 		if err == nil && resp.Status != 503 {
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -37,12 +37,12 @@
 	cloud          *simulator.Cloud
 	checker        *simulator.Checker
 	caller         *transport.Caller
-	settings       map[string]any // params.state of the platform file
-	state          string         // address of the state service
+	stateParams    map[string]any // params.state of the platform file
+	stateAddr      string         // address of the state service
 	guaranteedCPUs float64        // CPUs that the team blue is guaranteed
 	mu             sync.Mutex
-	procs          [3]*exec.Cmd
-	blobs          *exec.Cmd // amberdeal cas
+	controllers    [3]*exec.Cmd
+	casProcess     *exec.Cmd // amberdeal cas
 	agents         []*agentMachine
 }
 
@@ -54,10 +54,10 @@
 // capacity that of the cloud in machines.
 func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), settings: state,
+	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), stateParams: state,
 		caller: &transport.Caller{MaxBody: 1 << 20, Dial: sockets.Dial}}
 	c.subnet = fmt.Sprintf("127.%d.%d.", 20+os.Getpid()%200, 1+time.Now().UnixNano()%250)
-	c.state = c.subnet + "200:2379"
+	c.stateAddr = c.subnet + "200:2379"
 	c.checker = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
 	c.binary = filepath.Join(c.dir, "amberdeal")
 	build := exec.Command("go", "build", "-o", c.binary, "./cmd/amberdeal")
@@ -82,16 +82,16 @@
 	c.waitFor("stand-ins", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
 	for i := range 3 { // each with its own address for metrics
 		text := ini + fmt.Sprintf("[metrics]\nlisten = %s%d:9464\n", c.subnet, i+1)
-		if err := os.WriteFile(c.ini(i), []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(c.settingsPath(i), []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for i := range c.procs {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		c.cloud.Stop()
-		c.killBlobs()
+		c.killCAS()
 		stop()
 	})
 	return c
@@ -115,14 +115,16 @@
 	c.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > time.Minute {
-			c.logs()
+			c.printLogs()
 			c.t.Fatalf("timed out after a minute waiting for: %s", what)
 		}
 	}
 }
 
-// ini returns the path of a controller's settings file.
-func (c *processCluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
+// settingsPath returns the path of a controller's settings file.
+func (c *processCluster) settingsPath(i int) string {
+	return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i))
+}
 
 // metric returns the sum of a metric over all controllers.
 func (c *processCluster) metric(name string) (sum float64) {
@@ -145,10 +147,10 @@
 	return sum
 }
 
-// configure writes the platform file of controller i and returns its path.
-func (c *processCluster) configure(i int) string {
+// writePlatformFile writes the platform file of controller i and returns its path.
+func (c *processCluster) writePlatformFile(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
-		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
+		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.stateAddr}}
 	var peers []any
 	for k := range 3 {
 		if k != i {
@@ -157,7 +159,7 @@
 	}
 	cfg["siblings"] = peers
 	cfg["params"] = map[string]any{"zones": []string{"a", "b"}, "teams": []any{map[string]any{"name": "red", "gpus_max": 12}, map[string]any{"name": "blue", "cpus": c.guaranteedCPUs}},
-		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.settings,
+		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.stateParams,
 		"cloud": map[string]any{"rps": 50, "list_lag_s": 0.2}, "limits": map[string]any{"ram_mb": 234, "fd_limit": 3000}}
 	text, err := json.Marshal(cfg)
 	if err != nil {
@@ -172,27 +174,27 @@
 
 // start starts the process of controller i.
 func (c *processCluster) start(i int) {
-	path := c.configure(i)
+	path := c.writePlatformFile(i)
 	log, err := os.OpenFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	cmd := exec.Command(c.binary, "serve", "--settings", c.ini(i), "--config", path)
+	cmd := exec.Command(c.binary, "serve", "--settings", c.settingsPath(i), "--config", path)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
 	log.Close()
 	c.mu.Lock()
-	c.procs[i] = cmd
+	c.controllers[i] = cmd
 	c.mu.Unlock()
 }
 
 // kill ends the process of controller i with SIGKILL, if it runs.
 func (c *processCluster) kill(i int) {
 	c.mu.Lock()
-	cmd := c.procs[i]
-	c.procs[i] = nil
+	cmd := c.controllers[i]
+	c.controllers[i] = nil
 	c.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
@@ -227,9 +229,9 @@
 // jobPath returns the URL path of a job.
 func jobPath(id string) string { return wire.PathJobs + "/" + id }
 
-// playJob submits job number n, which is a third of the time cancelled, and polls it until its state
-// is final. The checker compares all answers.
-func (c *processCluster) playJob(id string, n int) {
+// runJob submits a job and polls it until its state is final. The number n determines the job's shape
+// and the controllers asked; every third job is cancelled at once. The checker compares all answers.
+func (c *processCluster) runJob(id string, n int) {
 	j := &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + n%3,
 		CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 1, Spot: true}
 	c.checker.Submitted(j, 50*time.Millisecond)
@@ -269,34 +271,34 @@
 	}
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 	over := make(chan struct{})
-	users := c.startKillUsers(over)
-	c.killAtWork(kills)
-	c.waitFor("jobs in the history", func() bool { return c.account().Kinds["history"] != nil })
+	users := c.startKillTestUsers(over)
+	c.killDuringWrites(kills)
+	c.waitFor("jobs in the history", func() bool { return c.verifyState().Kinds["history"] != nil })
 	close(over)
 	users.Wait()
 	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
 		t.Errorf("unexpected metrics: view_keys is %v; want it and the changes for submissions above 0, and no records that are not understood or differing answers", n)
 	}
-	users.askAll()
+	users.pollAll()
 	c.migrateState()
-	users.askAll()
-	c.playJob("wk-10000001", 1) // the machines have to follow the new leader
+	users.pollAll()
+	c.runJob("wk-10000001", 1) // the machines have to follow the new leader
 	for _, b := range c.checker.Violations() {
 		t.Error(b)
 	}
-	a := c.account()
+	a := c.verifyState()
 	for _, p := range a.Problems {
 		t.Error(p)
 	}
 	_, changes, keys := c.store.Counts()
 	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(users.ids), c.checker.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
-// killUsers is a group of users who submit jobs while controllers are killed.
-type killUsers struct {
+// killTestUsers is the group of users who submit jobs while controllers are killed.
+type killTestUsers struct {
 	sync.WaitGroup
 	c   *processCluster
 	mu  sync.Mutex
@@ -304,9 +306,9 @@
 	ids []string // of the jobs that have ended
 }
 
-// startKillUsers starts twelve users, who stop when over is closed.
-func (c *processCluster) startKillUsers(over <-chan struct{}) *killUsers {
-	u := &killUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
+// startKillTestUsers starts twelve users, who stop when over is closed.
+func (c *processCluster) startKillTestUsers(over <-chan struct{}) *killTestUsers {
+	u := &killTestUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
 	numbers := u.rng.Perm(10_000_000)
 	for first := range 12 {
 		u.Go(func() {
@@ -316,16 +318,16 @@
 					return
 				default:
 				}
-				u.play(fmt.Sprintf("wk-%07d", numbers[n%len(numbers)]), n)
+				u.runAndPoll(fmt.Sprintf("wk-%07d", numbers[n%len(numbers)]), n)
 			}
 		})
 	}
 	return u
 }
 
-// play runs a job, and polls an earlier job and one that was never submitted.
-func (u *killUsers) play(id string, n int) {
-	u.c.playJob(id, n)
+// runAndPoll runs a job, and polls an earlier job and one that was never submitted.
+func (u *killTestUsers) runAndPoll(id string, n int) {
+	u.c.runJob(id, n)
 	u.mu.Lock()
 	u.ids = append(u.ids, id)
 	old := u.ids[u.rng.IntN(len(u.ids))]
@@ -337,17 +339,17 @@
 	}
 }
 
-// askAll polls all jobs again.
-func (u *killUsers) askAll() {
+// pollAll polls all jobs again.
+func (u *killTestUsers) pollAll() {
 	for _, id := range u.ids {
 		status, stage := u.c.ask(1, "GET", jobPath(id), nil)
 		u.c.checker.ObserveAnswer(id, status, stage, u.c.checker.Stage(id) == wire.Cancelled)
 	}
 }
 
-// killAtWork kills and restarts random controllers one after the other, each after some more changes of
+// killDuringWrites kills and restarts random controllers one after the other, each after some more changes of
 // the state.
-func (c *processCluster) killAtWork(kills int) {
+func (c *processCluster) killDuringWrites(kills int) {
 	rng := rand.New(rand.NewPCG(1, 10))
 	for k := range kills {
 		_, before, _ := c.store.Counts()
@@ -390,7 +392,7 @@
 				case <-time.After(time.Duration(n%7) * 50 * time.Millisecond):
 				}
 				id, begun := fmt.Sprintf("wk-%07d", n*7919%10_000_000), time.Now()
-				c.playJob(id, n)
+				c.runJob(id, n)
 				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // the answer has to stay the same
 				c.checker.ObserveAnswer(id, status, stage, n%3 == 0)
 				mu.Lock()
@@ -404,7 +406,7 @@
 	took := time.Since(begun)
 	close(over)
 	users.Wait()
-	for _, b := range append(c.checker.Violations(), c.account().Problems...) {
+	for _, b := range append(c.checker.Violations(), c.verifyState().Problems...) {
 		t.Error(b)
 	}
 	if open := c.checker.OpenJobs(); len(open) > 0 {
@@ -412,7 +414,7 @@
 	}
 	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
@@ -450,10 +452,10 @@
 		}
 		return string(out)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		c.kill(i)
 	}
-	file, config := filepath.Join(c.dir, "state.export"), c.configure(0)
+	file, config := filepath.Join(c.dir, "state.export"), c.writePlatformFile(0)
 	inspected := run("inspect", "--config", config)
 	run("verify", "--config", config)
 	run("export", "--config", config, file)
@@ -461,21 +463,21 @@
 	limits := c.store.Limits
 	c.store = simulator.NewStateService(2, 0)
 	c.store.Limits = limits
-	c.state = c.subnet + "202:2379"
-	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
-	c.waitFor("another state service", func() bool { return c.reachable(c.state) })
-	run("import", "--config", c.configure(0), file)
+	c.stateAddr = c.subnet + "202:2379"
+	go sockets.Listen(c.ctx, c.stateAddr, 1000, c.store.Serve())
+	c.waitFor("another state service", func() bool { return c.reachable(c.stateAddr) })
+	run("import", "--config", c.writePlatformFile(0), file)
 	if again := run("inspect", "--config", config, "--json"); !strings.Contains(inspected, "live jobs") || !strings.Contains(again, `"problems": []`) {
 		c.t.Errorf("inspection before the export:\n%s\nafter the import:\n%s", inspected, again)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		c.start(i)
 	}
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
-// account reads the whole state and returns the archive's report about it.
-func (c *processCluster) account() archive.Report {
+// verifyState reads the whole state and returns the archive's report about it.
+func (c *processCluster) verifyState() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
 		page := c.store.Page(store.CommonPrefix, after, 0)
@@ -487,12 +489,12 @@
 	}
 }
 
-// logs writes statistics of the state and the end of each controller's log to the test's log.
-func (c *processCluster) logs() {
-	for kind, k := range c.account().Kinds {
+// printLogs writes statistics of the state and the end of each controller's log to the test's log.
+func (c *processCluster) printLogs() {
+	for kind, k := range c.verifyState().Kinds {
 		c.t.Logf("%s: %+v", kind, *k)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		text, _ := os.ReadFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)))
 		c.t.Logf("c-%d:\n%s", i, text[max(0, len(text)-4000):])
 	}
@@ -501,7 +503,7 @@
 // seedEndedJobs writes n ended jobs to the state in the form that compaction leaves, and returns their
 // IDs: random ones among ten times as many, in blocks that are two thirds full.
 func (c *processCluster) seedEndedJobs(n int) (ids []string) {
-	limit := c.settings["value_kb"].(int) << 10
+	limit := c.stateParams["value_kb"].(int) << 10
 	rng := rand.New(rand.NewPCG(1, 1))
 	entries := make([]jobblock.Entry, 0, n)
 	for i := range n {
@@ -528,9 +530,9 @@
 	return ids
 }
 
-// memory returns a memory figure of controller i in MB; name is a field of /proc/PID/status.
-func (c *processCluster) memory(i int, name string) float64 {
-	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.procs[i].Process.Pid))
+// memoryMB returns a memory figure of controller i in MB; name is a field of /proc/PID/status.
+func (c *processCluster) memoryMB(i int, name string) float64 {
+	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.controllers[i].Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -545,8 +547,8 @@
 	return 0
 }
 
-// burst submits jobs from many concurrent users, then cancels them, and returns the submissions per second.
-func (c *processCluster) burst(first, jobs, users int) float64 {
+// submitBurst submits jobs from many concurrent users, then cancels them, and returns the submissions per second.
+func (c *processCluster) submitBurst(first, jobs, users int) float64 {
 	var group sync.WaitGroup
 	each := func(f func(id string, n int)) {
 		for u := range users {
@@ -589,25 +591,25 @@
 			}
 			c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 			for b.Loop() {
-				c.measure(b, ids)
+				c.measureEndedJobs(b, ids)
 			}
 		})
 	}
 }
 
-// measure takes all measurements of BenchmarkEndedJobs once. ids are the jobs of seedEndedJobs.
-func (c *processCluster) measure(b *testing.B, ids []string) {
+// measureEndedJobs takes all measurements of BenchmarkEndedJobs once. ids are the jobs of seedEndedJobs.
+func (c *processCluster) measureEndedJobs(b *testing.B, ids []string) {
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
-	rate := c.burst(int(changes), jobs, 96)
-	c.waitFor("compacted", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
+	rate := c.submitBurst(int(changes), jobs, 96)
+	c.waitFor("compacted", func() bool { a := c.verifyState(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
 	_, after, keys := c.store.Counts()
 	b.ReportMetric(rate, "submissions/s")
 	b.ReportMetric(float64(after-changes)/jobs, "changes/job")
 	b.ReportMetric(float64(keys)/float64(len(ids)+jobs)*100, "keys/100jobs")
 	// Restart: all controllers end and one starts alone. Measures from its start until it answers
 	// about an old job.
-	for i := range c.procs {
+	for i := range c.controllers {
 		c.kill(i)
 	}
 	before, _, _ := c.store.Counts()
@@ -633,8 +635,8 @@
 	for i := range 200 { // read from the whole history
 		c.ask(i, "GET", jobPath(ids[i*len(ids)/200]), nil)
 	}
-	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
-	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
+	b.ReportMetric(c.memoryMB(0, "VmRSS"), "idle-MB")
+	b.ReportMetric(c.memoryMB(0, "VmHWM"), "peak-MB")
 	// Failover: measures from the end of the leader until another controller has claimed leadership.
 	leader, token := c.leader()
 	begun = time.Now()
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// background starts the program with the given arguments and appends its log to a file.
-func (c *processCluster) background(log string, args ...string) *exec.Cmd {
+// startProcess starts the program with the given arguments and appends its log to a file.
+func (c *processCluster) startProcess(log string, args ...string) *exec.Cmd {
 	f, err := os.OpenFile(filepath.Join(c.dir, log+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Error(err)
@@ -64,23 +64,23 @@
 // casAddr returns the address of the content-addressable store (CAS).
 func (c *processCluster) casAddr() string { return c.subnet + "210:8980" }
 
-// startBlobs starts the CAS as a real process.
-func (c *processCluster) startBlobs() {
-	c.blobs = c.background("cas", "cas", "--dir", filepath.Join(c.dir, "blobs"), "--listen", c.casAddr())
+// startCAS starts the CAS as a real process.
+func (c *processCluster) startCAS() {
+	c.casProcess = c.startProcess("cas", "cas", "--dir", filepath.Join(c.dir, "blobs"), "--listen", c.casAddr())
 	c.waitFor("the store of blobs", func() bool { return c.reachable(c.casAddr()) })
 }
 
-// killBlobs ends the CAS with SIGKILL, if it runs.
-func (c *processCluster) killBlobs() {
-	if c.blobs != nil {
-		_ = c.blobs.Process.Kill()
-		_ = c.blobs.Wait()
-		c.blobs = nil
+// killCAS ends the CAS with SIGKILL, if it runs.
+func (c *processCluster) killCAS() {
+	if c.casProcess != nil {
+		_ = c.casProcess.Process.Kill()
+		_ = c.casProcess.Wait()
+		c.casProcess = nil
 	}
 }
 
-// agent starts the agent of a rented machine.
-func (c *processCluster) agent(id, addr, typ, zone string, spot bool) simulator.Machine {
+// startAgent starts the agent of a rented machine.
+func (c *processCluster) startAgent(id, addr, typ, zone string, spot bool) simulator.Machine {
 	ini := fmt.Sprintf("[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = 16\ngpus = 4\nmemory_gb = 64\n[workers]\nreport = 1s\nlease = 8s\n[actions]\ncas = %s\ndir = %s\n[controllers]\n",
 		id, typ, zone, spot, addr, c.casAddr(), filepath.Join(c.dir, id))
 	for i := range 3 {
@@ -92,7 +92,7 @@
 		c.t.Error(err)
 		return m
 	}
-	m.cmd = c.background(id, "agent", "--config", path)
+	m.cmd = c.startProcess(id, "agent", "--config", path)
 	c.mu.Lock()
 	c.agents = append(c.agents, m)
 	c.mu.Unlock()
@@ -103,18 +103,18 @@
 // processes. guaranteedCPUs is the number of CPUs that the team blue is guaranteed.
 func newBuildCluster(t testing.TB, capacity int, guaranteedCPUs float64) *processCluster {
 	c := newProcessCluster(t, map[string]any{"rps": 2000, "write_rps": 600, "value_kb": 8, "txn_ops": 20}, "[claim]\nlease = 2s\nrenew = 500ms\n[machines]\nidle = 60s\n", capacity)
-	c.cloud.Start, c.guaranteedCPUs = c.agent, guaranteedCPUs
+	c.cloud.Start, c.guaranteedCPUs = c.startAgent, guaranteedCPUs
 	for i := range 3 {
-		text, err := os.ReadFile(c.ini(i))
+		text, err := os.ReadFile(c.settingsPath(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = fmt.Appendf(text, "[reapi]\nlisten = %s%d:8982\ncas = %s\nteam = red\ncpus = 2\nestimate = 1s\n", c.subnet, i+1, c.casAddr())
-		if err := os.WriteFile(c.ini(i), text, 0o644); err != nil {
+		if err := os.WriteFile(c.settingsPath(i), text, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.startBlobs()
+	c.startCAS()
 	for i := range 3 {
 		c.start(i)
 	}
@@ -122,23 +122,23 @@
 	return c
 }
 
-// front returns the address at which controller i serves the remote execution API.
-func (c *processCluster) front(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
+// executorAddr returns the address at which controller i serves the remote execution API.
+func (c *processCluster) executorAddr(i int) string { return fmt.Sprintf("%s%d:8982", c.subnet, i+1) }
 
 // buildTool is a client of the remote execution API, as build tools are.
 type buildTool struct {
-	c     *processCluster
-	blobs *cas.Client
-	exec  *reapi.Client
+	c        *processCluster
+	blobs    *cas.Client
+	executor *reapi.Client
 }
 
-// tool returns a build tool that uses an instance name of the remote execution API.
-func (c *processCluster) tool(instance string) *buildTool {
+// newBuildTool returns a build tool that uses an instance name of the remote execution API.
+func (c *processCluster) newBuildTool(instance string) *buildTool {
 	blobs, err := cas.Dial(c.casAddr(), instance)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	executor, err := reapi.Dial([]string{c.front(0), c.front(1), c.front(2)}, instance)
+	executor, err := reapi.Dial([]string{c.executorAddr(0), c.executorAddr(1), c.executorAddr(2)}, instance)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -146,8 +146,8 @@
 	return &buildTool{c, blobs, executor}
 }
 
-// sha is the digest function of all blobs.
-const sha = repb.DigestFunction_SHA256
+// digestFunction is the digest function of all blobs.
+const digestFunction = repb.DigestFunction_SHA256
 
 // upload uploads an action that runs a shell script, with its input files by name. change, if not nil,
 // modifies the action and its command.
@@ -155,7 +155,7 @@
 	root := &repb.Directory{}
 	for _, name := range slices.Sorted(maps.Keys(inputs)) { // sorted, as the API requires
 		content := inputs[name]
-		g, err := b.blobs.Put(ctx, sha, []byte(content))
+		g, err := b.blobs.Put(ctx, digestFunction, []byte(content))
 		if err != nil {
 			return g, err
 		}
@@ -167,16 +167,16 @@
 	if change != nil {
 		change(a, command)
 	}
-	rg, err := b.blobs.PutMessage(ctx, sha, root)
+	rg, err := b.blobs.PutMessage(ctx, digestFunction, root)
 	if err != nil {
 		return rg, err
 	}
-	cg, err := b.blobs.PutMessage(ctx, sha, command)
+	cg, err := b.blobs.PutMessage(ctx, digestFunction, command)
 	if err != nil {
 		return cg, err
 	}
 	a.CommandDigest, a.InputRootDigest = cg.Proto(), rg.Proto()
-	return b.blobs.PutMessage(ctx, sha, a)
+	return b.blobs.PutMessage(ctx, digestFunction, a)
 }
 
 // run executes a script, trying controller number from first, and returns the response and the content
@@ -186,11 +186,11 @@
 	if err != nil {
 		return nil, "", err
 	}
-	resp, err := b.exec.StartingAt(from).Execute(ctx, g, false, nil)
+	resp, err := b.executor.StartingAt(from).Execute(ctx, g, false, nil)
 	if err != nil || len(resp.Result.GetOutputFiles()) == 0 {
 		return resp, "", err
 	}
-	out, err := cas.ParseDigest(sha, resp.Result.OutputFiles[0].Digest)
+	out, err := cas.ParseDigest(digestFunction, resp.Result.OutputFiles[0].Digest)
 	if err != nil {
 		return resp, "", err
 	}
@@ -198,8 +198,8 @@
 	return resp, string(text), err
 }
 
-// property returns a change for upload that adds a platform property to the action.
-func property(name, value string) func(*repb.Action, *repb.Command) {
+// platformProperty returns a change for upload that adds a platform property to the action.
+func platformProperty(name, value string) func(*repb.Action, *repb.Command) {
 	return func(a *repb.Action, _ *repb.Command) {
 		a.Platform.Properties = append(a.Platform.Properties, &repb.Platform_Property{Name: name, Value: value})
 	}
@@ -217,16 +217,16 @@
 	c := newBuildCluster(t, 3, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute+time.Duration(actions)*time.Second)
 	defer cancel()
-	b := &graphBuild{buildTool: c.tool("blue/build"), actions: actions, runs: filepath.Join(c.dir, "runs")}
+	b := &graphBuild{buildTool: c.newBuildTool("blue/build"), actions: actions, executionLog: filepath.Join(c.dir, "runs")}
 	over := make(chan struct{})
 	var kills sync.WaitGroup
-	kills.Go(func() { c.killDuring(b, over) })
+	kills.Go(func() { c.killDuringBuild(b, over) })
 	first := b.build(ctx)
 	close(over)
 	kills.Wait()
-	executed, _ := os.ReadFile(b.runs)
+	executed, _ := os.ReadFile(b.executionLog)
 	second := b.build(ctx)
-	again, _ := os.ReadFile(b.runs)
+	again, _ := os.ReadFile(b.executionLog)
 	if len(again) != len(executed) {
 		t.Errorf("the second build executed actions: its log of executions grew by %d bytes", len(again)-len(executed))
 	}
@@ -237,16 +237,16 @@
 	}
 	t.Logf("%d actions, %d executions", actions, bytes.Count(executed, []byte("\n")))
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
 // graphBuild is a build of actions in layers. Each action depends on three actions of the previous layer.
 type graphBuild struct {
 	*buildTool
-	actions  int
-	runs     string       // file to which each execution appends a line
-	answered atomic.Int64 // actions with a result
+	actions      int
+	executionLog string       // file to which each execution appends a line
+	completed    atomic.Int64 // actions with a result
 }
 
 // build executes all actions and returns their outputs.
@@ -261,13 +261,13 @@
 				inputs[fmt.Sprint("dep", k)] = outs[first-layer+(i*k)%layer]
 			}
 			group.Go(func() {
-				script := fmt.Sprintf("echo %d >> %s; sleep 0.05; cat source dep* > out 2>/dev/null; true", i, b.runs)
+				script := fmt.Sprintf("echo %d >> %s; sleep 0.05; cat source dep* > out 2>/dev/null; true", i, b.executionLog)
 				resp, out, err := b.run(ctx, i, script, inputs, nil)
 				if err != nil || resp.Result.GetExitCode() != 0 || resp.Status.GetCode() != 0 || !strings.HasPrefix(out, fmt.Sprint("source ", i)) {
 					b.c.t.Errorf("action %d: %v, %v, %q", i, err, resp, out)
 				}
 				outs[i] = out
-				b.answered.Add(1)
+				b.completed.Add(1)
 			})
 		}
 		group.Wait()
@@ -275,14 +275,14 @@
 	return outs
 }
 
-// killDuring kills controllers, agents and the blob store in turn until over is closed.
-func (c *processCluster) killDuring(b *graphBuild, over <-chan struct{}) {
+// killDuringBuild kills controllers, agents and the blob store in turn until over is closed.
+func (c *processCluster) killDuringBuild(b *graphBuild, over <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for k := 0; ; k++ {
 		// Each kill waits until the build has made progress. A leader gives up a killed machine only about
 		// 10 s after its election, so that kills at fixed intervals alone could end every leader before that,
 		// and the build would never finish.
-		for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || b.answered.Load() < int64(3*k); pause = 0 {
+		for pause := time.Duration(700+rng.IntN(900)) * time.Millisecond; pause > 0 || b.completed.Load() < int64(3*k); pause = 0 {
 			select {
 			case <-over:
 				return
@@ -305,8 +305,8 @@
 				m.Kill()
 			}
 		case 2:
-			c.killBlobs()
-			c.startBlobs()
+			c.killCAS()
+			c.startCAS()
 		}
 	}
 }
@@ -316,7 +316,7 @@
 	c := newBuildCluster(t, 2, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
-	b := &buildCases{c: c, red: c.tool("red"), blue: c.tool("blue"), runs: filepath.Join(c.dir, "runs")}
+	b := &buildCases{c: c, red: c.newBuildTool("red"), blue: c.newBuildTool("blue"), executionLog: filepath.Join(c.dir, "runs")}
 	for _, x := range []struct {
 		name string
 		test func(ctx context.Context, t *testing.T)
@@ -329,7 +329,7 @@
 		{"an unknown property is named", b.unknownProperty},
 		{"a missing blob is named", b.missingBlob},
 		{"a tree that leads out of its root is refused", b.treeOutsideRoot},
-		{"who leaves halfway finds it at another controller", b.leaveHalfway},
+		{"who leaves halfway finds it at another controller", b.clientDisconnects},
 		{"alerts go first while a heavy build runs", b.priorities},
 		{"what a command writes is shown while it runs", b.liveOutput},
 		{"the tools of the command line", b.commandLine},
@@ -340,31 +340,31 @@
 		t.Error("a process that the command had started survived the command's time limit")
 	}
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
 // buildCases holds the cluster of TestBuildCases and the build tools of two teams.
 type buildCases struct {
-	c         *processCluster
-	red, blue *buildTool
-	runs      string // file to which commands append
+	c            *processCluster
+	red, blue    *buildTool
+	executionLog string // file to which commands append
 }
 
 // count returns how many lines of the file runs are equal to a word.
 func (b *buildCases) count(word string) int {
-	text, _ := os.ReadFile(b.runs)
+	text, _ := os.ReadFile(b.executionLog)
 	return strings.Count(string(text), word+"\n")
 }
 
 // exitCode checks that a non-zero exit code is a result, and that it is not cached.
 func (b *buildCases) exitCode(ctx context.Context, t *testing.T) {
 	for n := 1; n <= 2; n++ {
-		resp, _, err := b.red.run(ctx, 0, fmt.Sprintf("echo fails >> %s; echo why >&2; exit 7", b.runs), nil, nil)
+		resp, _, err := b.red.run(ctx, 0, fmt.Sprintf("echo fails >> %s; echo why >&2; exit 7", b.executionLog), nil, nil)
 		if err != nil || resp.Status.GetCode() != 0 || resp.Result.GetExitCode() != 7 || resp.CachedResult || b.count("fails") != n {
 			t.Fatalf("response %v, error %v, executed %d times", resp, err, b.count("fails"))
 		}
-		g, _ := cas.ParseDigest(sha, resp.Result.StderrDigest)
+		g, _ := cas.ParseDigest(digestFunction, resp.Result.StderrDigest)
 		if text, err := b.red.blobs.Get(ctx, g); err != nil || string(text) != "why\n" {
 			t.Errorf("stderr %q, %v", text, err)
 		}
@@ -374,7 +374,7 @@
 // sharedAction checks that two teams who request the same action at once share one execution and its
 // result.
 func (b *buildCases) sharedAction(ctx context.Context, t *testing.T) {
-	script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", b.runs)
+	script := fmt.Sprintf("echo shared >> %s; sleep 1; date +%%N > out", b.executionLog)
 	var outs [2]string
 	var group sync.WaitGroup
 	for i, tool := range []*buildTool{b.red, b.blue} {
@@ -401,7 +401,7 @@
 
 // cachingFlags checks that do_not_cache and skip_cache_lookup cause new executions.
 func (b *buildCases) cachingFlags(ctx context.Context, t *testing.T) {
-	script := fmt.Sprintf("echo anew >> %s", b.runs)
+	script := fmt.Sprintf("echo anew >> %s", b.executionLog)
 	for range 2 {
 		if _, _, err := b.red.run(ctx, 1, script, nil, func(a *repb.Action, _ *repb.Command) { a.DoNotCache = true }); err != nil {
 			t.Fatal(err)
@@ -412,11 +412,11 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := b.red.exec.Execute(ctx, g, true, nil); err != nil {
+		if _, err := b.red.executor.Execute(ctx, g, true, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if resp, err := b.red.exec.Execute(ctx, g, false, nil); err != nil || !resp.CachedResult || b.count("anew") != 4 {
+	if resp, err := b.red.executor.Execute(ctx, g, false, nil); err != nil || !resp.CachedResult || b.count("anew") != 4 {
 		t.Errorf("response %v, error %v, executed %d times", resp, err, b.count("anew"))
 	}
 }
@@ -424,7 +424,7 @@
 // timeLimit checks that a time limit ends a command. TestBuildCases checks later that it also ends the
 // processes that the command has started.
 func (b *buildCases) timeLimit(ctx context.Context, t *testing.T) {
-	resp, _, err := b.red.run(ctx, 2, fmt.Sprintf("(sleep 3; echo escaped >> %s) & sleep 30", b.runs), nil, func(a *repb.Action, _ *repb.Command) { a.Timeout = durationpb.New(500 * time.Millisecond) })
+	resp, _, err := b.red.run(ctx, 2, fmt.Sprintf("(sleep 3; echo escaped >> %s) & sleep 30", b.executionLog), nil, func(a *repb.Action, _ *repb.Command) { a.Timeout = durationpb.New(500 * time.Millisecond) })
 	if err != nil || resp.Status.GetCode() != int32(codes.DeadlineExceeded) {
 		t.Errorf("%v, %v", resp, err)
 	}
@@ -442,13 +442,13 @@
 // unknown team.
 func (b *buildCases) unknownProperty(ctx context.Context, t *testing.T) {
 	_, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
-		property("gpu-brand", "x")(a, cmd)
-		property("cpus", "many")(a, cmd)
+		platformProperty("gpu-brand", "x")(a, cmd)
+		platformProperty("cpus", "many")(a, cmd)
 	})
 	if err == nil || !strings.Contains(err.Error(), "gpu-brand") || !strings.Contains(err.Error(), "many") {
 		t.Errorf("%v", err)
 	}
-	if _, _, err := b.c.tool("nobody").run(ctx, 0, "true", nil, nil); err == nil || !strings.Contains(err.Error(), "unknown team") {
+	if _, _, err := b.c.newBuildTool("nobody").run(ctx, 0, "true", nil, nil); err == nil || !strings.Contains(err.Error(), "unknown team") {
 		t.Errorf("%v", err)
 	}
 }
@@ -457,35 +457,35 @@
 func (b *buildCases) missingBlob(ctx context.Context, t *testing.T) {
 	for what, change := range map[string]func(*repb.Directory){
 		"file": func(d *repb.Directory) {
-			d.Files = []*repb.FileNode{{Name: "f", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
+			d.Files = []*repb.FileNode{{Name: "f", Digest: cas.Sum(digestFunction, []byte("gone")).Proto()}}
 		},
 		"directory": func(d *repb.Directory) {
-			d.Directories = []*repb.DirectoryNode{{Name: "d", Digest: cas.Sum(sha, []byte("gone")).Proto()}}
+			d.Directories = []*repb.DirectoryNode{{Name: "d", Digest: cas.Sum(digestFunction, []byte("gone")).Proto()}}
 		},
 	} {
-		resp, err := b.red.tree(ctx, change)
+		resp, err := b.red.executeTree(ctx, change)
 		if err != nil || resp.Status.GetCode() != int32(codes.FailedPrecondition) || len(resp.Status.Details) != 1 {
 			t.Errorf("%s: %v, %v", what, resp, err)
 		}
 	}
-	if _, err := b.red.exec.Execute(ctx, cas.Sum(sha, []byte("no action")), false, nil); err == nil || !strings.Contains(err.Error(), "missing") {
+	if _, err := b.red.executor.Execute(ctx, cas.Sum(digestFunction, []byte("no action")), false, nil); err == nil || !strings.Contains(err.Error(), "missing") {
 		t.Errorf("error for a missing action: %v", err)
 	}
 }
 
 // treeOutsideRoot checks that input trees and output paths that lead out of their root are refused.
 func (b *buildCases) treeOutsideRoot(ctx context.Context, t *testing.T) {
-	digest, err := b.red.blobs.Put(ctx, sha, []byte("x"))
+	digest, err := b.red.blobs.Put(ctx, digestFunction, []byte("x"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"..", "a/b", "/etc/passwd", "", "."} {
-		resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: digest.Proto()}} })
+		resp, err := b.red.executeTree(ctx, func(d *repb.Directory) { d.Files = []*repb.FileNode{{Name: name, Digest: digest.Proto()}} })
 		if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
 			t.Errorf("%q: %v, %v", name, resp, err)
 		}
 	}
-	resp, err := b.red.tree(ctx, func(d *repb.Directory) { d.Symlinks = []*repb.SymlinkNode{{Name: "l", Target: "../../etc"}} })
+	resp, err := b.red.executeTree(ctx, func(d *repb.Directory) { d.Symlinks = []*repb.SymlinkNode{{Name: "l", Target: "../../etc"}} })
 	if err != nil || resp.Status.GetCode() != int32(codes.InvalidArgument) {
 		t.Errorf("a symlink: %v, %v", resp, err)
 	}
@@ -495,15 +495,15 @@
 	}
 }
 
-// leaveHalfway checks that a client which disconnects during an execution gets its result from another
+// clientDisconnects checks that a client which disconnects during an execution gets its result from another
 // controller, without a second execution.
-func (b *buildCases) leaveHalfway(ctx context.Context, t *testing.T) {
-	g, err := b.red.upload(ctx, fmt.Sprintf("echo left >> %s; sleep 1; echo x > out", b.runs), nil, nil)
+func (b *buildCases) clientDisconnects(ctx context.Context, t *testing.T) {
+	g, err := b.red.upload(ctx, fmt.Sprintf("echo left >> %s; sleep 1; echo x > out", b.executionLog), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	firstCall, disconnect := context.WithCancel(ctx)
-	_, err = b.red.exec.StartingAt(0).Execute(firstCall, g, false, func(m *repb.ExecuteOperationMetadata) {
+	_, err = b.red.executor.StartingAt(0).Execute(firstCall, g, false, func(m *repb.ExecuteOperationMetadata) {
 		if m.Stage == repb.ExecutionStage_EXECUTING {
 			disconnect()
 		}
@@ -514,7 +514,7 @@
 	}
 	b.c.kill(0) // the controller that served the stream ends as well
 	b.c.start(0)
-	if resp, err := b.red.exec.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || b.count("left") != 1 {
+	if resp, err := b.red.executor.StartingAt(1).Execute(ctx, g, false, nil); err != nil || resp.Result.GetExitCode() != 0 || b.count("left") != 1 {
 		t.Errorf("response %v, error %v, executed %d times", resp, err, b.count("left"))
 	}
 }
@@ -529,7 +529,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			if _, _, err := b.blue.run(ctx, i, fmt.Sprintf("sleep 1.%02d", i), nil, property("cpus", "4")); err != nil {
+			if _, _, err := b.blue.run(ctx, i, fmt.Sprintf("sleep 1.%02d", i), nil, platformProperty("cpus", "4")); err != nil {
 				t.Error(err)
 			}
 			mu.Lock()
@@ -539,8 +539,8 @@
 	}
 	b.c.waitFor("the build", func() bool { mu.Lock(); defer mu.Unlock(); return completed > 0 })
 	if _, _, err := b.red.run(ctx, 0, "true", nil, func(a *repb.Action, cmd *repb.Command) {
-		property("priority", string(wire.Production))(a, cmd)
-		property("cpus", "4")(a, cmd)
+		platformProperty("priority", string(wire.Production))(a, cmd)
+		platformProperty("cpus", "4")(a, cmd)
 	}); err != nil {
 		t.Error(err)
 	}
@@ -563,7 +563,7 @@
 	var live syncBuffer
 	var watch sync.WaitGroup
 	completed := false
-	_, err = b.red.exec.Execute(ctx, g, false, func(m *repb.ExecuteOperationMetadata) {
+	_, err = b.red.executor.Execute(ctx, g, false, func(m *repb.ExecuteOperationMetadata) {
 		if m.Stage == repb.ExecutionStage_COMPLETED {
 			completed = true
 		}
@@ -592,7 +592,7 @@
 func (b *buildCases) commandLine(ctx context.Context, t *testing.T) {
 	dir := t.TempDir()
 	_ = os.WriteFile(filepath.Join(dir, "in.txt"), []byte("hello\n"), 0o644)
-	cmd := exec.CommandContext(ctx, b.c.binary, "reapi", "run", "--cas", b.c.casAddr(), "--executor", b.c.front(0)+","+b.c.front(1), "--instance", "red",
+	cmd := exec.CommandContext(ctx, b.c.binary, "reapi", "run", "--cas", b.c.casAddr(), "--executor", b.c.executorAddr(0)+","+b.c.executorAddr(1), "--instance", "red",
 		"-i", "in.txt", "-o", "sub/out.txt", "-e", "PATH=/bin:/usr/bin", "--", "sh", "-c", "cat in.txt; tr a-z A-Z < in.txt > sub/out.txt; exit 4")
 	cmd.Dir = dir
 	out, err := cmd.Output()
@@ -603,7 +603,7 @@
 	if string(text) != "HELLO\n" {
 		t.Errorf("%q, %v", text, err)
 	}
-	got, err := exec.CommandContext(ctx, b.c.binary, "reapi", "get", "--cas", b.c.casAddr(), cas.Sum(sha, text).String()).Output()
+	got, err := exec.CommandContext(ctx, b.c.binary, "reapi", "get", "--cas", b.c.casAddr(), cas.Sum(digestFunction, text).String()).Output()
 	if string(got) != "HELLO\n" {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -629,29 +629,29 @@
 	return b.buf.String()
 }
 
-// tree executes an action whose input root is filled by change.
-func (b *buildTool) tree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
+// executeTree executes an action whose input root is filled by change.
+func (b *buildTool) executeTree(ctx context.Context, change func(*repb.Directory)) (*repb.ExecuteResponse, error) {
 	root := &repb.Directory{}
 	change(root)
-	rg, err := b.blobs.PutMessage(ctx, sha, root)
+	rg, err := b.blobs.PutMessage(ctx, digestFunction, root)
 	if err != nil {
 		return nil, err
 	}
-	cg, err := b.blobs.PutMessage(ctx, sha, &repb.Command{Arguments: []string{"/bin/true"}})
+	cg, err := b.blobs.PutMessage(ctx, digestFunction, &repb.Command{Arguments: []string{"/bin/true"}})
 	if err != nil {
 		return nil, err
 	}
-	g, err := b.blobs.PutMessage(ctx, sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: rg.Proto()})
+	g, err := b.blobs.PutMessage(ctx, digestFunction, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: rg.Proto()})
 	if err != nil {
 		return nil, err
 	}
-	return b.exec.Execute(ctx, g, false, nil)
+	return b.executor.Execute(ctx, g, false, nil)
 }
 
 // BenchmarkActions measures the rate of actions through Execute, with and without cached results.
 func BenchmarkActions(b *testing.B) {
 	c := newBuildCluster(b, 3, 0)
-	t := c.tool("blue")
+	t := c.newBuildTool("blue")
 	run := func(b *testing.B, name func(i int) string) {
 		var group sync.WaitGroup
 		slots := make(chan struct{}, 32)
@@ -660,7 +660,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				if _, _, err := t.run(b.Context(), i, ": "+name(i), nil, property("cpus", "0.5")); err != nil {
+				if _, _, err := t.run(b.Context(), i, ": "+name(i), nil, platformProperty("cpus", "0.5")); err != nil {
 					b.Error(err)
 				}
 				<-slots
@@ -677,18 +677,18 @@
 // cloud without machines, and reports the controller's memory per stream.
 func BenchmarkStreams(b *testing.B) {
 	c := newBuildCluster(b, 0, 0)
-	t := c.tool("blue")
+	t := c.newBuildTool("blue")
 	g, err := t.upload(b.Context(), "true", nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	const streams = 400
 	for b.Loop() {
-		before := c.memory(0, "VmRSS")
+		before := c.memoryMB(0, "VmRSS")
 		ctx, stop := context.WithCancel(b.Context())
 		var open, over sync.WaitGroup
 		for range streams {
-			executor, err := reapi.Dial([]string{c.front(0)}, "blue") // each stream has its own connection
+			executor, err := reapi.Dial([]string{c.executorAddr(0)}, "blue") // each stream has its own connection
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -702,7 +702,7 @@
 			}()
 		}
 		open.Wait()
-		b.ReportMetric((c.memory(0, "VmRSS")-before)*1024/streams, "KiB/stream")
+		b.ReportMetric((c.memoryMB(0, "VmRSS")-before)*1024/streams, "KiB/stream")
 		stop()
 		over.Wait()
 	}
@@ -721,14 +721,14 @@
 func benchmarkTwoTeams(b *testing.B, guaranteedCPUs float64) {
 	c := newBuildCluster(b, 1, guaranteedCPUs)
 	build := func(instance string, actions int, salt any) time.Duration {
-		t := c.tool(instance)
+		t := c.newBuildTool(instance)
 		begun := time.Now()
 		var group sync.WaitGroup
 		for i := range actions {
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				if _, _, err := t.run(b.Context(), i, fmt.Sprintf("sleep 0.5; : %s %d %v", instance, i, salt), nil, property("cpus", "4")); err != nil {
+				if _, _, err := t.run(b.Context(), i, fmt.Sprintf("sleep 0.5; : %s %d %v", instance, i, salt), nil, platformProperty("cpus", "4")); err != nil {
 					b.Error(err)
 				}
 			}()
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -19,18 +19,18 @@
 // in both zones, a gang with checkpoints, arrays, spot jobs, and jobs that are cancelled.
 type singleFault struct {
 	name   string
-	inject func(w *faultScene)
+	inject func(w *singleFaultSimulation)
 	// maxRestarts is how many of the tasks that run when the fault begins may be started again, the
 	// effect of the fault that users notice. -1 means any number.
 	maxRestarts int
 	settings    func(*config.Config)
 }
 
-// faultScene is the simulation of a single fault.
-type faultScene struct{ *simulation }
+// singleFaultSimulation is the simulation of a single fault.
+type singleFaultSimulation struct{ *simulation }
 
-// leaderIndex returns the number of a leader, 0 if there is none.
-func (s *faultScene) leaderIndex() int {
+// leaderNumber returns the number of a leader, 0 if there is none.
+func (s *singleFaultSimulation) leaderNumber() int {
 	for _, name := range s.leaders() {
 		return int(name[2] - '0')
 	}
@@ -38,13 +38,13 @@
 }
 
 // eachMachine calls a function for each running machine.
-func (s *faultScene) eachMachine(do func(m wire.ListedMachine, w simulator.Machine)) {
+func (s *singleFaultSimulation) eachMachine(do func(m wire.ListedMachine, w simulator.Machine)) {
 	s.cloud.EachRunning(do)
 }
 
-// cutMachines drops the traffic between a controller and all machines, including those that do not
+// dropMachineTraffic drops the traffic between a controller and all machines, including those that do not
 // exist yet, for the duration d: in drops that to the controller, out that to the machines.
-func (s *faultScene) cutMachines(i int, d time.Duration, in, out bool) {
+func (s *singleFaultSimulation) dropMachineTraffic(i int, d time.Duration, in, out bool) {
 	for n := range 60 {
 		host := fmt.Sprintf("10.1.0.%d", n+1)
 		during(d, func(on bool) {
@@ -58,9 +58,9 @@
 	}
 }
 
-// cutOffZone partitions a zone's machines, together with the first of the given controllers, from all
+// partitionZone partitions a zone's machines, together with the first of the given controllers, from all
 // other hosts for the duration d.
-func (s *faultScene) cutOffZone(zone string, d time.Duration, controllers ...int) {
+func (s *singleFaultSimulation) partitionZone(zone string, d time.Duration, controllers ...int) {
 	var inside []string
 	outside := []string{"10.2.0.1", "10.2.0.2", "10.3.0.1"}
 	s.eachMachine(func(m wire.ListedMachine, _ simulator.Machine) {
@@ -86,8 +86,8 @@
 	})
 }
 
-// firstMachines calls a function for the first n running machines, or spot machines only if spot is set.
-func (s *faultScene) firstMachines(n int, spot bool, do func(id string, w simulator.Machine)) {
+// eachOfFirstMachines calls a function for the first n running machines, or spot machines only if spot is set.
+func (s *singleFaultSimulation) eachOfFirstMachines(n int, spot bool, do func(id string, w simulator.Machine)) {
 	s.eachMachine(func(m wire.ListedMachine, w simulator.Machine) {
 		if n > 0 && (!spot || m.Spot) {
 			n--
@@ -96,25 +96,25 @@
 	})
 }
 
-// pauseFirst pauses the first n machines for the duration d.
-func (s *faultScene) pauseFirst(n int, d time.Duration) {
-	s.firstMachines(n, false, func(_ string, w simulator.Machine) { w.(simulator.Pauser).Pause(d) })
+// pauseFirstMachines pauses the first n machines for the duration d.
+func (s *singleFaultSimulation) pauseFirstMachines(n int, d time.Duration) {
+	s.eachOfFirstMachines(n, false, func(_ string, w simulator.Machine) { w.(simulator.Pauser).Pause(d) })
 }
 
-// setCloudFaults injects faults of the cloud for the duration d.
-func (s *faultScene) setCloudFaults(d time.Duration, change func(f *simulator.CloudFaults)) {
+// injectCloudFaults injects faults of the cloud for the duration d.
+func (s *singleFaultSimulation) injectCloudFaults(d time.Duration, change func(f *simulator.CloudFaults)) {
 	s.cloud.SetFaults(change)
 	time.AfterFunc(d, func() { s.cloud.SetFaults(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 }
 
 // loseReplies drops the responses to a share of transactions for the duration d.
-func (s *faultScene) loseReplies(share float64, d time.Duration) {
+func (s *singleFaultSimulation) loseReplies(share float64, d time.Duration) {
 	s.store.Configure(func(st *simulator.StateService) { st.LossShare = share })
 	time.AfterFunc(d, func() { s.store.Configure(func(st *simulator.StateService) { st.LossShare = 0 }) })
 }
 
 // killAll kills all controllers, and restarts them after a delay.
-func (s *faultScene) killAll(restartAfter time.Duration) {
+func (s *singleFaultSimulation) killAll(restartAfter time.Duration) {
 	for i := range 3 {
 		s.kill(i, restartAfter)
 	}
@@ -122,16 +122,16 @@
 
 // singleFaults lists all single faults. The table in docs/emulator.md has a row for each.
 var singleFaults = []singleFault{
-	{name: "nothing goes wrong", inject: func(*faultScene) {}},
-	{name: "the state service is out for 12 s", inject: func(s *faultScene) { during(12*time.Second, s.store.SetOutage) }},
-	{name: "the state service is out for longer than a worker's lease", inject: func(s *faultScene) { during(40*time.Second, s.store.SetOutage) }, maxRestarts: -1},
-	{name: "the state service answers after a second", inject: func(s *faultScene) {
+	{name: "nothing goes wrong", inject: func(*singleFaultSimulation) {}},
+	{name: "the state service is out for 12 s", inject: func(s *singleFaultSimulation) { during(12*time.Second, s.store.SetOutage) }},
+	{name: "the state service is out for longer than a worker's lease", inject: func(s *singleFaultSimulation) { during(40*time.Second, s.store.SetOutage) }, maxRestarts: -1},
+	{name: "the state service answers after a second", inject: func(s *singleFaultSimulation) {
 		s.store.Configure(func(st *simulator.StateService) { st.ResponseDelay = func() time.Duration { return time.Second } })
 		time.AfterFunc(40*time.Second, func() { s.store.Configure(func(st *simulator.StateService) { st.ResponseDelay = nil }) })
 	}},
-	{name: "a tenth of all transactions get no answer", inject: func(s *faultScene) { s.loseReplies(0.1, time.Minute) }},
-	{name: "half of all transactions get no answer", inject: func(s *faultScene) { s.loseReplies(0.5, 30*time.Second) }},
-	{name: "the state service forgets all changes again and again", inject: func(s *faultScene) {
+	{name: "a tenth of all transactions get no answer", inject: func(s *singleFaultSimulation) { s.loseReplies(0.1, time.Minute) }},
+	{name: "half of all transactions get no answer", inject: func(s *singleFaultSimulation) { s.loseReplies(0.5, 30*time.Second) }},
+	{name: "the state service forgets all changes again and again", inject: func(s *singleFaultSimulation) {
 		go func() {
 			for range 20 {
 				time.Sleep(time.Second)
@@ -139,116 +139,116 @@
 			}
 		}()
 	}},
-	{name: "the leader does not reach the state service", inject: func(s *faultScene) {
-		i := s.leaderIndex()
+	{name: "the leader does not reach the state service", inject: func(s *singleFaultSimulation) {
+		i := s.leaderNumber()
 		during(25*time.Second, func(on bool) { s.net.Partition(s.ip(i), "10.2.0.1", on) })
 	}},
-	{name: "the state service's answers to the leader are lost", inject: func(s *faultScene) {
-		i := s.leaderIndex()
+	{name: "the state service's answers to the leader are lost", inject: func(s *singleFaultSimulation) {
+		i := s.leaderNumber()
 		during(25*time.Second, func(on bool) { s.net.DropOneWay("10.2.0.1", s.ip(i), on) })
 	}},
-	{name: "no controller but one reaches the state service", inject: func(s *faultScene) {
+	{name: "no controller but one reaches the state service", inject: func(s *singleFaultSimulation) {
 		for i := range 2 {
 			during(25*time.Second, func(on bool) { s.net.Partition(s.ip(i), "10.2.0.1", on) })
 		}
 	}},
-	{name: "the leader is killed", inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
-	{name: "the leader is killed again and again", inject: func(s *faultScene) {
+	{name: "the leader is killed", inject: func(s *singleFaultSimulation) { s.kill(s.leaderNumber(), 3*time.Second) }},
+	{name: "the leader is killed again and again", inject: func(s *singleFaultSimulation) {
 		for range 4 {
-			s.kill(s.leaderIndex(), 2*time.Second)
+			s.kill(s.leaderNumber(), 2*time.Second)
 			time.Sleep(12 * time.Second)
 		}
 	}},
-	{name: "every controller is restarted, one after the other", inject: func(s *faultScene) {
+	{name: "every controller is restarted, one after the other", inject: func(s *singleFaultSimulation) {
 		for i := range 3 {
 			s.kill(i, 3*time.Second)
 			time.Sleep(8 * time.Second)
 		}
 	}},
-	{name: "all controllers are killed at once", inject: func(s *faultScene) { s.killAll(3 * time.Second) }},
-	{name: "all controllers are down for longer than a worker's lease", inject: func(s *faultScene) { s.killAll(35 * time.Second) }, maxRestarts: -1},
-	{name: "all controllers are killed while the state service is out", inject: func(s *faultScene) {
+	{name: "all controllers are killed at once", inject: func(s *singleFaultSimulation) { s.killAll(3 * time.Second) }},
+	{name: "all controllers are down for longer than a worker's lease", inject: func(s *singleFaultSimulation) { s.killAll(35 * time.Second) }, maxRestarts: -1},
+	{name: "all controllers are killed while the state service is out", inject: func(s *singleFaultSimulation) {
 		during(15*time.Second, s.store.SetOutage)
 		time.Sleep(5 * time.Second)
 		s.killAll(3 * time.Second)
 	}, maxRestarts: -1},
-	{name: "the state service is back with all leases at full time", inject: func(s *faultScene) {
-		s.kill(s.leaderIndex(), 30*time.Second)
+	{name: "the state service is back with all leases at full time", inject: func(s *singleFaultSimulation) {
+		s.kill(s.leaderNumber(), 30*time.Second)
 		during(8*time.Second, s.store.SetOutage)
 	}, maxRestarts: -1},
-	{name: "the leader is paused for 6 s", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 6*time.Second) }},
-	{name: "the leader is paused for longer than every lease", inject: func(s *faultScene) { s.net.Pause(s.ip(s.leaderIndex()), 50*time.Second) }, maxRestarts: -1},
-	{name: "all controllers are paused for 10 s", inject: func(s *faultScene) {
+	{name: "the leader is paused for 6 s", inject: func(s *singleFaultSimulation) { s.net.Pause(s.ip(s.leaderNumber()), 6*time.Second) }},
+	{name: "the leader is paused for longer than every lease", inject: func(s *singleFaultSimulation) { s.net.Pause(s.ip(s.leaderNumber()), 50*time.Second) }, maxRestarts: -1},
+	{name: "all controllers are paused for 10 s", inject: func(s *singleFaultSimulation) {
 		for i := range 3 {
 			s.net.Pause(s.ip(i), 10*time.Second)
 		}
 	}, maxRestarts: -1},
-	{name: "the leader is slow at each step", inject: func(s *faultScene) {
-		i, rng := s.leaderIndex(), rand.New(rand.NewPCG(1, 9))
+	{name: "the leader is slow at each step", inject: func(s *singleFaultSimulation) {
+		i, rng := s.leaderNumber(), rand.New(rand.NewPCG(1, 9))
 		during(30*time.Second, func(on bool) {
 			s.net.SetStepDelay(s.ip(i), map[bool]func() time.Duration{true: func() time.Duration { return time.Duration(s.draw(rng, 400)) * time.Millisecond }}[on])
 		})
 	}, maxRestarts: -1},
-	{name: "the leader does not hear the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, false) }},
-	{name: "the machines do not hear the leader", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, false, true) }},
-	{name: "the leader is cut off from the machines", inject: func(s *faultScene) { s.cutMachines(s.leaderIndex(), 40*time.Second, true, true) }},
-	{name: "controllers do not hear each other", inject: func(s *faultScene) {
+	{name: "the leader does not hear the machines", inject: func(s *singleFaultSimulation) { s.dropMachineTraffic(s.leaderNumber(), 40*time.Second, true, false) }},
+	{name: "the machines do not hear the leader", inject: func(s *singleFaultSimulation) { s.dropMachineTraffic(s.leaderNumber(), 40*time.Second, false, true) }},
+	{name: "the leader is cut off from the machines", inject: func(s *singleFaultSimulation) { s.dropMachineTraffic(s.leaderNumber(), 40*time.Second, true, true) }},
+	{name: "controllers do not hear each other", inject: func(s *singleFaultSimulation) {
 		for i := range 3 {
 			during(40*time.Second, func(on bool) { s.net.Partition(s.ip(i), s.ip((i+1)%3), on) })
 		}
 	}},
-	{name: "the leader is heard by no peer", inject: func(s *faultScene) {
-		i := s.leaderIndex()
+	{name: "the leader is heard by no peer", inject: func(s *singleFaultSimulation) {
+		i := s.leaderNumber()
 		for k := range 3 {
 			during(40*time.Second, func(on bool) { s.net.DropOneWay(s.ip(i), s.ip(k), on) })
 		}
 	}},
-	{name: "no machine finds a socket", inject: func(s *faultScene) {
+	{name: "no machine finds a socket", inject: func(s *singleFaultSimulation) {
 		for i := range 3 {
 			during(12*time.Second, func(on bool) { s.net.RefuseInbound(s.ip(i), on) })
 		}
 	}},
-	{name: "a machine dies", inject: func(s *faultScene) {
-		s.firstMachines(1, false, func(id string, _ simulator.Machine) { s.cloud.Crash(id) })
+	{name: "a machine dies", inject: func(s *singleFaultSimulation) {
+		s.eachOfFirstMachines(1, false, func(id string, _ simulator.Machine) { s.cloud.Crash(id) })
 	}, maxRestarts: -1},
-	{name: "half of the machines die", inject: func(s *faultScene) {
-		s.firstMachines(s.cloud.CountRunning()/2, false, func(id string, _ simulator.Machine) { s.cloud.Crash(id) })
+	{name: "half of the machines die", inject: func(s *singleFaultSimulation) {
+		s.eachOfFirstMachines(s.cloud.CountRunning()/2, false, func(id string, _ simulator.Machine) { s.cloud.Crash(id) })
 	}, maxRestarts: -1},
-	{name: "a machine hangs for most of its lease and goes on", inject: func(s *faultScene) { s.pauseFirst(1, 15*time.Second) }, maxRestarts: -1},
-	{name: "a machine hangs for longer than its lease and goes on", inject: func(s *faultScene) { s.pauseFirst(1, 30*time.Second) }, maxRestarts: -1},
-	{name: "most machines hang for a while", inject: func(s *faultScene) { s.pauseFirst(4, 10*time.Second) }, maxRestarts: -1},
-	{name: "a room is cut off for 2 s", inject: func(s *faultScene) { s.cutOffZone("a", 2*time.Second) }},
-	{name: "a room is cut off for a minute", inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
-	{name: "a room is cut off with the leader in it", inject: func(s *faultScene) { s.cutOffZone("b", 40*time.Second, s.leaderIndex()) }, maxRestarts: -1},
-	{name: "a wave of spot machines is taken without notice", inject: func(s *faultScene) {
-		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
+	{name: "a machine hangs for most of its lease and goes on", inject: func(s *singleFaultSimulation) { s.pauseFirstMachines(1, 15*time.Second) }, maxRestarts: -1},
+	{name: "a machine hangs for longer than its lease and goes on", inject: func(s *singleFaultSimulation) { s.pauseFirstMachines(1, 30*time.Second) }, maxRestarts: -1},
+	{name: "most machines hang for a while", inject: func(s *singleFaultSimulation) { s.pauseFirstMachines(4, 10*time.Second) }, maxRestarts: -1},
+	{name: "a room is cut off for 2 s", inject: func(s *singleFaultSimulation) { s.partitionZone("a", 2*time.Second) }},
+	{name: "a room is cut off for a minute", inject: func(s *singleFaultSimulation) { s.partitionZone("a", time.Minute) }, maxRestarts: -1},
+	{name: "a room is cut off with the leader in it", inject: func(s *singleFaultSimulation) { s.partitionZone("b", 40*time.Second, s.leaderNumber()) }, maxRestarts: -1},
+	{name: "a wave of spot machines is taken without notice", inject: func(s *singleFaultSimulation) {
+		s.eachOfFirstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
 	}, maxRestarts: -1},
-	{name: "a wave of spot machines is taken with notice", inject: func(s *faultScene) {
-		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 10*time.Second) })
+	{name: "a wave of spot machines is taken with notice", inject: func(s *singleFaultSimulation) {
+		s.eachOfFirstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 10*time.Second) })
 	}, maxRestarts: -1},
-	{name: "a room fails while spot machines are taken and jobs are compacted", inject: func(s *faultScene) {
-		s.cutOffZone("b", 30*time.Second)
-		s.firstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
-		s.kill(s.leaderIndex(), 3*time.Second)
+	{name: "a room fails while spot machines are taken and jobs are compacted", inject: func(s *singleFaultSimulation) {
+		s.partitionZone("b", 30*time.Second)
+		s.eachOfFirstMachines(99, true, func(id string, _ simulator.Machine) { s.cloud.Preempt(id, 0) })
+		s.kill(s.leaderNumber(), 3*time.Second)
 	}, maxRestarts: -1},
-	{name: "the cloud answers nobody", inject: func(s *faultScene) {
-		s.setCloudFaults(40*time.Second, func(f *simulator.CloudFaults) { f.Unavailable = true })
+	{name: "the cloud answers nobody", inject: func(s *singleFaultSimulation) {
+		s.injectCloudFaults(40*time.Second, func(f *simulator.CloudFaults) { f.Unavailable = true })
 	}},
-	{name: "the cloud has no machine to give", inject: func(s *faultScene) {
-		s.setCloudFaults(40*time.Second, func(f *simulator.CloudFaults) { f.MissingCapacityShare = 1 })
+	{name: "the cloud has no machine to give", inject: func(s *singleFaultSimulation) {
+		s.injectCloudFaults(40*time.Second, func(f *simulator.CloudFaults) { f.MissingCapacityShare = 1 })
 	}},
-	{name: "machines take ten times as long to boot", inject: func(s *faultScene) {
-		s.setCloudFaults(time.Minute, func(f *simulator.CloudFaults) { f.BootFactor = 10 })
+	{name: "machines take ten times as long to boot", inject: func(s *singleFaultSimulation) {
+		s.injectCloudFaults(time.Minute, func(f *simulator.CloudFaults) { f.BootFactor = 10 })
 	}},
-	{name: "half of the machines never come up", inject: func(s *faultScene) {
-		s.setCloudFaults(time.Minute, func(f *simulator.CloudFaults) { f.NeverBootShare = 0.5 })
+	{name: "half of the machines never come up", inject: func(s *singleFaultSimulation) {
+		s.injectCloudFaults(time.Minute, func(f *simulator.CloudFaults) { f.NeverBootShare = 0.5 })
 	}},
-	{name: "rentals are carried out late and without an answer", inject: func(s *faultScene) {
-		s.setCloudFaults(20*time.Second, func(f *simulator.CloudFaults) { f.RentDelay = 8 * time.Second })
+	{name: "rentals are carried out late and without an answer", inject: func(s *singleFaultSimulation) {
+		s.injectCloudFaults(20*time.Second, func(f *simulator.CloudFaults) { f.RentDelay = 8 * time.Second })
 	}},
-	{name: "the leader of one of two shards is killed", settings: shardByZone, inject: func(s *faultScene) { s.kill(s.leaderIndex(), 3*time.Second) }},
-	{name: "all controllers are killed, two shards", settings: shardByZone, inject: func(s *faultScene) { s.killAll(3 * time.Second) }},
-	{name: "a room of its own shard is cut off", settings: shardByZone, inject: func(s *faultScene) { s.cutOffZone("a", time.Minute) }, maxRestarts: -1},
+	{name: "the leader of one of two shards is killed", settings: shardByZone, inject: func(s *singleFaultSimulation) { s.kill(s.leaderNumber(), 3*time.Second) }},
+	{name: "all controllers are killed, two shards", settings: shardByZone, inject: func(s *singleFaultSimulation) { s.killAll(3 * time.Second) }},
+	{name: "a room of its own shard is cut off", settings: shardByZone, inject: func(s *singleFaultSimulation) { s.partitionZone("a", time.Minute) }, maxRestarts: -1},
 }
 
 // shardByZone sets the sharding to one shard per zone.
@@ -268,7 +268,7 @@
 
 // run runs the simulation with the fault.
 func (x *singleFault) run(t *testing.T, seed uint64) {
-	s := &faultScene{newSimulation(t, 100+seed, 0, x.settings)}
+	s := &singleFaultSimulation{newSimulation(t, 100+seed, 0, x.settings)}
 	s.startService("wk-1", 2*time.Minute)
 	job := func(j *wire.Job, run, cancel time.Duration) {
 		j.Class, j.Team, j.CPUs, j.GPUs, j.MemoryGB, j.Image, j.ImageGB, j.EstimateS = "c", "blue", 2, 1, 8, "img", 1, run.Seconds()
