--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -18,8 +18,8 @@
 	"amberdeal.example/amberdeal/internal/writers"
 )
 
-// The tests of this file run clusters in which a few controllers write submissions and cancellations,
-// and the others forward theirs to them.
+// The tests of this file run clusters in which a few controllers write the changes that users wait for,
+// such as submissions, on behalf of all controllers.
 
 // forwardingCase is a case of TestForwarding.
 type forwardingCase struct {
@@ -57,8 +57,8 @@
 	}
 }
 
-// designatedWriters returns the numbers of the controllers that write for all while every controller is up.
-func (w *forwardingRun) designatedWriters() (out []int) {
+// writers returns the numbers of the controllers that write for all while every controller is up.
+func (w *forwardingRun) writers() (out []int) {
 	var all []string
 	for i := range w.count {
 		all = append(all, fmt.Sprint("c-", i))
@@ -103,7 +103,7 @@
 	"it changes ten times in two minutes": func(w *forwardingRun, _ int) {
 		w.group.Go(func() {
 			for range 10 {
-				if now := w.designatedWriters(); len(now) > 0 {
+				if now := w.writers(); len(now) > 0 {
 					w.crash(now[0], 4*time.Second, 0)
 				}
 				time.Sleep(12 * time.Second)
@@ -132,7 +132,7 @@
 	time.Sleep(8 * time.Second)
 	w.runJob(999, 0, 100*time.Second, forever) // keeps a machine rented
 	time.Sleep(12 * time.Second)
-	w.initialWriters = w.designatedWriters()
+	w.initialWriters = w.writers()
 	if len(w.initialWriters) == 0 {
 		w.t.Fatal("no controller writes for the others")
 	}
