--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -25,36 +25,39 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// processCluster is three controllers as real processes on loopback, with a simulated state
-// service, cloud and machines on real sockets in this process.
+// processCluster is a cluster of three controllers that are real processes on loopback. The state
+// service, the cloud and the machines are simulated in the test's process, on real sockets.
 type processCluster struct {
 	t              testing.TB
 	ctx            context.Context
 	dir            string
-	subnet         string // such as 127.45.0.
+	subnet         string // such as "127.45.0."
 	binary         string
 	store          *simulator.StateService
 	cloud          *simulator.Cloud
 	checker        *simulator.Checker
 	caller         *transport.Caller
-	settings       map[string]any // params.state
-	state          string         // address of the state service
+	stateParams    map[string]any // params.state of the platform file
+	stateAddr      string         // address of the state service
 	guaranteedCPUs float64        // CPUs that the team blue is guaranteed
 	mu             sync.Mutex
-	procs          [3]*exec.Cmd
-	blobs          *exec.Cmd // amberdeal cas
+	controllers    [3]*exec.Cmd
+	casProcess     *exec.Cmd // amberdeal cas
 	agents         []*agentMachine
 }
 
+// sockets is the loopback network of the test's process.
 var sockets = transport.Sockets{Log: slog.New(slog.DiscardHandler)}
 
-// newProcessCluster builds the program and starts the cluster. Everything ends with the test.
+// newProcessCluster builds the program and starts the simulated services, but no controller. The test's
+// cleanup ends everything. state is params.state of the platform files, ini the settings file, and
+// capacity that of the cloud in machines.
 func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
-	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), settings: state,
+	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), stateParams: state,
 		caller: &transport.Caller{MaxBody: 1 << 20, Dial: sockets.Dial}}
 	c.subnet = fmt.Sprintf("127.%d.%d.", 20+os.Getpid()%200, 1+time.Now().UnixNano()%250)
-	c.state = c.subnet + "200:2379"
+	c.stateAddr = c.subnet + "200:2379"
 	c.checker = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
 	c.binary = filepath.Join(c.dir, "amberdeal")
 	build := exec.Command("go", "build", "-o", c.binary, "./cmd/amberdeal")
@@ -79,25 +82,26 @@
 	c.waitFor("stand-ins", func() bool { return c.reachable(c.subnet+"200:2379") && c.reachable(c.subnet+"201:8443") })
 	for i := range 3 { // each with its own address for metrics
 		text := ini + fmt.Sprintf("[metrics]\nlisten = %s%d:9464\n", c.subnet, i+1)
-		if err := os.WriteFile(c.ini(i), []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(c.settingsPath(i), []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for i := range c.procs {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		c.cloud.Stop()
-		c.killBlobs()
+		c.killCAS()
 		stop()
 	})
 	return c
 }
 
-// addr returns the public address of a host: controllers are 1 to 3, machines count from 1 too, on
-// another port.
+// addr returns the public address of a controller, whose host is 1 to 3. Machines also count from 1,
+// but listen on another port.
 func (c *processCluster) addr(host int) string { return fmt.Sprintf("%s%d:8080", c.subnet, host) }
 
+// reachable reports whether an address accepts connections.
 func (c *processCluster) reachable(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err == nil {
@@ -106,18 +110,21 @@
 	return err == nil
 }
 
-// waitFor waits until a condition holds, for a minute at most.
+// waitFor waits until a condition holds, and fails the test after a minute.
 func (c *processCluster) waitFor(what string, holds func() bool) {
 	c.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begun) > time.Minute {
-			c.logs()
-			c.t.Fatalf("%s: not within a minute", what)
+			c.printLogs()
+			c.t.Fatalf("timed out after a minute waiting for: %s", what)
 		}
 	}
 }
 
-func (c *processCluster) ini(i int) string { return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i)) }
+// settingsPath returns the path of a controller's settings file.
+func (c *processCluster) settingsPath(i int) string {
+	return filepath.Join(c.dir, fmt.Sprintf("c-%d.ini", i))
+}
 
 // metric returns the sum of a metric over all controllers.
 func (c *processCluster) metric(name string) (sum float64) {
@@ -140,10 +147,10 @@
 	return sum
 }
 
-// configure writes the platform file of a controller and returns its path.
-func (c *processCluster) configure(i int) string {
+// writePlatformFile writes the platform file of controller i and returns its path.
+func (c *processCluster) writePlatformFile(i int) string {
 	cfg := map[string]any{"host_name": fmt.Sprint("c-", i), "location": "a", "public_addr": c.addr(i + 1), "mesh_addr": fmt.Sprintf("%s%d:8081", c.subnet, i+1),
-		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.state}}
+		"endpoints": map[string]any{"cloud": c.subnet + "201:8443", "state": c.stateAddr}}
 	var peers []any
 	for k := range 3 {
 		if k != i {
@@ -152,7 +159,7 @@
 	}
 	cfg["siblings"] = peers
 	cfg["params"] = map[string]any{"zones": []string{"a", "b"}, "teams": []any{map[string]any{"name": "red", "gpus_max": 12}, map[string]any{"name": "blue", "cpus": c.guaranteedCPUs}},
-		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.settings,
+		"workers": map[string]any{"report_s": 1, "lease_s": 8, "gang_wait_s": 10, "gang_peer_s": 3, "cancel_s": 30}, "state": c.stateParams,
 		"cloud": map[string]any{"rps": 50, "list_lag_s": 0.2}, "limits": map[string]any{"ram_mb": 234, "fd_limit": 3000}}
 	text, err := json.Marshal(cfg)
 	if err != nil {
@@ -165,29 +172,29 @@
 	return path
 }
 
-// start starts a controller.
+// start starts the process of controller i.
 func (c *processCluster) start(i int) {
-	path := c.configure(i)
+	path := c.writePlatformFile(i)
 	log, err := os.OpenFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	cmd := exec.Command(c.binary, "serve", "--settings", c.ini(i), "--config", path)
+	cmd := exec.Command(c.binary, "serve", "--settings", c.settingsPath(i), "--config", path)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
 	log.Close()
 	c.mu.Lock()
-	c.procs[i] = cmd
+	c.controllers[i] = cmd
 	c.mu.Unlock()
 }
 
-// kill ends a controller with SIGKILL.
+// kill ends the process of controller i with SIGKILL, if it runs.
 func (c *processCluster) kill(i int) {
 	c.mu.Lock()
-	cmd := c.procs[i]
-	c.procs[i] = nil
+	cmd := c.controllers[i]
+	c.controllers[i] = nil
 	c.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
@@ -195,6 +202,7 @@
 	}
 }
 
+// ready reports whether controller i reports that it is ready.
 func (c *processCluster) ready(i int) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 	defer cancel()
@@ -202,7 +210,7 @@
 	return err == nil && resp.Status == 200
 }
 
-// ask sends a request to the controllers in turn until one decides.
+// ask sends a request to the controllers in turn until one answers with a status other than 429 and 503.
 func (c *processCluster) ask(first int, method, path string, body []byte) (status int, stage wire.Stage) {
 	for try := 0; c.ctx.Err() == nil; try++ {
 		ctx, cancel := context.WithTimeout(c.ctx, 5*time.Second)
@@ -218,17 +226,20 @@
 	return 0, ""
 }
 
+// jobPath returns the URL path of a job.
 func jobPath(id string) string { return wire.PathJobs + "/" + id }
 
-// playJob submits a job, waits until it is done or cancels it, and checks that its final answer
-// stays the same.
-func (c *processCluster) playJob(id string, n int) {
+// runJob submits a job and polls it until its state is final. The number n determines the job's shape
+// and the controllers asked; every third job is cancelled at once. The checker compares all answers.
+func (c *processCluster) runJob(id string, n int) {
 	j := &wire.Job{ID: id, Class: "c", Team: []string{"red", "blue"}[n%2], Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + n%3,
 		CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1, EstimateS: 1, Spot: true}
 	c.checker.Submitted(j, 50*time.Millisecond)
-	tell := func(asked bool, status int, stage wire.Stage) { c.checker.ObserveAnswer(id, status, stage, asked) }
+	observe := func(cancelRequested bool, status int, stage wire.Stage) {
+		c.checker.ObserveAnswer(id, status, stage, cancelRequested)
+	}
 	status, stage := c.ask(n, "POST", wire.PathJobs, wire.Encode(j))
-	tell(false, status, stage)
+	observe(false, status, stage)
 	cancelled := n%3 == 0
 	for !c.checker.Stage(id).Final() && c.ctx.Err() == nil {
 		if cancelled {
@@ -237,13 +248,14 @@
 			time.Sleep(50 * time.Millisecond)
 			status, stage = c.ask(n+1, "GET", jobPath(id), nil)
 		}
-		tell(cancelled, status, stage)
+		observe(cancelled, status, stage)
 	}
 }
 
 // TestKillsLoseNoAnswer kills controllers at random times while jobs are submitted, cancelled,
-// done and compacted, with values so small that blocks fill and split all the time. No final
-// answer may be lost, changed or invented. AMBERDEAL_KILLS sets the number of kills; CI runs few.
+// completed and compacted. The size limit of values is so small that blocks fill and split all the
+// time. No final answer may be lost, changed or invented. AMBERDEAL_KILLS sets the number of kills;
+// the default is small.
 func TestKillsLoseNoAnswer(t *testing.T) {
 	kills := 5
 	if text := os.Getenv("AMBERDEAL_KILLS"); text != "" {
@@ -259,44 +271,44 @@
 	}
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 	over := make(chan struct{})
-	users := c.startKillUsers(over)
-	c.killAtWork(kills)
-	c.waitFor("jobs in the history", func() bool { return c.account().Kinds["history"] != nil })
+	users := c.startKillTestUsers(over)
+	c.killDuringWrites(kills)
+	c.waitFor("jobs in the history", func() bool { return c.verifyState().Kinds["history"] != nil })
 	close(over)
 	users.Wait()
 	if n := c.metric("view_keys"); n == 0 || c.metric(`store_changes_total{purpose="submission"}`) == 0 || c.metric("records_not_understood")+c.metric("answers_differ_total") > 0 {
-		t.Errorf("the metrics tell of %v keys", n)
+		t.Errorf("unexpected metrics: view_keys is %v; want it and the changes for submissions above 0, and no records that are not understood or differing answers", n)
 	}
-	users.askAll()
+	users.pollAll()
 	c.migrateState()
-	users.askAll()
-	c.playJob("wk-10000001", 1) // the machines obey the new leader
+	users.pollAll()
+	c.runJob("wk-10000001", 1) // the machines have to follow the new leader
 	for _, b := range c.checker.Violations() {
 		t.Error(b)
 	}
-	a := c.account()
+	a := c.verifyState()
 	for _, p := range a.Problems {
 		t.Error(p)
 	}
 	_, changes, keys := c.store.Counts()
 	t.Logf("%d kills, %d jobs, %d tasks started, %d changes, %d keys, %d jobs in %d blocks of the history", kills, len(users.ids), c.checker.Started, changes, keys, a.Kinds["history"].Jobs, a.Kinds["history"].Keys)
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
-// killUsers are users who submit jobs while controllers are killed.
-type killUsers struct {
+// killTestUsers is the group of users who submit jobs while controllers are killed.
+type killTestUsers struct {
 	sync.WaitGroup
 	c   *processCluster
 	mu  sync.Mutex
 	rng *rand.Rand
-	ids []string // of the jobs that were played
+	ids []string // of the jobs that have ended
 }
 
-// startKillUsers starts twelve users, who end when over is closed.
-func (c *processCluster) startKillUsers(over <-chan struct{}) *killUsers {
-	u := &killUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
+// startKillTestUsers starts twelve users, who stop when over is closed.
+func (c *processCluster) startKillTestUsers(over <-chan struct{}) *killTestUsers {
+	u := &killTestUsers{c: c, rng: rand.New(rand.NewPCG(1, 9))}
 	numbers := u.rng.Perm(10_000_000)
 	for first := range 12 {
 		u.Go(func() {
@@ -306,16 +318,16 @@
 					return
 				default:
 				}
-				u.play(fmt.Sprintf("wk-%07d", numbers[n%len(numbers)]), n)
+				u.runAndPoll(fmt.Sprintf("wk-%07d", numbers[n%len(numbers)]), n)
 			}
 		})
 	}
 	return u
 }
 
-// play plays a job, and asks about one of long ago and one that nobody submitted.
-func (u *killUsers) play(id string, n int) {
-	u.c.playJob(id, n)
+// runAndPoll runs a job, and polls an earlier job and one that was never submitted.
+func (u *killTestUsers) runAndPoll(id string, n int) {
+	u.c.runJob(id, n)
 	u.mu.Lock()
 	u.ids = append(u.ids, id)
 	old := u.ids[u.rng.IntN(len(u.ids))]
@@ -323,27 +335,28 @@
 	status, stage := u.c.ask(n, "GET", jobPath(old), nil)
 	u.c.checker.ObserveAnswer(old, status, stage, u.c.checker.Stage(old) == wire.Cancelled)
 	if status, _ := u.c.ask(n, "GET", jobPath(fmt.Sprintf("wk-%09d", n)), nil); status != 404 && u.c.ctx.Err() == nil {
-		u.c.t.Errorf("a job that nobody submitted is answered %d", status)
+		u.c.t.Errorf("poll of a job that was never submitted is answered %d, want 404", status)
 	}
 }
 
-// askAll asks about all jobs again.
-func (u *killUsers) askAll() {
+// pollAll polls all jobs again.
+func (u *killTestUsers) pollAll() {
 	for _, id := range u.ids {
 		status, stage := u.c.ask(1, "GET", jobPath(id), nil)
 		u.c.checker.ObserveAnswer(id, status, stage, u.c.checker.Stage(id) == wire.Cancelled)
 	}
 }
 
-// killAtWork kills controllers one after the other, each once the others have written something.
-func (c *processCluster) killAtWork(kills int) {
-	fate := rand.New(rand.NewPCG(1, 10))
+// killDuringWrites kills and restarts random controllers one after the other, each after some more changes of
+// the state.
+func (c *processCluster) killDuringWrites(kills int) {
+	rng := rand.New(rand.NewPCG(1, 10))
 	for k := range kills {
 		_, before, _ := c.store.Counts()
 		c.waitFor("work", func() bool { _, now, _ := c.store.Counts(); return now-before > 40+k*17%90 })
-		i := fate.IntN(3)
+		i := rng.IntN(3)
 		c.kill(i)
-		if fate.IntN(3) == 0 {
+		if rng.IntN(3) == 0 {
 			c.kill((i + 1) % 3)
 			c.start((i + 1) % 3)
 		}
@@ -352,10 +365,10 @@
 	}
 }
 
-// TestRestartsUnderLoad kills controllers again and again, one or all at once, restarts them after
-// 100 ms, and restarts machines, while jobs arrive. Each job is polled until its end; what was
-// answered has to hold, and none may remain without an answer for long. It runs with
-// AMBERDEAL_RETURNS only, which sets the number of kills.
+// TestRestartsUnderLoad repeatedly kills one or more controllers, restarts them after 100 ms, and
+// restarts machines, while jobs arrive. Each job is polled until its state is final. No answer may
+// contradict an earlier one, and every job has to end. It runs only with AMBERDEAL_RETURNS, which
+// sets the number of kills.
 func TestRestartsUnderLoad(t *testing.T) {
 	kills, err := strconv.Atoi(os.Getenv("AMBERDEAL_RETURNS"))
 	if err != nil {
@@ -379,8 +392,8 @@
 				case <-time.After(time.Duration(n%7) * 50 * time.Millisecond):
 				}
 				id, begun := fmt.Sprintf("wk-%07d", n*7919%10_000_000), time.Now()
-				c.playJob(id, n)
-				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // once more
+				c.runJob(id, n)
+				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // the answer has to stay the same
 				c.checker.ObserveAnswer(id, status, stage, n%3 == 0)
 				mu.Lock()
 				jobs, longest = jobs+1, max(longest, time.Since(begun))
@@ -393,43 +406,43 @@
 	took := time.Since(begun)
 	close(over)
 	users.Wait()
-	for _, b := range append(c.checker.Violations(), c.account().Problems...) {
+	for _, b := range append(c.checker.Violations(), c.verifyState().Problems...) {
 		t.Error(b)
 	}
 	if open := c.checker.OpenJobs(); len(open) > 0 {
-		t.Errorf("without an end: %v", open)
+		t.Errorf("jobs without a final state: %v", open)
 	}
 	t.Logf("%d kills in %v, %d jobs, %d tasks started, the longest job took %v", kills, took.Round(time.Second), jobs, c.checker.Started, longest.Round(100*time.Millisecond))
 	if t.Failed() {
-		c.logs()
+		c.printLogs()
 	}
 }
 
-// restartAtRandom kills one or more controllers at random times, restarts them after 100 ms, and
+// restartAtRandom kills one to three controllers at random times, restarts them after 100 ms, and
 // reboots some machines.
 func (c *processCluster) restartAtRandom(kills int) {
-	fate := rand.New(rand.NewPCG(2, 10))
+	rng := rand.New(rand.NewPCG(2, 10))
 	for range kills {
-		time.Sleep(time.Duration(fate.IntN(2000)) * time.Millisecond)
-		order := fate.Perm(3)[:[]int{1, 1, 1, 2, 3}[fate.IntN(5)]]
+		time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
+		order := rng.Perm(3)[:[]int{1, 1, 1, 2, 3}[rng.IntN(5)]]
 		for _, i := range order {
 			c.kill(i)
 		}
 		time.Sleep(100 * time.Millisecond)
-		fate.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
+		rng.Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 		for _, i := range order {
 			c.start(i)
 		}
 		c.cloud.EachRunning(func(_ wire.ListedMachine, m simulator.Machine) {
-			if fate.IntN(40) == 0 {
+			if rng.IntN(40) == 0 {
 				m.(simulator.Rebooter).Reboot(100*time.Millisecond, false)
 			}
 		})
 	}
 }
 
-// migrateState exports the state, ends all controllers, and starts them on another state service
-// into which the export was imported.
+// migrateState ends all controllers, exports the state, imports it into another state service, and
+// restarts the controllers there.
 func (c *processCluster) migrateState() {
 	c.t.Helper()
 	run := func(args ...string) string {
@@ -439,10 +452,10 @@
 		}
 		return string(out)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		c.kill(i)
 	}
-	file, config := filepath.Join(c.dir, "state.export"), c.configure(0)
+	file, config := filepath.Join(c.dir, "state.export"), c.writePlatformFile(0)
 	inspected := run("inspect", "--config", config)
 	run("verify", "--config", config)
 	run("export", "--config", config, file)
@@ -450,21 +463,21 @@
 	limits := c.store.Limits
 	c.store = simulator.NewStateService(2, 0)
 	c.store.Limits = limits
-	c.state = c.subnet + "202:2379"
-	go sockets.Listen(c.ctx, c.state, 1000, c.store.Serve())
-	c.waitFor("another state service", func() bool { return c.reachable(c.state) })
-	run("import", "--config", c.configure(0), file)
+	c.stateAddr = c.subnet + "202:2379"
+	go sockets.Listen(c.ctx, c.stateAddr, 1000, c.store.Serve())
+	c.waitFor("another state service", func() bool { return c.reachable(c.stateAddr) })
+	run("import", "--config", c.writePlatformFile(0), file)
 	if again := run("inspect", "--config", config, "--json"); !strings.Contains(inspected, "live jobs") || !strings.Contains(again, `"problems": []`) {
-		c.t.Errorf("inspected before:\n%s\nafter:\n%s", inspected, again)
+		c.t.Errorf("inspection before the export:\n%s\nafter the import:\n%s", inspected, again)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		c.start(i)
 	}
 	c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 }
 
-// account returns the archive's account of the state.
-func (c *processCluster) account() archive.Report {
+// verifyState reads the whole state and returns the archive's report about it.
+func (c *processCluster) verifyState() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
 		page := c.store.Page(store.CommonPrefix, after, 0)
@@ -476,21 +489,21 @@
 	}
 }
 
-// logs prints the end of each controller's log.
-func (c *processCluster) logs() {
-	for kind, k := range c.account().Kinds {
+// printLogs writes statistics of the state and the end of each controller's log to the test's log.
+func (c *processCluster) printLogs() {
+	for kind, k := range c.verifyState().Kinds {
 		c.t.Logf("%s: %+v", kind, *k)
 	}
-	for i := range c.procs {
+	for i := range c.controllers {
 		text, _ := os.ReadFile(filepath.Join(c.dir, fmt.Sprintf("c-%d.log", i)))
 		c.t.Logf("c-%d:\n%s", i, text[max(0, len(text)-4000):])
 	}
 }
 
-// seedEndedJobs writes that many ended jobs into the state as compaction would have left them:
-// random ids over ten times as many, blocks that are two thirds full.
+// seedEndedJobs writes n ended jobs to the state in the form that compaction leaves, and returns their
+// IDs: random ones among ten times as many, in blocks that are two thirds full.
 func (c *processCluster) seedEndedJobs(n int) (ids []string) {
-	limit := c.settings["value_kb"].(int) << 10
+	limit := c.stateParams["value_kb"].(int) << 10
 	rng := rand.New(rand.NewPCG(1, 1))
 	entries := make([]jobblock.Entry, 0, n)
 	for i := range n {
@@ -517,9 +530,9 @@
 	return ids
 }
 
-// memory returns a figure of a process's memory in MB.
-func (c *processCluster) memory(i int, name string) float64 {
-	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.procs[i].Process.Pid))
+// memoryMB returns a memory figure of controller i in MB; name is a field of /proc/PID/status.
+func (c *processCluster) memoryMB(i int, name string) float64 {
+	f, err := os.Open(fmt.Sprintf("/proc/%d/status", c.controllers[i].Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -534,8 +547,8 @@
 	return 0
 }
 
-// burst submits and cancels jobs from many users at once, and returns the submissions per second.
-func (c *processCluster) burst(first, jobs, users int) float64 {
+// submitBurst submits jobs from many concurrent users, then cancels them, and returns the submissions per second.
+func (c *processCluster) submitBurst(first, jobs, users int) float64 {
 	var group sync.WaitGroup
 	each := func(f func(id string, n int)) {
 		for u := range users {
@@ -553,19 +566,19 @@
 	each(func(id string, n int) {
 		j := &wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 2, Image: "img", ImageGB: 1}
 		if status, _ := c.ask(n, "POST", wire.PathJobs, wire.Encode(j)); status != 201 && status != 200 {
-			c.t.Errorf("%s: %d", id, status)
+			c.t.Errorf("submission of %s was answered %d", id, status)
 		}
 	})
 	took := time.Since(begun)
 	each(func(id string, n int) {
 		if status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}); status != 200 || stage != wire.Cancelled {
-			c.t.Errorf("%s: %d %s", id, status, stage)
+			c.t.Errorf("cancellation of %s was answered %d, stage %s", id, status, stage)
 		}
 	})
 	return float64(jobs) / took.Seconds()
 }
 
-// BenchmarkEndedJobs measures three real processes with increasing numbers of ended jobs: the
+// BenchmarkEndedJobs measures three real controllers with increasing numbers of ended jobs: the
 // times of a restart and a failover, the cost of a job, and the memory.
 func BenchmarkEndedJobs(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
@@ -578,24 +591,25 @@
 			}
 			c.waitFor("ready", func() bool { return c.ready(0) && c.ready(1) && c.ready(2) })
 			for b.Loop() {
-				c.measure(b, ids)
+				c.measureEndedJobs(b, ids)
 			}
 		})
 	}
 }
 
-func (c *processCluster) measure(b *testing.B, ids []string) {
+// measureEndedJobs takes all measurements of BenchmarkEndedJobs once. ids are the jobs of seedEndedJobs.
+func (c *processCluster) measureEndedJobs(b *testing.B, ids []string) {
 	const jobs = 4000
 	_, changes, _ := c.store.Counts()
-	rate := c.burst(int(changes), jobs, 96)
-	c.waitFor("compacted", func() bool { a := c.account(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
+	rate := c.submitBurst(int(changes), jobs, 96)
+	c.waitFor("compacted", func() bool { a := c.verifyState(); return a.Kinds["batch"] == nil || a.Kinds["batch"].Keys < 4 })
 	_, after, keys := c.store.Counts()
 	b.ReportMetric(rate, "submissions/s")
 	b.ReportMetric(float64(after-changes)/jobs, "changes/job")
 	b.ReportMetric(float64(keys)/float64(len(ids)+jobs)*100, "keys/100jobs")
-	// All end, one comes back alone: requests from its start until it answers about
-	// a job of long ago.
-	for i := range c.procs {
+	// Restart: all controllers end and one starts alone. Measures from its start until it answers
+	// about an old job.
+	for i := range c.controllers {
 		c.kill(i)
 	}
 	before, _, _ := c.store.Counts()
@@ -603,7 +617,7 @@
 	c.start(0)
 	c.waitFor("ready", func() bool { return c.ready(0) })
 	if status, stage := c.ask(0, "GET", jobPath(ids[len(ids)/2]), nil); status != 200 || !stage.Final() {
-		b.Errorf("%d %s", status, stage)
+		b.Errorf("poll of an old job was answered %d, stage %s", status, stage)
 	}
 	took := time.Since(begun)
 	requests, _, _ := c.store.Counts()
@@ -618,12 +632,12 @@
 	c.start(1)
 	c.start(2)
 	c.waitFor("ready", func() bool { return c.ready(1) && c.ready(2) })
-	for i := range 200 { // look at history all over
+	for i := range 200 { // read from the whole history
 		c.ask(i, "GET", jobPath(ids[i*len(ids)/200]), nil)
 	}
-	b.ReportMetric(c.memory(0, "VmRSS"), "idle-MB")
-	b.ReportMetric(c.memory(0, "VmHWM"), "peak-MB")
-	// A takeover: the leader ends, another has claimed.
+	b.ReportMetric(c.memoryMB(0, "VmRSS"), "idle-MB")
+	b.ReportMetric(c.memoryMB(0, "VmHWM"), "peak-MB")
+	// Failover: measures from the end of the leader until another controller has claimed leadership.
 	leader, token := c.leader()
 	begun = time.Now()
 	c.kill(leader)
