--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -19,8 +19,8 @@
 // Days on which machines receive nothing, direct calls are delayed and old heartbeats arrive after
 // newer ones, while the leader changes.
 
-// unreturnableMachine are the reasons why a machine cannot be returned to the cloud for a while.
-var unreturnableMachine = []struct {
+// releaseBlockers are the reasons why a machine cannot be returned to the cloud for a while.
+var releaseBlockers = []struct {
 	name  string
 	apply func(w *simulation)
 }{
@@ -42,18 +42,18 @@
 // arrives when the job's tasks have to be gone: by then the machine was not answered any more and
 // runs a later incarnation.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
-	for n, x := range unreturnableMachine {
+	for n, x := range releaseBlockers {
 		for k, delay := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && k != n {
 				continue // the rest with the longer days
 			}
-			t.Run(fmt.Sprint(x.name, ", delayed ", delay), func(t *testing.T) { delayLaunch(t, x.name, x.apply, delay) })
+			t.Run(fmt.Sprint(x.name, ", delayed ", delay), func(t *testing.T) { runDelayedLaunch(t, x.name, x.apply, delay) })
 		}
 	}
 }
 
-// delayLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
-func delayLaunch(t *testing.T, name string, apply func(w *simulation), delay time.Duration) {
+// runDelayedLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
+func runDelayedLaunch(t *testing.T, name string, apply func(w *simulation), delay time.Duration) {
 	var hold atomic.Int64
 	var sent, came chan struct{}
 	var told time.Time
@@ -99,26 +99,26 @@
 // controller's lease, a worker's lease, and their sum.
 var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
 
-// TestLeaderEndsDuringAsymmetricPartition ends the leader while some of the machines with long
+// TestLeaderKilledDuringAsymmetricPartition ends the leader while some of the machines with long
 // tasks (an array up to its team's quota, a gang in one zone, one over two, and a spread service)
 // receive nothing, for less or more than any lease, starting before or after the failover. Nothing
 // may start twice or in the wrong place.
-func TestLeaderEndsDuringAsymmetricPartition(t *testing.T) {
+func TestLeaderKilledDuringAsymmetricPartition(t *testing.T) {
 	for n, d := range partitionLengths {
 		for k, before := range []time.Duration{-3 * time.Second, 0, 5 * time.Second, 17 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && (k != (n+1)%4 || n%2 == 0) {
 				continue // the rest with the longer days
 			}
 			t.Run(fmt.Sprint("for ", d, ", from ", before, " before"), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { endLeaderDuringPartition(t, n, d, before) })
+				synctest.Test(t, func(t *testing.T) { killLeaderDuringPartition(t, n, d, before) })
 			})
 		}
 	}
 }
 
-// endLeaderDuringPartition ends the leader while every second machine receives nothing for d,
+// killLeaderDuringPartition ends the leader while every second machine receives nothing for d,
 // starting the given time before the end, or after it if that is negative.
-func endLeaderDuringPartition(t *testing.T, n int, d, before time.Duration) {
+func killLeaderDuringPartition(t *testing.T, n int, d, before time.Duration) {
 	silence := []time.Duration{0, time.Hour}[n%2] // machines are released, or time alone proves
 	// A partitioned machine gives an answer up after 4 s and tries elsewhere 1 s later. With this
 	// interval that is no longer than between two heartbeats, which thus arrive all the time.
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -23,7 +23,7 @@
 	*simulation
 	mu                  sync.Mutex
 	pendingValues       map[string]wire.Raw // of the transaction that is being committed
-	known               map[string]string
+	recordedAttempts    map[string]string
 	cancelledJobs       map[string]bool // according to the state service
 	launchesAfterCancel []string        // launches of these after that
 	launched            map[string]time.Time
@@ -36,7 +36,7 @@
 
 // newCommitObserver attaches an observer to the state service.
 func (w *simulation) newCommitObserver() *commitObserver {
-	r := &commitObserver{simulation: w, known: map[string]string{}, cancelledJobs: map[string]bool{}, launched: map[string]time.Time{}, claimed: make(chan struct{})}
+	r := &commitObserver{simulation: w, recordedAttempts: map[string]string{}, cancelledJobs: map[string]bool{}, launched: map[string]time.Time{}, claimed: make(chan struct{})}
 	w.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
 			r.mu.Lock()
@@ -78,13 +78,13 @@
 				r.cancelledJobs[id] = r.cancelledJobs[id] || rec.Stage == wire.Cancelled
 			}
 		case strings.HasPrefix(key, store.StatePrefix+"ledger/") && wire.DecodeValue(raw, &slot) == nil:
-			r.noteLedgerSlot(slot)
+			r.noteLedgerSegment(slot)
 		}
 	}
 }
 
-// noteLedgerSlot handles the tasks that a ledger slot names for the first time.
-func (r *commitObserver) noteLedgerSlot(slot store.SegmentRecord) {
+// noteLedgerSegment handles the tasks that a ledger slot names for the first time.
+func (r *commitObserver) noteLedgerSegment(slot store.SegmentRecord) {
 	for entry, raw := range slot.Entries {
 		var m store.MachineRecord
 		if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &m) != nil {
@@ -92,10 +92,10 @@
 		}
 		for task, attempt := range m.Tasks {
 			name := fmt.Sprint(entry, task, "#", attempt)
-			if r.known[name] != "" {
+			if r.recordedAttempts[name] != "" {
 				continue
 			}
-			r.known[name] = "named"
+			r.recordedAttempts[name] = "named"
 			job, _, _ := strings.Cut(task, "/")
 			if r.cancelledJobs[job] && attempt>>24 > 0 {
 				r.launchesAfterCancel = append(r.launchesAfterCancel, name)
@@ -147,14 +147,14 @@
 // after the election that completes it, at the previous leader, at a controller that leads
 // nothing, or at any.
 type cancelHandoverCase struct {
-	seed       uint64
-	sharding   string
-	count      int
-	kind       int // of handover, or handoverByReshard or handoverByRelease
-	afterClaim bool
-	cancelAt   time.Duration
-	controller int
-	lastRound  int // 0: a job is launched in the last round, 1: the answer to that is lost, 2: its direct calls are delayed too, 3: there is none
+	seed            uint64
+	sharding        string
+	controllerCount int
+	kind            int // of handover, or handoverByReshard or handoverByRelease
+	afterClaim      bool
+	cancelAt        time.Duration
+	cancelTarget    int
+	lastRound       int // 0: a job is launched in the last round, 1: the answer to that is lost, 2: its direct calls are delayed too, 3: there is none
 }
 
 func (d cancelHandoverCase) String() string {
@@ -162,27 +162,27 @@
 	if d.kind >= 0 {
 		way = "leader " + handoverKinds[d.kind].name
 	}
-	return fmt.Sprintf("%s, %d controllers, the %s, jobs are cancelled %v after that (after the claim: %v) at %s, %s", d.sharding, d.count, way, d.cancelAt, d.afterClaim,
-		[]string{"any", "the one that led", "another"}[d.controller], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are delayed", "no launch"}[d.lastRound])
+	return fmt.Sprintf("%s, %d controllers, the %s, jobs are cancelled %v after that (after the claim: %v) at %s, %s", d.sharding, d.controllerCount, way, d.cancelAt, d.afterClaim,
+		[]string{"any", "the one that led", "another"}[d.cancelTarget], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are delayed", "no launch"}[d.lastRound])
 }
 
 // The times of cancellations: since the start of the handover, which takes up to a lease of the
 // leader, and since the election, after which the view is read, machines are called and the first
 // round is written, all within a second if nothing fails.
 var (
-	sinceEvent = []time.Duration{-2 * time.Second, -300 * time.Millisecond, -20 * time.Millisecond, 0, 5 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second}
-	sinceClaim = []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond, 700 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second}
+	offsetsFromHandover = []time.Duration{-2 * time.Second, -300 * time.Millisecond, -20 * time.Millisecond, 0, 5 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second}
+	offsetsFromElection = []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond, 700 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second}
 )
 
-// drawCancelHandover draws a day. Each kind, time and launch comes in turn, in steps that have no
+// drawCancelHandoverCase draws a day. Each kind, time and launch comes in turn, in steps that have no
 // common divisor.
-func drawCancelHandover(seed uint64) cancelHandoverCase {
+func drawCancelHandoverCase(seed uint64) cancelHandoverCase {
 	n := int(seed)
-	d := cancelHandoverCase{seed: seed, sharding: []string{"off", "zone"}[n%2], count: []int{3, 5}[n/2%2], kind: n*5%(len(handoverKinds)+2) - 2, controller: n / 3 % 3, lastRound: n * 3 / 2 % 4}
+	d := cancelHandoverCase{seed: seed, sharding: []string{"off", "zone"}[n%2], controllerCount: []int{3, 5}[n/2%2], kind: n*5%(len(handoverKinds)+2) - 2, cancelTarget: n / 3 % 3, lastRound: n * 3 / 2 % 4}
 	if d.afterClaim = n/2%3 > 0 || d.kind == handoverByRelease; d.afterClaim {
-		d.cancelAt = sinceClaim[(n*4+n/15)%len(sinceClaim)]
+		d.cancelAt = offsetsFromElection[(n*4+n/15)%len(offsetsFromElection)]
 	} else {
-		d.cancelAt = sinceEvent[(n*3+n/11)%len(sinceEvent)]
+		d.cancelAt = offsetsFromHandover[(n*3+n/11)%len(offsetsFromHandover)]
 	}
 	if d.kind == handoverByRelease {
 		d.sharding, d.lastRound = "zone", 3
@@ -190,10 +190,10 @@
 	return d
 }
 
-// confirmedAt counts the cancellations that were confirmed before the election, in the second
-// after it, and later, and lastLaunches the launches in a last round, over all days.
-var confirmedAt [3]atomic.Int64
-var lastLaunches, cancelHandoversPlayed atomic.Int64
+// confirmationCounts counts the cancellations that were confirmed before the election, in the second
+// after it, and later, and lastRoundLaunches the launches in a last round, over all days.
+var confirmationCounts [3]atomic.Int64
+var lastRoundLaunches, cancelHandoversPlayed atomic.Int64
 
 // run simulates the day.
 func (d cancelHandoverCase) run(t *testing.T) {
@@ -205,14 +205,14 @@
 		}
 	}()
 	r.observer = r.newCommitObserver()
-	r.reconfigureMachines(2*time.Second, func() time.Duration { return time.Duration(r.hold.Load()) })
+	r.reconfigureMachines(2*time.Second, func() time.Duration { return time.Duration(r.callDelay.Load()) })
 	time.Sleep(8 * time.Second)
 	r.startJobs()
 	if d.kind == handoverByRelease {
 		r.prepareRelease()
 	}
 	token, leaders := r.token(), r.leaders()
-	r.previous = r.anyLeader()
+	r.previousLeader = r.anyLeader()
 
 	r.observer.mu.Lock()
 	claimed := r.observer.claimed
@@ -224,7 +224,7 @@
 	}
 	var begun time.Time
 	select {
-	case begun = <-r.begun:
+	case begun = <-r.handoverStarted:
 	case <-time.After(30 * time.Second):
 		t.Error("nothing was launched")
 		begun = time.Now()
@@ -247,7 +247,7 @@
 		r.cancel()
 	}
 	time.Sleep(time.Until(begun.Add(20 * time.Second)))
-	r.hold.Store(0)
+	r.callDelay.Store(0)
 	r.finish(token, at)
 }
 
@@ -255,21 +255,21 @@
 type cancelHandoverRun struct {
 	*simulation
 	cancelHandoverCase
-	rng       *rand.Rand
-	shardings shardingSettings
-	observer  *commitObserver
-	hold      atomic.Int64 // delay of direct calls
-	clients   []*client    // of the jobs to cancel
-	previous  int          // leader before the handover
-	begun     chan time.Time
+	rng             *rand.Rand
+	shardings       shardingSettings
+	observer        *commitObserver
+	callDelay       atomic.Int64 // delay of direct calls
+	clients         []*client    // of the jobs to cancel
+	previousLeader  int          // leader before the handover
+	handoverStarted chan time.Time
 
 	mu        sync.Mutex
 	confirmed []time.Time // cancellations
 }
 
 func newCancelHandoverRun(t *testing.T, d cancelHandoverCase) *cancelHandoverRun {
-	r := &cancelHandoverRun{cancelHandoverCase: d, shardings: shardingSettings{initial: d.sharding}, rng: rand.New(rand.NewPCG(d.seed, 32)), begun: make(chan time.Time, 1)}
-	r.simulation = newProxiedSimulation(t, d.count, d.seed, func(c *config.Config) {
+	r := &cancelHandoverRun{cancelHandoverCase: d, shardings: shardingSettings{initial: d.sharding}, rng: rand.New(rand.NewPCG(d.seed, 32)), handoverStarted: make(chan time.Time, 1)}
+	r.simulation = newProxiedSimulation(t, d.controllerCount, d.seed, func(c *config.Config) {
 		c.Tuning.Shards.By, c.Zone = r.shardings.of(c.Name), []string{"a", "b"}[controllerNumber(c.Name)%2]
 	})
 	return r
@@ -312,7 +312,7 @@
 
 // handOver starts the handover.
 func (r *cancelHandoverRun) handOver() {
-	r.begun <- time.Now()
+	r.handoverStarted <- time.Now()
 	switch r.kind {
 	case handoverByRelease:
 	case handoverByReshard:
@@ -339,7 +339,7 @@
 		return
 	}
 	if r.lastRound == 2 {
-		r.hold.Store(int64(40*time.Second + time.Duration(r.rng.IntN(15000))*time.Millisecond))
+		r.callDelay.Store(int64(40*time.Second + time.Duration(r.rng.IntN(15000))*time.Millisecond))
 	}
 	r.observer.mu.Lock()
 	r.observer.lastJob, r.observer.onLastLaunch = "wk-9", r.handOver
@@ -354,11 +354,11 @@
 	for _, c := range r.clients {
 		r.group.Go(func() {
 			status := 0
-			switch r.controller {
+			switch r.cancelTarget {
 			case 1:
-				status = c.cancel(max(0, r.previous))
+				status = c.cancel(max(0, r.previousLeader))
 			case 2:
-				status = c.cancel((max(0, r.previous) + 1 + int(r.seed)%(r.simulation.count-1)) % r.simulation.count)
+				status = c.cancel((max(0, r.previousLeader) + 1 + int(r.seed)%(r.simulation.count-1)) % r.simulation.count)
 			}
 			if status != 200 {
 				c.untilAnswered(c.cancel)
@@ -391,25 +391,25 @@
 	for _, when := range r.confirmed {
 		switch {
 		case when.Before(claimed):
-			confirmedAt[0].Add(1)
+			confirmationCounts[0].Add(1)
 		case when.Sub(claimed) <= time.Second:
-			confirmedAt[1].Add(1)
+			confirmationCounts[1].Add(1)
 		default:
-			confirmedAt[2].Add(1)
+			confirmationCounts[2].Add(1)
 		}
 	}
 	if cancelHandoversPlayed.Add(1); r.lastRound < 3 && !r.observer.launched["wk-9"].IsZero() {
-		lastLaunches.Add(1)
+		lastRoundLaunches.Add(1)
 	}
 }
 
 // TestCancelDuringHandover simulates such days. AMBERDEAL_HANDS sets their number, AMBERDEAL_HAND
 // plays one.
 func TestCancelDuringHandover(t *testing.T) {
-	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandover(seed).run(t) })
+	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandoverCase(seed).run(t) })
 	if n := cancelHandoversPlayed.Load(); n > 10 {
-		t.Logf("%d days, %d launches in a last round; cancellations confirmed before the claim, within a second of it, and later: %d, %d, %d", n, lastLaunches.Load(), confirmedAt[0].Load(), confirmedAt[1].Load(), confirmedAt[2].Load())
-		if confirmedAt[0].Load() == 0 || confirmedAt[1].Load() == 0 || confirmedAt[2].Load() == 0 || lastLaunches.Load() == 0 {
+		t.Logf("%d days, %d launches in a last round; cancellations confirmed before the claim, within a second of it, and later: %d, %d, %d", n, lastRoundLaunches.Load(), confirmationCounts[0].Load(), confirmationCounts[1].Load(), confirmationCounts[2].Load())
+		if confirmationCounts[0].Load() == 0 || confirmationCounts[1].Load() == 0 || confirmationCounts[2].Load() == 0 || lastRoundLaunches.Load() == 0 {
 			t.Error("not all came about")
 		}
 	}
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -31,21 +31,21 @@
 // machines: no renewal of its own lease, which it may get in between, tells it about the
 // cancellations.
 type outageCase struct {
-	nodes             int
-	lease, cancel     time.Duration // of workers, and the bound for cancellations
-	sharding          string        // of the fleet
-	directHeartbeats  int           // heartbeats that the leader receives itself; 0: all are relayed by peers
-	refusedFor        time.Duration // before the cancellations are requested; after it if negative
-	outage            time.Duration // after the confirmation
-	outageLength      time.Duration
-	renewalWindow     time.Duration // the refusal ends that long before the outage, so that a renewal may succeed; 0: it does not end
-	secondOutageAfter time.Duration // a second refusal with an outage follows that long after the first; 0: none
-	extra             string        // names of additional faults
+	controllers         int
+	lease, cancelWithin time.Duration // of workers, and the bound for cancellations
+	sharding            string        // of the fleet
+	directHeartbeats    int           // heartbeats that the leader receives itself; 0: all are relayed by peers
+	refusedFor          time.Duration // before the cancellations are requested; after it if negative
+	outageDelay         time.Duration // after the confirmation
+	outageLength        time.Duration
+	renewalWindow       time.Duration // the refusal ends that long before the outage, so that a renewal may succeed; 0: it does not end
+	secondOutageAfter   time.Duration // a second refusal with an outage follows that long after the first; 0: none
+	extra               string        // names of additional faults
 }
 
 func (g outageCase) String() string {
 	return fmt.Sprintf("%d nodes %v/%v by=%s keep=%d refused=%v outage=%v lasts=%v renews=%v again=%v with=%q",
-		g.nodes, g.lease, g.cancel, g.sharding, g.directHeartbeats, g.refusedFor, g.outage, g.outageLength, g.renewalWindow, g.secondOutageAfter, g.extra)
+		g.controllers, g.lease, g.cancelWithin, g.sharding, g.directHeartbeats, g.refusedFor, g.outageDelay, g.outageLength, g.renewalWindow, g.secondOutageAfter, g.extra)
 }
 
 func (g outageCase) hasExtra(word string) bool { return slices.Contains(strings.Fields(g.extra), word) }
@@ -210,22 +210,22 @@
 // newOutageSimulation starts the simulation of a case.
 func newOutageSimulation(t *testing.T, g outageCase, seed uint64) *outageSimulation {
 	w := &outageSimulation{outageCase: g, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
-	w.simulation = newSimulationOf(t, g.nodes, seed, 0, func(c *config.Config) {
-		c.Workers.Lease, c.Workers.Cancel = g.lease, g.cancel
+	w.simulation = newSimulationOf(t, g.controllers, seed, 0, func(c *config.Config) {
+		c.Workers.Lease, c.Workers.Cancel = g.lease, g.cancelWithin
 		c.Tuning.DirectHeartbeats = g.directHeartbeats
 		if g.sharding != "" {
 			c.Tuning.Shards.By = g.sharding
 		}
 		c.StoreAddr = strings.Replace(strings.Replace(c.PublicAddr, "10.0.0.", "10.2.1.", 1), ":8080", ":2379", 1)
 	})
-	for i := range g.nodes {
+	for i := range g.controllers {
 		addr := fmt.Sprintf("10.2.1.%d:2379", i+1)
 		go w.net.Host(simulator.HostOf(addr)).Listen(w.ctx, addr, 0, w.stateProxy(i))
 	}
-	w.checker.CancelWithin = g.cancel
+	w.checker.CancelWithin = g.cancelWithin
 	w.watcher = &answerWatcher{Checker: w.checker, placements: map[wire.TaskID]map[string]bool{}, jobGoneAt: map[string]time.Time{}, goneTasks: map[string]int{}}
 	names := map[string]string{}
-	for i := range g.nodes {
+	for i := range g.controllers {
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
 	runtime := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
@@ -281,9 +281,9 @@
 	}
 }
 
-// confirm cancels a job at some controllers, in turn, until that is confirmed. If the answers to the
+// cancelUntilConfirmed cancels a job at some controllers, in turn, until that is confirmed. If the answers to the
 // requests are lost, the user learns of the cancellation from the status of the job at the next one.
-func (w *outageSimulation) confirm(id string, answersLost bool, nodes ...int) {
+func (w *outageSimulation) cancelUntilConfirmed(id string, answersLost bool, nodes ...int) {
 	path := wire.PathJobs + "/" + id
 	for try := 0; w.ctx.Err() == nil && try < 400; try++ {
 		status, s := 0, wire.JobStatus{}
@@ -338,34 +338,34 @@
 func (w *outageSimulation) stateProxy(i int) transport.ServeConn {
 	serve := w.store.ServeCaller(w.ip(i))
 	return func(ctx context.Context, s transport.Stream) {
-		serve(ctx, &proxiedStream{Stream: s, world: w, node: i})
+		serve(ctx, &proxiedStream{Stream: s, sim: w, node: i})
 	}
 }
 
 type proxiedStream struct {
 	transport.Stream
-	world       *outageSimulation
-	node        int
-	read, renew bool // what was asked last
+	sim               *outageSimulation
+	node              int
+	isRead, isRenewal bool // what was asked last
 }
 
 func (f *proxiedStream) Read(p []byte) (int, error) {
 	n, err := f.Stream.Read(p)
 	if line, _, ok := bytes.Cut(p[:n], []byte("\r\n")); ok && bytes.HasSuffix(line, []byte(" HTTP/1.1")) {
-		f.read, f.renew = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
+		f.isRead, f.isRenewal = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
 	}
 	return n, err
 }
 
 func (f *proxiedStream) Write(p []byte) (int, error) {
-	w := f.world
-	if f.read && w.areReadsBlocked(f.node) && w.outageCase.hasExtra("lagging") {
+	w := f.sim
+	if f.isRead && w.areReadsBlocked(f.node) && w.outageCase.hasExtra("lagging") {
 		time.Sleep(readLag)
 	}
-	for f.read && w.areReadsBlocked(f.node) && w.ctx.Err() == nil && (!w.outageCase.hasExtra("lagging") || w.inOutage()) {
+	for f.isRead && w.areReadsBlocked(f.node) && w.ctx.Err() == nil && (!w.outageCase.hasExtra("lagging") || w.inOutage()) {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if f.renew && bytes.HasPrefix(p, []byte("HTTP/1.1 200")) {
+	if f.isRenewal && bytes.HasPrefix(p, []byte("HTTP/1.1 200")) {
 		w.mu.Lock()
 		w.leaseRenewedAt[f.node] = time.Now()
 		w.mu.Unlock()
@@ -481,8 +481,8 @@
 	}
 }
 
-// states counts the tasks of jobs by their state on the machines.
-func (w *outageSimulation) states(jobs []string) map[wire.TaskState]int {
+// taskStates counts the tasks of jobs by their state on the machines.
+func (w *outageSimulation) taskStates(jobs []string) map[wire.TaskState]int {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	out := map[wire.TaskState]int{}
 	for _, host := range w.everyMachine() {
@@ -527,7 +527,7 @@
 		}
 	case g.hasExtra("crash-leader"):
 		w.group.Add(1)
-		time.AfterFunc(g.outage/2+2*time.Second, func() {
+		time.AfterFunc(g.outageDelay/2+2*time.Second, func() {
 			defer w.group.Done()
 			w.crash(leader, 100*time.Millisecond, 0)
 		})
@@ -539,7 +539,7 @@
 		}
 	case g.hasExtra("delayed"):
 		time.AfterFunc(2500*time.Millisecond, func() {
-			for i := range g.nodes {
+			for i := range g.controllers {
 				w.net.Hold(w.ip(i), time.Duration(1+rng.IntN(12))*time.Second)
 			}
 		})
@@ -554,7 +554,7 @@
 // dropInboundOfHalf drops everything that is sent to every second machine for a while.
 func (w *outageSimulation) dropInboundOfHalf(d time.Duration) {
 	for k, host := range w.everyMachine() {
-		for i := range w.outageCase.nodes {
+		for i := range w.outageCase.controllers {
 			if k%2 == 0 {
 				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
 			}
@@ -584,15 +584,15 @@
 	g := w.outageCase
 	switch {
 	case g.refusedFor < 0 && first:
-		time.Sleep(min(-g.refusedFor, g.outage))
+		time.Sleep(min(-g.refusedFor, g.outageDelay))
 		w.store.RefuseCaller(ip, true)
-		time.Sleep(max(0, g.outage+g.refusedFor))
-	case g.renewalWindow > 0 && g.renewalWindow < g.outage:
-		time.Sleep(g.outage - g.renewalWindow)
+		time.Sleep(max(0, g.outageDelay+g.refusedFor))
+	case g.renewalWindow > 0 && g.renewalWindow < g.outageDelay:
+		time.Sleep(g.outageDelay - g.renewalWindow)
 		w.store.RefuseCaller(ip, false)
 		time.Sleep(g.renewalWindow)
 	default:
-		time.Sleep(g.outage)
+		time.Sleep(g.outageDelay)
 	}
 	if g.outageLength > 0 {
 		w.store.SetOutage(true)
@@ -620,13 +620,13 @@
 		t.Fatal("the fleet has no leader or no machine")
 	}
 	var others []int
-	for i := range g.nodes {
+	for i := range g.controllers {
 		if i != leader {
 			others = append(others, i)
 		}
 	}
 	// These are launched while the leader is served, or just before it is refused.
-	w.prepareTasks(others[0], last, g.cancel+max(g.refusedFor, 0)+5*time.Second)
+	w.prepareTasks(others[0], last, g.cancelWithin+max(g.refusedFor, 0)+5*time.Second)
 	refused := w.refuseLeader(leader, others)
 	w.mu.Lock()
 	w.callDelay, m.heldCalls = 0, w.heldCalls
@@ -642,16 +642,16 @@
 		ids = append(ids, j.ID)
 	}
 	on := w.watcher.machines(ids)
-	m.taskStates = w.states(ids)
-	confirmed := w.confirmAll(ids, others)
+	m.taskStates = w.taskStates(ids)
+	confirmed := w.cancelAllUntilConfirmed(ids, others)
 	m.uncancelledTasks, m.uncancelledKilled = len(rest), -w.watcher.goneCount(rest)
 	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
-	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancel - g.lease + time.Second) })
+	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancelWithin - g.lease + time.Second) })
 	m.lastRenewalAfter = w.playOutages(leader).Sub(refused)
 	m.uncancelledKilled += w.watcher.goneCount(rest)
-	time.Sleep(max(0, g.cancel+15*time.Second-time.Since(confirmed))) // delayed messages and images have arrived
+	time.Sleep(max(0, g.cancelWithin+15*time.Second-time.Since(confirmed))) // delayed messages and images have arrived
 	from := confirmed
-	if g.refusedFor > g.cancel-g.lease-13*time.Second || g.hasExtra("apart") { // it may have stopped by then
+	if g.refusedFor > g.cancelWithin-g.lease-13*time.Second || g.hasExtra("apart") { // it may have stopped by then
 		from = refused
 	}
 	all, by := w.watcher.answersSince(from, token, on)
@@ -665,7 +665,7 @@
 func (w *outageSimulation) submitUncancelled() (ids []string) {
 	for i := range 6 {
 		ids = append(ids, fmt.Sprint("wk-00001", i))
-		w.submitTo(i%w.outageCase.nodes, &wire.Job{ID: ids[i], Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 0.5, GPUs: 0.25, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true})
+		w.submitTo(i%w.outageCase.controllers, &wire.Job{ID: ids[i], Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 1, CPUs: 0.5, GPUs: 0.25, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true})
 	}
 	return ids
 }
@@ -686,15 +686,15 @@
 	return refused
 }
 
-// confirmAll cancels jobs through the other controllers, and returns when all were confirmed.
-func (w *outageSimulation) confirmAll(ids []string, others []int) (confirmed time.Time) {
+// cancelAllUntilConfirmed cancels jobs through the other controllers, and returns when all were confirmed.
+func (w *outageSimulation) cancelAllUntilConfirmed(ids []string, others []int) (confirmed time.Time) {
 	var told sync.WaitGroup
 	answersLost := w.outageCase.hasExtra("asked")
 	for k, id := range ids {
 		a, b := others[k%len(others)], others[(k+1)%len(others)]
-		told.Go(func() { w.confirm(id, answersLost, a, b) })
+		told.Go(func() { w.cancelUntilConfirmed(id, answersLost, a, b) })
 		if w.outageCase.hasExtra("both") {
-			told.Go(func() { w.confirm(id, answersLost, b, a) })
+			told.Go(func() { w.cancelUntilConfirmed(id, answersLost, b, a) })
 		}
 	}
 	told.Wait()
@@ -729,7 +729,7 @@
 	w.declareQuiet()
 	time.Sleep(10 * time.Second)
 	for _, id := range rest {
-		w.confirm(id, false, 0, 1)
+		w.cancelUntilConfirmed(id, false, 0, 1)
 	}
 	w.finish(10 * time.Minute)
 	w.checkResults()
@@ -738,13 +738,13 @@
 // unmetConditions describes which fault of a case did not take effect, "" if all did.
 func (g outageCase) unmetConditions(m outageResult) string {
 	switch {
-	case m.directAnswers+m.relayedAnswers == 0 && g.cancel-g.lease >= 10*time.Second:
+	case m.directAnswers+m.relayedAnswers == 0 && g.cancelWithin-g.lease >= 10*time.Second:
 		return "the refused leader answered no machine with a cancelled task"
 	case g.hasExtra("apart") && m.directAnswers == 0:
 		return "no answer came directly from the leader"
 	case g.hasExtra("passed") && m.relayedAnswers == 0:
 		return "no answer was relayed by a peer"
-	case g.hasExtra("blind") && m.lastRenewalAfter < g.refusedFor+g.outage-4*time.Second:
+	case g.hasExtra("blind") && m.lastRenewalAfter < g.refusedFor+g.outageDelay-4*time.Second:
 		return "the leader whose reads were blocked did not renew its lease"
 	case g.hasExtra("loose") && m.heldCalls == 0:
 		return "no direct call was delayed"
@@ -766,10 +766,10 @@
 func (w *outageSimulation) remainingTime() time.Duration {
 	w.watcher.mu.Lock()
 	defer w.watcher.mu.Unlock()
-	room := w.outageCase.cancel
+	room := w.outageCase.cancelWithin
 	for id, at := range w.watcher.jobGoneAt {
 		if told := w.confirmedAt[id]; !told.IsZero() {
-			room = min(room, w.outageCase.cancel-at.Sub(told))
+			room = min(room, w.outageCase.cancelWithin-at.Sub(told))
 		}
 	}
 	return room
@@ -809,10 +809,10 @@
 // feasible excludes faults that cannot coincide: a leader that is refused for long is replaced,
 // unless the others cannot reach the machines.
 func (g outageCase) feasible() bool {
-	room := g.cancel - g.lease
+	room := g.cancelWithin - g.lease
 	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(room-9*time.Second, time.Second) && (room > 15*time.Second || !g.hasExtra("apart")) &&
-		(g.outage <= 5*time.Second || g.hasExtra("blind")) && (!g.hasExtra("blind") || g.refusedFor >= 0 && g.renewalWindow == 0 && g.secondOutageAfter == 0) &&
-		(g.renewalWindow == 0 || g.refusedFor >= 0 && g.renewalWindow < g.outage) &&
+		(g.outageDelay <= 5*time.Second || g.hasExtra("blind")) && (!g.hasExtra("blind") || g.refusedFor >= 0 && g.renewalWindow == 0 && g.secondOutageAfter == 0) &&
+		(g.renewalWindow == 0 || g.refusedFor >= 0 && g.renewalWindow < g.outageDelay) &&
 		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -105,8 +105,8 @@
 }
 
 const (
-	blink = 50 * time.Millisecond
-	sec   = time.Second
+	minRestartDelay = 50 * time.Millisecond
+	sec             = time.Second
 )
 
 // combinedFaults are all faults that are combined with each other.
@@ -118,7 +118,7 @@
 	{"all are killed and back at once", 0, 0, func(m *faultCombination, _ time.Duration) {
 		late := finalHoldTime(m.faultRNG)
 		for _, i := range m.faultRNG.Perm(m.count) {
-			m.group.Go(func() { m.crash(i, blink+time.Duration(i)*70*time.Millisecond, late) })
+			m.group.Go(func() { m.crash(i, minRestartDelay+time.Duration(i)*70*time.Millisecond, late) })
 		}
 	}},
 	{"all are killed and back later", 1 * sec, 30 * sec, func(m *faultCombination, d time.Duration) {
@@ -472,8 +472,8 @@
 	return &combinedFaults[i], &combinedFaults[(i+7+round*5)%n] // 5 and their number have no common divisor
 }
 
-// threeFaults draws the faults of a case of three.
-func threeFaults(number uint64) (out []*combinedFault) {
+// drawFaultTriple draws the faults of a case of three.
+func drawFaultTriple(number uint64) (out []*combinedFault) {
 	for _, i := range rand.New(rand.NewPCG(number, 21)).Perm(len(combinedFaults))[:3] {
 		out = append(out, &combinedFaults[i])
 	}
@@ -681,7 +681,7 @@
 // selects them, as N or FROM-TO, AMBERDEAL_THREE plays one.
 func TestFaultTriples(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_THREE", 3)
-	playCaseRange(t, from, to, threeFaults)
+	playCaseRange(t, from, to, drawFaultTriple)
 }
 
 // TestFaultPairsAreComplete checks that the enumeration contains every ordered pair, and every
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -28,15 +28,15 @@
 // by up to 1.5 s: the answers of the state service, its own requests, the answers on every other
 // connection, or the answers to reads.
 type readCase struct {
-	count              int
-	sharding, lateLink string
-	writers            int // that write for all; 0: each writes for itself
+	count                 int
+	sharding, delayedLink string
+	writers               int // that write for all; 0: each writes for itself
 }
 
 // concurrentReads is the users of such a day, and which overlaps of requests occurred.
 type concurrentReads struct {
 	*simulation
-	lateLink       string
+	delayedLink    string
 	answers        load.LinearizabilityChecker
 	slowController atomic.Int64 // whose link is delayed, -1 for none
 
@@ -53,8 +53,8 @@
 type readJob struct {
 	job                                 *wire.Job
 	stage                               wire.Stage // the last that any user was told
-	firstToldAt                         time.Time  // when it was told first
-	toldBy                              int        // and by whom
+	firstReportedAt                     time.Time  // when it was told first
+	reportedBy                          int        // and by whom
 	cancelRequested                     bool       // to cancel it
 	openSubmits, openReads, openCancels int        // calls under way, of each kind
 }
@@ -91,7 +91,7 @@
 func (l *concurrentReads) delayFor(node int, what ...string) {
 	l.mu.Lock()
 	d := time.Duration(1+l.faultRNG.IntN(6)) * time.Millisecond
-	if node == int(l.slowController.Load()) && slices.Contains(what, l.lateLink) {
+	if node == int(l.slowController.Load()) && slices.Contains(what, l.delayedLink) {
 		d = time.Duration(l.faultRNG.Int64N(int64(maxLinkDelay)))
 	}
 	l.mu.Unlock()
@@ -112,7 +112,7 @@
 
 // newConcurrentReads starts a day.
 func newConcurrentReads(t *testing.T, x readCase, seed uint64) *concurrentReads {
-	l := &concurrentReads{lateLink: x.lateLink, faultRNG: rand.New(rand.NewPCG(seed, 31)), jobs: map[string]*readJob{}, restartedAt: map[int]time.Time{}, overlaps: map[string]int{}, openCalls: make([]int, x.count)}
+	l := &concurrentReads{delayedLink: x.delayedLink, faultRNG: rand.New(rand.NewPCG(seed, 31)), jobs: map[string]*readJob{}, restartedAt: map[int]time.Time{}, overlaps: map[string]int{}, openCalls: make([]int, x.count)}
 	l.slowController.Store(-1)
 	l.simulation = newSimulationOf(t, x.count, seed, 0, func(c *config.Config) {
 		c.StoreAddr = slowProxyAddr(controllerNumber(c.Name))
@@ -174,9 +174,9 @@
 	return wire.Encode(&other)
 }
 
-// requestAndJudge sends a request to one controller, checks the answer, and asks all controllers
+// requestAndCheck sends a request to one controller, checks the answer, and asks all controllers
 // if the answer is news to every user.
-func (l *concurrentReads) requestAndJudge(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
+func (l *concurrentReads) requestAndCheck(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
 	path := wire.PathJobs
 	if method == "GET" || word != "" {
 		path += "/" + x.job.ID
@@ -205,25 +205,25 @@
 	otherBody := known && method == "POST" && word == "" && before.stage != "" && !bytes.Equal(body, wire.Encode(x.job))
 	l.noteOverlaps(i, before, status, otherBody)
 	if news {
-		l.requestAll(x)
+		l.requestAllControllers(x)
 	}
 	return status, s.Stage
 }
 
-// beforeRequest is what was true when a request was sent.
-type beforeRequest struct {
+// requestSnapshot is what was true when a request was sent.
+type requestSnapshot struct {
 	open        *int // calls of its kind under way
 	sent        time.Time
 	slow        bool       // it goes to the controller with the delayed link
 	stage       wire.Stage // the last that any user was told
-	toldAt      time.Time
-	toldBy      int
+	reportedAt  time.Time
+	reportedBy  int
 	restartedAt time.Time // of the controller
 	others      int       // calls under way at the controller
 }
 
 // beginRequest counts a request as under way.
-func (l *concurrentReads) beginRequest(i int, x *readJob, method, word string) beforeRequest {
+func (l *concurrentReads) beginRequest(i int, x *readJob, method, word string) requestSnapshot {
 	open := &x.openReads
 	if word != "" {
 		open = &x.openCancels
@@ -232,7 +232,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := beforeRequest{open, time.Now(), int(l.slowController.Load()) == i, x.stage, x.firstToldAt, x.toldBy, l.restartedAt[i], l.openCalls[i]}
+	b := requestSnapshot{open, time.Now(), int(l.slowController.Load()) == i, x.stage, x.firstReportedAt, x.reportedBy, l.restartedAt[i], l.openCalls[i]}
 	l.openCalls[i]++
 	*open++
 	x.cancelRequested = x.cancelRequested || word != ""
@@ -243,7 +243,7 @@
 }
 
 // endRequest has an answer checked, and reports whether it is news to every user.
-func (l *concurrentReads) endRequest(i int, x *readJob, b beforeRequest, status int, stage wire.Stage) (news bool) {
+func (l *concurrentReads) endRequest(i int, x *readJob, b requestSnapshot, status int, stage wire.Stage) (news bool) {
 	known := status == 200 || status == 201
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,7 +251,7 @@
 	*b.open--
 	news = known && (x.stage == "" || stage.Final() && !x.stage.Final())
 	if news {
-		x.stage, x.firstToldAt, x.toldBy = stage, time.Now(), i
+		x.stage, x.firstReportedAt, x.reportedBy = stage, time.Now(), i
 	}
 	if known && (stage.Final() || !x.stage.Final()) {
 		l.checker.ObserveAnswer(x.job.ID, status, stage, x.cancelRequested)
@@ -261,9 +261,9 @@
 
 // noteOverlaps counts which overlaps a request to a controller had. otherBody says that it was a
 // submission with another content which was answered as known.
-func (l *concurrentReads) noteOverlaps(i int, b beforeRequest, status int, otherBody bool) {
+func (l *concurrentReads) noteOverlaps(i int, b requestSnapshot, status int, otherBody bool) {
 	known := status == 200 || status == 201
-	soon := b.stage != "" && b.toldBy != i && b.sent.Sub(b.toldAt) <= 5*time.Millisecond
+	soon := b.stage != "" && b.reportedBy != i && b.sent.Sub(b.reportedAt) <= 5*time.Millisecond
 	where := map[bool]string{true: "late", false: "another"}[b.slow]
 	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", where, b.stage), soon && known)
 	l.noteOverlap("answered late and not alone", b.slow && b.others > 0 && known && b.sent.Before(time.Now()))
@@ -275,19 +275,19 @@
 	l.noteOverlap(where+" is asked in vain", status == 0 || status >= 429)
 }
 
-// requestAll has users ask all controllers within milliseconds.
-func (l *concurrentReads) requestAll(x *readJob) {
+// requestAllControllers has users ask all controllers within milliseconds.
+func (l *concurrentReads) requestAllControllers(x *readJob) {
 	for i := range l.count {
 		for _, ms := range []time.Duration{0, 1, 5} {
 			l.group.Go(func() {
 				time.Sleep(ms * time.Millisecond)
-				l.requestAndJudge(i, x, "GET", "", nil)
+				l.requestAndCheck(i, x, "GET", "", nil)
 			})
 		}
-		l.group.Go(func() { l.requestAndJudge(i, x, "POST", "", l.body(x.job)) })
+		l.group.Go(func() { l.requestAndCheck(i, x, "POST", "", l.body(x.job)) })
 		l.group.Go(func() {
 			time.Sleep(2 * time.Millisecond)
-			l.requestAndJudge(i, x, "POST", "", l.body(x.job))
+			l.requestAndCheck(i, x, "POST", "", l.body(x.job))
 		})
 	}
 }
@@ -295,7 +295,7 @@
 // requestUntilAnswered repeats a request, each time at another controller, until one answers.
 func (l *concurrentReads) requestUntilAnswered(i int, x *readJob, method, word string, body []byte) {
 	for l.ctx.Err() == nil {
-		if status, _ := l.requestAndJudge(i%l.count, x, method, word, body); status == 200 || status == 201 {
+		if status, _ := l.requestAndCheck(i%l.count, x, method, word, body); status == 200 || status == 201 {
 			return
 		}
 		time.Sleep(time.Second)
@@ -334,9 +334,9 @@
 			l.group.Go(func() {
 				time.Sleep(ms * time.Millisecond)
 				if k == 2 {
-					l.requestAndJudge(i, x, "POST", "", l.body(j))
+					l.requestAndCheck(i, x, "POST", "", l.body(j))
 				}
-				l.requestAndJudge(i, x, "GET", "", nil)
+				l.requestAndCheck(i, x, "GET", "", nil)
 			})
 		}
 	}
@@ -344,7 +344,7 @@
 		over := time.Time{}
 		for i := 0; l.ctx.Err() == nil && (over.IsZero() || time.Since(over) < 8*time.Second); i++ {
 			time.Sleep(120 * time.Millisecond)
-			if _, stage := l.requestAndJudge(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && over.IsZero() {
+			if _, stage := l.requestAndCheck(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && over.IsZero() {
 				over = time.Now()
 			}
 		}
@@ -398,7 +398,7 @@
 	for range 6 {
 		time.Sleep(20 * time.Millisecond)
 		for _, x := range l.jobs {
-			l.group.Go(func() { l.requestAndJudge(i, x, "GET", "", nil) })
+			l.group.Go(func() { l.requestAndCheck(i, x, "GET", "", nil) })
 		}
 	}
 	time.Sleep(4 * time.Second)
@@ -459,8 +459,8 @@
 		}
 		time.Sleep(run + offset)
 		ended := l.checker.Running(j.ID) == 0
-		l.group.Go(func() { l.requestAndJudge((first+1)%l.count, x, "GET", "", nil) })
-		l.group.Go(func() { l.requestAndJudge((first+2)%l.count, x, "POST", "", l.body(j)) })
+		l.group.Go(func() { l.requestAndCheck((first+1)%l.count, x, "GET", "", nil) })
+		l.group.Go(func() { l.requestAndCheck((first+2)%l.count, x, "POST", "", l.body(j)) })
 		l.requestUntilAnswered(first, x, "POST", wire.CancelWord, []byte{})
 		l.mu.Lock()
 		stage := x.stage
@@ -468,7 +468,7 @@
 		l.noteOverlap(fmt.Sprintf("ended %v, %s", ended, stage), true)
 		for i := range 2 * l.count {
 			time.Sleep(700 * time.Millisecond)
-			l.requestAndJudge((first+i)%l.count, x, "GET", "", nil)
+			l.requestAndCheck((first+i)%l.count, x, "GET", "", nil)
 		}
 		l.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, also of what is done
 	})
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -36,7 +36,7 @@
 // a condition has =0 if the key must be absent, =v if it must exist, and no suffix if it may be
 // either; a change has + for a put, +lease: for one under a lease, - for a delete, and -old: for
 // the delete of a key of an earlier sharding's ledger. A ? precedes what may be absent.
-type writeKind struct{ name, when, then string }
+type writeKind struct{ name, conditions, changes string }
 
 // writeKinds are all kinds of writes, special ones first. Each is in the table of docs/design.md,
 // "What a late write can do", with the reason why a late copy does no harm.
@@ -80,8 +80,8 @@
 	} `cbor:"then"`
 }
 
-// words describes a transaction in the words of writeKind.
-func (t *txnAsSent) words() (when, then []string) {
+// describe describes a transaction in the words of writeKind.
+func (t *txnAsSent) describe() (when, then []string) {
 	ledger := "" // that it writes
 	for _, c := range t.Then {
 		if store.Kind(c.Put) == "ledger" {
@@ -129,9 +129,9 @@
 
 // kindOf returns the kind of a transaction, "" for none.
 func kindOf(t *txnAsSent) string {
-	when, then := t.words()
+	when, then := t.describe()
 	for _, k := range writeKinds {
-		if matches(when, k.when) && matches(then, k.then) {
+		if matches(when, k.conditions) && matches(then, k.changes) {
 			return k.name
 		}
 	}
@@ -162,12 +162,12 @@
 	share  float64
 	rng    *rand.Rand
 
-	mu         sync.Mutex
-	kindCounts map[string]int // writes, without copies
-	writes     map[string]*delayedWrite
-	held       []*delayedWrite
-	tallies    map[string]delayedTally
-	unknown    map[string]bool
+	mu           sync.Mutex
+	kindCounts   map[string]int // writes, without copies
+	writes       map[string]*delayedWrite
+	held         []*delayedWrite
+	tallies      map[string]delayedTally
+	unknownKinds map[string]bool
 
 	// serveInstead, if set, handles the controllers' requests instead.
 	serveInstead func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
@@ -180,24 +180,24 @@
 )
 
 // delayedTally counts the writes of a kind that were carried out after newer ones.
-type delayedTally struct{ taken, refused int }
+type delayedTally struct{ committed, refused int }
 
 // delayedWrite is a write with all its copies.
 type delayedWrite struct {
 	kind, from   string
 	method, path string
 	body         []byte
-	at           time.Time
+	firstSentAt  time.Time
 	fate         *writeFate // nil if it is not delayed
-	newer        int        // writes of the same controller that were committed since
-	taken        int
-	refused      time.Time
+	newerCommits int        // writes of the same controller that were committed since
+	commits      int
+	refusedAt    time.Time
 }
 
 // newDelayProxy returns a proxy that delays a share of the writes.
 func newDelayProxy(t *testing.T, net *simulator.Network, to string, seed uint64, share float64) *delayProxy {
 	l := &delayProxy{t: t, net: net, target: to, share: share, rng: rand.New(rand.NewPCG(seed, 12)),
-		kindCounts: map[string]int{}, writes: map[string]*delayedWrite{}, tallies: map[string]delayedTally{}, unknown: map[string]bool{}}
+		kindCounts: map[string]int{}, writes: map[string]*delayedWrite{}, tallies: map[string]delayedTally{}, unknownKinds: map[string]bool{}}
 	l.serveInstead = l.serve
 	return l
 }
@@ -256,13 +256,13 @@
 			l.t.Errorf("%s sends a transaction that can't be read: %v", from, err)
 		}
 		if kind = kindOf(&t); kind == "" && len(t.Then) > 0 {
-			when, then := t.words()
+			when, then := t.describe()
 			kind = fmt.Sprintf("when %v then %v", when, then)
 			l.mu.Lock()
-			if !l.unknown[kind] {
+			if !l.unknownKinds[kind] {
 				l.t.Errorf("%s sends a kind of write that nobody has looked at: %s. What does a copy that is carried out minutes later?", from, kind)
 			}
-			l.unknown[kind] = true
+			l.unknownKinds[kind] = true
 			l.mu.Unlock()
 		}
 	case target == wire.PathLeases:
@@ -300,7 +300,7 @@
 	w := l.writes[id]
 	lease := slices.Contains(leaseKinds, kind) // all of a kind look alike: each is a write of its own
 	if w == nil || lease {
-		w = &delayedWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), at: now}
+		w = &delayedWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), firstSentAt: now}
 		l.writes[id] = w
 		n := l.kindCounts[kind]
 		l.kindCounts[kind]++
@@ -320,7 +320,7 @@
 		}
 		return w, 200
 	}
-	if w.fate != nil && now.Sub(w.at) < copyFaultTime {
+	if w.fate != nil && now.Sub(w.firstSentAt) < copyFaultTime {
 		return w, w.fate.copyStatus
 	}
 	return w, 200
@@ -336,22 +336,22 @@
 	if w.path == wire.PathTxn && w.kind != "new jobs" {
 		switch status {
 		case 200:
-			if !w.refused.IsZero() && w.refused.Before(sent) { // of two at once, either may be told first
+			if !w.refusedAt.IsZero() && w.refusedAt.Before(sent) { // of two at once, either may be told first
 				l.t.Errorf("%s: %s was refused, and a copy of it was taken later", w.from, w.kind)
 			}
-			if w.taken++; w.taken > 1 {
-				l.t.Errorf("%s: %s was taken %d times", w.from, w.kind, w.taken)
+			if w.commits++; w.commits > 1 {
+				l.t.Errorf("%s: %s was taken %d times", w.from, w.kind, w.commits)
 			}
 		case 409:
-			if w.refused.IsZero() {
-				w.refused = time.Now()
+			if w.refusedAt.IsZero() {
+				w.refusedAt = time.Now()
 			}
 		}
 	}
 	if status == 200 && !late {
 		for _, h := range l.held {
 			if h.from == w.from && h != w {
-				h.newer++
+				h.newerCommits++
 			}
 		}
 	}
@@ -365,7 +365,7 @@
 		l.mu.Lock()
 		var due []*delayedWrite
 		l.held = slices.DeleteFunc(l.held, func(w *delayedWrite) bool {
-			ripe := time.Since(w.at) >= w.fate.delay && (w.newer > 0 || time.Since(w.at) > 5*time.Minute)
+			ripe := time.Since(w.firstSentAt) >= w.fate.delay && (w.newerCommits > 0 || time.Since(w.firstSentAt) > 5*time.Minute)
 			if ripe {
 				due = append(due, w)
 			}
@@ -377,10 +377,10 @@
 			status, _ := l.forward(ctx, caller, w.method, w.path, w.body)
 			l.noteResult(w, sent, status, true)
 			l.mu.Lock()
-			if w.newer > 0 && status != 0 {
+			if w.newerCommits > 0 && status != 0 {
 				t := l.tallies[w.kind]
 				if status == 200 {
-					t.taken++
+					t.committed++
 				} else {
 					t.refused++
 				}
@@ -396,13 +396,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for kind, n := range l.tallies {
-		all[kind] = delayedTally{all[kind].taken + n.taken, all[kind].refused + n.refused}
+		all[kind] = delayedTally{all[kind].committed + n.committed, all[kind].refused + n.refused}
 	}
 }
 
-// playDelayedWritesDay simulates a day on which a share of all writes of controllers is carried
+// simulateDelayedWrites simulates a day on which a share of all writes of controllers is carried
 // out late.
-func playDelayedWritesDay(t *testing.T, seed uint64, share float64) *delayProxy {
+func simulateDelayedWrites(t *testing.T, seed uint64, share float64) *delayProxy {
 	var l *delayProxy
 	playAllWritesDay(t, seed, 3, func(w *simulation) *delayProxy {
 		l = newDelayProxy(t, w.net, "10.2.0.1:2379", seed, share)
@@ -416,7 +416,7 @@
 // service, through the given proxy: jobs are submitted, end and are compacted, the fleet is
 // divided into shards and merged again, the tiers change, and leaders end and restart.
 func playAllWritesDay(t *testing.T, seed uint64, count int, between func(w *simulation) *delayProxy) {
-	d := newAllWritesDay(t, seed, count)
+	d := newAllWritesSimulation(t, seed, count)
 	w := d.simulation
 	l := between(w)
 	for i := range w.count {
@@ -433,24 +433,24 @@
 		})
 	}
 	w.startService("wk-1", 7*time.Minute)
-	d.manyTasks("wk-2")
-	d.someJobs(1)
+	d.submitManyTasks("wk-2")
+	d.submitMixedJobs(1)
 	w.kill(int((w.leaders()["fleet"] + "c-0")[2]-'0'), 3*time.Second)
-	d.someJobs(2)
-	d.roll(func(name string) { d.shardings[name] = "zone" })
-	d.someJobs(3)
+	d.submitMixedJobs(2)
+	d.rollingRestart(func(name string) { d.shardings[name] = "zone" })
+	d.submitMixedJobs(3)
 	for try := 0; try < 5 && l.countOf("release of a shard") == 0; try++ {
 		for i := 1; i < w.count; i++ { // the one that is left takes all, and gives back
 			w.kill(i, 30*time.Second)
 		}
 		time.Sleep(75 * time.Second)
 	}
-	d.roll(func(name string) { d.tiers[name] = true })
-	d.someJobs(4)
-	d.roll(func(name string) { d.shardings[name] = "off" })
-	d.manyTasks("wk-3")
-	d.someJobs(5)
-	d.roll(func(name string) { d.tiers[name] = false })
+	d.rollingRestart(func(name string) { d.tiers[name] = true })
+	d.submitMixedJobs(4)
+	d.rollingRestart(func(name string) { d.shardings[name] = "off" })
+	d.submitManyTasks("wk-3")
+	d.submitMixedJobs(5)
+	d.rollingRestart(func(name string) { d.tiers[name] = false })
 	time.Sleep(time.Minute) // what was in the ledger goes
 	for i := range 20 {
 		w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
@@ -466,8 +466,8 @@
 	w.finishDay(20 * time.Minute)
 }
 
-// allWritesDay is a day whose controllers change their settings when they restart.
-type allWritesDay struct {
+// allWritesSimulation is a day whose controllers change their settings when they restart.
+type allWritesSimulation struct {
 	*simulation
 	seed uint64
 
@@ -476,8 +476,8 @@
 	tiers     map[string]bool   // controllers with two tiers
 }
 
-func newAllWritesDay(t *testing.T, seed uint64, count int) *allWritesDay {
-	d := &allWritesDay{seed: seed, shardings: map[string]string{}, tiers: map[string]bool{}}
+func newAllWritesSimulation(t *testing.T, seed uint64, count int) *allWritesSimulation {
+	d := &allWritesSimulation{seed: seed, shardings: map[string]string{}, tiers: map[string]bool{}}
 	d.simulation = newSimulationOf(t, count, seed, 0, func(c *config.Config) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -491,8 +491,8 @@
 	return d
 }
 
-// roll changes the settings of all controllers, one after the other, and restarts each.
-func (d *allWritesDay) roll(set func(name string)) {
+// rollingRestart changes the settings of all controllers, one after the other, and restarts each.
+func (d *allWritesSimulation) rollingRestart(set func(name string)) {
 	for i := range d.count {
 		d.mu.Lock()
 		set(fmt.Sprint("c-", i))
@@ -503,8 +503,8 @@
 	time.Sleep(25 * time.Second)
 }
 
-// someJobs submits jobs of every shape.
-func (d *allWritesDay) someJobs(n uint64) {
+// submitMixedJobs submits jobs of every shape.
+func (d *allWritesSimulation) submitMixedJobs(n uint64) {
 	d.group.Add(1)
 	go func() {
 		defer d.group.Done()
@@ -513,8 +513,8 @@
 	time.Sleep(25 * time.Second)
 }
 
-// manyTasks submits a job with so many tasks that the ledger grows, and shrinks later.
-func (d *allWritesDay) manyTasks(id string) {
+// submitManyTasks submits a job with so many tasks that the ledger grows, and shrinks later.
+func (d *allWritesSimulation) submitManyTasks(id string) {
 	d.user(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
 }
 
@@ -529,13 +529,13 @@
 		if seed >= 2 {
 			share = []float64{0.03, 0.1, 0.3}[seed%3]
 		}
-		l := playDelayedWritesDay(t, seed, share)
+		l := simulateDelayedWrites(t, seed, share)
 		mu.Lock()
 		defer mu.Unlock()
 		l.addTallies(all)
 	})
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
-		t.Logf("%s: carried out late, after newer ones: %d taken, %d refused", kind, all[kind].taken, all[kind].refused)
+		t.Logf("%s: carried out late, after newer ones: %d taken, %d refused", kind, all[kind].committed, all[kind].refused)
 	}
 	for _, kind := range append(leaseKinds, kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
 		if all[kind] == (delayedTally{}) && os.Getenv("AMBERDEAL_LATEWRITE") == "" {
@@ -723,16 +723,16 @@
 // rentals and releases, and carries these out later, after newer requests.
 type delayedCloud struct {
 	*simulation
-	mu            sync.Mutex
-	requests      map[string]int       // of each kind, without copies
-	firstSent     map[string]time.Time // when each was first sent
-	held          map[string]time.Time // until when copies get no useful answer
-	newer         int                  // requests that were carried out at once
-	abandoned     map[string]bool      // rentals that the leader has given up, because a copy was refused
-	rentedLate    map[string]bool      // machines that were rented by these afterwards
-	usedReleases  int                  // releases of a machine in use
-	delayedCounts map[string]int       // of each kind, carried out after newer ones
-	released      func(names []string) // called when a release is delayed
+	mu             sync.Mutex
+	requests       map[string]int       // of each kind, without copies
+	firstSent      map[string]time.Time // when each was first sent
+	held           map[string]time.Time // until when copies get no useful answer
+	promptRequests int                  // requests that were carried out at once
+	abandoned      map[string]bool      // rentals that the leader has given up, because a copy was refused
+	rentedLate     map[string]bool      // machines that were rented by these afterwards
+	releasesInUse  int                  // releases of a machine in use
+	delayedCounts  map[string]int       // of each kind, carried out after newer ones
+	released       func(names []string) // called when a release is delayed
 }
 
 func (l *delayedCloud) listen(addr string) {
@@ -787,7 +787,7 @@
 	if at, known := l.firstSent[id]; known {
 		switch {
 		case l.held[id].Before(now):
-			l.newer++
+			l.promptRequests++
 			return 200
 		case kind == "rental" && now.Sub(at) > 4*time.Second: // the second copy is refused
 			l.abandoned[id] = true
@@ -799,24 +799,24 @@
 	n := l.requests[kind]
 	l.requests[kind]++
 	if n%2 == 1 {
-		l.newer++
+		l.promptRequests++
 		return 200
 	}
 	late := time.Duration(10+20*(n%3)) * time.Second
 	l.held[id] = now.Add(9 * time.Second)
-	newer := l.newer
+	newer := l.promptRequests
 	time.AfterFunc(late, func() {
 		before, _ := l.checker.Counts()
 		resp := carryOut()
 		after, _ := l.checker.Counts()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if resp == nil || l.newer == newer {
+		if resp == nil || l.promptRequests == newer {
 			return
 		}
 		l.delayedCounts[kind]++
 		if kind == "release" && after < before {
-			l.usedReleases++
+			l.releasesInUse++
 		}
 		var names wire.MachineNames
 		if kind == "rental" && l.abandoned[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
@@ -837,7 +837,7 @@
 func (l *delayedCloud) releasedInUse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usedReleases > 0
+	return l.releasesInUse > 0
 }
 
 // TestDelayedRentals carries rentals out after their leader was told that there is no capacity,
@@ -872,8 +872,8 @@
 		time.Sleep(3 * time.Minute) // what nobody needs is returned
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.delayedCounts["rental"] == 0 || l.delayedCounts["release"] == 0 || len(l.rentedLate) == 0 || l.usedReleases == 0 {
-			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.delayedCounts, l.rentedLate, l.usedReleases)
+		if l.delayedCounts["rental"] == 0 || l.delayedCounts["release"] == 0 || len(l.rentedLate) == 0 || l.releasesInUse == 0 {
+			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.delayedCounts, l.rentedLate, l.releasesInUse)
 		}
 		w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
 			if l.rentedLate[m.ID] {
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -213,9 +213,9 @@
 	})
 }
 
-// playRestartDay simulates a day on which processes and machines restart after 50 to 500 ms, their
+// simulateRestarts simulates a day on which processes and machines restart after 50 to 500 ms, their
 // last messages arrive after that, and some requests are repeated.
-func playRestartDay(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
+func simulateRestarts(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
 	returns := slices.Concat(restartFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 8))
 	tuning := drawHeartbeatTuning(rng)
@@ -246,7 +246,7 @@
 // TestFastRestarts simulates such days with one shard. AMBERDEAL_BACKS sets their number,
 // AMBERDEAL_BACK plays one.
 func TestFastRestarts(t *testing.T) {
-	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { playRestartDay(t, seed, sameSharding("off"), nil) })
+	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { simulateRestarts(t, seed, sameSharding("off"), nil) })
 }
 
 // TestFastRestartsOfShards simulates them with several shards, half of the days with resharding
@@ -254,7 +254,7 @@
 func TestFastRestartsOfShards(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
-			playRestartDay(t, seed, sameSharding("zone"), nil)
+			simulateRestarts(t, seed, sameSharding("zone"), nil)
 			return
 		}
 		settings := shardingSettings{initial: "zone"}
@@ -262,7 +262,7 @@
 			w.crashIntoSharding(&settings, []string{"off", "zone"}[rng.IntN(2)], rng)
 			w.crashAt([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
 		}}
-		playRestartDay(t, seed, settings.of, func(w *simulation) {
+		simulateRestarts(t, seed, settings.of, func(w *simulation) {
 			time.Sleep(5 * time.Second) // all are back
 			w.crashIntoSharding(&settings, "zone", rand.New(rand.NewPCG(seed, 11)))
 		}, anew, anew, anew)
