--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -16,10 +16,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which machines receive nothing, direct calls are delayed and old heartbeats arrive after
-// newer ones, while the leader changes.
+// The tests in this file combine a change of the leader with asymmetric partitions (machines receive
+// nothing but can still send), delayed direct calls and heartbeats that arrive out of order.
 
-// releaseBlockers are the reasons why a machine cannot be returned to the cloud for a while.
+// releaseBlockers are faults that temporarily prevent a machine from being returned to the cloud.
 var releaseBlockers = []struct {
 	name  string
 	apply func(w *simulation)
@@ -36,78 +36,80 @@
 	}},
 }
 
-// TestDelayedLaunchOfCancelledJob delays a direct launch while its job is cancelled before the
-// machine's next heartbeat, and while the machine cannot be returned because the cloud is
-// unavailable, or because the state service is out so that no leader surely remains. The launch
-// arrives when the job's tasks have to be gone: by then the machine was not answered any more and
+// TestDelayedLaunchOfCancelledJob checks that a direct launch call that arrives after its job was
+// cancelled starts no task. The job is cancelled before the machine's next heartbeat, and the machine
+// cannot be returned to the cloud: the cloud is unavailable or does not hear the leader, or an outage
+// of the state service leaves no certain leader. The launch arrives after the time by which the job's
+// tasks have to be gone. By then the machine's heartbeats have been unanswered for so long that it
 // runs a later incarnation.
 func TestDelayedLaunchOfCancelledJob(t *testing.T) {
-	for n, x := range releaseBlockers {
+	for n, blocker := range releaseBlockers {
 		for k, delay := range []time.Duration{46 * time.Second, 50 * time.Second, 60 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && k != n {
-				continue // the rest with the longer days
+				continue // AMBERDEAL_DEAFS runs the other combinations too
 			}
-			t.Run(fmt.Sprint(x.name, ", delayed ", delay), func(t *testing.T) { runDelayedLaunch(t, x.name, x.apply, delay) })
+			t.Run(fmt.Sprint(blocker.name, ", delayed ", delay), func(t *testing.T) { runDelayedLaunch(t, blocker.name, blocker.apply, delay) })
 		}
 	}
 }
 
-// runDelayedLaunch delays the launch of a job that is cancelled meanwhile, beside another fault.
+// runDelayedLaunch delays the launch call of a job that is cancelled in the meantime, while another
+// fault is active.
 func runDelayedLaunch(t *testing.T, name string, apply func(w *simulation), delay time.Duration) {
-	var hold atomic.Int64
-	var sent, came chan struct{}
-	var told time.Time
+	var callDelay atomic.Int64
+	var sent, arrived chan struct{}
+	var cancelledAt time.Time
 	script{seed: 31, setUp: func(w *simulation) {
-		sent, came = make(chan struct{}), make(chan struct{})
+		sent, arrived = make(chan struct{}), make(chan struct{})
 		var once sync.Once
 		w.reconfigureMachines(2*time.Second, func() time.Duration {
-			d := time.Duration(hold.Load())
+			d := time.Duration(callDelay.Load())
 			if d > 0 {
 				once.Do(func() {
 					close(sent)
-					time.AfterFunc(d, func() { close(came) })
+					time.AfterFunc(d, func() { close(arrived) })
 				})
 			}
 			return d
 		})
 		w.startService("wk-1", 3*time.Minute)
 	}, steps: []step{
-		{40 * time.Second, "its launch is delayed, and it is cancelled", func(w *simulation) { // every machine has sent a heartbeat
-			hold.Store(int64(delay))
+		{40 * time.Second, "its launch is delayed, and it is cancelled", func(w *simulation) { // every machine has sent a heartbeat by now
+			callDelay.Store(int64(delay))
 			c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
 			c.untilAnswered(c.submit)
 			<-sent
 			if w.checker.Running("wk-2") > 0 {
-				w.t.Error("the task runs already")
+				w.t.Error("the task already runs before its job is cancelled")
 			}
 			c.untilAnswered(c.cancel)
-			told = time.Now()
-			hold.Store(0)
+			cancelledAt = time.Now()
+			callDelay.Store(0)
 		}},
 		{0, name, apply},
 		{0, "its launch comes", func(w *simulation) {
-			<-came
-			if late := time.Since(told); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
-				w.t.Errorf("the launch came %v after the user was told that the job is %s", late, w.checker.Stage("wk-2"))
+			<-arrived
+			if late := time.Since(cancelledAt); late < 45*time.Second || w.checker.Stage("wk-2") != wire.Cancelled {
+				w.t.Errorf("the launch call arrived %v after the cancellation was confirmed; the job is %s", late, w.checker.Stage("wk-2"))
 			}
 		}},
 		{4 * time.Minute, "all is over", func(*simulation) {}},
 	}}.run(t)
 }
 
-// partitionLengths are around the bounds that the time-based rules rest on: a heartbeat, a
-// controller's lease, a worker's lease, and their sum.
+// partitionLengths are slightly shorter and longer than the intervals on which the protocol's timing
+// rules depend: a heartbeat interval, a controller's lease, a worker's lease, and the sum of these.
 var partitionLengths = []time.Duration{3 * time.Second, 8 * time.Second, 19 * time.Second, 21 * time.Second, 26 * time.Second, 36 * time.Second, 75 * time.Second}
 
-// TestLeaderKilledDuringAsymmetricPartition ends the leader while some of the machines with long
-// tasks (an array up to its team's quota, a gang in one zone, one over two, and a spread service)
-// receive nothing, for less or more than any lease, starting before or after the failover. Nothing
-// may start twice or in the wrong place.
+// TestLeaderKilledDuringAsymmetricPartition kills the leader while some of the machines that run long
+// tasks (an array up to its team's quota, a gang in one zone, a gang across two zones, and a spread
+// service) receive nothing. The partition starts before or after the failover and lasts for less or
+// more time than any lease. No task may be started twice or in the wrong place.
 func TestLeaderKilledDuringAsymmetricPartition(t *testing.T) {
 	for n, d := range partitionLengths {
 		for k, before := range []time.Duration{-3 * time.Second, 0, 5 * time.Second, 17 * time.Second} {
 			if os.Getenv("AMBERDEAL_DEAFS") == "" && (k != (n+1)%4 || n%2 == 0) {
-				continue // the rest with the longer days
+				continue // AMBERDEAL_DEAFS runs the other combinations too
 			}
 			t.Run(fmt.Sprint("for ", d, ", from ", before, " before"), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { killLeaderDuringPartition(t, n, d, before) })
@@ -116,35 +118,37 @@
 	}
 }
 
-// killLeaderDuringPartition ends the leader while every second machine receives nothing for d,
-// starting the given time before the end, or after it if that is negative.
+// killLeaderDuringPartition kills the leader while every second machine receives nothing for d. The
+// partition starts the given time before the kill, or after it if before is negative.
 func killLeaderDuringPartition(t *testing.T, n int, d, before time.Duration) {
-	silence := []time.Duration{0, time.Hour}[n%2] // machines are released, or time alone proves
-	// A partitioned machine gives an answer up after 4 s and tries elsewhere 1 s later. With this
-	// interval that is no longer than between two heartbeats, which thus arrive all the time.
+	heartbeatTimeout := []time.Duration{0, time.Hour}[n%2] // silent machines are released, or only expired leases prove that tasks ended
+	// A partitioned machine stops waiting for a response after 4 s and retries at another controller 1 s
+	// later. That is less than this interval, so its heartbeats keep arriving.
 	const interval = 6 * time.Second
-	w := newSimulation(t, uint64(40+n), 0, func(c *config.Config) { c.Tuning.HeartbeatTimeout, c.Workers.HeartbeatInterval = silence, interval })
+	w := newSimulation(t, uint64(40+n), 0, func(c *config.Config) {
+		c.Tuning.HeartbeatTimeout, c.Workers.HeartbeatInterval = heartbeatTimeout, interval
+	})
 	w.reconfigureMachines(interval, nil)
 	w.submitLongJobs()
 	time.Sleep(35 * time.Second)
 	running, _ := w.checker.Counts()
-	var deafened []upMachine
-	deafen := func() {
+	var partitioned []upMachine
+	startPartition := func() {
 		for i, m := range w.runningMachines() {
 			if i%2 == n%2 {
-				deafened = append(deafened, loseInbound(d, m)...)
+				partitioned = append(partitioned, loseInbound(d, m)...)
 			}
 		}
 	}
 	if before >= 0 {
-		deafen()
+		startPartition()
 		time.Sleep(before)
 	}
-	token, first := w.token(), w.anyLeader()
-	w.kill(first, 20*time.Second)
+	token, leader := w.token(), w.anyLeader()
+	w.kill(leader, 20*time.Second)
 	if before < 0 {
 		time.Sleep(-before)
-		deafen()
+		startPartition()
 	}
 	if before < d {
 		for w.token() == token {
@@ -153,33 +157,33 @@
 	}
 	time.Sleep(d + 10*time.Second)
 	lost, up := 0, w.runningMachines()
-	for _, m := range deafened {
+	for _, m := range partitioned {
 		if lost += m.ExpiredLeases(); !slices.Contains(up, m) {
-			lost++ // it was given up
+			lost++ // the fleet released it
 		}
 	}
-	if running < 15 || len(deafened) < 2 || w.token() == token || d > workerLease+5*time.Second && lost == 0 {
-		t.Errorf("%d tasks ran, %d machines received nothing, %d lost what they had, fencing token %d after %d", running, len(deafened), lost, w.token(), token)
+	if running < 15 || len(partitioned) < 2 || w.token() == token || d > workerLease+5*time.Second && lost == 0 {
+		t.Errorf("%d tasks ran, %d machines received nothing, %d leases or machines were lost, fencing token is %d, was %d", running, len(partitioned), lost, w.token(), token)
 	}
 	w.finish(15 * time.Minute)
 	w.checkResults()
 }
 
-// submitLongJobs submits spot work with long tasks: arrays, gangs in one zone and over two, and a
+// submitLongJobs submits spot jobs with long tasks: arrays, gangs in one zone and across two, and a
 // spread service.
 func (w *simulation) submitLongJobs() {
 	job := func(id string, shape wire.Shape, tasks int, run, until time.Duration, change ...func(*wire.Job)) {
 		w.user(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
 	}
-	saves := func(j *wire.Job) { j.CheckpointS, j.SaveS = 10, 1 }
+	checkpoints := func(j *wire.Job) { j.CheckpointS, j.SaveS = 10, 1 }
 	job("wk-1", wire.Array, 9, 70*time.Second, 0, red)
-	job("wk-2", wire.Gang, 4, 80*time.Second, 0, oneZone, saves)
-	job("wk-3", wire.Gang, 4, 90*time.Second, 0, spread, saves)
+	job("wk-2", wire.Gang, 4, 80*time.Second, 0, oneZone, checkpoints)
+	job("wk-3", wire.Gang, 4, 90*time.Second, 0, spread, checkpoints)
 	job("wk-4", wire.Service, 6, forever, 4*time.Minute, spread)
 	job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, oneZone)
 }
 
-// heartbeatFaults are the additional faults of TestLateHeartbeats.
+// heartbeatFaults are the faults that TestLateHeartbeats injects in addition to late heartbeats.
 var heartbeatFaults = []fault{
 	{"some machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
@@ -224,15 +228,15 @@
 	}},
 }
 
-// TestLateHeartbeats simulates days on which heartbeats arrive after newer ones, up to three
-// leases late, direct calls are delayed, machines receive nothing or are paused, and leaders end
-// or are cut off. AMBERDEAL_DEAFS sets the number of days, AMBERDEAL_DEAF plays one.
+// TestLateHeartbeats runs simulations in which heartbeats arrive after newer ones, up to three leases
+// late, direct calls are delayed, machines receive nothing or are paused, and leaders are killed or
+// partitioned. AMBERDEAL_DEAFS sets the number of simulations, AMBERDEAL_DEAF selects a single one.
 func TestLateHeartbeats(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 13))
 		tuning := drawHeartbeatTuning(rng)
-		by := []string{"off", "off", "zone"}[rng.IntN(3)]
-		w := newSimulation(t, seed, 0.02*float64(rng.IntN(4)), func(c *config.Config) { tuning.apply(c, by) })
+		sharding := []string{"off", "off", "zone"}[rng.IntN(3)]
+		w := newSimulation(t, seed, 0.02*float64(rng.IntN(4)), func(c *config.Config) { tuning.apply(c, sharding) })
 		w.replayer.SetShare(0.1)
 		w.group.Go(func() { w.submit(seed, 28) })
 		time.Sleep(10 * time.Second)
@@ -246,18 +250,19 @@
 		time.Sleep(time.Minute)
 		w.replayer.SetShare(0)
 		if w.replayer.Delivered() < 5 {
-			t.Errorf("%d heartbeats came again", w.replayer.Delivered())
+			t.Errorf("only %d heartbeats were replayed", w.replayer.Delivered())
 		}
 		w.finishDay(20 * time.Minute)
 	})
 }
 
-// TestPartitionedMachineBlocksNobody loses everything that is sent to a machine with replicas for
-// minutes. Its heartbeats still arrive, so that it appears healthy, with free capacity for what it
-// lost with its lease. Nothing may be launched there, and its replicas have to run elsewhere soon.
+// TestPartitionedMachineBlocksNobody drops everything that is sent to a machine with replicas for
+// minutes. Its heartbeats still arrive, so the machine appears healthy, and what its tasks used before
+// its lease expired appears to be free capacity. Nothing may be launched there, and its replicas have
+// to be running elsewhere soon.
 func TestPartitionedMachineBlocksNobody(t *testing.T) {
-	for _, ends := range []bool{false, true} { // whether the leader does just then
-		t.Run(fmt.Sprint("the leader ends: ", ends), func(t *testing.T) {
+	for _, killLeader := range []bool{false, true} { // at the start of the partition
+		t.Run(fmt.Sprint("the leader ends: ", killLeader), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const interval = 6 * time.Second
 				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.Idle = interval, time.Hour })
@@ -265,27 +270,27 @@
 				job := func(id string, shape wire.Shape, tasks int, gpus float64, run, until time.Duration) {
 					w.user(jobOf(id, shape, tasks, run, func(j *wire.Job) { j.Priority, j.GPUs = wire.Normal, gpus }), run, until)
 				}
-				job("wk-1", wire.Array, 6, 4, 20*time.Second, 0) // has six machines rented
+				job("wk-1", wire.Array, 6, 4, 20*time.Second, 0) // makes the fleet rent six machines
 				time.Sleep(70 * time.Second)
 				job("wk-2", wire.Service, 4, 2, 24*time.Hour, 4*time.Minute)
 				time.Sleep(20 * time.Second)
 				all := w.runningMachines()
-				loseInbound(3*time.Minute, all[0]) // which is one that they are on
+				loseInbound(3*time.Minute, all[0]) // one of the machines with replicas
 				before := w.checker.Running("wk-2")
-				if ends {
+				if killLeader {
 					w.kill(w.anyLeader(), 3*time.Second)
 				}
 				time.Sleep(workerLease + 25*time.Second)
 				if n := w.checker.Running("wk-2"); before != 4 || n != 4 || w.checker.Stopped == 0 {
-					t.Errorf("%d of 4 replicas run, %d did before, %d were lost", n, before, w.checker.Stopped)
+					t.Errorf("%d of 4 replicas run, %d ran before the partition, %d were stopped", n, before, w.checker.Stopped)
 				}
-				begun := time.Now()
+				submitted := time.Now()
 				job("wk-3", wire.Gang, 8, 2, 20*time.Second, 0)
-				for w.checker.Running("wk-3") < 8 && time.Since(begun) < time.Minute {
+				for w.checker.Running("wk-3") < 8 && time.Since(submitted) < time.Minute {
 					time.Sleep(time.Second)
 				}
-				if late := time.Since(begun); late > 30*time.Second {
-					t.Errorf("a gang has begun after %v", late)
+				if delay := time.Since(submitted); delay > 30*time.Second {
+					t.Errorf("the gang took %v to start", delay)
 				}
 				w.finish(15 * time.Minute)
 				w.checkResults()
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -17,48 +17,50 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// restartDelay draws how long a restart takes.
+// restartDelay draws how long a process or machine takes to restart.
 func restartDelay(rng *rand.Rand) time.Duration {
 	return time.Duration(50+rng.IntN(451)) * time.Millisecond
 }
 
-// finalHoldTime draws how long the last messages of a process are delayed: mostly not at all,
-// sometimes for longer than any lease.
+// finalHoldTime draws how long the network delays the last messages of a process: usually 0, sometimes
+// longer than any lease.
 func finalHoldTime(rng *rand.Rand) time.Duration {
 	return []time.Duration{0, 0, time.Duration(rng.IntN(2000)), time.Duration(rng.IntN(40_000))}[rng.IntN(4)] * time.Millisecond
 }
 
-// crashAt crashes whoever makes the next change of a key with a prefix before it is answered: the
-// leader of the shard that is written, or all controllers if nobody leads any.
-func (w *simulation) crashAt(prefix string, back time.Duration) {
-	var once atomic.Bool
-	crash := func(key string) {
+// crashAt crashes the writer of the next committed change to a key with the prefix, before it receives
+// the response: the leader of the shard that the key belongs to, or all controllers if no shard has a
+// leader. The controllers restart after the given time.
+func (w *simulation) crashAt(prefix string, restartAfter time.Duration) {
+	var triggered atomic.Bool
+	crashWriter := func(key string) {
 		defer w.group.Done()
 		leaders := w.leaders()
 		for n := range w.count {
-			hit := len(leaders) == 0
+			isWriter := len(leaders) == 0
 			for shard, name := range leaders {
-				hit = hit || name == fmt.Sprint("c-", n) && strings.Contains(key, "/"+shard)
+				isWriter = isWriter || name == fmt.Sprint("c-", n) && strings.Contains(key, "/"+shard)
 			}
-			if hit {
-				w.crash(n, back, 0)
+			if isWriter {
+				w.crash(n, restartAfter, 0)
 			}
 		}
 	}
 	w.store.Configure(func(s *simulator.StateService) {
 		s.OnCommit = func(puts []string) {
 			i := slices.IndexFunc(puts, func(key string) bool { return strings.HasPrefix(key, store.StatePrefix+prefix) })
-			if i < 0 || once.Swap(true) {
+			if i < 0 || triggered.Swap(true) {
 				return
 			}
-			w.net.Pause("10.2.0.1", 5*time.Millisecond) // its answers wait
+			w.net.Pause("10.2.0.1", 5*time.Millisecond) // holds back the responses of the state service
 			w.group.Add(1)
-			go crash(puts[i])
+			go crashWriter(puts[i])
 		}
 	})
 }
 
-// twin starts a second process under a controller's name, which ends a while later.
+// twin starts a second process with the name of a controller, and ends the first one after d. The last
+// messages of the first process are delayed by held.
 func (w *simulation) twin(i int, d, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -74,17 +76,17 @@
 	})
 }
 
-// reboot restarts a machine before anybody can notice its absence.
+// reboot restarts a machine so quickly that no controller can detect its absence.
 func (w *simulation) reboot(id, host string, m simulator.Machine, rng *rand.Rand) {
-	if late := finalHoldTime(rng); late > 0 {
-		w.net.Hold(host, late)
+	if hold := finalHoldTime(rng); hold > 0 {
+		w.net.Hold(host, hold)
 	}
 	m.(simulator.Rebooter).Reboot(restartDelay(rng), rng.IntN(2) == 0)
 	w.net.Reset(host)
 }
 
-// repeatOldRequests repeats requests from long ago: submissions, also with another content, and
-// cancellations. The answers have to be the same.
+// repeatOldRequests repeats earlier requests: submissions, some of them with different content, and
+// cancellations. The answers must not change.
 func (w *simulation) repeatOldRequests(rng *rand.Rand) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.2").Dial}
 	for _, id := range w.checker.Jobs() {
@@ -102,27 +104,27 @@
 		case 2:
 			other.Shape = "none"
 		}
-		asked := before == wire.Cancelled
+		cancelled := before == wire.Cancelled
 		path, body := wire.PathJobs, wire.Encode(&other)
-		if asked && rng.IntN(2) == 0 {
+		if cancelled && rng.IntN(2) == 0 {
 			path, body = path+"/"+id+"/"+wire.CancelWord, []byte{}
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		resp, err := caller.Call(ctx, simulator.Address(w.ip(rng.IntN(w.count)), 8080), "POST", path, body)
 		cancel()
 		if err != nil || resp.Status >= 500 || resp.Status == 200 && !before.Final() {
-			continue // or it may have changed meanwhile
+			continue // no answer, or the job may have changed in the meantime
 		}
 		var s wire.JobStatus
 		_ = wire.Decode(resp.Body, &s)
-		w.checker.ObserveAnswer(id, resp.Status, s.Stage, asked)
+		w.checker.ObserveAnswer(id, resp.Status, s.Stage, cancelled)
 		if resp.Status != 200 {
-			w.t.Errorf("%s, which was %s, is answered %d", id, before, resp.Status)
+			w.t.Errorf("a repeated request for %s, which was %s, is answered %d", id, before, resp.Status)
 		}
 	}
 }
 
-// restartFaults restart processes and machines before anybody can notice their absence.
+// restartFaults restart processes and machines so quickly that their absence cannot be detected.
 var restartFaults = []fault{
 	{"a controller crashes", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		w.crash(rng.IntN(w.count), restartDelay(rng), finalHoldTime(rng))
@@ -135,10 +137,10 @@
 		}
 	}},
 	{"all controllers crash and are back in another order", func(w *simulation, rng *rand.Rand, _ time.Duration) {
-		late := finalHoldTime(rng)
+		hold := finalHoldTime(rng)
 		for k, i := range rng.Perm(w.count) {
-			back := time.Duration(50+k*100) * time.Millisecond
-			go w.crash(i, back, late)
+			restartAfter := time.Duration(50+k*100) * time.Millisecond
+			go w.crash(i, restartAfter, hold)
 		}
 		time.Sleep(time.Second)
 	}},
@@ -203,7 +205,7 @@
 	{"users ask again", func(w *simulation, rng *rand.Rand, _ time.Duration) { w.repeatOldRequests(rng) }},
 }
 
-// rebootFirst restarts that many of the first machines.
+// rebootFirst restarts the first n running machines.
 func (w *simulation) rebootFirst(rng *rand.Rand, n int) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if n > 0 {
@@ -213,19 +215,20 @@
 	})
 }
 
-// simulateRestarts simulates a day on which processes and machines restart after 50 to 500 ms, their
-// last messages arrive after that, and some requests are repeated.
-func simulateRestarts(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
-	returns := slices.Concat(restartFaults, more)
+// simulateRestarts runs a simulation in which processes and machines restart within 50 to 500 ms, their
+// last messages arrive after the restart, and some requests are repeated. sharding returns the sharding
+// that the controller with a name is configured with; settle, if not nil, is called after the faults.
+func simulateRestarts(t *testing.T, seed uint64, sharding func(name string) string, settle func(*simulation), more ...fault) {
+	faults := slices.Concat(restartFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 8))
 	tuning := drawHeartbeatTuning(rng)
-	w := newSimulationOf(t, []int{3, 5}[seed%2], seed, 0.02*float64(rng.IntN(2)), func(c *config.Config) { tuning.apply(c, by(c.Name)) })
-	twice := rand.New(rand.NewPCG(seed, 9))
+	w := newSimulationOf(t, []int{3, 5}[seed%2], seed, 0.02*float64(rng.IntN(2)), func(c *config.Config) { tuning.apply(c, sharding(c.Name)) })
+	duplicateRNG := rand.New(rand.NewPCG(seed, 9))
 	w.net.Duplicate(func(_, addr string) time.Duration {
-		if w.draw(twice, 1000) >= 3 {
+		if w.draw(duplicateRNG, 1000) >= 3 {
 			return 0
 		}
-		return time.Duration(w.draw(twice, 1<<w.draw(twice, 18))+1) * time.Millisecond
+		return time.Duration(w.draw(duplicateRNG, 1<<w.draw(duplicateRNG, 18))+1) * time.Millisecond
 	})
 	w.group.Go(func() { w.submit(seed, 24) })
 	time.Sleep(10 * time.Second)
@@ -233,7 +236,7 @@
 		if rng.IntN(5) == 0 {
 			return drawFault(rng, stallFaults, 30)
 		}
-		return drawFault(rng, returns, 30)
+		return drawFault(rng, faults, 30)
 	})
 	if settle != nil {
 		settle(w)
@@ -243,14 +246,15 @@
 	w.finishDay(20 * time.Minute)
 }
 
-// TestFastRestarts simulates such days with one shard. AMBERDEAL_BACKS sets their number,
-// AMBERDEAL_BACK plays one.
+// TestFastRestarts checks that restarts which are too quick to be detected violate no rule in a fleet
+// with one shard. AMBERDEAL_BACKS sets the number of simulations, AMBERDEAL_BACK selects a single one.
 func TestFastRestarts(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { simulateRestarts(t, seed, sameSharding("off"), nil) })
 }
 
-// TestFastRestartsOfShards simulates them with several shards, half of the days with resharding
-// now and then. AMBERDEAL_PARTBACKS sets their number, AMBERDEAL_PARTBACK plays one.
+// TestFastRestartsOfShards does the same with several shards; half of the simulations also reshard from
+// time to time. AMBERDEAL_PARTBACKS sets the number of simulations, AMBERDEAL_PARTBACK selects a single
+// one.
 func TestFastRestartsOfShards(t *testing.T) {
 	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
@@ -258,13 +262,13 @@
 			return
 		}
 		settings := shardingSettings{initial: "zone"}
-		anew := fault{"all controllers are set to another sharding and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		reshardAndCrash := fault{"all controllers are set to another sharding and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			w.crashIntoSharding(&settings, []string{"off", "zone"}[rng.IntN(2)], rng)
 			w.crashAt([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
 		}}
 		simulateRestarts(t, seed, settings.of, func(w *simulation) {
-			time.Sleep(5 * time.Second) // all are back
+			time.Sleep(5 * time.Second) // all controllers have restarted
 			w.crashIntoSharding(&settings, "zone", rand.New(rand.NewPCG(seed, 11)))
-		}, anew, anew, anew)
+		}, reshardAndCrash, reshardAndCrash, reshardAndCrash)
 	})
 }
