--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -15,23 +15,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which jobs are cancelled in the seconds in which the work of a controller changes hands.
+// The tests in this file cancel jobs within seconds of a handover, in which another controller takes
+// over the shards of a leader.
 
-// commitObserver sees what the state service commits, in order: elections, and which launches name
-// a job that is already cancelled.
+// commitObserver observes the transactions that the state service commits, in order. It records
+// elections, and launches of jobs that are already cancelled.
 type commitObserver struct {
 	*simulation
 	mu                  sync.Mutex
-	pendingValues       map[string]wire.Raw // of the transaction that is being committed
-	recordedAttempts    map[string]string
-	cancelledJobs       map[string]bool // according to the state service
-	launchesAfterCancel []string        // launches of these after that
-	launched            map[string]time.Time
+	pendingValues       map[string]wire.Raw  // the puts of the transaction that is being committed
+	recordedAttempts    map[string]string    // task attempts that a committed ledger has named
+	cancelledJobs       map[string]bool      // jobs that the state service holds as cancelled
+	launchesAfterCancel []string             // attempts of these jobs that were first recorded after their cancellation
+	launched            map[string]time.Time // first launch, by job
 	claims              []time.Time
-	claimed             chan struct{}  // closed by the next election
+	claimed             chan struct{}  // closed at the next election
 	lastJob             string         // the job whose first launch triggers the handover
-	fate                simulator.Fate // of the write of that launch
-	onLastLaunch        func()         // called then
+	fate                simulator.Fate // of the write that records that launch
+	onLastLaunch        func()         // called after that launch is committed
 }
 
 // newCommitObserver attaches an observer to the state service.
@@ -54,7 +55,7 @@
 	return r
 }
 
-// noteCommit handles a committed transaction, given its keys; its values were seen just before.
+// noteCommit processes a committed transaction, given its keys. FateOf received its values just before.
 func (r *commitObserver) noteCommit(keys []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,26 +72,26 @@
 	}
 	for key, raw := range puts {
 		var batch store.BatchRecord
-		var slot store.SegmentRecord
+		var segment store.SegmentRecord
 		switch {
 		case strings.HasPrefix(key, store.BatchKey("")) && wire.DecodeValue(raw, &batch) == nil:
 			for id, rec := range batch.Jobs {
 				r.cancelledJobs[id] = r.cancelledJobs[id] || rec.Stage == wire.Cancelled
 			}
-		case strings.HasPrefix(key, store.StatePrefix+"ledger/") && wire.DecodeValue(raw, &slot) == nil:
-			r.noteLedgerSegment(slot)
+		case strings.HasPrefix(key, store.StatePrefix+"ledger/") && wire.DecodeValue(raw, &segment) == nil:
+			r.noteLedgerSegment(segment)
 		}
 	}
 }
 
-// noteLedgerSegment handles the tasks that a ledger slot names for the first time.
-func (r *commitObserver) noteLedgerSegment(slot store.SegmentRecord) {
-	for entry, raw := range slot.Entries {
-		var m store.MachineRecord
-		if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &m) != nil {
+// noteLedgerSegment processes the task attempts that a ledger segment names for the first time.
+func (r *commitObserver) noteLedgerSegment(segment store.SegmentRecord) {
+	for entry, raw := range segment.Entries {
+		var machine store.MachineRecord
+		if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &machine) != nil {
 			continue
 		}
-		for task, attempt := range m.Tasks {
+		for task, attempt := range machine.Tasks {
 			name := fmt.Sprint(entry, task, "#", attempt)
 			if r.recordedAttempts[name] != "" {
 				continue
@@ -109,13 +110,14 @@
 	}
 }
 
-// handoverKinds are the ways in which work changes its leader, in addition to handovers.
+// handoverKinds are the ways in which leadership moves to another controller: those listed here, and
+// handovers.
 var handoverKinds = append([]handover{
 	{"is reached by no machine, and by no peer", func(w *simulation, i int, _ *rand.Rand) {
 		for _, m := range w.runningMachines() {
 			during(50*time.Second, func(on bool) { w.net.Partition(w.ip(i), m.host, on) })
 		}
-		for k := range w.count { // nor by what its peers pass on
+		for k := range w.count { // nor do its peers relay anything to it
 			if k != i {
 				during(50*time.Second, func(on bool) { w.net.DropOneWay(w.ip(i), w.ip(k), on) })
 			}
@@ -140,75 +142,76 @@
 	}},
 }, handovers...)
 
-// handoverByReshard and handoverByRelease are two kinds that concern the whole fleet.
+// handoverByReshard and handoverByRelease are the two kinds that affect the whole fleet.
 const handoverByReshard, handoverByRelease = -1, -2
 
-// cancelHandoverCase is a day on which jobs are cancelled at some time after a handover begins, or
-// after the election that completes it, at the previous leader, at a controller that leads
-// nothing, or at any.
+// cancelHandoverCase describes a simulation in which jobs are cancelled some time after a handover
+// starts, or after the election that completes it. The cancellations are sent to the previous leader,
+// to a controller that leads no shard, or to any controller.
 type cancelHandoverCase struct {
 	seed            uint64
 	sharding        string
 	controllerCount int
-	kind            int // of handover, or handoverByReshard or handoverByRelease
-	afterClaim      bool
-	cancelAt        time.Duration
-	cancelTarget    int
-	lastRound       int // 0: a job is launched in the last round, 1: the answer to that is lost, 2: its direct calls are delayed too, 3: there is none
+	kind            int           // an index into handoverKinds, handoverByReshard or handoverByRelease
+	afterClaim      bool          // whether cancelAt counts from the election instead of the start of the handover
+	cancelAt        time.Duration // may be negative
+	cancelTarget    int           // 0: any controller, 1: the previous leader, 2: a controller that leads no shard
+	lastRound       int           // last round before the handover; 0: launches a job, 1: as 0, and the response to its write is lost, 2: as 0, with delayed direct calls, 3: launches nothing
 }
 
-func (d cancelHandoverCase) String() string {
-	way := map[int]string{handoverByReshard: "state is resharded", handoverByRelease: "shard is released"}[d.kind]
-	if d.kind >= 0 {
-		way = "leader " + handoverKinds[d.kind].name
+func (c cancelHandoverCase) String() string {
+	way := map[int]string{handoverByReshard: "state is resharded", handoverByRelease: "shard is released"}[c.kind]
+	if c.kind >= 0 {
+		way = "leader " + handoverKinds[c.kind].name
 	}
-	return fmt.Sprintf("%s, %d controllers, the %s, jobs are cancelled %v after that (after the claim: %v) at %s, %s", d.sharding, d.controllerCount, way, d.cancelAt, d.afterClaim,
-		[]string{"any", "the one that led", "another"}[d.cancelTarget], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are delayed", "no launch"}[d.lastRound])
+	return fmt.Sprintf("%s, %d controllers, the %s, jobs are cancelled %v after that (after the claim: %v) at %s, %s", c.sharding, c.controllerCount, way, c.cancelAt, c.afterClaim,
+		[]string{"any", "the one that led", "another"}[c.cancelTarget], []string{"a job is launched just before", "a job is launched just before, without an answer", "a job is launched just before, by calls that are delayed", "no launch"}[c.lastRound])
 }
 
-// The times of cancellations: since the start of the handover, which takes up to a lease of the
-// leader, and since the election, after which the view is read, machines are called and the first
-// round is written, all within a second if nothing fails.
+// The times of cancellations, relative to the start of the handover, which takes up to the length of the
+// leader's lease, and relative to the election. After the election the new leader reads the view, calls
+// machines and writes the first round, all within a second if nothing fails.
 var (
 	offsetsFromHandover = []time.Duration{-2 * time.Second, -300 * time.Millisecond, -20 * time.Millisecond, 0, 5 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second}
 	offsetsFromElection = []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond, 120 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 450 * time.Millisecond, 700 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second}
 )
 
-// drawCancelHandoverCase draws a day. Each kind, time and launch comes in turn, in steps that have no
-// common divisor.
+// drawCancelHandoverCase derives a case from a seed. The kinds, times and launches take turns, in steps
+// that have no common divisor.
 func drawCancelHandoverCase(seed uint64) cancelHandoverCase {
 	n := int(seed)
-	d := cancelHandoverCase{seed: seed, sharding: []string{"off", "zone"}[n%2], controllerCount: []int{3, 5}[n/2%2], kind: n*5%(len(handoverKinds)+2) - 2, cancelTarget: n / 3 % 3, lastRound: n * 3 / 2 % 4}
-	if d.afterClaim = n/2%3 > 0 || d.kind == handoverByRelease; d.afterClaim {
-		d.cancelAt = offsetsFromElection[(n*4+n/15)%len(offsetsFromElection)]
+	c := cancelHandoverCase{seed: seed, sharding: []string{"off", "zone"}[n%2], controllerCount: []int{3, 5}[n/2%2], kind: n*5%(len(handoverKinds)+2) - 2, cancelTarget: n / 3 % 3, lastRound: n * 3 / 2 % 4}
+	if c.afterClaim = n/2%3 > 0 || c.kind == handoverByRelease; c.afterClaim {
+		c.cancelAt = offsetsFromElection[(n*4+n/15)%len(offsetsFromElection)]
 	} else {
-		d.cancelAt = offsetsFromHandover[(n*3+n/11)%len(offsetsFromHandover)]
+		c.cancelAt = offsetsFromHandover[(n*3+n/11)%len(offsetsFromHandover)]
 	}
-	if d.kind == handoverByRelease {
-		d.sharding, d.lastRound = "zone", 3
+	if c.kind == handoverByRelease {
+		c.sharding, c.lastRound = "zone", 3
 	}
-	return d
+	return c
 }
 
-// confirmationCounts counts the cancellations that were confirmed before the election, in the second
-// after it, and later, and lastRoundLaunches the launches in a last round, over all days.
+// confirmationCounts counts the cancellations that were confirmed before the election, within a second
+// after it, and later. lastRoundLaunches counts the launches in the last round before a handover. Both
+// are totals over all cases.
 var confirmationCounts [3]atomic.Int64
 var lastRoundLaunches, cancelHandoversPlayed atomic.Int64
 
-// run simulates the day.
-func (d cancelHandoverCase) run(t *testing.T) {
-	r := newCancelHandoverRun(t, d)
-	log(d)
+// run simulates the case.
+func (c cancelHandoverCase) run(t *testing.T) {
+	r := newCancelHandoverRun(t, c)
+	log(c)
 	defer func() {
 		if t.Failed() {
-			t.Log(d)
+			t.Log(c)
 		}
 	}()
 	r.observer = r.newCommitObserver()
 	r.reconfigureMachines(2*time.Second, func() time.Duration { return time.Duration(r.callDelay.Load()) })
 	time.Sleep(8 * time.Second)
 	r.startJobs()
-	if d.kind == handoverByRelease {
+	if c.kind == handoverByRelease {
 		r.prepareRelease()
 	}
 	token, leaders := r.token(), r.leaders()
@@ -218,37 +221,37 @@
 	claimed := r.observer.claimed
 	r.observer.mu.Unlock()
 	r.triggerHandover()
-	if d.lastRound == 3 && !d.afterClaim && d.cancelAt < 0 {
-		time.Sleep(3*time.Second + d.cancelAt)
+	if c.lastRound == 3 && !c.afterClaim && c.cancelAt < 0 {
+		time.Sleep(3*time.Second + c.cancelAt)
 		r.cancel()
 	}
-	var begun time.Time
+	var startedAt time.Time
 	select {
-	case begun = <-r.handoverStarted:
+	case startedAt = <-r.handoverStarted:
 	case <-time.After(30 * time.Second):
-		t.Error("nothing was launched")
-		begun = time.Now()
+		t.Error("the last job was not launched within 30 s")
+		startedAt = time.Now()
 		r.group.Go(r.handOver)
 	}
-	if !d.afterClaim && (d.cancelAt >= 0 || d.lastRound < 3) {
-		time.Sleep(max(0, d.cancelAt))
+	if !c.afterClaim && (c.cancelAt >= 0 || c.lastRound < 3) {
+		time.Sleep(max(0, c.cancelAt))
 		r.cancel()
 	}
-	var at time.Time
+	var electedAt time.Time
 	select {
 	case <-claimed:
-		at = time.Now()
+		electedAt = time.Now()
 	case <-time.After(time.Minute):
-		t.Errorf("nobody claimed anything: %v, %v before", r.leaders(), leaders)
-		at = time.Now()
+		t.Errorf("no controller claimed a shard: leaders are %v, were %v", r.leaders(), leaders)
+		electedAt = time.Now()
 	}
-	if d.afterClaim {
-		time.Sleep(d.cancelAt)
+	if c.afterClaim {
+		time.Sleep(c.cancelAt)
 		r.cancel()
 	}
-	time.Sleep(time.Until(begun.Add(20 * time.Second)))
+	time.Sleep(time.Until(startedAt.Add(20 * time.Second)))
 	r.callDelay.Store(0)
-	r.finish(token, at)
+	r.finish(token, electedAt)
 }
 
 // cancelHandoverRun is the simulation of a cancelHandoverCase.
@@ -258,13 +261,13 @@
 	rng             *rand.Rand
 	shardings       shardingSettings
 	observer        *commitObserver
-	callDelay       atomic.Int64 // delay of direct calls
-	clients         []*client    // of the jobs to cancel
-	previousLeader  int          // leader before the handover
+	callDelay       atomic.Int64 // of direct calls
+	clients         []*client    // submitters of the jobs to cancel
+	previousLeader  int          // the leader before the handover
 	handoverStarted chan time.Time
 
 	mu        sync.Mutex
-	confirmed []time.Time // cancellations
+	confirmed []time.Time // when cancellations were confirmed
 }
 
 func newCancelHandoverRun(t *testing.T, d cancelHandoverCase) *cancelHandoverRun {
@@ -278,15 +281,15 @@
 // longRun is the run time of the jobs that are cancelled.
 const longRun = 10 * time.Minute
 
-// startJobs submits jobs of every shape and waits until those that are to be cancelled run.
+// startJobs submits jobs of every shape and waits until all tasks of those to be cancelled are running.
 func (r *cancelHandoverRun) startJobs() {
 	for i, j := range []*wire.Job{jobOf("wk-1", wire.Array, 3, longRun), jobOf("wk-2", wire.Gang, 2, longRun, saves, oneZone), jobOf("wk-3", wire.Gang, 2, longRun, spread),
 		jobOf("wk-4", wire.Service, 3, forever, spread), jobOf("wk-5", wire.Array, 2, longRun, saves, red)} {
-		if i%3 != int(r.seed)%3 { // or there would be much of everything on each day
+		if i%3 != int(r.seed)%3 { // leaves out a third of the jobs to limit the load of one simulation
 			r.clients = append(r.clients, r.submitter(r.seed, j, 0, 0, forever))
 		}
 	}
-	r.submitter(r.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // which stays
+	r.submitter(r.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // is not cancelled
 	if !waitUntil(45*time.Second, func() bool {
 		for _, c := range r.clients {
 			if r.checker.Running(c.job.ID) < c.job.Tasks {
@@ -295,11 +298,12 @@
 		}
 		return true
 	}) {
-		r.t.Error("not all run that is to be cancelled")
+		r.t.Error("not all tasks of the jobs to cancel are running after 45 s")
 	}
 }
 
-// prepareRelease kills all controllers but one, which releases a shard once the others are back.
+// prepareRelease kills all controllers but one. That one takes over both shards, and releases one of
+// them once the others have restarted.
 func (r *cancelHandoverRun) prepareRelease() {
 	for i := range r.simulation.count {
 		if i != r.leaderOf("a") {
@@ -328,8 +332,8 @@
 	}
 }
 
-// triggerHandover has the handover start with the launch of a job that is to be cancelled too, or
-// after three seconds.
+// triggerHandover makes the handover start at the launch of another job that is to be cancelled, or
+// after three seconds if the last round launches nothing.
 func (r *cancelHandoverRun) triggerHandover() {
 	if r.lastRound == 3 {
 		r.group.Go(func() {
@@ -348,7 +352,7 @@
 	r.clients = append(r.clients, r.submitter(r.seed, jobOf("wk-9", wire.Array, 3, longRun), 0, 0, forever))
 }
 
-// cancel has all users cancel their jobs.
+// cancel cancels all jobs in clients, each until the cancellation is confirmed.
 func (r *cancelHandoverRun) cancel() {
 	log("cancelled")
 	for _, c := range r.clients {
@@ -370,29 +374,29 @@
 	}
 }
 
-// finish waits for the end of the cancelled jobs and checks the day. The token is that before the
-// handover, claimed the time of the election.
+// finish waits until the jobs are cancelled and checks the results. token is the fencing token before
+// the handover, claimed the time of the election.
 func (r *cancelHandoverRun) finish(token uint64, claimed time.Time) {
 	for _, c := range r.clients {
 		if !waitUntil(40*time.Second, func() bool { return r.checker.Stage(c.job.ID) == wire.Cancelled }) {
-			r.t.Errorf("%s is %s", c.job.ID, r.checker.Stage(c.job.ID))
+			r.t.Errorf("%s should be cancelled, but is %s", c.job.ID, r.checker.Stage(c.job.ID))
 		}
 	}
-	time.Sleep(30 * time.Second) // what is to delay the leader is over
+	time.Sleep(30 * time.Second) // faults that delay the leader are over by then
 	if r.token() == token {
-		r.t.Error("nothing changed hands")
+		r.t.Error("no leadership changed: the fencing token is the same as before the handover")
 	}
 	r.finishQuietly(0, 10*time.Minute)
 	r.observer.mu.Lock()
 	defer r.observer.mu.Unlock()
 	for _, name := range r.observer.launchesAfterCancel {
-		r.t.Errorf("%s is decided on after its job is cancelled", name)
+		r.t.Errorf("%s was launched after its job was cancelled", name)
 	}
-	for _, when := range r.confirmed {
+	for _, confirmedAt := range r.confirmed {
 		switch {
-		case when.Before(claimed):
+		case confirmedAt.Before(claimed):
 			confirmationCounts[0].Add(1)
-		case when.Sub(claimed) <= time.Second:
+		case confirmedAt.Sub(claimed) <= time.Second:
 			confirmationCounts[1].Add(1)
 		default:
 			confirmationCounts[2].Add(1)
@@ -403,14 +407,15 @@
 	}
 }
 
-// TestCancelDuringHandover simulates such days. AMBERDEAL_HANDS sets their number, AMBERDEAL_HAND
-// plays one.
+// TestCancelDuringHandover checks that no task is launched after the cancellation of its job was
+// committed, while leadership moves from one controller to another. AMBERDEAL_HANDS sets the number of
+// cases, AMBERDEAL_HAND selects a single one.
 func TestCancelDuringHandover(t *testing.T) {
 	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandoverCase(seed).run(t) })
 	if n := cancelHandoversPlayed.Load(); n > 10 {
-		t.Logf("%d days, %d launches in a last round; cancellations confirmed before the claim, within a second of it, and later: %d, %d, %d", n, lastRoundLaunches.Load(), confirmationCounts[0].Load(), confirmationCounts[1].Load(), confirmationCounts[2].Load())
+		t.Logf("%d cases, %d launches in a last round; cancellations confirmed before the election, within a second after it, and later: %d, %d, %d", n, lastRoundLaunches.Load(), confirmationCounts[0].Load(), confirmationCounts[1].Load(), confirmationCounts[2].Load())
 		if confirmationCounts[0].Load() == 0 || confirmationCounts[1].Load() == 0 || confirmationCounts[2].Load() == 0 || lastRoundLaunches.Load() == 0 {
-			t.Error("not all came about")
+			t.Error("the cases have no launch in a last round, or no confirmation in one of the three periods")
 		}
 	}
 }
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -25,20 +25,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// outageCase combines faults around cancellations: the state service refuses the leader alone,
-// another controller confirms cancellations to users, and then the service is out for everybody.
-// The leader cannot stop what it does not know, and each of its answers extends the leases of
-// machines: no renewal of its own lease, which it may get in between, tells it about the
-// cancellations.
+// outageCase combines faults around cancellations: the state service refuses the leader alone, another
+// controller confirms cancellations to users, and then the service is unavailable to all controllers.
+// The leader cannot stop tasks whose cancellation it does not know, and each of its answers extends the
+// leases of machines. A renewal of its own lease, which may succeed in between, does not tell it about
+// the cancellations.
 type outageCase struct {
 	controllers         int
-	lease, cancelWithin time.Duration // of workers, and the bound for cancellations
-	sharding            string        // of the fleet
-	directHeartbeats    int           // heartbeats that the leader receives itself; 0: all are relayed by peers
-	refusedFor          time.Duration // before the cancellations are requested; after it if negative
-	outageDelay         time.Duration // after the confirmation
-	outageLength        time.Duration
-	renewalWindow       time.Duration // the refusal ends that long before the outage, so that a renewal may succeed; 0: it does not end
+	lease, cancelWithin time.Duration // the lease of workers, and the time within which cancelled tasks have to be gone
+	sharding            string        // of the fleet; "" for the default
+	directHeartbeats    int           // setting for heartbeats that the leader receives itself; 0: peers relay all of them
+	refusedFor          time.Duration // how long the leader is refused before the cancellations are requested; if negative, how long after their confirmation the refusal starts
+	outageDelay         time.Duration // time from the confirmation to the start of the outage
+	outageLength        time.Duration // 0: no outage
+	renewalWindow       time.Duration // the refusal ends that long before the outage, so that a renewal of the leader's lease may succeed; 0: it lasts until the outage
 	secondOutageAfter   time.Duration // a second refusal with an outage follows that long after the first; 0: none
 	extra               string        // names of additional faults
 }
@@ -48,31 +48,31 @@
 		g.controllers, g.lease, g.cancelWithin, g.sharding, g.directHeartbeats, g.refusedFor, g.outageDelay, g.outageLength, g.renewalWindow, g.secondOutageAfter, g.extra)
 }
 
-func (g outageCase) hasExtra(word string) bool { return slices.Contains(strings.Fields(g.extra), word) }
+func (g outageCase) hasExtra(name string) bool { return slices.Contains(strings.Fields(g.extra), name) }
 
-// extraFaults are the additional faults of an outage case.
+// extraFaults are the sets of additional faults of an outage case.
 var extraFaults = []string{
 	"",
-	"asked",         // the abort's answer is lost; the user learns of it by asking another controller
-	"both",          // two controllers are asked to cancel at once
-	"late",          // the transactions of cancellations have no answer, and are carried out a second later
-	"one-way",       // every second machine receives nothing from the controllers, for a while
-	"crash",         // the peers crash and are back in 0.1 s
-	"crash-leader",  // the leader does
-	"still",         // the leader is paused for a while, between a check and what it sends
-	"still-twice",   // and again, for longer
-	"slow",          // the leader is slow at each step
-	"cloud",         // the cloud answers nothing but 503
-	"loose",         // direct launches of these jobs are held up, and have no answer
-	"loose cloud",   // and machines can't be released
-	"passed",        // the leader reaches no machine but by the peers
-	"blind",         // the renewals of the leader are answered, and none of its reads is
-	"blind lagging", // these are, but late
+	"asked",        // the responses to cancellations are lost; users see the cancellation when they ask another controller
+	"both",         // two controllers receive the cancellation at once
+	"late",         // the transaction of a cancellation gets no response, and is committed a second later
+	"one-way",      // every second machine receives nothing from the controllers for 30 s
+	"crash",        // the leader's peers crash and restart within 0.1 s
+	"crash-leader", // the leader crashes and restarts within 0.1 s
+	"still",        // the leader is paused for some time, between a check and the message that depends on it
+	"still-twice",  // the leader is paused repeatedly, for longer in total
+	"slow",         // each step of the leader is slow
+	"cloud",        // the cloud answers every request with 503, so machines can't be released
+	"loose",        // direct launch calls of the jobs to cancel are delayed, and get no response
+	"loose cloud",
+	"passed",        // the leader reaches machines only through its peers
+	"blind",         // the leader's lease renewals are answered, but not its reads
+	"blind lagging", // the leader's reads are answered, but late
 	"blind slow",
 	"blind one-way",
 	"blind asked",
-	"delayed", // what the leader sends is held by the network, and delivered late
-	"apart",   // the peers reach neither the machines nor the leader
+	"delayed", // the network delivers late what controllers send
+	"apart",   // the leader's peers reach neither the machines nor the leader
 	"apart slow",
 	"apart one-way",
 	"late both",
@@ -81,22 +81,21 @@
 	"loose apart cloud",
 }
 
-// machineAnswer is an answer that a machine has received: from which controller, under which
-// fencing token.
+// machineAnswer is an answer that a machine has received from a controller, with its fencing token.
 type machineAnswer struct {
 	at            time.Time
 	machine, node string
 	token         uint64
 }
 
-// answerWatcher records the answers that machines receive, and where tasks are.
+// answerWatcher records the answers that machines receive, and the machines on which tasks run.
 type answerWatcher struct {
 	*simulator.Checker
 	mu         sync.Mutex
 	answers    []machineAnswer
 	placements map[wire.TaskID]map[string]bool
-	jobGoneAt  map[string]time.Time // when the last task of a job was gone
-	goneTasks  map[string]int       // number of a job's tasks that were gone
+	jobGoneAt  map[string]time.Time // when the most recent of a job's tasks was gone
+	goneTasks  map[string]int       // number of times that a task of a job stopped
 }
 
 func (g *answerWatcher) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
@@ -123,13 +122,13 @@
 	}
 }
 
-// machines returns those that have tasks of the jobs.
+// machines returns the machines that have tasks of the jobs.
 func (g *answerWatcher) machines(jobs []string) map[string]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := map[string]bool{}
-	for t, where := range g.placements {
-		for m := range where {
+	for t, hosts := range g.placements {
+		for m := range hosts {
 			if slices.Contains(jobs, t.Job) {
 				out[m] = true
 			}
@@ -138,8 +137,8 @@
 	return out
 }
 
-// answersSince counts the answers under a token to some machines since a time, and names the
-// controllers that gave them.
+// answersSince counts the answers with a fencing token that the machines received since a time, in total
+// and by the host of the controller that sent them.
 func (g *answerWatcher) answersSince(from time.Time, token uint64, machines map[string]bool) (n int, by map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,7 +152,7 @@
 	return n, by
 }
 
-// tappedNetwork is a machine's network on which answers are recorded.
+// tappedNetwork is a machine's network that records the answers it receives.
 type tappedNetwork struct {
 	transport.Network
 	machine string
@@ -172,13 +171,13 @@
 	net.Conn
 	tap  tappedNetwork
 	node string
-	got  []byte
+	got  []byte // received since the last complete response
 }
 
 func (c *tappedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.got = append(c.got, p[:n]...)
-	if r, e := httpwire.ReadResponse(bufio.NewReader(bytes.NewReader(c.got)), 8<<20); e == nil {
+	if r, parseErr := httpwire.ReadResponse(bufio.NewReader(bytes.NewReader(c.got)), 8<<20); parseErr == nil {
 		c.got = nil
 		var a wire.HeartbeatResponse
 		if r.Status == 200 && wire.Decode(r.Body, &a) == nil {
@@ -197,12 +196,12 @@
 	watcher        *answerWatcher
 	mu             sync.Mutex
 	workers        map[string]*simulator.Worker
-	callDelay      time.Duration     // of direct calls, at present
-	heldCalls      int               // direct calls that were delayed
-	outageBegun    bool              // the outage has begun
-	readsBlocked   map[int]bool      // controllers that get no answer to a read
-	leaseRenewedAt map[int]time.Time // by controller
-	confirmedAt    map[string]time.Time
+	callDelay      time.Duration        // current delay of direct calls
+	heldCalls      int                  // number of direct calls that were delayed
+	outageBegun    bool                 // the outage has begun
+	readsBlocked   map[int]bool         // controllers whose reads get no response
+	leaseRenewedAt map[int]time.Time    // last renewal of a lease, by controller
+	confirmedAt    map[string]time.Time // first confirmed cancellation, by job
 }
 
 const userHost = "10.3.0.9"
@@ -229,7 +228,7 @@
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
 	runtime := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
-	held := func() time.Duration {
+	callDelay := func() time.Duration {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.callDelay > 0 {
@@ -237,16 +236,16 @@
 		}
 		return w.callDelay
 	}
-	w.cloud.SetFaults(func(*simulator.CloudFaults) { // no machine has started yet
+	w.cloud.SetFaults(func(*simulator.CloudFaults) { // no machine has been started yet
 		w.cloud.Start = func(id, addr, typ, zone string, spot bool) simulator.Machine {
 			host := simulator.HostOf(addr)
 			w.net.SetZone(host, zone)
-			pull := 1.0
+			fetchFactor := 1.0
 			if zone == "b" {
-				pull = 5 // so that of a gang over both zones some wait for the others
+				fetchFactor = 5 // so that some members of a gang across both zones have to wait for the others
 			}
 			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tappedNetwork{w.net.Host(host), id, w.watcher},
-				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: held, FetchFactor: pull})
+				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: callDelay, FetchFactor: fetchFactor})
 			w.mu.Lock()
 			w.workers[id] = m
 			w.mu.Unlock()
@@ -256,7 +255,7 @@
 	return w
 }
 
-// ask sends one request to a controller.
+// ask sends one request to a controller. The status is 0 if there is no response.
 func (w *outageSimulation) ask(i int, method, path string, body []byte) (status int, s wire.JobStatus) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host(userHost).Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
@@ -281,16 +280,17 @@
 	}
 }
 
-// cancelUntilConfirmed cancels a job at some controllers, in turn, until that is confirmed. If the answers to the
-// requests are lost, the user learns of the cancellation from the status of the job at the next one.
+// cancelUntilConfirmed cancels a job at the given controllers, in turn, until one confirms it. If
+// answersLost, the responses to the cancellations are lost, and the user sees the cancellation in the
+// job's status at the next controller.
 func (w *outageSimulation) cancelUntilConfirmed(id string, answersLost bool, nodes ...int) {
 	path := wire.PathJobs + "/" + id
 	for try := 0; w.ctx.Err() == nil && try < 400; try++ {
 		status, s := 0, wire.JobStatus{}
-		at := nodes[try%len(nodes)]
+		target := nodes[try%len(nodes)]
 		if answersLost && try%2 == 1 {
-			status, s = w.ask(at, "GET", path, nil)
-		} else if status, s = w.ask(at, "POST", path+"/"+wire.CancelWord, []byte{}); answersLost {
+			status, s = w.ask(target, "GET", path, nil)
+		} else if status, s = w.ask(target, "POST", path+"/"+wire.CancelWord, []byte{}); answersLost {
 			continue
 		}
 		if status == 200 && s.Stage == wire.Cancelled {
@@ -307,7 +307,7 @@
 		}
 	}
 	if w.ctx.Err() == nil {
-		w.t.Errorf("%s can't be cancelled", id)
+		w.t.Errorf("no controller confirmed the cancellation of %s in 400 attempts", id)
 	}
 }
 
@@ -333,8 +333,9 @@
 	return n
 }
 
-// stateProxy is a controller's path to the state service. It records answered renewals, and blocks
-// answers to reads while the controller's reads are blocked, as a slow service does.
+// stateProxy returns the handler for a controller's path to the state service. It records successful
+// lease renewals, and withholds the responses to reads while the controller's reads are blocked, as a
+// slow service does.
 func (w *outageSimulation) stateProxy(i int) transport.ServeConn {
 	serve := w.store.ServeCaller(w.ip(i))
 	return func(ctx context.Context, s transport.Stream) {
@@ -346,7 +347,7 @@
 	transport.Stream
 	sim               *outageSimulation
 	node              int
-	isRead, isRenewal bool // what was asked last
+	isRead, isRenewal bool // kind of the last request
 }
 
 func (f *proxiedStream) Read(p []byte) (int, error) {
@@ -373,7 +374,7 @@
 	return f.Stream.Write(p)
 }
 
-// readLag is the delay of answers to a leader's reads.
+// readLag delays the responses to a leader's reads in cases with "lagging".
 const readLag = 2300 * time.Millisecond
 
 // inOutage reports whether the outage has begun.
@@ -389,43 +390,43 @@
 	return w.readsBlocked[i]
 }
 
-func (w *outageSimulation) setReadsBlocked(i int, blind bool) {
+func (w *outageSimulation) setReadsBlocked(i int, blocked bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.readsBlocked[i] = blind
+	w.readsBlocked[i] = blocked
 }
 
-// outageJobs returns jobs of every kind, whose tasks run, wait for their gang, or are yet to
-// start.
+// outageJobs returns the jobs to cancel: those whose tasks run when the leader is refused if now is
+// true, otherwise those whose tasks still wait for their gang or an image, or are yet to start.
 func outageJobs(now bool) []*wire.Job {
 	job := func(id string, shape wire.Shape, tasks int, gpus float64, image string, gb float64) *wire.Job {
 		return &wire.Job{ID: id, Class: "c", Team: "blue", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 0.5, GPUs: gpus, MemoryGB: 1, Image: image, ImageGB: gb, EstimateS: 60, Spot: true}
 	}
 	if now {
-		saves := job("wk-000005", wire.Array, 4, 0.25, "img", 1)
-		saves.CheckpointS, saves.SaveS = 5, 15
+		checkpointed := job("wk-000005", wire.Array, 4, 0.25, "img", 1)
+		checkpointed.CheckpointS, checkpointed.SaveS = 5, 15
 		service := job("wk-000002", wire.Service, 4, 0.25, "img", 1)
 		service.Spread, service.Priority, service.EstimateS = true, wire.Production, 0
-		return []*wire.Job{job("wk-000001", wire.Array, 40, 0.25, "img", 1), service, saves}
+		return []*wire.Job{job("wk-000001", wire.Array, 40, 0.25, "img", 1), service, checkpointed}
 	}
 	gang := job("wk-000003", wire.Gang, 2, 0.25, "other", 3)
 	gang.Spread, gang.CheckpointS, gang.SaveS = true, 5, 1
 	return []*wire.Job{gang, job("wk-000004", wire.Array, 4, 0.25, "large", 30), job("wk-000006", wire.Array, 4, 0.25, "small", 0)}
 }
 
-// outageResult is what happened in a case.
+// outageResult holds what was observed in a case.
 type outageResult struct {
-	directAnswers, relayedAnswers       int                    // answers of the refused leader to machines with cancelled tasks after the confirmation
-	remainingTime                       time.Duration          // of the bound for cancellations when the last task was gone
-	uncancelledTasks, uncancelledKilled int                    // tasks that nobody cancelled, and how many of them were gone before the service was back
-	lostLeases                          int                    // leases of workers that expired
-	lastRenewalAfter                    time.Duration          // from the refusal to the leader's last renewal before the service was back
-	heldCalls                           int                    // direct calls that were delayed
-	taskStates                          map[wire.TaskState]int // of the tasks when they were cancelled
+	directAnswers, relayedAnswers       int                    // answers of the refused leader, after the confirmation, to machines with cancelled tasks
+	remainingTime                       time.Duration          // time left of cancelWithin when the last task was gone
+	uncancelledTasks, uncancelledKilled int                    // tasks of jobs that were not cancelled, and how many of them were gone before the service was available again
+	lostLeases                          int                    // number of workers' leases that expired
+	lastRenewalAfter                    time.Duration          // from the start of the refusal to the leader's last renewal before the service was available again
+	heldCalls                           int                    // number of direct calls that were delayed
+	taskStates                          map[wire.TaskState]int // number of tasks to cancel in each state, just before their cancellation
 }
 
-// partitionMachines separates a controller's peers from it and from the machines, or it from the
-// machines.
+// partitionMachines starts or ends the partitions of a case: "passed" separates the leader from the
+// machines, "apart" its peers from the machines and from the leader.
 func (w *outageSimulation) partitionMachines(leader int, others []int, on bool) {
 	for _, host := range w.everyMachine() {
 		if w.outageCase.hasExtra("passed") {
@@ -444,13 +445,13 @@
 	}
 }
 
-// prepareTasks has jobs cancelled while their tasks wait for other members or an image, and a
-// machine taken so that tasks save. Then it starts a job; if the job's direct launches are to be
-// delayed, it returns as soon as one is.
-func (w *outageSimulation) prepareTasks(at int, jobs []*wire.Job, stuck time.Duration) {
-	begin := jobs[len(jobs)-1]
+// prepareTasks submits jobs so that they are cancelled while their tasks wait for other gang members or
+// for an image, and announces the preemption of a machine so that tasks save their state. Then it submits
+// the last job. If the case delays direct launch calls, it returns as soon as one is delayed.
+func (w *outageSimulation) prepareTasks(controller int, jobs []*wire.Job, callDelay time.Duration) {
+	lastJob := jobs[len(jobs)-1]
 	for _, j := range jobs[:len(jobs)-1] {
-		w.submitTo(at, j)
+		w.submitTo(controller, j)
 	}
 	time.Sleep(7 * time.Second)
 	for id := range w.watcher.machines([]string{"wk-000005"}) {
@@ -461,15 +462,15 @@
 		break
 	}
 	if !w.outageCase.hasExtra("loose") {
-		w.submitTo(at, begin)
+		w.submitTo(controller, lastJob)
 		time.Sleep(2 * time.Second)
 		return
 	}
 	time.Sleep(2 * time.Second)
 	w.mu.Lock()
-	w.callDelay = stuck
+	w.callDelay = callDelay
 	w.mu.Unlock()
-	w.submitTo(at, begin)
+	w.submitTo(controller, lastJob)
 	for range 150 {
 		w.mu.Lock()
 		n := w.heldCalls
@@ -481,8 +482,8 @@
 	}
 }
 
-// taskStates counts the tasks of jobs by their state on the machines.
-func (w *outageSimulation) taskStates(jobs []string) map[wire.TaskState]int {
+// countTaskStates counts the tasks of jobs by the state that machines report.
+func (w *outageSimulation) countTaskStates(jobs []string) map[wire.TaskState]int {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	out := map[wire.TaskState]int{}
 	for _, host := range w.everyMachine() {
@@ -503,8 +504,8 @@
 	return out
 }
 
-// watchLeases has machines check whether their lease has expired, which they otherwise do before a
-// heartbeat; a call that hangs would prevent it.
+// watchLeases makes machines check every 250 ms whether their lease has expired. Otherwise they check
+// this before a heartbeat, which a hanging call would prevent.
 func (w *outageSimulation) watchLeases(d time.Duration) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
@@ -516,10 +517,10 @@
 	}
 }
 
-// applyExtraFaults injects the additional faults of a case once cancellations were confirmed.
+// applyExtraFaults injects the additional faults of a case after cancellations were confirmed.
 func (w *outageSimulation) applyExtraFaults(leader int, others []int, rng *rand.Rand) {
 	g, ip := w.outageCase, w.ip(leader)
-	still := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Pause(ip, d) }) }
+	pauseLeader := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Pause(ip, d) }) }
 	switch {
 	case g.hasExtra("crash"):
 		for _, i := range others {
@@ -532,10 +533,10 @@
 			w.crash(leader, 100*time.Millisecond, 0)
 		})
 	case g.hasExtra("still"):
-		still(2500*time.Millisecond, time.Duration(2+rng.IntN(25))*time.Second)
+		pauseLeader(2500*time.Millisecond, time.Duration(2+rng.IntN(25))*time.Second)
 	case g.hasExtra("still-twice"):
 		for k := range 8 {
-			still(2500*time.Millisecond+time.Duration(k)*4*time.Second, 3800*time.Millisecond)
+			pauseLeader(2500*time.Millisecond+time.Duration(k)*4*time.Second, 3800*time.Millisecond)
 		}
 	case g.hasExtra("delayed"):
 		time.AfterFunc(2500*time.Millisecond, func() {
@@ -545,13 +546,13 @@
 		})
 	}
 	if g.hasExtra("slow") {
-		steps := rand.New(rand.NewPCG(rng.Uint64(), 7))
-		w.net.SetStepDelay(ip, func() time.Duration { return time.Duration(w.draw(steps, 900)) * time.Millisecond })
+		stepRNG := rand.New(rand.NewPCG(rng.Uint64(), 7))
+		w.net.SetStepDelay(ip, func() time.Duration { return time.Duration(w.draw(stepRNG, 900)) * time.Millisecond })
 		time.AfterFunc(max(g.outageLength, 30*time.Second), func() { w.net.SetStepDelay(ip, nil) })
 	}
 }
 
-// dropInboundOfHalf drops everything that is sent to every second machine for a while.
+// dropInboundOfHalf drops everything that controllers send to every second machine, for d.
 func (w *outageSimulation) dropInboundOfHalf(d time.Duration) {
 	for k, host := range w.everyMachine() {
 		for i := range w.outageCase.controllers {
@@ -562,8 +563,8 @@
 	}
 }
 
-// delayNextCommit leaves the next transaction that writes a batch without an answer, and commits
-// it a second later.
+// delayNextCommit makes the state service leave the next transaction that writes a batch without a
+// response, and commit it a second later.
 func (w *outageSimulation) delayNextCommit() {
 	w.store.Configure(func(s *simulator.StateService) {
 		first := true
@@ -579,7 +580,8 @@
 	})
 }
 
-// playOutage stages the outage of the state service after the confirmation.
+// playOutage simulates an outage of the state service after the confirmation. first tells the first
+// outage of a case from the second.
 func (w *outageSimulation) playOutage(ip string, first bool) {
 	g := w.outageCase
 	switch {
@@ -605,11 +607,11 @@
 	w.store.SetOutage(false)
 }
 
-// run stages a case and checks the rules.
+// run simulates a case and checks the protocol's rules.
 func (g outageCase) run(t *testing.T, seed uint64) (m outageResult) {
 	w := newOutageSimulation(t, g, seed)
 	time.Sleep(8 * time.Second)
-	rest := w.submitUncancelled()
+	uncancelled := w.submitUncancelled()
 	jobs, last := outageJobs(true), outageJobs(false)
 	for _, j := range jobs {
 		w.submitTo(1, j)
@@ -617,7 +619,7 @@
 	time.Sleep(25 * time.Second)
 	leader, token := w.firstLeader()
 	if leader < 0 || len(w.workers) == 0 {
-		t.Fatal("the fleet has no leader or no machine")
+		t.Fatal("the fleet has no leader or no machines")
 	}
 	var others []int
 	for i := range g.controllers {
@@ -625,7 +627,7 @@
 			others = append(others, i)
 		}
 	}
-	// These are launched while the leader is served, or just before it is refused.
+	// These jobs are launched while the state service serves the leader, or just before it refuses it.
 	w.prepareTasks(others[0], last, g.cancelWithin+max(g.refusedFor, 0)+5*time.Second)
 	refused := w.refuseLeader(leader, others)
 	w.mu.Lock()
@@ -641,27 +643,27 @@
 	for _, j := range append(jobs, last...) {
 		ids = append(ids, j.ID)
 	}
-	on := w.watcher.machines(ids)
-	m.taskStates = w.taskStates(ids)
+	taskMachines := w.watcher.machines(ids)
+	m.taskStates = w.countTaskStates(ids)
 	confirmed := w.cancelAllUntilConfirmed(ids, others)
-	m.uncancelledTasks, m.uncancelledKilled = len(rest), -w.watcher.goneCount(rest)
+	m.uncancelledTasks, m.uncancelledKilled = len(uncancelled), -w.watcher.goneCount(uncancelled)
 	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
 	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancelWithin - g.lease + time.Second) })
 	m.lastRenewalAfter = w.playOutages(leader).Sub(refused)
-	m.uncancelledKilled += w.watcher.goneCount(rest)
-	time.Sleep(max(0, g.cancelWithin+15*time.Second-time.Since(confirmed))) // delayed messages and images have arrived
+	m.uncancelledKilled += w.watcher.goneCount(uncancelled)
+	time.Sleep(max(0, g.cancelWithin+15*time.Second-time.Since(confirmed))) // by then, delayed messages and images have arrived
 	from := confirmed
-	if g.refusedFor > g.cancelWithin-g.lease-13*time.Second || g.hasExtra("apart") { // it may have stopped by then
+	if g.refusedFor > g.cancelWithin-g.lease-13*time.Second || g.hasExtra("apart") { // the leader may have stopped answering before the confirmation
 		from = refused
 	}
-	all, by := w.watcher.answersSince(from, token, on)
-	m.directAnswers = by[w.ip(leader)]
+	all, byHost := w.watcher.answersSince(from, token, taskMachines)
+	m.directAnswers = byHost[w.ip(leader)]
 	m.relayedAnswers = all - m.directAnswers
-	w.finishCase(leader, others, rest, &m)
+	w.finishCase(leader, others, uncancelled, &m)
 	return m
 }
 
-// submitUncancelled submits jobs that nobody cancels and that every controller is asked about.
+// submitUncancelled submits jobs that are not cancelled, in turn to all controllers.
 func (w *outageSimulation) submitUncancelled() (ids []string) {
 	for i := range 6 {
 		ids = append(ids, fmt.Sprint("wk-00001", i))
@@ -670,7 +672,8 @@
 	return ids
 }
 
-// refuseLeader separates the leader as the case says, lets that last, and returns when it began.
+// refuseLeader isolates the leader as the case describes, waits for the refusedFor of the case, and
+// returns when the isolation began.
 func (w *outageSimulation) refuseLeader(leader int, others []int) (refused time.Time) {
 	g := w.outageCase
 	w.partitionMachines(leader, others, true)
@@ -686,25 +689,26 @@
 	return refused
 }
 
-// cancelAllUntilConfirmed cancels jobs through the other controllers, and returns when all were confirmed.
+// cancelAllUntilConfirmed cancels jobs through the other controllers, and returns the time when all of
+// them were confirmed.
 func (w *outageSimulation) cancelAllUntilConfirmed(ids []string, others []int) (confirmed time.Time) {
-	var told sync.WaitGroup
+	var cancellations sync.WaitGroup
 	answersLost := w.outageCase.hasExtra("asked")
 	for k, id := range ids {
 		a, b := others[k%len(others)], others[(k+1)%len(others)]
-		told.Go(func() { w.cancelUntilConfirmed(id, answersLost, a, b) })
+		cancellations.Go(func() { w.cancelUntilConfirmed(id, answersLost, a, b) })
 		if w.outageCase.hasExtra("both") {
-			told.Go(func() { w.cancelUntilConfirmed(id, answersLost, b, a) })
+			cancellations.Go(func() { w.cancelUntilConfirmed(id, answersLost, b, a) })
 		}
 	}
-	told.Wait()
+	cancellations.Wait()
 	confirmed = time.Now()
 	w.store.Configure(func(s *simulator.StateService) { s.FateOf = nil })
 	return confirmed
 }
 
-// playOutages stages the outages of the case, and returns when the leader's lease was last renewed
-// before the end of the first.
+// playOutages simulates the outages of the case, and returns when the leader's lease was last renewed
+// before the end of the first outage.
 func (w *outageSimulation) playOutages(leader int) (lastRenewal time.Time) {
 	w.playOutage(w.ip(leader), true)
 	w.mu.Lock()
@@ -720,22 +724,22 @@
 	return lastRenewal
 }
 
-// finishCase ends all faults, cancels the remaining jobs, and checks the rules.
-func (w *outageSimulation) finishCase(leader int, others []int, rest []string, m *outageResult) {
+// finishCase ends all faults, cancels the jobs in uncancelled, and checks the protocol's rules.
+func (w *outageSimulation) finishCase(leader int, others []int, uncancelled []string, m *outageResult) {
 	w.partitionMachines(leader, others, false)
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = false })
 	m.remainingTime = w.remainingTime()
 	m.lostLeases = w.lostLeases()
 	w.declareQuiet()
 	time.Sleep(10 * time.Second)
-	for _, id := range rest {
+	for _, id := range uncancelled {
 		w.cancelUntilConfirmed(id, false, 0, 1)
 	}
 	w.finish(10 * time.Minute)
 	w.checkResults()
 }
 
-// unmetConditions describes which fault of a case did not take effect, "" if all did.
+// unmetConditions describes a fault of a case that did not take effect, or returns "" if all did.
 func (g outageCase) unmetConditions(m outageResult) string {
 	switch {
 	case m.directAnswers+m.relayedAnswers == 0 && g.cancelWithin-g.lease >= 10*time.Second:
@@ -752,7 +756,7 @@
 	return ""
 }
 
-// goneCount counts the tasks of jobs that are gone.
+// goneCount returns how many times tasks of the jobs stopped.
 func (g *answerWatcher) goneCount(jobs []string) (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -762,33 +766,33 @@
 	return n
 }
 
-// remainingTime returns what was left of the bound for cancellations when the last task was gone.
+// remainingTime returns how much of the bound for cancellations was left when the last task was gone.
 func (w *outageSimulation) remainingTime() time.Duration {
 	w.watcher.mu.Lock()
 	defer w.watcher.mu.Unlock()
-	room := w.outageCase.cancelWithin
-	for id, at := range w.watcher.jobGoneAt {
-		if told := w.confirmedAt[id]; !told.IsZero() {
-			room = min(room, w.outageCase.cancelWithin-at.Sub(told))
+	remaining := w.outageCase.cancelWithin
+	for id, goneAt := range w.watcher.jobGoneAt {
+		if confirmedAt := w.confirmedAt[id]; !confirmedAt.IsZero() {
+			remaining = min(remaining, w.outageCase.cancelWithin-goneAt.Sub(confirmedAt))
 		}
 	}
-	return room
+	return remaining
 }
 
-// outageCases lists all cases in a fixed order of which every section is a fair sample.
+// outageCases lists all cases, shuffled in a fixed order so that every section is a fair sample.
 func outageCases() (all []outageCase) {
 	s, ms := time.Second, time.Millisecond
-	for _, nodes := range []int{3, 5} {
+	for _, controllers := range []int{3, 5} {
 		for _, times := range [][2]time.Duration{{20 * s, 45 * s}, {31 * s, 56 * s}, {36 * s, 61 * s}, {20 * s, 35 * s}, {20 * s, 30 * s}, {20 * s, 27 * s}} {
-			for _, by := range []string{"", "zone"} {
-				for _, keep := range []int{0, 200} {
-					for _, refused := range []time.Duration{-3 * s, -50 * ms, 0, ms, 100 * ms, s, 2 * s, 4 * s, 6 * s, 8 * s, 9 * s, 12 * s, 16 * s, 20 * s} {
-						for _, outage := range []time.Duration{0, 10 * ms, 500 * ms, 2 * s, 5 * s, 12 * s} {
-							for _, lasts := range []time.Duration{0, times[0] - 8*s, times[0] + s, times[1] - s, times[1] + 3*s, times[1] + 40*s} {
-								for _, renews := range []time.Duration{0, 50 * ms, 150 * ms, 350 * ms, s} {
-									for _, again := range []time.Duration{0, 300 * ms, 3 * s} {
-										for _, with := range extraFaults {
-											g := outageCase{nodes, times[0], times[1], by, keep, refused, outage, lasts, renews, again, with}
+			for _, sharding := range []string{"", "zone"} {
+				for _, directHeartbeats := range []int{0, 200} {
+					for _, refusedFor := range []time.Duration{-3 * s, -50 * ms, 0, ms, 100 * ms, s, 2 * s, 4 * s, 6 * s, 8 * s, 9 * s, 12 * s, 16 * s, 20 * s} {
+						for _, outageDelay := range []time.Duration{0, 10 * ms, 500 * ms, 2 * s, 5 * s, 12 * s} {
+							for _, outageLength := range []time.Duration{0, times[0] - 8*s, times[0] + s, times[1] - s, times[1] + 3*s, times[1] + 40*s} {
+								for _, renewalWindow := range []time.Duration{0, 50 * ms, 150 * ms, 350 * ms, s} {
+									for _, secondOutageAfter := range []time.Duration{0, 300 * ms, 3 * s} {
+										for _, extra := range extraFaults {
+											g := outageCase{controllers, times[0], times[1], sharding, directHeartbeats, refusedFor, outageDelay, outageLength, renewalWindow, secondOutageAfter, extra}
 											if g.feasible() {
 												all = append(all, g)
 											}
@@ -806,17 +810,17 @@
 	return all
 }
 
-// feasible excludes faults that cannot coincide: a leader that is refused for long is replaced,
-// unless the others cannot reach the machines.
+// feasible reports whether the faults of a case can coincide. A leader that is refused for a long time is
+// replaced, unless the other controllers cannot reach the machines.
 func (g outageCase) feasible() bool {
-	room := g.cancelWithin - g.lease
-	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(room-9*time.Second, time.Second) && (room > 15*time.Second || !g.hasExtra("apart")) &&
+	margin := g.cancelWithin - g.lease
+	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(margin-9*time.Second, time.Second) && (margin > 15*time.Second || !g.hasExtra("apart")) &&
 		(g.outageDelay <= 5*time.Second || g.hasExtra("blind")) && (!g.hasExtra("blind") || g.refusedFor >= 0 && g.renewalWindow == 0 && g.secondOutageAfter == 0) &&
 		(g.renewalWindow == 0 || g.refusedFor >= 0 && g.renewalWindow < g.outageDelay) &&
 		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
 }
 
-// fixedOutageCases are the cases that are played by default.
+// fixedOutageCases lists the cases that run by default.
 func fixedOutageCases() []outageCase {
 	s, ms := time.Second, time.Millisecond
 	return []outageCase{
@@ -842,8 +846,10 @@
 	}
 }
 
-// TestCancelDuringOutage plays a fixed set of cases. AMBERDEAL_GAPS sets how many of all are
-// played instead, starting with the one that AMBERDEAL_GAP names.
+// TestCancelDuringOutage checks that cancelled tasks are gone in time although the state service refuses
+// the leader around the cancellation and is unavailable afterwards. By default it runs a fixed set of
+// cases. AMBERDEAL_GAPS runs that many of all cases instead, starting with the one that AMBERDEAL_GAP
+// selects; without AMBERDEAL_GAPS only that one is run.
 func TestCancelDuringOutage(t *testing.T) {
 	list := fixedOutageCases()
 	first, fixed := 0, os.Getenv("AMBERDEAL_GAP")+os.Getenv("AMBERDEAL_GAPS") == ""
@@ -857,32 +863,32 @@
 		list = all[first:min(first+n, len(all))]
 		t.Logf("%d of %d", len(list), len(all))
 	}
-	met, played, missed := map[wire.TaskState]int{}, 0, 0
+	cancelledStates, played, unmet := map[wire.TaskState]int{}, 0, 0
 	for i, g := range list {
 		t.Run(fmt.Sprint("gap ", first+i), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := g.run(t, uint64(first+i))
-				t.Logf("%v: answers %d direct, %d passed; room %v; %d of %d others killed; %d leases lost; %d calls stuck; %v",
+				t.Logf("%v: %d direct and %d relayed answers; %v remaining; %d of %d uncancelled tasks gone; %d leases expired; %d calls delayed; task states %v",
 					g, m.directAnswers, m.relayedAnswers, m.remainingTime.Round(10*time.Millisecond), m.uncancelledKilled, m.uncancelledTasks, m.lostLeases, m.heldCalls, m.taskStates)
 				if why := g.unmetConditions(m); why != "" && fixed {
 					t.Error(why)
 				} else if why != "" {
-					missed++
-					t.Log("not met: ", why)
+					unmet++
+					t.Log("a fault did not take effect: ", why)
 				}
 				played++
 				for state, n := range m.taskStates {
-					met[state] += n
+					cancelledStates[state] += n
 				}
 			})
 		})
 	}
 	for _, state := range []wire.TaskState{wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskSaving} {
-		if met[state] == 0 && played > 15 {
-			t.Errorf("no task that was %s was cancelled in any gap", state)
+		if cancelledStates[state] == 0 && played > 15 {
+			t.Errorf("no task in state %s was cancelled in any case", state)
 		}
 	}
-	if missed*5 > played { // of those that are drawn, machines find the leader too late in some
-		t.Errorf("%d of %d gaps did not come about", missed, played)
+	if unmet*5 > played { // in some of the drawn cases machines find the leader too late
+		t.Errorf("in %d of %d cases a fault did not take effect", unmet, played)
 	}
 }
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -20,19 +20,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// combinedFault is a fault whose length is between two bounds; one without length is over at once.
+// combinedFault is a fault that lasts for a time between minLength and maxLength. If both are 0 it is
+// over at once.
 type combinedFault struct {
 	name                 string
 	minLength, maxLength time.Duration
 	apply                func(m *faultCombination, d time.Duration)
 }
 
-// timeBounds are the times that rules rest on in a simulation: how long an answer is waited for,
-// when a machine is suspected, the age of what a leader knows, its lease, the workers' lease, the
-// longest that a leader answers unconfirmed and the lease after that, and cancel_s.
+// timeBounds are the times on which the protocol's rules depend in a simulation: how long a response is
+// waited for, when a machine is suspected, the maximum age of a leader's view, a leader's lease, the
+// workers' lease, the longest time for which a leader answers without confirmation together with the
+// lease after that, and cancel_s.
 var timeBounds = []time.Duration{2 * time.Second, 4 * time.Second, 5750 * time.Millisecond, 8 * time.Second, 9 * time.Second, workerLease, 40 * time.Second, 45 * time.Second}
 
-// nearBound draws a time around one of timeBounds, between two others.
+// nearBound draws a time close to one of timeBounds, limited to the range from least to most.
 func nearBound(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
@@ -44,13 +46,13 @@
 	return d
 }
 
-// faultCombination is a day on which faults overlap.
+// faultCombination is a simulation in which faults overlap.
 type faultCombination struct {
 	*simulation
 	number              uint64
 	faultRNG            *rand.Rand
-	target              int          // the controller that faults are about
-	replayedToNewLeader atomic.Int64 // heartbeats that were replayed to the next leader
+	target              int          // the controller that faults affect
+	replayedToNewLeader atomic.Int64 // number of heartbeats that were replayed to the next leader
 	mu                  sync.Mutex
 	clients             []*client
 }
@@ -58,7 +60,7 @@
 // targetIP returns the address of the target.
 func (m *faultCombination) targetIP() string { return m.ip(m.target) }
 
-// addClient adds a user, who is one of allClients then.
+// addClient starts a user who submits a job, and adds the user to allClients.
 func (m *faultCombination) addClient(j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) {
 	c := m.submitter(m.number, j, submit, cancel, runs...)
 	m.mu.Lock()
@@ -66,14 +68,14 @@
 	m.clients = append(m.clients, c)
 }
 
-// allClients lists the users.
+// allClients returns all users that were added so far.
 func (m *faultCombination) allClients() []*client {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.clients)
 }
 
-// pickTarget picks the controller that faults are about: usually a leader.
+// pickTarget draws the controller that the next fault affects, usually a leader.
 func (m *faultCombination) pickTarget() {
 	m.target = m.faultRNG.IntN(m.count)
 	if m.faultRNG.IntN(4) > 0 {
@@ -85,18 +87,18 @@
 	}
 }
 
-// pickMachines picks some of the machines that are up: one, half of them, or all.
+// pickMachines returns one, half or all of the running machines.
 func (m *faultCombination) pickMachines() (out []upMachine) {
-	share := m.faultRNG.IntN(3)
+	selection := m.faultRNG.IntN(3)
 	for i, x := range m.runningMachines() {
-		if share == 0 && i == 0 || share == 1 && i%2 == 0 || share == 2 {
+		if selection == 0 && i == 0 || selection == 1 && i%2 == 0 || selection == 2 {
 			out = append(out, x)
 		}
 	}
 	return out
 }
 
-// machineHosts returns the hosts of all machines, including those that do not exist yet.
+// machineHosts returns the hosts of all machines, including machines that are not rented yet.
 func machineHosts() (hosts []string) {
 	for n := range 60 {
 		hosts = append(hosts, fmt.Sprintf("10.1.0.%d", n+1))
@@ -109,16 +111,16 @@
 	sec             = time.Second
 )
 
-// combinedFaults are all faults that are combined with each other.
+// combinedFaults lists the faults that are combined with each other.
 var combinedFaults = []combinedFault{
 	{"a controller is killed and back at once", 0, 0, func(m *faultCombination, _ time.Duration) {
 		m.crash(m.target, restartDelay(m.faultRNG), finalHoldTime(m.faultRNG))
 	}},
 	{"a controller is killed and back later", 1 * sec, 30 * sec, func(m *faultCombination, d time.Duration) { m.crash(m.target, d, 0) }},
 	{"all are killed and back at once", 0, 0, func(m *faultCombination, _ time.Duration) {
-		late := finalHoldTime(m.faultRNG)
+		hold := finalHoldTime(m.faultRNG)
 		for _, i := range m.faultRNG.Perm(m.count) {
-			m.group.Go(func() { m.crash(i, minRestartDelay+time.Duration(i)*70*time.Millisecond, late) })
+			m.group.Go(func() { m.crash(i, minRestartDelay+time.Duration(i)*70*time.Millisecond, hold) })
 		}
 	}},
 	{"all are killed and back later", 1 * sec, 30 * sec, func(m *faultCombination, d time.Duration) {
@@ -139,8 +141,8 @@
 		}
 	}},
 	{"a controller is slow", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		ip, most, steps := m.targetIP(), 100+m.faultRNG.IntN(1400), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
-		m.net.SetStepDelay(ip, func() time.Duration { return time.Duration(m.draw(steps, most)) * time.Millisecond })
+		ip, maxDelay, stepRNG := m.targetIP(), 100+m.faultRNG.IntN(1400), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
+		m.net.SetStepDelay(ip, func() time.Duration { return time.Duration(m.draw(stepRNG, maxDelay)) * time.Millisecond })
 		time.AfterFunc(d, func() { m.net.SetStepDelay(ip, nil) })
 	}},
 	{"two processes of one name", 50 * time.Millisecond, 6 * sec, func(m *faultCombination, d time.Duration) { m.twin(m.target, d, finalHoldTime(m.faultRNG)) }},
@@ -197,11 +199,11 @@
 	{"the state service is out for a while", 1 * sec, 20 * sec, func(m *faultCombination, d time.Duration) { during(d, m.store.SetOutage) }},
 	{"the state service is out for longer than cancel_s", 46 * sec, 70 * sec, func(m *faultCombination, d time.Duration) { during(d, m.store.SetOutage) }},
 	{"the state service is slow", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		most, steps := 200+m.faultRNG.IntN(4000), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
+		maxDelay, stepRNG := 200+m.faultRNG.IntN(4000), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
 		during(d, func(on bool) {
 			m.store.Configure(func(s *simulator.StateService) {
 				if s.ResponseDelay = nil; on {
-					s.ResponseDelay = func() time.Duration { return time.Duration(m.draw(steps, most)) * time.Millisecond }
+					s.ResponseDelay = func() time.Duration { return time.Duration(m.draw(stepRNG, maxDelay)) * time.Millisecond }
 				}
 			})
 		})
@@ -282,8 +284,8 @@
 		time.AfterFunc(d, func() { m.cloud.SetFaults(func(f *simulator.CloudFaults) { *f = simulator.CloudFaults{} }) })
 	}},
 	{"writes are taken, their answers lost", 10 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		share, of, steps := []int{30, 60, 100}[m.faultRNG.IntN(3)], m.faultRNG.IntN(3), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
-		kind := []string{"", "ledger/", "batch/"}[of]
+		share, kindIndex, stepRNG := []int{30, 60, 100}[m.faultRNG.IntN(3)], m.faultRNG.IntN(3), rand.New(rand.NewPCG(m.faultRNG.Uint64(), 7))
+		kind := []string{"", "ledger/", "batch/"}[kindIndex]
 		during(d, func(on bool) {
 			m.store.Configure(func(s *simulator.StateService) {
 				if s.FateOf, s.OnCommit = nil, nil; !on {
@@ -295,14 +297,14 @@
 					for key := range puts {
 						lost = lost || strings.HasPrefix(key, store.StatePrefix+kind)
 					}
-					if lost = lost && m.draw(steps, 100) < share; lost {
+					if lost = lost && m.draw(stepRNG, 100) < share; lost {
 						return simulator.FateReplyLost
 					}
 					return simulator.FateAnswered
 				}
 				s.OnCommit = func([]string) {
 					if lost {
-						faultCounts.taken.Add(1)
+						faultCounts.committedWithoutReply.Add(1)
 					}
 					lost = false
 				}
@@ -314,13 +316,13 @@
 		token, before := m.token(), m.replayer.DeliveredToNewLeader()
 		m.group.Go(func() {
 			end := time.Now().Add(d - 6*sec)
-			for at := time.Now().Add(d / 4); m.token() == token && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-				if time.Now().After(at) { // nothing else has ended the leader
-					at = end
+			for crashAt := time.Now().Add(d / 4); m.token() == token && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+				if time.Now().After(crashAt) { // no other fault has replaced the leader
+					crashAt = end
 					m.crash(max(0, m.anyLeader()), 15*sec, 0)
 				}
 			}
-			time.Sleep(5 * sec) // it acts, and they come there
+			time.Sleep(5 * sec) // the new leader has taken over, and the heartbeats have arrived there
 			m.replayedToNewLeader.Add(int64(m.replayer.DeliveredToNewLeader() - before))
 			m.replayer.KeepForNextLeader(0)
 		})
@@ -331,7 +333,7 @@
 		m.group.Go(func() {
 			m.atJobEnds(d, -300*time.Millisecond, func(c *client) {
 				if c.untilAnswered(c.cancel) == 200 {
-					faultCounts.atEnd.Add(1)
+					faultCounts.cancelledAtEnd.Add(1)
 				}
 			})
 		})
@@ -354,36 +356,36 @@
 		during(d, func(on bool) {
 			m.cloud.SetFaults(func(*simulator.CloudFaults) {
 				m.cloud.BootTime, m.cloud.Capacity = 5*sec, 6
-				if on { // and there are some more
+				if on { // some more machines are available too
 					m.cloud.BootTime, m.cloud.Capacity = boot, 9
 				}
 			})
 		})
 		for k := range 3 {
-			j := jobOf(fmt.Sprintf("wk-7%05d", len(m.allClients())), wire.Array, 3, 8*sec, func(j *wire.Job) { j.GPUs = 4 }) // which need them
+			j := jobOf(fmt.Sprintf("wk-7%05d", len(m.allClients())), wire.Array, 3, 8*sec, func(j *wire.Job) { j.GPUs = 4 }) // needs the additional machines
 			m.addClient(j, d*time.Duration(k)/4, 0, 8*sec)
 		}
 	}},
 }
 
-// cancelRunning has users cancel most of the jobs that run and have long to go within a fifth of a
-// second. Machines on which they run are paused for a while, if that is not 0.
+// cancelRunning makes users cancel most of the running jobs that have long to go, within a fifth of a
+// second. If hang is not 0, it pauses up to 8 machines on which these jobs run for that long.
 func (m *faultCombination) cancelRunning(hang time.Duration) {
-	hung := 0
+	paused := 0
 	for _, c := range m.allClients() {
 		if c.maxRunTime < 40*sec || m.checker.Running(c.job.ID) == 0 || m.checker.Stage(c.job.ID).Final() || m.faultRNG.IntN(4) == 0 {
 			continue
 		}
-		counts := &faultCounts.atOnce
+		counts := &faultCounts.cancelledTogether
 		for _, x := range m.runningMachines() {
-			if hang > 0 && hung < 8 && m.tasks.ranOn(x.id, c.job) {
-				hung, counts = hung+1, &faultCounts.hung
+			if hang > 0 && paused < 8 && m.tasks.ranOn(x.id, c.job) {
+				paused, counts = paused+1, &faultCounts.cancelledWhilePaused
 				x.Pause(hang)
 			}
 		}
-		late := time.Duration(m.faultRNG.IntN(200)) * time.Millisecond
+		delay := time.Duration(m.faultRNG.IntN(200)) * time.Millisecond
 		m.group.Go(func() {
-			time.Sleep(late)
+			time.Sleep(delay)
 			if c.untilAnswered(c.cancel) == 200 && m.checker.Stage(c.job.ID) == wire.Cancelled {
 				counts.Add(1)
 			}
@@ -391,44 +393,44 @@
 	}
 }
 
-// atJobEnds calls a function with each job around the end of its last task, up to so much earlier
-// or half a second later, for a while.
+// atJobEnds calls do, during d, for each job close to the end of its last task: between from (at most 0)
+// and half a second after that end.
 func (m *faultCombination) atJobEnds(d, from time.Duration, do func(c *client)) {
-	rng, met := rand.New(rand.NewPCG(m.number, 23)), map[*client]bool{}
+	rng, handled := rand.New(rand.NewPCG(m.number, 23)), map[*client]bool{}
 	const step = 200 * time.Millisecond
-	for begun := time.Now(); time.Since(begun) < d && m.ctx.Err() == nil; time.Sleep(step) {
+	for start := time.Now(); time.Since(start) < d && m.ctx.Err() == nil; time.Sleep(step) {
 		for _, c := range m.allClients() {
-			last, ok := m.tasks.jobEnd(c.job)
-			if at := time.Until(last) + from; !ok || met[c] || at > step || at < -step || m.checker.Stage(c.job.ID).Final() {
+			jobEnd, ok := m.tasks.jobEnd(c.job)
+			if wait := time.Until(jobEnd) + from; !ok || handled[c] || wait > step || wait < -step || m.checker.Stage(c.job.ID).Final() {
 				continue
 			}
-			met[c] = true
-			at := time.Until(last) + from + time.Duration(rng.IntN(int((500*time.Millisecond-from)/time.Millisecond)))*time.Millisecond
+			handled[c] = true
+			wait := time.Until(jobEnd) + from + time.Duration(rng.IntN(int((500*time.Millisecond-from)/time.Millisecond)))*time.Millisecond
 			m.group.Go(func() {
-				time.Sleep(at)
+				time.Sleep(wait)
 				do(c)
 			})
 		}
 	}
 }
 
-// sendMalformed sends an unusual request: a repeated submission, also with another content, of a
-// job that is not over, the cancellation of one that is done, or a job that lacks a field or can
-// never run.
+// sendMalformed sends an unusual request: a repeated submission, possibly with different content, the
+// cancellation of a job that is done, or a new job that lacks a field, has an invalid one or can never
+// run.
 func (m *faultCombination) sendMalformed(rng *rand.Rand) {
 	users := m.allClients()
 	c := users[rng.IntN(len(users))]
 	switch stage := m.checker.Stage(c.job.ID); {
 	case stage == wire.Done && rng.IntN(2) == 0:
 		if c.cancel(c.anyController()) == 200 {
-			faultCounts.odd.Add(1)
+			faultCounts.malformedRequests.Add(1)
 		}
 		return
 	case stage != "" && rng.IntN(2) == 0:
 		c.ask(c.anyController(), 5*sec, "POST", wire.PathJobs, c.body())
 		return
 	}
-	j, want := jobOf(fmt.Sprintf("wk-8%05d", rng.IntN(1e5)), wire.Array, 1+rng.IntN(3), 10*sec), 422
+	j, wantStatus := jobOf(fmt.Sprintf("wk-8%05d", rng.IntN(1e5)), wire.Array, 1+rng.IntN(3), 10*sec), 422
 	var fields map[string]any
 	switch rng.IntN(6) {
 	case 0:
@@ -438,9 +440,9 @@
 	case 2:
 		j.Types = []string{"none"}
 	case 3:
-		j.Team, j.Shape, j.GPUs, j.Tasks = "red", wire.Gang, 4, 2 // red may have 6
+		j.Team, j.Shape, j.GPUs, j.Tasks = "red", wire.Gang, 4, 2 // the limit of team red is 6 GPUs
 	default:
-		want = 400
+		wantStatus = 400
 		_ = wire.DecodeValue(wire.Encode(j), &fields)
 		names := slices.DeleteFunc(slices.Sorted(maps.Keys(fields)), func(name string) bool { return fields[name] == nil })
 		if name := names[rng.IntN(len(names))]; rng.IntN(2) == 0 {
@@ -450,29 +452,28 @@
 		}
 	}
 	body := wire.Encode(j)
-	if want == 400 {
+	if wantStatus == 400 {
 		body = wire.Encode(fields)
 	}
 	resp, err := m.request(rng.IntN(m.count), 5*sec, "POST", wire.PathJobs, body)
 	switch {
 	case err != nil || resp.Status == 429 || resp.Status >= 500:
-	case resp.Status != want:
-		m.t.Errorf("%v, %+v is answered %d instead of %d", fields, j, resp.Status, want)
+	case resp.Status != wantStatus:
+		m.t.Errorf("submission with fields %v of job %+v is answered %d instead of %d", fields, j, resp.Status, wantStatus)
 	default:
-		faultCounts.odd.Add(1)
+		faultCounts.malformedRequests.Add(1)
 	}
 }
 
-// faultPair returns the faults of a case: as many cases as there are faults contain each of them
-// once as the first and once as the second, and the square of that number contains every ordered
-// pair.
+// faultPair returns the two faults of a case. With n faults, the first n cases contain each fault once as
+// the first and once as the second, and the first n*n cases contain every ordered pair.
 func faultPair(number uint64) (first, second *combinedFault) {
 	n := uint64(len(combinedFaults))
 	i, round := number%n, number/n%n
-	return &combinedFaults[i], &combinedFaults[(i+7+round*5)%n] // 5 and their number have no common divisor
+	return &combinedFaults[i], &combinedFaults[(i+7+round*5)%n] // 5 and the number of faults have no common divisor
 }
 
-// drawFaultTriple draws the faults of a case of three.
+// drawFaultTriple draws the three faults of a case.
 func drawFaultTriple(number uint64) (out []*combinedFault) {
 	for _, i := range rand.New(rand.NewPCG(number, 21)).Perm(len(combinedFaults))[:3] {
 		out = append(out, &combinedFaults[i])
@@ -480,15 +481,15 @@
 	return out
 }
 
-// faultCounts counts what took effect in all cases that were played, to verify that each fault
-// does something.
+// faultCounts counts the effects of faults over all cases that were run, to verify that each kind of
+// fault takes effect.
 var faultCounts struct {
-	played, putOff, putOffTaken, replayed, takeovers, cancelled, twoShards, taken, kept, atOnce, hung, atEnd, looks, odd, quick atomic.Int64
+	played, delayedWrites, delayedWritesCommitted, replayedHeartbeats, takeovers, cancelled, twoShards, committedWithoutReply, heartbeatsToNewLeader, cancelledTogether, cancelledWhilePaused, cancelledAtEnd, concurrentPolls, malformedRequests, bootStarts atomic.Int64
 }
 
-// playCombinedFaults simulates a day on which faults overlap while jobs of every shape run, among
-// them arrays whose tasks end far apart, and users cancel before, during and after the faults at
-// all controllers. Afterwards no fault is active.
+// playCombinedFaults runs a simulation in which faults overlap while jobs of every shape run, among them
+// arrays whose tasks end far apart, and users cancel jobs at all controllers before, during and after the
+// faults. No fault is active when it checks that all jobs end.
 func playCombinedFaults(t *testing.T, number uint64, faults ...*combinedFault) {
 	rng := rand.New(rand.NewPCG(number, 20))
 	d := drawCombination(rng, number, faults)
@@ -507,13 +508,13 @@
 	}()
 	log(d)
 
-	begins := 24*sec + time.Duration(rng.IntN(6000))*time.Millisecond
-	starts, over, at := make([]time.Duration, len(faults)), time.Duration(0), begins
+	firstStart := 24*sec + time.Duration(rng.IntN(6000))*time.Millisecond
+	starts, lastEnd, at := make([]time.Duration, len(faults)), time.Duration(0), firstStart
 	for k := range faults {
 		at += d.offsets[k]
-		starts[k], over = at, max(over, at+d.lengths[k])
+		starts[k], lastEnd = at, max(lastEnd, at+d.lengths[k])
 	}
-	m.submitJobs(begins, starts[1], over)
+	m.submitJobs(firstStart, starts[1], lastEnd)
 	start, token := time.Now(), uint64(0)
 	for k, x := range faults {
 		time.Sleep(time.Until(start.Add(starts[k])))
@@ -524,26 +525,27 @@
 		log(x.name, "for", d.lengths[k], "about", m.target)
 		x.apply(m, d.lengths[k])
 	}
-	time.Sleep(time.Until(start.Add(over)))
+	time.Sleep(time.Until(start.Add(lastEnd)))
 	log("faults are over")
 	w.finishQuietly(100*sec, 10*time.Minute)
 	m.countEffects(token, d.sharding)
 }
 
-// drawnCombination is how a combination of faults is played.
+// drawnCombination holds the drawn parameters of a combination of faults.
 type drawnCombination struct {
 	number           uint64
 	faults           []*combinedFault
-	lengths, offsets []time.Duration // an offset is from the start of the previous fault
+	lengths, offsets []time.Duration // an offset counts from the start of the previous fault
 	sharding         string
-	count            int // of controllers
+	count            int // number of controllers
 	directHeartbeats int
 	heartbeatTimeout time.Duration
 }
 
 // drawCombination draws when each fault starts, how long it lasts, and the controllers' settings.
 func drawCombination(rng *rand.Rand, number uint64, faults []*combinedFault) drawnCombination {
-	// Each comes around a bound after the start of the previous one, or around its end.
+	// Each fault starts close to one of timeBounds after the start of the previous one, or close to the end
+	// of that.
 	d := drawnCombination{number: number, faults: faults, lengths: make([]time.Duration, len(faults)), offsets: make([]time.Duration, len(faults))}
 	for k, x := range faults {
 		d.lengths[k] = nearBound(rng, x.minLength, x.maxLength)
@@ -567,25 +569,27 @@
 	return text + fmt.Sprintf(" shards by %s, %d controllers, %d direct heartbeats, heartbeat timeout %v", d.sharding, d.count, d.directHeartbeats, d.heartbeatTimeout)
 }
 
-// countEffects adds what took effect to faultCounts. token is that before the first fault.
+// countEffects adds the effects of the faults to faultCounts. token is the fencing token before the first
+// fault.
 func (m *faultCombination) countEffects(token uint64, sharding string) {
 	faultCounts.played.Add(1)
-	late, taken := m.store.DelayedCounts()
-	faultCounts.putOff.Add(int64(late))
-	faultCounts.putOffTaken.Add(int64(taken))
-	faultCounts.replayed.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
-	faultCounts.kept.Add(m.replayedToNewLeader.Load())
+	delayed, committed := m.store.DelayedCounts()
+	faultCounts.delayedWrites.Add(int64(delayed))
+	faultCounts.delayedWritesCommitted.Add(int64(committed))
+	faultCounts.replayedHeartbeats.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
+	faultCounts.heartbeatsToNewLeader.Add(m.replayedToNewLeader.Load())
 	faultCounts.takeovers.Add(int64(m.token() - token))
 	faultCounts.cancelled.Add(m.tasks.cancelled.Load())
-	faultCounts.looks.Add(m.tasks.polls.Load())
-	faultCounts.quick.Add(m.tasks.startsAtBoot.Load())
+	faultCounts.concurrentPolls.Add(m.tasks.polls.Load())
+	faultCounts.bootStarts.Add(m.tasks.startsAtBoot.Load())
 	if sharding == "zone" {
 		faultCounts.twoShards.Add(1)
 	}
 }
 
-// submitJobs has users submit jobs and cancel some, around the start and the end of the faults.
-func (m *faultCombination) submitJobs(begins, follows, over time.Duration) {
+// submitJobs makes users submit jobs and cancel some of them around the start of the first fault, the
+// start of the second one and the end of the last one.
+func (m *faultCombination) submitJobs(firstStart, secondStart, lastEnd time.Duration) {
 	n := 0
 	job := func(shape wire.Shape, tasks int, change func(j *wire.Job), submit, cancel time.Duration, runs ...time.Duration) {
 		n++
@@ -595,43 +599,44 @@
 		}
 		m.addClient(j, submit, cancel, runs...)
 	}
-	wobble := func(around time.Duration, ms int) time.Duration {
+	jitter := func(around time.Duration, ms int) time.Duration {
 		return max(14*sec, around+time.Duration(m.faultRNG.IntN(2*ms)-ms)*time.Millisecond)
 	}
 	early := 6 * sec
-	job(wire.Service, 4, spread, early, over+60*sec, forever)
-	job(wire.Service, 2, spread, early, wobble(follows, 1500), forever)
+	job(wire.Service, 4, spread, early, lastEnd+60*sec, forever)
+	job(wire.Service, 2, spread, early, jitter(secondStart, 1500), forever)
 	job(wire.Gang, 3, func(j *wire.Job) { saves(j); j.OneZone, j.Priority = true, wire.High }, early, 0, 70*sec)
 	job(wire.Gang, 2, spread, early, 0, 40*sec)
-	job(wire.Gang, 2, saves, early, wobble(begins, 1500), 5*time.Minute)
+	job(wire.Gang, 2, saves, early, jitter(firstStart, 1500), 5*time.Minute)
 	job(wire.Array, 3, nil, early, 0, 12*sec, 45*sec, 100*sec)
 	job(wire.Array, 2, func(j *wire.Job) { saves(j); j.Spot = true }, early, 0, 30*sec, 80*sec)
 	job(wire.Array, 3, red, early, 0, 18*sec, 35*sec, 75*sec)
 	job(wire.Array, 4, red, early, 0, 20*sec)
-	job(wire.Array, 3, spread, early, wobble(follows+1*sec, 2000), 20*sec, 5*time.Minute)
-	job(wire.Array, 2, nil, early, wobble(begins+(over-begins)/2, int((over-begins).Milliseconds())/2+1), 5*time.Minute)
-	job(wire.Array, 2, func(j *wire.Job) { j.Zone, j.Spot = "a", true }, early, wobble(over, 2000), 25*sec, 5*time.Minute)
-	job(wire.Array, 2, oneZone, early, over+5*sec, 5*time.Minute)
-	for k := range 5 { // in the meeting
-		submit := wobble(begins, 2000) + time.Duration(m.faultRNG.Int64N(int64(over-begins+sec)))
+	job(wire.Array, 3, spread, early, jitter(secondStart+1*sec, 2000), 20*sec, 5*time.Minute)
+	job(wire.Array, 2, nil, early, jitter(firstStart+(lastEnd-firstStart)/2, int((lastEnd-firstStart).Milliseconds())/2+1), 5*time.Minute)
+	job(wire.Array, 2, func(j *wire.Job) { j.Zone, j.Spot = "a", true }, early, jitter(lastEnd, 2000), 25*sec, 5*time.Minute)
+	job(wire.Array, 2, oneZone, early, lastEnd+5*sec, 5*time.Minute)
+	for k := range 5 { // while the faults are active
+		submit := jitter(firstStart, 2000) + time.Duration(m.faultRNG.Int64N(int64(lastEnd-firstStart+sec)))
 		cancel := time.Duration(0)
 		if k%2 == 1 {
 			cancel = submit + time.Duration(m.faultRNG.IntN(6000))*time.Millisecond
 		}
 		job(wire.Array, 1+k%3, nil, submit, cancel, 4*sec, 9*sec, 20*sec)
 	}
-	job(wire.Gang, 2, saves, wobble(follows, 2000), 0, 15*sec)
+	job(wire.Gang, 2, saves, jitter(secondStart, 2000), 0, 15*sec)
 }
 
-// caseRange returns the cases that a variable selects, as N or FROM-TO, or the one that the
-// variable without the final S names.
-func caseRange(variable string, usual uint64) (from, to uint64) {
-	to = usual
+// caseRange returns the range of cases that environment variables select: the one whose name ends in S
+// selects the first N cases, or FROM-TO; the one without the S selects a single case. By default it is the
+// first defaultCount cases.
+func caseRange(variable string, defaultCount uint64) (from, to uint64) {
+	to = defaultCount
 	if text := os.Getenv(variable + "S"); text != "" {
-		a, b, ranged := strings.Cut(text, "-")
-		if to, _ = strconv.ParseUint(a, 10, 64); ranged {
+		first, end, ranged := strings.Cut(text, "-")
+		if to, _ = strconv.ParseUint(first, 10, 64); ranged {
 			from = to
-			to, _ = strconv.ParseUint(b, 10, 64)
+			to, _ = strconv.ParseUint(end, 10, 64)
 		}
 	}
 	if text := os.Getenv(variable); text != "" {
@@ -641,7 +646,7 @@
 	return from, to
 }
 
-// playCaseRange plays cases as subtests.
+// playCaseRange runs a range of cases as parallel subtests.
 func playCaseRange(t *testing.T, from, to uint64, faults func(number uint64) []*combinedFault) {
 	t.Run("cases", func(t *testing.T) {
 		for n := from; n < to; n++ {
@@ -653,10 +658,10 @@
 	})
 }
 
-// TestFaultPairs plays every fault once as the first and once as the second of two that overlap.
-// AMBERDEAL_MEETINGS sets how many cases are played, as N or FROM-TO: the square of the number of
-// faults contains all ordered pairs, and more cases repeat them at other offsets.
-// AMBERDEAL_MEETING plays one.
+// TestFaultPairs checks that no rule is violated while two faults overlap. By default every fault is once
+// the first and once the second of a pair. AMBERDEAL_MEETINGS selects the cases, as N or FROM-TO: as many
+// cases as the square of the number of faults contain all ordered pairs, and further cases repeat them at
+// other offsets. AMBERDEAL_MEETING selects a single case.
 func TestFaultPairs(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_MEETING", uint64(len(combinedFaults)))
 	playCaseRange(t, from, to, func(number uint64) []*combinedFault {
@@ -664,28 +669,28 @@
 		return []*combinedFault{first, second}
 	})
 	if n := uint64(faultCounts.played.Load()); n < uint64(len(combinedFaults)) || n < to-from {
-		return // some alone were asked for
+		return // only some cases were run
 	}
-	for what, n := range map[string]*atomic.Int64{"writes put off": &faultCounts.putOff, "writes that were put off and taken": &faultCounts.putOffTaken, "replayed heartbeats": &faultCounts.replayed,
+	for what, n := range map[string]*atomic.Int64{"writes put off": &faultCounts.delayedWrites, "writes that were put off and taken": &faultCounts.delayedWritesCommitted, "replayed heartbeats": &faultCounts.replayedHeartbeats,
 		"claims": &faultCounts.takeovers, "jobs cancelled": &faultCounts.cancelled, "days in two shards": &faultCounts.twoShards,
-		"writes taken without an answer": &faultCounts.taken, "heartbeats kept for the next leader": &faultCounts.kept, "jobs cancelled at once": &faultCounts.atOnce,
-		"jobs cancelled while their machines hang": &faultCounts.hung, "jobs cancelled at their end": &faultCounts.atEnd, "close looks": &faultCounts.looks,
-		"odd requests answered": &faultCounts.odd, "tasks on machines that were up at once": &faultCounts.quick} {
+		"writes taken without an answer": &faultCounts.committedWithoutReply, "heartbeats kept for the next leader": &faultCounts.heartbeatsToNewLeader, "jobs cancelled at once": &faultCounts.cancelledTogether,
+		"jobs cancelled while their machines hang": &faultCounts.cancelledWhilePaused, "jobs cancelled at their end": &faultCounts.cancelledAtEnd, "close looks": &faultCounts.concurrentPolls,
+		"odd requests answered": &faultCounts.malformedRequests, "tasks on machines that were up at once": &faultCounts.bootStarts} {
 		if t.Logf("%d %s", n.Load(), what); n.Load() == 0 {
-			t.Errorf("no %s in all these cases", what)
+			t.Errorf("no %s in any of these cases", what)
 		}
 	}
 }
 
-// TestFaultTriples plays combinations of three faults that are drawn at random. AMBERDEAL_THREES
-// selects them, as N or FROM-TO, AMBERDEAL_THREE plays one.
+// TestFaultTriples checks that no rule is violated while three randomly drawn faults overlap.
+// AMBERDEAL_THREES selects the cases, as N or FROM-TO, AMBERDEAL_THREE selects a single case.
 func TestFaultTriples(t *testing.T) {
 	from, to := caseRange("AMBERDEAL_THREE", 3)
 	playCaseRange(t, from, to, drawFaultTriple)
 }
 
-// TestFaultPairsAreComplete checks that the enumeration contains every ordered pair, and every
-// fault in both places among the cases that are played by default.
+// TestFaultPairsAreComplete checks that faultPair enumerates every ordered pair, and that the default
+// cases contain every fault both as the first and as the second.
 func TestFaultPairsAreComplete(t *testing.T) {
 	n := uint64(len(combinedFaults))
 	seen, firsts, seconds := map[[2]string]bool{}, map[string]bool{}, map[string]bool{}
@@ -697,7 +702,7 @@
 		}
 	}
 	if uint64(len(seen)) != n*n || uint64(len(firsts)) != n || uint64(len(seconds)) != n {
-		t.Errorf("%d of %d pairs, %d first and %d second by default", len(seen), n*n, len(firsts), len(seconds))
+		t.Errorf("%d of %d pairs; the default cases have %d first and %d second faults", len(seen), n*n, len(firsts), len(seconds))
 	}
 	names := make([]string, 0, n)
 	for _, x := range combinedFaults {
@@ -705,6 +710,6 @@
 	}
 	slices.Sort(names)
 	if len(slices.Compact(names)) != int(n) {
-		t.Error("two troubles have one name")
+		t.Error("two faults have the same name")
 	}
 }
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -21,24 +21,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled,
-// while one of these hears the state service late.
+// The tests in this file send requests to all controllers within milliseconds after a job was accepted,
+// ended or cancelled, while messages between one controller and the state service are delayed.
 
-// readCase is the number of controllers, their sharding, and which link of one of them is delayed
-// by up to 1.5 s: the answers of the state service, its own requests, the answers on every other
-// connection, or the answers to reads.
+// readCase describes a simulation: the number of controllers, their sharding, and which link of one
+// controller is delayed by up to 1.5 s: "answers" for the responses of the state service, "requests" for
+// the controller's own requests, "one connection" for the responses on every other connection, or "reads"
+// for the responses to reads.
 type readCase struct {
 	count                 int
 	sharding, delayedLink string
-	writers               int // that write for all; 0: each writes for itself
+	writers               int // number of controllers that write for all others; 0: each writes for itself
 }
 
-// concurrentReads is the users of such a day, and which overlaps of requests occurred.
+// concurrentReads is a simulation of users who send concurrent requests. It counts which overlaps of
+// requests occurred.
 type concurrentReads struct {
 	*simulation
 	delayedLink    string
 	answers        load.LinearizabilityChecker
-	slowController atomic.Int64 // whose link is delayed, -1 for none
+	slowController atomic.Int64 // the controller whose link is delayed, -1 for none
 
 	mu          sync.Mutex
 	faultRNG    *rand.Rand
@@ -52,22 +54,22 @@
 // readJob is a job that users read.
 type readJob struct {
 	job                                 *wire.Job
-	stage                               wire.Stage // the last that any user was told
-	firstReportedAt                     time.Time  // when it was told first
-	reportedBy                          int        // and by whom
-	cancelRequested                     bool       // to cancel it
-	openSubmits, openReads, openCancels int        // calls under way, of each kind
+	stage                               wire.Stage // the last one reported to any user
+	firstReportedAt                     time.Time  // when that stage was first reported
+	reportedBy                          int        // the controller that reported it first
+	cancelRequested                     bool       // whether a user has asked to cancel it
+	openSubmits, openReads, openCancels int        // calls in flight, by kind
 }
 
-// maxLinkDelay bounds the delay of a link.
+// maxLinkDelay is the upper bound for the delay of a message on the delayed link.
 const maxLinkDelay = 1500 * time.Millisecond
 
-// slowStream is a controller's connection to the state service with a delay.
+// slowStream delays the messages of a controller's connection to the state service.
 type slowStream struct {
 	transport.Stream
 	run        *concurrentReads
 	node, conn int
-	reads      bool // a read is under way, not a write
+	reads      bool // the last request is a read
 }
 
 func (s *slowStream) Read(p []byte) (int, error) {
@@ -87,30 +89,30 @@
 	return s.Stream.Write(p)
 }
 
-// delayFor waits as long as a message of a delayed link is under way.
-func (l *concurrentReads) delayFor(node int, what ...string) {
+// delayFor sleeps for the transit time of a message that belongs to the given kinds of links.
+func (l *concurrentReads) delayFor(node int, links ...string) {
 	l.mu.Lock()
 	d := time.Duration(1+l.faultRNG.IntN(6)) * time.Millisecond
-	if node == int(l.slowController.Load()) && slices.Contains(what, l.delayedLink) {
+	if node == int(l.slowController.Load()) && slices.Contains(links, l.delayedLink) {
 		d = time.Duration(l.faultRNG.Int64N(int64(maxLinkDelay)))
 	}
 	l.mu.Unlock()
 	time.Sleep(d)
 }
 
-// noteOverlap counts an overlap, if it occurs.
-func (l *concurrentReads) noteOverlap(what string, does bool) {
-	if does {
+// noteOverlap counts an overlap if it occurred.
+func (l *concurrentReads) noteOverlap(what string, occurred bool) {
+	if occurred {
 		l.mu.Lock()
 		l.overlaps[what]++
 		l.mu.Unlock()
 	}
 }
 
-// slowProxyAddr is a controller's address of the state service.
+// slowProxyAddr returns the address at which controller i reaches the state service.
 func slowProxyAddr(i int) string { return simulator.Address(stateHost, 2500+i) }
 
-// newConcurrentReads starts a day.
+// newConcurrentReads starts the simulation of a case.
 func newConcurrentReads(t *testing.T, x readCase, seed uint64) *concurrentReads {
 	l := &concurrentReads{delayedLink: x.delayedLink, faultRNG: rand.New(rand.NewPCG(seed, 31)), jobs: map[string]*readJob{}, restartedAt: map[int]time.Time{}, overlaps: map[string]int{}, openCalls: make([]int, x.count)}
 	l.slowController.Store(-1)
@@ -134,27 +136,28 @@
 	return l
 }
 
-// noteCommit notes the writes that move a job from its batch to the archive while it is polled.
+// noteCommit counts the writes committed while requests are in flight, by kind: among others those that
+// move a job from its batch to the archive.
 func (l *concurrentReads) noteCommit(puts []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	open := 0
+	inFlight := 0
 	for _, n := range l.openCalls {
-		open += n
+		inFlight += n
 	}
 	for _, key := range puts {
-		if kind := store.Kind(key); open > 0 {
+		if kind := store.Kind(key); inFlight > 0 {
 			l.overlaps["asked while "+kind+" is written"]++
 		}
 	}
 }
 
-// body returns the submission again, as it was or with another content.
+// body returns a repeated submission of the job: unchanged, with different content, or malformed.
 func (l *concurrentReads) body(j *wire.Job) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	other := *j
-	whole := wire.Encode(j)
+	encoded := wire.Encode(j)
 	switch l.faultRNG.IntN(8) {
 	case 0:
 		other.Priority, other.Image = wire.Low, "img-9"
@@ -167,15 +170,15 @@
 	case 4:
 		return wire.Encode(map[string]any{"uid": j.ID, "cells": -1, "breed": nil})
 	case 5:
-		return append(whole, whole...)
+		return append(encoded, encoded...)
 	case 6:
 		return wire.Encode(map[string]any{"uid": j.ID, "cells": 1.5, "frames": "g4"})
 	}
 	return wire.Encode(&other)
 }
 
-// requestAndCheck sends a request to one controller, checks the answer, and asks all controllers
-// if the answer is news to every user.
+// requestAndCheck sends a request to one controller and checks the answer. If the answer is the first to
+// report that the job is known, or that it has ended, it sends requests to all controllers.
 func (l *concurrentReads) requestAndCheck(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
 	path := wire.PathJobs
 	if method == "GET" || word != "" {
@@ -201,28 +204,28 @@
 		l.answers.ObserveStatus(x.job.ID, call, status, s.Stage)
 	}
 	known := status == 200 || status == 201
-	news := l.endRequest(i, x, before, status, s.Stage)
-	otherBody := known && method == "POST" && word == "" && before.stage != "" && !bytes.Equal(body, wire.Encode(x.job))
-	l.noteOverlaps(i, before, status, otherBody)
-	if news {
+	isNew := l.endRequest(i, x, before, status, s.Stage)
+	acceptedOtherBody := known && method == "POST" && word == "" && before.stage != "" && !bytes.Equal(body, wire.Encode(x.job))
+	l.noteOverlaps(i, before, status, acceptedOtherBody)
+	if isNew {
 		l.requestAllControllers(x)
 	}
 	return status, s.Stage
 }
 
-// requestSnapshot is what was true when a request was sent.
+// requestSnapshot is the state of the simulation when a request was sent.
 type requestSnapshot struct {
-	open        *int // calls of its kind under way
+	open        *int // number of calls of its kind in flight
 	sent        time.Time
-	slow        bool       // it goes to the controller with the delayed link
-	stage       wire.Stage // the last that any user was told
+	slow        bool       // the request goes to the controller with the delayed link
+	stage       wire.Stage // the last one reported to any user
 	reportedAt  time.Time
 	reportedBy  int
 	restartedAt time.Time // of the controller
-	others      int       // calls under way at the controller
+	others      int       // other calls in flight at the controller
 }
 
-// beginRequest counts a request as under way.
+// beginRequest counts a request as in flight.
 func (l *concurrentReads) beginRequest(i int, x *readJob, method, word string) requestSnapshot {
 	open := &x.openReads
 	if word != "" {
@@ -242,40 +245,42 @@
 	return b
 }
 
-// endRequest has an answer checked, and reports whether it is news to every user.
-func (l *concurrentReads) endRequest(i int, x *readJob, b requestSnapshot, status int, stage wire.Stage) (news bool) {
+// endRequest checks an answer, and reports whether it is the first one to any user that reports the job
+// as known, or as ended.
+func (l *concurrentReads) endRequest(i int, x *readJob, b requestSnapshot, status int, stage wire.Stage) (isNew bool) {
 	known := status == 200 || status == 201
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.openCalls[i]--
 	*b.open--
-	news = known && (x.stage == "" || stage.Final() && !x.stage.Final())
-	if news {
+	isNew = known && (x.stage == "" || stage.Final() && !x.stage.Final())
+	if isNew {
 		x.stage, x.firstReportedAt, x.reportedBy = stage, time.Now(), i
 	}
 	if known && (stage.Final() || !x.stage.Final()) {
 		l.checker.ObserveAnswer(x.job.ID, status, stage, x.cancelRequested)
 	}
-	return news
+	return isNew
 }
 
-// noteOverlaps counts which overlaps a request to a controller had. otherBody says that it was a
-// submission with another content which was answered as known.
-func (l *concurrentReads) noteOverlaps(i int, b requestSnapshot, status int, otherBody bool) {
+// noteOverlaps counts the overlaps of a request to a controller. acceptedOtherBody reports whether the
+// request was a submission with different content that was answered as a known job.
+func (l *concurrentReads) noteOverlaps(i int, b requestSnapshot, status int, acceptedOtherBody bool) {
 	known := status == 200 || status == 201
 	soon := b.stage != "" && b.reportedBy != i && b.sent.Sub(b.reportedAt) <= 5*time.Millisecond
-	where := map[bool]string{true: "late", false: "another"}[b.slow]
-	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", where, b.stage), soon && known)
+	target := map[bool]string{true: "late", false: "another"}[b.slow]
+	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", target, b.stage), soon && known)
 	l.noteOverlap("answered late and not alone", b.slow && b.others > 0 && known && b.sent.Before(time.Now()))
-	l.noteOverlap("known in other words", otherBody)
+	l.noteOverlap("known in other words", acceptedOtherBody)
 	l.noteOverlap("refused while not known", status == 400 || status == 422)
 	l.noteOverlap("vain at a new one", !known && status != 404 && b.sent.Sub(b.restartedAt) < 200*time.Millisecond)
 	l.noteOverlap("answered by a new one", known && b.sent.Sub(b.restartedAt) < 2*time.Second)
-	l.noteOverlap(where+" answers", known || status == 404)
-	l.noteOverlap(where+" is asked in vain", status == 0 || status >= 429)
+	l.noteOverlap(target+" answers", known || status == 404)
+	l.noteOverlap(target+" is asked in vain", status == 0 || status >= 429)
 }
 
-// requestAllControllers has users ask all controllers within milliseconds.
+// requestAllControllers sends status requests and repeated submissions to all controllers within
+// milliseconds.
 func (l *concurrentReads) requestAllControllers(x *readJob) {
 	for i := range l.count {
 		for _, ms := range []time.Duration{0, 1, 5} {
@@ -292,7 +297,7 @@
 	}
 }
 
-// requestUntilAnswered repeats a request, each time at another controller, until one answers.
+// requestUntilAnswered sends a request to one controller after the other until one reports success.
 func (l *concurrentReads) requestUntilAnswered(i int, x *readJob, method, word string, body []byte) {
 	for l.ctx.Err() == nil {
 		if status, _ := l.requestAndCheck(i%l.count, x, method, word, body); status == 200 || status == 201 {
@@ -303,8 +308,9 @@
 	}
 }
 
-// runJob submits a job at one controller and cancels it later at another (-1 for not), while a
-// third is polled. When it is over all are polled until it is in the archive.
+// runJob submits a job to one controller, cancels it after a delay at another one (not at all if cancel
+// is negative), and polls it at all controllers meanwhile. After the job's end it continues polling until
+// the job is in the archive.
 func (l *concurrentReads) runJob(n, first int, cancel, run time.Duration) {
 	nodes := make([]int, l.count)
 	for i := range nodes {
@@ -313,7 +319,7 @@
 	l.runJobAt(n, nodes, cancel, run)
 }
 
-// runJobAt is runJob at some controllers only.
+// runJobAt is like runJob, but uses the given controllers only.
 func (l *concurrentReads) runJobAt(n int, nodes []int, cancel, run time.Duration) {
 	j := &wire.Job{ID: fmt.Sprintf("wk-%06d", (n*7919)%1_000_000), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 4,
 		Image: "img", ImageGB: 1, EstimateS: 1}
@@ -341,25 +347,25 @@
 		}
 	}
 	l.group.Go(func() {
-		over := time.Time{}
-		for i := 0; l.ctx.Err() == nil && (over.IsZero() || time.Since(over) < 8*time.Second); i++ {
+		endedAt := time.Time{}
+		for i := 0; l.ctx.Err() == nil && (endedAt.IsZero() || time.Since(endedAt) < 8*time.Second); i++ {
 			time.Sleep(120 * time.Millisecond)
-			if _, stage := l.requestAndCheck(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && over.IsZero() {
-				over = time.Now()
+			if _, stage := l.requestAndCheck(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && endedAt.IsZero() {
+				endedAt = time.Now()
 			}
 		}
 	})
 }
 
-// cancelDelays are how long after its submission a job is cancelled.
+// cancelDelays are the delays, in milliseconds, between the submission of a job and its cancellation.
 var cancelDelays = []time.Duration{0, 1, 2, 5, 10, 20, 50, 150, 400, 1000, 3000}
 
-// run simulates a day: the controller with the delayed link is first the one that accepts, then
-// the one that cancels, then the one for everything else. In between the state service drops its
-// watch history, and a controller restarts.
+// run simulates a case. The controller with the delayed link is first the one that accepts jobs, then
+// the one that cancels them, then one that receives only polls and repeated submissions. In between, the
+// state service drops its watch history and a controller restarts.
 func (l *concurrentReads) run(seed uint64) {
 	time.Sleep(8 * time.Second)
-	l.runJob(999, 0, 45*time.Second, forever) // it keeps a machine there
+	l.runJob(999, 0, 45*time.Second, forever) // keeps one machine rented
 	time.Sleep(10 * time.Second)
 	n := 0
 	for role := range 3 {
@@ -379,7 +385,7 @@
 		}
 		l.store.DropHistory()
 		time.Sleep(6 * time.Second)
-		l.restart((slow + role/2) % l.count) // or who hears late
+		l.restart((slow + role/2) % l.count) // the slow controller or the next one
 	}
 	l.slowController.Store(-1)
 	l.finishQuietly(0, 5*time.Minute)
@@ -390,11 +396,11 @@
 
 // restart restarts a controller and polls it for all jobs before and while it reads the state.
 func (l *concurrentReads) restart(i int) {
-	const gone = 50 * time.Millisecond
+	const restartAfter = 50 * time.Millisecond
 	l.mu.Lock()
-	l.restartedAt[i] = time.Now().Add(gone)
+	l.restartedAt[i] = time.Now().Add(restartAfter)
 	l.mu.Unlock()
-	l.crash(i, gone, 0)
+	l.crash(i, restartAfter, 0)
 	for range 6 {
 		time.Sleep(20 * time.Millisecond)
 		for _, x := range l.jobs {
@@ -404,7 +410,9 @@
 	time.Sleep(4 * time.Second)
 }
 
-// requiredOverlaps is how often each overlap has to occur on the days that are played by default.
+// requiredOverlaps is how often each overlap has to occur in the simulations that run by default. In the
+// names, "late" is the controller with the delayed link, "another" any other controller, and "a new one"
+// a controller that has just restarted.
 var requiredOverlaps = map[string]int{
 	"late is asked within 5 ms of pending": 100, "late is asked within 5 ms of done": 20, "late is asked within 5 ms of withdrawn": 100,
 	"another is asked within 5 ms of pending": 300, "another is asked within 5 ms of done": 100, "another is asked within 5 ms of withdrawn": 300,
@@ -413,9 +421,10 @@
 	"a view was too old": 10, "vain at a new one": 100, "answered by a new one": 50, "who leads hears late": 1, "another leads": 1,
 }
 
-// TestConcurrentReads simulates days of concurrent reads. AMBERDEAL_LOOKS sets their number,
-// sixteen of which contain every combination of controllers, shards and delayed links;
-// AMBERDEAL_LOOK plays one.
+// TestConcurrentReads checks that concurrent answers of all controllers about a job are linearizable
+// while one controller receives changes late. AMBERDEAL_LOOKS sets the number of simulations, sixteen of
+// which contain every combination of controllers, sharding and delayed link; AMBERDEAL_LOOK selects a
+// single one.
 func TestConcurrentReads(t *testing.T) {
 	all, played := map[string]int{}, 0
 	playSeeds(t, 4, "AMBERDEAL_LOOK", func(t *testing.T, seed uint64) {
@@ -433,7 +442,7 @@
 	})
 	for what, n := range requiredOverlaps {
 		if played >= 4 && all[what] < n {
-			t.Errorf("%s: %d times", what, all[what])
+			t.Errorf("%q occurred %d times, fewer than required", what, all[what])
 		}
 	}
 	for _, what := range slices.Sorted(maps.Keys(all)) {
@@ -441,11 +450,11 @@
 	}
 }
 
-// endOffsets are how long after the end of its last task a job is cancelled.
+// endOffsets are the times of cancellations, in milliseconds after the end of a job's last task.
 var endOffsets = []time.Duration{-300, -20, -2, -1, 0, 1, 2, 5, 20, 100, 300, 600, 900, 1500, 2500}
 
-// runJobCancelledAtEnd has a job cancelled, polled and resubmitted at three controllers that long
-// after the end of its last task, without other faults.
+// runJobCancelledAtEnd cancels, polls and resubmits a job at three controllers, at an offset from the
+// end of its last task, without other faults.
 func (l *concurrentReads) runJobCancelledAtEnd(n, first int, offset time.Duration, shape wire.Shape, tasks int) {
 	const run = 4 * time.Second
 	j := jobOf(fmt.Sprintf("wk-%06d", n), shape, tasks, run)
@@ -470,15 +479,15 @@
 			time.Sleep(700 * time.Millisecond)
 			l.requestAndCheck((first+i)%l.count, x, "GET", "", nil)
 		}
-		l.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, also of what is done
+		l.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, even if the job is done
 	})
 }
 
-// TestCancelAtCompletion sends a cancellation, a poll and a repeated submission around the end of
-// a job's last task, its heartbeat and the round that writes it, to each controller: the job has
-// to be done or cancelled, once, whichever controller answers.
+// TestCancelAtCompletion sends a cancellation, a poll and a repeated submission to each controller
+// around the end of a job's last task, the heartbeat that reports it and the round that writes it. The
+// job must end exactly once, as done or cancelled, and all controllers must agree on which.
 func TestCancelAtCompletion(t *testing.T) {
-	met := map[string]int{}
+	occurred := map[string]int{}
 	for seed, x := range []readCase{{3, "off", "", 0}, {5, "zone", "", 0}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newConcurrentReads(t, x, uint64(seed))
@@ -496,13 +505,13 @@
 				t.Error(b)
 			}
 			for what, n := range l.overlaps {
-				met[what] += n
+				occurred[what] += n
 			}
 		})
 	}
 	for _, what := range []string{"ended false, withdrawn", "ended true, withdrawn", "ended true, done"} {
-		if met[what] < 5 {
-			t.Errorf("%s: %d times", what, met[what])
+		if occurred[what] < 5 {
+			t.Errorf("%q occurred %d times, want at least 5", what, occurred[what])
 		}
 	}
 }
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -32,14 +32,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// writeKind is a kind of transaction: its conditions and its changes. The words are kinds of keys;
-// a condition has =0 if the key must be absent, =v if it must exist, and no suffix if it may be
-// either; a change has + for a put, +lease: for one under a lease, - for a delete, and -old: for
-// the delete of a key of an earlier sharding's ledger. A ? precedes what may be absent.
+// writeKind is a kind of transaction, described by patterns for its conditions and its changes. The words
+// of a pattern are kinds of keys. In a condition, the suffix =0 means that the key must be absent, =v that
+// it must exist, and no suffix that both are possible. In a change, the prefix + means a put, +lease: a
+// put under a lease, - a delete, and -old: the delete of a key in the ledger of an earlier sharding. A ?
+// precedes optional words.
 type writeKind struct{ name, conditions, changes string }
 
-// writeKinds are all kinds of writes, special ones first. Each is in the table of docs/design.md,
-// "What a late write can do", with the reason why a late copy does no harm.
+// writeKinds lists all kinds of transactions, more specific ones first. The table "What a late write can
+// do" in docs/design.md gives for each the reason why a copy that is committed late does no harm.
 var writeKinds = []writeKind{
 	{"new jobs", "batch=0 gate", "+batch"},
 	{"cancellations", "batch=v", "+batch"},
@@ -69,7 +70,7 @@
 // leaseKinds are the kinds of lease calls.
 var leaseKinds = []string{"new lease", "renewal", "end of a lease"}
 
-// txnAsSent is a transaction as it is received.
+// txnAsSent is a transaction as the state service receives it.
 type txnAsSent struct {
 	If   []wire.Condition `cbor:"when"`
 	Then []struct {
@@ -80,9 +81,9 @@
 	} `cbor:"then"`
 }
 
-// describe describes a transaction in the words of writeKind.
+// describe returns the conditions and changes of a transaction in the notation of writeKind.
 func (t *txnAsSent) describe() (when, then []string) {
-	ledger := "" // that it writes
+	ledger := "" // prefix of the ledger that the transaction writes
 	for _, c := range t.Then {
 		if store.Kind(c.Put) == "ledger" {
 			ledger = filepath.Dir(c.Put)
@@ -111,23 +112,23 @@
 	return when, then
 }
 
-// matches reports whether words match a pattern of writeKind.
+// matches reports whether words match a pattern in the notation of writeKind.
 func matches(words []string, pattern string) bool {
 	words = slices.Clone(words)
 	for _, p := range strings.Fields(pattern) {
-		word, maybe := strings.CutPrefix(p, "?")
+		word, optional := strings.CutPrefix(p, "?")
 		before := len(words)
 		words = slices.DeleteFunc(words, func(w string) bool {
 			return w == word || !strings.HasPrefix(word, "+") && !strings.Contains(word, "=") && (w == word+"=0" || w == word+"=v")
 		})
-		if len(words) == before && !maybe {
+		if len(words) == before && !optional {
 			return false
 		}
 	}
 	return len(words) == 0
 }
 
-// kindOf returns the kind of a transaction, "" for none.
+// kindOf returns the name of a transaction's kind, or "" if it is of no known kind.
 func kindOf(t *txnAsSent) string {
 	when, then := t.describe()
 	for _, k := range writeKinds {
@@ -138,48 +139,49 @@
 	return ""
 }
 
-// writeFate is what happens to a write that is delayed: how long until it is carried out, and what
-// the copies get that are sent meanwhile.
+// writeFate describes how a delayed write is handled: how long it is held before it is forwarded to the
+// state service, and how copies that are sent in the meantime are answered.
 type writeFate struct {
 	delay      time.Duration
-	copyStatus int // 200 for the answer of the service, 0 for no answer, or 503
+	copyStatus int // 200: with the response of the service, 0: no response, or 503
 }
 
-// writeFates apply in turn to every other of the first writes of each kind; a share of all others
-// meets similar ones.
+// writeFates apply in turn to every second one of the first writes of each kind. A share of all other
+// writes gets similar, random ones.
 var writeFates = []writeFate{{4 * time.Second, 200}, {9 * time.Second, 0}, {80 * time.Second, 503}, {150 * time.Second, 0}}
 
-// copyFaultTime is how long copies of a delayed write get no answer or 503. Their sender gives up
-// by then, if it ever does.
+// copyFaultTime is how long copies of a delayed write get no response or 503. A sender that gives up at
+// all has given up by then.
 const copyFaultTime = 7 * time.Second
 
-// delayProxy is a proxy between controllers and the state service. It withholds the answers to
-// some writes, and carries these out later, after newer writes of the same controller.
+// delayProxy is a proxy between controllers and the state service. It leaves some writes without a
+// response, and forwards them later, after newer writes of the same controller.
 type delayProxy struct {
 	t      *testing.T
 	net    *simulator.Network
 	target string
-	share  float64
+	share  float64 // of the writes that are delayed at random
 	rng    *rand.Rand
 
 	mu           sync.Mutex
-	kindCounts   map[string]int // writes, without copies
-	writes       map[string]*delayedWrite
-	held         []*delayedWrite
-	tallies      map[string]delayedTally
-	unknownKinds map[string]bool
+	kindCounts   map[string]int           // number of writes without copies, by kind
+	writes       map[string]*delayedWrite // by sender, target and body
+	held         []*delayedWrite          // not forwarded yet
+	tallies      map[string]delayedTally  // by kind
+	unknownKinds map[string]bool          // that were reported
 
-	// serveInstead, if set, handles the controllers' requests instead.
+	// serveInstead handles the controllers' requests. It is serve unless a test replaces it.
 	serveInstead func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
 }
 
-// What happens to a request without an answer: nobody waits for longer than that.
+// Status values for requests that get no response. The connection is kept open for longer than any caller
+// waits, or closed after 10 ms.
 const (
 	noReply    = 0
-	connClosed = -1 // the connection is, after a moment
+	connClosed = -1
 )
 
-// delayedTally counts the writes of a kind that were carried out after newer ones.
+// delayedTally counts the writes of a kind that were forwarded after newer ones, by their result.
 type delayedTally struct{ committed, refused int }
 
 // delayedWrite is a write with all its copies.
@@ -189,12 +191,12 @@
 	body         []byte
 	firstSentAt  time.Time
 	fate         *writeFate // nil if it is not delayed
-	newerCommits int        // writes of the same controller that were committed since
-	commits      int
-	refusedAt    time.Time
+	newerCommits int        // number of newer writes of the same controller that were committed
+	commits      int        // number of copies that were committed
+	refusedAt    time.Time  // when a copy was first refused because of its conditions
 }
 
-// newDelayProxy returns a proxy that delays a share of the writes.
+// newDelayProxy returns a proxy for the state service at address to that delays a share of the writes.
 func newDelayProxy(t *testing.T, net *simulator.Network, to string, seed uint64, share float64) *delayProxy {
 	l := &delayProxy{t: t, net: net, target: to, share: share, rng: rand.New(rand.NewPCG(seed, 12)),
 		kindCounts: map[string]int{}, writes: map[string]*delayedWrite{}, tallies: map[string]delayedTally{}, unknownKinds: map[string]bool{}}
@@ -202,7 +204,7 @@
 	return l
 }
 
-// listen serves one controller at a host of its own, whose address it returns.
+// listen starts to serve one controller at a host of its own, and returns the address.
 func (l *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
 	host := l.net.Host(ip)
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
@@ -231,7 +233,7 @@
 	return addr
 }
 
-// forward sends a request to the state service.
+// forward sends a request to the state service. The status is 0 if there is no response.
 func (l *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
 	resp, err := caller.Call(ctx, l.target, method, target, body)
 	if err != nil {
@@ -240,27 +242,28 @@
 	return resp.Status, resp.Body
 }
 
-// countOf counts the writes of a kind, without copies.
+// countOf returns the number of writes of a kind, without copies.
 func (l *delayProxy) countOf(kind string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.kindCounts[kind]
 }
 
-// kindSent returns the kind of a request, "" for one that changes nothing.
+// kindSent returns the kind of a request, or "" if it changes nothing. A transaction of an unknown kind
+// fails the test, because nobody has analysed what a late copy of it does.
 func (l *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
 	switch {
 	case target == wire.PathTxn:
 		var t txnAsSent
 		if err := wire.Decode(body, &t); err != nil {
-			l.t.Errorf("%s sends a transaction that can't be read: %v", from, err)
+			l.t.Errorf("%s sent a transaction that can't be decoded: %v", from, err)
 		}
 		if kind = kindOf(&t); kind == "" && len(t.Then) > 0 {
 			when, then := t.describe()
 			kind = fmt.Sprintf("when %v then %v", when, then)
 			l.mu.Lock()
 			if !l.unknownKinds[kind] {
-				l.t.Errorf("%s sends a kind of write that nobody has looked at: %s. What does a copy that is carried out minutes later?", from, kind)
+				l.t.Errorf("%s sent a transaction of an unknown kind: %s; analyse what a copy does that is committed minutes later, and add the kind to writeKinds", from, kind)
 			}
 			l.unknownKinds[kind] = true
 			l.mu.Unlock()
@@ -291,15 +294,16 @@
 	return status, answer
 }
 
-// decideFate returns the status for a write: 200 stands for the answer of the service.
+// decideFate decides whether a write is delayed, and returns the status for the response: 200 means that
+// the write is forwarded now.
 func (l *delayProxy) decideFate(kind, from, method, target string, body []byte) (*delayedWrite, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	id := from + " " + target + " " + string(body)
 	w := l.writes[id]
-	lease := slices.Contains(leaseKinds, kind) // all of a kind look alike: each is a write of its own
-	if w == nil || lease {
+	isLease := slices.Contains(leaseKinds, kind) // lease calls of a kind are identical: each one counts as a new write
+	if w == nil || isLease {
 		w = &delayedWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), firstSentAt: now}
 		l.writes[id] = w
 		n := l.kindCounts[kind]
@@ -326,21 +330,21 @@
 	return w, 200
 }
 
-// noteResult checks the result of a copy of a write. A write that was committed may never be
-// committed again, nor one that was refused because of its conditions. Only new jobs may be
-// submitted a second time, between their removal and the next submission fence: the removed record
-// precedes them (TestLateSubmissionBeforeGate).
+// noteResult checks the result of a write or of a copy of it. Once a write was committed, or refused
+// because of its conditions, no copy of it may be committed. The only exception are new jobs: a copy may be
+// committed between their removal and the next submission fence, since the record of the removed jobs takes
+// precedence (TestLateSubmissionBeforeGate).
 func (l *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.path == wire.PathTxn && w.kind != "new jobs" {
 		switch status {
 		case 200:
-			if !w.refusedAt.IsZero() && w.refusedAt.Before(sent) { // of two at once, either may be told first
-				l.t.Errorf("%s: %s was refused, and a copy of it was taken later", w.from, w.kind)
+			if !w.refusedAt.IsZero() && w.refusedAt.Before(sent) { // the results of concurrent copies may arrive in any order
+				l.t.Errorf("%s: %q was refused, and a copy of it was committed later", w.from, w.kind)
 			}
 			if w.commits++; w.commits > 1 {
-				l.t.Errorf("%s: %s was taken %d times", w.from, w.kind, w.commits)
+				l.t.Errorf("%s: %q was committed %d times", w.from, w.kind, w.commits)
 			}
 		case 409:
 			if w.refusedAt.IsZero() {
@@ -357,7 +361,8 @@
 	}
 }
 
-// releaseHeld carries out what is delayed, after newer writes of its controller or at the end.
+// releaseHeld forwards delayed writes when their delay is over and a newer write of their controller was
+// committed, or after 5 minutes if there is none.
 func (l *delayProxy) releaseHeld(ctx context.Context) {
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: l.net.Host("10.2.1.99").Dial}
 	for ctx.Err() == nil {
@@ -365,11 +370,11 @@
 		l.mu.Lock()
 		var due []*delayedWrite
 		l.held = slices.DeleteFunc(l.held, func(w *delayedWrite) bool {
-			ripe := time.Since(w.firstSentAt) >= w.fate.delay && (w.newerCommits > 0 || time.Since(w.firstSentAt) > 5*time.Minute)
-			if ripe {
+			isDue := time.Since(w.firstSentAt) >= w.fate.delay && (w.newerCommits > 0 || time.Since(w.firstSentAt) > 5*time.Minute)
+			if isDue {
 				due = append(due, w)
 			}
-			return ripe
+			return isDue
 		})
 		l.mu.Unlock()
 		for _, w := range due {
@@ -391,7 +396,7 @@
 	}
 }
 
-// addTallies adds up what was carried out late.
+// addTallies adds the results of delayed writes to all, by kind.
 func (l *delayProxy) addTallies(all map[string]delayedTally) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -400,8 +405,7 @@
 	}
 }
 
-// simulateDelayedWrites simulates a day on which a share of all writes of controllers is carried
-// out late.
+// simulateDelayedWrites runs a simulation in which a share of all writes of controllers is delayed.
 func simulateDelayedWrites(t *testing.T, seed uint64, share float64) *delayProxy {
 	var l *delayProxy
 	playAllWritesDay(t, seed, 3, func(w *simulation) *delayProxy {
@@ -412,13 +416,13 @@
 	return l
 }
 
-// playAllWritesDay simulates a day on which controllers make every kind of write to the state
-// service, through the given proxy: jobs are submitted, end and are compacted, the fleet is
-// divided into shards and merged again, the tiers change, and leaders end and restart.
-func playAllWritesDay(t *testing.T, seed uint64, count int, between func(w *simulation) *delayProxy) {
+// playAllWritesDay runs a simulation in which controllers make every kind of write to the state service,
+// through the proxy that newProxy returns: jobs are submitted, end and are compacted, the fleet is divided
+// into shards and merged again, the tiers change, and leaders are killed and restart.
+func playAllWritesDay(t *testing.T, seed uint64, count int, newProxy func(w *simulation) *delayProxy) {
 	d := newAllWritesSimulation(t, seed, count)
 	w := d.simulation
-	l := between(w)
+	l := newProxy(w)
 	for i := range w.count {
 		l.listen(w.ctx, fmt.Sprint("c-", i), fmt.Sprint("10.2.1.", i))
 	}
@@ -440,7 +444,7 @@
 	d.rollingRestart(func(name string) { d.shardings[name] = "zone" })
 	d.submitMixedJobs(3)
 	for try := 0; try < 5 && l.countOf("release of a shard") == 0; try++ {
-		for i := 1; i < w.count; i++ { // the one that is left takes all, and gives back
+		for i := 1; i < w.count; i++ { // the remaining controller takes over all shards, and later releases some
 			w.kill(i, 30*time.Second)
 		}
 		time.Sleep(75 * time.Second)
@@ -451,7 +455,7 @@
 	d.submitManyTasks("wk-3")
 	d.submitMixedJobs(5)
 	d.rollingRestart(func(name string) { d.tiers[name] = false })
-	time.Sleep(time.Minute) // what was in the ledger goes
+	time.Sleep(time.Minute) // until ledger segments are dropped
 	for i := range 20 {
 		w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		time.Sleep(2 * time.Second)
@@ -461,19 +465,19 @@
 	for begun := time.Now(); batches() > 0 && time.Since(begun) < 20*time.Minute; time.Sleep(5 * time.Second) {
 	}
 	if n := batches(); n > 0 {
-		t.Errorf("%d batches of jobs are never compacted", n)
+		t.Errorf("%d batches of jobs were not compacted within 20 min", n)
 	}
 	w.finishDay(20 * time.Minute)
 }
 
-// allWritesSimulation is a day whose controllers change their settings when they restart.
+// allWritesSimulation is a simulation whose controllers change their settings when they restart.
 type allWritesSimulation struct {
 	*simulation
 	seed uint64
 
 	mu        sync.Mutex
 	shardings map[string]string // by controller
-	tiers     map[string]bool   // controllers with two tiers
+	tiers     map[string]bool   // whether a controller has two tiers
 }
 
 func newAllWritesSimulation(t *testing.T, seed uint64, count int) *allWritesSimulation {
@@ -483,7 +487,7 @@
 		defer d.mu.Unlock()
 		c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379)
 		c.Tuning.Shards.By = d.shardings[c.Name]
-		c.Store.ValueBytes = 2048 // many slots
+		c.Store.ValueBytes = 2048 // small values make the ledger use many segments
 		if d.tiers[c.Name] {
 			twoTiers(c)
 		}
@@ -491,7 +495,7 @@
 	return d
 }
 
-// rollingRestart changes the settings of all controllers, one after the other, and restarts each.
+// rollingRestart changes the settings of each controller and restarts it, one after the other.
 func (d *allWritesSimulation) rollingRestart(set func(name string)) {
 	for i := range d.count {
 		d.mu.Lock()
@@ -513,14 +517,15 @@
 	time.Sleep(25 * time.Second)
 }
 
-// submitManyTasks submits a job with so many tasks that the ledger grows, and shrinks later.
+// submitManyTasks submits a job with so many tasks that the ledger adds segments, and drops them later.
 func (d *allWritesSimulation) submitManyTasks(id string) {
 	d.user(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
 }
 
-// TestDelayedWrites delays writes of each kind past newer ones of the same controller. Of the days
-// outside of CI, with AMBERDEAL_LATEWRITES=N, all but the first two have other faults too and up
-// to three writes of ten late. AMBERDEAL_LATEWRITE plays one.
+// TestDelayedWrites checks that writes of each kind do no harm when they reach the state service after
+// newer writes of the same controller. AMBERDEAL_LATEWRITES sets the number of simulations; all but the
+// first two, which CI runs, have other faults too and delay up to three of ten writes.
+// AMBERDEAL_LATEWRITE selects a single one.
 func TestDelayedWrites(t *testing.T) {
 	all := map[string]delayedTally{}
 	var mu sync.Mutex
@@ -535,17 +540,17 @@
 		l.addTallies(all)
 	})
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
-		t.Logf("%s: carried out late, after newer ones: %d taken, %d refused", kind, all[kind].committed, all[kind].refused)
+		t.Logf("%s: of those forwarded after newer writes, %d committed, %d refused", kind, all[kind].committed, all[kind].refused)
 	}
 	for _, kind := range append(leaseKinds, kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
 		if all[kind] == (delayedTally{}) && os.Getenv("AMBERDEAL_LATEWRITE") == "" {
-			t.Errorf("no %q was carried out after a newer write of its controller: it was never delayed, or the day has none", kind)
+			t.Errorf("no %q was forwarded after a newer write of its controller: none was delayed, or the simulation has none", kind)
 		}
 	}
 }
 
-// TestDelayedImport imports a state while each kind of the writes that do so is carried out late,
-// and lets controllers continue with it: nothing may exist twice.
+// TestDelayedImport imports a state while each kind of import write is delayed past newer ones. Delayed
+// copies must not restore what a leader has removed or changed since the import.
 func TestDelayedImport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 80, 0, func(c *config.Config) { c.Tuning.History.Compact = false })
@@ -564,8 +569,8 @@
 			}
 			after = page.Items[len(page.Items)-1].Key
 		}
-		to := simulator.NewStateService(1, 0)
-		go w.net.Host("10.2.0.3").Listen(w.ctx, "10.2.0.3:2379", 0, to.Serve())
+		imported := simulator.NewStateService(1, 0)
+		go w.net.Host("10.2.0.3").Listen(w.ctx, "10.2.0.3:2379", 0, imported.Serve())
 		l := newDelayProxy(t, w.net, "10.2.0.3:2379", 80, 0.3)
 		addr := l.listen(w.ctx, "import", "10.2.1.50")
 		go l.releaseHeld(w.ctx)
@@ -573,30 +578,30 @@
 		if _, err := snapshot.Import(t.Context(), c, items, "sum", snapshot.Limits{ValueBytes: 8192, TxnOps: 12}, func(int, int) {}); err != nil {
 			t.Errorf("import: %v", err)
 		}
-		// What a leader does first: a fencing token, and batches that go into the history.
-		status, _ := to.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1 << 40)}}})
-		batches := to.Page(store.BatchKey(""), "", 0).Items
+		// A leader starts by writing a fencing token, and removes batches when it moves them into the history.
+		status, _ := imported.Commit(wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1 << 40)}}})
+		batches := imported.Page(store.BatchKey(""), "", 0).Items
 		for _, it := range batches {
-			to.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
+			imported.Commit(wire.Txn{Then: []wire.Operation{{Delete: it.Key}}})
 		}
-		for i := range 4 { // newer ones of the same sender
+		for i := range 4 { // newer writes of the same sender
 			key := store.BatchKey(fmt.Sprint("new-", i))
 			_, _ = c.Txn(t.Context(), wire.Txn{If: []wire.Condition{{Key: store.SubmissionFenceKey}, {Key: key}}, Then: []wire.Operation{{Put: key, Value: store.BatchRecord{}}}})
 		}
 		time.Sleep(6 * time.Minute)
 		var token uint64
-		if page := to.Page(store.FencingTokenKey, "", 0); len(page.Items) == 1 {
+		if page := imported.Page(store.FencingTokenKey, "", 0); len(page.Items) == 1 {
 			_ = wire.DecodeValue(page.Items[0].Value, &token)
 		}
-		back := slices.DeleteFunc(to.Page(store.BatchKey(""), "", 0).Items, func(it wire.KeyValue) bool { return strings.Contains(it.Key, "/new-") })
-		if status != 200 || len(batches) == 0 || len(back) > 0 || token != 1<<40 {
-			t.Errorf("%d of %d batches are back; the counter of fencing tokens is %d", len(back), len(batches), token)
+		restored := slices.DeleteFunc(imported.Page(store.BatchKey(""), "", 0).Items, func(it wire.KeyValue) bool { return strings.Contains(it.Key, "/new-") })
+		if status != 200 || len(batches) == 0 || len(restored) > 0 || token != 1<<40 {
+			t.Errorf("%d of %d removed batches were restored; the counter of fencing tokens is %d", len(restored), len(batches), token)
 		}
 		all := map[string]delayedTally{}
 		l.addTallies(all)
 		for _, kind := range kindNames(func(name string) bool { return strings.Contains(name, "import") }) {
 			if all[kind] == (delayedTally{}) {
-				t.Errorf("no %q was carried out after a newer write", kind)
+				t.Errorf("no %q was forwarded after a newer write", kind)
 			}
 		}
 		w.finish(10 * time.Minute)
@@ -604,18 +609,18 @@
 	})
 }
 
-// kindNames lists the kinds of transactions whose names are selected.
-func kindNames(of func(name string) bool) (out []string) {
+// kindNames returns the names of the kinds of transactions that the filter selects.
+func kindNames(filter func(name string) bool) (out []string) {
 	for _, k := range writeKinds {
-		if of(k.name) {
+		if filter(k.name) {
 			out = append(out, k.name)
 		}
 	}
 	return out
 }
 
-// TestWritersAreKnown lists all functions that build or send a transaction or make a lease call. A
-// new one belongs into the table of docs/design.md, and its kind into writeKinds.
+// TestWritersAreKnown checks that all functions that build or send a transaction or make a lease call are
+// known. When it finds a new one, add its kind of write to the table in docs/design.md and to writeKinds.
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
 		internal/admission.commit
@@ -658,7 +663,7 @@
 	slices.Sort(got)
 	got = slices.Compact(got)
 	if !slices.Equal(got, want) {
-		t.Errorf("these write to the state service:\n%s\nand these are known:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("functions that write to the state service:\n%s\nknown functions:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
@@ -670,16 +675,16 @@
 		if !ok {
 			return true
 		}
-		of, _ := sel.X.(*ast.SelectorExpr)
-		client := of != nil && strings.EqualFold(of.Sel.Name, "client")
-		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnBeforeSend" || strings.HasPrefix(sel.Sel.Name, "AddChange") || client && slices.Contains([]string{"GrantLease", "RenewLease", "RevokeLease"}, sel.Sel.Name)
+		receiver, _ := sel.X.(*ast.SelectorExpr)
+		isClient := receiver != nil && strings.EqualFold(receiver.Sel.Name, "client")
+		found = found || sel.Sel.Name == "Txn" || sel.Sel.Name == "TxnBeforeSend" || strings.HasPrefix(sel.Sel.Name, "AddChange") || isClient && slices.Contains([]string{"GrantLease", "RenewLease", "RevokeLease"}, sel.Sel.Name)
 		return true
 	})
 	return found
 }
 
-// TestUnknownWriteKindIsFound checks that a write of another kind of key, or without one of its
-// conditions, is of no known kind.
+// TestUnknownWriteKindIsFound checks that kindOf recognizes no kind if a transaction changes another key
+// or lacks one of the conditions of its kind.
 func TestUnknownWriteKindIsFound(t *testing.T) {
 	fence, grant := wire.Condition{Key: store.LeaderKey("a"), Version: 7}, wire.Condition{Key: store.QuotaGrantKey, Version: 5}
 	put := wire.Operation{Put: store.QuotaGrantKey, Value: store.QuotaGrantRecord{}}
@@ -699,7 +704,7 @@
 	}
 }
 
-// TestDelayedWritesAreDocumented checks that the table has a line for each kind.
+// TestDelayedWritesAreDocumented checks that the table in docs/design.md has a row for each kind of write.
 func TestDelayedWritesAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/design.md"))
 	if err != nil {
@@ -709,36 +714,36 @@
 	section, _, _ = strings.Cut(section, "\n## ")
 	for _, k := range writeKinds {
 		if !strings.Contains(section, "| "+k.name+" |") {
-			t.Errorf("%q is not in the table", k.name)
+			t.Errorf("%q is not in the table of docs/design.md", k.name)
 		}
 	}
 	for _, name := range leaseKinds {
 		if !strings.Contains(section, "| "+name+" |") {
-			t.Errorf("%q is not in the table", name)
+			t.Errorf("%q is not in the table of docs/design.md", name)
 		}
 	}
 }
 
-// delayedCloud is a proxy between the controllers and the cloud. It withholds the answers to some
-// rentals and releases, and carries these out later, after newer requests.
+// delayedCloud is a proxy between the controllers and the cloud. It leaves some rentals and releases
+// without a response, and forwards them later, after newer requests.
 type delayedCloud struct {
 	*simulation
 	mu             sync.Mutex
-	requests       map[string]int       // of each kind, without copies
-	firstSent      map[string]time.Time // when each was first sent
-	held           map[string]time.Time // until when copies get no useful answer
-	promptRequests int                  // requests that were carried out at once
-	abandoned      map[string]bool      // rentals that the leader has given up, because a copy was refused
-	rentedLate     map[string]bool      // machines that were rented by these afterwards
-	releasesInUse  int                  // releases of a machine in use
-	delayedCounts  map[string]int       // of each kind, carried out after newer ones
+	requests       map[string]int       // number of requests without copies, by kind
+	firstSent      map[string]time.Time // when each request was first sent
+	held           map[string]time.Time // the time until which copies get no response, or 503
+	promptRequests int                  // number of requests that were forwarded at once
+	abandoned      map[string]bool      // rentals that the leader has given up because a copy was refused
+	rentedLate     map[string]bool      // machines that these rentals rented afterwards
+	releasesInUse  int                  // number of delayed releases of a machine in use
+	delayedCounts  map[string]int       // number of requests that were forwarded after newer ones, by kind
 	released       func(names []string) // called when a release is delayed
 }
 
 func (l *delayedCloud) listen(addr string) {
 	host := l.net.Host(simulator.HostOf(addr))
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
-	pass := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
+	forward := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		target := req.Path
 		if req.Query != "" {
 			target += "?" + req.Query
@@ -756,11 +761,11 @@
 			if err != nil {
 				return
 			}
-			status := l.decideFate(req, func() *httpwire.Response { return pass(l.ctx, req) })
+			status := l.decideFate(req, func() *httpwire.Response { return forward(l.ctx, req) })
 			var resp *httpwire.Response
 			switch status {
 			case 200:
-				resp = pass(ctx, req)
+				resp = forward(ctx, req)
 			case 503:
 				resp = &httpwire.Response{Status: 503, Body: wire.Encode(wire.Failure{Error: "no capacity"})}
 			}
@@ -775,8 +780,10 @@
 	})
 }
 
-// decideFate returns the status for a request: 200 stands for the answer of the cloud.
-func (l *delayedCloud) decideFate(req *httpwire.Request, carryOut func() *httpwire.Response) int {
+// decideFate decides whether a request is delayed, and returns the status for the response: 200 means that
+// the request is forwarded now, 0 that it gets no response. send forwards the request and is called later
+// if the request is delayed.
+func (l *delayedCloud) decideFate(req *httpwire.Request, send func() *httpwire.Response) int {
 	kind := map[string]string{wire.PathRentals: "rental", wire.PathRelease: "release"}[req.Path]
 	if req.Method != "POST" || kind == "" {
 		return 200
@@ -802,16 +809,16 @@
 		l.promptRequests++
 		return 200
 	}
-	late := time.Duration(10+20*(n%3)) * time.Second
+	delay := time.Duration(10+20*(n%3)) * time.Second
 	l.held[id] = now.Add(9 * time.Second)
-	newer := l.promptRequests
-	time.AfterFunc(late, func() {
+	promptBefore := l.promptRequests
+	time.AfterFunc(delay, func() {
 		before, _ := l.checker.Counts()
-		resp := carryOut()
+		resp := send()
 		after, _ := l.checker.Counts()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if resp == nil || l.promptRequests == newer {
+		if resp == nil || l.promptRequests == promptBefore {
 			return
 		}
 		l.delayedCounts[kind]++
@@ -833,16 +840,16 @@
 	return 0
 }
 
-// releasedInUse reports whether a release that ended a task was carried out late.
+// releasedInUse reports whether a delayed release has ended a task.
 func (l *delayedCloud) releasedInUse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.releasesInUse > 0
 }
 
-// TestDelayedRentals carries rentals out after their leader was told that there is no capacity,
-// and releases after another leader has put work on the machine: machines rented so have to be
-// used or returned, tasks that ended so have to run again, and no rule may be violated.
+// TestDelayedRentals delays rentals until their leader was told that there is no capacity, and releases
+// until another leader has launched tasks on the machine. Machines that are rented late have to be used or
+// returned, tasks that a late release ended have to run again, and no rule may be violated.
 func TestDelayedRentals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
@@ -854,30 +861,30 @@
 				Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 		}
 		kills := 0
-		var once sync.Mutex
-		l.released = func([]string) { // nobody remembers: the next leader goes on with the machine
-			once.Lock()
-			defer once.Unlock()
-			if h := w.leaders()["fleet"]; h != "" && kills < 12 && !l.releasedInUse() {
+		var killMu sync.Mutex
+		l.released = func([]string) { // the next leader does not know about the release, and continues to use the machine
+			killMu.Lock()
+			defer killMu.Unlock()
+			if leader := w.leaders()["fleet"]; leader != "" && kills < 12 && !l.releasedInUse() {
 				kills++
-				w.kill(int(h[2]-'0'), 3*time.Second)
+				w.kill(int(leader[2]-'0'), 3*time.Second)
 				array(40 * time.Second)
 			}
 		}
 		l.listen("10.2.1.60:8443")
-		for n := 0; n < 6 || !l.releasedInUse() && n < 24; n++ { // until what was released late was in use
+		for n := 0; n < 6 || !l.releasedInUse() && n < 24; n++ { // until a delayed release has ended a task
 			array(15 * time.Second)
 			time.Sleep(45 * time.Second)
 		}
-		time.Sleep(3 * time.Minute) // what nobody needs is returned
+		time.Sleep(3 * time.Minute) // idle machines are returned by then
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.delayedCounts["rental"] == 0 || l.delayedCounts["release"] == 0 || len(l.rentedLate) == 0 || l.releasesInUse == 0 {
-			t.Errorf("carried out late: %v, machines that nobody waited for: %v, releases of what was in use: %d", l.delayedCounts, l.rentedLate, l.releasesInUse)
+			t.Errorf("delayed requests: %v, machines rented after their rental was abandoned: %v, releases of machines in use: %d", l.delayedCounts, l.rentedLate, l.releasesInUse)
 		}
 		w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
 			if l.rentedLate[m.ID] {
-				t.Errorf("%s, which was rented late, is neither used nor returned", m.ID)
+				t.Errorf("machine %s, which was rented late, is neither used nor returned", m.ID)
 			}
 		})
 		w.finish(10 * time.Minute)
