--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -56,18 +56,18 @@
 }
 
 // noteCommit processes a committed transaction, given its keys. FateOf received its values just before.
-func (r *commitObserver) noteCommit(keys []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (o *commitObserver) noteCommit(keys []string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	puts := map[string]wire.Raw{}
 	for _, key := range keys {
-		if raw, ok := r.pendingValues[key]; ok {
+		if raw, ok := o.pendingValues[key]; ok {
 			puts[key] = raw
 		}
 		if strings.HasPrefix(key, store.LeaderKey("")) {
-			r.claims = append(r.claims, time.Now())
-			close(r.claimed)
-			r.claimed = make(chan struct{})
+			o.claims = append(o.claims, time.Now())
+			close(o.claimed)
+			o.claimed = make(chan struct{})
 		}
 	}
 	for key, raw := range puts {
@@ -76,16 +76,16 @@
 		switch {
 		case strings.HasPrefix(key, store.BatchKey("")) && wire.DecodeValue(raw, &batch) == nil:
 			for id, rec := range batch.Jobs {
-				r.cancelledJobs[id] = r.cancelledJobs[id] || rec.Stage == wire.Cancelled
+				o.cancelledJobs[id] = o.cancelledJobs[id] || rec.Stage == wire.Cancelled
 			}
 		case strings.HasPrefix(key, store.StatePrefix+"ledger/") && wire.DecodeValue(raw, &segment) == nil:
-			r.noteLedgerSegment(segment)
+			o.noteLedgerSegment(segment)
 		}
 	}
 }
 
 // noteLedgerSegment processes the task attempts that a ledger segment names for the first time.
-func (r *commitObserver) noteLedgerSegment(segment store.SegmentRecord) {
+func (o *commitObserver) noteLedgerSegment(segment store.SegmentRecord) {
 	for entry, raw := range segment.Entries {
 		var machine store.MachineRecord
 		if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &machine) != nil {
@@ -93,17 +93,17 @@
 		}
 		for task, attempt := range machine.Tasks {
 			name := fmt.Sprint(entry, task, "#", attempt)
-			if r.recordedAttempts[name] != "" {
+			if o.recordedAttempts[name] != "" {
 				continue
 			}
-			r.recordedAttempts[name] = "named"
+			o.recordedAttempts[name] = "named"
 			job, _, _ := strings.Cut(task, "/")
-			if r.cancelledJobs[job] && attempt>>24 > 0 {
-				r.launchesAfterCancel = append(r.launchesAfterCancel, name)
+			if o.cancelledJobs[job] && attempt>>24 > 0 {
+				o.launchesAfterCancel = append(o.launchesAfterCancel, name)
 			}
-			if r.launched[job].IsZero() {
-				if r.launched[job] = time.Now(); job == r.lastJob {
-					r.group.Go(r.onLastLaunch)
+			if o.launched[job].IsZero() {
+				if o.launched[job] = time.Now(); job == o.lastJob {
+					o.group.Go(o.onLastLaunch)
 				}
 			}
 		}
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -43,12 +43,12 @@
 	extra               string        // names of additional faults
 }
 
-func (g outageCase) String() string {
+func (c outageCase) String() string {
 	return fmt.Sprintf("%d nodes %v/%v by=%s keep=%d refused=%v outage=%v lasts=%v renews=%v again=%v with=%q",
-		g.controllers, g.lease, g.cancelWithin, g.sharding, g.directHeartbeats, g.refusedFor, g.outageDelay, g.outageLength, g.renewalWindow, g.secondOutageAfter, g.extra)
+		c.controllers, c.lease, c.cancelWithin, c.sharding, c.directHeartbeats, c.refusedFor, c.outageDelay, c.outageLength, c.renewalWindow, c.secondOutageAfter, c.extra)
 }
 
-func (g outageCase) hasExtra(name string) bool { return slices.Contains(strings.Fields(g.extra), name) }
+func (c outageCase) hasExtra(name string) bool { return slices.Contains(strings.Fields(c.extra), name) }
 
 // extraFaults are the sets of additional faults of an outage case.
 var extraFaults = []string{
@@ -98,36 +98,36 @@
 	goneTasks  map[string]int       // number of times that a task of a job stopped
 }
 
-func (g *answerWatcher) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	run, ok := g.Checker.TaskStarted(t, machine, typ, zone, spot)
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *answerWatcher) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	run, ok := a.Checker.TaskStarted(t, machine, typ, zone, spot)
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if ok {
-		if g.placements[t] == nil {
-			g.placements[t] = map[string]bool{}
+		if a.placements[t] == nil {
+			a.placements[t] = map[string]bool{}
 		}
-		g.placements[t][machine] = true
+		a.placements[t][machine] = true
 	}
 	return run, ok
 }
 
-func (g *answerWatcher) TaskStopped(t wire.TaskID, machine string) {
-	g.Checker.TaskStopped(t, machine)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.placements[t][machine] {
-		delete(g.placements[t], machine)
-		g.jobGoneAt[t.Job] = time.Now()
-		g.goneTasks[t.Job]++
+func (a *answerWatcher) TaskStopped(t wire.TaskID, machine string) {
+	a.Checker.TaskStopped(t, machine)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.placements[t][machine] {
+		delete(a.placements[t], machine)
+		a.jobGoneAt[t.Job] = time.Now()
+		a.goneTasks[t.Job]++
 	}
 }
 
 // machines returns the machines that have tasks of the jobs.
-func (g *answerWatcher) machines(jobs []string) map[string]bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *answerWatcher) machines(jobs []string) map[string]bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	out := map[string]bool{}
-	for t, hosts := range g.placements {
+	for t, hosts := range a.placements {
 		for m := range hosts {
 			if slices.Contains(jobs, t.Job) {
 				out[m] = true
@@ -139,14 +139,14 @@
 
 // answersSince counts the answers with a fencing token that the machines received since a time, in total
 // and by the host of the controller that sent them.
-func (g *answerWatcher) answersSince(from time.Time, token uint64, machines map[string]bool) (n int, by map[string]int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *answerWatcher) answersSince(from time.Time, token uint64, machines map[string]bool) (n int, by map[string]int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	by = map[string]int{}
-	for _, a := range g.answers {
-		if machines[a.machine] && a.token == token && !a.at.Before(from) {
+	for _, answer := range a.answers {
+		if machines[answer.machine] && answer.token == token && !answer.at.Before(from) {
 			n++
-			by[a.node]++
+			by[answer.node]++
 		}
 	}
 	return n, by
@@ -207,24 +207,24 @@
 const userHost = "10.3.0.9"
 
 // newOutageSimulation starts the simulation of a case.
-func newOutageSimulation(t *testing.T, g outageCase, seed uint64) *outageSimulation {
-	w := &outageSimulation{outageCase: g, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
-	w.simulation = newSimulationOf(t, g.controllers, seed, 0, func(c *config.Config) {
-		c.Workers.Lease, c.Workers.Cancel = g.lease, g.cancelWithin
-		c.Tuning.DirectHeartbeats = g.directHeartbeats
-		if g.sharding != "" {
-			c.Tuning.Shards.By = g.sharding
+func newOutageSimulation(t *testing.T, tc outageCase, seed uint64) *outageSimulation {
+	w := &outageSimulation{outageCase: tc, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
+	w.simulation = newSimulationOf(t, tc.controllers, seed, 0, func(c *config.Config) {
+		c.Workers.Lease, c.Workers.Cancel = tc.lease, tc.cancelWithin
+		c.Tuning.DirectHeartbeats = tc.directHeartbeats
+		if tc.sharding != "" {
+			c.Tuning.Shards.By = tc.sharding
 		}
 		c.StoreAddr = strings.Replace(strings.Replace(c.PublicAddr, "10.0.0.", "10.2.1.", 1), ":8080", ":2379", 1)
 	})
-	for i := range g.controllers {
+	for i := range tc.controllers {
 		addr := fmt.Sprintf("10.2.1.%d:2379", i+1)
 		go w.net.Host(simulator.HostOf(addr)).Listen(w.ctx, addr, 0, w.stateProxy(i))
 	}
-	w.checker.CancelWithin = g.cancelWithin
+	w.checker.CancelWithin = tc.cancelWithin
 	w.watcher = &answerWatcher{Checker: w.checker, placements: map[wire.TaskID]map[string]bool{}, jobGoneAt: map[string]time.Time{}, goneTasks: map[string]int{}}
 	names := map[string]string{}
-	for i := range g.controllers {
+	for i := range tc.controllers {
 		names[fmt.Sprintf("c-%d", i)] = simulator.Address(w.ip(i), 8080)
 	}
 	runtime := simulator.NewTaskRuntime(w.watcher, 20*time.Second, 3*time.Second)
@@ -245,7 +245,7 @@
 				fetchFactor = 5 // so that some members of a gang across both zones have to wait for the others
 			}
 			m := simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: tappedNetwork{w.net.Host(host), id, w.watcher},
-				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: g.lease, HeartbeatInterval: 2 * time.Second, CallDelay: callDelay, FetchFactor: fetchFactor})
+				TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: tc.lease, HeartbeatInterval: 2 * time.Second, CallDelay: callDelay, FetchFactor: fetchFactor})
 			w.mu.Lock()
 			w.workers[id] = m
 			w.mu.Unlock()
@@ -350,28 +350,28 @@
 	isRead, isRenewal bool // kind of the last request
 }
 
-func (f *proxiedStream) Read(p []byte) (int, error) {
-	n, err := f.Stream.Read(p)
+func (s *proxiedStream) Read(p []byte) (int, error) {
+	n, err := s.Stream.Read(p)
 	if line, _, ok := bytes.Cut(p[:n], []byte("\r\n")); ok && bytes.HasSuffix(line, []byte(" HTTP/1.1")) {
-		f.isRead, f.isRenewal = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
+		s.isRead, s.isRenewal = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
 	}
 	return n, err
 }
 
-func (f *proxiedStream) Write(p []byte) (int, error) {
-	w := f.sim
-	if f.isRead && w.areReadsBlocked(f.node) && w.outageCase.hasExtra("lagging") {
+func (s *proxiedStream) Write(p []byte) (int, error) {
+	w := s.sim
+	if s.isRead && w.areReadsBlocked(s.node) && w.outageCase.hasExtra("lagging") {
 		time.Sleep(readLag)
 	}
-	for f.isRead && w.areReadsBlocked(f.node) && w.ctx.Err() == nil && (!w.outageCase.hasExtra("lagging") || w.inOutage()) {
+	for s.isRead && w.areReadsBlocked(s.node) && w.ctx.Err() == nil && (!w.outageCase.hasExtra("lagging") || w.inOutage()) {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if f.isRenewal && bytes.HasPrefix(p, []byte("HTTP/1.1 200")) {
+	if s.isRenewal && bytes.HasPrefix(p, []byte("HTTP/1.1 200")) {
 		w.mu.Lock()
-		w.leaseRenewedAt[f.node] = time.Now()
+		w.leaseRenewedAt[s.node] = time.Now()
 		w.mu.Unlock()
 	}
-	return f.Stream.Write(p)
+	return s.Stream.Write(p)
 }
 
 // readLag delays the responses to a leader's reads in cases with "lagging".
@@ -519,36 +519,36 @@
 
 // applyExtraFaults injects the additional faults of a case after cancellations were confirmed.
 func (w *outageSimulation) applyExtraFaults(leader int, others []int, rng *rand.Rand) {
-	g, ip := w.outageCase, w.ip(leader)
+	tc, ip := w.outageCase, w.ip(leader)
 	pauseLeader := func(after, d time.Duration) { time.AfterFunc(after, func() { w.net.Pause(ip, d) }) }
 	switch {
-	case g.hasExtra("crash"):
+	case tc.hasExtra("crash"):
 		for _, i := range others {
 			w.crash(i, 100*time.Millisecond, 0)
 		}
-	case g.hasExtra("crash-leader"):
+	case tc.hasExtra("crash-leader"):
 		w.group.Add(1)
-		time.AfterFunc(g.outageDelay/2+2*time.Second, func() {
+		time.AfterFunc(tc.outageDelay/2+2*time.Second, func() {
 			defer w.group.Done()
 			w.crash(leader, 100*time.Millisecond, 0)
 		})
-	case g.hasExtra("still"):
+	case tc.hasExtra("still"):
 		pauseLeader(2500*time.Millisecond, time.Duration(2+rng.IntN(25))*time.Second)
-	case g.hasExtra("still-twice"):
+	case tc.hasExtra("still-twice"):
 		for k := range 8 {
 			pauseLeader(2500*time.Millisecond+time.Duration(k)*4*time.Second, 3800*time.Millisecond)
 		}
-	case g.hasExtra("delayed"):
+	case tc.hasExtra("delayed"):
 		time.AfterFunc(2500*time.Millisecond, func() {
-			for i := range g.controllers {
+			for i := range tc.controllers {
 				w.net.Hold(w.ip(i), time.Duration(1+rng.IntN(12))*time.Second)
 			}
 		})
 	}
-	if g.hasExtra("slow") {
+	if tc.hasExtra("slow") {
 		stepRNG := rand.New(rand.NewPCG(rng.Uint64(), 7))
 		w.net.SetStepDelay(ip, func() time.Duration { return time.Duration(w.draw(stepRNG, 900)) * time.Millisecond })
-		time.AfterFunc(max(g.outageLength, 30*time.Second), func() { w.net.SetStepDelay(ip, nil) })
+		time.AfterFunc(max(tc.outageLength, 30*time.Second), func() { w.net.SetStepDelay(ip, nil) })
 	}
 }
 
@@ -583,33 +583,33 @@
 // playOutage simulates an outage of the state service after the confirmation. first tells the first
 // outage of a case from the second.
 func (w *outageSimulation) playOutage(ip string, first bool) {
-	g := w.outageCase
+	tc := w.outageCase
 	switch {
-	case g.refusedFor < 0 && first:
-		time.Sleep(min(-g.refusedFor, g.outageDelay))
+	case tc.refusedFor < 0 && first:
+		time.Sleep(min(-tc.refusedFor, tc.outageDelay))
 		w.store.RefuseCaller(ip, true)
-		time.Sleep(max(0, g.outageDelay+g.refusedFor))
-	case g.renewalWindow > 0 && g.renewalWindow < g.outageDelay:
-		time.Sleep(g.outageDelay - g.renewalWindow)
+		time.Sleep(max(0, tc.outageDelay+tc.refusedFor))
+	case tc.renewalWindow > 0 && tc.renewalWindow < tc.outageDelay:
+		time.Sleep(tc.outageDelay - tc.renewalWindow)
 		w.store.RefuseCaller(ip, false)
-		time.Sleep(g.renewalWindow)
+		time.Sleep(tc.renewalWindow)
 	default:
-		time.Sleep(g.outageDelay)
+		time.Sleep(tc.outageDelay)
 	}
-	if g.outageLength > 0 {
+	if tc.outageLength > 0 {
 		w.store.SetOutage(true)
 	}
 	w.mu.Lock()
 	w.outageBegun = true
 	w.mu.Unlock()
 	w.store.RefuseCaller(ip, false)
-	time.Sleep(g.outageLength)
+	time.Sleep(tc.outageLength)
 	w.store.SetOutage(false)
 }
 
 // run simulates a case and checks the protocol's rules.
-func (g outageCase) run(t *testing.T, seed uint64) (m outageResult) {
-	w := newOutageSimulation(t, g, seed)
+func (c outageCase) run(t *testing.T, seed uint64) (m outageResult) {
+	w := newOutageSimulation(t, c, seed)
 	time.Sleep(8 * time.Second)
 	uncancelled := w.submitUncancelled()
 	jobs, last := outageJobs(true), outageJobs(false)
@@ -622,21 +622,21 @@
 		t.Fatal("the fleet has no leader or no machines")
 	}
 	var others []int
-	for i := range g.controllers {
+	for i := range c.controllers {
 		if i != leader {
 			others = append(others, i)
 		}
 	}
 	// These jobs are launched while the state service serves the leader, or just before it refuses it.
-	w.prepareTasks(others[0], last, g.cancelWithin+max(g.refusedFor, 0)+5*time.Second)
+	w.prepareTasks(others[0], last, c.cancelWithin+max(c.refusedFor, 0)+5*time.Second)
 	refused := w.refuseLeader(leader, others)
 	w.mu.Lock()
 	w.callDelay, m.heldCalls = 0, w.heldCalls
 	w.mu.Unlock()
-	if g.hasExtra("one-way") {
+	if c.hasExtra("one-way") {
 		w.dropInboundOfHalf(30 * time.Second)
 	}
-	if g.hasExtra("late") {
+	if c.hasExtra("late") {
 		w.delayNextCommit()
 	}
 	var ids []string
@@ -648,12 +648,12 @@
 	confirmed := w.cancelAllUntilConfirmed(ids, others)
 	m.uncancelledTasks, m.uncancelledKilled = len(uncancelled), -w.watcher.goneCount(uncancelled)
 	w.applyExtraFaults(leader, others, rand.New(rand.NewPCG(seed, 8)))
-	time.AfterFunc(g.lease, func() { w.watchLeases(g.cancelWithin - g.lease + time.Second) })
+	time.AfterFunc(c.lease, func() { w.watchLeases(c.cancelWithin - c.lease + time.Second) })
 	m.lastRenewalAfter = w.playOutages(leader).Sub(refused)
 	m.uncancelledKilled += w.watcher.goneCount(uncancelled)
-	time.Sleep(max(0, g.cancelWithin+15*time.Second-time.Since(confirmed))) // by then, delayed messages and images have arrived
+	time.Sleep(max(0, c.cancelWithin+15*time.Second-time.Since(confirmed))) // by then, delayed messages and images have arrived
 	from := confirmed
-	if g.refusedFor > g.cancelWithin-g.lease-13*time.Second || g.hasExtra("apart") { // the leader may have stopped answering before the confirmation
+	if c.refusedFor > c.cancelWithin-c.lease-13*time.Second || c.hasExtra("apart") { // the leader may have stopped answering before the confirmation
 		from = refused
 	}
 	all, byHost := w.watcher.answersSince(from, token, taskMachines)
@@ -675,17 +675,17 @@
 // refuseLeader isolates the leader as the case describes, waits for the refusedFor of the case, and
 // returns when the isolation began.
 func (w *outageSimulation) refuseLeader(leader int, others []int) (refused time.Time) {
-	g := w.outageCase
+	tc := w.outageCase
 	w.partitionMachines(leader, others, true)
-	if g.hasExtra("cloud") {
+	if tc.hasExtra("cloud") {
 		w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = true })
 	}
-	w.setReadsBlocked(leader, g.hasExtra("blind"))
-	if g.refusedFor >= 0 {
-		w.store.RefuseCaller(w.ip(leader), !g.hasExtra("blind"))
+	w.setReadsBlocked(leader, tc.hasExtra("blind"))
+	if tc.refusedFor >= 0 {
+		w.store.RefuseCaller(w.ip(leader), !tc.hasExtra("blind"))
 	}
 	refused = time.Now()
-	time.Sleep(max(g.refusedFor, 0))
+	time.Sleep(max(tc.refusedFor, 0))
 	return refused
 }
 
@@ -740,28 +740,28 @@
 }
 
 // unmetConditions describes a fault of a case that did not take effect, or returns "" if all did.
-func (g outageCase) unmetConditions(m outageResult) string {
+func (c outageCase) unmetConditions(m outageResult) string {
 	switch {
-	case m.directAnswers+m.relayedAnswers == 0 && g.cancelWithin-g.lease >= 10*time.Second:
+	case m.directAnswers+m.relayedAnswers == 0 && c.cancelWithin-c.lease >= 10*time.Second:
 		return "the refused leader answered no machine with a cancelled task"
-	case g.hasExtra("apart") && m.directAnswers == 0:
+	case c.hasExtra("apart") && m.directAnswers == 0:
 		return "no answer came directly from the leader"
-	case g.hasExtra("passed") && m.relayedAnswers == 0:
+	case c.hasExtra("passed") && m.relayedAnswers == 0:
 		return "no answer was relayed by a peer"
-	case g.hasExtra("blind") && m.lastRenewalAfter < g.refusedFor+g.outageDelay-4*time.Second:
+	case c.hasExtra("blind") && m.lastRenewalAfter < c.refusedFor+c.outageDelay-4*time.Second:
 		return "the leader whose reads were blocked did not renew its lease"
-	case g.hasExtra("loose") && m.heldCalls == 0:
+	case c.hasExtra("loose") && m.heldCalls == 0:
 		return "no direct call was delayed"
 	}
 	return ""
 }
 
 // goneCount returns how many times tasks of the jobs stopped.
-func (g *answerWatcher) goneCount(jobs []string) (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (a *answerWatcher) goneCount(jobs []string) (n int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	for _, id := range jobs {
-		n += g.goneTasks[id]
+		n += a.goneTasks[id]
 	}
 	return n
 }
@@ -792,9 +792,9 @@
 								for _, renewalWindow := range []time.Duration{0, 50 * ms, 150 * ms, 350 * ms, s} {
 									for _, secondOutageAfter := range []time.Duration{0, 300 * ms, 3 * s} {
 										for _, extra := range extraFaults {
-											g := outageCase{controllers, times[0], times[1], sharding, directHeartbeats, refusedFor, outageDelay, outageLength, renewalWindow, secondOutageAfter, extra}
-											if g.feasible() {
-												all = append(all, g)
+											tc := outageCase{controllers, times[0], times[1], sharding, directHeartbeats, refusedFor, outageDelay, outageLength, renewalWindow, secondOutageAfter, extra}
+											if tc.feasible() {
+												all = append(all, tc)
 											}
 										}
 									}
@@ -812,12 +812,12 @@
 
 // feasible reports whether the faults of a case can coincide. A leader that is refused for a long time is
 // replaced, unless the other controllers cannot reach the machines.
-func (g outageCase) feasible() bool {
-	margin := g.cancelWithin - g.lease
-	return (g.refusedFor <= 5*time.Second && !g.hasExtra("apart") || g.refusedFor >= 0 && g.hasExtra("apart")) && g.refusedFor < max(margin-9*time.Second, time.Second) && (margin > 15*time.Second || !g.hasExtra("apart")) &&
-		(g.outageDelay <= 5*time.Second || g.hasExtra("blind")) && (!g.hasExtra("blind") || g.refusedFor >= 0 && g.renewalWindow == 0 && g.secondOutageAfter == 0) &&
-		(g.renewalWindow == 0 || g.refusedFor >= 0 && g.renewalWindow < g.outageDelay) &&
-		(g.outageLength > 0 || g.hasExtra("loose") && g.secondOutageAfter == 0 && g.refusedFor < 0)
+func (c outageCase) feasible() bool {
+	margin := c.cancelWithin - c.lease
+	return (c.refusedFor <= 5*time.Second && !c.hasExtra("apart") || c.refusedFor >= 0 && c.hasExtra("apart")) && c.refusedFor < max(margin-9*time.Second, time.Second) && (margin > 15*time.Second || !c.hasExtra("apart")) &&
+		(c.outageDelay <= 5*time.Second || c.hasExtra("blind")) && (!c.hasExtra("blind") || c.refusedFor >= 0 && c.renewalWindow == 0 && c.secondOutageAfter == 0) &&
+		(c.renewalWindow == 0 || c.refusedFor >= 0 && c.renewalWindow < c.outageDelay) &&
+		(c.outageLength > 0 || c.hasExtra("loose") && c.secondOutageAfter == 0 && c.refusedFor < 0)
 }
 
 // fixedOutageCases lists the cases that run by default.
@@ -864,13 +864,13 @@
 		t.Logf("%d of %d", len(list), len(all))
 	}
 	cancelledStates, played, unmet := map[wire.TaskState]int{}, 0, 0
-	for i, g := range list {
+	for i, tc := range list {
 		t.Run(fmt.Sprint("gap ", first+i), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := g.run(t, uint64(first+i))
+				m := tc.run(t, uint64(first+i))
 				t.Logf("%v: %d direct and %d relayed answers; %v remaining; %d of %d uncancelled tasks gone; %d leases expired; %d calls delayed; task states %v",
-					g, m.directAnswers, m.relayedAnswers, m.remainingTime.Round(10*time.Millisecond), m.uncancelledKilled, m.uncancelledTasks, m.lostLeases, m.heldCalls, m.taskStates)
-				if why := g.unmetConditions(m); why != "" && fixed {
+					tc, m.directAnswers, m.relayedAnswers, m.remainingTime.Round(10*time.Millisecond), m.uncancelledKilled, m.uncancelledTasks, m.lostLeases, m.heldCalls, m.taskStates)
+				if why := tc.unmetConditions(m); why != "" && fixed {
 					t.Error(why)
 				} else if why != "" {
 					unmet++
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -90,22 +90,22 @@
 }
 
 // delayFor sleeps for the transit time of a message that belongs to the given kinds of links.
-func (l *concurrentReads) delayFor(node int, links ...string) {
-	l.mu.Lock()
-	d := time.Duration(1+l.faultRNG.IntN(6)) * time.Millisecond
-	if node == int(l.slowController.Load()) && slices.Contains(links, l.delayedLink) {
-		d = time.Duration(l.faultRNG.Int64N(int64(maxLinkDelay)))
+func (r *concurrentReads) delayFor(node int, links ...string) {
+	r.mu.Lock()
+	d := time.Duration(1+r.faultRNG.IntN(6)) * time.Millisecond
+	if node == int(r.slowController.Load()) && slices.Contains(links, r.delayedLink) {
+		d = time.Duration(r.faultRNG.Int64N(int64(maxLinkDelay)))
 	}
-	l.mu.Unlock()
+	r.mu.Unlock()
 	time.Sleep(d)
 }
 
 // noteOverlap counts an overlap if it occurred.
-func (l *concurrentReads) noteOverlap(what string, occurred bool) {
+func (r *concurrentReads) noteOverlap(what string, occurred bool) {
 	if occurred {
-		l.mu.Lock()
-		l.overlaps[what]++
-		l.mu.Unlock()
+		r.mu.Lock()
+		r.overlaps[what]++
+		r.mu.Unlock()
 	}
 }
 
@@ -138,27 +138,27 @@
 
 // noteCommit counts the writes committed while requests are in flight, by kind: among others those that
 // move a job from its batch to the archive.
-func (l *concurrentReads) noteCommit(puts []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *concurrentReads) noteCommit(puts []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	inFlight := 0
-	for _, n := range l.openCalls {
+	for _, n := range r.openCalls {
 		inFlight += n
 	}
 	for _, key := range puts {
 		if kind := store.Kind(key); inFlight > 0 {
-			l.overlaps["asked while "+kind+" is written"]++
+			r.overlaps["asked while "+kind+" is written"]++
 		}
 	}
 }
 
 // body returns a repeated submission of the job: unchanged, with different content, or malformed.
-func (l *concurrentReads) body(j *wire.Job) []byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *concurrentReads) body(j *wire.Job) []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	other := *j
 	encoded := wire.Encode(j)
-	switch l.faultRNG.IntN(8) {
+	switch r.faultRNG.IntN(8) {
 	case 0:
 		other.Priority, other.Image = wire.Low, "img-9"
 	case 1:
@@ -179,7 +179,7 @@
 
 // requestAndCheck sends a request to one controller and checks the answer. If the answer is the first to
 // report that the job is known, or that it has ended, it sends requests to all controllers.
-func (l *concurrentReads) requestAndCheck(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
+func (r *concurrentReads) requestAndCheck(i int, x *readJob, method, word string, body []byte) (status int, stage wire.Stage) {
 	path := wire.PathJobs
 	if method == "GET" || word != "" {
 		path += "/" + x.job.ID
@@ -187,9 +187,9 @@
 	if word != "" {
 		path += "/" + word
 	}
-	before := l.beginRequest(i, x, method, word)
-	call := l.answers.BeginCall()
-	resp, err := l.request(i, 5*time.Second, method, path, body)
+	before := r.beginRequest(i, x, method, word)
+	call := r.answers.BeginCall()
+	resp, err := r.request(i, 5*time.Second, method, path, body)
 	var s wire.JobStatus
 	if err == nil {
 		status = resp.Status
@@ -197,18 +197,18 @@
 	}
 	switch {
 	case word != "":
-		l.answers.ObserveCancellation(x.job.ID, call, status, s.Stage)
+		r.answers.ObserveCancellation(x.job.ID, call, status, s.Stage)
 	case method == "POST":
-		l.answers.ObserveSubmission(x.job.ID, call, status, s.Stage)
+		r.answers.ObserveSubmission(x.job.ID, call, status, s.Stage)
 	default:
-		l.answers.ObserveStatus(x.job.ID, call, status, s.Stage)
+		r.answers.ObserveStatus(x.job.ID, call, status, s.Stage)
 	}
 	known := status == 200 || status == 201
-	isNew := l.endRequest(i, x, before, status, s.Stage)
+	isNew := r.endRequest(i, x, before, status, s.Stage)
 	acceptedOtherBody := known && method == "POST" && word == "" && before.stage != "" && !bytes.Equal(body, wire.Encode(x.job))
-	l.noteOverlaps(i, before, status, acceptedOtherBody)
+	r.noteOverlaps(i, before, status, acceptedOtherBody)
 	if isNew {
-		l.requestAllControllers(x)
+		r.requestAllControllers(x)
 	}
 	return status, s.Stage
 }
@@ -226,81 +226,81 @@
 }
 
 // beginRequest counts a request as in flight.
-func (l *concurrentReads) beginRequest(i int, x *readJob, method, word string) requestSnapshot {
+func (r *concurrentReads) beginRequest(i int, x *readJob, method, word string) requestSnapshot {
 	open := &x.openReads
 	if word != "" {
 		open = &x.openCancels
 	} else if method == "POST" {
 		open = &x.openSubmits
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b := requestSnapshot{open, time.Now(), int(l.slowController.Load()) == i, x.stage, x.firstReportedAt, x.reportedBy, l.restartedAt[i], l.openCalls[i]}
-	l.openCalls[i]++
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	b := requestSnapshot{open, time.Now(), int(r.slowController.Load()) == i, x.stage, x.firstReportedAt, x.reportedBy, r.restartedAt[i], r.openCalls[i]}
+	r.openCalls[i]++
 	*open++
 	x.cancelRequested = x.cancelRequested || word != ""
 	if x.openSubmits > 0 && x.openReads > 0 && x.openCancels > 0 {
-		l.overlaps["submission, question and cancellation under way"]++
+		r.overlaps["submission, question and cancellation under way"]++
 	}
 	return b
 }
 
 // endRequest checks an answer, and reports whether it is the first one to any user that reports the job
 // as known, or as ended.
-func (l *concurrentReads) endRequest(i int, x *readJob, b requestSnapshot, status int, stage wire.Stage) (isNew bool) {
+func (r *concurrentReads) endRequest(i int, x *readJob, b requestSnapshot, status int, stage wire.Stage) (isNew bool) {
 	known := status == 200 || status == 201
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.openCalls[i]--
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.openCalls[i]--
 	*b.open--
 	isNew = known && (x.stage == "" || stage.Final() && !x.stage.Final())
 	if isNew {
 		x.stage, x.firstReportedAt, x.reportedBy = stage, time.Now(), i
 	}
 	if known && (stage.Final() || !x.stage.Final()) {
-		l.checker.ObserveAnswer(x.job.ID, status, stage, x.cancelRequested)
+		r.checker.ObserveAnswer(x.job.ID, status, stage, x.cancelRequested)
 	}
 	return isNew
 }
 
 // noteOverlaps counts the overlaps of a request to a controller. acceptedOtherBody reports whether the
 // request was a submission with different content that was answered as a known job.
-func (l *concurrentReads) noteOverlaps(i int, b requestSnapshot, status int, acceptedOtherBody bool) {
+func (r *concurrentReads) noteOverlaps(i int, b requestSnapshot, status int, acceptedOtherBody bool) {
 	known := status == 200 || status == 201
 	soon := b.stage != "" && b.reportedBy != i && b.sent.Sub(b.reportedAt) <= 5*time.Millisecond
 	target := map[bool]string{true: "late", false: "another"}[b.slow]
-	l.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", target, b.stage), soon && known)
-	l.noteOverlap("answered late and not alone", b.slow && b.others > 0 && known && b.sent.Before(time.Now()))
-	l.noteOverlap("known in other words", acceptedOtherBody)
-	l.noteOverlap("refused while not known", status == 400 || status == 422)
-	l.noteOverlap("vain at a new one", !known && status != 404 && b.sent.Sub(b.restartedAt) < 200*time.Millisecond)
-	l.noteOverlap("answered by a new one", known && b.sent.Sub(b.restartedAt) < 2*time.Second)
-	l.noteOverlap(target+" answers", known || status == 404)
-	l.noteOverlap(target+" is asked in vain", status == 0 || status >= 429)
+	r.noteOverlap(fmt.Sprintf("%s is asked within 5 ms of %s", target, b.stage), soon && known)
+	r.noteOverlap("answered late and not alone", b.slow && b.others > 0 && known && b.sent.Before(time.Now()))
+	r.noteOverlap("known in other words", acceptedOtherBody)
+	r.noteOverlap("refused while not known", status == 400 || status == 422)
+	r.noteOverlap("vain at a new one", !known && status != 404 && b.sent.Sub(b.restartedAt) < 200*time.Millisecond)
+	r.noteOverlap("answered by a new one", known && b.sent.Sub(b.restartedAt) < 2*time.Second)
+	r.noteOverlap(target+" answers", known || status == 404)
+	r.noteOverlap(target+" is asked in vain", status == 0 || status >= 429)
 }
 
 // requestAllControllers sends status requests and repeated submissions to all controllers within
 // milliseconds.
-func (l *concurrentReads) requestAllControllers(x *readJob) {
-	for i := range l.count {
+func (r *concurrentReads) requestAllControllers(x *readJob) {
+	for i := range r.count {
 		for _, ms := range []time.Duration{0, 1, 5} {
-			l.group.Go(func() {
+			r.group.Go(func() {
 				time.Sleep(ms * time.Millisecond)
-				l.requestAndCheck(i, x, "GET", "", nil)
+				r.requestAndCheck(i, x, "GET", "", nil)
 			})
 		}
-		l.group.Go(func() { l.requestAndCheck(i, x, "POST", "", l.body(x.job)) })
-		l.group.Go(func() {
+		r.group.Go(func() { r.requestAndCheck(i, x, "POST", "", r.body(x.job)) })
+		r.group.Go(func() {
 			time.Sleep(2 * time.Millisecond)
-			l.requestAndCheck(i, x, "POST", "", l.body(x.job))
+			r.requestAndCheck(i, x, "POST", "", r.body(x.job))
 		})
 	}
 }
 
 // requestUntilAnswered sends a request to one controller after the other until one reports success.
-func (l *concurrentReads) requestUntilAnswered(i int, x *readJob, method, word string, body []byte) {
-	for l.ctx.Err() == nil {
-		if status, _ := l.requestAndCheck(i%l.count, x, method, word, body); status == 200 || status == 201 {
+func (r *concurrentReads) requestUntilAnswered(i int, x *readJob, method, word string, body []byte) {
+	for r.ctx.Err() == nil {
+		if status, _ := r.requestAndCheck(i%r.count, x, method, word, body); status == 200 || status == 201 {
 			return
 		}
 		time.Sleep(time.Second)
@@ -311,46 +311,46 @@
 // runJob submits a job to one controller, cancels it after a delay at another one (not at all if cancel
 // is negative), and polls it at all controllers meanwhile. After the job's end it continues polling until
 // the job is in the archive.
-func (l *concurrentReads) runJob(n, first int, cancel, run time.Duration) {
-	nodes := make([]int, l.count)
+func (r *concurrentReads) runJob(n, first int, cancel, run time.Duration) {
+	nodes := make([]int, r.count)
 	for i := range nodes {
-		nodes[i] = (first + i) % l.count
+		nodes[i] = (first + i) % r.count
 	}
-	l.runJobAt(n, nodes, cancel, run)
+	r.runJobAt(n, nodes, cancel, run)
 }
 
 // runJobAt is like runJob, but uses the given controllers only.
-func (l *concurrentReads) runJobAt(n int, nodes []int, cancel, run time.Duration) {
+func (r *concurrentReads) runJobAt(n int, nodes []int, cancel, run time.Duration) {
 	j := &wire.Job{ID: fmt.Sprintf("wk-%06d", (n*7919)%1_000_000), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, GPUs: 1, MemoryGB: 4,
 		Image: "img", ImageGB: 1, EstimateS: 1}
 	x := &readJob{job: j}
-	l.mu.Lock()
-	l.jobs[j.ID] = x
-	l.mu.Unlock()
-	l.checker.Submitted(j, run)
-	l.group.Go(func() { l.requestUntilAnswered(nodes[0], x, "POST", "", wire.Encode(j)) })
+	r.mu.Lock()
+	r.jobs[j.ID] = x
+	r.mu.Unlock()
+	r.checker.Submitted(j, run)
+	r.group.Go(func() { r.requestUntilAnswered(nodes[0], x, "POST", "", wire.Encode(j)) })
 	if cancel >= 0 {
-		l.group.Go(func() {
+		r.group.Go(func() {
 			time.Sleep(cancel)
-			l.requestUntilAnswered(nodes[1], x, "POST", wire.CancelWord, []byte{})
+			r.requestUntilAnswered(nodes[1], x, "POST", wire.CancelWord, []byte{})
 		})
 	}
 	for _, ms := range []time.Duration{0, 1, 3, 10, 30, 100, 300, 1000} {
 		for k, i := range nodes {
-			l.group.Go(func() {
+			r.group.Go(func() {
 				time.Sleep(ms * time.Millisecond)
 				if k == 2 {
-					l.requestAndCheck(i, x, "POST", "", l.body(j))
+					r.requestAndCheck(i, x, "POST", "", r.body(j))
 				}
-				l.requestAndCheck(i, x, "GET", "", nil)
+				r.requestAndCheck(i, x, "GET", "", nil)
 			})
 		}
 	}
-	l.group.Go(func() {
+	r.group.Go(func() {
 		endedAt := time.Time{}
-		for i := 0; l.ctx.Err() == nil && (endedAt.IsZero() || time.Since(endedAt) < 8*time.Second); i++ {
+		for i := 0; r.ctx.Err() == nil && (endedAt.IsZero() || time.Since(endedAt) < 8*time.Second); i++ {
 			time.Sleep(120 * time.Millisecond)
-			if _, stage := l.requestAndCheck(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && endedAt.IsZero() {
+			if _, stage := r.requestAndCheck(nodes[i%len(nodes)], x, "GET", "", nil); stage.Final() && endedAt.IsZero() {
 				endedAt = time.Now()
 			}
 		}
@@ -363,48 +363,48 @@
 // run simulates a case. The controller with the delayed link is first the one that accepts jobs, then
 // the one that cancels them, then one that receives only polls and repeated submissions. In between, the
 // state service drops its watch history and a controller restarts.
-func (l *concurrentReads) run(seed uint64) {
+func (r *concurrentReads) run(seed uint64) {
 	time.Sleep(8 * time.Second)
-	l.runJob(999, 0, 45*time.Second, forever) // keeps one machine rented
+	r.runJob(999, 0, 45*time.Second, forever) // keeps one machine rented
 	time.Sleep(10 * time.Second)
 	n := 0
 	for role := range 3 {
-		leader := max(0, l.anyLeader())
-		slow := (leader + int(seed/2)%2*l.count/2) % l.count
-		l.slowController.Store(int64(slow))
-		l.noteOverlap("who leads hears late", slow == leader)
-		l.noteOverlap("another leads", slow != leader)
+		leader := max(0, r.anyLeader())
+		slow := (leader + int(seed/2)%2*r.count/2) % r.count
+		r.slowController.Store(int64(slow))
+		r.noteOverlap("who leads hears late", slow == leader)
+		r.noteOverlap("another leads", slow != leader)
 		for k, ms := range cancelDelays {
-			first := (slow + l.count - role) % l.count
-			l.runJob(n, first, ms*time.Millisecond, time.Minute)
+			first := (slow + r.count - role) % r.count
+			r.runJob(n, first, ms*time.Millisecond, time.Minute)
 			if n++; k%3 == 0 {
-				l.runJob(n, first, -1, time.Duration(200*k)*time.Millisecond)
+				r.runJob(n, first, -1, time.Duration(200*k)*time.Millisecond)
 				n++
 			}
-			time.Sleep(time.Duration(150+l.draw(l.rng, 300)) * time.Millisecond)
+			time.Sleep(time.Duration(150+r.draw(r.rng, 300)) * time.Millisecond)
 		}
-		l.store.DropHistory()
+		r.store.DropHistory()
 		time.Sleep(6 * time.Second)
-		l.restart((slow + role/2) % l.count) // the slow controller or the next one
+		r.restart((slow + role/2) % r.count) // the slow controller or the next one
 	}
-	l.slowController.Store(-1)
-	l.finishQuietly(0, 5*time.Minute)
-	for _, b := range l.answers.Violations() {
-		l.t.Error(b)
+	r.slowController.Store(-1)
+	r.finishQuietly(0, 5*time.Minute)
+	for _, b := range r.answers.Violations() {
+		r.t.Error(b)
 	}
 }
 
 // restart restarts a controller and polls it for all jobs before and while it reads the state.
-func (l *concurrentReads) restart(i int) {
+func (r *concurrentReads) restart(i int) {
 	const restartAfter = 50 * time.Millisecond
-	l.mu.Lock()
-	l.restartedAt[i] = time.Now().Add(restartAfter)
-	l.mu.Unlock()
-	l.crash(i, restartAfter, 0)
+	r.mu.Lock()
+	r.restartedAt[i] = time.Now().Add(restartAfter)
+	r.mu.Unlock()
+	r.crash(i, restartAfter, 0)
 	for range 6 {
 		time.Sleep(20 * time.Millisecond)
-		for _, x := range l.jobs {
-			l.group.Go(func() { l.requestAndCheck(i, x, "GET", "", nil) })
+		for _, x := range r.jobs {
+			r.group.Go(func() { r.requestAndCheck(i, x, "GET", "", nil) })
 		}
 	}
 	time.Sleep(4 * time.Second)
@@ -455,31 +455,31 @@
 
 // runJobCancelledAtEnd cancels, polls and resubmits a job at three controllers, at an offset from the
 // end of its last task, without other faults.
-func (l *concurrentReads) runJobCancelledAtEnd(n, first int, offset time.Duration, shape wire.Shape, tasks int) {
+func (r *concurrentReads) runJobCancelledAtEnd(n, first int, offset time.Duration, shape wire.Shape, tasks int) {
 	const run = 4 * time.Second
 	j := jobOf(fmt.Sprintf("wk-%06d", n), shape, tasks, run)
 	j.CPUs, j.GPUs, j.MemoryGB = 0.5, 0.25, 1
 	x := &readJob{job: j}
-	l.checker.Submitted(j, run)
-	l.group.Go(func() {
-		l.requestUntilAnswered(first, x, "POST", "", wire.Encode(j))
-		for l.ctx.Err() == nil && l.checker.Running(j.ID) < tasks {
+	r.checker.Submitted(j, run)
+	r.group.Go(func() {
+		r.requestUntilAnswered(first, x, "POST", "", wire.Encode(j))
+		for r.ctx.Err() == nil && r.checker.Running(j.ID) < tasks {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(run + offset)
-		ended := l.checker.Running(j.ID) == 0
-		l.group.Go(func() { l.requestAndCheck((first+1)%l.count, x, "GET", "", nil) })
-		l.group.Go(func() { l.requestAndCheck((first+2)%l.count, x, "POST", "", l.body(j)) })
-		l.requestUntilAnswered(first, x, "POST", wire.CancelWord, []byte{})
-		l.mu.Lock()
+		ended := r.checker.Running(j.ID) == 0
+		r.group.Go(func() { r.requestAndCheck((first+1)%r.count, x, "GET", "", nil) })
+		r.group.Go(func() { r.requestAndCheck((first+2)%r.count, x, "POST", "", r.body(j)) })
+		r.requestUntilAnswered(first, x, "POST", wire.CancelWord, []byte{})
+		r.mu.Lock()
 		stage := x.stage
-		l.mu.Unlock()
-		l.noteOverlap(fmt.Sprintf("ended %v, %s", ended, stage), true)
-		for i := range 2 * l.count {
+		r.mu.Unlock()
+		r.noteOverlap(fmt.Sprintf("ended %v, %s", ended, stage), true)
+		for i := range 2 * r.count {
 			time.Sleep(700 * time.Millisecond)
-			l.requestAndCheck((first+i)%l.count, x, "GET", "", nil)
+			r.requestAndCheck((first+i)%r.count, x, "GET", "", nil)
 		}
-		l.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, even if the job is done
+		r.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, even if the job is done
 	})
 }
 
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -205,8 +205,8 @@
 }
 
 // listen starts to serve one controller at a host of its own, and returns the address.
-func (l *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
-	host := l.net.Host(ip)
+func (p *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
+	host := p.net.Host(ip)
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
 	addr = simulator.Address(ip, 2379)
 	go host.Listen(ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
@@ -220,7 +220,7 @@
 			if req.Query != "" {
 				target += "?" + req.Query
 			}
-			status, body := l.serveInstead(ctx, caller, from, req.Method, target, req.Body)
+			status, body := p.serveInstead(ctx, caller, from, req.Method, target, req.Body)
 			if status <= noReply {
 				time.Sleep(map[int]time.Duration{noReply: 2600 * time.Millisecond, connClosed: 10 * time.Millisecond}[status])
 				return
@@ -234,8 +234,8 @@
 }
 
 // forward sends a request to the state service. The status is 0 if there is no response.
-func (l *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
-	resp, err := caller.Call(ctx, l.target, method, target, body)
+func (p *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
+	resp, err := caller.Call(ctx, p.target, method, target, body)
 	if err != nil {
 		return 0, nil
 	}
@@ -243,30 +243,30 @@
 }
 
 // countOf returns the number of writes of a kind, without copies.
-func (l *delayProxy) countOf(kind string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.kindCounts[kind]
+func (p *delayProxy) countOf(kind string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.kindCounts[kind]
 }
 
 // kindSent returns the kind of a request, or "" if it changes nothing. A transaction of an unknown kind
 // fails the test, because nobody has analysed what a late copy of it does.
-func (l *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
+func (p *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
 	switch {
 	case target == wire.PathTxn:
 		var t txnAsSent
 		if err := wire.Decode(body, &t); err != nil {
-			l.t.Errorf("%s sent a transaction that can't be decoded: %v", from, err)
+			p.t.Errorf("%s sent a transaction that can't be decoded: %v", from, err)
 		}
 		if kind = kindOf(&t); kind == "" && len(t.Then) > 0 {
 			when, then := t.describe()
 			kind = fmt.Sprintf("when %v then %v", when, then)
-			l.mu.Lock()
-			if !l.unknownKinds[kind] {
-				l.t.Errorf("%s sent a transaction of an unknown kind: %s; analyse what a copy does that is committed minutes later, and add the kind to writeKinds", from, kind)
+			p.mu.Lock()
+			if !p.unknownKinds[kind] {
+				p.t.Errorf("%s sent a transaction of an unknown kind: %s; analyse what a copy does that is committed minutes later, and add the kind to writeKinds", from, kind)
 			}
-			l.unknownKinds[kind] = true
-			l.mu.Unlock()
+			p.unknownKinds[kind] = true
+			p.mu.Unlock()
 		}
 	case target == wire.PathLeases:
 		kind = leaseKinds[0]
@@ -279,47 +279,47 @@
 }
 
 // serve handles a request of a controller.
-func (l *delayProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
-	kind := l.kindSent(from, method, target, body)
+func (p *delayProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+	kind := p.kindSent(from, method, target, body)
 	if kind == "" {
-		return l.forward(ctx, caller, method, target, body)
+		return p.forward(ctx, caller, method, target, body)
 	}
-	w, status := l.decideFate(kind, from, method, target, body)
+	w, status := p.decideFate(kind, from, method, target, body)
 	if status != 200 {
 		return status, nil
 	}
 	sent := time.Now()
-	status, answer := l.forward(ctx, caller, method, target, body)
-	l.noteResult(w, sent, status, false)
+	status, answer := p.forward(ctx, caller, method, target, body)
+	p.noteResult(w, sent, status, false)
 	return status, answer
 }
 
 // decideFate decides whether a write is delayed, and returns the status for the response: 200 means that
 // the write is forwarded now.
-func (l *delayProxy) decideFate(kind, from, method, target string, body []byte) (*delayedWrite, int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *delayProxy) decideFate(kind, from, method, target string, body []byte) (*delayedWrite, int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	now := time.Now()
 	id := from + " " + target + " " + string(body)
-	w := l.writes[id]
+	w := p.writes[id]
 	isLease := slices.Contains(leaseKinds, kind) // lease calls of a kind are identical: each one counts as a new write
 	if w == nil || isLease {
 		w = &delayedWrite{kind: kind, from: from, method: method, path: target, body: bytes.Clone(body), firstSentAt: now}
-		l.writes[id] = w
-		n := l.kindCounts[kind]
-		l.kindCounts[kind]++
+		p.writes[id] = w
+		n := p.kindCounts[kind]
+		p.kindCounts[kind]++
 		switch {
 		case n < 2*len(writeFates) && n%2 == 0:
 			f := writeFates[n/2]
 			w.fate = &f
-		case l.rng.Float64() < l.share:
-			w.fate = &writeFate{time.Duration(2000+l.rng.IntN(10000)) * time.Millisecond, []int{200, 200, 0, 503}[l.rng.IntN(4)]}
-			if l.rng.IntN(8) == 0 {
-				w.fate.delay += time.Duration(l.rng.IntN(180)) * time.Second
+		case p.rng.Float64() < p.share:
+			w.fate = &writeFate{time.Duration(2000+p.rng.IntN(10000)) * time.Millisecond, []int{200, 200, 0, 503}[p.rng.IntN(4)]}
+			if p.rng.IntN(8) == 0 {
+				w.fate.delay += time.Duration(p.rng.IntN(180)) * time.Second
 			}
 		}
 		if w.fate != nil {
-			l.held = append(l.held, w)
+			p.held = append(p.held, w)
 			return w, 0
 		}
 		return w, 200
@@ -334,17 +334,17 @@
 // because of its conditions, no copy of it may be committed. The only exception are new jobs: a copy may be
 // committed between their removal and the next submission fence, since the record of the removed jobs takes
 // precedence (TestLateSubmissionBeforeGate).
-func (l *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if w.path == wire.PathTxn && w.kind != "new jobs" {
 		switch status {
 		case 200:
 			if !w.refusedAt.IsZero() && w.refusedAt.Before(sent) { // the results of concurrent copies may arrive in any order
-				l.t.Errorf("%s: %q was refused, and a copy of it was committed later", w.from, w.kind)
+				p.t.Errorf("%s: %q was refused, and a copy of it was committed later", w.from, w.kind)
 			}
 			if w.commits++; w.commits > 1 {
-				l.t.Errorf("%s: %q was committed %d times", w.from, w.kind, w.commits)
+				p.t.Errorf("%s: %q was committed %d times", w.from, w.kind, w.commits)
 			}
 		case 409:
 			if w.refusedAt.IsZero() {
@@ -353,7 +353,7 @@
 		}
 	}
 	if status == 200 && !late {
-		for _, h := range l.held {
+		for _, h := range p.held {
 			if h.from == w.from && h != w {
 				h.newerCommits++
 			}
@@ -363,44 +363,44 @@
 
 // releaseHeld forwards delayed writes when their delay is over and a newer write of their controller was
 // committed, or after 5 minutes if there is none.
-func (l *delayProxy) releaseHeld(ctx context.Context) {
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: l.net.Host("10.2.1.99").Dial}
+func (p *delayProxy) releaseHeld(ctx context.Context) {
+	caller := &transport.Caller{MaxBody: 8 << 20, Dial: p.net.Host("10.2.1.99").Dial}
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		l.mu.Lock()
+		p.mu.Lock()
 		var due []*delayedWrite
-		l.held = slices.DeleteFunc(l.held, func(w *delayedWrite) bool {
+		p.held = slices.DeleteFunc(p.held, func(w *delayedWrite) bool {
 			isDue := time.Since(w.firstSentAt) >= w.fate.delay && (w.newerCommits > 0 || time.Since(w.firstSentAt) > 5*time.Minute)
 			if isDue {
 				due = append(due, w)
 			}
 			return isDue
 		})
-		l.mu.Unlock()
+		p.mu.Unlock()
 		for _, w := range due {
 			sent := time.Now()
-			status, _ := l.forward(ctx, caller, w.method, w.path, w.body)
-			l.noteResult(w, sent, status, true)
-			l.mu.Lock()
+			status, _ := p.forward(ctx, caller, w.method, w.path, w.body)
+			p.noteResult(w, sent, status, true)
+			p.mu.Lock()
 			if w.newerCommits > 0 && status != 0 {
-				t := l.tallies[w.kind]
+				t := p.tallies[w.kind]
 				if status == 200 {
 					t.committed++
 				} else {
 					t.refused++
 				}
-				l.tallies[w.kind] = t
+				p.tallies[w.kind] = t
 			}
-			l.mu.Unlock()
+			p.mu.Unlock()
 		}
 	}
 }
 
 // addTallies adds the results of delayed writes to all, by kind.
-func (l *delayProxy) addTallies(all map[string]delayedTally) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for kind, n := range l.tallies {
+func (p *delayProxy) addTallies(all map[string]delayedTally) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for kind, n := range p.tallies {
 		all[kind] = delayedTally{all[kind].committed + n.committed, all[kind].refused + n.refused}
 	}
 }
@@ -740,8 +740,8 @@
 	released       func(names []string) // called when a release is delayed
 }
 
-func (l *delayedCloud) listen(addr string) {
-	host := l.net.Host(simulator.HostOf(addr))
+func (c *delayedCloud) listen(addr string) {
+	host := c.net.Host(simulator.HostOf(addr))
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
 	forward := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		target := req.Path
@@ -754,14 +754,14 @@
 		}
 		return &httpwire.Response{Status: resp.Status, Body: resp.Body}
 	}
-	go host.Listen(l.ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
+	go host.Listen(c.ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
 		for {
 			req, err := httpwire.ReadRequest(r, 1<<20)
 			if err != nil {
 				return
 			}
-			status := l.decideFate(req, func() *httpwire.Response { return forward(l.ctx, req) })
+			status := c.decideFate(req, func() *httpwire.Response { return forward(c.ctx, req) })
 			var resp *httpwire.Response
 			switch status {
 			case 200:
@@ -783,68 +783,68 @@
 // decideFate decides whether a request is delayed, and returns the status for the response: 200 means that
 // the request is forwarded now, 0 that it gets no response. send forwards the request and is called later
 // if the request is delayed.
-func (l *delayedCloud) decideFate(req *httpwire.Request, send func() *httpwire.Response) int {
+func (c *delayedCloud) decideFate(req *httpwire.Request, send func() *httpwire.Response) int {
 	kind := map[string]string{wire.PathRentals: "rental", wire.PathRelease: "release"}[req.Path]
 	if req.Method != "POST" || kind == "" {
 		return 200
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	id, now := kind+string(req.Body), time.Now()
-	if at, known := l.firstSent[id]; known {
+	if at, known := c.firstSent[id]; known {
 		switch {
-		case l.held[id].Before(now):
-			l.promptRequests++
+		case c.held[id].Before(now):
+			c.promptRequests++
 			return 200
 		case kind == "rental" && now.Sub(at) > 4*time.Second: // the second copy is refused
-			l.abandoned[id] = true
+			c.abandoned[id] = true
 			return 503
 		}
 		return 0
 	}
-	l.firstSent[id] = now
-	n := l.requests[kind]
-	l.requests[kind]++
+	c.firstSent[id] = now
+	n := c.requests[kind]
+	c.requests[kind]++
 	if n%2 == 1 {
-		l.promptRequests++
+		c.promptRequests++
 		return 200
 	}
 	delay := time.Duration(10+20*(n%3)) * time.Second
-	l.held[id] = now.Add(9 * time.Second)
-	promptBefore := l.promptRequests
+	c.held[id] = now.Add(9 * time.Second)
+	promptBefore := c.promptRequests
 	time.AfterFunc(delay, func() {
-		before, _ := l.checker.Counts()
+		before, _ := c.checker.Counts()
 		resp := send()
-		after, _ := l.checker.Counts()
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if resp == nil || l.promptRequests == promptBefore {
+		after, _ := c.checker.Counts()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if resp == nil || c.promptRequests == promptBefore {
 			return
 		}
-		l.delayedCounts[kind]++
+		c.delayedCounts[kind]++
 		if kind == "release" && after < before {
-			l.releasesInUse++
+			c.releasesInUse++
 		}
 		var names wire.MachineNames
-		if kind == "rental" && l.abandoned[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
+		if kind == "rental" && c.abandoned[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
 			for _, name := range names.Machines {
-				l.rentedLate[name] = true
+				c.rentedLate[name] = true
 			}
 		}
 	})
 	if kind == "release" {
 		var names wire.MachineNames
 		_ = wire.Decode(req.Body, &names)
-		go l.released(names.Machines)
+		go c.released(names.Machines)
 	}
 	return 0
 }
 
 // releasedInUse reports whether a delayed release has ended a task.
-func (l *delayedCloud) releasedInUse() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.releasesInUse > 0
+func (c *delayedCloud) releasedInUse() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.releasesInUse > 0
 }
 
 // TestDelayedRentals delays rentals until their leader was told that there is no capacity, and releases
