--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -21,22 +21,22 @@
 	Launches     LaunchChecker      // launches after their user was told that the job is cancelled
 	Starvation   StarvationChecker  // jobs that wait while capacity is free
 
-	mu              sync.Mutex
-	submitted       map[string]*wire.Job
-	runTimes        map[string]time.Duration
-	taskRunTimes    map[string][]time.Duration        // of jobs whose tasks differ
-	placements      map[wire.TaskID]map[string]string // machine to zone
-	startedAt       map[wire.TaskID]time.Time         // the last start
-	finished        map[wire.TaskID]bool
-	lastStage       map[string]wire.Stage
-	cancelled       map[string]time.Time // when the user was told
-	usedGPUs        map[string]float64
-	answers         map[string]*answerOrder
-	cancelRequested map[string]bool // jobs with an answered request to cancel them
-	valid           map[string]bool // submissions that have to be accepted
-	violations      []string
-	Started         int
-	Stopped         int // tasks that were stopped before their completion
+	mu               sync.Mutex
+	submitted        map[string]*wire.Job
+	runTimes         map[string]time.Duration
+	taskRunTimes     map[string][]time.Duration        // of jobs whose tasks differ
+	placements       map[wire.TaskID]map[string]string // machine to zone
+	startedAt        map[wire.TaskID]time.Time         // the last start
+	finished         map[wire.TaskID]bool
+	lastStage        map[string]wire.Stage
+	cancelled        map[string]time.Time // when the user was told
+	usedGPUs         map[string]float64
+	answerTimes      map[string]*answerTimes
+	cancelRequested  map[string]bool // jobs with an answered request to cancel them
+	validSubmissions map[string]bool // submissions that have to be accepted
+	violations       []string
+	Started          int
+	Stopped          int // tasks that were stopped before their completion
 }
 
 // NewChecker returns a checker without observations. cancel is the time within which a cancelled
@@ -45,11 +45,11 @@
 	return &Checker{CancelWithin: cancel, GPULimits: limits, submitted: map[string]*wire.Job{}, runTimes: map[string]time.Duration{}, taskRunTimes: map[string][]time.Duration{},
 		placements: map[wire.TaskID]map[string]string{}, finished: map[wire.TaskID]bool{}, lastStage: map[string]wire.Stage{},
 		cancelled: map[string]time.Time{}, usedGPUs: map[string]float64{}, cancelRequested: map[string]bool{},
-		startedAt: map[wire.TaskID]time.Time{}, answers: map[string]*answerOrder{}}
+		startedAt: map[wire.TaskID]time.Time{}, answerTimes: map[string]*answerTimes{}}
 }
 
-// violate records a violation of a rule.
-func (c *Checker) violate(rule, format string, args ...any) {
+// recordViolation records a violation of a rule.
+func (c *Checker) recordViolation(rule, format string, args ...any) {
 	c.violations = append(c.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -13,11 +13,11 @@
 	c.ObserveAnswerAt(id, status, stage, asked, now, now)
 }
 
-// answerOrder keeps the times by which answers about a job were given, to recognise answers that
+// answerTimes keeps the times by which answers about a job were given, to recognise answers that
 // contradict earlier ones.
-type answerOrder struct {
-	accepted, final time.Time // the answer that said so first
-	open            time.Time // the last question that was answered otherwise
+type answerTimes struct {
+	firstAccepted, firstFinal time.Time // the answer that said so first
+	lastNonFinal              time.Time // the last question that was answered otherwise
 }
 
 // ObserveAnswerAt is ObserveAnswer with the times at which the request was sent and answered:
@@ -26,50 +26,50 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j, before := c.submitted[id], c.lastStage[id]
-	if c.answers[id] == nil {
-		c.answers[id] = &answerOrder{}
+	if c.answerTimes[id] == nil {
+		c.answerTimes[id] = &answerTimes{}
 	}
-	o := c.answers[id]
+	o := c.answerTimes[id]
 	c.cancelRequested[id] = c.cancelRequested[id] || asked
 	switch {
 	case j == nil && status == 200:
-		c.violate("invented", "%s", id)
-	case before != "" && !sent.Before(o.accepted) && (status == 404 || status == 400 || status == 422):
-		c.violate("forgotten", "%s: %d", id, status)
+		c.recordViolation("invented", "%s", id)
+	case before != "" && !sent.Before(o.firstAccepted) && (status == 404 || status == 400 || status == 422):
+		c.recordViolation("forgotten", "%s: %d", id, status)
 	}
 	if j == nil || status != 200 && status != 201 {
 		return
 	}
-	if o.accepted.IsZero() || back.Before(o.accepted) {
-		o.accepted = back
+	if o.firstAccepted.IsZero() || back.Before(o.firstAccepted) {
+		o.firstAccepted = back
 	}
-	if before.Final() && !stage.Final() && sent.Before(o.final) {
+	if before.Final() && !stage.Final() && sent.Before(o.firstFinal) {
 		return // the request was sent before the end was reported
 	}
 	if o.contradicts(before, stage, back) || stage == wire.Cancelled && !asked {
-		c.violate("went_back", "%s was %s, is called %s", id, before, stage)
+		c.recordViolation("went_back", "%s was %s, is called %s", id, before, stage)
 	}
 	if !stage.Final() {
-		o.open = latest(o.open, sent)
-	} else if o.final.IsZero() || back.Before(o.final) {
-		o.final = back
+		o.lastNonFinal = latest(o.lastNonFinal, sent)
+	} else if o.firstFinal.IsZero() || back.Before(o.firstFinal) {
+		o.firstFinal = back
 	}
-	c.advance(j, before, stage)
+	c.recordStage(j, before, stage)
 }
 
 // contradicts reports whether a stage, answered at a time, contradicts the one that was reported
 // before.
-func (o *answerOrder) contradicts(before, stage wire.Stage, back time.Time) bool {
-	return before.Final() && stage != before || stage.Final() && !before.Final() && o.open.After(back)
+func (o *answerTimes) contradicts(before, stage wire.Stage, back time.Time) bool {
+	return before.Final() && stage != before || stage.Final() && !before.Final() && o.lastNonFinal.After(back)
 }
 
-// advance records the stage that was answered for a job: one that is done may have no task left, one
+// recordStage records the stage that was answered for a job: one that is done may have no task left, one
 // that is cancelled may start none.
-func (c *Checker) advance(j *wire.Job, before, stage wire.Stage) {
+func (c *Checker) recordStage(j *wire.Job, before, stage wire.Stage) {
 	if stage == wire.Done {
 		for i := range j.Tasks {
 			if !c.finished[wire.TaskID{Job: j.ID, Index: i}] {
-				c.violate("not_done", "%s/%d", j.ID, i)
+				c.recordViolation("not_done", "%s/%d", j.ID, i)
 			}
 		}
 	}
--- a/internal/simulator/checker_counts.go
+++ b/internal/simulator/checker_counts.go
@@ -72,7 +72,7 @@
 // WatchMachines samples the cloud's machines until the context ends.
 func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
 	for ctx.Err() == nil {
-		wait(ctx, sampleInterval)
+		sleepContext(ctx, sampleInterval)
 		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsQuiet(now) {
 			c.sampleMachines(now, cloud)
 		}
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -12,7 +12,7 @@
 // checkCancelled records a violation if a task still runs too long after its cancellation.
 func (c *Checker) checkCancelled(t wire.TaskID, where map[string]string) {
 	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.CancelWithin {
-		c.violate("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
+		c.recordViolation("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
 	}
 }
 
@@ -34,7 +34,7 @@
 	}
 	c.Started++
 	if len(c.placements[t]) > 0 {
-		c.violate("ran_twice", "%v starts on %s while it is on %v", t, machine, c.placements[t])
+		c.recordViolation("ran_twice", "%v starts on %s while it is on %v", t, machine, c.placements[t])
 	}
 	if c.placements[t] == nil {
 		c.placements[t] = map[string]string{}
@@ -42,24 +42,24 @@
 	c.placements[t][machine], c.startedAt[t] = zone, time.Now()
 	c.usedGPUs[j.Team] += j.GPUs
 	if limit := c.GPULimits[j.Team]; limit > 0 && c.usedGPUs[j.Team] > limit {
-		c.violate("quota", "team %s uses %v of %v", j.Team, c.usedGPUs[j.Team], limit)
+		c.recordViolation("quota", "team %s uses %v of %v", j.Team, c.usedGPUs[j.Team], limit)
 	}
 	if spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, typ) || j.Zone != "" && j.Zone != zone {
-		c.violate("wrong_place", "%v on %s %s in %s", t, typ, machine, zone)
+		c.recordViolation("wrong_place", "%v on %s %s in %s", t, typ, machine, zone)
 	}
 	c.checkZones(j, t)
 	c.Launches.TaskStarted(time.Now(), t)
 	if at, ok := c.cancelled[t.Job]; ok && time.Since(at) > c.CancelWithin {
-		c.violate("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
+		c.recordViolation("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
 	}
 	if c.finished[t] { // started again, it ends as soon as it has its image
 		return 10 * time.Millisecond, true
 	}
-	return c.runs(t), true
+	return c.taskRunTime(t), true
 }
 
-// runs returns a task's run time.
-func (c *Checker) runs(t wire.TaskID) time.Duration {
+// taskRunTime returns a task's run time.
+func (c *Checker) taskRunTime(t wire.TaskID) time.Duration {
 	if each := c.taskRunTimes[t.Job]; len(each) > 0 {
 		return each[t.Index%len(each)]
 	}
@@ -73,7 +73,7 @@
 	left, on := map[string]time.Duration{}, map[string][]string{}
 	for t, where := range c.placements {
 		if len(where) > 0 && !c.lastStage[t.Job].Final() && !c.cancelRequested[t.Job] {
-			left[t.Job] = max(left[t.Job], c.runs(t)-time.Since(c.startedAt[t]))
+			left[t.Job] = max(left[t.Job], c.taskRunTime(t)-time.Since(c.startedAt[t]))
 			on[t.Job] = slices.AppendSeq(on[t.Job], maps.Keys(where))
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	for _, n := range in {
 		if j.OneZone && len(in) > 1 || j.Spread && n > (j.Tasks+1)/2 {
-			c.violate("wrong_place", "%v: the job's tasks are in %v", t, in)
+			c.recordViolation("wrong_place", "%v: the job's tasks are in %v", t, in)
 			return
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -25,12 +25,12 @@
 	Start           func(id, addr, typ, zone string, spot bool) Machine
 	Faults          CloudFaults
 
-	mu                sync.Mutex
-	next              int
-	machines          map[string]*instance
-	idempotentAnswers map[string][]string
-	rps               *rate.Limiter
-	pastCost          float64 // of the machines that were deleted
+	mu              sync.Mutex
+	rentedCount     int
+	machines        map[string]*instance
+	rentedByRequest map[string][]string
+	requestLimiter  *rate.Limiter
+	deletedCost     float64 // of the machines that were deleted
 }
 
 // Offer is a kind of machine that can be rented.
@@ -65,8 +65,8 @@
 	}
 )
 
-// typeOf returns a machine type by name, or nil.
-func (c *Cloud) typeOf(name string) *wire.MachineType {
+// machineType returns a machine type by name, or nil.
+func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
 			return &c.Types[i]
--- a/internal/simulator/cloud_calls.go
+++ b/internal/simulator/cloud_calls.go
@@ -17,7 +17,7 @@
 func (c *Cloud) Serve() transport.ServeConn {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines, c.idempotentAnswers = map[string]*instance{}, map[string][]string{}
+		c.machines, c.rentedByRequest = map[string]*instance{}, map[string][]string{}
 	}
 	c.mu.Unlock()
 	return serveHTTP(func(method, path string, q map[string]string, body []byte) (int, any) {
@@ -47,10 +47,10 @@
 	if c.RPS <= 0 {
 		return true
 	}
-	if c.rps == nil {
-		c.rps = rate.NewLimiter(rate.Limit(c.RPS), max(1, int(2*c.RPS)))
+	if c.requestLimiter == nil {
+		c.requestLimiter = rate.NewLimiter(rate.Limit(c.RPS), max(1, int(2*c.RPS)))
 	}
-	return c.rps.AllowN(time.Now(), 1)
+	return c.requestLimiter.AllowN(time.Now(), 1)
 }
 
 // serveRelease answers the request to delete machines. The lock is held.
@@ -68,7 +68,7 @@
 // serveRent answers the request to rent machines. The lock is held.
 func (c *Cloud) serveRent(body []byte) (int, any) {
 	var r wire.ScaleOutRequest
-	if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.typeOf(r.Type) == nil {
+	if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.machineType(r.Type) == nil {
 		return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
 	}
 	if late := c.Faults.RentDelay; late > 0 {
--- a/internal/simulator/cloud_machines.go
+++ b/internal/simulator/cloud_machines.go
@@ -37,7 +37,7 @@
 
 // rentMachines handles a request to rent machines; a repeated request gets the same answer.
 func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
-	if names, again := c.idempotentAnswers[r.RequestID]; again {
+	if names, again := c.rentedByRequest[r.RequestID]; again {
 		return 200, wire.MachineNames{Machines: names}
 	}
 	names := []string{}
@@ -47,19 +47,19 @@
 	if len(names) == 0 {
 		return 503, wire.Failure{Error: "no capacity"}
 	}
-	c.idempotentAnswers[r.RequestID] = names
+	c.rentedByRequest[r.RequestID] = names
 	return 200, wire.MachineNames{Machines: names}
 }
 
 // startMachine rents one machine, which comes up after its boot time, or never.
 func (c *Cloud) startMachine(r wire.ScaleOutRequest) string {
-	c.next++
-	id, ip := fmt.Sprintf("n-%06d", c.next), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.next)
+	c.rentedCount++
+	id, ip := fmt.Sprintf("n-%06d", c.rentedCount), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.rentedCount)
 	addr := Address(ip, 9000)
 	if c.AddrOf != nil {
-		addr = c.AddrOf(c.next)
+		addr = c.AddrOf(c.rentedCount)
 	}
-	t := c.typeOf(r.Type)
+	t := c.machineType(r.Type)
 	m := &instance{ListedMachine: wire.ListedMachine{ID: id, Addr: addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Stage: wire.MachineStarting}, rentedAt: time.Now(), hourlyPrice: t.Price}
 	if r.Spot {
 		m.hourlyPrice = t.SpotPrice
@@ -84,7 +84,7 @@
 func (c *Cloud) remove(id string) {
 	if m := c.machines[id]; m != nil && m.deletedAt.IsZero() {
 		m.deletedAt = time.Now()
-		c.pastCost += m.cost(m.deletedAt)
+		c.deletedCost += m.cost(m.deletedAt)
 		if m.worker != nil {
 			m.worker.Kill()
 		}
@@ -103,7 +103,7 @@
 func (c *Cloud) Cost() (cost float64, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cost = c.pastCost
+	cost = c.deletedCost
 	for _, m := range c.machines {
 		if m.deletedAt.IsZero() {
 			cost += m.cost(time.Now())
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -30,12 +30,12 @@
 	net         *Network
 	addr        string       // the address that was dialled
 	incarnation *Incarnation // of the host at this end
-	other       *conn
-	held        *heldBytes // bytes that are delayed; guarded by the network's lock
+	otherEnd    *conn
+	heldWrites  *heldWrites // bytes that are delayed; guarded by the network's lock
 }
 
-// heldBytes holds what was sent on a connection while its delivery is delayed.
-type heldBytes struct {
+// heldWrites holds what was sent on a connection while its delivery is delayed.
+type heldWrites struct {
 	bytes  []byte
 	closed bool // the sender has closed its end
 }
@@ -59,12 +59,12 @@
 	c.net.waitForHost(c.local)
 	c.net.mu.Lock()
 	lost, copies := c.net.dropped[[2]string{c.local, c.peer}], c.net.duplicate
-	if c.held != nil && c.held.closed {
+	if c.heldWrites != nil && c.heldWrites.closed {
 		c.net.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	if c.held != nil && !lost {
-		c.held.bytes = append(c.held.bytes, p...)
+	if c.heldWrites != nil && !lost {
+		c.heldWrites.bytes = append(c.heldWrites.bytes, p...)
 		lost = true
 	}
 	c.net.mu.Unlock()
@@ -92,10 +92,10 @@
 func (c *conn) release() {
 	for {
 		c.net.mu.Lock()
-		h := c.held
+		h := c.heldWrites
 		p, closed := h.bytes, h.closed
 		if h.bytes = nil; closed || len(p) == 0 {
-			c.held = nil
+			c.heldWrites = nil
 		}
 		c.net.mu.Unlock()
 		switch {
@@ -111,8 +111,8 @@
 
 func (c *conn) Close() error {
 	c.net.mu.Lock()
-	if c.held != nil && len(c.held.bytes) > 0 { // what was sent arrives nevertheless
-		c.held.closed = true
+	if c.heldWrites != nil && len(c.heldWrites.bytes) > 0 { // what was sent arrives nevertheless
+		c.heldWrites.closed = true
 		c.net.mu.Unlock()
 		return c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -25,7 +25,7 @@
 	keepShare            float64 // share of heartbeats whose copies are kept for the next leader
 	delivered            int     // number of copies
 	deliveredToNewLeader int     // number of those that were kept for a leader
-	token                uint64  // of the last leader that acted
+	latestToken          uint64  // of the last leader that acted
 	kept                 []keptHeartbeat
 }
 
@@ -54,10 +54,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if token <= e.token {
+	if token <= e.latestToken {
 		return
 	}
-	e.token = token
+	e.latestToken = token
 	var rest []keptHeartbeat
 	for _, k := range e.kept {
 		if k.token >= token {
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -12,9 +12,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// noAnswer is the status of a request that is never answered while its connection stays open: the
+// statusNoAnswer is the status of a request that is never answered while its connection stays open: the
 // caller learns nothing until it times out.
-const noAnswer = -1
+const statusNoAnswer = -1
 
 // serveHTTP serves requests through a function that gets path, query parameters and body. Status 0
 // closes the connection without an answer.
@@ -32,7 +32,7 @@
 				query[k] = unescape(v)
 			}
 			status, body := f(req.Method, req.Path, query, req.Body)
-			if status == noAnswer {
+			if status == statusNoAnswer {
 				_, _ = io.Copy(io.Discard, s)
 				return
 			}
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -17,14 +17,14 @@
 // are faults, a leader without access to the state service cannot learn of the cancellation). It
 // does no I/O: times and events are passed in.
 type LaunchChecker struct {
-	mu           sync.Mutex
-	cancelled    map[string]time.Time
-	firstSent    map[launchKey]time.Time
-	newestSent   map[wire.TaskID]time.Time // when the newest attempt was first sent
-	quietSince   time.Time                 // zero while there are faults
-	lateLaunches []string                  // commands first sent after the answer
-	lateStarts   []string                  // starts after the answer
-	violations   []string
+	mu                sync.Mutex
+	cancelled         map[string]time.Time
+	firstSent         map[launchKey]time.Time
+	newestAttemptSent map[wire.TaskID]time.Time // when the newest attempt was first sent
+	faultFreeSince    time.Time                 // zero while there are faults
+	lateLaunches      []string                  // commands first sent after the answer
+	lateStarts        []string                  // starts after the answer
+	violations        []string
 }
 
 // propagationDelay is how long after the answer a launch may still be sent without faults: its
@@ -41,7 +41,7 @@
 func (l *LaunchChecker) SetQuietSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quietSince = since
+	l.faultFreeSince = since
 }
 
 // Cancelled is called when a user was told that a job is cancelled.
@@ -81,20 +81,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.firstSent == nil {
-		l.firstSent, l.newestSent = make(map[launchKey]time.Time), make(map[wire.TaskID]time.Time)
+		l.firstSent, l.newestAttemptSent = make(map[launchKey]time.Time), make(map[wire.TaskID]time.Time)
 	}
 	k := launchKey{task, attempt}
 	if !l.firstSent[k].IsZero() {
 		return // a launch is repeated until the next heartbeat of its machine
 	}
-	l.firstSent[k], l.newestSent[task] = now, now
+	l.firstSent[k], l.newestAttemptSent[task] = now, now
 	told, ok := l.cancelled[task.Job]
 	if !ok || now.Before(told) {
 		return
 	}
 	text := fmt.Sprintf("%v#%d by %s, %v after its user was told", task, attempt, from, now.Sub(told))
 	l.lateLaunches = append(l.lateLaunches, text)
-	if !l.quietSince.IsZero() && now.Sub(latest(told, l.quietSince)) > propagationDelay {
+	if !l.faultFreeSince.IsZero() && now.Sub(latest(told, l.faultFreeSince)) > propagationDelay {
 		l.violations = append(l.violations, "launched_cancelled: "+text)
 	}
 }
@@ -105,7 +105,7 @@
 	defer l.mu.Unlock()
 	if told, ok := l.cancelled[task.Job]; ok {
 		text := fmt.Sprintf("%v, %v after its user was told", task, now.Sub(told))
-		if at := l.newestSent[task]; !at.IsZero() {
+		if at := l.newestAttemptSent[task]; !at.IsZero() {
 			text += fmt.Sprintf(", launched %v after", at.Sub(told))
 		}
 		l.lateStarts = append(l.lateStarts, text)
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -11,10 +11,10 @@
 
 // By the users' rules a job is forgotten if every poll of it remains unanswered for
 // unansweredLimit while most others are answered; and, once no fault is active, if none is
-// answered for quietUnansweredLimit, whatever others get.
+// answered for faultFreeUnansweredLimit, whatever others get.
 const (
-	unansweredLimit      = 90 * time.Second
-	quietUnansweredLimit = 75 * time.Second
+	unansweredLimit          = 90 * time.Second
+	faultFreeUnansweredLimit = 75 * time.Second
 )
 
 // LivenessChecker checks by the users' rules that accepted jobs remain known. It does no I/O:
@@ -24,11 +24,11 @@
 	// never starts is as good as forgotten. 0 stands for no bound.
 	MaxPending time.Duration
 
-	mu          sync.Mutex
-	jobs        map[string]*trackedJob
-	recentPolls []pollCounts // of all users, for as long as the first rule needs them
-	quietSince  time.Time
-	violations  []string
+	mu             sync.Mutex
+	jobs           map[string]*trackedJob
+	recentPolls    []pollCounts // of all users, for as long as the first rule needs them
+	faultFreeSince time.Time
+	violations     []string
 }
 
 // trackedJob is a job that was accepted and not cancelled.
@@ -36,20 +36,20 @@
 	lastAnswered time.Time   // or accepted
 	failedPolls  []time.Time // since then, as far back as the first rule needs them
 	pendingSince time.Time   // since when it is reported as pending; zero while it is not
-	judged       bool
+	reported     bool
 }
 
 // pollCounts counts the polls of one second.
 type pollCounts struct {
 	at              time.Time
-	asked, answered int
+	polls, answered int
 }
 
 // SetQuietSince sets since when no fault is active; a zero time means that there are faults.
 func (f *LivenessChecker) SetQuietSince(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.quietSince = since
+	f.faultFreeSince = since
 }
 
 // Accepted is called when a user was told that a job is accepted.
@@ -95,11 +95,11 @@
 	answered := status == 200 || status == 404
 	f.countPoll(now, answered)
 	if status == 404 {
-		f.violate(k, "%s was accepted and is answered 404", job)
+		f.recordViolation(k, "%s was accepted and is answered 404", job)
 	}
 	if !answered {
 		k.failedPolls = append(k.failedPolls, now)
-		f.judge(now, job, k)
+		f.checkUnanswered(now, job, k)
 		return
 	}
 	k.lastAnswered, k.failedPolls = now, nil
@@ -109,8 +109,8 @@
 	case k.pendingSince.IsZero():
 		k.pendingSince = now
 	}
-	if since := latest(k.pendingSince, f.quietSince); f.MaxPending > 0 && !f.quietSince.IsZero() && !k.pendingSince.IsZero() && now.Sub(since) > f.MaxPending {
-		f.violate(k, "%s is called pending for %v and runs nowhere", job, now.Sub(since))
+	if since := latest(k.pendingSince, f.faultFreeSince); f.MaxPending > 0 && !f.faultFreeSince.IsZero() && !k.pendingSince.IsZero() && now.Sub(since) > f.MaxPending {
+		f.recordViolation(k, "%s is called pending for %v and runs nowhere", job, now.Sub(since))
 	}
 }
 
@@ -120,16 +120,16 @@
 		f.recentPolls = append(f.recentPolls, pollCounts{at: now})
 	}
 	s := &f.recentPolls[len(f.recentPolls)-1]
-	if s.asked++; answered {
+	if s.polls++; answered {
 		s.answered++
 	}
 	f.recentPolls = slices.DeleteFunc(f.recentPolls, func(s pollCounts) bool { return now.Sub(s.at) > unansweredLimit })
 }
 
-// judge applies both rules to a job after an unanswered poll.
-func (f *LivenessChecker) judge(now time.Time, job string, k *trackedJob) {
-	if quiet := now.Sub(latest(k.lastAnswered, f.quietSince)); !f.quietSince.IsZero() && quiet >= quietUnansweredLimit {
-		f.violate(k, "no question about %s is answered for %v, and all troubles are over", job, quiet)
+// checkUnanswered applies both rules to a job after an unanswered poll.
+func (f *LivenessChecker) checkUnanswered(now time.Time, job string, k *trackedJob) {
+	if quiet := now.Sub(latest(k.lastAnswered, f.faultFreeSince)); !f.faultFreeSince.IsZero() && quiet >= faultFreeUnansweredLimit {
+		f.recordViolation(k, "no question about %s is answered for %v, and all troubles are over", job, quiet)
 	}
 	if now.Sub(k.lastAnswered) < unansweredLimit {
 		return
@@ -137,19 +137,19 @@
 	k.failedPolls = slices.DeleteFunc(k.failedPolls, func(at time.Time) bool { return now.Sub(at) > unansweredLimit })
 	others, answered := -len(k.failedPolls), 0
 	for _, s := range f.recentPolls {
-		others, answered = others+s.asked, answered+s.answered
+		others, answered = others+s.polls, answered+s.answered
 	}
 	if answered*2 > others {
-		f.violate(k, "no question about %s is answered for %v, %d of %d about others are", job, now.Sub(k.lastAnswered), answered, others)
+		f.recordViolation(k, "no question about %s is answered for %v, %d of %d about others are", job, now.Sub(k.lastAnswered), answered, others)
 	}
 }
 
-// violate records a violation, one for each job.
-func (f *LivenessChecker) violate(k *trackedJob, format string, args ...any) {
-	if !k.judged {
+// recordViolation records a violation, one for each job.
+func (f *LivenessChecker) recordViolation(k *trackedJob, format string, args ...any) {
+	if !k.reported {
 		f.violations = append(f.violations, "forgotten: "+fmt.Sprintf(format, args...))
 	}
-	k.judged = true
+	k.reported = true
 }
 
 func latest(a, b time.Time) time.Time {
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -37,20 +37,20 @@
 	incarnation *Incarnation
 	ctx         context.Context
 	serve       transport.ServeConn
-	conns       int // limit on open connections, 0 for none
-	open        *int
-	screen      transport.Rejecter
+	maxConns    int // limit on open connections, 0 for none
+	openConns   *int
+	reject      transport.Rejecter
 }
 
-// serveFirst serves a connection unless the listener's screen rejects it on its first bytes.
-func (l *listener) serveFirst(in net.Conn) {
-	if l.screen != nil {
+// serveUnlessRejected serves a connection unless the listener's screen rejects it on its first bytes.
+func (l *listener) serveUnlessRejected(in net.Conn) {
+	if l.reject != nil {
 		b := make([]byte, 4096)
 		n, err := in.Read(b)
 		if err != nil {
 			return
 		}
-		if answer := l.screen(b[:n]); answer != nil {
+		if answer := l.reject(b[:n]); answer != nil {
 			_, _ = in.Write(answer)
 			return
 		}
@@ -99,8 +99,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if c.local == host && c.held == nil && to(c.peer) {
-			c.held = &heldBytes{}
+		if c.local == host && c.heldWrites == nil && to(c.peer) {
+			c.heldWrites = &heldWrites{}
 			time.AfterFunc(d, c.release)
 		}
 	}
@@ -188,7 +188,7 @@
 // back may still arrive from it.
 func (h Host) End() {
 	h.incarnation.ended.Store(true)
-	h.net.closeConns(func(c *conn) bool { return c.incarnation == h.incarnation || c.other.incarnation == h.incarnation })
+	h.net.closeConns(func(c *conn) bool { return c.incarnation == h.incarnation || c.otherEnd.incarnation == h.incarnation })
 }
 
 // Reset closes all connections of a host.
@@ -235,7 +235,7 @@
 	n.mu.Lock()
 	l, ok := n.listeners[addr]
 	severed := n.partitioned(h.name, to) || n.dropped[[2]string{h.name, to}] || n.dropped[[2]string{to, h.name}]
-	full := ok && l.conns > 0 && *l.open >= l.conns || n.refuseInbound[to] && h.name != to || n.refuseOutbound[h.name]
+	full := ok && l.maxConns > 0 && *l.openConns >= l.maxConns || n.refuseInbound[to] && h.name != to || n.refuseOutbound[h.name]
 	n.mu.Unlock()
 	if severed {
 		<-ctx.Done()
@@ -246,19 +246,19 @@
 	}
 	a, b := net.Pipe()
 	out, in := &conn{Conn: a, from: h.name, to: to, local: h.name, peer: to, net: n, addr: addr, incarnation: h.incarnation}, &conn{Conn: b, from: h.name, to: to, local: to, peer: h.name, net: n, incarnation: l.incarnation}
-	out.other, in.other = in, out
+	out.otherEnd, in.otherEnd = in, out
 	n.mu.Lock()
 	n.conns[out], n.conns[in] = true, true
-	*l.open++
+	*l.openConns++
 	n.mu.Unlock()
 	go func() {
 		defer func() {
 			_ = in.Close()
 			n.mu.Lock()
-			*l.open--
+			*l.openConns--
 			n.mu.Unlock()
 		}()
-		l.serveFirst(in)
+		l.serveUnlessRejected(in)
 	}()
 	return out, nil
 }
@@ -273,7 +273,7 @@
 	n.mu.Lock()
 	var selected []*conn
 	for c := range n.conns {
-		if pick(c) && c.other.held == nil { // what is held there is yet to arrive
+		if pick(c) && c.otherEnd.heldWrites == nil { // what is held there is yet to arrive
 			selected = append(selected, c)
 		}
 	}
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -18,7 +18,7 @@
 // continues. Copies of heartbeats arrive at both controllers with their original content.
 func TestInboundLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
+		n, a := NewNetwork(), &recordingController{heartbeats: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
 		nodes := map[string]string{"c-0": "10.0.0.1:8080", "c-1": "10.0.0.2:8080"}
 		replayer := &HeartbeatReplayer{Dial: n.Host("10.4.0.1").Dial, MaxDelay: time.Minute, Rand: rand.New(rand.NewPCG(1, 1))}
@@ -40,7 +40,7 @@
 			return resp.Status, nil
 		}
 		time.Sleep(15 * time.Second)
-		if got := a.take(); w.ExpiredLeases() > 0 || len(got["c-0"]) < 5 || len(got["c-1"]) > 0 {
+		if got := a.takeHeartbeats(); w.ExpiredLeases() > 0 || len(got["c-0"]) < 5 || len(got["c-1"]) > 0 {
 			t.Errorf("%d incarnations ended, %v", w.ExpiredLeases(), got)
 		}
 		checkPartitioned(t, w, a, direct)
@@ -65,7 +65,7 @@
 		t.Errorf("a direct command was answered %d, %v", status, err)
 	}
 	time.Sleep(15 * time.Second)
-	got := a.take()
+	got := a.takeHeartbeats()
 	if w.ExpiredLeases() != 1 || len(got["c-0"]) < 2 || len(got["c-1"]) < 2 {
 		t.Errorf("%d incarnations ended, %v", w.ExpiredLeases(), got)
 	}
@@ -84,11 +84,11 @@
 	replayer.SetShare(1)
 	time.Sleep(10 * time.Second)
 	replayer.SetShare(0)
-	a.take()
+	a.takeHeartbeats()
 	time.Sleep(5 * time.Second)
 	w.Kill()
 	time.Sleep(time.Minute) // copies arrive though it is gone
-	got := a.take()
+	got := a.takeHeartbeats()
 	last := map[string]bool{}
 	for node, heartbeats := range got {
 		for _, r := range heartbeats {
@@ -104,13 +104,13 @@
 // reach nobody while direct calls reach it, and that it sends heartbeats again afterwards.
 func TestOutboundBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
+		n, a := NewNetwork(), &recordingController{heartbeats: map[string][]wire.Heartbeat{}}
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
 		w := NewWorker(WorkerConfig{ID: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a", Net: n.Host("10.1.0.1"), TakeDown: func() {},
 			Runtime: NewTaskRuntime(NewChecker(time.Minute, nil), time.Minute, time.Second), Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 20 * time.Second, HeartbeatInterval: 2 * time.Second})
 		time.Sleep(5 * time.Second)
-		if got := a.take()["c-0"]; len(got) < 2 {
+		if got := a.takeHeartbeats()["c-0"]; len(got) < 2 {
 			t.Errorf("%d heartbeats", len(got))
 		}
 		w.BlockOutbound(true)
@@ -122,12 +122,12 @@
 			t.Errorf("a direct command: %v, %v", resp, err)
 		}
 		time.Sleep(6 * time.Second)
-		if got := a.take()["c-0"]; len(got) > 0 || w.ExpiredLeases() != 1 {
+		if got := a.takeHeartbeats()["c-0"]; len(got) > 0 || w.ExpiredLeases() != 1 {
 			t.Errorf("%d heartbeats came, %d incarnations ended", len(got), w.ExpiredLeases())
 		}
 		w.BlockOutbound(false)
 		time.Sleep(10 * time.Second)
-		if got := a.take()["c-0"]; len(got) < 2 {
+		if got := a.takeHeartbeats()["c-0"]; len(got) < 2 {
 			t.Errorf("%d heartbeats once its outbound traffic is not blocked", len(got))
 		}
 		w.Kill()
--- a/internal/simulator/pause_test.go
+++ b/internal/simulator/pause_test.go
@@ -16,20 +16,20 @@
 // gang exit and itself when it notices, and that a cancelled task which continues is reported.
 func TestPauseDelaysTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPauseBench(t)
+		p := newPauseHarness(t)
 		begun := time.Now()
 		at := func(s float64, want map[string]int) {
 			t.Helper()
 			time.Sleep(time.Until(begun.Add(wire.Seconds(s))))
 			for id, n := range want {
-				if got := p.check.Running(id); got != n {
+				if got := p.checker.Running(id); got != n {
 					t.Errorf("after %v s %d tasks of %s are on machines, not %d", s, got, id, n)
 				}
 			}
 		}
 		at(2, map[string]int{"wk-1": 1, "wk-2": 1, "wk-4": 2, "wk-5": 0})
-		p.check.ObserveAnswer("wk-1", 200, wire.Cancelled, true)
-		p.check.ObserveAnswer("wk-2", 200, wire.Cancelled, true)
+		p.checker.ObserveAnswer("wk-1", 200, wire.Cancelled, true)
+		p.checker.ObserveAnswer("wk-2", 200, wire.Cancelled, true)
 		p.paused.Pause(14 * time.Second)
 		if _, ok := p.paused.State(); ok {
 			t.Error("a machine that hangs is said to have room")
@@ -43,7 +43,7 @@
 		at(18.1, map[string]int{"wk-5": 1})
 		at(23.9, map[string]int{"wk-1": 1, "wk-3": 1})
 		at(24.1, map[string]int{"wk-1": 1, "wk-3": 0})
-		if b := strings.Join(p.check.Violations(), "\n"); !strings.Contains(b, "ran_cancelled: wk-1/0") || !strings.Contains(b, "ran_cancelled: wk-2/0") {
+		if b := strings.Join(p.checker.Violations(), "\n"); !strings.Contains(b, "ran_cancelled: wk-1/0") || !strings.Contains(b, "ran_cancelled: wk-2/0") {
 			t.Errorf("not seen: %q", b)
 		}
 		p.paused.Kill()
@@ -54,21 +54,21 @@
 	})
 }
 
-// pauseBench is two machines with tasks of every kind, of which one is to be paused.
-type pauseBench struct {
+// pauseHarness is two machines with tasks of every kind, of which one is to be paused.
+type pauseHarness struct {
 	ctx           context.Context
 	stop          context.CancelFunc
 	net           *Network
-	check         *Checker
+	checker       *Checker
 	paused, other *Worker
 }
 
-func newPauseBench(t *testing.T) *pauseBench {
-	p := &pauseBench{net: NewNetwork(), check: NewChecker(8*time.Second, nil)}
+func newPauseHarness(t *testing.T) *pauseHarness {
+	p := &pauseHarness{net: NewNetwork(), checker: NewChecker(8*time.Second, nil)}
 	p.ctx, p.stop = context.WithCancel(t.Context())
-	a := &recordingController{got: map[string][]wire.Heartbeat{}}
+	a := &recordingController{heartbeats: map[string][]wire.Heartbeat{}}
 	go p.net.Host("10.0.0.1").Listen(p.ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
-	runtime := NewTaskRuntime(p.check, time.Minute, 3*time.Second)
+	runtime := NewTaskRuntime(p.checker, time.Minute, 3*time.Second)
 	machine := func(ip string) *Worker {
 		return NewWorker(WorkerConfig{ID: ip, Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: p.net.Host(ip), TakeDown: func() {}, Spec: wire.MachineType{CPUs: 9, GPUs: 9, MemoryGB: 9, FetchGBps: 1},
 			Runtime: runtime, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, Lease: 30 * time.Second, HeartbeatInterval: 2 * time.Second})
@@ -78,8 +78,8 @@
 	time.Sleep(time.Second)
 	for id, j := range map[string]wire.Job{"wk-1": {Shape: wire.Array}, "wk-2": {Shape: wire.Array}, "wk-3": {Shape: wire.Array}, "wk-4": {Shape: wire.Gang, Tasks: 2}, "wk-5": {Shape: wire.Array, ImageGB: 4}} {
 		j.ID, j.Tasks, j.CPUs, j.Image = id, max(j.Tasks, 1), 1, id
-		p.check.Submitted(&j, map[string]time.Duration{"wk-1": 10 * time.Second}[id]+10*time.Second)
-		p.check.ObserveAnswer(id, 201, wire.Pending, false)
+		p.checker.Submitted(&j, map[string]time.Duration{"wk-1": 10 * time.Second}[id]+10*time.Second)
+		p.checker.ObserveAnswer(id, 201, wire.Pending, false)
 	}
 	p.send(p.other, wire.Launch, "wk-4/1")
 	p.send(p.paused, wire.Launch, "wk-1/0", "wk-2/0", "wk-3/0", "wk-4/0", "wk-5/0")
@@ -87,7 +87,7 @@
 }
 
 // send sends commands for tasks to a machine.
-func (p *pauseBench) send(w *Worker, verb wire.Verb, tasks ...string) {
+func (p *pauseHarness) send(w *Worker, verb wire.Verb, tasks ...string) {
 	var d wire.CommandRequest
 	for _, id := range tasks {
 		d.Commands = append(d.Commands, wire.Command{Verb: verb, Task: id, Attempt: 1})
@@ -102,7 +102,7 @@
 // expires, not when it continues.
 func TestLeaseExpiresDuringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, a := NewNetwork(), &recordingController{got: map[string][]wire.Heartbeat{}}
+		n, a := NewNetwork(), &recordingController{heartbeats: map[string][]wire.Heartbeat{}}
 		check := NewChecker(time.Minute, nil)
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Host("10.0.0.1").Listen(ctx, "10.0.0.1:8080", 0, a.serve("c-0"))
--- a/internal/simulator/recording_controller_test.go
+++ b/internal/simulator/recording_controller_test.go
@@ -9,8 +9,8 @@
 
 // recordingController is two controllers that answer every report, and keep it.
 type recordingController struct {
-	mu  sync.Mutex
-	got map[string][]wire.Heartbeat
+	mu         sync.Mutex
+	heartbeats map[string][]wire.Heartbeat
 }
 
 func (a *recordingController) serve(node string) transport.ServeConn {
@@ -19,14 +19,14 @@
 		_ = wire.Decode(body, &r)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.got[node] = append(a.got[node], r)
+		a.heartbeats[node] = append(a.heartbeats[node], r)
 		return 200, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}
 	})
 }
 
-func (a *recordingController) take() (out map[string][]wire.Heartbeat) {
+func (a *recordingController) takeHeartbeats() (out map[string][]wire.Heartbeat) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out, a.got = a.got, map[string][]wire.Heartbeat{}
+	out, a.heartbeats = a.heartbeats, map[string][]wire.Heartbeat{}
 	return out
 }
--- a/internal/simulator/service_test.go
+++ b/internal/simulator/service_test.go
@@ -13,23 +13,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// services are a state service and a cloud that a trace calls.
-type services struct {
+// externalServices are a state service and a cloud that a trace calls.
+type externalServices struct {
 	store  *StateService
 	cloud  *Cloud
 	caller *transport.Caller
 	stop   context.CancelFunc
 }
 
-func (b *runtimeBench) services() *services {
+func (b *runtimeHarness) startServices() *externalServices {
 	if b.serves != nil {
 		return b.serves
 	}
-	s := &services{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: b.net.Host("10.0.0.1").Dial}}
+	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: b.net.Host("10.0.0.1").Dial}}
 	s.store.Limits = StateLimits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, RetainedChanges: 4}
 	s.cloud = &Cloud{Types: []wire.MachineType{{Name: "g4", Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}, RPS: 5, ListLag: 2 * time.Second,
 		CapacityByOffer: map[Offer]int{{"g4", "a", false}: 2, {"g4", "a", true}: 1}, Rand: rand.New(rand.NewPCG(1, 1)),
-		Start: func(id, addr, typ, zone string, spot bool) Machine { return nothing{} }}
+		Start: func(id, addr, typ, zone string, spot bool) Machine { return idleMachine{} }}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	go b.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.store.Serve())
@@ -39,12 +39,12 @@
 	return s
 }
 
-// nothing is a machine on which nothing runs.
-type nothing struct{}
+// idleMachine is a machine on which nothing runs.
+type idleMachine struct{}
 
-func (nothing) Kill() {}
+func (idleMachine) Kill() {}
 
-func (s *services) call(addr, method, path string, v any) (int, wire.Raw) {
+func (s *externalServices) call(addr, method, path string, v any) (int, wire.Raw) {
 	var body []byte
 	if v != nil {
 		body = wire.Encode(v)
@@ -58,8 +58,8 @@
 	return resp.Status, resp.Body
 }
 
-// pairs reads "a:0,b:3".
-func pairs(text string) (out [][2]string) {
+// parsePairs reads "a:0,b:3".
+func parsePairs(text string) (out [][2]string) {
 	for _, item := range strings.Split(text, ",") {
 		if k, v, ok := strings.Cut(item, ":"); ok {
 			out = append(out, [2]string{k, v})
@@ -68,9 +68,9 @@
 	return out
 }
 
-// service takes the steps that call the state service and the cloud.
-func (b *runtimeBench) service(w []string, kv map[string]string) []string {
-	s := b.services()
+// serviceStep takes the steps that call the state service and the cloud.
+func (b *runtimeHarness) serviceStep(w []string, kv map[string]string) []string {
+	s := b.startServices()
 	n, _ := strconv.Atoi(kv["n"])
 	switch w[1] {
 	case "txn", "get", "list", "grant", "touch", "end", "watch":
@@ -103,24 +103,24 @@
 	if len(body) > 0 {
 		_ = wire.Decode(body, &v)
 	}
-	return []string{strings.TrimSpace(fmt.Sprintf("%d %s", status, plain(v)))}
+	return []string{strings.TrimSpace(fmt.Sprintf("%d %s", status, formatAnswer(v)))}
 }
 
 // callState makes a call to the state service.
-func (b *runtimeBench) callState(s *services, w []string, kv map[string]string, n int) []string {
+func (b *runtimeHarness) callState(s *externalServices, w []string, kv map[string]string, n int) []string {
 	call := func(method, path string, v any) []string { return answerLine(s.call("10.2.0.1:2379", method, path, v)) }
 	switch w[1] {
 	case "txn":
 		var t wire.Txn
-		for _, p := range pairs(kv["if"]) {
+		for _, p := range parsePairs(kv["if"]) {
 			version, _ := strconv.ParseUint(p[1], 10, 64)
 			t.If = append(t.If, wire.Condition{Key: p[0], Version: version})
 		}
 		lease, _ := strconv.ParseUint(kv["lease"], 10, 64)
-		for _, p := range pairs(kv["put"]) {
+		for _, p := range parsePairs(kv["put"]) {
 			t.Then = append(t.Then, wire.Operation{Put: p[0], Value: strings.Repeat(p[1], max(1, n)), Lease: lease})
 		}
-		for _, p := range pairs(kv["drop"]) {
+		for _, p := range parsePairs(kv["drop"]) {
 			t.Then = append(t.Then, wire.Operation{Delete: p[0]})
 		}
 		return call("POST", wire.PathTxn, t)
@@ -141,7 +141,7 @@
 }
 
 // callCloud makes a call to the cloud.
-func (b *runtimeBench) callCloud(s *services, w []string, kv map[string]string, n int) []string {
+func (b *runtimeHarness) callCloud(s *externalServices, w []string, kv map[string]string, n int) []string {
 	call := func(method, path string, v any) []string { return answerLine(s.call("10.2.0.2:8443", method, path, v)) }
 	switch w[1] {
 	case "rent":
@@ -152,21 +152,21 @@
 	return call("POST", wire.PathRelease, wire.MachineNames{Machines: w[2:]})
 }
 
-// plain writes an answer in a fixed order.
-func plain(v any) string {
+// formatAnswer writes an answer in a fixed order.
+func formatAnswer(v any) string {
 	switch v := v.(type) {
 	case map[any]any:
 		var out []string
 		for _, key := range []string{"error", "path", "ask", "hives", "uid", "frame", "borrowed", "stage", "held_s", "items", "data", "mark", "tenure", "failed", "log", "put", "drop", "more", "era"} {
 			if x, ok := v[key]; ok {
-				out = append(out, key+"="+plain(x))
+				out = append(out, key+"="+formatAnswer(x))
 			}
 		}
 		return "{" + strings.Join(out, " ") + "}"
 	case []any:
 		var out []string
 		for _, x := range v {
-			out = append(out, plain(x))
+			out = append(out, formatAnswer(x))
 		}
 		return "[" + strings.Join(out, " ") + "]"
 	case float64:
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -42,7 +42,7 @@
 	Limits map[string]TeamLimit // of teams
 
 	mu               sync.Mutex
-	quietSince       time.Time
+	faultFreeSince   time.Time
 	waitingJobs      map[string]*waitingJob
 	violations       []string
 	partiallyStarved []string
@@ -81,14 +81,14 @@
 func (r *StarvationChecker) SetQuietSince(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quietSince, r.waitingJobs = since, nil
+	r.faultFreeSince, r.waitingJobs = since, nil
 }
 
 // IsQuiet reports whether no fault is active.
 func (r *StarvationChecker) IsQuiet(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.quietSince.IsZero() && !now.Before(r.quietSince)
+	return !r.faultFreeSince.IsZero() && !now.Before(r.faultFreeSince)
 }
 
 // Sample processes the state of all machines, the jobs that are accepted and not over, and the
@@ -96,30 +96,30 @@
 func (r *StarvationChecker) Sample(now time.Time, machines []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.quietSince.IsZero() || now.Before(r.quietSince) {
+	if r.faultFreeSince.IsZero() || now.Before(r.faultFreeSince) {
 		return
 	}
 	before := r.waitingJobs
 	r.waitingJobs = make(map[string]*waitingJob)
 	for _, p := range jobs {
-		need, missing := p.needed(), p.missing()
+		need, missing := p.tasksNeeded(), p.unplacedTasks()
 		if missing < need || r.Limits[p.Job.Team].remainingTasks(used[p.Job.Team], p.Job) < need {
 			continue
 		}
-		w := p.waitingBeside(now, machines, missing, need, before[p.Job.ID])
+		w := p.trackWaiting(now, machines, missing, need, before[p.Job.ID])
 		if w == nil {
 			continue
 		}
 		r.waitingJobs[p.Job.ID] = w
 		if waits := now.Sub(w.since); waits >= starvationLimit && !w.reported {
 			w.reported = true
-			r.report(p, w, waits)
+			r.reportStarvation(p, w, waits)
 		}
 	}
 }
 
-// missing returns how many unfinished tasks of the job are on no machine.
-func (p *PendingJob) missing() (n int) {
+// unplacedTasks returns how many unfinished tasks of the job are on no machine.
+func (p *PendingJob) unplacedTasks() (n int) {
 	for i := range p.Job.Tasks {
 		if _, on := p.Placed[i]; !on && !p.Finished(i) {
 			n++
@@ -128,20 +128,20 @@
 	return n
 }
 
-// needed returns how many tasks have to start together: all of a gang, else one.
-func (p *PendingJob) needed() int {
+// tasksNeeded returns how many tasks have to start together: all of a gang, else one.
+func (p *PendingJob) tasksNeeded() int {
 	if p.Job.Shape == wire.Gang {
 		return p.Job.Tasks
 	}
 	return 1
 }
 
-// waitingBeside returns the job's state if machines have stable capacity for it, or nil. It continues
+// trackWaiting returns the job's state if machines have stable capacity for it, or nil. It continues
 // the state of the previous sample, if there is one and the job still waits for the same reason.
-func (p *PendingJob) waitingBeside(now time.Time, machines []MachineState, missing, need int, previous *waitingJob) *waitingJob {
+func (p *PendingJob) trackWaiting(now time.Time, machines []MachineState, missing, need int, previous *waitingJob) *waitingJob {
 	slots, zones := map[string]int{}, map[string]string{}
 	for _, m := range machines {
-		if n := min(missing, m.slots(p.Job)); n > 0 {
+		if n := min(missing, m.taskSlots(p.Job)); n > 0 {
 			slots[m.Machine], zones[m.Machine] = n, m.Zone
 		}
 	}
@@ -159,8 +159,8 @@
 	return w
 }
 
-// report records that a job has waited for too long.
-func (r *StarvationChecker) report(p PendingJob, w *waitingJob, waits time.Duration) {
+// reportStarvation records that a job has waited for too long.
+func (r *StarvationChecker) reportStarvation(p PendingJob, w *waitingJob, waits time.Duration) {
 	j := p.Job
 	text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, p.Placed, waits, w.stableSlots())
 	if w.nothingRuns {
@@ -173,8 +173,8 @@
 // epsilon is the rounding error that sums of resources may have.
 const epsilon = 1e-6
 
-// slots returns for how many tasks of a job a machine has capacity.
-func (p *MachineState) slots(j *wire.Job) int {
+// taskSlots returns for how many tasks of a job a machine has capacity.
+func (p *MachineState) taskSlots(j *wire.Job) int {
 	if p.Spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, p.Type) || j.Zone != "" && j.Zone != p.Zone || p.CacheGB > 0 && j.ImageGB > p.CacheGB {
 		return 0
 	}
--- a/internal/simulator/state_lease.go
+++ b/internal/simulator/state_lease.go
@@ -12,14 +12,14 @@
 
 // lease is a lease of the state service.
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// expire ends the leases that were not renewed in time.
-func (s *StateService) expire() {
+// expireLeases ends the leases that were not renewed in time.
+func (s *StateService) expireLeases() {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if l := s.leases[id]; !s.down && time.Now().After(l.end) {
+		if l := s.leases[id]; !s.down && time.Now().After(l.expiresAt) {
 			s.endLease(id)
 		}
 	}
@@ -37,7 +37,7 @@
 	})
 	if len(then) > 0 {
 		s.apply(then)
-		s.writes -= len(then)
+		s.committedChanges -= len(then)
 	}
 }
 
@@ -65,7 +65,7 @@
 	case method == "DELETE":
 		s.endLease(id)
 	case word == wire.RenewWord:
-		l.end = time.Now().Add(l.ttl)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 	return 200, wire.LeaseGrantResponse{Lease: id}
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -56,18 +56,18 @@
 	FateOf   func(puts map[string]wire.Raw) Fate
 	heldTxns []txn
 
-	mu                sync.Mutex
-	down              bool
-	refused           map[string]bool // callers that get 503 while others are served
-	revision          uint64
-	items             btree.Map[string, wire.KeyValue]
-	log               []wire.Event
-	compactedRevision uint64 // changes up to this revision are no longer retained
-	leases            map[uint64]*lease
-	changed           chan struct{}
-	writes            int
-	requests          int
-	rps, wps          *rate.Limiter
+	mu                           sync.Mutex
+	down                         bool
+	refusedCallers               map[string]bool // callers that get 503 while others are served
+	revision                     uint64
+	items                        btree.Map[string, wire.KeyValue]
+	history                      []wire.Event
+	compactedRevision            uint64 // changes up to this revision are no longer retained
+	leases                       map[uint64]*lease
+	changed                      chan struct{}
+	committedChanges             int
+	requests                     int
+	requestLimiter, writeLimiter *rate.Limiter
 
 	delayed, delayedCommitted int // transactions that were delayed, and those of them that were committed
 	lostReplies               int // transactions that were committed and not answered
@@ -91,11 +91,11 @@
 func (s *StateService) Counts() (requests, changes, keys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.requests, s.writes, s.items.Len()
+	return s.requests, s.committedChanges, s.items.Len()
 }
 
-// exceeds reports whether a rate limiter refuses n more operations at once.
-func exceeds(l **rate.Limiter, limit float64, n int) bool {
+// exceedsRate reports whether a rate limiter refuses n more operations at once.
+func exceedsRate(l **rate.Limiter, limit float64, n int) bool {
 	if limit <= 0 {
 		return false
 	}
@@ -111,7 +111,7 @@
 	defer s.mu.Unlock()
 	s.down = down
 	for _, l := range s.leases {
-		l.end = time.Now().Add(l.ttl)
+		l.expiresAt = time.Now().Add(l.ttl)
 	}
 }
 
@@ -119,10 +119,10 @@
 func (s *StateService) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refused == nil {
-		s.refused = make(map[string]bool)
+	if s.refusedCallers == nil {
+		s.refusedCallers = make(map[string]bool)
 	}
-	s.refused[caller] = refuse
+	s.refusedCallers[caller] = refuse
 }
 
 // Serve implements the protocol of the state service.
@@ -139,7 +139,7 @@
 		}
 		s.mu.Lock()
 		s.requests++
-		if !s.down && exceeds(&s.rps, s.Limits.RPS, 1) {
+		if !s.down && exceedsRate(&s.requestLimiter, s.Limits.RPS, 1) {
 			s.mu.Unlock()
 			return 429, nil
 		}
@@ -148,10 +148,10 @@
 			return s.watch(caller, q)
 		}
 		defer s.mu.Unlock()
-		if s.down || s.refused[caller] {
+		if s.down || s.refusedCallers[caller] {
 			return 503, nil
 		}
-		s.expire()
+		s.expireLeases()
 		switch {
 		case path == wire.PathTxn:
 			return s.serveTxn(body)
--- a/internal/simulator/state_txn.go
+++ b/internal/simulator/state_txn.go
@@ -44,20 +44,20 @@
 // apply carries out the changes of a committed transaction.
 func (s *StateService) apply(then []wire.Operation) {
 	s.revision++
-	s.writes += len(then)
+	s.committedChanges += len(then)
 	for _, c := range then {
 		if c.Delete != "" {
 			s.items.Delete(c.Delete)
-			s.log = append(s.log, wire.Event{Delete: c.Delete, Version: s.revision})
+			s.history = append(s.history, wire.Event{Delete: c.Delete, Version: s.revision})
 			continue
 		}
 		it := wire.KeyValue{Key: c.Put, Value: wire.Encode(c.Value), Version: s.revision, Lease: c.Lease}
 		s.items.Set(c.Put, it)
-		s.log = append(s.log, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
+		s.history = append(s.history, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
-	if kept := cmp.Or(s.Limits.RetainedChanges, 10_000); len(s.log) > 2*kept {
-		s.compactedRevision = s.log[len(s.log)-kept-1].Version
-		s.log = slices.Clone(s.log[len(s.log)-kept:])
+	if kept := cmp.Or(s.Limits.RetainedChanges, 10_000); len(s.history) > 2*kept {
+		s.compactedRevision = s.history[len(s.history)-kept-1].Version
+		s.history = slices.Clone(s.history[len(s.history)-kept:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -109,9 +109,9 @@
 	return taken
 }
 
-// malformed describes what of a transaction exceeds the limits, "" for nothing. Sizes are those of
+// invalidReason describes what of a transaction exceeds the limits, "" for nothing. Sizes are those of
 // the JSON encoding.
-func (s *StateService) malformed(t txn) string {
+func (s *StateService) invalidReason(t txn) string {
 	ops, sum := s.Limits.TxnOps, 0
 	if ops > 0 && (len(t.Then) > ops || len(t.If) > 4*ops) {
 		return fmt.Sprintf("%d changes, %d conditions", len(t.Then), len(t.If))
@@ -195,8 +195,8 @@
 
 // commit evaluates a transaction's conditions and applies its changes. The lock is held.
 func (s *StateService) commit(t txn) (int, any) {
-	s.expire()
-	if why := s.malformed(t); why != "" {
+	s.expireLeases()
+	if why := s.invalidReason(t); why != "" {
 		return 400, wire.Failure{Error: why}
 	}
 	var then []wire.Operation
@@ -230,10 +230,10 @@
 	if err := wire.Decode(body, &t); err != nil {
 		return 400, wire.Failure{Error: err.Error()}
 	}
-	if why := s.malformed(t); why != "" {
+	if why := s.invalidReason(t); why != "" {
 		return 400, wire.Failure{Error: why}
 	}
-	if exceeds(&s.wps, s.Limits.WriteRPS, len(t.Then)) {
+	if exceedsRate(&s.writeLimiter, s.Limits.WriteRPS, len(t.Then)) {
 		return 429, nil
 	}
 	if s.HoldTxn != nil && s.HoldTxn(t.puts()) {
@@ -252,7 +252,7 @@
 		if status, _ := s.commit(t); status == 200 {
 			s.lostReplies++
 		}
-		return noAnswer, nil
+		return statusNoAnswer, nil
 	}
 	if s.Rand.Float64() < s.LossShare {
 		return s.loseReply(t)
@@ -285,7 +285,7 @@
 			s.delayedCommitted++
 		}
 	})
-	return noAnswer, nil
+	return statusNoAnswer, nil
 }
 
 // DelayedCounts returns how many transactions were delayed, and how many of those were committed.
--- a/internal/simulator/state_watch.go
+++ b/internal/simulator/state_watch.go
@@ -15,7 +15,7 @@
 func (s *StateService) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log, s.compactedRevision = nil, s.revision
+	s.history, s.compactedRevision = nil, s.revision
 }
 
 // Page lists keys, bypassing limits and faults.
@@ -64,9 +64,9 @@
 	if from < s.compactedRevision {
 		return nil, false
 	}
-	i, _ := slices.BinarySearchFunc(s.log, from+1, func(e wire.Event, v uint64) int { return cmp.Compare(e.Version, v) })
+	i, _ := slices.BinarySearchFunc(s.history, from+1, func(e wire.Event, v uint64) int { return cmp.Compare(e.Version, v) })
 	out := &wire.WatchResponse{Revision: s.revision}
-	for _, e := range s.log[i:] {
+	for _, e := range s.history[i:] {
 		if strings.HasPrefix(e.Put, prefix) && e.Put != "" || strings.HasPrefix(e.Delete, prefix) && e.Delete != "" {
 			out.Events = append(out.Events, e)
 		}
@@ -82,8 +82,8 @@
 	until := time.After(time.Duration(wait) * time.Millisecond)
 	for last := wait == 0; ; {
 		s.mu.Lock()
-		s.expire()
-		down, changed := s.down || s.refused[caller], s.changed
+		s.expireLeases()
+		down, changed := s.down || s.refusedCallers[caller], s.changed
 		out, kept := s.since(q["prefix"], from)
 		s.mu.Unlock()
 		if !down && !kept {
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -17,38 +17,38 @@
 }
 
 // The protocol's table of a submission's fields: what each must be, and whether it may be null.
-var fieldsOfJobs = []struct {
+var submissionFields = []struct {
 	name string
 	ok   func(any) bool
 	null bool
 }{
 	{"uid", func(v any) bool { s, _ := v.(string); return jobID.MatchString(s) }, false},
-	{"breed", isText, false}, {"keeper", isText, false}, {"comb", isText, false},
-	{"shape", isOne("sweep", "gang", "service"), false}, {"rank", isOne("production", "high", "normal", "low"), false},
+	{"breed", isString, false}, {"keeper", isString, false}, {"comb", isString, false},
+	{"shape", isOneOf("sweep", "gang", "service"), false}, {"rank", isOneOf("production", "high", "normal", "low"), false},
 	{"cells", func(v any) bool {
 		n, ok := toNumber(v)
 		return ok && n >= 1 && n <= wire.MaxTasks && n == math.Trunc(n)
 	}, false},
-	{"vcpus", isAmount, false}, {"accelerators", isAmount, false}, {"mem_gb", isAmount, false}, {"image_gb", isAmount, false},
-	{"expect_s", isAmount, false}, {"capping_s", isAmount, false}, {"seal_s", isAmount, false},
+	{"vcpus", isNonNegative, false}, {"accelerators", isNonNegative, false}, {"mem_gb", isNonNegative, false}, {"image_gb", isNonNegative, false},
+	{"expect_s", isNonNegative, false}, {"capping_s", isNonNegative, false}, {"seal_s", isNonNegative, false},
 	{"one_zone", isBool, false}, {"spread", isBool, false}, {"borrowed", isBool, false},
 	{"frames", func(v any) bool {
 		list, ok := v.([]any)
-		return ok && !slices.ContainsFunc(list, func(v any) bool { return !isText(v) })
+		return ok && !slices.ContainsFunc(list, func(v any) bool { return !isString(v) })
 	}, true},
-	{"apiary", isText, true}, {"due_s", isAmount, true},
+	{"apiary", isString, true}, {"due_s", isNonNegative, true},
 }
 
 var jobID = regexp.MustCompile(`^wk-[0-9]+$`)
 
-func isText(v any) bool { _, ok := v.(string); return ok }
-func isBool(v any) bool { _, ok := v.(bool); return ok }
+func isString(v any) bool { _, ok := v.(string); return ok }
+func isBool(v any) bool   { _, ok := v.(bool); return ok }
 
-func isOne(words ...string) func(any) bool {
+func isOneOf(words ...string) func(any) bool {
 	return func(v any) bool { s, _ := v.(string); return slices.Contains(words, s) }
 }
 
-func isAmount(v any) bool { n, ok := toNumber(v); return ok && n >= 0 && !math.IsInf(n, 0) }
+func isNonNegative(v any) bool { n, ok := toNumber(v); return ok && n >= 0 && !math.IsInf(n, 0) }
 
 func toNumber(v any) (float64, bool) {
 	switch n := v.(type) {
@@ -71,7 +71,7 @@
 	if err := wire.Decode(body, &m); err != nil {
 		return 400, err.Error()
 	}
-	for _, f := range fieldsOfJobs {
+	for _, f := range submissionFields {
 		switch v, there := m[f.name]; {
 		case v == nil && !f.null:
 			return 400, fmt.Sprintf("%s is missing", f.name)
@@ -112,16 +112,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if must == 0 {
-		if c.valid == nil {
-			c.valid = map[string]bool{}
+		if c.validSubmissions == nil {
+			c.validSubmissions = map[string]bool{}
 		}
-		c.valid[id] = true
+		c.validSubmissions[id] = true
 	}
 	switch accepted := status == 200 || status == 201; {
-	case accepted && must != 0 && !c.valid[id] && c.submitted[id] == nil:
-		c.violate("accepted_wrong", "%s is answered %d: %s", id, status, why)
+	case accepted && must != 0 && !c.validSubmissions[id] && c.submitted[id] == nil:
+		c.recordViolation("accepted_wrong", "%s is answered %d: %s", id, status, why)
 	case must == 0 && (status == 400 || status == 422) && c.lastStage[id] == "":
-		c.violate("refused_valid", "%s is answered %d", id, status)
+		c.recordViolation("refused_valid", "%s is answered %d", id, status)
 	}
 }
 
--- a/internal/simulator/submissions_test.go
+++ b/internal/simulator/submissions_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	check("as it should be", 0, nil)
-	for _, f := range fieldsOfJobs {
+	for _, f := range submissionFields {
 		check("no "+f.name, map[bool]int{true: 0, false: 400}[f.null], map[string]any{f.name: "absent"})
 		check("null as "+f.name, map[bool]int{true: 0, false: 400}[f.null], map[string]any{f.name: nil})
 		check("a map as "+f.name, 400, map[string]any{f.name: map[string]any{}})
--- a/internal/simulator/task_runtime.go
+++ b/internal/simulator/task_runtime.go
@@ -39,14 +39,14 @@
 	GangPeerTimeout time.Duration // how long members take to notice that one of them is gone
 
 	mu               sync.Mutex
-	saved            map[wire.TaskID]time.Duration
+	savedProgress    map[wire.TaskID]time.Duration
 	gangs            map[gangKey]*gang
 	cancelledFetches map[wire.TaskID]int // image fetches that were cancelled, by task
 }
 
 // NewTaskRuntime returns a runtime without tasks.
 func NewTaskRuntime(g Fixture, gangWait, gangPeer time.Duration) *TaskRuntime {
-	return &TaskRuntime{Fixture: g, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, saved: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
+	return &TaskRuntime{Fixture: g, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, savedProgress: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
 }
 
 // fetchCancelled counts an image fetch of a task that was cancelled before its end.
@@ -68,14 +68,14 @@
 func (y *TaskRuntime) SavedProgress(t wire.TaskID) time.Duration {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	return y.saved[t]
+	return y.savedProgress[t]
 }
 
 // saveProgress records a checkpoint unless a later one is known.
 func (y *TaskRuntime) saveProgress(t wire.TaskID, progress time.Duration) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	y.saved[t] = max(y.saved[t], progress)
+	y.savedProgress[t] = max(y.savedProgress[t], progress)
 }
 
 // gangKey identifies one attempt of a gang.
@@ -90,25 +90,25 @@
 	members   map[int]*gangMember
 	runTime   time.Duration
 	startedAt time.Time // zero until all members have joined
-	stopped   time.Time // when the first member was told to stop
+	stoppedAt time.Time // when the first member was told to stop
 	timer     *time.Timer
-	over      bool
+	ended     bool
 }
 
 type gangMember struct {
 	saving bool
-	tell   func(event gangEvent)
+	notify func(event gangEvent)
 }
 
 // gangEvent is what members are notified of.
 type gangEvent int
 
 const (
-	gangRuns gangEvent = iota
+	gangStarted gangEvent = iota
 	gangDone
-	gangBroken  // a member is gone
-	gangSaved   // all members were told to stop and have saved
-	gangUnsaved // some members were not told to stop in time; nothing is saved
+	gangBroken   // a member is gone
+	gangSaved    // all members were told to stop and have saved
+	gangNotSaved // some members were not told to stop in time; nothing is saved
 )
 
 // joinGang adds a task to its gang. The gang starts when its last member has joined.
@@ -120,17 +120,17 @@
 		g = &gang{job: j, members: map[int]*gangMember{}}
 		y.gangs[k] = g
 	}
-	if g.over || !g.startedAt.IsZero() {
+	if g.ended || !g.startedAt.IsZero() {
 		go tell(gangBroken)
 		return
 	}
-	g.members[index] = &gangMember{tell: tell}
+	g.members[index] = &gangMember{notify: tell}
 	if g.runTime = max(g.runTime, run); len(g.members) < j.Tasks {
 		return
 	}
 	g.startedAt = time.Now()
-	g.timer = time.AfterFunc(max(0, g.runTime-y.saved[leadTask(j)]), func() { y.endGang(g, gangDone) })
-	g.notifyAll(gangRuns)
+	g.timer = time.AfterFunc(max(0, g.runTime-y.savedProgress[leadTask(j)]), func() { y.endGang(g, gangDone) })
+	g.notifyAll(gangStarted)
 }
 
 // leadTask is the task under which a gang's progress is kept.
@@ -145,7 +145,7 @@
 	}
 	slices.Sort(indexes)
 	for _, i := range indexes {
-		tells = append(tells, g.members[i].tell)
+		tells = append(tells, g.members[i].notify)
 	}
 	go func() {
 		for _, tell := range tells {
@@ -158,10 +158,10 @@
 func (y *TaskRuntime) endGang(g *gang, e gangEvent) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	if g.over || e == gangDone && !g.stopped.IsZero() {
+	if g.ended || e == gangDone && !g.stoppedAt.IsZero() {
 		return
 	}
-	g.over = true
+	g.ended = true
 	g.notifyAll(e)
 }
 
@@ -179,7 +179,7 @@
 	if len(g.members) == 0 {
 		delete(y.gangs, k)
 	}
-	if g.startedAt.IsZero() || g.over {
+	if g.startedAt.IsZero() || g.ended {
 		return
 	}
 	g.timer.Stop()
@@ -194,7 +194,7 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
-	if g == nil || g.startedAt.IsZero() || g.over {
+	if g == nil || g.startedAt.IsZero() || g.ended {
 		return
 	}
 	if d < y.GangPeerTimeout {
@@ -214,17 +214,17 @@
 func (y *TaskRuntime) keepLastCheckpoint(g *gang) {
 	if every := wire.Seconds(g.job.CheckpointS); every > 0 && !g.startedAt.IsZero() {
 		t := leadTask(g.job)
-		y.saved[t] = max(y.saved[t], y.gangProgress(g).Truncate(every))
+		y.savedProgress[t] = max(y.savedProgress[t], y.gangProgress(g).Truncate(every))
 	}
 }
 
 // gangProgress returns how much of its run time a gang has completed.
 func (y *TaskRuntime) gangProgress(g *gang) time.Duration {
 	until := time.Now()
-	if !g.stopped.IsZero() {
-		until = g.stopped
+	if !g.stoppedAt.IsZero() {
+		until = g.stoppedAt
 	}
-	return min(g.runTime, y.saved[leadTask(g.job)]+until.Sub(g.startedAt))
+	return min(g.runTime, y.savedProgress[leadTask(g.job)]+until.Sub(g.startedAt))
 }
 
 // stopMember is called when a member was told to stop with time to save; the other members have to
@@ -233,12 +233,12 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	g := y.gangs[k]
-	if g == nil || g.startedAt.IsZero() || g.over || g.members[index] == nil {
+	if g == nil || g.startedAt.IsZero() || g.ended || g.members[index] == nil {
 		return false
 	}
 	g.members[index].saving = true
-	if g.stopped.IsZero() {
-		g.stopped = time.Now()
+	if g.stoppedAt.IsZero() {
+		g.stoppedAt = time.Now()
 		g.timer.Stop()
 		time.AfterFunc(y.GangPeerTimeout, func() { y.finishSaving(g, false) })
 	}
@@ -256,16 +256,16 @@
 		told = told && m.saving
 	}
 	switch {
-	case g.over || !told && inTime:
+	case g.ended || !told && inTime:
 		return
-	case told && time.Since(g.stopped) >= wire.Seconds(g.job.SaveS):
+	case told && time.Since(g.stoppedAt) >= wire.Seconds(g.job.SaveS):
 		t := leadTask(g.job)
-		y.saved[t] = max(y.saved[t], y.gangProgress(g))
-		g.over = true
+		y.savedProgress[t] = max(y.savedProgress[t], y.gangProgress(g))
+		g.ended = true
 		g.notifyAll(gangSaved)
 	case !told:
 		y.keepLastCheckpoint(g)
-		g.over = true
-		g.notifyAll(gangUnsaved)
+		g.ended = true
+		g.notifyAll(gangNotSaved)
 	}
 }
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -11,17 +11,17 @@
 // runningTask is a task on a machine.
 type runningTask struct {
 	wire.ReportedTask
-	job       *wire.Job
-	timer     *time.Timer
-	timerAt   time.Time // when the timer fires
-	startedAt time.Time
-	progress  time.Duration // progress when it was stopped
-	runTime   time.Duration
-	started   bool // its image is present and the fixture was notified
+	job            *wire.Job
+	timer          *time.Timer
+	timerAt        time.Time // when the timer fires
+	startedAt      time.Time
+	progressAtStop time.Duration // progress when it was stopped
+	runTime        time.Duration
+	started        bool // its image is present and the fixture was notified
 }
 
-// after calls a function once the task has made progress for d.
-func (t *runningTask) after(d time.Duration, do func()) {
+// schedule calls a function once the task has made progress for d.
+func (t *runningTask) schedule(d time.Duration, do func()) {
 	t.timer, t.timerAt = time.AfterFunc(d, do), time.Now().Add(d)
 }
 
@@ -79,7 +79,7 @@
 		busy = busy || o.ID == id && o.State != wire.TaskEnded
 	}
 	w.tasks[key] = t
-	w.reportSoon()
+	w.requestHeartbeat()
 	slow, must := w.runtime.Fixture.(LookupFixture)
 	switch {
 	case busy:
@@ -106,7 +106,7 @@
 // refuseTask ends a task that cannot start.
 func (w *Worker) refuseTask(t *runningTask, why wire.Cause) {
 	t.State, t.Cause = wire.TaskEnded, why
-	w.reportSoon()
+	w.requestHeartbeat()
 }
 
 // admitTask accepts a task whose job is known if its resources are free, and fetches its image.
@@ -254,7 +254,7 @@
 // startTask starts a task whose image is present. A task that has completed before ends at once.
 func (w *Worker) startTask(key string, t *runningTask) {
 	run, ok := w.runtime.TaskStarted(t.ID, w.id, w.typ, w.zone, w.spot)
-	w.reportSoon()
+	w.requestHeartbeat()
 	if !ok {
 		w.refuseTask(t, wire.CauseUnknown)
 		return
@@ -262,7 +262,7 @@
 	t.started, t.runTime = true, time.Duration(float64(run)*w.runFactor)
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		t.State = wire.TaskWaiting
-		t.after(w.runtime.GangWaitTimeout, func() { w.ifStill(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseAlone) }) })
+		t.schedule(w.runtime.GangWaitTimeout, func() { w.runIfInState(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseAlone) }) })
 		w.runtime.joinGang(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.runTime, func(e gangEvent) { w.notifyGang(key, t, e) })
 		return
 	}
@@ -270,16 +270,16 @@
 	if saved := w.runtime.SavedProgress(t.ID); saved > 0 {
 		t.startedAt = t.startedAt.Add(-saved)
 	}
-	t.after(max(0, t.runTime-time.Since(t.startedAt)), func() {
-		w.ifStill(key, t, wire.TaskRunning, func() {
+	t.schedule(max(0, t.runTime-time.Since(t.startedAt)), func() {
+		w.runIfInState(key, t, wire.TaskRunning, func() {
 			w.runtime.TaskCompleted(t.ID)
 			w.endTask(t, wire.CauseDone)
 		})
 	})
 }
 
-// ifStill calls a function unless the task's state has changed in the meantime.
-func (w *Worker) ifStill(key string, t *runningTask, state wire.TaskState, do func()) {
+// runIfInState calls a function unless the task's state has changed in the meantime.
+func (w *Worker) runIfInState(key string, t *runningTask, state wire.TaskState, do func()) {
 	w.whenResumed(func() {
 		if w.tasks[key] == t && t.State == state {
 			do()
@@ -298,17 +298,17 @@
 		return
 	}
 	switch e {
-	case gangRuns:
+	case gangStarted:
 		t.timer.Stop()
 		t.State = wire.TaskRunning
-		w.reportSoon()
+		w.requestHeartbeat()
 	case gangDone:
 		w.runtime.TaskCompleted(t.ID)
 		w.endTask(t, wire.CauseDone)
 	case gangSaved:
 		t.Saved = true
 		w.endTask(t, wire.CauseStopped)
-	case gangUnsaved:
+	case gangNotSaved:
 		if t.State == wire.TaskSaving {
 			w.endTask(t, wire.CauseStopped)
 		} else {
@@ -328,18 +328,18 @@
 	case saves && t.job.Shape == wire.Gang && t.job.Tasks > 1:
 		if w.runtime.stopMember(gangKey{t.ID.Job, t.Attempt}, t.ID.Index) {
 			t.State = wire.TaskSaving
-			w.reportSoon()
+			w.requestHeartbeat()
 			return
 		}
 		w.endTask(t, wire.CauseStopped)
 	case saves:
 		t.timer.Stop()
 		t.State = wire.TaskSaving
-		w.reportSoon()
-		t.progress = time.Since(t.startedAt)
-		t.after(wire.Seconds(t.job.SaveS), func() {
-			w.ifStill(key, t, wire.TaskSaving, func() {
-				w.runtime.saveProgress(t.ID, t.progress)
+		w.requestHeartbeat()
+		t.progressAtStop = time.Since(t.startedAt)
+		t.schedule(wire.Seconds(t.job.SaveS), func() {
+			w.runIfInState(key, t, wire.TaskSaving, func() {
+				w.runtime.saveProgress(t.ID, t.progressAtStop)
 				t.Saved = true
 				w.endTask(t, wire.CauseStopped)
 			})
@@ -353,7 +353,7 @@
 func (w *Worker) endTask(t *runningTask, why wire.Cause) {
 	w.releaseTask(t)
 	t.State, t.Cause = wire.TaskEnded, why
-	w.reportSoon()
+	w.requestHeartbeat()
 }
 
 // releaseTask stops a task's activity, keeps its last checkpoint and notifies the fixture.
@@ -368,7 +368,7 @@
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		w.runtime.leaveGang(gangKey{t.ID.Job, t.Attempt}, t.ID.Index)
 	} else if every := wire.Seconds(t.job.CheckpointS); every > 0 && !t.startedAt.IsZero() {
-		w.runtime.saveProgress(t.ID, cmp.Or(t.progress, time.Since(t.startedAt)).Truncate(every))
+		w.runtime.saveProgress(t.ID, cmp.Or(t.progressAtStop, time.Since(t.startedAt)).Truncate(every))
 	}
 	w.runtime.TaskStopped(t.ID, w.id)
 }
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -14,17 +14,17 @@
 // Traces plays every trace in testdata; play returns the function that executes one step and
 // returns its output. With -update the traces are written anew.
 func Traces(t *testing.T, play func(t *testing.T) func(step string) []string) {
-	eachTrace(t, func(t *testing.T, file string) { playTrace(t, file, play(t)) })
+	forEachTrace(t, func(t *testing.T, file string) { runTrace(t, file, play(t)) })
 }
 
 // ClockTraces is Traces on a fake clock.
 func ClockTraces(t *testing.T, play func(t *testing.T) func(step string) []string) {
-	eachTrace(t, func(t *testing.T, file string) {
-		synctest.Test(t, func(t *testing.T) { playTrace(t, file, play(t)) })
+	forEachTrace(t, func(t *testing.T, file string) {
+		synctest.Test(t, func(t *testing.T) { runTrace(t, file, play(t)) })
 	})
 }
 
-func eachTrace(t *testing.T, play func(t *testing.T, file string)) {
+func forEachTrace(t *testing.T, play func(t *testing.T, file string)) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func playTrace(t *testing.T, file string, step func(string) []string) {
+func runTrace(t *testing.T, file string, step func(string) []string) {
 	kept, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -20,40 +20,40 @@
 	Nodes []string
 	Judge *LivenessChecker
 
-	mu    sync.Mutex
-	nodes map[string]*backend
+	mu       sync.Mutex
+	backends map[string]*backend
 }
 
 // backend is a controller as the load balancer sees it.
 type backend struct {
-	healthy, ever bool
-	probes        []bool // the last six
-	out           time.Time
-	pause         time.Duration
-	conns         map[*userConn]bool
+	healthy, wasHealthy bool
+	probes              []bool // the last six
+	removedAt           time.Time
+	removalTime         time.Duration
+	conns               map[*userConn]bool
 }
 
 // userConn is a user's connection to a controller.
 type userConn struct {
 	net.Conn
-	close func()
+	onClose func()
 }
 
 func (c *userConn) Close() error {
-	c.close()
+	c.onClose()
 	return c.Conn.Close()
 }
 
 // What the protocol specifies for users and the balancer.
 const (
-	pollEvery      = 5 * time.Second
-	pollTimeout    = 2 * time.Second
-	probeEvery     = time.Second
-	connectTimeout = 500 * time.Millisecond
-	resetAfter     = 5 * time.Second
-	minPause       = 3 * time.Second
-	longestPause   = time.Minute
-	samePause      = 2 * time.Minute // a removal within this of the last doubles the pause
+	pollInterval          = 5 * time.Second
+	pollTimeout           = 2 * time.Second
+	probeInterval         = time.Second
+	connectTimeout        = 500 * time.Millisecond
+	connResetDelay        = 5 * time.Second
+	minRemovalTime        = 3 * time.Second
+	maxRemovalTime        = time.Minute
+	removalDoublingWindow = 2 * time.Minute // a removal within this of the last doubles the pause
 )
 
 // Run probes the controllers until the context ends.
@@ -63,18 +63,18 @@
 		group.Go(func() {
 			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.Dial}
 			for ctx.Err() == nil {
-				call, cancel := context.WithTimeout(ctx, probeEvery)
+				call, cancel := context.WithTimeout(ctx, probeInterval)
 				resp, err := caller.Call(call, addr, "GET", wire.PathReady, nil)
 				cancel()
-				u.probed(addr, time.Now(), err == nil && resp.Status == 200)
-				wait(ctx, probeEvery)
+				u.recordProbe(addr, time.Now(), err == nil && resp.Status == 200)
+				sleepContext(ctx, probeInterval)
 			}
 		})
 	}
 	group.Wait()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -83,20 +83,20 @@
 	}
 }
 
-func (u *Users) node(addr string) *backend {
-	if u.nodes == nil {
-		u.nodes = make(map[string]*backend)
+func (u *Users) backend(addr string) *backend {
+	if u.backends == nil {
+		u.backends = make(map[string]*backend)
 	}
-	if u.nodes[addr] == nil {
-		u.nodes[addr] = &backend{conns: make(map[*userConn]bool)}
+	if u.backends[addr] == nil {
+		u.backends[addr] = &backend{conns: make(map[*userConn]bool)}
 	}
-	return u.nodes[addr]
+	return u.backends[addr]
 }
 
-// probed takes in what a probe has shown.
-func (u *Users) probed(addr string, now time.Time, ok bool) {
+// recordProbe takes in what a probe has shown.
+func (u *Users) recordProbe(addr string, now time.Time, ok bool) {
 	u.mu.Lock()
-	m := u.node(addr)
+	m := u.backend(addr)
 	m.probes = append(m.probes, ok)
 	m.probes = m.probes[max(0, len(m.probes)-6):]
 	failed := 0
@@ -108,16 +108,16 @@
 	two := slices.Clone(m.probes[max(0, len(m.probes)-2):])
 	switch {
 	case m.healthy && (failed >= 3 || len(two) == 2 && !two[0] && !two[1]):
-		m.pause = max(minPause, min(longestPause, 2*m.pause))
-		if now.Sub(m.out) > samePause {
-			m.pause = minPause
+		m.removalTime = max(minRemovalTime, min(maxRemovalTime, 2*m.removalTime))
+		if now.Sub(m.removedAt) > removalDoublingWindow {
+			m.removalTime = minRemovalTime
 		}
-		m.healthy, m.out = false, now
-	case !m.healthy && ok && (!m.ever || len(two) == 2 && two[0] && now.Sub(m.out) >= m.pause):
-		m.healthy, m.ever, m.probes = true, true, nil
+		m.healthy, m.removedAt = false, now
+	case !m.healthy && ok && (!m.wasHealthy || len(two) == 2 && two[0] && now.Sub(m.removedAt) >= m.removalTime):
+		m.healthy, m.wasHealthy, m.probes = true, true, nil
 	}
 	var closed []*userConn
-	if !m.healthy && now.Sub(m.out) >= resetAfter {
+	if !m.healthy && now.Sub(m.removedAt) >= connResetDelay {
 		closed = slices.Collect(maps.Keys(m.conns))
 	}
 	u.mu.Unlock()
@@ -129,8 +129,8 @@
 // connect opens a connection to a healthy controller, of up to three.
 func (u *Users) connect(ctx context.Context, _ string) (net.Conn, error) {
 	u.mu.Lock()
-	nodes := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.node(addr).healthy })
-	slices.SortStableFunc(nodes, func(a, b string) int { return cmp.Compare(len(u.nodes[a].conns), len(u.nodes[b].conns)) })
+	nodes := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backend(addr).healthy })
+	slices.SortStableFunc(nodes, func(a, b string) int { return cmp.Compare(len(u.backends[a].conns), len(u.backends[b].conns)) })
 	u.mu.Unlock()
 	err := errors.New("no controller is healthy")
 	for _, addr := range nodes[:min(3, len(nodes))] {
@@ -142,13 +142,13 @@
 			continue
 		}
 		c := &userConn{Conn: conn}
-		c.close = func() {
+		c.onClose = func() {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			delete(u.node(addr).conns, c)
+			delete(u.backend(addr).conns, c)
 		}
 		u.mu.Lock()
-		u.node(addr).conns[c] = true
+		u.backend(addr).conns[c] = true
 		u.mu.Unlock()
 		return c, nil
 	}
@@ -176,6 +176,6 @@
 			return
 		}
 		u.Judge.ObservePoll(time.Now(), job, status, s.Stage)
-		wait(ctx, pollEvery)
+		sleepContext(ctx, pollInterval)
 	}
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -37,16 +37,16 @@
 	seq                 uint64
 	token               uint64
 	lastAnswered        time.Time // when the last heartbeat that was answered had been sent
-	takenAt             time.Time // when the cloud takes the machine back; zero without a notice
+	terminatesAt        time.Time // when the cloud takes the machine back; zero without a notice
 	pausedUntil         time.Time // the machine makes no progress until then
-	deferred            []func()  // what it does after the pause, in order
+	deferredActions     []func()  // what it does after the pause, in order
 	inboundFaults       int       // number of faults that lose everything sent to it
 	outboundFaults      int       // number of faults that keep it from reaching controllers
 	dialed              map[*dialedLink]bool
 	tasks               map[string]*runningTask
 	images              map[string]*cachedImage
 	fetchAccountedUntil time.Time // up to when fetched image data is accounted for
-	reportNow           chan struct{}
+	heartbeatRequested  chan struct{}
 }
 
 // WorkerConfig describes a worker.
@@ -72,7 +72,7 @@
 func NewWorker(c WorkerConfig) *Worker {
 	w := &Worker{id: c.ID, addr: c.Addr, typ: c.Type, zone: c.Zone, spot: c.Spot, spec: c.Spec, net: c.Net, takeDown: c.TakeDown, controllers: c.Controllers, runtime: c.Runtime,
 		lease: c.Lease, heartbeatInterval: c.HeartbeatInterval, callDelay: c.CallDelay, runFactor: cmp.Or(c.RunFactor, 1), fetchFactor: cmp.Or(c.FetchFactor, 1), sharedFetchRate: c.SharedFetchRate, replayer: c.Replayer, incarnation: 1, lastAnswered: time.Now(),
-		tasks: map[string]*runningTask{}, dialed: map[*dialedLink]bool{}, images: map[string]*cachedImage{}, reportNow: make(chan struct{}, 1)}
+		tasks: map[string]*runningTask{}, dialed: map[*dialedLink]bool{}, images: map[string]*cachedImage{}, heartbeatRequested: make(chan struct{}, 1)}
 	if w.callDelay == nil {
 		w.callDelay = func() time.Duration { return 0 }
 	}
@@ -80,7 +80,7 @@
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	w.controller = slices.Sorted(maps.Keys(w.controllers))[0]
 	go func() { _ = w.net.Listen(w.ctx, w.addr, 64, w.serve()) }()
-	go w.run()
+	go w.runHeartbeats()
 	go w.watchLease()
 	return w
 }
@@ -89,8 +89,8 @@
 func (w *Worker) Notice(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.takenAt = time.Now().Add(in)
-	w.reportSoon()
+	w.terminatesAt = time.Now().Add(in)
+	w.requestHeartbeat()
 }
 
 // Pause pauses the machine for d: it sends and answers nothing, and its tasks make no progress.
@@ -122,9 +122,9 @@
 func (w *Worker) runDeferred() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for time.Until(w.pausedUntil) <= 0 && len(w.deferred) > 0 {
-		do := w.deferred[0]
-		w.deferred = w.deferred[1:]
+	for time.Until(w.pausedUntil) <= 0 && len(w.deferredActions) > 0 {
+		do := w.deferredActions[0]
+		w.deferredActions = w.deferredActions[1:]
 		do()
 	}
 }
@@ -134,7 +134,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Until(w.pausedUntil) > 0 {
-		w.deferred = append(w.deferred, do)
+		w.deferredActions = append(w.deferredActions, do)
 		return
 	}
 	do()
@@ -162,10 +162,10 @@
 func (w *Worker) Reboot(back time.Duration, forgetful bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dropTasks()
+	w.killTasks()
 	clear(w.images)
 	w.incarnation++
-	w.seq, w.takenAt, w.pausedUntil, w.deferred = 0, time.Time{}, time.Now().Add(back), nil
+	w.seq, w.terminatesAt, w.pausedUntil, w.deferredActions = 0, time.Time{}, time.Now().Add(back), nil
 	w.lastAnswered = w.pausedUntil
 	if forgetful {
 		w.token = 0
@@ -185,11 +185,11 @@
 	w.takeDown()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dropTasks()
+	w.killTasks()
 }
 
-// dropTasks ends and forgets all tasks.
-func (w *Worker) dropTasks() {
+// killTasks ends and forgets all tasks.
+func (w *Worker) killTasks() {
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		if t := w.tasks[key]; t.State != wire.TaskEnded {
 			w.releaseTask(t)
@@ -203,8 +203,8 @@
 	w.seq++
 	r := wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation, Seq: w.seq, FencingToken: w.token,
 		Tasks: []wire.ReportedTask{}}
-	if !w.takenAt.IsZero() {
-		left := time.Until(w.takenAt).Seconds()
+	if !w.terminatesAt.IsZero() {
+		left := time.Until(w.terminatesAt).Seconds()
 		r.TerminationNoticeS = &left
 	}
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
@@ -216,7 +216,7 @@
 // expireLease starts a new incarnation if the lease has expired.
 func (w *Worker) expireLease() {
 	if time.Since(w.lastAnswered) > w.lease {
-		w.dropTasks()
+		w.killTasks()
 		w.incarnation++
 		w.seq, w.lastAnswered = 0, time.Now()
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// run sends heartbeats and executes the commands in their answers.
-func (w *Worker) run() {
+// runHeartbeats sends heartbeats and executes the commands in their answers.
+func (w *Worker) runHeartbeats() {
 	for w.ctx.Err() == nil {
 		w.waitWhilePaused()
 		w.mu.Lock()
@@ -278,7 +278,7 @@
 		case <-w.ctx.Done():
 			return
 		case <-time.After(wait):
-		case <-w.reportNow:
+		case <-w.heartbeatRequested:
 			time.Sleep(gap)
 		}
 	}
@@ -306,26 +306,26 @@
 func (w *Worker) adoptToken(token uint64) {
 	if token > w.token {
 		w.token = token
-		w.reportSoon()
+		w.requestHeartbeat()
 	}
 }
 
-// reportSoon triggers a heartbeat before the interval has passed.
-func (w *Worker) reportSoon() {
+// requestHeartbeat triggers a heartbeat before the interval has passed.
+func (w *Worker) requestHeartbeat() {
 	select {
-	case w.reportNow <- struct{}{}:
+	case w.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
 
 // serve answers direct calls, through the machine's possibly faulty link.
 func (w *Worker) serve() transport.ServeConn {
-	serve := w.answers()
+	serve := w.handleRequests()
 	return func(ctx context.Context, s transport.Stream) { serve(ctx, &acceptedLink{s, link{worker: w}}) }
 }
 
-// answers handles direct calls and inspections.
-func (w *Worker) answers() transport.ServeConn {
+// handleRequests handles direct calls and inspections.
+func (w *Worker) handleRequests() transport.ServeConn {
 	return serveHTTP(func(method, path string, _ map[string]string, body []byte) (int, any) {
 		w.waitWhilePaused()
 		w.mu.Lock()
@@ -376,5 +376,5 @@
 			}
 		}
 	}
-	return p, w.ctx.Err() == nil && w.takenAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
+	return p, w.ctx.Err() == nil && w.terminatesAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
 }
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -13,8 +13,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// runtimeBench is a few machines without a controller, driven by the steps of a trace.
-type runtimeBench struct {
+// runtimeHarness is a few machines without a controller, driven by the steps of a trace.
+type runtimeHarness struct {
 	t         *testing.T
 	net       *Network
 	checker   *Checker
@@ -22,11 +22,11 @@
 	workers   map[string]*Worker
 	startedAt time.Time
 
-	serves *services
+	serves *externalServices
 }
 
-func newRuntimeBench(t *testing.T) *runtimeBench {
-	b := &runtimeBench{t: t, net: NewNetwork(), checker: NewChecker(time.Minute, nil), workers: map[string]*Worker{}, startedAt: time.Now()}
+func newRuntimeHarness(t *testing.T) *runtimeHarness {
+	b := &runtimeHarness{t: t, net: NewNetwork(), checker: NewChecker(time.Minute, nil), workers: map[string]*Worker{}, startedAt: time.Now()}
 	b.runtime = NewTaskRuntime(b.checker, 20*time.Second, 3*time.Second)
 	t.Cleanup(func() {
 		for _, w := range b.workers {
@@ -41,7 +41,7 @@
 	return b
 }
 
-func (b *runtimeBench) step(line string) []string {
+func (b *runtimeHarness) step(line string) []string {
 	w, kv := Words(line)
 	num := func(key string, otherwise float64) float64 {
 		if x, err := strconv.ParseFloat(kv[key], 64); err == nil {
@@ -67,7 +67,7 @@
 		d, _ := time.ParseDuration(w[1])
 		time.Sleep(d)
 	case "call":
-		return b.service(w, kv)
+		return b.serviceStep(w, kv)
 	case "saved":
 		id, _ := wire.ParseTaskID(w[1])
 		return []string{b.runtime.SavedProgress(id).String()}
@@ -78,14 +78,14 @@
 		return []string{fmt.Sprint(slices.Sorted(maps.Keys(on.images)))}
 	case "show":
 		synctest.Wait()
-		return b.show()
+		return b.machineStates()
 	default:
 		b.t.Fatalf("no such step: %s", line)
 	}
 	return nil
 }
 
-func (b *runtimeBench) command(w []string, try uint64, grace string) {
+func (b *runtimeHarness) command(w []string, try uint64, grace string) {
 	on := b.workers[w[1]]
 	var cmds []wire.Command
 	for _, task := range w[2:] {
@@ -101,7 +101,7 @@
 	on.execute(cmds)
 }
 
-func (b *runtimeBench) show() (out []string) {
+func (b *runtimeHarness) machineStates() (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.workers)) {
 		w := b.workers[name]
 		w.mu.Lock()
@@ -124,5 +124,5 @@
 
 // TestTraces plays the clauses of the protocol about workers.
 func TestTraces(t *testing.T) {
-	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeBench(t).step })
+	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeHarness(t).step })
 }
