--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -6,76 +6,76 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ObserveAnswer is called with each answer to a user, whose request and answer are taken to have
-// no duration. cancelRequested is true if this user has asked to cancel the job.
-func (c *Checker) ObserveAnswer(id string, status int, stage wire.Stage, asked bool) {
+// ObserveAnswer checks an answer to a user as if the request had been sent and answered just now.
+// cancelRequested is true if this user has asked to cancel the job.
+func (c *Checker) ObserveAnswer(id string, status int, stage wire.Stage, cancelRequested bool) {
 	now := time.Now()
-	c.ObserveAnswerAt(id, status, stage, asked, now, now)
+	c.ObserveAnswerAt(id, status, stage, cancelRequested, now, now)
 }
 
-// answerTimes keeps the times by which answers about a job were given, to recognise answers that
-// contradict earlier ones.
+// answerTimes holds the times that are needed to recognise an answer about a job that contradicts
+// an earlier one.
 type answerTimes struct {
-	firstAccepted, firstFinal time.Time // the answer that said so first
-	lastNonFinal              time.Time // the last question that was answered otherwise
+	firstAccepted, firstFinal time.Time // when the first answer that said so arrived
+	lastNonFinal              time.Time // when the last request that got a non-final stage was sent
 }
 
-// ObserveAnswerAt is ObserveAnswer with the times at which the request was sent and answered:
+// ObserveAnswerAt checks an answer to a request that was sent and answered at the given times:
 // answers to overlapping requests may contradict each other.
-func (c *Checker) ObserveAnswerAt(id string, status int, stage wire.Stage, asked bool, sent, back time.Time) {
+func (c *Checker) ObserveAnswerAt(id string, status int, stage wire.Stage, cancelRequested bool, sentAt, answeredAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	j, before := c.submitted[id], c.lastStage[id]
+	job, previous := c.submitted[id], c.lastStage[id]
 	if c.answerTimes[id] == nil {
 		c.answerTimes[id] = &answerTimes{}
 	}
-	o := c.answerTimes[id]
-	c.cancelRequested[id] = c.cancelRequested[id] || asked
+	times := c.answerTimes[id]
+	c.cancelRequested[id] = c.cancelRequested[id] || cancelRequested
 	switch {
-	case j == nil && status == 200:
+	case job == nil && status == 200:
 		c.recordViolation("invented", "%s", id)
-	case before != "" && !sent.Before(o.firstAccepted) && (status == 404 || status == 400 || status == 422):
+	case previous != "" && !sentAt.Before(times.firstAccepted) && (status == 404 || status == 400 || status == 422):
 		c.recordViolation("forgotten", "%s: %d", id, status)
 	}
-	if j == nil || status != 200 && status != 201 {
+	if job == nil || status != 200 && status != 201 {
 		return
 	}
-	if o.firstAccepted.IsZero() || back.Before(o.firstAccepted) {
-		o.firstAccepted = back
+	if times.firstAccepted.IsZero() || answeredAt.Before(times.firstAccepted) {
+		times.firstAccepted = answeredAt
 	}
-	if before.Final() && !stage.Final() && sent.Before(o.firstFinal) {
+	if previous.Final() && !stage.Final() && sentAt.Before(times.firstFinal) {
 		return // the request was sent before the end was reported
 	}
-	if o.contradicts(before, stage, back) || stage == wire.Cancelled && !asked {
-		c.recordViolation("went_back", "%s was %s, is called %s", id, before, stage)
+	if times.contradicts(previous, stage, answeredAt) || stage == wire.Cancelled && !cancelRequested {
+		c.recordViolation("went_back", "%s was %s, is called %s", id, previous, stage)
 	}
 	if !stage.Final() {
-		o.lastNonFinal = latest(o.lastNonFinal, sent)
-	} else if o.firstFinal.IsZero() || back.Before(o.firstFinal) {
-		o.firstFinal = back
+		times.lastNonFinal = latest(times.lastNonFinal, sentAt)
+	} else if times.firstFinal.IsZero() || answeredAt.Before(times.firstFinal) {
+		times.firstFinal = answeredAt
 	}
-	c.recordStage(j, before, stage)
+	c.recordStage(job, previous, stage)
 }
 
-// contradicts reports whether a stage, answered at a time, contradicts the one that was reported
-// before.
-func (o *answerTimes) contradicts(before, stage wire.Stage, back time.Time) bool {
-	return before.Final() && stage != before || stage.Final() && !before.Final() && o.lastNonFinal.After(back)
+// contradicts reports whether a stage that was answered at a given time contradicts the previously
+// answered one.
+func (t *answerTimes) contradicts(previous, stage wire.Stage, answeredAt time.Time) bool {
+	return previous.Final() && stage != previous || stage.Final() && !previous.Final() && t.lastNonFinal.After(answeredAt)
 }
 
-// recordStage records the stage that was answered for a job: one that is done may have no task left, one
-// that is cancelled may start none.
-func (c *Checker) recordStage(j *wire.Job, before, stage wire.Stage) {
+// recordStage records the stage that was answered for a job. All tasks of a job that is done must have
+// completed; a cancelled job may start no more tasks.
+func (c *Checker) recordStage(job *wire.Job, previous, stage wire.Stage) {
 	if stage == wire.Done {
-		for i := range j.Tasks {
-			if !c.finished[wire.TaskID{Job: j.ID, Index: i}] {
-				c.recordViolation("not_done", "%s/%d", j.ID, i)
+		for i := range job.Tasks {
+			if !c.finished[wire.TaskID{Job: job.ID, Index: i}] {
+				c.recordViolation("not_done", "%s/%d", job.ID, i)
 			}
 		}
 	}
-	if stage == wire.Cancelled && before != wire.Cancelled {
-		c.cancelled[j.ID] = time.Now()
-		c.Launches.Cancelled(time.Now(), j.ID)
+	if stage == wire.Cancelled && previous != wire.Cancelled {
+		c.cancelled[job.ID] = time.Now()
+		c.Launches.Cancelled(time.Now(), job.ID)
 	}
-	c.lastStage[j.ID] = stage
+	c.lastStage[job.ID] = stage
 }
--- a/internal/simulator/checker_counts.go
+++ b/internal/simulator/checker_counts.go
@@ -9,44 +9,44 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Counts returns how many tasks run and have started.
+// Counts returns how many tasks are running and how many have been started in total.
 func (c *Checker) Counts() (running, started int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, where := range c.placements {
-		running += len(where)
+	for _, zones := range c.placements {
+		running += len(zones)
 	}
 	return running, c.Started
 }
 
-// Running returns the running tasks of a job.
+// Running returns the number of running tasks of a job.
 func (c *Checker) Running(job string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for t, where := range c.placements {
-		if t.Job == job && len(where) > 0 {
+	for t, zones := range c.placements {
+		if t.Job == job && len(zones) > 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Replicas counts the running tasks of services of a class.
+// Replicas returns the number of running tasks of a job class in each zone.
 func (c *Checker) Replicas(class string) map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	in := map[string]int{}
-	for t, where := range c.placements {
-		for _, zone := range where {
+	byZone := map[string]int{}
+	for t, zones := range c.placements {
+		for _, zone := range zones {
 			if c.submitted[t.Job].Class == class {
-				in[zone]++
+				byZone[zone]++
 			}
 		}
 	}
-	return in
+	return byZone
 }
 
-// OpenJobs lists the jobs without a final answer.
+// OpenJobs lists the jobs for which no final stage was answered, each with its last stage.
 func (c *Checker) OpenJobs() (jobs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,17 +59,18 @@
 	return jobs
 }
 
-// Stage returns the last stage that was answered for a job.
+// Stage returns the last stage that was answered for a job, or "" if there is none.
 func (c *Checker) Stage(id string) wire.Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastStage[id]
 }
 
-// sampleInterval is how often the machines are sampled.
+// sampleInterval is the time between two samples of the machines.
 const sampleInterval = 3 * time.Second
 
-// WatchMachines samples the cloud's machines until the context ends.
+// WatchMachines samples the cloud's machines for the starvation checker until the context ends. It
+// takes no samples while a fault is active.
 func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
 	for ctx.Err() == nil {
 		sleepContext(ctx, sampleInterval)
@@ -79,36 +80,37 @@
 	}
 }
 
-// sampleMachines passes one sample of machines, jobs and quota use to the starvation checker.
+// sampleMachines passes one sample of machines, pending jobs and the resources used by each team to
+// the starvation checker.
 func (c *Checker) sampleMachines(now time.Time, cloud *Cloud) {
-	var places []MachineState
-	on := map[string]map[int]string{}
-	put := func(t wire.TaskID, zone string) {
-		if on[t.Job] == nil {
-			on[t.Job] = map[int]string{}
+	var machines []MachineState
+	placed := map[string]map[int]string{} // zone by task index, by job
+	addTask := func(t wire.TaskID, zone string) {
+		if placed[t.Job] == nil {
+			placed[t.Job] = map[int]string{}
 		}
-		on[t.Job][t.Index] = zone
+		placed[t.Job][t.Index] = zone
 	}
 	cloud.EachRunning(func(_ wire.ListedMachine, m Machine) {
-		if w, is := m.(StateReporter); is {
-			p, ok := w.State()
-			for _, t := range p.Tasks {
-				put(t, p.Zone)
+		if reporter, reports := m.(StateReporter); reports {
+			state, ok := reporter.State()
+			for _, t := range state.Tasks {
+				addTask(t, state.Zone)
 			}
 			if ok {
-				places = append(places, p)
+				machines = append(machines, state)
 			}
 		}
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for t, where := range c.placements {
-		for _, zone := range where {
-			put(t, zone)
+	for t, zones := range c.placements {
+		for _, zone := range zones {
+			addTask(t, zone)
 		}
 	}
 	used := map[string]TeamLimit{}
-	for id, tasks := range on {
+	for id, tasks := range placed {
 		if j := c.submitted[id]; j != nil {
 			u, n := used[j.Team], float64(len(tasks))
 			used[j.Team] = TeamLimit{u.CPUs + n*j.CPUs, u.GPUs + n*j.GPUs}
@@ -119,7 +121,7 @@
 		if c.lastStage[id] == "" || c.lastStage[id].Final() || c.cancelRequested[id] {
 			continue
 		}
-		jobs = append(jobs, PendingJob{Job: c.submitted[id], Placed: on[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
+		jobs = append(jobs, PendingJob{Job: c.submitted[id], Placed: placed[id], Finished: func(i int) bool { return c.finished[wire.TaskID{Job: id, Index: i}] }})
 	}
-	c.Starvation.Sample(now, places, jobs, used)
+	c.Starvation.Sample(now, machines, jobs, used)
 }
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -9,22 +9,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// checkCancelled records a violation if a task still runs too long after its cancellation.
-func (c *Checker) checkCancelled(t wire.TaskID, where map[string]string) {
-	if at, ok := c.cancelled[t.Job]; ok && len(where) > 0 && time.Since(at) > c.CancelWithin {
-		c.recordViolation("ran_cancelled", "%v is on %v %v after its user was told", t, where, time.Since(at))
+// checkCancelled records a violation if a task still runs when CancelWithin has passed since the user
+// was told of its cancellation.
+func (c *Checker) checkCancelled(t wire.TaskID, zones map[string]string) {
+	if toldAt, ok := c.cancelled[t.Job]; ok && len(zones) > 0 && time.Since(toldAt) > c.CancelWithin {
+		c.recordViolation("ran_cancelled", "%v is on %v %v after its user was told", t, zones, time.Since(toldAt))
 	}
 }
 
-// SetTaskRunTimes sets the run time of each task of a job that is yet to be submitted.
-func (c *Checker) SetTaskRunTimes(job string, run ...time.Duration) {
+// SetTaskRunTimes sets the run time of each task of a job that will be submitted later. If there are
+// more tasks than run times, these are used again from the start.
+func (c *Checker) SetTaskRunTimes(job string, runTimes ...time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taskRunTimes[job] = run
+	c.taskRunTimes[job] = runTimes
 }
 
-// TaskStarted implements Fixture: it checks a start against every rule and returns the task's run
-// time.
+// TaskStarted implements Fixture. It checks the start of a task against every rule and returns the
+// task's run time.
 func (c *Checker) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,39 +51,40 @@
 	}
 	c.checkZones(j, t)
 	c.Launches.TaskStarted(time.Now(), t)
-	if at, ok := c.cancelled[t.Job]; ok && time.Since(at) > c.CancelWithin {
-		c.recordViolation("ran_cancelled", "%v starts %v after its user was told", t, time.Since(at))
+	if toldAt, ok := c.cancelled[t.Job]; ok && time.Since(toldAt) > c.CancelWithin {
+		c.recordViolation("ran_cancelled", "%v starts %v after its user was told", t, time.Since(toldAt))
 	}
-	if c.finished[t] { // started again, it ends as soon as it has its image
+	if c.finished[t] { // a completed task that is started again ends almost at once
 		return 10 * time.Millisecond, true
 	}
 	return c.taskRunTime(t), true
 }
 
-// taskRunTime returns a task's run time.
+// taskRunTime returns the run time of a task.
 func (c *Checker) taskRunTime(t wire.TaskID) time.Duration {
-	if each := c.taskRunTimes[t.Job]; len(each) > 0 {
-		return each[t.Index%len(each)]
+	if runTimes := c.taskRunTimes[t.Job]; len(runTimes) > 0 {
+		return runTimes[t.Index%len(runTimes)]
 	}
 	return c.runTimes[t.Job]
 }
 
-// LongRunning returns up to n jobs whose tasks still have at least that long to run.
-func (c *Checker) LongRunning(n int, least time.Duration) (jobs, machines []string) {
+// LongRunning returns up to n jobs that have a task with at least the given run time left, the longest
+// first, and the machines on which their tasks run.
+func (c *Checker) LongRunning(n int, minLeft time.Duration) (jobs, machines []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left, on := map[string]time.Duration{}, map[string][]string{}
-	for t, where := range c.placements {
-		if len(where) > 0 && !c.lastStage[t.Job].Final() && !c.cancelRequested[t.Job] {
+	left, machinesOf := map[string]time.Duration{}, map[string][]string{}
+	for t, zones := range c.placements {
+		if len(zones) > 0 && !c.lastStage[t.Job].Final() && !c.cancelRequested[t.Job] {
 			left[t.Job] = max(left[t.Job], c.taskRunTime(t)-time.Since(c.startedAt[t]))
-			on[t.Job] = slices.AppendSeq(on[t.Job], maps.Keys(where))
+			machinesOf[t.Job] = slices.AppendSeq(machinesOf[t.Job], maps.Keys(zones))
 		}
 	}
 	jobs = slices.SortedFunc(maps.Keys(left), func(a, b string) int { return cmp.Or(cmp.Compare(left[b], left[a]), cmp.Compare(a, b)) })
-	jobs = slices.DeleteFunc(jobs, func(id string) bool { return left[id] < least })
+	jobs = slices.DeleteFunc(jobs, func(id string) bool { return left[id] < minLeft })
 	jobs = jobs[:min(n, len(jobs))]
 	for _, id := range jobs {
-		machines = append(machines, on[id]...)
+		machines = append(machines, machinesOf[id]...)
 	}
 	slices.Sort(machines)
 	return jobs, slices.Compact(machines)
@@ -102,21 +105,21 @@
 
 // checkZones verifies the zone constraints of a job's running tasks.
 func (c *Checker) checkZones(j *wire.Job, t wire.TaskID) {
-	in := map[string]int{}
+	byZone := map[string]int{}
 	for i := range j.Tasks {
 		for _, zone := range c.placements[wire.TaskID{Job: j.ID, Index: i}] {
-			in[zone]++
+			byZone[zone]++
 		}
 	}
-	for _, n := range in {
-		if j.OneZone && len(in) > 1 || j.Spread && n > (j.Tasks+1)/2 {
-			c.recordViolation("wrong_place", "%v: the job's tasks are in %v", t, in)
+	for _, n := range byZone {
+		if j.OneZone && len(byZone) > 1 || j.Spread && n > (j.Tasks+1)/2 {
+			c.recordViolation("wrong_place", "%v: the job's tasks are in %v", t, byZone)
 			return
 		}
 	}
 }
 
-// TaskStopped implements Fixture.
+// TaskStopped implements Fixture. It records that a task no longer runs on a machine.
 func (c *Checker) TaskStopped(t wire.TaskID, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,12 +133,12 @@
 	}
 }
 
-// TaskCompleted implements Fixture.
+// TaskCompleted implements Fixture. It records that a task has completed.
 func (c *Checker) TaskCompleted(t wire.TaskID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finished[t] = true
-	if j := c.submitted[t.Job]; j.Shape == wire.Gang { // they complete together
+	if j := c.submitted[t.Job]; j.Shape == wire.Gang { // the tasks of a gang complete together
 		for i := range j.Tasks {
 			c.finished[wire.TaskID{Job: t.Job, Index: i}] = true
 		}
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -8,9 +8,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestOverlappingAnswers checks that of overlapping answers either may be the older one, in
-// whatever order they arrive, and that one whose request left after an end was reported has to
-// report it.
+// TestOverlappingAnswers checks that answers to overlapping requests may contradict each other in
+// whatever order they arrive, and that a request sent after a final stage was reported must be
+// answered with that stage.
 func TestOverlappingAnswers(t *testing.T) {
 	type told struct {
 		stage      wire.Stage
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -10,16 +10,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Cloud imitates the cloud provider: it starts machines after their boot time, and lists and
+// Cloud simulates the cloud provider. It starts machines after their boot time, and lists and
 // deletes them.
 type Cloud struct {
 	Types           []wire.MachineType
 	Capacity        int                // machines in each zone
 	CapacityByOffer map[Offer]int      // if set, replaces Capacity
-	RPS             float64            // with bursts of two seconds' worth; 0 for no limit
-	ListLag         time.Duration      // by which lists may be out of date
+	RPS             float64            // limit on requests per second, with bursts of two seconds' worth; 0 for no limit
+	ListLag         time.Duration      // average age of a listing; the maximum is twice as much
 	BootTime        time.Duration      // 0 for the boot time of the machine type
-	Subnet          string             // of the machines; 10.1.0. if it is empty
+	Subnet          string             // prefix of the machines' IP addresses; 10.1.0. if empty
 	AddrOf          func(n int) string // if set, returns the address of the n-th machine
 	Rand            *rand.Rand
 	Start           func(id, addr, typ, zone string, spot bool) Machine
@@ -30,42 +30,42 @@
 	machines        map[string]*instance
 	rentedByRequest map[string][]string
 	requestLimiter  *rate.Limiter
-	deletedCost     float64 // of the machines that were deleted
+	deletedCost     float64 // cost of the machines that were deleted
 }
 
-// Offer is a kind of machine that can be rented.
+// Offer is a combination of machine type, zone and pricing that can be rented.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Machine is what runs on a rented machine.
+// Machine is the process that runs on a rented machine.
 type Machine interface {
-	// Kill ends the machine with everything on it.
+	// Kill terminates the machine and everything that runs on it.
 	Kill()
 }
 
-// What a machine may support beside Kill. Worker supports all of it.
+// Optional interfaces of a Machine. Worker implements all of them.
 type (
-	// NoticeReceiver is told that the cloud takes the machine back after a while.
+	// NoticeReceiver is notified that the cloud will reclaim the machine after a delay.
 	NoticeReceiver interface{ Notice(in time.Duration) }
-	// Pauser can make no progress for a while.
+	// Pauser can be suspended for a duration.
 	Pauser interface{ Pause(d time.Duration) }
-	// Rebooter can restart; a forgetful machine loses its fencing token.
+	// Rebooter can restart. downtime is how long that takes; forgetToken loses the fencing token.
 	Rebooter interface {
-		Reboot(back time.Duration, forgetful bool)
+		Reboot(downtime time.Duration, forgetToken bool)
 	}
-	// InboundDropper can lose everything that is sent to it.
-	InboundDropper interface{ DropInbound(deaf bool) }
-	// OutboundBlocker can be kept from opening connections.
-	OutboundBlocker interface{ BlockOutbound(mute bool) }
-	// StateReporter tells its free capacity; ok is false while nothing can be started there.
+	// InboundDropper can be made to lose everything that is sent to it.
+	InboundDropper interface{ DropInbound(drop bool) }
+	// OutboundBlocker can be prevented from opening connections.
+	OutboundBlocker interface{ BlockOutbound(block bool) }
+	// StateReporter reports its free capacity. ok is false while no task can be started there.
 	StateReporter interface {
-		State() (p MachineState, ok bool)
+		State() (s MachineState, ok bool)
 	}
 )
 
-// machineType returns a machine type by name, or nil.
+// machineType returns the machine type with the given name, or nil.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.Types {
 		if c.Types[i].Name == name {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Stop ends all machines.
+// Stop deletes all machines.
 func (c *Cloud) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulator/cloud_calls.go
+++ b/internal/simulator/cloud_calls.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Serve implements the protocol of the cloud.
+// Serve returns a handler that implements the cloud's protocol.
 func (c *Cloud) Serve() transport.ServeConn {
 	c.mu.Lock()
 	if c.machines == nil {
@@ -42,7 +42,8 @@
 	})
 }
 
-// allowRequest applies the limit on requests. The lock is held.
+// allowRequest reports whether the request rate limit admits another request. The caller holds the
+// lock.
 func (c *Cloud) allowRequest() bool {
 	if c.RPS <= 0 {
 		return true
@@ -53,7 +54,7 @@
 	return c.requestLimiter.AllowN(time.Now(), 1)
 }
 
-// serveRelease answers the request to delete machines. The lock is held.
+// serveRelease handles a request to delete machines. The caller holds the lock.
 func (c *Cloud) serveRelease(body []byte) (int, any) {
 	var names wire.MachineNames
 	if err := wire.Decode(body, &names); err != nil || len(names.Machines) > wire.MaxRelease {
@@ -65,14 +66,15 @@
 	return 200, map[string]any{}
 }
 
-// serveRent answers the request to rent machines. The lock is held.
+// serveRent handles a request to rent machines. With a RentDelay the machines are rented later and the
+// request is not answered. The caller holds the lock.
 func (c *Cloud) serveRent(body []byte) (int, any) {
 	var r wire.ScaleOutRequest
 	if err := wire.Decode(body, &r); err != nil || r.RequestID == "" || r.Count < 1 || r.Count > wire.MaxScaleOut || c.machineType(r.Type) == nil {
 		return 400, wire.Failure{Error: "ask, frame, or how_many (1 to 50)"}
 	}
-	if late := c.Faults.RentDelay; late > 0 {
-		time.AfterFunc(late, func() {
+	if delay := c.Faults.RentDelay; delay > 0 {
+		time.AfterFunc(delay, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.rentMachines(r)
@@ -82,8 +84,8 @@
 	return c.rentMachines(r)
 }
 
-// list returns a page of machines as they were at some time within twice the list lag, a different
-// one on each call.
+// list returns a page of machines as they were at a random time in the past, at most twice ListLag
+// ago. Each call chooses another time.
 func (c *Cloud) list(after string, limit int) wire.MachineList {
 	at := time.Now().Add(-time.Duration(c.Rand.Int64N(int64(2*c.ListLag) + 1)))
 	out := wire.MachineList{Machines: []wire.ListedMachine{}}
@@ -96,9 +98,9 @@
 			out.More = true
 			break
 		}
-		l := m.ListedMachine
-		l.AgeS = at.Sub(m.rentedAt).Seconds()
-		out.Machines = append(out.Machines, l)
+		listed := m.ListedMachine
+		listed.AgeS = at.Sub(m.rentedAt).Seconds()
+		out.Machines = append(out.Machines, listed)
 	}
 	return out
 }
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -6,13 +6,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// CloudFaults are the faults of a cloud.
+// CloudFaults are the faults that can be injected into a Cloud.
 type CloudFaults struct {
-	Unavailable          bool          // every call is answered 503
+	Unavailable          bool          // every request is answered 503
 	BootFactor           float64       // multiple of the boot time; 0 stands for 1
-	NeverBootShare       float64       // share of machines that never come up
+	NeverBootShare       float64       // share of machines that never finish booting
 	MissingCapacityShare float64       // share of the capacity that is not available
-	RentDelay            time.Duration // machines are rented this much later, without an answer
+	RentDelay            time.Duration // machines are rented after this delay, and the request is not answered
 }
 
 // SetFaults changes the injected faults.
@@ -25,7 +25,8 @@
 // crashedListingTime is how long a crashed machine is still listed as running.
 const crashedListingTime = 30 * time.Second
 
-// Crash ends a machine on its own; it remains listed.
+// Crash terminates a machine without deleting it. It remains listed, as failed after
+// crashedListingTime.
 func (c *Cloud) Crash(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +43,7 @@
 	})
 }
 
-// Preempt takes a spot machine back, after a notice or at once.
+// Preempt reclaims a spot machine after the given notice, or at once if notice is 0.
 func (c *Cloud) Preempt(id string, notice time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,11 +61,11 @@
 	})
 }
 
-// RemoveNth takes the n-th running machine back without a notice.
+// RemoveNth deletes the n-th running machine without notice; n wraps around.
 func (c *Cloud) RemoveNth(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.running(); len(w) > 0 {
-		c.remove(w[n%len(w)].ID)
+	if up := c.running(); len(up) > 0 {
+		c.remove(up[n%len(up)].ID)
 	}
 }
--- a/internal/simulator/cloud_machines.go
+++ b/internal/simulator/cloud_machines.go
@@ -16,28 +16,29 @@
 	worker      Machine
 	rentedAt    time.Time
 	deletedAt   time.Time
-	crashedAt   time.Time // when it stopped on its own
+	crashedAt   time.Time // zero unless the machine crashed
 	hourlyPrice float64
 }
 
 // freeCapacity returns how many more machines of an offer are available.
 func (c *Cloud) freeCapacity(o Offer) int {
-	all := c.Capacity
+	capacity := c.Capacity
 	if c.CapacityByOffer != nil {
-		all = c.CapacityByOffer[o]
+		capacity = c.CapacityByOffer[o]
 	}
-	left := int(float64(all) * (1 - c.Faults.MissingCapacityShare))
+	free := int(float64(capacity) * (1 - c.Faults.MissingCapacityShare))
 	for _, m := range c.machines {
 		if m.deletedAt.IsZero() && m.Zone == o.Zone && (c.CapacityByOffer == nil || m.Type == o.Type && m.Spot == o.Spot) {
-			left--
+			free--
 		}
 	}
-	return left
+	return free
 }
 
-// rentMachines handles a request to rent machines; a repeated request gets the same answer.
+// rentMachines rents up to as many machines as requested. It is idempotent: a request that is repeated
+// with the same request ID gets the same answer.
 func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
-	if names, again := c.rentedByRequest[r.RequestID]; again {
+	if names, repeated := c.rentedByRequest[r.RequestID]; repeated {
 		return 200, wire.MachineNames{Machines: names}
 	}
 	names := []string{}
@@ -51,7 +52,8 @@
 	return 200, wire.MachineNames{Machines: names}
 }
 
-// startMachine rents one machine, which comes up after its boot time, or never.
+// startMachine rents one machine and returns its ID. The machine starts after its boot time, or never
+// for the share NeverBootShare.
 func (c *Cloud) startMachine(r wire.ScaleOutRequest) string {
 	c.rentedCount++
 	id, ip := fmt.Sprintf("n-%06d", c.rentedCount), fmt.Sprintf("%s%d", cmp.Or(c.Subnet, "10.1.0."), c.rentedCount)
@@ -80,7 +82,7 @@
 	return id
 }
 
-// remove deletes a machine and ends what runs on it.
+// remove deletes a machine and terminates the process that runs on it.
 func (c *Cloud) remove(id string) {
 	if m := c.machines[id]; m != nil && m.deletedAt.IsZero() {
 		m.deletedAt = time.Now()
@@ -91,15 +93,16 @@
 	}
 }
 
-// cost returns what a machine has cost by a point in time; at least a minute is charged.
-func (m *instance) cost(by time.Time) float64 {
+// cost returns what a machine has cost until a point in time, or until its crash. At least one minute
+// is charged.
+func (m *instance) cost(until time.Time) float64 {
 	if !m.crashedAt.IsZero() {
-		by = m.crashedAt
+		until = m.crashedAt
 	}
-	return m.hourlyPrice * max(by.Sub(m.rentedAt), time.Minute).Hours()
+	return m.hourlyPrice * max(until.Sub(m.rentedAt), time.Minute).Hours()
 }
 
-// Cost returns what all machines have cost so far, and how many are rented.
+// Cost returns what all machines have cost so far, and how many are rented at present.
 func (c *Cloud) Cost() (cost float64, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,17 +116,18 @@
 	return cost, machines
 }
 
-// EachRunning calls a function for each machine that is up, in order of their ids.
+// EachRunning calls do for each running machine, in the order of their IDs and without holding the
+// lock.
 func (c *Cloud) EachRunning(do func(m wire.ListedMachine, w Machine)) {
 	c.mu.Lock()
-	all := c.running()
+	machines := c.running()
 	c.mu.Unlock()
-	for _, m := range all {
+	for _, m := range machines {
 		do(m.ListedMachine, m.worker)
 	}
 }
 
-// ZoneOf returns the zone of the machine at an address.
+// ZoneOf returns the zone of the machine at an address, or "" if there is none.
 func (c *Cloud) ZoneOf(addr string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,24 +139,24 @@
 	return ""
 }
 
-// AddrOfNth returns the address of the n-th running machine.
+// AddrOfNth returns the address of the n-th running machine, or "" if none is running; n wraps around.
 func (c *Cloud) AddrOfNth(n int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if w := c.running(); len(w) > 0 {
-		return w[n%len(w)].ListedMachine.Addr
+	if up := c.running(); len(up) > 0 {
+		return up[n%len(up)].ListedMachine.Addr
 	}
 	return ""
 }
 
-// CountRunning returns how many machines are up.
+// CountRunning returns the number of running machines.
 func (c *Cloud) CountRunning() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running())
 }
 
-// running returns the machines that are up. The lock is held.
+// running returns the running machines in the order of their IDs. The caller holds the lock.
 func (c *Cloud) running() []*instance {
 	var out []*instance
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// prefetchedConn is a connection whose first bytes were already read in order to screen them.
+// prefetchedConn is a connection whose first bytes were already read to decide whether to reject it.
+// Read returns them first.
 type prefetchedConn struct {
 	net.Conn
 	bytes []byte
 }
 
-func (f *prefetchedConn) Read(p []byte) (int, error) {
-	if len(f.bytes) > 0 {
-		n := copy(p, f.bytes)
-		f.bytes = f.bytes[n:]
+func (c *prefetchedConn) Read(p []byte) (int, error) {
+	if len(c.bytes) > 0 {
+		n := copy(p, c.bytes)
+		c.bytes = c.bytes[n:]
 		return n, nil
 	}
-	return f.Conn.Read(p)
+	return c.Conn.Read(p)
 }
 
 // conn is one end of a connection between two hosts.
 type conn struct {
 	net.Conn
-	from, to    string
-	local, peer string
+	from, to    string // hosts that dialled and accepted the connection
+	local, peer string // hosts at this end and at the other end
 	net         *Network
-	addr        string       // the address that was dialled
+	addr        string       // the address that was dialled; empty at the accepting end
 	incarnation *Incarnation // of the host at this end
 	otherEnd    *conn
-	heldWrites  *heldWrites // bytes that are delayed; guarded by the network's lock
+	heldWrites  *heldWrites // set while delivery is delayed; guarded by the network's lock
 }
 
-// heldWrites holds what was sent on a connection while its delivery is delayed.
+// heldWrites buffers what is sent on a connection while its delivery is delayed.
 type heldWrites struct {
 	bytes  []byte
 	closed bool // the sender has closed its end
@@ -48,38 +49,39 @@
 }
 
 // Write sends bytes, after any pause or step delay of the host. Writes that are dropped or delayed
-// succeed from the sender's point of view.
+// succeed for the sender.
 func (c *conn) Write(p []byte) (int, error) {
 	c.net.mu.Lock()
-	watch := c.net.observe
+	observe := c.net.observe
 	c.net.mu.Unlock()
-	if watch != nil {
-		watch(c.local, p)
+	if observe != nil {
+		observe(c.local, p)
 	}
 	c.net.waitForHost(c.local)
 	c.net.mu.Lock()
-	lost, copies := c.net.dropped[[2]string{c.local, c.peer}], c.net.duplicate
+	withheld, duplicateDelay := c.net.dropped[[2]string{c.local, c.peer}], c.net.duplicate
 	if c.heldWrites != nil && c.heldWrites.closed {
 		c.net.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	if c.heldWrites != nil && !lost {
+	if c.heldWrites != nil && !withheld {
 		c.heldWrites.bytes = append(c.heldWrites.bytes, p...)
-		lost = true
+		withheld = true
 	}
 	c.net.mu.Unlock()
-	if copies != nil && c.local == c.from {
-		if late := copies(c.local, c.addr); late > 0 {
-			c.net.redeliver(c.local, c.addr, slices.Clone(p), late)
+	if duplicateDelay != nil && c.local == c.from {
+		if delay := duplicateDelay(c.local, c.addr); delay > 0 {
+			c.net.redeliver(c.local, c.addr, slices.Clone(p), delay)
 		}
 	}
-	if lost {
+	if withheld {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// deliver writes to a connection whose sender is gone, and closes it ten seconds later.
+// deliver writes to a connection whose sender has terminated, discards the answer, and closes the
+// connection ten seconds later.
 func (c *conn) deliver(p []byte) {
 	_ = c.Conn.SetDeadline(time.Now().Add(10 * time.Second))
 	go func() { _, _ = io.Copy(io.Discard, c.Conn) }()
@@ -87,14 +89,14 @@
 	time.AfterFunc(10*time.Second, func() { _ = c.Close() })
 }
 
-// release delivers what was held. The connection then continues normally unless the sender has
-// closed it.
+// release delivers the held bytes and ends the delay. The connection then works normally unless the
+// sender has closed it.
 func (c *conn) release() {
 	for {
 		c.net.mu.Lock()
-		h := c.heldWrites
-		p, closed := h.bytes, h.closed
-		if h.bytes = nil; closed || len(p) == 0 {
+		held := c.heldWrites
+		p, closed := held.bytes, held.closed
+		if held.bytes = nil; closed || len(p) == 0 {
 			c.heldWrites = nil
 		}
 		c.net.mu.Unlock()
@@ -109,9 +111,11 @@
 	}
 }
 
+// Close closes the connection. If held bytes are yet to be delivered, it only ends the reading side, and
+// release delivers them.
 func (c *conn) Close() error {
 	c.net.mu.Lock()
-	if c.heldWrites != nil && len(c.heldWrites.bytes) > 0 { // what was sent arrives nevertheless
+	if c.heldWrites != nil && len(c.heldWrites.bytes) > 0 {
 		c.heldWrites.closed = true
 		c.net.mu.Unlock()
 		return c.Conn.SetReadDeadline(time.Unix(1, 0))
@@ -121,12 +125,13 @@
 	return c.Conn.Close()
 }
 
-// stream adds the idle timeout that services set to the accepting end of a connection.
+// stream is the accepting end of a connection, with the idle timeout of transport.Stream.
 type stream struct {
 	net.Conn
 	idle time.Duration
 }
 
+// SetIdle sets the time after which a read without data fails; 0 for no limit.
 func (s *stream) SetIdle(d time.Duration) { s.idle = d }
 
 func (s *stream) Read(p []byte) (int, error) {
