--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -11,122 +11,121 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// HeartbeatReplayer delivers copies of some heartbeats a second time: two seconds to well over a
-// lease later, to the same or another controller, also if the machine is gone by then; or to the
+// HeartbeatReplayer delivers copies of some heartbeats a second time: either 2 s to MaxDelay later (more
+// than a lease), to the same or another controller and even if the machine no longer exists; or to the
 // next leader as soon as it acts. Answers are discarded.
 type HeartbeatReplayer struct {
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
-	Controllers []string // their addresses
+	Controllers []string // addresses
 	MaxDelay    time.Duration
 	Rand        *rand.Rand
 
 	mu                   sync.Mutex
-	share                float64
+	share                float64 // share of heartbeats that are replayed after a delay
 	keepShare            float64 // share of heartbeats whose copies are kept for the next leader
-	delivered            int     // number of copies
-	deliveredToNewLeader int     // number of those that were kept for a leader
-	latestToken          uint64  // of the last leader that acted
+	delivered            int     // number of delivered copies
+	deliveredToNewLeader int     // number of those that were kept for a new leader
+	latestToken          uint64  // fencing token of the last leader that acted
 	kept                 []keptHeartbeat
 }
 
-// keptHeartbeat is a copy of a heartbeat with the fencing token that its worker had seen.
+// keptHeartbeat is a copy of a heartbeat and the highest fencing token that its worker had seen.
 type keptHeartbeat struct {
 	body  []byte
 	token uint64
 }
 
-// maxKept bounds the kept copies; the oldest are dropped.
+// maxKept bounds the number of kept copies. The oldest are dropped first.
 const maxKept = 2000
 
 // KeepForNextLeader sets the share of heartbeats of which a copy is kept until a new leader acts,
 // independently of SetShare.
-func (e *HeartbeatReplayer) KeepForNextLeader(share float64) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.keepShare = share
+func (r *HeartbeatReplayer) KeepForNextLeader(share float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.keepShare = share
 }
 
 // leaderAnswered is called when a worker has accepted an answer. The first answer of a new leader
-// triggers the replay of heartbeats from before its fencing token.
-func (e *HeartbeatReplayer) leaderAnswered(at string, token uint64) {
-	if e == nil {
+// triggers the replay of the kept heartbeats that carry an older fencing token.
+func (r *HeartbeatReplayer) leaderAnswered(leaderAddr string, token uint64) {
+	if r == nil {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if token <= e.latestToken {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if token <= r.latestToken {
 		return
 	}
-	e.latestToken = token
-	var rest []keptHeartbeat
-	for _, k := range e.kept {
+	r.latestToken = token
+	var remaining []keptHeartbeat
+	for _, k := range r.kept {
 		if k.token >= token {
-			rest = append(rest, k)
+			remaining = append(remaining, k)
 			continue
 		}
-		e.replay(at, k.body, time.Duration(e.Rand.Int64N(int64(newLeaderDelay))), &e.deliveredToNewLeader)
+		r.replay(leaderAddr, k.body, time.Duration(r.Rand.Int64N(int64(newLeaderDelay))), &r.deliveredToNewLeader)
 	}
-	e.kept = rest
+	r.kept = remaining
 }
 
-// newLeaderDelay bounds how soon kept copies reach the next leader.
+// newLeaderDelay is the longest delay after which a kept copy reaches a new leader.
 const newLeaderDelay = 500 * time.Millisecond
 
-// SetShare sets the share of heartbeats that are replayed later.
-func (e *HeartbeatReplayer) SetShare(share float64) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.share = share
+// SetShare sets the share of heartbeats that are replayed after a delay.
+func (r *HeartbeatReplayer) SetShare(share float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.share = share
 }
 
 // DeliveredToNewLeader returns how many copies reached a leader that had just started to act.
-func (e *HeartbeatReplayer) DeliveredToNewLeader() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.deliveredToNewLeader
+func (r *HeartbeatReplayer) DeliveredToNewLeader() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.deliveredToNewLeader
 }
 
 // Delivered returns how many copies were delivered.
-func (e *HeartbeatReplayer) Delivered() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.delivered
+func (r *HeartbeatReplayer) Delivered() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.delivered
 }
 
 // heartbeatSent is called with each heartbeat that a worker sends.
-func (e *HeartbeatReplayer) heartbeatSent(to string, body []byte, token uint64) {
-	if e == nil {
+func (r *HeartbeatReplayer) heartbeatSent(to string, body []byte, token uint64) {
+	if r == nil {
 		return
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.keepShare > 0 && e.Rand.Float64() < e.keepShare {
-		e.kept = append(e.kept, keptHeartbeat{body, token})
-		e.kept = e.kept[max(0, len(e.kept)-maxKept):]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.keepShare > 0 && r.Rand.Float64() < r.keepShare {
+		r.kept = append(r.kept, keptHeartbeat{body, token})
+		r.kept = r.kept[max(0, len(r.kept)-maxKept):]
 	}
-	if e.share <= 0 || e.Rand.Float64() >= e.share {
+	if r.share <= 0 || r.Rand.Float64() >= r.share {
 		return
 	}
-	const least = 2 * time.Second
-	late := least + time.Duration(e.Rand.Int64N(int64(max(e.MaxDelay-least, time.Second))))
-	if e.Rand.IntN(2) == 0 {
-		to = e.Controllers[e.Rand.IntN(len(e.Controllers))]
+	const minDelay = 2 * time.Second
+	delay := minDelay + time.Duration(r.Rand.Int64N(int64(max(r.MaxDelay-minDelay, time.Second))))
+	if r.Rand.IntN(2) == 0 {
+		to = r.Controllers[r.Rand.IntN(len(r.Controllers))]
 	}
-	e.replay(to, body, late, nil)
+	r.replay(to, body, delay, nil)
 }
 
-// replay delivers a copy after a delay and counts it, also in the given counter unless that is
-// nil.
-func (e *HeartbeatReplayer) replay(to string, body []byte, late time.Duration, also *int) {
-	time.AfterFunc(late, func() {
+// replay delivers a copy after a delay and counts it, also in extraCounter unless that is nil.
+func (r *HeartbeatReplayer) replay(to string, body []byte, delay time.Duration, extraCounter *int) {
+	time.AfterFunc(delay, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 		defer cancel()
-		caller := &transport.Caller{MaxBody: 8 << 20, Dial: e.Dial}
+		caller := &transport.Caller{MaxBody: 8 << 20, Dial: r.Dial}
 		if _, err := caller.Call(ctx, to, "POST", wire.PathHeartbeat, body); err == nil {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			if e.delivered++; also != nil {
-				*also++
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			if r.delivered++; extraCounter != nil {
+				*extraCounter++
 			}
 		}
 	})
--- a/internal/simulator/http.go
+++ b/internal/simulator/http.go
@@ -12,13 +12,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// statusNoAnswer is the status of a request that is never answered while its connection stays open: the
-// caller learns nothing until it times out.
+// statusNoAnswer is the status of a request that is never answered although its connection stays open, so
+// that the caller waits until it times out.
 const statusNoAnswer = -1
 
-// serveHTTP serves requests through a function that gets path, query parameters and body. Status 0
-// closes the connection without an answer.
-func serveHTTP(f func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
+// serveHTTP returns a connection handler that answers each request with the status and body that handle
+// returns. Status 0 closes the connection without an answer, statusNoAnswer leaves it open.
+func serveHTTP(handle func(method, path string, query map[string]string, body []byte) (int, any)) transport.ServeConn {
 	return func(_ context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
 		for {
@@ -31,12 +31,12 @@
 				k, v, _ := strings.Cut(kv, "=")
 				query[k] = unescape(v)
 			}
-			status, body := f(req.Method, req.Path, query, req.Body)
+			status, body := handle(req.Method, req.Path, query, req.Body)
 			if status == statusNoAnswer {
 				_, _ = io.Copy(io.Discard, s)
 				return
 			}
-			if status == 0 { // the request is dropped: the caller gets no answer
+			if status == 0 {
 				return
 			}
 			resp := &httpwire.Response{Status: status, Body: encode(body)}
@@ -47,6 +47,7 @@
 	}
 }
 
+// unescape decodes a query parameter, or returns it unchanged if it is not correctly escaped.
 func unescape(v string) string {
 	if text, err := url.QueryUnescape(v); err == nil {
 		return text
@@ -54,6 +55,7 @@
 	return v
 }
 
+// encode encodes a response body; nil stands for an empty one.
 func encode(v any) []byte {
 	if v == nil {
 		return nil
--- a/internal/simulator/liveness_test.go
+++ b/internal/simulator/liveness_test.go
@@ -8,12 +8,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestLiveness checks polls without an answer for a while, with and without active faults.
+// TestLiveness checks when unanswered polls make a job count as forgotten, with and without active
+// faults.
 func TestLiveness(t *testing.T) {
-	for name, c := range map[string]struct {
-		over         time.Duration // since when all troubles are; below 0: never
-		vain, others time.Duration // for how long the job's questions, and those of others, are in vain
-		want         string
+	for name, test := range map[string]struct {
+		faultFree          time.Duration // from when on no fault is active; below 0: never
+		unanswered, others time.Duration // how long polls of the job, and of other jobs, stay unanswered
+		want               string
 	}{
 		"in trouble, others are answered":            {-1, 100 * time.Second, 0, "no question about wk-1 is answered for 1m30s"},
 		"in trouble, not for long enough":            {-1, 85 * time.Second, 0, ""},
@@ -24,28 +25,28 @@
 		"in quiet, not for long enough":                 {0, 74 * time.Second, 0, ""},
 		"troubles last for a while, quiet is too short": {70 * time.Second, 140 * time.Second, 140 * time.Second, ""},
 	} {
-		var f LivenessChecker
+		var checker LivenessChecker
 		begun := time.Unix(1000, 0)
-		if c.over >= 0 {
-			f.SetQuietSince(begun.Add(c.over))
+		if test.faultFree >= 0 {
+			checker.SetQuietSince(begun.Add(test.faultFree))
 		}
-		f.Accepted(begun, "wk-1")
-		f.Accepted(begun, "wk-2")
-		f.Accepted(begun, "wk-3")
-		ask := func(job string, at, vain time.Duration) {
+		checker.Accepted(begun, "wk-1")
+		checker.Accepted(begun, "wk-2")
+		checker.Accepted(begun, "wk-3")
+		poll := func(job string, at, unanswered time.Duration) {
 			status := 200
-			if at > 0 && at <= vain {
+			if at > 0 && at <= unanswered {
 				status = 503
 			}
-			f.ObservePoll(begun.Add(at), job, status, wire.Running)
+			checker.ObservePoll(begun.Add(at), job, status, wire.Running)
 		}
 		for at := time.Duration(0); at < 4*time.Minute; at += 5 * time.Second {
-			ask("wk-1", at, c.vain)
-			ask("wk-2", at, c.others)
-			ask("wk-3", at, c.others)
+			poll("wk-1", at, test.unanswered)
+			poll("wk-2", at, test.others)
+			poll("wk-3", at, test.others)
 		}
-		got := strings.Join(f.Violations(), "\n")
-		if c.want == "" && got != "" || !strings.Contains(got, c.want) {
+		got := strings.Join(checker.Violations(), "\n")
+		if test.want == "" && got != "" || !strings.Contains(got, test.want) {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
--- a/internal/simulator/network_test.go
+++ b/internal/simulator/network_test.go
@@ -11,12 +11,12 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// TestHeldMessages checks that the last messages of a process arrive after its end, and some of
-// them twice.
+// TestHeldMessages checks that withheld and duplicated messages of a process arrive after the process
+// has ended, and that the process can then send nothing more.
 func TestHeldMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		n, begun, received := NewNetwork(), time.Now(), []string{}
+		n, start, received := NewNetwork(), time.Now(), []string{}
 		go n.Host("10.0.0.2").Listen(t.Context(), "10.0.0.2:1", 0, func(_ context.Context, s transport.Stream) {
 			for b := make([]byte, 9); ; {
 				k, err := s.Read(b)
@@ -24,13 +24,13 @@
 					return
 				}
 				mu.Lock()
-				received = append(received, fmt.Sprint(string(b[:k]), " ", time.Since(begun)))
+				received = append(received, fmt.Sprint(string(b[:k]), " ", time.Since(start)))
 				mu.Unlock()
 			}
 		})
 		synctest.Wait()
-		life := n.StartIncarnation("10.0.0.1")
-		c, err := life.Dial(t.Context(), "10.0.0.2:1")
+		host := n.StartIncarnation("10.0.0.1")
+		c, err := host.Dial(t.Context(), "10.0.0.2:1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,12 +39,12 @@
 		n.Duplicate(func(from, _ string) time.Duration { return 9 * time.Second })
 		_, _ = c.Write([]byte("two"))
 		time.Sleep(time.Second)
-		life.End()
+		host.End()
 		if _, err := c.Write([]byte("three")); err == nil {
-			t.Error("the dead write")
+			t.Error("the ended incarnation could still write")
 		}
-		if _, err := life.Dial(t.Context(), "10.0.0.2:1"); err == nil {
-			t.Error("the dead dial")
+		if _, err := host.Dial(t.Context(), "10.0.0.2:1"); err == nil {
+			t.Error("the ended incarnation could still dial")
 		}
 		time.Sleep(time.Minute)
 		mu.Lock()
--- a/internal/simulator/partition.go
+++ b/internal/simulator/partition.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// DropInbound starts or ends an asymmetric partition: the worker's heartbeats arrive, while
-// answers and direct calls to it are lost. Overlapping faults are counted.
+// DropInbound starts or ends an asymmetric partition in which the worker's heartbeats arrive at the
+// controllers, while answers and direct calls to the worker are lost. Overlapping faults are counted.
 func (w *Worker) DropInbound(drop bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,14 +20,15 @@
 	}
 }
 
-// receivesInbound reports whether the worker receives anything at present.
+// receivesInbound reports whether the worker receives what is sent to it.
 func (w *Worker) receivesInbound() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.inboundFaults == 0
 }
 
-// dialLink opens a connection whose inbound direction follows the worker's faults.
+// dialLink opens a connection that is subject to the worker's inbound and outbound faults. While outbound
+// connections are blocked it waits until the context ends.
 func (w *Worker) dialLink(ctx context.Context, addr string) (net.Conn, error) {
 	if w.outboundBlocked() {
 		<-ctx.Done()
@@ -44,9 +45,9 @@
 	return c, nil
 }
 
-// BlockOutbound starts or ends an asymmetric partition in which the worker can reach no
-// controller: its open connections are closed, new ones lead nowhere, and direct calls still
-// arrive. Overlapping faults are counted.
+// BlockOutbound starts or ends an asymmetric partition in which the worker can reach no controller: its
+// open connections are closed, new dials time out, and direct calls still arrive. Overlapping faults are
+// counted.
 func (w *Worker) BlockOutbound(block bool) {
 	w.mu.Lock()
 	var closed []*dialedLink
@@ -64,24 +65,25 @@
 	}
 }
 
-// outboundBlocked reports whether the worker can reach no controller at present.
+// outboundBlocked reports whether the worker can open no connections.
 func (w *Worker) outboundBlocked() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.outboundFaults > 0
 }
 
-// link is the machine's end of a connection. Once anything was lost on it everything that follows
-// is lost too, since a stream with a gap cannot be parsed.
+// link is the machine's end of a connection. Once anything sent to the machine was lost, everything that
+// follows is lost too, since a stream with a gap cannot be parsed.
 type link struct {
 	worker *Worker
 	lost   bool
 }
 
-func (e *link) read(from io.Reader, p []byte) (int, error) {
+// read reads from a connection and discards what is lost.
+func (l *link) read(from io.Reader, p []byte) (int, error) {
 	for {
 		n, err := from.Read(p)
-		if e.lost = e.lost || !e.worker.receivesInbound(); !e.lost || err != nil {
+		if l.lost = l.lost || !l.worker.receivesInbound(); !l.lost || err != nil {
 			return n, err
 		}
 	}
@@ -93,14 +95,14 @@
 	link
 }
 
-func (e *dialedLink) Close() error {
-	e.worker.mu.Lock()
-	delete(e.worker.dialed, e)
-	e.worker.mu.Unlock()
-	return e.Conn.Close()
+func (l *dialedLink) Close() error {
+	l.worker.mu.Lock()
+	delete(l.worker.dialed, l)
+	l.worker.mu.Unlock()
+	return l.Conn.Close()
 }
 
-func (e *dialedLink) Read(p []byte) (int, error) { return e.read(e.Conn, p) }
+func (l *dialedLink) Read(p []byte) (int, error) { return l.read(l.Conn, p) }
 
 // acceptedLink is a connection that the machine has accepted.
 type acceptedLink struct {
@@ -108,4 +110,4 @@
 	link
 }
 
-func (e *acceptedLink) Read(p []byte) (int, error) { return e.read(e.Stream, p) }
+func (l *acceptedLink) Read(p []byte) (int, error) { return l.read(l.Stream, p) }
