--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -11,9 +11,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// HeartbeatReplayer delivers copies of some heartbeats a second time: either 2 s to MaxDelay later (more
-// than a lease), to the same or another controller and even if the machine no longer exists; or to the
-// next leader as soon as it acts. Answers are discarded.
+// HeartbeatReplayer delivers copies of some heartbeats a second time: either 2 s to MaxDelay later, which
+// may be well over a lease, to the same or another controller and even if the machine no longer exists;
+// or to the next leader as soon as it acts. Answers are discarded.
 type HeartbeatReplayer struct {
 	Dial        func(ctx context.Context, addr string) (net.Conn, error)
 	Controllers []string // addresses
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -18,7 +18,7 @@
 // of the cancellation. LaunchChecker does no I/O: times and events are passed in.
 type LaunchChecker struct {
 	mu                sync.Mutex
-	cancelled         map[string]time.Time
+	cancelled         map[string]time.Time // when the user was told, by job
 	firstSent         map[launchKey]time.Time
 	newestAttemptSent map[wire.TaskID]time.Time // when a launch of the newest attempt was first sent
 	faultFreeSince    time.Time                 // zero while a fault is active
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -11,35 +11,34 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// starvationLimit is how long a job may wait by the users' rules, once no fault is active, "while
-// a machine that fits has room and its team is under its limit".
+// starvationLimit is the time for which the users' rules allow a job to wait, while no fault is active,
+// "while a machine that fits has room and its team is under its limit".
 const starvationLimit = 90 * time.Second
 
-// MachineState is a machine's free capacity and its tasks.
+// MachineState describes the free capacity of a machine and its tasks.
 type MachineState struct {
 	Machine, Type, Zone              string
 	Spot                             bool
-	FreeCPUs, FreeGPUs, FreeMemoryGB float64 // that are free
-	CacheGB                          float64 // 0 for any
+	FreeCPUs, FreeGPUs, FreeMemoryGB float64
+	CacheGB                          float64 // size of the image cache; 0 for no limit
 	Tasks                            []wire.TaskID
 }
 
 // StarvationChecker checks that no job waits while capacity for it is free. It does no I/O:
 // samples of jobs and machines are passed in every few seconds.
 //
-// A job waits while none of its tasks is on any machine; a fetching task counts as being there. A
-// machine has capacity for a task if its type, zone and kind are allowed and its free resources
-// suffice; a machine that is paused, partitioned or under notice has none. Capacity that is
-// reserved for another job is no exception, whatever its priority: a job that waits for its
-// machines to boot keeps nobody from work that would be done by then, and capacity that is free
-// for 90 s is not about to be taken.
+// A job waits while none of its tasks is on any machine; a task that fetches its image counts as being
+// on its machine. A machine has capacity for a task if the job allows its type, zone and pricing and
+// its free resources suffice; a machine that is paused, partitioned or under notice has none. Capacity
+// that is reserved for another job still counts as free, whatever that job's priority: a job that waits
+// for its machines to boot must not keep others from work that would be finished by then, and capacity
+// that has been free for 90 s is not about to be used.
 //
-// To avoid false alarms, capacity counts only where the same machines had it in all samples of the
-// last 12 s, and such capacity has to exist throughout the 90 s: for one more task of an array or
-// a service, for all tasks of a gang, in the zones that the job allows and within its team's limit
-// in each sample.
+// To avoid false positives, capacity counts only on machines that had it in all samples of the last
+// 12 s, and such capacity has to exist throughout the 90 s: for one more task of an array or a service,
+// for all tasks of a gang, in the zones that the job allows and within its team's limit in each sample.
 type StarvationChecker struct {
-	Limits map[string]TeamLimit // of teams
+	Limits map[string]TeamLimit // by team
 
 	mu               sync.Mutex
 	faultFreeSince   time.Time
@@ -48,87 +47,88 @@
 	partiallyStarved []string
 }
 
-// waitingJob is a job with tasks that are on no machine although there has been capacity for them.
+// waitingJob is the state of a job with tasks that are on no machine although there is capacity for them.
 type waitingJob struct {
 	since       time.Time
 	nothingRuns bool             // none of its tasks is on a machine
-	recentSlots []map[string]int // for how many tasks each machine had capacity, by sample
+	recentSlots []map[string]int // for each sample, for how many tasks each machine had capacity
 	reported    bool
 }
 
-// stableSampleCount is in how many samples capacity has to be free to count.
+// stableSampleCount is the number of consecutive samples in which capacity has to be free to count.
 const stableSampleCount = 5
 
-// stableSlots returns the capacity that was free in all recent samples.
+// stableSlots returns for how many tasks each machine had capacity in all recent samples.
 func (w *waitingJob) stableSlots() map[string]int {
-	out := maps.Clone(w.recentSlots[0])
+	stable := maps.Clone(w.recentSlots[0])
 	for _, slots := range w.recentSlots[1:] {
-		for m, n := range out {
-			out[m] = min(n, slots[m])
+		for machine, n := range stable {
+			stable[machine] = min(n, slots[machine])
 		}
 	}
-	return out
+	return stable
 }
 
-// PendingJob is a job as its users know it.
+// PendingJob is a job that was accepted and has no final stage yet, with the state of its tasks.
 type PendingJob struct {
 	Job      *wire.Job
-	Finished func(index int) bool
-	Placed   map[int]string // zones of its tasks that are on a machine, by index
+	Finished func(index int) bool // reports whether a task has completed
+	Placed   map[int]string       // zone of each task that is on a machine, by index
 }
 
-// SetQuietSince sets since when no fault is active; a zero time means that there are faults.
-func (r *StarvationChecker) SetQuietSince(since time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.faultFreeSince, r.waitingJobs = since, nil
+// SetQuietSince sets since when no fault has been active. The zero time means that a fault is active. It
+// discards the state of waiting jobs.
+func (c *StarvationChecker) SetQuietSince(since time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultFreeSince, c.waitingJobs = since, nil
 }
 
-// IsQuiet reports whether no fault is active.
-func (r *StarvationChecker) IsQuiet(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !r.faultFreeSince.IsZero() && !now.Before(r.faultFreeSince)
+// IsQuiet reports whether no fault is active at the given time.
+func (c *StarvationChecker) IsQuiet(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.faultFreeSince.IsZero() && !now.Before(c.faultFreeSince)
 }
 
-// Sample processes the state of all machines, the jobs that are accepted and not over, and the
-// teams' use.
-func (r *StarvationChecker) Sample(now time.Time, machines []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.faultFreeSince.IsZero() || now.Before(r.faultFreeSince) {
+// Sample processes a sample of all machines with their free capacity, of the pending jobs, and of the
+// resources that each team uses.
+func (c *StarvationChecker) Sample(now time.Time, machines []MachineState, jobs []PendingJob, used map[string]TeamLimit) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.faultFreeSince.IsZero() || now.Before(c.faultFreeSince) {
 		return
 	}
-	before := r.waitingJobs
-	r.waitingJobs = make(map[string]*waitingJob)
-	for _, p := range jobs {
-		need, missing := p.tasksNeeded(), p.unplacedTasks()
-		if missing < need || r.Limits[p.Job.Team].remainingTasks(used[p.Job.Team], p.Job) < need {
+	previous := c.waitingJobs
+	c.waitingJobs = make(map[string]*waitingJob)
+	for _, pending := range jobs {
+		needed, unplaced := pending.tasksNeeded(), pending.unplacedTasks()
+		if unplaced < needed || c.Limits[pending.Job.Team].remainingTasks(used[pending.Job.Team], pending.Job) < needed {
 			continue
 		}
-		w := p.trackWaiting(now, machines, missing, need, before[p.Job.ID])
-		if w == nil {
+		waiting := pending.trackWaiting(now, machines, unplaced, needed, previous[pending.Job.ID])
+		if waiting == nil {
 			continue
 		}
-		r.waitingJobs[p.Job.ID] = w
-		if waits := now.Sub(w.since); waits >= starvationLimit && !w.reported {
-			w.reported = true
-			r.reportStarvation(p, w, waits)
+		c.waitingJobs[pending.Job.ID] = waiting
+		if waited := now.Sub(waiting.since); waited >= starvationLimit && !waiting.reported {
+			waiting.reported = true
+			c.reportStarvation(pending, waiting, waited)
 		}
 	}
 }
 
-// unplacedTasks returns how many unfinished tasks of the job are on no machine.
+// unplacedTasks returns how many unfinished tasks of the job are not on a machine.
 func (p *PendingJob) unplacedTasks() (n int) {
 	for i := range p.Job.Tasks {
-		if _, on := p.Placed[i]; !on && !p.Finished(i) {
+		if _, placed := p.Placed[i]; !placed && !p.Finished(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// tasksNeeded returns how many tasks have to start together: all of a gang, else one.
+// tasksNeeded returns how many tasks have to start together: all tasks of a gang, otherwise one.
 func (p *PendingJob) tasksNeeded() int {
 	if p.Job.Shape == wire.Gang {
 		return p.Job.Tasks
@@ -136,93 +136,96 @@
 	return 1
 }
 
-// trackWaiting returns the job's state if machines have stable capacity for it, or nil. It continues
-// the state of the previous sample, if there is one and the job still waits for the same reason.
-func (p *PendingJob) trackWaiting(now time.Time, machines []MachineState, missing, need int, previous *waitingJob) *waitingJob {
+// trackWaiting returns the state of a job for which machines have stable capacity, or nil if they have
+// none. It continues the previous sample's state if there is one, the job waits in the same way (wholly
+// or in part), and the capacity has been stable since.
+func (p *PendingJob) trackWaiting(now time.Time, machines []MachineState, unplaced, needed int, previous *waitingJob) *waitingJob {
 	slots, zones := map[string]int{}, map[string]string{}
 	for _, m := range machines {
-		if n := min(missing, m.taskSlots(p.Job)); n > 0 {
+		if n := min(unplaced, m.taskSlots(p.Job)); n > 0 {
 			slots[m.Machine], zones[m.Machine] = n, m.Zone
 		}
 	}
-	w := &waitingJob{since: now, nothingRuns: len(p.Placed) == 0, recentSlots: []map[string]int{slots}}
-	if previous != nil && previous.nothingRuns == w.nothingRuns {
+	waiting := &waitingJob{since: now, nothingRuns: len(p.Placed) == 0, recentSlots: []map[string]int{slots}}
+	if previous != nil && previous.nothingRuns == waiting.nothingRuns {
 		previous.recentSlots = append(previous.recentSlots, slots)
 		previous.recentSlots = previous.recentSlots[max(0, len(previous.recentSlots)-stableSampleCount):]
-		if fits(p.Job, need, previous.stableSlots(), zones, p.Placed) {
+		if fits(p.Job, needed, previous.stableSlots(), zones, p.Placed) {
 			return previous
 		}
 	}
-	if !fits(p.Job, need, w.stableSlots(), zones, p.Placed) {
+	if !fits(p.Job, needed, waiting.stableSlots(), zones, p.Placed) {
 		return nil
 	}
-	return w
+	return waiting
 }
 
-// reportStarvation records that a job has waited for too long.
-func (r *StarvationChecker) reportStarvation(p PendingJob, w *waitingJob, waits time.Duration) {
-	j := p.Job
-	text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", j.ID, j.Shape, j.Tasks, j.Team, j.Priority, p.Placed, waits, w.stableSlots())
+// reportStarvation records a job that has waited for too long: as a violation if none of its tasks is on
+// a machine.
+func (c *StarvationChecker) reportStarvation(p PendingJob, w *waitingJob, waited time.Duration) {
+	job := p.Job
+	text := fmt.Sprintf("left_waiting: %s (%s of %d, %s, %s, on %v) waits for %v while %v have room", job.ID, job.Shape, job.Tasks, job.Team, job.Priority, p.Placed, waited, w.stableSlots())
 	if w.nothingRuns {
-		r.violations = append(r.violations, text)
+		c.violations = append(c.violations, text)
 	} else {
-		r.partiallyStarved = append(r.partiallyStarved, text)
+		c.partiallyStarved = append(c.partiallyStarved, text)
 	}
 }
 
-// epsilon is the rounding error that sums of resources may have.
+// epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-6
 
-// taskSlots returns for how many tasks of a job a machine has capacity.
-func (p *MachineState) taskSlots(j *wire.Job) int {
-	if p.Spot && !j.Spot || len(j.Types) > 0 && !slices.Contains(j.Types, p.Type) || j.Zone != "" && j.Zone != p.Zone || p.CacheGB > 0 && j.ImageGB > p.CacheGB {
+// taskSlots returns the number of tasks of a job for which the machine has capacity.
+func (m *MachineState) taskSlots(job *wire.Job) int {
+	if m.Spot && !job.Spot || len(job.Types) > 0 && !slices.Contains(job.Types, m.Type) || job.Zone != "" && job.Zone != m.Zone || m.CacheGB > 0 && job.ImageGB > m.CacheGB {
 		return 0
 	}
 	n := math.Inf(1)
-	for _, x := range [][2]float64{{p.FreeCPUs, j.CPUs}, {p.FreeGPUs, j.GPUs}, {p.FreeMemoryGB, j.MemoryGB}} {
-		if x[1] > 0 {
-			n = min(n, math.Floor((x[0]+epsilon)/x[1]))
+	for _, resource := range [][2]float64{{m.FreeCPUs, job.CPUs}, {m.FreeGPUs, job.GPUs}, {m.FreeMemoryGB, job.MemoryGB}} {
+		if resource[1] > 0 {
+			n = min(n, math.Floor((resource[0]+epsilon)/resource[1]))
 		}
 	}
 	return int(min(max(n, 0), wire.MaxTasks))
 }
 
-// fits reports whether that many tasks of a job can run at once beside those that already do.
-func fits(j *wire.Job, need int, slots map[string]int, zones map[string]string, on map[int]string) bool {
-	in, free := map[string]int{}, map[string]int{}
-	for _, zone := range on {
-		in[zone]++
+// fits reports whether the needed number of additional tasks of a job can start in the given slots, in
+// accordance with the job's zone rules. placed holds the zones of the tasks that are on machines already.
+func fits(job *wire.Job, needed int, slots map[string]int, zones map[string]string, placed map[int]string) bool {
+	placedIn, freeIn := map[string]int{}, map[string]int{}
+	for _, zone := range placed {
+		placedIn[zone]++
 	}
 	for m, n := range slots {
-		free[zones[m]] += n
+		freeIn[zones[m]] += n
 	}
-	sum, most := 0, 0
-	for zone, n := range free {
-		if j.Spread {
-			n = min(n, max(0, (j.Tasks+1)/2-in[zone]))
+	total, largest := 0, 0
+	for zone, n := range freeIn {
+		if job.Spread {
+			n = min(n, max(0, (job.Tasks+1)/2-placedIn[zone]))
 		}
-		if j.OneZone && len(in) > 0 && in[zone] == 0 {
+		if job.OneZone && len(placedIn) > 0 && placedIn[zone] == 0 {
 			n = 0
 		}
-		sum, most = sum+n, max(most, n)
+		total, largest = total+n, max(largest, n)
 	}
-	if j.OneZone {
-		return most >= need
+	if job.OneZone {
+		return largest >= needed
 	}
-	return sum >= need
+	return total >= needed
 }
 
-// Violations lists the jobs that waited while capacity was free.
-func (r *StarvationChecker) Violations() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.violations)
+// Violations lists the jobs that waited too long while capacity was free.
+func (c *StarvationChecker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.violations)
 }
 
-// PartiallyStarved lists the jobs of which some tasks waited while others ran. No rule covers
-// these.
-func (r *StarvationChecker) PartiallyStarved() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.partiallyStarved)
+// PartiallyStarved lists the jobs of which some tasks waited too long while others were on machines. No
+// rule forbids that.
+func (c *StarvationChecker) PartiallyStarved() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.partiallyStarved)
 }
--- a/internal/simulator/starvation_test.go
+++ b/internal/simulator/starvation_test.go
@@ -8,32 +8,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// starvationJob is a job of the team red whose tasks take a quarter of a machine.
+// starvationJob returns a job of team red, changed by change unless that is nil.
 func starvationJob(shape wire.Shape, tasks int, change func(*wire.Job)) *wire.Job {
-	j := &wire.Job{ID: "wk-1", Team: "red", Shape: shape, Priority: wire.Low, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, ImageGB: 5}
+	job := &wire.Job{ID: "wk-1", Team: "red", Shape: shape, Priority: wire.Low, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, ImageGB: 5}
 	if change != nil {
-		change(j)
+		change(job)
 	}
-	return j
+	return job
 }
 
-// freeMachine is a machine with free GPUs.
+// freeMachine returns a machine with the given number of free GPUs.
 func freeMachine(id, zone string, gpus float64) MachineState {
 	return MachineState{Machine: id, Type: "g4", Zone: zone, FreeCPUs: 16, FreeGPUs: gpus, FreeMemoryGB: 64, CacheGB: 20}
 }
 
-// starvationCase is a job that waits beside free machines, or does not.
+// starvationCase is a job beside free machines, and whether it is to be reported.
 type starvationCase struct {
 	job         *wire.Job
 	machines    []MachineState
 	placed      map[int]string
-	usedGPUs    float64 // of the team's 6 GPUs
-	interrupted bool    // for a moment there is no room
-	turnSamples int     // for how many samples each machine has room in turn, with those before it
-	want        string  // none, idle or partly
+	usedGPUs    float64 // of the 6 GPUs in the team's limit
+	interrupted bool    // in one sample no machine has capacity
+	turnSamples int     // if set, after how many samples the other machine has capacity in turn
+	want        string  // "idle" for a violation, "partly" for a partially starved job, "" for neither
 }
 
-// starvationCases are cases by name.
+// starvationCases returns the cases of TestStarvation by name.
 func starvationCases() map[string]starvationCase {
 	two := []MachineState{freeMachine("n-1", "a", 1), freeMachine("n-2", "b", 2)}
 	spot := freeMachine("n-3", "a", 4)
@@ -66,30 +66,30 @@
 	}
 }
 
-// TestStarvation checks that a job is reported for which the same machines have had capacity for
-// 90 s without faults, and none for which a rule, a limit or a sample without capacity is in the
-// way.
+// TestStarvation checks that a job is reported if the same machines have had capacity for it for 90 s
+// without faults, and that a job is not reported if a rule, a limit or a sample without capacity stands
+// in the way.
 func TestStarvation(t *testing.T) {
-	for name, x := range starvationCases() {
-		r := StarvationChecker{Limits: map[string]TeamLimit{"red": {GPUs: 6}}}
-		begun := time.Unix(1000, 0)
-		r.SetQuietSince(begun.Add(30 * time.Second))
-		for at := time.Duration(0); at <= 123*time.Second; at += 3 * time.Second {
-			places := x.machines
-			if n := int(at / (3 * time.Second)); x.turnSamples > 0 && n%x.turnSamples > 6 || x.turnSamples > 0 && x.turnSamples < 6 {
-				places = places[n/x.turnSamples%2:][:1] // else both have it
+	for name, test := range starvationCases() {
+		checker := StarvationChecker{Limits: map[string]TeamLimit{"red": {GPUs: 6}}}
+		start := time.Unix(1000, 0)
+		checker.SetQuietSince(start.Add(30 * time.Second))
+		for elapsed := time.Duration(0); elapsed <= 123*time.Second; elapsed += 3 * time.Second {
+			machines := test.machines
+			if sample := int(elapsed / (3 * time.Second)); test.turnSamples > 0 && sample%test.turnSamples > 6 || test.turnSamples > 0 && test.turnSamples < 6 {
+				machines = machines[sample/test.turnSamples%2:][:1] // otherwise both machines have capacity
 			}
-			if x.interrupted && at == time.Minute {
-				places = places[:0]
+			if test.interrupted && elapsed == time.Minute {
+				machines = machines[:0]
 			}
-			if at == 117*time.Second && len(r.Violations())+len(r.PartiallyStarved()) > 0 {
-				t.Errorf("%s: too soon", name)
+			if elapsed == 117*time.Second && len(checker.Violations())+len(checker.PartiallyStarved()) > 0 {
+				t.Errorf("%s: reported too soon", name)
 			}
-			r.Sample(begun.Add(at), places, []PendingJob{{Job: x.job, Placed: maps.Clone(x.placed), Finished: func(int) bool { return false }}}, map[string]TeamLimit{"red": {GPUs: x.usedGPUs}})
+			checker.Sample(start.Add(elapsed), machines, []PendingJob{{Job: test.job, Placed: maps.Clone(test.placed), Finished: func(int) bool { return false }}}, map[string]TeamLimit{"red": {GPUs: test.usedGPUs}})
 		}
-		got := map[[2]int]string{{1, 0}: "idle", {0, 1}: "partly", {0, 0}: ""}[[2]int{len(r.Violations()), len(r.PartiallyStarved())}]
-		if got != x.want {
-			t.Errorf("%s: %v %v, not %q", name, r.Violations(), r.PartiallyStarved(), x.want)
+		got := map[[2]int]string{{1, 0}: "idle", {0, 1}: "partly", {0, 0}: ""}[[2]int{len(checker.Violations()), len(checker.PartiallyStarved())}]
+		if got != test.want {
+			t.Errorf("%s: %v %v, not %q", name, checker.Violations(), checker.PartiallyStarved(), test.want)
 		}
 	}
 }
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -12,9 +12,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestDelayedTransactions checks that a delayed transaction gets no answer and is carried out 2 to
-// 12 s later, after a newer one; that it changes nothing if its condition no longer holds; and
-// that a transaction whose answer alone is lost is carried out at once.
+// TestDelayedTransactions checks that a delayed transaction gets no answer and is carried out 2 to 12 s
+// later, after a newer one; that it changes nothing if its condition no longer holds; and that a
+// transaction of which only the answer is lost is carried out at once.
 func TestDelayedTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, s := NewNetwork(), NewStateService(1, 0)
@@ -42,17 +42,17 @@
 		}
 		s.Configure(func(s *StateService) { s.DelayedShare = 0 })
 		if status, err := put("a", 0); status != 200 {
-			t.Errorf("a newer one was answered %d, %v", status, err)
+			t.Errorf("a newer transaction was answered %d, %v", status, err)
 		}
 		s.Configure(func(s *StateService) { s.LostReplyShare = 1 })
 		if status, err := put("c", 0); !errors.Is(err, os.ErrDeadlineExceeded) || len(s.Page("c", "", 0).Items) != 1 || s.LostReplyCount() != 1 {
-			t.Errorf("one that is taken at once was answered %d, %v", status, err)
+			t.Errorf("a transaction whose answer is to be lost was answered %d, %v", status, err)
 		}
 		s.Configure(func(s *StateService) { s.LostReplyShare = 0 })
 		time.Sleep(12 * time.Second)
 		items := s.Page("", "", 0).Items
-		if late, taken := s.DelayedCounts(); late != 2 || taken != 1 || len(items) != 3 || items[0].Version != 1 || items[1].Version != 3 {
-			t.Errorf("%d late, %d taken, %v", late, taken, items)
+		if delayed, committed := s.DelayedCounts(); delayed != 2 || committed != 1 || len(items) != 3 || items[0].Version != 1 || items[1].Version != 3 {
+			t.Errorf("%d delayed, %d of them committed, %v", delayed, committed, items)
 		}
 		stop()
 		n.Close()
--- a/internal/simulator/state_snapshot.go
+++ b/internal/simulator/state_snapshot.go
@@ -13,31 +13,31 @@
 	Leases   map[uint64]int64 `cbor:"holds"` // time to live in ms, by lease
 }
 
-// Snapshot returns the content, for another process to continue with.
+// Snapshot returns the content of the service, with which another process can Resume.
 func (s *StateService) Snapshot() StateSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := StateSnapshot{Revision: s.revision, Leases: map[uint64]int64{}}
-	s.items.Scan(func(_ string, it wire.KeyValue) bool {
-		k.Items = append(k.Items, it)
+	snapshot := StateSnapshot{Revision: s.revision, Leases: map[uint64]int64{}}
+	s.items.Scan(func(_ string, item wire.KeyValue) bool {
+		snapshot.Items = append(snapshot.Items, item)
 		return true
 	})
-	for id, l := range s.leases {
-		k.Leases[id] = l.ttl.Milliseconds()
+	for id, lease := range s.leases {
+		snapshot.Leases[id] = lease.ttl.Milliseconds()
 	}
-	return k
+	return snapshot
 }
 
-// Resume loads content into an empty service. As after an outage every lease has its full time to
-// live; earlier changes are not retained.
-func (s *StateService) Resume(k StateSnapshot) {
+// Resume loads a snapshot into an empty service. As after an outage, every lease has its full time to
+// live again. Earlier changes are not retained, so watches from before the snapshot fail as too old.
+func (s *StateService) Resume(snapshot StateSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision, s.compactedRevision = k.Revision, k.Revision
-	for _, it := range k.Items {
-		s.items.Set(it.Key, it)
+	s.revision, s.compactedRevision = snapshot.Revision, snapshot.Revision
+	for _, item := range snapshot.Items {
+		s.items.Set(item.Key, item)
 	}
-	for id, ms := range k.Leases {
+	for id, ms := range snapshot.Leases {
 		ttl := time.Duration(ms) * time.Millisecond
 		s.leases[id] = &lease{ttl, time.Now().Add(ttl)}
 	}
--- a/internal/simulator/state_txn.go
+++ b/internal/simulator/state_txn.go
@@ -12,20 +12,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fate is what happens to a transaction.
+// Fate determines how a transaction is handled.
 type Fate int
 
-// The fates of transactions. Only with the first does the caller get an answer.
+// The fates of transactions. The caller gets an answer only with FateAnswered.
 const (
-	FateAnswered  Fate = iota
-	FateDropped        // it is never carried out
-	FateDelayed        // it is carried out a second later
-	FateReplyLost      // it is carried out at once
+	FateAnswered  Fate = iota // carried out and answered as usual
+	FateDropped               // never carried out
+	FateDelayed               // carried out one second later
+	FateReplyLost             // carried out at once
 )
 
-// applyFate applies a fate to a transaction; its caller gets no answer. The lock is held.
-func (s *StateService) applyFate(t txn, f Fate) (int, any) {
-	switch f {
+// applyFate applies a fate other than FateAnswered to a transaction. The caller holds the lock, which is
+// released for a moment.
+func (s *StateService) applyFate(t txn, fate Fate) (int, any) {
+	switch fate {
 	case FateReplyLost:
 		s.commit(t)
 	case FateDelayed:
@@ -41,29 +42,30 @@
 	return 0, nil
 }
 
-// apply carries out the changes of a committed transaction.
-func (s *StateService) apply(then []wire.Operation) {
+// apply applies the operations of a committed transaction under a new revision, records them in the
+// history, and wakes the watches. The caller holds the lock.
+func (s *StateService) apply(operations []wire.Operation) {
 	s.revision++
-	s.committedChanges += len(then)
-	for _, c := range then {
-		if c.Delete != "" {
-			s.items.Delete(c.Delete)
-			s.history = append(s.history, wire.Event{Delete: c.Delete, Version: s.revision})
+	s.committedChanges += len(operations)
+	for _, op := range operations {
+		if op.Delete != "" {
+			s.items.Delete(op.Delete)
+			s.history = append(s.history, wire.Event{Delete: op.Delete, Version: s.revision})
 			continue
 		}
-		it := wire.KeyValue{Key: c.Put, Value: wire.Encode(c.Value), Version: s.revision, Lease: c.Lease}
-		s.items.Set(c.Put, it)
-		s.history = append(s.history, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
+		item := wire.KeyValue{Key: op.Put, Value: wire.Encode(op.Value), Version: s.revision, Lease: op.Lease}
+		s.items.Set(op.Put, item)
+		s.history = append(s.history, wire.Event{Put: item.Key, Value: item.Value, Version: item.Version})
 	}
-	if kept := cmp.Or(s.Limits.RetainedChanges, 10_000); len(s.history) > 2*kept {
-		s.compactedRevision = s.history[len(s.history)-kept-1].Version
-		s.history = slices.Clone(s.history[len(s.history)-kept:])
+	if retained := cmp.Or(s.Limits.RetainedChanges, 10_000); len(s.history) > 2*retained {
+		s.compactedRevision = s.history[len(s.history)-retained-1].Version
+		s.history = slices.Clone(s.history[len(s.history)-retained:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// txn is a transaction as received, with values left encoded.
+// txn is a received transaction, whose values are left encoded.
 type txn struct {
 	If   []wire.Condition `cbor:"when"`
 	Then []struct {
@@ -74,7 +76,7 @@
 	} `cbor:"then"`
 }
 
-// puts returns the keys that are written.
+// puts returns the keys that the transaction writes.
 func (t *txn) puts() (keys []string) {
 	for _, c := range t.Then {
 		if c.Put != "" {
@@ -95,25 +97,25 @@
 	return out
 }
 
-// ReleaseHeld carries out the transactions that were held back, and returns how many were
+// ReleaseHeld carries out the transactions that HoldTxn has withheld and returns how many of them were
 // committed.
-func (s *StateService) ReleaseHeld() (taken int) {
+func (s *StateService) ReleaseHeld() (committed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.heldTxns {
 		if status, _ := s.commit(t); status == 200 {
-			taken++
+			committed++
 		}
 	}
 	s.heldTxns = nil
-	return taken
+	return committed
 }
 
-// invalidReason describes what of a transaction exceeds the limits, "" for nothing. Sizes are those of
-// the JSON encoding.
+// invalidReason describes why a transaction is malformed or exceeds the limits, or returns "" if it is
+// valid. Sizes are those of the JSON encoding.
 func (s *StateService) invalidReason(t txn) string {
-	ops, sum := s.Limits.TxnOps, 0
-	if ops > 0 && (len(t.Then) > ops || len(t.If) > 4*ops) {
+	maxOps, total := s.Limits.TxnOps, 0
+	if maxOps > 0 && (len(t.Then) > maxOps || len(t.If) > 4*maxOps) {
 		return fmt.Sprintf("%d changes, %d conditions", len(t.Then), len(t.If))
 	}
 	for _, c := range t.If {
@@ -129,16 +131,17 @@
 		if err != nil {
 			return err.Error()
 		}
-		if sum += size + len(c.Put) + len(c.Delete) + 30; s.Limits.ValueBytes > 0 && size > s.Limits.ValueBytes {
+		if total += size + len(c.Put) + len(c.Delete) + 30; s.Limits.ValueBytes > 0 && size > s.Limits.ValueBytes {
 			return fmt.Sprintf("the value of %s takes %d bytes", c.Put, size)
 		}
 	}
-	if s.Limits.ValueBytes > 0 && sum > maxTxnBytes {
-		return fmt.Sprintf("the transaction takes %d bytes", sum)
+	if s.Limits.ValueBytes > 0 && total > maxTxnBytes {
+		return fmt.Sprintf("the transaction takes %d bytes", total)
 	}
 	return ""
 }
 
+// validKey reports whether a key is not empty, not too long and without spaces.
 func validKey(key string) bool {
 	return key != "" && len(key) <= maxKeyBytes && !strings.Contains(key, " ")
 }
@@ -193,30 +196,31 @@
 	return status, result
 }
 
-// commit evaluates a transaction's conditions and applies its changes. The lock is held.
+// commit evaluates a transaction's conditions and, if all hold, applies its changes. The caller holds the
+// lock.
 func (s *StateService) commit(t txn) (int, any) {
 	s.expireLeases()
-	if why := s.invalidReason(t); why != "" {
-		return 400, wire.Failure{Error: why}
+	if reason := s.invalidReason(t); reason != "" {
+		return 400, wire.Failure{Error: reason}
 	}
-	var then []wire.Operation
+	var operations []wire.Operation
 	for _, c := range t.Then {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return 400, wire.Failure{Error: "no such lease"}
 		}
-		then = append(then, wire.Operation{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
+		operations = append(operations, wire.Operation{Put: c.Put, Value: c.Value, Lease: c.Lease, Delete: c.Delete})
 	}
 	var failed []string
 	for _, c := range t.If {
-		if it, _ := s.items.Get(c.Key); it.Version != c.Version {
+		if item, _ := s.items.Get(c.Key); item.Version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
 		return 409, wire.TxnResult{Failed: failed, Revision: s.revision}
 	}
-	if len(then) > 0 {
-		s.apply(then)
+	if len(operations) > 0 {
+		s.apply(operations)
 		if s.OnCommit != nil {
 			s.OnCommit(t.puts())
 		}
@@ -224,14 +228,14 @@
 	return 200, wire.TxnResult{Failed: []string{}, Revision: s.revision}
 }
 
-// serveTxn answers a transaction, under the limits and the injected faults. The lock is held.
+// serveTxn handles a transaction, subject to the limits and the injected faults. The caller holds the lock.
 func (s *StateService) serveTxn(body []byte) (int, any) {
 	var t txn
 	if err := wire.Decode(body, &t); err != nil {
 		return 400, wire.Failure{Error: err.Error()}
 	}
-	if why := s.invalidReason(t); why != "" {
-		return 400, wire.Failure{Error: why}
+	if reason := s.invalidReason(t); reason != "" {
+		return 400, wire.Failure{Error: reason}
 	}
 	if exceedsRate(&s.writeLimiter, s.Limits.WriteRPS, len(t.Then)) {
 		return 429, nil
@@ -241,8 +245,8 @@
 		return 0, nil
 	}
 	if s.FateOf != nil {
-		if f := s.FateOf(t.values()); f != FateAnswered {
-			return s.applyFate(t, f)
+		if fate := s.FateOf(t.values()); fate != FateAnswered {
+			return s.applyFate(t, fate)
 		}
 	}
 	if s.DelayedShare > 0 && s.Rand.Float64() < s.DelayedShare {
@@ -260,7 +264,8 @@
 	return s.commit(t)
 }
 
-// loseReply drops the answer to a transaction; half of those transactions are carried out late.
+// loseReply handles a transaction without answering it: half of these transactions are carried out at
+// once, the others up to 8 s later.
 func (s *StateService) loseReply(t txn) (int, any) {
 	if s.Rand.IntN(2) == 0 {
 		s.commit(t)
@@ -274,11 +279,11 @@
 	return 0, nil
 }
 
-// delayTxn carries a transaction out after newer ones, without an answer.
+// delayTxn carries out a transaction 2 to 12 s later, after newer ones, without answering it.
 func (s *StateService) delayTxn(t txn) (int, any) {
-	const least, most = 2 * time.Second, 12 * time.Second
+	const minDelay, maxDelay = 2 * time.Second, 12 * time.Second
 	s.delayed++
-	time.AfterFunc(least+time.Duration(s.Rand.Int64N(int64(most-least))), func() {
+	time.AfterFunc(minDelay+time.Duration(s.Rand.Int64N(int64(maxDelay-minDelay))), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if status, _ := s.commit(t); status == 200 {
@@ -288,14 +293,15 @@
 	return statusNoAnswer, nil
 }
 
-// DelayedCounts returns how many transactions were delayed, and how many of those were committed.
-func (s *StateService) DelayedCounts() (late, taken int) {
+// DelayedCounts returns how many transactions were delayed by DelayedShare, and how many of those were
+// committed.
+func (s *StateService) DelayedCounts() (delayed, committed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delayed, s.delayedCommitted
 }
 
-// LostReplyCount returns how many transactions were committed without an answer.
+// LostReplyCount returns how many transactions were committed without an answer by LostReplyShare.
 func (s *StateService) LostReplyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
