--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -107,8 +107,8 @@
 	return !(*limiter).AllowN(time.Now(), n)
 }
 
-// SetOutage starts or ends an outage, in which all requests are answered 503. After an outage every lease
-// has its full time to live again.
+// SetOutage starts or ends an outage, in which requests are answered 503 and watches that block wait for
+// its end. After an outage every lease has its full time to live again.
 func (s *StateService) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,8 +118,8 @@
 	}
 }
 
-// RefuseCaller answers all requests of one caller with 503 while the others are served. refuse=false ends
-// that.
+// RefuseCaller handles the requests of one caller as during an outage while the others are served.
+// refuse=false ends that.
 func (s *StateService) RefuseCaller(caller string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/task_runtime.go
+++ b/internal/simulator/task_runtime.go
@@ -10,72 +10,73 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fixture determines how long tasks run and is notified when they start, stop and complete.
-// Checker is a Fixture.
+// Fixture determines how long tasks run, and is notified when they start, stop and complete. Checker is a
+// Fixture.
 type Fixture interface {
-	// TaskStarted is called when a task starts on a machine and returns its run time; ok is false for
-	// a job that was never submitted.
+	// TaskStarted is called when a task starts on a machine. It returns the task's run time; ok is false
+	// for a job that was never submitted.
 	TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (run time.Duration, ok bool)
-	// TaskStopped is called when a task leaves a machine, for whatever reason.
+	// TaskStopped is called when a task no longer runs on a machine, for whatever reason.
 	TaskStopped(t wire.TaskID, machine string)
-	// TaskCompleted is called when a task has run to its end.
+	// TaskCompleted is called when a task has completed its run time.
 	TaskCompleted(t wire.TaskID)
-	// Describe returns a job's description.
+	// Describe returns the description of a job; the result is false for an unknown job.
 	Describe(job string) (*wire.Job, bool)
 }
 
-// LookupFixture is a Fixture that first has to look a job up elsewhere; its tasks count as
-// fetching meanwhile.
+// LookupFixture is a Fixture that has to look up a job elsewhere before Describe knows it. The tasks of the
+// job are reported as fetching until then.
 type LookupFixture interface {
 	Fixture
+	// LookUp makes the job of a task known to Describe.
 	LookUp(ctx context.Context, t wire.TaskID) error
 }
 
-// TaskRuntime is the state that the tasks of all machines of a cluster share: the checkpoints that
-// they have saved and the rendezvous of gangs.
+// TaskRuntime is the state that the tasks on all machines of a cluster share: their saved checkpoints, and
+// the gangs whose members start and end together.
 type TaskRuntime struct {
 	Fixture
 	GangWaitTimeout time.Duration // how long a task waits for the other members of its gang
-	GangPeerTimeout time.Duration // how long members take to notice that one of them is gone
+	GangPeerTimeout time.Duration // how long members take to notice that another member is gone
 
 	mu               sync.Mutex
 	savedProgress    map[wire.TaskID]time.Duration
 	gangs            map[gangKey]*gang
-	cancelledFetches map[wire.TaskID]int // image fetches that were cancelled, by task
+	cancelledFetches map[wire.TaskID]int // number of image fetches that were cancelled, by task
 }
 
-// NewTaskRuntime returns a runtime without tasks.
-func NewTaskRuntime(g Fixture, gangWait, gangPeer time.Duration) *TaskRuntime {
-	return &TaskRuntime{Fixture: g, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, savedProgress: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
+// NewTaskRuntime returns a runtime without tasks; gangWait and gangPeer are its timeouts.
+func NewTaskRuntime(fixture Fixture, gangWait, gangPeer time.Duration) *TaskRuntime {
+	return &TaskRuntime{Fixture: fixture, GangWaitTimeout: gangWait, GangPeerTimeout: gangPeer, savedProgress: map[wire.TaskID]time.Duration{}, gangs: map[gangKey]*gang{}, cancelledFetches: map[wire.TaskID]int{}}
 }
 
-// fetchCancelled counts an image fetch of a task that was cancelled before its end.
-func (y *TaskRuntime) fetchCancelled(t wire.TaskID) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.cancelledFetches[t]++
+// fetchCancelled counts a task's image fetch that was cancelled before it was complete.
+func (r *TaskRuntime) fetchCancelled(t wire.TaskID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cancelledFetches[t]++
 }
 
 // CancelledFetches returns how many image fetches of each task were cancelled.
-func (y *TaskRuntime) CancelledFetches() map[wire.TaskID]int {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return maps.Clone(y.cancelledFetches)
+func (r *TaskRuntime) CancelledFetches() map[wire.TaskID]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return maps.Clone(r.cancelledFetches)
 }
 
-// SavedProgress returns the progress that a task has saved. A gang's progress is kept under its
-// first task.
-func (y *TaskRuntime) SavedProgress(t wire.TaskID) time.Duration {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.savedProgress[t]
+// SavedProgress returns the progress that a task has saved. The progress of a gang is stored for its first
+// task.
+func (r *TaskRuntime) SavedProgress(t wire.TaskID) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.savedProgress[t]
 }
 
-// saveProgress records a checkpoint unless a later one is known.
-func (y *TaskRuntime) saveProgress(t wire.TaskID, progress time.Duration) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.savedProgress[t] = max(y.savedProgress[t], progress)
+// saveProgress records a checkpoint unless one with more progress is known.
+func (r *TaskRuntime) saveProgress(t wire.TaskID, progress time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.savedProgress[t] = max(r.savedProgress[t], progress)
 }
 
 // gangKey identifies one attempt of a gang.
@@ -84,7 +85,7 @@
 	attempt uint64
 }
 
-// gang is one attempt of a gang. Members are notified without any lock held.
+// gang is the state of one attempt of a gang. Members are notified without any lock held.
 type gang struct {
 	job       *wire.Job
 	members   map[int]*gangMember
@@ -95,144 +96,145 @@
 	ended     bool
 }
 
+// gangMember is a task that has joined its gang.
 type gangMember struct {
-	saving bool
+	saving bool // was told to stop and saves its progress
 	notify func(event gangEvent)
 }
 
-// gangEvent is what members are notified of.
+// gangEvent is an event of which the members of a gang are notified.
 type gangEvent int
 
 const (
-	gangStarted gangEvent = iota
-	gangDone
-	gangBroken   // a member is gone
-	gangSaved    // all members were told to stop and have saved
-	gangNotSaved // some members were not told to stop in time; nothing is saved
+	gangStarted  gangEvent = iota // all members have joined
+	gangDone                      // the run time is completed
+	gangBroken                    // a member is gone
+	gangSaved                     // all members were told to stop and have saved
+	gangNotSaved                  // some members were not told to stop in time; nothing is saved
 )
 
-// joinGang adds a task to its gang. The gang starts when its last member has joined.
-func (y *TaskRuntime) joinGang(j *wire.Job, k gangKey, index int, run time.Duration, tell func(gangEvent)) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	g := y.gangs[k]
+// joinGang adds a task to its gang, which starts when its last member has joined. A gang that has already
+// started admits no further members.
+func (r *TaskRuntime) joinGang(job *wire.Job, key gangKey, index int, runTime time.Duration, notify func(gangEvent)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	g := r.gangs[key]
 	if g == nil {
-		g = &gang{job: j, members: map[int]*gangMember{}}
-		y.gangs[k] = g
+		g = &gang{job: job, members: map[int]*gangMember{}}
+		r.gangs[key] = g
 	}
 	if g.ended || !g.startedAt.IsZero() {
-		go tell(gangBroken)
+		go notify(gangBroken)
 		return
 	}
-	g.members[index] = &gangMember{notify: tell}
-	if g.runTime = max(g.runTime, run); len(g.members) < j.Tasks {
+	g.members[index] = &gangMember{notify: notify}
+	if g.runTime = max(g.runTime, runTime); len(g.members) < job.Tasks {
 		return
 	}
 	g.startedAt = time.Now()
-	g.timer = time.AfterFunc(max(0, g.runTime-y.savedProgress[leadTask(j)]), func() { y.endGang(g, gangDone) })
+	g.timer = time.AfterFunc(max(0, g.runTime-r.savedProgress[leadTask(job)]), func() { r.endGang(g, gangDone) })
 	g.notifyAll(gangStarted)
 }
 
-// leadTask is the task under which a gang's progress is kept.
+// leadTask returns the task for which the progress of a gang is stored.
 func leadTask(j *wire.Job) wire.TaskID { return wire.TaskID{Job: j.ID} }
 
 // notifyAll notifies all members in the order of their indexes.
-func (g *gang) notifyAll(e gangEvent) {
-	var tells []func(gangEvent)
+func (g *gang) notifyAll(event gangEvent) {
+	var notifiers []func(gangEvent)
 	indexes := make([]int, 0, len(g.members))
 	for i := range g.members {
 		indexes = append(indexes, i)
 	}
 	slices.Sort(indexes)
 	for _, i := range indexes {
-		tells = append(tells, g.members[i].notify)
+		notifiers = append(notifiers, g.members[i].notify)
 	}
 	go func() {
-		for _, tell := range tells {
-			tell(e)
+		for _, notify := range notifiers {
+			notify(event)
 		}
 	}()
 }
 
-// endGang ends a gang once, and notifies the members that are left.
-func (y *TaskRuntime) endGang(g *gang, e gangEvent) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if g.ended || e == gangDone && !g.stoppedAt.IsZero() {
+// endGang ends a gang and notifies the remaining members. It does nothing if the gang has already ended,
+// or if it is reported as done while it is stopping.
+func (r *TaskRuntime) endGang(g *gang, event gangEvent) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if g.ended || event == gangDone && !g.stoppedAt.IsZero() {
 		return
 	}
 	g.ended = true
-	g.notifyAll(e)
+	g.notifyAll(event)
 }
 
-// leaveGang removes a task from its gang without notice. A gang that has not started may still be
-// completed by another task; otherwise the other members notice after GangPeerTimeout, and
-// progress that was not saved is lost.
-func (y *TaskRuntime) leaveGang(k gangKey, index int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	g := y.gangs[k]
+// leaveGang removes a task from its gang at once. Another task may take its place in a gang that has not
+// started. Otherwise the other members notice after GangPeerTimeout, and progress that was not saved is
+// lost.
+func (r *TaskRuntime) leaveGang(key gangKey, index int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	g := r.gangs[key]
 	if g == nil || g.members[index] == nil {
 		return
 	}
 	delete(g.members, index)
 	if len(g.members) == 0 {
-		delete(y.gangs, k)
+		delete(r.gangs, key)
 	}
 	if g.startedAt.IsZero() || g.ended {
 		return
 	}
 	g.timer.Stop()
-	y.keepLastCheckpoint(g)
-	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
+	r.keepLastCheckpoint(g)
+	time.AfterFunc(r.GangPeerTimeout, func() { r.endGang(g, gangBroken) })
 }
 
-// pauseMember is called when a machine that runs a member pauses for d. If that is longer than
-// GangPeerTimeout, the other members exit and unsaved progress is lost; otherwise the gang ends
-// later by d.
-func (y *TaskRuntime) pauseMember(k gangKey, d time.Duration) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	g := y.gangs[k]
+// pauseMember is called when the machine of a member pauses for d. If d is shorter than GangPeerTimeout, the
+// gang ends later by d; otherwise the other members exit and unsaved progress is lost.
+func (r *TaskRuntime) pauseMember(key gangKey, d time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	g := r.gangs[key]
 	if g == nil || g.startedAt.IsZero() || g.ended {
 		return
 	}
-	if d < y.GangPeerTimeout {
+	if d < r.GangPeerTimeout {
 		g.startedAt = g.startedAt.Add(d)
 		if g.timer.Stop() {
-			g.timer.Reset(max(0, g.runTime-y.gangProgress(g)))
+			g.timer.Reset(max(0, g.runTime-r.gangProgress(g)))
 		}
 		return
 	}
 	g.timer.Stop()
-	y.keepLastCheckpoint(g)
-	time.AfterFunc(y.GangPeerTimeout, func() { y.endGang(g, gangBroken) })
+	r.keepLastCheckpoint(g)
+	time.AfterFunc(r.GangPeerTimeout, func() { r.endGang(g, gangBroken) })
 }
 
-// keepLastCheckpoint records the last periodic checkpoint of a gang that did not save when it was
-// stopped.
-func (y *TaskRuntime) keepLastCheckpoint(g *gang) {
-	if every := wire.Seconds(g.job.CheckpointS); every > 0 && !g.startedAt.IsZero() {
-		t := leadTask(g.job)
-		y.savedProgress[t] = max(y.savedProgress[t], y.gangProgress(g).Truncate(every))
+// keepLastCheckpoint records the last periodic checkpoint of a gang that ends without saving.
+func (r *TaskRuntime) keepLastCheckpoint(g *gang) {
+	if interval := wire.Seconds(g.job.CheckpointS); interval > 0 && !g.startedAt.IsZero() {
+		lead := leadTask(g.job)
+		r.savedProgress[lead] = max(r.savedProgress[lead], r.gangProgress(g).Truncate(interval))
 	}
 }
 
-// gangProgress returns how much of its run time a gang has completed.
-func (y *TaskRuntime) gangProgress(g *gang) time.Duration {
+// gangProgress returns how much of its run time a gang has completed, up to when it was told to stop.
+func (r *TaskRuntime) gangProgress(g *gang) time.Duration {
 	until := time.Now()
 	if !g.stoppedAt.IsZero() {
 		until = g.stoppedAt
 	}
-	return min(g.runTime, y.savedProgress[leadTask(g.job)]+until.Sub(g.startedAt))
+	return min(g.runTime, r.savedProgress[leadTask(g.job)]+until.Sub(g.startedAt))
 }
 
-// stopMember is called when a member was told to stop with time to save; the other members have to
-// be told within GangPeerTimeout. It reports whether the gang runs.
-func (y *TaskRuntime) stopMember(k gangKey, index int) bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	g := y.gangs[k]
+// stopMember is called when a member is told to stop with a grace period that suffices to save. The other
+// members have to be told within GangPeerTimeout. It reports whether the gang is running.
+func (r *TaskRuntime) stopMember(key gangKey, index int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	g := r.gangs[key]
 	if g == nil || g.startedAt.IsZero() || g.ended || g.members[index] == nil {
 		return false
 	}
@@ -240,31 +242,32 @@
 	if g.stoppedAt.IsZero() {
 		g.stoppedAt = time.Now()
 		g.timer.Stop()
-		time.AfterFunc(y.GangPeerTimeout, func() { y.finishSaving(g, false) })
+		time.AfterFunc(r.GangPeerTimeout, func() { r.finishSaving(g, false) })
 	}
-	time.AfterFunc(wire.Seconds(g.job.SaveS), func() { y.finishSaving(g, true) })
+	time.AfterFunc(wire.Seconds(g.job.SaveS), func() { r.finishSaving(g, true) })
 	return true
 }
 
-// finishSaving ends a gang that is saving: successfully once all members were told and have saved,
-// unsuccessfully if some were not told in time.
-func (y *TaskRuntime) finishSaving(g *gang, inTime bool) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	told := len(g.members) == g.job.Tasks
+// finishSaving ends a gang that is saving: successfully when all members were told to stop and have had
+// time to save, unsuccessfully if some were not told in time. beforeTimeout is false when GangPeerTimeout
+// has passed since the first member was told.
+func (r *TaskRuntime) finishSaving(g *gang, beforeTimeout bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	allTold := len(g.members) == g.job.Tasks
 	for _, m := range g.members {
-		told = told && m.saving
+		allTold = allTold && m.saving
 	}
 	switch {
-	case g.ended || !told && inTime:
+	case g.ended || !allTold && beforeTimeout:
 		return
-	case told && time.Since(g.stoppedAt) >= wire.Seconds(g.job.SaveS):
-		t := leadTask(g.job)
-		y.savedProgress[t] = max(y.savedProgress[t], y.gangProgress(g))
+	case allTold && time.Since(g.stoppedAt) >= wire.Seconds(g.job.SaveS):
+		lead := leadTask(g.job)
+		r.savedProgress[lead] = max(r.savedProgress[lead], r.gangProgress(g))
 		g.ended = true
 		g.notifyAll(gangSaved)
-	case !told:
-		y.keepLastCheckpoint(g)
+	case !allTold:
+		r.keepLastCheckpoint(g)
 		g.ended = true
 		g.notifyAll(gangNotSaved)
 	}
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -15,17 +15,17 @@
 	timer          *time.Timer
 	timerAt        time.Time // when the timer fires
 	startedAt      time.Time
-	progressAtStop time.Duration // progress when it was stopped
+	progressAtStop time.Duration // progress when the task was told to stop and to save
 	runTime        time.Duration
-	started        bool // its image is present and the fixture was notified
+	started        bool // its image is present and the Fixture was notified
 }
 
-// schedule calls a function once the task has made progress for d.
-func (t *runningTask) schedule(d time.Duration, do func()) {
-	t.timer, t.timerAt = time.AfterFunc(d, do), time.Now().Add(d)
+// schedule calls a function when the task has been active for d; pauses of its machine do not count.
+func (t *runningTask) schedule(d time.Duration, callback func()) {
+	t.timer, t.timerAt = time.AfterFunc(d, callback), time.Now().Add(d)
 }
 
-// pause delays the task's timer while its machine makes no progress.
+// pause extends the task's timer and start time by a pause of its machine.
 func (t *runningTask) pause(d time.Duration) {
 	if t.timer.Stop() {
 		t.timerAt = t.timerAt.Add(d)
@@ -36,19 +36,19 @@
 	}
 }
 
-// cachedImage is an image that the machine has or fetches.
+// cachedImage is an image that the machine has in its cache or is fetching.
 type cachedImage struct {
 	sizeGB      float64
-	remainingGB float64 // of sizeGB, still to be fetched
+	remainingGB float64 // part of sizeGB that is yet to be fetched
 	lastUsed    time.Time
 	present     bool
-	timer       *time.Timer
-	waiters     []func() // starts of the tasks that wait for it
+	timer       *time.Timer // fires when the fetch is complete
+	waiters     []func()    // start the tasks that wait for the image
 }
 
-// execute carries out a leader's commands; repeated commands have no effect.
-func (w *Worker) execute(cmds []wire.Command) {
-	for _, c := range cmds {
+// execute executes a leader's commands. Repeated commands have no effect. The caller holds the lock.
+func (w *Worker) execute(commands []wire.Command) {
+	for _, c := range commands {
 		id, err := wire.ParseTaskID(c.Task)
 		if err != nil {
 			continue
@@ -70,25 +70,26 @@
 	}
 }
 
-// launchTask accepts a launch, unless another attempt of the task still runs here.
+// launchTask handles a launch. It refuses the task if another attempt of it has not ended on this machine,
+// and otherwise admits it once its job is known.
 func (w *Worker) launchTask(key string, id wire.TaskID, attempt uint64) {
 	t := &runningTask{ReportedTask: wire.ReportedTask{Task: id.String(), Attempt: attempt, State: wire.TaskFetching, ID: id}, timer: time.NewTimer(0)}
 	t.timer.Stop()
-	busy := false
-	for _, o := range w.tasks {
-		busy = busy || o.ID == id && o.State != wire.TaskEnded
+	alreadyPresent := false
+	for _, other := range w.tasks {
+		alreadyPresent = alreadyPresent || other.ID == id && other.State != wire.TaskEnded
 	}
 	w.tasks[key] = t
 	w.requestHeartbeat()
-	slow, must := w.runtime.Fixture.(LookupFixture)
+	lookup, needsLookup := w.runtime.Fixture.(LookupFixture)
 	switch {
-	case busy:
+	case alreadyPresent:
 		w.refuseTask(t, wire.CauseBusy)
-	case !must:
+	case !needsLookup:
 		w.admitTask(key, t)
 	default:
 		go func() {
-			err := slow.LookUp(w.ctx, id)
+			err := lookup.LookUp(w.ctx, id)
 			w.waitWhilePaused()
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -103,68 +104,69 @@
 	}
 }
 
-// refuseTask ends a task that cannot start.
-func (w *Worker) refuseTask(t *runningTask, why wire.Cause) {
-	t.State, t.Cause = wire.TaskEnded, why
+// refuseTask ends a task that cannot be started.
+func (w *Worker) refuseTask(t *runningTask, cause wire.Cause) {
+	t.State, t.Cause = wire.TaskEnded, cause
 	w.requestHeartbeat()
 }
 
-// admitTask accepts a task whose job is known if its resources are free, and fetches its image.
+// admitTask admits a task if its job is known and its resources are free, and fetches its image. Otherwise
+// it refuses the task.
 func (w *Worker) admitTask(key string, t *runningTask) {
-	j, known := w.runtime.Describe(t.ID.Job)
-	if !known || t.ID.Index >= j.Tasks {
+	job, known := w.runtime.Describe(t.ID.Job)
+	if !known || t.ID.Index >= job.Tasks {
 		w.refuseTask(t, wire.CauseUnknown)
 		return
 	}
-	cpus, gpus, memory := j.CPUs, j.GPUs, j.MemoryGB
-	for _, o := range w.tasks {
-		if o.State != wire.TaskEnded && o.job != nil {
-			cpus, gpus, memory = cpus+o.job.CPUs, gpus+o.job.GPUs, memory+o.job.MemoryGB
+	cpus, gpus, memory := job.CPUs, job.GPUs, job.MemoryGB
+	for _, other := range w.tasks {
+		if other.State != wire.TaskEnded && other.job != nil {
+			cpus, gpus, memory = cpus+other.job.CPUs, gpus+other.job.GPUs, memory+other.job.MemoryGB
 		}
 	}
-	const dust = 1e-6
-	if s := w.spec; cpus > s.CPUs+dust || gpus > s.GPUs+dust || memory > s.MemoryGB+dust {
+	const roundingError = 1e-6
+	if spec := w.spec; cpus > spec.CPUs+roundingError || gpus > spec.GPUs+roundingError || memory > spec.MemoryGB+roundingError {
 		w.refuseTask(t, wire.CauseNoRoom)
 		return
 	}
-	t.job = j
-	w.fetchImage(j.Image, j.ImageGB, func() {
+	t.job = job
+	w.fetchImage(job.Image, job.ImageGB, func() {
 		if w.tasks[key] == t && t.State == wire.TaskFetching {
 			w.startTask(key, t)
 		}
 	})
 }
 
-// fetchImage fetches an image once for all tasks that need it and evicts those least recently
-// used. done is called with the lock held.
-func (w *Worker) fetchImage(name string, gb float64, done func()) {
-	img := w.images[name]
-	if img == nil {
-		img = &cachedImage{sizeGB: gb, remainingGB: gb}
-		w.images[name] = img
+// fetchImage makes an image present, with one fetch for all tasks that need it, and then evicts the least
+// recently used images from a full cache. done is called, with the lock held, when the image is present.
+func (w *Worker) fetchImage(name string, sizeGB float64, done func()) {
+	image := w.images[name]
+	if image == nil {
+		image = &cachedImage{sizeGB: sizeGB, remainingGB: sizeGB}
+		w.images[name] = image
 	}
-	if img.lastUsed = time.Now(); img.present {
+	if image.lastUsed = time.Now(); image.present {
 		done()
 		return
 	}
-	img.waiters = append(img.waiters, done)
-	if img.timer != nil {
+	image.waiters = append(image.waiters, done)
+	if image.timer != nil {
 		return
 	}
 	w.accountFetched()
-	img.timer = time.AfterFunc(time.Hour, func() {
+	image.timer = time.AfterFunc(time.Hour, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.images[name] != img {
+		if w.images[name] != image {
 			return
 		}
 		w.accountFetched()
-		img.present = true
+		image.present = true
 		w.rescheduleFetches()
-		wants := img.waiters
-		img.waiters = nil
-		for _, want := range wants {
-			want()
+		waiters := image.waiters
+		image.waiters = nil
+		for _, start := range waiters {
+			start()
 		}
 		w.evictImages()
 	})
@@ -173,15 +175,15 @@
 
 // fetching lists the images that are being fetched.
 func (w *Worker) fetching() (out []*cachedImage) {
-	for _, img := range w.images {
-		if img.timer != nil && !img.present {
-			out = append(out, img)
+	for _, image := range w.images {
+		if image.timer != nil && !image.present {
+			out = append(out, image)
 		}
 	}
 	return out
 }
 
-// fetchRate returns the GB per second for each of that many concurrent fetches.
+// fetchRate returns the rate of each fetch, in GB per second, while the given number of images is fetched.
 func (w *Worker) fetchRate(images int) float64 {
 	if !w.sharedFetchRate {
 		images = 1
@@ -189,81 +191,83 @@
 	return w.spec.FetchGBps / w.fetchFactor / float64(images)
 }
 
-// accountFetched subtracts what was fetched since the last call from the images being fetched.
+// accountFetched subtracts the data that was fetched since the last call from the remaining size of each
+// image. It has to be called before the number of concurrent fetches changes.
 func (w *Worker) accountFetched() {
-	coming, now := w.fetching(), time.Now()
-	if now.Before(w.fetchAccountedUntil) { // the machine hangs
+	images, now := w.fetching(), time.Now()
+	if now.Before(w.fetchAccountedUntil) { // the machine is paused
 		return
 	}
-	for _, img := range coming {
-		img.remainingGB = max(0, img.remainingGB-w.fetchRate(len(coming))*now.Sub(w.fetchAccountedUntil).Seconds())
+	for _, image := range images {
+		image.remainingGB = max(0, image.remainingGB-w.fetchRate(len(images))*now.Sub(w.fetchAccountedUntil).Seconds())
 	}
 	w.fetchAccountedUntil = now
 }
 
-// rescheduleFetches sets the end of each fetch according to its present rate.
+// rescheduleFetches sets the time at which each fetch completes according to its present rate.
 func (w *Worker) rescheduleFetches() {
-	coming := w.fetching()
-	for _, img := range coming {
-		took := time.Duration(0)
+	images := w.fetching()
+	for _, image := range images {
+		fetchTime := time.Duration(0)
 		if w.spec.FetchGBps > 0 {
-			took = time.Duration(img.remainingGB / w.fetchRate(len(coming)) * float64(time.Second))
+			fetchTime = time.Duration(image.remainingGB / w.fetchRate(len(images)) * float64(time.Second))
 		}
-		img.timer.Reset(took + max(0, time.Until(w.pausedUntil)))
+		image.timer.Reset(fetchTime + max(0, time.Until(w.pausedUntil)))
 	}
 }
 
 // cancelFetch cancels the fetch of a task's image unless another task waits for it.
 func (w *Worker) cancelFetch(t *runningTask) {
-	img := w.images[t.job.Image]
-	if img == nil || img.present {
+	image := w.images[t.job.Image]
+	if image == nil || image.present {
 		return
 	}
-	for _, o := range w.tasks {
-		if o != t && o.job != nil && o.job.Image == t.job.Image && o.State == wire.TaskFetching {
+	for _, other := range w.tasks {
+		if other != t && other.job != nil && other.job.Image == t.job.Image && other.State == wire.TaskFetching {
 			return
 		}
 	}
 	w.accountFetched()
-	img.timer.Stop()
+	image.timer.Stop()
 	delete(w.images, t.job.Image)
 	w.rescheduleFetches()
 	w.runtime.fetchCancelled(t.ID)
 }
 
-// evictImages removes the least recently used images until the cache is within its size.
+// evictImages removes the least recently used images until the rest fits into the cache.
 func (w *Worker) evictImages() {
 	for {
-		sum, oldest := 0.0, ""
-		for name, img := range w.images {
-			if !img.present {
+		total, oldest := 0.0, ""
+		for name, image := range w.images {
+			if !image.present {
 				continue
 			}
-			sum += img.sizeGB
-			if o := w.images[oldest]; oldest == "" || img.lastUsed.Before(o.lastUsed) || img.lastUsed.Equal(o.lastUsed) && name < oldest {
+			total += image.sizeGB
+			if candidate := w.images[oldest]; oldest == "" || image.lastUsed.Before(candidate.lastUsed) || image.lastUsed.Equal(candidate.lastUsed) && name < oldest {
 				oldest = name
 			}
 		}
-		if sum <= w.spec.CacheGB || oldest == "" || w.spec.CacheGB == 0 {
+		if total <= w.spec.CacheGB || oldest == "" || w.spec.CacheGB == 0 {
 			return
 		}
 		delete(w.images, oldest)
 	}
 }
 
-// startTask starts a task whose image is present. A task that has completed before ends at once.
+// startTask starts a task whose image is present. A task of a gang first waits for the other members, other
+// tasks continue from their saved progress.
 func (w *Worker) startTask(key string, t *runningTask) {
-	run, ok := w.runtime.TaskStarted(t.ID, w.id, w.typ, w.zone, w.spot)
+	runTime, ok := w.runtime.TaskStarted(t.ID, w.id, w.typ, w.zone, w.spot)
 	w.requestHeartbeat()
 	if !ok {
 		w.refuseTask(t, wire.CauseUnknown)
 		return
 	}
-	t.started, t.runTime = true, time.Duration(float64(run)*w.runFactor)
+	t.started, t.runTime = true, time.Duration(float64(runTime)*w.runFactor)
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		t.State = wire.TaskWaiting
 		t.schedule(w.runtime.GangWaitTimeout, func() { w.runIfInState(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseAlone) }) })
-		w.runtime.joinGang(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.runTime, func(e gangEvent) { w.notifyGang(key, t, e) })
+		w.runtime.joinGang(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.runTime, func(event gangEvent) { w.notifyGang(key, t, event) })
 		return
 	}
 	t.State, t.startedAt = wire.TaskRunning, time.Now()
@@ -278,26 +282,27 @@
 	})
 }
 
-// runIfInState calls a function unless the task's state has changed in the meantime.
-func (w *Worker) runIfInState(key string, t *runningTask, state wire.TaskState, do func()) {
+// runIfInState calls a function, after the current pause if there is one, if the task still exists and is in
+// the given state.
+func (w *Worker) runIfInState(key string, t *runningTask, state wire.TaskState, action func()) {
 	w.whenResumed(func() {
 		if w.tasks[key] == t && t.State == state {
-			do()
+			action()
 		}
 	})
 }
 
 // notifyGang handles a gang event, after the current pause if there is one.
-func (w *Worker) notifyGang(key string, t *runningTask, e gangEvent) {
-	w.whenResumed(func() { w.handleGangEvent(key, t, e) })
+func (w *Worker) notifyGang(key string, t *runningTask, event gangEvent) {
+	w.whenResumed(func() { w.handleGangEvent(key, t, event) })
 }
 
-// handleGangEvent changes a task's state according to what happened to its gang.
-func (w *Worker) handleGangEvent(key string, t *runningTask, e gangEvent) {
+// handleGangEvent changes the state of a task according to an event of its gang.
+func (w *Worker) handleGangEvent(key string, t *runningTask, event gangEvent) {
 	if w.tasks[key] != t || t.State == wire.TaskEnded {
 		return
 	}
-	switch e {
+	switch event {
 	case gangStarted:
 		t.timer.Stop()
 		t.State = wire.TaskRunning
@@ -319,20 +324,20 @@
 	}
 }
 
-// stopTask stops a task; a task that can save its progress within the grace period does so first.
+// stopTask stops a task. A running task that can save its progress within the grace period does so first.
 func (w *Worker) stopTask(t *runningTask, grace time.Duration) {
-	saves := t.State == wire.TaskRunning && t.job.CheckpointS > 0 && grace >= wire.Seconds(t.job.SaveS)
+	canSave := t.State == wire.TaskRunning && t.job.CheckpointS > 0 && grace >= wire.Seconds(t.job.SaveS)
 	key := t.Task + "#" + strconv.FormatUint(t.Attempt, 10)
 	switch {
 	case t.State == wire.TaskSaving && grace > 0:
-	case saves && t.job.Shape == wire.Gang && t.job.Tasks > 1:
+	case canSave && t.job.Shape == wire.Gang && t.job.Tasks > 1:
 		if w.runtime.stopMember(gangKey{t.ID.Job, t.Attempt}, t.ID.Index) {
 			t.State = wire.TaskSaving
 			w.requestHeartbeat()
 			return
 		}
 		w.endTask(t, wire.CauseStopped)
-	case saves:
+	case canSave:
 		t.timer.Stop()
 		t.State = wire.TaskSaving
 		w.requestHeartbeat()
@@ -349,14 +354,15 @@
 	}
 }
 
-// endTask ends a task and frees what it used.
-func (w *Worker) endTask(t *runningTask, why wire.Cause) {
+// endTask ends a task and releases its resources.
+func (w *Worker) endTask(t *runningTask, cause wire.Cause) {
 	w.releaseTask(t)
-	t.State, t.Cause = wire.TaskEnded, why
+	t.State, t.Cause = wire.TaskEnded, cause
 	w.requestHeartbeat()
 }
 
-// releaseTask stops a task's activity, keeps its last checkpoint and notifies the fixture.
+// releaseTask stops the activity of a task: it cancels its image fetch, or saves its last periodic
+// checkpoint and notifies the Fixture.
 func (w *Worker) releaseTask(t *runningTask) {
 	t.timer.Stop()
 	if t.job != nil && !t.started {
@@ -367,8 +373,8 @@
 	}
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		w.runtime.leaveGang(gangKey{t.ID.Job, t.Attempt}, t.ID.Index)
-	} else if every := wire.Seconds(t.job.CheckpointS); every > 0 && !t.startedAt.IsZero() {
-		w.runtime.saveProgress(t.ID, cmp.Or(t.progressAtStop, time.Since(t.startedAt)).Truncate(every))
+	} else if interval := wire.Seconds(t.job.CheckpointS); interval > 0 && !t.startedAt.IsZero() {
+		w.runtime.saveProgress(t.ID, cmp.Or(t.progressAtStop, time.Since(t.startedAt)).Truncate(interval))
 	}
 	w.runtime.TaskStopped(t.ID, w.id)
 }
