--- a/internal/simulator/service_test.go
+++ b/internal/simulator/service_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// externalServices are a state service and a cloud that a trace calls.
+// externalServices is a state service and a cloud that the steps of a trace call.
 type externalServices struct {
 	store  *StateService
 	cloud  *Cloud
@@ -21,29 +21,31 @@
 	stop   context.CancelFunc
 }
 
-func (b *runtimeHarness) startServices() *externalServices {
-	if b.serves != nil {
-		return b.serves
+// startServices starts the services on the first call, and returns them.
+func (h *runtimeHarness) startServices() *externalServices {
+	if h.serves != nil {
+		return h.serves
 	}
-	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: b.net.Host("10.0.0.1").Dial}}
+	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}}
 	s.store.Limits = StateLimits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, RetainedChanges: 4}
 	s.cloud = &Cloud{Types: []wire.MachineType{{Name: "g4", Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}, RPS: 5, ListLag: 2 * time.Second,
 		CapacityByOffer: map[Offer]int{{"g4", "a", false}: 2, {"g4", "a", true}: 1}, Rand: rand.New(rand.NewPCG(1, 1)),
 		Start: func(id, addr, typ, zone string, spot bool) Machine { return idleMachine{} }}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	go b.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.store.Serve())
-	go b.net.Host("10.2.0.2").Listen(ctx, "10.2.0.2:8443", 0, s.cloud.Serve())
+	go h.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.store.Serve())
+	go h.net.Host("10.2.0.2").Listen(ctx, "10.2.0.2:8443", 0, s.cloud.Serve())
 	synctest.Wait()
-	b.serves = s
+	h.serves = s
 	return s
 }
 
-// idleMachine is a machine on which nothing runs.
+// idleMachine is a Machine on which nothing runs.
 type idleMachine struct{}
 
 func (idleMachine) Kill() {}
 
+// call sends a request and returns the status and body of the answer. Status 0 means that there was none.
 func (s *externalServices) call(addr, method, path string, v any) (int, wire.Raw) {
 	var body []byte
 	if v != nil {
@@ -58,7 +60,7 @@
 	return resp.Status, resp.Body
 }
 
-// parsePairs reads "a:0,b:3".
+// parsePairs parses a list of pairs such as "a:0,b:3".
 func parsePairs(text string) (out [][2]string) {
 	for _, item := range strings.Split(text, ",") {
 		if k, v, ok := strings.Cut(item, ":"); ok {
@@ -68,33 +70,33 @@
 	return out
 }
 
-// serviceStep takes the steps that call the state service and the cloud.
-func (b *runtimeHarness) serviceStep(w []string, kv map[string]string) []string {
-	s := b.startServices()
-	n, _ := strconv.Atoi(kv["n"])
-	switch w[1] {
+// serviceStep executes a step that calls the state service or the cloud, or injects a fault there.
+func (h *runtimeHarness) serviceStep(words []string, params map[string]string) []string {
+	s := h.startServices()
+	n, _ := strconv.Atoi(params["n"])
+	switch words[1] {
 	case "txn", "get", "list", "grant", "touch", "end", "watch":
-		return b.callState(s, w, kv, n)
+		return h.callState(s, words, params, n)
 	case "rent", "machines", "release":
-		return b.callCloud(s, w, kv, n)
+		return h.callCloud(s, words, params, n)
 	case "down", "up":
-		s.store.SetOutage(w[1] == "down")
+		s.store.SetOutage(words[1] == "down")
 	case "dies":
-		s.cloud.Crash(w[2])
+		s.cloud.Crash(words[2])
 	case "taken":
-		s.cloud.Preempt(w[2], 0)
+		s.cloud.Preempt(words[2], 0)
 	case "trouble":
-		s.cloud.SetFaults(func(f *CloudFaults) { f.Unavailable = w[2] == "on" })
+		s.cloud.SetFaults(func(f *CloudFaults) { f.Unavailable = words[2] == "on" })
 	case "spent":
 		cost, machines := s.cloud.Cost()
 		return []string{fmt.Sprintf("%.3f for %d machines", cost, machines)}
 	default:
-		b.t.Fatalf("no such call: %v", w)
+		h.t.Fatalf("no such call: %v", words)
 	}
 	return nil
 }
 
-// answerLine describes an answer.
+// answerLine formats an answer as a line of output.
 func answerLine(status int, body wire.Raw) []string {
 	if status == 0 {
 		return []string{"no answer"}
@@ -106,28 +108,28 @@
 	return []string{strings.TrimSpace(fmt.Sprintf("%d %s", status, formatAnswer(v)))}
 }
 
-// callState makes a call to the state service.
-func (b *runtimeHarness) callState(s *externalServices, w []string, kv map[string]string, n int) []string {
+// callState calls the state service and returns the answer as output.
+func (h *runtimeHarness) callState(s *externalServices, words []string, params map[string]string, n int) []string {
 	call := func(method, path string, v any) []string { return answerLine(s.call("10.2.0.1:2379", method, path, v)) }
-	switch w[1] {
+	switch words[1] {
 	case "txn":
 		var t wire.Txn
-		for _, p := range parsePairs(kv["if"]) {
+		for _, p := range parsePairs(params["if"]) {
 			version, _ := strconv.ParseUint(p[1], 10, 64)
 			t.If = append(t.If, wire.Condition{Key: p[0], Version: version})
 		}
-		lease, _ := strconv.ParseUint(kv["lease"], 10, 64)
-		for _, p := range parsePairs(kv["put"]) {
+		lease, _ := strconv.ParseUint(params["lease"], 10, 64)
+		for _, p := range parsePairs(params["put"]) {
 			t.Then = append(t.Then, wire.Operation{Put: p[0], Value: strings.Repeat(p[1], max(1, n)), Lease: lease})
 		}
-		for _, p := range parsePairs(kv["drop"]) {
+		for _, p := range parsePairs(params["drop"]) {
 			t.Then = append(t.Then, wire.Operation{Delete: p[0]})
 		}
 		return call("POST", wire.PathTxn, t)
 	case "get":
-		return call("GET", wire.KeyPath(w[2]), nil)
+		return call("GET", wire.KeyPath(words[2]), nil)
 	case "list":
-		return call("GET", wire.KeysPath(w[2], kv["from"], n), nil)
+		return call("GET", wire.KeysPath(words[2], params["from"], n), nil)
 	case "grant":
 		return call("POST", wire.PathLeases, wire.LeaseGrantRequest{TTLms: int64(n)})
 	case "touch":
@@ -135,40 +137,40 @@
 	case "end":
 		return call("DELETE", wire.LeasePath(uint64(n)), nil)
 	}
-	from, _ := strconv.ParseUint(kv["from"], 10, 64) // watch
-	d, _ := time.ParseDuration(kv["wait"])
-	return append(call("GET", wire.WatchPath(w[2], from, d), nil), "at "+time.Since(b.startedAt).String())
+	from, _ := strconv.ParseUint(params["from"], 10, 64) // watch
+	d, _ := time.ParseDuration(params["wait"])
+	return append(call("GET", wire.WatchPath(words[2], from, d), nil), "at "+time.Since(h.startedAt).String())
 }
 
-// callCloud makes a call to the cloud.
-func (b *runtimeHarness) callCloud(s *externalServices, w []string, kv map[string]string, n int) []string {
+// callCloud calls the cloud and returns the answer as output.
+func (h *runtimeHarness) callCloud(s *externalServices, words []string, params map[string]string, n int) []string {
 	call := func(method, path string, v any) []string { return answerLine(s.call("10.2.0.2:8443", method, path, v)) }
-	switch w[1] {
+	switch words[1] {
 	case "rent":
-		return call("POST", wire.PathRentals, wire.ScaleOutRequest{RequestID: w[2], Type: "g4", Zone: "a", Spot: kv["spot"] != "", Count: n})
+		return call("POST", wire.PathRentals, wire.ScaleOutRequest{RequestID: words[2], Type: "g4", Zone: "a", Spot: params["spot"] != "", Count: n})
 	case "machines":
-		return call("GET", wire.PathRentals+"?limit="+strconv.Itoa(max(n, 1))+"&from="+kv["from"], nil)
+		return call("GET", wire.PathRentals+"?limit="+strconv.Itoa(max(n, 1))+"&from="+params["from"], nil)
 	}
-	return call("POST", wire.PathRelease, wire.MachineNames{Machines: w[2:]})
+	return call("POST", wire.PathRelease, wire.MachineNames{Machines: words[2:]})
 }
 
-// formatAnswer writes an answer in a fixed order.
+// formatAnswer formats a decoded answer with its fields in a fixed order.
 func formatAnswer(v any) string {
 	switch v := v.(type) {
 	case map[any]any:
-		var out []string
+		var parts []string
 		for _, key := range []string{"error", "path", "ask", "hives", "uid", "frame", "borrowed", "stage", "held_s", "items", "data", "mark", "tenure", "failed", "log", "put", "drop", "more", "era"} {
 			if x, ok := v[key]; ok {
-				out = append(out, key+"="+formatAnswer(x))
+				parts = append(parts, key+"="+formatAnswer(x))
 			}
 		}
-		return "{" + strings.Join(out, " ") + "}"
+		return "{" + strings.Join(parts, " ") + "}"
 	case []any:
-		var out []string
+		var parts []string
 		for _, x := range v {
-			out = append(out, formatAnswer(x))
+			parts = append(parts, formatAnswer(x))
 		}
-		return "[" + strings.Join(out, " ") + "]"
+		return "[" + strings.Join(parts, " ") + "]"
 	case float64:
 		return fmt.Sprintf("%.1f", v)
 	case nil:
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -70,8 +70,8 @@
 }
 
 // Verdict returns the status with which the protocol requires a submission to be rejected, and the reason:
-// 400 if it is malformed, 422 if it can never run. Status 0 means that it must be accepted. It relies on
-// the protocol's description alone and shares no code with the controller.
+// 400 if it is malformed, 422 if it can never run. Status 0 means that it must be accepted. It follows
+// the protocol's description alone, independently of the controllers.
 func (s *SubmissionRules) Verdict(body []byte) (status int, reason string) {
 	var fields map[string]any
 	if err := wire.Decode(body, &fields); err != nil {
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -9,38 +9,42 @@
 	"testing/synctest"
 )
 
-var update = flag.Bool("update", false, "write what the traces now give")
+var update = flag.Bool("update", false, "rewrite the traces with the output of this run")
 
-// Traces plays every trace in testdata; play returns the function that executes one step and
-// returns its output. With -update the traces are written anew.
-func Traces(t *testing.T, play func(t *testing.T) func(step string) []string) {
-	forEachTrace(t, func(t *testing.T, file string) { runTrace(t, file, play(t)) })
+// Traces runs every trace in testdata and compares the output of its steps with the kept one. newRunner
+// returns the function that executes one step and returns its output. With -update the traces are
+// rewritten.
+func Traces(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
+	forEachTrace(t, func(t *testing.T, file string) { runTrace(t, file, newRunner(t)) })
 }
 
-// ClockTraces is Traces on a fake clock.
-func ClockTraces(t *testing.T, play func(t *testing.T) func(step string) []string) {
+// ClockTraces is Traces with a fake clock.
+func ClockTraces(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
 	forEachTrace(t, func(t *testing.T, file string) {
-		synctest.Test(t, func(t *testing.T) { runTrace(t, file, play(t)) })
+		synctest.Test(t, func(t *testing.T) { runTrace(t, file, newRunner(t)) })
 	})
 }
 
-func forEachTrace(t *testing.T, play func(t *testing.T, file string)) {
+// forEachTrace calls run for each trace in testdata, in a subtest of its own.
+func forEachTrace(t *testing.T, run func(t *testing.T, file string)) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no traces: %v", err)
 	}
 	for _, file := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { play(t, file) })
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) { run(t, file) })
 	}
 }
 
+// runTrace executes the steps of a trace. Lines that begin with > are the output of the step above them,
+// lines that begin with # are comments.
 func runTrace(t *testing.T, file string, step func(string) []string) {
-	kept, err := os.ReadFile(file)
+	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	for _, line := range strings.Split(strings.TrimRight(string(kept), "\n"), "\n") {
+	for _, line := range strings.Split(strings.TrimRight(string(want), "\n"), "\n") {
 		if strings.HasPrefix(line, ">") {
 			continue
 		}
@@ -48,12 +52,12 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		for _, out := range step(line) {
-			got.WriteString("> " + out + "\n")
+		for _, output := range step(line) {
+			got.WriteString("> " + output + "\n")
 		}
 	}
 	switch {
-	case got.String() == string(kept):
+	case got.String() == string(want):
 	case *update:
 		if err := os.WriteFile(file, []byte(got.String()), 0o644); err != nil {
 			t.Fatal(err)
@@ -63,14 +67,14 @@
 	}
 }
 
-// Words splits a step into its words and its key=value pairs.
+// Words splits a step into its plain words and its key=value pairs.
 func Words(step string) (words []string, pairs map[string]string) {
 	pairs = map[string]string{}
-	for _, w := range strings.Fields(step) {
-		if k, v, ok := strings.Cut(w, "="); ok {
+	for _, field := range strings.Fields(step) {
+		if k, v, ok := strings.Cut(field, "="); ok {
 			pairs[k] = v
 		} else {
-			words = append(words, w)
+			words = append(words, field)
 		}
 	}
 	return words, pairs
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -14,23 +14,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Users poll jobs through a load balancer that removes failing controllers from rotation.
+// Users simulates users that poll jobs through a load balancer, which removes failing controllers from
+// rotation.
 type Users struct {
 	Dial  func(ctx context.Context, addr string) (net.Conn, error)
-	Nodes []string
-	Judge *LivenessChecker
+	Nodes []string         // addresses of the controllers
+	Judge *LivenessChecker // is notified of the answers to polls
 
 	mu       sync.Mutex
-	backends map[string]*backend
+	backends map[string]*backend // by address
 }
 
 // backend is a controller as the load balancer sees it.
 type backend struct {
-	healthy, wasHealthy bool
-	probes              []bool // the last six
-	removedAt           time.Time
-	removalTime         time.Duration
-	conns               map[*userConn]bool
+	healthy, wasHealthy bool               // in rotation now; in rotation at some time so far
+	probes              []bool             // results of the last six probes since it was last added to rotation
+	removedAt           time.Time          // when it was last removed from rotation
+	removalTime         time.Duration      // for how long, at least
+	conns               map[*userConn]bool // open connections of users
 }
 
 // userConn is a user's connection to a controller.
@@ -39,24 +40,25 @@
 	onClose func()
 }
 
+// Close closes the connection after calling onClose.
 func (c *userConn) Close() error {
 	c.onClose()
 	return c.Conn.Close()
 }
 
-// What the protocol specifies for users and the balancer.
+// Intervals and timeouts that the protocol specifies for users and the load balancer.
 const (
 	pollInterval          = 5 * time.Second
 	pollTimeout           = 2 * time.Second
 	probeInterval         = time.Second
 	connectTimeout        = 500 * time.Millisecond
-	connResetDelay        = 5 * time.Second
+	connResetDelay        = 5 * time.Second // after a removal, until open connections are closed
 	minRemovalTime        = 3 * time.Second
 	maxRemovalTime        = time.Minute
-	removalDoublingWindow = 2 * time.Minute // a removal within this of the last doubles the pause
+	removalDoublingWindow = 2 * time.Minute // a removal within this time of the last one doubles removalTime
 )
 
-// Run probes the controllers until the context ends.
+// Run probes the readiness of all controllers until the context ends.
 func (u *Users) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, addr := range u.Nodes {
@@ -74,15 +76,17 @@
 	group.Wait()
 }
 
+// sleepContext blocks for d or until the context ends.
 func sleepContext(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
+// backend returns the state of the controller at an address. The caller holds the lock.
 func (u *Users) backend(addr string) *backend {
 	if u.backends == nil {
 		u.backends = make(map[string]*backend)
@@ -93,32 +97,34 @@
 	return u.backends[addr]
 }
 
-// recordProbe takes in what a probe has shown.
+// recordProbe updates a controller's state with the result of a probe. A controller is removed from
+// rotation when two probes in a row or three of the last six have failed, and added again when two in a
+// row have succeeded and removalTime has passed; the first time, one success is enough.
 func (u *Users) recordProbe(addr string, now time.Time, ok bool) {
 	u.mu.Lock()
-	m := u.backend(addr)
-	m.probes = append(m.probes, ok)
-	m.probes = m.probes[max(0, len(m.probes)-6):]
+	b := u.backend(addr)
+	b.probes = append(b.probes, ok)
+	b.probes = b.probes[max(0, len(b.probes)-6):]
 	failed := 0
-	for _, ok := range m.probes {
+	for _, ok := range b.probes {
 		if !ok {
 			failed++
 		}
 	}
-	two := slices.Clone(m.probes[max(0, len(m.probes)-2):])
+	lastTwo := slices.Clone(b.probes[max(0, len(b.probes)-2):])
 	switch {
-	case m.healthy && (failed >= 3 || len(two) == 2 && !two[0] && !two[1]):
-		m.removalTime = max(minRemovalTime, min(maxRemovalTime, 2*m.removalTime))
-		if now.Sub(m.removedAt) > removalDoublingWindow {
-			m.removalTime = minRemovalTime
+	case b.healthy && (failed >= 3 || len(lastTwo) == 2 && !lastTwo[0] && !lastTwo[1]):
+		b.removalTime = max(minRemovalTime, min(maxRemovalTime, 2*b.removalTime))
+		if now.Sub(b.removedAt) > removalDoublingWindow {
+			b.removalTime = minRemovalTime
 		}
-		m.healthy, m.removedAt = false, now
-	case !m.healthy && ok && (!m.wasHealthy || len(two) == 2 && two[0] && now.Sub(m.removedAt) >= m.removalTime):
-		m.healthy, m.wasHealthy, m.probes = true, true, nil
+		b.healthy, b.removedAt = false, now
+	case !b.healthy && ok && (!b.wasHealthy || len(lastTwo) == 2 && lastTwo[0] && now.Sub(b.removedAt) >= b.removalTime):
+		b.healthy, b.wasHealthy, b.probes = true, true, nil
 	}
 	var closed []*userConn
-	if !m.healthy && now.Sub(m.removedAt) >= connResetDelay {
-		closed = slices.Collect(maps.Keys(m.conns))
+	if !b.healthy && now.Sub(b.removedAt) >= connResetDelay {
+		closed = slices.Collect(maps.Keys(b.conns))
 	}
 	u.mu.Unlock()
 	for _, c := range closed {
@@ -126,14 +132,15 @@
 	}
 }
 
-// connect opens a connection to a healthy controller, of up to three.
+// connect opens a connection to a healthy controller. It tries up to three, those with the fewest
+// connections first.
 func (u *Users) connect(ctx context.Context, _ string) (net.Conn, error) {
 	u.mu.Lock()
-	nodes := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backend(addr).healthy })
-	slices.SortStableFunc(nodes, func(a, b string) int { return cmp.Compare(len(u.backends[a].conns), len(u.backends[b].conns)) })
+	healthy := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backend(addr).healthy })
+	slices.SortStableFunc(healthy, func(a, b string) int { return cmp.Compare(len(u.backends[a].conns), len(u.backends[b].conns)) })
 	u.mu.Unlock()
 	err := errors.New("no controller is healthy")
-	for _, addr := range nodes[:min(3, len(nodes))] {
+	for _, addr := range healthy[:min(3, len(healthy))] {
 		var conn net.Conn
 		call, cancel := context.WithTimeout(ctx, connectTimeout)
 		conn, err = u.Dial(call, addr)
@@ -155,7 +162,7 @@
 	return nil, err
 }
 
-// Follow polls a job until the context ends or the job is over.
+// Follow polls a job until the context ends or the job is reported as cancelled.
 func (u *Users) Follow(ctx context.Context, job string) {
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.connect}
 	u.Judge.Accepted(time.Now(), job)
@@ -163,19 +170,19 @@
 		call, cancel := context.WithTimeout(ctx, pollTimeout)
 		resp, err := caller.Call(call, "controllers", "GET", wire.PathJobs+"/"+job, nil)
 		cancel()
-		status, s := 0, wire.JobStatus{}
+		status, jobStatus := 0, wire.JobStatus{}
 		if err == nil {
 			status = resp.Status
-			_ = wire.Decode(resp.Body, &s)
+			_ = wire.Decode(resp.Body, &jobStatus)
 		}
 		switch {
 		case ctx.Err() != nil:
 			return
-		case status == 200 && s.Stage == wire.Cancelled:
+		case status == 200 && jobStatus.Stage == wire.Cancelled:
 			u.Judge.Cancelled(job)
 			return
 		}
-		u.Judge.ObservePoll(time.Now(), job, status, s.Stage)
+		u.Judge.ObservePoll(time.Now(), job, status, jobStatus.Stage)
 		sleepContext(ctx, pollInterval)
 	}
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -12,19 +12,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Worker imitates a machine with its agent: it sends heartbeats, runs tasks, and kills all of them
-// when its lease expires.
+// Worker simulates a machine and its agent. It sends heartbeats, runs tasks, and kills all of them when its
+// lease expires.
 type Worker struct {
 	id, addr, typ, zone      string
 	spot                     bool
 	spec                     wire.MachineType
 	net                      transport.Network
-	takeDown                 func() // takes the machine off the network
+	takeDown                 func() // disconnects the machine from the network
 	caller                   *transport.Caller
 	controllers              map[string]string // addresses by name
 	runtime                  *TaskRuntime
 	lease, heartbeatInterval time.Duration
-	callDelay                func() time.Duration // delay of each direct call, mostly 0
+	callDelay                func() time.Duration // delay of each direct call, 0 for none
 	runFactor, fetchFactor   float64              // multiples of the nominal run and fetch times
 	sharedFetchRate          bool                 // concurrent image fetches share the rate
 	replayer                 *HeartbeatReplayer
@@ -32,30 +32,30 @@
 	mu                  sync.Mutex
 	ctx                 context.Context
 	stop                context.CancelFunc
-	controller          string
+	controller          string // name of the controller that gets the next heartbeat
 	incarnation         uint64
-	seq                 uint64
-	token               uint64
-	lastAnswered        time.Time // when the last heartbeat that was answered had been sent
-	terminatesAt        time.Time // when the cloud takes the machine back; zero without a notice
-	pausedUntil         time.Time // the machine makes no progress until then
-	deferredActions     []func()  // what it does after the pause, in order
-	inboundFaults       int       // number of faults that lose everything sent to it
-	outboundFaults      int       // number of faults that keep it from reaching controllers
+	seq                 uint64    // sequence number of the last heartbeat of the incarnation
+	token               uint64    // highest fencing token seen
+	lastAnswered        time.Time // when the last answered heartbeat was sent
+	terminatesAt        time.Time // when the cloud will reclaim the machine; zero without a termination notice
+	pausedUntil         time.Time // when the machine's pause ends
+	deferredActions     []func()  // actions to run after the pause, in order
+	inboundFaults       int       // number of active DropInbound faults
+	outboundFaults      int       // number of active BlockOutbound faults
 	dialed              map[*dialedLink]bool
-	tasks               map[string]*runningTask
-	images              map[string]*cachedImage
-	fetchAccountedUntil time.Time // up to when fetched image data is accounted for
-	heartbeatRequested  chan struct{}
+	tasks               map[string]*runningTask // by task and attempt, as task#attempt
+	images              map[string]*cachedImage // by name
+	fetchAccountedUntil time.Time               // time up to which remainingGB of the images is accurate
+	heartbeatRequested  chan struct{}           // triggers a heartbeat before the interval has passed
 }
 
-// WorkerConfig describes a worker.
+// WorkerConfig is the configuration of a Worker.
 type WorkerConfig struct {
 	ID, Addr, Type, Zone     string
 	Spot                     bool
 	Spec                     wire.MachineType // the machine's resources
 	Net                      transport.Network
-	TakeDown                 func()            // takes the machine off the network when it ends
+	TakeDown                 func()            // disconnects the machine from the network when it is killed
 	Controllers              map[string]string // addresses by name
 	Runtime                  *TaskRuntime
 	Lease, HeartbeatInterval time.Duration
@@ -68,7 +68,7 @@
 // answerTimeout is how long a worker waits for the answer to a heartbeat.
 const answerTimeout = 4 * time.Second
 
-// NewWorker starts a worker.
+// NewWorker returns a worker and starts it.
 func NewWorker(c WorkerConfig) *Worker {
 	w := &Worker{id: c.ID, addr: c.Addr, typ: c.Type, zone: c.Zone, spot: c.Spot, spec: c.Spec, net: c.Net, takeDown: c.TakeDown, controllers: c.Controllers, runtime: c.Runtime,
 		lease: c.Lease, heartbeatInterval: c.HeartbeatInterval, callDelay: c.CallDelay, runFactor: cmp.Or(c.RunFactor, 1), fetchFactor: cmp.Or(c.FetchFactor, 1), sharedFetchRate: c.SharedFetchRate, replayer: c.Replayer, incarnation: 1, lastAnswered: time.Now(),
@@ -85,7 +85,7 @@
 	return w
 }
 
-// Notice announces that the cloud takes the machine back after a while.
+// Notice gives the machine notice that the cloud will reclaim it after a delay.
 func (w *Worker) Notice(in time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,15 +93,15 @@
 	w.requestHeartbeat()
 }
 
-// Pause pauses the machine for d: it sends and answers nothing, and its tasks make no progress.
-// They continue afterwards unless the lease has expired. The other members of a running gang
-// notice the pause unless it is short.
+// Pause pauses the machine for d: it sends and answers nothing, and its tasks make no progress. They
+// continue afterwards unless the lease has expired. The other members of a running gang exit if the pause
+// is not shorter than GangPeerTimeout.
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	longer := now.Add(d).Sub(latest(now, w.pausedUntil))
-	if longer <= 0 {
+	extension := now.Add(d).Sub(latest(now, w.pausedUntil))
+	if extension <= 0 {
 		return
 	}
 	w.accountFetched()
@@ -110,34 +110,34 @@
 	w.rescheduleFetches()
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		t := w.tasks[key]
-		t.pause(longer)
+		t.pause(extension)
 		if t.started && t.State != wire.TaskEnded && t.job.Shape == wire.Gang && t.job.Tasks > 1 {
-			w.runtime.pauseMember(gangKey{t.ID.Job, t.Attempt}, longer)
+			w.runtime.pauseMember(gangKey{t.ID.Job, t.Attempt}, extension)
 		}
 	}
 	time.AfterFunc(d, w.runDeferred)
 }
 
-// runDeferred executes what was deferred by a pause.
+// runDeferred runs the actions that a pause has deferred, until the machine is paused again.
 func (w *Worker) runDeferred() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for time.Until(w.pausedUntil) <= 0 && len(w.deferredActions) > 0 {
-		do := w.deferredActions[0]
+		action := w.deferredActions[0]
 		w.deferredActions = w.deferredActions[1:]
-		do()
+		action()
 	}
 }
 
-// whenResumed calls a function with the lock held, after the current pause if there is one.
-func (w *Worker) whenResumed(do func()) {
+// whenResumed calls a function with the lock held: at once, or after the current pause if there is one.
+func (w *Worker) whenResumed(action func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Until(w.pausedUntil) > 0 {
-		w.deferredActions = append(w.deferredActions, do)
+		w.deferredActions = append(w.deferredActions, action)
 		return
 	}
-	do()
+	action()
 }
 
 // waitWhilePaused blocks while the machine is paused.
@@ -156,30 +156,31 @@
 	}
 }
 
-// Reboot ends the machine with all its tasks and restarts it after a while under the same name and
-// address, as a new incarnation with an empty image cache. A forgetful machine has also lost its
-// fencing token.
-func (w *Worker) Reboot(back time.Duration, forgetful bool) {
+// Reboot terminates the machine with all its tasks and restarts it after downtime under the same name and
+// address, as a new incarnation with an empty image cache. With forgetToken it also loses its fencing
+// token.
+func (w *Worker) Reboot(downtime time.Duration, forgetToken bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.killTasks()
 	clear(w.images)
 	w.incarnation++
-	w.seq, w.terminatesAt, w.pausedUntil, w.deferredActions = 0, time.Time{}, time.Now().Add(back), nil
+	w.seq, w.terminatesAt, w.pausedUntil, w.deferredActions = 0, time.Time{}, time.Now().Add(downtime), nil
 	w.lastAnswered = w.pausedUntil
-	if forgetful {
+	if forgetToken {
 		w.token = 0
 	}
 }
 
-// ExpiredLeases returns how many leases of the worker have expired.
+// ExpiredLeases returns how many incarnations of the worker have ended, because their lease expired or the
+// machine was rebooted.
 func (w *Worker) ExpiredLeases() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return int(w.incarnation) - 1
 }
 
-// Kill ends the machine with everything on it.
+// Kill terminates the machine and everything that runs on it.
 func (w *Worker) Kill() {
 	w.stop()
 	w.takeDown()
@@ -188,7 +189,7 @@
 	w.killTasks()
 }
 
-// killTasks ends and forgets all tasks.
+// killTasks stops and removes all tasks.
 func (w *Worker) killTasks() {
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		if t := w.tasks[key]; t.State != wire.TaskEnded {
@@ -198,7 +199,7 @@
 	}
 }
 
-// heartbeat builds the next heartbeat.
+// heartbeat builds the next heartbeat. The caller holds the lock.
 func (w *Worker) heartbeat() wire.Heartbeat {
 	w.seq++
 	r := wire.Heartbeat{Machine: w.id, Addr: w.addr, Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.incarnation, Seq: w.seq, FencingToken: w.token,
@@ -213,7 +214,8 @@
 	return r
 }
 
-// expireLease starts a new incarnation if the lease has expired.
+// expireLease kills all tasks and starts a new incarnation if the lease has expired. The caller holds the
+// lock.
 func (w *Worker) expireLease() {
 	if time.Since(w.lastAnswered) > w.lease {
 		w.killTasks()
@@ -222,9 +224,8 @@
 	}
 }
 
-// watchLease ends the incarnation as soon as its lease expires, also while the machine is paused
-// or waits for an answer: tasks are gone at that time and not when the machine next becomes
-// active.
+// watchLease ends the incarnation as soon as its lease expires, even while the machine is paused or waits
+// for an answer: its tasks end at that time and not when the machine next becomes active.
 func (w *Worker) watchLease() {
 	for w.ctx.Err() == nil {
 		w.mu.Lock()
@@ -245,46 +246,48 @@
 		w.mu.Lock()
 		w.expireLease()
 		sent, incarnation := time.Now(), w.incarnation
-		body, node := wire.Encode(w.heartbeat()), w.controller
+		body, controller := wire.Encode(w.heartbeat()), w.controller
 		w.mu.Unlock()
 		ctx, cancel := context.WithTimeout(w.ctx, answerTimeout)
-		w.replayer.heartbeatSent(w.controllers[node], body, w.currentToken())
-		resp, err := w.caller.Call(ctx, w.controllers[node], "POST", wire.PathHeartbeat, body)
+		w.replayer.heartbeatSent(w.controllers[controller], body, w.currentToken())
+		resp, err := w.caller.Call(ctx, w.controllers[controller], "POST", wire.PathHeartbeat, body)
 		cancel()
 		w.waitWhilePaused()
-		if err == nil && time.Since(sent) > answerTimeout { // it came while the machine hung
+		if err == nil && time.Since(sent) > answerTimeout { // a pause has outlasted the timeout
 			err = context.DeadlineExceeded
 		}
-		wait, gap := w.heartbeatInterval, 500*time.Millisecond
+		interval, minDelay := w.heartbeatInterval, 500*time.Millisecond
 		w.mu.Lock()
-		var a wire.HeartbeatResponse
+		var answer wire.HeartbeatResponse
 		switch {
-		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &a) == nil:
-			if a.FencingToken >= w.token && incarnation == w.incarnation && w.ctx.Err() == nil {
-				w.adoptToken(a.FencingToken)
+		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &answer) == nil:
+			if answer.FencingToken >= w.token && incarnation == w.incarnation && w.ctx.Err() == nil {
+				w.adoptToken(answer.FencingToken)
 				w.lastAnswered = sent
-				w.replayer.leaderAnswered(w.controllers[node], a.FencingToken)
-				w.execute(a.Commands)
+				w.replayer.leaderAnswered(w.controllers[controller], answer.FencingToken)
+				w.execute(answer.Commands)
 			}
 		default:
-			var r wire.Redirect
+			var redirect wire.Redirect
 			if err == nil && resp.Status == 421 {
-				_ = wire.Decode(resp.Body, &r)
+				_ = wire.Decode(resp.Body, &redirect)
 			}
-			wait, gap = w.nextController(r.Leader), 0
+			interval, minDelay = w.nextController(redirect.Leader), 0
 		}
 		w.mu.Unlock()
 		select {
 		case <-w.ctx.Done():
 			return
-		case <-time.After(wait):
+		case <-time.After(interval):
 		case <-w.heartbeatRequested:
-			time.Sleep(gap)
+			time.Sleep(minDelay)
 		}
 	}
 }
 
-// nextController selects the controller for the next heartbeat and returns the delay before it.
+// nextController selects the controller for the next heartbeat and returns the delay until then. It selects
+// the given leader if that is another known controller, otherwise the next controller in the order of their
+// names. The caller holds the lock.
 func (w *Worker) nextController(leader string) time.Duration {
 	if w.controllers[leader] != "" && leader != w.controller {
 		w.controller = leader
@@ -302,7 +305,8 @@
 	return w.token
 }
 
-// adoptToken records a higher fencing token and reports soon.
+// adoptToken records a fencing token that is higher than those seen before and requests a heartbeat. The
+// caller holds the lock.
 func (w *Worker) adoptToken(token uint64) {
 	if token > w.token {
 		w.token = token
@@ -310,7 +314,7 @@
 	}
 }
 
-// requestHeartbeat triggers a heartbeat before the interval has passed.
+// requestHeartbeat triggers a heartbeat before the interval has passed. It does not block.
 func (w *Worker) requestHeartbeat() {
 	select {
 	case w.heartbeatRequested <- struct{}{}:
@@ -318,13 +322,13 @@
 	}
 }
 
-// serve answers direct calls, through the machine's possibly faulty link.
+// serve returns a handler for direct calls to the machine that is subject to DropInbound.
 func (w *Worker) serve() transport.ServeConn {
-	serve := w.handleRequests()
-	return func(ctx context.Context, s transport.Stream) { serve(ctx, &acceptedLink{s, link{worker: w}}) }
+	handle := w.handleRequests()
+	return func(ctx context.Context, s transport.Stream) { handle(ctx, &acceptedLink{s, link{worker: w}}) }
 }
 
-// handleRequests handles direct calls and inspections.
+// handleRequests returns a handler for direct calls with commands and for status requests.
 func (w *Worker) handleRequests() transport.ServeConn {
 	return serveHTTP(func(method, path string, _ map[string]string, body []byte) (int, any) {
 		w.waitWhilePaused()
@@ -334,47 +338,47 @@
 		if path == wire.PathStatus {
 			return 200, w.heartbeat()
 		}
-		var d wire.CommandRequest
-		if err := wire.Decode(body, &d); err != nil || w.ctx.Err() != nil {
+		var request wire.CommandRequest
+		if err := wire.Decode(body, &request); err != nil || w.ctx.Err() != nil {
 			return 400, nil
 		}
-		if held := w.callDelay(); held > 0 { // delivered late, when nobody waits for the answer
-			time.AfterFunc(held, func() {
+		if delay := w.callDelay(); delay > 0 { // executed late, and not answered
+			time.AfterFunc(delay, func() {
 				w.whenResumed(func() {
 					w.expireLease()
-					w.handleDirect(d)
+					w.handleDirect(request)
 				})
 			})
 			return 0, nil
 		}
-		return w.handleDirect(d), w.heartbeat()
+		return w.handleDirect(request), w.heartbeat()
 	})
 }
 
-// handleDirect executes a direct call unless its fencing token or incarnation is stale, and
-// returns the HTTP status.
-func (w *Worker) handleDirect(d wire.CommandRequest) int {
-	if d.FencingToken < w.token || d.Incarnation != w.incarnation || w.ctx.Err() != nil {
+// handleDirect executes the commands of a direct call and returns the HTTP status: 409 if the fencing token
+// or the incarnation of the call is stale. The caller holds the lock.
+func (w *Worker) handleDirect(request wire.CommandRequest) int {
+	if request.FencingToken < w.token || request.Incarnation != w.incarnation || w.ctx.Err() != nil {
 		return 409
 	}
-	w.adoptToken(d.FencingToken)
-	w.execute(d.Commands)
+	w.adoptToken(request.FencingToken)
+	w.execute(request.Commands)
 	return 200
 }
 
-// State returns the machine's state; ok is false while nothing can be started there.
-func (w *Worker) State() (p MachineState, ok bool) {
+// State returns the machine's free capacity and tasks. ok is false while no task can be started there.
+func (w *Worker) State() (state MachineState, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.spec
-	p = MachineState{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, FreeCPUs: s.CPUs, FreeGPUs: s.GPUs, FreeMemoryGB: s.MemoryGB, CacheGB: s.CacheGB}
+	spec := w.spec
+	state = MachineState{Machine: w.id, Type: w.typ, Zone: w.zone, Spot: w.spot, FreeCPUs: spec.CPUs, FreeGPUs: spec.GPUs, FreeMemoryGB: spec.MemoryGB, CacheGB: spec.CacheGB}
 	for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 		if t := w.tasks[key]; t.State != wire.TaskEnded {
-			p.Tasks = append(p.Tasks, t.ID)
+			state.Tasks = append(state.Tasks, t.ID)
 			if t.job != nil {
-				p.FreeCPUs, p.FreeGPUs, p.FreeMemoryGB = p.FreeCPUs-t.job.CPUs, p.FreeGPUs-t.job.GPUs, p.FreeMemoryGB-t.job.MemoryGB
+				state.FreeCPUs, state.FreeGPUs, state.FreeMemoryGB = state.FreeCPUs-t.job.CPUs, state.FreeGPUs-t.job.GPUs, state.FreeMemoryGB-t.job.MemoryGB
 			}
 		}
 	}
-	return p, w.ctx.Err() == nil && w.terminatesAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
+	return state, w.ctx.Err() == nil && w.terminatesAt.IsZero() && w.inboundFaults == 0 && w.outboundFaults == 0 && time.Until(w.pausedUntil) <= 0 && time.Since(w.lastAnswered) < w.lease
 }
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// runtimeHarness is a few machines without a controller, driven by the steps of a trace.
+// runtimeHarness is a set of machines without a controller that the steps of a trace control.
 type runtimeHarness struct {
 	t         *testing.T
 	net       *Network
@@ -26,86 +26,89 @@
 }
 
 func newRuntimeHarness(t *testing.T) *runtimeHarness {
-	b := &runtimeHarness{t: t, net: NewNetwork(), checker: NewChecker(time.Minute, nil), workers: map[string]*Worker{}, startedAt: time.Now()}
-	b.runtime = NewTaskRuntime(b.checker, 20*time.Second, 3*time.Second)
+	h := &runtimeHarness{t: t, net: NewNetwork(), checker: NewChecker(time.Minute, nil), workers: map[string]*Worker{}, startedAt: time.Now()}
+	h.runtime = NewTaskRuntime(h.checker, 20*time.Second, 3*time.Second)
 	t.Cleanup(func() {
-		for _, w := range b.workers {
+		for _, w := range h.workers {
 			w.Kill()
 		}
-		if b.serves != nil {
-			b.serves.cloud.Stop()
-			b.serves.stop()
+		if h.serves != nil {
+			h.serves.cloud.Stop()
+			h.serves.stop()
 		}
-		b.net.Close()
+		h.net.Close()
 	})
-	return b
+	return h
 }
 
-func (b *runtimeHarness) step(line string) []string {
-	w, kv := Words(line)
-	num := func(key string, otherwise float64) float64 {
-		if x, err := strconv.ParseFloat(kv[key], 64); err == nil {
-			return x
+// step executes a step of a trace and returns its output.
+func (h *runtimeHarness) step(line string) []string {
+	words, params := Words(line)
+	number := func(key string, fallback float64) float64 {
+		if value, err := strconv.ParseFloat(params[key], 64); err == nil {
+			return value
 		}
-		return otherwise
+		return fallback
 	}
-	switch w[0] {
+	switch words[0] {
 	case "job": // wk-1 gang tasks=2 run=30s
-		run, _ := time.ParseDuration(kv["run"])
-		b.checker.Submitted(&wire.Job{ID: w[1], Shape: wire.Shape(w[2]), Tasks: int(num("tasks", 1)), CPUs: num("cpus", 1), GPUs: num("gpus", 1), MemoryGB: 1,
-			Image: kv["image"], ImageGB: num("gb", 0), CheckpointS: num("checkpoint", 0), SaveS: num("save", 0)}, run)
+		run, _ := time.ParseDuration(params["run"])
+		h.checker.Submitted(&wire.Job{ID: words[1], Shape: wire.Shape(words[2]), Tasks: int(number("tasks", 1)), CPUs: number("cpus", 1), GPUs: number("gpus", 1), MemoryGB: 1,
+			Image: params["image"], ImageGB: number("gb", 0), CheckpointS: number("checkpoint", 0), SaveS: number("save", 0)}, run)
 	case "machine":
-		ip := "10.1.0." + strings.TrimPrefix(w[1], "n-")
-		b.workers[w[1]] = NewWorker(WorkerConfig{ID: w[1], Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: b.net.Host(ip), TakeDown: func() {}, Runtime: b.runtime,
-			Spec:  wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: num("cache", 20), FetchGBps: 1},
-			Lease: time.Duration(num("lease", 3600)) * time.Second, HeartbeatInterval: 3 * time.Second, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, SharedFetchRate: kv["shared"] != ""})
+		ip := "10.1.0." + strings.TrimPrefix(words[1], "n-")
+		h.workers[words[1]] = NewWorker(WorkerConfig{ID: words[1], Addr: Address(ip, 9000), Type: "g4", Zone: "a", Net: h.net.Host(ip), TakeDown: func() {}, Runtime: h.runtime,
+			Spec:  wire.MachineType{Name: "g4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: number("cache", 20), FetchGBps: 1},
+			Lease: time.Duration(number("lease", 3600)) * time.Second, HeartbeatInterval: 3 * time.Second, Controllers: map[string]string{"c-0": "10.0.0.1:8080"}, SharedFetchRate: params["shared"] != ""})
 	case "launch", "stop", "clear": // n-1 wk-1/0 try=1 grace=10
-		b.command(w, uint64(num("try", 1)), kv["grace"])
+		h.command(words, uint64(number("try", 1)), params["grace"])
 	case "kill":
-		b.workers[w[1]].Kill()
+		h.workers[words[1]].Kill()
 	case "wait":
-		d, _ := time.ParseDuration(w[1])
+		d, _ := time.ParseDuration(words[1])
 		time.Sleep(d)
 	case "call":
-		return b.serviceStep(w, kv)
+		return h.serviceStep(words, params)
 	case "saved":
-		id, _ := wire.ParseTaskID(w[1])
-		return []string{b.runtime.SavedProgress(id).String()}
+		id, _ := wire.ParseTaskID(words[1])
+		return []string{h.runtime.SavedProgress(id).String()}
 	case "images":
-		on := b.workers[w[1]]
-		on.mu.Lock()
-		defer on.mu.Unlock()
-		return []string{fmt.Sprint(slices.Sorted(maps.Keys(on.images)))}
+		worker := h.workers[words[1]]
+		worker.mu.Lock()
+		defer worker.mu.Unlock()
+		return []string{fmt.Sprint(slices.Sorted(maps.Keys(worker.images)))}
 	case "show":
 		synctest.Wait()
-		return b.machineStates()
+		return h.machineStates()
 	default:
-		b.t.Fatalf("no such step: %s", line)
+		h.t.Fatalf("no such step: %s", line)
 	}
 	return nil
 }
 
-func (b *runtimeHarness) command(w []string, try uint64, grace string) {
-	on := b.workers[w[1]]
-	var cmds []wire.Command
-	for _, task := range w[2:] {
-		c := wire.Command{Verb: wire.Verb(w[0]), Task: task, Attempt: try}
+// command has a machine execute a verb, the first of words, for the tasks that follow the machine's name.
+func (h *runtimeHarness) command(words []string, attempt uint64, grace string) {
+	worker := h.workers[words[1]]
+	var commands []wire.Command
+	for _, task := range words[2:] {
+		command := wire.Command{Verb: wire.Verb(words[0]), Task: task, Attempt: attempt}
 		if g, err := strconv.ParseFloat(grace, 64); err == nil {
-			c.GraceS = &g
+			command.GraceS = &g
 		}
-		cmds = append(cmds, c)
+		commands = append(commands, command)
 	}
-	on.mu.Lock()
-	defer on.mu.Unlock()
-	on.expireLease()
-	on.execute(cmds)
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.expireLease()
+	worker.execute(commands)
 }
 
-func (b *runtimeHarness) machineStates() (out []string) {
-	for _, name := range slices.Sorted(maps.Keys(b.workers)) {
-		w := b.workers[name]
+// machineStates describes the tasks of each machine, and any violations.
+func (h *runtimeHarness) machineStates() (out []string) {
+	for _, name := range slices.Sorted(maps.Keys(h.workers)) {
+		w := h.workers[name]
 		w.mu.Lock()
-		line := fmt.Sprintf("%v %s session %d:", time.Since(b.startedAt), name, w.incarnation)
+		line := fmt.Sprintf("%v %s session %d:", time.Since(h.startedAt), name, w.incarnation)
 		for _, key := range slices.Sorted(maps.Keys(w.tasks)) {
 			t := w.tasks[key]
 			line += fmt.Sprintf(" %s=%s", key, t.State)
@@ -119,10 +122,11 @@
 		w.mu.Unlock()
 		out = append(out, line)
 	}
-	return append(out, b.checker.Violations()...)
+	return append(out, h.checker.Violations()...)
 }
 
-// TestTraces plays the clauses of the protocol about workers.
+// TestTraces runs the traces in testdata, which show what the protocol says about workers, the state service
+// and the cloud.
 func TestTraces(t *testing.T) {
 	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeHarness(t).step })
 }
