--- a/internal/simulator/checker_counts.go
+++ b/internal/simulator/checker_counts.go
@@ -74,7 +74,7 @@
 func (c *Checker) WatchMachines(ctx context.Context, cloud *Cloud) {
 	for ctx.Err() == nil {
 		sleepContext(ctx, sampleInterval)
-		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsQuiet(now) {
+		if now := time.Now(); ctx.Err() == nil && c.Starvation.IsFaultFree(now) {
 			c.sampleMachines(now, cloud)
 		}
 	}
--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -25,7 +25,7 @@
 	keepShare            float64 // share of heartbeats whose copies are kept for the next leader
 	delivered            int     // number of delivered copies
 	deliveredToNewLeader int     // number of those that were kept for a new leader
-	latestToken          uint64  // fencing token of the last leader that acted
+	token                uint64  // fencing token of the last leader that acted
 	kept                 []keptHeartbeat
 }
 
@@ -54,10 +54,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if token <= r.latestToken {
+	if token <= r.token {
 		return
 	}
-	r.latestToken = token
+	r.token = token
 	var remaining []keptHeartbeat
 	for _, k := range r.kept {
 		if k.token >= token {
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -38,7 +38,7 @@
 	incarnation *Incarnation
 	ctx         context.Context
 	serve       transport.ServeConn
-	maxConns    int // limit on open connections, 0 for none
+	conns       int // limit on open connections, 0 for none
 	openConns   *int
 	reject      transport.Rejecter
 }
@@ -238,7 +238,7 @@
 	n.mu.Lock()
 	l, listening := n.listeners[addr]
 	unreachable := n.partitioned(h.name, to) || n.dropped[[2]string{h.name, to}] || n.dropped[[2]string{to, h.name}]
-	refused := listening && l.maxConns > 0 && *l.openConns >= l.maxConns || n.refuseInbound[to] && h.name != to || n.refuseOutbound[h.name]
+	refused := listening && l.conns > 0 && *l.openConns >= l.conns || n.refuseInbound[to] && h.name != to || n.refuseOutbound[h.name]
 	n.mu.Unlock()
 	if unreachable {
 		<-ctx.Done()
--- a/internal/simulator/pause_test.go
+++ b/internal/simulator/pause_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// pauseHarness is two machines with tasks of every shape, one of which the test pauses.
+// pauseHarness is two machines with tasks of several kinds; the test pauses one of them.
 type pauseHarness struct {
 	ctx           context.Context
 	stop          context.CancelFunc
--- a/internal/simulator/service_test.go
+++ b/internal/simulator/service_test.go
@@ -21,10 +21,10 @@
 	stop   context.CancelFunc
 }
 
-// startServices starts the services on the first call, and returns them.
-func (h *runtimeHarness) startServices() *externalServices {
-	if h.serves != nil {
-		return h.serves
+// externalServices starts the services on the first call, and returns them.
+func (h *runtimeHarness) externalServices() *externalServices {
+	if h.services != nil {
+		return h.services
 	}
 	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}}
 	s.store.Limits = StateLimits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, RetainedChanges: 4}
@@ -36,7 +36,7 @@
 	go h.net.Host("10.2.0.1").Listen(ctx, "10.2.0.1:2379", 0, s.store.Serve())
 	go h.net.Host("10.2.0.2").Listen(ctx, "10.2.0.2:8443", 0, s.cloud.Serve())
 	synctest.Wait()
-	h.serves = s
+	h.services = s
 	return s
 }
 
@@ -72,7 +72,7 @@
 
 // serviceStep executes a step that calls the state service or the cloud, or injects a fault there.
 func (h *runtimeHarness) serviceStep(words []string, params map[string]string) []string {
-	s := h.startServices()
+	s := h.externalServices()
 	n, _ := strconv.Atoi(params["n"])
 	switch words[1] {
 	case "txn", "get", "list", "grant", "touch", "end", "watch":
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -84,8 +84,8 @@
 	c.faultFreeSince, c.waitingJobs = since, nil
 }
 
-// IsQuiet reports whether no fault is active at the given time.
-func (c *StarvationChecker) IsQuiet(now time.Time) bool {
+// IsFaultFree reports whether no fault is active at the given time.
+func (c *StarvationChecker) IsFaultFree(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.faultFreeSince.IsZero() && !now.Before(c.faultFreeSince)
--- a/internal/simulator/starvation_test.go
+++ b/internal/simulator/starvation_test.go
@@ -8,7 +8,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// starvationJob returns a job of team red, changed by change unless that is nil.
+// starvationJob returns a job of team red whose tasks need a quarter of the GPUs of a g4 machine each,
+// changed by change unless that is nil.
 func starvationJob(shape wire.Shape, tasks int, change func(*wire.Job)) *wire.Job {
 	job := &wire.Job{ID: "wk-1", Team: "red", Shape: shape, Priority: wire.Low, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 8, ImageGB: 5}
 	if change != nil {
@@ -29,7 +30,7 @@
 	placed      map[int]string
 	usedGPUs    float64 // of the 6 GPUs in the team's limit
 	interrupted bool    // in one sample no machine has capacity
-	turnSamples int     // if set, after how many samples the other machine has capacity in turn
+	turnSamples int     // if set, both machines have capacity in turn, each for that many samples
 	want        string  // "idle" for a violation, "partly" for a partially starved job, "" for neither
 }
 
@@ -77,7 +78,7 @@
 		for elapsed := time.Duration(0); elapsed <= 123*time.Second; elapsed += 3 * time.Second {
 			machines := test.machines
 			if sample := int(elapsed / (3 * time.Second)); test.turnSamples > 0 && sample%test.turnSamples > 6 || test.turnSamples > 0 && test.turnSamples < 6 {
-				machines = machines[sample/test.turnSamples%2:][:1] // otherwise both machines have capacity
+				machines = machines[sample/test.turnSamples%2:][:1] // in the first 7 samples of a long turn both machines have capacity
 			}
 			if test.interrupted && elapsed == time.Minute {
 				machines = machines[:0]
--- a/internal/simulator/state_txn.go
+++ b/internal/simulator/state_txn.go
@@ -159,6 +159,7 @@
 	return sizeOf(v)
 }
 
+// sizeOf returns the size of a decoded CBOR value as JSON, with its separators.
 func sizeOf(v any) (n int, err error) {
 	add := func(v any) {
 		size, e := sizeOf(v)
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -27,15 +27,15 @@
 	{"breed", isString, false}, {"keeper", isString, false}, {"comb", isString, false},
 	{"shape", isOneOf("sweep", "gang", "service"), false}, {"rank", isOneOf("production", "high", "normal", "low"), false},
 	{"cells", func(v any) bool {
-		n, valid := toNumber(v)
-		return valid && n >= 1 && n <= wire.MaxTasks && n == math.Trunc(n)
+		n, ok := toNumber(v)
+		return ok && n >= 1 && n <= wire.MaxTasks && n == math.Trunc(n)
 	}, false},
 	{"vcpus", isNonNegative, false}, {"accelerators", isNonNegative, false}, {"mem_gb", isNonNegative, false}, {"image_gb", isNonNegative, false},
 	{"expect_s", isNonNegative, false}, {"capping_s", isNonNegative, false}, {"seal_s", isNonNegative, false},
 	{"one_zone", isBool, false}, {"spread", isBool, false}, {"borrowed", isBool, false},
 	{"frames", func(v any) bool {
-		list, valid := v.([]any)
-		return valid && !slices.ContainsFunc(list, func(v any) bool { return !isString(v) })
+		list, ok := v.([]any)
+		return ok && !slices.ContainsFunc(list, func(v any) bool { return !isString(v) })
 	}, true},
 	{"apiary", isString, true}, {"due_s", isNonNegative, true},
 }
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 )
 
-var update = flag.Bool("update", false, "rewrite the traces with the output of this run")
+var update = flag.Bool("update", false, "write what the traces now give")
 
 // Traces runs every trace in testdata and compares the output of its steps with the kept one. newRunner
 // returns the function that executes one step and returns its output. With -update the traces are
@@ -18,8 +18,8 @@
 	forEachTrace(t, func(t *testing.T, file string) { runTrace(t, file, newRunner(t)) })
 }
 
-// ClockTraces is Traces with a fake clock.
-func ClockTraces(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
+// RunTracesWithFakeClock is Traces with a fake clock.
+func RunTracesWithFakeClock(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
 	forEachTrace(t, func(t *testing.T, file string) {
 		synctest.Test(t, func(t *testing.T) { runTrace(t, file, newRunner(t)) })
 	})
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// backend returns the state of the controller at an address. The caller holds the lock.
-func (u *Users) backend(addr string) *backend {
+// backendAt returns the state of the controller at an address. The caller holds the lock.
+func (u *Users) backendAt(addr string) *backend {
 	if u.backends == nil {
 		u.backends = make(map[string]*backend)
 	}
@@ -102,7 +102,7 @@
 // row have succeeded and removalTime has passed; the first time, one success is enough.
 func (u *Users) recordProbe(addr string, now time.Time, ok bool) {
 	u.mu.Lock()
-	b := u.backend(addr)
+	b := u.backendAt(addr)
 	b.probes = append(b.probes, ok)
 	b.probes = b.probes[max(0, len(b.probes)-6):]
 	failed := 0
@@ -136,7 +136,7 @@
 // connections first.
 func (u *Users) connect(ctx context.Context, _ string) (net.Conn, error) {
 	u.mu.Lock()
-	healthy := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backend(addr).healthy })
+	healthy := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backendAt(addr).healthy })
 	slices.SortStableFunc(healthy, func(a, b string) int { return cmp.Compare(len(u.backends[a].conns), len(u.backends[b].conns)) })
 	u.mu.Unlock()
 	err := errors.New("no controller is healthy")
@@ -152,10 +152,10 @@
 		c.onClose = func() {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			delete(u.backend(addr).conns, c)
+			delete(u.backendAt(addr).conns, c)
 		}
 		u.mu.Lock()
-		u.backend(addr).conns[c] = true
+		u.backendAt(addr).conns[c] = true
 		u.mu.Unlock()
 		return c, nil
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -324,8 +324,8 @@
 
 // serve returns a handler for direct calls to the machine that is subject to DropInbound.
 func (w *Worker) serve() transport.ServeConn {
-	handle := w.handleRequests()
-	return func(ctx context.Context, s transport.Stream) { handle(ctx, &acceptedLink{s, link{worker: w}}) }
+	serve := w.handleRequests()
+	return func(ctx context.Context, s transport.Stream) { serve(ctx, &acceptedLink{s, link{worker: w}}) }
 }
 
 // handleRequests returns a handler for direct calls with commands and for status requests.
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -22,7 +22,7 @@
 	workers   map[string]*Worker
 	startedAt time.Time
 
-	serves *externalServices
+	services *externalServices
 }
 
 func newRuntimeHarness(t *testing.T) *runtimeHarness {
@@ -32,9 +32,9 @@
 		for _, w := range h.workers {
 			w.Kill()
 		}
-		if h.serves != nil {
-			h.serves.cloud.Stop()
-			h.serves.stop()
+		if h.services != nil {
+			h.services.cloud.Stop()
+			h.services.stop()
 		}
 		h.net.Close()
 	})
@@ -91,11 +91,11 @@
 	worker := h.workers[words[1]]
 	var commands []wire.Command
 	for _, task := range words[2:] {
-		command := wire.Command{Verb: wire.Verb(words[0]), Task: task, Attempt: attempt}
+		cmd := wire.Command{Verb: wire.Verb(words[0]), Task: task, Attempt: attempt}
 		if g, err := strconv.ParseFloat(grace, 64); err == nil {
-			command.GraceS = &g
+			cmd.GraceS = &g
 		}
-		commands = append(commands, command)
+		commands = append(commands, cmd)
 	}
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -128,5 +128,5 @@
 // TestTraces runs the traces in testdata, which show what the protocol says about workers, the state service
 // and the cloud.
 func TestTraces(t *testing.T) {
-	ClockTraces(t, func(t *testing.T) func(string) []string { return newRuntimeHarness(t).step })
+	RunTracesWithFakeClock(t, func(t *testing.T) func(string) []string { return newRuntimeHarness(t).step })
 }
