--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -14,12 +14,12 @@
 // answers users get, without knowledge of the controllers' state. It is the Fixture of a
 // simulation's machines.
 type Checker struct {
-	CancelWithin time.Duration      // time after its cancellation by which a job must have no running task
+	CancelWithin time.Duration      // time after which a cancelled job must have no running task
 	GPULimits    map[string]float64 // by team; 0 or absent for no limit
-	Liveness     LivenessChecker    // accepted jobs that the controllers no longer know
+	Liveness     LivenessChecker    // accepted jobs that are forgotten
 	Submissions  SubmissionRules    // expected answers to submissions, if set
 	Launches     LaunchChecker      // launches after the user was told that the job is cancelled
-	Starvation   StarvationChecker  // jobs that wait while capacity is free
+	Starvation   StarvationChecker  // jobs that wait although capacity for them is free
 
 	mu               sync.Mutex
 	submitted        map[string]*wire.Job
