--- a/internal/simtest/late_launch_test.go
+++ b/internal/simtest/late_launch_test.go
@@ -51,17 +51,17 @@
 // callRecorder keeps the direct calls by which each task was launched, to send copies of them later.
 type callRecorder struct {
 	*simulation
-	caller    *transport.Caller
-	shardings *shardingSettings
-	mu        sync.Mutex
-	calls     map[wire.TaskID][][]byte
-	answered  int // copies that a machine answered
-	executed  int // copies of these that it executed
+	caller         *transport.Caller
+	shardings      *shardingSettings
+	mu             sync.Mutex
+	callsByTask    map[wire.TaskID][][]byte
+	copiesAnswered int // copies that a machine answered
+	copiesExecuted int // copies of these that it executed
 }
 
 // recordCalls starts to record the direct calls of a simulation.
 func recordCalls(w *simulation) *callRecorder {
-	r := &callRecorder{simulation: w, caller: &transport.Caller{MaxBody: 8 << 20, Dial: w.net.Host(copySender).Dial}, calls: map[wire.TaskID][][]byte{}}
+	r := &callRecorder{simulation: w, caller: &transport.Caller{MaxBody: 8 << 20, Dial: w.net.Host(copySender).Dial}, callsByTask: map[wire.TaskID][][]byte{}}
 	w.net.Observe(func(from string, message []byte) {
 		w.checker.Launches.InspectMessage(time.Now(), from, message)
 		if from != copySender {
@@ -82,16 +82,16 @@
 	defer r.mu.Unlock()
 	for _, command := range call.Commands {
 		if id, err := wire.ParseTaskID(command.Task); err == nil && command.Verb == wire.Launch {
-			r.calls[id] = append(r.calls[id], slices.Clone(body))
+			r.callsByTask[id] = append(r.callsByTask[id], slices.Clone(body))
 		}
 	}
 }
 
-// of returns the calls that launched a task.
-func (r *callRecorder) of(task wire.TaskID) [][]byte {
+// launchCalls returns the calls that launched a task.
+func (r *callRecorder) launchCalls(task wire.TaskID) [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.calls[task])
+	return slices.Clone(r.callsByTask[task])
 }
 
 // machineOf returns the machine that a task was on last, if that is up.
@@ -113,7 +113,7 @@
 	if !up {
 		return
 	}
-	calls := r.of(task)
+	calls := r.launchCalls(task)
 	for _, call := range calls {
 		ctx, cancel := context.WithTimeout(r.ctx, sec)
 		resp, err := r.caller.Call(ctx, simulator.Address(m.host, 9000), "POST", wire.PathCommands, call)
@@ -121,16 +121,16 @@
 		if err != nil {
 			continue
 		}
-		r.answered++
+		r.copiesAnswered++
 		if resp.Status == 200 {
-			r.executed++
+			r.copiesExecuted++
 		}
 	}
-	log(len(calls), "copies of the launch of", task, "sent; so far answered:", r.answered, "executed:", r.executed)
+	log(len(calls), "copies of the launch of", task, "sent; so far answered:", r.copiesAnswered, "executed:", r.copiesExecuted)
 }
 
-// sendCopies delivers copies, none of which may put the task on its machine again.
-func (r *callRecorder) sendCopies(task wire.TaskID) {
+// verifyCopiesIgnored delivers copies, none of which may put the task on its machine again.
+func (r *callRecorder) verifyCopiesIgnored(task wire.TaskID) {
 	r.deliverCopies(task)
 	m, up := r.machineOf(task)
 	if !up {
@@ -141,9 +141,9 @@
 	}
 }
 
-// sendLateCopies delivers copies that come later than what the leader remembers, and checks that they
+// verifyCopiesRestart delivers copies that come later than what the leader remembers, and checks that they
 // start the task again: where they don't any more, the design can say so.
-func (r *callRecorder) sendLateCopies(task wire.TaskID) {
+func (r *callRecorder) verifyCopiesRestart(task wire.TaskID) {
 	before := r.tasks.startsOf(task)
 	r.deliverCopies(task)
 	if r.tasks.startsOf(task) == before {
@@ -151,8 +151,8 @@
 	}
 }
 
-// lists reports whether the machine that a task was on lists the task.
-func (r *callRecorder) lists(task wire.TaskID) bool {
+// isListed reports whether the machine that a task was on lists the task.
+func (r *callRecorder) isListed(task wire.TaskID) bool {
 	m, up := r.machineOf(task)
 	if !up {
 		return false
@@ -167,16 +167,16 @@
 	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.ReportedTask) bool { return t.Task == task.String() })
 }
 
-// awaitClear waits until the machine that a task was on does not list the task any more, for some
+// awaitCleared waits until the machine that a task was on does not list the task any more, for some
 // time at most.
-func (r *callRecorder) awaitClear(task wire.TaskID, patience time.Duration) {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline) && r.lists(task); {
+func (r *callRecorder) awaitCleared(task wire.TaskID, patience time.Duration) {
+	for deadline := time.Now().Add(patience); time.Now().Before(deadline) && r.isListed(task); {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// waitUntil waits until something holds, and fails the test if that takes too long.
-func (w *simulation) waitUntil(what string, patience time.Duration, holds func() bool) {
+// requireEventually waits until something holds, and fails the test if that takes too long.
+func (w *simulation) requireEventually(what string, patience time.Duration, holds func() bool) {
 	for deadline := time.Now().Add(patience); !holds(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			w.t.Errorf("after %v: not %s", patience, what)
@@ -185,19 +185,19 @@
 	}
 }
 
-// lateLaunchDay is a day on which the first job has ended, wholly or in part, when copies of the
+// lateLaunchScenario is a day on which the first job has ended, wholly or in part, when copies of the
 // calls that launched its tasks arrive.
-type lateLaunchDay struct {
-	name     string
-	sharding string
-	setUp    func(w *simulation) // the jobs: wk-1 is the one of which copies arrive
-	settings func(w *simulation) // of the stand-ins
-	ended    []int               // the tasks of wk-1 that end and must not start again
-	copies   func(r *callRecorder, tasks []wire.TaskID)
-	// byHeartbeats: some of the tasks are launched by the responses to heartbeats, without a call.
-	byHeartbeats bool
+type lateLaunchScenario struct {
+	name       string
+	sharding   string
+	setUp      func(w *simulation) // the jobs: wk-1 is the one of which copies arrive
+	configure  func(w *simulation) // of the stand-ins
+	endedTasks []int               // the tasks of wk-1 that end and must not start again
+	sendCopies func(r *callRecorder, tasks []wire.TaskID)
+	// launchedByHeartbeat: some of the tasks are launched by the responses to heartbeats, without a call.
+	launchedByHeartbeat bool
 	// refused: the machine may have the next token before any copy comes, and refuses all.
-	refused bool
+	copiesRefused bool
 	// startsAgain: the copies come later than any window can be. Each task starts once more.
 	startsAgain bool
 }
@@ -205,8 +205,8 @@
 // lateLaunchSeed seeds the days.
 const lateLaunchSeed = 71
 
-// first is the first task of the job whose tasks must not start again.
-var first = wire.TaskID{Job: "wk-1"}
+// lateLaunchFirstTask is the first task of the job whose tasks must not start again.
+var lateLaunchFirstTask = wire.TaskID{Job: "wk-1"}
 
 // teamAtLimit submits a job of that many tasks that are done after 5 s, and enough other work of its
 // team, in the other zone, for the team to be exactly at its limit of six GPUs afterwards.
@@ -220,112 +220,112 @@
 // inZone has a job run in one zone.
 func inZone(zone string) func(*wire.Job) { return func(j *wire.Job) { j.Zone = zone } }
 
-// atLimit waits until the team runs as much again as its limit allows.
-func atLimit(r *callRecorder) {
-	r.waitUntil("at the limit", time.Minute, func() bool { return r.checker.Running("wk-2") == 6 })
+// awaitTeamAtLimit waits until the team runs as much again as its limit allows.
+func awaitTeamAtLimit(r *callRecorder) {
+	r.requireEventually("at the limit", time.Minute, func() bool { return r.checker.Running("wk-2") == 6 })
 }
 
-// afterClear sends copies as soon as the machine has forgotten the tasks, and once more a second
+// sendCopiesAfterClear sends copies as soon as the machine has forgotten the tasks, and once more a second
 // later. A machine that remembers them gets the copies after some seconds.
-func afterClear(r *callRecorder, tasks []wire.TaskID) {
+func sendCopiesAfterClear(r *callRecorder, tasks []wire.TaskID) {
 	for _, task := range tasks {
-		r.awaitClear(task, 10*sec)
+		r.awaitCleared(task, 10*sec)
 	}
 	for range 2 {
 		for _, task := range tasks {
-			r.sendCopies(task)
+			r.verifyCopiesIgnored(task)
 		}
 		time.Sleep(sec)
 	}
 }
 
-// later sends copies some time after the tasks have ended.
-func later(after time.Duration) func(r *callRecorder, tasks []wire.TaskID) {
+// sendCopiesAfter sends copies some time after the tasks have ended.
+func sendCopiesAfter(after time.Duration) func(r *callRecorder, tasks []wire.TaskID) {
 	return func(r *callRecorder, tasks []wire.TaskID) {
 		time.Sleep(after)
 		for _, task := range tasks {
-			r.sendCopies(task)
+			r.verifyCopiesIgnored(task)
 		}
 	}
 }
 
-// during20s sends copies again and again from the end of the tasks on.
-func during20s(r *callRecorder, tasks []wire.TaskID) {
+// sendCopiesFor20s sends copies again and again from the end of the tasks on.
+func sendCopiesFor20s(r *callRecorder, tasks []wire.TaskID) {
 	for end := time.Now().Add(20 * sec); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, task := range tasks {
-			r.sendCopies(task)
+			r.verifyCopiesIgnored(task)
 		}
 	}
 }
 
-var lateLaunchDays = []lateLaunchDay{
-	{name: "its team is at its limit", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
-		atLimit(r)
-		afterClear(r, tasks)
+var lateLaunchScenarios = []lateLaunchScenario{
+	{name: "its team is at its limit", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
+		awaitTeamAtLimit(r)
+		sendCopiesAfterClear(r, tasks)
 	}},
-	{name: "its team is at its limit, shards by zone", sharding: "zone", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
-		atLimit(r)
-		afterClear(r, tasks)
+	{name: "its team is at its limit, shards by zone", sharding: "zone", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
+		awaitTeamAtLimit(r)
+		sendCopiesAfterClear(r, tasks)
 	}},
-	{name: "its team is at its limit, a minute later", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: later(time.Minute)},
-	{name: "its team is at its limit, at the end of the window", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: later(175 * sec)},
-	{name: "its job is compacted", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
-		r.waitUntil("compacted", time.Minute, func() bool { k := r.account().Kinds["history"]; return k != nil && k.Jobs > 0 })
-		afterClear(r, tasks)
+	{name: "its team is at its limit, a minute later", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: sendCopiesAfter(time.Minute)},
+	{name: "its team is at its limit, at the end of the window", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: sendCopiesAfter(175 * sec)},
+	{name: "its job is compacted", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
+		r.requireEventually("compacted", time.Minute, func() bool { k := r.account().Kinds["history"]; return k != nil && k.Jobs > 0 })
+		sendCopiesAfterClear(r, tasks)
 	}},
 	{name: "its job is cancelled", setUp: func(w *simulation) {
 		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 2, 5*sec), 6*sec, 30*sec, 5*sec, 10*time.Minute)
 		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
-	}, ended: []int{0}, copies: later(80 * sec)},
-	{name: "a gang", setUp: teamAtLimit(wire.Gang, 2), ended: []int{0, 1}, copies: func(r *callRecorder, tasks []wire.TaskID) {
-		atLimit(r)
-		afterClear(r, tasks[:1])
+	}, endedTasks: []int{0}, sendCopies: sendCopiesAfter(80 * sec)},
+	{name: "a gang", setUp: teamAtLimit(wire.Gang, 2), endedTasks: []int{0, 1}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
+		awaitTeamAtLimit(r)
+		sendCopiesAfterClear(r, tasks[:1])
 	}},
 	{name: "replicas of a cancelled service", setUp: func(w *simulation) {
 		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Service, 2, 0, spread), 6*sec, 30*sec, forever)
 		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
-	}, ended: []int{0, 1}, copies: later(80 * sec)},
-	{name: "the leader ends at the same moment", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
+	}, endedTasks: []int{0, 1}, sendCopies: sendCopiesAfter(80 * sec)},
+	{name: "the leader ends at the same moment", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		r.crash(r.leaderOf("fleet"), 300*time.Millisecond, 0)
-		during20s(r, tasks)
+		sendCopiesFor20s(r, tasks)
 	}},
-	{name: "the leader ends, and the machine hears of the next late", refused: true, setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
+	{name: "the leader ends, and the machine hears of the next late", copiesRefused: true, setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		m, _ := r.machineOf(tasks[0])
 		r.crash(r.leaderOf("fleet"), 300*time.Millisecond, 0)
 		loseInbound(6*sec, m)
-		during20s(r, tasks)
+		sendCopiesFor20s(r, tasks)
 	}},
-	lostAnswerDay(),
+	lostReplyScenario(),
 	{name: "its machine has lost the image since", setUp: func(w *simulation) {
 		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec, wholeMachine, withImage("img-a")), 6*sec, 0, 5*sec)
 		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Array, 1, 5*sec, wholeMachine, withImage("img-b")), 12*sec, 0, 5*sec)
-	}, settings: oneMachine, ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
-		r.waitUntil("done", 2*time.Minute, func() bool { return r.checker.Finished("wk-2") })
-		afterClear(r, tasks)
+	}, configure: limitToOneMachine, endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
+		r.requireEventually("done", 2*time.Minute, func() bool { return r.checker.Finished("wk-2") })
+		sendCopiesAfterClear(r, tasks)
 	}},
 	{name: "more short tasks than a machine remembers", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, manyTasks, sec), 6*sec, 0, sec)
+		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, shortTaskCount, sec), 6*sec, 0, sec)
 		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, forever)
-	}, settings: oneMachine, ended: upTo(manyTasks), byHeartbeats: true, copies: later(10 * sec)},
-	{name: "its machine moves to another shard", setUp: teamAtLimit(wire.Array, 1), ended: []int{0}, copies: func(r *callRecorder, tasks []wire.TaskID) {
+	}, configure: limitToOneMachine, endedTasks: taskIndexes(shortTaskCount), launchedByHeartbeat: true, sendCopies: sendCopiesAfter(10 * sec)},
+	{name: "its machine moves to another shard", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		r.crashIntoSharding(r.shardings, "zone", rand.New(rand.NewPCG(lateLaunchSeed, 1)))
-		during20s(r, tasks)
+		sendCopiesFor20s(r, tasks)
 	}},
 	{name: "later than the window", setUp: func(w *simulation) {
 		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec), 6*sec, 0, 5*sec)
 		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, forever)
-	}, ended: []int{0}, startsAgain: true, copies: func(r *callRecorder, tasks []wire.TaskID) {
+	}, endedTasks: []int{0}, startsAgain: true, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		time.Sleep(3 * time.Minute)
-		r.awaitClear(tasks[0], 10*sec)
+		r.awaitCleared(tasks[0], 10*sec)
 		time.Sleep(3 * sec) // the leader has seen it cleared
-		r.sendLateCopies(tasks[0])
-		later(3*sec)(r, tasks) // the first copy is known by then
+		r.verifyCopiesRestart(tasks[0])
+		sendCopiesAfter(3*sec)(r, tasks) // the first copy is known by then
 	}},
 }
 
-// lostAnswerDay is a day on which machines answer no direct call, and execute each a moment later, until
+// lostReplyScenario is a day on which machines answer no direct call, and execute each a moment later, until
 // the task has ended.
-func lostAnswerDay() lateLaunchDay {
+func lostReplyScenario() lateLaunchScenario {
 	var answers atomic.Bool
 	delay := func() time.Duration {
 		if answers.Load() {
@@ -333,28 +333,28 @@
 		}
 		return 200 * time.Millisecond
 	}
-	return lateLaunchDay{name: "the answer to its call was lost", setUp: teamAtLimit(wire.Array, 1), ended: []int{0},
-		settings: func(w *simulation) { w.reconfigureMachines(2*sec, delay) },
-		copies: func(r *callRecorder, tasks []wire.TaskID) {
+	return lateLaunchScenario{name: "the answer to its call was lost", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0},
+		configure: func(w *simulation) { w.reconfigureMachines(2*sec, delay) },
+		sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 			answers.Store(true)
-			atLimit(r)
-			afterClear(r, tasks)
+			awaitTeamAtLimit(r)
+			sendCopiesAfterClear(r, tasks)
 		}}
 }
 
-// manyTasks are more tasks than attempts that a machine's list keeps for the sake of late copies.
-const manyTasks = 150
+// shortTaskCount are more tasks than attempts that a machine's list keeps for the sake of late copies.
+const shortTaskCount = 150
 
-// upTo lists the numbers from 0 to n-1.
-func upTo(n int) (out []int) {
+// taskIndexes lists the numbers from 0 to n-1.
+func taskIndexes(n int) (out []int) {
 	for i := range n {
 		out = append(out, i)
 	}
 	return out
 }
 
-// oneMachine leaves one machine to rent.
-func oneMachine(w *simulation) {
+// limitToOneMachine leaves one machine to rent.
+func limitToOneMachine(w *simulation) {
 	w.cloud.SetFaults(func(*simulator.CloudFaults) {
 		w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 1}
 	})
@@ -368,34 +368,34 @@
 	return func(j *wire.Job) { j.Image, j.ImageGB = name, 30 }
 }
 
-// play simulates the day. No task that has ended may start again.
-func (d lateLaunchDay) play(t *testing.T) {
+// run simulates the day. No task that has ended may start again.
+func (d lateLaunchScenario) run(t *testing.T) {
 	shardings := &shardingSettings{initial: d.sharding}
 	w := newSimulation(t, lateLaunchSeed, 0, func(c *config.Config) {
 		c.Tuning.Shards.By, c.Tuning.Idle = shardings.of(c.Name), time.Hour
 	})
 	r := recordCalls(w)
 	r.shardings = shardings
-	if d.settings != nil {
-		d.settings(w)
+	if d.configure != nil {
+		d.configure(w)
 	}
 	d.setUp(w)
 	var tasks []wire.TaskID
-	for _, i := range d.ended {
-		tasks = append(tasks, wire.TaskID{Job: first.Job, Index: i})
+	for _, i := range d.endedTasks {
+		tasks = append(tasks, wire.TaskID{Job: lateLaunchFirstTask.Job, Index: i})
 	}
 	for _, task := range tasks {
-		w.waitUntil(fmt.Sprint(task, " over"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
+		w.requireEventually(fmt.Sprint(task, " over"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
 	}
 	for _, task := range tasks {
-		if len(r.of(task)) == 0 && !d.byHeartbeats {
+		if len(r.launchCalls(task)) == 0 && !d.launchedByHeartbeat {
 			t.Errorf("%v was launched by no direct call", task)
 		}
 	}
 	log("copies arrive")
-	d.copies(r, tasks)
-	if r.answered == 0 || r.executed == 0 && !d.refused {
-		t.Errorf("%d copies were answered and %d executed: nothing is shown", r.answered, r.executed)
+	d.sendCopies(r, tasks)
+	if r.copiesAnswered == 0 || r.copiesExecuted == 0 && !d.copiesRefused {
+		t.Errorf("%d copies were answered and %d executed: nothing is shown", r.copiesAnswered, r.copiesExecuted)
 	}
 	want := 1
 	if d.startsAgain {
@@ -412,13 +412,13 @@
 // TestLateLaunchOfEndedTask simulates such days. AMBERDEAL_LATELAUNCH plays only the day with that
 // number.
 func TestLateLaunchOfEndedTask(t *testing.T) {
-	for i, d := range lateLaunchDays {
+	for i, d := range lateLaunchScenarios {
 		if only := os.Getenv("AMBERDEAL_LATELAUNCH"); only != "" && only != fmt.Sprint(i) {
 			continue
 		}
 		if d.sharding == "" {
 			d.sharding = "off"
 		}
-		t.Run(d.name, func(t *testing.T) { synctest.Test(t, d.play) })
+		t.Run(d.name, func(t *testing.T) { synctest.Test(t, d.run) })
 	}
 }
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -23,26 +23,26 @@
 
 // replyLoss is how the answer to a committed write is lost, and what its sender meets afterwards.
 type replyLoss struct {
-	name        string
-	answer      int           // noReply or connClosed
-	copies      int           // status that repeats of the write get for a while, 0 for that of the service
-	cut, outage time.Duration // how long the sender alone (cut) or everybody is refused
-	crash       bool          // the sender crashes and restarts soon
+	name                  string
+	reply                 int           // noReply or connClosed
+	repeatStatus          int           // status that repeats of the write get for a while, 0 for that of the service
+	senderRefused, outage time.Duration // how long the sender alone (cut) or everybody is refused
+	crashSender           bool          // the sender crashes and restarts soon
 }
 
 var replyLosses = []replyLoss{
-	{name: "closed at once", answer: connClosed},
-	{name: "silence", answer: noReply},
-	{name: "the sender crashes", answer: noReply, crash: true},
-	{name: "repeats get 503", answer: connClosed, copies: 503},
-	{name: "the sender alone is refused", answer: connClosed, cut: 12 * time.Second},
-	{name: "repeats get 429", answer: noReply, copies: 429},
-	{name: "an outage for longer than cancel_s", answer: connClosed, outage: 50 * time.Second},
+	{name: "closed at once", reply: connClosed},
+	{name: "silence", reply: noReply},
+	{name: "the sender crashes", reply: noReply, crashSender: true},
+	{name: "repeats get 503", reply: connClosed, repeatStatus: 503},
+	{name: "the sender alone is refused", reply: connClosed, senderRefused: 12 * time.Second},
+	{name: "repeats get 429", reply: noReply, repeatStatus: 429},
+	{name: "an outage for longer than cancel_s", reply: connClosed, outage: 50 * time.Second},
 }
 
-// maxAnswers is how often a write is answered that its sender keeps repeating: one answer
+// maxReplies is how often a write is answered that its sender keeps repeating: one answer
 // suffices, unless it comes too late.
-const maxAnswers = 3
+const maxReplies = 3
 
 // replyLossProxy is a proxy between controllers and the state service. It loses the answers to
 // some committed writes, and shows nothing of them to their sender until another controller has
@@ -53,8 +53,8 @@
 	seed            int
 	writes          map[string]*trackedWrite // by sender and body
 	unknownToSender []*trackedWrite          // writes whose sender does not know their result yet
-	cut             map[string]time.Time
-	outageBegan     time.Time // when the last outage began
+	refusedUntil    map[string]time.Time
+	lastOutageStart time.Time // when the last outage began
 	observed        map[string]*observedJob
 	tallies         map[string]replyLossTally
 }
@@ -62,35 +62,35 @@
 // trackedWrite is a write with all its copies.
 type trackedWrite struct {
 	kind, sender string
-	at           time.Time
+	sentAt       time.Time
 	loss         *replyLoss // nil if it was answered
 	revision     uint64
-	read         bool // by another controller, before its sender knew the result
-	answers      int  // number of final answers to copies of it
+	readByOther  bool // by another controller, before its sender knew the result
+	finalReplies int  // number of final answers to copies of it
 }
 
 // replyLossTally counts the writes of a kind whose answer was lost.
 type replyLossTally struct {
-	lost, read int
-	by         map[string]int // by kind of loss
+	lost, readByOther int
+	byLoss            map[string]int // by kind of loss
 }
 
 // observedJob is what any user was answered about a job, and since when.
 type observedJob struct {
-	stage        wire.Stage // the final one
-	known, final time.Time
+	finalStage             wire.Stage // the final one
+	knownSince, finalSince time.Time
 }
 
 // newReplyLossProxy returns a proxy that loses the answers to a share of the writes.
 func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
 	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
-		cut: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
+		refusedUntil: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
 	a.serveInstead = a.serve
 	return a
 }
 
-// isUnreadable reports whether writes of a kind change nothing that controllers read.
-func isUnreadable(kind string) bool { return kind == "new lease" || kind == "renewal" }
+// isInvisibleToReaders reports whether writes of a kind change nothing that controllers read.
+func isInvisibleToReaders(kind string) bool { return kind == "new lease" || kind == "renewal" }
 
 // serve handles a request of a controller.
 func (a *replyLossProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
@@ -102,7 +102,7 @@
 		status, answer := a.forward(ctx, caller, method, target, body)
 		var page wire.WatchResponse // a list has its revision too
 		if status == 200 && wire.Decode(answer, &page) == nil {
-			a.noteRead(from, page.Revision)
+			a.recordRead(from, page.Revision)
 		}
 		if a.isRefused(from) {
 			return 503, nil
@@ -110,26 +110,26 @@
 		return status, answer
 	}
 	id := from + " " + target + " " + string(body)
-	s := a.originalOf(id)
+	s := a.findWrite(id)
 	if s != nil && s.loss != nil {
 		a.awaitRead(s)
-		if s.loss.copies != 0 && time.Since(s.at) < copyFaultTime {
-			return s.loss.copies, nil
+		if s.loss.repeatStatus != 0 && time.Since(s.sentAt) < copyFaultTime {
+			return s.loss.repeatStatus, nil
 		}
 	}
 	status, answer := a.forward(ctx, caller, method, target, body)
-	return a.noteAnswer(id, kind, from, body, status), answer
+	return a.decideReply(id, kind, from, body, status), answer
 }
 
 // isRefused reports whether a controller is refused at present.
 func (a *replyLossProxy) isRefused(from string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.cut[from])
+	return time.Now().Before(a.refusedUntil[from])
 }
 
-// originalOf returns the write that is repeated, or nil.
-func (a *replyLossProxy) originalOf(id string) *trackedWrite {
+// findWrite returns the write that is repeated, or nil.
+func (a *replyLossProxy) findWrite(id string) *trackedWrite {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.writes[id]
@@ -139,7 +139,7 @@
 func (a *replyLossProxy) awaitRead(s *trackedWrite) {
 	for begun := time.Now(); time.Since(begun) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
-		read := s.read || isUnreadable(s.kind)
+		read := s.readByOther || isInvisibleToReaders(s.kind)
 		a.mu.Unlock()
 		if read {
 			return
@@ -147,8 +147,8 @@
 	}
 }
 
-// noteRead is called before a controller is shown everything up to a revision.
-func (a *replyLossProxy) noteRead(from string, revision uint64) {
+// recordRead is called before a controller is shown everything up to a revision.
+func (a *replyLossProxy) recordRead(from string, revision uint64) {
 	a.mu.Lock()
 	var own []*trackedWrite
 	a.unknownToSender = slices.DeleteFunc(a.unknownToSender, func(s *trackedWrite) bool {
@@ -159,18 +159,18 @@
 			own = append(own, s)
 			return false
 		}
-		s.read = true
+		s.readByOther = true
 		return false
 	})
 	a.mu.Unlock()
 	for _, s := range own {
 		a.awaitRead(s)
-		a.noteKnown(s)
+		a.recordResultKnown(s)
 	}
 }
 
-// noteKnown is called when the sender learns the result of a write.
-func (a *replyLossProxy) noteKnown(s *trackedWrite) {
+// recordResultKnown is called when the sender learns the result of a write.
+func (a *replyLossProxy) recordResultKnown(s *trackedWrite) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	i := slices.Index(a.unknownToSender, s)
@@ -178,15 +178,15 @@
 		return
 	}
 	a.unknownToSender = slices.Delete(a.unknownToSender, i, i+1)
-	if s.read {
+	if s.readByOther {
 		n := a.tallies[s.kind]
-		n.read++
+		n.readByOther++
 		a.tallies[s.kind] = n
 	}
 }
 
-// noteAnswer decides what the sender of a write gets whose answer has arrived from the service.
-func (a *replyLossProxy) noteAnswer(id, kind, from string, body []byte, status int) int {
+// decideReply decides what the sender of a write gets whose answer has arrived from the service.
+func (a *replyLossProxy) decideReply(id, kind, from string, body []byte, status int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.writes[id]
@@ -196,14 +196,14 @@
 			a.t.Errorf("%s: %s was taken twice", from, kind)
 		}
 		if answered := status == 200 || status == 409; answered {
-			if s.answers++; s.answers > maxAnswers {
-				a.t.Errorf("%s: %s of %v is answered %d times", from, kind, s.at, s.answers)
+			if s.finalReplies++; s.finalReplies > maxReplies {
+				a.t.Errorf("%s: %s of %v is answered %d times", from, kind, s.sentAt, s.finalReplies)
 			}
 		}
-		go a.noteKnown(s)
+		go a.recordResultKnown(s)
 		return status
 	}
-	s = &trackedWrite{kind: kind, sender: from, at: time.Now()}
+	s = &trackedWrite{kind: kind, sender: from, sentAt: time.Now()}
 	if !lease && status != 0 {
 		a.writes[id] = s
 	}
@@ -220,10 +220,10 @@
 		s.loss = &replyLosses[a.rng.IntN(len(replyLosses)-1)]
 	}
 	if s.loss != nil && s.loss.outage > 0 {
-		if time.Since(a.outageBegan) < 4*time.Minute { // or nobody could answer anything for too long
+		if time.Since(a.lastOutageStart) < 4*time.Minute { // or nobody could answer anything for too long
 			s.loss = &replyLosses[a.rng.IntN(2)]
 		} else {
-			a.outageBegan = time.Now()
+			a.lastOutageStart = time.Now()
 		}
 	}
 	if s.loss == nil {
@@ -231,29 +231,29 @@
 	}
 	a.unknownToSender = append(a.unknownToSender, s)
 	t := a.tallies[kind]
-	if t.by == nil {
-		t.by = map[string]int{}
+	if t.byLoss == nil {
+		t.byLoss = map[string]int{}
 	}
 	t.lost++
-	t.by[s.loss.name]++
+	t.byLoss[s.loss.name]++
 	a.tallies[kind] = t
 	if os.Getenv("SIM_LOG") != "" {
 		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== taken, no answer:", kind, "of", from, "revision", s.revision, s.loss.name)
 	}
 	a.applyConsequences(s, body)
-	return s.loss.answer
+	return s.loss.reply
 }
 
 // applyConsequences injects what follows from a loss, and has users poll the jobs that were
 // written.
 func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
-	if s.loss.cut > 0 {
-		a.cut[s.sender] = time.Now().Add(s.loss.cut)
+	if s.loss.senderRefused > 0 {
+		a.refusedUntil[s.sender] = time.Now().Add(s.loss.senderRefused)
 	}
 	if s.loss.outage > 0 {
 		during(s.loss.outage, a.sim.store.SetOutage)
 	}
-	if s.loss.crash {
+	if s.loss.crashSender {
 		back := restartDelay(a.rng)
 		go a.sim.crash(int(s.sender[2]-'0'), back, 0)
 	}
@@ -267,16 +267,16 @@
 		for id := range batch.Jobs {
 			for _, d := range []time.Duration{0, 5, 50, 300, 1000, 3000, 10_000} {
 				for i := range a.sim.count {
-					a.sim.pollGroup.Go(func() { a.pollLater(id, i, d*time.Millisecond) })
+					a.sim.pollGroup.Go(func() { a.pollAfter(id, i, d*time.Millisecond) })
 				}
 			}
 		}
 	}
 }
 
-// pollLater has a user poll a job at a controller after a while. No answer may be older than one
+// pollAfter has a user poll a job at a controller after a while. No answer may be older than one
 // that any controller gave before the poll was sent.
-func (a *replyLossProxy) pollLater(id string, node int, after time.Duration) {
+func (a *replyLossProxy) pollAfter(id string, node int, after time.Duration) {
 	ctx, cancel := context.WithTimeout(a.sim.ctx, after+2*time.Second)
 	defer cancel()
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
@@ -296,27 +296,27 @@
 	}
 	switch {
 	case resp.Status == 404:
-		if !t.known.IsZero() && t.known.Before(asked) {
-			a.t.Errorf("%s was known at %v; c-%d is asked at %v and does not know it", id, t.known, node, asked)
+		if !t.knownSince.IsZero() && t.knownSince.Before(asked) {
+			a.t.Errorf("%s was known at %v; c-%d is asked at %v and does not know it", id, t.knownSince, node, asked)
 		}
 		return
-	case !t.final.IsZero() && t.stage != st.Stage && (t.final.Before(asked) || st.Stage.Final()):
-		a.t.Errorf("%s was %s at %v; c-%d is asked at %v and calls it %s", id, t.stage, t.final, node, asked, st.Stage)
+	case !t.finalSince.IsZero() && t.finalStage != st.Stage && (t.finalSince.Before(asked) || st.Stage.Final()):
+		a.t.Errorf("%s was %s at %v; c-%d is asked at %v and calls it %s", id, t.finalStage, t.finalSince, node, asked, st.Stage)
 	}
-	if t.known.IsZero() {
-		t.known = time.Now()
+	if t.knownSince.IsZero() {
+		t.knownSince = time.Now()
 	}
-	if t.final.IsZero() && st.Stage.Final() {
-		t.stage, t.final = st.Stage, time.Now()
+	if t.finalSince.IsZero() && st.Stage.Final() {
+		t.finalStage, t.finalSince = st.Stage, time.Now()
 		if st.Stage == wire.Cancelled {
 			a.sim.checker.ObserveAnswer(id, 200, st.Stage, true) // its tasks must be gone in time from now on
 		}
 	}
 }
 
-// playReplyLossDay simulates a day on which writes of each kind are committed while their senders
+// runReplyLossScenario simulates a day on which writes of each kind are committed while their senders
 // learn nothing.
-func playReplyLossDay(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
+func runReplyLossScenario(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
 	playAllWritesDay(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
 		a = newReplyLossProxy(w, seed, share)
 		return a.delayProxy
@@ -336,27 +336,27 @@
 		if seed >= 2 {
 			share = []float64{0.02, 0.05, 0.1}[seed%3]
 		}
-		a := playReplyLossDay(t, seed, share)
+		a := runReplyLossScenario(t, seed, share)
 		mu.Lock()
 		defer mu.Unlock()
 		for kind, n := range a.tallies {
 			sum := all[kind]
-			sum.lost, sum.read = sum.lost+n.lost, sum.read+n.read
-			if sum.by == nil {
-				sum.by = map[string]int{}
+			sum.lost, sum.readByOther = sum.lost+n.lost, sum.readByOther+n.readByOther
+			if sum.byLoss == nil {
+				sum.byLoss = map[string]int{}
 			}
-			for how, k := range n.by {
-				sum.by[how] += k
+			for how, k := range n.byLoss {
+				sum.byLoss[how] += k
 			}
 			all[kind] = sum
 		}
 	})
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
-		t.Logf("%s: %d taken without an answer, %d of them read by another before the sender knew; %v", kind, all[kind].lost, all[kind].read, all[kind].by)
+		t.Logf("%s: %d taken without an answer, %d of them read by another before the sender knew; %v", kind, all[kind].lost, all[kind].readByOther, all[kind].byLoss)
 	}
 	for _, kind := range append(slices.Clone(leaseKinds), kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
-		if n := all[kind]; os.Getenv("AMBERDEAL_ATONCE") == "" && (n.lost == 0 || n.read == 0 && !isUnreadable(kind)) {
-			t.Errorf("%q: %d were taken without an answer, and %d read by another before the sender knew", kind, n.lost, n.read)
+		if n := all[kind]; os.Getenv("AMBERDEAL_ATONCE") == "" && (n.lost == 0 || n.readByOther == 0 && !isInvisibleToReaders(kind)) {
+			t.Errorf("%q: %d were taken without an answer, and %d read by another before the sender knew", kind, n.lost, n.readByOther)
 		}
 	}
 }
@@ -408,20 +408,20 @@
 			j := &wire.Job{ID: fmt.Sprint("wk-", 2+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}
 			w.checker.Submitted(j, 5*time.Second)
 			l.mu.Lock()
-			l.job = j.ID
+			l.currentJob = j.ID
 			l.mu.Unlock()
 			if status := l.call(0, wire.PathJobs, wire.Encode(j)); status != 201 {
 				t.Errorf("%s is answered %d", j.ID, status)
 			}
 			time.Sleep(15 * time.Second)
 		}
-		for id, n := range l.copies {
+		for id, n := range l.roundCopies {
 			if n != 2 {
 				t.Errorf("the round that launches %s was sent %d times, not twice", id, n)
 			}
 		}
-		if _, after := w.checker.Counts(); len(l.copies) != 4 || after != before {
-			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(l.copies), after-before)
+		if _, after := w.checker.Counts(); len(l.roundCopies) != 4 || after != before {
+			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(l.roundCopies), after-before)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
@@ -435,17 +435,17 @@
 	sim    *simulation
 	caller *transport.Caller // of the user
 
-	mu           sync.Mutex
-	job          string               // the present one
-	copies       map[string]int       // sent of the round that launches each job
-	rounds       map[string]string    // the body of that round
-	readsRefused map[string]time.Time // by controller, until when
+	mu                sync.Mutex
+	currentJob        string               // the present one
+	roundCopies       map[string]int       // sent of the round that launches each job
+	roundBodies       map[string]string    // the body of that round
+	readsRefusedUntil map[string]time.Time // by controller, until when
 }
 
 func newUnknownLaunchProxy(w *simulation) *unknownLaunchProxy {
 	l := &unknownLaunchProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", 92, 0), sim: w,
-		caller: &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial},
-		job:    "none", copies: map[string]int{}, rounds: map[string]string{}, readsRefused: map[string]time.Time{}}
+		caller:     &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial},
+		currentJob: "none", roundCopies: map[string]int{}, roundBodies: map[string]string{}, readsRefusedUntil: map[string]time.Time{}}
 	l.serveInstead = l.serveRound
 	return l
 }
@@ -462,13 +462,13 @@
 // serveRound handles a controller's request.
 func (l *unknownLaunchProxy) serveRound(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 	l.mu.Lock()
-	id, n := l.job, 0
-	if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (l.copies[id] == 0 || l.rounds[id] == string(body)) {
-		l.rounds[id] = string(body)
-		l.copies[id]++
-		n = l.copies[id]
+	id, n := l.currentJob, 0
+	if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (l.roundCopies[id] == 0 || l.roundBodies[id] == string(body)) {
+		l.roundBodies[id] = string(body)
+		l.roundCopies[id]++
+		n = l.roundCopies[id]
 	}
-	refused := method == "GET" && time.Now().Before(l.readsRefused[from])
+	refused := method == "GET" && time.Now().Before(l.readsRefusedUntil[from])
 	l.mu.Unlock()
 	if refused {
 		return 503, nil
@@ -484,7 +484,7 @@
 	}
 	if n == 2 && id == "wk-2" {
 		l.mu.Lock()
-		l.readsRefused[from] = time.Now().Add(4 * time.Second)
+		l.readsRefusedUntil[from] = time.Now().Add(4 * time.Second)
 		l.mu.Unlock()
 	}
 	return status, answer
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -66,17 +66,17 @@
 	return b
 }
 
-// allCases reports whether all cases are requested, and not a few.
-func allCases(variable string) bool { return os.Getenv(variable) != "" }
+// allCasesRequested reports whether all cases are requested, and not a few.
+func allCasesRequested(variable string) bool { return os.Getenv(variable) != "" }
 
 // withSharding divides the fleet by zones, or not.
 func withSharding(by string) func(*config.Config) {
 	return func(c *config.Config) { c.Tuning.Shards.By, c.Tuning.Idle = by, time.Hour }
 }
 
-// outboundBlockLengths are around the heartbeat interval, the answer timeout, and a worker's
+// outboundBlockDurations are around the heartbeat interval, the answer timeout, and a worker's
 // lease.
-var outboundBlockLengths = []time.Duration{3 * sec, 8 * sec, 12 * sec, 19 * sec, 21 * sec, 26 * sec, 60 * sec, 100 * sec}
+var outboundBlockDurations = []time.Duration{3 * sec, 8 * sec, 12 * sec, 19 * sec, 21 * sec, 26 * sec, 60 * sec, 100 * sec}
 
 // outboundBlockGrace is how long after its last heartbeat tasks may still be started on a machine
 // that only answers calls: a heartbeat may be lost for other reasons.
@@ -88,73 +88,73 @@
 // be lost the same way. When their heartbeats arrive again their capacity has to be used. The
 // leader ends meanwhile, or does not.
 func TestOutboundBlockedMachines(t *testing.T) {
-	for n, d := range outboundBlockLengths {
+	for n, d := range outboundBlockDurations {
 		for k, ends := range []time.Duration{-1, 0, 2 * sec, 15 * sec} { // when the leader does
-			if !allCases("AMBERDEAL_NEWMACHINES") && (k != (n+1)%4 || n%2 == 0 && n != 4) {
+			if !allCasesRequested("AMBERDEAL_NEWMACHINES") && (k != (n+1)%4 || n%2 == 0 && n != 4) {
 				continue
 			}
 			by, count := []string{"off", "zone"}[(n/2+k)%2], []int{3, 5}[(n+k/2)%2]
 			t.Run(fmt.Sprint("for ", d, ", the leader ends after ", ends, ", parts ", by, ", ", count), func(t *testing.T) {
-				playOutboundBlockDay(t, uint64(10*n+k), d, ends, by, count)
+				runOutboundBlockScenario(t, uint64(10*n+k), d, ends, by, count)
 			})
 		}
 	}
 }
 
-// playOutboundBlockDay simulates such a day.
-func playOutboundBlockDay(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
-	o := &outboundBlockDay{seed: seed, length: d, ends: ends, blocked: map[string]upMachine{}}
+// runOutboundBlockScenario simulates such a day.
+func runOutboundBlockScenario(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
+	o := &outboundBlockScenario{seed: seed, duration: d, leaderEndsAfter: ends, blocked: map[string]upMachine{}}
 	script{seed: seed, count: count, settings: withSharding(by), setUp: o.setUp, steps: []step{
-		{50 * sec, "a long job", func(*simulation) { o.long.untilAnswered(o.long.submit) }},
-		{65 * sec, "half of the machines can only be called", o.block},
-		{66500 * time.Millisecond, "a cancellation", func(*simulation) { o.long.untilAnswered(o.long.cancel) }},
+		{50 * sec, "a long job", func(*simulation) { o.longJob.untilAnswered(o.longJob.submit) }},
+		{65 * sec, "half of the machines can only be called", o.startBlock},
+		{66500 * time.Millisecond, "a cancellation", func(*simulation) { o.longJob.untilAnswered(o.longJob.cancel) }},
 		{70 * sec, "which has stopped all", func(w *simulation) {
 			if n := w.checker.Running("wk-3"); n > 0 {
 				w.t.Errorf("%d tasks of a cancelled job go on", n)
 			}
 		}},
-		{65*sec + d, "they are heard again", o.unblocked},
-		{71*sec + d, "a gang for all of them", o.gangForAll},
+		{65*sec + d, "they are heard again", o.checkAfterBlock},
+		{71*sec + d, "a gang for all of them", o.checkGangUsesAllMachines},
 	}, verify: o.verify}.run(t)
 }
 
-// outboundBlockDay is a day on which half of the machines open no connection for a while.
-type outboundBlockDay struct {
-	seed          uint64
-	length, ends  time.Duration // of the fault, and when the leader ends after its start; negative for not
-	boots         *bootObserver
-	long          *client
-	token         uint64
-	blocked       map[string]upMachine
-	machines      int // before the fault
-	replicas      int // that ran then
-	tasks         int // of the long job, that ran then
-	begun, over   time.Time
-	leaderElected chan time.Time
+// outboundBlockScenario is a day on which half of the machines open no connection for a while.
+type outboundBlockScenario struct {
+	seed                      uint64
+	duration, leaderEndsAfter time.Duration // of the fault, and when the leader ends after its start; negative for not
+	boots                     *bootObserver
+	longJob                   *client
+	tokenBefore               uint64
+	blocked                   map[string]upMachine
+	machinesBefore            int // before the fault
+	replicasBefore            int // that ran then
+	tasksBefore               int // of the long job, that ran then
+	startedAt, endedAt        time.Time
+	leaderElected             chan time.Time
 }
 
-func (o *outboundBlockDay) setUp(w *simulation) {
+func (o *outboundBlockScenario) setUp(w *simulation) {
 	o.boots, o.leaderElected = w.observeBoots(2*sec), make(chan time.Time, 1)
 	w.submitter(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // has eight machines rented
-	w.submitter(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.length+3*time.Minute, forever)
-	o.long = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(o.seed, "wk-3"), 10*time.Minute)
+	w.submitter(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.duration+3*time.Minute, forever)
+	o.longJob = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(o.seed, "wk-3"), 10*time.Minute)
 	w.submitter(o.seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
 }
 
-// block starts the fault, and ends the leader if that is due.
-func (o *outboundBlockDay) block(w *simulation) {
-	o.replicas, o.tasks, o.begun, o.token = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
+// startBlock starts the fault, and ends the leader if that is due.
+func (o *outboundBlockScenario) startBlock(w *simulation) {
+	o.replicasBefore, o.tasksBefore, o.startedAt, o.tokenBefore = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
 	for i, m := range w.runningMachines() {
-		if o.machines++; i%2 == 0 || i < 2 {
+		if o.machinesBefore++; i%2 == 0 || i < 2 {
 			o.blocked[m.id] = m
-			during(o.length, func(on bool) { w.net.RefuseOutbound(m.host, on) })
+			during(o.duration, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 		}
 	}
-	if o.ends >= 0 {
+	if o.leaderEndsAfter >= 0 {
 		w.group.Go(func() {
-			time.Sleep(o.ends)
+			time.Sleep(o.leaderEndsAfter)
 			w.crash(w.anyLeader(), 400*time.Millisecond, 0)
-			for w.token() == o.token {
+			for w.token() == o.tokenBefore {
 				time.Sleep(50 * time.Millisecond)
 			}
 			o.leaderElected <- time.Now()
@@ -162,41 +162,41 @@
 	}
 }
 
-// unblocked checks, at the end of the fault, that it had an effect and that replicas run elsewhere.
-func (o *outboundBlockDay) unblocked(w *simulation) {
-	o.over = time.Now()
-	if n := w.checker.Running("wk-2"); o.length > workerLease+10*sec && n < 4 {
+// checkAfterBlock checks, at the end of the fault, that it had an effect and that replicas run elsewhere.
+func (o *outboundBlockScenario) checkAfterBlock(w *simulation) {
+	o.endedAt = time.Now()
+	if n := w.checker.Running("wk-2"); o.duration > workerLease+10*sec && n < 4 {
 		w.t.Errorf("%d of 4 replicas run", n)
 	}
 	lost := 0
 	for _, m := range o.blocked {
 		lost += m.ExpiredLeases()
 	}
-	if o.machines < 6 || len(o.blocked) < 3 || o.replicas != 4 || o.tasks != 8 || o.length > workerLease && lost < len(o.blocked) {
-		w.t.Errorf("%d machines, %d of them were called only, %d leases ran out, %d replicas and %d tasks ran", o.machines, len(o.blocked), lost, o.replicas, o.tasks)
+	if o.machinesBefore < 6 || len(o.blocked) < 3 || o.replicasBefore != 4 || o.tasksBefore != 8 || o.duration > workerLease && lost < len(o.blocked) {
+		w.t.Errorf("%d machines, %d of them were called only, %d leases ran out, %d replicas and %d tasks ran", o.machinesBefore, len(o.blocked), lost, o.replicasBefore, o.tasksBefore)
 	}
 }
 
-// gangForAll checks that the capacity of all machines is used again.
-func (o *outboundBlockDay) gangForAll(w *simulation) {
+// checkGangUsesAllMachines checks that the capacity of all machines is used again.
+func (o *outboundBlockScenario) checkGangUsesAllMachines(w *simulation) {
 	w.submitter(o.seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
-	for w.checker.Running("wk-5") < 10 && time.Since(o.over) < 2*time.Minute {
+	for w.checker.Running("wk-5") < 10 && time.Since(o.endedAt) < 2*time.Minute {
 		time.Sleep(sec)
 	}
-	if late := time.Since(o.over); late > 60*sec {
+	if late := time.Since(o.endedAt); late > 60*sec {
 		w.t.Errorf("a gang has begun %v after all troubles", late)
 	}
 }
 
 // verify checks that nothing was started on machines that could only be called. A new leader has
 // outboundBlockGrace to learn that, too.
-func (o *outboundBlockDay) verify(w *simulation) {
-	anew := o.begun
-	if o.ends >= 0 {
+func (o *outboundBlockScenario) verify(w *simulation) {
+	anew := o.startedAt
+	if o.leaderEndsAfter >= 0 {
 		anew = <-o.leaderElected
 	}
 	if n := o.boots.countStarts(func(s observedStart) bool {
-		return o.blocked[s.machine].Worker != nil && s.at.After(o.begun.Add(outboundBlockGrace)) && s.at.Before(o.over) && (s.at.Before(anew) || s.at.After(anew.Add(outboundBlockGrace)))
+		return o.blocked[s.machine].Worker != nil && s.at.After(o.startedAt.Add(outboundBlockGrace)) && s.at.Before(o.endedAt) && (s.at.Before(anew) || s.at.After(anew.Add(outboundBlockGrace)))
 	}); n > 0 {
 		w.t.Errorf("%d tasks were started on machines that can only be called", n)
 	}
@@ -232,45 +232,45 @@
 	for n, at := range leaderEndOffsets {
 		for k, x := range newMachineFaults {
 			for f, fate := range []simulator.Fate{simulator.FateAnswered, simulator.FateReplyLost, simulator.FateDelayed} {
-				if !allCases("AMBERDEAL_NEWMACHINES") && (k != n%len(newMachineFaults) || f != (n+n/3)%3) {
+				if !allCasesRequested("AMBERDEAL_NEWMACHINES") && (k != n%len(newMachineFaults) || f != (n+n/3)%3) {
 					continue
 				}
 				by, count, late := []string{"off", "zone"}[(n+f)%2], []int{3, 5}[(n+k)%2], (n+k+f)%3 == 0
 				t.Run(fmt.Sprint(at, " after a write that is ", []string{"answered", "taken", "late"}[f], ", new machines ", x.name, ", parts ", by, ", ", count, ", rentals late: ", late), func(t *testing.T) {
-					playNewMachineDay(t, uint64(300+20*n+4*k+f), at, x.apply, fate, by, count, late)
+					runNewMachineScenario(t, uint64(300+20*n+4*k+f), at, x.apply, fate, by, count, late)
 				})
 			}
 		}
 	}
 }
 
-// playNewMachineDay simulates such a day.
-func playNewMachineDay(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
-	d := &newMachineDay{seed: seed, endsAfter: at, apply: apply, fate: fate, lateRental: late}
+// runNewMachineScenario simulates such a day.
+func runNewMachineScenario(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
+	d := &newMachineScenario{seed: seed, endsAfter: at, applyFault: apply, writeFate: fate, lateRental: late}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
 		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
-		if d.young == 0 || w.token() == d.token {
-			w.t.Errorf("%d machines were new, term %d after %d", d.young, w.token(), d.token)
+		if d.unlistedMachines == 0 || w.token() == d.tokenBefore {
+			w.t.Errorf("%d machines were new, term %d after %d", d.unlistedMachines, w.token(), d.tokenBefore)
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
 
-// newMachineDay is a day on which the leader ends after the write of a launch on a new machine.
-type newMachineDay struct {
-	seed       uint64
-	endsAfter  time.Duration
-	apply      func(*simulation, upMachine) // happens to every second machine
-	fate       simulator.Fate               // of the write
-	lateRental bool                         // rentals are carried out without an answer
-	boots      *bootObserver
-	launched   chan string // the shard of the launch
-	token      uint64      // before the end
-	young      int         // machines that no list has to show yet
+// newMachineScenario is a day on which the leader ends after the write of a launch on a new machine.
+type newMachineScenario struct {
+	seed             uint64
+	endsAfter        time.Duration
+	applyFault       func(*simulation, upMachine) // happens to every second machine
+	writeFate        simulator.Fate               // of the write
+	lateRental       bool                         // rentals are carried out without an answer
+	boots            *bootObserver
+	launchedShard    chan string // the shard of the launch
+	tokenBefore      uint64      // before the end
+	unlistedMachines int         // machines that no list has to show yet
 }
 
-func (d *newMachineDay) setUp(w *simulation) {
-	d.boots, d.launched = w.observeBoots(300*time.Millisecond), make(chan string, 1)
+func (d *newMachineScenario) setUp(w *simulation) {
+	d.boots, d.launchedShard = w.observeBoots(300*time.Millisecond), make(chan string, 1)
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) {
 		if w.cloud.ListLag = 4 * sec; d.lateRental {
 			f.RentDelay = 700 * time.Millisecond
@@ -284,8 +284,8 @@
 				return simulator.FateAnswered
 			}
 			over = true
-			d.launched <- shard
-			return d.fate
+			d.launchedShard <- shard
+			return d.writeFate
 		}
 	})
 	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 40*sec, red), 6*sec, 0, 40*sec)
@@ -296,26 +296,26 @@
 }
 
 // endLeader waits for the launch, ends the leader, and checks that the service recovers.
-func (d *newMachineDay) endLeader(w *simulation) {
+func (d *newMachineScenario) endLeader(w *simulation) {
 	shard := ""
 	select {
-	case shard = <-d.launched:
+	case shard = <-d.launchedShard:
 	case <-time.After(time.Minute):
 		w.t.Error("no launch was written")
 		return
 	}
 	time.Sleep(d.endsAfter)
-	d.token = w.token()
+	d.tokenBefore = w.token()
 	d.boots.mu.Lock()
 	for _, up := range d.boots.bootedAt {
 		if time.Since(up) < 2*w.cloud.ListLag {
-			d.young++
+			d.unlistedMachines++
 		}
 	}
 	d.boots.mu.Unlock()
 	for i, m := range w.runningMachines() {
 		if i%2 == 0 {
-			d.apply(w, m)
+			d.applyFault(w, m)
 		}
 	}
 	w.crash(max(w.leaderOf(shard), w.anyLeader()), 300*time.Millisecond, 0)
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -43,7 +43,7 @@
 // overloadJob is a job of an overload with its user, and when it reached each stage.
 type overloadJob struct {
 	*client
-	arrivedAt, acceptedAt, cancelAskedAt, cancelToldAt, startedAt, endedAt, endSeenAt time.Time
+	arrivedAt, acceptedAt, cancelRequestedAt, cancelConfirmedAt, startedAt, endedAt, endObservedAt time.Time
 }
 
 // overload is a day on which one-task jobs arrive four a second for minutes, a quarter of which
@@ -54,7 +54,7 @@
 	jobRNG    *rand.Rand
 	slowRNG   *rand.Rand
 	mu        sync.Mutex
-	jobs      map[string]*overloadJob
+	jobsByID  map[string]*overloadJob
 	order     []*overloadJob
 	keyCounts []map[string]int // of each kind, every five seconds
 	heapBytes []uint64         // in use, every minute
@@ -63,7 +63,7 @@
 func (f *overload) job(job string) *overloadJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.jobs[job]
+	return f.jobsByID[job]
 }
 
 // TaskStarted implements simulator.Fixture.
@@ -84,10 +84,10 @@
 	d.endedAt = time.Now()
 	f.group.Go(func() {
 		time.Sleep(3 * time.Second)
-		for f.ctx.Err() == nil && d.endSeenAt.IsZero() {
+		for f.ctx.Err() == nil && d.endObservedAt.IsZero() {
 			asked := time.Now()
 			if d.poll(f.reachableController(d)); f.Stage(t.Job).Final() {
-				d.endSeenAt = asked
+				d.endObservedAt = asked
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -110,7 +110,7 @@
 func (f *overload) addJob(j *wire.Job, run, cancel time.Duration) {
 	d := &overloadJob{client: f.client(j, rngOf(1, j.ID), run), arrivedAt: time.Now()}
 	f.mu.Lock()
-	f.jobs[j.ID], f.order = d, append(f.order, d)
+	f.jobsByID[j.ID], f.order = d, append(f.order, d)
 	f.mu.Unlock()
 	f.group.Go(func() {
 		until := func(ask func(i int) int) time.Time {
@@ -122,8 +122,8 @@
 		d.acceptedAt = until(d.submit)
 		if cancel > 0 {
 			time.Sleep(cancel)
-			d.cancelAskedAt = time.Now()
-			d.cancelToldAt = until(d.cancel)
+			d.cancelRequestedAt = time.Now()
+			d.cancelConfirmedAt = until(d.cancel)
 		}
 		for f.ctx.Err() == nil && !f.Stage(j.ID).Final() {
 			time.Sleep(5 * time.Second)
@@ -171,17 +171,17 @@
 	})
 	w.store.Configure(func(st *simulator.StateService) {
 		st.Limits = simulator.StateLimits{RPS: s.limits.RPS, WriteRPS: s.limits.WriteRPS, ValueBytes: s.limits.ValueBytes, TxnOps: s.limits.TxnOps, RetainedChanges: 1000}
-		st.ResponseDelay = usualStoreDelay
+		st.ResponseDelay = normalStoreDelay
 	})
-	f := &overload{simulation: w, Checker: w.checker, jobRNG: rand.New(rand.NewPCG(1, 7)), slowRNG: rand.New(rand.NewPCG(1, 9)), jobs: map[string]*overloadJob{}}
+	f := &overload{simulation: w, Checker: w.checker, jobRNG: rand.New(rand.NewPCG(1, 7)), slowRNG: rand.New(rand.NewPCG(1, 9)), jobsByID: map[string]*overloadJob{}}
 	w.fixture = f
 	w.reconfigureMachines(2*time.Second, func() time.Duration { return 0 })
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 15 })
 	return f
 }
 
-// usualStoreDelay is how long the state service takes.
-func usualStoreDelay() time.Duration { return 6 * time.Millisecond }
+// normalStoreDelay is how long the state service takes.
+func normalStoreDelay() time.Duration { return 6 * time.Millisecond }
 
 // overloadFaults are injected in the second minute of an overload. took bounds by how much they
 // may delay what users wait for: the next leader starts once the lease has expired, and knows what
@@ -199,7 +199,7 @@
 	"the state service is slow": {func(f *overload) {
 		during(60*time.Second, func(on bool) {
 			f.store.Configure(func(st *simulator.StateService) {
-				if st.ResponseDelay = usualStoreDelay; on {
+				if st.ResponseDelay = normalStoreDelay; on {
 					st.ResponseDelay = func() time.Duration { return time.Duration(300+f.draw(f.slowRNG, 700)) * time.Millisecond }
 				}
 			})
@@ -242,37 +242,37 @@
 		f.t.Error("the leader has not changed twice")
 	}
 	// Of jobs that live, and of such as are over and wait for 15 s to be compacted.
-	lives := bounds["begun"].most + 12*time.Second + 15*time.Second + x.took
+	lives := bounds["begun"].limit + 12*time.Second + 15*time.Second + x.took
 	f.checkKeys(s, full, int(4.5*lives.Seconds()), minutes, left)
 	f.checkMemory(s, full, minutes)
 	f.checkResults()
 }
 
 // overloadBound is how long something may take, and the longest that it took.
-type overloadBound struct{ most, worst time.Duration }
+type overloadBound struct{ limit, worst time.Duration }
 
 // overloadBounds returns how long users may wait. full says that the state service has its usual
 // limits; took is by how much the fault may delay them.
 func overloadBounds(full bool, took time.Duration) map[string]overloadBound {
 	const attempt = 5*time.Second + time.Second // a request without an answer, and the pause before the next
 	bounds := map[string]overloadBound{
-		"accepted":  {most: writeTimeout + took},
-		"cancelled": {most: writeTimeout + took},
+		"accepted":  {limit: writeTimeout + took},
+		"cancelled": {limit: writeTimeout + took},
 		// An array waits for capacity that others free within two boots, or has a machine rented, which
 		// boots and then sends its first heartbeat; and it fetches.
-		"begun": {most: 3*5*time.Second + 4*time.Second + time.Second + took},
-		"told":  {most: 3*time.Second + took},
+		"begun": {limit: 3*5*time.Second + 4*time.Second + time.Second + took},
+		"told":  {limit: 3*time.Second + took},
 	}
 	if took > 0 {
 		for _, what := range []string{"accepted", "cancelled"} {
 			b := bounds[what]
-			b.most += attempt
+			b.limit += attempt
 			bounds[what] = b
 		}
 	}
 	if !full {
 		b := bounds["told"] // a round's share of changes for a second, in which everything that has gathered is written
-		b.most += 4 * time.Second
+		b.limit += 4 * time.Second
 		bounds["told"] = b
 	}
 	return bounds
@@ -282,15 +282,15 @@
 func (f *overload) measure(bounds map[string]overloadBound) (cancelled, ended int) {
 	for _, d := range f.order {
 		took := map[string]time.Duration{"accepted": d.acceptedAt.Sub(d.arrivedAt)}
-		if !d.cancelToldAt.IsZero() {
-			took["cancelled"] = d.cancelToldAt.Sub(d.cancelAskedAt)
+		if !d.cancelConfirmedAt.IsZero() {
+			took["cancelled"] = d.cancelConfirmedAt.Sub(d.cancelRequestedAt)
 			cancelled++
 		}
 		if !d.startedAt.IsZero() {
 			took["begun"] = d.startedAt.Sub(d.acceptedAt)
 		}
-		if !d.endSeenAt.IsZero() {
-			took["told"] = d.endSeenAt.Sub(d.endedAt)
+		if !d.endObservedAt.IsZero() {
+			took["told"] = d.endObservedAt.Sub(d.endedAt)
 			ended++
 		}
 		for what, d := range took {
@@ -306,8 +306,8 @@
 func (f *overload) checkBounds(bounds map[string]overloadBound) {
 	for what, b := range bounds {
 		f.t.Logf("%s after %v at the most", what, b.worst.Round(10*time.Millisecond))
-		if b.worst > b.most {
-			f.t.Errorf("%s after %v, not within %v", what, b.worst, b.most)
+		if b.worst > b.limit {
+			f.t.Errorf("%s after %v, not within %v", what, b.worst, b.limit)
 		}
 	}
 }
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -119,7 +119,7 @@
 // are slow at each, sockets run out, and messages pass in one direction only. AMBERDEAL_STALLS
 // sets the number of days, AMBERDEAL_STALL plays one.
 func TestProcessStalls(t *testing.T) {
-	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("off"), nil) })
+	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("off"), nil) })
 }
 
 // sameSharding sets every controller to the same sharding.
@@ -141,9 +141,9 @@
 	}
 }
 
-// playStallSeed simulates a day with each controller's sharding by its name, and with the given
+// runStallScenario simulates a day with each controller's sharding by its name, and with the given
 // faults in addition to those that all days have. settle, if set, is called before its end.
-func playStallSeed(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
+func runStallScenario(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
 	faults := slices.Concat(stallFaults, more)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	tuning := drawHeartbeatTuning(rng)
@@ -160,5 +160,5 @@
 // TestShardsThroughFaults simulates such days with a fleet in two shards. AMBERDEAL_PARTS sets
 // their number, AMBERDEAL_PART plays one.
 func TestShardsThroughFaults(t *testing.T) {
-	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { playStallSeed(t, seed, sameSharding("zone"), nil) })
+	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -22,8 +22,8 @@
 // limitedTeams are the teams with a quota, in order.
 var limitedTeams = []string{"red", "blue"}
 
-// newLimitedSimulation starts a simulation in which every team has a quota.
-func newLimitedSimulation(t *testing.T, count int, seed uint64, by string) *simulation {
+// newQuotaSimulation starts a simulation in which every team has a quota.
+func newQuotaSimulation(t *testing.T, count int, seed uint64, by string) *simulation {
 	w := newProxiedSimulation(t, count, seed, func(c *config.Config) {
 		c.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: gpuLimits["red"]}, {Name: "blue", GPUsMax: gpuLimits["blue"]}}
 		c.Tuning.Shards.By, c.Zone = by, []string{"a", "b"}[controllerNumber(c.Name)%2]
@@ -132,19 +132,19 @@
 
 // quotaFailoverCase is a day on which the leader changes while some machines cannot be reached.
 type quotaFailoverCase struct {
-	seed                              uint64
-	sharding                          string
-	count                             int
-	unreachableBy, handoverKind       int           // in which way machines cannot be reached and the leader changes
-	faultLength                       time.Duration // how long machines cannot be reached
-	handoverAt, cancelAt              time.Duration // when the leader changes and when jobs are cancelled, relative to the start of the fault
-	cloudKeepsMachines, gangOverZones bool          // the cloud takes no machine back meanwhile; a gang is spread over two zones
-	oneMachineOnly                    bool          // only one machine
+	seed                               uint64
+	sharding                           string
+	count                              int
+	unreachableKind, handoverKind      int           // in which way machines cannot be reached and the leader changes
+	faultDuration                      time.Duration // how long machines cannot be reached
+	handoverAt, cancelAt               time.Duration // when the leader changes and when jobs are cancelled, relative to the start of the fault
+	cloudKeepsMachines, gangSpansZones bool          // the cloud takes no machine back meanwhile; a gang is spread over two zones
+	oneMachineOnly                     bool          // only one machine
 }
 
 func (d quotaFailoverCase) String() string {
 	return fmt.Sprintf("%s, %d controllers, machines are %s for %v (some: %v), %v later the leader %s, jobs are cancelled at %v, releases are refused: %v",
-		d.sharding, d.count, unreachableFaults[d.unreachableBy].name, d.faultLength, d.oneMachineOnly, d.handoverAt, handovers[d.handoverKind].name, d.cancelAt, d.cloudKeepsMachines)
+		d.sharding, d.count, unreachableFaults[d.unreachableKind].name, d.faultDuration, d.oneMachineOnly, d.handoverAt, handovers[d.handoverKind].name, d.cancelAt, d.cloudKeepsMachines)
 }
 
 // drawQuotaFailover draws a day: the fault lasts about as long as one of the bounds, and what
@@ -152,21 +152,21 @@
 // each of them.
 func drawQuotaFailover(seed uint64) quotaFailoverCase {
 	rng := rand.New(rand.NewPCG(seed, 30))
-	d := quotaFailoverCase{seed: seed, sharding: []string{"off", "zone"}[seed%2], count: []int{3, 5}[seed/2%2], unreachableBy: int(seed) % len(unreachableFaults), handoverKind: int(seed*5+seed/8) % len(handovers),
-		faultLength: nearBound(rng, 2*time.Second, 70*time.Second), cloudKeepsMachines: rng.IntN(2) == 0, gangOverZones: rng.IntN(2) == 0, oneMachineOnly: rng.IntN(2) == 0}
+	d := quotaFailoverCase{seed: seed, sharding: []string{"off", "zone"}[seed%2], count: []int{3, 5}[seed/2%2], unreachableKind: int(seed) % len(unreachableFaults), handoverKind: int(seed*5+seed/8) % len(handovers),
+		faultDuration: nearBound(rng, 2*time.Second, 70*time.Second), cloudKeepsMachines: rng.IntN(2) == 0, gangSpansZones: rng.IntN(2) == 0, oneMachineOnly: rng.IntN(2) == 0}
 	d.handoverAt = nearBound(rng, 0, 30*time.Second)
 	d.cancelAt = max(-d.handoverAt, time.Duration(rng.IntN(10000)-4000)*time.Millisecond)
 	return d
 }
 
-// quotaDaysPlayed counts the days, and daysAtLimit those on which every team is at its quota when
+// quotaCasesRun counts the days, and quotaCasesAtLimit those on which every team is at its quota when
 // the leader changes.
-var quotaDaysPlayed, daysAtLimit atomic.Int64
+var quotaCasesRun, quotaCasesAtLimit atomic.Int64
 
 // run simulates the day.
 func (d quotaFailoverCase) run(t *testing.T) {
 	rng := rand.New(rand.NewPCG(d.seed, 31))
-	r := &quotaFailoverRun{simulation: newLimitedSimulation(t, d.count, d.seed, d.sharding), c: d}
+	r := &quotaFailoverRun{simulation: newQuotaSimulation(t, d.count, d.seed, d.sharding), testCase: d}
 	log(d)
 	defer func() {
 		if t.Failed() {
@@ -177,18 +177,18 @@
 	r.submitAll()
 	time.Sleep(3 * time.Second)
 
-	r.begun = time.Now()
+	r.faultStart = time.Now()
 	lost := r.loseMachines()
 	if d.cloudKeepsMachines {
-		during(max(d.faultLength, d.handoverAt+30*time.Second), func(on bool) { r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
+		during(max(d.faultDuration, d.handoverAt+30*time.Second), func(on bool) { r.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}
 	if d.cancelAt < 0 {
 		r.cancel()
 	}
-	r.waitUntilAfter(d.handoverAt)
+	r.sleepUntilAfterFault(d.handoverAt)
 	token := r.token()
-	if quotaDaysPlayed.Add(1); r.allTeamsAtLimit() {
-		daysAtLimit.Add(1)
+	if quotaCasesRun.Add(1); r.allTeamsAtLimit() {
+		quotaCasesAtLimit.Add(1)
 	}
 	if lost == 0 {
 		t.Error("all machines can be asked")
@@ -197,8 +197,8 @@
 	if d.cancelAt >= 0 {
 		r.cancel()
 	}
-	r.waitUntilAfter(max(d.faultLength, d.handoverAt+30*time.Second))
-	for _, c := range r.cancelled {
+	r.sleepUntilAfterFault(max(d.faultDuration, d.handoverAt+30*time.Second))
+	for _, c := range r.toCancel {
 		if !waitUntil(30*time.Second, func() bool { return r.checker.Stage(c.job.ID) == wire.Cancelled }) {
 			t.Errorf("%s is %s", c.job.ID, r.checker.Stage(c.job.ID))
 		}
@@ -213,27 +213,27 @@
 // quotaFailoverRun is the simulation of a quotaFailoverCase.
 type quotaFailoverRun struct {
 	*simulation
-	c         quotaFailoverCase
-	cancelled []*client // of the jobs to cancel
-	begun     time.Time // of the fault
+	testCase   quotaFailoverCase
+	toCancel   []*client // of the jobs to cancel
+	faultStart time.Time // of the fault
 }
 
 // submit submits a job of a team; n distinguishes it from the team's others.
 func (r *quotaFailoverRun) submit(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, change ...func(*wire.Job)) *client {
 	j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(change, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
-	return r.submitter(r.c.seed, j, 0, cancel, run)
+	return r.submitter(r.testCase.seed, j, 0, cancel, run)
 }
 
 // submitAll submits as much as the quotas allow, of which most is cancelled later, and then what
 // has to wait.
 func (r *quotaFailoverRun) submitAll() {
 	const long, short = 10 * time.Minute, 25 * time.Second
-	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[r.c.gangOverZones]
+	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[r.testCase.gangSpansZones]
 	for _, team := range limitedTeams {
-		r.cancelled = append(r.cancelled, r.submit(1, team, wire.Array, 2, 1, long, 0), r.submit(2, team, wire.Gang, 2, 1, long, 0, saves, zones))
+		r.toCancel = append(r.toCancel, r.submit(1, team, wire.Array, 2, 1, long, 0), r.submit(2, team, wire.Gang, 2, 1, long, 0, saves, zones))
 		r.submit(3, team, wire.Service, 2, 1, forever, 4*time.Minute)
 	}
-	r.cancelled = append(r.cancelled, r.submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
+	r.toCancel = append(r.toCancel, r.submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
 	if !waitUntil(50*time.Second, r.allTeamsAtLimit) {
 		r.t.Error("the teams don't come to their limits")
 	}
@@ -247,22 +247,24 @@
 // loseMachines makes machines unreachable that run jobs to be cancelled, and returns how many.
 func (r *quotaFailoverRun) loseMachines() (lost int) {
 	for _, m := range r.runningMachines() {
-		if has := slices.ContainsFunc(r.cancelled, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !r.c.oneMachineOnly) {
+		if has := slices.ContainsFunc(r.toCancel, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !r.testCase.oneMachineOnly) {
 			lost++
-			unreachableFaults[r.c.unreachableBy].apply(r.simulation, m, r.c.faultLength)
+			unreachableFaults[r.testCase.unreachableKind].apply(r.simulation, m, r.testCase.faultDuration)
 		}
 	}
 	return lost
 }
 
-// waitUntilAfter waits until that long after the start of the fault.
-func (r *quotaFailoverRun) waitUntilAfter(d time.Duration) { time.Sleep(time.Until(r.begun.Add(d))) }
+// sleepUntilAfterFault waits until that long after the start of the fault.
+func (r *quotaFailoverRun) sleepUntilAfterFault(d time.Duration) {
+	time.Sleep(time.Until(r.faultStart.Add(d)))
+}
 
 // cancel has the users cancel, at the time that the case says.
 func (r *quotaFailoverRun) cancel() {
-	r.waitUntilAfter(r.c.handoverAt + r.c.cancelAt)
+	r.sleepUntilAfterFault(r.testCase.handoverAt + r.testCase.cancelAt)
 	log("cancelled")
-	for _, c := range r.cancelled {
+	for _, c := range r.toCancel {
 		r.group.Go(func() { c.untilAnswered(c.cancel) })
 	}
 }
@@ -271,7 +273,7 @@
 // small tasks wait. With several shards some of it may be reserved for a gang that is co-allocated,
 // for 90 s at most.
 func (r *quotaFailoverRun) checkQuotasUsed() {
-	over, most := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[r.c.sharding]
+	over, most := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[r.testCase.sharding]
 	for k, team := range limitedTeams {
 		small := fmt.Sprintf("wk-%d7", k+1)
 		if !waitUntil(most, func() bool { return r.usedGPUs(team) == gpuLimits[team] || r.checker.Stage(small).Final() }) {
@@ -284,8 +286,8 @@
 // AMBERDEAL_LIMIT plays one.
 func TestQuotasHoldThroughFailover(t *testing.T) {
 	playSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
-	t.Logf("every team was at its limit as the leader changed on %d of %d days", daysAtLimit.Load(), quotaDaysPlayed.Load())
-	if n := quotaDaysPlayed.Load(); n > 7 && daysAtLimit.Load()*3 < n {
+	t.Logf("every team was at its limit as the leader changed on %d of %d days", quotaCasesAtLimit.Load(), quotaCasesRun.Load())
+	if n := quotaCasesRun.Load(); n > 7 && quotaCasesAtLimit.Load()*3 < n {
 		t.Error("the teams are mostly below their limits by then")
 	}
 }
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -130,27 +130,27 @@
 func TestReplayedHeartbeatsAtNextLeader(t *testing.T) {
 	for n, at := range replayOffsets {
 		for k := range 4 {
-			if !allCases("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
+			if !allCasesRequested("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
 				continue
 			}
 			few := (n+k)%2 == 0
 			by, count, dark, slow := []string{"off", "zone"}[k%2], []int{3, 5}[k/2], []time.Duration{8 * sec, 17 * sec, 40 * sec}[(n+k)%3], (n+k/2)%2 == 0
 			t.Run(fmt.Sprint("after ", at, ", parts ", by, ", ", count, ", cut for ", dark, ", the lease runs out: ", slow, ", only what shows too little: ", few), func(t *testing.T) {
-				playReplayDay(t, uint64(100+4*n+k), at, by, count, dark, slow, few)
+				runReplayScenario(t, uint64(100+4*n+k), at, by, count, dark, slow, few)
 			})
 		}
 	}
 }
 
-// playReplayDay simulates such a day.
-func playReplayDay(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
-	d := &replayDay{seed: seed, at: at, sharding: by, dark: dark, slowRestart: slow, beforeLaunches: few, kinds: replayKinds}
+// runReplayScenario simulates such a day.
+func runReplayScenario(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
+	d := &replayScenario{seed: seed, replayOffset: at, sharding: by, partitionDuration: dark, slowRestart: slow, beforeLaunches: few, requiredKinds: replayKinds}
 	if few {
-		d.kinds = []string{"of an earlier term", "from before a launch"}
+		d.requiredKinds = []string{"of an earlier term", "from before a launch"}
 	}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: d.setUp, steps: []step{
 		{22 * sec, "a machine is deaf, until its lease is over", func(*simulation) {
-			d.expired = d.machinesInZoneA()[0].id
+			d.expiredMachine = d.machinesInZoneA()[0].id
 			loseInbound(24*sec, d.machinesInZoneA()[0])
 		}},
 		{34 * sec, "a machine dies", func(w *simulation) { w.cloud.Crash(d.machinesInZoneA()[1].id) }},
@@ -158,7 +158,7 @@
 		{58 * sec, "some more reports are made", func(*simulation) { d.recordHeartbeats() }},
 		{60 * sec, "the next leader ends, machines are cut off, old reports come", d.replayAtElection},
 	}, verify: func(w *simulation) {
-		for _, kind := range d.kinds {
+		for _, kind := range d.requiredKinds {
 			if d.answeredKinds[kind] == 0 {
 				w.t.Errorf("none that was %s was answered by the leader", kind)
 			}
@@ -166,21 +166,21 @@
 	}, quietTime: 60 * sec}.run(t)
 }
 
-// replayDay is a day on which recorded heartbeats are replayed to the next leader.
-type replayDay struct {
+// replayScenario is a day on which recorded heartbeats are replayed to the next leader.
+type replayScenario struct {
 	*heartbeatRecorder
-	seed           uint64
-	at             time.Duration // of the replay, after the election; negative: before it
-	sharding       string
-	dark           time.Duration // how long machines are cut off
-	slowRestart    bool          // the leader is back after 12 s
-	beforeLaunches bool          // only heartbeats from before a launch are replayed
-	kinds          []string      // that have to reach the leader
-	expired        string        // the machine whose incarnation ends
-	elected        chan struct{} // a value for each election
+	seed              uint64
+	replayOffset      time.Duration // of the replay, after the election; negative: before it
+	sharding          string
+	partitionDuration time.Duration // how long machines are cut off
+	slowRestart       bool          // the leader is back after 12 s
+	beforeLaunches    bool          // only heartbeats from before a launch are replayed
+	requiredKinds     []string      // that have to reach the leader
+	expiredMachine    string        // the machine whose incarnation ends
+	elected           chan struct{} // a value for each election
 }
 
-func (d *replayDay) setUp(w *simulation) {
+func (d *replayScenario) setUp(w *simulation) {
 	d.heartbeatRecorder = &heartbeatRecorder{simulation: w, answeredKinds: map[string]int{}}
 	d.elected = make(chan struct{}, 100)
 	w.store.Configure(func(s *simulator.StateService) {
@@ -206,17 +206,17 @@
 }
 
 // leaderOfA returns the leader of the shard with zone a.
-func (d *replayDay) leaderOfA() int { return d.leaderOfZone("a") }
+func (d *replayScenario) leaderOfA() int { return d.leaderOfZone("a") }
 
 // leaderOfZone returns the leader of the shard with a zone.
-func (d *replayDay) leaderOfZone(zone string) int {
+func (d *replayScenario) leaderOfZone(zone string) int {
 	return d.leaderOf(map[string]string{"off": "fleet", "zone": zone}[d.sharding])
 }
 
-// leaderToEnd returns the leader whose successor receives the recorded heartbeats: that of zone a,
+// leaderToCrash returns the leader whose successor receives the recorded heartbeats: that of zone a,
 // or of zone b on a day on which all of them are of machines there, as nothing was started in zone
 // a after the first of them.
-func (d *replayDay) leaderToEnd() int {
+func (d *replayScenario) leaderToCrash() int {
 	inA := d.machinesInZoneA()
 	if slices.ContainsFunc(d.heartbeats, func(r wire.Heartbeat) bool {
 		return slices.ContainsFunc(inA, func(m upMachine) bool { return m.id == r.Machine })
@@ -228,10 +228,10 @@
 
 // replayAtElection ends the leader, cuts half of the machines off, and replays what was recorded
 // around the next election.
-func (d *replayDay) replayAtElection(w *simulation) {
+func (d *replayScenario) replayAtElection(w *simulation) {
 	for i, m := range w.runningMachines() {
-		if i%2 == 0 || m.id == d.expired {
-			during(d.dark, func(on bool) { w.net.SetDown(m.host, on) })
+		if i%2 == 0 || m.id == d.expiredMachine {
+			during(d.partitionDuration, func(on bool) { w.net.SetDown(m.host, on) })
 		}
 	}
 	if d.beforeLaunches {
@@ -241,30 +241,30 @@
 		<-d.elected
 	}
 	d.previousToken = w.token()
-	if i := d.leaderToEnd(); d.slowRestart {
+	if i := d.leaderToCrash(); d.slowRestart {
 		w.kill(i, 12*sec)
 	} else {
 		w.crash(i, 300*time.Millisecond, 0)
 	}
-	for d.at < 0 && len(d.elected) == 0 {
+	for d.replayOffset < 0 && len(d.elected) == 0 {
 		d.replayAll(d.seed%2 == 0)
 		time.Sleep(100 * time.Millisecond)
 	}
 	<-d.elected
-	time.Sleep(d.at)
+	time.Sleep(d.replayOffset)
 	for k := range 8 { // the first of them may find nobody who answers
-		if d.replayAll((d.seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(d.kinds) {
+		if d.replayAll((d.seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(d.requiredKinds) {
 			break
 		}
 	}
 	for range 20 { // nor may any of those before, which take no time where few heartbeats are kept
-		if len(d.answeredKinds) >= len(d.kinds) {
+		if len(d.answeredKinds) >= len(d.requiredKinds) {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 		d.replayAll(d.seed%2 == 0)
 	}
-	time.Sleep(d.dark + 40*sec)
+	time.Sleep(d.partitionDuration + 40*sec)
 	if n := w.checker.Running("wk-3"); n != 4 {
 		w.t.Errorf("%d of 4 replicas run", n)
 	}
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -41,8 +41,8 @@
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 }
 
-// rollTo restarts all controllers, one after the other, with another sharding.
-func (r *reshardSimulation) rollTo(by string, every time.Duration) {
+// rollOutSharding restarts all controllers, one after the other, with another sharding.
+func (r *reshardSimulation) rollOutSharding(by string, every time.Duration) {
 	for i := range 3 {
 		r.shardings.set(i, by)
 		r.kill(i, time.Second)
@@ -124,7 +124,7 @@
 			if got := w.storedSharding(); got.Generation != before.Generation {
 				t.Errorf("resharded to %q while controllers are set otherwise", got.Text)
 			}
-			w.rollTo(next, 8*time.Second)
+			w.rollOutSharding(next, 8*time.Second)
 			time.Sleep(40 * time.Second)
 			want := map[string]string{"off": "map[fleet]", "zone": "map[a b]"}[next]
 			held := map[string]bool{}
@@ -177,6 +177,6 @@
 			time.Sleep(10 * time.Second) // whoever was killed is back
 			alike(w)
 		}
-		playStallSeed(t, seed, settings.of, settle, roll, roll, roll, again, again)
+		runStallScenario(t, seed, settings.of, settle, roll, roll, roll, again, again)
 	})
 }
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -20,7 +20,7 @@
 	seed      uint64
 	cancelAll atomic.Bool // users who have not cancelled yet, and have to, do so now
 
-	unanswered, confirmed, repeatedSubmissions atomic.Int64
+	unansweredRequests, confirmedCancellations, repeatedSubmissions atomic.Int64
 }
 
 // populationUser makes requests about one job at all controllers, repeats its submission with
@@ -35,7 +35,7 @@
 	var n uint64
 	_, _ = fmt.Sscanf(j.ID, "wk-%d", &n)
 	c := m.client(j, rand.New(rand.NewPCG(m.seed, n)), run)
-	c.unanswered = &m.unanswered
+	c.unanswered = &m.unansweredRequests
 	return &populationUser{c, m}
 }
 
@@ -54,7 +54,7 @@
 	for try := 0; try < 5 && !c.checker.Stage(c.job.ID).Final(); try++ {
 		c.cancel(i)
 	}
-	if c.population.confirmed.Add(1); c.checker.Stage(c.job.ID) != wire.Cancelled {
+	if c.population.confirmedCancellations.Add(1); c.checker.Stage(c.job.ID) != wire.Cancelled {
 		c.t.Errorf("%s can't be cancelled at %d", c.job.ID, i)
 	}
 }
@@ -74,7 +74,7 @@
 	if c.cancel(c.anyController()) != 200 {
 		return
 	}
-	c.population.confirmed.Add(1)
+	c.population.confirmedCancellations.Add(1)
 	var all sync.WaitGroup
 	for k := range c.count {
 		all.Go(func() {
@@ -155,8 +155,8 @@
 	m.t.Helper()
 	m.cancelAll.Store(true)
 	m.simulation.finishQuietly(0, 15*time.Minute)
-	if m.confirmed.Load() < cancels || m.repeatedSubmissions.Load() < repeats {
-		m.t.Errorf("%d were told that their jobs are cancelled, %d submissions came again", m.confirmed.Load(), m.repeatedSubmissions.Load())
+	if m.confirmedCancellations.Load() < cancels || m.repeatedSubmissions.Load() < repeats {
+		m.t.Errorf("%d were told that their jobs are cancelled, %d submissions came again", m.confirmedCancellations.Load(), m.repeatedSubmissions.Load())
 	}
 }
 
@@ -191,10 +191,10 @@
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		w.store.SetOutage(true)
 		time.Sleep(slow + 100*time.Millisecond)
-		told, vain := m.confirmed.Load(), m.unanswered.Load()
+		told, vain := m.confirmedCancellations.Load(), m.unansweredRequests.Load()
 		time.Sleep(w.checker.CancelWithin + time.Duration(5+rng.IntN(20))*time.Second)
-		if m.confirmed.Load() > told || m.unanswered.Load() < vain+20 {
-			t.Errorf("%d cancellations were told in the outage, in which %d questions were not answered", m.confirmed.Load()-told, m.unanswered.Load()-vain)
+		if m.confirmedCancellations.Load() > told || m.unansweredRequests.Load() < vain+20 {
+			t.Errorf("%d cancellations were told in the outage, in which %d questions were not answered", m.confirmedCancellations.Load()-told, m.unansweredRequests.Load()-vain)
 		}
 		if rng.IntN(2) == 0 { // the leader is served again only after the others
 			time.AfterFunc(20*time.Second, func() { w.refuseByStore(max(0, leader), false) })
@@ -252,7 +252,7 @@
 			late.cancelOnce((leader + 1) % count)
 		}
 		early.pollOnce(leader) // judged: it is final
-		w.checkTurnedAway(leader, stays.body(), since, unready)
+		w.checkRequestsRejected(leader, stays.body(), since, unready)
 		time.Sleep(500 * time.Millisecond)
 	}
 	if unready == 0 || unready > 7*time.Second {
@@ -272,10 +272,10 @@
 	m.finish(3, 20)
 }
 
-// checkTurnedAway makes every kind of request whose answer is not final at a partitioned leader, and
+// checkRequestsRejected makes every kind of request whose answer is not final at a partitioned leader, and
 // checks that each is turned away at once. unready is when the leader was first unready after the
 // start of the partition, 0 for not yet.
-func (w *simulation) checkTurnedAway(leader int, submission []byte, since time.Time, unready time.Duration) {
+func (w *simulation) checkRequestsRejected(leader int, submission []byte, since time.Time, unready time.Duration) {
 	for _, ask := range []struct {
 		method, path string
 		body         []byte
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -17,10 +17,10 @@
 
 // Jobs of two or three tasks that end far apart, while leaders change.
 
-// submitStaggeredEnds submits jobs of few tasks that end one after the other: each needs more than
+// submitStaggeredJobs submits jobs of few tasks that end one after the other: each needs more than
 // half of its team's quota, or is a gang, or has long and short tasks. It returns the number of
 // their tasks.
-func (w *simulation) submitStaggeredEnds() (tasks int) {
+func (w *simulation) submitStaggeredJobs() (tasks int) {
 	for i, j := range []wire.Job{
 		{Shape: wire.Array, Team: "red", Tasks: 3, GPUs: 4},
 		{Shape: wire.Array, Team: "blue", Tasks: 3, GPUs: 3},
@@ -83,8 +83,8 @@
 	{"the leader crashes, the write is lost", simulator.FateDropped, crashLeader, false},
 	{"the leader crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
 	{"the leader crashes, the write is taken", simulator.FateReplyLost, crashLeader, false},
-	{"the leader is cut off with its machines, the write comes late", simulator.FateDelayed, cutLeader, false},
-	{"the leader is cut off with its machines, the write is taken", simulator.FateReplyLost, cutLeader, false},
+	{"the leader is cut off with its machines, the write comes late", simulator.FateDelayed, cutOffLeader, false},
+	{"the leader is cut off with its machines, the write is taken", simulator.FateReplyLost, cutOffLeader, false},
 	{"the leader crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
 		w.cloud.RemoveNth(rng.IntN(4))
 		crashLeader(w, leader, rng)
@@ -96,14 +96,14 @@
 	{"another process of the leader's name begins", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
 		w.twin(leader, 6*time.Second, finalHoldTime(rng))
 	}, false},
-	{"the leader is cut off with its machines, once it has its answer", simulator.FateAnswered, cutLeader, false},
+	{"the leader is cut off with its machines, once it has its answer", simulator.FateAnswered, cutOffLeader, false},
 	{"the leader stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, leader int, rng *rand.Rand) {
 		w.net.Pause(w.ip(leader), time.Duration(5+rng.IntN(40))*time.Second)
 	}, true},
 }
 
-// cutLeader cuts a leader off for a while.
-func cutLeader(w *simulation, leader int, _ *rand.Rand) {
+// cutOffLeader cuts a leader off for a while.
+func cutOffLeader(w *simulation, leader int, _ *rand.Rand) {
 	during(30*time.Second, func(on bool) { w.cutOff(leader, on) })
 }
 
@@ -182,7 +182,7 @@
 		}
 	})
 	time.Sleep(8 * time.Second)
-	tasks := w.submitStaggeredEnds()
+	tasks := w.submitStaggeredJobs()
 	for end := time.Now().Add(3 * time.Minute); len(w.checker.OpenJobs()) > 0; time.Sleep(time.Second) {
 		if time.Now().After(end) {
 			t.Errorf("still open: %v", w.checker.OpenJobs())
@@ -253,8 +253,8 @@
 	}
 }
 
-// completionDayFaults are additional faults for days of such jobs.
-var completionDayFaults = []fault{
+// additionalCompletionFaults are additional faults for days of such jobs.
+var additionalCompletionFaults = []fault{
 	{"machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		hosts := w.everyMachine()
 		rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
@@ -263,7 +263,7 @@
 	{"a leader is cut from the state service and the others", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, name := range w.leaders() {
 			if rng.IntN(2) == 0 {
-				cutLeader(w, controllerNumber(name), rng)
+				cutOffLeader(w, controllerNumber(name), rng)
 			}
 		}
 	}},
@@ -323,10 +323,10 @@
 // TestCompletionFaults simulates days of such jobs with two and three faults at a time, with one
 // shard and several, with 3 and 5 controllers, some with resharding. The quota of the team red is
 // exhausted all day. AMBERDEAL_ENDS sets the number of days, AMBERDEAL_END plays one.
-func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", playCompletionDay) }
+func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", runCompletionScenario) }
 
-// playCompletionDay simulates such a day.
-func playCompletionDay(t *testing.T, seed uint64) {
+// runCompletionScenario simulates such a day.
+func runCompletionScenario(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed%2]}
 	silence := []time.Duration{0, time.Hour}[rng.IntN(2)]
@@ -345,7 +345,7 @@
 	time.Sleep(15 * time.Second)
 	for range 7 {
 		for range 2 + rng.IntN(2) {
-			x, d := completionDayFaults[rng.IntN(len(completionDayFaults))], time.Duration(3+rng.IntN(50))*time.Second
+			x, d := additionalCompletionFaults[rng.IntN(len(additionalCompletionFaults))], time.Duration(3+rng.IntN(50))*time.Second
 			log(x.name, d)
 			w.group.Go(func() { x.apply(w, rand.New(rand.NewPCG(seed, uint64(d))), d) })
 			time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -72,10 +72,10 @@
 	return slices.Clone(b.startZones[job])
 }
 
-// playZoneLossDay loses the machines of the zone with the most one_zone jobs, or all but one of
+// runZoneLossScenario loses the machines of the zone with the most one_zone jobs, or all but one of
 // them, for a while. What may start elsewhere has to, what may not has to continue in its zone
 // once it has machines again.
-func playZoneLossDay(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
+func runZoneLossScenario(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
 	x := zoneLossKinds[loss]
 	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
@@ -183,7 +183,7 @@
 					count, by = 3+2*(i%2), []string{"off", "zone"}[i/2%2]
 				}
 				t.Run(fmt.Sprint(x.name, " for ", d, ", all ", all, ", ", count, " controllers, shards ", by, ", ", n/4), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { moved += playZoneLossDay(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
+					synctest.Test(t, func(t *testing.T) { moved += runZoneLossScenario(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
 				})
 			}
 		}
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -20,9 +20,9 @@
 // zoneSimulation is a simulation with services in several zones, in which the controllers are too.
 type zoneSimulation struct {
 	*simulation
-	zones          []string
-	wantedReplicas int // of the services
-	recoveryTimes  []time.Duration
+	zones           []string
+	desiredReplicas int // of the services
+	recoveryTimes   []time.Duration
 }
 
 // that run all day
@@ -41,7 +41,7 @@
 	for i, tasks := range [serviceCount]int{6, 9} {
 		r.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: tasks, Spread: true,
 			CPUs: 4, GPUs: 2, MemoryGB: 8, Image: fmt.Sprint("model-", i), ImageGB: 4}, 24*time.Hour, 0)
-		r.wantedReplicas += tasks
+		r.desiredReplicas += tasks
 	}
 	return r
 }
@@ -76,8 +76,8 @@
 	})
 }
 
-// finishZones ends the day when all jobs but the services are over, and checks it.
-func (r *zoneSimulation) finishZones(patience time.Duration) {
+// finishWithServices ends the day when all jobs but the services are over, and checks it.
+func (r *zoneSimulation) finishWithServices(patience time.Duration) {
 	r.declareQuiet()
 	for end := time.Now().Add(patience); len(r.checker.OpenJobs()) > serviceCount; time.Sleep(time.Second) {
 		if time.Now().After(end) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// eachInZone calls a function for some of the machines of a zone.
-func (w *simulation) eachInZone(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
+// eachMachineInZone calls a function for some of the machines of a zone.
+func (w *simulation) eachMachineInZone(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if m.Zone == zone {
 			do(m, x)
@@ -144,7 +144,7 @@
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(d - time.Duration(rng.IntN(4000))*time.Millisecond)
 		some := 1 + rng.IntN(3)
-		r.eachInZone(zone, func(m wire.ListedMachine, x simulator.Machine) {
+		r.eachMachineInZone(zone, func(m wire.ListedMachine, x simulator.Machine) {
 			if rng.IntN(3) < some {
 				r.reboot(m.ID, simulator.HostOf(m.Addr), x, rng)
 			}
@@ -154,7 +154,7 @@
 	{"machines of a zone die while it is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(d / 2)
-		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) {
+		r.eachMachineInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) {
 			if rng.IntN(2) == 0 {
 				r.cloud.Crash(m.ID)
 			}
@@ -198,7 +198,7 @@
 	{"a zone is unreachable for one controller alone", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		i := rng.IntN(r.count)
 		var hosts []string
-		r.eachInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
+		r.eachMachineInZone(zone, func(m wire.ListedMachine, _ simulator.Machine) { hosts = append(hosts, simulator.HostOf(m.Addr)) })
 		for _, on := range []bool{true, false} {
 			for _, host := range hosts {
 				r.net.Partition(r.ip(i), host, on)
@@ -210,8 +210,8 @@
 	}},
 }
 
-// playZoneDay simulates a day on which zones fail and return.
-func playZoneDay(t *testing.T, seed uint64) {
+// runZoneScenario simulates a day on which zones fail and return.
+func runZoneScenario(t *testing.T, seed uint64) {
 	const day = 150 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 12))
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed/2%2]}
@@ -248,17 +248,17 @@
 		roll("zone") // in case some were missed
 	}
 	time.Sleep(2 * time.Minute)
-	if n := r.runningReplicas(); n != r.wantedReplicas {
-		t.Errorf("%d replicas of %d run two minutes after the last trouble: %v", n, r.wantedReplicas, r.checker.Replicas("s"))
+	if n := r.runningReplicas(); n != r.desiredReplicas {
+		t.Errorf("%d replicas of %d run two minutes after the last trouble: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
 	}
 	t.Logf("replicas %v; %d starts, %d stops; as many as before ran so long after each return: %v", r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
-	r.finishZones(20 * time.Minute)
+	r.finishWithServices(20 * time.Minute)
 }
 
 // TestZoneFailures simulates days on which zones are cut off for 5 to 90 s, alone and together,
 // while processes and machines restart. AMBERDEAL_ROOMS sets the number of days, AMBERDEAL_ROOM
 // plays one.
-func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", playZoneDay) }
+func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", runZoneScenario) }
 
 // recordsZoneChange reports whether a write of a round changes the record of a zone or of its
 // recovery.
@@ -343,10 +343,10 @@
 	}
 	r.cutOffZones([]string{"b"}, 30*time.Second)
 	time.Sleep(100 * time.Second)
-	if n := r.runningReplicas(); n != r.wantedReplicas {
-		t.Errorf("%d replicas of %d run: %v", n, r.wantedReplicas, r.checker.Replicas("s"))
+	if n := r.runningReplicas(); n != r.desiredReplicas {
+		t.Errorf("%d replicas of %d run: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
 	}
 	t.Logf("%s replicas %v, %d starts, %d stops, as many as before after %v", said, r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
-	r.finishZones(time.Minute)
+	r.finishWithServices(time.Minute)
 	return met
 }
