--- a/internal/simtest/late_launch_test.go
+++ b/internal/simtest/late_launch_test.go
@@ -19,17 +19,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What happens: a leader launches a task by a direct call, the task is done, the leader clears it
-// from the machine's list, and then a copy of the call arrives. The worker does not know the attempt
-// any more and starts the task again. It exits with done as soon as it has its image, but until then
-// it counts for its team and for its cancelled job, and takes the machine's capacity.
+// The tests in this file guard against a late copy of a launch: a leader launches a task by a direct
+// call, the task completes, the leader clears it from the machine's list, and then a copy of the call
+// arrives. The worker no longer knows the attempt and starts the task again. The task exits as done
+// once its image is fetched, but until then it counts toward its team's quota and its cancelled job,
+// and takes capacity of the machine.
 //
-// Why: the leader keeps an ended attempt on the machine's list for as long as a copy of its call may
-// come, since a copy of a listed attempt does nothing. What had ended as done was left out of that,
-// because it is never started elsewhere; but the copy starts it on the machine where it was.
+// The leader keeps an ended attempt on the machine's list for as long as a copy of its call may
+// arrive, since a copy of a listed attempt has no effect. Attempts that had ended as done used to be
+// exempt, because they are never started elsewhere; but the copy starts them on the same machine.
 //
-// What showed it, on the day of seed 7 of TestFastRestartsOfShards (one of 8 failures in 480 runs;
-// the network's and the checker's lines were added for the run, the leader's are its log):
+// Seed 7 of TestFastRestartsOfShards showed it (one of 8 failures in 480 runs). The leader's lines
+// are from its log; those of the network and the checker were added for this run:
 //
 //	00:00:07.128 command verb=launch task=wk-760858/0 attempt=33554435 machine=n-000002 by="direct call"
 //	00:00:07.128 direct call answered machine=n-000002 launches=4 executed=true
@@ -41,25 +42,25 @@
 //	00:00:17.004 attempt listed that was not launched task=wk-760858/0 attempt=33554435 machine=n-000002 cause=done
 //	quota: team red uses 7 of 6
 //
-// The call had been answered (so it was no call answered late), the leader sent the launch once (so
-// it was no repetition of its own), and the copy carries the shard's own token (so it was no command
-// of another shard or an earlier leader).
+// The call had been answered, so the answer was not late. The leader sent the launch once, so it was
+// not a retry. The copy carries the shard's own token, so it was not a command of another shard or an
+// earlier leader.
 
-// copySender is the host from which copies arrive.
+// copySender is the host that sends the copies.
 const copySender = "10.4.0.2"
 
-// callRecorder keeps the direct calls by which each task was launched, to send copies of them later.
+// callRecorder records the direct calls that launched each task, to send copies of them later.
 type callRecorder struct {
 	*simulation
 	caller         *transport.Caller
 	shardings      *shardingSettings
 	mu             sync.Mutex
 	callsByTask    map[wire.TaskID][][]byte
-	copiesAnswered int // copies that a machine answered
-	copiesExecuted int // copies of these that it executed
+	copiesAnswered int // number of copies that a machine answered
+	copiesExecuted int // number of these that the machine executed
 }
 
-// recordCalls starts to record the direct calls of a simulation.
+// recordCalls starts recording the direct calls of a simulation.
 func recordCalls(w *simulation) *callRecorder {
 	r := &callRecorder{simulation: w, caller: &transport.Caller{MaxBody: 8 << 20, Dial: w.net.Host(copySender).Dial}, callsByTask: map[wire.TaskID][][]byte{}}
 	w.net.Observe(func(from string, message []byte) {
@@ -71,7 +72,7 @@
 	return r
 }
 
-// record keeps a message if it is a direct call with launches.
+// record records a message if it is a direct call with launches.
 func (r *callRecorder) record(message []byte) {
 	head, body, _ := bytes.Cut(message, []byte("\r\n\r\n"))
 	var call wire.CommandRequest
@@ -94,7 +95,7 @@
 	return slices.Clone(r.callsByTask[task])
 }
 
-// machineOf returns the machine that a task was on last, if that is up.
+// machineOf returns the machine that last ran a task, if it is up.
 func (r *callRecorder) machineOf(task wire.TaskID) (upMachine, bool) {
 	r.tasks.mu.Lock()
 	id := r.tasks.lastMachine[task]
@@ -107,7 +108,7 @@
 	return machines[i], true
 }
 
-// deliverCopies delivers a copy of each call that launched a task to the machine that it was on.
+// deliverCopies delivers a copy of each call that launched a task to the machine that last ran it.
 func (r *callRecorder) deliverCopies(task wire.TaskID) {
 	m, up := r.machineOf(task)
 	if !up {
@@ -129,7 +130,7 @@
 	log(len(calls), "copies of the launch of", task, "sent; so far answered:", r.copiesAnswered, "executed:", r.copiesExecuted)
 }
 
-// verifyCopiesIgnored delivers copies, none of which may put the task on its machine again.
+// verifyCopiesIgnored delivers copies and checks that none of them puts the task on its machine again.
 func (r *callRecorder) verifyCopiesIgnored(task wire.TaskID) {
 	r.deliverCopies(task)
 	m, up := r.machineOf(task)
@@ -137,21 +138,21 @@
 		return
 	}
 	if state, _ := m.State(); slices.Contains(state.Tasks, task) {
-		r.t.Errorf("a copy of its launch has put %v on %s again", task, m.id)
+		r.t.Errorf("a copy of its launch put %v on %s again", task, m.id)
 	}
 }
 
-// verifyCopiesRestart delivers copies that come later than what the leader remembers, and checks that they
-// start the task again: where they don't any more, the design can say so.
+// verifyCopiesRestart delivers copies that arrive after the window in which the leader remembers the attempt,
+// and checks that they start the task again. If they no longer do, the design document can be updated.
 func (r *callRecorder) verifyCopiesRestart(task wire.TaskID) {
 	before := r.tasks.startsOf(task)
 	r.deliverCopies(task)
 	if r.tasks.startsOf(task) == before {
-		r.t.Errorf("a copy after the window does not start %v", task)
+		r.t.Errorf("a copy that arrived after the window did not start %v again", task)
 	}
 }
 
-// isListed reports whether the machine that a task was on lists the task.
+// isListed reports whether the machine that last ran a task lists it.
 func (r *callRecorder) isListed(task wire.TaskID) bool {
 	m, up := r.machineOf(task)
 	if !up {
@@ -167,49 +168,49 @@
 	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.ReportedTask) bool { return t.Task == task.String() })
 }
 
-// awaitCleared waits until the machine that a task was on does not list the task any more, for some
-// time at most.
-func (r *callRecorder) awaitCleared(task wire.TaskID, patience time.Duration) {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline) && r.isListed(task); {
+// awaitCleared waits until the machine that last ran a task no longer lists it, or until the timeout.
+func (r *callRecorder) awaitCleared(task wire.TaskID, timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && r.isListed(task); {
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// requireEventually waits until something holds, and fails the test if that takes too long.
-func (w *simulation) requireEventually(what string, patience time.Duration, holds func() bool) {
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(50 * time.Millisecond) {
+// requireEventually waits until a condition holds, and fails the test if it doesn't within the timeout.
+func (w *simulation) requireEventually(what string, timeout time.Duration, condition func() bool) {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Errorf("after %v: not %s", patience, what)
+			w.t.Errorf("not %s within %v", what, timeout)
 			return
 		}
 	}
 }
 
-// lateLaunchScenario is a day on which the first job has ended, wholly or in part, when copies of the
-// calls that launched its tasks arrive.
+// lateLaunchScenario is a simulated day on which copies of the calls that launched tasks of the first
+// job arrive after some or all of these tasks have ended.
 type lateLaunchScenario struct {
 	name       string
 	sharding   string
-	setUp      func(w *simulation) // the jobs: wk-1 is the one of which copies arrive
-	configure  func(w *simulation) // of the stand-ins
-	endedTasks []int               // the tasks of wk-1 that end and must not start again
+	setUp      func(w *simulation) // submits the jobs; copies arrive of the launches of wk-1
+	configure  func(w *simulation) // configures the simulated machines and cloud
+	endedTasks []int               // indexes of the tasks of wk-1 that end and must not start again
 	sendCopies func(r *callRecorder, tasks []wire.TaskID)
-	// launchedByHeartbeat: some of the tasks are launched by the responses to heartbeats, without a call.
+	// launchedByHeartbeat is set if some of the tasks are launched by responses to heartbeats, without a direct call.
 	launchedByHeartbeat bool
-	// refused: the machine may have the next token before any copy comes, and refuses all.
+	// copiesRefused is set if the machine may learn the next fencing token before any copy arrives, and then
+	// refuses all of them.
 	copiesRefused bool
-	// startsAgain: the copies come later than any window can be. Each task starts once more.
+	// startsAgain is set if the copies arrive after the longest possible window, so that each task starts once more.
 	startsAgain bool
 }
 
-// lateLaunchSeed seeds the days.
+// lateLaunchSeed is the seed of all late launch scenarios.
 const lateLaunchSeed = 71
 
-// lateLaunchFirstTask is the first task of the job whose tasks must not start again.
+// lateLaunchFirstTask is the first task of the job whose ended tasks must not start again.
 var lateLaunchFirstTask = wire.TaskID{Job: "wk-1"}
 
-// teamAtLimit submits a job of that many tasks that are done after 5 s, and enough other work of its
-// team, in the other zone, for the team to be exactly at its limit of six GPUs afterwards.
+// teamAtLimit returns a setUp function that submits a job whose tasks complete after 5 s, and enough other
+// work of its team, in the other zone, for the team to be exactly at its limit of six GPUs afterwards.
 func teamAtLimit(shape wire.Shape, tasks int) func(w *simulation) {
 	return func(w *simulation) {
 		w.submitter(lateLaunchSeed, jobOf("wk-1", shape, tasks, 5*sec, red, inZone("a")), 6*sec, 0, 5*sec)
@@ -217,16 +218,16 @@
 	}
 }
 
-// inZone has a job run in one zone.
+// inZone returns a job option that binds the job to a zone.
 func inZone(zone string) func(*wire.Job) { return func(j *wire.Job) { j.Zone = zone } }
 
-// awaitTeamAtLimit waits until the team runs as much again as its limit allows.
+// awaitTeamAtLimit waits until the team is at its limit again, now with the tasks of wk-2.
 func awaitTeamAtLimit(r *callRecorder) {
 	r.requireEventually("at the limit", time.Minute, func() bool { return r.checker.Running("wk-2") == 6 })
 }
 
-// sendCopiesAfterClear sends copies as soon as the machine has forgotten the tasks, and once more a second
-// later. A machine that remembers them gets the copies after some seconds.
+// sendCopiesAfterClear sends copies as soon as the machine no longer lists the tasks, and once more a
+// second later. A machine that still lists them gets the copies after 10 s per task.
 func sendCopiesAfterClear(r *callRecorder, tasks []wire.TaskID) {
 	for _, task := range tasks {
 		r.awaitCleared(task, 10*sec)
@@ -239,17 +240,17 @@
 	}
 }
 
-// sendCopiesAfter sends copies some time after the tasks have ended.
-func sendCopiesAfter(after time.Duration) func(r *callRecorder, tasks []wire.TaskID) {
+// sendCopiesAfter returns a function that sends copies after a delay from the end of the tasks.
+func sendCopiesAfter(delay time.Duration) func(r *callRecorder, tasks []wire.TaskID) {
 	return func(r *callRecorder, tasks []wire.TaskID) {
-		time.Sleep(after)
+		time.Sleep(delay)
 		for _, task := range tasks {
 			r.verifyCopiesIgnored(task)
 		}
 	}
 }
 
-// sendCopiesFor20s sends copies again and again from the end of the tasks on.
+// sendCopiesFor20s sends copies every 100 ms for 20 s from the end of the tasks on.
 func sendCopiesFor20s(r *callRecorder, tasks []wire.TaskID) {
 	for end := time.Now().Add(20 * sec); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, task := range tasks {
@@ -317,18 +318,18 @@
 	}, endedTasks: []int{0}, startsAgain: true, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		time.Sleep(3 * time.Minute)
 		r.awaitCleared(tasks[0], 10*sec)
-		time.Sleep(3 * sec) // the leader has seen it cleared
+		time.Sleep(3 * sec) // until the leader has seen that the task is cleared
 		r.verifyCopiesRestart(tasks[0])
-		sendCopiesAfter(3*sec)(r, tasks) // the first copy is known by then
+		sendCopiesAfter(3*sec)(r, tasks) // by then the attempt is known again because of the first copy
 	}},
 }
 
-// lostReplyScenario is a day on which machines answer no direct call, and execute each a moment later, until
-// the task has ended.
+// lostReplyScenario returns a scenario in which, until the task has ended, machines answer no direct call
+// and execute each of them 200 ms later.
 func lostReplyScenario() lateLaunchScenario {
-	var answers atomic.Bool
+	var answerCalls atomic.Bool
 	delay := func() time.Duration {
-		if answers.Load() {
+		if answerCalls.Load() {
 			return 0
 		}
 		return 200 * time.Millisecond
@@ -336,16 +337,16 @@
 	return lateLaunchScenario{name: "the answer to its call was lost", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0},
 		configure: func(w *simulation) { w.reconfigureMachines(2*sec, delay) },
 		sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
-			answers.Store(true)
+			answerCalls.Store(true)
 			awaitTeamAtLimit(r)
 			sendCopiesAfterClear(r, tasks)
 		}}
 }
 
-// shortTaskCount are more tasks than attempts that a machine's list keeps for the sake of late copies.
+// shortTaskCount exceeds the number of ended attempts that a machine's list keeps because of late copies.
 const shortTaskCount = 150
 
-// taskIndexes lists the numbers from 0 to n-1.
+// taskIndexes returns the indexes from 0 to n-1.
 func taskIndexes(n int) (out []int) {
 	for i := range n {
 		out = append(out, i)
@@ -353,22 +354,22 @@
 	return out
 }
 
-// limitToOneMachine leaves one machine to rent.
+// limitToOneMachine limits the cloud to a single machine.
 func limitToOneMachine(w *simulation) {
 	w.cloud.SetFaults(func(*simulator.CloudFaults) {
 		w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: 1}
 	})
 }
 
-// wholeMachine has each task take all GPUs of a machine.
+// wholeMachine is a job option by which each task takes all resources of a machine.
 func wholeMachine(j *wire.Job) { j.CPUs, j.GPUs, j.MemoryGB = g4.CPUs, g4.GPUs, g4.MemoryGB }
 
-// withImage gives a job an image of which a machine keeps only one.
+// withImage returns a job option that sets an image so large that a machine keeps only one of its size.
 func withImage(name string) func(*wire.Job) {
 	return func(j *wire.Job) { j.Image, j.ImageGB = name, 30 }
 }
 
-// run simulates the day. No task that has ended may start again.
+// run simulates the scenario and checks that no task that has ended starts again.
 func (d lateLaunchScenario) run(t *testing.T) {
 	shardings := &shardingSettings{initial: d.sharding}
 	w := newSimulation(t, lateLaunchSeed, 0, func(c *config.Config) {
@@ -385,17 +386,17 @@
 		tasks = append(tasks, wire.TaskID{Job: lateLaunchFirstTask.Job, Index: i})
 	}
 	for _, task := range tasks {
-		w.requireEventually(fmt.Sprint(task, " over"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
+		w.requireEventually(fmt.Sprint(task, " ended"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
 	}
 	for _, task := range tasks {
 		if len(r.launchCalls(task)) == 0 && !d.launchedByHeartbeat {
-			t.Errorf("%v was launched by no direct call", task)
+			t.Errorf("no direct call launched %v", task)
 		}
 	}
-	log("copies arrive")
+	log("sending copies of launches")
 	d.sendCopies(r, tasks)
 	if r.copiesAnswered == 0 || r.copiesExecuted == 0 && !d.copiesRefused {
-		t.Errorf("%d copies were answered and %d executed: nothing is shown", r.copiesAnswered, r.copiesExecuted)
+		t.Errorf("%d copies were answered and %d executed: the test proves nothing", r.copiesAnswered, r.copiesExecuted)
 	}
 	want := 1
 	if d.startsAgain {
@@ -409,8 +410,8 @@
 	w.finishQuietly(time.Minute, 20*time.Minute)
 }
 
-// TestLateLaunchOfEndedTask simulates such days. AMBERDEAL_LATELAUNCH plays only the day with that
-// number.
+// TestLateLaunchOfEndedTask checks that a late copy of a launch does not start an ended task again.
+// AMBERDEAL_LATELAUNCH runs only the scenario with that number, from 0.
 func TestLateLaunchOfEndedTask(t *testing.T) {
 	for i, d := range lateLaunchScenarios {
 		if only := os.Getenv("AMBERDEAL_LATELAUNCH"); only != "" && only != fmt.Sprint(i) {
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -21,13 +21,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// replyLoss is how the answer to a committed write is lost, and what its sender meets afterwards.
+// replyLoss describes how the reply to a committed write is lost, and which faults its sender sees afterwards.
 type replyLoss struct {
 	name                  string
-	reply                 int           // noReply or connClosed
-	repeatStatus          int           // status that repeats of the write get for a while, 0 for that of the service
-	senderRefused, outage time.Duration // how long the sender alone (cut) or everybody is refused
-	crashSender           bool          // the sender crashes and restarts soon
+	reply                 int           // what the sender gets: noReply or connClosed
+	repeatStatus          int           // status of retries of the write for a while; 0 passes on that of the service
+	senderRefused, outage time.Duration // how long the sender alone, or every controller, is refused
+	crashSender           bool          // the sender crashes and restarts soon afterwards
 }
 
 var replyLosses = []replyLoss{
@@ -40,48 +40,48 @@
 	{name: "an outage for longer than cancel_s", reply: connClosed, outage: 50 * time.Second},
 }
 
-// maxReplies is how often a write is answered that its sender keeps repeating: one answer
-// suffices, unless it comes too late.
+// maxReplies is how often a write that its sender keeps retrying may be answered: one answer
+// suffices, unless it arrives too late.
 const maxReplies = 3
 
-// replyLossProxy is a proxy between controllers and the state service. It loses the answers to
-// some committed writes, and shows nothing of them to their sender until another controller has
-// read them.
+// replyLossProxy is a proxy between controllers and the state service. It loses the replies to
+// some committed writes, and hides the result of each from its sender until another controller has
+// read it.
 type replyLossProxy struct {
 	*delayProxy
 	sim             *simulation
 	seed            int
-	writes          map[string]*trackedWrite // by sender and body
+	writes          map[string]*trackedWrite // by sender, path and body
 	unknownToSender []*trackedWrite          // writes whose sender does not know their result yet
-	refusedUntil    map[string]time.Time
-	lastOutageStart time.Time // when the last outage began
+	refusedUntil    map[string]time.Time     // by controller
+	lastOutageStart time.Time
 	observed        map[string]*observedJob
 	tallies         map[string]replyLossTally
 }
 
-// trackedWrite is a write with all its copies.
+// trackedWrite is a write together with its retries.
 type trackedWrite struct {
 	kind, sender string
 	sentAt       time.Time
-	loss         *replyLoss // nil if it was answered
+	loss         *replyLoss // nil if the reply was delivered
 	revision     uint64
-	readByOther  bool // by another controller, before its sender knew the result
-	finalReplies int  // number of final answers to copies of it
+	readByOther  bool // another controller read it before its sender knew the result
+	finalReplies int  // number of final replies to its retries
 }
 
-// replyLossTally counts the writes of a kind whose answer was lost.
+// replyLossTally counts the writes of a kind whose replies were lost.
 type replyLossTally struct {
 	lost, readByOther int
-	byLoss            map[string]int // by kind of loss
+	byLoss            map[string]int // by name of the loss
 }
 
-// observedJob is what any user was answered about a job, and since when.
+// observedJob is what users have been told about a job.
 type observedJob struct {
-	finalStage             wire.Stage // the final one
-	knownSince, finalSince time.Time
+	finalStage             wire.Stage // the first final stage that was reported
+	knownSince, finalSince time.Time  // when it was first reported as known, and as final
 }
 
-// newReplyLossProxy returns a proxy that loses the answers to a share of the writes.
+// newReplyLossProxy returns a proxy that loses the replies to a share of the writes.
 func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
 	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
 		refusedUntil: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
@@ -89,7 +89,7 @@
 	return a
 }
 
-// isInvisibleToReaders reports whether writes of a kind change nothing that controllers read.
+// isInvisibleToReaders reports whether writes of this kind change nothing that controllers read.
 func isInvisibleToReaders(kind string) bool { return kind == "new lease" || kind == "renewal" }
 
 // serve handles a request of a controller.
@@ -100,7 +100,7 @@
 	kind := a.kindSent(from, method, target, body)
 	if kind == "" {
 		status, answer := a.forward(ctx, caller, method, target, body)
-		var page wire.WatchResponse // a list has its revision too
+		var page wire.WatchResponse // a list response has a revision, too
 		if status == 200 && wire.Decode(answer, &page) == nil {
 			a.recordRead(from, page.Revision)
 		}
@@ -128,14 +128,14 @@
 	return time.Now().Before(a.refusedUntil[from])
 }
 
-// findWrite returns the write that is repeated, or nil.
+// findWrite returns the write that a request retries, or nil if the request is new.
 func (a *replyLossProxy) findWrite(id string) *trackedWrite {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.writes[id]
 }
 
-// awaitRead waits until another controller has read a write, for a while.
+// awaitRead waits until another controller has read a write, for 2 s at most.
 func (a *replyLossProxy) awaitRead(s *trackedWrite) {
 	for begun := time.Now(); time.Since(begun) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// recordRead is called before a controller is shown everything up to a revision.
+// recordRead records that a controller is about to see everything up to a revision.
 func (a *replyLossProxy) recordRead(from string, revision uint64) {
 	a.mu.Lock()
 	var own []*trackedWrite
@@ -169,7 +169,7 @@
 	}
 }
 
-// recordResultKnown is called when the sender learns the result of a write.
+// recordResultKnown records that the sender of a write has learned its result.
 func (a *replyLossProxy) recordResultKnown(s *trackedWrite) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,19 +185,19 @@
 	}
 }
 
-// decideReply decides what the sender of a write gets whose answer has arrived from the service.
+// decideReply returns the status that the sender of a write gets, given the one of the state service.
 func (a *replyLossProxy) decideReply(id, kind, from string, body []byte, status int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.writes[id]
-	lease := slices.Contains(leaseKinds, kind) // all of a kind look alike
+	lease := slices.Contains(leaseKinds, kind) // two of these by one sender have the same body
 	if s != nil && !lease {
 		if status == 200 && s.revision > 0 && kind != "new jobs" {
-			a.t.Errorf("%s: %s was taken twice", from, kind)
+			a.t.Errorf("%s: %s was committed twice", from, kind)
 		}
 		if answered := status == 200 || status == 409; answered {
 			if s.finalReplies++; s.finalReplies > maxReplies {
-				a.t.Errorf("%s: %s of %v is answered %d times", from, kind, s.sentAt, s.finalReplies)
+				a.t.Errorf("%s: %s sent at %v was answered %d times", from, kind, s.sentAt, s.finalReplies)
 			}
 		}
 		go a.recordResultKnown(s)
@@ -214,13 +214,13 @@
 	n := a.kindCounts[kind]
 	a.kindCounts[kind]++
 	switch at := slices.IndexFunc(writeKinds, func(k writeKind) bool { return k.name == kind }); {
-	case n < 2*len(replyLosses) && n%2 == 0: // the rare ones in another way each day
+	case n < 2*len(replyLosses) && n%2 == 0: // so that rare kinds get another loss with each seed
 		s.loss = &replyLosses[(n/2+1+at+a.seed)%len(replyLosses)]
 	case a.rng.Float64() < a.share:
 		s.loss = &replyLosses[a.rng.IntN(len(replyLosses)-1)]
 	}
 	if s.loss != nil && s.loss.outage > 0 {
-		if time.Since(a.lastOutageStart) < 4*time.Minute { // or nobody could answer anything for too long
+		if time.Since(a.lastOutageStart) < 4*time.Minute { // more frequent outages would leave users without answers for too long
 			s.loss = &replyLosses[a.rng.IntN(2)]
 		} else {
 			a.lastOutageStart = time.Now()
@@ -238,14 +238,14 @@
 	t.byLoss[s.loss.name]++
 	a.tallies[kind] = t
 	if os.Getenv("SIM_LOG") != "" {
-		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== taken, no answer:", kind, "of", from, "revision", s.revision, s.loss.name)
+		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== committed without a reply:", kind, "of", from, "revision", s.revision, s.loss.name)
 	}
 	a.applyConsequences(s, body)
 	return s.loss.reply
 }
 
-// applyConsequences injects what follows from a loss, and has users poll the jobs that were
-// written.
+// applyConsequences injects the faults that accompany a loss, and has users poll the jobs that the
+// write changed.
 func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
 	if s.loss.senderRefused > 0 {
 		a.refusedUntil[s.sender] = time.Now().Add(s.loss.senderRefused)
@@ -274,13 +274,13 @@
 	}
 }
 
-// pollAfter has a user poll a job at a controller after a while. No answer may be older than one
-// that any controller gave before the poll was sent.
-func (a *replyLossProxy) pollAfter(id string, node int, after time.Duration) {
-	ctx, cancel := context.WithTimeout(a.sim.ctx, after+2*time.Second)
+// pollAfter has a user poll a job at a controller after a delay. The answer may not be older than
+// any answer that a controller gave before the poll was sent.
+func (a *replyLossProxy) pollAfter(id string, node int, delay time.Duration) {
+	ctx, cancel := context.WithTimeout(a.sim.ctx, delay+2*time.Second)
 	defer cancel()
 	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
-	time.Sleep(after)
+	time.Sleep(delay)
 	asked := time.Now()
 	resp, err := caller.Call(ctx, simulator.Address(a.sim.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
 	var st wire.JobStatus
@@ -297,11 +297,11 @@
 	switch {
 	case resp.Status == 404:
 		if !t.knownSince.IsZero() && t.knownSince.Before(asked) {
-			a.t.Errorf("%s was known at %v; c-%d is asked at %v and does not know it", id, t.knownSince, node, asked)
+			a.t.Errorf("%s was known at %v; c-%d, polled at %v, does not know it", id, t.knownSince, node, asked)
 		}
 		return
 	case !t.finalSince.IsZero() && t.finalStage != st.Stage && (t.finalSince.Before(asked) || st.Stage.Final()):
-		a.t.Errorf("%s was %s at %v; c-%d is asked at %v and calls it %s", id, t.finalStage, t.finalSince, node, asked, st.Stage)
+		a.t.Errorf("%s was %s at %v; c-%d, polled at %v, reports %s", id, t.finalStage, t.finalSince, node, asked, st.Stage)
 	}
 	if t.knownSince.IsZero() {
 		t.knownSince = time.Now()
@@ -309,13 +309,13 @@
 	if t.finalSince.IsZero() && st.Stage.Final() {
 		t.finalStage, t.finalSince = st.Stage, time.Now()
 		if st.Stage == wire.Cancelled {
-			a.sim.checker.ObserveAnswer(id, 200, st.Stage, true) // its tasks must be gone in time from now on
+			a.sim.checker.ObserveAnswer(id, 200, st.Stage, true) // starts the time within which its tasks must be gone
 		}
 	}
 }
 
-// runReplyLossScenario simulates a day on which writes of each kind are committed while their senders
-// learn nothing.
+// runReplyLossScenario simulates a day on which writes of each kind are committed and their senders
+// get no reply.
 func runReplyLossScenario(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
 	playAllWritesDay(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
 		a = newReplyLossProxy(w, seed, share)
@@ -324,10 +324,10 @@
 	return a
 }
 
-// TestLostReplies commits writes of each kind and loses only the answer, while other controllers
-// read them and act and users poll at all of them. Of the days outside of CI, with
-// AMBERDEAL_ATONCES=N, all but the first two have other faults too and up to one write of ten
-// without an answer. AMBERDEAL_ATONCE plays one.
+// TestLostReplies commits writes of each kind and loses only their replies, while other controllers
+// read the writes and act on them, and users poll at all controllers. AMBERDEAL_ATONCES=N simulates
+// more days outside of CI, of which all but the first two have other faults, too, and lose up to one
+// reply in ten. AMBERDEAL_ATONCE simulates one.
 func TestLostReplies(t *testing.T) {
 	all := map[string]replyLossTally{}
 	var mu sync.Mutex
@@ -352,18 +352,17 @@
 		}
 	})
 	for _, kind := range slices.Sorted(maps.Keys(all)) {
-		t.Logf("%s: %d taken without an answer, %d of them read by another before the sender knew; %v", kind, all[kind].lost, all[kind].readByOther, all[kind].byLoss)
+		t.Logf("%s: %d committed without a reply, %d of them read by another controller before the sender knew; %v", kind, all[kind].lost, all[kind].readByOther, all[kind].byLoss)
 	}
 	for _, kind := range append(slices.Clone(leaseKinds), kindNames(func(name string) bool { return !strings.Contains(name, "import") })...) {
 		if n := all[kind]; os.Getenv("AMBERDEAL_ATONCE") == "" && (n.lost == 0 || n.readByOther == 0 && !isInvisibleToReaders(kind)) {
-			t.Errorf("%q: %d were taken without an answer, and %d read by another before the sender knew", kind, n.lost, n.readByOther)
+			t.Errorf("%q: %d were committed without a reply, and %d read by another controller before the sender knew", kind, n.lost, n.readByOther)
 		}
 	}
 }
 
-// TestElectionsWithLostReplies lets the only controller win five shards while the answer to each
-// election transaction is lost for a while. Its lease is renewed meanwhile, so that it wins none
-// of them a second time.
+// TestElectionsWithLostReplies has the only controller win five shards while it gets no reply to any
+// election transaction. Its lease is renewed meanwhile, so it may not win any shard a second time.
 func TestElectionsWithLostReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulationOf(t, 1, 91, 0, func(c *config.Config) {
@@ -389,11 +388,11 @@
 	})
 }
 
-// TestCancelWhileLaunchUnknown commits the round that launches a job while the leader learns that
-// only by its repeat. Just before, another controller has told a user that the job is cancelled:
-// what the leader reads to learn the fate of its own write says that too, so that no task may
-// start. In one case its reads are refused for a while before, and it may not repeat the round
-// meanwhile.
+// TestCancelWhileLaunchUnknown commits the round that launches a job and loses the reply, so that the
+// leader learns of the commit only by retrying the round. Before the retry is forwarded, another
+// controller confirms the cancellation of the job to a user. The data that the leader reads to learn
+// the result of its own write includes this cancellation, so no task may start. In one case its reads
+// are refused for a while first, and it may not retry the round meanwhile.
 func TestCancelWhileLaunchUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 92, 0, func(c *config.Config) { c.StoreAddr = simulator.Address("10.2.1."+c.Name[2:], 2379) })
@@ -411,35 +410,35 @@
 			l.currentJob = j.ID
 			l.mu.Unlock()
 			if status := l.call(0, wire.PathJobs, wire.Encode(j)); status != 201 {
-				t.Errorf("%s is answered %d", j.ID, status)
+				t.Errorf("submission of %s: status %d, want 201", j.ID, status)
 			}
 			time.Sleep(15 * time.Second)
 		}
 		for id, n := range l.roundCopies {
 			if n != 2 {
-				t.Errorf("the round that launches %s was sent %d times, not twice", id, n)
+				t.Errorf("the round that launches %s was sent %d times, want 2", id, n)
 			}
 		}
 		if _, after := w.checker.Counts(); len(l.roundCopies) != 4 || after != before {
-			t.Errorf("of %d jobs that were cancelled while their launch was unknown, %d tasks have started", len(l.roundCopies), after-before)
+			t.Errorf("%d jobs were cancelled while the leader did not know the result of their launch, want 4; %d tasks started, want 0", len(l.roundCopies), after-before)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
 	})
 }
 
-// unknownLaunchProxy loses the answer to the first copy of the round that launches a job, and has
-// the job cancelled at another controller before it passes the second copy on.
+// unknownLaunchProxy loses the reply to the first copy of the round that launches a job, and has
+// the job cancelled at another controller before it forwards the second copy.
 type unknownLaunchProxy struct {
 	*delayProxy
 	sim    *simulation
-	caller *transport.Caller // of the user
+	caller *transport.Caller // of the user who cancels
 
 	mu                sync.Mutex
-	currentJob        string               // the present one
-	roundCopies       map[string]int       // sent of the round that launches each job
-	roundBodies       map[string]string    // the body of that round
-	readsRefusedUntil map[string]time.Time // by controller, until when
+	currentJob        string
+	roundCopies       map[string]int       // how often the round that launches each job was sent
+	roundBodies       map[string]string    // body of the round that launches each job
+	readsRefusedUntil map[string]time.Time // by controller
 }
 
 func newUnknownLaunchProxy(w *simulation) *unknownLaunchProxy {
@@ -450,7 +449,7 @@
 	return l
 }
 
-// call sends a user's request to a controller, and returns the status, 0 for no answer.
+// call sends a user's request to a controller and returns the status, or 0 if there was no response.
 func (l *unknownLaunchProxy) call(to int, path string, body []byte) int {
 	resp, err := l.caller.Call(l.sim.ctx, simulator.Address(l.sim.ip(to), 8080), "POST", path, body)
 	if err != nil {
@@ -459,7 +458,7 @@
 	return resp.Status
 }
 
-// serveRound handles a controller's request.
+// serveRound handles a request of a controller to the state service.
 func (l *unknownLaunchProxy) serveRound(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
 	l.mu.Lock()
 	id, n := l.currentJob, 0
@@ -475,7 +474,7 @@
 	}
 	if n == 2 {
 		if status := l.call((int(from[2]-'0')+1)%3, wire.PathJobs+"/"+id+"/"+wire.CancelWord, []byte{}); status != 200 {
-			l.t.Errorf("the cancellation of %s is answered %d", id, status)
+			l.t.Errorf("cancellation of %s: status %d, want 200", id, status)
 		}
 	}
 	status, answer := l.forward(ctx, via, method, target, body)
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -12,9 +12,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which machines are up as soon as they are rented, and on which some can only be called.
+// The tests in this file simulate days on which machines are up as soon as they are rented, and days on which
+// some machines answer calls but can open no connections.
 
-// bootObserver records when machines came up and when tasks started on them.
+// bootObserver records when machines booted and when tasks started on them.
 type bootObserver struct {
 	*simulator.Checker
 	mu       sync.Mutex
@@ -37,19 +38,19 @@
 	return b.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// countStarts counts the selected starts.
-func (b *bootObserver) countStarts(pick func(observedStart) bool) (n int) {
+// countStarts counts the starts that match.
+func (b *bootObserver) countStarts(matches func(observedStart) bool) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.starts {
-		if pick(s) {
+		if matches(s) {
 			n++
 		}
 	}
 	return n
 }
 
-// observeBoots sets the boot time of machines that are rented from now on, and observes them.
+// observeBoots sets the boot time of machines that are rented from now on, and returns an observer of them.
 func (w *simulation) observeBoots(boot time.Duration) *bootObserver {
 	b := &bootObserver{Checker: w.checker, bootedAt: map[string]time.Time{}}
 	w.fixture = b
@@ -66,30 +67,29 @@
 	return b
 }
 
-// allCasesRequested reports whether all cases are requested, and not a few.
+// allCasesRequested reports whether an environment variable requests all cases instead of a selection.
 func allCasesRequested(variable string) bool { return os.Getenv(variable) != "" }
 
-// withSharding divides the fleet by zones, or not.
+// withSharding returns a settings function that sets the sharding, and keeps idle machines for an hour.
 func withSharding(by string) func(*config.Config) {
 	return func(c *config.Config) { c.Tuning.Shards.By, c.Tuning.Idle = by, time.Hour }
 }
 
-// outboundBlockDurations are around the heartbeat interval, the answer timeout, and a worker's
-// lease.
+// outboundBlockDurations lie around the heartbeat interval, the response timeout, and a worker's lease.
 var outboundBlockDurations = []time.Duration{3 * sec, 8 * sec, 12 * sec, 19 * sec, 21 * sec, 26 * sec, 60 * sec, 100 * sec}
 
-// outboundBlockGrace is how long after its last heartbeat tasks may still be started on a machine
-// that only answers calls: a heartbeat may be lost for other reasons.
+// outboundBlockGrace is how long after its last heartbeat a machine that only answers calls may still
+// be given tasks: a single heartbeat may be lost for other reasons.
 const outboundBlockGrace = 11 * sec
 
 // TestOutboundBlockedMachines keeps half of the machines from opening connections for a while;
-// they still answer calls. Their tasks have to be stopped at once when their job is cancelled,
-// what was lost with their leases has to run elsewhere soon, and they may get nothing that would
-// be lost the same way. When their heartbeats arrive again their capacity has to be used. The
-// leader ends meanwhile, or does not.
+// they still answer calls. Their tasks must stop at once when the job is cancelled, tasks that were
+// lost when the machines' leases expired must soon run elsewhere, and these machines may get no new
+// tasks, which would be lost the same way. When their heartbeats arrive again, their capacity must be
+// used. In some cases the leader crashes meanwhile.
 func TestOutboundBlockedMachines(t *testing.T) {
 	for n, d := range outboundBlockDurations {
-		for k, ends := range []time.Duration{-1, 0, 2 * sec, 15 * sec} { // when the leader does
+		for k, ends := range []time.Duration{-1, 0, 2 * sec, 15 * sec} { // when the leader crashes
 			if !allCasesRequested("AMBERDEAL_NEWMACHINES") && (k != (n+1)%4 || n%2 == 0 && n != 4) {
 				continue
 			}
@@ -101,7 +101,7 @@
 	}
 }
 
-// runOutboundBlockScenario simulates such a day.
+// runOutboundBlockScenario simulates a day on which machines can't open connections for the duration d.
 func runOutboundBlockScenario(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
 	o := &outboundBlockScenario{seed: seed, duration: d, leaderEndsAfter: ends, blocked: map[string]upMachine{}}
 	script{seed: seed, count: count, settings: withSharding(by), setUp: o.setUp, steps: []step{
@@ -110,7 +110,7 @@
 		{66500 * time.Millisecond, "a cancellation", func(*simulation) { o.longJob.untilAnswered(o.longJob.cancel) }},
 		{70 * sec, "which has stopped all", func(w *simulation) {
 			if n := w.checker.Running("wk-3"); n > 0 {
-				w.t.Errorf("%d tasks of a cancelled job go on", n)
+				w.t.Errorf("%d tasks of a cancelled job still run", n)
 			}
 		}},
 		{65*sec + d, "they are heard again", o.checkAfterBlock},
@@ -118,30 +118,30 @@
 	}, verify: o.verify}.run(t)
 }
 
-// outboundBlockScenario is a day on which half of the machines open no connection for a while.
+// outboundBlockScenario is a simulated day on which half of the machines can't open connections for a while.
 type outboundBlockScenario struct {
 	seed                      uint64
-	duration, leaderEndsAfter time.Duration // of the fault, and when the leader ends after its start; negative for not
+	duration, leaderEndsAfter time.Duration // of the fault, and when the leader crashes after its start; negative for never
 	boots                     *bootObserver
 	longJob                   *client
 	tokenBefore               uint64
 	blocked                   map[string]upMachine
-	machinesBefore            int // before the fault
-	replicasBefore            int // that ran then
-	tasksBefore               int // of the long job, that ran then
+	machinesBefore            int // that were up when the fault began
+	replicasBefore            int // of the service, that ran when the fault began
+	tasksBefore               int // of the long job, that ran when the fault began
 	startedAt, endedAt        time.Time
 	leaderElected             chan time.Time
 }
 
 func (o *outboundBlockScenario) setUp(w *simulation) {
 	o.boots, o.leaderElected = w.observeBoots(2*sec), make(chan time.Time, 1)
-	w.submitter(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // has eight machines rented
+	w.submitter(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // makes the leader rent eight machines
 	w.submitter(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.duration+3*time.Minute, forever)
 	o.longJob = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(o.seed, "wk-3"), 10*time.Minute)
 	w.submitter(o.seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
 }
 
-// startBlock starts the fault, and ends the leader if that is due.
+// startBlock starts the fault, and schedules the crash of the leader if there is one.
 func (o *outboundBlockScenario) startBlock(w *simulation) {
 	o.replicasBefore, o.tasksBefore, o.startedAt, o.tokenBefore = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
 	for i, m := range w.runningMachines() {
@@ -162,7 +162,7 @@
 	}
 }
 
-// checkAfterBlock checks, at the end of the fault, that it had an effect and that replicas run elsewhere.
+// checkAfterBlock checks, at the end of the fault, that the fault had an effect and that all replicas run.
 func (o *outboundBlockScenario) checkAfterBlock(w *simulation) {
 	o.endedAt = time.Now()
 	if n := w.checker.Running("wk-2"); o.duration > workerLease+10*sec && n < 4 {
@@ -173,40 +173,40 @@
 		lost += m.ExpiredLeases()
 	}
 	if o.machinesBefore < 6 || len(o.blocked) < 3 || o.replicasBefore != 4 || o.tasksBefore != 8 || o.duration > workerLease && lost < len(o.blocked) {
-		w.t.Errorf("%d machines, %d of them were called only, %d leases ran out, %d replicas and %d tasks ran", o.machinesBefore, len(o.blocked), lost, o.replicasBefore, o.tasksBefore)
+		w.t.Errorf("%d machines, %d of them only answered calls, %d leases expired, %d replicas and %d tasks ran", o.machinesBefore, len(o.blocked), lost, o.replicasBefore, o.tasksBefore)
 	}
 }
 
-// checkGangUsesAllMachines checks that the capacity of all machines is used again.
+// checkGangUsesAllMachines submits a gang that needs all machines, and checks that it starts in time.
 func (o *outboundBlockScenario) checkGangUsesAllMachines(w *simulation) {
 	w.submitter(o.seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
 	for w.checker.Running("wk-5") < 10 && time.Since(o.endedAt) < 2*time.Minute {
 		time.Sleep(sec)
 	}
 	if late := time.Since(o.endedAt); late > 60*sec {
-		w.t.Errorf("a gang has begun %v after all troubles", late)
+		w.t.Errorf("the gang started %v after the fault ended, want 60s at most", late)
 	}
 }
 
-// verify checks that nothing was started on machines that could only be called. A new leader has
-// outboundBlockGrace to learn that, too.
+// verify checks that no task was started on machines that only answered calls. A new leader has
+// outboundBlockGrace to detect them, too.
 func (o *outboundBlockScenario) verify(w *simulation) {
-	anew := o.startedAt
+	elected := o.startedAt
 	if o.leaderEndsAfter >= 0 {
-		anew = <-o.leaderElected
+		elected = <-o.leaderElected
 	}
 	if n := o.boots.countStarts(func(s observedStart) bool {
-		return o.blocked[s.machine].Worker != nil && s.at.After(o.startedAt.Add(outboundBlockGrace)) && s.at.Before(o.endedAt) && (s.at.Before(anew) || s.at.After(anew.Add(outboundBlockGrace)))
+		return o.blocked[s.machine].Worker != nil && s.at.After(o.startedAt.Add(outboundBlockGrace)) && s.at.Before(o.endedAt) && (s.at.Before(elected) || s.at.After(elected.Add(outboundBlockGrace)))
 	}); n > 0 {
-		w.t.Errorf("%d tasks were started on machines that can only be called", n)
+		w.t.Errorf("%d tasks were started on machines that only answer calls", n)
 	}
 }
 
-// leaderEndOffsets are the times after the write of a launch on a new machine at which its leader
-// ends.
+// leaderEndOffsets are the times after the write of a launch on a new machine at which the leader
+// that wrote it crashes.
 var leaderEndOffsets = []time.Duration{0, 15 * time.Millisecond, 60 * time.Millisecond, 200 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond, 3 * sec}
 
-// newMachineFaults are what happens to new machines when the leader ends.
+// newMachineFaults are what happens to machines when the leader crashes.
 var newMachineFaults = []struct {
 	name  string
 	apply func(w *simulation, m upMachine)
@@ -222,12 +222,12 @@
 	{"are gone", func(w *simulation, m upMachine) { w.cloud.Preempt(m.id, 0) }},
 }
 
-// TestNewMachinesAsLeaderEnds has machines come up before the answer to their rental and before
-// any list shows them, and get work at once: an array up to its team's quota, a gang and an array
-// in one zone, a spread service. The write of a launch there is answered, or carried out without
-// an answer, at once or late, and the leader ends then; some of the machines cannot be reached.
-// The next leader has to rely on the launch's own record of machine and task: nothing may start
-// twice or in the wrong place.
+// TestNewMachinesAsLeaderEnds has machines boot before the response to their rental and before the
+// cloud lists them, and get work at once: an array up to its team's quota, a gang and an array in one
+// zone, a spread service. The write of a launch on such a machine is answered, or committed without a
+// reply, at once or late, and then the leader crashes; some of the machines can't be reached. The next
+// leader has only the launch's own record of machine and task: no task may start twice or in the wrong
+// place.
 func TestNewMachinesAsLeaderEnds(t *testing.T) {
 	for n, at := range leaderEndOffsets {
 		for k, x := range newMachineFaults {
@@ -244,29 +244,29 @@
 	}
 }
 
-// runNewMachineScenario simulates such a day.
+// runNewMachineScenario simulates a day on which the leader crashes some time after a launch on a new machine.
 func runNewMachineScenario(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
 	d := &newMachineScenario{seed: seed, endsAfter: at, applyFault: apply, writeFate: fate, lateRental: late}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
 		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
 		if d.unlistedMachines == 0 || w.token() == d.tokenBefore {
-			w.t.Errorf("%d machines were new, term %d after %d", d.unlistedMachines, w.token(), d.tokenBefore)
+			w.t.Errorf("%d machines were not listed yet, fencing token %d after %d; want some, and a higher token", d.unlistedMachines, w.token(), d.tokenBefore)
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
 
-// newMachineScenario is a day on which the leader ends after the write of a launch on a new machine.
+// newMachineScenario is a simulated day on which the leader crashes after the write of a launch on a new machine.
 type newMachineScenario struct {
 	seed             uint64
 	endsAfter        time.Duration
-	applyFault       func(*simulation, upMachine) // happens to every second machine
-	writeFate        simulator.Fate               // of the write
-	lateRental       bool                         // rentals are carried out without an answer
+	applyFault       func(*simulation, upMachine) // is called for every second machine
+	writeFate        simulator.Fate               // of the write of the launch
+	lateRental       bool                         // rentals are carried out late, and not answered
 	boots            *bootObserver
 	launchedShard    chan string // the shard of the launch
-	tokenBefore      uint64      // before the end
-	unlistedMachines int         // machines that no list has to show yet
+	tokenBefore      uint64      // before the crash
+	unlistedMachines int         // number of machines that the cloud may not list yet
 }
 
 func (d *newMachineScenario) setUp(w *simulation) {
@@ -276,14 +276,14 @@
 			f.RentDelay = 700 * time.Millisecond
 		}
 	})
-	known, over := map[string]string{}, false
+	known, launched := map[string]string{}, false
 	w.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
 			is, shard := recordsLaunch(known, puts)
-			if !is || over {
+			if !is || launched {
 				return simulator.FateAnswered
 			}
-			over = true
+			launched = true
 			d.launchedShard <- shard
 			return d.writeFate
 		}
@@ -295,7 +295,7 @@
 	w.submitter(d.seed, jobOf("wk-5", wire.Array, 2, 30*sec), 6*sec, 45*sec, 10*time.Minute)
 }
 
-// endLeader waits for the launch, ends the leader, and checks that the service recovers.
+// endLeader waits for the launch, crashes the leader, and checks that the service recovers.
 func (d *newMachineScenario) endLeader(w *simulation) {
 	shard := ""
 	select {
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -19,14 +19,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// deployment is what the state service takes from all controllers of a site.
+// deployment is a number of controllers and the limits that the state service sets for all of them together.
 type deployment struct {
 	name   string
 	count  int
 	limits config.Store
 }
 
-// deployments are the two sites of the users, as they are and with half of the limits.
+// deployments returns the two deployments of the users, each with its limits and with half of them.
 func deployments() (out []deployment) {
 	for _, s := range []deployment{
 		{"three", 3, config.Store{RPS: 250, WriteRPS: 25, ValueBytes: 16 << 10, TxnOps: 24}},
@@ -40,14 +40,14 @@
 	return out
 }
 
-// overloadJob is a job of an overload with its user, and when it reached each stage.
+// overloadJob is a job with its user, and the times at which it reached each stage.
 type overloadJob struct {
 	*client
 	arrivedAt, acceptedAt, cancelRequestedAt, cancelConfirmedAt, startedAt, endedAt, endObservedAt time.Time
 }
 
-// overload is a day on which one-task jobs arrive four a second for minutes, a quarter of which
-// are cancelled.
+// overload is a simulation in which one-task jobs arrive at four a second for minutes; a quarter of
+// them are cancelled.
 type overload struct {
 	*simulation
 	*simulator.Checker
@@ -56,14 +56,14 @@
 	mu        sync.Mutex
 	jobsByID  map[string]*overloadJob
 	order     []*overloadJob
-	keyCounts []map[string]int // of each kind, every five seconds
-	heapBytes []uint64         // in use, every minute
+	keyCounts []map[string]int // by kind, every five seconds
+	heapBytes []uint64         // heap in use, every minute
 }
 
-func (f *overload) job(job string) *overloadJob {
+func (f *overload) job(id string) *overloadJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.jobsByID[job]
+	return f.jobsByID[id]
 }
 
 // TaskStarted implements simulator.Fixture.
@@ -74,7 +74,7 @@
 	return f.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
-// TaskCompleted implements simulator.Fixture. The job's user polls it 3 s later.
+// TaskCompleted implements simulator.Fixture. The job's user starts polling it 3 s later.
 func (f *overload) TaskCompleted(t wire.TaskID) {
 	f.Checker.TaskCompleted(t)
 	d := f.job(t.Job)
@@ -95,8 +95,7 @@
 	})
 }
 
-// reachableController returns a controller that accepts connections, as a load balancer selects
-// it.
+// reachableController returns a random controller that is up, as a load balancer would.
 func (f *overload) reachableController(d *overloadJob) int {
 	for range 20 {
 		if i := d.anyController(); !f.nodes[i].down.Load() {
@@ -106,24 +105,24 @@
 	return 0
 }
 
-// addJob adds a user with a job, who cancels it after a while unless that is zero.
+// addJob adds a user who submits a job, and cancels it after a delay unless that is zero.
 func (f *overload) addJob(j *wire.Job, run, cancel time.Duration) {
 	d := &overloadJob{client: f.client(j, rngOf(1, j.ID), run), arrivedAt: time.Now()}
 	f.mu.Lock()
 	f.jobsByID[j.ID], f.order = d, append(f.order, d)
 	f.mu.Unlock()
 	f.group.Go(func() {
-		until := func(ask func(i int) int) time.Time {
-			for f.ctx.Err() == nil && ask(f.reachableController(d)) == 0 {
+		retryUntilAnswered := func(send func(controller int) int) time.Time {
+			for f.ctx.Err() == nil && send(f.reachableController(d)) == 0 {
 				time.Sleep(time.Second)
 			}
 			return time.Now()
 		}
-		d.acceptedAt = until(d.submit)
+		d.acceptedAt = retryUntilAnswered(d.submit)
 		if cancel > 0 {
 			time.Sleep(cancel)
 			d.cancelRequestedAt = time.Now()
-			d.cancelConfirmedAt = until(d.cancel)
+			d.cancelConfirmedAt = retryUntilAnswered(d.cancel)
 		}
 		for f.ctx.Err() == nil && !f.Stage(j.ID).Final() {
 			time.Sleep(5 * time.Second)
@@ -132,10 +131,10 @@
 	})
 }
 
-// generate has jobs arrive for a while.
+// generate submits jobs for the duration d.
 func (f *overload) generate(d time.Duration) {
-	begun := time.Now()
-	for n := 0; time.Since(begun) < d; n++ {
+	start := time.Now()
+	for n := 0; time.Since(start) < d; n++ {
 		run := time.Duration(4000+f.jobRNG.IntN(8000)) * time.Millisecond
 		cancel := time.Duration(0)
 		if n%4 == 3 {
@@ -146,7 +145,7 @@
 	}
 }
 
-// sampleUsage counts keys and the heap.
+// sampleUsage records the number of keys every five seconds and the size of the heap every minute.
 func (f *overload) sampleUsage() {
 	for n := 0; f.ctx.Err() == nil; n++ {
 		keys := map[string]int{}
@@ -180,15 +179,15 @@
 	return f
 }
 
-// normalStoreDelay is how long the state service takes.
+// normalStoreDelay is how long the state service takes to respond without a fault.
 func normalStoreDelay() time.Duration { return 6 * time.Millisecond }
 
-// overloadFaults are injected in the second minute of an overload. took bounds by how much they
-// may delay what users wait for: the next leader starts once the lease has expired, and knows what
-// runs after rebuildWait.
+// overloadFaults are injected in the second minute of an overload. maxDelay bounds how much they may
+// delay the responses that users wait for: the next leader starts once the lease has expired, and
+// knows what runs after rebuildWait.
 var overloadFaults = map[string]struct {
-	apply func(f *overload)
-	took  time.Duration
+	apply    func(f *overload)
+	maxDelay time.Duration
 }{
 	"calm": {func(*overload) {}, 0},
 	"the leader changes twice": {func(f *overload) {
@@ -204,66 +203,66 @@
 				}
 			})
 		})
-	}, 4 * time.Second}, // a read, a write and the two before them
+	}, 4 * time.Second}, // a read, a write, and the read and write before them
 	"writes get no answer": {func(f *overload) {
 		during(60*time.Second, func(on bool) {
 			f.store.Configure(func(st *simulator.StateService) { st.LossShare = map[bool]float64{true: 0.3}[on] })
 		})
-	}, 10 * time.Second}, // some of them four times, which takes 2.5 s each
+	}, 10 * time.Second}, // some writes lose four replies, each of which takes 2.5 s
 }
 
 // run generates load for some minutes, and checks all bounds that follow from the settings.
-func (f *overload) run(s deployment, trouble string, minutes int) {
-	x := overloadFaults[trouble]
+func (f *overload) run(s deployment, faultName string, minutes int) {
+	injected := overloadFaults[faultName]
 	time.Sleep(10 * time.Second)
 	f.pollGroup.Go(f.sampleUsage)
-	token, begun := f.token(), time.Now()
-	_, changes, _ := f.store.Counts()
-	time.AfterFunc(time.Minute, func() { x.apply(f) })
+	token, start := f.token(), time.Now()
+	_, changesBefore, _ := f.store.Counts()
+	time.AfterFunc(time.Minute, func() { injected.apply(f) })
 	f.generate(time.Duration(minutes) * time.Minute)
-	_, after, _ := f.store.Counts()
-	spent := float64(after-changes) / time.Since(begun).Seconds()
-	time.Sleep(75 * time.Second) // all have ended, and what is over waits for 15 s at most to be compacted
+	_, changesAfter, _ := f.store.Counts()
+	changeRate := float64(changesAfter-changesBefore) / time.Since(start).Seconds()
+	time.Sleep(75 * time.Second) // all jobs have ended by then, and wait for 15 s at most to be compacted
 	left := f.account()
 	f.declareQuiet()
 	f.finish(3 * time.Minute)
 
 	full := !strings.HasPrefix(s.name, "half")
-	bounds := overloadBounds(full, x.took)
+	bounds := overloadBounds(full, injected.maxDelay)
 	cancelled, ended := f.measure(bounds)
 	f.checkBounds(bounds)
-	// It was an overload: four a second, a quarter cancelled, most of the others done.
+	// Checks that there was an overload: about four jobs a second, a quarter cancelled, most of the others done.
 	n := len(f.order)
-	f.t.Logf("%d jobs, %d cancelled, %d ended, %.1f changes a second of %v", n, cancelled, ended, spent, s.limits.WriteRPS)
+	f.t.Logf("%d jobs, %d cancelled, %d ended, %.1f of at most %v changes a second", n, cancelled, ended, changeRate, s.limits.WriteRPS)
 	if n < minutes*60*7/2 || cancelled < n/5 || ended < n/2 {
 		f.t.Errorf("%d jobs in %d minutes, %d cancelled, %d ended", n, minutes, cancelled, ended)
 	}
-	if strings.Contains(trouble, "leader") && f.token() < token+2 {
-		f.t.Error("the leader has not changed twice")
+	if strings.Contains(faultName, "leader") && f.token() < token+2 {
+		f.t.Error("the leader did not change twice")
 	}
-	// Of jobs that live, and of such as are over and wait for 15 s to be compacted.
-	lives := bounds["begun"].limit + 12*time.Second + 15*time.Second + x.took
-	f.checkKeys(s, full, int(4.5*lives.Seconds()), minutes, left)
+	// Live jobs run for 12 s at most, and ended ones wait for 15 s at most to be compacted.
+	jobLifetime := bounds["begun"].limit + 12*time.Second + 15*time.Second + injected.maxDelay
+	f.checkKeys(s, full, int(4.5*jobLifetime.Seconds()), minutes, left)
 	f.checkMemory(s, full, minutes)
 	f.checkResults()
 }
 
-// overloadBound is how long something may take, and the longest that it took.
+// overloadBound is the maximum time that a step may take, and the longest time that it took.
 type overloadBound struct{ limit, worst time.Duration }
 
-// overloadBounds returns how long users may wait. full says that the state service has its usual
-// limits; took is by how much the fault may delay them.
-func overloadBounds(full bool, took time.Duration) map[string]overloadBound {
-	const attempt = 5*time.Second + time.Second // a request without an answer, and the pause before the next
+// overloadBounds returns how long users may wait for each step. full reports whether the state service
+// has its normal limits, and maxDelay is how much the injected fault may delay users.
+func overloadBounds(full bool, maxDelay time.Duration) map[string]overloadBound {
+	const attempt = 5*time.Second + time.Second // a request without a response, and the pause before the next one
 	bounds := map[string]overloadBound{
-		"accepted":  {limit: writeTimeout + took},
-		"cancelled": {limit: writeTimeout + took},
-		// An array waits for capacity that others free within two boots, or has a machine rented, which
-		// boots and then sends its first heartbeat; and it fetches.
-		"begun": {limit: 3*5*time.Second + 4*time.Second + time.Second + took},
-		"told":  {limit: 3*time.Second + took},
+		"accepted":  {limit: writeTimeout + maxDelay},
+		"cancelled": {limit: writeTimeout + maxDelay},
+		// An array waits for capacity that other jobs free within the time of two boots, or for a machine to be
+		// rented, to boot and to send its first heartbeat; and then it fetches its image.
+		"begun": {limit: 3*5*time.Second + 4*time.Second + time.Second + maxDelay},
+		"told":  {limit: 3*time.Second + maxDelay},
 	}
-	if took > 0 {
+	if maxDelay > 0 {
 		for _, what := range []string{"accepted", "cancelled"} {
 			b := bounds[what]
 			b.limit += attempt
@@ -271,14 +270,14 @@
 		}
 	}
 	if !full {
-		b := bounds["told"] // a round's share of changes for a second, in which everything that has gathered is written
+		b := bounds["told"] // a round may use the changes of one second to write what has accumulated
 		b.limit += 4 * time.Second
 		bounds["told"] = b
 	}
 	return bounds
 }
 
-// measure notes the longest times of all jobs in bounds, and counts the cancelled and ended jobs.
+// measure records the longest time of each step over all jobs in bounds, and counts the cancelled and ended jobs.
 func (f *overload) measure(bounds map[string]overloadBound) (cancelled, ended int) {
 	for _, d := range f.order {
 		took := map[string]time.Duration{"accepted": d.acceptedAt.Sub(d.arrivedAt)}
@@ -302,37 +301,37 @@
 	return cancelled, ended
 }
 
-// checkBounds checks that nothing took longer than its bound.
+// checkBounds checks that no step took longer than its bound.
 func (f *overload) checkBounds(bounds map[string]overloadBound) {
 	for what, b := range bounds {
-		f.t.Logf("%s after %v at the most", what, b.worst.Round(10*time.Millisecond))
+		f.t.Logf("%s after %v at most", what, b.worst.Round(10*time.Millisecond))
 		if b.worst > b.limit {
-			f.t.Errorf("%s after %v, not within %v", what, b.worst, b.limit)
+			f.t.Errorf("%s after %v, want %v at most", what, b.worst, b.limit)
 		}
 	}
 }
 
-// checkKeys checks how many keys there were in the state service, and what compaction has left.
-func (f *overload) checkKeys(s deployment, full bool, most, minutes int, left archive.Report) {
+// checkKeys checks how many keys the state service held, and how many batches compaction has left.
+func (f *overload) checkKeys(s deployment, full bool, maxBatches, minutes int, left archive.Report) {
 	t, n, batches := f.t, len(f.order), 0
 	for _, k := range f.keyCounts {
 		batches = max(batches, k["batch"])
 		if k["ledger"] > 8 || k["recent"] > 8 {
-			t.Errorf("%d slots and %d recent blocks", k["ledger"], k["recent"])
+			t.Errorf("%d ledger segments and %d recent blocks, want 8 of each at most", k["ledger"], k["recent"])
 		}
 	}
 	kept := 0
 	if k := left.Kinds["batch"]; k != nil {
 		kept = k.Keys
 	}
-	t.Logf("%d batches at the most, %d left", batches, kept)
+	t.Logf("%d batches at most, %d left", batches, kept)
 	switch {
-	case full && (batches > most || kept > 0):
-		t.Errorf("%d batches at the most, %d left: more than %d", batches, kept, most)
-	case !full: // what is spent on one job is more than there is: compaction has its share, and goes on after
+	case full && (batches > maxBatches || kept > 0):
+		t.Errorf("%d batches at most, %d left; want %d at most and none left", batches, kept, maxBatches)
+	case !full: // jobs need more changes than the limits allow: compaction gets its share, and continues afterwards
 		floor := s.limits.WriteRPS * (1/(2*float64(s.count)) + 0.5) / 8 * float64(minutes) * 60 / 2
 		if compacted := n - batches; float64(compacted) < floor {
-			t.Errorf("only %d of %d jobs were compacted meanwhile, not %.0f", compacted, n, floor)
+			t.Errorf("only %d of %d jobs were compacted under load, want %.0f", compacted, n, floor)
 		}
 		if kept > batches*3/4 {
 			t.Errorf("%d of %d batches are left after 75 s", kept, batches)
@@ -340,33 +339,33 @@
 	}
 }
 
-// checkMemory checks that an hour of this takes less than a quarter of a controller's 200 MB.
+// checkMemory checks that an hour of load takes less than a quarter of a controller's 200 MB.
 func (f *overload) checkMemory(s deployment, full bool, minutes int) {
 	if from, to := 3, minutes; full && to-from >= 2 && len(f.heapBytes) > to {
-		grown := (float64(f.heapBytes[to]) - float64(f.heapBytes[from])) / float64(to-from) * 60 / float64(s.count)
-		f.t.Logf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
-		if grown > 50e6 {
-			f.t.Errorf("the heap grows by %.1f MB an hour and controller: %v", grown/1e6, f.heapBytes)
+		growth := (float64(f.heapBytes[to]) - float64(f.heapBytes[from])) / float64(to-from) * 60 / float64(s.count)
+		f.t.Logf("the heap grows by %.1f MB per hour and controller: %v", growth/1e6, f.heapBytes)
+		if growth > 50e6 {
+			f.t.Errorf("the heap grows by %.1f MB per hour and controller: %v", growth/1e6, f.heapBytes)
 		}
 	}
 }
 
-// writeTimeout is how long a controller tries to write what a user waits for.
+// writeTimeout is how long a controller retries a write that a user waits for.
 const writeTimeout = 3500 * time.Millisecond
 
-// TestOverload simulates overloads, each with a fault of its own. AMBERDEAL_FLOODS plays all sites
-// and faults for that many minutes.
+// TestOverload simulates overloads, each with one fault. AMBERDEAL_FLOODS sets their length in minutes and
+// runs all deployments with all faults.
 func TestOverload(t *testing.T) {
 	minutes := 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_FLOODS"), &minutes)
-	short := map[string]string{"half of three": "the leader changes twice", "five": "the state service is slow"}
+	shortRun := map[string]string{"half of three": "the leader changes twice", "five": "the state service is slow"}
 	for _, s := range deployments() {
-		for _, trouble := range slices.Sorted(maps.Keys(overloadFaults)) {
-			if minutes == 0 && short[s.name] != trouble {
+		for _, faultName := range slices.Sorted(maps.Keys(overloadFaults)) {
+			if minutes == 0 && shortRun[s.name] != faultName {
 				continue
 			}
-			t.Run(s.name+", "+trouble, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { newOverload(t, s).run(s, trouble, max(minutes, 2)) })
+			t.Run(s.name+", "+faultName, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { newOverload(t, s).run(s, faultName, max(minutes, 2)) })
 			})
 		}
 	}
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -14,19 +14,19 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// fault is a fault that lasts for a while.
+// fault is a named fault, which apply injects for the duration d.
 type fault struct {
 	name  string
 	apply func(w *simulation, rng *rand.Rand, d time.Duration)
 }
 
-// during starts a fault and ends it after a while.
+// during switches a fault on, and off again after the duration d.
 func during(d time.Duration, apply func(on bool)) {
 	apply(true)
 	time.AfterFunc(d, func() { apply(false) })
 }
 
-// everyMachine returns the hosts of all machines that are up.
+// everyMachine returns the hosts of all running machines.
 func (w *simulation) everyMachine() (hosts []string) {
 	for i := range w.cloud.CountRunning() {
 		hosts = append(hosts, simulator.HostOf(w.cloud.AddrOfNth(i)))
@@ -34,9 +34,8 @@
 	return hosts
 }
 
-// stallFaults are what too little CPU time, exhausted sockets and asymmetric partitions do to the
-// time-based rules: any time may pass between reading a clock, using its value and sending a
-// message.
+// stallFaults test the time-based rules under CPU starvation, socket exhaustion and asymmetric
+// partitions: any time may pass between reading a clock, using its value and sending a message.
 var stallFaults = []fault{
 	{"a controller stands still", func(w *simulation, rng *rand.Rand, d time.Duration) { w.net.Pause(w.ip(rng.IntN(3)), d) }},
 	{"all controllers stand still", func(w *simulation, _ *rand.Rand, d time.Duration) {
@@ -45,14 +44,14 @@
 		}
 	}},
 	{"a controller is slow at each step", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		most, steps := 1+rng.IntN(1500), rand.New(rand.NewPCG(rng.Uint64(), 7))
-		step := func() time.Duration { return time.Duration(w.draw(steps, most)) * time.Millisecond }
+		maxMillis, stepRNG := 1+rng.IntN(1500), rand.New(rand.NewPCG(rng.Uint64(), 7))
+		stepDelay := func() time.Duration { return time.Duration(w.draw(stepRNG, maxMillis)) * time.Millisecond }
 		ip := w.ip(rng.IntN(3))
 		during(d, func(on bool) {
 			if !on {
-				step = nil
+				stepDelay = nil
 			}
-			w.net.SetStepDelay(ip, step)
+			w.net.SetStepDelay(ip, stepDelay)
 		})
 	}},
 	{"machines hear a controller, which does not hear them", func(w *simulation, rng *rand.Rand, d time.Duration) {
@@ -116,18 +115,18 @@
 }
 
 // TestProcessStalls simulates days on which controllers are paused for 1 to 60 s at any step or
-// are slow at each, sockets run out, and messages pass in one direction only. AMBERDEAL_STALLS
-// sets the number of days, AMBERDEAL_STALL plays one.
+// are slow at every step, sockets run out, and messages pass in one direction only. AMBERDEAL_STALLS
+// sets the number of days, AMBERDEAL_STALL runs one.
 func TestProcessStalls(t *testing.T) {
 	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("off"), nil) })
 }
 
-// sameSharding sets every controller to the same sharding.
+// sameSharding returns a function that gives every controller the same sharding.
 func sameSharding(by string) func(string) string { return func(string) string { return by } }
 
-// playSeeds plays that many days, or as many as the variable with a final S says, or the one that
-// the variable names.
-func playSeeds(t *testing.T, days uint64, variable string, play func(t *testing.T, seed uint64)) {
+// playSeeds simulates a day for each seed from 0 to days-1. The environment variable named variable
+// plus "S" sets another number of days, and variable itself selects a single seed.
+func playSeeds(t *testing.T, days uint64, variable string, simulate func(t *testing.T, seed uint64)) {
 	first := uint64(0)
 	if text := os.Getenv(variable + "S"); text != "" {
 		days, _ = strconv.ParseUint(text, 10, 64)
@@ -137,17 +136,17 @@
 		days = 1
 	}
 	for seed := first; seed < first+days; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { play(t, seed) }) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { simulate(t, seed) }) })
 	}
 }
 
-// runStallScenario simulates a day with each controller's sharding by its name, and with the given
-// faults in addition to those that all days have. settle, if set, is called before its end.
-func runStallScenario(t *testing.T, seed uint64, by func(name string) string, settle func(*simulation), more ...fault) {
-	faults := slices.Concat(stallFaults, more)
+// runStallScenario simulates a day with stallFaults and additional faults. shardingOf returns a controller's
+// sharding by its name. settle, if not nil, is called before the end of the day.
+func runStallScenario(t *testing.T, seed uint64, shardingOf func(name string) string, settle func(*simulation), additional ...fault) {
+	faults := slices.Concat(stallFaults, additional)
 	rng := rand.New(rand.NewPCG(seed, 6))
 	tuning := drawHeartbeatTuning(rng)
-	w := newSimulation(t, seed, 0.02*float64(rng.IntN(3)), func(c *config.Config) { tuning.apply(c, by(c.Name)) })
+	w := newSimulation(t, seed, 0.02*float64(rng.IntN(3)), func(c *config.Config) { tuning.apply(c, shardingOf(c.Name)) })
 	w.group.Go(func() { w.submit(seed, 24) })
 	time.Sleep(10 * time.Second)
 	w.playFaults(rng, 14, 12*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 60) })
@@ -157,8 +156,8 @@
 	w.finishDay(20 * time.Minute)
 }
 
-// TestShardsThroughFaults simulates such days with a fleet in two shards. AMBERDEAL_PARTS sets
-// their number, AMBERDEAL_PART plays one.
+// TestShardsThroughFaults simulates days like those of TestProcessStalls with a fleet in two shards.
+// AMBERDEAL_PARTS sets their number, AMBERDEAL_PART runs one.
 func TestShardsThroughFaults(t *testing.T) {
 	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -13,16 +13,16 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which every team is at its limit while jobs are cancelled whose machines can't be asked,
-// and the leader changes.
+// The tests in this file simulate days on which every team is at its quota, jobs are cancelled whose
+// machines can't be reached, and the leader changes.
 
-// gpuLimits are the teams' quotas; a machine has 4 GPUs, so that capacity never binds.
+// gpuLimits are the teams' quotas; a machine has 4 GPUs, so that capacity is never the limit.
 var gpuLimits = map[string]float64{"red": 6, "blue": 8}
 
 // limitedTeams are the teams with a quota, in order.
 var limitedTeams = []string{"red", "blue"}
 
-// newQuotaSimulation starts a simulation in which every team has a quota.
+// newQuotaSimulation starts a simulation with the given sharding in which every team has a quota.
 func newQuotaSimulation(t *testing.T, count int, seed uint64, by string) *simulation {
 	w := newProxiedSimulation(t, count, seed, func(c *config.Config) {
 		c.Teams = []config.Team{{Name: "red", GPUs: 4, GPUsMax: gpuLimits["red"]}, {Name: "blue", GPUsMax: gpuLimits["blue"]}}
@@ -32,7 +32,7 @@
 	return w
 }
 
-// usedGPUs returns how many GPUs a team uses.
+// usedGPUs returns the number of GPUs that the running tasks of a team use.
 func (w *simulation) usedGPUs(team string) (sum float64) {
 	for _, id := range w.checker.Jobs() {
 		if j, _ := w.checker.Describe(id); j.Team == team {
@@ -47,17 +47,17 @@
 	return !slices.ContainsFunc(limitedTeams, func(team string) bool { return w.usedGPUs(team) < gpuLimits[team] })
 }
 
-// waitUntil waits until a condition holds, for a time at most, and reports whether it does.
-func waitUntil(most time.Duration, is func() bool) bool {
-	for begun := time.Now(); !is(); time.Sleep(200 * time.Millisecond) {
-		if time.Since(begun) > most {
+// waitUntil waits until a condition holds, and reports whether it did before the timeout.
+func waitUntil(timeout time.Duration, condition func() bool) bool {
+	for start := time.Now(); !condition(); time.Sleep(200 * time.Millisecond) {
+		if time.Since(start) > timeout {
 			return false
 		}
 	}
 	return true
 }
 
-// unreachableFaults are the ways in which a machine cannot be reached for a while.
+// unreachableFaults are the ways in which a machine becomes unreachable for a while.
 var unreachableFaults = []struct {
 	name  string
 	apply func(w *simulation, m upMachine, d time.Duration)
@@ -73,13 +73,13 @@
 	{"delayed", func(w *simulation, m upMachine, d time.Duration) { w.net.Hold(m.host, d) }},
 }
 
-// handover is how a controller loses the shards that it leads.
+// handover is a way in which a controller loses the shards that it leads.
 type handover struct {
 	name  string
 	apply func(w *simulation, leader int, rng *rand.Rand)
 }
 
-// handovers are by the end of the leader, on purpose, and by a partition.
+// handovers happen by a crash of the leader, by its graceful stop, by a pause, and by a partition.
 var handovers = []handover{
 	{"crashes and is back at once", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }},
 	{"crashes, its last messages are delayed", func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 20*time.Second) }},
@@ -101,7 +101,7 @@
 	}},
 }
 
-// stopGracefully has a controller end at its operator's request: it resigns first.
+// stopGracefully stops a controller as its operator would, so that it resigns first, and restarts it later.
 func (w *simulation) stopGracefully(i int, back time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
@@ -117,29 +117,29 @@
 	})
 }
 
-// handOverAll applies a handover to all leaders.
+// handOverAll applies a handover to every leader.
 func (w *simulation) handOverAll(apply func(w *simulation, leader int, rng *rand.Rand), rng *rand.Rand) {
 	leaders := map[int]bool{}
 	for _, name := range w.leaders() {
 		leaders[controllerNumber(name)] = true
 	}
 	for i := range w.count {
-		if each := rand.New(rand.NewPCG(uint64(i), rng.Uint64())); leaders[i] {
-			w.group.Go(func() { apply(w, i, each) })
+		if leaderRNG := rand.New(rand.NewPCG(uint64(i), rng.Uint64())); leaders[i] {
+			w.group.Go(func() { apply(w, i, leaderRNG) })
 		}
 	}
 }
 
-// quotaFailoverCase is a day on which the leader changes while some machines cannot be reached.
+// quotaFailoverCase is a simulated day on which the leader changes while some machines are unreachable.
 type quotaFailoverCase struct {
 	seed                               uint64
 	sharding                           string
 	count                              int
-	unreachableKind, handoverKind      int           // in which way machines cannot be reached and the leader changes
-	faultDuration                      time.Duration // how long machines cannot be reached
-	handoverAt, cancelAt               time.Duration // when the leader changes and when jobs are cancelled, relative to the start of the fault
-	cloudKeepsMachines, gangSpansZones bool          // the cloud takes no machine back meanwhile; a gang is spread over two zones
-	oneMachineOnly                     bool          // only one machine
+	unreachableKind, handoverKind      int           // indexes into unreachableFaults and handovers
+	faultDuration                      time.Duration // how long machines are unreachable
+	handoverAt, cancelAt               time.Duration // when the leader changes, from the start of the fault, and when jobs are cancelled, from the change
+	cloudKeepsMachines, gangSpansZones bool          // the cloud releases no machine meanwhile; gangs are spread over two zones
+	oneMachineOnly                     bool          // only one machine is unreachable
 }
 
 func (d quotaFailoverCase) String() string {
@@ -147,9 +147,9 @@
 		d.sharding, d.count, unreachableFaults[d.unreachableKind].name, d.faultDuration, d.oneMachineOnly, d.handoverAt, handovers[d.handoverKind].name, d.cancelAt, d.cloudKeepsMachines)
 }
 
-// drawQuotaFailover draws a day: the fault lasts about as long as one of the bounds, and what
-// follows comes before, at or after a bound. As many days as there are kinds of handover contain
-// each of them.
+// drawQuotaFailover draws a case: the fault lasts about as long as one of the protocol's time bounds,
+// and the handover comes before, at or after one. The first len(handovers) seeds contain every kind of
+// handover.
 func drawQuotaFailover(seed uint64) quotaFailoverCase {
 	rng := rand.New(rand.NewPCG(seed, 30))
 	d := quotaFailoverCase{seed: seed, sharding: []string{"off", "zone"}[seed%2], count: []int{3, 5}[seed/2%2], unreachableKind: int(seed) % len(unreachableFaults), handoverKind: int(seed*5+seed/8) % len(handovers),
@@ -159,11 +159,11 @@
 	return d
 }
 
-// quotaCasesRun counts the days, and quotaCasesAtLimit those on which every team is at its quota when
-// the leader changes.
+// quotaCasesRun counts the cases that were run, and quotaCasesAtLimit those in which every team was at
+// its quota when the leader changed.
 var quotaCasesRun, quotaCasesAtLimit atomic.Int64
 
-// run simulates the day.
+// run simulates the case.
 func (d quotaFailoverCase) run(t *testing.T) {
 	rng := rand.New(rand.NewPCG(d.seed, 31))
 	r := &quotaFailoverRun{simulation: newQuotaSimulation(t, d.count, d.seed, d.sharding), testCase: d}
@@ -191,7 +191,7 @@
 		quotaCasesAtLimit.Add(1)
 	}
 	if lost == 0 {
-		t.Error("all machines can be asked")
+		t.Error("no machine became unreachable")
 	}
 	r.handOverAll(handovers[d.handoverKind].apply, rng)
 	if d.cancelAt >= 0 {
@@ -200,7 +200,7 @@
 	r.sleepUntilAfterFault(max(d.faultDuration, d.handoverAt+30*time.Second))
 	for _, c := range r.toCancel {
 		if !waitUntil(30*time.Second, func() bool { return r.checker.Stage(c.job.ID) == wire.Cancelled }) {
-			t.Errorf("%s is %s", c.job.ID, r.checker.Stage(c.job.ID))
+			t.Errorf("%s is %s, want cancelled", c.job.ID, r.checker.Stage(c.job.ID))
 		}
 	}
 	if r.token() == token {
@@ -214,18 +214,18 @@
 type quotaFailoverRun struct {
 	*simulation
 	testCase   quotaFailoverCase
-	toCancel   []*client // of the jobs to cancel
-	faultStart time.Time // of the fault
+	toCancel   []*client // users who cancel their jobs
+	faultStart time.Time
 }
 
-// submit submits a job of a team; n distinguishes it from the team's others.
-func (r *quotaFailoverRun) submit(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, change ...func(*wire.Job)) *client {
-	j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(change, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
+// submit submits a job of a team; n distinguishes it from the team's other jobs.
+func (r *quotaFailoverRun) submit(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, options ...func(*wire.Job)) *client {
+	j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(options, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
 	return r.submitter(r.testCase.seed, j, 0, cancel, run)
 }
 
-// submitAll submits as much as the quotas allow, of which most is cancelled later, and then what
-// has to wait.
+// submitAll submits jobs that use the whole quotas, most of which are cancelled later, and then jobs
+// that have to wait.
 func (r *quotaFailoverRun) submitAll() {
 	const long, short = 10 * time.Minute, 25 * time.Second
 	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[r.testCase.gangSpansZones]
@@ -235,7 +235,7 @@
 	}
 	r.toCancel = append(r.toCancel, r.submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
 	if !waitUntil(50*time.Second, r.allTeamsAtLimit) {
-		r.t.Error("the teams don't come to their limits")
+		r.t.Error("the teams did not reach their limits")
 	}
 	for _, team := range limitedTeams {
 		r.submit(5, team, wire.Array, 1, 3, short, 0)
@@ -244,10 +244,10 @@
 	}
 }
 
-// loseMachines makes machines unreachable that run jobs to be cancelled, and returns how many.
+// loseMachines makes machines unreachable that ran jobs to be cancelled, and returns how many.
 func (r *quotaFailoverRun) loseMachines() (lost int) {
 	for _, m := range r.runningMachines() {
-		if has := slices.ContainsFunc(r.toCancel, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); has && (lost == 0 || !r.testCase.oneMachineOnly) {
+		if ranJob := slices.ContainsFunc(r.toCancel, func(c *client) bool { return r.tasks.ranOn(m.id, c.job) }); ranJob && (lost == 0 || !r.testCase.oneMachineOnly) {
 			lost++
 			unreachableFaults[r.testCase.unreachableKind].apply(r.simulation, m, r.testCase.faultDuration)
 		}
@@ -255,39 +255,40 @@
 	return lost
 }
 
-// sleepUntilAfterFault waits until that long after the start of the fault.
+// sleepUntilAfterFault sleeps until the time d after the start of the fault.
 func (r *quotaFailoverRun) sleepUntilAfterFault(d time.Duration) {
 	time.Sleep(time.Until(r.faultStart.Add(d)))
 }
 
-// cancel has the users cancel, at the time that the case says.
+// cancel has the users cancel their jobs at the time that the case sets.
 func (r *quotaFailoverRun) cancel() {
 	r.sleepUntilAfterFault(r.testCase.handoverAt + r.testCase.cancelAt)
-	log("cancelled")
+	log("users cancel")
 	for _, c := range r.toCancel {
 		r.group.Go(func() { c.untilAnswered(c.cancel) })
 	}
 }
 
-// checkQuotasUsed checks that what is proven to be gone leaves quota that is used: more than enough
-// small tasks wait. With several shards some of it may be reserved for a gang that is co-allocated,
-// for 90 s at most.
+// checkQuotasUsed checks that the quota of tasks that are proven to be gone is used again: more than
+// enough small tasks wait. With several shards some quota may be reserved for the co-allocation of a
+// gang, for 90 s at most.
 func (r *quotaFailoverRun) checkQuotasUsed() {
-	over, most := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[r.testCase.sharding]
+	start, timeout := time.Now(), map[string]time.Duration{"off": time.Minute, "zone": 150 * time.Second}[r.testCase.sharding]
 	for k, team := range limitedTeams {
-		small := fmt.Sprintf("wk-%d7", k+1)
-		if !waitUntil(most, func() bool { return r.usedGPUs(team) == gpuLimits[team] || r.checker.Stage(small).Final() }) {
-			r.t.Errorf("%s uses %v of %v %v after all troubles", team, r.usedGPUs(team), gpuLimits[team], time.Since(over))
+		smallJob := fmt.Sprintf("wk-%d7", k+1)
+		if !waitUntil(timeout, func() bool { return r.usedGPUs(team) == gpuLimits[team] || r.checker.Stage(smallJob).Final() }) {
+			r.t.Errorf("%s uses %v of %v GPUs %v after the end of all faults", team, r.usedGPUs(team), gpuLimits[team], time.Since(start))
 		}
 	}
 }
 
-// TestQuotasHoldThroughFailover simulates such days. AMBERDEAL_LIMITS sets their number,
-// AMBERDEAL_LIMIT plays one.
+// TestQuotasHoldThroughFailover checks that no team exceeds its quota when the leader changes while
+// machines with cancelled jobs are unreachable, and that freed quota is used again. AMBERDEAL_LIMITS
+// sets the number of days, AMBERDEAL_LIMIT runs one.
 func TestQuotasHoldThroughFailover(t *testing.T) {
 	playSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
-	t.Logf("every team was at its limit as the leader changed on %d of %d days", quotaCasesAtLimit.Load(), quotaCasesRun.Load())
+	t.Logf("every team was at its limit when the leader changed on %d of %d days", quotaCasesAtLimit.Load(), quotaCasesRun.Load())
 	if n := quotaCasesRun.Load(); n > 7 && quotaCasesAtLimit.Load()*3 < n {
-		t.Error("the teams are mostly below their limits by then")
+		t.Error("on most days the teams were below their limits when the leader changed")
 	}
 }
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -15,18 +15,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Days on which reports from long ago reach every controller around a change of the leader.
+// The tests in this file simulate days on which old heartbeats reach every controller around a change of the
+// leader.
 
-// heartbeatRecorder records heartbeats to replay them later.
+// heartbeatRecorder records heartbeats of machines to replay them later.
 type heartbeatRecorder struct {
 	*simulation
 	heartbeats       []wire.Heartbeat
-	previousToken    uint64         // the token before that of the leader to whom they are to be replayed
-	beforeLaunchOnly bool           // each was made before a launch
-	answeredKinds    map[string]int // of those that the leader answered
+	previousToken    uint64         // the fencing token before that of the leader to which they are replayed
+	beforeLaunchOnly bool           // only heartbeats from before a launch are kept
+	answeredKinds    map[string]int // how often the leader answered a heartbeat of each kind
 }
 
-// recordHeartbeats has each machine make a heartbeat that is not sent for now.
+// recordHeartbeats records a current heartbeat of each machine, without sending it to a controller.
 func (d *heartbeatRecorder) recordHeartbeats() {
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
 	for _, m := range d.runningMachines() {
@@ -40,26 +41,26 @@
 	}
 }
 
-// machinesInZoneA returns the machines of zone a, which is a shard if the fleet is divided.
+// machinesInZoneA returns the machines of zone a, which is a shard of its own if shards are by zone.
 func (d *heartbeatRecorder) machinesInZoneA() (out []upMachine) {
-	in := map[string]bool{}
-	d.cloud.EachRunning(func(l wire.ListedMachine, _ simulator.Machine) { in[l.ID] = l.Zone == "a" })
+	inZoneA := map[string]bool{}
+	d.cloud.EachRunning(func(l wire.ListedMachine, _ simulator.Machine) { inZoneA[l.ID] = l.Zone == "a" })
 	for _, m := range d.runningMachines() {
-		if in[m.id] {
+		if inZoneA[m.id] {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// kindsOf classifies a heartbeat by what is true at present.
-func (d *heartbeatRecorder) kindsOf(r *wire.Heartbeat, now map[string]bool) (kinds []string) {
+// kindsOf returns in which ways a recorded heartbeat is outdated. running holds the machines that are up.
+func (d *heartbeatRecorder) kindsOf(r *wire.Heartbeat, running map[string]bool) (kinds []string) {
 	add := func(is bool, kind string) {
 		if is {
 			kinds = append(kinds, kind)
 		}
 	}
-	add(!now[r.Machine], "of a machine that is gone")
+	add(!running[r.Machine], "of a machine that is gone")
 	add(slices.ContainsFunc(d.heartbeats, func(o wire.Heartbeat) bool { return o.Machine == r.Machine && o.Incarnation > r.Incarnation }), "of an earlier session")
 	add(r.FencingToken < d.previousToken, "of an earlier term")
 	add(d.beforeLaunchOnly || len(r.Tasks) == 0, "from before a launch")
@@ -69,8 +70,8 @@
 	return kinds
 }
 
-// keepIncomplete keeps the recorded heartbeats of those machines only whose last heartbeat shows
-// more tasks: a leader that takes the old one as current starts these again.
+// keepIncomplete keeps only recorded heartbeats that lack a running task of the machine's last
+// heartbeat: a leader that took such a heartbeat as current would start that task again.
 func (d *heartbeatRecorder) keepIncomplete() {
 	d.beforeLaunchOnly = true
 	last := map[string]wire.Heartbeat{}
@@ -84,17 +85,16 @@
 	})
 }
 
-// replayAll replays all recorded heartbeats to every controller, in their order or from the newest
-// on.
-func (d *heartbeatRecorder) replayAll(newest bool) {
-	now := map[string]bool{}
+// replayAll replays all recorded heartbeats to every controller, from the oldest or from the newest on.
+func (d *heartbeatRecorder) replayAll(newestFirst bool) {
+	running := map[string]bool{}
 	for _, m := range d.runningMachines() {
-		now[m.id] = true
+		running[m.id] = true
 	}
 	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.4.0.1").Dial}
 	for k := range d.heartbeats {
 		r := &d.heartbeats[k]
-		if newest {
+		if newestFirst {
 			r = &d.heartbeats[len(d.heartbeats)-1-k]
 		}
 		for i := range d.count {
@@ -105,47 +105,47 @@
 			if err != nil || resp.Status != 200 || wire.Decode(resp.Body, &a) != nil || a.FencingToken <= d.previousToken {
 				continue
 			}
-			for _, kind := range d.kindsOf(r, now) {
+			for _, kind := range d.kindsOf(r, running) {
 				d.answeredKinds[kind]++
 			}
 		}
 	}
 }
 
-// replayKinds are the kinds that have to reach a leader.
+// replayKinds are the kinds of outdated heartbeats that must reach a leader.
 var replayKinds = []string{"of a machine that is gone", "of an earlier session", "of an earlier term", "from before a launch", "from before an end"}
 
 // replayOffsets are the times after an election at which old heartbeats arrive: with its write,
-// until the fleet is rebuilt, with the first rounds, when suspected machines are no longer waited
-// for or given up, and when leases have expired. A negative one is between the end of the leader
-// and the election.
+// until the state of the fleet is rebuilt, with the first rounds, when the leader stops waiting for
+// suspected machines or gives them up, and when leases have expired. A negative offset means from the
+// crash of the leader until the election.
 var replayOffsets = []time.Duration{-1, 0, 15 * time.Millisecond, 60 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	2 * sec, 4100 * time.Millisecond, 6 * sec, 12 * sec, 19 * sec, 27 * sec}
 
-// TestReplayedHeartbeatsAtNextLeader replays heartbeats of earlier incarnations and terms, from
-// before launches and ends, and of a machine that is gone, to every controller as a new leader
-// starts, to whom all of them are new. Half of the machines are cut off at that time, so that
-// hardly any other heartbeat of them arrives. Nothing may start twice or in the wrong place
-// because of what these heartbeats show or lack, and nothing may be delayed for long.
+// TestReplayedHeartbeatsAtNextLeader replays heartbeats to every controller as a new leader starts,
+// which has seen none of them: of earlier incarnations and terms, from before the launch or the end of
+// a task, and of a machine that is gone. Half of the machines are partitioned at that time, so that
+// hardly any current heartbeat of them arrives. No task may start twice or in the wrong place because
+// of what these heartbeats show or lack, and nothing may be delayed for long.
 func TestReplayedHeartbeatsAtNextLeader(t *testing.T) {
 	for n, at := range replayOffsets {
 		for k := range 4 {
 			if !allCasesRequested("AMBERDEAL_OLDREPORTS") && (k != n%4 || n%3 != 1) {
 				continue
 			}
-			few := (n+k)%2 == 0
-			by, count, dark, slow := []string{"off", "zone"}[k%2], []int{3, 5}[k/2], []time.Duration{8 * sec, 17 * sec, 40 * sec}[(n+k)%3], (n+k/2)%2 == 0
-			t.Run(fmt.Sprint("after ", at, ", parts ", by, ", ", count, ", cut for ", dark, ", the lease runs out: ", slow, ", only what shows too little: ", few), func(t *testing.T) {
-				runReplayScenario(t, uint64(100+4*n+k), at, by, count, dark, slow, few)
+			beforeLaunches := (n+k)%2 == 0
+			by, count, partition, slowRestart := []string{"off", "zone"}[k%2], []int{3, 5}[k/2], []time.Duration{8 * sec, 17 * sec, 40 * sec}[(n+k)%3], (n+k/2)%2 == 0
+			t.Run(fmt.Sprint("after ", at, ", parts ", by, ", ", count, ", cut for ", partition, ", the lease runs out: ", slowRestart, ", only what shows too little: ", beforeLaunches), func(t *testing.T) {
+				runReplayScenario(t, uint64(100+4*n+k), at, by, count, partition, slowRestart, beforeLaunches)
 			})
 		}
 	}
 }
 
-// runReplayScenario simulates such a day.
-func runReplayScenario(t *testing.T, seed uint64, at time.Duration, by string, count int, dark time.Duration, slow, few bool) {
-	d := &replayScenario{seed: seed, replayOffset: at, sharding: by, partitionDuration: dark, slowRestart: slow, beforeLaunches: few, requiredKinds: replayKinds}
-	if few {
+// runReplayScenario simulates a day on which heartbeats are replayed at an offset from an election.
+func runReplayScenario(t *testing.T, seed uint64, at time.Duration, by string, count int, partition time.Duration, slowRestart, beforeLaunches bool) {
+	d := &replayScenario{seed: seed, replayOffset: at, sharding: by, partitionDuration: partition, slowRestart: slowRestart, beforeLaunches: beforeLaunches, requiredKinds: replayKinds}
+	if beforeLaunches {
 		d.requiredKinds = []string{"of an earlier term", "from before a launch"}
 	}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: d.setUp, steps: []step{
@@ -160,24 +160,24 @@
 	}, verify: func(w *simulation) {
 		for _, kind := range d.requiredKinds {
 			if d.answeredKinds[kind] == 0 {
-				w.t.Errorf("none that was %s was answered by the leader", kind)
+				w.t.Errorf("the leader answered no heartbeat %s", kind)
 			}
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
 
-// replayScenario is a day on which recorded heartbeats are replayed to the next leader.
+// replayScenario is a simulated day on which recorded heartbeats are replayed to the next leader.
 type replayScenario struct {
 	*heartbeatRecorder
 	seed              uint64
-	replayOffset      time.Duration // of the replay, after the election; negative: before it
+	replayOffset      time.Duration // of the replay, from the election; negative for before it
 	sharding          string
-	partitionDuration time.Duration // how long machines are cut off
-	slowRestart       bool          // the leader is back after 12 s
+	partitionDuration time.Duration // how long machines are partitioned
+	slowRestart       bool          // the leader restarts only after 12 s
 	beforeLaunches    bool          // only heartbeats from before a launch are replayed
-	requiredKinds     []string      // that have to reach the leader
-	expiredMachine    string        // the machine whose incarnation ends
-	elected           chan struct{} // a value for each election
+	requiredKinds     []string      // kinds of heartbeats that must reach the leader
+	expiredMachine    string        // the machine whose lease expires, which ends its incarnation
+	elected           chan struct{} // receives a value for each election
 }
 
 func (d *replayScenario) setUp(w *simulation) {
@@ -205,28 +205,28 @@
 	})
 }
 
-// leaderOfA returns the leader of the shard with zone a.
+// leaderOfA returns the leader of the shard that contains zone a.
 func (d *replayScenario) leaderOfA() int { return d.leaderOfZone("a") }
 
-// leaderOfZone returns the leader of the shard with a zone.
+// leaderOfZone returns the leader of the shard that contains a zone.
 func (d *replayScenario) leaderOfZone(zone string) int {
 	return d.leaderOf(map[string]string{"off": "fleet", "zone": zone}[d.sharding])
 }
 
 // leaderToCrash returns the leader whose successor receives the recorded heartbeats: that of zone a,
-// or of zone b on a day on which all of them are of machines there, as nothing was started in zone
-// a after the first of them.
+// or that of zone b if all recorded heartbeats are of machines there, because no task was started in
+// zone a after the first of them.
 func (d *replayScenario) leaderToCrash() int {
-	inA := d.machinesInZoneA()
+	machines := d.machinesInZoneA()
 	if slices.ContainsFunc(d.heartbeats, func(r wire.Heartbeat) bool {
-		return slices.ContainsFunc(inA, func(m upMachine) bool { return m.id == r.Machine })
+		return slices.ContainsFunc(machines, func(m upMachine) bool { return m.id == r.Machine })
 	}) {
 		return d.leaderOfA()
 	}
 	return d.leaderOfZone("b")
 }
 
-// replayAtElection ends the leader, cuts half of the machines off, and replays what was recorded
+// replayAtElection partitions half of the machines, stops the leader, and replays the recorded heartbeats
 // around the next election.
 func (d *replayScenario) replayAtElection(w *simulation) {
 	for i, m := range w.runningMachines() {
@@ -252,12 +252,12 @@
 	}
 	<-d.elected
 	time.Sleep(d.replayOffset)
-	for k := range 8 { // the first of them may find nobody who answers
+	for k := range 8 { // the first replays may get no answer
 		if d.replayAll((d.seed+uint64(k))%2 == 0); k > 0 && len(d.answeredKinds) >= len(d.requiredKinds) {
 			break
 		}
 	}
-	for range 20 { // nor may any of those before, which take no time where few heartbeats are kept
+	for range 20 { // retries if no replay above was answered: with few heartbeats they take no time
 		if len(d.answeredKinds) >= len(d.requiredKinds) {
 			break
 		}
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -15,49 +15,49 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// reshardSimulation is a simulation whose controllers get their sharding when they start.
+// reshardSimulation is a simulation whose controllers read their sharding from shardings when they start.
 type reshardSimulation struct {
 	*simulation
 	shardings shardingSettings
 	jobs      int
 }
 
-// newReshardSimulation starts the simulation.
-func newReshardSimulation(t *testing.T, seed uint64, lossy float64, tamper func(*config.Config)) *reshardSimulation {
+// newReshardSimulation starts a simulation; modify, if not nil, changes the controllers' settings.
+func newReshardSimulation(t *testing.T, seed uint64, lossy float64, modify func(*config.Config)) *reshardSimulation {
 	r := &reshardSimulation{}
 	r.simulation = newSimulation(t, seed, lossy, func(c *config.Config) {
 		c.Tuning.Shards.By = r.shardings.of(c.Name)
-		if tamper != nil {
-			tamper(c)
+		if modify != nil {
+			modify(c)
 		}
 	})
 	return r
 }
 
-// submitArray submits a job of that many tasks with this run time.
+// submitArray submits an array of tasks with the given run time.
 func (r *reshardSimulation) submitArray(tasks int, run time.Duration) {
 	r.jobs++
 	r.user(&wire.Job{ID: fmt.Sprintf("wk-%d", 100+r.jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 }
 
-// rollOutSharding restarts all controllers, one after the other, with another sharding.
-func (r *reshardSimulation) rollOutSharding(by string, every time.Duration) {
+// rollOutSharding restarts all controllers with another sharding, one in each interval.
+func (r *reshardSimulation) rollOutSharding(by string, interval time.Duration) {
 	for i := range 3 {
 		r.shardings.set(i, by)
 		r.kill(i, time.Second)
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
 
-// shardingSettings are the operators' shardings of the controllers, each of which reads its own when
-// it starts.
+// shardingSettings holds the sharding setting of each controller, which the controller reads when it
+// starts.
 type shardingSettings struct {
 	initial string
-	changed sync.Map // by the controller's name
+	changed sync.Map // shardings that differ from initial, by the controller's name
 }
 
-// of returns the sharding of a controller.
+// of returns the sharding setting of a controller.
 func (s *shardingSettings) of(controller string) string {
 	if by, ok := s.changed.Load(controller); ok {
 		return by.(string)
@@ -65,10 +65,10 @@
 	return s.initial
 }
 
-// set changes the sharding of a controller. It takes effect when that starts again.
+// set changes the sharding setting of a controller, which takes effect when the controller restarts.
 func (s *shardingSettings) set(i int, by string) { s.changed.Store(fmt.Sprint("c-", i), by) }
 
-// crashIntoSharding gives all controllers another sharding, in random order, and crashes each.
+// crashIntoSharding changes the sharding setting of each controller, in random order, and crashes it.
 func (w *simulation) crashIntoSharding(settings *shardingSettings, by string, rng *rand.Rand) {
 	for _, i := range rng.Perm(w.count) {
 		settings.set(i, by)
@@ -77,7 +77,7 @@
 	}
 }
 
-// storedSharding returns the sharding according to the state service.
+// storedSharding returns the sharding record in the state service.
 func (r *reshardSimulation) storedSharding() (rec store.ShardingRecord) {
 	for _, it := range r.store.Page(store.ShardingKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &rec)
@@ -85,7 +85,7 @@
 	return rec
 }
 
-// ledgers lists the ledgers in the state service.
+// ledgers returns the names of the ledgers in the state service.
 func (r *reshardSimulation) ledgers() (out []string) {
 	for after := ""; ; {
 		page := r.store.Page(store.StatePrefix+"ledger/", after, 0)
@@ -102,37 +102,37 @@
 	}
 }
 
-// TestReshard changes the sharding while jobs run, from one shard to several, to fewer, and back
-// to one: a controller whose settings differ from the others' may not become leader; once all
-// settings agree running tasks may not be disturbed, every job has to get its answer, and the
-// remains of earlier shardings have to disappear from the state service.
+// TestReshard changes the sharding while jobs run, from one shard to two, back to one, and to two
+// again. A controller whose settings differ from the others' may not become leader. Once all settings
+// agree, no running task may be disturbed, every job has to end, and the data of earlier shardings has
+// to disappear from the state service.
 func TestReshard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newReshardSimulation(t, 21, 0, nil)
 		w.startService("wk-1", 20*time.Minute)
 		w.user(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Gang, Priority: wire.High, Tasks: 4, Spread: true, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img",
-			ImageGB: 1, EstimateS: 800}, 15*time.Minute, 0) // over both zones
+			ImageGB: 1, EstimateS: 800}, 15*time.Minute, 0) // spread over both zones
 		time.Sleep(40 * time.Second)
 		if w.checker.Started != 10 {
 			t.Fatalf("%d tasks were started", w.checker.Started)
 		}
 		for n, next := range []string{"zone", "off", "zone"} {
-			before, begun := w.storedSharding(), w.checker.Started
-			w.shardings.set(0, next) // one controller alone, while the others hold
+			before, startedBefore := w.storedSharding(), w.checker.Started
+			w.shardings.set(0, next) // one controller alone, while the others keep their setting
 			w.kill(0, time.Second)
 			time.Sleep(30 * time.Second)
 			if got := w.storedSharding(); got.Generation != before.Generation {
-				t.Errorf("resharded to %q while controllers are set otherwise", got.Text)
+				t.Errorf("resharded to %q although the other controllers have another setting", got.Text)
 			}
 			w.rollOutSharding(next, 8*time.Second)
 			time.Sleep(40 * time.Second)
 			want := map[string]string{"off": "map[fleet]", "zone": "map[a b]"}[next]
-			held := map[string]bool{}
+			ledShards := map[string]bool{}
 			for shard := range w.leaders() {
-				held[shard] = true
+				ledShards[shard] = true
 			}
-			if got := strings.ReplaceAll(fmt.Sprint(held), ":true", ""); got != want {
-				t.Errorf("set to %s, the leaders are %v, sharding %+v", next, got, w.storedSharding())
+			if got := strings.ReplaceAll(fmt.Sprint(ledShards), ":true", ""); got != want {
+				t.Errorf("with setting %s the shards with a leader are %v, sharding %+v", next, got, w.storedSharding())
 			}
 			for range 3 {
 				w.submitArray(4, 8*time.Second)
@@ -141,8 +141,8 @@
 			if g := w.storedSharding(); g.Generation != uint64(n+1) || len(g.PreviousLedgers) > 0 || len(w.ledgers()) > 2 {
 				t.Errorf("after a minute: %+v, ledgers %v", g, w.ledgers())
 			}
-			if extra := w.checker.Started - begun - 12; extra > 0 {
-				t.Errorf("set to %s: %d tasks were started again", next, extra)
+			if extra := w.checker.Started - startedBefore - 12; extra > 0 {
+				t.Errorf("with setting %s: %d tasks were started again", next, extra)
 			}
 		}
 		w.finish(30 * time.Minute)
@@ -151,32 +151,32 @@
 }
 
 // TestReshardThroughFaults simulates days like those of TestProcessStalls on which the operators
-// change the sharding again and again while jobs run, and sometimes leave one controller with
-// other settings. AMBERDEAL_REGROUPS sets the number of days, AMBERDEAL_REGROUP plays one.
+// change the sharding repeatedly while jobs run, and sometimes leave a controller with another
+// setting. AMBERDEAL_REGROUPS sets the number of days, AMBERDEAL_REGROUP runs one.
 func TestReshardThroughFaults(t *testing.T) {
 	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var settings shardingSettings
-		roll := fault{"controllers are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
+		rollOut := fault{"controllers are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			to := []string{"off", "zone"}[rng.IntN(2)]
 			for i := range 3 {
-				if rng.IntN(8) > 0 { // or it is forgotten
+				if rng.IntN(8) > 0 { // otherwise the operator forgets this controller
 					settings.set(i, to)
 				}
 				w.kill(i, time.Duration(1+rng.IntN(6))*time.Second)
 				time.Sleep(time.Duration(rng.IntN(6)) * time.Second)
 			}
 		}}
-		alike := func(w *simulation) {
+		setAllAlike := func(w *simulation) {
 			for i := range 3 {
 				settings.set(i, settings.of("c-0"))
 				w.kill(i, time.Second)
 			}
 		}
-		again := fault{"all controllers are set alike", func(w *simulation, _ *rand.Rand, _ time.Duration) { alike(w) }}
+		rollOutToAll := fault{"all controllers are set alike", func(w *simulation, _ *rand.Rand, _ time.Duration) { setAllAlike(w) }}
 		settle := func(w *simulation) {
-			time.Sleep(10 * time.Second) // whoever was killed is back
-			alike(w)
+			time.Sleep(10 * time.Second) // until killed controllers have restarted
+			setAllAlike(w)
 		}
-		runStallScenario(t, seed, settings.of, settle, roll, roll, roll, again, again)
+		runStallScenario(t, seed, settings.of, settle, rollOut, rollOut, rollOut, rollOutToAll, rollOutToAll)
 	})
 }
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -12,12 +12,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// newTwoShardSimulation starts a simulation of a fleet in two shards, a and b.
+// newTwoShardSimulation starts a simulation of a fleet in two shards, for zones a and b.
 func newTwoShardSimulation(t *testing.T, seed uint64) *simulation {
 	return newSimulation(t, seed, 0, func(c *config.Config) { c.Tuning.Shards.By = "zone" })
 }
 
-// leaders returns the leader of each shard, according to the state service.
+// leaders returns the leader of each shard as recorded in the state service.
 func (w *simulation) leaders() map[string]string {
 	out := map[string]string{}
 	for _, it := range w.store.Page(store.LeaderKey(""), "", 0).Items {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// token returns the fencing token of the shard that is listed last.
+// token returns the last fencing token that the state service lists.
 func (w *simulation) token() (token uint64) {
 	for _, it := range w.store.Page(store.FencingTokenKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &token)
@@ -36,21 +36,21 @@
 	return token
 }
 
-// startService keeps six tasks running in both zones for a while.
-func (w *simulation) startService(id string, until time.Duration) {
+// startService submits a service of six replicas over both zones, which is cancelled after a while.
+func (w *simulation) startService(id string, cancelAfter time.Duration) {
 	w.user(&wire.Job{ID: id, Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6, Spread: true,
-		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, until)
+		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, cancelAfter)
 }
 
-// checkResults reports every violation of a rule.
+// checkResults fails the test for each violation that the checkers found.
 func (w *simulation) checkResults() {
-	for _, b := range append(w.checker.Violations(), w.account().Problems...) {
-		w.t.Error(b)
+	for _, violation := range append(w.checker.Violations(), w.account().Problems...) {
+		w.t.Error(violation)
 	}
 	w.logCounts()
 }
 
-// logCounts logs what is counted and violates no rule.
+// logCounts logs events that are counted but violate no rule.
 func (w *simulation) logCounts() {
 	starts, launches := w.checker.Launches.AfterCancellation()
 	for _, s := range starts {
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestSurvivorLeadsAllShards ends two of three controllers; the survivor has to lead all shards.
-// When the others are back one shard has to be released and taken over at once, once, and nothing
-// may move afterwards. No task may be lost.
+// TestSurvivorLeadsAllShards kills two of three controllers; the survivor has to lead all shards.
+// When the others are back, it has to release one shard, which has to be taken over at once, and no
+// other shard may change its leader. No task may be lost.
 func TestSurvivorLeadsAllShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 31)
@@ -79,23 +79,23 @@
 		w.kill(2, time.Minute)
 		time.Sleep(25 * time.Second)
 		if h := w.leaders(); h["a"] != "c-0" || h["b"] != "c-0" {
-			t.Errorf("one is left, the leaders of the shards are %v", h)
+			t.Errorf("only c-0 is up, the leaders of the shards are %v", h)
 		}
 		before := w.token()
 		time.Sleep(35 * time.Second)
-		gap := time.Duration(0)
-		for range 6000 { // who holds them while the others come back
+		leaderless := time.Duration(0)
+		for range 6000 { // a minute, in which the others come back
 			time.Sleep(10 * time.Millisecond)
 			if len(w.leaders()) < 2 {
-				gap += 10 * time.Millisecond
+				leaderless += 10 * time.Millisecond
 			}
 		}
 		h := w.leaders()
 		if len(h) != 2 || h["a"] == h["b"] || w.token() != before+1 {
-			t.Errorf("after a minute the leaders of the shards are %v, %d claims", h, w.token()-before)
+			t.Errorf("after a minute the leaders of the shards are %v after %d claims, want two leaders and 1 claim", h, w.token()-before)
 		}
-		if gap > 500*time.Millisecond {
-			t.Errorf("a shard had no leader for %v", gap)
+		if leaderless > 500*time.Millisecond {
+			t.Errorf("a shard had no leader for %v", leaderless)
 		}
 		if w.checker.Started != 6 {
 			t.Errorf("%d starts of 6 tasks", w.checker.Started)
@@ -105,8 +105,8 @@
 	})
 }
 
-// TestZoneOutage cuts a zone off with its controllers, and brings it back with all its machines at
-// once. What ran there has to run in the other zone before.
+// TestZoneOutage partitions a zone together with its leader, and reconnects it with all its machines
+// at once. Before that, its tasks have to run in the other zone.
 func TestZoneOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 32, 0, func(c *config.Config) {
@@ -152,7 +152,7 @@
 		}
 		time.Sleep(50 * time.Second)
 		if n := w.checker.Started; n <= 12 {
-			t.Errorf("%d starts: nothing of the unreachable zone runs elsewhere", n)
+			t.Errorf("%d starts: no task of the unreachable zone was started elsewhere", n)
 		}
 		cut(false)
 		w.finish(10 * time.Minute)
@@ -160,9 +160,9 @@
 	})
 }
 
-// TestPeersPartitioned separates all controllers from each other, while the state service, the
-// machines and the users reach all of them; then the reverse: the state service answers none of
-// two. Every job has to end.
+// TestPeersPartitioned partitions all controllers from each other, while the state service, the
+// machines and the users reach all of them, so no leader may change. Then it partitions two of them
+// from the state service, so the third has to lead. Every job has to end.
 func TestPeersPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTwoShardSimulation(t, 33)
@@ -186,7 +186,7 @@
 		time.Sleep(25 * time.Second)
 		for shard, name := range w.leaders() {
 			if name != "c-2" {
-				t.Errorf("%s is led by %s, which is cut off from the store", shard, name)
+				t.Errorf("%s is led by %s, which can't reach the state service", shard, name)
 			}
 		}
 		for _, i := range []int{0, 1} {
@@ -197,28 +197,28 @@
 	})
 }
 
-// TestDeadLeader checks that a dead leader is replaced before its lease has expired, and that one
-// whose peers do not hear from it keeps its shards while it still writes.
+// TestDeadLeader checks that a dead leader is replaced before its lease has expired, and that a leader
+// whose peer heartbeats are lost keeps its shards as long as it writes to the state service.
 func TestDeadLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 34, 0, nil)
 		w.startService("wk-1", 4*time.Minute)
 		time.Sleep(30 * time.Second)
-		dead := int(w.leaders()["fleet"][2] - '0')
-		w.kill(dead, 40*time.Second)
-		begun := time.Now()
-		for w.leaders()["fleet"] == fmt.Sprint("c-", dead) || len(w.leaders()) == 0 {
+		deadLeader := int(w.leaders()["fleet"][2] - '0')
+		w.kill(deadLeader, 40*time.Second)
+		start := time.Now()
+		for w.leaders()["fleet"] == fmt.Sprint("c-", deadLeader) || len(w.leaders()) == 0 {
 			time.Sleep(50 * time.Millisecond)
 		}
-		if took := time.Since(begun); took > 7*time.Second {
-			t.Errorf("taken over after %v", took)
+		if took := time.Since(start); took > 7*time.Second {
+			t.Errorf("the next leader took over after %v, want 7s at most", took)
 		}
 		time.Sleep(time.Minute)
 		before := w.token()
-		alive := int(w.leaders()["fleet"][2] - '0')
-		for i := range 3 { // its peer heartbeats are lost, but jobs come, so that it writes
-			if i != alive {
-				w.net.DropOneWay(w.ip(alive), w.ip(i), true)
+		liveLeader := int(w.leaders()["fleet"][2] - '0')
+		for i := range 3 { // its peer heartbeats are lost, but new jobs have it write
+			if i != liveLeader {
+				w.net.DropOneWay(w.ip(liveLeader), w.ip(i), true)
 			}
 		}
 		for i := range 10 {
@@ -230,7 +230,7 @@
 			t.Errorf("%d claims while the leader writes", n)
 		}
 		for i := range 3 {
-			w.net.DropOneWay(w.ip(alive), w.ip(i), false)
+			w.net.DropOneWay(w.ip(liveLeader), w.ip(i), false)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -10,17 +10,17 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// limitCapacity has the cloud offer that many machines, of one type in one zone.
+// limitCapacity limits the cloud to a number of machines, all of one type and in one zone.
 func (w *simulation) limitCapacity(machines int) {
 	w.cloud.SetFaults(func(*simulator.CloudFaults) {
 		w.cloud.CapacityByOffer = map[simulator.Offer]int{{Type: "g4", Zone: "a"}: machines}
 	})
 }
 
-// TestGangWaitsForASlowFetch: of two machines one has the image of a gang, and the other fetches
-// it for longer than a task waits for its gang. Each attempt ends with the first task alone. If
-// the fetch were cancelled with the attempt, the next one would end the same way, for ever, beside
-// enough capacity for the gang.
+// TestGangWaitsForASlowFetch checks that a gang starts although one of its two machines fetches the image
+// for longer than a task waits for its gang. Each attempt then ends with the first task alone. If the
+// fetch were cancelled with the attempt, every further attempt would end the same way, and the gang
+// would never start despite enough capacity.
 func TestGangWaitsForASlowFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 41, 0, nil)
@@ -34,19 +34,19 @@
 		w.submitter(41, jobOf("wk-2", wire.Gang, 2, 10*time.Second, big, saves), time.Second, 0, 10*time.Second)
 		time.Sleep(2 * time.Minute)
 		if stage := w.checker.Stage("wk-2"); stage != wire.Done {
-			t.Errorf("the gang is %q after two minutes, fetches given up: %v", stage, w.runtime.CancelledFetches())
+			t.Errorf("the gang is %q after two minutes, cancelled fetches: %v", stage, w.runtime.CancelledFetches())
 		}
 		w.finish(3 * time.Minute)
 		w.checkResults()
 		if w.checker.Started < 4 {
-			t.Errorf("%d starts: no task was alone", w.checker.Started)
+			t.Errorf("%d starts: no task waited alone for its gang", w.checker.Started)
 		}
 	})
 }
 
-// TestNothingWaitsForALongFetch: the only machine fetches an image for production work for minutes
-// over a slow link, and lesser work may not share that rate. It may not wait until the fetch is
-// over, either.
+// TestNothingWaitsForALongFetch checks that work of lower priority does not wait until a long fetch is
+// complete: the only machine fetches an image for production work over a slow link for minutes, and
+// other fetches may not share its bandwidth.
 func TestNothingWaitsForALongFetch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 42, 0, nil)
@@ -57,20 +57,20 @@
 		w.submitter(42, jobOf("wk-2", wire.Array, 1, 10*time.Second), 0, 0, 10*time.Second)
 		time.Sleep(40 * time.Second)
 		if w.checker.Started > 0 {
-			t.Error("nothing was kept from the machine")
+			t.Error("the task did not wait for the fetch")
 		}
 		time.Sleep(45 * time.Second)
 		if w.checker.Started != 1 || w.checker.Running("wk-1") > 0 {
-			t.Errorf("%d starts after 85 s, %d of them of the service", w.checker.Started, w.checker.Running("wk-1"))
+			t.Errorf("%d starts, %d running replicas of the service 105 s after its submission; want 1 and 0", w.checker.Started, w.checker.Running("wk-1"))
 		}
 		w.finish(5 * time.Minute)
 		w.checkResults()
 	})
 }
 
-// TestFetchesAreNotCancelledAgain: urgent work arrives all the time at a full fleet, and preempts
-// what loses least. A task that waits for an image over a slow link loses its fetch; that may
-// happen to a task, but not again and again.
+// TestFetchesAreNotCancelledAgain checks that a task's fetch is not cancelled repeatedly. Work of high
+// priority keeps arriving at a full fleet, and preempts the tasks that lose least. A task that fetches
+// its image over a slow link may lose its fetch, but not again and again.
 func TestFetchesAreNotCancelledAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 43, 0, nil)
@@ -86,13 +86,13 @@
 		w.declareQuiet()
 		w.finish(10 * time.Minute)
 		w.checkResults()
-		most, sum := 0, 0
+		maxPerTask, total := 0, 0
 		for _, n := range w.runtime.CancelledFetches() {
-			most, sum = max(most, n), sum+n
+			maxPerTask, total = max(maxPerTask, n), total+n
 		}
-		t.Logf("%d fetches given up, %d of one task", sum, most)
-		if sum == 0 || most > 2 { // one that was given up costs more than any task that runs
-			t.Errorf("%d fetches were given up, %d of one task", sum, most)
+		t.Logf("%d fetches cancelled, at most %d of one task", total, maxPerTask)
+		if total == 0 || maxPerTask > 2 { // cancelling the same fetch again costs more than preempting any running task
+			t.Errorf("%d fetches were cancelled, at most %d of one task; want some, and 2 of one task at most", total, maxPerTask)
 		}
 	})
 }
