--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -61,7 +61,7 @@
 		}
 		time.Sleep(45 * time.Second)
 		if w.checker.Started != 1 || w.checker.Running("wk-1") > 0 {
-			t.Errorf("%d starts, %d running replicas of the service 105 s after its submission; want 1 and 0", w.checker.Started, w.checker.Running("wk-1"))
+			t.Errorf("%d starts, %d running replicas of the service 85 s after the task was submitted; want 1 and 0", w.checker.Started, w.checker.Running("wk-1"))
 		}
 		w.finish(5 * time.Minute)
 		w.checkResults()
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -14,32 +14,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// userPopulation is the users of a day with many requests, and their results.
+// userPopulation is the set of users of a simulation, with counts of the responses that they got.
 type userPopulation struct {
 	*simulation
 	seed      uint64
-	cancelAll atomic.Bool // users who have not cancelled yet, and have to, do so now
+	cancelAll atomic.Bool // tells the users that have yet to cancel their jobs to do so now
 
 	unansweredRequests, confirmedCancellations, repeatedSubmissions atomic.Int64
 }
 
-// populationUser makes requests about one job at all controllers, repeats its submission with
+// populationUser is a user who sends requests about one job to all controllers, resubmits it with
 // various contents, and may cancel it.
 type populationUser struct {
 	*client
 	population *userPopulation
 }
 
-// addUser adds a user with a job.
+// addUser adds a user with a job, which is not submitted yet.
 func (m *userPopulation) addUser(j *wire.Job, run time.Duration) *populationUser {
-	var n uint64
-	_, _ = fmt.Sscanf(j.ID, "wk-%d", &n)
-	c := m.client(j, rand.New(rand.NewPCG(m.seed, n)), run)
+	var number uint64
+	_, _ = fmt.Sscanf(j.ID, "wk-%d", &number)
+	c := m.client(j, rand.New(rand.NewPCG(m.seed, number)), run)
 	c.unanswered = &m.unansweredRequests
 	return &populationUser{c, m}
 }
 
-// addService adds a user with a service of one replica, and submits it.
+// addService adds a user with a service of one replica, and submits the service.
 func (m *userPopulation) addService(id string) *populationUser {
 	c := m.addUser(jobOf(id, wire.Service, 1, forever), forever)
 	for try := 0; m.checker.Stage(id) == "" && try < 10; try++ {
@@ -49,27 +49,27 @@
 	return c
 }
 
-// cancelOnce cancels the job at one controller that can.
+// cancelOnce cancels the job at one controller, which has to confirm it within five attempts.
 func (c *populationUser) cancelOnce(i int) {
 	for try := 0; try < 5 && !c.checker.Stage(c.job.ID).Final(); try++ {
 		c.cancel(i)
 	}
 	if c.population.confirmedCancellations.Add(1); c.checker.Stage(c.job.ID) != wire.Cancelled {
-		c.t.Errorf("%s can't be cancelled at %d", c.job.ID, i)
+		c.t.Errorf("%s can't be cancelled at c-%d", c.job.ID, i)
 	}
 }
 
 // pollOnce polls the job at one controller.
 func (c *populationUser) pollOnce(i int) { c.ask(i, 5*time.Second, "GET", c.path(), nil) }
 
-// resubmit submits the job again to one controller.
+// resubmit submits the job to one controller again.
 func (c *populationUser) resubmit(i int) {
 	c.population.repeatedSubmissions.Add(1)
 	c.ask(i, 5*time.Second, "POST", wire.PathJobs, c.body())
 }
 
-// cancelAndVerify cancels the job at one controller and, once that is confirmed, makes every kind
-// of request at all others at once.
+// cancelAndVerify cancels the job at one controller and, if that is confirmed, concurrently resubmits
+// it to all controllers and polls it at some.
 func (c *populationUser) cancelAndVerify() {
 	if c.cancel(c.anyController()) != 200 {
 		return
@@ -86,23 +86,23 @@
 	all.Wait()
 }
 
-// run is what the user does from the first submission until the job is over. It cancels the job
-// after a time unless that is 0.
-func (c *populationUser) run(cancels time.Duration) {
+// run submits the job, and polls and resubmits it until it is over. It cancels the job after a delay
+// unless that is 0.
+func (c *populationUser) run(cancelAfter time.Duration) {
 	for c.ctx.Err() == nil && c.checker.Stage(c.job.ID) == "" {
 		c.submit(c.anyController())
 		time.Sleep(time.Duration(c.draw(c.rng, 500)) * time.Millisecond)
 	}
 	c.pollUntilOver(c.job.ID)
-	for begun := time.Now(); c.ctx.Err() == nil; {
+	for start := time.Now(); c.ctx.Err() == nil; {
 		over := c.checker.Stage(c.job.ID).Final()
 		if c.population.cancelAll.Load() && over {
 			return
 		}
 		time.Sleep(time.Duration(200+c.draw(c.rng, 3000)) * time.Millisecond)
 		i := c.anyController()
-		switch must := cancels > 0 && (time.Since(begun) > cancels || c.population.cancelAll.Load()); {
-		case must && !over:
+		switch cancelDue := cancelAfter > 0 && (time.Since(start) > cancelAfter || c.population.cancelAll.Load()); {
+		case cancelDue && !over:
 			c.cancelAndVerify()
 		case c.draw(c.rng, 3) == 0:
 			c.resubmit(i)
@@ -112,36 +112,37 @@
 	}
 }
 
-// addUsers adds users, one after each gap.
-func (w *simulation) addUsers(seed uint64, n int, gap time.Duration) *userPopulation {
+// addUsers adds n users, one after the other with the given mean interval, and has requests about
+// unknown jobs sent until the end of the simulation.
+func (w *simulation) addUsers(seed uint64, n int, interval time.Duration) *userPopulation {
 	m := &userPopulation{simulation: w, seed: seed}
 	w.group.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, 12))
 		for k := range n {
 			j := jobOf(fmt.Sprintf("wk-%06d", 1000*k+rng.IntN(1000)), wire.Array, 1+rng.IntN(3), 10*time.Second)
 			j.Team, j.Image = []string{"red", "blue"}[k%2], fmt.Sprintf("img-%d", k%2)
-			run, cancels := time.Duration(5+rng.IntN(60))*time.Second, time.Duration(0)
+			run, cancelAfter := time.Duration(5+rng.IntN(60))*time.Second, time.Duration(0)
 			switch k % 4 {
 			case 1:
-				cancels = time.Duration(1+rng.IntN(3000)) * time.Millisecond // before it has begun
+				cancelAfter = time.Duration(1+rng.IntN(3000)) * time.Millisecond // before it has started
 			case 2:
-				cancels = time.Duration(10+rng.IntN(100)) * time.Second
+				cancelAfter = time.Duration(10+rng.IntN(100)) * time.Second
 			case 3:
-				j.Shape, j.Priority, run, cancels = wire.Service, wire.Production, 24*time.Hour, time.Duration(20+rng.IntN(150))*time.Second
+				j.Shape, j.Priority, run, cancelAfter = wire.Service, wire.Production, 24*time.Hour, time.Duration(20+rng.IntN(150))*time.Second
 			}
 			c := m.addUser(j, run)
-			w.group.Go(func() { c.run(cancels) })
-			time.Sleep(time.Duration(rng.IntN(int(2*gap/time.Millisecond))) * time.Millisecond)
+			w.group.Go(func() { c.run(cancelAfter) })
+			time.Sleep(time.Duration(rng.IntN(int(2*interval/time.Millisecond))) * time.Millisecond)
 		}
 	})
-	// Nobody has ever submitted these.
+	// These jobs have never been submitted.
 	w.pollGroup.Go(func() {
 		for k := 0; w.ctx.Err() == nil; k++ {
 			id := fmt.Sprintf("wk-9%05d", k)
 			for _, path := range []string{"/" + id, "/" + id + "/" + wire.CancelWord} {
 				method := map[bool]string{true: "GET", false: "POST"}[path == "/"+id]
 				if resp, err := w.request(k%w.count, 5*time.Second, method, wire.PathJobs+path, nil); err == nil && resp.Status != 404 && resp.Status != 503 {
-					w.t.Errorf("%s, which nobody has submitted, is answered %d", id, resp.Status)
+					w.t.Errorf("%s %s of a job that was never submitted: status %d, want 404 or 503", method, path, resp.Status)
 				}
 			}
 			time.Sleep(3 * time.Second)
@@ -150,21 +151,22 @@
 	return m
 }
 
-// finish waits for all jobs to end, and checks the day.
-func (m *userPopulation) finish(cancels, repeats int64) {
+// finish waits for all jobs to end, and checks the results. It requires at least the given numbers of
+// confirmed cancellations and resubmissions.
+func (m *userPopulation) finish(cancellations, resubmissions int64) {
 	m.t.Helper()
 	m.cancelAll.Store(true)
 	m.simulation.finishQuietly(0, 15*time.Minute)
-	if m.confirmedCancellations.Load() < cancels || m.repeatedSubmissions.Load() < repeats {
-		m.t.Errorf("%d were told that their jobs are cancelled, %d submissions came again", m.confirmedCancellations.Load(), m.repeatedSubmissions.Load())
+	if m.confirmedCancellations.Load() < cancellations || m.repeatedSubmissions.Load() < resubmissions {
+		m.t.Errorf("%d cancellations were confirmed and %d submissions repeated, want %d and %d at least", m.confirmedCancellations.Load(), m.repeatedSubmissions.Load(), cancellations, resubmissions)
 	}
 }
 
 // TestStoreRefusesLeaderThenAll has the state service answer slowly, refuse the leader alone, and
-// then refuse everybody for longer than cancel_s, while users cancel, poll and resubmit at all
-// controllers. What was answered has to hold: final stages are answered from memory for ever,
+// then refuse all controllers for longer than cancel_s, while users cancel, poll and resubmit at all
+// controllers. Every answer has to remain true: final stages are always answered from memory,
 // everything else is read behind a barrier or answered 503. AMBERDEAL_REFUSALS sets the number of
-// days, AMBERDEAL_REFUSAL plays one.
+// days, AMBERDEAL_REFUSAL runs one.
 func TestStoreRefusesLeaderThenAll(t *testing.T) {
 	playSeeds(t, 2, "AMBERDEAL_REFUSAL", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
@@ -179,7 +181,7 @@
 		leader := w.anyLeader()
 		other := (leader + 1) % w.count
 		if leader < 0 || w.checker.Running("wk-1")+w.checker.Running("wk-2")+w.checker.Running("wk-3") != 3 {
-			t.Errorf("%d leads, and not all run that are to be cancelled", leader)
+			t.Errorf("leader c-%d; want a leader, and all three services running", leader)
 		}
 		w.refuseByStore(max(0, leader), true)
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
@@ -191,10 +193,10 @@
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		w.store.SetOutage(true)
 		time.Sleep(slow + 100*time.Millisecond)
-		told, vain := m.confirmedCancellations.Load(), m.unansweredRequests.Load()
+		confirmedBefore, unansweredBefore := m.confirmedCancellations.Load(), m.unansweredRequests.Load()
 		time.Sleep(w.checker.CancelWithin + time.Duration(5+rng.IntN(20))*time.Second)
-		if m.confirmedCancellations.Load() > told || m.unansweredRequests.Load() < vain+20 {
-			t.Errorf("%d cancellations were told in the outage, in which %d questions were not answered", m.confirmedCancellations.Load()-told, m.unansweredRequests.Load()-vain)
+		if m.confirmedCancellations.Load() > confirmedBefore || m.unansweredRequests.Load() < unansweredBefore+20 {
+			t.Errorf("%d cancellations were confirmed in the outage, want 0; %d requests were not answered, want 20 at least", m.confirmedCancellations.Load()-confirmedBefore, m.unansweredRequests.Load()-unansweredBefore)
 		}
 		if rng.IntN(2) == 0 { // the leader is served again only after the others
 			time.AfterFunc(20*time.Second, func() { w.refuseByStore(max(0, leader), false) })
@@ -208,32 +210,32 @@
 	})
 }
 
-// TestPartitionedLeaderTurnsUsersAway separates a leader from the state service and the other
-// controllers while users and machines still reach it and jobs are cancelled through the others.
-// It has to answer what is final from memory and to turn everything else away at once, with a time
-// to retry, so that users reach another controller. It has to report itself unready as soon as it
-// can know, and ready again soon after the partition.
+// TestPartitionedLeaderTurnsUsersAway partitions a leader from the state service and the other
+// controllers while users and machines still reach it and jobs are cancelled through the others. The
+// leader has to answer polls of final jobs from memory and to refuse everything else at once, with a
+// Retry-After, so that users reach another controller. It has to report that it is not ready as soon
+// as it can know, and ready again soon after the partition.
 func TestPartitionedLeaderTurnsUsersAway(t *testing.T) {
-	for _, cut := range []struct{ of, also int }{{3, 0}, {5, 0}, {5, 2}} { // the leader, and the one so many after it
+	for _, cut := range []struct{ of, also int }{{3, 0}, {5, 0}, {5, 2}} { // of that many controllers the leader is cut off, and the one that many after it
 		t.Run(fmt.Sprint(cut), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { partitionLeader(t, cut.of, cut.also) })
 		})
 	}
 }
 
-// partitionLeader isolates the leader of count controllers, and the controller also after it unless
-// that is 0, for two minutes, in which it has to turn users away.
-func partitionLeader(t *testing.T, count, also int) {
+// partitionLeader isolates the leader of count controllers for two minutes, in which it has to refuse
+// users. Unless otherOffset is 0, it also isolates the controller whose number is that much higher.
+func partitionLeader(t *testing.T, count, otherOffset int) {
 	w := newSimulationOf(t, count, 61, 0, nil)
 	time.Sleep(8 * time.Second)
 	m := w.addUsers(61, 16, 2*time.Second)
-	early, late, stays := m.addService("wk-1"), m.addService("wk-2"), m.addService("wk-3")
+	cancelledBefore, cancelledDuring, cancelledAfter := m.addService("wk-1"), m.addService("wk-2"), m.addService("wk-3")
 	time.Sleep(30 * time.Second)
 	leader := w.anyLeader()
-	early.cancelOnce(leader)
+	cancelledBefore.cancelOnce(leader)
 	cutOff := []int{leader}
-	if also > 0 {
-		cutOff = append(cutOff, (leader+also)%count)
+	if otherOffset > 0 {
+		cutOff = append(cutOff, (leader+otherOffset)%count)
 	}
 	w.isolate(true, cutOff...)
 	since := time.Now()
@@ -244,74 +246,74 @@
 			t.Fatal(err)
 		}
 		if resp.Status == 200 && unready > 0 {
-			t.Errorf("it is ready %v after the cut", time.Since(since))
+			t.Errorf("the leader is ready %v after the start of the partition", time.Since(since))
 		} else if resp.Status != 200 && unready == 0 {
 			unready = time.Since(since)
 		}
 		if time.Since(since) > 20*time.Second && !w.checker.Stage("wk-2").Final() {
-			late.cancelOnce((leader + 1) % count)
+			cancelledDuring.cancelOnce((leader + 1) % count)
 		}
-		early.pollOnce(leader) // judged: it is final
-		w.checkRequestsRejected(leader, stays.body(), since, unready)
+		cancelledBefore.pollOnce(leader) // has to be answered, since its stage is final
+		w.checkRequestsRejected(leader, cancelledAfter.body(), since, unready)
 		time.Sleep(500 * time.Millisecond)
 	}
 	if unready == 0 || unready > 7*time.Second {
-		t.Errorf("it is not ready from %v after the cut on", unready)
+		t.Errorf("the leader became unready %v after the start of the partition (0s for never), want 7s at most", unready)
 	}
 	if next := w.anyLeader(); next == leader || w.checker.Stage("wk-2") != wire.Cancelled {
-		t.Errorf("%d leads after %d, and wk-2 is %s", next, leader, w.checker.Stage("wk-2"))
+		t.Errorf("leader c-%d after c-%d, want another one; wk-2 is %s, want cancelled", next, leader, w.checker.Stage("wk-2"))
 	}
 	w.isolate(false, cutOff...)
 	w.awaitReady(leader, 10*time.Second)
 	for i := range count {
-		late.pollOnce(i)
-		late.resubmit(i)
-		stays.pollOnce(i)
+		cancelledDuring.pollOnce(i)
+		cancelledDuring.resubmit(i)
+		cancelledAfter.pollOnce(i)
 	}
-	stays.cancelOnce(leader)
+	cancelledAfter.cancelOnce(leader)
 	m.finish(3, 20)
 }
 
-// checkRequestsRejected makes every kind of request whose answer is not final at a partitioned leader, and
-// checks that each is turned away at once. unready is when the leader was first unready after the
-// start of the partition, 0 for not yet.
+// checkRequestsRejected sends every kind of request whose answer is not final to a partitioned leader, and
+// checks that each is refused at once. unready is how long after the start of the partition, since, the
+// leader was first unready, or 0 if it is still ready.
 func (w *simulation) checkRequestsRejected(leader int, submission []byte, since time.Time, unready time.Duration) {
 	for _, ask := range []struct {
 		method, path string
 		body         []byte
 	}{
-		{"POST", "", wire.Encode(map[string]string{"uid": "wk-3"})}, // which is malformed
+		{"POST", "", wire.Encode(map[string]string{"uid": "wk-3"})}, // malformed
 		{"GET", "/wk-3", nil}, {"GET", "/wk-2", nil}, {"GET", "/wk-8", nil}, {"POST", "/wk-3/" + wire.CancelWord, []byte{}}, {"POST", "", submission},
 	} {
 		if strings.HasSuffix(ask.path, wire.CancelWord) && unready == 0 {
-			continue // or it may be written
+			continue // the leader may still be able to write it
 		}
-		begun := time.Now()
+		start := time.Now()
 		resp, err := w.request(leader, 5*time.Second, ask.method, wire.PathJobs+ask.path, ask.body)
-		took := time.Since(begun)
+		took := time.Since(start)
 		switch {
 		case err != nil || resp.Status != 503 || resp.RetryAfter == 0:
-			w.t.Errorf("%s %s is answered %+v, %v, %v after the cut", ask.method, ask.path, resp, err, time.Since(since))
+			w.t.Errorf("%s %s: response %+v, error %v, %v after the start of the partition; want 503 with Retry-After", ask.method, ask.path, resp, err, time.Since(since))
 		case took > 2*time.Second, unready > 0 && !resp.Close, time.Since(since) > 7*time.Second && took > 50*time.Millisecond:
-			w.t.Errorf("%s %s is answered after %v, closing: %v, %v after the cut", ask.method, ask.path, took, resp.Close, time.Since(since))
+			w.t.Errorf("%s %s: response after %v, connection closed: %v, %v after the start of the partition", ask.method, ask.path, took, resp.Close, time.Since(since))
 		}
 	}
 }
 
-// awaitReady waits until a controller reports that it is ready.
-func (w *simulation) awaitReady(i int, most time.Duration) {
-	for begun := time.Now(); ; {
+// awaitReady waits until a controller reports that it is ready, and fails the test at the timeout.
+func (w *simulation) awaitReady(i int, timeout time.Duration) {
+	for start := time.Now(); ; {
 		if resp, err := w.request(i, 5*time.Second, "GET", wire.PathReady, nil); err == nil && resp.Status == 200 {
 			return
 		}
-		if time.Sleep(100 * time.Millisecond); time.Since(begun) > most {
-			w.t.Errorf("it is not ready %v after the cut", most)
+		if time.Sleep(100 * time.Millisecond); time.Since(start) > timeout {
+			w.t.Errorf("c-%d is not ready %v after the end of the partition", i, timeout)
 			return
 		}
 	}
 }
 
-// allControllersRestart ends all controllers, of which one returns first.
+// allControllersRestart stops all controllers, of which one restarts before the others.
 var allControllersRestart = fault{"all end, and one returns", func(w *simulation, rng *rand.Rand, d time.Duration) {
 	first := rng.IntN(w.count)
 	for i := range w.count {
@@ -322,8 +324,8 @@
 	w.crash(first, restartDelay(rng), finalHoldTime(rng))
 }}
 
-// stateAccessFaults are faults in addition to those of restarts: a controller is refused or cut
-// off for a while.
+// stateAccessFaults are faults that accompany restarts: for a while, the state service refuses a controller
+// or is slow or out, or a controller is partitioned.
 var stateAccessFaults = []fault{
 	{"the leader is refused", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
@@ -371,10 +373,10 @@
 	{"the state service is out", func(w *simulation, _ *rand.Rand, d time.Duration) { during(d, w.store.SetOutage) }},
 }
 
-// TestUsersThroughRestarts simulates days on which controllers hand over and back, all restart at
-// once, and two processes run under one name, while the leader is refused or cut off and users
-// cancel, poll and resubmit at all of them. AMBERDEAL_ASKEDS sets the number of days,
-// AMBERDEAL_ASKED plays one.
+// TestUsersThroughRestarts simulates days on which leadership changes back and forth, all controllers
+// restart at once, and two processes run under one name, while the leader is refused by the state
+// service or partitioned, and users cancel, poll and resubmit at all controllers. AMBERDEAL_ASKEDS sets
+// the number of days, AMBERDEAL_ASKED runs one.
 func TestUsersThroughRestarts(t *testing.T) {
 	playSeeds(t, 3, "AMBERDEAL_ASKED", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
@@ -383,15 +385,15 @@
 		m := w.addUsers(seed, 16, 7*time.Second)
 		token := w.token()
 		w.playFaults(rng, 10, 12*time.Second, func(k int) (fault, time.Duration) {
-			x, d := drawFault(rng, [][]fault{stateAccessFaults, restartFaults, stateAccessFaults, stallFaults}[k%4], 60)
+			injected, d := drawFault(rng, [][]fault{stateAccessFaults, restartFaults, stateAccessFaults, stallFaults}[k%4], 60)
 			if k == 5 {
-				x = allControllersRestart // on every day
+				injected = allControllersRestart // on every day
 			}
-			return x, d
+			return injected, d
 		})
-		time.Sleep(time.Minute) // the last of them is over
+		time.Sleep(time.Minute) // until the last fault is over
 		if w.token() <= token {
-			t.Errorf("the fleet changed hands %d times", w.token()-token)
+			t.Errorf("the fencing token rose by %d, want 1 at least", w.token()-token)
 		}
 		m.finish(5, 60)
 	})
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -15,11 +15,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Jobs of two or three tasks that end far apart, while leaders change.
+// The tests in this file run jobs of two or three tasks that end at different times, while leaders change.
 
-// submitStaggeredJobs submits jobs of few tasks that end one after the other: each needs more than
-// half of its team's quota, or is a gang, or has long and short tasks. It returns the number of
-// their tasks.
+// submitStaggeredJobs submits jobs of few tasks that end one after the other: each job needs more than
+// half of its team's quota, or is a gang, or has long and short tasks. It returns the total number of
+// tasks.
 func (w *simulation) submitStaggeredJobs() (tasks int) {
 	for i, j := range []wire.Job{
 		{Shape: wire.Array, Team: "red", Tasks: 3, GPUs: 4},
@@ -38,47 +38,47 @@
 }
 
 // recordsCompletion reports whether a write is the first to record that a task has ended or a job
-// is done, and in which shard's ledger.
-func recordsCompletion(known map[string]string, puts map[string]wire.Raw) (is bool, shard string) {
+// is done, and in which shard's ledger. It keeps what earlier writes recorded in known.
+func recordsCompletion(known map[string]string, puts map[string]wire.Raw) (completes bool, shard string) {
 	for key, raw := range puts {
 		var batch store.BatchRecord
-		var slot store.SegmentRecord
+		var segment store.SegmentRecord
 		if strings.HasPrefix(key, store.BatchKey("")) && wire.DecodeValue(raw, &batch) == nil {
 			for id, rec := range batch.Jobs {
-				said := string(rec.Stage)
-				for _, s := range rec.Ranges {
-					said += fmt.Sprint(s.Done)
+				state := string(rec.Stage)
+				for _, taskRange := range rec.Ranges {
+					state += fmt.Sprint(taskRange.Done)
 				}
-				if known[id] != said {
-					is = is || rec.Stage == wire.Done || strings.Contains(said, "true")
-					known[id] = said
+				if known[id] != state {
+					completes = completes || rec.Stage == wire.Done || strings.Contains(state, "true")
+					known[id] = state
 				}
 			}
 		}
 		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
-		if !ok || wire.DecodeValue(raw, &slot) != nil {
+		if !ok || wire.DecodeValue(raw, &segment) != nil {
 			continue
 		}
 		shard, _, _ = strings.Cut(rest, "/")
 		shard, _, _ = strings.Cut(shard, "@")
-		for entry, raw := range slot.Entries {
+		for entry, raw := range segment.Entries {
 			if strings.HasPrefix(entry, "p/") && known[shard+entry] != string(raw) {
-				known[shard+entry], is = string(raw), true
+				known[shard+entry], completes = string(raw), true
 			}
 		}
 	}
-	return is, shard
+	return completes, shard
 }
 
-// completionFault is what happens to the write of a completion and to the leader that writes it.
+// completionFault is what happens to the write that records a completion and to the leader that sends it.
 type completionFault struct {
 	name         string
 	fate         simulator.Fate
 	apply        func(w *simulation, leader int, rng *rand.Rand)
-	losesMachine bool // a machine ends too, so that its work may have to be repeated
+	losesMachine bool // a machine is lost too, so that its tasks may have to start again
 }
 
-// completionFaults are the faults that are injected at the write of a completion.
+// completionFaults are the faults that are injected at the write that records a completion.
 var completionFaults = []completionFault{
 	{"the leader crashes, the write is lost", simulator.FateDropped, crashLeader, false},
 	{"the leader crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
@@ -102,18 +102,17 @@
 	}, true},
 }
 
-// cutOffLeader cuts a leader off for a while.
+// cutOffLeader partitions a leader from the state service and its peers for 30 s.
 func cutOffLeader(w *simulation, leader int, _ *rand.Rand) {
 	during(30*time.Second, func(on bool) { w.cutOff(leader, on) })
 }
 
-// crashLeader crashes a leader, which restarts soon.
+// crashLeader crashes a leader, which restarts after a short delay.
 func crashLeader(w *simulation, leader int, rng *rand.Rand) {
 	w.crash(leader, restartDelay(rng), finalHoldTime(rng))
 }
 
-// replayHeartbeats delivers copies of a share of the heartbeats from 2 s to well over a lease
-// later.
+// replayHeartbeats delivers copies of a share of the heartbeats, with delays from 2 s to well over a lease.
 func (w *simulation) replayHeartbeats(seed uint64, share float64) {
 	rng := rand.New(rand.NewPCG(seed, 15))
 	w.net.Duplicate(func(from, addr string) time.Duration {
@@ -125,126 +124,127 @@
 }
 
 // TestCrashAtEachCompletion injects a fault at each write that records the end of a task or job in
-// turn, while copies of heartbeats arrive late. The job has to become done, not before its last
-// task, and nothing that ended on a surviving machine may start again. A short run injects one
-// fault at each write, AMBERDEAL_ENDS all.
+// turn, while copies of heartbeats arrive late. The job has to become done, but not before its last
+// task, and no task that ended on a surviving machine may start again. A short run injects one fault
+// at each write, AMBERDEAL_ENDS all of them.
 func TestCrashAtEachCompletion(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
-	const sure = 5 // ends that are written apart, at the least
+	const minWrites = 5 // at least this many writes record an end
 	for k, by := range []string{"off", "zone"} {
-		for f, x := range completionFaults {
-			for step, met := 1, true; met; step++ {
-				if !all && (step+sure*k)%len(completionFaults) != f {
-					met = step < sure
+		for f, injected := range completionFaults {
+			for step, reached := 1, true; reached; step++ {
+				if !all && (step+minWrites*k)%len(completionFaults) != f {
+					reached = step < minWrites
 					continue
 				}
-				t.Run(fmt.Sprint(by, " end ", step, " ", x.name), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { met = crashAtCompletion(t, by, x, step) })
+				t.Run(fmt.Sprint(by, " end ", step, " ", injected.name), func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { reached = crashAtCompletion(t, by, injected, step) })
 				})
-				if !met && step <= sure {
-					t.Errorf("only %d ends were written", step-1)
+				if !reached && step <= minWrites {
+					t.Errorf("only %d writes recorded an end, want %d at least", step-1, minWrites)
 				}
-				met = met && (all || step < sure)
+				reached = reached && (all || step < minWrites)
 			}
 		}
 	}
 }
 
-// crashAtCompletion injects a fault at the step-th write of a completion, and reports whether
-// there was one.
-func crashAtCompletion(t *testing.T, by string, x completionFault, step int) (met bool) {
-	return faultAtWrite(t, by, x, step, recordsCompletion)
+// crashAtCompletion injects a fault at the step-th write that records a completion, and reports whether
+// there was such a write.
+func crashAtCompletion(t *testing.T, by string, injected completionFault, step int) (reached bool) {
+	return faultAtWrite(t, by, injected, step, recordsCompletion)
 }
 
-// faultAtWrite injects a fault at the step-th write of a kind, and reports whether there was one.
-func faultAtWrite(t *testing.T, by string, x completionFault, step int, kind func(known map[string]string, puts map[string]wire.Raw) (is bool, shard string)) (met bool) {
+// faultAtWrite injects a fault at the step-th write that matches, and reports whether there was such a write.
+func faultAtWrite(t *testing.T, by string, injected completionFault, step int, matches func(known map[string]string, puts map[string]wire.Raw) (is bool, shard string)) (reached bool) {
 	seed := uint64(step)
 	rng := rand.New(rand.NewPCG(seed, 14))
 	w := newSimulationOf(t, []int{3, 5}[step%2], seed, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 	w.replayHeartbeats(seed, 0.1)
-	known, said := map[string]string{}, 0
+	known, writes := map[string]string{}, 0
 	w.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-			is, shard := kind(known, puts)
+			is, shard := matches(known, puts)
 			if !is {
 				return simulator.FateAnswered
 			}
-			if said++; said != step {
+			if writes++; writes != step {
 				return simulator.FateAnswered
 			}
-			met = true
+			reached = true
 			w.group.Go(func() {
 				if i := w.leaderOf(shard); i >= 0 {
-					x.apply(w, i, rng)
+					injected.apply(w, i, rng)
 				}
 			})
-			return x.fate
+			return injected.fate
 		}
 	})
 	time.Sleep(8 * time.Second)
 	tasks := w.submitStaggeredJobs()
 	for end := time.Now().Add(3 * time.Minute); len(w.checker.OpenJobs()) > 0; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			t.Errorf("still open: %v", w.checker.OpenJobs())
+			t.Errorf("these jobs have not ended: %v", w.checker.OpenJobs())
 			break
 		}
 	}
 	time.Sleep(10 * time.Second)
-	if started := w.checker.Started; !x.losesMachine && started != tasks {
+	if started := w.checker.Started; !injected.losesMachine && started != tasks {
 		t.Errorf("%d starts of %d tasks", started, tasks)
 	}
 	w.declareQuiet()
 	w.finish(time.Minute)
 	w.checkResults()
-	return met
+	return reached
 }
 
-// recordsLaunch reports whether a write is the first to name a task on a machine.
-func recordsLaunch(known map[string]string, puts map[string]wire.Raw) (is bool, shard string) {
+// recordsLaunch reports whether a write is the first to record a task on a machine, and in which shard's ledger.
+// It keeps what earlier writes recorded in known.
+func recordsLaunch(known map[string]string, puts map[string]wire.Raw) (launches bool, shard string) {
 	for key, raw := range puts {
-		var slot store.SegmentRecord
+		var segment store.SegmentRecord
 		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
-		if !ok || wire.DecodeValue(raw, &slot) != nil {
+		if !ok || wire.DecodeValue(raw, &segment) != nil {
 			continue
 		}
 		shard, _, _ = strings.Cut(rest, "/")
-		for entry, raw := range slot.Entries {
-			var m store.MachineRecord
-			if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &m) != nil {
+		for entry, raw := range segment.Entries {
+			var machine store.MachineRecord
+			if !strings.HasPrefix(entry, "m/") || wire.DecodeValue(raw, &machine) != nil {
 				continue
 			}
-			for task, attempt := range m.Tasks {
+			for task, attempt := range machine.Tasks {
 				if name := fmt.Sprint(entry, task, attempt); known[name] == "" {
-					known[name], is = "named", true
+					known[name], launches = "named", true
 				}
 			}
 		}
 	}
-	return is, shard
+	return launches, shard
 }
 
-// TestPartitionAtEachLaunch injects a fault at the write of each launch: the next leader finds it
-// in the state service, or later, or never, while the leader that decided it is cut off together
-// with the machines, or has ended, or the machines receive nothing. No task may run twice, no
-// quota may be exceeded, and each job has to be done. A short run injects one fault at each
-// launch, AMBERDEAL_ENDS all.
+// TestPartitionAtEachLaunch injects a fault at the write of each launch: the next leader finds the
+// write in the state service at once, or late, or never, while the leader that sent it is partitioned
+// together with the machines, or has crashed, or the machines receive nothing. No task may run twice,
+// no quota may be exceeded, and each job has to become done. A short run injects one fault at each
+// launch, AMBERDEAL_ENDS all of them.
 func TestPartitionAtEachLaunch(t *testing.T) {
 	all := os.Getenv("AMBERDEAL_ENDS") != ""
-	sure := 2
+	launches := 2
 	if all {
-		sure = 4
+		launches = 4
 	}
 	for k, by := range []string{"off", "zone"} {
-		for f, x := range completionFaults {
-			for step := 1; step <= sure; step++ {
+		for f, injected := range completionFaults {
+			for step := 1; step <= launches; step++ {
 				if !all && (2*step+k+5)%len(completionFaults) != f {
 					continue
 				}
-				x.losesMachine = true // what was launched may be launched again elsewhere, once it is proven to be gone
-				t.Run(fmt.Sprint(by, " launch ", step, " ", x.name), func(t *testing.T) {
+				injected.losesMachine = true // a task may be launched again elsewhere once it is proven to be gone
+				t.Run(fmt.Sprint(by, " launch ", step, " ", injected.name), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						if !faultAtWrite(t, by, x, step, recordsLaunch) {
-							t.Errorf("there was no such write")
+						if !faultAtWrite(t, by, injected, step, recordsLaunch) {
+							t.Errorf("fewer than %d writes recorded a launch", step)
 						}
 					})
 				})
@@ -253,8 +253,8 @@
 	}
 }
 
-// additionalCompletionFaults are additional faults for days of such jobs.
-var additionalCompletionFaults = []fault{
+// completionScenarioFaults are the faults of TestCompletionFaults.
+var completionScenarioFaults = []fault{
 	{"machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		hosts := w.everyMachine()
 		rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
@@ -288,7 +288,7 @@
 		w.twin(rng.IntN(w.count), d/4, finalHoldTime(rng))
 	}},
 	{"writes come late", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		late, done := rand.New(rand.NewPCG(rng.Uint64(), 16)), make(chan struct{})
+		fateRNG, done := rand.New(rand.NewPCG(rng.Uint64(), 16)), make(chan struct{})
 		time.AfterFunc(d, func() { close(done) })
 		w.store.Configure(func(s *simulator.StateService) {
 			s.FateOf = func(map[string]wire.Raw) simulator.Fate {
@@ -297,7 +297,7 @@
 					return simulator.FateAnswered
 				default:
 				}
-				return []simulator.Fate{simulator.FateAnswered, simulator.FateAnswered, simulator.FateDelayed, simulator.FateReplyLost, simulator.FateDropped}[w.draw(late, 5)]
+				return []simulator.Fate{simulator.FateAnswered, simulator.FateAnswered, simulator.FateDelayed, simulator.FateReplyLost, simulator.FateDropped}[w.draw(fateRNG, 5)]
 			}
 		})
 	}},
@@ -320,34 +320,34 @@
 	}},
 }
 
-// TestCompletionFaults simulates days of such jobs with two and three faults at a time, with one
-// shard and several, with 3 and 5 controllers, some with resharding. The quota of the team red is
-// exhausted all day. AMBERDEAL_ENDS sets the number of days, AMBERDEAL_END plays one.
+// TestCompletionFaults simulates days with jobs of few tasks and two or three faults at a time, with
+// one shard and several, with 3 and 5 controllers, some with resharding. The quota of the team red is
+// exhausted all the time. AMBERDEAL_ENDS sets the number of days, AMBERDEAL_END runs one.
 func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", runCompletionScenario) }
 
-// runCompletionScenario simulates such a day.
+// runCompletionScenario simulates a day of TestCompletionFaults.
 func runCompletionScenario(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed%2]}
-	silence := []time.Duration{0, time.Hour}[rng.IntN(2)]
+	heartbeatTimeout := []time.Duration{0, time.Hour}[rng.IntN(2)]
 	w := newSimulationOf(t, []int{3, 5}[seed/2%2], seed, 0, func(c *config.Config) {
-		c.Tuning.Shards.By, c.Tuning.HeartbeatTimeout = settings.of(c.Name), silence
+		c.Tuning.Shards.By, c.Tuning.HeartbeatTimeout = settings.of(c.Name), heartbeatTimeout
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
 	})
 	w.replayHeartbeats(seed, 0.05)
 	w.group.Go(func() {
-		jobs := rand.New(rand.NewPCG(seed, 18)) // a generator is not safe for concurrent use
+		jobRNG := rand.New(rand.NewPCG(seed, 18)) // rand.Rand is not safe for concurrent use
 		for i := range 24 {
-			w.submitCompletionJob(jobs, i)
-			time.Sleep(time.Duration(jobs.IntN(7000)) * time.Millisecond)
+			w.submitCompletionJob(jobRNG, i)
+			time.Sleep(time.Duration(jobRNG.IntN(7000)) * time.Millisecond)
 		}
 	})
 	time.Sleep(15 * time.Second)
 	for range 7 {
 		for range 2 + rng.IntN(2) {
-			x, d := additionalCompletionFaults[rng.IntN(len(additionalCompletionFaults))], time.Duration(3+rng.IntN(50))*time.Second
-			log(x.name, d)
-			w.group.Go(func() { x.apply(w, rand.New(rand.NewPCG(seed, uint64(d))), d) })
+			injected, d := completionScenarioFaults[rng.IntN(len(completionScenarioFaults))], time.Duration(3+rng.IntN(50))*time.Second
+			log(injected.name, d)
+			w.group.Go(func() { injected.apply(w, rand.New(rand.NewPCG(seed, uint64(d))), d) })
 			time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 		}
 		if seed%3 == 2 && rng.IntN(3) == 0 {
@@ -359,7 +359,7 @@
 		}
 		time.Sleep(time.Duration(5000+rng.IntN(20_000)) * time.Millisecond)
 	}
-	time.Sleep(time.Minute)  // the last of them is over
+	time.Sleep(time.Minute)  // until the last fault is over
 	for i := range w.count { // a controller that missed a change gets the others' settings
 		if settings.set(i, settings.of("c-0")); seed%3 == 2 {
 			w.kill(i, time.Second)
@@ -371,13 +371,13 @@
 	w.checkResults()
 }
 
-// submitCompletionJob submits the i-th job of a day on which the quota of the team red is exhausted.
+// submitCompletionJob submits the i-th job of TestCompletionFaults.
 func (w *simulation) submitCompletionJob(rng *rand.Rand, i int) {
 	j := &wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: []string{"red", "blue"}[i%2], Shape: wire.Array, Priority: []wire.Priority{wire.Normal, wire.High, wire.Production}[i%3],
 		Tasks: 2 + rng.IntN(2), CPUs: 2, GPUs: float64(1 + rng.IntN(3)), MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 20}
 	switch i % 5 {
 	case 1:
-		j.Shape, j.OneZone, j.CheckpointS, j.SaveS, j.GPUs = wire.Gang, true, 5, 1, min(j.GPUs, 2) // or red's quota is too small
+		j.Shape, j.OneZone, j.CheckpointS, j.SaveS, j.GPUs = wire.Gang, true, 5, 1, min(j.GPUs, 2) // within red's quota
 	case 2:
 		j.Spread, j.Spot = true, true
 	case 3:
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -12,15 +12,15 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// twoTiers sets two tiers, for live and batch work.
+// twoTiers configures two tiers, for live and for batch work.
 func twoTiers(c *config.Config) {
 	c.Tuning.Tiers = []tier.Tier{{Name: "live", Order: 1, Priorities: []string{"production"}, Share: tier.Share{Fraction: 0.5}, ReclaimWithin: 20 * time.Second},
 		{Name: "batch", Order: 2, ReclaimWithin: 20 * time.Second}}
 }
 
-// TestTiersFailOver: all GPUs are lent to batch work when the first tier wants its half back. The
-// leaders fail in turn while batch work is preempted, and restart at once: the tier has to get its
-// GPUs within the bound plus the failovers, and little more may be preempted than it needs.
+// TestTiersFailOver has all GPUs lent to batch work when the first tier reclaims its half. The leaders
+// fail in turn while batch work is preempted, and restart at once. The tier has to get its GPUs within
+// its reclaim time plus the failovers, and little more may be preempted than it needs.
 func TestTiersFailOver(t *testing.T) {
 	for _, by := range []string{"off", "zone"} {
 		for seed := range uint64(6) {
@@ -53,7 +53,7 @@
 						t.Errorf("%d of 12 replicas run", n)
 					}
 					if _, after := w.checker.Counts(); after-before > 12+4 {
-						t.Errorf("%d tasks were started for 12", after-before)
+						t.Errorf("%d tasks were started for 12 replicas, want 16 at most", after-before)
 					}
 					w.finish(10 * time.Minute)
 					w.checkResults()
@@ -63,29 +63,29 @@
 	}
 }
 
-// TestTiersDisagree: a controller whose tiers are set differently may not become leader while its
-// peers live, and once all settings agree the state has to follow.
+// TestTiersDisagree checks that a controller whose tier settings differ may not become leader while its
+// peers are up, and that the stored tiers follow once all settings agree.
 func TestTiersDisagree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		with := map[string]bool{"c-0": true, "c-1": true, "c-2": true}
+		hasTiers := map[string]bool{"c-0": true, "c-1": true, "c-2": true}
 		w := newSimulation(t, 77, 0, func(c *config.Config) {
-			if with[c.Name] {
+			if hasTiers[c.Name] {
 				twoTiers(c)
 			}
 		})
 		w.startService("wk-1", 3*time.Minute)
 		time.Sleep(30 * time.Second)
-		with["c-2"] = false
+		hasTiers["c-2"] = false
 		w.kill(2, time.Second)
 		time.Sleep(10 * time.Second)
 		for i := range 2 {
 			w.kill(i, 5*time.Second)
 			time.Sleep(20 * time.Second)
 			if h := w.leaders(); h["fleet"] == "c-2" || len(h) != 1 {
-				t.Errorf("the leaders are %v, of which c-2 is set otherwise", h)
+				t.Errorf("the leaders are %v; want one, and not c-2, whose settings differ", h)
 			}
 		}
-		with = map[string]bool{} // all are set back, one after the other
+		hasTiers = map[string]bool{} // all controllers drop their tiers, one after the other
 		for i := range 3 {
 			w.kill(i, time.Second)
 			time.Sleep(5 * time.Second)
@@ -98,7 +98,7 @@
 			digest = rec.Digest
 		}
 		if h := w.leaders(); len(h) != 1 || digest != "" {
-			t.Errorf("the leaders are %v with tiers %q", h, digest)
+			t.Errorf("the leaders are %v with tiers digest %q, want one leader and no tiers", h, digest)
 		}
 		w.finish(10 * time.Minute)
 		w.checkResults()
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -15,11 +15,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What becomes of jobs that are bound to a zone and lose machines there: one_zone gangs, arrays and services, and
-// such as name a zone. While a task may be where it was, none of a job starts in another zone; once all are
-// proven gone, or done, the rest goes wherever it may.
+// The tests in this file check jobs that are bound to a zone and lose machines there: gangs, arrays and services with
+// one_zone set, and jobs that name a zone. While any task of a job may still be in its zone, no task of the job starts
+// in another one; once all are proven to be gone, or done, the other tasks may start in any zone that the job allows.
 
-// zoneLossKinds are how the machines of a zone are lost; gone says that the cloud ends them.
+// zoneLossKinds are the ways in which the machines of a zone are lost.
 var zoneLossKinds = []struct {
 	name  string
 	apply func(w *simulation, lost []upMachine, d time.Duration)
@@ -51,11 +51,11 @@
 	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { loseInbound(d, lost...) }},
 }
 
-// zoneObserver records in which zones the tasks of jobs start.
+// zoneObserver records the zones in which the tasks of jobs start.
 type zoneObserver struct {
 	*simulator.Checker
 	mu         sync.Mutex
-	startZones map[string][]string // of a job's starts, in order
+	startZones map[string][]string // zones of a job's starts, in order
 }
 
 // TaskStarted implements simulator.Fixture.
@@ -73,10 +73,10 @@
 }
 
 // runZoneLossScenario loses the machines of the zone with the most one_zone jobs, or all but one of
-// them, for a while. What may start elsewhere has to, what may not has to continue in its zone
-// once it has machines again.
+// them, for a while. Jobs that may start elsewhere have to, and the others have to continue in their
+// zone once it has machines again. It returns how many jobs moved to another zone.
 func runZoneLossScenario(t *testing.T, loss, count int, by string, d time.Duration, all bool, seed uint64) (moved int) {
-	x := zoneLossKinds[loss]
+	lossKind := zoneLossKinds[loss]
 	w := newSimulationOf(t, count, seed, 0, func(c *config.Config) {
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
 		c.Tuning.Shards.By = by
@@ -85,9 +85,9 @@
 	w.fixture = b
 	w.reconfigureMachines(2*time.Second, func() time.Duration { return 0 })
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
-	free, tied := w.submitZoneJobs(seed)
+	anyZone, zoneA := w.submitZoneJobs(seed)
 	time.Sleep(50 * time.Second)
-	zone, jobs := b.busiestZone(free)
+	zone, jobs := b.busiestZone(anyZone)
 	var lost []upMachine
 	for _, m := range w.runningMachines() {
 		if w.cloud.ZoneOf(m.host+":9000") == zone {
@@ -95,36 +95,36 @@
 		}
 	}
 	if !all && len(lost) > 1 {
-		lost = lost[:len(lost)-1] // some tasks of a job are still there
+		lost = lost[:len(lost)-1] // some tasks of a job remain in the zone
 	}
 	if len(lost) == 0 || jobs == 0 {
-		t.Errorf("nothing is bound to a zone: %d jobs in %s, %d machines", jobs, zone, len(lost))
+		t.Errorf("no job is affected by the loss: %d jobs in zone %s, %d machines", jobs, zone, len(lost))
 		return 0
 	}
 	before := map[string]int{}
-	for _, id := range append(free, tied...) {
+	for _, id := range append(anyZone, zoneA...) {
 		before[id] = len(b.starts(id))
 	}
-	log("machines of", zone, x.name, "for", d)
-	x.apply(w, lost, d)
+	log("machines of", zone, lossKind.name, "for", d)
+	lossKind.apply(w, lost, d)
 	time.Sleep(max(d, 10*time.Second))
 	w.finishQuietly(100*time.Second, 10*time.Minute)
-	for _, id := range free {
+	for _, id := range anyZone {
 		if s := b.starts(id); len(s) > before[id] && s[len(s)-1] != s[0] {
 			moved++
 		}
 	}
-	for _, id := range tied {
+	for _, id := range zoneA {
 		if s := b.starts(id); slices.Contains(s, "b") {
-			t.Errorf("%s is bound to a and started in %v", id, s)
+			t.Errorf("%s is bound to zone a, but started in %v", id, s)
 		}
 	}
 	return moved
 }
 
-// submitZoneJobs submits jobs of every shape: free ones, which run in one zone but in any, and tied
-// ones, which name their zone.
-func (w *simulation) submitZoneJobs(seed uint64) (free, tied []string) {
+// submitZoneJobs submits jobs of every shape, and returns the IDs of those that run in a single zone, but
+// in any (anyZone), and of those that name zone a (zoneA).
+func (w *simulation) submitZoneJobs(seed uint64) (anyZone, zoneA []string) {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	for i, shape := range []wire.Shape{wire.Gang, wire.Array, wire.Service, wire.Array, wire.Gang, wire.Array, wire.Array, wire.Service} {
 		id, runs := fmt.Sprint("wk-", i+1), []time.Duration{100 * time.Second}
@@ -133,46 +133,46 @@
 		switch j.Spot = i%2 == 0; {
 		case i < 6:
 			j.OneZone = true
-			free = append(free, id)
+			anyZone = append(anyZone, id)
 		default:
 			j.Zone = "a"
-			tied = append(tied, id)
+			zoneA = append(zoneA, id)
 		}
 		switch shape {
 		case wire.Service:
 			runs, cancel = []time.Duration{forever}, 7*time.Minute
-		case wire.Array: // some have ended by the time of the loss, and bind the rest no more
+		case wire.Array: // some tasks end before the loss, and no longer bind the others to the zone
 			runs = []time.Duration{15 * time.Second, 100 * time.Second, 130 * time.Second}
 		case wire.Gang:
 			saves(j)
 		}
 		w.submitter(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
 	}
-	return free, tied
+	return anyZone, zoneA
 }
 
-// busiestZone returns the zone in which most of the jobs started, and how many did.
+// busiestZone returns the zone in which most of the jobs first started, and how many did.
 func (b *zoneObserver) busiestZone(ids []string) (zone string, jobs int) {
-	in := map[string]int{}
+	jobsByZone := map[string]int{}
 	for _, id := range ids {
 		if s := b.starts(id); len(s) > 0 {
-			in[s[0]]++
+			jobsByZone[s[0]]++
 		}
 	}
 	zone = "a"
-	if in["b"] > in["a"] {
+	if jobsByZone["b"] > jobsByZone["a"] {
 		zone = "b"
 	}
-	return zone, in[zone]
+	return zone, jobsByZone[zone]
 }
 
-// TestZoneBoundJobs plays each loss, for less and more than a lease, of some and of all machines
-// of a zone. AMBERDEAL_ZONEBOUND plays them with 3 and 5 controllers, with one shard and two, for
-// that many seeds.
+// TestZoneBoundJobs simulates losses of some and of all machines of a zone, for less and for more than
+// a lease. AMBERDEAL_ZONEBOUND simulates every loss with 3 and 5 controllers, with one shard and two,
+// for that many seeds.
 func TestZoneBoundJobs(t *testing.T) {
 	seeds, moved := 0, 0
 	fmt.Sscan(os.Getenv("AMBERDEAL_ZONEBOUND"), &seeds)
-	for i, x := range zoneLossKinds {
+	for i, lossKind := range zoneLossKinds {
 		for k, d := range []time.Duration{12 * time.Second, 35 * time.Second} {
 			for n := range max(1, 4*seeds) {
 				count, by, all := 3+2*(n%2), []string{"off", "zone"}[n/2%2], (i+k+n)%2 == 0
@@ -182,14 +182,14 @@
 					}
 					count, by = 3+2*(i%2), []string{"off", "zone"}[i/2%2]
 				}
-				t.Run(fmt.Sprint(x.name, " for ", d, ", all ", all, ", ", count, " controllers, shards ", by, ", ", n/4), func(t *testing.T) {
+				t.Run(fmt.Sprint(lossKind.name, " for ", d, ", all ", all, ", ", count, " controllers, shards ", by, ", ", n/4), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) { moved += runZoneLossScenario(t, i, count, by, d, all, uint64(n/4*100+i*10+k)) })
 				})
 			}
 		}
 	}
-	t.Logf("%d jobs went on in another zone", moved)
+	t.Logf("%d jobs moved to another zone", moved)
 	if moved == 0 {
-		t.Error("no job went on in another zone")
+		t.Error("no job moved to another zone")
 	}
 }
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -17,25 +17,26 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// zoneSimulation is a simulation with services in several zones, in which the controllers are too.
+// zoneSimulation is a simulation with controllers and services in several zones.
 type zoneSimulation struct {
 	*simulation
 	zones           []string
-	desiredReplicas int // of the services
+	desiredReplicas int // of all services
 	recoveryTimes   []time.Duration
 }
 
-// that run all day
-const serviceCount = 2 // that run all day
+// serviceCount is the number of services, which run until the end of the simulation.
+const serviceCount = 2
 
-// newZoneSimulation starts a simulation of that many controllers, in turn in each of the zones,
-// with two services that need several machines of each.
-func newZoneSimulation(t *testing.T, seed uint64, zones string, count int, lossy float64, tamper func(*config.Config)) *zoneSimulation {
+// newZoneSimulation starts a simulation of count controllers, which are assigned to the zones in turn, with
+// two services that need several machines in each zone. Each letter of zones names a zone. modify changes
+// the controllers' settings.
+func newZoneSimulation(t *testing.T, seed uint64, zones string, count int, lossy float64, modify func(*config.Config)) *zoneSimulation {
 	r := &zoneSimulation{zones: strings.Split(zones, "")}
 	r.simulation = newSimulationOf(t, count, seed, lossy, func(c *config.Config) {
 		c.Zones = r.zones
 		c.Zone = r.zones[int(c.Name[2]-'0')%len(r.zones)]
-		tamper(c)
+		modify(c)
 	})
 	r.cloud.SetFaults(func(*simulator.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
 	for i, tasks := range [serviceCount]int{6, 9} {
@@ -54,8 +55,8 @@
 	return n
 }
 
-// cutOffZones cuts zones off for a while, and notes how soon afterwards as many replicas run as
-// before.
+// cutOffZones partitions zones for a while, and records how long it takes afterwards until as many
+// replicas run as before.
 func (r *zoneSimulation) cutOffZones(zones []string, d time.Duration) {
 	before := r.runningReplicas()
 	for _, z := range zones {
@@ -65,33 +66,33 @@
 	for _, z := range zones {
 		r.net.IsolateZone(z, false)
 	}
-	begun := time.Now()
+	healed := time.Now()
 	r.group.Go(func() {
-		for r.runningReplicas() < before && time.Since(begun) < 2*time.Minute {
+		for r.runningReplicas() < before && time.Since(healed) < 2*time.Minute {
 			time.Sleep(250 * time.Millisecond)
 		}
 		r.rngMu.Lock()
 		defer r.rngMu.Unlock()
-		r.recoveryTimes = append(r.recoveryTimes, time.Since(begun).Truncate(time.Second))
+		r.recoveryTimes = append(r.recoveryTimes, time.Since(healed).Truncate(time.Second))
 	})
 }
 
-// finishWithServices ends the day when all jobs but the services are over, and checks it.
-func (r *zoneSimulation) finishWithServices(patience time.Duration) {
+// finishWithServices ends the simulation when all jobs but the services are over, and checks the results.
+func (r *zoneSimulation) finishWithServices(timeout time.Duration) {
 	r.declareQuiet()
-	for end := time.Now().Add(patience); len(r.checker.OpenJobs()) > serviceCount; time.Sleep(time.Second) {
+	for end := time.Now().Add(timeout); len(r.checker.OpenJobs()) > serviceCount; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			r.t.Errorf("jobs are not over after %v: %v", patience, r.checker.OpenJobs())
+			r.t.Errorf("jobs are not over after %v: %v", timeout, r.checker.OpenJobs())
 			break
 		}
 	}
 	r.checkResults()
 	r.end()
 	r.group.Wait()
-	time.Sleep(time.Minute) // late timers of the stand-ins run out
+	time.Sleep(time.Minute) // until late timers of the simulated services have fired
 }
 
-// crashLeaders crashes all leaders.
+// crashLeaders crashes the leader of each shard.
 func (w *simulation) crashLeaders(rng *rand.Rand) {
 	for _, shard := range slices.Sorted(maps.Keys(w.leaders())) {
 		if name := w.leaders()[shard]; name != "" {
@@ -100,7 +101,7 @@
 	}
 }
 
-// eachMachineInZone calls a function for some of the machines of a zone.
+// eachMachineInZone calls a function for each running machine of a zone.
 func (w *simulation) eachMachineInZone(zone string, do func(m wire.ListedMachine, x simulator.Machine)) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if m.Zone == zone {
@@ -109,13 +110,13 @@
 	})
 }
 
-// zoneFault is a fault of zones, which is over when apply returns.
+// zoneFault is a fault that affects zones. It is over when apply returns.
 type zoneFault struct {
 	name  string
 	apply func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration)
 }
 
-// zoneFaults are the faults of zones.
+// zoneFaults are the faults that TestZoneFailures injects.
 var zoneFaults = []zoneFault{
 	{"a zone is cut off", func(r *zoneSimulation, _ *rand.Rand, zone string, d time.Duration) { r.cutOffZones([]string{zone}, d) }},
 	{"a zone goes and comes every 10 s", func(r *zoneSimulation, rng *rand.Rand, zone string, _ time.Duration) {
@@ -210,34 +211,34 @@
 	}},
 }
 
-// runZoneScenario simulates a day on which zones fail and return.
+// runZoneScenario simulates a day on which zones fail and recover.
 func runZoneScenario(t *testing.T, seed uint64) {
-	const day = 150 * time.Second
+	const faultTime = 150 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 12))
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed/2%2]}
 	tuning := drawHeartbeatTuning(rng)
 	r := newZoneSimulation(t, seed, []string{"ab", "abc"}[seed/4%2], []int{3, 5}[seed%2], 0.02*float64(rng.IntN(2)), func(c *config.Config) { tuning.apply(c, settings.of(c.Name)) })
 	r.group.Go(func() { r.submit(seed, 20) })
-	roll := func(to string) {
+	reshard := func(to string) {
 		r.crashIntoSharding(&settings, to, rng)
-		time.Sleep(time.Second) // all are back
+		time.Sleep(time.Second) // until all controllers have restarted
 	}
-	anew := zoneFault{"resharded while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
+	reshardFault := zoneFault{"resharded while a zone is cut off", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		time.Sleep(time.Duration(rng.Int64N(int64(d + 10*time.Second))))
-		roll([]string{"off", "zone"}[rng.IntN(2)])
+		reshard([]string{"off", "zone"}[rng.IntN(2)])
 	}}
-	list := zoneFaults
+	faults := zoneFaults
 	if seed%3 == 0 {
-		list = slices.Concat(list, []zoneFault{anew, anew})
+		faults = slices.Concat(faults, []zoneFault{reshardFault, reshardFault})
 	}
-	begun := time.Now()
+	start := time.Now()
 	time.Sleep(40 * time.Second)
-	for time.Since(begun) < day {
-		x, d := list[rng.IntN(len(list))], time.Duration(5+rng.IntN(86))*time.Second
+	for time.Since(start) < faultTime {
+		injected, d := faults[rng.IntN(len(faults))], time.Duration(5+rng.IntN(86))*time.Second
 		zone := r.zones[rng.IntN(len(r.zones))]
-		log(x.name, zone, d, r.checker.Replicas("s"))
-		x.apply(r, rng, zone, d)
+		log(injected.name, zone, d, r.checker.Replicas("s"))
+		injected.apply(r, rng, zone, d)
 		if rng.IntN(4) == 0 {
 			restartFaults[rng.IntN(len(restartFaults))].apply(r.simulation, rng, 10*time.Second)
 		}
@@ -245,67 +246,69 @@
 	}
 	if seed%3 == 0 {
 		time.Sleep(time.Second)
-		roll("zone") // in case some were missed
+		reshard("zone") // some controllers may have missed the last change
 	}
 	time.Sleep(2 * time.Minute)
 	if n := r.runningReplicas(); n != r.desiredReplicas {
-		t.Errorf("%d replicas of %d run two minutes after the last trouble: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
+		t.Errorf("%d of %d replicas run two minutes after the last fault: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
 	}
-	t.Logf("replicas %v; %d starts, %d stops; as many as before ran so long after each return: %v", r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
+	t.Logf("replicas %v; %d starts, %d stops; recovery times of the replicas: %v", r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
 	r.finishWithServices(20 * time.Minute)
 }
 
-// TestZoneFailures simulates days on which zones are cut off for 5 to 90 s, alone and together,
+// TestZoneFailures simulates days on which zones are partitioned for 5 to 90 s, alone and together,
 // while processes and machines restart. AMBERDEAL_ROOMS sets the number of days, AMBERDEAL_ROOM
-// plays one.
+// runs one.
 func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", runZoneScenario) }
 
-// recordsZoneChange reports whether a write of a round changes the record of a zone or of its
-// recovery.
-func recordsZoneChange(known map[string]string, puts map[string]wire.Raw) (is bool, part, what string) {
+// recordsZoneChange reports whether a write of a round changes the record of a zone or of its recovery,
+// in which shard's ledger, and a description of the changes. It keeps what earlier writes recorded in
+// known.
+func recordsZoneChange(known map[string]string, puts map[string]wire.Raw) (changes bool, shard, description string) {
 	for key, raw := range puts {
 		rest, ok := strings.CutPrefix(key, store.StatePrefix+"ledger/")
-		var slot store.SegmentRecord
-		if !ok || wire.DecodeValue(raw, &slot) != nil {
+		var segment store.SegmentRecord
+		if !ok || wire.DecodeValue(raw, &segment) != nil {
 			continue
 		}
-		part, _, _ = strings.Cut(rest, "/")
-		for _, entry := range slices.Sorted(maps.Keys(slot.Entries)) {
-			if name := part + entry; entry[:2] == "z/" || entry[:2] == "r/" {
-				if v := string(slot.Entries[entry]); known[name] != v {
-					known[name], is = v, true
-					var rec store.ZoneRecord
-					var ret store.ZoneRecoveryRecord
-					_ = wire.DecodeValue(slot.Entries[entry], &rec)
-					_ = wire.DecodeValue(slot.Entries[entry], &ret)
-					what += fmt.Sprint(" ", entry, " ", rec.State, ret.Step)
+		shard, _, _ = strings.Cut(rest, "/")
+		for _, entry := range slices.Sorted(maps.Keys(segment.Entries)) {
+			if name := shard + entry; entry[:2] == "z/" || entry[:2] == "r/" {
+				if v := string(segment.Entries[entry]); known[name] != v {
+					known[name], changes = v, true
+					var zone store.ZoneRecord
+					var recovery store.ZoneRecoveryRecord
+					_ = wire.DecodeValue(segment.Entries[entry], &zone)
+					_ = wire.DecodeValue(segment.Entries[entry], &recovery)
+					description += fmt.Sprint(" ", entry, " ", zone.State, recovery.Step)
 				}
 			}
 		}
 	}
-	what += ";"
-	return is, part, what
+	description += ";"
+	return changes, shard, description
 }
 
-// TestCrashAtEachRecoveryStep crashes the leader at each step of a zone's recovery in turn: its
-// write is never carried out, late, or at once, and the leader learns of none; it restarts after
-// 0.1 to 0.5 s. In the end all replicas have to run, and the recovery has to be over. A short run
-// plays one of these fates at each step.
+// TestCrashAtEachRecoveryStep crashes the leader at each step of a zone's recovery in turn. The write of
+// the step is committed never, late, or at once, but the leader gets no reply; it restarts after 0.1 to
+// 0.5 s. In the end all replicas have to run, and the recovery has to be over. A short run tests one of
+// these fates at each step.
 func TestCrashAtEachRecoveryStep(t *testing.T) {
 	fates := []simulator.Fate{simulator.FateDropped, simulator.FateDelayed, simulator.FateReplyLost}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
-	const least, sure = 7, 4 // of a zone that goes and comes, and of its return; some may come in one write
+	// The writes of a zone's failure and recovery, and those of the recovery alone; one write may record several steps.
+	const failureAndRecoverySteps, recoverySteps = 7, 4
 	for k, by := range []string{"off", "zone"} {
 		for f, fate := range fates {
-			for step, met := 1, true; met; step++ {
-				if !all && fates[(step+k)%len(fates)] != fate && step < least {
+			for step, reached := 1, true; reached; step++ {
+				if !all && fates[(step+k)%len(fates)] != fate && step < failureAndRecoverySteps {
 					continue
 				}
 				t.Run(fmt.Sprint(by, " step ", step, " fate ", f), func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { met = crashAtRecoveryStep(t, by, fate, step) })
+					synctest.Test(t, func(t *testing.T) { reached = crashAtRecoveryStep(t, by, fate, step) })
 				})
-				if !met && step <= sure && by == "off" {
-					t.Errorf("only %d steps", step-1)
+				if !reached && step <= recoverySteps && by == "off" {
+					t.Errorf("only %d steps, want %d at least", step-1, recoverySteps)
 				}
 			}
 		}
@@ -313,40 +316,40 @@
 }
 
 // crashAtRecoveryStep crashes the leader at one step, and reports whether the step was reached.
-func crashAtRecoveryStep(t *testing.T, by string, fate simulator.Fate, step int) (met bool) {
+func crashAtRecoveryStep(t *testing.T, by string, fate simulator.Fate, step int) (reached bool) {
 	rng := rand.New(rand.NewPCG(uint64(step), 13))
 	r := newZoneSimulation(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
-	known, said := map[string]string{}, ""
+	known, changesSoFar := map[string]string{}, ""
 	r.store.Configure(func(s *simulator.StateService) {
 		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
-			is, shard, what := recordsZoneChange(known, puts)
-			if !is {
+			changes, shard, description := recordsZoneChange(known, puts)
+			if !changes {
 				return simulator.FateAnswered
 			}
-			if said += what; len(strings.Split(said, ";")) != step+1 {
+			if changesSoFar += description; len(strings.Split(changesSoFar, ";")) != step+1 {
 				return simulator.FateAnswered
 			}
-			met, said = true, said+" (crash)"
-			back, late := time.Duration(100+rng.IntN(401))*time.Millisecond, finalHoldTime(rng)
+			reached, changesSoFar = true, changesSoFar+" (crash)"
+			restartAfter, held := time.Duration(100+rng.IntN(401))*time.Millisecond, finalHoldTime(rng)
 			r.group.Go(func() {
 				if name := r.leaders()[shard]; name != "" {
-					r.crash(int(name[2]-'0'), back, late)
+					r.crash(int(name[2]-'0'), restartAfter, held)
 				}
 			})
 			return fate
 		}
 	})
 	time.Sleep(30 * time.Second)
-	if r.leaders()["fleet"] == "c-1" { // in zone b: it would answer the machines there for all of the cut, and none be given up
+	if r.leaders()["fleet"] == "c-1" { // which is in zone b: it would answer the machines there all the time, and none would be given up
 		r.kill(1, 15*time.Second)
 		time.Sleep(30 * time.Second)
 	}
 	r.cutOffZones([]string{"b"}, 30*time.Second)
 	time.Sleep(100 * time.Second)
 	if n := r.runningReplicas(); n != r.desiredReplicas {
-		t.Errorf("%d replicas of %d run: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
+		t.Errorf("%d of %d replicas run: %v", n, r.desiredReplicas, r.checker.Replicas("s"))
 	}
-	t.Logf("%s replicas %v, %d starts, %d stops, as many as before after %v", said, r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
+	t.Logf("%s replicas %v, %d starts, %d stops, recovery times of the replicas: %v", changesSoFar, r.checker.Replicas("s"), r.checker.Started, r.checker.Stopped, r.recoveryTimes)
 	r.finishWithServices(time.Minute)
-	return met
+	return reached
 }
