--- a/internal/simtest/late_launch_test.go
+++ b/internal/simtest/late_launch_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// launchCalls returns the calls that launched a task.
-func (r *callRecorder) launchCalls(task wire.TaskID) [][]byte {
+// of returns the calls that launched a task.
+func (r *callRecorder) of(task wire.TaskID) [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.callsByTask[task])
@@ -114,7 +114,7 @@
 	if !up {
 		return
 	}
-	calls := r.launchCalls(task)
+	calls := r.of(task)
 	for _, call := range calls {
 		ctx, cancel := context.WithTimeout(r.ctx, sec)
 		resp, err := r.caller.Call(ctx, simulator.Address(m.host, 9000), "POST", wire.PathCommands, call)
@@ -179,7 +179,7 @@
 func (w *simulation) requireEventually(what string, timeout time.Duration, condition func() bool) {
 	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Errorf("not %s within %v", what, timeout)
+			w.t.Errorf("after %v: still not %s", timeout, what)
 			return
 		}
 	}
@@ -386,14 +386,14 @@
 		tasks = append(tasks, wire.TaskID{Job: lateLaunchFirstTask.Job, Index: i})
 	}
 	for _, task := range tasks {
-		w.requireEventually(fmt.Sprint(task, " ended"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
+		w.requireEventually(fmt.Sprint(task, " over"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
 	}
 	for _, task := range tasks {
-		if len(r.launchCalls(task)) == 0 && !d.launchedByHeartbeat {
+		if len(r.of(task)) == 0 && !d.launchedByHeartbeat {
 			t.Errorf("no direct call launched %v", task)
 		}
 	}
-	log("sending copies of launches")
+	log("copies arrive")
 	d.sendCopies(r, tasks)
 	if r.copiesAnswered == 0 || r.copiesExecuted == 0 && !d.copiesRefused {
 		t.Errorf("%d copies were answered and %d executed: the test proves nothing", r.copiesAnswered, r.copiesExecuted)
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -23,19 +23,19 @@
 
 // replyLoss describes how the reply to a committed write is lost, and which faults its sender sees afterwards.
 type replyLoss struct {
-	name                  string
-	reply                 int           // what the sender gets: noReply or connClosed
-	repeatStatus          int           // status of retries of the write for a while; 0 passes on that of the service
-	senderRefused, outage time.Duration // how long the sender alone, or every controller, is refused
-	crashSender           bool          // the sender crashes and restarts soon afterwards
+	name         string
+	reply        int           // what the sender gets: noReply or connClosed
+	repeatStatus int           // status of retries of the write for a while; 0 passes on that of the service
+	cut, outage  time.Duration // how long the sender alone, or every controller, is refused
+	crash        bool          // the sender crashes and restarts soon afterwards
 }
 
 var replyLosses = []replyLoss{
 	{name: "closed at once", reply: connClosed},
 	{name: "silence", reply: noReply},
-	{name: "the sender crashes", reply: noReply, crashSender: true},
+	{name: "the sender crashes", reply: noReply, crash: true},
 	{name: "repeats get 503", reply: connClosed, repeatStatus: 503},
-	{name: "the sender alone is refused", reply: connClosed, senderRefused: 12 * time.Second},
+	{name: "the sender alone is refused", reply: connClosed, cut: 12 * time.Second},
 	{name: "repeats get 429", reply: noReply, repeatStatus: 429},
 	{name: "an outage for longer than cancel_s", reply: connClosed, outage: 50 * time.Second},
 }
@@ -53,7 +53,7 @@
 	seed            int
 	writes          map[string]*trackedWrite // by sender, path and body
 	unknownToSender []*trackedWrite          // writes whose sender does not know their result yet
-	refusedUntil    map[string]time.Time     // by controller
+	cut             map[string]time.Time     // by controller
 	lastOutageStart time.Time
 	observed        map[string]*observedJob
 	tallies         map[string]replyLossTally
@@ -84,7 +84,7 @@
 // newReplyLossProxy returns a proxy that loses the replies to a share of the writes.
 func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
 	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
-		refusedUntil: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
+		cut: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
 	a.serveInstead = a.serve
 	return a
 }
@@ -125,7 +125,7 @@
 func (a *replyLossProxy) isRefused(from string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.refusedUntil[from])
+	return time.Now().Before(a.cut[from])
 }
 
 // findWrite returns the write that a request retries, or nil if the request is new.
@@ -238,7 +238,7 @@
 	t.byLoss[s.loss.name]++
 	a.tallies[kind] = t
 	if os.Getenv("SIM_LOG") != "" {
-		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== committed without a reply:", kind, "of", from, "revision", s.revision, s.loss.name)
+		fmt.Fprintln(os.Stderr, time.Now().Format("15:04:05.000"), "===== taken, no answer:", kind, "of", from, "revision", s.revision, s.loss.name)
 	}
 	a.applyConsequences(s, body)
 	return s.loss.reply
@@ -247,13 +247,13 @@
 // applyConsequences injects the faults that accompany a loss, and has users poll the jobs that the
 // write changed.
 func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
-	if s.loss.senderRefused > 0 {
-		a.refusedUntil[s.sender] = time.Now().Add(s.loss.senderRefused)
+	if s.loss.cut > 0 {
+		a.cut[s.sender] = time.Now().Add(s.loss.cut)
 	}
 	if s.loss.outage > 0 {
 		during(s.loss.outage, a.sim.store.SetOutage)
 	}
-	if s.loss.crashSender {
+	if s.loss.crash {
 		back := restartDelay(a.rng)
 		go a.sim.crash(int(s.sender[2]-'0'), back, 0)
 	}
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -124,7 +124,7 @@
 	duration, leaderEndsAfter time.Duration // of the fault, and when the leader crashes after its start; negative for never
 	boots                     *bootObserver
 	longJob                   *client
-	tokenBefore               uint64
+	token                     uint64
 	blocked                   map[string]upMachine
 	machinesBefore            int // that were up when the fault began
 	replicasBefore            int // of the service, that ran when the fault began
@@ -143,7 +143,7 @@
 
 // startBlock starts the fault, and schedules the crash of the leader if there is one.
 func (o *outboundBlockScenario) startBlock(w *simulation) {
-	o.replicasBefore, o.tasksBefore, o.startedAt, o.tokenBefore = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
+	o.replicasBefore, o.tasksBefore, o.startedAt, o.token = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
 	for i, m := range w.runningMachines() {
 		if o.machinesBefore++; i%2 == 0 || i < 2 {
 			o.blocked[m.id] = m
@@ -154,7 +154,7 @@
 		w.group.Go(func() {
 			time.Sleep(o.leaderEndsAfter)
 			w.crash(w.anyLeader(), 400*time.Millisecond, 0)
-			for w.token() == o.tokenBefore {
+			for w.token() == o.token {
 				time.Sleep(50 * time.Millisecond)
 			}
 			o.leaderElected <- time.Now()
@@ -246,12 +246,12 @@
 
 // runNewMachineScenario simulates a day on which the leader crashes some time after a launch on a new machine.
 func runNewMachineScenario(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
-	d := &newMachineScenario{seed: seed, endsAfter: at, applyFault: apply, writeFate: fate, lateRental: late}
+	d := &newMachineScenario{seed: seed, endsAfter: at, apply: apply, fate: fate, lateRental: late}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
 		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
-		if d.unlistedMachines == 0 || w.token() == d.tokenBefore {
-			w.t.Errorf("%d machines were not listed yet, fencing token %d after %d; want some, and a higher token", d.unlistedMachines, w.token(), d.tokenBefore)
+		if d.unlistedMachines == 0 || w.token() == d.token {
+			w.t.Errorf("%d machines were not listed yet, fencing token %d after %d; want some, and a higher token", d.unlistedMachines, w.token(), d.token)
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
@@ -260,12 +260,12 @@
 type newMachineScenario struct {
 	seed             uint64
 	endsAfter        time.Duration
-	applyFault       func(*simulation, upMachine) // is called for every second machine
-	writeFate        simulator.Fate               // of the write of the launch
+	apply            func(*simulation, upMachine) // is called for every second machine
+	fate             simulator.Fate               // of the write of the launch
 	lateRental       bool                         // rentals are carried out late, and not answered
 	boots            *bootObserver
 	launchedShard    chan string // the shard of the launch
-	tokenBefore      uint64      // before the crash
+	token            uint64      // before the crash
 	unlistedMachines int         // number of machines that the cloud may not list yet
 }
 
@@ -285,7 +285,7 @@
 			}
 			launched = true
 			d.launchedShard <- shard
-			return d.writeFate
+			return d.fate
 		}
 	})
 	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 40*sec, red), 6*sec, 0, 40*sec)
@@ -305,7 +305,7 @@
 		return
 	}
 	time.Sleep(d.endsAfter)
-	d.tokenBefore = w.token()
+	d.token = w.token()
 	d.boots.mu.Lock()
 	for _, up := range d.boots.bootedAt {
 		if time.Since(up) < 2*w.cloud.ListLag {
@@ -315,7 +315,7 @@
 	d.boots.mu.Unlock()
 	for i, m := range w.runningMachines() {
 		if i%2 == 0 {
-			d.applyFault(w, m)
+			d.apply(w, m)
 		}
 	}
 	w.crash(max(w.leaderOf(shard), w.anyLeader()), 300*time.Millisecond, 0)
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -60,10 +60,10 @@
 	heapBytes []uint64         // heap in use, every minute
 }
 
-func (f *overload) job(id string) *overloadJob {
+func (f *overload) job(job string) *overloadJob {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.jobsByID[id]
+	return f.jobsByID[job]
 }
 
 // TaskStarted implements simulator.Fixture.
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -263,7 +263,7 @@
 // cancel has the users cancel their jobs at the time that the case sets.
 func (r *quotaFailoverRun) cancel() {
 	r.sleepUntilAfterFault(r.testCase.handoverAt + r.testCase.cancelAt)
-	log("users cancel")
+	log("cancelled")
 	for _, c := range r.toCancel {
 		r.group.Go(func() { c.untilAnswered(c.cancel) })
 	}
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -20,7 +20,7 @@
 	seed      uint64
 	cancelAll atomic.Bool // tells the users that have yet to cancel their jobs to do so now
 
-	unansweredRequests, confirmedCancellations, repeatedSubmissions atomic.Int64
+	unanswered, confirmedCancellations, repeatedSubmissions atomic.Int64
 }
 
 // populationUser is a user who sends requests about one job to all controllers, resubmits it with
@@ -35,7 +35,7 @@
 	var number uint64
 	_, _ = fmt.Sscanf(j.ID, "wk-%d", &number)
 	c := m.client(j, rand.New(rand.NewPCG(m.seed, number)), run)
-	c.unanswered = &m.unansweredRequests
+	c.unanswered = &m.unanswered
 	return &populationUser{c, m}
 }
 
@@ -142,7 +142,7 @@
 			for _, path := range []string{"/" + id, "/" + id + "/" + wire.CancelWord} {
 				method := map[bool]string{true: "GET", false: "POST"}[path == "/"+id]
 				if resp, err := w.request(k%w.count, 5*time.Second, method, wire.PathJobs+path, nil); err == nil && resp.Status != 404 && resp.Status != 503 {
-					w.t.Errorf("%s %s of a job that was never submitted: status %d, want 404 or 503", method, path, resp.Status)
+					w.t.Errorf("request about %s, which was never submitted: status %d, want 404 or 503", id, resp.Status)
 				}
 			}
 			time.Sleep(3 * time.Second)
@@ -158,7 +158,7 @@
 	m.cancelAll.Store(true)
 	m.simulation.finishQuietly(0, 15*time.Minute)
 	if m.confirmedCancellations.Load() < cancellations || m.repeatedSubmissions.Load() < resubmissions {
-		m.t.Errorf("%d cancellations were confirmed and %d submissions repeated, want %d and %d at least", m.confirmedCancellations.Load(), m.repeatedSubmissions.Load(), cancellations, resubmissions)
+		m.t.Errorf("too few requests: %d cancellations were confirmed, %d submissions were repeated", m.confirmedCancellations.Load(), m.repeatedSubmissions.Load())
 	}
 }
 
@@ -193,10 +193,10 @@
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		w.store.SetOutage(true)
 		time.Sleep(slow + 100*time.Millisecond)
-		confirmedBefore, unansweredBefore := m.confirmedCancellations.Load(), m.unansweredRequests.Load()
+		confirmedBefore, unansweredBefore := m.confirmedCancellations.Load(), m.unanswered.Load()
 		time.Sleep(w.checker.CancelWithin + time.Duration(5+rng.IntN(20))*time.Second)
-		if m.confirmedCancellations.Load() > confirmedBefore || m.unansweredRequests.Load() < unansweredBefore+20 {
-			t.Errorf("%d cancellations were confirmed in the outage, want 0; %d requests were not answered, want 20 at least", m.confirmedCancellations.Load()-confirmedBefore, m.unansweredRequests.Load()-unansweredBefore)
+		if m.confirmedCancellations.Load() > confirmedBefore || m.unanswered.Load() < unansweredBefore+20 {
+			t.Errorf("%d cancellations were confirmed in the outage, want 0; %d requests were not answered, want 20 at least", m.confirmedCancellations.Load()-confirmedBefore, m.unanswered.Load()-unansweredBefore)
 		}
 		if rng.IntN(2) == 0 { // the leader is served again only after the others
 			time.AfterFunc(20*time.Second, func() { w.refuseByStore(max(0, leader), false) })
@@ -307,7 +307,7 @@
 			return
 		}
 		if time.Sleep(100 * time.Millisecond); time.Since(start) > timeout {
-			w.t.Errorf("c-%d is not ready %v after the end of the partition", i, timeout)
+			w.t.Errorf("the controller is not ready %v after the end of the partition", timeout)
 			return
 		}
 	}
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -141,7 +141,7 @@
 					synctest.Test(t, func(t *testing.T) { reached = crashAtCompletion(t, by, injected, step) })
 				})
 				if !reached && step <= minWrites {
-					t.Errorf("only %d writes recorded an end, want %d at least", step-1, minWrites)
+					t.Errorf("only %d writes recorded an end", step-1)
 				}
 				reached = reached && (all || step < minWrites)
 			}
@@ -244,7 +244,7 @@
 				t.Run(fmt.Sprint(by, " launch ", step, " ", injected.name), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						if !faultAtWrite(t, by, injected, step, recordsLaunch) {
-							t.Errorf("fewer than %d writes recorded a launch", step)
+							t.Errorf("too few writes recorded a launch")
 						}
 					})
 				})
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -308,7 +308,7 @@
 					synctest.Test(t, func(t *testing.T) { reached = crashAtRecoveryStep(t, by, fate, step) })
 				})
 				if !reached && step <= recoverySteps && by == "off" {
-					t.Errorf("only %d steps, want %d at least", step-1, recoverySteps)
+					t.Errorf("the recovery had only %d steps", step-1)
 				}
 			}
 		}
