--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -137,7 +137,7 @@
 
 // awaitRead waits until another controller has read a write, for 2 s at most.
 func (a *replyLossProxy) awaitRead(s *trackedWrite) {
-	for begun := time.Now(); time.Since(begun) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
 		read := s.readByOther || isInvisibleToReaders(s.kind)
 		a.mu.Unlock()
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -257,7 +257,7 @@
 			break
 		}
 	}
-	for range 20 { // retries if no replay above was answered: with few heartbeats they take no time
+	for range 20 { // the replays above take no time with few heartbeats, and may all get no answer
 		if len(d.answeredKinds) >= len(d.requiredKinds) {
 			break
 		}
