--- a/internal/simtest/late_launch_test.go
+++ b/internal/simtest/late_launch_test.go
@@ -259,6 +259,7 @@
 	}
 }
 
+// lateLaunchScenarios are the scenarios of TestLateLaunchOfEndedTask.
 var lateLaunchScenarios = []lateLaunchScenario{
 	{name: "its team is at its limit", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		awaitTeamAtLimit(r)
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -441,6 +441,7 @@
 	readsRefusedUntil map[string]time.Time // by controller
 }
 
+// newUnknownLaunchProxy returns a proxy for the controllers of a simulation.
 func newUnknownLaunchProxy(w *simulation) *unknownLaunchProxy {
 	l := &unknownLaunchProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", 92, 0), sim: w,
 		caller:     &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial},
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -66,6 +66,7 @@
 	return b.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
+// starts returns the zones in which the tasks of a job have started, in order.
 func (b *zoneObserver) starts(job string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
