--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -47,28 +47,28 @@
 }
 
 // ParseWork reads the description of an action and its digest.
-func ParseWork(text string) (w Work, g cas.Digest, err error) {
+func ParseWork(text string) (w Work, digest cas.Digest, err error) {
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
-		return w, g, fmt.Errorf("the job's work is not understood: %w", err)
+		return w, digest, fmt.Errorf("the job's work is not understood: %w", err)
 	}
 	if w.Kind != Kind {
-		return w, g, fmt.Errorf("the job's work is of kind %q: must be %s", w.Kind, Kind)
+		return w, digest, fmt.Errorf("the job's work is of kind %q: must be %s", w.Kind, Kind)
 	}
-	if g, err = cas.DigestFromString(w.Action); err != nil {
-		return w, g, fmt.Errorf("the job's action: %w", err)
+	if digest, err = cas.DigestFromString(w.Action); err != nil {
+		return w, digest, fmt.Errorf("the job's action: %w", err)
 	}
-	g.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
-	return w, g, nil
+	digest.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
+	return w, digest, nil
 }
 
 // LogNames returns the names of the logs of a job's stdout and stderr.
 func LogNames(job string) (stdout, stderr string) { return job + "/stdout", job + "/stderr" }
 
-// idDigits is the number of digits in the id of an action's job. The first is always a 9.
-const idDigits = 18
+// jobIDDigits is the number of digits in the id of an action's job. The first is always a 9.
+const jobIDDigits = 18
 
-// idRange bounds the digits after the first.
-const idRange = 100_000_000_000_000_000
+// jobIDRange bounds the digits after the first.
+const jobIDRange = 100_000_000_000_000_000
 
 // JobID returns the id of the job that executes an action. It is the same at every controller
 // and for every team. The generation counts how often the action was executed again. Two
@@ -76,8 +76,8 @@
 func JobID(action cas.Digest, generation uint64) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%v\x00%s\x00%d", action.Function, action, generation)
-	n := binary.BigEndian.Uint64(h.Sum(nil)) % idRange
-	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, idDigits-1, n)
+	n := binary.BigEndian.Uint64(h.Sum(nil)) % jobIDRange
+	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, jobIDDigits-1, n)
 }
 
 // answersInstance is the instance of the store under which answers of executions are stored.
@@ -93,11 +93,11 @@
 	if resp.Result != nil {
 		r = proto.Clone(resp.Result).(*repb.ActionResult)
 	}
-	packed, err := anypb.New(resp)
+	encoded, err := anypb.New(resp)
 	if err != nil {
 		return fmt.Errorf("encoding the answer of %s: %w", job, err)
 	}
-	r.ExecutionMetadata = &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{packed}}
+	r.ExecutionMetadata = &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{encoded}}
 	if err := c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r); err != nil {
 		return fmt.Errorf("storing the answer of %s: %w", job, err)
 	}
--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -23,14 +23,14 @@
 
 const sha = repb.DigestFunction_SHA256
 
-// bench is a runner with a store.
-type bench struct {
+// testRunner is a runner with a store.
+type testRunner struct {
 	*Runner
 	t testing.TB
 	n int
 }
 
-func newBench(t testing.TB) *bench {
+func newTestRunner(t testing.TB) *testRunner {
 	disk, err := cas.Open(t.TempDir(), 4<<30, time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -47,23 +47,23 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &bench{Runner: &Runner{Store: c, Dir: t.TempDir(), Worker: "n-1", Limits: DefaultLimits}, t: t}
+	return &testRunner{Runner: &Runner{Store: c, Dir: t.TempDir(), Worker: "n-1", Limits: DefaultLimits}, t: t}
 }
 
 // run runs a script as a job of its own, and gives its answer.
-func (b *bench) run(ctx context.Context, script string, outputs ...string) (*repb.ExecuteResponse, error) {
+func (b *testRunner) run(ctx context.Context, script string, outputs ...string) (*repb.ExecuteResponse, error) {
 	b.n++
 	job := fmt.Sprintf("wk-%d", b.n)
-	cg, err := b.Store.PutMessage(ctx, sha, &repb.Command{Arguments: []string{"/bin/sh", "-c", script}, OutputPaths: outputs,
+	commandDigest, err := b.Store.PutMessage(ctx, sha, &repb.Command{Arguments: []string{"/bin/sh", "-c", script}, OutputPaths: outputs,
 		EnvironmentVariables: []*repb.Command_EnvironmentVariable{{Name: "PATH", Value: "/usr/bin:/bin"}}})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	g, err := b.Store.PutMessage(ctx, sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: cas.Sum(sha, nil).Proto()})
+	digest, err := b.Store.PutMessage(ctx, sha, &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: cas.Sum(sha, nil).Proto()})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	if err := b.Run(ctx, job, NewWork("", g), g); err != nil {
+	if err := b.Run(ctx, job, NewWork("", digest), digest); err != nil {
 		return nil, err
 	}
 	if left, _ := os.ReadDir(b.Dir); len(left) > 0 {
@@ -72,10 +72,10 @@
 	return Answer(ctx, b.Store, job)
 }
 
-// TestRunnerBounds: what an action leaves and writes is bounded, and where it
+// TestRunnerLimits: what an action leaves and writes is bounded, and where it
 // leaves it.
-func TestRunnerBounds(t *testing.T) {
-	b := newBench(t)
+func TestRunnerLimits(t *testing.T) {
+	b := newTestRunner(t)
 	b.Limits = Limits{Inputs: 10, InputBytes: 1000, Outputs: 5, OutputBytes: 100_000}
 	elsewhere := t.TempDir()
 	for name, c := range map[string]struct {
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestFaultMessages: the answer to a fault of the action is the message of the fault alone, without
+// TestActionErrorMessages: the answer to a fault of the action is the message of the fault alone, without
 // what the machine attempted meanwhile.
-func TestFaultMessages(t *testing.T) {
-	b := newBench(t)
+func TestActionErrorMessages(t *testing.T) {
+	b := newTestRunner(t)
 	b.Limits = Limits{Inputs: 10, InputBytes: 1000, Outputs: 5, OutputBytes: 100_000}
 	for script, want := range map[string]string{
 		"mkdir out; for i in 1 2 3 4 5 6; do echo $i > out/$i; done": "the outputs are more than 5 files or 100000 bytes",
@@ -135,34 +135,34 @@
 }
 
 // putAction stores an action with a command and an input root.
-func (b *bench) putAction(command *repb.Command, root cas.Digest) cas.Digest {
+func (b *testRunner) putAction(command *repb.Command, root cas.Digest) cas.Digest {
 	b.t.Helper()
-	cg, err := b.Store.PutMessage(b.t.Context(), sha, command)
+	commandDigest, err := b.Store.PutMessage(b.t.Context(), sha, command)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	g, err := b.Store.PutMessage(b.t.Context(), sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: root.Proto()})
+	digest, err := b.Store.PutMessage(b.t.Context(), sha, &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: root.Proto()})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	return g
+	return digest
 }
 
-// TestErrorsSayWhatWasAttempted: a failure of the store is an error that names the step, and keeps
+// TestErrorsNameFailedStep: a failure of the store is an error that names the step, and keeps
 // its cause.
-func TestErrorsSayWhatWasAttempted(t *testing.T) {
-	b := newBench(t)
+func TestErrorsNameFailedStep(t *testing.T) {
+	b := newTestRunner(t)
 	file := filepath.Join(t.TempDir(), "in")
 	if err := os.WriteFile(file, []byte("content"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	over, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := Upload(over, b.Store, sha, filepath.Dir(file), []string{"in"})
+	_, err := Upload(cancelled, b.Store, sha, filepath.Dir(file), []string{"in"})
 	if err == nil || !strings.HasPrefix(err.Error(), "finding which of 2 blobs are missing: ") || status.Code(err) != codes.Canceled {
 		t.Errorf("upload: %v", err)
 	}
-	err = PutAnswer(over, b.Store, "wk-1", &repb.ExecuteResponse{})
+	err = PutAnswer(cancelled, b.Store, "wk-1", &repb.ExecuteResponse{})
 	if err == nil || !strings.HasPrefix(err.Error(), "storing the answer of wk-1: writing the result of ") || status.Code(err) != codes.Canceled {
 		t.Errorf("answer: %v", err)
 	}
@@ -173,15 +173,15 @@
 
 // TestExitCodes: what a command ends with is its answer, as a shell would have it.
 func TestExitCodes(t *testing.T) {
-	b := newBench(t)
+	b := newTestRunner(t)
 	for script, want := range map[string]int32{"exit 3": 3, "kill -9 $$": 137, "exec /no/such/program": 127} {
 		if resp, err := b.run(t.Context(), script); err != nil || resp.Result.ExitCode != want {
 			t.Errorf("%s: %v, %v", script, resp, err)
 		}
 	}
-	cg, _ := b.Store.PutMessage(t.Context(), sha, &repb.Command{Arguments: []string{"no-such-program"}})
-	g, _ := b.Store.PutMessage(t.Context(), sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: cas.Sum(sha, nil).Proto()})
-	if err := b.Run(t.Context(), "wk-99", NewWork("", g), g); err != nil {
+	commandDigest, _ := b.Store.PutMessage(t.Context(), sha, &repb.Command{Arguments: []string{"no-such-program"}})
+	digest, _ := b.Store.PutMessage(t.Context(), sha, &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: cas.Sum(sha, nil).Proto()})
+	if err := b.Run(t.Context(), "wk-99", NewWork("", digest), digest); err != nil {
 		t.Fatal(err)
 	}
 	if resp, err := Answer(t.Context(), b.Store, "wk-99"); err != nil || resp.Result.ExitCode != exitNotFound {
@@ -189,17 +189,17 @@
 	}
 }
 
-// TestKillLeavesNothing: when a task is stopped, all that its command has started
+// TestKilledActionLeavesNoProcesses: when a task is stopped, all that its command has started
 // goes, and no answer is kept; started again it runs anew, and once its answer is
 // kept it does not.
-func TestKillLeavesNothing(t *testing.T) {
-	b := newBench(t)
-	mark := filepath.Join(t.TempDir(), "mark")
-	script := fmt.Sprintf("echo start >> %s; (sleep 1; echo escaped >> %s) & sleep 5", mark, mark)
+func TestKilledActionLeavesNoProcesses(t *testing.T) {
+	b := newTestRunner(t)
+	output := filepath.Join(t.TempDir(), "mark")
+	script := fmt.Sprintf("echo start >> %s; (sleep 1; echo escaped >> %s) & sleep 5", output, output)
 	ctx, kill := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
-			if text, _ := os.ReadFile(mark); len(text) > 0 {
+			if text, _ := os.ReadFile(output); len(text) > 0 {
 				kill()
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -212,7 +212,7 @@
 		t.Errorf("a killed task has an answer: %v", err)
 	}
 	b.n = 10
-	again := fmt.Sprintf("echo again >> %s", mark)
+	again := fmt.Sprintf("echo again >> %s", output)
 	for range 3 {
 		b.n = 10 // the same job, with another attempt
 		if _, err := b.run(t.Context(), again); err != nil {
@@ -220,15 +220,15 @@
 		}
 	}
 	time.Sleep(1200 * time.Millisecond) // in which what had escaped would write
-	if text, _ := os.ReadFile(mark); string(text) != "start\nagain\n" {
+	if text, _ := os.ReadFile(output); string(text) != "start\nagain\n" {
 		t.Errorf("%q", text)
 	}
 }
 
-// TestTreeGoesThereAndBack uploads a directory, has it copied, and brings the copy
+// TestTreeRoundTrip uploads a directory, has it copied, and brings the copy
 // back: files, modes, links, empty directories.
-func TestTreeGoesThereAndBack(t *testing.T) {
-	b := newBench(t)
+func TestTreeRoundTrip(t *testing.T) {
+	b := newTestRunner(t)
 	src, dst := t.TempDir(), t.TempDir()
 	_ = os.MkdirAll(filepath.Join(src, "in/deep/empty"), 0o755)
 	_ = os.WriteFile(filepath.Join(src, "in/tool"), []byte("#!/bin/sh\necho hi\n"), 0o755)
@@ -238,20 +238,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cg, _ := b.Store.PutMessage(t.Context(), sha, &repb.Command{Arguments: []string{"/bin/cp", "-a", "in", "out"}, OutputPaths: []string{"out"}})
-	g, _ := b.Store.PutMessage(t.Context(), sha, &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: root.Proto()})
-	if err := b.Run(t.Context(), "wk-1", NewWork("", g), g); err != nil {
+	commandDigest, _ := b.Store.PutMessage(t.Context(), sha, &repb.Command{Arguments: []string{"/bin/cp", "-a", "in", "out"}, OutputPaths: []string{"out"}})
+	digest, _ := b.Store.PutMessage(t.Context(), sha, &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: root.Proto()})
+	if err := b.Run(t.Context(), "wk-1", NewWork("", digest), digest); err != nil {
 		t.Fatal(err)
 	}
-	res, err := b.Store.Result(t.Context(), g)
+	res, err := b.Store.Result(t.Context(), digest)
 	if err != nil || res.ExitCode != 0 {
 		t.Fatalf("%v, %v", res, err)
 	}
 	if err := Download(t.Context(), b.Store, sha, dst, res); err != nil {
 		t.Fatal(err)
 	}
-	var there, back []string
-	for dir, list := range map[string]*[]string{filepath.Join(src, "in"): &there, filepath.Join(dst, "out"): &back} {
+	var uploaded, downloaded []string
+	for dir, list := range map[string]*[]string{filepath.Join(src, "in"): &uploaded, filepath.Join(dst, "out"): &downloaded} {
 		_ = filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
 			info, _ := os.Lstat(path)
 			target, _ := os.Readlink(path)
@@ -259,8 +259,8 @@
 			return err
 		})
 	}
-	if !slices.Equal(there, back) {
-		t.Errorf("there %v\nback %v", there, back)
+	if !slices.Equal(uploaded, downloaded) {
+		t.Errorf("there %v\nback %v", uploaded, downloaded)
 	}
 	if _, err := Upload(t.Context(), b.Store, sha, src, []string{"../x"}); err == nil {
 		t.Error("an input outside of the directory was uploaded")
@@ -278,10 +278,10 @@
 		if err != nil {
 			t.Skip() // not text
 		}
-		lg := cas.Sum(sha, raw)
-		root := &repb.Directory{Directories: []*repb.DirectoryNode{{Name: sub, Digest: lg.Proto()}}}
-		rg := cas.Sum(sha, []byte("root"))
-		in, err := planInputs(rg, map[cas.Digest]*repb.Directory{rg: root, lg: leaf}, DefaultLimits)
+		leafDigest := cas.Sum(sha, raw)
+		root := &repb.Directory{Directories: []*repb.DirectoryNode{{Name: sub, Digest: leafDigest.Proto()}}}
+		rootDigest := cas.Sum(sha, []byte("root"))
+		in, err := planInputs(rootDigest, map[cas.Digest]*repb.Directory{rootDigest: root, leafDigest: leaf}, DefaultLimits)
 		if err != nil {
 			return
 		}
@@ -304,7 +304,7 @@
 
 // BenchmarkInputs uploads and lays out a tree of 100,000 small files.
 func BenchmarkInputs(b *testing.B) {
-	bench := newBench(b)
+	bench := newTestRunner(b)
 	src := b.TempDir()
 	const files = 100_000
 	for i := range files {
--- a/internal/action/command.go
+++ b/internal/action/command.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// Exit codes as shells report them. A signal's number is added to exitSignal.
+	// Exit codes as shells report them. A signal's number is added to exitSignalBase.
 	exitNotFound       = 127
 	exitNotStarted     = 126
-	exitSignal         = 128
-	killWait           = 5 * time.Second
+	exitSignalBase     = 128
+	outputCloseTimeout = 5 * time.Second
 	outputPollInterval = 200 * time.Millisecond
 )
 
 // execute runs the command in a process group of its own, with no other environment than
 // the one that it declares. It reports whether the command exceeded its time limit.
-func (a *execution) execute(ctx context.Context, cwd string) (code int, late bool, err error) {
+func (a *execution) execute(ctx context.Context, cwd string) (code int, timedOut bool, err error) {
 	if len(a.command.Arguments) == 0 {
 		return 0, false, invalidAction("the command has no arguments")
 	}
@@ -63,7 +63,7 @@
 	case errors.Is(cause, errOutputLimit):
 		return 0, false, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the command writes more than %d bytes to stdout or stderr", a.Limits.OutputBytes)}
 	case errors.Is(cause, errTimeLimit):
-		return exitSignal + int(syscall.SIGKILL), true, nil
+		return exitSignalBase + int(syscall.SIGKILL), true, nil
 	case cause != nil:
 		return 0, false, cause
 	}
@@ -86,22 +86,22 @@
 	cmd.Err = nil
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
-	cmd.WaitDelay = killWait
+	cmd.WaitDelay = outputCloseTimeout
 	return cmd
 }
 
 // await waits until the command has ended, while its output is bounded and streamed. It
 // returns why the context ended before, if it did.
-func (a *execution) await(ctx context.Context, end context.CancelCauseFunc, cmd *exec.Cmd, stdout, stderr *os.File) error {
+func (a *execution) await(ctx context.Context, cancel context.CancelCauseFunc, cmd *exec.Cmd, stdout, stderr *os.File) error {
 	var helpers errgroup.Group
-	helpers.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, end, stdout, stderr); return nil })
+	helpers.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, cancel, stdout, stderr); return nil })
 	outName, errName := LogNames(a.job)
 	helpers.Go(func() error { a.streamLog(ctx, stdout.Name(), outName); return nil })
 	helpers.Go(func() error { a.streamLog(ctx, stderr.Name(), errName); return nil })
 	_ = cmd.Wait()                                      // its state and the cause tell more
 	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // processes that it left running
 	cause := context.Cause(ctx)
-	end(nil)
+	cancel(nil)
 	_ = helpers.Wait()
 	return cause
 }
@@ -109,7 +109,7 @@
 // exitCode returns the exit code of a process as shells report it.
 func exitCode(state *os.ProcessState) int {
 	if ws, ok := state.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
-		return exitSignal + int(ws.Signal())
+		return exitSignalBase + int(ws.Signal())
 	}
 	return state.ExitCode()
 }
@@ -120,7 +120,7 @@
 )
 
 // limitOutput ends the command when a file exceeds the limit, until the context ends.
-func limitOutput(ctx context.Context, limit int64, over context.CancelCauseFunc, files ...*os.File) {
+func limitOutput(ctx context.Context, limit int64, cancel context.CancelCauseFunc, files ...*os.File) {
 	t := time.NewTicker(outputPollInterval)
 	defer t.Stop()
 	for {
@@ -131,7 +131,7 @@
 		}
 		for _, f := range files {
 			if info, err := f.Stat(); err == nil && info.Size() > limit {
-				over(errOutputLimit)
+				cancel(errOutputLimit)
 				return
 			}
 		}
--- a/internal/action/golden_test.go
+++ b/internal/action/golden_test.go
@@ -12,7 +12,7 @@
 // job is called as it was.
 func TestGoldenWork(t *testing.T) {
 	goldentest.Check[Work](t, "work.json", json.Marshal, json.Unmarshal)
-	g := cas.Sum(cas.Functions[0], []byte("an action"))
-	out, err := LogNames(JobID(g, 0))
-	goldentest.Text(t, "names.txt", NewWork("main", g).Text()+"\n"+JobID(g, 0)+"\n"+JobID(g, 1)+"\n"+out+"\n"+err+"\n"+answersInstance+"\n"+answerKey("j-1").String()+"\n")
+	digest := cas.Sum(cas.Functions[0], []byte("an action"))
+	out, err := LogNames(JobID(digest, 0))
+	goldentest.Text(t, "names.txt", NewWork("main", digest).Text()+"\n"+JobID(digest, 0)+"\n"+JobID(digest, 1)+"\n"+out+"\n"+err+"\n"+answersInstance+"\n"+answerKey("j-1").String()+"\n")
 }
--- a/internal/action/inputs.go
+++ b/internal/action/inputs.go
@@ -44,8 +44,8 @@
 }
 
 // missingBlobs is the error for an action of which blobs are not in the store.
-func missingBlobs(g ...cas.Digest) error {
-	return &actionError{code: codes.FailedPrecondition, missing: g, message: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(g), g[0])}
+func missingBlobs(digest ...cas.Digest) error {
+	return &actionError{code: codes.FailedPrecondition, missing: digest, message: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(digest), digest[0])}
 }
 
 // inputs lists what must be written for an input tree.
@@ -63,21 +63,21 @@
 }
 
 // entryPath returns the path of an entry of a directory. The name must not lead out of it.
-func entryPath(dir, n string) (string, error) {
-	if n == "" || n == "." || n == ".." || strings.ContainsAny(n, "/\x00") {
-		return "", invalidAction("input %q in %q: a name must be one word without /, and not . or ..", n, dir)
+func entryPath(dir, name string) (string, error) {
+	if name == "" || name == "." || name == ".." || strings.ContainsAny(name, "/\x00") {
+		return "", invalidAction("input %q in %q: a name must be one word without /, and not . or ..", name, dir)
 	}
-	return path.Join(dir, n), nil
+	return path.Join(dir, name), nil
 }
 
 // relativePath cleans a path that an action gives, such as an output. It must stay within the
 // input root.
-func relativePath(what, p string) (string, error) {
+func relativePath(kind, p string) (string, error) {
 	if path.IsAbs(p) || strings.ContainsRune(p, 0) {
-		return "", invalidAction("%s %q: must be relative", what, p)
+		return "", invalidAction("%s %q: must be relative", kind, p)
 	}
-	if c := path.Clean(p); c == ".." || strings.HasPrefix(c, "../") {
-		return "", invalidAction("%s %q: leads out of the input root", what, p)
+	if cleaned := path.Clean(p); cleaned == ".." || strings.HasPrefix(cleaned, "../") {
+		return "", invalidAction("%s %q: leads out of the input root", kind, p)
 	}
 	return path.Clean(p), nil
 }
@@ -103,23 +103,23 @@
 // fetch writes the files, the small ones read in batches.
 func (in *inputs) fetch(ctx context.Context, c *cas.Client, dir string) error {
 	var small, large []cas.Digest
-	for g := range in.files {
-		if g.Size <= cas.MaxBatchedBlob {
-			small = append(small, g)
+	for digest := range in.files {
+		if digest.Size <= cas.MaxBatchedBlob {
+			small = append(small, digest)
 		} else {
-			large = append(large, g)
+			large = append(large, digest)
 		}
 	}
 	slices.SortFunc(small, func(a, b cas.Digest) int { return strings.Compare(a.Hash, b.Hash) })
-	lost, err := c.Missing(ctx, append(slices.Clone(small), large...))
+	missing, err := c.Missing(ctx, append(slices.Clone(small), large...))
 	if err != nil {
 		return fmt.Errorf("finding which of %d blobs are missing: %w", len(in.files), err)
 	}
-	if len(lost) > 0 {
-		return missingBlobs(lost...)
+	if len(missing) > 0 {
+		return missingBlobs(missing...)
 	}
-	write := func(g cas.Digest, data []byte) error {
-		for _, n := range in.files[g] {
+	write := func(digest cas.Digest, data []byte) error {
+		for _, n := range in.files[digest] {
 			if err := os.WriteFile(filepath.Join(dir, n.path), data, n.mode()); err != nil {
 				return err
 			}
@@ -127,18 +127,18 @@
 		return nil
 	}
 	if err := c.ReadMany(ctx, small, write); err != nil {
-		return notFoundAsFailed(err)
+		return notFoundAsFailedPrecondition(err)
 	}
-	for _, g := range large {
-		if err := in.fetchLarge(ctx, c, dir, g); err != nil {
-			return notFoundAsFailed(err)
+	for _, digest := range large {
+		if err := in.fetchLarge(ctx, c, dir, digest); err != nil {
+			return notFoundAsFailedPrecondition(err)
 		}
 	}
 	return nil
 }
 
-// notFoundAsFailed converts the error for a blob that was evicted meanwhile to an actionError.
-func notFoundAsFailed(err error) error {
+// notFoundAsFailedPrecondition converts the error for a blob that was evicted meanwhile to an actionError.
+func notFoundAsFailedPrecondition(err error) error {
 	if status.Code(err) == codes.NotFound {
 		return &actionError{code: codes.FailedPrecondition, message: err.Error()}
 	}
@@ -146,13 +146,13 @@
 }
 
 // fetchLarge writes all files with the content of one large blob.
-func (in *inputs) fetchLarge(ctx context.Context, c *cas.Client, dir string, g cas.Digest) error {
-	for _, n := range in.files[g] {
+func (in *inputs) fetchLarge(ctx context.Context, c *cas.Client, dir string, digest cas.Digest) error {
+	for _, n := range in.files[digest] {
 		f, err := os.OpenFile(filepath.Join(dir, n.path), os.O_WRONLY|os.O_CREATE|os.O_EXCL, n.mode())
 		if err != nil {
 			return err
 		}
-		if err := errors.Join(c.Read(ctx, g, f), f.Close()); err != nil {
+		if err := errors.Join(c.Read(ctx, digest, f), f.Close()); err != nil {
 			return err
 		}
 	}
--- a/internal/action/inputs_test.go
+++ b/internal/action/inputs_test.go
@@ -15,7 +15,7 @@
 // the store's answer was wrapped beside the closing of the file, where it was not looked for, so that
 // the action failed as a fault of the machine and was tried again elsewhere.
 func TestEvictedInputs(t *testing.T) {
-	b := newBench(t)
+	b := newTestRunner(t)
 	large := cas.Sum(sha, bytes.Repeat([]byte("large"), cas.MaxBatchedBlob))
 	small := cas.Sum(sha, []byte("small"))
 	in := &inputs{files: map[cas.Digest][]node{large: {{path: "large"}}, small: {{path: "small"}}}}
@@ -24,7 +24,7 @@
 		"small": b.Store.ReadMany(t.Context(), []cas.Digest{small}, func(cas.Digest, []byte) error { return nil }),
 	} {
 		var fault *actionError
-		if !errors.As(notFoundAsFailed(err), &fault) || fault.code != codes.FailedPrecondition {
+		if !errors.As(notFoundAsFailedPrecondition(err), &fault) || fault.code != codes.FailedPrecondition {
 			t.Errorf("%s: %v is no failed precondition of the action", name, err)
 		}
 	}
--- a/internal/action/outputs.go
+++ b/internal/action/outputs.go
@@ -26,52 +26,52 @@
 }
 
 // file adds a file and returns its digest.
-func (o *outputs) file(at string, info os.FileInfo) (cas.Digest, error) {
+func (o *outputs) file(filePath string, info os.FileInfo) (cas.Digest, error) {
 	o.count++
 	if o.bytes += info.Size(); o.count > o.limits.Outputs || o.bytes > o.limits.OutputBytes {
 		return cas.Digest{}, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the outputs are more than %d files or %d bytes", o.limits.Outputs, o.limits.OutputBytes)}
 	}
-	g, err := cas.SumFile(o.function, at)
+	digest, err := cas.SumFile(o.function, filePath)
 	if err == nil {
-		o.files[g] = at
+		o.files[digest] = filePath
 	}
-	return g, err
+	return digest, err
 }
 
 // collect adds an output of the command. One that does not exist is left out, as the API
 // demands.
-func (o *outputs) collect(at, p string) error {
-	info, err := os.Lstat(at)
+func (o *outputs) collect(filePath, p string) error {
+	info, err := os.Lstat(filePath)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return nil
 	case err != nil:
 		return err
 	case info.Mode()&os.ModeSymlink != 0:
-		target, err := os.Readlink(at)
+		target, err := os.Readlink(filePath)
 		o.result.OutputSymlinks = append(o.result.OutputSymlinks, &repb.OutputSymlink{Path: p, Target: target})
 		return err
 	case info.IsDir():
 		tree := &repb.Tree{}
-		if tree.Root, err = o.directory(at, tree); err != nil {
+		if tree.Root, err = o.directory(filePath, tree); err != nil {
 			return err
 		}
 		raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(tree)
-		g := cas.Sum(o.function, raw)
-		o.blobs[g] = raw
-		o.result.OutputDirectories = append(o.result.OutputDirectories, &repb.OutputDirectory{Path: p, TreeDigest: g.Proto(), IsTopologicallySorted: false})
+		digest := cas.Sum(o.function, raw)
+		o.blobs[digest] = raw
+		o.result.OutputDirectories = append(o.result.OutputDirectories, &repb.OutputDirectory{Path: p, TreeDigest: digest.Proto(), IsTopologicallySorted: false})
 		return err
 	case !info.Mode().IsRegular():
 		return invalidAction("output %q: is neither a file, a directory nor a symlink", p)
 	}
-	g, err := o.file(at, info)
-	o.result.OutputFiles = append(o.result.OutputFiles, &repb.OutputFile{Path: p, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
+	digest, err := o.file(filePath, info)
+	o.result.OutputFiles = append(o.result.OutputFiles, &repb.OutputFile{Path: p, Digest: digest.Proto(), IsExecutable: info.Mode()&0o111 != 0})
 	return err
 }
 
 // directory adds a directory with all below it, and returns its message.
-func (o *outputs) directory(at string, tree *repb.Tree) (*repb.Directory, error) {
-	entries, err := os.ReadDir(at) // in order of names, as the API demands
+func (o *outputs) directory(filePath string, tree *repb.Tree) (*repb.Directory, error) {
+	entries, err := os.ReadDir(filePath) // in order of names, as the API demands
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := o.directoryEntry(d, filepath.Join(at, e.Name()), info, tree); err != nil {
+		if err := o.directoryEntry(d, filepath.Join(filePath, e.Name()), info, tree); err != nil {
 			return nil, err
 		}
 	}
@@ -90,34 +90,34 @@
 
 // directoryEntry adds a symlink, directory or file to the message of the directory that holds
 // it. What is none of these is left out.
-func (o *outputs) directoryEntry(parent *repb.Directory, at string, info os.FileInfo, tree *repb.Tree) error {
-	name := filepath.Base(at)
+func (o *outputs) directoryEntry(parent *repb.Directory, filePath string, info os.FileInfo, tree *repb.Tree) error {
+	name := filepath.Base(filePath)
 	switch {
 	case info.Mode()&os.ModeSymlink != 0:
-		target, err := os.Readlink(at)
+		target, err := os.Readlink(filePath)
 		if err != nil {
 			return err
 		}
 		parent.Symlinks = append(parent.Symlinks, &repb.SymlinkNode{Name: name, Target: target})
 	case info.IsDir():
-		g, err := o.subdirectory(at, tree)
+		digest, err := o.subdirectory(filePath, tree)
 		if err != nil {
 			return err
 		}
-		parent.Directories = append(parent.Directories, &repb.DirectoryNode{Name: name, Digest: g.Proto()})
+		parent.Directories = append(parent.Directories, &repb.DirectoryNode{Name: name, Digest: digest.Proto()})
 	case info.Mode().IsRegular():
-		g, err := o.file(at, info)
+		digest, err := o.file(filePath, info)
 		if err != nil {
 			return err
 		}
-		parent.Files = append(parent.Files, &repb.FileNode{Name: name, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0})
+		parent.Files = append(parent.Files, &repb.FileNode{Name: name, Digest: digest.Proto(), IsExecutable: info.Mode()&0o111 != 0})
 	}
 	return nil
 }
 
 // subdirectory adds a directory to the children of a tree, and returns its digest.
-func (o *outputs) subdirectory(at string, tree *repb.Tree) (cas.Digest, error) {
-	child, err := o.directory(at, tree)
+func (o *outputs) subdirectory(filePath string, tree *repb.Tree) (cas.Digest, error) {
+	child, err := o.directory(filePath, tree)
 	if err != nil {
 		return cas.Digest{}, err
 	}
@@ -132,21 +132,21 @@
 // upload stores all that the store does not have yet.
 func (o *outputs) upload(ctx context.Context, c *cas.Client) error {
 	var all []cas.Digest
-	for g := range o.files {
-		all = append(all, g)
+	for digest := range o.files {
+		all = append(all, digest)
 	}
-	for g := range o.blobs {
-		all = append(all, g)
+	for digest := range o.blobs {
+		all = append(all, digest)
 	}
-	lost, err := c.Missing(ctx, all)
+	missing, err := c.Missing(ctx, all)
 	if err != nil {
 		return fmt.Errorf("finding which of %d blobs are missing: %w", len(all), err)
 	}
-	for _, g := range lost {
-		if raw, ok := o.blobs[g]; ok {
-			_, err = c.Put(ctx, g.Function, raw)
+	for _, digest := range missing {
+		if raw, ok := o.blobs[digest]; ok {
+			_, err = c.Put(ctx, digest.Function, raw)
 		} else {
-			err = c.PutFile(ctx, g, o.files[g])
+			err = c.PutFile(ctx, digest, o.files[digest])
 		}
 		if err != nil {
 			return err
--- a/internal/action/plan.go
+++ b/internal/action/plan.go
@@ -10,32 +10,32 @@
 
 // planInputs checks an input tree and lists what must be written: names that stay inside the
 // root, no more entries and bytes than the limits allow, and every directory there.
-func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, lim Limits) (*inputs, error) {
-	p := &inputPlanner{
+func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, limits Limits) (*inputs, error) {
+	planner := &inputPlanner{
 		function: root.Function,
-		limits:   lim,
+		limits:   limits,
 		in:       &inputs{files: make(map[cas.Digest][]node)},
 		queue:    []plannedDir{{root, ""}},
 	}
-	var lost []cas.Digest
-	for ; len(p.queue) > 0; p.queue = p.queue[1:] {
-		next := p.queue[0]
+	var missing []cas.Digest
+	for ; len(planner.queue) > 0; planner.queue = planner.queue[1:] {
+		next := planner.queue[0]
 		d := dirs[next.digest]
 		if d == nil && next.digest.Empty() {
 			d = &repb.Directory{}
 		}
 		if d == nil {
-			lost = append(lost, next.digest)
+			missing = append(missing, next.digest)
 			continue
 		}
-		if err := p.directory(next.path, d); err != nil {
+		if err := planner.directory(next.path, d); err != nil {
 			return nil, err
 		}
 	}
-	if lost != nil {
-		return nil, missingBlobs(lost...)
+	if missing != nil {
+		return nil, missingBlobs(missing...)
 	}
-	return p.in, nil
+	return planner.in, nil
 }
 
 // plannedDir is a directory that planInputs has yet to look at.
@@ -90,30 +90,30 @@
 }
 
 func (p *inputPlanner) file(dir string, f *repb.FileNode, seen map[string]bool) error {
-	at, err := entry(dir, f.Name, seen)
+	filePath, err := entry(dir, f.Name, seen)
 	if err != nil {
 		return err
 	}
-	g, err := cas.ParseDigest(p.function, f.Digest)
+	digest, err := cas.ParseDigest(p.function, f.Digest)
 	if err != nil {
-		return invalidAction("input %q: %v", at, err)
+		return invalidAction("input %q: %v", filePath, err)
 	}
-	if p.bytes += g.Size; p.bytes > p.limits.InputBytes {
+	if p.bytes += digest.Size; p.bytes > p.limits.InputBytes {
 		return invalidAction("the input tree has more than %d bytes", p.limits.InputBytes)
 	}
-	p.in.files[g] = append(p.in.files[g], node{path: at, executable: f.IsExecutable})
+	p.in.files[digest] = append(p.in.files[digest], node{path: filePath, executable: f.IsExecutable})
 	return nil
 }
 
 func (p *inputPlanner) symlink(dir string, l *repb.SymlinkNode, seen map[string]bool) error {
-	at, err := entry(dir, l.Name, seen)
+	linkPath, err := entry(dir, l.Name, seen)
 	if err != nil {
 		return err
 	}
-	if _, err := relativePath("symlink "+at+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
-		return invalidAction("symlink %q to %q: leads out of the input root", at, l.Target)
+	if _, err := relativePath("symlink "+linkPath+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
+		return invalidAction("symlink %q to %q: leads out of the input root", linkPath, l.Target)
 	}
-	p.in.links = append(p.in.links, node{path: at, target: l.Target})
+	p.in.links = append(p.in.links, node{path: linkPath, target: l.Target})
 	return nil
 }
 
@@ -121,17 +121,17 @@
 const maxInputPath = 4000
 
 func (p *inputPlanner) subdirectory(dir string, sub *repb.DirectoryNode, seen map[string]bool) error {
-	at, err := entry(dir, sub.Name, seen)
+	subPath, err := entry(dir, sub.Name, seen)
 	if err != nil {
 		return err
 	}
-	g, err := cas.ParseDigest(p.function, sub.Digest)
+	digest, err := cas.ParseDigest(p.function, sub.Digest)
 	if err != nil {
-		return invalidAction("input %q: %v", at, err)
+		return invalidAction("input %q: %v", subPath, err)
 	}
-	if len(at) > maxInputPath {
-		return invalidAction("input %.60q...: the path is too long", at)
+	if len(subPath) > maxInputPath {
+		return invalidAction("input %.60q...: the path is too long", subPath)
 	}
-	p.queue = append(p.queue, plannedDir{g, at})
+	p.queue = append(p.queue, plannedDir{digest, subPath})
 	return nil
 }
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -34,8 +34,8 @@
 func MissingStatus(digests ...cas.Digest) *status.Status {
 	st := status.New(codes.FailedPrecondition, "blobs are missing")
 	f := &errdetails.PreconditionFailure{}
-	for _, g := range digests[:min(len(digests), maxViolations)] {
-		f.Violations = append(f.Violations, &errdetails.PreconditionFailure_Violation{Type: "MISSING", Subject: "blobs/" + g.String()})
+	for _, digest := range digests[:min(len(digests), maxViolations)] {
+		f.Violations = append(f.Violations, &errdetails.PreconditionFailure_Violation{Type: "MISSING", Subject: "blobs/" + digest.String()})
 	}
 	if with, err := st.WithDetails(f); err == nil {
 		return with
@@ -47,7 +47,7 @@
 // answer, too. An error is a failure of the machine or the store, after which the action
 // should be retried. When the context ends, the command and all processes that it has started
 // are killed.
-func (r *Runner) Run(ctx context.Context, job string, w Work, g cas.Digest) error {
+func (r *Runner) Run(ctx context.Context, job string, w Work, digest cas.Digest) error {
 	if _, err := Answer(ctx, r.Store, job); err == nil {
 		return nil // launched again after its answer was stored
 	}
@@ -58,18 +58,18 @@
 	defer removeAll(dir)
 	c := r.Store.ForInstance(w.Instance)
 	meta := &repb.ExecutedActionMetadata{Worker: r.Worker, WorkerStartTimestamp: timestamppb.Now()}
-	a := &execution{Runner: r, client: c, digest: g, dir: dir, meta: meta, job: job}
+	a := &execution{Runner: r, client: c, digest: digest, dir: dir, meta: meta, job: job}
 	result, err := a.run(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	resp := &repb.ExecuteResponse{Result: result, Status: &spb.Status{}}
-	var f *actionError
+	var actionErr *actionError
 	switch {
-	case errors.As(err, &f) && f.missing != nil:
-		resp.Status = MissingStatus(f.missing...).Proto()
-	case errors.As(err, &f):
-		resp.Status = status.New(f.code, f.message).Proto()
+	case errors.As(err, &actionErr) && actionErr.missing != nil:
+		resp.Status = MissingStatus(actionErr.missing...).Proto()
+	case errors.As(err, &actionErr):
+		resp.Status = status.New(actionErr.code, actionErr.message).Proto()
 	case err != nil:
 		return err
 	}
@@ -79,7 +79,7 @@
 	}
 	meta.WorkerCompletedTimestamp = timestamppb.Now()
 	if resp.Status.Code == 0 && result.ExitCode == 0 && !a.action.DoNotCache {
-		if err := c.PutResult(ctx, g, result); err != nil {
+		if err := c.PutResult(ctx, digest, result); err != nil {
 			return err
 		}
 	}
@@ -117,7 +117,7 @@
 		return nil, fmt.Errorf("fetching the inputs: %w", err)
 	}
 	a.meta.InputFetchCompletedTimestamp = timestamppb.Now()
-	outs, err := a.outputPaths()
+	paths, err := a.outputPaths()
 	if err != nil {
 		return nil, err
 	}
@@ -129,24 +129,24 @@
 	if err := os.MkdirAll(cwd, 0o755); err != nil {
 		return nil, fmt.Errorf("making the working directory: %w", err)
 	}
-	for _, p := range outs { // the API demands that the directories of outputs exist
+	for _, p := range paths { // the API demands that the directories of outputs exist
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(cwd, p)), 0o755); err != nil {
 			return nil, invalidAction("output %q: %v", p, err)
 		}
 	}
 	a.meta.ExecutionStartTimestamp = timestamppb.Now()
-	code, late, err := a.execute(ctx, cwd)
+	code, timedOut, err := a.execute(ctx, cwd)
 	a.meta.ExecutionCompletedTimestamp = timestamppb.Now()
 	if err != nil {
 		return nil, fmt.Errorf("running the command: %w", err)
 	}
 	a.meta.OutputUploadStartTimestamp = timestamppb.Now()
-	result, err := a.collect(ctx, root, cwd, outs, code)
+	result, err := a.collect(ctx, root, cwd, paths, code)
 	a.meta.OutputUploadCompletedTimestamp = timestamppb.Now()
 	switch {
 	case err != nil:
 		return result, fmt.Errorf("storing the outputs: %w", err)
-	case late:
+	case timedOut:
 		return result, &actionError{code: codes.DeadlineExceeded, message: fmt.Sprintf("the command ran longer than its time limit, %v", a.action.Timeout.AsDuration())}
 	}
 	return result, nil
@@ -155,26 +155,26 @@
 // fetch reads the action and its command, and writes its inputs below the root it returns.
 func (a *execution) fetch(ctx context.Context) (root string, err error) {
 	if err := a.client.Message(ctx, a.digest, &a.action); err != nil {
-		return "", notFoundAsMissing(err, a.digest)
+		return "", notFoundAsMissingBlob(err, a.digest)
 	}
-	cg, err := cas.ParseDigest(a.digest.Function, a.action.CommandDigest)
+	commandDigest, err := cas.ParseDigest(a.digest.Function, a.action.CommandDigest)
 	if err != nil {
 		return "", invalidAction("command_digest: %v", err)
 	}
-	if err := a.client.Message(ctx, cg, &a.command); err != nil {
-		return "", notFoundAsMissing(err, cg)
+	if err := a.client.Message(ctx, commandDigest, &a.command); err != nil {
+		return "", notFoundAsMissingBlob(err, commandDigest)
 	}
-	rg, err := cas.ParseDigest(a.digest.Function, a.action.InputRootDigest)
+	rootDigest, err := cas.ParseDigest(a.digest.Function, a.action.InputRootDigest)
 	if err != nil {
 		return "", invalidAction("input_root_digest: %v", err)
 	}
 	dirs := make(map[cas.Digest]*repb.Directory)
-	if !rg.Empty() {
-		if dirs, err = a.client.Tree(ctx, rg); err != nil {
-			return "", notFoundAsMissing(err, rg)
+	if !rootDigest.Empty() {
+		if dirs, err = a.client.Tree(ctx, rootDigest); err != nil {
+			return "", notFoundAsMissingBlob(err, rootDigest)
 		}
 	}
-	in, err := planInputs(rg, dirs, a.Limits)
+	in, err := planInputs(rootDigest, dirs, a.Limits)
 	if err != nil {
 		return "", err
 	}
@@ -185,14 +185,14 @@
 	return root, in.materialize(ctx, a.client, root)
 }
 
-// notFoundAsMissing converts the error for a blob that is malformed or not in the store to an
+// notFoundAsMissingBlob converts the error for a blob that is malformed or not in the store to an
 // actionError.
-func notFoundAsMissing(err error, g cas.Digest) error {
+func notFoundAsMissingBlob(err error, digest cas.Digest) error {
 	if errors.Is(err, cas.ErrMalformed) {
 		return invalidAction("%v", err)
 	}
 	if status.Code(err) == codes.NotFound {
-		return missingBlobs(g)
+		return missingBlobs(digest)
 	}
 	return err
 }
@@ -220,33 +220,33 @@
 }
 
 // collect uploads the outputs of the command and returns its result.
-func (a *execution) collect(ctx context.Context, root, cwd string, outs []string, code int) (*repb.ActionResult, error) {
-	o := &outputs{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
+func (a *execution) collect(ctx context.Context, root, cwd string, paths []string, code int) (*repb.ActionResult, error) {
+	collected := &outputs{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	realRoot, err := filepath.EvalSymlinks(root)
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range outs {
-		at := filepath.Join(cwd, p)
+	for _, p := range paths {
+		file := filepath.Join(cwd, p)
 		// The command may have replaced a directory by a symlink that leads elsewhere.
-		if parent, err := filepath.EvalSymlinks(filepath.Dir(at)); err == nil && parent != realRoot && !strings.HasPrefix(parent, realRoot+"/") {
+		if parent, err := filepath.EvalSymlinks(filepath.Dir(file)); err == nil && parent != realRoot && !strings.HasPrefix(parent, realRoot+"/") {
 			return nil, invalidAction("output %q: leads out of the input root", p)
 		}
-		if err := o.collect(at, p); err != nil {
+		if err := collected.collect(file, p); err != nil {
 			return nil, err
 		}
 	}
-	for name, to := range map[string]**repb.Digest{"stdout": &o.result.StdoutDigest, "stderr": &o.result.StderrDigest} {
-		at := filepath.Join(a.dir, name)
-		info, err := os.Stat(at)
+	for name, digestField := range map[string]**repb.Digest{"stdout": &collected.result.StdoutDigest, "stderr": &collected.result.StderrDigest} {
+		file := filepath.Join(a.dir, name)
+		info, err := os.Stat(file)
 		if err != nil {
 			return nil, err
 		}
-		g, err := o.file(at, info)
+		digest, err := collected.file(file, info)
 		if err != nil {
 			return nil, err
 		}
-		*to = g.Proto()
+		*digestField = digest.Proto()
 	}
-	return o.result, o.upload(ctx, a.client)
+	return collected.result, collected.upload(ctx, a.client)
 }
--- a/internal/action/stream.go
+++ b/internal/action/stream.go
@@ -22,15 +22,15 @@
 	defer f.Close()
 	logCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // what is left is sent after the end
 	defer cancel()
-	to := &lazyLog{ctx: logCtx, client: a.client, name: name}
+	log := &lazyLog{ctx: logCtx, client: a.client, name: name}
 	t := time.NewTicker(logPollInterval)
 	defer t.Stop()
 	for ended := false; ; {
-		if err := copyNew(to, f); err != nil {
+		if err := copyNew(log, f); err != nil {
 			return
 		}
 		if ended {
-			to.close()
+			log.close()
 			return
 		}
 		select {
@@ -46,14 +46,14 @@
 
 // copyNew copies what was appended to a file since the last call. An error is that of the
 // destination.
-func copyNew(to io.Writer, f *os.File) error {
+func copyNew(log io.Writer, f *os.File) error {
 	buf := make([]byte, logBufferBytes)
 	for {
 		n, err := f.Read(buf)
 		if n == 0 || err != nil {
 			return nil
 		}
-		if _, err := to.Write(buf[:n]); err != nil {
+		if _, err := log.Write(buf[:n]); err != nil {
 			return err
 		}
 	}
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -20,7 +20,7 @@
 // and returns the digest of its root.
 func Upload(ctx context.Context, c *cas.Client, f cas.Function, base string, paths []string) (cas.Digest, error) {
 	o := &outputs{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
-	root := newFolder()
+	root := newTreeBuilder()
 	for _, p := range paths {
 		p, err := relativePath("input", filepath.ToSlash(p))
 		if err != nil {
@@ -30,36 +30,36 @@
 			return cas.Digest{}, err
 		}
 	}
-	g, err := o.pack(root)
+	digest, err := o.encodeTree(root)
 	if err != nil {
-		return g, err
+		return digest, err
 	}
-	return g, o.upload(ctx, c)
+	return digest, o.upload(ctx, c)
 }
 
-// folder is a directory of an input tree that is being built.
-type folder struct {
-	folders map[string]*folder
-	files   map[string]*repb.FileNode
-	links   map[string]*repb.SymlinkNode
+// treeBuilder is a directory of an input tree that is being built.
+type treeBuilder struct {
+	dirs  map[string]*treeBuilder
+	files map[string]*repb.FileNode
+	links map[string]*repb.SymlinkNode
 }
 
-func newFolder() *folder {
-	return &folder{map[string]*folder{}, map[string]*repb.FileNode{}, map[string]*repb.SymlinkNode{}}
+func newTreeBuilder() *treeBuilder {
+	return &treeBuilder{map[string]*treeBuilder{}, map[string]*repb.FileNode{}, map[string]*repb.SymlinkNode{}}
 }
 
 // child returns the folder of a name, which is created if need be.
-func (f *folder) child(name string) *folder {
-	if f.folders[name] == nil {
-		f.folders[name] = newFolder()
+func (f *treeBuilder) child(name string) *treeBuilder {
+	if f.dirs[name] == nil {
+		f.dirs[name] = newTreeBuilder()
 	}
-	return f.folders[name]
+	return f.dirs[name]
 }
 
 // add adds the file, symlink or directory at a path, and all below it, to the tree.
-func (o *outputs) add(root *folder, base, p string) error {
-	full := filepath.Join(base, p)
-	info, err := os.Lstat(full)
+func (o *outputs) add(root *treeBuilder, base, p string) error {
+	filePath := filepath.Join(base, p)
+	info, err := os.Lstat(filePath)
 	if err != nil {
 		return err
 	}
@@ -67,9 +67,9 @@
 		return o.addEntries(root, base, p)
 	}
 	parent := root
-	words := strings.Split(p, "/")
-	for _, word := range words[:len(words)-1] {
-		parent = parent.child(word)
+	segments := strings.Split(p, "/")
+	for _, segment := range segments[:len(segments)-1] {
+		parent = parent.child(segment)
 	}
 	name := path.Base(p)
 	switch {
@@ -77,25 +77,25 @@
 		parent.child(name) // an empty directory is part of the tree, too
 		return o.addEntries(root, base, p)
 	case info.Mode()&os.ModeSymlink != 0:
-		target, err := os.Readlink(full)
+		target, err := os.Readlink(filePath)
 		if err != nil {
 			return err
 		}
 		parent.links[name] = &repb.SymlinkNode{Name: name, Target: target}
 	case info.Mode().IsRegular():
-		g, err := o.file(full, info)
+		digest, err := o.file(filePath, info)
 		if err != nil {
 			return err
 		}
-		parent.files[name] = &repb.FileNode{Name: name, Digest: g.Proto(), IsExecutable: info.Mode()&0o111 != 0}
+		parent.files[name] = &repb.FileNode{Name: name, Digest: digest.Proto(), IsExecutable: info.Mode()&0o111 != 0}
 	default:
-		return fmt.Errorf("%s: is neither a file, a directory nor a symlink", full)
+		return fmt.Errorf("%s: is neither a file, a directory nor a symlink", filePath)
 	}
 	return nil
 }
 
 // addEntries adds all that is in a directory.
-func (o *outputs) addEntries(root *folder, base, p string) error {
+func (o *outputs) addEntries(root *treeBuilder, base, p string) error {
 	entries, err := os.ReadDir(filepath.Join(base, p))
 	if err != nil {
 		return err
@@ -108,26 +108,26 @@
 	return nil
 }
 
-// pack adds the messages of a tree to the blobs, and returns the digest of its root.
-func (o *outputs) pack(f *folder) (cas.Digest, error) {
+// encodeTree adds the messages of a tree to the blobs, and returns the digest of its root.
+func (o *outputs) encodeTree(dir *treeBuilder) (cas.Digest, error) {
 	d := &repb.Directory{}
-	for _, name := range slices.Sorted(maps.Keys(f.folders)) {
-		g, err := o.pack(f.folders[name])
+	for _, name := range slices.Sorted(maps.Keys(dir.dirs)) {
+		digest, err := o.encodeTree(dir.dirs[name])
 		if err != nil {
-			return g, err
+			return digest, err
 		}
-		d.Directories = append(d.Directories, &repb.DirectoryNode{Name: name, Digest: g.Proto()})
+		d.Directories = append(d.Directories, &repb.DirectoryNode{Name: name, Digest: digest.Proto()})
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.files)) {
-		d.Files = append(d.Files, f.files[name])
+	for _, name := range slices.Sorted(maps.Keys(dir.files)) {
+		d.Files = append(d.Files, dir.files[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.links)) {
-		d.Symlinks = append(d.Symlinks, f.links[name])
+	for _, name := range slices.Sorted(maps.Keys(dir.links)) {
+		d.Symlinks = append(d.Symlinks, dir.links[name])
 	}
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(d)
-	g := cas.Sum(o.function, raw)
-	o.blobs[g] = raw
-	return g, err
+	digest := cas.Sum(o.function, raw)
+	o.blobs[digest] = raw
+	return digest, err
 }
 
 // Download writes the outputs of a result below a directory. Files that exist are replaced.
@@ -138,12 +138,12 @@
 		if err != nil {
 			return err
 		}
-		g, err := cas.ParseDigest(f, o.Digest)
+		digest, err := cas.ParseDigest(f, o.Digest)
 		if err != nil {
 			return fmt.Errorf("output %q: %w", o.Path, err)
 		}
 		in.dirs = append(in.dirs, path.Dir(p))
-		in.files[g] = append(in.files[g], node{path: p, executable: o.IsExecutable})
+		in.files[digest] = append(in.files[digest], node{path: p, executable: o.IsExecutable})
 	}
 	for _, o := range r.GetOutputDirectories() {
 		p, err := relativePath("output", o.Path)
@@ -154,8 +154,8 @@
 			return fmt.Errorf("output directory %q: %w", o.Path, err)
 		}
 	}
-	for at := range in.files { // symlinks and read-only files would not be overwritten
-		for _, n := range in.files[at] {
+	for content := range in.files { // symlinks and read-only files would not be overwritten
+		for _, n := range in.files[content] {
 			_ = os.Remove(filepath.Join(base, n.path))
 		}
 	}
@@ -163,13 +163,13 @@
 }
 
 // addTree adds an output directory, checked like an input tree.
-func (in *inputs) addTree(ctx context.Context, c *cas.Client, f cas.Function, at string, digest *repb.Digest) error {
-	g, err := cas.ParseDigest(f, digest)
+func (in *inputs) addTree(ctx context.Context, c *cas.Client, f cas.Function, dir string, protoDigest *repb.Digest) error {
+	digest, err := cas.ParseDigest(f, protoDigest)
 	if err != nil {
 		return err
 	}
 	var tree repb.Tree
-	if err := c.Message(ctx, g, &tree); err != nil {
+	if err := c.Message(ctx, digest, &tree); err != nil {
 		return err
 	}
 	dirs := make(map[cas.Digest]*repb.Directory)
@@ -189,16 +189,16 @@
 		return err
 	}
 	for _, d := range sub.dirs {
-		in.dirs = append(in.dirs, path.Join(at, d))
+		in.dirs = append(in.dirs, path.Join(dir, d))
 	}
-	for g, nodes := range sub.files {
+	for digest, nodes := range sub.files {
 		for _, n := range nodes {
-			n.path = path.Join(at, n.path)
-			in.files[g] = append(in.files[g], n)
+			n.path = path.Join(dir, n.path)
+			in.files[digest] = append(in.files[digest], n)
 		}
 	}
 	for _, n := range sub.links {
-		n.path = path.Join(at, n.path)
+		n.path = path.Join(dir, n.path)
 		in.links = append(in.links, n)
 	}
 	return nil
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,21 +31,21 @@
 	wake   chan struct{} // has room for one request to send a heartbeat early
 	// launch starts the goroutine of an attempt. The attempt outlives the call that asks for
 	// it: it ends with the context of Run.
-	launch func(Key, []chan struct{})
-	group  sync.WaitGroup // of the attempts
+	launch       func(Key, []chan struct{})
+	attemptGroup sync.WaitGroup // of the attempts
 
-	mu       sync.Mutex // also guards Core
-	cancels  map[Key]context.CancelFunc
-	exited   map[Key]chan struct{} // closed once the last process of an attempt has exited
-	reserved map[Key]Resources
-	dying    []chan struct{} // attempts of the previous incarnation, as in exited
+	mu            sync.Mutex // also guards Core
+	cancels       map[Key]context.CancelFunc
+	exited        map[Key]chan struct{} // closed once the last process of an attempt has exited
+	reserved      map[Key]Resources
+	previousExits []chan struct{} // attempts of the previous incarnation, as in exited
 }
 
 // Bounds of what the agent accepts.
 const (
-	maxConns        = 256
-	connIdleTimeout = 90 * time.Second
-	maxAnswerBytes  = 1 << 20
+	maxConns         = 256
+	connIdleTimeout  = 90 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
 // Run works until the context ends, kills every task then, and returns once all their
@@ -53,20 +53,20 @@
 func (a *Agent) Run(ctx context.Context) error {
 	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
 	a.wake = make(chan struct{}, 1)
-	a.caller = &transport.Caller{MaxBody: maxAnswerBytes, Dial: a.Net.Dial}
+	a.caller = &transport.Caller{MaxBody: maxResponseBytes, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
-	a.launch = func(k Key, after []chan struct{}) {
+	a.launch = func(key Key, waitFor []chan struct{}) {
 		taskCtx, cancel := context.WithCancel(ctx)
-		a.cancels[k], a.exited[k] = cancel, make(chan struct{})
-		a.group.Add(1)
-		go a.run(taskCtx, k, after)
+		a.cancels[key], a.exited[key] = cancel, make(chan struct{})
+		a.attemptGroup.Add(1)
+		go a.run(taskCtx, key, waitFor)
 	}
 	g.Go(func() error {
 		return a.Net.Listen(ctx, a.Listen, maxConns, transport.HTTP(wire.MaxBody, connIdleTimeout, a.serve))
 	})
 	g.Go(func() error { return a.heartbeats(ctx) })
 	err := g.Wait()
-	a.group.Wait()
+	a.attemptGroup.Wait()
 	return err
 }
 
@@ -75,7 +75,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.apply(a.Core.Expire(time.Now()))
-	for _, exited := range a.dying {
+	for _, exited := range a.previousExits {
 		select {
 		case <-exited:
 		default:
@@ -88,34 +88,34 @@
 	case req.Path != wire.PathCommands || req.Method != "POST":
 		return &httpwire.Response{Status: 404}
 	}
-	var d wire.CommandRequest
-	if err := wire.Decode(req.Body, &d); err != nil || d.FencingToken == 0 || d.Incarnation == 0 {
+	var command wire.CommandRequest
+	if err := wire.Decode(req.Body, &command); err != nil || command.FencingToken == 0 || command.Incarnation == 0 {
 		return &httpwire.Response{Status: 400}
 	}
-	e, ok := a.Core.HandleDirect(time.Now(), d)
-	a.apply(e)
+	effects, accepted := a.Core.HandleDirect(time.Now(), command)
+	a.apply(effects)
 	status := 200
-	if !ok {
+	if !accepted {
 		status = 409
 	}
 	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Heartbeat())}
 }
 
 // apply carries out the effects of a step of the Core. The lock is held.
-func (a *Agent) apply(e Effects) {
-	if e.NewIncarnation {
-		a.dying = slices.Collect(maps.Values(a.exited))
+func (a *Agent) apply(effects Effects) {
+	if effects.NewIncarnation {
+		a.previousExits = slices.Collect(maps.Values(a.exited))
 	}
-	for _, k := range e.Kill {
-		if cancel := a.cancels[k]; cancel != nil {
-			a.Log.Info("killing", "task", k.Task, "attempt", k.Attempt)
+	for _, key := range effects.Kill {
+		if cancel := a.cancels[key]; cancel != nil {
+			a.Log.Info("killing", "task", key.Task, "attempt", key.Attempt)
 			cancel()
 		}
 	}
-	for _, k := range e.Start {
-		a.launch(k, a.pendingExits(k))
+	for _, key := range effects.Start {
+		a.launch(key, a.pendingExits(key))
 	}
-	if e.HeartbeatNow {
+	if effects.HeartbeatNow {
 		select {
 		case a.wake <- struct{}{}:
 		default:
@@ -125,9 +125,9 @@
 
 // pendingExits lists what must have exited before an attempt may start: other attempts of
 // the same task that were killed but whose processes have not been reaped yet.
-func (a *Agent) pendingExits(k Key) (pending []chan struct{}) {
+func (a *Agent) pendingExits(key Key) (pending []chan struct{}) {
 	for other, exited := range a.exited {
-		if other.Task == k.Task && other != k {
+		if other.Task == key.Task && other != key {
 			pending = append(pending, exited)
 		}
 	}
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -25,48 +25,48 @@
 }
 
 // run runs an attempt to its end, once all that it must wait for have exited.
-func (a *Agent) run(ctx context.Context, k Key, after []chan struct{}) {
-	defer a.group.Done()
-	for _, exited := range after {
+func (a *Agent) run(ctx context.Context, key Key, waitFor []chan struct{}) {
+	defer a.attemptGroup.Done()
+	for _, exited := range waitFor {
 		<-exited
 	}
-	why := a.work(ctx, k)
+	cause := a.execute(ctx, key)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.exited[k])
-	a.cancels[k]()
-	delete(a.exited, k)
-	delete(a.cancels, k)
-	delete(a.reserved, k)
-	if ctx.Err() == nil || why == wire.CauseDone {
-		a.Log.Info("task ended", "task", k.Task, "attempt", k.Attempt, "cause", why)
+	close(a.exited[key])
+	a.cancels[key]()
+	delete(a.exited, key)
+	delete(a.cancels, key)
+	delete(a.reserved, key)
+	if ctx.Err() == nil || cause == wire.CauseDone {
+		a.Log.Info("task ended", "task", key.Task, "attempt", key.Attempt, "cause", cause)
 	}
-	a.apply(a.Core.MarkEnded(k, why))
+	a.apply(a.Core.MarkEnded(key, cause))
 }
 
-// work fetches the job of an attempt and runs its action. It returns why the attempt ended.
-func (a *Agent) work(ctx context.Context, k Key) wire.Cause {
-	job, err := a.fetchJob(ctx, k.Task.Job)
+// execute fetches the job of an attempt and runs its action. It returns why the attempt ended.
+func (a *Agent) execute(ctx context.Context, key Key) wire.Cause {
+	job, err := a.fetchJob(ctx, key.Task.Job)
 	switch {
 	case errors.Is(err, errUnknownJob):
 		return wire.CauseUnknown
 	case err != nil:
 		return wire.CauseError
-	case !a.reserve(k, job):
+	case !a.reserve(key, job):
 		return wire.CauseNoRoom
 	}
-	w, g, err := action.ParseWork(job.Work)
+	w, digest, err := action.ParseWork(job.Work)
 	if err != nil {
 		a.Log.Warn("job not understood", "job", job.ID, "err", err)
 		return wire.CauseError
 	}
 	a.mu.Lock()
-	a.apply(a.Core.MarkRunning(k))
+	a.apply(a.Core.MarkRunning(key))
 	a.mu.Unlock()
-	a.Log.Info("task runs", "task", k.Task, "attempt", k.Attempt, "action", g)
-	if err := a.Actions.Run(ctx, job.ID, w, g); err != nil {
+	a.Log.Info("task runs", "task", key.Task, "attempt", key.Attempt, "action", digest)
+	if err := a.Actions.Run(ctx, job.ID, w, digest); err != nil {
 		if ctx.Err() == nil {
-			a.Log.Warn("task failed", "task", k.Task, "attempt", k.Attempt, "err", err)
+			a.Log.Warn("task failed", "task", key.Task, "attempt", key.Attempt, "err", err)
 		}
 		return wire.CauseError
 	}
@@ -74,7 +74,7 @@
 }
 
 // reserve reserves resources for an attempt, and reports whether they are free.
-func (a *Agent) reserve(k Key, j *wire.Job) bool {
+func (a *Agent) reserve(key Key, j *wire.Job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	free := a.Capacity
@@ -85,22 +85,22 @@
 	if needed.exceeds(free) {
 		return false
 	}
-	a.reserved[k] = needed
+	a.reserved[key] = needed
 	return true
 }
 
 // errUnknownJob means that the controllers know no such job, or that it has ended.
 var errUnknownJob = errors.New("no such job")
 
-// fetchPause is the time before the next controller is asked for a job.
-const fetchPause = 200 * time.Millisecond
+// fetchRetryDelay is the time before the next controller is asked for a job.
+const fetchRetryDelay = 200 * time.Millisecond
 
 // fetchJob asks the controllers in turn for the description of a job, until one knows it.
 func (a *Agent) fetchJob(ctx context.Context, id string) (*wire.Job, error) {
 	names := slices.Sorted(maps.Keys(a.Controllers))
 	path := wire.PathJobs + "/" + id + "/" + wire.WorkWord
-	for try := rand.IntN(len(names)); ctx.Err() == nil; try++ {
-		resp, err := a.call(ctx, names[try%len(names)], "GET", path, nil)
+	for attempt := rand.IntN(len(names)); ctx.Err() == nil; attempt++ {
+		resp, err := a.call(ctx, names[attempt%len(names)], "GET", path, nil)
 		switch {
 		case err == nil && resp.Status == 200:
 			var j wire.Job
@@ -114,7 +114,7 @@
 		case err == nil && (resp.Status == 404 || resp.Status == 410):
 			return nil, errUnknownJob
 		}
-		pause(ctx, fetchPause)
+		sleep(ctx, fetchRetryDelay)
 	}
 	return nil, ctx.Err()
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -63,7 +63,7 @@
 	}
 	r.check(len(c.Controllers) > 0, "controllers", "none", "one NAME = IP:PORT for each controller")
 	r.check(c.Lease > c.HeartbeatInterval, "workers.lease", c.Lease, "more than workers.report")
-	if err := errors.Join(r.faults...); err != nil {
+	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -71,33 +71,35 @@
 
 // configReader reads values of a file and collects what is wrong with them.
 type configReader struct {
-	file   *ini.File
-	faults []error
+	file *ini.File
+	errs []error
 }
 
 // check adds a fault unless ok holds: the value of a key, and what it must be.
-func (r *configReader) check(ok bool, key string, value any, must string) {
+func (r *configReader) check(ok bool, key string, value any, requirement string) {
 	if !ok {
-		r.faults = append(r.faults, fmt.Errorf("%s: %v: must be %s", key, value, must))
+		r.errs = append(r.errs, fmt.Errorf("%s: %v: must be %s", key, value, requirement))
 	}
 }
 
 // checkKeys rejects keys that don't exist.
 func (r *configReader) checkKeys() {
-	for _, sec := range r.file.Sections() {
-		keys, known := allowedKeys[sec.Name()]
-		for _, key := range sec.Keys() {
+	for _, section := range r.file.Sections() {
+		keys, known := allowedKeys[section.Name()]
+		for _, key := range section.Keys() {
 			ok := known && (keys == nil || slices.Contains(keys, key.Name()))
-			r.check(ok, sec.Name()+"."+key.Name(), key.Value(), "a key of [machine], [controllers], [workers] or [actions]: see docs/reapi.md")
+			r.check(ok, section.Name()+"."+key.Name(), key.Value(), "a key of [machine], [controllers], [workers] or [actions]: see docs/reapi.md")
 		}
 	}
 }
 
-func (r *configReader) value(sec, key string) string { return r.file.Section(sec).Key(key).Value() }
+func (r *configReader) value(section, key string) string {
+	return r.file.Section(section).Key(key).Value()
+}
 
-func (r *configReader) text(sec, key string) string {
-	v := r.value(sec, key)
-	r.check(v != "", sec+"."+key, `""`, "some text")
+func (r *configReader) text(section, key string) string {
+	v := r.value(section, key)
+	r.check(v != "", section+"."+key, `""`, "some text")
 	return v
 }
 
@@ -115,10 +117,10 @@
 }
 
 // duration reads a duration of section workers.
-func (r *configReader) duration(key string, otherwise time.Duration) time.Duration {
+func (r *configReader) duration(key string, defaultValue time.Duration) time.Duration {
 	text := r.value("workers", key)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	v, err := time.ParseDuration(text)
 	r.check(err == nil && v >= minDuration, "workers."+key, text, "a duration of 100ms or more")
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -72,12 +72,12 @@
 // Heartbeat returns the machine's state as a heartbeat, without counting it as one that is
 // sent.
 func (c *Core) Heartbeat() wire.Heartbeat {
-	r := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
+	heartbeat := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
 		Incarnation: c.incarnation, Seq: c.seq, FencingToken: c.token, Tasks: []wire.ReportedTask{}}
 	for _, t := range c.sorted() {
-		r.Tasks = append(r.Tasks, wire.ReportedTask{Task: t.Task.String(), Attempt: t.Attempt, State: t.state, Cause: t.cause, ID: t.Task})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.ReportedTask{Task: t.Task.String(), Attempt: t.Attempt, State: t.state, Cause: t.cause, ID: t.Task})
 	}
-	return r
+	return heartbeat
 }
 
 // sorted lists the attempts by job, index and attempt number.
@@ -96,46 +96,46 @@
 func (c *Core) Incarnation() uint64 { return c.incarnation }
 
 // Expire ends the incarnation if the lease has expired: all tasks are killed and forgotten.
-func (c *Core) Expire(now time.Time) (e Effects) {
+func (c *Core) Expire(now time.Time) (effects Effects) {
 	if now.Sub(c.leaseStart) <= c.lease {
-		return e
+		return effects
 	}
 	for _, t := range c.sorted() {
 		if !t.ended {
-			e.Kill = append(e.Kill, t.Key)
+			effects.Kill = append(effects.Kill, t.Key)
 		}
 	}
 	clear(c.tasks)
 	c.incarnation++
 	c.seq, c.leaseStart = 0, now
-	e.HeartbeatNow, e.NewIncarnation = true, true
-	return e
+	effects.HeartbeatNow, effects.NewIncarnation = true, true
+	return effects
 }
 
 // HandleAnswer handles the answer to a heartbeat that was sent at a given time in a given
 // incarnation. It extends the lease from the time at which the heartbeat was sent. An answer
 // with a lower fencing token, or to a heartbeat of an earlier incarnation, is dropped.
-func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, a wire.HeartbeatResponse) (e Effects) {
-	if a.FencingToken < c.token || a.FencingToken == 0 || incarnation != c.incarnation {
-		return e
+func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, response wire.HeartbeatResponse) (effects Effects) {
+	if response.FencingToken < c.token || response.FencingToken == 0 || incarnation != c.incarnation {
+		return effects
 	}
-	e.HeartbeatNow = c.adoptToken(now, a.FencingToken)
+	effects.HeartbeatNow = c.adoptToken(now, response.FencingToken)
 	if sent.After(c.leaseStart) {
 		c.leaseStart = sent
 	}
-	c.execute(a.Commands, &e)
-	return e
+	c.execute(response.Commands, &effects)
+	return effects
 }
 
 // HandleDirect handles commands that a leader sent to the machine directly. They are refused
 // with a lower fencing token or for another incarnation. They don't extend the lease.
-func (c *Core) HandleDirect(now time.Time, d wire.CommandRequest) (e Effects, ok bool) {
-	if d.FencingToken < c.token || d.Incarnation != c.incarnation {
-		return e, false
+func (c *Core) HandleDirect(now time.Time, request wire.CommandRequest) (effects Effects, accepted bool) {
+	if request.FencingToken < c.token || request.Incarnation != c.incarnation {
+		return effects, false
 	}
-	e.HeartbeatNow = c.adoptToken(now, d.FencingToken)
-	c.execute(d.Commands, &e)
-	return e, true
+	effects.HeartbeatNow = c.adoptToken(now, request.FencingToken)
+	c.execute(request.Commands, &effects)
+	return effects, true
 }
 
 // adoptToken adopts a higher fencing token. It reports whether a heartbeat should show that
@@ -153,62 +153,62 @@
 }
 
 // execute applies commands. Those that repeat what was done before have no effect.
-func (c *Core) execute(cmds []wire.Command, e *Effects) {
+func (c *Core) execute(cmds []wire.Command, effects *Effects) {
 	for _, cmd := range cmds {
 		id, err := wire.ParseTaskID(cmd.Task)
 		if err != nil {
 			continue
 		}
-		k := Key{id, cmd.Attempt}
-		t := c.tasks[k]
+		key := Key{id, cmd.Attempt}
+		existing := c.tasks[key]
 		switch {
-		case cmd.Verb == wire.Launch && t == nil:
-			c.launch(k, e)
-			e.HeartbeatNow = true
-		case cmd.Verb == wire.Stop && t != nil && !t.ended && !t.stopping:
-			t.stopping = true // it has ended once its processes have exited
-			e.Kill = append(e.Kill, k)
-		case cmd.Verb == wire.Clear && t != nil && t.ended:
-			delete(c.tasks, k)
-			e.HeartbeatNow = true
+		case cmd.Verb == wire.Launch && existing == nil:
+			c.launch(key, effects)
+			effects.HeartbeatNow = true
+		case cmd.Verb == wire.Stop && existing != nil && !existing.ended && !existing.stopping:
+			existing.stopping = true // it has ended once its processes have exited
+			effects.Kill = append(effects.Kill, key)
+		case cmd.Verb == wire.Clear && existing != nil && existing.ended:
+			delete(c.tasks, key)
+			effects.HeartbeatNow = true
 		}
 	}
 }
 
 // launch starts an attempt, or ends it as busy while another attempt of the task runs here.
-func (c *Core) launch(k Key, e *Effects) {
-	t := &attempt{Key: k, state: wire.TaskFetching}
+func (c *Core) launch(key Key, effects *Effects) {
+	t := &attempt{Key: key, state: wire.TaskFetching}
 	for _, other := range c.tasks {
-		if other.Task == k.Task && !other.ended {
+		if other.Task == key.Task && !other.ended {
 			t.end(wire.CauseBusy)
 		}
 	}
-	c.tasks[k] = t
+	c.tasks[key] = t
 	if !t.ended {
-		e.Start = append(e.Start, k)
+		effects.Start = append(effects.Start, key)
 	}
 }
 
-func (t *attempt) end(why wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, why, true }
+func (t *attempt) end(cause wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, cause, true }
 
 // MarkRunning records that an attempt has its inputs and runs.
-func (c *Core) MarkRunning(k Key) (e Effects) {
-	if t := c.tasks[k]; t != nil && t.state == wire.TaskFetching {
+func (c *Core) MarkRunning(key Key) (effects Effects) {
+	if t := c.tasks[key]; t != nil && t.state == wire.TaskFetching {
 		t.state = wire.TaskRunning
-		e.HeartbeatNow = true
+		effects.HeartbeatNow = true
 	}
-	return e
+	return effects
 }
 
 // MarkEnded records that the last process of an attempt has exited, and why. Attempts of an
 // earlier incarnation are forgotten already and have no effect.
-func (c *Core) MarkEnded(k Key, why wire.Cause) (e Effects) {
-	if t := c.tasks[k]; t != nil && !t.ended {
-		if t.stopping && why != wire.CauseDone {
-			why = wire.CauseStopped
+func (c *Core) MarkEnded(key Key, cause wire.Cause) (effects Effects) {
+	if t := c.tasks[key]; t != nil && !t.ended {
+		if t.stopping && cause != wire.CauseDone {
+			cause = wire.CauseStopped
 		}
-		t.end(why)
-		e.HeartbeatNow = true
+		t.end(cause)
+		effects.HeartbeatNow = true
 	}
-	return e
+	return effects
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -14,38 +14,38 @@
 // TestTraces plays the kept traces of a worker's protocol.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
-		zero := time.Unix(1e9, 0)
-		now := zero
+		start := time.Unix(1e9, 0)
+		now := start
 		c := NewCore(Identity{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a"}, 30*time.Second, 7, now)
 		return func(step string) []string {
-			w, kv := simulator.Words(step)
-			num := func(key string) uint64 {
-				n, _ := strconv.ParseUint(kv[key], 10, 64)
+			words, args := simulator.Words(step)
+			number := func(key string) uint64 {
+				n, _ := strconv.ParseUint(args[key], 10, 64)
 				return n
 			}
-			switch w[0] {
+			switch words[0] {
 			case "at":
-				d, _ := time.ParseDuration(w[1])
-				now = zero.Add(d)
-				return told(c.Expire(now))
+				d, _ := time.ParseDuration(words[1])
+				now = start.Add(d)
+				return describeEffects(c.Expire(now))
 			case "answer": // to a heartbeat that was sent so long ago
-				ago, _ := time.ParseDuration(kv["sent"])
+				ago, _ := time.ParseDuration(args["sent"])
 				incarnation := c.Incarnation()
-				if kv["session"] != "" {
-					incarnation = num("session")
+				if args["session"] != "" {
+					incarnation = number("session")
 				}
-				return told(c.HandleAnswer(now, now.Add(-ago), incarnation, wire.HeartbeatResponse{FencingToken: num("term"), Commands: commands(w[1:])}))
+				return describeEffects(c.HandleAnswer(now, now.Add(-ago), incarnation, wire.HeartbeatResponse{FencingToken: number("term"), Commands: parseCommands(words[1:])}))
 			case "do":
-				e, ok := c.HandleDirect(now, wire.CommandRequest{FencingToken: num("term"), Incarnation: num("session"), Commands: commands(w[1:])})
-				return append([]string{fmt.Sprintf("executed %v", ok)}, told(e)...)
+				e, ok := c.HandleDirect(now, wire.CommandRequest{FencingToken: number("term"), Incarnation: number("session"), Commands: parseCommands(words[1:])})
+				return append([]string{fmt.Sprintf("executed %v", ok)}, describeEffects(e)...)
 			case "running":
-				return told(c.MarkRunning(key(w[1])))
+				return describeEffects(c.MarkRunning(key(words[1])))
 			case "ended":
-				return told(c.MarkEnded(key(w[1]), wire.Cause(w[2])))
+				return describeEffects(c.MarkEnded(key(words[1]), wire.Cause(words[2])))
 			case "report":
-				r := c.NextHeartbeat()
-				out := []string{fmt.Sprintf("session %d, report %d, term %d", r.Incarnation, r.Seq, r.FencingToken)}
-				for _, task := range r.Tasks {
+				heartbeat := c.NextHeartbeat()
+				out := []string{fmt.Sprintf("session %d, report %d, term %d", heartbeat.Incarnation, heartbeat.Seq, heartbeat.FencingToken)}
+				for _, task := range heartbeat.Tasks {
 					out = append(out, strings.TrimSpace(fmt.Sprintf("%s#%d %s %s", task.Task, task.Attempt, task.State, task.Cause)))
 				}
 				return out
@@ -63,8 +63,8 @@
 	return Key{id, n}
 }
 
-// commands reads "launch wk-1/0#2 clear wk-2/0#1" and the like.
-func commands(words []string) (out []wire.Command) {
+// parseCommands reads "launch wk-1/0#2 clear wk-2/0#1" and the like.
+func parseCommands(words []string) (out []wire.Command) {
 	for i := 0; i+1 < len(words); i += 2 {
 		k := key(words[i+1])
 		out = append(out, wire.Command{Verb: wire.Verb(words[i]), Task: k.Task.String(), Attempt: k.Attempt})
@@ -72,14 +72,14 @@
 	return out
 }
 
-func told(e Effects) (out []string) {
-	for _, k := range e.Kill {
+func describeEffects(effects Effects) (out []string) {
+	for _, k := range effects.Kill {
 		out = append(out, fmt.Sprintf("kill %v#%d", k.Task, k.Attempt))
 	}
-	for _, k := range e.Start {
+	for _, k := range effects.Start {
 		out = append(out, fmt.Sprintf("start %v#%d", k.Task, k.Attempt))
 	}
-	if e.HeartbeatNow {
+	if effects.HeartbeatNow {
 		out = append(out, "report soon")
 	}
 	return out
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// answerTimeout is how long an answer is waited for. One that comes later is dropped,
+	// responseTimeout is how long an answer is waited for. One that comes later is dropped,
 	// so that no answer takes effect on a worker longer than this after its heartbeat.
-	answerTimeout = 4 * time.Second
+	responseTimeout = 4 * time.Second
 	// minHeartbeatGap is the least time between two heartbeats, however much changes.
 	minHeartbeatGap = 500 * time.Millisecond
-	// retryPause is the time before the next controller is tried.
-	retryPause = time.Second
+	// retryDelay is the time before the next controller is tried.
+	retryDelay = time.Second
 )
 
 // heartbeats keeps one heartbeat in flight, to one controller at a time, until the context
@@ -33,9 +33,9 @@
 		sent := time.Now()
 		resp, err := a.call(ctx, controller, "POST", wire.PathHeartbeat, body)
 		wait := a.HeartbeatInterval*3/4 + time.Duration(rand.Int64N(int64(a.HeartbeatInterval/2)+1))
-		var answer wire.HeartbeatResponse
-		if err == nil && resp.Status == 200 && wire.Decode(resp.Body, &answer) == nil {
-			a.answered(sent, incarnation, answer)
+		var response wire.HeartbeatResponse
+		if err == nil && resp.Status == 200 && wire.Decode(resp.Body, &response) == nil {
+			a.handleResponse(sent, incarnation, response)
 			a.waitForNext(ctx, wait)
 			continue
 		}
@@ -44,7 +44,7 @@
 			continue
 		}
 		controller = names[(slices.Index(names, controller)+1)%len(names)]
-		pause(ctx, retryPause)
+		sleep(ctx, retryDelay)
 	}
 	return nil
 }
@@ -54,9 +54,9 @@
 func (a *Agent) awaitExits() {
 	a.mu.Lock()
 	a.apply(a.Core.Expire(time.Now()))
-	dying := a.dying
+	exits := a.previousExits
 	a.mu.Unlock()
-	for _, exited := range dying {
+	for _, exited := range exits {
 		<-exited
 	}
 }
@@ -68,17 +68,17 @@
 	return a.Core.Incarnation(), wire.Encode(a.Core.NextHeartbeat())
 }
 
-// answered takes in the answer to a heartbeat.
-func (a *Agent) answered(sent time.Time, incarnation uint64, answer wire.HeartbeatResponse) {
+// handleResponse takes in the answer to a heartbeat.
+func (a *Agent) handleResponse(sent time.Time, incarnation uint64, response wire.HeartbeatResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.apply(a.Core.Expire(time.Now()))
-	a.apply(a.Core.HandleAnswer(time.Now(), sent, incarnation, answer))
+	a.apply(a.Core.HandleAnswer(time.Now(), sent, incarnation, response))
 }
 
 // call makes a call to a controller.
 func (a *Agent) call(ctx context.Context, controller, method, path string, body []byte) (*httpwire.Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	return a.caller.Call(ctx, a.Controllers[controller], method, path, body)
 }
@@ -95,19 +95,19 @@
 // waitForNext waits until the next heartbeat is due: after the given time, or early after a
 // change, but never sooner than minHeartbeatGap.
 func (a *Agent) waitForNext(ctx context.Context, wait time.Duration) {
-	begun := time.Now()
+	start := time.Now()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
 	case <-a.wake:
-		pause(ctx, minHeartbeatGap-time.Since(begun))
+		sleep(ctx, minHeartbeatGap-time.Since(start))
 	}
 }
 
-// pause waits for some time or until the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for some time or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
 	select {
--- a/internal/cas/bytestream.go
+++ b/internal/cas/bytestream.go
@@ -127,9 +127,9 @@
 		return asStatus(err)
 	}
 	defer w.Close()
-	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, at: w.Size()}
+	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, offset: w.Size()}
 	if res.Zstd {
-		msgs.at = 0
+		msgs.offset = 0
 		err = decompressTo(w, msgs)
 	} else {
 		_, err = io.Copy(w, msgs)
@@ -140,7 +140,7 @@
 	if err := w.Commit(); err != nil {
 		return asStatus(err)
 	}
-	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.at})
+	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.offset})
 }
 
 // decompressTo copies and decompresses with zstd. Malformed data is ErrWrongContent.
@@ -158,10 +158,10 @@
 
 // uploadReader reads the data of an upload's messages in order, and checks their offsets.
 type uploadReader struct {
-	in   bspb.ByteStream_WriteServer
-	next *bspb.WriteRequest
-	name string
-	at   int64
+	in     bspb.ByteStream_WriteServer
+	next   *bspb.WriteRequest
+	name   string
+	offset int64
 }
 
 // Read returns the data of the next message, io.EOF after the one that finishes the upload.
@@ -190,7 +190,7 @@
 	n := copy(p, m.next.Data)
 	m.next.Data = m.next.Data[n:]
 	m.next.WriteOffset += int64(n)
-	m.at += int64(n)
+	m.offset += int64(n)
 	return n, nil
 }
 
@@ -199,8 +199,8 @@
 	if m.next.ResourceName != "" && m.next.ResourceName != m.name {
 		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.name)
 	}
-	if m.next.WriteOffset != m.at {
-		return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", m.next.WriteOffset, m.at)
+	if m.next.WriteOffset != m.offset {
+		return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", m.next.WriteOffset, m.offset)
 	}
 	return nil
 }
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -42,25 +42,25 @@
 // Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// maxRetries is how often a call is retried, after a pause that doubles from firstRetry on.
+// maxRetries is how often a call is retried, after a pause that doubles from initialRetryDelay on.
 const (
-	maxRetries = 6
-	firstRetry = 100 * time.Millisecond
+	maxRetries        = 6
+	initialRetryDelay = 100 * time.Millisecond
 )
 
 // Retry makes a call, and retries it while the server is busy or unreachable.
 func Retry(ctx context.Context, call func() error) error {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		err := call()
 		switch status.Code(err) {
 		case codes.Unavailable, codes.ResourceExhausted, codes.Aborted:
 		default:
 			return err
 		}
-		if try == maxRetries {
+		if attempt == maxRetries {
 			return err
 		}
-		wait := firstRetry << try
+		wait := initialRetryDelay << attempt
 		t := time.NewTimer(wait/2 + time.Duration(rand.Int64N(int64(wait))))
 		select {
 		case <-ctx.Done():
@@ -71,17 +71,17 @@
 	}
 }
 
-// maxMissing bounds the digests of one request for missing blobs: a request has a bounded size.
-const maxMissing = 10_000
+// maxDigestsPerRequest bounds the digests of one request for missing blobs: a request has a bounded size.
+const maxDigestsPerRequest = 10_000
 
 // Missing returns which of some blobs are not in the store. The others count as used.
 func (c *Client) Missing(ctx context.Context, digests []Digest) ([]Digest, error) {
 	var missing []Digest
 	for len(digests) > 0 {
-		n := min(len(digests), maxMissing)
+		n := min(len(digests), maxDigestsPerRequest)
 		req := &repb.FindMissingBlobsRequest{InstanceName: c.Instance, DigestFunction: digests[0].Function}
-		for _, g := range digests[:n] {
-			req.BlobDigests = append(req.BlobDigests, g.Proto())
+		for _, digest := range digests[:n] {
+			req.BlobDigests = append(req.BlobDigests, digest.Proto())
 		}
 		var resp *repb.FindMissingBlobsResponse
 		err := Retry(ctx, func() (err error) { resp, err = c.blobs.FindMissingBlobs(ctx, req); return err })
@@ -97,9 +97,9 @@
 }
 
 // Get reads a whole blob and checks it.
-func (c *Client) Get(ctx context.Context, g Digest) ([]byte, error) {
+func (c *Client) Get(ctx context.Context, digest Digest) ([]byte, error) {
 	var out bytes.Buffer
-	if err := c.Read(ctx, g, &out); err != nil {
+	if err := c.Read(ctx, digest, &out); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
@@ -109,36 +109,36 @@
 var ErrMalformed = errors.New("malformed message")
 
 // Message reads a blob that holds a message of the API.
-func (c *Client) Message(ctx context.Context, g Digest, m proto.Message) error {
-	if g.Size > maxMessage {
-		return fmt.Errorf("%w: %v has more than %d bytes", ErrMalformed, g, maxMessage)
+func (c *Client) Message(ctx context.Context, digest Digest, m proto.Message) error {
+	if digest.Size > maxMessageBytes {
+		return fmt.Errorf("%w: %v has more than %d bytes", ErrMalformed, digest, maxMessageBytes)
 	}
-	raw, err := c.Get(ctx, g)
+	raw, err := c.Get(ctx, digest)
 	if err != nil {
 		return err
 	}
 	if err := proto.Unmarshal(raw, m); err != nil {
-		return fmt.Errorf("%w: %v is not a %s: %w", ErrMalformed, g, m.ProtoReflect().Descriptor().Name(), err)
+		return fmt.Errorf("%w: %v is not a %s: %w", ErrMalformed, digest, m.ProtoReflect().Descriptor().Name(), err)
 	}
 	return nil
 }
 
 // Read copies a blob to w and checks it. After an error, what was written to w must not be
 // used. A read that is interrupted is resumed.
-func (c *Client) Read(ctx context.Context, g Digest, w io.Writer) error {
-	h, err := newHash(g.Function)
-	if err != nil || g.Empty() {
+func (c *Client) Read(ctx context.Context, digest Digest, w io.Writer) error {
+	h, err := newHash(digest.Function)
+	if err != nil || digest.Empty() {
 		return err
 	}
-	at := int64(0)
+	offset := int64(0)
 	err = Retry(ctx, func() error {
-		in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: Resource{Instance: c.Instance, Digest: g}.Name(), ReadOffset: at})
+		in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: Resource{Instance: c.Instance, Digest: digest}.Name(), ReadOffset: offset})
 		for err == nil {
 			var msg *bspb.ReadResponse
 			if msg, err = in.Recv(); err != nil {
 				break
 			}
-			at += int64(len(msg.Data))
+			offset += int64(len(msg.Data))
 			_, _ = h.Write(msg.Data)
 			_, err = w.Write(msg.Data)
 		}
@@ -148,18 +148,18 @@
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("reading %v: %w", g, err)
+		return fmt.Errorf("reading %v: %w", digest, err)
 	}
-	if got := fmt.Sprintf("%x", h.Sum(nil)); at != g.Size || got != g.Hash {
-		return fmt.Errorf("reading %v: %w: got %s/%d", g, ErrWrongContent, got, at)
+	if got := fmt.Sprintf("%x", h.Sum(nil)); offset != digest.Size || got != digest.Hash {
+		return fmt.Errorf("reading %v: %w: got %s/%d", digest, ErrWrongContent, got, offset)
 	}
 	return nil
 }
 
 // Put stores a blob and returns its digest.
 func (c *Client) Put(ctx context.Context, f Function, content []byte) (Digest, error) {
-	g := Sum(f, content)
-	return g, c.upload(ctx, g, bytes.NewReader(content))
+	digest := Sum(f, content)
+	return digest, c.upload(ctx, digest, bytes.NewReader(content))
 }
 
 // PutMessage stores a message as a blob.
@@ -187,51 +187,51 @@
 }
 
 // PutFile stores a file whose digest is known.
-func (c *Client) PutFile(ctx context.Context, g Digest, path string) error {
+func (c *Client) PutFile(ctx context.Context, digest Digest, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
-	return c.upload(ctx, g, in)
+	return c.upload(ctx, digest, in)
 }
 
 // upload sends a blob. One that the store already has is not sent, and an upload that is
 // interrupted is resumed.
-func (c *Client) upload(ctx context.Context, g Digest, r io.ReadSeeker) error {
-	if g.Empty() {
+func (c *Client) upload(ctx context.Context, digest Digest, r io.ReadSeeker) error {
+	if digest.Empty() {
 		return nil
 	}
-	name := Resource{Instance: c.Instance, Upload: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()), Digest: g}.Name()
-	at, begun := int64(0), false
+	name := Resource{Instance: c.Instance, Upload: fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()), Digest: digest}.Name()
+	offset, started := int64(0), false
 	err := Retry(ctx, func() error {
-		if begun {
+		if started {
 			st, err := c.stream.QueryWriteStatus(ctx, &bspb.QueryWriteStatusRequest{ResourceName: name})
 			switch {
 			case err == nil && st.Complete:
 				return nil
 			case err == nil:
-				at = st.CommittedSize
+				offset = st.CommittedSize
 			case status.Code(err) == codes.NotFound:
-				at = 0
+				offset = 0
 			default:
 				return err
 			}
 		}
-		begun = true
-		if _, err := r.Seek(at, io.SeekStart); err != nil {
+		started = true
+		if _, err := r.Seek(offset, io.SeekStart); err != nil {
 			return err
 		}
-		return c.send(ctx, name, g.Size, at, r)
+		return c.send(ctx, name, digest.Size, offset, r)
 	})
 	if err != nil {
-		return fmt.Errorf("writing %v: %w", g, err)
+		return fmt.Errorf("writing %v: %w", digest, err)
 	}
 	return nil
 }
 
 // send makes one attempt to send a blob from an offset on.
-func (c *Client) send(ctx context.Context, name string, size, at int64, r io.Reader) error {
+func (c *Client) send(ctx context.Context, name string, size, offset int64, r io.Reader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	out, err := c.stream.Write(ctx)
@@ -240,12 +240,12 @@
 	}
 	buf := make([]byte, chunkBytes)
 	for {
-		n, err := io.ReadFull(r, buf[:min(int64(len(buf)), size-at)])
-		if err != nil && at+int64(n) < size {
-			return fmt.Errorf("the content ended after %d bytes: %w", at+int64(n), err)
+		n, err := io.ReadFull(r, buf[:min(int64(len(buf)), size-offset)])
+		if err != nil && offset+int64(n) < size {
+			return fmt.Errorf("the content ended after %d bytes: %w", offset+int64(n), err)
 		}
-		msg := &bspb.WriteRequest{ResourceName: name, WriteOffset: at, Data: buf[:n], FinishWrite: at+int64(n) == size}
-		at += int64(n)
+		msg := &bspb.WriteRequest{ResourceName: name, WriteOffset: offset, Data: buf[:n], FinishWrite: offset+int64(n) == size}
+		offset += int64(n)
 		if err := out.Send(msg); err != nil || msg.FinishWrite {
 			break // CloseAndRecv returns the server's error
 		}
@@ -352,8 +352,8 @@
 // readBatch reads the blobs of one batch, checks each and passes it to take.
 func (c *Client) readBatch(ctx context.Context, batch []Digest, take func(Digest, []byte) error) error {
 	req := &repb.BatchReadBlobsRequest{InstanceName: c.Instance, DigestFunction: batch[0].Function}
-	for _, g := range batch {
-		req.Digests = append(req.Digests, g.Proto())
+	for _, digest := range batch {
+		req.Digests = append(req.Digests, digest.Proto())
 	}
 	var resp *repb.BatchReadBlobsResponse
 	if err := Retry(ctx, func() (err error) { resp, err = c.blobs.BatchReadBlobs(ctx, req); return err }); err != nil {
@@ -374,11 +374,11 @@
 }
 
 // checkResponse returns why a response of a batch does not hold the blob of a digest, if so.
-func checkResponse(g Digest, r *repb.BatchReadBlobsResponse_Response) error {
+func checkResponse(digest Digest, r *repb.BatchReadBlobsResponse_Response) error {
 	if err := status.FromProto(r.Status).Err(); err != nil {
 		return err
 	}
-	if Sum(g.Function, r.Data) != g {
+	if Sum(digest.Function, r.Data) != digest {
 		return ErrWrongContent
 	}
 	return nil
--- a/internal/cas/digest.go
+++ b/internal/cas/digest.go
@@ -115,8 +115,8 @@
 	Digest   Digest
 }
 
-// maxUploadID bounds the UUID of an upload, in bytes.
-const maxUploadID = 128
+// maxUploadIDBytes bounds the UUID of an upload, in bytes.
+const maxUploadIDBytes = 128
 
 // ParseResource reads the resource name of a blob, such as
 // INSTANCE/compressed-blobs/zstd/HASH/SIZE, or of an upload, such as
@@ -130,69 +130,69 @@
 	return r, nil
 }
 
-func parseResource(words []string) (r Resource, err error) {
-	start := slices.IndexFunc(words, func(w string) bool { return w == "uploads" || w == "blobs" || w == "compressed-blobs" })
+func parseResource(segments []string) (r Resource, err error) {
+	start := slices.IndexFunc(segments, func(w string) bool { return w == "uploads" || w == "blobs" || w == "compressed-blobs" })
 	if start < 0 {
-		start = len(words)
+		start = len(segments)
 	}
-	r.Instance, words = strings.Join(words[:start], "/"), words[start:]
-	if len(words) > 1 && words[0] == "uploads" {
-		if r.Upload = words[1]; r.Upload == "" || len(r.Upload) > maxUploadID {
+	r.Instance, segments = strings.Join(segments[:start], "/"), segments[start:]
+	if len(segments) > 1 && segments[0] == "uploads" {
+		if r.Upload = segments[1]; r.Upload == "" || len(r.Upload) > maxUploadIDBytes {
 			return r, errors.New("the upload has no id, or a very long one")
 		}
-		words = words[2:]
+		segments = segments[2:]
 	}
 	switch {
-	case len(words) > 2 && words[0] == "blobs":
-		words = words[1:]
-	case len(words) > 3 && words[0] == "compressed-blobs":
-		if words[1] != "zstd" {
-			return r, fmt.Errorf("compressor %s: must be zstd", words[1])
+	case len(segments) > 2 && segments[0] == "blobs":
+		segments = segments[1:]
+	case len(segments) > 3 && segments[0] == "compressed-blobs":
+		if segments[1] != "zstd" {
+			return r, fmt.Errorf("compressor %s: must be zstd", segments[1])
 		}
-		r.Zstd, words = true, words[2:]
+		r.Zstd, segments = true, segments[2:]
 	default:
 		return r, errors.New("must hold blobs/HASH/SIZE or compressed-blobs/zstd/HASH/SIZE")
 	}
-	r.Digest, err = parseResourceDigest(words, r.Upload != "")
+	r.Digest, err = parseResourceDigest(segments, r.Upload != "")
 	return r, err
 }
 
 // parseResourceDigest reads [FUNCTION/]HASH/SIZE. More may follow if that is allowed.
-func parseResourceDigest(words []string, moreAllowed bool) (Digest, error) {
+func parseResourceDigest(segments []string, moreAllowed bool) (Digest, error) {
 	f := Functions[0]
-	switch words[0] {
+	switch segments[0] {
 	case "blake3":
-		f, words = repb.DigestFunction_BLAKE3, words[1:]
+		f, segments = repb.DigestFunction_BLAKE3, segments[1:]
 	case "sha256":
-		words = words[1:]
+		segments = segments[1:]
 	}
-	if len(words) < 2 || !moreAllowed && len(words) > 2 {
+	if len(segments) < 2 || !moreAllowed && len(segments) > 2 {
 		return Digest{}, errors.New("must end with HASH/SIZE")
 	}
-	size, err := strconv.ParseInt(words[1], 10, 64)
+	size, err := strconv.ParseInt(segments[1], 10, 64)
 	if err != nil {
-		return Digest{}, fmt.Errorf("size %s: must be a number", words[1])
+		return Digest{}, fmt.Errorf("size %s: must be a number", segments[1])
 	}
-	d := Digest{f, words[0], size}
+	d := Digest{f, segments[0], size}
 	return d, d.check()
 }
 
 // Name returns the resource name, as ParseResource reads it.
 func (r Resource) Name() string {
-	var words []string
+	var segments []string
 	if r.Instance != "" {
-		words = append(words, r.Instance)
+		segments = append(segments, r.Instance)
 	}
 	if r.Upload != "" {
-		words = append(words, "uploads", r.Upload)
+		segments = append(segments, "uploads", r.Upload)
 	}
 	if r.Zstd {
-		words = append(words, "compressed-blobs", "zstd")
+		segments = append(segments, "compressed-blobs", "zstd")
 	} else {
-		words = append(words, "blobs")
+		segments = append(segments, "blobs")
 	}
 	if r.Digest.Function == repb.DigestFunction_BLAKE3 {
-		words = append(words, "blake3")
+		segments = append(segments, "blake3")
 	}
-	return strings.Join(append(words, r.Digest.String()), "/")
+	return strings.Join(append(segments, r.Digest.String()), "/")
 }
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -63,15 +63,15 @@
 const touchInterval = time.Minute
 
 // Open opens the store in a directory, which is created if need be.
-func Open(dir string, limit int64, keep time.Duration) (*Disk, error) {
-	d := &Disk{dir: dir, limit: limit, retention: keep, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
+func Open(dir string, limit int64, retention time.Duration) (*Disk, error) {
+	d := &Disk{dir: dir, limit: limit, retention: retention, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
 	for _, sub := range []string{"blobs", "uploads", "results"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, fmt.Errorf("making the directory of %s: %w", sub, err)
 		}
 	}
 	var err error
-	if d.logs, err = newLogs(dir, keep); err != nil {
+	if d.logs, err = newLogs(dir, retention); err != nil {
 		return nil, fmt.Errorf("making the directory of logs: %w", err)
 	}
 	if err := d.load(); err != nil {
@@ -95,11 +95,11 @@
 		if err != nil {
 			return err
 		}
-		g, ok := digestOf(path)
-		if !ok || info.Size() != g.Size { // a partial blob, or a foreign file
+		digest, ok := digestOf(path)
+		if !ok || info.Size() != digest.Size { // a partial blob, or a foreign file
 			return os.Remove(path)
 		}
-		found = append(found, &blob{digest: g, lastUsed: info.ModTime(), lastTouched: info.ModTime()})
+		found = append(found, &blob{digest: digest, lastUsed: info.ModTime(), lastTouched: info.ModTime()})
 		return nil
 	})
 	if err != nil {
@@ -125,8 +125,8 @@
 }
 
 // path returns the file of a blob.
-func (d *Disk) path(g Digest) string {
-	return filepath.Join(d.dir, "blobs", strings.ToLower(g.Function.String()), g.Hash[:2], g.Hash+"-"+strconv.FormatInt(g.Size, 10))
+func (d *Disk) path(digest Digest) string {
+	return filepath.Join(d.dir, "blobs", strings.ToLower(digest.Function.String()), digest.Hash[:2], digest.Hash+"-"+strconv.FormatInt(digest.Size, 10))
 }
 
 // digestOf returns the digest of the blob in a file, from its name.
@@ -134,25 +134,25 @@
 	h, size, _ := strings.Cut(filepath.Base(path), "-")
 	n, err := strconv.ParseInt(size, 10, 64)
 	f := repb.DigestFunction_Value_value[strings.ToUpper(filepath.Base(filepath.Dir(filepath.Dir(path))))]
-	g := Digest{Function(f), h, n}
-	return g, err == nil && g.check() == nil
+	digest := Digest{Function(f), h, n}
+	return digest, err == nil && digest.check() == nil
 }
 
 // Has reports whether a blob is in the store. That counts as a use: the blob is not evicted
 // for the retention time.
-func (d *Disk) Has(g Digest) bool {
-	if g.Empty() {
+func (d *Disk) Has(digest Digest) bool {
+	if digest.Empty() {
 		return true
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.touch(g) != nil
+	return d.touch(digest) != nil
 }
 
 // touch records the use of a blob and returns it, or nil if it is not in the store. The lock
 // is held.
-func (d *Disk) touch(g Digest) *blob {
-	e := d.blobs[g]
+func (d *Disk) touch(digest Digest) *blob {
+	e := d.blobs[digest]
 	if e == nil {
 		return nil
 	}
@@ -161,18 +161,18 @@
 	d.lru.MoveToBack(e)
 	if b.lastUsed.Sub(b.lastTouched) > touchInterval {
 		b.lastTouched = b.lastUsed
-		_ = os.Chtimes(d.path(g), b.lastUsed, b.lastUsed)
+		_ = os.Chtimes(d.path(digest), b.lastUsed, b.lastUsed)
 	}
 	return b
 }
 
 // remove deletes a blob. The lock is held. and what is known of it.
-func (d *Disk) remove(g Digest) {
-	if e := d.blobs[g]; e != nil {
+func (d *Disk) remove(digest Digest) {
+	if e := d.blobs[digest]; e != nil {
 		d.lru.Remove(e)
-		delete(d.blobs, g)
-		d.bytes -= g.Size
-		_ = os.Remove(d.path(g))
+		delete(d.blobs, digest)
+		d.bytes -= digest.Size
+		_ = os.Remove(d.path(digest))
 	}
 }
 
@@ -214,11 +214,11 @@
 }
 
 // Get reads a whole blob of at most limit bytes.
-func (d *Disk) Get(g Digest, limit int64) ([]byte, error) {
-	if g.Size > limit {
-		return nil, fmt.Errorf("%v: larger than %d bytes", g, limit)
+func (d *Disk) Get(digest Digest, limit int64) ([]byte, error) {
+	if digest.Size > limit {
+		return nil, fmt.Errorf("%v: larger than %d bytes", digest, limit)
 	}
-	r, err := d.Reader(g)
+	r, err := d.Reader(digest)
 	if err != nil {
 		return nil, err
 	}
@@ -227,14 +227,14 @@
 }
 
 // Put keeps a whole blob.
-func (d *Disk) Put(g Digest, content []byte) error {
-	if Sum(g.Function, content) != g {
-		return fmt.Errorf("%w: %v", ErrWrongContent, g)
+func (d *Disk) Put(digest Digest, content []byte) error {
+	if Sum(digest.Function, content) != digest {
+		return fmt.Errorf("%w: %v", ErrWrongContent, digest)
 	}
-	if d.Has(g) {
+	if d.Has(digest) {
 		return nil
 	}
-	w, err := d.Writer(g, "")
+	w, err := d.Writer(digest, "")
 	if err != nil {
 		return err
 	}
--- a/internal/cas/limits.go
+++ b/internal/cas/limits.go
@@ -24,7 +24,7 @@
 // after. No call is queued.
 func LimitCalls(calls int) []grpc.ServerOption {
 	open := make(chan struct{}, calls)
-	enter := func() (func(), error) {
+	acquire := func() (func(), error) {
 		select {
 		case open <- struct{}{}:
 			return func() { <-open }, nil
@@ -34,19 +34,19 @@
 	}
 	return []grpc.ServerOption{
 		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
-			leave, err := enter()
+			release, err := acquire()
 			if err != nil {
 				return nil, err
 			}
-			defer leave()
+			defer release()
 			return h(ctx, req)
 		}),
 		grpc.StreamInterceptor(func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, h grpc.StreamHandler) error {
-			leave, err := enter()
+			release, err := acquire()
 			if err != nil {
 				return err
 			}
-			defer leave()
+			defer release()
 			return h(srv, ss)
 		}),
 	}
@@ -54,9 +54,9 @@
 
 // Busy is the error for a call that must be retried later, because too many are open or the
 // store is full.
-func Busy(why string, after time.Duration) error {
-	st := status.New(codes.ResourceExhausted, why)
-	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
+func Busy(reason string, delay time.Duration) error {
+	st := status.New(codes.ResourceExhausted, reason)
+	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(delay)}); err == nil {
 		st = with
 	}
 	return st.Err()
--- a/internal/cas/logclient.go
+++ b/internal/cas/logclient.go
@@ -11,10 +11,10 @@
 
 // Log is a log that is being written.
 type Log struct {
-	out  bspb.ByteStream_WriteClient
-	name string
-	at   int64
-	stop context.CancelFunc
+	out    bspb.ByteStream_WriteClient
+	name   string
+	offset int64
+	stop   context.CancelFunc
 }
 
 // Log begins a log. It ends with the context at the latest.
@@ -30,9 +30,9 @@
 
 // Write appends to the log.
 func (l *Log) Write(p []byte) (int, error) {
-	err := l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, Data: p})
+	err := l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, Data: p})
 	if err == nil {
-		l.at += int64(len(p))
+		l.offset += int64(len(p))
 	}
 	return len(p), err
 }
@@ -40,7 +40,7 @@
 // Close finishes the log.
 func (l *Log) Close() error {
 	defer l.stop()
-	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.at, FinishWrite: true})
+	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, FinishWrite: true})
 	_, err := l.out.CloseAndRecv()
 	return err
 }
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -22,8 +22,8 @@
 	dir       string
 	retention time.Duration
 
-	mu   sync.Mutex
-	open map[string]*logFile
+	mu    sync.Mutex
+	files map[string]*logFile
 }
 
 // logFile is the state of one log; the lock of its logs guards it.
@@ -38,9 +38,9 @@
 
 // Bounds of logs.
 const (
-	maxLog     = 64 << 20 // bytes of one
-	maxLogs    = 10_000   // at once
-	maxLogName = 300      // bytes of a resource name
+	maxLogBytes     = 64 << 20 // bytes of one
+	maxLogs         = 10_000   // at once
+	maxLogNameBytes = 300      // bytes of a resource name
 )
 
 // logPrefix precedes the name of a log in its resource name, and is the directory of logs.
@@ -54,15 +54,15 @@
 // parseLog returns the name of the log that a resource name stands for, if it does.
 func parseLog(resource string) (string, bool) {
 	at := strings.Index("/"+resource, "/"+logPrefix+"/")
-	if at < 0 || len(resource) > maxLogName {
+	if at < 0 || len(resource) > maxLogNameBytes {
 		return "", false
 	}
 	return resource[at+len(logPrefix)+1:], true
 }
 
 // newLogs returns an empty set of logs in a directory, and deletes those of earlier processes.
-func newLogs(dir string, keep time.Duration) (*logs, error) {
-	l := &logs{dir: filepath.Join(dir, logPrefix), retention: max(keep, time.Minute), open: make(map[string]*logFile)}
+func newLogs(dir string, retention time.Duration) (*logs, error) {
+	l := &logs{dir: filepath.Join(dir, logPrefix), retention: max(retention, time.Minute), files: make(map[string]*logFile)}
 	// The commands of an earlier process are not followed any more.
 	return l, errors.Join(os.RemoveAll(l.dir), os.MkdirAll(l.dir, 0o755))
 }
@@ -71,52 +71,52 @@
 func (l *logs) create(name string) (*logFile, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for other, g := range l.open {
-		if time.Since(g.lastWrite) > l.retention {
-			l.remove(other, g)
+	for other, log := range l.files {
+		if time.Since(log.lastWrite) > l.retention {
+			l.remove(other, log)
 		}
 	}
-	if old := l.open[name]; old != nil {
+	if old := l.files[name]; old != nil {
 		l.remove(name, old)
 	}
-	if len(l.open) >= maxLogs {
-		return nil, fmt.Errorf("%w: %d logs", ErrFull, len(l.open))
+	if len(l.files) >= maxLogs {
+		return nil, fmt.Errorf("%w: %d logs", ErrFull, len(l.files))
 	}
 	f, err := os.CreateTemp(l.dir, "log-*")
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	g := &logFile{path: f.Name(), lastWrite: time.Now(), changed: make(chan struct{})}
-	l.open[name] = g
-	return g, nil
+	log := &logFile{path: f.Name(), lastWrite: time.Now(), changed: make(chan struct{})}
+	l.files[name] = log
+	return log, nil
 }
 
 // remove deletes a log and disconnects its readers. The lock is held.
-func (l *logs) remove(name string, g *logFile) {
-	g.superseded = true
-	close(g.changed)
-	g.changed = make(chan struct{})
-	delete(l.open, name)
-	_ = os.Remove(g.path)
+func (l *logs) remove(name string, file *logFile) {
+	file.superseded = true
+	close(file.changed)
+	file.changed = make(chan struct{})
+	delete(l.files, name)
+	_ = os.Remove(file.path)
 }
 
 // find returns a log, or nil.
 func (l *logs) find(name string) *logFile {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.open[name]
+	return l.files[name]
 }
 
 // appendTo appends to a log. What exceeds the bound is dropped.
-func (l *logs) appendTo(g *logFile, data []byte, finished bool) error {
+func (l *logs) appendTo(file *logFile, data []byte, finished bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if g.superseded {
+	if file.superseded {
 		return errSuperseded
 	}
-	data = data[:min(int64(len(data)), maxLog-g.size)]
-	f, err := os.OpenFile(g.path, os.O_WRONLY|os.O_APPEND, 0o644)
+	data = data[:min(int64(len(data)), maxLogBytes-file.size)]
+	f, err := os.OpenFile(file.path, os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
 	}
@@ -124,10 +124,10 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	g.size += int64(len(data))
-	g.finished, g.lastWrite = g.finished || finished, time.Now()
-	close(g.changed)
-	g.changed = make(chan struct{})
+	file.size += int64(len(data))
+	file.finished, file.lastWrite = file.finished || finished, time.Now()
+	close(file.changed)
+	file.changed = make(chan struct{})
 	return nil
 }
 
@@ -136,11 +136,11 @@
 
 // follow copies a log from an offset on to w as it grows, until it is finished.
 func (l *logs) follow(ctx context.Context, name string, offset int64, w io.Writer) error {
-	g := l.find(name)
-	if g == nil {
+	file := l.find(name)
+	if file == nil {
 		return fmt.Errorf("%w: log %s", ErrNotFound, name)
 	}
-	f, err := os.Open(g.path)
+	f, err := os.Open(file.path)
 	if err != nil {
 		return fmt.Errorf("%w: log %s", ErrNotFound, name)
 	}
@@ -151,7 +151,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		l.mu.Lock()
-		changed, finished, superseded := g.changed, g.finished, g.superseded
+		changed, finished, superseded := file.changed, file.finished, file.superseded
 		l.mu.Unlock()
 		if err := copyAvailable(w, f, buf); err != nil {
 			return err
--- a/internal/cas/reader.go
+++ b/internal/cas/reader.go
@@ -11,15 +11,15 @@
 )
 
 // Reader opens a blob. Its hash is checked first if it was not since the process started.
-func (d *Disk) Reader(g Digest) (io.ReadSeekCloser, error) {
-	if g.Empty() {
+func (d *Disk) Reader(digest Digest) (io.ReadSeekCloser, error) {
+	if digest.Empty() {
 		return &reader{ReadSeeker: strings.NewReader("")}, nil
 	}
 	d.mu.Lock()
-	b := d.touch(g)
+	b := d.touch(digest)
 	if b == nil {
 		d.mu.Unlock()
-		return nil, fmt.Errorf("%w: %v", ErrNotFound, g)
+		return nil, fmt.Errorf("%w: %v", ErrNotFound, digest)
 	}
 	b.readers++
 	verified := b.verified
@@ -34,10 +34,10 @@
 		release()
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, ErrWrongContent) {
 			d.mu.Lock()
-			d.remove(g)
+			d.remove(digest)
 			d.damaged++
 			d.mu.Unlock()
-			return nil, fmt.Errorf("%w: %v: %w", ErrNotFound, g, err)
+			return nil, fmt.Errorf("%w: %v: %w", ErrNotFound, digest, err)
 		}
 		return nil, err
 	}
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessage bounds a message that is read into memory, such as a Directory, in bytes.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds a message that is read into memory, such as a Directory, in bytes.
+const maxMessageBytes = 4 << 20
 
 // resultPath returns the file of an action's result.
 func (d *Disk) resultPath(instance string, action Digest) string {
@@ -67,8 +67,8 @@
 	return &r, nil
 }
 
-// maxTree bounds the message of an output directory, in bytes.
-const maxTree = 64 << 20
+// maxTreeBytes bounds the message of an output directory, in bytes.
+const maxTreeBytes = 64 << 20
 
 // MissingOutput returns an output of a result that is not in the store, or nil. For output
 // directories that includes the files in them.
@@ -92,12 +92,12 @@
 // firstMissing returns the first of some blobs that is not in the store, or nil. The ones
 // before it count as used; a nil digest stands for no blob.
 func (d *Disk) firstMissing(f Function, digests []*repb.Digest) *Digest {
-	for _, p := range digests {
-		if p == nil {
+	for _, protoDigest := range digests {
+		if protoDigest == nil {
 			continue
 		}
-		if g, err := ParseDigest(f, p); err != nil || !d.Has(g) {
-			return &g
+		if digest, err := ParseDigest(f, protoDigest); err != nil || !d.Has(digest) {
+			return &digest
 		}
 	}
 	return nil
@@ -105,18 +105,18 @@
 
 // missingOfTree returns the blob of an output directory, or a file in it, that is not in the
 // store, or nil. A tree that can't be read counts as missing.
-func (d *Disk) missingOfTree(f Function, p *repb.Digest) *Digest {
-	if p == nil {
+func (d *Disk) missingOfTree(f Function, protoDigest *repb.Digest) *Digest {
+	if protoDigest == nil {
 		return nil
 	}
-	g, err := ParseDigest(f, p)
-	if err != nil || !d.Has(g) {
-		return &g
+	digest, err := ParseDigest(f, protoDigest)
+	if err != nil || !d.Has(digest) {
+		return &digest
 	}
-	raw, err := d.Get(g, maxTree)
+	raw, err := d.Get(digest, maxTreeBytes)
 	var tree repb.Tree
 	if err != nil || proto.Unmarshal(raw, &tree) != nil {
-		return &g
+		return &digest
 	}
 	var files []*repb.Digest
 	for _, dir := range append(tree.Children, tree.Root) {
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -72,11 +72,11 @@
 func (s *Server) FindMissingBlobs(_ context.Context, r *repb.FindMissingBlobsRequest) (*repb.FindMissingBlobsResponse, error) {
 	out := &repb.FindMissingBlobsResponse{}
 	for _, p := range r.BlobDigests {
-		g, err := ParseDigest(r.DigestFunction, p)
+		digest, err := ParseDigest(r.DigestFunction, p)
 		if err != nil {
 			return nil, asStatus(err)
 		}
-		if !s.disk.Has(g) {
+		if !s.disk.Has(digest) {
 			out.MissingBlobDigests = append(out.MissingBlobDigests, p)
 		}
 	}
@@ -100,7 +100,7 @@
 
 // update stores one blob of a batch.
 func (s *Server) update(f Function, b *repb.BatchUpdateBlobsRequest_Request) error {
-	g, err := ParseDigest(f, b.Digest)
+	digest, err := ParseDigest(f, b.Digest)
 	if err != nil {
 		return err
 	}
@@ -108,17 +108,17 @@
 	switch b.Compressor {
 	case repb.Compressor_IDENTITY:
 	case repb.Compressor_ZSTD:
-		if data, err = unzstd(data, g.Size); err != nil {
+		if data, err = decompress(data, digest.Size); err != nil {
 			return err
 		}
 	default:
 		return status.Errorf(codes.InvalidArgument, "compressor %v: must be ZSTD or none", b.Compressor)
 	}
-	return s.disk.Put(g, data)
+	return s.disk.Put(digest, data)
 }
 
-// unzstd decompresses a blob of exactly size bytes.
-func unzstd(data []byte, size int64) ([]byte, error) {
+// decompress decompresses a blob of exactly size bytes.
+func decompress(data []byte, size int64) ([]byte, error) {
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(max(size, 1<<10))))
 	if err != nil {
 		return nil, err
@@ -140,10 +140,10 @@
 		}
 	}
 	for _, p := range r.Digests {
-		g, err := ParseDigest(r.DigestFunction, p)
+		digest, err := ParseDigest(r.DigestFunction, p)
 		var data []byte
 		if err == nil {
-			data, err = s.disk.Get(g, s.limits.Batch)
+			data, err = s.disk.Get(digest, s.limits.Batch)
 		}
 		out.Responses = append(out.Responses, &repb.BatchReadBlobsResponse_Response{Digest: p, Data: data, Status: statusOf(err)})
 	}
@@ -189,9 +189,9 @@
 func unseenSubdirectories(f Function, dir *repb.Directory, seen map[Digest]bool) []Digest {
 	var unseen []Digest
 	for _, sub := range dir.Directories {
-		if g, err := ParseDigest(f, sub.Digest); err == nil && !seen[g] {
-			seen[g] = true
-			unseen = append(unseen, g)
+		if digest, err := ParseDigest(f, sub.Digest); err == nil && !seen[digest] {
+			seen[digest] = true
+			unseen = append(unseen, digest)
 		}
 	}
 	return unseen
@@ -199,14 +199,14 @@
 
 // directory reads a directory, or returns nil if it is missing. The files that it names count
 // as used.
-func (s *Server) directory(g Digest) *repb.Directory {
-	raw, err := s.disk.Get(g, maxMessage)
+func (s *Server) directory(digest Digest) *repb.Directory {
+	raw, err := s.disk.Get(digest, maxMessageBytes)
 	var dir repb.Directory
 	if err != nil || proto.Unmarshal(raw, &dir) != nil {
 		return nil
 	}
 	for _, f := range dir.Files {
-		if file, err := ParseDigest(g.Function, f.Digest); err == nil {
+		if file, err := ParseDigest(digest.Function, f.Digest); err == nil {
 			s.disk.Has(file)
 		}
 	}
@@ -215,26 +215,26 @@
 
 // GetActionResult implements the API.
 func (s *Server) GetActionResult(_ context.Context, r *repb.GetActionResultRequest) (*repb.ActionResult, error) {
-	g, err := ParseDigest(r.DigestFunction, r.ActionDigest)
+	digest, err := ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
 		return nil, asStatus(err)
 	}
-	res, err := s.disk.Result(r.InstanceName, g)
+	res, err := s.disk.Result(r.InstanceName, digest)
 	return res, asStatus(err)
 }
 
 // UpdateActionResult implements the API. A result with a missing output is refused: it would
 // never be served.
 func (s *Server) UpdateActionResult(_ context.Context, r *repb.UpdateActionResultRequest) (*repb.ActionResult, error) {
-	g, err := ParseDigest(r.DigestFunction, r.ActionDigest)
+	digest, err := ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
 		return nil, asStatus(err)
 	}
 	if r.ActionResult == nil {
 		return nil, status.Error(codes.InvalidArgument, "action_result: missing")
 	}
-	if lost := s.disk.MissingOutput(g.Function, r.ActionResult); lost != nil {
-		return nil, status.Errorf(codes.FailedPrecondition, "output %v is not in the store", lost)
+	if missing := s.disk.MissingOutput(digest.Function, r.ActionResult); missing != nil {
+		return nil, status.Errorf(codes.FailedPrecondition, "output %v is not in the store", missing)
 	}
-	return r.ActionResult, asStatus(s.disk.PutResult(r.InstanceName, g, r.ActionResult))
+	return r.ActionResult, asStatus(s.disk.PutResult(r.InstanceName, digest, r.ActionResult))
 }
--- a/internal/cas/writer.go
+++ b/internal/cas/writer.go
@@ -22,28 +22,28 @@
 }
 
 // Writer begins an upload, or resumes the one with the same id and digest.
-func (d *Disk) Writer(g Digest, id string) (*Writer, error) {
-	h, err := newHash(g.Function)
+func (d *Disk) Writer(digest Digest, id string) (*Writer, error) {
+	h, err := newHash(digest.Function)
 	if err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
-	if err = d.makeRoom(g.Size); id != "" && d.uploads[id] {
+	if err = d.makeRoom(digest.Size); id != "" && d.uploads[id] {
 		err = ErrBusy // two writers of one file would overwrite each other
 	}
 	if err == nil {
-		d.reserved += g.Size
+		d.reserved += digest.Size
 		d.uploads[id] = id != ""
 	}
 	d.mu.Unlock()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", err, g)
+		return nil, fmt.Errorf("%w: %v", err, digest)
 	}
-	w := &Writer{disk: d, digest: g, hash: h, id: id, reserved: g.Size}
+	w := &Writer{disk: d, digest: digest, hash: h, id: id, reserved: digest.Size}
 	if id == "" {
 		w.file, err = os.CreateTemp(filepath.Join(d.dir, "uploads"), "whole-*")
-	} else if w.file, err = os.OpenFile(d.uploadPath(g, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
-		w.written, err = io.Copy(h, io.LimitReader(w.file, g.Size)) // what was uploaded before
+	} else if w.file, err = os.OpenFile(d.uploadPath(digest, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
+		w.written, err = io.Copy(h, io.LimitReader(w.file, digest.Size)) // what was uploaded before
 	}
 	if err != nil {
 		w.Close()
@@ -53,17 +53,17 @@
 }
 
 // uploadPath returns the file of an upload. The id comes from a client and may hold anything.
-func (d *Disk) uploadPath(g Digest, id string) string {
-	return filepath.Join(d.dir, "uploads", Sum(Functions[0], []byte(id+"/"+g.String())).Hash)
+func (d *Disk) uploadPath(digest Digest, id string) string {
+	return filepath.Join(d.dir, "uploads", Sum(Functions[0], []byte(id+"/"+digest.String())).Hash)
 }
 
 // Uploaded returns how many bytes of an upload have been received.
-func (d *Disk) Uploaded(g Digest, id string) (int64, bool) {
-	info, err := os.Stat(d.uploadPath(g, id))
+func (d *Disk) Uploaded(digest Digest, id string) (int64, bool) {
+	info, err := os.Stat(d.uploadPath(digest, id))
 	if err != nil {
 		return 0, false
 	}
-	return min(info.Size(), g.Size), true
+	return min(info.Size(), digest.Size), true
 }
 
 // Size returns how many bytes have been written.
--- a/internal/reapi/client.go
+++ b/internal/reapi/client.go
@@ -54,8 +54,8 @@
 	return &other
 }
 
-// retryPause is the time before a broken stream is opened again at the next controller.
-const retryPause = 500 * time.Millisecond
+// retryDelay is the time before a broken stream is opened again at the next controller.
+const retryDelay = 500 * time.Millisecond
 
 // Execute has an action executed and waits for its answer. A stream that breaks is opened
 // again at the next controller. If progress is not nil, it is called with each stage of the
@@ -64,10 +64,10 @@
 	request := &repb.ExecuteRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function, SkipCacheLookup: skipCache}
 	operation := "" // that the action is executed under, once that is known
 	for ; ; c.next++ {
-		in, err := c.open(ctx, request, operation)
+		stream, err := c.open(ctx, request, operation)
 		for err == nil {
 			var op *longrunningpb.Operation
-			if op, err = in.Recv(); err != nil {
+			if op, err = stream.Recv(); err != nil {
 				break
 			}
 			operation = op.Name
@@ -82,7 +82,7 @@
 		if operation, err = resume(operation, err); err != nil {
 			return nil, err
 		}
-		store.Backoff(ctx, retryPause)
+		store.Backoff(ctx, retryDelay)
 	}
 }
 
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -108,14 +108,14 @@
 	var a repb.Action
 	err := blobs.Message(ctx, op.action, &a)
 	if err == nil {
-		var needs []cas.Digest
+		var needed []cas.Digest
 		for _, p := range []*repb.Digest{a.CommandDigest, a.InputRootDigest} {
-			if g, perr := cas.ParseDigest(op.action.Function, p); perr == nil {
-				needs = append(needs, g)
+			if digest, parseErr := cas.ParseDigest(op.action.Function, p); parseErr == nil {
+				needed = append(needed, digest)
 			}
 		}
-		if _, err = blobs.Missing(ctx, needs); err == nil && len(needs) == 2 && !needs[1].Empty() {
-			_, err = blobs.Tree(ctx, needs[1])
+		if _, err = blobs.Missing(ctx, needed); err == nil && len(needed) == 2 && !needed[1].Empty() {
+			_, err = blobs.Tree(ctx, needed[1])
 		}
 	}
 	if err != nil {
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -32,17 +32,17 @@
 
 // parseOperation reads the name of an operation.
 func parseOperation(name string) (operation, error) {
-	bad := status.Errorf(codes.NotFound, "operation %q: not a name that this service gave", name)
-	words := strings.Split(name, "/")
-	if len(words) != 5 || words[0] != operationPrefix || !wire.ValidJobID(words[4]) {
-		return operation{}, bad
+	notFound := status.Errorf(codes.NotFound, "operation %q: not a name that this service gave", name)
+	segments := strings.Split(name, "/")
+	if len(segments) != 5 || segments[0] != operationPrefix || !wire.ValidJobID(segments[4]) {
+		return operation{}, notFound
 	}
-	g, err := cas.DigestFromString(words[2] + "/" + words[3])
+	digest, err := cas.DigestFromString(segments[2] + "/" + segments[3])
 	if err != nil {
-		return operation{}, bad
+		return operation{}, notFound
 	}
-	g.Function = cas.Function(repb.DigestFunction_Value_value[words[1]])
-	return operation{words[4], g}, nil
+	digest.Function = cas.Function(repb.DigestFunction_Value_value[segments[1]])
+	return operation{segments[4], digest}, nil
 }
 
 // send sends the stage of an operation, and its response once it is done.
@@ -60,11 +60,11 @@
 	}
 	op := &longrunningpb.Operation{Name: o.name(), Metadata: meta}
 	if resp != nil {
-		packed, err := anypb.New(resp)
+		encoded, err := anypb.New(resp)
 		if err != nil {
 			return err
 		}
-		op.Done, op.Result = true, &longrunningpb.Operation_Response{Response: packed}
+		op.Done, op.Result = true, &longrunningpb.Operation_Response{Response: encoded}
 	}
 	return out.Send(op)
 }
--- a/internal/reapi/props.go
+++ b/internal/reapi/props.go
@@ -30,15 +30,15 @@
 
 // properties lists the supported platform properties, each with how it changes a job.
 var properties = map[string]func(j *wire.Job, value string) error{
-	"team":            func(j *wire.Job, v string) error { j.Team = v; return text(v) },
-	"class":           func(j *wire.Job, v string) error { j.Class = v; return text(v) },
-	"priority":        priority,
-	"cpus":            amount(func(j *wire.Job, n float64) { j.CPUs = n }),
-	"gpus":            amount(func(j *wire.Job, n float64) { j.GPUs = n }),
-	"memory-gb":       amount(func(j *wire.Job, n float64) { j.MemoryGB = n }),
-	"zone":            func(j *wire.Job, v string) error { j.Zone = v; return text(v) },
-	"machine-type":    func(j *wire.Job, v string) error { j.Types = append(j.Types, v); return text(v) },
-	"container-image": func(j *wire.Job, v string) error { j.Image = v; return text(v) },
+	"team":            func(j *wire.Job, v string) error { j.Team = v; return checkText(v) },
+	"class":           func(j *wire.Job, v string) error { j.Class = v; return checkText(v) },
+	"priority":        setPriority,
+	"cpus":            amountSetter(func(j *wire.Job, n float64) { j.CPUs = n }),
+	"gpus":            amountSetter(func(j *wire.Job, n float64) { j.GPUs = n }),
+	"memory-gb":       amountSetter(func(j *wire.Job, n float64) { j.MemoryGB = n }),
+	"zone":            func(j *wire.Job, v string) error { j.Zone = v; return checkText(v) },
+	"machine-type":    func(j *wire.Job, v string) error { j.Types = append(j.Types, v); return checkText(v) },
+	"container-image": func(j *wire.Job, v string) error { j.Image = v; return checkText(v) },
 	"spot": func(j *wire.Job, v string) (err error) {
 		if j.Spot, err = strconv.ParseBool(v); err != nil {
 			return fmt.Errorf("must be true or false")
@@ -53,24 +53,24 @@
 	},
 }
 
-// maxText bounds the text of a property, in bytes.
-const maxText = 200
+// maxTextBytes bounds the text of a property, in bytes.
+const maxTextBytes = 200
 
-func text(v string) error {
-	if v == "" || len(v) > maxText || !utf8.ValidString(v) {
+func checkText(value string) error {
+	if value == "" || len(value) > maxTextBytes || !utf8.ValidString(value) {
 		return fmt.Errorf("must be text of 1 to 200 bytes")
 	}
 	return nil
 }
 
-func priority(j *wire.Job, v string) error {
-	if j.Priority = wire.Priority(v); j.Priority.Rank() < 0 {
+func setPriority(j *wire.Job, value string) error {
+	if j.Priority = wire.Priority(value); j.Priority.Rank() < 0 {
 		return fmt.Errorf("must be production, high, normal or low")
 	}
 	return nil
 }
 
-func amount(set func(*wire.Job, float64)) func(*wire.Job, string) error {
+func amountSetter(set func(*wire.Job, float64)) func(*wire.Job, string) error {
 	return func(j *wire.Job, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= 0 && n <= 1e6) {
@@ -88,26 +88,26 @@
 	j := &wire.Job{Class: d.Class, Team: d.Team, Shape: wire.Array, Priority: d.Priority, Tasks: 1, CPUs: d.CPUs, GPUs: d.GPUs,
 		MemoryGB: d.MemoryGB, Image: d.Image, Spot: d.Spot, EstimateS: d.Estimate.Seconds()}
 	if instance != "" {
-		team, class, more := strings.Cut(instance, "/")
-		if j.Team = team; more {
+		team, class, hasClass := strings.Cut(instance, "/")
+		if j.Team = team; hasClass {
 			j.Class = class
 		}
-		if text(j.Team) != nil || text(j.Class) != nil {
+		if checkText(j.Team) != nil || checkText(j.Class) != nil {
 			return nil, status.Errorf(codes.InvalidArgument, "instance_name %q: must be TEAM or TEAM/CLASS", instance)
 		}
 	}
-	var faults []string
+	var problems []string
 	names := slices.Sorted(maps.Keys(properties))
 	for _, p := range props {
 		set := properties[p.Name]
 		if set == nil {
-			faults = append(faults, fmt.Sprintf("%s: unknown, must be one of %s", p.Name, strings.Join(names, ", ")))
+			problems = append(problems, fmt.Sprintf("%s: unknown, must be one of %s", p.Name, strings.Join(names, ", ")))
 		} else if err := set(j, p.Value); err != nil {
-			faults = append(faults, fmt.Sprintf("%s: %q: %v", p.Name, p.Value, err))
+			problems = append(problems, fmt.Sprintf("%s: %q: %v", p.Name, p.Value, err))
 		}
 	}
-	if faults != nil {
-		return nil, status.Errorf(codes.InvalidArgument, "platform property %s", strings.Join(faults, "; "))
+	if problems != nil {
+		return nil, status.Errorf(codes.InvalidArgument, "platform property %s", strings.Join(problems, "; "))
 	}
 	return j, nil
 }
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -50,8 +50,8 @@
 // and any other is not found.
 func TestOperationNames(t *testing.T) {
 	for _, f := range cas.Functions {
-		g := cas.Sum(f, []byte("action"))
-		want := operation{action.JobID(g, 3), g}
+		digest := cas.Sum(f, []byte("action"))
+		want := operation{action.JobID(digest, 3), digest}
 		if got, err := parseOperation(want.name()); err != nil || got != want {
 			t.Errorf("%s: %+v, %v", want.name(), got, err)
 		}
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -34,7 +34,7 @@
 	// RunningTasks returns how many tasks of a job run.
 	RunningTasks func(job string) int
 
-	watch watchers
+	watch jobWatchers
 }
 
 // GRPC returns the gRPC server, with at most calls open calls and streams.
@@ -64,25 +64,25 @@
 // Execute implements the API.
 func (s *Server) Execute(r *repb.ExecuteRequest, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	ctx := out.Context()
-	g, err := cas.ParseDigest(r.DigestFunction, r.ActionDigest)
+	digest, err := cas.ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
 		return status.Errorf(codes.InvalidArgument, "action_digest: %v", err)
 	}
 	blobs := s.Store.ForInstance(r.InstanceName)
 	if !r.SkipCacheLookup {
-		res, err := blobs.Result(ctx, g)
+		res, err := blobs.Result(ctx, digest)
 		switch {
 		case err == nil:
-			return operation{action.JobID(g, 0), g}.send(out, repb.ExecutionStage_COMPLETED, &repb.ExecuteResponse{Result: res, CachedResult: true, Status: status.New(codes.OK, "").Proto()})
+			return operation{action.JobID(digest, 0), digest}.send(out, repb.ExecutionStage_COMPLETED, &repb.ExecuteResponse{Result: res, CachedResult: true, Status: status.New(codes.OK, "").Proto()})
 		case status.Code(err) != codes.NotFound:
 			return storeUnavailable(err)
 		}
 	}
-	job, cacheable, err := s.newJob(ctx, blobs, r, g)
+	job, cacheable, err := s.newJob(ctx, blobs, r, digest)
 	if err != nil {
 		return err
 	}
-	op, err := s.submit(ctx, job, g)
+	op, err := s.submit(ctx, job, digest)
 	if err != nil {
 		return err
 	}
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -23,9 +23,9 @@
 }
 
 // unavailable is an error that says when to retry.
-func unavailable(why string, after time.Duration) error {
-	st := status.New(codes.Unavailable, why)
-	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
+func unavailable(reason string, delay time.Duration) error {
+	st := status.New(codes.Unavailable, reason)
+	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(delay)}); err == nil {
 		st = with
 	}
 	return st.Err()
@@ -33,9 +33,9 @@
 
 // admissionStatus converts an error of admission to the API's code for it.
 func admissionStatus(err error) error {
-	var never *admission.UnrunnableError
+	var unrunnable *admission.UnrunnableError
 	switch {
-	case errors.As(err, &never), errors.Is(err, admission.ErrTooLarge):
+	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrTooLarge):
 		return status.Error(codes.InvalidArgument, err.Error())
 	case errors.Is(err, admission.ErrUnknownJob):
 		return status.Error(codes.NotFound, err.Error())
--- a/internal/reapi/submit.go
+++ b/internal/reapi/submit.go
@@ -20,29 +20,29 @@
 // newJob reads an action and its command and returns the job that executes it, and whether the
 // result may be cached. Only what is needed to place the job is checked here; the machine that
 // runs it checks the rest.
-func (s *Server) newJob(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, g cas.Digest) (*wire.Job, bool, error) {
+func (s *Server) newJob(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, digest cas.Digest) (*wire.Job, bool, error) {
 	var a repb.Action
-	if err := s.readMessage(ctx, blobs, g, &a); err != nil {
+	if err := s.readMessage(ctx, blobs, digest, &a); err != nil {
 		return nil, false, err
 	}
-	cg, err := cas.ParseDigest(g.Function, a.CommandDigest)
+	commandDigest, err := cas.ParseDigest(digest.Function, a.CommandDigest)
 	if err != nil {
 		return nil, false, status.Errorf(codes.InvalidArgument, "command_digest: %v", err)
 	}
-	rg, err := cas.ParseDigest(g.Function, a.InputRootDigest)
+	rootDigest, err := cas.ParseDigest(digest.Function, a.InputRootDigest)
 	if err != nil {
 		return nil, false, status.Errorf(codes.InvalidArgument, "input_root_digest: %v", err)
 	}
 	var c repb.Command
-	if err := s.readMessage(ctx, blobs, cg, &c); err != nil {
+	if err := s.readMessage(ctx, blobs, commandDigest, &c); err != nil {
 		return nil, false, err
 	}
-	lost, err := blobs.Missing(ctx, []cas.Digest{rg})
+	missing, err := blobs.Missing(ctx, []cas.Digest{rootDigest})
 	if err != nil {
 		return nil, false, storeUnavailable(err)
 	}
-	if len(lost) > 0 {
-		return nil, false, action.MissingStatus(lost...).Err()
+	if len(missing) > 0 {
+		return nil, false, action.MissingStatus(missing...).Err()
 	}
 	props := a.GetPlatform().GetProperties()
 	if len(props) == 0 {
@@ -56,13 +56,13 @@
 	if t := a.Timeout.AsDuration(); a.Timeout != nil && t > 0 {
 		job.EstimateS = min(job.EstimateS, t.Seconds())
 	}
-	job.Work = action.NewWork(r.InstanceName, g).Text()
+	job.Work = action.NewWork(r.InstanceName, digest).Text()
 	return job, !a.DoNotCache, nil
 }
 
 // readMessage reads the action, or a blob that it names.
-func (s *Server) readMessage(ctx context.Context, blobs *cas.Client, g cas.Digest, m proto.Message) error {
-	err := blobs.Message(ctx, g, m)
+func (s *Server) readMessage(ctx context.Context, blobs *cas.Client, digest cas.Digest, m proto.Message) error {
+	err := blobs.Message(ctx, digest, m)
 	switch {
 	case err == nil:
 		return nil
@@ -70,7 +70,7 @@
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	if status.Code(err) == codes.NotFound {
-		return action.MissingStatus(g).Err()
+		return action.MissingStatus(digest).Err()
 	}
 	return storeUnavailable(err)
 }
@@ -81,24 +81,24 @@
 // submit returns the unfinished job that executes an action, or submits a new one. An action
 // that is being executed already is shared by all clients; one that was executed before, and
 // whose result could not be found, is executed again.
-func (s *Server) submit(ctx context.Context, job *wire.Job, g cas.Digest) (operation, error) {
+func (s *Server) submit(ctx context.Context, job *wire.Job, digest cas.Digest) (operation, error) {
 	// A job that has ended by now must not be mistaken for a running one: its answer would
 	// be older than the request.
 	if err := s.Admission.Follow.Barrier(ctx); err != nil {
 		return operation{}, admissionStatus(fmt.Errorf("%w: %w", admission.ErrRetryLater, err))
 	}
-	generation, err := s.firstUnfinishedGeneration(ctx, g)
+	generation, err := s.firstUnfinishedGeneration(ctx, digest)
 	if err != nil {
 		return operation{}, err
 	}
 	for range maxGenerations {
-		job.ID = action.JobID(g, generation)
+		job.ID = action.JobID(digest, generation)
 		rec, created, err := s.Admission.Submit(ctx, job)
 		switch {
 		case err != nil:
 			return operation{}, admissionStatus(err)
-		case created, rec.Job != nil && sameAction(rec.Job, g):
-			return operation{job.ID, g}, nil
+		case created, rec.Job != nil && sameAction(rec.Job, digest):
+			return operation{job.ID, digest}, nil
 		}
 		generation++ // ended meanwhile, or a job of another action with the same id
 	}
@@ -106,17 +106,17 @@
 }
 
 // sameAction reports whether a job executes an action.
-func sameAction(j *wire.Job, g cas.Digest) bool {
+func sameAction(j *wire.Job, digest cas.Digest) bool {
 	_, other, err := action.ParseWork(j.Work)
-	return err == nil && other == g
+	return err == nil && other == digest
 }
 
 // firstUnfinishedGeneration returns the first generation of an action's job that has not ended.
 // Generations are used in order, so that an exponential and then a binary search finds it.
-func (s *Server) firstUnfinishedGeneration(ctx context.Context, g cas.Digest) (uint64, error) {
+func (s *Server) firstUnfinishedGeneration(ctx context.Context, digest cas.Digest) (uint64, error) {
 	low, high := uint64(0), uint64(0) // every generation below low has ended
-	for step := uint64(1); ; step *= 2 {
-		ended, err := s.ended(ctx, action.JobID(g, high))
+	for stride := uint64(1); ; stride *= 2 {
+		ended, err := s.ended(ctx, action.JobID(digest, high))
 		if err != nil {
 			return 0, err
 		}
@@ -124,11 +124,11 @@
 			break
 		}
 		low = high + 1
-		high = low + step - 1
+		high = low + stride - 1
 	}
 	for low < high {
 		mid := low + (high-low)/2
-		ended, err := s.ended(ctx, action.JobID(g, mid))
+		ended, err := s.ended(ctx, action.JobID(digest, mid))
 		if err != nil {
 			return 0, err
 		}
--- a/internal/reapi/watch.go
+++ b/internal/reapi/watch.go
@@ -8,9 +8,9 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// watchers notifies the streams that follow a job when it may have changed. One goroutine
+// jobWatchers notifies the streams that follow a job when it may have changed. One goroutine
 // looks at all followed jobs, so that the cost of many streams is only that of notifying them.
-type watchers struct {
+type jobWatchers struct {
 	mu   sync.Mutex
 	jobs map[string]*watchedJob
 }
@@ -22,7 +22,7 @@
 }
 
 // subscribe returns a channel that receives a value when a job may have changed.
-func (w *watchers) subscribe(job string) chan struct{} {
+func (w *jobWatchers) subscribe(job string) chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.jobs == nil {
@@ -31,16 +31,16 @@
 	if w.jobs[job] == nil {
 		w.jobs[job] = &watchedJob{subscribers: make(map[chan struct{}]bool)}
 	}
-	news := make(chan struct{}, 1)
-	w.jobs[job].subscribers[news] = true
-	return news
+	updates := make(chan struct{}, 1)
+	w.jobs[job].subscribers[updates] = true
+	return updates
 }
 
 // unsubscribe ends a subscription.
-func (w *watchers) unsubscribe(job string, news chan struct{}) {
+func (w *jobWatchers) unsubscribe(job string, updates chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.jobs[job].subscribers, news)
+	delete(w.jobs[job].subscribers, updates)
 	if len(w.jobs[job].subscribers) == 0 {
 		delete(w.jobs, job)
 	}
@@ -52,7 +52,7 @@
 
 // run checks the followed jobs at every change of the view, and every watchInterval, until the
 // context ends.
-func (w *watchers) run(ctx context.Context, view *store.View, running func(job string) int) error {
+func (w *jobWatchers) run(ctx context.Context, view *store.View, running func(job string) int) error {
 	for ctx.Err() == nil {
 		changed := view.Changed()
 		w.notifyChanged(view, running)
@@ -68,7 +68,7 @@
 }
 
 // notifyChanged notifies the subscribers of each job whose state has changed.
-func (w *watchers) notifyChanged(view *store.View, running func(job string) int) {
+func (w *jobWatchers) notifyChanged(view *store.View, running func(job string) int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, j := range w.jobs {
@@ -83,9 +83,9 @@
 			continue
 		}
 		j.state = state
-		for news := range j.subscribers {
+		for updates := range j.subscribers {
 			select {
-			case news <- struct{}{}:
+			case updates <- struct{}{}:
 			default:
 			}
 		}
