--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -1,6 +1,6 @@
-// Package action represents an action of the Remote Execution API as a job: how the job is
-// named and described, how a machine executes it, and how its answer is stored. Package reapi
-// on the controllers and package agent on the machines share it.
+// Package action maps an action of the Remote Execution API to a job. It defines the id and description of the
+// job, how a machine executes it, and how the response is stored. It is shared by package reapi on the controllers
+// and package agent on the machines.
 package action
 
 import (
@@ -21,10 +21,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Kind is the kind of work of a job that executes an action.
+// Kind is the Work.Kind of a job that executes an action.
 const Kind = "action"
 
-// Work describes an action in a job's description.
+// Work identifies the action that a job executes. It is the Work field of the job's description, encoded as JSON.
 type Work struct {
 	Kind     string `json:"kind"`
 	Instance string `json:"instance"`
@@ -32,21 +32,21 @@
 	Action   string `json:"action"` // HASH/SIZE
 }
 
-// NewWork returns the description of an action.
+// NewWork returns the Work of a job that executes an action.
 func NewWork(instance string, action cas.Digest) Work {
 	return Work{Kind, instance, action.Function.String(), action.String()}
 }
 
-// Text returns the form that a job's description carries.
+// Text returns the JSON encoding that the job's description holds.
 func (w Work) Text() string {
 	text, err := json.Marshal(w)
 	if err != nil {
-		panic(err) // text fields always encode
+		panic(err) // string fields can always be encoded
 	}
 	return string(text)
 }
 
-// ParseWork reads the description of an action and its digest.
+// ParseWork decodes the Work of a job and the digest of its action.
 func ParseWork(text string) (w Work, digest cas.Digest, err error) {
 	if err := json.Unmarshal([]byte(text), &w); err != nil {
 		return w, digest, fmt.Errorf("the job's work is not understood: %w", err)
@@ -61,18 +61,18 @@
 	return w, digest, nil
 }
 
-// LogNames returns the names of the logs of a job's stdout and stderr.
+// LogNames returns the names of the logs that hold a job's stdout and stderr.
 func LogNames(job string) (stdout, stderr string) { return job + "/stdout", job + "/stderr" }
 
-// jobIDDigits is the number of digits in the id of an action's job. The first is always a 9.
+// jobIDDigits is the number of digits in the id of an action's job. The first digit is always 9.
 const jobIDDigits = 18
 
-// jobIDRange bounds the digits after the first.
+// jobIDRange is the exclusive upper bound of the number that the digits after the first form.
 const jobIDRange = 100_000_000_000_000_000
 
-// JobID returns the id of the job that executes an action. It is the same at every controller
-// and for every team. The generation counts how often the action was executed again. Two
-// actions may have the same id, very rarely; the next generation is used then.
+// JobID returns the id of the job that executes an action. It is the same on every controller and for every team.
+// The generation counts how often the action was executed again. In the rare case that the ids of two actions
+// collide, the next generation is used.
 func JobID(action cas.Digest, generation uint64) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%v\x00%s\x00%d", action.Function, action, generation)
@@ -80,45 +80,45 @@
 	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, jobIDDigits-1, n)
 }
 
-// answersInstance is the instance of the store under which answers of executions are stored.
-const answersInstance = "amberdeal-answers"
+// responsesInstance is the instance name under which the responses of executions are stored.
+const responsesInstance = "amberdeal-answers"
 
-// answerKey returns the digest under which a job's answer is stored, as if it were a result.
-func answerKey(job string) cas.Digest { return cas.Sum(cas.Functions[0], []byte(job)) }
+// responseKey returns the digest under which a job's response is stored in the action cache.
+func responseKey(job string) cas.Digest { return cas.Sum(cas.Functions[0], []byte(job)) }
 
-// PutAnswer stores the answer of a job's execution. That happens before the job is reported as
-// done. It is stored as a result, so that it is only returned while all its outputs exist.
-func PutAnswer(ctx context.Context, c *cas.Client, job string, resp *repb.ExecuteResponse) error {
+// StoreResponse stores the response of a job's execution. It is called before the job is reported as done. The
+// response is stored as an action result, so that it is only returned while all its outputs are in the store.
+func StoreResponse(ctx context.Context, c *cas.Client, job string, resp *repb.ExecuteResponse) error {
 	r := &repb.ActionResult{}
 	if resp.Result != nil {
 		r = proto.Clone(resp.Result).(*repb.ActionResult)
 	}
 	encoded, err := anypb.New(resp)
 	if err != nil {
-		return fmt.Errorf("encoding the answer of %s: %w", job, err)
+		return fmt.Errorf("encoding the response of %s: %w", job, err)
 	}
 	r.ExecutionMetadata = &repb.ExecutedActionMetadata{AuxiliaryMetadata: []*anypb.Any{encoded}}
-	if err := c.ForInstance(answersInstance).PutResult(ctx, answerKey(job), r); err != nil {
+	if err := c.ForInstance(responsesInstance).PutResult(ctx, responseKey(job), r); err != nil {
 		return fmt.Errorf("storing the answer of %s: %w", job, err)
 	}
 	return nil
 }
 
-// ErrNoAnswer means that the answer of an execution was evicted, or was never stored.
-var ErrNoAnswer = errors.New("the answer of the execution is not in the store")
+// ErrResponseNotFound means that the response of an execution was evicted or was never stored.
+var ErrResponseNotFound = errors.New("the response of the execution is not in the store")
 
-// Answer returns the answer of a job's execution.
-func Answer(ctx context.Context, c *cas.Client, job string) (*repb.ExecuteResponse, error) {
-	r, err := c.ForInstance(answersInstance).Result(ctx, answerKey(job))
+// StoredResponse returns the stored response of a job's execution, or ErrResponseNotFound.
+func StoredResponse(ctx context.Context, c *cas.Client, job string) (*repb.ExecuteResponse, error) {
+	r, err := c.ForInstance(responsesInstance).Result(ctx, responseKey(job))
 	if status.Code(err) == codes.NotFound {
-		return nil, ErrNoAnswer
+		return nil, ErrResponseNotFound
 	}
 	if err != nil {
 		return nil, err
 	}
 	var resp repb.ExecuteResponse
 	if len(r.GetExecutionMetadata().GetAuxiliaryMetadata()) != 1 || r.ExecutionMetadata.AuxiliaryMetadata[0].UnmarshalTo(&resp) != nil {
-		return nil, ErrNoAnswer
+		return nil, ErrResponseNotFound
 	}
 	return &resp, nil
 }
--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -23,7 +23,7 @@
 
 const sha = repb.DigestFunction_SHA256
 
-// testRunner is a runner with a store.
+// testRunner is a Runner with a store on the loopback interface.
 type testRunner struct {
 	*Runner
 	t testing.TB
@@ -50,7 +50,7 @@
 	return &testRunner{Runner: &Runner{Store: c, Dir: t.TempDir(), Worker: "n-1", Limits: DefaultLimits}, t: t}
 }
 
-// run runs a script as a job of its own, and gives its answer.
+// run runs a script as a new job and returns its response.
 func (b *testRunner) run(ctx context.Context, script string, outputs ...string) (*repb.ExecuteResponse, error) {
 	b.n++
 	job := fmt.Sprintf("wk-%d", b.n)
@@ -67,13 +67,13 @@
 		return nil, err
 	}
 	if left, _ := os.ReadDir(b.Dir); len(left) > 0 {
-		b.t.Errorf("%s is left", left[0].Name())
+		b.t.Errorf("%s was not deleted", left[0].Name())
 	}
-	return Answer(ctx, b.Store, job)
+	return StoredResponse(ctx, b.Store, job)
 }
 
-// TestRunnerLimits: what an action leaves and writes is bounded, and where it
-// leaves it.
+// TestRunnerLimits checks that the number, size and kind of an action's outputs are restricted, and that an output
+// can't be read from outside the input root through a symlink.
 func TestRunnerLimits(t *testing.T) {
 	b := newTestRunner(t)
 	b.Limits = Limits{Inputs: 10, InputBytes: 1000, Outputs: 5, OutputBytes: 100_000}
@@ -96,12 +96,12 @@
 	}
 	_ = os.WriteFile(filepath.Join(elsewhere, "secret"), []byte("x"), 0o644)
 	if resp, err := b.run(t.Context(), "rmdir sub; ln -s "+elsewhere+" sub", "sub/secret"); err != nil || codes.Code(resp.Status.GetCode()) != codes.InvalidArgument {
-		t.Errorf("an output by a symlink: %v, %v", resp, err)
+		t.Errorf("output below a symlink: %v, %v", resp, err)
 	}
 }
 
-// TestActionErrorMessages: the answer to a fault of the action is the message of the fault alone, without
-// what the machine attempted meanwhile.
+// TestActionErrorMessages checks that the response to an error of the action has only the message of that error,
+// without the context that the machine adds to its own errors.
 func TestActionErrorMessages(t *testing.T) {
 	b := newTestRunner(t)
 	b.Limits = Limits{Inputs: 10, InputBytes: 1000, Outputs: 5, OutputBytes: 100_000}
@@ -128,13 +128,13 @@
 		if err := b.Run(t.Context(), job, NewWork("", c.action), c.action); err != nil {
 			t.Fatal(err)
 		}
-		if resp, err := Answer(t.Context(), b.Store, job); err != nil || resp.Message != c.want {
+		if resp, err := StoredResponse(t.Context(), b.Store, job); err != nil || resp.Message != c.want {
 			t.Errorf("%v, %v, want %s", resp, err, c.want)
 		}
 	}
 }
 
-// putAction stores an action with a command and an input root.
+// putAction stores an action with the given command and input root.
 func (b *testRunner) putAction(command *repb.Command, root cas.Digest) cas.Digest {
 	b.t.Helper()
 	commandDigest, err := b.Store.PutMessage(b.t.Context(), sha, command)
@@ -148,8 +148,7 @@
 	return digest
 }
 
-// TestErrorsNameFailedStep: a failure of the store is an error that names the step, and keeps
-// its cause.
+// TestErrorsNameFailedStep checks that an error caused by the store names the step that failed and wraps the cause.
 func TestErrorsNameFailedStep(t *testing.T) {
 	b := newTestRunner(t)
 	file := filepath.Join(t.TempDir(), "in")
@@ -162,16 +161,16 @@
 	if err == nil || !strings.HasPrefix(err.Error(), "finding which of 2 blobs are missing: ") || status.Code(err) != codes.Canceled {
 		t.Errorf("upload: %v", err)
 	}
-	err = PutAnswer(cancelled, b.Store, "wk-1", &repb.ExecuteResponse{})
+	err = StoreResponse(cancelled, b.Store, "wk-1", &repb.ExecuteResponse{})
 	if err == nil || !strings.HasPrefix(err.Error(), "storing the answer of wk-1: writing the result of ") || status.Code(err) != codes.Canceled {
-		t.Errorf("answer: %v", err)
+		t.Errorf("response: %v", err)
 	}
 	if _, _, err := ParseWork(`{"kind":"action","action":"x"}`); !errors.Is(err, cas.ErrBadDigest) || !strings.HasPrefix(err.Error(), "the job's action: ") {
 		t.Errorf("work: %v", err)
 	}
 }
 
-// TestExitCodes: what a command ends with is its answer, as a shell would have it.
+// TestExitCodes checks that exit codes, signals and missing programs are reported as a shell reports them.
 func TestExitCodes(t *testing.T) {
 	b := newTestRunner(t)
 	for script, want := range map[string]int32{"exit 3": 3, "kill -9 $$": 137, "exec /no/such/program": 127} {
@@ -184,14 +183,13 @@
 	if err := b.Run(t.Context(), "wk-99", NewWork("", digest), digest); err != nil {
 		t.Fatal(err)
 	}
-	if resp, err := Answer(t.Context(), b.Store, "wk-99"); err != nil || resp.Result.ExitCode != exitNotFound {
+	if resp, err := StoredResponse(t.Context(), b.Store, "wk-99"); err != nil || resp.Result.ExitCode != exitNotFound {
 		t.Errorf("%v, %v", resp, err)
 	}
 }
 
-// TestKilledActionLeavesNoProcesses: when a task is stopped, all that its command has started
-// goes, and no answer is kept; started again it runs anew, and once its answer is
-// kept it does not.
+// TestKilledActionLeavesNoProcesses checks that stopping a task kills all processes that its command has started, and
+// that no response is stored. The next attempt runs the command again. Further attempts return the stored response.
 func TestKilledActionLeavesNoProcesses(t *testing.T) {
 	b := newTestRunner(t)
 	output := filepath.Join(t.TempDir(), "mark")
@@ -208,25 +206,25 @@
 	if _, err := b.run(ctx, script); !errors.Is(err, context.Canceled) {
 		t.Fatalf("%v", err)
 	}
-	if _, err := Answer(t.Context(), b.Store, "wk-1"); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("a killed task has an answer: %v", err)
+	if _, err := StoredResponse(t.Context(), b.Store, "wk-1"); !errors.Is(err, ErrResponseNotFound) {
+		t.Errorf("response of a killed task: %v", err)
 	}
 	b.n = 10
 	again := fmt.Sprintf("echo again >> %s", output)
 	for range 3 {
-		b.n = 10 // the same job, with another attempt
+		b.n = 10 // another attempt of the same job
 		if _, err := b.run(t.Context(), again); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(1200 * time.Millisecond) // in which what had escaped would write
+	time.Sleep(1200 * time.Millisecond) // long enough for a process that was not killed to write
 	if text, _ := os.ReadFile(output); string(text) != "start\nagain\n" {
 		t.Errorf("%q", text)
 	}
 }
 
-// TestTreeRoundTrip uploads a directory, has it copied, and brings the copy
-// back: files, modes, links, empty directories.
+// TestTreeRoundTrip uploads a directory, runs an action that copies it and downloads the copy. It compares files,
+// modes, symlinks and empty directories.
 func TestTreeRoundTrip(t *testing.T) {
 	b := newTestRunner(t)
 	src, dst := t.TempDir(), t.TempDir()
@@ -260,14 +258,14 @@
 		})
 	}
 	if !slices.Equal(uploaded, downloaded) {
-		t.Errorf("there %v\nback %v", uploaded, downloaded)
+		t.Errorf("uploaded %v\ndownloaded %v", uploaded, downloaded)
 	}
 	if _, err := Upload(t.Context(), b.Store, sha, src, []string{"../x"}); err == nil {
-		t.Error("an input outside of the directory was uploaded")
+		t.Error("an input from outside the directory was uploaded")
 	}
 }
 
-// FuzzPlan: whatever a tree says, it is refused or stays inside of its root.
+// FuzzPlan checks that any input tree is either rejected or stays within its root.
 func FuzzPlan(f *testing.F) {
 	f.Add("a", "b", "../x")
 	f.Add("..", "a/b", "/etc")
@@ -276,7 +274,7 @@
 		leaf := &repb.Directory{Files: []*repb.FileNode{{Name: file, Digest: cas.Sum(sha, []byte("x")).Proto()}}, Symlinks: []*repb.SymlinkNode{{Name: "l", Target: target}}}
 		raw, err := proto.Marshal(leaf)
 		if err != nil {
-			t.Skip() // not text
+			t.Skip() // a name is not valid UTF-8
 		}
 		leafDigest := cas.Sum(sha, raw)
 		root := &repb.Directory{Directories: []*repb.DirectoryNode{{Name: sub, Digest: leafDigest.Proto()}}}
@@ -302,7 +300,7 @@
 	})
 }
 
-// BenchmarkInputs uploads and lays out a tree of 100,000 small files.
+// BenchmarkInputs measures how fast an input tree of 100,000 small files is fetched and written.
 func BenchmarkInputs(b *testing.B) {
 	bench := newTestRunner(b)
 	src := b.TempDir()
--- a/internal/action/command.go
+++ b/internal/action/command.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// Exit codes as shells report them. A signal's number is added to exitSignalBase.
+	// Exit codes as shells report them. The number of the signal is added to exitSignalBase.
 	exitNotFound       = 127
 	exitNotStarted     = 126
 	exitSignalBase     = 128
@@ -25,8 +25,8 @@
 	outputPollInterval = 200 * time.Millisecond
 )
 
-// execute runs the command in a process group of its own, with no other environment than
-// the one that it declares. It reports whether the command exceeded its time limit.
+// execute runs the command in its own process group, with only the environment variables that it declares. It returns
+// the exit code, and whether the command exceeded its timeout.
 func (a *execution) execute(ctx context.Context, cwd string) (code int, timedOut bool, err error) {
 	if len(a.command.Arguments) == 0 {
 		return 0, false, invalidAction("the command has no arguments")
@@ -49,7 +49,7 @@
 	}
 	defer stderr.Close()
 	cmd := a.newCmd(ctx, cwd, stdout, stderr)
-	runtime.LockOSThread() // Pdeathsig kills the command when the thread that started it ends
+	runtime.LockOSThread() // Pdeathsig kills the command when the thread that started it exits
 	defer runtime.UnlockOSThread()
 	if err := cmd.Start(); err != nil {
 		fmt.Fprintf(stderr, "the command can't be started: %v\n", err)
@@ -70,7 +70,7 @@
 	return exitCode(cmd.ProcessState), false, nil
 }
 
-// newCmd prepares the command.
+// newCmd returns the command, ready to be started.
 func (a *execution) newCmd(ctx context.Context, cwd string, stdout, stderr *os.File) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, a.command.Arguments[0], a.command.Arguments[1:]...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = cwd, stdout, stderr
@@ -90,16 +90,16 @@
 	return cmd
 }
 
-// await waits until the command has ended, while its output is bounded and streamed. It
-// returns why the context ended before, if it did.
+// await waits until the command has ended, and meanwhile limits and streams its output. It returns the cause if the
+// context ended first.
 func (a *execution) await(ctx context.Context, cancel context.CancelCauseFunc, cmd *exec.Cmd, stdout, stderr *os.File) error {
 	var helpers errgroup.Group
 	helpers.Go(func() error { limitOutput(ctx, a.Limits.OutputBytes, cancel, stdout, stderr); return nil })
 	outName, errName := LogNames(a.job)
 	helpers.Go(func() error { a.streamLog(ctx, stdout.Name(), outName); return nil })
 	helpers.Go(func() error { a.streamLog(ctx, stderr.Name(), errName); return nil })
-	_ = cmd.Wait()                                      // its state and the cause tell more
-	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // processes that it left running
+	_ = cmd.Wait()                                      // the caller uses ProcessState and the cause instead
+	_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) // kill processes that the command left running
 	cause := context.Cause(ctx)
 	cancel(nil)
 	_ = helpers.Wait()
@@ -115,11 +115,11 @@
 }
 
 var (
-	errTimeLimit   = errors.New("time limit")
-	errOutputLimit = errors.New("too much output")
+	errTimeLimit   = errors.New("time limit exceeded")
+	errOutputLimit = errors.New("output limit exceeded")
 )
 
-// limitOutput ends the command when a file exceeds the limit, until the context ends.
+// limitOutput cancels the command when a file grows beyond the limit. It returns when the context ends.
 func limitOutput(ctx context.Context, limit int64, cancel context.CancelCauseFunc, files ...*os.File) {
 	t := time.NewTicker(outputPollInterval)
 	defer t.Stop()
@@ -138,8 +138,8 @@
 	}
 }
 
-// lookPath returns the path of a program. A name with a slash is relative to the working
-// directory; any other is searched for in the PATH that the command declares.
+// lookPath returns the path of a program. A relative name with a slash is relative to the working directory. A name
+// without a slash is searched for in the PATH that the command declares.
 func lookPath(program, cwd, path string) string {
 	if filepath.IsAbs(program) {
 		return program
--- a/internal/action/inputs.go
+++ b/internal/action/inputs.go
@@ -18,51 +18,51 @@
 
 // Limits bounds the inputs and outputs of an action.
 type Limits struct {
-	Inputs      int   // files and directories of the input tree
-	InputBytes  int64 // of all input files together
-	Outputs     int   // files of all outputs
-	OutputBytes int64 // of all outputs, and of each of stdout and stderr
+	Inputs      int   // entries of the input tree
+	InputBytes  int64 // total size of the input files
+	Outputs     int   // number of output files
+	OutputBytes int64 // total size of the outputs, and size of each of stdout and stderr
 }
 
-// DefaultLimits is used unless settings say otherwise.
+// DefaultLimits holds the limits that apply unless the settings override them.
 var DefaultLimits = Limits{Inputs: 500_000, InputBytes: 32 << 30, Outputs: 100_000, OutputBytes: 8 << 30}
 
-// actionError is a fault of the action itself. It becomes the action's answer; any other error
-// is a failure of the machine or the store, after which the action is retried.
+// actionError is an error of the action itself. It becomes the status of the response. Any other error is a
+// failure of the machine or the store, after which the action is retried.
 type actionError struct {
 	code    codes.Code
 	missing []cas.Digest
 	message string
 }
 
-// Error returns the message for the client.
+// Error returns the message that is sent to the client.
 func (f *actionError) Error() string { return f.message }
 
-// invalidAction is the error for a malformed action.
+// invalidAction returns the error for a malformed action.
 func invalidAction(format string, args ...any) error {
 	return &actionError{code: codes.InvalidArgument, message: fmt.Sprintf(format, args...)}
 }
 
-// missingBlobs is the error for an action of which blobs are not in the store.
+// missingBlobs returns the error for an action that needs blobs which are not in the store.
 func missingBlobs(digest ...cas.Digest) error {
 	return &actionError{code: codes.FailedPrecondition, missing: digest, message: fmt.Sprintf("%d blobs are not in the store, the first is %v", len(digest), digest[0])}
 }
 
-// inputs lists what must be written for an input tree.
-type inputs struct {
+// inputTree lists the directories, files and symlinks of an input tree.
+type inputTree struct {
 	dirs  []string
-	files map[cas.Digest][]node
-	links []node
+	files map[cas.Digest][]inputNode
+	links []inputNode
 }
 
-// node is a file or a symlink of an input tree.
-type node struct {
+// inputNode is a file or symlink in an input tree.
+type inputNode struct {
 	path       string
 	executable bool
 	target     string
 }
 
-// entryPath returns the path of an entry of a directory. The name must not lead out of it.
+// entryPath returns the path of a directory entry. The name must not lead out of the directory.
 func entryPath(dir, name string) (string, error) {
 	if name == "" || name == "." || name == ".." || strings.ContainsAny(name, "/\x00") {
 		return "", invalidAction("input %q in %q: a name must be one word without /, and not . or ..", name, dir)
@@ -70,8 +70,8 @@
 	return path.Join(dir, name), nil
 }
 
-// relativePath cleans a path that an action gives, such as an output. It must stay within the
-// input root.
+// relativePath validates and cleans a path from an action, such as that of an output. The path must stay within the
+// input root. Errors name the path by its kind.
 func relativePath(kind, p string) (string, error) {
 	if path.IsAbs(p) || strings.ContainsRune(p, 0) {
 		return "", invalidAction("%s %q: must be relative", kind, p)
@@ -82,8 +82,8 @@
 	return path.Clean(p), nil
 }
 
-// materialize fetches the inputs and writes them below a directory.
-func (in *inputs) materialize(ctx context.Context, c *cas.Client, dir string) error {
+// materialize fetches the input files and writes the tree below a directory.
+func (in *inputTree) materialize(ctx context.Context, c *cas.Client, dir string) error {
 	for _, d := range in.dirs {
 		if err := os.MkdirAll(filepath.Join(dir, d), 0o755); err != nil {
 			return err
@@ -92,7 +92,7 @@
 	if err := in.fetch(ctx, c, dir); err != nil {
 		return err
 	}
-	for _, l := range in.links { // last, so that nothing is written through one
+	for _, l := range in.links { // created last, so that no file is written through a symlink
 		if err := os.Symlink(l.target, filepath.Join(dir, l.path)); err != nil {
 			return err
 		}
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// fetch writes the files, the small ones read in batches.
-func (in *inputs) fetch(ctx context.Context, c *cas.Client, dir string) error {
+// fetch reads the files from the store and writes them below a directory. Small files are read in batches.
+func (in *inputTree) fetch(ctx context.Context, c *cas.Client, dir string) error {
 	var small, large []cas.Digest
 	for digest := range in.files {
 		if digest.Size <= cas.MaxBatchedBlob {
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// notFoundAsFailedPrecondition converts the error for a blob that was evicted meanwhile to an actionError.
+// notFoundAsFailedPrecondition converts the error for a blob that was evicted after the check for missing blobs to an
+// actionError.
 func notFoundAsFailedPrecondition(err error) error {
 	if status.Code(err) == codes.NotFound {
 		return &actionError{code: codes.FailedPrecondition, message: err.Error()}
@@ -145,8 +146,8 @@
 	return err
 }
 
-// fetchLarge writes all files with the content of one large blob.
-func (in *inputs) fetchLarge(ctx context.Context, c *cas.Client, dir string, digest cas.Digest) error {
+// fetchLarge writes all files that have the content of one large blob.
+func (in *inputTree) fetchLarge(ctx context.Context, c *cas.Client, dir string, digest cas.Digest) error {
 	for _, n := range in.files[digest] {
 		f, err := os.OpenFile(filepath.Join(dir, n.path), os.O_WRONLY|os.O_CREATE|os.O_EXCL, n.mode())
 		if err != nil {
@@ -159,7 +160,7 @@
 	return nil
 }
 
-func (n node) mode() os.FileMode {
+func (n inputNode) mode() os.FileMode {
 	if n.executable {
 		return 0o755
 	}
--- a/internal/action/outputs.go
+++ b/internal/action/outputs.go
@@ -14,19 +14,19 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// outputs collects files to upload: the outputs of an action, or an input tree.
-type outputs struct {
+// outputCollector collects the files and messages to upload for the outputs of an action or for an input tree.
+type outputCollector struct {
 	function cas.Function
 	limits   Limits
 	result   *repb.ActionResult
-	files    map[cas.Digest]string // to upload, with their paths
+	files    map[cas.Digest]string // paths of the files to upload
 	blobs    map[cas.Digest][]byte
 	count    int
 	bytes    int64
 }
 
-// file adds a file and returns its digest.
-func (o *outputs) file(filePath string, info os.FileInfo) (cas.Digest, error) {
+// file adds a file and returns its digest. It returns an error if the outputs exceed the limits.
+func (o *outputCollector) file(filePath string, info os.FileInfo) (cas.Digest, error) {
 	o.count++
 	if o.bytes += info.Size(); o.count > o.limits.Outputs || o.bytes > o.limits.OutputBytes {
 		return cas.Digest{}, &actionError{code: codes.ResourceExhausted, message: fmt.Sprintf("the outputs are more than %d files or %d bytes", o.limits.Outputs, o.limits.OutputBytes)}
@@ -38,9 +38,8 @@
 	return digest, err
 }
 
-// collect adds an output of the command. One that does not exist is left out, as the API
-// demands.
-func (o *outputs) collect(filePath, p string) error {
+// collect adds an output of the command. An output that does not exist is left out, as the API requires.
+func (o *outputCollector) collect(filePath, p string) error {
 	info, err := os.Lstat(filePath)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -69,9 +68,9 @@
 	return err
 }
 
-// directory adds a directory with all below it, and returns its message.
-func (o *outputs) directory(filePath string, tree *repb.Tree) (*repb.Directory, error) {
-	entries, err := os.ReadDir(filePath) // in order of names, as the API demands
+// directory adds the files and subdirectories of a directory, and returns its message.
+func (o *outputCollector) directory(filePath string, tree *repb.Tree) (*repb.Directory, error) {
+	entries, err := os.ReadDir(filePath) // sorted by name, as the API requires
 	if err != nil {
 		return nil, err
 	}
@@ -88,9 +87,9 @@
 	return d, nil
 }
 
-// directoryEntry adds a symlink, directory or file to the message of the directory that holds
-// it. What is none of these is left out.
-func (o *outputs) directoryEntry(parent *repb.Directory, filePath string, info os.FileInfo, tree *repb.Tree) error {
+// directoryEntry adds a symlink, directory or file to the message of its parent directory. Other kinds of files
+// are left out.
+func (o *outputCollector) directoryEntry(parent *repb.Directory, filePath string, info os.FileInfo, tree *repb.Tree) error {
 	name := filepath.Base(filePath)
 	switch {
 	case info.Mode()&os.ModeSymlink != 0:
@@ -115,8 +114,8 @@
 	return nil
 }
 
-// subdirectory adds a directory to the children of a tree, and returns its digest.
-func (o *outputs) subdirectory(filePath string, tree *repb.Tree) (cas.Digest, error) {
+// subdirectory adds a directory to the children of a tree and returns its digest.
+func (o *outputCollector) subdirectory(filePath string, tree *repb.Tree) (cas.Digest, error) {
 	child, err := o.directory(filePath, tree)
 	if err != nil {
 		return cas.Digest{}, err
@@ -129,8 +128,8 @@
 	return cas.Sum(o.function, raw), nil
 }
 
-// upload stores all that the store does not have yet.
-func (o *outputs) upload(ctx context.Context, c *cas.Client) error {
+// upload uploads the collected files and messages that the store does not have yet.
+func (o *outputCollector) upload(ctx context.Context, c *cas.Client) error {
 	var all []cas.Digest
 	for digest := range o.files {
 		all = append(all, digest)
--- a/internal/action/plan.go
+++ b/internal/action/plan.go
@@ -8,13 +8,13 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// planInputs checks an input tree and lists what must be written: names that stay inside the
-// root, no more entries and bytes than the limits allow, and every directory there.
-func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, limits Limits) (*inputs, error) {
+// planInputs validates an input tree and lists the directories, files and symlinks to create. All directories must be
+// present, all paths must stay within the root, and the number and size of the entries must not exceed the limits.
+func planInputs(root cas.Digest, dirs map[cas.Digest]*repb.Directory, limits Limits) (*inputTree, error) {
 	planner := &inputPlanner{
 		function: root.Function,
 		limits:   limits,
-		in:       &inputs{files: make(map[cas.Digest][]node)},
+		in:       &inputTree{files: make(map[cas.Digest][]inputNode)},
 		queue:    []plannedDir{{root, ""}},
 	}
 	var missing []cas.Digest
@@ -38,7 +38,7 @@
 	return planner.in, nil
 }
 
-// plannedDir is a directory that planInputs has yet to look at.
+// plannedDir is a directory that planInputs has not visited yet.
 type plannedDir struct {
 	digest cas.Digest
 	path   string
@@ -48,13 +48,13 @@
 type inputPlanner struct {
 	function cas.Function
 	limits   Limits
-	in       *inputs
+	in       *inputTree
 	queue    []plannedDir
-	count    int   // of entries so far
-	bytes    int64 // of files so far
+	count    int   // entries so far
+	bytes    int64 // total size of the files so far
 }
 
-// directory plans the entries of a directory.
+// directory adds a directory and its entries to the plan, and queues its subdirectories.
 func (p *inputPlanner) directory(dir string, d *repb.Directory) error {
 	if p.count += 1 + len(d.Files) + len(d.Symlinks); p.count > p.limits.Inputs {
 		return invalidAction("the input tree has more than %d entries", p.limits.Inputs)
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// entry returns the path of an entry of a directory, whose names seen holds.
-func entry(dir, name string, seen map[string]bool) (string, error) {
+// uniqueEntryPath returns the path of a directory entry. Its name must not be in seen, to which it is added.
+func uniqueEntryPath(dir, name string, seen map[string]bool) (string, error) {
 	p, err := entryPath(dir, name)
 	if err == nil && seen[name] {
 		err = invalidAction("input %q is in %q twice", name, dir)
@@ -90,7 +90,7 @@
 }
 
 func (p *inputPlanner) file(dir string, f *repb.FileNode, seen map[string]bool) error {
-	filePath, err := entry(dir, f.Name, seen)
+	filePath, err := uniqueEntryPath(dir, f.Name, seen)
 	if err != nil {
 		return err
 	}
@@ -101,27 +101,27 @@
 	if p.bytes += digest.Size; p.bytes > p.limits.InputBytes {
 		return invalidAction("the input tree has more than %d bytes", p.limits.InputBytes)
 	}
-	p.in.files[digest] = append(p.in.files[digest], node{path: filePath, executable: f.IsExecutable})
+	p.in.files[digest] = append(p.in.files[digest], inputNode{path: filePath, executable: f.IsExecutable})
 	return nil
 }
 
 func (p *inputPlanner) symlink(dir string, l *repb.SymlinkNode, seen map[string]bool) error {
-	linkPath, err := entry(dir, l.Name, seen)
+	linkPath, err := uniqueEntryPath(dir, l.Name, seen)
 	if err != nil {
 		return err
 	}
 	if _, err := relativePath("symlink "+linkPath+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
 		return invalidAction("symlink %q to %q: leads out of the input root", linkPath, l.Target)
 	}
-	p.in.links = append(p.in.links, node{path: linkPath, target: l.Target})
+	p.in.links = append(p.in.links, inputNode{path: linkPath, target: l.Target})
 	return nil
 }
 
-// maxInputPath bounds the path of an input directory, in bytes; Linux allows 4096.
+// maxInputPath bounds the path of an input directory, in bytes. Linux allows 4096 bytes for a whole path.
 const maxInputPath = 4000
 
 func (p *inputPlanner) subdirectory(dir string, sub *repb.DirectoryNode, seen map[string]bool) error {
-	subPath, err := entry(dir, sub.Name, seen)
+	subPath, err := uniqueEntryPath(dir, sub.Name, seen)
 	if err != nil {
 		return err
 	}
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -22,15 +22,15 @@
 // Runner executes actions on a machine.
 type Runner struct {
 	Store  *cas.Client
-	Dir    string // in which each action gets a directory of its own
-	Worker string // the machine's name
+	Dir    string // holds a temporary directory for each running action
+	Worker string // name of the machine, for the execution metadata
 	Limits Limits
 }
 
-// maxViolations bounds the missing blobs that a status lists.
+// maxViolations bounds the number of missing blobs that a status lists.
 const maxViolations = 1000
 
-// MissingStatus returns the API's status for an action of which blobs are not in the store.
+// MissingStatus returns the status that the API specifies for an action that needs blobs which are not in the store.
 func MissingStatus(digests ...cas.Digest) *status.Status {
 	st := status.New(codes.FailedPrecondition, "blobs are missing")
 	f := &errdetails.PreconditionFailure{}
@@ -43,17 +43,16 @@
 	return st
 }
 
-// Run executes the action of a job and stores its answer. A fault of the action itself is an
-// answer, too. An error is a failure of the machine or the store, after which the action
-// should be retried. When the context ends, the command and all processes that it has started
-// are killed.
+// Run executes the action of a job and stores the response. An error of the action itself is part of the response.
+// Run returns an error after a failure of the machine or the store, in which case the action should be retried.
+// When the context ends, the command and all processes in its process group are killed.
 func (r *Runner) Run(ctx context.Context, job string, w Work, digest cas.Digest) error {
-	if _, err := Answer(ctx, r.Store, job); err == nil {
-		return nil // launched again after its answer was stored
+	if _, err := StoredResponse(ctx, r.Store, job); err == nil {
+		return nil // launched again after the response was stored
 	}
 	dir, err := os.MkdirTemp(r.Dir, job+"-*")
 	if err != nil {
-		return fmt.Errorf("making a directory for the action: %w", err)
+		return fmt.Errorf("creating a directory for the action: %w", err)
 	}
 	defer removeAll(dir)
 	c := r.Store.ForInstance(w.Instance)
@@ -83,10 +82,10 @@
 			return err
 		}
 	}
-	return PutAnswer(ctx, r.Store, job, resp)
+	return StoreResponse(ctx, r.Store, job, resp)
 }
 
-// removeAll deletes a directory, including subdirectories that the action made read-only.
+// removeAll deletes a directory, including subdirectories that the action has made read-only.
 func removeAll(dir string) {
 	_ = filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
 		if err == nil && e.IsDir() {
@@ -127,9 +126,9 @@
 	}
 	cwd = filepath.Join(root, cwd)
 	if err := os.MkdirAll(cwd, 0o755); err != nil {
-		return nil, fmt.Errorf("making the working directory: %w", err)
+		return nil, fmt.Errorf("creating the working directory: %w", err)
 	}
-	for _, p := range paths { // the API demands that the directories of outputs exist
+	for _, p := range paths { // the API requires that the parent directories of outputs exist
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(cwd, p)), 0o755); err != nil {
 			return nil, invalidAction("output %q: %v", p, err)
 		}
@@ -152,7 +151,7 @@
 	return result, nil
 }
 
-// fetch reads the action and its command, and writes its inputs below the root it returns.
+// fetch reads the action and its command, and writes the input tree below the returned root directory.
 func (a *execution) fetch(ctx context.Context) (root string, err error) {
 	if err := a.client.Message(ctx, a.digest, &a.action); err != nil {
 		return "", notFoundAsMissingBlob(err, a.digest)
@@ -185,8 +184,7 @@
 	return root, in.materialize(ctx, a.client, root)
 }
 
-// notFoundAsMissingBlob converts the error for a blob that is malformed or not in the store to an
-// actionError.
+// notFoundAsMissingBlob converts the error for a blob that is malformed or not in the store to an actionError.
 func notFoundAsMissingBlob(err error, digest cas.Digest) error {
 	if errors.Is(err, cas.ErrMalformed) {
 		return invalidAction("%v", err)
@@ -201,7 +199,7 @@
 func (a *execution) outputPaths() ([]string, error) {
 	paths := a.command.OutputPaths
 	if len(paths) == 0 {
-		//lint:ignore SA1019 clients of version 2.0 of the interface send these fields alone
+		//lint:ignore SA1019 clients of version 2.0 of the API send only these fields
 		paths = append(slices.Clone(a.command.OutputFiles), a.command.OutputDirectories...)
 	}
 	var out []string
@@ -221,14 +219,14 @@
 
 // collect uploads the outputs of the command and returns its result.
 func (a *execution) collect(ctx context.Context, root, cwd string, paths []string, code int) (*repb.ActionResult, error) {
-	collected := &outputs{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
+	collected := &outputCollector{function: a.digest.Function, limits: a.Limits, result: &repb.ActionResult{ExitCode: int32(code)}, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	realRoot, err := filepath.EvalSymlinks(root)
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range paths {
 		file := filepath.Join(cwd, p)
-		// The command may have replaced a directory by a symlink that leads elsewhere.
+		// The command may have replaced a directory with a symlink that leads out of the root.
 		if parent, err := filepath.EvalSymlinks(filepath.Dir(file)); err == nil && parent != realRoot && !strings.HasPrefix(parent, realRoot+"/") {
 			return nil, invalidAction("output %q: leads out of the input root", p)
 		}
--- a/internal/action/stream.go
+++ b/internal/action/stream.go
@@ -9,18 +9,18 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// logPollInterval is how often new output of a command is copied to its log.
+// logPollInterval is the time between two copies of new output from a file to its log.
 const logPollInterval = 100 * time.Millisecond
 
-// streamLog copies a file, as it grows, to a log of the store until the command has ended.
-// The log is for people who watch: where the store does not accept it, it is left out.
+// streamLog copies a file, as it grows, to a log in the store until the command has ended. The log only serves
+// users who watch the command, so errors of the store are ignored.
 func (a *execution) streamLog(ctx context.Context, file, name string) {
 	f, err := os.Open(file)
 	if err != nil {
 		return
 	}
 	defer f.Close()
-	logCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // what is left is sent after the end
+	logCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the rest of the output is sent after ctx has ended
 	defer cancel()
 	log := &lazyLog{ctx: logCtx, client: a.client, name: name}
 	t := time.NewTicker(logPollInterval)
@@ -41,11 +41,10 @@
 	}
 }
 
-// logBufferBytes is how much of a file goes into one message of a log.
+// logBufferBytes is the maximum size of the data in one write to a log.
 const logBufferBytes = 32 << 10
 
-// copyNew copies what was appended to a file since the last call. An error is that of the
-// destination.
+// copyNew copies the data that was appended to a file since the last call. It returns only errors of the destination.
 func copyNew(log io.Writer, f *os.File) error {
 	buf := make([]byte, logBufferBytes)
 	for {
@@ -59,7 +58,7 @@
 	}
 }
 
-// lazyLog is a log that is begun with the first write: most commands write nothing.
+// lazyLog is a log that is created by the first write, because most commands write nothing.
 type lazyLog struct {
 	ctx    context.Context // of the whole log
 	client *cas.Client
@@ -67,7 +66,7 @@
 	log    *cas.Log
 }
 
-// Write appends to the log.
+// Write appends to the log, which it creates if necessary.
 func (l *lazyLog) Write(p []byte) (int, error) {
 	if l.log == nil {
 		log, err := l.client.Log(l.ctx, l.name)
@@ -79,9 +78,9 @@
 	return l.log.Write(p)
 }
 
-// close finishes the log, if it was begun.
+// close finishes the log if it was created.
 func (l *lazyLog) close() {
 	if l.log != nil {
-		_ = l.log.Close() // whether it was kept changes nothing
+		_ = l.log.Close() // the log is optional, so an error is ignored
 	}
 }
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -16,10 +16,10 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// Upload stores files and directories below a directory as an input tree with the same names,
-// and returns the digest of its root.
+// Upload stores files and directories below base as an input tree with the same relative paths, and returns the
+// digest of its root.
 func Upload(ctx context.Context, c *cas.Client, f cas.Function, base string, paths []string) (cas.Digest, error) {
-	o := &outputs{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
+	o := &outputCollector{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	root := newTreeBuilder()
 	for _, p := range paths {
 		p, err := relativePath("input", filepath.ToSlash(p))
@@ -37,7 +37,7 @@
 	return digest, o.upload(ctx, c)
 }
 
-// treeBuilder is a directory of an input tree that is being built.
+// treeBuilder is a directory in an input tree that is being built.
 type treeBuilder struct {
 	dirs  map[string]*treeBuilder
 	files map[string]*repb.FileNode
@@ -48,7 +48,7 @@
 	return &treeBuilder{map[string]*treeBuilder{}, map[string]*repb.FileNode{}, map[string]*repb.SymlinkNode{}}
 }
 
-// child returns the folder of a name, which is created if need be.
+// child returns the subdirectory with the given name, and creates it if necessary.
 func (f *treeBuilder) child(name string) *treeBuilder {
 	if f.dirs[name] == nil {
 		f.dirs[name] = newTreeBuilder()
@@ -56,8 +56,8 @@
 	return f.dirs[name]
 }
 
-// add adds the file, symlink or directory at a path, and all below it, to the tree.
-func (o *outputs) add(root *treeBuilder, base, p string) error {
+// add adds the file, symlink or directory at a path to the tree. It adds a directory with everything below it.
+func (o *outputCollector) add(root *treeBuilder, base, p string) error {
 	filePath := filepath.Join(base, p)
 	info, err := os.Lstat(filePath)
 	if err != nil {
@@ -74,7 +74,7 @@
 	name := path.Base(p)
 	switch {
 	case info.IsDir():
-		parent.child(name) // an empty directory is part of the tree, too
+		parent.child(name) // adds the directory even if it is empty
 		return o.addEntries(root, base, p)
 	case info.Mode()&os.ModeSymlink != 0:
 		target, err := os.Readlink(filePath)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// addEntries adds all that is in a directory.
-func (o *outputs) addEntries(root *treeBuilder, base, p string) error {
+// addEntries adds all entries of a directory.
+func (o *outputCollector) addEntries(root *treeBuilder, base, p string) error {
 	entries, err := os.ReadDir(filepath.Join(base, p))
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// encodeTree adds the messages of a tree to the blobs, and returns the digest of its root.
-func (o *outputs) encodeTree(dir *treeBuilder) (cas.Digest, error) {
+// encodeTree adds the Directory messages of a tree to the blobs to upload, and returns the digest of the root.
+func (o *outputCollector) encodeTree(dir *treeBuilder) (cas.Digest, error) {
 	d := &repb.Directory{}
 	for _, name := range slices.Sorted(maps.Keys(dir.dirs)) {
 		digest, err := o.encodeTree(dir.dirs[name])
@@ -130,9 +130,9 @@
 	return digest, err
 }
 
-// Download writes the outputs of a result below a directory. Files that exist are replaced.
+// Download writes the outputs of a result below a directory. It replaces existing files.
 func Download(ctx context.Context, c *cas.Client, f cas.Function, base string, r *repb.ActionResult) error {
-	in := &inputs{files: make(map[cas.Digest][]node)}
+	in := &inputTree{files: make(map[cas.Digest][]inputNode)}
 	for _, o := range r.GetOutputFiles() {
 		p, err := relativePath("output", o.Path)
 		if err != nil {
@@ -143,7 +143,7 @@
 			return fmt.Errorf("output %q: %w", o.Path, err)
 		}
 		in.dirs = append(in.dirs, path.Dir(p))
-		in.files[digest] = append(in.files[digest], node{path: p, executable: o.IsExecutable})
+		in.files[digest] = append(in.files[digest], inputNode{path: p, executable: o.IsExecutable})
 	}
 	for _, o := range r.GetOutputDirectories() {
 		p, err := relativePath("output", o.Path)
@@ -154,7 +154,7 @@
 			return fmt.Errorf("output directory %q: %w", o.Path, err)
 		}
 	}
-	for content := range in.files { // symlinks and read-only files would not be overwritten
+	for content := range in.files { // otherwise an existing symlink would be followed, and a read-only file could not be written
 		for _, n := range in.files[content] {
 			_ = os.Remove(filepath.Join(base, n.path))
 		}
@@ -162,8 +162,8 @@
 	return in.materialize(ctx, c, base)
 }
 
-// addTree adds an output directory, checked like an input tree.
-func (in *inputs) addTree(ctx context.Context, c *cas.Client, f cas.Function, dir string, protoDigest *repb.Digest) error {
+// addTree adds an output directory, after validating it like an input tree.
+func (in *inputTree) addTree(ctx context.Context, c *cas.Client, f cas.Function, dir string, protoDigest *repb.Digest) error {
 	digest, err := cas.ParseDigest(f, protoDigest)
 	if err != nil {
 		return err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,40 +16,39 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Agent runs a Core: it sends its heartbeats, serves direct calls and runs its tasks.
+// Agent drives a Core. It sends heartbeats, serves direct calls and runs tasks.
 type Agent struct {
 	Core              *Core
 	Net               transport.Network
-	Listen            string            // the machine's address
-	Controllers       map[string]string // names to public addresses
+	Listen            string            // address on which direct calls are served
+	Controllers       map[string]string // public addresses by name
 	HeartbeatInterval time.Duration
-	Capacity          Resources // for all tasks together
+	Capacity          Resources // available to all tasks together
 	Actions           *action.Runner
 	Log               *slog.Logger
 
 	caller *transport.Caller
-	wake   chan struct{} // has room for one request to send a heartbeat early
-	// launch starts the goroutine of an attempt. The attempt outlives the call that asks for
-	// it: it ends with the context of Run.
+	wake   chan struct{} // requests an early heartbeat; has a buffer of one
+	// launch starts the goroutine of an attempt. The attempt is bound to the context of Run, because it outlives
+	// the call that requests it.
 	launch       func(Key, []chan struct{})
-	attemptGroup sync.WaitGroup // of the attempts
+	attemptGroup sync.WaitGroup // goroutines of the attempts
 
 	mu            sync.Mutex // also guards Core
 	cancels       map[Key]context.CancelFunc
-	exited        map[Key]chan struct{} // closed once the last process of an attempt has exited
+	exited        map[Key]chan struct{} // closed when the last process of an attempt has exited
 	reserved      map[Key]Resources
-	previousExits []chan struct{} // attempts of the previous incarnation, as in exited
+	previousExits []chan struct{} // values of exited for the attempts of the previous incarnation
 }
 
-// Bounds of what the agent accepts.
+// Limits of the agent's connections and calls.
 const (
 	maxConns         = 256
 	connIdleTimeout  = 90 * time.Second
 	maxResponseBytes = 1 << 20
 )
 
-// Run works until the context ends, kills every task then, and returns once all their
-// processes have exited.
+// Run runs the agent until the context ends. It then kills all tasks and returns once their processes have exited.
 func (a *Agent) Run(ctx context.Context) error {
 	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
 	a.wake = make(chan struct{}, 1)
@@ -70,7 +69,7 @@
 	return err
 }
 
-// serve answers direct calls: commands of the leader, and questions for the machine's state.
+// serve handles direct calls, which are commands of the leader and requests for the machine's state.
 func (a *Agent) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +100,7 @@
 	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Heartbeat())}
 }
 
-// apply carries out the effects of a step of the Core. The lock is held.
+// apply carries out the effects of a step of the Core. The caller holds the lock.
 func (a *Agent) apply(effects Effects) {
 	if effects.NewIncarnation {
 		a.previousExits = slices.Collect(maps.Values(a.exited))
@@ -123,8 +122,8 @@
 	}
 }
 
-// pendingExits lists what must have exited before an attempt may start: other attempts of
-// the same task that were killed but whose processes have not been reaped yet.
+// pendingExits returns the channels of the attempts that must have exited before a new attempt of the same task may
+// start. These attempts were killed, but their processes have not been reaped yet.
 func (a *Agent) pendingExits(key Key) (pending []chan struct{}) {
 	for other, exited := range a.exited {
 		if other.Task == key.Task && other != key {
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -13,18 +13,18 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Resources is an amount of what tasks take of a machine.
+// Resources is an amount of a machine's resources, such as the capacity of a machine or the request of a task.
 type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
 
-// exceeds reports whether r is more than free in any respect, rounding errors aside.
+// exceeds reports whether r is more than free in any resource. It tolerates rounding errors.
 func (r Resources) exceeds(free Resources) bool {
 	const epsilon = 1e-9
 	return r.CPUs > free.CPUs+epsilon || r.GPUs > free.GPUs+epsilon || r.MemoryGB > free.MemoryGB+epsilon
 }
 
-// run runs an attempt to its end, once all that it must wait for have exited.
+// run waits until all channels in waitFor are closed and then runs an attempt to its end.
 func (a *Agent) run(ctx context.Context, key Key, waitFor []chan struct{}) {
 	defer a.attemptGroup.Done()
 	for _, exited := range waitFor {
@@ -44,7 +44,7 @@
 	a.apply(a.Core.MarkEnded(key, cause))
 }
 
-// execute fetches the job of an attempt and runs its action. It returns why the attempt ended.
+// execute fetches the job of an attempt and runs its action. It returns the cause with which the attempt ended.
 func (a *Agent) execute(ctx context.Context, key Key) wire.Cause {
 	job, err := a.fetchJob(ctx, key.Task.Job)
 	switch {
@@ -73,7 +73,7 @@
 	return wire.CauseDone
 }
 
-// reserve reserves resources for an attempt, and reports whether they are free.
+// reserve reserves the resources of a job for an attempt. It reports false if they are not free.
 func (a *Agent) reserve(key Key, j *wire.Job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,13 +89,14 @@
 	return true
 }
 
-// errUnknownJob means that the controllers know no such job, or that it has ended.
+// errUnknownJob means that the job does not exist or has ended.
 var errUnknownJob = errors.New("no such job")
 
-// fetchRetryDelay is the time before the next controller is asked for a job.
+// fetchRetryDelay is the time before a job is requested from the next controller.
 const fetchRetryDelay = 200 * time.Millisecond
 
-// fetchJob asks the controllers in turn for the description of a job, until one knows it.
+// fetchJob requests the description of a job from the controllers in turn, until one of them returns it or reports
+// that the job is unknown. It starts at a random controller.
 func (a *Agent) fetchJob(ctx context.Context, id string) (*wire.Job, error) {
 	names := slices.Sorted(maps.Keys(a.Controllers))
 	path := wire.PathJobs + "/" + id + "/" + wire.WorkWord
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -16,21 +16,21 @@
 	Identity          Identity
 	Listen            string
 	Capacity          Resources
-	Controllers       map[string]string // names to public addresses
+	Controllers       map[string]string // public addresses by name
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
 	Store             string // address of the content-addressable store
-	Dir               string // where tasks run
+	Dir               string // directory in which tasks run
 }
 
-// Values of settings that the file leaves out.
+// Default values and bounds of settings.
 const (
 	defaultHeartbeatInterval = 3 * time.Second
 	defaultLease             = 30 * time.Second
 	minDuration              = 100 * time.Millisecond
 )
 
-// allowedKeys of the file, by section.
+// allowedKeys lists the keys that the settings file may have, by section. A nil list allows any key.
 var allowedKeys = map[string][]string{
 	"machine":     {"name", "type", "zone", "spot", "listen", "cpus", "gpus", "memory_gb"},
 	"controllers": nil, // names of controllers
@@ -38,7 +38,7 @@
 	"actions":     {"cas", "dir"},
 }
 
-// ParseConfig reads an agent's settings. The error joins every fault found.
+// ParseConfig parses an agent's settings. It returns all errors found, joined into one.
 func ParseConfig(text []byte) (*Config, error) {
 	file, err := ini.Load(text)
 	if err != nil {
@@ -69,20 +69,20 @@
 	return c, nil
 }
 
-// configReader reads values of a file and collects what is wrong with them.
+// configReader reads values from a settings file and collects the errors found.
 type configReader struct {
 	file *ini.File
 	errs []error
 }
 
-// check adds a fault unless ok holds: the value of a key, and what it must be.
+// check adds an error unless ok holds. The error names the key, its value and the requirement.
 func (r *configReader) check(ok bool, key string, value any, requirement string) {
 	if !ok {
 		r.errs = append(r.errs, fmt.Errorf("%s: %v: must be %s", key, value, requirement))
 	}
 }
 
-// checkKeys rejects keys that don't exist.
+// checkKeys adds an error for each key that is not in allowedKeys.
 func (r *configReader) checkKeys() {
 	for _, section := range r.file.Sections() {
 		keys, known := allowedKeys[section.Name()]
@@ -109,14 +109,14 @@
 	return v
 }
 
-// amount reads a number of section machine.
+// amount reads a non-negative number from section machine.
 func (r *configReader) amount(key string) float64 {
 	v, err := r.file.Section("machine").Key(key).Float64()
 	r.check(err == nil && v >= 0, "machine."+key, r.value("machine", key), "a number of 0 or more")
 	return v
 }
 
-// duration reads a duration of section workers.
+// duration reads a duration from section workers.
 func (r *configReader) duration(key string, defaultValue time.Duration) time.Duration {
 	text := r.value("workers", key)
 	if text == "" {
@@ -127,7 +127,7 @@
 	return v
 }
 
-// spot reads whether the machine is a spot instance; left out, it is none.
+// spot reads whether the machine is a spot instance. The default is false.
 func (r *configReader) spot() bool {
 	text := r.value("machine", "spot")
 	if text == "" {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -1,8 +1,8 @@
-// Package agent is the worker on a machine: it sends heartbeats to the controllers, executes
-// their commands and runs tasks as processes.
+// Package agent implements the worker on a machine. It sends heartbeats to the controllers, executes their
+// commands and runs tasks as processes.
 //
-// Core is the worker's protocol as a pure state machine: times and messages go in, what must
-// be started and killed comes out. Agent adds the goroutines, sockets and processes.
+// Core implements the worker's protocol as a state machine without I/O. Its methods take times and messages, and
+// return which attempts must be started and killed. Agent adds the goroutines, sockets and processes.
 package agent
 
 import (
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Identity is how a machine describes itself in its heartbeats.
+// Identity holds the attributes of a machine that its heartbeats report.
 type Identity struct {
 	Machine, Addr, Type, Zone string
 	Spot                      bool
@@ -31,34 +31,34 @@
 	state    wire.TaskState
 	cause    wire.Cause
 	ended    bool
-	stopping bool // its processes are being killed on command
+	stopping bool // a command has stopped it, but its processes have not exited yet
 }
 
-// Effects is what must be done after a step of the Core.
+// Effects lists the actions that the caller must take after a step of the Core.
 type Effects struct {
 	Start        []Key
 	Kill         []Key
 	HeartbeatNow bool // send a heartbeat as soon as the protocol allows
-	// NewIncarnation says that the lease has expired and a new incarnation has begun. No
-	// heartbeat of it may be sent before every process of the previous one has exited: the
-	// controllers take it as the proof that they have.
+	// NewIncarnation means that the lease has expired and a new incarnation has started. Its first heartbeat must
+	// not be sent before every process of the previous incarnation has exited, because controllers take the
+	// heartbeat as proof that they have.
 	NewIncarnation bool
 }
 
-// Core is the state of a worker. It has no goroutines, clocks or locks of its own.
+// Core is the state machine of a worker. It has no goroutines, clocks or locks, so calls must be serialized.
 type Core struct {
 	identity    Identity
 	lease       time.Duration
 	incarnation uint64
 	seq         uint64
 	token       uint64
-	leaseStart  time.Time // when the last answered heartbeat was sent, or the incarnation began
+	leaseStart  time.Time // send time of the last heartbeat that was answered, or start of the incarnation
 	tokenRaised time.Time // when a higher fencing token last triggered an early heartbeat
 	tasks       map[Key]*attempt
 }
 
-// NewCore returns a worker without tasks. Its incarnation must be higher than that of any
-// earlier process on the machine.
+// NewCore returns a Core without tasks. The incarnation must be higher than that of any earlier process on the
+// machine.
 func NewCore(self Identity, lease time.Duration, incarnation uint64, now time.Time) *Core {
 	return &Core{identity: self, lease: lease, incarnation: max(1, incarnation), leaseStart: now, tasks: make(map[Key]*attempt)}
 }
@@ -69,8 +69,7 @@
 	return c.Heartbeat()
 }
 
-// Heartbeat returns the machine's state as a heartbeat, without counting it as one that is
-// sent.
+// Heartbeat returns the machine's state as a heartbeat, without incrementing the sequence number.
 func (c *Core) Heartbeat() wire.Heartbeat {
 	heartbeat := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
 		Incarnation: c.incarnation, Seq: c.seq, FencingToken: c.token, Tasks: []wire.ReportedTask{}}
@@ -80,7 +79,7 @@
 	return heartbeat
 }
 
-// sorted lists the attempts by job, index and attempt number.
+// sorted returns the attempts in the order of job, index and attempt number.
 func (c *Core) sorted() []*attempt {
 	var out []*attempt
 	for _, t := range c.tasks {
@@ -95,7 +94,7 @@
 // Incarnation returns the number of the current incarnation.
 func (c *Core) Incarnation() uint64 { return c.incarnation }
 
-// Expire ends the incarnation if the lease has expired: all tasks are killed and forgotten.
+// Expire starts a new incarnation if the lease has expired. All tasks are killed and removed from the state.
 func (c *Core) Expire(now time.Time) (effects Effects) {
 	if now.Sub(c.leaseStart) <= c.lease {
 		return effects
@@ -112,9 +111,9 @@
 	return effects
 }
 
-// HandleAnswer handles the answer to a heartbeat that was sent at a given time in a given
-// incarnation. It extends the lease from the time at which the heartbeat was sent. An answer
-// with a lower fencing token, or to a heartbeat of an earlier incarnation, is dropped.
+// HandleAnswer handles the response to a heartbeat that was sent at the given time in the given incarnation. It
+// renews the lease from the time at which the heartbeat was sent. A response with a lower fencing token, or to a
+// heartbeat of an earlier incarnation, is dropped.
 func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, response wire.HeartbeatResponse) (effects Effects) {
 	if response.FencingToken < c.token || response.FencingToken == 0 || incarnation != c.incarnation {
 		return effects
@@ -127,8 +126,8 @@
 	return effects
 }
 
-// HandleDirect handles commands that a leader sent to the machine directly. They are refused
-// with a lower fencing token or for another incarnation. They don't extend the lease.
+// HandleDirect handles commands that a leader sent to the machine directly. It rejects a request with a lower fencing
+// token or for another incarnation. Direct commands don't renew the lease.
 func (c *Core) HandleDirect(now time.Time, request wire.CommandRequest) (effects Effects, accepted bool) {
 	if request.FencingToken < c.token || request.Incarnation != c.incarnation {
 		return effects, false
@@ -138,8 +137,8 @@
 	return effects, true
 }
 
-// adoptToken adopts a higher fencing token. It reports whether a heartbeat should show that
-// early, which is at most once in half a lease.
+// adoptToken adopts a higher fencing token. It reports whether an early heartbeat should report the new token,
+// which is requested at most once in half a lease.
 func (c *Core) adoptToken(now time.Time, token uint64) (heartbeatNow bool) {
 	if token <= c.token {
 		return false
@@ -152,7 +151,7 @@
 	return true
 }
 
-// execute applies commands. Those that repeat what was done before have no effect.
+// execute executes commands. A command that was executed before has no effect.
 func (c *Core) execute(cmds []wire.Command, effects *Effects) {
 	for _, cmd := range cmds {
 		id, err := wire.ParseTaskID(cmd.Task)
@@ -166,7 +165,7 @@
 			c.launch(key, effects)
 			effects.HeartbeatNow = true
 		case cmd.Verb == wire.Stop && existing != nil && !existing.ended && !existing.stopping:
-			existing.stopping = true // it has ended once its processes have exited
+			existing.stopping = true // the attempt has ended only once its processes have exited
 			effects.Kill = append(effects.Kill, key)
 		case cmd.Verb == wire.Clear && existing != nil && existing.ended:
 			delete(c.tasks, key)
@@ -175,7 +174,8 @@
 	}
 }
 
-// launch starts an attempt, or ends it as busy while another attempt of the task runs here.
+// launch starts an attempt. It ends the attempt with CauseBusy if another attempt of the same task has not ended
+// on this machine.
 func (c *Core) launch(key Key, effects *Effects) {
 	t := &attempt{Key: key, state: wire.TaskFetching}
 	for _, other := range c.tasks {
@@ -191,7 +191,7 @@
 
 func (t *attempt) end(cause wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, cause, true }
 
-// MarkRunning records that an attempt has its inputs and runs.
+// MarkRunning records that an attempt has fetched its job and is running.
 func (c *Core) MarkRunning(key Key) (effects Effects) {
 	if t := c.tasks[key]; t != nil && t.state == wire.TaskFetching {
 		t.state = wire.TaskRunning
@@ -200,8 +200,8 @@
 	return effects
 }
 
-// MarkEnded records that the last process of an attempt has exited, and why. Attempts of an
-// earlier incarnation are forgotten already and have no effect.
+// MarkEnded records that the last process of an attempt has exited, and the cause. It has no effect for an attempt
+// of an earlier incarnation, because Expire has removed it.
 func (c *Core) MarkEnded(key Key, cause wire.Cause) (effects Effects) {
 	if t := c.tasks[key]; t != nil && !t.ended {
 		if t.stopping && cause != wire.CauseDone {
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestTraces plays the kept traces of a worker's protocol.
+// TestTraces replays the recorded traces in testdata against Core and compares its responses.
 func TestTraces(t *testing.T) {
 	simulator.Traces(t, func(t *testing.T) func(string) []string {
 		start := time.Unix(1e9, 0)
@@ -28,7 +28,7 @@
 				d, _ := time.ParseDuration(words[1])
 				now = start.Add(d)
 				return describeEffects(c.Expire(now))
-			case "answer": // to a heartbeat that was sent so long ago
+			case "answer": // the response to a heartbeat that was sent the given time ago
 				ago, _ := time.ParseDuration(args["sent"])
 				incarnation := c.Incarnation()
 				if args["session"] != "" {
@@ -63,7 +63,7 @@
 	return Key{id, n}
 }
 
-// parseCommands reads "launch wk-1/0#2 clear wk-2/0#1" and the like.
+// parseCommands parses commands such as "launch wk-1/0#2 clear wk-2/0#1".
 func parseCommands(words []string) (out []wire.Command) {
 	for i := 0; i+1 < len(words); i += 2 {
 		k := key(words[i+1])
@@ -85,7 +85,7 @@
 	return out
 }
 
-// TestConfig: every fault of an agent's settings is named at once.
+// TestConfig checks that valid settings are parsed, and that the error for invalid ones names every invalid key.
 func TestConfig(t *testing.T) {
 	good := "[machine]\nname = n-1\ntype = g4\nzone = a\nlisten = 127.0.0.1:9000\ncpus = 4\ngpus = 0\nmemory_gb = 8\n[controllers]\nc-0 = 127.0.0.1:8080\n[actions]\ncas = 127.0.0.1:8980\ndir = /tmp/x\n"
 	c, err := ParseConfig([]byte(good))
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -8,8 +8,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenSettings: an agent's settings file has the keys that it had, and they mean what
-// they meant.
+// TestGoldenSettings checks that the keys of an agent's settings file and the parsed values match the golden
+// files, so that existing settings files keep their meaning.
 func TestGoldenSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/agent.ini")
 	if err != nil {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// responseTimeout is how long an answer is waited for. One that comes later is dropped,
-	// so that no answer takes effect on a worker longer than this after its heartbeat.
+	// responseTimeout is the timeout of a call. A later response to a heartbeat is dropped, so that no response takes
+	// effect on a worker longer than this after its heartbeat.
 	responseTimeout = 4 * time.Second
-	// minHeartbeatGap is the least time between two heartbeats, however much changes.
+	// minHeartbeatGap is the minimum time between two heartbeats, regardless of how many early heartbeats are
+	// requested.
 	minHeartbeatGap = 500 * time.Millisecond
-	// retryDelay is the time before the next controller is tried.
+	// retryDelay is the time before a heartbeat is sent to the next controller after a failed call.
 	retryDelay = time.Second
 )
 
-// heartbeats keeps one heartbeat in flight, to one controller at a time, until the context
-// ends. It follows redirects to the leader and tries the controllers in turn while none
-// answers.
+// heartbeats sends heartbeats to one controller until the context ends, with at most one in flight. It follows
+// redirects to the leader, and tries the controllers in turn while none responds.
 func (a *Agent) heartbeats(ctx context.Context) error {
 	names := slices.Sorted(maps.Keys(a.Controllers))
 	controller := names[rand.IntN(len(names))]
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// awaitExits waits until the processes of an earlier incarnation have exited: a heartbeat of
-// the new one is the proof that they have.
+// awaitExits waits until the processes of the previous incarnation have exited, because controllers take a
+// heartbeat of the new incarnation as proof that they have.
 func (a *Agent) awaitExits() {
 	a.mu.Lock()
 	a.apply(a.Core.Expire(time.Now()))
@@ -61,14 +61,14 @@
 	}
 }
 
-// nextHeartbeat returns the next heartbeat, encoded, and its incarnation.
+// nextHeartbeat returns the incarnation and the encoded form of the next heartbeat.
 func (a *Agent) nextHeartbeat() (uint64, []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.Core.Incarnation(), wire.Encode(a.Core.NextHeartbeat())
 }
 
-// handleResponse takes in the answer to a heartbeat.
+// handleResponse passes the response to a heartbeat to the Core.
 func (a *Agent) handleResponse(sent time.Time, incarnation uint64, response wire.HeartbeatResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,14 +76,14 @@
 	a.apply(a.Core.HandleAnswer(time.Now(), sent, incarnation, response))
 }
 
-// call makes a call to a controller.
+// call sends a request to a controller, with responseTimeout.
 func (a *Agent) call(ctx context.Context, controller, method, path string, body []byte) (*httpwire.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	return a.caller.Call(ctx, a.Controllers[controller], method, path, body)
 }
 
-// redirect returns the name of the leader in a redirect, or nothing.
+// redirect returns the name of the leader if the response is a redirect, and "" otherwise.
 func redirect(resp *httpwire.Response, err error) string {
 	var r wire.Redirect
 	if err == nil && resp.Status == 421 {
@@ -92,8 +92,8 @@
 	return r.Leader
 }
 
-// waitForNext waits until the next heartbeat is due: after the given time, or early after a
-// change, but never sooner than minHeartbeatGap.
+// waitForNext waits until the next heartbeat is due, which is after the given time or when an early heartbeat is
+// requested, but not before minHeartbeatGap has passed.
 func (a *Agent) waitForNext(ctx context.Context, wait time.Duration) {
 	start := time.Now()
 	t := time.NewTimer(wait)
@@ -106,7 +106,7 @@
 	}
 }
 
-// sleep waits for some time or until the context ends.
+// sleep waits for the given time or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
--- a/internal/cas/bytestream.go
+++ b/internal/cas/bytestream.go
@@ -11,13 +11,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// Read implements ByteStream, for blobs and for logs.
+// Read implements the ByteStream API for blobs and logs.
 func (s *Server) Read(r *bspb.ReadRequest, out bspb.ByteStream_ReadServer) error {
 	if name, ok := parseLog(r.ResourceName); ok {
 		if r.ReadOffset < 0 || r.ReadLimit != 0 {
 			return status.Error(codes.OutOfRange, "a log is read from an offset of 0 or more, without a limit")
 		}
-		return asStatus(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &streamWriter{out: out}))
+		return toStatusError(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &streamWriter{out: out}))
 	}
 	res, err := ParseResource(r.ResourceName)
 	if err != nil || res.Upload != "" {
@@ -29,11 +29,11 @@
 	}
 	in, err := s.disk.Reader(res.Digest)
 	if err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	defer in.Close()
 	if _, err := in.Seek(r.ReadOffset, io.SeekStart); err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	left := size - r.ReadOffset
 	if r.ReadLimit > 0 {
@@ -41,19 +41,19 @@
 	}
 	to := &streamWriter{out: out}
 	if res.Zstd {
-		return asStatus(copyCompressed(to, io.LimitReader(in, left)))
+		return toStatusError(copyCompressed(to, io.LimitReader(in, left)))
 	}
-	return asStatus(copyChunks(to, io.LimitReader(in, left)))
+	return toStatusError(copyChunks(to, io.LimitReader(in, left)))
 }
 
-// copyChunks copies in chunks. The destination's ReadFrom, if it has one, is not used: it
-// would choose a size of its own.
+// copyChunks copies in chunks of chunkBytes. It hides the destination's ReadFrom method, if there is one, because
+// that would choose its own chunk size.
 func copyChunks(to io.Writer, from io.Reader) error {
 	_, err := io.CopyBuffer(struct{ io.Writer }{to}, from, make([]byte, chunkBytes))
 	return err
 }
 
-// copyCompressed copies and compresses with zstd.
+// copyCompressed copies from a reader and compresses the data with zstd.
 func copyCompressed(to io.Writer, from io.Reader) error {
 	z, err := zstd.NewWriter(to, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -62,7 +62,7 @@
 	return errors.Join(copyChunks(z, from), z.Close())
 }
 
-// streamWriter sends what is written to it in messages of a bounded size.
+// streamWriter is an io.Writer that sends data as ReadResponse messages of bounded size.
 type streamWriter struct {
 	out bspb.ByteStream_ReadServer
 }
@@ -81,7 +81,7 @@
 	return n, nil
 }
 
-// QueryWriteStatus implements ByteStream.
+// QueryWriteStatus implements the ByteStream API.
 func (s *Server) QueryWriteStatus(_ context.Context, r *bspb.QueryWriteStatusRequest) (*bspb.QueryWriteStatusResponse, error) {
 	res, err := ParseResource(r.ResourceName)
 	if err != nil || res.Upload == "" {
@@ -97,8 +97,8 @@
 	return &bspb.QueryWriteStatusResponse{CommittedSize: n}, nil
 }
 
-// Write implements ByteStream, for blobs and for logs. An upload that was interrupted is
-// resumed at the offset that QueryWriteStatus returns.
+// Write implements the ByteStream API for blobs and logs. A client resumes an interrupted upload at the offset that
+// QueryWriteStatus returns.
 func (s *Server) Write(in bspb.ByteStream_WriteServer) error {
 	first, err := in.Recv()
 	if err != nil {
@@ -114,7 +114,7 @@
 	if s.disk.Has(res.Digest) {
 		n := res.Digest.Size
 		if res.Zstd {
-			n = -1 // as the API demands for compressed uploads
+			n = -1 // the API requires this for compressed uploads
 		}
 		return in.SendAndClose(&bspb.WriteResponse{CommittedSize: n})
 	}
@@ -124,7 +124,7 @@
 	}
 	w, err := s.disk.Writer(res.Digest, id)
 	if err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	defer w.Close()
 	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, offset: w.Size()}
@@ -135,15 +135,16 @@
 		_, err = io.Copy(w, msgs)
 	}
 	if err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	if err := w.Commit(); err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.offset})
 }
 
-// decompressTo copies and decompresses with zstd. Malformed data is ErrWrongContent.
+// decompressTo copies from a reader and decompresses the data with zstd. It returns ErrWrongContent for malformed
+// data.
 func decompressTo(w io.Writer, r io.Reader) error {
 	z, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20))
 	if err != nil {
@@ -156,7 +157,7 @@
 	return err
 }
 
-// uploadReader reads the data of an upload's messages in order, and checks their offsets.
+// uploadReader is an io.Reader of the data in an upload's messages. It checks that the messages are contiguous.
 type uploadReader struct {
 	in     bspb.ByteStream_WriteServer
 	next   *bspb.WriteRequest
@@ -164,7 +165,7 @@
 	offset int64
 }
 
-// Read returns the data of the next message, io.EOF after the one that finishes the upload.
+// Read returns data of the current or the next message, and io.EOF after the message that finishes the upload.
 func (m *uploadReader) Read(p []byte) (int, error) {
 	for m.next == nil || len(m.next.Data) == 0 {
 		if m.next != nil {
@@ -194,7 +195,7 @@
 	return n, nil
 }
 
-// check compares a message with what came before it.
+// check verifies that the next message belongs to the same upload and starts where the previous one ended.
 func (m *uploadReader) check() error {
 	if m.next.ResourceName != "" && m.next.ResourceName != m.name {
 		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.name)
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -34,7 +34,7 @@
 	return d
 }
 
-// newTestClient serves a disk on loopback and gives a client of it.
+// newTestClient serves a disk on the loopback interface and returns a client of it.
 func newTestClient(t testing.TB, d *Disk, l Limits) *Client {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,8 +61,8 @@
 	return out
 }
 
-// TestBlobs writes and reads blobs of all sizes in both functions, whole and as
-// streams.
+// TestBlobs writes and reads blobs of various sizes with each digest function, and checks the health and capabilities
+// services.
 func TestBlobs(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 64<<20), DefaultLimits)
 	for _, f := range Functions {
@@ -83,7 +83,7 @@
 		}
 	}
 	if _, err := c.Get(t.Context(), Sum(sha, []byte("nobody wrote this"))); status.Code(errors.Unwrap(err)) != codes.NotFound {
-		t.Errorf("a blob that is not there: %v", err)
+		t.Errorf("reading a missing blob: %v", err)
 	}
 	if h, err := healthpb.NewHealthClient(c.conn).Check(t.Context(), &healthpb.HealthCheckRequest{}); err != nil || h.Status != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("health: %v, %v", h, err)
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestWrongContentIsRejected: a hash, a size, and a digest that can't be one.
+// TestWrongContentIsRejected checks that content with a wrong hash or size, or with a malformed digest, is not
+// stored.
 func TestWrongContentIsRejected(t *testing.T) {
 	d := openTestDisk(t, t.TempDir(), 1<<20)
 	c := newTestClient(t, d, DefaultLimits)
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestInterruptedUploadResumes: an upload that was broken off, by its client or by the end of
-// the server, goes on at the offset that it asks for; a wrong offset is refused.
+// TestInterruptedUploadResumes checks that an upload which was interrupted by its client or by a restart of the
+// server resumes at the offset that QueryWriteStatus returns, and that a write at a wrong offset is rejected.
 func TestInterruptedUploadResumes(t *testing.T) {
 	dir := t.TempDir()
 	content := randomBytes(900_000, 1)
@@ -140,20 +141,20 @@
 	}
 	c := newTestClient(t, openTestDisk(t, dir, 4<<20), DefaultLimits)
 	if n := committed(c); n != -1 {
-		t.Errorf("an upload that never began is at %d", n)
+		t.Errorf("offset of an upload that was never started: %d", n)
 	}
 	if _, err := write(c, 0, 300_000, false); status.Code(err) != codes.InvalidArgument || committed(c) != 300_000 {
-		t.Fatalf("broken off: %v, at %d", err, committed(c))
+		t.Fatalf("interrupted upload: %v, at offset %d", err, committed(c))
 	}
 	if _, err := write(c, 100, 600_000, false); status.Code(err) != codes.OutOfRange {
-		t.Errorf("a wrong offset: %v", err)
+		t.Errorf("write at a wrong offset: %v", err)
 	}
 	if missing, _ := c.Missing(t.Context(), []Digest{digest}); len(missing) != 1 {
-		t.Error("half a blob is there")
+		t.Error("a partial blob counts as present")
 	}
-	restarted := newTestClient(t, openTestDisk(t, dir, 4<<20), DefaultLimits) // after a kill
+	restarted := newTestClient(t, openTestDisk(t, dir, 4<<20), DefaultLimits) // a new process on the same directory
 	if n := committed(restarted); n != 300_000 {
-		t.Fatalf("after the restart it is at %d", n)
+		t.Fatalf("offset after the restart: %d", n)
 	}
 	if n, err := write(restarted, 300_000, len(content), true); err != nil || n != int64(len(content)) {
 		t.Fatalf("%d, %v", n, err)
@@ -162,12 +163,12 @@
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 	if n := committed(restarted); n != int64(len(content)) {
-		t.Errorf("complete at %d", n)
+		t.Errorf("offset of the complete upload: %d", n)
 	}
 }
 
-// TestCompressed: blobs go in and out under zstd, from any offset; what unpacks to
-// something else is refused.
+// TestCompressed checks that blobs can be written and read with zstd compression, also from an offset, and that data
+// which does not decompress to the blob is rejected.
 func TestCompressed(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 64<<20), DefaultLimits)
 	content := bytes.Repeat([]byte("a line of a log\n"), 100_000)
@@ -209,8 +210,8 @@
 	}
 }
 
-// TestDamagedFilesAreNotServed changes, cuts and misnames files, as a crash or a
-// bad disk may leave them.
+// TestDamagedFilesAreNotServed checks that files which a crash or a faulty disk has changed, truncated or misnamed
+// are deleted and not served.
 func TestDamagedFilesAreNotServed(t *testing.T) {
 	dir := t.TempDir()
 	d := openTestDisk(t, dir, 1<<20)
@@ -240,8 +241,8 @@
 	}
 }
 
-// TestEviction: the least recently used make room, never what was used within the
-// time to keep or is being read; then a write is told to come back.
+// TestEviction checks that the least recently used blobs are evicted, but none that was used within the retention
+// time or is being read. A write for which no room can be made is rejected with a retry delay.
 func TestEviction(t *testing.T) {
 	dir := t.TempDir()
 	d, err := Open(dir, 10_000, time.Minute)
@@ -263,10 +264,10 @@
 		digests = append(digests, digest)
 	}
 	if _, err := put(3); !errors.Is(err, ErrFull) {
-		t.Errorf("all was used just now: %v", err)
+		t.Errorf("writing while every blob was used recently: %v", err)
 	}
-	if st := status.Convert(asStatus(ErrFull)); st.Code() != codes.ResourceExhausted || len(st.Details()) != 1 {
-		t.Errorf("the answer is %v", st)
+	if st := status.Convert(toStatusError(ErrFull)); st.Code() != codes.ResourceExhausted || len(st.Details()) != 1 {
+		t.Errorf("status of ErrFull: %v", st)
 	}
 	now = now.Add(2 * time.Minute)
 	d.Has(digests[0])
@@ -275,12 +276,12 @@
 		t.Fatal(err)
 	}
 	now = now.Add(59 * time.Second)
-	if _, err := put(4); err != nil { // takes the third, the only one that is old
+	if _, err := put(4); err != nil { // evicts the third blob, the only one past the retention time
 		t.Fatal(err)
 	}
 	for i, present := range []bool{true, true, false} {
 		if d.Has(digests[i]) != present {
-			t.Errorf("blob %d: there %v", i, !present)
+			t.Errorf("blob %d: present %v", i, !present)
 		}
 	}
 	now = now.Add(5 * time.Minute)
@@ -288,20 +289,20 @@
 		t.Fatal(err)
 	}
 	if !d.Has(digests[1]) {
-		t.Error("a blob went while it was read")
+		t.Error("a blob was evicted while it was read")
 	}
 	in.Close()
 	if err := d.Put(Sum(sha, randomBytes(20_000, 9)), randomBytes(20_000, 9)); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("a blob that never fits: %v", err)
+		t.Errorf("a blob larger than the store: %v", err)
 	}
-	small, err := Open(dir, 4000, 0) // opened with less
+	small, err := Open(dir, 4000, 0) // reopened with a lower limit
 	if err != nil || small.Stats().Bytes > 4000 {
 		t.Errorf("%+v, %v", small.Stats(), err)
 	}
 }
 
-// TestResultRequiresAllOutputs: the result of an action is given only while all that it names is
-// there, down to the files of its directories.
+// TestResultRequiresAllOutputs checks that the result of an action is returned only while all its outputs are in the
+// store, including the files in output directories.
 func TestResultRequiresAllOutputs(t *testing.T) {
 	d := openTestDisk(t, t.TempDir(), 1<<20)
 	c := newTestClient(t, d, DefaultLimits)
@@ -324,13 +325,13 @@
 	other := *c
 	other.Instance = "other"
 	if _, err := other.Result(ctx, action); status.Code(err) != codes.NotFound {
-		t.Errorf("of another instance: %v", err)
+		t.Errorf("result read under another instance name: %v", err)
 	}
 	d.mu.Lock()
 	d.remove(deep)
 	d.mu.Unlock()
 	if _, err := c.Result(ctx, action); status.Code(err) != codes.NotFound {
-		t.Errorf("a file of an output directory is gone: %v", err)
+		t.Errorf("result with a missing file in an output directory: %v", err)
 	}
 	if _, err := c.Put(ctx, sha, []byte("deep in a directory")); err != nil {
 		t.Fatal(err)
@@ -343,8 +344,8 @@
 	}
 }
 
-// TestTree: a tree comes once for each directory, however often it is named, and
-// without what is missing.
+// TestTree checks that GetTree sends each directory once, however often it is referenced, and leaves out missing
+// ones.
 func TestTree(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 16<<20), DefaultLimits)
 	ctx := t.Context()
@@ -365,7 +366,7 @@
 	}
 }
 
-// TestCallLimitRefusesImmediately: a call beyond the bound is refused with when to come back.
+// TestCallLimitRefusesImmediately checks that a call beyond the limit of open calls is rejected with a retry delay.
 func TestCallLimitRefusesImmediately(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 1<<20), Limits{Calls: 1, Batch: 1 << 20})
 	begin := func() bspb.ByteStream_WriteClient {
@@ -381,7 +382,7 @@
 		_, err := c.blobs.FindMissingBlobs(t.Context(), &repb.FindMissingBlobsRequest{})
 		if status.Code(err) != codes.ResourceExhausted { // the stream has not arrived yet
 			if out.Context().Err() != nil || out.Send(&bspb.WriteRequest{WriteOffset: 5}) != nil {
-				out = begin() // it came while the other call had the place
+				out = begin() // the stream was rejected because the other call was open
 			}
 			continue
 		}
@@ -390,12 +391,12 @@
 				return
 			}
 		}
-		t.Fatalf("refused without when to come back: %v", err)
+		t.Fatalf("rejected without a retry delay: %v", err)
 	}
 }
 
-// TestClientResumesAfterServerRestart: a server that ends in the middle of an upload and comes back is
-// gone on with.
+// TestClientResumesAfterServerRestart checks that the client completes an upload during which the server is
+// restarted.
 func TestClientResumesAfterServerRestart(t *testing.T) {
 	dir := t.TempDir()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -433,20 +434,20 @@
 	}
 }
 
-// TestLogs: a log is read as it grows; one that is begun anew sends its readers
-// away, and one whose writer is gone is finished.
+// TestLogs checks that a log is read as it grows, that starting a log of the same name disconnects the readers and
+// the writer of the old one, and that readers receive the whole log once it is finished.
 func TestLogs(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 1<<20), DefaultLimits)
 	ctx := t.Context()
 	if _, err := c.FollowLog(ctx, LogName("main", "wk-1/stdout"), &bytes.Buffer{}); status.Code(err) != codes.NotFound {
-		t.Errorf("a log that nobody writes: %v", err)
+		t.Errorf("a log that was never started: %v", err)
 	}
 	type seen struct {
 		text string
 		err  error
 	}
-	// follow reads the log until it ends; begun is closed once something was read, so
-	// that a test may wait until a reader is at the log that it means.
+	// follow reads the log until it ends. It closes started once it has read something, so that the test can wait
+	// until the reader has opened the intended log.
 	follow := func() (result chan seen, started chan struct{}) {
 		result, started = make(chan seen, 1), make(chan struct{})
 		go func() {
@@ -466,8 +467,8 @@
 	}
 	_, _ = first.Write([]byte("one\n"))
 	firstReader, started := follow()
-	<-started                                // else it may come to the second log, whose end waits for this reader
-	second, err := c.Log(ctx, "wk-1/stdout") // the command is begun anew
+	<-started                                // otherwise the reader might open the second log, which is finished only after this reader ends
+	second, err := c.Log(ctx, "wk-1/stdout") // the command is run again
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -485,11 +486,11 @@
 		t.Errorf("%+v", s)
 	}
 	if err := first.Close(); err == nil {
-		t.Error("the first goes on beside the second")
+		t.Error("the first log can still be written after the second replaced it")
 	}
 }
 
-// firstWriteNotifier closes begun when something is written to it for the first time.
+// firstWriteNotifier closes started when something is written to it for the first time.
 type firstWriteNotifier struct {
 	bytes.Buffer
 	started chan struct{}
@@ -502,7 +503,7 @@
 	return w.Buffer.Write(p)
 }
 
-// interruptingReader does something once so much was read.
+// interruptingReader calls interrupt once the given number of bytes was read.
 type interruptingReader struct {
 	*bytes.Reader
 	at        int64
@@ -517,8 +518,8 @@
 	return s.Reader.Read(p)
 }
 
-// FuzzResourceNames: whatever a name or a digest is, it is refused or names the same again,
-// and no name leaves the directory.
+// FuzzResourceNames checks that any resource name or digest is either rejected or survives a round trip, and that no
+// name leads to a path outside the store's directory.
 func FuzzResourceNames(f *testing.F) {
 	digest := Sum(sha, []byte("x"))
 	f.Add("main/blobs/" + digest.String())
@@ -533,7 +534,7 @@
 			d := &Disk{dir: "/store"}
 			for _, path := range []string{d.path(r.Digest), d.uploadPath(r.Digest, r.Upload), d.resultPath(r.Instance, r.Digest)} {
 				if !strings.HasPrefix(filepath.Clean(path), "/store/") {
-					t.Errorf("%q names %s", name, path)
+					t.Errorf("%q leads to %s", name, path)
 				}
 			}
 		}
@@ -543,8 +544,7 @@
 	})
 }
 
-// BenchmarkStream writes and reads blobs of 4 MiB through ByteStream; BenchmarkFile
-// writes the same to a file and computes its hash.
+// BenchmarkStream writes blobs of 4 MiB through the ByteStream API.
 func BenchmarkStream(b *testing.B) {
 	c := newTestClient(b, openTestDisk(b, b.TempDir(), 1<<30), DefaultLimits)
 	content := randomBytes(4<<20, 1)
@@ -557,7 +557,8 @@
 	}
 }
 
-// BenchmarkFile is what BenchmarkStream is measured against.
+// BenchmarkFile is the baseline for BenchmarkStream: it writes blobs of the same size to files and computes their
+// hashes.
 func BenchmarkFile(b *testing.B) {
 	dir := b.TempDir()
 	content := randomBytes(4<<20, 1)
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -19,8 +19,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Client is a client of a store. Calls that find it busy or unreachable are retried a few
-// times, until their context ends.
+// Client is a client of a content-addressable store. Calls are retried up to maxRetries times while the store is
+// busy or unreachable, and end with their context.
 type Client struct {
 	Instance string
 	blobs    repb.ContentAddressableStorageClient
@@ -29,7 +29,7 @@
 	conn     *grpc.ClientConn
 }
 
-// Dial returns a client of the store at an address. It connects with the first call.
+// Dial returns a client of the store at an address. It connects on the first call.
 func Dial(addr, instance string) (*Client, error) {
 	conn, err := grpc.NewClient(addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(16<<20)))
@@ -39,16 +39,15 @@
 	return &Client{instance, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bspb.NewByteStreamClient(conn), conn}, nil
 }
 
-// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// maxRetries is how often a call is retried, after a pause that doubles from initialRetryDelay on.
+// A call is retried at most maxRetries times. The delay starts at initialRetryDelay and doubles with each retry.
 const (
 	maxRetries        = 6
 	initialRetryDelay = 100 * time.Millisecond
 )
 
-// Retry makes a call, and retries it while the server is busy or unreachable.
+// Retry makes a call and retries it with exponential backoff and jitter while the server is busy or unreachable.
 func Retry(ctx context.Context, call func() error) error {
 	for attempt := 0; ; attempt++ {
 		err := call()
@@ -71,10 +70,11 @@
 	}
 }
 
-// maxDigestsPerRequest bounds the digests of one request for missing blobs: a request has a bounded size.
+// maxDigestsPerRequest bounds the number of digests in one FindMissingBlobs request, because the size of a message is
+// bounded.
 const maxDigestsPerRequest = 10_000
 
-// Missing returns which of some blobs are not in the store. The others count as used.
+// Missing returns the digests whose blobs are not in the store. The store records a use of each of the others.
 func (c *Client) Missing(ctx context.Context, digests []Digest) ([]Digest, error) {
 	var missing []Digest
 	for len(digests) > 0 {
@@ -96,7 +96,7 @@
 	return missing, nil
 }
 
-// Get reads a whole blob and checks it.
+// Get reads a whole blob and verifies its digest.
 func (c *Client) Get(ctx context.Context, digest Digest) ([]byte, error) {
 	var out bytes.Buffer
 	if err := c.Read(ctx, digest, &out); err != nil {
@@ -105,10 +105,10 @@
 	return out.Bytes(), nil
 }
 
-// ErrMalformed means that a blob is not the message that it should be.
+// ErrMalformed means that a blob does not hold a message of the expected type.
 var ErrMalformed = errors.New("malformed message")
 
-// Message reads a blob that holds a message of the API.
+// Message reads and decodes a blob that holds a message of the API.
 func (c *Client) Message(ctx context.Context, digest Digest, m proto.Message) error {
 	if digest.Size > maxMessageBytes {
 		return fmt.Errorf("%w: %v has more than %d bytes", ErrMalformed, digest, maxMessageBytes)
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Read copies a blob to w and checks it. After an error, what was written to w must not be
-// used. A read that is interrupted is resumed.
+// Read copies a blob to w and verifies its digest. After an error the data written to w must be discarded. An
+// interrupted read is resumed.
 func (c *Client) Read(ctx context.Context, digest Digest, w io.Writer) error {
 	h, err := newHash(digest.Function)
 	if err != nil || digest.Empty() {
@@ -162,7 +162,7 @@
 	return digest, c.upload(ctx, digest, bytes.NewReader(content))
 }
 
-// PutMessage stores a message as a blob.
+// PutMessage stores an encoded message as a blob.
 func (c *Client) PutMessage(ctx context.Context, f Function, m proto.Message) (Digest, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -186,7 +186,7 @@
 	return Digest{f, fmt.Sprintf("%x", h.Sum(nil)), n}, err
 }
 
-// PutFile stores a file whose digest is known.
+// PutFile stores the content of a file, whose digest the caller has computed.
 func (c *Client) PutFile(ctx context.Context, digest Digest, path string) error {
 	in, err := os.Open(path)
 	if err != nil {
@@ -196,8 +196,8 @@
 	return c.upload(ctx, digest, in)
 }
 
-// upload sends a blob. One that the store already has is not sent, and an upload that is
-// interrupted is resumed.
+// upload sends a blob. The empty blob is not sent, because it always exists. The store ends the call early if it
+// already has the blob. An interrupted upload is resumed.
 func (c *Client) upload(ctx context.Context, digest Digest, r io.ReadSeeker) error {
 	if digest.Empty() {
 		return nil
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// send makes one attempt to send a blob from an offset on.
+// send makes one attempt to send a blob, starting at an offset.
 func (c *Client) send(ctx context.Context, name string, size, offset int64, r io.Reader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -252,7 +252,7 @@
 	}
 	resp, err := out.CloseAndRecv()
 	if err == nil && resp.CommittedSize != size {
-		err = fmt.Errorf("%d bytes of %d were taken", resp.CommittedSize, size)
+		err = fmt.Errorf("the store committed %d of %d bytes", resp.CommittedSize, size)
 	}
 	return err
 }
@@ -266,7 +266,7 @@
 	return r, err
 }
 
-// PutResult stores the result of an action. Its outputs must be in the store.
+// PutResult stores the result of an action. The store rejects it unless all its outputs are in the store.
 func (c *Client) PutResult(ctx context.Context, action Digest, r *repb.ActionResult) error {
 	err := Retry(ctx, func() error {
 		_, err := c.results.UpdateActionResult(ctx, &repb.UpdateActionResultRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), ActionResult: r, DigestFunction: action.Function})
@@ -278,8 +278,8 @@
 	return nil
 }
 
-// Tree returns all directories of an input tree by their digests. All that they name counts as
-// used.
+// Tree returns all directories of an input tree by digest. The store records a use of every directory and file in
+// the tree.
 func (c *Client) Tree(ctx context.Context, root Digest) (dirs map[Digest]*repb.Directory, err error) {
 	err = Retry(ctx, func() error {
 		dirs = make(map[Digest]*repb.Directory)
@@ -308,20 +308,20 @@
 	return dirs, nil
 }
 
-// ForInstance returns a client for another instance on the same connection.
+// ForInstance returns a client for another instance name that shares the connection.
 func (c *Client) ForInstance(instance string) *Client {
 	other := *c
 	other.Instance = instance
 	return &other
 }
 
-// Bounds of one batch that ReadMany requests.
+// Bounds of one BatchReadBlobs request of ReadMany.
 const (
 	maxBatchBytes = 2 << 20
 	maxBatchBlobs = 1000
 )
 
-// ReadMany reads blobs of at most MaxBatchedBlob in batches, checks each and passes it to take.
+// ReadMany reads blobs of at most MaxBatchedBlob bytes each in batches, verifies each and passes it to take.
 func (c *Client) ReadMany(ctx context.Context, digests []Digest, take func(Digest, []byte) error) error {
 	for len(digests) > 0 {
 		batch, err := nextBatch(digests)
@@ -336,7 +336,7 @@
 	return nil
 }
 
-// nextBatch returns the first of some blobs, as many as one batch may hold.
+// nextBatch returns the longest prefix of digests that fits into one batch.
 func nextBatch(digests []Digest) ([]Digest, error) {
 	count, size := 0, int64(0)
 	for count < len(digests) && count < maxBatchBlobs && (count == 0 || size+digests[count].Size <= maxBatchBytes) {
@@ -349,7 +349,7 @@
 	return digests[:count], nil
 }
 
-// readBatch reads the blobs of one batch, checks each and passes it to take.
+// readBatch reads the blobs of one batch, verifies each and passes it to take.
 func (c *Client) readBatch(ctx context.Context, batch []Digest, take func(Digest, []byte) error) error {
 	req := &repb.BatchReadBlobsRequest{InstanceName: c.Instance, DigestFunction: batch[0].Function}
 	for _, digest := range batch {
@@ -373,7 +373,7 @@
 	return nil
 }
 
-// checkResponse returns why a response of a batch does not hold the blob of a digest, if so.
+// checkResponse returns an error unless a response in a batch holds the blob with the given digest.
 func checkResponse(digest Digest, r *repb.BatchReadBlobsResponse_Response) error {
 	if err := status.FromProto(r.Status).Err(); err != nil {
 		return err
@@ -384,5 +384,5 @@
 	return nil
 }
 
-// MaxBatchedBlob is the size up to which a blob should be read by ReadMany, in bytes.
+// MaxBatchedBlob is the size in bytes up to which a blob should be read with ReadMany rather than Read.
 const MaxBatchedBlob = 1 << 20
--- a/internal/cas/client_test.go
+++ b/internal/cas/client_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 )
 
-// fakeBlobs answers each batch with the same responses.
+// fakeBlobs returns the same responses to every batch.
 type fakeBlobs struct {
 	repb.ContentAddressableStorageClient
 	responses []*repb.BatchReadBlobsResponse_Response
@@ -20,7 +20,7 @@
 	return &repb.BatchReadBlobsResponse{Responses: f.responses}, nil
 }
 
-// TestTooManyResponses: a server that answers with more blobs than a batch asked for is an error.
+// TestTooManyResponses checks that ReadMany fails when a server returns more blobs than were requested.
 func TestTooManyResponses(t *testing.T) {
 	text := []byte("content")
 	one := &repb.BatchReadBlobsResponse_Response{Data: text}
@@ -31,9 +31,8 @@
 	}
 }
 
-// TestTooFewResponses: a server that leaves out some of the blobs that a batch asked for is an error. What
-// happened before: the blobs that were not answered were never passed on and never missed, so that a
-// caller went on without some of its files.
+// TestTooFewResponses checks that ReadMany fails when a server leaves out some of the requested blobs. An earlier
+// version did not notice the missing blobs, so that a caller continued without some of its files.
 func TestTooFewResponses(t *testing.T) {
 	text, other := []byte("content"), []byte("other content")
 	one := &repb.BatchReadBlobsResponse_Response{Data: text}
--- a/internal/cas/digest.go
+++ b/internal/cas/digest.go
@@ -1,10 +1,10 @@
-// Package cas is a content-addressable store. It keeps blobs by their digests and the results
-// of actions, and serves both through the Remote Execution API to build tools, workers and
-// controllers; controllers have no disk of their own.
+// Package cas implements a content-addressable store. It stores blobs by digest and the results of actions, and
+// serves both through the Remote Execution API to build tools, workers and controllers. Controllers have no disk
+// of their own.
 //
-// A blob is a file that is named by its digest. It gets that name by a rename, after all of it
-// was written and its hash was checked, and its hash is checked again before it is first
-// served after a start. So no wrong or partial blob is ever served, whatever a crash leaves.
+// A blob is a file that is named by its digest. It is renamed to that name only after it was written completely
+// and its hash was verified. The hash is verified again before the blob is first served after a restart, so that a
+// wrong or partial blob is never served, whatever state a crash leaves on disk.
 package cas
 
 import (
@@ -24,7 +24,7 @@
 // Function is a digest function.
 type Function = repb.DigestFunction_Value
 
-// Functions lists the digest functions that are served. The first is the default.
+// Functions lists the supported digest functions. The first is the default.
 var Functions = []Function{repb.DigestFunction_SHA256, repb.DigestFunction_BLAKE3}
 
 // ErrBadDigest means that a digest is malformed.
@@ -37,10 +37,10 @@
 	Size     int64
 }
 
-// hashDigits is the length of a hash in hex digits, with either function.
+// hashDigits is the length of a hash in hex digits, for each of Functions.
 const hashDigits = 64
 
-// ParseDigest reads and checks the digest of a request.
+// ParseDigest converts and validates the digest of a request.
 func ParseDigest(f Function, d *repb.Digest) (Digest, error) {
 	if f == repb.DigestFunction_UNKNOWN {
 		f = Functions[0]
@@ -49,7 +49,7 @@
 	return out, out.check()
 }
 
-// check reports what is wrong with a digest.
+// check returns an error if the digest is malformed.
 func (d Digest) check() error {
 	if _, err := newHash(d.Function); err != nil {
 		return err
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// Proto returns the digest as the API's message.
+// Proto returns the digest as a message of the API.
 func (d Digest) Proto() *repb.Digest { return &repb.Digest{Hash: d.Hash, SizeBytes: d.Size} }
 
-// String returns the usual text form, HASH/SIZE.
+// String returns the digest in the form HASH/SIZE.
 func (d Digest) String() string { return d.Hash + "/" + strconv.FormatInt(d.Size, 10) }
 
-// DigestFromString reads the text form HASH/SIZE.
+// DigestFromString parses a digest of the form HASH/SIZE, with the default digest function.
 func DigestFromString(text string) (Digest, error) {
 	h, size, ok := strings.Cut(text, "/")
 	n, err := strconv.ParseInt(size, 10, 64)
@@ -83,10 +83,10 @@
 	return d, d.check()
 }
 
-// Empty reports whether the digest is that of the empty blob, which exists everywhere.
+// Empty reports whether this is the digest of the empty blob, which always exists.
 func (d Digest) Empty() bool { return d.Size == 0 }
 
-// newHash returns the hash of a digest function.
+// newHash returns a hash.Hash that computes a digest function.
 func newHash(f Function) (hash.Hash, error) {
 	switch f {
 	case repb.DigestFunction_SHA256:
@@ -97,7 +97,7 @@
 	return nil, fmt.Errorf("%w: function %v: must be SHA256 or BLAKE3", ErrBadDigest, f)
 }
 
-// Sum returns the digest of a blob. An unknown function is replaced by the default.
+// Sum returns the digest of a blob. It uses the default function in place of an unknown one.
 func Sum(f Function, blob []byte) Digest {
 	h, err := newHash(f)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return Digest{f, hex.EncodeToString(h.Sum(nil)), int64(len(blob))}
 }
 
-// Resource is a parsed resource name of ByteStream: a blob to read, or an upload of one.
+// Resource is a parsed ByteStream resource name of a blob to read or to upload.
 type Resource struct {
 	Instance string
 	Upload   string // UUID of the upload; empty for a read
@@ -115,13 +115,12 @@
 	Digest   Digest
 }
 
-// maxUploadIDBytes bounds the UUID of an upload, in bytes.
+// maxUploadIDBytes bounds the length of an upload's UUID.
 const maxUploadIDBytes = 128
 
-// ParseResource reads the resource name of a blob, such as
-// INSTANCE/compressed-blobs/zstd/HASH/SIZE, or of an upload, such as
-// INSTANCE/uploads/UUID/blobs/HASH/SIZE. A digest function other than SHA256
-// precedes the hash; what follows the size of an upload is ignored.
+// ParseResource parses the resource name of a blob, such as INSTANCE/compressed-blobs/zstd/HASH/SIZE, or of an
+// upload, such as INSTANCE/uploads/UUID/blobs/HASH/SIZE. A digest function other than SHA256 precedes the hash.
+// Segments after the size in the name of an upload are ignored.
 func ParseResource(name string) (Resource, error) {
 	r, err := parseResource(strings.Split(name, "/"))
 	if err != nil {
@@ -157,7 +156,7 @@
 	return r, err
 }
 
-// parseResourceDigest reads [FUNCTION/]HASH/SIZE. More may follow if that is allowed.
+// parseResourceDigest parses [FUNCTION/]HASH/SIZE. Further segments are accepted if moreAllowed is set.
 func parseResourceDigest(segments []string, moreAllowed bool) (Digest, error) {
 	f := Functions[0]
 	switch segments[0] {
@@ -177,7 +176,7 @@
 	return d, d.check()
 }
 
-// Name returns the resource name, as ParseResource reads it.
+// Name returns the resource name in the form that ParseResource accepts.
 func (r Resource) Name() string {
 	var segments []string
 	if r.Instance != "" {
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -17,62 +17,61 @@
 	repb "github.com/bazelbuild/remote-apis/build/bazel/remote/execution/v2"
 )
 
-// What can be wrong with a blob.
+// Errors of reading and writing blobs.
 var (
-	// ErrNotFound means that the blob is not in the store, or was found damaged.
+	// ErrNotFound means that the blob is not in the store, or that its file is damaged.
 	ErrNotFound = errors.New("no such blob")
 	// ErrWrongContent means that the content does not match the digest.
 	ErrWrongContent = errors.New("content does not match the digest")
-	// ErrFull means that nothing can be evicted: everything was used lately.
+	// ErrFull means that no blob can be evicted, because all were used within the retention time.
 	ErrFull = errors.New("the store is full, and all of it was used lately")
-	// ErrBusy means that another call is writing the same upload.
+	// ErrBusy means that another call is writing to the same upload.
 	ErrBusy = errors.New("the upload is being written by another call")
 	// ErrTooLarge means that the blob is larger than the whole store.
 	ErrTooLarge = errors.New("the blob is larger than the store")
 )
 
-// Disk keeps blobs as files in a directory, and evicts the least recently used ones to make
-// room for new ones.
+// Disk stores blobs as files in a directory. It evicts the least recently used ones to make room for new ones.
 type Disk struct {
 	dir       string
-	limit     int64         // bytes of all blobs
-	retention time.Duration // for which a blob that was used is not evicted
+	limit     int64         // of all blobs, in bytes
+	retention time.Duration // a blob is not evicted for this time after its last use
 
 	mu       sync.Mutex
 	blobs    map[Digest]*list.Element // of *blob
-	lru      *list.List               // the least recently used first
+	lru      *list.List               // least recently used first
 	bytes    int64
-	reserved int64 // by unfinished uploads
+	reserved int64 // bytes reserved by unfinished uploads
 	evicted  int
 	damaged  int
-	uploads  map[string]bool // ids of uploads that have a writer
+	uploads  map[string]bool // by id: uploads that have an open writer
 	now      func() time.Time
 	logs     *logs
 }
 
 type blob struct {
-	digest      Digest
-	lastUsed    time.Time
-	lastTouched time.Time // when the file was last touched for it
-	verified    bool      // since the process started
-	readers     int       // readers
+	digest       Digest
+	lastUsed     time.Time
+	mtimeUpdated time.Time // when the file's modification time was last updated
+	verified     bool      // the content was checked since the process started
+	readers      int       // open readers; the blob is not evicted while there are any
 }
 
-// touchInterval is the least time between two updates of a file's time of use: the file
-// system keeps the order of use over a restart.
-const touchInterval = time.Minute
+// mtimeUpdateInterval is the minimum time between two updates of a file's modification time. These times preserve the
+// LRU order over a restart.
+const mtimeUpdateInterval = time.Minute
 
-// Open opens the store in a directory, which is created if need be.
+// Open opens the store in a directory, and creates the directory if necessary.
 func Open(dir string, limit int64, retention time.Duration) (*Disk, error) {
 	d := &Disk{dir: dir, limit: limit, retention: retention, blobs: make(map[Digest]*list.Element), lru: list.New(), uploads: make(map[string]bool), now: time.Now}
 	for _, sub := range []string{"blobs", "uploads", "results"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
-			return nil, fmt.Errorf("making the directory of %s: %w", sub, err)
+			return nil, fmt.Errorf("creating the directory for %s: %w", sub, err)
 		}
 	}
 	var err error
 	if d.logs, err = newLogs(dir, retention); err != nil {
-		return nil, fmt.Errorf("making the directory of logs: %w", err)
+		return nil, fmt.Errorf("creating the directory for logs: %w", err)
 	}
 	if err := d.load(); err != nil {
 		return nil, fmt.Errorf("reading %s: %w", dir, err)
@@ -83,8 +82,8 @@
 	return d, nil
 }
 
-// load finds the blobs in the directory and orders them by when they were used. Files that
-// are no complete blob are deleted.
+// load indexes the blobs in the directory in the order of their last use. It deletes files that do not hold a
+// complete blob.
 func (d *Disk) load() error {
 	var found []*blob
 	err := filepath.WalkDir(filepath.Join(d.dir, "blobs"), func(path string, e fs.DirEntry, err error) error {
@@ -96,10 +95,10 @@
 			return err
 		}
 		digest, ok := digestOf(path)
-		if !ok || info.Size() != digest.Size { // a partial blob, or a foreign file
+		if !ok || info.Size() != digest.Size { // a partial blob, or an unrelated file
 			return os.Remove(path)
 		}
-		found = append(found, &blob{digest: digest, lastUsed: info.ModTime(), lastTouched: info.ModTime()})
+		found = append(found, &blob{digest: digest, lastUsed: info.ModTime(), mtimeUpdated: info.ModTime()})
 		return nil
 	})
 	if err != nil {
@@ -113,7 +112,7 @@
 	return d.sweepUploads(time.Hour)
 }
 
-// sweepUploads deletes uploads that were not resumed for so long.
+// sweepUploads deletes uploads whose last write is longer ago than age.
 func (d *Disk) sweepUploads(age time.Duration) error {
 	entries, err := os.ReadDir(filepath.Join(d.dir, "uploads"))
 	for _, e := range entries {
@@ -129,7 +128,7 @@
 	return filepath.Join(d.dir, "blobs", strings.ToLower(digest.Function.String()), digest.Hash[:2], digest.Hash+"-"+strconv.FormatInt(digest.Size, 10))
 }
 
-// digestOf returns the digest of the blob in a file, from its name.
+// digestOf derives the digest of a blob from the path of its file.
 func digestOf(path string) (Digest, bool) {
 	h, size, _ := strings.Cut(filepath.Base(path), "-")
 	n, err := strconv.ParseInt(size, 10, 64)
@@ -138,8 +137,8 @@
 	return digest, err == nil && digest.check() == nil
 }
 
-// Has reports whether a blob is in the store. That counts as a use: the blob is not evicted
-// for the retention time.
+// Has reports whether a blob is in the store. It records a use of the blob, which then is not evicted for the
+// retention time.
 func (d *Disk) Has(digest Digest) bool {
 	if digest.Empty() {
 		return true
@@ -149,8 +148,7 @@
 	return d.touch(digest) != nil
 }
 
-// touch records the use of a blob and returns it, or nil if it is not in the store. The lock
-// is held.
+// touch records a use of a blob and returns it, or nil if it is not in the store. The caller holds the lock.
 func (d *Disk) touch(digest Digest) *blob {
 	e := d.blobs[digest]
 	if e == nil {
@@ -159,14 +157,14 @@
 	b := e.Value.(*blob)
 	b.lastUsed = d.now()
 	d.lru.MoveToBack(e)
-	if b.lastUsed.Sub(b.lastTouched) > touchInterval {
-		b.lastTouched = b.lastUsed
+	if b.lastUsed.Sub(b.mtimeUpdated) > mtimeUpdateInterval {
+		b.mtimeUpdated = b.lastUsed
 		_ = os.Chtimes(d.path(digest), b.lastUsed, b.lastUsed)
 	}
 	return b
 }
 
-// remove deletes a blob. The lock is held. and what is known of it.
+// remove deletes a blob's file and its entry in the index. The caller holds the lock.
 func (d *Disk) remove(digest Digest) {
 	if e := d.blobs[digest]; e != nil {
 		d.lru.Remove(e)
@@ -176,7 +174,8 @@
 	}
 }
 
-// makeRoom evicts blobs that were not used lately until size more bytes fit. The lock is held.
+// makeRoom evicts blobs that were not used within the retention time until size more bytes fit. The caller holds the
+// lock.
 func (d *Disk) makeRoom(size int64) error {
 	if size > d.limit {
 		return ErrTooLarge
@@ -186,7 +185,7 @@
 		b := e.Value.(*blob)
 		next := e.Next()
 		if now.Sub(b.lastUsed) <= d.retention {
-			break // all that follow were used later still
+			break // all that follow were used more recently
 		}
 		if b.readers == 0 {
 			d.remove(b.digest)
@@ -200,13 +199,13 @@
 	return nil
 }
 
-// Stats counts what the store holds and has evicted.
+// Stats holds the number and size of the blobs in the store, and how many were evicted or found damaged.
 type Stats struct {
 	Blobs, Evicted, Damaged int
 	Bytes, Limit            int64
 }
 
-// Stats returns the current counts.
+// Stats returns the current statistics.
 func (d *Disk) Stats() Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -226,7 +225,7 @@
 	return io.ReadAll(r)
 }
 
-// Put keeps a whole blob.
+// Put stores a whole blob after verifying its digest.
 func (d *Disk) Put(digest Digest, content []byte) error {
 	if Sum(digest.Function, content) != digest {
 		return fmt.Errorf("%w: %v", ErrWrongContent, digest)
--- a/internal/cas/golden_test.go
+++ b/internal/cas/golden_test.go
@@ -11,8 +11,8 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenResult: the result of an action is kept in the file that it had, with the bytes
-// that it had.
+// TestGoldenResult checks that the path and the content of a stored action result match the golden files, so that a
+// new version can read the results of an earlier one.
 func TestGoldenResult(t *testing.T) {
 	dir := t.TempDir()
 	d, err := Open(dir, 1<<20, time.Hour)
--- a/internal/cas/limits.go
+++ b/internal/cas/limits.go
@@ -11,17 +11,17 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Limits bounds what a server takes at once.
+// Limits bounds the load that a server accepts.
 type Limits struct {
-	Calls int   // open calls and streams; more are refused at once
-	Batch int64 // bytes of a BatchRead or BatchUpdate
+	Calls int   // open calls and streams; more are rejected immediately
+	Batch int64 // total bytes of one BatchReadBlobs or BatchUpdateBlobs call
 }
 
-// DefaultLimits is used unless settings say otherwise.
+// DefaultLimits holds the limits that apply unless the settings override them.
 var DefaultLimits = Limits{Calls: 1000, Batch: 4 << 20}
 
-// LimitCalls refuses calls beyond a number of open ones, at once and with a time to retry
-// after. No call is queued.
+// LimitCalls returns interceptors that bound the number of open calls. A call beyond the bound is not queued, but
+// rejected immediately with a retry delay.
 func LimitCalls(calls int) []grpc.ServerOption {
 	open := make(chan struct{}, calls)
 	acquire := func() (func(), error) {
@@ -29,7 +29,7 @@
 		case open <- struct{}{}:
 			return func() { <-open }, nil
 		default:
-			return nil, Busy("too many open calls", time.Second)
+			return nil, ResourceExhausted("too many open calls", time.Second)
 		}
 	}
 	return []grpc.ServerOption{
@@ -52,9 +52,9 @@
 	}
 }
 
-// Busy is the error for a call that must be retried later, because too many are open or the
-// store is full.
-func Busy(reason string, delay time.Duration) error {
+// ResourceExhausted returns the error for a call that the client should retry after a delay, for example because too
+// many calls are open or the store is full.
+func ResourceExhausted(reason string, delay time.Duration) error {
 	st := status.New(codes.ResourceExhausted, reason)
 	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(delay)}); err == nil {
 		st = with
--- a/internal/cas/logclient.go
+++ b/internal/cas/logclient.go
@@ -9,7 +9,7 @@
 	bspb "google.golang.org/genproto/googleapis/bytestream"
 )
 
-// Log is a log that is being written.
+// Log is an io.WriteCloser that appends to a log in the store.
 type Log struct {
 	out    bspb.ByteStream_WriteClient
 	name   string
@@ -17,7 +17,7 @@
 	stop   context.CancelFunc
 }
 
-// Log begins a log. It ends with the context at the latest.
+// Log starts a log. Cancelling the context ends it.
 func (c *Client) Log(ctx context.Context, name string) (*Log, error) {
 	ctx, stop := context.WithCancel(ctx)
 	out, err := c.stream.Write(ctx)
@@ -37,7 +37,7 @@
 	return len(p), err
 }
 
-// Close finishes the log.
+// Close marks the log as finished.
 func (l *Log) Close() error {
 	defer l.stop()
 	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, FinishWrite: true})
@@ -45,7 +45,7 @@
 	return err
 }
 
-// FollowLog copies a log to w as it grows until it is finished, and returns the bytes copied.
+// FollowLog copies a log to w as it grows, until it is finished. It returns the number of bytes copied.
 func (c *Client) FollowLog(ctx context.Context, resource string, w io.Writer) (n int64, err error) {
 	in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
 	for err == nil {
--- a/internal/cas/logs.go
+++ b/internal/cas/logs.go
@@ -15,9 +15,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// logs hold what commands write while they run, for clients that follow them. A log is not a
-// blob: it grows, has no digest, and is deleted some time after the last write. When a command
-// is run again its log is replaced, and the readers of the old one are disconnected.
+// logs holds the output of running commands, for clients that follow it. A log is not a blob: it grows, has no
+// digest, and is deleted after the retention time since its last write. When a command is run again, a new log
+// replaces the old one and the readers of the old log are disconnected.
 type logs struct {
 	dir       string
 	retention time.Duration
@@ -26,24 +26,24 @@
 	files map[string]*logFile
 }
 
-// logFile is the state of one log; the lock of its logs guards it.
+// logFile is the state of one log. It is guarded by logs.mu.
 type logFile struct {
 	path       string
 	size       int64
 	finished   bool
 	lastWrite  time.Time
-	changed    chan struct{} // closed at the next change
-	superseded bool          // another log has replaced it
+	changed    chan struct{} // closed and replaced at every change
+	superseded bool          // a new log of the same name has replaced it
 }
 
-// Bounds of logs.
+// Limits of logs.
 const (
-	maxLogBytes     = 64 << 20 // bytes of one
-	maxLogs         = 10_000   // at once
-	maxLogNameBytes = 300      // bytes of a resource name
+	maxLogBytes     = 64 << 20 // of one log
+	maxLogs         = 10_000   // logs at the same time
+	maxLogNameBytes = 300      // of a log's resource name
 )
 
-// logPrefix precedes the name of a log in its resource name, and is the directory of logs.
+// logPrefix precedes the name of a log in its resource name. It is also the name of the directory that holds logs.
 const logPrefix = "logs"
 
 // LogName returns the ByteStream resource name of a log.
@@ -51,7 +51,7 @@
 	return strings.TrimPrefix(instance+"/"+logPrefix+"/"+name, "/")
 }
 
-// parseLog returns the name of the log that a resource name stands for, if it does.
+// parseLog returns the name of the log that a resource name refers to, and whether it refers to a log.
 func parseLog(resource string) (string, bool) {
 	at := strings.Index("/"+resource, "/"+logPrefix+"/")
 	if at < 0 || len(resource) > maxLogNameBytes {
@@ -60,14 +60,14 @@
 	return resource[at+len(logPrefix)+1:], true
 }
 
-// newLogs returns an empty set of logs in a directory, and deletes those of earlier processes.
+// newLogs returns an empty set of logs in a directory. It deletes the logs of earlier processes.
 func newLogs(dir string, retention time.Duration) (*logs, error) {
 	l := &logs{dir: filepath.Join(dir, logPrefix), retention: max(retention, time.Minute), files: make(map[string]*logFile)}
-	// The commands of an earlier process are not followed any more.
+	// Nobody follows logs from before a restart any more.
 	return l, errors.Join(os.RemoveAll(l.dir), os.MkdirAll(l.dir, 0o755))
 }
 
-// create starts a log, and replaces one of the same name.
+// create starts a log. It replaces an existing log of the same name, and deletes logs past the retention time.
 func (l *logs) create(name string) (*logFile, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	return log, nil
 }
 
-// remove deletes a log and disconnects its readers. The lock is held.
+// remove deletes a log and disconnects its readers. The caller holds the lock.
 func (l *logs) remove(name string, file *logFile) {
 	file.superseded = true
 	close(file.changed)
@@ -108,7 +108,7 @@
 	return l.files[name]
 }
 
-// appendTo appends to a log. What exceeds the bound is dropped.
+// appendTo appends to a log. Data beyond maxLogBytes is dropped.
 func (l *logs) appendTo(file *logFile, data []byte, finished bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 // errSuperseded means that a new log of the same name has replaced this one.
 var errSuperseded = errors.New("the log was begun anew")
 
-// follow copies a log from an offset on to w as it grows, until it is finished.
+// follow copies a log to w, starting at an offset, as it grows and until it is finished.
 func (l *logs) follow(ctx context.Context, name string, offset int64, w io.Writer) error {
 	file := l.find(name)
 	if file == nil {
@@ -170,8 +170,7 @@
 	}
 }
 
-// copyAvailable copies what a file holds now, from where it was last read. An error is that of
-// the destination.
+// copyAvailable copies the rest of a file from the current read position. It returns only errors of the destination.
 func copyAvailable(w io.Writer, f *os.File, buf []byte) error {
 	for {
 		n, err := f.Read(buf)
--- a/internal/cas/logserver.go
+++ b/internal/cas/logserver.go
@@ -6,14 +6,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// writeLog receives a log by ByteStream. A write at offset 0 replaces an earlier log.
+// writeLog receives a log through the ByteStream API. A write at offset 0 replaces an earlier log of the same name.
 func (s *Server) writeLog(name string, first *bspb.WriteRequest, in bspb.ByteStream_WriteServer) error {
 	if first.WriteOffset != 0 {
 		return status.Error(codes.OutOfRange, "write_offset: a log begins at 0")
 	}
 	file, err := s.disk.logs.create(name)
 	if err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	offset := int64(0)
 	for msg := first; ; {
@@ -28,7 +28,7 @@
 			return in.SendAndClose(&bspb.WriteResponse{CommittedSize: offset})
 		}
 		if msg, err = in.Recv(); err != nil {
-			_ = s.disk.logs.appendTo(file, nil, true) // its writer is gone: the readers have all there will be
+			_ = s.disk.logs.appendTo(file, nil, true) // the writer has disconnected, so no more data will follow
 			return err
 		}
 	}
--- a/internal/cas/reader.go
+++ b/internal/cas/reader.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// Reader opens a blob. Its hash is checked first if it was not since the process started.
+// Reader opens a blob. It verifies the hash first, unless that was done since the process started.
 func (d *Disk) Reader(digest Digest) (io.ReadSeekCloser, error) {
 	if digest.Empty() {
-		return &reader{ReadSeeker: strings.NewReader("")}, nil
+		return &verifiedReader{ReadSeeker: strings.NewReader("")}, nil
 	}
 	d.mu.Lock()
 	b := d.touch(digest)
@@ -41,26 +41,26 @@
 		}
 		return nil, err
 	}
-	return &reader{f, func() {
-		_ = f.Close() // of a file that was read
+	return &verifiedReader{f, func() {
+		_ = f.Close() // nothing was written, so an error is irrelevant
 		release()
 	}}, nil
 }
 
-// open opens a blob's file, and checks it unless that was done before.
+// open opens a blob's file, and verifies its content unless that was done before.
 func (d *Disk) open(b *blob, verified bool) (*os.File, error) {
 	f, err := os.Open(d.path(b.digest))
 	if err != nil || verified {
 		return f, err
 	}
 	if err := d.verify(f, b); err != nil {
-		_ = f.Close() // of a file that was read
+		_ = f.Close() // nothing was written, so an error is irrelevant
 		return nil, err
 	}
 	return f, nil
 }
 
-// verify checks a file against its digest.
+// verify compares the content of a file with the blob's digest, and rewinds the file.
 func (d *Disk) verify(f *os.File, b *blob) error {
 	h, err := newHash(b.digest.Function)
 	if err != nil {
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// reader reads a blob, and releases it when it is closed.
-type reader struct {
+// verifiedReader reads a blob whose content was verified. Closing it allows the blob to be evicted.
+type verifiedReader struct {
 	io.ReadSeeker
 	release func()
 }
 
-// Close releases the blob; it may be evicted again.
-func (r *reader) Close() error {
+// Close releases the blob, which may then be evicted.
+func (r *verifiedReader) Close() error {
 	if r.release != nil {
 		r.release()
 		r.release = nil
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -13,16 +13,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessageBytes bounds a message that is read into memory, such as a Directory, in bytes.
+// maxMessageBytes bounds the size of a message that is read into memory, such as a Directory.
 const maxMessageBytes = 4 << 20
 
-// resultPath returns the file of an action's result.
+// resultPath returns the path of the file that holds an action's result.
 func (d *Disk) resultPath(instance string, action Digest) string {
 	h := Sum(Functions[0], []byte(instance+"\x00"+action.Function.String()+"\x00"+action.String())).Hash
 	return filepath.Join(d.dir, "results", h[:2], h)
 }
 
-// PutResult stores the result of an action, followed by its checksum.
+// PutResult stores the result of an action in a file. The encoded result is followed by its checksum.
 func (d *Disk) PutResult(instance string, action Digest, r *repb.ActionResult) error {
 	body, err := proto.Marshal(r)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Result returns the result of an action, unless it is damaged or any of its outputs is
-// missing. The outputs count as used.
+// Result returns the result of an action. It returns ErrNotFound if the result is damaged or any of its outputs is
+// missing. It records a use of the outputs.
 func (d *Disk) Result(instance string, action Digest) (*repb.ActionResult, error) {
 	path := d.resultPath(instance, action)
 	raw, err := os.ReadFile(path)
@@ -67,11 +67,11 @@
 	return &r, nil
 }
 
-// maxTreeBytes bounds the message of an output directory, in bytes.
+// maxTreeBytes bounds the size of the Tree message of an output directory.
 const maxTreeBytes = 64 << 20
 
-// MissingOutput returns an output of a result that is not in the store, or nil. For output
-// directories that includes the files in them.
+// MissingOutput returns the digest of an output that is not in the store, or nil if all are. It also checks the files
+// in output directories.
 func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
 	var single []*repb.Digest
 	for _, o := range r.OutputFiles {
@@ -82,15 +82,15 @@
 		return missing
 	}
 	for _, o := range r.OutputDirectories {
-		if missing := d.missingOfTree(f, o.TreeDigest); missing != nil {
+		if missing := d.missingFromTree(f, o.TreeDigest); missing != nil {
 			return missing
 		}
 	}
 	return nil
 }
 
-// firstMissing returns the first of some blobs that is not in the store, or nil. The ones
-// before it count as used; a nil digest stands for no blob.
+// firstMissing returns the first digest whose blob is not in the store, or nil. It records a use of the blobs before
+// it. Nil digests are skipped.
 func (d *Disk) firstMissing(f Function, digests []*repb.Digest) *Digest {
 	for _, protoDigest := range digests {
 		if protoDigest == nil {
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// missingOfTree returns the blob of an output directory, or a file in it, that is not in the
-// store, or nil. A tree that can't be read counts as missing.
-func (d *Disk) missingOfTree(f Function, protoDigest *repb.Digest) *Digest {
+// missingFromTree returns the digest of an output directory's Tree message, or of a file in it, that is not in the
+// store, or nil if all are. A tree that can't be read counts as missing.
+func (d *Disk) missingFromTree(f Function, protoDigest *repb.Digest) *Digest {
 	if protoDigest == nil {
 		return nil
 	}
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// chunkBytes is how much of a blob goes into one message.
+// chunkBytes is the maximum size of the data in one message of a stream.
 const chunkBytes = 256 << 10
 
 // Server serves a Disk through the Remote Execution API.
@@ -32,7 +32,7 @@
 	log    *slog.Logger
 }
 
-// NewServer returns a gRPC server of a disk, with health and reflection.
+// NewServer returns a gRPC server for a Disk, with the health and reflection services.
 func NewServer(d *Disk, l Limits, log *slog.Logger) *grpc.Server {
 	s := &Server{disk: d, limits: l, log: log}
 	g := grpc.NewServer(append(LimitCalls(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
@@ -45,7 +45,7 @@
 	return g
 }
 
-// CacheCapabilities returns what a store with these limits supports.
+// CacheCapabilities returns the cache capabilities of a store with the given limits.
 func CacheCapabilities(l Limits) *repb.CacheCapabilities {
 	return &repb.CacheCapabilities{
 		DigestFunctions:                 Functions,
@@ -57,24 +57,24 @@
 	}
 }
 
-// WithVersions adds the versions of the API that are supported.
+// WithVersions sets the supported range of API versions.
 func WithVersions(c *repb.ServerCapabilities) *repb.ServerCapabilities {
 	c.LowApiVersion, c.HighApiVersion = &semver.SemVer{Major: 2}, &semver.SemVer{Major: 2, Minor: 3}
 	return c
 }
 
-// GetCapabilities implements the API.
+// GetCapabilities implements the Capabilities service.
 func (s *Server) GetCapabilities(context.Context, *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
 	return WithVersions(&repb.ServerCapabilities{CacheCapabilities: CacheCapabilities(s.limits)}), nil
 }
 
-// FindMissingBlobs implements the API. Blobs that are not missing count as used.
+// FindMissingBlobs implements the ContentAddressableStorage service. It records a use of each blob that is present.
 func (s *Server) FindMissingBlobs(_ context.Context, r *repb.FindMissingBlobsRequest) (*repb.FindMissingBlobsResponse, error) {
 	out := &repb.FindMissingBlobsResponse{}
 	for _, p := range r.BlobDigests {
 		digest, err := ParseDigest(r.DigestFunction, p)
 		if err != nil {
-			return nil, asStatus(err)
+			return nil, toStatusError(err)
 		}
 		if !s.disk.Has(digest) {
 			out.MissingBlobDigests = append(out.MissingBlobDigests, p)
@@ -83,7 +83,7 @@
 	return out, nil
 }
 
-// BatchUpdateBlobs implements the API.
+// BatchUpdateBlobs implements the ContentAddressableStorage service.
 func (s *Server) BatchUpdateBlobs(_ context.Context, r *repb.BatchUpdateBlobsRequest) (*repb.BatchUpdateBlobsResponse, error) {
 	out, sum := &repb.BatchUpdateBlobsResponse{}, int64(0)
 	for _, b := range r.Requests {
@@ -93,7 +93,7 @@
 	}
 	for _, b := range r.Requests {
 		err := s.update(r.DigestFunction, b)
-		out.Responses = append(out.Responses, &repb.BatchUpdateBlobsResponse_Response{Digest: b.Digest, Status: statusOf(err)})
+		out.Responses = append(out.Responses, &repb.BatchUpdateBlobsResponse_Response{Digest: b.Digest, Status: toStatusProto(err)})
 	}
 	return out, nil
 }
@@ -117,7 +117,7 @@
 	return s.disk.Put(digest, data)
 }
 
-// decompress decompresses a blob of exactly size bytes.
+// decompress decompresses zstd data, and returns ErrWrongContent unless the result has exactly size bytes.
 func decompress(data []byte, size int64) ([]byte, error) {
 	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(max(size, 1<<10))))
 	if err != nil {
@@ -131,7 +131,7 @@
 	return out, nil
 }
 
-// BatchReadBlobs implements the API.
+// BatchReadBlobs implements the ContentAddressableStorage service.
 func (s *Server) BatchReadBlobs(_ context.Context, r *repb.BatchReadBlobsRequest) (*repb.BatchReadBlobsResponse, error) {
 	out, sum := &repb.BatchReadBlobsResponse{}, int64(0)
 	for _, p := range r.Digests {
@@ -145,24 +145,24 @@
 		if err == nil {
 			data, err = s.disk.Get(digest, s.limits.Batch)
 		}
-		out.Responses = append(out.Responses, &repb.BatchReadBlobsResponse_Response{Digest: p, Data: data, Status: statusOf(err)})
+		out.Responses = append(out.Responses, &repb.BatchReadBlobsResponse_Response{Digest: p, Data: data, Status: toStatusProto(err)})
 	}
 	return out, nil
 }
 
-// treePageSize is how many directories go into one message of GetTree.
+// treePageSize is the number of directories in one message of GetTree.
 const treePageSize = 200
 
-// GetTree implements the API. Each directory is sent once, in breadth-first order; missing
-// ones are left out. The files that they name count as used. There are no page tokens: a
+// GetTree implements the ContentAddressableStorage service. It sends each directory once, in breadth-first order, and
+// leaves out missing ones. It records a use of all files in the tree. Page tokens are not supported, because a whole
 // tree is sent in one stream.
 func (s *Server) GetTree(r *repb.GetTreeRequest, out grpc.ServerStreamingServer[repb.GetTreeResponse]) error {
 	root, err := ParseDigest(r.DigestFunction, r.RootDigest)
 	if err != nil {
-		return asStatus(err)
+		return toStatusError(err)
 	}
 	if !s.disk.Has(root) {
-		return asStatus(ErrNotFound)
+		return toStatusError(ErrNotFound)
 	}
 	seen := map[Digest]bool{root: true}
 	page := &repb.GetTreeResponse{}
@@ -184,8 +184,8 @@
 	return out.Send(page)
 }
 
-// unseenSubdirectories returns the subdirectories of a directory that are not in seen yet, and
-// adds them to it. Malformed digests are left out.
+// unseenSubdirectories returns the digests of subdirectories that are not in seen yet, and adds them to seen. It
+// skips malformed digests.
 func unseenSubdirectories(f Function, dir *repb.Directory, seen map[Digest]bool) []Digest {
 	var unseen []Digest
 	for _, sub := range dir.Directories {
@@ -197,8 +197,8 @@
 	return unseen
 }
 
-// directory reads a directory, or returns nil if it is missing. The files that it names count
-// as used.
+// directory reads a directory, or returns nil if it is missing or malformed. It records a use of the directory's
+// files.
 func (s *Server) directory(digest Digest) *repb.Directory {
 	raw, err := s.disk.Get(digest, maxMessageBytes)
 	var dir repb.Directory
@@ -213,22 +213,22 @@
 	return &dir
 }
 
-// GetActionResult implements the API.
+// GetActionResult implements the ActionCache service.
 func (s *Server) GetActionResult(_ context.Context, r *repb.GetActionResultRequest) (*repb.ActionResult, error) {
 	digest, err := ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
-		return nil, asStatus(err)
+		return nil, toStatusError(err)
 	}
 	res, err := s.disk.Result(r.InstanceName, digest)
-	return res, asStatus(err)
+	return res, toStatusError(err)
 }
 
-// UpdateActionResult implements the API. A result with a missing output is refused: it would
-// never be served.
+// UpdateActionResult implements the ActionCache service. It rejects a result with a missing output, because
+// GetActionResult would never return it.
 func (s *Server) UpdateActionResult(_ context.Context, r *repb.UpdateActionResultRequest) (*repb.ActionResult, error) {
 	digest, err := ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
-		return nil, asStatus(err)
+		return nil, toStatusError(err)
 	}
 	if r.ActionResult == nil {
 		return nil, status.Error(codes.InvalidArgument, "action_result: missing")
@@ -236,5 +236,5 @@
 	if missing := s.disk.MissingOutput(digest.Function, r.ActionResult); missing != nil {
 		return nil, status.Errorf(codes.FailedPrecondition, "output %v is not in the store", missing)
 	}
-	return r.ActionResult, asStatus(s.disk.PutResult(r.InstanceName, digest, r.ActionResult))
+	return r.ActionResult, toStatusError(s.disk.PutResult(r.InstanceName, digest, r.ActionResult))
 }
--- a/internal/cas/status.go
+++ b/internal/cas/status.go
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// asStatus converts an error to the API's code for it.
-func asStatus(err error) error {
+// toStatusError converts an error to a gRPC status error with the code that the API specifies for it.
+func toStatusError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -25,7 +25,7 @@
 	case errors.Is(err, ErrBadDigest), errors.Is(err, ErrWrongContent), errors.Is(err, ErrTooLarge):
 		code = codes.InvalidArgument
 	case errors.Is(err, ErrFull):
-		return Busy(err.Error(), 10*time.Second)
+		return ResourceExhausted(err.Error(), 10*time.Second)
 	case errors.Is(err, ErrBusy):
 		code = codes.Unavailable
 	case errors.Is(err, context.Canceled):
@@ -36,10 +36,10 @@
 	return status.Error(code, err.Error())
 }
 
-// statusOf converts an error to a status in the response to a batch.
-func statusOf(err error) *spb.Status {
+// toStatusProto converts an error to the status of one blob in a batch response.
+func toStatusProto(err error) *spb.Status {
 	if err == nil {
 		return &spb.Status{}
 	}
-	return status.Convert(asStatus(err)).Proto()
+	return status.Convert(toStatusError(err)).Proto()
 }
--- a/internal/cas/writer.go
+++ b/internal/cas/writer.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 )
 
-// Writer receives the content of a blob. An upload with an id can be resumed after its writer
-// was closed or the process was restarted.
+// Writer writes the content of a blob. An upload with an id can be resumed after its writer was closed or the process
+// was restarted.
 type Writer struct {
 	disk     *Disk
 	digest   Digest
@@ -18,10 +18,10 @@
 	hash     hash.Hash
 	written  int64
 	id       string
-	reserved int64 // bytes of the disk's limit
+	reserved int64 // bytes that count towards the disk's limit until the blob is committed
 }
 
-// Writer begins an upload, or resumes the one with the same id and digest.
+// Writer starts an upload, or resumes the one with the same id and digest.
 func (d *Disk) Writer(digest Digest, id string) (*Writer, error) {
 	h, err := newHash(digest.Function)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if id == "" {
 		w.file, err = os.CreateTemp(filepath.Join(d.dir, "uploads"), "whole-*")
 	} else if w.file, err = os.OpenFile(d.uploadPath(digest, id), os.O_RDWR|os.O_CREATE, 0o644); err == nil {
-		w.written, err = io.Copy(h, io.LimitReader(w.file, digest.Size)) // what was uploaded before
+		w.written, err = io.Copy(h, io.LimitReader(w.file, digest.Size)) // hash the bytes that were uploaded before
 	}
 	if err != nil {
 		w.Close()
@@ -52,12 +52,13 @@
 	return w, nil
 }
 
-// uploadPath returns the file of an upload. The id comes from a client and may hold anything.
+// uploadPath returns the path of an upload's file. The id is hashed, because it comes from a client and may
+// contain any characters.
 func (d *Disk) uploadPath(digest Digest, id string) string {
 	return filepath.Join(d.dir, "uploads", Sum(Functions[0], []byte(id+"/"+digest.String())).Hash)
 }
 
-// Uploaded returns how many bytes of an upload have been received.
+// Uploaded returns the number of bytes received of an upload, and whether the upload exists.
 func (d *Disk) Uploaded(digest Digest, id string) (int64, bool) {
 	info, err := os.Stat(d.uploadPath(digest, id))
 	if err != nil {
@@ -66,7 +67,7 @@
 	return min(info.Size(), digest.Size), true
 }
 
-// Size returns how many bytes have been written.
+// Size returns the number of bytes written, including those of earlier writers of the upload.
 func (w *Writer) Size() int64 { return w.written }
 
 // Write appends the next bytes of the blob.
@@ -80,8 +81,7 @@
 	return n, err
 }
 
-// Commit makes the blob readable if it is complete and matches its digest. Otherwise the
-// upload is deleted.
+// Commit makes the blob readable if it is complete and matches its digest, and deletes the upload otherwise.
 func (w *Writer) Commit() error {
 	if w.written != w.digest.Size || hex.EncodeToString(w.hash.Sum(nil)) != w.digest.Hash {
 		_ = os.Remove(w.file.Name())
@@ -100,18 +100,18 @@
 	d.reserved -= w.reserved
 	w.reserved = 0
 	now := d.now()
-	if e := d.blobs[w.digest]; e != nil { // stored by another upload meanwhile
+	if e := d.blobs[w.digest]; e != nil { // another upload has stored the blob meanwhile
 		e.Value.(*blob).verified = true
 		d.touch(w.digest)
 		return nil
 	}
-	d.blobs[w.digest] = d.lru.PushBack(&blob{digest: w.digest, lastUsed: now, lastTouched: now, verified: true})
+	d.blobs[w.digest] = d.lru.PushBack(&blob{digest: w.digest, lastUsed: now, mtimeUpdated: now, verified: true})
 	d.bytes += w.digest.Size
 	return nil
 }
 
-// Close releases the reserved bytes. The file of an upload without an id is deleted; with an
-// id it is kept, so that the upload can be resumed.
+// Close releases the reserved bytes. It deletes the file of an upload without an id. The file of an upload with an id
+// is kept, so that the upload can be resumed.
 func (w *Writer) Close() {
 	w.disk.mu.Lock()
 	w.disk.reserved -= w.reserved
--- a/internal/reapi/client.go
+++ b/internal/reapi/client.go
@@ -18,14 +18,14 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Client has actions executed by whichever of several controllers answers.
+// Client executes actions through any of several controllers.
 type Client struct {
 	Instance string
 	conns    []*grpc.ClientConn
 	next     int
 }
 
-// Dial returns a client of several controllers. It connects with the first call.
+// Dial returns a client of several controllers. It connects on the first call.
 func Dial(addrs []string, instance string) (*Client, error) {
 	c := &Client{Instance: instance}
 	for _, addr := range addrs {
@@ -38,7 +38,6 @@
 	return c, nil
 }
 
-// Close closes the connections.
 func (c *Client) Close() error {
 	var errs []error
 	for _, conn := range c.conns {
@@ -47,22 +46,21 @@
 	return errors.Join(errs...)
 }
 
-// StartingAt returns a client that asks the n-th controller first.
+// StartingAt returns a client that calls the n-th controller first.
 func (c *Client) StartingAt(n int) *Client {
 	other := *c
 	other.next = n
 	return &other
 }
 
-// retryDelay is the time before a broken stream is opened again at the next controller.
+// retryDelay is the time between the end of a broken stream and the next attempt at another controller.
 const retryDelay = 500 * time.Millisecond
 
-// Execute has an action executed and waits for its answer. A stream that breaks is opened
-// again at the next controller. If progress is not nil, it is called with each stage of the
-// execution.
+// Execute requests the execution of an action and waits for the response. It reopens a broken stream at the next
+// controller. If progress is not nil, it is called with each stage of the execution.
 func (c *Client) Execute(ctx context.Context, action cas.Digest, skipCache bool, progress func(*repb.ExecuteOperationMetadata)) (*repb.ExecuteResponse, error) {
 	request := &repb.ExecuteRequest{InstanceName: c.Instance, ActionDigest: action.Proto(), DigestFunction: action.Function, SkipCacheLookup: skipCache}
-	operation := "" // that the action is executed under, once that is known
+	operation := "" // name of the operation, once it is known
 	for ; ; c.next++ {
 		stream, err := c.open(ctx, request, operation)
 		for err == nil {
@@ -86,8 +84,8 @@
 	}
 }
 
-// open asks the current controller for the action's execution: for the one that is known by
-// name, or for a new one.
+// open opens a stream to the current controller. It waits for the operation if its name is known, or else requests
+// the execution of the action.
 func (c *Client) open(ctx context.Context, r *repb.ExecuteRequest, operation string) (grpc.ServerStreamingClient[longrunningpb.Operation], error) {
 	api := repb.NewExecutionClient(c.conns[c.next%len(c.conns)])
 	if operation != "" {
@@ -96,7 +94,7 @@
 	return api.Execute(ctx, r)
 }
 
-// report passes the stage of an operation on to progress.
+// report passes the stage of an operation to progress.
 func report(op *longrunningpb.Operation, progress func(*repb.ExecuteOperationMetadata)) {
 	var meta repb.ExecuteOperationMetadata
 	if progress != nil && op.Metadata.UnmarshalTo(&meta) == nil {
@@ -104,25 +102,25 @@
 	}
 }
 
-// response returns the answer of an operation that is done.
+// response returns the response of an operation that is done.
 func response(op *longrunningpb.Operation) (*repb.ExecuteResponse, error) {
 	var resp repb.ExecuteResponse
 	if err := op.GetResponse().UnmarshalTo(&resp); err != nil {
-		return nil, fmt.Errorf("the answer to %s is not understood: %w", op.Name, err)
+		return nil, fmt.Errorf("the response of operation %s is not understood: %w", op.Name, err)
 	}
 	return &resp, nil
 }
 
-// resume decides how to go on after a stream has ended with an error: by waiting for the
-// operation that it returns, by executing the action again if that is empty, or not at all.
+// resume decides how to continue after a stream has ended with an error. The client waits for the returned
+// operation, or executes the action again if that is empty. An error means that the client must not retry.
 func resume(operation string, err error) (string, error) {
 	if errors.Is(err, io.EOF) {
 		return operation, nil
 	}
 	switch code := status.Code(err); {
 	case code == codes.NotFound && operation != "":
-		return "", nil // no controller knows it any more
-	case code == codes.Unavailable && answerEvicted(err):
+		return "", nil // the operation is no longer known
+	case code == codes.Unavailable && responseEvicted(err):
 		return "", nil
 	case code == codes.Unavailable, code == codes.ResourceExhausted, code == codes.Canceled, code == codes.Internal, code == codes.Unknown:
 		return operation, nil
@@ -130,5 +128,5 @@
 	return "", err
 }
 
-// answerEvicted reports whether an execution is over but its answer was evicted.
-func answerEvicted(err error) bool { return status.Convert(err).Message() == evictedMessage }
+// responseEvicted reports whether the error means that the execution has completed but its response was evicted.
+func responseEvicted(err error) bool { return status.Convert(err).Message() == evictedMessage }
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -19,11 +19,11 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// follow reports an execution's stage until it is over. A client that disconnects, and any
-// number of others that wait for the same execution, have no influence on it.
+// follow sends the stages of an execution until it has completed. An execution is not affected by a client that
+// disconnects, nor by the number of clients that wait for it.
 func (s *Server) follow(ctx context.Context, op operation, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
-	changed := s.watch.subscribe(op.job)
-	defer s.watch.unsubscribe(op.job, changed)
+	changed := s.watchers.subscribe(op.job)
+	defer s.watchers.unsubscribe(op.job, changed)
 	retained := time.Now()
 	for sent := repb.ExecutionStage_UNKNOWN; ; {
 		if time.Since(retained) > retainInterval {
@@ -35,7 +35,7 @@
 			return admissionStatus(err)
 		}
 		if rec.Stage.Final() {
-			return s.sendAnswer(ctx, op, rec, instance, cacheable, out)
+			return s.sendFinalResponse(ctx, op, rec, instance, cacheable, out)
 		}
 		if sent, err = s.sendStage(op, sent, out); err != nil {
 			return err
@@ -46,17 +46,17 @@
 	}
 }
 
-// sendAnswer sends the final answer of an execution that is over.
-func (s *Server) sendAnswer(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
-	resp, err := s.answer(ctx, op, rec, instance, cacheable)
+// sendFinalResponse sends the response of an execution that has completed.
+func (s *Server) sendFinalResponse(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+	resp, err := s.finalResponse(ctx, op, rec, instance, cacheable)
 	if err != nil {
 		return err
 	}
 	return op.send(out, repb.ExecutionStage_COMPLETED, resp)
 }
 
-// sendStage sends the stage of an execution that is not over, unless it is the one that was
-// sent last. It returns the stage that the client knows.
+// sendStage sends the stage of an execution that has not completed, unless it is the last stage that was sent. It
+// returns the last stage sent.
 func (s *Server) sendStage(op operation, last repb.ExecutionStage_Value, out grpc.ServerStreamingServer[longrunningpb.Operation]) (repb.ExecutionStage_Value, error) {
 	stage := s.stage(op)
 	if stage == last {
@@ -65,8 +65,8 @@
 	return stage, op.send(out, stage, nil)
 }
 
-// status returns the record of an execution's job. Once a stage has been sent the client is
-// not disconnected while the state can't be read: the job then counts as pending.
+// status returns the record of an execution's job. While the state can't be read, a job of which a stage was sent
+// counts as pending, so that the client is not disconnected.
 func (s *Server) status(ctx context.Context, op operation, following bool) (store.JobRecord, error) {
 	rec, err := s.Admission.Status(ctx, op.job)
 	if following && errors.Is(err, admission.ErrRetryLater) && ctx.Err() == nil {
@@ -76,7 +76,7 @@
 	return rec, err
 }
 
-// stage returns the stage of an execution that is not over.
+// stage returns the stage of an execution that has not completed.
 func (s *Server) stage(op operation) repb.ExecutionStage_Value {
 	if s.RunningTasks(op.job) > 0 {
 		return repb.ExecutionStage_EXECUTING
@@ -84,7 +84,7 @@
 	return repb.ExecutionStage_QUEUED
 }
 
-// awaitChange waits until a job may have changed. The error is that of the context.
+// awaitChange waits until a job may have changed. It returns an error only if the context ends.
 func awaitChange(ctx context.Context, changed <-chan struct{}) error {
 	t := time.NewTimer(statusInterval)
 	defer t.Stop()
@@ -97,12 +97,12 @@
 	return nil
 }
 
-// retainInterval is the time between two uses of an execution's inputs on behalf of a client
-// that waits for it. It is far less than the time after which the store may evict them.
+// retainInterval is the time between two calls of retainInputs for a client that waits for an execution. It is far
+// less than the retention time of the store.
 const retainInterval = 4 * time.Minute
 
-// retainInputs uses the blobs that an execution needs, so that the store does not evict them
-// before a machine has read them.
+// retainInputs records a use of the blobs that an execution needs, so that the store does not evict them before a
+// machine has read them.
 func (s *Server) retainInputs(ctx context.Context, op operation, instance string) {
 	blobs := s.Store.ForInstance(instance)
 	var a repb.Action
@@ -123,28 +123,28 @@
 	}
 }
 
-// statusInterval is the longest time between two reads of a job's status, changed or not.
+// statusInterval is the maximum time between two reads of a job's status, even if no change was notified.
 const statusInterval = 15 * time.Second
 
-// evictedMessage says that an execution is over but its answer was evicted. Clients of this
-// package recognize it.
+// evictedMessage is the status message for an execution that has completed but whose response was evicted. Client
+// recognizes it.
 const evictedMessage = "the answer of the execution is gone: execute the action again"
 
-// answer returns the final answer of an execution that is over, the same to every client.
-func (s *Server) answer(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool) (*repb.ExecuteResponse, error) {
+// finalResponse returns the response of an execution that has completed. It is the same for every client.
+func (s *Server) finalResponse(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool) (*repb.ExecuteResponse, error) {
 	if rec.Stage == wire.Cancelled {
 		return &repb.ExecuteResponse{Status: status.New(codes.Canceled, fmt.Sprintf("job %s was cancelled", op.job)).Proto()}, nil
 	}
-	resp, err := action.Answer(ctx, s.Store, op.job)
+	resp, err := action.StoredResponse(ctx, s.Store, op.job)
 	switch {
-	case errors.Is(err, action.ErrNoAnswer):
-		// It was evicted: a client that asks for the action again has it executed anew.
+	case errors.Is(err, action.ErrResponseNotFound):
+		// The response was evicted. A client that requests the action again starts a new execution.
 		return nil, unavailable(evictedMessage, time.Second)
 	case err != nil:
 		return nil, storeUnavailable(err)
 	}
 	if cacheable && resp.Status.GetCode() == 0 && resp.Result.GetExitCode() == 0 {
-		// The first client may have asked for it under another instance.
+		// The client that started the execution may have used another instance name.
 		if err := s.Store.ForInstance(instance).PutResult(ctx, op.action, resp.Result); err != nil {
 			s.Log.Info("result not kept", "job", op.job, "instance", instance, "err", err)
 		}
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -15,14 +15,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// operation identifies an execution. Every controller can tell from its name which job it is
-// and which action it executes.
+// operation identifies an execution. Its name holds the job and the action, so that every controller can serve it.
 type operation struct {
 	job    string
 	action cas.Digest
 }
 
-// operationPrefix is the first word of every operation's name.
+// operationPrefix is the first segment of every operation name.
 const operationPrefix = "operations"
 
 // name returns operations/FUNCTION/HASH/SIZE/JOB.
@@ -30,7 +29,7 @@
 	return strings.Join([]string{operationPrefix, o.action.Function.String(), o.action.String(), o.job}, "/")
 }
 
-// parseOperation reads the name of an operation.
+// parseOperation parses the name of an operation.
 func parseOperation(name string) (operation, error) {
 	notFound := status.Errorf(codes.NotFound, "operation %q: not a name that this service gave", name)
 	segments := strings.Split(name, "/")
@@ -45,12 +44,12 @@
 	return operation{segments[4], digest}, nil
 }
 
-// send sends the stage of an operation, and its response once it is done.
+// send sends the stage of an operation, and its response if it is done.
 func (o operation) send(out grpc.ServerStreamingServer[longrunningpb.Operation], stage repb.ExecutionStage_Value, resp *repb.ExecuteResponse) error {
 	stageMeta := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: o.action.Proto(), DigestFunction: o.action.Function}
 	if stage != repb.ExecutionStage_COMPLETED {
-		// Logs exist once something has been written, perhaps before this controller knows
-		// that the action is executing: their names are sent with every stage.
+		// A log exists once something has been written, possibly before this controller knows that the action is
+		// executing. Therefore the names of the logs are sent with every stage.
 		stdout, stderr := action.LogNames(o.job)
 		stageMeta.StdoutStreamName, stageMeta.StderrStreamName = cas.LogName("", stdout), cas.LogName("", stderr)
 	}
--- a/internal/reapi/props.go
+++ b/internal/reapi/props.go
@@ -16,8 +16,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Defaults describe the job of an action, unless its instance name or platform properties say
-// otherwise.
+// Defaults holds the attributes of an action's job that apply unless the instance name or platform properties
+// override them.
 type Defaults struct {
 	Team, Class string
 	Priority    wire.Priority
@@ -28,7 +28,7 @@
 	Estimate    time.Duration
 }
 
-// properties lists the supported platform properties, each with how it changes a job.
+// properties maps each supported platform property to a function that validates its value and sets it on a job.
 var properties = map[string]func(j *wire.Job, value string) error{
 	"team":            func(j *wire.Job, v string) error { j.Team = v; return checkText(v) },
 	"class":           func(j *wire.Job, v string) error { j.Class = v; return checkText(v) },
@@ -53,7 +53,7 @@
 	},
 }
 
-// maxTextBytes bounds the text of a property, in bytes.
+// maxTextBytes is the maximum size of a text property.
 const maxTextBytes = 200
 
 func checkText(value string) error {
@@ -81,9 +81,8 @@
 	}
 }
 
-// job returns the job of an action: the defaults, overridden by the instance name (TEAM, or
-// TEAM/CLASS), overridden by the platform properties. The error names every property that is
-// unknown or has a wrong value.
+// job returns the job of an action. The instance name, TEAM or TEAM/CLASS, overrides the defaults, and the platform
+// properties override both. The error names every property that is unknown or has an invalid value.
 func (d Defaults) job(instance string, props []*repb.Platform_Property) (*wire.Job, error) {
 	j := &wire.Job{Class: d.Class, Team: d.Team, Shape: wire.Array, Priority: d.Priority, Tasks: 1, CPUs: d.CPUs, GPUs: d.GPUs,
 		MemoryGB: d.MemoryGB, Image: d.Image, Spot: d.Spot, EstimateS: d.Estimate.Seconds()}
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-var defaults = Defaults{Team: "builds", Class: "action", Priority: wire.Normal, CPUs: 1, MemoryGB: 1, Image: "none", Spot: true}
+var testDefaults = Defaults{Team: "builds", Class: "action", Priority: wire.Normal, CPUs: 1, MemoryGB: 1, Image: "none", Spot: true}
 
 func props(pairs ...string) (out []*repb.Platform_Property) {
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -22,17 +22,17 @@
 	return out
 }
 
-// TestProperties: settings, then the instance's name, then the properties say what
-// a job is; all that are wrong are named at once.
+// TestProperties checks that the instance name overrides the defaults and that platform properties override both, and
+// that the error names every invalid property.
 func TestProperties(t *testing.T) {
-	j, err := defaults.job("red/alert", props("priority", "production", "cpus", "2.5", "memory-gb", "16", "machine-type", "a", "machine-type", "b", "spot", "false", "OSFamily", "Linux"))
+	j, err := testDefaults.job("red/alert", props("priority", "production", "cpus", "2.5", "memory-gb", "16", "machine-type", "a", "machine-type", "b", "spot", "false", "OSFamily", "Linux"))
 	if err != nil || j.Team != "red" || j.Class != "alert" || j.Priority != wire.Production || j.CPUs != 2.5 || j.GPUs != 0 || j.MemoryGB != 16 || len(j.Types) != 2 || j.Spot {
 		t.Errorf("%+v, %v", j, err)
 	}
-	if j, err := defaults.job("", nil); err != nil || j.Team != "builds" || j.Class != "action" || j.Tasks != 1 || j.Shape != wire.Array {
+	if j, err := testDefaults.job("", nil); err != nil || j.Team != "builds" || j.Class != "action" || j.Tasks != 1 || j.Shape != wire.Array {
 		t.Errorf("%+v, %v", j, err)
 	}
-	_, err = defaults.job("", props("cpus", "-1", "gpus", "NaN", "priority", "urgent", "colour", "red", "team", "", "OSFamily", "plan9"))
+	_, err = testDefaults.job("", props("cpus", "-1", "gpus", "NaN", "priority", "urgent", "colour", "red", "team", "", "OSFamily", "plan9"))
 	if status.Code(err) != codes.InvalidArgument {
 		t.Fatalf("%v", err)
 	}
@@ -41,13 +41,13 @@
 			t.Errorf("the error does not name %s: %v", name, err)
 		}
 	}
-	if _, err := defaults.job("red/", nil); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("half an instance name: %v", err)
+	if _, err := testDefaults.job("red/", nil); status.Code(err) != codes.InvalidArgument {
+		t.Errorf("instance name with an empty class: %v", err)
 	}
 }
 
-// TestOperationNames: a name that one controller gave is understood by every other,
-// and any other is not found.
+// TestOperationNames checks that the name of an operation survives a round trip, so that every controller can
+// serve it, and that other names are rejected as not found.
 func TestOperationNames(t *testing.T) {
 	for _, f := range cas.Functions {
 		digest := cas.Sum(f, []byte("action"))
@@ -67,14 +67,13 @@
 	}
 }
 
-// FuzzProperties: whatever a property says, it is refused by its name, or makes a
-// job that can be stored and submitted as any other.
+// FuzzProperties checks that any property is either rejected or results in a valid job.
 func FuzzProperties(f *testing.F) {
 	f.Add("red/alert", "cpus", "1e3")
 	f.Add("", "priority", "high")
 	f.Add("x", "gpu", "0x1p-2")
 	f.Fuzz(func(t *testing.T, instance, name, value string) {
-		j, err := defaults.job(instance, props(name, value))
+		j, err := testDefaults.job(instance, props(name, value))
 		if err != nil {
 			return
 		}
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -1,7 +1,7 @@
-// Package reapi serves build tools: it implements the Execution service of the Remote
-// Execution API. An action becomes a job, submitted through package admission like any other.
-// Its answer is what the machine that executed it has stored in the content-addressable
-// store. Blobs do not pass through controllers: `amberdeal cas` serves them.
+// Package reapi implements the Execution service of the Remote Execution API, for build tools. An action becomes a
+// job, which is submitted through package admission like any other. The machine that executes the job stores the
+// response in the content-addressable store. Blobs do not pass through controllers, but are served by `amberdeal
+// cas`.
 package reapi
 
 import (
@@ -22,7 +22,7 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// Server implements the API on one controller.
+// Server implements the Execution and Capabilities services on one controller.
 type Server struct {
 	repb.UnimplementedExecutionServer
 	repb.UnimplementedCapabilitiesServer
@@ -31,13 +31,13 @@
 	Store     *cas.Client
 	Defaults  Defaults
 	Log       *slog.Logger
-	// RunningTasks returns how many tasks of a job run.
+	// RunningTasks returns the number of running tasks of a job.
 	RunningTasks func(job string) int
 
-	watch jobWatchers
+	watchers jobWatchers
 }
 
-// GRPC returns the gRPC server, with at most calls open calls and streams.
+// GRPC returns a gRPC server for s. The number of open calls and streams is limited to calls.
 func (s *Server) GRPC(calls int) *grpc.Server {
 	g := grpc.NewServer(append(cas.LimitCalls(calls), grpc.MaxRecvMsgSize(1<<20))...)
 	repb.RegisterExecutionServer(g, s)
@@ -49,10 +49,10 @@
 
 // Run notifies the streams that follow executions until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	return s.watch.run(ctx, s.Admission.View, s.RunningTasks)
+	return s.watchers.run(ctx, s.Admission.View, s.RunningTasks)
 }
 
-// GetCapabilities implements the API.
+// GetCapabilities implements the Capabilities service.
 func (s *Server) GetCapabilities(context.Context, *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
 	return cas.WithVersions(&repb.ServerCapabilities{
 		CacheCapabilities: cas.CacheCapabilities(cas.DefaultLimits),
@@ -61,7 +61,7 @@
 	}), nil
 }
 
-// Execute implements the API.
+// Execute implements the Execution service.
 func (s *Server) Execute(r *repb.ExecuteRequest, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	ctx := out.Context()
 	digest, err := cas.ParseDigest(r.DigestFunction, r.ActionDigest)
@@ -89,7 +89,7 @@
 	return s.follow(ctx, op, r.InstanceName, cacheable, out)
 }
 
-// WaitExecution implements the API, at any controller.
+// WaitExecution implements the Execution service. Any controller can serve it.
 func (s *Server) WaitExecution(r *repb.WaitExecutionRequest, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	op, err := parseOperation(r.Name)
 	if err != nil {
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -13,8 +13,8 @@
 	"amberdeal.example/amberdeal/internal/cas"
 )
 
-// storeUnavailable is the error for a client while the content-addressable store can't be
-// reached.
+// storeUnavailable returns the error for a client whose call failed because of an error of the content-addressable
+// store.
 func storeUnavailable(err error) error {
 	if code := status.Code(err); code == codes.Canceled || code == codes.DeadlineExceeded {
 		return err
@@ -22,7 +22,7 @@
 	return unavailable("the store of blobs: "+err.Error(), 2*time.Second)
 }
 
-// unavailable is an error that says when to retry.
+// unavailable returns an error that asks the client to retry after a delay.
 func unavailable(reason string, delay time.Duration) error {
 	st := status.New(codes.Unavailable, reason)
 	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(delay)}); err == nil {
@@ -31,7 +31,7 @@
 	return st.Err()
 }
 
-// admissionStatus converts an error of admission to the API's code for it.
+// admissionStatus converts an error of package admission to a gRPC status error.
 func admissionStatus(err error) error {
 	var unrunnable *admission.UnrunnableError
 	switch {
@@ -40,9 +40,9 @@
 	case errors.Is(err, admission.ErrUnknownJob):
 		return status.Error(codes.NotFound, err.Error())
 	case errors.Is(err, admission.ErrFull):
-		return cas.Busy(err.Error(), 2*time.Second)
+		return cas.ResourceExhausted(err.Error(), 2*time.Second)
 	case errors.Is(err, admission.ErrCompactionBehind):
-		return cas.Busy(err.Error(), 5*time.Second)
+		return cas.ResourceExhausted(err.Error(), 5*time.Second)
 	}
 	return unavailable(err.Error(), time.Second)
 }
--- a/internal/reapi/submit.go
+++ b/internal/reapi/submit.go
@@ -17,9 +17,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// newJob reads an action and its command and returns the job that executes it, and whether the
-// result may be cached. Only what is needed to place the job is checked here; the machine that
-// runs it checks the rest.
+// newJob reads an action and its command. It returns the job that executes the action, and whether the result may be
+// cached. It validates only what is needed to place the job, and the machine that runs the job validates the rest.
 func (s *Server) newJob(ctx context.Context, blobs *cas.Client, r *repb.ExecuteRequest, digest cas.Digest) (*wire.Job, bool, error) {
 	var a repb.Action
 	if err := s.readMessage(ctx, blobs, digest, &a); err != nil {
@@ -46,7 +45,7 @@
 	}
 	props := a.GetPlatform().GetProperties()
 	if len(props) == 0 {
-		//lint:ignore SA1019 clients of versions before 2.2 of the interface send it here
+		//lint:ignore SA1019 clients of API versions before 2.2 set the platform in the command
 		props = c.GetPlatform().GetProperties()
 	}
 	job, err := s.Defaults.job(r.InstanceName, props)
@@ -60,7 +59,7 @@
 	return job, !a.DoNotCache, nil
 }
 
-// readMessage reads the action, or a blob that it names.
+// readMessage reads the action or its command, and converts errors to statuses for the client.
 func (s *Server) readMessage(ctx context.Context, blobs *cas.Client, digest cas.Digest, m proto.Message) error {
 	err := blobs.Message(ctx, digest, m)
 	switch {
@@ -75,15 +74,15 @@
 	return storeUnavailable(err)
 }
 
-// maxGenerations bounds how many generations of an action's job are tried in one call.
+// maxGenerations is the number of generations of an action's job that one call tries.
 const maxGenerations = 8
 
-// submit returns the unfinished job that executes an action, or submits a new one. An action
-// that is being executed already is shared by all clients; one that was executed before, and
-// whose result could not be found, is executed again.
+// submit returns the unfinished job that executes an action, or submits a new one. Clients that request an action
+// while it is being executed share the execution. An action is executed again if it was executed before but its
+// result was not found.
 func (s *Server) submit(ctx context.Context, job *wire.Job, digest cas.Digest) (operation, error) {
-	// A job that has ended by now must not be mistaken for a running one: its answer would
-	// be older than the request.
+	// A job that has already ended must not be mistaken for a running one, because its response would be older
+	// than the request.
 	if err := s.Admission.Follow.Barrier(ctx); err != nil {
 		return operation{}, admissionStatus(fmt.Errorf("%w: %w", admission.ErrRetryLater, err))
 	}
@@ -100,7 +99,7 @@
 		case created, rec.Job != nil && sameAction(rec.Job, digest):
 			return operation{job.ID, digest}, nil
 		}
-		generation++ // ended meanwhile, or a job of another action with the same id
+		generation++ // the job ended meanwhile, or belongs to another action whose job id collides
 	}
 	return operation{}, unavailable("the action is executed again and again", time.Second)
 }
@@ -111,8 +110,8 @@
 	return err == nil && other == digest
 }
 
-// firstUnfinishedGeneration returns the first generation of an action's job that has not ended.
-// Generations are used in order, so that an exponential and then a binary search finds it.
+// firstUnfinishedGeneration returns the first generation of an action's job that has not ended. Since generations are
+// used in order, it is found by an exponential search followed by a binary search.
 func (s *Server) firstUnfinishedGeneration(ctx context.Context, digest cas.Digest) (uint64, error) {
 	low, high := uint64(0), uint64(0) // every generation below low has ended
 	for stride := uint64(1); ; stride *= 2 {
--- a/internal/reapi/watch.go
+++ b/internal/reapi/watch.go
@@ -8,14 +8,14 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// jobWatchers notifies the streams that follow a job when it may have changed. One goroutine
-// looks at all followed jobs, so that the cost of many streams is only that of notifying them.
+// jobWatchers notifies streams that follow a job when it may have changed. One goroutine checks all followed jobs,
+// so that each further stream only adds the cost of notifying it.
 type jobWatchers struct {
 	mu   sync.Mutex
 	jobs map[string]*watchedJob
 }
 
-// watchedJob is a job that is followed.
+// watchedJob holds the last seen state and the subscribers of a followed job.
 type watchedJob struct {
 	state       string
 	subscribers map[chan struct{}]bool
@@ -46,12 +46,11 @@
 	}
 }
 
-// watchInterval is how often the number of running tasks is checked, which is not part of the
-// view.
+// watchInterval is the interval at which the number of running tasks is checked, because it is not part of the view.
 const watchInterval = 500 * time.Millisecond
 
-// run checks the followed jobs at every change of the view, and every watchInterval, until the
-// context ends.
+// run checks the followed jobs after every change of the view and at least every watchInterval, until the context
+// ends.
 func (w *jobWatchers) run(ctx context.Context, view *store.View, running func(job string) int) error {
 	for ctx.Err() == nil {
 		changed := view.Changed()
