--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -24,7 +24,7 @@
 // Kind is the Work.Kind of a job that executes an action.
 const Kind = "action"
 
-// Work identifies the action that a job executes. It is the Work field of the job's description, encoded as JSON.
+// Work identifies the action that a job executes. Its JSON encoding is the Work field of the job description.
 type Work struct {
 	Kind     string `json:"kind"`
 	Instance string `json:"instance"`
--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -194,11 +194,11 @@
 	b := newTestRunner(t)
 	output := filepath.Join(t.TempDir(), "mark")
 	script := fmt.Sprintf("echo start >> %s; (sleep 1; echo escaped >> %s) & sleep 5", output, output)
-	ctx, kill := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for ctx.Err() == nil {
 			if text, _ := os.ReadFile(output); len(text) > 0 {
-				kill()
+				cancel()
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -210,10 +210,10 @@
 		t.Errorf("response of a killed task: %v", err)
 	}
 	b.n = 10
-	again := fmt.Sprintf("echo again >> %s", output)
+	secondScript := fmt.Sprintf("echo again >> %s", output)
 	for range 3 {
 		b.n = 10 // another attempt of the same job
-		if _, err := b.run(t.Context(), again); err != nil {
+		if _, err := b.run(t.Context(), secondScript); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/action/command.go
+++ b/internal/action/command.go
@@ -21,7 +21,7 @@
 	exitNotFound       = 127
 	exitNotStarted     = 126
 	exitSignalBase     = 128
-	outputCloseTimeout = 5 * time.Second
+	waitDelay          = 5 * time.Second
 	outputPollInterval = 200 * time.Millisecond
 )
 
@@ -86,7 +86,7 @@
 	cmd.Err = nil
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
-	cmd.WaitDelay = outputCloseTimeout
+	cmd.WaitDelay = waitDelay
 	return cmd
 }
 
--- a/internal/action/plan.go
+++ b/internal/action/plan.go
@@ -14,7 +14,7 @@
 	planner := &inputPlanner{
 		function: root.Function,
 		limits:   limits,
-		in:       &inputTree{files: make(map[cas.Digest][]inputNode)},
+		tree:     &inputTree{files: make(map[cas.Digest][]inputNode)},
 		queue:    []plannedDir{{root, ""}},
 	}
 	var missing []cas.Digest
@@ -35,7 +35,7 @@
 	if missing != nil {
 		return nil, missingBlobs(missing...)
 	}
-	return planner.in, nil
+	return planner.tree, nil
 }
 
 // plannedDir is a directory that planInputs has not visited yet.
@@ -48,7 +48,7 @@
 type inputPlanner struct {
 	function cas.Function
 	limits   Limits
-	in       *inputTree
+	tree     *inputTree
 	queue    []plannedDir
 	count    int   // entries so far
 	bytes    int64 // total size of the files so far
@@ -59,15 +59,15 @@
 	if p.count += 1 + len(d.Files) + len(d.Symlinks); p.count > p.limits.Inputs {
 		return invalidAction("the input tree has more than %d entries", p.limits.Inputs)
 	}
-	p.in.dirs = append(p.in.dirs, dir)
+	p.tree.dirs = append(p.tree.dirs, dir)
 	seen := make(map[string]bool)
 	for _, f := range d.Files {
 		if err := p.file(dir, f, seen); err != nil {
 			return err
 		}
 	}
-	for _, l := range d.Symlinks {
-		if err := p.symlink(dir, l, seen); err != nil {
+	for _, link := range d.Symlinks {
+		if err := p.symlink(dir, link, seen); err != nil {
 			return err
 		}
 	}
@@ -101,19 +101,19 @@
 	if p.bytes += digest.Size; p.bytes > p.limits.InputBytes {
 		return invalidAction("the input tree has more than %d bytes", p.limits.InputBytes)
 	}
-	p.in.files[digest] = append(p.in.files[digest], inputNode{path: filePath, executable: f.IsExecutable})
+	p.tree.files[digest] = append(p.tree.files[digest], inputNode{path: filePath, executable: f.IsExecutable})
 	return nil
 }
 
-func (p *inputPlanner) symlink(dir string, l *repb.SymlinkNode, seen map[string]bool) error {
-	linkPath, err := uniqueEntryPath(dir, l.Name, seen)
+func (p *inputPlanner) symlink(dir string, link *repb.SymlinkNode, seen map[string]bool) error {
+	linkPath, err := uniqueEntryPath(dir, link.Name, seen)
 	if err != nil {
 		return err
 	}
-	if _, err := relativePath("symlink "+linkPath+" to", path.Join(dir, l.Target)); err != nil || path.IsAbs(l.Target) {
-		return invalidAction("symlink %q to %q: leads out of the input root", linkPath, l.Target)
+	if _, err := relativePath("symlink "+linkPath+" to", path.Join(dir, link.Target)); err != nil || path.IsAbs(link.Target) {
+		return invalidAction("symlink %q to %q: leads out of the input root", linkPath, link.Target)
 	}
-	p.in.links = append(p.in.links, inputNode{path: linkPath, target: l.Target})
+	p.tree.links = append(p.tree.links, inputNode{path: linkPath, target: link.Target})
 	return nil
 }
 
--- a/internal/action/run.go
+++ b/internal/action/run.go
@@ -57,7 +57,7 @@
 	defer removeAll(dir)
 	c := r.Store.ForInstance(w.Instance)
 	meta := &repb.ExecutedActionMetadata{Worker: r.Worker, WorkerStartTimestamp: timestamppb.Now()}
-	a := &execution{Runner: r, client: c, digest: digest, dir: dir, meta: meta, job: job}
+	a := &execution{Runner: r, client: c, digest: digest, dir: dir, metadata: meta, job: job}
 	result, err := a.run(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -99,23 +99,23 @@
 // execution is an action that is being executed.
 type execution struct {
 	*Runner
-	client  *cas.Client
-	digest  cas.Digest
-	dir     string
-	meta    *repb.ExecutedActionMetadata
-	job     string
-	action  repb.Action
-	command repb.Command
+	client   *cas.Client
+	digest   cas.Digest
+	dir      string
+	metadata *repb.ExecutedActionMetadata
+	job      string
+	action   repb.Action
+	command  repb.Command
 }
 
 // run fetches the inputs, runs the command and uploads the outputs.
 func (a *execution) run(ctx context.Context) (*repb.ActionResult, error) {
-	a.meta.InputFetchStartTimestamp = timestamppb.Now()
+	a.metadata.InputFetchStartTimestamp = timestamppb.Now()
 	root, err := a.fetch(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("fetching the inputs: %w", err)
 	}
-	a.meta.InputFetchCompletedTimestamp = timestamppb.Now()
+	a.metadata.InputFetchCompletedTimestamp = timestamppb.Now()
 	paths, err := a.outputPaths()
 	if err != nil {
 		return nil, err
@@ -133,15 +133,15 @@
 			return nil, invalidAction("output %q: %v", p, err)
 		}
 	}
-	a.meta.ExecutionStartTimestamp = timestamppb.Now()
+	a.metadata.ExecutionStartTimestamp = timestamppb.Now()
 	code, timedOut, err := a.execute(ctx, cwd)
-	a.meta.ExecutionCompletedTimestamp = timestamppb.Now()
+	a.metadata.ExecutionCompletedTimestamp = timestamppb.Now()
 	if err != nil {
 		return nil, fmt.Errorf("running the command: %w", err)
 	}
-	a.meta.OutputUploadStartTimestamp = timestamppb.Now()
+	a.metadata.OutputUploadStartTimestamp = timestamppb.Now()
 	result, err := a.collect(ctx, root, cwd, paths, code)
-	a.meta.OutputUploadCompletedTimestamp = timestamppb.Now()
+	a.metadata.OutputUploadCompletedTimestamp = timestamppb.Now()
 	switch {
 	case err != nil:
 		return result, fmt.Errorf("storing the outputs: %w", err)
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -154,7 +154,8 @@
 			return fmt.Errorf("output directory %q: %w", o.Path, err)
 		}
 	}
-	for content := range in.files { // otherwise an existing symlink would be followed, and a read-only file could not be written
+	// Otherwise an existing symlink would be followed, and a read-only file could not be written.
+	for content := range in.files {
 		for _, n := range in.files[content] {
 			_ = os.Remove(filepath.Join(base, n.path))
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,11 +27,11 @@
 	Actions           *action.Runner
 	Log               *slog.Logger
 
-	caller *transport.Caller
-	wake   chan struct{} // requests an early heartbeat; has a buffer of one
-	// launch starts the goroutine of an attempt. The attempt is bound to the context of Run, because it outlives
+	caller         *transport.Caller
+	earlyHeartbeat chan struct{} // requests an early heartbeat; has a buffer of one
+	// startAttempt starts the goroutine of an attempt. The attempt is bound to the context of Run, because it outlives
 	// the call that requests it.
-	launch       func(Key, []chan struct{})
+	startAttempt func(Key, []chan struct{})
 	attemptGroup sync.WaitGroup // goroutines of the attempts
 
 	mu            sync.Mutex // also guards Core
@@ -51,10 +51,10 @@
 // Run runs the agent until the context ends. It then kills all tasks and returns once their processes have exited.
 func (a *Agent) Run(ctx context.Context) error {
 	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
-	a.wake = make(chan struct{}, 1)
+	a.earlyHeartbeat = make(chan struct{}, 1)
 	a.caller = &transport.Caller{MaxBody: maxResponseBytes, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
-	a.launch = func(key Key, waitFor []chan struct{}) {
+	a.startAttempt = func(key Key, waitFor []chan struct{}) {
 		taskCtx, cancel := context.WithCancel(ctx)
 		a.cancels[key], a.exited[key] = cancel, make(chan struct{})
 		a.attemptGroup.Add(1)
@@ -112,11 +112,11 @@
 		}
 	}
 	for _, key := range effects.Start {
-		a.launch(key, a.pendingExits(key))
+		a.startAttempt(key, a.pendingExits(key))
 	}
 	if effects.HeartbeatNow {
 		select {
-		case a.wake <- struct{}{}:
+		case a.earlyHeartbeat <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -47,14 +47,14 @@
 
 // Core is the state machine of a worker. It has no goroutines, clocks or locks, so calls must be serialized.
 type Core struct {
-	identity    Identity
-	lease       time.Duration
-	incarnation uint64
-	seq         uint64
-	token       uint64
-	leaseStart  time.Time // send time of the last heartbeat that was answered, or start of the incarnation
-	tokenRaised time.Time // when a higher fencing token last triggered an early heartbeat
-	tasks       map[Key]*attempt
+	identity           Identity
+	lease              time.Duration
+	incarnation        uint64
+	seq                uint64
+	token              uint64
+	leaseStart         time.Time // send time of the last heartbeat that was answered, or start of the incarnation
+	lastTokenHeartbeat time.Time // when a higher fencing token last triggered an early heartbeat
+	tasks              map[Key]*attempt
 }
 
 // NewCore returns a Core without tasks. The incarnation must be higher than that of any earlier process on the
@@ -73,14 +73,14 @@
 func (c *Core) Heartbeat() wire.Heartbeat {
 	heartbeat := wire.Heartbeat{Machine: c.identity.Machine, Addr: c.identity.Addr, Type: c.identity.Type, Zone: c.identity.Zone, Spot: c.identity.Spot,
 		Incarnation: c.incarnation, Seq: c.seq, FencingToken: c.token, Tasks: []wire.ReportedTask{}}
-	for _, t := range c.sorted() {
+	for _, t := range c.sortedAttempts() {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.ReportedTask{Task: t.Task.String(), Attempt: t.Attempt, State: t.state, Cause: t.cause, ID: t.Task})
 	}
 	return heartbeat
 }
 
-// sorted returns the attempts in the order of job, index and attempt number.
-func (c *Core) sorted() []*attempt {
+// sortedAttempts returns the attempts in the order of job, index and attempt number.
+func (c *Core) sortedAttempts() []*attempt {
 	var out []*attempt
 	for _, t := range c.tasks {
 		out = append(out, t)
@@ -99,7 +99,7 @@
 	if now.Sub(c.leaseStart) <= c.lease {
 		return effects
 	}
-	for _, t := range c.sorted() {
+	for _, t := range c.sortedAttempts() {
 		if !t.ended {
 			effects.Kill = append(effects.Kill, t.Key)
 		}
@@ -144,10 +144,10 @@
 		return false
 	}
 	c.token = token
-	if now.Sub(c.tokenRaised) < c.lease/2 {
+	if now.Sub(c.lastTokenHeartbeat) < c.lease/2 {
 		return false
 	}
-	c.tokenRaised = now
+	c.lastTokenHeartbeat = now
 	return true
 }
 
@@ -180,7 +180,7 @@
 	t := &attempt{Key: key, state: wire.TaskFetching}
 	for _, other := range c.tasks {
 		if other.Task == key.Task && !other.ended {
-			t.end(wire.CauseBusy)
+			t.markEnded(wire.CauseBusy)
 		}
 	}
 	c.tasks[key] = t
@@ -189,7 +189,9 @@
 	}
 }
 
-func (t *attempt) end(cause wire.Cause) { t.state, t.cause, t.ended = wire.TaskEnded, cause, true }
+func (t *attempt) markEnded(cause wire.Cause) {
+	t.state, t.cause, t.ended = wire.TaskEnded, cause, true
+}
 
 // MarkRunning records that an attempt has fetched its job and is running.
 func (c *Core) MarkRunning(key Key) (effects Effects) {
@@ -207,7 +209,7 @@
 		if t.stopping && cause != wire.CauseDone {
 			cause = wire.CauseStopped
 		}
-		t.end(cause)
+		t.markEnded(cause)
 		effects.HeartbeatNow = true
 	}
 	return effects
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -101,7 +101,7 @@
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-a.wake:
+	case <-a.earlyHeartbeat:
 		sleep(ctx, minHeartbeatGap-time.Since(start))
 	}
 }
--- a/internal/cas/bytestream.go
+++ b/internal/cas/bytestream.go
@@ -12,12 +12,12 @@
 )
 
 // Read implements the ByteStream API for blobs and logs.
-func (s *Server) Read(r *bspb.ReadRequest, out bspb.ByteStream_ReadServer) error {
+func (s *Server) Read(r *bspb.ReadRequest, stream bspb.ByteStream_ReadServer) error {
 	if name, ok := parseLog(r.ResourceName); ok {
 		if r.ReadOffset < 0 || r.ReadLimit != 0 {
 			return status.Error(codes.OutOfRange, "a log is read from an offset of 0 or more, without a limit")
 		}
-		return toStatusError(s.disk.logs.follow(out.Context(), name, r.ReadOffset, &streamWriter{out: out}))
+		return toStatusError(s.disk.logs.follow(stream.Context(), name, r.ReadOffset, &streamWriter{stream: stream}))
 	}
 	res, err := ParseResource(r.ResourceName)
 	if err != nil || res.Upload != "" {
@@ -39,7 +39,7 @@
 	if r.ReadLimit > 0 {
 		left = min(left, r.ReadLimit)
 	}
-	to := &streamWriter{out: out}
+	to := &streamWriter{stream: stream}
 	if res.Zstd {
 		return toStatusError(copyCompressed(to, io.LimitReader(in, left)))
 	}
@@ -64,7 +64,7 @@
 
 // streamWriter is an io.Writer that sends data as ReadResponse messages of bounded size.
 type streamWriter struct {
-	out bspb.ByteStream_ReadServer
+	stream bspb.ByteStream_ReadServer
 }
 
 // Write sends p in messages of at most chunkBytes.
@@ -72,7 +72,7 @@
 	n := 0
 	for len(p) > 0 {
 		part := p[:min(len(p), chunkBytes)]
-		if err := s.out.Send(&bspb.ReadResponse{Data: part}); err != nil {
+		if err := s.stream.Send(&bspb.ReadResponse{Data: part}); err != nil {
 			return n, err
 		}
 		n += len(part)
@@ -99,13 +99,13 @@
 
 // Write implements the ByteStream API for blobs and logs. A client resumes an interrupted upload at the offset that
 // QueryWriteStatus returns.
-func (s *Server) Write(in bspb.ByteStream_WriteServer) error {
-	first, err := in.Recv()
+func (s *Server) Write(stream bspb.ByteStream_WriteServer) error {
+	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	if name, ok := parseLog(first.ResourceName); ok {
-		return s.writeLog(name, first, in)
+		return s.writeLog(name, first, stream)
 	}
 	res, err := ParseResource(first.ResourceName)
 	if err != nil || res.Upload == "" {
@@ -116,7 +116,7 @@
 		if res.Zstd {
 			n = -1 // the API requires this for compressed uploads
 		}
-		return in.SendAndClose(&bspb.WriteResponse{CommittedSize: n})
+		return stream.SendAndClose(&bspb.WriteResponse{CommittedSize: n})
 	}
 	id := res.Upload
 	if res.Zstd {
@@ -127,7 +127,7 @@
 		return toStatusError(err)
 	}
 	defer w.Close()
-	msgs := &uploadReader{in: in, next: first, name: first.ResourceName, offset: w.Size()}
+	msgs := &uploadReader{stream: stream, next: first, resourceName: first.ResourceName, offset: w.Size()}
 	if res.Zstd {
 		msgs.offset = 0
 		err = decompressTo(w, msgs)
@@ -140,7 +140,7 @@
 	if err := w.Commit(); err != nil {
 		return toStatusError(err)
 	}
-	return in.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.offset})
+	return stream.SendAndClose(&bspb.WriteResponse{CommittedSize: msgs.offset})
 }
 
 // decompressTo copies from a reader and decompresses the data with zstd. It returns ErrWrongContent for malformed
@@ -159,10 +159,10 @@
 
 // uploadReader is an io.Reader of the data in an upload's messages. It checks that the messages are contiguous.
 type uploadReader struct {
-	in     bspb.ByteStream_WriteServer
-	next   *bspb.WriteRequest
-	name   string
-	offset int64
+	stream       bspb.ByteStream_WriteServer
+	next         *bspb.WriteRequest
+	resourceName string
+	offset       int64
 }
 
 // Read returns data of the current or the next message, and io.EOF after the message that finishes the upload.
@@ -176,7 +176,7 @@
 				return 0, io.EOF
 			}
 		}
-		msg, err := m.in.Recv()
+		msg, err := m.stream.Recv()
 		if errors.Is(err, io.EOF) {
 			return 0, status.Error(codes.InvalidArgument, "the upload ended without finish_write; go on with it from where it is")
 		}
@@ -197,8 +197,8 @@
 
 // check verifies that the next message belongs to the same upload and starts where the previous one ended.
 func (m *uploadReader) check() error {
-	if m.next.ResourceName != "" && m.next.ResourceName != m.name {
-		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.name)
+	if m.next.ResourceName != "" && m.next.ResourceName != m.resourceName {
+		return status.Errorf(codes.InvalidArgument, "resource name %q: the upload began as %q", m.next.ResourceName, m.resourceName)
 	}
 	if m.next.WriteOffset != m.offset {
 		return status.Errorf(codes.OutOfRange, "write_offset %d: must be %d", m.next.WriteOffset, m.offset)
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -124,20 +124,20 @@
 	digest := Sum(sha, content)
 	name := Resource{Upload: "0c0ffee", Digest: digest}.Name()
 	write := func(c *Client, from, to int, finish bool) (int64, error) {
-		out, err := c.stream.Write(t.Context())
+		stream, err := c.stream.Write(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = out.Send(&bspb.WriteRequest{ResourceName: name, WriteOffset: int64(from), Data: content[from:to], FinishWrite: finish})
-		resp, err := out.CloseAndRecv()
+		_ = stream.Send(&bspb.WriteRequest{ResourceName: name, WriteOffset: int64(from), Data: content[from:to], FinishWrite: finish})
+		resp, err := stream.CloseAndRecv()
 		return resp.GetCommittedSize(), err
 	}
 	committed := func(c *Client) int64 {
-		st, err := c.stream.QueryWriteStatus(t.Context(), &bspb.QueryWriteStatusRequest{ResourceName: name})
+		response, err := c.stream.QueryWriteStatus(t.Context(), &bspb.QueryWriteStatusRequest{ResourceName: name})
 		if err != nil {
 			return -1
 		}
-		return st.CommittedSize
+		return response.CommittedSize
 	}
 	c := newTestClient(t, openTestDisk(t, dir, 4<<20), DefaultLimits)
 	if n := committed(c); n != -1 {
@@ -176,12 +176,12 @@
 	compressed := z.EncodeAll(content, nil)
 	digest := Sum(sha, content)
 	upload := func(digest Digest, compressed []byte) error {
-		out, err := c.stream.Write(t.Context())
+		stream, err := c.stream.Write(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = out.Send(&bspb.WriteRequest{ResourceName: Resource{Upload: "u", Zstd: true, Digest: digest}.Name(), Data: compressed, FinishWrite: true})
-		_, err = out.CloseAndRecv()
+		_ = stream.Send(&bspb.WriteRequest{ResourceName: Resource{Upload: "u", Zstd: true, Digest: digest}.Name(), Data: compressed, FinishWrite: true})
+		_, err = stream.CloseAndRecv()
 		return err
 	}
 	for name, bad := range map[string][]byte{"cut": compressed[:len(compressed)/2], "not zstd": content[:100], "more": z.EncodeAll(append(content, '!'), nil)} {
@@ -192,13 +192,13 @@
 	if err := upload(digest, compressed); err != nil {
 		t.Fatal(err)
 	}
-	in, err := c.stream.Read(t.Context(), &bspb.ReadRequest{ResourceName: Resource{Zstd: true, Digest: digest}.Name(), ReadOffset: 16})
+	download, err := c.stream.Read(t.Context(), &bspb.ReadRequest{ResourceName: Resource{Zstd: true, Digest: digest}.Name(), ReadOffset: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []byte
 	for {
-		msg, err := in.Recv()
+		msg, err := download.Recv()
 		if err != nil {
 			break
 		}
@@ -370,19 +370,19 @@
 func TestCallLimitRefusesImmediately(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 1<<20), Limits{Calls: 1, Batch: 1 << 20})
 	begin := func() bspb.ByteStream_WriteClient {
-		out, err := c.stream.Write(t.Context())
+		stream, err := c.stream.Write(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = out.Send(&bspb.WriteRequest{ResourceName: Resource{Upload: "u", Digest: Sum(sha, randomBytes(10, 1))}.Name(), Data: randomBytes(5, 1)})
-		return out
+		_ = stream.Send(&bspb.WriteRequest{ResourceName: Resource{Upload: "u", Digest: Sum(sha, randomBytes(10, 1))}.Name(), Data: randomBytes(5, 1)})
+		return stream
 	}
-	out := begin()
+	stream := begin()
 	for {
 		_, err := c.blobs.FindMissingBlobs(t.Context(), &repb.FindMissingBlobsRequest{})
 		if status.Code(err) != codes.ResourceExhausted { // the stream has not arrived yet
-			if out.Context().Err() != nil || out.Send(&bspb.WriteRequest{WriteOffset: 5}) != nil {
-				out = begin() // the stream was rejected because the other call was open
+			if stream.Context().Err() != nil || stream.Send(&bspb.WriteRequest{WriteOffset: 5}) != nil {
+				stream = begin() // the stream was rejected because the other call was open
 			}
 			continue
 		}
@@ -412,21 +412,21 @@
 	}
 	defer c.Close()
 	content := randomBytes(8<<20, 4)
-	slow := &interruptingReader{Reader: bytes.NewReader(content), at: 3 << 20, interrupt: func() {
+	reader := &interruptingReader{Reader: bytes.NewReader(content), at: 3 << 20, interrupt: func() {
 		first.Stop()
-		again, err := net.Listen("tcp", addr)
+		newListener, err := net.Listen("tcp", addr)
 		if err != nil {
 			t.Error(err)
 			return
 		}
 		second := NewServer(openTestDisk(t, dir, 64<<20), DefaultLimits, slog.New(slog.DiscardHandler))
 		t.Cleanup(second.Stop)
-		go second.Serve(again)
+		go second.Serve(newListener)
 	}}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	digest := Sum(sha, content)
-	if err := c.upload(ctx, digest, slow); err != nil {
+	if err := c.upload(ctx, digest, reader); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := c.Get(ctx, digest); err != nil || !bytes.Equal(got, content) {
@@ -467,7 +467,8 @@
 	}
 	_, _ = first.Write([]byte("one\n"))
 	firstReader, started := follow()
-	<-started                                // otherwise the reader might open the second log, which is finished only after this reader ends
+	// Otherwise the reader might open the second log, which is finished only after this reader ends.
+	<-started
 	second, err := c.Log(ctx, "wk-1/stdout") // the command is run again
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -39,6 +39,7 @@
 	return &Client{instance, repb.NewContentAddressableStorageClient(conn), repb.NewActionCacheClient(conn), bspb.NewByteStreamClient(conn), conn}, nil
 }
 
+// Close closes the connection to the store.
 func (c *Client) Close() error { return c.conn.Close() }
 
 // A call is retried at most maxRetries times. The delay starts at initialRetryDelay and doubles with each retry.
@@ -132,10 +133,10 @@
 	}
 	offset := int64(0)
 	err = Retry(ctx, func() error {
-		in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: Resource{Instance: c.Instance, Digest: digest}.Name(), ReadOffset: offset})
+		stream, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: Resource{Instance: c.Instance, Digest: digest}.Name(), ReadOffset: offset})
 		for err == nil {
 			var msg *bspb.ReadResponse
-			if msg, err = in.Recv(); err != nil {
+			if msg, err = stream.Recv(); err != nil {
 				break
 			}
 			offset += int64(len(msg.Data))
@@ -234,7 +235,7 @@
 func (c *Client) send(ctx context.Context, name string, size, offset int64, r io.Reader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	out, err := c.stream.Write(ctx)
+	stream, err := c.stream.Write(ctx)
 	if err != nil {
 		return err
 	}
@@ -246,11 +247,11 @@
 		}
 		msg := &bspb.WriteRequest{ResourceName: name, WriteOffset: offset, Data: buf[:n], FinishWrite: offset+int64(n) == size}
 		offset += int64(n)
-		if err := out.Send(msg); err != nil || msg.FinishWrite {
+		if err := stream.Send(msg); err != nil || msg.FinishWrite {
 			break // CloseAndRecv returns the server's error
 		}
 	}
-	resp, err := out.CloseAndRecv()
+	resp, err := stream.CloseAndRecv()
 	if err == nil && resp.CommittedSize != size {
 		err = fmt.Errorf("the store committed %d of %d bytes", resp.CommittedSize, size)
 	}
@@ -283,10 +284,10 @@
 func (c *Client) Tree(ctx context.Context, root Digest) (dirs map[Digest]*repb.Directory, err error) {
 	err = Retry(ctx, func() error {
 		dirs = make(map[Digest]*repb.Directory)
-		in, err := c.blobs.GetTree(ctx, &repb.GetTreeRequest{InstanceName: c.Instance, RootDigest: root.Proto(), DigestFunction: root.Function})
+		stream, err := c.blobs.GetTree(ctx, &repb.GetTreeRequest{InstanceName: c.Instance, RootDigest: root.Proto(), DigestFunction: root.Function})
 		for err == nil {
 			var page *repb.GetTreeResponse
-			if page, err = in.Recv(); err != nil {
+			if page, err = stream.Recv(); err != nil {
 				break
 			}
 			for _, dir := range page.Directories {
--- a/internal/cas/logclient.go
+++ b/internal/cas/logclient.go
@@ -11,26 +11,26 @@
 
 // Log is an io.WriteCloser that appends to a log in the store.
 type Log struct {
-	out    bspb.ByteStream_WriteClient
-	name   string
-	offset int64
-	stop   context.CancelFunc
+	writeStream bspb.ByteStream_WriteClient
+	name        string
+	offset      int64
+	cancel      context.CancelFunc
 }
 
 // Log starts a log. Cancelling the context ends it.
 func (c *Client) Log(ctx context.Context, name string) (*Log, error) {
-	ctx, stop := context.WithCancel(ctx)
-	out, err := c.stream.Write(ctx)
+	ctx, cancel := context.WithCancel(ctx)
+	writeStream, err := c.stream.Write(ctx)
 	if err != nil {
-		stop()
+		cancel()
 		return nil, fmt.Errorf("beginning log %s: %w", name, err)
 	}
-	return &Log{out: out, name: LogName(c.Instance, name), stop: stop}, nil
+	return &Log{writeStream: writeStream, name: LogName(c.Instance, name), cancel: cancel}, nil
 }
 
 // Write appends to the log.
 func (l *Log) Write(p []byte) (int, error) {
-	err := l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, Data: p})
+	err := l.writeStream.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, Data: p})
 	if err == nil {
 		l.offset += int64(len(p))
 	}
@@ -39,18 +39,18 @@
 
 // Close marks the log as finished.
 func (l *Log) Close() error {
-	defer l.stop()
-	_ = l.out.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, FinishWrite: true})
-	_, err := l.out.CloseAndRecv()
+	defer l.cancel()
+	_ = l.writeStream.Send(&bspb.WriteRequest{ResourceName: l.name, WriteOffset: l.offset, FinishWrite: true})
+	_, err := l.writeStream.CloseAndRecv()
 	return err
 }
 
 // FollowLog copies a log to w as it grows, until it is finished. It returns the number of bytes copied.
 func (c *Client) FollowLog(ctx context.Context, resource string, w io.Writer) (n int64, err error) {
-	in, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
+	stream, err := c.stream.Read(ctx, &bspb.ReadRequest{ResourceName: resource})
 	for err == nil {
 		var msg *bspb.ReadResponse
-		if msg, err = in.Recv(); err == nil {
+		if msg, err = stream.Recv(); err == nil {
 			n += int64(len(msg.Data))
 			_, err = w.Write(msg.Data)
 		}
--- a/internal/cas/logserver.go
+++ b/internal/cas/logserver.go
@@ -7,7 +7,7 @@
 )
 
 // writeLog receives a log through the ByteStream API. A write at offset 0 replaces an earlier log of the same name.
-func (s *Server) writeLog(name string, first *bspb.WriteRequest, in bspb.ByteStream_WriteServer) error {
+func (s *Server) writeLog(name string, first *bspb.WriteRequest, stream bspb.ByteStream_WriteServer) error {
 	if first.WriteOffset != 0 {
 		return status.Error(codes.OutOfRange, "write_offset: a log begins at 0")
 	}
@@ -25,9 +25,9 @@
 			return status.Error(codes.Aborted, err.Error())
 		}
 		if msg.FinishWrite {
-			return in.SendAndClose(&bspb.WriteResponse{CommittedSize: offset})
+			return stream.SendAndClose(&bspb.WriteResponse{CommittedSize: offset})
 		}
-		if msg, err = in.Recv(); err != nil {
+		if msg, err = stream.Recv(); err != nil {
 			_ = s.disk.logs.appendTo(file, nil, true) // the writer has disconnected, so no more data will follow
 			return err
 		}
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -156,7 +156,7 @@
 // GetTree implements the ContentAddressableStorage service. It sends each directory once, in breadth-first order, and
 // leaves out missing ones. It records a use of all files in the tree. Page tokens are not supported, because a whole
 // tree is sent in one stream.
-func (s *Server) GetTree(r *repb.GetTreeRequest, out grpc.ServerStreamingServer[repb.GetTreeResponse]) error {
+func (s *Server) GetTree(r *repb.GetTreeRequest, stream grpc.ServerStreamingServer[repb.GetTreeResponse]) error {
 	root, err := ParseDigest(r.DigestFunction, r.RootDigest)
 	if err != nil {
 		return toStatusError(err)
@@ -176,12 +176,12 @@
 		if len(page.Directories) < treePageSize {
 			continue
 		}
-		if err := out.Send(page); err != nil {
+		if err := stream.Send(page); err != nil {
 			return err
 		}
 		page = &repb.GetTreeResponse{}
 	}
-	return out.Send(page)
+	return stream.Send(page)
 }
 
 // unseenSubdirectories returns the digests of subdirectories that are not in seen yet, and adds them to seen. It
--- a/internal/reapi/client.go
+++ b/internal/reapi/client.go
@@ -38,6 +38,7 @@
 	return c, nil
 }
 
+// Close closes the connections to the controllers.
 func (c *Client) Close() error {
 	var errs []error
 	for _, conn := range c.conns {
--- a/internal/reapi/follow.go
+++ b/internal/reapi/follow.go
@@ -21,7 +21,7 @@
 
 // follow sends the stages of an execution until it has completed. An execution is not affected by a client that
 // disconnects, nor by the number of clients that wait for it.
-func (s *Server) follow(ctx context.Context, op operation, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+func (s *Server) follow(ctx context.Context, op operation, instance string, cacheable bool, stream grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	changed := s.watchers.subscribe(op.job)
 	defer s.watchers.unsubscribe(op.job, changed)
 	retained := time.Now()
@@ -35,9 +35,9 @@
 			return admissionStatus(err)
 		}
 		if rec.Stage.Final() {
-			return s.sendFinalResponse(ctx, op, rec, instance, cacheable, out)
+			return s.sendFinalResponse(ctx, op, rec, instance, cacheable, stream)
 		}
-		if sent, err = s.sendStage(op, sent, out); err != nil {
+		if sent, err = s.sendStage(op, sent, stream); err != nil {
 			return err
 		}
 		if err := awaitChange(ctx, changed); err != nil {
@@ -47,22 +47,22 @@
 }
 
 // sendFinalResponse sends the response of an execution that has completed.
-func (s *Server) sendFinalResponse(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+func (s *Server) sendFinalResponse(ctx context.Context, op operation, rec store.JobRecord, instance string, cacheable bool, stream grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	resp, err := s.finalResponse(ctx, op, rec, instance, cacheable)
 	if err != nil {
 		return err
 	}
-	return op.send(out, repb.ExecutionStage_COMPLETED, resp)
+	return op.send(stream, repb.ExecutionStage_COMPLETED, resp)
 }
 
 // sendStage sends the stage of an execution that has not completed, unless it is the last stage that was sent. It
 // returns the last stage sent.
-func (s *Server) sendStage(op operation, last repb.ExecutionStage_Value, out grpc.ServerStreamingServer[longrunningpb.Operation]) (repb.ExecutionStage_Value, error) {
+func (s *Server) sendStage(op operation, last repb.ExecutionStage_Value, stream grpc.ServerStreamingServer[longrunningpb.Operation]) (repb.ExecutionStage_Value, error) {
 	stage := s.stage(op)
 	if stage == last {
 		return last, nil
 	}
-	return stage, op.send(out, stage, nil)
+	return stage, op.send(stream, stage, nil)
 }
 
 // status returns the record of an execution's job. While the state can't be read, a job of which a stage was sent
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -45,7 +45,7 @@
 }
 
 // send sends the stage of an operation, and its response if it is done.
-func (o operation) send(out grpc.ServerStreamingServer[longrunningpb.Operation], stage repb.ExecutionStage_Value, resp *repb.ExecuteResponse) error {
+func (o operation) send(stream grpc.ServerStreamingServer[longrunningpb.Operation], stage repb.ExecutionStage_Value, resp *repb.ExecuteResponse) error {
 	stageMeta := &repb.ExecuteOperationMetadata{Stage: stage, ActionDigest: o.action.Proto(), DigestFunction: o.action.Function}
 	if stage != repb.ExecutionStage_COMPLETED {
 		// A log exists once something has been written, possibly before this controller knows that the action is
@@ -65,5 +65,5 @@
 		}
 		op.Done, op.Result = true, &longrunningpb.Operation_Response{Response: encoded}
 	}
-	return out.Send(op)
+	return stream.Send(op)
 }
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -1,7 +1,7 @@
 // Package reapi implements the Execution service of the Remote Execution API, for build tools. An action becomes a
 // job, which is submitted through package admission like any other. The machine that executes the job stores the
-// response in the content-addressable store. Blobs do not pass through controllers, but are served by `amberdeal
-// cas`.
+// response in the content-addressable store. Blobs do not pass through controllers. They are served by the command
+// `amberdeal cas`.
 package reapi
 
 import (
@@ -62,8 +62,8 @@
 }
 
 // Execute implements the Execution service.
-func (s *Server) Execute(r *repb.ExecuteRequest, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
-	ctx := out.Context()
+func (s *Server) Execute(r *repb.ExecuteRequest, stream grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+	ctx := stream.Context()
 	digest, err := cas.ParseDigest(r.DigestFunction, r.ActionDigest)
 	if err != nil {
 		return status.Errorf(codes.InvalidArgument, "action_digest: %v", err)
@@ -73,7 +73,7 @@
 		res, err := blobs.Result(ctx, digest)
 		switch {
 		case err == nil:
-			return operation{action.JobID(digest, 0), digest}.send(out, repb.ExecutionStage_COMPLETED, &repb.ExecuteResponse{Result: res, CachedResult: true, Status: status.New(codes.OK, "").Proto()})
+			return operation{action.JobID(digest, 0), digest}.send(stream, repb.ExecutionStage_COMPLETED, &repb.ExecuteResponse{Result: res, CachedResult: true, Status: status.New(codes.OK, "").Proto()})
 		case status.Code(err) != codes.NotFound:
 			return storeUnavailable(err)
 		}
@@ -86,14 +86,14 @@
 	if err != nil {
 		return err
 	}
-	return s.follow(ctx, op, r.InstanceName, cacheable, out)
+	return s.follow(ctx, op, r.InstanceName, cacheable, stream)
 }
 
 // WaitExecution implements the Execution service. Any controller can serve it.
-func (s *Server) WaitExecution(r *repb.WaitExecutionRequest, out grpc.ServerStreamingServer[longrunningpb.Operation]) error {
+func (s *Server) WaitExecution(r *repb.WaitExecutionRequest, stream grpc.ServerStreamingServer[longrunningpb.Operation]) error {
 	op, err := parseOperation(r.Name)
 	if err != nil {
 		return err
 	}
-	return s.follow(out.Context(), op, "", false, out)
+	return s.follow(stream.Context(), op, "", false, stream)
 }
