--- a/internal/action/action_test.go
+++ b/internal/action/action_test.go
@@ -39,9 +39,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := cas.NewServer(disk, cas.DefaultLimits, slog.New(slog.DiscardHandler))
-	go g.Serve(lis)
-	t.Cleanup(g.Stop)
+	server := cas.NewServer(disk, cas.DefaultLimits, slog.New(slog.DiscardHandler))
+	go server.Serve(lis)
+	t.Cleanup(server.Stop)
 	c, err := cas.Dial(lis.Addr().String(), "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -49,11 +49,11 @@
 }
 
 // child returns the subdirectory with the given name, and creates it if necessary.
-func (f *treeBuilder) child(name string) *treeBuilder {
-	if f.dirs[name] == nil {
-		f.dirs[name] = newTreeBuilder()
+func (b *treeBuilder) child(name string) *treeBuilder {
+	if b.dirs[name] == nil {
+		b.dirs[name] = newTreeBuilder()
 	}
-	return f.dirs[name]
+	return b.dirs[name]
 }
 
 // add adds the file, symlink or directory at a path to the tree. It adds a directory with everything below it.
@@ -133,25 +133,25 @@
 // Download writes the outputs of a result below a directory. It replaces existing files.
 func Download(ctx context.Context, c *cas.Client, f cas.Function, base string, r *repb.ActionResult) error {
 	in := &inputTree{files: make(map[cas.Digest][]inputNode)}
-	for _, o := range r.GetOutputFiles() {
-		p, err := relativePath("output", o.Path)
+	for _, output := range r.GetOutputFiles() {
+		p, err := relativePath("output", output.Path)
 		if err != nil {
 			return err
 		}
-		digest, err := cas.ParseDigest(f, o.Digest)
+		digest, err := cas.ParseDigest(f, output.Digest)
 		if err != nil {
-			return fmt.Errorf("output %q: %w", o.Path, err)
+			return fmt.Errorf("output %q: %w", output.Path, err)
 		}
 		in.dirs = append(in.dirs, path.Dir(p))
-		in.files[digest] = append(in.files[digest], inputNode{path: p, executable: o.IsExecutable})
+		in.files[digest] = append(in.files[digest], inputNode{path: p, executable: output.IsExecutable})
 	}
-	for _, o := range r.GetOutputDirectories() {
-		p, err := relativePath("output", o.Path)
+	for _, output := range r.GetOutputDirectories() {
+		p, err := relativePath("output", output.Path)
 		if err != nil {
 			return err
 		}
-		if err := in.addTree(ctx, c, f, p, o.TreeDigest); err != nil {
-			return fmt.Errorf("output directory %q: %w", o.Path, err)
+		if err := in.addTree(ctx, c, f, p, output.TreeDigest); err != nil {
+			return fmt.Errorf("output directory %q: %w", output.Path, err)
 		}
 	}
 	// Otherwise an existing symlink would be followed, and a read-only file could not be written.
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -41,9 +41,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := NewServer(d, l, slog.New(slog.DiscardHandler))
-	go g.Serve(lis)
-	t.Cleanup(g.Stop)
+	server := NewServer(d, l, slog.New(slog.DiscardHandler))
+	go server.Serve(lis)
+	t.Cleanup(server.Stop)
 	c, err := Dial(lis.Addr().String(), "main")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -73,16 +73,16 @@
 // MissingOutput returns the digest of an output that is not in the store, or nil if all are. It also checks the files
 // in output directories.
 func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
-	var single []*repb.Digest
-	for _, o := range r.OutputFiles {
-		single = append(single, o.Digest)
+	var fileDigests []*repb.Digest
+	for _, output := range r.OutputFiles {
+		fileDigests = append(fileDigests, output.Digest)
 	}
-	single = append(single, r.StdoutDigest, r.StderrDigest)
-	if missing := d.firstMissing(f, single); missing != nil {
+	fileDigests = append(fileDigests, r.StdoutDigest, r.StderrDigest)
+	if missing := d.firstMissing(f, fileDigests); missing != nil {
 		return missing
 	}
-	for _, o := range r.OutputDirectories {
-		if missing := d.missingFromTree(f, o.TreeDigest); missing != nil {
+	for _, output := range r.OutputDirectories {
+		if missing := d.missingFromTree(f, output.TreeDigest); missing != nil {
 			return missing
 		}
 	}
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -35,14 +35,14 @@
 // NewServer returns a gRPC server for a Disk, with the health and reflection services.
 func NewServer(d *Disk, l Limits, log *slog.Logger) *grpc.Server {
 	s := &Server{disk: d, limits: l, log: log}
-	g := grpc.NewServer(append(LimitCalls(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
-	repb.RegisterContentAddressableStorageServer(g, s)
-	repb.RegisterActionCacheServer(g, s)
-	repb.RegisterCapabilitiesServer(g, s)
-	bspb.RegisterByteStreamServer(g, s)
-	healthpb.RegisterHealthServer(g, health.NewServer())
-	reflection.Register(g)
-	return g
+	server := grpc.NewServer(append(LimitCalls(l.Calls), grpc.MaxRecvMsgSize(int(l.Batch)+1<<20))...)
+	repb.RegisterContentAddressableStorageServer(server, s)
+	repb.RegisterActionCacheServer(server, s)
+	repb.RegisterCapabilitiesServer(server, s)
+	bspb.RegisterByteStreamServer(server, s)
+	healthpb.RegisterHealthServer(server, health.NewServer())
+	reflection.Register(server)
+	return server
 }
 
 // CacheCapabilities returns the cache capabilities of a store with the given limits.
@@ -85,9 +85,9 @@
 
 // BatchUpdateBlobs implements the ContentAddressableStorage service.
 func (s *Server) BatchUpdateBlobs(_ context.Context, r *repb.BatchUpdateBlobsRequest) (*repb.BatchUpdateBlobsResponse, error) {
-	out, sum := &repb.BatchUpdateBlobsResponse{}, int64(0)
+	out, total := &repb.BatchUpdateBlobsResponse{}, int64(0)
 	for _, b := range r.Requests {
-		if sum += max(int64(len(b.Data)), b.GetDigest().GetSizeBytes()); sum > s.limits.Batch {
+		if total += max(int64(len(b.Data)), b.GetDigest().GetSizeBytes()); total > s.limits.Batch {
 			return nil, status.Errorf(codes.InvalidArgument, "the batch is larger than max_batch_total_size_bytes, %d", s.limits.Batch)
 		}
 	}
@@ -133,9 +133,9 @@
 
 // BatchReadBlobs implements the ContentAddressableStorage service.
 func (s *Server) BatchReadBlobs(_ context.Context, r *repb.BatchReadBlobsRequest) (*repb.BatchReadBlobsResponse, error) {
-	out, sum := &repb.BatchReadBlobsResponse{}, int64(0)
+	out, total := &repb.BatchReadBlobsResponse{}, int64(0)
 	for _, p := range r.Digests {
-		if sum += p.GetSizeBytes(); sum > s.limits.Batch {
+		if total += p.GetSizeBytes(); total > s.limits.Batch {
 			return nil, status.Errorf(codes.InvalidArgument, "the batch is larger than max_batch_total_size_bytes, %d", s.limits.Batch)
 		}
 	}
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -39,12 +39,12 @@
 
 // GRPC returns a gRPC server for s. The number of open calls and streams is limited to calls.
 func (s *Server) GRPC(calls int) *grpc.Server {
-	g := grpc.NewServer(append(cas.LimitCalls(calls), grpc.MaxRecvMsgSize(1<<20))...)
-	repb.RegisterExecutionServer(g, s)
-	repb.RegisterCapabilitiesServer(g, s)
-	healthpb.RegisterHealthServer(g, health.NewServer())
-	reflection.Register(g)
-	return g
+	server := grpc.NewServer(append(cas.LimitCalls(calls), grpc.MaxRecvMsgSize(1<<20))...)
+	repb.RegisterExecutionServer(server, s)
+	repb.RegisterCapabilitiesServer(server, s)
+	healthpb.RegisterHealthServer(server, health.NewServer())
+	reflection.Register(server)
+	return server
 }
 
 // Run notifies the streams that follow executions until the context ends.
