--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,66 +16,65 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Agent runs a Core: it sends its heartbeats, serves direct calls and runs its tasks.
+// Agent drives a Core. It sends heartbeats, serves direct calls and runs tasks.
 type Agent struct {
 	Core              *Core
 	Net               transport.Network
-	Listen            string            // the machine's address
-	Controllers       map[string]string // names to public addresses
+	Listen            string            // address on which direct calls are served
+	Controllers       map[string]string // public addresses by name
 	HeartbeatInterval time.Duration
-	Capacity          Resources // for all tasks together
+	Capacity          Resources // available to all tasks together
 	Actions           *action.Runner
 	Log               *slog.Logger
 
-	caller *transport.Caller
-	wake   chan struct{} // has room for one request to send a heartbeat early
-	// launch starts the goroutine of an attempt. The attempt outlives the call that asks for
-	// it: it ends with the context of Run.
-	launch func(Key, []chan struct{})
-	group  sync.WaitGroup // of the attempts
+	caller         *transport.Caller
+	earlyHeartbeat chan struct{} // requests an early heartbeat; has a buffer of one
+	// startAttempt starts the goroutine of an attempt. The attempt is bound to the context of Run, because it outlives
+	// the call that requests it.
+	startAttempt func(Key, []chan struct{})
+	attemptGroup sync.WaitGroup // goroutines of the attempts
 
-	mu       sync.Mutex // also guards Core
-	cancels  map[Key]context.CancelFunc
-	exited   map[Key]chan struct{} // closed once the last process of an attempt has exited
-	reserved map[Key]Resources
-	dying    []chan struct{} // attempts of the previous incarnation, as in exited
+	mu            sync.Mutex // also guards Core
+	cancels       map[Key]context.CancelFunc
+	exited        map[Key]chan struct{} // closed when the last process of an attempt has exited
+	reserved      map[Key]Resources
+	previousExits []chan struct{} // values of exited for the attempts of the previous incarnation
 }
 
-// Bounds of what the agent accepts.
+// Limits of the agent's connections and calls.
 const (
-	maxConns        = 256
-	connIdleTimeout = 90 * time.Second
-	maxAnswerBytes  = 1 << 20
+	maxConns         = 256
+	connIdleTimeout  = 90 * time.Second
+	maxResponseBytes = 1 << 20
 )
 
-// Run works until the context ends, kills every task then, and returns once all their
-// processes have exited.
+// Run runs the agent until the context ends. It then kills all tasks and returns once their processes have exited.
 func (a *Agent) Run(ctx context.Context) error {
 	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
-	a.wake = make(chan struct{}, 1)
-	a.caller = &transport.Caller{MaxBody: maxAnswerBytes, Dial: a.Net.Dial}
+	a.earlyHeartbeat = make(chan struct{}, 1)
+	a.caller = &transport.Caller{MaxBody: maxResponseBytes, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
-	a.launch = func(k Key, after []chan struct{}) {
+	a.startAttempt = func(key Key, waitFor []chan struct{}) {
 		taskCtx, cancel := context.WithCancel(ctx)
-		a.cancels[k], a.exited[k] = cancel, make(chan struct{})
-		a.group.Add(1)
-		go a.run(taskCtx, k, after)
+		a.cancels[key], a.exited[key] = cancel, make(chan struct{})
+		a.attemptGroup.Add(1)
+		go a.run(taskCtx, key, waitFor)
 	}
 	g.Go(func() error {
 		return a.Net.Listen(ctx, a.Listen, maxConns, transport.HTTP(wire.MaxBody, connIdleTimeout, a.serve))
 	})
 	g.Go(func() error { return a.heartbeats(ctx) })
 	err := g.Wait()
-	a.group.Wait()
+	a.attemptGroup.Wait()
 	return err
 }
 
-// serve answers direct calls: commands of the leader, and questions for the machine's state.
+// serve handles direct calls, which are commands of the leader and requests for the machine's state.
 func (a *Agent) serve(_ context.Context, req *httpwire.Request) *httpwire.Response {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.apply(a.Core.Expire(time.Now()))
-	for _, exited := range a.dying {
+	for _, exited := range a.previousExits {
 		select {
 		case <-exited:
 		default:
@@ -88,46 +87,46 @@
 	case req.Path != wire.PathCommands || req.Method != "POST":
 		return &httpwire.Response{Status: 404}
 	}
-	var d wire.CommandRequest
-	if err := wire.Decode(req.Body, &d); err != nil || d.FencingToken == 0 || d.Incarnation == 0 {
+	var command wire.CommandRequest
+	if err := wire.Decode(req.Body, &command); err != nil || command.FencingToken == 0 || command.Incarnation == 0 {
 		return &httpwire.Response{Status: 400}
 	}
-	e, ok := a.Core.HandleDirect(time.Now(), d)
-	a.apply(e)
+	effects, accepted := a.Core.HandleDirect(time.Now(), command)
+	a.apply(effects)
 	status := 200
-	if !ok {
+	if !accepted {
 		status = 409
 	}
 	return &httpwire.Response{Status: status, Body: wire.Encode(a.Core.Heartbeat())}
 }
 
-// apply carries out the effects of a step of the Core. The lock is held.
-func (a *Agent) apply(e Effects) {
-	if e.NewIncarnation {
-		a.dying = slices.Collect(maps.Values(a.exited))
+// apply carries out the effects of a step of the Core. The caller holds the lock.
+func (a *Agent) apply(effects Effects) {
+	if effects.NewIncarnation {
+		a.previousExits = slices.Collect(maps.Values(a.exited))
 	}
-	for _, k := range e.Kill {
-		if cancel := a.cancels[k]; cancel != nil {
-			a.Log.Info("killing", "task", k.Task, "attempt", k.Attempt)
+	for _, key := range effects.Kill {
+		if cancel := a.cancels[key]; cancel != nil {
+			a.Log.Info("killing", "task", key.Task, "attempt", key.Attempt)
 			cancel()
 		}
 	}
-	for _, k := range e.Start {
-		a.launch(k, a.pendingExits(k))
+	for _, key := range effects.Start {
+		a.startAttempt(key, a.pendingExits(key))
 	}
-	if e.HeartbeatNow {
+	if effects.HeartbeatNow {
 		select {
-		case a.wake <- struct{}{}:
+		case a.earlyHeartbeat <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// pendingExits lists what must have exited before an attempt may start: other attempts of
-// the same task that were killed but whose processes have not been reaped yet.
-func (a *Agent) pendingExits(k Key) (pending []chan struct{}) {
+// pendingExits returns the channels of the attempts that must have exited before a new attempt of the same task may
+// start. These attempts were killed, but their processes have not been reaped yet.
+func (a *Agent) pendingExits(key Key) (pending []chan struct{}) {
 	for other, exited := range a.exited {
-		if other.Task == k.Task && other != k {
+		if other.Task == key.Task && other != key {
 			pending = append(pending, exited)
 		}
 	}
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -13,16 +13,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessage bounds a message that is read into memory, such as a Directory, in bytes.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds the size of a message that is read into memory, such as a Directory.
+const maxMessageBytes = 4 << 20
 
-// resultPath returns the file of an action's result.
+// resultPath returns the path of the file that holds an action's result.
 func (d *Disk) resultPath(instance string, action Digest) string {
 	h := Sum(Functions[0], []byte(instance+"\x00"+action.Function.String()+"\x00"+action.String())).Hash
 	return filepath.Join(d.dir, "results", h[:2], h)
 }
 
-// PutResult stores the result of an action, followed by its checksum.
+// PutResult stores the result of an action in a file. The encoded result is followed by its checksum.
 func (d *Disk) PutResult(instance string, action Digest, r *repb.ActionResult) error {
 	body, err := proto.Marshal(r)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return os.Rename(f.Name(), path)
 }
 
-// Result returns the result of an action, unless it is damaged or any of its outputs is
-// missing. The outputs count as used.
+// Result returns the result of an action. It returns ErrNotFound if the result is damaged or any of its outputs is
+// missing. It records a use of the outputs.
 func (d *Disk) Result(instance string, action Digest) (*repb.ActionResult, error) {
 	path := d.resultPath(instance, action)
 	raw, err := os.ReadFile(path)
@@ -67,56 +67,56 @@
 	return &r, nil
 }
 
-// maxTree bounds the message of an output directory, in bytes.
-const maxTree = 64 << 20
+// maxTreeBytes bounds the size of the Tree message of an output directory.
+const maxTreeBytes = 64 << 20
 
-// MissingOutput returns an output of a result that is not in the store, or nil. For output
-// directories that includes the files in them.
+// MissingOutput returns the digest of an output that is not in the store, or nil if all are. It also checks the files
+// in output directories.
 func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
-	var single []*repb.Digest
-	for _, o := range r.OutputFiles {
-		single = append(single, o.Digest)
+	var fileDigests []*repb.Digest
+	for _, output := range r.OutputFiles {
+		fileDigests = append(fileDigests, output.Digest)
 	}
-	single = append(single, r.StdoutDigest, r.StderrDigest)
-	if missing := d.firstMissing(f, single); missing != nil {
+	fileDigests = append(fileDigests, r.StdoutDigest, r.StderrDigest)
+	if missing := d.firstMissing(f, fileDigests); missing != nil {
 		return missing
 	}
-	for _, o := range r.OutputDirectories {
-		if missing := d.missingOfTree(f, o.TreeDigest); missing != nil {
+	for _, output := range r.OutputDirectories {
+		if missing := d.missingFromTree(f, output.TreeDigest); missing != nil {
 			return missing
 		}
 	}
 	return nil
 }
 
-// firstMissing returns the first of some blobs that is not in the store, or nil. The ones
-// before it count as used; a nil digest stands for no blob.
+// firstMissing returns the first digest whose blob is not in the store, or nil. It records a use of the blobs before
+// it. Nil digests are skipped.
 func (d *Disk) firstMissing(f Function, digests []*repb.Digest) *Digest {
-	for _, p := range digests {
-		if p == nil {
+	for _, protoDigest := range digests {
+		if protoDigest == nil {
 			continue
 		}
-		if g, err := ParseDigest(f, p); err != nil || !d.Has(g) {
-			return &g
+		if digest, err := ParseDigest(f, protoDigest); err != nil || !d.Has(digest) {
+			return &digest
 		}
 	}
 	return nil
 }
 
-// missingOfTree returns the blob of an output directory, or a file in it, that is not in the
-// store, or nil. A tree that can't be read counts as missing.
-func (d *Disk) missingOfTree(f Function, p *repb.Digest) *Digest {
-	if p == nil {
+// missingFromTree returns the digest of an output directory's Tree message, or of a file in it, that is not in the
+// store, or nil if all are. A tree that can't be read counts as missing.
+func (d *Disk) missingFromTree(f Function, protoDigest *repb.Digest) *Digest {
+	if protoDigest == nil {
 		return nil
 	}
-	g, err := ParseDigest(f, p)
-	if err != nil || !d.Has(g) {
-		return &g
+	digest, err := ParseDigest(f, protoDigest)
+	if err != nil || !d.Has(digest) {
+		return &digest
 	}
-	raw, err := d.Get(g, maxTree)
+	raw, err := d.Get(digest, maxTreeBytes)
 	var tree repb.Tree
 	if err != nil || proto.Unmarshal(raw, &tree) != nil {
-		return &g
+		return &digest
 	}
 	var files []*repb.Digest
 	for _, dir := range append(tree.Children, tree.Root) {
