--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -44,7 +44,7 @@
 	ctx       context.Context
 	stop      context.CancelFunc
 	startedAt time.Time
-	ports     ports
+	ports     portLayout
 	rng       *rand.Rand
 	fixture   *taskFixture
 	replayer  *simulator.HeartbeatReplayer
@@ -58,7 +58,7 @@
 
 // Start starts a cluster and its timeline.
 func Start(ctx context.Context, c *Config, opt Options) (*Cluster, error) {
-	layout := layOutPorts(c.Controllers)
+	layout := newPortLayout(c.Controllers)
 	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
 		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, most)
 	}
@@ -67,7 +67,7 @@
 	if w.log == nil {
 		w.log = slog.New(slog.DiscardHandler)
 	}
-	w.users.begin(c.Seed)
+	w.users.initialize(c.Seed)
 	w.ctx, w.stop = context.WithCancel(ctx)
 	w.state.Limits = simulator.StateLimits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
 	if c.StateDelay > 0 {
@@ -77,13 +77,13 @@
 		w.stop()
 		return nil, err
 	}
-	w.makeCloud()
-	if err := errors.Join(w.listen(), w.writeSettings()); err != nil {
+	w.createCloud()
+	if err := errors.Join(w.listen(), w.writePlatformFiles()); err != nil {
 		w.Stop()
 		return nil, err
 	}
 	go w.fixture.WatchMachines(w.ctx, w.cloud)
-	go w.timeline()
+	go w.runTimeline()
 	return w, nil
 }
 
@@ -105,58 +105,58 @@
 // Blobs returns the address of the blob store for remote execution.
 func (w *Cluster) Blobs() string { return w.addr(w.ports.blobs) }
 
-func (w *Cluster) zone(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
+func (w *Cluster) zoneOf(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
 
-func (w *Cluster) controller(i int) side {
-	return side{fmt.Sprint("c-", i), "controllers", w.zone(i)}
+func (w *Cluster) controllerEndpoint(i int) endpoint {
+	return endpoint{fmt.Sprint("c-", i), "controllers", w.zoneOf(i)}
 }
 
 var (
-	state = side{"state", "state", ""}
-	cloud = side{"cloud", "cloud", ""}
+	stateEndpoint = endpoint{"state", "state", ""}
+	cloudEndpoint = endpoint{"cloud", "cloud", ""}
 )
 
-// peer returns the side at an address. Any caller of a machine is some controller.
-func (w *Cluster) peer(addr string) side {
+// endpointAt returns the side at an address. Any caller of a machine is some controller.
+func (w *Cluster) endpointAt(addr string) endpoint {
 	for i := range w.Config.Controllers {
 		if addr == w.Public(i) {
-			return w.controller(i)
+			return w.controllerEndpoint(i)
 		}
 	}
-	return side{"", "controllers", ""}
+	return endpoint{"", "controllers", ""}
 }
 
 // listen opens every port of the cluster, or reports those that are in use.
 func (w *Cluster) listen() error {
 	var errs []error
-	serve := func(offset int, me, peer side, f transport.ServeConn) {
+	serve := func(offset int, me, peer endpoint, f transport.ServeConn) {
 		lis, err := net.Listen("tcp4", w.addr(offset))
 		if err != nil {
 			errs = append(errs, err)
 			return
 		}
-		h := host{w.links, me, func(string) side { return peer }}
+		h := host{w.links, me, func(string) endpoint { return peer }}
 		go h.accept(w.ctx, lis, 512, func(c net.Conn) { f(w.ctx, w.links.wrap(c, me, peer)) })
 	}
 	for i := range w.Config.Controllers {
-		c := w.controller(i)
-		serve(w.ports.state+i, state, c, w.state.ServeCaller(c.name))
-		serve(w.ports.cloud+i, cloud, c, w.cloud.Serve())
+		c := w.controllerEndpoint(i)
+		serve(w.ports.state+i, stateEndpoint, c, w.state.ServeCaller(c.name))
+		serve(w.ports.cloud+i, cloudEndpoint, c, w.cloud.Serve())
 		for k := range w.Config.Controllers {
 			if k != i {
-				serve(w.ports.between(i, k), w.controller(k), c, w.forward(k))
+				serve(w.ports.peerLink(i, k), w.controllerEndpoint(k), c, w.relayTo(k))
 			}
 		}
 	}
-	serve(w.ports.control, side{}, side{}, w.control())
+	serve(w.ports.control, endpoint{}, endpoint{}, w.serveControl())
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("ports are in use, choose others with --port:\n%w", err)
 	}
 	return nil
 }
 
-// forward relays a connection to a controller, in both directions as the rules allow.
-func (w *Cluster) forward(to int) transport.ServeConn {
+// relayTo relays a connection to a controller, in both directions as the rules allow.
+func (w *Cluster) relayTo(to int) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
 		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func small(t *testing.T, port int, opt Options) *Cluster {
+func startSmallCluster(t *testing.T, port int, opt Options) *Cluster {
 	t.Helper()
 	opt.Port = port
 	w, err := Start(t.Context(), DefaultConfig(), opt)
@@ -24,13 +24,13 @@
 	return w
 }
 
-func caller() *transport.Caller {
+func newCaller() *transport.Caller {
 	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
 }
 
-// ask lists the keys of the state service through a controller's address, and returns the status, 0 for no
+// keysStatus lists the keys of the state service through a controller's address, and returns the status, 0 for no
 // answer.
-func ask(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
+func keysStatus(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
@@ -44,8 +44,8 @@
 // TestStateServiceFaults cuts one controller off from the state service, and has it refused, while
 // others are served; an outage concerns all. Lifted faults are over.
 func TestStateServiceFaults(t *testing.T) {
-	w := small(t, 27300, Options{})
-	c := caller()
+	w := startSmallCluster(t, 27300, Options{})
+	c := newCaller()
 	for _, x := range []struct {
 		fault Fault
 		zero  int // what c-0 is answered, and the others
@@ -62,13 +62,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := ask(t, w, c, 0, 200*time.Millisecond), ask(t, w, c, 1, 2*time.Second); a != x.zero || b != x.other {
+		if a, b := keysStatus(t, w, c, 0, 200*time.Millisecond), keysStatus(t, w, c, 1, 2*time.Second); a != x.zero || b != x.other {
 			t.Errorf("%s: answered %d and %d", s.Description, a, b)
 		}
 		if !w.Lift(s.Number) || w.Lift(s.Number) {
 			t.Errorf("%s: lifted", s.Description)
 		}
-		if a := ask(t, w, c, 0, 2*time.Second); a != 200 {
+		if a := keysStatus(t, w, c, 0, 2*time.Second); a != 200 {
 			t.Errorf("after %s: %d", s.Description, a)
 		}
 	}
@@ -82,18 +82,18 @@
 func TestControllerCutOff(t *testing.T) {
 	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	lift := w.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
-	c, machine := w.controller(0), side{"n-1", "machines", "a"}
+	c, machine := w.controllerEndpoint(0), endpoint{"n-1", "machines", "a"}
 	for _, x := range []struct {
-		side side
+		side endpoint
 		cut  bool
-	}{{state, true}, {w.controller(1), true}, {w.controller(2), true}, {machine, false}, {cloud, false}} {
+	}{{stateEndpoint, true}, {w.controllerEndpoint(1), true}, {w.controllerEndpoint(2), true}, {machine, false}, {cloudEndpoint, false}} {
 		out, _, _ := w.links.modeOf(c, x.side)
 		in, _, _ := w.links.modeOf(x.side, c)
 		if (out != "") != x.cut || (in != "") != x.cut {
 			t.Errorf("%v: %q, %q", x.side, out, in)
 		}
 	}
-	if mode, _, _ := w.links.modeOf(w.controller(1), state); mode != "" {
+	if mode, _, _ := w.links.modeOf(w.controllerEndpoint(1), stateEndpoint); mode != "" {
 		t.Errorf("another is cut off: %q", mode)
 	}
 	if lift(); len(w.links.rules) > 0 {
@@ -101,16 +101,16 @@
 	}
 }
 
-// TestZoneWorksInside checks that a zone which is cut off from everything reaches itself, and
+// TestIsolatedZoneReachesItself checks that a zone which is cut off from everything reaches itself, and
 // nothing else.
-func TestZoneWorksInside(t *testing.T) {
+func TestIsolatedZoneReachesItself(t *testing.T) {
 	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	w.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
-	here, there := side{"n-1", "machines", "b"}, side{"n-2", "machines", "a"}
+	here, there := endpoint{"n-1", "machines", "b"}, endpoint{"n-2", "machines", "a"}
 	for _, x := range []struct {
-		from, to side
+		from, to endpoint
 		cut      bool
-	}{{here, side{"c-1", "controllers", "b"}, false}, {here, state, true}, {state, here, true}, {here, there, true}, {there, state, false}, {there, side{"c-1", "controllers", "b"}, true}} {
+	}{{here, endpoint{"c-1", "controllers", "b"}, false}, {here, stateEndpoint, true}, {stateEndpoint, here, true}, {here, there, true}, {there, stateEndpoint, false}, {there, endpoint{"c-1", "controllers", "b"}, true}} {
 		if mode, _, _ := w.links.modeOf(x.from, x.to); (mode != "") != x.cut {
 			t.Errorf("%v to %v: %q", x.from, x.to, mode)
 		}
@@ -121,7 +121,7 @@
 // and that files are replaced atomically.
 func TestPersistedState(t *testing.T) {
 	dir := t.TempDir()
-	w := small(t, 27300+400, Options{Dir: dir, Persist: true})
+	w := startSmallCluster(t, 27300+400, Options{Dir: dir, Persist: true})
 	if status, _ := w.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
 		t.Fatal(status)
 	}
@@ -132,7 +132,7 @@
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
 	w.Stop()
-	again := small(t, 27300+800, Options{Dir: dir, Persist: true})
+	again := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
 	if items := again.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
 	}
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -52,19 +52,19 @@
 	return c
 }
 
-// reader parses a world file and collects all errors, each with its line.
-type reader struct {
-	lines  []string
-	faults []error
+// configParser parses a world file and collects all errors, each with its line.
+type configParser struct {
+	lines []string
+	errs  []error
 }
 
 // reject records that a value is not allowed, and what is.
-func (r *reader) reject(section, key, value, allowed string) {
-	r.faults = append(r.faults, fmt.Errorf("line %d: [%s] %s: %q: must be %s", r.line(section, key), section, key, value, allowed))
+func (r *configParser) reject(section, key, value, allowed string) {
+	r.errs = append(r.errs, fmt.Errorf("line %d: [%s] %s: %q: must be %s", r.lineOf(section, key), section, key, value, allowed))
 }
 
-// line returns the line of a key, or of its section.
-func (r *reader) line(section, key string) int {
+// lineOf returns the line of a key, or of its section.
+func (r *configParser) lineOf(section, key string) int {
 	in, at := section == ini.DefaultSection, 0
 	for i, text := range r.lines {
 		text = strings.TrimSpace(text)
@@ -79,11 +79,11 @@
 	return at
 }
 
-// fields maps each key of a section to its parser, which returns what is allowed if it rejects the
+// fieldParsers maps each key of a section to its parser, which returns what is allowed if it rejects the
 // value.
-type fields map[string]func(value string) (allowed string)
+type fieldParsers map[string]func(value string) (allowed string)
 
-func duration(d *time.Duration, least, most time.Duration) func(string) string {
+func durationParser(d *time.Duration, least, most time.Duration) func(string) string {
 	return func(text string) string {
 		v, err := time.ParseDuration(text)
 		if *d = v; err != nil || v < least || v > most {
@@ -93,7 +93,7 @@
 	}
 }
 
-func number(n *float64, least, most float64) func(string) string {
+func numberParser(n *float64, least, most float64) func(string) string {
 	return func(text string) string {
 		if _, err := fmt.Sscanf(text, "%g", n); err != nil || *n < least || *n > most || math.IsNaN(*n) {
 			return fmt.Sprintf("a number from %g to %g", least, most)
@@ -102,7 +102,7 @@
 	}
 }
 
-func count(n *int, least, most int) func(string) string {
+func countParser(n *int, least, most int) func(string) string {
 	return func(text string) string {
 		if _, err := fmt.Sscanf(text, "%d", n); err != nil || *n < least || *n > most || fmt.Sprint(*n) != text {
 			return fmt.Sprintf("a count from %d to %d", least, most)
@@ -111,7 +111,7 @@
 	}
 }
 
-func words(list *[]string) func(string) string {
+func nameListParser(list *[]string) func(string) string {
 	return func(text string) string {
 		*list = nil
 		for _, w := range strings.Split(text, ",") {
@@ -124,7 +124,7 @@
 	}
 }
 
-func word(text *string, allowed ...string) func(string) string {
+func stringParser(text *string, allowed ...string) func(string) string {
 	return func(v string) string {
 		if *text = v; len(allowed) > 0 && !slices.Contains(allowed, v) {
 			return "one of " + strings.Join(allowed, ", ")
@@ -133,7 +133,7 @@
 	}
 }
 
-func boolean(b *bool) func(string) string {
+func booleanParser(b *bool) func(string) string {
 	return func(v string) string {
 		if *b = v == "yes"; !*b && v != "no" {
 			return "yes or no"
@@ -142,12 +142,12 @@
 	}
 }
 
-// section parses the keys of a section and returns those that it rejected.
-func (r *reader) section(sec *ini.Section, f fields) (bad []string) {
+// parseSection parses the keys of a section and returns those that it rejected.
+func (r *configParser) parseSection(sec *ini.Section, f fieldParsers) (bad []string) {
 	for _, key := range sec.Keys() {
 		take := f[key.Name()]
 		if take == nil {
-			r.reject(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(keysOf(f), ", "))
+			r.reject(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(sortedKeys(f), ", "))
 			bad = append(bad, key.Name())
 		} else if allowed := take(key.Value()); allowed != "" {
 			r.reject(sec.Name(), key.Name(), key.Value(), allowed)
@@ -157,8 +157,8 @@
 	return bad
 }
 
-// keysOf lists the keys that a section accepts.
-func keysOf(f fields) (names []string) {
+// sortedKeys lists the keys that a section accepts.
+func sortedKeys(f fieldParsers) (names []string) {
 	for name := range f {
 		names = append(names, name)
 	}
@@ -173,72 +173,72 @@
 		return nil, fmt.Errorf("not a world file: %w", err)
 	}
 	c := DefaultConfig()
-	r := &reader{lines: strings.Split(string(text), "\n")}
+	r := &configParser{lines: strings.Split(string(text), "\n")}
 	types, teams := false, false
 	for _, sec := range file.Sections() {
 		kind, name, named := strings.Cut(sec.Name(), " ")
 		switch {
 		case sec.Name() == ini.DefaultSection && len(sec.Keys()) == 0:
 		case sec.Name() == "world":
-			r.section(sec, c.clusterFields())
+			r.parseSection(sec, c.worldParsers())
 		case kind == "type" && named:
 			if !types {
 				c.Types, c.CapacityByOffer, types = nil, map[simulator.Offer]int{}, true
 			}
-			r.machineType(c, sec, name)
+			r.parseMachineType(c, sec, name)
 		case kind == "team" && named:
 			if !teams {
 				c.Teams, teams = nil, true
 			}
-			r.team(c, sec, name)
+			r.parseTeam(c, sec, name)
 		case kind == "fault" && named:
-			r.fault(c, sec, name)
+			r.parseFault(c, sec, name)
 		default:
-			r.faults = append(r.faults, fmt.Errorf("line %d: [%s]: must be world, type NAME, team NAME or fault NAME", r.line(sec.Name(), ""), sec.Name()))
+			r.errs = append(r.errs, fmt.Errorf("line %d: [%s]: must be world, type NAME, team NAME or fault NAME", r.lineOf(sec.Name(), ""), sec.Name()))
 		}
 	}
 	r.checkConsistency(c, types)
-	if err := errors.Join(r.faults...); err != nil {
+	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
 	}
 	sort.SliceStable(c.Timeline, func(i, k int) bool { return c.Timeline[i].At < c.Timeline[k].At })
 	return c, nil
 }
 
-// clusterFields returns the parsers of the section [world].
-func (c *Config) clusterFields() fields {
+// worldParsers returns the parsers of the section [world].
+func (c *Config) worldParsers() fieldParsers {
 	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.Files, 200.0
-	return fields{
-		"seed":        func(v string) string { s := count(&seed, 0, math.MaxInt32)(v); c.Seed = uint64(seed); return s },
-		"controllers": count(&c.Controllers, 1, MaxControllers), "zones": words(&c.Zones),
-		"report": duration(&c.Workers.HeartbeatInterval, 100*time.Millisecond, time.Minute), "lease": duration(&c.Workers.Lease, time.Second, 10*time.Minute),
-		"gang_wait": duration(&c.Workers.GangWait, time.Second, 10*time.Minute), "gang_peer": duration(&c.Workers.GangPeer, 100*time.Millisecond, time.Minute),
-		"cancel":    duration(&c.Workers.Cancel, time.Second, 20*time.Minute),
-		"state_rps": number(&c.State.RPS, 1, 1e6), "state_write_rps": number(&c.State.WriteRPS, 1, 1e6), "state_delay": duration(&c.StateDelay, 0, 10*time.Second),
+	return fieldParsers{
+		"seed":        func(v string) string { s := countParser(&seed, 0, math.MaxInt32)(v); c.Seed = uint64(seed); return s },
+		"controllers": countParser(&c.Controllers, 1, MaxControllers), "zones": nameListParser(&c.Zones),
+		"report": durationParser(&c.Workers.HeartbeatInterval, 100*time.Millisecond, time.Minute), "lease": durationParser(&c.Workers.Lease, time.Second, 10*time.Minute),
+		"gang_wait": durationParser(&c.Workers.GangWait, time.Second, 10*time.Minute), "gang_peer": durationParser(&c.Workers.GangPeer, 100*time.Millisecond, time.Minute),
+		"cancel":    durationParser(&c.Workers.Cancel, time.Second, 20*time.Minute),
+		"state_rps": numberParser(&c.State.RPS, 1, 1e6), "state_write_rps": numberParser(&c.State.WriteRPS, 1, 1e6), "state_delay": durationParser(&c.StateDelay, 0, 10*time.Second),
 		"value_kb": func(v string) string {
-			s := number(&value, 1, 1024)(v)
+			s := numberParser(&value, 1, 1024)(v)
 			c.State.ValueBytes = int(value * 1024)
 			return s
 		},
-		"fetch_shared": boolean(&c.SharedFetchRate),
-		"txn_ops":      count(&c.State.TxnOps, 4, 1000),
-		"cloud_rps":    number(&c.Cloud.RPS, 0.1, 1e6), "list_lag": duration(&c.Cloud.ListLag, 0, time.Minute),
+		"fetch_shared": booleanParser(&c.SharedFetchRate),
+		"txn_ops":      countParser(&c.State.TxnOps, 4, 1000),
+		"cloud_rps":    numberParser(&c.Cloud.RPS, 0.1, 1e6), "list_lag": durationParser(&c.Cloud.ListLag, 0, time.Minute),
 		"ram_mb": func(v string) string {
-			s := number(&ram, 32, 1e6)(v)
+			s := numberParser(&ram, 32, 1e6)(v)
 			c.Limits.RAMBytes = int64(ram * (1 << 20))
 			return s
 		},
-		"fd_limit": func(v string) string { s := count(&files, 64, 1_000_000)(v); c.Limits.Files = files; return s },
+		"fd_limit": func(v string) string { s := countParser(&files, 64, 1_000_000)(v); c.Limits.Files = files; return s },
 	}
 }
 
-func (r *reader) machineType(c *Config, sec *ini.Section, name string) {
+func (r *configParser) parseMachineType(c *Config, sec *ini.Section, name string) {
 	t := wire.MachineType{Name: name, CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1.5, BootS: 5}
 	ordinary, spot := 4, 0
 	boot := 5 * time.Second
-	r.section(sec, fields{"cpus": number(&t.CPUs, 0.1, 1e5), "gpus": number(&t.GPUs, 0, 1e4), "memory_gb": number(&t.MemoryGB, 0.1, 1e6), "cache_gb": number(&t.CacheGB, 0, 1e6),
-		"fetch_gb_per_s": number(&t.FetchGBps, 0.001, 1e4), "price": number(&t.Price, 0, 1e6), "spot_price": number(&t.SpotPrice, 0, 1e6),
-		"boot": duration(&boot, 0, time.Hour), "zones": words(&t.Zones), "count": count(&ordinary, 0, 100_000), "spot": count(&spot, 0, 100_000)})
+	r.parseSection(sec, fieldParsers{"cpus": numberParser(&t.CPUs, 0.1, 1e5), "gpus": numberParser(&t.GPUs, 0, 1e4), "memory_gb": numberParser(&t.MemoryGB, 0.1, 1e6), "cache_gb": numberParser(&t.CacheGB, 0, 1e6),
+		"fetch_gb_per_s": numberParser(&t.FetchGBps, 0.001, 1e4), "price": numberParser(&t.Price, 0, 1e6), "spot_price": numberParser(&t.SpotPrice, 0, 1e6),
+		"boot": durationParser(&boot, 0, time.Hour), "zones": nameListParser(&t.Zones), "count": countParser(&ordinary, 0, 100_000), "spot": countParser(&spot, 0, 100_000)})
 	if t.BootS = boot.Seconds(); len(t.Zones) == 0 {
 		t.Zones = c.Zones
 	}
@@ -248,9 +248,9 @@
 	c.Types = append(c.Types, t)
 }
 
-func (r *reader) team(c *Config, sec *ini.Section, name string) {
+func (r *configParser) parseTeam(c *Config, sec *ini.Section, name string) {
 	t := config.Team{Name: name}
-	r.section(sec, fields{"cpus": number(&t.CPUs, 0, 1e9), "cpus_max": number(&t.CPUsMax, 0, 1e9), "gpus": number(&t.GPUs, 0, 1e9), "gpus_max": number(&t.GPUsMax, 0, 1e9)})
+	r.parseSection(sec, fieldParsers{"cpus": numberParser(&t.CPUs, 0, 1e9), "cpus_max": numberParser(&t.CPUsMax, 0, 1e9), "gpus": numberParser(&t.GPUs, 0, 1e9), "gpus_max": numberParser(&t.GPUsMax, 0, 1e9)})
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
 		r.reject(sec.Name(), "cpus", fmt.Sprint(t.CPUs), "no more than cpus_max")
 	}
@@ -260,22 +260,22 @@
 	c.Teams = append(c.Teams, t)
 }
 
-func (r *reader) fault(c *Config, sec *ini.Section, name string) {
+func (r *configParser) parseFault(c *Config, sec *ini.Section, name string) {
 	f := Fault{Label: name}
-	bad := r.section(sec, f.fields())
+	bad := r.parseSection(sec, f.parsers())
 	if err := f.Check(c); err != nil {
 		for _, e := range splitJoined(err) {
-			if slices.Contains(bad, fieldOf(e)) {
+			if slices.Contains(bad, fieldOfError(e)) {
 				continue // it was named, with what is allowed
 			}
-			r.faults = append(r.faults, fmt.Errorf("line %d: [%s]: %w", r.line(sec.Name(), cmp.Or(fieldOf(e), "kind")), sec.Name(), e))
+			r.errs = append(r.errs, fmt.Errorf("line %d: [%s]: %w", r.lineOf(sec.Name(), cmp.Or(fieldOfError(e), "kind")), sec.Name(), e))
 		}
 	}
 	c.Timeline = append(c.Timeline, f)
 }
 
 // checkConsistency checks what depends on several sections.
-func (r *reader) checkConsistency(c *Config, types bool) {
+func (r *configParser) checkConsistency(c *Config, types bool) {
 	check := func(ok bool, key, value, allowed string) {
 		if !ok {
 			r.reject("world", key, value, allowed)
--- a/internal/emulator/config_test.go
+++ b/internal/emulator/config_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// wrongWorld is a world file with a fault of every kind, and wrongWorldFaults how these are reported.
-const wrongWorld = `[world]
+// invalidWorldFile is a world file with a fault of every kind, and invalidWorldFileErrors how these are reported.
+const invalidWorldFile = `[world]
 controllers = 25
 zones = a, a
 colour = red
@@ -57,7 +57,7 @@
 [planet mars]
 `
 
-var wrongWorldFaults = []string{"line 2: [world] controllers: \"25\": must be a count from 1 to 24", "line 3: [world] zones", "line 4: [world] colour: \"red\": must be left out; known are cancel,",
+var invalidWorldFileErrors = []string{"line 2: [world] controllers: \"25\": must be a count from 1 to 24", "line 3: [world] zones", "line 4: [world] colour: \"red\": must be left out; known are cancel,",
 	"line 6: [type g4] cpus", "line 7: [type g4] zones", "line 9: [team red] gpus", "line 12: [fault x] at", "from: \"moon\"", "to: missing: cut needs it", "line 17: [fault y]: count: means nothing to state_down", "[fault z]: for: missing",
 	"[fault deaf]: who: means nothing to machine_deaf, which takes for, count, share, zone", "[fault deaf]: zone: \"moon\": must be one of", "[fault late]: share: missing: state_late needs it",
 	"[fault echo] share: \"2\": must be", "[fault apart]: who: \"c-77\": must be one of", "[fault apart] from_peers: \"perhaps\": must be yes or no", "[fault apart]: from_state: missing: controller_cut needs from_state = yes, from_peers = yes, or both", "[fault odd] kind: \"machine_sings\": must be one of boot_never,", "[fault odd] share: \"3\"", "[fault next] for_next: \"soon\": must be yes or no",
@@ -74,11 +74,11 @@
 	if err != nil || len(c.Timeline) != 4 || c.Teams[1].GPUsMax != 32 || c.Types[0].Name != "g4" {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	_, err = Parse([]byte(wrongWorld))
+	_, err = Parse([]byte(invalidWorldFile))
 	if err == nil {
 		t.Fatal("nothing is wrong")
 	}
-	for _, want := range wrongWorldFaults {
+	for _, want := range invalidWorldFileErrors {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not in\n%v", want, err)
 		}
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -15,10 +15,10 @@
 
 // The paths of the control address. Its protocol is JSON.
 const (
-	PathStatus = "/status"
-	PathFaults = "/faults"
-	PathUsers  = "/users" // what users are to do now, see Orders
-	PathJudge  = "/judge" // CBOR: what users did and were told, so that all rules can be judged
+	PathStatus           = "/status"
+	PathFaults           = "/faults"
+	PathUserInstructions = "/users" // what users are to do now, see Orders
+	PathObservations     = "/judge" // CBOR: what users did and were told, so that all rules can be judged
 )
 
 // Observation is an answer that a user got about a job, or the job that a user is about to submit.
@@ -57,28 +57,28 @@
 	Error string `json:"error"`
 }
 
-// control serves the control address.
-func (w *Cluster) control() transport.ServeConn {
+// serveControl serves the control address.
+func (w *Cluster) serveControl() transport.ServeConn {
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
 		case r.Method == "GET" && r.Path == PathStatus:
-			return answer(200, w.Status())
-		case r.Method == "GET" && r.Path == PathUsers:
-			return answer(200, w.users.instructions())
+			return jsonResponse(200, w.Status())
+		case r.Method == "GET" && r.Path == PathUserInstructions:
+			return jsonResponse(200, w.users.instructions())
 		case r.Method == "POST" && r.Path == PathFaults:
 			return w.postFault(r.Body)
-		case r.Method == "POST" && r.Path == PathJudge:
+		case r.Method == "POST" && r.Path == PathObservations:
 			return w.postObservations(r.Body)
 		case r.Method == "DELETE" && named:
 			return w.deleteFault(number)
 		}
-		return answer(404, Refusal{"no such path"})
+		return jsonResponse(404, Refusal{"no such path"})
 	})
 }
 
-// answer returns a response with a body of JSON.
-func answer(status int, v any) *httpwire.Response {
+// jsonResponse returns a response with a body of JSON.
+func jsonResponse(status int, v any) *httpwire.Response {
 	text, _ := json.Marshal(v)
 	return &httpwire.Response{Status: status, Body: text}
 }
@@ -87,13 +87,13 @@
 func (w *Cluster) postFault(body []byte) *httpwire.Response {
 	var f Fault
 	if err := json.Unmarshal(body, &f); err != nil {
-		return answer(400, Refusal{err.Error()})
+		return jsonResponse(400, Refusal{err.Error()})
 	}
 	s, err := w.Stage(f)
 	if err != nil {
-		return answer(422, Refusal{err.Error()})
+		return jsonResponse(422, Refusal{err.Error()})
 	}
-	return answer(200, s)
+	return jsonResponse(200, s)
 }
 
 // postObservations passes the observations of a request to the checkers.
@@ -102,16 +102,16 @@
 		Told []Observation `cbor:"told"`
 	}
 	if err := wire.Decode(body, &told); err != nil {
-		return answer(400, Refusal{err.Error()})
+		return jsonResponse(400, Refusal{err.Error()})
 	}
 	w.Observe(told.Told)
-	return answer(200, struct{}{})
+	return jsonResponse(200, struct{}{})
 }
 
 // deleteFault lifts the fault with a number.
 func (w *Cluster) deleteFault(number string) *httpwire.Response {
 	if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
-		return answer(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
+		return jsonResponse(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
 	}
-	return answer(200, struct{}{})
+	return jsonResponse(200, struct{}{})
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -35,9 +35,9 @@
 	Hang    time.Duration `json:"hang,omitempty"`
 }
 
-// kinds lists the kinds of faults, and for each the fields that it requires and allows beside at
+// fieldsByKind lists the kinds of faults, and for each the fields that it requires and allows beside at
 // and for.
-var kinds = map[string]struct{ needs, may []string }{
+var fieldsByKind = map[string]struct{ needs, may []string }{
 	"cut":             {[]string{"from", "to"}, []string{"mode", "one_way"}},
 	"slow":            {[]string{"from", "to", "delay"}, []string{"one_way"}},
 	"state_down":      {},
@@ -67,28 +67,28 @@
 	"controller_cut":  {[]string{"who"}, []string{"from_state", "from_peers", "mode"}},
 }
 
-// Kinds lists the kinds of faults.
-func Kinds() (out []string) {
-	for k := range kinds {
+// FaultKinds lists the kinds of faults.
+func FaultKinds() (out []string) {
+	for k := range fieldsByKind {
 		out = append(out, k)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// fields returns the parsers of a fault's keys.
-func (f *Fault) fields() fields {
-	return fields{"kind": word(&f.Kind, Kinds()...), "at": duration(&f.At, 0, 24*time.Hour), "for": duration(&f.For, 0, 24*time.Hour),
-		"from": word(&f.From), "to": word(&f.To), "mode": word(&f.Mode, "hold", "lose", "reset"), "one_way": boolean(&f.OneWay), "delay": duration(&f.Delay, time.Millisecond, time.Hour),
-		"share": number(&f.Share, 0, 1), "count": count(&f.Count, 1, 1_000_000), "zone": word(&f.Zone), "notice": duration(&f.Notice, 0, time.Hour),
-		"times": number(&f.Times, 0.01, 1000), "who": word(&f.Who),
-		"from_state": boolean(&f.FromState), "from_peers": boolean(&f.FromPeers),
-		"at_once": boolean(&f.AtOnce), "for_next": boolean(&f.ForNext), "hang": duration(&f.Hang, time.Millisecond, time.Hour)}
+// parsers returns the parsers of a fault's keys.
+func (f *Fault) parsers() fieldParsers {
+	return fieldParsers{"kind": stringParser(&f.Kind, FaultKinds()...), "at": durationParser(&f.At, 0, 24*time.Hour), "for": durationParser(&f.For, 0, 24*time.Hour),
+		"from": stringParser(&f.From), "to": stringParser(&f.To), "mode": stringParser(&f.Mode, "hold", "lose", "reset"), "one_way": booleanParser(&f.OneWay), "delay": durationParser(&f.Delay, time.Millisecond, time.Hour),
+		"share": numberParser(&f.Share, 0, 1), "count": countParser(&f.Count, 1, 1_000_000), "zone": stringParser(&f.Zone), "notice": durationParser(&f.Notice, 0, time.Hour),
+		"times": numberParser(&f.Times, 0.01, 1000), "who": stringParser(&f.Who),
+		"from_state": booleanParser(&f.FromState), "from_peers": booleanParser(&f.FromPeers),
+		"at_once": booleanParser(&f.AtOnce), "for_next": booleanParser(&f.ForNext), "hang": durationParser(&f.Hang, time.Millisecond, time.Hour)}
 }
 
-// takes lists the fields that a fault of this kind accepts.
-func (f *Fault) takes() string {
-	k := kinds[f.Kind]
+// acceptedFields lists the fields that a fault of this kind accepts.
+func (f *Fault) acceptedFields() string {
+	k := fieldsByKind[f.Kind]
 	return strings.Join(slices.Concat([]string{"for"}, k.needs, k.may), ", ")
 }
 
@@ -98,8 +98,8 @@
 	error
 }
 
-// fieldOf returns the field that an error is about, if any.
-func fieldOf(err error) string {
+// fieldOfError returns the field that an error is about, if any.
+func fieldOfError(err error) string {
 	var f *fieldError
 	if errors.As(err, &f) {
 		return f.field
@@ -126,8 +126,8 @@
 // Check reports everything that is wrong with a fault in a cluster.
 func (f *Fault) Check(c *Config) error {
 	var wrong fieldErrors
-	if _, ok := kinds[f.Kind]; !ok {
-		wrong.add("kind", "%q: must be one of %s", f.Kind, strings.Join(Kinds(), ", "))
+	if _, ok := fieldsByKind[f.Kind]; !ok {
+		wrong.add("kind", "%q: must be one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
 		return errors.Join(wrong...)
 	}
 	f.checkFields(&wrong)
@@ -143,17 +143,17 @@
 
 // checkFields checks that the fields are set which the kind requires, and no others than it allows.
 func (f *Fault) checkFields(wrong *fieldErrors) {
-	k := kinds[f.Kind]
+	k := fieldsByKind[f.Kind]
 	set := map[string]bool{"from": f.From != "", "to": f.To != "", "mode": f.Mode != "", "one_way": f.OneWay, "delay": f.Delay > 0, "share": f.Share > 0,
 		"count": f.Count > 0, "zone": f.Zone != "", "notice": f.Notice > 0, "times": f.Times > 0, "who": f.Who != "",
 		"from_state": f.FromState, "from_peers": f.FromPeers, "at_once": f.AtOnce, "for_next": f.ForNext, "hang": f.Hang > 0}
-	for _, name := range sorted(set) {
+	for _, name := range sortedNames(set) {
 		needed := slices.Contains(k.needs, name)
 		if needed && !set[name] {
 			wrong.add(name, "missing: %s needs it", f.Kind)
 		}
 		if set[name] && !needed && !slices.Contains(k.may, name) {
-			wrong.add(name, "means nothing to %s, which takes %s", f.Kind, f.takes())
+			wrong.add(name, "means nothing to %s, which takes %s", f.Kind, f.acceptedFields())
 		}
 	}
 }
@@ -163,8 +163,8 @@
 	if f.Zone != "" && !slices.Contains(c.Zones, f.Zone) {
 		wrong.add("zone", "%q: must be one of %s", f.Zone, strings.Join(c.Zones, ", "))
 	}
-	if f.Who != "" && !slices.Contains(c.names(), f.Who) {
-		wrong.add("who", "%q: must be one of %s", f.Who, strings.Join(c.names(), ", "))
+	if f.Who != "" && !slices.Contains(c.controllerNames(), f.Who) {
+		wrong.add("who", "%q: must be one of %s", f.Who, strings.Join(c.controllerNames(), ", "))
 	}
 	c.checkEndpoint("from", f.From, wrong)
 	c.checkEndpoint("to", f.To, wrong)
@@ -172,12 +172,12 @@
 
 // checkEndpoint checks that the cluster has an endpoint that a field names.
 func (c *Config) checkEndpoint(field, name string, wrong *fieldErrors) {
-	if name != "" && !c.endpoint(name) {
-		wrong.add(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", name, strings.Join(c.names(), ", "))
+	if name != "" && !c.hasEndpoint(name) {
+		wrong.add(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", name, strings.Join(c.controllerNames(), ", "))
 	}
 }
 
-func sorted(set map[string]bool) (names []string) {
+func sortedNames(set map[string]bool) (names []string) {
 	for name := range set {
 		names = append(names, name)
 	}
@@ -185,18 +185,18 @@
 	return names
 }
 
-// names lists the controllers.
-func (c *Config) names() (out []string) {
+// controllerNames lists the controllers.
+func (c *Config) controllerNames() (out []string) {
 	for i := range c.Controllers {
 		out = append(out, fmt.Sprint("c-", i))
 	}
 	return out
 }
 
-// endpoint reports whether a name denotes an endpoint of the cluster's links.
-func (c *Config) endpoint(side string) bool {
+// hasEndpoint reports whether a name denotes an endpoint of the cluster's links.
+func (c *Config) hasEndpoint(side string) bool {
 	zone, isZone := strings.CutPrefix(side, "zone:")
-	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, side) || slices.Contains(c.names(), side) || isZone && slices.Contains(c.Zones, zone)
+	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, side) || slices.Contains(c.controllerNames(), side) || isZone && slices.Contains(c.Zones, zone)
 }
 
 // describe returns a description of a fault in one line.
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -97,20 +97,20 @@
 func (w *Cluster) applyToMachines(f *Fault) (lift func()) {
 	switch f.Kind {
 	case "machine_die":
-		for _, id := range w.pickMachines(f, false) {
+		for _, id := range w.selectMachines(f, false) {
 			w.cloud.Crash(id)
 		}
 	case "machine_hang":
-		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
+		w.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
 	case "machine_deaf":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
+		return w.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
 	case "machine_mute":
-		return w.holdMachines(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
+		return w.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
 	case "machine_restart":
 		back := cmp.Or(f.Delay, defaultRestartDelay)
-		w.eachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
+		w.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
 	case "spot_taken":
-		for _, id := range w.pickMachines(f, true) {
+		for _, id := range w.selectMachines(f, true) {
 			w.cloud.Preempt(id, f.Notice)
 		}
 	}
@@ -125,9 +125,9 @@
 	if f.Kind == "cut" && mode == "" {
 		mode = "hold"
 	}
-	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, sparesInside: inside, mode: mode, delay: f.Delay})}
+	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, exceptWithinZone: inside, mode: mode, delay: f.Delay})}
 	if !f.OneWay {
-		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, sparesInside: inside, mode: mode, delay: f.Delay}))
+		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, exceptWithinZone: inside, mode: mode, delay: f.Delay}))
 	}
 	return func() {
 		for _, lift := range lifts {
@@ -162,7 +162,7 @@
 
 // applyToController kills or suspends a controller.
 func (w *Cluster) applyToController(f *Fault) (lift func(), err error) {
-	names := w.Config.names()
+	names := w.Config.controllerNames()
 	if f.Who != "" {
 		names = []string{f.Who}
 	}
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -9,60 +9,60 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// side is one end of a connection.
-type side struct {
+// endpoint is one end of a connection.
+type endpoint struct {
 	name string // of a controller or a machine, or state or cloud
 	kind string // controllers, machines, or the same as the name
 	zone string // empty for what is regional
 }
 
-// is reports whether a selector of a rule matches this side.
-func (s side) is(what string) bool {
+// matches reports whether a selector of a rule matches this side.
+func (s endpoint) matches(what string) bool {
 	return what == "all" || what == s.name || what == s.kind || s.zone != "" && what == "zone:"+s.zone
 }
 
 // rule determines what happens to bytes from one side to another.
 type rule struct {
-	from, to     string
-	sparesInside bool // a zone that is isolated works inside
-	mode         string
-	delay        time.Duration
+	from, to         string
+	exceptWithinZone bool // a zone that is isolated works inside
+	mode             string
+	delay            time.Duration
 }
 
-// applies reports whether a rule matches a direction.
-func (r *rule) applies(from, to side) bool {
-	if !from.is(r.from) || !to.is(r.to) {
+// matches reports whether a rule matches a direction.
+func (r *rule) matches(from, to endpoint) bool {
+	if !from.matches(r.from) || !to.matches(r.to) {
 		return false
 	}
-	return !(r.sparesInside && from.zone == to.zone)
+	return !(r.exceptWithinZone && from.zone == to.zone)
 }
 
 // links applies the rules in force to all connections of a cluster.
 type links struct {
-	mu      sync.Mutex
-	rules   map[int]*rule
-	next    int
-	changed chan struct{}
-	conns   map[*link]bool
-	traffic map[Direction]*counter
+	mu       sync.Mutex
+	rules    map[int]*rule
+	lastRule int
+	changed  chan struct{}
+	conns    map[*link]bool
+	traffic  map[Direction]*flowCounter
 }
 
 // newLinks returns links without rules.
 func newLinks() *links {
-	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*counter{}}
+	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*flowCounter{}}
 }
 
 // add puts a rule into force until the returned function is called.
 func (l *links) add(r *rule) (lift func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	n := l.next
+	l.lastRule++
+	n := l.lastRule
 	l.rules[n] = r
 	l.notifyChange()
 	if r.mode == "reset" {
 		for c := range l.conns {
-			if r.applies(c.local, c.peer) || r.applies(c.peer, c.local) {
+			if r.matches(c.local, c.peer) || r.matches(c.peer, c.local) {
 				go c.Conn.Close()
 			}
 		}
@@ -83,11 +83,11 @@
 
 // modeOf returns what happens at present to bytes from one side to another, and a channel that is
 // closed when that changes.
-func (l *links) modeOf(from, to side) (mode string, delay time.Duration, changed <-chan struct{}) {
+func (l *links) modeOf(from, to endpoint) (mode string, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.rules {
-		if r.applies(from, to) {
+		if r.matches(from, to) {
 			delay = max(delay, r.delay)
 			switch {
 			case r.mode == "reset": // what was open has been reset; nothing new comes through
@@ -100,9 +100,9 @@
 	return mode, delay, l.changed
 }
 
-// awaitPassage blocks until bytes may pass from one side to another, and reports whether they are
+// awaitDelivery blocks until bytes may pass from one side to another, and reports whether they are
 // lost.
-func (l *links) awaitPassage(done <-chan struct{}, from, to side) (lost bool, err error) {
+func (l *links) awaitDelivery(done <-chan struct{}, from, to endpoint) (lost bool, err error) {
 	for {
 		mode, delay, changed := l.modeOf(from, to)
 		switch mode {
@@ -131,11 +131,11 @@
 type link struct {
 	net.Conn
 	links          *links
-	local, peer    side
+	local, peer    endpoint
 	done           chan struct{}
 	once           sync.Once
 	idle           time.Duration
-	sent, received *counter
+	sent, received *flowCounter
 
 	mu      sync.Mutex
 	held    [][]byte
@@ -143,7 +143,7 @@
 }
 
 // wrap makes a connection subject to the rules.
-func (l *links) wrap(c net.Conn, local, peer side) *link {
+func (l *links) wrap(c net.Conn, local, peer endpoint) *link {
 	k := &link{Conn: c, links: l, local: local, peer: peer, done: make(chan struct{})}
 	l.mu.Lock()
 	k.sent, k.received = l.counter(local, peer), l.counter(peer, local)
@@ -168,7 +168,7 @@
 		if n == 0 || err != nil {
 			return n, err
 		}
-		lost, err := c.links.awaitPassage(c.done, c.peer, c.local)
+		lost, err := c.links.awaitDelivery(c.done, c.peer, c.local)
 		if err != nil {
 			_ = c.Close()
 			return 0, err
@@ -203,7 +203,7 @@
 // deliver sends what was held back.
 func (c *link) deliver() {
 	for {
-		lost, _ := c.links.awaitPassage(nil, c.local, c.peer)
+		lost, _ := c.links.awaitDelivery(nil, c.local, c.peer)
 		c.mu.Lock()
 		if !lost {
 			_, _ = c.Conn.Write(c.held[0])
@@ -242,16 +242,16 @@
 // thousands of machines listen in one process and an event loop for each would be a thread for
 // each.
 type host struct {
-	links  *links
-	self   side
-	sideAt func(addr string) side // returns the side at an address
+	links      *links
+	local      endpoint
+	endpointAt func(addr string) endpoint // returns the side at an address
 }
 
 // Dial implements transport.Network.
 func (h host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	to := h.sideAt(addr)
-	for _, way := range [][2]side{{h.self, to}, {to, h.self}} { // a connection needs both
-		if lost, err := h.links.awaitPassage(ctx.Done(), way[0], way[1]); err != nil {
+	to := h.endpointAt(addr)
+	for _, way := range [][2]endpoint{{h.local, to}, {to, h.local}} { // a connection needs both
+		if lost, err := h.links.awaitDelivery(ctx.Done(), way[0], way[1]); err != nil {
 			return nil, err
 		} else if lost {
 			<-ctx.Done()
@@ -263,7 +263,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return h.links.wrap(c, h.self, to), nil
+	return h.links.wrap(c, h.local, to), nil
 }
 
 // Dial opens a connection that is not subject to faults.
@@ -278,7 +278,7 @@
 	if err != nil {
 		return err
 	}
-	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.self, h.sideAt(""))) })
+	h.accept(ctx, lis, conns, func(c net.Conn) { serve(ctx, h.links.wrap(c, h.local, h.endpointAt(""))) })
 	return nil
 }
 
--- a/internal/emulator/links_test.go
+++ b/internal/emulator/links_test.go
@@ -11,7 +11,7 @@
 // when it ends, although the sender has given up, and none after a cut that loses them.
 func TestHeldMessages(t *testing.T) {
 	l := newLinks()
-	me, peer := side{"n-1", "machines", "a"}, side{"c-0", "controllers", "a"}
+	me, peer := endpoint{"n-1", "machines", "a"}, endpoint{"c-0", "controllers", "a"}
 	for _, mode := range []string{"hold", "lose"} {
 		a, b := net.Pipe()
 		k := l.wrap(a, me, peer)
@@ -42,16 +42,16 @@
 	}
 }
 
-// TestDialNeedsBothWays checks that no connection is established where answers are lost, as on a
+// TestDialNeedsBothDirections checks that no connection is established where answers are lost, as on a
 // real network.
-func TestDialNeedsBothWays(t *testing.T) {
+func TestDialNeedsBothDirections(t *testing.T) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lis.Close()
 	l := newLinks()
-	h := host{l, side{"n-1", "machines", "a"}, func(string) side { return side{"c-0", "controllers", "a"} }}
+	h := host{l, endpoint{"n-1", "machines", "a"}, func(string) endpoint { return endpoint{"c-0", "controllers", "a"} }}
 	dial := func() error {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
--- a/internal/emulator/machines.go
+++ b/internal/emulator/machines.go
@@ -13,8 +13,8 @@
 // maxMachines bounds the machines of a cluster.
 const maxMachines = 20_000
 
-// makeCloud creates the cloud, whose machines are emulated workers or started by Options.Machine.
-func (w *Cluster) makeCloud() {
+// createCloud creates the cloud, whose machines are emulated workers or started by Options.Machine.
+func (w *Cluster) createCloud() {
 	c := w.Config
 	w.fixture = newTaskFixture(w)
 	w.fixture.SetQuietSince(w.startedAt)
@@ -22,7 +22,7 @@
 	names := map[string]string{}
 	w.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
-		names[w.controller(i).name] = w.Public(i)
+		names[w.controllerEndpoint(i).name] = w.Public(i)
 		w.replayer.Controllers = append(w.replayer.Controllers, w.Public(i))
 	}
 	w.cloud = &simulator.Cloud{Types: c.Types, CapacityByOffer: c.CapacityByOffer, RPS: c.Cloud.RPS, ListLag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
@@ -33,13 +33,13 @@
 					return m
 				}
 			}
-			me := side{id, "machines", zone}
-			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.spec(typ), Net: host{w.links, me, w.peer},
+			me := endpoint{id, "machines", zone}
+			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.machineType(typ), Net: host{w.links, me, w.endpointAt},
 				TakeDown: func() { w.freePort(addr) }, Controllers: names, Runtime: runtime, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: w.replayer})
 		}}
 }
 
-func (c *Config) spec(typ string) wire.MachineType {
+func (c *Config) machineType(typ string) wire.MachineType {
 	for _, t := range c.Types {
 		if t.Name == typ {
 			return t
@@ -76,8 +76,8 @@
 	}
 }
 
-// pickMachines selects machines of a fault's zone, or spot machines only.
-func (w *Cluster) pickMachines(f *Fault, spot bool) (ids []string) {
+// selectMachines selects machines of a fault's zone, or spot machines only.
+func (w *Cluster) selectMachines(f *Fault, spot bool) (ids []string) {
 	w.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
 		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
 			ids = append(ids, m.ID)
@@ -98,10 +98,10 @@
 	return ids
 }
 
-// eachMachine calls a function for each machine that a fault selects.
-func (w *Cluster) eachMachine(f *Fault, do func(simulator.Machine)) {
+// forEachMachine calls a function for each machine that a fault selects.
+func (w *Cluster) forEachMachine(f *Fault, do func(simulator.Machine)) {
 	picked := map[string]bool{}
-	for _, id := range w.pickMachines(f, false) {
+	for _, id := range w.selectMachines(f, false) {
 		picked[id] = true
 	}
 	w.cloud.EachRunning(func(m wire.ListedMachine, machine simulator.Machine) {
@@ -111,11 +111,11 @@
 	})
 }
 
-// holdMachines applies a fault to the machines that it selects and returns the function that ends
+// applyUntilLifted applies a fault to the machines that it selects and returns the function that ends
 // it.
-func (w *Cluster) holdMachines(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
+func (w *Cluster) applyUntilLifted(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
 	var all []simulator.Machine
-	w.eachMachine(f, func(m simulator.Machine) {
+	w.forEachMachine(f, func(m simulator.Machine) {
 		do(m, true)
 		all = append(all, m)
 	})
--- a/internal/emulator/persistence.go
+++ b/internal/emulator/persistence.go
@@ -42,7 +42,7 @@
 
 // persistState writes the state to disk.
 func (w *Cluster) persistState() {
-	if err := writeWhole(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
+	if err := writeFileAtomic(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
 		w.log.Error("the state can't be kept", "error", err)
 	}
 }
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -25,29 +25,29 @@
 	Extra    func(i int) string // additional content for one controller, if set
 	Metrics  func(i int) string // address at which each serves metrics
 
-	ctx     context.Context
-	starts  chan func()
-	mu      sync.Mutex
-	procs   map[int]*exec.Cmd
-	stopped bool // all were terminated; no process is started any more
+	ctx           context.Context
+	startRequests chan func()
+	mu            sync.Mutex
+	procs         map[int]*exec.Cmd
+	stopped       bool // all were terminated; no process is started any more
 }
 
 // Begin prepares the processes, which are terminated when the context ends.
 func (p *Processes) Begin(ctx context.Context) {
-	p.ctx, p.starts, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
-	go p.starter()
+	p.ctx, p.startRequests, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
+	go p.startLoop()
 }
 
-// starter starts processes, always on the same thread: the kernel kills them when that thread
+// startLoop starts processes, always on the same thread: the kernel kills them when that thread
 // ends, however this process ends.
-func (p *Processes) starter() {
+func (p *Processes) startLoop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
-		case start := <-p.starts:
+		case start := <-p.startRequests:
 			start()
 		}
 	}
@@ -68,7 +68,7 @@
 	if p.Extra != nil {
 		text += p.Extra(i)
 	}
-	if err := writeWhole(tuning, []byte(text+"\n[metrics]\nlisten = "+p.Metrics(i)+"\n")); err != nil {
+	if err := writeFileAtomic(tuning, []byte(text+"\n[metrics]\nlisten = "+p.Metrics(i)+"\n")); err != nil {
 		return err
 	}
 	cmd := exec.Command(p.Program, "serve", "--config", p.Settings(i), "--settings", tuning)
@@ -77,7 +77,7 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // Ctrl-C is this process's to deal with
 	done := make(chan error, 1)
 	select {
-	case p.starts <- func() { done <- cmd.Start() }:
+	case p.startRequests <- func() { done <- cmd.Start() }:
 	case <-p.ctx.Done():
 		return p.ctx.Err()
 	}
@@ -93,13 +93,13 @@
 	if over { // meanwhile
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		return errStopped
+		return errProcessesStopped
 	}
 	return nil
 }
 
-// errStopped is returned once all processes were terminated.
-var errStopped = errors.New("all controllers were ended")
+// errProcessesStopped is returned once all processes were terminated.
+var errProcessesStopped = errors.New("all controllers were ended")
 
 // PID returns the process id of a controller, 0 if it does not run.
 func (p *Processes) PID(i int) int {
@@ -126,7 +126,7 @@
 // KillNamed injects a crash: the controller is killed and started again after a while, 2 s by
 // default.
 func (p *Processes) KillNamed(name string, back time.Duration) error {
-	i, err := numberOf(name)
+	i, err := controllerIndex(name)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 
 // PauseNamed suspends a controller, or lets it continue.
 func (p *Processes) PauseNamed(name string, still bool) error {
-	i, err := numberOf(name)
+	i, err := controllerIndex(name)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	return errors.New(name + " does not run")
 }
 
-func numberOf(name string) (i int, err error) {
+func controllerIndex(name string) (i int, err error) {
 	if _, err = fmt.Sscanf(name, "c-%d", &i); err != nil {
 		err = fmt.Errorf("%q is no controller", name)
 	}
--- a/internal/emulator/ready.go
+++ b/internal/emulator/ready.go
@@ -9,8 +9,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// readyWait bounds how long controllers may take to become ready.
-const readyWait = 30 * time.Second
+// readyTimeout bounds how long controllers may take to become ready.
+const readyTimeout = 30 * time.Second
 
 // Ready waits until all controllers at the addresses are ready.
 func Ready(ctx context.Context, caller *transport.Caller, addrs []string) error {
@@ -28,7 +28,7 @@
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case time.Since(begun) > readyWait:
+		case time.Since(begun) > readyTimeout:
 			return fmt.Errorf("%d of %d controllers came up within 30 s", n, len(addrs))
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -13,21 +13,21 @@
 	return filepath.Join(w.opt.Dir, fmt.Sprintf("c-%d.json", i))
 }
 
-// writeSettings writes the platform file of each controller.
-func (w *Cluster) writeSettings() error {
+// writePlatformFiles writes the platform file of each controller.
+func (w *Cluster) writePlatformFiles() error {
 	if w.opt.Dir == "" {
 		return nil
 	}
 	errs := []error{os.MkdirAll(w.opt.Dir, 0o755)}
 	for i := range w.Config.Controllers {
-		text, err := json.MarshalIndent(w.settings(i), "", "  ")
-		errs = append(errs, err, writeWhole(w.Settings(i), text))
+		text, err := json.MarshalIndent(w.platformFileContent(i), "", "  ")
+		errs = append(errs, err, writeFileAtomic(w.Settings(i), text))
 	}
 	return errors.Join(errs...)
 }
 
-// writeWhole replaces a file atomically.
-func writeWhole(path string, content []byte) error {
+// writeFileAtomic replaces a file atomically.
+func writeFileAtomic(path string, content []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
 		return err
@@ -42,17 +42,17 @@
 	return err
 }
 
-// settings returns the content of a controller's platform file.
-func (w *Cluster) settings(i int) map[string]any {
+// platformFileContent returns the content of a controller's platform file.
+func (w *Cluster) platformFileContent(i int) map[string]any {
 	c := w.Config
 	peers := []any{}
 	for k := range c.Controllers {
 		if k != i {
-			peers = append(peers, map[string]any{"host_name": w.controller(k).name, "location": w.zone(k), "peer_addr": w.addr(w.ports.between(i, k))})
+			peers = append(peers, map[string]any{"host_name": w.controllerEndpoint(k).name, "location": w.zoneOf(k), "peer_addr": w.addr(w.ports.peerLink(i, k))})
 		}
 	}
 	wk := c.Workers
-	return map[string]any{"host_name": w.controller(i).name, "location": w.zone(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": peers,
+	return map[string]any{"host_name": w.controllerEndpoint(i).name, "location": w.zoneOf(i), "public_addr": w.Public(i), "mesh_addr": w.addr(w.ports.mesh + i), "siblings": peers,
 		"endpoints": map[string]any{"cloud": w.addr(w.ports.cloud + i), "state": w.addr(w.ports.state + i)},
 		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
 			"workers": map[string]any{"report_s": wk.HeartbeatInterval.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// timeline stages the faults of the world file, each at its time.
-func (w *Cluster) timeline() {
+// runTimeline stages the faults of the world file, each at its time.
+func (w *Cluster) runTimeline() {
 	for _, f := range w.Config.Timeline {
 		sleep(w.ctx, f.At-time.Since(w.startedAt))
 		if w.ctx.Err() != nil {
@@ -28,7 +28,7 @@
 	}
 	w.mu.Lock()
 	w.faultCount++
-	s := StagedFault{Number: w.faultCount, Label: f.Label, Description: f.describe(), Since: w.ageS(), lift: lift}
+	s := StagedFault{Number: w.faultCount, Label: f.Label, Description: f.describe(), Since: w.ageSeconds(), lift: lift}
 	kept := s
 	w.activeFaults[s.Number] = &kept
 	w.fixture.SetQuietSince(time.Time{})
@@ -51,7 +51,7 @@
 		w.mu.Unlock()
 		return false
 	}
-	s.Until = w.ageS()
+	s.Until = w.ageSeconds()
 	if w.noActiveFaults() {
 		w.fixture.SetQuietSince(time.Now())
 	}
@@ -73,8 +73,10 @@
 	return true
 }
 
-// ageS returns the seconds since the cluster started.
-func (w *Cluster) ageS() float64 { return time.Since(w.startedAt).Round(time.Millisecond).Seconds() }
+// ageSeconds returns the seconds since the cluster started.
+func (w *Cluster) ageSeconds() float64 {
+	return time.Since(w.startedAt).Round(time.Millisecond).Seconds()
+}
 
 // StagedFault is a fault that is active, or was.
 type StagedFault struct {
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -27,16 +27,16 @@
 	return Flow{f.Bytes + other.Bytes, f.Messages + other.Messages}
 }
 
-// counter counts a flow.
-type counter struct{ bytes, messages atomic.Uint64 }
+// flowCounter counts a flow.
+type flowCounter struct{ bytes, messages atomic.Uint64 }
 
-func (c *counter) add(n int) {
+func (c *flowCounter) add(n int) {
 	c.bytes.Add(uint64(n))
 	c.messages.Add(1)
 }
 
-// end returns the name of a side in a Direction.
-func (s side) end() string {
+// directionEnd returns the name of a side in a Direction.
+func (s endpoint) directionEnd() string {
 	if s.kind == Machines || s.name == "" {
 		return s.kind
 	}
@@ -44,10 +44,10 @@
 }
 
 // counter returns the counter of a direction; the lock is held.
-func (l *links) counter(from, to side) *counter {
-	w := Direction{from.end(), to.end()}
+func (l *links) counter(from, to endpoint) *flowCounter {
+	w := Direction{from.directionEnd(), to.directionEnd()}
 	if l.traffic[w] == nil {
-		l.traffic[w] = new(counter)
+		l.traffic[w] = new(flowCounter)
 	}
 	return l.traffic[w]
 }
--- a/internal/emulator/user_faults.go
+++ b/internal/emulator/user_faults.go
@@ -32,7 +32,7 @@
 	wake                 chan struct{}
 }
 
-func (u *userFaults) begin(seed uint64) {
+func (u *userFaults) initialize(seed uint64) {
 	u.endedJobs, u.rng, u.wake = make(map[string]bool), rand.New(rand.NewPCG(seed, 10)), make(chan struct{}, 1)
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -49,7 +49,7 @@
 	Seed     uint64 `json:"seed" parquet:"seed"`
 }
 
-func (c Cell) file() string {
+func (c Cell) fileName() string {
 	clean := func(s string) string {
 		return strings.Map(func(r rune) rune {
 			if strings.ContainsRune(`/\ .`, r) {
@@ -165,11 +165,11 @@
 		faults = append(faults, errors.New("[experiment] worlds and mixes: must name a file each at least"))
 	}
 	for _, w := range p.Worlds {
-		_, err := p.world(w)
+		_, err := p.readCluster(w)
 		faults = append(faults, err)
 	}
 	for _, m := range p.Mixes {
-		_, err := p.mix(m)
+		_, err := p.readMix(m)
 		faults = append(faults, err)
 	}
 	for _, s := range p.Settings {
@@ -182,7 +182,7 @@
 	return faults
 }
 
-func (p *Plan) world(name string) (*emulator.Config, error) {
+func (p *Plan) readCluster(name string) (*emulator.Config, error) {
 	if name == "small" {
 		return emulator.DefaultConfig(), nil
 	}
@@ -197,7 +197,7 @@
 	return c, nil
 }
 
-func (p *Plan) mix(name string) (*load.Mix, error) {
+func (p *Plan) readMix(name string) (*load.Mix, error) {
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
 		return nil, fmt.Errorf("reading the load: %w", err)
@@ -251,7 +251,7 @@
 	g.SetLimit(r.Plan.Parallel)
 	for i, c := range cells {
 		g.Go(func() error {
-			path := filepath.Join(r.Out, c.file())
+			path := filepath.Join(r.Out, c.fileName())
 			o, err := readOutcome(path)
 			before := err == nil
 			if !before {
@@ -324,7 +324,7 @@
 	}
 	defer os.RemoveAll(dir)
 	procs := emulator.Processes{Program: r.Program, Level: "error", Dir: dir}
-	if procs.Tuning, err = r.Plan.tuning(c.Settings); err != nil {
+	if procs.Tuning, err = r.Plan.operatorSettings(c.Settings); err != nil {
 		return nil, err
 	}
 	procs.Begin(ctx)
@@ -349,11 +349,11 @@
 
 // cellInput reads the cluster and the load of a cell, both with its seed.
 func (p *Plan) cellInput(c Cell) (*emulator.Config, *load.Mix, error) {
-	conf, err := p.world(c.World)
+	conf, err := p.readCluster(c.World)
 	if err != nil {
 		return nil, nil, err
 	}
-	mix, err := p.mix(c.Mix)
+	mix, err := p.readMix(c.Mix)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -361,8 +361,8 @@
 	return conf, mix, nil
 }
 
-// tuning returns the content of an operators' file, empty for the defaults.
-func (p *Plan) tuning(settings string) (string, error) {
+// operatorSettings returns the content of an operators' file, empty for the defaults.
+func (p *Plan) operatorSettings(settings string) (string, error) {
 	if settings == noSettings {
 		return "", nil
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func outcome(settings string, seed uint64, p50 int64) *Outcome {
+func testOutcome(settings string, seed uint64, p50 int64) *Outcome {
 	c := Cell{"w.ini", "m.ini", settings, seed}
 	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.StagedFault{{Number: 1, Label: "outage", Since: 1, Until: 2}},
 		Result: &load.Result{Classes: map[string]*load.ClassResult{"tidy": {Jobs: 3, Accepted: 3, Done: 3, Accept: load.Times{Count: 3, P50: p50, P99: 2 * p50}}}}}
@@ -45,10 +45,10 @@
 // needs nothing from outside; what was kept is read again, and the columnar files hold it all.
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
-	all := []*Outcome{outcome("none", 1, 10), outcome("none", 2, 20), outcome("quick.ini", 1, 7), outcome("quick.ini", 2, 16)}
+	all := []*Outcome{testOutcome("none", 1, 10), testOutcome("none", 2, 20), testOutcome("quick.ini", 1, 7), testOutcome("quick.ini", 2, 16)}
 	all[3].Result.Violations = []string{"went_back: <wk-1>"}
 	for _, o := range all {
-		if err := outcomefile.Save(filepath.Join(dir, o.Cell.file()), o); err != nil {
+		if err := outcomefile.Save(filepath.Join(dir, o.Cell.fileName()), o); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("%+v, %v", classes, err)
 	}
 	page := filepath.Join(dir, "report.html")
-	if err := Report(page, again, []*Outcome{outcome("none", 1, 30)}); err != nil {
+	if err := Report(page, again, []*Outcome{testOutcome("none", 1, 30)}); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(page)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -21,12 +21,12 @@
 	"amberdeal.example/amberdeal/internal/load"
 )
 
-// spread is a figure over the seeds.
-type spread struct {
+// seedValues is a figure over the seeds.
+type seedValues struct {
 	values []float64
 }
 
-func (s spread) mean() float64 {
+func (s seedValues) mean() float64 {
 	sum := 0.0
 	for _, v := range s.values {
 		sum += v
@@ -35,17 +35,17 @@
 }
 
 // String gives the mean, and what it lies between.
-func (s spread) String() string {
+func (s seedValues) String() string {
 	switch len(s.values) {
 	case 0:
 		return "-"
 	case 1:
-		return short(s.values[0])
+		return formatNumber(s.values[0])
 	}
-	return fmt.Sprintf("%s (%s to %s)", short(s.mean()), short(slices.Min(s.values)), short(slices.Max(s.values)))
+	return fmt.Sprintf("%s (%s to %s)", formatNumber(s.mean()), formatNumber(slices.Min(s.values)), formatNumber(slices.Max(s.values)))
 }
 
-func short(v float64) string {
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case a >= 100 || v == math.Trunc(v):
 		return fmt.Sprintf("%.0f", v)
@@ -67,16 +67,16 @@
 	Cells []string
 }
 
-// group is what was played in one world under one load.
-type group struct {
+// resultGroup is what was played in one world under one load.
+type resultGroup struct {
 	Title    string
 	Settings []string
 	Rows     []row
-	Plots    []plotted
+	Plots    []figure
 	Broken   []string
 }
 
-type plotted struct {
+type figure struct {
 	Title string
 	SVG   template.HTML
 }
@@ -97,9 +97,9 @@
 		}
 		byKey[key] = append(byKey[key], o)
 	}
-	var groups []group
+	var groups []resultGroup
 	for _, key := range keys {
-		g, err := newGroup(key, byKey[key])
+		g, err := newResultGroup(key, byKey[key])
 		if err != nil {
 			return fmt.Errorf("%s: %w", key, err)
 		}
@@ -121,8 +121,8 @@
 	return nil
 }
 
-func newGroup(title string, all []*Outcome) (group, error) {
-	g := group{Title: title}
+func newResultGroup(title string, all []*Outcome) (resultGroup, error) {
+	g := resultGroup{Title: title}
 	by := map[string][]*Outcome{}
 	for _, o := range all {
 		s := o.Cell.Settings
@@ -140,8 +140,8 @@
 	if i := slices.Index(g.Settings, noSettings); i > 0 { // the defaults are what others are compared to
 		g.Settings = slices.Insert(slices.Delete(g.Settings, i, i+1), 0, noSettings)
 	}
-	for _, f := range metricsOf(all) {
-		g.Rows = append(g.Rows, compare(f, g.Settings, by))
+	for _, f := range newMetrics(all) {
+		g.Rows = append(g.Rows, newRow(f, g.Settings, by))
 	}
 	for _, x := range []struct {
 		title, unit string
@@ -155,16 +155,16 @@
 		{"Requests to the state service", "requests a second", func(s Sample) float64 { return s.Requests }, func(o *Outcome) float64 { return o.RPS }},
 		{"Term", "claims so far", func(s Sample) float64 { return float64(s.FencingToken) }, nil},
 	} {
-		svg, err := lines(x.unit, g.Settings, by, x.of, x.limit)
+		svg, err := plotSamples(x.unit, g.Settings, by, x.of, x.limit)
 		if err != nil {
 			return g, fmt.Errorf("plotting %q: %w", x.title, err)
 		}
-		g.Plots = append(g.Plots, plotted{x.title, svg})
+		g.Plots = append(g.Plots, figure{x.title, svg})
 	}
 	return g, nil
 }
 
-func metricsOf(all []*Outcome) (out []metric) {
+func newMetrics(all []*Outcome) (out []metric) {
 	var names []string
 	for _, o := range all {
 		for _, name := range o.Result.Names() {
@@ -203,22 +203,24 @@
 	return append(out,
 		metric{"all: cost", func(o *Outcome) (float64, bool) { return last(o).Cost, true }},
 		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).FencingToken), true }},
-		metric{"all: most changes a second", func(o *Outcome) (float64, bool) { return maximum(o, func(s Sample) float64 { return s.Changes }), true }})
+		metric{"all: most changes a second", func(o *Outcome) (float64, bool) {
+			return maxSample(o, func(s Sample) float64 { return s.Changes }), true
+		}})
 }
 
-func maximum(o *Outcome, of func(Sample) float64) (m float64) {
+func maxSample(o *Outcome, of func(Sample) float64) (m float64) {
 	for _, s := range o.Samples {
 		m = max(m, of(s))
 	}
 	return m
 }
 
-// compare gives a figure of each setting, and the difference to the first, seed by seed.
-func compare(f metric, settings []string, by map[string][]*Outcome) row {
+// newRow gives a figure of each setting, and the difference to the first, seed by seed.
+func newRow(f metric, settings []string, by map[string][]*Outcome) row {
 	r := row{Name: f.Name}
 	first := map[uint64]float64{}
 	for i, s := range settings {
-		var all, diff spread
+		var all, diff seedValues
 		for _, o := range by[s] {
 			v, ok := f.value(o)
 			if !ok {
@@ -241,9 +243,9 @@
 
 var palette = []color.RGBA{{0x1f, 0x77, 0xb4, 0xff}, {0xd9, 0x5f, 0x02, 0xff}, {0x2c, 0x8c, 0x4a, 0xff}, {0x94, 0x4d, 0xc7, 0xff}, {0xb8, 0x8a, 0x00, 0xff}, {0xc2, 0x3b, 0x6b, 0xff}}
 
-// lines draws a line for each cell, in the colour of its setting, with the faults as marked spans
+// plotSamples draws a line for each cell, in the colour of its setting, with the faults as marked spans
 // and the limit dashed.
-func lines(unit string, settings []string, by map[string][]*Outcome, of func(Sample) float64, limit func(*Outcome) float64) (template.HTML, error) {
+func plotSamples(unit string, settings []string, by map[string][]*Outcome, of func(Sample) float64, limit func(*Outcome) float64) (template.HTML, error) {
 	p := plot.New()
 	p.BackgroundColor = color.Transparent // the page's, light or dark
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
@@ -252,32 +254,32 @@
 	top := 1.0
 	for _, s := range settings {
 		for _, o := range by[s] {
-			top = max(top, maximum(o, of))
+			top = max(top, maxSample(o, of))
 		}
 	}
 	first := by[settings[0]][0]
 	if len(first.Faults) > 0 {
-		if err := faultBands(p, first.Faults, top); err != nil {
+		if err := addFaultBands(p, first.Faults, top); err != nil {
 			return "", err
 		}
 	}
 	for i, s := range settings {
-		if err := cellLines(p, s, palette[i%len(palette)], by[s], of); err != nil {
+		if err := addCellLines(p, s, palette[i%len(palette)], by[s], of); err != nil {
 			return "", err
 		}
 	}
 	if limit != nil {
 		if at := limit(first); at <= 3*top {
-			if err := limitLine(p, first, at); err != nil {
+			if err := addLimitLine(p, first, at); err != nil {
 				return "", err
 			}
 		}
 	}
-	return render(p)
+	return renderSVG(p)
 }
 
-// cellLines draws the cells of one setting in one colour, with one entry in the legend.
-func cellLines(p *plot.Plot, setting string, colour color.Color, cells []*Outcome, of func(Sample) float64) error {
+// addCellLines draws the cells of one setting in one colour, with one entry in the legend.
+func addCellLines(p *plot.Plot, setting string, colour color.Color, cells []*Outcome, of func(Sample) float64) error {
 	for k, o := range cells {
 		pts := make(plotter.XYs, len(o.Samples))
 		for n, x := range o.Samples {
@@ -299,8 +301,8 @@
 	return nil
 }
 
-// limitLine draws a limit as a dashed line over the length of a cell.
-func limitLine(p *plot.Plot, o *Outcome, at float64) error {
+// addLimitLine draws a limit as a dashed line over the length of a cell.
+func addLimitLine(p *plot.Plot, o *Outcome, at float64) error {
 	end := 1.0
 	if n := len(o.Samples); n > 0 {
 		end = o.Samples[n-1].TimeS
@@ -315,8 +317,8 @@
 	return nil
 }
 
-// render returns a plot as an SVG element.
-func render(p *plot.Plot) (template.HTML, error) {
+// renderSVG returns a plot as an SVG element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(9*vg.Inch, 2.8*vg.Inch)
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
@@ -330,8 +332,8 @@
 	return template.HTML(text), nil //nolint:gosec // drawn here
 }
 
-// faultBands marks when faults were in force.
-func faultBands(p *plot.Plot, faults []emulator.StagedFault, top float64) error {
+// addFaultBands marks when faults were in force.
+func addFaultBands(p *plot.Plot, faults []emulator.StagedFault, top float64) error {
 	for i, f := range faults {
 		until := max(f.Until, f.Since+0.5)
 		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.Since, Y: 0}, {X: until, Y: 0}, {X: until, Y: top * 1.05}, {X: f.Since, Y: top * 1.05}})
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -21,7 +21,7 @@
 const (
 	opSubmit opKind = iota
 	opStatus
-	opAbort
+	opCancel
 )
 
 // answer is what a user was told: known is false where no answer came or the service decided
@@ -34,14 +34,14 @@
 
 // answerHistory records the operations on each job with their answers and times.
 type answerHistory struct {
-	mu        sync.Mutex
-	startedAt time.Time
-	ops       map[string][]porcupine.Operation
-	last      map[string]wire.Stage
+	mu         sync.Mutex
+	startedAt  time.Time
+	ops        map[string][]porcupine.Operation
+	lastStages map[string]wire.Stage
 }
 
-func (h *answerHistory) begin() {
-	h.startedAt, h.ops, h.last = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
+func (h *answerHistory) reset() {
+	h.startedAt, h.ops, h.lastStages = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
 }
 
 func (h *answerHistory) now() int64 { return time.Since(h.startedAt).Nanoseconds() }
@@ -58,16 +58,16 @@
 		back = 1<<62 - 1
 	}
 	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: len(h.ops[job]), Input: op, Call: sent, Output: out, Return: back})
-	if out.known && !out.absent && !h.last[job].Final() {
-		h.last[job] = stage
+	if out.known && !out.absent && !h.lastStages[job].Final() {
+		h.lastStages[job] = stage
 	}
 }
 
-// open lists the jobs that were accepted and whose users were not told of their end.
-func (h *answerHistory) open() (jobs []string) {
+// openJobs lists the jobs that were accepted and whose users were not told of their end.
+func (h *answerHistory) openJobs() (jobs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for job, stage := range h.last {
+	for job, stage := range h.lastStages {
 		if !stage.Final() {
 			jobs = append(jobs, job)
 		}
@@ -76,11 +76,11 @@
 	return jobs
 }
 
-// stage returns the last stage that the user of a job was told.
-func (h *answerHistory) stage(job string) wire.Stage {
+// lastStage returns the last stage that the user of a job was told.
+func (h *answerHistory) lastStage(job string) wire.Stage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.last[job]
+	return h.lastStages[job]
 }
 
 // jobState is the part of its life cycle that a job has reached.
@@ -103,7 +103,7 @@
 			next = stateLive
 		}
 		if !out.known {
-			if input == opAbort && s == stateLive {
+			if input == opCancel && s == stateLive {
 				next = stateCancelled
 			}
 			return true, next
@@ -114,9 +114,9 @@
 		case out.stage == wire.Done: // it may have ended at any moment before
 			return next == stateLive || next == stateDone, stateDone
 		case out.stage == wire.Cancelled:
-			return next == stateCancelled || next == stateLive && input == opAbort, stateCancelled
+			return next == stateCancelled || next == stateLive && input == opCancel, stateCancelled
 		default:
-			return next == stateLive && input != opAbort, next
+			return next == stateLive && input != opCancel, next
 		}
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " ", output) },
--- a/internal/load/answer_history_test.go
+++ b/internal/load/answer_history_test.go
@@ -25,14 +25,14 @@
 		"over, then live":               {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opStatus, 200, wire.Done, 2, 3}, {opStatus, 200, wire.Running, 4, 5}}, true},
 		"forgotten":                     {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opStatus, 404, "", 2, 3}}, true},
 		"not known yet":                 {[]op{{opStatus, 404, "", 0, 1}, {opSubmit, 201, wire.Pending, 2, 3}}, false},
-		"cancelled, then done":          {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opAbort, 200, wire.Cancelled, 2, 3}, {opStatus, 200, wire.Done, 4, 5}}, true},
+		"cancelled, then done":          {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opCancel, 200, wire.Cancelled, 2, 3}, {opStatus, 200, wire.Done, 4, 5}}, true},
 		"cancelled by nobody":           {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opStatus, 200, wire.Cancelled, 2, 3}}, true},
-		"a cancellation without answer": {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opAbort, 0, "", 2, 3}, {opStatus, 200, wire.Cancelled, 4, 5}}, false},
+		"a cancellation without answer": {[]op{{opSubmit, 201, wire.Pending, 0, 1}, {opCancel, 0, "", 2, 3}, {opStatus, 200, wire.Cancelled, 4, 5}}, false},
 		"accepted without an answer":    {[]op{{opSubmit, 0, "", 0, 1}, {opStatus, 200, wire.Running, 2, 3}}, false},
 		"invented":                      {[]op{{opStatus, 200, wire.Running, 0, 1}}, true},
 	} {
 		var h answerHistory
-		h.begin()
+		h.reset()
 		for _, o := range x.ops {
 			h.add("wk-1", o.kind, o.status, o.stage, o.sent, o.back)
 		}
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -37,7 +37,7 @@
 	defer group.Wait()
 	for round := 0; ctx.Err() == nil; round++ {
 		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.JudgeAddr, "GET", emulator.PathUsers, nil)
+		resp, err := r.Caller.Call(call, r.JudgeAddr, "GET", emulator.PathUserInstructions, nil)
 		cancel()
 		var o emulator.UserInstructions
 		if err != nil || json.Unmarshal(resp.Body, &o) != nil {
@@ -57,12 +57,12 @@
 		for k, f := range called {
 			f.toldToCancel.Store(true) // also again, until it is answered
 			group.Go(func() {
-				r.call(ctx, f.firstController+k, f, opAbort)
+				r.call(ctx, f.firstController+k, f, opCancel)
 				r.readConcurrently(ctx, f)
 			})
 		}
 		if o.MalformedRequests {
-			group.Go(func() { r.malformedRequests(ctx, round) })
+			group.Go(func() { r.sendMalformedRequests(ctx, round) })
 		}
 	}
 }
@@ -91,20 +91,20 @@
 	all.Wait()
 }
 
-// malformedRequests repeats submissions of known jobs, cancels a job that is done, and submits a
+// sendMalformedRequests repeats submissions of known jobs, cancels a job that is done, and submits a
 // job without a required field and one that fits no machine.
-func (r *Runner) malformedRequests(ctx context.Context, round int) {
+func (r *Runner) sendMalformedRequests(ctx context.Context, round int) {
 	r.mu.Lock()
 	var liveJob, endedJob *trackedJob
 	for id, f := range r.jobs { // in no order
-		if r.history.stage(id) == wire.Done {
+		if r.history.lastStage(id) == wire.Done {
 			endedJob = f
 		} else {
 			liveJob = f
 		}
 	}
-	r.malformed += 2
-	odd := r.malformed
+	r.malformedSubmissions += 2
+	odd := r.malformedSubmissions
 	r.instructionCounts.MalformedRequests += 2
 	for _, f := range []*trackedJob{liveJob, endedJob} {
 		if f != nil {
@@ -116,7 +116,7 @@
 		r.call(ctx, round, liveJob, opSubmit)
 	}
 	if endedJob != nil {
-		r.call(ctx, round, endedJob, opAbort)
+		r.call(ctx, round, endedJob, opCancel)
 	}
 	fields := []string{"uid", "breed", "keeper", "shape", "rank", "cells", "vcpus", "accelerators", "mem_gb", "comb", "image_gb", "one_zone", "spread", "borrowed", "expect_s", "capping_s", "seal_s"}
 	for k, change := range []func(m map[string]any){
--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -14,9 +14,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// service is three controllers with common knowledge. The last one's answers to polls are delayed,
+// fakeService is three controllers with common knowledge. The last one's answers to polls are delayed,
 // or come from a copy that is as old.
-type service struct {
+type fakeService struct {
 	mu     sync.Mutex
 	stages map[string][]stageSince
 	lag    time.Duration
@@ -28,7 +28,7 @@
 	since time.Time
 }
 
-func (s *service) set(id string, stage wire.Stage) wire.Stage {
+func (s *fakeService) set(id string, stage wire.Stage) wire.Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.stages[id]
@@ -38,7 +38,7 @@
 	return s.stages[id][len(s.stages[id])-1].stage
 }
 
-func (s *service) at(id string, when time.Time) (stage wire.Stage) {
+func (s *fakeService) at(id string, when time.Time) (stage wire.Stage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.stages[id] {
@@ -49,7 +49,7 @@
 	return stage
 }
 
-func (s *service) answer(last bool) func(context.Context, *httpwire.Request) *httpwire.Response {
+func (s *fakeService) answer(last bool) func(context.Context, *httpwire.Request) *httpwire.Response {
 	return func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		id, _, _ := strings.Cut(strings.TrimPrefix(r.Path, wire.PathJobs+"/"), "/")
 		var stage wire.Stage
@@ -80,10 +80,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			n := simulator.NewNetwork()
 			ctx, stop := context.WithCancel(t.Context())
-			s := &service{stages: map[string][]stageSince{}, lag: 150 * time.Millisecond, stale: stale}
+			s := &fakeService{stages: map[string][]stageSince{}, lag: 150 * time.Millisecond, stale: stale}
 			r := Runner{Addrs: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}, Prefix: "7", DrainTimeout: time.Minute,
-				Caller: &transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, For: 5 * time.Second, Poll: time.Second, Classes: []Class{newClass("a")}}}
-			r.Mix.Classes[0].PerMin, r.Mix.Classes[0].Cancel = 60, 1
+				Caller: &transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, Duration: 5 * time.Second, PollInterval: time.Second, Classes: []Class{newClass("a")}}}
+			r.Mix.Classes[0].JobsPerMinute, r.Mix.Classes[0].CancelShare = 60, 1
 			for i, addr := range r.Addrs {
 				go n.Host(simulator.HostOf(addr)).Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, s.answer(i == 2)))
 			}
--- a/internal/load/linearizability.go
+++ b/internal/load/linearizability.go
@@ -53,7 +53,7 @@
 
 // ObserveCancellation records the result of a cancellation.
 func (j *LinearizabilityChecker) ObserveCancellation(job string, call int64, status int, stage wire.Stage) {
-	j.add(job, opAbort, call, answer{known: status == 200 || status == 404, absent: status == 404, stage: stage})
+	j.add(job, opCancel, call, answer{known: status == 200 || status == 404, absent: status == 404, stage: stage})
 }
 
 func (j *LinearizabilityChecker) add(job string, op opKind, call int64, out answer) {
@@ -75,19 +75,19 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for job, ops := range j.ops {
-		if res, _ := porcupine.CheckOperationsVerbose(jobModel, essentialCalls(ops), 0); res != porcupine.Ok {
-			out = append(out, fmt.Sprintf("went_back: no order explains what users were told of %s: %s", job, describe(essentialCalls(ops))))
+		if res, _ := porcupine.CheckOperationsVerbose(jobModel, constrainingCalls(ops), 0); res != porcupine.Ok {
+			out = append(out, fmt.Sprintf("went_back: no order explains what users were told of %s: %s", job, describeCalls(constrainingCalls(ops))))
 		}
 	}
 	slices.Sort(out)
 	return out
 }
 
-// essentialCalls leaves out calls that are implied by others, without which the search would not
+// constrainingCalls leaves out calls that are implied by others, without which the search would not
 // end where there is no linearization. Stages only advance: among calls of one kind with the same
 // answer, those that started first and last and the one that was answered first constrain the
 // others as much as all do.
-func essentialCalls(ops []porcupine.Operation) (out []porcupine.Operation) {
+func constrainingCalls(ops []porcupine.Operation) (out []porcupine.Operation) {
 	type kind struct {
 		op    opKind
 		phase jobState
@@ -121,8 +121,8 @@
 	return out
 }
 
-// describe lists calls in the order of their start.
-func describe(ops []porcupine.Operation) string {
+// describeCalls lists calls in the order of their start.
+func describeCalls(ops []porcupine.Operation) string {
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	var out []string
 	for _, o := range ops {
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestStaleAnswersAreFound checks that each answer older than one given before its request is
+// TestStaleAnswersAreReported checks that each answer older than one given before its request is
 // reported among hundreds of concurrent ones, and none where answers only cross.
-func TestStaleAnswersAreFound(t *testing.T) {
+func TestStaleAnswersAreReported(t *testing.T) {
 	type told struct {
 		how    string // ask, submit or cancel
 		status int
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestEssentialCallsKeepVerdict checks that the calls that are left out change no verdict.
-func TestEssentialCallsKeepVerdict(t *testing.T) {
+// TestConstrainingCallsKeepVerdict checks that the calls that are left out change no verdict.
+func TestConstrainingCallsKeepVerdict(t *testing.T) {
 	rng, bad := rand.New(rand.NewPCG(1, 30)), 0
 	for range 4000 {
 		var ops []porcupine.Operation
@@ -83,7 +83,7 @@
 			}
 			ops = append(ops, porcupine.Operation{ClientId: i, Input: op, Call: 2 * call, Output: out, Return: 2*back + 1})
 		}
-		all, few := porcupine.CheckOperations(jobModel, ops), porcupine.CheckOperations(jobModel, essentialCalls(ops))
+		all, few := porcupine.CheckOperations(jobModel, ops), porcupine.CheckOperations(jobModel, constrainingCalls(ops))
 		if all != few {
 			t.Fatalf("%v of all, %v of those that tell: %v", all, few, ops)
 		}
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -23,35 +23,35 @@
 
 // Mix describes a load.
 type Mix struct {
-	Seed    uint64
-	For     time.Duration
-	Poll    time.Duration // interval between two polls of a job
-	Classes []Class
+	Seed         uint64
+	Duration     time.Duration
+	PollInterval time.Duration // interval between two polls of a job
+	Classes      []Class
 }
 
 // Class is a kind of jobs.
 type Class struct {
-	Name     string
-	PerMin   float64
-	Curve    []float64 // factors of the rate, evenly spread over the whole time
-	Bursts   []Burst
-	Tasks    [2]int // minimum and maximum
-	Run      [2]time.Duration
-	Cancel   float64 // share of jobs that are cancelled while they run
-	Template wire.Job
+	Name          string
+	JobsPerMinute float64
+	RateCurve     []float64 // factors of the rate, evenly spread over the whole time
+	Bursts        []Burst
+	Tasks         [2]int // minimum and maximum
+	RunTime       [2]time.Duration
+	CancelShare   float64 // share of jobs that are cancelled while they run
+	Template      wire.Job
 }
 
 // Burst multiplies the rate of a class for a while.
 type Burst struct {
-	At, For time.Duration
-	Factor  float64
+	At, Duration time.Duration
+	Factor       float64
 }
 
 // Arrival is a job that is to be submitted at a time.
 type Arrival struct {
-	At     time.Duration
-	Job    *wire.Job
-	Cancel time.Duration // after which it is cancelled; 0 for never
+	At          time.Duration
+	Job         *wire.Job
+	CancelAfter time.Duration // after which it is cancelled; 0 for never
 }
 
 // ParseMix reads a mix file and reports everything that is wrong with it.
@@ -60,15 +60,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("not a mix file: %w", err)
 	}
-	m := &Mix{Seed: 1, For: time.Minute, Poll: 5 * time.Second}
+	m := &Mix{Seed: 1, Duration: time.Minute, PollInterval: 5 * time.Second}
 	var faults []error
 	for _, sec := range file.Sections() {
 		name, isClass := strings.CutPrefix(sec.Name(), "class ")
-		take := m.set
+		take := m.setKey
 		switch {
 		case isClass:
 			m.Classes = append(m.Classes, newClass(name))
-			take = m.Classes[len(m.Classes)-1].set
+			take = m.Classes[len(m.Classes)-1].setKey
 		case sec.Name() != "load" && len(sec.Keys()) > 0:
 			faults = append(faults, fmt.Errorf("[%s]: must be load or class NAME", sec.Name()))
 			continue
@@ -89,11 +89,11 @@
 }
 
 func newClass(name string) Class {
-	return Class{Name: name, PerMin: 10, Tasks: [2]int{1, 1}, Run: [2]time.Duration{10 * time.Second, 10 * time.Second},
+	return Class{Name: name, JobsPerMinute: 10, Tasks: [2]int{1, 1}, RunTime: [2]time.Duration{10 * time.Second, 10 * time.Second},
 		Template: wire.Job{Class: name, Team: "red", Shape: wire.Array, Priority: wire.Normal, CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1}}
 }
 
-func parse[T any](to *T, f func(string) (T, error), ok func(T) bool, allowed string) func(string) string {
+func valueParser[T any](to *T, f func(string) (T, error), ok func(T) bool, allowed string) func(string) string {
 	return func(text string) string {
 		v, err := f(text)
 		if err != nil || !ok(v) {
@@ -104,16 +104,16 @@
 	}
 }
 
-func parseAmount(to *float64, most float64) func(string) string {
-	return parse(to, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) },
+func amountParser(to *float64, most float64) func(string) string {
+	return valueParser(to, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) },
 		func(v float64) bool { return v >= 0 && v <= most && !math.IsNaN(v) }, fmt.Sprintf("a number from 0 to %g", most))
 }
 
-func parseSpan(to *time.Duration, least, most time.Duration) func(string) string {
-	return parse(to, time.ParseDuration, func(v time.Duration) bool { return v >= least && v <= most }, fmt.Sprintf("a duration from %v to %v", least, most))
+func durationParser(to *time.Duration, least, most time.Duration) func(string) string {
+	return valueParser(to, time.ParseDuration, func(v time.Duration) bool { return v >= least && v <= most }, fmt.Sprintf("a duration from %v to %v", least, most))
 }
 
-func parseOneOf(to *string, allowed ...string) func(string) string {
+func choiceParser(to *string, allowed ...string) func(string) string {
 	return func(text string) string {
 		if *to = text; !slices.Contains(allowed, text) {
 			return "one of " + strings.Join(allowed, ", ")
@@ -122,7 +122,7 @@
 	}
 }
 
-func set(fields map[string]func(string) string, key, value string) string {
+func setField(fields map[string]func(string) string, key, value string) string {
 	if f := fields[key]; f != nil {
 		return f(value)
 	}
@@ -134,13 +134,13 @@
 	return "left out; known are " + strings.Join(names, ", ")
 }
 
-func (m *Mix) set(key, value string) string {
-	return set(map[string]func(string) string{
-		"seed": parse(&m.Seed, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 32) }, func(uint64) bool { return true }, "a count"),
-		"for":  parseSpan(&m.For, time.Second, 24*time.Hour), "poll": parseSpan(&m.Poll, 100*time.Millisecond, time.Minute)}, key, value)
+func (m *Mix) setKey(key, value string) string {
+	return setField(map[string]func(string) string{
+		"seed": valueParser(&m.Seed, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 32) }, func(uint64) bool { return true }, "a count"),
+		"for":  durationParser(&m.Duration, time.Second, 24*time.Hour), "poll": durationParser(&m.PollInterval, 100*time.Millisecond, time.Minute)}, key, value)
 }
 
-func (c *Class) set(key, value string) string {
+func (c *Class) setKey(key, value string) string {
 	j := &c.Template
 	shape, priority := string(j.Shape), string(j.Priority)
 	defer func() { j.Shape, j.Priority = wire.Shape(shape), wire.Priority(priority) }()
@@ -153,23 +153,23 @@
 		}
 	}
 	text := func(to *string) func(string) string { return func(s string) string { *to = s; return "" } }
-	return set(map[string]func(string) string{
-		"per_minute": parseAmount(&c.PerMin, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": parseAmount(&c.Cancel, 1),
+	return setField(map[string]func(string) string{
+		"per_minute": amountParser(&c.JobsPerMinute, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": amountParser(&c.CancelShare, 1),
 		"tasks": c.setTasks, "run": c.setRun,
-		"team": text(&j.Team), "shape": parseOneOf(&shape, string(wire.Array), string(wire.Gang), string(wire.Service)),
-		"priority": parseOneOf(&priority, string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)),
-		"cpus":     parseAmount(&j.CPUs, 1e5), "gpus": parseAmount(&j.GPUs, 1e4), "memory_gb": parseAmount(&j.MemoryGB, 1e6), "image": text(&j.Image), "image_gb": parseAmount(&j.ImageGB, 1e4),
-		"spot": flag(&j.Spot), "one_zone": flag(&j.OneZone), "spread": flag(&j.Spread), "checkpoint_s": parseAmount(&j.CheckpointS, 1e5), "save_s": parseAmount(&j.SaveS, 1e4)}, key, value)
+		"team": text(&j.Team), "shape": choiceParser(&shape, string(wire.Array), string(wire.Gang), string(wire.Service)),
+		"priority": choiceParser(&priority, string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)),
+		"cpus":     amountParser(&j.CPUs, 1e5), "gpus": amountParser(&j.GPUs, 1e4), "memory_gb": amountParser(&j.MemoryGB, 1e6), "image": text(&j.Image), "image_gb": amountParser(&j.ImageGB, 1e4),
+		"spot": flag(&j.Spot), "one_zone": flag(&j.OneZone), "spread": flag(&j.Spread), "checkpoint_s": amountParser(&j.CheckpointS, 1e5), "save_s": amountParser(&j.SaveS, 1e4)}, key, value)
 }
 
 func (c *Class) setCurve(text string) string {
-	c.Curve = nil
+	c.RateCurve = nil
 	for _, w := range strings.Split(text, ",") {
 		v, err := strconv.ParseFloat(strings.TrimSpace(w), 64)
 		if err != nil || v < 0 || v > 1000 {
 			return "numbers from 0 to 1000 separated by commas"
 		}
-		c.Curve = append(c.Curve, v)
+		c.RateCurve = append(c.RateCurve, v)
 	}
 	return ""
 }
@@ -184,7 +184,7 @@
 		if len(f) == 4 && f[2] == "for" && strings.HasPrefix(f[1], "x") {
 			b.At, errs[0] = time.ParseDuration(f[0])
 			b.Factor, errs[1] = strconv.ParseFloat(f[1][1:], 64)
-			b.For, errs[2] = time.ParseDuration(f[3])
+			b.Duration, errs[2] = time.ParseDuration(f[3])
 			if errors.Join(errs[:]...) == nil && b.Factor >= 0 && b.Factor <= 1000 {
 				c.Bursts = append(c.Bursts, b)
 				continue
@@ -200,7 +200,7 @@
 }
 
 func (c *Class) setRun(text string) string {
-	return parseRange(&c.Run, text, time.ParseDuration, 0, 24*time.Hour, "a duration or a range such as 5s-1m")
+	return parseRange(&c.RunTime, text, time.ParseDuration, 0, 24*time.Hour, "a duration or a range such as 5s-1m")
 }
 
 // parseRange parses one value, or two that are joined by a dash.
@@ -220,12 +220,12 @@
 
 // rate returns the jobs per second at a time.
 func (c *Class) rate(at, all time.Duration) float64 {
-	r := c.PerMin / 60
-	if n := len(c.Curve); n > 0 {
-		r *= c.Curve[min(n-1, int(float64(n)*at.Seconds()/all.Seconds()))]
+	r := c.JobsPerMinute / 60
+	if n := len(c.RateCurve); n > 0 {
+		r *= c.RateCurve[min(n-1, int(float64(n)*at.Seconds()/all.Seconds()))]
 	}
 	for _, b := range c.Bursts {
-		if at >= b.At && at < b.At+b.For {
+		if at >= b.At && at < b.At+b.Duration {
 			r *= b.Factor
 		}
 	}
@@ -239,8 +239,8 @@
 		c := &m.Classes[k]
 		rng := rand.New(rand.NewPCG(m.Seed, uint64(k)+100))
 		most := 0.0
-		for at := time.Duration(0); at < m.For; at += 100 * time.Millisecond {
-			most = max(most, c.rate(at, m.For))
+		for at := time.Duration(0); at < m.Duration; at += 100 * time.Millisecond {
+			most = max(most, c.rate(at, m.Duration))
 		}
 		if most == 0 {
 			continue
@@ -249,10 +249,10 @@
 		for at := 0.0; ; {
 			at += rng.ExpFloat64() / most
 			when := time.Duration(at * float64(time.Second))
-			if when >= m.For {
+			if when >= m.Duration {
 				break
 			}
-			if rng.Float64()*most < c.rate(when, m.For) {
+			if rng.Float64()*most < c.rate(when, m.Duration) {
 				out = append(out, c.arrival(rng, when, fmt.Sprintf("%s%s%06d", wire.JobPrefix, prefix, len(out))))
 			}
 		}
@@ -265,12 +265,12 @@
 	j := c.Template
 	j.ID = id
 	j.Tasks = c.Tasks[0] + rng.IntN(c.Tasks[1]-c.Tasks[0]+1)
-	run := c.Run[0] + time.Duration(rng.Float64()*float64(c.Run[1]-c.Run[0]))
+	run := c.RunTime[0] + time.Duration(rng.Float64()*float64(c.RunTime[1]-c.RunTime[0]))
 	a := Arrival{At: at, Job: &j}
 	if j.Shape == wire.Service {
-		a.Cancel = max(run, time.Second)
-	} else if j.EstimateS = run.Seconds(); rng.Float64() < c.Cancel {
-		a.Cancel = max(time.Second, time.Duration(rng.Float64()*float64(run)))
+		a.CancelAfter = max(run, time.Second)
+	} else if j.EstimateS = run.Seconds(); rng.Float64() < c.CancelShare {
+		a.CancelAfter = max(time.Second, time.Duration(rng.Float64()*float64(run)))
 	}
 	return a
 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -28,17 +28,17 @@
 	Caller       *transport.Caller
 	DrainTimeout time.Duration // for jobs that are not over when the last one was submitted
 
-	history           answerHistory
-	liveness          simulator.LivenessChecker // used without a judging cluster; it is never told that faults are over
-	mu                sync.Mutex
-	classes           map[string]*ClassResult
-	observations      []emulator.Observation
-	jobs              map[string]*trackedJob
-	instructions      emulator.UserInstructions
-	malformed         int // submissions so far that have to be refused
-	instructionCounts InstructionCounts
-	open              atomic.Int64
-	sent              atomic.Int64
+	history              answerHistory
+	liveness             simulator.LivenessChecker // used without a judging cluster; it is never told that faults are over
+	mu                   sync.Mutex
+	classes              map[string]*ClassResult
+	observations         []emulator.Observation
+	jobs                 map[string]*trackedJob
+	instructions         emulator.UserInstructions
+	malformedSubmissions int // submissions so far that have to be refused
+	instructionCounts    InstructionCounts
+	openUsers            atomic.Int64
+	sentJobs             atomic.Int64
 }
 
 // ClassResult is what happened to the jobs of a class. Times are in milliseconds, from when a job
@@ -93,8 +93,8 @@
 	return c
 }
 
-// note changes the counts of a class.
-func (r *Runner) note(name string, change func(*ClassResult)) {
+// updateClass changes the counts of a class.
+func (r *Runner) updateClass(name string, change func(*ClassResult)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r.class(name))
@@ -116,12 +116,12 @@
 func (r *Runner) Run(ctx context.Context, progress func(sent, all, open int)) (*Result, error) {
 	r.reset()
 	arrivals := r.Mix.Arrivals(r.Prefix)
-	r.history.begin()
+	r.history.reset()
 	stopJudging := r.startJudging(ctx)
 	jobs, cancel := context.WithCancel(ctx)
 	defer cancel()
 	over, late := r.submitAll(jobs, arrivals, progress)
-	r.await(ctx, over, len(arrivals), progress)
+	r.awaitUsers(ctx, over, len(arrivals), progress)
 	cancel()
 	<-over
 	stopJudging()
@@ -158,12 +158,12 @@
 		if time.Since(at) > maxSendDelay {
 			late++
 		}
-		r.open.Add(1)
+		r.openUsers.Add(1)
 		users.Go(func() {
-			defer r.open.Add(-1)
-			r.job(ctx, i, &a, at)
+			defer r.openUsers.Add(-1)
+			r.runUser(ctx, i, &a, at)
 		})
-		progress(int(r.sent.Add(1)), len(arrivals), int(r.open.Load()))
+		progress(int(r.sentJobs.Add(1)), len(arrivals), int(r.openUsers.Load()))
 	}
 	done := make(chan struct{})
 	go func() { users.Wait(); close(done) }()
@@ -173,7 +173,7 @@
 // result returns the result of a run whose jobs are over or given up. The error is that of the
 // judging cluster or of the context.
 func (r *Runner) result(ctx context.Context, late int) (*Result, error) {
-	res := &Result{Classes: r.classes, SentLate: late, Instructions: r.instructionCounts, Open: r.history.open(), Violations: r.history.violations()}
+	res := &Result{Classes: r.classes, SentLate: late, Instructions: r.instructionCounts, Open: r.history.openJobs(), Violations: r.history.violations()}
 	for _, c := range r.classes {
 		c.Accept, c.Start, c.Finish = TimesOf(c.accept), TimesOf(c.start), TimesOf(c.finish)
 	}
@@ -189,7 +189,7 @@
 	return res, ctx.Err()
 }
 
-func (r *Runner) await(ctx context.Context, over <-chan struct{}, all int, progress func(sent, all, open int)) {
+func (r *Runner) awaitUsers(ctx context.Context, over <-chan struct{}, all int, progress func(sent, all, open int)) {
 	until := time.After(r.DrainTimeout)
 	for {
 		select {
@@ -200,7 +200,7 @@
 		case <-ctx.Done():
 			return
 		case <-time.After(500 * time.Millisecond):
-			progress(int(r.sent.Load()), all, int(r.open.Load()))
+			progress(int(r.sentJobs.Load()), all, int(r.openUsers.Load()))
 		}
 	}
 }
@@ -223,10 +223,10 @@
 // submitTimeout bounds how long a user tries to submit a job.
 const submitTimeout = time.Minute
 
-// job submits a job and follows it.
-func (r *Runner) job(ctx context.Context, n int, a *Arrival, meant time.Time) {
+// runUser submits a job and follows it.
+func (r *Runner) runUser(ctx context.Context, n int, a *Arrival, meant time.Time) {
 	j := a.Job
-	r.note(j.Class, func(c *ClassResult) { c.Jobs++ })
+	r.updateClass(j.Class, func(c *ClassResult) { c.Jobs++ })
 	r.recordObservation(emulator.Observation{Submitted: j})
 	f := &trackedJob{firstController: n, job: j, body: wire.Encode(j)}
 	accepted := false
@@ -235,12 +235,12 @@
 		switch {
 		case status == 200 || status == 201:
 			accepted = true
-			r.note(j.Class, func(c *ClassResult) { c.Accepted++; record(c.accept, meant) })
+			r.updateClass(j.Class, func(c *ClassResult) { c.Accepted++; record(c.accept, meant) })
 		case status == 400 || status == 422:
-			r.note(j.Class, func(c *ClassResult) { c.Refused++ })
+			r.updateClass(j.Class, func(c *ClassResult) { c.Refused++ })
 			return
 		case ctx.Err() != nil || time.Since(meant) > submitTimeout:
-			r.note(j.Class, func(c *ClassResult) { c.GivenUp++ })
+			r.updateClass(j.Class, func(c *ClassResult) { c.GivenUp++ })
 			return
 		default:
 			pause(ctx, time.Second)
@@ -260,8 +260,8 @@
 	for try := 0; ctx.Err() == nil; try++ {
 		pause(ctx, r.pollInterval(a, begun, started))
 		op := opStatus
-		if f.toldToCancel.Load() || a.Cancel > 0 && time.Since(begun) >= a.Cancel {
-			op = opAbort
+		if f.toldToCancel.Load() || a.CancelAfter > 0 && time.Since(begun) >= a.CancelAfter {
+			op = opCancel
 		}
 		status, s := r.call(ctx, f.firstController+try, f, op)
 		if status != 200 {
@@ -269,10 +269,10 @@
 		}
 		if !started && (s.Running > 0 || s.Done > 0 || s.Stage == wire.Done) {
 			started = true
-			r.note(a.Job.Class, func(c *ClassResult) { record(c.start, meant) })
+			r.updateClass(a.Job.Class, func(c *ClassResult) { record(c.start, meant) })
 		}
 		if s.Stage.Final() {
-			r.noteEnd(a.Job.Class, s.Stage, meant)
+			r.recordEnd(a.Job.Class, s.Stage, meant)
 			return
 		}
 	}
@@ -287,19 +287,19 @@
 // pollInterval returns how long to wait until the next poll of a job that is followed since
 // begun. It is shorter while the start or the cancellation of the job is due.
 func (r *Runner) pollInterval(a *Arrival, begun time.Time, started bool) time.Duration {
-	wait := r.Mix.Poll
+	wait := r.Mix.PollInterval
 	if !started {
 		wait = min(wait, maxPollBeforeStart)
 	}
-	if a.Cancel > 0 {
-		wait = min(wait, max(minPollBeforeCancel, a.Cancel-time.Since(begun)))
+	if a.CancelAfter > 0 {
+		wait = min(wait, max(minPollBeforeCancel, a.CancelAfter-time.Since(begun)))
 	}
 	return wait
 }
 
-// noteEnd counts a job that is over.
-func (r *Runner) noteEnd(class string, stage wire.Stage, meant time.Time) {
-	r.note(class, func(c *ClassResult) {
+// recordEnd counts a job that is over.
+func (r *Runner) recordEnd(class string, stage wire.Stage, meant time.Time) {
+	r.updateClass(class, func(c *ClassResult) {
 		if stage == wire.Cancelled {
 			c.Cancelled++
 			return
@@ -316,7 +316,7 @@
 	switch op {
 	case opStatus:
 		method, path, body, wait = "GET", path+"/"+j.ID, nil, pollTimeout
-	case opAbort:
+	case opCancel:
 		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
 		f.cancelRequested.Store(true)
 	}
@@ -330,7 +330,7 @@
 	}
 	back, asked := r.history.now(), f.cancelRequested.Load()
 	r.history.add(j.ID, op, status, s.Stage, sent, back)
-	r.note(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
+	r.updateClass(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
 	if ctx.Err() == nil && (status > 0 || op == opStatus) {
 		r.recordObservation(emulator.Observation{Job: j.ID, Status: status, Stage: s.Stage, CancelRequested: asked, Poll: op == opStatus, SentNS: sent, AnsweredNS: back})
 		r.liveness.ObserveAnswer(time.Now(), j.ID, status, s.Stage, asked, op == opStatus)
@@ -361,7 +361,7 @@
 				break
 			}
 			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-			resp, err := r.Caller.Call(call, r.JudgeAddr, "POST", emulator.PathJudge, wire.Encode(map[string]any{"told": batch}))
+			resp, err := r.Caller.Call(call, r.JudgeAddr, "POST", emulator.PathObservations, wire.Encode(map[string]any{"told": batch}))
 			cancel()
 			if err != nil || resp.Status != 200 {
 				break // the world is gone; the end says so
