--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -62,53 +62,57 @@
 	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
 		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, most)
 	}
-	w := &Cluster{Config: c, opt: opt, log: opt.Log, links: newLinks(), state: simulator.NewStateService(c.Seed, 0), startedAt: time.Now(),
+	cluster := &Cluster{Config: c, opt: opt, log: opt.Log, links: newLinks(), state: simulator.NewStateService(c.Seed, 0), startedAt: time.Now(),
 		rng: rand.New(rand.NewPCG(c.Seed, 8)), activeFaults: map[int]*StagedFault{}, ports: layout, usedPorts: map[int]bool{}}
-	if w.log == nil {
-		w.log = slog.New(slog.DiscardHandler)
+	if cluster.log == nil {
+		cluster.log = slog.New(slog.DiscardHandler)
 	}
-	w.users.initialize(c.Seed)
-	w.ctx, w.stop = context.WithCancel(ctx)
-	w.state.Limits = simulator.StateLimits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
+	cluster.users.initialize(c.Seed)
+	cluster.ctx, cluster.stop = context.WithCancel(ctx)
+	cluster.state.Limits = simulator.StateLimits{RPS: c.State.RPS, WriteRPS: c.State.WriteRPS, ValueBytes: c.State.ValueBytes, TxnOps: c.State.TxnOps}
 	if c.StateDelay > 0 {
-		w.state.ResponseDelay = func() time.Duration { return c.StateDelay }
+		cluster.state.ResponseDelay = func() time.Duration { return c.StateDelay }
 	}
-	if err := w.restoreState(); err != nil {
-		w.stop()
+	if err := cluster.restoreState(); err != nil {
+		cluster.stop()
 		return nil, err
 	}
-	w.createCloud()
-	if err := errors.Join(w.listen(), w.writePlatformFiles()); err != nil {
-		w.Stop()
+	cluster.createCloud()
+	if err := errors.Join(cluster.listen(), cluster.writePlatformFiles()); err != nil {
+		cluster.Stop()
 		return nil, err
 	}
-	go w.fixture.WatchMachines(w.ctx, w.cloud)
-	go w.runTimeline()
-	return w, nil
+	go cluster.fixture.WatchMachines(cluster.ctx, cluster.cloud)
+	go cluster.runTimeline()
+	return cluster, nil
 }
 
 // addr returns the address at an offset from the first port.
-func (w *Cluster) addr(offset int) string { return fmt.Sprintf("127.0.0.1:%d", w.opt.Port+offset) }
+func (cluster *Cluster) addr(offset int) string {
+	return fmt.Sprintf("127.0.0.1:%d", cluster.opt.Port+offset)
+}
 
 // Public returns the address at which users and machines reach a controller.
-func (w *Cluster) Public(i int) string { return w.addr(i) }
+func (cluster *Cluster) Public(i int) string { return cluster.addr(i) }
 
 // Control returns the address by which faults are staged and observations are sent.
-func (w *Cluster) Control() string { return w.addr(w.ports.control) }
+func (cluster *Cluster) Control() string { return cluster.addr(cluster.ports.control) }
 
 // Metrics returns the address at which a controller that this program starts serves its metrics.
-func (w *Cluster) Metrics(i int) string { return w.addr(w.ports.metrics + i) }
+func (cluster *Cluster) Metrics(i int) string { return cluster.addr(cluster.ports.metrics + i) }
 
 // Builds returns the address at which a controller may serve the remote execution API.
-func (w *Cluster) Builds(i int) string { return w.addr(w.ports.builds + i) }
+func (cluster *Cluster) Builds(i int) string { return cluster.addr(cluster.ports.builds + i) }
 
 // Blobs returns the address of the blob store for remote execution.
-func (w *Cluster) Blobs() string { return w.addr(w.ports.blobs) }
+func (cluster *Cluster) Blobs() string { return cluster.addr(cluster.ports.blobs) }
 
-func (w *Cluster) zoneOf(i int) string { return w.Config.Zones[i%len(w.Config.Zones)] }
+func (cluster *Cluster) zoneOf(i int) string {
+	return cluster.Config.Zones[i%len(cluster.Config.Zones)]
+}
 
-func (w *Cluster) controllerEndpoint(i int) endpoint {
-	return endpoint{fmt.Sprint("c-", i), "controllers", w.zoneOf(i)}
+func (cluster *Cluster) controllerEndpoint(i int) endpoint {
+	return endpoint{fmt.Sprint("c-", i), "controllers", cluster.zoneOf(i)}
 }
 
 var (
@@ -117,38 +121,38 @@
 )
 
 // endpointAt returns the side at an address. Any caller of a machine is some controller.
-func (w *Cluster) endpointAt(addr string) endpoint {
-	for i := range w.Config.Controllers {
-		if addr == w.Public(i) {
-			return w.controllerEndpoint(i)
+func (cluster *Cluster) endpointAt(addr string) endpoint {
+	for i := range cluster.Config.Controllers {
+		if addr == cluster.Public(i) {
+			return cluster.controllerEndpoint(i)
 		}
 	}
 	return endpoint{"", "controllers", ""}
 }
 
 // listen opens every port of the cluster, or reports those that are in use.
-func (w *Cluster) listen() error {
+func (cluster *Cluster) listen() error {
 	var errs []error
 	serve := func(offset int, me, peer endpoint, f transport.ServeConn) {
-		lis, err := net.Listen("tcp4", w.addr(offset))
+		lis, err := net.Listen("tcp4", cluster.addr(offset))
 		if err != nil {
 			errs = append(errs, err)
 			return
 		}
-		h := host{w.links, me, func(string) endpoint { return peer }}
-		go h.accept(w.ctx, lis, 512, func(c net.Conn) { f(w.ctx, w.links.wrap(c, me, peer)) })
+		h := host{cluster.links, me, func(string) endpoint { return peer }}
+		go h.accept(cluster.ctx, lis, 512, func(c net.Conn) { f(cluster.ctx, cluster.links.wrap(c, me, peer)) })
 	}
-	for i := range w.Config.Controllers {
-		c := w.controllerEndpoint(i)
-		serve(w.ports.state+i, stateEndpoint, c, w.state.ServeCaller(c.name))
-		serve(w.ports.cloud+i, cloudEndpoint, c, w.cloud.Serve())
-		for k := range w.Config.Controllers {
+	for i := range cluster.Config.Controllers {
+		c := cluster.controllerEndpoint(i)
+		serve(cluster.ports.state+i, stateEndpoint, c, cluster.state.ServeCaller(c.name))
+		serve(cluster.ports.cloud+i, cloudEndpoint, c, cluster.cloud.Serve())
+		for k := range cluster.Config.Controllers {
 			if k != i {
-				serve(w.ports.peerLink(i, k), w.controllerEndpoint(k), c, w.relayTo(k))
+				serve(cluster.ports.peerLink(i, k), cluster.controllerEndpoint(k), c, cluster.relayTo(k))
 			}
 		}
 	}
-	serve(w.ports.control, endpoint{}, endpoint{}, w.serveControl())
+	serve(cluster.ports.control, endpoint{}, endpoint{}, cluster.serveControl())
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("ports are in use, choose others with --port:\n%w", err)
 	}
@@ -156,12 +160,12 @@
 }
 
 // relayTo relays a connection to a controller, in both directions as the rules allow.
-func (w *Cluster) relayTo(to int) transport.ServeConn {
+func (cluster *Cluster) relayTo(to int) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
 		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
 		var d net.Dialer
-		out, err := d.DialContext(dial, "tcp4", w.addr(w.ports.mesh+to))
+		out, err := d.DialContext(dial, "tcp4", cluster.addr(cluster.ports.mesh+to))
 		if err != nil {
 			return
 		}
@@ -184,20 +188,20 @@
 }
 
 // Stop ends the cluster, and persists its state if that was asked for.
-func (w *Cluster) Stop() {
-	w.stop()
-	if w.cloud != nil {
-		w.cloud.Stop()
+func (cluster *Cluster) Stop() {
+	cluster.stop()
+	if cluster.cloud != nil {
+		cluster.cloud.Stop()
 	}
-	if w.opt.Persist {
-		w.persistState()
+	if cluster.opt.Persist {
+		cluster.persistState()
 	}
 }
 
 // Liveness returns the checker of whether jobs are forgotten.
-func (w *Cluster) Liveness() *simulator.LivenessChecker { return &w.fixture.Liveness }
+func (cluster *Cluster) Liveness() *simulator.LivenessChecker { return &cluster.fixture.Liveness }
 
 // Page lists keys of the state service.
-func (w *Cluster) Page(prefix string, most int) []wire.KeyValue {
-	return w.state.Page(prefix, "", most).Items
+func (cluster *Cluster) Page(prefix string, most int) []wire.KeyValue {
+	return cluster.state.Page(prefix, "", most).Items
 }
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -16,12 +16,12 @@
 func startSmallCluster(t *testing.T, port int, opt Options) *Cluster {
 	t.Helper()
 	opt.Port = port
-	w, err := Start(t.Context(), DefaultConfig(), opt)
+	cluster, err := Start(t.Context(), DefaultConfig(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Stop)
-	return w
+	t.Cleanup(cluster.Stop)
+	return cluster
 }
 
 func newCaller() *transport.Caller {
@@ -30,11 +30,11 @@
 
 // keysStatus lists the keys of the state service through a controller's address, and returns the status, 0 for no
 // answer.
-func keysStatus(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
+func keysStatus(t *testing.T, cluster *Cluster, c *transport.Caller, i int, patience time.Duration) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
-	resp, err := c.Call(ctx, w.addr(w.ports.state+i), "GET", wire.KeysPath("a", "", 1), nil)
+	resp, err := c.Call(ctx, cluster.addr(cluster.ports.state+i), "GET", wire.KeysPath("a", "", 1), nil)
 	if err != nil {
 		return 0
 	}
@@ -44,7 +44,7 @@
 // TestStateServiceFaults cuts one controller off from the state service, and has it refused, while
 // others are served; an outage concerns all. Lifted faults are over.
 func TestStateServiceFaults(t *testing.T) {
-	w := startSmallCluster(t, 27300, Options{})
+	cluster := startSmallCluster(t, 27300, Options{})
 	c := newCaller()
 	for _, x := range []struct {
 		fault Fault
@@ -58,21 +58,21 @@
 		{Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true}, 0, 200},
 		{Fault{Kind: "controller_cut", Who: "c-0", FromPeers: true}, 200, 200},
 	} {
-		s, err := w.Stage(x.fault)
+		s, err := cluster.Stage(x.fault)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := keysStatus(t, w, c, 0, 200*time.Millisecond), keysStatus(t, w, c, 1, 2*time.Second); a != x.zero || b != x.other {
+		if a, b := keysStatus(t, cluster, c, 0, 200*time.Millisecond), keysStatus(t, cluster, c, 1, 2*time.Second); a != x.zero || b != x.other {
 			t.Errorf("%s: answered %d and %d", s.Description, a, b)
 		}
-		if !w.Lift(s.Number) || w.Lift(s.Number) {
+		if !cluster.Lift(s.Number) || cluster.Lift(s.Number) {
 			t.Errorf("%s: lifted", s.Description)
 		}
-		if a := keysStatus(t, w, c, 0, 2*time.Second); a != 200 {
+		if a := keysStatus(t, cluster, c, 0, 2*time.Second); a != 200 {
 			t.Errorf("after %s: %d", s.Description, a)
 		}
 	}
-	if _, err := w.Stage(Fault{Kind: "controller_kill"}); err == nil {
+	if _, err := cluster.Stage(Fault{Kind: "controller_kill"}); err == nil {
 		t.Error("killed what is not its own")
 	}
 }
@@ -80,23 +80,23 @@
 // TestControllerCutOff checks that a controller which is cut off from the state service and its
 // peers reaches neither, that they do not reach it, and that its machines and the cloud do.
 func TestControllerCutOff(t *testing.T) {
-	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
-	lift := w.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
-	c, machine := w.controllerEndpoint(0), endpoint{"n-1", "machines", "a"}
+	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	lift := cluster.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
+	c, machine := cluster.controllerEndpoint(0), endpoint{"n-1", "machines", "a"}
 	for _, x := range []struct {
 		side endpoint
 		cut  bool
-	}{{stateEndpoint, true}, {w.controllerEndpoint(1), true}, {w.controllerEndpoint(2), true}, {machine, false}, {cloudEndpoint, false}} {
-		out, _, _ := w.links.modeOf(c, x.side)
-		in, _, _ := w.links.modeOf(x.side, c)
+	}{{stateEndpoint, true}, {cluster.controllerEndpoint(1), true}, {cluster.controllerEndpoint(2), true}, {machine, false}, {cloudEndpoint, false}} {
+		out, _, _ := cluster.links.modeOf(c, x.side)
+		in, _, _ := cluster.links.modeOf(x.side, c)
 		if (out != "") != x.cut || (in != "") != x.cut {
 			t.Errorf("%v: %q, %q", x.side, out, in)
 		}
 	}
-	if mode, _, _ := w.links.modeOf(w.controllerEndpoint(1), stateEndpoint); mode != "" {
+	if mode, _, _ := cluster.links.modeOf(cluster.controllerEndpoint(1), stateEndpoint); mode != "" {
 		t.Errorf("another is cut off: %q", mode)
 	}
-	if lift(); len(w.links.rules) > 0 {
+	if lift(); len(cluster.links.rules) > 0 {
 		t.Error("not lifted")
 	}
 }
@@ -104,14 +104,14 @@
 // TestIsolatedZoneReachesItself checks that a zone which is cut off from everything reaches itself, and
 // nothing else.
 func TestIsolatedZoneReachesItself(t *testing.T) {
-	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
-	w.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
+	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	cluster.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
 	here, there := endpoint{"n-1", "machines", "b"}, endpoint{"n-2", "machines", "a"}
 	for _, x := range []struct {
 		from, to endpoint
 		cut      bool
 	}{{here, endpoint{"c-1", "controllers", "b"}, false}, {here, stateEndpoint, true}, {stateEndpoint, here, true}, {here, there, true}, {there, stateEndpoint, false}, {there, endpoint{"c-1", "controllers", "b"}, true}} {
-		if mode, _, _ := w.links.modeOf(x.from, x.to); (mode != "") != x.cut {
+		if mode, _, _ := cluster.links.modeOf(x.from, x.to); (mode != "") != x.cut {
 			t.Errorf("%v to %v: %q", x.from, x.to, mode)
 		}
 	}
@@ -121,17 +121,17 @@
 // and that files are replaced atomically.
 func TestPersistedState(t *testing.T) {
 	dir := t.TempDir()
-	w := startSmallCluster(t, 27300+400, Options{Dir: dir, Persist: true})
-	if status, _ := w.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
+	cluster := startSmallCluster(t, 27300+400, Options{Dir: dir, Persist: true})
+	if status, _ := cluster.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
 		t.Fatal(status)
 	}
 	var settings struct {
 		Name string `json:"host_name"`
 	}
-	if text, err := os.ReadFile(w.Settings(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
+	if text, err := os.ReadFile(cluster.Settings(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
-	w.Stop()
+	cluster.Stop()
 	again := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
 	if items := again.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -35,20 +35,20 @@
 }
 
 // Observe passes users' observations to the checkers.
-func (w *Cluster) Observe(told []Observation) {
+func (cluster *Cluster) Observe(told []Observation) {
 	for _, t := range told {
 		if t.Submitted != nil {
-			w.fixture.recordSubmission(t.Submitted)
+			cluster.fixture.recordSubmission(t.Submitted)
 			continue
 		}
 		if t.Body != nil {
-			w.fixture.ObserveSubmission(t.Body, t.Status)
+			cluster.fixture.ObserveSubmission(t.Body, t.Status)
 			continue
 		}
 		if t.Status > 0 {
-			w.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
+			cluster.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
 		}
-		w.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
+		cluster.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
 	}
 }
 
@@ -58,20 +58,20 @@
 }
 
 // serveControl serves the control address.
-func (w *Cluster) serveControl() transport.ServeConn {
+func (cluster *Cluster) serveControl() transport.ServeConn {
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
 		case r.Method == "GET" && r.Path == PathStatus:
-			return jsonResponse(200, w.Status())
+			return jsonResponse(200, cluster.Status())
 		case r.Method == "GET" && r.Path == PathUserInstructions:
-			return jsonResponse(200, w.users.instructions())
+			return jsonResponse(200, cluster.users.instructions())
 		case r.Method == "POST" && r.Path == PathFaults:
-			return w.postFault(r.Body)
+			return cluster.postFault(r.Body)
 		case r.Method == "POST" && r.Path == PathObservations:
-			return w.postObservations(r.Body)
+			return cluster.postObservations(r.Body)
 		case r.Method == "DELETE" && named:
-			return w.deleteFault(number)
+			return cluster.deleteFault(number)
 		}
 		return jsonResponse(404, Refusal{"no such path"})
 	})
@@ -84,12 +84,12 @@
 }
 
 // postFault stages the fault that a request describes.
-func (w *Cluster) postFault(body []byte) *httpwire.Response {
+func (cluster *Cluster) postFault(body []byte) *httpwire.Response {
 	var f Fault
 	if err := json.Unmarshal(body, &f); err != nil {
 		return jsonResponse(400, Refusal{err.Error()})
 	}
-	s, err := w.Stage(f)
+	s, err := cluster.Stage(f)
 	if err != nil {
 		return jsonResponse(422, Refusal{err.Error()})
 	}
@@ -97,20 +97,20 @@
 }
 
 // postObservations passes the observations of a request to the checkers.
-func (w *Cluster) postObservations(body []byte) *httpwire.Response {
+func (cluster *Cluster) postObservations(body []byte) *httpwire.Response {
 	var told struct {
 		Told []Observation `cbor:"told"`
 	}
 	if err := wire.Decode(body, &told); err != nil {
 		return jsonResponse(400, Refusal{err.Error()})
 	}
-	w.Observe(told.Told)
+	cluster.Observe(told.Told)
 	return jsonResponse(200, struct{}{})
 }
 
 // deleteFault lifts the fault with a number.
-func (w *Cluster) deleteFault(number string) *httpwire.Response {
-	if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
+func (cluster *Cluster) deleteFault(number string) *httpwire.Response {
+	if n, err := strconv.Atoi(number); err != nil || !cluster.Lift(n) {
 		return jsonResponse(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
 	}
 	return jsonResponse(200, struct{}{})
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -10,43 +10,43 @@
 )
 
 // apply injects a fault and returns the function that ends it, nil if it has no duration.
-func (w *Cluster) apply(f *Fault) (lift func(), err error) {
+func (cluster *Cluster) apply(f *Fault) (lift func(), err error) {
 	switch f.Kind {
 	case "cut", "slow":
-		return w.cutLinks(f), nil
+		return cluster.cutLinks(f), nil
 	case "controller_cut":
-		return w.cutOffController(f), nil
+		return cluster.cutOffController(f), nil
 	case "state_down", "state_refuse", "state_slow", "state_lose", "state_late", "state_forget":
-		return w.applyToState(f), nil
+		return cluster.applyToState(f), nil
 	case "cloud_down", "cloud_fewer", "cloud_late", "boot_slow", "boot_never":
-		return w.applyToCloud(f), nil
+		return cluster.applyToCloud(f), nil
 	case "report_late":
-		return w.replayHeartbeats(f), nil
+		return cluster.replayHeartbeats(f), nil
 	case "machine_die", "machine_hang", "machine_deaf", "machine_mute", "machine_restart", "spot_taken":
-		return w.applyToMachines(f), nil
+		return cluster.applyToMachines(f), nil
 	case "cancel_now", "cancel_at_end", "odd_requests", "close_looks":
-		return w.users.apply(w, f)
+		return cluster.users.apply(cluster, f)
 	case "controller_kill", "controller_hang":
-		return w.applyToController(f)
+		return cluster.applyToController(f)
 	}
 	return nil, nil
 }
 
 // applyToState injects a fault of the state service.
-func (w *Cluster) applyToState(f *Fault) (lift func()) {
+func (cluster *Cluster) applyToState(f *Fault) (lift func()) {
 	configure := func(change, back func(*simulator.StateService)) func() {
-		w.state.Configure(change)
-		return func() { w.state.Configure(back) }
+		cluster.state.Configure(change)
+		return func() { cluster.state.Configure(back) }
 	}
 	switch f.Kind {
 	case "state_down":
-		w.state.SetOutage(true)
-		return func() { w.state.SetOutage(false) }
+		cluster.state.SetOutage(true)
+		return func() { cluster.state.SetOutage(false) }
 	case "state_refuse":
-		w.state.RefuseCaller(f.Who, true)
-		return func() { w.state.RefuseCaller(f.Who, false) }
+		cluster.state.RefuseCaller(f.Who, true)
+		return func() { cluster.state.RefuseCaller(f.Who, false) }
 	case "state_slow":
-		usual := w.Config.StateDelay
+		usual := cluster.Config.StateDelay
 		return configure(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
 			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } })
 	case "state_lose":
@@ -57,16 +57,16 @@
 		}
 		return configure(func(s *simulator.StateService) { s.DelayedShare = f.Share }, func(s *simulator.StateService) { s.DelayedShare = 0 })
 	case "state_forget":
-		w.state.DropHistory()
+		cluster.state.DropHistory()
 	}
 	return nil
 }
 
 // applyToCloud injects a fault of the cloud.
-func (w *Cluster) applyToCloud(f *Fault) (lift func()) {
+func (cluster *Cluster) applyToCloud(f *Fault) (lift func()) {
 	set := func(change, back func(*simulator.CloudFaults)) func() {
-		w.cloud.SetFaults(change)
-		return func() { w.cloud.SetFaults(back) }
+		cluster.cloud.SetFaults(change)
+		return func() { cluster.cloud.SetFaults(back) }
 	}
 	switch f.Kind {
 	case "cloud_down":
@@ -84,34 +84,34 @@
 }
 
 // replayHeartbeats delivers copies of heartbeats late, or to the next leader.
-func (w *Cluster) replayHeartbeats(f *Fault) (lift func()) {
+func (cluster *Cluster) replayHeartbeats(f *Fault) (lift func()) {
 	if f.ForNext {
-		w.replayer.KeepForNextLeader(f.Share)
+		cluster.replayer.KeepForNextLeader(f.Share)
 	} else {
-		w.replayer.SetShare(f.Share)
+		cluster.replayer.SetShare(f.Share)
 	}
-	return func() { w.replayer.SetShare(0) }
+	return func() { cluster.replayer.SetShare(0) }
 }
 
 // applyToMachines injects a fault of machines.
-func (w *Cluster) applyToMachines(f *Fault) (lift func()) {
+func (cluster *Cluster) applyToMachines(f *Fault) (lift func()) {
 	switch f.Kind {
 	case "machine_die":
-		for _, id := range w.selectMachines(f, false) {
-			w.cloud.Crash(id)
+		for _, id := range cluster.selectMachines(f, false) {
+			cluster.cloud.Crash(id)
 		}
 	case "machine_hang":
-		w.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
+		cluster.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Pauser).Pause(f.For) })
 	case "machine_deaf":
-		return w.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
+		return cluster.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.InboundDropper).DropInbound(on) })
 	case "machine_mute":
-		return w.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
+		return cluster.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
 	case "machine_restart":
 		back := cmp.Or(f.Delay, defaultRestartDelay)
-		w.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
+		cluster.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
 	case "spot_taken":
-		for _, id := range w.selectMachines(f, true) {
-			w.cloud.Preempt(id, f.Notice)
+		for _, id := range cluster.selectMachines(f, true) {
+			cluster.cloud.Preempt(id, f.Notice)
 		}
 	}
 	return nil
@@ -119,15 +119,15 @@
 
 // cutLinks puts a fault's rules into force, in both directions unless it is one way. A zone that
 // is isolated from all others works inside.
-func (w *Cluster) cutLinks(f *Fault) func() {
+func (cluster *Cluster) cutLinks(f *Fault) func() {
 	inside := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
 	mode := f.Mode
 	if f.Kind == "cut" && mode == "" {
 		mode = "hold"
 	}
-	lifts := []func(){w.links.add(&rule{from: f.From, to: f.To, exceptWithinZone: inside, mode: mode, delay: f.Delay})}
+	lifts := []func(){cluster.links.add(&rule{from: f.From, to: f.To, exceptWithinZone: inside, mode: mode, delay: f.Delay})}
 	if !f.OneWay {
-		lifts = append(lifts, w.links.add(&rule{from: f.To, to: f.From, exceptWithinZone: inside, mode: mode, delay: f.Delay}))
+		lifts = append(lifts, cluster.links.add(&rule{from: f.To, to: f.From, exceptWithinZone: inside, mode: mode, delay: f.Delay}))
 	}
 	return func() {
 		for _, lift := range lifts {
@@ -138,11 +138,11 @@
 
 // cutOffController separates a controller from the state service, from its peers, or from both,
 // and from nobody else.
-func (w *Cluster) cutOffController(f *Fault) func() {
+func (cluster *Cluster) cutOffController(f *Fault) func() {
 	var lifts []func()
 	for to, meant := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
 		if meant {
-			lifts = append(lifts, w.cutLinks(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
+			lifts = append(lifts, cluster.cutLinks(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
 		}
 	}
 	return func() {
@@ -161,19 +161,19 @@
 var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
 
 // applyToController kills or suspends a controller.
-func (w *Cluster) applyToController(f *Fault) (lift func(), err error) {
-	names := w.Config.controllerNames()
+func (cluster *Cluster) applyToController(f *Fault) (lift func(), err error) {
+	names := cluster.Config.controllerNames()
 	if f.Who != "" {
 		names = []string{f.Who}
 	}
-	if w.opt.Kill == nil || w.opt.Pause == nil {
+	if cluster.opt.Kill == nil || cluster.opt.Pause == nil {
 		return nil, errExternalControllers
 	}
 	for _, name := range names {
 		if f.Kind == "controller_kill" {
-			err = errors.Join(err, w.opt.Kill(name, f.Delay))
+			err = errors.Join(err, cluster.opt.Kill(name, f.Delay))
 		} else {
-			err = errors.Join(err, w.opt.Pause(name, true))
+			err = errors.Join(err, cluster.opt.Pause(name, true))
 		}
 	}
 	if f.Kind == "controller_kill" {
@@ -181,7 +181,7 @@
 	}
 	return func() {
 		for _, name := range names {
-			_ = w.opt.Pause(name, false)
+			_ = cluster.opt.Pause(name, false)
 		}
 	}, err
 }
--- a/internal/emulator/persistence.go
+++ b/internal/emulator/persistence.go
@@ -11,38 +11,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func (w *Cluster) stateFile() string { return filepath.Join(w.opt.Dir, "state.cbor") }
+func (cluster *Cluster) stateFile() string { return filepath.Join(cluster.opt.Dir, "state.cbor") }
 
 // restoreState loads a persisted state, and persists this cluster's state from then on.
-func (w *Cluster) restoreState() error {
-	if !w.opt.Persist {
+func (cluster *Cluster) restoreState() error {
+	if !cluster.opt.Persist {
 		return nil
 	}
-	text, err := os.ReadFile(w.stateFile())
+	text, err := os.ReadFile(cluster.stateFile())
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
 		return err
 	default:
-		var k simulator.StateSnapshot
-		if err := wire.Decode(text, &k); err != nil {
-			return fmt.Errorf("%s is not a kept state: %w", w.stateFile(), err)
+		var snapshot simulator.StateSnapshot
+		if err := wire.Decode(text, &snapshot); err != nil {
+			return fmt.Errorf("%s is not a kept state: %w", cluster.stateFile(), err)
 		}
-		w.state.Resume(k)
-		w.log.Info("going on with a kept state", "keys", len(k.Items), "revision", k.Revision)
+		cluster.state.Resume(snapshot)
+		cluster.log.Info("going on with a kept state", "keys", len(snapshot.Items), "revision", snapshot.Revision)
 	}
 	go func() {
-		for w.ctx.Err() == nil {
-			sleep(w.ctx, time.Second)
-			w.persistState()
+		for cluster.ctx.Err() == nil {
+			sleep(cluster.ctx, time.Second)
+			cluster.persistState()
 		}
 	}()
 	return nil
 }
 
 // persistState writes the state to disk.
-func (w *Cluster) persistState() {
-	if err := writeFileAtomic(w.stateFile(), wire.Encode(w.state.Snapshot())); err != nil {
-		w.log.Error("the state can't be kept", "error", err)
+func (cluster *Cluster) persistState() {
+	if err := writeFileAtomic(cluster.stateFile(), wire.Encode(cluster.state.Snapshot())); err != nil {
+		cluster.log.Error("the state can't be kept", "error", err)
 	}
 }
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -5,67 +5,67 @@
 )
 
 // runTimeline stages the faults of the world file, each at its time.
-func (w *Cluster) runTimeline() {
-	for _, f := range w.Config.Timeline {
-		sleep(w.ctx, f.At-time.Since(w.startedAt))
-		if w.ctx.Err() != nil {
+func (cluster *Cluster) runTimeline() {
+	for _, f := range cluster.Config.Timeline {
+		sleep(cluster.ctx, f.At-time.Since(cluster.startedAt))
+		if cluster.ctx.Err() != nil {
 			return
 		}
-		if _, err := w.Stage(f); err != nil {
-			w.log.Error("fault not staged", "fault", f.Label, "kind", f.Kind, "error", err)
+		if _, err := cluster.Stage(f); err != nil {
+			cluster.log.Error("fault not staged", "fault", f.Label, "kind", f.Kind, "error", err)
 		}
 	}
 }
 
 // Stage injects a fault now, for its duration or until it is lifted.
-func (w *Cluster) Stage(f Fault) (StagedFault, error) {
-	if err := f.Check(w.Config); err != nil {
+func (cluster *Cluster) Stage(f Fault) (StagedFault, error) {
+	if err := f.Check(cluster.Config); err != nil {
 		return StagedFault{}, err
 	}
-	lift, err := w.apply(&f)
+	lift, err := cluster.apply(&f)
 	if err != nil {
 		return StagedFault{}, err
 	}
-	w.mu.Lock()
-	w.faultCount++
-	s := StagedFault{Number: w.faultCount, Label: f.Label, Description: f.describe(), Since: w.ageSeconds(), lift: lift}
+	cluster.mu.Lock()
+	cluster.faultCount++
+	s := StagedFault{Number: cluster.faultCount, Label: f.Label, Description: f.describe(), Since: cluster.ageSeconds(), lift: lift}
 	kept := s
-	w.activeFaults[s.Number] = &kept
-	w.fixture.SetQuietSince(time.Time{})
-	w.mu.Unlock()
-	w.log.Info("fault", "number", s.Number, "label", f.Label, "what", s.Description)
+	cluster.activeFaults[s.Number] = &kept
+	cluster.fixture.SetQuietSince(time.Time{})
+	cluster.mu.Unlock()
+	cluster.log.Info("fault", "number", s.Number, "label", f.Label, "what", s.Description)
 	switch {
 	case lift == nil:
-		w.Lift(s.Number)
+		cluster.Lift(s.Number)
 	case f.For > 0:
-		time.AfterFunc(f.For, func() { w.Lift(s.Number) })
+		time.AfterFunc(f.For, func() { cluster.Lift(s.Number) })
 	}
 	return s, nil
 }
 
 // Lift ends an active fault, and reports whether it was active.
-func (w *Cluster) Lift(number int) bool {
-	w.mu.Lock()
-	s := w.activeFaults[number]
+func (cluster *Cluster) Lift(number int) bool {
+	cluster.mu.Lock()
+	s := cluster.activeFaults[number]
 	if s == nil || s.Until > 0 {
-		w.mu.Unlock()
+		cluster.mu.Unlock()
 		return false
 	}
-	s.Until = w.ageSeconds()
-	if w.noActiveFaults() {
-		w.fixture.SetQuietSince(time.Now())
+	s.Until = cluster.ageSeconds()
+	if cluster.noActiveFaults() {
+		cluster.fixture.SetQuietSince(time.Now())
 	}
-	w.mu.Unlock()
+	cluster.mu.Unlock()
 	if s.lift != nil {
 		s.lift()
-		w.log.Info("fault lifted", "number", number, "label", s.Label)
+		cluster.log.Info("fault lifted", "number", number, "label", s.Label)
 	}
 	return true
 }
 
 // noActiveFaults reports whether no fault is active.
-func (w *Cluster) noActiveFaults() bool {
-	for _, s := range w.activeFaults {
+func (cluster *Cluster) noActiveFaults() bool {
+	for _, s := range cluster.activeFaults {
 		if s.Until == 0 {
 			return false
 		}
@@ -74,8 +74,8 @@
 }
 
 // ageSeconds returns the seconds since the cluster started.
-func (w *Cluster) ageSeconds() float64 {
-	return time.Since(w.startedAt).Round(time.Millisecond).Seconds()
+func (cluster *Cluster) ageSeconds() float64 {
+	return time.Since(cluster.startedAt).Round(time.Millisecond).Seconds()
 }
 
 // StagedFault is a fault that is active, or was.
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -25,20 +25,20 @@
 }
 
 // Status returns the state of the cluster.
-func (w *Cluster) Status() Status {
-	s := Status{AgeS: time.Since(w.startedAt).Seconds(), Up: w.cloud.CountRunning()}
-	s.Cost, s.Machines = w.cloud.Cost()
-	s.Requests, s.Changes, s.Keys = w.state.Counts()
-	s.RunningTasks, s.StartedTasks = w.fixture.Counts()
-	s.Violations = w.fixture.Violations()
-	s.StartedAfterCancel, _ = w.fixture.Launches.AfterCancellation()
-	for _, it := range w.Page(store.FencingTokenKey, 1) {
+func (cluster *Cluster) Status() Status {
+	s := Status{AgeS: time.Since(cluster.startedAt).Seconds(), Up: cluster.cloud.CountRunning()}
+	s.Cost, s.Machines = cluster.cloud.Cost()
+	s.Requests, s.Changes, s.Keys = cluster.state.Counts()
+	s.RunningTasks, s.StartedTasks = cluster.fixture.Counts()
+	s.Violations = cluster.fixture.Violations()
+	s.StartedAfterCancel, _ = cluster.fixture.Launches.AfterCancellation()
+	for _, it := range cluster.Page(store.FencingTokenKey, 1) {
 		_ = wire.DecodeValue(it.Value, &s.FencingToken)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for n := 1; n <= w.faultCount; n++ {
-		s.Faults = append(s.Faults, *w.activeFaults[n])
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for n := 1; n <= cluster.faultCount; n++ {
+		s.Faults = append(s.Faults, *cluster.activeFaults[n])
 	}
 	return s
 }
--- a/internal/emulator/task_fixture.go
+++ b/internal/emulator/task_fixture.go
@@ -20,45 +20,45 @@
 }
 
 // newTaskFixture returns the fixture of a cluster.
-func newTaskFixture(w *Cluster) *taskFixture {
+func newTaskFixture(cluster *Cluster) *taskFixture {
 	limits, teams := make(map[string]float64), make(map[string]simulator.TeamLimit)
-	for _, t := range w.Config.Teams {
+	for _, t := range cluster.Config.Teams {
 		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.TeamLimit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 	}
-	c := simulator.NewChecker(w.Config.Workers.Cancel, limits)
-	c.Submissions, c.Starvation.Limits = simulator.SubmissionRules{Types: w.Config.Types, Teams: teams}, teams
-	return &taskFixture{Checker: c, cluster: w, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
+	c := simulator.NewChecker(cluster.Config.Workers.Cancel, limits)
+	c.Submissions, c.Starvation.Limits = simulator.SubmissionRules{Types: cluster.Config.Types, Teams: teams}, teams
+	return &taskFixture{Checker: c, cluster: cluster, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
 }
 
 // TaskStarted implements simulator.Fixture.
-func (l *taskFixture) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
-	if started := l.cluster.opt.OnTaskStart; started != nil {
+func (f *taskFixture) TaskStarted(t wire.TaskID, machine, typ, zone string, spot bool) (time.Duration, bool) {
+	if started := f.cluster.opt.OnTaskStart; started != nil {
 		started(t)
 	}
-	return l.Checker.TaskStarted(t, machine, typ, zone, spot)
+	return f.Checker.TaskStarted(t, machine, typ, zone, spot)
 }
 
 // TaskCompleted implements simulator.Fixture.
-func (l *taskFixture) TaskCompleted(t wire.TaskID) {
-	l.Checker.TaskCompleted(t)
-	if l.Finished(t.Job) {
-		l.cluster.users.jobEnded(t.Job)
+func (f *taskFixture) TaskCompleted(t wire.TaskID) {
+	f.Checker.TaskCompleted(t)
+	if f.Finished(t.Job) {
+		f.cluster.users.jobEnded(t.Job)
 	}
 }
 
 // LookUp implements simulator.LookupFixture.
-func (l *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
+func (f *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
 	for try := 0; ; try++ {
-		if _, known := l.Describe(t.Job); known {
+		if _, known := f.Describe(t.Job); known {
 			return nil
 		}
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := l.caller.Call(call, l.cluster.Public((t.Index+try)%l.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
+		resp, err := f.caller.Call(call, f.cluster.Public((t.Index+try)%f.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
 		cancel()
 		var j wire.Job
 		switch {
 		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &j) == nil:
-			l.recordSubmission(&j)
+			f.recordSubmission(&j)
 			return nil
 		case err == nil && resp.Status == 404 && try > 2, ctx.Err() != nil, try > 30:
 			return fmt.Errorf("job %s is not known", t.Job)
@@ -68,13 +68,13 @@
 }
 
 // recordSubmission records a job, once.
-func (l *taskFixture) recordSubmission(j *wire.Job) {
-	if _, known := l.Describe(j.ID); known {
+func (f *taskFixture) recordSubmission(j *wire.Job) {
+	if _, known := f.Describe(j.ID); known {
 		return
 	}
 	run := max(100*time.Millisecond, j.Estimate())
 	if j.Shape == wire.Service {
 		run = 10_000 * time.Hour
 	}
-	l.Submitted(j, run)
+	f.Submitted(j, run)
 }
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -45,21 +45,21 @@
 
 // counter returns the counter of a direction; the lock is held.
 func (l *links) counter(from, to endpoint) *flowCounter {
-	w := Direction{from.directionEnd(), to.directionEnd()}
-	if l.traffic[w] == nil {
-		l.traffic[w] = new(flowCounter)
+	direction := Direction{from.directionEnd(), to.directionEnd()}
+	if l.traffic[direction] == nil {
+		l.traffic[direction] = new(flowCounter)
 	}
-	return l.traffic[w]
+	return l.traffic[direction]
 }
 
 // Traffic returns the traffic of each direction since the cluster started. Connections of users
 // and of machines that are not emulated go to controllers directly and are not counted.
-func (w *Cluster) Traffic() map[Direction]Flow {
-	w.links.mu.Lock()
-	defer w.links.mu.Unlock()
-	out := make(map[Direction]Flow, len(w.links.traffic))
-	for way, c := range w.links.traffic {
-		out[way] = Flow{c.bytes.Load(), c.messages.Load()}
+func (cluster *Cluster) Traffic() map[Direction]Flow {
+	cluster.links.mu.Lock()
+	defer cluster.links.mu.Unlock()
+	out := make(map[Direction]Flow, len(cluster.links.traffic))
+	for direction, c := range cluster.links.traffic {
+		out[direction] = Flow{c.bytes.Load(), c.messages.Load()}
 	}
 	return out
 }
--- a/internal/emulator/user_faults.go
+++ b/internal/emulator/user_faults.go
@@ -81,7 +81,7 @@
 var errNoLongJobs = errors.New("no job runs that has 10 s to go")
 
 // apply injects a fault that concerns users.
-func (u *userFaults) apply(w *Cluster, f *Fault) (lift func(), err error) {
+func (u *userFaults) apply(cluster *Cluster, f *Fault) (lift func(), err error) {
 	count := func(n *int) func() {
 		add := func(by int) {
 			u.mu.Lock()
@@ -105,7 +105,7 @@
 		share(f.Share)
 		return func() { share(0) }, nil
 	}
-	jobs, machines := w.fixture.LongRunning(cmp.Or(f.Count, 1), minRemaining)
+	jobs, machines := cluster.fixture.LongRunning(cmp.Or(f.Count, 1), minRemaining)
 	if len(jobs) == 0 {
 		return nil, errNoLongJobs
 	}
@@ -113,7 +113,7 @@
 	u.requestCancel(jobs...)
 	u.mu.Unlock()
 	machines = machines[:min(maxPaused, len(machines))]
-	w.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
+	cluster.cloud.EachRunning(func(m wire.ListedMachine, x simulator.Machine) {
 		if f.Hang > 0 && slices.Contains(machines, m.ID) {
 			x.(simulator.Pauser).Pause(f.Hang)
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -329,19 +329,19 @@
 	}
 	procs.Begin(ctx)
 	defer procs.Stop()
-	w, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Pause: procs.PauseNamed})
+	cluster, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Pause: procs.PauseNamed})
 	if err != nil {
 		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
-	defer w.Stop()
+	defer cluster.Stop()
 	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
-	addrs, err := startControllers(ctx, &procs, w, caller)
+	addrs, err := startControllers(ctx, &procs, cluster, caller)
 	if err != nil {
 		return nil, err
 	}
 	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
-	runner := &load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: w.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
-	if err := o.measure(ctx, w, runner); err != nil {
+	runner := &load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: cluster.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
+	if err := o.measure(ctx, cluster, runner); err != nil {
 		return nil, err
 	}
 	return o, nil
@@ -375,14 +375,14 @@
 
 // startControllers starts the controllers of a cluster, waits until they are ready and returns
 // their addresses.
-func startControllers(ctx context.Context, procs *emulator.Processes, w *emulator.Cluster, caller *transport.Caller) ([]string, error) {
-	procs.Settings, procs.Metrics = w.Settings, w.Metrics
+func startControllers(ctx context.Context, procs *emulator.Processes, cluster *emulator.Cluster, caller *transport.Caller) ([]string, error) {
+	procs.Settings, procs.Metrics = cluster.Settings, cluster.Metrics
 	var addrs []string
-	for i := range w.Config.Controllers {
+	for i := range cluster.Config.Controllers {
 		if err := procs.Start(i); err != nil {
 			return nil, fmt.Errorf("starting controller %d: %w", i, err)
 		}
-		addrs = append(addrs, w.Public(i))
+		addrs = append(addrs, cluster.Public(i))
 	}
 	if err := emulator.Ready(ctx, caller, addrs); err != nil {
 		return nil, fmt.Errorf("waiting for the controllers: %w", err)
@@ -392,10 +392,10 @@
 
 // measure runs the load of a cell on a cluster, and records its result and the cluster's state
 // and faults meanwhile.
-func (o *Outcome) measure(ctx context.Context, w *emulator.Cluster, runner *load.Runner) error {
+func (o *Outcome) measure(ctx context.Context, cluster *emulator.Cluster, runner *load.Runner) error {
 	sampling, end := context.WithCancel(ctx)
 	sampled := make(chan struct{})
-	go func() { defer close(sampled); o.sample(sampling, w) }()
+	go func() { defer close(sampled); o.sample(sampling, cluster) }()
 	var err error
 	o.Result, err = runner.Run(ctx, func(int, int, int) {})
 	end()
@@ -403,22 +403,22 @@
 	if err != nil {
 		return fmt.Errorf("running the load: %w", err)
 	}
-	o.Faults = w.Status().Faults
+	o.Faults = cluster.Status().Faults
 	return nil
 }
 
 // sample records the cluster's state each second.
-func (o *Outcome) sample(ctx context.Context, w *emulator.Cluster) {
+func (o *Outcome) sample(ctx context.Context, cluster *emulator.Cluster) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	last := w.Status()
+	last := cluster.Status()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		s := w.Status()
+		s := cluster.Status()
 		if d := s.AgeS - last.AgeS; d > 0 {
 			o.Samples = append(o.Samples, Sample{Cell: o.Cell, TimeS: s.AgeS, Machines: s.Machines, Up: s.Up, Running: s.RunningTasks, Cost: s.Cost, FencingToken: s.FencingToken,
 				Requests: float64(s.Requests-last.Requests) / d, Changes: float64(s.Changes-last.Changes) / d})
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -46,19 +46,19 @@
 		}
 		r.mu.Lock()
 		r.instructions = o
-		var called []*trackedJob
+		var toCancel []*trackedJob
 		for _, id := range o.Cancel {
-			if f := r.jobs[id]; f != nil {
-				called = append(called, f)
+			if tracked := r.jobs[id]; tracked != nil {
+				toCancel = append(toCancel, tracked)
 			}
 		}
-		r.instructionCounts.Cancelled += len(called)
+		r.instructionCounts.Cancelled += len(toCancel)
 		r.mu.Unlock()
-		for k, f := range called {
-			f.toldToCancel.Store(true) // also again, until it is answered
+		for k, tracked := range toCancel {
+			tracked.toldToCancel.Store(true) // also again, until it is answered
 			group.Go(func() {
-				r.call(ctx, f.firstController+k, f, opCancel)
-				r.readConcurrently(ctx, f)
+				r.call(ctx, tracked.firstController+k, tracked, opCancel)
+				r.readConcurrently(ctx, tracked)
 			})
 		}
 		if o.MalformedRequests {
@@ -69,18 +69,18 @@
 
 // readConcurrently asks all controllers about a job at once, and submits it again, while the
 // cluster's instructions ask for that.
-func (r *Runner) readConcurrently(ctx context.Context, f *trackedJob) {
+func (r *Runner) readConcurrently(ctx context.Context, tracked *trackedJob) {
 	r.mu.Lock()
-	looks := r.instructions.ConcurrentReads
+	requested := r.instructions.ConcurrentReads
 	r.mu.Unlock()
-	if !looks {
+	if !requested {
 		return
 	}
 	var all sync.WaitGroup
 	for i := range r.Addrs {
 		for _, op := range []opKind{opStatus, opSubmit, opStatus} {
 			all.Go(func() {
-				if status, _ := r.call(ctx, i, f, op); status > 0 {
+				if status, _ := r.call(ctx, i, tracked, op); status > 0 {
 					r.mu.Lock()
 					r.instructionCounts.ConcurrentReads++
 					r.mu.Unlock()
@@ -96,18 +96,18 @@
 func (r *Runner) sendMalformedRequests(ctx context.Context, round int) {
 	r.mu.Lock()
 	var liveJob, endedJob *trackedJob
-	for id, f := range r.jobs { // in no order
+	for id, tracked := range r.jobs { // in no order
 		if r.history.lastStage(id) == wire.Done {
-			endedJob = f
+			endedJob = tracked
 		} else {
-			liveJob = f
+			liveJob = tracked
 		}
 	}
 	r.malformedSubmissions += 2
-	odd := r.malformedSubmissions
+	firstNumber := r.malformedSubmissions
 	r.instructionCounts.MalformedRequests += 2
-	for _, f := range []*trackedJob{liveJob, endedJob} {
-		if f != nil {
+	for _, tracked := range []*trackedJob{liveJob, endedJob} {
+		if tracked != nil {
 			r.instructionCounts.MalformedRequests++
 		}
 	}
@@ -124,7 +124,7 @@
 		func(m map[string]any) { m[[]string{"vcpus", "mem_gb"}[round%2]] = 1e8 },
 	} {
 		j := r.Mix.Classes[round%len(r.Mix.Classes)].Template
-		j.ID, j.Tasks = fmt.Sprintf("%s%s8%05d", wire.JobPrefix, r.Prefix, odd+k), 1
+		j.ID, j.Tasks = fmt.Sprintf("%s%s8%05d", wire.JobPrefix, r.Prefix, firstNumber+k), 1
 		var m map[string]any
 		if wire.Decode(wire.Encode(j), &m) != nil {
 			continue
--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -89,20 +89,20 @@
 			}
 			time.Sleep(time.Second)
 			r.instructions.ConcurrentReads = true
-			var looks sync.WaitGroup
-			looks.Go(func() {
+			var reads sync.WaitGroup
+			reads.Go(func() {
 				for ctx.Err() == nil {
 					time.Sleep(100 * time.Millisecond)
 					r.mu.Lock()
-					for _, f := range r.jobs {
-						looks.Go(func() { r.readConcurrently(ctx, f) })
+					for _, tracked := range r.jobs {
+						reads.Go(func() { r.readConcurrently(ctx, tracked) })
 					}
 					r.mu.Unlock()
 				}
 			})
 			res, err := r.Run(ctx, func(int, int, int) {})
 			stop()
-			looks.Wait()
+			reads.Wait()
 			if err != nil || len(res.Open) > 0 || res.Instructions.ConcurrentReads < 100 || res.Classes["a"].Cancelled < 3 {
 				t.Errorf("%v, open %v, %+v", err, res.Open, res.Instructions)
 			}
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -224,22 +224,22 @@
 const submitTimeout = time.Minute
 
 // runUser submits a job and follows it.
-func (r *Runner) runUser(ctx context.Context, n int, a *Arrival, meant time.Time) {
-	j := a.Job
+func (r *Runner) runUser(ctx context.Context, n int, arrival *Arrival, due time.Time) {
+	j := arrival.Job
 	r.updateClass(j.Class, func(c *ClassResult) { c.Jobs++ })
 	r.recordObservation(emulator.Observation{Submitted: j})
-	f := &trackedJob{firstController: n, job: j, body: wire.Encode(j)}
+	tracked := &trackedJob{firstController: n, job: j, body: wire.Encode(j)}
 	accepted := false
 	for try := 0; !accepted; try++ {
-		status, _ := r.call(ctx, n+try, f, opSubmit)
+		status, _ := r.call(ctx, n+try, tracked, opSubmit)
 		switch {
 		case status == 200 || status == 201:
 			accepted = true
-			r.updateClass(j.Class, func(c *ClassResult) { c.Accepted++; record(c.accept, meant) })
+			r.updateClass(j.Class, func(c *ClassResult) { c.Accepted++; record(c.accept, due) })
 		case status == 400 || status == 422:
 			r.updateClass(j.Class, func(c *ClassResult) { c.Refused++ })
 			return
-		case ctx.Err() != nil || time.Since(meant) > submitTimeout:
+		case ctx.Err() != nil || time.Since(due) > submitTimeout:
 			r.updateClass(j.Class, func(c *ClassResult) { c.GivenUp++ })
 			return
 		default:
@@ -247,32 +247,32 @@
 		}
 	}
 	r.mu.Lock()
-	r.jobs[j.ID] = f
+	r.jobs[j.ID] = tracked
 	r.mu.Unlock()
-	r.readConcurrently(ctx, f)
-	r.follow(ctx, f, a, meant)
-	r.readConcurrently(ctx, f)
+	r.readConcurrently(ctx, tracked)
+	r.follow(ctx, tracked, arrival, due)
+	r.readConcurrently(ctx, tracked)
 }
 
 // follow polls a job until it is over, and cancels it if that is due.
-func (r *Runner) follow(ctx context.Context, f *trackedJob, a *Arrival, meant time.Time) {
+func (r *Runner) follow(ctx context.Context, tracked *trackedJob, arrival *Arrival, due time.Time) {
 	begun, started := time.Now(), false
 	for try := 0; ctx.Err() == nil; try++ {
-		pause(ctx, r.pollInterval(a, begun, started))
+		pause(ctx, r.pollInterval(arrival, begun, started))
 		op := opStatus
-		if f.toldToCancel.Load() || a.CancelAfter > 0 && time.Since(begun) >= a.CancelAfter {
+		if tracked.toldToCancel.Load() || arrival.CancelAfter > 0 && time.Since(begun) >= arrival.CancelAfter {
 			op = opCancel
 		}
-		status, s := r.call(ctx, f.firstController+try, f, op)
+		status, s := r.call(ctx, tracked.firstController+try, tracked, op)
 		if status != 200 {
 			continue
 		}
 		if !started && (s.Running > 0 || s.Done > 0 || s.Stage == wire.Done) {
 			started = true
-			r.updateClass(a.Job.Class, func(c *ClassResult) { record(c.start, meant) })
+			r.updateClass(arrival.Job.Class, func(c *ClassResult) { record(c.start, due) })
 		}
 		if s.Stage.Final() {
-			r.recordEnd(a.Job.Class, s.Stage, meant)
+			r.recordEnd(arrival.Job.Class, s.Stage, due)
 			return
 		}
 	}
@@ -286,39 +286,39 @@
 
 // pollInterval returns how long to wait until the next poll of a job that is followed since
 // begun. It is shorter while the start or the cancellation of the job is due.
-func (r *Runner) pollInterval(a *Arrival, begun time.Time, started bool) time.Duration {
+func (r *Runner) pollInterval(arrival *Arrival, begun time.Time, started bool) time.Duration {
 	wait := r.Mix.PollInterval
 	if !started {
 		wait = min(wait, maxPollBeforeStart)
 	}
-	if a.CancelAfter > 0 {
-		wait = min(wait, max(minPollBeforeCancel, a.CancelAfter-time.Since(begun)))
+	if arrival.CancelAfter > 0 {
+		wait = min(wait, max(minPollBeforeCancel, arrival.CancelAfter-time.Since(begun)))
 	}
 	return wait
 }
 
 // recordEnd counts a job that is over.
-func (r *Runner) recordEnd(class string, stage wire.Stage, meant time.Time) {
+func (r *Runner) recordEnd(class string, stage wire.Stage, due time.Time) {
 	r.updateClass(class, func(c *ClassResult) {
 		if stage == wire.Cancelled {
 			c.Cancelled++
 			return
 		}
 		c.Done++
-		record(c.finish, meant)
+		record(c.finish, due)
 	})
 }
 
 // call makes a request to one of the controllers and records when it was made and answered.
-func (r *Runner) call(ctx context.Context, n int, f *trackedJob, op opKind) (status int, s wire.JobStatus) {
-	j, wait := f.job, 5*time.Second
-	method, path, body := "POST", wire.PathJobs, f.body
+func (r *Runner) call(ctx context.Context, n int, tracked *trackedJob, op opKind) (status int, s wire.JobStatus) {
+	j, wait := tracked.job, 5*time.Second
+	method, path, body := "POST", wire.PathJobs, tracked.body
 	switch op {
 	case opStatus:
 		method, path, body, wait = "GET", path+"/"+j.ID, nil, pollTimeout
 	case opCancel:
 		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
-		f.cancelRequested.Store(true)
+		tracked.cancelRequested.Store(true)
 	}
 	call, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -328,7 +328,7 @@
 		status = resp.Status
 		_ = wire.Decode(resp.Body, &s)
 	}
-	back, asked := r.history.now(), f.cancelRequested.Load()
+	back, asked := r.history.now(), tracked.cancelRequested.Load()
 	r.history.add(j.ID, op, status, s.Stage, sent, back)
 	r.updateClass(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
 	if ctx.Err() == nil && (status > 0 || op == opStatus) {
