--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -16,20 +16,20 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Options are the options of a cluster.
+// Options configures Start.
 type Options struct {
-	Port    int    // first of the ports on 127.0.0.1
-	Dir     string // for the controllers' settings and the persisted state
-	Persist bool   // persist the state and resume from it
+	Port    int    // first port on 127.0.0.1; the others follow it
+	Dir     string // directory for the controllers' platform files and the persisted state
+	Persist bool   // persist the content of the state service and resume from it at the next start
 	Log     *slog.Logger
-	// Pause suspends a controller or lets it continue, and Kill terminates one, if this process has
-	// started them.
-	Pause func(controller string, still bool) error
-	Kill  func(controller string, back time.Duration) error
-	// Machine, if set, starts what runs on a machine of a type that is not emulated; it returns nil
-	// for all other types.
+	// Pause suspends or resumes a controller, and Kill terminates one and restarts it after a delay.
+	// Both are nil if this process has not started the controllers.
+	Pause func(controller string, paused bool) error
+	Kill  func(controller string, restartDelay time.Duration) error
+	// Machine, if set, starts the software of a machine whose type is not emulated. It returns nil for
+	// all other types, which get an emulated worker.
 	Machine func(id, addr, typ, zone string, spot bool) simulator.Machine
-	// OnTaskStart, if set, is called with each start of a task.
+	// OnTaskStart, if set, is called each time a task starts.
 	OnTaskStart func(t wire.TaskID)
 }
 
@@ -53,14 +53,14 @@
 	mu           sync.Mutex
 	activeFaults map[int]*StagedFault
 	faultCount   int
-	usedPorts    map[int]bool // of machines
+	usedPorts    map[int]bool // ports of machines
 }
 
-// Start starts a cluster and its timeline.
+// Start starts a cluster and the timeline of its faults.
 func Start(ctx context.Context, c *Config, opt Options) (*Cluster, error) {
 	layout := newPortLayout(c.Controllers)
-	if most := 65535 - layout.machines; opt.Port < 1024 || opt.Port > most {
-		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, most)
+	if maxPort := 65535 - layout.machines; opt.Port < 1024 || opt.Port > maxPort {
+		return nil, fmt.Errorf("port %d: must be from 1024 to %d", opt.Port, maxPort)
 	}
 	cluster := &Cluster{Config: c, opt: opt, log: opt.Log, links: newLinks(), state: simulator.NewStateService(c.Seed, 0), startedAt: time.Now(),
 		rng: rand.New(rand.NewPCG(c.Seed, 8)), activeFaults: map[int]*StagedFault{}, ports: layout, usedPorts: map[int]bool{}}
@@ -95,13 +95,13 @@
 // Public returns the address at which users and machines reach a controller.
 func (cluster *Cluster) Public(i int) string { return cluster.addr(i) }
 
-// Control returns the address by which faults are staged and observations are sent.
+// Control returns the control address, which accepts faults and users' observations.
 func (cluster *Cluster) Control() string { return cluster.addr(cluster.ports.control) }
 
-// Metrics returns the address at which a controller that this program starts serves its metrics.
+// Metrics returns the metrics address of a controller that this program starts.
 func (cluster *Cluster) Metrics(i int) string { return cluster.addr(cluster.ports.metrics + i) }
 
-// Builds returns the address at which a controller may serve the remote execution API.
+// Builds returns the address reserved for a controller's remote execution API.
 func (cluster *Cluster) Builds(i int) string { return cluster.addr(cluster.ports.builds + i) }
 
 // Blobs returns the address of the blob store for remote execution.
@@ -120,7 +120,8 @@
 	cloudEndpoint = endpoint{"cloud", "cloud", ""}
 )
 
-// endpointAt returns the side at an address. Any caller of a machine is some controller.
+// endpointAt returns the endpoint at an address. Other addresses yield an unnamed controller, since only
+// controllers connect to machines.
 func (cluster *Cluster) endpointAt(addr string) endpoint {
 	for i := range cluster.Config.Controllers {
 		if addr == cluster.Public(i) {
@@ -130,17 +131,18 @@
 	return endpoint{"", "controllers", ""}
 }
 
-// listen opens every port of the cluster, or reports those that are in use.
+// listen opens the ports of the state service, the cloud, the peer links and the control address. It reports all
+// ports that are in use.
 func (cluster *Cluster) listen() error {
 	var errs []error
-	serve := func(offset int, me, peer endpoint, f transport.ServeConn) {
+	serve := func(offset int, local, peer endpoint, handle transport.ServeConn) {
 		lis, err := net.Listen("tcp4", cluster.addr(offset))
 		if err != nil {
 			errs = append(errs, err)
 			return
 		}
-		h := host{cluster.links, me, func(string) endpoint { return peer }}
-		go h.accept(cluster.ctx, lis, 512, func(c net.Conn) { f(cluster.ctx, cluster.links.wrap(c, me, peer)) })
+		h := host{cluster.links, local, func(string) endpoint { return peer }}
+		go h.accept(cluster.ctx, lis, 512, func(c net.Conn) { handle(cluster.ctx, cluster.links.wrap(c, local, peer)) })
 	}
 	for i := range cluster.Config.Controllers {
 		c := cluster.controllerEndpoint(i)
@@ -159,13 +161,13 @@
 	return nil
 }
 
-// relayTo relays a connection to a controller, in both directions as the rules allow.
+// relayTo returns a handler that relays connections to a controller. The link rules apply in both directions.
 func (cluster *Cluster) relayTo(to int) transport.ServeConn {
 	return func(ctx context.Context, in transport.Stream) {
-		dial, cancel := context.WithTimeout(ctx, 2*time.Second)
+		dialCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
 		var d net.Dialer
-		out, err := d.DialContext(dial, "tcp4", cluster.addr(cluster.ports.mesh+to))
+		out, err := d.DialContext(dialCtx, "tcp4", cluster.addr(cluster.ports.mesh+to))
 		if err != nil {
 			return
 		}
@@ -178,6 +180,7 @@
 	}
 }
 
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -187,7 +190,7 @@
 	}
 }
 
-// Stop ends the cluster, and persists its state if that was asked for.
+// Stop stops the cluster and persists its state if Options.Persist is set.
 func (cluster *Cluster) Stop() {
 	cluster.stop()
 	if cluster.cloud != nil {
@@ -198,10 +201,10 @@
 	}
 }
 
-// Liveness returns the checker of whether jobs are forgotten.
+// Liveness returns the checker that reports jobs which make no progress.
 func (cluster *Cluster) Liveness() *simulator.LivenessChecker { return &cluster.fixture.Liveness }
 
-// Page lists keys of the state service.
-func (cluster *Cluster) Page(prefix string, most int) []wire.KeyValue {
-	return cluster.state.Page(prefix, "", most).Items
+// Page lists up to limit keys of the state service that have a prefix.
+func (cluster *Cluster) Page(prefix string, limit int) []wire.KeyValue {
+	return cluster.state.Page(prefix, "", limit).Items
 }
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -28,11 +28,11 @@
 	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
 }
 
-// keysStatus lists the keys of the state service through a controller's address, and returns the status, 0 for no
-// answer.
-func keysStatus(t *testing.T, cluster *Cluster, c *transport.Caller, i int, patience time.Duration) int {
+// keysStatus lists the keys of the state service through controller i's address and returns the HTTP status, or 0 if
+// there was no response within the timeout.
+func keysStatus(t *testing.T, cluster *Cluster, c *transport.Caller, i int, timeout time.Duration) int {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	resp, err := c.Call(ctx, cluster.addr(cluster.ports.state+i), "GET", wire.KeysPath("a", "", 1), nil)
 	if err != nil {
@@ -41,15 +41,15 @@
 	return resp.Status
 }
 
-// TestStateServiceFaults cuts one controller off from the state service, and has it refused, while
-// others are served; an outage concerns all. Lifted faults are over.
+// TestStateServiceFaults checks that a controller that is cut off from the state service or refused by it gets no
+// service while the others are served, that an outage affects all controllers, and that lifting a fault ends it.
 func TestStateServiceFaults(t *testing.T) {
 	cluster := startSmallCluster(t, 27300, Options{})
 	c := newCaller()
 	for _, x := range []struct {
 		fault Fault
-		zero  int // what c-0 is answered, and the others
-		other int
+		first int // status that c-0 gets, 0 for no response
+		other int // status that c-1 gets
 	}{
 		{Fault{Kind: "cut", From: "c-0", To: "state"}, 0, 200},
 		{Fault{Kind: "cut", From: "state", To: "c-0", OneWay: true, Mode: "lose"}, 0, 200},
@@ -62,23 +62,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := keysStatus(t, cluster, c, 0, 200*time.Millisecond), keysStatus(t, cluster, c, 1, 2*time.Second); a != x.zero || b != x.other {
-			t.Errorf("%s: answered %d and %d", s.Description, a, b)
+		if a, b := keysStatus(t, cluster, c, 0, 200*time.Millisecond), keysStatus(t, cluster, c, 1, 2*time.Second); a != x.first || b != x.other {
+			t.Errorf("%s: c-0 got status %d and c-1 %d", s.Description, a, b)
 		}
 		if !cluster.Lift(s.Number) || cluster.Lift(s.Number) {
-			t.Errorf("%s: lifted", s.Description)
+			t.Errorf("%s: lifting did not succeed exactly once", s.Description)
 		}
 		if a := keysStatus(t, cluster, c, 0, 2*time.Second); a != 200 {
-			t.Errorf("after %s: %d", s.Description, a)
+			t.Errorf("after %s: status %d", s.Description, a)
 		}
 	}
 	if _, err := cluster.Stage(Fault{Kind: "controller_kill"}); err == nil {
-		t.Error("killed what is not its own")
+		t.Error("killed a controller that the cluster has not started")
 	}
 }
 
-// TestControllerCutOff checks that a controller which is cut off from the state service and its
-// peers reaches neither, that they do not reach it, and that its machines and the cloud do.
+// TestControllerCutOff checks that a controller that is cut off from the state service and its peers can't exchange
+// data with them in either direction, and that its connections to machines and the cloud still work.
 func TestControllerCutOff(t *testing.T) {
 	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	lift := cluster.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
@@ -94,15 +94,15 @@
 		}
 	}
 	if mode, _, _ := cluster.links.modeOf(cluster.controllerEndpoint(1), stateEndpoint); mode != "" {
-		t.Errorf("another is cut off: %q", mode)
+		t.Errorf("another controller is cut off too: %q", mode)
 	}
 	if lift(); len(cluster.links.rules) > 0 {
-		t.Error("not lifted")
+		t.Error("the rules were not removed")
 	}
 }
 
-// TestIsolatedZoneReachesItself checks that a zone which is cut off from everything reaches itself, and
-// nothing else.
+// TestIsolatedZoneReachesItself checks that connections within a zone that is cut off from everything work, and that
+// no connection into or out of it does.
 func TestIsolatedZoneReachesItself(t *testing.T) {
 	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
 	cluster.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestPersistedState checks that a cluster resumes from the persisted state of the state service,
-// and that files are replaced atomically.
+// TestPersistedState checks that a cluster resumes from the persisted state of the state service and that writing it
+// leaves no temporary files.
 func TestPersistedState(t *testing.T) {
 	dir := t.TempDir()
 	cluster := startSmallCluster(t, 27300+400, Options{Dir: dir, Persist: true})
@@ -132,14 +132,14 @@
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
 	cluster.Stop()
-	again := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
-	if items := again.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
+	restarted := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
+	if items := restarted.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
 	}
-	if parts, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(parts) > 0 {
-		t.Errorf("%v is left", parts)
+	if temporary, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(temporary) > 0 {
+		t.Errorf("temporary files are left: %v", temporary)
 	}
 	if _, err := Start(t.Context(), DefaultConfig(), Options{Port: 27300 + 800}); err == nil || !strings.Contains(err.Error(), "ports are in use") {
-		t.Errorf("the same ports again: %v", err)
+		t.Errorf("starting on ports in use: %v", err)
 	}
 }
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -24,21 +24,20 @@
 	Zones           []string
 	Workers         config.Workers
 	State           config.Store
-	StateDelay      time.Duration // of each answer
+	StateDelay      time.Duration // delay of each response of the state service
 	Cloud           config.Cloud
 	Limits          config.Limits
 	Teams           []config.Team
 	Types           []wire.MachineType
 	CapacityByOffer map[simulator.Offer]int
-	SharedFetchRate bool // concurrent image fetches of a machine share its rate
+	SharedFetchRate bool // concurrent image fetches of a machine share its fetch rate
 	Timeline        []Fault
 }
 
-// MaxControllers bounds the controllers of a cluster.
+// MaxControllers is the maximum number of controllers of a cluster.
 const MaxControllers = 24
 
-// DefaultConfig is the smallest useful cluster: three controllers, two zones, machines that boot
-// at once.
+// DefaultConfig returns the smallest useful cluster: three controllers, two zones, and machines that boot in 1 s.
 func DefaultConfig() *Config {
 	t := wire.MachineType{Name: "dev-4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"}}
 	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, CapacityByOffer: map[simulator.Offer]int{},
@@ -52,60 +51,60 @@
 	return c
 }
 
-// configParser parses a world file and collects all errors, each with its line.
+// configParser parses a world file and collects all errors, each with its line number.
 type configParser struct {
 	lines []string
 	errs  []error
 }
 
-// reject records that a value is not allowed, and what is.
+// reject records that the value of a key is rejected and which values are allowed.
 func (r *configParser) reject(section, key, value, allowed string) {
 	r.errs = append(r.errs, fmt.Errorf("line %d: [%s] %s: %q: must be %s", r.lineOf(section, key), section, key, value, allowed))
 }
 
-// lineOf returns the line of a key, or of its section.
+// lineOf returns the line number of a key, or of its section header if the section lacks the key.
 func (r *configParser) lineOf(section, key string) int {
-	in, at := section == ini.DefaultSection, 0
+	inSection, header := section == ini.DefaultSection, 0
 	for i, text := range r.lines {
 		text = strings.TrimSpace(text)
 		if strings.HasPrefix(text, "[") {
-			if in = text == "["+section+"]"; in {
-				at = i + 1
+			if inSection = text == "["+section+"]"; inSection {
+				header = i + 1
 			}
-		} else if name, _, ok := strings.Cut(text, "="); in && ok && strings.TrimSpace(name) == key {
+		} else if name, _, ok := strings.Cut(text, "="); inSection && ok && strings.TrimSpace(name) == key {
 			return i + 1
 		}
 	}
-	return at
+	return header
 }
 
-// fieldParsers maps each key of a section to its parser, which returns what is allowed if it rejects the
-// value.
+// fieldParsers maps each key of a section to its parser. A parser that rejects a value returns a description of the
+// allowed values, otherwise an empty string.
 type fieldParsers map[string]func(value string) (allowed string)
 
-func durationParser(d *time.Duration, least, most time.Duration) func(string) string {
+func durationParser(d *time.Duration, minimum, maximum time.Duration) func(string) string {
 	return func(text string) string {
 		v, err := time.ParseDuration(text)
-		if *d = v; err != nil || v < least || v > most {
-			return fmt.Sprintf("a duration from %v to %v", least, most)
+		if *d = v; err != nil || v < minimum || v > maximum {
+			return fmt.Sprintf("a duration from %v to %v", minimum, maximum)
 		}
 		return ""
 	}
 }
 
-func numberParser(n *float64, least, most float64) func(string) string {
+func numberParser(n *float64, minimum, maximum float64) func(string) string {
 	return func(text string) string {
-		if _, err := fmt.Sscanf(text, "%g", n); err != nil || *n < least || *n > most || math.IsNaN(*n) {
-			return fmt.Sprintf("a number from %g to %g", least, most)
+		if _, err := fmt.Sscanf(text, "%g", n); err != nil || *n < minimum || *n > maximum || math.IsNaN(*n) {
+			return fmt.Sprintf("a number from %g to %g", minimum, maximum)
 		}
 		return ""
 	}
 }
 
-func countParser(n *int, least, most int) func(string) string {
+func countParser(n *int, minimum, maximum int) func(string) string {
 	return func(text string) string {
-		if _, err := fmt.Sscanf(text, "%d", n); err != nil || *n < least || *n > most || fmt.Sprint(*n) != text {
-			return fmt.Sprintf("a count from %d to %d", least, most)
+		if _, err := fmt.Sscanf(text, "%d", n); err != nil || *n < minimum || *n > maximum || fmt.Sprint(*n) != text {
+			return fmt.Sprintf("a count from %d to %d", minimum, maximum)
 		}
 		return ""
 	}
@@ -142,31 +141,32 @@
 	}
 }
 
-// parseSection parses the keys of a section and returns those that it rejected.
-func (r *configParser) parseSection(sec *ini.Section, f fieldParsers) (bad []string) {
+// parseSection parses the keys of a section and returns the keys whose name or value it rejected.
+func (r *configParser) parseSection(sec *ini.Section, parsers fieldParsers) (rejected []string) {
 	for _, key := range sec.Keys() {
-		take := f[key.Name()]
-		if take == nil {
-			r.reject(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(sortedKeys(f), ", "))
-			bad = append(bad, key.Name())
-		} else if allowed := take(key.Value()); allowed != "" {
+		parse := parsers[key.Name()]
+		if parse == nil {
+			r.reject(sec.Name(), key.Name(), key.Value(), "left out; known are "+strings.Join(sortedKeys(parsers), ", "))
+			rejected = append(rejected, key.Name())
+		} else if allowed := parse(key.Value()); allowed != "" {
 			r.reject(sec.Name(), key.Name(), key.Value(), allowed)
-			bad = append(bad, key.Name())
+			rejected = append(rejected, key.Name())
 		}
 	}
-	return bad
+	return rejected
 }
 
 // sortedKeys lists the keys that a section accepts.
-func sortedKeys(f fieldParsers) (names []string) {
-	for name := range f {
+func sortedKeys(parsers fieldParsers) (names []string) {
+	for name := range parsers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// Parse reads a world file. What it does not set is as in DefaultConfig.
+// Parse parses a world file. Settings that it lacks have the values of DefaultConfig; the first [type NAME] and the
+// first [team NAME] replace the default machine types and teams.
 func Parse(text []byte) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: false}, text)
 	if err != nil {
@@ -174,7 +174,7 @@
 	}
 	c := DefaultConfig()
 	r := &configParser{lines: strings.Split(string(text), "\n")}
-	types, teams := false, false
+	hasTypes, hasTeams := false, false
 	for _, sec := range file.Sections() {
 		kind, name, named := strings.Cut(sec.Name(), " ")
 		switch {
@@ -182,13 +182,13 @@
 		case sec.Name() == "world":
 			r.parseSection(sec, c.worldParsers())
 		case kind == "type" && named:
-			if !types {
-				c.Types, c.CapacityByOffer, types = nil, map[simulator.Offer]int{}, true
+			if !hasTypes {
+				c.Types, c.CapacityByOffer, hasTypes = nil, map[simulator.Offer]int{}, true
 			}
 			r.parseMachineType(c, sec, name)
 		case kind == "team" && named:
-			if !teams {
-				c.Teams, teams = nil, true
+			if !hasTeams {
+				c.Teams, hasTeams = nil, true
 			}
 			r.parseTeam(c, sec, name)
 		case kind == "fault" && named:
@@ -197,7 +197,7 @@
 			r.errs = append(r.errs, fmt.Errorf("line %d: [%s]: must be world, type NAME, team NAME or fault NAME", r.lineOf(sec.Name(), ""), sec.Name()))
 		}
 	}
-	r.checkConsistency(c, types)
+	r.checkConsistency(c, hasTypes)
 	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 	return c, nil
 }
 
-// worldParsers returns the parsers of the section [world].
+// worldParsers returns the parsers for the keys of the section [world].
 func (c *Config) worldParsers() fieldParsers {
 	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.Files, 200.0
 	return fieldParsers{
@@ -232,22 +232,24 @@
 	}
 }
 
+// parseMachineType adds the machine type of a section [type NAME] and its capacity in each zone.
 func (r *configParser) parseMachineType(c *Config, sec *ini.Section, name string) {
 	t := wire.MachineType{Name: name, CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1.5, BootS: 5}
-	ordinary, spot := 4, 0
+	onDemand, spot := 4, 0
 	boot := 5 * time.Second
 	r.parseSection(sec, fieldParsers{"cpus": numberParser(&t.CPUs, 0.1, 1e5), "gpus": numberParser(&t.GPUs, 0, 1e4), "memory_gb": numberParser(&t.MemoryGB, 0.1, 1e6), "cache_gb": numberParser(&t.CacheGB, 0, 1e6),
 		"fetch_gb_per_s": numberParser(&t.FetchGBps, 0.001, 1e4), "price": numberParser(&t.Price, 0, 1e6), "spot_price": numberParser(&t.SpotPrice, 0, 1e6),
-		"boot": durationParser(&boot, 0, time.Hour), "zones": nameListParser(&t.Zones), "count": countParser(&ordinary, 0, 100_000), "spot": countParser(&spot, 0, 100_000)})
+		"boot": durationParser(&boot, 0, time.Hour), "zones": nameListParser(&t.Zones), "count": countParser(&onDemand, 0, 100_000), "spot": countParser(&spot, 0, 100_000)})
 	if t.BootS = boot.Seconds(); len(t.Zones) == 0 {
 		t.Zones = c.Zones
 	}
 	for _, z := range t.Zones {
-		c.CapacityByOffer[simulator.Offer{Type: name, Zone: z}], c.CapacityByOffer[simulator.Offer{Type: name, Zone: z, Spot: true}] = ordinary, spot
+		c.CapacityByOffer[simulator.Offer{Type: name, Zone: z}], c.CapacityByOffer[simulator.Offer{Type: name, Zone: z, Spot: true}] = onDemand, spot
 	}
 	c.Types = append(c.Types, t)
 }
 
+// parseTeam adds the team of a section [team NAME].
 func (r *configParser) parseTeam(c *Config, sec *ini.Section, name string) {
 	t := config.Team{Name: name}
 	r.parseSection(sec, fieldParsers{"cpus": numberParser(&t.CPUs, 0, 1e9), "cpus_max": numberParser(&t.CPUsMax, 0, 1e9), "gpus": numberParser(&t.GPUs, 0, 1e9), "gpus_max": numberParser(&t.GPUsMax, 0, 1e9)})
@@ -260,13 +262,14 @@
 	c.Teams = append(c.Teams, t)
 }
 
+// parseFault adds the fault of a section [fault NAME] to the timeline.
 func (r *configParser) parseFault(c *Config, sec *ini.Section, name string) {
 	f := Fault{Label: name}
-	bad := r.parseSection(sec, f.parsers())
+	rejected := r.parseSection(sec, f.parsers())
 	if err := f.Check(c); err != nil {
 		for _, e := range splitJoined(err) {
-			if slices.Contains(bad, fieldOfError(e)) {
-				continue // it was named, with what is allowed
+			if slices.Contains(rejected, fieldOfError(e)) {
+				continue // reported by parseSection already, with the allowed values
 			}
 			r.errs = append(r.errs, fmt.Errorf("line %d: [%s]: %w", r.lineOf(sec.Name(), cmp.Or(fieldOfError(e), "kind")), sec.Name(), e))
 		}
@@ -274,8 +277,9 @@
 	c.Timeline = append(c.Timeline, f)
 }
 
-// checkConsistency checks what depends on several sections.
-func (r *configParser) checkConsistency(c *Config, types bool) {
+// checkConsistency checks settings that depend on several keys or sections. Without a [type NAME] in the file it
+// offers the default machine types in all zones.
+func (r *configParser) checkConsistency(c *Config, hasTypes bool) {
 	check := func(ok bool, key, value, allowed string) {
 		if !ok {
 			r.reject("world", key, value, allowed)
@@ -285,7 +289,7 @@
 	check(c.Workers.Cancel > c.Workers.Lease, "cancel", c.Workers.Cancel.String(), "more than lease")
 	for i := range c.Types {
 		t := &c.Types[i]
-		if !types {
+		if !hasTypes {
 			t.Zones = c.Zones
 			for _, z := range c.Zones {
 				c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z}], c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2, 2
--- a/internal/emulator/config_test.go
+++ b/internal/emulator/config_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// invalidWorldFile is a world file with a fault of every kind, and invalidWorldFileErrors how these are reported.
+// invalidWorldFile is a world file with errors of every kind; invalidWorldFileErrors are parts of the messages that
+// report them.
 const invalidWorldFile = `[world]
 controllers = 25
 zones = a, a
@@ -63,8 +64,8 @@
 	"[fault echo] share: \"2\": must be", "[fault apart]: who: \"c-77\": must be one of", "[fault apart] from_peers: \"perhaps\": must be yes or no", "[fault apart]: from_state: missing: controller_cut needs from_state = yes, from_peers = yes, or both", "[fault odd] kind: \"machine_sings\": must be one of boot_never,", "[fault odd] share: \"3\"", "[fault next] for_next: \"soon\": must be yes or no",
 	"[fault next]: at_once: means nothing to report_late, which takes for, share, for_next", "[fault next] colour: \"red\": must be left out; known are at, at_once,", "[fault hang] for: \"long\"", "[fault now]: count: missing: cancel_now needs it", "[planet mars]"}
 
-// TestParse reads the world file that is shipped, and checks that everything wrong with one is
-// reported, with its line.
+// TestParse parses the world file in deploy and checks that all errors of an invalid file are reported together, each
+// with its line number and only once.
 func TestParse(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/world.ini")
 	if err != nil {
@@ -76,29 +77,29 @@
 	}
 	_, err = Parse([]byte(invalidWorldFile))
 	if err == nil {
-		t.Fatal("nothing is wrong")
+		t.Fatal("the invalid world file was accepted")
 	}
 	for _, want := range invalidWorldFileErrors {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not in\n%v", want, err)
 		}
 	}
-	for what, times := range map[string]int{"[fault odd]": 2, "[fault next]": 3, "[fault hang]": 1, "machine_sings": 1} { // each fault is named once
+	for what, times := range map[string]int{"[fault odd]": 2, "[fault next]": 3, "[fault hang]": 1, "machine_sings": 1} { // each error is reported once
 		if n := strings.Count(err.Error(), what); n != times {
 			t.Errorf("%s is named %d times in\n%v", what, n, err)
 		}
 	}
 }
 
-// TestFaultNamesInOrder: the names in a fault that the cluster does not have are told in the same order
-// each time. What happened before: "from" and "to" were gone through in the order of a map.
+// TestFaultNamesInOrder checks that unknown names in a fault are reported in the same order each time. Their order
+// varied when "from" and "to" were checked while iterating over a map.
 func TestFaultNamesInOrder(t *testing.T) {
 	c := &Config{Zones: []string{"a"}}
 	for range 50 {
 		var wrong fieldErrors
 		(&Fault{From: "moon", To: "mars"}).checkNames(c, &wrong)
 		if len(wrong) != 2 || !strings.Contains(wrong[0].Error(), "moon") || !strings.Contains(wrong[1].Error(), "mars") {
-			t.Fatalf("faults %v, want from before to", wrong)
+			t.Fatalf("errors %v, want from before to", wrong)
 		}
 	}
 }
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -13,54 +13,54 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The paths of the control address. Its protocol is JSON.
+// Paths of the control address. Bodies are JSON unless noted otherwise.
 const (
 	PathStatus           = "/status"
 	PathFaults           = "/faults"
-	PathUserInstructions = "/users" // what users are to do now, see Orders
-	PathObservations     = "/judge" // CBOR: what users did and were told, so that all rules can be judged
+	PathUserInstructions = "/users" // GET: instructions to users, see UserInstructions
+	PathObservations     = "/judge" // POST, CBOR: users' requests and the responses, for the checkers
 )
 
-// Observation is an answer that a user got about a job, or the job that a user is about to submit.
+// Observation is a response that a user got about a job, or a job that a user is about to submit.
 type Observation struct {
 	Submitted       *wire.Job  `cbor:"submitted,omitempty"`
 	Job             string     `cbor:"job"`
 	Status          int        `cbor:"status"`
 	Stage           wire.Stage `cbor:"stage"`
-	CancelRequested bool       `cbor:"asked"` // the user has asked to cancel the job
-	Poll            bool       `cbor:"poll"`  // a poll, with status 0 if no answer came in time
-	SentNS          int64      `cbor:"sent"`  // with AnsweredNS: ns on a clock that all users share
+	CancelRequested bool       `cbor:"asked"` // the user has requested the cancellation of the job
+	Poll            bool       `cbor:"poll"`  // a status poll; Status is 0 if it timed out
+	SentNS          int64      `cbor:"sent"`  // like AnsweredNS in nanoseconds on a clock that all users share
 	AnsweredNS      int64      `cbor:"back"`
-	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that has to be refused, or may have to be
+	Body            wire.Raw   `cbor:"body,omitempty"` // body of a submission that may have to be refused
 }
 
 // Observe passes users' observations to the checkers.
-func (cluster *Cluster) Observe(told []Observation) {
-	for _, t := range told {
-		if t.Submitted != nil {
-			cluster.fixture.recordSubmission(t.Submitted)
+func (cluster *Cluster) Observe(observations []Observation) {
+	for _, o := range observations {
+		if o.Submitted != nil {
+			cluster.fixture.recordSubmission(o.Submitted)
 			continue
 		}
-		if t.Body != nil {
-			cluster.fixture.ObserveSubmission(t.Body, t.Status)
+		if o.Body != nil {
+			cluster.fixture.ObserveSubmission(o.Body, o.Status)
 			continue
 		}
-		if t.Status > 0 {
-			cluster.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
+		if o.Status > 0 {
+			cluster.fixture.ObserveAnswerAt(o.Job, o.Status, o.Stage, o.CancelRequested, time.Unix(0, o.SentNS), time.Unix(0, o.AnsweredNS))
 		}
-		cluster.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
+		cluster.fixture.Liveness.ObserveAnswer(time.Now(), o.Job, o.Status, o.Stage, o.CancelRequested, o.Poll)
 	}
 }
 
-// Refusal is the answer to a fault that cannot be staged.
+// Refusal is the body of an error response of the control address.
 type Refusal struct {
 	Error string `json:"error"`
 }
 
-// serveControl serves the control address.
+// serveControl returns the handler of the control address.
 func (cluster *Cluster) serveControl() transport.ServeConn {
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
-		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
+		number, hasNumber := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
 		case r.Method == "GET" && r.Path == PathStatus:
 			return jsonResponse(200, cluster.Status())
@@ -70,14 +70,14 @@
 			return cluster.postFault(r.Body)
 		case r.Method == "POST" && r.Path == PathObservations:
 			return cluster.postObservations(r.Body)
-		case r.Method == "DELETE" && named:
+		case r.Method == "DELETE" && hasNumber:
 			return cluster.deleteFault(number)
 		}
 		return jsonResponse(404, Refusal{"no such path"})
 	})
 }
 
-// jsonResponse returns a response with a body of JSON.
+// jsonResponse returns a response with a JSON body.
 func jsonResponse(status int, v any) *httpwire.Response {
 	text, _ := json.Marshal(v)
 	return &httpwire.Response{Status: status, Body: text}
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,5 +1,4 @@
-// Package emulator runs a cluster on real sockets for real controller processes: an emulated state
-// service, cloud and machines, links between all of them on which faults can be injected, a
-// timeline of faults, and a control address by which faults are staged and users' observations are
-// judged.
+// Package emulator emulates the environment of real controller processes on real sockets: the state service, the
+// cloud and its machines, and the network links between them, on which faults can be injected. Faults follow a
+// timeline or are staged through a control address, which also accepts users' observations for the checkers.
 package emulator
