--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// Liveness returns the checker that reports jobs which make no progress.
+// Liveness returns the checker that verifies that accepted jobs remain known to users.
 func (cluster *Cluster) Liveness() *simulator.LivenessChecker { return &cluster.fixture.Liveness }
 
 // Page lists up to limit keys of the state service that have a prefix.
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -98,13 +98,13 @@
 
 // postObservations passes the observations of a request to the checkers.
 func (cluster *Cluster) postObservations(body []byte) *httpwire.Response {
-	var told struct {
+	var batch struct {
 		Told []Observation `cbor:"told"`
 	}
-	if err := wire.Decode(body, &told); err != nil {
+	if err := wire.Decode(body, &batch); err != nil {
 		return jsonResponse(400, Refusal{err.Error()})
 	}
-	cluster.Observe(told.Told)
+	cluster.Observe(batch.Told)
 	return jsonResponse(200, struct{}{})
 }
 
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Fault is a fault to be injected at a time of a timeline, or at once. The meaning of its fields
-// depends on the kind; docs/emulator.md has the table.
+// Fault is a fault to be injected, at a time of the timeline or immediately. The meaning of its fields depends on the
+// kind; docs/emulator.md has the table.
 type Fault struct {
 	Label  string        `json:"label,omitempty"`
 	Kind   string        `json:"kind"`
@@ -35,39 +35,39 @@
 	Hang    time.Duration `json:"hang,omitempty"`
 }
 
-// fieldsByKind lists the kinds of faults, and for each the fields that it requires and allows beside at
-// and for.
-var fieldsByKind = map[string]struct{ needs, may []string }{
+// fieldsByKind lists the kinds of faults, each with the fields that it requires and those that it also allows. All
+// kinds allow at and for.
+var fieldsByKind = map[string]struct{ required, optional []string }{
 	"cut":             {[]string{"from", "to"}, []string{"mode", "one_way"}},
 	"slow":            {[]string{"from", "to", "delay"}, []string{"one_way"}},
 	"state_down":      {},
-	"state_refuse":    {needs: []string{"who"}},
-	"state_slow":      {needs: []string{"delay"}},
-	"state_lose":      {needs: []string{"share"}},
+	"state_refuse":    {required: []string{"who"}},
+	"state_slow":      {required: []string{"delay"}},
+	"state_lose":      {required: []string{"share"}},
 	"state_late":      {[]string{"share"}, []string{"at_once"}},
 	"state_forget":    {},
 	"cloud_down":      {},
-	"cloud_fewer":     {needs: []string{"share"}},
-	"cloud_late":      {needs: []string{"delay"}},
-	"boot_slow":       {needs: []string{"times"}},
-	"boot_never":      {needs: []string{"share"}},
-	"machine_die":     {may: []string{"count", "share", "zone"}},
-	"machine_restart": {may: []string{"count", "share", "zone", "delay"}},
-	"machine_hang":    {may: []string{"count", "share", "zone"}},
-	"machine_deaf":    {may: []string{"count", "share", "zone"}},
-	"machine_mute":    {may: []string{"count", "share", "zone"}},
+	"cloud_fewer":     {required: []string{"share"}},
+	"cloud_late":      {required: []string{"delay"}},
+	"boot_slow":       {required: []string{"times"}},
+	"boot_never":      {required: []string{"share"}},
+	"machine_die":     {optional: []string{"count", "share", "zone"}},
+	"machine_restart": {optional: []string{"count", "share", "zone", "delay"}},
+	"machine_hang":    {optional: []string{"count", "share", "zone"}},
+	"machine_deaf":    {optional: []string{"count", "share", "zone"}},
+	"machine_mute":    {optional: []string{"count", "share", "zone"}},
 	"report_late":     {[]string{"share"}, []string{"for_next"}},
 	"cancel_now":      {[]string{"count"}, []string{"hang"}},
-	"cancel_at_end":   {needs: []string{"share"}},
+	"cancel_at_end":   {required: []string{"share"}},
 	"odd_requests":    {},
 	"close_looks":     {},
-	"spot_taken":      {may: []string{"count", "share", "zone", "notice"}},
-	"controller_kill": {may: []string{"who", "delay"}},
-	"controller_hang": {may: []string{"who"}},
+	"spot_taken":      {optional: []string{"count", "share", "zone", "notice"}},
+	"controller_kill": {optional: []string{"who", "delay"}},
+	"controller_hang": {optional: []string{"who"}},
 	"controller_cut":  {[]string{"who"}, []string{"from_state", "from_peers", "mode"}},
 }
 
-// FaultKinds lists the kinds of faults.
+// FaultKinds returns the kinds of faults in alphabetical order.
 func FaultKinds() (out []string) {
 	for k := range fieldsByKind {
 		out = append(out, k)
@@ -76,7 +76,7 @@
 	return out
 }
 
-// parsers returns the parsers of a fault's keys.
+// parsers returns the parsers for the keys of a section [fault NAME].
 func (f *Fault) parsers() fieldParsers {
 	return fieldParsers{"kind": stringParser(&f.Kind, FaultKinds()...), "at": durationParser(&f.At, 0, 24*time.Hour), "for": durationParser(&f.For, 0, 24*time.Hour),
 		"from": stringParser(&f.From), "to": stringParser(&f.To), "mode": stringParser(&f.Mode, "hold", "lose", "reset"), "one_way": booleanParser(&f.OneWay), "delay": durationParser(&f.Delay, time.Millisecond, time.Hour),
@@ -86,19 +86,19 @@
 		"at_once": booleanParser(&f.AtOnce), "for_next": booleanParser(&f.ForNext), "hang": durationParser(&f.Hang, time.Millisecond, time.Hour)}
 }
 
-// acceptedFields lists the fields that a fault of this kind accepts.
+// acceptedFields returns the names of the fields that a fault of this kind accepts, for error messages.
 func (f *Fault) acceptedFields() string {
 	k := fieldsByKind[f.Kind]
-	return strings.Join(slices.Concat([]string{"for"}, k.needs, k.may), ", ")
+	return strings.Join(slices.Concat([]string{"for"}, k.required, k.optional), ", ")
 }
 
-// fieldError is an error in one field.
+// fieldError is an error in one field of a fault.
 type fieldError struct {
 	field string
 	error
 }
 
-// fieldOfError returns the field that an error is about, if any.
+// fieldOfError returns the name of the field that an error is about, or an empty string.
 func fieldOfError(err error) string {
 	var f *fieldError
 	if errors.As(err, &f) {
@@ -123,60 +123,61 @@
 	*e = append(*e, &fieldError{field, fmt.Errorf("%s: "+format, append([]any{field}, args...)...)})
 }
 
-// Check reports everything that is wrong with a fault in a cluster.
+// Check validates a fault for a cluster and returns all errors joined.
 func (f *Fault) Check(c *Config) error {
-	var wrong fieldErrors
+	var errs fieldErrors
 	if _, ok := fieldsByKind[f.Kind]; !ok {
-		wrong.add("kind", "%q: must be one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
-		return errors.Join(wrong...)
+		errs.add("kind", "%q: must be one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
+		return errors.Join(errs...)
 	}
-	f.checkFields(&wrong)
+	f.checkFields(&errs)
 	if f.Kind == "controller_cut" && !f.FromState && !f.FromPeers {
-		wrong.add("from_state", "missing: controller_cut needs from_state = yes, from_peers = yes, or both")
+		errs.add("from_state", "missing: controller_cut needs from_state = yes, from_peers = yes, or both")
 	}
 	if f.Kind == "machine_hang" && f.For == 0 {
-		wrong.add("for", "missing: machine_hang needs it")
+		errs.add("for", "missing: machine_hang needs it")
 	}
-	f.checkNames(c, &wrong)
-	return errors.Join(wrong...)
+	f.checkNames(c, &errs)
+	return errors.Join(errs...)
 }
 
-// checkFields checks that the fields are set which the kind requires, and no others than it allows.
-func (f *Fault) checkFields(wrong *fieldErrors) {
+// checkFields checks that all fields that the kind requires are set, and none that it does not allow.
+func (f *Fault) checkFields(errs *fieldErrors) {
 	k := fieldsByKind[f.Kind]
 	set := map[string]bool{"from": f.From != "", "to": f.To != "", "mode": f.Mode != "", "one_way": f.OneWay, "delay": f.Delay > 0, "share": f.Share > 0,
 		"count": f.Count > 0, "zone": f.Zone != "", "notice": f.Notice > 0, "times": f.Times > 0, "who": f.Who != "",
 		"from_state": f.FromState, "from_peers": f.FromPeers, "at_once": f.AtOnce, "for_next": f.ForNext, "hang": f.Hang > 0}
 	for _, name := range sortedNames(set) {
-		needed := slices.Contains(k.needs, name)
-		if needed && !set[name] {
-			wrong.add(name, "missing: %s needs it", f.Kind)
+		required := slices.Contains(k.required, name)
+		if required && !set[name] {
+			errs.add(name, "missing: %s needs it", f.Kind)
 		}
-		if set[name] && !needed && !slices.Contains(k.may, name) {
-			wrong.add(name, "means nothing to %s, which takes %s", f.Kind, f.acceptedFields())
+		if set[name] && !required && !slices.Contains(k.optional, name) {
+			errs.add(name, "means nothing to %s, which takes %s", f.Kind, f.acceptedFields())
 		}
 	}
 }
 
-// checkNames checks that the cluster has the zone, the controller and the endpoints that are named.
-func (f *Fault) checkNames(c *Config, wrong *fieldErrors) {
+// checkNames checks that the cluster has the zone, the controller and the endpoints that a fault names.
+func (f *Fault) checkNames(c *Config, errs *fieldErrors) {
 	if f.Zone != "" && !slices.Contains(c.Zones, f.Zone) {
-		wrong.add("zone", "%q: must be one of %s", f.Zone, strings.Join(c.Zones, ", "))
+		errs.add("zone", "%q: must be one of %s", f.Zone, strings.Join(c.Zones, ", "))
 	}
 	if f.Who != "" && !slices.Contains(c.controllerNames(), f.Who) {
-		wrong.add("who", "%q: must be one of %s", f.Who, strings.Join(c.controllerNames(), ", "))
+		errs.add("who", "%q: must be one of %s", f.Who, strings.Join(c.controllerNames(), ", "))
 	}
-	c.checkEndpoint("from", f.From, wrong)
-	c.checkEndpoint("to", f.To, wrong)
+	c.checkEndpoint("from", f.From, errs)
+	c.checkEndpoint("to", f.To, errs)
 }
 
-// checkEndpoint checks that the cluster has an endpoint that a field names.
-func (c *Config) checkEndpoint(field, name string, wrong *fieldErrors) {
+// checkEndpoint checks that the cluster has the endpoint that a field names.
+func (c *Config) checkEndpoint(field, name string, errs *fieldErrors) {
 	if name != "" && !c.hasEndpoint(name) {
-		wrong.add(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", name, strings.Join(c.controllerNames(), ", "))
+		errs.add(field, "%q: must be state, cloud, controllers, machines, all, zone:NAME, or one of %s", name, strings.Join(c.controllerNames(), ", "))
 	}
 }
 
+// sortedNames returns the keys of a map in alphabetical order.
 func sortedNames(set map[string]bool) (names []string) {
 	for name := range set {
 		names = append(names, name)
@@ -185,7 +186,7 @@
 	return names
 }
 
-// controllerNames lists the controllers.
+// controllerNames returns the names of the controllers.
 func (c *Config) controllerNames() (out []string) {
 	for i := range c.Controllers {
 		out = append(out, fmt.Sprint("c-", i))
@@ -194,12 +195,12 @@
 }
 
 // hasEndpoint reports whether a name denotes an endpoint of the cluster's links.
-func (c *Config) hasEndpoint(side string) bool {
-	zone, isZone := strings.CutPrefix(side, "zone:")
-	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, side) || slices.Contains(c.controllerNames(), side) || isZone && slices.Contains(c.Zones, zone)
+func (c *Config) hasEndpoint(name string) bool {
+	zone, isZone := strings.CutPrefix(name, "zone:")
+	return slices.Contains([]string{"state", "cloud", "controllers", "machines", "all"}, name) || slices.Contains(c.controllerNames(), name) || isZone && slices.Contains(c.Zones, zone)
 }
 
-// describe returns a description of a fault in one line.
+// describe returns a one-line description of a fault: its kind and the fields that are set.
 func (f *Fault) describe() string {
 	var out []string
 	add := func(name string, set bool, value any) {
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -11,7 +11,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestGoldenMessages: what an emulated cluster stores and sends has the fields that it had.
+// TestGoldenMessages checks that the encoding of what an emulated cluster stores and sends is unchanged.
 func TestGoldenMessages(t *testing.T) {
 	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
 	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
@@ -22,7 +22,7 @@
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
 
-// TestGoldenFile: the file of a world has the keys that it had, and they mean what they meant.
+// TestGoldenFile checks that a world file parses to the same settings as before.
 func TestGoldenFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/world.ini")
 	if err != nil {
--- a/internal/emulator/injection.go
+++ b/internal/emulator/injection.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// apply injects a fault and returns the function that ends it, nil if it has no duration.
+// apply injects a fault and returns the function that lifts it, or nil if the fault has no duration.
 func (cluster *Cluster) apply(f *Fault) (lift func(), err error) {
 	switch f.Kind {
 	case "cut", "slow":
@@ -34,9 +34,9 @@
 
 // applyToState injects a fault of the state service.
 func (cluster *Cluster) applyToState(f *Fault) (lift func()) {
-	configure := func(change, back func(*simulator.StateService)) func() {
+	configure := func(change, revert func(*simulator.StateService)) func() {
 		cluster.state.Configure(change)
-		return func() { cluster.state.Configure(back) }
+		return func() { cluster.state.Configure(revert) }
 	}
 	switch f.Kind {
 	case "state_down":
@@ -46,9 +46,9 @@
 		cluster.state.RefuseCaller(f.Who, true)
 		return func() { cluster.state.RefuseCaller(f.Who, false) }
 	case "state_slow":
-		usual := cluster.Config.StateDelay
+		normalDelay := cluster.Config.StateDelay
 		return configure(func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return f.Delay } },
-			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return usual } })
+			func(s *simulator.StateService) { s.ResponseDelay = func() time.Duration { return normalDelay } })
 	case "state_lose":
 		return configure(func(s *simulator.StateService) { s.LossShare = f.Share }, func(s *simulator.StateService) { s.LossShare = 0 })
 	case "state_late":
@@ -64,9 +64,9 @@
 
 // applyToCloud injects a fault of the cloud.
 func (cluster *Cluster) applyToCloud(f *Fault) (lift func()) {
-	set := func(change, back func(*simulator.CloudFaults)) func() {
+	set := func(change, revert func(*simulator.CloudFaults)) func() {
 		cluster.cloud.SetFaults(change)
-		return func() { cluster.cloud.SetFaults(back) }
+		return func() { cluster.cloud.SetFaults(revert) }
 	}
 	switch f.Kind {
 	case "cloud_down":
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// replayHeartbeats delivers copies of heartbeats late, or to the next leader.
+// replayHeartbeats has copies of heartbeats delivered late or, with ForNext, to the next leader.
 func (cluster *Cluster) replayHeartbeats(f *Fault) (lift func()) {
 	if f.ForNext {
 		cluster.replayer.KeepForNextLeader(f.Share)
@@ -107,8 +107,8 @@
 	case "machine_mute":
 		return cluster.applyUntilLifted(f, func(m simulator.Machine, on bool) { m.(simulator.OutboundBlocker).BlockOutbound(on) })
 	case "machine_restart":
-		back := cmp.Or(f.Delay, defaultRestartDelay)
-		cluster.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(back, false) })
+		restartDelay := cmp.Or(f.Delay, defaultRestartDelay)
+		cluster.forEachMachine(f, func(m simulator.Machine) { m.(simulator.Rebooter).Reboot(restartDelay, false) })
 	case "spot_taken":
 		for _, id := range cluster.selectMachines(f, true) {
 			cluster.cloud.Preempt(id, f.Notice)
@@ -117,17 +117,17 @@
 	return nil
 }
 
-// cutLinks puts a fault's rules into force, in both directions unless it is one way. A zone that
-// is isolated from all others works inside.
+// cutLinks adds the link rules of a fault, for both directions unless OneWay is set. Connections within a zone that is
+// cut off from everything else keep working.
 func (cluster *Cluster) cutLinks(f *Fault) func() {
-	inside := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
+	exceptWithinZone := strings.HasPrefix(f.From, "zone:") && f.To == "all" || f.From == "all" && strings.HasPrefix(f.To, "zone:")
 	mode := f.Mode
 	if f.Kind == "cut" && mode == "" {
 		mode = "hold"
 	}
-	lifts := []func(){cluster.links.add(&rule{from: f.From, to: f.To, exceptWithinZone: inside, mode: mode, delay: f.Delay})}
+	lifts := []func(){cluster.links.add(&rule{from: f.From, to: f.To, exceptWithinZone: exceptWithinZone, mode: mode, delay: f.Delay})}
 	if !f.OneWay {
-		lifts = append(lifts, cluster.links.add(&rule{from: f.To, to: f.From, exceptWithinZone: inside, mode: mode, delay: f.Delay}))
+		lifts = append(lifts, cluster.links.add(&rule{from: f.To, to: f.From, exceptWithinZone: exceptWithinZone, mode: mode, delay: f.Delay}))
 	}
 	return func() {
 		for _, lift := range lifts {
@@ -136,12 +136,12 @@
 	}
 }
 
-// cutOffController separates a controller from the state service, from its peers, or from both,
-// and from nobody else.
+// cutOffController cuts a controller off from the state service, from its peers, or from both. Its other connections
+// are not affected.
 func (cluster *Cluster) cutOffController(f *Fault) func() {
 	var lifts []func()
-	for to, meant := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
-		if meant {
+	for to, selected := range map[string]bool{"state": f.FromState, "controllers": f.FromPeers} {
+		if selected {
 			lifts = append(lifts, cluster.cutLinks(&Fault{Kind: "cut", From: f.Who, To: to, Mode: f.Mode}))
 		}
 	}
@@ -152,15 +152,13 @@
 	}
 }
 
-// defaultRestartDelay is how long after its end something is restarted, unless a fault says
-// otherwise.
+// defaultRestartDelay is the time after which a killed controller or machine restarts if the fault sets none.
 const defaultRestartDelay = 2 * time.Second
 
-// errExternalControllers is returned for faults of controller processes that this command has not
-// started.
+// errExternalControllers is returned for faults of controller processes if another program has started these.
 var errExternalControllers = errors.New("the controllers were not started by this command: end or stop their processes yourself")
 
-// applyToController kills or suspends a controller.
+// applyToController kills or suspends the controller that a fault names, or all controllers if it names none.
 func (cluster *Cluster) applyToController(f *Fault) (lift func(), err error) {
 	names := cluster.Config.controllerNames()
 	if f.Who != "" {
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -9,24 +9,24 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// endpoint is one end of a connection.
+// endpoint is one end of a network link.
 type endpoint struct {
-	name string // of a controller or a machine, or state or cloud
-	kind string // controllers, machines, or the same as the name
-	zone string // empty for what is regional
+	name string // name of a controller or a machine, state, cloud, or empty for an unknown controller
+	kind string // controllers, machines, state or cloud
+	zone string // empty for regional services
 }
 
-// matches reports whether a selector of a rule matches this side.
-func (s endpoint) matches(what string) bool {
-	return what == "all" || what == s.name || what == s.kind || s.zone != "" && what == "zone:"+s.zone
+// matches reports whether the selector of a rule matches this endpoint.
+func (e endpoint) matches(selector string) bool {
+	return selector == "all" || selector == e.name || selector == e.kind || e.zone != "" && selector == "zone:"+e.zone
 }
 
-// rule determines what happens to bytes from one side to another.
+// rule determines what happens to bytes sent from some endpoints to others.
 type rule struct {
 	from, to         string
-	exceptWithinZone bool // a zone that is isolated works inside
-	mode             string
-	delay            time.Duration
+	exceptWithinZone bool          // the rule does not apply between endpoints of the same zone
+	mode             string        // hold, lose or reset; empty if the rule only delays
+	delay            time.Duration // added to the transmission
 }
 
 // matches reports whether a rule matches a direction.
@@ -37,7 +37,7 @@
 	return !(r.exceptWithinZone && from.zone == to.zone)
 }
 
-// links applies the rules in force to all connections of a cluster.
+// links applies the active rules to all connections of a cluster.
 type links struct {
 	mu       sync.Mutex
 	rules    map[int]*rule
@@ -52,7 +52,7 @@
 	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*flowCounter{}}
 }
 
-// add puts a rule into force until the returned function is called.
+// add activates a rule until the returned function is called.
 func (l *links) add(r *rule) (lift func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,14 +75,14 @@
 	}
 }
 
-// notifyChange wakes all connections that wait for a rule to end; the lock is held.
+// notifyChange wakes all connections that wait for a rule to end. The caller holds the lock.
 func (l *links) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// modeOf returns what happens at present to bytes from one side to another, and a channel that is
-// closed when that changes.
+// modeOf returns the mode and the delay that currently apply to bytes between two endpoints, and a channel that is
+// closed when a rule is added or removed. An empty mode delivers them.
 func (l *links) modeOf(from, to endpoint) (mode string, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +90,7 @@
 		if r.matches(from, to) {
 			delay = max(delay, r.delay)
 			switch {
-			case r.mode == "reset": // what was open has been reset; nothing new comes through
+			case r.mode == "reset": // open connections have been closed; new ones get nothing through
 				mode = "hold"
 			case r.mode != "":
 				mode = r.mode
@@ -100,8 +100,8 @@
 	return mode, delay, l.changed
 }
 
-// awaitDelivery blocks until bytes may pass from one side to another, and reports whether they are
-// lost.
+// awaitDelivery blocks until the rules deliver or drop bytes between two endpoints, and reports whether they are lost.
+// It returns net.ErrClosed if done is closed before.
 func (l *links) awaitDelivery(done <-chan struct{}, from, to endpoint) (lost bool, err error) {
 	for {
 		mode, delay, changed := l.modeOf(from, to)
@@ -127,7 +127,7 @@
 	}
 }
 
-// link is one end of a connection whose bytes are subject to the rules.
+// link is one end of a connection whose traffic is subject to the rules.
 type link struct {
 	net.Conn
 	links          *links
@@ -138,11 +138,11 @@
 	sent, received *flowCounter
 
 	mu      sync.Mutex
-	held    [][]byte
+	held    [][]byte // written but not yet delivered, in order
 	closing bool
 }
 
-// wrap makes a connection subject to the rules.
+// wrap returns a connection whose traffic is subject to the rules.
 func (l *links) wrap(c net.Conn, local, peer endpoint) *link {
 	k := &link{Conn: c, links: l, local: local, peer: peer, done: make(chan struct{})}
 	l.mu.Lock()
@@ -179,8 +179,8 @@
 	}
 }
 
-// Write sends as the rules allow. Bytes that are lost or held back seem to be sent; those held
-// back are delivered later in order, also if the sender has closed the connection by then.
+// Write sends bytes as the rules allow. It also succeeds for bytes that are lost or held back. Those held back are
+// delivered in order later, even if the sender has closed the connection by then.
 func (c *link) Write(p []byte) (int, error) {
 	mode, delay, _ := c.links.modeOf(c.local, c.peer)
 	c.sent.add(len(p))
@@ -200,7 +200,7 @@
 	return len(p), nil
 }
 
-// deliver sends what was held back.
+// deliver sends the bytes that were held back, once the rules allow it.
 func (c *link) deliver() {
 	for {
 		lost, _ := c.links.awaitDelivery(nil, c.local, c.peer)
@@ -209,9 +209,9 @@
 			_, _ = c.Conn.Write(c.held[0])
 		}
 		c.held = c.held[1:]
-		left, closing := len(c.held), c.closing
+		remaining, closing := len(c.held), c.closing
 		c.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			if closing {
 				c.Conn.Close()
 			}
@@ -220,7 +220,7 @@
 	}
 }
 
-// Close closes the connection after what was held back is delivered.
+// Close closes the connection, once the bytes that were held back are delivered.
 func (c *link) Close() error {
 	c.once.Do(func() {
 		close(c.done)
@@ -238,20 +238,19 @@
 	return c.Conn.Close()
 }
 
-// host is the network as one side sees it. It uses plain sockets of the standard library, since
-// thousands of machines listen in one process and an event loop for each would be a thread for
-// each.
+// host is the network as one endpoint sees it. It uses the sockets of the standard library: thousands of machines
+// listen in one process, and an event loop for each would need a thread for each.
 type host struct {
 	links      *links
 	local      endpoint
-	endpointAt func(addr string) endpoint // returns the side at an address
+	endpointAt func(addr string) endpoint // returns the endpoint at an address
 }
 
 // Dial implements transport.Network.
 func (h host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	to := h.endpointAt(addr)
-	for _, way := range [][2]endpoint{{h.local, to}, {to, h.local}} { // a connection needs both
-		if lost, err := h.links.awaitDelivery(ctx.Done(), way[0], way[1]); err != nil {
+	for _, direction := range [][2]endpoint{{h.local, to}, {to, h.local}} { // a TCP handshake needs both
+		if lost, err := h.links.awaitDelivery(ctx.Done(), direction[0], direction[1]); err != nil {
 			return nil, err
 		} else if lost {
 			<-ctx.Done()
@@ -266,7 +265,7 @@
 	return h.links.wrap(c, h.local, to), nil
 }
 
-// Dial opens a connection that is not subject to faults.
+// Dial opens a connection that is not subject to injected faults.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp4", addr)
@@ -282,18 +281,19 @@
 	return nil
 }
 
-// accept serves the connections of a listener until the context ends.
+// accept serves the connections of a listener until the context ends, at most conns at a time; it closes excess
+// connections at once.
 func (h host) accept(ctx context.Context, lis net.Listener, conns int, serve func(net.Conn)) {
 	stop := context.AfterFunc(ctx, func() { _ = lis.Close() })
 	defer stop()
-	places := make(chan struct{}, conns)
+	slots := make(chan struct{}, conns)
 	for {
 		c, err := lis.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			c.Close()
 			continue
@@ -303,7 +303,7 @@
 			defer func() {
 				end()
 				c.Close()
-				<-places
+				<-slots
 			}()
 			serve(c)
 		}()
--- a/internal/emulator/links_test.go
+++ b/internal/emulator/links_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestHeldMessages checks that messages sent into a cut that holds them are delivered in order
-// when it ends, although the sender has given up, and none after a cut that loses them.
+// TestHeldMessages checks that messages sent during a cut with mode hold are delivered in order when the cut ends, even
+// though the sender has closed the connection, and that those sent during a cut with mode lose never are.
 func TestHeldMessages(t *testing.T) {
 	l := newLinks()
-	me, peer := endpoint{"n-1", "machines", "a"}, endpoint{"c-0", "controllers", "a"}
+	local, peer := endpoint{"n-1", "machines", "a"}, endpoint{"c-0", "controllers", "a"}
 	for _, mode := range []string{"hold", "lose"} {
 		a, b := net.Pipe()
-		k := l.wrap(a, me, peer)
+		k := l.wrap(a, local, peer)
 		lift := l.add(&rule{from: "machines", to: "c-0", mode: mode})
 		for _, text := range []string{"one ", "two ", "three"} {
 			if _, err := k.Write([]byte(text)); err != nil {
@@ -37,13 +37,12 @@
 		}()
 		lift()
 		if text, want := <-got, map[string]string{"hold": "one two three", "lose": ""}[mode]; text != want {
-			t.Errorf("%s: %q came through", mode, text)
+			t.Errorf("%s: %q was delivered", mode, text)
 		}
 	}
 }
 
-// TestDialNeedsBothDirections checks that no connection is established where answers are lost, as on a
-// real network.
+// TestDialNeedsBothDirections checks that dialing fails while responses are lost, as on a real network.
 func TestDialNeedsBothDirections(t *testing.T) {
 	lis, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +62,7 @@
 	}
 	lift := l.add(&rule{from: "c-0", to: "machines", mode: "lose"})
 	if dial() == nil {
-		t.Error("connected, though nothing comes back")
+		t.Error("connected although packets of the peer are lost")
 	}
 	lift()
 	if err := dial(); err != nil {
--- a/internal/emulator/machines.go
+++ b/internal/emulator/machines.go
@@ -10,19 +10,19 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// maxMachines bounds the machines of a cluster.
+// maxMachines is the maximum number of machines of a cluster.
 const maxMachines = 20_000
 
-// createCloud creates the cloud, whose machines are emulated workers or started by Options.Machine.
+// createCloud creates the cloud. Its machines are started by Options.Machine or are emulated workers.
 func (cluster *Cluster) createCloud() {
 	c := cluster.Config
 	cluster.fixture = newTaskFixture(cluster)
 	cluster.fixture.SetQuietSince(cluster.startedAt)
 	runtime := simulator.NewTaskRuntime(cluster.fixture, c.Workers.GangWait, c.Workers.GangPeer)
-	names := map[string]string{}
+	addrByController := map[string]string{}
 	cluster.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
-		names[cluster.controllerEndpoint(i).name] = cluster.Public(i)
+		addrByController[cluster.controllerEndpoint(i).name] = cluster.Public(i)
 		cluster.replayer.Controllers = append(cluster.replayer.Controllers, cluster.Public(i))
 	}
 	cluster.cloud = &simulator.Cloud{Types: c.Types, CapacityByOffer: c.CapacityByOffer, RPS: c.Cloud.RPS, ListLag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
@@ -33,12 +33,13 @@
 					return m
 				}
 			}
-			me := endpoint{id, "machines", zone}
-			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.machineType(typ), Net: host{cluster.links, me, cluster.endpointAt},
-				TakeDown: func() { cluster.freePort(addr) }, Controllers: names, Runtime: runtime, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: cluster.replayer})
+			local := endpoint{id, "machines", zone}
+			return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: c.machineType(typ), Net: host{cluster.links, local, cluster.endpointAt},
+				TakeDown: func() { cluster.freePort(addr) }, Controllers: addrByController, Runtime: runtime, Lease: c.Workers.Lease, HeartbeatInterval: c.Workers.HeartbeatInterval, SharedFetchRate: c.SharedFetchRate, Replayer: cluster.replayer})
 		}}
 }
 
+// machineType returns the machine type with a name, or the zero value.
 func (c *Config) machineType(typ string) wire.MachineType {
 	for _, t := range c.Types {
 		if t.Name == typ {
@@ -48,7 +49,7 @@
 	return wire.MachineType{}
 }
 
-// machineAddr reserves the first free port for a machine.
+// machineAddr reserves the first free port and returns its address. The worker frees it when it stops.
 func (cluster *Cluster) machineAddr(int) string {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
@@ -59,16 +60,16 @@
 			return fmt.Sprintf("127.0.0.1:%d", p)
 		}
 	}
-	return cluster.addr(cluster.ports.machines) // it will never come up
+	return cluster.addr(cluster.ports.machines) // all ports are in use: the machine will fail to listen and never come up
 }
 
-// freePort releases the port of a machine.
+// freePort releases the port of a machine after a second, when its listener is closed.
 func (cluster *Cluster) freePort(addr string) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
 	var p int
 	if _, err := fmt.Sscanf(addr, "127.0.0.1:%d", &p); err == nil {
-		time.AfterFunc(time.Second, func() { // its listener is closed by then
+		time.AfterFunc(time.Second, func() {
 			cluster.mu.Lock()
 			defer cluster.mu.Unlock()
 			delete(cluster.usedPorts, p)
@@ -76,10 +77,11 @@
 	}
 }
 
-// selectMachines selects machines of a fault's zone, or spot machines only.
-func (cluster *Cluster) selectMachines(f *Fault, spot bool) (ids []string) {
+// selectMachines selects running machines at random, as many as a fault's count or share sets, else all of them. It
+// considers only machines in the fault's zone, if one is set, and only spot machines if spotOnly is set.
+func (cluster *Cluster) selectMachines(f *Fault, spotOnly bool) (ids []string) {
 	cluster.cloud.EachRunning(func(m wire.ListedMachine, _ simulator.Machine) {
-		if (f.Zone == "" || m.Zone == f.Zone) && (!spot || m.Spot) {
+		if (f.Zone == "" || m.Zone == f.Zone) && (!spotOnly || m.Spot) {
 			ids = append(ids, m.ID)
 		}
 	})
@@ -100,19 +102,19 @@
 
 // forEachMachine calls a function for each machine that a fault selects.
 func (cluster *Cluster) forEachMachine(f *Fault, do func(simulator.Machine)) {
-	picked := map[string]bool{}
+	selected := map[string]bool{}
 	for _, id := range cluster.selectMachines(f, false) {
-		picked[id] = true
+		selected[id] = true
 	}
 	cluster.cloud.EachRunning(func(m wire.ListedMachine, machine simulator.Machine) {
-		if picked[m.ID] {
+		if selected[m.ID] {
 			do(machine)
 		}
 	})
 }
 
-// applyUntilLifted applies a fault to the machines that it selects and returns the function that ends
-// it.
+// applyUntilLifted switches a fault on for each machine that it selects, and returns the function that switches it off
+// for these machines.
 func (cluster *Cluster) applyUntilLifted(f *Fault, do func(m simulator.Machine, on bool)) (lift func()) {
 	var all []simulator.Machine
 	cluster.forEachMachine(f, func(m simulator.Machine) {
--- a/internal/emulator/persistence.go
+++ b/internal/emulator/persistence.go
@@ -13,7 +13,8 @@
 
 func (cluster *Cluster) stateFile() string { return filepath.Join(cluster.opt.Dir, "state.cbor") }
 
-// restoreState loads a persisted state, and persists this cluster's state from then on.
+// restoreState loads the persisted state, if there is one, and starts to persist the state each second. It does nothing
+// unless Options.Persist is set.
 func (cluster *Cluster) restoreState() error {
 	if !cluster.opt.Persist {
 		return nil
@@ -26,10 +27,10 @@
 	default:
 		var snapshot simulator.StateSnapshot
 		if err := wire.Decode(text, &snapshot); err != nil {
-			return fmt.Errorf("%s is not a kept state: %w", cluster.stateFile(), err)
+			return fmt.Errorf("%s holds no persisted state: %w", cluster.stateFile(), err)
 		}
 		cluster.state.Resume(snapshot)
-		cluster.log.Info("going on with a kept state", "keys", len(snapshot.Items), "revision", snapshot.Revision)
+		cluster.log.Info("resuming from persisted state", "keys", len(snapshot.Items), "revision", snapshot.Revision)
 	}
 	go func() {
 		for cluster.ctx.Err() == nil {
@@ -40,9 +41,9 @@
 	return nil
 }
 
-// persistState writes the state to disk.
+// persistState writes the content of the state service to disk.
 func (cluster *Cluster) persistState() {
 	if err := writeFileAtomic(cluster.stateFile(), wire.Encode(cluster.state.Snapshot())); err != nil {
-		cluster.log.Error("the state can't be kept", "error", err)
+		cluster.log.Error("persisting the state failed", "error", err)
 	}
 }
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -14,32 +14,32 @@
 	"time"
 )
 
-// Processes are the controllers of a cluster as child processes. They are terminated with the
-// parent, however it ends.
+// Processes runs the controllers of a cluster as child processes. They are killed when the parent ends, however that
+// happens.
 type Processes struct {
-	Program  string // path of the amberdeal binary
-	Level    string // their LOG_LEVEL
-	Dir      string // of their logs
-	Settings func(i int) string
-	Tuning   string             // content of every controller's operators' file, if any
-	Extra    func(i int) string // additional content for one controller, if set
-	Metrics  func(i int) string // address at which each serves metrics
+	Program  string             // path of the amberdeal binary
+	Level    string             // LOG_LEVEL of the controllers
+	Dir      string             // directory of their logs and operators' files
+	Settings func(i int) string // path of a controller's platform file
+	Tuning   string             // content of the operators' file of all controllers; may be empty
+	Extra    func(i int) string // if set, returns additional content for one controller's operators' file
+	Metrics  func(i int) string // address at which a controller serves metrics
 
 	ctx           context.Context
 	startRequests chan func()
 	mu            sync.Mutex
 	procs         map[int]*exec.Cmd
-	stopped       bool // all were terminated; no process is started any more
+	stopped       bool // set by Stop: no process is started any more
 }
 
-// Begin prepares the processes, which are terminated when the context ends.
+// Begin has to be called before Start. No process is started after the context ends, and those that run are killed.
 func (p *Processes) Begin(ctx context.Context) {
 	p.ctx, p.startRequests, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
 	go p.startLoop()
 }
 
-// startLoop starts processes, always on the same thread: the kernel kills them when that thread
-// ends, however this process ends.
+// startLoop starts processes on a single locked OS thread. The kernel kills them when that thread ends (Pdeathsig),
+// however this process ends.
 func (p *Processes) startLoop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -53,28 +53,28 @@
 	}
 }
 
-// Log returns the path of a controller's log.
+// Log returns the path of a controller's log file.
 func (p *Processes) Log(i int) string { return filepath.Join(p.Dir, fmt.Sprintf("c-%d.log", i)) }
 
-// Start starts a controller that does not run.
+// Start starts a controller that is not running.
 func (p *Processes) Start(i int) error {
 	log, err := os.OpenFile(p.Log(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	tuning := filepath.Join(p.Dir, fmt.Sprintf("c-%d.ini", i))
+	operatorsFile := filepath.Join(p.Dir, fmt.Sprintf("c-%d.ini", i))
 	text := p.Tuning
 	if p.Extra != nil {
 		text += p.Extra(i)
 	}
-	if err := writeFileAtomic(tuning, []byte(text+"\n[metrics]\nlisten = "+p.Metrics(i)+"\n")); err != nil {
+	if err := writeFileAtomic(operatorsFile, []byte(text+"\n[metrics]\nlisten = "+p.Metrics(i)+"\n")); err != nil {
 		return err
 	}
-	cmd := exec.Command(p.Program, "serve", "--config", p.Settings(i), "--settings", tuning)
+	cmd := exec.Command(p.Program, "serve", "--config", p.Settings(i), "--settings", operatorsFile)
 	cmd.Stderr = log
 	cmd.Env = append(os.Environ(), "LOG_LEVEL="+p.Level)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // Ctrl-C is this process's to deal with
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // Setpgid: Ctrl-C reaches only this process, which stops the controllers
 	done := make(chan error, 1)
 	select {
 	case p.startRequests <- func() { done <- cmd.Start() }:
@@ -85,12 +85,12 @@
 		return err
 	}
 	p.mu.Lock()
-	over := p.stopped
-	if !over {
+	stopped := p.stopped
+	if !stopped {
 		p.procs[i] = cmd
 	}
 	p.mu.Unlock()
-	if over { // meanwhile
+	if stopped { // while the process was starting
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		return errProcessesStopped
@@ -98,10 +98,10 @@
 	return nil
 }
 
-// errProcessesStopped is returned once all processes were terminated.
-var errProcessesStopped = errors.New("all controllers were ended")
+// errProcessesStopped is returned by Start after Stop.
+var errProcessesStopped = errors.New("all controllers have been stopped")
 
-// PID returns the process id of a controller, 0 if it does not run.
+// PID returns the process id of a controller, or 0 if it is not running.
 func (p *Processes) PID(i int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,15 +123,14 @@
 	}
 }
 
-// KillNamed injects a crash: the controller is killed and started again after a while, 2 s by
-// default.
-func (p *Processes) KillNamed(name string, back time.Duration) error {
+// KillNamed injects a crash: it kills a controller and restarts it after a delay, 2 s if that is 0.
+func (p *Processes) KillNamed(name string, restartDelay time.Duration) error {
 	i, err := controllerIndex(name)
 	if err != nil {
 		return err
 	}
 	p.Kill(i)
-	time.AfterFunc(cmp.Or(back, defaultRestartDelay), func() {
+	time.AfterFunc(cmp.Or(restartDelay, defaultRestartDelay), func() {
 		if p.ctx.Err() == nil {
 			_ = p.Start(i)
 		}
@@ -139,8 +138,8 @@
 	return nil
 }
 
-// PauseNamed suspends a controller, or lets it continue.
-func (p *Processes) PauseNamed(name string, still bool) error {
+// PauseNamed suspends a controller (SIGSTOP) or resumes it (SIGCONT).
+func (p *Processes) PauseNamed(name string, paused bool) error {
 	i, err := controllerIndex(name)
 	if err != nil {
 		return err
@@ -148,7 +147,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sig := syscall.SIGCONT
-	if still {
+	if paused {
 		sig = syscall.SIGSTOP
 	}
 	if cmd := p.procs[i]; cmd != nil {
@@ -157,6 +156,7 @@
 	return errors.New(name + " does not run")
 }
 
+// controllerIndex returns the index of the controller with a name, such as c-0.
 func controllerIndex(name string) (i int, err error) {
 	if _, err = fmt.Sscanf(name, "c-%d", &i); err != nil {
 		err = fmt.Errorf("%q is no controller", name)
@@ -164,7 +164,7 @@
 	return i, err
 }
 
-// Stop terminates all processes.
+// Stop kills all processes and prevents further starts.
 func (p *Processes) Stop() {
 	p.mu.Lock()
 	p.stopped = true
--- a/internal/emulator/ready.go
+++ b/internal/emulator/ready.go
@@ -9,12 +9,12 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// readyTimeout bounds how long controllers may take to become ready.
+// readyTimeout is the time within which all controllers have to become ready.
 const readyTimeout = 30 * time.Second
 
-// Ready waits until all controllers at the addresses are ready.
+// Ready waits until the controllers at all addresses are ready.
 func Ready(ctx context.Context, caller *transport.Caller, addrs []string) error {
-	for begun := time.Now(); ; {
+	for startedAt := time.Now(); ; {
 		n := 0
 		for _, addr := range addrs {
 			call, cancel := context.WithTimeout(ctx, time.Second)
@@ -28,8 +28,8 @@
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case time.Since(begun) > readyTimeout:
-			return fmt.Errorf("%d of %d controllers came up within 30 s", n, len(addrs))
+		case time.Since(startedAt) > readyTimeout:
+			return fmt.Errorf("%d of %d controllers became ready within 30 s", n, len(addrs))
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -51,11 +51,11 @@
 			peers = append(peers, map[string]any{"host_name": cluster.controllerEndpoint(k).name, "location": cluster.zoneOf(k), "peer_addr": cluster.addr(cluster.ports.peerLink(i, k))})
 		}
 	}
-	wk := c.Workers
+	workers := c.Workers
 	return map[string]any{"host_name": cluster.controllerEndpoint(i).name, "location": cluster.zoneOf(i), "public_addr": cluster.Public(i), "mesh_addr": cluster.addr(cluster.ports.mesh + i), "siblings": peers,
 		"endpoints": map[string]any{"cloud": cluster.addr(cluster.ports.cloud + i), "state": cluster.addr(cluster.ports.state + i)},
 		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
-			"workers": map[string]any{"report_s": wk.HeartbeatInterval.Seconds(), "lease_s": wk.Lease.Seconds(), "gang_wait_s": wk.GangWait.Seconds(), "gang_peer_s": wk.GangPeer.Seconds(), "cancel_s": wk.Cancel.Seconds()},
+			"workers": map[string]any{"report_s": workers.HeartbeatInterval.Seconds(), "lease_s": workers.Lease.Seconds(), "gang_wait_s": workers.GangWait.Seconds(), "gang_peer_s": workers.GangPeer.Seconds(), "cancel_s": workers.Cancel.Seconds()},
 			"state":   map[string]any{"rps": c.State.RPS, "write_rps": c.State.WriteRPS, "value_kb": float64(c.State.ValueBytes) / 1024, "txn_ops": c.State.TxnOps},
 			"cloud":   map[string]any{"rps": c.Cloud.RPS, "list_lag_s": c.Cloud.ListLag.Seconds()},
 			"limits":  map[string]any{"ram_mb": float64(c.Limits.RAMBytes >> 20), "fd_limit": c.Limits.Files}}}
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// runTimeline stages the faults of the world file, each at its time.
+// runTimeline stages each fault of the timeline at its time.
 func (cluster *Cluster) runTimeline() {
 	for _, f := range cluster.Config.Timeline {
 		sleep(cluster.ctx, f.At-time.Since(cluster.startedAt))
@@ -17,7 +17,7 @@
 	}
 }
 
-// Stage injects a fault now, for its duration or until it is lifted.
+// Stage injects a fault now. The fault is lifted after its duration, or by Lift if it has none.
 func (cluster *Cluster) Stage(f Fault) (StagedFault, error) {
 	if err := f.Check(cluster.Config); err != nil {
 		return StagedFault{}, err
@@ -29,11 +29,11 @@
 	cluster.mu.Lock()
 	cluster.faultCount++
 	s := StagedFault{Number: cluster.faultCount, Label: f.Label, Description: f.describe(), Since: cluster.ageSeconds(), lift: lift}
-	kept := s
-	cluster.activeFaults[s.Number] = &kept
+	staged := s
+	cluster.activeFaults[s.Number] = &staged
 	cluster.fixture.SetQuietSince(time.Time{})
 	cluster.mu.Unlock()
-	cluster.log.Info("fault", "number", s.Number, "label", f.Label, "what", s.Description)
+	cluster.log.Info("fault staged", "number", s.Number, "label", f.Label, "what", s.Description)
 	switch {
 	case lift == nil:
 		cluster.Lift(s.Number)
@@ -43,7 +43,7 @@
 	return s, nil
 }
 
-// Lift ends an active fault, and reports whether it was active.
+// Lift ends an active fault. It returns false if the fault is not active.
 func (cluster *Cluster) Lift(number int) bool {
 	cluster.mu.Lock()
 	s := cluster.activeFaults[number]
@@ -63,7 +63,7 @@
 	return true
 }
 
-// noActiveFaults reports whether no fault is active.
+// noActiveFaults reports whether no fault is active. The caller holds the lock.
 func (cluster *Cluster) noActiveFaults() bool {
 	for _, s := range cluster.activeFaults {
 		if s.Until == 0 {
@@ -73,12 +73,12 @@
 	return true
 }
 
-// ageSeconds returns the seconds since the cluster started.
+// ageSeconds returns the seconds since the cluster started, rounded to milliseconds.
 func (cluster *Cluster) ageSeconds() float64 {
 	return time.Since(cluster.startedAt).Round(time.Millisecond).Seconds()
 }
 
-// StagedFault is a fault that is active, or was.
+// StagedFault is a fault that is or was active. Times are in seconds since the cluster started.
 type StagedFault struct {
 	Number      int     `json:"number"`
 	Label       string  `json:"label,omitempty"`
--- a/internal/emulator/task_fixture.go
+++ b/internal/emulator/task_fixture.go
@@ -10,9 +10,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// taskFixture determines how long tasks run: as long as their owners estimate, services until they
-// are stopped. It looks jobs up at the controllers, as a platform would upload them, and checks
-// the rules of the protocol.
+// taskFixture determines how long tasks run: as long as the job estimates, or until they are stopped if they belong to
+// a service. It looks up unknown jobs at the controllers, in place of a platform that uploads the work, and checks the
+// rules of the protocol.
 type taskFixture struct {
 	*simulator.Checker
 	cluster *Cluster
@@ -48,33 +48,33 @@
 
 // LookUp implements simulator.LookupFixture.
 func (f *taskFixture) LookUp(ctx context.Context, t wire.TaskID) error {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		if _, known := f.Describe(t.Job); known {
 			return nil
 		}
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := f.caller.Call(call, f.cluster.Public((t.Index+try)%f.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
+		resp, err := f.caller.Call(call, f.cluster.Public((t.Index+attempt)%f.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
 		cancel()
 		var j wire.Job
 		switch {
 		case err == nil && resp.Status == 200 && wire.Decode(resp.Body, &j) == nil:
 			f.recordSubmission(&j)
 			return nil
-		case err == nil && resp.Status == 404 && try > 2, ctx.Err() != nil, try > 30:
+		case err == nil && resp.Status == 404 && attempt > 2, ctx.Err() != nil, attempt > 30:
 			return fmt.Errorf("job %s is not known", t.Job)
 		}
 		sleep(ctx, 300*time.Millisecond)
 	}
 }
 
-// recordSubmission records a job, once.
+// recordSubmission records a job and its run time, unless the job is known already.
 func (f *taskFixture) recordSubmission(j *wire.Job) {
 	if _, known := f.Describe(j.ID); known {
 		return
 	}
-	run := max(100*time.Millisecond, j.Estimate())
+	runTime := max(100*time.Millisecond, j.Estimate())
 	if j.Shape == wire.Service {
-		run = 10_000 * time.Hour
+		runTime = 10_000 * time.Hour
 	}
-	f.Submitted(j, run)
+	f.Submitted(j, runTime)
 }
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -2,11 +2,11 @@
 
 import "sync/atomic"
 
-// Direction is a direction of traffic. Its ends are a controller's name, all machines, the state
-// service or the cloud. A controller that calls a machine is not known by name.
+// Direction is a direction of traffic between two ends. An end is the name of a controller, or one of the constants
+// below. Controllers that connect to a machine are not told apart: their end is Controllers.
 type Direction struct{ From, To string }
 
-// The ends of directions that are not controllers.
+// Ends of a Direction that are not the name of a controller.
 const (
 	Machines    = "machines"
 	Controllers = "controllers"
@@ -14,20 +14,20 @@
 	CloudName   = "cloud"
 )
 
-// Flow is the traffic of one direction. A message is what was read or written at once.
+// Flow is the amount of traffic in one direction. Each read or write of a socket counts as a message.
 type Flow struct{ Bytes, Messages uint64 }
 
-// Sub returns the traffic since an earlier count.
+// Sub returns the traffic since an earlier reading.
 func (f Flow) Sub(earlier Flow) Flow {
 	return Flow{f.Bytes - earlier.Bytes, f.Messages - earlier.Messages}
 }
 
-// Add adds two flows.
+// Add returns the sum of two flows.
 func (f Flow) Add(other Flow) Flow {
 	return Flow{f.Bytes + other.Bytes, f.Messages + other.Messages}
 }
 
-// flowCounter counts a flow.
+// flowCounter counts the traffic of one direction.
 type flowCounter struct{ bytes, messages atomic.Uint64 }
 
 func (c *flowCounter) add(n int) {
@@ -35,15 +35,15 @@
 	c.messages.Add(1)
 }
 
-// directionEnd returns the name of a side in a Direction.
-func (s endpoint) directionEnd() string {
-	if s.kind == Machines || s.name == "" {
-		return s.kind
+// directionEnd returns the name of an endpoint in a Direction.
+func (e endpoint) directionEnd() string {
+	if e.kind == Machines || e.name == "" {
+		return e.kind
 	}
-	return s.name
+	return e.name
 }
 
-// counter returns the counter of a direction; the lock is held.
+// counter returns the counter of a direction. The caller holds the lock.
 func (l *links) counter(from, to endpoint) *flowCounter {
 	direction := Direction{from.directionEnd(), to.directionEnd()}
 	if l.traffic[direction] == nil {
@@ -52,8 +52,8 @@
 	return l.traffic[direction]
 }
 
-// Traffic returns the traffic of each direction since the cluster started. Connections of users
-// and of machines that are not emulated go to controllers directly and are not counted.
+// Traffic returns the traffic in each direction since the cluster started. Connections of users and of machines that
+// are not emulated go to the controllers directly and are not counted.
 func (cluster *Cluster) Traffic() map[Direction]Flow {
 	cluster.links.mu.Lock()
 	defer cluster.links.mu.Unlock()
--- a/internal/emulator/user_faults.go
+++ b/internal/emulator/user_faults.go
@@ -12,31 +12,32 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// UserInstructions tells the load generator what users have to do at present; it polls for them
-// while a cluster judges its run.
+// UserInstructions tells the load generator what its users have to do now. The load generator polls for instructions
+// while the cluster checks its run.
 type UserInstructions struct {
-	Cancel            []string `json:"cancel"` // jobs to cancel at once, each listed once
+	Cancel            []string `json:"cancel"` // jobs to cancel immediately; each is listed in one response only
 	MalformedRequests bool     `json:"odd_requests"`
 	ConcurrentReads   bool     `json:"close_looks"`
 }
 
-// userFaults are the faults that consist of users' behaviour.
+// userFaults holds the faults that consist of unusual behaviour of users.
 type userFaults struct {
 	mu                   sync.Mutex
 	toCancel             []string
 	endedJobs            map[string]bool // jobs whose last task has completed
-	cancelAtEndShare     float64         // share of them that are cancelled at that time
+	cancelAtEndShare     float64         // share of jobs that are cancelled at that time
 	rng                  *rand.Rand
-	malformedFaults      int // number of active faults of the kind
-	concurrentReadFaults int
-	wake                 chan struct{}
+	malformedFaults      int           // number of active odd_requests faults
+	concurrentReadFaults int           // number of active close_looks faults
+	wake                 chan struct{} // signals new cancellations to a waiting poll
 }
 
+// initialize prepares the zero value for use.
 func (u *userFaults) initialize(seed uint64) {
 	u.endedJobs, u.rng, u.wake = make(map[string]bool), rand.New(rand.NewPCG(seed, 10)), make(chan struct{}, 1)
 }
 
-// requestCancel instructs users to cancel jobs.
+// requestCancel instructs users to cancel jobs. The caller holds the lock.
 func (u *userFaults) requestCancel(jobs ...string) {
 	u.toCancel = append(u.toCancel, jobs...)
 	select {
@@ -55,10 +56,10 @@
 	u.endedJobs[job] = true
 }
 
-// instructionsWait is how long a poll for instructions waits for a cancellation.
+// instructionsWait is how long a poll for instructions waits for cancellations.
 const instructionsWait = 100 * time.Millisecond
 
-// instructions returns what users have to do now; it returns early if there are cancellations.
+// instructions returns the current instructions after instructionsWait, or as soon as there are jobs to cancel.
 func (u *userFaults) instructions() UserInstructions {
 	select {
 	case <-u.wake:
@@ -66,23 +67,22 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	o := UserInstructions{Cancel: u.toCancel, MalformedRequests: u.malformedFaults > 0, ConcurrentReads: u.concurrentReadFaults > 0}
+	instructions := UserInstructions{Cancel: u.toCancel, MalformedRequests: u.malformedFaults > 0, ConcurrentReads: u.concurrentReadFaults > 0}
 	u.toCancel = nil
-	return o
+	return instructions
 }
 
-// The bounds of cancel_now: the remaining run time of its jobs, and how many of their machines it
-// pauses.
+// Bounds of cancel_now faults.
 const (
-	minRemaining = 10 * time.Second
-	maxPaused    = 8
+	minRemaining = 10 * time.Second // remaining run time of the jobs that are cancelled
+	maxPaused    = 8                // machines of these jobs that are paused
 )
 
 var errNoLongJobs = errors.New("no job runs that has 10 s to go")
 
-// apply injects a fault that concerns users.
+// apply injects a fault of users' behaviour.
 func (u *userFaults) apply(cluster *Cluster, f *Fault) (lift func(), err error) {
-	count := func(n *int) func() {
+	activate := func(n *int) func() {
 		add := func(by int) {
 			u.mu.Lock()
 			defer u.mu.Unlock()
@@ -93,17 +93,17 @@
 	}
 	switch f.Kind {
 	case "odd_requests":
-		return count(&u.malformedFaults), nil
+		return activate(&u.malformedFaults), nil
 	case "close_looks":
-		return count(&u.concurrentReadFaults), nil
+		return activate(&u.concurrentReadFaults), nil
 	case "cancel_at_end":
-		share := func(s float64) {
+		setShare := func(share float64) {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			u.cancelAtEndShare = s
+			u.cancelAtEndShare = share
 		}
-		share(f.Share)
-		return func() { share(0) }, nil
+		setShare(f.Share)
+		return func() { setShare(0) }, nil
 	}
 	jobs, machines := cluster.fixture.LongRunning(cmp.Or(f.Count, 1), minRemaining)
 	if len(jobs) == 0 {
@@ -121,6 +121,6 @@
 	if f.Hang == 0 {
 		return nil, nil
 	}
-	f.For = f.Hang // it is in force until they go on
+	f.For = f.Hang // the fault is active until the machines resume
 	return func() {}, nil
 }
