--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -15,7 +15,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// What users ask for.
+// opKind is the kind of a user's request.
 type opKind int
 
 const (
@@ -24,46 +24,47 @@
 	opCancel
 )
 
-// answer is what a user was told: known is false where no answer came or the service decided
-// nothing.
+// answer is the response to a request.
 type answer struct {
-	known  bool
-	absent bool // 404
+	known  bool // false if there was no response, or one from which the outcome does not follow
+	absent bool // the job does not exist (404)
 	stage  wire.Stage
 }
 
-// answerHistory records the operations on each job with their answers and times.
+// answerHistory records the operations on each job with their responses and times.
 type answerHistory struct {
 	mu         sync.Mutex
 	startedAt  time.Time
-	ops        map[string][]porcupine.Operation
-	lastStages map[string]wire.Stage
+	ops        map[string][]porcupine.Operation // by job
+	lastStages map[string]wire.Stage            // last stage that was reported, by job
 }
 
+// reset prepares the history for a new run.
 func (h *answerHistory) reset() {
 	h.startedAt, h.ops, h.lastStages = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
 }
 
+// now returns the nanoseconds since the start of the run.
 func (h *answerHistory) now() int64 { return time.Since(h.startedAt).Nanoseconds() }
 
-// add records an operation. One without an answer may take effect at any later time.
-func (h *answerHistory) add(job string, op opKind, status int, stage wire.Stage, sent, back int64) {
+// add records an operation. One whose outcome is unknown may take effect at any later time.
+func (h *answerHistory) add(job string, op opKind, status int, stage wire.Stage, sent, answered int64) {
 	out := answer{known: status == 200 || status == 201 || status == 404, absent: status == 404, stage: stage}
 	if !out.known && op == opStatus {
-		return // it told nothing, and did nothing
+		return // a poll without a response has no effect
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !out.known {
-		back = 1<<62 - 1
+		answered = 1<<62 - 1
 	}
-	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: len(h.ops[job]), Input: op, Call: sent, Output: out, Return: back})
+	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: len(h.ops[job]), Input: op, Call: sent, Output: out, Return: answered})
 	if out.known && !out.absent && !h.lastStages[job].Final() {
 		h.lastStages[job] = stage
 	}
 }
 
-// openJobs lists the jobs that were accepted and whose users were not told of their end.
+// openJobs returns the accepted jobs for which no final stage was reported, in the order of their ids.
 func (h *answerHistory) openJobs() (jobs []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,14 +77,14 @@
 	return jobs
 }
 
-// lastStage returns the last stage that the user of a job was told.
+// lastStage returns the last stage that was reported for a job.
 func (h *answerHistory) lastStage(job string) wire.Stage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastStages[job]
 }
 
-// jobState is the part of its life cycle that a job has reached.
+// jobState is a state in the life cycle of a job.
 type jobState int
 
 const (
@@ -111,7 +112,7 @@
 		switch {
 		case out.absent:
 			return s == stateAbsent && input != opSubmit, s
-		case out.stage == wire.Done: // it may have ended at any moment before
+		case out.stage == wire.Done: // the job may have ended at any time before
 			return next == stateLive || next == stateDone, stateDone
 		case out.stage == wire.Cancelled:
 			return next == stateCancelled || next == stateLive && input == opCancel, stateCancelled
@@ -122,10 +123,10 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " ", output) },
 }
 
-// checkTimeout bounds the search for a linearization of one job's answers.
+// checkTimeout bounds the search for a linearization of the operations on one job.
 const checkTimeout = 5 * time.Second
 
-// violations lists the jobs whose answers have no linearization.
+// violations returns a message for each job whose operations have no linearization.
 func (h *answerHistory) violations() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,20 +139,20 @@
 	return out
 }
 
-// ClusterStatus asks an emulated cluster for its status.
+// ClusterStatus requests the status of the emulated cluster with a control address.
 func ClusterStatus(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
-	call, cancel := context.WithTimeout(ctx, 5*time.Second)
+	callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	resp, err := caller.Call(call, control, "GET", emulator.PathStatus, nil)
+	resp, err := caller.Call(callCtx, control, "GET", emulator.PathStatus, nil)
 	if err != nil {
-		return nil, fmt.Errorf("the world at %s: %w", control, err)
+		return nil, fmt.Errorf("emulated cluster at %s: %w", control, err)
 	}
 	var s emulator.Status
 	if resp.Status != 200 {
-		return nil, fmt.Errorf("the world at %s: status %d", control, resp.Status)
+		return nil, fmt.Errorf("emulated cluster at %s: response status %d", control, resp.Status)
 	}
 	if err := json.Unmarshal(resp.Body, &s); err != nil {
-		return nil, fmt.Errorf("the world at %s: status of the cluster: %w", control, err)
+		return nil, fmt.Errorf("emulated cluster at %s: decoding its status: %w", control, err)
 	}
 	return &s, nil
 }
--- a/internal/load/answer_history_test.go
+++ b/internal/load/answer_history_test.go
@@ -7,14 +7,14 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestAnswerHistory checks that overlapping answers may come in any order, and that a job is
-// reported that was over and is live again, that is forgotten, or that ends in two ways.
+// TestAnswerHistory checks that overlapping operations may take effect in any order, and that a violation is reported
+// if a job is live again after its end, is forgotten, or has two different final stages.
 func TestAnswerHistory(t *testing.T) {
 	type op struct {
-		kind       opKind
-		status     int
-		stage      wire.Stage
-		sent, back int64
+		kind           opKind
+		status         int
+		stage          wire.Stage
+		sent, answered int64
 	}
 	for name, x := range map[string]struct {
 		ops    []op
@@ -34,7 +34,7 @@
 		var h answerHistory
 		h.reset()
 		for _, o := range x.ops {
-			h.add("wk-1", o.kind, o.status, o.stage, o.sent, o.back)
+			h.add("wk-1", o.kind, o.status, o.stage, o.sent, o.answered)
 		}
 		if got := strings.Join(h.violations(), "; "); (got != "") != x.broken {
 			t.Errorf("%s: %q", name, got)
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -9,12 +9,12 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenResult: the JSON of a load's result has the fields that it had.
+// TestGoldenResult checks that the JSON encoding of a result is unchanged.
 func TestGoldenResult(t *testing.T) {
 	goldentest.Check[Result](t, "result.json", json.Marshal, json.Unmarshal)
 }
 
-// TestGoldenMix: the file of a mix has the keys that it had, and they mean what they meant.
+// TestGoldenMix checks that a mix file parses to the same settings as before.
 func TestGoldenMix(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/load.ini")
 	if err != nil {
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -12,23 +12,23 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// trackedJob is a job with its user, who may make several requests at once.
+// trackedJob is a job that a user submits and follows, possibly with several concurrent requests.
 type trackedJob struct {
-	firstController int // the first that is asked
+	firstController int // index of the controller that gets the first request
 	job             *wire.Job
-	body            []byte      // of its submission
-	cancelRequested atomic.Bool // to cancel it
-	toldToCancel    atomic.Bool // instructed to do so by a fault of the cluster
+	body            []byte      // body of the submission
+	cancelRequested atomic.Bool // the user has requested the cancellation
+	toldToCancel    atomic.Bool // a fault of the cluster instructs the user to cancel the job
 }
 
-// InstructionCounts counts what users did on the cluster's instructions.
+// InstructionCounts counts what users did on the instructions of the emulated cluster.
 type InstructionCounts struct {
-	Cancelled         int `json:"cancelled"` // jobs
+	Cancelled         int `json:"cancelled"` // jobs that users were instructed to cancel
 	MalformedRequests int `json:"odd_requests"`
-	ConcurrentReads   int `json:"close_looks"` // answers
+	ConcurrentReads   int `json:"close_looks"` // responses to concurrent reads and submissions
 }
 
-// followInstructions does what the cluster's faults have users do, until the context ends.
+// followInstructions polls the emulated cluster for instructions to users and carries them out until the context ends.
 func (r *Runner) followInstructions(ctx context.Context) {
 	if r.JudgeAddr == "" {
 		return
@@ -36,18 +36,18 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for round := 0; ctx.Err() == nil; round++ {
-		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.JudgeAddr, "GET", emulator.PathUserInstructions, nil)
+		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		resp, err := r.Caller.Call(callCtx, r.JudgeAddr, "GET", emulator.PathUserInstructions, nil)
 		cancel()
-		var o emulator.UserInstructions
-		if err != nil || json.Unmarshal(resp.Body, &o) != nil {
+		var instructions emulator.UserInstructions
+		if err != nil || json.Unmarshal(resp.Body, &instructions) != nil {
 			pause(ctx, time.Second)
 			continue
 		}
 		r.mu.Lock()
-		r.instructions = o
+		r.instructions = instructions
 		var toCancel []*trackedJob
-		for _, id := range o.Cancel {
+		for _, id := range instructions.Cancel {
 			if tracked := r.jobs[id]; tracked != nil {
 				toCancel = append(toCancel, tracked)
 			}
@@ -55,20 +55,20 @@
 		r.instructionCounts.Cancelled += len(toCancel)
 		r.mu.Unlock()
 		for k, tracked := range toCancel {
-			tracked.toldToCancel.Store(true) // also again, until it is answered
+			tracked.toldToCancel.Store(true) // the user repeats the request until it succeeds
 			group.Go(func() {
 				r.call(ctx, tracked.firstController+k, tracked, opCancel)
 				r.readConcurrently(ctx, tracked)
 			})
 		}
-		if o.MalformedRequests {
+		if instructions.MalformedRequests {
 			group.Go(func() { r.sendMalformedRequests(ctx, round) })
 		}
 	}
 }
 
-// readConcurrently asks all controllers about a job at once, and submits it again, while the
-// cluster's instructions ask for that.
+// readConcurrently polls and resubmits a job at all controllers concurrently, if the cluster's current instructions ask
+// for concurrent reads.
 func (r *Runner) readConcurrently(ctx context.Context, tracked *trackedJob) {
 	r.mu.Lock()
 	requested := r.instructions.ConcurrentReads
@@ -76,10 +76,10 @@
 	if !requested {
 		return
 	}
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range r.Addrs {
 		for _, op := range []opKind{opStatus, opSubmit, opStatus} {
-			all.Go(func() {
+			group.Go(func() {
 				if status, _ := r.call(ctx, i, tracked, op); status > 0 {
 					r.mu.Lock()
 					r.instructionCounts.ConcurrentReads++
@@ -88,15 +88,15 @@
 			})
 		}
 	}
-	all.Wait()
+	group.Wait()
 }
 
-// sendMalformedRequests repeats submissions of known jobs, cancels a job that is done, and submits a
-// job without a required field and one that fits no machine.
+// sendMalformedRequests resubmits a live job, cancels a job that is done, and submits a job that lacks a required field
+// and one that fits no machine.
 func (r *Runner) sendMalformedRequests(ctx context.Context, round int) {
 	r.mu.Lock()
 	var liveJob, endedJob *trackedJob
-	for id, tracked := range r.jobs { // in no order
+	for id, tracked := range r.jobs { // in random order
 		if r.history.lastStage(id) == wire.Done {
 			endedJob = tracked
 		} else {
@@ -119,7 +119,7 @@
 		r.call(ctx, round, endedJob, opCancel)
 	}
 	fields := []string{"uid", "breed", "keeper", "shape", "rank", "cells", "vcpus", "accelerators", "mem_gb", "comb", "image_gb", "one_zone", "spread", "borrowed", "expect_s", "capping_s", "seal_s"}
-	for k, change := range []func(m map[string]any){
+	for k, corrupt := range []func(m map[string]any){
 		func(m map[string]any) { delete(m, fields[round%len(fields)]) },
 		func(m map[string]any) { m[[]string{"vcpus", "mem_gb"}[round%2]] = 1e8 },
 	} {
@@ -129,10 +129,10 @@
 		if wire.Decode(wire.Encode(j), &m) != nil {
 			continue
 		}
-		change(m)
+		corrupt(m)
 		body := wire.Encode(m)
-		call, cancel := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := r.Caller.Call(call, r.Addrs[(round+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
+		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+		resp, err := r.Caller.Call(callCtx, r.Addrs[(round+k)%len(r.Addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil {
 			r.recordObservation(emulator.Observation{Job: j.ID, Status: resp.Status, Body: body})
--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -14,30 +14,33 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// fakeService is three controllers with common knowledge. The last one's answers to polls are delayed,
-// or come from a copy that is as old.
+// fakeService emulates three controllers that share their state. The last one delays its responses to polls by lag or,
+// if stale is set, responds from a copy of the state that is older by lag.
 type fakeService struct {
 	mu     sync.Mutex
-	stages map[string][]stageSince
+	stages map[string][]stageSince // by job, in the order of time
 	lag    time.Duration
 	stale  bool
 }
 
+// stageSince is a stage of a job and the time at which it began.
 type stageSince struct {
 	stage wire.Stage
 	since time.Time
 }
 
+// set moves a job to a stage, unless it has ended, and returns its resulting stage.
 func (s *fakeService) set(id string, stage wire.Stage) wire.Stage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.stages[id]
-	if len(l) == 0 || l[len(l)-1].stage == wire.Running && stage != wire.Running {
-		s.stages[id] = append(l, stageSince{stage, time.Now()})
+	stages := s.stages[id]
+	if len(stages) == 0 || stages[len(stages)-1].stage == wire.Running && stage != wire.Running {
+		s.stages[id] = append(stages, stageSince{stage, time.Now()})
 	}
 	return s.stages[id][len(s.stages[id])-1].stage
 }
 
+// at returns the stage of a job at a time, or an empty string if it did not exist.
 func (s *fakeService) at(id string, when time.Time) (stage wire.Stage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,6 +52,7 @@
 	return stage
 }
 
+// answer returns the request handler of a controller.
 func (s *fakeService) answer(last bool) func(context.Context, *httpwire.Request) *httpwire.Response {
 	return func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		id, _, _ := strings.Cut(strings.TrimPrefix(r.Path, wire.PathJobs+"/"), "/")
@@ -72,9 +76,9 @@
 	}
 }
 
-// TestAnswersByRealTime has polls in flight at all controllers while a job is submitted and
-// cancelled. Answers that were on their way may be older than others; a controller that answers
-// from an old copy is reported.
+// TestAnswersByRealTime polls all controllers concurrently while jobs are submitted and cancelled. It checks that
+// responses which are late but were correct while the request was in flight are accepted, and that a controller which
+// responds from a stale copy of the state is reported.
 func TestAnswersByRealTime(t *testing.T) {
 	for _, stale := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -106,8 +110,8 @@
 			if err != nil || len(res.Open) > 0 || res.Instructions.ConcurrentReads < 100 || res.Classes["a"].Cancelled < 3 {
 				t.Errorf("%v, open %v, %+v", err, res.Open, res.Instructions)
 			}
-			if broken := strings.Join(res.Violations, "\n"); strings.Contains(broken, "went_back") != stale {
-				t.Errorf("stale: %v, found %q", stale, broken)
+			if violations := strings.Join(res.Violations, "\n"); strings.Contains(violations, "went_back") != stale {
+				t.Errorf("stale: %v, violations %q", stale, violations)
 			}
 			n.Close()
 			time.Sleep(time.Minute)
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -9,24 +9,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestStaleAnswersAreReported checks that each answer older than one given before its request is
-// reported among hundreds of concurrent ones, and none where answers only cross.
+// TestStaleAnswersAreReported checks that a response which contradicts one that was received before its request was sent
+// is reported among hundreds of concurrent calls, and that responses which merely overlap are not.
 func TestStaleAnswersAreReported(t *testing.T) {
 	type told struct {
-		how    string // ask, submit or cancel
+		op     string // ask, submit or cancel
 		status int
 		stage  wire.Stage
 	}
-	calls := func(j *LinearizabilityChecker) func(x told, call int64) {
+	observer := func(j *LinearizabilityChecker) func(x told, call int64) {
 		return func(x told, call int64) {
-			map[string]func(string, int64, int, wire.Stage){"ask": j.ObserveStatus, "submit": j.ObserveSubmission, "cancel": j.ObserveCancellation}[x.how]("wk-1", call, x.status, x.stage)
+			map[string]func(string, int64, int, wire.Stage){"ask": j.ObserveStatus, "submit": j.ObserveSubmission, "cancel": j.ObserveCancellation}[x.op]("wk-1", call, x.status, x.stage)
 		}
 	}
 	accepted, ended := told{"submit", 201, wire.Pending}, told{"cancel", 200, wire.Cancelled}
 	for name, x := range map[string]struct {
-		then []told // in order
-		last told   // asked at the very end
-		fine bool
+		then  []told // in order
+		last  told   // called after then, and the last to return
+		valid bool
 	}{
 		"known":                   {[]told{accepted}, told{"ask", 200, wire.Running}, true},
 		"forgotten":               {[]told{accepted}, told{"ask", 404, ""}, false},
@@ -44,30 +44,31 @@
 		"refused, then submitted": {[]told{{"submit", 400, ""}}, accepted, true},
 	} {
 		j := &LinearizabilityChecker{}
-		tell := calls(j)
+		observe := observer(j)
 		var open []int64
 		for _, y := range x.then {
 			for range 200 {
-				open = append(open, j.BeginCall()) // answered only at the end
+				open = append(open, j.BeginCall()) // returns only at the end
 			}
-			tell(y, j.BeginCall())
+			observe(y, j.BeginCall())
 		}
 		call := j.BeginCall()
-		for i, c := range open { // they may tell either
+		for i, c := range open { // overlapping calls may return either stage
 			if x.then[0] == accepted {
-				tell(told{"submit", 200, []wire.Stage{wire.Pending, wire.Running}[i%2]}, c)
+				observe(told{"submit", 200, []wire.Stage{wire.Pending, wire.Running}[i%2]}, c)
 			}
 		}
-		tell(x.last, call)
-		if got := j.Violations(); (len(got) == 0) != x.fine {
+		observe(x.last, call)
+		if got := j.Violations(); (len(got) == 0) != x.valid {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 }
 
-// TestConstrainingCallsKeepVerdict checks that the calls that are left out change no verdict.
+// TestConstrainingCallsKeepVerdict checks on random histories that removing redundant calls does not change whether a
+// linearization exists.
 func TestConstrainingCallsKeepVerdict(t *testing.T) {
-	rng, bad := rand.New(rand.NewPCG(1, 30)), 0
+	rng, violations := rand.New(rand.NewPCG(1, 30)), 0
 	for range 4000 {
 		var ops []porcupine.Operation
 		for i := range 3 + rng.IntN(7) {
@@ -77,21 +78,21 @@
 			if out.absent = out.known && op != opSubmit && call < 9; out.absent {
 				out.stage = ""
 			}
-			back := call + 1 + rng.Int64N(25)
+			answered := call + 1 + rng.Int64N(25)
 			if !out.known {
-				back = 1 << 61
+				answered = 1 << 61
 			}
-			ops = append(ops, porcupine.Operation{ClientId: i, Input: op, Call: 2 * call, Output: out, Return: 2*back + 1})
+			ops = append(ops, porcupine.Operation{ClientId: i, Input: op, Call: 2 * call, Output: out, Return: 2*answered + 1})
 		}
-		all, few := porcupine.CheckOperations(jobModel, ops), porcupine.CheckOperations(jobModel, constrainingCalls(ops))
-		if all != few {
-			t.Fatalf("%v of all, %v of those that tell: %v", all, few, ops)
+		all, reduced := porcupine.CheckOperations(jobModel, ops), porcupine.CheckOperations(jobModel, constrainingCalls(ops))
+		if all != reduced {
+			t.Fatalf("linearizable: %v with all calls, %v with the constraining ones: %v", all, reduced, ops)
 		}
 		if !all {
-			bad++
+			violations++
 		}
 	}
-	if bad < 400 || bad > 3600 {
-		t.Errorf("%d of 4000 have no order", bad)
+	if violations < 400 || violations > 3600 {
+		t.Errorf("%d of 4000 histories have no linearization", violations)
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -16,7 +16,8 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-func mix(t *testing.T, text string) *load.Mix {
+// parseMix parses a mix file that has to be valid.
+func parseMix(t *testing.T, text string) *load.Mix {
 	t.Helper()
 	m, err := load.ParseMix([]byte(text))
 	if err != nil {
@@ -25,18 +26,18 @@
 	return m
 }
 
-// TestArrivals checks that the same seed gives the same jobs, as many as the rates say, and more
-// during bursts.
+// TestArrivals checks that the same seed gives the same arrivals, that their number matches the rate, the curve and the
+// bursts of a class, and that all errors of a mix file are reported.
 func TestArrivals(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/load.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := mix(t, string(text))
+	m := parseMix(t, string(text))
 	if a, b := m.Arrivals("7"), m.Arrivals("7"); !reflect.DeepEqual(a, b) || len(a) == 0 {
-		t.Error("two plans of one seed differ")
+		t.Error("no arrivals, or others for the same seed")
 	}
-	m = mix(t, "[load]\nfor = 10m\n[class x]\nper_minute = 60\ncurve = 1, 0\nbursts = 1m x5 for 1m")
+	m = parseMix(t, "[load]\nfor = 10m\n[class x]\nper_minute = 60\ncurve = 1, 0\nbursts = 1m x5 for 1m")
 	early, burst, late := 0, 0, 0
 	for _, a := range m.Arrivals("") {
 		switch {
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestLoad generates load on three controllers in an emulated cluster, with one refused by the
-// state service and a zone cut off meanwhile: every job has to end, and no rule may be violated.
+// TestLoad generates load on three controllers in an emulated cluster while the state service refuses one of them and
+// loses requests, a zone is cut off, and users misbehave: every job has to end, and no rule may be violated.
 func TestLoad(t *testing.T) {
 	w, err := emulator.Start(t.Context(), emulator.DefaultConfig(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
 	if err != nil {
@@ -73,28 +74,28 @@
 			t.Fatal(err)
 		}
 	}
-	r := load.Runner{Mix: mix(t, everyShape), Addrs: addrs, JudgeAddr: w.Control(), Prefix: "9", DrainTimeout: time.Minute,
+	r := load.Runner{Mix: parseMix(t, mixOfEveryShape), Addrs: addrs, JudgeAddr: w.Control(), Prefix: "9", DrainTimeout: time.Minute,
 		Caller: &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}}
 	for _, f := range []emulator.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
 		if _, err := w.Stage(f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	called := false
+	cancelled := false
 	res, err := r.Run(t.Context(), func(sent, all, _ int) {
-		if sent >= all/2 && !called { // some services run
+		if sent >= all/2 && !cancelled { // some services run by now
 			_, err := w.Stage(emulator.Fault{Kind: "cancel_now", Count: 4, Hang: 2 * time.Second})
-			called = err == nil
+			cancelled = err == nil
 		}
 	})
-	if !called {
-		t.Error("no job was called off")
+	if !cancelled {
+		t.Error("the fault cancel_now found no job to cancel")
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(res.Violations) > 0 || len(res.Open) > 0 {
-		t.Errorf("broken: %v; open: %v", res.Violations, res.Open)
+		t.Errorf("violations: %v; open: %v", res.Violations, res.Open)
 	}
 	if o := res.Instructions; o.Cancelled < 5 || o.MalformedRequests < 4 || o.ConcurrentReads < 20 {
 		t.Errorf("%+v", o)
@@ -107,8 +108,8 @@
 	stop()
 }
 
-// everyShape is a mix with jobs of every shape.
-const everyShape = `[load]
+// mixOfEveryShape is a mix file with jobs of every shape.
+const mixOfEveryShape = `[load]
 for = 5s
 poll = 500ms
 [class a]
@@ -128,7 +129,7 @@
 priority = production`
 
 // startControllers starts the cluster's three controllers in this process, and returns their
-// addresses and what stops them.
+// addresses and a function that stops them.
 func startControllers(t *testing.T, w *emulator.Cluster) (addrs []string, stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 3)
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -19,46 +19,45 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Runner generates load on a set of controllers.
+// Runner generates the load of a mix on a set of controllers.
 type Runner struct {
 	Mix          *Mix
 	Addrs        []string // of the controllers
-	JudgeAddr    string   // control address of the emulated cluster that judges the run; empty for none
-	Prefix       string   // of job ids, to distinguish two runs
+	JudgeAddr    string   // control address of the emulated cluster that checks the run; empty for none
+	Prefix       string   // prefix of job ids, which distinguishes different runs
 	Caller       *transport.Caller
-	DrainTimeout time.Duration // for jobs that are not over when the last one was submitted
+	DrainTimeout time.Duration // how long to wait for open jobs after the last one was submitted
 
 	history              answerHistory
-	liveness             simulator.LivenessChecker // used without a judging cluster; it is never told that faults are over
+	liveness             simulator.LivenessChecker // used without JudgeAddr; it is never told that all faults are lifted
 	mu                   sync.Mutex
 	classes              map[string]*ClassResult
-	observations         []emulator.Observation
-	jobs                 map[string]*trackedJob
+	observations         []emulator.Observation // not yet sent to the emulated cluster
+	jobs                 map[string]*trackedJob // accepted jobs by id
 	instructions         emulator.UserInstructions
-	malformedSubmissions int // submissions so far that have to be refused
+	malformedSubmissions int // submissions so far that the service has to refuse
 	instructionCounts    InstructionCounts
 	openUsers            atomic.Int64
 	sentJobs             atomic.Int64
 }
 
-// ClassResult is what happened to the jobs of a class. Times are in milliseconds, from when a job
-// was due to be sent.
+// ClassResult holds the results of the jobs of a class. Times are in milliseconds from when a job was due to be sent.
 type ClassResult struct {
 	Jobs      int            `json:"jobs"`
 	Accepted  int            `json:"accepted"`
-	Refused   int            `json:"refused"` // 400 or 422
+	Refused   int            `json:"refused"` // with status 400 or 422
 	GivenUp   int            `json:"given_up"`
 	Done      int            `json:"done"`
 	Cancelled int            `json:"cancelled"`
 	Accept    Times          `json:"accept_ms"`
 	Start     Times          `json:"start_ms"`
 	Finish    Times          `json:"finish_ms"`
-	Statuses  map[string]int `json:"answers"` // by status, 0 for none
+	Statuses  map[string]int `json:"answers"` // number of responses by status; 0 stands for no response
 
 	accept, start, finish *hdrhistogram.Histogram
 }
 
-// Times summarises a histogram of milliseconds.
+// Times is a summary of a histogram of milliseconds.
 type Times struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -67,7 +66,7 @@
 	Max   int64 `json:"max"`
 }
 
-// TimesOf summarises a histogram of milliseconds.
+// TimesOf returns a summary of a histogram of milliseconds.
 func TimesOf(h *hdrhistogram.Histogram) Times {
 	return Times{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.Max()}
 }
@@ -75,15 +74,16 @@
 // Result is the result of a run.
 type Result struct {
 	Classes      map[string]*ClassResult `json:"classes"`
-	Open         []string                `json:"open"` // jobs that are not over
+	Open         []string                `json:"open"` // accepted jobs whose end was not observed
 	Violations   []string                `json:"rules_broken"`
-	SentLate     int                     `json:"sent_late"` // jobs that this program sent over 100 ms late
+	SentLate     int                     `json:"sent_late"` // jobs that the load generator sent over 100 ms late
 	Instructions InstructionCounts       `json:"ordered"`
 }
 
-// maxMillis is the largest value of a histogram, a day.
-const maxMillis = 24 * 3600 * 1000 // ms
+// maxMillis is the largest value of a histogram: a day in milliseconds.
+const maxMillis = 24 * 3600 * 1000
 
+// class returns the result of a class, which it creates at the first call. The caller holds the lock.
 func (r *Runner) class(name string) *ClassResult {
 	c := r.classes[name]
 	if c == nil {
@@ -93,43 +93,44 @@
 	return c
 }
 
-// updateClass changes the counts of a class.
+// updateClass calls a function with the result of a class while it holds the lock.
 func (r *Runner) updateClass(name string, change func(*ClassResult)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r.class(name))
 }
 
+// record adds the time since a moment to a histogram.
 func record(h *hdrhistogram.Histogram, since time.Time) {
 	_ = h.RecordValue(min(maxMillis, max(1, time.Since(since).Milliseconds())))
 }
 
-// reset forgets the jobs and results of an earlier run.
+// reset removes the jobs and results of an earlier run.
 func (r *Runner) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.classes, r.jobs = make(map[string]*ClassResult), make(map[string]*trackedJob)
 }
 
-// Run submits the jobs of the mix, each at its time, and follows them until they are over.
-// progress is called with how many were sent, how many there are, and how many are open.
-func (r *Runner) Run(ctx context.Context, progress func(sent, all, open int)) (*Result, error) {
+// Run submits each job of the mix at its time and follows the jobs until they end. It calls progress with the number of
+// jobs that were sent, of all jobs, and of jobs that are open.
+func (r *Runner) Run(ctx context.Context, progress func(sent, total, open int)) (*Result, error) {
 	r.reset()
 	arrivals := r.Mix.Arrivals(r.Prefix)
 	r.history.reset()
 	stopJudging := r.startJudging(ctx)
-	jobs, cancel := context.WithCancel(ctx)
+	usersCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	over, late := r.submitAll(jobs, arrivals, progress)
-	r.awaitUsers(ctx, over, len(arrivals), progress)
+	done, late := r.submitAll(usersCtx, arrivals, progress)
+	r.awaitUsers(ctx, done, len(arrivals), progress)
 	cancel()
-	<-over
+	<-done
 	stopJudging()
 	return r.result(ctx, late)
 }
 
-// startJudging sends observations to the judging cluster, and follows its instructions, until
-// the function that it returns is called. That waits until the last ones are sent.
+// startJudging starts to send observations to the emulated cluster that checks the run, and to follow its instructions.
+// The returned function stops both after the remaining observations are sent.
 func (r *Runner) startJudging(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var group sync.WaitGroup
@@ -141,37 +142,37 @@
 	}
 }
 
-// maxSendDelay is how much later than due a job may be sent without being counted as late.
+// maxSendDelay is the delay after the due time above which a submission counts as late.
 const maxSendDelay = 100 * time.Millisecond
 
-// submitAll starts a user for each job at its time, until the context ends. It returns a
-// channel that is closed when all users are done, and how many jobs were sent late.
-func (r *Runner) submitAll(ctx context.Context, arrivals []Arrival, progress func(sent, all, open int)) (over <-chan struct{}, late int) {
+// submitAll starts a user for each job at its time, until the context ends. It returns a channel that is closed when
+// all users are done, and the number of jobs that were sent late.
+func (r *Runner) submitAll(ctx context.Context, arrivals []Arrival, progress func(sent, total, open int)) (done <-chan struct{}, late int) {
 	var users sync.WaitGroup
-	begun := time.Now()
+	startedAt := time.Now()
 	for i, a := range arrivals {
-		at := begun.Add(a.At)
-		pause(ctx, time.Until(at))
+		due := startedAt.Add(a.At)
+		pause(ctx, time.Until(due))
 		if ctx.Err() != nil {
 			break
 		}
-		if time.Since(at) > maxSendDelay {
+		if time.Since(due) > maxSendDelay {
 			late++
 		}
 		r.openUsers.Add(1)
 		users.Go(func() {
 			defer r.openUsers.Add(-1)
-			r.runUser(ctx, i, &a, at)
+			r.runUser(ctx, i, &a, due)
 		})
 		progress(int(r.sentJobs.Add(1)), len(arrivals), int(r.openUsers.Load()))
 	}
-	done := make(chan struct{})
-	go func() { users.Wait(); close(done) }()
-	return done, late
+	usersDone := make(chan struct{})
+	go func() { users.Wait(); close(usersDone) }()
+	return usersDone, late
 }
 
-// result returns the result of a run whose jobs are over or given up. The error is that of the
-// judging cluster or of the context.
+// result returns the result of a run once its users are done. The error is that of the emulated cluster that checks the
+// run, or of the context.
 func (r *Runner) result(ctx context.Context, late int) (*Result, error) {
 	res := &Result{Classes: r.classes, SentLate: late, Instructions: r.instructionCounts, Open: r.history.openJobs(), Violations: r.history.violations()}
 	for _, c := range r.classes {
@@ -189,22 +190,24 @@
 	return res, ctx.Err()
 }
 
-func (r *Runner) awaitUsers(ctx context.Context, over <-chan struct{}, all int, progress func(sent, all, open int)) {
-	until := time.After(r.DrainTimeout)
+// awaitUsers waits until all users are done, DrainTimeout has passed or the context ends.
+func (r *Runner) awaitUsers(ctx context.Context, done <-chan struct{}, total int, progress func(sent, total, open int)) {
+	timeout := time.After(r.DrainTimeout)
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
-		case <-until:
+		case <-timeout:
 			return
 		case <-ctx.Done():
 			return
 		case <-time.After(500 * time.Millisecond):
-			progress(int(r.sentJobs.Load()), all, int(r.openUsers.Load()))
+			progress(int(r.sentJobs.Load()), total, int(r.openUsers.Load()))
 		}
 	}
 }
 
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -217,21 +220,21 @@
 	}
 }
 
-// pollTimeout is how long users wait for the answer to a poll.
+// pollTimeout is how long a user waits for the response to a poll.
 const pollTimeout = 2 * time.Second
 
-// submitTimeout bounds how long a user tries to submit a job.
+// submitTimeout is the time after its due time at which a user gives up submitting a job.
 const submitTimeout = time.Minute
 
-// runUser submits a job and follows it.
+// runUser submits a job, with retries at the other controllers, and follows it until it ends.
 func (r *Runner) runUser(ctx context.Context, n int, arrival *Arrival, due time.Time) {
 	j := arrival.Job
 	r.updateClass(j.Class, func(c *ClassResult) { c.Jobs++ })
 	r.recordObservation(emulator.Observation{Submitted: j})
 	tracked := &trackedJob{firstController: n, job: j, body: wire.Encode(j)}
 	accepted := false
-	for try := 0; !accepted; try++ {
-		status, _ := r.call(ctx, n+try, tracked, opSubmit)
+	for attempt := 0; !accepted; attempt++ {
+		status, _ := r.call(ctx, n+attempt, tracked, opSubmit)
 		switch {
 		case status == 200 || status == 201:
 			accepted = true
@@ -254,16 +257,16 @@
 	r.readConcurrently(ctx, tracked)
 }
 
-// follow polls a job until it is over, and cancels it if that is due.
+// follow polls a job until it ends, and cancels it if that is due.
 func (r *Runner) follow(ctx context.Context, tracked *trackedJob, arrival *Arrival, due time.Time) {
-	begun, started := time.Now(), false
-	for try := 0; ctx.Err() == nil; try++ {
-		pause(ctx, r.pollInterval(arrival, begun, started))
+	acceptedAt, started := time.Now(), false
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		pause(ctx, r.pollInterval(arrival, acceptedAt, started))
 		op := opStatus
-		if tracked.toldToCancel.Load() || arrival.CancelAfter > 0 && time.Since(begun) >= arrival.CancelAfter {
+		if tracked.toldToCancel.Load() || arrival.CancelAfter > 0 && time.Since(acceptedAt) >= arrival.CancelAfter {
 			op = opCancel
 		}
-		status, s := r.call(ctx, tracked.firstController+try, tracked, op)
+		status, s := r.call(ctx, tracked.firstController+attempt, tracked, op)
 		if status != 200 {
 			continue
 		}
@@ -284,20 +287,20 @@
 	minPollBeforeCancel = 50 * time.Millisecond
 )
 
-// pollInterval returns how long to wait until the next poll of a job that is followed since
-// begun. It is shorter while the start or the cancellation of the job is due.
-func (r *Runner) pollInterval(arrival *Arrival, begun time.Time, started bool) time.Duration {
+// pollInterval returns the time until the next poll of a job. It is at most maxPollBeforeStart until the job has
+// started, and ends early when a cancellation is due.
+func (r *Runner) pollInterval(arrival *Arrival, acceptedAt time.Time, started bool) time.Duration {
 	wait := r.Mix.PollInterval
 	if !started {
 		wait = min(wait, maxPollBeforeStart)
 	}
 	if arrival.CancelAfter > 0 {
-		wait = min(wait, max(minPollBeforeCancel, arrival.CancelAfter-time.Since(begun)))
+		wait = min(wait, max(minPollBeforeCancel, arrival.CancelAfter-time.Since(acceptedAt)))
 	}
 	return wait
 }
 
-// recordEnd counts a job that is over.
+// recordEnd counts a job that has ended.
 func (r *Runner) recordEnd(class string, stage wire.Stage, due time.Time) {
 	r.updateClass(class, func(c *ClassResult) {
 		if stage == wire.Cancelled {
@@ -309,45 +312,48 @@
 	})
 }
 
-// call makes a request to one of the controllers and records when it was made and answered.
+// call sends a request about a job to controller n and records it with its response and the times of both. The status
+// is 0 if there was no response.
 func (r *Runner) call(ctx context.Context, n int, tracked *trackedJob, op opKind) (status int, s wire.JobStatus) {
-	j, wait := tracked.job, 5*time.Second
+	j, timeout := tracked.job, 5*time.Second
 	method, path, body := "POST", wire.PathJobs, tracked.body
 	switch op {
 	case opStatus:
-		method, path, body, wait = "GET", path+"/"+j.ID, nil, pollTimeout
+		method, path, body, timeout = "GET", path+"/"+j.ID, nil, pollTimeout
 	case opCancel:
 		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
 		tracked.cancelRequested.Store(true)
 	}
-	call, cancel := context.WithTimeout(ctx, wait)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := r.history.now()
-	resp, err := r.Caller.Call(call, r.Addrs[n%len(r.Addrs)], method, path, body)
+	resp, err := r.Caller.Call(callCtx, r.Addrs[n%len(r.Addrs)], method, path, body)
 	if err == nil {
 		status = resp.Status
 		_ = wire.Decode(resp.Body, &s)
 	}
-	back, asked := r.history.now(), tracked.cancelRequested.Load()
-	r.history.add(j.ID, op, status, s.Stage, sent, back)
+	answered, cancelRequested := r.history.now(), tracked.cancelRequested.Load()
+	r.history.add(j.ID, op, status, s.Stage, sent, answered)
 	r.updateClass(j.Class, func(c *ClassResult) { c.Statuses[fmt.Sprint(status)]++ })
 	if ctx.Err() == nil && (status > 0 || op == opStatus) {
-		r.recordObservation(emulator.Observation{Job: j.ID, Status: status, Stage: s.Stage, CancelRequested: asked, Poll: op == opStatus, SentNS: sent, AnsweredNS: back})
-		r.liveness.ObserveAnswer(time.Now(), j.ID, status, s.Stage, asked, op == opStatus)
+		r.recordObservation(emulator.Observation{Job: j.ID, Status: status, Stage: s.Stage, CancelRequested: cancelRequested, Poll: op == opStatus, SentNS: sent, AnsweredNS: answered})
+		r.liveness.ObserveAnswer(time.Now(), j.ID, status, s.Stage, cancelRequested, op == opStatus)
 	}
 	return status, s
 }
 
-func (r *Runner) recordObservation(t emulator.Observation) {
+// recordObservation queues an observation for the emulated cluster that checks the run, if there is one.
+func (r *Runner) recordObservation(o emulator.Observation) {
 	if r.JudgeAddr == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.observations = append(r.observations, t)
+	r.observations = append(r.observations, o)
 }
 
-// sendObservations sends what users did and were answered to the judging cluster, in order.
+// sendObservations sends the queued observations to the emulated cluster that checks the run, in order. It returns
+// after a last attempt once the context has ended.
 func (r *Runner) sendObservations(ctx context.Context) {
 	for last := false; r.JudgeAddr != "" && !last; {
 		pause(ctx, 50*time.Millisecond)
@@ -360,11 +366,11 @@
 			if n == 0 {
 				break
 			}
-			call, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
-			resp, err := r.Caller.Call(call, r.JudgeAddr, "POST", emulator.PathObservations, wire.Encode(map[string]any{"told": batch}))
+			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 5*time.Second)
+			resp, err := r.Caller.Call(callCtx, r.JudgeAddr, "POST", emulator.PathObservations, wire.Encode(map[string]any{"told": batch}))
 			cancel()
 			if err != nil || resp.Status != 200 {
-				break // the world is gone; the end says so
+				break // retry later; if the emulated cluster is gone, result reports it
 			}
 			r.mu.Lock()
 			r.observations = r.observations[n:]
@@ -373,7 +379,7 @@
 	}
 }
 
-// Names lists the classes in order.
+// Names returns the names of the classes in alphabetical order.
 func (res *Result) Names() (names []string) {
 	for name := range res.Classes {
 		names = append(names, name)
@@ -382,7 +388,7 @@
 	return names
 }
 
-// Print writes a result in readable form.
+// Print writes a result as text.
 func (res *Result) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tjobs\taccepted\trefused\tgiven up\tdone\tcancelled\taccept p50\tp99 ms\tstart p50\tp99 ms\tfinish p50\tp99 ms\t")
@@ -392,8 +398,8 @@
 			c.Accept.P50, c.Accept.P99, c.Start.P50, c.Start.P99, c.Finish.P50, c.Finish.P99)
 	}
 	_ = t.Flush()
-	for _, b := range res.Violations {
-		fmt.Fprintln(out, "rule broken:", b)
+	for _, violation := range res.Violations {
+		fmt.Fprintln(out, "rule broken:", violation)
 	}
 	for _, id := range res.Open {
 		fmt.Fprintln(out, "not over:", id)
