--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs a matrix of clusters, loads, settings and seeds, each cell in an
-// emulated cluster of its own with real controllers. It keeps the outcome of each cell in a file,
-// so that an interrupted run resumes where it stopped, and writes two columnar files and a report.
+// Package experiment runs a matrix of clusters, loads, settings and seeds. Each cell runs in an emulated cluster of its
+// own with real controllers. The outcome of each cell is saved to a file, so that an interrupted run resumes where it
+// stopped. The package also writes two columnar (Parquet) files and an HTML report.
 package experiment
 
 import (
@@ -26,22 +26,22 @@
 	"amberdeal.example/amberdeal/internal/transport"
 )
 
-// Plan describes an experiment. Files are named as in the experiment's file, relative to it.
+// Plan is the content of an experiment file. It names files by their paths relative to that file.
 type Plan struct {
-	Dir      string // of the experiment's file
-	Worlds   []string
-	Mixes    []string
-	Settings []string // operators' files; noSettings for the defaults
-	Seeds    []uint64
-	Parallel int
-	Port     int
-	Wait     time.Duration
+	Dir      string        // directory of the experiment file
+	Worlds   []string      // world files, or small for emulator.DefaultConfig
+	Mixes    []string      // mix files
+	Settings []string      // operators' files; noSettings for the defaults
+	Seeds    []uint64      // seeds of the clusters and the loads
+	Parallel int           // number of cells that run concurrently
+	Port     int           // first port of the first cluster
+	Wait     time.Duration // how long to wait for open jobs after the last submission
 }
 
-// noSettings stands in a plan and a cell for the defaults, without an operators' file.
+// noSettings stands for the default settings, without an operators' file, in a plan and a cell.
 const noSettings = "none"
 
-// Cell is one run.
+// Cell identifies one run of the matrix.
 type Cell struct {
 	World    string `json:"world" parquet:"world,dict"`
 	Mix      string `json:"mix" parquet:"mix,dict"`
@@ -49,8 +49,9 @@
 	Seed     uint64 `json:"seed" parquet:"seed"`
 }
 
+// fileName returns the name of the file that holds the outcome of the cell.
 func (c Cell) fileName() string {
-	clean := func(s string) string {
+	sanitize := func(s string) string {
 		return strings.Map(func(r rune) rune {
 			if strings.ContainsRune(`/\ .`, r) {
 				return '-'
@@ -58,14 +59,14 @@
 			return r
 		}, s)
 	}
-	return fmt.Sprintf("cell-%s-%s-%s-%d.json", clean(c.World), clean(c.Mix), clean(c.Settings), c.Seed)
+	return fmt.Sprintf("cell-%s-%s-%s-%d.json", sanitize(c.World), sanitize(c.Mix), sanitize(c.Settings), c.Seed)
 }
 
 func (c Cell) String() string {
 	return fmt.Sprintf("%s, %s, %s, seed %d", c.World, c.Mix, c.Settings, c.Seed)
 }
 
-// Sample is the state of a cluster at one second.
+// Sample is the state of a cluster at a time. Samples are taken each second.
 type Sample struct {
 	Cell
 	TimeS        float64 `json:"t_s" parquet:"t_s"`
@@ -78,7 +79,7 @@
 	FencingToken uint64  `json:"term" parquet:"term"`
 }
 
-// ClassRow is the result of a class of jobs in a cell, in milliseconds.
+// ClassRow is the result of a class of jobs in a cell. Times are in milliseconds.
 type ClassRow struct {
 	Cell
 	Class     string `parquet:"class,dict"`
@@ -106,28 +107,28 @@
 	WriteRPS float64                `json:"state_write_rps"`
 }
 
-// Parse reads an experiment's file and reports everything that is wrong with it and with the files
-// that it names.
+// Parse parses an experiment file and the files that it names, and returns all errors joined.
 func Parse(path string) (*Plan, error) {
 	file, err := ini.Load(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the experiment: %w", err)
 	}
 	p := &Plan{Dir: filepath.Dir(path), Settings: []string{noSettings}, Seeds: []uint64{1}, Parallel: 1, Port: 12080, Wait: 2 * time.Minute}
-	var faults []error
+	var errs []error
 	for _, sec := range file.Sections() {
 		for _, key := range sec.Keys() {
 			if sec.Name() != "experiment" {
-				faults = append(faults, fmt.Errorf("[%s]: must be experiment", sec.Name()))
+				errs = append(errs, fmt.Errorf("[%s]: must be experiment", sec.Name()))
 			} else if allowed := p.setKey(key); allowed != "" {
-				faults = append(faults, fmt.Errorf("[experiment] %s: %q: must be %s", key.Name(), key.Value(), allowed))
+				errs = append(errs, fmt.Errorf("[experiment] %s: %q: must be %s", key.Name(), key.Value(), allowed))
 			}
 		}
 	}
-	return p, errors.Join(append(faults, p.checkFiles()...)...)
+	return p, errors.Join(append(errs, p.checkFiles()...)...)
 }
 
-// setKey sets a field from its key in the file; if the value is rejected it returns what is allowed.
+// setKey sets a field from its key in the file. It returns a description of the allowed values if it rejects the key or
+// the value, otherwise an empty string.
 func (p *Plan) setKey(key *ini.Key) (allowed string) {
 	var err error
 	switch key.Name() {
@@ -159,29 +160,30 @@
 	return ""
 }
 
-// checkFiles checks the files that a plan names; its elements are nil for those without an error.
-func (p *Plan) checkFiles() (faults []error) {
+// checkFiles checks the files that a plan names. Elements of the result are nil for valid files.
+func (p *Plan) checkFiles() (errs []error) {
 	if len(p.Worlds) == 0 || len(p.Mixes) == 0 {
-		faults = append(faults, errors.New("[experiment] worlds and mixes: must name a file each at least"))
+		errs = append(errs, errors.New("[experiment] worlds and mixes: must name a file each at least"))
 	}
-	for _, w := range p.Worlds {
-		_, err := p.readCluster(w)
-		faults = append(faults, err)
+	for _, world := range p.Worlds {
+		_, err := p.readCluster(world)
+		errs = append(errs, err)
 	}
-	for _, m := range p.Mixes {
-		_, err := p.readMix(m)
-		faults = append(faults, err)
+	for _, mix := range p.Mixes {
+		_, err := p.readMix(mix)
+		errs = append(errs, err)
 	}
-	for _, s := range p.Settings {
-		if s != noSettings {
-			if _, err := os.Stat(filepath.Join(p.Dir, s)); err != nil {
-				faults = append(faults, fmt.Errorf("reading the settings: %w", err))
+	for _, settings := range p.Settings {
+		if settings != noSettings {
+			if _, err := os.Stat(filepath.Join(p.Dir, settings)); err != nil {
+				errs = append(errs, fmt.Errorf("reading the settings: %w", err))
 			}
 		}
 	}
-	return faults
+	return errs
 }
 
+// readCluster reads the world file with a name, or returns the default cluster for small.
 func (p *Plan) readCluster(name string) (*emulator.Config, error) {
 	if name == "small" {
 		return emulator.DefaultConfig(), nil
@@ -197,6 +199,7 @@
 	return c, nil
 }
 
+// readMix reads the mix file with a name.
 func (p *Plan) readMix(name string) (*load.Mix, error) {
 	text, err := os.ReadFile(filepath.Join(p.Dir, name))
 	if err != nil {
@@ -209,13 +212,13 @@
 	return m, nil
 }
 
-// Cells lists the runs of a plan.
+// Cells returns the cells of the matrix.
 func (p *Plan) Cells() (out []Cell) {
-	for _, w := range p.Worlds {
-		for _, m := range p.Mixes {
-			for _, s := range p.Settings {
+	for _, world := range p.Worlds {
+		for _, mix := range p.Mixes {
+			for _, settings := range p.Settings {
 				for _, seed := range p.Seeds {
-					out = append(out, Cell{w, m, s, seed})
+					out = append(out, Cell{world, mix, settings, seed})
 				}
 			}
 		}
@@ -223,18 +226,18 @@
 	return out
 }
 
-// Runner runs a plan.
+// Runner runs the cells of a plan.
 type Runner struct {
 	Plan    *Plan
-	Out     string // directory of the results
+	Out     string // directory of the outcomes and tables
 	Program string // path of the amberdeal binary
 	Log     *slog.Logger
-	// Progress is called when a cell is over, with how many of all are over, and whether it had been
-	// complete before.
-	Progress func(c Cell, over, all int, before bool)
+	// Progress is called when a cell is complete, with the number of complete cells and of all cells, and whether the
+	// outcome was saved by an earlier run.
+	Progress func(c Cell, completed, total int, saved bool)
 }
 
-// Run runs every cell that is not complete yet, and returns the outcomes of all.
+// Run runs each cell that has no saved outcome, writes the tables, and returns the outcomes of all cells.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("making the directory of the results: %w", err)
@@ -246,15 +249,15 @@
 		ports <- r.Plan.Port + 1500*i
 	}
 	var mu sync.Mutex
-	over := 0
+	completed := 0
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(r.Plan.Parallel)
 	for i, c := range cells {
 		g.Go(func() error {
 			path := filepath.Join(r.Out, c.fileName())
 			o, err := readOutcome(path)
-			before := err == nil
-			if !before {
+			saved := err == nil
+			if !saved {
 				port := <-ports
 				o, err = r.runCell(ctx, c, port)
 				ports <- port
@@ -268,8 +271,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			out[i] = o
-			over++
-			r.Progress(c, over, len(cells), before)
+			completed++
+			r.Progress(c, completed, len(cells), saved)
 			return nil
 		})
 	}
@@ -279,6 +282,7 @@
 	return out, writeTables(r.Out, out)
 }
 
+// readOutcome reads the outcome of a cell from a file.
 func readOutcome(path string) (*Outcome, error) {
 	o := new(Outcome)
 	if err := outcomefile.Load(path, outcomeKind, o); err != nil {
@@ -290,10 +294,10 @@
 	return o, nil
 }
 
-// outcomeKind is what a file of an outcome holds, in errors.
+// outcomeKind names the content of an outcome file in errors.
 const outcomeKind = "a cell's outcome"
 
-// Read returns the outcomes of a directory.
+// Read returns the outcomes that are saved in a directory.
 func Read(dir string) (out []*Outcome, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "cell-*.json"))
 	if err != nil || len(paths) == 0 {
@@ -310,7 +314,7 @@
 	return out, nil
 }
 
-// runCell plays a cell.
+// runCell runs a cell in an emulated cluster whose ports start at port.
 func (r *Runner) runCell(ctx context.Context, c Cell, port int) (*Outcome, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -347,7 +351,7 @@
 	return o, nil
 }
 
-// cellInput reads the cluster and the load of a cell, both with its seed.
+// cellInput reads the cluster configuration and the mix of a cell and sets the seed of both.
 func (p *Plan) cellInput(c Cell) (*emulator.Config, *load.Mix, error) {
 	conf, err := p.readCluster(c.World)
 	if err != nil {
@@ -361,7 +365,7 @@
 	return conf, mix, nil
 }
 
-// operatorSettings returns the content of an operators' file, empty for the defaults.
+// operatorSettings returns the content of an operators' file. It is empty for the defaults.
 func (p *Plan) operatorSettings(settings string) (string, error) {
 	if settings == noSettings {
 		return "", nil
@@ -390,15 +394,15 @@
 	return addrs, nil
 }
 
-// measure runs the load of a cell on a cluster, and records its result and the cluster's state
-// and faults meanwhile.
+// measure runs the load of a cell on a cluster. It records the result, samples of the cluster's state and the faults
+// that were staged meanwhile.
 func (o *Outcome) measure(ctx context.Context, cluster *emulator.Cluster, runner *load.Runner) error {
-	sampling, end := context.WithCancel(ctx)
+	sampleCtx, stopSampling := context.WithCancel(ctx)
 	sampled := make(chan struct{})
-	go func() { defer close(sampled); o.sample(sampling, cluster) }()
+	go func() { defer close(sampled); o.sample(sampleCtx, cluster) }()
 	var err error
 	o.Result, err = runner.Run(ctx, func(int, int, int) {})
-	end()
+	stopSampling()
 	<-sampled
 	if err != nil {
 		return fmt.Errorf("running the load: %w", err)
@@ -407,16 +411,16 @@
 	return nil
 }
 
-// sample records the cluster's state each second.
+// sample records the state of the cluster each second until the context ends.
 func (o *Outcome) sample(ctx context.Context, cluster *emulator.Cluster) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	last := cluster.Status()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		s := cluster.Status()
 		if d := s.AgeS - last.AgeS; d > 0 {
@@ -427,7 +431,7 @@
 	}
 }
 
-// writeTables writes the columnar files.
+// writeTables writes the samples and the results by class as Parquet files.
 func writeTables(dir string, all []*Outcome) error {
 	var samples []Sample
 	var classes []ClassRow
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
-// TestPlan reads the experiment that is shipped, and names all that is wrong with one.
+// TestPlan parses the experiment file in deploy and checks that all errors of an invalid file are reported together.
 func TestPlan(t *testing.T) {
 	p, err := Parse("../../deploy/experiment/experiment.ini")
 	if err != nil || len(p.Cells()) != 6 {
@@ -31,6 +31,7 @@
 	}
 }
 
+// testOutcome returns an outcome of a cell with four samples and one class of jobs.
 func testOutcome(settings string, seed uint64, p50 int64) *Outcome {
 	c := Cell{"w.ini", "m.ini", settings, seed}
 	o := &Outcome{Cell: c, WriteRPS: 30, RPS: 100, Faults: []emulator.StagedFault{{Number: 1, Label: "outage", Since: 1, Until: 2}},
@@ -41,8 +42,8 @@
 	return o
 }
 
-// TestReport: figures are means with their spread, differences are taken seed by seed, and the page
-// needs nothing from outside; what was kept is read again, and the columnar files hold it all.
+// TestReport checks that saved outcomes can be read again, that the Parquet files hold all of them, and that the report
+// shows means with their ranges and differences by seed and refers to no external resources.
 func TestReport(t *testing.T) {
 	dir := t.TempDir()
 	all := []*Outcome{testOutcome("none", 1, 10), testOutcome("none", 2, 20), testOutcome("quick.ini", 1, 7), testOutcome("quick.ini", 2, 16)}
@@ -52,11 +53,11 @@
 			t.Fatal(err)
 		}
 	}
-	again, err := Read(dir)
-	if err != nil || len(again) != 4 {
-		t.Fatalf("%d outcomes, %v", len(again), err)
+	saved, err := Read(dir)
+	if err != nil || len(saved) != 4 {
+		t.Fatalf("%d outcomes, %v", len(saved), err)
 	}
-	if err := writeTables(dir, again); err != nil {
+	if err := writeTables(dir, saved); err != nil {
 		t.Fatal(err)
 	}
 	samples, err := parquet.ReadFile[Sample](filepath.Join(dir, "samples.parquet"))
@@ -68,7 +69,7 @@
 		t.Errorf("%+v, %v", classes, err)
 	}
 	page := filepath.Join(dir, "report.html")
-	if err := Report(page, again, []*Outcome{testOutcome("none", 1, 30)}); err != nil {
+	if err := Report(page, saved, []*Outcome{testOutcome("none", 1, 30)}); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := os.ReadFile(page)
@@ -77,14 +78,15 @@
 			t.Errorf("%q is not in the report", want)
 		}
 	}
-	for _, not := range []string{"<script", "src=\"http", "href=\"http"} {
-		if strings.Contains(string(text), not) {
-			t.Errorf("%q is in the report", not)
+	for _, unwanted := range []string{"<script", "src=\"http", "href=\"http"} {
+		if strings.Contains(string(text), unwanted) {
+			t.Errorf("%q is in the report", unwanted)
 		}
 	}
 }
 
-// TestReadNamesTheFile: a file that holds no outcome of a cell is an error that names the file and why.
+// TestReadNamesTheFile checks that reading an invalid outcome file fails with an error that names the file and the
+// reason.
 func TestReadNamesTheFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "cell-x.json")
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -9,8 +9,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenOutcome: the JSON of a cell's outcome has the fields that it had, and the tables
-// have their columns.
+// TestGoldenOutcome checks that the JSON encoding of an outcome and the columns of the tables are unchanged.
 func TestGoldenOutcome(t *testing.T) {
 	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
 	goldentest.Text(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Sample{}).String())+goldentest.Columns(parquet.SchemaOf(ClassRow{}).String()))
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -21,7 +21,7 @@
 	"amberdeal.example/amberdeal/internal/load"
 )
 
-// seedValues is a figure over the seeds.
+// seedValues holds the values of a metric, one for each seed.
 type seedValues struct {
 	values []float64
 }
@@ -34,7 +34,7 @@
 	return sum / float64(len(s.values))
 }
 
-// String gives the mean, and what it lies between.
+// String returns the mean, followed by the minimum and the maximum if there are several values.
 func (s seedValues) String() string {
 	switch len(s.values) {
 	case 0:
@@ -45,6 +45,7 @@
 	return fmt.Sprintf("%s (%s to %s)", formatNumber(s.mean()), formatNumber(slices.Min(s.values)), formatNumber(slices.Max(s.values)))
 }
 
+// formatNumber formats a number with two decimals, one from 10 on, and none from 100 on or if it is an integer.
 func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case a >= 100 || v == math.Trunc(v):
@@ -55,51 +56,52 @@
 	return fmt.Sprintf("%.2f", v)
 }
 
-// metric is something that is compared.
+// metric is a figure that is compared between settings. Its value is missing for outcomes to which it does not apply.
 type metric struct {
 	Name  string
 	value func(*Outcome) (float64, bool)
 }
 
-// row is a figure of each setting, and by how much it differs from the first.
+// row holds the values of a metric for each setting, each but the first followed by the difference from the first.
 type row struct {
 	Name  string
 	Cells []string
 }
 
-// resultGroup is what was played in one world under one load.
+// resultGroup holds the results of all settings and seeds with one world file and one mix file.
 type resultGroup struct {
 	Title    string
 	Settings []string
 	Rows     []row
 	Plots    []figure
-	Broken   []string
+	Broken   []string // violations and open jobs
 }
 
+// figure is a plot with its caption.
 type figure struct {
 	Title string
 	SVG   template.HTML
 }
 
-// Report writes a self-contained page with tables and plots. against are outcomes of another run,
-// which are shown beside them.
+// Report writes a self-contained HTML page with tables and plots. Outcomes of another run, against, are shown beside
+// those of this one.
 func Report(path string, all, against []*Outcome) error {
 	for _, o := range against {
 		o.Cell.Settings = "other run: " + o.Cell.Settings
 	}
 	all = append(slices.Clone(all), against...)
 	var keys []string
-	byKey := map[string][]*Outcome{}
+	outcomesByKey := map[string][]*Outcome{}
 	for _, o := range all {
 		key := o.Cell.World + " under " + o.Cell.Mix
-		if byKey[key] == nil {
+		if outcomesByKey[key] == nil {
 			keys = append(keys, key)
 		}
-		byKey[key] = append(byKey[key], o)
+		outcomesByKey[key] = append(outcomesByKey[key], o)
 	}
 	var groups []resultGroup
 	for _, key := range keys {
-		g, err := newResultGroup(key, byKey[key])
+		g, err := newResultGroup(key, outcomesByKey[key])
 		if err != nil {
 			return fmt.Errorf("%s: %w", key, err)
 		}
@@ -121,31 +123,32 @@
 	return nil
 }
 
+// newResultGroup computes the rows and draws the plots of a group of outcomes.
 func newResultGroup(title string, all []*Outcome) (resultGroup, error) {
 	g := resultGroup{Title: title}
-	by := map[string][]*Outcome{}
+	bySettings := map[string][]*Outcome{}
 	for _, o := range all {
 		s := o.Cell.Settings
-		if by[s] == nil {
+		if bySettings[s] == nil {
 			g.Settings = append(g.Settings, s)
 		}
-		by[s] = append(by[s], o)
-		for _, b := range o.Result.Violations {
-			g.Broken = append(g.Broken, fmt.Sprintf("%v: %s", o.Cell, b))
+		bySettings[s] = append(bySettings[s], o)
+		for _, violation := range o.Result.Violations {
+			g.Broken = append(g.Broken, fmt.Sprintf("%v: %s", o.Cell, violation))
 		}
 		if n := len(o.Result.Open); n > 0 {
 			g.Broken = append(g.Broken, fmt.Sprintf("%v: %d jobs are not over", o.Cell, n))
 		}
 	}
-	if i := slices.Index(g.Settings, noSettings); i > 0 { // the defaults are what others are compared to
+	if i := slices.Index(g.Settings, noSettings); i > 0 { // the defaults come first: the others are compared with them
 		g.Settings = slices.Insert(slices.Delete(g.Settings, i, i+1), 0, noSettings)
 	}
-	for _, f := range newMetrics(all) {
-		g.Rows = append(g.Rows, newRow(f, g.Settings, by))
+	for _, m := range newMetrics(all) {
+		g.Rows = append(g.Rows, newRow(m, g.Settings, bySettings))
 	}
 	for _, x := range []struct {
 		title, unit string
-		of          func(Sample) float64
+		value       func(Sample) float64
 		limit       func(*Outcome) float64
 	}{
 		{"Machines that are up", "machines", func(s Sample) float64 { return float64(s.Up) }, nil},
@@ -155,7 +158,7 @@
 		{"Requests to the state service", "requests a second", func(s Sample) float64 { return s.Requests }, func(o *Outcome) float64 { return o.RPS }},
 		{"Term", "claims so far", func(s Sample) float64 { return float64(s.FencingToken) }, nil},
 	} {
-		svg, err := plotSamples(x.unit, g.Settings, by, x.of, x.limit)
+		svg, err := plotSamples(x.unit, g.Settings, bySettings, x.value, x.limit)
 		if err != nil {
 			return g, fmt.Errorf("plotting %q: %w", x.title, err)
 		}
@@ -164,6 +167,7 @@
 	return g, nil
 }
 
+// newMetrics returns the metrics of all classes that occur in the outcomes, and those of the whole cluster.
 func newMetrics(all []*Outcome) (out []metric) {
 	var names []string
 	for _, o := range all {
@@ -174,63 +178,65 @@
 		}
 	}
 	for _, name := range names {
-		add := func(what string, unit float64, times func(*load.ClassResult) load.Times, of func(load.Times) int64) {
+		add := func(what string, unit float64, times func(*load.ClassResult) load.Times, quantile func(load.Times) int64) {
 			out = append(out, metric{name + ": " + what, func(o *Outcome) (float64, bool) {
 				c := o.Result.Classes[name]
 				if c == nil || times(c).Count == 0 {
-					return 0, false // services are never done
+					return 0, false // for example, services never finish
 				}
-				return float64(of(times(c))) / unit, true
+				return float64(quantile(times(c))) / unit, true
 			}})
 		}
 		accept := func(c *load.ClassResult) load.Times { return c.Accept }
 		start := func(c *load.ClassResult) load.Times { return c.Start }
 		finish := func(c *load.ClassResult) load.Times { return c.Finish }
-		half := func(t load.Times) int64 { return t.P50 }
-		nearlyAll := func(t load.Times) int64 { return t.P99 }
-		add("accepted, half within (ms)", 1, accept, half)
-		add("accepted, 99% within (ms)", 1, accept, nearlyAll)
-		add("seen running, half within (s)", 1000, start, half)
-		add("seen running, 99% within (s)", 1000, start, nearlyAll)
-		add("seen done, half within (s)", 1000, finish, half)
+		p50 := func(t load.Times) int64 { return t.P50 }
+		p99 := func(t load.Times) int64 { return t.P99 }
+		add("accepted, half within (ms)", 1, accept, p50)
+		add("accepted, 99% within (ms)", 1, accept, p99)
+		add("seen running, half within (s)", 1000, start, p50)
+		add("seen running, 99% within (s)", 1000, start, p99)
+		add("seen done, half within (s)", 1000, finish, p50)
 	}
-	last := func(o *Outcome) Sample {
+	lastSample := func(o *Outcome) Sample {
 		if n := len(o.Samples); n > 0 {
 			return o.Samples[n-1]
 		}
 		return Sample{}
 	}
 	return append(out,
-		metric{"all: cost", func(o *Outcome) (float64, bool) { return last(o).Cost, true }},
-		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(last(o).FencingToken), true }},
+		metric{"all: cost", func(o *Outcome) (float64, bool) { return lastSample(o).Cost, true }},
+		metric{"all: claims", func(o *Outcome) (float64, bool) { return float64(lastSample(o).FencingToken), true }},
 		metric{"all: most changes a second", func(o *Outcome) (float64, bool) {
 			return maxSample(o, func(s Sample) float64 { return s.Changes }), true
 		}})
 }
 
-func maxSample(o *Outcome, of func(Sample) float64) (m float64) {
+// maxSample returns the maximum of a value over the samples of an outcome, at least 0.
+func maxSample(o *Outcome, value func(Sample) float64) (m float64) {
 	for _, s := range o.Samples {
-		m = max(m, of(s))
+		m = max(m, value(s))
 	}
 	return m
 }
 
-// newRow gives a figure of each setting, and the difference to the first, seed by seed.
-func newRow(f metric, settings []string, by map[string][]*Outcome) row {
-	r := row{Name: f.Name}
-	first := map[uint64]float64{}
+// newRow returns the values of a metric for each setting, and the differences from the first setting, which are taken
+// between outcomes of the same seed.
+func newRow(m metric, settings []string, bySettings map[string][]*Outcome) row {
+	r := row{Name: m.Name}
+	baseBySeed := map[uint64]float64{}
 	for i, s := range settings {
 		var all, diff seedValues
-		for _, o := range by[s] {
-			v, ok := f.value(o)
+		for _, o := range bySettings[s] {
+			v, ok := m.value(o)
 			if !ok {
 				continue
 			}
 			all.values = append(all.values, v)
-			if base, known := first[o.Cell.Seed]; i > 0 && known {
+			if base, known := baseBySeed[o.Cell.Seed]; i > 0 && known {
 				diff.values = append(diff.values, v-base)
 			} else if i == 0 {
-				first[o.Cell.Seed] = v
+				baseBySeed[o.Cell.Seed] = v
 			}
 		}
 		r.Cells = append(r.Cells, all.String())
@@ -241,30 +247,31 @@
 	return r
 }
 
+// palette lists the colours of the settings in the plots.
 var palette = []color.RGBA{{0x1f, 0x77, 0xb4, 0xff}, {0xd9, 0x5f, 0x02, 0xff}, {0x2c, 0x8c, 0x4a, 0xff}, {0x94, 0x4d, 0xc7, 0xff}, {0xb8, 0x8a, 0x00, 0xff}, {0xc2, 0x3b, 0x6b, 0xff}}
 
-// plotSamples draws a line for each cell, in the colour of its setting, with the faults as marked spans
-// and the limit dashed.
-func plotSamples(unit string, settings []string, by map[string][]*Outcome, of func(Sample) float64, limit func(*Outcome) float64) (template.HTML, error) {
+// plotSamples draws a value of the samples over time: a line for each cell in the colour of its setting, bands for the
+// faults, and a dashed line for the limit, which is left out if it is more than three times the highest value.
+func plotSamples(unit string, settings []string, bySettings map[string][]*Outcome, value func(Sample) float64, limit func(*Outcome) float64) (template.HTML, error) {
 	p := plot.New()
-	p.BackgroundColor = color.Transparent // the page's, light or dark
+	p.BackgroundColor = color.Transparent // shows the background of the page, which is light or dark
 	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
 	p.Y.Min = 0
 	p.Legend.Top, p.Legend.Left = true, true
 	top := 1.0
 	for _, s := range settings {
-		for _, o := range by[s] {
-			top = max(top, maxSample(o, of))
+		for _, o := range bySettings[s] {
+			top = max(top, maxSample(o, value))
 		}
 	}
-	first := by[settings[0]][0]
+	first := bySettings[settings[0]][0]
 	if len(first.Faults) > 0 {
 		if err := addFaultBands(p, first.Faults, top); err != nil {
 			return "", err
 		}
 	}
 	for i, s := range settings {
-		if err := addCellLines(p, s, palette[i%len(palette)], by[s], of); err != nil {
+		if err := addCellLines(p, s, palette[i%len(palette)], bySettings[s], value); err != nil {
 			return "", err
 		}
 	}
@@ -278,12 +285,12 @@
 	return renderSVG(p)
 }
 
-// addCellLines draws the cells of one setting in one colour, with one entry in the legend.
-func addCellLines(p *plot.Plot, setting string, colour color.Color, cells []*Outcome, of func(Sample) float64) error {
+// addCellLines adds a line for each cell of a setting, all in one colour and with one entry in the legend.
+func addCellLines(p *plot.Plot, setting string, colour color.Color, cells []*Outcome, value func(Sample) float64) error {
 	for k, o := range cells {
 		pts := make(plotter.XYs, len(o.Samples))
 		for n, x := range o.Samples {
-			pts[n] = plotter.XY{X: x.TimeS, Y: of(x)}
+			pts[n] = plotter.XY{X: x.TimeS, Y: value(x)}
 		}
 		if len(pts) == 0 {
 			continue
@@ -301,7 +308,7 @@
 	return nil
 }
 
-// addLimitLine draws a limit as a dashed line over the length of a cell.
+// addLimitLine adds a dashed line for a limit, as long as the samples of an outcome.
 func addLimitLine(p *plot.Plot, o *Outcome, at float64) error {
 	end := 1.0
 	if n := len(o.Samples); n > 0 {
@@ -317,7 +324,7 @@
 	return nil
 }
 
-// renderSVG returns a plot as an SVG element.
+// renderSVG returns a plot as an SVG element for embedding in a page.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(9*vg.Inch, 2.8*vg.Inch)
 	p.Draw(draw.New(c))
@@ -329,10 +336,10 @@
 	if i := strings.Index(text, "<svg"); i > 0 {
 		text = text[i:]
 	}
-	return template.HTML(text), nil //nolint:gosec // drawn here
+	return template.HTML(text), nil //nolint:gosec // generated by vgsvg above
 }
 
-// addFaultBands marks when faults were in force.
+// addFaultBands adds a labelled band for the time during which each fault was active.
 func addFaultBands(p *plot.Plot, faults []emulator.StagedFault, top float64) error {
 	for i, f := range faults {
 		until := max(f.Until, f.Since+0.5)
