--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	serve(cluster.ports.control, endpoint{}, endpoint{}, cluster.serveControl())
+	serve(cluster.ports.control, endpoint{}, endpoint{}, cluster.control())
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("ports are in use, choose others with --port:\n%w", err)
 	}
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -265,7 +265,7 @@
 // parseFault adds the fault of a section [fault NAME] to the timeline.
 func (r *configParser) parseFault(c *Config, sec *ini.Section, name string) {
 	f := Fault{Label: name}
-	rejected := r.parseSection(sec, f.parsers())
+	rejected := r.parseSection(sec, f.fieldParsers())
 	if err := f.Check(c); err != nil {
 		for _, e := range splitJoined(err) {
 			if slices.Contains(rejected, fieldOfError(e)) {
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -57,8 +57,8 @@
 	Error string `json:"error"`
 }
 
-// serveControl returns the handler of the control address.
-func (cluster *Cluster) serveControl() transport.ServeConn {
+// control returns the handler of the control address.
+func (cluster *Cluster) control() transport.ServeConn {
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
 		number, hasNumber := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -76,8 +76,8 @@
 	return out
 }
 
-// parsers returns the parsers for the keys of a section [fault NAME].
-func (f *Fault) parsers() fieldParsers {
+// fieldParsers returns the parsers for the keys of a section [fault NAME].
+func (f *Fault) fieldParsers() fieldParsers {
 	return fieldParsers{"kind": stringParser(&f.Kind, FaultKinds()...), "at": durationParser(&f.At, 0, 24*time.Hour), "for": durationParser(&f.For, 0, 24*time.Hour),
 		"from": stringParser(&f.From), "to": stringParser(&f.To), "mode": stringParser(&f.Mode, "hold", "lose", "reset"), "one_way": booleanParser(&f.OneWay), "delay": durationParser(&f.Delay, time.Millisecond, time.Hour),
 		"share": numberParser(&f.Share, 0, 1), "count": countParser(&f.Count, 1, 1_000_000), "zone": stringParser(&f.Zone), "notice": durationParser(&f.Notice, 0, time.Hour),
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -44,12 +44,12 @@
 	lastRule int
 	changed  chan struct{}
 	conns    map[*link]bool
-	traffic  map[Direction]*flowCounter
+	traffic  map[Direction]*counter
 }
 
 // newLinks returns links without rules.
 func newLinks() *links {
-	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*flowCounter{}}
+	return &links{rules: map[int]*rule{}, changed: make(chan struct{}), conns: map[*link]bool{}, traffic: map[Direction]*counter{}}
 }
 
 // add activates a rule until the returned function is called.
@@ -135,7 +135,7 @@
 	done           chan struct{}
 	once           sync.Once
 	idle           time.Duration
-	sent, received *flowCounter
+	sent, received *counter
 
 	mu      sync.Mutex
 	held    [][]byte // written but not yet delivered, in order
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -27,10 +27,10 @@
 	return Flow{f.Bytes + other.Bytes, f.Messages + other.Messages}
 }
 
-// flowCounter counts the traffic of one direction.
-type flowCounter struct{ bytes, messages atomic.Uint64 }
+// counter counts the traffic of one direction.
+type counter struct{ bytes, messages atomic.Uint64 }
 
-func (c *flowCounter) add(n int) {
+func (c *counter) add(n int) {
 	c.bytes.Add(uint64(n))
 	c.messages.Add(1)
 }
@@ -44,10 +44,10 @@
 }
 
 // counter returns the counter of a direction. The caller holds the lock.
-func (l *links) counter(from, to endpoint) *flowCounter {
+func (l *links) counter(from, to endpoint) *counter {
 	direction := Direction{from.directionEnd(), to.directionEnd()}
 	if l.traffic[direction] == nil {
-		l.traffic[direction] = new(flowCounter)
+		l.traffic[direction] = new(counter)
 	}
 	return l.traffic[direction]
 }
--- a/internal/emulator/user_faults.go
+++ b/internal/emulator/user_faults.go
@@ -67,9 +67,9 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	instructions := UserInstructions{Cancel: u.toCancel, MalformedRequests: u.malformedFaults > 0, ConcurrentReads: u.concurrentReadFaults > 0}
+	current := UserInstructions{Cancel: u.toCancel, MalformedRequests: u.malformedFaults > 0, ConcurrentReads: u.concurrentReadFaults > 0}
 	u.toCancel = nil
-	return instructions
+	return current
 }
 
 // Bounds of cancel_now faults.
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -39,8 +39,8 @@
 	lastStages map[string]wire.Stage            // last stage that was reported, by job
 }
 
-// reset prepares the history for a new run.
-func (h *answerHistory) reset() {
+// start prepares the history for a new run.
+func (h *answerHistory) start() {
 	h.startedAt, h.ops, h.lastStages = time.Now(), map[string][]porcupine.Operation{}, map[string]wire.Stage{}
 }
 
--- a/internal/load/answer_history_test.go
+++ b/internal/load/answer_history_test.go
@@ -32,7 +32,7 @@
 		"invented":                      {[]op{{opStatus, 200, wire.Running, 0, 1}}, true},
 	} {
 		var h answerHistory
-		h.reset()
+		h.start()
 		for _, o := range x.ops {
 			h.add("wk-1", o.kind, o.status, o.stage, o.sent, o.answered)
 		}
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -9,8 +9,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// TestStaleAnswersAreReported checks that a response which contradicts one that was received before its request was sent
-// is reported among hundreds of concurrent calls, and that responses which merely overlap are not.
+// TestStaleAnswersAreReported checks that a response which contradicts one that was received before its request was
+// sent is reported among hundreds of concurrent calls, and that responses which merely overlap are not.
 func TestStaleAnswersAreReported(t *testing.T) {
 	type told struct {
 		op     string // ask, submit or cancel
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -37,7 +37,7 @@
 	Bursts        []Burst
 	Tasks         [2]int           // minimum and maximum per job
 	RunTime       [2]time.Duration // minimum and maximum
-	CancelShare   float64          // share of jobs that users cancel while they run
+	Cancel        float64          // share of jobs that users cancel while they run
 	Template      wire.Job         // what all jobs of the class have in common
 }
 
@@ -49,9 +49,9 @@
 
 // Arrival is a job and the time at which to submit it, counted from the start of the load.
 type Arrival struct {
-	At          time.Duration
-	Job         *wire.Job
-	CancelAfter time.Duration // time after its acceptance at which the user cancels the job; 0 for never
+	At     time.Duration
+	Job    *wire.Job
+	Cancel time.Duration // time after its acceptance at which the user cancels the job; 0 for never
 }
 
 // ParseMix parses a mix file. It returns all errors of an invalid file joined.
@@ -125,8 +125,8 @@
 	}
 }
 
-// setField passes a value to the parser of its key and returns what is allowed if the key or the value is rejected.
-func setField(parsers map[string]func(string) string, key, value string) string {
+// setKey passes a value to the parser of its key and returns what is allowed if the key or the value is rejected.
+func setKey(parsers map[string]func(string) string, key, value string) string {
 	if parse := parsers[key]; parse != nil {
 		return parse(value)
 	}
@@ -140,7 +140,7 @@
 
 // setKey sets a field from a key of the section [load].
 func (m *Mix) setKey(key, value string) string {
-	return setField(map[string]func(string) string{
+	return setKey(map[string]func(string) string{
 		"seed": valueParser(&m.Seed, func(s string) (uint64, error) { return strconv.ParseUint(s, 10, 32) }, func(uint64) bool { return true }, "a count"),
 		"for":  durationParser(&m.Duration, time.Second, 24*time.Hour), "poll": durationParser(&m.PollInterval, 100*time.Millisecond, time.Minute)}, key, value)
 }
@@ -159,8 +159,8 @@
 		}
 	}
 	text := func(to *string) func(string) string { return func(s string) string { *to = s; return "" } }
-	return setField(map[string]func(string) string{
-		"per_minute": amountParser(&c.JobsPerMinute, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": amountParser(&c.CancelShare, 1),
+	return setKey(map[string]func(string) string{
+		"per_minute": amountParser(&c.JobsPerMinute, 1e6), "curve": c.setCurve, "bursts": c.setBursts, "cancel": amountParser(&c.Cancel, 1),
 		"tasks": c.setTasks, "run": c.setRun,
 		"team": text(&j.Team), "shape": choiceParser(&shape, string(wire.Array), string(wire.Gang), string(wire.Service)),
 		"priority": choiceParser(&priority, string(wire.Production), string(wire.High), string(wire.Normal), string(wire.Low)),
@@ -276,9 +276,9 @@
 	runTime := c.RunTime[0] + time.Duration(rng.Float64()*float64(c.RunTime[1]-c.RunTime[0]))
 	a := Arrival{At: at, Job: &j}
 	if j.Shape == wire.Service {
-		a.CancelAfter = max(runTime, time.Second)
-	} else if j.EstimateS = runTime.Seconds(); rng.Float64() < c.CancelShare {
-		a.CancelAfter = max(time.Second, time.Duration(rng.Float64()*float64(runTime)))
+		a.Cancel = max(runTime, time.Second)
+	} else if j.EstimateS = runTime.Seconds(); rng.Float64() < c.Cancel {
+		a.Cancel = max(time.Second, time.Duration(rng.Float64()*float64(runTime)))
 	}
 	return a
 }
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -117,7 +117,7 @@
 func (r *Runner) Run(ctx context.Context, progress func(sent, total, open int)) (*Result, error) {
 	r.reset()
 	arrivals := r.Mix.Arrivals(r.Prefix)
-	r.history.reset()
+	r.history.start()
 	stopJudging := r.startJudging(ctx)
 	usersCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -263,7 +263,7 @@
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		pause(ctx, r.pollInterval(arrival, acceptedAt, started))
 		op := opStatus
-		if tracked.toldToCancel.Load() || arrival.CancelAfter > 0 && time.Since(acceptedAt) >= arrival.CancelAfter {
+		if tracked.toldToCancel.Load() || arrival.Cancel > 0 && time.Since(acceptedAt) >= arrival.Cancel {
 			op = opCancel
 		}
 		status, s := r.call(ctx, tracked.firstController+attempt, tracked, op)
@@ -294,8 +294,8 @@
 	if !started {
 		wait = min(wait, maxPollBeforeStart)
 	}
-	if arrival.CancelAfter > 0 {
-		wait = min(wait, max(minPollBeforeCancel, arrival.CancelAfter-time.Since(acceptedAt)))
+	if arrival.Cancel > 0 {
+		wait = min(wait, max(minPollBeforeCancel, arrival.Cancel-time.Since(acceptedAt)))
 	}
 	return wait
 }
@@ -324,10 +324,10 @@
 		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
 		tracked.cancelRequested.Store(true)
 	}
-	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := r.history.now()
-	resp, err := r.Caller.Call(callCtx, r.Addrs[n%len(r.Addrs)], method, path, body)
+	resp, err := r.Caller.Call(call, r.Addrs[n%len(r.Addrs)], method, path, body)
 	if err == nil {
 		status = resp.Status
 		_ = wire.Decode(resp.Body, &s)
