--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -84,13 +84,13 @@
 	lift := cluster.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
 	c, machine := cluster.controllerEndpoint(0), endpoint{"n-1", "machines", "a"}
 	for _, x := range []struct {
-		side endpoint
+		peer endpoint
 		cut  bool
 	}{{stateEndpoint, true}, {cluster.controllerEndpoint(1), true}, {cluster.controllerEndpoint(2), true}, {machine, false}, {cloudEndpoint, false}} {
-		out, _, _ := cluster.links.modeOf(c, x.side)
-		in, _, _ := cluster.links.modeOf(x.side, c)
+		out, _, _ := cluster.links.modeOf(c, x.peer)
+		in, _, _ := cluster.links.modeOf(x.peer, c)
 		if (out != "") != x.cut || (in != "") != x.cut {
-			t.Errorf("%v: %q, %q", x.side, out, in)
+			t.Errorf("%v: %q, %q", x.peer, out, in)
 		}
 	}
 	if mode, _, _ := cluster.links.modeOf(cluster.controllerEndpoint(1), stateEndpoint); mode != "" {
--- a/internal/load/linearizability_test.go
+++ b/internal/load/linearizability_test.go
@@ -12,36 +12,36 @@
 // TestStaleAnswersAreReported checks that a response which contradicts one that was received before its request was
 // sent is reported among hundreds of concurrent calls, and that responses which merely overlap are not.
 func TestStaleAnswersAreReported(t *testing.T) {
-	type told struct {
+	type observation struct {
 		op     string // ask, submit or cancel
 		status int
 		stage  wire.Stage
 	}
-	observer := func(j *LinearizabilityChecker) func(x told, call int64) {
-		return func(x told, call int64) {
+	observer := func(j *LinearizabilityChecker) func(x observation, call int64) {
+		return func(x observation, call int64) {
 			map[string]func(string, int64, int, wire.Stage){"ask": j.ObserveStatus, "submit": j.ObserveSubmission, "cancel": j.ObserveCancellation}[x.op]("wk-1", call, x.status, x.stage)
 		}
 	}
-	accepted, ended := told{"submit", 201, wire.Pending}, told{"cancel", 200, wire.Cancelled}
+	accepted, ended := observation{"submit", 201, wire.Pending}, observation{"cancel", 200, wire.Cancelled}
 	for name, x := range map[string]struct {
-		then  []told // in order
-		last  told   // called after then, and the last to return
+		then  []observation // in order
+		last  observation   // called after then, and the last to return
 		valid bool
 	}{
-		"known":                   {[]told{accepted}, told{"ask", 200, wire.Running}, true},
-		"forgotten":               {[]told{accepted}, told{"ask", 404, ""}, false},
-		"refused again":           {[]told{accepted}, told{"submit", 422, ""}, false},
-		"cancelled":               {[]told{accepted, ended}, told{"submit", 200, wire.Cancelled}, true},
-		"back":                    {[]told{accepted, ended}, told{"submit", 200, wire.Pending}, false},
-		"running again":           {[]told{accepted, ended}, told{"ask", 200, wire.Running}, false},
-		"done after cancelled":    {[]told{accepted, ended}, told{"ask", 200, wire.Done}, false},
-		"not to be cancelled":     {[]told{accepted, ended}, told{"cancel", 404, ""}, false},
-		"cancelled after done":    {[]told{accepted, {"ask", 200, wire.Done}}, ended, false},
-		"cancelled by nobody":     {[]told{accepted}, told{"ask", 200, wire.Cancelled}, false},
-		"cancelled in vain":       {[]told{accepted, {"cancel", 0, ""}}, told{"ask", 200, wire.Cancelled}, true},
-		"submitted by nobody":     {[]told{{"ask", 404, ""}}, told{"ask", 200, wire.Pending}, false},
-		"submitted in vain":       {[]told{{"submit", 503, ""}}, told{"ask", 200, wire.Pending}, true},
-		"refused, then submitted": {[]told{{"submit", 400, ""}}, accepted, true},
+		"known":                   {[]observation{accepted}, observation{"ask", 200, wire.Running}, true},
+		"forgotten":               {[]observation{accepted}, observation{"ask", 404, ""}, false},
+		"refused again":           {[]observation{accepted}, observation{"submit", 422, ""}, false},
+		"cancelled":               {[]observation{accepted, ended}, observation{"submit", 200, wire.Cancelled}, true},
+		"back":                    {[]observation{accepted, ended}, observation{"submit", 200, wire.Pending}, false},
+		"running again":           {[]observation{accepted, ended}, observation{"ask", 200, wire.Running}, false},
+		"done after cancelled":    {[]observation{accepted, ended}, observation{"ask", 200, wire.Done}, false},
+		"not to be cancelled":     {[]observation{accepted, ended}, observation{"cancel", 404, ""}, false},
+		"cancelled after done":    {[]observation{accepted, {"ask", 200, wire.Done}}, ended, false},
+		"cancelled by nobody":     {[]observation{accepted}, observation{"ask", 200, wire.Cancelled}, false},
+		"cancelled in vain":       {[]observation{accepted, {"cancel", 0, ""}}, observation{"ask", 200, wire.Cancelled}, true},
+		"submitted by nobody":     {[]observation{{"ask", 404, ""}}, observation{"ask", 200, wire.Pending}, false},
+		"submitted in vain":       {[]observation{{"submit", 503, ""}}, observation{"ask", 200, wire.Pending}, true},
+		"refused, then submitted": {[]observation{{"submit", 400, ""}}, accepted, true},
 	} {
 		j := &LinearizabilityChecker{}
 		observe := observer(j)
@@ -55,7 +55,7 @@
 		call := j.BeginCall()
 		for i, c := range open { // overlapping calls may return either stage
 			if x.then[0] == accepted {
-				observe(told{"submit", 200, []wire.Stage{wire.Pending, wire.Running}[i%2]}, c)
+				observe(observation{"submit", 200, []wire.Stage{wire.Pending, wire.Running}[i%2]}, c)
 			}
 		}
 		observe(x.last, call)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -63,28 +63,28 @@
 // TestLoad generates load on three controllers in an emulated cluster while the state service refuses one of them and
 // loses requests, a zone is cut off, and users misbehave: every job has to end, and no rule may be violated.
 func TestLoad(t *testing.T) {
-	w, err := emulator.Start(t.Context(), emulator.DefaultConfig(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
+	cluster, err := emulator.Start(t.Context(), emulator.DefaultConfig(), emulator.Options{Port: 27300 + 1200, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Stop()
-	addrs, stop := startControllers(t, w)
+	defer cluster.Stop()
+	addrs, stop := startControllers(t, cluster)
 	for _, f := range []emulator.Fault{{Kind: "state_refuse", Who: "c-1", For: 4 * time.Second}, {Kind: "state_lose", Share: 0.1, For: 6 * time.Second}, {Kind: "cut", From: "zone:b", To: "all", For: 3 * time.Second}} {
-		if _, err := w.Stage(f); err != nil {
+		if _, err := cluster.Stage(f); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r := load.Runner{Mix: parseMix(t, mixOfEveryShape), Addrs: addrs, JudgeAddr: w.Control(), Prefix: "9", DrainTimeout: time.Minute,
+	r := load.Runner{Mix: parseMix(t, mixOfEveryShape), Addrs: addrs, JudgeAddr: cluster.Control(), Prefix: "9", DrainTimeout: time.Minute,
 		Caller: &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}}
 	for _, f := range []emulator.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
-		if _, err := w.Stage(f); err != nil {
+		if _, err := cluster.Stage(f); err != nil {
 			t.Fatal(err)
 		}
 	}
 	cancelled := false
 	res, err := r.Run(t.Context(), func(sent, all, _ int) {
 		if sent >= all/2 && !cancelled { // some services run by now
-			_, err := w.Stage(emulator.Fault{Kind: "cancel_now", Count: 4, Hang: 2 * time.Second})
+			_, err := cluster.Stage(emulator.Fault{Kind: "cancel_now", Count: 4, Hang: 2 * time.Second})
 			cancelled = err == nil
 		}
 	})
@@ -130,15 +130,15 @@
 
 // startControllers starts the cluster's three controllers in this process, and returns their
 // addresses and a function that stops them.
-func startControllers(t *testing.T, w *emulator.Cluster) (addrs []string, stop func()) {
+func startControllers(t *testing.T, cluster *emulator.Cluster) (addrs []string, stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 3)
 	for i := range 3 {
-		cfg, err := amberdeal.Load(w.Settings(i), "")
+		cfg, err := amberdeal.Load(cluster.Settings(i), "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, w.Public(i))
+		addrs = append(addrs, cluster.Public(i))
 		go func() {
 			_ = amberdeal.New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
 			ended <- struct{}{}
