--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -13,43 +13,43 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func small(t *testing.T, port int, opt Options) *Cluster {
+func startSmallCluster(t *testing.T, port int, opt Options) *Cluster {
 	t.Helper()
 	opt.Port = port
-	w, err := Start(t.Context(), DefaultConfig(), opt)
+	cluster, err := Start(t.Context(), DefaultConfig(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Stop)
-	return w
+	t.Cleanup(cluster.Stop)
+	return cluster
 }
 
-func caller() *transport.Caller {
+func newCaller() *transport.Caller {
 	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
 }
 
-// ask lists the keys of the state service through a controller's address, and returns the status, 0 for no
-// answer.
-func ask(t *testing.T, w *Cluster, c *transport.Caller, i int, patience time.Duration) int {
+// keysStatus lists the keys of the state service through controller i's address and returns the HTTP status, or 0 if
+// there was no response within the timeout.
+func keysStatus(t *testing.T, cluster *Cluster, c *transport.Caller, i int, timeout time.Duration) int {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
-	resp, err := c.Call(ctx, w.addr(w.ports.state+i), "GET", wire.KeysPath("a", "", 1), nil)
+	resp, err := c.Call(ctx, cluster.addr(cluster.ports.state+i), "GET", wire.KeysPath("a", "", 1), nil)
 	if err != nil {
 		return 0
 	}
 	return resp.Status
 }
 
-// TestStateServiceFaults cuts one controller off from the state service, and has it refused, while
-// others are served; an outage concerns all. Lifted faults are over.
+// TestStateServiceFaults checks that a controller that is cut off from the state service or refused by it gets no
+// service while the others are served, that an outage affects all controllers, and that lifting a fault ends it.
 func TestStateServiceFaults(t *testing.T) {
-	w := small(t, 27300, Options{})
-	c := caller()
+	cluster := startSmallCluster(t, 27300, Options{})
+	c := newCaller()
 	for _, x := range []struct {
 		fault Fault
-		zero  int // what c-0 is answered, and the others
-		other int
+		first int // status that c-0 gets, 0 for no response
+		other int // status that c-1 gets
 	}{
 		{Fault{Kind: "cut", From: "c-0", To: "state"}, 0, 200},
 		{Fault{Kind: "cut", From: "state", To: "c-0", OneWay: true, Mode: "lose"}, 0, 200},
@@ -58,88 +58,88 @@
 		{Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true}, 0, 200},
 		{Fault{Kind: "controller_cut", Who: "c-0", FromPeers: true}, 200, 200},
 	} {
-		s, err := w.Stage(x.fault)
+		s, err := cluster.Stage(x.fault)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := ask(t, w, c, 0, 200*time.Millisecond), ask(t, w, c, 1, 2*time.Second); a != x.zero || b != x.other {
-			t.Errorf("%s: answered %d and %d", s.Description, a, b)
+		if a, b := keysStatus(t, cluster, c, 0, 200*time.Millisecond), keysStatus(t, cluster, c, 1, 2*time.Second); a != x.first || b != x.other {
+			t.Errorf("%s: c-0 got status %d and c-1 %d", s.Description, a, b)
 		}
-		if !w.Lift(s.Number) || w.Lift(s.Number) {
-			t.Errorf("%s: lifted", s.Description)
+		if !cluster.Lift(s.Number) || cluster.Lift(s.Number) {
+			t.Errorf("%s: lifting did not succeed exactly once", s.Description)
 		}
-		if a := ask(t, w, c, 0, 2*time.Second); a != 200 {
-			t.Errorf("after %s: %d", s.Description, a)
+		if a := keysStatus(t, cluster, c, 0, 2*time.Second); a != 200 {
+			t.Errorf("after %s: status %d", s.Description, a)
 		}
 	}
-	if _, err := w.Stage(Fault{Kind: "controller_kill"}); err == nil {
-		t.Error("killed what is not its own")
+	if _, err := cluster.Stage(Fault{Kind: "controller_kill"}); err == nil {
+		t.Error("killed a controller that the cluster has not started")
 	}
 }
 
-// TestControllerCutOff checks that a controller which is cut off from the state service and its
-// peers reaches neither, that they do not reach it, and that its machines and the cloud do.
+// TestControllerCutOff checks that a controller that is cut off from the state service and its peers can't exchange
+// data with them in either direction, and that its connections to machines and the cloud still work.
 func TestControllerCutOff(t *testing.T) {
-	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
-	lift := w.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
-	c, machine := w.controller(0), side{"n-1", "machines", "a"}
+	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	lift := cluster.cutOffController(&Fault{Kind: "controller_cut", Who: "c-0", FromState: true, FromPeers: true})
+	c, machine := cluster.controllerEndpoint(0), endpoint{"n-1", "machines", "a"}
 	for _, x := range []struct {
-		side side
+		peer endpoint
 		cut  bool
-	}{{state, true}, {w.controller(1), true}, {w.controller(2), true}, {machine, false}, {cloud, false}} {
-		out, _, _ := w.links.modeOf(c, x.side)
-		in, _, _ := w.links.modeOf(x.side, c)
+	}{{stateEndpoint, true}, {cluster.controllerEndpoint(1), true}, {cluster.controllerEndpoint(2), true}, {machine, false}, {cloudEndpoint, false}} {
+		out, _, _ := cluster.links.modeOf(c, x.peer)
+		in, _, _ := cluster.links.modeOf(x.peer, c)
 		if (out != "") != x.cut || (in != "") != x.cut {
-			t.Errorf("%v: %q, %q", x.side, out, in)
+			t.Errorf("%v: %q, %q", x.peer, out, in)
 		}
 	}
-	if mode, _, _ := w.links.modeOf(w.controller(1), state); mode != "" {
-		t.Errorf("another is cut off: %q", mode)
+	if mode, _, _ := cluster.links.modeOf(cluster.controllerEndpoint(1), stateEndpoint); mode != "" {
+		t.Errorf("another controller is cut off too: %q", mode)
 	}
-	if lift(); len(w.links.rules) > 0 {
-		t.Error("not lifted")
+	if lift(); len(cluster.links.rules) > 0 {
+		t.Error("the rules were not removed")
 	}
 }
 
-// TestZoneWorksInside checks that a zone which is cut off from everything reaches itself, and
-// nothing else.
-func TestZoneWorksInside(t *testing.T) {
-	w := &Cluster{Config: DefaultConfig(), links: newLinks()}
-	w.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
-	here, there := side{"n-1", "machines", "b"}, side{"n-2", "machines", "a"}
+// TestIsolatedZoneReachesItself checks that connections within a zone that is cut off from everything work, and that
+// no connection into or out of it does.
+func TestIsolatedZoneReachesItself(t *testing.T) {
+	cluster := &Cluster{Config: DefaultConfig(), links: newLinks()}
+	cluster.cutLinks(&Fault{Kind: "cut", From: "zone:b", To: "all"})
+	here, there := endpoint{"n-1", "machines", "b"}, endpoint{"n-2", "machines", "a"}
 	for _, x := range []struct {
-		from, to side
+		from, to endpoint
 		cut      bool
-	}{{here, side{"c-1", "controllers", "b"}, false}, {here, state, true}, {state, here, true}, {here, there, true}, {there, state, false}, {there, side{"c-1", "controllers", "b"}, true}} {
-		if mode, _, _ := w.links.modeOf(x.from, x.to); (mode != "") != x.cut {
+	}{{here, endpoint{"c-1", "controllers", "b"}, false}, {here, stateEndpoint, true}, {stateEndpoint, here, true}, {here, there, true}, {there, stateEndpoint, false}, {there, endpoint{"c-1", "controllers", "b"}, true}} {
+		if mode, _, _ := cluster.links.modeOf(x.from, x.to); (mode != "") != x.cut {
 			t.Errorf("%v to %v: %q", x.from, x.to, mode)
 		}
 	}
 }
 
-// TestPersistedState checks that a cluster resumes from the persisted state of the state service,
-// and that files are replaced atomically.
+// TestPersistedState checks that a cluster resumes from the persisted state of the state service and that writing it
+// leaves no temporary files.
 func TestPersistedState(t *testing.T) {
 	dir := t.TempDir()
-	w := small(t, 27300+400, Options{Dir: dir, Persist: true})
-	if status, _ := w.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
+	cluster := startSmallCluster(t, 27300+400, Options{Dir: dir, Persist: true})
+	if status, _ := cluster.state.Commit(wire.Txn{Then: []wire.Operation{{Put: "a/1", Value: "x"}}}); status != 200 {
 		t.Fatal(status)
 	}
 	var settings struct {
 		Name string `json:"host_name"`
 	}
-	if text, err := os.ReadFile(w.Settings(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
+	if text, err := os.ReadFile(cluster.Settings(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
-	w.Stop()
-	again := small(t, 27300+800, Options{Dir: dir, Persist: true})
-	if items := again.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
+	cluster.Stop()
+	restarted := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
+	if items := restarted.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
 	}
-	if parts, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(parts) > 0 {
-		t.Errorf("%v is left", parts)
+	if temporary, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(temporary) > 0 {
+		t.Errorf("temporary files are left: %v", temporary)
 	}
 	if _, err := Start(t.Context(), DefaultConfig(), Options{Port: 27300 + 800}); err == nil || !strings.Contains(err.Error(), "ports are in use") {
-		t.Errorf("the same ports again: %v", err)
+		t.Errorf("starting on ports in use: %v", err)
 	}
 }
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -13,105 +13,105 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// The paths of the control address. Its protocol is JSON.
+// Paths of the control address. Bodies are JSON unless noted otherwise.
 const (
-	PathStatus = "/status"
-	PathFaults = "/faults"
-	PathUsers  = "/users" // what users are to do now, see Orders
-	PathJudge  = "/judge" // CBOR: what users did and were told, so that all rules can be judged
+	PathStatus           = "/status"
+	PathFaults           = "/faults"
+	PathUserInstructions = "/users" // GET: instructions to users, see UserInstructions
+	PathObservations     = "/judge" // POST, CBOR: users' requests and the responses, for the checkers
 )
 
-// Observation is an answer that a user got about a job, or the job that a user is about to submit.
+// Observation is a response that a user got about a job, or a job that a user is about to submit.
 type Observation struct {
 	Submitted       *wire.Job  `cbor:"submitted,omitempty"`
 	Job             string     `cbor:"job"`
 	Status          int        `cbor:"status"`
 	Stage           wire.Stage `cbor:"stage"`
-	CancelRequested bool       `cbor:"asked"` // the user has asked to cancel the job
-	Poll            bool       `cbor:"poll"`  // a poll, with status 0 if no answer came in time
-	SentNS          int64      `cbor:"sent"`  // with AnsweredNS: ns on a clock that all users share
+	CancelRequested bool       `cbor:"asked"` // the user has requested the cancellation of the job
+	Poll            bool       `cbor:"poll"`  // a status poll; Status is 0 if it timed out
+	SentNS          int64      `cbor:"sent"`  // like AnsweredNS in nanoseconds on a clock that all users share
 	AnsweredNS      int64      `cbor:"back"`
-	Body            wire.Raw   `cbor:"body,omitempty"` // of a submission that has to be refused, or may have to be
+	Body            wire.Raw   `cbor:"body,omitempty"` // body of a submission that may have to be refused
 }
 
 // Observe passes users' observations to the checkers.
-func (w *Cluster) Observe(told []Observation) {
-	for _, t := range told {
-		if t.Submitted != nil {
-			w.fixture.recordSubmission(t.Submitted)
+func (cluster *Cluster) Observe(observations []Observation) {
+	for _, o := range observations {
+		if o.Submitted != nil {
+			cluster.fixture.recordSubmission(o.Submitted)
 			continue
 		}
-		if t.Body != nil {
-			w.fixture.ObserveSubmission(t.Body, t.Status)
+		if o.Body != nil {
+			cluster.fixture.ObserveSubmission(o.Body, o.Status)
 			continue
 		}
-		if t.Status > 0 {
-			w.fixture.ObserveAnswerAt(t.Job, t.Status, t.Stage, t.CancelRequested, time.Unix(0, t.SentNS), time.Unix(0, t.AnsweredNS))
+		if o.Status > 0 {
+			cluster.fixture.ObserveAnswerAt(o.Job, o.Status, o.Stage, o.CancelRequested, time.Unix(0, o.SentNS), time.Unix(0, o.AnsweredNS))
 		}
-		w.fixture.Liveness.ObserveAnswer(time.Now(), t.Job, t.Status, t.Stage, t.CancelRequested, t.Poll)
+		cluster.fixture.Liveness.ObserveAnswer(time.Now(), o.Job, o.Status, o.Stage, o.CancelRequested, o.Poll)
 	}
 }
 
-// Refusal is the answer to a fault that cannot be staged.
+// Refusal is the body of an error response of the control address.
 type Refusal struct {
 	Error string `json:"error"`
 }
 
-// control serves the control address.
-func (w *Cluster) control() transport.ServeConn {
+// control returns the handler of the control address.
+func (cluster *Cluster) control() transport.ServeConn {
 	return transport.HTTP(1<<20, time.Minute, func(_ context.Context, r *httpwire.Request) *httpwire.Response {
-		number, named := strings.CutPrefix(r.Path, PathFaults+"/")
+		number, hasNumber := strings.CutPrefix(r.Path, PathFaults+"/")
 		switch {
 		case r.Method == "GET" && r.Path == PathStatus:
-			return answer(200, w.Status())
-		case r.Method == "GET" && r.Path == PathUsers:
-			return answer(200, w.users.instructions())
+			return jsonResponse(200, cluster.Status())
+		case r.Method == "GET" && r.Path == PathUserInstructions:
+			return jsonResponse(200, cluster.users.instructions())
 		case r.Method == "POST" && r.Path == PathFaults:
-			return w.postFault(r.Body)
-		case r.Method == "POST" && r.Path == PathJudge:
-			return w.postObservations(r.Body)
-		case r.Method == "DELETE" && named:
-			return w.deleteFault(number)
+			return cluster.postFault(r.Body)
+		case r.Method == "POST" && r.Path == PathObservations:
+			return cluster.postObservations(r.Body)
+		case r.Method == "DELETE" && hasNumber:
+			return cluster.deleteFault(number)
 		}
-		return answer(404, Refusal{"no such path"})
+		return jsonResponse(404, Refusal{"no such path"})
 	})
 }
 
-// answer returns a response with a body of JSON.
-func answer(status int, v any) *httpwire.Response {
+// jsonResponse returns a response with a JSON body.
+func jsonResponse(status int, v any) *httpwire.Response {
 	text, _ := json.Marshal(v)
 	return &httpwire.Response{Status: status, Body: text}
 }
 
 // postFault stages the fault that a request describes.
-func (w *Cluster) postFault(body []byte) *httpwire.Response {
+func (cluster *Cluster) postFault(body []byte) *httpwire.Response {
 	var f Fault
 	if err := json.Unmarshal(body, &f); err != nil {
-		return answer(400, Refusal{err.Error()})
+		return jsonResponse(400, Refusal{err.Error()})
 	}
-	s, err := w.Stage(f)
+	s, err := cluster.Stage(f)
 	if err != nil {
-		return answer(422, Refusal{err.Error()})
+		return jsonResponse(422, Refusal{err.Error()})
 	}
-	return answer(200, s)
+	return jsonResponse(200, s)
 }
 
 // postObservations passes the observations of a request to the checkers.
-func (w *Cluster) postObservations(body []byte) *httpwire.Response {
-	var told struct {
+func (cluster *Cluster) postObservations(body []byte) *httpwire.Response {
+	var batch struct {
 		Told []Observation `cbor:"told"`
 	}
-	if err := wire.Decode(body, &told); err != nil {
-		return answer(400, Refusal{err.Error()})
+	if err := wire.Decode(body, &batch); err != nil {
+		return jsonResponse(400, Refusal{err.Error()})
 	}
-	w.Observe(told.Told)
-	return answer(200, struct{}{})
+	cluster.Observe(batch.Told)
+	return jsonResponse(200, struct{}{})
 }
 
 // deleteFault lifts the fault with a number.
-func (w *Cluster) deleteFault(number string) *httpwire.Response {
-	if n, err := strconv.Atoi(number); err != nil || !w.Lift(n) {
-		return answer(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
+func (cluster *Cluster) deleteFault(number string) *httpwire.Response {
+	if n, err := strconv.Atoi(number); err != nil || !cluster.Lift(n) {
+		return jsonResponse(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
 	}
-	return answer(200, struct{}{})
+	return jsonResponse(200, struct{}{})
 }
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -7,38 +7,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Status is the state of a cluster.
+// Status is a snapshot of a cluster's state and counters.
 type Status struct {
 	AgeS               float64       `json:"age_s"`
 	Machines           int           `json:"machines"`
-	Up                 int           `json:"up"`
+	Up                 int           `json:"up"` // machines that run
 	Cost               float64       `json:"cost"`
-	Requests           int           `json:"state_requests"`
-	Changes            int           `json:"state_changes"`
+	Requests           int           `json:"state_requests"` // to the state service
+	Changes            int           `json:"state_changes"`  // of the state service
 	Keys               int           `json:"state_keys"`
 	RunningTasks       int           `json:"tasks_on_machines"`
 	StartedTasks       int           `json:"tasks_started"`
-	FencingToken       uint64        `json:"term"` // of the last election
+	FencingToken       uint64        `json:"term"` // of the last leader election
 	StartedAfterCancel []string      `json:"started_after_cancellation"`
 	Violations         []string      `json:"rules_broken"`
 	Faults             []StagedFault `json:"faults"`
 }
 
-// Status returns the state of the cluster.
-func (w *Cluster) Status() Status {
-	s := Status{AgeS: time.Since(w.startedAt).Seconds(), Up: w.cloud.CountRunning()}
-	s.Cost, s.Machines = w.cloud.Cost()
-	s.Requests, s.Changes, s.Keys = w.state.Counts()
-	s.RunningTasks, s.StartedTasks = w.fixture.Counts()
-	s.Violations = w.fixture.Violations()
-	s.StartedAfterCancel, _ = w.fixture.Launches.AfterCancellation()
-	for _, it := range w.Page(store.FencingTokenKey, 1) {
+// Status returns the current status of the cluster.
+func (cluster *Cluster) Status() Status {
+	s := Status{AgeS: time.Since(cluster.startedAt).Seconds(), Up: cluster.cloud.CountRunning()}
+	s.Cost, s.Machines = cluster.cloud.Cost()
+	s.Requests, s.Changes, s.Keys = cluster.state.Counts()
+	s.RunningTasks, s.StartedTasks = cluster.fixture.Counts()
+	s.Violations = cluster.fixture.Violations()
+	s.StartedAfterCancel, _ = cluster.fixture.Launches.AfterCancellation()
+	for _, it := range cluster.Page(store.FencingTokenKey, 1) {
 		_ = wire.DecodeValue(it.Value, &s.FencingToken)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for n := 1; n <= w.faultCount; n++ {
-		s.Faults = append(s.Faults, *w.activeFaults[n])
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	for n := 1; n <= cluster.faultCount; n++ {
+		s.Faults = append(s.Faults, *cluster.activeFaults[n])
 	}
 	return s
 }
