--- a/cmd/amberdeal-lab/main.go
+++ b/cmd/amberdeal-lab/main.go
@@ -66,7 +66,7 @@
 		if all, err = experiment.Read(e.Out); err != nil {
 			return settingsError{err}
 		}
-	} else if all, err = e.play(); err != nil {
+	} else if all, err = e.run(); err != nil {
 		return err
 	}
 	if e.Against != "" {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// programAt returns the path of amberdeal: the named one, or the one beside this program.
-func programAt(named string) (string, error) {
+// findProgram returns the path of amberdeal: the named one, or the one beside this program.
+func findProgram(named string) (string, error) {
 	if named == "" {
 		me, err := os.Executable()
 		if err != nil {
@@ -104,12 +104,12 @@
 	return named, nil
 }
 
-func (e experimentCmd) play() ([]*experiment.Outcome, error) {
+func (e experimentCmd) run() ([]*experiment.Outcome, error) {
 	plan, err := experiment.Parse(e.File)
 	if err != nil {
 		return nil, settingsError{fmt.Errorf("%s:\n%w", e.File, err)}
 	}
-	if e.Program, err = programAt(e.Program); err != nil {
+	if e.Program, err = findProgram(e.Program); err != nil {
 		return nil, err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/amberdeal-lab/scale.go
+++ b/cmd/amberdeal-lab/scale.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if s.Program, err = programAt(s.Program); err != nil {
+	if s.Program, err = findProgram(s.Program); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -51,11 +51,11 @@
 			return nil, settingsError{fmt.Errorf("%s:\n%w", s.File, err)}
 		}
 	}
-	machine, err := scale.ThisMachine()
+	machine, err := scale.ReadHostLimits()
 	if err != nil {
 		return nil, err
 	}
-	if err := plan.Check(machine); err != nil {
+	if err := plan.CheckResources(machine); err != nil {
 		return nil, settingsError{fmt.Errorf("this machine has no room for:\n%w", err)}
 	}
 	return plan, nil
--- a/cmd/amberdeal/agent.go
+++ b/cmd/amberdeal/agent.go
@@ -17,7 +17,7 @@
 
 // Run works until SIGTERM or SIGINT; then every task is killed.
 func (a agentCmd) Run() error {
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 		return err
 	}
 	defer blobs.Close()
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	now := time.Now()
 	// An incarnation that no earlier process of this machine can have had.
--- a/cmd/amberdeal/cas.go
+++ b/cmd/amberdeal/cas.go
@@ -19,8 +19,8 @@
 	Calls  int           `default:"1000" help:"Open calls and streams; more are refused at once."`
 }
 
-// logger logs to standard error, as much as LOG_LEVEL says.
-func logger() (*slog.Logger, error) {
+// newLogger logs to standard error, as much as LOG_LEVEL says.
+func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if text := os.Getenv("LOG_LEVEL"); text != "" {
 		if err := level.UnmarshalText([]byte(text)); err != nil {
@@ -32,7 +32,7 @@
 
 // Run serves until SIGTERM or SIGINT.
 func (c casCmd) Run() error {
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	limits := cas.DefaultLimits
 	limits.Calls = c.Calls
--- a/cmd/amberdeal/client.go
+++ b/cmd/amberdeal/client.go
@@ -13,13 +13,13 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-type target struct {
+type controllerFlags struct {
 	Addr string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_ADDR" help:"A controller's public address."`
 }
 
-// ask sends a request, again while the service says to come back, for a
+// send sends a request, again while the service says to come back, for a
 // minute.
-func (t target) ask(method, path string, body []byte) error {
+func (t controllerFlags) send(method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	caller := transport.Caller{MaxBody: wire.MaxBody, Dial: transport.Sockets{}.Dial}
@@ -31,7 +31,7 @@
 		if err == nil {
 			switch resp.Status {
 			case 200, 201:
-				return show(resp.Body)
+				return printJobStatus(resp.Body)
 			case 429, 503, 504:
 				wait = max(wait, resp.RetryAfter)
 				err = fmt.Errorf("the service is busy (status %d)", resp.Status)
@@ -49,7 +49,7 @@
 	}
 }
 
-func show(body []byte) error {
+func printJobStatus(body []byte) error {
 	var s wire.JobStatus
 	if err := wire.Decode(body, &s); err != nil {
 		return fmt.Errorf("answer not understood: %w", err)
@@ -59,7 +59,7 @@
 }
 
 type submitCmd struct {
-	target
+	controllerFlags
 	File string `arg:"" help:"The job's description as JSON, or - for standard input."`
 }
 
@@ -78,19 +78,19 @@
 	if err != nil {
 		return err
 	}
-	job, err := fromJSON(text)
+	job, err := jobFromJSON(text)
 	if err != nil {
 		return err
 	}
 	if _, err := wire.DecodeJob(job); err != nil {
 		return fmt.Errorf("the job is malformed:\n%w", err)
 	}
-	return s.ask("POST", wire.PathJobs, job)
+	return s.send("POST", wire.PathJobs, job)
 }
 
-// fromJSON turns a JSON object into the CBOR map that the service takes.
+// jobFromJSON turns a JSON object into the CBOR map that the service takes.
 // Whole numbers stay whole.
-func fromJSON(text []byte) ([]byte, error) {
+func jobFromJSON(text []byte) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("the job is not a JSON object: %w", err)
@@ -112,7 +112,7 @@
 }
 
 type jobArg struct {
-	target
+	controllerFlags
 	ID string `arg:"" help:"The job's id, such as wk-000412."`
 }
 
@@ -130,7 +130,7 @@
 	if err := s.check(); err != nil {
 		return err
 	}
-	return s.ask("GET", wire.PathJobs+"/"+s.ID, nil)
+	return s.send("GET", wire.PathJobs+"/"+s.ID, nil)
 }
 
 type abortCmd struct{ jobArg }
@@ -140,5 +140,5 @@
 	if err := a.check(); err != nil {
 		return err
 	}
-	return a.ask("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelWord, []byte{})
+	return a.send("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelWord, []byte{})
 }
--- a/cmd/amberdeal/dev.go
+++ b/cmd/amberdeal/dev.go
@@ -14,7 +14,7 @@
 	Level string `default:"info" enum:"error,warn,info,debug" help:"LOG_LEVEL of the controllers."`
 }
 
-const devNext = `
+const devInstructions = `
 Three controllers serve on %[1]s, %[2]s and %[3]s; the cloud has 8 machines.
 Logs are in %[4]s and the files beside it. In another terminal:
 
@@ -37,10 +37,10 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	begun := time.Now()
-	w, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, Level: d.Level})
+	w, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, LogLevel: d.Level})
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if d.Demo {
 		return w.Demo(ctx, os.Stdout)
 	}
-	fmt.Printf(devNext, w.Addr(0), w.Addr(1), w.Addr(2), w.Log(0), os.Args[0], w.Control(), w.Metrics(0)+","+w.Metrics(1)+","+w.Metrics(2))
+	fmt.Printf(devInstructions, w.Addr(0), w.Addr(1), w.Addr(2), w.Log(0), os.Args[0], w.Control(), w.Metrics(0)+","+w.Metrics(1)+","+w.Metrics(2))
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -26,14 +26,14 @@
 
 // Run runs an emulated cluster until Ctrl-C.
 func (e emulateCmd) Run() error {
-	c, err := e.config()
+	c, err := e.clusterConfig()
 	if err != nil {
 		return settingsError{err}
 	}
 	if e.Keep && e.Dir == "" {
 		return settingsError{errors.New("--keep needs --dir")}
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	dir := e.Dir
 	if dir == "" {
@@ -44,7 +44,7 @@
 		defer os.RemoveAll(made)
 		dir = made
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
@@ -64,15 +64,15 @@
 	}
 	defer w.Stop()
 	procs.Settings, procs.Metrics = w.Settings, w.Metrics
-	if err := e.announce(w, procs, c.Controllers); err != nil {
+	if err := e.startOrPrintCommands(w, procs, c.Controllers); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// config reads the world file, or returns the default.
-func (e emulateCmd) config() (*emulator.Config, error) {
+// clusterConfig reads the world file, or returns the default.
+func (e emulateCmd) clusterConfig() (*emulator.Config, error) {
 	if e.World == "" {
 		return emulator.DefaultConfig(), nil
 	}
@@ -102,8 +102,8 @@
 	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}, nil
 }
 
-// announce starts the controllers, or prints the commands that do, and prints all addresses.
-func (e emulateCmd) announce(w *emulator.Cluster, procs *emulator.Processes, controllers int) error {
+// startOrPrintCommands starts the controllers, or prints the commands that do, and prints all addresses.
+func (e emulateCmd) startOrPrintCommands(w *emulator.Cluster, procs *emulator.Processes, controllers int) error {
 	var addrs, metrics []string
 	for i := range controllers {
 		addrs, metrics = append(addrs, w.Public(i)), append(metrics, w.Metrics(i))
@@ -128,17 +128,17 @@
 	Status faultStatusCmd `cmd:"" help:"Print the status of the cluster, the injected faults and the violated rules."`
 }
 
-type control struct {
+type controlFlags struct {
 	Control string `default:"127.0.0.1:7120" help:"Control address of the emulated cluster."`
 }
 
 // call sends a request to the emulated cluster and prints the answer.
-func (c control) call(method, path string, body []byte) error {
-	ctx, stop := interruptible()
+func (c controlFlags) call(method, path string, body []byte) error {
+	ctx, stop := interruptContext()
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	resp, err := plainCaller().Call(ctx, c.Control, method, path, body)
+	resp, err := newCaller().Call(ctx, c.Control, method, path, body)
 	if err != nil {
 		return fmt.Errorf("the emulated cluster at %s: %w", c.Control, err)
 	}
@@ -151,12 +151,12 @@
 	return nil
 }
 
-func plainCaller() *transport.Caller {
+func newCaller() *transport.Caller {
 	return &transport.Caller{MaxBody: 16 << 20, MaxIdle: 256, Dial: emulator.Dial}
 }
 
 type faultStageCmd struct {
-	control
+	controlFlags
 	Kind   string        `arg:"" help:"Kind of the fault, as listed in docs/emulator.md."`
 	For    time.Duration `help:"Duration; by default until it is lifted."`
 	From   string        `help:"One side of a partition: state, cloud, controllers, machines, all, zone:NAME or a controller."`
@@ -190,7 +190,7 @@
 }
 
 type faultLiftCmd struct {
-	control
+	controlFlags
 	Number int `arg:"" help:"Number of the fault, as printed by stage and status."`
 }
 
@@ -199,7 +199,7 @@
 	return f.call("DELETE", fmt.Sprintf("%s/%d", emulator.PathFaults, f.Number), nil)
 }
 
-type faultStatusCmd struct{ control }
+type faultStatusCmd struct{ controlFlags }
 
 // Run prints the status of the cluster.
 func (f faultStatusCmd) Run() error { return f.call("GET", emulator.PathStatus, nil) }
@@ -226,9 +226,9 @@
 	if l.Prefix == "" {
 		l.Prefix = fmt.Sprint(time.Now().Unix())
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	r := load.Runner{Mix: mix, Addrs: l.Addr, JudgeAddr: l.Judge, Prefix: l.Prefix, Caller: plainCaller(), DrainTimeout: l.Wait}
+	r := load.Runner{Mix: mix, Addrs: l.Addr, JudgeAddr: l.Judge, Prefix: l.Prefix, Caller: newCaller(), DrainTimeout: l.Wait}
 	var told time.Time
 	res, err := r.Run(ctx, func(sent, all, open int) {
 		if time.Since(told) > time.Second {
--- a/cmd/amberdeal/golden_test.go
+++ b/cmd/amberdeal/golden_test.go
@@ -11,6 +11,6 @@
 func TestGoldenFlags(t *testing.T) { goldentest.Flags(t, "amberdeal", new(cli)) }
 
 // TestGoldenAccount: the JSON of state inspect and state verify has the fields that it had.
-func TestGoldenAccount(t *testing.T) {
+func TestGoldenStateSummary(t *testing.T) {
 	goldentest.Check[stateSummary](t, "account.json", json.Marshal, json.Unmarshal)
 }
--- a/cmd/amberdeal/main.go
+++ b/cmd/amberdeal/main.go
@@ -52,7 +52,7 @@
 		os.Exit(exitSettings)
 	}
 	if err := ctx.Run(); err != nil {
-		var exit exitWith
+		var exit commandExitError
 		if errors.As(err, &exit) {
 			os.Exit(exit.code)
 		}
@@ -67,12 +67,12 @@
 // settingsError is a fault of the settings.
 type settingsError struct{ error }
 
-type files struct {
+type settingsFlags struct {
 	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (JSON)."`
 	Settings string `placeholder:"FILE.ini" help:"The operators' own settings (INI)."`
 }
 
-func (f files) load() (*amberdeal.Config, error) {
+func (f settingsFlags) load() (*amberdeal.Config, error) {
 	cfg, err := amberdeal.Load(f.Config, f.Settings)
 	if err != nil {
 		return nil, settingsError{fmt.Errorf("settings:\n%w", err)}
@@ -80,7 +80,7 @@
 	return cfg, nil
 }
 
-type serveCmd struct{ files }
+type serveCmd struct{ settingsFlags }
 
 // Run serves until SIGTERM or SIGINT.
 func (s serveCmd) Run() error {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 	return amberdeal.New(cfg, log).Run(ctx)
 }
 
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFlags }
 
 // Run checks the settings.
 func (c checkCmd) Run() error {
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -29,14 +29,14 @@
 	Get reapiGet `cmd:"" help:"Read a blob."`
 }
 
-// storeFlags say where blobs are.
-type storeFlags struct {
+// casFlags say where blobs are.
+type casFlags struct {
 	Cas      string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_CAS" help:"Address of amberdeal cas."`
 	Instance string `help:"Instance name: TEAM or TEAM/CLASS."`
 }
 
 type reapiRun struct {
-	storeFlags
+	casFlags
 	Executor  []string          `required:"" placeholder:"IP:PORT,..." env:"AMBERDEAL_REAPI" help:"Addresses of the controllers for build tools."`
 	Input     []string          `short:"i" placeholder:"PATH" help:"File or directory below this one that the command needs; may be repeated."`
 	Output    []string          `short:"o" placeholder:"PATH" help:"File or directory that it leaves, to be brought back; may be repeated."`
@@ -48,14 +48,14 @@
 	Args      []string          `arg:"" passthrough:"" help:"The command, after --."`
 }
 
-// exitWith is the exit code of a command that was executed.
-type exitWith struct{ code int }
+// commandExitError is the exit code of a command that was executed.
+type commandExitError struct{ code int }
 
-func (e exitWith) Error() string { return fmt.Sprintf("the command exited with %d", e.code) }
+func (e commandExitError) Error() string { return fmt.Sprintf("the command exited with %d", e.code) }
 
 // Run has the command executed; its output goes to standard output and error.
 func (r reapiRun) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	args := r.Args
 	if len(args) > 0 && args[0] == "--" {
@@ -78,8 +78,8 @@
 		return err
 	}
 	defer builds.Close()
-	watch := &progressScreen{c: blobs}
-	resp, err := builds.Execute(ctx, g, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { watch.tell(ctx, m) })
+	watch := &progressPrinter{casClient: blobs}
+	resp, err := builds.Execute(ctx, g, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { watch.update(ctx, m) })
 	if err != nil {
 		return err
 	}
@@ -87,16 +87,16 @@
 	return r.finish(ctx, blobs, resp, stdout, stderr)
 }
 
-// progressScreen shows how an execution stands, and what its command writes meanwhile.
-type progressScreen struct {
-	c     *cas.Client
-	stage repb.ExecutionStage_Value
-	stop  context.CancelFunc
-	group sync.WaitGroup
-	shown [2]int64
+// progressPrinter shows how an execution stands, and what its command writes meanwhile.
+type progressPrinter struct {
+	casClient   *cas.Client
+	stage       repb.ExecutionStage_Value
+	stop        context.CancelFunc
+	group       sync.WaitGroup
+	copiedBytes [2]int64
 }
 
-func (l *progressScreen) tell(ctx context.Context, m *repb.ExecuteOperationMetadata) {
+func (l *progressPrinter) update(ctx context.Context, m *repb.ExecuteOperationMetadata) {
 	if m.Stage == l.stage {
 		return
 	}
@@ -109,8 +109,8 @@
 	for i, to := range []io.Writer{os.Stdout, os.Stderr} {
 		name := []string{m.StdoutStreamName, m.StderrStreamName}[i]
 		l.group.Go(func() {
-			for ctx.Err() == nil && l.shown[i] == 0 { // a log is there once something was written
-				if l.shown[i], _ = l.c.FollowLog(ctx, name, to); l.shown[i] == 0 {
+			for ctx.Err() == nil && l.copiedBytes[i] == 0 { // a log is there once something was written
+				if l.copiedBytes[i], _ = l.casClient.FollowLog(ctx, name, to); l.copiedBytes[i] == 0 {
 					store.Backoff(ctx, 200*time.Millisecond)
 				}
 			}
@@ -119,12 +119,12 @@
 }
 
 // finish ends the show, and tells how much of stdout and stderr was shown.
-func (l *progressScreen) finish() (stdout, stderr int64) {
+func (l *progressPrinter) finish() (stdout, stderr int64) {
 	if l.stop != nil {
 		l.stop()
 		l.group.Wait()
 	}
-	return l.shown[0], l.shown[1]
+	return l.copiedBytes[0], l.copiedBytes[1]
 }
 
 // upload writes the action and all that it needs, and gives its digest.
@@ -155,14 +155,14 @@
 
 // skipWriter leaves out the first bytes, which were shown before.
 type skipWriter struct {
-	to   io.Writer
-	skip int64
+	writer    io.Writer
+	remaining int64
 }
 
 func (b *skipWriter) Write(p []byte) (int, error) {
-	n := min(b.skip, int64(len(p)))
-	b.skip -= n
-	_, err := b.to.Write(p[n:])
+	n := min(b.remaining, int64(len(p)))
+	b.remaining -= n
+	_, err := b.writer.Write(p[n:])
 	return len(p), err
 }
 
@@ -198,13 +198,13 @@
 		fmt.Fprintln(os.Stderr, "amberdeal: the result was known")
 	}
 	if res.GetExitCode() != 0 {
-		return exitWith{int(res.ExitCode)}
+		return commandExitError{int(res.ExitCode)}
 	}
 	return nil
 }
 
 type reapiGet struct {
-	storeFlags
+	casFlags
 	Digest string `arg:"" help:"HASH/SIZE."`
 	Output string `short:"o" placeholder:"FILE" help:"Where it goes, instead of standard output."`
 }
@@ -215,7 +215,7 @@
 	if err != nil {
 		return settingsError{err}
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	c, err := cas.Dial(r.Cas, r.Instance)
 	if err != nil {
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -33,10 +33,10 @@
 }
 
 // liveState is a state service that a command works on.
-type liveState struct{ files }
+type liveState struct{ settingsFlags }
 
-// client keeps to the share of one more controller.
-func (l liveState) client() (*store.Client, snapshot.Limits, error) {
+// newClient keeps to the share of one more controller.
+func (l liveState) newClient() (*store.Client, snapshot.Limits, error) {
 	cfg, err := l.load()
 	if err != nil {
 		return nil, snapshot.Limits{}, err
@@ -46,13 +46,13 @@
 	return c, snapshot.Limits{ValueBytes: cfg.Store.ValueBytes, TxnOps: cfg.Store.TxnOps}, nil
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// progressBar shows progress on standard error, on a terminal only; all is 0 or less
+// newProgressBar shows progress on standard error, on a terminal only; all is 0 or less
 // where the end is not known.
-func progressBar(all int, what string) *progressbar.ProgressBar {
+func newProgressBar(all int, what string) *progressbar.ProgressBar {
 	if all <= 0 {
 		all = -1
 	}
@@ -64,13 +64,13 @@
 		progressbar.OptionShowIts(), progressbar.OptionSetItsString("keys"), progressbar.OptionThrottle(100*time.Millisecond), progressbar.OptionClearOnFinish())
 }
 
-// take reads the live state.
-func (l liveState) take(ctx context.Context) ([]wire.KeyValue, uint64, error) {
-	c, _, err := l.client()
+// export reads the live state.
+func (l liveState) export(ctx context.Context) ([]wire.KeyValue, uint64, error) {
+	c, _, err := l.newClient()
 	if err != nil {
 		return nil, 0, err
 	}
-	b := progressBar(0, "reading")
+	b := newProgressBar(0, "reading")
 	defer b.Finish()
 	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
 }
@@ -94,7 +94,7 @@
 	return stateSummary{revision, a.Format, a.FencingToken, a.Live, a.Ended, a.Kinds, a.Problems}
 }
 
-func (a stateSummary) json() error {
+func (a stateSummary) printJSON() error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	return enc.Encode(a)
@@ -107,15 +107,15 @@
 
 // Run prints what is there.
 func (s stateInspect) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	items, revision, err := s.take(ctx)
+	items, revision, err := s.export(ctx)
 	if err != nil {
 		return err
 	}
 	a := summarize(ctx, items, revision)
 	if s.JSON {
-		return a.json()
+		return a.printJSON()
 	}
 	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -143,9 +143,9 @@
 	if _, err := os.Stat(s.File); err == nil {
 		return fmt.Errorf("%s: exists already", s.File)
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	items, revision, err := s.take(ctx)
+	items, revision, err := s.export(ctx)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func readFile(name string) (snapshot.Header, []wire.KeyValue, string, error) {
+func readExport(name string) (snapshot.Header, []wire.KeyValue, string, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return snapshot.Header{}, nil, "", err
@@ -187,7 +187,7 @@
 
 // Run checks the file or the live state.
 func (s stateVerify) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	var items []wire.KeyValue
 	var revision uint64
@@ -195,20 +195,20 @@
 	case (s.File == "") == (s.Config == ""):
 		return settingsError{errors.New("state verify takes either --config, for the live state, or a file")}
 	case s.File != "":
-		h, read, _, err := readFile(s.File)
+		h, read, _, err := readExport(s.File)
 		if err != nil {
 			return err
 		}
 		items, revision = read, h.Revision
 	default:
 		var err error
-		if items, revision, err = (liveState{files{s.Config, s.Settings}}).take(ctx); err != nil {
+		if items, revision, err = (liveState{settingsFlags{s.Config, s.Settings}}).export(ctx); err != nil {
 			return err
 		}
 	}
 	a := summarize(ctx, items, revision)
 	if s.JSON {
-		if err := a.json(); err != nil {
+		if err := a.printJSON(); err != nil {
 			return err
 		}
 	} else {
@@ -232,20 +232,20 @@
 
 // Run verifies the file first; an incomplete or invalid one is not imported at all.
 func (s stateImport) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	h, items, sum, err := readFile(s.File)
+	h, items, sum, err := readExport(s.File)
 	if err != nil {
 		return err
 	}
 	if a := archive.Verify(ctx, items); len(a.Problems) > 0 {
 		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(a.Problems), a.Problems[0])
 	}
-	c, lim, err := s.client()
+	c, lim, err := s.newClient()
 	if err != nil {
 		return err
 	}
-	b := progressBar(len(items), "writing")
+	b := newProgressBar(len(items), "writing")
 	token, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
 	_ = b.Finish()
 	if err != nil {
--- a/cmd/amberdeal/top.go
+++ b/cmd/amberdeal/top.go
@@ -21,7 +21,7 @@
 
 // Run shows a running fleet until Ctrl-C, or once where it does not write to a terminal.
 func (t topCmd) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	v := t.fetchStatuses(ctx)
 	if t.JSON {
@@ -55,7 +55,7 @@
 // fetchStatuses asks every controller.
 func (t topCmd) fetchStatuses(ctx context.Context) *top.View {
 	v := &top.View{At: time.Now(), Statuses: map[string]*top.Status{}, Unreachable: map[string]string{}}
-	caller := plainCaller()
+	caller := newCaller()
 	for _, addr := range t.Addr {
 		call, cancel := context.WithTimeout(ctx, 2*time.Second)
 		resp, err := caller.Call(call, addr, "GET", top.Path, nil)
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -14,8 +14,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// demoTime bounds the duration of a demo.
-const demoTime = 55 * time.Second
+// demoTimeout bounds the duration of a demo.
+const demoTimeout = 55 * time.Second
 
 // demoJobs returns one job of each shape.
 func demoJobs() []*wire.Job {
@@ -32,14 +32,14 @@
 // demo is one run of the demonstration.
 type demo struct {
 	*Cluster
-	jobs []*wire.Job
-	say  func(format string, args ...any)
+	jobs   []*wire.Job
+	printf func(format string, args ...any)
 }
 
 // Demo submits a job of each shape, kills the leader while they run, and shows that each still
 // gets its answer, the same from every controller. An error names what did not happen.
 func (w *Cluster) Demo(ctx context.Context, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, demoTime)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	begun := time.Now()
 	d := &demo{w, demoJobs(), func(format string, args ...any) {
@@ -66,15 +66,15 @@
 // submit submits all jobs, each to another controller, and waits until they run.
 func (d *demo) submit(ctx context.Context, follow func(id string)) error {
 	for i, j := range d.jobs {
-		if status, _ := d.ask(ctx, i, "POST", wire.PathJobs, wire.Encode(j)); status != 201 {
+		if status, _ := d.request(ctx, i, "POST", wire.PathJobs, wire.Encode(j)); status != 201 {
 			return fmt.Errorf("%s was answered %d", j.ID, status)
 		}
 		follow(j.ID)
-		d.say("submitted %s to %s: %s of %d tasks", j.ID, d.Addr(i), j.Shape, j.Tasks)
+		d.printf("submitted %s to %s: %s of %d tasks", j.ID, d.Addr(i), j.Shape, j.Tasks)
 	}
 	if err := d.waitUntil(ctx, func() bool {
 		for i, j := range d.jobs {
-			if s := d.status(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
+			if s := d.jobStatus(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
 				return false
 			}
 		}
@@ -82,7 +82,7 @@
 	}); err != nil {
 		return fmt.Errorf("not every job started: %w", err)
 	}
-	d.say("all jobs are running")
+	d.printf("all jobs are running")
 	return nil
 }
 
@@ -93,7 +93,7 @@
 		return 0, errors.New("the fleet has no leader")
 	}
 	d.Kill(killed)
-	d.say("killed %s, the leader of the fleet with fencing token %d", name(killed), token)
+	d.printf("killed %s, the leader of the fleet with fencing token %d", controllerName(killed), token)
 	next := killed
 	if err := d.waitUntil(ctx, func() bool {
 		i, t, ok := d.Leader()
@@ -102,39 +102,39 @@
 	}); err != nil {
 		return 0, fmt.Errorf("no other controller became the leader: %w", err)
 	}
-	d.say("%s is the leader now", name(next))
+	d.printf("%s is the leader now", controllerName(next))
 	return killed, d.Restart(killed)
 }
 
 // finish waits for the ends of the jobs, cancels the service, and compares the answers.
 func (d *demo) finish(ctx context.Context, killed int) error {
 	for i, j := range d.jobs[:2] {
-		if err := d.waitUntil(ctx, func() bool { return d.status(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
+		if err := d.waitUntil(ctx, func() bool { return d.jobStatus(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
 			return fmt.Errorf("%s is not done: %w", j.ID, err)
 		}
-		d.say("%s is done", j.ID)
+		d.printf("%s is done", j.ID)
 	}
 	service := d.jobs[2].ID
-	if status, _ := d.ask(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelWord, []byte{}); status != 200 {
+	if status, _ := d.request(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelWord, []byte{}); status != 200 {
 		return fmt.Errorf("the cancellation of %s was answered %d", service, status)
 	}
-	d.say("%s is cancelled", service)
+	d.printf("%s is cancelled", service)
 	if err := d.waitUntil(ctx, func() bool { return d.Ready(ctx, killed) }); err != nil {
-		return fmt.Errorf("%s did not come back: %w", name(killed), err)
+		return fmt.Errorf("%s did not come back: %w", controllerName(killed), err)
 	}
-	return d.checkUnchanged(ctx)
+	return d.checkFinalStages(ctx)
 }
 
-// checkUnchanged verifies that every controller reports the same final stage of each job, and that no rule
+// checkFinalStages verifies that every controller reports the same final stage of each job, and that no rule
 // was violated.
-func (d *demo) checkUnchanged(ctx context.Context) error {
+func (d *demo) checkFinalStages(ctx context.Context) error {
 	for _, j := range d.jobs {
 		want := wire.Done
 		if j.Shape == wire.Service {
 			want = wire.Cancelled
 		}
 		for i := range Controllers {
-			if s := d.status(ctx, i, j.ID); s.Stage != want {
+			if s := d.jobStatus(ctx, i, j.ID); s.Stage != want {
 				return fmt.Errorf("%s reports %s as %s, not %s", d.Addr(i), j.ID, s.Stage, want)
 			}
 		}
@@ -143,12 +143,12 @@
 	if len(s.Violations) > 0 {
 		return errors.New(strings.Join(s.Violations, "\n"))
 	}
-	d.say("every controller gives the same answers; %d tasks were started, none twice at a time", s.StartedTasks)
+	d.printf("every controller gives the same answers; %d tasks were started, none twice at a time", s.StartedTasks)
 	return nil
 }
 
-func (w *Cluster) status(ctx context.Context, first int, id string) (s wire.JobStatus) {
-	if status, body := w.ask(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
+func (w *Cluster) jobStatus(ctx context.Context, first int, id string) (s wire.JobStatus) {
+	if status, body := w.request(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
 		_ = wire.Decode(body, &s)
 	}
 	return s
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -22,9 +22,9 @@
 
 // Options configure a cluster.
 type Options struct {
-	Program string // the path of amberdeal
-	Port    int    // the first of its ports on 127.0.0.1
-	Level   string // LOG_LEVEL of the controllers
+	Program  string // the path of amberdeal
+	Port     int    // the first of its ports on 127.0.0.1
+	LogLevel string // LOG_LEVEL of the controllers
 }
 
 // Cluster is an emulated cluster and the processes of its controllers.
@@ -49,7 +49,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	w := &Cluster{dir: dir, stop: stop}
 	w.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
-	w.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: operatorSettings}
+	w.procs = emulator.Processes{Program: opt.Program, Level: opt.LogLevel, Dir: dir, Tuning: operatorSettings}
 	w.procs.Begin(ctx)
 	around, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: w.procs.PauseNamed, Kill: w.procs.KillNamed})
 	if err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	w.Cluster, w.procs.Settings, w.procs.Metrics = around, around.Settings, around.Metrics
-	if err := w.run(ctx); err != nil {
+	if err := w.startControllers(ctx); err != nil {
 		w.Stop()
 		return nil, err
 	}
@@ -70,10 +70,10 @@
 // Log returns the path of a controller's log.
 func (w *Cluster) Log(i int) string { return w.procs.Log(i) }
 
-func name(i int) string { return fmt.Sprint("c-", i) }
+func controllerName(i int) string { return fmt.Sprint("c-", i) }
 
-// run starts the controllers and waits for them.
-func (w *Cluster) run(ctx context.Context) error {
+// startControllers starts the controllers and waits for them.
+func (w *Cluster) startControllers(ctx context.Context) error {
 	for i := range Controllers {
 		if err := w.Restart(i); err != nil {
 			return err
@@ -128,8 +128,8 @@
 	_ = os.RemoveAll(w.dir)
 }
 
-// ask sends a request to the controllers in turn until one decides.
-func (w *Cluster) ask(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
+// request sends a request to the controllers in turn until one decides.
+func (w *Cluster) request(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
 	for try := 0; ctx.Err() == nil; try++ {
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
 		resp, err := w.caller.Call(call, w.Addr((first+try)%Controllers), method, path, body)
--- a/internal/goldentest/gob.go
+++ b/internal/goldentest/gob.go
@@ -23,14 +23,14 @@
 		if a, b := Leaves(now), Leaves(then); !slices.Equal(a, b) {
 			t.Fatalf("%T and %T differ in shape:\n%v\n%v", now, then, a, b)
 		}
-		whole(t, "the golden file", Read(t, name, encodeGob(t, now)), now)
-		whole(t, "the frozen type's message", encodeGob(t, then), now)
-		whole(t, "the message, read by the frozen type", encodeGob(t, now), then)
+		checkDecoded(t, "the golden file", Read(t, name, encodeGob(t, now)), now)
+		checkDecoded(t, "the frozen type's message", encodeGob(t, then), now)
+		checkDecoded(t, "the message, read by the frozen type", encodeGob(t, now), then)
 	})
 }
 
-// whole decodes a message and compares it with what it should hold.
-func whole[T any](t *testing.T, what string, text []byte, want T) {
+// checkDecoded decodes a message and compares it with what it should hold.
+func checkDecoded[T any](t *testing.T, what string, text []byte, want T) {
 	t.Helper()
 	var got T
 	if err := gob.NewDecoder(bytes.NewReader(text)).Decode(&got); err != nil {
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -134,14 +134,14 @@
 		case leaf.Type() == timeType:
 			out = append(out, leaf.Interface().(time.Time).Format(time.RFC3339Nano))
 		default:
-			out = append(out, plain(leaf))
+			out = append(out, formatScalar(leaf))
 		}
 	})
 	return out
 }
 
-// plain prints a value without the methods of its type.
-func plain(v reflect.Value) string {
+// formatScalar prints a value without the methods of its type.
+func formatScalar(v reflect.Value) string {
 	switch {
 	case v.CanInt():
 		return fmt.Sprint(v.Int())
@@ -238,13 +238,13 @@
 	want := strings.Split(string(Read(t, name, []byte(text))), "\n")
 	lines := strings.Split(text, "\n")
 	for i := range max(len(want), len(lines)) {
-		if was, is := at(want, i), at(lines, i); was != is {
+		if was, is := lineAt(want, i), lineAt(lines, i); was != is {
 			t.Fatalf("%s: line %d has changed\n was %q\n  is %q", name, i+1, was, is)
 		}
 	}
 }
 
-func at(lines []string, i int) string {
+func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
@@ -275,7 +275,7 @@
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
 		v := Filled[T](t)
-		clearUnsent(reflect.ValueOf(&v))
+		clearUnencoded(reflect.ValueOf(&v))
 		text, err := encode(v)
 		if err != nil {
 			t.Fatal(err)
@@ -291,14 +291,14 @@
 	})
 }
 
-// clearUnsent empties the fields that their tag keeps out of every encoding.
-func clearUnsent(v reflect.Value) {
+// clearUnencoded empties the fields that their tag keeps out of every encoding.
+func clearUnencoded(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		clearUnsent(v.Elem())
+		clearUnencoded(v.Elem())
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			clearUnsent(v.Index(i))
+			clearUnencoded(v.Index(i))
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
@@ -308,7 +308,7 @@
 			case field.Tag.Get("cbor") == "-" || field.Tag.Get("json") == "-":
 				v.Field(i).SetZero()
 			default:
-				clearUnsent(v.Field(i))
+				clearUnencoded(v.Field(i))
 			}
 		}
 	}
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestFillLeavesNothingZero: no field is zero, and the same type is filled alike.
-func TestFillLeavesNothingZero(t *testing.T) {
+func TestFillLeavesNoFieldZero(t *testing.T) {
 	a, b := Filled[sample](t), Filled[sample](t)
 	if x, y := Leaves(a), Leaves(b); !slices.Equal(x, y) {
 		t.Errorf("%v, then %v", x, y)
@@ -37,7 +37,7 @@
 }
 
 // TestZerosNamesEach: what is zero or empty is named, however deep it is.
-func TestZerosNamesEach(t *testing.T) {
+func TestZerosNamesEveryZeroField(t *testing.T) {
 	v := Filled[sample](t)
 	v.Count, v.List[0].Pair[1], v.List[0].Next, v.ByName = 0, 0, nil, nil
 	want := []string{".Count", ".List[0].Pair[1]", ".List[0].Next", ".ByName"}
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -22,30 +22,30 @@
 	"amberdeal.example/amberdeal/internal/simulator"
 )
 
-// actionTime is how long each action of an agent takes.
-const actionTime = 30 * time.Second
+// actionDuration is how long each action of an agent takes.
+const actionDuration = 30 * time.Second
 
 const digestFunction = repb.DigestFunction_SHA256
 
-// agents are real agents as processes, which execute real actions from a real blob store.
-type agents struct {
-	program, dir string
-	cluster      *emulator.Cluster
-	config       *emulator.Config
-	sizes        []int // how many actions each runs at once
-
-	mu     sync.Mutex
-	procs  map[string]*process // by machine type
-	failed error               // to start an agent
-	blobs  *process
-	done   atomic.Int64 // actions
+// agentPool are real agents as processes, which execute real actions from a real blob store.
+type agentPool struct {
+	program, dir    string
+	cluster         *emulator.Cluster
+	config          *emulator.Config
+	actionsPerAgent []int // how many actions each runs at once
+
+	mu               sync.Mutex
+	procs            map[string]*process // by machine type
+	startErrors      error               // to start an agent
+	blobStore        *process
+	completedActions atomic.Int64 // actions
 }
 
 // process is a process that this program has started. It is ended by its id.
 type process struct{ cmd *exec.Cmd }
 
-// start starts a process with its log in a file.
-func start(program, log string, args ...string) (*process, error) {
+// startProcess starts a process with its log in a file.
+func startProcess(program, log string, args ...string) (*process, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("opening the log of %s: %w", program, err)
@@ -67,12 +67,12 @@
 	_ = p.cmd.Wait()
 }
 
-// agentType is the machine type of an agent that runs that many actions at once.
-func agentType(actions int) string { return fmt.Sprintf("agent-%d", actions) }
+// agentMachineType is the machine type of an agent that runs that many actions at once.
+func agentMachineType(actions int) string { return fmt.Sprintf("agent-%d", actions) }
 
-// machine starts the agent of a machine; it returns nil for machines of other types, and where the
+// startMachine starts the agent of a machine; it returns nil for machines of other types, and where the
 // agent could not be started, which startError then tells.
-func (a *agents) machine(id, addr, typ, zone string, spot bool) simulator.Machine {
+func (a *agentPool) startMachine(id, addr, typ, zone string, spot bool) simulator.Machine {
 	var actions int
 	if _, err := fmt.Sscanf(typ, "agent-%d", &actions); err != nil {
 		return nil
@@ -81,7 +81,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.failed = errors.Join(a.failed, err)
+		a.startErrors = errors.Join(a.startErrors, err)
 		return nil
 	}
 	a.procs[typ] = p
@@ -89,12 +89,12 @@
 }
 
 // startAgent starts the agent of a machine with its settings.
-func (a *agents) startAgent(id, settings string) (*process, error) {
+func (a *agentPool) startAgent(id, settings string) (*process, error) {
 	path := filepath.Join(a.dir, id+".ini")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		return nil, fmt.Errorf("writing the settings of agent %s: %w", id, err)
 	}
-	p, err := start(a.program, filepath.Join(a.dir, id+".log"), "agent", "--config", path)
+	p, err := startProcess(a.program, filepath.Join(a.dir, id+".log"), "agent", "--config", path)
 	if err != nil {
 		return nil, fmt.Errorf("agent %s: %w", id, err)
 	}
@@ -103,14 +103,14 @@
 
 // startError tells which agents could not be started. An emulated machine runs in the place of each,
 // so that what was measured of agents is void.
-func (a *agents) startError() error {
+func (a *agentPool) startError() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.failed
+	return a.startErrors
 }
 
 // settings writes an agent's settings file.
-func (a *agents) settings(id, addr, typ, zone string, spot bool, actions int) string {
+func (a *agentPool) settings(id, addr, typ, zone string, spot bool, actions int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = %d\ngpus = 0\nmemory_gb = %d\n", id, typ, zone, spot, addr, actions, 4*actions)
 	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.config.Workers.HeartbeatInterval, a.config.Workers.Lease, a.cluster.Blobs(), filepath.Join(a.dir, id))
@@ -120,10 +120,10 @@
 	return text.String()
 }
 
-// startBlobs starts the blob store.
-func (a *agents) startBlobs(ctx context.Context) error {
+// startBlobStore starts the blob store.
+func (a *agentPool) startBlobStore(ctx context.Context) error {
 	var err error
-	a.blobs, err = start(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
+	a.blobStore, err = startProcess(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
 	if err != nil {
 		return fmt.Errorf("blob store: %w", err)
 	}
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// run has each agent execute as many actions at once as it has capacity for, until the context
+// runActions has each agent execute as many actions at once as it has capacity for, until the context
 // ends.
-func (a *agents) run(ctx context.Context) error {
+func (a *agentPool) runActions(ctx context.Context) error {
 	blobs, err := cas.Dial(a.cluster.Blobs(), "")
 	if err != nil {
 		return fmt.Errorf("dialing the blob store: %w", err)
@@ -158,16 +158,16 @@
 	}
 	defer front.Close()
 	var group sync.WaitGroup
-	for k, actions := range a.sizes {
+	for k, actions := range a.actionsPerAgent {
 		for i := range actions {
 			group.Go(func() {
-				pause(ctx, actionTime*time.Duration(i)/time.Duration(actions)) // not all at once
+				pause(ctx, actionDuration*time.Duration(i)/time.Duration(actions)) // not all at once
 				for n := 0; ctx.Err() == nil; n++ {
-					if err := execute(ctx, blobs, front.StartingAt(i), agentType(actions), fmt.Sprintf("%d-%d-%d", k, i, n)); err != nil {
+					if err := execute(ctx, blobs, front.StartingAt(i), agentMachineType(actions), fmt.Sprintf("%d-%d-%d", k, i, n)); err != nil {
 						pause(ctx, time.Second)
 						continue
 					}
-					a.done.Add(1)
+					a.completedActions.Add(1)
 				}
 			})
 		}
@@ -179,7 +179,7 @@
 // execute has an action executed on a machine of a type. The mark makes the action unique, so that
 // no result is cached.
 func execute(ctx context.Context, blobs *cas.Client, front *reapi.Client, typ, mark string) error {
-	command := &repb.Command{Arguments: []string{"/bin/sh", "-c", fmt.Sprintf("sleep %g; echo %s > out", actionTime.Seconds(), mark)}, OutputPaths: []string{"out"},
+	command := &repb.Command{Arguments: []string{"/bin/sh", "-c", fmt.Sprintf("sleep %g; echo %s > out", actionDuration.Seconds(), mark)}, OutputPaths: []string{"out"},
 		EnvironmentVariables: []*repb.Command_EnvironmentVariable{{Name: "PATH", Value: "/usr/bin:/bin"}}}
 	root, err := blobs.PutMessage(ctx, digestFunction, &repb.Directory{})
 	if err != nil {
@@ -201,12 +201,12 @@
 }
 
 // usages returns what the agents have used so far, by machine type.
-func (a *agents) usages() map[string]usage {
+func (a *agentPool) usages() map[string]processUsage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := make(map[string]usage)
+	out := make(map[string]processUsage)
 	for typ, p := range a.procs {
-		if used, err := usageOf(p.cmd.Process.Pid); err == nil {
+		if used, err := readProcessUsage(p.cmd.Process.Pid); err == nil {
 			out[typ] = used
 		}
 	}
@@ -214,8 +214,8 @@
 }
 
 // stop ends the blob store; agents end with the cloud that has started them.
-func (a *agents) stop() {
-	if a.blobs != nil {
-		a.blobs.Kill()
+func (a *agentPool) stop() {
+	if a.blobStore != nil {
+		a.blobStore.Kill()
 	}
 }
--- a/internal/scale/agents_test.go
+++ b/internal/scale/agents_test.go
@@ -12,20 +12,20 @@
 // it. What happened before: the blob store's process was kept although it had none, and ending the step
 // panicked; and an agent that could not be started was replaced by an emulated machine without a word,
 // so that the figures of a step were not those of agents.
-func TestProgramThatCannotStart(t *testing.T) {
+func TestAgentStartErrorIsReported(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "no-such-program")
-	a := &agents{program: missing, dir: t.TempDir(), config: &emulator.Config{}, cluster: &emulator.Cluster{}, procs: map[string]*process{}}
-	if err := a.startBlobs(t.Context()); err == nil || !strings.Contains(err.Error(), missing) {
+	a := &agentPool{program: missing, dir: t.TempDir(), config: &emulator.Config{}, cluster: &emulator.Cluster{}, procs: map[string]*process{}}
+	if err := a.startBlobStore(t.Context()); err == nil || !strings.Contains(err.Error(), missing) {
 		t.Errorf("error %v, want one that names %s", err, missing)
 	}
 	a.stop()
-	if m := a.machine("n-1", "127.0.0.1:1", "g4", "a", false); m != nil {
+	if m := a.startMachine("n-1", "127.0.0.1:1", "g4", "a", false); m != nil {
 		t.Errorf("machine %v of a type that has no agents", m)
 	}
 	if err := a.startError(); err != nil {
 		t.Errorf("error %v before any agent was to start", err)
 	}
-	if m := a.machine("n-2", "127.0.0.1:1", agentType(8), "a", false); m != nil {
+	if m := a.startMachine("n-2", "127.0.0.1:1", agentMachineType(8), "a", false); m != nil {
 		t.Errorf("machine %v, whose agent could not be started", m)
 	}
 	if err := a.startError(); err == nil || !strings.Contains(err.Error(), "n-2") || !strings.Contains(err.Error(), missing) {
--- a/internal/scale/needs.go
+++ b/internal/scale/hostlimits.go
@@ -24,35 +24,35 @@
 // maxProcesses bounds the processes of a step.
 const maxProcesses = 300
 
-// Machine is what this machine has for a run.
-type Machine struct {
+// HostLimits is what this machine has for a run.
+type HostLimits struct {
 	MemoryBytes uint64 // in total, of which half may be used
 	Sockets     uint64 // that this process may open
 }
 
-// ThisMachine returns what this machine has.
-func ThisMachine() (Machine, error) {
+// ReadHostLimits returns what this machine has.
+func ReadHostLimits() (HostLimits, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
-		return Machine{}, fmt.Errorf("reading the machine's memory: %w", err)
+		return HostLimits{}, fmt.Errorf("reading the machine's memory: %w", err)
 	}
 	var kilobytes uint64
 	if _, err := fmt.Fscanf(bytes.NewReader(text), "MemTotal: %d kB", &kilobytes); err != nil {
-		return Machine{}, fmt.Errorf("parsing /proc/meminfo: %w", err)
+		return HostLimits{}, fmt.Errorf("parsing /proc/meminfo: %w", err)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		return Machine{}, fmt.Errorf("reading the limit of open files: %w", err)
+		return HostLimits{}, fmt.Errorf("reading the limit of open files: %w", err)
 	}
-	return Machine{MemoryBytes: kilobytes << 10, Sockets: limit.Cur}, nil
+	return HostLimits{MemoryBytes: kilobytes << 10, Sockets: limit.Cur}, nil
 }
 
-// Check reports every step that requires more than the machine has, with what it requires.
-func (p *Plan) Check(m Machine) error {
+// CheckResources reports every step that requires more than the machine has, with what it requires.
+func (p *Plan) CheckResources(m HostLimits) error {
 	var faults []error
 	for _, step := range p.Steps() {
 		workers, controllers := uint64(step[Workers]), uint64(step[Controllers])
-		agents := uint64(len(p.Agents))
+		agents := uint64(len(p.ActionsPerAgent))
 		memory := emulatorBytes + workers*workerBytes + uint64(step[Workers]*step[Tasks])*taskBytes + controllers*controllerBytes + (agents+1)*agentBytes
 		processes := controllers + agents + 2
 		sockets := workers*workerSockets + controllers*controllers*linkSockets + spareSockets
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -31,7 +31,7 @@
 
 // The measures, each of one process, link or worker.
 const (
-	Processor   Measure = "core share"
+	CPU         Measure = "core share"
 	Memory      Measure = "memory MB"
 	BytesIn     Measure = "KB/s in"
 	BytesOut    Measure = "KB/s out"
@@ -56,23 +56,23 @@
 
 // Outcome is the result of a step.
 type Outcome struct {
-	Step          Point      `json:"step"`
-	Rows          []Row      `json:"rows"`
-	StartsReached float64    `json:"starts_reached"` // per second, while it was measured
-	BytesPerStart float64    `json:"state_bytes_per_start"`
-	Up            int        `json:"workers_up"`
-	Running       int        `json:"tasks_running"` // when it was measured
-	Full          bool       `json:"full"`          // the fleet was as full as required by then
-	FillS         float64    `json:"fill_s"`
-	Accept        load.Times `json:"accept_ms"`
-	Start         load.Times `json:"start_ms"`
-	Urgent        load.Times `json:"urgent_start_ms"`
-	Refused       int        `json:"answers_503"`
-	Submitted     int        `json:"submitted"`
-	FailoverS     float64    `json:"takeover_claim_s"`  // from the kill to the next election, 0 if none was seen
-	FailoverStart load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
-	Actions       int        `json:"actions"`
-	Violations    []string   `json:"rules_broken"`
+	Step              Point      `json:"step"`
+	Rows              []Row      `json:"rows"`
+	StartsReached     float64    `json:"starts_reached"` // per second, while it was measured
+	BytesPerStart     float64    `json:"state_bytes_per_start"`
+	WorkersUp         int        `json:"workers_up"`
+	TasksRunning      int        `json:"tasks_running"` // when it was measured
+	FleetFull         bool       `json:"full"`          // the fleet was as full as required by then
+	FillSeconds       float64    `json:"fill_s"`
+	Accept            load.Times `json:"accept_ms"`
+	Start             load.Times `json:"start_ms"`
+	Urgent            load.Times `json:"urgent_start_ms"`
+	FailedSubmissions int        `json:"answers_503"`
+	Submitted         int        `json:"submitted"`
+	FailoverSeconds   float64    `json:"takeover_claim_s"`  // from the kill to the next election, 0 if none was seen
+	FailoverStart     load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
+	Actions           int        `json:"actions"`
+	Violations        []string   `json:"rules_broken"`
 }
 
 // add records a figure of a role.
@@ -91,8 +91,8 @@
 	return 0, false
 }
 
-// at returns a step's position on an axis; for starts it is the rate that was reached.
-func (o *Outcome) at(axis Axis) float64 {
+// position returns a step's position on an axis; for starts it is the rate that was reached.
+func (o *Outcome) position(axis Axis) float64 {
 	if axis == Starts {
 		return o.StartsReached
 	}
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -31,14 +31,14 @@
 // Axes lists the axes in the order in which they are measured.
 var Axes = []Axis{Workers, Teams, Controllers, Tasks, Starts}
 
-// maxOf bounds the values of each axis.
-var maxOf = map[Axis]float64{Workers: 10_000, Teams: 5000, Controllers: 24, Tasks: 64, Starts: 10_000}
+// maxAxisValue bounds the values of each axis.
+var maxAxisValue = map[Axis]float64{Workers: 10_000, Teams: 5000, Controllers: 24, Tasks: 64, Starts: 10_000}
 
 // Point is a size of a site.
 type Point map[Axis]float64
 
-// with returns the point with another value on one axis.
-func (p Point) with(axis Axis, value float64) Point {
+// withValue returns the point with another value on one axis.
+func (p Point) withValue(axis Axis, value float64) Point {
 	out := make(Point, len(p))
 	for a, v := range p {
 		out[a] = v
@@ -58,13 +58,13 @@
 
 // Plan describes a scale run.
 type Plan struct {
-	Values                      map[Axis][]float64
-	Middle, Target              Point
-	Fill, Measure, FailoverTime time.Duration
-	Urgent                      float64 // jobs per second
-	Agents                      []int   // for each real agent, how many actions it runs at once
-	Seed                        uint64
-	State                       config.Store
+	Values                                         map[Axis][]float64
+	Middle, Target                                 Point
+	FillTimeout, MeasureDuration, FailoverDuration time.Duration
+	UrgentRate                                     float64 // jobs per second
+	ActionsPerAgent                                []int   // for each real agent, how many actions it runs at once
+	Seed                                           uint64
+	State                                          config.Store
 }
 
 // DefaultPlan is used for what a file does not set.
@@ -73,7 +73,7 @@
 	return &Plan{
 		Values: map[Axis][]float64{Workers: {500, 1500, 4900}, Teams: {5, 100, 530}, Controllers: {3, 5, 24}, Tasks: {1, 4, 8}, Starts: {50, 200, 600, 2400}},
 		Middle: middle, Target: Point{Workers: 4900, Teams: 530, Controllers: 24, Tasks: 7.6, Starts: 2400},
-		Fill: 100 * time.Second, Measure: 20 * time.Second, FailoverTime: 15 * time.Second, Urgent: 2, Agents: []int{8, 64}, Seed: 1,
+		FillTimeout: 100 * time.Second, MeasureDuration: 20 * time.Second, FailoverDuration: 15 * time.Second, UrgentRate: 2, ActionsPerAgent: []int{8, 64}, Seed: 1,
 		State: config.Store{RPS: 250, WriteRPS: 30, ValueBytes: 16 << 10, TxnOps: 24},
 	}
 }
@@ -84,18 +84,18 @@
 	for _, axis := range Axes {
 		for _, value := range p.Values[axis] {
 			if value != p.Middle[axis] {
-				steps = append(steps, p.Middle.with(axis, value))
+				steps = append(steps, p.Middle.withValue(axis, value))
 			}
 		}
 	}
 	return steps
 }
 
-// planReader parses a plan's file and collects all errors.
-type planReader struct{ faults []error }
+// planParser parses a plan's file and collects all errors.
+type planParser struct{ errs []error }
 
-func (r *planReader) wrong(key *ini.Key, section, allowed string) {
-	r.faults = append(r.faults, fmt.Errorf("[%s] %s: %q: must be %s", section, key.Name(), key.Value(), allowed))
+func (r *planParser) addError(key *ini.Key, section, allowed string) {
+	r.errs = append(r.errs, fmt.Errorf("[%s] %s: %q: must be %s", section, key.Name(), key.Value(), allowed))
 }
 
 // Parse reads a plan's file and reports everything that is wrong with it.
@@ -112,23 +112,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("not a plan's file: %w", err)
 	}
-	p, r := DefaultPlan(), &planReader{}
+	p, r := DefaultPlan(), &planParser{}
 	fields := p.fields(r)
 	for _, sec := range file.Sections() {
 		set := fields[sec.Name()]
 		if set == nil && (sec.Name() != ini.DefaultSection || len(sec.Keys()) > 0) {
-			r.faults = append(r.faults, fmt.Errorf("[%s]: must be axes, middle, step, state or target", sec.Name()))
+			r.errs = append(r.errs, fmt.Errorf("[%s]: must be axes, middle, step, state or target", sec.Name()))
 			continue
 		}
 		for _, key := range sec.Keys() {
 			set(key)
 		}
 	}
-	return p, errors.Join(r.faults...)
+	return p, errors.Join(r.errs...)
 }
 
 // fields returns the parser of each section's keys.
-func (p *Plan) fields(r *planReader) map[string]func(*ini.Key) {
+func (p *Plan) fields(r *planParser) map[string]func(*ini.Key) {
 	return map[string]func(*ini.Key){
 		"axes": func(key *ini.Key) {
 			if axis, known := r.axis(key, "axes"); known {
@@ -142,76 +142,76 @@
 	}
 }
 
-func (r *planReader) axis(key *ini.Key, section string) (Axis, bool) {
+func (r *planParser) axis(key *ini.Key, section string) (Axis, bool) {
 	axis := Axis(key.Name())
 	if !slices.Contains(Axes, axis) {
-		r.wrong(key, section, "left out; known are workers, teams, controllers, tasks, starts")
+		r.addError(key, section, "left out; known are workers, teams, controllers, tasks, starts")
 		return "", false
 	}
 	return axis, true
 }
 
-func (r *planReader) values(key *ini.Key, section string, axis Axis) []float64 {
+func (r *planParser) values(key *ini.Key, section string, axis Axis) []float64 {
 	values, err := key.StrictFloat64s(",")
-	most := maxOf[axis]
+	most := maxAxisValue[axis]
 	if err != nil || len(values) == 0 || slices.Min(values) < 1 || slices.Max(values) > most {
-		r.wrong(key, section, fmt.Sprintf("numbers from 1 to %g, separated by commas", most))
+		r.addError(key, section, fmt.Sprintf("numbers from 1 to %g, separated by commas", most))
 	}
 	return values
 }
 
-func (r *planReader) point(key *ini.Key, section string, to Point) {
+func (r *planParser) point(key *ini.Key, section string, to Point) {
 	if axis, known := r.axis(key, section); known {
 		value, err := key.Float64()
-		if err != nil || value < 1 || value > maxOf[axis] {
-			r.wrong(key, section, fmt.Sprintf("a number from 1 to %g", maxOf[axis]))
+		if err != nil || value < 1 || value > maxAxisValue[axis] {
+			r.addError(key, section, fmt.Sprintf("a number from 1 to %g", maxAxisValue[axis]))
 		}
 		to[axis] = value
 	}
 }
 
-func (r *planReader) duration(key *ini.Key, to *time.Duration) {
+func (r *planParser) duration(key *ini.Key, to *time.Duration) {
 	value, err := time.ParseDuration(key.Value())
 	if *to = value; err != nil || value < time.Second || value > 10*time.Minute {
-		r.wrong(key, "step", "a duration from 1s to 10m")
+		r.addError(key, "step", "a duration from 1s to 10m")
 	}
 }
 
-func (r *planReader) number(key *ini.Key, section string, to *float64, least, most float64) {
+func (r *planParser) number(key *ini.Key, section string, to *float64, least, most float64) {
 	value, err := key.Float64()
 	if *to = value; err != nil || value < least || value > most {
-		r.wrong(key, section, fmt.Sprintf("a number from %g to %g", least, most))
+		r.addError(key, section, fmt.Sprintf("a number from %g to %g", least, most))
 	}
 }
 
-func (p *Plan) stepField(r *planReader, key *ini.Key) {
+func (p *Plan) stepField(r *planParser, key *ini.Key) {
 	switch key.Name() {
 	case "fill":
-		r.duration(key, &p.Fill)
+		r.duration(key, &p.FillTimeout)
 	case "measure":
-		r.duration(key, &p.Measure)
+		r.duration(key, &p.MeasureDuration)
 	case "takeover":
-		r.duration(key, &p.FailoverTime)
+		r.duration(key, &p.FailoverDuration)
 	case "urgent":
-		r.number(key, "step", &p.Urgent, 0.1, 100)
+		r.number(key, "step", &p.UrgentRate, 0.1, 100)
 	case "agents":
 		agents, err := key.StrictInts(",")
-		if p.Agents = agents; key.Value() == "" {
-			p.Agents = nil
+		if p.ActionsPerAgent = agents; key.Value() == "" {
+			p.ActionsPerAgent = nil
 		} else if err != nil || len(agents) > 8 || slices.Min(agents) < 1 || slices.Max(agents) > 64 {
-			r.wrong(key, "step", "up to 8 counts from 1 to 64, separated by commas")
+			r.addError(key, "step", "up to 8 counts from 1 to 64, separated by commas")
 		}
 	case "seed":
 		var err error
 		if p.Seed, err = key.Uint64(); err != nil {
-			r.wrong(key, "step", "a count")
+			r.addError(key, "step", "a count")
 		}
 	default:
-		r.wrong(key, "step", "left out; known are fill, measure, takeover, urgent, agents, seed")
+		r.addError(key, "step", "left out; known are fill, measure, takeover, urgent, agents, seed")
 	}
 }
 
-func (p *Plan) stateField(r *planReader, key *ini.Key) {
+func (p *Plan) stateField(r *planParser, key *ini.Key) {
 	var value float64
 	switch key.Name() {
 	case "rps":
@@ -225,6 +225,6 @@
 		r.number(key, "state", &value, 4, 1000)
 		p.State.TxnOps = int(value)
 	default:
-		r.wrong(key, "state", "left out; known are rps, write_rps, value_kb, txn_ops")
+		r.addError(key, "state", "left out; known are rps, write_rps, value_kb, txn_ops")
 	}
 }
--- a/internal/scale/predict.go
+++ b/internal/scale/predict.go
@@ -60,13 +60,13 @@
 	out := Prediction{Role: row.Role, Measure: row.Measure, Middle: row.Value, Value: row.Value, Slopes: make(map[Axis]Slope)}
 	variance := 0.0
 	for _, axis := range Axes {
-		places, values := along(p, all, axis, row)
+		places, values := valuesAlong(p, all, axis, row)
 		if len(places) < 2 {
 			continue
 		}
 		slope := slopeOf(places, values)
 		out.Slopes[axis] = slope
-		distance := p.Target[axis] - middle.at(axis)
+		distance := p.Target[axis] - middle.position(axis)
 		out.Value += slope.PerUnit * distance
 		variance += math.Pow(slope.Error*distance, 2)
 	}
@@ -74,21 +74,21 @@
 	return out
 }
 
-// along returns the values of a measure at the steps that differ from the middle along one axis
+// valuesAlong returns the values of a measure at the steps that differ from the middle along one axis
 // only.
-func along(p *Plan, all []*Outcome, axis Axis, row Row) (places, values []float64) {
+func valuesAlong(p *Plan, all []*Outcome, axis Axis, row Row) (places, values []float64) {
 	for _, o := range all {
-		if !onAxis(o.Step, p.Middle, axis) {
+		if !differsOnlyAlong(o.Step, p.Middle, axis) {
 			continue
 		}
 		if v, measured := o.value(row.Role, row.Measure); measured {
-			places, values = append(places, o.at(axis)), append(values, v)
+			places, values = append(places, o.position(axis)), append(values, v)
 		}
 	}
 	return places, values
 }
 
-func onAxis(step, middle Point, axis Axis) bool {
+func differsOnlyAlong(step, middle Point, axis Axis) bool {
 	for _, a := range Axes {
 		if a != axis && step[a] != middle[a] {
 			return false
@@ -99,7 +99,7 @@
 
 func outcomeAt(all []*Outcome, at Point) *Outcome {
 	for _, o := range all {
-		if onAxis(o.Step, at, "") {
+		if differsOnlyAlong(o.Step, at, "") {
 			return o
 		}
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -9,9 +9,9 @@
 // Budgets is what users allow at the target.
 var Budgets = map[Role]map[Measure]float64{
 	Worker:   {BytesOut: 17, BytesIn: 17},
-	Agent:    {Processor: 0.016, Memory: 256},
-	Leader:   {Processor: 0.18, Memory: 234},
-	Follower: {Processor: 0.18, Memory: 234},
+	Agent:    {CPU: 0.016, Memory: 256},
+	Leader:   {CPU: 0.18, Memory: 234},
+	Follower: {CPU: 0.18, Memory: 234},
 }
 
 // budgetOf returns the budget of a measure, if there is one. All agents have the same budget,
@@ -37,12 +37,12 @@
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, o := range all {
 		full := ""
-		if !o.Full {
+		if !o.FleetFull {
 			full = " (not full)"
 		}
 		fmt.Fprintf(text, "| %g | %g | %g | %g | %g | %s | %d | %d%s | %s | %d, %d | %d of %d | %d, %d, %d | %s | %d, %d |\n", o.Step[Workers], o.Step[Teams], o.Step[Controllers], o.Step[Tasks], o.Step[Starts],
-			short(o.StartsReached), o.Up, o.Running, full, short(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.Refused, o.Refused+o.Submitted,
-			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, short(o.FailoverS), o.FailoverStart.P50, o.FailoverStart.Max)
+			formatNumber(o.StartsReached), o.WorkersUp, o.TasksRunning, full, formatNumber(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.FailedSubmissions, o.FailedSubmissions+o.Submitted,
+			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, formatNumber(o.FailoverSeconds), o.FailoverStart.P50, o.FailoverStart.Max)
 	}
 	fmt.Fprintln(text)
 }
@@ -52,25 +52,25 @@
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	units := map[Axis]float64{Workers: 1000, Teams: 100, Controllers: 1, Tasks: 1, Starts: 100}
 	for _, x := range Predict(p, all) {
-		fmt.Fprintf(text, "| %s | %s | %s |", x.Role, x.Measure, short(x.Middle))
+		fmt.Fprintf(text, "| %s | %s | %s |", x.Role, x.Measure, formatNumber(x.Middle))
 		for _, axis := range Axes {
 			slope, known := x.Slopes[axis]
 			if !known {
 				fmt.Fprint(text, " - |")
 				continue
 			}
-			fmt.Fprintf(text, " %s ± %s |", short(slope.PerUnit*units[axis]), short(slope.Error*units[axis]))
+			fmt.Fprintf(text, " %s ± %s |", formatNumber(slope.PerUnit*units[axis]), formatNumber(slope.Error*units[axis]))
 		}
 		budget, ratio := "-", "-"
 		if allowed, known := budgetOf(x.Role, x.Measure); known {
-			budget, ratio = short(allowed), short(x.Value/allowed)
+			budget, ratio = formatNumber(allowed), formatNumber(x.Value/allowed)
 		}
-		fmt.Fprintf(text, " %s ± %s | %s | %s |\n", short(x.Value), short(x.Error), budget, ratio)
+		fmt.Fprintf(text, " %s ± %s | %s | %s |\n", formatNumber(x.Value), formatNumber(x.Error), budget, ratio)
 	}
 }
 
-// short formats a number with about three digits.
-func short(v float64) string {
+// formatNumber formats a number with about three digits.
+func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
 		return "?"
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("step %d: %v, by default %v", i, p.Steps()[i], step)
 		}
 	}
-	if p.Fill != def.Fill || p.Measure != def.Measure || p.State != def.State || p.Target.String() != def.Target.String() {
+	if p.FillTimeout != def.FillTimeout || p.MeasureDuration != def.MeasureDuration || p.State != def.State || p.Target.String() != def.Target.String() {
 		t.Errorf("%+v is not the default", p)
 	}
 	_, err = parse([]byte("[axes]\nworkers = 1, many\nracks = 3\n[middle]\nteams = 0\n[step]\nfill = soon\nagents = 99\ncolour = red\n[state]\nrps = 0\n[planet]\na = 1\n"))
@@ -39,43 +39,43 @@
 	}
 }
 
-// TestCheck: all steps that ask for too much are named, each with what it asks for.
-func TestCheck(t *testing.T) {
+// TestCheckResources: all steps that ask for too much are named, each with what it asks for.
+func TestCheckResources(t *testing.T) {
 	p := DefaultPlan()
-	if err := p.Check(Machine{MemoryBytes: 24 << 30, Sockets: 1 << 20}); err != nil {
+	if err := p.CheckResources(HostLimits{MemoryBytes: 24 << 30, Sockets: 1 << 20}); err != nil {
 		t.Errorf("a large machine: %v", err)
 	}
-	err := p.Check(Machine{MemoryBytes: 4 << 30, Sockets: 12_000})
+	err := p.CheckResources(HostLimits{MemoryBytes: 4 << 30, Sockets: 12_000})
 	for _, want := range []string{"workers-4900_teams-100_controllers-5_tasks-4_starts-200: memory: ", "must be at most 2048 MB, half", "workers-4900_teams-100_controllers-5_tasks-4_starts-200: sockets: ",
 		"controllers-24_tasks-4_starts-200: memory: "} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not in\n%v", want, err)
 		}
 	}
-	if p.Agents = make([]int, 400); p.Check(Machine{MemoryBytes: 1 << 40, Sockets: 1 << 20}) == nil {
+	if p.ActionsPerAgent = make([]int, 400); p.CheckResources(HostLimits{MemoryBytes: 1 << 40, Sockets: 1 << 20}) == nil {
 		t.Error("400 agents are allowed")
 	}
 }
 
-// TestProcessorTime reads lines of processes of any name.
-func TestProcessorTime(t *testing.T) {
+// TestParseProcessUsage reads lines of processes of any name.
+func TestParseProcessUsage(t *testing.T) {
 	for line, want := range map[string]time.Duration{
 		"7 (amberdeal) S 1 7 7 0 -1 4194560 1 0 0 0 150 50 0 0 20 0": 2 * time.Second,
 		"7 (a) b (c) S 1 7 7 0 -1 4194560 1 0 0 0 1 2 0 0 20 0":      30 * time.Millisecond,
 	} {
-		if got, err := processorTime(line); err != nil || got != want {
+		if got, err := parseCPUTime(line); err != nil || got != want {
 			t.Errorf("%q: %v, %v", line, got, err)
 		}
 	}
 	for _, line := range []string{"", "7 (a", "7 (a) S 1 2", "7 (a) S 1 7 7 0 -1 4194560 1 0 0 0 x 2 0"} {
-		if _, err := processorTime(line); err == nil {
+		if _, err := parseCPUTime(line); err == nil {
 			t.Errorf("%q is read", line)
 		}
 	}
-	if got := peakMemory("Name:\tx\nVmHWM:\t    2048 kB\n"); got != 2<<20 {
+	if got := parsePeakMemory("Name:\tx\nVmHWM:\t    2048 kB\n"); got != 2<<20 {
 		t.Errorf("peak memory: %d", got)
 	}
-	if used, err := usageOf(os.Getpid()); err != nil || used.memory == 0 {
+	if used, err := readProcessUsage(os.Getpid()); err != nil || used.peakMemory == 0 {
 		t.Errorf("this process: %+v, %v", used, err)
 	}
 }
@@ -84,11 +84,11 @@
 // other axes are, and what scatters has an error.
 func TestPredict(t *testing.T) {
 	p := DefaultPlan()
-	p.Agents = nil
+	p.ActionsPerAgent = nil
 	var all []*Outcome
 	for i, step := range p.Steps() {
 		o := &Outcome{Step: step, StartsReached: step[Starts] / 2}
-		o.add(Leader, Processor, 0.1+0.0001*step[Workers]+0.002*o.StartsReached)
+		o.add(Leader, CPU, 0.1+0.0001*step[Workers]+0.002*o.StartsReached)
 		o.add(Follower, Memory, 50+step[Teams]/100*[]float64{1, -1}[i%2])
 		all = append(all, o)
 	}
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestStep plays a step of a few seconds with real controllers and an agent, and another that is
+// TestRunAndResume plays a step of a few seconds with real controllers and an agent, and another that is
 // broken off: complete steps are kept, and not played again.
-func TestStep(t *testing.T) {
+func TestRunAndResume(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "amberdeal")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/amberdeal").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -123,7 +123,7 @@
 	p := DefaultPlan()
 	p.Middle = Point{Workers: 20, Teams: 3, Controllers: 3, Tasks: 2, Starts: 8}
 	p.Values = map[Axis][]float64{Workers: {20, 30}}
-	p.Fill, p.Measure, p.FailoverTime, p.Agents = 20*time.Second, 2*time.Second, 12*time.Second, []int{2}
+	p.FillTimeout, p.MeasureDuration, p.FailoverDuration, p.ActionsPerAgent = 20*time.Second, 2*time.Second, 12*time.Second, []int{2}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	r := Runner{Plan: p, Out: t.TempDir(), Program: program, Port: 23_100, Progress: func(Point, bool) { time.AfterFunc(2*time.Second, stop) }}
@@ -132,7 +132,7 @@
 		t.Fatalf("%d steps, %v", len(all), err)
 	}
 	o := all[0]
-	if !o.Full || o.Up < 20 || o.Running == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverS <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
+	if !o.FleetFull || o.WorkersUp < 20 || o.TasksRunning == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverSeconds <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
 		t.Errorf("%+v", o)
 	}
 	for role, measures := range map[Role][]Measure{
