--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -96,21 +96,21 @@
 	copiedBytes [2]int64
 }
 
-func (l *progressPrinter) update(ctx context.Context, m *repb.ExecuteOperationMetadata) {
-	if m.Stage == l.stage {
+func (p *progressPrinter) update(ctx context.Context, m *repb.ExecuteOperationMetadata) {
+	if m.Stage == p.stage {
 		return
 	}
-	l.stage = m.Stage
+	p.stage = m.Stage
 	fmt.Fprintf(os.Stderr, "amberdeal: %s\n", strings.ToLower(m.Stage.String()))
-	if m.StdoutStreamName == "" || l.stop != nil {
+	if m.StdoutStreamName == "" || p.stop != nil {
 		return
 	}
-	ctx, l.stop = context.WithCancel(ctx)
+	ctx, p.stop = context.WithCancel(ctx)
 	for i, to := range []io.Writer{os.Stdout, os.Stderr} {
 		name := []string{m.StdoutStreamName, m.StderrStreamName}[i]
-		l.group.Go(func() {
-			for ctx.Err() == nil && l.copiedBytes[i] == 0 { // a log is there once something was written
-				if l.copiedBytes[i], _ = l.casClient.FollowLog(ctx, name, to); l.copiedBytes[i] == 0 {
+		p.group.Go(func() {
+			for ctx.Err() == nil && p.copiedBytes[i] == 0 { // a log is there once something was written
+				if p.copiedBytes[i], _ = p.casClient.FollowLog(ctx, name, to); p.copiedBytes[i] == 0 {
 					store.Backoff(ctx, 200*time.Millisecond)
 				}
 			}
@@ -119,12 +119,12 @@
 }
 
 // finish ends the show, and tells how much of stdout and stderr was shown.
-func (l *progressPrinter) finish() (stdout, stderr int64) {
-	if l.stop != nil {
-		l.stop()
-		l.group.Wait()
+func (p *progressPrinter) finish() (stdout, stderr int64) {
+	if p.stop != nil {
+		p.stop()
+		p.group.Wait()
 	}
-	return l.copiedBytes[0], l.copiedBytes[1]
+	return p.copiedBytes[0], p.copiedBytes[1]
 }
 
 // upload writes the action and all that it needs, and gives its digest.
@@ -155,13 +155,13 @@
 
 // skipWriter leaves out the first bytes, which were shown before.
 type skipWriter struct {
-	writer    io.Writer
-	remaining int64
+	writer      io.Writer
+	bytesToSkip int64
 }
 
 func (b *skipWriter) Write(p []byte) (int, error) {
-	n := min(b.remaining, int64(len(p)))
-	b.remaining -= n
+	n := min(b.bytesToSkip, int64(len(p)))
+	b.bytesToSkip -= n
 	_, err := b.writer.Write(p[n:])
 	return len(p), err
 }
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -38,16 +38,16 @@
 
 // Demo submits a job of each shape, kills the leader while they run, and shows that each still
 // gets its answer, the same from every controller. An error names what did not happen.
-func (w *Cluster) Demo(ctx context.Context, out io.Writer) error {
+func (c *Cluster) Demo(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	begun := time.Now()
-	d := &demo{w, demoJobs(), func(format string, args ...any) {
+	d := &demo{c, demoJobs(), func(format string, args ...any) {
 		fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
 	}}
-	users := &simulator.Users{Dial: emulator.Dial, Judge: w.Liveness()}
+	users := &simulator.Users{Dial: emulator.Dial, Judge: c.Liveness()}
 	for i := range Controllers {
-		users.Nodes = append(users.Nodes, w.Addr(i))
+		users.Nodes = append(users.Nodes, c.Addr(i))
 	}
 	var polling sync.WaitGroup
 	defer func() { cancel(); polling.Wait() }()
@@ -80,7 +80,7 @@
 		}
 		return true
 	}); err != nil {
-		return fmt.Errorf("not every job started: %w", err)
+		return fmt.Errorf("not every job started: %c", err)
 	}
 	d.printf("all jobs are running")
 	return nil
@@ -100,7 +100,7 @@
 		next = i
 		return ok && t > token
 	}); err != nil {
-		return 0, fmt.Errorf("no other controller became the leader: %w", err)
+		return 0, fmt.Errorf("no other controller became the leader: %c", err)
 	}
 	d.printf("%s is the leader now", controllerName(next))
 	return killed, d.Restart(killed)
@@ -110,7 +110,7 @@
 func (d *demo) finish(ctx context.Context, killed int) error {
 	for i, j := range d.jobs[:2] {
 		if err := d.waitUntil(ctx, func() bool { return d.jobStatus(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
-			return fmt.Errorf("%s is not done: %w", j.ID, err)
+			return fmt.Errorf("%s is not done: %c", j.ID, err)
 		}
 		d.printf("%s is done", j.ID)
 	}
@@ -120,7 +120,7 @@
 	}
 	d.printf("%s is cancelled", service)
 	if err := d.waitUntil(ctx, func() bool { return d.Ready(ctx, killed) }); err != nil {
-		return fmt.Errorf("%s did not come back: %w", controllerName(killed), err)
+		return fmt.Errorf("%s did not come back: %c", controllerName(killed), err)
 	}
 	return d.checkFinalStages(ctx)
 }
@@ -147,15 +147,15 @@
 	return nil
 }
 
-func (w *Cluster) jobStatus(ctx context.Context, first int, id string) (s wire.JobStatus) {
-	if status, body := w.request(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
+func (c *Cluster) jobStatus(ctx context.Context, first int, id string) (s wire.JobStatus) {
+	if status, body := c.request(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
 		_ = wire.Decode(body, &s)
 	}
 	return s
 }
 
 // waitUntil polls until a condition holds.
-func (w *Cluster) waitUntil(ctx context.Context, holds func() bool) error {
+func (c *Cluster) waitUntil(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
 		case <-ctx.Done():
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -47,39 +47,39 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
-	w := &Cluster{dir: dir, stop: stop}
-	w.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
-	w.procs = emulator.Processes{Program: opt.Program, Level: opt.LogLevel, Dir: dir, Tuning: operatorSettings}
-	w.procs.Begin(ctx)
-	around, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: w.procs.PauseNamed, Kill: w.procs.KillNamed})
+	c := &Cluster{dir: dir, stop: stop}
+	c.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
+	c.procs = emulator.Processes{Program: opt.Program, Level: opt.LogLevel, Dir: dir, Tuning: operatorSettings}
+	c.procs.Begin(ctx)
+	around, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: c.procs.PauseNamed, Kill: c.procs.KillNamed})
 	if err != nil {
-		w.Stop()
+		c.Stop()
 		return nil, err
 	}
-	w.Cluster, w.procs.Settings, w.procs.Metrics = around, around.Settings, around.Metrics
-	if err := w.startControllers(ctx); err != nil {
-		w.Stop()
+	c.Cluster, c.procs.Settings, c.procs.Metrics = around, around.Settings, around.Metrics
+	if err := c.startControllers(ctx); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	return w, nil
+	return c, nil
 }
 
 // Addr returns the address at which users reach a controller.
-func (w *Cluster) Addr(i int) string { return w.Public(i) }
+func (c *Cluster) Addr(i int) string { return c.Public(i) }
 
 // Log returns the path of a controller's log.
-func (w *Cluster) Log(i int) string { return w.procs.Log(i) }
+func (c *Cluster) Log(i int) string { return c.procs.Log(i) }
 
 func controllerName(i int) string { return fmt.Sprint("c-", i) }
 
 // startControllers starts the controllers and waits for them.
-func (w *Cluster) startControllers(ctx context.Context) error {
+func (c *Cluster) startControllers(ctx context.Context) error {
 	for i := range Controllers {
-		if err := w.Restart(i); err != nil {
+		if err := c.Restart(i); err != nil {
 			return err
 		}
 	}
-	for begun := time.Now(); !(w.Ready(ctx, 0) && w.Ready(ctx, 1) && w.Ready(ctx, 2)); time.Sleep(20 * time.Millisecond) {
+	for begun := time.Now(); !(c.Ready(ctx, 0) && c.Ready(ctx, 1) && c.Ready(ctx, 2)); time.Sleep(20 * time.Millisecond) {
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
@@ -91,22 +91,22 @@
 }
 
 // Ready reports whether a controller serves users.
-func (w *Cluster) Ready(ctx context.Context, i int) bool {
+func (c *Cluster) Ready(ctx context.Context, i int) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	resp, err := w.caller.Call(ctx, w.Addr(i), "GET", wire.PathReady, nil)
+	resp, err := c.caller.Call(ctx, c.Addr(i), "GET", wire.PathReady, nil)
 	return err == nil && resp.Status == 200
 }
 
 // Restart starts a controller that does not run.
-func (w *Cluster) Restart(i int) error { return w.procs.Start(i) }
+func (c *Cluster) Restart(i int) error { return c.procs.Start(i) }
 
 // Kill terminates a controller with SIGKILL.
-func (w *Cluster) Kill(i int) { w.procs.Kill(i) }
+func (c *Cluster) Kill(i int) { c.procs.Kill(i) }
 
 // Leader returns the leader of the fleet and its fencing token.
-func (w *Cluster) Leader() (i int, token uint64, ok bool) {
-	items := w.Page(store.LeaderKey("fleet"), 1)
+func (c *Cluster) Leader() (i int, token uint64, ok bool) {
+	items := c.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return 0, 0, false
 	}
@@ -119,20 +119,20 @@
 }
 
 // Stop ends everything and removes what was written.
-func (w *Cluster) Stop() {
-	w.procs.Stop()
-	if w.Cluster != nil {
-		w.Cluster.Stop()
+func (c *Cluster) Stop() {
+	c.procs.Stop()
+	if c.Cluster != nil {
+		c.Cluster.Stop()
 	}
-	w.stop()
-	_ = os.RemoveAll(w.dir)
+	c.stop()
+	_ = os.RemoveAll(c.dir)
 }
 
 // request sends a request to the controllers in turn until one decides.
-func (w *Cluster) request(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
+func (c *Cluster) request(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
 	for try := 0; ctx.Err() == nil; try++ {
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := w.caller.Call(call, w.Addr((first+try)%Controllers), method, path, body)
+		resp, err := c.caller.Call(call, c.Addr((first+try)%Controllers), method, path, body)
 		cancel()
 		if err == nil && resp.Status != 503 && resp.Status != 429 {
 			return resp.Status, resp.Body
--- a/internal/scale/golden_test.go
+++ b/internal/scale/golden_test.go
@@ -9,7 +9,7 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenOutcome: the JSON of a step's outcome has the fields that it had.
+// TestGoldenOutcome checks that the JSON fields of an outcome and the Parquet columns have not changed.
 func TestGoldenOutcome(t *testing.T) {
 	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
 	goldentest.Text(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Row{}).String()))
--- a/internal/scale/loadgenerator.go
+++ b/internal/scale/loadgenerator.go
@@ -15,38 +15,38 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// emulatedMachineType is the type of the hollow workers' machines.
+// emulatedMachineType is the machine type of the emulated workers.
 const emulatedMachineType = "hollow"
 
 const (
-	maxTasksPerJob     = 32              // of an ordinary job
-	urgentTaskDuration = 2 * time.Second // of an urgent one
-	answerTimeout      = 5 * time.Second // for the answer to a submission
-	submitTimeout      = time.Minute     // after which a job is not submitted any more
-	maxHistogramMillis = 10 * 60 * 1000  // that a histogram holds
-	histogramDigits    = 3               // digits of it
-	maxInFlight        = 256             // submissions that are on their way
+	maxTasksPerJob     = 32              // tasks of an ordinary job
+	urgentTaskDuration = 2 * time.Second // run time of the task of an urgent job
+	answerTimeout      = 5 * time.Second // timeout of one submission request
+	submitTimeout      = time.Minute     // a job that is not accepted within this time is not retried again
+	maxHistogramMillis = 10 * 60 * 1000  // largest duration that a histogram records; longer ones count as this
+	histogramDigits    = 3               // significant decimal digits of a histogram's values
+	maxInFlight        = 256             // concurrent submissions
 	submitPollInterval = 20 * time.Millisecond
 )
 
-// loadGenerator submit jobs and note when they start.
+// loadGenerator submits jobs as users do, and records how long they take to be accepted and to start.
 type loadGenerator struct {
 	step    Point
 	addrs   []string
 	cluster *emulator.Cluster
 	caller  *transport.Caller
-	rng     *rand.Rand // of the one goroutine that makes jobs
+	rng     *rand.Rand // used only by the goroutine that submits ordinary jobs
 
-	lastJobNumber, waitingTasks                   atomic.Int64 // jobs so far; tasks that were submitted and have not started
+	lastJobNumber, waitingTasks                   atomic.Int64 // waitingTasks: submitted and not started
 	acceptedJobs, failedSubmissions, startedTasks atomic.Int64
 	inFlight                                      chan struct{}
 	group                                         sync.WaitGroup
 
 	mu                                                            sync.Mutex
-	submittedAt                                                   map[string]time.Time // of jobs that have not started yet
-	urgent                                                        map[string]bool      // of these
+	submittedAt                                                   map[string]time.Time // by the id of a job that has not started yet
+	urgent                                                        map[string]bool      // the urgent ones of these jobs
 	acceptTimes, startTimes, urgentStartTimes, failoverStartTimes *hdrhistogram.Histogram
-	leaderKilledAt                                                time.Time // urgent work that comes later is counted apart
+	leaderKilledAt                                                time.Time // urgent jobs submitted later count in failoverStartTimes
 }
 
 func newLoadGenerator(step Point, seed uint64, caller *transport.Caller) *loadGenerator {
@@ -55,161 +55,163 @@
 		submittedAt: map[string]time.Time{}, urgent: map[string]bool{}, acceptTimes: histogram(), startTimes: histogram(), urgentStartTimes: histogram(), failoverStartTimes: histogram()}
 }
 
-// recordDuration notes how long something has taken; the lock is held.
+// recordDuration adds a duration to a histogram. The caller holds the lock.
 func recordDuration(h *hdrhistogram.Histogram, took time.Duration) {
 	_ = h.RecordValue(min(maxHistogramMillis, max(1, took.Milliseconds())))
 }
 
-// taskStarted takes in that a task starts.
-func (u *loadGenerator) taskStarted(t wire.TaskID) {
-	u.startedTasks.Add(1)
-	u.waitingTasks.Add(-1)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	at, first := u.submittedAt[t.Job]
+// taskStarted records the start of a task, and the start of its job if it is the first one.
+func (g *loadGenerator) taskStarted(t wire.TaskID) {
+	g.startedTasks.Add(1)
+	g.waitingTasks.Add(-1)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	submitted, first := g.submittedAt[t.Job]
 	if !first {
 		return
 	}
-	u.recordStart(t.Job, at, time.Now())
-	delete(u.submittedAt, t.Job)
-	delete(u.urgent, t.Job)
+	g.recordStart(t.Job, submitted, time.Now())
+	delete(g.submittedAt, t.Job)
+	delete(g.urgent, t.Job)
 }
 
-// recordStart notes how long a job took to start; the lock is held.
-func (u *loadGenerator) recordStart(job string, sent, now time.Time) {
+// recordStart records how long a job took to start. The caller holds the lock.
+func (g *loadGenerator) recordStart(job string, submitted, now time.Time) {
 	switch {
-	case !u.urgent[job]:
-		recordDuration(u.startTimes, now.Sub(sent))
-	case !u.leaderKilledAt.IsZero() && !sent.Before(u.leaderKilledAt):
-		recordDuration(u.failoverStartTimes, now.Sub(sent))
+	case !g.urgent[job]:
+		recordDuration(g.startTimes, now.Sub(submitted))
+	case !g.leaderKilledAt.IsZero() && !submitted.Before(g.leaderKilledAt):
+		recordDuration(g.failoverStartTimes, now.Sub(submitted))
 	default:
-		recordDuration(u.urgentStartTimes, now.Sub(sent))
+		recordDuration(g.urgentStartTimes, now.Sub(submitted))
 	}
 }
 
-// markLeaderKilled is called when the leader is killed.
-func (u *loadGenerator) markLeaderKilled(now time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.leaderKilledAt = now
+// markLeaderKilled records that the leader was killed.
+func (g *loadGenerator) markLeaderKilled(now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.leaderKilledAt = now
 }
 
-// recordUnstartedUrgentJobs counts urgent work that has not started as if it did now.
-func (u *loadGenerator) recordUnstartedUrgentJobs(now time.Time) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for job := range u.urgent {
-		u.recordStart(job, u.submittedAt[job], now)
+// recordUnstartedUrgentJobs records urgent jobs that have not started as if they started now.
+func (g *loadGenerator) recordUnstartedUrgentJobs(now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for job := range g.urgent {
+		g.recordStart(job, g.submittedAt[job], now)
 	}
 }
 
-// newJob makes the next job of a team, in turn.
-func (u *loadGenerator) newJob(tasks int, run time.Duration) *wire.Job {
-	n := u.lastJobNumber.Add(1)
-	return &wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "ordinary", Team: teamName(int(n) % int(u.step[Teams])), Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
-		CPUs: 1, GPUs: 1, MemoryGB: 4, Types: []string{emulatedMachineType}, Image: "img", ImageGB: 0.01, EstimateS: run.Seconds(), Spot: true}
+// newJob returns the next job. Successive jobs belong to the teams in turn.
+func (g *loadGenerator) newJob(tasks int, duration time.Duration) *wire.Job {
+	n := g.lastJobNumber.Add(1)
+	return &wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "ordinary", Team: teamName(int(n) % int(g.step[Teams])), Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
+		CPUs: 1, GPUs: 1, MemoryGB: 4, Types: []string{emulatedMachineType}, Image: "img", ImageGB: 0.01, EstimateS: duration.Seconds(), Spot: true}
 }
 
 func teamName(i int) string { return fmt.Sprintf("team-%04d", i) }
 
-// taskCapacity is how many tasks the fleet has capacity for.
-func (u *loadGenerator) taskCapacity() int { return int(u.step[Workers] * u.step[Tasks]) }
+// taskCapacity returns the number of tasks that the fleet can run at once.
+func (g *loadGenerator) taskCapacity() int { return int(g.step[Workers] * g.step[Tasks]) }
 
-// taskDuration is how long a task takes, so that as many start a second as are asked for.
-func (u *loadGenerator) taskDuration() time.Duration {
-	return time.Duration(u.step[Workers] * u.step[Tasks] / u.step[Starts] * float64(time.Second))
+// taskDuration returns the run time of a task with which a full fleet starts tasks at the target rate.
+func (g *loadGenerator) taskDuration() time.Duration {
+	return time.Duration(g.step[Workers] * g.step[Tasks] / g.step[Starts] * float64(time.Second))
 }
 
-// fillCapacity submits as much as the fleet has room for, of which as much ends each second as is to start.
-func (u *loadGenerator) fillCapacity(ctx context.Context) {
-	for left := u.taskCapacity(); left > 0 && ctx.Err() == nil; left -= maxTasksPerJob {
-		run := time.Duration((0.05 + 0.95*u.rng.Float64()) * float64(u.taskDuration()))
-		u.submit(ctx, u.newJob(min(left, maxTasksPerJob), run), false)
+// fillCapacity submits as many tasks as the fleet can run. Their run times are spread uniformly from 5 to 100 % of
+// taskDuration, so that tasks end at about the target rate of starts.
+func (g *loadGenerator) fillCapacity(ctx context.Context) {
+	for left := g.taskCapacity(); left > 0 && ctx.Err() == nil; left -= maxTasksPerJob {
+		duration := time.Duration((0.05 + 0.95*g.rng.Float64()) * float64(g.taskDuration()))
+		g.submit(ctx, g.newJob(min(left, maxTasksPerJob), duration), false)
 	}
 }
 
-// submitAtTargetRate has ordinary work come at the rate that is asked for, while no more waits than the
-// fleet has room for.
-func (u *loadGenerator) submitAtTargetRate(ctx context.Context) {
-	begun, came := time.Now(), 0.0
+// submitAtTargetRate submits ordinary jobs at the step's rate of task starts. It pauses while more tasks wait than
+// the fleet can run.
+func (g *loadGenerator) submitAtTargetRate(ctx context.Context) {
+	begun, submitted := time.Now(), 0.0
 	for ctx.Err() == nil {
-		due := u.step[Starts] * time.Since(begun).Seconds()
-		if due-came < maxTasksPerJob || u.waitingTasks.Load() > int64(u.taskCapacity()) {
-			came = max(came, due-2*maxTasksPerJob) // what the service has no room for does not pile up here
+		due := g.step[Starts] * time.Since(begun).Seconds()
+		if due-submitted < maxTasksPerJob || g.waitingTasks.Load() > int64(g.taskCapacity()) {
+			submitted = max(submitted, due-2*maxTasksPerJob) // limits the backlog, so that no burst follows the pause
 			pause(ctx, submitPollInterval)
 			continue
 		}
-		came += maxTasksPerJob
-		u.submit(ctx, u.newJob(maxTasksPerJob, u.taskDuration()), false)
+		submitted += maxTasksPerJob
+		g.submit(ctx, g.newJob(maxTasksPerJob, g.taskDuration()), false)
 	}
 }
 
-// submitUrgentJobs has urgent work come, so many jobs a second.
-func (u *loadGenerator) submitUrgentJobs(ctx context.Context, rate float64) {
-	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
-	defer tick.Stop()
+// submitUrgentJobs submits urgent jobs of one task at a rate in jobs per second.
+func (g *loadGenerator) submitUrgentJobs(ctx context.Context, rate float64) {
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		j := u.newJob(1, urgentTaskDuration)
+		j := g.newJob(1, urgentTaskDuration)
 		j.Class, j.Priority = "urgent", wire.Production
-		u.submit(ctx, j, true)
+		g.submit(ctx, j, true)
 	}
 }
 
-// submit submits a job as a user does, beside others.
-func (u *loadGenerator) submit(ctx context.Context, j *wire.Job, urgent bool) {
+// submit submits a job in the background. It blocks while maxInFlight submissions are in flight.
+func (g *loadGenerator) submit(ctx context.Context, j *wire.Job, urgent bool) {
 	select {
-	case u.inFlight <- struct{}{}:
+	case g.inFlight <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	u.mu.Lock()
-	u.submittedAt[j.ID] = time.Now()
+	g.mu.Lock()
+	g.submittedAt[j.ID] = time.Now()
 	if urgent {
-		u.urgent[j.ID] = true
+		g.urgent[j.ID] = true
 	}
-	u.mu.Unlock()
-	u.waitingTasks.Add(int64(j.Tasks))
-	u.cluster.Observe([]emulator.Observation{{Submitted: j}})
-	u.group.Go(func() {
-		defer func() { <-u.inFlight }()
-		u.submitUntilAccepted(ctx, j)
+	g.mu.Unlock()
+	g.waitingTasks.Add(int64(j.Tasks))
+	g.cluster.Observe([]emulator.Observation{{Submitted: j}})
+	g.group.Go(func() {
+		defer func() { <-g.inFlight }()
+		g.submitUntilAccepted(ctx, j)
 	})
 }
 
-// submitUntilAccepted submits a job until it is accepted.
-func (u *loadGenerator) submitUntilAccepted(ctx context.Context, j *wire.Job) {
+// submitUntilAccepted retries the submission of a job until it is accepted, submitTimeout has passed or the context
+// ends. Attempts go to different controllers.
+func (g *loadGenerator) submitUntilAccepted(ctx context.Context, j *wire.Job) {
 	begun, body := time.Now(), wire.Encode(j)
-	for try := 0; ctx.Err() == nil && time.Since(begun) < submitTimeout; try++ {
+	for attempt := 0; ctx.Err() == nil && time.Since(begun) < submitTimeout; attempt++ {
 		sent := time.Now()
 		call, cancel := context.WithTimeout(ctx, answerTimeout)
-		resp, err := u.caller.Call(call, u.addrs[(len(u.addrs)+int(j.ID[len(j.ID)-1])+try+int(sent.UnixNano()/1000))%len(u.addrs)], "POST", wire.PathJobs, body)
+		resp, err := g.caller.Call(call, g.addrs[(len(g.addrs)+int(j.ID[len(j.ID)-1])+attempt+int(sent.UnixNano()/1000))%len(g.addrs)], "POST", wire.PathJobs, body)
 		cancel()
 		if err == nil && (resp.Status == 200 || resp.Status == 201) {
-			u.recordAccepted(j, resp.Status, resp.Body, begun, sent)
+			g.recordAccepted(j, resp.Status, resp.Body, begun, sent)
 			return
 		}
-		u.failedSubmissions.Add(1)
+		g.failedSubmissions.Add(1)
 		pause(ctx, time.Second)
 	}
 }
 
-// recordAccepted notes that a job was accepted.
-func (u *loadGenerator) recordAccepted(j *wire.Job, status int, body []byte, begun, sent time.Time) {
+// recordAccepted records that a job was accepted, and reports the answer to the emulated cluster, which checks it.
+func (g *loadGenerator) recordAccepted(j *wire.Job, status int, body []byte, begun, sent time.Time) {
 	var s wire.JobStatus
 	_ = wire.Decode(body, &s)
-	u.cluster.Observe([]emulator.Observation{{Job: j.ID, Status: status, Stage: s.Stage, SentNS: sent.UnixNano(), AnsweredNS: time.Now().UnixNano()}})
-	u.acceptedJobs.Add(1)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	recordDuration(u.acceptTimes, time.Since(begun))
+	g.cluster.Observe([]emulator.Observation{{Job: j.ID, Status: status, Stage: s.Stage, SentNS: sent.UnixNano(), AnsweredNS: time.Now().UnixNano()}})
+	g.acceptedJobs.Add(1)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	recordDuration(g.acceptTimes, time.Since(begun))
 }
 
-// pause waits for a while, or until the context ends.
+// pause waits for a duration or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -12,11 +12,11 @@
 	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
-// Role is a part of the system that is measured.
+// Role is a component of the system that is measured.
 type Role string
 
-// The roles. CPU time of emulated workers and of the state service is not that of real ones and is
-// not reported: the agents represent workers.
+// The roles. Emulated workers and the emulated state service do not use the CPU time of real ones, so theirs is not
+// reported; the agents stand for real workers.
 const (
 	Leader       Role = "controller that holds the fleet"
 	Follower     Role = "other controllers"
@@ -26,7 +26,7 @@
 	Link         Role = "link between two controllers"
 )
 
-// Measure is what is measured of a role.
+// Measure is a quantity that is measured for a role.
 type Measure string
 
 // The measures, each of one process, link or worker.
@@ -42,7 +42,7 @@
 	Changes     Measure = "changes/s"
 )
 
-// Row is one figure of a step, as in the columnar file.
+// Row is one measured value of a step, as stored in the Parquet file.
 type Row struct {
 	Workers     float64 `json:"workers" parquet:"workers"`
 	Teams       float64 `json:"teams" parquet:"teams"`
@@ -58,30 +58,30 @@
 type Outcome struct {
 	Step              Point      `json:"step"`
 	Rows              []Row      `json:"rows"`
-	StartsReached     float64    `json:"starts_reached"` // per second, while it was measured
+	StartsReached     float64    `json:"starts_reached"` // task starts per second during the measurement
 	BytesPerStart     float64    `json:"state_bytes_per_start"`
 	WorkersUp         int        `json:"workers_up"`
-	TasksRunning      int        `json:"tasks_running"` // when it was measured
-	FleetFull         bool       `json:"full"`          // the fleet was as full as required by then
+	TasksRunning      int        `json:"tasks_running"` // at the end of the measurement
+	FleetFull         bool       `json:"full"`          // the fleet was full before FillTimeout had passed
 	FillSeconds       float64    `json:"fill_s"`
 	Accept            load.Times `json:"accept_ms"`
 	Start             load.Times `json:"start_ms"`
 	Urgent            load.Times `json:"urgent_start_ms"`
 	FailedSubmissions int        `json:"answers_503"`
 	Submitted         int        `json:"submitted"`
-	FailoverSeconds   float64    `json:"takeover_claim_s"`  // from the kill to the next election, 0 if none was seen
-	FailoverStart     load.Times `json:"takeover_start_ms"` // urgent work that came after the kill
+	FailoverSeconds   float64    `json:"takeover_claim_s"`  // from the kill of the leader to the next election; 0 if none was seen
+	FailoverStart     load.Times `json:"takeover_start_ms"` // urgent jobs that were submitted after the kill
 	Actions           int        `json:"actions"`
 	Violations        []string   `json:"rules_broken"`
 }
 
-// add records a figure of a role.
+// add records a measured value of a role.
 func (o *Outcome) add(role Role, measure Measure, value float64) {
 	p := o.Step
 	o.Rows = append(o.Rows, Row{p[Workers], p[Teams], p[Controllers], p[Tasks], p[Starts], role, measure, value})
 }
 
-// value returns a figure of a role, if it was measured.
+// value returns a measured value of a role, and whether it was measured.
 func (o *Outcome) value(role Role, measure Measure) (float64, bool) {
 	for _, r := range o.Rows {
 		if r.Role == role && r.Measure == measure {
@@ -91,7 +91,7 @@
 	return 0, false
 }
 
-// position returns a step's position on an axis; for starts it is the rate that was reached.
+// position returns a step's position on an axis. For starts it is the measured rate, not the requested one.
 func (o *Outcome) position(axis Axis) float64 {
 	if axis == Starts {
 		return o.StartsReached
@@ -99,15 +99,15 @@
 	return o.Step[axis]
 }
 
-// outcomeFile returns the path of a step's outcome.
+// outcomeFile returns the path of the file that holds a step's outcome.
 func outcomeFile(dir string, step Point) string {
 	return filepath.Join(dir, fmt.Sprintf("step-%v.json", step))
 }
 
-// outcomeKind is what a file of an outcome holds, in errors.
+// outcomeKind names the content of an outcome file in error messages.
 const outcomeKind = "the outcome of a step"
 
-// loadOutcome reads the outcome of an earlier run, nil if there is none.
+// loadOutcome reads a step's outcome of an earlier run. It returns nil if there is none.
 func loadOutcome(dir string, step Point) (*Outcome, error) {
 	path := outcomeFile(dir, step)
 	o := new(Outcome)
@@ -124,7 +124,7 @@
 	return o, nil
 }
 
-// writeTable writes the columnar file of all steps.
+// writeTable writes the Parquet file with the rows of all steps.
 func writeTable(dir string, all []*Outcome) error {
 	var rows []Row
 	for _, o := range all {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,6 +1,6 @@
-// Package scale measures what each part of the system costs as a site grows. It emulates a cluster
-// on one machine at a series of sizes, with real controllers and a few real agents, fits how each
-// cost grows along each axis, and predicts it at a target size.
+// Package scale measures the resource usage of each component of the system as a deployment grows. It emulates a cluster
+// on one machine at a series of sizes, with real controllers and a few real agents, fits how the usage grows along each
+// axis, and predicts it at a target size.
 package scale
 
 import (
@@ -16,10 +16,10 @@
 	"amberdeal.example/amberdeal/internal/config"
 )
 
-// Axis is a dimension along which a site grows.
+// Axis is a dimension along which a deployment grows.
 type Axis string
 
-// The axes.
+// The axes: workers, teams, controllers, running tasks per worker on average, and requested task starts per second.
 const (
 	Workers     Axis = "workers"
 	Teams       Axis = "teams"
@@ -31,13 +31,13 @@
 // Axes lists the axes in the order in which they are measured.
 var Axes = []Axis{Workers, Teams, Controllers, Tasks, Starts}
 
-// maxAxisValue bounds the values of each axis.
+// maxAxisValue is the largest value that a plan may set on each axis.
 var maxAxisValue = map[Axis]float64{Workers: 10_000, Teams: 5000, Controllers: 24, Tasks: 64, Starts: 10_000}
 
-// Point is a size of a site.
+// Point is the size of a deployment: its value on each axis.
 type Point map[Axis]float64
 
-// withValue returns the point with another value on one axis.
+// withValue returns a copy of the point with another value on one axis.
 func (p Point) withValue(axis Axis, value float64) Point {
 	out := make(Point, len(p))
 	for a, v := range p {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// String names a point, also in file names.
+// String returns the name of the point, which is also used in file names.
 func (p Point) String() string {
 	var words []string
 	for _, a := range Axes {
@@ -61,13 +61,13 @@
 	Values                                         map[Axis][]float64
 	Middle, Target                                 Point
 	FillTimeout, MeasureDuration, FailoverDuration time.Duration
-	UrgentRate                                     float64 // jobs per second
-	ActionsPerAgent                                []int   // for each real agent, how many actions it runs at once
+	UrgentRate                                     float64 // urgent jobs per second
+	ActionsPerAgent                                []int   // for each real agent, the number of actions that it runs at once
 	Seed                                           uint64
 	State                                          config.Store
 }
 
-// DefaultPlan is used for what a file does not set.
+// DefaultPlan returns the plan whose values apply where a file sets none.
 func DefaultPlan() *Plan {
 	middle := Point{Workers: 1500, Teams: 100, Controllers: 5, Tasks: 4, Starts: 200}
 	return &Plan{
@@ -78,7 +78,7 @@
 	}
 }
 
-// Steps lists the points to measure: the middle, and those that differ from it along one axis.
+// Steps returns the points to measure: the middle, and the points that differ from it on one axis.
 func (p *Plan) Steps() []Point {
 	steps := []Point{p.Middle}
 	for _, axis := range Axes {
@@ -91,14 +91,14 @@
 	return steps
 }
 
-// planParser parses a plan's file and collects all errors.
+// planParser parses the values of a plan file and collects all errors.
 type planParser struct{ errs []error }
 
 func (r *planParser) addError(key *ini.Key, section, allowed string) {
 	r.errs = append(r.errs, fmt.Errorf("[%s] %s: %q: must be %s", section, key.Name(), key.Value(), allowed))
 }
 
-// Parse reads a plan's file and reports everything that is wrong with it.
+// Parse reads a plan file. Its error lists every invalid value.
 func Parse(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -115,19 +115,19 @@
 	p, r := DefaultPlan(), &planParser{}
 	fields := p.fields(r)
 	for _, sec := range file.Sections() {
-		set := fields[sec.Name()]
-		if set == nil && (sec.Name() != ini.DefaultSection || len(sec.Keys()) > 0) {
+		parseKey := fields[sec.Name()]
+		if parseKey == nil && (sec.Name() != ini.DefaultSection || len(sec.Keys()) > 0) {
 			r.errs = append(r.errs, fmt.Errorf("[%s]: must be axes, middle, step, state or target", sec.Name()))
 			continue
 		}
 		for _, key := range sec.Keys() {
-			set(key)
+			parseKey(key)
 		}
 	}
 	return p, errors.Join(r.errs...)
 }
 
-// fields returns the parser of each section's keys.
+// fields returns the function that parses a key, for each section.
 func (p *Plan) fields(r *planParser) map[string]func(*ini.Key) {
 	return map[string]func(*ini.Key){
 		"axes": func(key *ini.Key) {
@@ -153,9 +153,9 @@
 
 func (r *planParser) values(key *ini.Key, section string, axis Axis) []float64 {
 	values, err := key.StrictFloat64s(",")
-	most := maxAxisValue[axis]
-	if err != nil || len(values) == 0 || slices.Min(values) < 1 || slices.Max(values) > most {
-		r.addError(key, section, fmt.Sprintf("numbers from 1 to %g, separated by commas", most))
+	highest := maxAxisValue[axis]
+	if err != nil || len(values) == 0 || slices.Min(values) < 1 || slices.Max(values) > highest {
+		r.addError(key, section, fmt.Sprintf("numbers from 1 to %g, separated by commas", highest))
 	}
 	return values
 }
@@ -177,10 +177,10 @@
 	}
 }
 
-func (r *planParser) number(key *ini.Key, section string, to *float64, least, most float64) {
+func (r *planParser) number(key *ini.Key, section string, to *float64, lowest, highest float64) {
 	value, err := key.Float64()
-	if *to = value; err != nil || value < least || value > most {
-		r.addError(key, section, fmt.Sprintf("a number from %g to %g", least, most))
+	if *to = value; err != nil || value < lowest || value > highest {
+		r.addError(key, section, fmt.Sprintf("a number from %g to %g", lowest, highest))
 	}
 }
 
--- a/internal/scale/predict.go
+++ b/internal/scale/predict.go
@@ -6,14 +6,14 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is how much a measure grows along an axis, with its standard error.
+// Slope is the growth of a measure per unit of an axis, with its standard error.
 type Slope struct {
 	PerUnit, Error float64
 	Points         int
 }
 
-// slopeOf fits a line through values at positions by least squares. The error of a line through
-// two points is unknown, and is NaN.
+// slopeOf fits a line to the values at the given positions by least squares. The error of a line through two points is
+// unknown and NaN.
 func slopeOf(positions, values []float64) Slope {
 	n := len(positions)
 	if n < 2 {
@@ -25,8 +25,8 @@
 	}
 	residual, spread, mean := 0.0, 0.0, stat.Mean(positions, nil)
 	for i, x := range positions {
-		off := values[i] - intercept - slope*x
-		residual += off * off
+		deviation := values[i] - intercept - slope*x
+		residual += deviation * deviation
 		spread += (x - mean) * (x - mean)
 	}
 	return Slope{PerUnit: slope, Error: math.Sqrt(residual / float64(n-2) / spread), Points: n}
@@ -39,7 +39,7 @@
 	Middle  float64
 	Slopes  map[Axis]Slope
 	Value   float64
-	Error   float64 // from those of the slopes; NaN if one of them is unknown
+	Error   float64 // propagated from the errors of the slopes; NaN if one of them is unknown
 }
 
 // Predict predicts every measure at a plan's target, from the step at its middle and the slopes
@@ -60,11 +60,11 @@
 	out := Prediction{Role: row.Role, Measure: row.Measure, Middle: row.Value, Value: row.Value, Slopes: make(map[Axis]Slope)}
 	variance := 0.0
 	for _, axis := range Axes {
-		places, values := valuesAlong(p, all, axis, row)
-		if len(places) < 2 {
+		positions, values := valuesAlong(p, all, axis, row)
+		if len(positions) < 2 {
 			continue
 		}
-		slope := slopeOf(places, values)
+		slope := slopeOf(positions, values)
 		out.Slopes[axis] = slope
 		distance := p.Target[axis] - middle.position(axis)
 		out.Value += slope.PerUnit * distance
@@ -74,20 +74,21 @@
 	return out
 }
 
-// valuesAlong returns the values of a measure at the steps that differ from the middle along one axis
-// only.
-func valuesAlong(p *Plan, all []*Outcome, axis Axis, row Row) (places, values []float64) {
+// valuesAlong returns the values of a measure at the steps that differ from the middle on at most the given axis, and the
+// positions of these steps on it.
+func valuesAlong(p *Plan, all []*Outcome, axis Axis, row Row) (positions, values []float64) {
 	for _, o := range all {
 		if !differsOnlyAlong(o.Step, p.Middle, axis) {
 			continue
 		}
 		if v, measured := o.value(row.Role, row.Measure); measured {
-			places, values = append(places, o.position(axis)), append(values, v)
+			positions, values = append(positions, o.position(axis)), append(values, v)
 		}
 	}
-	return places, values
+	return positions, values
 }
 
+// differsOnlyAlong reports whether a step equals the middle on all other axes.
 func differsOnlyAlong(step, middle Point, axis Axis) bool {
 	for _, a := range Axes {
 		if a != axis && step[a] != middle[a] {
@@ -97,6 +98,7 @@
 	return true
 }
 
+// outcomeAt returns the outcome of the step at a point, or nil if there is none.
 func outcomeAt(all []*Outcome, at Point) *Outcome {
 	for _, o := range all {
 		if differsOnlyAlong(o.Step, at, "") {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// processUsage is what a process has used so far.
+// processUsage is the resource usage of a process so far.
 type processUsage struct {
 	cpuTime    time.Duration
 	peakMemory uint64 // peak resident bytes
 }
 
-// clockTick is the unit of CPU times in /proc.
+// clockTick is the unit of the CPU times in /proc/PID/stat (100 Hz on Linux).
 const clockTick = 10 * time.Millisecond
 
-// readProcessUsage reads what a process has used.
+// readProcessUsage reads the resource usage of a process from /proc.
 func readProcessUsage(pid int) (processUsage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -34,14 +34,14 @@
 	return processUsage{processor, parsePeakMemory(string(status))}, nil
 }
 
-// parseCPUTime returns the sum of user and system time of a line of /proc/PID/stat, whose second
-// field is a name in parentheses that may contain anything.
+// parseCPUTime returns the sum of user and system time from the content of /proc/PID/stat. Its second field is the
+// process name in parentheses, which may itself contain spaces and parentheses.
 func parseCPUTime(stat string) (time.Duration, error) {
-	const user, system = 11, 12 // after the name
+	const user, system = 11, 12 // indices of the fields after the name
 	_, rest, found := strings.Cut(stat[max(0, strings.LastIndexByte(stat, ')')):], " ")
 	fields := strings.Fields(rest)
 	if !found || len(fields) <= system {
-		return 0, fmt.Errorf("not a process's line: %q", stat)
+		return 0, fmt.Errorf("not the content of /proc/PID/stat: %q", stat)
 	}
 	ticks := 0
 	for _, i := range []int{user, system} {
@@ -54,7 +54,7 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// parsePeakMemory reads the peak resident memory from /proc/PID/status, 0 if it is missing.
+// parsePeakMemory returns the peak resident memory in bytes from the content of /proc/PID/status, or 0 if it is missing.
 func parsePeakMemory(status string) uint64 {
 	for _, line := range strings.Split(status, "\n") {
 		if text, ok := strings.CutPrefix(line, "VmHWM:"); ok {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Budgets is what users allow at the target.
+// Budgets are the resources that each role may use at the target, as the users of the system require. Measures have the
+// units that their names give.
 var Budgets = map[Role]map[Measure]float64{
 	Worker:   {BytesOut: 17, BytesIn: 17},
 	Agent:    {CPU: 0.016, Memory: 256},
@@ -14,8 +15,8 @@
 	Follower: {CPU: 0.18, Memory: 234},
 }
 
-// budgetOf returns the budget of a measure, if there is one. All agents have the same budget,
-// whatever they run.
+// budgetOf returns the budget of a measure, and whether there is one. All agents have the same budget, however many
+// actions they run at once.
 func budgetOf(role Role, measure Measure) (float64, bool) {
 	if strings.HasPrefix(string(role), string(Agent)) {
 		role = Agent
@@ -24,7 +25,7 @@
 	return budget, known
 }
 
-// Report returns the tables of a run in Markdown.
+// Report returns the measurements and the predictions of a run as Markdown tables.
 func Report(p *Plan, all []*Outcome) string {
 	var text strings.Builder
 	writeSteps(&text, all)
@@ -69,7 +70,7 @@
 	}
 }
 
-// formatNumber formats a number with about three digits.
+// formatNumber formats a number with about three significant digits, and NaN as a question mark.
 func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -8,35 +8,36 @@
 	"amberdeal.example/amberdeal/internal/outcomefile"
 )
 
-// Runner runs a plan.
+// Runner runs the steps of a plan.
 type Runner struct {
 	Plan    *Plan
-	Out     string // directory of the results
+	Out     string // directory of the outcomes and tables
 	Program string // path of the amberdeal binary
-	Port    int    // first port of a cluster
-	// Progress is called when a step is over, with whether an earlier run had completed it.
-	Progress func(step Point, before bool)
+	Port    int    // first of the cluster's ports on 127.0.0.1
+	// Progress is called after each step. resumed says that an earlier run had completed the step.
+	Progress func(step Point, resumed bool)
 }
 
-// Run runs every step that is not complete yet, and returns the outcomes of all complete steps. If
-// the context ends or a step fails these are kept, and returned with the error.
+// Run runs every step that has no outcome yet, and returns the outcomes of all complete steps. If the context ends or a
+// step fails, the outcomes so far are kept on disk and returned with the error.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
-		return nil, fmt.Errorf("making the directory of the results: %w", err)
+		return nil, fmt.Errorf("creating the output directory: %w", err)
 	}
 	var all []*Outcome
 	for _, step := range r.Plan.Steps() {
-		o, before, err := r.step(ctx, step)
+		o, resumed, err := r.step(ctx, step)
 		if err != nil {
 			return all, fmt.Errorf("%v: %w", step, err)
 		}
 		all = append(all, o)
-		r.Progress(step, before)
+		r.Progress(step, resumed)
 	}
 	return all, writeTable(r.Out, all)
 }
 
-func (r *Runner) step(ctx context.Context, step Point) (o *Outcome, before bool, err error) {
+// step returns the outcome of a step, from an earlier run if there is one.
+func (r *Runner) step(ctx context.Context, step Point) (o *Outcome, resumed bool, err error) {
 	if o, err = loadOutcome(r.Out, step); o != nil || err != nil {
 		return o, true, err
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -14,20 +14,20 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// TestPlan reads the file that is shipped, which says what is the default, and names all that is
-// wrong with one.
+// TestPlan checks that the shipped file deploy/scale.ini equals the default plan, and that the error of an invalid file
+// names every invalid key.
 func TestPlan(t *testing.T) {
 	p, err := Parse("../../deploy/scale.ini")
 	if err != nil || len(p.Steps()) != 12 {
 		t.Fatalf("%d steps, %v", len(p.Steps()), err)
 	}
-	def := DefaultPlan()
-	for i, step := range def.Steps() {
+	defaults := DefaultPlan()
+	for i, step := range defaults.Steps() {
 		if p.Steps()[i].String() != step.String() {
 			t.Errorf("step %d: %v, by default %v", i, p.Steps()[i], step)
 		}
 	}
-	if p.FillTimeout != def.FillTimeout || p.MeasureDuration != def.MeasureDuration || p.State != def.State || p.Target.String() != def.Target.String() {
+	if p.FillTimeout != defaults.FillTimeout || p.MeasureDuration != defaults.MeasureDuration || p.State != defaults.State || p.Target.String() != defaults.Target.String() {
 		t.Errorf("%+v is not the default", p)
 	}
 	_, err = parse([]byte("[axes]\nworkers = 1, many\nracks = 3\n[middle]\nteams = 0\n[step]\nfill = soon\nagents = 99\ncolour = red\n[state]\nrps = 0\n[planet]\na = 1\n"))
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestCheckResources: all steps that ask for too much are named, each with what it asks for.
+// TestCheckResources checks that the error names every step that requires too much, with the amount required.
 func TestCheckResources(t *testing.T) {
 	p := DefaultPlan()
 	if err := p.CheckResources(HostLimits{MemoryBytes: 24 << 30, Sockets: 1 << 20}); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestParseProcessUsage reads lines of processes of any name.
+// TestParseProcessUsage parses CPU times of processes whose names contain spaces and parentheses, and peak memory.
 func TestParseProcessUsage(t *testing.T) {
 	for line, want := range map[string]time.Duration{
 		"7 (amberdeal) S 1 7 7 0 -1 4194560 1 0 0 0 150 50 0 0 20 0": 2 * time.Second,
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestPredict: a site that costs so much for each worker and start is predicted as that, whatever the
-// other axes are, and what scatters has an error.
+// TestPredict checks that a measure that is linear in workers and starts is predicted exactly, whatever the other axes
+// are, and that a measure with scattered values is predicted with an error.
 func TestPredict(t *testing.T) {
 	p := DefaultPlan()
 	p.ActionsPerAgent = nil
@@ -100,7 +100,7 @@
 		t.Errorf("%+v", x)
 	}
 	if x := predicted[1]; !(x.Error > 0) {
-		t.Errorf("what scatters is predicted without an error: %+v", x)
+		t.Errorf("scattered values are predicted without an error: %+v", x)
 	}
 	if got := slopeOf([]float64{1}, []float64{2}); !math.IsNaN(got.PerUnit) {
 		t.Errorf("a slope through one point: %+v", got)
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestRunAndResume plays a step of a few seconds with real controllers and an agent, and another that is
-// broken off: complete steps are kept, and not played again.
+// TestRunAndResume runs a step of a few seconds with real controllers and an agent, and cancels the next step. The
+// complete step has to be kept and not run again.
 func TestRunAndResume(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "amberdeal")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/amberdeal").CombinedOutput(); err != nil {
@@ -145,22 +145,22 @@
 			}
 		}
 	}
-	before := 0
-	r.Plan.Values, r.Progress = nil, func(_ Point, was bool) {
-		if was {
-			before++
+	resumedSteps := 0
+	r.Plan.Values, r.Progress = nil, func(_ Point, resumed bool) {
+		if resumed {
+			resumedSteps++
 		}
 	}
-	if again, err := r.Run(t.Context()); err != nil || len(again) != 1 || before != 1 {
-		t.Errorf("again: %d steps, %d of them kept, %v", len(again), before, err)
+	if again, err := r.Run(t.Context()); err != nil || len(again) != 1 || resumedSteps != 1 {
+		t.Errorf("second run: %d steps, %d of them resumed, %v", len(again), resumedSteps, err)
 	}
 	if rows, err := parquet.ReadFile[Row](filepath.Join(r.Out, "scale.parquet")); err != nil || len(rows) != len(o.Rows) || rows[0].Workers != 20 {
 		t.Errorf("%d rows of %d, %v", len(rows), len(o.Rows), err)
 	}
 }
 
-// TestLoadOutcomeNamesTheFile: a file that holds no outcome of a step is an error that names the file
-// and why; a missing one is none.
+// TestLoadOutcomeNamesTheFile checks that the error for a file that holds no outcome names the file and the cause, and
+// that a missing file is no error.
 func TestLoadOutcomeNamesTheFile(t *testing.T) {
 	dir, step := t.TempDir(), DefaultPlan().Middle
 	if o, err := loadOutcome(dir, step); o != nil || err != nil {
--- a/internal/scale/step.go
+++ b/internal/scale/step.go
@@ -9,39 +9,39 @@
 	"amberdeal.example/amberdeal/internal/load"
 )
 
-// fullFraction is the share of the fleet's capacity that is in use when the measurement of a step
-// starts.
+// fullFraction is the fraction of the fleet's capacity that has to be in use for the fleet to count as full. The
+// measurement of a step starts once it is full, or when FillTimeout has passed.
 const fullFraction = 0.9
 
 // runStep runs and measures a step.
 func runStep(ctx context.Context, p *Plan, step Point, program string, port int) (*Outcome, error) {
-	s, err := startTestbed(ctx, p, step, program, port)
+	t, err := startTestbed(ctx, p, step, program, port)
 	if err != nil {
 		return nil, err
 	}
-	defer s.close()
+	defer t.close()
 	working, stop := context.WithCancel(ctx)
 	defer stop()
-	s.loadGen.group.Go(func() { s.loadGen.fillCapacity(working); s.loadGen.submitAtTargetRate(working) })
-	s.loadGen.group.Go(func() { s.loadGen.submitUrgentJobs(working, p.UrgentRate) })
+	t.loadGen.group.Go(func() { t.loadGen.fillCapacity(working); t.loadGen.submitAtTargetRate(working) })
+	t.loadGen.group.Go(func() { t.loadGen.submitUrgentJobs(working, p.UrgentRate) })
 	agentErr := make(chan error, 1)
 	if len(p.ActionsPerAgent) > 0 {
-		s.loadGen.group.Go(func() { agentErr <- s.agents.runActions(working) })
+		t.loadGen.group.Go(func() { agentErr <- t.agents.runActions(working) })
 	}
 	o := &Outcome{Step: step}
-	s.waitUntilFull(ctx, o)
-	before := s.takeSample()
+	t.waitUntilFull(ctx, o)
+	before := t.takeSample()
 	pause(ctx, p.MeasureDuration)
-	after := s.takeSample()
-	leader, err := s.leader()
+	after := t.takeSample()
+	leader, err := t.leader()
 	if err != nil {
 		return nil, err
 	}
-	s.record(o, before, after, leader)
-	s.measureFailover(ctx, o, leader)
+	t.record(o, before, after, leader)
+	t.measureFailover(ctx, o, leader)
 	stop()
-	s.loadGen.group.Wait()
-	s.recordLoad(o)
+	t.loadGen.group.Wait()
+	t.recordLoad(o)
 	select {
 	case err := <-agentErr:
 		if err != nil {
@@ -52,129 +52,129 @@
 	return o, ctx.Err()
 }
 
-// waitUntilFull waits until the fleet is up and full, or its time is over.
-func (s *testbed) waitUntilFull(ctx context.Context, o *Outcome) {
-	begun, enough := time.Now(), int(fullFraction*float64(s.loadGen.taskCapacity()))
-	for ctx.Err() == nil && time.Since(begun) < s.plan.FillTimeout && !o.FleetFull {
+// waitUntilFull waits until the fleet is full or FillTimeout has passed.
+func (t *testbed) waitUntilFull(ctx context.Context, o *Outcome) {
+	begun, required := time.Now(), int(fullFraction*float64(t.loadGen.taskCapacity()))
+	for ctx.Err() == nil && time.Since(begun) < t.plan.FillTimeout && !o.FleetFull {
 		pause(ctx, 200*time.Millisecond)
-		o.FleetFull = s.cluster.Status().RunningTasks >= enough
+		o.FleetFull = t.cluster.Status().RunningTasks >= required
 	}
 	o.FillSeconds = time.Since(begun).Seconds()
 }
 
-// record records what a site has used between two readings.
-func (s *testbed) record(o *Outcome, before, after sample, leader string) {
-	span := after.at.Sub(before.at).Seconds()
+// record records what each role used between two samples.
+func (t *testbed) record(o *Outcome, before, after sample, leader string) {
+	seconds := after.at.Sub(before.at).Seconds()
 	o.WorkersUp, o.TasksRunning = after.status.Up, after.status.RunningTasks
 	starts := float64(after.startedTasks - before.startedTasks)
-	o.StartsReached = starts / span
+	o.StartsReached = starts / seconds
 	flows := subtractFlows(before.traffic, after.traffic)
 	if starts > 0 {
 		o.BytesPerStart = float64(flows[emulator.Direction{From: leader, To: emulator.StateName}].Bytes) / starts
 	}
-	others := 0.0
-	var other controllerUsage
+	followers := 0.0
+	var followersUsage controllerUsage
 	for name, used := range after.controllers {
-		figures := newControllerUsage(name, name == leader, used, before.controllers[name], flows, span)
+		controller := newControllerUsage(name, name == leader, used, before.controllers[name], flows, seconds)
 		if name == leader {
-			figures.record(o, Leader)
+			controller.record(o, Leader)
 			continue
 		}
-		other = other.plus(figures)
-		others++
+		followersUsage = followersUsage.plus(controller)
+		followers++
 	}
-	if others > 0 {
-		other.dividedBy(others).record(o, Follower)
+	if followers > 0 {
+		followersUsage.dividedBy(followers).record(o, Follower)
 	}
 	for typ, used := range after.agents {
 		role := Role(fmt.Sprintf("%s with %s actions at once", Agent, typ[len("agent-"):]))
-		o.add(role, CPU, (used.cpuTime-before.agents[typ].cpuTime).Seconds()/span)
+		o.add(role, CPU, (used.cpuTime-before.agents[typ].cpuTime).Seconds()/seconds)
 		o.add(role, Memory, megabytes(used.peakMemory))
 	}
-	s.recordWorkers(o, flows, span)
+	t.recordWorkers(o, flows, seconds)
 	o.add(StateService, Keys, float64(after.status.Keys))
-	o.add(StateService, Requests, float64(after.status.Requests-before.status.Requests)/span)
-	o.add(StateService, Changes, float64(after.status.Changes-before.status.Changes)/span)
-	recordFlows(o, StateService, flowTo(flows, emulator.StateName), flowFrom(flows, emulator.StateName), span)
-	s.recordLinks(o, flows, span)
+	o.add(StateService, Requests, float64(after.status.Requests-before.status.Requests)/seconds)
+	o.add(StateService, Changes, float64(after.status.Changes-before.status.Changes)/seconds)
+	recordFlows(o, StateService, flowTo(flows, emulator.StateName), flowFrom(flows, emulator.StateName), seconds)
+	t.recordLinks(o, flows, seconds)
 }
 
-// recordWorkers records what an emulated worker sends and receives.
-func (s *testbed) recordWorkers(o *Outcome, flows map[emulator.Direction]emulator.Flow, span float64) {
-	workers := float64(max(1, o.WorkersUp-len(s.plan.ActionsPerAgent)))
-	recordFlows(o, Worker, flowTo(flows, emulator.Machines), flowFrom(flows, emulator.Machines), span*workers)
+// recordWorkers records what an emulated worker sends and receives, on average.
+func (t *testbed) recordWorkers(o *Outcome, flows map[emulator.Direction]emulator.Flow, seconds float64) {
+	workers := float64(max(1, o.WorkersUp-len(t.plan.ActionsPerAgent)))
+	recordFlows(o, Worker, flowTo(flows, emulator.Machines), flowFrom(flows, emulator.Machines), seconds*workers)
 }
 
-// recordLinks records the traffic between two controllers, in each direction.
-func (s *testbed) recordLinks(o *Outcome, flows map[emulator.Direction]emulator.Flow, span float64) {
+// recordLinks records the traffic from one controller to another, on average over all ordered pairs.
+func (t *testbed) recordLinks(o *Outcome, flows map[emulator.Direction]emulator.Flow, seconds float64) {
 	var sum emulator.Flow
-	for way, f := range flows {
-		if isController(way.From) && isController(way.To) {
-			sum = sum.Add(f)
+	for direction, flow := range flows {
+		if isController(direction.From) && isController(direction.To) {
+			sum = sum.Add(flow)
 		}
 	}
-	n := float64(s.clusterConfig.Controllers)
-	o.add(Link, BytesOut, float64(sum.Bytes)/1000/span/(n*(n-1)))
-	o.add(Link, MessagesOut, float64(sum.Messages)/span/(n*(n-1)))
-}
-
-// measureFailover kills the leader and records what happens to urgent work until the next
-// election.
-func (s *testbed) measureFailover(ctx context.Context, o *Outcome, leader string) {
-	token, killed := s.cluster.Status().FencingToken, time.Now()
-	s.loadGen.markLeaderKilled(killed)
-	s.procs.Kill(controllerNumber(leader)) // for good
-	for ctx.Err() == nil && time.Since(killed) < s.plan.FailoverDuration {
-		if o.FailoverSeconds == 0 && s.cluster.Status().FencingToken > token {
+	n := float64(t.clusterConfig.Controllers)
+	o.add(Link, BytesOut, float64(sum.Bytes)/1000/seconds/(n*(n-1)))
+	o.add(Link, MessagesOut, float64(sum.Messages)/seconds/(n*(n-1)))
+}
+
+// measureFailover kills the leader and waits for FailoverDuration. It records when the next leader was elected; the load
+// generator counts the start times of urgent jobs from the kill on separately.
+func (t *testbed) measureFailover(ctx context.Context, o *Outcome, leader string) {
+	token, killed := t.cluster.Status().FencingToken, time.Now()
+	t.loadGen.markLeaderKilled(killed)
+	t.procs.Kill(controllerNumber(leader)) // it is not restarted
+	for ctx.Err() == nil && time.Since(killed) < t.plan.FailoverDuration {
+		if o.FailoverSeconds == 0 && t.cluster.Status().FencingToken > token {
 			o.FailoverSeconds = time.Since(killed).Seconds()
 		}
 		pause(ctx, 50*time.Millisecond)
 	}
 }
 
-// recordLoad records what users have seen, once all of them have ended.
-func (s *testbed) recordLoad(o *Outcome) {
-	u := s.loadGen
-	u.recordUnstartedUrgentJobs(time.Now())
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	o.Accept, o.Start, o.Urgent, o.FailoverStart = load.TimesOf(u.acceptTimes), load.TimesOf(u.startTimes), load.TimesOf(u.urgentStartTimes), load.TimesOf(u.failoverStartTimes)
-	o.Submitted, o.FailedSubmissions, o.Actions = int(u.acceptedJobs.Load()), int(u.failedSubmissions.Load()), int(s.agents.completedActions.Load())
-	o.Violations = s.cluster.Status().Violations
+// recordLoad records what the load generator measured, once all its goroutines have ended.
+func (t *testbed) recordLoad(o *Outcome) {
+	g := t.loadGen
+	g.recordUnstartedUrgentJobs(time.Now())
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	o.Accept, o.Start, o.Urgent, o.FailoverStart = load.TimesOf(g.acceptTimes), load.TimesOf(g.startTimes), load.TimesOf(g.urgentStartTimes), load.TimesOf(g.failoverStartTimes)
+	o.Submitted, o.FailedSubmissions, o.Actions = int(g.acceptedJobs.Load()), int(g.failedSubmissions.Load()), int(t.agents.completedActions.Load())
+	o.Violations = t.cluster.Status().Violations
 }
 
-// controllerUsage is what a controller uses.
+// controllerUsage is what a controller used during a measurement.
 type controllerUsage struct {
 	cpuShare, peakMegabytes float64
 	in, out                 flowRate
 }
 
-// flowRate is a flow per second.
+// flowRate is a traffic rate in kilobytes and messages per second.
 type flowRate struct{ kilobytes, messages float64 }
 
 func (f flowRate) plus(other flowRate) flowRate {
 	return flowRate{f.kilobytes + other.kilobytes, f.messages + other.messages}
 }
 
-func rateOf(f emulator.Flow, span float64) flowRate {
-	return flowRate{float64(f.Bytes) / 1000 / span, float64(f.Messages) / span}
+func rateOf(f emulator.Flow, seconds float64) flowRate {
+	return flowRate{float64(f.Bytes) / 1000 / seconds, float64(f.Messages) / seconds}
 }
 
-// newControllerUsage returns what a controller has used. Calls to machines are not known by the
-// caller's name; they are attributed to the leader.
-func newControllerUsage(name string, holds bool, used, before processUsage, flows map[emulator.Direction]emulator.Flow, span float64) controllerUsage {
+// newControllerUsage returns what a controller used between two samples. Calls to machines do not carry the name of the
+// calling controller; they are attributed to the leader.
+func newControllerUsage(name string, isLeader bool, used, before processUsage, flows map[emulator.Direction]emulator.Flow, seconds float64) controllerUsage {
 	in, out := flowTo(flows, name), flowFrom(flows, name)
-	if holds {
+	if isLeader {
 		in, out = in.Add(flowTo(flows, emulator.Controllers)), out.Add(flowFrom(flows, emulator.Controllers))
 	}
-	return controllerUsage{(used.cpuTime - before.cpuTime).Seconds() / span, megabytes(used.peakMemory), rateOf(in, span), rateOf(out, span)}
+	return controllerUsage{(used.cpuTime - before.cpuTime).Seconds() / seconds, megabytes(used.peakMemory), rateOf(in, seconds), rateOf(out, seconds)}
 }
 
 func (c controllerUsage) plus(other controllerUsage) controllerUsage {
 	return controllerUsage{c.cpuShare + other.cpuShare, max(c.peakMegabytes, other.peakMegabytes), c.in.plus(other.in), c.out.plus(other.out)}
 }
 
-// dividedBy returns the mean of n controllers, except for memory, which is the maximum.
+// dividedBy returns the mean of a sum over n controllers. Memory is not divided: it is the maximum over them.
 func (c controllerUsage) dividedBy(n float64) controllerUsage {
 	return controllerUsage{c.cpuShare / n, c.peakMegabytes, flowRate{c.in.kilobytes / n, c.in.messages / n}, flowRate{c.out.kilobytes / n, c.out.messages / n}}
 }
@@ -188,8 +188,8 @@
 	o.add(role, MessagesOut, c.out.messages)
 }
 
-func recordFlows(o *Outcome, role Role, in, out emulator.Flow, span float64) {
-	received, sent := rateOf(in, span), rateOf(out, span)
+func recordFlows(o *Outcome, role Role, in, out emulator.Flow, seconds float64) {
+	received, sent := rateOf(in, seconds), rateOf(out, seconds)
 	o.add(role, BytesIn, received.kilobytes)
 	o.add(role, BytesOut, sent.kilobytes)
 	o.add(role, MessagesIn, received.messages)
@@ -198,25 +198,25 @@
 
 func subtractFlows(before, after map[emulator.Direction]emulator.Flow) map[emulator.Direction]emulator.Flow {
 	out := make(map[emulator.Direction]emulator.Flow, len(after))
-	for way, f := range after {
-		out[way] = f.Sub(before[way])
+	for direction, flow := range after {
+		out[direction] = flow.Sub(before[direction])
 	}
 	return out
 }
 
 func flowTo(flows map[emulator.Direction]emulator.Flow, end string) (sum emulator.Flow) {
-	for way, f := range flows {
-		if way.To == end {
-			sum = sum.Add(f)
+	for direction, flow := range flows {
+		if direction.To == end {
+			sum = sum.Add(flow)
 		}
 	}
 	return sum
 }
 
 func flowFrom(flows map[emulator.Direction]emulator.Flow, end string) (sum emulator.Flow) {
-	for way, f := range flows {
-		if way.From == end {
-			sum = sum.Add(f)
+	for direction, flow := range flows {
+		if direction.From == end {
+			sum = sum.Add(flow)
 		}
 	}
 	return sum
--- a/internal/scale/testbed.go
+++ b/internal/scale/testbed.go
@@ -18,10 +18,10 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// zones of a site.
+// zones are the zones of the emulated cluster.
 var zones = []string{"z1", "z2", "z3", "z4", "z5"}
 
-// testbed is a step's cluster with everything that runs in it.
+// testbed is the emulated cluster of a step with all processes and the load generator.
 type testbed struct {
 	plan          *Plan
 	step          Point
@@ -34,13 +34,13 @@
 	stop          context.CancelFunc
 }
 
-// clusterConfig returns the cluster of a step.
+// clusterConfig returns the configuration of the emulated cluster of a step.
 func clusterConfig(p *Plan, step Point) *emulator.Config {
 	slots := step[Tasks]
-	hollow := wire.MachineType{Name: emulatedMachineType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
+	workerType := wire.MachineType{Name: emulatedMachineType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
 	c := emulator.DefaultConfig()
 	c.Seed, c.Controllers, c.Zones, c.State = p.Seed, int(step[Controllers]), zones, p.State
-	c.Types, c.CapacityByOffer, c.Teams = []wire.MachineType{hollow}, map[simulator.Offer]int{}, nil
+	c.Types, c.CapacityByOffer, c.Teams = []wire.MachineType{workerType}, map[simulator.Offer]int{}, nil
 	c.Workers = config.Workers{HeartbeatInterval: 6 * time.Second, Lease: 31 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 56 * time.Second}
 	c.Cloud = config.Cloud{RPS: 12, ListLag: 2 * time.Second}
 	c.Limits = config.Limits{RAMBytes: 234 << 20, Files: 10_000}
@@ -48,93 +48,93 @@
 		c.CapacityByOffer[simulator.Offer{Type: emulatedMachineType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
 	}
 	for _, actions := range p.ActionsPerAgent {
-		name := agentMachineType(actions)
-		c.Types = append(c.Types, wire.MachineType{Name: name, CPUs: float64(actions), MemoryGB: 4 * float64(actions), CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones[:1]})
-		c.CapacityByOffer[simulator.Offer{Type: name, Zone: zones[0]}] = 1
+		typeName := agentMachineType(actions)
+		c.Types = append(c.Types, wire.MachineType{Name: typeName, CPUs: float64(actions), MemoryGB: 4 * float64(actions), CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones[:1]})
+		c.CapacityByOffer[simulator.Offer{Type: typeName, Zone: zones[0]}] = 1
 	}
-	share := step[Workers] * step[Tasks] / step[Teams]
+	gpusPerTeam := step[Workers] * step[Tasks] / step[Teams]
 	for i := range int(step[Teams]) {
-		c.Teams = append(c.Teams, config.Team{Name: teamName(i), GPUs: share / 2, GPUsMax: max(2*maxTasksPerJob, 3*share)})
+		c.Teams = append(c.Teams, config.Team{Name: teamName(i), GPUs: gpusPerTeam / 2, GPUsMax: max(2*maxTasksPerJob, 3*gpusPerTeam)})
 	}
 	return c
 }
 
-// operatorSettings is the operators' file of every controller.
+// operatorSettings is the content of the operators' settings file of every controller.
 const operatorSettings = "[machines]\nidle = 10m\n"
 
-// startTestbed starts the cluster of a step and everything that runs in it.
-func startTestbed(ctx context.Context, p *Plan, step Point, program string, port int) (s *testbed, err error) {
-	s = &testbed{plan: p, step: step, clusterConfig: clusterConfig(p, step)}
-	ctx, s.stop = context.WithCancel(ctx)
+// startTestbed starts the emulated cluster of a step, its controllers and, if the plan has agents, the blob store.
+func startTestbed(ctx context.Context, p *Plan, step Point, program string, port int) (t *testbed, err error) {
+	t = &testbed{plan: p, step: step, clusterConfig: clusterConfig(p, step)}
+	ctx, t.stop = context.WithCancel(ctx)
 	defer func() {
 		if err != nil {
-			s.close()
+			t.close()
 		}
 	}()
-	if s.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
-		return nil, fmt.Errorf("making a directory for the cluster: %w", err)
+	if t.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
+		return nil, fmt.Errorf("creating a temporary directory for the cluster: %w", err)
 	}
 	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 2 * maxInFlight, Dial: emulator.Dial}
-	s.loadGen = newLoadGenerator(step, p.Seed, caller)
-	s.agents = &agentPool{program: program, dir: s.dir, config: s.clusterConfig, actionsPerAgent: p.ActionsPerAgent, procs: map[string]*process{}}
-	s.procs = &emulator.Processes{Program: program, Level: "error", Dir: s.dir, Tuning: operatorSettings}
-	s.procs.Begin(ctx)
-	s.cluster, err = emulator.Start(ctx, s.clusterConfig, emulator.Options{Port: port, Dir: s.dir, Log: slog.New(slog.DiscardHandler), Kill: s.procs.KillNamed, Pause: s.procs.PauseNamed,
-		Machine: s.agents.startMachine, OnTaskStart: s.loadGen.taskStarted})
+	t.loadGen = newLoadGenerator(step, p.Seed, caller)
+	t.agents = &agentPool{program: program, dir: t.dir, config: t.clusterConfig, actionsPerAgent: p.ActionsPerAgent, procs: map[string]*process{}}
+	t.procs = &emulator.Processes{Program: program, Level: "error", Dir: t.dir, Tuning: operatorSettings}
+	t.procs.Begin(ctx)
+	t.cluster, err = emulator.Start(ctx, t.clusterConfig, emulator.Options{Port: port, Dir: t.dir, Log: slog.New(slog.DiscardHandler), Kill: t.procs.KillNamed, Pause: t.procs.PauseNamed,
+		Machine: t.agents.startMachine, OnTaskStart: t.loadGen.taskStarted})
 	if err != nil {
 		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
-	s.loadGen.cluster, s.agents.cluster = s.cluster, s.cluster
+	t.loadGen.cluster, t.agents.cluster = t.cluster, t.cluster
 	if len(p.ActionsPerAgent) > 0 {
-		if err := s.agents.startBlobStore(ctx); err != nil {
+		if err := t.agents.startBlobStore(ctx); err != nil {
 			return nil, err
 		}
-		s.procs.Extra = s.remoteExecutionSettings
+		t.procs.Extra = t.remoteExecutionSettings
 	}
-	return s, s.startControllers(ctx, caller)
+	return t, t.startControllers(ctx, caller)
 }
 
-// remoteExecutionSettings is a controller's configuration of the remote execution API.
-func (s *testbed) remoteExecutionSettings(i int) string {
-	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", s.cluster.Builds(i), s.cluster.Blobs(), teamName(0), actionDuration)
+// remoteExecutionSettings returns the [reapi] section of a controller's settings.
+func (t *testbed) remoteExecutionSettings(i int) string {
+	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", t.cluster.Builds(i), t.cluster.Blobs(), teamName(0), actionDuration)
 }
 
-func (s *testbed) startControllers(ctx context.Context, caller *transport.Caller) error {
-	s.procs.Settings, s.procs.Metrics = s.cluster.Settings, s.cluster.Metrics
-	for i := range s.clusterConfig.Controllers {
-		if err := s.procs.Start(i); err != nil {
+func (t *testbed) startControllers(ctx context.Context, caller *transport.Caller) error {
+	t.procs.Settings, t.procs.Metrics = t.cluster.Settings, t.cluster.Metrics
+	for i := range t.clusterConfig.Controllers {
+		if err := t.procs.Start(i); err != nil {
 			return fmt.Errorf("starting controller %s: %w", controllerName(i), err)
 		}
-		s.loadGen.addrs = append(s.loadGen.addrs, s.cluster.Public(i))
+		t.loadGen.addrs = append(t.loadGen.addrs, t.cluster.Public(i))
 	}
-	if err := emulator.Ready(ctx, caller, s.loadGen.addrs); err != nil {
+	if err := emulator.Ready(ctx, caller, t.loadGen.addrs); err != nil {
 		return fmt.Errorf("waiting for the controllers: %w", err)
 	}
 	return nil
 }
 
-// close ends everything that runs in a site.
-func (s *testbed) close() {
-	s.stop()
-	if s.procs != nil {
-		s.procs.Stop()
+// close stops everything that the testbed runs and removes its directory.
+func (t *testbed) close() {
+	t.stop()
+	if t.procs != nil {
+		t.procs.Stop()
 	}
-	if s.cluster != nil {
-		s.cluster.Stop()
+	if t.cluster != nil {
+		t.cluster.Stop()
 	}
-	if s.agents != nil {
-		s.agents.stop()
+	if t.agents != nil {
+		t.agents.stop()
 	}
-	if s.dir != "" {
-		_ = os.RemoveAll(s.dir)
+	if t.dir != "" {
+		_ = os.RemoveAll(t.dir)
 	}
 }
 
-var errNoLeader = errors.New("no controller holds the fleet")
+var errNoLeader = errors.New("the fleet has no leader")
 
-// leader returns the name of the fleet's leader.
-func (s *testbed) leader() (string, error) {
-	items := s.cluster.Page(store.LeaderKey("fleet"), 1)
+// leader returns the name of the controller that leads the fleet.
+func (t *testbed) leader() (string, error) {
+	items := t.cluster.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return "", errNoLeader
 	}
@@ -145,20 +145,20 @@
 	return rec.Leader, nil
 }
 
-// sample is the state of a site at one time.
+// sample holds the counters of a testbed at one time.
 type sample struct {
 	at           time.Time
 	status       emulator.Status
 	traffic      map[emulator.Direction]emulator.Flow
-	controllers  map[string]processUsage // by controllers, by name
+	controllers  map[string]processUsage // by controller name
 	agents       map[string]processUsage // by machine type
 	startedTasks int64
 }
 
-func (s *testbed) takeSample() sample {
-	r := sample{at: time.Now(), status: s.cluster.Status(), traffic: s.cluster.Traffic(), controllers: map[string]processUsage{}, agents: s.agents.usages(), startedTasks: s.loadGen.startedTasks.Load()}
-	for i := range s.clusterConfig.Controllers {
-		if pid := s.procs.PID(i); pid > 0 {
+func (t *testbed) takeSample() sample {
+	r := sample{at: time.Now(), status: t.cluster.Status(), traffic: t.cluster.Traffic(), controllers: map[string]processUsage{}, agents: t.agents.usages(), startedTasks: t.loadGen.startedTasks.Load()}
+	for i := range t.clusterConfig.Controllers {
+		if pid := t.procs.PID(i); pid > 0 {
 			if used, err := readProcessUsage(pid); err == nil {
 				r.controllers[controllerName(i)] = used
 			}
