--- a/cmd/amberdeal-lab/golden_test.go
+++ b/cmd/amberdeal-lab/golden_test.go
@@ -6,5 +6,5 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenFlags: each command has the arguments and flags that it had, with the same defaults.
+// TestGoldenFlags checks that the arguments and flags of each command, and their defaults, have not changed.
 func TestGoldenFlags(t *testing.T) { goldentest.Flags(t, "amberdeal-lab", new(cli)) }
--- a/cmd/amberdeal-lab/main.go
+++ b/cmd/amberdeal-lab/main.go
@@ -1,6 +1,6 @@
-// Command amberdeal-lab compares settings of amberdeal in emulated clusters, and measures its costs as
-// they grow. It is a separate program because the libraries for plots and tables would cost every
-// controller memory.
+// Command amberdeal-lab compares settings of amberdeal in emulated clusters, and measures its resource usage as
+// they grow. It is a separate program because its libraries for plots and tables would increase the memory usage
+// of every controller.
 package main
 
 import (
@@ -19,13 +19,13 @@
 	"amberdeal.example/amberdeal/internal/experiment"
 )
 
-// Exit codes, as amberdeal's.
+// Exit codes, the same as those of amberdeal.
 const (
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// settingsError is a fault of the settings or flags.
+// settingsError reports invalid settings or flags. The program then exits with exitSettings.
 type settingsError struct{ error }
 
 type cli struct {
@@ -79,31 +79,32 @@
 		return err
 	}
 	fmt.Println(report)
-	broken := 0
+	failures := 0
 	for _, o := range all {
-		broken += len(o.Result.Violations) + len(o.Result.Open)
+		failures += len(o.Result.Violations) + len(o.Result.Open)
 	}
-	if broken > 0 {
-		return fmt.Errorf("%d rules were broken or jobs not over: see the report", broken)
+	if failures > 0 {
+		return fmt.Errorf("%d rules were violated or jobs have not ended: see the report", failures)
 	}
 	return nil
 }
 
-// findProgram returns the path of amberdeal: the named one, or the one beside this program.
-func findProgram(named string) (string, error) {
-	if named == "" {
-		me, err := os.Executable()
+// findProgram returns the path of the amberdeal binary: the given path, or the one in the directory of this program.
+func findProgram(path string) (string, error) {
+	if path == "" {
+		executable, err := os.Executable()
 		if err != nil {
 			return "", err
 		}
-		named = filepath.Join(filepath.Dir(me), "amberdeal")
+		path = filepath.Join(filepath.Dir(executable), "amberdeal")
 	}
-	if _, err := os.Stat(named); err != nil {
+	if _, err := os.Stat(path); err != nil {
 		return "", settingsError{fmt.Errorf("--program: %w", err)}
 	}
-	return named, nil
+	return path, nil
 }
 
+// run runs the cells of the experiment that have no outcome yet, and returns all outcomes.
 func (e experimentCmd) run() ([]*experiment.Outcome, error) {
 	plan, err := experiment.Parse(e.File)
 	if err != nil {
@@ -116,8 +117,8 @@
 	defer stop()
 	bar := progressbar.NewOptions(len(plan.Cells()), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("cells"), progressbar.OptionShowCount())
 	_ = bar.RenderBlank()
-	r := experiment.Runner{Plan: plan, Out: e.Out, Program: e.Program, Log: slog.New(slog.DiscardHandler), Progress: func(_ experiment.Cell, over, _ int, _ bool) {
-		_ = bar.Set(over)
+	r := experiment.Runner{Plan: plan, Out: e.Out, Program: e.Program, Log: slog.New(slog.DiscardHandler), Progress: func(_ experiment.Cell, completed, _ int, _ bool) {
+		_ = bar.Set(completed)
 	}}
 	all, err := r.Run(ctx)
 	fmt.Fprintln(os.Stderr)
--- a/cmd/amberdeal-lab/scale.go
+++ b/cmd/amberdeal-lab/scale.go
@@ -42,7 +42,7 @@
 	return errors.Join(err, s.report(plan, all), violations(all))
 }
 
-// plan reads the steps, and refuses those that this machine has no capacity for.
+// plan reads the plan, and rejects it if a step requires more than this machine has.
 func (s scaleCmd) plan() (*scale.Plan, error) {
 	plan := scale.DefaultPlan()
 	if s.File != "" {
@@ -51,17 +51,17 @@
 			return nil, settingsError{fmt.Errorf("%s:\n%w", s.File, err)}
 		}
 	}
-	machine, err := scale.ReadHostLimits()
+	limits, err := scale.ReadHostLimits()
 	if err != nil {
 		return nil, err
 	}
-	if err := plan.CheckResources(machine); err != nil {
-		return nil, settingsError{fmt.Errorf("this machine has no room for:\n%w", err)}
+	if err := plan.CheckResources(limits); err != nil {
+		return nil, settingsError{fmt.Errorf("this machine lacks the resources for:\n%w", err)}
 	}
 	return plan, nil
 }
 
-// report prints the outcomes, and writes the tables beside them.
+// report writes the tables to scale.md, and prints them, or the outcomes as JSON.
 func (s scaleCmd) report(plan *scale.Plan, all []*scale.Outcome) error {
 	tables := scale.Report(plan, all)
 	if err := os.WriteFile(filepath.Join(s.Out, "scale.md"), []byte(tables), 0o644); err != nil {
@@ -79,18 +79,18 @@
 	return nil
 }
 
-// maxViolations bounds the broken rules that are named for each step; the outcomes hold all.
+// maxViolations is the number of violated rules that are listed for each step; the outcomes contain all of them.
 const maxViolations = 10
 
-// violations returns an error if a rule was broken in any step.
+// violations returns an error if a rule was violated in any step.
 func violations(all []*scale.Outcome) error {
 	var errs []error
 	for _, o := range all {
-		for _, rule := range o.Violations[:min(maxViolations, len(o.Violations))] {
-			errs = append(errs, fmt.Errorf("%v: %s", o.Step, rule))
+		for _, violation := range o.Violations[:min(maxViolations, len(o.Violations))] {
+			errs = append(errs, fmt.Errorf("%v: %s", o.Step, violation))
 		}
 		if more := len(o.Violations) - maxViolations; more > 0 {
-			errs = append(errs, fmt.Errorf("%v: %d rules more were broken", o.Step, more))
+			errs = append(errs, fmt.Errorf("%v: %d more rules were violated", o.Step, more))
 		}
 	}
 	return errors.Join(errs...)
--- a/cmd/amberdeal/agent.go
+++ b/cmd/amberdeal/agent.go
@@ -15,7 +15,7 @@
 	Config string `required:"" placeholder:"FILE.ini" help:"The agent's settings (INI)."`
 }
 
-// Run works until SIGTERM or SIGINT; then every task is killed.
+// Run runs the agent until SIGTERM or SIGINT, and then kills every task.
 func (a agentCmd) Run() error {
 	log, err := newLogger()
 	if err != nil {
@@ -40,9 +40,10 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	now := time.Now()
-	// An incarnation that no earlier process of this machine can have had.
+	// The start time in milliseconds is the incarnation: it differs from that of every earlier process of this
+	// machine.
 	core := agent.NewCore(cfg.Identity, cfg.Lease, uint64(now.UnixMilli()), now)
-	log.Info("working", "machine", cfg.Identity.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
+	log.Info("agent started", "machine", cfg.Identity.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
 	return (&agent.Agent{Core: core, Net: transport.Sockets{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, HeartbeatInterval: cfg.HeartbeatInterval, Capacity: cfg.Capacity, Log: log,
 		Actions: &action.Runner{Store: blobs, Dir: cfg.Dir, Worker: cfg.Identity.Machine, Limits: action.DefaultLimits}}).Run(ctx)
 }
--- a/cmd/amberdeal/cas.go
+++ b/cmd/amberdeal/cas.go
@@ -19,7 +19,7 @@
 	Calls  int           `default:"1000" help:"Open calls and streams; more are refused at once."`
 }
 
-// newLogger logs to standard error, as much as LOG_LEVEL says.
+// newLogger returns a logger to standard error with the level of LOG_LEVEL, info by default.
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	if text := os.Getenv("LOG_LEVEL"); text != "" {
@@ -30,7 +30,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// Run serves until SIGTERM or SIGINT.
+// Run serves blobs until SIGTERM or SIGINT.
 func (c casCmd) Run() error {
 	log, err := newLogger()
 	if err != nil {
@@ -57,8 +57,8 @@
 	limits := cas.DefaultLimits
 	limits.Calls = c.Calls
 	server := cas.NewServer(disk, limits, log)
-	end := context.AfterFunc(ctx, server.Stop)
-	defer end()
+	cancelStop := context.AfterFunc(ctx, server.Stop)
+	defer cancelStop()
 	s := disk.Stats()
 	log.Info("serving blobs", "dir", c.Dir, "addr", lis.Addr(), "blobs", s.Blobs, "bytes", s.Bytes, "limit", s.Limit)
 	return server.Serve(lis)
--- a/cmd/amberdeal/client.go
+++ b/cmd/amberdeal/client.go
@@ -13,20 +13,21 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
+// controllerFlags name the controller that a command connects to.
 type controllerFlags struct {
 	Addr string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_ADDR" help:"A controller's public address."`
 }
 
-// send sends a request, again while the service says to come back, for a
-// minute.
-func (t controllerFlags) send(method, path string, body []byte) error {
+// send sends a request and prints the job's status from the response. It retries for up to a minute while the
+// controller can't be reached or answers that it is busy (429, 503 or 504).
+func (f controllerFlags) send(method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	caller := transport.Caller{MaxBody: wire.MaxBody, Dial: transport.Sockets{}.Dial}
 	for {
-		call, done := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := caller.Call(call, t.Addr, method, path, body)
-		done()
+		callCtx, cancelCall := context.WithTimeout(ctx, 5*time.Second)
+		resp, err := caller.Call(callCtx, f.Addr, method, path, body)
+		cancelCall()
 		wait := time.Second
 		if err == nil {
 			switch resp.Status {
@@ -36,9 +37,9 @@
 				wait = max(wait, resp.RetryAfter)
 				err = fmt.Errorf("the service is busy (status %d)", resp.Status)
 			default:
-				var f wire.Failure
-				_ = wire.Decode(resp.Body, &f)
-				return fmt.Errorf("refused with status %d: %s", resp.Status, f.Error)
+				var failure wire.Failure
+				_ = wire.Decode(resp.Body, &failure)
+				return fmt.Errorf("refused with status %d: %s", resp.Status, failure.Error)
 			}
 		}
 		select {
@@ -88,8 +89,7 @@
 	return s.send("POST", wire.PathJobs, job)
 }
 
-// jobFromJSON turns a JSON object into the CBOR map that the service takes.
-// Whole numbers stay whole.
+// jobFromJSON converts a JSON object to the CBOR map that the service expects. Whole numbers become CBOR integers.
 func jobFromJSON(text []byte) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -97,9 +97,9 @@
 	}
 	out := make(map[string]any, len(m))
 	for k, raw := range m {
-		var whole int64
-		if json.Unmarshal(raw, &whole) == nil && string(raw) != "null" {
-			out[k] = whole
+		var integer int64
+		if json.Unmarshal(raw, &integer) == nil && string(raw) != "null" {
+			out[k] = integer
 			continue
 		}
 		var v any
@@ -125,7 +125,7 @@
 
 type statusCmd struct{ jobArg }
 
-// Run asks about the job.
+// Run prints the status of the job.
 func (s statusCmd) Run() error {
 	if err := s.check(); err != nil {
 		return err
--- a/cmd/amberdeal/dev.go
+++ b/cmd/amberdeal/dev.go
@@ -14,6 +14,7 @@
 	Level string `default:"info" enum:"error,warn,info,debug" help:"LOG_LEVEL of the controllers."`
 }
 
+// devInstructions is printed once the cluster is ready; its arguments are in Run.
 const devInstructions = `
 Three controllers serve on %[1]s, %[2]s and %[3]s; the cloud has 8 machines.
 Logs are in %[4]s and the files beside it. In another terminal:
@@ -31,7 +32,7 @@
 Ctrl-C stops everything and removes all files.
 `
 
-// Run runs the cluster until Ctrl-C, or only for the demo.
+// Run runs the cluster until Ctrl-C, or until the demo is over.
 func (d devCmd) Run() error {
 	program, err := os.Executable()
 	if err != nil {
@@ -40,16 +41,16 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	begun := time.Now()
-	w, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, LogLevel: d.Level})
+	cluster, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, LogLevel: d.Level})
 	if err != nil {
 		return err
 	}
-	defer w.Stop()
+	defer cluster.Stop()
 	fmt.Printf("ready after %.1f s\n", time.Since(begun).Seconds())
 	if d.Demo {
-		return w.Demo(ctx, os.Stdout)
+		return cluster.Demo(ctx, os.Stdout)
 	}
-	fmt.Printf(devInstructions, w.Addr(0), w.Addr(1), w.Addr(2), w.Log(0), os.Args[0], w.Control(), w.Metrics(0)+","+w.Metrics(1)+","+w.Metrics(2))
+	fmt.Printf(devInstructions, cluster.Addr(0), cluster.Addr(1), cluster.Addr(2), cluster.Log(0), os.Args[0], cluster.Control(), cluster.Metrics(0)+","+cluster.Metrics(1)+","+cluster.Metrics(2))
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -37,12 +37,12 @@
 	defer stop()
 	dir := e.Dir
 	if dir == "" {
-		made, err := os.MkdirTemp("", "amberdeal-world-*")
+		tempDir, err := os.MkdirTemp("", "amberdeal-world-*")
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(made)
-		dir = made
+		defer os.RemoveAll(tempDir)
+		dir = tempDir
 	}
 	log, err := newLogger()
 	if err != nil {
@@ -58,20 +58,20 @@
 		defer procs.Stop()
 		opt.Kill, opt.Pause = procs.KillNamed, procs.PauseNamed
 	}
-	w, err := emulator.Start(ctx, c, opt)
+	cluster, err := emulator.Start(ctx, c, opt)
 	if err != nil {
 		return err
 	}
-	defer w.Stop()
-	procs.Settings, procs.Metrics = w.Settings, w.Metrics
-	if err := e.startOrPrintCommands(w, procs, c.Controllers); err != nil {
+	defer cluster.Stop()
+	procs.Settings, procs.Metrics = cluster.Settings, cluster.Metrics
+	if err := e.startOrPrintCommands(cluster, procs, c.Controllers); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// clusterConfig reads the world file, or returns the default.
+// clusterConfig reads the file that --world names, or returns the default configuration.
 func (e emulateCmd) clusterConfig() (*emulator.Config, error) {
 	if e.World == "" {
 		return emulator.DefaultConfig(), nil
@@ -87,35 +87,35 @@
 	return c, nil
 }
 
-// processes prepares the controllers' processes; none is started yet.
+// processes returns the controllers' processes, of which none is started yet.
 func (e emulateCmd) processes(dir string) (*emulator.Processes, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	var tuning []byte
+	var operatorSettings []byte
 	if e.Settings != "" {
-		if tuning, err = os.ReadFile(e.Settings); err != nil {
+		if operatorSettings, err = os.ReadFile(e.Settings); err != nil {
 			return nil, settingsError{err}
 		}
 	}
-	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(tuning)}, nil
+	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(operatorSettings)}, nil
 }
 
-// startOrPrintCommands starts the controllers, or prints the commands that do, and prints all addresses.
-func (e emulateCmd) startOrPrintCommands(w *emulator.Cluster, procs *emulator.Processes, controllers int) error {
+// startOrPrintCommands starts the controllers or prints the commands that start them, and prints all addresses.
+func (e emulateCmd) startOrPrintCommands(cluster *emulator.Cluster, procs *emulator.Processes, controllers int) error {
 	var addrs, metrics []string
 	for i := range controllers {
-		addrs, metrics = append(addrs, w.Public(i)), append(metrics, w.Metrics(i))
+		addrs, metrics = append(addrs, cluster.Public(i)), append(metrics, cluster.Metrics(i))
 		if e.Controllers {
 			if err := procs.Start(i); err != nil {
 				return err
 			}
 		} else {
-			fmt.Printf("%s serve --config %s\n", os.Args[0], w.Settings(i))
+			fmt.Printf("%s serve --config %s\n", os.Args[0], cluster.Settings(i))
 		}
 	}
-	fmt.Printf("\ncontrollers %s; faults and status by --control %s\n", strings.Join(addrs, ","), w.Control())
+	fmt.Printf("\ncontrollers %s; faults and status by --control %s\n", strings.Join(addrs, ","), cluster.Control())
 	if e.Controllers {
 		fmt.Printf("%s top --addr %s\n", os.Args[0], strings.Join(metrics, ","))
 	}
@@ -128,11 +128,12 @@
 	Status faultStatusCmd `cmd:"" help:"Print the status of the cluster, the injected faults and the violated rules."`
 }
 
+// controlFlags name the emulated cluster that a command connects to.
 type controlFlags struct {
 	Control string `default:"127.0.0.1:7120" help:"Control address of the emulated cluster."`
 }
 
-// call sends a request to the emulated cluster and prints the answer.
+// call sends a request to the emulated cluster and prints the response.
 func (c controlFlags) call(method, path string, body []byte) error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -143,14 +144,15 @@
 		return fmt.Errorf("the emulated cluster at %s: %w", c.Control, err)
 	}
 	if resp.Status != 200 {
-		var r emulator.Refusal
-		_ = json.Unmarshal(resp.Body, &r)
-		return fmt.Errorf("refused: %s", r.Error)
+		var refusal emulator.Refusal
+		_ = json.Unmarshal(resp.Body, &refusal)
+		return fmt.Errorf("refused: %s", refusal.Error)
 	}
 	fmt.Println(string(resp.Body))
 	return nil
 }
 
+// newCaller returns a caller for emulated clusters and metrics addresses.
 func newCaller() *transport.Caller {
 	return &transport.Caller{MaxBody: 16 << 20, MaxIdle: 256, Dial: emulator.Dial}
 }
@@ -178,7 +180,7 @@
 	ForNext   bool `help:"Keep the copies for the next leader."`
 }
 
-// Run stages a fault.
+// Run injects a fault.
 func (f faultStageCmd) Run() error {
 	body, err := json.Marshal(emulator.Fault{Kind: f.Kind, For: f.For, From: f.From, To: f.To, Mode: f.Mode, OneWay: f.OneWay, Delay: f.Delay, Share: f.Share,
 		Count: f.Count, Zone: f.Zone, Notice: f.Notice, Times: f.Times, Who: f.Who, Hang: f.Hang, FromState: f.FromState, FromPeers: f.FromPeers,
@@ -194,14 +196,14 @@
 	Number int `arg:"" help:"Number of the fault, as printed by stage and status."`
 }
 
-// Run lifts a fault.
+// Run ends an active fault.
 func (f faultLiftCmd) Run() error {
 	return f.call("DELETE", fmt.Sprintf("%s/%d", emulator.PathFaults, f.Number), nil)
 }
 
 type faultStatusCmd struct{ controlFlags }
 
-// Run prints the status of the cluster.
+// Run prints the status of the emulated cluster.
 func (f faultStatusCmd) Run() error { return f.call("GET", emulator.PathStatus, nil) }
 
 type loadCmd struct {
@@ -213,7 +215,7 @@
 	JSON   bool          `help:"Print the result as JSON."`
 }
 
-// Run puts load on a service. It fails if a rule was broken or a job is not over.
+// Run puts load on a service. It fails if a rule was violated or a job has not ended.
 func (l loadCmd) Run() error {
 	text, err := os.ReadFile(l.Mix)
 	if err != nil {
@@ -229,10 +231,10 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	r := load.Runner{Mix: mix, Addrs: l.Addr, JudgeAddr: l.Judge, Prefix: l.Prefix, Caller: newCaller(), DrainTimeout: l.Wait}
-	var told time.Time
+	var lastPrinted time.Time
 	res, err := r.Run(ctx, func(sent, all, open int) {
-		if time.Since(told) > time.Second {
-			told = time.Now()
+		if time.Since(lastPrinted) > time.Second {
+			lastPrinted = time.Now()
 			fmt.Fprintf(os.Stderr, "\r%d of %d jobs sent, %d open ", sent, all, open)
 		}
 	})
@@ -250,7 +252,7 @@
 		res.Print(os.Stdout)
 	}
 	if len(res.Violations) > 0 || len(res.Open) > 0 {
-		return fmt.Errorf("%d rules broken, %d jobs not over", len(res.Violations), len(res.Open))
+		return fmt.Errorf("%d rules violated, %d jobs not ended", len(res.Violations), len(res.Open))
 	}
 	return nil
 }
--- a/cmd/amberdeal/golden_test.go
+++ b/cmd/amberdeal/golden_test.go
@@ -7,10 +7,10 @@
 	"amberdeal.example/amberdeal/internal/goldentest"
 )
 
-// TestGoldenFlags: each command has the arguments and flags that it had, with the same defaults.
+// TestGoldenFlags checks that the arguments and flags of each command, and their defaults, have not changed.
 func TestGoldenFlags(t *testing.T) { goldentest.Flags(t, "amberdeal", new(cli)) }
 
-// TestGoldenAccount: the JSON of state inspect and state verify has the fields that it had.
+// TestGoldenStateSummary checks that the JSON fields of state inspect and state verify have not changed.
 func TestGoldenStateSummary(t *testing.T) {
 	goldentest.Check[stateSummary](t, "account.json", json.Marshal, json.Unmarshal)
 }
--- a/cmd/amberdeal/main.go
+++ b/cmd/amberdeal/main.go
@@ -1,5 +1,5 @@
-// Command amberdeal runs a controller of the amberdeal cluster scheduler, and
-// is a client of a running one.
+// Command amberdeal runs a controller of the amberdeal cluster scheduler, its agents and its blob store, and is the
+// client of a running service.
 package main
 
 import (
@@ -64,9 +64,10 @@
 	}
 }
 
-// settingsError is a fault of the settings.
+// settingsError reports invalid settings or flags. The program then exits with exitSettings.
 type settingsError struct{ error }
 
+// settingsFlags name the settings files of a controller.
 type settingsFlags struct {
 	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (JSON)."`
 	Settings string `placeholder:"FILE.ini" help:"The operators' own settings (INI)."`
@@ -82,7 +83,7 @@
 
 type serveCmd struct{ settingsFlags }
 
-// Run serves until SIGTERM or SIGINT.
+// Run runs a controller until SIGTERM or SIGINT.
 func (s serveCmd) Run() error {
 	cfg, err := s.load()
 	if err != nil {
@@ -92,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // a controller is given part of one core
+	runtime.GOMAXPROCS(1) // a controller is allotted a fraction of one core
 	debug.SetMemoryLimit(cfg.Limits.RAMBytes * 6 / 10)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -101,7 +102,7 @@
 
 type checkCmd struct{ settingsFlags }
 
-// Run checks the settings.
+// Run checks the settings and prints a summary of valid ones.
 func (c checkCmd) Run() error {
 	cfg, err := c.load()
 	if err != nil {
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -29,7 +29,7 @@
 	Get reapiGet `cmd:"" help:"Read a blob."`
 }
 
-// casFlags say where blobs are.
+// casFlags select the blob store and the instance in it.
 type casFlags struct {
 	Cas      string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_CAS" help:"Address of amberdeal cas."`
 	Instance string `help:"Instance name: TEAM or TEAM/CLASS."`
@@ -48,12 +48,13 @@
 	Args      []string          `arg:"" passthrough:"" help:"The command, after --."`
 }
 
-// commandExitError is the exit code of a command that was executed.
+// commandExitError reports that an executed command exited with a code other than 0. The program exits with the
+// same code.
 type commandExitError struct{ code int }
 
 func (e commandExitError) Error() string { return fmt.Sprintf("the command exited with %d", e.code) }
 
-// Run has the command executed; its output goes to standard output and error.
+// Run executes the command remotely and copies its output to standard output and standard error.
 func (r reapiRun) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -69,25 +70,25 @@
 		return err
 	}
 	defer blobs.Close()
-	g, err := r.upload(ctx, blobs, args)
+	actionDigest, err := r.upload(ctx, blobs, args)
 	if err != nil {
 		return err
 	}
-	builds, err := reapi.Dial(r.Executor, r.Instance)
+	executor, err := reapi.Dial(r.Executor, r.Instance)
 	if err != nil {
 		return err
 	}
-	defer builds.Close()
-	watch := &progressPrinter{casClient: blobs}
-	resp, err := builds.Execute(ctx, g, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { watch.update(ctx, m) })
+	defer executor.Close()
+	printer := &progressPrinter{casClient: blobs}
+	resp, err := executor.Execute(ctx, actionDigest, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { printer.update(ctx, m) })
 	if err != nil {
 		return err
 	}
-	stdout, stderr := watch.finish()
+	stdout, stderr := printer.finish()
 	return r.finish(ctx, blobs, resp, stdout, stderr)
 }
 
-// progressPrinter shows how an execution stands, and what its command writes meanwhile.
+// progressPrinter prints the stage of an execution, and streams the output of its command while it runs.
 type progressPrinter struct {
 	casClient   *cas.Client
 	stage       repb.ExecutionStage_Value
@@ -96,6 +97,7 @@
 	copiedBytes [2]int64
 }
 
+// update prints a new stage, and starts streaming the output once the streams are known.
 func (p *progressPrinter) update(ctx context.Context, m *repb.ExecuteOperationMetadata) {
 	if m.Stage == p.stage {
 		return
@@ -109,7 +111,7 @@
 	for i, to := range []io.Writer{os.Stdout, os.Stderr} {
 		name := []string{m.StdoutStreamName, m.StderrStreamName}[i]
 		p.group.Go(func() {
-			for ctx.Err() == nil && p.copiedBytes[i] == 0 { // a log is there once something was written
+			for ctx.Err() == nil && p.copiedBytes[i] == 0 { // a stream can be read only once something was written to it
 				if p.copiedBytes[i], _ = p.casClient.FollowLog(ctx, name, to); p.copiedBytes[i] == 0 {
 					store.Backoff(ctx, 200*time.Millisecond)
 				}
@@ -118,7 +120,7 @@
 	}
 }
 
-// finish ends the show, and tells how much of stdout and stderr was shown.
+// finish stops the streaming and returns the number of bytes of stdout and stderr that were copied.
 func (p *progressPrinter) finish() (stdout, stderr int64) {
 	if p.stop != nil {
 		p.stop()
@@ -127,10 +129,10 @@
 	return p.copiedBytes[0], p.copiedBytes[1]
 }
 
-// upload writes the action and all that it needs, and gives its digest.
+// upload stores the action with its command and inputs, and returns the action's digest.
 func (r reapiRun) upload(ctx context.Context, c *cas.Client, args []string) (cas.Digest, error) {
-	f := cas.Functions[0]
-	root, err := action.Upload(ctx, c, f, ".", r.Input)
+	digestFunction := cas.Functions[0]
+	root, err := action.Upload(ctx, c, digestFunction, ".", r.Input)
 	if err != nil {
 		return root, err
 	}
@@ -142,32 +144,31 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Property)) {
 		platform.Properties = append(platform.Properties, &repb.Platform_Property{Name: name, Value: r.Property[name]})
 	}
-	cg, err := c.PutMessage(ctx, f, command)
+	commandDigest, err := c.PutMessage(ctx, digestFunction, command)
 	if err != nil {
-		return cg, err
+		return commandDigest, err
 	}
-	a := &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: root.Proto(), DoNotCache: r.NoCache, Platform: platform}
+	a := &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: root.Proto(), DoNotCache: r.NoCache, Platform: platform}
 	if r.Timeout > 0 {
 		a.Timeout = durationpb.New(r.Timeout)
 	}
-	return c.PutMessage(ctx, f, a)
+	return c.PutMessage(ctx, digestFunction, a)
 }
 
-// skipWriter leaves out the first bytes, which were shown before.
+// skipWriter drops the first bytesToSkip bytes, which were streamed before, and writes the rest.
 type skipWriter struct {
 	writer      io.Writer
 	bytesToSkip int64
 }
 
-func (b *skipWriter) Write(p []byte) (int, error) {
-	n := min(b.bytesToSkip, int64(len(p)))
-	b.bytesToSkip -= n
-	_, err := b.writer.Write(p[n:])
+func (w *skipWriter) Write(p []byte) (int, error) {
+	n := min(w.bytesToSkip, int64(len(p)))
+	w.bytesToSkip -= n
+	_, err := w.writer.Write(p[n:])
 	return len(p), err
 }
 
-// finish prints the rest of what the command has written, and brings its outputs
-// back.
+// finish writes the part of the output that was not streamed, and downloads the command's output files.
 func (r reapiRun) finish(ctx context.Context, c *cas.Client, resp *repb.ExecuteResponse, stdout, stderr int64) error {
 	res := resp.Result
 	for _, o := range []struct {
@@ -179,9 +180,9 @@
 			return err
 		}
 		if o.digest != nil {
-			g, err := cas.ParseDigest(cas.Functions[0], o.digest)
+			digest, err := cas.ParseDigest(cas.Functions[0], o.digest)
 			if err == nil {
-				err = c.Read(ctx, g, o.to)
+				err = c.Read(ctx, digest, o.to)
 			}
 			if err != nil {
 				return err
@@ -195,7 +196,7 @@
 		return err
 	}
 	if resp.CachedResult {
-		fmt.Fprintln(os.Stderr, "amberdeal: the result was known")
+		fmt.Fprintln(os.Stderr, "amberdeal: the result was cached")
 	}
 	if res.GetExitCode() != 0 {
 		return commandExitError{int(res.ExitCode)}
@@ -209,9 +210,9 @@
 	Output string `short:"o" placeholder:"FILE" help:"Where it goes, instead of standard output."`
 }
 
-// Run reads the blob; a file is there only when all of it is.
+// Run reads the blob. A file is written under a temporary name first, so that it exists only once it is complete.
 func (r reapiGet) Run() error {
-	g, err := cas.DigestFromString(r.Digest)
+	digest, err := cas.DigestFromString(r.Digest)
 	if err != nil {
 		return settingsError{err}
 	}
@@ -223,14 +224,14 @@
 	}
 	defer c.Close()
 	if r.Output == "" {
-		return c.Read(ctx, g, os.Stdout)
+		return c.Read(ctx, digest, os.Stdout)
 	}
 	f, err := os.CreateTemp(filepath.Dir(r.Output), filepath.Base(r.Output)+".part-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	if err := errors.Join(c.Read(ctx, g, f), f.Close()); err != nil {
+	if err := errors.Join(c.Read(ctx, digest, f), f.Close()); err != nil {
 		return err
 	}
 	return os.Rename(f.Name(), r.Output)
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -32,10 +32,11 @@
 	Import  stateImport  `cmd:"" help:"Import an export into an empty state service."`
 }
 
-// liveState is a state service that a command works on.
+// liveState is the state service that a command reads or writes, as the settings name it.
 type liveState struct{ settingsFlags }
 
-// newClient keeps to the share of one more controller.
+// newClient returns a client of the state service whose request rate is limited to the share of one additional
+// controller.
 func (l liveState) newClient() (*store.Client, snapshot.Limits, error) {
 	cfg, err := l.load()
 	if err != nil {
@@ -46,25 +47,26 @@
 	return c, snapshot.Limits{ValueBytes: cfg.Store.ValueBytes, TxnOps: cfg.Store.TxnOps}, nil
 }
 
+// interruptContext returns a context that ends at SIGTERM or SIGINT.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// newProgressBar shows progress on standard error, on a terminal only; all is 0 or less
-// where the end is not known.
-func newProgressBar(all int, what string) *progressbar.ProgressBar {
-	if all <= 0 {
-		all = -1
+// newProgressBar returns a progress bar of keys on standard error, which is shown only on a terminal. total is 0
+// or less if it is unknown.
+func newProgressBar(total int, description string) *progressbar.ProgressBar {
+	if total <= 0 {
+		total = -1
 	}
 	out := io.Writer(os.Stderr)
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		out = io.Discard
 	}
-	return progressbar.NewOptions(all, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription(what), progressbar.OptionShowCount(),
+	return progressbar.NewOptions(total, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription(description), progressbar.OptionShowCount(),
 		progressbar.OptionShowIts(), progressbar.OptionSetItsString("keys"), progressbar.OptionThrottle(100*time.Millisecond), progressbar.OptionClearOnFinish())
 }
 
-// export reads the live state.
+// export reads the whole live state, with its revision.
 func (l liveState) export(ctx context.Context) ([]wire.KeyValue, uint64, error) {
 	c, _, err := l.newClient()
 	if err != nil {
@@ -75,7 +77,7 @@
 	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
 }
 
-// stateSummary is what inspect and verify print.
+// stateSummary is the JSON output of inspect and verify.
 type stateSummary struct {
 	Revision     uint64                        `json:"revision"`
 	Format       int                           `json:"format"`
@@ -105,7 +107,7 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run prints what is there.
+// Run prints a summary of the live state.
 func (s stateInspect) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -128,7 +130,7 @@
 		return err
 	}
 	if len(a.Problems) > 0 {
-		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(a.Problems))
+		fmt.Printf("\n%d problems: run amberdeal state verify to list them\n", len(a.Problems))
 	}
 	return nil
 }
@@ -138,10 +140,10 @@
 	File string `arg:"" help:"The file to write; it must not exist."`
 }
 
-// Run writes the file under another name first: one that is there is whole.
+// Run writes the export under a temporary name first, so that the file exists only once it is complete.
 func (s stateExport) Run() error {
 	if _, err := os.Stat(s.File); err == nil {
-		return fmt.Errorf("%s: exists already", s.File)
+		return fmt.Errorf("%s: the file exists already", s.File)
 	}
 	ctx, stop := interruptContext()
 	defer stop()
@@ -165,6 +167,7 @@
 	return nil
 }
 
+// readExport reads an export, with its header and checksum.
 func readExport(name string) (snapshot.Header, []wire.KeyValue, string, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -185,7 +188,7 @@
 	JSON     bool   `help:"Print JSON."`
 }
 
-// Run checks the file or the live state.
+// Run checks the invariants of an export or of the live state.
 func (s stateVerify) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -220,7 +223,7 @@
 		return fmt.Errorf("%d invariants do not hold at revision %d", len(a.Problems), a.Revision)
 	}
 	if !s.JSON {
-		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
+		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, every invariant holds\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
 	}
 	return nil
 }
@@ -230,7 +233,7 @@
 	File string `arg:"" help:"The export to import."`
 }
 
-// Run verifies the file first; an incomplete or invalid one is not imported at all.
+// Run verifies the file before the import, so that nothing of an incomplete or invalid file is imported.
 func (s stateImport) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
--- a/cmd/amberdeal/top.go
+++ b/cmd/amberdeal/top.go
@@ -19,56 +19,56 @@
 	JSON  bool          `help:"Print one status as JSON."`
 }
 
-// Run shows a running fleet until Ctrl-C, or once where it does not write to a terminal.
+// Run shows the status of a running fleet until Ctrl-C, or prints it once if standard output is not a terminal.
 func (t topCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
-	v := t.fetchStatuses(ctx)
+	view := t.fetchStatuses(ctx)
 	if t.JSON {
-		out, err := json.MarshalIndent(v, "", "  ")
+		out, err := json.MarshalIndent(view, "", "  ")
 		if err != nil {
 			return err
 		}
 		fmt.Println(string(out))
 	} else if !term.IsTerminal(int(os.Stdout.Fd())) {
-		v.Print(os.Stdout, nil)
+		view.Print(os.Stdout, nil)
 	} else {
-		for before := (*top.View)(nil); ctx.Err() == nil; {
+		for previous := (*top.View)(nil); ctx.Err() == nil; {
 			var page bytes.Buffer
-			v.Print(&page, before)
-			fmt.Printf("\x1b[H\x1b[2J%s\n%s, every %v; Ctrl-C ends\n", page.Bytes(), v.At.Format(time.TimeOnly), t.Every)
+			view.Print(&page, previous)
+			fmt.Printf("\x1b[H\x1b[2J%s\n%s, every %v; Ctrl-C ends\n", page.Bytes(), view.At.Format(time.TimeOnly), t.Every)
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-time.After(t.Every):
 			}
-			before, v = v, t.fetchStatuses(ctx)
+			previous, view = view, t.fetchStatuses(ctx)
 		}
 		return nil
 	}
-	if len(v.Statuses) == 0 {
+	if len(view.Statuses) == 0 {
 		return fmt.Errorf("none of %d controllers answered", len(t.Addr))
 	}
 	return nil
 }
 
-// fetchStatuses asks every controller.
+// fetchStatuses requests the status of every controller, one after another, each with a timeout of 2 s.
 func (t topCmd) fetchStatuses(ctx context.Context) *top.View {
-	v := &top.View{At: time.Now(), Statuses: map[string]*top.Status{}, Unreachable: map[string]string{}}
+	view := &top.View{At: time.Now(), Statuses: map[string]*top.Status{}, Unreachable: map[string]string{}}
 	caller := newCaller()
 	for _, addr := range t.Addr {
-		call, cancel := context.WithTimeout(ctx, 2*time.Second)
-		resp, err := caller.Call(call, addr, "GET", top.Path, nil)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		resp, err := caller.Call(callCtx, addr, "GET", top.Path, nil)
 		cancel()
 		var s top.Status
 		switch {
 		case err != nil:
-			v.Unreachable[addr] = err.Error()
+			view.Unreachable[addr] = err.Error()
 		case resp.Status != 200 || json.Unmarshal(resp.Body, &s) != nil:
-			v.Unreachable[addr] = fmt.Sprintf("status %d: not a controller's metrics address", resp.Status)
+			view.Unreachable[addr] = fmt.Sprintf("status %d: not a controller's metrics address", resp.Status)
 		default:
-			v.Statuses[addr] = &s
+			view.Statuses[addr] = &s
 		}
 	}
-	return v
+	return view
 }
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -14,7 +14,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// demoTimeout bounds the duration of a demo.
+// demoTimeout is the maximum duration of a demo.
 const demoTimeout = 55 * time.Second
 
 // demoJobs returns one job of each shape.
@@ -36,8 +36,8 @@
 	printf func(format string, args ...any)
 }
 
-// Demo submits a job of each shape, kills the leader while they run, and shows that each still
-// gets its answer, the same from every controller. An error names what did not happen.
+// Demo submits a job of each shape, kills the leader while they run, and shows that the array and the gang
+// complete and that every controller reports the same final stages. The error names the step that failed.
 func (c *Cluster) Demo(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
@@ -63,11 +63,11 @@
 	return d.finish(ctx, killed)
 }
 
-// submit submits all jobs, each to another controller, and waits until they run.
+// submit submits each job to a different controller and waits until all have started.
 func (d *demo) submit(ctx context.Context, follow func(id string)) error {
 	for i, j := range d.jobs {
 		if status, _ := d.request(ctx, i, "POST", wire.PathJobs, wire.Encode(j)); status != 201 {
-			return fmt.Errorf("%s was answered %d", j.ID, status)
+			return fmt.Errorf("submitting %s returned status %d", j.ID, status)
 		}
 		follow(j.ID)
 		d.printf("submitted %s to %s: %s of %d tasks", j.ID, d.Addr(i), j.Shape, j.Tasks)
@@ -80,13 +80,13 @@
 		}
 		return true
 	}); err != nil {
-		return fmt.Errorf("not every job started: %c", err)
+		return fmt.Errorf("not every job started: %w", err)
 	}
 	d.printf("all jobs are running")
 	return nil
 }
 
-// killLeader kills the leader, waits for the next one, and restarts the controller that it killed.
+// killLeader kills the leader, waits until another controller is elected, and restarts the killed controller.
 func (d *demo) killLeader(ctx context.Context) (killed int, err error) {
 	killed, token, ok := d.Leader()
 	if !ok {
@@ -94,39 +94,40 @@
 	}
 	d.Kill(killed)
 	d.printf("killed %s, the leader of the fleet with fencing token %d", controllerName(killed), token)
-	next := killed
+	newLeader := killed
 	if err := d.waitUntil(ctx, func() bool {
-		i, t, ok := d.Leader()
-		next = i
-		return ok && t > token
+		i, newToken, ok := d.Leader()
+		newLeader = i
+		return ok && newToken > token
 	}); err != nil {
-		return 0, fmt.Errorf("no other controller became the leader: %c", err)
+		return 0, fmt.Errorf("no other controller became the leader: %w", err)
 	}
-	d.printf("%s is the leader now", controllerName(next))
+	d.printf("%s is the leader now", controllerName(newLeader))
 	return killed, d.Restart(killed)
 }
 
-// finish waits for the ends of the jobs, cancels the service, and compares the answers.
+// finish waits until the array and the gang are done, cancels the service, waits until the killed controller is ready
+// again, and checks the final stages.
 func (d *demo) finish(ctx context.Context, killed int) error {
 	for i, j := range d.jobs[:2] {
 		if err := d.waitUntil(ctx, func() bool { return d.jobStatus(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
-			return fmt.Errorf("%s is not done: %c", j.ID, err)
+			return fmt.Errorf("%s is not done: %w", j.ID, err)
 		}
 		d.printf("%s is done", j.ID)
 	}
 	service := d.jobs[2].ID
 	if status, _ := d.request(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelWord, []byte{}); status != 200 {
-		return fmt.Errorf("the cancellation of %s was answered %d", service, status)
+		return fmt.Errorf("cancelling %s returned status %d", service, status)
 	}
 	d.printf("%s is cancelled", service)
 	if err := d.waitUntil(ctx, func() bool { return d.Ready(ctx, killed) }); err != nil {
-		return fmt.Errorf("%s did not come back: %c", controllerName(killed), err)
+		return fmt.Errorf("%s was not ready again: %w", controllerName(killed), err)
 	}
 	return d.checkFinalStages(ctx)
 }
 
-// checkFinalStages verifies that every controller reports the same final stage of each job, and that no rule
-// was violated.
+// checkFinalStages verifies that every controller reports the same final stage of each job, and that the
+// emulated cluster found no violated rule.
 func (d *demo) checkFinalStages(ctx context.Context) error {
 	for _, j := range d.jobs {
 		want := wire.Done
@@ -154,7 +155,7 @@
 	return s
 }
 
-// waitUntil polls until a condition holds.
+// waitUntil polls a condition until it holds or the context ends.
 func (c *Cluster) waitUntil(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		select {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a small cluster on loopback for newcomers: three controllers as processes in an
-// emulated cluster.
+// Package dev runs a small cluster on loopback for trying out the scheduler: three controllers as processes in
+// an emulated cluster.
 package dev
 
 import (
@@ -22,8 +22,8 @@
 
 // Options configure a cluster.
 type Options struct {
-	Program  string // the path of amberdeal
-	Port     int    // the first of its ports on 127.0.0.1
+	Program  string // path of the amberdeal binary
+	Port     int    // the first of the cluster's ports on 127.0.0.1
 	LogLevel string // LOG_LEVEL of the controllers
 }
 
@@ -36,7 +36,7 @@
 	caller *transport.Caller
 }
 
-// operatorSettings are the operators' settings of every controller, with short times: a demo shows a
+// operatorSettings are the operators' settings of every controller. The lease is short so that a demo shows a
 // failover within seconds.
 const operatorSettings = "[claim]\nlease = 3s\nrenew = 1s\n[machines]\nidle = 30s\n"
 
@@ -51,12 +51,12 @@
 	c.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
 	c.procs = emulator.Processes{Program: opt.Program, Level: opt.LogLevel, Dir: dir, Tuning: operatorSettings}
 	c.procs.Begin(ctx)
-	around, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: c.procs.PauseNamed, Kill: c.procs.KillNamed})
+	emulated, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: c.procs.PauseNamed, Kill: c.procs.KillNamed})
 	if err != nil {
 		c.Stop()
 		return nil, err
 	}
-	c.Cluster, c.procs.Settings, c.procs.Metrics = around, around.Settings, around.Metrics
+	c.Cluster, c.procs.Settings, c.procs.Metrics = emulated, emulated.Settings, emulated.Metrics
 	if err := c.startControllers(ctx); err != nil {
 		c.Stop()
 		return nil, err
@@ -72,7 +72,7 @@
 
 func controllerName(i int) string { return fmt.Sprint("c-", i) }
 
-// startControllers starts the controllers and waits for them.
+// startControllers starts the controllers and waits until all are ready.
 func (c *Cluster) startControllers(ctx context.Context) error {
 	for i := range Controllers {
 		if err := c.Restart(i); err != nil {
@@ -84,13 +84,13 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Since(begun) > 30*time.Second:
-			return errors.New("the controllers did not come up within 30 s")
+			return errors.New("the controllers were not ready within 30 s")
 		}
 	}
 	return nil
 }
 
-// Ready reports whether a controller serves users.
+// Ready reports whether a controller serves users' requests.
 func (c *Cluster) Ready(ctx context.Context, i int) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -98,13 +98,13 @@
 	return err == nil && resp.Status == 200
 }
 
-// Restart starts a controller that does not run.
+// Restart starts a controller that is not running.
 func (c *Cluster) Restart(i int) error { return c.procs.Start(i) }
 
 // Kill terminates a controller with SIGKILL.
 func (c *Cluster) Kill(i int) { c.procs.Kill(i) }
 
-// Leader returns the leader of the fleet and its fencing token.
+// Leader returns the number of the controller that leads the fleet and its fencing token.
 func (c *Cluster) Leader() (i int, token uint64, ok bool) {
 	items := c.Page(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
@@ -118,7 +118,7 @@
 	return n, rec.FencingToken, err == nil
 }
 
-// Stop ends everything and removes what was written.
+// Stop stops the controllers and the emulated cluster and removes their files.
 func (c *Cluster) Stop() {
 	c.procs.Stop()
 	if c.Cluster != nil {
@@ -128,11 +128,12 @@
 	_ = os.RemoveAll(c.dir)
 }
 
-// request sends a request to the controllers in turn until one decides.
-func (c *Cluster) request(ctx context.Context, first int, method, path string, body []byte) (status int, answer []byte) {
-	for try := 0; ctx.Err() == nil; try++ {
-		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := c.caller.Call(call, c.Addr((first+try)%Controllers), method, path, body)
+// request sends a request to the controllers in turn until one returns a status other than 429 and 503. It
+// returns status 0 if the context ends before.
+func (c *Cluster) request(ctx context.Context, first int, method, path string, body []byte) (status int, response []byte) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		resp, err := c.caller.Call(callCtx, c.Addr((first+attempt)%Controllers), method, path, body)
 		cancel()
 		if err == nil && resp.Status != 503 && resp.Status != 429 {
 			return resp.Status, resp.Body
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestDemo runs the demo as a newcomer would, and checks that it leaves no files behind.
+// TestDemo runs the demo from the command line and checks that it succeeds and leaves no files.
 func TestDemo(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "amberdeal")
@@ -22,6 +22,6 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "amberdeal-dev-*")); len(left) > 0 {
-		t.Errorf("%v is left behind", left)
+		t.Errorf("%v was not removed", left)
 	}
 }
--- a/internal/goldentest/flags.go
+++ b/internal/goldentest/flags.go
@@ -8,9 +8,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// Flags proves that a program's commands have the arguments and flags that they had, with the same
-// defaults: it compares the command line of grammar, a pointer to a struct as kong reads it, with
-// the golden file flags.txt. Help texts are not part of it.
+// Flags checks that the arguments and flags of a program's commands, and their defaults, have not changed: it
+// compares the command line that kong derives from grammar, a pointer to a struct, with the golden file
+// flags.txt. Help texts of flags are not compared.
 func Flags(t *testing.T, program string, grammar any) {
 	t.Helper()
 	parser, err := kong.New(grammar, kong.Name(program))
@@ -22,7 +22,7 @@
 	Text(t, "flags.txt", out.String())
 }
 
-// describe writes a command and its subcommands, whose names follow the path.
+// describe writes the arguments and flags of a command and of its subcommands. path holds the names of its parents.
 func describe(out *strings.Builder, n *kong.Node, path string) {
 	path += " " + n.Name
 	fmt.Fprintf(out, "%s\n", path[1:])
--- a/internal/goldentest/gob.go
+++ b/internal/goldentest/gob.go
@@ -8,28 +8,27 @@
 	"testing"
 )
 
-// CheckGob proves that a message of a gob stream is the same as it was: Frozen is a
-// copy of the type as it was when the golden file was written.
+// CheckGob checks that the gob encoding of T is compatible with that of Frozen, a copy of the type as it was
+// when the golden file NAME was written.
 //
-// gob matches fields by their Go names and drops what it doesn't know without an
-// error, so that a renamed field is lost between two versions. What T writes must
-// therefore be whole in Frozen, and what Frozen writes must be whole in T. The bytes
-// themselves aren't compared: they hold the names of the types, which no decoder
-// looks at, and numbers that follow the order in which the process met the types.
+// gob matches fields by their Go names and drops unknown fields without an error, so that a renamed field would
+// be lost between two versions. Therefore every field that T writes must be decoded into Frozen, and every field
+// that Frozen writes into T. The encoded bytes aren't compared: they contain the names of the types, which
+// decoders ignore, and type ids that depend on the order in which the process first encoded the types.
 func CheckGob[T, Frozen any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
-		now, then := Filled[T](t), Filled[Frozen](t)
-		if a, b := Leaves(now), Leaves(then); !slices.Equal(a, b) {
-			t.Fatalf("%T and %T differ in shape:\n%v\n%v", now, then, a, b)
+		current, frozen := Filled[T](t), Filled[Frozen](t)
+		if a, b := Leaves(current), Leaves(frozen); !slices.Equal(a, b) {
+			t.Fatalf("%T and %T differ in shape:\n%v\n%v", current, frozen, a, b)
 		}
-		checkDecoded(t, "the golden file", Read(t, name, encodeGob(t, now)), now)
-		checkDecoded(t, "the frozen type's message", encodeGob(t, then), now)
-		checkDecoded(t, "the message, read by the frozen type", encodeGob(t, now), then)
+		checkDecoded(t, "the golden file", Read(t, name, encodeGob(t, current)), current)
+		checkDecoded(t, "the frozen type's encoding", encodeGob(t, frozen), current)
+		checkDecoded(t, "the encoding, decoded into the frozen type", encodeGob(t, current), frozen)
 	})
 }
 
-// checkDecoded decodes a message and compares it with what it should hold.
+// checkDecoded decodes a message and compares the result with the expected value.
 func checkDecoded[T any](t *testing.T, what string, text []byte, want T) {
 	t.Helper()
 	var got T
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,9 +1,8 @@
-// Package goldentest holds what tests of byte formats share: values in which no
-// field is zero, and files of bytes that were written once and never change.
+// Package goldentest provides helpers for tests of encodings: values in which no field is zero, and golden
+// files, which are written once and never change.
 //
-// A golden file is the proof that a change of the Go code has not changed what
-// is stored or sent. Check never overwrites one: with AMBERDEAL_GOLDEN=write in
-// the environment it writes those that don't exist yet, and nothing else.
+// A golden file proves that a change of the Go code has not changed what is stored or sent. No helper overwrites
+// one: with AMBERDEAL_GOLDEN=write in the environment, only golden files that don't exist yet are written.
 package goldentest
 
 import (
@@ -19,20 +18,20 @@
 	"time"
 )
 
-// Fill gives each exported field of the value that v points to, however deep, a
-// value of its own that is not zero. The same type is always filled alike. Slices
-// and maps get one entry, so that every encoding of them is deterministic.
+// Fill sets each exported field of the value that v points to, at any depth, to a distinct value that is not
+// zero; booleans are set to true. A type always gets the same values. Slices and maps get one entry, so that
+// every encoding of them is deterministic.
 func Fill(v any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(v).Elem())
 }
 
-// filler counts the values that it has given out.
+// filler sets values and counts them.
 type filler struct{ n int64 }
 
 var timeType = reflect.TypeFor[time.Time]()
 
-// epoch is the first time that is given out; any would do.
+// epoch is the Unix time, in seconds, on which generated times are based. The value is arbitrary.
 const epoch = 1_700_000_000
 
 func (f *filler) fill(v reflect.Value) {
@@ -41,7 +40,7 @@
 		f.n++
 		v.Set(reflect.ValueOf(time.Unix(epoch+f.n, f.n).UTC()))
 	case v.Type().String() == "cbor.RawMessage":
-		// An encoded value: a text of one letter.
+		// The CBOR encoding of a string of one letter.
 		f.n++
 		v.SetBytes([]byte{0x61, 'a' + byte(f.n%26)})
 	case v.Kind() == reflect.Bool:
@@ -54,7 +53,7 @@
 	}
 }
 
-// setScalar sets a number, a text or an interface to a value that is made from n.
+// setScalar sets a number, a string or an interface to a value derived from n.
 func setScalar(v reflect.Value, n int64) {
 	switch v.Kind() {
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
@@ -68,14 +67,14 @@
 	case reflect.Interface:
 		v.Set(reflect.ValueOf(fmt.Sprintf("i%d", n)))
 	default:
-		panic(fmt.Sprintf("goldentest: a %s can't be filled", v.Type()))
+		panic(fmt.Sprintf("goldentest: values of type %s are not supported", v.Type()))
 	}
 }
 
-// compositeKinds are the kinds of values that hold others, see fillComposite.
+// compositeKinds are the kinds of values that contain other values, see fillComposite.
 var compositeKinds = []reflect.Kind{reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map, reflect.Struct}
 
-// fillComposite fills the values that a value of one of compositeKinds holds.
+// fillComposite fills the values that a value of one of compositeKinds contains.
 func (f *filler) fillComposite(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -103,7 +102,7 @@
 	}
 }
 
-// Zeros names the exported fields of v, however deep, that are zero or empty.
+// Zeros returns the paths of the exported fields of v, at any depth, that are zero or empty.
 func Zeros(v any) []string {
 	var zeros []string
 	walk(reflect.ValueOf(v), "", func(path string, leaf reflect.Value) {
@@ -121,8 +120,8 @@
 	return 0
 }
 
-// Leaves lists the values of v's exported fields in their order, however deep,
-// without any names: two types of the same shape give the same list.
+// Leaves returns the values of v's exported fields in order, at any depth, without field names. Two types of the
+// same shape that are filled by Fill have the same leaves.
 func Leaves(v any) []string { return leaves(reflect.ValueOf(v)) }
 
 func leaves(v reflect.Value) []string {
@@ -140,7 +139,7 @@
 	return out
 }
 
-// formatScalar prints a value without the methods of its type.
+// formatScalar formats a value without calling methods of its type, such as String.
 func formatScalar(v reflect.Value) string {
 	switch {
 	case v.CanInt():
@@ -160,7 +159,8 @@
 // visitor is called with each leaf of a value and the path to it.
 type visitor func(path string, leaf reflect.Value)
 
-// walk visits the leaves of a value in order: what holds no other value, or is empty.
+// walk visits the leaves of a value in order. A leaf contains no other value: a scalar, a time, or an empty
+// container.
 func walk(v reflect.Value, path string, visit visitor) {
 	if !v.IsValid() || v.Type() == timeType {
 		visit(path, v)
@@ -213,7 +213,7 @@
 	}
 }
 
-// Filled gives a value of a type with no field zero, or fails the test.
+// Filled returns a value of type T in which no exported field is zero, or fails the test.
 func Filled[T any](t testing.TB) T {
 	t.Helper()
 	var v T
@@ -224,7 +224,7 @@
 	return v
 }
 
-// File compares text with the golden file testdata/golden/NAME.
+// File compares text byte by byte with the golden file testdata/golden/NAME.
 func File(t testing.TB, name string, text []byte) {
 	t.Helper()
 	if want := Read(t, name, text); !bytes.Equal(want, text) {
@@ -232,7 +232,7 @@
 	}
 }
 
-// Text compares a text of lines with the golden file testdata/golden/NAME.
+// Text compares text line by line with the golden file testdata/golden/NAME, and reports the first line that differs.
 func Text(t testing.TB, name, text string) {
 	t.Helper()
 	want := strings.Split(string(Read(t, name, []byte(text))), "\n")
@@ -251,8 +251,8 @@
 	return "(none)"
 }
 
-// Read gives the golden file testdata/golden/NAME. Where it doesn't exist, it is
-// written with text if AMBERDEAL_GOLDEN=write says so; else the test fails.
+// Read returns the content of the golden file testdata/golden/NAME. If the file doesn't exist, Read writes text
+// to it with AMBERDEAL_GOLDEN=write in the environment, and fails the test otherwise.
 func Read(t testing.TB, name string, text []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
@@ -269,8 +269,8 @@
 	return want
 }
 
-// Check encodes a filled value of T and compares it with the golden file NAME, and
-// decodes the golden file and compares that with the filled value.
+// Check encodes a filled value of T and compares it with the golden file NAME. It also decodes the golden file
+// and compares the result with the filled value.
 func Check[T any](t *testing.T, name string, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
@@ -281,17 +281,17 @@
 			t.Fatal(err)
 		}
 		File(t, name, text)
-		var back T
-		if err := decode(Read(t, name, text), &back); err != nil {
+		var decoded T
+		if err := decode(Read(t, name, text), &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(back, v) {
-			t.Errorf("decoded\n     %+v\nnot  %+v", back, v)
+		if !reflect.DeepEqual(decoded, v) {
+			t.Errorf("decoded\n     %+v\nnot  %+v", decoded, v)
 		}
 	})
 }
 
-// clearUnencoded empties the fields that their tag keeps out of every encoding.
+// clearUnencoded sets the fields to zero that a cbor or json tag of "-" excludes from the encoding.
 func clearUnencoded(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -314,8 +314,8 @@
 	}
 }
 
-// Columns gives the columns of a parquet schema's text without its name, which is that
-// of a Go type and means nothing to a reader.
+// Columns returns the columns of a Parquet schema's text without the schema's name. The name is that of the Go
+// type, which readers of a file ignore, so that the type may be renamed.
 func Columns(schema string) string {
 	_, columns, _ := strings.Cut(schema, "{\n")
 	return columns + "\n"
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -22,21 +22,22 @@
 	hidden int
 }
 
-// TestFillLeavesNothingZero: no field is zero, and the same type is filled alike.
+// TestFillLeavesNoFieldZero checks that Fill leaves no exported field zero, skips unexported fields, and gives a
+// type the same values each time.
 func TestFillLeavesNoFieldZero(t *testing.T) {
 	a, b := Filled[sample](t), Filled[sample](t)
 	if x, y := Leaves(a), Leaves(b); !slices.Equal(x, y) {
 		t.Errorf("%v, then %v", x, y)
 	}
 	if a.hidden != 0 {
-		t.Error("a field that no encoder sees was set")
+		t.Error("an unexported field, which no encoder writes, was set")
 	}
 	if n := len(Leaves(a)); n != 13 {
 		t.Errorf("%d leaves: %v", n, Leaves(a))
 	}
 }
 
-// TestZerosNamesEach: what is zero or empty is named, however deep it is.
+// TestZerosNamesEveryZeroField checks that zero and empty fields are reported at any depth.
 func TestZerosNamesEveryZeroField(t *testing.T) {
 	v := Filled[sample](t)
 	v.Count, v.List[0].Pair[1], v.List[0].Next, v.ByName = 0, 0, nil, nil
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -70,8 +70,8 @@
 // agentMachineType returns the machine type of an agent that runs the given number of actions at once.
 func agentMachineType(actions int) string { return fmt.Sprintf("agent-%d", actions) }
 
-// startMachine starts the agent of a machine. It returns nil for a machine of another type, and if the agent could not
-// be started; startError then returns the cause.
+// startMachine starts the agent of a machine. It returns nil for a machine of another type, and if the agent
+// could not be started; startError then returns the cause.
 func (a *agentPool) startMachine(id, addr, machineType, zone string, spot bool) simulator.Machine {
 	var actions int
 	if _, err := fmt.Sscanf(machineType, "agent-%d", &actions); err != nil {
@@ -101,8 +101,8 @@
 	return p, nil
 }
 
-// startError returns an error that names the agents that could not be started, or nil. An emulated machine replaces each
-// of them, which makes the measurements of agents invalid.
+// startError returns an error that names the agents that could not be started, or nil. An emulated machine
+// replaces each of them, which makes the measurements of agents invalid.
 func (a *agentPool) startError() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/scale/hostlimits.go
+++ b/internal/scale/hostlimits.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Upper bounds of what a step requires, from first measurements: the memory of a real controller, of an agent or the blob
-// store, and of an emulated worker and a running task in the emulator's process.
+// Upper bounds of what a step requires, from first measurements: the memory of a real controller, of an agent or
+// the blob store, and of an emulated worker and a running task in the emulator's process.
 const (
 	controllerBytes = 150 << 20
 	agentBytes      = 60 << 20
@@ -47,7 +47,8 @@
 	return HostLimits{MemoryBytes: kilobytes << 10, Sockets: limit.Cur}, nil
 }
 
-// CheckResources returns an error that lists every step that requires more than the machine has, with the amount required.
+// CheckResources returns an error that lists every step that requires more than the machine has, with the amount
+// required.
 func (p *Plan) CheckResources(limits HostLimits) error {
 	var errs []error
 	for _, step := range p.Steps() {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -1,6 +1,6 @@
-// Package scale measures the resource usage of each component of the system as a deployment grows. It emulates a cluster
-// on one machine at a series of sizes, with real controllers and a few real agents, fits how the usage grows along each
-// axis, and predicts it at a target size.
+// Package scale measures the resource usage of each component of the system as a deployment grows. It emulates a
+// cluster on one machine at a series of sizes, with real controllers and a few real agents, fits how the usage
+// grows along each axis, and predicts it at a target size.
 package scale
 
 import (
--- a/internal/scale/predict.go
+++ b/internal/scale/predict.go
@@ -12,8 +12,8 @@
 	Points         int
 }
 
-// slopeOf fits a line to the values at the given positions by least squares. The error of a line through two points is
-// unknown and NaN.
+// slopeOf fits a line to the values at the given positions by least squares. The error of a line through two
+// points is unknown and NaN.
 func slopeOf(positions, values []float64) Slope {
 	n := len(positions)
 	if n < 2 {
@@ -74,8 +74,8 @@
 	return out
 }
 
-// valuesAlong returns the values of a measure at the steps that differ from the middle on at most the given axis, and the
-// positions of these steps on it.
+// valuesAlong returns the values of a measure at the steps that differ from the middle on at most the given
+// axis, and the positions of these steps on it.
 func valuesAlong(p *Plan, all []*Outcome, axis Axis, row Row) (positions, values []float64) {
 	for _, o := range all {
 		if !differsOnlyAlong(o.Step, p.Middle, axis) {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -54,7 +54,8 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// parsePeakMemory returns the peak resident memory in bytes from the content of /proc/PID/status, or 0 if it is missing.
+// parsePeakMemory returns the peak resident memory in bytes from the content of /proc/PID/status, or 0 if it is
+// missing.
 func parsePeakMemory(status string) uint64 {
 	for _, line := range strings.Split(status, "\n") {
 		if text, ok := strings.CutPrefix(line, "VmHWM:"); ok {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Budgets are the resources that each role may use at the target, as the users of the system require. Measures have the
-// units that their names give.
+// Budgets are the resources that each role may use at the target, as the users of the system require. Measures
+// have the units that their names give.
 var Budgets = map[Role]map[Measure]float64{
 	Worker:   {BytesOut: 17, BytesIn: 17},
 	Agent:    {CPU: 0.016, Memory: 256},
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,8 +18,8 @@
 	Progress func(step Point, resumed bool)
 }
 
-// Run runs every step that has no outcome yet, and returns the outcomes of all complete steps. If the context ends or a
-// step fails, the outcomes so far are kept on disk and returned with the error.
+// Run runs every step that has no outcome yet, and returns the outcomes of all complete steps. If the context
+// ends or a step fails, the outcomes so far are kept on disk and returned with the error.
 func (r *Runner) Run(ctx context.Context) ([]*Outcome, error) {
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("creating the output directory: %w", err)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -14,8 +14,8 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// TestPlan checks that the shipped file deploy/scale.ini equals the default plan, and that the error of an invalid file
-// names every invalid key.
+// TestPlan checks that the shipped file deploy/scale.ini equals the default plan, and that the error of an
+// invalid file names every invalid key.
 func TestPlan(t *testing.T) {
 	p, err := Parse("../../deploy/scale.ini")
 	if err != nil || len(p.Steps()) != 12 {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestPredict checks that a measure that is linear in workers and starts is predicted exactly, whatever the other axes
-// are, and that a measure with scattered values is predicted with an error.
+// TestPredict checks that a measure that is linear in workers and starts is predicted exactly, whatever the
+// other axes are, and that a measure with scattered values is predicted with an error.
 func TestPredict(t *testing.T) {
 	p := DefaultPlan()
 	p.ActionsPerAgent = nil
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestLoadOutcomeNamesTheFile checks that the error for a file that holds no outcome names the file and the cause, and
-// that a missing file is no error.
+// TestLoadOutcomeNamesTheFile checks that the error for a file that holds no outcome names the file and the
+// cause, and that a missing file is no error.
 func TestLoadOutcomeNamesTheFile(t *testing.T) {
 	dir, step := t.TempDir(), DefaultPlan().Middle
 	if o, err := loadOutcome(dir, step); o != nil || err != nil {
--- a/internal/scale/step.go
+++ b/internal/scale/step.go
@@ -118,8 +118,8 @@
 	o.add(Link, MessagesOut, float64(sum.Messages)/seconds/(n*(n-1)))
 }
 
-// measureFailover kills the leader and waits for FailoverDuration. It records when the next leader was elected; the load
-// generator counts the start times of urgent jobs from the kill on separately.
+// measureFailover kills the leader and waits for FailoverDuration. It records when the next leader was elected;
+// the load generator counts the start times of urgent jobs from the kill on separately.
 func (t *testbed) measureFailover(ctx context.Context, o *Outcome, leader string) {
 	token, killed := t.cluster.Status().FencingToken, time.Now()
 	t.loadGen.markLeaderKilled(killed)
@@ -160,8 +160,8 @@
 	return flowRate{float64(f.Bytes) / 1000 / seconds, float64(f.Messages) / seconds}
 }
 
-// newControllerUsage returns what a controller used between two samples. Calls to machines do not carry the name of the
-// calling controller; they are attributed to the leader.
+// newControllerUsage returns what a controller used between two samples. Calls to machines do not carry the name
+// of the calling controller; they are attributed to the leader.
 func newControllerUsage(name string, isLeader bool, used, before processUsage, flows map[emulator.Direction]emulator.Flow, seconds float64) controllerUsage {
 	in, out := flowTo(flows, name), flowFrom(flows, name)
 	if isLeader {
