--- a/cmd/amberdeal/dev.go
+++ b/cmd/amberdeal/dev.go
@@ -41,7 +41,7 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	begun := time.Now()
-	cluster, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, LogLevel: d.Level})
+	cluster, err := dev.Start(ctx, dev.Options{Program: program, Port: d.Port, Level: d.Level})
 	if err != nil {
 		return err
 	}
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -196,7 +196,7 @@
 		return err
 	}
 	if resp.CachedResult {
-		fmt.Fprintln(os.Stderr, "amberdeal: the result was cached")
+		fmt.Fprintln(os.Stderr, "amberdeal: the result was known")
 	}
 	if res.GetExitCode() != 0 {
 		return commandExitError{int(res.ExitCode)}
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	if len(a.Problems) > 0 {
-		fmt.Printf("\n%d problems: run amberdeal state verify to list them\n", len(a.Problems))
+		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(a.Problems))
 	}
 	return nil
 }
@@ -223,7 +223,7 @@
 		return fmt.Errorf("%d invariants do not hold at revision %d", len(a.Problems), a.Revision)
 	}
 	if !s.JSON {
-		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, every invariant holds\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
+		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
 	}
 	return nil
 }
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -74,7 +74,7 @@
 	}
 	if err := d.waitUntil(ctx, func() bool {
 		for i, j := range d.jobs {
-			if s := d.jobStatus(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
+			if s := d.status(ctx, i, j.ID); s.Running == 0 && s.Done == 0 {
 				return false
 			}
 		}
@@ -110,7 +110,7 @@
 // again, and checks the final stages.
 func (d *demo) finish(ctx context.Context, killed int) error {
 	for i, j := range d.jobs[:2] {
-		if err := d.waitUntil(ctx, func() bool { return d.jobStatus(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
+		if err := d.waitUntil(ctx, func() bool { return d.status(ctx, killed+1+i, j.ID).Stage == wire.Done }); err != nil {
 			return fmt.Errorf("%s is not done: %w", j.ID, err)
 		}
 		d.printf("%s is done", j.ID)
@@ -135,7 +135,7 @@
 			want = wire.Cancelled
 		}
 		for i := range Controllers {
-			if s := d.jobStatus(ctx, i, j.ID); s.Stage != want {
+			if s := d.status(ctx, i, j.ID); s.Stage != want {
 				return fmt.Errorf("%s reports %s as %s, not %s", d.Addr(i), j.ID, s.Stage, want)
 			}
 		}
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (c *Cluster) jobStatus(ctx context.Context, first int, id string) (s wire.JobStatus) {
+func (c *Cluster) status(ctx context.Context, first int, id string) (s wire.JobStatus) {
 	if status, body := c.request(ctx, first, "GET", wire.PathJobs+"/"+id, nil); status == 200 {
 		_ = wire.Decode(body, &s)
 	}
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -22,9 +22,9 @@
 
 // Options configure a cluster.
 type Options struct {
-	Program  string // path of the amberdeal binary
-	Port     int    // the first of the cluster's ports on 127.0.0.1
-	LogLevel string // LOG_LEVEL of the controllers
+	Program string // path of the amberdeal binary
+	Port    int    // the first of the cluster's ports on 127.0.0.1
+	Level   string // LOG_LEVEL of the controllers
 }
 
 // Cluster is an emulated cluster and the processes of its controllers.
@@ -49,7 +49,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	c := &Cluster{dir: dir, stop: stop}
 	c.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
-	c.procs = emulator.Processes{Program: opt.Program, Level: opt.LogLevel, Dir: dir, Tuning: operatorSettings}
+	c.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: operatorSettings}
 	c.procs.Begin(ctx)
 	emulated, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: c.procs.PauseNamed, Kill: c.procs.KillNamed})
 	if err != nil {
--- a/internal/goldentest/gob.go
+++ b/internal/goldentest/gob.go
@@ -23,8 +23,8 @@
 			t.Fatalf("%T and %T differ in shape:\n%v\n%v", current, frozen, a, b)
 		}
 		checkDecoded(t, "the golden file", Read(t, name, encodeGob(t, current)), current)
-		checkDecoded(t, "the frozen type's encoding", encodeGob(t, frozen), current)
-		checkDecoded(t, "the encoding, decoded into the frozen type", encodeGob(t, current), frozen)
+		checkDecoded(t, "the frozen type's message", encodeGob(t, frozen), current)
+		checkDecoded(t, "the message, read by the frozen type", encodeGob(t, current), frozen)
 	})
 }
 
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -27,11 +27,11 @@
 
 const digestFunction = repb.DigestFunction_SHA256
 
-// agentPool runs real agents and a real blob store as processes. The agents execute real actions.
-type agentPool struct {
+// agents runs real agents and a real blob store as processes. The agents execute real actions.
+type agents struct {
 	program, dir    string
 	cluster         *emulator.Cluster
-	config          *emulator.Config
+	clusterConfig   *emulator.Config
 	actionsPerAgent []int // for each agent, the number of actions that it runs at once
 
 	mu               sync.Mutex
@@ -72,7 +72,7 @@
 
 // startMachine starts the agent of a machine. It returns nil for a machine of another type, and if the agent
 // could not be started; startError then returns the cause.
-func (a *agentPool) startMachine(id, addr, machineType, zone string, spot bool) simulator.Machine {
+func (a *agents) startMachine(id, addr, machineType, zone string, spot bool) simulator.Machine {
 	var actions int
 	if _, err := fmt.Sscanf(machineType, "agent-%d", &actions); err != nil {
 		return nil
@@ -89,7 +89,7 @@
 }
 
 // startAgent writes the settings of an agent to a file and starts the agent.
-func (a *agentPool) startAgent(id, settings string) (*process, error) {
+func (a *agents) startAgent(id, settings string) (*process, error) {
 	path := filepath.Join(a.dir, id+".ini")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		return nil, fmt.Errorf("writing the settings of agent %s: %w", id, err)
@@ -103,25 +103,25 @@
 
 // startError returns an error that names the agents that could not be started, or nil. An emulated machine
 // replaces each of them, which makes the measurements of agents invalid.
-func (a *agentPool) startError() error {
+func (a *agents) startError() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.startErrors
 }
 
 // settings returns the content of an agent's settings file.
-func (a *agentPool) settings(id, addr, machineType, zone string, spot bool, actions int) string {
+func (a *agents) settings(id, addr, machineType, zone string, spot bool, actions int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = %d\ngpus = 0\nmemory_gb = %d\n", id, machineType, zone, spot, addr, actions, 4*actions)
-	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.config.Workers.HeartbeatInterval, a.config.Workers.Lease, a.cluster.Blobs(), filepath.Join(a.dir, id))
-	for i := range a.config.Controllers {
+	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.clusterConfig.Workers.HeartbeatInterval, a.clusterConfig.Workers.Lease, a.cluster.Blobs(), filepath.Join(a.dir, id))
+	for i := range a.clusterConfig.Controllers {
 		fmt.Fprintf(&text, "c-%d = %s\n", i, a.cluster.Public(i))
 	}
 	return text.String()
 }
 
 // startBlobStore starts the blob store and waits until it accepts connections.
-func (a *agentPool) startBlobStore(ctx context.Context) error {
+func (a *agents) startBlobStore(ctx context.Context) error {
 	var err error
 	a.blobStore, err = startProcess(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
 	if err != nil {
@@ -141,14 +141,14 @@
 }
 
 // runActions keeps each agent busy with as many actions at once as it has capacity for, until the context ends.
-func (a *agentPool) runActions(ctx context.Context) error {
+func (a *agents) runActions(ctx context.Context) error {
 	blobs, err := cas.Dial(a.cluster.Blobs(), "")
 	if err != nil {
 		return fmt.Errorf("dialing the blob store: %w", err)
 	}
 	defer blobs.Close()
 	var addrs []string
-	for i := range a.config.Controllers {
+	for i := range a.clusterConfig.Controllers {
 		addrs = append(addrs, a.cluster.Builds(i))
 	}
 	executor, err := reapi.Dial(addrs, "")
@@ -200,7 +200,7 @@
 }
 
 // usages returns the resource usage of the agents so far, by machine type.
-func (a *agentPool) usages() map[string]processUsage {
+func (a *agents) usages() map[string]processUsage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := make(map[string]processUsage)
@@ -213,7 +213,7 @@
 }
 
 // stop kills the blob store. The agents are killed by the emulated cloud that started them.
-func (a *agentPool) stop() {
+func (a *agents) stop() {
 	if a.blobStore != nil {
 		a.blobStore.Kill()
 	}
--- a/internal/scale/agents_test.go
+++ b/internal/scale/agents_test.go
@@ -17,7 +17,7 @@
 // without a word, so that the figures of a step were not those of agents.
 func TestAgentStartErrorIsReported(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "no-such-program")
-	a := &agentPool{program: missing, dir: t.TempDir(), config: &emulator.Config{}, cluster: &emulator.Cluster{}, procs: map[string]*process{}}
+	a := &agents{program: missing, dir: t.TempDir(), clusterConfig: &emulator.Config{}, cluster: &emulator.Cluster{}, procs: map[string]*process{}}
 	if err := a.startBlobStore(t.Context()); err == nil || !strings.Contains(err.Error(), missing) {
 		t.Errorf("error %v, want one that names %s", err, missing)
 	}
--- a/internal/scale/loadgenerator.go
+++ b/internal/scale/loadgenerator.go
@@ -94,8 +94,8 @@
 	g.leaderKilledAt = now
 }
 
-// recordUnstartedUrgentJobs records urgent jobs that have not started as if they started now.
-func (g *loadGenerator) recordUnstartedUrgentJobs(now time.Time) {
+// close records urgent jobs that have not started as if they started now.
+func (g *loadGenerator) close(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for job := range g.urgent {
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -60,7 +60,7 @@
 	Rows              []Row      `json:"rows"`
 	StartsReached     float64    `json:"starts_reached"` // task starts per second during the measurement
 	BytesPerStart     float64    `json:"state_bytes_per_start"`
-	WorkersUp         int        `json:"workers_up"`
+	Up                int        `json:"workers_up"`
 	TasksRunning      int        `json:"tasks_running"` // at the end of the measurement
 	FleetFull         bool       `json:"full"`          // the fleet was full before FillTimeout had passed
 	FillSeconds       float64    `json:"fill_s"`
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -42,7 +42,7 @@
 			full = " (not full)"
 		}
 		fmt.Fprintf(text, "| %g | %g | %g | %g | %g | %s | %d | %d%s | %s | %d, %d | %d of %d | %d, %d, %d | %s | %d, %d |\n", o.Step[Workers], o.Step[Teams], o.Step[Controllers], o.Step[Tasks], o.Step[Starts],
-			formatNumber(o.StartsReached), o.WorkersUp, o.TasksRunning, full, formatNumber(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.FailedSubmissions, o.FailedSubmissions+o.Submitted,
+			formatNumber(o.StartsReached), o.Up, o.TasksRunning, full, formatNumber(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.FailedSubmissions, o.FailedSubmissions+o.Submitted,
 			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, formatNumber(o.FailoverSeconds), o.FailoverStart.P50, o.FailoverStart.Max)
 	}
 	fmt.Fprintln(text)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -132,7 +132,7 @@
 		t.Fatalf("%d steps, %v", len(all), err)
 	}
 	o := all[0]
-	if !o.FleetFull || o.WorkersUp < 20 || o.TasksRunning == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverSeconds <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
+	if !o.FleetFull || o.Up < 20 || o.TasksRunning == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverSeconds <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
 		t.Errorf("%+v", o)
 	}
 	for role, measures := range map[Role][]Measure{
--- a/internal/scale/step.go
+++ b/internal/scale/step.go
@@ -65,8 +65,8 @@
 // record records what each role used between two samples.
 func (t *testbed) record(o *Outcome, before, after sample, leader string) {
 	seconds := after.at.Sub(before.at).Seconds()
-	o.WorkersUp, o.TasksRunning = after.status.Up, after.status.RunningTasks
-	starts := float64(after.startedTasks - before.startedTasks)
+	o.Up, o.TasksRunning = after.status.Up, after.status.RunningTasks
+	starts := float64(after.tasksStarted - before.tasksStarted)
 	o.StartsReached = starts / seconds
 	flows := subtractFlows(before.traffic, after.traffic)
 	if starts > 0 {
@@ -74,8 +74,8 @@
 	}
 	followers := 0.0
 	var followersUsage controllerUsage
-	for name, used := range after.controllers {
-		controller := newControllerUsage(name, name == leader, used, before.controllers[name], flows, seconds)
+	for name, usage := range after.usage {
+		controller := newControllerUsage(name, name == leader, usage, before.usage[name], flows, seconds)
 		if name == leader {
 			controller.record(o, Leader)
 			continue
@@ -86,10 +86,10 @@
 	if followers > 0 {
 		followersUsage.dividedBy(followers).record(o, Follower)
 	}
-	for typ, used := range after.agents {
-		role := Role(fmt.Sprintf("%s with %s actions at once", Agent, typ[len("agent-"):]))
-		o.add(role, CPU, (used.cpuTime-before.agents[typ].cpuTime).Seconds()/seconds)
-		o.add(role, Memory, megabytes(used.peakMemory))
+	for machineType, usage := range after.agents {
+		role := Role(fmt.Sprintf("%s with %s actions at once", Agent, machineType[len("agent-"):]))
+		o.add(role, CPU, (usage.cpuTime-before.agents[machineType].cpuTime).Seconds()/seconds)
+		o.add(role, Memory, megabytes(usage.peakMemory))
 	}
 	t.recordWorkers(o, flows, seconds)
 	o.add(StateService, Keys, float64(after.status.Keys))
@@ -101,7 +101,7 @@
 
 // recordWorkers records what an emulated worker sends and receives, on average.
 func (t *testbed) recordWorkers(o *Outcome, flows map[emulator.Direction]emulator.Flow, seconds float64) {
-	workers := float64(max(1, o.WorkersUp-len(t.plan.ActionsPerAgent)))
+	workers := float64(max(1, o.Up-len(t.plan.ActionsPerAgent)))
 	recordFlows(o, Worker, flowTo(flows, emulator.Machines), flowFrom(flows, emulator.Machines), seconds*workers)
 }
 
@@ -135,7 +135,7 @@
 // recordLoad records what the load generator measured, once all its goroutines have ended.
 func (t *testbed) recordLoad(o *Outcome) {
 	g := t.loadGen
-	g.recordUnstartedUrgentJobs(time.Now())
+	g.close(time.Now())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	o.Accept, o.Start, o.Urgent, o.FailoverStart = load.TimesOf(g.acceptTimes), load.TimesOf(g.startTimes), load.TimesOf(g.urgentStartTimes), load.TimesOf(g.failoverStartTimes)
@@ -162,12 +162,12 @@
 
 // newControllerUsage returns what a controller used between two samples. Calls to machines do not carry the name
 // of the calling controller; they are attributed to the leader.
-func newControllerUsage(name string, isLeader bool, used, before processUsage, flows map[emulator.Direction]emulator.Flow, seconds float64) controllerUsage {
+func newControllerUsage(name string, isLeader bool, usage, before processUsage, flows map[emulator.Direction]emulator.Flow, seconds float64) controllerUsage {
 	in, out := flowTo(flows, name), flowFrom(flows, name)
 	if isLeader {
 		in, out = in.Add(flowTo(flows, emulator.Controllers)), out.Add(flowFrom(flows, emulator.Controllers))
 	}
-	return controllerUsage{(used.cpuTime - before.cpuTime).Seconds() / seconds, megabytes(used.peakMemory), rateOf(in, seconds), rateOf(out, seconds)}
+	return controllerUsage{(usage.cpuTime - before.cpuTime).Seconds() / seconds, megabytes(usage.peakMemory), rateOf(in, seconds), rateOf(out, seconds)}
 }
 
 func (c controllerUsage) plus(other controllerUsage) controllerUsage {
--- a/internal/scale/testbed.go
+++ b/internal/scale/testbed.go
@@ -28,14 +28,14 @@
 	cluster       *emulator.Cluster
 	clusterConfig *emulator.Config
 	procs         *emulator.Processes
-	agents        *agentPool
+	agents        *agents
 	loadGen       *loadGenerator
 	dir           string
 	stop          context.CancelFunc
 }
 
-// clusterConfig returns the configuration of the emulated cluster of a step.
-func clusterConfig(p *Plan, step Point) *emulator.Config {
+// newClusterConfig returns the configuration of the emulated cluster of a step.
+func newClusterConfig(p *Plan, step Point) *emulator.Config {
 	slots := step[Tasks]
 	workerType := wire.MachineType{Name: emulatedMachineType, CPUs: slots, GPUs: slots, MemoryGB: 4 * slots, CacheGB: 100, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: zones}
 	c := emulator.DefaultConfig()
@@ -64,7 +64,7 @@
 
 // startTestbed starts the emulated cluster of a step, its controllers and, if the plan has agents, the blob store.
 func startTestbed(ctx context.Context, p *Plan, step Point, program string, port int) (t *testbed, err error) {
-	t = &testbed{plan: p, step: step, clusterConfig: clusterConfig(p, step)}
+	t = &testbed{plan: p, step: step, clusterConfig: newClusterConfig(p, step)}
 	ctx, t.stop = context.WithCancel(ctx)
 	defer func() {
 		if err != nil {
@@ -76,7 +76,7 @@
 	}
 	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 2 * maxInFlight, Dial: emulator.Dial}
 	t.loadGen = newLoadGenerator(step, p.Seed, caller)
-	t.agents = &agentPool{program: program, dir: t.dir, config: t.clusterConfig, actionsPerAgent: p.ActionsPerAgent, procs: map[string]*process{}}
+	t.agents = &agents{program: program, dir: t.dir, clusterConfig: t.clusterConfig, actionsPerAgent: p.ActionsPerAgent, procs: map[string]*process{}}
 	t.procs = &emulator.Processes{Program: program, Level: "error", Dir: t.dir, Tuning: operatorSettings}
 	t.procs.Begin(ctx)
 	t.cluster, err = emulator.Start(ctx, t.clusterConfig, emulator.Options{Port: port, Dir: t.dir, Log: slog.New(slog.DiscardHandler), Kill: t.procs.KillNamed, Pause: t.procs.PauseNamed,
@@ -150,17 +150,17 @@
 	at           time.Time
 	status       emulator.Status
 	traffic      map[emulator.Direction]emulator.Flow
-	controllers  map[string]processUsage // by controller name
+	usage        map[string]processUsage // by controller name
 	agents       map[string]processUsage // by machine type
-	startedTasks int64
+	tasksStarted int64
 }
 
 func (t *testbed) takeSample() sample {
-	r := sample{at: time.Now(), status: t.cluster.Status(), traffic: t.cluster.Traffic(), controllers: map[string]processUsage{}, agents: t.agents.usages(), startedTasks: t.loadGen.startedTasks.Load()}
+	r := sample{at: time.Now(), status: t.cluster.Status(), traffic: t.cluster.Traffic(), usage: map[string]processUsage{}, agents: t.agents.usages(), tasksStarted: t.loadGen.startedTasks.Load()}
 	for i := range t.clusterConfig.Controllers {
 		if pid := t.procs.PID(i); pid > 0 {
-			if used, err := readProcessUsage(pid); err == nil {
-				r.controllers[controllerName(i)] = used
+			if usage, err := readProcessUsage(pid); err == nil {
+				r.usage[controllerName(i)] = usage
 			}
 		}
 	}
