--- a/cmd/amberdeal-lab/main.go
+++ b/cmd/amberdeal-lab/main.go
@@ -60,13 +60,13 @@
 // Run runs or resumes an experiment and writes its report. Without a file it only writes the report
 // of the outcomes that exist.
 func (e experimentCmd) Run() error {
-	var all, against []*experiment.Outcome
+	var outcomes, against []*experiment.Outcome
 	var err error
 	if e.File == "" {
-		if all, err = experiment.Read(e.Out); err != nil {
+		if outcomes, err = experiment.Read(e.Out); err != nil {
 			return settingsError{err}
 		}
-	} else if all, err = e.run(); err != nil {
+	} else if outcomes, err = e.run(); err != nil {
 		return err
 	}
 	if e.Against != "" {
@@ -75,12 +75,12 @@
 		}
 	}
 	report := filepath.Join(e.Out, "report.html")
-	if err := experiment.Report(report, all, against); err != nil {
+	if err := experiment.Report(report, outcomes, against); err != nil {
 		return err
 	}
 	fmt.Println(report)
 	failures := 0
-	for _, o := range all {
+	for _, o := range outcomes {
 		failures += len(o.Result.Violations) + len(o.Result.Open)
 	}
 	if failures > 0 {
@@ -120,7 +120,7 @@
 	r := experiment.Runner{Plan: plan, Out: e.Out, Program: e.Program, Log: slog.New(slog.DiscardHandler), Progress: func(_ experiment.Cell, completed, _ int, _ bool) {
 		_ = bar.Set(completed)
 	}}
-	all, err := r.Run(ctx)
+	outcomes, err := r.Run(ctx)
 	fmt.Fprintln(os.Stderr)
-	return all, err
+	return outcomes, err
 }
--- a/cmd/amberdeal-lab/scale.go
+++ b/cmd/amberdeal-lab/scale.go
@@ -37,9 +37,9 @@
 	bar := progressbar.NewOptions(len(plan.Steps()), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("steps"), progressbar.OptionShowCount())
 	_ = bar.RenderBlank()
 	runner := scale.Runner{Plan: plan, Out: s.Out, Program: s.Program, Port: s.Port, Progress: func(scale.Point, bool) { _ = bar.Add(1) }}
-	all, err := runner.Run(ctx)
+	outcomes, err := runner.Run(ctx)
 	fmt.Fprintln(os.Stderr)
-	return errors.Join(err, s.report(plan, all), violations(all))
+	return errors.Join(err, s.report(plan, outcomes), violations(outcomes))
 }
 
 // plan reads the plan, and rejects it if a step requires more than this machine has.
@@ -62,8 +62,8 @@
 }
 
 // report writes the tables to scale.md, and prints them, or the outcomes as JSON.
-func (s scaleCmd) report(plan *scale.Plan, all []*scale.Outcome) error {
-	tables := scale.Report(plan, all)
+func (s scaleCmd) report(plan *scale.Plan, outcomes []*scale.Outcome) error {
+	tables := scale.Report(plan, outcomes)
 	if err := os.WriteFile(filepath.Join(s.Out, "scale.md"), []byte(tables), 0o644); err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 		fmt.Print(tables)
 		return nil
 	}
-	text, err := json.MarshalIndent(all, "", "  ")
+	text, err := json.MarshalIndent(outcomes, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -83,9 +83,9 @@
 const maxViolations = 10
 
 // violations returns an error if a rule was violated in any step.
-func violations(all []*scale.Outcome) error {
+func violations(outcomes []*scale.Outcome) error {
 	var errs []error
-	for _, o := range all {
+	for _, o := range outcomes {
 		for _, violation := range o.Violations[:min(maxViolations, len(o.Violations))] {
 			errs = append(errs, fmt.Errorf("%v: %s", o.Step, violation))
 		}
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -72,9 +72,9 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	b := newProgressBar(0, "reading")
-	defer b.Finish()
-	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
+	bar := newProgressBar(0, "reading")
+	defer bar.Finish()
+	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = bar.Set(keys) })
 }
 
 // stateSummary is the JSON output of inspect and verify.
@@ -89,17 +89,17 @@
 }
 
 func summarize(ctx context.Context, items []wire.KeyValue, revision uint64) stateSummary {
-	a := archive.Verify(ctx, items)
-	if a.Problems == nil {
-		a.Problems = []string{}
+	summary := archive.Verify(ctx, items)
+	if summary.Problems == nil {
+		summary.Problems = []string{}
 	}
-	return stateSummary{revision, a.Format, a.FencingToken, a.Live, a.Ended, a.Kinds, a.Problems}
+	return stateSummary{revision, summary.Format, summary.FencingToken, summary.Live, summary.Ended, summary.Kinds, summary.Problems}
 }
 
-func (a stateSummary) printJSON() error {
+func (summary stateSummary) printJSON() error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
-	return enc.Encode(a)
+	return enc.Encode(summary)
 }
 
 type stateInspect struct {
@@ -115,22 +115,22 @@
 	if err != nil {
 		return err
 	}
-	a := summarize(ctx, items, revision)
+	summary := summarize(ctx, items, revision)
 	if s.JSON {
-		return a.printJSON()
+		return summary.printJSON()
 	}
-	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
+	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", summary.Revision, summary.Format, summary.FencingToken, summary.LiveJobs, summary.EndedJobs)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tkeys\tjobs\tbytes\tlargest\toldest revision\tnewest\t")
-	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
-		k := a.Kinds[kind]
+	for _, kind := range slices.Sorted(maps.Keys(summary.Kinds)) {
+		k := summary.Kinds[kind]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", kind, k.Keys, k.Jobs, k.Bytes, k.Largest, k.Oldest, k.Newest)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if len(a.Problems) > 0 {
-		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(a.Problems))
+	if len(summary.Problems) > 0 {
+		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(summary.Problems))
 	}
 	return nil
 }
@@ -156,8 +156,8 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	h := snapshot.Header{StateFormat: snapshot.StateFormat(items), Revision: revision, TakenAtUnix: time.Now().Unix()}
-	if err := errors.Join(snapshot.Write(f, h, items), f.Sync(), f.Close()); err != nil {
+	header := snapshot.Header{StateFormat: snapshot.StateFormat(items), Revision: revision, TakenAtUnix: time.Now().Unix()}
+	if err := errors.Join(snapshot.Write(f, header, items), f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	if err := os.Rename(f.Name(), s.File); err != nil {
@@ -174,11 +174,11 @@
 		return snapshot.Header{}, nil, "", err
 	}
 	defer f.Close()
-	h, items, sum, err := snapshot.Read(f)
+	header, items, sum, err := snapshot.Read(f)
 	if err != nil {
-		return h, nil, "", fmt.Errorf("%s: %w", name, err)
+		return header, nil, "", fmt.Errorf("%s: %w", name, err)
 	}
-	return h, items, sum, nil
+	return header, items, sum, nil
 }
 
 type stateVerify struct {
@@ -198,32 +198,32 @@
 	case (s.File == "") == (s.Config == ""):
 		return settingsError{errors.New("state verify takes either --config, for the live state, or a file")}
 	case s.File != "":
-		h, read, _, err := readExport(s.File)
+		header, read, _, err := readExport(s.File)
 		if err != nil {
 			return err
 		}
-		items, revision = read, h.Revision
+		items, revision = read, header.Revision
 	default:
 		var err error
 		if items, revision, err = (liveState{settingsFlags{s.Config, s.Settings}}).export(ctx); err != nil {
 			return err
 		}
 	}
-	a := summarize(ctx, items, revision)
+	summary := summarize(ctx, items, revision)
 	if s.JSON {
-		if err := a.printJSON(); err != nil {
+		if err := summary.printJSON(); err != nil {
 			return err
 		}
 	} else {
-		for _, p := range a.Problems {
+		for _, p := range summary.Problems {
 			fmt.Println(p)
 		}
 	}
-	if len(a.Problems) > 0 {
-		return fmt.Errorf("%d invariants do not hold at revision %d", len(a.Problems), a.Revision)
+	if len(summary.Problems) > 0 {
+		return fmt.Errorf("%d invariants do not hold at revision %d", len(summary.Problems), summary.Revision)
 	}
 	if !s.JSON {
-		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
+		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", summary.Revision, len(items), summary.LiveJobs, summary.EndedJobs)
 	}
 	return nil
 }
@@ -237,23 +237,23 @@
 func (s stateImport) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
-	h, items, sum, err := readExport(s.File)
+	header, items, sum, err := readExport(s.File)
 	if err != nil {
 		return err
 	}
-	if a := archive.Verify(ctx, items); len(a.Problems) > 0 {
-		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(a.Problems), a.Problems[0])
+	if summary := archive.Verify(ctx, items); len(summary.Problems) > 0 {
+		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(summary.Problems), summary.Problems[0])
 	}
-	c, lim, err := s.newClient()
+	c, limits, err := s.newClient()
 	if err != nil {
 		return err
 	}
-	b := newProgressBar(len(items), "writing")
-	token, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
-	_ = b.Finish()
+	bar := newProgressBar(len(items), "writing")
+	token, err := snapshot.Import(ctx, c, items, sum, limits, func(done, _ int) { _ = bar.Set(done) })
+	_ = bar.Finish()
 	if err != nil {
 		return fmt.Errorf("%w (run it again with the same file to resume the import)", err)
 	}
-	fmt.Printf("%d keys of %s are imported, the next leader has a fencing token above %d\n", len(items), h.TakenAt().Format(time.RFC3339), token)
+	fmt.Printf("%d keys of %s are imported, the next leader has a fencing token above %d\n", len(items), header.TakenAt().Format(time.RFC3339), token)
 	return nil
 }
--- a/internal/scale/agents_test.go
+++ b/internal/scale/agents_test.go
@@ -8,13 +8,10 @@
 	"amberdeal.example/amberdeal/internal/emulator"
 )
 
-// TestAgentStartErrorIsReported checks that a step ends with an error that names the program if it can't be
-// started. Two faults are guarded against: stopping panicked after the blob store had failed to start, because
-// its process was kept although it had none; and an agent that could not be started was silently replaced by an
-// emulated machine, so that the step's measurements were not those of agents. the program can't be started, the
-// step ends with an error that names it. What happened before: the blob store's process was kept although it had
-// none, and ending the step panicked; and an agent that could not be started was replaced by an emulated machine
-// without a word, so that the figures of a step were not those of agents.
+// TestAgentStartErrorIsReported checks that a step ends with an error that names the program if the program can't be
+// started. It guards against two faults: after the blob store had failed to start, stopping it panicked, because a
+// process that did not exist was kept; and an agent that could not be started was silently replaced by an emulated
+// machine, so that the step's measurements were not those of agents.
 func TestAgentStartErrorIsReported(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "no-such-program")
 	a := &agents{program: missing, dir: t.TempDir(), clusterConfig: &emulator.Config{}, cluster: &emulator.Cluster{}, procs: map[string]*process{}}
--- a/internal/scale/loadgenerator.go
+++ b/internal/scale/loadgenerator.go
@@ -22,7 +22,7 @@
 	maxTasksPerJob     = 32              // tasks of an ordinary job
 	urgentTaskDuration = 2 * time.Second // run time of the task of an urgent job
 	answerTimeout      = 5 * time.Second // timeout of one submission request
-	submitTimeout      = time.Minute     // a job that is not accepted within this time is not retried again
+	submitTimeout      = time.Minute     // a submission that is not accepted within this time is no longer retried
 	maxHistogramMillis = 10 * 60 * 1000  // largest duration that a histogram records; longer ones count as this
 	histogramDigits    = 3               // significant decimal digits of a histogram's values
 	maxInFlight        = 256             // concurrent submissions
--- a/internal/scale/outcome.go
+++ b/internal/scale/outcome.go
@@ -125,9 +125,9 @@
 }
 
 // writeTable writes the Parquet file with the rows of all steps.
-func writeTable(dir string, all []*Outcome) error {
+func writeTable(dir string, outcomes []*Outcome) error {
 	var rows []Row
-	for _, o := range all {
+	for _, o := range outcomes {
 		rows = append(rows, o.Rows...)
 	}
 	if err := parquet.WriteFile(filepath.Join(dir, "scale.parquet"), rows); err != nil {
--- a/internal/scale/predict.go
+++ b/internal/scale/predict.go
@@ -44,23 +44,23 @@
 
 // Predict predicts every measure at a plan's target, from the step at its middle and the slopes
 // along each axis.
-func Predict(p *Plan, all []*Outcome) []Prediction {
-	middle := outcomeAt(all, p.Middle)
+func Predict(p *Plan, outcomes []*Outcome) []Prediction {
+	middle := outcomeAt(outcomes, p.Middle)
 	if middle == nil {
 		return nil
 	}
 	var out []Prediction
 	for _, row := range middle.Rows {
-		out = append(out, predict(p, all, middle, row))
+		out = append(out, predict(p, outcomes, middle, row))
 	}
 	return out
 }
 
-func predict(p *Plan, all []*Outcome, middle *Outcome, row Row) Prediction {
+func predict(p *Plan, outcomes []*Outcome, middle *Outcome, row Row) Prediction {
 	out := Prediction{Role: row.Role, Measure: row.Measure, Middle: row.Value, Value: row.Value, Slopes: make(map[Axis]Slope)}
 	variance := 0.0
 	for _, axis := range Axes {
-		positions, values := valuesAlong(p, all, axis, row)
+		positions, values := valuesAlong(p, outcomes, axis, row)
 		if len(positions) < 2 {
 			continue
 		}
@@ -76,8 +76,8 @@
 
 // valuesAlong returns the values of a measure at the steps that differ from the middle on at most the given
 // axis, and the positions of these steps on it.
-func valuesAlong(p *Plan, all []*Outcome, axis Axis, row Row) (positions, values []float64) {
-	for _, o := range all {
+func valuesAlong(p *Plan, outcomes []*Outcome, axis Axis, row Row) (positions, values []float64) {
+	for _, o := range outcomes {
 		if !differsOnlyAlong(o.Step, p.Middle, axis) {
 			continue
 		}
@@ -99,8 +99,8 @@
 }
 
 // outcomeAt returns the outcome of the step at a point, or nil if there is none.
-func outcomeAt(all []*Outcome, at Point) *Outcome {
-	for _, o := range all {
+func outcomeAt(outcomes []*Outcome, at Point) *Outcome {
+	for _, o := range outcomes {
 		if differsOnlyAlong(o.Step, at, "") {
 			return o
 		}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -26,17 +26,17 @@
 }
 
 // Report returns the measurements and the predictions of a run as Markdown tables.
-func Report(p *Plan, all []*Outcome) string {
+func Report(p *Plan, outcomes []*Outcome) string {
 	var text strings.Builder
-	writeSteps(&text, all)
-	writePredictions(&text, p, all)
+	writeSteps(&text, outcomes)
+	writePredictions(&text, p, outcomes)
 	return text.String()
 }
 
-func writeSteps(text *strings.Builder, all []*Outcome) {
+func writeSteps(text *strings.Builder, outcomes []*Outcome) {
 	fmt.Fprint(text, "| workers | teams | controllers | tasks a worker | starts/s asked | reached | workers up | running | bytes of the state a start | accepted p50, p99 ms | 503 of answers | urgent start p50, p99, max ms | claimed anew after s | urgent start then p50, max ms |\n")
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, o := range all {
+	for _, o := range outcomes {
 		full := ""
 		if !o.FleetFull {
 			full = " (not full)"
@@ -48,11 +48,11 @@
 	fmt.Fprintln(text)
 }
 
-func writePredictions(text *strings.Builder, p *Plan, all []*Outcome) {
+func writePredictions(text *strings.Builder, p *Plan, outcomes []*Outcome) {
 	fmt.Fprint(text, "| role | measure | middle | per 1,000 workers | per 100 teams | per controller | per task a worker | per 100 starts/s | predicted at the target | budget | ratio |\n")
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	units := map[Axis]float64{Workers: 1000, Teams: 100, Controllers: 1, Tasks: 1, Starts: 100}
-	for _, x := range Predict(p, all) {
+	for _, x := range Predict(p, outcomes) {
 		fmt.Fprintf(text, "| %s | %s | %s |", x.Role, x.Measure, formatNumber(x.Middle))
 		for _, axis := range Axes {
 			slope, known := x.Slopes[axis]
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -24,16 +24,16 @@
 	if err := os.MkdirAll(r.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("creating the output directory: %w", err)
 	}
-	var all []*Outcome
+	var outcomes []*Outcome
 	for _, step := range r.Plan.Steps() {
 		o, resumed, err := r.step(ctx, step)
 		if err != nil {
-			return all, fmt.Errorf("%v: %w", step, err)
+			return outcomes, fmt.Errorf("%v: %w", step, err)
 		}
-		all = append(all, o)
+		outcomes = append(outcomes, o)
 		r.Progress(step, resumed)
 	}
-	return all, writeTable(r.Out, all)
+	return outcomes, writeTable(r.Out, outcomes)
 }
 
 // step returns the outcome of a step, from an earlier run if there is one.
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -85,14 +85,14 @@
 func TestPredict(t *testing.T) {
 	p := DefaultPlan()
 	p.ActionsPerAgent = nil
-	var all []*Outcome
+	var outcomes []*Outcome
 	for i, step := range p.Steps() {
 		o := &Outcome{Step: step, StartsReached: step[Starts] / 2}
 		o.add(Leader, CPU, 0.1+0.0001*step[Workers]+0.002*o.StartsReached)
 		o.add(Follower, Memory, 50+step[Teams]/100*[]float64{1, -1}[i%2])
-		all = append(all, o)
+		outcomes = append(outcomes, o)
 	}
-	predicted := Predict(p, all)
+	predicted := Predict(p, outcomes)
 	if len(predicted) != 2 {
 		t.Fatalf("%d predictions", len(predicted))
 	}
@@ -105,7 +105,7 @@
 	if got := slopeOf([]float64{1}, []float64{2}); !math.IsNaN(got.PerUnit) {
 		t.Errorf("a slope through one point: %+v", got)
 	}
-	text := Report(p, all)
+	text := Report(p, outcomes)
 	for _, want := range []string{"| controller that holds the fleet | core share |", "5.39 ± ", "| 0.18 | 29.9 |", "| 4900 | 100 | 5 | 4 | 200 | 100 |"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is not in\n%s", want, text)
@@ -127,11 +127,11 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	r := Runner{Plan: p, Out: t.TempDir(), Program: program, Port: 23_100, Progress: func(Point, bool) { time.AfterFunc(2*time.Second, stop) }}
-	all, err := r.Run(ctx)
-	if !errors.Is(err, context.Canceled) || len(all) != 1 {
-		t.Fatalf("%d steps, %v", len(all), err)
+	outcomes, err := r.Run(ctx)
+	if !errors.Is(err, context.Canceled) || len(outcomes) != 1 {
+		t.Fatalf("%d steps, %v", len(outcomes), err)
 	}
-	o := all[0]
+	o := outcomes[0]
 	if !o.FleetFull || o.Up < 20 || o.TasksRunning == 0 || o.StartsReached <= 0 || o.Submitted == 0 || o.Urgent.Count == 0 || o.FailoverSeconds <= 0 || o.FailoverStart.Count == 0 || len(o.Violations) > 0 {
 		t.Errorf("%+v", o)
 	}
