--- a/cmd/amberdeal/client.go
+++ b/cmd/amberdeal/client.go
@@ -13,32 +13,33 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-type target struct {
+// controllerFlags name the controller that a command connects to.
+type controllerFlags struct {
 	Addr string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_ADDR" help:"A controller's public address."`
 }
 
-// ask sends a request, again while the service says to come back, for a
-// minute.
-func (t target) ask(method, path string, body []byte) error {
+// send sends a request and prints the job's status from the response. It retries for up to a minute while the
+// controller can't be reached or answers that it is busy (429, 503 or 504).
+func (f controllerFlags) send(method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	caller := transport.Caller{MaxBody: wire.MaxBody, Dial: transport.Sockets{}.Dial}
 	for {
-		call, done := context.WithTimeout(ctx, 5*time.Second)
-		resp, err := caller.Call(call, t.Addr, method, path, body)
-		done()
+		callCtx, cancelCall := context.WithTimeout(ctx, 5*time.Second)
+		resp, err := caller.Call(callCtx, f.Addr, method, path, body)
+		cancelCall()
 		wait := time.Second
 		if err == nil {
 			switch resp.Status {
 			case 200, 201:
-				return show(resp.Body)
+				return printJobStatus(resp.Body)
 			case 429, 503, 504:
 				wait = max(wait, resp.RetryAfter)
 				err = fmt.Errorf("the service is busy (status %d)", resp.Status)
 			default:
-				var f wire.Failure
-				_ = wire.Decode(resp.Body, &f)
-				return fmt.Errorf("refused with status %d: %s", resp.Status, f.Error)
+				var failure wire.Failure
+				_ = wire.Decode(resp.Body, &failure)
+				return fmt.Errorf("refused with status %d: %s", resp.Status, failure.Error)
 			}
 		}
 		select {
@@ -49,7 +50,7 @@
 	}
 }
 
-func show(body []byte) error {
+func printJobStatus(body []byte) error {
 	var s wire.JobStatus
 	if err := wire.Decode(body, &s); err != nil {
 		return fmt.Errorf("answer not understood: %w", err)
@@ -59,7 +60,7 @@
 }
 
 type submitCmd struct {
-	target
+	controllerFlags
 	File string `arg:"" help:"The job's description as JSON, or - for standard input."`
 }
 
@@ -78,28 +79,27 @@
 	if err != nil {
 		return err
 	}
-	job, err := fromJSON(text)
+	job, err := jobFromJSON(text)
 	if err != nil {
 		return err
 	}
 	if _, err := wire.DecodeJob(job); err != nil {
 		return fmt.Errorf("the job is malformed:\n%w", err)
 	}
-	return s.ask("POST", wire.PathJobs, job)
+	return s.send("POST", wire.PathJobs, job)
 }
 
-// fromJSON turns a JSON object into the CBOR map that the service takes.
-// Whole numbers stay whole.
-func fromJSON(text []byte) ([]byte, error) {
+// jobFromJSON converts a JSON object to the CBOR map that the service expects. Whole numbers become CBOR integers.
+func jobFromJSON(text []byte) ([]byte, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, fmt.Errorf("the job is not a JSON object: %w", err)
 	}
 	out := make(map[string]any, len(m))
 	for k, raw := range m {
-		var whole int64
-		if json.Unmarshal(raw, &whole) == nil && string(raw) != "null" {
-			out[k] = whole
+		var integer int64
+		if json.Unmarshal(raw, &integer) == nil && string(raw) != "null" {
+			out[k] = integer
 			continue
 		}
 		var v any
@@ -112,7 +112,7 @@
 }
 
 type jobArg struct {
-	target
+	controllerFlags
 	ID string `arg:"" help:"The job's id, such as wk-000412."`
 }
 
@@ -125,12 +125,12 @@
 
 type statusCmd struct{ jobArg }
 
-// Run asks about the job.
+// Run prints the status of the job.
 func (s statusCmd) Run() error {
 	if err := s.check(); err != nil {
 		return err
 	}
-	return s.ask("GET", wire.PathJobs+"/"+s.ID, nil)
+	return s.send("GET", wire.PathJobs+"/"+s.ID, nil)
 }
 
 type abortCmd struct{ jobArg }
@@ -140,5 +140,5 @@
 	if err := a.check(); err != nil {
 		return err
 	}
-	return a.ask("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelWord, []byte{})
+	return a.send("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelWord, []byte{})
 }
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -29,14 +29,14 @@
 	Get reapiGet `cmd:"" help:"Read a blob."`
 }
 
-// storeFlags say where blobs are.
-type storeFlags struct {
+// casFlags select the blob store and the instance in it.
+type casFlags struct {
 	Cas      string `required:"" placeholder:"IP:PORT" env:"AMBERDEAL_CAS" help:"Address of amberdeal cas."`
 	Instance string `help:"Instance name: TEAM or TEAM/CLASS."`
 }
 
 type reapiRun struct {
-	storeFlags
+	casFlags
 	Executor  []string          `required:"" placeholder:"IP:PORT,..." env:"AMBERDEAL_REAPI" help:"Addresses of the controllers for build tools."`
 	Input     []string          `short:"i" placeholder:"PATH" help:"File or directory below this one that the command needs; may be repeated."`
 	Output    []string          `short:"o" placeholder:"PATH" help:"File or directory that it leaves, to be brought back; may be repeated."`
@@ -48,14 +48,15 @@
 	Args      []string          `arg:"" passthrough:"" help:"The command, after --."`
 }
 
-// exitWith is the exit code of a command that was executed.
-type exitWith struct{ code int }
+// commandExitError reports that an executed command exited with a code other than 0. The program exits with the
+// same code.
+type commandExitError struct{ code int }
 
-func (e exitWith) Error() string { return fmt.Sprintf("the command exited with %d", e.code) }
+func (e commandExitError) Error() string { return fmt.Sprintf("the command exited with %d", e.code) }
 
-// Run has the command executed; its output goes to standard output and error.
+// Run executes the command remotely and copies its output to standard output and standard error.
 func (r reapiRun) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	args := r.Args
 	if len(args) > 0 && args[0] == "--" {
@@ -69,48 +70,49 @@
 		return err
 	}
 	defer blobs.Close()
-	g, err := r.upload(ctx, blobs, args)
+	actionDigest, err := r.upload(ctx, blobs, args)
 	if err != nil {
 		return err
 	}
-	builds, err := reapi.Dial(r.Executor, r.Instance)
+	executor, err := reapi.Dial(r.Executor, r.Instance)
 	if err != nil {
 		return err
 	}
-	defer builds.Close()
-	watch := &progressScreen{c: blobs}
-	resp, err := builds.Execute(ctx, g, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { watch.tell(ctx, m) })
+	defer executor.Close()
+	printer := &progressPrinter{casClient: blobs}
+	resp, err := executor.Execute(ctx, actionDigest, r.SkipCache, func(m *repb.ExecuteOperationMetadata) { printer.update(ctx, m) })
 	if err != nil {
 		return err
 	}
-	stdout, stderr := watch.finish()
+	stdout, stderr := printer.finish()
 	return r.finish(ctx, blobs, resp, stdout, stderr)
 }
 
-// progressScreen shows how an execution stands, and what its command writes meanwhile.
-type progressScreen struct {
-	c     *cas.Client
-	stage repb.ExecutionStage_Value
-	stop  context.CancelFunc
-	group sync.WaitGroup
-	shown [2]int64
+// progressPrinter prints the stage of an execution, and streams the output of its command while it runs.
+type progressPrinter struct {
+	casClient   *cas.Client
+	stage       repb.ExecutionStage_Value
+	stop        context.CancelFunc
+	group       sync.WaitGroup
+	copiedBytes [2]int64
 }
 
-func (l *progressScreen) tell(ctx context.Context, m *repb.ExecuteOperationMetadata) {
-	if m.Stage == l.stage {
+// update prints a new stage, and starts streaming the output once the streams are known.
+func (p *progressPrinter) update(ctx context.Context, m *repb.ExecuteOperationMetadata) {
+	if m.Stage == p.stage {
 		return
 	}
-	l.stage = m.Stage
+	p.stage = m.Stage
 	fmt.Fprintf(os.Stderr, "amberdeal: %s\n", strings.ToLower(m.Stage.String()))
-	if m.StdoutStreamName == "" || l.stop != nil {
+	if m.StdoutStreamName == "" || p.stop != nil {
 		return
 	}
-	ctx, l.stop = context.WithCancel(ctx)
+	ctx, p.stop = context.WithCancel(ctx)
 	for i, to := range []io.Writer{os.Stdout, os.Stderr} {
 		name := []string{m.StdoutStreamName, m.StderrStreamName}[i]
-		l.group.Go(func() {
-			for ctx.Err() == nil && l.shown[i] == 0 { // a log is there once something was written
-				if l.shown[i], _ = l.c.FollowLog(ctx, name, to); l.shown[i] == 0 {
+		p.group.Go(func() {
+			for ctx.Err() == nil && p.copiedBytes[i] == 0 { // a stream can be read only once something was written to it
+				if p.copiedBytes[i], _ = p.casClient.FollowLog(ctx, name, to); p.copiedBytes[i] == 0 {
 					store.Backoff(ctx, 200*time.Millisecond)
 				}
 			}
@@ -118,19 +120,19 @@
 	}
 }
 
-// finish ends the show, and tells how much of stdout and stderr was shown.
-func (l *progressScreen) finish() (stdout, stderr int64) {
-	if l.stop != nil {
-		l.stop()
-		l.group.Wait()
+// finish stops the streaming and returns the number of bytes of stdout and stderr that were copied.
+func (p *progressPrinter) finish() (stdout, stderr int64) {
+	if p.stop != nil {
+		p.stop()
+		p.group.Wait()
 	}
-	return l.shown[0], l.shown[1]
+	return p.copiedBytes[0], p.copiedBytes[1]
 }
 
-// upload writes the action and all that it needs, and gives its digest.
+// upload stores the action with its command and inputs, and returns the action's digest.
 func (r reapiRun) upload(ctx context.Context, c *cas.Client, args []string) (cas.Digest, error) {
-	f := cas.Functions[0]
-	root, err := action.Upload(ctx, c, f, ".", r.Input)
+	digestFunction := cas.Functions[0]
+	root, err := action.Upload(ctx, c, digestFunction, ".", r.Input)
 	if err != nil {
 		return root, err
 	}
@@ -142,32 +144,31 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Property)) {
 		platform.Properties = append(platform.Properties, &repb.Platform_Property{Name: name, Value: r.Property[name]})
 	}
-	cg, err := c.PutMessage(ctx, f, command)
+	commandDigest, err := c.PutMessage(ctx, digestFunction, command)
 	if err != nil {
-		return cg, err
+		return commandDigest, err
 	}
-	a := &repb.Action{CommandDigest: cg.Proto(), InputRootDigest: root.Proto(), DoNotCache: r.NoCache, Platform: platform}
+	a := &repb.Action{CommandDigest: commandDigest.Proto(), InputRootDigest: root.Proto(), DoNotCache: r.NoCache, Platform: platform}
 	if r.Timeout > 0 {
 		a.Timeout = durationpb.New(r.Timeout)
 	}
-	return c.PutMessage(ctx, f, a)
+	return c.PutMessage(ctx, digestFunction, a)
 }
 
-// skipWriter leaves out the first bytes, which were shown before.
+// skipWriter drops the first bytesToSkip bytes, which were streamed before, and writes the rest.
 type skipWriter struct {
-	to   io.Writer
-	skip int64
+	writer      io.Writer
+	bytesToSkip int64
 }
 
-func (b *skipWriter) Write(p []byte) (int, error) {
-	n := min(b.skip, int64(len(p)))
-	b.skip -= n
-	_, err := b.to.Write(p[n:])
+func (w *skipWriter) Write(p []byte) (int, error) {
+	n := min(w.bytesToSkip, int64(len(p)))
+	w.bytesToSkip -= n
+	_, err := w.writer.Write(p[n:])
 	return len(p), err
 }
 
-// finish prints the rest of what the command has written, and brings its outputs
-// back.
+// finish writes the part of the output that was not streamed, and downloads the command's output files.
 func (r reapiRun) finish(ctx context.Context, c *cas.Client, resp *repb.ExecuteResponse, stdout, stderr int64) error {
 	res := resp.Result
 	for _, o := range []struct {
@@ -179,9 +180,9 @@
 			return err
 		}
 		if o.digest != nil {
-			g, err := cas.ParseDigest(cas.Functions[0], o.digest)
+			digest, err := cas.ParseDigest(cas.Functions[0], o.digest)
 			if err == nil {
-				err = c.Read(ctx, g, o.to)
+				err = c.Read(ctx, digest, o.to)
 			}
 			if err != nil {
 				return err
@@ -198,24 +199,24 @@
 		fmt.Fprintln(os.Stderr, "amberdeal: the result was known")
 	}
 	if res.GetExitCode() != 0 {
-		return exitWith{int(res.ExitCode)}
+		return commandExitError{int(res.ExitCode)}
 	}
 	return nil
 }
 
 type reapiGet struct {
-	storeFlags
+	casFlags
 	Digest string `arg:"" help:"HASH/SIZE."`
 	Output string `short:"o" placeholder:"FILE" help:"Where it goes, instead of standard output."`
 }
 
-// Run reads the blob; a file is there only when all of it is.
+// Run reads the blob. A file is written under a temporary name first, so that it exists only once it is complete.
 func (r reapiGet) Run() error {
-	g, err := cas.DigestFromString(r.Digest)
+	digest, err := cas.DigestFromString(r.Digest)
 	if err != nil {
 		return settingsError{err}
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	c, err := cas.Dial(r.Cas, r.Instance)
 	if err != nil {
@@ -223,14 +224,14 @@
 	}
 	defer c.Close()
 	if r.Output == "" {
-		return c.Read(ctx, g, os.Stdout)
+		return c.Read(ctx, digest, os.Stdout)
 	}
 	f, err := os.CreateTemp(filepath.Dir(r.Output), filepath.Base(r.Output)+".part-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name())
-	if err := errors.Join(c.Read(ctx, g, f), f.Close()); err != nil {
+	if err := errors.Join(c.Read(ctx, digest, f), f.Close()); err != nil {
 		return err
 	}
 	return os.Rename(f.Name(), r.Output)
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -32,11 +32,12 @@
 	Import  stateImport  `cmd:"" help:"Import an export into an empty state service."`
 }
 
-// liveState is a state service that a command works on.
-type liveState struct{ files }
+// liveState is the state service that a command reads or writes, as the settings name it.
+type liveState struct{ settingsFlags }
 
-// client keeps to the share of one more controller.
-func (l liveState) client() (*store.Client, snapshot.Limits, error) {
+// newClient returns a client of the state service whose request rate is limited to the share of one additional
+// controller.
+func (l liveState) newClient() (*store.Client, snapshot.Limits, error) {
 	cfg, err := l.load()
 	if err != nil {
 		return nil, snapshot.Limits{}, err
@@ -46,36 +47,37 @@
 	return c, snapshot.Limits{ValueBytes: cfg.Store.ValueBytes, TxnOps: cfg.Store.TxnOps}, nil
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that ends at SIGTERM or SIGINT.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// progressBar shows progress on standard error, on a terminal only; all is 0 or less
-// where the end is not known.
-func progressBar(all int, what string) *progressbar.ProgressBar {
-	if all <= 0 {
-		all = -1
+// newProgressBar returns a progress bar of keys on standard error, which is shown only on a terminal. total is 0
+// or less if it is unknown.
+func newProgressBar(total int, description string) *progressbar.ProgressBar {
+	if total <= 0 {
+		total = -1
 	}
 	out := io.Writer(os.Stderr)
 	if info, err := os.Stderr.Stat(); err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		out = io.Discard
 	}
-	return progressbar.NewOptions(all, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription(what), progressbar.OptionShowCount(),
+	return progressbar.NewOptions(total, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription(description), progressbar.OptionShowCount(),
 		progressbar.OptionShowIts(), progressbar.OptionSetItsString("keys"), progressbar.OptionThrottle(100*time.Millisecond), progressbar.OptionClearOnFinish())
 }
 
-// take reads the live state.
-func (l liveState) take(ctx context.Context) ([]wire.KeyValue, uint64, error) {
-	c, _, err := l.client()
+// export reads the whole live state, with its revision.
+func (l liveState) export(ctx context.Context) ([]wire.KeyValue, uint64, error) {
+	c, _, err := l.newClient()
 	if err != nil {
 		return nil, 0, err
 	}
-	b := progressBar(0, "reading")
-	defer b.Finish()
-	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = b.Set(keys) })
+	bar := newProgressBar(0, "reading")
+	defer bar.Finish()
+	return snapshot.Export(ctx, c, func(keys int, _ string) { _ = bar.Set(keys) })
 }
 
-// stateSummary is what inspect and verify print.
+// stateSummary is the JSON output of inspect and verify.
 type stateSummary struct {
 	Revision     uint64                        `json:"revision"`
 	Format       int                           `json:"format"`
@@ -87,17 +89,17 @@
 }
 
 func summarize(ctx context.Context, items []wire.KeyValue, revision uint64) stateSummary {
-	a := archive.Verify(ctx, items)
-	if a.Problems == nil {
-		a.Problems = []string{}
+	summary := archive.Verify(ctx, items)
+	if summary.Problems == nil {
+		summary.Problems = []string{}
 	}
-	return stateSummary{revision, a.Format, a.FencingToken, a.Live, a.Ended, a.Kinds, a.Problems}
+	return stateSummary{revision, summary.Format, summary.FencingToken, summary.Live, summary.Ended, summary.Kinds, summary.Problems}
 }
 
-func (a stateSummary) json() error {
+func (summary stateSummary) printJSON() error {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
-	return enc.Encode(a)
+	return enc.Encode(summary)
 }
 
 type stateInspect struct {
@@ -105,30 +107,30 @@
 	JSON bool `help:"Print JSON."`
 }
 
-// Run prints what is there.
+// Run prints a summary of the live state.
 func (s stateInspect) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	items, revision, err := s.take(ctx)
+	items, revision, err := s.export(ctx)
 	if err != nil {
 		return err
 	}
-	a := summarize(ctx, items, revision)
+	summary := summarize(ctx, items, revision)
 	if s.JSON {
-		return a.json()
+		return summary.printJSON()
 	}
-	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", a.Revision, a.Format, a.FencingToken, a.LiveJobs, a.EndedJobs)
+	fmt.Printf("revision %d, format %d, fencing token %d: %d live jobs, %d ended ones\n\n", summary.Revision, summary.Format, summary.FencingToken, summary.LiveJobs, summary.EndedJobs)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "kind\tkeys\tjobs\tbytes\tlargest\toldest revision\tnewest\t")
-	for _, kind := range slices.Sorted(maps.Keys(a.Kinds)) {
-		k := a.Kinds[kind]
+	for _, kind := range slices.Sorted(maps.Keys(summary.Kinds)) {
+		k := summary.Kinds[kind]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", kind, k.Keys, k.Jobs, k.Bytes, k.Largest, k.Oldest, k.Newest)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if len(a.Problems) > 0 {
-		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(a.Problems))
+	if len(summary.Problems) > 0 {
+		fmt.Printf("\n%d problems: amberdeal state verify names them\n", len(summary.Problems))
 	}
 	return nil
 }
@@ -138,14 +140,14 @@
 	File string `arg:"" help:"The file to write; it must not exist."`
 }
 
-// Run writes the file under another name first: one that is there is whole.
+// Run writes the export under a temporary name first, so that the file exists only once it is complete.
 func (s stateExport) Run() error {
 	if _, err := os.Stat(s.File); err == nil {
-		return fmt.Errorf("%s: exists already", s.File)
+		return fmt.Errorf("%s: the file exists already", s.File)
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	items, revision, err := s.take(ctx)
+	items, revision, err := s.export(ctx)
 	if err != nil {
 		return err
 	}
@@ -154,8 +156,8 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	h := snapshot.Header{StateFormat: snapshot.StateFormat(items), Revision: revision, TakenAtUnix: time.Now().Unix()}
-	if err := errors.Join(snapshot.Write(f, h, items), f.Sync(), f.Close()); err != nil {
+	header := snapshot.Header{StateFormat: snapshot.StateFormat(items), Revision: revision, TakenAtUnix: time.Now().Unix()}
+	if err := errors.Join(snapshot.Write(f, header, items), f.Sync(), f.Close()); err != nil {
 		return err
 	}
 	if err := os.Rename(f.Name(), s.File); err != nil {
@@ -165,17 +167,18 @@
 	return nil
 }
 
-func readFile(name string) (snapshot.Header, []wire.KeyValue, string, error) {
+// readExport reads an export, with its header and checksum.
+func readExport(name string) (snapshot.Header, []wire.KeyValue, string, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return snapshot.Header{}, nil, "", err
 	}
 	defer f.Close()
-	h, items, sum, err := snapshot.Read(f)
+	header, items, sum, err := snapshot.Read(f)
 	if err != nil {
-		return h, nil, "", fmt.Errorf("%s: %w", name, err)
+		return header, nil, "", fmt.Errorf("%s: %w", name, err)
 	}
-	return h, items, sum, nil
+	return header, items, sum, nil
 }
 
 type stateVerify struct {
@@ -185,9 +188,9 @@
 	JSON     bool   `help:"Print JSON."`
 }
 
-// Run checks the file or the live state.
+// Run checks the invariants of an export or of the live state.
 func (s stateVerify) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	var items []wire.KeyValue
 	var revision uint64
@@ -195,32 +198,32 @@
 	case (s.File == "") == (s.Config == ""):
 		return settingsError{errors.New("state verify takes either --config, for the live state, or a file")}
 	case s.File != "":
-		h, read, _, err := readFile(s.File)
+		header, read, _, err := readExport(s.File)
 		if err != nil {
 			return err
 		}
-		items, revision = read, h.Revision
+		items, revision = read, header.Revision
 	default:
 		var err error
-		if items, revision, err = (liveState{files{s.Config, s.Settings}}).take(ctx); err != nil {
+		if items, revision, err = (liveState{settingsFlags{s.Config, s.Settings}}).export(ctx); err != nil {
 			return err
 		}
 	}
-	a := summarize(ctx, items, revision)
+	summary := summarize(ctx, items, revision)
 	if s.JSON {
-		if err := a.json(); err != nil {
+		if err := summary.printJSON(); err != nil {
 			return err
 		}
 	} else {
-		for _, p := range a.Problems {
+		for _, p := range summary.Problems {
 			fmt.Println(p)
 		}
 	}
-	if len(a.Problems) > 0 {
-		return fmt.Errorf("%d invariants do not hold at revision %d", len(a.Problems), a.Revision)
+	if len(summary.Problems) > 0 {
+		return fmt.Errorf("%d invariants do not hold at revision %d", len(summary.Problems), summary.Revision)
 	}
 	if !s.JSON {
-		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", a.Revision, len(items), a.LiveJobs, a.EndedJobs)
+		fmt.Printf("revision %d: %d keys, %d live jobs, %d ended ones, all as it should be\n", summary.Revision, len(items), summary.LiveJobs, summary.EndedJobs)
 	}
 	return nil
 }
@@ -230,27 +233,27 @@
 	File string `arg:"" help:"The export to import."`
 }
 
-// Run verifies the file first; an incomplete or invalid one is not imported at all.
+// Run verifies the file before the import, so that nothing of an incomplete or invalid file is imported.
 func (s stateImport) Run() error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	h, items, sum, err := readFile(s.File)
+	header, items, sum, err := readExport(s.File)
 	if err != nil {
 		return err
 	}
-	if a := archive.Verify(ctx, items); len(a.Problems) > 0 {
-		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(a.Problems), a.Problems[0])
+	if summary := archive.Verify(ctx, items); len(summary.Problems) > 0 {
+		return fmt.Errorf("%s: %d invariants do not hold, the first: %s", s.File, len(summary.Problems), summary.Problems[0])
 	}
-	c, lim, err := s.client()
+	c, limits, err := s.newClient()
 	if err != nil {
 		return err
 	}
-	b := progressBar(len(items), "writing")
-	token, err := snapshot.Import(ctx, c, items, sum, lim, func(done, _ int) { _ = b.Set(done) })
-	_ = b.Finish()
+	bar := newProgressBar(len(items), "writing")
+	token, err := snapshot.Import(ctx, c, items, sum, limits, func(done, _ int) { _ = bar.Set(done) })
+	_ = bar.Finish()
 	if err != nil {
 		return fmt.Errorf("%w (run it again with the same file to resume the import)", err)
 	}
-	fmt.Printf("%d keys of %s are imported, the next leader has a fencing token above %d\n", len(items), h.TakenAt().Format(time.RFC3339), token)
+	fmt.Printf("%d keys of %s are imported, the next leader has a fencing token above %d\n", len(items), header.TakenAt().Format(time.RFC3339), token)
 	return nil
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// Budgets is what users allow at the target.
+// Budgets are the resources that each role may use at the target, as the users of the system require. Measures
+// have the units that their names give.
 var Budgets = map[Role]map[Measure]float64{
 	Worker:   {BytesOut: 17, BytesIn: 17},
-	Agent:    {Processor: 0.016, Memory: 256},
-	Leader:   {Processor: 0.18, Memory: 234},
-	Follower: {Processor: 0.18, Memory: 234},
+	Agent:    {CPU: 0.016, Memory: 256},
+	Leader:   {CPU: 0.18, Memory: 234},
+	Follower: {CPU: 0.18, Memory: 234},
 }
 
-// budgetOf returns the budget of a measure, if there is one. All agents have the same budget,
-// whatever they run.
+// budgetOf returns the budget of a measure, and whether there is one. All agents have the same budget, however many
+// actions they run at once.
 func budgetOf(role Role, measure Measure) (float64, bool) {
 	if strings.HasPrefix(string(role), string(Agent)) {
 		role = Agent
@@ -24,53 +25,53 @@
 	return budget, known
 }
 
-// Report returns the tables of a run in Markdown.
-func Report(p *Plan, all []*Outcome) string {
+// Report returns the measurements and the predictions of a run as Markdown tables.
+func Report(p *Plan, outcomes []*Outcome) string {
 	var text strings.Builder
-	writeSteps(&text, all)
-	writePredictions(&text, p, all)
+	writeSteps(&text, outcomes)
+	writePredictions(&text, p, outcomes)
 	return text.String()
 }
 
-func writeSteps(text *strings.Builder, all []*Outcome) {
+func writeSteps(text *strings.Builder, outcomes []*Outcome) {
 	fmt.Fprint(text, "| workers | teams | controllers | tasks a worker | starts/s asked | reached | workers up | running | bytes of the state a start | accepted p50, p99 ms | 503 of answers | urgent start p50, p99, max ms | claimed anew after s | urgent start then p50, max ms |\n")
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, o := range all {
+	for _, o := range outcomes {
 		full := ""
-		if !o.Full {
+		if !o.FleetFull {
 			full = " (not full)"
 		}
 		fmt.Fprintf(text, "| %g | %g | %g | %g | %g | %s | %d | %d%s | %s | %d, %d | %d of %d | %d, %d, %d | %s | %d, %d |\n", o.Step[Workers], o.Step[Teams], o.Step[Controllers], o.Step[Tasks], o.Step[Starts],
-			short(o.StartsReached), o.Up, o.Running, full, short(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.Refused, o.Refused+o.Submitted,
-			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, short(o.FailoverS), o.FailoverStart.P50, o.FailoverStart.Max)
+			formatNumber(o.StartsReached), o.Up, o.TasksRunning, full, formatNumber(o.BytesPerStart), o.Accept.P50, o.Accept.P99, o.FailedSubmissions, o.FailedSubmissions+o.Submitted,
+			o.Urgent.P50, o.Urgent.P99, o.Urgent.Max, formatNumber(o.FailoverSeconds), o.FailoverStart.P50, o.FailoverStart.Max)
 	}
 	fmt.Fprintln(text)
 }
 
-func writePredictions(text *strings.Builder, p *Plan, all []*Outcome) {
+func writePredictions(text *strings.Builder, p *Plan, outcomes []*Outcome) {
 	fmt.Fprint(text, "| role | measure | middle | per 1,000 workers | per 100 teams | per controller | per task a worker | per 100 starts/s | predicted at the target | budget | ratio |\n")
 	fmt.Fprint(text, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	units := map[Axis]float64{Workers: 1000, Teams: 100, Controllers: 1, Tasks: 1, Starts: 100}
-	for _, x := range Predict(p, all) {
-		fmt.Fprintf(text, "| %s | %s | %s |", x.Role, x.Measure, short(x.Middle))
+	for _, x := range Predict(p, outcomes) {
+		fmt.Fprintf(text, "| %s | %s | %s |", x.Role, x.Measure, formatNumber(x.Middle))
 		for _, axis := range Axes {
 			slope, known := x.Slopes[axis]
 			if !known {
 				fmt.Fprint(text, " - |")
 				continue
 			}
-			fmt.Fprintf(text, " %s ± %s |", short(slope.PerUnit*units[axis]), short(slope.Error*units[axis]))
+			fmt.Fprintf(text, " %s ± %s |", formatNumber(slope.PerUnit*units[axis]), formatNumber(slope.Error*units[axis]))
 		}
 		budget, ratio := "-", "-"
 		if allowed, known := budgetOf(x.Role, x.Measure); known {
-			budget, ratio = short(allowed), short(x.Value/allowed)
+			budget, ratio = formatNumber(allowed), formatNumber(x.Value/allowed)
 		}
-		fmt.Fprintf(text, " %s ± %s | %s | %s |\n", short(x.Value), short(x.Error), budget, ratio)
+		fmt.Fprintf(text, " %s ± %s | %s | %s |\n", formatNumber(x.Value), formatNumber(x.Error), budget, ratio)
 	}
 }
 
-// short formats a number with about three digits.
-func short(v float64) string {
+// formatNumber formats a number with about three significant digits, and NaN as a question mark.
+func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case math.IsNaN(v):
 		return "?"
