--- a/amberdeal.go
+++ b/amberdeal.go
@@ -26,7 +26,7 @@
 
 // New creates a controller. It opens no files or connections yet.
 func New(cfg *Config, log *slog.Logger) *Service {
-	return &Service{controller.New(transport.Sockets{Log: log}, cfg, log)}
+	return &Service{controller.New(transport.TCPNetwork{Log: log}, cfg, log)}
 }
 
 // Run serves until the context is cancelled.
--- a/cmd/amberdeal-lab/golden_test.go
+++ b/cmd/amberdeal-lab/golden_test.go
@@ -7,4 +7,4 @@
 )
 
 // TestGoldenFlags checks that the arguments and flags of each command, and their defaults, have not changed.
-func TestGoldenFlags(t *testing.T) { goldentest.Flags(t, "amberdeal-lab", new(cli)) }
+func TestGoldenFlags(t *testing.T) { goldentest.CheckFlags(t, "amberdeal-lab", new(cli)) }
--- a/cmd/amberdeal/agent.go
+++ b/cmd/amberdeal/agent.go
@@ -44,6 +44,6 @@
 	// machine.
 	core := agent.NewCore(cfg.Identity, cfg.Lease, uint64(now.UnixMilli()), now)
 	log.Info("agent started", "machine", cfg.Identity.Machine, "addr", cfg.Listen, "controllers", len(cfg.Controllers))
-	return (&agent.Agent{Core: core, Net: transport.Sockets{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, HeartbeatInterval: cfg.HeartbeatInterval, Capacity: cfg.Capacity, Log: log,
+	return (&agent.Agent{Core: core, Net: transport.TCPNetwork{Log: log}, Listen: cfg.Listen, Controllers: cfg.Controllers, HeartbeatInterval: cfg.HeartbeatInterval, Capacity: cfg.Capacity, Log: log,
 		Actions: &action.Runner{Store: blobs, Dir: cfg.Dir, Worker: cfg.Identity.Machine, Limits: action.DefaultLimits}}).Run(ctx)
 }
--- a/cmd/amberdeal/client.go
+++ b/cmd/amberdeal/client.go
@@ -23,7 +23,7 @@
 func (f controllerFlags) send(method, path string, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	caller := transport.Caller{MaxBody: wire.MaxBody, Dial: transport.Sockets{}.Dial}
+	caller := transport.Client{MaxBody: wire.MaxBodyBytes, Dial: transport.TCPNetwork{}.Dial}
 	for {
 		callCtx, cancelCall := context.WithTimeout(ctx, 5*time.Second)
 		resp, err := caller.Call(callCtx, f.Addr, method, path, body)
@@ -75,7 +75,7 @@
 		defer f.Close()
 		in = f
 	}
-	text, err := io.ReadAll(io.LimitReader(in, wire.MaxBody+1))
+	text, err := io.ReadAll(io.LimitReader(in, wire.MaxBodyBytes+1))
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 
 func (j jobArg) check() error {
 	if !wire.ValidJobID(j.ID) {
-		return errors.New("a job's id is " + wire.JobPrefix + " and digits, such as wk-000412")
+		return errors.New("a job's id is " + wire.JobIDPrefix + " and digits, such as wk-000412")
 	}
 	return nil
 }
@@ -140,5 +140,5 @@
 	if err := a.check(); err != nil {
 		return err
 	}
-	return a.send("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelWord, []byte{})
+	return a.send("POST", wire.PathJobs+"/"+a.ID+"/"+wire.CancelPathSuffix, []byte{})
 }
--- a/cmd/amberdeal/dev.go
+++ b/cmd/amberdeal/dev.go
@@ -50,7 +50,7 @@
 	if d.Demo {
 		return cluster.Demo(ctx, os.Stdout)
 	}
-	fmt.Printf(devInstructions, cluster.Addr(0), cluster.Addr(1), cluster.Addr(2), cluster.Log(0), os.Args[0], cluster.Control(), cluster.Metrics(0)+","+cluster.Metrics(1)+","+cluster.Metrics(2))
+	fmt.Printf(devInstructions, cluster.Addr(0), cluster.Addr(1), cluster.Addr(2), cluster.Log(0), os.Args[0], cluster.ControlAddr(), cluster.MetricsAddr(0)+","+cluster.MetricsAddr(1)+","+cluster.MetricsAddr(2))
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/amberdeal/emulate.go
+++ b/cmd/amberdeal/emulate.go
@@ -54,7 +54,7 @@
 	}
 	opt := emulator.Options{Port: e.Port, Dir: dir, Persist: e.Keep, Log: log}
 	if e.Controllers {
-		procs.Begin(ctx)
+		procs.Init(ctx)
 		defer procs.Stop()
 		opt.Kill, opt.Pause = procs.KillNamed, procs.PauseNamed
 	}
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer cluster.Stop()
-	procs.Settings, procs.Metrics = cluster.Settings, cluster.Metrics
+	procs.PlatformFile, procs.MetricsAddr = cluster.PlatformFile, cluster.MetricsAddr
 	if err := e.startOrPrintCommands(cluster, procs, c.Controllers); err != nil {
 		return err
 	}
@@ -99,23 +99,23 @@
 			return nil, settingsError{err}
 		}
 	}
-	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, Tuning: string(operatorSettings)}, nil
+	return &emulator.Processes{Program: program, Level: e.Level, Dir: dir, OperatorSettings: string(operatorSettings)}, nil
 }
 
 // startOrPrintCommands starts the controllers or prints the commands that start them, and prints all addresses.
 func (e emulateCmd) startOrPrintCommands(cluster *emulator.Cluster, procs *emulator.Processes, controllers int) error {
 	var addrs, metrics []string
 	for i := range controllers {
-		addrs, metrics = append(addrs, cluster.Public(i)), append(metrics, cluster.Metrics(i))
+		addrs, metrics = append(addrs, cluster.PublicAddr(i)), append(metrics, cluster.MetricsAddr(i))
 		if e.Controllers {
 			if err := procs.Start(i); err != nil {
 				return err
 			}
 		} else {
-			fmt.Printf("%s serve --config %s\n", os.Args[0], cluster.Settings(i))
+			fmt.Printf("%s serve --config %s\n", os.Args[0], cluster.PlatformFile(i))
 		}
 	}
-	fmt.Printf("\ncontrollers %s; faults and status by --control %s\n", strings.Join(addrs, ","), cluster.Control())
+	fmt.Printf("\ncontrollers %s; faults and status by --control %s\n", strings.Join(addrs, ","), cluster.ControlAddr())
 	if e.Controllers {
 		fmt.Printf("%s top --addr %s\n", os.Args[0], strings.Join(metrics, ","))
 	}
@@ -144,7 +144,7 @@
 		return fmt.Errorf("the emulated cluster at %s: %w", c.Control, err)
 	}
 	if resp.Status != 200 {
-		var refusal emulator.Refusal
+		var refusal emulator.ErrorResponse
 		_ = json.Unmarshal(resp.Body, &refusal)
 		return fmt.Errorf("refused: %s", refusal.Error)
 	}
@@ -153,8 +153,8 @@
 }
 
 // newCaller returns a caller for emulated clusters and metrics addresses.
-func newCaller() *transport.Caller {
-	return &transport.Caller{MaxBody: 16 << 20, MaxIdle: 256, Dial: emulator.Dial}
+func newCaller() *transport.Client {
+	return &transport.Client{MaxBody: 16 << 20, MaxIdle: 256, Dial: emulator.Dial}
 }
 
 type faultStageCmd struct {
--- a/cmd/amberdeal/golden_test.go
+++ b/cmd/amberdeal/golden_test.go
@@ -8,9 +8,9 @@
 )
 
 // TestGoldenFlags checks that the arguments and flags of each command, and their defaults, have not changed.
-func TestGoldenFlags(t *testing.T) { goldentest.Flags(t, "amberdeal", new(cli)) }
+func TestGoldenFlags(t *testing.T) { goldentest.CheckFlags(t, "amberdeal", new(cli)) }
 
 // TestGoldenStateSummary checks that the JSON fields of state inspect and state verify have not changed.
 func TestGoldenStateSummary(t *testing.T) {
-	goldentest.Check[stateSummary](t, "account.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[stateSummary](t, "account.json", json.Marshal, json.Unmarshal)
 }
--- a/cmd/amberdeal/reapi.go
+++ b/cmd/amberdeal/reapi.go
@@ -131,7 +131,7 @@
 
 // upload stores the action with its command and inputs, and returns the action's digest.
 func (r reapiRun) upload(ctx context.Context, c *cas.Client, args []string) (cas.Digest, error) {
-	digestFunction := cas.Functions[0]
+	digestFunction := cas.DigestFunctions[0]
 	root, err := action.Upload(ctx, c, digestFunction, ".", r.Input)
 	if err != nil {
 		return root, err
@@ -180,7 +180,7 @@
 			return err
 		}
 		if o.digest != nil {
-			digest, err := cas.ParseDigest(cas.Functions[0], o.digest)
+			digest, err := cas.ParseDigest(cas.DigestFunctions[0], o.digest)
 			if err == nil {
 				err = c.Read(ctx, digest, o.to)
 			}
@@ -192,7 +192,7 @@
 	if st := status.FromProto(resp.Status); st.Code() != codes.OK {
 		return fmt.Errorf("not executed: %w", st.Err())
 	}
-	if err := action.Download(ctx, c, cas.Functions[0], ".", res); err != nil {
+	if err := action.Download(ctx, c, cas.DigestFunctions[0], ".", res); err != nil {
 		return err
 	}
 	if resp.CachedResult {
--- a/cmd/amberdeal/state.go
+++ b/cmd/amberdeal/state.go
@@ -43,7 +43,7 @@
 		return nil, snapshot.Limits{}, err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
-	c := store.NewClient(transport.Sockets{Log: log}, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+2), log)
+	c := store.NewClient(transport.TCPNetwork{Log: log}, cfg.StoreAddr, cfg.Store.RPS, cfg.Store.WriteRPS, store.EvenAllowance(len(cfg.Peers)+2), log)
 	return c, snapshot.Limits{ValueBytes: cfg.Store.ValueBytes, TxnOps: cfg.Store.TxnOps}, nil
 }
 
--- a/internal/action/action.go
+++ b/internal/action/action.go
@@ -57,7 +57,7 @@
 	if digest, err = cas.DigestFromString(w.Action); err != nil {
 		return w, digest, fmt.Errorf("the job's action: %w", err)
 	}
-	digest.Function = cas.Function(repb.DigestFunction_Value_value[w.Function])
+	digest.Function = cas.DigestFunction(repb.DigestFunction_Value_value[w.Function])
 	return w, digest, nil
 }
 
@@ -77,14 +77,14 @@
 	h := sha256.New()
 	fmt.Fprintf(h, "%v\x00%s\x00%d", action.Function, action, generation)
 	n := binary.BigEndian.Uint64(h.Sum(nil)) % jobIDRange
-	return fmt.Sprintf("%s9%0*d", wire.JobPrefix, jobIDDigits-1, n)
+	return fmt.Sprintf("%s9%0*d", wire.JobIDPrefix, jobIDDigits-1, n)
 }
 
 // responsesInstance is the instance name under which the responses of executions are stored.
 const responsesInstance = "amberdeal-answers"
 
 // responseKey returns the digest under which a job's response is stored in the action cache.
-func responseKey(job string) cas.Digest { return cas.Sum(cas.Functions[0], []byte(job)) }
+func responseKey(job string) cas.Digest { return cas.Sum(cas.DigestFunctions[0], []byte(job)) }
 
 // StoreResponse stores the response of a job's execution. It is called before the job is reported as done. The
 // response is stored as an action result, so that it is only returned while all its outputs are in the store.
--- a/internal/action/outputs.go
+++ b/internal/action/outputs.go
@@ -16,7 +16,7 @@
 
 // outputCollector collects the files and messages to upload for the outputs of an action or for an input tree.
 type outputCollector struct {
-	function cas.Function
+	function cas.DigestFunction
 	limits   Limits
 	result   *repb.ActionResult
 	files    map[cas.Digest]string // paths of the files to upload
--- a/internal/action/plan.go
+++ b/internal/action/plan.go
@@ -46,7 +46,7 @@
 
 // inputPlanner is the state of planInputs.
 type inputPlanner struct {
-	function cas.Function
+	function cas.DigestFunction
 	limits   Limits
 	tree     *inputTree
 	queue    []plannedDir
--- a/internal/action/upload.go
+++ b/internal/action/upload.go
@@ -18,7 +18,7 @@
 
 // Upload stores files and directories below base as an input tree with the same relative paths, and returns the
 // digest of its root.
-func Upload(ctx context.Context, c *cas.Client, f cas.Function, base string, paths []string) (cas.Digest, error) {
+func Upload(ctx context.Context, c *cas.Client, f cas.DigestFunction, base string, paths []string) (cas.Digest, error) {
 	o := &outputCollector{function: f, limits: DefaultLimits, files: map[cas.Digest]string{}, blobs: map[cas.Digest][]byte{}}
 	root := newTreeBuilder()
 	for _, p := range paths {
@@ -131,7 +131,7 @@
 }
 
 // Download writes the outputs of a result below a directory. It replaces existing files.
-func Download(ctx context.Context, c *cas.Client, f cas.Function, base string, r *repb.ActionResult) error {
+func Download(ctx context.Context, c *cas.Client, f cas.DigestFunction, base string, r *repb.ActionResult) error {
 	in := &inputTree{files: make(map[cas.Digest][]inputNode)}
 	for _, output := range r.GetOutputFiles() {
 		p, err := relativePath("output", output.Path)
@@ -164,7 +164,7 @@
 }
 
 // addTree adds an output directory, after validating it like an input tree.
-func (in *inputTree) addTree(ctx context.Context, c *cas.Client, f cas.Function, dir string, protoDigest *repb.Digest) error {
+func (in *inputTree) addTree(ctx context.Context, c *cas.Client, f cas.DigestFunction, dir string, protoDigest *repb.Digest) error {
 	digest, err := cas.ParseDigest(f, protoDigest)
 	if err != nil {
 		return err
--- a/internal/admission/cancel.go
+++ b/internal/admission/cancel.go
@@ -30,8 +30,8 @@
 	if rec, ok := s.finalRecord(id); ok {
 		return rec, nil
 	}
-	if _, known := s.View.Live(id); !known {
-		if err := s.Follow.Barrier(ctx); err != nil {
+	if _, known := s.View.LiveJob(id); !known {
+		if err := s.Follower.Barrier(ctx); err != nil {
 			return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
--- a/internal/admission/canceller.go
+++ b/internal/admission/canceller.go
@@ -13,9 +13,9 @@
 // Canceller writes cancellations to the state service. All that are queued go into one transaction, and
 // those of jobs in the same batch record into one change of that record.
 type Canceller struct {
-	Client *store.Client
-	View   *store.View
-	Follow *store.Follower
+	Client   *store.Client
+	View     *store.View
+	Follower *store.Follower
 	// MaxOps bounds the changes in one transaction.
 	MaxOps int
 
@@ -43,7 +43,7 @@
 
 // NewCanceller returns a Canceller. It writes nothing until Run is called.
 func NewCanceller(c *store.Client, v *store.View, f *store.Follower, maxOps int) *Canceller {
-	return &Canceller{Client: c, View: v, Follow: f, MaxOps: maxOps, wake: make(chan struct{}, 1)}
+	return &Canceller{Client: c, View: v, Follower: f, MaxOps: maxOps, wake: make(chan struct{}, 1)}
 }
 
 // Cancel blocks until a live job is marked as cancelled, and returns its record. It returns nil if the
@@ -57,7 +57,7 @@
 	}
 	c.mu.Unlock()
 	if full {
-		return nil, ErrFull
+		return nil, ErrQueueFull
 	}
 	select {
 	case c.wake <- struct{}{}:
@@ -107,7 +107,7 @@
 		if e.ctx.Err() != nil {
 			continue
 		}
-		l, live := c.View.Live(e.job)
+		l, live := c.View.LiveJob(e.job)
 		if !live {
 			e.done <- cancelResult{}
 			continue
@@ -136,7 +136,7 @@
 func (c *Canceller) commit(ctx context.Context, g cancelBatch) {
 	var txn wire.Txn
 	for _, r := range g.updates {
-		txn.If, txn.Then = append(txn.If, r.Condition()), append(txn.Then, r.Change())
+		txn.If, txn.Then = append(txn.If, r.Condition()), append(txn.Then, r.Operation())
 	}
 	send := func(ctx context.Context) (uint64, error) { return c.Client.Txn(ctx, txn) }
 	revision, err := commitUntilAnswered(ctx, send, g.hasWaiters)
@@ -152,7 +152,7 @@
 		return
 	case errors.As(err, &conflict): // the jobs have changed: callers look them up again in a newer view
 		wait, cancel := context.WithTimeout(ctx, writeTimeout)
-		err = c.Follow.Barrier(wait)
+		err = c.Follower.Barrier(wait)
 		cancel()
 	}
 	g.finish(err)
--- a/internal/admission/errors.go
+++ b/internal/admission/errors.go
@@ -26,10 +26,10 @@
 func (e *UnrunnableError) Error() string { return e.Reason }
 
 var (
-	// ErrFull means that the queue of submissions or of cancellations is full.
-	ErrFull = errors.New("too many submissions wait")
-	// ErrTooLarge means that the job exceeds the size limit of the store, so that it can never be accepted.
-	ErrTooLarge = errors.New("the job's description is too large to be stored")
+	// ErrQueueFull means that the queue of submissions or of cancellations is full.
+	ErrQueueFull = errors.New("too many submissions wait")
+	// ErrJobTooLarge means that the job exceeds the size limit of the store, so that it can never be accepted.
+	ErrJobTooLarge = errors.New("the job's description is too large to be stored")
 	// errFenceAdvanced means that the submission fence has advanced since the job was looked up: meanwhile
 	// the job may have been accepted, ended and compacted into the archive.
 	errFenceAdvanced = errors.New("the submission fence has advanced")
--- a/internal/admission/intake.go
+++ b/internal/admission/intake.go
@@ -74,13 +74,13 @@
 		onSend:      onSend,
 	}
 	if e.size > in.MaxBytes-batchOverheadBytes {
-		return ErrTooLarge
+		return ErrJobTooLarge
 	}
 	in.mu.Lock()
 	full := !in.enqueue(e)
 	in.mu.Unlock()
 	if full {
-		return ErrFull
+		return ErrQueueFull
 	}
 	select {
 	case in.wake <- struct{}{}:
@@ -108,7 +108,7 @@
 			return false
 		}
 		last := in.queue[len(in.queue)-1]
-		last.done <- ErrFull
+		last.done <- ErrQueueFull
 		in.queue = in.queue[:len(in.queue)-1]
 	}
 	in.queue = slices.Insert(in.queue, at, e)
@@ -183,7 +183,7 @@
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		err = errFenceAdvanced
-		if slices.Contains(conflict.Failed, key) {
+		if slices.Contains(conflict.Keys, key) {
 			err = errEarlierCopyApplied
 		}
 	}
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -28,7 +28,7 @@
 	Intake    *Intake
 	Canceller *Canceller
 	View      *store.View
-	Follow    *store.Follower
+	Follower  *store.Follower
 	// History finds ended jobs that the view no longer holds.
 	History History
 	Log     *slog.Logger
@@ -97,7 +97,7 @@
 	if rec, ok := s.finalRecord(id); ok {
 		return rec, nil
 	}
-	if err := s.Follow.Barrier(ctx); err != nil {
+	if err := s.Follower.Barrier(ctx); err != nil {
 		return store.JobRecord{}, fmt.Errorf("%w: %w", ErrRetryLater, err)
 	}
 	rec, known, err := s.Find(ctx, id)
--- a/internal/admission/service_test.go
+++ b/internal/admission/service_test.go
@@ -63,7 +63,7 @@
 	r := archive.NewReader(c, 64, log)
 	v.Archive = r
 	f := store.NewFollower(c, v, log)
-	o := &node{store: s, delayedWrites: delayed, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follow: f,
+	o := &node{store: s, delayedWrites: delayed, Service: &Service{Teams: []config.Team{{Name: "red"}}, Intake: NewIntake(c, name, 8192), Canceller: NewCanceller(c, v, f, 12), View: v, Follower: f,
 		History: r, Log: log, MaxBacklog: 100, MachineTypes: func() []wire.MachineType {
 			return []wire.MachineType{{Name: "g", CPUs: 8, GPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}
 		},
@@ -130,7 +130,7 @@
 // compact moves all ended jobs into the archive.
 func (o *node) compact(t *testing.T) {
 	t.Helper()
-	_ = o.Follow.Barrier(t.Context())
+	_ = o.Follower.Barrier(t.Context())
 	for range 20 {
 		if _, err := o.compactor.Step(t.Context()); err != nil {
 			t.Fatal(err)
@@ -163,7 +163,7 @@
 			o.expectStage(t, "status", "wk-1", "withdrawn")
 			o.expectStage(t, "submit", "wk-1", "withdrawn") // months later
 			o.expectStage(t, "cancel", "wk-1", "withdrawn")
-			if _, live := o.View.Live("wk-1"); live {
+			if _, live := o.View.LiveJob("wk-1"); live {
 				t.Error("the job is live again")
 			}
 			o.expectStage(t, "status", "wk-2", "unknown")
@@ -289,7 +289,7 @@
 func TestResubmissionToSlightlyStaleView(t *testing.T) {
 	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		b.stopFollowing() // as between two watch requests
-		_ = b.Follow.Barrier(t.Context())
+		_ = b.Follower.Barrier(t.Context())
 		a.expectStage(t, "submit", "wk-1", "pending")
 		a.expectStage(t, "cancel", "wk-1", "withdrawn")
 		b.expectStage(t, "submit", "wk-1", "withdrawn")
@@ -299,7 +299,7 @@
 // submitOvertaken submits a job to b, whose write is delayed by delayWrite, while a accepts and cancels the same
 // job. The submission to b must report the job as cancelled.
 func submitOvertaken(t *testing.T, a, b *node, delayWrite func()) {
-	_ = b.Follow.Barrier(t.Context())
+	_ = b.Follower.Barrier(t.Context())
 	b.stopFollowing()
 	delayWrite()
 	submitted := make(chan bool)
@@ -323,8 +323,8 @@
 			t.Errorf("the job is in %d batches", n)
 		}
 		for _, o := range []*node{a, b} {
-			_ = o.Follow.Barrier(t.Context())
-			if _, live := o.View.Live("wk-1"); live {
+			_ = o.Follower.Barrier(t.Context())
+			if _, live := o.View.LiveJob("wk-1"); live {
 				t.Error("the job is live again")
 			}
 		}
@@ -346,7 +346,7 @@
 	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.expectStage(t, "submit", "wk-1", "pending")
 		a.expectStage(t, "submit", "wk-2", "pending")
-		_ = a.Follow.Barrier(t.Context())
+		_ = a.Follower.Barrier(t.Context())
 		a.stopFollowing()
 		time.Sleep(5 * time.Second) // the last watch request has ended
 		list := s.Page(store.StatePrefix, "", 0)
@@ -355,7 +355,7 @@
 				a.expectStage(t, "cancel", "wk-1", "withdrawn")
 			}
 			a.View.Load(list.Items, list.Revision, &wire.WatchResponse{Revision: list.Revision})
-			if _, live := a.View.Live("wk-1"); i == 0 && !live {
+			if _, live := a.View.LiveJob("wk-1"); i == 0 && !live {
 				t.Error("the view did not load the list")
 			}
 			a.expectStage(t, method, "wk-1", "withdrawn")
@@ -429,7 +429,7 @@
 			}
 		}
 		b.stopFollowing()
-		_ = b.Follow.Barrier(t.Context())
+		_ = b.Follower.Barrier(t.Context())
 		a.expectStage(t, "submit", "wk-1", string(wire.Pending))
 		resubmit(wire.Pending)
 		a.expectStage(t, "cancel", "wk-1", string(wire.Cancelled))
@@ -457,7 +457,7 @@
 }
 
 // TestPrioritizedSubmissionsAreAdmitted checks that a prioritized submission goes ahead of a full queue, whose last
-// submission fails with ErrFull.
+// submission fails with ErrQueueFull.
 func TestPrioritizedSubmissionsAreAdmitted(t *testing.T) {
 	in := &Intake{MaxQueue: defaultMaxQueue}
 	entries := make([]*submission, defaultMaxQueue)
@@ -475,16 +475,16 @@
 			t.Error("a prioritized submission is not admitted")
 		}
 	}
-	if in.queue[0].job != "top-0" || in.queue[1].job != "top-1" || in.queue[2] != entries[0] || len(in.queue) != defaultMaxQueue || <-entries[defaultMaxQueue-1].done != ErrFull {
+	if in.queue[0].job != "top-0" || in.queue[1].job != "top-1" || in.queue[2] != entries[0] || len(in.queue) != defaultMaxQueue || <-entries[defaultMaxQueue-1].done != ErrQueueFull {
 		t.Errorf("the queue begins with %v, %v, %v of %d", in.queue[0].job, in.queue[1].job, in.queue[2].job, len(in.queue))
 	}
 }
 
-// TestLateSubmissionBeforeGate is like TestLateSubmissionAfterCompaction, but the submission fence has not advanced:
+// TestLateSubmissionBeforeFenceAdvance is like TestLateSubmissionAfterCompaction, but the submission fence has not advanced:
 // the late copy is applied, since its key is absent again. The compacted record takes precedence: the job does
 // not become live again, its reported stage does not change, and it goes into the archive only once the fence
 // has advanced.
-func TestLateSubmissionBeforeGate(t *testing.T) {
+func TestLateSubmissionBeforeFenceAdvance(t *testing.T) {
 	withTwoControllers(t, func(t *testing.T, s *simulator.StateService, a, b *node) {
 		a.compactor.MergeThreshold = 99
 		s.Configure(func(s *simulator.StateService) {
@@ -504,7 +504,7 @@
 			for _, o := range []*node{a, b} {
 				o.expectStage(t, "status", "wk-1", "withdrawn")
 				o.expectStage(t, "submit", "wk-1", "withdrawn")
-				if _, live := o.View.Live("wk-1"); live {
+				if _, live := o.View.LiveJob("wk-1"); live {
 					t.Error("the job is live again")
 				}
 			}
--- a/internal/admission/submit.go
+++ b/internal/admission/submit.go
@@ -43,7 +43,7 @@
 func (s *Service) SubmitLocally(ctx context.Context, job *wire.Job) (rec store.JobRecord, created bool, err error) {
 	ctx, cancel := context.WithTimeout(store.WithPurpose(ctx, store.PurposeSubmissions), writeTimeout)
 	defer cancel()
-	read := &barrierRead{follow: s.Follow} // runs concurrently with the write, and takes about as long
+	read := &barrierRead{follow: s.Follower} // runs concurrently with the write, and takes about as long
 	for range maxSubmitAttempts {
 		// The fence is read before the lookup: if the job is not found, only a submission that is applied
 		// before the fence advances can be its first.
@@ -60,7 +60,7 @@
 		case !errors.Is(err, errFenceAdvanced):
 			return rec, false, err
 		}
-		if err := s.Follow.Barrier(ctx); err != nil {
+		if err := s.Follower.Barrier(ctx); err != nil {
 			return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 	}
@@ -81,7 +81,7 @@
 // another barrier is needed.
 func (s *Service) confirmAccepted(ctx context.Context, id string, rec store.JobRecord, writeErr error, read *barrierRead) (store.JobRecord, bool, error) {
 	if writeErr != nil || read.age() > slowWriteThreshold {
-		if err := s.Follow.Barrier(ctx); err != nil {
+		if err := s.Follower.Barrier(ctx); err != nil {
 			return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 		}
 		return s.confirmWrite(ctx, id, rec, writeErr == nil)
@@ -135,7 +135,7 @@
 	}
 	err = s.Intake.Add(ctx, job.ID, rec, fence, onSend)
 	switch {
-	case errors.Is(err, ErrTooLarge):
+	case errors.Is(err, ErrJobTooLarge):
 		return s.reject(ctx, job.ID, err)
 	case err != nil && !errors.Is(err, errEarlierCopyApplied):
 		return rec, false, err
@@ -148,7 +148,7 @@
 // reject rejects a job permanently, for the reason why, unless a job of that ID was accepted before, perhaps
 // on another controller a moment ago: then this is a resubmission with another description.
 func (s *Service) reject(ctx context.Context, id string, why error) (rec store.JobRecord, created bool, err error) {
-	if err := s.Follow.Barrier(ctx); err != nil {
+	if err := s.Follower.Barrier(ctx); err != nil {
 		return rec, false, fmt.Errorf("%w: %w", ErrRetryLater, err)
 	}
 	if _, known, err := s.Find(ctx, id); err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,17 +27,17 @@
 	Actions           *action.Runner
 	Log               *slog.Logger
 
-	caller         *transport.Caller
+	caller         *transport.Client
 	earlyHeartbeat chan struct{} // requests an early heartbeat; has a buffer of one
 	// startAttempt starts the goroutine of an attempt. The attempt is bound to the context of Run, because it outlives
 	// the call that requests it.
-	startAttempt func(Key, []chan struct{})
+	startAttempt func(AttemptKey, []chan struct{})
 	attemptGroup sync.WaitGroup // goroutines of the attempts
 
 	mu            sync.Mutex // also guards Core
-	cancels       map[Key]context.CancelFunc
-	exited        map[Key]chan struct{} // closed when the last process of an attempt has exited
-	reserved      map[Key]Resources
+	cancels       map[AttemptKey]context.CancelFunc
+	exited        map[AttemptKey]chan struct{} // closed when the last process of an attempt has exited
+	reserved      map[AttemptKey]Resources
 	previousExits []chan struct{} // values of exited for the attempts of the previous incarnation
 }
 
@@ -50,18 +50,18 @@
 
 // Run runs the agent until the context ends. It then kills all tasks and returns once their processes have exited.
 func (a *Agent) Run(ctx context.Context) error {
-	a.cancels, a.exited, a.reserved = make(map[Key]context.CancelFunc), make(map[Key]chan struct{}), make(map[Key]Resources)
+	a.cancels, a.exited, a.reserved = make(map[AttemptKey]context.CancelFunc), make(map[AttemptKey]chan struct{}), make(map[AttemptKey]Resources)
 	a.earlyHeartbeat = make(chan struct{}, 1)
-	a.caller = &transport.Caller{MaxBody: maxResponseBytes, Dial: a.Net.Dial}
+	a.caller = &transport.Client{MaxBody: maxResponseBytes, Dial: a.Net.Dial}
 	g, ctx := errgroup.WithContext(ctx)
-	a.startAttempt = func(key Key, waitFor []chan struct{}) {
+	a.startAttempt = func(key AttemptKey, waitFor []chan struct{}) {
 		taskCtx, cancel := context.WithCancel(ctx)
 		a.cancels[key], a.exited[key] = cancel, make(chan struct{})
 		a.attemptGroup.Add(1)
 		go a.run(taskCtx, key, waitFor)
 	}
 	g.Go(func() error {
-		return a.Net.Listen(ctx, a.Listen, maxConns, transport.HTTP(wire.MaxBody, connIdleTimeout, a.serve))
+		return a.Net.Listen(ctx, a.Listen, maxConns, transport.HTTP(wire.MaxBodyBytes, connIdleTimeout, a.serve))
 	})
 	g.Go(func() error { return a.heartbeats(ctx) })
 	err := g.Wait()
@@ -91,7 +91,7 @@
 	if err := wire.Decode(req.Body, &command); err != nil || command.FencingToken == 0 || command.Incarnation == 0 {
 		return &httpwire.Response{Status: 400}
 	}
-	effects, accepted := a.Core.HandleDirect(time.Now(), command)
+	effects, accepted := a.Core.HandleDirectCommands(time.Now(), command)
 	a.apply(effects)
 	status := 200
 	if !accepted {
@@ -124,7 +124,7 @@
 
 // pendingExits returns the channels of the attempts that must have exited before a new attempt of the same task may
 // start. These attempts were killed, but their processes have not been reaped yet.
-func (a *Agent) pendingExits(key Key) (pending []chan struct{}) {
+func (a *Agent) pendingExits(key AttemptKey) (pending []chan struct{}) {
 	for other, exited := range a.exited {
 		if other.Task == key.Task && other != key {
 			pending = append(pending, exited)
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -25,7 +25,7 @@
 }
 
 // run waits until all channels in waitFor are closed and then runs an attempt to its end.
-func (a *Agent) run(ctx context.Context, key Key, waitFor []chan struct{}) {
+func (a *Agent) run(ctx context.Context, key AttemptKey, waitFor []chan struct{}) {
 	defer a.attemptGroup.Done()
 	for _, exited := range waitFor {
 		<-exited
@@ -45,7 +45,7 @@
 }
 
 // execute fetches the job of an attempt and runs its action. It returns the cause with which the attempt ended.
-func (a *Agent) execute(ctx context.Context, key Key) wire.Cause {
+func (a *Agent) execute(ctx context.Context, key AttemptKey) wire.Cause {
 	job, err := a.fetchJob(ctx, key.Task.Job)
 	switch {
 	case errors.Is(err, errUnknownJob):
@@ -53,7 +53,7 @@
 	case err != nil:
 		return wire.CauseError
 	case !a.reserve(key, job):
-		return wire.CauseNoRoom
+		return wire.CauseNoCapacity
 	}
 	w, digest, err := action.ParseWork(job.Work)
 	if err != nil {
@@ -74,7 +74,7 @@
 }
 
 // reserve reserves the resources of a job for an attempt. It reports false if they are not free.
-func (a *Agent) reserve(key Key, j *wire.Job) bool {
+func (a *Agent) reserve(key AttemptKey, j *wire.Job) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	free := a.Capacity
@@ -99,7 +99,7 @@
 // that the job is unknown. It starts at a random controller.
 func (a *Agent) fetchJob(ctx context.Context, id string) (*wire.Job, error) {
 	names := slices.Sorted(maps.Keys(a.Controllers))
-	path := wire.PathJobs + "/" + id + "/" + wire.WorkWord
+	path := wire.PathJobs + "/" + id + "/" + wire.WorkPathSuffix
 	for attempt := rand.IntN(len(names)); ctx.Err() == nil; attempt++ {
 		resp, err := a.call(ctx, names[attempt%len(names)], "GET", path, nil)
 		switch {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -19,15 +19,15 @@
 	Spot                      bool
 }
 
-// Key identifies an attempt of a task.
-type Key struct {
+// AttemptKey identifies an attempt of a task.
+type AttemptKey struct {
 	Task    wire.TaskID
 	Attempt uint64
 }
 
 // attempt is the state of an attempt on this machine.
 type attempt struct {
-	Key
+	AttemptKey
 	state    wire.TaskState
 	cause    wire.Cause
 	ended    bool
@@ -36,8 +36,8 @@
 
 // Effects lists the actions that the caller must take after a step of the Core.
 type Effects struct {
-	Start        []Key
-	Kill         []Key
+	Start        []AttemptKey
+	Kill         []AttemptKey
 	HeartbeatNow bool // send a heartbeat as soon as the protocol allows
 	// NewIncarnation means that the lease has expired and a new incarnation has started. Its first heartbeat must
 	// not be sent before every process of the previous incarnation has exited, because controllers take the
@@ -54,13 +54,13 @@
 	token              uint64
 	leaseStart         time.Time // send time of the last heartbeat that was answered, or start of the incarnation
 	lastTokenHeartbeat time.Time // when a higher fencing token last triggered an early heartbeat
-	tasks              map[Key]*attempt
+	tasks              map[AttemptKey]*attempt
 }
 
 // NewCore returns a Core without tasks. The incarnation must be higher than that of any earlier process on the
 // machine.
 func NewCore(self Identity, lease time.Duration, incarnation uint64, now time.Time) *Core {
-	return &Core{identity: self, lease: lease, incarnation: max(1, incarnation), leaseStart: now, tasks: make(map[Key]*attempt)}
+	return &Core{identity: self, lease: lease, incarnation: max(1, incarnation), leaseStart: now, tasks: make(map[AttemptKey]*attempt)}
 }
 
 // NextHeartbeat returns the next heartbeat to send.
@@ -101,7 +101,7 @@
 	}
 	for _, t := range c.sortedAttempts() {
 		if !t.ended {
-			effects.Kill = append(effects.Kill, t.Key)
+			effects.Kill = append(effects.Kill, t.AttemptKey)
 		}
 	}
 	clear(c.tasks)
@@ -111,10 +111,10 @@
 	return effects
 }
 
-// HandleAnswer handles the response to a heartbeat that was sent at the given time in the given incarnation. It
+// HandleHeartbeatResponse handles the response to a heartbeat that was sent at the given time in the given incarnation. It
 // renews the lease from the time at which the heartbeat was sent. A response with a lower fencing token, or to a
 // heartbeat of an earlier incarnation, is dropped.
-func (c *Core) HandleAnswer(now, sent time.Time, incarnation uint64, response wire.HeartbeatResponse) (effects Effects) {
+func (c *Core) HandleHeartbeatResponse(now, sent time.Time, incarnation uint64, response wire.HeartbeatResponse) (effects Effects) {
 	if response.FencingToken < c.token || response.FencingToken == 0 || incarnation != c.incarnation {
 		return effects
 	}
@@ -126,9 +126,9 @@
 	return effects
 }
 
-// HandleDirect handles commands that a leader sent to the machine directly. It rejects a request with a lower fencing
+// HandleDirectCommands handles commands that a leader sent to the machine directly. It rejects a request with a lower fencing
 // token or for another incarnation. Direct commands don't renew the lease.
-func (c *Core) HandleDirect(now time.Time, request wire.CommandRequest) (effects Effects, accepted bool) {
+func (c *Core) HandleDirectCommands(now time.Time, request wire.CommandRequest) (effects Effects, accepted bool) {
 	if request.FencingToken < c.token || request.Incarnation != c.incarnation {
 		return effects, false
 	}
@@ -158,7 +158,7 @@
 		if err != nil {
 			continue
 		}
-		key := Key{id, cmd.Attempt}
+		key := AttemptKey{id, cmd.Attempt}
 		existing := c.tasks[key]
 		switch {
 		case cmd.Verb == wire.Launch && existing == nil:
@@ -176,8 +176,8 @@
 
 // launch starts an attempt. It ends the attempt with CauseBusy if another attempt of the same task has not ended
 // on this machine.
-func (c *Core) launch(key Key, effects *Effects) {
-	t := &attempt{Key: key, state: wire.TaskFetching}
+func (c *Core) launch(key AttemptKey, effects *Effects) {
+	t := &attempt{AttemptKey: key, state: wire.TaskFetching}
 	for _, other := range c.tasks {
 		if other.Task == key.Task && !other.ended {
 			t.markEnded(wire.CauseBusy)
@@ -194,7 +194,7 @@
 }
 
 // MarkRunning records that an attempt has fetched its job and is running.
-func (c *Core) MarkRunning(key Key) (effects Effects) {
+func (c *Core) MarkRunning(key AttemptKey) (effects Effects) {
 	if t := c.tasks[key]; t != nil && t.state == wire.TaskFetching {
 		t.state = wire.TaskRunning
 		effects.HeartbeatNow = true
@@ -204,7 +204,7 @@
 
 // MarkEnded records that the last process of an attempt has exited, and the cause. It has no effect for an attempt
 // of an earlier incarnation, because Expire has removed it.
-func (c *Core) MarkEnded(key Key, cause wire.Cause) (effects Effects) {
+func (c *Core) MarkEnded(key AttemptKey, cause wire.Cause) (effects Effects) {
 	if t := c.tasks[key]; t != nil && !t.ended {
 		if t.stopping && cause != wire.CauseDone {
 			cause = wire.CauseStopped
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -13,12 +13,12 @@
 
 // TestTraces replays the recorded traces in testdata against Core and compares its responses.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string {
 		start := time.Unix(1e9, 0)
 		now := start
 		c := NewCore(Identity{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "g4", Zone: "a"}, 30*time.Second, 7, now)
 		return func(step string) []string {
-			words, args := simulator.Words(step)
+			words, args := simulator.ParseStep(step)
 			number := func(key string) uint64 {
 				n, _ := strconv.ParseUint(args[key], 10, 64)
 				return n
@@ -34,9 +34,9 @@
 				if args["session"] != "" {
 					incarnation = number("session")
 				}
-				return describeEffects(c.HandleAnswer(now, now.Add(-ago), incarnation, wire.HeartbeatResponse{FencingToken: number("term"), Commands: parseCommands(words[1:])}))
+				return describeEffects(c.HandleHeartbeatResponse(now, now.Add(-ago), incarnation, wire.HeartbeatResponse{FencingToken: number("term"), Commands: parseCommands(words[1:])}))
 			case "do":
-				e, ok := c.HandleDirect(now, wire.CommandRequest{FencingToken: number("term"), Incarnation: number("session"), Commands: parseCommands(words[1:])})
+				e, ok := c.HandleDirectCommands(now, wire.CommandRequest{FencingToken: number("term"), Incarnation: number("session"), Commands: parseCommands(words[1:])})
 				return append([]string{fmt.Sprintf("executed %v", ok)}, describeEffects(e)...)
 			case "running":
 				return describeEffects(c.MarkRunning(key(words[1])))
@@ -56,11 +56,11 @@
 	})
 }
 
-func key(text string) Key {
+func key(text string) AttemptKey {
 	name, attempt, _ := strings.Cut(text, "#")
 	id, _ := wire.ParseTaskID(name)
 	n, _ := strconv.ParseUint(attempt, 10, 64)
-	return Key{id, n}
+	return AttemptKey{id, n}
 }
 
 // parseCommands parses commands such as "launch wk-1/0#2 clear wk-2/0#1".
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Text(t, "settings.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
+	goldentest.CompareText(t, "settings.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
 	for section, keys := range allowedKeys {
-		goldentest.Text(t, "keys-"+section+".txt", strings.Join(keys, "\n")+"\n")
+		goldentest.CompareText(t, "keys-"+section+".txt", strings.Join(keys, "\n")+"\n")
 	}
 }
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -73,7 +73,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.apply(a.Core.Expire(time.Now()))
-	a.apply(a.Core.HandleAnswer(time.Now(), sent, incarnation, response))
+	a.apply(a.Core.HandleHeartbeatResponse(time.Now(), sent, incarnation, response))
 }
 
 // call sends a request to a controller, with responseTimeout.
--- a/internal/archive/compactor.go
+++ b/internal/archive/compactor.go
@@ -216,7 +216,7 @@
 			return rev, nil
 		case errors.As(err, &conflict):
 			c.updateStats(func(s *CompactorStats) { s.Refused++ })
-			c.Log.Debug("compaction write refused", "keys", conflict.Failed)
+			c.Log.Debug("compaction write refused", "keys", conflict.Keys)
 			if err := c.Follower.Barrier(ctx); err != nil {
 				return 0, err
 			}
--- a/internal/archive/harness_test.go
+++ b/internal/archive/harness_test.go
@@ -115,7 +115,7 @@
 		return res.Revision, nil
 	case 409:
 		h.writeLog = append(h.writeLog, "refused on "+strings.Join(shortKeys(res.Failed), ", "))
-		return 0, &store.ConflictError{Failed: res.Failed}
+		return 0, &store.ConflictError{Keys: res.Failed}
 	}
 	h.t.Fatalf("status %d for %v", status, describeTxn(txn))
 	return 0, nil
@@ -173,13 +173,13 @@
 
 // endJob returns the transaction that ends a live job.
 func (h *harness) endJob(id string, stage wire.Stage) wire.Txn {
-	l, ok := h.view.Live(id)
+	l, ok := h.view.LiveJob(id)
 	if !ok {
 		h.t.Fatalf("%s is not live", id)
 	}
 	r := l.Batch.Update()
 	r.EndJob(id, stage, time.Unix(1e9, 0))
-	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Change()}}
+	return wire.Txn{If: []wire.Condition{r.Condition()}, Then: []wire.Operation{r.Operation()}}
 }
 
 // lookUp returns the response of a controller to a user's query for a job, in the words of the
--- a/internal/archive/idset.go
+++ b/internal/archive/idset.go
@@ -21,7 +21,7 @@
 
 // add adds an id and reports whether it is new.
 func (s idSet) add(id string) bool {
-	digits := strings.TrimPrefix(id, wire.JobPrefix)
+	digits := strings.TrimPrefix(id, wire.JobIDPrefix)
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		known := s.nonNumeric[id]
--- a/internal/archive/merge.go
+++ b/internal/archive/merge.go
@@ -35,7 +35,7 @@
 	for _, id := range blocked {
 		keep[id] = true
 	}
-	return true, c.clearRecent(ctx, blocks, keep)
+	return true, c.clearRecentBlocks(ctx, blocks, keep)
 }
 
 // archivableEntries returns the sorted jobs of recent blocks that may be merged into the archive.
@@ -149,9 +149,9 @@
 	return err
 }
 
-// clearRecent removes from the recent blocks all jobs except those in keep; the others are in
+// clearRecentBlocks removes from the recent blocks all jobs except those in keep; the others are in
 // the archive.
-func (c *Compactor) clearRecent(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
+func (c *Compactor) clearRecentBlocks(ctx context.Context, blocks []store.RecentBlock, keep map[string]bool) error {
 	for len(blocks) > 0 {
 		n := min(len(blocks), c.writeLimits().TxnOps, max(1, maxTxnBytes/c.Limits.ValueBytes))
 		var txn wire.Txn
--- a/internal/archive/trace_test.go
+++ b/internal/archive/trace_test.go
@@ -18,7 +18,7 @@
 // runStep executes a line of a trace: a write by another client, which is delayed if the line ends
 // with "held", or a step of the compactor or the harness.
 func (h *harness) runStep(line string) []string {
-	words, _ := simulator.Words(line)
+	words, _ := simulator.ParseStep(line)
 	h.writeLog = nil
 	held := words[len(words)-1] == "held"
 	if held {
@@ -149,5 +149,5 @@
 
 // TestTraces replays the recorded compaction traces in testdata.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newHarness(t, traceLimits).runStep })
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string { return newHarness(t, traceLimits).runStep })
 }
--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -14,10 +14,10 @@
 
 // TestTraces replays the traces in testdata on a RequestLog. Offers are written as g4@a or g4@a/spot.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string {
 		log, now, n := New(10), time.Unix(1e9, 0), 0
 		return func(line string) (out []string) {
-			words, kv := simulator.Words(line)
+			words, kv := simulator.ParseStep(line)
 			num := func(key string) int { n, _ := strconv.Atoi(kv[key]); return n }
 			switch words[0] {
 			case "want": // the scale-outs of a plan; their records are stored at once unless stored=later
--- a/internal/autoscale/scaler.go
+++ b/internal/autoscale/scaler.go
@@ -30,9 +30,9 @@
 // Woken returns the channel that receives a value after Wake. Several pending wake-ups are combined into one.
 func (s *Scaler) Woken() <-chan struct{} { return s.wake }
 
-// Stored notes that the store has committed the records of requests. Requests that have been dropped meanwhile
+// RecordsStored notes that the store has committed the records of requests. Requests that have been dropped meanwhile
 // are not sent, and their records are marked for deletion.
-func (s *Scaler) Stored(names []string) {
+func (s *Scaler) RecordsStored(names []string) {
 	for _, name := range names {
 		if !s.MarkStored(name) {
 			s.obsolete[name] = true
@@ -43,8 +43,8 @@
 	}
 }
 
-// Drop marks the records of finished requests for deletion from the store.
-func (s *Scaler) Drop(names []string) {
+// MarkObsolete marks the records of finished requests for deletion from the store.
+func (s *Scaler) MarkObsolete(names []string) {
 	for _, name := range names {
 		s.obsolete[name] = true
 	}
@@ -53,8 +53,8 @@
 // Obsolete lists the requests whose records are to be deleted from the store, sorted.
 func (s *Scaler) Obsolete() []string { return slices.Sorted(maps.Keys(s.obsolete)) }
 
-// Dropped records that the record of a request has been deleted from the store.
-func (s *Scaler) Dropped(name string) { delete(s.obsolete, name) }
+// RecordDeleted records that the record of a request has been deleted from the store.
+func (s *Scaler) RecordDeleted(name string) { delete(s.obsolete, name) }
 
 // Release marks a machine to be returned to the cloud.
 func (s *Scaler) Release(machine string) { s.releasing[machine] = true }
--- a/internal/autoscale/scaler_test.go
+++ b/internal/autoscale/scaler_test.go
@@ -12,22 +12,22 @@
 // that a machine stays in the list of machines to return until it is gone.
 func TestScaler(t *testing.T) {
 	s := NewScaler(10)
-	s.Stored(nil)
+	s.RecordsStored(nil)
 	select {
 	case <-s.Woken():
 		t.Error("woken although no request was stored")
 	default:
 	}
 	s.Add(time.Unix(1e9, 0), "x", scheduler.ScaleOut{Count: 1})
-	s.Stored([]string{"x", "y"})
+	s.RecordsStored([]string{"x", "y"})
 	<-s.Woken()
 	s.Wake()
 	s.Wake() // never blocks
-	s.Drop([]string{"b", "a"})
+	s.MarkObsolete([]string{"b", "a"})
 	if got := s.Obsolete(); !slices.Equal(got, []string{"a", "b", "y"}) {
 		t.Error(got)
 	}
-	s.Dropped("a")
+	s.RecordDeleted("a")
 	s.Release("n-2")
 	s.Release("n-1")
 	if got := s.Releasing(); !slices.Equal(got, []string{"n-1", "n-2"}) {
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -65,7 +65,7 @@
 // services.
 func TestBlobs(t *testing.T) {
 	c := newTestClient(t, openTestDisk(t, t.TempDir(), 64<<20), DefaultLimits)
-	for _, f := range Functions {
+	for _, f := range DigestFunctions {
 		for i, size := range []int{0, 1, 1000, chunkBytes, chunkBytes + 1, 3*chunkBytes + 7} {
 			content := randomBytes(size, uint64(i))
 			digest, err := c.Put(t.Context(), f, content)
--- a/internal/cas/client.go
+++ b/internal/cas/client.go
@@ -158,13 +158,13 @@
 }
 
 // Put stores a blob and returns its digest.
-func (c *Client) Put(ctx context.Context, f Function, content []byte) (Digest, error) {
+func (c *Client) Put(ctx context.Context, f DigestFunction, content []byte) (Digest, error) {
 	digest := Sum(f, content)
 	return digest, c.upload(ctx, digest, bytes.NewReader(content))
 }
 
 // PutMessage stores an encoded message as a blob.
-func (c *Client) PutMessage(ctx context.Context, f Function, m proto.Message) (Digest, error) {
+func (c *Client) PutMessage(ctx context.Context, f DigestFunction, m proto.Message) (Digest, error) {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return Digest{}, fmt.Errorf("encoding a %s: %w", m.ProtoReflect().Descriptor().Name(), err)
@@ -173,7 +173,7 @@
 }
 
 // SumFile returns the digest of a file.
-func SumFile(f Function, path string) (Digest, error) {
+func SumFile(f DigestFunction, path string) (Digest, error) {
 	h, err := newHash(f)
 	if err != nil {
 		return Digest{}, err
--- a/internal/cas/digest.go
+++ b/internal/cas/digest.go
@@ -21,18 +21,18 @@
 	"github.com/zeebo/blake3"
 )
 
-// Function is a digest function.
-type Function = repb.DigestFunction_Value
+// DigestFunction is a digest function.
+type DigestFunction = repb.DigestFunction_Value
 
-// Functions lists the supported digest functions. The first is the default.
-var Functions = []Function{repb.DigestFunction_SHA256, repb.DigestFunction_BLAKE3}
+// DigestFunctions lists the supported digest functions. The first is the default.
+var DigestFunctions = []DigestFunction{repb.DigestFunction_SHA256, repb.DigestFunction_BLAKE3}
 
 // ErrBadDigest means that a digest is malformed.
 var ErrBadDigest = errors.New("malformed digest")
 
 // Digest identifies a blob by its hash and size.
 type Digest struct {
-	Function Function
+	Function DigestFunction
 	Hash     string
 	Size     int64
 }
@@ -41,9 +41,9 @@
 const hashDigits = 64
 
 // ParseDigest converts and validates the digest of a request.
-func ParseDigest(f Function, d *repb.Digest) (Digest, error) {
+func ParseDigest(f DigestFunction, d *repb.Digest) (Digest, error) {
 	if f == repb.DigestFunction_UNKNOWN {
-		f = Functions[0]
+		f = DigestFunctions[0]
 	}
 	out := Digest{f, d.GetHash(), d.GetSizeBytes()}
 	return out, out.check()
@@ -79,7 +79,7 @@
 	if !ok || err != nil {
 		return Digest{}, fmt.Errorf("%w: %q: must be HASH/SIZE", ErrBadDigest, text)
 	}
-	d := Digest{Functions[0], h, n}
+	d := Digest{DigestFunctions[0], h, n}
 	return d, d.check()
 }
 
@@ -87,7 +87,7 @@
 func (d Digest) Empty() bool { return d.Size == 0 }
 
 // newHash returns a hash.Hash that computes a digest function.
-func newHash(f Function) (hash.Hash, error) {
+func newHash(f DigestFunction) (hash.Hash, error) {
 	switch f {
 	case repb.DigestFunction_SHA256:
 		return sha256.New(), nil
@@ -98,10 +98,10 @@
 }
 
 // Sum returns the digest of a blob. It uses the default function in place of an unknown one.
-func Sum(f Function, blob []byte) Digest {
+func Sum(f DigestFunction, blob []byte) Digest {
 	h, err := newHash(f)
 	if err != nil {
-		h, f = sha256.New(), Functions[0]
+		h, f = sha256.New(), DigestFunctions[0]
 	}
 	_, _ = h.Write(blob)
 	return Digest{f, hex.EncodeToString(h.Sum(nil)), int64(len(blob))}
@@ -158,7 +158,7 @@
 
 // parseResourceDigest parses [FUNCTION/]HASH/SIZE. Further segments are accepted if moreAllowed is set.
 func parseResourceDigest(segments []string, moreAllowed bool) (Digest, error) {
-	f := Functions[0]
+	f := DigestFunctions[0]
 	switch segments[0] {
 	case "blake3":
 		f, segments = repb.DigestFunction_BLAKE3, segments[1:]
--- a/internal/cas/disk.go
+++ b/internal/cas/disk.go
@@ -133,7 +133,7 @@
 	h, size, _ := strings.Cut(filepath.Base(path), "-")
 	n, err := strconv.ParseInt(size, 10, 64)
 	f := repb.DigestFunction_Value_value[strings.ToUpper(filepath.Base(filepath.Dir(filepath.Dir(path))))]
-	digest := Digest{Function(f), h, n}
+	digest := Digest{DigestFunction(f), h, n}
 	return digest, err == nil && digest.check() == nil
 }
 
--- a/internal/cas/golden_test.go
+++ b/internal/cas/golden_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	action := Sum(Functions[0], []byte("an action"))
+	action := Sum(DigestFunctions[0], []byte("an action"))
 	if err := d.PutResult("main", action, &repb.ActionResult{ExitCode: 3, StdoutRaw: []byte("out")}); err != nil {
 		t.Fatal(err)
 	}
@@ -28,6 +28,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.File(t, "result", body)
-	goldentest.Text(t, "result.path", strings.TrimPrefix(path, dir)+"\n")
+	goldentest.CompareBytes(t, "result", body)
+	goldentest.CompareText(t, "result.path", strings.TrimPrefix(path, dir)+"\n")
 }
--- a/internal/cas/results.go
+++ b/internal/cas/results.go
@@ -18,7 +18,7 @@
 
 // resultPath returns the path of the file that holds an action's result.
 func (d *Disk) resultPath(instance string, action Digest) string {
-	h := Sum(Functions[0], []byte(instance+"\x00"+action.Function.String()+"\x00"+action.String())).Hash
+	h := Sum(DigestFunctions[0], []byte(instance+"\x00"+action.Function.String()+"\x00"+action.String())).Hash
 	return filepath.Join(d.dir, "results", h[:2], h)
 }
 
@@ -72,7 +72,7 @@
 
 // MissingOutput returns the digest of an output that is not in the store, or nil if all are. It also checks the files
 // in output directories.
-func (d *Disk) MissingOutput(f Function, r *repb.ActionResult) *Digest {
+func (d *Disk) MissingOutput(f DigestFunction, r *repb.ActionResult) *Digest {
 	var fileDigests []*repb.Digest
 	for _, output := range r.OutputFiles {
 		fileDigests = append(fileDigests, output.Digest)
@@ -91,7 +91,7 @@
 
 // firstMissing returns the first digest whose blob is not in the store, or nil. It records a use of the blobs before
 // it. Nil digests are skipped.
-func (d *Disk) firstMissing(f Function, digests []*repb.Digest) *Digest {
+func (d *Disk) firstMissing(f DigestFunction, digests []*repb.Digest) *Digest {
 	for _, protoDigest := range digests {
 		if protoDigest == nil {
 			continue
@@ -105,7 +105,7 @@
 
 // missingFromTree returns the digest of an output directory's Tree message, or of a file in it, that is not in the
 // store, or nil if all are. A tree that can't be read counts as missing.
-func (d *Disk) missingFromTree(f Function, protoDigest *repb.Digest) *Digest {
+func (d *Disk) missingFromTree(f DigestFunction, protoDigest *repb.Digest) *Digest {
 	if protoDigest == nil {
 		return nil
 	}
--- a/internal/cas/server.go
+++ b/internal/cas/server.go
@@ -48,7 +48,7 @@
 // CacheCapabilities returns the cache capabilities of a store with the given limits.
 func CacheCapabilities(l Limits) *repb.CacheCapabilities {
 	return &repb.CacheCapabilities{
-		DigestFunctions:                 Functions,
+		DigestFunctions:                 DigestFunctions,
 		ActionCacheUpdateCapabilities:   &repb.ActionCacheUpdateCapabilities{UpdateEnabled: true},
 		MaxBatchTotalSizeBytes:          l.Batch,
 		SymlinkAbsolutePathStrategy:     repb.SymlinkAbsolutePathStrategy_DISALLOWED,
@@ -99,7 +99,7 @@
 }
 
 // update stores one blob of a batch.
-func (s *Server) update(f Function, b *repb.BatchUpdateBlobsRequest_Request) error {
+func (s *Server) update(f DigestFunction, b *repb.BatchUpdateBlobsRequest_Request) error {
 	digest, err := ParseDigest(f, b.Digest)
 	if err != nil {
 		return err
@@ -186,7 +186,7 @@
 
 // unseenSubdirectories returns the digests of subdirectories that are not in seen yet, and adds them to seen. It
 // skips malformed digests.
-func unseenSubdirectories(f Function, dir *repb.Directory, seen map[Digest]bool) []Digest {
+func unseenSubdirectories(f DigestFunction, dir *repb.Directory, seen map[Digest]bool) []Digest {
 	var unseen []Digest
 	for _, sub := range dir.Directories {
 		if digest, err := ParseDigest(f, sub.Digest); err == nil && !seen[digest] {
--- a/internal/cas/writer.go
+++ b/internal/cas/writer.go
@@ -55,7 +55,7 @@
 // uploadPath returns the path of an upload's file. The id is hashed, because it comes from a client and may
 // contain any characters.
 func (d *Disk) uploadPath(digest Digest, id string) string {
-	return filepath.Join(d.dir, "uploads", Sum(Functions[0], []byte(id+"/"+digest.String())).Hash)
+	return filepath.Join(d.dir, "uploads", Sum(DigestFunctions[0], []byte(id+"/"+digest.String())).Hash)
 }
 
 // Uploaded returns the number of bytes received of an upload, and whether the upload exists.
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -29,7 +29,7 @@
 // Client calls the cloud within its share of the rate limit.
 type Client struct {
 	addr            string
-	caller          *transport.Caller
+	caller          *transport.Client
 	maxRate         float64       // calls per second
 	limiter         *rate.Limiter // for all calls
 	scaleOutLimiter *rate.Limiter // for scale-out requests, which also count towards limiter
@@ -47,7 +47,7 @@
 	}
 	return &Client{
 		addr:            addr,
-		caller:          &transport.Caller{MaxBody: maxResponseBytes, Dial: network.Dial},
+		caller:          &transport.Client{MaxBody: maxResponseBytes, Dial: network.Dial},
 		maxRate:         maxRate,
 		limiter:         limiter(maxRate),
 		scaleOutLimiter: limiter(maxRate * scaleOutShare),
@@ -101,7 +101,7 @@
 
 // MachineTypes returns the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	body, err := c.call(ctx, http.MethodGet, wire.PathTypes, nil)
+	body, err := c.call(ctx, http.MethodGet, wire.PathMachineTypes, nil)
 	if err != nil {
 		return nil, fmt.Errorf("read machine types: %w", err)
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("scale out %s: %w", req.RequestID, err)
 	}
-	var names wire.MachineNames
+	var names wire.MachineIDs
 	if err := wire.Decode(body, &names); err != nil {
 		return names.Machines, fmt.Errorf("scale out %s: %w", req.RequestID, err)
 	}
@@ -140,7 +140,7 @@
 
 // Release returns machines to the cloud. If it succeeds, the machines and everything on them are gone.
 func (c *Client) Release(ctx context.Context, ids []string) error {
-	if _, err := c.call(ctx, http.MethodPost, wire.PathRelease, wire.Encode(wire.MachineNames{Machines: ids})); err != nil {
+	if _, err := c.call(ctx, http.MethodPost, wire.PathRelease, wire.Encode(wire.MachineIDs{Machines: ids})); err != nil {
 		return fmt.Errorf("release %d machines: %w", len(ids), err)
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -58,9 +58,9 @@
 type Workers struct {
 	HeartbeatInterval time.Duration
 	Lease             time.Duration // of a worker; responses to its heartbeats renew it, and its tasks end when it expires
-	GangWait          time.Duration // for which a task of a gang waits for the others to start
-	GangPeer          time.Duration // after which a task of a gang that has lost the others ends
-	Cancel            time.Duration // within which a confirmed cancellation must take effect
+	GangStartTimeout  time.Duration // for which a task of a gang waits for the others to start
+	GangPeerTimeout   time.Duration // after which a task of a gang that has lost the others ends
+	CancelTimeout     time.Duration // within which a confirmed cancellation must take effect
 }
 
 // MinCancelMargin is the minimum difference between Workers.Cancel and Workers.Lease, the time from
@@ -73,9 +73,9 @@
 // leaves the difference between Cancel and Lease, minus the drift between two clocks over the
 // whole time and a margin for timers that fire late.
 func (w Workers) MaxCancelStaleness() time.Duration {
-	difference := w.Cancel - w.Lease
+	difference := w.CancelTimeout - w.Lease
 	timerDelay := min(maxTimerDelay, difference/4)
-	drift := w.Cancel / clockDriftDivisor
+	drift := w.CancelTimeout / clockDriftDivisor
 	return max(0, difference-timerDelay-drift)
 }
 
@@ -101,8 +101,8 @@
 
 // Limits holds the resource limits of this process.
 type Limits struct {
-	RAMBytes int64
-	Files    int // open file descriptors
+	RAMBytes  int64
+	OpenFiles int // open file descriptors
 }
 
 // Writers returns the policy that determines which controllers write users' submissions.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -72,8 +72,8 @@
 			const drift = 0.0005
 			staleness := c.Workers.MaxCancelStaleness()
 			lastEnd := time.Duration(float64(staleness+lease) * (1 + drift) / (1 - drift))
-			if lastEnd+500*time.Millisecond > c.Workers.Cancel || staleness < 2*time.Second {
-				t.Errorf("lease %v, cancel %v: leases are renewed for %v, the last task ends after %v", lease, c.Workers.Cancel, staleness, lastEnd)
+			if lastEnd+500*time.Millisecond > c.Workers.CancelTimeout || staleness < 2*time.Second {
+				t.Errorf("lease %v, cancel %v: leases are renewed for %v, the last task ends after %v", lease, c.Workers.CancelTimeout, staleness, lastEnd)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 // TestTuning checks that the operators' file is parsed, and that invalid values and unknown keys are rejected.
 func TestTuning(t *testing.T) {
 	tuning := DefaultTuning()
-	if err := tuning.parse([]byte("[claim]\nlease = 8s\nrenew = 2s\n[round]\ntasks = 100\n")); err != nil || tuning.Lease != 8*time.Second || tuning.RoundTasks != 100 {
+	if err := tuning.parse([]byte("[claim]\nlease = 8s\nrenew = 2s\n[round]\ntasks = 100\n")); err != nil || tuning.Lease != 8*time.Second || tuning.MaxRoundLaunches != 100 {
 		t.Errorf("%+v, %v", tuning, err)
 	}
 	err := tuning.parse([]byte("[claim]\nlease = long\nrenew = 9s\n[rounds]\ntasks = 1\n"))
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,7 +13,7 @@
 
 // TestGoldenPlatformFile checks that the fields of the platform's file and their meaning have not changed.
 func TestGoldenPlatformFile(t *testing.T) {
-	goldentest.Check[platformFile](t, "platform.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[platformFile](t, "platform.json", json.Marshal, json.Unmarshal)
 	text, err := os.ReadFile("testdata/good.json")
 	if err != nil {
 		t.Fatal(err)
@@ -22,14 +22,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Text(t, "parsed.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
+	goldentest.CompareText(t, "parsed.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
 }
 
 // TestGoldenSettings checks that the keys of the operators' file, their defaults and their meaning have not
 // changed. testdata/all.ini sets all keys.
 func TestGoldenSettings(t *testing.T) {
 	keys := slices.Sorted(maps.Keys(new(Tuning).setters()))
-	goldentest.Text(t, "keys.txt", strings.Join(keys, "\n")+"\n")
+	goldentest.CompareText(t, "keys.txt", strings.Join(keys, "\n")+"\n")
 	text, err := os.ReadFile("testdata/all.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 		}
 	}
 	tuning := DefaultTuning()
-	goldentest.Text(t, "defaults.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
+	goldentest.CompareText(t, "defaults.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
 	if err := tuning.parse(text); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Text(t, "settings.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
+	goldentest.CompareText(t, "settings.txt", strings.Join(goldentest.Leaves(tuning), "\n")+"\n")
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,8 +38,8 @@
 		}
 		applySection(&errs, setters, section)
 	}
-	errs.check(t.Reapi.Listen == "" || t.Reapi.Store != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
-	errs.check(t.Renew*2 <= t.Lease, "claim.renew", t.Renew, "at most half of claim.lease")
+	errs.check(t.Reapi.Listen == "" || t.Reapi.CASAddr != "" && t.Reapi.Team != "", "reapi.listen", t.Reapi.Listen, "set together with reapi.cas and reapi.team")
+	errs.check(t.RenewInterval*2 <= t.Lease, "claim.renew", t.RenewInterval, "at most half of claim.lease")
 	return errors.Join(errs...)
 }
 
@@ -63,25 +63,25 @@
 		"parts.types": list(&t.Shards.Types),
 
 		"claim.lease":       duration(&t.Lease),
-		"claim.renew":       duration(&t.Renew),
+		"claim.renew":       duration(&t.RenewInterval),
 		"round.window":      duration(&t.RoundWindow),
-		"round.tasks":       count(&t.RoundTasks, 1, 500),
-		"jobs.begin_within": duration(&t.BeginWithin),
-		"reports.keep":      count(&t.DirectHeartbeats, 0, 1_000_000),
+		"round.tasks":       count(&t.MaxRoundLaunches, 1, 500),
+		"jobs.begin_within": duration(&t.MaxGangWait),
+		"reports.keep":      count(&t.MaxDirectHeartbeats, 0, 1_000_000),
 		"accept.writers":    count(&t.Writers, 0, 24),
-		"machines.idle":     duration(&t.Idle),
+		"machines.idle":     duration(&t.IdleTimeout),
 		"machines.silence":  duration(&t.HeartbeatTimeout),
 
 		"history.fold":     flag(&t.History.Compact),
-		"history.every":    duration(&t.History.Every),
-		"history.wait":     duration(&t.History.Wait),
-		"history.merge_at": count(&t.History.MergeAt, 1, 64),
+		"history.every":    duration(&t.History.Interval),
+		"history.wait":     duration(&t.History.MaxWait),
+		"history.merge_at": count(&t.History.MergeThreshold, 1, 64),
 		"history.cache_mb": count(&t.History.CacheMB, 1, 1024),
-		"history.backlog":  count(&t.History.Backlog, 100, 10_000_000),
+		"history.backlog":  count(&t.History.MaxBacklog, 100, 10_000_000),
 
 		"reapi.listen":    address(&t.Reapi.Listen),
-		"reapi.cas":       address(&t.Reapi.Store),
-		"reapi.calls":     count(&t.Reapi.Calls, 1, 100_000),
+		"reapi.cas":       address(&t.Reapi.CASAddr),
+		"reapi.calls":     count(&t.Reapi.MaxCalls, 1, 100_000),
 		"reapi.team":      text(&t.Reapi.Team),
 		"reapi.class":     text(&t.Reapi.Class),
 		"reapi.image":     text(&t.Reapi.Image),
--- a/internal/controller/budget.go
+++ b/internal/controller/budget.go
@@ -23,13 +23,13 @@
 	}
 	policy, writing := c.writers.policy, c.writers.choose(time.Now())
 	allowed := store.Allowance{
-		Requests:   policy.RequestShare(writing.names, c.cfg.Name, ledShare),
-		Acceptance: policy.WriteShare(writing.names, c.cfg.Name),
-		Leading:    ledShare,
-		HasLeader:  anyLed,
+		Requests:          policy.RequestShare(writing.names, c.cfg.Name, ledShare),
+		Acceptance:        policy.WriteShare(writing.names, c.cfg.Name),
+		Leading:           ledShare,
+		AnyShardHasLeader: anyLed,
 	}
 	if writing.olderPeer || writing.names == nil && time.Since(c.startedAt) < startupGracePeriod {
 		allowed.Requests, allowed.Acceptance = policy.EvenShare(), policy.EvenShare()
 	}
-	c.state.client.Allow(allowed)
+	c.state.client.SetAllowance(allowed)
 }
--- a/internal/controller/candidacy_test.go
+++ b/internal/controller/candidacy_test.go
@@ -16,7 +16,7 @@
 // newTestController returns the first of three controllers, without running it.
 func newTestController() *Controller {
 	cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
-		Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{Files: 500}, Tuning: config.DefaultTuning(),
+		Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{OpenFiles: 500}, Tuning: config.DefaultTuning(),
 		Peers: []config.Peer{{Name: "c-1"}, {Name: "c-2"}}}
 	cfg.Workers.HeartbeatInterval = 5 * time.Second
 	return New(simulator.NewNetwork().Host("10.0.0.1"), cfg, slog.New(slog.DiscardHandler))
--- a/internal/controller/compaction.go
+++ b/internal/controller/compaction.go
@@ -17,7 +17,7 @@
 		Fence:         wire.Condition{Key: store.LeaderKey(s.tenure.Shard), Version: s.tenure.Version},
 		JobsWithTasks: s.UnfinishedJobs,
 		LeaseValid:    leaseValid,
-		Interval:      settings.Every, MaxWait: settings.Wait, MergeThreshold: settings.MergeAt,
+		Interval:      settings.Interval, MaxWait: settings.MaxWait, MergeThreshold: settings.MergeThreshold,
 	}
 	if !c.sharding.IsSingle() {
 		compactor.DrainedThrough = func() uint64 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,7 +92,7 @@
 	c.openState()
 	c.cloud = cloud.New(network, cfg.CloudAddr, cfg.Cloud.RPS*cloudRequestShare)
 	c.types = &machineTypes{cloud: c.cloud, view: c.state.view, onChange: c.wake}
-	c.workers = worker.NewClient(network, cfg.Limits.Files/16)
+	c.workers = worker.NewClient(network, cfg.Limits.OpenFiles/16)
 	c.setUpPeers()
 	c.setUpElections()
 	c.ingest = c.newIngestion()
@@ -134,11 +134,11 @@
 func (c *Controller) setUpElections() {
 	cfg := c.cfg
 	c.candidacy = &candidacy{cfg: cfg, sharding: c.sharding, tiersDigest: c.tiersDigest, view: c.state.view, mesh: c.mesh, peers: c.tracker, startedAt: c.startedAt,
-		offered:     func() int { return c.ingest.gateway.Offered() },
+		offered:     func() int { return c.ingest.gateway.OfferedMachines() },
 		operational: func() bool { return c.types.get() != nil && c.writable() }}
 	state := leadership.State{Client: c.state.client, View: c.state.view, Follow: c.state.follow}
 	gate := &leadership.SettingsGate{Sharding: c.sharding, TiersDigest: c.tiersDigest, Mismatch: c.candidacy.settingsMismatch, State: state, Log: c.log}
-	c.elector = leadership.NewElector(leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.Renew), gate, state, c.log)
+	c.elector = leadership.NewElector(leadership.New(cfg.Name, cfg.Tuning.Lease, cfg.Tuning.RenewInterval), gate, state, c.log)
 	c.elector.ShouldCampaign, c.elector.OnChange = c.candidacy.shouldCampaign, c.wake
 	c.failover = &failover{self: cfg.Name, shards: c.sharding.Shards(), client: c.state.client, view: c.state.view, follow: c.state.follow, peers: c.tracker, log: c.log,
 		ledgerWrites: make(map[string]ledgerWrite), deadSince: make(map[uint64]time.Time)}
@@ -148,11 +148,11 @@
 func (c *Controller) setUpAdmission() {
 	cfg, state := c.cfg, &c.state
 	c.router = &shard.Router{Sharding: c.sharding, Statuses: c.statuses.forRouting}
-	c.admission = &admission.Service{Teams: cfg.Teams, View: state.view, Follow: state.follow, History: state.history, Log: c.log,
+	c.admission = &admission.Service{Teams: cfg.Teams, View: state.view, Follower: state.follow, History: state.history, Log: c.log,
 		Intake:       admission.NewIntake(state.client, fmt.Sprintf("%s-%d", cfg.Name, c.startedAt.UnixNano()), cfg.Store.ValueBytes),
 		Canceller:    admission.NewCanceller(state.client, state.view, state.follow, cfg.Store.TxnOps),
-		MachineTypes: c.types.get, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.Backlog, OnChange: c.wake}
-	c.admission.Intake.Prioritized = cfg.Tiers().InFirst
+		MachineTypes: c.types.get, Writable: c.writable, Route: c.route, MaxBacklog: cfg.Tuning.History.MaxBacklog, OnChange: c.wake}
+	c.admission.Intake.Prioritized = cfg.Tiers().InFirstTier
 }
 
 // Run serves until the context ends.
@@ -189,8 +189,8 @@
 // servePublic serves users and workers. Where the network supports it, heartbeats that can only be
 // redirected are answered before they are read.
 func (c *Controller) servePublic(ctx context.Context) error {
-	conns := &transport.ConnLimit{Max: c.cfg.Limits.Files * 3 / 4} // the rest is for peers, the state service and outgoing calls
-	serve := conns.Serve(transport.HTTP(wire.MaxBody, httpIdleTimeout, c.publicHandler(conns)))
+	conns := &transport.ConnLimit{Max: c.cfg.Limits.OpenFiles * 3 / 4} // the rest is for peers, the state service and outgoing calls
+	serve := conns.Serve(transport.HTTP(wire.MaxBodyBytes, httpIdleTimeout, c.publicHandler(conns)))
 	if rejecting, ok := c.net.(transport.RejectingNetwork); ok {
 		return rejecting.ListenRejecting(ctx, c.cfg.PublicAddr, conns.Max, serve, c.ingest.gateway.RedirectUnread)
 	}
@@ -199,7 +199,7 @@
 
 // publicHandler returns the handler of requests from users and workers.
 func (c *Controller) publicHandler(conns *transport.ConnLimit) transport.Handler {
-	heartbeats := worker.Handler(c.ingest.gateway.HandleHeartbeat, c.log)
+	heartbeats := worker.HeartbeatHandler(c.ingest.gateway.HandleHeartbeat, c.log)
 	return func(ctx context.Context, r *httpwire.Request) *httpwire.Response {
 		if r.Path != wire.PathHeartbeat {
 			resp := c.users.Handle(ctx, r)
@@ -221,7 +221,7 @@
 
 // serveOperators serves metrics and status.
 func (c *Controller) serveOperators(ctx context.Context) error {
-	return c.net.Listen(ctx, c.cfg.Tuning.Metrics, maxOperatorConns, transport.HTTP(wire.MaxBody, httpIdleTimeout, c.operatorHandler()))
+	return c.net.Listen(ctx, c.cfg.Tuning.Metrics, maxOperatorConns, transport.HTTP(wire.MaxBodyBytes, httpIdleTimeout, c.operatorHandler()))
 }
 
 // wake makes manageShards check the shards without waiting for its next interval.
--- a/internal/controller/ingest.go
+++ b/internal/controller/ingest.go
@@ -72,7 +72,7 @@
 		Leads:           func() bool { return len(c.led.all()) > 0 },
 		Sharded:         !c.sharding.IsSingle(),
 		ReportingWindow: 2 * c.cfg.Workers.HeartbeatInterval,
-		Balancer:        ingest.Balancer{LeaderKeeps: c.cfg.Tuning.DirectHeartbeats, Capacity: c.cfg.Limits.Files / 2},
+		Balancer:        ingest.Balancer{LeaderKeeps: c.cfg.Tuning.MaxDirectHeartbeats, Capacity: c.cfg.Limits.OpenFiles / 2},
 	}
 	c.mesh.Handlers = map[string]peer.StreamHandler{ingest.StreamKind: in.receiver.Serve}
 	return in
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -13,17 +13,17 @@
 func (c *Controller) readMetrics() metrics.Reading {
 	view := c.state.view
 	reading := metrics.Reading{
-		Started:           c.startedAt,
-		LastList:          c.state.follow.LastLoad(),
-		StoreCalls:        c.state.client.CallStatsByPurpose(),
-		BlockCache:        c.state.history.Stats(),
-		UnreadableRecords: len(view.UnreadableRecords()),
-		Revision:          view.Revision(),
-		OldestEnd:         view.OldestEnd(),
-		MachinesMoved:     c.ingest.gateway.Rebalanced(),
-		CallWindow:        c.ingest.throttle.Window(),
-		ReportingMachines: c.ingest.gateway.Reporting(),
-		ForwardingPeers:   len(c.ingest.receiver.ForwardingPeers(forwardingMaxAge)),
+		Started:            c.startedAt,
+		LastLoad:           c.state.follow.LastLoad(),
+		StoreCalls:         c.state.client.CallStatsByPurpose(),
+		BlockCache:         c.state.history.Stats(),
+		UnreadableRecords:  len(view.UnreadableRecords()),
+		Revision:           view.Revision(),
+		OldestEnd:          view.OldestEnd(),
+		MachinesRedirected: c.ingest.gateway.Rebalanced(),
+		CallWindow:         c.ingest.throttle.Window(),
+		ReportingMachines:  c.ingest.gateway.ReportingMachines(),
+		ForwardingPeers:    len(c.ingest.receiver.ForwardingPeers(forwardingMaxAge)),
 	}
 	reading.LiveJobs, reading.EndedJobs, reading.Batches, reading.RecentJobs = view.Size()
 	heartbeats, requests := c.ingest.uplinks.Counts(), c.forwarder.Counts()
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -33,7 +33,7 @@
 		Name:              c.cfg.Name,
 		Ready:             c.ready(),
 		UpS:               int(time.Since(c.startedAt).Seconds()),
-		ReportingMachines: c.ingest.gateway.Reporting(),
+		ReportingMachines: c.ingest.gateway.ReportingMachines(),
 		Revision:          c.state.view.Revision(),
 		Shards:            make(map[string]top.Shard),
 		Classes:           c.classStatus(),
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -75,7 +75,7 @@
 		TiersDigest:     c.tiersDigest,
 		StoreReachable:  !failing && time.Since(contact) < storeContactMaxAge,
 		WritesForPeers:  true,
-		OfferedMachines: c.ingest.gateway.Offered(),
+		OfferedMachines: c.ingest.gateway.OfferedMachines(),
 		ForwardsTo:      c.ingest.uplinks.ForwardsTo(),
 	}
 	status.Sequence, status.HeartbeatAges = c.tracker.nextHeartbeat()
--- a/internal/controller/writers_test.go
+++ b/internal/controller/writers_test.go
@@ -17,14 +17,14 @@
 // pipe is the accepted end of an in-memory connection.
 type pipe struct{ net.Conn }
 
-func (pipe) SetIdle(time.Duration) {}
+func (pipe) SetIdleTimeout(time.Duration) {}
 
 // TestOlderPeers checks that no controller writes for others while a live peer accepts no forwarded requests, and that
 // some do once all peers accept them or that peer no longer sends heartbeats.
 func TestOlderPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Name: "c-0", Zones: []string{"a"}, Store: config.Store{RPS: 120, WriteRPS: 35, ValueBytes: 8192, TxnOps: 20},
-			Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{Files: 500}, Tuning: config.DefaultTuning()}
+			Cloud: config.Cloud{RPS: 10}, Limits: config.Limits{OpenFiles: 500}, Tuning: config.DefaultTuning()}
 		for i := 1; i < 7; i++ {
 			cfg.Peers = append(cfg.Peers, config.Peer{Name: fmt.Sprint("c-", i)})
 		}
--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -20,7 +20,7 @@
 // demoJobs returns one job of each shape.
 func demoJobs() []*wire.Job {
 	job := func(id string, shape wire.Shape, tasks int, seconds float64) *wire.Job {
-		return &wire.Job{ID: wire.JobPrefix + id, Class: "demo", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 4,
+		return &wire.Job{ID: wire.JobIDPrefix + id, Class: "demo", Team: "red", Shape: shape, Priority: wire.Normal, Tasks: tasks, CPUs: 2, GPUs: 1, MemoryGB: 4,
 			Image: "demo", ImageGB: 1, EstimateS: seconds, Spot: shape == wire.Array}
 	}
 	array, gang, service := job("1", wire.Array, 12, 4), job("2", wire.Gang, 4, 6), job("3", wire.Service, 2, 0)
@@ -45,9 +45,9 @@
 	d := &demo{c, demoJobs(), func(format string, args ...any) {
 		fmt.Fprintf(out, "%5.1f s  %s\n", time.Since(begun).Seconds(), fmt.Sprintf(format, args...))
 	}}
-	users := &simulator.Users{Dial: emulator.Dial, Judge: c.Liveness()}
+	users := &simulator.Users{Dial: emulator.Dial, Liveness: c.Liveness()}
 	for i := range Controllers {
-		users.Nodes = append(users.Nodes, c.Addr(i))
+		users.Controllers = append(users.Controllers, c.Addr(i))
 	}
 	var polling sync.WaitGroup
 	defer func() { cancel(); polling.Wait() }()
@@ -116,7 +116,7 @@
 		d.printf("%s is done", j.ID)
 	}
 	service := d.jobs[2].ID
-	if status, _ := d.request(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelWord, []byte{}); status != 200 {
+	if status, _ := d.request(ctx, 0, "POST", wire.PathJobs+"/"+service+"/"+wire.CancelPathSuffix, []byte{}); status != 200 {
 		return fmt.Errorf("cancelling %s returned status %d", service, status)
 	}
 	d.printf("%s is cancelled", service)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -33,7 +33,7 @@
 	procs  emulator.Processes
 	dir    string
 	stop   context.CancelFunc
-	caller *transport.Caller
+	caller *transport.Client
 }
 
 // operatorSettings are the operators' settings of every controller. The lease is short so that a demo shows a
@@ -48,15 +48,15 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	c := &Cluster{dir: dir, stop: stop}
-	c.caller = &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}
-	c.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, Tuning: operatorSettings}
-	c.procs.Begin(ctx)
+	c.caller = &transport.Client{MaxBody: 1 << 20, Dial: emulator.Dial}
+	c.procs = emulator.Processes{Program: opt.Program, Level: opt.Level, Dir: dir, OperatorSettings: operatorSettings}
+	c.procs.Init(ctx)
 	emulated, err := emulator.Start(ctx, emulator.DefaultConfig(), emulator.Options{Port: opt.Port, Dir: dir, Pause: c.procs.PauseNamed, Kill: c.procs.KillNamed})
 	if err != nil {
 		c.Stop()
 		return nil, err
 	}
-	c.Cluster, c.procs.Settings, c.procs.Metrics = emulated, emulated.Settings, emulated.Metrics
+	c.Cluster, c.procs.PlatformFile, c.procs.MetricsAddr = emulated, emulated.PlatformFile, emulated.MetricsAddr
 	if err := c.startControllers(ctx); err != nil {
 		c.Stop()
 		return nil, err
@@ -65,7 +65,7 @@
 }
 
 // Addr returns the address at which users reach a controller.
-func (c *Cluster) Addr(i int) string { return c.Public(i) }
+func (c *Cluster) Addr(i int) string { return c.PublicAddr(i) }
 
 // Log returns the path of a controller's log.
 func (c *Cluster) Log(i int) string { return c.procs.Log(i) }
@@ -106,7 +106,7 @@
 
 // Leader returns the number of the controller that leads the fleet and its fencing token.
 func (c *Cluster) Leader() (i int, token uint64, ok bool) {
-	items := c.Page(store.LeaderKey("fleet"), 1)
+	items := c.ListKeys(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return 0, 0, false
 	}
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -92,20 +92,22 @@
 	return fmt.Sprintf("127.0.0.1:%d", cluster.opt.Port+offset)
 }
 
-// Public returns the address at which users and machines reach a controller.
-func (cluster *Cluster) Public(i int) string { return cluster.addr(i) }
+// PublicAddr returns the address at which users and machines reach a controller.
+func (cluster *Cluster) PublicAddr(i int) string { return cluster.addr(i) }
 
-// Control returns the control address, which accepts faults and users' observations.
-func (cluster *Cluster) Control() string { return cluster.addr(cluster.ports.control) }
+// ControlAddr returns the control address, which accepts faults and users' observations.
+func (cluster *Cluster) ControlAddr() string { return cluster.addr(cluster.ports.control) }
 
-// Metrics returns the metrics address of a controller that this program starts.
-func (cluster *Cluster) Metrics(i int) string { return cluster.addr(cluster.ports.metrics + i) }
+// MetricsAddr returns the metrics address of a controller that this program starts.
+func (cluster *Cluster) MetricsAddr(i int) string { return cluster.addr(cluster.ports.metrics + i) }
 
-// Builds returns the address reserved for a controller's remote execution API.
-func (cluster *Cluster) Builds(i int) string { return cluster.addr(cluster.ports.builds + i) }
+// RemoteExecutionAddr returns the address reserved for a controller's remote execution API.
+func (cluster *Cluster) RemoteExecutionAddr(i int) string {
+	return cluster.addr(cluster.ports.builds + i)
+}
 
-// Blobs returns the address of the blob store for remote execution.
-func (cluster *Cluster) Blobs() string { return cluster.addr(cluster.ports.blobs) }
+// BlobStoreAddr returns the address of the blob store for remote execution.
+func (cluster *Cluster) BlobStoreAddr() string { return cluster.addr(cluster.ports.blobs) }
 
 func (cluster *Cluster) zoneOf(i int) string {
 	return cluster.Config.Zones[i%len(cluster.Config.Zones)]
@@ -124,7 +126,7 @@
 // controllers connect to machines.
 func (cluster *Cluster) endpointAt(addr string) endpoint {
 	for i := range cluster.Config.Controllers {
-		if addr == cluster.Public(i) {
+		if addr == cluster.PublicAddr(i) {
 			return cluster.controllerEndpoint(i)
 		}
 	}
@@ -204,7 +206,7 @@
 // Liveness returns the checker that verifies that accepted jobs remain known to users.
 func (cluster *Cluster) Liveness() *simulator.LivenessChecker { return &cluster.fixture.Liveness }
 
-// Page lists up to limit keys of the state service that have a prefix.
-func (cluster *Cluster) Page(prefix string, limit int) []wire.KeyValue {
+// ListKeys lists up to limit keys of the state service that have a prefix.
+func (cluster *Cluster) ListKeys(prefix string, limit int) []wire.KeyValue {
 	return cluster.state.Page(prefix, "", limit).Items
 }
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -24,13 +24,13 @@
 	return cluster
 }
 
-func newCaller() *transport.Caller {
-	return &transport.Caller{MaxBody: 1 << 20, Dial: Dial}
+func newCaller() *transport.Client {
+	return &transport.Client{MaxBody: 1 << 20, Dial: Dial}
 }
 
 // keysStatus lists the keys of the state service through controller i's address and returns the HTTP status, or 0 if
 // there was no response within the timeout.
-func keysStatus(t *testing.T, cluster *Cluster, c *transport.Caller, i int, timeout time.Duration) int {
+func keysStatus(t *testing.T, cluster *Cluster, c *transport.Client, i int, timeout time.Duration) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
@@ -128,12 +128,12 @@
 	var settings struct {
 		Name string `json:"host_name"`
 	}
-	if text, err := os.ReadFile(cluster.Settings(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
+	if text, err := os.ReadFile(cluster.PlatformFile(2)); err != nil || json.Unmarshal(text, &settings) != nil || settings.Name != "c-2" {
 		t.Errorf("settings: %v, %+v", err, settings)
 	}
 	cluster.Stop()
 	restarted := startSmallCluster(t, 27300+800, Options{Dir: dir, Persist: true})
-	if items := restarted.Page("a/", 9); len(items) != 1 || items[0].Version != 1 {
+	if items := restarted.ListKeys("a/", 9); len(items) != 1 || items[0].Version != 1 {
 		t.Errorf("%+v", items)
 	}
 	if temporary, _ := filepath.Glob(filepath.Join(dir, ".part-*")); len(temporary) > 0 {
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -41,9 +41,9 @@
 func DefaultConfig() *Config {
 	t := wire.MachineType{Name: "dev-4", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBps: 10, Price: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"}}
 	c := &Config{Seed: 1, Controllers: 3, Zones: t.Zones, Types: []wire.MachineType{t}, CapacityByOffer: map[simulator.Offer]int{},
-		Workers: config.Workers{HeartbeatInterval: time.Second, Lease: 10 * time.Second, GangWait: 10 * time.Second, GangPeer: 3 * time.Second, Cancel: 30 * time.Second},
+		Workers: config.Workers{HeartbeatInterval: time.Second, Lease: 10 * time.Second, GangStartTimeout: 10 * time.Second, GangPeerTimeout: 3 * time.Second, CancelTimeout: 30 * time.Second},
 		State:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 16 << 10, TxnOps: 24}, Cloud: config.Cloud{RPS: 10, ListLag: 500 * time.Millisecond},
-		Limits: config.Limits{RAMBytes: 200 << 20, Files: 1000}, Teams: []config.Team{{Name: "red"}, {Name: "blue", GPUs: 4, GPUsMax: 16}}}
+		Limits: config.Limits{RAMBytes: 200 << 20, OpenFiles: 1000}, Teams: []config.Team{{Name: "red"}, {Name: "blue", GPUs: 4, GPUsMax: 16}}}
 	for _, z := range t.Zones {
 		c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z, Spot: true}] = 2
 		c.CapacityByOffer[simulator.Offer{Type: t.Name, Zone: z}] = 2
@@ -207,13 +207,13 @@
 
 // worldParsers returns the parsers for the keys of the section [world].
 func (c *Config) worldParsers() fieldParsers {
-	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.Files, 200.0
+	seed, value, files, ram := int(c.Seed), 16.0, c.Limits.OpenFiles, 200.0
 	return fieldParsers{
 		"seed":        func(v string) string { s := countParser(&seed, 0, math.MaxInt32)(v); c.Seed = uint64(seed); return s },
 		"controllers": countParser(&c.Controllers, 1, MaxControllers), "zones": nameListParser(&c.Zones),
 		"report": durationParser(&c.Workers.HeartbeatInterval, 100*time.Millisecond, time.Minute), "lease": durationParser(&c.Workers.Lease, time.Second, 10*time.Minute),
-		"gang_wait": durationParser(&c.Workers.GangWait, time.Second, 10*time.Minute), "gang_peer": durationParser(&c.Workers.GangPeer, 100*time.Millisecond, time.Minute),
-		"cancel":    durationParser(&c.Workers.Cancel, time.Second, 20*time.Minute),
+		"gang_wait": durationParser(&c.Workers.GangStartTimeout, time.Second, 10*time.Minute), "gang_peer": durationParser(&c.Workers.GangPeerTimeout, 100*time.Millisecond, time.Minute),
+		"cancel":    durationParser(&c.Workers.CancelTimeout, time.Second, 20*time.Minute),
 		"state_rps": numberParser(&c.State.RPS, 1, 1e6), "state_write_rps": numberParser(&c.State.WriteRPS, 1, 1e6), "state_delay": durationParser(&c.StateDelay, 0, 10*time.Second),
 		"value_kb": func(v string) string {
 			s := numberParser(&value, 1, 1024)(v)
@@ -228,7 +228,11 @@
 			c.Limits.RAMBytes = int64(ram * (1 << 20))
 			return s
 		},
-		"fd_limit": func(v string) string { s := countParser(&files, 64, 1_000_000)(v); c.Limits.Files = files; return s },
+		"fd_limit": func(v string) string {
+			s := countParser(&files, 64, 1_000_000)(v)
+			c.Limits.OpenFiles = files
+			return s
+		},
 	}
 }
 
@@ -286,7 +290,7 @@
 		}
 	}
 	check(c.Workers.Lease > c.Workers.HeartbeatInterval, "lease", c.Workers.Lease.String(), "more than report")
-	check(c.Workers.Cancel > c.Workers.Lease, "cancel", c.Workers.Cancel.String(), "more than lease")
+	check(c.Workers.CancelTimeout > c.Workers.Lease, "cancel", c.Workers.CancelTimeout.String(), "more than lease")
 	for i := range c.Types {
 		t := &c.Types[i]
 		if !hasTypes {
--- a/internal/emulator/control.go
+++ b/internal/emulator/control.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Refusal is the body of an error response of the control address.
-type Refusal struct {
+// ErrorResponse is the body of an error response of the control address.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -73,7 +73,7 @@
 		case r.Method == "DELETE" && hasNumber:
 			return cluster.deleteFault(number)
 		}
-		return jsonResponse(404, Refusal{"no such path"})
+		return jsonResponse(404, ErrorResponse{"no such path"})
 	})
 }
 
@@ -87,11 +87,11 @@
 func (cluster *Cluster) postFault(body []byte) *httpwire.Response {
 	var f Fault
 	if err := json.Unmarshal(body, &f); err != nil {
-		return jsonResponse(400, Refusal{err.Error()})
+		return jsonResponse(400, ErrorResponse{err.Error()})
 	}
 	s, err := cluster.Stage(f)
 	if err != nil {
-		return jsonResponse(422, Refusal{err.Error()})
+		return jsonResponse(422, ErrorResponse{err.Error()})
 	}
 	return jsonResponse(200, s)
 }
@@ -102,7 +102,7 @@
 		Told []Observation `cbor:"told"`
 	}
 	if err := wire.Decode(body, &batch); err != nil {
-		return jsonResponse(400, Refusal{err.Error()})
+		return jsonResponse(400, ErrorResponse{err.Error()})
 	}
 	cluster.Observe(batch.Told)
 	return jsonResponse(200, struct{}{})
@@ -111,7 +111,7 @@
 // deleteFault lifts the fault with a number.
 func (cluster *Cluster) deleteFault(number string) *httpwire.Response {
 	if n, err := strconv.Atoi(number); err != nil || !cluster.Lift(n) {
-		return jsonResponse(404, Refusal{fmt.Sprintf("fault %s is not in force", number)})
+		return jsonResponse(404, ErrorResponse{fmt.Sprintf("fault %s is not in force", number)})
 	}
 	return jsonResponse(200, struct{}{})
 }
--- a/internal/emulator/golden_test.go
+++ b/internal/emulator/golden_test.go
@@ -13,11 +13,11 @@
 
 // TestGoldenMessages checks that the encoding of what an emulated cluster stores and sends is unchanged.
 func TestGoldenMessages(t *testing.T) {
-	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[StagedFault](t, "staged.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[Observation](t, "told.cbor", encode, wire.DecodeValue)
-	goldentest.Check[simulator.StateSnapshot](t, "kept.cbor", encode, wire.DecodeValue)
+	goldentest.CheckEncoding[Status](t, "status.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[Fault](t, "fault.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[StagedFault](t, "staged.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[Observation](t, "told.cbor", encode, wire.DecodeValue)
+	goldentest.CheckEncoding[simulator.StateSnapshot](t, "kept.cbor", encode, wire.DecodeValue)
 }
 
 func encode(v any) ([]byte, error) { return wire.Encode(v), nil }
@@ -32,5 +32,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Text(t, "file.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
+	goldentest.CompareText(t, "file.txt", strings.Join(goldentest.Leaves(*c), "\n")+"\n")
 }
--- a/internal/emulator/links.go
+++ b/internal/emulator/links.go
@@ -152,8 +152,8 @@
 	return k
 }
 
-// SetIdle implements transport.Stream.
-func (c *link) SetIdle(d time.Duration) { c.idle = d }
+// SetIdleTimeout implements transport.Stream.
+func (c *link) SetIdleTimeout(d time.Duration) { c.idle = d }
 
 // Read returns received bytes once the rules let them pass.
 func (c *link) Read(p []byte) (int, error) {
--- a/internal/emulator/machines.go
+++ b/internal/emulator/machines.go
@@ -17,13 +17,13 @@
 func (cluster *Cluster) createCloud() {
 	c := cluster.Config
 	cluster.fixture = newTaskFixture(cluster)
-	cluster.fixture.SetQuietSince(cluster.startedAt)
-	runtime := simulator.NewTaskRuntime(cluster.fixture, c.Workers.GangWait, c.Workers.GangPeer)
+	cluster.fixture.SetFaultFreeSince(cluster.startedAt)
+	runtime := simulator.NewTaskRuntime(cluster.fixture, c.Workers.GangStartTimeout, c.Workers.GangPeerTimeout)
 	addrByController := map[string]string{}
 	cluster.replayer = &simulator.HeartbeatReplayer{Dial: Dial, MaxDelay: 3 * c.Workers.Lease, Rand: rand.New(rand.NewPCG(c.Seed, 9))}
 	for i := range c.Controllers {
-		addrByController[cluster.controllerEndpoint(i).name] = cluster.Public(i)
-		cluster.replayer.Controllers = append(cluster.replayer.Controllers, cluster.Public(i))
+		addrByController[cluster.controllerEndpoint(i).name] = cluster.PublicAddr(i)
+		cluster.replayer.Controllers = append(cluster.replayer.Controllers, cluster.PublicAddr(i))
 	}
 	cluster.cloud = &simulator.Cloud{Types: c.Types, CapacityByOffer: c.CapacityByOffer, RPS: c.Cloud.RPS, ListLag: c.Cloud.ListLag, Rand: rand.New(rand.NewPCG(c.Seed, 3)),
 		AddrOf: cluster.machineAddr,
--- a/internal/emulator/processes.go
+++ b/internal/emulator/processes.go
@@ -17,13 +17,13 @@
 // Processes runs the controllers of a cluster as child processes. They are killed when the parent ends, however that
 // happens.
 type Processes struct {
-	Program  string             // path of the amberdeal binary
-	Level    string             // LOG_LEVEL of the controllers
-	Dir      string             // directory of their logs and operators' files
-	Settings func(i int) string // path of a controller's platform file
-	Tuning   string             // content of the operators' file of all controllers; may be empty
-	Extra    func(i int) string // if set, returns additional content for one controller's operators' file
-	Metrics  func(i int) string // address at which a controller serves metrics
+	Program          string             // path of the amberdeal binary
+	Level            string             // LOG_LEVEL of the controllers
+	Dir              string             // directory of their logs and operators' files
+	PlatformFile     func(i int) string // path of a controller's platform file
+	OperatorSettings string             // content of the operators' file of all controllers; may be empty
+	ExtraSettings    func(i int) string // if set, returns additional content for one controller's operators' file
+	MetricsAddr      func(i int) string // address at which a controller serves metrics
 
 	ctx           context.Context
 	startRequests chan func()
@@ -32,8 +32,8 @@
 	stopped       bool // set by Stop: no process is started any more
 }
 
-// Begin has to be called before Start. No process is started after the context ends, and those that run are killed.
-func (p *Processes) Begin(ctx context.Context) {
+// Init has to be called before Start. No process is started after the context ends, and those that run are killed.
+func (p *Processes) Init(ctx context.Context) {
 	p.ctx, p.startRequests, p.procs = ctx, make(chan func()), map[int]*exec.Cmd{}
 	go p.startLoop()
 }
@@ -64,14 +64,14 @@
 	}
 	defer log.Close()
 	operatorsFile := filepath.Join(p.Dir, fmt.Sprintf("c-%d.ini", i))
-	text := p.Tuning
-	if p.Extra != nil {
-		text += p.Extra(i)
+	text := p.OperatorSettings
+	if p.ExtraSettings != nil {
+		text += p.ExtraSettings(i)
 	}
-	if err := writeFileAtomic(operatorsFile, []byte(text+"\n[metrics]\nlisten = "+p.Metrics(i)+"\n")); err != nil {
+	if err := writeFileAtomic(operatorsFile, []byte(text+"\n[metrics]\nlisten = "+p.MetricsAddr(i)+"\n")); err != nil {
 		return err
 	}
-	cmd := exec.Command(p.Program, "serve", "--config", p.Settings(i), "--settings", operatorsFile)
+	cmd := exec.Command(p.Program, "serve", "--config", p.PlatformFile(i), "--settings", operatorsFile)
 	cmd.Stderr = log
 	cmd.Env = append(os.Environ(), "LOG_LEVEL="+p.Level)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // Setpgid: Ctrl-C reaches only this process, which stops the controllers
--- a/internal/emulator/ready.go
+++ b/internal/emulator/ready.go
@@ -12,8 +12,8 @@
 // readyTimeout is the time within which all controllers have to become ready.
 const readyTimeout = 30 * time.Second
 
-// Ready waits until the controllers at all addresses are ready.
-func Ready(ctx context.Context, caller *transport.Caller, addrs []string) error {
+// WaitReady waits until the controllers at all addresses are ready.
+func WaitReady(ctx context.Context, caller *transport.Client, addrs []string) error {
 	for startedAt := time.Now(); ; {
 		n := 0
 		for _, addr := range addrs {
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// Settings returns the path of a controller's platform file.
-func (cluster *Cluster) Settings(i int) string {
+// PlatformFile returns the path of a controller's platform file.
+func (cluster *Cluster) PlatformFile(i int) string {
 	return filepath.Join(cluster.opt.Dir, fmt.Sprintf("c-%d.json", i))
 }
 
@@ -21,7 +21,7 @@
 	errs := []error{os.MkdirAll(cluster.opt.Dir, 0o755)}
 	for i := range cluster.Config.Controllers {
 		text, err := json.MarshalIndent(cluster.platformFileContent(i), "", "  ")
-		errs = append(errs, err, writeFileAtomic(cluster.Settings(i), text))
+		errs = append(errs, err, writeFileAtomic(cluster.PlatformFile(i), text))
 	}
 	return errors.Join(errs...)
 }
@@ -52,11 +52,11 @@
 		}
 	}
 	workers := c.Workers
-	return map[string]any{"host_name": cluster.controllerEndpoint(i).name, "location": cluster.zoneOf(i), "public_addr": cluster.Public(i), "mesh_addr": cluster.addr(cluster.ports.mesh + i), "siblings": peers,
+	return map[string]any{"host_name": cluster.controllerEndpoint(i).name, "location": cluster.zoneOf(i), "public_addr": cluster.PublicAddr(i), "mesh_addr": cluster.addr(cluster.ports.mesh + i), "siblings": peers,
 		"endpoints": map[string]any{"cloud": cluster.addr(cluster.ports.cloud + i), "state": cluster.addr(cluster.ports.state + i)},
 		"params": map[string]any{"zones": c.Zones, "teams": c.Teams,
-			"workers": map[string]any{"report_s": workers.HeartbeatInterval.Seconds(), "lease_s": workers.Lease.Seconds(), "gang_wait_s": workers.GangWait.Seconds(), "gang_peer_s": workers.GangPeer.Seconds(), "cancel_s": workers.Cancel.Seconds()},
+			"workers": map[string]any{"report_s": workers.HeartbeatInterval.Seconds(), "lease_s": workers.Lease.Seconds(), "gang_wait_s": workers.GangStartTimeout.Seconds(), "gang_peer_s": workers.GangPeerTimeout.Seconds(), "cancel_s": workers.CancelTimeout.Seconds()},
 			"state":   map[string]any{"rps": c.State.RPS, "write_rps": c.State.WriteRPS, "value_kb": float64(c.State.ValueBytes) / 1024, "txn_ops": c.State.TxnOps},
 			"cloud":   map[string]any{"rps": c.Cloud.RPS, "list_lag_s": c.Cloud.ListLag.Seconds()},
-			"limits":  map[string]any{"ram_mb": float64(c.Limits.RAMBytes >> 20), "fd_limit": c.Limits.Files}}}
+			"limits":  map[string]any{"ram_mb": float64(c.Limits.RAMBytes >> 20), "fd_limit": c.Limits.OpenFiles}}}
 }
--- a/internal/emulator/staging.go
+++ b/internal/emulator/staging.go
@@ -31,7 +31,7 @@
 	s := StagedFault{Number: cluster.faultCount, Label: f.Label, Description: f.describe(), Since: cluster.ageSeconds(), lift: lift}
 	staged := s
 	cluster.activeFaults[s.Number] = &staged
-	cluster.fixture.SetQuietSince(time.Time{})
+	cluster.fixture.SetFaultFreeSince(time.Time{})
 	cluster.mu.Unlock()
 	cluster.log.Info("fault staged", "number", s.Number, "label", f.Label, "what", s.Description)
 	switch {
@@ -53,7 +53,7 @@
 	}
 	s.Until = cluster.ageSeconds()
 	if cluster.noActiveFaults() {
-		cluster.fixture.SetQuietSince(time.Now())
+		cluster.fixture.SetFaultFreeSince(time.Now())
 	}
 	cluster.mu.Unlock()
 	if s.lift != nil {
--- a/internal/emulator/status.go
+++ b/internal/emulator/status.go
@@ -32,7 +32,7 @@
 	s.RunningTasks, s.StartedTasks = cluster.fixture.Counts()
 	s.Violations = cluster.fixture.Violations()
 	s.StartedAfterCancel, _ = cluster.fixture.Launches.AfterCancellation()
-	for _, it := range cluster.Page(store.FencingTokenKey, 1) {
+	for _, it := range cluster.ListKeys(store.FencingTokenKey, 1) {
 		_ = wire.DecodeValue(it.Value, &s.FencingToken)
 	}
 	cluster.mu.Lock()
--- a/internal/emulator/task_fixture.go
+++ b/internal/emulator/task_fixture.go
@@ -16,7 +16,7 @@
 type taskFixture struct {
 	*simulator.Checker
 	cluster *Cluster
-	caller  *transport.Caller
+	caller  *transport.Client
 }
 
 // newTaskFixture returns the fixture of a cluster.
@@ -25,9 +25,9 @@
 	for _, t := range cluster.Config.Teams {
 		limits[t.Name], teams[t.Name] = t.GPUsMax, simulator.TeamLimit{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
 	}
-	c := simulator.NewChecker(cluster.Config.Workers.Cancel, limits)
+	c := simulator.NewChecker(cluster.Config.Workers.CancelTimeout, limits)
 	c.Submissions, c.Starvation.Limits = simulator.SubmissionRules{Types: cluster.Config.Types, Teams: teams}, teams
-	return &taskFixture{Checker: c, cluster: cluster, caller: &transport.Caller{MaxBody: 1 << 20, Dial: Dial}}
+	return &taskFixture{Checker: c, cluster: cluster, caller: &transport.Client{MaxBody: 1 << 20, Dial: Dial}}
 }
 
 // TaskStarted implements simulator.Fixture.
@@ -53,7 +53,7 @@
 			return nil
 		}
 		call, cancel := context.WithTimeout(ctx, 3*time.Second)
-		resp, err := f.caller.Call(call, f.cluster.Public((t.Index+attempt)%f.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkWord, nil)
+		resp, err := f.caller.Call(call, f.cluster.PublicAddr((t.Index+attempt)%f.cluster.Config.Controllers), "GET", wire.PathJobs+"/"+t.Job+"/"+wire.WorkPathSuffix, nil)
 		cancel()
 		var j wire.Job
 		switch {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -328,23 +328,23 @@
 	}
 	defer os.RemoveAll(dir)
 	procs := emulator.Processes{Program: r.Program, Level: "error", Dir: dir}
-	if procs.Tuning, err = r.Plan.operatorSettings(c.Settings); err != nil {
+	if procs.OperatorSettings, err = r.Plan.operatorSettings(c.Settings); err != nil {
 		return nil, err
 	}
-	procs.Begin(ctx)
+	procs.Init(ctx)
 	defer procs.Stop()
 	cluster, err := emulator.Start(ctx, conf, emulator.Options{Port: port, Dir: dir, Log: r.Log, Kill: procs.KillNamed, Pause: procs.PauseNamed})
 	if err != nil {
 		return nil, fmt.Errorf("starting the emulated cluster: %w", err)
 	}
 	defer cluster.Stop()
-	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
+	caller := &transport.Client{MaxBody: 1 << 20, MaxIdle: 256, Dial: emulator.Dial}
 	addrs, err := startControllers(ctx, &procs, cluster, caller)
 	if err != nil {
 		return nil, err
 	}
 	o := &Outcome{Cell: c, RPS: conf.State.RPS, WriteRPS: conf.State.WriteRPS}
-	runner := &load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: cluster.Control(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
+	runner := &load.Runner{Mix: mix, Addrs: addrs, JudgeAddr: cluster.ControlAddr(), Prefix: strconv.FormatUint(c.Seed%1000, 10), Caller: caller, DrainTimeout: r.Plan.Wait}
 	if err := o.measure(ctx, cluster, runner); err != nil {
 		return nil, err
 	}
@@ -379,16 +379,16 @@
 
 // startControllers starts the controllers of a cluster, waits until they are ready and returns
 // their addresses.
-func startControllers(ctx context.Context, procs *emulator.Processes, cluster *emulator.Cluster, caller *transport.Caller) ([]string, error) {
-	procs.Settings, procs.Metrics = cluster.Settings, cluster.Metrics
+func startControllers(ctx context.Context, procs *emulator.Processes, cluster *emulator.Cluster, caller *transport.Client) ([]string, error) {
+	procs.PlatformFile, procs.MetricsAddr = cluster.PlatformFile, cluster.MetricsAddr
 	var addrs []string
 	for i := range cluster.Config.Controllers {
 		if err := procs.Start(i); err != nil {
 			return nil, fmt.Errorf("starting controller %d: %w", i, err)
 		}
-		addrs = append(addrs, cluster.Public(i))
+		addrs = append(addrs, cluster.PublicAddr(i))
 	}
-	if err := emulator.Ready(ctx, caller, addrs); err != nil {
+	if err := emulator.WaitReady(ctx, caller, addrs); err != nil {
 		return nil, fmt.Errorf("waiting for the controllers: %w", err)
 	}
 	return addrs, nil
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -11,6 +11,6 @@
 
 // TestGoldenOutcome checks that the JSON encoding of an outcome and the columns of the tables are unchanged.
 func TestGoldenOutcome(t *testing.T) {
-	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
-	goldentest.Text(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Sample{}).String())+goldentest.Columns(parquet.SchemaOf(ClassRow{}).String()))
+	goldentest.CheckEncoding[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
+	goldentest.CompareText(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Sample{}).String())+goldentest.Columns(parquet.SchemaOf(ClassRow{}).String()))
 }
--- a/internal/fleet/cloudlist.go
+++ b/internal/fleet/cloudlist.go
@@ -51,7 +51,7 @@
 		known = m.UpSince
 	}
 	if known.IsZero() {
-		return m.Since.Add(firstListingTimeout) // rented or recorded, but never listed
+		return m.DiscoveredAt.Add(firstListingTimeout) // rented or recorded, but never listed
 	}
 	return known
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -48,7 +48,7 @@
 	}
 	delete(f.removedMachines, id)
 	m := &Machine{
-		ID: id, Type: typ, Zone: zone, Spot: spot, Since: now, IdleSince: now, provenEmpty: true,
+		ID: id, Type: typ, Zone: zone, Spot: spot, DiscoveredAt: now, IdleSince: now, provenEmpty: true,
 		JobFailures: make(map[string]int), imageCache: imageCache{images: make(map[string]cachedImage)},
 	}
 	f.machines[id] = m
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -145,7 +145,7 @@
 	if e := apply(task); !e.Unlaunched {
 		t.Error("an attempt that is active again after its end counts as launched")
 	}
-	unlaunched := wire.ReportedTask{ID: wire.TaskID{Job: "wk-2"}, Attempt: 3, State: wire.TaskEnded, Cause: wire.CauseNoRoom}
+	unlaunched := wire.ReportedTask{ID: wire.TaskID{Job: "wk-2"}, Attempt: 3, State: wire.TaskEnded, Cause: wire.CauseNoCapacity}
 	f.heartbeat(false)
 	e := apply(unlaunched)
 	if !e.Unlaunched {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -14,5 +14,5 @@
 	for _, sharding := range []*Sharding{SingleShard(), ByZones(3, []string{"a", "b", "c"}), ByZones(2, []string{"a", "b", "c"}), ByTypes([]string{"small", "large"})} {
 		out.WriteString(sharding.String() + ": " + strings.Join(sharding.Shards(), " ") + "\n")
 	}
-	goldentest.Text(t, "groupings.txt", out.String())
+	goldentest.CompareText(t, "groupings.txt", out.String())
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -57,11 +57,11 @@
 	return events
 }
 
-// MustLapse reports whether a machine's lease must be left to expire: a pending call may launch a task
+// MustLetLeaseExpire reports whether a machine's lease must be left to expire: a pending call may launch a task
 // of a job that has ended as long as the incarnation lasts, and each response would prolong the
 // incarnation beyond the time by which the job's tasks must be gone. Releasing the machine instead is
 // not always possible: the cloud may be unavailable, or this leader not entitled to release it.
-func (f *Fleet) MustLapse(now time.Time, machineID string) bool {
+func (f *Fleet) MustLetLeaseExpire(now time.Time, machineID string) bool {
 	m := f.machines[machineID]
 	return m != nil && slices.ContainsFunc(m.placements, func(p *Placement) bool {
 		return p.callPending && p.State <= Sent && p.Stop != nil && p.Stop.JobFinished && !now.Before(p.Stop.RenewUntil)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -12,7 +12,7 @@
 	ID, Addr, Type, Zone string
 	Spot                 bool
 	Recorded             bool           // in the state service, which is required before anything is launched on it
-	Since                time.Time      // when this leader learned of it
+	DiscoveredAt         time.Time      // when this leader learned of it
 	ListedAt             time.Time      // when the cloud first listed it
 	TerminationTime      time.Time      // when the cloud terminates it; zero without a termination notice
 	DrainReason          string         // why nothing new is placed here; empty if placements are allowed
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -20,7 +20,7 @@
 // pipeStream is the accepting end of an in-memory connection.
 type pipeStream struct{ net.Conn }
 
-func (pipeStream) SetIdle(time.Duration) {}
+func (pipeStream) SetIdleTimeout(time.Duration) {}
 
 // answerFunc answers a request for the job with the given ID.
 type answerFunc func(ctx context.Context, id string) (store.JobRecord, bool, error)
@@ -122,7 +122,7 @@
 		if fmt.Sprint(f.writer.requests) != "[submit wk-1 cancel wk-2]" || f.opened != 1 {
 			t.Errorf("%v on %d streams", f.writer.requests, f.opened)
 		}
-		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrFull, admission.ErrTooLarge} {
+		for _, want := range []error{admission.ErrRetryLater, admission.ErrCompactionBehind, admission.ErrHistoryUnavailable, admission.ErrUnknownJob, admission.ErrQueueFull, admission.ErrJobTooLarge} {
 			f.writer.setAnswer(func(context.Context, string) (store.JobRecord, bool, error) {
 				return store.JobRecord{}, false, fmt.Errorf("cause: %w", want)
 			})
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -31,5 +31,5 @@
 
 // TestGoldenStreamKind checks that the name of the stream kind never changes.
 func TestGoldenStreamKind(t *testing.T) {
-	goldentest.Text(t, "kind.txt", StreamKind+"\n")
+	goldentest.CompareText(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/forward/message.go
+++ b/internal/forward/message.go
@@ -71,8 +71,8 @@
 	{failedCompactionBehind, admission.ErrCompactionBehind},
 	{failedHistoryUnavailable, admission.ErrHistoryUnavailable},
 	{failedUnknownJob, admission.ErrUnknownJob},
-	{failedFull, admission.ErrFull},
-	{failedTooLarge, admission.ErrTooLarge},
+	{failedFull, admission.ErrQueueFull},
+	{failedTooLarge, admission.ErrJobTooLarge},
 }
 
 // newAnswer encodes the result of a request.
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -41,7 +41,7 @@
 	defer running.Wait()
 	defer c.Close() // runs before the wait, so that a peer that stops reading can't block sendAll
 	defer cancel()
-	c.SetIdle(idleTimeout)
+	c.SetIdleTimeout(idleTimeout)
 	answers := make(chan answer, maxOutstanding)
 	reply := func(a answer) {
 		select {
--- a/internal/goldentest/flags.go
+++ b/internal/goldentest/flags.go
@@ -8,10 +8,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// Flags checks that the arguments and flags of a program's commands, and their defaults, have not changed: it
+// CheckFlags checks that the arguments and flags of a program's commands, and their defaults, have not changed: it
 // compares the command line that kong derives from grammar, a pointer to a struct, with the golden file
 // flags.txt. Help texts of flags are not compared.
-func Flags(t *testing.T, program string, grammar any) {
+func CheckFlags(t *testing.T, program string, grammar any) {
 	t.Helper()
 	parser, err := kong.New(grammar, kong.Name(program))
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	var out strings.Builder
 	describe(&out, parser.Model.Node, "")
-	Text(t, "flags.txt", out.String())
+	CompareText(t, "flags.txt", out.String())
 }
 
 // describe writes the arguments and flags of a command and of its subcommands. path holds the names of its parents.
--- a/internal/goldentest/gob.go
+++ b/internal/goldentest/gob.go
@@ -18,11 +18,11 @@
 func CheckGob[T, Frozen any](t *testing.T, name string) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
-		current, frozen := Filled[T](t), Filled[Frozen](t)
+		current, frozen := FilledValue[T](t), FilledValue[Frozen](t)
 		if a, b := Leaves(current), Leaves(frozen); !slices.Equal(a, b) {
 			t.Fatalf("%T and %T differ in shape:\n%v\n%v", current, frozen, a, b)
 		}
-		checkDecoded(t, "the golden file", Read(t, name, encodeGob(t, current)), current)
+		checkDecoded(t, "the golden file", ReadGolden(t, name, encodeGob(t, current)), current)
 		checkDecoded(t, "the frozen type's message", encodeGob(t, frozen), current)
 		checkDecoded(t, "the message, read by the frozen type", encodeGob(t, current), frozen)
 	})
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// Filled returns a value of type T in which no exported field is zero, or fails the test.
-func Filled[T any](t testing.TB) T {
+// FilledValue returns a value of type T in which no exported field is zero, or fails the test.
+func FilledValue[T any](t testing.TB) T {
 	t.Helper()
 	var v T
 	Fill(&v)
@@ -224,18 +224,18 @@
 	return v
 }
 
-// File compares text byte by byte with the golden file testdata/golden/NAME.
-func File(t testing.TB, name string, text []byte) {
+// CompareBytes compares text byte by byte with the golden file testdata/golden/NAME.
+func CompareBytes(t testing.TB, name string, text []byte) {
 	t.Helper()
-	if want := Read(t, name, text); !bytes.Equal(want, text) {
+	if want := ReadGolden(t, name, text); !bytes.Equal(want, text) {
 		t.Errorf("%s: the bytes have changed\n was %x\n  is %x", name, want, text)
 	}
 }
 
-// Text compares text line by line with the golden file testdata/golden/NAME, and reports the first line that differs.
-func Text(t testing.TB, name, text string) {
+// CompareText compares text line by line with the golden file testdata/golden/NAME, and reports the first line that differs.
+func CompareText(t testing.TB, name, text string) {
 	t.Helper()
-	want := strings.Split(string(Read(t, name, []byte(text))), "\n")
+	want := strings.Split(string(ReadGolden(t, name, []byte(text))), "\n")
 	lines := strings.Split(text, "\n")
 	for i := range max(len(want), len(lines)) {
 		if was, is := lineAt(want, i), lineAt(lines, i); was != is {
@@ -251,9 +251,9 @@
 	return "(none)"
 }
 
-// Read returns the content of the golden file testdata/golden/NAME. If the file doesn't exist, Read writes text
+// ReadGolden returns the content of the golden file testdata/golden/NAME. If the file doesn't exist, Read writes text
 // to it with AMBERDEAL_GOLDEN=write in the environment, and fails the test otherwise.
-func Read(t testing.TB, name string, text []byte) []byte {
+func ReadGolden(t testing.TB, name string, text []byte) []byte {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
 	want, err := os.ReadFile(file)
@@ -269,20 +269,20 @@
 	return want
 }
 
-// Check encodes a filled value of T and compares it with the golden file NAME. It also decodes the golden file
+// CheckEncoding encodes a filled value of T and compares it with the golden file NAME. It also decodes the golden file
 // and compares the result with the filled value.
-func Check[T any](t *testing.T, name string, encode func(any) ([]byte, error), decode func([]byte, any) error) {
+func CheckEncoding[T any](t *testing.T, name string, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	t.Helper()
 	t.Run(name, func(t *testing.T) {
-		v := Filled[T](t)
+		v := FilledValue[T](t)
 		clearUnencoded(reflect.ValueOf(&v))
 		text, err := encode(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		File(t, name, text)
+		CompareBytes(t, name, text)
 		var decoded T
-		if err := decode(Read(t, name, text), &decoded); err != nil {
+		if err := decode(ReadGolden(t, name, text), &decoded); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(decoded, v) {
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -25,7 +25,7 @@
 // TestFillLeavesNoFieldZero checks that Fill leaves no exported field zero, skips unexported fields, and gives a
 // type the same values each time.
 func TestFillLeavesNoFieldZero(t *testing.T) {
-	a, b := Filled[sample](t), Filled[sample](t)
+	a, b := FilledValue[sample](t), FilledValue[sample](t)
 	if x, y := Leaves(a), Leaves(b); !slices.Equal(x, y) {
 		t.Errorf("%v, then %v", x, y)
 	}
@@ -39,7 +39,7 @@
 
 // TestZerosNamesEveryZeroField checks that zero and empty fields are reported at any depth.
 func TestZerosNamesEveryZeroField(t *testing.T) {
-	v := Filled[sample](t)
+	v := FilledValue[sample](t)
 	v.Count, v.List[0].Pair[1], v.List[0].Next, v.ByName = 0, 0, nil, nil
 	want := []string{".Count", ".List[0].Pair[1]", ".List[0].Next", ".ByName"}
 	if got := Zeros(v); !slices.Equal(got, want) {
--- a/internal/handover/coallocation.go
+++ b/internal/handover/coallocation.go
@@ -89,7 +89,7 @@
 // are none. own is the free capacity of this shard. Once the gang has waited for scaleOutAfter, shards that
 // can scale out are counted as well.
 func (t *Targets) Divide(now time.Time, j *scheduler.Job, own scheduler.FreeCapacity, types []wire.MachineType, waited time.Duration) (ranges []store.ShardRange) {
-	if j.Shape != wire.Gang || j.OneZone || j.Zone != "" || j.Active > 0 || j.RemoteTasks > 0 || len(j.Waiting) != j.Tasks {
+	if j.Shape != wire.Gang || j.OneZone || j.Zone != "" || j.ActiveTasks > 0 || j.RemoteTasks > 0 || len(j.Waiting) != j.Tasks {
 		return nil
 	}
 	remaining := j.Tasks
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -39,7 +39,7 @@
 		{99, -1, "0-4/c 4-6/b 6-10/c "},
 	} {
 		got := Move(ranges, 10, "a", "c", x.n, func(i int) bool { return i != x.stays })
-		if formatRanges(got) != x.want || Count(got) != 10 {
+		if formatRanges(got) != x.want || CountTasks(got) != 10 {
 			t.Errorf("%d tasks without %d: %s, want %s", x.n, x.stays, formatRanges(got), x.want)
 		}
 		for i := range 10 {
@@ -128,7 +128,7 @@
 	}
 	targets := NewTargets("c", sharding)
 	targets.SetPeers(peersWith(scheduler.FreeCapacity{Now: 2}, scheduler.FreeCapacity{Now: 3}))
-	targets.Record(start, "b", "x", 2)
+	targets.RecordHandover(start, "b", "x", 2)
 	if shard, n := targets.Choose(start.Add(time.Second), unplacedJob(array), nil, types, time.Second); shard != "a" || n != 2 {
 		t.Errorf("after two tasks went to b: %s %d", shard, n)
 	}
--- a/internal/handover/ranges.go
+++ b/internal/handover/ranges.go
@@ -12,8 +12,8 @@
 	"amberdeal.example/amberdeal/internal/store"
 )
 
-// Count returns the number of tasks in ranges.
-func Count(ranges []store.ShardRange) (n int) {
+// CountTasks returns the number of tasks in ranges.
+func CountTasks(ranges []store.ShardRange) (n int) {
 	for _, s := range ranges {
 		n += s.To - s.From
 	}
--- a/internal/handover/targets.go
+++ b/internal/handover/targets.go
@@ -46,16 +46,16 @@
 // String lists the tasks that were handed over recently, for tests.
 func (t *Targets) String() string { return fmt.Sprint(map[string]recentTasks(t.recent)) }
 
-// Any reports whether there is any other shard to hand tasks over to.
-func (t *Targets) Any() bool { return len(t.peers) > 0 }
+// HasPeers reports whether there is any other shard to hand tasks over to.
+func (t *Targets) HasPeers() bool { return len(t.peers) > 0 }
 
-// Record counts n tasks of a class that are handed over to a shard.
-func (t *Targets) Record(now time.Time, shard, class string, n int) {
+// RecordHandover counts n tasks of a class that are handed over to a shard.
+func (t *Targets) RecordHandover(now time.Time, shard, class string, n int) {
 	t.recent.record(now, shard, class, n)
 }
 
-// HoldsGang reports whether another shard has reserved capacity for its tasks of a gang.
-func (t *Targets) HoldsGang(shard, gang string) bool {
+// HasReservedCapacity reports whether another shard has reserved capacity for its tasks of a gang.
+func (t *Targets) HasReservedCapacity(shard, gang string) bool {
 	i := slices.IndexFunc(t.peers, func(p Peer) bool { return p.Shard == shard })
 	return i >= 0 && slices.Contains(t.peers[i].ReadyGangs, gang)
 }
@@ -71,9 +71,9 @@
 	return out
 }
 
-// MovableTasks returns the largest number of tasks of a job that any one other shard has free capacity for, among those
+// FreeElsewhereForJob returns the largest number of tasks of a job that any one other shard has free capacity for, among those
 // that may have machines for the job.
-func (t *Targets) MovableTasks(j *wire.Job, types []wire.MachineType) (most int) {
+func (t *Targets) FreeElsewhereForJob(j *wire.Job, types []wire.MachineType) (most int) {
 	for _, p := range t.peers {
 		if n := p.Capacity[j.Class].Now; n > most && t.sharding.MayHost(p.Shard, j, types) {
 			most = n
@@ -88,7 +88,7 @@
 func (t *Targets) Choose(now time.Time, u *scheduler.UnplacedJob, ranges []store.ShardRange, types []wire.MachineType, waited time.Duration) (shard string, tasks int) {
 	j := u.Job
 	whole := j.Shape == wire.Gang || j.OneZone
-	if whole && (j.Active > 0 || len(j.Waiting) != j.LocalTasks || j.RemoteTasks > 0) {
+	if whole && (j.ActiveTasks > 0 || len(j.Waiting) != j.LocalTasks || j.RemoteTasks > 0) {
 		return "", 0
 	}
 	for _, p := range t.peers {
--- a/internal/ingest/bench_test.go
+++ b/internal/ingest/bench_test.go
@@ -17,7 +17,7 @@
 // streamConn adapts an accepted net.Conn to transport.Stream.
 type streamConn struct{ net.Conn }
 
-func (streamConn) SetIdle(time.Duration) {}
+func (streamConn) SetIdleTimeout(time.Duration) {}
 
 // newLoopbackPair returns an uplink that forwards heartbeats to a receiver over a loopback connection.
 func newLoopbackPair(tb testing.TB, decide func(*wire.Heartbeat) worker.HeartbeatResult) (*Uplink, *Receiver) {
--- a/internal/ingest/gateway.go
+++ b/internal/ingest/gateway.go
@@ -114,7 +114,7 @@
 // rebalanceTarget returns the peer that should receive a machine's heartbeats from now on, or an empty
 // string. machine is empty on a new connection, where it is not known yet.
 func (g *Gateway) rebalanceTarget(now time.Time, machine string, leader, newConnection bool) string {
-	local := g.Reporting()
+	local := g.ReportingMachines()
 	if local <= g.Balancer.LeaderKeeps {
 		return ""
 	}
@@ -131,16 +131,16 @@
 	return target
 }
 
-// Reporting returns the number of machines that report to this controller. It is updated once a second.
-func (g *Gateway) Reporting() int {
+// ReportingMachines returns the number of machines that report to this controller. It is updated once a second.
+func (g *Gateway) ReportingMachines() int {
 	reporting, _ := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting
 }
 
-// Offered returns the number of machines that report to this controller plus those whose heartbeats were
+// OfferedMachines returns the number of machines that report to this controller plus those whose heartbeats were
 // redirected. Redirected machines retry every second, so the redirects of one second count them. It is
 // updated once a second.
-func (g *Gateway) Offered() int {
+func (g *Gateway) OfferedMachines() int {
 	reporting, redirected := g.reportingMachines.counts(g.ReportingWindow)
 	return reporting + redirected
 }
--- a/internal/ingest/golden_test.go
+++ b/internal/ingest/golden_test.go
@@ -15,5 +15,5 @@
 
 // TestGoldenStreamKind checks that the name of the stream kind never changes.
 func TestGoldenStreamKind(t *testing.T) {
-	goldentest.Text(t, "kind.txt", StreamKind+"\n")
+	goldentest.CompareText(t, "kind.txt", StreamKind+"\n")
 }
--- a/internal/jobblock/block.go
+++ b/internal/jobblock/block.go
@@ -27,7 +27,7 @@
 // SortKey returns a string whose lexical order sorts ids by length, then by number. The state
 // service sorts keys in the same order.
 func SortKey(id string) string {
-	digits := strings.TrimPrefix(id, wire.JobPrefix)
+	digits := strings.TrimPrefix(id, wire.JobIDPrefix)
 	return fmt.Sprintf("%02d%s", len(digits), digits)
 }
 
@@ -112,7 +112,7 @@
 
 // Find looks up a job by its id.
 func (b *Block) Find(id string) (Entry, bool) {
-	digits := strings.TrimPrefix(id, wire.JobPrefix)
+	digits := strings.TrimPrefix(id, wire.JobIDPrefix)
 	for i := range b.groups {
 		g := &b.groups[i]
 		if g.width != len(digits) {
@@ -130,10 +130,10 @@
 	out := make([]Entry, 0, b.Len())
 	for _, g := range b.groups {
 		for _, n := range g.numbers {
-			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+zeroPad(n, g.width)))
+			out = append(out, b.outcomes[len(out)].entry(wire.JobIDPrefix+zeroPad(n, g.width)))
 		}
 		for _, text := range g.longIDs {
-			out = append(out, b.outcomes[len(out)].entry(wire.JobPrefix+text))
+			out = append(out, b.outcomes[len(out)].entry(wire.JobIDPrefix+text))
 		}
 	}
 	return out
--- a/internal/jobblock/codec.go
+++ b/internal/jobblock/codec.go
@@ -19,7 +19,7 @@
 		for n < len(entries) && len(entries[n].ID) == width {
 			n++
 		}
-		raw = encodeGroup(raw, width-len(wire.JobPrefix), entries[i:n])
+		raw = encodeGroup(raw, width-len(wire.JobIDPrefix), entries[i:n])
 		i = n
 	}
 	raw = binary.AppendUvarint(raw, 0) // end of the groups
@@ -36,7 +36,7 @@
 	raw = binary.AppendUvarint(raw, uint64(len(entries)))
 	previous := uint64(0)
 	for _, e := range entries {
-		digits := e.ID[len(wire.JobPrefix):]
+		digits := e.ID[len(wire.JobIDPrefix):]
 		if width > maxNumericDigits {
 			raw = append(raw, digits...)
 			continue
@@ -86,7 +86,7 @@
 	n := d.readUvarint()
 	// Each id takes at least one byte. Checking this keeps a damaged count from causing a large
 	// allocation.
-	if n > uint64(len(d.buf)) || width > wire.MaxDigits {
+	if n > uint64(len(d.buf)) || width > wire.MaxJobIDDigits {
 		d.failed = true
 		return idGroup{}, false
 	}
--- a/internal/jobblock/golden_test.go
+++ b/internal/jobblock/golden_test.go
@@ -12,25 +12,25 @@
 
 // TestGoldenRecord checks that the stored names of the fields of a record have not changed.
 func TestGoldenRecord(t *testing.T) {
-	goldentest.Check[Record](t, "record.cbor", encode, wire.DecodeValue)
+	goldentest.CheckEncoding[Record](t, "record.cbor", encode, wire.DecodeValue)
 }
 
 // TestGoldenBlock checks that packing jobs with ids of various lengths still gives the same bytes
 // as the golden file, and that the golden file is unpacked to the same jobs.
 func TestGoldenBlock(t *testing.T) {
 	entries := []Entry{
-		{wire.JobPrefix + "7", wire.Done, 1},
-		{wire.JobPrefix + "12", wire.Cancelled, 100_000},
-		{wire.JobPrefix + "13", wire.Done, 3},
-		{wire.JobPrefix + "999", wire.Done, 40},
-		{wire.JobPrefix + "123456789012345678", wire.Cancelled, 5},
-		{wire.JobPrefix + "12345678901234567890", wire.Done, 6},
+		{wire.JobIDPrefix + "7", wire.Done, 1},
+		{wire.JobIDPrefix + "12", wire.Cancelled, 100_000},
+		{wire.JobIDPrefix + "13", wire.Done, 3},
+		{wire.JobIDPrefix + "999", wire.Done, 40},
+		{wire.JobIDPrefix + "123456789012345678", wire.Cancelled, 5},
+		{wire.JobIDPrefix + "12345678901234567890", wire.Done, 6},
 	}
 	from := SortKey(entries[0].ID)
 	rec := Pack(from, entries)
-	goldentest.File(t, "block.cbor", wire.Encode(rec))
+	goldentest.CompareBytes(t, "block.cbor", wire.Encode(rec))
 	var golden Record
-	if err := wire.DecodeValue(goldentest.Read(t, "block.cbor", wire.Encode(rec)), &golden); err != nil {
+	if err := wire.DecodeValue(goldentest.ReadGolden(t, "block.cbor", wire.Encode(rec)), &golden); err != nil {
 		t.Fatal(err)
 	}
 	b, err := golden.Unpack()
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -128,9 +128,9 @@
 // those with the fewest tasks first, because work can be placed there soonest. Probes are added to these.
 func (l *Leader) selectFencingCalls(now time.Time, due []*fleet.Machine, limit int) []*fleet.Machine {
 	probes := l.fencing.Probes(now, len(due) > 0)
-	if left := max(0, min(limit, l.loop.throttle.Window()-l.fencing.Open())-len(probes)); len(due) > left {
+	if left := max(0, min(limit, l.loop.callLimiter.Window()-l.fencing.OpenCalls())-len(probes)); len(due) > left {
 		reachability.SortByLoad(due)
-		due = l.unreachableZonesLast(due)[:left]
+		due = l.sortUnreachableZonesLast(due)[:left]
 	}
 	return append(due, probes...)
 }
--- a/internal/leader/coallocation.go
+++ b/internal/leader/coallocation.go
@@ -87,7 +87,7 @@
 	for _, r := range g.ranges {
 		ready := g.state.coAllocation.Ready
 		if r.Shard != l.lease.Shard {
-			ready = l.targets.HoldsGang(r.Shard, g.id)
+			ready = l.targets.HasReservedCapacity(r.Shard, g.id)
 		}
 		if !r.Done && !ready {
 			if l.targets.ReservationExpired(g.job.Record.Job, r.Shard, l.forecast.freeCapacity, waited) {
@@ -146,8 +146,8 @@
 	return l.writeCoAllocationOrder(d, u.Job.ID, l.liveJobs[u.Job.ID], store.CoAllocationReserve)
 }
 
-// stopAborted stops this shard's tasks of gangs whose co-allocation was aborted.
-func (l *Leader) stopAborted(now time.Time) {
+// stopAbortedCoAllocations stops this shard's tasks of gangs whose co-allocation was aborted.
+func (l *Leader) stopAbortedCoAllocations(now time.Time) {
 	if l.sharding.IsSingle() {
 		return
 	}
@@ -163,9 +163,9 @@
 	}
 }
 
-// mayPlaceSplit reports whether this shard's tasks of a split gang may be placed: while capacity is being reserved,
+// mayPlaceSplitGang reports whether this shard's tasks of a split gang may be placed: while capacity is being reserved,
 // or until the gang's attempt has been started here. While reserving, the tasks are placed but not launched.
-func (l *Leader) mayPlaceSplit(now time.Time, j *scheduler.Job, state *jobState, order uint64) bool {
+func (l *Leader) mayPlaceSplitGang(now time.Time, j *scheduler.Job, state *jobState, order uint64) bool {
 	if state == nil {
 		return false
 	}
--- a/internal/leader/commit/builder.go
+++ b/internal/leader/commit/builder.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Guarded returns how many batches the round is conditional on.
-func (b *Builder) Guarded() int { return len(b.guarded) }
+// GuardedCount returns how many batches the round is conditional on.
+func (b *Builder) GuardedCount() int { return len(b.guarded) }
 
 // Update returns the round's update of a job's batch and begins it if needed. It returns nil if the round has no
 // capacity for it.
@@ -84,8 +84,8 @@
 // Pending returns the round's update of a job's batch, or nil if the round does not write the batch.
 func (b *Builder) Pending(l *store.LiveJob) *store.BatchUpdate { return b.updates[l.Batch.Key] }
 
-// Updates returns how many batches the round writes.
-func (b *Builder) Updates() int { return len(b.orderedUpdates) }
+// UpdateCount returns how many batches the round writes.
+func (b *Builder) UpdateCount() int { return len(b.orderedUpdates) }
 
 // ChangesLeft returns how many more changes the round may make.
 func (b *Builder) ChangesLeft() int { return b.changesLeft }
@@ -108,7 +108,7 @@
 // segments, for entries of the ledger. No batch may be updated after it.
 func (b *Builder) OpenLedger(ledger *store.Ledger, maxSegments, segmentBytes int, size *SizeBackoff) {
 	for _, u := range b.orderedUpdates {
-		b.Txn.Then = append(b.Txn.Then, u.Change())
+		b.Txn.Then = append(b.Txn.Then, u.Operation())
 	}
 	b.maxSegments = max(1, min(maxSegments, b.txnBytes/segmentBytes, b.changesLeft))
 	b.changesLeft -= b.maxSegments
@@ -161,8 +161,8 @@
 // Packed returns the segments that the round writes.
 func (b *Builder) Packed() store.PackedWrite { return b.packed }
 
-// FirstSegment returns the key of the first segment that the round writes.
-func (b *Builder) FirstSegment() string { return b.packed.Then[0].Put }
+// FirstSegmentKey returns the key of the first segment that the round writes.
+func (b *Builder) FirstSegmentKey() string { return b.packed.Then[0].Put }
 
 // WrittenBatches returns the batches that the round wrote, given the revision at which it was committed.
 func (b *Builder) WrittenBatches(revision uint64) []*store.Batch {
--- a/internal/leader/commit/builder_test.go
+++ b/internal/leader/commit/builder_test.go
@@ -20,7 +20,7 @@
 		job := &wire.Job{ID: id, Class: "c", Shape: wire.Array, Team: "blue", Priority: wire.Normal, Tasks: 1, CPUs: 1, Image: "img"}
 		batch := store.BatchRecord{Jobs: map[string]store.JobRecord{id: {Stage: wire.Pending, Tasks: 1, Job: job}}}
 		view.Apply(&wire.WatchResponse{Revision: uint64(i + 1), Events: []wire.Event{{Put: store.BatchKey(id), Value: wire.Encode(batch), Version: uint64(i + 1)}}})
-		l, ok := view.Live(id)
+		l, ok := view.LiveJob(id)
 		if !ok {
 			t.Fatalf("%s is not live", id)
 		}
@@ -34,11 +34,11 @@
 func TestBuilderLimits(t *testing.T) {
 	jobs := liveJobs(t, 4)
 	b := NewBuilder(Limits{Changes: 3, Conditions: 2})
-	if b.Update(jobs[0]) == nil || b.Update(jobs[0]) != b.Pending(jobs[0]) || b.Updates() != 1 || b.ChangesLeft() != 2 {
-		t.Errorf("%d updates, %d changes left", b.Updates(), b.ChangesLeft())
+	if b.Update(jobs[0]) == nil || b.Update(jobs[0]) != b.Pending(jobs[0]) || b.UpdateCount() != 1 || b.ChangesLeft() != 2 {
+		t.Errorf("%d updates, %d changes left", b.UpdateCount(), b.ChangesLeft())
 	}
-	if !b.Guard(jobs[1]) || !b.Guard(jobs[0]) || b.Guarded() != 2 {
-		t.Errorf("guards %d batches", b.Guarded())
+	if !b.Guard(jobs[1]) || !b.Guard(jobs[0]) || b.GuardedCount() != 2 {
+		t.Errorf("guards %d batches", b.GuardedCount())
 	}
 	if b.Guard(jobs[2]) || b.Update(jobs[2]) != nil {
 		t.Error("a third batch is guarded beyond the limit of conditions")
@@ -73,15 +73,15 @@
 	if b.Reserve(freeBytes+1) || !b.Reserve(freeBytes-10) || b.Fits(11) || !b.Fits(10) {
 		t.Errorf("reservations do not match the %d free bytes", freeBytes)
 	}
-	if b.Add(store.DropMachine("a-machine-with-a-long-name")) {
+	if b.Add(store.MachineTombstone("a-machine-with-a-long-name")) {
 		t.Error("an entry is added that does not fit")
 	}
-	b.AddReserved(store.DropMachine("n-1"))
+	b.AddReserved(store.MachineTombstone("n-1"))
 	if left := b.Pack(ledger, store.SegmentRecord{FencingToken: 1, Round: 1}); left != 0 {
 		t.Errorf("%d entries are left", left)
 	}
 	b.Seal()
-	if len(b.Txn.Then) != 2 || b.Txn.Then[0].Put != jobs[0].Batch.Key || b.Txn.Then[1].Put != b.FirstSegment() {
+	if len(b.Txn.Then) != 2 || b.Txn.Then[0].Put != jobs[0].Batch.Key || b.Txn.Then[1].Put != b.FirstSegmentKey() {
 		t.Errorf("writes %v", b.Txn.Then)
 	}
 }
--- a/internal/leader/completion_test.go
+++ b/internal/leader/completion_test.go
@@ -75,7 +75,7 @@
 		report n-1 1/10 term=12
 		round`)
 	t.Log(strings.Join(out, "\n"))
-	if job, _ := driver.view.Live("wk-1"); driver.leader.assignment.Ranges(job)[0].Shard != "b" {
+	if job, _ := driver.view.LiveJob("wk-1"); driver.leader.assignment.Ranges(job)[0].Shard != "b" {
 		t.Errorf("the task runs in shard b, but is assigned to shard %s", driver.leader.assignment.Ranges(job)[0].Shard)
 	}
 	for _, line := range out {
--- a/internal/leader/decide.go
+++ b/internal/leader/decide.go
@@ -23,10 +23,10 @@
 
 // refresh applies a snapshot of the state and the lease expiries up to now, and reconciles the placements.
 func (l *Leader) refresh(now time.Time, snap store.Snapshot) {
-	if !l.lastReconciled.IsZero() && now.Sub(l.lastReconciled) > reachability.PauseThreshold {
-		l.monitor.NotePause(now)
+	if !l.lastReconciledAt.IsZero() && now.Sub(l.lastReconciledAt) > reachability.PauseThreshold {
+		l.monitor.RecordPause(now)
 	}
-	l.liveJobs, l.lastReconciled = snap.LiveJobs, now
+	l.liveJobs, l.lastReconciledAt = snap.LiveJobs, now
 	l.quota.Observe(snap.QuotaGrants)
 	l.recordLiveRevisions(snap)
 	l.applyEvents(now, l.fleet.ExpireLeases(now))
@@ -47,23 +47,23 @@
 	l.handOverUnplaced(now, d)
 	l.assignRanges(d)
 	l.dropPreviousLedgers(d, snap)
-	d.OpenLedger(l.ledger, l.cfg.Store.TxnOps/2, l.cfg.Store.ValueBytes, &l.sizes)
+	d.OpenLedger(l.ledger, l.cfg.Store.TxnOps/2, l.cfg.Store.ValueBytes, &l.sizeBackoff)
 	l.decideZones(now, d)
 	l.decideZoneRecoveries(now, d)
 	l.storeProgress(d)
 	l.plan(now, d)
 	l.writeMigrated(d)
 	migrated, drops := l.migration.due(), l.rewriteStaleRecords(d)
-	if d.Empty() && !migrated && !drops && now.Sub(l.lastDecided) < l.cfg.Tuning.RoundWindow {
+	if d.Empty() && !migrated && !drops && now.Sub(l.lastDecidedAt) < l.cfg.Tuning.RoundWindow {
 		return nil // dropping obsolete records alone does not justify a round
 	}
-	l.dropObsolete(d)
+	l.dropObsoleteRecords(d)
 	l.writeStalePreemptions(d)
 	drained := l.drainedRevision(snap.Revision)
 	if d.Empty() && !migrated && !l.drainedRoundDue(now, drained) {
 		return nil
 	}
-	l.lastDecided, d.drainedRevision, d.migrated = now, drained, migrated
+	l.lastDecidedAt, d.drainedRevision, d.migrated = now, drained, migrated
 	if !l.pack(now, d) {
 		return nil
 	}
@@ -81,23 +81,23 @@
 		head.Migrated = l.assignment.Generation()
 	}
 	if left := d.Pack(l.ledger, head); left > 0 {
-		l.sizes.TooLarge()
+		l.sizeBackoff.TooLarge()
 		if len(d.launches) > 0 {
 			l.stalls.Blocked(now, stall.CauseTooLarge, d.launches[0].Task.Job)
 		}
-		l.log.Error("round too large", "number", d.Number, "left", left, "halvings", l.sizes.Halvings())
+		l.log.Error("round too large", "number", d.Number, "left", left, "halvings", l.sizeBackoff.Halvings())
 		l.discardDraft(d)
 		return false
 	}
-	l.sizes.Fitted()
+	l.sizeBackoff.Fitted()
 	return true
 }
 
 // plan runs the scheduler and applies its plan to the draft.
 func (l *Leader) plan(now time.Time, d *Draft) {
 	snapshot := l.clusterSnapshot(now)
-	snapshot.LaunchBudget = l.cfg.Tuning.RoundTasks
-	l.addPreemptions(snapshot)
+	snapshot.LaunchBudget = l.cfg.Tuning.MaxRoundLaunches
+	l.addPreemptionsToSnapshot(snapshot)
 	var startable *scheduler.Job
 	if l.stalls.CheckDue(now) {
 		startable = snapshot.FirstStartable()
@@ -116,11 +116,11 @@
 			l.stopTask(now, p, s.Job.Job, s.Reason)
 		}
 	}
-	l.requestScaleOut(now, d, l.withZoneProbes(now, snapshot, &plan))
+	l.addScaleOutRequests(now, d, l.withZoneProbes(now, snapshot, &plan))
 	for _, id := range plan.ScaleIns {
 		l.releaseMachine(l.fleet.Machine(id), "idle")
 	}
-	l.releaseUnusable(now)
+	l.releaseUnusableMachines(now)
 }
 
 // reportStarts tells the stall detector whether a plan and its round start anything. startable is a job that
--- a/internal/leader/draft.go
+++ b/internal/leader/draft.go
@@ -24,8 +24,8 @@
 	machines        map[string]bool              // machines whose records it writes
 	ledgerTasks     map[string]map[string]uint64 // tasks that these records name, by machine
 	zones           []zone.Change                // changes of zone states
-	returns         map[string]*zonerecovery.Plan
-	requests        []string
+	zoneRecoveries  map[string]*zonerecovery.Plan
+	scaleOuts       []string
 	dropped         []string // scale-out requests and machines whose records it deletes
 	storesTypes     bool     // it stores the machine types
 	decidedAt       time.Time
@@ -36,7 +36,7 @@
 // newDraft returns an empty round that is limited to what the state service accepts.
 func (l *Leader) newDraft() *Draft {
 	maxChanges := min(l.cfg.Store.TxnOps, store.LeaderBurst(l.cfg.Store.WriteRPS, l.cfg.Writers().MinWriteShare(), len(l.sharding.Shards())))
-	conditions := l.conflicts.Limit(4*l.cfg.Store.TxnOps - l.cfg.Store.TxnOps/2 - 3)
+	conditions := l.conflictBackoff.Limit(4*l.cfg.Store.TxnOps - l.cfg.Store.TxnOps/2 - 3)
 	return &Draft{Builder: commit.NewBuilder(commit.Limits{Changes: maxChanges, Conditions: conditions}), Number: l.lastRound + 1,
 		finished: map[string][]int{}, machines: map[string]bool{}, ledgerTasks: map[string]map[string]uint64{},
 		expansions: map[string]*tier.Preemption{}, stale: map[tier.ReservationKey]bool{}}
@@ -47,14 +47,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastRound = d.Number
-	l.conflicts.Committed()
+	l.conflictBackoff.Committed()
 	if len(d.launches) > 0 {
 		l.stalls.Launched(d.decidedAt)
 	}
 	l.drainedWritten = max(l.drainedWritten, d.drainedRevision)
 	l.migration.recorded = l.migration.recorded || d.migrated
 	l.ledger.Commit(d.Packed(), revision)
-	l.preemptionsCommitted(d)
+	l.commitPreemptions(d)
 	for _, p := range d.launches {
 		p.Committed = true
 		if j := l.jobStates[p.Task.Job]; j != nil {
@@ -78,18 +78,18 @@
 			l.machinesToDrop[id] = true
 		}
 	}
-	l.scaler.Stored(d.requests)
-	l.zonesCommitted(d.zones)
-	l.zoneRecoveriesCommitted(d.returns)
+	l.scaler.RecordsStored(d.scaleOuts)
+	l.commitZones(d.zones)
+	l.commitZoneRecoveries(d.zoneRecoveries)
 	for _, name := range d.dropped {
-		l.scaler.Dropped(name)
+		l.scaler.RecordDeleted(name)
 		if !d.machines[name] {
 			delete(l.machinesToDrop, name)
 			l.ledgerTasks.Update(name, nil)
 		}
 	}
 	if len(d.launches) > 0 || len(d.done) > 0 {
-		l.log.Debug("round committed", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.requests), "slots", len(d.Packed().Then))
+		l.log.Debug("round committed", "number", d.Number, "launches", len(d.launches), "done", len(d.done), "requests", len(d.scaleOuts), "slots", len(d.Packed().Then))
 	}
 }
 
@@ -97,7 +97,7 @@
 func (l *Leader) Discard(d *Draft) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conflicts.Refused(d.Guarded())
+	l.conflictBackoff.Refused(d.GuardedCount())
 	l.discardDraft(d)
 }
 
@@ -108,7 +108,7 @@
 			l.fleet.Withdraw(p)
 		}
 	}
-	for _, name := range d.requests {
+	for _, name := range d.scaleOuts {
 		l.scaler.Forget(name)
 	}
 	l.typesChanged = l.typesChanged || d.storesTypes
--- a/internal/leader/drained.go
+++ b/internal/leader/drained.go
@@ -39,5 +39,5 @@
 
 // drainedRoundDue reports whether a round is due only to record the drained revision.
 func (l *Leader) drainedRoundDue(now time.Time, drained uint64) bool {
-	return drained > l.drainedWritten && now.Sub(l.lastDecided) >= drainedInterval && l.jobIndex.Uncompacted()
+	return drained > l.drainedWritten && now.Sub(l.lastDecidedAt) >= drainedInterval && l.jobIndex.HasEndedBatches()
 }
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -62,9 +62,9 @@
 			m.DrainReason = "different jobs fail on it"
 			l.log.Warn("machine cordoned", "machine", m.ID, "reason", m.DrainReason)
 		}
-	case wire.CauseAlone:
+	case wire.CauseGangTimeout:
 		j.timedOutAttempt = p.Attempt
-	case wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown:
+	case wire.CauseNoCapacity, wire.CauseBusy, wire.CauseUnknown:
 		l.log.Info("launch refused", "task", p.Task, "machine", p.Machine, "cause", p.Cause)
 		j.notBefore = now.Add(refusedLaunchDelay)
 	}
@@ -82,5 +82,5 @@
 			l.withdrawLaterAttempt(wire.TaskID{Job: t.Job, Index: i}, true)
 		}
 	}
-	l.unstored.Add(t.Job, l.lastRound)
+	l.unstoredCompletions.Add(t.Job, l.lastRound)
 }
--- a/internal/leader/fencingcalls.go
+++ b/internal/leader/fencingcalls.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	if !l.rebuilt {
-		return l.fencing.Rebuild(now, limit, l.zones.Unreachable)
+		return l.fencing.RebuildCalls(now, limit, l.zones.Unreachable)
 	}
-	return l.fencing.Suspected(now, limit, l.zones.SuspectedZones())
+	return l.fencing.SuspectedZoneCalls(now, limit, l.zones.SuspectedZones())
 }
 
 // FencingCallDone records the result of a call that a peer made: the machine's heartbeat, or nil for none.
--- a/internal/leader/gangs.go
+++ b/internal/leader/gangs.go
@@ -64,9 +64,9 @@
 
 // gangTasksHere returns how many tasks of a gang this shard owns: all of them unless the gang is split among shards.
 func (l *Leader) gangTasksHere(live *store.LiveJob) int {
-	mine, elsewhere := l.ownRanges(live)
+	mine, elsewhere := l.unfinishedOwnRanges(live)
 	if elsewhere == 0 && len(mine) == 0 {
 		return live.Record.Tasks
 	}
-	return handover.Count(mine)
+	return handover.CountTasks(mine)
 }
--- a/internal/leader/grants.go
+++ b/internal/leader/grants.go
@@ -26,7 +26,7 @@
 func (l *Leader) GrantsSettled(rec store.Versioned[store.QuotaGrantRecord]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quota.Settled(rec)
+	l.quota.EndChange(rec)
 }
 
 const (
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -24,7 +24,7 @@
 func (l *Leader) handOverUnplaced(now time.Time, d *Draft) {
 	unplaced := l.forecast.unplaced
 	l.forecast.unplaced = nil
-	if !l.targets.Any() || !l.rebuiltReachable {
+	if !l.targets.HasPeers() || !l.rebuiltReachable {
 		return
 	}
 	handovers := 0
@@ -58,7 +58,7 @@
 	if !l.handOver(d, u.Job.ID, live, target, n) {
 		return false
 	}
-	l.targets.Record(now, target, u.Job.Class, n)
+	l.targets.RecordHandover(now, target, u.Job.Class, n)
 	l.log.Info("tasks handed over to another shard", "job", u.Job.ID, "tasks", n, "to", target)
 	return true
 }
@@ -78,7 +78,7 @@
 	if len(l.assignment.Ranges(live)) >= maxRangesPerJob-1 {
 		return 0
 	}
-	return l.targets.MovableTasks(live.Record.Job, l.types)
+	return l.targets.FreeElsewhereForJob(live.Record.Job, l.types)
 }
 
 // handOver hands up to n tasks of a job over to another shard: the last ones that are proven not to run anywhere.
@@ -99,7 +99,7 @@
 	if !l.rewriteRanges(d, id, live, next) {
 		return false
 	}
-	l.unstored.Add(id, l.lastRound) // all tasks that remain here may have finished
+	l.unstoredCompletions.Add(id, l.lastRound) // all tasks that remain here may have finished
 	return true
 }
 
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -24,7 +24,7 @@
 func (l *Leader) HandleHeartbeat(now time.Time, hb *wire.Heartbeat, launch bool) (response wire.HeartbeatResponse, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.observe(now, hb, true) || l.fleet.MustLapse(now, hb.Machine) {
+	if !l.observe(now, hb, true) || l.fleet.MustLetLeaseExpire(now, hb.Machine) {
 		return response, false
 	}
 	if m := l.fleet.Machine(hb.Machine); m != nil {
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -48,12 +48,12 @@
 	Job(id string) (store.JobRecord, bool)
 	// Compacted reports whether a job was compacted, which proves that no task of it is left anywhere.
 	Compacted(id string) bool
-	// Uncompacted reports whether there are ended jobs that are yet to be compacted.
-	Uncompacted() bool
+	// HasEndedBatches reports whether there are ended jobs that are yet to be compacted.
+	HasEndedBatches() bool
 	// Migrated reports whether a shard no longer needs the ledgers of previous shardings.
 	Migrated(shard string) bool
-	// PreviousLedgerSlots returns the keys of the segments of the ledgers of previous shardings.
-	PreviousLedgerSlots() []string
+	// PreviousSegmentKeys returns the keys of the segments of the ledgers of previous shardings.
+	PreviousSegmentKeys() []string
 }
 
 // uncompactedTasks returns the tasks of a machine's record without those of compacted jobs. An earlier leader had proof
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -62,7 +62,7 @@
 type machineHealth struct {
 	monitor  *reachability.Monitor
 	detector *reachability.Detector
-	fencing  *reachability.Fencing
+	fencing  *reachability.FencingScheduler
 }
 
 // Leader leads one shard of the fleet under one fencing token. Only Run reads the clock and makes calls;
@@ -100,7 +100,7 @@
 	jobIndex JobIndex, now time.Time, log *slog.Logger) *Leader {
 	ledger, last := store.NewLedger(ledgers.Name, cfg.Store.ValueBytes, ledgers.Own)
 	l := &Leader{
-		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: timeoutsOf(cfg),
+		identity: identity{cfg: cfg, lease: lease, jobIndex: jobIndex, timeouts: newTimeouts(cfg),
 			log: log.With("shard", lease.Shard, "token", lease.FencingToken)},
 		jobTable:      newJobTable(snap),
 		roundState:    newRoundState(last.Round, now),
@@ -113,15 +113,15 @@
 		loop:          newWakeups(),
 	}
 	l.targets = handover.NewTargets(lease.Shard, l.sharding)
-	l.quota = quota.New(lease.Shard, l.sharding, cfg.Tuning.BeginWithin, l.log)
+	l.quota = quota.New(lease.Shard, l.sharding, cfg.Tuning.MaxGangWait, l.log)
 	l.monitor = reachability.NewMonitor(l.fleet, reachabilityTimeouts(l.timeouts, cfg))
 	l.detector = reachability.NewDetector(l.monitor, l.zoneUnreachable)
-	l.fencing = reachability.NewFencing(l.monitor)
+	l.fencing = reachability.NewFencingScheduler(l.monitor)
 	previous := reshard.NewPrevious(l.sharding, ledgers)
 	l.assignment = reshard.NewAssignment(l.sharding, previous)
 	l.startMigration(previous, ledgers.Migrated, &last)
 	l.recoverZones(now, &last)
-	l.continueZoneRecoveries(now, &last)
+	l.resumeZoneRecoveries(now, &last)
 	l.preemptions = tier.NewPreemptions(cfg.Tiers().PerShard(len(l.sharding.Shards()), l.sharding.KeepsZonesWhole()), last.Preemptions)
 	l.recoverMachines(now, &last)
 	l.recoverFinished(&last)
@@ -161,7 +161,7 @@
 			j.storedFinished.Add(i)
 		}
 		if !l.sharding.IsSingle() {
-			l.unstored.Add(id, l.lastRound) // the other tasks may have been handed over since
+			l.unstoredCompletions.Add(id, l.lastRound) // the other tasks may have been handed over since
 		}
 	}
 }
--- a/internal/leader/loop.go
+++ b/internal/leader/loop.go
@@ -54,7 +54,7 @@
 func (l *Leader) Run(ctx context.Context, deps Dependencies) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return l.roundLoop(ctx, deps) })
-	g.Go(func() error { return l.loop.throttle.Run(ctx) })
+	g.Go(func() error { return l.loop.callLimiter.Run(ctx) })
 	g.Go(func() error { return l.callLoop(ctx, deps) })
 	g.Go(func() error { return l.watchMachineList(ctx, deps) })
 	g.Go(func() error { return l.scaleOutLoop(ctx, deps) })
@@ -96,7 +96,7 @@
 
 // maxInterval returns the upper bound of the interval between two rounds.
 func (l *Leader) maxInterval() time.Duration {
-	if l.loop.throttle.Overloaded() {
+	if l.loop.callLimiter.Overloaded() {
 		return overloadedInterval
 	}
 	return maxRoundInterval
@@ -118,7 +118,7 @@
 			return
 		default:
 			l.log.Info("round without an answer", "number", d.Number, "err", err)
-			l.roundUnwritten(time.Now(), d, stall.CauseUnanswered)
+			l.recordUnwrittenRound(time.Now(), d, stall.CauseUnanswered)
 			store.Backoff(ctx, writeRetry)
 		}
 	}
@@ -132,16 +132,16 @@
 			return
 		}
 	}
-	segment := d.FirstSegment()
+	segment := d.FirstSegmentKey()
 	if last, version := deps.View.Segment(segment); last.FencingToken == l.lease.FencingToken && last.Round == d.Number {
 		l.Reconcile(time.Now(), deps.View.Snapshot()) // what was cancelled in the meantime is not launched
 		l.Committed(d, version)
 		return
 	}
-	l.log.Info("round refused", "number", d.Number, "failed", conflict.Failed)
-	l.roundUnwritten(time.Now(), d, stall.CauseRefused)
+	l.log.Info("round refused", "number", d.Number, "failed", conflict.Keys)
+	l.recordUnwrittenRound(time.Now(), d, stall.CauseRefused)
 	l.Discard(d)
-	if slices.Contains(conflict.Failed, store.LeaderKey(l.lease.Shard)) || slices.Contains(conflict.Failed, segment) {
+	if slices.Contains(conflict.Keys, store.LeaderKey(l.lease.Shard)) || slices.Contains(conflict.Keys, segment) {
 		deps.OnFenced()
 	}
 }
@@ -153,5 +153,5 @@
 func (l *Leader) reconcileDue(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.lastReconciled) > reconcileInterval
+	return now.Sub(l.lastReconciledAt) > reconcileInterval
 }
--- a/internal/leader/migration.go
+++ b/internal/leader/migration.go
@@ -78,7 +78,7 @@
 				j.finished.Add(i)
 			}
 			l.migration.jobs[id] = true
-			l.unstored.Add(id, l.lastRound)
+			l.unstoredCompletions.Add(id, l.lastRound)
 		}
 		if l.assignment.Unassigned(live) {
 			l.migrateDoneRanges(id, live)
@@ -97,7 +97,7 @@
 			j.finished.Add(i)
 			j.storedFinished.Add(i)
 		}
-		l.unstored.Add(id, l.lastRound)
+		l.unstoredCompletions.Add(id, l.lastRound)
 		if gangCompleted(live, live.Record.Ranges) { // its tasks complete together
 			l.markFinished(wire.TaskID{Job: id, Index: r.From}, j)
 		}
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -241,7 +241,7 @@
 		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.finishedTasks[t], State: wire.TaskEnded, Cause: wire.CauseDone})
 	}
 	for _, t := range sortedTasks(w.timedOut) {
-		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseAlone})
+		hb.Tasks = append(hb.Tasks, wire.ReportedTask{Task: t.String(), ID: t, Attempt: w.timedOut[t], State: wire.TaskEnded, Cause: wire.CauseGangTimeout})
 	}
 	response, _ := leader.HandleHeartbeat(modelTime, hb, true)
 	if response.FencingToken < w.token {
@@ -526,7 +526,7 @@
 	if job, ok := m.liveJob(); ok {
 		r := job.Batch.Update()
 		r.EndJob("wk-1", wire.Cancelled, modelTime)
-		m.apply([]wire.Operation{r.Change()})
+		m.apply([]wire.Operation{r.Operation()})
 	}
 }
 
@@ -551,7 +551,7 @@
 	v := store.NewView(slog.New(slog.DiscardHandler))
 	c := m.keys[store.BatchKey("x")]
 	v.Load([]wire.KeyValue{{Key: store.BatchKey("x"), Value: c.raw, Version: c.version}}, m.revision, &wire.WatchResponse{})
-	return v.Live("wk-1")
+	return v.LiveJob("wk-1")
 }
 
 // fingerprint returns a hash by which states are told apart.
--- a/internal/leader/model_time_test.go
+++ b/internal/leader/model_time_test.go
@@ -51,7 +51,7 @@
 	duplicateHeartbeats []wire.Heartbeat
 	cancelAckedAt       time.Time // when the cancellation was confirmed to the user
 	firstFinalStage     wire.Stage
-	finishedAttempts    map[agent.Key]bool // attempts that completed
+	finishedAttempts    map[agent.AttemptKey]bool // attempts that completed
 	reached             map[string]bool
 }
 
@@ -80,7 +80,7 @@
 	core           *agent.Core
 	lastAnsweredAt time.Time // when the last heartbeat that was answered was sent, as the core counts it
 	incarnation    uint64
-	running        map[agent.Key]bool
+	running        map[agent.AttemptKey]bool
 	released       bool
 }
 
@@ -120,8 +120,8 @@
 	limit  int
 }
 
-// budget reads stepLimits.
-func (s *timedScenario) budget() (out []budget) {
+// parseBudgets reads stepLimits.
+func (s *timedScenario) parseBudgets() (out []budget) {
 	for _, item := range strings.Split(s.stepLimits, "; ") {
 		prefix, number, _ := strings.Cut(item, ":")
 		limit, _ := strconv.Atoi(number)
@@ -133,9 +133,9 @@
 // timedConfig returns the configuration of the model with time.
 func timedConfig(limit float64) *config.Config {
 	cfg := traceConfig()
-	cfg.Workers.Lease, cfg.Workers.Cancel = 9*time.Second, 27*time.Second
-	cfg.Tuning.Lease, cfg.Tuning.Renew = 9*time.Second, 3*time.Second
-	cfg.Tuning.Idle = time.Hour
+	cfg.Workers.Lease, cfg.Workers.CancelTimeout = 9*time.Second, 27*time.Second
+	cfg.Tuning.Lease, cfg.Tuning.RenewInterval = 9*time.Second, 3*time.Second
+	cfg.Tuning.IdleTimeout = time.Hour
 	cfg.Zones = []string{"a"}
 	cfg.Teams = []config.Team{{Name: "red", GPUs: limit, GPUsMax: limit}}
 	return cfg
@@ -145,20 +145,20 @@
 // machines have sent heartbeats to it.
 func newTimedModel(s *timedScenario) *timedModel {
 	m := &timedModel{model: &model{cfg: timedConfig(s.teamLimit), keys: map[string]storedValue{}, completed: map[wire.TaskID]bool{}, teamLimit: s.teamLimit, tasks: s.tasks},
-		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.budget(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.Key]bool{}}
+		now: modelTime, plantedFault: s.plantedFault, steadySender: s.steadySender, budgets: s.parseBudgets(), anyOrder: s.anyOrder, stepCounts: map[string]int{}, machines: map[string]*timedWorker{}, reached: map[string]bool{}, finishedAttempts: map[agent.AttemptKey]bool{}}
 	j := &wire.Job{ID: timedJob, Class: "c", Shape: wire.Array, Team: "red", Priority: wire.Normal, Tasks: s.tasks, CPUs: 1, GPUs: 1, MemoryGB: 1, Image: "img"}
 	m.apply([]wire.Operation{{Put: store.BatchKey("x"), Value: store.BatchRecord{Jobs: map[string]store.JobRecord{j.ID: {Stage: wire.Pending, Tasks: s.tasks, Job: j}}}}})
 	for i := range m.nodes {
 		controller := &modelController{name: fmt.Sprint("c-", i), view: store.NewView(slog.New(slog.DiscardHandler))}
 		controller.view.Load(nil, 0, &wire.WatchResponse{})
-		m.nodes[i] = &timedController{modelController: controller, election: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.Renew)}
+		m.nodes[i] = &timedController{modelController: controller, election: leadership.New(controller.name, m.cfg.Tuning.Lease, m.cfg.Tuning.RenewInterval)}
 		m.grantLease(i)
 		m.readStore(i)
 	}
 	m.campaign(0, false)
 	for _, id := range []string{"a", "b"} {
 		m.machines[id] = &timedWorker{id: id, core: agent.NewCore(agent.Identity{Machine: "n-" + id, Addr: "10.1.0.1:9000", Type: "g1", Zone: "a"}, m.cfg.Workers.Lease, 1, m.now),
-			lastAnsweredAt: m.now, incarnation: 1, running: map[agent.Key]bool{}}
+			lastAnsweredAt: m.now, incarnation: 1, running: map[agent.AttemptKey]bool{}}
 		m.sendHeartbeat(id, 0, true)
 		m.sendHeartbeat(id, 0, true)
 	}
@@ -227,7 +227,7 @@
 	if m.plantedFault == "proof 3 without its margin" {
 		cfg = timedConfig(m.teamLimit)
 		cfg.Workers.Lease -= 5 * time.Second
-		cfg.Workers.Cancel -= 5 * time.Second // keeps the time for which heartbeats are answered
+		cfg.Workers.CancelTimeout -= 5 * time.Second // keeps the time for which heartbeats are answered
 	}
 	types := []wire.MachineType{{Name: "g1", CPUs: 1, GPUs: 1, MemoryGB: 1, Price: 4, SpotPrice: 1, BootS: 30, Zones: []string{"a"}}}
 	c.leader = New(cfg, tenure, c.view.Snapshot(), c.view.ShardLedgers(timedShard), types, c.view, m.now, slog.New(slog.DiscardHandler))
@@ -326,7 +326,7 @@
 		return
 	}
 	token := w.core.Heartbeat().FencingToken
-	effects := w.core.HandleAnswer(m.now, sent, w.incarnation, response)
+	effects := w.core.HandleHeartbeatResponse(m.now, sent, w.incarnation, response)
 	if response.FencingToken >= token && sent.After(w.lastAnsweredAt) {
 		w.lastAnsweredAt = sent
 	}
@@ -341,7 +341,7 @@
 // checkCleared checks that the end of an attempt is in the store before a machine is told to forget it.
 func (m *timedModel) checkCleared(c wire.Command) {
 	id, _ := wire.ParseTaskID(c.Task)
-	if !m.finishedAttempts[agent.Key{Task: id, Attempt: c.Attempt}] {
+	if !m.finishedAttempts[agent.AttemptKey{Task: id, Attempt: c.Attempt}] {
 		return
 	}
 	if job, ok := m.liveJob(); !ok || job.Record.Stage.Final() {
@@ -379,7 +379,7 @@
 		if m.teamLimit > 0 && float64(running+1) > m.teamLimit {
 			m.violate("quota: %d tasks run", running+1)
 		}
-		if !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) > m.cfg.Workers.Cancel {
+		if !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) > m.cfg.Workers.CancelTimeout {
 			m.violate("ran_cancelled: %v starts %v after", k.Task, m.now.Sub(m.cancelAckedAt))
 		}
 		w.running[k] = true
@@ -406,7 +406,7 @@
 func (m *timedModel) tick() {
 	for i, c := range m.nodes {
 		// The cloud is never so late that a machine still exists when a confirmed cancellation reaches its bound.
-		if c.leader != nil && !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) >= m.cfg.Workers.Cancel-3*timedStep {
+		if c.leader != nil && !m.cancelAckedAt.IsZero() && m.now.Sub(m.cancelAckedAt) >= m.cfg.Workers.CancelTimeout-3*timedStep {
 			m.releaseMachines(i)
 		}
 	}
@@ -450,7 +450,7 @@
 
 // checkCancelled checks that no task runs when the bound on a confirmed cancellation has passed.
 func (m *timedModel) checkCancelled() {
-	if m.cancelAckedAt.IsZero() || m.now.Sub(m.cancelAckedAt) <= m.cfg.Workers.Cancel {
+	if m.cancelAckedAt.IsZero() || m.now.Sub(m.cancelAckedAt) <= m.cfg.Workers.CancelTimeout {
 		return
 	}
 	m.reached["cancel_s has passed"] = true
@@ -481,7 +481,7 @@
 func (m *timedModel) executeDirectCall(id string, request wire.CommandRequest) (wire.Heartbeat, bool) {
 	w := m.machines[id]
 	m.expireLease(w, false)
-	effects, ok := w.core.HandleDirect(m.now, request)
+	effects, ok := w.core.HandleDirectCommands(m.now, request)
 	if ok {
 		for _, c := range request.Commands {
 			if c.Verb == wire.Clear {
@@ -565,7 +565,7 @@
 	leader := c.leader
 	c.draft = nil
 	m.readStore(i)
-	if last, version := c.view.Segment(d.FirstSegment()); last.FencingToken == leader.lease.FencingToken && last.Round == d.Number {
+	if last, version := c.view.Segment(d.FirstSegmentKey()); last.FencingToken == leader.lease.FencingToken && last.Round == d.Number {
 		leader.Committed(d, version)
 		m.reached["a copy of a round was taken"] = true
 		return
@@ -585,13 +585,13 @@
 		return
 	}
 	if hold { // the transaction is built from the controller's view, which may be out of date
-		if job, live = m.nodes[i].view.Live(timedJob); !live {
+		if job, live = m.nodes[i].view.LiveJob(timedJob); !live {
 			return
 		}
 	}
 	r := job.Batch.Update()
 	r.EndJob(timedJob, wire.Cancelled, m.now)
-	txn := wire.Txn{If: []wire.Condition{{Key: job.Batch.Key, Version: job.Batch.Version}}, Then: []wire.Operation{r.Change()}}
+	txn := wire.Txn{If: []wire.Condition{{Key: job.Batch.Key, Version: job.Batch.Version}}, Then: []wire.Operation{r.Operation()}}
 	if hold {
 		m.lateCommits = append(m.lateCommits, lateTxn{txn, "cancellation", i, 0, m.revision})
 		return
--- a/internal/leader/model_timed_test.go
+++ b/internal/leader/model_timed_test.go
@@ -59,7 +59,7 @@
 		if leader == nil {
 			continue
 		}
-		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.ageSeconds(leader.fleet.ElectedAt), m.ageSeconds(leader.viewCurrentAt), m.ageSeconds(leader.lastReconciled), m.ageSeconds(leader.monitor.PauseOver()), m.ageSeconds(leader.lastDecided), len(leader.liveJobs))
+		put("%d %v %v %d %d %d %d %d %d", leader.lastRound, leader.rebuilt, leader.rebuiltReachable, m.ageSeconds(leader.fleet.ElectedAt), m.ageSeconds(leader.viewCurrentAt), m.ageSeconds(leader.lastReconciledAt), m.ageSeconds(leader.monitor.ResumedAt()), m.ageSeconds(leader.lastDecidedAt), len(leader.liveJobs))
 		for _, fleetMachine := range leader.fleet.Machines() {
 			machineFields := reflect.ValueOf(fleetMachine).Elem()
 			hb := m.machines[strings.TrimPrefix(fleetMachine.ID, "n-")].core.Heartbeat()
@@ -285,7 +285,7 @@
 	if more > 0 {
 		s.anyOrder, s.depth = true, s.depth+5*more
 		var limits []string
-		for _, b := range s.budget() {
+		for _, b := range s.parseBudgets() {
 			limits = append(limits, fmt.Sprintf("%s:%d", b.prefix, b.limit+more))
 		}
 		s.stepLimits = strings.Join(limits, "; ")
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -18,7 +18,7 @@
 
 // reviewPreemptions drops reservations that are no longer needed, and stops the attempts that are due.
 func (l *Leader) reviewPreemptions(now time.Time, rebuilding bool) {
-	f := tier.Facts{Now: now, MachineUsable: func(id string) bool { return l.machineUsable(now, id, rebuilding) }, MayOccupy: l.victimPresent,
+	f := tier.ReviewInput{Now: now, MachineUsable: func(id string) bool { return l.machineUsable(now, id, rebuilding) }, MayOccupy: l.victimPresent,
 		WaitingTasks: func(job string) (int, bool) { return l.countWaitingTasks(job), !rebuilding || l.liveJobs[job] == nil }}
 	l.preemptions.Review(f, func(job, task string) { l.log.Warn("task does not stop", "task", task, "job", job) })
 	l.stopDueVictims(now)
@@ -31,7 +31,7 @@
 	if live == nil {
 		return -1
 	}
-	ranges, _ := l.ownRanges(live)
+	ranges, _ := l.unfinishedOwnRanges(live)
 	for _, r := range ranges {
 		for i := r.From; i < r.To; i++ {
 			if j := l.jobStates[job]; (j == nil || !j.finished.Contains(i)) && l.fleet.ActivePlacement(wire.TaskID{Job: job, Index: i}) == nil {
@@ -85,9 +85,9 @@
 	return 0
 }
 
-// addPreemptions adds the reserved capacity to a snapshot, and marks the tasks whose end a reservation awaits and those
+// addPreemptionsToSnapshot adds the reserved capacity to a snapshot, and marks the tasks whose end a reservation awaits and those
 // that have not stopped in time.
-func (l *Leader) addPreemptions(snapshot *scheduler.Snapshot) {
+func (l *Leader) addPreemptionsToSnapshot(snapshot *scheduler.Snapshot) {
 	if snapshot.Tiers = l.preemptions.Tiers(); !snapshot.Tiers.Configured() {
 		return
 	}
@@ -160,7 +160,7 @@
 		if !d.stale[key] {
 			continue
 		}
-		e := store.DropPreemption(key.Job, key.Machine)
+		e := store.PreemptionTombstone(key.Job, key.Machine)
 		r := l.preemptionFor(d, key.Job).Reservation(key.Machine)
 		if r.Tasks > 0 {
 			e = store.PreemptionEntry(key.Job, r)
@@ -171,8 +171,8 @@
 	}
 }
 
-// preemptionsCommitted applies the preemptions of a committed round, and stops the attempts that are due.
-func (l *Leader) preemptionsCommitted(d *Draft) {
+// commitPreemptions applies the preemptions of a committed round, and stops the attempts that are due.
+func (l *Leader) commitPreemptions(d *Draft) {
 	l.preemptions.Commit(d.expansions, d.stale)
 	if len(d.expansions) > 0 {
 		l.stopDueVictims(d.decidedAt)
@@ -201,7 +201,7 @@
 
 // tierRank returns 0 for a job of the first tier and 1 for any other.
 func (l *Leader) tierRank(job string) int {
-	if live := l.liveJobs[job]; live != nil && l.preemptions.Tiers().InFirst(live.Record.Job) {
+	if live := l.liveJobs[job]; live != nil && l.preemptions.Tiers().InFirstTier(live.Record.Job) {
 		return 0
 	}
 	return 1
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -14,8 +14,8 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// tier appends a tier to the configuration. Tiers are ordered as they are configured.
-func (driver *traceDriver) tier(name string, settings map[string]string) {
+// configureTier appends a tier to the configuration. Tiers are ordered as they are configured.
+func (driver *traceDriver) configureTier(name string, settings map[string]string) {
 	t := tier.Tier{Name: name, Order: len(driver.cfg.Tuning.Tiers), ReclaimWithin: tier.DefaultReclaimWithin}
 	t.Share.Cards, _ = strconv.ParseFloat(settings["cards"], 64)
 	if settings["priority"] != "" {
@@ -218,10 +218,10 @@
 	return out
 }
 
-// TestCrashInPreemption crashes the leader at each point of its decisions while a tier reclaims all cards that it has
+// TestCrashDuringPreemption crashes the leader at each point of its decisions while a tier reclaims all cards that it has
 // lent, and then crashes the next leader at each point of later decisions. Only the attempts that the first record of
 // the preemption names may be stopped, and the tier must have its cards within its bound.
-func TestCrashInPreemption(t *testing.T) {
+func TestCrashDuringPreemption(t *testing.T) {
 	points := []string{"before", "unknown", "after", "half", "all"}
 	undisturbed := newFullyLentFleet(t)
 	for range 16 {
@@ -253,8 +253,8 @@
 // newFullyLentFleet returns a fleet of twelve cards. A tier is guaranteed half of them and has lent all of these.
 func newFullyLentFleet(t *testing.T) *workerModel {
 	driver := newTraceDriver(t)
-	driver.tier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
-	driver.tier("batch", map[string]string{"priority": "normal"})
+	driver.configureTier("live", map[string]string{"priority": "high", "cards": "6", "within": "20s"})
+	driver.configureTier("batch", map[string]string{"priority": "normal"})
 	driver.step("job wk-1 sweep team=blue tasks=12")
 	driver.workerStep([]string{"workers", "n-1", "n-2", "n-3"})
 	for s := range 12 {
@@ -278,8 +278,8 @@
 func TestTierWaitUnaffectedByLowPriorityFlood(t *testing.T) {
 	waits := func(flood int) (out []int) {
 		driver := newTraceDriver(t)
-		driver.tier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
-		driver.tier("batch", map[string]string{})
+		driver.configureTier("live", map[string]string{"priority": "production", "cards": "60", "within": "20s"})
+		driver.configureTier("batch", map[string]string{})
 		var machines []string
 		for i := range 100 {
 			machines = append(machines, fmt.Sprintf("n-%03d", i))
--- a/internal/leader/ranges.go
+++ b/internal/leader/ranges.go
@@ -9,9 +9,9 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// ownRanges returns the unfinished ranges of a job's tasks that belong to this shard, and the number of tasks in
+// unfinishedOwnRanges returns the unfinished ranges of a job's tasks that belong to this shard, and the number of tasks in
 // unfinished ranges of other shards.
-func (l *Leader) ownRanges(live *store.LiveJob) (own []store.ShardRange, remoteTasks int) {
+func (l *Leader) unfinishedOwnRanges(live *store.LiveJob) (own []store.ShardRange, remoteTasks int) {
 	if l.sharding.IsSingle() {
 		return []store.ShardRange{{From: 0, To: live.Record.Tasks, Shard: l.lease.Shard}}, 0
 	}
@@ -32,7 +32,7 @@
 	if l.sharding.IsSingle() {
 		return j.finished.Count() >= live.Record.Tasks
 	}
-	own, _ := l.ownRanges(live)
+	own, _ := l.unfinishedOwnRanges(live)
 	for _, r := range own {
 		for i := r.From; i < r.To; i++ {
 			if !j.finished.Contains(i) {
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -15,13 +15,13 @@
 	return reachability.Timeouts{Fresh: t.launchWithin, Suspect: t.suspectAfter, Unreachable: t.unreachableAfter, Lease: cfg.Workers.Lease, RebuildWait: maxRebuildWait}
 }
 
-// releaseUnusable releases machines that can't be used: drained machines without tasks, machines that did not boot in
+// releaseUnusableMachines releases machines that can't be used: drained machines without tasks, machines that did not boot in
 // time, unreachable machines, and machines that send heartbeats but receive no commands. If too many machines are
 // missing at once, the leader itself is probably partitioned, and no unreachable machine is released.
-func (l *Leader) releaseUnusable(now time.Time) {
+func (l *Leader) releaseUnusableMachines(now time.Time) {
 	partitioned := l.detector.Partitioned(now)
 	onlyShardUnreachable := l.ingestPeers > 0 && l.detector.ShardAloneUnreachable(now)
-	oneWay := l.detector.OneWay(now)
+	oneWay := l.detector.OneWayMachines(now)
 	for _, m := range l.fleet.Machines() {
 		busy := slices.ContainsFunc(m.Placements(), func(p *fleet.Placement) bool { return p.Active() && p.State != fleet.Planned })
 		switch {
@@ -31,7 +31,7 @@
 			l.releaseMachine(m, "did not boot")
 		case !partitioned && l.presumedLost(now, m, onlyShardUnreachable) && !l.retainsLostMachine(now, m):
 			l.releaseMachine(m, "unreachable")
-			l.detector.NoteEviction(now, m.Zone)
+			l.detector.RecordEviction(now, m.Zone)
 		case oneWay[m] && !m.Releasing:
 			l.releaseMachine(m, "takes no commands")
 		}
@@ -49,7 +49,7 @@
 // bootTimedOut reports whether a new machine has sent no heartbeat within its boot timeout.
 func (l *Leader) bootTimedOut(now time.Time, m *fleet.Machine) bool {
 	boot := l.machineType(m.Type).BootS
-	return !m.Up && !m.Recorded && boot > 0 && now.Sub(m.Since) > wire.Seconds(bootTimeoutFactor*boot)+bootTimeoutMargin
+	return !m.Up && !m.Recorded && boot > 0 && now.Sub(m.DiscoveredAt) > wire.Seconds(bootTimeoutFactor*boot)+bootTimeoutMargin
 }
 
 // presumedLost reports whether a machine is unreachable and presumed lost. If only this shard is unreachable, a failed
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -28,7 +28,7 @@
 		}
 	}
 	l.stopBrokenGangs(now)
-	l.stopAborted(now)
+	l.stopAbortedCoAllocations(now)
 	l.forgetEndedJobs(now)
 }
 
@@ -95,11 +95,11 @@
 	}
 	// A machine that can't be reached, or to which a launch may still be in flight, is released before the deadline of
 	// the cancellation. Until the cloud confirms the release, no answer renews the lease of the worker, and without
-	// a lease it does not execute the launch (Fleet.MustLapse).
+	// a lease it does not execute the launch (Fleet.MustLetLeaseExpire).
 	switch age := now.Sub(j.endedAt); {
 	case p.CallPending() && age > l.cfg.Workers.MaxCancelStaleness()/2:
 		l.releaseMachine(m, "the launch of a cancelled task may still be on its way there")
-	case age > l.cfg.Workers.Cancel-cancelReleaseMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
+	case age > l.cfg.Workers.CancelTimeout-cancelReleaseMargin && now.Sub(m.LastHeartbeat) > l.timeouts.directLaunchWithin:
 		l.releaseMachine(m, "it may run a task of a cancelled job, and is unreachable")
 	}
 }
@@ -128,6 +128,6 @@
 		j.endedAt = at // when a controller confirmed the end to the user
 	}
 	l.ledger.DiscardJob(id, rec.Tasks)
-	l.unstored.Remove(id)
+	l.unstoredCompletions.Remove(id)
 	l.assignment.Forget(id)
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -10,15 +10,15 @@
 
 // storeFinishedJobs adds the jobs of which all tasks of this shard have finished to a round, as many as fit.
 func (l *Leader) storeFinishedJobs(now time.Time, d *Draft) {
-	for _, id := range l.sortByTierRank(l.unstored.OldestFirst()) {
+	for _, id := range l.sortByTierRank(l.unstoredCompletions.OldestFirst()) {
 		j, live := l.jobStates[id], l.liveJobs[id]
 		if live == nil || j == nil {
-			l.unstored.Remove(id)
+			l.unstoredCompletions.Remove(id)
 			continue
 		}
 		tasks, all := j.finished.Difference(j.storedFinished), l.ownTasksFinished(live, j)
 		if len(tasks) == 0 && (!all || l.sharding.IsSingle()) {
-			l.unstored.Remove(id)
+			l.unstoredCompletions.Remove(id)
 			continue
 		}
 		if !all || len(tasks) > 0 && l.assignment.Unassigned(live) && !l.sharding.IsSingle() { // the finished tasks must be in the ledger first
@@ -35,7 +35,7 @@
 
 // storeProgress adds the blocks of tasks of which some have newly finished to a round, as many as fit.
 func (l *Leader) storeProgress(d *Draft) {
-	for _, id := range l.sortByTierRank(l.unstored.OldestFirst()) {
+	for _, id := range l.sortByTierRank(l.unstoredCompletions.OldestFirst()) {
 		j, live := l.jobStates[id], l.liveJobs[id]
 		if d.finished[id] != nil || l.ownTasksFinished(live, j) && (l.sharding.IsSingle() || !l.assignment.Unassigned(live)) {
 			continue
@@ -56,20 +56,20 @@
 	}
 }
 
-// dropObsolete stores changed machine types and deletes the records of machines and scale-out requests that are no
+// dropObsoleteRecords stores changed machine types and deletes the records of machines and scale-out requests that are no
 // longer needed, as many as the round has space for.
-func (l *Leader) dropObsolete(d *Draft) {
+func (l *Leader) dropObsoleteRecords(d *Draft) {
 	if l.typesChanged && d.ChangesLeft() > 0 {
 		d.AddChange(wire.Operation{Put: store.MachineTypesKey, Value: store.MachineTypesRecord{Types: l.types}})
 		l.typesChanged, d.storesTypes = false, true
 	}
 	for _, id := range sortedKeys(l.machinesToDrop) {
-		if !l.ledger.HasMachine(id) || d.machines[id] || d.Add(store.DropMachine(id)) {
+		if !l.ledger.HasMachine(id) || d.machines[id] || d.Add(store.MachineTombstone(id)) {
 			d.dropped = append(d.dropped, id)
 		}
 	}
 	for _, name := range l.scaler.Obsolete() {
-		if !l.ledger.HasScaleOut(name) || d.Add(store.DropScaleOut(name)) {
+		if !l.ledger.HasScaleOut(name) || d.Add(store.ScaleOutTombstone(name)) {
 			d.dropped = append(d.dropped, name)
 		}
 	}
--- a/internal/leader/resharding.go
+++ b/internal/leader/resharding.go
@@ -22,7 +22,7 @@
 	if l.sharding.IsSingle() || l.assignment.Generation() == 0 {
 		return
 	}
-	before, unassigned := d.Updates(), make(map[string]bool)
+	before, unassigned := d.UpdateCount(), make(map[string]bool)
 	for id, live := range l.liveJobs { // usually none is unassigned
 		if l.assignment.Unassigned(live) {
 			unassigned[id] = true
@@ -32,7 +32,7 @@
 	}
 	for _, id := range sortedKeys(unassigned) {
 		live := l.liveJobs[id]
-		if d.Updates()-before >= maxAssignedBatches && d.Pending(live) == nil || !l.assignsBatchOf(live) {
+		if d.UpdateCount()-before >= maxAssignedBatches && d.Pending(live) == nil || !l.assignsBatchOf(live) {
 			continue
 		}
 		l.rewriteRanges(d, id, live, l.assignment.Ranges(live))
@@ -57,7 +57,7 @@
 	if len(sharding.Record.PreviousLedgers) == 0 || d.ChangesLeft() <= finalDropChanges || !l.previousLedgersUnused(snap) {
 		return
 	}
-	segments := l.jobIndex.PreviousLedgerSlots()
+	segments := l.jobIndex.PreviousSegmentKeys()
 	for _, key := range segments[:min(len(segments), maxDroppedSegments, d.ChangesLeft()-finalDropChanges)] {
 		d.AddChange(wire.Operation{Delete: key})
 	}
--- a/internal/leader/round_size_test.go
+++ b/internal/leader/round_size_test.go
@@ -8,10 +8,10 @@
 	"amberdeal.example/amberdeal/internal/config"
 )
 
-// TestRoundFitsTheBurst checks that a round makes no more changes than the leader's share of the state service's rate
+// TestRoundFitsChangeBudget checks that a round makes no more changes than the leader's share of the state service's rate
 // limit allows in a second. Far more jobs have ended than fit into a round, as after a failover under a flood of small
 // jobs. The service would reject a larger round again and again, because the other controllers use up their own shares.
-func TestRoundFitsTheBurst(t *testing.T) {
+func TestRoundFitsChangeBudget(t *testing.T) {
 	for _, c := range []struct {
 		rps               float64
 		peers, maxChanges int
--- a/internal/leader/rounds.go
+++ b/internal/leader/rounds.go
@@ -9,19 +9,19 @@
 // roundState is what the leader keeps from one round to the next. It changes when a round is decided, committed or
 // discarded. Finished tasks and machine lists of the cloud add to what the next round has to write.
 type roundState struct {
-	lastRound       uint64    // number of the last committed round
-	lastDecided     time.Time // when a round was last decided
-	lastReconciled  time.Time // when the placements were last reconciled with the jobs
-	attemptSequence uint64    // last number given to an attempt or scale-out request under the fencing token
-	sizes           commit.SizeBackoff
-	conflicts       commit.ConflictBackoff
-	unstored        commit.CompletionQueue // jobs with finished tasks that are not stored as finished yet
-	machinesToDrop  map[string]bool        // machines whose records have to be deleted
-	typesChanged    bool                   // the machine types have to be stored
+	lastRound           uint64    // number of the last committed round
+	lastDecidedAt       time.Time // when a round was last decided
+	lastReconciledAt    time.Time // when the placements were last reconciled with the jobs
+	attemptSequence     uint64    // last number given to an attempt or scale-out request under the fencing token
+	sizeBackoff         commit.SizeBackoff
+	conflictBackoff     commit.ConflictBackoff
+	unstoredCompletions commit.CompletionQueue // jobs with finished tasks that are not stored as finished yet
+	machinesToDrop      map[string]bool        // machines whose records have to be deleted
+	typesChanged        bool                   // the machine types have to be stored
 }
 
 func newRoundState(lastRound uint64, now time.Time) roundState {
-	return roundState{lastRound: lastRound, lastDecided: now, unstored: commit.CompletionQueue{}, machinesToDrop: map[string]bool{}}
+	return roundState{lastRound: lastRound, lastDecidedAt: now, unstoredCompletions: commit.CompletionQueue{}, machinesToDrop: map[string]bool{}}
 }
 
 // attemptBits is the number of low bits of an attempt that count the attempts under one fencing token. The token is in
--- a/internal/leader/scaleout.go
+++ b/internal/leader/scaleout.go
@@ -28,19 +28,19 @@
 	scaleInRetry = time.Second
 )
 
-// requestScaleOut adds the intents of the scale-out requests of a plan to a round.
-func (l *Leader) requestScaleOut(now time.Time, d *Draft, wanted []scheduler.ScaleOut) {
+// addScaleOutRequests adds the intents of the scale-out requests of a plan to a round.
+func (l *Leader) addScaleOutRequests(now time.Time, d *Draft, wanted []scheduler.ScaleOut) {
 	for _, r := range l.scaler.Admit(now, wanted) {
 		name := fmt.Sprintf("t%d-%d", l.lease.FencingToken, l.attemptSequence+1)
 		if !d.Add(store.ScaleOutEntry(name, scaleOutRecord(r))) {
-			if len(d.requests) == 0 && len(d.launches) == 0 {
+			if len(d.scaleOuts) == 0 && len(d.launches) == 0 {
 				l.stalls.Blocked(now, stall.CauseScaleOut, "")
 			}
 			break
 		}
 		l.attemptSequence++
 		l.scaler.Add(now, name, r)
-		d.requests = append(d.requests, name)
+		d.scaleOuts = append(d.scaleOuts, name)
 	}
 }
 
@@ -117,7 +117,7 @@
 	}
 	finished := l.scaler.Complete(now, name, len(machineIDs))
 	l.log.Info("scale-out request answered", "request", name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "wanted", r.Count, "got", len(machineIDs), "unsent", len(finished)-1)
-	l.scaler.Drop(finished)
+	l.scaler.MarkObsolete(finished)
 	l.scaler.Wake()
 	l.Wake()
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -20,8 +20,8 @@
 		Unavailable:  map[scheduler.Offer]bool{},
 		Doubtful:     map[scheduler.Offer]bool{},
 		RequestLimit: map[scheduler.Offer]int{},
-		IdleTimeout:  l.cfg.Tuning.Idle,
-		MaxGangWait:  l.cfg.Tuning.BeginWithin,
+		IdleTimeout:  l.cfg.Tuning.IdleTimeout,
+		MaxGangWait:  l.cfg.Tuning.MaxGangWait,
 		Sharded:      !l.sharding.IsSingle(),
 	}
 	if snapshot.Sharded {
@@ -98,7 +98,7 @@
 func (l *Leader) updateStarvation(now time.Time, snapshot *scheduler.Snapshot, jobs map[string]*scheduler.Job) {
 	for id, j := range jobs {
 		state := l.jobStates[id]
-		switch starved := len(j.Waiting) > 0 && j.Active == 0; {
+		switch starved := len(j.Waiting) > 0 && j.ActiveTasks == 0; {
 		case !starved && state != nil:
 			state.starvedSince = time.Time{}
 		case starved && (state == nil || state.starvedSince.IsZero()):
@@ -169,13 +169,13 @@
 // tasks of jobs that were submitted after the leader was elected are known not to be running.
 func (l *Leader) snapshotJob(now time.Time, id string, live *store.LiveJob, rebuilding bool) *scheduler.Job {
 	since := time.UnixMilli(live.Record.Created)
-	j := &scheduler.Job{Job: live.Record.Job, Order: live.SinceRevision, InZone: map[string]int{}, SubmittedAt: since, Age: now.Sub(since)}
+	j := &scheduler.Job{Job: live.Record.Job, SubmissionOrder: live.SinceRevision, TasksByZone: map[string]int{}, SubmittedAt: since, Age: now.Sub(since)}
 	if j.Shape == wire.Service {
 		j.SpreadRule = l.cfg.Tuning.Spread[j.Class]
 	}
 	state := l.jobStates[id]
-	ranges, remoteTasks := l.ownRanges(live)
-	j.RemoteTasks, j.LocalTasks = remoteTasks, handover.Count(ranges)
+	ranges, remoteTasks := l.unfinishedOwnRanges(live)
+	j.RemoteTasks, j.LocalTasks = remoteTasks, handover.CountTasks(ranges)
 	if state != nil && len(state.failedMachines) < delayAfterMachines { // else the job fails everywhere: it may use any machine, after a delay
 		j.AvoidMachines = state.failedMachines
 	}
@@ -188,7 +188,7 @@
 	if state != nil && now.Before(state.notBefore) {
 		return j
 	}
-	if remoteTasks > 0 && live.Record.Job.Shape == wire.Gang && !l.mayPlaceSplit(now, j, state, live.Record.CoAllocation) {
+	if remoteTasks > 0 && live.Record.Job.Shape == wire.Gang && !l.mayPlaceSplitGang(now, j, state, live.Record.CoAllocation) {
 		return j // the gang runs in several shards, or is being returned to one shard
 	}
 	l.addWaitingTasks(j, state, ranges)
@@ -202,7 +202,7 @@
 // launch.
 func (l *Leader) addWaitingTasks(j *scheduler.Job, state *jobState, ranges []store.ShardRange) {
 	for _, r := range ranges {
-		for i := r.From; i < r.To && len(j.Waiting) < l.cfg.Tuning.RoundTasks; i++ {
+		for i := r.From; i < r.To && len(j.Waiting) < l.cfg.Tuning.MaxRoundLaunches; i++ {
 			if state != nil && state.finished.Contains(i) || l.fleet.ActivePlacement(wire.TaskID{Job: j.ID, Index: i}) != nil {
 				continue
 			}
@@ -258,8 +258,8 @@
 	if p.Stop == nil && m.LacksImage(j.Image) {
 		s.AddFetch(j.Image, j.Priority == wire.Production)
 	}
-	j.Active++
-	j.InZone[m.Zone]++
+	j.ActiveTasks++
+	j.TasksByZone[m.Zone]++
 	// The next attempt of a gang can start only once all tasks of this attempt are gone. A task of any other job does
 	// not hold up the other tasks of its job: they would have to wait for a lease to expire if its machine is
 	// unreachable.
--- a/internal/leader/stall.go
+++ b/internal/leader/stall.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// roundUnwritten records that the state service has refused or not answered a round. Only one with launches counts as
+// recordUnwrittenRound records that the state service has refused or not answered a round. Only one with launches counts as
 // blocked.
-func (l *Leader) roundUnwritten(now time.Time, d *Draft, cause stall.Cause) {
+func (l *Leader) recordUnwrittenRound(now time.Time, d *Draft, cause stall.Cause) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(d.launches) > 0 {
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newLargeFleet(t, 60, 1)
-			f.cfg.Tuning.Idle = time.Hour
+			f.cfg.Tuning.IdleTimeout = time.Hour
 			var logged strings.Builder
 			f.log = slog.New(slog.NewTextHandler(&logged, nil))
 			if test.inject != nil {
@@ -42,7 +42,7 @@
 				}
 				f.now = f.now.Add(time.Second)
 				if d := f.Decide(f.now, f.view.Snapshot()); d != nil {
-					f.roundUnwritten(f.now, d, stall.CauseRefused)
+					f.recordUnwrittenRound(f.now, d, stall.CauseRefused)
 					f.Discard(d)
 				}
 				f.heartbeatAll()
--- a/internal/leader/timeouts.go
+++ b/internal/leader/timeouts.go
@@ -16,8 +16,8 @@
 	missingHeartbeatAfter time.Duration // how long a machine that answers calls may send no heartbeat
 }
 
-// timeoutsOf derives the timeouts from the configuration.
-func timeoutsOf(c *config.Config) timeouts {
+// newTimeouts derives the timeouts from the configuration.
+func newTimeouts(c *config.Config) timeouts {
 	late := c.Workers.HeartbeatInterval * 5 / 4
 	return timeouts{launchWithin: late + 2250*time.Millisecond, directLaunchWithin: late + 1250*time.Millisecond,
 		suspectAfter: c.Workers.HeartbeatInterval * 7 / 5, unreachableAfter: c.HeartbeatTimeout(),
--- a/internal/leader/trace_leader_steps_test.go
+++ b/internal/leader/trace_leader_steps_test.go
@@ -96,7 +96,7 @@
 
 // addTier configures a tier.
 func (driver *traceDriver) addTier(step traceStep) []string {
-	driver.tier(step.words[1], step.settings)
+	driver.configureTier(step.words[1], step.settings)
 	return nil
 }
 
@@ -294,7 +294,7 @@
 // noteCallResults records calls to machines, one after the other, with the same result for all.
 func (driver *traceDriver) noteCallResults(step traceStep) []string {
 	for _, id := range step.words[2:] {
-		driver.leader.monitor.NoteCallResult(driver.now, id, step.words[1] == "answered")
+		driver.leader.monitor.RecordCallResult(driver.now, id, step.words[1] == "answered")
 	}
 	return nil
 }
--- a/internal/leader/trace_ledger_steps_test.go
+++ b/internal/leader/trace_ledger_steps_test.go
@@ -70,6 +70,6 @@
 
 // recordDrop records that a machine is dropped.
 func (driver *traceDriver) recordDrop(step traceStep) []string {
-	driver.addToPreviousSegment(store.DropMachine(step.words[1]))
+	driver.addToPreviousSegment(store.MachineTombstone(step.words[1]))
 	return nil
 }
--- a/internal/leader/trace_state_steps_test.go
+++ b/internal/leader/trace_state_steps_test.go
@@ -65,10 +65,10 @@
 
 // cancelJob stores the cancellation of a job.
 func (driver *traceDriver) cancelJob(step traceStep) []string {
-	job, _ := driver.view.Live(step.words[1])
+	job, _ := driver.view.LiveJob(step.words[1])
 	r := job.Batch.Update()
 	r.EndJob(step.words[1], wire.Cancelled, driver.now)
-	driver.apply(r.Change())
+	driver.apply(r.Operation())
 	return nil
 }
 
@@ -117,7 +117,7 @@
 
 // putCoAllocation stores a co-allocation order by the shard that leads a gang: off, hold, or the attempt to start.
 func (driver *traceDriver) putCoAllocation(step traceStep) []string {
-	job, _ := driver.view.Live(step.words[1])
+	job, _ := driver.view.LiveJob(step.words[1])
 	r := job.Batch.Update()
 	if orders := map[string]uint64{"off": store.CoAllocationRelease, "hold": store.CoAllocationReserve}; orders[step.words[2]] > 0 {
 		r.SetCoAllocation(step.words[1], orders[step.words[2]])
@@ -127,34 +127,34 @@
 		number, _ := strconv.ParseUint(numberText, 10, 64)
 		r.SetCoAllocation(step.words[1], token<<24|number)
 	}
-	driver.apply(r.Change())
+	driver.apply(r.Operation())
 	return nil
 }
 
 // putHandedOverRanges stores the ranges of a job after another shard has handed over its tasks to this one.
 func (driver *traceDriver) putHandedOverRanges(step traceStep) []string {
-	job, _ := driver.view.Live(step.words[1])
+	job, _ := driver.view.LiveJob(step.words[1])
 	r := job.Batch.Update()
 	r.AssignRanges(step.words[1], parseRanges(driver.t, step.words[2:]), driver.view.Sharding().Record.Generation)
-	driver.apply(r.Change())
+	driver.apply(r.Operation())
 	return nil
 }
 
 // putFinishedIn records that another shard has finished all of its tasks of a job, without listing these tasks.
 func (driver *traceDriver) putFinishedIn(step traceStep) []string {
-	job, _ := driver.view.Live(step.words[1])
+	job, _ := driver.view.LiveJob(step.words[1])
 	r := job.Batch.Update()
 	r.MarkFinishedIn(step.words[1], store.LedgerName(step.words[2], driver.view.Sharding().Record.Generation))
-	driver.apply(r.Change())
+	driver.apply(r.Operation())
 	return nil
 }
 
 // putRanges stores the ranges of a job, without a generation of the sharding.
 func (driver *traceDriver) putRanges(step traceStep) []string {
-	job, _ := driver.view.Live(step.words[1])
+	job, _ := driver.view.LiveJob(step.words[1])
 	r := job.Batch.Update()
 	r.AssignRanges(step.words[1], parseRanges(driver.t, step.words[2:]), 0)
-	driver.apply(r.Change())
+	driver.apply(r.Operation())
 	return nil
 }
 
--- a/internal/leader/trace_test.go
+++ b/internal/leader/trace_test.go
@@ -54,7 +54,7 @@
 // traceConfig returns the configuration under which traces are played.
 func traceConfig() *config.Config {
 	return &config.Config{Teams: []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue"}},
-		Workers: config.Workers{HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 60 * time.Second},
+		Workers: config.Workers{HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second, GangStartTimeout: 45 * time.Second, GangPeerTimeout: 4 * time.Second, CancelTimeout: 60 * time.Second},
 		Store:   config.Store{TxnOps: 12, ValueBytes: 8192}, Cloud: config.Cloud{ListLag: 3 * time.Second}, Tuning: config.DefaultTuning()}
 }
 
@@ -106,7 +106,7 @@
 // parseStep parses a line of a trace.
 func parseStep(line string) (step traceStep) {
 	head, tasks, _ := strings.Cut(line, ":")
-	step.words, step.settings = simulator.Words(head)
+	step.words, step.settings = simulator.ParseStep(head)
 	step.tasks = tasks
 	return step
 }
@@ -353,7 +353,7 @@
 
 // TestTraces replays the leader's traces in testdata and compares their output.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string { return newTraceDriver(t).step })
 }
 
 // TestTimeoutsFollowHeartbeatInterval checks that the timeouts after which a machine counts as unusable or unreachable
@@ -363,7 +363,7 @@
 	for _, interval := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		cfg := traceConfig()
 		cfg.Workers.HeartbeatInterval = interval
-		got, latest := timeoutsOf(cfg), interval*5/4
+		got, latest := newTimeouts(cfg), interval*5/4
 		if got.directLaunchWithin <= latest || got.launchWithin <= got.directLaunchWithin || got.suspectAfter <= latest || got.unreachableAfter <= got.suspectAfter && interval < 20*time.Second {
 			t.Errorf("heartbeats every %v: %+v", interval, got)
 		}
@@ -477,7 +477,7 @@
 		d := leader.Decide(driver.now, driver.view.Snapshot())
 		driver.now = driver.now.Add(10 * time.Millisecond)
 		if d == nil {
-			halvings += leader.sizes.Halvings()
+			halvings += leader.sizeBackoff.Halvings()
 			continue
 		}
 		written := map[string]bool{}
--- a/internal/leader/wakeups.go
+++ b/internal/leader/wakeups.go
@@ -4,13 +4,13 @@
 
 // wakeups lets the loops of the leader be woken before their timers expire.
 type wakeups struct {
-	round    chan struct{}
-	calls    chan struct{}
-	throttle *throttle.Limiter // limits calls that are not urgent
+	round       chan struct{}
+	calls       chan struct{}
+	callLimiter *throttle.Limiter // limits calls that are not urgent
 }
 
 func newWakeups() wakeups {
-	return wakeups{round: make(chan struct{}, 1), calls: make(chan struct{}, 1), throttle: throttle.New()}
+	return wakeups{round: make(chan struct{}, 1), calls: make(chan struct{}, 1), callLimiter: throttle.New()}
 }
 
 // wakeRound wakes the loop that runs the rounds.
--- a/internal/leader/zonerecovery.go
+++ b/internal/leader/zonerecovery.go
@@ -15,9 +15,9 @@
 
 // Zone recovery: which machines of an unreachable zone are retained, and the steps by which the zone is used again.
 
-// continueZoneRecoveries continues the zone recoveries in the ledger. Recoveries from the ledgers of previous shardings
+// resumeZoneRecoveries continues the zone recoveries in the ledger. Recoveries from the ledgers of previous shardings
 // are written to this shard's ledger by the next round.
-func (l *Leader) continueZoneRecoveries(now time.Time, last *store.RecoveredState) {
+func (l *Leader) resumeZoneRecoveries(now time.Time, last *store.RecoveredState) {
 	l.recovery = zonerecovery.NewTracker()
 	resume := func(name string, r store.ZoneRecoveryRecord) {
 		l.recovery.Recover(now, name, zonerecovery.Plan{Step: zonerecovery.Step(r.Step), Number: r.Number, Since: time.UnixMilli(r.Since), Work: r.Work})
@@ -39,7 +39,7 @@
 // Each zone has its own plan; the zones are handled in the order of their names.
 func (l *Leader) decideZoneRecoveries(now time.Time, d *Draft) {
 	records := l.zones.Records()
-	d.returns = make(map[string]*zonerecovery.Plan)
+	d.zoneRecoveries = make(map[string]*zonerecovery.Plan)
 	for _, name := range sortedKeys(records) {
 		p := l.recovery.Plan(name)
 		if p == nil && records[name].State != zone.Unreachable || !l.ownsZone(name) {
@@ -47,10 +47,10 @@
 		}
 		next := zonerecovery.Next(now, p, l.observeZone(name, records))
 		switch {
-		case next == nil && !d.Add(store.DropZoneRecovery(name)):
+		case next == nil && !d.Add(store.ZoneRecoveryTombstone(name)):
 		case next != nil && (next != p || !l.ledger.HasZoneRecovery(name)) && !d.Add(zoneRecoveryEntry(name, next)):
 		case next != p:
-			d.returns[name] = next
+			d.zoneRecoveries[name] = next
 		}
 	}
 }
@@ -59,8 +59,8 @@
 	return store.ZoneRecoveryEntry(name, store.ZoneRecoveryRecord{Step: string(p.Step), Number: p.Number, Since: p.Since.UnixMilli(), Work: p.Work})
 }
 
-// zoneRecoveriesCommitted applies the steps of a committed round. A step takes effect only once it is committed.
-func (l *Leader) zoneRecoveriesCommitted(plans map[string]*zonerecovery.Plan) {
+// commitZoneRecoveries applies the steps of a committed round. A step takes effect only once it is committed.
+func (l *Leader) commitZoneRecoveries(plans map[string]*zonerecovery.Plan) {
 	for _, name := range sortedKeys(plans) {
 		p := plans[name]
 		if p == nil {
@@ -75,9 +75,9 @@
 // observeZone collects the observations on which the next step of a zone's recovery depends.
 func (l *Leader) observeZone(name string, records map[string]zone.Record) zonerecovery.Observation {
 	record := records[name]
-	observation := zonerecovery.Observation{Unreachable: record.State == zone.Unreachable, Number: record.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.Idle}
+	observation := zonerecovery.Observation{Unreachable: record.State == zone.Unreachable, Number: record.Number, HasQueued: l.recovery.FreeCapacity.HasQueued, Unbalanced: l.recovery.Unbalanced, SettleTime: l.timeouts.unreachableAfter, IdleTimeout: l.cfg.Tuning.IdleTimeout}
 	for other, otherRecord := range records {
-		observation.OtherZoneBusy = observation.OtherZoneBusy || otherRecord.State == zone.Unreachable || otherRecord.State == zone.Suspected || other != name && l.recovery.Before(other, name)
+		observation.OtherZoneBusy = observation.OtherZoneBusy || otherRecord.State == zone.Unreachable || otherRecord.State == zone.Suspected || other != name && l.recovery.Precedes(other, name)
 	}
 	for _, t := range l.types {
 		if slices.Contains(t.Zones, name) {
@@ -155,7 +155,7 @@
 			imageGB += live.Record.Job.ImageGB
 		}
 	}
-	return l.recovery.FreeCapacity.Keeps(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return l.canMoveElsewhere(now, m) },
+	return l.recovery.FreeCapacity.Retains(zonerecovery.LostMachine{HasProduction: production, Demand: demand, CanScaleOut: func() bool { return l.canMoveElsewhere(now, m) },
 		CutOffFor: now.Sub(since), ReplacementTime: zonerecovery.ReplacementTime(l.machineType(m.Type), imageGB)})
 }
 
@@ -219,7 +219,7 @@
 		return
 	}
 	l.monitor.Calls.ForgetFailures(m.ID)
-	if _, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter); !cutOff || !l.zones.Wake(now, m.Zone, reachability.MaxFencingInterval) {
+	if _, cutOff := l.zones.CutOff(now, m.Zone, l.timeouts.unreachableAfter); !cutOff || !l.zones.AllowRetry(now, m.Zone, reachability.MaxFencingInterval) {
 		return
 	}
 	for _, other := range l.fleet.Machines() {
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// zonesCommitted applies the zone state changes of a committed round. A change takes effect only once it is committed.
-func (l *Leader) zonesCommitted(changes []zone.Change) {
+// commitZones applies the zone state changes of a committed round. A change takes effect only once it is committed.
+func (l *Leader) commitZones(changes []zone.Change) {
 	l.zones.Commit(changes)
 	for _, c := range changes {
 		l.log.Info("zone state changed", "zone", c.Zone, "state", string(c.Record.State), "previous", string(c.Previous), "number", c.Record.Number, "outages", c.Record.Outages, "evidence", c.Reason)
@@ -115,9 +115,9 @@
 // zoneUnreachable reports whether a zone is unreachable according to its record.
 func (l *Leader) zoneUnreachable(name string) bool { return l.zones.Unreachable(name) }
 
-// unreachableZonesLast sorts the machines of unreachable zones behind all others, because calls to them take a while to
+// sortUnreachableZonesLast sorts the machines of unreachable zones behind all others, because calls to them take a while to
 // fail.
-func (l *Leader) unreachableZonesLast(machines []*fleet.Machine) []*fleet.Machine {
+func (l *Leader) sortUnreachableZonesLast(machines []*fleet.Machine) []*fleet.Machine {
 	var reachable, unreachable []*fleet.Machine
 	for _, m := range machines {
 		if l.zones.Unreachable(m.Zone) {
--- a/internal/leadership/election_test.go
+++ b/internal/leadership/election_test.go
@@ -12,11 +12,11 @@
 
 // TestTraces replays the recorded traces of an election.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string {
 		zero := time.Unix(1e9, 0)
 		election, now := New("me", 9*time.Second, 3*time.Second), zero
 		return func(step string) []string {
-			words, fields := simulator.Words(step)
+			words, fields := simulator.ParseStep(step)
 			num := func(key string) uint64 {
 				n, _ := strconv.ParseUint(fields[key], 10, 64)
 				return n
--- a/internal/leadership/settings.go
+++ b/internal/leadership/settings.go
@@ -86,7 +86,7 @@
 // is led or because the settings of a live peer differ or are unknown. Peers do not matter as long as
 // nothing was ever launched.
 func (g *SettingsGate) checkChangeable() error {
-	led, used := g.State.View.LedShards()
+	led, used := g.State.View.ShardsWithLeader()
 	switch peer, known := g.Mismatch(); {
 	case !used && len(led) == 0: // nothing was ever launched
 	case peer != "" && known:
@@ -95,7 +95,7 @@
 		return fmt.Errorf("controller %s %w", peer, errSettingsUnknown)
 	}
 	if len(led) > 0 {
-		return fmt.Errorf("%w: %s", reshard.ErrLed, strings.Join(led, ", "))
+		return fmt.Errorf("%w: %s", reshard.ErrShardHasLeader, strings.Join(led, ", "))
 	}
 	return nil
 }
--- a/internal/load/answer_history.go
+++ b/internal/load/answer_history.go
@@ -140,7 +140,7 @@
 }
 
 // ClusterStatus requests the status of the emulated cluster with a control address.
-func ClusterStatus(ctx context.Context, caller *transport.Caller, control string) (*emulator.Status, error) {
+func ClusterStatus(ctx context.Context, caller *transport.Client, control string) (*emulator.Status, error) {
 	callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	resp, err := caller.Call(callCtx, control, "GET", emulator.PathStatus, nil)
--- a/internal/load/golden_test.go
+++ b/internal/load/golden_test.go
@@ -11,7 +11,7 @@
 
 // TestGoldenResult checks that the JSON encoding of a result is unchanged.
 func TestGoldenResult(t *testing.T) {
-	goldentest.Check[Result](t, "result.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[Result](t, "result.json", json.Marshal, json.Unmarshal)
 }
 
 // TestGoldenMix checks that a mix file parses to the same settings as before.
@@ -24,5 +24,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Text(t, "mix.txt", strings.Join(goldentest.Leaves(*m), "\n")+"\n")
+	goldentest.CompareText(t, "mix.txt", strings.Join(goldentest.Leaves(*m), "\n")+"\n")
 }
--- a/internal/load/instructions.go
+++ b/internal/load/instructions.go
@@ -124,7 +124,7 @@
 		func(m map[string]any) { m[[]string{"vcpus", "mem_gb"}[round%2]] = 1e8 },
 	} {
 		j := r.Mix.Classes[round%len(r.Mix.Classes)].Template
-		j.ID, j.Tasks = fmt.Sprintf("%s%s8%05d", wire.JobPrefix, r.Prefix, firstNumber+k), 1
+		j.ID, j.Tasks = fmt.Sprintf("%s%s8%05d", wire.JobIDPrefix, r.Prefix, firstNumber+k), 1
 		var m map[string]any
 		if wire.Decode(wire.Encode(j), &m) != nil {
 			continue
