--- a/internal/load/instructions_test.go
+++ b/internal/load/instructions_test.go
@@ -86,7 +86,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			s := &fakeService{stages: map[string][]stageSince{}, lag: 150 * time.Millisecond, stale: stale}
 			r := Runner{Addrs: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}, Prefix: "7", DrainTimeout: time.Minute,
-				Caller: &transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, Duration: 5 * time.Second, PollInterval: time.Second, Classes: []Class{newClass("a")}}}
+				Caller: &transport.Client{MaxBody: 1 << 20, Dial: n.Host("10.3.0.1").Dial}, Mix: &Mix{Seed: 1, Duration: 5 * time.Second, PollInterval: time.Second, Classes: []Class{newClass("a")}}}
 			r.Mix.Classes[0].JobsPerMinute, r.Mix.Classes[0].Cancel = 60, 1
 			for i, addr := range r.Addrs {
 				go n.Host(simulator.HostOf(addr)).Listen(ctx, addr, 0, transport.HTTP(1<<20, time.Minute, s.answer(i == 2)))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -74,8 +74,8 @@
 			t.Fatal(err)
 		}
 	}
-	r := load.Runner{Mix: parseMix(t, mixOfEveryShape), Addrs: addrs, JudgeAddr: cluster.Control(), Prefix: "9", DrainTimeout: time.Minute,
-		Caller: &transport.Caller{MaxBody: 1 << 20, Dial: emulator.Dial}}
+	r := load.Runner{Mix: parseMix(t, mixOfEveryShape), Addrs: addrs, JudgeAddr: cluster.ControlAddr(), Prefix: "9", DrainTimeout: time.Minute,
+		Caller: &transport.Client{MaxBody: 1 << 20, Dial: emulator.Dial}}
 	for _, f := range []emulator.Fault{{Kind: "odd_requests", For: 6 * time.Second}, {Kind: "close_looks", For: 20 * time.Second}, {Kind: "cancel_at_end", Share: 1, For: 20 * time.Second}} {
 		if _, err := cluster.Stage(f); err != nil {
 			t.Fatal(err)
@@ -134,11 +134,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{}, 3)
 	for i := range 3 {
-		cfg, err := amberdeal.Load(cluster.Settings(i), "")
+		cfg, err := amberdeal.Load(cluster.PlatformFile(i), "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, cluster.Public(i))
+		addrs = append(addrs, cluster.PublicAddr(i))
 		go func() {
 			_ = amberdeal.New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
 			ended <- struct{}{}
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -260,7 +260,7 @@
 				break
 			}
 			if rng.Float64()*maxRate < c.rate(when, m.Duration) {
-				out = append(out, c.arrival(rng, when, fmt.Sprintf("%s%s%06d", wire.JobPrefix, prefix, len(out))))
+				out = append(out, c.arrival(rng, when, fmt.Sprintf("%s%s%06d", wire.JobIDPrefix, prefix, len(out))))
 			}
 		}
 	}
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -25,7 +25,7 @@
 	Addrs        []string // of the controllers
 	JudgeAddr    string   // control address of the emulated cluster that checks the run; empty for none
 	Prefix       string   // prefix of job ids, which distinguishes different runs
-	Caller       *transport.Caller
+	Caller       *transport.Client
 	DrainTimeout time.Duration // how long to wait for open jobs after the last one was submitted
 
 	history              answerHistory
@@ -321,7 +321,7 @@
 	case opStatus:
 		method, path, body, timeout = "GET", path+"/"+j.ID, nil, pollTimeout
 	case opCancel:
-		path, body = path+"/"+j.ID+"/"+wire.CancelWord, []byte{}
+		path, body = path+"/"+j.ID+"/"+wire.CancelPathSuffix, []byte{}
 		tracked.cancelRequested.Store(true)
 	}
 	call, cancel := context.WithTimeout(ctx, timeout)
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -47,7 +47,7 @@
 
 // step executes one line of a trace and returns the output that the trace expects.
 func (c *cluster) step(line string) []string {
-	fields, options := simulator.Words(line)
+	fields, options := simulator.ParseStep(line)
 	switch fields[0] {
 	case "controllers":
 		n, _ := strconv.Atoi(fields[1])
@@ -104,5 +104,5 @@
 
 // TestTraces replays the recorded traces of how controllers see each other's state.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newCluster(3).step })
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string { return newCluster(3).step })
 }
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -16,7 +16,7 @@
 // TestGoldenMetrics checks that the names, types, labels and values of all metrics have not changed. It ignores
 // the metrics of the Go runtime, which the Prometheus library defines.
 func TestGoldenMetrics(t *testing.T) {
-	r := goldentest.Filled[Reading](t)
+	r := goldentest.FilledValue[Reading](t)
 	// Set by name, since the values that Filled sets depend on the order of the fields, which does not matter here.
 	r.Compaction = archive.CompactorStats{Staged: 26, Merged: 27, Writes: 28, FenceAdvances: 29, Refused: 30, Blocked: 31, Conflicting: 32}
 	if zeros := goldentest.Zeros(r); len(zeros) > 0 {
@@ -39,7 +39,7 @@
 		lines = append(lines, line)
 	}
 	slices.Sort(lines)
-	goldentest.Text(t, "metrics.txt", Path+" "+resp.ContentType+"\n"+strings.Join(lines, "\n")+"\n")
+	goldentest.CompareText(t, "metrics.txt", Path+" "+resp.ContentType+"\n"+strings.Join(lines, "\n")+"\n")
 	if age := time.Since(r.OldestEnd); age < 0 {
 		t.Errorf("the filled times are in the future: %v", age)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -25,7 +25,7 @@
 // Reading holds the values of all metrics of a controller, read for one scrape.
 type Reading struct {
 	Started  time.Time
-	LastList store.LoadStats // of the last complete load of the state
+	LastLoad store.LoadStats // of the last complete load of the state
 	Revision uint64          // of the state service, up to which the local view of the state is current
 
 	FencingToken uint64 // highest of the shards that this controller leads, 0 for none
@@ -46,7 +46,7 @@
 	ForwardingPeers      int // peers that forward heartbeats to this leader
 	HeartbeatsForwarded  uint64
 	HeartbeatsUnanswered uint64 // forwarded, but not answered by the leader in time
-	MachinesMoved        uint64 // redirected to a peer with more free connections
+	MachinesRedirected   uint64 // redirected to a peer with more free connections
 	LateHeartbeats       uint64 // to leaders in this controller, older than their state
 	ImpossibleHeartbeats uint64 // to leaders in this controller, contradicting their state
 
@@ -96,18 +96,18 @@
 	newMetric(gauge, "term", "Highest fencing token of the shards that this controller leads, 0 for none.", func(r *Reading) float64 { return float64(r.FencingToken) }),
 	newMetric(gauge, "parts_held", "Shards that this controller leads.", func(r *Reading) float64 { return float64(r.Shards) }),
 	newMetric(gauge, "revision", "Revision of the state service that the view has reached.", func(r *Reading) float64 { return float64(r.Revision) }),
-	newMetric(gauge, "view_keys", "Keys in the last full read of the state.", func(r *Reading) float64 { return float64(r.LastList.Keys) }),
-	newMetric(gauge, "view_bytes", "Bytes in the last full read of the state.", func(r *Reading) float64 { return float64(r.LastList.Bytes) }),
-	newMetric(gauge, "view_requests", "Requests that the last full read of the state took.", func(r *Reading) float64 { return float64(r.LastList.Requests) }),
-	newMetric(gauge, "view_load_seconds", "Time that the last full read of the state took.", func(r *Reading) float64 { return r.LastList.Duration.Seconds() }),
+	newMetric(gauge, "view_keys", "Keys in the last full read of the state.", func(r *Reading) float64 { return float64(r.LastLoad.Keys) }),
+	newMetric(gauge, "view_bytes", "Bytes in the last full read of the state.", func(r *Reading) float64 { return float64(r.LastLoad.Bytes) }),
+	newMetric(gauge, "view_requests", "Requests that the last full read of the state took.", func(r *Reading) float64 { return float64(r.LastLoad.Requests) }),
+	newMetric(gauge, "view_load_seconds", "Time that the last full read of the state took.", func(r *Reading) float64 { return r.LastLoad.Duration.Seconds() }),
 	newMetric(gauge, "snapshot_age_seconds", "Time since the last full read of the state.", func(r *Reading) float64 {
-		if r.LastList.FinishedAt.IsZero() {
+		if r.LastLoad.FinishedAt.IsZero() {
 			return 0
 		}
-		return time.Since(r.LastList.FinishedAt).Seconds()
+		return time.Since(r.LastLoad.FinishedAt).Seconds()
 	}),
 	newMetric(gauge, "start_seconds", "Time from the start of the process to the end of the first full read of the state.", func(r *Reading) float64 {
-		return max(0, r.LastList.FinishedAt.Sub(r.Started).Seconds())
+		return max(0, r.LastLoad.FinishedAt.Sub(r.Started).Seconds())
 	}),
 	newMetric(gauge, "machines_reporting", "Machines whose heartbeats arrive at this controller.", func(r *Reading) float64 { return float64(r.ReportingMachines) }),
 	newMetric(gauge, "report_edges", "Peers that forward heartbeats to this leader.", func(r *Reading) float64 { return float64(r.ForwardingPeers) }),
@@ -115,7 +115,7 @@
 	newMetric(counter, "reports_late_total", "Heartbeats to the leader that were older than what it knew.", func(r *Reading) float64 { return float64(r.LateHeartbeats) }),
 	newMetric(counter, "reports_impossible_total", "Heartbeats to the leader that contradict what it knew; the log names them.", func(r *Reading) float64 { return float64(r.ImpossibleHeartbeats) }),
 	newMetric(counter, "reports_unanswered_total", "Forwarded heartbeats that the leader did not answer in time.", func(r *Reading) float64 { return float64(r.HeartbeatsUnanswered) }),
-	newMetric(counter, "machines_moved_total", "Machines that were redirected to a peer with more free connections.", func(r *Reading) float64 { return float64(r.MachinesMoved) }),
+	newMetric(counter, "machines_moved_total", "Machines that were redirected to a peer with more free connections.", func(r *Reading) float64 { return float64(r.MachinesRedirected) }),
 	newMetric(counter, "requests_forwarded_total", "Submissions and cancellations that were forwarded to the controllers that write them.", func(r *Reading) float64 { return float64(r.RequestsForwarded) }),
 	newMetric(counter, "requests_forward_lost_total", "Forwarded requests whose outcome was not known in time, and that were handled here instead.", func(r *Reading) float64 { return float64(r.ForwardsUnanswered) }),
 	newMetric(gauge, "call_window", "Deferrable calls that may be open at once; it falls while this process is late.", func(r *Reading) float64 { return float64(r.CallWindow) }),
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -24,7 +24,7 @@
 
 func (s testStream) Read(b []byte) (int, error) { return s.Reader.Read(b) }
 func (testStream) Close() error                 { return nil }
-func (testStream) SetIdle(time.Duration)        {}
+func (testStream) SetIdleTimeout(time.Duration) {}
 
 // FuzzHeartbeat checks that arbitrary input does not crash the process, and that heartbeats are
 // accepted only from configured peers.
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -9,7 +9,7 @@
 
 // TestHeartbeatMapping checks that the conversion to Heartbeat and back covers every field of both types.
 func TestHeartbeatMapping(t *testing.T) {
-	s := goldentest.Filled[Status](t)
+	s := goldentest.FilledValue[Status](t)
 	s.Uptime = 7000000000 // sent in whole seconds
 	h := s.heartbeat()
 	h.Stream = "kind" // set by OpenStream, not part of a status
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -73,7 +73,7 @@
 func (m *Mesh) Receive(ctx context.Context, c transport.Stream) {
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	c.SetIdle(receiveTimeout)
+	c.SetIdleTimeout(receiveTimeout)
 	dec := gob.NewDecoder(c)
 	for {
 		var h Heartbeat
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -176,8 +176,8 @@
 	}}
 }
 
-// Settled ends the change in flight, whether or not it was committed. rec is the record that was read afterwards.
-func (q *Quota) Settled(rec store.Versioned[store.QuotaGrantRecord]) {
+// EndChange ends the change in flight, whether or not it was committed. rec is the record that was read afterwards.
+func (q *Quota) EndChange(rec store.Versioned[store.QuotaGrantRecord]) {
 	q.Observe(rec)
 	q.inFlight, q.pendingLower = false, nil
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -106,11 +106,11 @@
 	if q.Idle() || redGPULimit(q, 5) != 5 {
 		t.Errorf("while the change is in flight: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
-	q.Settled(grantRecord(2, 1, 1)) // an older version than was read before
+	q.EndChange(grantRecord(2, 1, 1)) // an older version than was read before
 	if !q.Idle() || redGPULimit(q, 5) != 12 {
 		t.Errorf("after the change was rejected: %v, %v", q.Idle(), redGPULimit(q, 5))
 	}
-	q.Settled(grantRecord(4, 5, 20))
+	q.EndChange(grantRecord(4, 5, 20))
 	team := &scheduler.Team{LimitGPUs: 32}
 	if q.Apply(start, "red", team, gpus(5)); team.LimitGPUs != 5 || team.GlobalLimitGPUs != 32 || team.RemoteUsedGPUs != 20 || team.LimitCPUs != 0 {
 		t.Errorf("after the change was committed: %+v", team)
@@ -141,7 +141,7 @@
 			if change.Txn.If[1].Version == rec.Version {
 				rec = store.Versioned[store.QuotaGrantRecord]{Version: rec.Version + 1, Record: change.Txn.Then[0].Value.(store.QuotaGrantRecord)}
 			}
-			q.Settled(rec)
+			q.EndChange(rec)
 			sum := 0.0
 			for shard := range rec.Record.Teams["red"] {
 				sum += rec.Record.Grant("red", shard).GPUs
--- a/internal/reachability/detector.go
+++ b/internal/reachability/detector.go
@@ -43,8 +43,8 @@
 // zone cannot distinguish a failed zone from its own partition, but all leaders together can.
 func (d *Detector) SetPeers(zones map[string]ZoneHealth) { d.peers = zones }
 
-// NoteEviction records that a machine was evicted because its heartbeats were missing.
-func (d *Detector) NoteEviction(now time.Time, zone string) {
+// RecordEviction records that a machine was evicted because its heartbeats were missing.
+func (d *Detector) RecordEviction(now time.Time, zone string) {
 	d.evicted = slices.DeleteFunc(d.evicted, func(e eviction) bool { return !d.mayHoldLease(now, e) })
 	d.evicted = append(d.evicted, eviction{now, zone})
 }
@@ -162,12 +162,12 @@
 	return t
 }
 
-// OneWay returns the machines that send heartbeats but receive no commands, and on which an earlier
+// OneWayMachines returns the machines that send heartbeats but receive no commands, and on which an earlier
 // leader may have launched tasks. Although the leases that the earlier leader granted have expired,
 // these tasks are not proven gone as long as heartbeats are answered. If more than a third of the
 // machines outside the worst zone are affected, the cause is a network failure that will be repaired,
 // and none is returned.
-func (d *Detector) OneWay(now time.Time) map[*fleet.Machine]bool {
+func (d *Detector) OneWayMachines(now time.Time) map[*fleet.Machine]bool {
 	if now.Sub(d.monitor.fleet.ElectedAt) < d.monitor.timeouts.Unreachable+d.monitor.timeouts.Lease {
 		return nil
 	}
--- a/internal/reachability/fencing.go
+++ b/internal/reachability/fencing.go
@@ -36,29 +36,29 @@
 	Term, Session uint64 // the leader's fencing token and the incarnation of the machine's worker
 }
 
-// Fencing schedules the fencing calls to machines.
-type Fencing struct {
+// FencingScheduler schedules the fencing calls to machines.
+type FencingScheduler struct {
 	monitor   *Monitor
 	openCalls int              // calls from this controller without a result
 	pending   []*fleet.Machine // machines that peers may call
 	scannedAt time.Time        // when these were selected
 }
 
-// NewFencing returns a scheduler of fencing calls to the machines of a monitor.
-func NewFencing(m *Monitor) *Fencing { return &Fencing{monitor: m} }
+// NewFencingScheduler returns a scheduler of fencing calls to the machines of a monitor.
+func NewFencingScheduler(m *Monitor) *FencingScheduler { return &FencingScheduler{monitor: m} }
 
-// Open returns how many calls from this controller have no result yet.
-func (f *Fencing) Open() int { return f.openCalls }
+// OpenCalls returns how many calls from this controller have no result yet.
+func (f *FencingScheduler) OpenCalls() int { return f.openCalls }
 
 // Started records that n calls from this controller have started.
-func (f *Fencing) Started(n int) { f.openCalls += n }
+func (f *FencingScheduler) Started(n int) { f.openCalls += n }
 
 // Finished records that a call from this controller has a result.
-func (f *Fencing) Finished() { f.openCalls-- }
+func (f *FencingScheduler) Finished() { f.openCalls-- }
 
 // Due reports whether a machine should be called now: it has not been seen at the leader's token, its
 // heartbeat is overdue, or it seems to receive no commands.
-func (f *Fencing) Due(now time.Time, machine *fleet.Machine) bool {
+func (f *FencingScheduler) Due(now time.Time, machine *fleet.Machine) bool {
 	last := f.monitor.Calls.Last(machine.ID)
 	if machine.Addr == "" || !shouldSendHeartbeats(machine) || last.InFlight(now) {
 		return false
@@ -81,7 +81,7 @@
 // are answered while other machines are missing. Heartbeats also arrive by way of peers: if the
 // network from this controller to the machines is cut, or if a peer that received a quarter of the
 // heartbeats has failed, healthy machines look lost.
-func (f *Fencing) Probes(now time.Time, someMissing bool) []*fleet.Machine {
+func (f *FencingScheduler) Probes(now time.Time, someMissing bool) []*fleet.Machine {
 	if !someMissing || now.Sub(f.monitor.Calls.lastAnswered) < probeInterval {
 		return nil
 	}
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (f *Fencing) mayProbe(now time.Time, machine *fleet.Machine) bool {
+func (f *FencingScheduler) mayProbe(now time.Time, machine *fleet.Machine) bool {
 	if !machine.SeenAtToken || machine.Addr == "" || machine.Releasing {
 		return false
 	}
@@ -105,10 +105,10 @@
 	return !last.InFlight(now) && now.Sub(last.StartedAt) >= probeInterval && f.monitor.HeartbeatAge(now, machine) < probeInterval
 }
 
-// Rebuild returns at most limit calls that a peer can make while the leader rebuilds the state of its
+// RebuildCalls returns at most limit calls that a peer can make while the leader rebuilds the state of its
 // fleet: a failover with thousands of machines takes as long as the calls to them. Zones for which skip
 // returns true are left out.
-func (f *Fencing) Rebuild(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
+func (f *FencingScheduler) RebuildCalls(now time.Time, limit int, skip func(zone string) bool) []FencingCall {
 	if now.Sub(f.scannedAt) > scanInterval {
 		f.scannedAt, f.pending = now, nil
 		for _, machine := range f.monitor.fleet.Machines() {
@@ -123,16 +123,16 @@
 	return f.startPendingCalls(now, limit, func(machine *fleet.Machine) bool { return !machine.SeenAtToken && f.Due(now, machine) })
 }
 
-// Suspected returns calls that a peer can make to machines of suspected zones. Their results show
+// SuspectedZoneCalls returns calls that a peer can make to machines of suspected zones. Their results show
 // whether the zones are reachable.
-func (f *Fencing) Suspected(now time.Time, limit int, zones []string) []FencingCall {
+func (f *FencingScheduler) SuspectedZoneCalls(now time.Time, limit int, zones []string) []FencingCall {
 	f.pending = f.pickInSuspectedZones(now, zones)
 	return f.startPendingCalls(now, limit, func(*fleet.Machine) bool { return true })
 }
 
 // pickInSuspectedZones selects missing machines of suspected zones and one connected machine of another
 // zone: a peer's failure to reach a zone counts only if it can reach others.
-func (f *Fencing) pickInSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
+func (f *FencingScheduler) pickInSuspectedZones(now time.Time, zones []string) (out []*fleet.Machine) {
 	if now.Sub(f.scannedAt) < scanInterval || len(zones) == 0 {
 		return nil
 	}
@@ -161,7 +161,7 @@
 }
 
 // startPendingCalls starts up to limit calls to pending machines that are still wanted.
-func (f *Fencing) startPendingCalls(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
+func (f *FencingScheduler) startPendingCalls(now time.Time, limit int, wanted func(*fleet.Machine) bool) []FencingCall {
 	var out []FencingCall
 	for len(f.pending) > 0 && len(out) < limit {
 		machine := f.pending[0]
@@ -177,6 +177,6 @@
 
 // PeerFinished records the result of a call that a peer made. It returns false if the machine is gone
 // since.
-func (f *Fencing) PeerFinished(machineID string, answered bool) bool {
+func (f *FencingScheduler) PeerFinished(machineID string, answered bool) bool {
 	return f.monitor.Calls.finishPeer(machineID, answered)
 }
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -55,11 +55,11 @@
 	return &Monitor{Calls: newCallLog(), fleet: f, timeouts: t}
 }
 
-// NotePause records that the leader has just resumed after a pause.
-func (m *Monitor) NotePause(now time.Time) { m.resumedAt = now }
+// RecordPause records that the leader has just resumed after a pause.
+func (m *Monitor) RecordPause(now time.Time) { m.resumedAt = now }
 
-// PauseOver returns when the leader last resumed after a pause.
-func (m *Monitor) PauseOver() time.Time { return m.resumedAt }
+// ResumedAt returns when the leader last resumed after a pause.
+func (m *Monitor) ResumedAt() time.Time { return m.resumedAt }
 
 // CannotJudge reports whether the leader was elected or resumed after a pause so recently that a missing
 // heartbeat says nothing about a machine.
@@ -125,13 +125,13 @@
 // CallFinished records whether a call from this controller was answered.
 func (m *Monitor) CallFinished(now time.Time, machineID string, answered bool) {
 	m.Calls.finish(now, machineID, answered)
-	m.NoteCallResult(now, machineID, answered)
+	m.RecordCallResult(now, machineID, answered)
 }
 
-// NoteCallResult records the result of a call for CallLog.Failing. A failed call counts only if
+// RecordCallResult records the result of a call for CallLog.Failing. A failed call counts only if
 // heartbeats from the machine arrive and it receives commands: a failed call to any other machine says
 // nothing about the network between this controller and the machines.
-func (m *Monitor) NoteCallResult(now time.Time, machineID string, answered bool) {
+func (m *Monitor) RecordCallResult(now time.Time, machineID string, answered bool) {
 	machine := m.fleet.Machine(machineID)
 	if machine == nil {
 		return
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -85,7 +85,7 @@
 			}
 			d := s.detector(c.unreachable...)
 			for range c.evicted {
-				d.NoteEviction(s.now, "c")
+				d.RecordEviction(s.now, "c")
 			}
 			d.SetPeers(c.peers)
 			if got := d.Partitioned(s.now); got != c.want {
@@ -109,9 +109,9 @@
 func TestEvictionsExpire(t *testing.T) {
 	s := newMonitorFixture(t)
 	d := s.detector()
-	d.NoteEviction(s.now, "a")
+	d.RecordEviction(s.now, "a")
 	s.wait(testTimeouts.Lease)
-	d.NoteEviction(s.now, "a")
+	d.RecordEviction(s.now, "a")
 	if n := d.RecentEvictions(s.now)["a"]; n != 2 {
 		t.Errorf("%d evictions count at the end of the lease, want 2", n)
 	}
@@ -144,7 +144,7 @@
 	if !s.monitor.Unreachable(s.now, neverSeen) {
 		t.Error("reachable after failed calls")
 	}
-	s.monitor.NotePause(s.now)
+	s.monitor.RecordPause(s.now)
 	if s.monitor.Unreachable(s.now, seen) || s.monitor.Unreachable(s.now, neverSeen) {
 		t.Error("unreachable just after a pause")
 	}
@@ -192,7 +192,7 @@
 // TestFencingBackoff checks that failed calls are repeated with delays that double up to MaxFencingInterval.
 func TestFencingBackoff(t *testing.T) {
 	s := newMonitorFixture(t)
-	f := NewFencing(s.monitor)
+	f := NewFencingScheduler(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.2:9000", "g4", "a", false, 1, nil)
 	machine := s.fleet.Machine("a-00")
 	var delays []time.Duration
@@ -217,7 +217,7 @@
 // those with the fewest tasks first, but no machine that a peer failed to reach.
 func TestRebuildCalls(t *testing.T) {
 	s := newMonitorFixture(t)
-	f := NewFencing(s.monitor)
+	f := NewFencingScheduler(s.monitor)
 	s.fleet.RestoreMachine(s.now, "a-00", "10.0.0.1:9000", "g4", "a", false, 1, map[string]uint64{"wk-1/0": 1 << 24})
 	for i := 1; i < 4; i++ {
 		s.fleet.RestoreMachine(s.now, machineID("a", i), "10.0.0.1:9000", "g4", "a", false, 1, nil)
@@ -231,16 +231,16 @@
 		}
 		return out
 	}
-	if got := fmt.Sprint(names(f.Rebuild(s.now, 2, skip))); got != "[a-02 a-03]" {
+	if got := fmt.Sprint(names(f.RebuildCalls(s.now, 2, skip))); got != "[a-02 a-03]" {
 		t.Error(got)
 	}
-	if got := fmt.Sprint(names(f.Rebuild(s.now, 2, skip))); got != "[a-00]" {
+	if got := fmt.Sprint(names(f.RebuildCalls(s.now, 2, skip))); got != "[a-00]" {
 		t.Error(got)
 	}
 	f.PeerFinished("a-02", false)
 	f.PeerFinished("a-03", true)
 	s.wait(MinFencingInterval)
-	if got := fmt.Sprint(names(f.Rebuild(s.now, 9, skip))); got != "[a-03]" {
+	if got := fmt.Sprint(names(f.RebuildCalls(s.now, 9, skip))); got != "[a-03]" {
 		t.Error(got)
 	}
 }
@@ -249,19 +249,19 @@
 // another zone are called.
 func TestSuspectedZoneCalls(t *testing.T) {
 	s := newMonitorFixture(t)
-	f := NewFencing(s.monitor)
+	f := NewFencingScheduler(s.monitor)
 	s.heartbeat("a", 0, 5)
 	s.heartbeat("b", 0, 5)
 	s.wait(testTimeouts.Suspect + time.Second)
 	s.heartbeat("b", 0, 5)
-	if got := f.Suspected(s.now, 9, nil); got != nil {
+	if got := f.SuspectedZoneCalls(s.now, 9, nil); got != nil {
 		t.Error(got)
 	}
-	got := f.Suspected(s.now, 9, []string{"a"})
+	got := f.SuspectedZoneCalls(s.now, 9, []string{"a"})
 	if len(got) != 3 || got[0].Machine != "a-00" || got[1].Machine != "a-01" || got[2].Machine != "b-00" {
 		t.Error(got)
 	}
-	if got := f.Suspected(s.now, 9, []string{"a"}); got != nil {
+	if got := f.SuspectedZoneCalls(s.now, 9, []string{"a"}); got != nil {
 		t.Error("called again immediately:", got)
 	}
 }
@@ -273,7 +273,7 @@
 	s.heartbeat("a", 0, 1)
 	recordCalls := func(n int, answered bool) {
 		for range n {
-			s.monitor.NoteCallResult(s.now, "a-00", answered)
+			s.monitor.RecordCallResult(s.now, "a-00", answered)
 		}
 	}
 	recordCalls(minCallResults-1, false)
@@ -305,7 +305,7 @@
 // answered recently.
 func TestProbes(t *testing.T) {
 	s := newMonitorFixture(t)
-	f := NewFencing(s.monitor)
+	f := NewFencingScheduler(s.monitor)
 	s.heartbeat("a", 0, 5)
 	if got := f.Probes(s.now, false); got != nil {
 		t.Error(got)
@@ -323,12 +323,12 @@
 // if the machines receive commands.
 func TestOneWay(t *testing.T) {
 	s := newMonitorFixture(t)
-	if got := s.detector().OneWay(s.now); got != nil {
+	if got := s.detector().OneWayMachines(s.now); got != nil {
 		t.Error(got)
 	}
 	s.wait(testTimeouts.Unreachable + testTimeouts.Lease)
 	s.heartbeat("a", 0, 3)
-	if got := s.detector().OneWay(s.now); got != nil {
+	if got := s.detector().OneWayMachines(s.now); got != nil {
 		t.Error("returned machines that receive commands:", got)
 	}
 }
--- a/internal/reapi/operation.go
+++ b/internal/reapi/operation.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return operation{}, notFound
 	}
-	digest.Function = cas.Function(repb.DigestFunction_Value_value[segments[1]])
+	digest.Function = cas.DigestFunction(repb.DigestFunction_Value_value[segments[1]])
 	return operation{segments[4], digest}, nil
 }
 
--- a/internal/reapi/reapi_test.go
+++ b/internal/reapi/reapi_test.go
@@ -49,20 +49,20 @@
 // TestOperationNames checks that the name of an operation survives a round trip, so that every controller can
 // serve it, and that other names are rejected as not found.
 func TestOperationNames(t *testing.T) {
-	for _, f := range cas.Functions {
+	for _, f := range cas.DigestFunctions {
 		digest := cas.Sum(f, []byte("action"))
 		want := operation{action.JobID(digest, 3), digest}
 		if got, err := parseOperation(want.name()); err != nil || got != want {
 			t.Errorf("%s: %+v, %v", want.name(), got, err)
 		}
 	}
-	for _, name := range []string{"", "operations", "operations/SHA256/x/1/wk-1", "other/SHA256/" + cas.Sum(cas.Functions[0], nil).String() + "/wk-1",
-		"operations/SHA256/" + cas.Sum(cas.Functions[0], nil).String() + "/job"} {
+	for _, name := range []string{"", "operations", "operations/SHA256/x/1/wk-1", "other/SHA256/" + cas.Sum(cas.DigestFunctions[0], nil).String() + "/wk-1",
+		"operations/SHA256/" + cas.Sum(cas.DigestFunctions[0], nil).String() + "/job"} {
 		if _, err := parseOperation(name); status.Code(err) != codes.NotFound {
 			t.Errorf("%q: %v", name, err)
 		}
 	}
-	if a, b := action.JobID(cas.Sum(cas.Functions[0], []byte("a")), 0), action.JobID(cas.Sum(cas.Functions[0], []byte("a")), 1); a == b || !wire.ValidJobID(a) || len(a) != 21 {
+	if a, b := action.JobID(cas.Sum(cas.DigestFunctions[0], []byte("a")), 0), action.JobID(cas.Sum(cas.DigestFunctions[0], []byte("a")), 1); a == b || !wire.ValidJobID(a) || len(a) != 21 {
 		t.Errorf("%s, %s", a, b)
 	}
 }
--- a/internal/reapi/server.go
+++ b/internal/reapi/server.go
@@ -56,7 +56,7 @@
 func (s *Server) GetCapabilities(context.Context, *repb.GetCapabilitiesRequest) (*repb.ServerCapabilities, error) {
 	return cas.WithVersions(&repb.ServerCapabilities{
 		CacheCapabilities: cas.CacheCapabilities(cas.DefaultLimits),
-		ExecutionCapabilities: &repb.ExecutionCapabilities{DigestFunction: cas.Functions[0], DigestFunctions: cas.Functions, ExecEnabled: true,
+		ExecutionCapabilities: &repb.ExecutionCapabilities{DigestFunction: cas.DigestFunctions[0], DigestFunctions: cas.DigestFunctions, ExecEnabled: true,
 			ExecutionPriorityCapabilities: &repb.PriorityCapabilities{}},
 	}), nil
 }
--- a/internal/reapi/status.go
+++ b/internal/reapi/status.go
@@ -35,11 +35,11 @@
 func admissionStatus(err error) error {
 	var unrunnable *admission.UnrunnableError
 	switch {
-	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrTooLarge):
+	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrJobTooLarge):
 		return status.Error(codes.InvalidArgument, err.Error())
 	case errors.Is(err, admission.ErrUnknownJob):
 		return status.Error(codes.NotFound, err.Error())
-	case errors.Is(err, admission.ErrFull):
+	case errors.Is(err, admission.ErrQueueFull):
 		return cas.ResourceExhausted(err.Error(), 2*time.Second)
 	case errors.Is(err, admission.ErrCompactionBehind):
 		return cas.ResourceExhausted(err.Error(), 5*time.Second)
--- a/internal/reapi/submit.go
+++ b/internal/reapi/submit.go
@@ -83,7 +83,7 @@
 func (s *Server) submit(ctx context.Context, job *wire.Job, digest cas.Digest) (operation, error) {
 	// A job that has already ended must not be mistaken for a running one, because its response would be older
 	// than the request.
-	if err := s.Admission.Follow.Barrier(ctx); err != nil {
+	if err := s.Admission.Follower.Barrier(ctx); err != nil {
 		return operation{}, admissionStatus(fmt.Errorf("%w: %w", admission.ErrRetryLater, err))
 	}
 	generation, err := s.firstUnfinishedGeneration(ctx, digest)
--- a/internal/reshard/reshard.go
+++ b/internal/reshard/reshard.go
@@ -17,8 +17,8 @@
 
 // Errors of Transaction, which say why the sharding can't be changed now.
 var (
-	// ErrLed means that a shard has a leader.
-	ErrLed = errors.New("parts are held")
+	// ErrShardHasLeader means that a shard has a leader.
+	ErrShardHasLeader = errors.New("parts are held")
 	// ErrUnreadable means that a record could not be decoded: resharding would lose its content.
 	ErrUnreadable = errors.New("records are not understood")
 	// ErrByType means that a state in use can't be sharded by machine type: a job that is spread over zones would
@@ -38,8 +38,8 @@
 func Transaction(s *store.ShardingState, want *fleet.Sharding, resourcesOf ResourcesOf) (wire.Txn, error) {
 	recovered := store.RecoverSegments(s.Segments)
 	switch {
-	case len(s.LedShards) > 0:
-		return wire.Txn{}, fmt.Errorf("%w: %s", ErrLed, strings.Join(s.LedShards, ", "))
+	case len(s.ShardsWithLeader) > 0:
+		return wire.Txn{}, fmt.Errorf("%w: %s", ErrShardHasLeader, strings.Join(s.ShardsWithLeader, ", "))
 	case len(s.Unreadable) > 0:
 		return wire.Txn{}, fmt.Errorf("%w: %s", ErrUnreadable, strings.Join(s.Unreadable, ", "))
 	case !want.KeepsZonesWhole() && inUse(recovered.Machines):
--- a/internal/reshard/reshard_test.go
+++ b/internal/reshard/reshard_test.go
@@ -52,7 +52,7 @@
 }
 
 func (b *fixture) step(t *testing.T, line string) []string {
-	w, kv := simulator.Words(line)
+	w, kv := simulator.ParseStep(line)
 	switch w[0] {
 	case "job": // wk-1 gang tasks=3 zone=a
 		tasks, _ := strconv.Atoi(kv["tasks"])
@@ -83,7 +83,7 @@
 		}
 		b.addLedgerEntry(kv["ledger"], store.ProgressEntry(w[1], 0, done))
 	case "held":
-		b.state.LedShards = w[1:]
+		b.state.ShardsWithLeader = w[1:]
 	case "broken":
 		b.state.Unreadable = w[1:]
 	case "divide": // to=zone:a,b
@@ -132,7 +132,7 @@
 
 // TestTraces replays the traces in testdata, which change the sharding of a state.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string {
 		b := &fixture{jobs: map[string]*store.JobRecord{}, entries: map[string]map[string]wire.Raw{}}
 		b.state.Sharding.Version, b.state.FencingToken = 7, store.Versioned[uint64]{Record: 4, Version: 9}
 		return func(line string) []string { return b.step(t, line) }
--- a/internal/scale/agents.go
+++ b/internal/scale/agents.go
@@ -113,9 +113,9 @@
 func (a *agents) settings(id, addr, machineType, zone string, spot bool, actions int) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[machine]\nname = %s\ntype = %s\nzone = %s\nspot = %v\nlisten = %s\ncpus = %d\ngpus = 0\nmemory_gb = %d\n", id, machineType, zone, spot, addr, actions, 4*actions)
-	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.clusterConfig.Workers.HeartbeatInterval, a.clusterConfig.Workers.Lease, a.cluster.Blobs(), filepath.Join(a.dir, id))
+	fmt.Fprintf(&text, "[workers]\nreport = %v\nlease = %v\n[actions]\ncas = %s\ndir = %s\n[controllers]\n", a.clusterConfig.Workers.HeartbeatInterval, a.clusterConfig.Workers.Lease, a.cluster.BlobStoreAddr(), filepath.Join(a.dir, id))
 	for i := range a.clusterConfig.Controllers {
-		fmt.Fprintf(&text, "c-%d = %s\n", i, a.cluster.Public(i))
+		fmt.Fprintf(&text, "c-%d = %s\n", i, a.cluster.PublicAddr(i))
 	}
 	return text.String()
 }
@@ -123,12 +123,12 @@
 // startBlobStore starts the blob store and waits until it accepts connections.
 func (a *agents) startBlobStore(ctx context.Context) error {
 	var err error
-	a.blobStore, err = startProcess(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.Blobs())
+	a.blobStore, err = startProcess(a.program, filepath.Join(a.dir, "cas.log"), "cas", "--dir", filepath.Join(a.dir, "blobs"), "--listen", a.cluster.BlobStoreAddr())
 	if err != nil {
 		return fmt.Errorf("blob store: %w", err)
 	}
 	for begun := time.Now(); ctx.Err() == nil; {
-		conn, dialErr := emulator.Dial(ctx, a.cluster.Blobs())
+		conn, dialErr := emulator.Dial(ctx, a.cluster.BlobStoreAddr())
 		if dialErr == nil {
 			return conn.Close()
 		}
@@ -142,14 +142,14 @@
 
 // runActions keeps each agent busy with as many actions at once as it has capacity for, until the context ends.
 func (a *agents) runActions(ctx context.Context) error {
-	blobs, err := cas.Dial(a.cluster.Blobs(), "")
+	blobs, err := cas.Dial(a.cluster.BlobStoreAddr(), "")
 	if err != nil {
 		return fmt.Errorf("dialing the blob store: %w", err)
 	}
 	defer blobs.Close()
 	var addrs []string
 	for i := range a.clusterConfig.Controllers {
-		addrs = append(addrs, a.cluster.Builds(i))
+		addrs = append(addrs, a.cluster.RemoteExecutionAddr(i))
 	}
 	executor, err := reapi.Dial(addrs, "")
 	if err != nil {
--- a/internal/scale/golden_test.go
+++ b/internal/scale/golden_test.go
@@ -11,6 +11,6 @@
 
 // TestGoldenOutcome checks that the JSON fields of an outcome and the Parquet columns have not changed.
 func TestGoldenOutcome(t *testing.T) {
-	goldentest.Check[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
-	goldentest.Text(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Row{}).String()))
+	goldentest.CheckEncoding[Outcome](t, "outcome.json", json.Marshal, json.Unmarshal)
+	goldentest.CompareText(t, "columns.txt", goldentest.Columns(parquet.SchemaOf(Row{}).String()))
 }
--- a/internal/scale/loadgenerator.go
+++ b/internal/scale/loadgenerator.go
@@ -34,7 +34,7 @@
 	step    Point
 	addrs   []string
 	cluster *emulator.Cluster
-	caller  *transport.Caller
+	caller  *transport.Client
 	rng     *rand.Rand // used only by the goroutine that submits ordinary jobs
 
 	lastJobNumber, waitingTasks                   atomic.Int64 // waitingTasks: submitted and not started
@@ -49,7 +49,7 @@
 	leaderKilledAt                                                time.Time // urgent jobs submitted later count in failoverStartTimes
 }
 
-func newLoadGenerator(step Point, seed uint64, caller *transport.Caller) *loadGenerator {
+func newLoadGenerator(step Point, seed uint64, caller *transport.Client) *loadGenerator {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxHistogramMillis, histogramDigits) }
 	return &loadGenerator{step: step, caller: caller, rng: rand.New(rand.NewPCG(seed, 1)), inFlight: make(chan struct{}, maxInFlight),
 		submittedAt: map[string]time.Time{}, urgent: map[string]bool{}, acceptTimes: histogram(), startTimes: histogram(), urgentStartTimes: histogram(), failoverStartTimes: histogram()}
--- a/internal/scale/testbed.go
+++ b/internal/scale/testbed.go
@@ -41,9 +41,9 @@
 	c := emulator.DefaultConfig()
 	c.Seed, c.Controllers, c.Zones, c.State = p.Seed, int(step[Controllers]), zones, p.State
 	c.Types, c.CapacityByOffer, c.Teams = []wire.MachineType{workerType}, map[simulator.Offer]int{}, nil
-	c.Workers = config.Workers{HeartbeatInterval: 6 * time.Second, Lease: 31 * time.Second, GangWait: 45 * time.Second, GangPeer: 4 * time.Second, Cancel: 56 * time.Second}
+	c.Workers = config.Workers{HeartbeatInterval: 6 * time.Second, Lease: 31 * time.Second, GangStartTimeout: 45 * time.Second, GangPeerTimeout: 4 * time.Second, CancelTimeout: 56 * time.Second}
 	c.Cloud = config.Cloud{RPS: 12, ListLag: 2 * time.Second}
-	c.Limits = config.Limits{RAMBytes: 234 << 20, Files: 10_000}
+	c.Limits = config.Limits{RAMBytes: 234 << 20, OpenFiles: 10_000}
 	for i, zone := range zones {
 		c.CapacityByOffer[simulator.Offer{Type: emulatedMachineType, Zone: zone}] = (int(step[Workers]) + i) / len(zones)
 	}
@@ -74,11 +74,11 @@
 	if t.dir, err = os.MkdirTemp("", "amberdeal-scale-*"); err != nil {
 		return nil, fmt.Errorf("creating a temporary directory for the cluster: %w", err)
 	}
-	caller := &transport.Caller{MaxBody: 1 << 20, MaxIdle: 2 * maxInFlight, Dial: emulator.Dial}
+	caller := &transport.Client{MaxBody: 1 << 20, MaxIdle: 2 * maxInFlight, Dial: emulator.Dial}
 	t.loadGen = newLoadGenerator(step, p.Seed, caller)
 	t.agents = &agents{program: program, dir: t.dir, clusterConfig: t.clusterConfig, actionsPerAgent: p.ActionsPerAgent, procs: map[string]*process{}}
-	t.procs = &emulator.Processes{Program: program, Level: "error", Dir: t.dir, Tuning: operatorSettings}
-	t.procs.Begin(ctx)
+	t.procs = &emulator.Processes{Program: program, Level: "error", Dir: t.dir, OperatorSettings: operatorSettings}
+	t.procs.Init(ctx)
 	t.cluster, err = emulator.Start(ctx, t.clusterConfig, emulator.Options{Port: port, Dir: t.dir, Log: slog.New(slog.DiscardHandler), Kill: t.procs.KillNamed, Pause: t.procs.PauseNamed,
 		Machine: t.agents.startMachine, OnTaskStart: t.loadGen.taskStarted})
 	if err != nil {
@@ -89,25 +89,25 @@
 		if err := t.agents.startBlobStore(ctx); err != nil {
 			return nil, err
 		}
-		t.procs.Extra = t.remoteExecutionSettings
+		t.procs.ExtraSettings = t.remoteExecutionSettings
 	}
 	return t, t.startControllers(ctx, caller)
 }
 
 // remoteExecutionSettings returns the [reapi] section of a controller's settings.
 func (t *testbed) remoteExecutionSettings(i int) string {
-	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", t.cluster.Builds(i), t.cluster.Blobs(), teamName(0), actionDuration)
+	return fmt.Sprintf("[reapi]\nlisten = %s\ncas = %s\nteam = %s\ncpus = 1\nmemory_gb = 1\nspot = off\nestimate = %v\n", t.cluster.RemoteExecutionAddr(i), t.cluster.BlobStoreAddr(), teamName(0), actionDuration)
 }
 
-func (t *testbed) startControllers(ctx context.Context, caller *transport.Caller) error {
-	t.procs.Settings, t.procs.Metrics = t.cluster.Settings, t.cluster.Metrics
+func (t *testbed) startControllers(ctx context.Context, caller *transport.Client) error {
+	t.procs.PlatformFile, t.procs.MetricsAddr = t.cluster.PlatformFile, t.cluster.MetricsAddr
 	for i := range t.clusterConfig.Controllers {
 		if err := t.procs.Start(i); err != nil {
 			return fmt.Errorf("starting controller %s: %w", controllerName(i), err)
 		}
-		t.loadGen.addrs = append(t.loadGen.addrs, t.cluster.Public(i))
+		t.loadGen.addrs = append(t.loadGen.addrs, t.cluster.PublicAddr(i))
 	}
-	if err := emulator.Ready(ctx, caller, t.loadGen.addrs); err != nil {
+	if err := emulator.WaitReady(ctx, caller, t.loadGen.addrs); err != nil {
 		return fmt.Errorf("waiting for the controllers: %w", err)
 	}
 	return nil
@@ -134,7 +134,7 @@
 
 // leader returns the name of the controller that leads the fleet.
 func (t *testbed) leader() (string, error) {
-	items := t.cluster.Page(store.LeaderKey("fleet"), 1)
+	items := t.cluster.ListKeys(store.LeaderKey("fleet"), 1)
 	if len(items) == 0 {
 		return "", errNoLeader
 	}
--- a/internal/scheduler/bestfit.go
+++ b/internal/scheduler/bestfit.go
@@ -24,7 +24,7 @@
 		s.scan()
 	}
 	if s.job.SpreadRule != nil {
-		return s.bestFitEvenly()
+		return s.bestFitForSpread()
 	}
 	best := -1
 	for i, c := range s.withImage {
--- a/internal/scheduler/first_replica.go
+++ b/internal/scheduler/first_replica.go
@@ -9,11 +9,11 @@
 		if j.Priority != wire.Production || pl.tiering != nil && j.tier > 0 {
 			return // pl.Jobs is sorted: no such job follows
 		}
-		if j.Shape != wire.Service || j.Active+j.RemoteTasks > 0 || len(j.Waiting) < 2 || pl.Teams[j.Team] == nil {
+		if j.Shape != wire.Service || j.ActiveTasks+j.RemoteTasks > 0 || len(j.Waiting) < 2 || pl.Teams[j.Team] == nil {
 			continue
 		}
 		pl.beginJob(j, false)
-		rest := pl.newSearch(j, j.InZone, "").launchNow(j.Waiting[:1])
+		rest := pl.newSearch(j, j.TasksByZone, "").launchNow(j.Waiting[:1])
 		j.launchedEarly = 1 - len(rest)
 	}
 }
--- a/internal/scheduler/first_replica_test.go
+++ b/internal/scheduler/first_replica_test.go
@@ -8,7 +8,7 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-func launchesOf(p Plan) string {
+func formatLaunches(p Plan) string {
 	out := ""
 	for _, l := range p.Launches {
 		out += fmt.Sprintf("%s/%d on %s, ", l.Job.ID, l.TaskIndex, l.Machine)
@@ -20,9 +20,9 @@
 // before any service gets another. The third replica goes to a service with a larger share of its replicas waiting.
 func TestFirstReplicas(t *testing.T) {
 	few := job("wk-3", wire.Service, wire.Production, 4, 2, 3) // two of its four replicas wait
-	few.Active, few.InZone["b"] = 2, 2
+	few.ActiveTasks, few.TasksByZone["b"] = 2, 2
 	jobs := []*Job{job("wk-1", wire.Service, wire.Production, 4, 0, 1, 2, 3), job("wk-2", wire.Service, wire.Production, 4, 0, 1, 2, 3), few}
-	got := launchesOf(Schedule(testSnapshot(jobs, machine("n-1", "a"), machine("n-2", "a"), machine("n-3", "a"))))
+	got := formatLaunches(Schedule(testSnapshot(jobs, machine("n-1", "a"), machine("n-2", "a"), machine("n-3", "a"))))
 	if want := "wk-1/0 on n-3, wk-2/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
@@ -38,13 +38,13 @@
 	fetching.AddFetch("third", false)
 	idle.Free.GPUs = 2
 	plan := Schedule(testSnapshot([]*Job{production, low}, fetching, idle))
-	if got, want := launchesOf(plan), "wk-1/0 on n-2, wk-2/0 on n-1, "; got != want {
+	if got, want := formatLaunches(plan), "wk-1/0 on n-2, wk-2/0 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
 	production, low = job("wk-1", wire.Service, wire.Production, 1, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 	low.Image = "other"
 	plan = Schedule(testSnapshot([]*Job{production, low}, machine("n-1", "a")))
-	if got, want := launchesOf(plan), "wk-1/0 on n-1, "; got != want || len(plan.ScaleOuts) > 0 {
+	if got, want := formatLaunches(plan), "wk-1/0 on n-1, "; got != want || len(plan.ScaleOuts) > 0 {
 		t.Errorf("launches %s, want %s; scale-outs %v, want none", got, want, plan.ScaleOuts)
 	}
 }
--- a/internal/scheduler/future_slots.go
+++ b/internal/scheduler/future_slots.go
@@ -138,7 +138,7 @@
 // picked slots.
 func pickLeastWait(j *Job, slots *slotList, bootSeconds float64) (picks []slot, wait float64) {
 	slots.sort()
-	tasksByZone := maps.Clone(j.InZone)
+	tasksByZone := maps.Clone(j.TasksByZone)
 	for _, s := range slots.list {
 		if len(picks) == len(j.Waiting) || bootSeconds > 0 && s.wait > bootSeconds {
 			break
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,7 +10,7 @@
 // placeGang places all waiting tasks of a gang, or none.
 func (pl *planner) placeGang(j *Job) {
 	team, n := pl.Teams[j.Team], len(j.Waiting)
-	if team == nil || j.Active > 0 {
+	if team == nil || j.ActiveTasks > 0 {
 		return
 	}
 	totalNeed := ResourcesOf(j.Job).Scaled(float64(n))
@@ -59,7 +59,7 @@
 	}
 	for i, m := range picks {
 		pl.plan.Launches = append(pl.plan.Launches, Launch{j, j.Waiting[i], m.ID})
-		j.InZone[m.Zone]++
+		j.TasksByZone[m.Zone]++
 	}
 	pl.LaunchBudget -= len(picks)
 	return true
@@ -127,20 +127,20 @@
 		}
 	}
 	at := pl.savepoint()
-	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s := pl.newSearch(j, maps.Clone(j.TasksByZone), zone)
 	// Do not preempt for a gang that must wait for a boot anyway: until then the freed capacity would go to
 	// preemptible work again, which would be stopped again, round after round.
 	s.noPreempt = len(j.Waiting) > 1
 	picks = s.placeAll(s.soonestMachine)
 	for _, m := range pl.pool.added[at.added:] {
-		price += pl.machinePrice(pl.pool.typeOf(m), m.Spot, m.Zone)
+		price += pl.zoneAdjustedPrice(pl.pool.typeOf(m), m.Spot, m.Zone)
 	}
 	return picks, price
 }
 
 // placeNow finds machines that have capacity now for all waiting tasks of a gang; on failure it changes nothing.
 func (pl *planner) placeNow(j *Job, zone string, spotOnly bool) []*Machine {
-	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s := pl.newSearch(j, maps.Clone(j.TasksByZone), zone)
 	s.spotOnly = spotOnly
 	s.scan()
 	if s.countSlots(len(j.Waiting)) < len(j.Waiting) {
@@ -153,7 +153,7 @@
 // necessary, and reserves the capacity that is already free until the preempted tasks have ended; on failure it
 // changes nothing.
 func (pl *planner) placeOnRunning(j *Job, zone string) []*Machine {
-	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s := pl.newSearch(j, maps.Clone(j.TasksByZone), zone)
 	return s.placeAll(func() *Machine {
 		if m := s.bestFit(); m != nil {
 			return m
@@ -204,7 +204,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				if o := (Offer{t.Name, z, spot}); allowsOffer(j, o) && !pl.Unavailable[o] {
-					priceByZone[z] = min(priceByZone[z], pl.machinePrice(t, spot, z)/float64(capacityOf(t).Slots(ResourcesOf(j.Job))))
+					priceByZone[z] = min(priceByZone[z], pl.zoneAdjustedPrice(t, spot, z)/float64(capacityOf(t).Slots(ResourcesOf(j.Job))))
 				}
 			}
 		}
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// sparesHeadroom reports whether a job must not use headroom.
-func (pl *planner) sparesHeadroom(j *Job) bool {
+// mustLeaveHeadroom reports whether a job must not use headroom.
+func (pl *planner) mustLeaveHeadroom(j *Job) bool {
 	if j.Priority == wire.Production || j.reservationTurn > 0 && j.Shape != wire.Array {
 		return false
 	}
@@ -131,10 +131,10 @@
 	if tasks <= 0 {
 		return
 	}
-	j := &Job{Job: &wire.Job{}, InZone: map[string]int{}, Waiting: make([]int, tasks)}
+	j := &Job{Job: &wire.Job{}, TasksByZone: map[string]int{}, Waiting: make([]int, tasks)}
 	*j.Job = *template.Job
 	j.Image, j.OneZone, j.Spread = "", false, false
-	s := pl.newSearch(j, j.InZone, "")
+	s := pl.newSearch(j, j.TasksByZone, "")
 	s.maxShareCost = maxHeadroomPriceRatio * pl.cheapestSharePrice(j)
 	s.scan()
 	for range tasks {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -11,16 +11,16 @@
 // Job is an unfinished job in a snapshot.
 type Job struct {
 	*wire.Job
-	Age           time.Duration   // since the job was submitted
-	SubmittedAt   time.Time       // when the job was submitted
-	Order         uint64          // position in the order in which all jobs were submitted
-	Waiting       []int           // indices of the tasks that are on no machine and may be placed
-	InZone        map[string]int  // number of its tasks by zone, earlier attempts that have yet to end included
-	Active        int             // number of tasks that are on machines
-	StarvedFor    time.Duration   // how long it has had no task on any machine although some could have been placed
-	Terminating   bool            // a gang with tasks that are being stopped and have yet to end
-	AvoidMachines map[string]bool // IDs of machines on which it failed
-	SpreadRule    *SpreadRule     // services only; may be nil
+	Age             time.Duration   // since the job was submitted
+	SubmittedAt     time.Time       // when the job was submitted
+	SubmissionOrder uint64          // position in the order in which all jobs were submitted
+	Waiting         []int           // indices of the tasks that are on no machine and may be placed
+	TasksByZone     map[string]int  // number of its tasks by zone, earlier attempts that have yet to end included
+	ActiveTasks     int             // number of tasks that are on machines
+	StarvedFor      time.Duration   // how long it has had no task on any machine although some could have been placed
+	Terminating     bool            // a gang with tasks that are being stopped and have yet to end
+	AvoidMachines   map[string]bool // IDs of machines on which it failed
+	SpreadRule      *SpreadRule     // services only; may be nil
 
 	// The fields below matter if the fleet is divided into several shards.
 
@@ -40,7 +40,7 @@
 	guaranteed    bool          // the job is within its team's guaranteed quota
 	queuePosition int           // index in the order in which jobs are placed
 	queueLevel    int           // level of the queue, if tiers are configured
-	remainder     *Job          // the original job, if this one is only the part of it that fits into its tier's share
+	originalJob   *Job          // the original job, if this one is only the part of it that fits into its tier's share
 	launchedEarly int           // number of leading tasks of Waiting that launchFirstReplicas has launched
 
 	timeLeft      time.Duration // until the job must start to meet its next objective
@@ -52,7 +52,7 @@
 
 // starved reports whether the job has waited so long that it is admitted wherever there is idle capacity.
 func (j *Job) starved() bool {
-	if j.StarvedFor < starvationLimit || len(j.Waiting) == 0 || j.Active+j.RemoteTasks > 0 {
+	if j.StarvedFor < starvationLimit || len(j.Waiting) == 0 || j.ActiveTasks+j.RemoteTasks > 0 {
 		return false
 	}
 	return !j.Terminating && !j.MaybeRunning && !j.ReserveOnly
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -8,8 +8,8 @@
 	HasImage(image string) bool
 }
 
-// ranks is the number of priority ranks, see wire.Priority.Rank.
-const ranks = 4
+// priorityRanks is the number of priority ranks, see wire.Priority.Rank.
+const priorityRanks = 4
 
 // Machine is the state of a machine in the snapshot.
 type Machine struct {
@@ -29,14 +29,14 @@
 
 // machinePlan is the planner's working state for a machine.
 type machinePlan struct {
-	offerIndex     int              // index of its offer in machinePool.offers
-	queuePosition  int              // queue position of the job for which it would be rented
-	usedByPlan     bool             // the plan places a task or reserves capacity here
-	plannedFetches []Fetch          // image fetches that the plan causes
-	stopping       Resources        // resources that stopping tasks will free
-	loadByRank     [ranks]Resources // resources of all other tasks, by priority rank
-	reservedFor    *Job             // the first job for which capacity is reserved here
-	taskEnds       []taskEnd        // estimated ends of its tasks; computed on first use
+	offerIndex     int                      // index of its offer in machinePool.offers
+	queuePosition  int                      // queue position of the job for which it would be rented
+	usedByPlan     bool                     // the plan places a task or reserves capacity here
+	plannedFetches []Fetch                  // image fetches that the plan causes
+	stopping       Resources                // resources that stopping tasks will free
+	loadByRank     [priorityRanks]Resources // resources of all other tasks, by priority rank
+	reservedFor    *Job                     // the first job for which capacity is reserved here
+	taskEnds       []taskEnd                // estimated ends of its tasks; computed on first use
 }
 
 // empty reports whether a machine has no tasks and the plan uses none of its capacity.
@@ -49,7 +49,7 @@
 
 // reservedForOther reports whether capacity of a machine is reserved for another job.
 func (m *Machine) reservedForOther(j *Job) bool {
-	return m.reservedFor != nil && m.reservedFor != j && m.reservedFor != j.remainder
+	return m.reservedFor != nil && m.reservedFor != j && m.reservedFor != j.originalJob
 }
 
 // freeAfterStops returns the free resources once all stopping tasks have ended.
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -14,7 +14,7 @@
 // its team's guarantee, then the rest by priority. Within a tier jobs are sorted by priority, then jobs that must not
 // be passed over go first, then jobs with the least time left to meet their objectives.
 func (pl *planner) sortJobs() {
-	slices.SortFunc(pl.Jobs, func(a, b *Job) int { return cmp.Compare(a.Order, b.Order) })
+	slices.SortFunc(pl.Jobs, func(a, b *Job) int { return cmp.Compare(a.SubmissionOrder, b.SubmissionOrder) })
 	pl.markGuaranteed()
 	if pl.Tiers == nil {
 		pl.Tiers = tier.Default()
@@ -35,7 +35,7 @@
 		cmp.Compare(cmp.Or(a.reservationTurn, math.MaxInt), cmp.Or(b.reservationTurn, math.MaxInt)),
 		pl.compareProduction(a, b),
 		cmp.Compare(a.weightedSlack, b.weightedSlack),
-		cmp.Compare(a.Order, b.Order),
+		cmp.Compare(a.SubmissionOrder, b.SubmissionOrder),
 	)
 }
 
@@ -47,7 +47,7 @@
 		if t == nil {
 			continue
 		}
-		sum := demand[j.Team].AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)+j.Active+j.RemoteTasks))
+		sum := demand[j.Team].AddScaled(ResourcesOf(j.Job), float64(len(j.Waiting)+j.ActiveTasks+j.RemoteTasks))
 		demand[j.Team] = sum
 		j.guaranteed = t.GuaranteedCPUs+t.GuaranteedGPUs > 0 &&
 			(t.GuaranteedCPUs == 0 || sum.CPUs <= t.GuaranteedCPUs) &&
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		pl.undo.clear()
-		if !reserved && pl.sparesHeadroom(j) {
+		if !reserved && pl.mustLeaveHeadroom(j) {
 			pl.reserveHeadroom()
 			reserved = true
 		}
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -53,8 +53,8 @@
 	return m
 }
 
-// keepAdded removes all added machines except the first n.
-func (p *machinePool) keepAdded(n int) {
+// truncateAdded removes all added machines except the first n.
+func (p *machinePool) truncateAdded(n int) {
 	for _, m := range p.added[n:] {
 		p.inZone[m.Zone]--
 		p.requested[p.offers[m.offerIndex]]--
@@ -79,7 +79,7 @@
 // countTasks sums the resources of the machine's tasks, and returns the lowest priority rank of those
 // that are not stopping.
 func (m *Machine) countTasks() (lowestRank int) {
-	lowestRank = ranks
+	lowestRank = priorityRanks
 	for _, t := range m.Tasks {
 		rank := t.Job.Priority.Rank()
 		switch {
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -23,7 +23,7 @@
 	if m.Free != (Resources{16, 4, 64}) || m.offerIndex != booting.offerIndex || len(p.booting[m.offerIndex]) != 2 || p.requested[offer] != 1 || p.inZone["b"] != 2 {
 		t.Errorf("pool %+v after adding %+v", p, m)
 	}
-	p.keepAdded(0)
+	p.truncateAdded(0)
 	if len(p.added) != 0 || len(p.booting[booting.offerIndex]) != 1 || p.requested[offer] != 0 || p.inZone["b"] != 1 {
 		t.Errorf("pool %+v", p)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -77,7 +77,7 @@
 func (pl *planner) cheapestPreemption(j *Job, need Resources, permitted func(*Machine) bool) preemption {
 	rank := j.Priority.Rank()
 	if j.guaranteed {
-		rank = ranks
+		rank = priorityRanks
 	}
 	best := preemption{cost: math.Inf(1)}
 	fetchCost := pl.fetchTime(j).Seconds() * gpuEquivalents(need)
@@ -178,8 +178,8 @@
 		lost += float64(t.FailedAttempts) * failedAttemptCost
 	}
 	tasks := 1
-	if t.Job.Shape == wire.Gang && t.Job.Active > 1 {
-		tasks = t.Job.Active
+	if t.Job.Shape == wire.Gang && t.Job.ActiveTasks > 1 {
+		tasks = t.Job.ActiveTasks
 		lost += max(0, (t.Job.Age - t.RunTime).Seconds())
 	}
 	return (lost + stopOverhead) * gpuEquivalents(ResourcesOf(t.Job.Job)) * float64(tasks)
--- a/internal/scheduler/price.go
+++ b/internal/scheduler/price.go
@@ -25,8 +25,8 @@
 	minFleetForZoneShare = 30
 )
 
-// machinePrice returns the price of a machine, with a surcharge that grows with the zone's share of the fleet.
-func (pl *planner) machinePrice(t *wire.MachineType, spot bool, zone string) float64 {
+// zoneAdjustedPrice returns the price of a machine, with a surcharge that grows with the zone's share of the fleet.
+func (pl *planner) zoneAdjustedPrice(t *wire.MachineType, spot bool, zone string) float64 {
 	total := len(pl.Machines) + len(pl.pool.added)
 	return priceOf(t, spot) * (1 + zoneConcentrationSurcharge*float64(pl.pool.inZone[zone])/float64(max(minFleetForZoneShare, total)))
 }
@@ -87,7 +87,7 @@
 			if !s.mayRequest(offer) {
 				continue
 			}
-			price := share * s.planner.machinePrice(machineType, spot, zone) / s.planner.machinePrice(machineType, spot, "")
+			price := share * s.planner.zoneAdjustedPrice(machineType, spot, zone) / s.planner.zoneAdjustedPrice(machineType, spot, "")
 			price += emptyShareWeight * price * (slotsPerMachine/slots - 1)
 			c := offerChoice{offer, share, price, s.exhausted(offer)}
 			if c.betterThan(choice) && (s.maxShareCost == 0 || price <= s.maxShareCost) {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -67,7 +67,7 @@
 	if len(picks) == len(j.Waiting) {
 		return picks
 	}
-	s := pl.newSearch(j, maps.Clone(j.InZone), zone)
+	s := pl.newSearch(j, maps.Clone(j.TasksByZone), zone)
 	s.noPreempt = true
 	for _, m := range picks {
 		s.tasksByZone[m.Zone]++
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -36,7 +36,7 @@
 
 func (f *overloadedFleet) submit(class string, shape wire.Shape, p wire.Priority, tasks int, gpus float64, run time.Duration) {
 	j := job(fmt.Sprintf("wk-%06d", len(f.remainingRunTime)), shape, p, gpus)
-	j.Class, j.Tasks, j.Order, j.OneZone, j.EstimateS = class, tasks, uint64(len(f.remainingRunTime)), shape == wire.Gang, run.Seconds()*(0.5+f.Float64())
+	j.Class, j.Tasks, j.SubmissionOrder, j.OneZone, j.EstimateS = class, tasks, uint64(len(f.remainingRunTime)), shape == wire.Gang, run.Seconds()*(0.5+f.Float64())
 	j.CPUs, j.MemoryGB = 4*gpus, 16*gpus
 	for i := range tasks {
 		j.Waiting = append(j.Waiting, i)
@@ -63,8 +63,8 @@
 			} else if f.remainingRunTime[t.Job][t.Index] -= time.Second; f.remainingRunTime[t.Job][t.Index] > 0 {
 				return false
 			}
-			t.Job.Active--
-			t.Job.InZone[m.Zone]--
+			t.Job.ActiveTasks--
+			t.Job.TasksByZone[m.Zone]--
 			return true
 		})
 		for i, t := range m.Tasks {
@@ -76,12 +76,12 @@
 		}
 		m.IdleCapacity = f.idleCapacity[m].Record(time.Unix(0, int64(f.now)), m.Free)
 	}
-	f.jobs = slices.DeleteFunc(f.jobs, func(j *Job) bool { return len(j.Waiting)+j.Active == 0 })
+	f.jobs = slices.DeleteFunc(f.jobs, func(j *Job) bool { return len(j.Waiting)+j.ActiveTasks == 0 })
 	jobs := slices.Clone(f.jobs)
 	for _, j := range jobs {
 		j.Age += time.Second
 		j.reservationTurn, j.reservedMachines = 0, nil
-		if j.StarvedFor += time.Second; j.Active > 0 {
+		if j.StarvedFor += time.Second; j.ActiveTasks > 0 {
 			j.StarvedFor = 0
 		}
 	}
@@ -102,8 +102,8 @@
 	for _, l := range plan.Launches {
 		m := f.machines[slices.IndexFunc(f.machines, func(m *Machine) bool { return m.ID == l.Machine })]
 		m.Tasks = append(m.Tasks, Task{Job: l.Job, Index: l.TaskIndex})
-		l.Job.Active++
-		l.Job.InZone[m.Zone]++
+		l.Job.ActiveTasks++
+		l.Job.TasksByZone[m.Zone]++
 		l.Job.Waiting = slices.DeleteFunc(l.Job.Waiting, func(i int) bool { return i == l.TaskIndex })
 	}
 	for _, s := range plan.Stops { // stopped tasks are gone in the next step
--- a/internal/scheduler/reservation_turns.go
+++ b/internal/scheduler/reservation_turns.go
@@ -48,7 +48,7 @@
 // co-allocated across shards may not, since the shards report their free capacity to each other for that.
 func (pl *planner) canReserve(j *Job) bool {
 	coAllocated := pl.Sharded && !j.OneZone && j.Zone == "" && j.RemoteTasks == 0
-	return !coAllocated && j.Active == 0 && len(j.Waiting)+j.RemoteTasks > 1
+	return !coAllocated && j.ActiveTasks == 0 && len(j.Waiting)+j.RemoteTasks > 1
 }
 
 // reservableCapacity returns the capacity that may be reserved at once.
@@ -65,7 +65,7 @@
 func sortByWait(jobs []*Job) {
 	weight := func(j *Job) float64 { return j.Age.Seconds() * float64(j.Tasks) }
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a.Order, b.Order))
+		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a.SubmissionOrder, b.SubmissionOrder))
 	})
 }
 
@@ -146,7 +146,7 @@
 		pl.serviceUsage = make(map[string]Resources)
 		for _, j := range pl.Jobs {
 			if j.Shape == wire.Service {
-				pl.serviceUsage[j.Team] = pl.serviceUsage[j.Team].AddScaled(ResourcesOf(j.Job), float64(j.Active+len(j.Waiting)))
+				pl.serviceUsage[j.Team] = pl.serviceUsage[j.Team].AddScaled(ResourcesOf(j.Job), float64(j.ActiveTasks+len(j.Waiting)))
 			}
 		}
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -19,20 +19,20 @@
 	for _, t := range tasks {
 		m.Free = m.Free.AddScaled(ResourcesOf(t.Job.Job), -1)
 		m.Tasks = append(m.Tasks, t)
-		t.Job.Active++
-		t.Job.InZone[zone]++
+		t.Job.ActiveTasks++
+		t.Job.TasksByZone[zone]++
 	}
 	return m
 }
 
 func job(id string, shape wire.Shape, p wire.Priority, gpus float64, waiting ...int) *Job {
 	return &Job{Job: &wire.Job{ID: id, Class: id, Team: "red", Shape: shape, Priority: p, Tasks: 4, CPUs: 1, GPUs: gpus, MemoryGB: 1, Image: "img"},
-		Waiting: waiting, InZone: map[string]int{}}
+		Waiting: waiting, TasksByZone: map[string]int{}}
 }
 
 func testSnapshot(jobs []*Job, machines ...*Machine) *Snapshot {
 	for i, j := range jobs {
-		j.Order = uint64(i)
+		j.SubmissionOrder = uint64(i)
 	}
 	return &Snapshot{Machines: machines, Jobs: jobs, Teams: map[string]*Team{"red": {}, "blue": {GuaranteedGPUs: 4}}, Types: []wire.MachineType{g4},
 		Unavailable: map[Offer]bool{}, Doubtful: map[Offer]bool{}, IdleTimeout: time.Minute, LaunchBudget: 500}
@@ -68,7 +68,7 @@
 // again and again, because the gang seems cheapest to stop. For an array only the preempted task itself counts.
 func TestPreemptArrayTaskBeforeWholeGang(t *testing.T) {
 	array, gang, top := job("wk-1", wire.Array, wire.Normal, 1), job("wk-2", wire.Gang, wire.Normal, 4), job("wk-3", wire.Service, wire.Production, 1, 0)
-	array.Active, gang.Age, gang.CheckpointS, gang.SaveS = 25, 2*time.Minute, 30, 2 // the array's other tasks are on other machines
+	array.ActiveTasks, gang.Age, gang.CheckpointS, gang.SaveS = 25, 2*time.Minute, 30, 2 // the array's other tasks are on other machines
 	a := machine("n-1", "a", Task{Job: array, RunTime: time.Minute}, Task{Job: array, Index: 1, RunTime: time.Minute}, Task{Job: array, Index: 2, RunTime: time.Minute}, Task{Job: array, Index: 3, RunTime: time.Minute})
 	plan := Schedule(testSnapshot([]*Job{array, gang, top}, a, machine("n-2", "b", Task{Job: gang}), machine("n-3", "b", Task{Job: gang, Index: 1})))
 	if len(plan.Stops) != 1 || plan.Stops[0].Job != array {
@@ -100,7 +100,7 @@
 	if len(plan.Launches) != 0 {
 		t.Errorf("the gang is launched across zones: %+v", plan.Launches)
 	}
-	j.InZone = map[string]int{}
+	j.TasksByZone = map[string]int{}
 	plan = Schedule(testSnapshot([]*Job{j}, machine("n-1", "a"), machine("n-2", "b"), machine("n-3", "b")))
 	if len(plan.Launches) != 2 || plan.Launches[0].Machine == plan.Launches[1].Machine {
 		t.Errorf("launches %+v, want two on different machines", plan.Launches)
@@ -146,7 +146,7 @@
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
 	}
 	// A short fetch does not justify preempting work.
-	top.ImageGB, top.InZone = 1, map[string]int{}
+	top.ImageGB, top.TasksByZone = 1, map[string]int{}
 	if plan := Schedule(testSnapshot([]*Job{low, top}, full(), machine("n-2", "a"))); len(plan.Launches) != 1 || len(plan.Stops) != 0 {
 		t.Errorf("launches %+v, stops %+v", plan.Launches, plan.Stops)
 	}
--- a/internal/scheduler/search.go
+++ b/internal/scheduler/search.go
@@ -70,7 +70,7 @@
 		}
 		switch {
 		case m.hasImage(s.job.Image):
-			s.withImage = append(s.withImage, candidate{m, s.planner.valuation.lost(m, s.need), s.costByOffer[m.offerIndex]})
+			s.withImage = append(s.withImage, candidate{m, s.planner.valuation.lossFromPlacing(m, s.need), s.costByOffer[m.offerIndex]})
 		case m.defersFetch(s.job):
 			s.deferred = append(s.deferred, m)
 		default:
@@ -127,5 +127,5 @@
 		s.withImage = slices.Delete(s.withImage, i, i+1)
 		return
 	}
-	s.withImage[i].valueLost = s.planner.valuation.lost(m, s.need)
+	s.withImage[i].valueLost = s.planner.valuation.lossFromPlacing(m, s.need)
 }
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -138,7 +138,7 @@
 	if bound, knownBound := j.Zone != "", known.Zone != ""; bound != knownBound {
 		return knownBound
 	}
-	return j.Order > known.Order
+	return j.SubmissionOrder > known.SubmissionOrder
 }
 
 // freeCapacityFor returns the capacity for additional tasks like those of a job.
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -45,10 +45,10 @@
 	return i
 }
 
-// bestFitEvenly picks the machine for a replica of a service with a spread rule. It picks the zone with
+// bestFitForSpread picks the machine for a replica of a service with a spread rule. It picks the zone with
 // capacity that has the fewest replicas, and in that zone a machine that has the image, or else the
 // emptiest machine.
-func (s *search) bestFitEvenly() *Machine {
+func (s *search) bestFitForSpread() *Machine {
 	best := make(map[string]candidate) // by zone
 	for _, c := range s.withImage {
 		if b, known := best[c.Zone]; zoneAllowed(s.job, s.tasksByZone, c.Zone) && (!known || betterCandidate(s.job, c, b)) {
@@ -161,20 +161,20 @@
 // findMove finds a replica of a service to move and the machine to move it to. The machine is nil if no
 // move would make the service more balanced.
 func (pl *planner) findMove(j *Job, running []replica) (from replica, to *Machine) {
-	s := pl.newSearch(j, j.InZone, "")
+	s := pl.newSearch(j, j.TasksByZone, "")
 	s.scan()
-	to = s.bestFitEvenly()
+	to = s.bestFitForSpread()
 	if to == nil {
 		return replica{}, nil
 	}
 	from = running[0]
 	for _, r := range running {
-		if j.InZone[r.machine.Zone] > j.InZone[from.machine.Zone] {
+		if j.TasksByZone[r.machine.Zone] > j.TasksByZone[from.machine.Zone] {
 			from = r
 		}
 	}
-	before := j.SpreadRule.imbalance(j, j.InZone[from.machine.Zone])
-	after := j.SpreadRule.imbalance(j, j.InZone[to.Zone]+1)
+	before := j.SpreadRule.imbalance(j, j.TasksByZone[from.machine.Zone])
+	after := j.SpreadRule.imbalance(j, j.TasksByZone[to.Zone]+1)
 	if before.compare(after) <= 0 {
 		return replica{}, nil
 	}
--- a/internal/scheduler/starvation_test.go
+++ b/internal/scheduler/starvation_test.go
@@ -27,7 +27,7 @@
 			var jobs []*Job
 			for i := range 6 * 4 { // arrivals of a class that must start in less time than a machine boots
 				urgent := job("s", wire.Service, wire.Production, 1)
-				urgent.Age, urgent.Active = time.Duration(i)*4*time.Second, 4
+				urgent.Age, urgent.ActiveTasks = time.Duration(i)*4*time.Second, 4
 				jobs = append(jobs, urgent)
 			}
 			j, m := starvingJob(wire.Array, 1, 0, 1), machine("n-1", "a")
--- a/internal/scheduler/tasks.go
+++ b/internal/scheduler/tasks.go
@@ -13,7 +13,7 @@
 	if team == nil {
 		return
 	}
-	s := pl.newSearch(j, j.InZone, "")
+	s := pl.newSearch(j, j.TasksByZone, "")
 	waiting := s.launchNow(j.Waiting[j.launchedEarly:])
 	if len(waiting) > 0 && !team.allows(need) {
 		pl.reportQuotaDemand(j, len(waiting))
--- a/internal/scheduler/tier_reclaim.go
+++ b/internal/scheduler/tier_reclaim.go
@@ -53,7 +53,7 @@
 // stopGPUs returns the number of GPUs that stopping a task of a job frees. A gang is stopped as a whole.
 func stopGPUs(j *Job) float64 {
 	if j.Shape == wire.Gang {
-		return j.GPUs * float64(max(1, j.Active))
+		return j.GPUs * float64(max(1, j.ActiveTasks))
 	}
 	return j.GPUs
 }
--- a/internal/scheduler/tier_shares.go
+++ b/internal/scheduler/tier_shares.go
@@ -74,7 +74,7 @@
 // jobsWithinShare lists the jobs of a tier as far as they fit into its share. All work of the first tier
 // counts as within its share.
 func (pl *planner) jobsWithinShare(i int) (jobs []*Job) {
-	if i > 0 && tier.Unused(pl.tiering.shares[i], pl.tiering.usage, i, "") <= 0 {
+	if i > 0 && tier.UnusedGuarantee(pl.tiering.shares[i], pl.tiering.usage, i, "") <= 0 {
 		return nil
 	}
 	for _, j := range pl.Jobs {
@@ -83,7 +83,7 @@
 		}
 		if i > 0 {
 			part := *j
-			part.remainder = j
+			part.originalJob = j
 			j = &part
 		}
 		j.queueLevel = i
@@ -170,9 +170,9 @@
 	if t.currentJob == nil || t.currentJob.tier != j.tier || t.currentJob.queueLevel != j.queueLevel {
 		pl.withholdUnlentShares(j.tier)
 	}
-	if j.remainder != nil {
+	if j.originalJob != nil {
 		n := t.countWithinShare(j)
-		j.Waiting, j.remainder.Waiting = j.Waiting[:n], j.Waiting[n:]
+		j.Waiting, j.originalJob.Waiting = j.Waiting[:n], j.Waiting[n:]
 	}
 	t.currentJob, t.teamGPUsBefore = j, 0
 	if team := pl.Teams[j.Team]; team != nil {
@@ -183,7 +183,7 @@
 // countWithinShare returns how many waiting tasks of a job fit into its tier's share; all or none for
 // a gang.
 func (t *tiering) countWithinShare(j *Job) int {
-	unused := tier.Unused(t.shares[j.tier], t.usage, j.tier, j.Zone)
+	unused := tier.UnusedGuarantee(t.shares[j.tier], t.usage, j.tier, j.Zone)
 	n := min(int((unused+epsilon)/j.GPUs), len(j.Waiting))
 	if j.Shape == wire.Gang && n < len(j.Waiting) {
 		return 0
@@ -221,7 +221,7 @@
 			pl.withholdGPUs(n, zone)
 			sum += n
 		}
-		pl.withholdGPUs(tier.Unused(t.shares[i], t.usage, i, "")-sum, "")
+		pl.withholdGPUs(tier.UnusedGuarantee(t.shares[i], t.usage, i, "")-sum, "")
 	}
 }
 
--- a/internal/scheduler/tier_shares_test.go
+++ b/internal/scheduler/tier_shares_test.go
@@ -19,7 +19,7 @@
 	}
 	service := func(id string, active int, waiting ...int) *Job {
 		j := job(id, wire.Service, wire.Production, 4, waiting...)
-		j.Active = active
+		j.ActiveTasks = active
 		return j
 	}
 	top := []tier.Tier{{Name: "top", Order: 1, Priorities: []string{"production"}}}
@@ -31,13 +31,13 @@
 		t.Errorf("moves %+v, reclaims %+v", p.Stops, p.Reclaims)
 	}
 	first := []tier.Tier{{Name: "top", Order: 1, Classes: []string{"wk-1"}}}
-	if got, want := launchesOf(plan([]*Job{service("wk-2", 0, 0, 1), service("wk-1", 0, 0, 1)}, first, nil, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := formatLaunches(plan([]*Job{service("wk-2", 0, 0, 1), service("wk-1", 0, 0, 1)}, first, nil, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
-	if got, want := launchesOf(plan([]*Job{service("wk-1", 3, 3), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}}, machine("n-1", "a"))), "wk-1/3 on n-1, "; got != want {
+	if got, want := formatLaunches(plan([]*Job{service("wk-1", 3, 3), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}}, machine("n-1", "a"))), "wk-1/3 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
-	if got, want := launchesOf(plan([]*Job{service("wk-1", 0, 0, 1), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}, {"wk-1", "n-2", 1, 0}}, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := formatLaunches(plan([]*Job{service("wk-1", 0, 0, 1), service("wk-2", 0, 0, 1, 2, 3)}, top, []Reclaim{{"wk-1", "n-1", 1, 0}, {"wk-1", "n-2", 1, 0}}, machine("n-1", "a"), machine("n-2", "a"))), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
 	gang := job("wk-1", wire.Gang, wire.High, 4, 0, 1)
@@ -45,7 +45,7 @@
 	small := machine("n-3", "a")
 	small.Free.CPUs = 8
 	shared := append(top, tier.Tier{Name: "live", Order: 2, Priorities: []string{"high"}, Share: tier.Share{Cards: 8}})
-	if got, want := launchesOf(plan([]*Job{gang}, shared, nil, machine("n-1", "a"), machine("n-2", "a"), small)), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
+	if got, want := formatLaunches(plan([]*Job{gang}, shared, nil, machine("n-1", "a"), machine("n-2", "a"), small)), "wk-1/0 on n-2, wk-1/1 on n-1, "; got != want {
 		t.Errorf("launches %s, want %s", got, want)
 	}
 }
--- a/internal/scheduler/undo.go
+++ b/internal/scheduler/undo.go
@@ -10,7 +10,7 @@
 type undoEntry struct {
 	machine        *Machine
 	free, stopping Resources
-	loadByRank     [ranks]Resources
+	loadByRank     [priorityRanks]Resources
 	usedByPlan     bool
 	plannedFetches int
 	task           int // index of the task that the change marks as stopping, or noTask
@@ -54,7 +54,7 @@
 // rollback undoes everything that was planned since a savepoint.
 func (pl *planner) rollback(to savepoint) {
 	pl.undo.rollback(to.changes)
-	pl.pool.keepAdded(to.added)
+	pl.pool.truncateAdded(to.added)
 	pl.pool.stopping = pl.pool.stopping[:to.stopping]
 	pl.plan.Stops = pl.plan.Stops[:to.stops]
 }
--- a/internal/scheduler/valuation.go
+++ b/internal/scheduler/valuation.go
@@ -31,7 +31,7 @@
 			profile = &classProfile{representative: j}
 			byClass[j.Class] = profile
 		}
-		tasks := float64(len(j.Waiting) + j.Active)
+		tasks := float64(len(j.Waiting) + j.ActiveTasks)
 		profile.averageNeed = profile.averageNeed.AddScaled(ResourcesOf(j.Job), tasks)
 		profile.tasks += tasks
 	}
@@ -70,8 +70,8 @@
 	return sum
 }
 
-// lost returns by how much placing a task reduces the worth of a machine's free capacity.
-func (v valuation) lost(m *Machine, need Resources) float64 {
+// lossFromPlacing returns by how much placing a task reduces the worth of a machine's free capacity.
+func (v valuation) lossFromPlacing(m *Machine, need Resources) float64 {
 	return v.worthOf(m.Free) - v.worthOf(m.Free.AddScaled(need, -1))
 }
 
--- a/internal/scheduler/valuation_test.go
+++ b/internal/scheduler/valuation_test.go
@@ -18,7 +18,7 @@
 	types := []wire.MachineType{gpuType, expensiveType, cpuType}
 	v := newValuation([]*Job{large, small}, types)
 	gpuMachine, cpuMachine := &Machine{Free: capacityOf(&gpuType)}, &Machine{Free: capacityOf(&cpuType)}
-	if onGPUs, onCPUs := v.lost(gpuMachine, ResourcesOf(small.Job)), v.lost(cpuMachine, ResourcesOf(small.Job)); onGPUs <= onCPUs {
+	if onGPUs, onCPUs := v.lossFromPlacing(gpuMachine, ResourcesOf(small.Job)), v.lossFromPlacing(cpuMachine, ResourcesOf(small.Job)); onGPUs <= onCPUs {
 		t.Errorf("lost worth %v on the GPU machine, %v on the CPU machine; want more on the GPU machine", onGPUs, onCPUs)
 	}
 	if cost := v.opportunityCost(small, &gpuType, false, types); cost != opportunityCostShare*(10-4) {
--- a/internal/shard/shard_test.go
+++ b/internal/shard/shard_test.go
@@ -39,7 +39,7 @@
 func (b *fixture) shard(name string) Shard { return Shard{name, b.router.Sharding.ZonesOf(name)} }
 
 func (b *fixture) step(line string) []string {
-	w, kv := simulator.Words(line)
+	w, kv := simulator.ParseStep(line)
 	num := func(key string) int {
 		n, _ := strconv.Atoi(kv[key])
 		return n
@@ -98,7 +98,7 @@
 // TestTraces replays the traces in testdata, which show the controllers that should lead shards and the shards that
 // jobs go to.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newFixture().step })
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string { return newFixture().step })
 }
 
 // TestRangesCoverJob checks that the ranges of a job cover each of its tasks once, whatever the capacity, and that no
--- a/internal/simtest/asymmetric_partition_test.go
+++ b/internal/simtest/asymmetric_partition_test.go
@@ -79,7 +79,7 @@
 			c := w.client(jobOf("wk-2", wire.Array, 1, 5*time.Minute), rngOf(31, "wk-2"), 5*time.Minute)
 			c.untilAnswered(c.submit)
 			<-sent
-			if w.checker.Running("wk-2") > 0 {
+			if w.checker.RunningTasks("wk-2") > 0 {
 				w.t.Error("the task already runs before its job is cancelled")
 			}
 			c.untilAnswered(c.cancel)
@@ -132,11 +132,11 @@
 	w.submitLongJobs()
 	time.Sleep(35 * time.Second)
 	running, _ := w.checker.Counts()
-	var partitioned []upMachine
+	var partitioned []runningMachine
 	startPartition := func() {
 		for i, m := range w.runningMachines() {
 			if i%2 == n%2 {
-				partitioned = append(partitioned, loseInbound(d, m)...)
+				partitioned = append(partitioned, dropInbound(d, m)...)
 			}
 		}
 	}
@@ -144,14 +144,14 @@
 		startPartition()
 		time.Sleep(before)
 	}
-	token, leader := w.token(), w.anyLeader()
+	token, leader := w.lastFencingToken(), w.anyLeader()
 	w.kill(leader, 20*time.Second)
 	if before < 0 {
 		time.Sleep(-before)
 		startPartition()
 	}
 	if before < d {
-		for w.token() == token {
+		for w.lastFencingToken() == token {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
@@ -162,8 +162,8 @@
 			lost++ // the fleet released it
 		}
 	}
-	if running < 15 || len(partitioned) < 2 || w.token() == token || d > workerLease+5*time.Second && lost == 0 {
-		t.Errorf("%d tasks ran, %d machines received nothing, %d leases or machines were lost, fencing token is %d, was %d", running, len(partitioned), lost, w.token(), token)
+	if running < 15 || len(partitioned) < 2 || w.lastFencingToken() == token || d > workerLease+5*time.Second && lost == 0 {
+		t.Errorf("%d tasks ran, %d machines received nothing, %d leases or machines were lost, fencing token is %d, was %d", running, len(partitioned), lost, w.lastFencingToken(), token)
 	}
 	w.finish(15 * time.Minute)
 	w.checkResults()
@@ -173,14 +173,14 @@
 // spread service.
 func (w *simulation) submitLongJobs() {
 	job := func(id string, shape wire.Shape, tasks int, run, until time.Duration, change ...func(*wire.Job)) {
-		w.user(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
+		w.startUser(jobOf(id, shape, tasks, run, append(change, func(j *wire.Job) { j.Spot = true })...), run, until)
 	}
 	checkpoints := func(j *wire.Job) { j.CheckpointS, j.SaveS = 10, 1 }
-	job("wk-1", wire.Array, 9, 70*time.Second, 0, red)
-	job("wk-2", wire.Gang, 4, 80*time.Second, 0, oneZone, checkpoints)
-	job("wk-3", wire.Gang, 4, 90*time.Second, 0, spread, checkpoints)
-	job("wk-4", wire.Service, 6, forever, 4*time.Minute, spread)
-	job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, oneZone)
+	job("wk-1", wire.Array, 9, 70*time.Second, 0, teamRed)
+	job("wk-2", wire.Gang, 4, 80*time.Second, 0, inOneZone, checkpoints)
+	job("wk-3", wire.Gang, 4, 90*time.Second, 0, spreadOverZones, checkpoints)
+	job("wk-4", wire.Service, 6, serviceRunTime, 4*time.Minute, spreadOverZones)
+	job("wk-5", wire.Array, 3, 2*time.Minute, 50*time.Second, inOneZone)
 }
 
 // heartbeatFaults are the faults that TestLateHeartbeats injects in addition to late heartbeats.
@@ -188,13 +188,13 @@
 	{"some machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, m := range w.runningMachines() {
 			if rng.IntN(3) == 0 {
-				loseInbound(d, m)
+				dropInbound(d, m)
 			}
 		}
 	}},
 	{"a machine receives nothing while the leader ends", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		if all := w.runningMachines(); len(all) > 0 {
-			loseInbound(d, all[rng.IntN(len(all))])
+			dropInbound(d, all[rng.IntN(len(all))])
 		}
 		if i := w.anyLeader(); i >= 0 {
 			time.AfterFunc(time.Duration(rng.IntN(6000))*time.Millisecond, func() { w.kill(i, 3*time.Second) })
@@ -210,7 +210,7 @@
 	}},
 	{"the leader loses the state service and its peers", func(w *simulation, _ *rand.Rand, d time.Duration) {
 		if i := w.anyLeader(); i >= 0 {
-			during(d, func(on bool) { w.cutOff(i, on) })
+			during(d, func(on bool) { w.partitionFromStoreAndPeers(i, on) })
 		}
 	}},
 	{"a machine hangs and goes on", func(w *simulation, rng *rand.Rand, _ time.Duration) {
@@ -223,8 +223,8 @@
 		during(d, func(on bool) { w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.Unavailable = on }) })
 	}},
 	{"many heartbeats come again", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		w.replayer.SetShare(0.5)
-		time.AfterFunc(d, func() { w.replayer.SetShare(0.1) })
+		w.heartbeatReplayer.SetShare(0.5)
+		time.AfterFunc(d, func() { w.heartbeatReplayer.SetShare(0.1) })
 	}},
 }
 
@@ -232,15 +232,15 @@
 // late, direct calls are delayed, machines receive nothing or are paused, and leaders are killed or
 // partitioned. AMBERDEAL_DEAFS sets the number of simulations, AMBERDEAL_DEAF selects a single one.
 func TestLateHeartbeats(t *testing.T) {
-	playSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
+	runSeeds(t, 2, "AMBERDEAL_DEAF", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 13))
 		tuning := drawHeartbeatTuning(rng)
 		sharding := []string{"off", "off", "zone"}[rng.IntN(3)]
 		w := newSimulation(t, seed, 0.02*float64(rng.IntN(4)), func(c *config.Config) { tuning.apply(c, sharding) })
-		w.replayer.SetShare(0.1)
+		w.heartbeatReplayer.SetShare(0.1)
 		w.group.Go(func() { w.submit(seed, 28) })
 		time.Sleep(10 * time.Second)
-		w.playFaults(rng, 14, 12*time.Second, func(int) (fault, time.Duration) {
+		w.injectFaults(rng, 14, 12*time.Second, func(int) (fault, time.Duration) {
 			x := heartbeatFaults[rng.IntN(len(heartbeatFaults))]
 			if rng.IntN(4) == 0 {
 				x = stallFaults[rng.IntN(len(stallFaults))]
@@ -248,11 +248,11 @@
 			return x, time.Duration(1+rng.IntN(70)) * time.Second
 		})
 		time.Sleep(time.Minute)
-		w.replayer.SetShare(0)
-		if w.replayer.Delivered() < 5 {
-			t.Errorf("only %d heartbeats were replayed", w.replayer.Delivered())
+		w.heartbeatReplayer.SetShare(0)
+		if w.heartbeatReplayer.Delivered() < 5 {
+			t.Errorf("only %d heartbeats were replayed", w.heartbeatReplayer.Delivered())
 		}
-		w.finishDay(20 * time.Minute)
+		w.finishAndCheck(20 * time.Minute)
 	})
 }
 
@@ -265,28 +265,28 @@
 		t.Run(fmt.Sprint("the leader ends: ", killLeader), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const interval = 6 * time.Second
-				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.Idle = interval, time.Hour })
+				w := newSimulation(t, 33, 0, func(c *config.Config) { c.Workers.HeartbeatInterval, c.Tuning.IdleTimeout = interval, time.Hour })
 				w.reconfigureMachines(interval, nil)
 				job := func(id string, shape wire.Shape, tasks int, gpus float64, run, until time.Duration) {
-					w.user(jobOf(id, shape, tasks, run, func(j *wire.Job) { j.Priority, j.GPUs = wire.Normal, gpus }), run, until)
+					w.startUser(jobOf(id, shape, tasks, run, func(j *wire.Job) { j.Priority, j.GPUs = wire.Normal, gpus }), run, until)
 				}
 				job("wk-1", wire.Array, 6, 4, 20*time.Second, 0) // makes the fleet rent six machines
 				time.Sleep(70 * time.Second)
 				job("wk-2", wire.Service, 4, 2, 24*time.Hour, 4*time.Minute)
 				time.Sleep(20 * time.Second)
 				all := w.runningMachines()
-				loseInbound(3*time.Minute, all[0]) // one of the machines with replicas
-				before := w.checker.Running("wk-2")
+				dropInbound(3*time.Minute, all[0]) // one of the machines with replicas
+				before := w.checker.RunningTasks("wk-2")
 				if killLeader {
 					w.kill(w.anyLeader(), 3*time.Second)
 				}
 				time.Sleep(workerLease + 25*time.Second)
-				if n := w.checker.Running("wk-2"); before != 4 || n != 4 || w.checker.Stopped == 0 {
+				if n := w.checker.RunningTasks("wk-2"); before != 4 || n != 4 || w.checker.Stopped == 0 {
 					t.Errorf("%d of 4 replicas run, %d ran before the partition, %d were stopped", n, before, w.checker.Stopped)
 				}
 				submitted := time.Now()
 				job("wk-3", wire.Gang, 8, 2, 20*time.Second, 0)
-				for w.checker.Running("wk-3") < 8 && time.Since(submitted) < time.Minute {
+				for w.checker.RunningTasks("wk-3") < 8 && time.Since(submitted) < time.Minute {
 					time.Sleep(time.Second)
 				}
 				if delay := time.Since(submitted); delay > 30*time.Second {
--- a/internal/simtest/cancel_during_handover_test.go
+++ b/internal/simtest/cancel_during_handover_test.go
@@ -29,17 +29,17 @@
 	launchesAfterCancel []string             // attempts of these jobs that were first recorded after their cancellation
 	launched            map[string]time.Time // first launch, by job
 	claims              []time.Time
-	claimed             chan struct{}  // closed at the next election
-	lastJob             string         // the job whose first launch triggers the handover
-	fate                simulator.Fate // of the write that records that launch
-	onLastLaunch        func()         // called after that launch is committed
+	claimed             chan struct{}        // closed at the next election
+	lastJob             string               // the job whose first launch triggers the handover
+	fate                simulator.TxnOutcome // of the write that records that launch
+	onLastLaunch        func()               // called after that launch is committed
 }
 
 // newCommitObserver attaches an observer to the state service.
 func (w *simulation) newCommitObserver() *commitObserver {
 	r := &commitObserver{simulation: w, recordedAttempts: map[string]string{}, cancelledJobs: map[string]bool{}, launched: map[string]time.Time{}, claimed: make(chan struct{})}
 	w.store.Configure(func(s *simulator.StateService) {
-		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+		s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.pendingValues = puts
@@ -48,14 +48,14 @@
 					return r.fate
 				}
 			}
-			return simulator.FateAnswered
+			return simulator.TxnAnswered
 		}
 		s.OnCommit = r.noteCommit
 	})
 	return r
 }
 
-// noteCommit processes a committed transaction, given its keys. FateOf received its values just before.
+// noteCommit processes a committed transaction, given its keys. OutcomeOf received its values just before.
 func (o *commitObserver) noteCommit(keys []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -123,20 +123,22 @@
 			}
 		}
 	}},
-	{"has another process of its name", func(w *simulation, i int, rng *rand.Rand) { w.twin(i, 3*time.Second, finalHoldTime(rng)) }},
+	{"has another process of its name", func(w *simulation, i int, rng *rand.Rand) {
+		w.startDuplicateProcess(i, 3*time.Second, finalHoldTime(rng))
+	}},
 	{"crashes, and the next one stands still at its claim", func(w *simulation, i int, rng *rand.Rand) {
-		token := w.token()
+		token := w.lastFencingToken()
 		w.crash(i, restartDelay(rng), 0)
-		waitUntil(20*time.Second, func() bool { return w.token() > token })
+		waitUntil(20*time.Second, func() bool { return w.lastFencingToken() > token })
 		for _, name := range w.leaders() {
 			w.net.Pause(w.ip(controllerNumber(name)), []time.Duration{time.Second, 5 * time.Second, 15 * time.Second, 21 * time.Second, 30 * time.Second}[rng.IntN(5)])
 		}
 	}},
 	{"crashes, the next one does, and the first one leads again", func(w *simulation, i int, rng *rand.Rand) {
 		for range 2 {
-			token := w.token()
+			token := w.lastFencingToken()
 			w.handOverAll(func(w *simulation, i int, rng *rand.Rand) { w.crash(i, restartDelay(rng), 0) }, rng)
-			waitUntil(20*time.Second, func() bool { return w.token() > token })
+			waitUntil(20*time.Second, func() bool { return w.lastFencingToken() > token })
 			time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
 		}
 	}},
@@ -214,7 +216,7 @@
 	if c.kind == handoverByRelease {
 		r.prepareRelease()
 	}
-	token, leaders := r.token(), r.leaders()
+	token, leaders := r.lastFencingToken(), r.leaders()
 	r.previousLeader = r.anyLeader()
 
 	r.observer.mu.Lock()
@@ -273,7 +275,7 @@
 func newCancelHandoverRun(t *testing.T, d cancelHandoverCase) *cancelHandoverRun {
 	r := &cancelHandoverRun{cancelHandoverCase: d, shardings: shardingSettings{initial: d.sharding}, rng: rand.New(rand.NewPCG(d.seed, 32)), handoverStarted: make(chan time.Time, 1)}
 	r.simulation = newProxiedSimulation(t, d.controllerCount, d.seed, func(c *config.Config) {
-		c.Tuning.Shards.By, c.Zone = r.shardings.of(c.Name), []string{"a", "b"}[controllerNumber(c.Name)%2]
+		c.Tuning.Shards.By, c.Zone = r.shardings.forController(c.Name), []string{"a", "b"}[controllerNumber(c.Name)%2]
 	})
 	return r
 }
@@ -283,16 +285,16 @@
 
 // startJobs submits jobs of every shape and waits until all tasks of those to be cancelled are running.
 func (r *cancelHandoverRun) startJobs() {
-	for i, j := range []*wire.Job{jobOf("wk-1", wire.Array, 3, longRun), jobOf("wk-2", wire.Gang, 2, longRun, saves, oneZone), jobOf("wk-3", wire.Gang, 2, longRun, spread),
-		jobOf("wk-4", wire.Service, 3, forever, spread), jobOf("wk-5", wire.Array, 2, longRun, saves, red)} {
+	for i, j := range []*wire.Job{jobOf("wk-1", wire.Array, 3, longRun), jobOf("wk-2", wire.Gang, 2, longRun, withCheckpoints, inOneZone), jobOf("wk-3", wire.Gang, 2, longRun, spreadOverZones),
+		jobOf("wk-4", wire.Service, 3, serviceRunTime, spreadOverZones), jobOf("wk-5", wire.Array, 2, longRun, withCheckpoints, teamRed)} {
 		if i%3 != int(r.seed)%3 { // leaves out a third of the jobs to limit the load of one simulation
-			r.clients = append(r.clients, r.submitter(r.seed, j, 0, 0, forever))
+			r.clients = append(r.clients, r.startClient(r.seed, j, 0, 0, serviceRunTime))
 		}
 	}
-	r.submitter(r.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // is not cancelled
+	r.startClient(r.seed, jobOf("wk-6", wire.Array, 4, time.Minute), 0, 0, time.Minute) // is not cancelled
 	if !waitUntil(45*time.Second, func() bool {
 		for _, c := range r.clients {
-			if r.checker.Running(c.job.ID) < c.job.Tasks {
+			if r.checker.RunningTasks(c.job.ID) < c.job.Tasks {
 				return false
 			}
 		}
@@ -347,9 +349,9 @@
 	}
 	r.observer.mu.Lock()
 	r.observer.lastJob, r.observer.onLastLaunch = "wk-9", r.handOver
-	r.observer.fate = []simulator.Fate{simulator.FateAnswered, simulator.FateReplyLost, simulator.FateAnswered}[r.lastRound]
+	r.observer.fate = []simulator.TxnOutcome{simulator.TxnAnswered, simulator.TxnReplyLost, simulator.TxnAnswered}[r.lastRound]
 	r.observer.mu.Unlock()
-	r.clients = append(r.clients, r.submitter(r.seed, jobOf("wk-9", wire.Array, 3, longRun), 0, 0, forever))
+	r.clients = append(r.clients, r.startClient(r.seed, jobOf("wk-9", wire.Array, 3, longRun), 0, 0, serviceRunTime))
 }
 
 // cancel cancels all jobs in clients, each until the cancellation is confirmed.
@@ -383,7 +385,7 @@
 		}
 	}
 	time.Sleep(30 * time.Second) // faults that delay the leader are over by then
-	if r.token() == token {
+	if r.lastFencingToken() == token {
 		r.t.Error("no leadership changed: the fencing token is the same as before the handover")
 	}
 	r.finishQuietly(0, 10*time.Minute)
@@ -411,7 +413,7 @@
 // committed, while leadership moves from one controller to another. AMBERDEAL_HANDS sets the number of
 // cases, AMBERDEAL_HAND selects a single one.
 func TestCancelDuringHandover(t *testing.T) {
-	playSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandoverCase(seed).run(t) })
+	runSeeds(t, 14, "AMBERDEAL_HAND", func(t *testing.T, seed uint64) { drawCancelHandoverCase(seed).run(t) })
 	if n := cancelHandoversPlayed.Load(); n > 10 {
 		t.Logf("%d cases, %d launches in a last round; cancellations confirmed before the election, within a second after it, and later: %d, %d, %d", n, lastRoundLaunches.Load(), confirmationCounts[0].Load(), confirmationCounts[1].Load(), confirmationCounts[2].Load())
 		if confirmationCounts[0].Load() == 0 || confirmationCounts[1].Load() == 0 || confirmationCounts[2].Load() == 0 || lastRoundLaunches.Load() == 0 {
--- a/internal/simtest/cancel_during_outage_test.go
+++ b/internal/simtest/cancel_during_outage_test.go
@@ -210,8 +210,8 @@
 func newOutageSimulation(t *testing.T, tc outageCase, seed uint64) *outageSimulation {
 	w := &outageSimulation{outageCase: tc, workers: map[string]*simulator.Worker{}, readsBlocked: map[int]bool{}, leaseRenewedAt: map[int]time.Time{}, confirmedAt: map[string]time.Time{}}
 	w.simulation = newSimulationOf(t, tc.controllers, seed, 0, func(c *config.Config) {
-		c.Workers.Lease, c.Workers.Cancel = tc.lease, tc.cancelWithin
-		c.Tuning.DirectHeartbeats = tc.directHeartbeats
+		c.Workers.Lease, c.Workers.CancelTimeout = tc.lease, tc.cancelWithin
+		c.Tuning.MaxDirectHeartbeats = tc.directHeartbeats
 		if tc.sharding != "" {
 			c.Tuning.Shards.By = tc.sharding
 		}
@@ -257,7 +257,7 @@
 
 // ask sends one request to a controller. The status is 0 if there is no response.
 func (w *outageSimulation) ask(i int, method, path string, body []byte) (status int, s wire.JobStatus) {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host(userHost).Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host(userHost).Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	resp, err := caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
@@ -273,7 +273,7 @@
 	for w.ctx.Err() == nil {
 		if status, s := w.ask(i, "POST", wire.PathJobs, wire.Encode(j)); status == 200 || status == 201 {
 			w.checker.ObserveAnswer(j.ID, status, s.Stage, false)
-			w.pollUntilOver(j.ID)
+			w.pollUntilFinal(j.ID)
 			return
 		}
 		time.Sleep(time.Second)
@@ -290,7 +290,7 @@
 		target := nodes[try%len(nodes)]
 		if answersLost && try%2 == 1 {
 			status, s = w.ask(target, "GET", path, nil)
-		} else if status, s = w.ask(target, "POST", path+"/"+wire.CancelWord, []byte{}); answersLost {
+		} else if status, s = w.ask(target, "POST", path+"/"+wire.CancelPathSuffix, []byte{}); answersLost {
 			continue
 		}
 		if status == 200 && s.Stage == wire.Cancelled {
@@ -353,7 +353,7 @@
 func (s *proxiedStream) Read(p []byte) (int, error) {
 	n, err := s.Stream.Read(p)
 	if line, _, ok := bytes.Cut(p[:n], []byte("\r\n")); ok && bytes.HasSuffix(line, []byte(" HTTP/1.1")) {
-		s.isRead, s.isRenewal = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewWord+" "))
+		s.isRead, s.isRenewal = bytes.HasPrefix(line, []byte("GET ")), bytes.Contains(line, []byte("/"+wire.RenewPathSuffix+" "))
 	}
 	return n, err
 }
@@ -428,7 +428,7 @@
 // partitionMachines starts or ends the partitions of a case: "passed" separates the leader from the
 // machines, "apart" its peers from the machines and from the leader.
 func (w *outageSimulation) partitionMachines(leader int, others []int, on bool) {
-	for _, host := range w.everyMachine() {
+	for _, host := range w.machineHosts() {
 		if w.outageCase.hasExtra("passed") {
 			w.net.Partition(w.ip(leader), host, on)
 		}
@@ -484,9 +484,9 @@
 
 // countTaskStates counts the tasks of jobs by the state that machines report.
 func (w *outageSimulation) countTaskStates(jobs []string) map[wire.TaskState]int {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.8").Dial}
 	out := map[wire.TaskState]int{}
-	for _, host := range w.everyMachine() {
+	for _, host := range w.machineHosts() {
 		ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 		resp, err := caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathStatus, nil)
 		cancel()
@@ -507,9 +507,9 @@
 // watchLeases makes machines check every 250 ms whether their lease has expired. Otherwise they check
 // this before a heartbeat, which a hanging call would prevent.
 func (w *outageSimulation) watchLeases(d time.Duration) {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.8").Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.8").Dial}
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(250 * time.Millisecond) {
-		for _, host := range w.everyMachine() {
+		for _, host := range w.machineHosts() {
 			ctx, cancel := context.WithTimeout(w.ctx, time.Second)
 			_, _ = caller.Call(ctx, simulator.Address(host, 9000), "GET", wire.PathStatus, nil)
 			cancel()
@@ -554,7 +554,7 @@
 
 // dropInboundOfHalf drops everything that controllers send to every second machine, for d.
 func (w *outageSimulation) dropInboundOfHalf(d time.Duration) {
-	for k, host := range w.everyMachine() {
+	for k, host := range w.machineHosts() {
 		for i := range w.outageCase.controllers {
 			if k%2 == 0 {
 				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
@@ -568,14 +568,14 @@
 func (w *outageSimulation) delayNextCommit() {
 	w.store.Configure(func(s *simulator.StateService) {
 		first := true
-		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+		s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 			for key := range puts {
 				if first && store.Kind(key) == "batch" {
 					first = false
-					return simulator.FateDelayed
+					return simulator.TxnDelayed
 				}
 			}
-			return simulator.FateAnswered
+			return simulator.TxnAnswered
 		}
 	})
 }
@@ -703,7 +703,7 @@
 	}
 	cancellations.Wait()
 	confirmed = time.Now()
-	w.store.Configure(func(s *simulator.StateService) { s.FateOf = nil })
+	w.store.Configure(func(s *simulator.StateService) { s.OutcomeOf = nil })
 	return confirmed
 }
 
--- a/internal/simtest/checker_test.go
+++ b/internal/simtest/checker_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 51, 0, nil)
 		w.startService("wk-1", 4*time.Minute)
-		w.user(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 300},
+		w.startUser(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 300},
 			5*time.Minute, 20*time.Second)
 		time.Sleep(40 * time.Second)
 		if w.checker.Stage("wk-2") != wire.Cancelled {
@@ -29,8 +29,8 @@
 		time.Sleep(3 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: w.net.Host("10.5.0.1").Dial}).Call(ctx, w.cloud.AddrOfNth(0), "POST", wire.PathCommands,
-			wire.Encode(wire.CommandRequest{FencingToken: w.token(), Incarnation: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "wk-2/1", Attempt: 99}}}))
+		resp, err := (&transport.Client{MaxBody: 1 << 20, Dial: w.net.Host("10.5.0.1").Dial}).Call(ctx, w.cloud.AddrOfNth(0), "POST", wire.PathCommands,
+			wire.Encode(wire.CommandRequest{FencingToken: w.lastFencingToken(), Incarnation: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "wk-2/1", Attempt: 99}}}))
 		if err != nil || resp.Status != 200 {
 			t.Fatal(resp, err)
 		}
--- a/internal/simtest/combined_faults_test.go
+++ b/internal/simtest/combined_faults_test.go
@@ -34,8 +34,8 @@
 // lease after that, and cancel_s.
 var timeBounds = []time.Duration{2 * time.Second, 4 * time.Second, 5750 * time.Millisecond, 8 * time.Second, 9 * time.Second, workerLease, 40 * time.Second, 45 * time.Second}
 
-// nearBound draws a time close to one of timeBounds, limited to the range from least to most.
-func nearBound(rng *rand.Rand, least, most time.Duration) time.Duration {
+// drawNearBound draws a time close to one of timeBounds, limited to the range from least to most.
+func drawNearBound(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
@@ -62,7 +62,7 @@
 
 // addClient starts a user who submits a job, and adds the user to allClients.
 func (m *faultCombination) addClient(j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) {
-	c := m.submitter(m.number, j, submit, cancel, runs...)
+	c := m.startClient(m.number, j, submit, cancel, runs...)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.clients = append(m.clients, c)
@@ -88,7 +88,7 @@
 }
 
 // pickMachines returns one, half or all of the running machines.
-func (m *faultCombination) pickMachines() (out []upMachine) {
+func (m *faultCombination) pickMachines() (out []runningMachine) {
 	selection := m.faultRNG.IntN(3)
 	for i, x := range m.runningMachines() {
 		if selection == 0 && i == 0 || selection == 1 && i%2 == 0 || selection == 2 {
@@ -145,7 +145,9 @@
 		m.net.SetStepDelay(ip, func() time.Duration { return time.Duration(m.draw(stepRNG, maxDelay)) * time.Millisecond })
 		time.AfterFunc(d, func() { m.net.SetStepDelay(ip, nil) })
 	}},
-	{"two processes of one name", 50 * time.Millisecond, 6 * sec, func(m *faultCombination, d time.Duration) { m.twin(m.target, d, finalHoldTime(m.faultRNG)) }},
+	{"two processes of one name", 50 * time.Millisecond, 6 * sec, func(m *faultCombination, d time.Duration) {
+		m.startDuplicateProcess(m.target, d, finalHoldTime(m.faultRNG))
+	}},
 	{"a controller is refused by the state service", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
 		during(d, func(on bool) { m.refuseByStore(i, on) })
@@ -163,18 +165,18 @@
 	}},
 	{"a controller is cut from the state service and its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
-		during(d, func(on bool) { m.cutOff(i, on) })
+		during(d, func(on bool) { m.partitionFromStoreAndPeers(i, on) })
 	}},
 	{"a controller is refused by the state service and cut from its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
 		during(d, func(on bool) {
 			m.refuseByStore(i, on)
-			m.cutPeers(i, on)
+			m.partitionFromPeers(i, on)
 		})
 	}},
 	{"a controller is cut from its peers", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		i := m.target
-		during(d, func(on bool) { m.cutPeers(i, on) })
+		during(d, func(on bool) { m.partitionFromPeers(i, on) })
 	}},
 	{"a controller is cut from the machines", 2 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
 		ip := m.targetIP()
@@ -225,11 +227,11 @@
 		}
 	}},
 	{"heartbeats are late", 5 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		m.replayer.SetShare([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
-		time.AfterFunc(d, func() { m.replayer.SetShare(0) })
+		m.heartbeatReplayer.SetShare([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
+		time.AfterFunc(d, func() { m.heartbeatReplayer.SetShare(0) })
 	}},
 	{"machines receive nothing", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
-		loseInbound(d, m.pickMachines()...)
+		dropInbound(d, m.pickMachines()...)
 	}},
 	{"machines are cut off", 2 * sec, 50 * sec, func(m *faultCombination, d time.Duration) {
 		for _, x := range m.pickMachines() {
@@ -288,19 +290,19 @@
 		kind := []string{"", "ledger/", "batch/"}[kindIndex]
 		during(d, func(on bool) {
 			m.store.Configure(func(s *simulator.StateService) {
-				if s.FateOf, s.OnCommit = nil, nil; !on {
+				if s.OutcomeOf, s.OnCommit = nil, nil; !on {
 					return
 				}
 				lost := false
-				s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+				s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 					lost = false
 					for key := range puts {
 						lost = lost || strings.HasPrefix(key, store.StatePrefix+kind)
 					}
 					if lost = lost && m.draw(stepRNG, 100) < share; lost {
-						return simulator.FateReplyLost
+						return simulator.TxnReplyLost
 					}
-					return simulator.FateAnswered
+					return simulator.TxnAnswered
 				}
 				s.OnCommit = func([]string) {
 					if lost {
@@ -312,19 +314,19 @@
 		})
 	}},
 	{"heartbeats are kept for the next leader", 40 * sec, 60 * sec, func(m *faultCombination, d time.Duration) {
-		m.replayer.KeepForNextLeader([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
-		token, before := m.token(), m.replayer.DeliveredToNewLeader()
+		m.heartbeatReplayer.KeepForNextLeader([]float64{0.1, 0.5, 1}[m.faultRNG.IntN(3)])
+		token, before := m.lastFencingToken(), m.heartbeatReplayer.DeliveredToNewLeader()
 		m.group.Go(func() {
 			end := time.Now().Add(d - 6*sec)
-			for crashAt := time.Now().Add(d / 4); m.token() == token && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+			for crashAt := time.Now().Add(d / 4); m.lastFencingToken() == token && time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 				if time.Now().After(crashAt) { // no other fault has replaced the leader
 					crashAt = end
 					m.crash(max(0, m.anyLeader()), 15*sec, 0)
 				}
 			}
 			time.Sleep(5 * sec) // the new leader has taken over, and the heartbeats have arrived there
-			m.replayedToNewLeader.Add(int64(m.replayer.DeliveredToNewLeader() - before))
-			m.replayer.KeepForNextLeader(0)
+			m.replayedToNewLeader.Add(int64(m.heartbeatReplayer.DeliveredToNewLeader() - before))
+			m.heartbeatReplayer.KeepForNextLeader(0)
 		})
 	}},
 	{"many jobs are cancelled at once", 0, 0, func(m *faultCombination, _ time.Duration) { m.cancelRunning(0) }},
@@ -373,7 +375,7 @@
 func (m *faultCombination) cancelRunning(hang time.Duration) {
 	paused := 0
 	for _, c := range m.allClients() {
-		if c.maxRunTime < 40*sec || m.checker.Running(c.job.ID) == 0 || m.checker.Stage(c.job.ID).Final() || m.faultRNG.IntN(4) == 0 {
+		if c.maxRunTime < 40*sec || m.checker.RunningTasks(c.job.ID) == 0 || m.checker.Stage(c.job.ID).Final() || m.faultRNG.IntN(4) == 0 {
 			continue
 		}
 		counts := &faultCounts.cancelledTogether
@@ -495,11 +497,11 @@
 	d := drawCombination(rng, number, faults)
 	w := newProxiedSimulation(t, d.count, number, func(c *config.Config) {
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
-		c.Tuning.Shards.By, c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout = d.sharding, d.directHeartbeats, d.heartbeatTimeout
+		c.Tuning.Shards.By, c.Tuning.MaxDirectHeartbeats, c.Tuning.HeartbeatTimeout = d.sharding, d.directHeartbeats, d.heartbeatTimeout
 	})
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 6 })
 	w.checker.Liveness.MaxPending = 4 * time.Minute
-	w.checker.Liveness.SetQuietSince(time.Time{})
+	w.checker.Liveness.SetFaultFreeSince(time.Time{})
 	m := &faultCombination{simulation: w, number: number, faultRNG: rng}
 	defer func() {
 		if t.Failed() {
@@ -519,7 +521,7 @@
 	for k, x := range faults {
 		time.Sleep(time.Until(start.Add(starts[k])))
 		if k == 0 {
-			token = w.token()
+			token = w.lastFencingToken()
 		}
 		m.pickTarget()
 		log(x.name, "for", d.lengths[k], "about", m.target)
@@ -548,10 +550,10 @@
 	// of that.
 	d := drawnCombination{number: number, faults: faults, lengths: make([]time.Duration, len(faults)), offsets: make([]time.Duration, len(faults))}
 	for k, x := range faults {
-		d.lengths[k] = nearBound(rng, x.minLength, x.maxLength)
+		d.lengths[k] = drawNearBound(rng, x.minLength, x.maxLength)
 	}
 	for k := range faults[1:] {
-		if d.offsets[k+1] = nearBound(rng, 0, 46*sec); rng.IntN(2) == 0 {
+		if d.offsets[k+1] = drawNearBound(rng, 0, 46*sec); rng.IntN(2) == 0 {
 			d.offsets[k+1] = max(0, d.lengths[k]+time.Duration(rng.IntN(5000)-1500)*time.Millisecond)
 		}
 	}
@@ -576,9 +578,9 @@
 	delayed, committed := m.store.DelayedCounts()
 	faultCounts.delayedWrites.Add(int64(delayed))
 	faultCounts.delayedWritesCommitted.Add(int64(committed))
-	faultCounts.replayedHeartbeats.Add(int64(m.replayer.Delivered()) - m.replayedToNewLeader.Load())
+	faultCounts.replayedHeartbeats.Add(int64(m.heartbeatReplayer.Delivered()) - m.replayedToNewLeader.Load())
 	faultCounts.heartbeatsToNewLeader.Add(m.replayedToNewLeader.Load())
-	faultCounts.takeovers.Add(int64(m.token() - token))
+	faultCounts.takeovers.Add(int64(m.lastFencingToken() - token))
 	faultCounts.cancelled.Add(m.tasks.cancelled.Load())
 	faultCounts.concurrentPolls.Add(m.tasks.polls.Load())
 	faultCounts.bootStarts.Add(m.tasks.startsAtBoot.Load())
@@ -603,19 +605,19 @@
 		return max(14*sec, around+time.Duration(m.faultRNG.IntN(2*ms)-ms)*time.Millisecond)
 	}
 	early := 6 * sec
-	job(wire.Service, 4, spread, early, lastEnd+60*sec, forever)
-	job(wire.Service, 2, spread, early, jitter(secondStart, 1500), forever)
-	job(wire.Gang, 3, func(j *wire.Job) { saves(j); j.OneZone, j.Priority = true, wire.High }, early, 0, 70*sec)
-	job(wire.Gang, 2, spread, early, 0, 40*sec)
-	job(wire.Gang, 2, saves, early, jitter(firstStart, 1500), 5*time.Minute)
+	job(wire.Service, 4, spreadOverZones, early, lastEnd+60*sec, serviceRunTime)
+	job(wire.Service, 2, spreadOverZones, early, jitter(secondStart, 1500), serviceRunTime)
+	job(wire.Gang, 3, func(j *wire.Job) { withCheckpoints(j); j.OneZone, j.Priority = true, wire.High }, early, 0, 70*sec)
+	job(wire.Gang, 2, spreadOverZones, early, 0, 40*sec)
+	job(wire.Gang, 2, withCheckpoints, early, jitter(firstStart, 1500), 5*time.Minute)
 	job(wire.Array, 3, nil, early, 0, 12*sec, 45*sec, 100*sec)
-	job(wire.Array, 2, func(j *wire.Job) { saves(j); j.Spot = true }, early, 0, 30*sec, 80*sec)
-	job(wire.Array, 3, red, early, 0, 18*sec, 35*sec, 75*sec)
-	job(wire.Array, 4, red, early, 0, 20*sec)
-	job(wire.Array, 3, spread, early, jitter(secondStart+1*sec, 2000), 20*sec, 5*time.Minute)
+	job(wire.Array, 2, func(j *wire.Job) { withCheckpoints(j); j.Spot = true }, early, 0, 30*sec, 80*sec)
+	job(wire.Array, 3, teamRed, early, 0, 18*sec, 35*sec, 75*sec)
+	job(wire.Array, 4, teamRed, early, 0, 20*sec)
+	job(wire.Array, 3, spreadOverZones, early, jitter(secondStart+1*sec, 2000), 20*sec, 5*time.Minute)
 	job(wire.Array, 2, nil, early, jitter(firstStart+(lastEnd-firstStart)/2, int((lastEnd-firstStart).Milliseconds())/2+1), 5*time.Minute)
 	job(wire.Array, 2, func(j *wire.Job) { j.Zone, j.Spot = "a", true }, early, jitter(lastEnd, 2000), 25*sec, 5*time.Minute)
-	job(wire.Array, 2, oneZone, early, lastEnd+5*sec, 5*time.Minute)
+	job(wire.Array, 2, inOneZone, early, lastEnd+5*sec, 5*time.Minute)
 	for k := range 5 { // while the faults are active
 		submit := jitter(firstStart, 2000) + time.Duration(m.faultRNG.Int64N(int64(lastEnd-firstStart+sec)))
 		cancel := time.Duration(0)
@@ -624,7 +626,7 @@
 		}
 		job(wire.Array, 1+k%3, nil, submit, cancel, 4*sec, 9*sec, 20*sec)
 	}
-	job(wire.Gang, 2, saves, jitter(secondStart, 2000), 0, 15*sec)
+	job(wire.Gang, 2, withCheckpoints, jitter(secondStart, 2000), 0, 15*sec)
 }
 
 // caseRange returns the range of cases that environment variables select: the one whose name ends in S
--- a/internal/simtest/concurrent_reads_test.go
+++ b/internal/simtest/concurrent_reads_test.go
@@ -332,7 +332,7 @@
 	if cancel >= 0 {
 		r.group.Go(func() {
 			time.Sleep(cancel)
-			r.requestUntilAnswered(nodes[1], x, "POST", wire.CancelWord, []byte{})
+			r.requestUntilAnswered(nodes[1], x, "POST", wire.CancelPathSuffix, []byte{})
 		})
 	}
 	for _, ms := range []time.Duration{0, 1, 3, 10, 30, 100, 300, 1000} {
@@ -365,7 +365,7 @@
 // state service drops its watch history and a controller restarts.
 func (r *concurrentReads) run(seed uint64) {
 	time.Sleep(8 * time.Second)
-	r.runJob(999, 0, 45*time.Second, forever) // keeps one machine rented
+	r.runJob(999, 0, 45*time.Second, serviceRunTime) // keeps one machine rented
 	time.Sleep(10 * time.Second)
 	n := 0
 	for role := range 3 {
@@ -427,7 +427,7 @@
 // single one.
 func TestConcurrentReads(t *testing.T) {
 	all, played := map[string]int{}, 0
-	playSeeds(t, 4, "AMBERDEAL_LOOK", func(t *testing.T, seed uint64) {
+	runSeeds(t, 4, "AMBERDEAL_LOOK", func(t *testing.T, seed uint64) {
 		n := 5 * seed % 16
 		x := readCase{[]int{3, 5}[n%2], []string{"off", "zone"}[n/2%2], []string{"answers", "requests", "one connection", "reads"}[n/4], 0}
 		l := newConcurrentReads(t, x, seed)
@@ -463,14 +463,14 @@
 	r.checker.Submitted(j, run)
 	r.group.Go(func() {
 		r.requestUntilAnswered(first, x, "POST", "", wire.Encode(j))
-		for r.ctx.Err() == nil && r.checker.Running(j.ID) < tasks {
+		for r.ctx.Err() == nil && r.checker.RunningTasks(j.ID) < tasks {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(run + offset)
-		ended := r.checker.Running(j.ID) == 0
+		ended := r.checker.RunningTasks(j.ID) == 0
 		r.group.Go(func() { r.requestAndCheck((first+1)%r.count, x, "GET", "", nil) })
 		r.group.Go(func() { r.requestAndCheck((first+2)%r.count, x, "POST", "", r.body(j)) })
-		r.requestUntilAnswered(first, x, "POST", wire.CancelWord, []byte{})
+		r.requestUntilAnswered(first, x, "POST", wire.CancelPathSuffix, []byte{})
 		r.mu.Lock()
 		stage := x.stage
 		r.mu.Unlock()
@@ -479,7 +479,7 @@
 			time.Sleep(700 * time.Millisecond)
 			r.requestAndCheck((first+i)%r.count, x, "GET", "", nil)
 		}
-		r.requestUntilAnswered(first+1, x, "POST", wire.CancelWord, []byte{}) // again, even if the job is done
+		r.requestUntilAnswered(first+1, x, "POST", wire.CancelPathSuffix, []byte{}) // again, even if the job is done
 	})
 }
 
@@ -492,7 +492,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			l := newConcurrentReads(t, x, uint64(seed))
 			time.Sleep(8 * time.Second)
-			l.runJob(999, 0, 90*time.Second, forever)
+			l.runJob(999, 0, 90*time.Second, serviceRunTime)
 			time.Sleep(12 * time.Second)
 			for n, offset := range endOffsets {
 				for first := range 3 {
--- a/internal/simtest/delayed_writes_test.go
+++ b/internal/simtest/delayed_writes_test.go
@@ -70,8 +70,8 @@
 // leaseKinds are the kinds of lease calls.
 var leaseKinds = []string{"new lease", "renewal", "end of a lease"}
 
-// txnAsSent is a transaction as the state service receives it.
-type txnAsSent struct {
+// receivedTxn is a transaction as the state service receives it.
+type receivedTxn struct {
 	If   []wire.Condition `cbor:"when"`
 	Then []struct {
 		Put    string   `cbor:"put"`
@@ -82,7 +82,7 @@
 }
 
 // describe returns the conditions and changes of a transaction in the notation of writeKind.
-func (t *txnAsSent) describe() (when, then []string) {
+func (t *receivedTxn) describe() (when, then []string) {
 	ledger := "" // prefix of the ledger that the transaction writes
 	for _, c := range t.Then {
 		if store.Kind(c.Put) == "ledger" {
@@ -129,7 +129,7 @@
 }
 
 // kindOf returns the name of a transaction's kind, or "" if it is of no known kind.
-func kindOf(t *txnAsSent) string {
+func kindOf(t *receivedTxn) string {
 	when, then := t.describe()
 	for _, k := range writeKinds {
 		if matches(when, k.conditions) && matches(then, k.changes) {
@@ -171,7 +171,7 @@
 	unknownKinds map[string]bool          // that were reported
 
 	// serveInstead handles the controllers' requests. It is serve unless a test replaces it.
-	serveInstead func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (status int, answer []byte)
+	serveInstead func(ctx context.Context, caller *transport.Client, from, method, target string, body []byte) (status int, answer []byte)
 }
 
 // Status values for requests that get no response. The connection is kept open for longer than any caller
@@ -207,7 +207,7 @@
 // listen starts to serve one controller at a host of its own, and returns the address.
 func (p *delayProxy) listen(ctx context.Context, from, ip string) (addr string) {
 	host := p.net.Host(ip)
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
+	caller := &transport.Client{MaxBody: 8 << 20, Dial: host.Dial}
 	addr = simulator.Address(ip, 2379)
 	go host.Listen(ctx, addr, 0, func(ctx context.Context, s transport.Stream) {
 		r := bufio.NewReader(s)
@@ -234,7 +234,7 @@
 }
 
 // forward sends a request to the state service. The status is 0 if there is no response.
-func (p *delayProxy) forward(ctx context.Context, caller *transport.Caller, method, target string, body []byte) (int, []byte) {
+func (p *delayProxy) forward(ctx context.Context, caller *transport.Client, method, target string, body []byte) (int, []byte) {
 	resp, err := caller.Call(ctx, p.target, method, target, body)
 	if err != nil {
 		return 0, nil
@@ -249,12 +249,12 @@
 	return p.kindCounts[kind]
 }
 
-// kindSent returns the kind of a request, or "" if it changes nothing. A transaction of an unknown kind
+// requestKind returns the kind of a request, or "" if it changes nothing. A transaction of an unknown kind
 // fails the test, because nobody has analysed what a late copy of it does.
-func (p *delayProxy) kindSent(from, method, target string, body []byte) (kind string) {
+func (p *delayProxy) requestKind(from, method, target string, body []byte) (kind string) {
 	switch {
 	case target == wire.PathTxn:
-		var t txnAsSent
+		var t receivedTxn
 		if err := wire.Decode(body, &t); err != nil {
 			p.t.Errorf("%s sent a transaction that can't be decoded: %v", from, err)
 		}
@@ -279,8 +279,8 @@
 }
 
 // serve handles a request of a controller.
-func (p *delayProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
-	kind := p.kindSent(from, method, target, body)
+func (p *delayProxy) serve(ctx context.Context, caller *transport.Client, from, method, target string, body []byte) (int, []byte) {
+	kind := p.requestKind(from, method, target, body)
 	if kind == "" {
 		return p.forward(ctx, caller, method, target, body)
 	}
@@ -333,7 +333,7 @@
 // noteResult checks the result of a write or of a copy of it. Once a write was committed, or refused
 // because of its conditions, no copy of it may be committed. The only exception are new jobs: a copy may be
 // committed between their removal and the next submission fence, since the record of the removed jobs takes
-// precedence (TestLateSubmissionBeforeGate).
+// precedence (TestLateSubmissionBeforeFenceAdvance).
 func (p *delayProxy) noteResult(w *delayedWrite, sent time.Time, status int, late bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -364,7 +364,7 @@
 // releaseHeld forwards delayed writes when their delay is over and a newer write of their controller was
 // committed, or after 5 minutes if there is none.
 func (p *delayProxy) releaseHeld(ctx context.Context) {
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: p.net.Host("10.2.1.99").Dial}
+	caller := &transport.Client{MaxBody: 8 << 20, Dial: p.net.Host("10.2.1.99").Dial}
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		p.mu.Lock()
@@ -408,7 +408,7 @@
 // simulateDelayedWrites runs a simulation in which a share of all writes of controllers is delayed.
 func simulateDelayedWrites(t *testing.T, seed uint64, share float64) *delayProxy {
 	var l *delayProxy
-	playAllWritesDay(t, seed, 3, func(w *simulation) *delayProxy {
+	simulateAllWrites(t, seed, 3, func(w *simulation) *delayProxy {
 		l = newDelayProxy(t, w.net, "10.2.0.1:2379", seed, share)
 		go l.releaseHeld(w.ctx)
 		return l
@@ -416,10 +416,10 @@
 	return l
 }
 
-// playAllWritesDay runs a simulation in which controllers make every kind of write to the state service,
+// simulateAllWrites runs a simulation in which controllers make every kind of write to the state service,
 // through the proxy that newProxy returns: jobs are submitted, end and are compacted, the fleet is divided
 // into shards and merged again, the tiers change, and leaders are killed and restart.
-func playAllWritesDay(t *testing.T, seed uint64, count int, newProxy func(w *simulation) *delayProxy) {
+func simulateAllWrites(t *testing.T, seed uint64, count int, newProxy func(w *simulation) *delayProxy) {
 	d := newAllWritesSimulation(t, seed, count)
 	w := d.simulation
 	l := newProxy(w)
@@ -457,7 +457,7 @@
 	d.rollingRestart(func(name string) { d.tiers[name] = false })
 	time.Sleep(time.Minute) // until ledger segments are dropped
 	for i := range 20 {
-		w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
+		w.startUser(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		time.Sleep(2 * time.Second)
 	}
 	w.declareQuiet()
@@ -467,7 +467,7 @@
 	if n := batches(); n > 0 {
 		t.Errorf("%d batches of jobs were not compacted within 20 min", n)
 	}
-	w.finishDay(20 * time.Minute)
+	w.finishAndCheck(20 * time.Minute)
 }
 
 // allWritesSimulation is a simulation whose controllers change their settings when they restart.
@@ -519,7 +519,7 @@
 
 // submitManyTasks submits a job with so many tasks that the ledger adds segments, and drops them later.
 func (d *allWritesSimulation) submitManyTasks(id string) {
-	d.user(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
+	d.startUser(&wire.Job{ID: id, Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 100, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
 }
 
 // TestDelayedWrites checks that writes of each kind do no harm when they reach the state service after
@@ -529,7 +529,7 @@
 func TestDelayedWrites(t *testing.T) {
 	all := map[string]delayedTally{}
 	var mu sync.Mutex
-	playSeeds(t, 2, "AMBERDEAL_LATEWRITE", func(t *testing.T, seed uint64) {
+	runSeeds(t, 2, "AMBERDEAL_LATEWRITE", func(t *testing.T, seed uint64) {
 		share := 0.03
 		if seed >= 2 {
 			share = []float64{0.03, 0.1, 0.3}[seed%3]
@@ -555,7 +555,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 80, 0, func(c *config.Config) { c.Tuning.History.Compact = false })
 		for i := range 12 {
-			w.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1,
+			w.startUser(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 2, CPUs: 1, MemoryGB: 1,
 				Image: "img", ImageGB: 1, EstimateS: 5}, 20*time.Second, 0)
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -624,9 +624,9 @@
 func TestWritersAreKnown(t *testing.T) {
 	want := strings.Fields(`
 		internal/admission.commit
-		internal/archive.advanceSubmissionFence internal/archive.clearRecent internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
+		internal/archive.advanceSubmissionFence internal/archive.clearRecentBlocks internal/archive.commit internal/archive.mergeTxn internal/archive.planStage
 		internal/controller.step
-		internal/leader.Decide internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsolete internal/leader.dropPreviousLedgers
+		internal/leader.Decide internal/leader.commitGrant internal/leader.commitRound internal/leader.dropObsoleteRecords internal/leader.dropPreviousLedgers
 		internal/leader/commit.AddChange internal/leader/commit.AddChangeIf internal/leader/commit.Empty internal/leader/commit.Guard internal/leader/commit.OpenLedger internal/leader/commit.Seal
 		internal/leadership.Campaign internal/leadership.PendingReleases internal/leadership.Resign internal/leadership.Run internal/leadership.claim internal/leadership.obtainLease internal/leadership.releaseShards internal/leadership.renew internal/leadership.reshard internal/leadership.revokeStaleLease internal/leadership.writeTiers
 		internal/quota.Propose
@@ -697,7 +697,7 @@
 		"another key":   {wire.Txn{If: []wire.Condition{fence, grant}, Then: []wire.Operation{put, {Put: store.StatePrefix + "other"}}}, ""},
 		"unconditional": {wire.Txn{Then: []wire.Operation{{Put: store.FencingTokenKey, Value: uint64(1)}}}, ""},
 	} {
-		var sent txnAsSent
+		var sent receivedTxn
 		if err := wire.Decode(wire.Encode(x.txn), &sent); err != nil || kindOf(&sent) != x.want {
 			t.Errorf("%s: %q, %v", name, kindOf(&sent), err)
 		}
@@ -742,7 +742,7 @@
 
 func (c *delayedCloud) listen(addr string) {
 	host := c.net.Host(simulator.HostOf(addr))
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: host.Dial}
+	caller := &transport.Client{MaxBody: 8 << 20, Dial: host.Dial}
 	forward := func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		target := req.Path
 		if req.Query != "" {
@@ -825,7 +825,7 @@
 		if kind == "release" && after < before {
 			c.releasesInUse++
 		}
-		var names wire.MachineNames
+		var names wire.MachineIDs
 		if kind == "rental" && c.abandoned[id] && resp.Status == 200 && wire.Decode(resp.Body, &names) == nil {
 			for _, name := range names.Machines {
 				c.rentedLate[name] = true
@@ -833,7 +833,7 @@
 		}
 	})
 	if kind == "release" {
-		var names wire.MachineNames
+		var names wire.MachineIDs
 		_ = wire.Decode(req.Body, &names)
 		go c.released(names.Machines)
 	}
@@ -852,12 +852,12 @@
 // returned, tasks that a late release ended have to run again, and no rule may be violated.
 func TestDelayedRentals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.Idle = "10.2.1.60:8443", 6*time.Second })
+		w := newSimulation(t, 81, 0, func(c *config.Config) { c.CloudAddr, c.Tuning.IdleTimeout = "10.2.1.60:8443", 6*time.Second })
 		l := &delayedCloud{simulation: w, requests: map[string]int{}, firstSent: map[string]time.Time{}, held: map[string]time.Time{}, abandoned: map[string]bool{},
 			rentedLate: map[string]bool{}, delayedCounts: map[string]int{}}
 		var jobs atomic.Int64
 		array := func(run time.Duration) {
-			w.user(&wire.Job{ID: fmt.Sprint("wk-", jobs.Add(1)), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 10, CPUs: 2, GPUs: 1, MemoryGB: 8,
+			w.startUser(&wire.Job{ID: fmt.Sprint("wk-", jobs.Add(1)), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 10, CPUs: 2, GPUs: 1, MemoryGB: 8,
 				Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 		}
 		kills := 0
--- a/internal/simtest/fast_restart_test.go
+++ b/internal/simtest/fast_restart_test.go
@@ -28,10 +28,10 @@
 	return []time.Duration{0, 0, time.Duration(rng.IntN(2000)), time.Duration(rng.IntN(40_000))}[rng.IntN(4)] * time.Millisecond
 }
 
-// crashAt crashes the writer of the next committed change to a key with the prefix, before it receives
+// crashOnCommit crashes the writer of the next committed change to a key with the prefix, before it receives
 // the response: the leader of the shard that the key belongs to, or all controllers if no shard has a
 // leader. The controllers restart after the given time.
-func (w *simulation) crashAt(prefix string, restartAfter time.Duration) {
+func (w *simulation) crashOnCommit(prefix string, restartAfter time.Duration) {
 	var triggered atomic.Bool
 	crashWriter := func(key string) {
 		defer w.group.Done()
@@ -59,9 +59,9 @@
 	})
 }
 
-// twin starts a second process with the name of a controller, and ends the first one after d. The last
+// startDuplicateProcess starts a second process with the name of a controller, and ends the first one after d. The last
 // messages of the first process are delayed by held.
-func (w *simulation) twin(i int, d, held time.Duration) {
+func (w *simulation) startDuplicateProcess(i int, d, held time.Duration) {
 	n := w.nodes[i]
 	if n.down.Swap(true) {
 		return
@@ -88,7 +88,7 @@
 // repeatOldRequests repeats earlier requests: submissions, some of them with different content, and
 // cancellations. The answers must not change.
 func (w *simulation) repeatOldRequests(rng *rand.Rand) {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.2").Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.2").Dial}
 	for _, id := range w.checker.Jobs() {
 		before := w.checker.Stage(id)
 		if before == "" || rng.IntN(2) == 0 {
@@ -107,7 +107,7 @@
 		cancelled := before == wire.Cancelled
 		path, body := wire.PathJobs, wire.Encode(&other)
 		if cancelled && rng.IntN(2) == 0 {
-			path, body = path+"/"+id+"/"+wire.CancelWord, []byte{}
+			path, body = path+"/"+id+"/"+wire.CancelPathSuffix, []byte{}
 		}
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		resp, err := caller.Call(ctx, simulator.Address(w.ip(rng.IntN(w.count)), 8080), "POST", path, body)
@@ -161,14 +161,14 @@
 		}
 	}},
 	{"two processes of one name", func(w *simulation, rng *rand.Rand, _ time.Duration) {
-		w.twin(rng.IntN(w.count), time.Duration(50+rng.IntN(3000))*time.Millisecond, finalHoldTime(rng))
+		w.startDuplicateProcess(rng.IntN(w.count), time.Duration(50+rng.IntN(3000))*time.Millisecond, finalHoldTime(rng))
 	}},
 	{"whoever claims next crashes before the answer", func(w *simulation, rng *rand.Rand, _ time.Duration) {
-		w.crashAt("part/", restartDelay(rng))
+		w.crashOnCommit("part/", restartDelay(rng))
 		w.crash(rng.IntN(w.count), restartDelay(rng), 0)
 	}},
 	{"whoever writes a round next crashes before the answer", func(w *simulation, rng *rand.Rand, _ time.Duration) {
-		w.crashAt("ledger/", restartDelay(rng))
+		w.crashOnCommit("ledger/", restartDelay(rng))
 	}},
 	{"a controller crashes while another is suspected", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 		i := rng.IntN(w.count)
@@ -232,7 +232,7 @@
 	})
 	w.group.Go(func() { w.submit(seed, 24) })
 	time.Sleep(10 * time.Second)
-	w.playFaults(rng, 16, 8*time.Second, func(int) (fault, time.Duration) {
+	w.injectFaults(rng, 16, 8*time.Second, func(int) (fault, time.Duration) {
 		if rng.IntN(5) == 0 {
 			return drawFault(rng, stallFaults, 30)
 		}
@@ -243,20 +243,20 @@
 	}
 	time.Sleep(time.Minute)
 	w.repeatOldRequests(rng)
-	w.finishDay(20 * time.Minute)
+	w.finishAndCheck(20 * time.Minute)
 }
 
 // TestFastRestarts checks that restarts which are too quick to be detected violate no rule in a fleet
 // with one shard. AMBERDEAL_BACKS sets the number of simulations, AMBERDEAL_BACK selects a single one.
 func TestFastRestarts(t *testing.T) {
-	playSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { simulateRestarts(t, seed, sameSharding("off"), nil) })
+	runSeeds(t, 10, "AMBERDEAL_BACK", func(t *testing.T, seed uint64) { simulateRestarts(t, seed, sameSharding("off"), nil) })
 }
 
 // TestFastRestartsOfShards does the same with several shards; half of the simulations also reshard from
 // time to time. AMBERDEAL_PARTBACKS sets the number of simulations, AMBERDEAL_PARTBACK selects a single
 // one.
 func TestFastRestartsOfShards(t *testing.T) {
-	playSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
+	runSeeds(t, 10, "AMBERDEAL_PARTBACK", func(t *testing.T, seed uint64) {
 		if seed/2%2 == 0 {
 			simulateRestarts(t, seed, sameSharding("zone"), nil)
 			return
@@ -264,9 +264,9 @@
 		settings := shardingSettings{initial: "zone"}
 		reshardAndCrash := fault{"all controllers are set to another sharding and crash again", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			w.crashIntoSharding(&settings, []string{"off", "zone"}[rng.IntN(2)], rng)
-			w.crashAt([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
+			w.crashOnCommit([]string{"grouping", "part/"}[rng.IntN(2)], restartDelay(rng))
 		}}
-		simulateRestarts(t, seed, settings.of, func(w *simulation) {
+		simulateRestarts(t, seed, settings.forController, func(w *simulation) {
 			time.Sleep(5 * time.Second) // all controllers have restarted
 			w.crashIntoSharding(&settings, "zone", rand.New(rand.NewPCG(seed, 11)))
 		}, reshardAndCrash, reshardAndCrash, reshardAndCrash)
--- a/internal/simtest/forwarding_test.go
+++ b/internal/simtest/forwarding_test.go
@@ -130,7 +130,7 @@
 // and resubmit them at all, and checks the answers for linearizability.
 func (w *forwardingRun) run() {
 	time.Sleep(8 * time.Second)
-	w.runJob(999, 0, 100*time.Second, forever) // keeps a machine rented
+	w.runJob(999, 0, 100*time.Second, serviceRunTime) // keeps a machine rented
 	time.Sleep(12 * time.Second)
 	w.initialWriters = w.writers()
 	if len(w.initialWriters) == 0 {
@@ -220,8 +220,8 @@
 				time.Sleep(40 * time.Second)
 				f.declareQuiet()
 				f.finish(3 * time.Minute)
-				late, n := 0, len(f.order)
-				for _, d := range f.order {
+				late, n := 0, len(f.jobsInOrder)
+				for _, d := range f.jobsInOrder {
 					if d.acceptedAt.Sub(d.arrivedAt) > time.Second {
 						late++
 					}
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -85,7 +85,7 @@
 		if c.change != nil {
 			c.change(j)
 		}
-		w.user(j, c.run, 4*time.Minute)
+		w.startUser(j, c.run, 4*time.Minute)
 		time.Sleep(20 * time.Second)
 	}
 	w.declareQuiet()
--- a/internal/simtest/late_launch_test.go
+++ b/internal/simtest/late_launch_test.go
@@ -52,7 +52,7 @@
 // callRecorder records the direct calls that launched each task, to send copies of them later.
 type callRecorder struct {
 	*simulation
-	caller         *transport.Caller
+	caller         *transport.Client
 	shardings      *shardingSettings
 	mu             sync.Mutex
 	callsByTask    map[wire.TaskID][][]byte
@@ -62,7 +62,7 @@
 
 // recordCalls starts recording the direct calls of a simulation.
 func recordCalls(w *simulation) *callRecorder {
-	r := &callRecorder{simulation: w, caller: &transport.Caller{MaxBody: 8 << 20, Dial: w.net.Host(copySender).Dial}, callsByTask: map[wire.TaskID][][]byte{}}
+	r := &callRecorder{simulation: w, caller: &transport.Client{MaxBody: 8 << 20, Dial: w.net.Host(copySender).Dial}, callsByTask: map[wire.TaskID][][]byte{}}
 	w.net.Observe(func(from string, message []byte) {
 		w.checker.Launches.InspectMessage(time.Now(), from, message)
 		if from != copySender {
@@ -88,22 +88,22 @@
 	}
 }
 
-// of returns the calls that launched a task.
-func (r *callRecorder) of(task wire.TaskID) [][]byte {
+// launchCalls returns the calls that launched a task.
+func (r *callRecorder) launchCalls(task wire.TaskID) [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.callsByTask[task])
 }
 
 // machineOf returns the machine that last ran a task, if it is up.
-func (r *callRecorder) machineOf(task wire.TaskID) (upMachine, bool) {
+func (r *callRecorder) machineOf(task wire.TaskID) (runningMachine, bool) {
 	r.tasks.mu.Lock()
 	id := r.tasks.lastMachine[task]
 	r.tasks.mu.Unlock()
 	machines := r.runningMachines()
-	i := slices.IndexFunc(machines, func(m upMachine) bool { return m.id == id })
+	i := slices.IndexFunc(machines, func(m runningMachine) bool { return m.id == id })
 	if i < 0 {
-		return upMachine{}, false
+		return runningMachine{}, false
 	}
 	return machines[i], true
 }
@@ -114,7 +114,7 @@
 	if !up {
 		return
 	}
-	calls := r.of(task)
+	calls := r.launchCalls(task)
 	for _, call := range calls {
 		ctx, cancel := context.WithTimeout(r.ctx, sec)
 		resp, err := r.caller.Call(ctx, simulator.Address(m.host, 9000), "POST", wire.PathCommands, call)
@@ -213,8 +213,8 @@
 // work of its team, in the other zone, for the team to be exactly at its limit of six GPUs afterwards.
 func teamAtLimit(shape wire.Shape, tasks int) func(w *simulation) {
 	return func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", shape, tasks, 5*sec, red, inZone("a")), 6*sec, 0, 5*sec)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Array, 6, 5*time.Minute, red, inZone("b")), 7*sec, 0, 5*time.Minute)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", shape, tasks, 5*sec, teamRed, inZone("a")), 6*sec, 0, 5*sec)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Array, 6, 5*time.Minute, teamRed, inZone("b")), 7*sec, 0, 5*time.Minute)
 	}
 }
 
@@ -223,7 +223,7 @@
 
 // awaitTeamAtLimit waits until the team is at its limit again, now with the tasks of wk-2.
 func awaitTeamAtLimit(r *callRecorder) {
-	r.requireEventually("at the limit", time.Minute, func() bool { return r.checker.Running("wk-2") == 6 })
+	r.requireEventually("at the limit", time.Minute, func() bool { return r.checker.RunningTasks("wk-2") == 6 })
 }
 
 // sendCopiesAfterClear sends copies as soon as the machine no longer lists the tasks, and once more a
@@ -272,20 +272,20 @@
 	{name: "its team is at its limit, a minute later", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: sendCopiesAfter(time.Minute)},
 	{name: "its team is at its limit, at the end of the window", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: sendCopiesAfter(175 * sec)},
 	{name: "its job is compacted", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
-		r.requireEventually("compacted", time.Minute, func() bool { k := r.account().Kinds["history"]; return k != nil && k.Jobs > 0 })
+		r.requireEventually("compacted", time.Minute, func() bool { k := r.verifyState().Kinds["history"]; return k != nil && k.Jobs > 0 })
 		sendCopiesAfterClear(r, tasks)
 	}},
 	{name: "its job is cancelled", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 2, 5*sec), 6*sec, 30*sec, 5*sec, 10*time.Minute)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", wire.Array, 2, 5*sec), 6*sec, 30*sec, 5*sec, 10*time.Minute)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spreadOverZones), 6*sec, 4*time.Minute, serviceRunTime)
 	}, endedTasks: []int{0}, sendCopies: sendCopiesAfter(80 * sec)},
 	{name: "a gang", setUp: teamAtLimit(wire.Gang, 2), endedTasks: []int{0, 1}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		awaitTeamAtLimit(r)
 		sendCopiesAfterClear(r, tasks[:1])
 	}},
 	{name: "replicas of a cancelled service", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Service, 2, 0, spread), 6*sec, 30*sec, forever)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", wire.Service, 2, 0, spreadOverZones), 6*sec, 30*sec, serviceRunTime)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Service, 4, 0, spreadOverZones), 6*sec, 4*time.Minute, serviceRunTime)
 	}, endedTasks: []int{0, 1}, sendCopies: sendCopiesAfter(80 * sec)},
 	{name: "the leader ends at the same moment", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		r.crash(r.leaderOf("fleet"), 300*time.Millisecond, 0)
@@ -294,28 +294,28 @@
 	{name: "the leader ends, and the machine hears of the next late", copiesRefused: true, setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		m, _ := r.machineOf(tasks[0])
 		r.crash(r.leaderOf("fleet"), 300*time.Millisecond, 0)
-		loseInbound(6*sec, m)
+		dropInbound(6*sec, m)
 		sendCopiesFor20s(r, tasks)
 	}},
 	lostReplyScenario(),
 	{name: "its machine has lost the image since", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec, wholeMachine, withImage("img-a")), 6*sec, 0, 5*sec)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Array, 1, 5*sec, wholeMachine, withImage("img-b")), 12*sec, 0, 5*sec)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec, wholeMachine, withImage("img-a")), 6*sec, 0, 5*sec)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Array, 1, 5*sec, wholeMachine, withImage("img-b")), 12*sec, 0, 5*sec)
 	}, configure: limitToOneMachine, endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		r.requireEventually("done", 2*time.Minute, func() bool { return r.checker.Finished("wk-2") })
 		sendCopiesAfterClear(r, tasks)
 	}},
 	{name: "more short tasks than a machine remembers", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, shortTaskCount, sec), 6*sec, 0, sec)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, forever)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", wire.Array, shortTaskCount, sec), 6*sec, 0, sec)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, serviceRunTime)
 	}, configure: limitToOneMachine, endedTasks: taskIndexes(shortTaskCount), launchedByHeartbeat: true, sendCopies: sendCopiesAfter(10 * sec)},
 	{name: "its machine moves to another shard", setUp: teamAtLimit(wire.Array, 1), endedTasks: []int{0}, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		r.crashIntoSharding(r.shardings, "zone", rand.New(rand.NewPCG(lateLaunchSeed, 1)))
 		sendCopiesFor20s(r, tasks)
 	}},
 	{name: "later than the window", setUp: func(w *simulation) {
-		w.submitter(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec), 6*sec, 0, 5*sec)
-		w.submitter(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, forever)
+		w.startClient(lateLaunchSeed, jobOf("wk-1", wire.Array, 1, 5*sec), 6*sec, 0, 5*sec)
+		w.startClient(lateLaunchSeed, jobOf("wk-2", wire.Service, 1, 0), 6*sec, 6*time.Minute, serviceRunTime)
 	}, endedTasks: []int{0}, startsAgain: true, sendCopies: func(r *callRecorder, tasks []wire.TaskID) {
 		time.Sleep(3 * time.Minute)
 		r.awaitCleared(tasks[0], 10*sec)
@@ -374,7 +374,7 @@
 func (d lateLaunchScenario) run(t *testing.T) {
 	shardings := &shardingSettings{initial: d.sharding}
 	w := newSimulation(t, lateLaunchSeed, 0, func(c *config.Config) {
-		c.Tuning.Shards.By, c.Tuning.Idle = shardings.of(c.Name), time.Hour
+		c.Tuning.Shards.By, c.Tuning.IdleTimeout = shardings.forController(c.Name), time.Hour
 	})
 	r := recordCalls(w)
 	r.shardings = shardings
@@ -390,7 +390,7 @@
 		w.requireEventually(fmt.Sprint(task, " over"), 6*time.Minute, func() bool { return w.tasks.hasEnded(task) })
 	}
 	for _, task := range tasks {
-		if len(r.of(task)) == 0 && !d.launchedByHeartbeat {
+		if len(r.launchCalls(task)) == 0 && !d.launchedByHeartbeat {
 			t.Errorf("no direct call launched %v", task)
 		}
 	}
--- a/internal/simtest/leader_changes_test.go
+++ b/internal/simtest/leader_changes_test.go
@@ -19,7 +19,7 @@
 	{"killed, back after half a second, its last messages are late", func(w *simulation, i int) { w.crash(i, 500*time.Millisecond, 4*time.Second) }},
 	{"killed, back after 9 s", func(w *simulation, i int) { w.kill(i, 9*time.Second) }},
 	{"cut off from the state service and the others", func(w *simulation, i int) {
-		during(15*time.Second, func(on bool) { w.cutOff(i, on) })
+		during(15*time.Second, func(on bool) { w.partitionFromStoreAndPeers(i, on) })
 	}},
 	{"refused alone", func(w *simulation, i int) { during(12*time.Second, func(on bool) { w.refuseByStore(i, on) }) }},
 }
@@ -54,7 +54,7 @@
 	w.replayHeartbeats(seed, 0.05)
 	w.submitAroundLeaderFailures(seed)
 	time.Sleep(firstLeaderFailure)
-	start, token, failures, inOutage := time.Now(), w.token(), 0, 0
+	start, token, failures, inOutage := time.Now(), w.lastFencingToken(), 0, 0
 	if outage > 0 {
 		time.AfterFunc(outageDelay, func() { during(outage, w.store.SetOutage) })
 	}
@@ -73,7 +73,7 @@
 	}
 	took := time.Since(start)
 	time.Sleep(15 * time.Second)
-	changes := w.token() - token
+	changes := w.lastFencingToken() - token
 	report := t.Logf
 	if changes < 5 || failures < 10 || took > 2*time.Minute || outage > 0 && inOutage == 0 {
 		report = t.Errorf
@@ -85,14 +85,14 @@
 // submitAroundLeaderFailures starts users who submit jobs of every shape. Every second one of the twenty
 // short jobs is cancelled around the failure of a leader.
 func (w *simulation) submitAroundLeaderFailures(seed uint64) {
-	w.submitter(seed, jobOf("wk-900", wire.Service, 4, forever, spread), 6*time.Second, 4*time.Minute, forever)
-	w.submitter(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, saves, oneZone), 6*time.Second, 0, 70*time.Second)
-	w.submitter(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, red), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
+	w.startClient(seed, jobOf("wk-900", wire.Service, 4, serviceRunTime, spreadOverZones), 6*time.Second, 4*time.Minute, serviceRunTime)
+	w.startClient(seed, jobOf("wk-901", wire.Gang, 2, 70*time.Second, withCheckpoints, inOneZone), 6*time.Second, 0, 70*time.Second)
+	w.startClient(seed, jobOf("wk-902", wire.Array, 3, 20*time.Second, teamRed), 6*time.Second, 0, 20*time.Second, 50*time.Second, 110*time.Second)
 	for k := range 20 {
 		at, cancel := firstLeaderFailure+time.Duration(k)*leaderFailureInterval/2, time.Duration(0)
 		if k%2 == 1 {
 			cancel = firstLeaderFailure + time.Duration(k/2+1)*leaderFailureInterval + time.Duration(k-10)*200*time.Millisecond
 		}
-		w.submitter(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
+		w.startClient(seed, jobOf(fmt.Sprint("wk-", k), []wire.Shape{wire.Array, wire.Array, wire.Gang}[k%3], 1+k%3, 9*time.Second), at, cancel, 9*time.Second)
 	}
 }
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -115,7 +115,7 @@
 					violation.before(w)
 				}
 				for i := range 4 {
-					w.user(&wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1,
+					w.startUser(&wire.Job{ID: fmt.Sprint("wk-", i+1), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1,
 						MemoryGB: 8, Zone: []string{"a", "b"}[max(0, 1-i)], Image: "img", ImageGB: 1, EstimateS: 30}, 30*time.Second, 0)
 					time.Sleep(2 * time.Second)
 				}
@@ -141,7 +141,7 @@
 func (w *simulation) addPollingUsers(rng *rand.Rand, users int, interval time.Duration) {
 	for n := range users {
 		w.pollGroup.Go(func() {
-			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.3").Dial}
+			caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.3").Dial}
 			for try := n; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 2*time.Second)
 				_, _ = caller.Call(ctx, simulator.Address(w.ip(n%3), 8080), "GET", fmt.Sprintf("%s/wk-%06d", wire.PathJobs, w.draw(rng, 1e6)), nil)
@@ -209,14 +209,14 @@
 // faults are over, no poll may remain unanswered for long, although many other users poll as well.
 // AMBERDEAL_QUIETS sets the number of simulations, AMBERDEAL_QUIET selects a single one.
 func TestNoJobIsForgotten(t *testing.T) {
-	playSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
+	runSeeds(t, 5, "AMBERDEAL_QUIET", func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		sharding := []string{"off", "zone"}[rng.IntN(2)]
 		settings := shardingSettings{initial: sharding}
 		lowRPS := rng.IntN(2) == 0 // the state service allows few requests per second
 		w := newSimulation(t, seed, 0, func(c *config.Config) {
-			c.Tuning.Shards.By = settings.of(c.Name)
-			c.Tuning.History.Every, c.Tuning.History.Wait = 200*time.Millisecond, 500*time.Millisecond
+			c.Tuning.Shards.By = settings.forController(c.Name)
+			c.Tuning.History.Interval, c.Tuning.History.MaxWait = 200*time.Millisecond, 500*time.Millisecond
 			if lowRPS {
 				c.Store.RPS = 36
 			}
@@ -236,7 +236,7 @@
 		w.group.Go(func() { w.submit(seed, 30) })
 		time.Sleep(15 * time.Second)
 		faults := slices.Concat(livenessFaults, []fault{reshard})
-		w.playFaults(rng, 8, 9*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 30) })
+		w.injectFaults(rng, 8, 9*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 30) })
 		time.Sleep(32 * time.Second) // until the last fault is over; each lasts 30 s at most
 		w.declareQuiet()
 		time.Sleep(3 * time.Minute)
@@ -249,11 +249,11 @@
 // rarely and keep their connections open. Another user's job still has to be accepted and answered.
 func TestIdleConnectionsBlockNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.Files = 100 })
+		w := newSimulation(t, 52, 0, func(c *config.Config) { c.Limits.OpenFiles = 100 })
 		time.Sleep(10 * time.Second)
 		w.addPollingUsers(rand.New(rand.NewPCG(1, 1)), 300, 5*time.Second)
 		time.Sleep(20 * time.Second)
-		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1, MemoryGB: 8,
+		w.startUser(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1, CPUs: 2, GPUs: 1, MemoryGB: 8,
 			Image: "img", ImageGB: 1, EstimateS: 200}, 200*time.Second, 0)
 		w.declareQuiet()
 		w.finish(10 * time.Minute)
--- a/internal/simtest/lost_replies_test.go
+++ b/internal/simtest/lost_replies_test.go
@@ -23,11 +23,11 @@
 
 // replyLoss describes how the reply to a committed write is lost, and which faults its sender sees afterwards.
 type replyLoss struct {
-	name         string
-	reply        int           // what the sender gets: noReply or connClosed
-	repeatStatus int           // status of retries of the write for a while; 0 passes on that of the service
-	cut, outage  time.Duration // how long the sender alone, or every controller, is refused
-	crash        bool          // the sender crashes and restarts soon afterwards
+	name                  string
+	reply                 int           // what the sender gets: noReply or connClosed
+	repeatStatus          int           // status of retries of the write for a while; 0 passes on that of the service
+	senderRefused, outage time.Duration // how long the sender alone, or every controller, is refused
+	crash                 bool          // the sender crashes and restarts soon afterwards
 }
 
 var replyLosses = []replyLoss{
@@ -35,7 +35,7 @@
 	{name: "silence", reply: noReply},
 	{name: "the sender crashes", reply: noReply, crash: true},
 	{name: "repeats get 503", reply: connClosed, repeatStatus: 503},
-	{name: "the sender alone is refused", reply: connClosed, cut: 12 * time.Second},
+	{name: "the sender alone is refused", reply: connClosed, senderRefused: 12 * time.Second},
 	{name: "repeats get 429", reply: noReply, repeatStatus: 429},
 	{name: "an outage for longer than cancel_s", reply: connClosed, outage: 50 * time.Second},
 }
@@ -53,7 +53,7 @@
 	seed            int
 	writes          map[string]*trackedWrite // by sender, path and body
 	unknownToSender []*trackedWrite          // writes whose sender does not know their result yet
-	cut             map[string]time.Time     // by controller
+	refusedUntil    map[string]time.Time     // by controller
 	lastOutageStart time.Time
 	observed        map[string]*observedJob
 	tallies         map[string]replyLossTally
@@ -84,7 +84,7 @@
 // newReplyLossProxy returns a proxy that loses the replies to a share of the writes.
 func newReplyLossProxy(w *simulation, seed uint64, share float64) *replyLossProxy {
 	a := &replyLossProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", seed, share), sim: w, seed: int(seed), writes: map[string]*trackedWrite{},
-		cut: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
+		refusedUntil: map[string]time.Time{}, observed: map[string]*observedJob{}, tallies: map[string]replyLossTally{}}
 	a.serveInstead = a.serve
 	return a
 }
@@ -93,11 +93,11 @@
 func isInvisibleToReaders(kind string) bool { return kind == "new lease" || kind == "renewal" }
 
 // serve handles a request of a controller.
-func (a *replyLossProxy) serve(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+func (a *replyLossProxy) serve(ctx context.Context, caller *transport.Client, from, method, target string, body []byte) (int, []byte) {
 	if a.isRefused(from) {
 		return 503, nil
 	}
-	kind := a.kindSent(from, method, target, body)
+	kind := a.requestKind(from, method, target, body)
 	if kind == "" {
 		status, answer := a.forward(ctx, caller, method, target, body)
 		var page wire.WatchResponse // a list response has a revision, too
@@ -125,7 +125,7 @@
 func (a *replyLossProxy) isRefused(from string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.cut[from])
+	return time.Now().Before(a.refusedUntil[from])
 }
 
 // findWrite returns the write that a request retries, or nil if the request is new.
@@ -247,8 +247,8 @@
 // applyConsequences injects the faults that accompany a loss, and has users poll the jobs that the
 // write changed.
 func (a *replyLossProxy) applyConsequences(s *trackedWrite, body []byte) {
-	if s.loss.cut > 0 {
-		a.cut[s.sender] = time.Now().Add(s.loss.cut)
+	if s.loss.senderRefused > 0 {
+		a.refusedUntil[s.sender] = time.Now().Add(s.loss.senderRefused)
 	}
 	if s.loss.outage > 0 {
 		during(s.loss.outage, a.sim.store.SetOutage)
@@ -257,7 +257,7 @@
 		back := restartDelay(a.rng)
 		go a.sim.crash(int(s.sender[2]-'0'), back, 0)
 	}
-	var t txnAsSent
+	var t receivedTxn
 	_ = wire.Decode(body, &t)
 	for _, c := range t.Then {
 		var batch store.BatchRecord
@@ -279,7 +279,7 @@
 func (a *replyLossProxy) pollAfter(id string, node int, delay time.Duration) {
 	ctx, cancel := context.WithTimeout(a.sim.ctx, delay+2*time.Second)
 	defer cancel()
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: a.net.Host("10.3.0.4").Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: a.net.Host("10.3.0.4").Dial}
 	time.Sleep(delay)
 	asked := time.Now()
 	resp, err := caller.Call(ctx, simulator.Address(a.sim.ip(node), 8080), "GET", wire.PathJobs+"/"+id, nil)
@@ -317,7 +317,7 @@
 // runReplyLossScenario simulates a day on which writes of each kind are committed and their senders
 // get no reply.
 func runReplyLossScenario(t *testing.T, seed uint64, share float64) (a *replyLossProxy) {
-	playAllWritesDay(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
+	simulateAllWrites(t, seed, []int{3, 5}[seed%2], func(w *simulation) *delayProxy {
 		a = newReplyLossProxy(w, seed, share)
 		return a.delayProxy
 	})
@@ -331,7 +331,7 @@
 func TestLostReplies(t *testing.T) {
 	all := map[string]replyLossTally{}
 	var mu sync.Mutex
-	playSeeds(t, 2, "AMBERDEAL_ATONCE", func(t *testing.T, seed uint64) {
+	runSeeds(t, 2, "AMBERDEAL_ATONCE", func(t *testing.T, seed uint64) {
 		share := 0.02
 		if seed >= 2 {
 			share = []float64{0.02, 0.05, 0.1}[seed%3]
@@ -371,9 +371,9 @@
 		})
 		l := newDelayProxy(t, w.net, "10.2.0.1:2379", 91, 0)
 		var claims atomic.Int64
-		l.serveInstead = func(ctx context.Context, caller *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+		l.serveInstead = func(ctx context.Context, caller *transport.Client, from, method, target string, body []byte) (int, []byte) {
 			status, answer := l.forward(ctx, caller, method, target, body)
-			if l.kindSent(from, method, target, body) == "claim" && status == 200 {
+			if l.requestKind(from, method, target, body) == "claim" && status == 200 {
 				claims.Add(1)
 				return noReply, nil
 			}
@@ -432,7 +432,7 @@
 type unknownLaunchProxy struct {
 	*delayProxy
 	sim    *simulation
-	caller *transport.Caller // of the user who cancels
+	caller *transport.Client // of the user who cancels
 
 	mu                sync.Mutex
 	currentJob        string
@@ -444,7 +444,7 @@
 // newUnknownLaunchProxy returns a proxy for the controllers of a simulation.
 func newUnknownLaunchProxy(w *simulation) *unknownLaunchProxy {
 	l := &unknownLaunchProxy{delayProxy: newDelayProxy(w.t, w.net, "10.2.0.1:2379", 92, 0), sim: w,
-		caller:     &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial},
+		caller:     &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.4").Dial},
 		currentJob: "none", roundCopies: map[string]int{}, roundBodies: map[string]string{}, readsRefusedUntil: map[string]time.Time{}}
 	l.serveInstead = l.serveRound
 	return l
@@ -460,7 +460,7 @@
 }
 
 // serveRound handles a request of a controller to the state service.
-func (l *unknownLaunchProxy) serveRound(ctx context.Context, via *transport.Caller, from, method, target string, body []byte) (int, []byte) {
+func (l *unknownLaunchProxy) serveRound(ctx context.Context, via *transport.Client, from, method, target string, body []byte) (int, []byte) {
 	l.mu.Lock()
 	id, n := l.currentJob, 0
 	if target == wire.PathTxn && bytes.Contains(body, []byte(id+"/0")) && (l.roundCopies[id] == 0 || l.roundBodies[id] == string(body)) {
@@ -474,7 +474,7 @@
 		return 503, nil
 	}
 	if n == 2 {
-		if status := l.call((int(from[2]-'0')+1)%3, wire.PathJobs+"/"+id+"/"+wire.CancelWord, []byte{}); status != 200 {
+		if status := l.call((int(from[2]-'0')+1)%3, wire.PathJobs+"/"+id+"/"+wire.CancelPathSuffix, []byte{}); status != 200 {
 			l.t.Errorf("cancellation of %s: status %d, want 200", id, status)
 		}
 	}
--- a/internal/simtest/many_teams_test.go
+++ b/internal/simtest/many_teams_test.go
@@ -63,7 +63,7 @@
 				w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Capacity = 40 })
 				const run = 8 * time.Second
 				for i := range x.active {
-					w.submitter(1, teamJob(i, names[i*len(names)/x.active], 3, run), time.Duration(i%20)*time.Second, 0, run)
+					w.startClient(1, teamJob(i, names[i*len(names)/x.active], 3, run), time.Duration(i%20)*time.Second, 0, run)
 				}
 				rng := rand.New(rand.NewPCG(1, 40))
 				for _, at := range []time.Duration{25 * time.Second, 30 * time.Second} {
@@ -71,7 +71,7 @@
 					w.handOverAll(handovers[0].apply, rng)
 				}
 				w.finishQuietly(0, 12*time.Minute)
-				if token := w.token(); token < 3 {
+				if token := w.lastFencingToken(); token < 3 {
 					t.Errorf("fencing token is %d, want at least 3: the leader has not changed twice", token)
 				}
 			})
@@ -93,10 +93,10 @@
 		})
 		const run = 15 * time.Second
 		running, waiting := teamJob(1, names[0], 3, run), teamJob(2, names[0], 2, run)
-		w.submitter(1, running, 0, 0, run)
-		w.submitter(1, waiting, time.Second, 0, run)
-		w.submitter(1, teamJob(3, names[1], 4, run), 0, 0, run)
-		if !waitUntil(40*time.Second, func() bool { return w.checker.Running(running.ID)+w.checker.Running(waiting.ID) > 0 }) {
+		w.startClient(1, running, 0, 0, run)
+		w.startClient(1, waiting, time.Second, 0, run)
+		w.startClient(1, teamJob(3, names[1], 4, run), 0, 0, run)
+		if !waitUntil(40*time.Second, func() bool { return w.checker.RunningTasks(running.ID)+w.checker.RunningTasks(waiting.ID) > 0 }) {
 			t.Error("no job of the team has started within 40 s")
 		}
 		removed.Store(true)
--- a/internal/simtest/new_machines_test.go
+++ b/internal/simtest/new_machines_test.go
@@ -54,7 +54,7 @@
 func (w *simulation) observeBoots(boot time.Duration) *bootObserver {
 	b := &bootObserver{Checker: w.checker, bootedAt: map[string]time.Time{}}
 	w.fixture = b
-	start := w.machine(2*sec, nil)
+	start := w.machineStarter(2*sec, nil)
 	w.cloud.SetFaults(func(*simulator.CloudFaults) {
 		w.cloud.BootTime = boot
 		w.cloud.Start = func(id, addr, typ, zone string, spot bool) simulator.Machine {
@@ -72,7 +72,7 @@
 
 // withSharding returns a settings function that sets the sharding, and keeps idle machines for an hour.
 func withSharding(by string) func(*config.Config) {
-	return func(c *config.Config) { c.Tuning.Shards.By, c.Tuning.Idle = by, time.Hour }
+	return func(c *config.Config) { c.Tuning.Shards.By, c.Tuning.IdleTimeout = by, time.Hour }
 }
 
 // outboundBlockDurations lie around the heartbeat interval, the response timeout, and a worker's lease.
@@ -103,13 +103,13 @@
 
 // runOutboundBlockScenario simulates a day on which machines can't open connections for the duration d.
 func runOutboundBlockScenario(t *testing.T, seed uint64, d, ends time.Duration, by string, count int) {
-	o := &outboundBlockScenario{seed: seed, duration: d, leaderEndsAfter: ends, blocked: map[string]upMachine{}}
+	o := &outboundBlockScenario{seed: seed, duration: d, leaderEndsAfter: ends, blocked: map[string]runningMachine{}}
 	script{seed: seed, count: count, settings: withSharding(by), setUp: o.setUp, steps: []step{
 		{50 * sec, "a long job", func(*simulation) { o.longJob.untilAnswered(o.longJob.submit) }},
 		{65 * sec, "half of the machines can only be called", o.startBlock},
 		{66500 * time.Millisecond, "a cancellation", func(*simulation) { o.longJob.untilAnswered(o.longJob.cancel) }},
 		{70 * sec, "which has stopped all", func(w *simulation) {
-			if n := w.checker.Running("wk-3"); n > 0 {
+			if n := w.checker.RunningTasks("wk-3"); n > 0 {
 				w.t.Errorf("%d tasks of a cancelled job still run", n)
 			}
 		}},
@@ -125,7 +125,7 @@
 	boots                     *bootObserver
 	longJob                   *client
 	token                     uint64
-	blocked                   map[string]upMachine
+	blocked                   map[string]runningMachine
 	machinesBefore            int // that were up when the fault began
 	replicasBefore            int // of the service, that ran when the fault began
 	tasksBefore               int // of the long job, that ran when the fault began
@@ -135,15 +135,15 @@
 
 func (o *outboundBlockScenario) setUp(w *simulation) {
 	o.boots, o.leaderElected = w.observeBoots(2*sec), make(chan time.Time, 1)
-	w.submitter(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // makes the leader rent eight machines
-	w.submitter(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.duration+3*time.Minute, forever)
+	w.startClient(o.seed, jobOf("wk-1", wire.Array, 8, 20*sec, func(j *wire.Job) { j.GPUs = 4 }), 5*sec, 0, 20*sec) // makes the leader rent eight machines
+	w.startClient(o.seed, jobOf("wk-2", wire.Service, 4, 0, func(j *wire.Job) { j.GPUs = 2 }), 50*sec, 65*sec+o.duration+3*time.Minute, serviceRunTime)
 	o.longJob = w.client(jobOf("wk-3", wire.Array, 8, 10*time.Minute), rngOf(o.seed, "wk-3"), 10*time.Minute)
-	w.submitter(o.seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
+	w.startClient(o.seed, jobOf("wk-4", wire.Array, 8, 40*sec), 65*sec+outboundBlockGrace, 0, 40*sec)
 }
 
 // startBlock starts the fault, and schedules the crash of the leader if there is one.
 func (o *outboundBlockScenario) startBlock(w *simulation) {
-	o.replicasBefore, o.tasksBefore, o.startedAt, o.token = w.checker.Running("wk-2"), w.checker.Running("wk-3"), time.Now(), w.token()
+	o.replicasBefore, o.tasksBefore, o.startedAt, o.token = w.checker.RunningTasks("wk-2"), w.checker.RunningTasks("wk-3"), time.Now(), w.lastFencingToken()
 	for i, m := range w.runningMachines() {
 		if o.machinesBefore++; i%2 == 0 || i < 2 {
 			o.blocked[m.id] = m
@@ -154,7 +154,7 @@
 		w.group.Go(func() {
 			time.Sleep(o.leaderEndsAfter)
 			w.crash(w.anyLeader(), 400*time.Millisecond, 0)
-			for w.token() == o.token {
+			for w.lastFencingToken() == o.token {
 				time.Sleep(50 * time.Millisecond)
 			}
 			o.leaderElected <- time.Now()
@@ -165,7 +165,7 @@
 // checkAfterBlock checks, at the end of the fault, that the fault had an effect and that all replicas run.
 func (o *outboundBlockScenario) checkAfterBlock(w *simulation) {
 	o.endedAt = time.Now()
-	if n := w.checker.Running("wk-2"); o.duration > workerLease+10*sec && n < 4 {
+	if n := w.checker.RunningTasks("wk-2"); o.duration > workerLease+10*sec && n < 4 {
 		w.t.Errorf("%d of 4 replicas run", n)
 	}
 	lost := 0
@@ -179,8 +179,8 @@
 
 // checkGangUsesAllMachines submits a gang that needs all machines, and checks that it starts in time.
 func (o *outboundBlockScenario) checkGangUsesAllMachines(w *simulation) {
-	w.submitter(o.seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
-	for w.checker.Running("wk-5") < 10 && time.Since(o.endedAt) < 2*time.Minute {
+	w.startClient(o.seed, jobOf("wk-5", wire.Gang, 10, 20*sec, func(j *wire.Job) { j.GPUs = 2 }), 0, 0, 20*sec)
+	for w.checker.RunningTasks("wk-5") < 10 && time.Since(o.endedAt) < 2*time.Minute {
 		time.Sleep(sec)
 	}
 	if late := time.Since(o.endedAt); late > 60*sec {
@@ -209,17 +209,17 @@
 // newMachineFaults are what happens to machines when the leader crashes.
 var newMachineFaults = []struct {
 	name  string
-	apply func(w *simulation, m upMachine)
+	apply func(w *simulation, m runningMachine)
 }{
-	{"live on", func(*simulation, upMachine) {}},
-	{"are deaf", func(_ *simulation, m upMachine) { loseInbound(15*sec, m) }},
-	{"are cut off", func(w *simulation, m upMachine) {
+	{"live on", func(*simulation, runningMachine) {}},
+	{"are deaf", func(_ *simulation, m runningMachine) { dropInbound(15*sec, m) }},
+	{"are cut off", func(w *simulation, m runningMachine) {
 		during(17*sec, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
-	{"can only be called", func(w *simulation, m upMachine) {
+	{"can only be called", func(w *simulation, m runningMachine) {
 		during(12*sec, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 	}},
-	{"are gone", func(w *simulation, m upMachine) { w.cloud.Preempt(m.id, 0) }},
+	{"are gone", func(w *simulation, m runningMachine) { w.cloud.Preempt(m.id, 0) }},
 }
 
 // TestNewMachinesAsLeaderEnds has machines boot before the response to their rental and before the
@@ -231,7 +231,7 @@
 func TestNewMachinesAsLeaderEnds(t *testing.T) {
 	for n, at := range leaderEndOffsets {
 		for k, x := range newMachineFaults {
-			for f, fate := range []simulator.Fate{simulator.FateAnswered, simulator.FateReplyLost, simulator.FateDelayed} {
+			for f, fate := range []simulator.TxnOutcome{simulator.TxnAnswered, simulator.TxnReplyLost, simulator.TxnDelayed} {
 				if !allCasesRequested("AMBERDEAL_NEWMACHINES") && (k != n%len(newMachineFaults) || f != (n+n/3)%3) {
 					continue
 				}
@@ -245,13 +245,13 @@
 }
 
 // runNewMachineScenario simulates a day on which the leader crashes some time after a launch on a new machine.
-func runNewMachineScenario(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, upMachine), fate simulator.Fate, by string, count int, late bool) {
+func runNewMachineScenario(t *testing.T, seed uint64, at time.Duration, apply func(*simulation, runningMachine), fate simulator.TxnOutcome, by string, count int, late bool) {
 	d := &newMachineScenario{seed: seed, endsAfter: at, apply: apply, fate: fate, lateRental: late}
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By, c.Cloud.ListLag = by, 4*sec }, setUp: d.setUp, steps: []step{
 		{6 * sec, "a launch on a new machine, and the leader ends", d.endLeader},
 	}, verify: func(w *simulation) {
-		if d.unlistedMachines == 0 || w.token() == d.token {
-			w.t.Errorf("%d machines were not listed yet, fencing token %d after %d; want some, and a higher token", d.unlistedMachines, w.token(), d.token)
+		if d.unlistedMachines == 0 || w.lastFencingToken() == d.token {
+			w.t.Errorf("%d machines were not listed yet, fencing token %d after %d; want some, and a higher token", d.unlistedMachines, w.lastFencingToken(), d.token)
 		}
 	}, quietTime: 60 * sec}.run(t)
 }
@@ -260,9 +260,9 @@
 type newMachineScenario struct {
 	seed             uint64
 	endsAfter        time.Duration
-	apply            func(*simulation, upMachine) // is called for every second machine
-	fate             simulator.Fate               // of the write of the launch
-	lateRental       bool                         // rentals are carried out late, and not answered
+	apply            func(*simulation, runningMachine) // is called for every second machine
+	fate             simulator.TxnOutcome              // of the write of the launch
+	lateRental       bool                              // rentals are carried out late, and not answered
 	boots            *bootObserver
 	launchedShard    chan string // the shard of the launch
 	token            uint64      // before the crash
@@ -278,21 +278,21 @@
 	})
 	known, launched := map[string]string{}, false
 	w.store.Configure(func(s *simulator.StateService) {
-		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+		s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 			is, shard := recordsLaunch(known, puts)
 			if !is || launched {
-				return simulator.FateAnswered
+				return simulator.TxnAnswered
 			}
 			launched = true
 			d.launchedShard <- shard
 			return d.fate
 		}
 	})
-	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 40*sec, red), 6*sec, 0, 40*sec)
-	w.submitter(d.seed, jobOf("wk-2", wire.Gang, 3, 40*sec, oneZone, saves), 6*sec, 0, 40*sec)
-	w.submitter(d.seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 2*time.Minute, forever)
-	w.submitter(d.seed, jobOf("wk-4", wire.Array, 3, 30*sec, oneZone), 6*sec, 0, 30*sec)
-	w.submitter(d.seed, jobOf("wk-5", wire.Array, 2, 30*sec), 6*sec, 45*sec, 10*time.Minute)
+	w.startClient(d.seed, jobOf("wk-1", wire.Array, 9, 40*sec, teamRed), 6*sec, 0, 40*sec)
+	w.startClient(d.seed, jobOf("wk-2", wire.Gang, 3, 40*sec, inOneZone, withCheckpoints), 6*sec, 0, 40*sec)
+	w.startClient(d.seed, jobOf("wk-3", wire.Service, 4, 0, spreadOverZones), 6*sec, 2*time.Minute, serviceRunTime)
+	w.startClient(d.seed, jobOf("wk-4", wire.Array, 3, 30*sec, inOneZone), 6*sec, 0, 30*sec)
+	w.startClient(d.seed, jobOf("wk-5", wire.Array, 2, 30*sec), 6*sec, 45*sec, 10*time.Minute)
 }
 
 // endLeader waits for the launch, crashes the leader, and checks that the service recovers.
@@ -305,7 +305,7 @@
 		return
 	}
 	time.Sleep(d.endsAfter)
-	d.token = w.token()
+	d.token = w.lastFencingToken()
 	d.boots.mu.Lock()
 	for _, up := range d.boots.bootedAt {
 		if time.Since(up) < 2*w.cloud.ListLag {
@@ -322,7 +322,7 @@
 	time.Sleep(10 * sec)
 	w.cloud.SetFaults(func(f *simulator.CloudFaults) { f.RentDelay = 0 })
 	time.Sleep(45 * sec)
-	if n := w.checker.Running("wk-3"); n != 4 {
+	if n := w.checker.RunningTasks("wk-3"); n != 4 {
 		w.t.Errorf("%d of 4 replicas run", n)
 	}
 }
--- a/internal/simtest/overload_test.go
+++ b/internal/simtest/overload_test.go
@@ -51,13 +51,13 @@
 type overload struct {
 	*simulation
 	*simulator.Checker
-	jobRNG    *rand.Rand
-	slowRNG   *rand.Rand
-	mu        sync.Mutex
-	jobsByID  map[string]*overloadJob
-	order     []*overloadJob
-	keyCounts []map[string]int // by kind, every five seconds
-	heapBytes []uint64         // heap in use, every minute
+	jobRNG      *rand.Rand
+	slowRNG     *rand.Rand
+	mu          sync.Mutex
+	jobsByID    map[string]*overloadJob
+	jobsInOrder []*overloadJob
+	keyCounts   []map[string]int // by kind, every five seconds
+	heapBytes   []uint64         // heap in use, every minute
 }
 
 func (f *overload) job(job string) *overloadJob {
@@ -109,7 +109,7 @@
 func (f *overload) addJob(j *wire.Job, run, cancel time.Duration) {
 	d := &overloadJob{client: f.client(j, rngOf(1, j.ID), run), arrivedAt: time.Now()}
 	f.mu.Lock()
-	f.jobsByID[j.ID], f.order = d, append(f.order, d)
+	f.jobsByID[j.ID], f.jobsInOrder = d, append(f.jobsInOrder, d)
 	f.mu.Unlock()
 	f.group.Go(func() {
 		retryUntilAnswered := func(send func(controller int) int) time.Time {
@@ -149,7 +149,7 @@
 func (f *overload) sampleUsage() {
 	for n := 0; f.ctx.Err() == nil; n++ {
 		keys := map[string]int{}
-		for kind, k := range f.account().Kinds {
+		for kind, k := range f.verifyState().Kinds {
 			keys[kind] = k.Keys
 		}
 		f.keyCounts = append(f.keyCounts, keys)
@@ -216,14 +216,14 @@
 	injected := overloadFaults[faultName]
 	time.Sleep(10 * time.Second)
 	f.pollGroup.Go(f.sampleUsage)
-	token, start := f.token(), time.Now()
+	token, start := f.lastFencingToken(), time.Now()
 	_, changesBefore, _ := f.store.Counts()
 	time.AfterFunc(time.Minute, func() { injected.apply(f) })
 	f.generate(time.Duration(minutes) * time.Minute)
 	_, changesAfter, _ := f.store.Counts()
 	changeRate := float64(changesAfter-changesBefore) / time.Since(start).Seconds()
 	time.Sleep(75 * time.Second) // all jobs have ended by then, and wait for 15 s at most to be compacted
-	left := f.account()
+	left := f.verifyState()
 	f.declareQuiet()
 	f.finish(3 * time.Minute)
 
@@ -232,12 +232,12 @@
 	cancelled, ended := f.measure(bounds)
 	f.checkBounds(bounds)
 	// Checks that there was an overload: about four jobs a second, a quarter cancelled, most of the others done.
-	n := len(f.order)
+	n := len(f.jobsInOrder)
 	f.t.Logf("%d jobs, %d cancelled, %d ended, %.1f of at most %v changes a second", n, cancelled, ended, changeRate, s.limits.WriteRPS)
 	if n < minutes*60*7/2 || cancelled < n/5 || ended < n/2 {
 		f.t.Errorf("%d jobs in %d minutes, %d cancelled, %d ended", n, minutes, cancelled, ended)
 	}
-	if strings.Contains(faultName, "leader") && f.token() < token+2 {
+	if strings.Contains(faultName, "leader") && f.lastFencingToken() < token+2 {
 		f.t.Error("the leader did not change twice")
 	}
 	// Live jobs run for 12 s at most, and ended ones wait for 15 s at most to be compacted.
@@ -279,7 +279,7 @@
 
 // measure records the longest time of each step over all jobs in bounds, and counts the cancelled and ended jobs.
 func (f *overload) measure(bounds map[string]overloadBound) (cancelled, ended int) {
-	for _, d := range f.order {
+	for _, d := range f.jobsInOrder {
 		took := map[string]time.Duration{"accepted": d.acceptedAt.Sub(d.arrivedAt)}
 		if !d.cancelConfirmedAt.IsZero() {
 			took["cancelled"] = d.cancelConfirmedAt.Sub(d.cancelRequestedAt)
@@ -313,7 +313,7 @@
 
 // checkKeys checks how many keys the state service held, and how many batches compaction has left.
 func (f *overload) checkKeys(s deployment, full bool, maxBatches, minutes int, left archive.Report) {
-	t, n, batches := f.t, len(f.order), 0
+	t, n, batches := f.t, len(f.jobsInOrder), 0
 	for _, k := range f.keyCounts {
 		batches = max(batches, k["batch"])
 		if k["ledger"] > 8 || k["recent"] > 8 {
--- a/internal/simtest/process_stalls_test.go
+++ b/internal/simtest/process_stalls_test.go
@@ -26,8 +26,8 @@
 	time.AfterFunc(d, func() { apply(false) })
 }
 
-// everyMachine returns the hosts of all running machines.
-func (w *simulation) everyMachine() (hosts []string) {
+// machineHosts returns the hosts of all running machines.
+func (w *simulation) machineHosts() (hosts []string) {
 	for i := range w.cloud.CountRunning() {
 		hosts = append(hosts, simulator.HostOf(w.cloud.AddrOfNth(i)))
 	}
@@ -56,13 +56,13 @@
 	}},
 	{"machines hear a controller, which does not hear them", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		ip := w.ip(rng.IntN(3))
-		for _, host := range w.everyMachine() {
+		for _, host := range w.machineHosts() {
 			during(d, func(on bool) { w.net.DropOneWay(host, ip, on) })
 		}
 	}},
 	{"a controller hears machines, which do not hear it", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		ip := w.ip(rng.IntN(3))
-		for _, host := range w.everyMachine() {
+		for _, host := range w.machineHosts() {
 			during(d, func(on bool) { w.net.DropOneWay(ip, host, on) })
 		}
 	}},
@@ -73,7 +73,7 @@
 		}
 	}},
 	{"one machine's answers are lost", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		if hosts := w.everyMachine(); len(hosts) > 0 {
+		if hosts := w.machineHosts(); len(hosts) > 0 {
 			host := hosts[rng.IntN(len(hosts))]
 			for i := range 3 {
 				during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
@@ -81,13 +81,13 @@
 		}
 	}},
 	{"one machine can only be called", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		if hosts := w.everyMachine(); len(hosts) > 0 {
+		if hosts := w.machineHosts(); len(hosts) > 0 {
 			host := hosts[rng.IntN(len(hosts))]
 			during(d, func(on bool) { w.net.RefuseOutbound(host, on) })
 		}
 	}},
 	{"a machine hangs", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		if hosts := w.everyMachine(); len(hosts) > 0 {
+		if hosts := w.machineHosts(); len(hosts) > 0 {
 			host := hosts[rng.IntN(len(hosts))]
 			during(d, func(on bool) { w.net.SetDown(host, on) })
 		}
@@ -118,15 +118,15 @@
 // are slow at every step, sockets run out, and messages pass in one direction only. AMBERDEAL_STALLS
 // sets the number of days, AMBERDEAL_STALL runs one.
 func TestProcessStalls(t *testing.T) {
-	playSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("off"), nil) })
+	runSeeds(t, 24, "AMBERDEAL_STALL", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("off"), nil) })
 }
 
 // sameSharding returns a function that gives every controller the same sharding.
 func sameSharding(by string) func(string) string { return func(string) string { return by } }
 
-// playSeeds simulates a day for each seed from 0 to days-1. The environment variable named variable
+// runSeeds simulates a day for each seed from 0 to days-1. The environment variable named variable
 // plus "S" sets another number of days, and variable itself selects a single seed.
-func playSeeds(t *testing.T, days uint64, variable string, simulate func(t *testing.T, seed uint64)) {
+func runSeeds(t *testing.T, days uint64, variable string, simulate func(t *testing.T, seed uint64)) {
 	first := uint64(0)
 	if text := os.Getenv(variable + "S"); text != "" {
 		days, _ = strconv.ParseUint(text, 10, 64)
@@ -149,15 +149,15 @@
 	w := newSimulation(t, seed, 0.02*float64(rng.IntN(3)), func(c *config.Config) { tuning.apply(c, shardingOf(c.Name)) })
 	w.group.Go(func() { w.submit(seed, 24) })
 	time.Sleep(10 * time.Second)
-	w.playFaults(rng, 14, 12*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 60) })
+	w.injectFaults(rng, 14, 12*time.Second, func(int) (fault, time.Duration) { return drawFault(rng, faults, 60) })
 	if settle != nil {
 		settle(w)
 	}
-	w.finishDay(20 * time.Minute)
+	w.finishAndCheck(20 * time.Minute)
 }
 
 // TestShardsThroughFaults simulates days like those of TestProcessStalls with a fleet in two shards.
 // AMBERDEAL_PARTS sets their number, AMBERDEAL_PART runs one.
 func TestShardsThroughFaults(t *testing.T) {
-	playSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("zone"), nil) })
+	runSeeds(t, 12, "AMBERDEAL_PART", func(t *testing.T, seed uint64) { runStallScenario(t, seed, sameSharding("zone"), nil) })
 }
--- a/internal/simtest/process_test.go
+++ b/internal/simtest/process_test.go
@@ -36,7 +36,7 @@
 	store          *simulator.StateService
 	cloud          *simulator.Cloud
 	checker        *simulator.Checker
-	caller         *transport.Caller
+	caller         *transport.Client
 	stateParams    map[string]any // params.state of the platform file
 	stateAddr      string         // address of the state service
 	guaranteedCPUs float64        // CPUs that the team blue is guaranteed
@@ -47,7 +47,7 @@
 }
 
 // sockets is the loopback network of the test's process.
-var sockets = transport.Sockets{Log: slog.New(slog.DiscardHandler)}
+var sockets = transport.TCPNetwork{Log: slog.New(slog.DiscardHandler)}
 
 // newProcessCluster builds the program and starts the simulated services, but no controller. The test's
 // cleanup ends everything. state is params.state of the platform files, ini the settings file, and
@@ -55,7 +55,7 @@
 func newProcessCluster(t testing.TB, state map[string]any, ini string, capacity int) *processCluster {
 	ctx, stop := context.WithCancel(context.Background())
 	c := &processCluster{t: t, ctx: ctx, dir: t.TempDir(), store: simulator.NewStateService(1, 0), stateParams: state,
-		caller: &transport.Caller{MaxBody: 1 << 20, Dial: sockets.Dial}}
+		caller: &transport.Client{MaxBody: 1 << 20, Dial: sockets.Dial}}
 	c.subnet = fmt.Sprintf("127.%d.%d.", 20+os.Getpid()%200, 1+time.Now().UnixNano()%250)
 	c.stateAddr = c.subnet + "200:2379"
 	c.checker = simulator.NewChecker(30*time.Second, map[string]float64{"red": 12})
@@ -243,7 +243,7 @@
 	cancelled := n%3 == 0
 	for !c.checker.Stage(id).Final() && c.ctx.Err() == nil {
 		if cancelled {
-			status, stage = c.ask(n+1, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{})
+			status, stage = c.ask(n+1, "POST", jobPath(id)+"/"+wire.CancelPathSuffix, []byte{})
 		} else {
 			time.Sleep(50 * time.Millisecond)
 			status, stage = c.ask(n+1, "GET", jobPath(id), nil)
@@ -393,7 +393,7 @@
 				}
 				id, begun := fmt.Sprintf("wk-%07d", n*7919%10_000_000), time.Now()
 				c.runJob(id, n)
-				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}) // the answer has to stay the same
+				status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelPathSuffix, []byte{}) // the answer has to stay the same
 				c.checker.ObserveAnswer(id, status, stage, n%3 == 0)
 				mu.Lock()
 				jobs, longest = jobs+1, max(longest, time.Since(begun))
@@ -571,7 +571,7 @@
 	})
 	took := time.Since(begun)
 	each(func(id string, n int) {
-		if status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelWord, []byte{}); status != 200 || stage != wire.Cancelled {
+		if status, stage := c.ask(n, "POST", jobPath(id)+"/"+wire.CancelPathSuffix, []byte{}); status != 200 || stage != wire.Cancelled {
 			c.t.Errorf("cancellation of %s was answered %d, stage %s", id, status, stage)
 		}
 	})
--- a/internal/simtest/quota_failover_test.go
+++ b/internal/simtest/quota_failover_test.go
@@ -36,7 +36,7 @@
 func (w *simulation) usedGPUs(team string) (sum float64) {
 	for _, id := range w.checker.Jobs() {
 		if j, _ := w.checker.Describe(id); j.Team == team {
-			sum += j.GPUs * float64(w.checker.Running(id))
+			sum += j.GPUs * float64(w.checker.RunningTasks(id))
 		}
 	}
 	return sum
@@ -60,17 +60,17 @@
 // unreachableFaults are the ways in which a machine becomes unreachable for a while.
 var unreachableFaults = []struct {
 	name  string
-	apply func(w *simulation, m upMachine, d time.Duration)
+	apply func(w *simulation, m runningMachine, d time.Duration)
 }{
-	{"cut off", func(w *simulation, m upMachine, d time.Duration) {
+	{"cut off", func(w *simulation, m runningMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.SetDown(m.host, on) })
 	}},
-	{"hanging", func(_ *simulation, m upMachine, d time.Duration) { m.Pause(d) }},
-	{"receiving nothing", func(_ *simulation, m upMachine, d time.Duration) { loseInbound(d, m) }},
-	{"sending nothing", func(w *simulation, m upMachine, d time.Duration) {
+	{"hanging", func(_ *simulation, m runningMachine, d time.Duration) { m.Pause(d) }},
+	{"receiving nothing", func(_ *simulation, m runningMachine, d time.Duration) { dropInbound(d, m) }},
+	{"sending nothing", func(w *simulation, m runningMachine, d time.Duration) {
 		during(d, func(on bool) { w.net.RefuseOutbound(m.host, on) })
 	}},
-	{"delayed", func(w *simulation, m upMachine, d time.Duration) { w.net.Hold(m.host, d) }},
+	{"delayed", func(w *simulation, m runningMachine, d time.Duration) { w.net.Hold(m.host, d) }},
 }
 
 // handover is a way in which a controller loses the shards that it leads.
@@ -93,9 +93,9 @@
 	}},
 	{"stands still", func(w *simulation, i int, _ *rand.Rand) { w.net.Pause(w.ip(i), 15*time.Second) }},
 	{"crashes, and so does the next", func(w *simulation, i int, rng *rand.Rand) {
-		token := w.token()
+		token := w.lastFencingToken()
 		w.crash(i, restartDelay(rng), 0)
-		waitUntil(20*time.Second, func() bool { return w.token() > token })
+		waitUntil(20*time.Second, func() bool { return w.lastFencingToken() > token })
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Millisecond)
 		w.handOverAll(func(w *simulation, i int, _ *rand.Rand) { w.crash(i, 10*time.Second, 0) }, rng)
 	}},
@@ -153,8 +153,8 @@
 func drawQuotaFailover(seed uint64) quotaFailoverCase {
 	rng := rand.New(rand.NewPCG(seed, 30))
 	d := quotaFailoverCase{seed: seed, sharding: []string{"off", "zone"}[seed%2], count: []int{3, 5}[seed/2%2], unreachableKind: int(seed) % len(unreachableFaults), handoverKind: int(seed*5+seed/8) % len(handovers),
-		faultDuration: nearBound(rng, 2*time.Second, 70*time.Second), cloudKeepsMachines: rng.IntN(2) == 0, gangSpansZones: rng.IntN(2) == 0, oneMachineOnly: rng.IntN(2) == 0}
-	d.handoverAt = nearBound(rng, 0, 30*time.Second)
+		faultDuration: drawNearBound(rng, 2*time.Second, 70*time.Second), cloudKeepsMachines: rng.IntN(2) == 0, gangSpansZones: rng.IntN(2) == 0, oneMachineOnly: rng.IntN(2) == 0}
+	d.handoverAt = drawNearBound(rng, 0, 30*time.Second)
 	d.cancelAt = max(-d.handoverAt, time.Duration(rng.IntN(10000)-4000)*time.Millisecond)
 	return d
 }
@@ -186,7 +186,7 @@
 		r.cancel()
 	}
 	r.sleepUntilAfterFault(d.handoverAt)
-	token := r.token()
+	token := r.lastFencingToken()
 	if quotaCasesRun.Add(1); r.allTeamsAtLimit() {
 		quotaCasesAtLimit.Add(1)
 	}
@@ -203,7 +203,7 @@
 			t.Errorf("%s is %s, want cancelled", c.job.ID, r.checker.Stage(c.job.ID))
 		}
 	}
-	if r.token() == token {
+	if r.lastFencingToken() == token {
 		t.Error("the leader did not change")
 	}
 	r.checkQuotasUsed()
@@ -221,17 +221,17 @@
 // submit submits a job of a team; n distinguishes it from the team's other jobs.
 func (r *quotaFailoverRun) submit(n int, team string, shape wire.Shape, tasks int, gpus float64, run, cancel time.Duration, options ...func(*wire.Job)) *client {
 	j := jobOf(fmt.Sprintf("wk-%d%d", 1+slices.Index(limitedTeams, team), n), shape, tasks, run, append(options, func(j *wire.Job) { j.Team, j.GPUs, j.CPUs, j.MemoryGB = team, gpus, 1, 4 })...)
-	return r.submitter(r.testCase.seed, j, 0, cancel, run)
+	return r.startClient(r.testCase.seed, j, 0, cancel, run)
 }
 
 // submitAll submits jobs that use the whole quotas, most of which are cancelled later, and then jobs
 // that have to wait.
 func (r *quotaFailoverRun) submitAll() {
 	const long, short = 10 * time.Minute, 25 * time.Second
-	zones := map[bool]func(*wire.Job){false: oneZone, true: spread}[r.testCase.gangSpansZones]
+	zones := map[bool]func(*wire.Job){false: inOneZone, true: spreadOverZones}[r.testCase.gangSpansZones]
 	for _, team := range limitedTeams {
-		r.toCancel = append(r.toCancel, r.submit(1, team, wire.Array, 2, 1, long, 0), r.submit(2, team, wire.Gang, 2, 1, long, 0, saves, zones))
-		r.submit(3, team, wire.Service, 2, 1, forever, 4*time.Minute)
+		r.toCancel = append(r.toCancel, r.submit(1, team, wire.Array, 2, 1, long, 0), r.submit(2, team, wire.Gang, 2, 1, long, 0, withCheckpoints, zones))
+		r.submit(3, team, wire.Service, 2, 1, serviceRunTime, 4*time.Minute)
 	}
 	r.toCancel = append(r.toCancel, r.submit(4, "blue", wire.Array, 2, 1, long, 0, func(j *wire.Job) { j.Zone = "a" }))
 	if !waitUntil(50*time.Second, r.allTeamsAtLimit) {
@@ -239,7 +239,7 @@
 	}
 	for _, team := range limitedTeams {
 		r.submit(5, team, wire.Array, 1, 3, short, 0)
-		r.submit(6, team, wire.Gang, 2, 2, short, 0, spread)
+		r.submit(6, team, wire.Gang, 2, 2, short, 0, spreadOverZones)
 		r.submit(7, team, wire.Array, 30, 1, short, 0)
 	}
 }
@@ -286,7 +286,7 @@
 // machines with cancelled jobs are unreachable, and that freed quota is used again. AMBERDEAL_LIMITS
 // sets the number of days, AMBERDEAL_LIMIT runs one.
 func TestQuotasHoldThroughFailover(t *testing.T) {
-	playSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
+	runSeeds(t, 8, "AMBERDEAL_LIMIT", func(t *testing.T, seed uint64) { drawQuotaFailover(seed).run(t) })
 	t.Logf("every team was at its limit when the leader changed on %d of %d days", quotaCasesAtLimit.Load(), quotaCasesRun.Load())
 	if n := quotaCasesRun.Load(); n > 7 && quotaCasesAtLimit.Load()*3 < n {
 		t.Error("on most days the teams were below their limits when the leader changed")
--- a/internal/simtest/replayed_heartbeats_test.go
+++ b/internal/simtest/replayed_heartbeats_test.go
@@ -29,7 +29,7 @@
 
 // recordHeartbeats records a current heartbeat of each machine, without sending it to a controller.
 func (d *heartbeatRecorder) recordHeartbeats() {
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
+	caller := &transport.Client{MaxBody: 8 << 20, Dial: d.net.Host("10.3.0.5").Dial}
 	for _, m := range d.runningMachines() {
 		ctx, cancel := context.WithTimeout(d.ctx, sec)
 		resp, err := caller.Call(ctx, simulator.Address(m.host, 9000), "GET", wire.PathStatus, nil)
@@ -42,7 +42,7 @@
 }
 
 // machinesInZoneA returns the machines of zone a, which is a shard of its own if shards are by zone.
-func (d *heartbeatRecorder) machinesInZoneA() (out []upMachine) {
+func (d *heartbeatRecorder) machinesInZoneA() (out []runningMachine) {
 	inZoneA := map[string]bool{}
 	d.cloud.EachRunning(func(l wire.ListedMachine, _ simulator.Machine) { inZoneA[l.ID] = l.Zone == "a" })
 	for _, m := range d.runningMachines() {
@@ -91,7 +91,7 @@
 	for _, m := range d.runningMachines() {
 		running[m.id] = true
 	}
-	caller := &transport.Caller{MaxBody: 8 << 20, Dial: d.net.Host("10.4.0.1").Dial}
+	caller := &transport.Client{MaxBody: 8 << 20, Dial: d.net.Host("10.4.0.1").Dial}
 	for k := range d.heartbeats {
 		r := &d.heartbeats[k]
 		if newestFirst {
@@ -151,7 +151,7 @@
 	script{seed: seed, count: count, settings: func(c *config.Config) { c.Tuning.Shards.By = by }, setUp: d.setUp, steps: []step{
 		{22 * sec, "a machine is deaf, until its lease is over", func(*simulation) {
 			d.expiredMachine = d.machinesInZoneA()[0].id
-			loseInbound(24*sec, d.machinesInZoneA()[0])
+			dropInbound(24*sec, d.machinesInZoneA()[0])
 		}},
 		{34 * sec, "a machine dies", func(w *simulation) { w.cloud.Crash(d.machinesInZoneA()[1].id) }},
 		{50 * sec, "the leader ends", func(w *simulation) { w.crash(d.leaderOfA(), 300*time.Millisecond, 0) }},
@@ -192,11 +192,11 @@
 			}
 		}
 	})
-	w.submitter(d.seed, jobOf("wk-1", wire.Array, 9, 70*sec, red), 6*sec, 0, 70*sec) // up to its team's quota
-	w.submitter(d.seed, jobOf("wk-2", wire.Gang, 3, 80*sec, oneZone, saves), 6*sec, 0, 80*sec)
-	w.submitter(d.seed, jobOf("wk-3", wire.Service, 4, 0, spread), 6*sec, 4*time.Minute, forever)
-	w.submitter(d.seed, jobOf("wk-4", wire.Array, 3, 14*sec), 6*sec, 0, 14*sec)
-	w.submitter(d.seed, jobOf("wk-5", wire.Array, 4, 60*sec, oneZone), 25*sec, 0, 60*sec)
+	w.startClient(d.seed, jobOf("wk-1", wire.Array, 9, 70*sec, teamRed), 6*sec, 0, 70*sec) // up to its team's quota
+	w.startClient(d.seed, jobOf("wk-2", wire.Gang, 3, 80*sec, inOneZone, withCheckpoints), 6*sec, 0, 80*sec)
+	w.startClient(d.seed, jobOf("wk-3", wire.Service, 4, 0, spreadOverZones), 6*sec, 4*time.Minute, serviceRunTime)
+	w.startClient(d.seed, jobOf("wk-4", wire.Array, 3, 14*sec), 6*sec, 0, 14*sec)
+	w.startClient(d.seed, jobOf("wk-5", wire.Array, 4, 60*sec, inOneZone), 25*sec, 0, 60*sec)
 	w.group.Go(func() {
 		for range 10 {
 			time.Sleep(4700 * time.Millisecond)
@@ -219,7 +219,7 @@
 func (d *replayScenario) leaderToCrash() int {
 	machines := d.machinesInZoneA()
 	if slices.ContainsFunc(d.heartbeats, func(r wire.Heartbeat) bool {
-		return slices.ContainsFunc(machines, func(m upMachine) bool { return m.id == r.Machine })
+		return slices.ContainsFunc(machines, func(m runningMachine) bool { return m.id == r.Machine })
 	}) {
 		return d.leaderOfA()
 	}
@@ -240,7 +240,7 @@
 	for len(d.elected) > 0 {
 		<-d.elected
 	}
-	d.previousToken = w.token()
+	d.previousToken = w.lastFencingToken()
 	if i := d.leaderToCrash(); d.slowRestart {
 		w.kill(i, 12*sec)
 	} else {
@@ -265,7 +265,7 @@
 		d.replayAll(d.seed%2 == 0)
 	}
 	time.Sleep(d.partitionDuration + 40*sec)
-	if n := w.checker.Running("wk-3"); n != 4 {
+	if n := w.checker.RunningTasks("wk-3"); n != 4 {
 		w.t.Errorf("%d of 4 replicas run", n)
 	}
 }
--- a/internal/simtest/reshard_test.go
+++ b/internal/simtest/reshard_test.go
@@ -26,7 +26,7 @@
 func newReshardSimulation(t *testing.T, seed uint64, lossy float64, modify func(*config.Config)) *reshardSimulation {
 	r := &reshardSimulation{}
 	r.simulation = newSimulation(t, seed, lossy, func(c *config.Config) {
-		c.Tuning.Shards.By = r.shardings.of(c.Name)
+		c.Tuning.Shards.By = r.shardings.forController(c.Name)
 		if modify != nil {
 			modify(c)
 		}
@@ -37,7 +37,7 @@
 // submitArray submits an array of tasks with the given run time.
 func (r *reshardSimulation) submitArray(tasks int, run time.Duration) {
 	r.jobs++
-	r.user(&wire.Job{ID: fmt.Sprintf("wk-%d", 100+r.jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
+	r.startUser(&wire.Job{ID: fmt.Sprintf("wk-%d", 100+r.jobs), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: tasks,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: run.Seconds()}, run, 0)
 }
 
@@ -57,8 +57,8 @@
 	changed sync.Map // shardings that differ from initial, by the controller's name
 }
 
-// of returns the sharding setting of a controller.
-func (s *shardingSettings) of(controller string) string {
+// forController returns the sharding setting of a controller.
+func (s *shardingSettings) forController(controller string) string {
 	if by, ok := s.changed.Load(controller); ok {
 		return by.(string)
 	}
@@ -110,7 +110,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newReshardSimulation(t, 21, 0, nil)
 		w.startService("wk-1", 20*time.Minute)
-		w.user(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Gang, Priority: wire.High, Tasks: 4, Spread: true, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img",
+		w.startUser(&wire.Job{ID: "wk-2", Class: "c", Team: "blue", Shape: wire.Gang, Priority: wire.High, Tasks: 4, Spread: true, CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img",
 			ImageGB: 1, EstimateS: 800}, 15*time.Minute, 0) // spread over both zones
 		time.Sleep(40 * time.Second)
 		if w.checker.Started != 10 {
@@ -154,7 +154,7 @@
 // change the sharding repeatedly while jobs run, and sometimes leave a controller with another
 // setting. AMBERDEAL_REGROUPS sets the number of days, AMBERDEAL_REGROUP runs one.
 func TestReshardThroughFaults(t *testing.T) {
-	playSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
+	runSeeds(t, 16, "AMBERDEAL_REGROUP", func(t *testing.T, seed uint64) {
 		var settings shardingSettings
 		rollOut := fault{"controllers are set to another sharding", func(w *simulation, rng *rand.Rand, _ time.Duration) {
 			to := []string{"off", "zone"}[rng.IntN(2)]
@@ -168,7 +168,7 @@
 		}}
 		setAllAlike := func(w *simulation) {
 			for i := range 3 {
-				settings.set(i, settings.of("c-0"))
+				settings.set(i, settings.forController("c-0"))
 				w.kill(i, time.Second)
 			}
 		}
@@ -177,6 +177,6 @@
 			time.Sleep(10 * time.Second) // until killed controllers have restarted
 			setAllAlike(w)
 		}
-		runStallScenario(t, seed, settings.of, settle, rollOut, rollOut, rollOut, rollOutToAll, rollOutToAll)
+		runStallScenario(t, seed, settings.forController, settle, rollOut, rollOut, rollOut, rollOutToAll, rollOutToAll)
 	})
 }
