--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -74,12 +74,12 @@
 	w.t.Helper()
 	w.declareQuiet()
 	time.Sleep(quiet)
-	w.finishDay(timeout)
+	w.finishAndCheck(timeout)
 }
 
-// finishDay waits until all jobs have ended, for at most timeout, and checks that no rule was
+// finishAndCheck waits until all jobs have ended, for at most timeout, and checks that no rule was
 // violated. A simulation in which no task was started proves nothing, and fails.
-func (w *simulation) finishDay(timeout time.Duration) {
+func (w *simulation) finishAndCheck(timeout time.Duration) {
 	w.t.Helper()
 	w.finish(timeout)
 	w.checkResults()
@@ -88,9 +88,9 @@
 	}
 }
 
-// playFaults injects n faults in sequence, each for the duration that draw returns with it, and
+// injectFaults injects n faults in sequence, each for the duration that draw returns with it, and
 // waits a random time of less than maxPause after each.
-func (w *simulation) playFaults(rng *rand.Rand, n int, maxPause time.Duration, draw func(k int) (fault, time.Duration)) {
+func (w *simulation) injectFaults(rng *rand.Rand, n int, maxPause time.Duration, draw func(k int) (fault, time.Duration)) {
 	for k := range n {
 		injected, d := draw(k)
 		log(injected.name, d)
@@ -120,7 +120,7 @@
 
 // apply writes the tuning and the sharding to a controller's settings.
 func (h heartbeatTuning) apply(c *config.Config, sharding string) {
-	c.Tuning.DirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = h.direct, h.timeout, sharding
+	c.Tuning.MaxDirectHeartbeats, c.Tuning.HeartbeatTimeout, c.Tuning.Shards.By = h.direct, h.timeout, sharding
 }
 
 // newProxiedSimulation starts a simulation in which each controller reaches the state service at an
@@ -180,12 +180,14 @@
 	}
 }
 
-// cutOff partitions a controller from the state service and its peers. Machines and users still
+// partitionFromStoreAndPeers partitions a controller from the state service and its peers. Machines and users still
 // reach it.
-func (w *simulation) cutOff(i int, on bool) { w.partition(w.net.Partition, on, []string{stateHost}, i) }
+func (w *simulation) partitionFromStoreAndPeers(i int, on bool) {
+	w.partition(w.net.Partition, on, []string{stateHost}, i)
+}
 
-// cutPeers partitions a controller from its peers only.
-func (w *simulation) cutPeers(i int, on bool) { w.partition(w.net.Partition, on, nil, i) }
+// partitionFromPeers partitions a controller from its peers only.
+func (w *simulation) partitionFromPeers(i int, on bool) { w.partition(w.net.Partition, on, nil, i) }
 
 // isolate drops all traffic between the given controllers and both the state service and the other
 // controllers, also on open connections.
@@ -196,16 +198,16 @@
 	}, on, []string{stateHost}, controllers...)
 }
 
-// upMachine is a machine that is running.
-type upMachine struct {
+// runningMachine is a machine that is running.
+type runningMachine struct {
 	*simulator.Worker
 	id, host string
 }
 
 // runningMachines returns all machines that are running.
-func (w *simulation) runningMachines() (out []upMachine) {
+func (w *simulation) runningMachines() (out []runningMachine) {
 	w.cloud.EachRunning(func(l wire.ListedMachine, m simulator.Machine) {
-		out = append(out, upMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
+		out = append(out, runningMachine{m.(*simulator.Worker), l.ID, simulator.HostOf(l.Addr)})
 	})
 	return out
 }
@@ -213,22 +215,22 @@
 // reconfigureMachines sets the heartbeat interval, and the delay of direct calls, of the machines
 // that boot from now on.
 func (w *simulation) reconfigureMachines(heartbeatInterval time.Duration, callDelay func() time.Duration) {
-	startMachine := w.machine(heartbeatInterval, callDelay)
+	startMachine := w.machineStarter(heartbeatInterval, callDelay)
 	w.cloud.SetFaults(func(*simulator.CloudFaults) { w.cloud.Start = startMachine })
 }
 
-// loseInbound drops all traffic to the given machines for the duration d, and returns the machines.
+// dropInbound drops all traffic to the given machines for the duration d, and returns the machines.
 // Their heartbeats still arrive.
-func loseInbound(d time.Duration, machines ...upMachine) []upMachine {
+func dropInbound(d time.Duration, machines ...runningMachine) []runningMachine {
 	for _, m := range machines {
 		during(d, m.DropInbound)
 	}
 	return machines
 }
 
-// deafenHosts drops all traffic from controllers to the given hosts for the duration d. New
+// dropControllerTraffic drops all traffic from controllers to the given hosts for the duration d. New
 // connections fail, but messages from the hosts on open connections still arrive.
-func (w *simulation) deafenHosts(hosts []string, d time.Duration) {
+func (w *simulation) dropControllerTraffic(hosts []string, d time.Duration) {
 	for _, host := range hosts {
 		for i := range w.count {
 			during(d, func(on bool) { w.net.DropOneWay(w.ip(i), host, on) })
@@ -238,14 +240,14 @@
 
 // request sends one request to a controller, as a user does.
 func (w *simulation) request(i int, timeout time.Duration, method, path string, body []byte) (*httpwire.Response, error) {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.4").Dial}
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.4").Dial}
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
 	return caller.Call(ctx, simulator.Address(w.ip(i), 8080), method, path, body)
 }
 
-// forever is the run time of services: longer than any simulation.
-const forever = 24 * time.Hour
+// serviceRunTime is the run time of services: longer than any simulation.
+const serviceRunTime = 24 * time.Hour
 
 // jobOf returns a job of the team blue. Each of its tasks uses one GPU, a quarter of a machine's.
 func jobOf(id string, shape wire.Shape, tasks int, run time.Duration, change ...func(*wire.Job)) *wire.Job {
@@ -259,12 +261,12 @@
 	return j
 }
 
-// red, spread, oneZone and saves are changes for jobOf: the team red, tasks spread over zones, all
+// teamRed, spread, inOneZone and saves are changes for jobOf: the team red, tasks spread over zones, all
 // tasks in one zone, and checkpoints every 5 s that take 1 s to save.
-func red(j *wire.Job)     { j.Team = "red" }
-func spread(j *wire.Job)  { j.Spread = true }
-func oneZone(j *wire.Job) { j.OneZone = true }
-func saves(j *wire.Job)   { j.CheckpointS, j.SaveS = 5, 1 }
+func teamRed(j *wire.Job)         { j.Team = "red" }
+func spreadOverZones(j *wire.Job) { j.Spread = true }
+func inOneZone(j *wire.Job)       { j.OneZone = true }
+func withCheckpoints(j *wire.Job) { j.CheckpointS, j.SaveS = 5, 1 }
 
 // log prints a message if SIM_LOG is set.
 func log(values ...any) {
@@ -486,7 +488,7 @@
 // cancel asks one controller to cancel the job.
 func (c *client) cancel(i int) int {
 	c.cancelRequested.Store(true)
-	return c.ask(i, 5*time.Second, "POST", c.path()+"/"+wire.CancelWord, []byte{})
+	return c.ask(i, 5*time.Second, "POST", c.path()+"/"+wire.CancelPathSuffix, []byte{})
 }
 
 // body returns the submission, either unchanged or with different content under the same ID.
@@ -517,11 +519,11 @@
 	return 0
 }
 
-// submitter starts a user who submits a job at the time submit and polls it. The user cancels it at
+// startClient starts a user who submits a job at the time submit and polls it. The user cancels it at
 // the time cancel, unless that is 0. Both times count from this call. Each request goes to a random
 // controller. After the job has ended the user polls and submits it again, and checks that its final
 // state stays the same.
-func (w *simulation) submitter(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
+func (w *simulation) startClient(seed uint64, j *wire.Job, submit, cancel time.Duration, runs ...time.Duration) *client {
 	c, start := w.client(j, rngOf(seed, j.ID), runs...), time.Now()
 	w.group.Go(func() {
 		time.Sleep(submit)
@@ -529,7 +531,7 @@
 			w.t.Errorf("submission of %s was answered %d", j.ID, status)
 			return
 		}
-		w.pollUntilOver(j.ID)
+		w.pollUntilFinal(j.ID)
 		for w.ctx.Err() == nil && !w.checker.Stage(j.ID).Final() {
 			if left := cancel - time.Since(start); cancel > 0 && left < 3*time.Second {
 				time.Sleep(left)
--- a/internal/simtest/shards_test.go
+++ b/internal/simtest/shards_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// token returns the last fencing token that the state service lists.
-func (w *simulation) token() (token uint64) {
+// lastFencingToken returns the last fencing token that the state service lists.
+func (w *simulation) lastFencingToken() (token uint64) {
 	for _, it := range w.store.Page(store.FencingTokenKey, "", 0).Items {
 		_ = wire.DecodeValue(it.Value, &token)
 	}
@@ -38,13 +38,13 @@
 
 // startService submits a service of six replicas over both zones, which is cancelled after a while.
 func (w *simulation) startService(id string, cancelAfter time.Duration) {
-	w.user(&wire.Job{ID: id, Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6, Spread: true,
+	w.startUser(&wire.Job{ID: id, Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6, Spread: true,
 		CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, cancelAfter)
 }
 
 // checkResults fails the test for each violation that the checkers found.
 func (w *simulation) checkResults() {
-	for _, violation := range append(w.checker.Violations(), w.account().Problems...) {
+	for _, violation := range append(w.checker.Violations(), w.verifyState().Problems...) {
 		w.t.Error(violation)
 	}
 	w.logCounts()
@@ -81,7 +81,7 @@
 		if h := w.leaders(); h["a"] != "c-0" || h["b"] != "c-0" {
 			t.Errorf("only c-0 is up, the leaders of the shards are %v", h)
 		}
-		before := w.token()
+		before := w.lastFencingToken()
 		time.Sleep(35 * time.Second)
 		leaderless := time.Duration(0)
 		for range 6000 { // a minute, in which the others come back
@@ -91,8 +91,8 @@
 			}
 		}
 		h := w.leaders()
-		if len(h) != 2 || h["a"] == h["b"] || w.token() != before+1 {
-			t.Errorf("after a minute the leaders of the shards are %v after %d claims, want two leaders and 1 claim", h, w.token()-before)
+		if len(h) != 2 || h["a"] == h["b"] || w.lastFencingToken() != before+1 {
+			t.Errorf("after a minute the leaders of the shards are %v after %d claims, want two leaders and 1 claim", h, w.lastFencingToken()-before)
 		}
 		if leaderless > 500*time.Millisecond {
 			t.Errorf("a shard had no leader for %v", leaderless)
@@ -114,7 +114,7 @@
 			c.Zone = map[string]string{"c-0": "a", "c-1": "b", "c-2": "b"}[c.Name]
 		})
 		for i := range 3 {
-			w.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
+			w.startUser(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
 				CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 60}, 90*time.Second, 0)
 		}
 		time.Sleep(30 * time.Second)
@@ -168,12 +168,12 @@
 		w := newTwoShardSimulation(t, 33)
 		w.group.Go(func() { w.submit(33, 20) })
 		time.Sleep(20 * time.Second)
-		before := w.token()
+		before := w.lastFencingToken()
 		for i := range 3 {
 			w.net.Partition(w.ip(i), w.ip((i+1)%3), true)
 		}
 		time.Sleep(30 * time.Second)
-		if n := w.token() - before; n > 0 {
+		if n := w.lastFencingToken() - before; n > 0 {
 			t.Errorf("%d claims while controllers are partitioned from each other", n)
 		}
 		for i := range 3 {
@@ -214,7 +214,7 @@
 			t.Errorf("the next leader took over after %v, want 7s at most", took)
 		}
 		time.Sleep(time.Minute)
-		before := w.token()
+		before := w.lastFencingToken()
 		liveLeader := int(w.leaders()["fleet"][2] - '0')
 		for i := range 3 { // its peer heartbeats are lost, but new jobs have it write
 			if i != liveLeader {
@@ -222,11 +222,11 @@
 			}
 		}
 		for i := range 10 {
-			w.user(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
+			w.startUser(&wire.Job{ID: fmt.Sprint("wk-", 10+i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
 				CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: 5}, 2*time.Second, 0)
 			time.Sleep(2 * time.Second)
 		}
-		if n := w.token() - before; n > 0 {
+		if n := w.lastFencingToken() - before; n > 0 {
 			t.Errorf("%d claims while the leader writes", n)
 		}
 		for i := range 3 {
--- a/internal/simtest/simulation_test.go
+++ b/internal/simtest/simulation_test.go
@@ -46,12 +46,12 @@
 	changeSettings func(*config.Config)
 	rngMu          sync.Mutex
 	// polling holds the users who poll all accepted jobs, in addition to the users who submitted them.
-	polling    *simulator.Users
-	dial       func(ctx context.Context, addr string) (net.Conn, error) // overrides how polling users connect to controllers, if set
-	pollGroup  sync.WaitGroup
-	replayer   *simulator.HeartbeatReplayer
-	quietSince time.Time              // when the last fault ended; zero until declareQuiet
-	runtime    *simulator.TaskRuntime // shared by all machines
+	polling           *simulator.Users
+	dial              func(ctx context.Context, addr string) (net.Conn, error) // overrides how polling users connect to controllers, if set
+	pollGroup         sync.WaitGroup
+	heartbeatReplayer *simulator.HeartbeatReplayer
+	quietSince        time.Time              // when the last fault ended; zero until declareQuiet
+	runtime           *simulator.TaskRuntime // shared by all machines
 }
 
 // node is a simulated controller host, which outlives the incarnations of its process.
@@ -96,14 +96,14 @@
 	for i := range count {
 		w.net.SetZone(w.ip(i), w.settings(i).Zone)
 	}
-	w.replayer = &simulator.HeartbeatReplayer{Dial: w.net.Host("10.4.0.1").Dial, MaxDelay: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
+	w.heartbeatReplayer = &simulator.HeartbeatReplayer{Dial: w.net.Host("10.4.0.1").Dial, MaxDelay: 3 * workerLease, Rand: rand.New(rand.NewPCG(seed, 12))}
 	for i := range count {
-		w.replayer.Controllers = append(w.replayer.Controllers, simulator.Address(w.ip(i), 8080))
+		w.heartbeatReplayer.Controllers = append(w.heartbeatReplayer.Controllers, simulator.Address(w.ip(i), 8080))
 	}
 	typ := g4
 	typ.Zones = w.settings(0).Zones
 	w.cloud = &simulator.Cloud{Capacity: 4, ListLag: 2 * time.Second, BootTime: 5 * time.Second, Rand: rand.New(rand.NewPCG(seed, 3)),
-		Types: []wire.MachineType{typ}, Start: w.machine(2*time.Second, callDelay)}
+		Types: []wire.MachineType{typ}, Start: w.machineStarter(2*time.Second, callDelay)}
 	go w.net.Host("10.2.0.1").Listen(w.ctx, "10.2.0.1:2379", 0, w.store.Serve())
 	go w.net.Host("10.2.0.2").Listen(w.ctx, "10.2.0.2:8443", 0, w.cloud.Serve())
 	for i := range count {
@@ -121,9 +121,9 @@
 	return w
 }
 
-// machine returns a function that starts machines with the given heartbeat interval and delay of
+// machineStarter returns a function that starts machines with the given heartbeat interval and delay of
 // direct calls.
-func (w *simulation) machine(heartbeatInterval time.Duration, callDelay func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
+func (w *simulation) machineStarter(heartbeatInterval time.Duration, callDelay func() time.Duration) func(id, addr, typ, zone string, spot bool) simulator.Machine {
 	names, runtime := map[string]string{}, simulator.NewTaskRuntime(cmp.Or[simulator.Fixture](w.fixture, w.tasks), 20*time.Second, 3*time.Second)
 	w.runtime = runtime
 	for i := range w.count {
@@ -134,7 +134,7 @@
 		w.net.SetZone(host, zone)
 		w.tasks.machineBooted(id)
 		return simulator.NewWorker(simulator.WorkerConfig{ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Spec: g4, Net: w.net.Host(host),
-			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: heartbeatInterval, CallDelay: callDelay, Replayer: w.replayer})
+			TakeDown: func() { w.net.SetDown(host, true) }, Controllers: names, Runtime: runtime, Lease: workerLease, HeartbeatInterval: heartbeatInterval, CallDelay: callDelay, Replayer: w.heartbeatReplayer})
 	}
 }
 
@@ -153,10 +153,10 @@
 	c := &config.Config{Name: fmt.Sprintf("c-%d", i), Zone: "a", PublicAddr: simulator.Address(w.ip(i), 8080), PeerAddr: simulator.Address(w.ip(i), 8081),
 		CloudAddr: "10.2.0.2:8443", StoreAddr: "10.2.0.1:2379", Zones: []string{"a", "b"},
 		Teams:   []config.Team{{Name: "red", GPUs: 4, GPUsMax: 6}, {Name: "blue"}},
-		Workers: config.Workers{HeartbeatInterval: 2 * time.Second, Lease: workerLease, GangWait: 20 * time.Second, GangPeer: 3 * time.Second, Cancel: 45 * time.Second},
+		Workers: config.Workers{HeartbeatInterval: 2 * time.Second, Lease: workerLease, GangStartTimeout: 20 * time.Second, GangPeerTimeout: 3 * time.Second, CancelTimeout: 45 * time.Second},
 		Store:   config.Store{RPS: 200, WriteRPS: 60, ValueBytes: 8192, TxnOps: 12}, Cloud: config.Cloud{RPS: 10, ListLag: 2 * time.Second},
-		Limits: config.Limits{RAMBytes: 200 << 20, Files: 500}, Tuning: config.DefaultTuning()}
-	c.Tuning.History = config.History{Compact: true, Every: time.Second, Wait: 2 * time.Second, MergeAt: 0, CacheMB: 1, Backlog: 1000} // blocks are merged at once
+		Limits: config.Limits{RAMBytes: 200 << 20, OpenFiles: 500}, Tuning: config.DefaultTuning()}
+	c.Tuning.History = config.History{Compact: true, Interval: time.Second, MaxWait: 2 * time.Second, MergeThreshold: 0, CacheMB: 1, MaxBacklog: 1000} // blocks are merged at once
 	for k := range w.count {
 		if k != i {
 			c.Peers = append(c.Peers, config.Peer{Name: fmt.Sprintf("c-%d", k), Addr: simulator.Address(w.ip(k), 8081)})
@@ -245,20 +245,20 @@
 	w.rngMu.Lock()
 	defer w.rngMu.Unlock()
 	if w.polling == nil {
-		w.polling = &simulator.Users{Dial: w.net.Host("10.3.0.2").Dial, Judge: &w.checker.Liveness}
+		w.polling = &simulator.Users{Dial: w.net.Host("10.3.0.2").Dial, Liveness: &w.checker.Liveness}
 		if w.dial != nil {
 			w.polling.Dial = w.dial
 		}
 		for i := range w.nodes {
-			w.polling.Nodes = append(w.polling.Nodes, simulator.Address(w.ip(i), 8080))
+			w.polling.Controllers = append(w.polling.Controllers, simulator.Address(w.ip(i), 8080))
 		}
 		w.pollGroup.Go(func() { w.polling.Run(w.ctx) })
 	}
 	return w.polling
 }
 
-// pollUntilOver has one of the polling users poll a job until the simulation ends.
-func (w *simulation) pollUntilOver(id string) {
+// pollUntilFinal has one of the polling users poll a job until the simulation ends.
+func (w *simulation) pollUntilFinal(id string) {
 	users := w.pollers()
 	w.pollGroup.Go(func() { users.Follow(w.ctx, id) })
 }
@@ -266,17 +266,17 @@
 // declareQuiet tells the checkers that no fault is active from now on.
 func (w *simulation) declareQuiet() {
 	w.quietSince = time.Now()
-	w.checker.SetQuietSince(w.quietSince)
+	w.checker.SetFaultFreeSince(w.quietSince)
 }
 
-// user starts a user who submits a job and polls it until its state is final. The user cancels the
+// startUser starts a user who submits a job and polls it until its state is final. The user cancels the
 // job after cancelAfter, unless that is 0. run is the run time of each task.
-func (w *simulation) user(j *wire.Job, run, cancelAfter time.Duration) {
+func (w *simulation) startUser(j *wire.Job, run, cancelAfter time.Duration) {
 	w.checker.Submitted(j, run)
 	w.group.Add(1)
 	go func() {
 		defer w.group.Done()
-		caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: w.net.Host("10.3.0.1").Dial}
+		caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: w.net.Host("10.3.0.1").Dial}
 		ask := func(method, path string, body []byte, cancelRequested bool) int {
 			for try := 0; w.ctx.Err() == nil; try++ {
 				ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
@@ -297,13 +297,13 @@
 			w.t.Errorf("submission of %s was answered %d", j.ID, status)
 			return
 		}
-		w.pollUntilOver(j.ID)
+		w.pollUntilFinal(j.ID)
 		begun, cancelRequested := time.Now(), false
 		for w.ctx.Err() == nil && !w.checker.Stage(j.ID).Final() {
 			time.Sleep(3 * time.Second)
 			if cancelAfter > 0 && time.Since(begun) > cancelAfter {
 				cancelRequested = true
-				ask("POST", path+"/"+wire.CancelWord, []byte{}, true)
+				ask("POST", path+"/"+wire.CancelPathSuffix, []byte{}, true)
 				continue
 			}
 			ask("GET", path, nil, cancelRequested)
@@ -334,7 +334,7 @@
 		if i%6 == 0 {
 			cancel = time.Duration(5+rng.IntN(30)) * time.Second
 		}
-		w.user(j, run, cancel)
+		w.startUser(j, run, cancel)
 		time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 	}
 }
@@ -342,7 +342,7 @@
 // finish waits until the users have finished, for at most timeout, and ends the simulation.
 func (w *simulation) finish(timeout time.Duration) {
 	if w.quietSince.IsZero() { // faults that are still active last for a minute at most
-		w.checker.SetQuietSince(time.Now().Add(65 * time.Second))
+		w.checker.SetFaultFreeSince(time.Now().Add(65 * time.Second))
 	}
 	over := make(chan struct{})
 	go func() {
@@ -413,8 +413,8 @@
 						}
 					}
 				}
-				w.finishDay(10 * time.Minute)
-				a := w.account()
+				w.finishAndCheck(10 * time.Minute)
+				a := w.verifyState()
 				if a.Kinds["history"] == nil || a.Kinds["history"].Jobs < 10 {
 					t.Errorf("fewer than 10 jobs are in the history: %+v", a)
 				}
@@ -423,8 +423,8 @@
 	}
 }
 
-// account reads the whole state and returns the archive's report about it.
-func (w *simulation) account() archive.Report {
+// verifyState reads the whole state and returns the archive's report about it.
+func (w *simulation) verifyState() archive.Report {
 	var items []wire.KeyValue
 	for after := ""; ; {
 		page := w.store.Page(store.CommonPrefix, after, 0)
@@ -445,13 +445,13 @@
 		w.store.Configure(func(s *simulator.StateService) { s.Limits.WriteRPS = 4 })
 		time.Sleep(5 * time.Second)
 		for i := range 120 {
-			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
+			w.startUser(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
 				CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, time.Duration(i%2)*time.Second)
 			time.Sleep(200 * time.Millisecond)
 		}
-		behind := w.account()
+		behind := w.verifyState()
 		time.Sleep(10 * time.Minute)
-		after := w.account()
+		after := w.verifyState()
 		if k := after.Kinds["batch"]; k != nil && k.Keys > 0 || after.Ended != 120 {
 			t.Errorf("batches left: %+v; %d jobs ended, want 120", k, after.Ended)
 		}
@@ -486,7 +486,7 @@
 			w.store.DropHistory()
 		}
 		w.finish(10 * time.Minute)
-		for _, b := range append(w.checker.Violations(), w.account().Problems...) {
+		for _, b := range append(w.checker.Violations(), w.verifyState().Problems...) {
 			t.Error(b)
 		}
 	})
@@ -501,7 +501,7 @@
 			c.Tuning.HeartbeatTimeout = time.Hour    // so that no release of the machine proves it instead
 		})
 		for i := range 3 {
-			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
+			w.startUser(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 4,
 				CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, EstimateS: 60}, 60*time.Second, 0)
 		}
 		time.Sleep(30 * time.Second)
@@ -526,7 +526,7 @@
 		_, before, _ := w.store.Counts()
 		const jobs = 90
 		for i := range jobs {
-			w.user(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
+			w.startUser(&wire.Job{ID: fmt.Sprintf("wk-%d", i), Class: "c", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 1,
 				CPUs: 1, GPUs: 1, MemoryGB: 4, Image: "img", ImageGB: 1, EstimateS: 5}, 5*time.Second, 0)
 		}
 		time.Sleep(8 * time.Second) // the changes include those of scheduling rounds
@@ -552,7 +552,7 @@
 func TestPartitionedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 9, 0, nil)
-		w.user(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6,
+		w.startUser(&wire.Job{ID: "wk-1", Class: "c", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 6,
 			CPUs: 2, GPUs: 2, MemoryGB: 8, Image: "img", ImageGB: 1}, 24*time.Hour, 4*time.Minute)
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
@@ -582,7 +582,7 @@
 func TestEachMachineReachesAController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, 21, 0, func(c *config.Config) {
-			c.Limits.Files, c.Tuning.DirectHeartbeats, c.Tuning.Idle = 100, 20, time.Hour
+			c.Limits.OpenFiles, c.Tuning.MaxDirectHeartbeats, c.Tuning.IdleTimeout = 100, 20, time.Hour
 		})
 		names := map[string]string{}
 		for i := range 3 {
--- a/internal/simtest/single_faults_test.go
+++ b/internal/simtest/single_faults_test.go
@@ -272,7 +272,7 @@
 	s.startService("wk-1", 2*time.Minute)
 	job := func(j *wire.Job, run, cancel time.Duration) {
 		j.Class, j.Team, j.CPUs, j.GPUs, j.MemoryGB, j.Image, j.ImageGB, j.EstimateS = "c", "blue", 2, 1, 8, "img", 1, run.Seconds()
-		s.user(j, run, cancel)
+		s.startUser(j, run, cancel)
 	}
 	job(&wire.Job{ID: "wk-2", Shape: wire.Gang, Priority: wire.High, Tasks: 3, OneZone: true, CheckpointS: 5, SaveS: 1}, 100*time.Second, 0)
 	job(&wire.Job{ID: "wk-3", Shape: wire.Array, Priority: wire.Normal, Tasks: 3, Spot: true, CheckpointS: 5, SaveS: 1}, 80*time.Second, 0)
@@ -280,7 +280,7 @@
 	before := s.checker.Started
 	x.inject(s)
 	for i := range 6 {
-		job(&wire.Job{ID: wire.JobPrefix + string('4'+rune(i)), Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + i%2}, 4*time.Second, time.Duration(i%3/2)*3*time.Second)
+		job(&wire.Job{ID: wire.JobIDPrefix + string('4'+rune(i)), Shape: wire.Array, Priority: wire.Normal, Tasks: 1 + i%2}, 4*time.Second, time.Duration(i%3/2)*3*time.Second)
 		time.Sleep(2 * time.Second)
 	}
 	s.finish(15 * time.Minute)
--- a/internal/simtest/slow_fetch_test.go
+++ b/internal/simtest/slow_fetch_test.go
@@ -26,12 +26,12 @@
 		w := newSimulation(t, 41, 0, nil)
 		w.limitCapacity(2)
 		big := func(j *wire.Job) { j.GPUs, j.CPUs, j.ImageGB, j.Image = 4, 8, 30, "big" }
-		w.submitter(41, jobOf("wk-1", wire.Array, 1, 10*time.Second, big), time.Second, 0, 10*time.Second)
+		w.startClient(41, jobOf("wk-1", wire.Array, 1, 10*time.Second, big), time.Second, 0, 10*time.Second)
 		for w.checker.Stage("wk-1") != wire.Done {
 			time.Sleep(time.Second)
 		}
 		w.declareQuiet()
-		w.submitter(41, jobOf("wk-2", wire.Gang, 2, 10*time.Second, big, saves), time.Second, 0, 10*time.Second)
+		w.startClient(41, jobOf("wk-2", wire.Gang, 2, 10*time.Second, big, withCheckpoints), time.Second, 0, 10*time.Second)
 		time.Sleep(2 * time.Minute)
 		if stage := w.checker.Stage("wk-2"); stage != wire.Done {
 			t.Errorf("the gang is %q after two minutes, cancelled fetches: %v", stage, w.runtime.CancelledFetches())
@@ -52,16 +52,16 @@
 		w := newSimulation(t, 42, 0, nil)
 		w.limitCapacity(1)
 		w.declareQuiet()
-		w.submitter(42, jobOf("wk-1", wire.Service, 1, forever, func(j *wire.Job) { j.Image, j.ImageGB = "weights", 200 }), 0, 5*time.Minute, forever)
+		w.startClient(42, jobOf("wk-1", wire.Service, 1, serviceRunTime, func(j *wire.Job) { j.Image, j.ImageGB = "weights", 200 }), 0, 5*time.Minute, serviceRunTime)
 		time.Sleep(20 * time.Second)
-		w.submitter(42, jobOf("wk-2", wire.Array, 1, 10*time.Second), 0, 0, 10*time.Second)
+		w.startClient(42, jobOf("wk-2", wire.Array, 1, 10*time.Second), 0, 0, 10*time.Second)
 		time.Sleep(40 * time.Second)
 		if w.checker.Started > 0 {
 			t.Error("the task did not wait for the fetch")
 		}
 		time.Sleep(45 * time.Second)
-		if w.checker.Started != 1 || w.checker.Running("wk-1") > 0 {
-			t.Errorf("%d starts, %d running replicas of the service 85 s after the task was submitted; want 1 and 0", w.checker.Started, w.checker.Running("wk-1"))
+		if w.checker.Started != 1 || w.checker.RunningTasks("wk-1") > 0 {
+			t.Errorf("%d starts, %d running replicas of the service 85 s after the task was submitted; want 1 and 0", w.checker.Started, w.checker.RunningTasks("wk-1"))
 		}
 		w.finish(5 * time.Minute)
 		w.checkResults()
@@ -76,11 +76,11 @@
 		w := newSimulation(t, 43, 0, nil)
 		w.limitCapacity(3)
 		for n := range 6 {
-			w.submitter(43, jobOf(fmt.Sprint("wk-", n+1), wire.Array, 4, 20*time.Second, func(j *wire.Job) { j.Image, j.ImageGB = fmt.Sprint("big-", n), 30 }), time.Second, 0, 20*time.Second)
+			w.startClient(43, jobOf(fmt.Sprint("wk-", n+1), wire.Array, 4, 20*time.Second, func(j *wire.Job) { j.Image, j.ImageGB = fmt.Sprint("big-", n), 30 }), time.Second, 0, 20*time.Second)
 		}
 		high := func(j *wire.Job) { j.Priority = wire.High }
 		for n := range 80 {
-			w.submitter(43, jobOf(fmt.Sprint("wk-", 100+n), wire.Array, 1, 8*time.Second, high), time.Duration(20+3*n)*time.Second, 0, 8*time.Second)
+			w.startClient(43, jobOf(fmt.Sprint("wk-", 100+n), wire.Array, 1, 8*time.Second, high), time.Duration(20+3*n)*time.Second, 0, 8*time.Second)
 		}
 		time.Sleep(5 * time.Minute)
 		w.declareQuiet()
--- a/internal/simtest/state_refusal_users_test.go
+++ b/internal/simtest/state_refusal_users_test.go
@@ -41,11 +41,11 @@
 
 // addService adds a user with a service of one replica, and submits the service.
 func (m *userPopulation) addService(id string) *populationUser {
-	c := m.addUser(jobOf(id, wire.Service, 1, forever), forever)
+	c := m.addUser(jobOf(id, wire.Service, 1, serviceRunTime), serviceRunTime)
 	for try := 0; m.checker.Stage(id) == "" && try < 10; try++ {
 		c.submit(try % m.count)
 	}
-	m.pollUntilOver(id)
+	m.pollUntilFinal(id)
 	return c
 }
 
@@ -93,7 +93,7 @@
 		c.submit(c.anyController())
 		time.Sleep(time.Duration(c.draw(c.rng, 500)) * time.Millisecond)
 	}
-	c.pollUntilOver(c.job.ID)
+	c.pollUntilFinal(c.job.ID)
 	for start := time.Now(); c.ctx.Err() == nil; {
 		over := c.checker.Stage(c.job.ID).Final()
 		if c.population.cancelAll.Load() && over {
@@ -139,7 +139,7 @@
 	w.pollGroup.Go(func() {
 		for k := 0; w.ctx.Err() == nil; k++ {
 			id := fmt.Sprintf("wk-9%05d", k)
-			for _, path := range []string{"/" + id, "/" + id + "/" + wire.CancelWord} {
+			for _, path := range []string{"/" + id, "/" + id + "/" + wire.CancelPathSuffix} {
 				method := map[bool]string{true: "GET", false: "POST"}[path == "/"+id]
 				if resp, err := w.request(k%w.count, 5*time.Second, method, wire.PathJobs+path, nil); err == nil && resp.Status != 404 && resp.Status != 503 {
 					w.t.Errorf("request about %s, which was never submitted: status %d, want 404 or 503", id, resp.Status)
@@ -168,7 +168,7 @@
 // everything else is read behind a barrier or answered 503. AMBERDEAL_REFUSALS sets the number of
 // days, AMBERDEAL_REFUSAL runs one.
 func TestStoreRefusesLeaderThenAll(t *testing.T) {
-	playSeeds(t, 2, "AMBERDEAL_REFUSAL", func(t *testing.T, seed uint64) {
+	runSeeds(t, 2, "AMBERDEAL_REFUSAL", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
 		rng := rand.New(rand.NewPCG(seed, 13))
 		time.Sleep(8 * time.Second)
@@ -180,7 +180,7 @@
 		time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
 		leader := w.anyLeader()
 		other := (leader + 1) % w.count
-		if leader < 0 || w.checker.Running("wk-1")+w.checker.Running("wk-2")+w.checker.Running("wk-3") != 3 {
+		if leader < 0 || w.checker.RunningTasks("wk-1")+w.checker.RunningTasks("wk-2")+w.checker.RunningTasks("wk-3") != 3 {
 			t.Errorf("leader c-%d; want a leader, and all three services running", leader)
 		}
 		w.refuseByStore(max(0, leader), true)
@@ -283,9 +283,9 @@
 		body         []byte
 	}{
 		{"POST", "", wire.Encode(map[string]string{"uid": "wk-3"})}, // malformed
-		{"GET", "/wk-3", nil}, {"GET", "/wk-2", nil}, {"GET", "/wk-8", nil}, {"POST", "/wk-3/" + wire.CancelWord, []byte{}}, {"POST", "", submission},
+		{"GET", "/wk-3", nil}, {"GET", "/wk-2", nil}, {"GET", "/wk-8", nil}, {"POST", "/wk-3/" + wire.CancelPathSuffix, []byte{}}, {"POST", "", submission},
 	} {
-		if strings.HasSuffix(ask.path, wire.CancelWord) && unready == 0 {
+		if strings.HasSuffix(ask.path, wire.CancelPathSuffix) && unready == 0 {
 			continue // the leader may still be able to write it
 		}
 		start := time.Now()
@@ -357,7 +357,7 @@
 	allControllersRestart,
 	{"the leader's other process is cut off", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		leader := max(0, w.anyLeader())
-		w.twin(leader, min(d, 20*time.Second), finalHoldTime(rng))
+		w.startDuplicateProcess(leader, min(d, 20*time.Second), finalHoldTime(rng))
 		during(min(d, 25*time.Second), func(on bool) { w.isolate(on, leader) })
 	}},
 	{"the state service is slow, and takes some transactions late", func(w *simulation, rng *rand.Rand, d time.Duration) {
@@ -378,13 +378,13 @@
 // service or partitioned, and users cancel, poll and resubmit at all controllers. AMBERDEAL_ASKEDS sets
 // the number of days, AMBERDEAL_ASKED runs one.
 func TestUsersThroughRestarts(t *testing.T) {
-	playSeeds(t, 3, "AMBERDEAL_ASKED", func(t *testing.T, seed uint64) {
+	runSeeds(t, 3, "AMBERDEAL_ASKED", func(t *testing.T, seed uint64) {
 		w := newProxiedSimulation(t, []int{3, 5}[seed%2], seed, nil)
 		rng := rand.New(rand.NewPCG(seed, 13))
 		time.Sleep(5 * time.Second)
 		m := w.addUsers(seed, 16, 7*time.Second)
-		token := w.token()
-		w.playFaults(rng, 10, 12*time.Second, func(k int) (fault, time.Duration) {
+		token := w.lastFencingToken()
+		w.injectFaults(rng, 10, 12*time.Second, func(k int) (fault, time.Duration) {
 			injected, d := drawFault(rng, [][]fault{stateAccessFaults, restartFaults, stateAccessFaults, stallFaults}[k%4], 60)
 			if k == 5 {
 				injected = allControllersRestart // on every day
@@ -392,8 +392,8 @@
 			return injected, d
 		})
 		time.Sleep(time.Minute) // until the last fault is over
-		if w.token() <= token {
-			t.Errorf("the fencing token rose by %d, want 1 at least", w.token()-token)
+		if w.lastFencingToken() <= token {
+			t.Errorf("the fencing token rose by %d, want 1 at least", w.lastFencingToken()-token)
 		}
 		m.finish(5, 60)
 	})
--- a/internal/simtest/task_completion_test.go
+++ b/internal/simtest/task_completion_test.go
@@ -30,7 +30,7 @@
 		j.ID, j.Class, j.Priority, j.CPUs, j.MemoryGB, j.Image, j.ImageGB = fmt.Sprint("wk-", i+1), "c", wire.Normal, 2, 8, "img", 1
 		run := time.Duration(9+5*i) * time.Second
 		j.EstimateS = run.Seconds()
-		w.user(&j, run, 0)
+		w.startUser(&j, run, 0)
 		tasks += j.Tasks
 		time.Sleep(1300 * time.Millisecond)
 	}
@@ -73,38 +73,38 @@
 // completionFault is what happens to the write that records a completion and to the leader that sends it.
 type completionFault struct {
 	name         string
-	fate         simulator.Fate
+	fate         simulator.TxnOutcome
 	apply        func(w *simulation, leader int, rng *rand.Rand)
 	losesMachine bool // a machine is lost too, so that its tasks may have to start again
 }
 
 // completionFaults are the faults that are injected at the write that records a completion.
 var completionFaults = []completionFault{
-	{"the leader crashes, the write is lost", simulator.FateDropped, crashLeader, false},
-	{"the leader crashes, the write comes late", simulator.FateDelayed, crashLeader, false},
-	{"the leader crashes, the write is taken", simulator.FateReplyLost, crashLeader, false},
-	{"the leader is cut off with its machines, the write comes late", simulator.FateDelayed, cutOffLeader, false},
-	{"the leader is cut off with its machines, the write is taken", simulator.FateReplyLost, cutOffLeader, false},
-	{"the leader crashes with a machine, the write is lost", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
+	{"the leader crashes, the write is lost", simulator.TxnDropped, crashLeader, false},
+	{"the leader crashes, the write comes late", simulator.TxnDelayed, crashLeader, false},
+	{"the leader crashes, the write is taken", simulator.TxnReplyLost, crashLeader, false},
+	{"the leader is cut off with its machines, the write comes late", simulator.TxnDelayed, cutOffLeader, false},
+	{"the leader is cut off with its machines, the write is taken", simulator.TxnReplyLost, cutOffLeader, false},
+	{"the leader crashes with a machine, the write is lost", simulator.TxnDropped, func(w *simulation, leader int, rng *rand.Rand) {
 		w.cloud.RemoveNth(rng.IntN(4))
 		crashLeader(w, leader, rng)
 	}, true},
-	{"the leader crashes while no machine can receive from the next one", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
-		w.deafenHosts(w.everyMachine(), 8*time.Second)
+	{"the leader crashes while no machine can receive from the next one", simulator.TxnDropped, func(w *simulation, leader int, rng *rand.Rand) {
+		w.dropControllerTraffic(w.machineHosts(), 8*time.Second)
 		w.crash(leader, 9*time.Second, 0)
 	}, true},
-	{"another process of the leader's name begins", simulator.FateDropped, func(w *simulation, leader int, rng *rand.Rand) {
-		w.twin(leader, 6*time.Second, finalHoldTime(rng))
+	{"another process of the leader's name begins", simulator.TxnDropped, func(w *simulation, leader int, rng *rand.Rand) {
+		w.startDuplicateProcess(leader, 6*time.Second, finalHoldTime(rng))
 	}, false},
-	{"the leader is cut off with its machines, once it has its answer", simulator.FateAnswered, cutOffLeader, false},
-	{"the leader stands still, once it has its answer", simulator.FateAnswered, func(w *simulation, leader int, rng *rand.Rand) {
+	{"the leader is cut off with its machines, once it has its answer", simulator.TxnAnswered, cutOffLeader, false},
+	{"the leader stands still, once it has its answer", simulator.TxnAnswered, func(w *simulation, leader int, rng *rand.Rand) {
 		w.net.Pause(w.ip(leader), time.Duration(5+rng.IntN(40))*time.Second)
 	}, true},
 }
 
 // cutOffLeader partitions a leader from the state service and its peers for 30 s.
 func cutOffLeader(w *simulation, leader int, _ *rand.Rand) {
-	during(30*time.Second, func(on bool) { w.cutOff(leader, on) })
+	during(30*time.Second, func(on bool) { w.partitionFromStoreAndPeers(leader, on) })
 }
 
 // crashLeader crashes a leader, which restarts after a short delay.
@@ -163,13 +163,13 @@
 	w.replayHeartbeats(seed, 0.1)
 	known, writes := map[string]string{}, 0
 	w.store.Configure(func(s *simulator.StateService) {
-		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+		s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 			is, shard := matches(known, puts)
 			if !is {
-				return simulator.FateAnswered
+				return simulator.TxnAnswered
 			}
 			if writes++; writes != step {
-				return simulator.FateAnswered
+				return simulator.TxnAnswered
 			}
 			reached = true
 			w.group.Go(func() {
@@ -256,9 +256,9 @@
 // completionScenarioFaults are the faults of TestCompletionFaults.
 var completionScenarioFaults = []fault{
 	{"machines receive nothing", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		hosts := w.everyMachine()
+		hosts := w.machineHosts()
 		rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-		w.deafenHosts(hosts[:rng.IntN(len(hosts)+1)], d)
+		w.dropControllerTraffic(hosts[:rng.IntN(len(hosts)+1)], d)
 	}},
 	{"a leader is cut from the state service and the others", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		for _, name := range w.leaders() {
@@ -285,19 +285,19 @@
 		}
 	}},
 	{"two processes of one name", func(w *simulation, rng *rand.Rand, d time.Duration) {
-		w.twin(rng.IntN(w.count), d/4, finalHoldTime(rng))
+		w.startDuplicateProcess(rng.IntN(w.count), d/4, finalHoldTime(rng))
 	}},
 	{"writes come late", func(w *simulation, rng *rand.Rand, d time.Duration) {
 		fateRNG, done := rand.New(rand.NewPCG(rng.Uint64(), 16)), make(chan struct{})
 		time.AfterFunc(d, func() { close(done) })
 		w.store.Configure(func(s *simulator.StateService) {
-			s.FateOf = func(map[string]wire.Raw) simulator.Fate {
+			s.OutcomeOf = func(map[string]wire.Raw) simulator.TxnOutcome {
 				select {
 				case <-done:
-					return simulator.FateAnswered
+					return simulator.TxnAnswered
 				default:
 				}
-				return []simulator.Fate{simulator.FateAnswered, simulator.FateAnswered, simulator.FateDelayed, simulator.FateReplyLost, simulator.FateDropped}[w.draw(fateRNG, 5)]
+				return []simulator.TxnOutcome{simulator.TxnAnswered, simulator.TxnAnswered, simulator.TxnDelayed, simulator.TxnReplyLost, simulator.TxnDropped}[w.draw(fateRNG, 5)]
 			}
 		})
 	}},
@@ -323,7 +323,7 @@
 // TestCompletionFaults simulates days with jobs of few tasks and two or three faults at a time, with
 // one shard and several, with 3 and 5 controllers, some with resharding. The quota of the team red is
 // exhausted all the time. AMBERDEAL_ENDS sets the number of days, AMBERDEAL_END runs one.
-func TestCompletionFaults(t *testing.T) { playSeeds(t, 3, "AMBERDEAL_END", runCompletionScenario) }
+func TestCompletionFaults(t *testing.T) { runSeeds(t, 3, "AMBERDEAL_END", runCompletionScenario) }
 
 // runCompletionScenario simulates a day of TestCompletionFaults.
 func runCompletionScenario(t *testing.T, seed uint64) {
@@ -331,7 +331,7 @@
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed%2]}
 	heartbeatTimeout := []time.Duration{0, time.Hour}[rng.IntN(2)]
 	w := newSimulationOf(t, []int{3, 5}[seed/2%2], seed, 0, func(c *config.Config) {
-		c.Tuning.Shards.By, c.Tuning.HeartbeatTimeout = settings.of(c.Name), heartbeatTimeout
+		c.Tuning.Shards.By, c.Tuning.HeartbeatTimeout = settings.forController(c.Name), heartbeatTimeout
 		c.Zone = []string{"a", "b"}[controllerNumber(c.Name)%2]
 	})
 	w.replayHeartbeats(seed, 0.05)
@@ -361,7 +361,7 @@
 	}
 	time.Sleep(time.Minute)  // until the last fault is over
 	for i := range w.count { // a controller that missed a change gets the others' settings
-		if settings.set(i, settings.of("c-0")); seed%3 == 2 {
+		if settings.set(i, settings.forController("c-0")); seed%3 == 2 {
 			w.kill(i, time.Second)
 		}
 	}
@@ -389,5 +389,5 @@
 	if i%4 == 3 {
 		cancel = time.Duration(5+rng.IntN(40)) * time.Second
 	}
-	w.user(j, time.Duration(5+rng.IntN(30))*time.Second, cancel)
+	w.startUser(j, time.Duration(5+rng.IntN(30))*time.Second, cancel)
 }
--- a/internal/simtest/tiers_test.go
+++ b/internal/simtest/tiers_test.go
@@ -31,12 +31,12 @@
 						c.Tuning.Shards.By = by
 					})
 					for i := range 8 {
-						w.user(&wire.Job{ID: fmt.Sprint("wk-1", i), Class: "batch", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 12,
+						w.startUser(&wire.Job{ID: fmt.Sprint("wk-1", i), Class: "batch", Team: "blue", Shape: wire.Array, Priority: wire.Normal, Tasks: 12,
 							CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true}, 150*time.Second, 4*time.Minute)
 					}
 					time.Sleep(60 * time.Second)
 					_, before := w.checker.Counts()
-					w.user(&wire.Job{ID: "wk-2", Class: "live", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 12, Spread: true,
+					w.startUser(&wire.Job{ID: "wk-2", Class: "live", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: 12, Spread: true,
 						CPUs: 2, GPUs: 1, MemoryGB: 8, Image: "img", ImageGB: 1, Spot: true}, 24*time.Hour, 2*time.Minute)
 					for k := range 2 {
 						time.Sleep(time.Duration(100+300*w.rng.IntN(8)) * time.Millisecond)
@@ -49,7 +49,7 @@
 						time.Sleep(time.Duration(k) * 2 * time.Second)
 					}
 					time.Sleep(45 * time.Second)
-					if n := w.checker.Running("wk-2"); n != 12 {
+					if n := w.checker.RunningTasks("wk-2"); n != 12 {
 						t.Errorf("%d of 12 replicas run", n)
 					}
 					if _, after := w.checker.Counts(); after-before > 12+4 {
--- a/internal/simtest/zone_bound_jobs_test.go
+++ b/internal/simtest/zone_bound_jobs_test.go
@@ -22,33 +22,33 @@
 // zoneLossKinds are the ways in which the machines of a zone are lost.
 var zoneLossKinds = []struct {
 	name  string
-	apply func(w *simulation, lost []upMachine, d time.Duration)
+	apply func(w *simulation, lost []runningMachine, d time.Duration)
 }{
-	{"die", func(w *simulation, lost []upMachine, _ time.Duration) {
+	{"die", func(w *simulation, lost []runningMachine, _ time.Duration) {
 		for _, m := range lost {
 			w.cloud.Crash(m.id)
 		}
 	}},
-	{"are taken", func(w *simulation, lost []upMachine, _ time.Duration) {
+	{"are taken", func(w *simulation, lost []runningMachine, _ time.Duration) {
 		for i, m := range lost {
 			w.cloud.Preempt(m.id, time.Duration(i%3)*4*time.Second)
 		}
 	}},
-	{"hang", func(_ *simulation, lost []upMachine, d time.Duration) {
+	{"hang", func(_ *simulation, lost []runningMachine, d time.Duration) {
 		for _, m := range lost {
 			m.Pause(d)
 		}
 	}},
-	{"are cut off", func(w *simulation, lost []upMachine, d time.Duration) {
+	{"are cut off", func(w *simulation, lost []runningMachine, d time.Duration) {
 		for _, m := range lost {
 			during(d, func(on bool) { w.net.SetDown(m.host, on) })
 		}
 	}},
-	{"are cut off with their zone", func(w *simulation, lost []upMachine, d time.Duration) {
+	{"are cut off with their zone", func(w *simulation, lost []runningMachine, d time.Duration) {
 		zone := w.cloud.ZoneOf(lost[0].host + ":9000")
 		during(d, func(on bool) { w.net.IsolateZone(zone, on) })
 	}},
-	{"hear nothing", func(_ *simulation, lost []upMachine, d time.Duration) { loseInbound(d, lost...) }},
+	{"hear nothing", func(_ *simulation, lost []runningMachine, d time.Duration) { dropInbound(d, lost...) }},
 }
 
 // zoneObserver records the zones in which the tasks of jobs start.
@@ -89,7 +89,7 @@
 	anyZone, zoneA := w.submitZoneJobs(seed)
 	time.Sleep(50 * time.Second)
 	zone, jobs := b.busiestZone(anyZone)
-	var lost []upMachine
+	var lost []runningMachine
 	for _, m := range w.runningMachines() {
 		if w.cloud.ZoneOf(m.host+":9000") == zone {
 			lost = append(lost, m)
@@ -141,13 +141,13 @@
 		}
 		switch shape {
 		case wire.Service:
-			runs, cancel = []time.Duration{forever}, 7*time.Minute
+			runs, cancel = []time.Duration{serviceRunTime}, 7*time.Minute
 		case wire.Array: // some tasks end before the loss, and no longer bind the others to the zone
 			runs = []time.Duration{15 * time.Second, 100 * time.Second, 130 * time.Second}
 		case wire.Gang:
-			saves(j)
+			withCheckpoints(j)
 		}
-		w.submitter(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
+		w.startClient(seed, j, time.Duration(1000+rng.IntN(3000))*time.Millisecond, cancel, runs...)
 	}
 	return anyZone, zoneA
 }
--- a/internal/simtest/zone_recovery_test.go
+++ b/internal/simtest/zone_recovery_test.go
@@ -40,7 +40,7 @@
 	})
 	r.cloud.SetFaults(func(*simulator.CloudFaults) { r.cloud.Capacity = 16 / len(r.zones) })
 	for i, tasks := range [serviceCount]int{6, 9} {
-		r.user(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: tasks, Spread: true,
+		r.startUser(&wire.Job{ID: fmt.Sprint("wk-", i), Class: "s", Team: "blue", Shape: wire.Service, Priority: wire.Production, Tasks: tasks, Spread: true,
 			CPUs: 4, GPUs: 2, MemoryGB: 8, Image: fmt.Sprint("model-", i), ImageGB: 4}, 24*time.Hour, 0)
 		r.desiredReplicas += tasks
 	}
@@ -193,7 +193,7 @@
 		r.group.Go(func() { r.cutOffZones([]string{zone}, d) })
 		for range 3 {
 			time.Sleep(time.Duration(rng.Int64N(int64(d/2 + 1))))
-			r.crashAt("ledger/", restartDelay(rng))
+			r.crashOnCommit("ledger/", restartDelay(rng))
 		}
 	}},
 	{"a zone is unreachable for one controller alone", func(r *zoneSimulation, rng *rand.Rand, zone string, d time.Duration) {
@@ -217,7 +217,7 @@
 	rng := rand.New(rand.NewPCG(seed, 12))
 	settings := shardingSettings{initial: []string{"off", "zone"}[seed/2%2]}
 	tuning := drawHeartbeatTuning(rng)
-	r := newZoneSimulation(t, seed, []string{"ab", "abc"}[seed/4%2], []int{3, 5}[seed%2], 0.02*float64(rng.IntN(2)), func(c *config.Config) { tuning.apply(c, settings.of(c.Name)) })
+	r := newZoneSimulation(t, seed, []string{"ab", "abc"}[seed/4%2], []int{3, 5}[seed%2], 0.02*float64(rng.IntN(2)), func(c *config.Config) { tuning.apply(c, settings.forController(c.Name)) })
 	r.group.Go(func() { r.submit(seed, 20) })
 	reshard := func(to string) {
 		r.crashIntoSharding(&settings, to, rng)
@@ -259,7 +259,7 @@
 // TestZoneFailures simulates days on which zones are partitioned for 5 to 90 s, alone and together,
 // while processes and machines restart. AMBERDEAL_ROOMS sets the number of days, AMBERDEAL_ROOM
 // runs one.
-func TestZoneFailures(t *testing.T) { playSeeds(t, 12, "AMBERDEAL_ROOM", runZoneScenario) }
+func TestZoneFailures(t *testing.T) { runSeeds(t, 12, "AMBERDEAL_ROOM", runZoneScenario) }
 
 // recordsZoneChange reports whether a write of a round changes the record of a zone or of its recovery,
 // in which shard's ledger, and a description of the changes. It keeps what earlier writes recorded in
@@ -294,7 +294,7 @@
 // 0.5 s. In the end all replicas have to run, and the recovery has to be over. A short run tests one of
 // these fates at each step.
 func TestCrashAtEachRecoveryStep(t *testing.T) {
-	fates := []simulator.Fate{simulator.FateDropped, simulator.FateDelayed, simulator.FateReplyLost}
+	fates := []simulator.TxnOutcome{simulator.TxnDropped, simulator.TxnDelayed, simulator.TxnReplyLost}
 	all := os.Getenv("AMBERDEAL_ROOMS") != ""
 	// The writes of a zone's failure and recovery, and those of the recovery alone; one write may record several steps.
 	const failureAndRecoverySteps, recoverySteps = 7, 4
@@ -316,18 +316,18 @@
 }
 
 // crashAtRecoveryStep crashes the leader at one step, and reports whether the step was reached.
-func crashAtRecoveryStep(t *testing.T, by string, fate simulator.Fate, step int) (reached bool) {
+func crashAtRecoveryStep(t *testing.T, by string, fate simulator.TxnOutcome, step int) (reached bool) {
 	rng := rand.New(rand.NewPCG(uint64(step), 13))
 	r := newZoneSimulation(t, 2, "ab", 3, 0, func(c *config.Config) { c.Tuning.Shards.By = by })
 	known, changesSoFar := map[string]string{}, ""
 	r.store.Configure(func(s *simulator.StateService) {
-		s.FateOf = func(puts map[string]wire.Raw) simulator.Fate {
+		s.OutcomeOf = func(puts map[string]wire.Raw) simulator.TxnOutcome {
 			changes, shard, description := recordsZoneChange(known, puts)
 			if !changes {
-				return simulator.FateAnswered
+				return simulator.TxnAnswered
 			}
 			if changesSoFar += description; len(strings.Split(changesSoFar, ";")) != step+1 {
-				return simulator.FateAnswered
+				return simulator.TxnAnswered
 			}
 			reached, changesSoFar = true, changesSoFar+" (crash)"
 			restartAfter, held := time.Duration(100+rng.IntN(401))*time.Millisecond, finalHoldTime(rng)
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -85,10 +85,10 @@
 	return slices.Sorted(maps.Keys(c.submitted))
 }
 
-// SetQuietSince tells all checkers since when no fault has been active. The zero time means that a
+// SetFaultFreeSince tells all checkers since when no fault has been active. The zero time means that a
 // fault is active.
-func (c *Checker) SetQuietSince(since time.Time) {
-	c.Liveness.SetQuietSince(since)
-	c.Launches.SetQuietSince(since)
-	c.Starvation.SetQuietSince(since)
+func (c *Checker) SetFaultFreeSince(since time.Time) {
+	c.Liveness.SetFaultFreeSince(since)
+	c.Launches.SetFaultFreeSince(since)
+	c.Starvation.SetFaultFreeSince(since)
 }
--- a/internal/simulator/checker_counts.go
+++ b/internal/simulator/checker_counts.go
@@ -19,8 +19,8 @@
 	return running, c.Started
 }
 
-// Running returns the number of running tasks of a job.
-func (c *Checker) Running(job string) (n int) {
+// RunningTasks returns the number of running tasks of a job.
+func (c *Checker) RunningTasks(job string) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for t, zones := range c.placements {
--- a/internal/simulator/cloud_calls.go
+++ b/internal/simulator/cloud_calls.go
@@ -30,7 +30,7 @@
 			return 503, wire.Failure{Error: "trouble"}
 		}
 		switch {
-		case path == wire.PathTypes:
+		case path == wire.PathMachineTypes:
 			return 200, map[string]any{"frames": c.Types}
 		case path == wire.PathRelease:
 			return c.serveRelease(body)
@@ -56,7 +56,7 @@
 
 // serveRelease handles a request to delete machines. The caller holds the lock.
 func (c *Cloud) serveRelease(body []byte) (int, any) {
-	var names wire.MachineNames
+	var names wire.MachineIDs
 	if err := wire.Decode(body, &names); err != nil || len(names.Machines) > wire.MaxRelease {
 		return 400, wire.Failure{Error: "hives: at most 100 names"}
 	}
--- a/internal/simulator/cloud_machines.go
+++ b/internal/simulator/cloud_machines.go
@@ -39,7 +39,7 @@
 // with the same request ID gets the same answer.
 func (c *Cloud) rentMachines(r wire.ScaleOutRequest) (int, any) {
 	if names, repeated := c.rentedByRequest[r.RequestID]; repeated {
-		return 200, wire.MachineNames{Machines: names}
+		return 200, wire.MachineIDs{Machines: names}
 	}
 	names := []string{}
 	for left := c.freeCapacity(Offer{r.Type, r.Zone, r.Spot}); len(names) < r.Count && left > 0; left-- {
@@ -49,7 +49,7 @@
 		return 503, wire.Failure{Error: "no capacity"}
 	}
 	c.rentedByRequest[r.RequestID] = names
-	return 200, wire.MachineNames{Machines: names}
+	return 200, wire.MachineIDs{Machines: names}
 }
 
 // startMachine rents one machine and returns its ID. The machine starts after its boot time, or never
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -131,8 +131,8 @@
 	idle time.Duration
 }
 
-// SetIdle sets the time after which a read without data fails; 0 for no limit.
-func (s *stream) SetIdle(d time.Duration) { s.idle = d }
+// SetIdleTimeout sets the time after which a read without data fails; 0 for no limit.
+func (s *stream) SetIdleTimeout(d time.Duration) { s.idle = d }
 
 func (s *stream) Read(p []byte) (int, error) {
 	if s.idle > 0 {
--- a/internal/simulator/heartbeat_replayer.go
+++ b/internal/simulator/heartbeat_replayer.go
@@ -120,7 +120,7 @@
 	time.AfterFunc(delay, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 		defer cancel()
-		caller := &transport.Caller{MaxBody: 8 << 20, Dial: r.Dial}
+		caller := &transport.Client{MaxBody: 8 << 20, Dial: r.Dial}
 		if _, err := caller.Call(ctx, to, "POST", wire.PathHeartbeat, body); err == nil {
 			r.mu.Lock()
 			defer r.mu.Unlock()
--- a/internal/simulator/launch_checker.go
+++ b/internal/simulator/launch_checker.go
@@ -37,8 +37,8 @@
 	attempt uint64
 }
 
-// SetQuietSince sets since when no fault has been active. The zero time means that a fault is active.
-func (l *LaunchChecker) SetQuietSince(since time.Time) {
+// SetFaultFreeSince sets since when no fault has been active. The zero time means that a fault is active.
+func (l *LaunchChecker) SetFaultFreeSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faultFreeSince = since
--- a/internal/simulator/launch_checker_test.go
+++ b/internal/simulator/launch_checker_test.go
@@ -25,7 +25,7 @@
 	} {
 		checker := LaunchChecker{}
 		if test.faultFree >= 0 {
-			checker.SetQuietSince(toldAt.Add(test.faultFree))
+			checker.SetFaultFreeSince(toldAt.Add(test.faultFree))
 		}
 		sendLaunch := func(after time.Duration) {
 			checker.InspectMessage(toldAt.Add(after), "c-0", append([]byte("POST /do HTTP/1.1\r\n\r\n"), wire.Encode(wire.CommandRequest{FencingToken: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: task.String(), Attempt: 2}}})...))
--- a/internal/simulator/liveness.go
+++ b/internal/simulator/liveness.go
@@ -45,8 +45,8 @@
 	polls, answered int
 }
 
-// SetQuietSince sets since when no fault has been active. The zero time means that a fault is active.
-func (c *LivenessChecker) SetQuietSince(since time.Time) {
+// SetFaultFreeSince sets since when no fault has been active. The zero time means that a fault is active.
+func (c *LivenessChecker) SetFaultFreeSince(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultFreeSince = since
--- a/internal/simulator/liveness_test.go
+++ b/internal/simulator/liveness_test.go
@@ -28,7 +28,7 @@
 		var checker LivenessChecker
 		begun := time.Unix(1000, 0)
 		if test.faultFree >= 0 {
-			checker.SetQuietSince(begun.Add(test.faultFree))
+			checker.SetFaultFreeSince(begun.Add(test.faultFree))
 		}
 		checker.Accepted(begun, "wk-1")
 		checker.Accepted(begun, "wk-2")
--- a/internal/simulator/partition_test.go
+++ b/internal/simulator/partition_test.go
@@ -32,7 +32,7 @@
 		callDirectly := func() (int, error) {
 			ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 			defer cancel()
-			resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: network.Host("10.0.0.1").Dial}).Call(ctx, "10.1.0.1:9000", "POST", wire.PathCommands,
+			resp, err := (&transport.Client{MaxBody: 1 << 20, Dial: network.Host("10.0.0.1").Dial}).Call(ctx, "10.1.0.1:9000", "POST", wire.PathCommands,
 				wire.Encode(wire.CommandRequest{FencingToken: 7, Incarnation: 1, Commands: []wire.Command{}}))
 			if err != nil {
 				return 0, err
@@ -117,7 +117,7 @@
 		time.Sleep(15 * time.Second)
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: network.Host("10.0.0.1").Dial}).Call(call, "10.1.0.1:9000", "POST", wire.PathCommands, wire.Encode(wire.CommandRequest{FencingToken: 7, Incarnation: 1}))
+		resp, err := (&transport.Client{MaxBody: 1 << 20, Dial: network.Host("10.0.0.1").Dial}).Call(call, "10.1.0.1:9000", "POST", wire.PathCommands, wire.Encode(wire.CommandRequest{FencingToken: 7, Incarnation: 1}))
 		if err != nil || resp.Status != 200 {
 			t.Errorf("a direct command: %v, %v", resp, err)
 		}
--- a/internal/simulator/pause_test.go
+++ b/internal/simulator/pause_test.go
@@ -22,7 +22,7 @@
 			t.Helper()
 			time.Sleep(time.Until(start.Add(wire.Seconds(s))))
 			for id, n := range want {
-				if got := h.checker.Running(id); got != n {
+				if got := h.checker.RunningTasks(id); got != n {
 					t.Errorf("after %v s %d tasks of %s are running, want %d", s, got, id, n)
 				}
 			}
@@ -96,7 +96,7 @@
 	request.FencingToken, request.Incarnation = 1, 1
 	call, cancel := context.WithTimeout(h.ctx, time.Second)
 	defer cancel()
-	_, _ = (&transport.Caller{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}).Call(call, w.addr, "POST", wire.PathCommands, wire.Encode(request))
+	_, _ = (&transport.Client{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}).Call(call, w.addr, "POST", wire.PathCommands, wire.Encode(request))
 }
 
 // TestLeaseExpiresDuringPause checks that the tasks of a paused machine end when its lease expires, not only
@@ -118,11 +118,11 @@
 		time.Sleep(time.Second) // the task starts
 		worker.Pause(30 * time.Second)
 		time.Sleep(17 * time.Second)
-		if checker.Running("wk-1") != 1 {
+		if checker.RunningTasks("wk-1") != 1 {
 			t.Error("the task ended before the lease expired")
 		}
 		time.Sleep(4 * time.Second)
-		if checker.Running("wk-1") != 0 {
+		if checker.RunningTasks("wk-1") != 0 {
 			t.Error("the task still runs after the lease expired")
 		}
 		worker.Kill()
--- a/internal/simulator/service_test.go
+++ b/internal/simulator/service_test.go
@@ -17,7 +17,7 @@
 type externalServices struct {
 	store  *StateService
 	cloud  *Cloud
-	caller *transport.Caller
+	caller *transport.Client
 	stop   context.CancelFunc
 }
 
@@ -26,7 +26,7 @@
 	if h.services != nil {
 		return h.services
 	}
-	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Caller{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}}
+	s := &externalServices{store: NewStateService(1, 0), caller: &transport.Client{MaxBody: 1 << 20, Dial: h.net.Host("10.0.0.1").Dial}}
 	s.store.Limits = StateLimits{RPS: 20, WriteRPS: 4, ValueBytes: 100, TxnOps: 3, RetainedChanges: 4}
 	s.cloud = &Cloud{Types: []wire.MachineType{{Name: "g4", Price: 4, SpotPrice: 1, BootS: 5, Zones: []string{"a"}}}, RPS: 5, ListLag: 2 * time.Second,
 		CapacityByOffer: map[Offer]int{{"g4", "a", false}: 2, {"g4", "a", true}: 1}, Rand: rand.New(rand.NewPCG(1, 1)),
@@ -151,7 +151,7 @@
 	case "machines":
 		return call("GET", wire.PathRentals+"?limit="+strconv.Itoa(max(n, 1))+"&from="+params["from"], nil)
 	}
-	return call("POST", wire.PathRelease, wire.MachineNames{Machines: words[2:]})
+	return call("POST", wire.PathRelease, wire.MachineIDs{Machines: words[2:]})
 }
 
 // formatAnswer formats a decoded answer with its fields in a fixed order.
--- a/internal/simulator/starvation.go
+++ b/internal/simulator/starvation.go
@@ -76,9 +76,9 @@
 	Placed   map[int]string       // zone of each task that is on a machine, by index
 }
 
-// SetQuietSince sets since when no fault has been active. The zero time means that a fault is active. It
+// SetFaultFreeSince sets since when no fault has been active. The zero time means that a fault is active. It
 // discards the state of waiting jobs.
-func (c *StarvationChecker) SetQuietSince(since time.Time) {
+func (c *StarvationChecker) SetFaultFreeSince(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultFreeSince, c.waitingJobs = since, nil
--- a/internal/simulator/starvation_test.go
+++ b/internal/simulator/starvation_test.go
@@ -74,7 +74,7 @@
 	for name, test := range starvationCases() {
 		checker := StarvationChecker{Limits: map[string]TeamLimit{"red": {GPUs: 6}}}
 		start := time.Unix(1000, 0)
-		checker.SetQuietSince(start.Add(30 * time.Second))
+		checker.SetFaultFreeSince(start.Add(30 * time.Second))
 		for elapsed := time.Duration(0); elapsed <= 123*time.Second; elapsed += 3 * time.Second {
 			machines := test.machines
 			if sample := int(elapsed / (3 * time.Second)); test.turnSamples > 0 && sample%test.turnSamples > 6 || test.turnSamples > 0 && test.turnSamples < 6 {
--- a/internal/simulator/state_lease.go
+++ b/internal/simulator/state_lease.go
@@ -55,7 +55,7 @@
 }
 
 // serveLease handles a request to renew or end a lease. target is the ID of the lease, followed by a slash
-// and wire.RenewWord for a renewal. The caller holds the lock.
+// and wire.RenewPathSuffix for a renewal. The caller holds the lock.
 func (s *StateService) serveLease(method, target string) (int, any) {
 	number, action, _ := strings.Cut(target, "/")
 	id, _ := strconv.ParseUint(number, 10, 64)
@@ -65,7 +65,7 @@
 		return 404, wire.Failure{Error: "no such lease"}
 	case method == "DELETE":
 		s.endLease(id)
-	case action == wire.RenewWord:
+	case action == wire.RenewPathSuffix:
 		l.expiresAt = time.Now().Add(l.ttl)
 	}
 	return 200, wire.LeaseGrantResponse{Lease: id}
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -54,9 +54,9 @@
 	LostReplyShare float64
 	// OnCommit, if set, is called with the keys that each committed transaction writes.
 	OnCommit func(puts []string)
-	// FateOf, if set, decides by the written values, by key, what happens to a transaction.
-	FateOf   func(puts map[string]wire.Raw) Fate
-	heldTxns []txn
+	// OutcomeOf, if set, decides by the written values, by key, what happens to a transaction.
+	OutcomeOf func(puts map[string]wire.Raw) TxnOutcome
+	heldTxns  []txn
 
 	mu                           sync.Mutex
 	down                         bool
--- a/internal/simulator/state_service_test.go
+++ b/internal/simulator/state_service_test.go
@@ -24,7 +24,7 @@
 		put := func(key string, version uint64) (int, error) {
 			ctx, cancel := context.WithTimeout(ctx, time.Second)
 			defer cancel()
-			resp, err := (&transport.Caller{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.2.0.1:2379", "POST", wire.PathTxn,
+			resp, err := (&transport.Client{MaxBody: 1 << 20, Dial: n.Host("10.0.0.1").Dial}).Call(ctx, "10.2.0.1:2379", "POST", wire.PathTxn,
 				wire.Encode(wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Operation{{Put: key, Value: "x"}}}))
 			if err != nil {
 				return 0, err
--- a/internal/simulator/state_txn.go
+++ b/internal/simulator/state_txn.go
@@ -12,24 +12,24 @@
 	"amberdeal.example/amberdeal/wire"
 )
 
-// Fate determines how a transaction is handled.
-type Fate int
+// TxnOutcome determines how a transaction is handled.
+type TxnOutcome int
 
-// The fates of transactions. The caller gets an answer only with FateAnswered.
+// The fates of transactions. The caller gets an answer only with TxnAnswered.
 const (
-	FateAnswered  Fate = iota // carried out and answered as usual
-	FateDropped               // never carried out
-	FateDelayed               // carried out one second later
-	FateReplyLost             // carried out at once
+	TxnAnswered  TxnOutcome = iota // carried out and answered as usual
+	TxnDropped                     // never carried out
+	TxnDelayed                     // carried out one second later
+	TxnReplyLost                   // carried out at once
 )
 
-// applyFate applies a fate other than FateAnswered to a transaction. The caller holds the lock, which is
+// applyFate applies a fate other than TxnAnswered to a transaction. The caller holds the lock, which is
 // released for a moment.
-func (s *StateService) applyFate(t txn, fate Fate) (int, any) {
+func (s *StateService) applyFate(t txn, fate TxnOutcome) (int, any) {
 	switch fate {
-	case FateReplyLost:
+	case TxnReplyLost:
 		s.commit(t)
-	case FateDelayed:
+	case TxnDelayed:
 		time.AfterFunc(time.Second, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -245,8 +245,8 @@
 		s.heldTxns = append(s.heldTxns, t)
 		return 0, nil
 	}
-	if s.FateOf != nil {
-		if fate := s.FateOf(t.values()); fate != FateAnswered {
+	if s.OutcomeOf != nil {
+		if fate := s.OutcomeOf(t.values()); fate != TxnAnswered {
 			return s.applyFate(t, fate)
 		}
 	}
--- a/internal/simulator/state_watch.go
+++ b/internal/simulator/state_watch.go
@@ -38,7 +38,7 @@
 // lock.
 func (s *StateService) list(prefix, after string, limit int) wire.KeyValueList {
 	page := wire.KeyValueList{Items: []wire.KeyValue{}, Revision: s.revision}
-	maxItems := cmp.Or(s.Limits.PageItems, wire.MaxItems)
+	maxItems := cmp.Or(s.Limits.PageItems, wire.MaxKeysPerPage)
 	if limit > 0 {
 		maxItems = min(maxItems, limit)
 	}
--- a/internal/simulator/tasks.go
+++ b/internal/simulator/tasks.go
@@ -126,7 +126,7 @@
 	}
 	const roundingError = 1e-6
 	if spec := w.spec; cpus > spec.CPUs+roundingError || gpus > spec.GPUs+roundingError || memory > spec.MemoryGB+roundingError {
-		w.refuseTask(t, wire.CauseNoRoom)
+		w.refuseTask(t, wire.CauseNoCapacity)
 		return
 	}
 	t.job = job
@@ -266,7 +266,7 @@
 	t.started, t.runTime = true, time.Duration(float64(runTime)*w.runFactor)
 	if t.job.Shape == wire.Gang && t.job.Tasks > 1 {
 		t.State = wire.TaskWaiting
-		t.schedule(w.runtime.GangWaitTimeout, func() { w.runIfInState(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseAlone) }) })
+		t.schedule(w.runtime.GangWaitTimeout, func() { w.runIfInState(key, t, wire.TaskWaiting, func() { w.endTask(t, wire.CauseGangTimeout) }) })
 		w.runtime.joinGang(t.job, gangKey{t.ID.Job, t.Attempt}, t.ID.Index, t.runTime, func(event gangEvent) { w.notifyGang(key, t, event) })
 		return
 	}
@@ -317,10 +317,10 @@
 		if t.State == wire.TaskSaving {
 			w.endTask(t, wire.CauseStopped)
 		} else {
-			w.endTask(t, wire.CausePeers)
+			w.endTask(t, wire.CauseGangBroken)
 		}
 	case gangBroken:
-		w.endTask(t, wire.CausePeers)
+		w.endTask(t, wire.CauseGangBroken)
 	}
 }
 
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -11,10 +11,10 @@
 
 var update = flag.Bool("update", false, "write what the traces now give")
 
-// Traces runs every trace in testdata and compares the output of its steps with the kept one. newRunner
+// RunTraces runs every trace in testdata and compares the output of its steps with the kept one. newRunner
 // returns the function that executes one step and returns its output. With -update the traces are
 // rewritten.
-func Traces(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
+func RunTraces(t *testing.T, newRunner func(t *testing.T) func(step string) []string) {
 	forEachTrace(t, func(t *testing.T, file string) { runTrace(t, file, newRunner(t)) })
 }
 
@@ -67,8 +67,8 @@
 	}
 }
 
-// Words splits a step into its plain words and its key=value pairs.
-func Words(step string) (words []string, pairs map[string]string) {
+// ParseStep splits a step into its plain words and its key=value pairs.
+func ParseStep(step string) (words []string, pairs map[string]string) {
 	pairs = map[string]string{}
 	for _, field := range strings.Fields(step) {
 		if k, v, ok := strings.Cut(field, "="); ok {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -17,9 +17,9 @@
 // Users simulates users that poll jobs through a load balancer, which removes failing controllers from
 // rotation.
 type Users struct {
-	Dial  func(ctx context.Context, addr string) (net.Conn, error)
-	Nodes []string         // addresses of the controllers
-	Judge *LivenessChecker // is notified of the answers to polls
+	Dial        func(ctx context.Context, addr string) (net.Conn, error)
+	Controllers []string         // addresses of the controllers
+	Liveness    *LivenessChecker // is notified of the answers to polls
 
 	mu       sync.Mutex
 	backends map[string]*backend // by address
@@ -61,9 +61,9 @@
 // Run probes the readiness of all controllers until the context ends.
 func (u *Users) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, addr := range u.Nodes {
+	for _, addr := range u.Controllers {
 		group.Go(func() {
-			caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.Dial}
+			caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: u.Dial}
 			for ctx.Err() == nil {
 				call, cancel := context.WithTimeout(ctx, probeInterval)
 				resp, err := caller.Call(call, addr, "GET", wire.PathReady, nil)
@@ -136,7 +136,7 @@
 // connections first.
 func (u *Users) connect(ctx context.Context, _ string) (net.Conn, error) {
 	u.mu.Lock()
-	healthy := slices.DeleteFunc(slices.Clone(u.Nodes), func(addr string) bool { return !u.backendAt(addr).healthy })
+	healthy := slices.DeleteFunc(slices.Clone(u.Controllers), func(addr string) bool { return !u.backendAt(addr).healthy })
 	slices.SortStableFunc(healthy, func(a, b string) int { return cmp.Compare(len(u.backends[a].conns), len(u.backends[b].conns)) })
 	u.mu.Unlock()
 	err := errors.New("no controller is healthy")
@@ -164,8 +164,8 @@
 
 // Follow polls a job until the context ends or the job is reported as cancelled.
 func (u *Users) Follow(ctx context.Context, job string) {
-	caller := &transport.Caller{MaxBody: wire.MaxBody, Dial: u.connect}
-	u.Judge.Accepted(time.Now(), job)
+	caller := &transport.Client{MaxBody: wire.MaxBodyBytes, Dial: u.connect}
+	u.Liveness.Accepted(time.Now(), job)
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, pollTimeout)
 		resp, err := caller.Call(call, "controllers", "GET", wire.PathJobs+"/"+job, nil)
@@ -179,10 +179,10 @@
 		case ctx.Err() != nil:
 			return
 		case status == 200 && jobStatus.Stage == wire.Cancelled:
-			u.Judge.Cancelled(job)
+			u.Liveness.Cancelled(job)
 			return
 		}
-		u.Judge.ObservePoll(time.Now(), job, status, jobStatus.Stage)
+		u.Liveness.ObservePoll(time.Now(), job, status, jobStatus.Stage)
 		sleepContext(ctx, pollInterval)
 	}
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -20,7 +20,7 @@
 	spec                     wire.MachineType
 	net                      transport.Network
 	takeDown                 func() // disconnects the machine from the network
-	caller                   *transport.Caller
+	caller                   *transport.Client
 	controllers              map[string]string // addresses by name
 	runtime                  *TaskRuntime
 	lease, heartbeatInterval time.Duration
@@ -76,7 +76,7 @@
 	if w.callDelay == nil {
 		w.callDelay = func() time.Duration { return 0 }
 	}
-	w.caller = &transport.Caller{MaxBody: 8 << 20, Dial: w.dialLink}
+	w.caller = &transport.Client{MaxBody: 8 << 20, Dial: w.dialLink}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	w.controller = slices.Sorted(maps.Keys(w.controllers))[0]
 	go func() { _ = w.net.Listen(w.ctx, w.addr, 64, w.serve()) }()
--- a/internal/simulator/worker_test.go
+++ b/internal/simulator/worker_test.go
@@ -43,7 +43,7 @@
 
 // step executes a step of a trace and returns its output.
 func (h *runtimeHarness) step(line string) []string {
-	words, params := Words(line)
+	words, params := ParseStep(line)
 	number := func(key string, fallback float64) float64 {
 		if value, err := strconv.ParseFloat(params[key], 64); err == nil {
 			return value
--- a/internal/snapshot/import.go
+++ b/internal/snapshot/import.go
@@ -268,6 +268,6 @@
 // conflictsOn reports whether a conflict concerns a key that one of the operations changes.
 func conflictsOn(conflict *store.ConflictError, ops []wire.Operation) bool {
 	return slices.ContainsFunc(ops, func(op wire.Operation) bool {
-		return slices.Contains(conflict.Failed, op.Put+op.Delete)
+		return slices.Contains(conflict.Keys, op.Put+op.Delete)
 	})
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -48,7 +48,7 @@
 	case 200:
 		return res.Revision, nil
 	case 409:
-		return 0, &store.ConflictError{Failed: res.Failed}
+		return 0, &store.ConflictError{Keys: res.Failed}
 	}
 	return 0, fmt.Errorf("status %d", status)
 }
--- a/internal/store/batchupdate.go
+++ b/internal/store/batchupdate.go
@@ -68,9 +68,9 @@
 	return n
 }
 
-// Change returns the operation that writes the new value. It must be sent in one transaction with
+// Operation returns the operation that writes the new value. It must be sent in one transaction with
 // Condition.
-func (u *BatchUpdate) Change() wire.Operation {
+func (u *BatchUpdate) Operation() wire.Operation {
 	if u.batch.standalone {
 		return wire.Operation{Put: u.batch.Key, Value: u.jobs[0].Record}
 	}
--- a/internal/store/batchupdate_test.go
+++ b/internal/store/batchupdate_test.go
@@ -28,7 +28,7 @@
 	if c := u.Condition(); !u.IsFor(b) || c.Key != b.Key || c.Version != 7 {
 		t.Errorf("condition %+v, want version 7 of the batch's key", c)
 	}
-	put, ok := u.Change().Value.(BatchRecord)
+	put, ok := u.Operation().Value.(BatchRecord)
 	if !ok || put.Since != 7 || put.Jobs["wk-1"].Stage != wire.Cancelled || len(put.Jobs["wk-2"].Ranges) != 1 {
 		t.Errorf("unexpected value to write: %+v", put)
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -27,7 +27,7 @@
 // briefly while leadership changes; the only cost is a refused request.
 type Client struct {
 	addr           string
-	caller         *transport.Caller
+	caller         *transport.Client
 	requestLimiter *rate.Limiter // limits all requests, reads and writes
 	changeLimiter  *rate.Limiter // limits changes, of which a transaction may contain several
 	rps            float64       // limit of requests per second, shared by all controllers
@@ -65,14 +65,14 @@
 func NewClient(net transport.Network, addr string, rps, writeRPS float64, allowed Allowance, log *slog.Logger) *Client {
 	c := &Client{
 		addr:           addr,
-		caller:         &transport.Caller{MaxBody: maxResponseBytes, Dial: net.Dial},
+		caller:         &transport.Client{MaxBody: maxResponseBytes, Dial: net.Dial},
 		requestLimiter: rate.NewLimiter(0, 1),
 		changeLimiter:  rate.NewLimiter(0, 1),
 		rps:            rps,
 		writeRPS:       writeRPS,
 		log:            log,
 	}
-	c.Allow(allowed)
+	c.SetAllowance(allowed)
 	return c
 }
 
@@ -195,7 +195,7 @@
 // has at most limit keys; a limit of 0 requests the largest possible page.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) (*wire.KeyValueList, error) {
 	if limit == 0 {
-		limit = wire.MaxItems
+		limit = wire.MaxKeysPerPage
 	}
 	if err := c.waitForRequest(ctx); err != nil {
 		return nil, err
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -25,7 +25,7 @@
 func TestBackgroundWritesMakeProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClient(failingNetwork{}, "", 1000, 12, EvenAllowance(3), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		c.Allow(Allowance{Requests: 1. / 3, Acceptance: 1. / 3, Leading: 1, HasLeader: true}) // 8 changes per second
+		c.SetAllowance(Allowance{Requests: 1. / 3, Acceptance: 1. / 3, Leading: 1, AnyShardHasLeader: true}) // 8 changes per second
 		time.Sleep(2 * time.Second)
 		start := time.Now()
 		if _ = c.WaitForSpareWrites(t.Context(), 4); time.Since(start) > 0 {
--- a/internal/store/entries.go
+++ b/internal/store/entries.go
@@ -90,16 +90,16 @@
 	return entryOverheadBytes + len(id) + len(r.Addr) + len(r.Type) + len(r.Zone) + machineFieldsBytes + MachineTaskBytes*len(r.Tasks)
 }
 
-// DropMachine returns the tombstone of a machine's record.
-func DropMachine(id string) Entry { return tombstone(machinePrefix, id) }
+// MachineTombstone returns the tombstone of a machine's record.
+func MachineTombstone(id string) Entry { return tombstone(machinePrefix, id) }
 
 // ScaleOutEntry returns the entry of a scale-out.
 func ScaleOutEntry(name string, r ScaleOutRecord) Entry {
 	return Entry{scaleOutPrefix + name, wire.Encode(r), entryOverheadBytes + len(name) + len(r.Type) + len(r.Zone) + scaleOutFieldsBytes}
 }
 
-// DropScaleOut returns the tombstone of a scale-out's record.
-func DropScaleOut(name string) Entry { return tombstone(scaleOutPrefix, name) }
+// ScaleOutTombstone returns the tombstone of a scale-out's record.
+func ScaleOutTombstone(name string) Entry { return tombstone(scaleOutPrefix, name) }
 
 // ProgressEntry returns the entry of the finished tasks in one block of a job's tasks.
 func ProgressEntry(job string, block int, finished *TaskSet) Entry {
@@ -121,8 +121,8 @@
 	return Entry{zoneRecoveryPrefix + zone, wire.Encode(r), entryOverheadBytes + len(zone) + len(r.Step) + zoneRecoveryFieldsBytes}
 }
 
-// DropZoneRecovery returns the tombstone of a zone recovery's record.
-func DropZoneRecovery(zone string) Entry { return tombstone(zoneRecoveryPrefix, zone) }
+// ZoneRecoveryTombstone returns the tombstone of a zone recovery's record.
+func ZoneRecoveryTombstone(zone string) Entry { return tombstone(zoneRecoveryPrefix, zone) }
 
 // tombstone returns the entry that deletes a record.
 func tombstone(prefix, name string) Entry {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -25,7 +25,7 @@
 
 // ConflictError reports a transaction that was not committed because the versions of the keys
 // in Failed did not meet its conditions.
-type ConflictError struct{ Failed []string }
+type ConflictError struct{ Keys []string }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return fmt.Sprintf("conflict on %q", e.Failed) }
+func (e *ConflictError) Error() string { return fmt.Sprintf("conflict on %q", e.Keys) }
--- a/internal/store/fuzz_test.go
+++ b/internal/store/fuzz_test.go
@@ -66,7 +66,7 @@
 			v.LedgerRevision("a")
 			v.ShardingState()
 			v.Migrated("a")
-			v.PreviousLedgerSlots()
+			v.PreviousSegmentKeys()
 			v.ShardLedgers("a")
 		}
 		v.Apply(&wire.WatchResponse{Revision: 3, Events: []wire.Event{{Delete: key, Version: 3}}})
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -36,13 +36,13 @@
 // checkGolden compares the encoding of a record type with a golden file.
 func checkGolden[T any](t *testing.T, name string) {
 	t.Helper()
-	goldentest.Check[T](t, name, encode, wire.DecodeValue)
+	goldentest.CheckEncoding[T](t, name, encode, wire.DecodeValue)
 }
 
 // TestGoldenKeys checks that the keys in the state service, the format numbers, the co-allocation
 // constants and the purposes of calls are unchanged.
 func TestGoldenKeys(t *testing.T) {
-	goldentest.Text(t, "keys.txt", strings.Join([]string{
+	goldentest.CompareText(t, "keys.txt", strings.Join([]string{
 		CommonPrefix, StatePrefix, ArchivePrefix, fmt.Sprint(Format, FormatSharded),
 		FencingTokenKey, MachineTypesKey, SubmissionFenceKey, ShardingKey, QuotaGrantKey, TiersKey, FormatKey,
 		JobKey("j-1"), BatchKey("b-1"), RecentKey(7), SegmentKey(LedgerName("a", 0), 3), SegmentKey(LedgerName("a", 2), 3), LeaderKey("a"),
@@ -60,29 +60,29 @@
 	}
 	var out strings.Builder
 	for _, e := range []Entry{
-		MachineEntry("m-1", goldentest.Filled[MachineRecord](t)), DropMachine("m-1"),
-		ScaleOutEntry("a-1", goldentest.Filled[ScaleOutRecord](t)), DropScaleOut("a-1"),
+		MachineEntry("m-1", goldentest.FilledValue[MachineRecord](t)), MachineTombstone("m-1"),
+		ScaleOutEntry("a-1", goldentest.FilledValue[ScaleOutRecord](t)), ScaleOutTombstone("a-1"),
 		ProgressEntry("j-1", 0, done), ProgressEntry("j-1", 1, done),
-		ZoneEntry("z-1", goldentest.Filled[ZoneRecord](t)),
-		ZoneRecoveryEntry("z-1", goldentest.Filled[ZoneRecoveryRecord](t)), DropZoneRecovery("z-1"),
-		PreemptionEntry("j-1", goldentest.Filled[tier.Reservation](t)), DropPreemption("j-1", "m-1"),
+		ZoneEntry("z-1", goldentest.FilledValue[ZoneRecord](t)),
+		ZoneRecoveryEntry("z-1", goldentest.FilledValue[ZoneRecoveryRecord](t)), ZoneRecoveryTombstone("z-1"),
+		PreemptionEntry("j-1", goldentest.FilledValue[tier.Reservation](t)), PreemptionTombstone("j-1", "m-1"),
 	} {
 		fmt.Fprintf(&out, "%s %d %x\n", e.Key, e.Size, []byte(e.Value))
 	}
-	goldentest.Text(t, "entries.txt", out.String())
+	goldentest.CompareText(t, "entries.txt", out.String())
 }
 
 // TestGoldenBatchUpdate checks that the encoding of a batch's rewrite after a job has ended is unchanged.
 func TestGoldenBatchUpdate(t *testing.T) {
-	rec := goldentest.Filled[JobRecord](t)
+	rec := goldentest.FilledValue[JobRecord](t)
 	rec.Stage = wire.Pending
 	batch := Batch{Key: BatchKey("b-1"), Version: 9, SinceRevision: 4, Jobs: sortedJobs(map[string]JobRecord{"j-1": rec, "j-2": rec})}
 	update := batch.Update()
 	update.EndJob("j-1", wire.Done, time.UnixMilli(1_700_000_000_123))
 	update.MarkFinishedIn("j-2", "a@2")
-	change, err := encode(update.Change())
+	change, err := encode(update.Operation())
 	if err := errors.Join(err); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.File(t, "home.cbor", change)
+	goldentest.CompareBytes(t, "home.cbor", change)
 }
--- a/internal/store/ledger_test.go
+++ b/internal/store/ledger_test.go
@@ -85,7 +85,7 @@
 		}
 		e := MachineEntry(id, rec)
 		if x.random.IntN(3) == 0 || round > ledgerRounds*3/4 {
-			e = DropMachine(id)
+			e = MachineTombstone(id)
 		}
 		if e.Size > free {
 			break
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -13,10 +13,10 @@
 // fractions from 0 to 1. Half of all changes are reserved for the leaders of the shards, in equal
 // parts; the other half is for accepting jobs, divided evenly or as package writers decides.
 type Allowance struct {
-	Requests   float64 // fraction of all requests
-	Acceptance float64 // fraction of the changes reserved for accepting jobs
-	Leading    float64 // fraction of the changes reserved for leaders: the fraction of shards it leads
-	HasLeader  bool    // whether any shard has a leader; if not, all changes are for accepting jobs
+	Requests          float64 // fraction of all requests
+	Acceptance        float64 // fraction of the changes reserved for accepting jobs
+	Leading           float64 // fraction of the changes reserved for leaders: the fraction of shards it leads
+	AnyShardHasLeader bool    // whether any shard has a leader; if not, all changes are for accepting jobs
 }
 
 // EvenAllowance returns the allowance of one of the given number of controllers while no shard has
@@ -27,7 +27,7 @@
 
 // writeShare returns the fraction of all changes that the allowance grants.
 func (a Allowance) writeShare() float64 {
-	if !a.HasLeader && a.Leading == 0 {
+	if !a.AnyShardHasLeader && a.Leading == 0 {
 		return a.Acceptance
 	}
 	return a.Acceptance/2 + a.Leading/2
@@ -41,8 +41,8 @@
 	}
 }
 
-// Allow sets the controller's allowance, from which the client's rate limits follow.
-func (c *Client) Allow(a Allowance) {
+// SetAllowance sets the controller's allowance, from which the client's rate limits follow.
+func (c *Client) SetAllowance(a Allowance) {
 	setRate(c.requestLimiter, c.rps*a.Requests)
 	setRate(c.changeLimiter, c.writeRPS*a.writeShare())
 }
@@ -59,7 +59,7 @@
 	if writeRPS == 0 {
 		return math.MaxInt
 	}
-	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(shards), HasLeader: true}
+	share := Allowance{Acceptance: acceptance, Leading: 1 / float64(shards), AnyShardHasLeader: true}
 	return max(minLeaderBurst, int(writeRPS*share.writeShare()))
 }
 
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("without a leader, the allowances add up to %v of all changes, want 1", got)
 	}
 	leader, other := even, even
-	leader.Leading, leader.HasLeader, other.HasLeader = 1, true, true
+	leader.Leading, leader.AnyShardHasLeader, other.AnyShardHasLeader = 1, true, true
 	if got := leader.writeShare() + (controllers-1)*other.writeShare(); got != 1 {
 		t.Errorf("with a leader, the allowances add up to %v of all changes, want 1", got)
 	}
--- a/internal/store/lookup.go
+++ b/internal/store/lookup.go
@@ -29,8 +29,8 @@
 	return v.jobs.job(id)
 }
 
-// Live looks up a live job, one that has not ended.
-func (v *View) Live(id string) (*LiveJob, bool) {
+// LiveJob looks up a live job, one that has not ended.
+func (v *View) LiveJob(id string) (*LiveJob, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	job, ok := v.jobs.live[id]
@@ -92,8 +92,8 @@
 	return len(v.jobs.live), len(v.jobs.ended), len(v.jobs.batches), v.jobs.recentJobs()
 }
 
-// Uncompacted reports whether any batch waits for compaction because all of its jobs have ended.
-func (v *View) Uncompacted() bool {
+// HasEndedBatches reports whether any batch waits for compaction because all of its jobs have ended.
+func (v *View) HasEndedBatches() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.jobs.endedBatches.Len() > 0
--- a/internal/store/preemption.go
+++ b/internal/store/preemption.go
@@ -17,8 +17,8 @@
 	return Entry{preemptionKey(job, r.Machine), wire.Encode(r), entryOverheadBytes + len(job) + len(r.Machine) + r.SizeBound()}
 }
 
-// DropPreemption returns the tombstone of a PreemptionEntry.
-func DropPreemption(job, machine string) Entry {
+// PreemptionTombstone returns the tombstone of a PreemptionEntry.
+func PreemptionTombstone(job, machine string) Entry {
 	return Entry{Key: preemptionKey(job, machine), Size: entryOverheadBytes + len(job) + len(machine) + 2*tombstoneValueBytes}
 }
 
--- a/internal/store/recovered_test.go
+++ b/internal/store/recovered_test.go
@@ -31,9 +31,9 @@
 		ProgressEntry("wk-1", 0, early), ZoneEntry("za", ZoneRecord{State: "up", Number: 4}),
 		PreemptionEntry("wk-9", tier.Reservation{Machine: "n-1", Tasks: 1}), PreemptionEntry("wk-9", tier.Reservation{Machine: "n-2", Tasks: 1}))
 	newer := newSegment(0, 5,
-		DropMachine("n-1"), MachineEntry("n-2", MachineRecord{Addr: "b:2"}), DropScaleOut("s-1"), DropZoneRecovery("za"),
+		MachineTombstone("n-1"), MachineEntry("n-2", MachineRecord{Addr: "b:2"}), ScaleOutTombstone("s-1"), ZoneRecoveryTombstone("za"),
 		ProgressEntry("wk-1", 1, late), ZoneEntry("za", ZoneRecord{State: "down", Number: 3}),
-		DropPreemption("wk-9", "n-1"), PreemptionEntry("wk-9", tier.Reservation{Machine: "n-2", Tasks: 7}))
+		PreemptionTombstone("wk-9", "n-1"), PreemptionEntry("wk-9", tier.Reservation{Machine: "n-2", Tasks: 7}))
 	for _, segments := range [][]Segment{{older, newer}, {newer, older}} {
 		got := RecoverSegments(segments)
 		if len(got.Machines) != 1 || got.Machines["n-2"].Addr != "b:2" {
--- a/internal/store/shardledgers.go
+++ b/internal/store/shardledgers.go
@@ -22,14 +22,14 @@
 // ShardingState is the input for computing a new sharding: the current sharding, all ledgers,
 // and which shards have a leader.
 type ShardingState struct {
-	Sharding     Versioned[ShardingRecord]
-	FencingToken Versioned[uint64]
-	QuotaGrants  Versioned[QuotaGrantRecord]
-	Format       FormatRecord
-	LedgerNames  []string
-	Segments     []Segment // of all ledgers
-	LedShards    []string  // shards that have a leader
-	Unreadable   []string  // keys of records that could not be decoded
+	Sharding         Versioned[ShardingRecord]
+	FencingToken     Versioned[uint64]
+	QuotaGrants      Versioned[QuotaGrantRecord]
+	Format           FormatRecord
+	LedgerNames      []string
+	Segments         []Segment // of all ledgers
+	ShardsWithLeader []string  // shards that have a leader
+	Unreadable       []string  // keys of records that could not be decoded
 }
 
 // ShardLedgers decodes the ledgers that a new leader of a shard reads. A segment that can't be
@@ -72,9 +72,9 @@
 	return v.segments.newestRecord(v.ownLedger(shard)).Migrated == v.fleet.sharding.Record.Generation
 }
 
-// PreviousLedgerSlots lists, in order, the keys of the segments that belong to ledgers of earlier
+// PreviousSegmentKeys lists, in order, the keys of the segments that belong to ledgers of earlier
 // generations of the sharding.
-func (v *View) PreviousLedgerSlots() (out []string) {
+func (v *View) PreviousSegmentKeys() (out []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for key := range v.segments {
@@ -86,8 +86,8 @@
 	return out
 }
 
-// LedShards lists the shards that have a leader, and reports whether any ledger exists.
-func (v *View) LedShards() (shards []string, hasLedger bool) {
+// ShardsWithLeader lists the shards that have a leader, and reports whether any ledger exists.
+func (v *View) ShardsWithLeader() (shards []string, hasLedger bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.fleet.shardsWithLeader(), len(v.segments) > 0
@@ -98,12 +98,12 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := ShardingState{
-		Sharding:     v.fleet.sharding,
-		FencingToken: v.fleet.fencingToken,
-		QuotaGrants:  v.fleet.quotaGrants,
-		Format:       v.fleet.format,
-		LedgerNames:  v.segments.ledgerNames(),
-		LedShards:    v.fleet.shardsWithLeader(),
+		Sharding:         v.fleet.sharding,
+		FencingToken:     v.fleet.fencingToken,
+		QuotaGrants:      v.fleet.quotaGrants,
+		Format:           v.fleet.format,
+		LedgerNames:      v.segments.ledgerNames(),
+		ShardsWithLeader: v.fleet.shardsWithLeader(),
 	}
 	for _, name := range s.LedgerNames {
 		s.Segments = append(s.Segments, v.segmentsOf(name)...)
--- a/internal/store/view_test.go
+++ b/internal/store/view_test.go
@@ -118,7 +118,7 @@
 	one.Since = 2
 	one = ended(one, wire.Cancelled, "wk-1")
 	applyAt(v, 5, event(BatchKey("z-1"), one, 0)) // although rewritten, it is still the oldest batch
-	if l, _ := v.Live("wk-2"); l == nil || l.Batch.Key != BatchKey("z-1") || l.Batch.Version != 5 || l.SinceRevision != 2 {
+	if l, _ := v.LiveJob("wk-2"); l == nil || l.Batch.Key != BatchKey("z-1") || l.Batch.Version != 5 || l.SinceRevision != 2 {
 		t.Fatalf("wk-2: %+v", l)
 	}
 	applyAt(v, 6, event(BatchKey("z-1"), ended(one, wire.Done, "wk-2"), 0))
@@ -178,10 +178,10 @@
 	if rec, _ := v.Job("wk-2"); rec.Stage != wire.Cancelled {
 		t.Errorf("wk-2: %+v", rec)
 	}
-	l, _ := v.Live("wk-3")
+	l, _ := v.LiveJob("wk-3")
 	update := l.Batch.Update()
 	update.EndJob("wk-3", wire.Done, time.Unix(1e9, 0))
-	change := update.Change()
+	change := update.Operation()
 	if put, ok := change.Value.(JobRecord); !ok || change.Put != JobKey("wk-3") || put.Stage != wire.Done {
 		t.Errorf("the change that ends wk-3: %+v", change)
 	}
@@ -195,7 +195,7 @@
 	// The first page was read before batch a was written, the second one after.
 	v.Load([]wire.KeyValue{item(BatchKey("z"), batch("wk-1"), 7)}, 5, &wire.WatchResponse{Revision: 8, Events: []wire.Event{
 		event(BatchKey("a"), batch("wk-1"), 6), event(BatchKey("z"), batch("wk-1"), 7)}})
-	if l, _ := v.Live("wk-1"); l == nil || l.Batch.Key != BatchKey("a") || v.Revision() != 8 {
+	if l, _ := v.LiveJob("wk-1"); l == nil || l.Batch.Key != BatchKey("a") || v.Revision() != 8 {
 		t.Errorf("wk-1: %+v at revision %d", l, v.Revision())
 	}
 }
--- a/internal/tier/golden_test.go
+++ b/internal/tier/golden_test.go
@@ -9,5 +9,5 @@
 // TestGoldenDigest checks that the digest of the configured tiers does not change between versions: every lease is
 // conditional on it.
 func TestGoldenDigest(t *testing.T) {
-	goldentest.Text(t, "digest.txt", New([]Tier{goldentest.Filled[Tier](t)}).Digest()+"\n"+New(nil).Digest()+"\n")
+	goldentest.CompareText(t, "digest.txt", New([]Tier{goldentest.FilledValue[Tier](t)}).Digest()+"\n"+New(nil).Digest()+"\n")
 }
--- a/internal/tier/guarantee.go
+++ b/internal/tier/guarantee.go
@@ -117,9 +117,9 @@
 // epsilon is the largest difference that counts as a rounding error: sums of fractions of cards are inexact.
 const epsilon = 1e-6
 
-// Unused returns how many cards of its guarantee a tier does not use. The count is for work that must run in
+// UnusedGuarantee returns how many cards of its guarantee a tier does not use. The count is for work that must run in
 // the given zone, or for work that can run in any zone if zone is "".
-func Unused(guarantee Guarantee, u *Usage, tier int, zone string) float64 {
+func UnusedGuarantee(guarantee Guarantee, u *Usage, tier int, zone string) float64 {
 	unused := guarantee.Total - u.Total[tier]
 	for z, n := range guarantee.Zones {
 		if zone == "" || zone == z {
--- a/internal/tier/preemption.go
+++ b/internal/tier/preemption.go
@@ -46,8 +46,8 @@
 	return remaining > 0 && remaining+checkpoint+stopLead <= within
 }
 
-// Facts is the state of the cluster by which a preemption is reviewed.
-type Facts struct {
+// ReviewInput is the state of the cluster by which a preemption is reviewed.
+type ReviewInput struct {
 	Now           time.Time
 	WaitingTasks  func(job string) (tasks int, known bool)               // waiting tasks of a job, -1 if it has ended
 	MachineUsable func(machine string) bool                              // whether a machine can run tasks
@@ -57,7 +57,7 @@
 // Review returns the part of a preemption that is still needed, and the attempts that have not stopped in time. A
 // reservation is dropped if its job has ended or its tasks were placed elsewhere, if its machine is not usable, if one
 // of its attempts may still run after the deadline, or if the freed capacity was not used within reservationGrace.
-func (p *Preemption) Review(job string, f Facts) (next *Preemption, stuck map[string]uint64) {
+func (p *Preemption) Review(job string, f ReviewInput) (next *Preemption, stuck map[string]uint64) {
 	waiting, known := f.WaitingTasks(job)
 	if !known {
 		return p, nil
@@ -85,7 +85,7 @@
 // candidates lists the reservations that can still be used, in the order in which they are kept, and the attempts that
 // have not stopped in time. Reservations whose capacity is already free come first, and among the rest those for which
 // attempts are being stopped come before those that only await attempts.
-func (p *Preemption) candidates(f Facts) (out []candidate, stuck map[string]uint64) {
+func (p *Preemption) candidates(f ReviewInput) (out []candidate, stuck map[string]uint64) {
 	for _, r := range p.Reservations {
 		lateMillis := f.Now.UnixMilli() - r.Deadline
 		occupants := r.occupants(f)
@@ -108,7 +108,7 @@
 }
 
 // occupants returns the attempts that may still occupy the reserved capacity.
-func (r *Reservation) occupants(f Facts) map[string]uint64 {
+func (r *Reservation) occupants(f ReviewInput) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, attempts := range []map[string]uint64{r.Stops, r.Awaits} {
 		for task, attempt := range attempts {
--- a/internal/tier/preemptions.go
+++ b/internal/tier/preemptions.go
@@ -56,7 +56,7 @@
 // Review drops the reservations that are no longer needed, and calls report for each task that has not stopped in
 // time. Stale records need not be rewritten at once and can wait for a round that has space: a leader that recovers
 // one drops it in its own review.
-func (p *Preemptions) Review(f Facts, report func(job, task string)) {
+func (p *Preemptions) Review(f ReviewInput, report func(job, task string)) {
 	for _, job := range p.Jobs() {
 		preemption := p.byJob[job]
 		next, overdue := preemption.Review(job, f)
--- a/internal/tier/preemptions_test.go
+++ b/internal/tier/preemptions_test.go
@@ -32,8 +32,8 @@
 func TestPreemptionsReview(t *testing.T) {
 	p := NewPreemptions(testTiers, storedPreemptions())
 	now := time.Unix(1e9, 0)
-	facts := func(waiting int) Facts {
-		return Facts{Now: now, WaitingTasks: func(string) (int, bool) { return waiting, true }, MachineUsable: func(string) bool { return true },
+	facts := func(waiting int) ReviewInput {
+		return ReviewInput{Now: now, WaitingTasks: func(string) (int, bool) { return waiting, true }, MachineUsable: func(string) bool { return true },
 			MayOccupy: func(string, uint64, string) bool { return true }}
 	}
 	var reported []string
--- a/internal/tier/tier.go
+++ b/internal/tier/tier.go
@@ -123,8 +123,8 @@
 	return slices.IndexFunc(s.Tiers, func(t Tier) bool { return t.matches(w) })
 }
 
-// InFirst reports whether a job belongs to the first tier, without regard to its team's guarantee.
-func (s *Set) InFirst(j *wire.Job) bool {
+// InFirstTier reports whether a job belongs to the first tier, without regard to its team's guarantee.
+func (s *Set) InFirstTier(j *wire.Job) bool {
 	return s.IndexOf(Workload{Priority: j.Priority, Class: j.Class, Team: j.Team, Service: j.Shape == wire.Service}) == 0
 }
 
--- a/internal/tier/tier_test.go
+++ b/internal/tier/tier_test.go
@@ -24,7 +24,7 @@
 }
 
 func (m *traceModel) step(line string) []string {
-	words, kv := simulator.Words(line)
+	words, kv := simulator.ParseStep(line)
 	num := func(key string) float64 {
 		n, _ := strconv.ParseFloat(kv[key], 64)
 		return n
@@ -87,7 +87,7 @@
 		d, _ := time.ParseDuration(words[1])
 		m.now = m.now.Add(d)
 	case "review": // with the given number of waiting tasks, -1 if the job has ended
-		next, stuck := m.preemption.Review("wk-9", Facts{Now: m.now, WaitingTasks: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
+		next, stuck := m.preemption.Review("wk-9", ReviewInput{Now: m.now, WaitingTasks: func(string) (int, bool) { return int(num("waiting")), kv["rebuilding"] == "" },
 			MachineUsable: func(machine string) bool { return !m.unusable[machine] }, MayOccupy: func(task string, _ uint64, machine string) bool { return m.attemptMachine[task] == machine }})
 		m.preemption = next
 		var out []string
@@ -114,7 +114,7 @@
 
 // TestTraces replays the traces in testdata.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string {
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string {
 		return (&traceModel{t: t, now: time.Unix(1e9, 0), preemption: &Preemption{}, attemptMachine: map[string]string{}, unusable: map[string]bool{}}).step
 	})
 }
--- a/internal/top/golden_test.go
+++ b/internal/top/golden_test.go
@@ -10,7 +10,7 @@
 // TestGoldenStatus checks that the JSON of /status and of a view of several controllers has not
 // changed.
 func TestGoldenStatus(t *testing.T) {
-	goldentest.Check[Status](t, "status.json", json.Marshal, json.Unmarshal)
-	goldentest.Check[View](t, "view.json", json.Marshal, json.Unmarshal)
-	goldentest.Text(t, "path.txt", Path+"\n")
+	goldentest.CheckEncoding[Status](t, "status.json", json.Marshal, json.Unmarshal)
+	goldentest.CheckEncoding[View](t, "view.json", json.Marshal, json.Unmarshal)
+	goldentest.CompareText(t, "path.txt", Path+"\n")
 }
--- a/internal/transport/caller.go
+++ b/internal/transport/caller.go
@@ -24,9 +24,9 @@
 	responseBufferBytes = 4 << 10
 )
 
-// Caller is an HTTP client that reuses connections. Every call ends with its context, so
+// Client is an HTTP client that reuses connections. Every call ends with its context, so
 // that an unresponsive peer delays only calls to itself.
-type Caller struct {
+type Client struct {
 	MaxBody int64 // maximum size of a response body in bytes
 	MaxIdle int   // maximum number of idle connections to all addresses; 0 means no limit
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -50,7 +50,7 @@
 
 // Call sends a request and waits for the response until the context ends. After any error
 // other than ErrNotSent, the peer may or may not have executed the request.
-func (c *Caller) Call(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Response, error) {
+func (c *Client) Call(ctx context.Context, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	conn, reused, err := c.getConn(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -67,7 +67,7 @@
 
 // exchange sends a request on a connection and reads the response. It then keeps the
 // connection for reuse or closes it.
-func (c *Caller) exchange(ctx context.Context, conn *clientConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
+func (c *Client) exchange(ctx context.Context, conn *clientConn, addr, method, target string, body []byte) (*httpwire.Response, error) {
 	if d, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(d)
 	}
@@ -91,7 +91,7 @@
 }
 
 // getConn returns an idle connection to an address, or opens one. It reports whether the connection is reused.
-func (c *Caller) getConn(ctx context.Context, addr string) (*clientConn, bool, error) {
+func (c *Client) getConn(ctx context.Context, addr string) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle[addr]); n > 0; n-- {
 		conn := c.idle[addr][n-1]
@@ -108,7 +108,7 @@
 	return conn, false, err
 }
 
-func (c *Caller) dial(ctx context.Context, addr string) (*clientConn, error) {
+func (c *Client) dial(ctx context.Context, addr string) (*clientConn, error) {
 	conn, err := c.Dial(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 }
 
 // putConn keeps a connection for reuse, or closes it if enough connections are idle already.
-func (c *Caller) putConn(addr string, conn *clientConn) {
+func (c *Client) putConn(addr string, conn *clientConn) {
 	_ = conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
 	c.mu.Lock()
@@ -138,7 +138,7 @@
 
 // closeExpired closes connections that have been idle for too long. With thousands of addresses
 // they would otherwise use up all sockets. The caller must hold the lock.
-func (c *Caller) closeExpired() {
+func (c *Client) closeExpired() {
 	c.lastExpiryCheck = time.Now()
 	for addr, conns := range c.idle {
 		kept := slices.DeleteFunc(conns, func(conn *clientConn) bool {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -30,8 +30,8 @@
 	closed  bool
 }
 
-// SetIdle sets the timeout of each further Read; 0 means no timeout.
-func (c *Conn) SetIdle(d time.Duration) { c.idle = d }
+// SetIdleTimeout sets the timeout of each further Read; 0 means no timeout.
+func (c *Conn) SetIdleTimeout(d time.Duration) { c.idle = d }
 
 // Read waits for bytes from the peer. Once the peer has closed the connection, unread bytes are
 // discarded: the peer no longer waits for a response, and under heavy load most late requests are
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -23,7 +23,7 @@
 // maxIdleTime, or takes longer than requestTimeout to send one request.
 func HTTP(maxBody int64, maxIdleTime time.Duration, handle Handler) ServeConn {
 	return func(ctx context.Context, c Stream) {
-		c.SetIdle(maxIdleTime)
+		c.SetIdleTimeout(maxIdleTime)
 		stop := context.AfterFunc(ctx, func() { c.Close() })
 		defer stop()
 		r := bufio.NewReaderSize(c, requestBufferBytes)
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -15,8 +15,8 @@
 // Stream is an accepted connection as its ServeConn function sees it.
 type Stream interface {
 	io.ReadWriteCloser
-	// SetIdle sets the timeout of each further Read; 0 means no timeout.
-	SetIdle(time.Duration)
+	// SetIdleTimeout sets the timeout of each further Read; 0 means no timeout.
+	SetIdleTimeout(time.Duration)
 }
 
 // ServeConn serves one accepted connection in its own goroutine. The connection is closed
@@ -32,23 +32,23 @@
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Sockets is the operating system's network: gnet's event loop for incoming connections,
+// TCPNetwork is the operating system's network: gnet's event loop for incoming connections,
 // the standard library's dialer for outgoing ones.
-type Sockets struct{ Log *slog.Logger }
+type TCPNetwork struct{ Log *slog.Logger }
 
 // Dial opens a connection to an address.
-func (Sockets) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (TCPNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp4", addr)
 }
 
 // Listen serves an address on its own event loop.
-func (n Sockets) Listen(ctx context.Context, addr string, maxConns int, serve ServeConn) error {
+func (n TCPNetwork) Listen(ctx context.Context, addr string, maxConns int, serve ServeConn) error {
 	return n.ListenRejecting(ctx, addr, maxConns, serve, nil)
 }
 
 // ListenRejecting implements RejectingNetwork.
-func (n Sockets) ListenRejecting(ctx context.Context, addr string, maxConns int, serve ServeConn, reject Rejecter) error {
+func (n TCPNetwork) ListenRejecting(ctx context.Context, addr string, maxConns int, serve ServeConn, reject Rejecter) error {
 	s := &server{addr: addr, maxConns: int64(maxConns), serve: serve, reject: reject, log: n.Log}
 	return s.run(ctx)
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -23,7 +23,7 @@
 	idle time.Duration
 }
 
-func (p *pipe) SetIdle(d time.Duration) { p.idle = d }
+func (p *pipe) SetIdleTimeout(d time.Duration) { p.idle = d }
 
 func (p *pipe) Read(b []byte) (int, error) {
 	_ = p.SetReadDeadline(time.Now().Add(p.idle))
@@ -81,9 +81,9 @@
 func TestRealConnections(t *testing.T) {
 	addr := freeAddr(t)
 	ctx, stop := context.WithCancel(t.Context())
-	network, done := Sockets{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, make(chan error, 1)
+	network, done := TCPNetwork{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}, make(chan error, 1)
 	go func() { done <- network.Listen(ctx, addr, 10, HTTP(64, time.Minute, echo)) }()
-	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
+	caller := &Client{MaxBody: 1024, Dial: network.Dial}
 	callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, path := range []string{"/a", "/b"} {
@@ -127,7 +127,7 @@
 // handler does not return use goroutines but hardly any threads: a process may have at most 2,000 threads.
 func TestHangingPeersUseFewThreads(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
+	network, addr := TCPNetwork{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
 	var hanging atomic.Int64
 	done := make(chan error, 1)
 	go func() {
@@ -138,7 +138,7 @@
 		}))
 	}()
 	callCtx, cancel := context.WithTimeout(ctx, time.Minute)
-	caller := &Caller{MaxBody: 64, Dial: network.Dial}
+	caller := &Client{MaxBody: 64, Dial: network.Dial}
 	var group sync.WaitGroup
 	for range 1000 {
 		group.Add(1)
@@ -167,7 +167,7 @@
 // closed, and that the others are served.
 func TestRejectedConnections(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	network, addr := Sockets{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
+	network, addr := TCPNetwork{Log: slog.New(slog.DiscardHandler)}, freeAddr(t)
 	done := make(chan error, 1)
 	go func() {
 		done <- network.ListenRejecting(ctx, addr, 10, HTTP(64, time.Minute, echo), func(first []byte) []byte {
@@ -177,14 +177,14 @@
 			return nil
 		})
 	}()
-	caller := &Caller{MaxBody: 1024, Dial: network.Dial}
+	caller := &Client{MaxBody: 1024, Dial: network.Dial}
 	callCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	for _, c := range []struct {
 		method, path string
 		want         int
 	}{{"GET", "/a", 200}, {"POST", "/crowd", 421}, {"POST", "/crowd", 421}, {"GET", "/b", 200}} {
-		fresh := &Caller{MaxBody: 1024, Dial: network.Dial}
+		fresh := &Client{MaxBody: 1024, Dial: network.Dial}
 		if c.want == 200 {
 			fresh = caller
 		}
--- a/internal/user/user.go
+++ b/internal/user/user.go
@@ -73,11 +73,11 @@
 
 // handleJob handles a request for one job. hasAction tells that its path continues after the ID, with action.
 func (a *API) handleJob(ctx context.Context, method, id, action string, hasAction bool) *httpwire.Response {
-	if hasAction && action != wire.CancelWord && action != wire.WorkWord {
+	if hasAction && action != wire.CancelPathSuffix && action != wire.WorkPathSuffix {
 		return errorResponse(http.StatusNotFound, "no such path")
 	}
 	want := http.MethodGet
-	if action == wire.CancelWord {
+	if action == wire.CancelPathSuffix {
 		want = http.MethodPost
 	}
 	switch {
@@ -85,9 +85,9 @@
 		return errorResponse(http.StatusMethodNotAllowed, "wrong method")
 	case !wire.ValidJobID(id):
 		return errorResponse(http.StatusNotFound, "no such job")
-	case action == wire.CancelWord:
+	case action == wire.CancelPathSuffix:
 		return a.cancel(ctx, id)
-	case action == wire.WorkWord:
+	case action == wire.WorkPathSuffix:
 		return a.jobDescription(ctx, id)
 	}
 	return a.status(ctx, id)
@@ -168,7 +168,7 @@
 		return a.statusResponse(code, id, rec)
 	case errors.Is(err, admission.ErrUnknownJob):
 		return errorResponse(http.StatusNotFound, err.Error())
-	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrTooLarge):
+	case errors.As(err, &unrunnable), errors.Is(err, admission.ErrJobTooLarge):
 		return errorResponse(http.StatusUnprocessableEntity, err.Error())
 	}
 	a.Log.Info("request not served", "job", id, "err", err)
@@ -179,7 +179,7 @@
 func (a *API) retryResponse(err error) *httpwire.Response {
 	resp := unavailableResponse()
 	switch {
-	case errors.Is(err, admission.ErrFull):
+	case errors.Is(err, admission.ErrQueueFull):
 		resp = errorResponse(http.StatusTooManyRequests, err.Error())
 		resp.RetryAfter = fullRetryDelay
 	case errors.Is(err, admission.ErrCompactionBehind):
--- a/internal/user/user_test.go
+++ b/internal/user/user_test.go
@@ -28,8 +28,8 @@
 		{"POST", wire.PathJobs + "x", 404},
 		{"GET", wire.PathJobs + "/wk-1/other", 404},
 		{"POST", wire.PathJobs + "/wk-1", 405},
-		{"GET", wire.PathJobs + "/wk-1/" + wire.CancelWord, 405},
-		{"POST", wire.PathJobs + "/wk-1/" + wire.WorkWord, 405},
+		{"GET", wire.PathJobs + "/wk-1/" + wire.CancelPathSuffix, 405},
+		{"POST", wire.PathJobs + "/wk-1/" + wire.WorkPathSuffix, 405},
 		{"GET", wire.PathJobs + "/job-1", 404},
 		{"POST", wire.PathJobs, 400}, // without a job
 	} {
@@ -58,8 +58,8 @@
 	}{
 		{nil, true, 200, 0, false},
 		{admission.ErrUnknownJob, true, 404, 0, false},
-		{admission.ErrTooLarge, true, 422, 0, false},
-		{admission.ErrFull, true, 429, 2 * time.Second, false},
+		{admission.ErrJobTooLarge, true, 422, 0, false},
+		{admission.ErrQueueFull, true, 429, 2 * time.Second, false},
 		{admission.ErrCompactionBehind, true, 503, 5 * time.Second, false},
 		{admission.ErrHistoryUnavailable, true, 503, time.Second, true},
 		{admission.ErrRetryLater, true, 503, time.Second, false},
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -22,12 +22,12 @@
 )
 
 // Client calls workers at their own addresses.
-type Client struct{ caller transport.Caller }
+type Client struct{ caller transport.Client }
 
 // NewClient returns a client that keeps at most maxIdleConns idle connections. Without a limit, those to
 // thousands of workers would use up all sockets.
 func NewClient(net transport.Network, maxIdleConns int) *Client {
-	return &Client{transport.Caller{MaxBody: maxResponseBytes, MaxIdle: maxIdleConns, Dial: net.Dial}}
+	return &Client{transport.Client{MaxBody: maxResponseBytes, MaxIdle: maxIdleConns, Dial: net.Dial}}
 }
 
 func (c *Client) call(ctx context.Context, addr, method, path string, body []byte) (*wire.Heartbeat, int, error) {
@@ -89,8 +89,8 @@
 	Leader   string // the controller to redirect the worker to; may be empty
 }
 
-// Handler returns an HTTP handler that passes heartbeats to handle and encodes its results.
-func Handler(handle func(context.Context, *wire.Heartbeat) HeartbeatResult, log *slog.Logger) transport.Handler {
+// HeartbeatHandler returns an HTTP handler that passes heartbeats to handle and encodes its results.
+func HeartbeatHandler(handle func(context.Context, *wire.Heartbeat) HeartbeatResult, log *slog.Logger) transport.Handler {
 	return func(ctx context.Context, req *httpwire.Request) *httpwire.Response {
 		if req.Method != http.MethodPost {
 			return &httpwire.Response{Status: http.StatusMethodNotAllowed}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -72,7 +72,7 @@
 // TestHandler checks that a heartbeat is answered, or redirected to the leader.
 func TestHandler(t *testing.T) {
 	result := HeartbeatResult{Response: &wire.HeartbeatResponse{FencingToken: 7}}
-	handle := Handler(func(context.Context, *wire.Heartbeat) HeartbeatResult { return result }, slog.New(slog.DiscardHandler))
+	handle := HeartbeatHandler(func(context.Context, *wire.Heartbeat) HeartbeatResult { return result }, slog.New(slog.DiscardHandler))
 	send := func(method string, body []byte) *httpwire.Response {
 		return handle(context.Background(), &httpwire.Request{Method: method, Path: wire.PathHeartbeat, Body: body})
 	}
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -10,5 +10,5 @@
 // TestGoldenStates checks that the stored texts of the zone states do not change between versions.
 func TestGoldenStates(t *testing.T) {
 	words := []string{string(Up), string(Suspected), string(Unreachable), string(Recovering)}
-	goldentest.Text(t, "states.txt", strings.Join(words, "\n")+"\n")
+	goldentest.CompareText(t, "states.txt", strings.Join(words, "\n")+"\n")
 }
--- a/internal/zone/watch.go
+++ b/internal/zone/watch.go
@@ -91,9 +91,9 @@
 	return since, cutOff
 }
 
-// Wake reports whether all missing machines of a zone should be called again now that one of them has sent a
+// AllowRetry reports whether all missing machines of a zone should be called again now that one of them has sent a
 // heartbeat. It returns true, and records that, at most once per interval.
-func (w *Watch) Wake(now time.Time, zone string, interval time.Duration) bool {
+func (w *Watch) AllowRetry(now time.Time, zone string, interval time.Duration) bool {
 	if now.Sub(w.lastRetry[zone]) < interval {
 		return false
 	}
--- a/internal/zone/watch_test.go
+++ b/internal/zone/watch_test.go
@@ -36,7 +36,7 @@
 	now := time.Unix(1e9, 0)
 	w := NewWatch(now, nil)
 	for i, want := range []bool{true, false, false, true, false} {
-		if got := w.Wake(now.Add(time.Duration(i)*time.Second), "a", 3*time.Second); got != want {
+		if got := w.AllowRetry(now.Add(time.Duration(i)*time.Second), "a", 3*time.Second); got != want {
 			t.Errorf("after %d s: Wake returned %v", i, got)
 		}
 	}
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -158,7 +158,7 @@
 }
 
 func (m *clusterModel) step(line string) []string {
-	f, kv := simulator.Words(line)
+	f, kv := simulator.ParseStep(line)
 	switch f[0] {
 	case "controllers": // each as name/zone
 		for _, x := range f[1:] {
@@ -242,5 +242,5 @@
 
 // TestTraces replays the traces of zone state changes in testdata.
 func TestTraces(t *testing.T) {
-	simulator.Traces(t, func(t *testing.T) func(string) []string { return newClusterModel().step })
+	simulator.RunTraces(t, func(t *testing.T) func(string) []string { return newClusterModel().step })
 }
--- a/internal/zonerecovery/plan_test.go
+++ b/internal/zonerecovery/plan_test.go
@@ -18,7 +18,7 @@
 }
 
 func (r *recoveryModel) step(line string) []string {
-	words, kv := simulator.Words(line)
+	words, kv := simulator.ParseStep(line)
 	switch words[0] {
 	case "see": // sets the observation of a zone, for example: see b dark work=100 waits
 		n, _ := strconv.ParseUint(kv["number"], 10, 64)
@@ -59,7 +59,7 @@
 
 // TestRecoveryTraces replays the traces of zone recoveries in testdata.
 func TestRecoveryTraces(t *testing.T) {
-	simulator.Traces(t, func(*testing.T) func(string) []string {
+	simulator.RunTraces(t, func(*testing.T) func(string) []string {
 		return (&recoveryModel{time.Unix(1e9, 0), map[string]*Plan{}, map[string]Observation{}}).step
 	})
 }
--- a/internal/zonerecovery/retain.go
+++ b/internal/zonerecovery/retain.go
@@ -25,7 +25,7 @@
 	ScaleOuts int // machines that may be requested at once to replace lost ones
 }
 
-// Keeps reports whether a lost machine is retained until its zone recovers. If not, it reserves capacity for the
+// Retains reports whether a lost machine is retained until its zone recovers. If not, it reserves capacity for the
 // machine's work.
 //
 // Releasing the machine is the fastest way to prove that its tasks no longer run. That helps the tasks only if they
@@ -34,7 +34,7 @@
 // it does not, the expiry proves that they no longer run. It is unknown when a zone will recover, so a machine is
 // retained only until its idle time has cost as much as a replacement. At worst that is twice the cost of the best
 // decision in hindsight.
-func (f *FreeCapacity) Keeps(m LostMachine) bool {
+func (f *FreeCapacity) Retains(m LostMachine) bool {
 	switch {
 	case m.CutOffFor >= m.ReplacementTime:
 		return false
--- a/internal/zonerecovery/retain_test.go
+++ b/internal/zonerecovery/retain_test.go
@@ -31,7 +31,7 @@
 		c.lost.ReplacementTime = ReplacementTime(wire.MachineType{BootS: 30, FetchGBps: 0.5}, 10) // 30 + 20 + 60 s
 		got := 0
 		for range 3 {
-			if c.capacity.Keeps(c.lost) {
+			if c.capacity.Retains(c.lost) {
 				got++
 			}
 		}
--- a/internal/zonerecovery/tracker.go
+++ b/internal/zonerecovery/tracker.go
@@ -35,9 +35,9 @@
 	t.plans[zone] = p
 }
 
-// Before reports whether the recovery of a zone takes precedence over that of another zone, whose services are then
+// Precedes reports whether the recovery of a zone takes precedence over that of another zone, whose services are then
 // not spread yet. This is so if the zone has not reached the spreading step, or if its name sorts first.
-func (t *Tracker) Before(zone, other string) bool {
+func (t *Tracker) Precedes(zone, other string) bool {
 	p := t.plans[zone]
 	return p != nil && (p.Step != StepSpread || zone < other)
 }
--- a/internal/zonerecovery/tracker_test.go
+++ b/internal/zonerecovery/tracker_test.go
@@ -18,11 +18,11 @@
 		t.Error("a time in the future is not replaced by now")
 	}
 	tracker.Commit("b", &Plan{Step: StepSpread, Since: now})
-	if tracker.OnlySpreading() || !tracker.Refilling() || !tracker.Before("a", "b") || tracker.Before("b", "a") {
+	if tracker.OnlySpreading() || !tracker.Refilling() || !tracker.Precedes("a", "b") || tracker.Precedes("b", "a") {
 		t.Error("wrong state while zone a refills and zone b spreads")
 	}
 	tracker.Commit("a", &Plan{Step: StepSpread, Since: now})
-	if !tracker.OnlySpreading() || tracker.Refilling() || !tracker.Before("a", "b") || tracker.Before("b", "a") {
+	if !tracker.OnlySpreading() || tracker.Refilling() || !tracker.Precedes("a", "b") || tracker.Precedes("b", "a") {
 		t.Error("wrong state while both zones spread: a comes first")
 	}
 	tracker.Commit("a", nil)
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,9 +9,9 @@
 
 // Paths of the cloud API.
 const (
-	PathTypes   = "/machine_types"
-	PathRentals = "/rentals"
-	PathRelease = "/rentals/release"
+	PathMachineTypes = "/machine_types"
+	PathRentals      = "/rentals"
+	PathRelease      = "/rentals/release"
 )
 
 // Limits of the cloud API.
@@ -70,8 +70,8 @@
 	Count     int    `cbor:"how_many"`
 }
 
-// MachineNames lists machines by ID, in the response to a scale-out request and in a release request.
-type MachineNames struct {
+// MachineIDs lists machines by ID, in the response to a scale-out request and in a release request.
+type MachineIDs struct {
 	Machines []string `cbor:"hives"`
 }
 
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -49,8 +49,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the maximum size in bytes of a request body, and of a response to a worker or a user.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the maximum size in bytes of a request body, and of a response to a worker or a user.
+const MaxBodyBytes = 64 << 10
 
 var (
 	decoder = must(cbor.DecOptions{
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -11,14 +11,14 @@
 // checkEncoding compares the CBOR encoding of a T with a golden file, and decodes that file again.
 func checkEncoding[T any](t *testing.T, name string) {
 	t.Helper()
-	goldentest.Check[T](t, name, func(v any) ([]byte, error) { return Encode(v), nil }, DecodeValue)
+	goldentest.CheckEncoding[T](t, name, func(v any) ([]byte, error) { return Encode(v), nil }, DecodeValue)
 }
 
 // TestGoldenMessages checks that the encoding of each message has not changed.
 func TestGoldenMessages(t *testing.T) {
 	checkEncoding[MachineType](t, "machine-type.cbor")
 	checkEncoding[ScaleOutRequest](t, "rental.cbor")
-	checkEncoding[MachineNames](t, "machine-names.cbor")
+	checkEncoding[MachineIDs](t, "machine-names.cbor")
 	checkEncoding[ListedMachine](t, "listed-machine.cbor")
 	checkEncoding[MachineList](t, "machine-list.cbor")
 	checkEncoding[KeyValue](t, "item.cbor")
@@ -46,15 +46,15 @@
 // TestGoldenPathsAndValues checks that the paths and enumerated values of the protocols have not changed.
 func TestGoldenPathsAndValues(t *testing.T) {
 	values := []string{
-		PathJobs, PathReady, CancelWord, WorkWord, PathKeys, PathTxn, PathLeases, PathWatch, RenewWord,
-		PathTypes, PathRentals, PathRelease, PathHeartbeat, PathCommands, PathStatus,
+		PathJobs, PathReady, CancelPathSuffix, WorkPathSuffix, PathKeys, PathTxn, PathLeases, PathWatch, RenewPathSuffix,
+		PathMachineTypes, PathRentals, PathRelease, PathHeartbeat, PathCommands, PathStatus,
 		KeyPath("a/b"), KeysPath("a/", "a/b", 7), WatchPath("a/", 9, 2*time.Second), LeasePath(5), RenewPath(5), MachineListPath("m 1"),
 		string(Array), string(Gang), string(Service), string(Production), string(High), string(Normal), string(Low),
 		string(Pending), string(Running), string(Done), string(Cancelled),
 		string(MachineStarting), string(MachineRunning), string(MachineFailed),
-		string(Launch), string(Stop), string(Clear), JobPrefix, TaskID{"j-1", 4}.String(),
+		string(Launch), string(Stop), string(Clear), JobIDPrefix, TaskID{"j-1", 4}.String(),
 		string(TaskFetching), string(TaskWaiting), string(TaskRunning), string(TaskSaving), string(TaskEnded),
-		string(CauseDone), string(CauseStopped), string(CausePeers), string(CauseAlone), string(CauseError), string(CauseNoRoom), string(CauseBusy), string(CauseUnknown),
+		string(CauseDone), string(CauseStopped), string(CauseGangBroken), string(CauseGangTimeout), string(CauseError), string(CauseNoCapacity), string(CauseBusy), string(CauseUnknown),
 	}
-	goldentest.Text(t, "words.txt", strings.Join(values, "\n")+"\n")
+	goldentest.CompareText(t, "words.txt", strings.Join(values, "\n")+"\n")
 }
--- a/wire/job.go
+++ b/wire/job.go
@@ -82,8 +82,8 @@
 	Work string `cbor:"work,omitempty"`
 }
 
-// MaxWork is the maximum length of Job.Work in bytes.
-const MaxWork = 4096
+// MaxWorkBytes is the maximum length of Job.Work in bytes.
+const MaxWorkBytes = 4096
 
 // Estimate returns the run time that the user expects of a task.
 func (j *Job) Estimate() time.Duration { return Seconds(j.EstimateS) }
@@ -91,18 +91,18 @@
 // Seconds converts a number of seconds, as used on the wire, to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// JobPrefix is the prefix of every job ID.
-const JobPrefix = "wk-"
+// JobIDPrefix is the prefix of every job ID.
+const JobIDPrefix = "wk-"
 
-// MaxDigits is the maximum number of digits after JobPrefix.
-const MaxDigits = 64 - len(JobPrefix)
+// MaxJobIDDigits is the maximum number of digits after JobIDPrefix.
+const MaxJobIDDigits = 64 - len(JobIDPrefix)
 
-// ValidJobID reports whether id is a well-formed job ID: JobPrefix followed by decimal digits.
+// ValidJobID reports whether id is a well-formed job ID: JobIDPrefix followed by decimal digits.
 func ValidJobID(id string) bool {
-	if len(id) <= len(JobPrefix) || len(id) > len(JobPrefix)+MaxDigits || id[:len(JobPrefix)] != JobPrefix {
+	if len(id) <= len(JobIDPrefix) || len(id) > len(JobIDPrefix)+MaxJobIDDigits || id[:len(JobIDPrefix)] != JobIDPrefix {
 		return false
 	}
-	for _, c := range id[len(JobPrefix):] {
+	for _, c := range id[len(JobIDPrefix):] {
 		if c < '0' || c > '9' {
 			return false
 		}
--- a/wire/store.go
+++ b/wire/store.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Paths of the state service. RenewWord is the last segment of the path that renews a lease.
+// Paths of the state service. RenewPathSuffix is the last segment of the path that renews a lease.
 const (
-	PathKeys   = "/keys"
-	PathTxn    = "/multi"
-	PathLeases = "/holds"
-	PathWatch  = "/changes"
-	RenewWord  = "touch"
+	PathKeys        = "/keys"
+	PathTxn         = "/multi"
+	PathLeases      = "/holds"
+	PathWatch       = "/changes"
+	RenewPathSuffix = "touch"
 )
 
-// MaxItems is the maximum number of keys in a page.
-const MaxItems = 1000
+// MaxKeysPerPage is the maximum number of keys in a page.
+const MaxKeysPerPage = 1000
 
 // KeyValue is a key of the state service with its value, its version and the lease that it is attached to.
 type KeyValue struct {
@@ -107,4 +107,4 @@
 func LeasePath(id uint64) string { return PathLeases + "/" + strconv.FormatUint(id, 10) }
 
 // RenewPath returns the path that renews a lease.
-func RenewPath(id uint64) string { return LeasePath(id) + "/" + RenewWord }
+func RenewPath(id uint64) string { return LeasePath(id) + "/" + RenewPathSuffix }
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -99,8 +99,8 @@
 	if s.DeadlineS != nil {
 		errs = append(errs, checkAmount("due_s", s.DeadlineS))
 	}
-	if s.Work != nil && len(*s.Work) > MaxWork {
-		invalid("field work: more than %d bytes", MaxWork)
+	if s.Work != nil && len(*s.Work) > MaxWorkBytes {
+		invalid("field work: more than %d bytes", MaxWorkBytes)
 	}
 	if s.Types != nil && (len(*s.Types) == 0 || len(*s.Types) > maxMachineTypes) {
 		invalid("field frames: must be null, for any, or name 1 to %d types", maxMachineTypes)
--- a/wire/task.go
+++ b/wire/task.go
@@ -23,14 +23,14 @@
 
 // The causes of a task's end.
 const (
-	CauseDone    Cause = "done"
-	CauseStopped Cause = "halted"     // by a command
-	CausePeers   Cause = "mates_gone" // other tasks of the gang were lost
-	CauseAlone   Cause = "alone"      // the other tasks of the gang did not start in time
-	CauseError   Cause = "error"
-	CauseNoRoom  Cause = "no_room" // not launched: the machine has too little free capacity
-	CauseBusy    Cause = "busy"    // not launched: another attempt of the task runs on the machine
-	CauseUnknown Cause = "unknown" // not launched: the job is not known
+	CauseDone        Cause = "done"
+	CauseStopped     Cause = "halted"     // by a command
+	CauseGangBroken  Cause = "mates_gone" // other tasks of the gang were lost
+	CauseGangTimeout Cause = "alone"      // the other tasks of the gang did not start in time
+	CauseError       Cause = "error"
+	CauseNoCapacity  Cause = "no_room" // not launched: the machine has too little free capacity
+	CauseBusy        Cause = "busy"    // not launched: another attempt of the task runs on the machine
+	CauseUnknown     Cause = "unknown" // not launched: the job is not known
 )
 
 // TaskID identifies a task of a job. Controllers also send it to each other with encoding/gob, which matches
--- a/wire/user.go
+++ b/wire/user.go
@@ -1,12 +1,12 @@
 package wire
 
-// Paths of the user API. CancelWord and WorkWord are segments that follow the path of a job: they cancel it and
+// Paths of the user API. CancelPathSuffix and WorkPathSuffix are segments that follow the path of a job: they cancel it and
 // read its Work.
 const (
-	PathJobs   = "/v2/runs"
-	PathReady  = "/ready"
-	CancelWord = "abort"
-	WorkWord   = "work"
+	PathJobs         = "/v2/runs"
+	PathReady        = "/ready"
+	CancelPathSuffix = "abort"
+	WorkPathSuffix   = "work"
 )
 
 // JobStatus is the response to a user's request about a job.
