--- a/internal/autoscale/autoscale_test.go
+++ b/internal/autoscale/autoscale_test.go
@@ -219,11 +219,11 @@
 	took = s.runUntil(acquired+240, minBackoffLimit+6*time.Second)
 	t.Logf("new capacity without a hint: 240 machines after %v by %d calls", took, s.calls-calls)
 
-	for _, hint := range []string{"a zone is back", "machines are returned"} {
+	for _, hint := range []string{"a zone has recovered", "machines are returned"} {
 		s.run(2*time.Minute + 3*time.Second)
 		calls, acquired = s.calls, s.acquired
 		s.capacity[s.offers[4]] = 240
-		if hint == "a zone is back" {
+		if hint == "a zone has recovered" {
 			s.log.ZoneRecovered("b")
 		} else {
 			s.log.InstanceReturned(s.offers[4])
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -34,7 +34,7 @@
 	{"long line", "GET /" + strings.Repeat("a", maxLine) + " HTTP/1.1\r\n\r\n", 431, ""},
 	{"many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", maxHeaders+1) + "\r\n", 431, ""},
 	{"carriage return inside", "GET / HTTP/1.1\r\nA: b\rc\r\n\r\n", 400, ""},
-	{"expectation", "POST /x HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", 417, ""},
+	{"Expect header", "POST /x HTTP/1.1\r\nExpect: 100-continue\r\n\r\n", 417, ""},
 }
 
 // TestReadRequest checks which requests are accepted and with which status the others are rejected.
--- a/internal/leader/stall_test.go
+++ b/internal/leader/stall_test.go
@@ -18,9 +18,9 @@
 		inject func(f *largeFleet) // nil: every round is refused
 		cause  stall.Cause
 	}{
-		{"all is well", func(*largeFleet) {}, ""},
+		{"no fault", func(*largeFleet) {}, ""},
 		{"the ledger has no room", func(f *largeFleet) { f.ledger, _ = store.NewLedger("fleet", 300, nil) }, stall.CauseLedger},
-		{"nor for rentals", func(f *largeFleet) {
+		{"the ledger has no room for scale-outs", func(f *largeFleet) {
 			f.ledger, _ = store.NewLedger("fleet", 300, nil)
 			f.heartbeats = nil // no machine sends heartbeats anymore
 		}, stall.CauseScaleOut},
@@ -60,7 +60,7 @@
 
 // TestNoStallWithoutRoom checks that no stall is reported for a fleet that is full or whose teams are at their limits.
 func TestNoStallWithoutRoom(t *testing.T) {
-	for name, teams := range map[string]int{"full": 0, "at the limits": 15} {
+	for name, teams := range map[string]int{"fleet is full": 0, "at the limits": 15} {
 		t.Run(name, func(t *testing.T) {
 			f := newLargeFleetOf(t, 60, 1, teams)
 			for i := range f.cfg.Teams {
--- a/internal/scheduler/first_replica_test.go
+++ b/internal/scheduler/first_replica_test.go
@@ -65,17 +65,17 @@
 		launch, stop int  // number of launches, all in zone b, and of stops
 		violated     bool // the plan reports a violated spread rule
 	}{
-		{"the fewest", even, []string{"a"}, []int{1}, []string{"a", "b"}, 4, false, 1, 0, false},
-		{"no rule, no moves", nil, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, false, 0, 0, false},
-		{"a move", even, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
-		{"even already", even, []string{"a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 0, false},
-		{"no capacity there", even, []string{"a", "a", "a", "a"}, nil, []string{"a"}, 4, false, 0, 0, false},
+		{"zone with the fewest replicas", even, []string{"a"}, []int{1}, []string{"a", "b"}, 4, false, 1, 0, false},
+		{"no rule, no move", nil, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, false, 0, 0, false},
+		{"one move to the other zone", even, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
+		{"already even", even, []string{"a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 0, false},
+		{"no capacity in the other zone", even, []string{"a", "a", "a", "a"}, nil, []string{"a"}, 4, false, 0, 0, false},
 		{"a zone in doubt", even, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 0, false, 0, 0, true},
 		{"production waits", even, []string{"a", "a", "a", "a"}, nil, []string{"b"}, 4, true, 0, 0, true},
-		{"one is away", even, []string{"a", "a", "a"}, []int{3}, []string{"b"}, 4, false, 1, 0, false},
-		{"half survives", survive, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
-		{"half would survive", survive, []string{"a", "a"}, nil, []string{"b"}, 4, false, 0, 1, true},
-		{"only there", &SpreadRule{Even: true, Zones: []string{"a"}}, []string{"a", "a"}, []int{2}, []string{"b"}, 4, false, 0, 0, false},
+		{"a replica waits", even, []string{"a", "a", "a"}, []int{3}, []string{"b"}, 4, false, 1, 0, false},
+		{"too few would survive with 3 of 4 in a zone", survive, []string{"a", "a", "a", "b"}, nil, []string{"b"}, 4, false, 0, 1, true},
+		{"none would survive with 2 of 2 in a zone", survive, []string{"a", "a"}, nil, []string{"b"}, 4, false, 0, 1, true},
+		{"rule allows only one zone", &SpreadRule{Even: true, Zones: []string{"a"}}, []string{"a", "a"}, []int{2}, []string{"b"}, 4, false, 0, 0, false},
 	} {
 		j := job("wk-1", wire.Service, wire.Production, 4, c.waiting...)
 		j.SpreadRule, j.Tasks = c.rule, len(c.in)+len(c.waiting)
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -165,55 +165,55 @@
 		setup func() *Snapshot
 		want  []string // expected launches
 	}{
-		{"it reserves what is free in the zone where the rest comes soonest", func() *Snapshot {
+		{"a gang reserves what is free in the zone where the rest is free soonest", func() *Snapshot {
 			busy, soon, small := run(job("wk-1", wire.Array, wire.Normal, 4), 300), run(job("wk-2", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0, 1, 2, 3, 4)
 			return testSnapshot([]*Job{busy, soon, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "b", Task{Job: soon}), machine("n-4", "b"))
 		}, []string{"wk-4/0 n-2", "wk-4/1 n-2", "wk-4/2 n-2", "wk-4/3 n-2"}},
-		{"however long one has waited that finds no capacity at all", func() *Snapshot {
+		{"a gang that never finds capacity does not keep others from reserving", func() *Snapshot {
 			busy, soon, small := run(job("wk-1", wire.Array, wire.Normal, 4), 300), run(job("wk-2", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0, 1, 2, 3, 4)
 			never := long(job("wk-5", wire.Gang, wire.Normal, 4, 0, 1, 2, 3, 4, 5, 6, 7))
 			never.Age, never.Zone = 9*time.Minute, "c"
 			return testSnapshot([]*Job{busy, soon, small, never, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "b", Task{Job: soon}), machine("n-4", "b"))
 		}, []string{"wk-4/0 n-2", "wk-4/1 n-2", "wk-4/2 n-2", "wk-4/3 n-2"}},
-		{"services take other capacity while there is any", func() *Snapshot {
+		{"services use other capacity if there is any", func() *Snapshot {
 			busy, other, top := run(job("wk-1", wire.Array, wire.Normal, 4), 20), run(job("wk-2", wire.Service, wire.Production, 1), 300), job("wk-4", wire.Service, wire.Production, 1, 0)
 			return testSnapshot([]*Job{busy, other, top, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))},
 				machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "a", Task{Job: other}))
 		}, []string{"wk-4/0 n-3"}},
-		{"the largest array goes before smaller work that has yet to miss its objective", func() *Snapshot {
+		{"the largest array goes before a smaller job that can still meet its objective", func() *Snapshot {
 			large, small := job("wk-1", wire.Array, wire.Normal, 4, 0, 1), job("wk-2", wire.Array, wire.Normal, 4, 0)
 			large.Tasks, large.Age, small.Age, small.Class = 50, 130*time.Second, 50*time.Second, "small"
 			p := testSnapshot([]*Job{large, small}, machine("n-1", "a"))
 			p.Objectives = []Objective{{StartWithin, "small", time.Minute}, {StartWithin, large.Class, time.Minute}}
 			return p
 		}, []string{"wk-1/0 n-1"}},
-		{"smaller work does not use up the team's limit", func() *Snapshot {
+		{"smaller jobs do not use up the team's limit before a gang", func() *Snapshot {
 			busy, small := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0)
 			p := testSnapshot([]*Job{busy, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"), machine("n-3", "a"))
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 4}
 			return p
 		}, nil},
-		{"unless services use what it needs", func() *Snapshot {
+		{"smaller jobs use the limit if services leave too little for the gang", func() *Snapshot {
 			stays, small := job("wk-1", wire.Service, wire.Production, 4), job("wk-4", wire.Array, wire.Normal, 1, 0)
 			p := testSnapshot([]*Job{stays, small, long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))}, machine("n-1", "a", Task{Job: stays}), machine("n-2", "a"), machine("n-3", "a"))
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 4}
 			return p
 		}, []string{"wk-4/0 n-3"}},
-		{"nor that of an array", func() *Snapshot {
+		{"smaller jobs do not use up the team's limit before an array", func() *Snapshot {
 			wide, small := job("wk-1", wire.Array, wire.Normal, 4, 0), job("wk-2", wire.Array, wire.Normal, 1, 0)
 			wide.Age = 2 * time.Minute
 			p := testSnapshot([]*Job{wide, small}, machine("n-1", "a"))
 			p.Teams["red"] = &Team{LimitGPUs: 10, UsedGPUs: 8}
 			return p
 		}, nil},
-		{"what may run elsewhere starts nothing, and its reservation stays", func() *Snapshot {
+		{"a gang that may be running launches nothing and keeps its reservation", func() *Snapshot {
 			busy, small, gang := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0), long(job("wk-3", wire.Gang, wire.Normal, 4, 0, 1))
 			gang.MaybeRunning = true
 			return testSnapshot([]*Job{busy, small, gang}, machine("n-1", "a", Task{Job: busy}), machine("n-2", "a"))
 		}, nil},
-		{"a zone that is unavailable is left", func() *Snapshot {
+		{"a gang reserves nothing in a zone with an unusable machine", func() *Snapshot {
 			busy, small := run(job("wk-1", wire.Array, wire.Normal, 4), 20), job("wk-4", wire.Array, wire.Normal, 1, 0)
 			unusable := machine("n-1", "a")
 			unusable.Usable = false
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -32,11 +32,11 @@
 		{wire.Array, "red", wire.High, 2, 4, 4 * time.Minute, nil},
 		{wire.Service, "blue", wire.Production, 3, 1, untilCancelled, nil},
 		{wire.Array, "red", wire.Normal, 1, 1, 20 * time.Second, nil}},
-	"one of the same priority does": {
+	"a task of its team and priority needs more than the limit leaves": {
 		{wire.Array, "red", wire.Normal, 2, 4, 4 * time.Minute, nil},
 		{wire.Service, "blue", wire.Production, 3, 1, untilCancelled, nil},
 		{wire.Array, "red", wire.Normal, 2, 1, 20 * time.Second, nil}},
-	"a gang of its team does": {
+	"a gang of its team needs more than the limit leaves": {
 		{wire.Service, "red", wire.Production, 1, 1, untilCancelled, nil},
 		{wire.Gang, "red", wire.High, 3, 2, 20 * time.Second, nil},
 		{wire.Array, "red", wire.Low, 1, 1, 20 * time.Second, nil}},
@@ -53,7 +53,7 @@
 		{wire.Service, "blue", wire.Production, 4, 3, untilCancelled, nil},
 		{wire.Array, "blue", wire.High, 40, 4, 4 * time.Minute, nil},
 		{wire.Array, "blue", wire.Low, 1, 1, 20 * time.Second, nil}},
-	"production that is spread finds its zone full": {
+	"a spread production service finds a zone full": {
 		{wire.Array, "blue", wire.High, 4, 4, untilCancelled, func(j *wire.Job) { j.Zone = "b" }},
 		{wire.Service, "blue", wire.Production, 4, 3, untilCancelled, func(j *wire.Job) { j.Spread = true }},
 		{wire.Array, "blue", wire.Low, 2, 1, 20 * time.Second, func(j *wire.Job) { j.OneZone = true }}},
--- a/internal/simtest/liveness_test.go
+++ b/internal/simtest/liveness_test.go
@@ -85,7 +85,7 @@
 		before, after func(w *simulation)
 		want          string
 	}{
-		"nothing": {},
+		"no violation": {},
 		"a batch that no reader can decode": {want: "no question about wk-1 is answered", after: func(w *simulation) {
 			key, _ := w.batchOf("wk-1")
 			w.writeState(wire.Operation{Put: key, Value: "garbled"})
@@ -93,7 +93,7 @@
 				w.kill(i, time.Second)
 			}
 		}},
-		"lost between batch and history": {want: "wk-1 was accepted and is answered 404", after: func(w *simulation) {
+		"deleted between batch and history": {want: "wk-1 was accepted and is answered 404", after: func(w *simulation) {
 			key, _ := w.batchOf("wk-1")
 			w.writeState(wire.Operation{Delete: key})
 		}},
@@ -101,9 +101,9 @@
 			time.Sleep(10 * time.Second)
 			w.writeState(wire.Operation{Put: store.LeaderKey("b"), Value: store.LeaderRecord{Leader: "c-9", FencingToken: 99, Format: store.Format}})
 		}},
-		"not answered by the controller that its user has come to": {want: "no question about wk-1 is answered",
+		"not answered by the controller that its user polls": {want: "no question about wk-1 is answered",
 			before: func(w *simulation) { w.overrideResponses("wk-1", simulator.Address(w.ip(0), 8080), nil) }},
-		"shed again and again": {want: "no question about wk-1 is answered", before: func(w *simulation) {
+		"answered 503 again and again": {want: "no question about wk-1 is answered", before: func(w *simulation) {
 			w.overrideResponses("wk-1", "", httpwire.AppendResponse(nil, &httpwire.Response{Status: 503, RetryAfter: time.Second}))
 		}},
 	} {
--- a/internal/simtest/remote_execution_test.go
+++ b/internal/simtest/remote_execution_test.go
@@ -321,18 +321,18 @@
 		name string
 		test func(ctx context.Context, t *testing.T)
 	}{
-		{"an exit code is an answer, and is not cached", b.exitCode},
-		{"two teams ask for the same action at once: one execution, one answer", b.sharedAction},
+		{"a non-zero exit code is a result and is not cached", b.exitCode},
+		{"two teams that request the same action at once share one execution", b.sharedAction},
 		{"do_not_cache and skip_cache_lookup", b.cachingFlags},
-		{"a time limit ends the command and all that it has started", b.timeLimit},
-		{"only the declared environment", b.environment},
-		{"an unknown property is named", b.unknownProperty},
-		{"a missing blob is named", b.missingBlob},
+		{"a time limit ends the command and the processes it has started", b.timeLimit},
+		{"a command gets only the declared environment", b.environment},
+		{"errors name an unknown property", b.unknownProperty},
+		{"the response names a missing blob", b.missingBlob},
 		{"a tree that leads out of its root is refused", b.treeOutsideRoot},
-		{"who leaves halfway finds it at another controller", b.clientDisconnects},
-		{"alerts go first while a heavy build runs", b.priorities},
-		{"what a command writes is shown while it runs", b.liveOutput},
-		{"the tools of the command line", b.commandLine},
+		{"a client that disconnects gets the result from another controller", b.clientDisconnects},
+		{"a high-priority action does not wait for a large build", b.priorities},
+		{"a command's output can be followed while it runs", b.liveOutput},
+		{"the command line tools", b.commandLine},
 	} {
 		t.Run(x.name, func(t *testing.T) { x.test(ctx, t) })
 	}
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -20,11 +20,11 @@
 		answer   []answer
 		violated bool
 	}{
-		"in flight over the end":             {[]answer{{wire.Cancelled, 5, 6}, {wire.Running, 4, 9}}, false},
-		"asked after it":                     {[]answer{{wire.Cancelled, 5, 6}, {wire.Running, 7, 9}}, true},
-		"asked after it, told before it":     {[]answer{{wire.Running, 7, 8}, {wire.Cancelled, 5, 6}}, true},
-		"asked before, told before, overlap": {[]answer{{wire.Running, 4, 9}, {wire.Cancelled, 5, 6}}, false},
-		"two ends":                           {[]answer{{wire.Cancelled, 5, 9}, {wire.Done, 5, 9}}, true},
+		"request in flight when the end was reported":         {[]answer{{wire.Cancelled, 5, 6}, {wire.Running, 4, 9}}, false},
+		"request sent after the end was reported":             {[]answer{{wire.Cancelled, 5, 6}, {wire.Running, 7, 9}}, true},
+		"request sent after the end, answer observed first":   {[]answer{{wire.Running, 7, 8}, {wire.Cancelled, 5, 6}}, true},
+		"overlapping requests, earlier answer observed first": {[]answer{{wire.Running, 4, 9}, {wire.Cancelled, 5, 6}}, false},
+		"two different final stages":                          {[]answer{{wire.Cancelled, 5, 9}, {wire.Done, 5, 9}}, true},
 	} {
 		checker := NewChecker(time.Minute, nil)
 		checker.Submitted(&wire.Job{ID: "wk-1", Shape: wire.Array}, time.Second)
--- a/internal/simulator/launch_checker_test.go
+++ b/internal/simulator/launch_checker_test.go
@@ -17,11 +17,11 @@
 		sent, resent, faultFree    time.Duration // after the user was told; faultFree < 0: always a fault
 		launches, starts, violated int           // expected counts
 	}{
-		"sent before, started after":         {-time.Second, time.Second, 0, 0, 1, 0},
-		"sent after, in trouble":             {time.Second, 0, -1, 1, 1, 0},
-		"sent after, in quiet":               {5 * time.Second, 0, 0, 1, 1, 1},
-		"sent after, quiet since a moment":   {5 * time.Second, 0, 4 * time.Second, 1, 1, 0},
-		"sent after, while nobody need know": {time.Second, 0, 0, 1, 1, 0},
+		"sent before, started after":               {-time.Second, time.Second, 0, 0, 1, 0},
+		"sent after, during a fault":               {time.Second, 0, -1, 1, 1, 0},
+		"sent after, without faults":               {5 * time.Second, 0, 0, 1, 1, 1},
+		"sent after, faults ended a moment ago":    {5 * time.Second, 0, 4 * time.Second, 1, 1, 0},
+		"sent after, within the propagation delay": {time.Second, 0, 0, 1, 1, 0},
 	} {
 		checker := LaunchChecker{}
 		if test.faultFree >= 0 {
--- a/internal/simulator/liveness_test.go
+++ b/internal/simulator/liveness_test.go
@@ -16,14 +16,14 @@
 		unanswered, others time.Duration // how long polls of the job, and of other jobs, stay unanswered
 		want               string
 	}{
-		"in trouble, others are answered":            {-1, 100 * time.Second, 0, "no question about wk-1 is answered for 1m30s"},
-		"in trouble, not for long enough":            {-1, 85 * time.Second, 0, ""},
-		"in trouble, others fare no better":          {-1, 200 * time.Second, 200 * time.Second, ""},
-		"in trouble, most others are answered again": {-1, 200 * time.Second, 100 * time.Second, "no question about wk-1 is answered for 2m3"},
-		"in quiet":                                      {0, 76 * time.Second, 0, "no question about wk-1 is answered for 1m15s, and all troubles are over"},
-		"in quiet, others fare no better":               {0, 76 * time.Second, 85 * time.Second, "and all troubles are over"},
-		"in quiet, not for long enough":                 {0, 74 * time.Second, 0, ""},
-		"troubles last for a while, quiet is too short": {70 * time.Second, 140 * time.Second, 140 * time.Second, ""},
+		"fault, others are answered":                              {-1, 100 * time.Second, 0, "no question about wk-1 is answered for 1m30s"},
+		"fault, not for long enough":                              {-1, 85 * time.Second, 0, ""},
+		"fault, others are not answered either":                   {-1, 200 * time.Second, 200 * time.Second, ""},
+		"fault, most others are answered again":                   {-1, 200 * time.Second, 100 * time.Second, "no question about wk-1 is answered for 2m3"},
+		"no fault":                                                {0, 76 * time.Second, 0, "no question about wk-1 is answered for 1m15s, and all troubles are over"},
+		"no fault, others are not answered either":                {0, 76 * time.Second, 85 * time.Second, "and all troubles are over"},
+		"no fault, not for long enough":                           {0, 74 * time.Second, 0, ""},
+		"fault for a while, then fault-free for too short a time": {70 * time.Second, 140 * time.Second, 140 * time.Second, ""},
 	} {
 		var checker LivenessChecker
 		begun := time.Unix(1000, 0)
--- a/internal/zonerecovery/retain_test.go
+++ b/internal/zonerecovery/retain_test.go
@@ -22,11 +22,11 @@
 	}{
 		{"production runs on", FreeCapacity{Free: work, ScaleOuts: 3}, LostMachine{HasProduction: true, Demand: work, CanScaleOut: yes, CutOffFor: soon}, 3},
 		{"a full fleet", FreeCapacity{HasQueued: true, Free: work, ScaleOuts: 3}, LostMachine{Demand: work, CanScaleOut: yes, CutOffFor: soon}, 3},
-		{"room for one", FreeCapacity{Free: work}, LostMachine{Demand: work, CanScaleOut: no, CutOffFor: soon}, 2},
-		{"two can be rented", FreeCapacity{ScaleOuts: 2}, LostMachine{Demand: work, CanScaleOut: yes, CutOffFor: soon}, 1},
-		{"none can be rented for such work", FreeCapacity{ScaleOuts: 2}, LostMachine{Demand: work, CanScaleOut: no, CutOffFor: soon}, 3},
-		{"nothing is on it", FreeCapacity{Free: work, ScaleOuts: 3}, LostMachine{CanScaleOut: yes, CutOffFor: soon}, 3},
-		{"away for too long", FreeCapacity{HasQueued: true}, LostMachine{Demand: work, CutOffFor: late}, 0},
+		{"capacity for one", FreeCapacity{Free: work}, LostMachine{Demand: work, CanScaleOut: no, CutOffFor: soon}, 2},
+		{"two machines can be requested", FreeCapacity{ScaleOuts: 2}, LostMachine{Demand: work, CanScaleOut: yes, CutOffFor: soon}, 1},
+		{"no machine can be requested for such work", FreeCapacity{ScaleOuts: 2}, LostMachine{Demand: work, CanScaleOut: no, CutOffFor: soon}, 3},
+		{"no tasks on the machine", FreeCapacity{Free: work, ScaleOuts: 3}, LostMachine{CanScaleOut: yes, CutOffFor: soon}, 3},
+		{"cut off for too long", FreeCapacity{HasQueued: true}, LostMachine{Demand: work, CutOffFor: late}, 0},
 	} {
 		c.lost.ReplacementTime = ReplacementTime(wire.MachineType{BootS: 30, FetchGBps: 0.5}, 10) // 30 + 20 + 60 s
 		got := 0
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -81,22 +81,22 @@
 		body []byte
 		id   string
 	}{
-		"alone":           {id, "wk-1"},
-		"others wrong":    {whole, "wk-1"},
-		"long":            {Encode(large), "wk-1"},
-		"more behind":     {append(slices.Clone(whole), 0xff, 0), "wk-1"},
-		"cut off":         {whole[:len(whole)-3], "wk-1"},
-		"no end":          {append([]byte{0xbf}, whole[1:]...), "wk-1"},
-		"twice":           {append([]byte{0xa2}, append(slices.Clone(id[1:]), id[1:]...)...), "wk-1"},
-		"after another":   {append([]byte{0xa2, 0x63, 'u', 'i', 'd', 0x07}, id[1:]...), "wk-1"},
-		"within another":  {Encode(map[string]any{"a": map[string]any{"uid": "wk-1"}}), ""},
-		"a list":          {Encode([]string{"uid", "wk-1"}), ""},
-		"a text":          {[]byte("uid wk-1"), ""},
-		"of a wrong form": {Encode(map[string]any{"uid": "wk-x"}), ""},
-		"null":            {Encode(map[string]any{"uid": nil}), ""},
-		"of another name": {Encode(map[string]any{"UID": "wk-1"}), ""},
-		"empty":           {nil, ""},
-		"a head only":     {[]byte{0xbb, 0}, ""},
+		"ID only":                       {id, "wk-1"},
+		"other fields invalid":          {whole, "wk-1"},
+		"many fields":                   {Encode(large), "wk-1"},
+		"trailing data":                 {append(slices.Clone(whole), 0xff, 0), "wk-1"},
+		"truncated":                     {whole[:len(whole)-3], "wk-1"},
+		"indefinite length without end": {append([]byte{0xbf}, whole[1:]...), "wk-1"},
+		"duplicate ID":                  {append([]byte{0xa2}, append(slices.Clone(id[1:]), id[1:]...)...), "wk-1"},
+		"after an invalid ID":           {append([]byte{0xa2, 0x63, 'u', 'i', 'd', 0x07}, id[1:]...), "wk-1"},
+		"nested ID":                     {Encode(map[string]any{"a": map[string]any{"uid": "wk-1"}}), ""},
+		"array":                         {Encode([]string{"uid", "wk-1"}), ""},
+		"not CBOR":                      {[]byte("uid wk-1"), ""},
+		"malformed ID":                  {Encode(map[string]any{"uid": "wk-x"}), ""},
+		"null":                          {Encode(map[string]any{"uid": nil}), ""},
+		"name in upper case":            {Encode(map[string]any{"UID": "wk-1"}), ""},
+		"empty":                         {nil, ""},
+		"head only":                     {[]byte{0xbb, 0}, ""},
 	} {
 		if got := SubmittedID(c.body); got != c.id {
 			t.Errorf("%s: %q", name, got)
